--- /dev/null
+++ b/internal/savedlist/stored_test.go
@@ -0,0 +1,122 @@
+package savedlist
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"brassdale/brain"
+	"brassdale/internal/protocol"
+)
+
+const storedDispatcher = "dispatcher 1" // with a blank, which is escaped in the name of its folder
+
+// storedSnapshot is what the snapshot in testdata/stored holds; each field has a value of its own.
+func storedSnapshot() *Saved {
+	return &Saved{
+		Dispatcher: storedDispatcher, MadeMS: 1001, Revision: 11, Discovery: "127.0.0.1:8500", Out: []string{"worker-z"},
+		Members: []Member{{
+			Member: protocol.Member{ID: "worker-a", HostPort: "127.0.0.1:3001", Locality: "zone-1", Flavor: "flavor-1",
+				Cell: 2, Phase: "active", Size: 1.5, UpSinceMS: 901},
+			HeardMS: 1000,
+			Learned: &brain.WorkerExperience{Since: 21, Total: 22.5, Increment: 23.5, Lag: 24.5, JobsOf: 25.5, Heard: 26},
+		}},
+		Classes: map[string]brain.ClassExperience{"class-1": {Scale: 31.5, Usual: 32.5, Jobs: 33}},
+		Allow:   41.5, Stay: 42.5, Mean: 43.5,
+	}
+}
+
+// storedChanges are what the journal in testdata/stored holds.
+func storedChanges() []*change {
+	return []*change{
+		{AtMS: 1002, Revision: 12, Members: []protocol.Member{{ID: "worker-b", HostPort: "127.0.0.1:3002", Locality: "zone-2",
+			Flavor: "flavor-2", Cell: 3, Phase: "leaving", Size: 2.5, UpSinceMS: 902}}},
+		{AtMS: 1003, Revision: 13, Out: &[]string{"worker-a", "worker-b"}},
+	}
+}
+
+// TestStoredList reads a snapshot and its journal as the program of commit c2c1317 wrote them, and checks that the same
+// content is written as the same bytes under the same names.
+func TestStoredList(t *testing.T) {
+	const stored = "testdata/stored"
+	checkAllSet(t, "snapshot", reflect.ValueOf(storedSnapshot()))
+
+	read := t.TempDir()
+	if err := os.CopyFS(read, os.DirFS(stored)); err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range []string{read, filepath.Join(read, "dispatcher%201")} { // a clone has wider permissions
+		if err := os.Chmod(path, 0o700); err != nil {
+			t.Fatal(err)
+		}
+	}
+	files, err := Folder(read, storedDispatcher)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, notes := NewStore(files, storedDispatcher).Load()
+	want := storedSnapshot()
+	want.MadeMS, want.Revision, want.Out = 1003, 13, []string{"worker-a", "worker-b"}
+	want.Members = append(want.Members, Member{Member: storedChanges()[0].Members[0]})
+	if len(notes) > 0 || !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v (notes %q)", got, want, notes)
+	}
+
+	written := t.TempDir()
+	writeStored(t, written)
+	for _, name := range []string{"snapshot-0000000000000001", "journal-0000000000000001"} {
+		want, err := os.ReadFile(filepath.Join(stored, "dispatcher%201", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if text, err := os.ReadFile(filepath.Join(written, "dispatcher%201", name)); err != nil || string(text) != string(want) {
+			t.Errorf("%s: wrote %q (error %v), want %q", name, text, err, want)
+		}
+	}
+}
+
+// writeStored writes the content of testdata/stored.
+func writeStored(t *testing.T, dir string) {
+	t.Helper()
+	files, err := Folder(dir, storedDispatcher)
+	if err != nil {
+		t.Fatal(err)
+	}
+	store := NewStore(files, storedDispatcher)
+	if err := store.Snapshot(storedSnapshot()); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range storedChanges() {
+		if err := store.Add(c); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// checkAllSet reports the exported fields below a value that are zero.
+func checkAllSet(t *testing.T, path string, value reflect.Value) {
+	t.Helper()
+	if value.IsZero() || (value.Kind() == reflect.Slice || value.Kind() == reflect.Map) && value.Len() == 0 {
+		t.Errorf("%s is not set", path)
+		return
+	}
+	switch value.Kind() {
+	case reflect.Pointer:
+		checkAllSet(t, path, value.Elem())
+	case reflect.Slice:
+		for i := range value.Len() {
+			checkAllSet(t, path+"[]", value.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range value.MapKeys() {
+			checkAllSet(t, path+"[]", value.MapIndex(key))
+		}
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() {
+				checkAllSet(t, path+"."+field.Name, value.Field(i))
+			}
+		}
+	}
+}
