--- /dev/null
+++ b/internal/program/detached_test.go
@@ -0,0 +1,44 @@
+package program
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"brassdale/internal/protocol"
+)
+
+// TestStoredDetachedWorkers reads the file of detached workers as the program of commit c2c1317 wrote it, and checks that
+// the same workers are written as the same bytes today.
+func TestStoredDetachedWorkers(t *testing.T) {
+	const stored = `{"name":"dispatcher-1","workers":["worker-a","worker-b"]}`
+	dir := t.TempDir()
+	path := keptFile(func(string) string { return dir }, &protocol.Config{Listen: "127.0.0.1:8080"}, ".detached")
+	if want := filepath.Join(dir, "brassdale-127.0.0.1:8080.detached"); path != want {
+		t.Errorf("the file is %q, want %q", path, want)
+	}
+	if err := os.WriteFile(path, []byte(stored), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	file := &detached{path: path, name: "dispatcher-1"}
+	if err := file.load(); err != nil {
+		t.Fatal(err)
+	}
+	if want := []string{"worker-a", "worker-b"}; file.none || !reflect.DeepEqual(file.list(), want) {
+		t.Errorf("read %q (no file: %v), want %q", file.list(), file.none, want)
+	}
+
+	written := &detached{path: filepath.Join(t.TempDir(), "detached.json"), name: "dispatcher-1"}
+	for _, worker := range []string{"worker-a", "worker-b"} {
+		if err := written.put(worker, true); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if text, err := os.ReadFile(written.path); err != nil || string(text) != stored {
+		t.Errorf("wrote %q (error %v), want %q", text, err, stored)
+	}
+	if err := (&detached{path: path, name: "dispatcher-2"}).load(); err == nil {
+		t.Error("the file of another dispatcher was accepted")
+	}
+}
