--- /dev/null
+++ b/internal/fleet/log/stored_test.go
@@ -0,0 +1,191 @@
+package log
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"log/slog"
+	"os"
+	"reflect"
+	"testing"
+	"time"
+
+	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/failover"
+)
+
+// storedFounders are the voters of the log in testdata/stored: the one that wrote it.
+var storedFounders = []agreement.Seat{{ID: 1, Address: "127.0.0.1:9001"}}
+
+// storedIncarnation was drawn when the file in testdata/stored was made.
+const storedIncarnation = "HPSB64GR6P3ZLFVK5MYBPGJJAT"
+
+// storedEntries were proposed to the log in testdata/stored, in this order. The snapshot was taken behind the first ones;
+// the last ones are entries of their own.
+func storedEntries() []agreement.Entry {
+	announce := func(id string, follows uint64) agreement.Entry {
+		return agreement.Entry{ID: id, Announce: &agreement.Version{Number: follows, By: "by-" + id, Why: "why-" + id,
+			At:    time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
+			Rules: agreement.Rules{Retries: 0.25, Repeat: true, Out: []string{"worker-" + id}, Shares: map[string]float64{"account-1": 0.5}}}}
+	}
+	return []agreement.Entry{
+		announce("entry-1", 0),
+		{ID: "entry-2", Force: 1},
+		announce("entry-3", 1),
+		{ID: "entry-4", Withdraw: 2, Why: "why-4"},
+		{ID: "entry-5", Plan: &failover.Plan{Number: 7, Why: map[string]string{"zone-1": "why-5"},
+			Parts: map[string]map[string][]failover.Part{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}}},
+		{ID: "entry-6", Hold: &agreement.Hold{Zone: "zone-3", Share: 0.125, By: "by-6", Why: "why-6", Force: true}},
+		announce("entry-7", 3),
+	}
+}
+
+// storedRecord is what the log in testdata/stored leads to.
+func storedRecord() agreement.Record {
+	version := func(id string, number uint64) agreement.Version {
+		return agreement.Version{Number: number, By: "by-" + id, Why: "why-" + id, At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
+			Rules: agreement.Rules{Retries: 0.25, Repeat: true, Out: []string{"worker-" + id}, Shares: map[string]float64{"account-1": 0.5}}}
+	}
+	inForce, announced := version("entry-1", 3), version("entry-7", 4)
+	return agreement.Record{
+		Revision: 8, InForce: inForce, Announced: &announced, History: []agreement.Version{{}},
+		Withdrawn: []agreement.Withdrawal{{Version: version("entry-3", 2), Why: "why-4"}}, Council: storedFounders, NextSeat: 2,
+		Plan: &failover.Plan{Number: 7, Why: map[string]string{"zone-1": "why-5"},
+			Parts: map[string]map[string][]failover.Part{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}},
+		Holds: []agreement.Hold{{Zone: "zone-3", Share: 0.125, By: "by-6", Why: "why-6", Force: true}},
+	}
+}
+
+// openStored opens the log of a directory and runs it until the test ends.
+func openStored(t *testing.T, dir string) *Log {
+	t.Helper()
+	l, err := Open(Options{Seat: 1, Founders: storedFounders, Directory: dir, SnapshotEvery: 5, Send: func(uint64, []byte) {},
+		Changed: func(agreement.Record) {}, Leads: func(bool) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	end := make(chan error, 1)
+	go func() { end <- l.Run(ctx) }()
+	t.Cleanup(func() {
+		stop()
+		if err := <-end; err != nil {
+			t.Error(err)
+		}
+	})
+	return l
+}
+
+// await waits until a log that leads has applied all that was committed.
+func await(t *testing.T, l *Log) {
+	t.Helper()
+	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
+	defer stop()
+	for l.Confirm(ctx) != nil {
+		if ctx.Err() != nil {
+			t.Fatal("the log never led")
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// copyStored gives a directory with a copy of the file that the program of commit c2c1317 wrote: a snapshot, entries
+// behind it, the hard state, the number of voters and the roll of founders.
+func copyStored(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// TestStoredLog opens the stored file, reads snapshot, entries and hard state, and lets the log go on from there: it leads,
+// has the record field by field, and takes another entry.
+func TestStoredLog(t *testing.T) {
+	dir := copyStored(t)
+	s, err := openStore(Path(dir, 1), storedFounders)
+	if err != nil {
+		t.Fatal(err)
+	}
+	snapshot, err := s.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	hard, conf, err := s.InitialState()
+	if err != nil {
+		t.Fatal(err)
+	}
+	last, err := s.LastIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	entries, err := s.Entries(snapshot.GetMetadata().GetIndex()+1, last+1, 1<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.db.Close(); err != nil {
+		t.Fatal(err)
+	}
+	got := [...]uint64{snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetTerm(), last, hard.GetTerm(), hard.GetVote(), hard.GetCommit()}
+	if want := [...]uint64{6, 2, 9, 2, 1, 9}; got != want {
+		t.Errorf("snapshot's index and term, last index, term, vote, commit: %d, want %d", got, want)
+	}
+	if voters := conf.GetVoters(); !reflect.DeepEqual(voters, []uint64{1}) {
+		t.Errorf("voters %d, want 1", voters)
+	}
+	proposed := storedEntries()[4:]
+	if len(entries) != len(proposed) {
+		t.Fatalf("%d entries behind the snapshot, want %d", len(entries), len(proposed))
+	}
+	for i, e := range entries {
+		var entry agreement.Entry
+		if err := json.Unmarshal(e.GetData(), &entry); err != nil || !reflect.DeepEqual(entry, proposed[i]) {
+			t.Errorf("entry %d: %+v (error %v), want %+v", e.GetIndex(), entry, err, proposed[i])
+		}
+		if text, err := json.Marshal(proposed[i]); err != nil || string(text) != string(e.GetData()) {
+			t.Errorf("entry %d is written as %s (error %v), want %s", e.GetIndex(), text, err, e.GetData())
+		}
+	}
+
+	l := openStored(t, dir)
+	await(t, l)
+	if record := l.Record(); !reflect.DeepEqual(record, storedRecord()) {
+		t.Errorf("record %+v, want %+v", record, storedRecord())
+	}
+	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
+	defer stop()
+	if err := l.Propose(ctx, agreement.Entry{ID: "entry-8", Force: 4}); err != nil {
+		t.Error(err)
+	}
+	if number := l.Record().InForce.Number; number != 4 {
+		t.Errorf("version %d is in force, want 4", number)
+	}
+}
+
+// TestStoredRoll reads the roll of founders from the stored file.
+func TestStoredRoll(t *testing.T) {
+	f, err := Founder(copyStored(t), 1, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := (agreement.Founder{Incarnation: storedIncarnation, Roll: map[uint64]string{1: storedIncarnation}}); !reflect.DeepEqual(f, want) {
+		t.Errorf("read %+v, want %+v", f, want)
+	}
+}
+
+// TestStoredLogRecovers makes a council of one out of the stored file: what was announced is withdrawn, all else stays.
+func TestStoredLogRecovers(t *testing.T) {
+	got, err := Recover(copyStored(t), 1, "dispatcher-1", "127.0.0.1:9002")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := storedRecord()
+	want.Withdrawn = append(want.Withdrawn, agreement.Withdrawal{Version: *want.Announced, Why: "the council was recovered"})
+	want.Announced, want.InForce.Number = nil, 5
+	want.Era, want.Revision = 1, 10
+	want.Council = []agreement.Seat{{ID: 1, Name: "dispatcher-1", Address: "127.0.0.1:9002"}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("recovered %+v, want %+v", got, want)
+	}
+}
