--- a/internal/savedlist/stored_test.go
+++ b/internal/savedlist/stored_test.go
@@ -64,6 +64,9 @@
 	}
 
 	written := t.TempDir()
+	if err := os.Chmod(written, 0o700); err != nil { // as wide as the umask lets it be
+		t.Fatal(err)
+	}
 	writeStored(t, written)
 	for _, name := range []string{"snapshot-0000000000000001", "journal-0000000000000001"} {
 		want, err := os.ReadFile(filepath.Join(stored, "dispatcher%201", name))
