--- a/internal/fleet/log/stored_test.go
+++ b/internal/fleet/log/stored_test.go
@@ -163,17 +163,28 @@
 	}
 }
 
-// TestStoredRoll reads the roll of founders from the stored file.
+// TestStoredRoll reads the roll of founders from the stored file. It names a second one: a file without a roll is taken for
+// one that its own seat founded alone.
 func TestStoredRoll(t *testing.T) {
 	f, err := Founder(copyStored(t), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (agreement.Founder{Incarnation: storedIncarnation, Roll: map[uint64]string{1: storedIncarnation}}); !reflect.DeepEqual(f, want) {
+	if want := (agreement.Founder{Incarnation: storedIncarnation, Roll: map[uint64]string{1: storedIncarnation, 2: "incarnation-2"}}); !reflect.DeepEqual(f, want) {
 		t.Errorf("read %+v, want %+v", f, want)
 	}
 }
 
+// TestStoredLogOfAnotherSize checks that the stored number of voters is read: a council of another size is refused.
+func TestStoredLogOfAnotherSize(t *testing.T) {
+	two := append(storedFounders[:1:1], agreement.Seat{ID: 2, Address: "127.0.0.1:9002"})
+	s, err := openStore(Path(copyStored(t), 1), two)
+	if err == nil {
+		t.Error("a council of two was accepted, where one voter is stored")
+		_ = s.db.Close() // the test has failed already
+	}
+}
+
 // TestStoredLogRecovers makes a council of one out of the stored file: what was announced is withdrawn, all else stays.
 func TestStoredLogRecovers(t *testing.T) {
 	got, err := Recover(copyStored(t), 1, "dispatcher-1", "127.0.0.1:9002")
