--- /dev/null
+++ b/cmd/brassdale-lab/golden_test.go
@@ -0,0 +1,84 @@
+package main
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "rewrite the golden file")
+
+// argumentsVariable makes this test binary the program: its value is the program's arguments, separated by spaces.
+const argumentsVariable = "BRASSDALE_LAB_TEST_ARGUMENTS"
+
+// hiddenCommands are those that the help does not list.
+var hiddenCommands = []string{"hollow", "launch"}
+
+// TestMain runs the program itself where a test asks for it.
+func TestMain(m *testing.M) {
+	if arguments, ok := os.LookupEnv(argumentsVariable); ok {
+		os.Args = append([]string{"brassdale-lab"}, strings.Fields(arguments)...)
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// TestGoldenHelp checks that all sub-commands, flags, defaults and help texts are those of the golden file.
+func TestGoldenHelp(t *testing.T) {
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got bytes.Buffer
+	writeHelp(t, &got, self, nil)
+	for _, name := range hiddenCommands {
+		writeHelp(t, &got, self, []string{name})
+	}
+	path := filepath.Join("testdata", "help.txt")
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got.Bytes(), want) {
+		t.Errorf("the help differs from %s:\n%s", path, got.Bytes())
+	}
+}
+
+// listed finds the sub-commands in a help text.
+var listed = regexp.MustCompile(`(?m)^  ([a-z][a-z0-9-]*) +\S`)
+
+// writeHelp writes the help of a command and of all that it lists. The folder of the binary, which is part of a default,
+// is replaced; cobra's own commands are listed, but not gone into.
+func writeHelp(t *testing.T, out *bytes.Buffer, self string, command []string) {
+	t.Helper()
+	run := exec.CommandContext(t.Context(), self)
+	run.Env = append(os.Environ(), argumentsVariable+"="+strings.Join(append(command, "--help"), " "))
+	text, err := run.CombinedOutput()
+	if err != nil {
+		t.Fatalf("%q --help: %v\n%s", command, err, text)
+	}
+	help := strings.ReplaceAll(string(text), filepath.Dir(self), "FOLDER")
+	fmt.Fprintf(out, "==== %s\n%s\n", strings.Join(append([]string{"brassdale-lab"}, command...), " "), help)
+	_, commands, _ := strings.Cut(help, "Available Commands:\n")
+	commands, _, _ = strings.Cut(commands, "\n\n")
+	for _, match := range listed.FindAllStringSubmatch(commands, -1) {
+		if name := match[1]; name != "completion" && name != "help" {
+			writeHelp(t, out, self, append(command[:len(command):len(command)], name))
+		}
+	}
+}
