--- /dev/null
+++ b/internal/program/golden_test.go
@@ -0,0 +1,292 @@
+package program
+
+import (
+	"crypto/ecdsa"
+	"crypto/elliptic"
+	"crypto/rand"
+	"crypto/x509"
+	"encoding/json"
+	"encoding/pem"
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"math/big"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"brassdale/internal/traffic"
+)
+
+var update = flag.Bool("update", false, "rewrite the golden file")
+
+const (
+	goldenSettings = `{"classes":[{"aim":200000,"credit":1,"deadline":500000,"dedupScope":"cell","effect":"keyed","lateWorth":0.1,"name":"price-part","window":7500000}],
+"discovery":"ask","familyInfo":{"classKind":[-1],"classStretch":[2.5],"progress":2000000,"tellsStart":true},"flavors":["new-worker"],
+"limits":{"cancel":true,"connIdle":10000000,"connectTimeout":200000,"maxAttempts":4,"maxRetryAfter":2000000,"mayDuplicate":true,"probing":true,"retryAfter":true},
+"loadReport":{"columns":["cpu_share","pending","x0","x1"],"via":"pull"},"replicasOfMe":1,
+"rules":{"answerSlack":8000,"askWithin":10000000,"cold":24000000,"drainGrace":500000,"fall":1500000,"startCapacity":0.14,"tipMultiple":3},"zones":["llanelli","swansea"]}`
+	goldenList = `{"revision":1,"complete":true,"members":[{"id":"a","host_port":"127.0.0.1:1","locality":"llanelli","flavor":"new-worker","cell":1,"phase":"active","size":1,"up_since_ms":0}]}`
+	noChange   = `{"revision":1,"complete":false,"members":[]}`
+
+	kindsOfControl = 9 // that traffic counts
+)
+
+// TestGoldenFigures checks the names of all figures of the admin endpoint: of a bare program, of one with every block of an
+// operator's file, and of one that started from its saved list.
+func TestGoldenFigures(t *testing.T) {
+	done := make(chan struct{})
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("index") == "" {
+			_, _ = io.WriteString(w, goldenList)
+			return
+		}
+		select {
+		case <-done:
+		case <-r.Context().Done():
+		}
+		_, _ = io.WriteString(w, noChange)
+	}))
+	defer discovery.Close()
+	defer close(done)
+	answering, refusing := discovery.Listener.Addr().String(), freeAddress(t)
+	directory := t.TempDir()
+
+	path := filepath.Join("testdata", "figures.txt")
+	golden := map[string]string{}
+	if !*update {
+		golden = readSections(t, path)
+	}
+	var got strings.Builder
+	for _, run := range []struct {
+		name, discovery string
+		blocks          bool
+	}{
+		{"bare", answering, false},
+		{"all blocks", answering, true},
+		{"from the saved list", refusing, true},
+	} {
+		operator := ""
+		if run.blocks {
+			operator = allBlocks(t, directory)
+		}
+		names := figureNames(t, run.discovery, operator, golden[run.name])
+		if !*update && names != golden[run.name] {
+			t.Errorf("%s: the figures are\n%swant\n%s", run.name, names, golden[run.name])
+		}
+		fmt.Fprintf(&got, "==== %s\n%s", run.name, names)
+	}
+	kinds := controlNames(t)
+	if !*update && kinds != golden["kinds of control"] {
+		t.Errorf("the kinds of control are\n%swant\n%s", kinds, golden["kinds of control"])
+	}
+	fmt.Fprintf(&got, "==== kinds of control\n%s", kinds)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// readSections reads the golden file: a text for each headline.
+func readSections(t *testing.T, path string) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sections := map[string]string{}
+	for section := range strings.SplitSeq("\n"+string(text), "\n==== ") {
+		if name, body, ok := strings.Cut(section, "\n"); ok {
+			sections[name] = strings.TrimSuffix(body, "\n") + "\n"
+		}
+	}
+	return sections
+}
+
+// freeAddress returns an address on loopback at which nobody listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	return l.Addr().String()
+}
+
+// allBlocks returns the path of an operator's file that has every block.
+func allBlocks(t *testing.T, saved string) string {
+	t.Helper()
+	dir, council := t.TempDir(), freeAddress(t)
+	writeCertificate(t, dir)
+	path := filepath.Join(dir, "operator.hcl")
+	text := fmt.Sprintf(`front "http2" {
+  listen = "127.0.0.1:0"
+  tls {
+    certificate = "server.pem"
+    key         = "server.key"
+  }
+}
+front "progress" {
+  listen = "127.0.0.1:0"
+}
+keys {
+  jobs = 100
+}
+accounts {
+  room = 10
+  account "a" { share = 0.5 }
+}
+fleet {
+  retry_budget = 0.2
+}
+council {
+  fleet     = "t"
+  listen    = %[1]q
+  voters    = [%[1]q]
+  seat      = 1
+  directory = "council"
+  bound     = "1s"
+}
+failover {
+  region "north" { zones = ["llanelli"] }
+  region "south" { zones = ["swansea"] }
+}
+overload {
+  retries = 0.1
+  probes  = 40
+}
+saved_list {
+  directory = %[2]q
+}
+`, council, saved)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// writeCertificate writes a certificate and its key.
+func writeCertificate(t *testing.T, dir string) {
+	t.Helper()
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), DNSNames: []string{"dispatcher.example"}, NotAfter: time.Now().Add(100 * 24 * time.Hour)}
+	certificate, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	private, err := x509.MarshalECPrivateKey(key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, block := range map[string]*pem.Block{
+		"server.pem": {Type: "CERTIFICATE", Bytes: certificate},
+		"server.key": {Type: "EC PRIVATE KEY", Bytes: private},
+	} {
+		if err := os.WriteFile(filepath.Join(dir, name), pem.EncodeToMemory(block), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// figureNames runs the program in this process and returns the names of its figures, in order, a line each: as soon as they
+// are those that are wanted and stay so, or after five seconds whatever they are. Which kinds of control were counted yet is
+// left open.
+func figureNames(t *testing.T, discovery, operator, want string) string {
+	t.Helper()
+	dir, admin := t.TempDir(), freeAddress(t)
+	config := filepath.Join(dir, "config.json")
+	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"admin":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`,
+		discovery, admin, goldenSettings)
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	env := func(name string) string { return map[string]string{"GW_CONFIG": config, "TMPDIR": dir}[name] }
+	options := Options{Operator: operator, Handler: func(o *slog.HandlerOptions) slog.Handler { return slog.NewTextHandler(io.Discard, o) }}
+	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
+	go func() { ended <- Run(env, options, signals, nil) }()
+	defer func() {
+		signals <- syscall.SIGTERM
+		if err := <-ended; err != nil {
+			t.Errorf("the program's end: %v", err)
+		}
+	}()
+	names, same := "", 0
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && same < 5; time.Sleep(50 * time.Millisecond) {
+		response, err := http.Get("http://" + admin + "/_vars")
+		if err != nil {
+			continue // not listening yet
+		}
+		body, err := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		if err != nil || response.StatusCode != http.StatusOK {
+			t.Fatalf("GET /_vars: %d, %v", response.StatusCode, err)
+		}
+		if names = namesOf(t, string(body)); names == want {
+			same++
+		} else {
+			same = 0
+		}
+	}
+	return names
+}
+
+// control finds the figures of a kind of control.
+var control = regexp.MustCompile(`^control_[a-z_]+_(sent|received|messages)$`)
+
+// namesOf returns the names of figures in order, each once.
+func namesOf(t *testing.T, text string) string {
+	t.Helper()
+	var names []string
+	for line := range strings.Lines(text) {
+		name, value, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "=")
+		if !ok || name == "" || value == "" {
+			t.Fatalf("the line %q is no figure", line)
+		}
+		if m := control.FindStringSubmatch(name); m != nil {
+			name = "control_KIND_" + m[1]
+		}
+		if name == "list_source" {
+			name += "=" + value
+		}
+		if !slices.Contains(names, name) {
+			names = append(names, name)
+		}
+	}
+	return strings.Join(names, "\n") + "\n"
+}
+
+// controlNames returns the names of all kinds of control, and what is counted of each.
+func controlNames(t *testing.T) string {
+	t.Helper()
+	meter := &traffic.Meter{}
+	for kind := range traffic.Kind(kindsOfControl) {
+		meter.Sent(kind, 1)
+	}
+	counts := meter.Counts()
+	if len(counts) != kindsOfControl {
+		t.Errorf("%d kinds of control, want %d", len(counts), kindsOfControl)
+	}
+	text, err := json.Marshal(traffic.Count{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Join(slices.Sorted(maps.Keys(counts)), "\n") + "\n" + string(text) + "\n"
+}
