--- a/brain/state.go
+++ b/brain/state.go
@@ -170,22 +170,28 @@
 
 // Experience is what a dispatcher has learned and what holds as well for one that goes on in its place.
 type Experience struct {
-	Allow, Stay, Mean float64
-	Classes           []ClassExperience // by number
-	Workers           map[WorkerID]WorkerExperience
+	Allow   float64                       `json:"Allow"`
+	Stay    float64                       `json:"Stay"`
+	Mean    float64                       `json:"Mean"`
+	Classes []ClassExperience             `json:"Classes"` // by number
+	Workers map[WorkerID]WorkerExperience `json:"Workers"`
 }
 
 // ClassExperience is how long jobs of a class take.
 type ClassExperience struct {
-	Scale, Usual float64
-	Jobs         int
+	Scale float64 `json:"Scale"`
+	Usual float64 `json:"Usual"`
+	Jobs  int     `json:"Jobs"`
 }
 
 // WorkerExperience is of a worker's process that started then.
 type WorkerExperience struct {
-	Since                         Clock
-	Total, Increment, Lag, JobsOf float64
-	Heard                         Clock // the last sign of life
+	Since     Clock   `json:"Since"`
+	Total     float64 `json:"Total"`
+	Increment float64 `json:"Increment"`
+	Lag       float64 `json:"Lag"`
+	JobsOf    float64 `json:"JobsOf"`
+	Heard     Clock   `json:"Heard"` // the last sign of life
 }
 
 // Experience gives what was learned so far.
--- a/internal/decisions/agreement/seats.go
+++ b/internal/decisions/agreement/seats.go
@@ -21,9 +21,9 @@
 // Place is what the leader sees of a seat.
 type Place struct {
 	Seat
-	Silent time.Duration // since the log last heard of it; 0 for the leader's own
-	Behind uint64        // entries that it has not got yet
-	Leads  bool          `json:",omitempty"`
+	Silent time.Duration `json:"Silent"` // since the log last heard of it; 0 for the leader's own
+	Behind uint64        `json:"Behind"` // entries that it has not got yet
+	Leads  bool          `json:"Leads,omitempty"`
 }
 
 // Move changes one thing about the council.
--- a/internal/faults/stands.go
+++ b/internal/faults/stands.go
@@ -10,9 +10,10 @@
 
 // Stand is what a process acted on for a while.
 type Stand struct {
-	From, To time.Time
-	Versions []uint64
-	Lapsed   bool
+	From     time.Time `json:"From"`
+	To       time.Time `json:"To"`
+	Versions []uint64  `json:"Versions"`
+	Lapsed   bool      `json:"Lapsed"`
 }
 
 var acting = regexp.MustCompile(`msg="acting on" versions="?\[([0-9 ]*)\]"? lapsed=(true|false) at_ms=(\d+)`)
--- a/internal/routing/messages.go
+++ b/internal/routing/messages.go
@@ -8,10 +8,10 @@
 
 // Answer is the one final answer to an inbound request.
 type Answer struct {
-	Verdict    Verdict
-	Result     []byte        // Served: what the endpoint gave
-	RetryAfter time.Duration // Refused: when to come back; 0 for no advice
-	Expired    bool          // the deadline had come
+	Verdict    Verdict       `json:"Verdict"`
+	Result     []byte        `json:"Result"`     // Served: what the endpoint gave
+	RetryAfter time.Duration `json:"RetryAfter"` // Refused: when to come back; 0 for no advice
+	Expired    bool          `json:"Expired"`    // the deadline had come
 }
 
 // Client is whoever waits for an inbound request. The module's actor calls it: it must not block.
