--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -96,8 +96,10 @@
 
 // Counts are what the fleet costs this dispatcher.
 type Counts struct {
-	Calls, Served    uint64 // to others, and of others
-	Renewed, Refused uint64 // leases that it got, or did not
+	Calls   uint64 `json:"Calls"`   // to others
+	Served  uint64 `json:"Served"`  // of others
+	Renewed uint64 `json:"Renewed"` // leases that it got
+	Refused uint64 `json:"Refused"` // leases that it did not get
 }
 
 // New reads what the dispatcher knew at its last end.
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -46,8 +46,8 @@
 // Member is a dispatcher, as far as is known.
 type Member struct {
 	Self
-	State State
-	Since time.Time // of the state, as heard here
+	State State     `json:"State"`
+	Since time.Time `json:"Since"` // of the state, as heard here
 }
 
 // Options make a list.
