--- a/internal/decisions/membership/membership.go
+++ b/internal/decisions/membership/membership.go
@@ -142,7 +142,7 @@
 }
 
 // Order tells how an answer stands to those before. It is asked once for each answer, before Take.
-func (t *Table) Order(a Answer) Order {
+func (t *Table) Classify(a Answer) Order {
 	p := t.service(a.Service)
 	switch {
 	case a.Revision >= p.revision:
@@ -161,7 +161,7 @@
 }
 
 // Take gives what counts of an answer that is Current or Lagging.
-func (t *Table) Take(a Answer, order Order) Verdict {
+func (t *Table) Apply(a Answer, order Order) Verdict {
 	var v Verdict
 	if order == Lagging {
 		v.AskAgain = a.Came
--- a/internal/decisions/membership/membership_test.go
+++ b/internal/decisions/membership/membership_test.go
@@ -12,8 +12,8 @@
 
 // table is what the properties are held over: Table, or a version of it that is broken on purpose.
 type table interface {
-	Order(Answer) Order
-	Take(Answer, Order) Verdict
+	Classify(Answer) Order
+	Apply(Answer, Order) Verdict
 }
 
 // change is one of the truth about the worker "w": what discovery has from a moment on.
@@ -58,11 +58,11 @@
 	if m := w.truth[shown].member; m.State != brain.Gone {
 		a.Members = []Member{m}
 	}
-	order := w.table.Order(a)
+	order := w.table.Classify(a)
 	if order == Overtaken {
 		return nil
 	}
-	for _, accepted := range w.table.Take(a, order).Accepted {
+	for _, accepted := range w.table.Apply(a, order).Accepted {
 		was := w.now
 		w.now = accepted.State
 		switch {
@@ -208,7 +208,7 @@
 	state brain.WorkerState
 }
 
-func (l *literal) Take(a Answer, _ Order) (v Verdict) {
+func (l *literal) Apply(a Answer, _ Order) (v Verdict) {
 	m := Member{ID: "w", State: brain.Gone}
 	if len(a.Members) > 0 {
 		m = a.Members[0]
@@ -226,8 +226,8 @@
 	ended bool
 }
 
-func (s *stubborn) Take(a Answer, o Order) (v Verdict) {
-	for _, x := range s.Table.Take(a, o).Accepted {
+func (s *stubborn) Apply(a Answer, o Order) (v Verdict) {
+	for _, x := range s.Table.Apply(a, o).Accepted {
 		if x.State == brain.Ready && s.ended {
 			continue
 		}
@@ -240,8 +240,8 @@
 // forgetful keeps nothing of a worker that is gone.
 type forgetful struct{ Table }
 
-func (f *forgetful) Take(a Answer, o Order) Verdict {
-	v := f.Table.Take(a, o)
+func (f *forgetful) Apply(a Answer, o Order) Verdict {
+	v := f.Table.Apply(a, o)
 	if f.records["w"].state == brain.Gone {
 		delete(f.records, "w")
 	}
@@ -251,8 +251,8 @@
 // late counts a drain from the last answer that named it.
 type late struct{ Table }
 
-func (l *late) Take(a Answer, o Order) Verdict {
-	v := l.Table.Take(a, o)
+func (l *late) Apply(a Answer, o Order) Verdict {
+	v := l.Table.Apply(a, o)
 	for i := range v.Accepted {
 		if v.Accepted[i].State != brain.Ready {
 			v.Accepted[i].Told = a.Came.Add(time.Second)
@@ -282,7 +282,7 @@
 // An answer that is not believed says when to ask again.
 func TestAskAgain(t *testing.T) {
 	var known Table
-	take := func(a Answer) Verdict { return known.Take(a, known.Order(a)) }
+	take := func(a Answer) Verdict { return known.Apply(a, known.Classify(a)) }
 	drains := Answer{Service: "before", Revision: 9, Asked: epoch, Came: epoch.Add(time.Second), Members: []Member{{ID: "w", State: brain.Draining}}}
 	if v := take(drains); len(v.Accepted) != 1 || v.Accepted[0].Told != drains.Came || !v.AskAgain.IsZero() {
 		t.Fatalf("%+v", v)
--- a/internal/failover/guide.go
+++ b/internal/failover/guide.go
@@ -69,7 +69,7 @@
 }
 
 // Listed takes news of the boxes.
-func (g *Guide) Listed(now brain.Clock, l brain.Listed) {
+func (g *Guide) EndpointsUpdated(now brain.Clock, l brain.Listed) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
@@ -88,7 +88,7 @@
 
 // Arrived says to which zones a job may be sent, a bit for each number; not ok where it is shed here, and for how long its
 // client should stay away. Jobs of an idempotency key keep their zone for the window in which a repeat is dropped.
-func (g *Guide) Arrived(now brain.Clock, class, key string) (within uint64, away time.Duration, ok bool) {
+func (g *Guide) Route(now brain.Clock, class, key string) (within uint64, away time.Duration, ok bool) {
 	p := g.params.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -138,7 +138,7 @@
 func (g *Guide) at(id brain.WorkerID) string { return zoneName(g.params.Now(), g.boxes[id].Zone) }
 
 // Began notes that a box has begun a job.
-func (g *Guide) Began(now brain.Clock, id brain.WorkerID) {
+func (g *Guide) AttemptStarted(now brain.Clock, id brain.WorkerID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
@@ -146,7 +146,7 @@
 }
 
 // Ended counts a call: how long its job waited at the box and ran; silent where nobody answered.
-func (g *Guide) Ended(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration) {
+func (g *Guide) AttemptEnded(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration) {
 	p := g.params.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -169,14 +169,14 @@
 }
 
 // Silent counts a call of which there was no sign for a while.
-func (g *Guide) Silent(now brain.Clock, id brain.WorkerID) {
+func (g *Guide) AttemptUnanswered(now brain.Clock, id brain.WorkerID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.watcher.Silent(g.at(id), now)
 }
 
 // Probed counts a probe.
-func (g *Guide) Probed(id brain.WorkerID, o brain.Outcome) {
+func (g *Guide) ProbeCompleted(id brain.WorkerID, o brain.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch o {
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -57,12 +57,12 @@
 // spend asks the fleet's budgets.
 type spend struct{ agent *fleet.Agent }
 
-func (s spend) Further() bool { return s.agent.May(fleet.Retries) }
-func (s spend) Probe() bool   { return s.agent.May(fleet.Probes) }
+func (s spend) AllowRetry() bool { return s.agent.May(fleet.Retries) }
+func (s spend) AllowProbe() bool { return s.agent.May(fleet.Probes) }
 
 // jobs counts those that ended since the start, and those of them that were refused or failed.
 func (a *agreed) jobs() (ended, bad uint64) {
-	for _, t := range a.d.core.Ledger().Figures().Classes {
+	for _, t := range a.d.core.Counters().Figures().Classes {
 		ended += uint64(t.Served + t.Refused + t.Failed)
 		bad += uint64(t.Refused + t.Failed)
 	}
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -26,8 +26,8 @@
 }
 
 func (o *operations) Ready() bool { return o.d.serving.Load() }
-func (o *operations) Figures() string {
-	counted := o.d.core.Ledger().Figures()
+func (o *operations) Metrics() string {
+	counted := o.d.core.Counters().Figures()
 	figures := protocol.Figures(counted)
 	unanswered := 0
 	for _, f := range o.d.fronts {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -294,7 +294,7 @@
 // register has the figures of all classes stand from the start.
 func (d *dispatcher) register(p *protocol.Params) {
 	for i := range p.Classes {
-		d.core.Ledger().Class(p.Classes[i].Name)
+		d.core.Counters().Class(p.Classes[i].Name)
 	}
 }
 
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -55,7 +55,7 @@
 	}
 	if err != nil {
 		r.d.log.Error("reload refused, the old file stays in force", "err", err) // first: who sees the figure finds the reason
-		r.d.core.Ledger().Reloaded(false)
+		r.d.core.Counters().Reloaded(false)
 		return
 	}
 	put()
@@ -87,7 +87,7 @@
 	}
 	r.d.agreed.reloaded()
 	r.d.log.Info("reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Settings.Classes), "from_next_start", later)
-	r.d.core.Ledger().Reloaded(true)
+	r.d.core.Counters().Reloaded(true)
 }
 
 // prepare reads what the operator's file names, and gives what puts it in force.
--- a/internal/program/saved.go
+++ b/internal/program/saved.go
@@ -84,7 +84,7 @@
 }
 
 // Experience gives what the module has learned.
-func (sv *saved) Experience(ctx context.Context) (brain.Experience, map[string]brain.ClassExperience, error) {
+func (sv *saved) LearnedState(ctx context.Context) (brain.Experience, map[string]brain.ClassExperience, error) {
 	e, err := sv.d.core.Experience(ctx)
 	return e, sv.d.params.ByName(e), err
 }
--- a/internal/routing/answers.go
+++ b/internal/routing/answers.go
@@ -35,7 +35,7 @@
 
 // takeAnswer takes in what a service told, as far as it counts.
 func (s *Destinations) takeAnswer(ctx context.Context, c *listCall, u Update, now time.Time) {
-	order := s.members.Order(c.answer(u, now))
+	order := s.members.Classify(c.answer(u, now))
 	switch {
 	case order == membership.Overtaken:
 		s.log.Info("discovery's answer was overtaken", "call", c.number, "revision", u.Revision, "known", c.service.revision)
@@ -101,7 +101,7 @@
 	s.core.ledger.listHeard(now)
 	s.handOver()
 	if s.keeper != nil {
-		s.keeper.Listed(u)
+		s.keeper.EndpointsUpdated(u)
 	}
 	s.source.Store(&Source{Name: "discovery", Told: now})
 	s.calls.schedule.Answered(now, c.number, now.Sub(c.begun), fresh, u.Early, s.rules(), rand.Float64())
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -133,7 +133,7 @@
 }
 
 // Leave tells that a request's client has gone.
-func (c *Core) Leave(id brain.RequestID) { c.mailbox.Post(left{id}) }
+func (c *Core) ClientLeft(id brain.RequestID) { c.mailbox.Post(left{id}) }
 
 // Ending tells that this process ends: by then all requests must have their answers.
 func (c *Core) Ending(at time.Time) { c.mailbox.Post(brain.Ending{At: c.clock.At(at)}) }
@@ -142,33 +142,33 @@
 func (c *Core) Listed(l brain.Listed) { c.mailbox.Post(l) }
 
 // Began tells that a call's job has started.
-func (c *Core) Began(id CallID) { c.mailbox.Post(began{id}) }
+func (c *Core) AttemptStarted(id CallID) { c.mailbox.Post(began{id}) }
 
 // Progressed tells how far a call's job is.
-func (c *Core) Progressed(id CallID, share float64) { c.mailbox.Post(progressed{id, share}) }
+func (c *Core) AttemptProgressed(id CallID, share float64) { c.mailbox.Post(progressed{id, share}) }
 
 // Finished ends a call.
-func (c *Core) Finished(id CallID, end End) { c.mailbox.Post(finished{id, end}) }
+func (c *Core) AttemptFinished(id CallID, end End) { c.mailbox.Post(finished{id, end}) }
 
 // Probed answers a probe.
-func (c *Core) Probed(id brain.WorkerID, o brain.Outcome, r *brain.Report) {
+func (c *Core) ProbeCompleted(id brain.WorkerID, o brain.Outcome, r *brain.Report) {
 	if w := c.witness.Load(); w != nil {
-		(*w).Probed(id, o, r != nil)
+		(*w).ProbeCompleted(id, o, r != nil)
 	}
 	if c.guide != nil {
-		c.guide.Probed(id, o)
+		c.guide.ProbeCompleted(id, o)
 	}
 	c.mailbox.Post(brain.Probed{Worker: id, Outcome: o, Report: r})
 }
 
 // Dispatched tells that a call was written to its last byte.
-func (c *Core) Dispatched() { c.ledger.Dispatched() }
+func (c *Core) AttemptSent() { c.ledger.Dispatched() }
 
 // Open is how many requests wait for their answers.
 func (c *Core) Open() int { return c.ledger.Figures().Concurrent }
 
 // Ledger is the account that the core keeps.
-func (c *Core) Ledger() *Ledger { return &c.ledger }
+func (c *Core) Counters() *Ledger { return &c.ledger }
 
 // Put takes a worker out by hand, or puts it back. From then on the module knows.
 func (c *Core) Put(id brain.WorkerID, out bool) { c.mailbox.Post(byHand{id, out}) }
@@ -276,17 +276,17 @@
 	case began:
 		if r, a := c.call(m.id); a != nil {
 			if a.began = c.now; c.guide != nil {
-				c.guide.Began(c.now, a.endpoint)
+				c.guide.AttemptStarted(c.now, a.endpoint)
 			}
 			if !r.answered {
-				r.Client.Began(m.id.Attempt)
+				r.Client.AttemptStarted(m.id.Attempt)
 			}
 			c.feed(brain.Began{ID: m.id.Request, Attempt: m.id.Attempt, Worker: a.endpoint})
 		}
 	case progressed:
 		if r, a := c.call(m.id); a != nil {
 			if !r.answered {
-				r.Client.Progressed(m.id.Attempt, m.share)
+				r.Client.AttemptProgressed(m.id.Attempt, m.share)
 			}
 			c.feed(brain.Progressed{ID: m.id.Request, Attempt: m.id.Attempt, Worker: a.endpoint, Done: m.share})
 		}
@@ -297,7 +297,7 @@
 		if m.out {
 			ev, since = brain.Detached{Worker: m.id}, time.Now()
 		}
-		c.endpoints.Bar(m.id, since) // first, so that what the module sends from now on finds it done
+		c.endpoints.SetDetached(m.id, since) // first, so that what the module sends from now on finds it done
 		c.feed(ev)
 	case limited:
 		if m.share < 0 {
@@ -314,7 +314,7 @@
 		m.answer <- c.module.Knows(m.id) // has room
 	case brain.Event:
 		if l, ok := m.(brain.Listed); ok && c.guide != nil {
-			c.guide.Listed(c.now, l)
+			c.guide.EndpointsUpdated(c.now, l)
 		}
 		c.feed(m)
 	}
@@ -343,7 +343,7 @@
 	c.told(r, a, end.Outcome)
 	if end.Outcome == brain.Served {
 		if w := c.witness.Load(); w != nil {
-			(*w).Worked(a.endpoint, r.Class, c.now-cmp.Or(a.began, a.sent))
+			(*w).JobServed(a.endpoint, r.Class, c.now-cmp.Or(a.began, a.sent))
 		}
 		c.answer(r, Answer{Verdict: Served, Result: end.Result})
 	}
@@ -417,10 +417,10 @@
 		case brain.Fail:
 			c.final(a.ID, Answer{Verdict: Failed})
 		case brain.Drop:
-			c.endpoints.Drop(a.Worker, a.Idle)
+			c.endpoints.CloseIdle(a.Worker, a.Idle)
 		case brain.Probe:
-			if c.spend != nil && !c.spend.Probe() {
-				c.Probed(a.Worker, brain.NeverSent, nil)
+			if c.spend != nil && !c.spend.AllowProbe() {
+				c.ProbeCompleted(a.Worker, brain.NeverSent, nil)
 				continue
 			}
 			c.endpoints.Probe(a.Worker)
@@ -457,19 +457,19 @@
 		out.By = c.clock.Time(a.By)
 	}
 	if r.answered || c.now >= r.expires || out.Void(c.clock.Time(c.now)) || r.Rules.MaxAttempts > 0 && id.Attempt >= r.Rules.MaxAttempts {
-		c.Finished(id, End{Outcome: brain.NeverSent})
+		c.AttemptFinished(id, End{Outcome: brain.NeverSent})
 		return
 	}
 	if id.Attempt > 0 && c.repeats != nil && !c.repeats() {
 		c.ledger.repeatDenied()
-		c.Finished(id, End{Outcome: brain.NeverSent})
+		c.AttemptFinished(id, End{Outcome: brain.NeverSent})
 		return
 	}
 	if id.Attempt == 0 {
 		c.firsts.Add(1)
-	} else if c.spend != nil && !c.spend.Further() {
+	} else if c.spend != nil && !c.spend.AllowRetry() {
 		c.ledger.repeatDenied()
-		c.Finished(id, End{Outcome: brain.NeverSent})
+		c.AttemptFinished(id, End{Outcome: brain.NeverSent})
 		return
 	}
 	if c.budget != nil {
@@ -477,7 +477,7 @@
 			c.budget.First(c.now, r.ClassName, r.Account)
 		} else if !c.budget.Further(c.now, r.ClassName, r.Account) {
 			c.ledger.denied(c.budget.Denied())
-			c.Finished(id, End{Outcome: brain.NeverSent})
+			c.AttemptFinished(id, End{Outcome: brain.NeverSent})
 			return
 		}
 	}
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -18,15 +18,15 @@
 	answers   chan Answer
 }
 
-func (f *fake) Update(Destination)                 {}
-func (f *fake) Send(c Call)                        { f.sent <- c }
-func (f *fake) Cancel(_ brain.WorkerID, id CallID) { f.cancelled <- id }
-func (f *fake) Drop(brain.WorkerID, time.Duration) {}
-func (f *fake) Probe(brain.WorkerID)               {}
-func (f *fake) Bar(brain.WorkerID, time.Time)      {}
-func (f *fake) Began(int)                          {}
-func (f *fake) Progressed(int, float64)            {}
-func (f *fake) Answered(a Answer)                  { f.answers <- a }
+func (f *fake) Update(Destination)                      {}
+func (f *fake) Send(c Call)                             { f.sent <- c }
+func (f *fake) Cancel(_ brain.WorkerID, id CallID)      { f.cancelled <- id }
+func (f *fake) CloseIdle(brain.WorkerID, time.Duration) {}
+func (f *fake) Probe(brain.WorkerID)                    {}
+func (f *fake) SetDetached(brain.WorkerID, time.Time)   {}
+func (f *fake) AttemptStarted(int)                      {}
+func (f *fake) AttemptProgressed(int, float64)          {}
+func (f *fake) Answered(a Answer)                       { f.answers <- a }
 func (f *fake) submit(c *Core, until time.Time) Call {
 	c.Submit(Inbound{Deadline: until, Slots: 1, Client: f, Rules: Rules{MaxAttempts: 4, AnswerSlack: 8 * time.Millisecond}})
 	return <-f.sent
@@ -51,17 +51,17 @@
 	c, f := startCore(t)
 	call := f.submit(c, time.Now().Add(5*time.Second))
 	for range 2 {
-		c.Finished(call.ID, End{Outcome: brain.Served, Result: []byte("r")})
-		c.Finished(call.ID, End{Outcome: brain.Reset})
+		c.AttemptFinished(call.ID, End{Outcome: brain.Served, Result: []byte("r")})
+		c.AttemptFinished(call.ID, End{Outcome: brain.Reset})
 	}
-	c.Finished(CallID{call.ID.Request, 7}, End{})
-	c.Began(call.ID)
+	c.AttemptFinished(CallID{call.ID.Request, 7}, End{})
+	c.AttemptStarted(call.ID)
 	if a := <-f.answers; a.Verdict != Served || string(a.Result) != "r" {
 		t.Errorf("answered %+v", a)
 	}
 	// What was posted before a further request has been taken when that one is answered.
 	next := f.submit(c, time.Now().Add(5*time.Second))
-	c.Finished(next.ID, End{Outcome: brain.Errored})
+	c.AttemptFinished(next.ID, End{Outcome: brain.Errored})
 	if a := <-f.answers; a.Verdict != Failed || a.Expired || len(f.answers) > 0 || next.ID.Request == call.ID.Request {
 		t.Errorf("answered %+v, %d more answers", a, len(f.answers))
 	}
@@ -76,18 +76,18 @@
 	c, f := startCore(t)
 	deadline := time.Now().Add(300 * time.Millisecond)
 	call := f.submit(c, deadline)
-	c.Began(call.ID)
+	c.AttemptStarted(call.ID)
 	if a := <-f.answers; a.Verdict != Failed || !a.Expired || time.Now().Before(deadline) {
 		t.Errorf("answered %+v, %v from the deadline", a, time.Since(deadline))
 	}
-	c.Finished(call.ID, End{Outcome: brain.Served})
+	c.AttemptFinished(call.ID, End{Outcome: brain.Served})
 	if c.submitAndFail(f); len(f.answers) > 0 {
 		t.Error("answered twice")
 	}
 }
 
 func (c *Core) submitAndFail(f *fake) {
-	c.Finished(f.submit(c, time.Now().Add(time.Second)).ID, End{Outcome: brain.Errored})
+	c.AttemptFinished(f.submit(c, time.Now().Add(time.Second)).ID, End{Outcome: brain.Errored})
 	<-f.answers
 }
 
@@ -102,7 +102,7 @@
 // bring has an answer of discovery taken in.
 func bring(s *Destinations, u Update, kind brain.ListKind) {
 	c := &listCall{service: s.calls.current, begun: time.Now()}
-	s.apply(c, u, kind, s.members.Order(c.answer(u, time.Now())))
+	s.apply(c, u, kind, s.members.Classify(c.answer(u, time.Now())))
 }
 
 // An endpoint that drains and then is missing from a whole list was told once: the grace for its drain once
@@ -127,11 +127,11 @@
 func TestLeft(t *testing.T) {
 	c, f := startCore(t)
 	call := f.submit(c, time.Now().Add(5*time.Second))
-	c.Leave(call.ID.Request)
+	c.ClientLeft(call.ID.Request)
 	if id := <-f.cancelled; id != call.ID {
 		t.Errorf("called off %v, want %v", id, call.ID)
 	}
-	c.Finished(call.ID, End{Outcome: brain.Cancelled})
+	c.AttemptFinished(call.ID, End{Outcome: brain.Cancelled})
 	if c.submitAndFail(f); len(f.answers) > 0 || c.Open() != 0 {
 		t.Errorf("%d answers, %d open", len(f.answers), c.Open())
 	}
--- a/internal/routing/fromsaved.go
+++ b/internal/routing/fromsaved.go
@@ -21,7 +21,7 @@
 }
 
 // Keeper hears what discovery says, to keep it. It does not block.
-type Keeper interface{ Listed(Update) }
+type Keeper interface{ EndpointsUpdated(Update) }
 
 // Source tells where the list that is in force comes from.
 type Source struct {
@@ -79,7 +79,7 @@
 }
 
 // Probed takes the outcome of a probe.
-func (w *witness) Probed(id brain.WorkerID, o brain.Outcome, report bool) {
+func (w *witness) ProbeCompleted(id brain.WorkerID, o brain.Outcome, report bool) {
 	answer := savedlist.Silent
 	switch {
 	case o == brain.Served && (report || !w.f.Pulled):
@@ -91,7 +91,7 @@
 }
 
 // Worked takes how long a job took.
-func (w *witness) Worked(id brain.WorkerID, class int, took time.Duration) {
+func (w *witness) JobServed(id brain.WorkerID, class int, took time.Duration) {
 	f := w.f
 	if class >= len(f.Usual) || math.IsNaN(f.Usual[class]) {
 		return
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -10,21 +10,21 @@
 // Guide says to which zones jobs may go, and hears what becomes of their calls. No method blocks. Probed may be called by
 // anybody, the others by the core alone.
 type Guide interface {
-	Listed(now brain.Clock, l brain.Listed)
+	EndpointsUpdated(now brain.Clock, l brain.Listed)
 	// Arrived gives the zones, a bit for each number, 0 for all; not ok where the job is to be refused here, and for how long
 	// its client should stay away.
-	Arrived(now brain.Clock, class, repeat string) (within uint64, away time.Duration, ok bool)
-	Began(now brain.Clock, id brain.WorkerID)
-	Silent(now brain.Clock, id brain.WorkerID) // a call has been without any sign for failover.SilentAfter
+	Route(now brain.Clock, class, repeat string) (within uint64, away time.Duration, ok bool)
+	AttemptStarted(now brain.Clock, id brain.WorkerID)
+	AttemptUnanswered(now brain.Clock, id brain.WorkerID) // a call has been without any sign for failover.SilentAfter
 	// Ended tells how a call ended, how long ago its job came and for how long it ran; 0 where it has not begun.
-	Ended(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration)
-	Probed(id brain.WorkerID, o brain.Outcome)
+	AttemptEnded(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration)
+	ProbeCompleted(id brain.WorkerID, o brain.Outcome)
 }
 
 // Spend says whether there is room for one more in what all dispatchers together may do. No method blocks.
 type Spend interface {
-	Further() bool // a further call of a job
-	Probe() bool
+	AllowRetry() bool // a further call of a job
+	AllowProbe() bool
 }
 
 // Spending names who says so. It is set before Run.
@@ -42,7 +42,7 @@
 		return 0, true
 	}
 	r.came = c.now
-	within, away, ok := c.guide.Arrived(c.now, r.ClassName, r.Repeat)
+	within, away, ok := c.guide.Route(c.now, r.ClassName, r.Repeat)
 	if !ok {
 		c.final(id, Answer{Verdict: Refused, RetryAfter: away})
 	}
@@ -59,7 +59,7 @@
 		ran = c.now - a.began
 	}
 	if !a.silent || o == brain.Served || o == brain.Full || o == brain.Errored || o == brain.Rejected {
-		c.guide.Ended(c.now, a.endpoint, r.ClassName, o, c.now-r.came, ran)
+		c.guide.AttemptEnded(c.now, a.endpoint, r.ClassName, o, c.now-r.came, ran)
 	}
 }
 
@@ -69,7 +69,7 @@
 		for i := range r.calls {
 			if a := &r.calls[i]; a.out && !a.silent && a.began == 0 && c.now-a.sent >= failover.SilentAfter {
 				a.silent = true
-				c.guide.Silent(c.now, a.endpoint)
+				c.guide.AttemptUnanswered(c.now, a.endpoint)
 			}
 		}
 	}
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -46,7 +46,7 @@
 			m.Told = s.toldFrom(now)
 		}
 	}
-	verdict := s.members.Take(answer, order)
+	verdict := s.members.Apply(answer, order)
 	if c.service == s.calls.current && (u.Complete || !verdict.AskAgain.IsZero()) { // a change says nothing of what was not believed
 		s.recheckAt = verdict.AskAgain
 	}
--- a/internal/routing/messages.go
+++ b/internal/routing/messages.go
@@ -16,8 +16,8 @@
 
 // Client is whoever waits for an inbound request. The module's actor calls it: it must not block.
 type Client interface {
-	Began(attempt int)
-	Progressed(attempt int, share float64)
+	AttemptStarted(attempt int)
+	AttemptProgressed(attempt int, share float64)
 	Answered(Answer)
 }
 
@@ -83,9 +83,9 @@
 	Update(Destination)
 	Send(Call)
 	Cancel(brain.WorkerID, CallID)
-	Drop(id brain.WorkerID, idle time.Duration)
+	CloseIdle(id brain.WorkerID, idle time.Duration)
 	Probe(brain.WorkerID)
-	Bar(id brain.WorkerID, since time.Time) // put out by hand; zero: put back
+	SetDetached(id brain.WorkerID, since time.Time) // put out by hand; zero: put back
 }
 
 // Rules are the limits that the core itself must know of a request, as they were when it began.
@@ -96,6 +96,6 @@
 
 // Witness hears what comes from endpoints, beside the module. No method blocks.
 type Witness interface {
-	Probed(id brain.WorkerID, o brain.Outcome, report bool)
-	Worked(id brain.WorkerID, class int, took time.Duration) // a job of the class was served
+	ProbeCompleted(id brain.WorkerID, o brain.Outcome, report bool)
+	JobServed(id brain.WorkerID, class int, took time.Duration) // a job of the class was served
 }
--- a/internal/savedlist/keeper.go
+++ b/internal/savedlist/keeper.go
@@ -25,7 +25,7 @@
 // Learned is what else goes into a snapshot.
 type Learned interface {
 	// Experience gives what the module has learned, and its classes by name.
-	Experience(context.Context) (brain.Experience, map[string]brain.ClassExperience, error)
+	LearnedState(context.Context) (brain.Experience, map[string]brain.ClassExperience, error)
 }
 
 // Keeper keeps the list as it comes. It is an actor with a mailbox: nobody who tells it something waits for the disk,
@@ -78,7 +78,7 @@
 }
 
 // Listed tells what discovery said: the whole list or changes, perhaps none. It does not block.
-func (k *Keeper) Listed(u routing.Update) { k.box.Post(listed{u, time.Now()}) }
+func (k *Keeper) EndpointsUpdated(u routing.Update) { k.box.Post(listed{u, time.Now()}) }
 
 // Out tells who is out by hand from now on. It does not block.
 func (k *Keeper) Out(ids []string) { k.box.Post(outByHand{slices.Clone(ids)}) }
@@ -198,7 +198,7 @@
 func (k *Keeper) snapshot(ctx context.Context) {
 	s := &Saved{MadeMS: k.confirmed.UnixMilli(), Revision: k.revision, Discovery: k.discovery(), Out: k.out}
 	ctx, stop := context.WithDeadline(ctx, time.Now().Add(learnWithin))
-	e, classes, err := k.learned.Experience(ctx)
+	e, classes, err := k.learned.LearnedState(ctx)
 	stop()
 	if err == nil {
 		s.Allow, s.Stay, s.Mean, s.Classes = e.Allow, e.Stay, e.Mean, classes
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -22,7 +22,7 @@
 // Operations is what the admin endpoint opens on. No method takes longer than the context allows.
 type Operations interface {
 	Ready() bool
-	Figures() string
+	Metrics() string
 	Detach(ctx context.Context, id string) error
 	Attach(ctx context.Context, id string) error
 }
@@ -48,7 +48,7 @@
 	mux.HandleFunc("GET /_vars", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Header().Set("Cache-Control", "no-store")
-		io.WriteString(w, o.Figures())
+		io.WriteString(w, o.Metrics())
 	})
 	worker := func(name string, do func(context.Context, string) error) {
 		mux.HandleFunc("POST /_workers/"+name, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -17,11 +17,11 @@
 // sink takes the ends of calls.
 type sink chan brain.Outcome
 
-func (sink) Began(routing.CallID)                                        {}
-func (sink) Dispatched()                                                 {}
-func (sink) Progressed(routing.CallID, float64)                          {}
-func (s sink) Finished(_ routing.CallID, e routing.End)                  { s <- e.Outcome }
-func (s sink) Probed(_ brain.WorkerID, o brain.Outcome, _ *brain.Report) { s <- o }
+func (sink) AttemptStarted(routing.CallID)                                       {}
+func (sink) AttemptSent()                                                        {}
+func (sink) AttemptProgressed(routing.CallID, float64)                           {}
+func (s sink) AttemptFinished(_ routing.CallID, e routing.End)                   { s <- e.Outcome }
+func (s sink) ProbeCompleted(_ brain.WorkerID, o brain.Outcome, _ *brain.Report) { s <- o }
 
 // newIdle makes an endpoint's actor that does not run, and a wire for it with its far end.
 func newIdle(t *testing.T, told time.Time) (*endpoint, sink, *wire, net.Conn) {
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -53,10 +53,10 @@
 // tell gives an exchange's outcome, once for each. It touches nothing that the actor owns.
 func (e *endpoint) tell(x *exchange, end routing.End) {
 	if x.probe {
-		e.fleet.sink.Probed(e.id, end.Outcome, end.Report)
+		e.fleet.sink.ProbeCompleted(e.id, end.Outcome, end.Report)
 	} else {
 		end.Idle = x.idle
-		e.fleet.sink.Finished(x.call.ID, end)
+		e.fleet.sink.AttemptFinished(x.call.ID, end)
 	}
 }
 
@@ -86,7 +86,7 @@
 		return
 	}
 	if !x.probe {
-		e.fleet.sink.Dispatched()
+		e.fleet.sink.AttemptSent()
 	}
 	resp, err := e.read(x)
 	if err != nil {
@@ -173,9 +173,9 @@
 		}
 		switch news.State {
 		case protocol.Started:
-			e.fleet.sink.Began(x.call.ID)
+			e.fleet.sink.AttemptStarted(x.call.ID)
 		case protocol.Running:
-			e.fleet.sink.Progressed(x.call.ID, news.Share)
+			e.fleet.sink.AttemptProgressed(x.call.ID, news.Share)
 		case protocol.Ended:
 			e.tell(x, news.End)
 			return nil
--- a/internal/transport/fleet.go
+++ b/internal/transport/fleet.go
@@ -20,11 +20,11 @@
 
 // Sink takes what comes back from endpoints. No method blocks.
 type Sink interface {
-	Began(routing.CallID)
-	Progressed(routing.CallID, float64)
-	Finished(routing.CallID, routing.End)
-	Probed(brain.WorkerID, brain.Outcome, *brain.Report)
-	Dispatched() // a call was written to its last byte
+	AttemptStarted(routing.CallID)
+	AttemptProgressed(routing.CallID, float64)
+	AttemptFinished(routing.CallID, routing.End)
+	ProbeCompleted(brain.WorkerID, brain.Outcome, *brain.Report)
+	AttemptSent() // a call was written to its last byte
 }
 
 // Fleet hands calls to the endpoints' actors. It is the core's routing.Endpoints. The actor of an endpoint
@@ -141,7 +141,7 @@
 		e.box.Post(c)
 		return
 	}
-	f.sink.Finished(c.ID, routing.End{Outcome: brain.NeverSent})
+	f.sink.AttemptFinished(c.ID, routing.End{Outcome: brain.NeverSent})
 }
 
 // Cancel gives a call up.
@@ -152,7 +152,7 @@
 }
 
 // Bar puts an endpoint out by hand, or back. That stands beside what the destination set says of it.
-func (f *Fleet) Bar(id brain.WorkerID, since time.Time) {
+func (f *Fleet) SetDetached(id brain.WorkerID, since time.Time) {
 	f.mu.Lock()
 	if f.barred[id] = since; since.IsZero() {
 		delete(f.barred, id)
@@ -164,7 +164,7 @@
 }
 
 // Drop closes an endpoint's connections that have stood idle for so long.
-func (f *Fleet) Drop(id brain.WorkerID, idle time.Duration) {
+func (f *Fleet) CloseIdle(id brain.WorkerID, idle time.Duration) {
 	if e := f.member(id); e != nil {
 		e.box.Post(drop{idle})
 	}
@@ -176,7 +176,7 @@
 		e.box.Post(probe{})
 		return
 	}
-	f.sink.Probed(id, brain.NeverSent, nil)
+	f.sink.ProbeCompleted(id, brain.NeverSent, nil)
 }
 
 // idleMost is how many idle connections an endpoint may keep, so that all together stay within bounds.
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -19,8 +19,8 @@
 // Core is what the fronts hand requests to.
 type Core interface {
 	Submit(routing.Inbound) brain.RequestID
-	Leave(brain.RequestID)
-	Ledger() *routing.Ledger
+	ClientLeft(brain.RequestID)
+	Counters() *routing.Ledger
 }
 
 // front is what both fronts share: they let requests in and count connections.
@@ -112,7 +112,7 @@
 	if err != nil {
 		f.rejectJob(w, r, err)
 		if class := protocol.ClassOf(r); !params.Has(class) {
-			f.core.Ledger().Unheard(class, routing.Failed) // perhaps of a class that was dropped
+			f.core.Counters().Unheard(class, routing.Failed) // perhaps of a class that was dropped
 		}
 		return nil, done
 	}
@@ -185,7 +185,7 @@
 // failFast is a refusal by the front itself, before the module has seen the request.
 func (f *front) failFast(w http.ResponseWriter, r *http.Request, class, why string) {
 	f.log.Warn("fail-fast", "why", why, "id", r.Header.Get("Req-Id"))
-	f.core.Ledger().Unheard(class, routing.Refused)
+	f.core.Counters().Unheard(class, routing.Refused)
 	defer boundReader(w, r)()
 	writeAnswer(w, routing.Answer{Verdict: routing.Refused, RetryAfter: f.params.Now().Limits.MaxRetryAfter.Span()})
 }
--- a/internal/transport/http2/front_test.go
+++ b/internal/transport/http2/front_test.go
@@ -26,8 +26,8 @@
 	in.Client.Answered(routing.Answer{Verdict: routing.Served, Result: []byte("priced")})
 	return 1
 }
-func (c *atOnce) Leave(brain.RequestID)   {}
-func (c *atOnce) Ledger() *routing.Ledger { return &c.ledger }
+func (c *atOnce) ClientLeft(brain.RequestID) {}
+func (c *atOnce) Counters() *routing.Ledger  { return &c.ledger }
 
 // BenchmarkFronts tells what a job costs at each front, without the module and endpoints. The client costs nothing that
 // is counted.
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -49,7 +49,7 @@
 	case a := <-client:
 		f.write(w, r, a)
 	case <-r.Context().Done():
-		f.core.Leave(id)
+		f.core.ClientLeft(id)
 		f.left(w, r)
 	}
 }
@@ -81,9 +81,9 @@
 // single is a client that waits for its answer alone.
 type single chan routing.Answer
 
-func (single) Began(int)                   {}
-func (single) Progressed(int, float64)     {}
-func (s single) Answered(a routing.Answer) { s <- a } // has room: the core answers once
+func (single) AttemptStarted(int)             {}
+func (single) AttemptProgressed(int, float64) {}
+func (s single) Answered(a routing.Answer)    { s <- a } // has room: the core answers once
 
 // status maps an answer to HTTP. 429 and 503 tell a client that trying again is harmless, so nothing but
 // a refusal may get one.
--- a/internal/transport/keys.go
+++ b/internal/transport/keys.go
@@ -160,7 +160,7 @@
 	id := j.request
 	f.keys.mu.Unlock()
 	if over {
-		f.core.Leave(id)
+		f.core.ClientLeft(id)
 		f.keys.forget(j)
 		j.release()
 	}
--- a/internal/transport/watched.go
+++ b/internal/transport/watched.go
@@ -96,7 +96,7 @@
 }
 
 // Began tells of the first start only: that a job was sent again is the dispatcher's matter.
-func (j *watched) Began(attempt int) {
+func (j *watched) AttemptStarted(attempt int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.started && j.final == nil {
@@ -106,7 +106,7 @@
 }
 
 // Progressed tells how far an attempt is. A further attempt starts over.
-func (j *watched) Progressed(attempt int, share float64) {
+func (j *watched) AttemptProgressed(attempt int, share float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.final == nil && len(j.events) < mostEvents {
