--- a/brain/attempts.go
+++ b/brain/attempts.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-func (d *Dispatcher) send(r *request, w *worker) {
+func (d *Scheduler) send(r *request, w *worker) {
 	if w.own == 0 {
 		w.heard = d.now
 	}
@@ -19,7 +19,7 @@
 	idle := d.now - cmp.Or(w.used, d.now)
 	if w.used = d.now; d.idleSafe > 0 && d.now < d.idleLost+idleMemory && (w.own > 0 || idle*5 > d.idleSafe*4) {
 		// What idle connections carry may be lost; a new one costs a little.
-		d.do(Drop{Worker: w.ID, Idle: d.idleSafe * 4 / 5})
+		d.do(CloseIdleConnections{Worker: w.ID, MinIdle: d.idleSafe * 4 / 5})
 		idle = 0
 	}
 	if d.warmth(w) < 1 {
@@ -38,10 +38,10 @@
 		d.trials++
 	}
 	r.attempts = append(r.attempts, a)
-	d.do(Send{ID: r.id, Worker: w.ID, By: by})
+	d.do(Send{ID: r.id, Worker: w.ID, SendBy: by})
 }
 
-func (d *Dispatcher) onBegan(e Began) {
+func (d *Scheduler) onBegan(e AttemptStarted) {
 	r, a := d.attempt(e.ID, e.Attempt)
 	if a == nil {
 		return
@@ -65,7 +65,7 @@
 }
 
 // learnWait moves the allowance: up while requests are held here though jobs start soon; down where they wait
-func (d *Dispatcher) learnWait(r *request, a *attempt) {
+func (d *Scheduler) learnWait(r *request, a *attempt) {
 	if d.now == d.stalled {
 		return
 	}
@@ -85,27 +85,27 @@
 }
 
 // allowBy is how far one job moves the allowance.
-func (d *Dispatcher) allowBy() float64 {
+func (d *Scheduler) allowBy() float64 {
 	if d.small {
 		return min(allowStep*float64(d.set.Dispatchers), mostStep)
 	}
 	return allowStep
 }
 
-func (d *Dispatcher) onFinished(e Finished) {
+func (d *Scheduler) onFinished(e AttemptFinished) {
 	r, a := d.attempt(e.ID, e.Attempt)
 	if a == nil {
 		return
 	}
 	w := a.w
 	a.out = false
-	if e.Idle >= 0 {
-		a.idle = e.Idle
+	if e.ConnectionIdle >= 0 {
+		a.idle = e.ConnectionIdle
 	}
 	if a.trial {
 		d.trials--
 	}
-	a.maybe = e.Outcome != Full && e.Outcome != NoConnect && e.Outcome != NeverSent && e.Outcome != Rejected
+	a.maybe = e.Outcome != Full && e.Outcome != NoConnect && e.Outcome != NeverSent && e.Outcome != InvalidRequest
 	if !a.lost {
 		d.bump(w, -r.slots)
 	}
@@ -122,7 +122,7 @@
 		d.heard(w)
 		w.full = d.now + max(seconds(d.stay), ownMemory) // the value is 1 until then
 		w.increment, w.pushes = min(2*w.increment, 1), 0
-	case Rejected: // the client's fault: a bad client must not get workers shunned
+	case InvalidRequest: // the client's fault: a bad client must not get workers shunned
 		d.heard(w)
 	case NoConnect, Reset:
 		if e.Outcome == NoConnect || !d.idleLoss(a) {
@@ -139,7 +139,7 @@
 		d.finish(r)
 	case r.done:
 		d.forget(r)
-	case e.Outcome == Rejected:
+	case e.Outcome == InvalidRequest:
 		d.do(Fail{ID: r.id})
 		d.finish(r)
 	case r.has(out):
@@ -151,7 +151,7 @@
 }
 
 // canGo tells whether some listed worker may take the request, now or later.
-func (d *Dispatcher) canGo(r *request) bool {
+func (d *Scheduler) canGo(r *request) bool {
 	if !r.has(maybe) {
 		return len(r.attempts) < r.set.MaxAttempts
 	}
@@ -159,10 +159,10 @@
 }
 
 // answer gives the final answer: a refusal where a further try is harmless, else a failure.
-func (d *Dispatcher) answer(r *request) {
+func (d *Scheduler) answer(r *request) {
 	c := &r.set.Classes[r.class]
-	if c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll || !r.has(maybe) {
-		d.do(Refuse{ID: r.id, RetryAfter: r.set.MaxRetryAfter})
+	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll || !r.has(maybe) {
+		d.do(Reject{ID: r.id, RetryAfter: r.set.MaxRetryAfter})
 	} else {
 		d.do(Fail{ID: r.id})
 	}
@@ -170,7 +170,7 @@
 }
 
 // finish ends what is owed and calls off what is still out.
-func (d *Dispatcher) finish(r *request) {
+func (d *Scheduler) finish(r *request) {
 	r.done = true
 	d.callOff(r, func(*attempt) bool { return true })
 	d.forget(r)
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -14,7 +14,7 @@
 )
 
 // Handle takes one event and returns what to do. The result is valid until the next call.
-func (d *Dispatcher) Handle(now Clock, ev Event) []Action {
+func (d *Scheduler) Handle(now Clock, ev Event) []Action {
 	d.now = max(d.now, now)
 	d.acts = d.acts[:0]
 	d.first = cmp.Or(d.first, d.now)
@@ -26,41 +26,41 @@
 		}
 	}
 	switch e := ev.(type) {
-	case Listed:
+	case EndpointsUpdated:
 		d.onListed(e)
-	case Arrived:
+	case RequestArrived:
 		d.onArrived(e)
-	case Finished:
+	case AttemptFinished:
 		d.onFinished(e)
-	case Probed:
+	case ProbeCompleted:
 		d.onProbed(e)
-	case Began:
+	case AttemptStarted:
 		d.onBegan(e)
-	case Progressed:
+	case AttemptProgressed:
 		if _, a := d.attempt(e.ID, e.Attempt); a != nil {
 			d.heard(a.w)
 		}
-	case Left:
+	case ClientLeft:
 		if r := d.open[e.ID]; r != nil {
 			d.finish(r)
 		}
-	case Ending:
-		d.ends = e.At
+	case ShutdownStarted:
+		d.ends = e.Deadline
 		for _, r := range d.order {
 			r.expires = min(r.expires, d.ends)
 		}
-		d.do(Wake{Token: endToken, After: d.ends - d.now + d.set.AnswerSlack/2}) // looks are too seldom for it
-	case Detached:
+		d.do(SetTimer{Token: endToken, After: d.ends - d.now + d.set.AnswerSlack/2}) // looks are too seldom for it
+	case WorkerDetached:
 		d.setDetached(e.Worker, true)
-	case Attached:
+	case WorkerReattached:
 		d.setDetached(e.Worker, false)
-	case Succeeded:
-		d.adopt(e.Experience)
-	case Retuned:
+	case HandoverCompleted:
+		d.adopt(e.LearnedState)
+	case SettingsChanged:
 		d.retune(e.Settings)
-	case Shared:
+	case ProcessCountChanged:
 		d.processes = max(e.Processes, 1)
-	case Woke:
+	case TimerFired:
 		switch {
 		case e.Token == askToken:
 			d.do(Subscribe{})
@@ -83,7 +83,7 @@
 		}
 		if at := d.now + pause; !d.ticking || at < d.tickAt { // else a look is due before
 			d.ticking, d.tickAt = true, at
-			d.do(Wake{Token: tickToken, After: pause})
+			d.do(SetTimer{Token: tickToken, After: pause})
 		}
 	}
 	return d.acts
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -18,7 +18,7 @@
 // driver drives one dispatcher by hand and keeps what it did.
 type driver struct {
 	t    *testing.T
-	d    *Dispatcher
+	d    *Scheduler
 	now  Clock
 	acts []Action // of the last event
 	all  []Action
@@ -33,8 +33,8 @@
 func aged(t *testing.T, s Settings) *driver {
 	t.Helper()
 	v := newDriver(t, s)
-	v.give(Woke{})
-	v.now += s.Fall + sendLate
+	v.give(TimerFired{})
+	v.now += s.OverloadWindow + sendLate
 	return v
 }
 
@@ -49,21 +49,23 @@
 func (v *driver) pass(span time.Duration) (acts []Action) {
 	for end := v.now + span; v.now < end; {
 		v.now += 10 * ms
-		acts = append(acts, v.give(Woke{Token: tickToken})...)
+		acts = append(acts, v.give(TimerFired{Token: tickToken})...)
 	}
 	return acts
 }
 
-func (v *driver) list(workers ...WorkerInfo) { v.give(Listed{Kind: ListFull, Workers: workers}) }
+func (v *driver) list(workers ...WorkerInfo) {
+	v.give(EndpointsUpdated{ListKind: ListFull, Workers: workers})
+}
 
 // arrive brings a request of class c with two seconds left and returns where it was sent.
 func (v *driver) arrive(id RequestID, c int) WorkerID {
-	return sentTo(v.give(Arrived{ID: id, Class: c, Slots: 1, Expires: v.now + 2*time.Second}))
+	return sentTo(v.give(RequestArrived{ID: id, Class: c, Slots: 1, Deadline: v.now + 2*time.Second}))
 }
 
 // served ends attempt 0 of a request.
 func (v *driver) served(id RequestID, r *Report) []Action {
-	return v.give(Finished{ID: id, Outcome: Served, Final: true, Report: r})
+	return v.give(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: r})
 }
 
 func sentTo(acts []Action) WorkerID {
@@ -94,13 +96,13 @@
 
 // plain is a deployment with a safe, a keyed and an unsafe class.
 func plain() Settings {
-	c := Class{Aim: 200 * ms, Stretch: 2, Deadline: 2 * time.Second, Worth: 1, Kind: -1, Window: time.Second}
+	c := Class{LatencyObjective: 200 * ms, ObjectiveStretch: 2, Deadline: 2 * time.Second, PriorityWeight: 1, MachineKind: -1, DeduplicationWindow: time.Second}
 	keyed, unsafe := c, c
-	keyed.Effect, keyed.Scope, unsafe.Effect = Keyed, ScopeZone, Unsafe
+	keyed.Idempotency, keyed.DeduplicationScope, unsafe.Idempotency = IdempotentWithKey, ScopeZone, NonIdempotent
 	return Settings{
-		Dispatchers: 2, Classes: []Class{c, keyed, unsafe}, TellsStart: true, Progress: time.Second,
+		Dispatchers: 2, Classes: []Class{c, keyed, unsafe}, ReportsStart: true, ProgressInterval: time.Second,
 		MayCancel: true, MaxAttempts: 4, AnswerSlack: 20 * ms,
-		Cold: 10 * time.Second, StartCapacity: 0.2, TipMultiple: 3, Fall: time.Second,
+		SlowStartDuration: 10 * time.Second, SlowStartCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}
 }
 
@@ -122,7 +124,7 @@
 
 func TestRotationStartsAtOwnNumber(t *testing.T) {
 	s := plain()
-	s.Me = 2
+	s.DispatcherIndex = 2
 	v := newDriver(t, s)
 	v.list(workers(3)...)
 	if w := v.arrive(1, 0); w != "w02" {
@@ -138,7 +140,7 @@
 		t.Errorf("without figures a slot counts %v", got)
 	}
 	v.arrive(1, 0)
-	v.give(Finished{ID: 1, Outcome: Full})
+	v.give(AttemptFinished{ID: 1, Outcome: Full})
 	if got := v.d.share(w, 1); got != 2*firstIncrement || v.d.value(w) < 1-1e-9 {
 		t.Errorf("after a 'full' a slot counts %v, the value is %v", got, v.d.value(w))
 	}
@@ -162,7 +164,7 @@
 	v := newDriver(t, plain())
 	v.list(workers(1)...)
 	v.arrive(1, 0)
-	v.give(Began{ID: 1})
+	v.give(AttemptStarted{ID: 1})
 	if w := v.arrive(2, 0); w == "" {
 		t.Error("held a request beside one running job on a worker of unknown size")
 	}
@@ -174,7 +176,7 @@
 	v.list(workers(2)...)
 	run := func(id RequestID, took time.Duration) {
 		v.arrive(id, 0)
-		v.give(Began{ID: id})
+		v.give(AttemptStarted{ID: id})
 		v.now += took
 		v.served(id, nil)
 	}
@@ -234,7 +236,7 @@
 	job := func(id RequestID, wait time.Duration) {
 		v.arrive(id, 0)
 		v.pass(wait)
-		v.give(Began{ID: id})
+		v.give(AttemptStarted{ID: id})
 		v.pass(10 * ms)
 		v.served(id, report(0, 4))
 	}
@@ -267,7 +269,7 @@
 		t.Errorf("fresh reports of 0 and 1 give values %v and %v", a, b)
 	}
 	v.now += 5 * time.Second
-	v.give(Woke{})
+	v.give(TimerFired{})
 	if a, b := v.d.value(idle), v.d.value(busy); math.Abs(a-b) > 0.05 {
 		t.Errorf("old reports still tell workers apart: %v and %v", a, b)
 	}
@@ -326,8 +328,8 @@
 	if x := v.d.value(v.d.byID["w99"]); x != 0 {
 		t.Errorf("a newcomer's value is %v", x)
 	}
-	v.give(Arrived{ID: 2, Slots: 1, Expires: v.now + time.Second})
-	v.give(Finished{ID: 2, Outcome: Served, Final: true, Report: report(0, 4)})
+	v.give(RequestArrived{ID: 2, Slots: 1, Deadline: v.now + time.Second})
+	v.give(AttemptFinished{ID: 2, Outcome: Served, Final: true, Report: report(0, 4)})
 	if v.d.others > 0.01 {
 		t.Errorf("after one fresh report of 0 the mean is %v", v.d.others)
 	}
@@ -351,7 +353,7 @@
 func TestColdBudget(t *testing.T) {
 	s := plain()
 	v := aged(t, s)
-	v.list(WorkerInfo{ID: "w", Since: v.now - ms})
+	v.list(WorkerInfo{ID: "w", StartedAt: v.now - ms})
 	v.d.seen(v.d.workers[0], 4)
 	v.d.classes[0], v.d.mean, v.d.jobs = classState{scale: 0.1, usual: math.Log(0.1), jobs: 100}, 0.1, 100
 	sent := 0
@@ -362,7 +364,7 @@
 		}
 		v.now += 10 * ms
 	}
-	budget := s.TipMultiple * (s.StartCapacity + 0.05) * 4 * s.Fall.Seconds() / float64(s.Dispatchers)
+	budget := s.OverloadMultiple * (s.SlowStartCapacity + 0.05) * 4 * s.OverloadWindow.Seconds() / float64(s.Dispatchers)
 	if work := 0.1 * float64(sent); sent == 0 || work > budget {
 		t.Errorf("%d jobs, %.2f slot-seconds, were sent within half a second; the budget is %.2f", sent, work, budget)
 	}
@@ -372,7 +374,7 @@
 // limit, multiplied by their slowness, left no room for a first job, and many warm by working.
 func TestUnusedColdWorkerHasRoom(t *testing.T) {
 	v := aged(t, plain())
-	v.list(WorkerInfo{ID: "w", Since: v.now - 2*time.Second})
+	v.list(WorkerInfo{ID: "w", StartedAt: v.now - 2*time.Second})
 	v.d.seen(v.d.workers[0], 2)
 	v.d.classes[0], v.d.mean, v.d.jobs = classState{scale: 0.05, usual: math.Log(0.05), jobs: 100}, 0.05, 100
 	v.d.allow = leastAllow
@@ -387,20 +389,20 @@
 		t.Run(name, func(t *testing.T) {
 			v := newDriver(t, s)
 			for _, ev := range []Event{
-				nil, Woke{Token: 999}, Left{ID: 5}, Began{ID: 5}, Progressed{ID: 5, Attempt: -1},
-				Finished{ID: 5, Attempt: 3, Outcome: Outcome(99)}, Probed{Worker: "nobody", Outcome: Served},
-				Listed{Kind: ListKind(9)}, Listed{Kind: ListFailed}, Listed{Kind: ListFull},
+				nil, TimerFired{Token: 999}, ClientLeft{ID: 5}, AttemptStarted{ID: 5}, AttemptProgressed{ID: 5, Attempt: -1},
+				AttemptFinished{ID: 5, Attempt: 3, Outcome: Outcome(99)}, ProbeCompleted{Worker: "nobody", Outcome: Served},
+				EndpointsUpdated{ListKind: ListKind(9)}, EndpointsUpdated{ListKind: ListFailed}, EndpointsUpdated{ListKind: ListFull},
 			} {
 				v.give(ev)
 			}
-			if n := count[Send](v.all) + count[Refuse](v.all) + count[Fail](v.all) + count[Cancel](v.all); n > 0 {
+			if n := count[Send](v.all) + count[Reject](v.all) + count[Fail](v.all) + count[Cancel](v.all); n > 0 {
 				t.Errorf("%d actions on requests that do not exist", n)
 			}
 			v.list(workers(2)...)
 			id := v.arrive(1, 77)
-			v.give(Finished{ID: 1, Attempt: 9, Worker: id, Outcome: Served, Final: true})
-			v.give(Finished{ID: 1, Worker: id, Outcome: Served, Final: true})
-			if acts := v.give(Finished{ID: 1, Worker: id, Outcome: Errored}); count[Fail](acts)+count[Refuse](acts) > 0 {
+			v.give(AttemptFinished{ID: 1, Attempt: 9, Worker: id, Outcome: Served, Final: true})
+			v.give(AttemptFinished{ID: 1, Worker: id, Outcome: Served, Final: true})
+			if acts := v.give(AttemptFinished{ID: 1, Worker: id, Outcome: Errored}); count[Fail](acts)+count[Reject](acts) > 0 {
 				t.Error("a duplicate outcome was answered again")
 			}
 		})
@@ -410,8 +412,8 @@
 func TestPastDeadlineIsAnsweredAtOnce(t *testing.T) {
 	v := newDriver(t, plain())
 	v.list(workers(1)...)
-	acts := v.give(Arrived{ID: 1, Slots: 1, Expires: v.now - time.Second})
-	if count[Refuse](acts) != 1 || count[Send](acts) != 0 {
+	acts := v.give(RequestArrived{ID: 1, Slots: 1, Deadline: v.now - time.Second})
+	if count[Reject](acts) != 1 || count[Send](acts) != 0 {
 		t.Errorf("a request past its deadline got %v", acts)
 	}
 }
@@ -425,9 +427,9 @@
 	}{"empty list": {nil, 1}, "all drain": {[]WorkerInfo{draining}, 1}, "no number": {nil, math.NaN()}} {
 		v := newDriver(t, plain())
 		v.list(c.list...)
-		v.give(Arrived{ID: 1, Class: 2, Slots: c.slots, Expires: v.now + 2*time.Second})
+		v.give(RequestArrived{ID: 1, Class: 2, Slots: c.slots, Deadline: v.now + 2*time.Second})
 		v.pass(2 * time.Second)
-		if count[Refuse](v.all) != 1 || count[Send](v.all)+count[Fail](v.all) != 0 {
+		if count[Reject](v.all) != 1 || count[Send](v.all)+count[Fail](v.all) != 0 {
 			t.Errorf("%s: got %v", name, v.all)
 		}
 	}
@@ -449,7 +451,7 @@
 		v := newDriver(t, plain())
 		v.list(workers(3)...)
 		first := v.arrive(1, c.class)
-		acts := v.give(Finished{ID: 1, Worker: first, Outcome: c.outcome})
+		acts := v.give(AttemptFinished{ID: 1, Worker: first, Outcome: c.outcome})
 		next := sentTo(acts)
 		if (next != "") != c.again || next == first || count[Fail](acts) == 1 == c.again {
 			t.Errorf("class %d, outcome %d: %v, want again %v", c.class, c.outcome, acts, c.again)
@@ -464,7 +466,7 @@
 	ws[1].Zone = 1
 	v.list(ws...)
 	first := v.arrive(1, 1)
-	if acts := v.give(Finished{ID: 1, Worker: first, Outcome: Reset}); sentTo(acts) != "" && sentTo(acts) != first {
+	if acts := v.give(AttemptFinished{ID: 1, Worker: first, Outcome: Reset}); sentTo(acts) != "" && sentTo(acts) != first {
 		t.Errorf("sent on to another zone: %v", acts)
 	}
 }
@@ -479,7 +481,7 @@
 		if w := v.arrive(id, 0); w == silent {
 			t.Errorf("request %d went to the silent worker", id)
 		}
-		v.give(Finished{ID: id, Outcome: Served, Final: true})
+		v.give(AttemptFinished{ID: id, Outcome: Served, Final: true})
 	}
 	for _, w := range v.d.workers {
 		v.d.eject(w, &w.health, 0, "test")
--- a/brain/cold_test.go
+++ b/brain/cold_test.go
@@ -30,7 +30,7 @@
 func (f *coldFleet) arrivals() (at []Clock) {
 	rng := rand.New(rand.NewPCG(f.seed, 1))
 	type job struct {
-		from *Dispatcher
+		from *Scheduler
 		id   RequestID // 0 for one that ran elsewhere
 		took time.Duration
 		end  Clock
@@ -38,16 +38,16 @@
 	}
 	var open []job
 	running := 0.0
-	list := []WorkerInfo{{ID: WorkerID(fmt.Sprint("cold-", f.seed)), Since: start + 5*time.Second, Weight: 1}}
-	ds, down := make([]*Dispatcher, f.dispatchers), make([]Clock, f.dispatchers)
+	list := []WorkerInfo{{ID: WorkerID(fmt.Sprint("cold-", f.seed)), StartedAt: start + 5*time.Second, Weight: 1}}
+	ds, down := make([]*Scheduler, f.dispatchers), make([]Clock, f.dispatchers)
 	begin := func(i int, now Clock) {
 		s := f.set
-		s.Me, s.Dispatchers = i, f.dispatchers
+		s.DispatcherIndex, s.Dispatchers = i, f.dispatchers
 		ds[i] = New(s, rng.Uint64())
-		ds[i].Handle(now, Woke{})
+		ds[i].Handle(now, TimerFired{})
 	}
 	tell := func(i int, now Clock) {
-		ds[i].Handle(now, Listed{Kind: ListFull, Workers: list})
+		ds[i].Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: list})
 		if rng.IntN(2) == 0 { // what a probe tells
 			ds[i].seen(ds[i].workers[0], f.slots)
 		}
@@ -66,7 +66,7 @@
 				running--
 			}
 			if d := j.from; j.id > 0 {
-				d.Handle(now, Finished{ID: j.id, Outcome: Served, Final: true})
+				d.Handle(now, AttemptFinished{ID: j.id, Outcome: Served, Final: true})
 			} else { // as ran has it
 				c := &d.classes[0]
 				d.jobs, c.jobs = d.jobs+1, c.jobs+1
@@ -98,8 +98,8 @@
 			for range jobs {
 				id++
 				took := seconds(f.work * rng.ExpFloat64())
-				if count[Send](ds[i].Handle(now, Arrived{ID: id, Slots: 1, Expires: now + 2*time.Second})) == 0 {
-					ds[i].Handle(now, Left{ID: id}) // it runs elsewhere
+				if count[Send](ds[i].Handle(now, RequestArrived{ID: id, Slots: 1, Deadline: now + 2*time.Second})) == 0 {
+					ds[i].Handle(now, ClientLeft{ID: id}) // it runs elsewhere
 					open = append(open, job{ds[i], 0, took, now + took, false})
 					continue
 				}
@@ -107,7 +107,7 @@
 				began := running < f.slots
 				if began { // else it waits there
 					running++
-					ds[i].Handle(now, Began{ID: id})
+					ds[i].Handle(now, AttemptStarted{ID: id})
 				}
 				open = append(open, job{ds[i], id, took, now + took, began})
 			}
@@ -132,18 +132,18 @@
 		if rapid.Bool().Draw(t, "kill") {
 			f.killed = start + 5*time.Second + time.Duration(rapid.IntRange(100, 2500).Draw(t, "killed"))*ms
 		}
-		f.set = Settings{Classes: []Class{{Aim: seconds(f.work * rapid.Float64Range(0.25, 1.5).Draw(t, "aim")), Deadline: 5 * time.Second,
-			LateWorth: 0.5, Effect: Safe, Kind: -1}}, MayCancel: true, MaxAttempts: 4,
-			Cold: time.Duration(rapid.IntRange(4, 24).Draw(t, "cold")) * time.Second, StartCapacity: rapid.Float64Range(0.12, 0.6).Draw(t, "from"),
-			TipMultiple: rapid.Float64Range(2, 3).Draw(t, "multiple"), Fall: time.Duration(rapid.IntRange(1000, 3000).Draw(t, "fall")) * ms}
+		f.set = Settings{Classes: []Class{{LatencyObjective: seconds(f.work * rapid.Float64Range(0.25, 1.5).Draw(t, "aim")), Deadline: 5 * time.Second,
+			LateWeight: 0.5, Idempotency: Idempotent, MachineKind: -1}}, MayCancel: true, MaxAttempts: 4,
+			SlowStartDuration: time.Duration(rapid.IntRange(4, 24).Draw(t, "cold")) * time.Second, SlowStartCapacity: rapid.Float64Range(0.12, 0.6).Draw(t, "from"),
+			OverloadMultiple: rapid.Float64Range(2, 3).Draw(t, "multiple"), OverloadWindow: time.Duration(rapid.IntRange(1000, 3000).Draw(t, "fall")) * ms}
 		at := f.arrivals()
 		for i, end := range at {
-			from, _ := slices.BinarySearch(at, end-f.set.Fall)
+			from, _ := slices.BinarySearch(at, end-f.set.OverloadWindow)
 			got := float64(i - from + 1)
-			warm := f.set.StartCapacity + (1-f.set.StartCapacity)*min(float64(end-start-5*time.Second)/float64(f.set.Cold), 1)
-			n := f.set.TipMultiple * warm * f.slots * f.set.Fall.Seconds() / f.work
+			warm := f.set.SlowStartCapacity + (1-f.set.SlowStartCapacity)*min(float64(end-start-5*time.Second)/float64(f.set.SlowStartDuration), 1)
+			n := f.set.OverloadMultiple * warm * f.slots * f.set.OverloadWindow.Seconds() / f.work
 			if most := n + 2*math.Sqrt(n) + 2; got > most {
-				t.Fatalf("%.0f jobs within %v, %.1f allowed and %.1f with chance, at %v", got, f.set.Fall, n, most, end-start)
+				t.Fatalf("%.0f jobs within %v, %.1f allowed and %.1f with chance, at %v", got, f.set.OverloadWindow, n, most, end-start)
 			}
 		}
 		if len(at) == 0 && f.killed == 0 && f.rate > 100 {
@@ -158,16 +158,16 @@
 func TestSuccessorUsesColdWorkersAtOnce(t *testing.T) {
 	for _, succeeds := range []bool{false, true} {
 		v := newDriver(t, plain())
-		v.list(WorkerInfo{ID: "w", Since: v.now - ms})
+		v.list(WorkerInfo{ID: "w", StartedAt: v.now - ms})
 		v.d.seen(v.d.workers[0], 4)
 		if succeeds {
-			v.give(Succeeded{Experience: v.d.Experience()})
+			v.give(HandoverCompleted{LearnedState: v.d.LearnedState()})
 		}
 		v.now += 10 * ms
 		if to := v.arrive(1, 0); succeeds != (to != "") {
 			t.Errorf("successor %v: sent to %q at once", succeeds, to)
 		}
-		v.now += plain().Fall + sendLate
+		v.now += plain().OverloadWindow + sendLate
 		if to := v.arrive(2, 0); !succeeds && to == "" && v.d.workers[0].own == 0 {
 			t.Error("nothing is sent behind the fall")
 		}
--- a/brain/coldbudget.go
+++ b/brain/coldbudget.go
@@ -10,12 +10,12 @@
 
 // affords tells whether a cold worker may be sent the request within this dispatcher's part of what it can
 // stand. Who was here before, and was killed, may have sent its part to one that was there by then.
-func (d *Dispatcher) affords(w *worker, r *request) bool {
-	if d.warmth(w) == 1 || d.set.TipMultiple <= 0 || d.set.Fall <= 0 {
+func (d *Scheduler) affords(w *worker, r *request) bool {
+	if d.warmth(w) == 1 || d.set.OverloadMultiple <= 0 || d.set.OverloadWindow <= 0 {
 		return true
 	}
-	span := d.set.Fall + sendLate
-	if w.Since <= d.first && !d.succeeds && d.now < d.first+span {
+	span := d.set.OverloadWindow + sendLate
+	if w.StartedAt <= d.first && !d.succeeds && d.now < d.first+span {
 		return false
 	}
 	w.sent = slices.DeleteFunc(w.sent, func(s spend) bool { return s.at < d.now-span })
@@ -28,24 +28,24 @@
 }
 
 // budget is the work that a cold worker may be sent within any Fall by all dispatchers together.
-func (d *Dispatcher) budget(w *worker) float64 {
-	work := d.warmth(w) * max(d.slots(w), 1) * d.set.Fall.Seconds()
-	return coldShare / float64(d.processes) * d.set.TipMultiple * work
+func (d *Scheduler) budget(w *worker) float64 {
+	work := d.warmth(w) * max(d.slots(w), 1) * d.set.OverloadWindow.Seconds()
+	return coldShare / float64(d.processes) * d.set.OverloadMultiple * work
 }
 
 // part is this dispatcher's part of that. Of the jobs that fill the budget each has one in turn, beginning
 // at a place that follows from the worker's id: who reckons with another budget, or with other jobs, has its
 // own turns all the same, and all together send no more than the largest of these budgets.
-func (d *Dispatcher) part(w *worker) float64 {
+func (d *Scheduler) part(w *worker) float64 {
 	n, job := uint64(d.set.Dispatchers), d.job()
-	turn, jobs := float64((uint64(d.set.Me)+w.hash%n)%n), max(d.budget(w)/job, 1)
+	turn, jobs := float64((uint64(d.set.DispatcherIndex)+w.hash%n)%n), max(d.budget(w)/job, 1)
 	return job * max(math.Ceil((math.Floor(jobs)-turn)/float64(n)), 0) * jobs / math.Floor(jobs)
 }
 
 // job is the mean work of a job, as cautious as so few that were served make it: short ones end first.
-func (d *Dispatcher) job() float64 {
+func (d *Scheduler) job() float64 {
 	known := float64(d.jobs)
-	guess := coldDoubt * coldJob * cmp.Or(d.set.Classes[0].Aim.Seconds(), 1)
+	guess := coldDoubt * coldJob * cmp.Or(d.set.Classes[0].LatencyObjective.Seconds(), 1)
 	return (d.mean*known + guess) / (known + coldDoubt) * meanError(d.jobs)
 }
 
@@ -53,7 +53,7 @@
 func meanError(jobs int) float64 { return 1 + 1/math.Sqrt(1+min(float64(jobs), 1/(1-classMemory))) }
 
 // cost is the work that a request may bring, in slot-seconds.
-func (d *Dispatcher) cost(r *request) float64 {
-	work := cmp.Or(d.work(r), coldJob*r.set.Classes[r.class].Aim.Seconds())
+func (d *Scheduler) cost(r *request) float64 {
+	work := cmp.Or(d.work(r), coldJob*r.set.Classes[r.class].LatencyObjective.Seconds())
 	return work * r.slots * meanError(d.classes[r.class].jobs)
 }
--- a/brain/cost_bench_test.go
+++ b/brain/cost_bench_test.go
@@ -12,21 +12,21 @@
 		for _, n := range []int{12, 60, 200, 1000, 5000} {
 			b.Run(fmt.Sprintf("keys=%v/workers=%d", keyed, n), func(b *testing.B) {
 				s := plain()
-				s.Dispatchers, s.ReportsPulled, s.MayProbe, s.MayCopy = 80, true, true, true
+				s.Dispatchers, s.ReportsPulled, s.MayProbe, s.MayHedge = 80, true, true, true
 				d, now := New(s, 1), start
-				d.Handle(now, Listed{Kind: ListFull, Workers: workers(n)})
+				d.Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: workers(n)})
 				id := RequestID(0)
 				for b.Loop() {
 					id++
 					now += 100 * time.Millisecond
-					ev := Arrived{ID: id, Slots: 1, Expires: now + 5*time.Second}
+					ev := RequestArrived{ID: id, Slots: 1, Deadline: now + 5*time.Second}
 					if keyed {
-						ev.Key = uint64(id%500) + 1
+						ev.AffinityKey = uint64(id%500) + 1
 					}
 					to := sentTo(d.Handle(now, ev))
-					d.Handle(now+time.Millisecond, Began{ID: id, Worker: to})
-					d.Handle(now+50*time.Millisecond, Woke{Token: tickToken})
-					d.Handle(now+90*time.Millisecond, Finished{ID: id, Worker: to, Outcome: Served, Final: true})
+					d.Handle(now+time.Millisecond, AttemptStarted{ID: id, Worker: to})
+					d.Handle(now+50*time.Millisecond, TimerFired{Token: tickToken})
+					d.Handle(now+90*time.Millisecond, AttemptFinished{ID: id, Worker: to, Outcome: Served, Final: true})
 				}
 			})
 		}
--- a/brain/deployments_test.go
+++ b/brain/deployments_test.go
@@ -12,7 +12,7 @@
 func TestNoSearchWhereLoadsAreKnown(t *testing.T) {
 	for class := range 3 {
 		s := plain()
-		s.MayCopy = true
+		s.MayHedge = true
 		v := newDriver(t, s)
 		v.d.traces = traces{own2: 1000, off2: 1000, heldOwn: 2000, heldOff: 2000}
 		v.list(workers(3)...)
@@ -57,12 +57,12 @@
 func TestSilenceWithoutProgress(t *testing.T) {
 	for _, progress := range []time.Duration{0, time.Second} {
 		s := plain()
-		s.Progress = progress
+		s.ProgressInterval = progress
 		s.Classes[2].Deadline = 20 * time.Second
 		v := newDriver(t, s)
 		v.list(workers(2)...)
-		w := v.d.byID[sentTo(v.give(Arrived{ID: 1, Class: 2, Slots: 1, Expires: v.now + 15*time.Second}))]
-		v.give(Began{ID: 1})
+		w := v.d.byID[sentTo(v.give(RequestArrived{ID: 1, Class: 2, Slots: 1, Deadline: v.now + 15*time.Second}))]
+		v.give(AttemptStarted{ID: 1})
 		v.pass(10 * time.Second)
 		if sound := v.d.sound(w, 2); sound != (progress == 0) {
 			t.Errorf("progress every %v: the worker counts as sound: %v", progress, sound)
@@ -106,7 +106,7 @@
 	for id := RequestID(1); id <= 20; id++ {
 		v.arrive(id, 0)
 		v.now += 40 * ms
-		v.give(Began{ID: id})
+		v.give(AttemptStarted{ID: id})
 		v.served(id, nil)
 	}
 	if v.d.jam > 0 || v.d.allow < firstAllow || v.d.ways[0] != 40*ms {
@@ -124,7 +124,7 @@
 		id := RequestID(i + 1)
 		if v.arrive(id, i%3) == "w00" {
 			if bad++; bad%5 < 3 {
-				v.give(Finished{ID: id, Worker: "w00", Outcome: Errored, Final: true})
+				v.give(AttemptFinished{ID: id, Worker: "w00", Outcome: Errored, Final: true})
 				v.now += 100 * ms
 				continue
 			}
@@ -175,14 +175,14 @@
 		v := newDriver(t, plain())
 		v.list(workers(2)...)
 		for id := RequestID(1); id <= 40; id++ {
-			v.give(Arrived{ID: id, Class: 2, Slots: 1, Work: 100 * ms, Expires: v.now + 2*time.Second})
-			v.give(Began{ID: id})
+			v.give(RequestArrived{ID: id, Class: 2, Slots: 1, EstimatedWork: 100 * ms, Deadline: v.now + 2*time.Second})
+			v.give(AttemptStarted{ID: id})
 			v.now += 100 * ms
 			v.served(id, nil)
 		}
 		usual := v.d.classes[2].usual
-		v.give(Arrived{ID: 41, Class: 2, Slots: 1, Work: hint, Expires: v.now + 2*time.Second})
-		v.give(Began{ID: 41})
+		v.give(RequestArrived{ID: 41, Class: 2, Slots: 1, EstimatedWork: hint, Deadline: v.now + 2*time.Second})
+		v.give(AttemptStarted{ID: 41})
 		acts := v.pass(2200 * ms)
 		if n := count[Send](acts); n != 0 {
 			t.Errorf("hint %v: sent %d times more", hint, n)
@@ -190,7 +190,7 @@
 		if got := count[Fail](acts); got != 1 {
 			t.Errorf("hint %v: %d final answers by the deadline", hint, got)
 		}
-		if v.give(Finished{ID: 41, Worker: "w00", Outcome: TimedOut, Final: true}); math.Abs(v.d.classes[2].usual-usual) > 0.1 {
+		if v.give(AttemptFinished{ID: 41, Worker: "w00", Outcome: TimedOut, Final: true}); math.Abs(v.d.classes[2].usual-usual) > 0.1 {
 			t.Errorf("hint %v: the usual job changed from %v to %v", hint, usual, v.d.classes[2].usual)
 		}
 	}
@@ -205,7 +205,7 @@
 		v.d.seen(w, 4)
 	}
 	first := v.arrive(1, 2)
-	next := sentTo(v.give(Finished{ID: 1, Worker: first, Outcome: Full, Report: nil}))
+	next := sentTo(v.give(AttemptFinished{ID: 1, Worker: first, Outcome: Full, Report: nil}))
 	if next == "" || next == first {
 		t.Fatalf("turned away at %s, sent on to %q", first, next)
 	}
@@ -237,9 +237,9 @@
 		if w := v.arrive(1, 1); w != "w00" {
 			t.Fatalf("sent to %s", w)
 		}
-		v.give(Began{ID: 1})
+		v.give(AttemptStarted{ID: 1})
 		v.now += c.after // its window is a second
-		if w := sentTo(v.give(Finished{ID: 1, Worker: "w00", Outcome: Reset, Idle: -1})); w != c.want {
+		if w := sentTo(v.give(AttemptFinished{ID: 1, Worker: "w00", Outcome: Reset, ConnectionIdle: -1})); w != c.want {
 			t.Errorf("%+v: repeated at %q", c, w)
 		}
 	}
--- a/brain/fleet_test.go
+++ b/brain/fleet_test.go
@@ -12,7 +12,7 @@
 func asked(t *testing.T, dispatchers, n int) (vs []*driver) {
 	for me := range dispatchers {
 		s := plain()
-		s.Me, s.Dispatchers, s.ReportsPulled, s.MayProbe = me, dispatchers, true, true
+		s.DispatcherIndex, s.Dispatchers, s.ReportsPulled, s.MayProbe = me, dispatchers, true, true
 		v := newDriver(t, s)
 		v.list(workers(n)...)
 		vs = append(vs, v)
@@ -24,7 +24,7 @@
 func (v *driver) learns(jobs RequestID, run time.Duration) {
 	for id := RequestID(1); id <= jobs; id++ {
 		v.arrive(id, 0)
-		v.give(Began{ID: id})
+		v.give(AttemptStarted{ID: id})
 		v.pass(run)
 		v.served(id, nil)
 	}
@@ -36,7 +36,7 @@
 func TestKeysGoHomeFromAllOfMany(t *testing.T) {
 	vs := asked(t, 80, 60)
 	for _, v := range vs {
-		v.give(Arrived{ID: 1, Slots: 1, Key: 1, Expires: v.now + 4*time.Second}) // from now on it knows of keys
+		v.give(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: v.now + 4*time.Second}) // from now on it knows of keys
 		v.served(1, nil)
 		v.now += 2 * nearFresh
 		v.pass(nearFresh)
@@ -45,7 +45,7 @@
 	for key := uint64(2); key < 22; key++ {
 		homes := map[WorkerID]int{}
 		for _, v := range vs {
-			homes[sentTo(v.give(Arrived{ID: RequestID(key), Slots: 1, Key: key, Expires: v.now + 4*time.Second}))]++
+			homes[sentTo(v.give(RequestArrived{ID: RequestID(key), Slots: 1, AffinityKey: key, Deadline: v.now + 4*time.Second}))]++
 			v.served(RequestID(key), nil)
 			v.now += 500 * ms
 		}
@@ -65,7 +65,7 @@
 	v := asked(t, 80, 60)[0]
 	to := map[WorkerID]int{}
 	for id := RequestID(1); id <= 40; id++ { // a job in 300 ms, each ended before the next
-		to[sentTo(v.give(Arrived{ID: id, Slots: 1, Key: 7, Expires: v.now + 4*time.Second}))]++
+		to[sentTo(v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: v.now + 4*time.Second}))]++
 		v.served(id, nil)
 		v.now += 300 * ms
 	}
@@ -81,14 +81,14 @@
 		t.Run(fmt.Sprint(dispatchers), func(t *testing.T) {
 			const n, span = 60, 80 * time.Second
 			v := asked(t, dispatchers, n)[0]
-			v.give(Arrived{ID: 1, Slots: 1, Key: 1, Expires: v.now + 4*time.Second})
+			v.give(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: v.now + 4*time.Second})
 			v.served(1, nil)
 			probes := 0
 			for end := v.now + span; v.now < end; v.now += 50 * ms {
-				for _, a := range v.give(Woke{Token: tickToken}) {
+				for _, a := range v.give(TimerFired{Token: tickToken}) {
 					if p, ok := a.(Probe); ok {
 						probes++
-						v.give(Probed{Worker: p.Worker, Report: report(0.5, 2)})
+						v.give(ProbeCompleted{Worker: p.Worker, Report: report(0.5, 2)})
 					}
 				}
 			}
@@ -110,11 +110,11 @@
 		v.learns(jobs, 250*ms)
 		cold := workers(n)
 		for i := range cold {
-			cold[i].ID, cold[i].Since = WorkerID(fmt.Sprint("new-", i)), v.now-v.d.set.Cold/10
+			cold[i].ID, cold[i].StartedAt = WorkerID(fmt.Sprint("new-", i)), v.now-v.d.set.SlowStartDuration/10
 		}
 		v.list(cold...) // all of them are replaced
 		for i := range n {
-			for _, a := range v.give(Arrived{ID: RequestID(100 + i), Slots: 1, Key: uint64(i), Expires: v.now + 4*time.Second}) {
+			for _, a := range v.give(RequestArrived{ID: RequestID(100 + i), Slots: 1, AffinityKey: uint64(i), Deadline: v.now + 4*time.Second}) {
 				if s, ok := a.(Send); ok && s.ID >= 100 {
 					sent++
 				}
@@ -132,24 +132,24 @@
 func TestColdHelpsWhileJobsWait(t *testing.T) {
 	for _, wait := range []time.Duration{10 * ms, 300 * ms} {
 		s := plain()
-		s.Classes[0].LateWorth = 1
+		s.Classes[0].LateWeight = 1
 		v := newDriver(t, s)
 		ws := workers(8)
 		v.list(ws...)
 		for id := RequestID(1); id <= 12; id++ {
-			v.give(Arrived{ID: id, Slots: 1, Key: uint64(id), Expires: v.now + 4*time.Second})
+			v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(id), Deadline: v.now + 4*time.Second})
 			v.pass(wait)
-			v.give(Began{ID: id})
+			v.give(AttemptStarted{ID: id})
 			v.pass(100 * ms)
 			v.served(id, nil)
 		}
-		ws[0].Since = v.now - s.Cold/2
+		ws[0].StartedAt = v.now - s.SlowStartDuration/2
 		v.list(ws...)
 		first := 0 // of the keys whose next job goes to the cold one
 		for key := uint64(20); key < 24; key++ {
-			first += oneIf(sentTo(v.give(Arrived{ID: RequestID(key), Slots: 1, Key: key, Expires: v.now + 4*time.Second})) == ws[0].ID)
+			first += oneIf(sentTo(v.give(RequestArrived{ID: RequestID(key), Slots: 1, AffinityKey: key, Deadline: v.now + 4*time.Second})) == ws[0].ID)
 			v.served(RequestID(key), nil)
-			v.now += s.Fall
+			v.now += s.OverloadWindow
 		}
 		if jammed := wait > waitGrace; jammed != (first == 4) {
 			t.Errorf("after waits of %v: %d of 4 to the cold worker", wait, first)
@@ -163,7 +163,7 @@
 	vs := asked(t, dispatchers, n)
 	var bad, all int
 	for _, v := range vs {
-		v.d.set.MayCopy = true
+		v.d.set.MayHedge = true
 	}
 	is := map[WorkerID]bool{}
 	for _, w := range workers(n)[:hung] {
@@ -173,7 +173,7 @@
 		v := vs[i%dispatchers]
 		id, r := RequestID(i+1), 0
 		v.now = max(v.now, start+time.Duration(i)*every)
-		acts := v.give(Arrived{ID: id, Slots: 1, Key: uint64(i*7 + 1), Expires: v.now + 5*time.Second})
+		acts := v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i*7 + 1), Deadline: v.now + 5*time.Second})
 		to := sentTo(acts)
 		if i > 2*jobs/3 {
 			all++
@@ -187,15 +187,15 @@
 			r++
 		}
 		if v.d.open[id] == nil || to == "" {
-			v.give(Left{ID: id})
+			v.give(ClientLeft{ID: id})
 			continue
 		}
-		v.give(Began{ID: id, Attempt: r})
+		v.give(AttemptStarted{ID: id, Attempt: r})
 		for a := range r {
-			v.give(Finished{ID: id, Attempt: a, Outcome: Cancelled})
+			v.give(AttemptFinished{ID: id, Attempt: a, Outcome: Cancelled})
 		}
 		v.pass(100 * ms)
-		v.give(Finished{ID: id, Attempt: r, Outcome: Served, Final: true})
+		v.give(AttemptFinished{ID: id, Attempt: r, Outcome: Served, Final: true})
 	}
 	return float64(bad) / float64(all)
 }
@@ -226,20 +226,20 @@
 		v.now = start + 10*time.Second
 		ws := workers(n)
 		for i := range cold {
-			ws[i].Since = v.now
+			ws[i].StartedAt = v.now
 		}
-		v.give(Listed{Kind: ListFull, Workers: ws})
+		v.give(EndpointsUpdated{ListKind: ListFull, Workers: ws})
 		for i := range 16 { // four jobs a second
 			v.d.jam = 1
 			id := RequestID(100 + i)
-			for _, a := range v.give(Arrived{ID: id, Slots: 1, Key: uint64(i + v.d.set.Me*100 + 1), Expires: v.now + 4*time.Second}) {
+			for _, a := range v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i + v.d.set.DispatcherIndex*100 + 1), Deadline: v.now + 4*time.Second}) {
 				if s, ok := a.(Send); ok && s.ID == id {
 					sent[s.Worker] = append(sent[s.Worker], push{v.now, mean})
 				}
 			}
-			v.give(Began{ID: id})
+			v.give(AttemptStarted{ID: id})
 			v.pass(mean * 1000 * ms)
-			v.give(Finished{ID: id, Outcome: Served, Final: true})
+			v.give(AttemptFinished{ID: id, Outcome: Served, Final: true})
 		}
 	}
 	used, could := 0.0, 0.0
@@ -248,17 +248,17 @@
 		for _, p := range ps {
 			sum := 0.0
 			for _, q := range ps {
-				if q.at >= p.at && q.at < p.at+set.Fall {
+				if q.at >= p.at && q.at < p.at+set.OverloadWindow {
 					sum += q.work
 				}
 			}
 			used += p.work
-			age := float64(p.at-start-10*time.Second) / float64(set.Cold)
-			if warm := set.StartCapacity + (1-set.StartCapacity)*age; sum > set.TipMultiple*warm*set.Fall.Seconds() {
-				t.Fatalf("%s: %.2f s of work within %v at an age of %.2f", w.ID, sum, set.Fall, age)
+			age := float64(p.at-start-10*time.Second) / float64(set.SlowStartDuration)
+			if warm := set.SlowStartCapacity + (1-set.SlowStartCapacity)*age; sum > set.OverloadMultiple*warm*set.OverloadWindow.Seconds() {
+				t.Fatalf("%s: %.2f s of work within %v at an age of %.2f", w.ID, sum, set.OverloadWindow, age)
 			}
 		}
-		could += coldShare * set.TipMultiple * 0.36 * 4 // the mean share of capacity over the 4 s
+		could += coldShare * set.OverloadMultiple * 0.36 * 4 // the mean share of capacity over the 4 s
 	}
 	if used < could/3 {
 		t.Errorf("%.1f s of work sent to cold workers, of %.1f that they could be sent", used, could)
@@ -270,12 +270,12 @@
 func TestFewOwnersBeforeTheFirstJob(t *testing.T) {
 	for me := range 30 {
 		s := plain()
-		s.Me, s.Dispatchers, s.ReportsPulled, s.MayProbe = 10*me, 300, true, true
-		s.Cold, s.StartCapacity, s.TipMultiple, s.Fall = 24*time.Second, 0.14, 3, 1500*ms
+		s.DispatcherIndex, s.Dispatchers, s.ReportsPulled, s.MayProbe = 10*me, 300, true, true
+		s.SlowStartDuration, s.SlowStartCapacity, s.OverloadMultiple, s.OverloadWindow = 24*time.Second, 0.14, 3, 1500*ms
 		v := newDriver(t, s)
 		ws := workers(170)
 		for i := range ws[80:] {
-			ws[80+i].Since = v.now - time.Second
+			ws[80+i].StartedAt = v.now - time.Second
 		}
 		v.list(ws...)
 		own := 0
@@ -293,10 +293,10 @@
 	s := plain()
 	s.Dispatchers = 300
 	d := New(s, 1)
-	d.Handle(start, Listed{Kind: ListFull, Workers: workers(200)})
+	d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(200)})
 	at := map[WorkerID]bool{}
 	for id := RequestID(1); id <= 400; id++ {
-		to := sentTo(d.Handle(start+Clock(id)*ms, Arrived{ID: id, Slots: 1, Key: 7, Expires: start + 5*time.Second}))
+		to := sentTo(d.Handle(start+Clock(id)*ms, RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: start + 5*time.Second}))
 		if to == "" {
 			t.Fatalf("job %d waits, with %d of 200 workers in use", id, len(at))
 		}
@@ -313,7 +313,7 @@
 	at, hot, first := map[WorkerID]int{}, 0, map[WorkerID]int{}
 	for me := range 4 {
 		s := plain()
-		s.Me, s.Dispatchers = 70*me, 300
+		s.DispatcherIndex, s.Dispatchers = 70*me, 300
 		v := newDriver(t, s)
 		v.list(workers(185)...)
 		for id := RequestID(1); id <= 600; id++ {
@@ -323,8 +323,8 @@
 			} else if id%100 == 1 {
 				key = 11
 			}
-			to := sentTo(v.give(Arrived{ID: id, Slots: 1, Key: key, Expires: v.now + 2*time.Second}))
-			v.give(Began{ID: id, Worker: to})
+			to := sentTo(v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: key, Deadline: v.now + 2*time.Second}))
+			v.give(AttemptStarted{ID: id, Worker: to})
 			v.now += 150 * ms
 			v.served(id, nil)
 			if key == 7 && id > 200 {
@@ -351,7 +351,7 @@
 // the order in which it heard of them; one worker that joins moves few keys, and no worker is in far more windows than another.
 func TestWindowsOfKeys(t *testing.T) {
 	const n, keys = 1000, 4000
-	make := func(n int, turned bool) *Dispatcher {
+	make := func(n int, turned bool) *Scheduler {
 		s := plain()
 		s.Dispatchers = 80
 		d := New(s, 1)
@@ -362,11 +362,11 @@
 		if turned {
 			slices.Reverse(ws)
 		}
-		d.Handle(start, Arrived{ID: 1, Slots: 1, Key: 1, Expires: start + time.Second})
-		d.Handle(start, Listed{Kind: ListFull, Workers: ws})
+		d.Handle(start, RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: start + time.Second})
+		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: ws})
 		return d
 	}
-	home := func(d *Dispatcher, key uint64) (best WorkerID) {
+	home := func(d *Scheduler, key uint64) (best WorkerID) {
 		least := math.Inf(1)
 		for _, w := range d.nearOf(key) {
 			if h := w.homes(key); h < least {
@@ -377,7 +377,7 @@
 	}
 	for listed, want := range map[int]int{100: 100, 200: 200, allOfKey: allOfKey, allOfKey + 1: keyWindow} {
 		d := make(2*allOfKey, false) // those that are gone count for nothing
-		d.Handle(start, Listed{Kind: ListFull, Workers: workers(listed)})
+		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(listed)})
 		on := 0
 		for _, w := range d.nearOf(1) {
 			on += oneIf(w.listed)
--- a/brain/health.go
+++ b/brain/health.go
@@ -9,16 +9,16 @@
 )
 
 // sound tells whether the class may be sent to the worker: not shunned, or due for a trial.
-func (d *Dispatcher) sound(w *worker, class int) bool {
+func (d *Scheduler) sound(w *worker, class int) bool {
 	free := func(h *health) bool { return h.strikes == 0 || d.now >= h.until }
 	return free(&w.health) && free(&w.classes[class])
 }
 
-func (d *Dispatcher) ejectFor(h *health) time.Duration {
+func (d *Scheduler) ejectFor(h *health) time.Duration {
 	return time.Duration((1 + d.rng.Float64()/4) * float64(firstShun<<h.strikes))
 }
 
-func (d *Dispatcher) eject(w *worker, h *health, least int, why string) {
+func (d *Scheduler) eject(w *worker, h *health, least int, why string) {
 	if h.strikes == 0 {
 		d.do(Log{Text: fmt.Sprintf("worker %s shunned: %s", w.ID, why)})
 	}
@@ -27,7 +27,7 @@
 }
 
 // lost counts a connection that broke or never came up; one alone, with signs of life about it, is chance.
-func (d *Dispatcher) lost(w *worker) {
+func (d *Scheduler) lost(w *worker) {
 	if w.fails++; w.fails >= lossesToShun {
 		d.eject(w, &w.health, 0, "unreachable")
 	}
@@ -35,7 +35,7 @@
 
 // failed counts a failure of a class; successes of other classes do not clear it. Where one class is shunned
 // a failure of another is no chance: what fails at once draws jobs, a dozen of four classes each time.
-func (d *Dispatcher) failed(w *worker, class int) {
+func (d *Scheduler) failed(w *worker, class int) {
 	h := &w.classes[class]
 	w.failures.add(d.now, 1)
 	ill := slices.ContainsFunc(w.classes, func(h health) bool { return h.strikes > 0 })
@@ -47,12 +47,12 @@
 // checkAttempt looks for silence: of a worker from which nothing at all is heard, and of a single job at a
 // worker that lives, and by a later report has a free slot. That job is lost: an idle connection was dropped
 // unseen, or the worker leaves its class unanswered. May hurt where reports tell too little load.
-func (d *Dispatcher) checkAttempt(r *request, a *attempt) {
+func (d *Scheduler) checkAttempt(r *request, a *attempt) {
 	w := a.w
-	limit := max(time.Duration(silentRuns*float64(d.set.Progress))+silentSlack, silentLeast)
+	limit := max(time.Duration(silentRuns*float64(d.set.ProgressInterval))+silentSlack, silentLeast)
 	switch {
-	case !a.out || !d.set.TellsStart || a.lost:
-	case d.now-w.heard > limit && (d.set.Progress > 0 || w.running == 0):
+	case !a.out || !d.set.ReportsStart || a.lost:
+	case d.now-w.heard > limit && (d.set.ProgressInterval > 0 || w.running == 0):
 		if d.sound(w, r.class) && w.listed {
 			d.eject(w, &w.health, 0, "silent")
 		}
@@ -66,7 +66,7 @@
 }
 
 // idleLoss tells whether an attempt was lost with an idle connection: older ones are then dropped before use.
-func (d *Dispatcher) idleLoss(a *attempt) bool {
+func (d *Scheduler) idleLoss(a *attempt) bool {
 	if a.idle < idleLeast || a.began > 0 {
 		return false
 	}
@@ -77,7 +77,7 @@
 	return true
 }
 
-func (d *Dispatcher) onProbed(e Probed) {
+func (d *Scheduler) onProbed(e ProbeCompleted) {
 	w := d.byID[e.Worker]
 	if w == nil {
 		return
--- a/brain/key_test.go
+++ b/brain/key_test.go
@@ -10,11 +10,11 @@
 		var home WorkerID
 		for me := range 3 {
 			s := plain()
-			s.Me, s.Dispatchers = me, 3
+			s.DispatcherIndex, s.Dispatchers = me, 3
 			v := newDriver(t, s)
 			v.list(workers(4)...)
 			for id := RequestID(1); id <= 2; id++ {
-				w := sentTo(v.give(Arrived{ID: id, Slots: 1, Key: key, Expires: v.now + 2*s.Classes[0].Deadline}))
+				w := sentTo(v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: key, Deadline: v.now + 2*s.Classes[0].Deadline}))
 				v.served(id, nil)
 				if home == "" {
 					home = w
@@ -42,7 +42,7 @@
 	v.list(workers(4)...)
 	to := map[WorkerID]int{}
 	for id := RequestID(1); id <= 20; id++ {
-		to[sentTo(v.give(Arrived{ID: id, Slots: 1, Key: 7, Expires: v.now + 2*v.d.set.Classes[0].Deadline}))]++
+		to[sentTo(v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: v.now + 2*v.d.set.Classes[0].Deadline}))]++
 	}
 	delete(to, "") // held here
 	if len(to) != 4 {
--- a/brain/large_test.go
+++ b/brain/large_test.go
@@ -18,17 +18,17 @@
 }
 
 // overuse makes all dispatchers of a deployment, each with the list.
-func crowd(s Settings, n, zones int, ws []WorkerInfo) []*Dispatcher {
-	ds := make([]*Dispatcher, n)
+func crowd(s Settings, n, zones int, ws []WorkerInfo) []*Scheduler {
+	ds := make([]*Scheduler, n)
 	for i := range ds {
-		s.Me, s.Dispatchers, s.Zone = i, n, i%zones
+		s.DispatcherIndex, s.Dispatchers, s.Zone = i, n, i%zones
 		ds[i] = New(s, uint64(i))
-		ds[i].Handle(start, Listed{Kind: ListFull, Workers: ws})
+		ds[i].Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: ws})
 	}
 	return ds
 }
 
-func members(d *Dispatcher) map[WorkerID]bool {
+func members(d *Scheduler) map[WorkerID]bool {
 	m := map[WorkerID]bool{}
 	for _, w := range d.near {
 		m[w.ID] = true
@@ -43,7 +43,7 @@
 	own := map[WorkerID]int{}
 	for _, d := range ds {
 		if len(d.near) != 2*nearLeast {
-			t.Fatalf("dispatcher %d draws from %d workers, want %d of each zone group", d.set.Me, len(d.near), nearLeast)
+			t.Fatalf("dispatcher %d draws from %d workers, want %d of each zone group", d.set.DispatcherIndex, len(d.near), nearLeast)
 		}
 		for _, w := range d.near {
 			if w.Zone == d.set.Zone {
@@ -60,7 +60,7 @@
 	before := make([]map[WorkerID]bool, len(ds))
 	for i, d := range ds {
 		before[i] = members(d)
-		d.Handle(start, Listed{Kind: ListChange, Workers: []WorkerInfo{{ID: ws[40].ID, State: Gone}}})
+		d.Handle(start, EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{{ID: ws[40].ID, State: Gone}}})
 	}
 	moved := 0
 	for i, d := range ds {
@@ -78,13 +78,13 @@
 func TestSmallFleetIsDrawnFromWhole(t *testing.T) {
 	for _, d := range crowd(plain(), 3, 1, fleet(4, 1)) {
 		if !d.small || len(d.near) != 4 {
-			t.Errorf("dispatcher %d draws from %d of 4 workers", d.set.Me, len(d.near))
+			t.Errorf("dispatcher %d draws from %d of 4 workers", d.set.DispatcherIndex, len(d.near))
 		}
 	}
 	d := New(plain(), 1)
-	d.Handle(start, Listed{Kind: ListFull, Workers: fleet(20, 1)})
+	d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: fleet(20, 1)})
 	for i := range 60 { // 30 jobs a second: all 20 are heard of often enough
-		d.Handle(start+Clock(i)*33*ms, Arrived{ID: RequestID(i + 1), Slots: 1, Expires: start + time.Hour})
+		d.Handle(start+Clock(i)*33*ms, RequestArrived{ID: RequestID(i + 1), Slots: 1, Deadline: start + time.Hour})
 	}
 	d.choose()
 	if !d.small || len(d.near) != 20 {
@@ -120,7 +120,7 @@
 		s := plain()
 		s.Dispatchers = c.dispatchers
 		d := New(s, 1)
-		d.Handle(start, Listed{Kind: ListFull, Workers: fleet(c.workers, 1)})
+		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: fleet(c.workers, 1)})
 		d.rate, d.stay = c.rate, 1
 		w := d.workers[0]
 		w.reported = d.now
@@ -152,8 +152,8 @@
 // together against one newcomer: it gets work, and the sum keeps its budget.
 func TestColdBudgetOfAllDispatchers(t *testing.T) {
 	s := plain()
-	s.Cold = 20 * time.Second
-	ds := crowd(s, 300, 1, []WorkerInfo{{ID: "cold", Since: start + ms}}) // it started when all dispatchers were here
+	s.SlowStartDuration = 20 * time.Second
+	ds := crowd(s, 300, 1, []WorkerInfo{{ID: "cold", StartedAt: start + ms}}) // it started when all dispatchers were here
 	for _, d := range ds {
 		d.seen(d.workers[0], 4)
 		d.classes[0] = classState{scale: 0.2, usual: math.Log(0.2), jobs: 100}
@@ -163,15 +163,15 @@
 	for i := range RequestID(20) {
 		for _, d := range ds {
 			at := start + 2*time.Second + Clock(i)*45*ms
-			if sentTo(d.Handle(at, Arrived{ID: i, Slots: 1, Expires: at + time.Second})) != "" {
+			if sentTo(d.Handle(at, RequestArrived{ID: i, Slots: 1, Deadline: at + time.Second})) != "" {
 				work += 0.2
-				d.Handle(at, Finished{ID: i, Outcome: Served, Final: true})
+				d.Handle(at, AttemptFinished{ID: i, Outcome: Served, Final: true})
 			}
 		}
 	}
-	budget := s.TipMultiple * ds[0].warmth(ds[0].workers[0]) * 4 * s.Fall.Seconds()
+	budget := s.OverloadMultiple * ds[0].warmth(ds[0].workers[0]) * 4 * s.OverloadWindow.Seconds()
 	if work == 0 || work > budget {
-		t.Errorf("300 dispatchers sent %.2f slot-seconds within %v, the budget is %.2f", work, s.Fall, budget)
+		t.Errorf("300 dispatchers sent %.2f slot-seconds within %v, the budget is %.2f", work, s.OverloadWindow, budget)
 	}
 }
 
@@ -182,9 +182,9 @@
 	v.arrive(1, 2)
 	v.pass(50 * ms)
 	v.now += 5 * time.Second
-	acts := append(v.give(Woke{Token: tickToken}), v.give(Began{ID: 1})...)
+	acts := append(v.give(TimerFired{Token: tickToken}), v.give(AttemptStarted{ID: 1})...)
 	v.now += 30 * ms
-	acts = append(acts, v.give(Woke{Token: tickToken})...)
+	acts = append(acts, v.give(TimerFired{Token: tickToken})...)
 	if count[Log](acts) != 0 || v.d.allow != firstAllow {
 		t.Errorf("after a standstill of its own it did %v, allowance %v", acts, v.d.allow)
 	}
@@ -194,10 +194,10 @@
 func TestOneClassUnanswered(t *testing.T) {
 	v := newDriver(t, plain())
 	v.list(fleet(1, 1)...)
-	v.give(Arrived{ID: 1, Class: 2, Slots: 1, Expires: v.now + 10*time.Second})
+	v.give(RequestArrived{ID: 1, Class: 2, Slots: 1, Deadline: v.now + 10*time.Second})
 	for id := RequestID(10); id < 13; id++ {
 		v.arrive(id, 0)
-		v.give(Began{ID: id})
+		v.give(AttemptStarted{ID: id})
 		v.pass(600 * ms)
 		v.served(id, report(0.1, 3.5))
 	}
@@ -216,7 +216,7 @@
 	v.list(fleet(1, 1)...)
 	for id := RequestID(1); id <= 2*failsToShun; id += 2 {
 		v.arrive(id, 2)
-		v.give(Finished{ID: id, Outcome: Errored})
+		v.give(AttemptFinished{ID: id, Outcome: Errored})
 		v.arrive(id+1, 0)
 		v.served(id+1, nil)
 	}
@@ -234,18 +234,18 @@
 	v.served(1, nil)
 	v.now += 3 * time.Second
 	v.arrive(2, 2)
-	v.give(Finished{ID: 2, Outcome: Reset, Idle: -1})
+	v.give(AttemptFinished{ID: 2, Outcome: Reset, ConnectionIdle: -1})
 	if !v.d.sound(v.d.workers[0], 0) {
 		t.Error("the worker is shunned for its lost connection")
 	}
 	v.now += 3 * time.Second
-	acts := v.give(Arrived{ID: 3, Class: 2, Slots: 1, Expires: v.now + 2*time.Second})
-	if count[Drop](acts) != 1 || count[Send](acts) != 1 {
+	acts := v.give(RequestArrived{ID: 3, Class: 2, Slots: 1, Deadline: v.now + 2*time.Second})
+	if count[CloseIdleConnections](acts) != 1 || count[Send](acts) != 1 {
 		t.Errorf("after 3 idle seconds it did %v", acts)
 	}
-	v.give(Finished{ID: 3, Outcome: Served, Final: true})
+	v.give(AttemptFinished{ID: 3, Outcome: Served, Final: true})
 	v.now += idleLeast / 2
-	if acts := v.give(Arrived{ID: 4, Class: 2, Slots: 1, Expires: v.now + 2*time.Second}); count[Drop](acts) != 0 {
+	if acts := v.give(RequestArrived{ID: 4, Class: 2, Slots: 1, Deadline: v.now + 2*time.Second}); count[CloseIdleConnections](acts) != 0 {
 		t.Errorf("a connection just used is dropped: %v", acts)
 	}
 }
@@ -254,7 +254,7 @@
 // the loads roughly.
 func roughly(t *testing.T) *driver {
 	s := plain()
-	s.Dispatchers, s.MayCopy = 20, true
+	s.Dispatchers, s.MayHedge = 20, true
 	v := newDriver(t, s)
 	v.d.keyed = true
 	v.list(fleet(30, 1)...)
@@ -270,7 +270,7 @@
 		if got := count[Send](v.pass(copyGrace + 20*ms)); got != want {
 			t.Errorf("class %d got %d copies, want %d", class, got, want)
 		}
-		if got := count[Cancel](v.give(Began{ID: 1, Attempt: want})); got != want {
+		if got := count[Cancel](v.give(AttemptStarted{ID: 1, Attempt: want})); got != want {
 			t.Errorf("class %d: %d attempts called off, want %d", class, got, want)
 		}
 	}
@@ -282,7 +282,7 @@
 func TestFewCopiesWhereFewAreDrawnFrom(t *testing.T) {
 	copies := func(jam float64) (sent int) {
 		s := plain()
-		s.Dispatchers, s.MayCopy = 100, true
+		s.Dispatchers, s.MayHedge = 100, true
 		v := newDriver(t, s)
 		v.list(fleet(66, 1)...)
 		v.d.stay, v.d.classes[1].scale = 0.2, 0.3
@@ -293,9 +293,9 @@
 				v.d.heard(w) // they live
 			}
 			sent += count[Send](v.pass(200 * ms))
-			v.give(Left{ID: id})
+			v.give(ClientLeft{ID: id})
 			for i := range 3 {
-				v.give(Finished{ID: id, Attempt: i, Outcome: Cancelled})
+				v.give(AttemptFinished{ID: id, Attempt: i, Outcome: Cancelled})
 			}
 			v.now += 100 * ms
 		}
@@ -313,7 +313,7 @@
 // waits for a connection; one that is the first, or of a class that may be repeated at will, has no such bound.
 func TestRepeatsLeaveInsideTheWindow(t *testing.T) {
 	s := plain()
-	s.Classes[1].Window = 700 * ms
+	s.Classes[1].DeduplicationWindow = 700 * ms
 	v := newDriver(t, s)
 	v.list(workers(3)...)
 	for class, bound := range []bool{false, true} {
@@ -321,24 +321,24 @@
 		by := func(acts []Action) (by []Clock) {
 			for _, a := range acts {
 				if s, ok := a.(Send); ok && s.ID == id {
-					by = append(by, s.By)
+					by = append(by, s.SendBy)
 				}
 			}
 			return by
 		}
-		if got := by(v.give(Arrived{ID: id, Class: class, Slots: 1, Expires: v.now + 5*time.Second})); len(got) != 1 || got[0] != 0 {
+		if got := by(v.give(RequestArrived{ID: id, Class: class, Slots: 1, Deadline: v.now + 5*time.Second})); len(got) != 1 || got[0] != 0 {
 			t.Fatalf("class %d, the first attempt: %v", class, got)
 		}
 		v.now += 100 * ms
-		got := by(v.give(Finished{ID: id, Outcome: Reset}))
+		got := by(v.give(AttemptFinished{ID: id, Outcome: Reset}))
 		if len(got) != 1 || bound != (got[0] > 0) || bound && (got[0] > at+700*ms || got[0] < at+600*ms) {
 			t.Errorf("class %d, a further attempt 100 ms later: by %v, the first was at %v", class, got, at)
 		}
-		v.give(Left{ID: id})
+		v.give(ClientLeft{ID: id})
 	}
-	v.give(Arrived{ID: 9, Class: 1, Slots: 1, Expires: v.now + 5*time.Second})
+	v.give(RequestArrived{ID: 9, Class: 1, Slots: 1, Deadline: v.now + 5*time.Second})
 	v.now += 700 * ms
-	if acts := v.give(Finished{ID: 9, Outcome: Reset}); count[Send](acts) != 0 {
+	if acts := v.give(AttemptFinished{ID: 9, Outcome: Reset}); count[Send](acts) != 0 {
 		t.Errorf("behind the window: %v", acts)
 	}
 }
@@ -364,7 +364,7 @@
 	v.list(fleet(2, 1)...)
 	v.arrive(1, 0)
 	v.served(1, nil)
-	acts := v.give(Arrived{ID: 2, Slots: 1, Expires: v.now + 300*ms})
+	acts := v.give(RequestArrived{ID: 2, Slots: 1, Deadline: v.now + 300*ms})
 	if count[Send](acts) != 1 {
 		t.Errorf("a client with 300 ms left got %v", acts)
 	}
@@ -376,7 +376,7 @@
 	v.list(fleet(1, 1)...)
 	v.arrive(1, 0)
 	acts := v.pass(400 * ms)
-	if count[Refuse](acts) != 1 || count[Cancel](acts) != 1 {
+	if count[Reject](acts) != 1 || count[Cancel](acts) != 1 {
 		t.Errorf("a safe job that waits past its aim: %v", acts)
 	}
 }
@@ -384,12 +384,12 @@
 // Hundreds that restart together do not call the list service at once, and all call within AskWithin.
 func TestCallsForTheListAreSpread(t *testing.T) {
 	s := plain()
-	s.Ask, s.AskWithin = true, 10*time.Second
+	s.ListPolled, s.MaxPollInterval = true, 10*time.Second
 	var first, last time.Duration = time.Hour, 0
 	for i := range 2000 {
-		s.Me, s.Dispatchers = i, 2000
-		for _, a := range New(s, uint64(i)).Handle(start, Listed{Kind: ListSaved, Workers: fleet(1, 1)}) {
-			if w, ok := a.(Wake); ok && w.Token == askToken {
+		s.DispatcherIndex, s.Dispatchers = i, 2000
+		for _, a := range New(s, uint64(i)).Handle(start, EndpointsUpdated{ListKind: ListCached, Workers: fleet(1, 1)}) {
+			if w, ok := a.(SetTimer); ok && w.Token == askToken {
 				first, last = min(first, w.After), max(last, w.After)
 			}
 		}
@@ -405,18 +405,18 @@
 	var first, last time.Duration = time.Hour, 0
 	for i := range 300 {
 		s := plain()
-		s.Ask, s.AskWithin, s.Me, s.Dispatchers = true, 10*time.Second, i, 300
+		s.ListPolled, s.MaxPollInterval, s.DispatcherIndex, s.Dispatchers = true, 10*time.Second, i, 300
 		d := New(s, uint64(i))
-		d.Handle(start, Listed{Kind: ListSaved, Workers: fleet(1, 1)})
+		d.Handle(start, EndpointsUpdated{ListKind: ListCached, Workers: fleet(1, 1)})
 		for n := range 6 {
-			for _, a := range d.Handle(start+time.Duration(n)*time.Second, Listed{Kind: ListFailed}) {
-				if w, ok := a.(Wake); ok && w.Token == askToken {
+			for _, a := range d.Handle(start+time.Duration(n)*time.Second, EndpointsUpdated{ListKind: ListFailed}) {
+				if w, ok := a.(SetTimer); ok && w.Token == askToken {
 					first, last = min(first, w.After), max(last, w.After)
 				}
 			}
 		}
 	}
-	if last > AskMost+ms || last-first < AskMost/2 {
+	if last > MaxListRetryDelay+ms || last-first < MaxListRetryDelay/2 {
 		t.Errorf("300 dispatchers call again between %v and %v", first, last)
 	}
 }
@@ -429,9 +429,9 @@
 		var at []time.Duration
 		for i := range dispatchers {
 			s := plain()
-			s.Ask, s.AskWithin, s.Me, s.Dispatchers = true, 10*time.Second, i, dispatchers
-			for _, a := range New(s, uint64(i)).Handle(start, Listed{Kind: ListSaved, Workers: fleet(1, 1)}) {
-				if w, ok := a.(Wake); ok && w.Token == askToken {
+			s.ListPolled, s.MaxPollInterval, s.DispatcherIndex, s.Dispatchers = true, 10*time.Second, i, dispatchers
+			for _, a := range New(s, uint64(i)).Handle(start, EndpointsUpdated{ListKind: ListCached, Workers: fleet(1, 1)}) {
+				if w, ok := a.(SetTimer); ok && w.Token == askToken {
 					at = append(at, w.After)
 				}
 			}
@@ -454,17 +454,17 @@
 // Settings and lists that make no sense do no harm.
 func TestBadSettings(t *testing.T) {
 	for _, s := range []Settings{
-		{Me: -4, Dispatchers: -1}, {Me: 9, Dispatchers: 3}, {Me: math.MaxInt, Dispatchers: 2},
-		{CrossZonePrice: math.NaN(), Zone: math.MinInt}, {Ask: true, AskWithin: -time.Second, MaxAttempts: -3},
+		{DispatcherIndex: -4, Dispatchers: -1}, {DispatcherIndex: 9, Dispatchers: 3}, {DispatcherIndex: math.MaxInt, Dispatchers: 2},
+		{CrossZoneCost: math.NaN(), Zone: math.MinInt}, {ListPolled: true, MaxPollInterval: -time.Second, MaxAttempts: -3},
 	} {
 		v := newDriver(t, s)
-		v.list(append(fleet(40, 3), WorkerInfo{ID: "odd", Zone: math.MaxInt, Kind: -9, Weight: math.NaN()},
-			WorkerInfo{ID: "odd", Zone: math.MinInt, Weight: -1}, WorkerInfo{ID: "late", Since: start + time.Hour})...)
+		v.list(append(fleet(40, 3), WorkerInfo{ID: "odd", Zone: math.MaxInt, MachineKind: -9, Weight: math.NaN()},
+			WorkerInfo{ID: "odd", Zone: math.MinInt, Weight: -1}, WorkerInfo{ID: "late", StartedAt: start + time.Hour})...)
 		for id := RequestID(1); id <= 30; id++ {
 			if v.arrive(id, 0) == "" {
 				t.Errorf("settings %+v: request %d was not sent", s, id)
 			}
-			v.give(Finished{ID: id, Outcome: Served, Final: true, Report: report(0.2, 3)})
+			v.give(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: report(0.2, 3)})
 			v.now += 100 * ms
 		}
 	}
@@ -479,7 +479,7 @@
 		for range jobs {
 			id++
 			v.arrive(id, 0)
-			v.give(Began{ID: id})
+			v.give(AttemptStarted{ID: id})
 			v.pass(took)
 			v.served(id, report(0.2, 3))
 		}
@@ -503,9 +503,9 @@
 			d.applyReport(w, report(0.3, 3))
 		}
 		id++
-		to := sentTo(d.Handle(d.now, Arrived{ID: id, Slots: 1, Expires: d.now + time.Second}))
+		to := sentTo(d.Handle(d.now, RequestArrived{ID: id, Slots: 1, Deadline: d.now + time.Second}))
 		got[to == ageing.ID]++
-		d.Handle(d.now, Finished{ID: id, Outcome: Served, Final: true})
+		d.Handle(d.now, AttemptFinished{ID: id, Outcome: Served, Final: true})
 	}
 	if got[true] >= 60/len(d.near) {
 		t.Errorf("the ageing one of %d workers got %d of 60 jobs", len(d.near), got[true])
@@ -518,14 +518,14 @@
 			s := plain()
 			s.Dispatchers = 300
 			d := New(s, 1)
-			d.Handle(start, Listed{Kind: ListFull, Workers: fleet(n, 2)})
+			d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: fleet(n, 2)})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				at, id := start+Clock(i)*200*ms, RequestID(i+1)
-				d.Handle(at, Arrived{ID: id, Class: i % 3, Slots: 1, Expires: at + 2*time.Second})
-				d.Handle(at, Began{ID: id})
-				d.Handle(at+100*ms, Woke{Token: tickToken})
-				d.Handle(at+150*ms, Finished{ID: id, Outcome: Served, Final: true, Report: report(0.5, 2)})
+				d.Handle(at, RequestArrived{ID: id, Class: i % 3, Slots: 1, Deadline: at + 2*time.Second})
+				d.Handle(at, AttemptStarted{ID: id})
+				d.Handle(at+100*ms, TimerFired{Token: tickToken})
+				d.Handle(at+150*ms, AttemptFinished{ID: id, Outcome: Served, Final: true, Report: report(0.5, 2)})
 			}
 		})
 	}
--- a/brain/load.go
+++ b/brain/load.go
@@ -7,7 +7,7 @@
 )
 
 // share is the part of the worker that so many slots take.
-func (d *Dispatcher) share(w *worker, slots float64) float64 {
+func (d *Scheduler) share(w *worker, slots float64) float64 {
 	if t := d.slots(w); t > 0 {
 		return slots / t
 	}
@@ -15,13 +15,13 @@
 }
 
 // slots is the estimated number of slots: the most seen free on the worker or another of its kind; or 0.
-func (d *Dispatcher) slots(w *worker) float64 { return max(w.total, d.kindTop[w.Kind]) }
+func (d *Scheduler) slots(w *worker) float64 { return max(w.total, d.kindTop[w.MachineKind]) }
 
 // value is the load value: the reported load less our own jobs of that time, and a bump for each job known
 // to be out now. Departures: an answer takes its bump back, and others' part fades as jobs end, or all herd
 // on the worker that was idle when last heard of: towards the fleet's mean where all are known, else towards
 // the worker's own, which tells slow and small ones.
-func (d *Dispatcher) value(w *worker) float64 {
+func (d *Scheduler) value(w *worker) float64 {
 	mean, keep := w.usual, 0.0
 	if w.reported > 0 { // one that has just joined is no part of the mean yet
 		if d.small {
@@ -41,7 +41,7 @@
 
 // doubt is the chance in what others have sent to a worker since its report: the root of how many jobs
 // that were, by the own job rate, and never more than the other dispatchers.
-func (d *Dispatcher) doubt(w *worker) float64 {
+func (d *Scheduler) doubt(w *worker) float64 {
 	others := float64(d.set.Dispatchers - 1)
 	since := min(d.now-w.reported, max(seconds(d.stay), ownMemory)) + ownMemory
 	return math.Sqrt(min(others, others*d.rate*since.Seconds()/float64(max(len(d.workers), 1))))
@@ -49,7 +49,7 @@
 
 // slowdown is how much longer a job holds a slot here: 1 on the ordinary path; more for a cold worker, at first
 // by its age, and for one whose jobs take much longer than like jobs elsewhere.
-func (d *Dispatcher) slowdown(w *worker) float64 {
+func (d *Scheduler) slowdown(w *worker) float64 {
 	feared := -math.Log(d.warmth(w)) // by the rules; most are better, which their jobs tell
 	slow := math.Exp((w.lag + w.lagOut + slowDoubt*feared) / (w.jobs + w.jobsOut + slowDoubt))
 	if feared == 0 && slow <= slowFrom {
@@ -59,7 +59,7 @@
 }
 
 // applyReport resets the value by a report.
-func (d *Dispatcher) applyReport(w *worker, r *Report) {
+func (d *Scheduler) applyReport(w *worker, r *Report) {
 	if r == nil {
 		return
 	}
--- a/brain/loss_test.go
+++ b/brain/loss_test.go
@@ -16,8 +16,8 @@
 		strikes int
 	}{{Reset, 0}, {Served, 0}, {NoConnect, 0}, {Reset, 1}, {Served, 0}, {Reset, 0}} {
 		id := RequestID(i + 1)
-		v.give(Arrived{ID: id, Slots: 1, Expires: v.now + v.d.set.Classes[0].Deadline})
-		if v.give(Finished{ID: id, Outcome: c.outcome, Final: true}); w.strikes != c.strikes {
+		v.give(RequestArrived{ID: id, Slots: 1, Deadline: v.now + v.d.set.Classes[0].Deadline})
+		if v.give(AttemptFinished{ID: id, Outcome: c.outcome, Final: true}); w.strikes != c.strikes {
 			t.Errorf("after outcome %d of job %d: %d strikes, want %d", c.outcome, i, w.strikes, c.strikes)
 		}
 		v.now += ms
@@ -35,24 +35,24 @@
 		v := newDriver(t, plain())
 		v.list(workers(1)...)
 		job := func(id RequestID) []Action {
-			return v.give(Arrived{ID: id, Slots: 1, Expires: v.now + v.d.set.Classes[0].Deadline})
+			return v.give(RequestArrived{ID: id, Slots: 1, Deadline: v.now + v.d.set.Classes[0].Deadline})
 		}
 		job(1)
 		v.served(1, nil)
 		v.now += 5 * time.Second // longer than any of its connections: probes and other jobs came between
 		job(2)
 		if c.began {
-			v.give(Began{ID: 2})
+			v.give(AttemptStarted{ID: 2})
 		}
-		v.give(Finished{ID: 2, Outcome: Reset, Final: true, Idle: c.idle})
+		v.give(AttemptFinished{ID: 2, Outcome: Reset, Final: true, ConnectionIdle: c.idle})
 		v.now += time.Second
 		acts := job(3)
 		for _, a := range acts {
-			if d, ok := a.(Drop); ok && d.Idle != c.idle*4/5 {
-				t.Errorf("%+v: drops what was idle for %v", c, d.Idle)
+			if d, ok := a.(CloseIdleConnections); ok && d.MinIdle != c.idle*4/5 {
+				t.Errorf("%+v: drops what was idle for %v", c, d.MinIdle)
 			}
 		}
-		if n := count[Drop](acts); n != c.drops {
+		if n := count[CloseIdleConnections](acts); n != c.drops {
 			t.Errorf("%+v: %d drops", c, n)
 		}
 	}
@@ -68,7 +68,7 @@
 		free float64
 		want Clock
 	}{{3.5, first}, {3.5, first}, {3.4, first + 2*time.Second}} {
-		if v.give(Probed{Worker: w.ID, Report: report(0.5, c.free)}); w.reported != c.want || w.heard != v.now {
+		if v.give(ProbeCompleted{Worker: w.ID, Report: report(0.5, c.free)}); w.reported != c.want || w.heard != v.now {
 			t.Errorf("reported at %v, heard at %v, want %v and now", w.reported, w.heard, c.want)
 		}
 		v.now += time.Second
@@ -82,7 +82,7 @@
 	v.list(workers(2)...)
 	for id := RequestID(1); id <= 4; id++ {
 		w := v.arrive(id, 0)
-		if acts := v.give(Finished{ID: id, Worker: w, Outcome: Rejected}); count[Fail](acts) != 1 || count[Send](acts) != 0 {
+		if acts := v.give(AttemptFinished{ID: id, Worker: w, Outcome: InvalidRequest}); count[Fail](acts) != 1 || count[Send](acts) != 0 {
 			t.Errorf("did %v", acts)
 		}
 	}
@@ -98,7 +98,7 @@
 func TestAllowanceByWarmWorkers(t *testing.T) {
 	v := newDriver(t, plain())
 	ws := workers(2)
-	ws[0].Since = v.now
+	ws[0].StartedAt = v.now
 	v.list(ws...)
 	cold, warm := v.d.byID[ws[0].ID], v.d.byID[ws[1].ID]
 	r := &request{set: v.d.set, born: v.now, expires: v.now + time.Second}
@@ -151,7 +151,7 @@
 	v := newDriver(t, plain())
 	v.list(workers(1)...)
 	w := v.d.workers[0]
-	w.Since = v.now - time.Second
+	w.StartedAt = v.now - time.Second
 	feared := 1 / v.d.warmth(w)
 	if drag := v.d.slowdown(w); drag < feared*0.999 || drag > feared*1.001 {
 		t.Errorf("at first %v, want %v", drag, feared)
@@ -197,12 +197,12 @@
 		want  bool
 	}{{1, 0, false, true}, {2, 0, false, true}, {1, 0.5, false, false}, {1, 0, true, false}} {
 		s := plain()
-		s.Classes[c.class].LateWorth = c.worth
+		s.Classes[c.class].LateWeight = c.worth
 		v := newDriver(t, s)
 		v.list(workers(1)...)
 		v.arrive(1, c.class)
 		if c.began {
-			v.give(Began{ID: 1})
+			v.give(AttemptStarted{ID: 1})
 		}
 		acts := v.pass(time.Second) // of two; its aim is 0.2 s
 		if got := count[Cancel](acts) == 1 && count[Fail](acts) == 1; got != c.want {
--- a/brain/membership.go
+++ b/brain/membership.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-func (d *Dispatcher) onListed(e Listed) {
+func (d *Scheduler) onListed(e EndpointsUpdated) {
 	if e.AsOf != 0 {
 		d.listAsOf = e.AsOf
 	}
-	if e.Kind == ListFull || e.Kind == ListSaved {
+	if e.ListKind == ListFull || e.ListKind == ListCached {
 		for _, w := range d.workers {
 			w.listed = false
 		}
@@ -23,17 +23,17 @@
 		d.enter(in)
 	}
 	d.choose()
-	switch e.Kind {
-	case ListSaved:
+	switch e.ListKind {
+	case ListCached:
 		d.ask(askFirst)
 	case ListFailed:
-		d.ask(AskMost)
+		d.ask(MaxListRetryDelay)
 	}
 }
 
 // setDetached puts a worker out, or back. Then it is cold: by the list, or, where that tells of no start since it
 // was put out, from now on, as the news may be still to come.
-func (d *Dispatcher) setDetached(id WorkerID, out bool) {
+func (d *Scheduler) setDetached(id WorkerID, out bool) {
 	w := d.byID[id]
 	if d.out[id] = out; !out {
 		delete(d.out, id)
@@ -45,8 +45,8 @@
 		w.outAt = d.now
 	} else {
 		d.anew(w)
-		if w.back = true; w.Since < w.outAt {
-			w.Since = d.now
+		if w.back = true; w.StartedAt < w.outAt {
+			w.StartedAt = d.now
 		}
 	}
 	d.choose()
@@ -55,9 +55,9 @@
 // ask subscribes after a jittered wait, the longer the more dispatchers there are: the list service is small,
 // and those that restart together would overrun it. Behind a failure it is AskMost at the longest: what there
 // is to tell counts as told 6 s after it could be had, whatever failed; pacing has the sum of these.
-func (d *Dispatcher) ask(most time.Duration) {
-	if d.set.Ask {
-		d.do(Wake{Token: askToken, After: askWait(d.set.Dispatchers, most, d.rng.Float64()) + 1})
+func (d *Scheduler) ask(most time.Duration) {
+	if d.set.ListPolled {
+		d.do(SetTimer{Token: askToken, After: askWait(d.set.Dispatchers, most, d.rng.Float64()) + 1})
 	}
 }
 
@@ -76,7 +76,7 @@
 // too many a dispatcher hears so seldom that it knows none. All deal the workers of a zone out along the same
 // few rings, each from a place by its number, so every worker is drawn from by about as many. The window goes
 // on past workers that are shunned, cold or leave.
-func (d *Dispatcher) choose() {
+func (d *Scheduler) choose() {
 	d.chosen, d.near, d.size = d.now, d.near[:0], 0
 	var zones [2][]*worker // the own zone, and all others
 	for _, w := range d.workers {
@@ -100,12 +100,12 @@
 }
 
 // window adds so many sound, warm workers along the ring, and the cold ones that this dispatcher owns.
-func (d *Dispatcher) window(ws []*worker, want int) {
-	ring := d.set.Me % nearRings * 64 / nearRings // a rotated hash gives another order
+func (d *Scheduler) window(ws []*worker, want int) {
+	ring := d.set.DispatcherIndex % nearRings * 64 / nearRings // a rotated hash gives another order
 	slices.SortFunc(ws, func(a, b *worker) int {
 		return cmp.Compare(bits.RotateLeft64(a.hash, ring), bits.RotateLeft64(b.hash, ring))
 	})
-	from := int(float64(len(ws)) * float64(bits.Reverse64(uint64(d.set.Me/nearRings))) / (1 << 64))
+	from := int(float64(len(ws)) * float64(bits.Reverse64(uint64(d.set.DispatcherIndex/nearRings))) / (1 << 64))
 	for i := range ws {
 		w := ws[(from+i)%len(ws)]
 		cold := d.warmth(w) < 1
--- a/brain/pick.go
+++ b/brain/pick.go
@@ -8,7 +8,7 @@
 )
 
 // hasRoom tells whether one more job of so many slots leaves the worker's queue short enough.
-func (d *Dispatcher) hasRoom(w *worker, slots, allow float64) bool {
+func (d *Scheduler) hasRoom(w *worker, slots, allow float64) bool {
 	if w.own == 0 && d.warmth(w) < 1 && d.value(w) < 1 {
 		return true // its budget decides; held back by its pace as well, it would stay cold for longer
 	}
@@ -22,13 +22,13 @@
 }
 
 // unheard tells whether a job is needed to hear of a worker: one at a time from all dispatchers, about.
-func (d *Dispatcher) unheard(w *worker) bool {
+func (d *Scheduler) unheard(w *worker) bool {
 	return !d.set.ReportsPulled && d.now-w.reported > silentLeast
 }
 
 // pick gives the worker of the lowest load value among those that may take the request, or nil. One that may have begun to drain
 // unheard is checked first; where it does not answer soon, another one is taken.
-func (d *Dispatcher) pick(r *request, allow float64) *worker {
+func (d *Scheduler) pick(r *request, allow float64) *worker {
 	best := d.best(r, allow, d.checkable)
 	if best == nil || d.fresh(best) {
 		return best
@@ -41,16 +41,16 @@
 }
 
 // best gives the worker of the lowest load value among the eligible ones that may take the request, or nil.
-func (d *Dispatcher) best(r *request, allow float64, eligible func(*worker) bool) *worker {
+func (d *Scheduler) best(r *request, allow float64, eligible func(*worker) bool) *worker {
 	fit := func(w *worker) bool { return d.sound(w, r.class) && !r.tried(w) }
 	can := func(w *worker) bool { return eligible(w) && d.may(r, w) && fit(w) }
 	from, forced := d.nearOf(r.key), false
 	if !slices.ContainsFunc(from, can) {
 		from, forced = d.workers, !slices.ContainsFunc(d.workers, can)
 	}
-	crossing, pace := d.set.CrossZonePrice*fewKnownWeight, d.kindLag
+	crossing, pace := d.set.CrossZoneCost*fewKnownWeight, d.kindLag
 	if d.small { // loads are known well, and tell the pace too
-		crossing, pace = d.set.CrossZonePrice*zoneWeight, nil
+		crossing, pace = d.set.CrossZoneCost*zoneWeight, nil
 	}
 	spread := d.homesInUse(r.key) / max(d.size, 1e-3)
 	var best *worker
@@ -62,7 +62,7 @@
 			continue
 		}
 		v := d.value(w)
-		v += (d.slowdown(w)*math.Exp(pace[w.Kind])-1)*(v+d.share(w, r.slots)) + faultWeight*w.faulty(d.now)
+		v += (d.slowdown(w)*math.Exp(pace[w.MachineKind])-1)*(v+d.share(w, r.slots)) + faultWeight*w.faulty(d.now)
 		if w.Zone != d.set.Zone {
 			v += crossing
 		}
@@ -88,9 +88,9 @@
 }
 
 // may tells whether the rules let the request go to the worker at all.
-func (d *Dispatcher) may(r *request, w *worker) bool {
+func (d *Scheduler) may(r *request, w *worker) bool {
 	c := &r.set.Classes[r.class]
-	if !w.listed || w.out || r.away(w.Zone) || c.Kind >= 0 && c.Kind != w.Kind {
+	if !w.listed || w.out || r.away(w.Zone) || c.MachineKind >= 0 && c.MachineKind != w.MachineKind {
 		return false
 	}
 	for i := range r.attempts {
@@ -99,11 +99,11 @@
 			continue
 		}
 		switch {
-		case a.out && !r.set.MayCopy, c.Effect == Unsafe:
+		case a.out && !r.set.MayHedge, c.Idempotency == NonIdempotent:
 			return false
-		case c.Effect == Safe:
-		case d.now >= d.repeatBy(r), c.Scope == ScopeZone && a.w.Zone != w.Zone,
-			c.Scope == ScopeCell && a.w.Cell != w.Cell:
+		case c.Idempotency == Idempotent:
+		case d.now >= d.repeatBy(r), c.DeduplicationScope == ScopeZone && a.w.Zone != w.Zone,
+			c.DeduplicationScope == ScopeCell && a.w.Cell != w.Cell:
 			return false
 		}
 	}
@@ -112,17 +112,17 @@
 
 // repeatBy is when the last byte of a further attempt must have left, or 0: repeats are dropped for the
 // window of their class from the first attempt that may have run, which left no sooner than it was pushed.
-func (d *Dispatcher) repeatBy(r *request) Clock {
+func (d *Scheduler) repeatBy(r *request) Clock {
 	c := &r.set.Classes[r.class]
-	if i := slices.IndexFunc(r.attempts, maybe); i >= 0 && c.Effect == Keyed {
-		return r.attempts[i].sent + c.Window - d.tick()
+	if i := slices.IndexFunc(r.attempts, maybe); i >= 0 && c.Idempotency == IdempotentWithKey {
+		return r.attempts[i].sent + c.DeduplicationWindow - d.tick()
 	}
 	return 0
 }
 
 // overuse is how far a worker's part of the recent jobs is over the part that its size makes fair; 1 at least.
 // The own ones are a sample of all.
-func (d *Dispatcher) overuse(w *worker) float64 {
+func (d *Scheduler) overuse(w *worker) float64 {
 	doubt := max(crowdDoubt/float64(max(d.set.Dispatchers, 2)), crowdLeast)
 	return max((w.recent.at(d.now)+doubt)/(d.recent.at(d.now)/max(d.size, 1e-3)+doubt), 1)
 }
@@ -130,7 +130,7 @@
 // homesInUse is how many of a key's homes count alike for it: as many as its part of the own jobs fills, by what
 // a sample of so few at least shows (a standard deviation less). All dispatchers sample the same jobs: a hot
 // key must not wait at its first home to find its second, nor a rare one be fetched where it is not kept.
-func (d *Dispatcher) homesInUse(key uint64) float64 {
+func (d *Scheduler) homesInUse(key uint64) float64 {
 	came := d.keys.count[key] - 1 // beside this one
 	homes := keyRoom * float64(d.all) * (came - math.Sqrt(max(came, 0))) / d.keys.total
 	if homes <= 1 {
@@ -140,7 +140,7 @@
 }
 
 // home tells whether the worker is one of the first in the rotation of the request's key.
-func (d *Dispatcher) home(r *request, w *worker) bool {
+func (d *Scheduler) home(r *request, w *worker) bool {
 	before, own := 0, w.homes(r.key)
 	for _, o := range d.nearOf(r.key) {
 		before += oneIf(o.listed && o.homes(r.key) < own)
@@ -149,9 +149,9 @@
 }
 
 // density is what a request is worth for each unit of its work.
-func (d *Dispatcher) density(r *request) float64 {
-	worth := r.set.Classes[r.class].Worth
-	if d.set.WorthByWork {
+func (d *Scheduler) density(r *request) float64 {
+	worth := r.set.Classes[r.class].PriorityWeight
+	if d.set.WeightByWork {
 		return worth
 	}
 	return worth / max(d.classes[r.class].scale, 1e-3)
--- a/brain/queue.go
+++ b/brain/queue.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func (d *Dispatcher) onArrived(e Arrived) {
+func (d *Scheduler) onArrived(e RequestArrived) {
 	if d.open[e.ID] != nil {
 		return
 	}
@@ -25,26 +25,26 @@
 	d.rate = d.rate*math.Exp(-float64(d.now-d.last)/float64(over)) + 1/over.Seconds()
 	d.last = d.now
 	if d.ends > 0 {
-		e.Expires = min(e.Expires, d.ends)
+		e.Deadline = min(e.Deadline, d.ends)
 	}
-	left := e.Expires - d.now
+	left := e.Deadline - d.now
 	c.span = max(c.span, left)
 	d.seq++
-	if e.Key != 0 {
+	if e.AffinityKey != 0 {
 		if !d.keyed {
 			d.keyed = true
 			d.choose()
 		}
-		d.keys.add(e.Key, keyMemory*d.all)
+		d.keys.add(e.AffinityKey, keyMemory*d.all)
 	}
 	r := &request{
-		id: e.ID, set: d.set, class: class, slots: e.Slots, key: e.Key,
-		hint: max(e.Work, 0), expires: e.Expires, seq: d.seq,
-		born: d.now, within: e.Within,
+		id: e.ID, set: d.set, class: class, slots: e.Slots, key: e.AffinityKey,
+		hint: max(e.EstimatedWork, 0), expires: e.Deadline, seq: d.seq,
+		born: d.now, within: e.AllowedZones,
 	}
 	// A repeat has less time left than a first try; one with very little is an impatient client's.
 	if left > c.span/2 {
-		r.born = min(d.now, e.Expires-c.span)
+		r.born = min(d.now, e.Deadline-c.span)
 	}
 	d.open[e.ID] = r
 	d.order = append(d.order, r)
@@ -56,7 +56,7 @@
 }
 
 // work estimates the running time of a request; 0 when nothing is known.
-func (d *Dispatcher) work(r *request) float64 {
+func (d *Scheduler) work(r *request) float64 {
 	scale := d.classes[r.class].scale
 	if r.hint > 0 {
 		return cmp.Or(scale, 1) * r.hint.Seconds()
@@ -65,30 +65,30 @@
 }
 
 // slack is how long a request can still wait for a slot and be in time.
-func (d *Dispatcher) slack(r *request) time.Duration {
+func (d *Scheduler) slack(r *request) time.Duration {
 	c := &r.set.Classes[r.class]
 	run := seconds(d.work(r))
 	if r.hint <= 0 {
 		run = seconds(workShare * d.work(r))
 	}
-	in := min(c.Aim+time.Duration((c.Stretch-1)*float64(run)), max(c.Deadline-run, c.Aim))
+	in := min(c.LatencyObjective+time.Duration((c.ObjectiveStretch-1)*float64(run)), max(c.Deadline-run, c.LatencyObjective))
 	return min(r.born+in, r.expires-run) - d.now
 }
 
 // patience is how long a request whose late answer is worth nothing may wait for its start: as long as it can
 // be in time. Where its own need is not told that is a like job's, and the less the more of the recent jobs
 // waited, down to half its aim: where all wait, what begins has waited as long as it may, and some fail.
-func (d *Dispatcher) patience(r *request) time.Duration {
+func (d *Scheduler) patience(r *request) time.Duration {
 	most := d.slack(r) + d.now - r.born
 	if r.hint > 0 {
 		return most
 	}
-	return most + seconds(d.jam*(r.set.Classes[r.class].Aim/2-most).Seconds())
+	return most + seconds(d.jam*(r.set.Classes[r.class].LatencyObjective/2-most).Seconds())
 }
 
 // place pushes what is held, as far as there is room: what can still be in time first, then by worth for its
 // work, then the youngest (under overload the old ones are nearly lost, and would make all late).
-func (d *Dispatcher) place() {
+func (d *Scheduler) place() {
 	if len(d.held) == 0 {
 		return
 	}
--- a/brain/retune_test.go
+++ b/brain/retune_test.go
@@ -8,18 +8,18 @@
 	v := newDriver(t, plain())
 	v.list(workers(3)...)
 	arrive := func(id RequestID, class int) {
-		v.give(Arrived{ID: id, Class: class, Slots: 1, Expires: v.now + v.d.set.Classes[class].Deadline})
+		v.give(RequestArrived{ID: id, Class: class, Slots: 1, Deadline: v.now + v.d.set.Classes[class].Deadline})
 	}
 	arrive(1, 0)
 	next := plain()
 	next.MaxAttempts = 1
 	fresh := next.Classes[2] // unsafe
 	next.Classes = append(next.Classes, fresh)
-	v.give(Retuned{Settings: next})
+	v.give(SettingsChanged{Settings: next})
 	arrive(2, 0)
 	arrive(3, 3)
 	for id, want := range map[RequestID]int{1: 1, 2: 0, 3: 0} {
-		if n := count[Send](v.give(Finished{ID: id, Outcome: Reset})); n != want {
+		if n := count[Send](v.give(AttemptFinished{ID: id, Outcome: Reset})); n != want {
 			t.Errorf("request %d: sent %d times more, want %d", id, n, want)
 		}
 	}
--- a/brain/review.go
+++ b/brain/review.go
@@ -9,7 +9,7 @@
 )
 
 // look is the regular round: overdue requests, copies, silent workers, probes.
-func (d *Dispatcher) look() {
+func (d *Scheduler) look() {
 	for _, w := range d.workers {
 		w.waiting, w.lagOut, w.jobsOut = 0, 0, 0
 	}
@@ -54,8 +54,8 @@
 }
 
 // stuck tells whether an attempt should have begun by now.
-func (d *Dispatcher) stuck(a *attempt, grace time.Duration) bool {
-	return a.out && a.began == 0 && d.set.TellsStart && d.now-a.sent > grace+newWays*d.ways[a.w.Zone]
+func (d *Scheduler) stuck(a *attempt, grace time.Duration) bool {
+	return a.out && a.began == 0 && d.set.ReportsStart && d.now-a.sent > grace+newWays*d.ways[a.w.Zone]
 }
 
 // review looks at one open request. One that nobody will begin in time is given up, unless workers were seen
@@ -65,7 +65,7 @@
 // what it waits for: there only a worker that says nothing for a usual stay has its jobs copied. Where few
 // workers are drawn from, their loads are known as well, but not what others send there, nor whether what is
 // called off is kept and runs for nothing: there are few copies then, and the fewer the more jobs wait.
-func (d *Dispatcher) review(r *request) {
+func (d *Scheduler) review(r *request) {
 	var last *attempt
 	begun, sound := false, false
 	for i := range r.attempts {
@@ -74,7 +74,7 @@
 		}
 	}
 	c := &r.set.Classes[r.class]
-	late := c.LateWorth <= 0 && d.now-r.born > d.patience(r)
+	late := c.LateWeight <= 0 && d.now-r.born > d.patience(r)
 	switch {
 	case last == nil:
 		if r.expires-d.now <= 2*d.tick() || late {
@@ -83,12 +83,12 @@
 	case d.now >= r.expires+r.set.AnswerSlack/2:
 		d.do(Fail{ID: r.id})
 		d.finish(r)
-	case late && !begun && d.set.TellsStart && d.traces.kept() < keptMost: // its turn comes too late: given up
+	case late && !begun && d.set.ReportsStart && d.traces.kept() < keptMost: // its turn comes too late: given up
 		d.waited(last.w, true)
 		d.allow = max(d.allow-d.allowBy(), leastAllow)
 		d.answer(r)
-	case c.Effect == Unsafe || last.canceled || begun && sound || len(r.attempts)+1 >= r.set.MaxAttempts:
-	case r.set.MayCopy && r.set.MayCancel:
+	case c.Idempotency == NonIdempotent || last.canceled || begun && sound || len(r.attempts)+1 >= r.set.MaxAttempts:
+	case r.set.MayHedge && r.set.MayCancel:
 		stuck := d.stuck(last, copyGrace+seconds(d.jam*jamGrace.Seconds()))
 		if d.small {
 			stuck = d.stuck(last, seconds(cmp.Or(d.stay, 1))) && last.w.heard <= last.sent
--- a/brain/rules_test.go
+++ b/brain/rules_test.go
@@ -12,7 +12,7 @@
 type world struct {
 	t       *testing.T
 	s       Settings
-	d       *Dispatcher
+	d       *Scheduler
 	rng     *rand.Rand
 	now     Clock
 	wakes   map[uint64][]Clock
@@ -27,7 +27,7 @@
 }
 
 type tracked struct {
-	Arrived
+	RequestArrived
 	sends  []*sent
 	closed bool
 }
@@ -52,7 +52,7 @@
 		w.list[in.ID] = in
 		all = append(all, in)
 	}
-	w.give(Listed{Kind: ListSaved, Workers: all})
+	w.give(EndpointsUpdated{ListKind: ListCached, Workers: all})
 	return w
 }
 
@@ -65,17 +65,17 @@
 // check applies the rules to one action.
 func (w *world) check(a Action) {
 	switch a := a.(type) {
-	case Wake:
+	case SetTimer:
 		w.wakes[a.Token] = append(w.wakes[a.Token], w.now+a.After)
 	case Subscribe:
 		w.subs++
 	case Send:
 		w.checkSend(a)
-	case Refuse:
+	case Reject:
 		q := w.owed(a.ID, "refuses")
 		for _, s := range q.sends {
 			c := w.s.Classes[q.Class]
-			if s.maybe && (c.Effect == Unsafe || c.Effect == Keyed && c.Scope != ScopeAll) {
+			if s.maybe && (c.Idempotency == NonIdempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope != ScopeAll) {
 				w.t.Fatalf("%v: refuses %d, which may have run", w.now, a.ID)
 			}
 		}
@@ -115,31 +115,31 @@
 	c := w.s.Classes[q.Class]
 	for _, s := range q.sends {
 		switch {
-		case s.out && !w.s.MayCopy:
+		case s.out && !w.s.MayHedge:
 			w.t.Fatalf("%v: second attempt of %d at once", w.now, a.ID)
-		case !s.maybe || c.Effect == Safe:
-		case c.Effect == Unsafe:
+		case !s.maybe || c.Idempotency == Idempotent:
+		case c.Idempotency == NonIdempotent:
 			w.t.Fatalf("%v: unsafe %d sent again", w.now, a.ID)
-		case w.now > s.at+c.Window, c.Scope == ScopeZone && s.w.Zone != in.Zone,
-			c.Scope == ScopeCell && s.w.Cell != in.Cell:
+		case w.now > s.at+c.DeduplicationWindow, c.DeduplicationScope == ScopeZone && s.w.Zone != in.Zone,
+			c.DeduplicationScope == ScopeCell && s.w.Cell != in.Cell:
 			w.t.Fatalf("%v: keyed %d sent again out of its group or window", w.now, a.ID)
 		}
 	}
 	q.sends = append(q.sends, &sent{w: in, at: w.now, out: true, maybe: true})
-	if age := w.now - in.Since; in.Since > 0 && age < w.s.Cold {
+	if age := w.now - in.StartedAt; in.StartedAt > 0 && age < w.s.SlowStartDuration {
 		var recent []Clock
 		for _, at := range w.cold[a.Worker] {
-			if at > w.now-w.s.Fall {
+			if at > w.now-w.s.OverloadWindow {
 				recent = append(recent, at)
 			}
 		}
 		w.cold[a.Worker] = append(recent, w.now)
 		// Each job of this world takes at least 20 ms of a slot.
-		warmth := w.s.StartCapacity + (1-w.s.StartCapacity)*float64(age)/float64(w.s.Cold)
-		budget := w.s.TipMultiple * warmth * 4 * w.s.Fall.Seconds() / min(float64(w.s.Dispatchers), 2)
+		warmth := w.s.SlowStartCapacity + (1-w.s.SlowStartCapacity)*float64(age)/float64(w.s.SlowStartDuration)
+		budget := w.s.OverloadMultiple * warmth * 4 * w.s.OverloadWindow.Seconds() / min(float64(w.s.Dispatchers), 2)
 		if work := 0.02 * float64(len(w.cold[a.Worker])); work > budget+0.02 {
 			w.t.Fatalf("%v: %d jobs in %v to %s, %v old: %.2f of %.2f slot-seconds",
-				w.now, len(w.cold[a.Worker]), w.s.Fall, a.Worker, age, work, budget)
+				w.now, len(w.cold[a.Worker]), w.s.OverloadWindow, a.Worker, age, work, budget)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 func (w *world) step(load float64) {
 	w.now += time.Duration(1+w.rng.IntN(5)) * ms
 	if w.s.Dispatchers > 2 && w.rng.IntN(500) == 0 { // the dispatcher itself stands still, and nothing is due
-		if !slices.ContainsFunc(w.live, func(id RequestID) bool { return w.reqs[id].Expires < w.now+2100*ms }) {
+		if !slices.ContainsFunc(w.live, func(id RequestID) bool { return w.reqs[id].Deadline < w.now+2100*ms }) {
 			w.now += 2 * time.Second
 		}
 	}
@@ -156,32 +156,32 @@
 		for i := 0; i < len(w.wakes[token]); i++ {
 			if w.wakes[token][i] <= w.now {
 				w.wakes[token] = append(w.wakes[token][:i], w.wakes[token][i+1:]...)
-				w.give(Woke{Token: token})
+				w.give(TimerFired{Token: token})
 				i = -1
 			}
 		}
 	}
 	for ; w.subs > 0; w.subs-- {
 		if w.rng.IntN(2) == 0 {
-			w.give(Listed{Kind: ListFailed})
+			w.give(EndpointsUpdated{ListKind: ListFailed})
 		} else {
-			w.give(Listed{Kind: ListChange})
+			w.give(EndpointsUpdated{ListKind: ListDelta})
 		}
 	}
 	if w.rng.Float64() < load {
 		id := RequestID(len(w.ids) + 1)
 		c := w.rng.IntN(len(w.s.Classes))
-		q := &tracked{Arrived: Arrived{ID: id, Class: c, Slots: 1, Expires: w.now + w.s.Classes[c].Deadline}}
+		q := &tracked{RequestArrived: RequestArrived{ID: id, Class: c, Slots: 1, Deadline: w.now + w.s.Classes[c].Deadline}}
 		w.ids, w.live, w.reqs[id] = append(w.ids, id), append(w.live, id), q
-		w.give(q.Arrived)
+		w.give(q.RequestArrived)
 	}
 	if w.rng.IntN(400) == 0 {
 		w.changeList()
 	}
 	w.live = slices.DeleteFunc(w.live, func(id RequestID) bool {
 		q := w.reqs[id]
-		if !q.closed && w.now > q.Expires+w.s.AnswerSlack {
-			w.t.Fatalf("%v: no answer for %d, due %v", w.now, id, q.Expires)
+		if !q.closed && w.now > q.Deadline+w.s.AnswerSlack {
+			w.t.Fatalf("%v: no answer for %d, due %v", w.now, id, q.Deadline)
 		}
 		return q.closed && !slices.ContainsFunc(q.sends, func(s *sent) bool { return s.out })
 	})
@@ -205,24 +205,24 @@
 			w.answers++
 		}
 		r := Report{Busy: w.rng.Float64(), Requests: -1, FreeSlots: float64(w.rng.IntN(5))}
-		w.give(Finished{ID: id, Attempt: n, Worker: s.w.ID, Outcome: o, Final: final, Report: &r})
+		w.give(AttemptFinished{ID: id, Attempt: n, Worker: s.w.ID, Outcome: o, Final: final, Report: &r})
 	}
 	switch x := w.rng.IntN(1000); {
-	case w.now >= q.Expires:
+	case w.now >= q.Deadline:
 		end(TimedOut)
 	case w.now < s.at+20*ms:
 	case x < 20 && !s.begun:
 		s.begun = true
-		w.give(Began{ID: id, Attempt: n, Worker: s.w.ID})
+		w.give(AttemptStarted{ID: id, Attempt: n, Worker: s.w.ID})
 	case x < 25:
-		w.give(Progressed{ID: id, Attempt: n, Worker: s.w.ID, Done: w.rng.Float64()})
+		w.give(AttemptProgressed{ID: id, Attempt: n, Worker: s.w.ID, Share: w.rng.Float64()})
 	case x < 40 && s.begun:
 		end(Served)
 	case x >= 40 && x < 46:
 		end([]Outcome{Errored, Full, TimedOut, NoConnect, Reset, NeverSent}[x-40])
 	case x == 46 && !q.closed && w.rng.IntN(4) == 0:
 		q.closed = true
-		w.give(Left{ID: id})
+		w.give(ClientLeft{ID: id})
 	}
 }
 
@@ -234,7 +234,7 @@
 	case 1:
 		in.State = Gone
 	case 2:
-		in.State, in.Since = Ready, w.now-time.Duration(w.rng.IntN(2000))*ms
+		in.State, in.StartedAt = Ready, w.now-time.Duration(w.rng.IntN(2000))*ms
 	}
 	w.list[in.ID] = in
 	if in.State == Ready {
@@ -242,7 +242,7 @@
 	} else if _, was := w.told[in.ID]; !was {
 		w.told[in.ID] = w.now
 	}
-	w.give(Listed{Kind: ListChange, Workers: []WorkerInfo{in}})
+	w.give(EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{in}})
 }
 
 // TestRulesOnRandomDays asserts the four rules over long random event sequences.
@@ -250,14 +250,14 @@
 	for seed := uint64(1); seed <= 32; seed++ {
 		s := plain()
 		if seed > 24 { // few of hundreds own a cold worker; this is one of them at times
-			s.Me, s.Dispatchers = int(seed)*37%300, 300
+			s.DispatcherIndex, s.Dispatchers = int(seed)*37%300, 300
 		}
-		s.MayCopy = seed%2 == 0
+		s.MayHedge = seed%2 == 0
 		s.MayProbe, s.ReportsPulled = seed%3 == 0, seed%3 == 0
-		s.Ask = seed%4 == 0
+		s.ListPolled = seed%4 == 0
 		s.Classes = append(s.Classes, s.Classes[1])
-		s.Classes[1].Scope = []Scope{ScopeAll, ScopeZone, ScopeCell}[seed%3]
-		s.Classes[3].LateWorth = 0.3
+		s.Classes[1].DeduplicationScope = []DeduplicationScope{ScopeAll, ScopeZone, ScopeCell}[seed%3]
+		s.Classes[3].LateWeight = 0.3
 		w := newWorld(t, s, seed)
 		load := 0.1 + 0.2*float64(seed%4)
 		for range 6000 {
@@ -302,10 +302,10 @@
 	f.Fuzz(func(t *testing.T, seed uint64, dispatchers, bits uint16, load uint8) {
 		s := plain()
 		s.Dispatchers = 1 + int(dispatchers%1000)
-		s.Me = int(seed % uint64(s.Dispatchers))
-		s.MayCopy, s.MayCancel, s.Ask = bits&1 > 0, bits&2 > 0, bits&4 > 0
-		s.MayProbe, s.ReportsPulled, s.TellsStart = bits&8 > 0, bits&8 > 0, bits&16 == 0
-		s.Classes[1].Scope = Scope(bits >> 5 % 3)
+		s.DispatcherIndex = int(seed % uint64(s.Dispatchers))
+		s.MayHedge, s.MayCancel, s.ListPolled = bits&1 > 0, bits&2 > 0, bits&4 > 0
+		s.MayProbe, s.ReportsPulled, s.ReportsStart = bits&8 > 0, bits&8 > 0, bits&16 == 0
+		s.Classes[1].DeduplicationScope = DeduplicationScope(bits >> 5 % 3)
 		w := newWorld(t, s, seed)
 		for range 1500 {
 			w.step(float64(load) / 256)
--- a/brain/state.go
+++ b/brain/state.go
@@ -112,8 +112,8 @@
 	span  time.Duration // longest time that a try of this class had left on arrival
 }
 
-// Dispatcher is the decision state of one dispatcher. Make it with New.
-type Dispatcher struct {
+// Scheduler is the decision state of one dispatcher. Make it with New.
+type Scheduler struct {
 	set           *Settings // in force; replaced as a whole
 	now           Clock
 	rng           *rand.Rand
@@ -158,72 +158,72 @@
 }
 
 // New makes a dispatcher. The same settings, seed and events give the same actions.
-func New(s Settings, seed uint64) *Dispatcher {
+func New(s Settings, seed uint64) *Scheduler {
 	set := s.usable()
-	return &Dispatcher{
-		set: set, rng: rand.New(rand.NewPCG(seed, uint64(set.Me))), cursor: set.Me, allow: firstAllow,
+	return &Scheduler{
+		set: set, rng: rand.New(rand.NewPCG(seed, uint64(set.DispatcherIndex))), cursor: set.DispatcherIndex, allow: firstAllow,
 		byID: map[WorkerID]*worker{}, out: map[WorkerID]bool{}, processes: 1, open: map[RequestID]*request{},
 		keys: tally{count: map[uint64]float64{}}, ways: map[int]time.Duration{},
 		kindTop: map[int]float64{}, kindLag: map[int]float64{}, classes: make([]classState, len(set.Classes)),
 	}
 }
 
-// Experience is what a dispatcher has learned and what holds as well for one that goes on in its place.
-type Experience struct {
-	Allow   float64                       `json:"Allow"`
-	Stay    float64                       `json:"Stay"`
-	Mean    float64                       `json:"Mean"`
-	Classes []ClassExperience             `json:"Classes"` // by number
-	Workers map[WorkerID]WorkerExperience `json:"Workers"`
+// LearnedState is what a dispatcher has learned and what holds as well for one that goes on in its place.
+type LearnedState struct {
+	Overcommit float64                       `json:"Allow"`
+	MeanStay   float64                       `json:"Stay"`
+	MeanWork   float64                       `json:"Mean"`
+	Classes    []ClassStatistics             `json:"Classes"` // by number
+	Workers    map[WorkerID]WorkerStatistics `json:"Workers"`
 }
 
-// ClassExperience is how long jobs of a class take.
-type ClassExperience struct {
-	Scale float64 `json:"Scale"`
-	Usual float64 `json:"Usual"`
-	Jobs  int     `json:"Jobs"`
+// ClassStatistics is how long jobs of a class take.
+type ClassStatistics struct {
+	WorkScale      float64 `json:"Scale"`
+	MeanLogRuntime float64 `json:"Usual"`
+	Jobs           int     `json:"Jobs"`
 }
 
-// WorkerExperience is of a worker's process that started then.
-type WorkerExperience struct {
-	Since     Clock   `json:"Since"`
-	Total     float64 `json:"Total"`
-	Increment float64 `json:"Increment"`
-	Lag       float64 `json:"Lag"`
-	JobsOf    float64 `json:"JobsOf"`
-	Heard     Clock   `json:"Heard"` // the last sign of life
+// WorkerStatistics is of a worker's process that started then.
+type WorkerStatistics struct {
+	StartedAt    Clock   `json:"Since"`
+	Slots        float64 `json:"Total"`
+	Increment    float64 `json:"Increment"`
+	Slowness     float64 `json:"Lag"`
+	SlownessJobs float64 `json:"JobsOf"`
+	LastSignal   Clock   `json:"Heard"` // the last sign of life
 }
 
-// Experience gives what was learned so far.
-func (d *Dispatcher) Experience() Experience {
-	e := Experience{Allow: d.allow, Stay: d.stay, Mean: d.mean, Workers: map[WorkerID]WorkerExperience{}}
+// LearnedState gives what was learned so far.
+func (d *Scheduler) LearnedState() LearnedState {
+	e := LearnedState{Overcommit: d.allow, MeanStay: d.stay, MeanWork: d.mean, Workers: map[WorkerID]WorkerStatistics{}}
 	for _, c := range d.classes {
-		e.Classes = append(e.Classes, ClassExperience{c.scale, c.usual, c.jobs})
+		e.Classes = append(e.Classes, ClassStatistics{c.scale, c.usual, c.jobs})
 	}
 	for _, w := range d.workers {
 		if w.State != Gone {
-			e.Workers[w.ID] = WorkerExperience{w.Since, w.total, w.increment, w.lag, w.jobs, w.heard}
+			e.Workers[w.ID] = WorkerStatistics{w.StartedAt, w.total, w.increment, w.lag, w.jobs, w.heard}
 		}
 	}
 	return e
 }
 
 // adopt begins with what another has learned, of the workers that are listed and have not started anew since.
-func (d *Dispatcher) adopt(e Experience) {
+func (d *Scheduler) adopt(e LearnedState) {
 	if len(e.Classes) > 0 { // else it tells of workers alone
 		d.succeeds = true
-		d.allow, d.stay, d.mean = e.Allow, e.Stay, e.Mean
+		d.allow, d.stay, d.mean = e.Overcommit, e.MeanStay, e.MeanWork
 	}
 	for i, c := range e.Classes {
 		if i < len(d.classes) {
 			d.jobs += c.Jobs
-			d.classes[i] = classState{scale: c.Scale, usual: c.Usual, jobs: c.Jobs}
+			d.classes[i] = classState{scale: c.WorkScale, usual: c.MeanLogRuntime, jobs: c.Jobs}
 		}
 	}
 	for id, was := range e.Workers {
-		if w := d.byID[id]; w != nil && w.Since <= was.Since {
-			w.Since, w.increment, w.lag, w.jobs = was.Since, was.Increment, was.Lag, was.JobsOf
-			d.seen(w, was.Total)
+		if w := d.byID[id]; w != nil && w.StartedAt <= was.StartedAt {
+			w.StartedAt, w.increment, w.lag, w.jobs = was.StartedAt, was.Increment, was.Slowness, was.SlownessJobs
+			d.seen(w, was.Slots)
 		}
 	}
 }
@@ -235,21 +235,21 @@
 func learn(mean *float64, n int, x float64) { *mean += max(1/float64(n), 1-classMemory) * (x - *mean) }
 
 // waited notes whether a job waited for its start at a worker.
-func (d *Dispatcher) waited(w *worker, is bool) {
+func (d *Scheduler) waited(w *worker, is bool) {
 	if d.jam += (float64(oneIf(is)) - d.jam) / jamMemory; !is {
 		w.passed.sum /= 2
 	}
 }
 
 // passedBy notes that an attempt is called off which waited for its start for so long that it was copied.
-func (d *Dispatcher) passedBy(a *attempt) {
+func (d *Scheduler) passedBy(a *attempt) {
 	if d.stuck(a, copyGrace) {
 		a.w.passed.add(d.now, 1)
 	}
 }
 
 // callOff cancels the attempts that are out and meet the condition.
-func (d *Dispatcher) callOff(r *request, when func(*attempt) bool) {
+func (d *Scheduler) callOff(r *request, when func(*attempt) bool) {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; r.set.MayCancel && a.out && !a.canceled && when(a) {
 			a.canceled = true
@@ -264,13 +264,13 @@
 }
 
 // seen notes slots that a worker was seen to have.
-func (d *Dispatcher) seen(w *worker, slots float64) {
+func (d *Scheduler) seen(w *worker, slots float64) {
 	w.total = max(w.total, slots)
-	d.kindTop[w.Kind] = max(d.kindTop[w.Kind], w.total)
+	d.kindTop[w.MachineKind] = max(d.kindTop[w.MachineKind], w.total)
 }
 
 // tick is the pause between looks while something is held.
-func (d *Dispatcher) tick() time.Duration {
+func (d *Scheduler) tick() time.Duration {
 	return min(tickMost, max(d.set.AnswerSlack/2, time.Millisecond))
 }
 
@@ -282,24 +282,24 @@
 }
 
 // bump accounts for own slots coming (positive) or going.
-func (d *Dispatcher) bump(w *worker, slots float64) {
+func (d *Scheduler) bump(w *worker, slots float64) {
 	keep := math.Exp(-float64(d.now-w.ownAt) / float64(ownMemory))
 	w.ownMean, w.ownAt = w.ownMean*keep+w.own*(1-keep), d.now
 	w.own = max(w.own+slots, 0)
 }
 
 // heard notes a sign of life.
-func (d *Dispatcher) heard(w *worker) { w.heard, w.used, w.strikes, w.fails = d.now, d.now, 0, 0 }
+func (d *Scheduler) heard(w *worker) { w.heard, w.used, w.strikes, w.fails = d.now, d.now, 0, 0 }
 
 // forget drops a finished request once no attempt of it is out.
-func (d *Dispatcher) forget(r *request) {
+func (d *Scheduler) forget(r *request) {
 	if !r.has(out) {
 		delete(d.open, r.id)
 	}
 }
 
 // ran learns from a job's running time what its class takes and how fast the worker is.
-func (d *Dispatcher) ran(r *request, a *attempt) {
+func (d *Scheduler) ran(r *request, a *attempt) {
 	c, unit := &d.classes[r.class], cmp.Or(r.hint.Seconds(), 1)
 	run := (d.now - cmp.Or(a.began, a.sent)).Seconds()
 	if d.now == d.stalled || run <= 0 {
@@ -312,28 +312,28 @@
 	learn(&c.scale, c.jobs, run/unit)
 	learn(&c.usual, c.jobs, math.Log(run/unit))
 	late := d.lateness(r, a)
-	d.kindLag[a.w.Kind] += (1 - classMemory) * (late - d.kindLag[a.w.Kind])
+	d.kindLag[a.w.MachineKind] += (1 - classMemory) * (late - d.kindLag[a.w.MachineKind])
 	a.w.lag = a.w.lag*slowMemory + late
 	a.w.jobs = a.w.jobs*slowMemory + 1
 }
 
 // warmth is the share of its capacity that a worker can be trusted to have, by its age.
-func (d *Dispatcher) warmth(w *worker) float64 {
-	age := d.now - w.Since
-	if w.Since <= 0 || d.set.Cold <= 0 || age >= d.set.Cold {
+func (d *Scheduler) warmth(w *worker) float64 {
+	age := d.now - w.StartedAt
+	if w.StartedAt <= 0 || d.set.SlowStartDuration <= 0 || age >= d.set.SlowStartDuration {
 		return 1
 	}
-	start := min(max(d.set.StartCapacity, 0.01), 1)
-	return start + (1-start)*max(float64(age)/float64(d.set.Cold), 0)
+	start := min(max(d.set.SlowStartCapacity, 0.01), 1)
+	return start + (1-start)*max(float64(age)/float64(d.set.SlowStartDuration), 0)
 }
 
 // usable gives settings as the decisions take them.
 func (s Settings) usable() *Settings {
-	s.Dispatchers, s.Me = max(s.Dispatchers, s.Me+1, 1), max(s.Me, 0)
+	s.Dispatchers, s.DispatcherIndex = max(s.Dispatchers, s.DispatcherIndex+1, 1), max(s.DispatcherIndex, 0)
 	if len(s.Classes) == 0 {
-		s.Classes = []Class{{Effect: Unsafe, Kind: -1}}
+		s.Classes = []Class{{Idempotency: NonIdempotent, MachineKind: -1}}
 	}
-	if !s.AdviseRetry {
+	if !s.MayAdviseRetry {
 		s.MaxRetryAfter = 0
 	}
 	if s.MaxAttempts <= 0 {
@@ -343,7 +343,7 @@
 }
 
 // retune puts new settings in force for what comes from now on.
-func (d *Dispatcher) retune(s Settings) {
+func (d *Scheduler) retune(s Settings) {
 	d.set = s.usable()
 	grow := max(len(d.set.Classes)-len(d.classes), 0)
 	d.classes = append(d.classes, make([]classState, grow)...)
@@ -375,7 +375,7 @@
 
 // encircle brings the index of listed workers by their hashes up to date: a ring, on which a key has its place. It is empty
 // where all are looked at.
-func (d *Dispatcher) encircle() {
+func (d *Scheduler) encircle() {
 	on := func(w *worker) bool { return w.listed && !w.out }
 	count, members := 0, uint64(0)
 	d.cold = d.cold[:0]
@@ -406,7 +406,7 @@
 
 // nearOf gives those of near that a job of a key is drawn to: a window of the ring from the key's place, the same at every
 // dispatcher. One that joins or leaves moves windows by one, so few keys change their homes, and those by one worker.
-func (d *Dispatcher) nearOf(key uint64) []*worker {
+func (d *Scheduler) nearOf(key uint64) []*worker {
 	if key == 0 || len(d.ring) == 0 {
 		return d.near
 	}
@@ -507,7 +507,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (d *Dispatcher) attempt(id RequestID, n int) (*request, *attempt) {
+func (d *Scheduler) attempt(id RequestID, n int) (*request, *attempt) {
 	r := d.open[id]
 	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].out {
 		return nil, nil
@@ -516,7 +516,7 @@
 }
 
 // enter takes a line of the list in.
-func (d *Dispatcher) enter(in WorkerInfo) {
+func (d *Scheduler) enter(in WorkerInfo) {
 	w := d.byID[in.ID]
 	if w == nil {
 		w = &worker{increment: firstIncrement, hash: hash(in.ID), out: d.out[in.ID]}
@@ -525,16 +525,16 @@
 		at, _ := slices.BinarySearchFunc(d.workers, in.ID,
 			func(w *worker, id WorkerID) int { return cmp.Compare(w.ID, id) })
 		d.workers = slices.Insert(d.workers, at, w)
-	} else if in.Since > w.Since { // restarted
+	} else if in.StartedAt > w.StartedAt { // restarted
 		d.anew(w)
 	}
-	in.Since = w.since(in) // an older list does not make it older
+	in.StartedAt = w.since(in) // an older list does not make it older
 	w.WorkerInfo = in
 	w.listed = in.State == Ready
 }
 
 // anew forgets what was known of a worker's old process.
-func (d *Dispatcher) anew(w *worker) {
+func (d *Scheduler) anew(w *worker) {
 	w.base, w.usual, w.reported, w.full, w.lag, w.jobs, w.last = 0, 0, 0, 0, 0, 0, Report{}
 	w.health, w.classes = health{}, make([]health, len(d.classes))
 }
@@ -542,17 +542,17 @@
 // since gives when a worker started, by what a list says: the latest start that was told, unless this list is sure and
 // operators have not put the worker back since.
 func (w *worker) since(in WorkerInfo) Clock {
-	if in.Sure && !w.back {
-		return in.Since
+	if in.StartConfirmed && !w.back {
+		return in.StartedAt
 	}
-	return max(in.Since, w.Since)
+	return max(in.StartedAt, w.StartedAt)
 }
 
-// Knows tells whether the list ever named the worker, or it is out by hand.
-func (d *Dispatcher) Knows(id WorkerID) bool { return d.byID[id] != nil || d.out[id] }
+// KnowsWorker tells whether the list ever named the worker, or it is out by hand.
+func (d *Scheduler) KnowsWorker(id WorkerID) bool { return d.byID[id] != nil || d.out[id] }
 
-// Avoided counts the workers on the list that get no jobs but trials, by hand or by choice.
-func (d *Dispatcher) Avoided() (n int) {
+// CountAvoided counts the workers on the list that get no jobs but trials, by hand or by choice.
+func (d *Scheduler) CountAvoided() (n int) {
 	for _, w := range d.workers {
 		n += oneIf(w.State != Gone && (w.out || w.strikes > 0))
 	}
@@ -560,7 +560,7 @@
 }
 
 // lateness is how much longer than usual an attempt has run by now, as a logarithm.
-func (d *Dispatcher) lateness(r *request, a *attempt) float64 {
+func (d *Scheduler) lateness(r *request, a *attempt) float64 {
 	if d.classes[r.class].jobs == 0 {
 		return 0
 	}
@@ -568,7 +568,7 @@
 	return math.Log(max(run, 1e-6)/cmp.Or(r.hint.Seconds(), 1)) - d.classes[r.class].usual
 }
 
-func (d *Dispatcher) do(a Action) { d.acts = append(d.acts, a) }
+func (d *Scheduler) do(a Action) { d.acts = append(d.acts, a) }
 
 func oneIf(is bool) int {
 	if is {
--- a/brain/succeed_test.go
+++ b/brain/succeed_test.go
@@ -16,19 +16,19 @@
 	for _, w := range old.workers {
 		w.total, w.lag, w.jobs = 6, 12, 12
 	}
-	text, err := json.Marshal(old.Experience())
+	text, err := json.Marshal(old.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var e Experience
+	var e LearnedState
 	if err := json.Unmarshal(text, &e); err != nil {
 		t.Fatal(err)
 	}
 	next := newDriver(t, plain())
 	ws := workers(2)
-	ws[1].Since = next.now - time.Second
+	ws[1].StartedAt = next.now - time.Second
 	next.list(ws...)
-	next.give(Succeeded{Experience: e})
+	next.give(HandoverCompleted{LearnedState: e})
 	same, anew := next.d.byID[ws[0].ID], next.d.byID[ws[1].ID]
 	if next.d.allow != old.allow || next.d.classes[1] != old.classes[1] || next.d.slots(same) != 6 || next.d.slowdown(same) != old.slowdown(old.workers[0]) {
 		t.Errorf("allow %v, class %+v, slots %v, drag %v", next.d.allow, next.d.classes[1], next.d.slots(same), next.d.slowdown(same))
--- a/cmd/benchlink/link.go
+++ b/cmd/benchlink/link.go
@@ -60,7 +60,7 @@
 		"C": brain.NoConnect, "R": brain.Reset, "X": brain.Cancelled, "N": brain.NeverSent,
 	}
 	listKinds = map[string]brain.ListKind{
-		"INCREMENTAL": brain.ListChange, "FULL": brain.ListFull, "SAVED": brain.ListSaved, "FAILED": brain.ListFailed,
+		"INCREMENTAL": brain.ListDelta, "FULL": brain.ListFull, "SAVED": brain.ListCached, "FAILED": brain.ListFailed,
 	}
 	states = map[string]brain.WorkerState{"live": brain.Ready, "quiescing": brain.Draining, "dead": brain.Gone}
 )
@@ -68,7 +68,7 @@
 // instance is one dispatcher of this process.
 type instance struct {
 	params protocol.Params
-	brain  *brain.Dispatcher
+	brain  *brain.Scheduler
 }
 
 // link is the state of one conversation with the bench.
@@ -193,18 +193,18 @@
 	case "BACKENDS_CHANGED":
 		return l.listed(m)
 	case "ARRIVAL":
-		a := brain.Arrived{ID: req, Class: m.Qos, Slots: m.Width, Expires: m.Expires.Span(), Key: m.Subject}
+		a := brain.RequestArrived{ID: req, Class: m.Qos, Slots: m.Width, Deadline: m.Expires.Span(), AffinityKey: m.Subject}
 		if m.Bitmap&hintValid != 0 {
-			a.Work = m.Effort.Span()
+			a.EstimatedWork = m.Effort.Span()
 		}
 		return a, nil
 	case "STARTED":
-		return brain.Began{ID: req, Attempt: m.SeqNo, Worker: worker, Streamed: true}, nil
+		return brain.AttemptStarted{ID: req, Attempt: m.SeqNo, Worker: worker, Streamed: true}, nil
 	case "INTERIM":
 		if m.Topic == topicStart {
-			return brain.Began{ID: req, Attempt: m.SeqNo, Worker: worker}, nil
+			return brain.AttemptStarted{ID: req, Attempt: m.SeqNo, Worker: worker}, nil
 		}
-		return brain.Progressed{ID: req, Attempt: m.SeqNo, Worker: worker, Done: m.X}, nil
+		return brain.AttemptProgressed{ID: req, Attempt: m.SeqNo, Worker: worker, Share: m.X}, nil
 	case "CLOSED_ATTEMPT", "ECHO":
 		outcome, ok := outcomes[m.Verdict]
 		if !ok {
@@ -212,14 +212,14 @@
 		}
 		report := in.params.Report(m.Stats)
 		if name == "ECHO" {
-			return brain.Probed{Worker: worker, Outcome: outcome, Report: report}, nil
+			return brain.ProbeCompleted{Worker: worker, Outcome: outcome, Report: report}, nil
 		}
-		return brain.Finished{ID: req, Attempt: m.SeqNo, Worker: worker, Outcome: outcome,
-			Final: m.Final, Report: report, Idle: -1}, nil
+		return brain.AttemptFinished{ID: req, Attempt: m.SeqNo, Worker: worker, Outcome: outcome,
+			Final: m.Final, Report: report, ConnectionIdle: -1}, nil
 	case "ELAPSED":
-		return brain.Woke{Token: m.Ref}, nil
+		return brain.TimerFired{Token: m.Ref}, nil
 	case "HANGUP":
-		return brain.Left{ID: req}, nil
+		return brain.ClientLeft{ID: req}, nil
 	case "PEER":
 		return nil, nil
 	}
@@ -231,7 +231,7 @@
 	if !ok {
 		return nil, fmt.Errorf("unknown form %q", m.Form)
 	}
-	ev := brain.Listed{Kind: kind}
+	ev := brain.EndpointsUpdated{ListKind: kind}
 	if kind == brain.ListFailed {
 		return ev, nil
 	}
@@ -245,8 +245,8 @@
 			return nil, fmt.Errorf("unknown status %q", e.Status)
 		}
 		ev.Workers = append(ev.Workers, brain.WorkerInfo{
-			ID: brain.WorkerID(e.Worker), State: state, Zone: e.RegionPart, Cell: e.Pod, Kind: e.Machine,
-			Weight: e.Weight, Since: e.OnlineSince.Span(),
+			ID: brain.WorkerID(e.Worker), State: state, Zone: e.RegionPart, Cell: e.Pod, MachineKind: e.Machine,
+			Weight: e.Weight, StartedAt: e.OnlineSince.Span(),
 		})
 	}
 	return ev, nil
@@ -298,17 +298,17 @@
 		return l.put("FORWARD", forward{id, uint64(a.ID), string(a.Worker)})
 	case brain.Cancel:
 		return l.put("ABORT_ATTEMPT", abort{id, uint64(a.ID), a.Attempt})
-	case brain.Refuse:
+	case brain.Reject:
 		return l.put("BUSY", busy{id, uint64(a.ID), inMicros(a.RetryAfter)})
 	case brain.Fail:
 		return l.put("END_FAILED", endFailed{id, uint64(a.ID)})
-	case brain.Drop:
+	case brain.CloseIdleConnections:
 		return l.put("DROP_CONNS", soundOut{id, string(a.Worker)})
 	case brain.Probe:
 		return l.put("SOUND_OUT", soundOut{id, string(a.Worker)})
 	case brain.Subscribe:
 		return l.put("TRACK", track{id, true})
-	case brain.Wake:
+	case brain.SetTimer:
 		return l.put("WAKE_AT", wakeAt{id, a.Token, inMicros(a.After)})
 	case brain.Log:
 		return l.put("SAY_LOG", sayLog{id, a.Text})
--- a/cmd/brassdale/saved_bench_test.go
+++ b/cmd/brassdale/saved_bench_test.go
@@ -253,7 +253,7 @@
 func keepFor(b *testing.B, dir string, ago time.Duration, workers []*worker) {
 	keep(b, dir, ago, func(s *savedlist.Saved) {
 		c := s.Classes["price-part"]
-		c.Scale, c.Usual = modelJob.Seconds(), -2.3
+		c.WorkScale, c.MeanLogRuntime = modelJob.Seconds(), -2.3
 		s.Classes["price-part"], s.Stay, s.Mean = c, modelJob.Seconds(), modelJob.Seconds()
 	}, workers...)
 }
--- a/cmd/brassdale/saved_test.go
+++ b/cmd/brassdale/saved_test.go
@@ -30,12 +30,12 @@
 	}
 	made := time.Now().Add(-ago)
 	s := &savedlist.Saved{MadeMS: made.UnixMilli(), Revision: 40, Allow: 0.5, Stay: 0.02, Mean: 0.02,
-		Classes: map[string]brain.ClassExperience{"price-part": {Scale: 0.02, Usual: -3.9, Jobs: 500}}} // jobs of 20 ms
+		Classes: map[string]brain.ClassStatistics{"price-part": {WorkScale: 0.02, MeanLogRuntime: -3.9, Jobs: 500}}} // jobs of 20 ms
 	for _, b := range workers {
 		cell := 1
 		fmt.Sscan(b.cell, &cell)
 		s.Members = append(s.Members, savedlist.Member{HeardMS: made.UnixMilli(), Member: protocol.Member{ID: b.id, HostPort: b.ln.Addr().String(),
-			Locality: "llanelli", Flavor: "new-worker", Cell: cell, Phase: b.phase, Size: 1}, Learned: &brain.WorkerExperience{Total: 5, JobsOf: 50}})
+			Locality: "llanelli", Flavor: "new-worker", Cell: cell, Phase: b.phase, Size: 1}, Learned: &brain.WorkerStatistics{Slots: 5, SlownessJobs: 50}})
 	}
 	if change != nil {
 		change(s)
--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -93,7 +93,7 @@
 // answered takes a final answer. A refusal says that a further try is harmless, which it is not where one may have run.
 func (a *auditor) answered(now time.Duration, request uint64, refused bool) {
 	t := a.of(request)
-	if c := a.rules(t); refused && c.Effect != brain.Safe && !(c.Effect == brain.Keyed && c.Scope == brain.ScopeAll) {
+	if c := a.rules(t); refused && c.Effect != brain.Idempotent && !(c.Effect == brain.IdempotentWithKey && c.Scope == brain.ScopeAll) {
 		for _, was := range t.sends {
 			if !was.never {
 				a.broken(RuleRepeat, now, request, was.box, "refused though it may have run there")
@@ -123,11 +123,11 @@
 		case was.never:
 		case was.out && !a.s.Rules.MayCopy:
 			a.broken(RuleRepeat, now, request, box, "a copy while one is out at %s", was.box)
-		case tr.Effect == brain.Unsafe:
+		case tr.Effect == brain.NonIdempotent:
 			a.broken(RuleRepeat, now, request, box, "it may have run at %s", was.box)
-		case tr.Effect == brain.Keyed && (tr.Scope == brain.ScopeCell && was.bay != bay || tr.Scope == brain.ScopeZone && was.zone != zone):
+		case tr.Effect == brain.IdempotentWithKey && (tr.Scope == brain.ScopeCell && was.bay != bay || tr.Scope == brain.ScopeZone && was.zone != zone):
 			a.broken(RuleRepeat, now, request, box, "it may have run at %s of another bay or zone", was.box)
-		case tr.Effect == brain.Keyed && now >= was.at+tr.Window:
+		case tr.Effect == brain.IdempotentWithKey && now >= was.at+tr.Window:
 			a.broken(RuleRepeat, now, request, box, "it may have run at %s, and the window is over", was.box)
 		}
 	}
@@ -141,7 +141,7 @@
 func (a *auditor) ended(request uint64, attempt int, o brain.Outcome) {
 	if t := a.of(request); attempt < len(t.sends) {
 		t.sends[attempt].out = false
-		t.sends[attempt].never = o == brain.NeverSent || o == brain.NoConnect || o == brain.Full || o == brain.Rejected
+		t.sends[attempt].never = o == brain.NeverSent || o == brain.NoConnect || o == brain.Full || o == brain.InvalidRequest
 	}
 }
 
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -23,8 +23,8 @@
 	Stretch float64 // an answer counts within Aim + Stretch x the job's work
 	GiveUp  time.Duration
 	Worth   float64 // of a unit of work
-	Effect  brain.Effect
-	Scope   brain.Scope // the group of boxes that drops repeats of a key ...
+	Effect  brain.Idempotency
+	Scope   brain.DeduplicationScope // the group of boxes that drops repeats of a key ...
 	Window  time.Duration
 	Wide    float64 // share of the jobs that take two slots
 }
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -49,7 +49,7 @@
 				d.w.after(d.w.between(d.zone, d.w.boxOf(r), d.chance), func() { d.w.boxOf(r).cancel(r) })
 				d.w.after(0, func() { d.ended(a.ID, a.Attempt, brain.Cancelled) })
 			}
-		case brain.Refuse:
+		case brain.Reject:
 			d.answer(a.ID, refused, a.RetryAfter)
 		case brain.Fail:
 			d.answer(a.ID, failed, 0)
@@ -68,8 +68,8 @@
 					}
 				})
 			}
-		case brain.Wake:
-			d.w.after(a.After, func() { d.feed(brain.Woke{Token: a.Token}) })
+		case brain.SetTimer:
+			d.w.after(a.After, func() { d.feed(brain.TimerFired{Token: a.Token}) })
 		case brain.Log:
 			d.w.note("%v dispatcher %d: %s", d.w.now-epoch, d.n, a.Text)
 		}
@@ -82,7 +82,7 @@
 	if d.w.down == 0 {
 		patience = hungCall
 	}
-	d.w.after(patience, func() { d.feed(brain.Listed{Kind: brain.ListFailed}) })
+	d.w.after(patience, func() { d.feed(brain.EndpointsUpdated{ListKind: brain.ListFailed}) })
 }
 
 // hungCall is how long a dispatcher waits for an answer of discovery.
@@ -98,7 +98,7 @@
 		d.w.after(0, func() { d.answer(id, refused, time.Duration((0.5+d.chance.Float64())*float64(time.Second))) })
 		return
 	}
-	d.feed(brain.Arrived{ID: id, Class: j.class, Slots: float64(j.slots), Work: j.hint, Key: uint64(j.subject), Expires: expires, Within: within})
+	d.feed(brain.RequestArrived{ID: id, Class: j.class, Slots: float64(j.slots), EstimatedWork: j.hint, AffinityKey: uint64(j.subject), Deadline: expires, AllowedZones: within})
 }
 
 // expired ends what is out when a client gives up.
@@ -174,7 +174,7 @@
 	if out == brain.Served {
 		d.answer(id, served, 0)
 	}
-	d.feed(brain.Finished{ID: id, Attempt: attempt, Worker: o.runs[attempt].box, Outcome: out, Final: o.answered, Report: report, Idle: -1})
+	d.feed(brain.AttemptFinished{ID: id, Attempt: attempt, Worker: o.runs[attempt].box, Outcome: out, Final: o.answered, Report: report, ConnectionIdle: -1})
 	d.forget(id)
 }
 
@@ -187,7 +187,7 @@
 		if r.beganAt = d.w.now; d.watcher != nil {
 			d.watcher.Heard(d.w.zoneName(d.w.boxOf(r).zone), d.w.now)
 		}
-		d.feed(brain.Began{ID: r.id, Attempt: r.attempt, Worker: r.box})
+		d.feed(brain.AttemptStarted{ID: r.id, Attempt: r.attempt, Worker: r.box})
 	}
 }
 
@@ -225,9 +225,9 @@
 		if d.listedAs != nil {
 			d.listedAs[w.ID] = w
 		}
-		d.told[w.ID] = max(d.told[w.ID], w.Since)
+		d.told[w.ID] = max(d.told[w.ID], w.StartedAt)
 	}
-	d.feed(brain.Listed{Kind: kind, Workers: ws})
+	d.feed(brain.EndpointsUpdated{ListKind: kind, Workers: ws})
 }
 
 // probe asks a box, and takes its silence for an answer after a while.
@@ -245,7 +245,7 @@
 					d.watcher.Silent(d.w.zoneName(b.zone), d.w.now)
 				}
 			}
-			d.feed(brain.Probed{Worker: id, Outcome: o, Report: r})
+			d.feed(brain.ProbeCompleted{Worker: id, Outcome: o, Report: r})
 		}
 	}
 	d.w.after(probeWithin, func() { answer(brain.TimedOut, nil) })
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -76,7 +76,7 @@
 // queue is a site of one dispatcher and one box, without anything but waiting in line.
 func queue(seed uint64, slots int, load float64) Scenario {
 	return Scenario{Seed: seed, Span: 1500 * time.Second, Dispatchers: 1, Bays: 1,
-		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, Aim: time.Hour, GiveUp: time.Hour, Effect: brain.Safe},
+		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, Aim: time.Hour, GiveUp: time.Hour, Effect: brain.Idempotent},
 		Kinds:   []Kind{{"one", 1, slots, 1, 1, false}}, Discovery: time.Millisecond, Rules: Rules{MaxAttempts: 1}}
 }
 
@@ -142,7 +142,7 @@
 	starts.Traffic.Rate, starts.Discovery = 400, time.Millisecond
 	var listed []brain.WorkerID
 	hear := func(ev brain.Event) {
-		if l, is := ev.(brain.Listed); is && l.Kind == brain.ListSaved {
+		if l, is := ev.(brain.EndpointsUpdated); is && l.ListKind == brain.ListCached {
 			listed = nil
 			for _, w := range l.Workers {
 				listed = append(listed, w.ID)
@@ -160,7 +160,7 @@
 			return kept
 		}),
 		RuleAnswer + ", twice": all(base, func(ev brain.Event, acts []brain.Action) []brain.Action {
-			if f, is := ev.(brain.Finished); is && f.Outcome == brain.Served {
+			if f, is := ev.(brain.AttemptFinished); is && f.Outcome == brain.Served {
 				acts = append(acts, brain.Fail{ID: f.ID})
 			}
 			return acts
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -89,8 +89,8 @@
 	for _, info := range d.listedAs {
 		if info.State == brain.Ready {
 			age := w.s.Cold.For
-			if info.Since > 0 {
-				age = w.now - info.Since
+			if info.StartedAt > 0 {
+				age = w.now - info.StartedAt
 			}
 			capacity[w.zoneName(info.Zone)] += failover.Capacity(info.Weight, w.s.Cold.Capacity, age, w.s.Cold.For)
 		}
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -60,31 +60,31 @@
 // Handle is the module's.
 func (p *Plain) Handle(_ brain.Clock, ev brain.Event) (acts []brain.Action) {
 	switch e := ev.(type) {
-	case brain.Listed:
+	case brain.EndpointsUpdated:
 		p.listed(e)
 		if !p.asked {
 			p.asked = true
-			acts = append(acts, brain.Subscribe{}, brain.Wake{After: probeEvery})
+			acts = append(acts, brain.Subscribe{}, brain.SetTimer{After: probeEvery})
 		}
-	case brain.Woke:
+	case brain.TimerFired:
 		if !p.probes {
 			return nil
 		}
 		for _, w := range p.ready {
 			acts = append(acts, brain.Probe{Worker: w.id})
 		}
-		acts = append(acts, brain.Wake{After: probeEvery})
-	case brain.Probed:
+		acts = append(acts, brain.SetTimer{After: probeEvery})
+	case brain.ProbeCompleted:
 		// Least Used with Degradation: a report sets the value, each push raises it by what one job takes.
 		if w := p.workers[e.Worker]; w != nil && e.Report != nil && e.Report.Busy >= 0 {
 			w.told, w.value = e.Report.Busy, e.Report.Busy
 		}
-	case brain.Arrived:
+	case brain.RequestArrived:
 		if len(p.ready) == 0 {
-			return []brain.Action{brain.Refuse{ID: e.ID}}
+			return []brain.Action{brain.Reject{ID: e.ID}}
 		}
 		return p.send(e.ID)
-	case brain.Finished:
+	case brain.AttemptFinished:
 		if w := p.workers[e.Worker]; w != nil {
 			if w.out--; e.Report != nil && e.Report.Busy >= 0 {
 				w.told, w.value = e.Report.Busy, e.Report.Busy
@@ -95,7 +95,7 @@
 		case e.Outcome == brain.Full && len(p.ready) > 0 && e.Attempt+1 < p.most: // turned away: on to the next
 			return p.send(e.ID)
 		case e.Outcome == brain.Full || e.Outcome == brain.NoConnect || e.Outcome == brain.NeverSent:
-			return []brain.Action{brain.Refuse{ID: e.ID}}
+			return []brain.Action{brain.Reject{ID: e.ID}}
 		default:
 			return []brain.Action{brain.Fail{ID: e.ID}}
 		}
@@ -111,11 +111,11 @@
 	return []brain.Action{brain.Send{ID: id, Worker: w.id}}
 }
 
-func (p *Plain) listed(e brain.Listed) {
-	if e.Kind == brain.ListFailed {
+func (p *Plain) listed(e brain.EndpointsUpdated) {
+	if e.ListKind == brain.ListFailed {
 		return
 	}
-	if e.Kind != brain.ListChange {
+	if e.ListKind != brain.ListDelta {
 		p.ready = nil
 	}
 	for _, in := range e.Workers {
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -204,10 +204,10 @@
 		if since >= 0 && e.at <= since || since < 0 && e.info.State == brain.Gone {
 			continue
 		}
-		m := member{ID: string(id), HostPort: d.gates[id].address, Locality: d.works.zones()[e.info.Zone], Flavor: d.works.w.s.Kinds[e.info.Kind].Name,
+		m := member{ID: string(id), HostPort: d.gates[id].address, Locality: d.works.zones()[e.info.Zone], Flavor: d.works.w.s.Kinds[e.info.MachineKind].Name,
 			Cell: e.info.Cell, Phase: phaseNames[e.info.State], Size: e.info.Weight}
-		if e.info.Since > 0 {
-			m.UpSinceMS = d.works.begin.Add(e.info.Since - epoch).UnixMilli()
+		if e.info.StartedAt > 0 {
+			m.UpSinceMS = d.works.begin.Add(e.info.StartedAt - epoch).UnixMilli()
 		}
 		l.Members = append(l.Members, m)
 		told = append(told, e.info)
@@ -264,7 +264,7 @@
 	d.works.w.post(func() {
 		for _, info := range told {
 			d.works.w.audit.told(d.works.w.now, d.n, info.ID, info.State)
-			d.told[info.ID] = max(d.told[info.ID], info.Since)
+			d.told[info.ID] = max(d.told[info.ID], info.StartedAt)
 		}
 	})
 }
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -83,7 +83,7 @@
 	}
 	load := b.load()
 	for _, d := range b.w.dispatchers {
-		b.w.after(b.w.delay(d.chance), func() { d.feed(brain.Probed{Worker: b.id, Outcome: brain.Served, Report: &load}) })
+		b.w.after(b.w.delay(d.chance), func() { d.feed(brain.ProbeCompleted{Worker: b.id, Outcome: brain.Served, Report: &load}) })
 	}
 }
 
--- a/internal/emulator/works.go
+++ b/internal/emulator/works.go
@@ -336,23 +336,23 @@
 	micros := func(t time.Duration) int64 { return t.Microseconds() }
 	m := k.w.settings(n)
 	c := m.Classes[0]
-	effect := map[brain.Effect]string{brain.Safe: "safe", brain.Keyed: "keyed", brain.Unsafe: "unsafe"}[c.Effect]
+	effect := map[brain.Idempotency]string{brain.Idempotent: "safe", brain.IdempotentWithKey: "keyed", brain.NonIdempotent: "unsafe"}[c.Idempotency]
 	var kinds []string
 	for _, kind := range s.Kinds {
 		kinds = append(kinds, kind.Name)
 	}
 	type object = map[string]any
 	settings := object{
-		"classes": []object{{"aim": micros(c.Aim), "credit": c.Worth, "deadline": micros(c.Deadline), "dedupScope": "cell", "effect": effect,
-			"lateWorth": 0, "name": className, "stream": false, "window": micros(c.Window)}},
+		"classes": []object{{"aim": micros(c.LatencyObjective), "credit": c.PriorityWeight, "deadline": micros(c.Deadline), "dedupScope": "cell", "effect": effect,
+			"lateWorth": 0, "name": className, "stream": false, "window": micros(c.DeduplicationWindow)}},
 		"prices": object{"crossZone": s.Network.CrossPrice}, "countedBy": "work", "discovery": "ask", "flavors": kinds, "zones": k.zones(),
-		"familyInfo": object{"classKind": []int{-1}, "classStretch": []float64{c.Stretch}, "progress": 0, "tellsStart": true},
+		"familyInfo": object{"classKind": []int{-1}, "classStretch": []float64{c.ObjectiveStretch}, "progress": 0, "tellsStart": true},
 		"limits": object{"cancel": m.MayCancel, "connIdle": 10_000_000, "connectTimeout": 200_000, "maxAttempts": m.MaxAttempts,
-			"maxRetryAfter": micros(m.MaxRetryAfter), "mayDuplicate": m.MayCopy, "probing": true, "retryAfter": true},
+			"maxRetryAfter": micros(m.MaxRetryAfter), "mayDuplicate": m.MayHedge, "probing": true, "retryAfter": true},
 		"loadReport": object{"columns": []string{"cpu_share", "pending", "x0", "x1"}, "via": "pull"},
 		"locality":   d.zone, "ordinal": n, "replicasOfMe": s.Dispatchers,
-		"rules": object{"answerSlack": micros(m.AnswerSlack), "askWithin": micros(m.AskWithin), "cold": micros(m.Cold), "drainGrace": micros(s.Rules.DrainGrace),
-			"fall": micros(m.Fall), "startCapacity": m.StartCapacity, "tipMultiple": m.TipMultiple},
+		"rules": object{"answerSlack": micros(m.AnswerSlack), "askWithin": micros(m.MaxPollInterval), "cold": micros(m.SlowStartDuration), "drainGrace": micros(s.Rules.DrainGrace),
+			"fall": micros(m.OverloadWindow), "startCapacity": m.SlowStartCapacity, "tipMultiple": m.OverloadMultiple},
 	}
 	d.mu.Lock()
 	known, _ := d.list(-1)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -93,7 +93,7 @@
 		d := &dispatcher{w: w, n: n, zone: n % max(s.Network.Zones, 1), idle: map[brain.WorkerID][]time.Duration{}, subscribed: s.Pushed, open: map[brain.RequestID]*open{}, told: map[brain.WorkerID]time.Duration{}, chance: w.source(uint64(100 + n))}
 		d.policy = policy(w.settings(n), d.chance.Uint64())
 		w.dispatchers = append(w.dispatchers, d)
-		w.after(0, func() { d.listed(brain.ListSaved, w.list()) })
+		w.after(0, func() { d.listed(brain.ListCached, w.list()) })
 	}
 	w.troubles()
 	w.plans()
@@ -162,13 +162,13 @@
 // settings are what a dispatcher is told.
 func (w *world) settings(n int) brain.Settings {
 	t, r := &w.s.Traffic, &w.s.Rules
-	set := brain.Settings{Me: n, Dispatchers: w.s.Dispatchers, Ask: !w.s.Pushed, ReportsPulled: !w.s.Reports.Answers, TellsStart: true, MayProbe: !w.s.Reports.Push,
-		MayCancel: r.MayCancel, MayCopy: r.MayCopy, AdviseRetry: true, MaxAttempts: r.MaxAttempts, MaxRetryAfter: 2 * time.Second,
-		AnswerSlack: r.Slack, AskWithin: askWithin, Cold: w.s.Cold.For, StartCapacity: w.s.Cold.Capacity, TipMultiple: w.s.Cold.Tip,
-		Fall: w.s.Cold.Fall, WorthByWork: true, Zone: n % max(w.s.Network.Zones, 1), CrossZonePrice: w.s.Network.CrossPrice}
+	set := brain.Settings{DispatcherIndex: n, Dispatchers: w.s.Dispatchers, ListPolled: !w.s.Pushed, ReportsPulled: !w.s.Reports.Answers, ReportsStart: true, MayProbe: !w.s.Reports.Push,
+		MayCancel: r.MayCancel, MayHedge: r.MayCopy, MayAdviseRetry: true, MaxAttempts: r.MaxAttempts, MaxRetryAfter: 2 * time.Second,
+		AnswerSlack: r.Slack, MaxPollInterval: askWithin, SlowStartDuration: w.s.Cold.For, SlowStartCapacity: w.s.Cold.Capacity, OverloadMultiple: w.s.Cold.Tip,
+		OverloadWindow: w.s.Cold.Fall, WeightByWork: true, Zone: n % max(w.s.Network.Zones, 1), CrossZoneCost: w.s.Network.CrossPrice}
 	for _, c := range t.classes() {
-		set.Classes = append(set.Classes, brain.Class{Aim: c.Aim, Stretch: c.Stretch, Deadline: c.GiveUp, Worth: c.Worth, Effect: c.Effect,
-			Scope: c.Scope, Window: c.Window, Kind: -1})
+		set.Classes = append(set.Classes, brain.Class{LatencyObjective: c.Aim, ObjectiveStretch: c.Stretch, Deadline: c.GiveUp, PriorityWeight: c.Worth, Idempotency: c.Effect,
+			DeduplicationScope: c.Scope, DeduplicationWindow: c.Window, MachineKind: -1})
 	}
 	return set
 }
@@ -182,7 +182,7 @@
 }
 
 func (b *box) info() brain.WorkerInfo {
-	return brain.WorkerInfo{ID: b.id, State: b.state, Cell: b.bay, Zone: b.zone, Kind: b.kind, Weight: b.weight(), Since: b.started}
+	return brain.WorkerInfo{ID: b.id, State: b.state, Cell: b.bay, Zone: b.zone, MachineKind: b.kind, Weight: b.weight(), StartedAt: b.started}
 }
 
 // unlisted begins a fault of discovery, or ends it. A dispatcher's watch ends at once where it is down; where it hangs, once
@@ -210,7 +210,7 @@
 	for _, d := range w.dispatchers {
 		w.after(w.late(d.chance), func() {
 			if d.subscribed { // else it gets the whole list when it is again
-				d.listed(brain.ListChange, []brain.WorkerInfo{info})
+				d.listed(brain.ListDelta, []brain.WorkerInfo{info})
 			}
 		})
 	}
@@ -308,7 +308,7 @@
 			w.audit.gaveUp(w.now, uint64(id))
 			o.answered = true
 			w.done(j, failed)
-			d.feed(brain.Left{ID: id})
+			d.feed(brain.ClientLeft{ID: id})
 			d.forget(id)
 		}
 	})
--- a/internal/experiment/failover.go
+++ b/internal/experiment/failover.go
@@ -88,7 +88,7 @@
 	s.Span, s.Dispatchers = townSpan, t.Dispatchers
 	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Boxes, Slots: townSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = 4, 2, 0.03, 10*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, brain.Safe
+	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, brain.Idempotent
 	s.Traffic.Rate = c.Load * float64(t.Boxes*townSlots) / townWork
 	s.Faults = slices.Clone(c.Faults)
 	s.Failover = emulator.Failover{Mode: mode, Headroom: 0.1, ReturnIn: 20 * time.Second, Detect: time.Second, Step: 0.1}
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -103,11 +103,11 @@
 // class gives it in the emulator's terms.
 func (c *Class) class() (emulator.Class, error) {
 	out := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, Spread: c.Spread, Stretch: c.Stretch, Worth: c.Worth, Wide: c.Wide}
-	effect, ok := map[string]brain.Effect{"safe": brain.Safe, "keyed": brain.Keyed, "unsafe": brain.Unsafe}[c.Effect]
+	effect, ok := map[string]brain.Idempotency{"safe": brain.Idempotent, "keyed": brain.IdempotentWithKey, "unsafe": brain.NonIdempotent}[c.Effect]
 	if !ok {
 		return out, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Effect)
 	}
-	scope, ok := map[string]brain.Scope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone, "cell": brain.ScopeCell}[c.Scope]
+	scope, ok := map[string]brain.DeduplicationScope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone, "cell": brain.ScopeCell}[c.Scope]
 	if !ok {
 		return out, fmt.Errorf("class %q: there is no scope %q", c.Name, c.Scope)
 	}
--- a/internal/failover/guide.go
+++ b/internal/failover/guide.go
@@ -69,11 +69,11 @@
 }
 
 // Listed takes news of the boxes.
-func (g *Guide) EndpointsUpdated(now brain.Clock, l brain.Listed) {
+func (g *Guide) EndpointsUpdated(now brain.Clock, l brain.EndpointsUpdated) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
-	if l.Kind == brain.ListFull || l.Kind == brain.ListSaved {
+	if l.ListKind == brain.ListFull || l.ListKind == brain.ListCached {
 		clear(g.boxes)
 	}
 	for _, w := range l.Workers {
@@ -205,8 +205,8 @@
 	for _, b := range g.boxes {
 		if b.State == brain.Ready {
 			age := cold
-			if b.Since > 0 {
-				age = g.now - b.Since
+			if b.StartedAt > 0 {
+				age = g.now - b.StartedAt
 			}
 			capacity[zoneName(p, b.Zone)] += failover.Capacity(b.Weight, start, age, cold)
 		}
--- a/internal/faults/towns.go
+++ b/internal/faults/towns.go
@@ -53,7 +53,7 @@
 func (t *Towns) works(s *emulator.Scenario) {
 	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Boxes, Slots: townSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = t.Zones, t.Regions, 0.03, 5*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, brain.Safe
+	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, brain.Idempotent
 	s.Traffic.Rate = t.Load * float64(t.Boxes*townSlots) / townWork
 	s.Faults = append(s.Faults, t.Faults...)
 }
--- a/internal/program/replace.go
+++ b/internal/program/replace.go
@@ -92,7 +92,7 @@
 	learned := p.handover.Experience
 	learned.Classes = d.params.Number(p.handover.Classes)
 	for id, w := range learned.Workers { // its clock is not this process's, and the list that came with it names the same starts
-		w.Since = d.set.Started(id)
+		w.StartedAt = d.set.Started(id)
 		learned.Workers[id] = w
 	}
 	d.core.Succeed(learned) // behind the list, which was told when it was made
--- a/internal/program/saved.go
+++ b/internal/program/saved.go
@@ -59,14 +59,14 @@
 	for _, c := range f.Learned.Classes {
 		usual := math.NaN()
 		if c.Jobs > 0 {
-			usual = c.Usual
+			usual = c.MeanLogRuntime
 		}
 		f.Usual = append(f.Usual, usual)
 	}
 	list := savedlist.List{Made: clock.At(s.Made()), Revision: s.Revision}
 	for i, d := range s.List().Destinations(p) {
 		f.Destinations[d.ID] = d
-		w := savedlist.Worker{ID: d.ID, State: d.State, Out: out[string(d.ID)], Since: d.Since}
+		w := savedlist.Worker{ID: d.ID, State: d.State, Out: out[string(d.ID)], Since: d.StartedAt}
 		if ms := s.Members[i].HeardMS; ms > 0 {
 			w.Heard = time.Duration(ms) * time.Millisecond
 		}
@@ -84,7 +84,7 @@
 }
 
 // Experience gives what the module has learned.
-func (sv *saved) LearnedState(ctx context.Context) (brain.Experience, map[string]brain.ClassExperience, error) {
+func (sv *saved) LearnedState(ctx context.Context) (brain.LearnedState, map[string]brain.ClassStatistics, error) {
 	e, err := sv.d.core.Experience(ctx)
 	return e, sv.d.params.ByName(e), err
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -82,10 +82,10 @@
 	for _, m := range l.Members {
 		d := routing.Destination{Address: m.HostPort, WorkerInfo: brain.WorkerInfo{
 			ID: brain.WorkerID(m.ID), State: phases[m.Phase], Cell: m.Cell, Weight: m.Size,
-			Zone: slices.Index(p.Zones, m.Locality), Kind: slices.Index(p.Flavors, m.Flavor),
+			Zone: slices.Index(p.Zones, m.Locality), MachineKind: slices.Index(p.Flavors, m.Flavor),
 		}}
 		if m.UpSinceMS > 0 {
-			d.Since = time.Duration(m.UpSinceMS) * time.Millisecond
+			d.StartedAt = time.Duration(m.UpSinceMS) * time.Millisecond
 		}
 		ds = append(ds, d)
 	}
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -87,8 +87,8 @@
 func (l *Live) Now() *Params { return l.now.Load() }
 
 // ByName gives an experience's classes by their names, as far as they are in force.
-func (l *Live) ByName(e brain.Experience) map[string]brain.ClassExperience {
-	p, named := l.Now(), map[string]brain.ClassExperience{}
+func (l *Live) ByName(e brain.LearnedState) map[string]brain.ClassStatistics {
+	p, named := l.Now(), map[string]brain.ClassStatistics{}
 	for i, n := range p.numbers {
 		if n < len(e.Classes) {
 			named[p.Classes[i].Name] = e.Classes[n]
@@ -98,9 +98,9 @@
 }
 
 // Number puts classes that another process named into the numbers of this one.
-func (l *Live) Number(named map[string]brain.ClassExperience) []brain.ClassExperience {
+func (l *Live) Number(named map[string]brain.ClassStatistics) []brain.ClassStatistics {
 	p := l.Now()
-	classes := make([]brain.ClassExperience, len(p.numbers))
+	classes := make([]brain.ClassStatistics, len(p.numbers))
 	for i, n := range p.numbers {
 		if n < len(classes) {
 			classes[n] = named[p.Classes[i].Name]
@@ -132,53 +132,53 @@
 // Module gives the settings in the module's terms.
 func (p *Params) Module() brain.Settings {
 	s := brain.Settings{
-		Me: p.Ordinal, Dispatchers: p.ReplicasOfMe, Zone: p.Locality,
-		Ask:           p.Discovery == "ask",
-		ReportsPulled: p.LoadReport.Via == "pull",
-		TellsStart:    p.FamilyInfo.TellsStart,
-		Progress:      p.FamilyInfo.Progress.Span(),
-		MayProbe:      p.Limits.Probing,
-		MayCancel:     p.Limits.Cancel,
-		MayCopy:       p.Limits.MayDuplicate,
-		AdviseRetry:   p.Limits.RetryAfter,
-		MaxAttempts:   p.Limits.MaxAttempts,
-		MaxRetryAfter: p.Limits.MaxRetryAfter.Span(),
-		AnswerSlack:   p.Rules.AnswerSlack.Span(),
-		AskWithin:     p.Rules.AskWithin.Span(),
-		Cold:          p.Rules.Cold.Span(),
-		StartCapacity: p.Rules.StartCapacity,
-		TipMultiple:   p.Rules.TipMultiple,
-		Fall:          p.Rules.Fall.Span(),
-
-		CrossZonePrice: p.Prices.CrossZone,
-		WorthByWork:    p.CountedBy == "work",
+		DispatcherIndex: p.Ordinal, Dispatchers: p.ReplicasOfMe, Zone: p.Locality,
+		ListPolled:        p.Discovery == "ask",
+		ReportsPulled:     p.LoadReport.Via == "pull",
+		ReportsStart:      p.FamilyInfo.TellsStart,
+		ProgressInterval:  p.FamilyInfo.Progress.Span(),
+		MayProbe:          p.Limits.Probing,
+		MayCancel:         p.Limits.Cancel,
+		MayHedge:          p.Limits.MayDuplicate,
+		MayAdviseRetry:    p.Limits.RetryAfter,
+		MaxAttempts:       p.Limits.MaxAttempts,
+		MaxRetryAfter:     p.Limits.MaxRetryAfter.Span(),
+		AnswerSlack:       p.Rules.AnswerSlack.Span(),
+		MaxPollInterval:   p.Rules.AskWithin.Span(),
+		SlowStartDuration: p.Rules.Cold.Span(),
+		SlowStartCapacity: p.Rules.StartCapacity,
+		OverloadMultiple:  p.Rules.TipMultiple,
+		OverloadWindow:    p.Rules.Fall.Span(),
+
+		CrossZoneCost: p.Prices.CrossZone,
+		WeightByWork:  p.CountedBy == "work",
 	}
-	if s.Ask {
-		s.ListValid = routing.ListTold + p.Rules.DrainGrace.Span()
+	if s.ListPolled {
+		s.ListValidity = routing.ListTold + p.Rules.DrainGrace.Span()
 	}
 	for i, c := range p.Classes {
 		class := brain.Class{
-			Aim: c.Aim.Span(), Stretch: c.AimStretch, Deadline: c.Deadline.Span(),
-			Worth: c.Credit, LateWorth: c.LateWorth, Window: c.Window.Span(), Streamed: c.Stream,
-			Effect: brain.Unsafe, Scope: brain.ScopeAll, Kind: -1,
+			LatencyObjective: c.Aim.Span(), ObjectiveStretch: c.AimStretch, Deadline: c.Deadline.Span(),
+			PriorityWeight: c.Credit, LateWeight: c.LateWorth, DeduplicationWindow: c.Window.Span(), Streamed: c.Stream,
+			Idempotency: brain.NonIdempotent, DeduplicationScope: brain.ScopeAll, MachineKind: -1,
 		}
 		switch c.Effect {
 		case "safe":
-			class.Effect = brain.Safe
+			class.Idempotency = brain.Idempotent
 		case "keyed":
-			class.Effect = brain.Keyed
+			class.Idempotency = brain.IdempotentWithKey
 		}
 		switch c.DedupScope {
 		case "zone":
-			class.Scope = brain.ScopeZone
+			class.DeduplicationScope = brain.ScopeZone
 		case "cell":
-			class.Scope = brain.ScopeCell
+			class.DeduplicationScope = brain.ScopeCell
 		}
 		if i < len(p.FamilyInfo.ClassKind) {
-			class.Kind = p.FamilyInfo.ClassKind[i]
+			class.MachineKind = p.FamilyInfo.ClassKind[i]
 		}
 		if i < len(p.FamilyInfo.ClassStretch) {
-			class.Stretch = p.FamilyInfo.ClassStretch[i]
+			class.ObjectiveStretch = p.FamilyInfo.ClassStretch[i]
 		}
 		s.Classes = append(s.Classes, class)
 	}
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -21,13 +21,13 @@
 			Told: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC), ToldAgo: 12, StartedAgo: 13,
 		}},
 		Out: []string{"worker-z"}, Relay: "127.0.0.1:8600", Unsure: true,
-		Experience: brain.Experience{
-			Allow: 21.5, Stay: 22.5, Mean: 23.5,
-			Classes: []brain.ClassExperience{{Scale: 24.5, Usual: 25.5, Jobs: 26}},
-			Workers: map[brain.WorkerID]brain.WorkerExperience{
-				"worker-a": {Since: 31, Total: 32.5, Increment: 33.5, Lag: 34.5, JobsOf: 35.5, Heard: 36}},
+		Experience: brain.LearnedState{
+			Overcommit: 21.5, MeanStay: 22.5, MeanWork: 23.5,
+			Classes: []brain.ClassStatistics{{WorkScale: 24.5, MeanLogRuntime: 25.5, Jobs: 26}},
+			Workers: map[brain.WorkerID]brain.WorkerStatistics{
+				"worker-a": {StartedAt: 31, Slots: 32.5, Increment: 33.5, Slowness: 34.5, SlownessJobs: 35.5, LastSignal: 36}},
 		},
-		Classes: map[string]brain.ClassExperience{"class-1": {Scale: 41.5, Usual: 42.5, Jobs: 43}},
+		Classes: map[string]brain.ClassStatistics{"class-1": {WorkScale: 41.5, MeanLogRuntime: 42.5, Jobs: 43}},
 	},
 	"held": Held{Inbound: []int{51, 52}, Outbound: 53, Jobs: 54},
 	"remembered": Remembered{
--- a/internal/protocol/succession.go
+++ b/internal/protocol/succession.go
@@ -64,8 +64,8 @@
 	Relay     string   `json:"relay,omitempty"`
 	Unsure    bool     `json:"unsure,omitempty"` // the list is saved, and nobody told a newer one
 
-	Experience brain.Experience                 `json:"experience"` // classes are by name, beside it
-	Classes    map[string]brain.ClassExperience `json:"classes"`
+	Experience brain.LearnedState               `json:"experience"` // classes are by name, beside it
+	Classes    map[string]brain.ClassStatistics `json:"classes"`
 }
 
 // Known is a member as the predecessor knows it.
@@ -119,7 +119,7 @@
 	}
 	for _, d := range ds {
 		m := Member{ID: string(d.ID), HostPort: d.Address, Cell: d.Cell, Size: d.Weight,
-			Locality: name(p.Zones, d.Zone), Flavor: name(p.Flavors, d.Kind), UpSinceMS: d.Since.Milliseconds()}
+			Locality: name(p.Zones, d.Zone), Flavor: name(p.Flavors, d.MachineKind), UpSinceMS: d.StartedAt.Milliseconds()}
 		for phase, state := range phases {
 			if state == d.State {
 				m.Phase = phase
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -56,7 +56,7 @@
 		if declined && resp.Header.Get("Srv-Declined") == "1" {
 			end.Outcome = brain.Full
 		} else if resp.StatusCode >= 400 && resp.StatusCode < 500 {
-			end.Outcome = brain.Rejected
+			end.Outcome = brain.InvalidRequest
 		}
 		a.early = &News{State: Ended, End: end}
 		return a
--- a/internal/routing/answers.go
+++ b/internal/routing/answers.go
@@ -44,7 +44,7 @@
 		s.log.Log(context.Background(), s.lagLevel(now), "discovery's revision went back, asking for the whole list", "call", c.number,
 			"revision", u.Revision, "known", c.service.revision)
 		u.Complete = false
-		s.apply(c, u, brain.ListChange, order)
+		s.apply(c, u, brain.ListDelta, order)
 		s.stale(now, c, true)
 	case c.service != s.calls.current:
 		s.takeFormer(ctx, c, u, now)
@@ -82,7 +82,7 @@
 	service.heard = now
 	if again, doubted := s.judge(&u); doubted {
 		u.Complete = false
-		s.apply(c, u, brain.ListChange, membership.Current)
+		s.apply(c, u, brain.ListDelta, membership.Current)
 		service.revision = Whole
 		s.calls.schedule.AskAt(again)
 		return
@@ -90,7 +90,7 @@
 	if u.Complete {
 		service.recheck = false
 	}
-	kind := brain.ListChange
+	kind := brain.ListDelta
 	if u.Complete {
 		kind = brain.ListFull
 	}
@@ -129,7 +129,7 @@
 	if asOf := now.Add(pacing.Moved - pacing.Told); asOf.Before(s.asOf) {
 		s.asOf = asOf
 	}
-	s.core.Listed(brain.Listed{Kind: brain.ListChange, AsOf: s.core.clock.At(s.asOf)})
+	s.core.Listed(brain.EndpointsUpdated{ListKind: brain.ListDelta, AsOf: s.core.clock.At(s.asOf)})
 }
 
 func latest(a, b time.Time) time.Time {
@@ -143,7 +143,7 @@
 // workers that changed; which ones there are is the new one's word. A watch there goes on meanwhile.
 func (s *Destinations) takeFormer(ctx context.Context, c *listCall, u Update, now time.Time) {
 	u.Complete = false
-	s.apply(c, u, brain.ListChange, membership.Current)
+	s.apply(c, u, brain.ListDelta, membership.Current)
 	c.service.revision, c.service.heard = u.Revision, now
 	s.calls.schedule.HeardElsewhere(now)
 	if c.kind == pacing.Watch {
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -36,7 +36,7 @@
 // Core is the module's actor. It alone calls the module, carries out its actions in their order and
 // keeps its timers, and it owns the table of requests and calls.
 type Core struct {
-	module    *brain.Dispatcher
+	module    *brain.Scheduler
 	clock     Clock
 	endpoints Endpoints
 	subscribe func()
@@ -109,12 +109,12 @@
 		id     brain.WorkerID
 		answer chan<- bool
 	}
-	learned struct{ answer chan<- brain.Experience }
+	learned struct{ answer chan<- brain.LearnedState }
 	limited struct{ share float64 }
 )
 
 // NewCore makes the actor. Attach must be called before Run.
-func NewCore(module *brain.Dispatcher, clock Clock, log *slog.Logger) *Core {
+func NewCore(module *brain.Scheduler, clock Clock, log *slog.Logger) *Core {
 	return &Core{module: module, clock: clock, log: log, mailbox: NewMailbox[any](),
 		requests: map[brain.RequestID]*request{}}
 }
@@ -136,10 +136,10 @@
 func (c *Core) ClientLeft(id brain.RequestID) { c.mailbox.Post(left{id}) }
 
 // Ending tells that this process ends: by then all requests must have their answers.
-func (c *Core) Ending(at time.Time) { c.mailbox.Post(brain.Ending{At: c.clock.At(at)}) }
+func (c *Core) Ending(at time.Time) { c.mailbox.Post(brain.ShutdownStarted{Deadline: c.clock.At(at)}) }
 
 // Listed brings news of the destination set.
-func (c *Core) Listed(l brain.Listed) { c.mailbox.Post(l) }
+func (c *Core) Listed(l brain.EndpointsUpdated) { c.mailbox.Post(l) }
 
 // Began tells that a call's job has started.
 func (c *Core) AttemptStarted(id CallID) { c.mailbox.Post(began{id}) }
@@ -158,7 +158,7 @@
 	if c.guide != nil {
 		c.guide.ProbeCompleted(id, o)
 	}
-	c.mailbox.Post(brain.Probed{Worker: id, Outcome: o, Report: r})
+	c.mailbox.Post(brain.ProbeCompleted{Worker: id, Outcome: o, Report: r})
 }
 
 // Dispatched tells that a call was written to its last byte.
@@ -181,14 +181,16 @@
 }
 
 // Experience gives what the module has learned.
-func (c *Core) Experience(ctx context.Context) (brain.Experience, error) {
-	answer := make(chan brain.Experience, 1)
+func (c *Core) Experience(ctx context.Context) (brain.LearnedState, error) {
+	answer := make(chan brain.LearnedState, 1)
 	c.mailbox.Post(learned{answer})
 	return await(ctx, answer)
 }
 
 // Succeed has the module begin with what another process has learned.
-func (c *Core) Succeed(e brain.Experience) { c.mailbox.Post(brain.Succeeded{Experience: e}) }
+func (c *Core) Succeed(e brain.LearnedState) {
+	c.mailbox.Post(brain.HandoverCompleted{LearnedState: e})
+}
 
 // await waits for an actor's answer.
 func await[T any](ctx context.Context, answer <-chan T) (T, error) {
@@ -202,7 +204,7 @@
 }
 
 // Retune puts new settings in force for the requests that come from now on.
-func (c *Core) Retune(s brain.Settings) { c.mailbox.Post(brain.Retuned{Settings: s}) }
+func (c *Core) Retune(s brain.Settings) { c.mailbox.Post(brain.SettingsChanged{Settings: s}) }
 
 // Repeats names who says whether anything may be sent a second time. It is set before Run and must not block.
 func (c *Core) Repeats(may func() bool) { c.repeats = may }
@@ -211,7 +213,7 @@
 func (c *Core) Limit(share float64) { c.mailbox.Post(limited{share}) }
 
 // Shared tells how many processes act as this dispatcher.
-func (c *Core) Shared(processes int) { c.mailbox.Post(brain.Shared{Processes: processes}) }
+func (c *Core) Shared(processes int) { c.mailbox.Post(brain.ProcessCountChanged{Processes: processes}) }
 
 // Run is the actor's life.
 func (c *Core) Run(ctx context.Context) {
@@ -243,7 +245,7 @@
 		for len(c.timers) > 0 && c.timers[0].at <= c.now {
 			t := heap.Pop(&c.timers).(timer)
 			if t.guard == 0 {
-				c.feed(brain.Woke{Token: t.token})
+				c.feed(brain.TimerFired{Token: t.token})
 			} else {
 				c.overdue(t.guard)
 			}
@@ -251,7 +253,7 @@
 		if c.guide != nil {
 			c.listen()
 		}
-		c.ledger.avoids(c.module.Avoided())
+		c.ledger.avoids(c.module.CountAvoided())
 	}
 }
 
@@ -265,12 +267,12 @@
 		if !ok {
 			return
 		}
-		c.feed(brain.Arrived{ID: m.id, Class: r.Class, Slots: r.Slots, Work: r.Work, Key: r.Key, Expires: r.expires, Within: within})
+		c.feed(brain.RequestArrived{ID: m.id, Class: r.Class, Slots: r.Slots, EstimatedWork: r.Work, AffinityKey: r.Key, Deadline: r.expires, AllowedZones: within})
 	case left:
 		if r := c.requests[m.id]; r != nil && !r.answered {
 			r.answered = true
 			c.ledger.left()
-			c.feed(brain.Left{ID: m.id})
+			c.feed(brain.ClientLeft{ID: m.id})
 			c.forget(m.id, r)
 		}
 	case began:
@@ -281,21 +283,21 @@
 			if !r.answered {
 				r.Client.AttemptStarted(m.id.Attempt)
 			}
-			c.feed(brain.Began{ID: m.id.Request, Attempt: m.id.Attempt, Worker: a.endpoint})
+			c.feed(brain.AttemptStarted{ID: m.id.Request, Attempt: m.id.Attempt, Worker: a.endpoint})
 		}
 	case progressed:
 		if r, a := c.call(m.id); a != nil {
 			if !r.answered {
 				r.Client.AttemptProgressed(m.id.Attempt, m.share)
 			}
-			c.feed(brain.Progressed{ID: m.id.Request, Attempt: m.id.Attempt, Worker: a.endpoint, Done: m.share})
+			c.feed(brain.AttemptProgressed{ID: m.id.Request, Attempt: m.id.Attempt, Worker: a.endpoint, Share: m.share})
 		}
 	case finished:
 		c.finish(m.id, m.end)
 	case byHand:
-		ev, since := brain.Event(brain.Attached{Worker: m.id}), time.Time{}
+		ev, since := brain.Event(brain.WorkerReattached{Worker: m.id}), time.Time{}
 		if m.out {
-			ev, since = brain.Detached{Worker: m.id}, time.Now()
+			ev, since = brain.WorkerDetached{Worker: m.id}, time.Now()
 		}
 		c.endpoints.SetDetached(m.id, since) // first, so that what the module sends from now on finds it done
 		c.feed(ev)
@@ -309,11 +311,11 @@
 		}
 		c.budget.Retune(m.share)
 	case learned:
-		m.answer <- c.module.Experience() // has room
+		m.answer <- c.module.LearnedState() // has room
 	case knows:
-		m.answer <- c.module.Knows(m.id) // has room
+		m.answer <- c.module.KnowsWorker(m.id) // has room
 	case brain.Event:
-		if l, ok := m.(brain.Listed); ok && c.guide != nil {
+		if l, ok := m.(brain.EndpointsUpdated); ok && c.guide != nil {
 			c.guide.EndpointsUpdated(c.now, l)
 		}
 		c.feed(m)
@@ -347,8 +349,8 @@
 		}
 		c.answer(r, Answer{Verdict: Served, Result: end.Result})
 	}
-	c.feed(brain.Finished{ID: id.Request, Attempt: id.Attempt, Worker: a.endpoint, Outcome: end.Outcome,
-		Final: r.answered, Report: end.Report, Idle: end.Idle})
+	c.feed(brain.AttemptFinished{ID: id.Request, Attempt: id.Attempt, Worker: a.endpoint, Outcome: end.Outcome,
+		Final: r.answered, Report: end.Report, ConnectionIdle: end.Idle})
 	c.forget(id.Request, r)
 }
 
@@ -358,7 +360,7 @@
 	if r := c.requests[id]; r != nil && !r.answered {
 		c.log.Error("request overdue: failed by the core", "request", id, "id", r.Name)
 		c.answer(r, Answer{Verdict: Failed})
-		c.feed(brain.Left{ID: id})
+		c.feed(brain.ClientLeft{ID: id})
 		c.forget(id, r)
 	}
 }
@@ -412,12 +414,12 @@
 			if r, call := c.call(CallID{a.ID, a.Attempt}); r != nil {
 				c.endpoints.Cancel(call.endpoint, CallID{a.ID, a.Attempt})
 			}
-		case brain.Refuse:
+		case brain.Reject:
 			c.final(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
 		case brain.Fail:
 			c.final(a.ID, Answer{Verdict: Failed})
-		case brain.Drop:
-			c.endpoints.CloseIdle(a.Worker, a.Idle)
+		case brain.CloseIdleConnections:
+			c.endpoints.CloseIdle(a.Worker, a.MinIdle)
 		case brain.Probe:
 			if c.spend != nil && !c.spend.AllowProbe() {
 				c.ProbeCompleted(a.Worker, brain.NeverSent, nil)
@@ -426,7 +428,7 @@
 			c.endpoints.Probe(a.Worker)
 		case brain.Subscribe:
 			c.subscribe()
-		case brain.Wake:
+		case brain.SetTimer:
 			heap.Push(&c.timers, timer{at: c.now + a.After, token: a.Token})
 		case brain.Log:
 			c.log.Info(a.Text)
@@ -453,8 +455,8 @@
 	r.calls = append(r.calls, call{endpoint: a.Worker, out: true, sent: c.now})
 	r.out++
 	out := Call{ID: id, Endpoint: a.Worker, Deadline: r.Deadline, Job: r.Job, Gone: r.Gone}
-	if a.By > 0 {
-		out.By = c.clock.Time(a.By)
+	if a.SendBy > 0 {
+		out.By = c.clock.Time(a.SendBy)
 	}
 	if r.answered || c.now >= r.expires || out.Void(c.clock.Time(c.now)) || r.Rules.MaxAttempts > 0 && id.Attempt >= r.Rules.MaxAttempts {
 		c.AttemptFinished(id, End{Outcome: brain.NeverSent})
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -33,8 +33,8 @@
 }
 
 func startCore(t *testing.T) (*Core, *fake) {
-	set := brain.Settings{Dispatchers: 1, MayCancel: true, MaxAttempts: 4, TellsStart: true, AnswerSlack: 8 * time.Millisecond,
-		Classes: []brain.Class{{Aim: time.Second, Deadline: 5 * time.Second, Effect: brain.Unsafe, Kind: -1}}}
+	set := brain.Settings{Dispatchers: 1, MayCancel: true, MaxAttempts: 4, ReportsStart: true, AnswerSlack: 8 * time.Millisecond,
+		Classes: []brain.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second, Idempotency: brain.NonIdempotent, MachineKind: -1}}}
 	c := NewCore(brain.New(set, 1), NewClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f := &fake{make(chan Call, 16), make(chan CallID, 16), make(chan Answer, 16)}
 	c.Attach(f, func() {})
@@ -42,7 +42,7 @@
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	c.Listed(brain.Listed{Kind: brain.ListSaved, Workers: []brain.WorkerInfo{{ID: "a", Weight: 1}}})
+	c.Listed(brain.EndpointsUpdated{ListKind: brain.ListCached, Workers: []brain.WorkerInfo{{ID: "a", Weight: 1}}})
 	return c, f
 }
 
@@ -114,8 +114,8 @@
 		return []Destination{{WorkerInfo: brain.WorkerInfo{ID: "a", State: s}, Address: "h:1"}}
 	}
 	s := NewDestinations(c, u, newScripted(), Update{Destinations: line(brain.Ready)}, c.log)
-	bring(s, Update{Destinations: line(brain.Draining)}, brain.ListChange)
-	bring(s, Update{Destinations: line(brain.Draining)}, brain.ListChange)
+	bring(s, Update{Destinations: line(brain.Draining)}, brain.ListDelta)
+	bring(s, Update{Destinations: line(brain.Draining)}, brain.ListDelta)
 	bring(s, Update{Complete: true}, brain.ListFull)
 	if len(u.got) != 4 || !u.got[0].Told.IsZero() || u.got[1].Told.IsZero() || u.got[3].State != brain.Gone ||
 		u.got[2].Told != u.got[1].Told || u.got[3].Told != u.got[1].Told || u.got[3].Address != "h:1" {
--- a/internal/routing/fromsaved.go
+++ b/internal/routing/fromsaved.go
@@ -16,7 +16,7 @@
 	Trust        *savedlist.Trust
 	Destinations map[brain.WorkerID]Destination // as the list has them
 	Usual        []float64                      // by class: the usual time of a job in seconds, as a logarithm; NaN where not known
-	Learned      brain.Experience               // classes are by number
+	Learned      brain.LearnedState             // classes are by number
 	Pulled       bool                           // an answer to a probe that carries no report is not an endpoint's
 }
 
@@ -84,7 +84,7 @@
 	switch {
 	case o == brain.Served && (report || !w.f.Pulled):
 		answer = savedlist.Answered
-	case o == brain.Served, o == brain.Errored, o == brain.Rejected, o == brain.Reset:
+	case o == brain.Served, o == brain.Errored, o == brain.InvalidRequest, o == brain.Reset:
 		answer = savedlist.Strange
 	}
 	w.mailbox.Post(sign{id: id, probe: true, answer: answer})
@@ -97,8 +97,8 @@
 		return
 	}
 	late := math.Log(max(took.Seconds(), 1e-6)) - f.Usual[class]
-	if was, ok := f.Learned.Workers[id]; ok && was.JobsOf > 0 {
-		late -= was.Lag / was.JobsOf // it was slower than others before
+	if was, ok := f.Learned.Workers[id]; ok && was.SlownessJobs > 0 {
+		late -= was.Slowness / was.SlownessJobs // it was slower than others before
 	}
 	w.mailbox.Post(sign{id: id, late: late})
 }
@@ -118,8 +118,8 @@
 	if s.start == nil {
 		return
 	}
-	listed := brain.Listed{Kind: brain.ListChange}
-	proven := brain.Experience{Workers: map[brain.WorkerID]brain.WorkerExperience{}}
+	listed := brain.EndpointsUpdated{ListKind: brain.ListDelta}
+	proven := brain.LearnedState{Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
 	for _, v := range ask(s.core.clock.Now()) {
 		if v.Tell == nil {
 			s.endpoints.Probe(v.Probe)
@@ -129,8 +129,8 @@
 		s.known[d.ID] = d
 		s.members.Enter(d.member(), "", membership.Unknown)
 		info := d.WorkerInfo
-		info.Since, info.Sure = v.Tell.Since, v.Tell.Sure
-		s.starts.Set(d.ID, d.Since, info.Since)
+		info.StartedAt, info.StartConfirmed = v.Tell.Since, v.Tell.Sure
+		s.starts.Set(d.ID, d.StartedAt, info.StartedAt)
 		listed.Workers = append(listed.Workers, info)
 		if was, ok := s.start.Learned.Workers[d.ID]; ok && v.Tell.Sure {
 			proven.Workers[d.ID] = was
@@ -167,7 +167,7 @@
 	var ready []brain.WorkerID
 	for i := range u.Destinations {
 		d := &u.Destinations[i]
-		d.Sure = true // discovery knows when it started, whatever was supposed here
+		d.StartConfirmed = true // discovery knows when it started, whatever was supposed here
 		if d.State == brain.Ready {
 			ready = append(ready, d.ID)
 		} else {
@@ -191,9 +191,9 @@
 	if s.start == nil || !s.start.Trust.Over() {
 		return
 	}
-	same := brain.Experience{Workers: map[brain.WorkerID]brain.WorkerExperience{}}
+	same := brain.LearnedState{Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
 	for id, was := range s.start.Learned.Workers {
-		if d, ok := s.known[id]; ok && s.start.Trust.Same(id, d.Since) {
+		if d, ok := s.known[id]; ok && s.start.Trust.Same(id, d.StartedAt) {
 			same.Workers[id] = was
 		}
 	}
@@ -217,7 +217,7 @@
 		return
 	}
 	gone := s.start.Trust.Expire(s.core.clock.Now())
-	listed := brain.Listed{Kind: brain.ListChange}
+	listed := brain.EndpointsUpdated{ListKind: brain.ListDelta}
 	now := time.Now()
 	for _, id := range gone {
 		d := s.known[id]
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -10,7 +10,7 @@
 // Guide says to which zones jobs may go, and hears what becomes of their calls. No method blocks. Probed may be called by
 // anybody, the others by the core alone.
 type Guide interface {
-	EndpointsUpdated(now brain.Clock, l brain.Listed)
+	EndpointsUpdated(now brain.Clock, l brain.EndpointsUpdated)
 	// Arrived gives the zones, a bit for each number, 0 for all; not ok where the job is to be refused here, and for how long
 	// its client should stay away.
 	Route(now brain.Clock, class, repeat string) (within uint64, away time.Duration, ok bool)
@@ -58,7 +58,7 @@
 	if a.began > 0 {
 		ran = c.now - a.began
 	}
-	if !a.silent || o == brain.Served || o == brain.Full || o == brain.Errored || o == brain.Rejected {
+	if !a.silent || o == brain.Served || o == brain.Full || o == brain.Errored || o == brain.InvalidRequest {
 		c.guide.AttemptEnded(c.now, a.endpoint, r.ClassName, o, c.now-r.came, ran)
 	}
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -22,7 +22,7 @@
 		members[i] = d.member()
 	}
 	s.members.Begin(s.calls.current.discovery.Service(), saved.Revision, members)
-	s.tell(saved, saved.Destinations, nil, brain.ListSaved)
+	s.tell(saved, saved.Destinations, nil, brain.ListCached)
 }
 
 // toldFrom gives from when a drain counts that came now. What an agent had counts as told: it may have had it since it last
@@ -59,7 +59,7 @@
 			continue
 		}
 		d := u.Destinations[a.Index]
-		d.State, d.Since, d.Told = a.State, a.Start, a.Told
+		d.State, d.StartedAt, d.Told = a.State, a.Start, a.Told
 		listed = append(listed, d)
 	}
 	s.tell(u, listed, ended, kind)
@@ -77,8 +77,8 @@
 			level = slog.LevelInfo
 		}
 	}
-	news := brain.Listed{Kind: kind, Workers: s.dated(listed), AsOf: s.core.clock.At(s.asOf)}
-	s.told = s.told || kind != brain.ListSaved
+	news := brain.EndpointsUpdated{ListKind: kind, Workers: s.dated(listed), AsOf: s.core.clock.At(s.asOf)}
+	s.told = s.told || kind != brain.ListCached
 	for _, d := range ended {
 		s.update(d)
 	}
@@ -102,15 +102,15 @@
 	}
 	stamped := make([]starts.Line, len(lines))
 	for i, d := range lines {
-		stamped[i] = starts.Line{ID: d.ID, Stamp: d.Since}
+		stamped[i] = starts.Line{ID: d.ID, Stamp: d.StartedAt}
 		if d.Age > 0 {
-			s.starts.Set(d.ID, d.Since, moment.Now-d.Age)
+			s.starts.Set(d.ID, d.StartedAt, moment.Now-d.Age)
 		}
 	}
 	infos := make([]brain.WorkerInfo, len(lines))
 	for i, at := range s.starts.Enter(moment, stamped) {
 		infos[i] = lines[i].WorkerInfo
-		infos[i].Since = at
+		infos[i].StartedAt = at
 	}
 	return infos
 }
@@ -138,7 +138,7 @@
 
 // member gives what a line says of a worker's state.
 func (d *Destination) member() membership.Member {
-	return membership.Member{ID: d.ID, State: d.State, Start: d.Since, Told: d.Told}
+	return membership.Member{ID: d.ID, State: d.State, Start: d.StartedAt, Told: d.Told}
 }
 
 // logState tells of a worker whose state has changed. That a worker is new is no change: a first list may have thousands.
--- a/internal/routing/starts_test.go
+++ b/internal/routing/starts_test.go
@@ -21,7 +21,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			since := learned.Workers[id].Since
+			since := learned.Workers[id].StartedAt
 			if since == 0 {
 				return time.Hour * 24 * 365
 			}
@@ -31,7 +31,7 @@
 			return time.Duration(time.Now().Add(-apart - ago).UnixNano())
 		}
 		line := func(id brain.WorkerID, since brain.Clock) Destination {
-			return Destination{WorkerInfo: brain.WorkerInfo{ID: id, Since: since, Weight: 1}, Address: "h:1"}
+			return Destination{WorkerInfo: brain.WorkerInfo{ID: id, StartedAt: since, Weight: 1}, Address: "h:1"}
 		}
 		old, young := stamp(30*time.Second), stamp(2*time.Second)
 		bring(s, Update{Revision: 1, Complete: true, Destinations: []Destination{line("longago", 0), line("old", old), line("young", young)}}, brain.ListFull)
@@ -44,18 +44,18 @@
 		if got := age("old"); got > 31*time.Second || got < 20*time.Second {
 			t.Errorf("%s: 30 s ago, in the first list, is %v ago", name, got)
 		}
-		bring(s, Update{Revision: 2, Destinations: []Destination{line("joins", stamp(0)), line("old", stamp(0))}}, brain.ListChange)
+		bring(s, Update{Revision: 2, Destinations: []Destination{line("joins", stamp(0)), line("old", stamp(0))}}, brain.ListDelta)
 		for _, id := range []brain.WorkerID{"joins", "old"} {
 			if got := age(id); got < -time.Second || got > time.Second {
 				t.Errorf("%s: %s, just started, is %v ago", name, id, got)
 			}
 		}
-		bring(s, Update{Revision: 3, Destinations: []Destination{line("young", young)}}, brain.ListChange)
+		bring(s, Update{Revision: 3, Destinations: []Destination{line("young", young)}}, brain.ListDelta)
 		if got := age("young"); got > 4*time.Second || got < -time.Second {
 			t.Errorf("%s: told again with the same start, it is %v ago", name, got)
 		}
 		// The stamping clock is set back by an hour, and the worker starts again.
-		bring(s, Update{Revision: 4, Destinations: []Destination{line("joins", stamp(time.Hour))}}, brain.ListChange)
+		bring(s, Update{Revision: 4, Destinations: []Destination{line("joins", stamp(time.Hour))}}, brain.ListDelta)
 		if got := age("joins"); got > time.Second {
 			t.Errorf("%s: started again behind a step of the clock, it is %v ago", name, got)
 		}
@@ -69,7 +69,7 @@
 	before := NewDestinations(c, &updates{fake: f}, newScripted(), Update{}, c.log)
 	stamp := time.Duration(time.Now().Add(-10 * time.Second).UnixNano())
 	before.starts.Set("a", stamp, c.clock.Now()-10*time.Second)
-	before.known["a"] = Destination{WorkerInfo: brain.WorkerInfo{ID: "a", Since: stamp, Weight: 1}, Address: "h:1"}
+	before.known["a"] = Destination{WorkerInfo: brain.WorkerInfo{ID: "a", StartedAt: stamp, Weight: 1}, Address: "h:1"}
 	handed := before.whole()
 	next, g := startCore(t)
 	after := NewDestinations(next, &updates{fake: g}, newScripted(), handed, next.log)
--- a/internal/savedlist/format.go
+++ b/internal/savedlist/format.go
@@ -28,7 +28,7 @@
 	Discovery  string                           `json:"discovery"`
 	Members    []Member                         `json:"members"`
 	Out        []string                         `json:"out"`     // by hand
-	Classes    map[string]brain.ClassExperience `json:"classes"` // what was learned, by name
+	Classes    map[string]brain.ClassStatistics `json:"classes"` // what was learned, by name
 	Allow      float64                          `json:"allow"`
 	Stay       float64                          `json:"stay"`
 	Mean       float64                          `json:"mean"`
@@ -38,15 +38,15 @@
 type Member struct {
 	protocol.Member
 	HeardMS int64                   `json:"heard_ms"` // Unix time of the last sign of life; 0 for none
-	Learned *brain.WorkerExperience `json:"learned,omitempty"`
+	Learned *brain.WorkerStatistics `json:"learned,omitempty"`
 }
 
 // Made gives when the list was last known to be true.
 func (s *Saved) Made() time.Time { return time.UnixMilli(s.MadeMS) }
 
 // Experience gives what was learned, but for the classes, which are by name.
-func (s *Saved) Experience() brain.Experience {
-	e := brain.Experience{Allow: s.Allow, Stay: s.Stay, Mean: s.Mean, Workers: map[brain.WorkerID]brain.WorkerExperience{}}
+func (s *Saved) Experience() brain.LearnedState {
+	e := brain.LearnedState{Overcommit: s.Allow, MeanStay: s.Stay, MeanWork: s.Mean, Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
 	for _, m := range s.Members {
 		if m.Learned != nil {
 			e.Workers[brain.WorkerID(m.ID)] = *m.Learned
--- a/internal/savedlist/keeper.go
+++ b/internal/savedlist/keeper.go
@@ -25,7 +25,7 @@
 // Learned is what else goes into a snapshot.
 type Learned interface {
 	// Experience gives what the module has learned, and its classes by name.
-	LearnedState(context.Context) (brain.Experience, map[string]brain.ClassExperience, error)
+	LearnedState(context.Context) (brain.LearnedState, map[string]brain.ClassStatistics, error)
 }
 
 // Keeper keeps the list as it comes. It is an actor with a mailbox: nobody who tells it something waits for the disk,
@@ -201,11 +201,11 @@
 	e, classes, err := k.learned.LearnedState(ctx)
 	stop()
 	if err == nil {
-		s.Allow, s.Stay, s.Mean, s.Classes = e.Allow, e.Stay, e.Mean, classes
+		s.Allow, s.Stay, s.Mean, s.Classes = e.Overcommit, e.MeanStay, e.MeanWork, classes
 	}
 	for _, m := range k.members {
 		if was, ok := e.Workers[brain.WorkerID(m.ID)]; ok {
-			m.Learned, m.HeardMS = &was, was.Heard.Milliseconds()
+			m.Learned, m.HeardMS = &was, was.LastSignal.Milliseconds()
 		}
 		s.Members = append(s.Members, m)
 	}
--- a/internal/savedlist/store_test.go
+++ b/internal/savedlist/store_test.go
@@ -111,7 +111,7 @@
 func listOf(revision int64, ids ...string) *Saved {
 	s := &Saved{MadeMS: 1000 * revision, Revision: revision, Discovery: "127.0.0.1:8500", Out: []string{"out"}}
 	for _, id := range ids {
-		s.Members = append(s.Members, Member{Member: member(id, "active"), HeardMS: 7, Learned: &brain.WorkerExperience{Total: 5}})
+		s.Members = append(s.Members, Member{Member: member(id, "active"), HeardMS: 7, Learned: &brain.WorkerStatistics{Slots: 5}})
 	}
 	return s
 }
--- a/internal/savedlist/stored_test.go
+++ b/internal/savedlist/stored_test.go
@@ -20,9 +20,9 @@
 			Member: protocol.Member{ID: "worker-a", HostPort: "127.0.0.1:3001", Locality: "zone-1", Flavor: "flavor-1",
 				Cell: 2, Phase: "active", Size: 1.5, UpSinceMS: 901},
 			HeardMS: 1000,
-			Learned: &brain.WorkerExperience{Since: 21, Total: 22.5, Increment: 23.5, Lag: 24.5, JobsOf: 25.5, Heard: 26},
+			Learned: &brain.WorkerStatistics{StartedAt: 21, Slots: 22.5, Increment: 23.5, Slowness: 24.5, SlownessJobs: 25.5, LastSignal: 26},
 		}},
-		Classes: map[string]brain.ClassExperience{"class-1": {Scale: 31.5, Usual: 32.5, Jobs: 33}},
+		Classes: map[string]brain.ClassStatistics{"class-1": {WorkScale: 31.5, MeanLogRuntime: 32.5, Jobs: 33}},
 		Allow:   41.5, Stay: 42.5, Mean: 43.5,
 	}
 }
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -109,7 +109,7 @@
 func (e *endpoint) take(m any) {
 	switch m := m.(type) {
 	case routing.Destination:
-		if m.Address != e.dest.Address || m.Since != e.dest.Since || m.State == brain.Gone {
+		if m.Address != e.dest.Address || m.StartedAt != e.dest.StartedAt || m.State == brain.Gone {
 			e.closeIdle(time.Time{}) // they lead to a process that is no more
 		}
 		e.dest = m
