--- a/internal/command/zones.go
+++ b/internal/command/zones.go
@@ -74,7 +74,7 @@
 func zonesTable(w io.Writer, s fleet.Status) {
 	fmt.Fprint(w, "zone\tregion\tcapacity\tplanned\tasked\tshed\tfactor\tout from\twhy\n")
 	for _, v := range s.Zones {
-		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%s\t%s\n", v.Zone, v.Region, v.Capacity, v.Planned, v.Asked, v.Shed, v.Factor, strings.Join(v.OutFrom, ","), v.Why)
+		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%s\t%s\n", v.Zone, v.Region, v.Capacity, v.Planned, v.Demand, v.Shed, v.CapacityFactor, strings.Join(v.UnreachableFrom, ","), v.Reason)
 	}
 	for _, h := range s.Record.Holds {
 		fmt.Fprintf(w, "held: %s at %g by %s: %s\n", h.Zone, h.Share, h.By, h.Why)
@@ -88,14 +88,14 @@
 		return
 	}
 	fmt.Fprintf(w, "plan %d\nfrom\tclass\tserved in\n", p.Number)
-	for _, zone := range slices.Sorted(maps.Keys(p.Parts)) {
-		for _, class := range slices.Sorted(maps.Keys(p.Parts[zone])) {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", zone, class, partsText(p.Parts[zone][class]))
+	for _, zone := range slices.Sorted(maps.Keys(p.Shares)) {
+		for _, class := range slices.Sorted(maps.Keys(p.Shares[zone])) {
+			fmt.Fprintf(w, "%s\t%s\t%s\n", zone, class, partsText(p.Shares[zone][class]))
 		}
 	}
 }
 
-func partsText(parts []failover.Part) string {
+func partsText(parts []failover.ZoneShare) string {
 	var all []string
 	sum := 0.0
 	for _, part := range parts {
@@ -115,11 +115,11 @@
 		return errors.New("no plan yet: every zone serves its own")
 	}
 	known := false
-	for _, class := range slices.Sorted(maps.Keys(p.Parts[zone])) {
+	for _, class := range slices.Sorted(maps.Keys(p.Shares[zone])) {
 		known = true
-		fmt.Fprintf(w, "%s of %s: %s\n", class, zone, partsText(p.Parts[zone][class]))
+		fmt.Fprintf(w, "%s of %s: %s\n", class, zone, partsText(p.Shares[zone][class]))
 	}
-	if why := p.Why[zone]; why != "" {
+	if why := p.Reasons[zone]; why != "" {
 		known = true
 		fmt.Fprintf(w, "why: %s\n", why)
 	}
@@ -132,7 +132,7 @@
 	for _, v := range s.Zones {
 		if v.Zone == zone {
 			known = true
-			fmt.Fprintf(w, "capacity %.1f slots (its times bear out %.2f of it), planned %.1f, asked for there %.1f, out from %v\n", v.Capacity, v.Factor, v.Planned, v.Asked, v.OutFrom)
+			fmt.Fprintf(w, "capacity %.1f slots (its times bear out %.2f of it), planned %.1f, asked for there %.1f, out from %v\n", v.Capacity, v.CapacityFactor, v.Planned, v.Demand, v.UnreachableFrom)
 		}
 	}
 	if !known {
--- a/internal/decisions/agreement/stored_test.go
+++ b/internal/decisions/agreement/stored_test.go
@@ -22,8 +22,8 @@
 var (
 	storedSeat = Seat{ID: 21, Name: "dispatcher-1", Address: "127.0.0.1:9001", Region: "region-1", Zone: "zone-1", Learner: true}
 	storedHold = Hold{Zone: "zone-2", Share: 0.125, By: "by-2", Why: "why-2", Force: true}
-	storedPlan = failover.Plan{Number: 31, Why: map[string]string{"zone-1": "why-3"},
-		Parts: map[string]map[string][]failover.Part{"zone-1": {"class-1": {{Zone: "zone-3", Share: 0.625}}}}}
+	storedPlan = failover.Plan{Number: 31, Reasons: map[string]string{"zone-1": "why-3"},
+		Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-3", Share: 0.625}}}}}
 	storedMember = Member{Name: "dispatcher-2", Instance: "instance-1", Acked: 41, Form: 42, Era: 43, Address: "127.0.0.1:9002",
 		Region: "region-2", Zone: "zone-4", Seat: 44, Ended: 45, Bad: 46, Plan: 47, SetAside: true}
 )
--- a/internal/decisions/budgets/budgets.go
+++ b/internal/decisions/budgets/budgets.go
@@ -24,18 +24,20 @@
 
 // Settings are a budget's.
 type Settings struct {
-	Rate  float64       // a second, of all dispatchers together
-	Free  float64       // share of it that is dealt out by number, for those without a lease
-	Among int           // dispatchers that there are at the most
-	Lease time.Duration // how long a lease lasts
+	RatePerSecond float64       // a second, of all dispatchers together
+	UnleasedShare float64       // share of it that is dealt out by number, for those without a lease
+	MaxLessees    int           // dispatchers that there are at the most
+	LeaseDuration time.Duration // how long a lease lasts
 }
 
-// Alone is what each dispatcher may do without a lease.
-func (s Settings) Alone() float64 { return s.Rate * s.Free / float64(max(s.Among, 1)) }
+// UnleasedRate is what each dispatcher may do without a lease.
+func (s Settings) UnleasedRate() float64 {
+	return s.RatePerSecond * s.UnleasedShare / float64(max(s.MaxLessees, 1))
+}
 
-// Dealer is the leader's part. What it has given it alone knows: a new one gives nothing for as long as leases of the one
+// Lessor is the leader's part. What it has given it alone knows: a new one gives nothing for as long as leases of the one
 // before may last.
-type Dealer struct {
+type Lessor struct {
 	s       Settings
 	elected Clock
 	holders map[string]*holder
@@ -63,24 +65,24 @@
 	until Clock // by the dealer's clock, lengthened by drift
 }
 
-// NewDealer makes the part of a leader that was elected then.
-func NewDealer(s Settings, elected Clock) *Dealer {
-	return &Dealer{s: s, elected: elected, holders: map[string]*holder{}, stale: true}
+// NewLessor makes the part of a leader that was elected then.
+func NewLessor(s Settings, elected Clock) *Lessor {
+	return &Lessor{s: s, elected: elected, holders: map[string]*holder{}, stale: true}
 }
 
-// Retune changes the budget. One that shrinks is kept once what was given has run out.
-func (d *Dealer) Retune(s Settings) {
+// ApplySettings changes the budget. One that shrinks is kept once what was given has run out.
+func (d *Lessor) ApplySettings(s Settings) {
 	if s != d.s {
 		d.s, d.stale = s, true
 	}
 }
 
-func (d *Dealer) lasts() time.Duration {
-	return d.s.Lease + time.Duration(Drift*float64(d.s.Lease))
+func (d *Lessor) lasts() time.Duration {
+	return d.s.LeaseDuration + time.Duration(Drift*float64(d.s.LeaseDuration))
 }
 
 // expire forgets what has run out.
-func (d *Dealer) expire(now Clock) {
+func (d *Lessor) expire(now Clock) {
 	maps.DeleteFunc(d.holders, func(_ string, h *holder) bool {
 		h.grants = slices.DeleteFunc(h.grants, func(g grant) bool { return now >= g.until })
 		return len(h.grants) == 0 && now >= h.asked+d.lasts()
@@ -97,14 +99,14 @@
 
 // Grant gives a dispatcher a rate for a lease from when it asked, by what it wants now; floor is what it has first claim to. It
 // is never below what it may do without a lease.
-func (d *Dealer) Grant(name string, demand, floor float64, now Clock) float64 {
-	alone := d.s.Alone()
+func (d *Lessor) Grant(name string, demand, floor float64, now Clock) float64 {
+	alone := d.s.UnleasedRate()
 	if now < d.elected+d.lasts() {
 		return alone
 	}
 	h := d.holders[name]
 	if h == nil {
-		if d.expire(now); len(d.holders) >= d.s.Among { // more than there are to be: those without a lease may use all that is left
+		if d.expire(now); len(d.holders) >= d.s.MaxLessees { // more than there are to be: those without a lease may use all that is left
 			return 0
 		}
 		h = &holder{}
@@ -114,8 +116,8 @@
 	if d.stale || now >= d.at+reckonEvery {
 		d.reckon(now)
 	}
-	others := d.sum - h.counts + alone*float64(d.s.Among-len(d.holders))
-	rate := max(min(d.fair(h), d.s.Rate-others), alone)
+	others := d.sum - h.counts + alone*float64(d.s.MaxLessees-len(d.holders))
+	rate := max(min(d.fair(h), d.s.RatePerSecond-others), alone)
 	h.grants = append(h.grants, grant{rate, now + d.lasts()})
 	d.sum -= h.counts
 	h.counts = max(h.out(), alone)
@@ -124,20 +126,20 @@
 }
 
 // first is what a holder has first claim to.
-func (d *Dealer) first(h *holder) float64 { return max(min(h.floor, h.demand), d.s.Alone()) }
+func (d *Lessor) first(h *holder) float64 { return max(min(h.floor, h.demand), d.s.UnleasedRate()) }
 
 // fair is a holder's part of the budget: floors first, then a level up to which everybody gets what it asks for.
-func (d *Dealer) fair(h *holder) float64 {
+func (d *Lessor) fair(h *holder) float64 {
 	first := d.first(h)
 	return first*d.scale + min(max(spare*h.demand-first, 0), max(d.level, 0))
 }
 
 // reckon goes through all holders. What runs out until the next time is in the sum until then, which is on the careful side.
-func (d *Dealer) reckon(now Clock) {
+func (d *Lessor) reckon(now Clock) {
 	d.expire(now)
 	d.at, d.stale, d.sum = now, false, 0
-	alone := d.s.Alone()
-	left := d.s.Rate - alone*float64(d.s.Among-len(d.holders))
+	alone := d.s.UnleasedRate()
+	left := d.s.RatePerSecond - alone*float64(d.s.MaxLessees-len(d.holders))
 	floors := 0.0
 	for _, h := range d.holders {
 		h.counts = max(h.out(), alone)
@@ -170,17 +172,17 @@
 // spare is how much more than it asked for a dispatcher gets where there is enough: demand that rises is met at once then.
 const spare = 1.25
 
-// Given is the most that all may use at a time now, with what those may without a lease.
-func (d *Dealer) Given(now Clock) (sum float64) {
+// Outstanding is the most that all may use at a time now, with what those may without a lease.
+func (d *Lessor) Outstanding(now Clock) (sum float64) {
 	d.expire(now)
 	for _, h := range d.holders {
-		sum += max(h.out(), d.s.Alone())
+		sum += max(h.out(), d.s.UnleasedRate())
 	}
-	return sum + d.s.Alone()*float64(d.s.Among-len(d.holders))
+	return sum + d.s.UnleasedRate()*float64(d.s.MaxLessees-len(d.holders))
 }
 
-// Holder is a dispatcher's part: a bucket that fills at the rate of its lease, looked at before each use.
-type Holder struct {
+// Lessee is a dispatcher's part: a bucket that fills at the rate of its lease, looked at before each use.
+type Lessee struct {
 	alone  float64
 	rate   float64
 	until  Clock
@@ -190,11 +192,11 @@
 	denied int
 }
 
-// NewHolder makes one without a lease.
-func NewHolder(alone float64, now Clock) *Holder { return &Holder{alone: alone, at: now} }
+// NewLessee makes one without a lease.
+func NewLessee(alone float64, now Clock) *Lessee { return &Lessee{alone: alone, at: now} }
 
-// Granted takes a lease in, counted from when it was asked for.
-func (h *Holder) Granted(rate float64, asked Clock, lease time.Duration, now Clock) {
+// ApplyLease takes a lease in, counted from when it was asked for.
+func (h *Lessee) ApplyLease(rate float64, asked Clock, lease time.Duration, now Clock) {
 	h.fill(now)
 	if until := asked + lease; until >= h.until || now >= h.until {
 		h.rate, h.until = rate, until
@@ -202,7 +204,7 @@
 }
 
 // Rate is what it may do a second now.
-func (h *Holder) Rate(now Clock) float64 {
+func (h *Lessee) Rate(now Clock) float64 {
 	if now < h.until {
 		return h.rate
 	}
@@ -213,7 +215,7 @@
 const burst = time.Second
 
 // fill adds what has come since the last look, at the rates that held.
-func (h *Holder) fill(now Clock) {
+func (h *Lessee) fill(now Clock) {
 	if now <= h.at {
 		return
 	}
@@ -230,8 +232,8 @@
 	return 1 / (1 + span.Seconds()/2)
 }
 
-// Use takes one use, if there is room.
-func (h *Holder) Use(now Clock) bool {
+// TryUse takes one use, if there is room.
+func (h *Lessee) TryUse(now Clock) bool {
 	h.fill(now)
 	h.wanted += 0.5
 	if h.tokens < 1 {
@@ -243,10 +245,10 @@
 }
 
 // Demand is how many uses a second were asked for lately.
-func (h *Holder) Demand(now Clock) float64 {
+func (h *Lessee) Demand(now Clock) float64 {
 	h.fill(now)
 	return h.wanted
 }
 
 // Denied is how many there was no room for.
-func (h *Holder) Denied() int { return h.denied }
+func (h *Lessee) Denied() int { return h.denied }
--- a/internal/decisions/budgets/budgets_test.go
+++ b/internal/decisions/budgets/budgets_test.go
@@ -12,7 +12,7 @@
 const lease = 2 * time.Second
 
 // sum is what all holders may use now, whether the dealer knows it or not.
-func sum(holders []*Holder, now []Clock) (all float64) {
+func sum(holders []*Lessee, now []Clock) (all float64) {
 	for i, h := range holders {
 		all += h.Rate(now[i])
 	}
@@ -24,13 +24,13 @@
 func TestSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "dispatchers")
-		s := Settings{Rate: 100, Free: rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "free"), Among: n, Lease: lease}
-		d := NewDealer(s, -time.Minute)
-		var holders []*Holder
+		s := Settings{RatePerSecond: 100, UnleasedShare: rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "free"), MaxLessees: n, LeaseDuration: lease}
+		d := NewLessor(s, -time.Minute)
+		var holders []*Lessee
 		now := make([]Clock, n)
 		pace := make([]float64, n)
 		for i := range n {
-			holders = append(holders, NewHolder(s.Alone(), 0))
+			holders = append(holders, NewLessee(s.UnleasedRate(), 0))
 			pace[i] = rapid.Float64Range(1-Drift/2, 1+Drift/2).Draw(t, "pace")
 		}
 		type answer struct {
@@ -55,18 +55,18 @@
 				if len(late) > 0 {
 					k := rapid.IntRange(0, len(late)-1).Draw(t, "answer")
 					a := late[k]
-					holders[a.to].Granted(a.rate, a.asked, lease, now[a.to])
+					holders[a.to].ApplyLease(a.rate, a.asked, lease, now[a.to])
 				}
 			case 5: // one starts anew, and knows nothing
-				holders[i] = NewHolder(s.Alone(), now[i])
+				holders[i] = NewLessee(s.UnleasedRate(), now[i])
 			case 6: // another leads
-				d = NewDealer(s, leader)
+				d = NewLessor(s, leader)
 			}
-			if got := sum(holders, now); got > s.Rate+1e-6 {
-				t.Fatalf("%v of %v", got, s.Rate)
+			if got := sum(holders, now); got > s.RatePerSecond+1e-6 {
+				t.Fatalf("%v of %v", got, s.RatePerSecond)
 			}
-			if given := d.Given(leader); given > s.Rate+1e-6 {
-				t.Fatalf("given %v of %v", given, s.Rate)
+			if given := d.Outstanding(leader); given > s.RatePerSecond+1e-6 {
+				t.Fatalf("given %v of %v", given, s.RatePerSecond)
 			}
 		}
 	})
@@ -74,7 +74,7 @@
 
 // Deal gives all what they ask for, again and again, and the parts that come of it.
 func deal(s Settings, demand, floor []float64) (parts []float64) {
-	d := NewDealer(s, -time.Minute)
+	d := NewLessor(s, -time.Minute)
 	parts = make([]float64, len(demand))
 	for now := Clock(0); now < 10*lease; now += lease / 4 {
 		for i := range demand {
@@ -87,7 +87,7 @@
 // Parts are fair: who asks for little has it, the rest is alike among the others, floors first; tenfold demand at one is met from
 // what others do not want within two leases.
 func TestFair(t *testing.T) {
-	s := Settings{Rate: 100, Free: 0.1, Among: 4, Lease: lease}
+	s := Settings{RatePerSecond: 100, UnleasedShare: 0.1, MaxLessees: 4, LeaseDuration: lease}
 	for _, c := range []struct{ demand, floor, want []float64 }{
 		{[]float64{10, 10, 10, 10}, []float64{0, 0, 0, 0}, []float64{12.5, 12.5, 12.5, 12.5}},
 		{[]float64{100, 100, 100, 100}, []float64{0, 0, 0, 0}, []float64{25, 25, 25, 25}},
@@ -102,7 +102,7 @@
 			}
 		}
 	}
-	d := NewDealer(s, -time.Minute)
+	d := NewLessor(s, -time.Minute)
 	rate, met := 0.0, Clock(0)
 	for now := Clock(0); now < 20*time.Second; now += lease / 4 {
 		demand := []float64{7, 7, 7, 7}
@@ -125,11 +125,11 @@
 
 // A holder uses what its lease gives, no more behind a freeze than in any second, and its own part when that has run out.
 func TestHolder(t *testing.T) {
-	h := NewHolder(1, 0)
-	h.Granted(50, 0, lease, 0)
+	h := NewLessee(1, 0)
+	h.ApplyLease(50, 0, lease, 0)
 	use := func(from, to Clock) (n int) {
 		for now := from; now < to; now += time.Millisecond {
-			if h.Use(now) {
+			if h.TryUse(now) {
 				n++
 			}
 		}
@@ -141,7 +141,7 @@
 	if demand := h.Demand(time.Second); demand < 300 {
 		t.Errorf("asked for 1000 a second: %v", demand)
 	}
-	h.Granted(50, time.Second, lease, time.Second)
+	h.ApplyLease(50, time.Second, lease, time.Second)
 	if n := use(30*time.Second, 31*time.Second); n > 3 { // frozen for 29 s
 		t.Errorf("%d in the second behind a freeze", n)
 	}
--- a/internal/decisions/failover/plan.go
+++ b/internal/decisions/failover/plan.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Part is a share of what arrives that is served in a zone.
-type Part struct {
+// ZoneShare is a share of what arrives that is served in a zone.
+type ZoneShare struct {
 	Zone  string  `json:"zone"`
 	Share float64 `json:"share"`
 }
@@ -14,19 +14,19 @@
 // Plan says for each zone of arrival and class where its jobs are served. What the parts lack of 1 is shed where it arrives.
 // A zone or class that it does not name is served in its own zone.
 type Plan struct {
-	Number uint64                       `json:"number"`
-	Parts  map[string]map[string][]Part `json:"parts"`
-	Why    map[string]string            `json:"why,omitempty"` // by zone, for people
+	Number  uint64                            `json:"number"`
+	Shares  map[string]map[string][]ZoneShare `json:"parts"`
+	Reasons map[string]string                 `json:"why,omitempty"` // by zone, for people
 }
 
 // parts gives an entry.
-func (p *Plan) parts(zone, class string) []Part {
+func (p *Plan) parts(zone, class string) []ZoneShare {
 	if p != nil {
-		if all, ok := p.Parts[zone][class]; ok {
+		if all, ok := p.Shares[zone][class]; ok {
 			return all
 		}
 	}
-	return []Part{{zone, 1}}
+	return []ZoneShare{{zone, 1}}
 }
 
 // Share gives how much of what arrives a zone serves.
@@ -53,22 +53,22 @@
 
 // planOf makes a plan of a flow.
 func planOf(demands []Demand, zones []Zone, f Flow) *Plan {
-	p := &Plan{Parts: map[string]map[string][]Part{}}
+	p := &Plan{Shares: map[string]map[string][]ZoneShare{}}
 	for i, d := range demands {
 		if d.Work <= tiny {
 			continue
 		}
-		parts := []Part{}
+		parts := []ZoneShare{}
 		for j, z := range zones {
 			if share := f.Served[i][j] / d.Work; share > 1e-6 {
-				parts = append(parts, Part{z.Name, math.Min(share, 1)})
+				parts = append(parts, ZoneShare{z.Name, math.Min(share, 1)})
 			}
 		}
-		if p.Parts[d.Zone] == nil {
-			p.Parts[d.Zone] = map[string][]Part{}
+		if p.Shares[d.Zone] == nil {
+			p.Shares[d.Zone] = map[string][]ZoneShare{}
 		}
 		// The own zone first, then by name: what a job's own number gives then moves least from plan to plan.
-		slices.SortFunc(parts, func(a, b Part) int {
+		slices.SortFunc(parts, func(a, b ZoneShare) int {
 			switch {
 			case a.Zone == d.Zone:
 				return -1
@@ -79,7 +79,7 @@
 			}
 			return 1
 		})
-		p.Parts[d.Zone][d.Class] = parts
+		p.Shares[d.Zone][d.Class] = parts
 	}
 	return p
 }
@@ -95,8 +95,8 @@
 	return load
 }
 
-// Mixed gives the most that each zone may get while some dispatchers act on one plan and others on the next.
-func Mixed(a, b *Plan, demands []Demand) map[string]float64 {
+// MaxMixedLoad gives the most that each zone may get while some dispatchers act on one plan and others on the next.
+func MaxMixedLoad(a, b *Plan, demands []Demand) map[string]float64 {
 	load := map[string]float64{}
 	for _, d := range demands {
 		for _, zone := range zonesOf(a.parts(d.Zone, d.Class), b.parts(d.Zone, d.Class)) {
@@ -106,7 +106,7 @@
 	return load
 }
 
-func zonesOf(a, b []Part) (zones []string) {
+func zonesOf(a, b []ZoneShare) (zones []string) {
 	for _, part := range append(slices.Clone(a), b...) {
 		if !slices.Contains(zones, part.Zone) {
 			zones = append(zones, part.Zone)
@@ -115,8 +115,8 @@
 	return zones
 }
 
-// Apart is the most by which a share of two plans differs, over what is asked for.
-func Apart(a, b *Plan, demands []Demand) (most float64) {
+// MaxDivergence is the most by which a share of two plans differs, over what is asked for.
+func MaxDivergence(a, b *Plan, demands []Demand) (most float64) {
 	for _, d := range demands {
 		if d.Work <= tiny {
 			continue
@@ -128,21 +128,21 @@
 	return most
 }
 
-// Between gives the plan so far on the way from one to another, from 0 to 1. Where both are safe it is.
-func Between(a, b *Plan, demands []Demand, far float64) *Plan {
-	p := &Plan{Parts: map[string]map[string][]Part{}}
+// Interpolate gives the plan so far on the way from one to another, from 0 to 1. Where both are safe it is.
+func Interpolate(a, b *Plan, demands []Demand, far float64) *Plan {
+	p := &Plan{Shares: map[string]map[string][]ZoneShare{}}
 	for _, d := range demands {
 		from, to := a.parts(d.Zone, d.Class), b.parts(d.Zone, d.Class)
-		parts := []Part{}
+		parts := []ZoneShare{}
 		for _, zone := range zonesOf(to, from) {
 			if share := (1-far)*a.Share(d.Zone, d.Class, zone) + far*b.Share(d.Zone, d.Class, zone); share > 1e-6 {
-				parts = append(parts, Part{zone, share})
+				parts = append(parts, ZoneShare{zone, share})
 			}
 		}
-		if p.Parts[d.Zone] == nil {
-			p.Parts[d.Zone] = map[string][]Part{}
+		if p.Shares[d.Zone] == nil {
+			p.Shares[d.Zone] = map[string][]ZoneShare{}
 		}
-		p.Parts[d.Zone][d.Class] = parts
+		p.Shares[d.Zone][d.Class] = parts
 	}
 	return p
 }
--- a/internal/decisions/failover/planner.go
+++ b/internal/decisions/failover/planner.go
@@ -13,15 +13,15 @@
 
 // Settings are the operator's.
 type Settings struct {
-	Headroom float64       // of a zone's capacity that no plan may plan away
-	ReturnIn time.Duration // a zone that is back is given its traffic over so long at least
-	Detect   time.Duration // a trouble shorter than that changes nothing
-	Step     float64       // by which shares move a second at the most, where nothing is out
-	Distance func(from, to string) float64
+	Headroom          float64       // of a zone's capacity that no plan may plan away
+	RecoveryRamp      time.Duration // a zone that is back is given its traffic over so long at least
+	DetectionTime     time.Duration // a trouble shorter than that changes nothing
+	MaxShiftPerSecond float64       // by which shares move a second at the most, where nothing is out
+	Distance          func(from, to string) float64
 }
 
-// Sight is what a dispatcher saw of a zone with jobs of a class, lately.
-type Sight struct {
+// Observation is what a dispatcher saw of a zone with jobs of a class, lately.
+type Observation struct {
 	To     string  `json:"to"`
 	Class  string  `json:"class"`
 	Ended  float64 `json:"ended"`   // calls that anybody answered
@@ -29,28 +29,28 @@
 	Full   float64 `json:"full"`    // of those: turned away
 }
 
-// Hearing is when a dispatcher last had an answer of a zone, to a call or a probe.
-type Hearing struct {
+// LastResponse is when a dispatcher last had an answer of a zone, to a call or a probe.
+type LastResponse struct {
 	To         string        `json:"to"`
 	Since      time.Duration `json:"since"`      // then
 	Unanswered int           `json:"unanswered"` // calls and probes since then
 }
 
-// Asked is what came to a dispatcher, a second.
-type Asked struct {
-	Class string  `json:"class"`
-	Work  float64 `json:"work"`  // seconds of a slot
-	Worth float64 `json:"worth"` // of a second of a slot
+// Arrivals is what came to a dispatcher, a second.
+type Arrivals struct {
+	Class  string  `json:"class"`
+	Work   float64 `json:"work"`  // seconds of a slot
+	Weight float64 `json:"worth"` // of a second of a slot
 }
 
 // Report is a dispatcher's of the last second or so.
 type Report struct {
-	Dispatcher string             `json:"dispatcher"`
-	Zone       string             `json:"zone"`
-	Sights     []Sight            `json:"sights,omitempty"`
-	Heard      []Hearing          `json:"heard,omitempty"`
-	Asked      []Asked            `json:"asked,omitempty"`
-	Capacity   map[string]float64 `json:"capacity,omitempty"` // slots by zone, by its list, cold boxes at what they can do now
+	Dispatcher    string             `json:"dispatcher"`
+	Zone          string             `json:"zone"`
+	Observations  []Observation      `json:"sights,omitempty"`
+	LastResponses []LastResponse     `json:"heard,omitempty"`
+	Arrivals      []Arrivals         `json:"asked,omitempty"`
+	Capacity      map[string]float64 `json:"capacity,omitempty"` // slots by zone, by its list, cold boxes at what they can do now
 }
 
 // verdict on a way from one zone to another, or on a class there.
@@ -70,10 +70,10 @@
 	zones   map[string]string // regions by zone
 	reports map[string]heard
 	ways    map[way]*state
-	asked   map[[2]string]Asked // by zone of arrival and class, smoothed
-	losses  map[string]*loss    // by zone
-	factor  map[string]float64  // of a zone's capacity that its times bear out
-	held    map[string]float64  // zones that people have put out, wholly or to a share of their capacity
+	asked   map[[2]string]Arrivals // by zone of arrival and class, smoothed
+	losses  map[string]*loss       // by zone
+	factor  map[string]float64     // of a zone's capacity that its times bear out
+	held    map[string]float64     // zones that people have put out, wholly or to a share of their capacity
 	plan    *Plan
 	at      Clock // when the plan was made
 	looked  Clock
@@ -86,9 +86,9 @@
 
 // says gives a dispatcher's word on a way: bad where nothing was answered for a while though it was asked for, fine where
 // something was. A zone that is too full to begin jobs answers probes, and that it is full: that is no way that is out.
-func (h Hearing) says() (bad, any bool) {
+func (h LastResponse) says() (bad, any bool) {
 	switch {
-	case h.Unanswered >= unanswered && h.Since >= SilentAfter:
+	case h.Unanswered >= unanswered && h.Since >= NoResponseAfter:
 		return true, true
 	case h.Since < fineFor:
 		return false, true
@@ -115,19 +115,19 @@
 
 // NewPlanner begins with the plan in force; nil for none.
 func NewPlanner(s Settings, regions map[string]string, plan *Plan, now Clock) *Planner {
-	return &Planner{s: s, zones: regions, reports: map[string]heard{}, ways: map[way]*state{}, asked: map[[2]string]Asked{},
+	return &Planner{s: s, zones: regions, reports: map[string]heard{}, ways: map[way]*state{}, asked: map[[2]string]Arrivals{},
 		losses: map[string]*loss{}, factor: map[string]float64{}, held: map[string]float64{}, plan: plan, at: now, looked: now}
 }
 
-// Hear takes a report in.
-func (p *Planner) Hear(r Report, now Clock) { p.reports[r.Dispatcher] = heard{r, now} }
+// AddReport takes a report in.
+func (p *Planner) AddReport(r Report, now Clock) { p.reports[r.Dispatcher] = heard{r, now} }
 
-func sane(s Sight) bool {
+func sane(s Observation) bool {
 	return s.Ended >= 0 && s.InTime >= 0 && s.Full >= 0 && !math.IsInf(s.Ended+s.InTime+s.Full, 0)
 }
 
-// Hold has a zone get no more than a share of its capacity, by people's word; 1 ends that.
-func (p *Planner) Hold(zone string, share float64) {
+// LimitZone has a zone get no more than a share of its capacity, by people's word; 1 ends that.
+func (p *Planner) LimitZone(zone string, share float64) {
 	if p.held[zone] = share; share >= 1 {
 		delete(p.held, zone)
 	}
@@ -165,21 +165,21 @@
 	}
 	next := target
 	if !urgent {
-		apart := Apart(p.plan, target, demands)
-		if apart < leastMove || now-p.at < min(p.s.Detect, calmFor) {
+		apart := MaxDivergence(p.plan, target, demands)
+		if apart < leastMove || now-p.at < min(p.s.DetectionTime, calmFor) {
 			return p.plan, false
 		}
-		if most := p.s.Step * min((now-p.at).Seconds(), 1); apart > most {
-			next = Between(p.plan, target, demands, most/apart)
+		if most := p.s.MaxShiftPerSecond * min((now-p.at).Seconds(), 1); apart > most {
+			next = Interpolate(p.plan, target, demands, most/apart)
 		}
 		// While some act on the last plan and others on this one no zone gets more than all of it.
 		for far := 0.5; far > 0.05 && !p.mixes(next, zones, demands); far /= 2 {
-			next = Between(p.plan, next, demands, far)
+			next = Interpolate(p.plan, next, demands, far)
 		}
 	}
-	next.Why = why
+	next.Reasons = why
 	if p.plan != nil {
-		if Apart(p.plan, next, demands) < leastMove/4 && maps.Equal(p.plan.Why, next.Why) {
+		if MaxDivergence(p.plan, next, demands) < leastMove/4 && maps.Equal(p.plan.Reasons, next.Reasons) {
 			return p.plan, false
 		}
 		next.Number = p.plan.Number
@@ -191,7 +191,7 @@
 
 // mixes tells whether the last plan and the next, mixed, keep within all zones.
 func (p *Planner) mixes(next *Plan, zones []Zone, demands []Demand) bool {
-	most := Mixed(p.plan, next, demands)
+	most := MaxMixedLoad(p.plan, next, demands)
 	for _, z := range zones {
 		if most[z.Name] > max(z.Capacity, p.plan.Load(demands)[z.Name])+tiny {
 			return false
@@ -200,8 +200,8 @@
 	return true
 }
 
-// Room tells how much work a second is shed now, and how much would be with a zone at a share of its capacity.
-func (p *Planner) Room(zone string, share float64, now Clock) (shed, then float64) {
+// PredictShedding tells how much work a second is shed now, and how much would be with a zone at a share of its capacity.
+func (p *Planner) PredictShedding(zone string, share float64, now Clock) (shed, then float64) {
 	zones, demands := p.world(now)
 	ways := func(from, to, class string) (float64, bool) { return p.s.Distance(from, to), !p.out(from, to, class) }
 	sum := func() (all float64) {
@@ -239,7 +239,7 @@
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(p.asked), func(a, b [2]string) int { return strings.Compare(a[0]+"\x00"+a[1], b[0]+"\x00"+b[1]) }) {
 		a := p.asked[key]
-		demands = append(demands, Demand{key[0], key[1], a.Work, a.Worth})
+		demands = append(demands, Demand{key[0], key[1], a.Work, a.Weight})
 	}
 	return zones, demands
 }
@@ -247,10 +247,10 @@
 // returned is how much of its capacity a zone gets that was lost. One that some could not reach was there all the time.
 func (p *Planner) returned(zone string, now Clock) float64 {
 	l := p.losses[zone]
-	if l == nil || l.now || p.s.ReturnIn <= 0 {
+	if l == nil || l.now || p.s.RecoveryRamp <= 0 {
 		return 1
 	}
-	return min(max((now-l.back).Seconds()/p.s.ReturnIn.Seconds(), 0.05), 1)
+	return min(max((now-l.back).Seconds()/p.s.RecoveryRamp.Seconds(), 0.05), 1)
 }
 
 // loss is that of a whole zone, now or before.
@@ -261,22 +261,22 @@
 
 // ask sums up what dispatchers say that clients ask for.
 func (p *Planner) ask() {
-	sum := map[[2]string]Asked{}
+	sum := map[[2]string]Arrivals{}
 	for _, h := range p.reports {
-		for _, a := range h.Asked {
-			if !(a.Work >= 0) || math.IsInf(a.Work, 0) || !(a.Worth >= 0) || math.IsInf(a.Worth, 0) {
+		for _, a := range h.Arrivals {
+			if !(a.Work >= 0) || math.IsInf(a.Work, 0) || !(a.Weight >= 0) || math.IsInf(a.Weight, 0) {
 				continue
 			}
 			key := [2]string{h.Zone, a.Class}
 			s := sum[key]
 			s.Work += a.Work
-			s.Worth = max(s.Worth, a.Worth)
+			s.Weight = max(s.Weight, a.Weight)
 			sum[key] = s
 		}
 	}
 	for key, was := range p.asked {
 		if _, ok := sum[key]; !ok {
-			sum[key] = Asked{Worth: was.Worth}
+			sum[key] = Arrivals{Weight: was.Weight}
 		}
 	}
 	for key, s := range sum {
@@ -297,13 +297,13 @@
 	seen := map[way]tally{}
 	inTime := map[[2]string][2]float64{} // by zone and class: in time, of those reached and not turned away
 	for _, h := range p.reports {
-		for _, s := range h.Sights {
+		for _, s := range h.Observations {
 			if sane(s) && s.Class != "" {
 				k := [2]string{s.To, s.Class}
 				inTime[k] = [2]float64{inTime[k][0] + min(s.InTime, s.Ended), inTime[k][1] + max(s.Ended-s.Full, 0)}
 			}
 		}
-		for _, x := range h.Heard {
+		for _, x := range h.LastResponses {
 			bad, any := x.says()
 			if !any {
 				continue
@@ -326,7 +326,7 @@
 			p.losses[zone] = &loss{now: true}
 		case l != nil && l.now:
 			l.now, l.back = false, now
-		case l != nil && now-l.back > 2*p.s.ReturnIn:
+		case l != nil && now-l.back > 2*p.s.RecoveryRamp:
 			delete(p.losses, zone)
 		}
 		good, all := 0.0, 0.0
@@ -375,13 +375,13 @@
 	if s.bad != bad {
 		s.bad, s.since = bad, now
 	}
-	switch patience := p.s.Detect << min(s.relapses, mostRelapse); {
-	case bad && !s.out && now-s.since >= p.s.Detect:
+	switch patience := p.s.DetectionTime << min(s.relapses, mostRelapse); {
+	case bad && !s.out && now-s.since >= p.s.DetectionTime:
 		s.out = true
 		s.relapses++
 	case !bad && s.out && now-s.since >= patience:
 		s.out, s.back = false, now
-	case !bad && !s.out && s.relapses > 0 && now-s.back > 4*p.s.ReturnIn && now-s.back > time.Minute:
+	case !bad && !s.out && s.relapses > 0 && now-s.back > 4*p.s.RecoveryRamp && now-s.back > time.Minute:
 		delete(p.ways, w) // it has been fine for long: what was is forgotten
 	}
 }
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -33,7 +33,7 @@
 		t.capacity[z], t.work[z] = 100, 50
 		regions[z] = []string{"north", "south"}[i/2]
 	}
-	t.p = NewPlanner(Settings{Headroom: 0.15, ReturnIn: 60 * time.Second, Detect: 1500 * time.Millisecond, Step: 0.1,
+	t.p = NewPlanner(Settings{Headroom: 0.15, RecoveryRamp: 60 * time.Second, DetectionTime: 1500 * time.Millisecond, MaxShiftPerSecond: 0.1,
 		Distance: func(from, to string) float64 { return math.Abs(float64(from[0]) - float64(to[0])) }}, regions, nil, 0)
 	return t
 }
@@ -45,32 +45,32 @@
 			for n := range t.alone {
 				r := Report{Dispatcher: fmt.Sprint(from, n), Zone: from, Capacity: map[string]float64{}}
 				share := t.work[from] / float64(t.alone)
-				r.Asked = []Asked{{"dear", share / 4, 6}, {"cheap", share * 3 / 4, 1}}
+				r.Arrivals = []Arrivals{{"dear", share / 4, 6}, {"cheap", share * 3 / 4, 1}}
 				for _, to := range t.zones {
 					r.Capacity[to] = t.capacity[to]
 					away := t.lost[to] || t.cut[[2]string{from, to}]
-					h := Hearing{To: to, Since: 100 * time.Millisecond}
+					h := LastResponse{To: to, Since: 100 * time.Millisecond}
 					if away {
-						h = Hearing{to, time.Second, 5}
+						h = LastResponse{to, time.Second, 5}
 					}
 					if r.Dispatcher == t.liar { // all is the other way round, and ten times as much
 						r.Capacity[to] = 10 * t.capacity[to]
-						if h = (Hearing{to, time.Second, 5}); away {
-							h = Hearing{To: to}
+						if h = (LastResponse{to, time.Second, 5}); away {
+							h = LastResponse{To: to}
 						}
 					}
-					r.Heard = append(r.Heard, h)
+					r.LastResponses = append(r.LastResponses, h)
 					for _, class := range []string{"dear", "cheap"} {
 						if share := t.p.Plan().Share(from, class, to); share > 0 && !away {
-							s := Sight{To: to, Class: class, Ended: 20 * share, InTime: 20 * share}
+							s := Observation{To: to, Class: class, Ended: 20 * share, InTime: 20 * share}
 							if t.late[to] || t.noClass[[2]string{to, class}] {
 								s.InTime = 0
 							}
-							r.Sights = append(r.Sights, s)
+							r.Observations = append(r.Observations, s)
 						}
 					}
 				}
-				t.p.Hear(r, t.now)
+				t.p.AddReport(r, t.now)
 			}
 		}
 		if _, made := t.p.Next(t.now); made {
@@ -105,7 +105,7 @@
 	w.lost["a"] = true
 	w.run(3)
 	p := w.p.Plan()
-	if p.Share("a", "dear", "a") > 0 || p.Share("a", "dear", "b") < 0.99 || p.Share("c", "dear", "c") < 0.99 || p.Why["a"] == "" {
+	if p.Share("a", "dear", "a") > 0 || p.Share("a", "dear", "b") < 0.99 || p.Share("c", "dear", "c") < 0.99 || p.Reasons["a"] == "" {
 		t.Fatalf("after three seconds %+v", p)
 	}
 	for z, load := range w.load() {
--- a/internal/decisions/failover/solve.go
+++ b/internal/decisions/failover/solve.go
@@ -28,11 +28,11 @@
 type Demand struct {
 	Zone, Class string
 	Work        float64 // seconds of a slot, a second
-	Worth       float64 // of a second of a slot
+	Weight      float64 // of a second of a slot
 }
 
-// Ways tells what jobs of a class may go from a zone to another at all, and how far that is.
-type Ways func(from, to, class string) (distance float64, ok bool)
+// Reachability tells what jobs of a class may go from a zone to another at all, and how far that is.
+type Reachability func(from, to, class string) (distance float64, ok bool)
 
 // Flow is where demands are served.
 type Flow struct {
@@ -52,12 +52,12 @@
 // Solve gives the flow that serves the most worth within room, and of those the one that crosses least. Demands are taken in
 // by worth, each over the cheapest path there is, which may turn others aside but never out: by the exchange argument of
 // minimum-cost flows that is the best of all.
-func Solve(zones []Zone, demands []Demand, ways Ways, headroom float64) Flow {
+func Solve(zones []Zone, demands []Demand, ways Reachability, headroom float64) Flow {
 	order := make([]int, len(demands))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(demands[b].Worth, demands[a].Worth) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(demands[b].Weight, demands[a].Weight) })
 	f := Flow{Served: make([][]float64, len(demands)), Shed: make([]float64, len(demands))}
 	cost := make([][]float64, len(demands))
 	region := map[string]string{}
@@ -85,12 +85,12 @@
 	}
 	g := graph{served: f.Served, cost: cost, room: room, left: make([]float64, len(demands)), worth: make([]float64, len(demands))}
 	for i, d := range demands {
-		g.worth[i] = d.Worth
+		g.worth[i] = d.Weight
 	}
 	for k := 0; k < len(order); {
 		group := order[k:]
 		for n, i := range group {
-			if demands[i].Worth != demands[group[0]].Worth {
+			if demands[i].Weight != demands[group[0]].Weight {
 				group = group[:n]
 				break
 			}
@@ -99,7 +99,7 @@
 		for _, i := range group {
 			g.left[i] = max(demands[i].Work, 0)
 		}
-		for g.augment(demands[group[0]].Worth) {
+		for g.augment(demands[group[0]].Weight) {
 		}
 	}
 	copy(f.Shed, g.left)
--- a/internal/decisions/failover/solve_test.go
+++ b/internal/decisions/failover/solve_test.go
@@ -11,7 +11,7 @@
 )
 
 // world draws zones, demands and ways.
-func world(t *rapid.T) (zones []Zone, demands []Demand, ways Ways) {
+func world(t *rapid.T) (zones []Zone, demands []Demand, ways Reachability) {
 	n := rapid.IntRange(1, 4).Draw(t, "zones")
 	for i := range n {
 		zones = append(zones, Zone{fmt.Sprint("z", i), fmt.Sprint("r", i%2), float64(rapid.IntRange(0, 20).Draw(t, "capacity"))})
@@ -43,7 +43,7 @@
 }
 
 // yardstick solves the same as a linear programme: the most worth, and then the least crossing.
-func yardstick(zones []Zone, demands []Demand, ways Ways, headroom float64) (worth, crossing float64) {
+func yardstick(zones []Zone, demands []Demand, ways Reachability, headroom float64) (worth, crossing float64) {
 	n, m := len(demands), len(zones)
 	cols := n*m + n + m // flows, what is shed, what room is left
 	cost := make([]float64, cols)
@@ -61,7 +61,7 @@
 			}
 		}
 		a.Set(i, n*m+i, 1)
-		cost[n*m+i] = d.Worth
+		cost[n*m+i] = d.Weight
 	}
 	for j, z := range zones {
 		b[n+j] = z.Capacity * (1 - headroom)
@@ -72,7 +72,7 @@
 		return math.NaN(), 0
 	}
 	for i, d := range demands {
-		worth += d.Worth * (d.Work - x[n*m+i])
+		worth += d.Weight * (d.Work - x[n*m+i])
 		for j, z := range zones {
 			crossing += price(zones, d.Zone, z) * x[i*m+j]
 		}
@@ -100,7 +100,7 @@
 				}
 				sum += x
 				load[j] += x
-				worth += d.Worth * x
+				worth += d.Weight * x
 				crossing += price(zones, d.Zone, z) * x
 			}
 			if math.Abs(sum-d.Work) > 1e-6 {
@@ -132,7 +132,7 @@
 			zones[i].Capacity *= rapid.Float64Range(0.9, 1.1).Draw(t, "moves")
 		}
 		b := planOf(demands, zones, Solve(zones, demands, ways, 0.15))
-		apart := Apart(a, b, demands)
+		apart := MaxDivergence(a, b, demands)
 		for _, d := range demands {
 			if d.Work < tiny {
 				continue
@@ -156,12 +156,12 @@
 				t.Fatalf("%d of %d moved, shares by %v", moved, n, apart)
 			}
 		}
-		for zone, most := range Mixed(a, b, demands) {
+		for zone, most := range MaxMixedLoad(a, b, demands) {
 			if most < a.Load(demands)[zone]-1e-6 || most < b.Load(demands)[zone]-1e-6 {
 				t.Fatalf("mixed %v in %s", most, zone)
 			}
 		}
-		half := Between(a, b, demands, 0.5)
+		half := Interpolate(a, b, demands, 0.5)
 		for zone, load := range half.Load(demands) {
 			if load > max(a.Load(demands)[zone], b.Load(demands)[zone])+1e-6 {
 				t.Fatalf("between two plans %v in %s", load, zone)
--- a/internal/decisions/failover/watcher.go
+++ b/internal/decisions/failover/watcher.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Watcher is a dispatcher's part: it counts what the reports say.
-type Watcher struct {
+// Recorder is a dispatcher's part: it counts what the reports say.
+type Recorder struct {
 	name, zone string
-	sights     map[[2]string]*Sight // by zone and class
+	sights     map[[2]string]*Observation // by zone and class
 	asked      map[string]*asked
 	heard      map[string]hearing
 	said       map[string]bool // ways that were bad by the last report
@@ -26,12 +26,12 @@
 	ran   float64 // seconds of a slot that a job of the class takes, on average
 }
 
-// NewWatcher begins.
-func NewWatcher(name, zone string, now Clock) *Watcher {
-	return &Watcher{name: name, zone: zone, sights: map[[2]string]*Sight{}, asked: map[string]*asked{}, heard: map[string]hearing{}, said: map[string]bool{}, last: now}
+// NewRecorder begins.
+func NewRecorder(name, zone string, now Clock) *Recorder {
+	return &Recorder{name: name, zone: zone, sights: map[[2]string]*Observation{}, asked: map[string]*asked{}, heard: map[string]hearing{}, said: map[string]bool{}, last: now}
 }
 
-func (w *Watcher) class(class string) *asked {
+func (w *Recorder) class(class string) *asked {
 	a := w.asked[class]
 	if a == nil {
 		a = &asked{}
@@ -40,16 +40,16 @@
 	return a
 }
 
-// Asked counts a job that came, whatever becomes of it; worth is of a second of its work.
-func (w *Watcher) Asked(class string, worth float64) {
+// JobArrived counts a job that came, whatever becomes of it; worth is of a second of its work.
+func (w *Recorder) JobArrived(class string, worth float64) {
 	a := w.class(class)
 	a.jobs++
 	a.worth = worth
 }
 
-// Ended counts a call that somebody answered: whether that was to turn it away, whether its answer was in time, and for how
+// CallEnded counts a call that somebody answered: whether that was to turn it away, whether its answer was in time, and for how
 // long its job ran at all its slots together; 0 where that is not known.
-func (w *Watcher) Ended(to, class string, full, inTime bool, ran time.Duration, now Clock) {
+func (w *Recorder) CallEnded(to, class string, full, inTime bool, ran time.Duration, now Clock) {
 	s := w.sight(to, class)
 	s.Ended++
 	if full {
@@ -64,17 +64,17 @@
 		}
 		a.ran += 0.05 * (ran.Seconds() - a.ran)
 	}
-	w.Heard(to, now)
+	w.ResponseReceived(to, now)
 }
 
-// SilentAfter is how long a call may be without any sign before it is counted as one that nobody has answered.
-const SilentAfter = 500 * time.Millisecond
+// NoResponseAfter is how long a call may be without any sign before it is counted as one that nobody has answered.
+const NoResponseAfter = 500 * time.Millisecond
 
-// Heard notes any sign of a zone: an answer, to a probe too, or that a job has started.
-func (w *Watcher) Heard(to string, now Clock) { w.heard[to] = hearing{now, 0} }
+// ResponseReceived notes any sign of a zone: an answer, to a probe too, or that a job has started.
+func (w *Recorder) ResponseReceived(to string, now Clock) { w.heard[to] = hearing{now, 0} }
 
-// Silent counts a call or a probe that nobody has answered.
-func (w *Watcher) Silent(to string, now Clock) {
+// CallUnanswered counts a call or a probe that nobody has answered.
+func (w *Recorder) CallUnanswered(to string, now Clock) {
 	h, ok := w.heard[to]
 	if !ok {
 		h.at = now
@@ -83,37 +83,37 @@
 	w.heard[to] = h
 }
 
-func (w *Watcher) sight(to, class string) *Sight {
+func (w *Recorder) sight(to, class string) *Observation {
 	s := w.sights[[2]string{to, class}]
 	if s == nil {
-		s = &Sight{To: to, Class: class}
+		s = &Observation{To: to, Class: class}
 		w.sights[[2]string{to, class}] = s
 	}
 	return s
 }
 
 // Report gives what was seen since the last one, and begins anew.
-func (w *Watcher) Report(now Clock, capacity map[string]float64) Report {
+func (w *Recorder) Report(now Clock, capacity map[string]float64) Report {
 	r := Report{Dispatcher: w.name, Zone: w.zone, Capacity: map[string]float64{}}
 	seconds := max((now - w.last).Seconds(), 1e-3)
 	for key, s := range w.sights {
 		if s.Ended > 0 {
-			r.Sights = append(r.Sights, *s)
+			r.Observations = append(r.Observations, *s)
 		}
 		delete(w.sights, key)
 	}
 	clear(w.said)
 	for to, h := range w.heard {
-		x := Hearing{to, (now - h.at).Round(time.Millisecond), h.unanswered}
+		x := LastResponse{to, (now - h.at).Round(time.Millisecond), h.unanswered}
 		bad, any := x.says()
 		if !any && x.Unanswered == 0 {
 			continue // an old answer, and nothing asked for since: it says nothing
 		}
 		w.said[to] = bad
-		r.Heard = append(r.Heard, x)
+		r.LastResponses = append(r.LastResponses, x)
 	}
 	for class, a := range w.asked {
-		r.Asked = append(r.Asked, Asked{class, short(a.jobs / seconds * a.ran), a.worth})
+		r.Arrivals = append(r.Arrivals, Arrivals{class, short(a.jobs / seconds * a.ran), a.worth})
 		a.jobs = 0
 	}
 	for zone, c := range capacity {
@@ -123,10 +123,10 @@
 	return r
 }
 
-// Urgent tells whether a way is bad that was not by the last report, or the other way round.
-func (w *Watcher) Urgent(now Clock) bool {
+// HasUrgentChange tells whether a way is bad that was not by the last report, or the other way round.
+func (w *Recorder) HasUrgentChange(now Clock) bool {
 	for to, h := range w.heard {
-		if bad, any := (Hearing{to, now - h.at, h.unanswered}).says(); any && bad != w.said[to] {
+		if bad, any := (LastResponse{to, now - h.at, h.unanswered}).says(); any && bad != w.said[to] {
 			return true
 		}
 	}
--- a/internal/decisions/failover/why.go
+++ b/internal/decisions/failover/why.go
@@ -7,31 +7,31 @@
 	"strings"
 )
 
-// View is what the planner makes of a zone.
-type View struct {
-	Zone     string   `json:"zone"`
-	Region   string   `json:"region"`
-	Capacity float64  `json:"capacity"` // slots, as it is planned with
-	Planned  float64  `json:"planned"`  // slots' work that the plan has it serve
-	Asked    float64  `json:"asked"`    // that comes there
-	Shed     float64  `json:"shed"`     // of what comes there
-	Factor   float64  `json:"factor"`   // of its capacity that its times bear out
-	OutFrom  []string `json:"out_from,omitempty"`
-	Why      string   `json:"why,omitempty"`
+// ZoneView is what the planner makes of a zone.
+type ZoneView struct {
+	Zone            string   `json:"zone"`
+	Region          string   `json:"region"`
+	Capacity        float64  `json:"capacity"` // slots, as it is planned with
+	Planned         float64  `json:"planned"`  // slots' work that the plan has it serve
+	Demand          float64  `json:"asked"`    // that comes there
+	Shed            float64  `json:"shed"`     // of what comes there
+	CapacityFactor  float64  `json:"factor"`   // of its capacity that its times bear out
+	UnreachableFrom []string `json:"out_from,omitempty"`
+	Reason          string   `json:"why,omitempty"`
 }
 
 // Views gives it for all zones, by name.
-func (p *Planner) Views(now Clock) (all []View) {
+func (p *Planner) Views(now Clock) (all []ZoneView) {
 	zones, demands := p.world(now)
 	load := p.plan.Load(demands)
 	for _, z := range zones {
-		v := View{Zone: z.Name, Region: z.Region, Capacity: z.Capacity, Planned: load[z.Name], Factor: 1}
+		v := ZoneView{Zone: z.Name, Region: z.Region, Capacity: z.Capacity, Planned: load[z.Name], CapacityFactor: 1}
 		if f, ok := p.factor[z.Name]; ok {
-			v.Factor = f
+			v.CapacityFactor = f
 		}
 		for _, d := range demands {
 			if d.Zone == z.Name {
-				v.Asked += d.Work
+				v.Demand += d.Work
 				served := 0.0
 				for _, part := range p.plan.parts(d.Zone, d.Class) {
 					served += part.Share
@@ -41,11 +41,11 @@
 		}
 		for _, o := range zones {
 			if p.out(o.Name, z.Name, "") {
-				v.OutFrom = append(v.OutFrom, o.Name)
+				v.UnreachableFrom = append(v.UnreachableFrom, o.Name)
 			}
 		}
 		if p.plan != nil {
-			v.Why = p.plan.Why[z.Name]
+			v.Reason = p.plan.Reasons[z.Name]
 		}
 		all = append(all, v)
 	}
--- a/internal/decisions/membership/membership.go
+++ b/internal/decisions/membership/membership.go
@@ -29,59 +29,59 @@
 )
 
 const (
-	// Settle is how far behind the newest list an answer may have been composed: what discovery has counts as told after it.
-	Settle = 6 * time.Second
+	// MaxStaleness is how far behind the newest list an answer may have been composed: what discovery has counts as told after it.
+	MaxStaleness = 6 * time.Second
 
 	// remembered is how long a worker that is gone is known to be.
-	remembered = 10 * Settle
+	remembered = 10 * MaxStaleness
 )
 
-// Unknown is the revision of a list whose revision cannot be compared with any.
-const Unknown = -1
+// UnknownRevision is the revision of a list whose revision cannot be compared with any.
+const UnknownRevision = -1
 
-// Member is what an answer says of a worker.
-type Member struct {
-	ID    brain.WorkerID
-	State brain.WorkerState
-	Start brain.Clock // as discovery stamps it; 0 for long ago
-	Told  time.Time   // when a predecessor was told that it takes no more requests; zero for now
+// Endpoint is what an answer says of a worker.
+type Endpoint struct {
+	ID         brain.WorkerID
+	State      brain.WorkerState
+	Start      brain.Clock // as discovery stamps it; 0 for long ago
+	NotifiedAt time.Time   // when a predecessor was told that it takes no more requests; zero for now
 }
 
-// Answer is a list, or a change of one.
-type Answer struct {
-	Service  string // two of one name count revisions alike
-	Revision int64
-	Complete bool      // whom it does not name is gone
-	Asked    time.Time // when its call was made
-	Came     time.Time
-	Members  []Member
+// ListResponse is a list, or a change of one.
+type ListResponse struct {
+	Service    string // two of one name count revisions alike
+	Revision   int64
+	Complete   bool      // whom it does not name is gone
+	CalledAt   time.Time // when its call was made
+	ReceivedAt time.Time
+	Endpoints  []Endpoint
 }
 
-// Order is how an answer stands to those of its service before.
-type Order uint8
+// Freshness is how an answer stands to those of its service before.
+type Freshness uint8
 
 const (
-	Current   Order = iota // it is as new as any before, or the service counts anew
-	Overtaken              // its call was made before the answer to a later one came that was newer
-	Lagging                // it has a lower revision than one before
+	Current   Freshness = iota // it is as new as any before, or the service counts anew
+	Overtaken                  // its call was made before the answer to a later one came that was newer
+	Lagging                    // it has a lower revision than one before
 )
 
-// Absent is the index of a worker that a complete answer does not name.
-const Absent = -1
+// NotListed is the index of a worker that a complete answer does not name.
+const NotListed = -1
 
 // Accepted is what counts of an answer about one worker.
 type Accepted struct {
-	Index int // of the answer's member, or Absent
-	ID    brain.WorkerID
-	State brain.WorkerState
-	Start brain.Clock
-	Told  time.Time // when it was first told to be draining or gone; zero while it is neither
+	Index      int // of the answer's member, or Absent
+	ID         brain.WorkerID
+	State      brain.WorkerState
+	Start      brain.Clock
+	NotifiedAt time.Time // when it was first told to be draining or gone; zero while it is neither
 }
 
-// Verdict is what counts of an answer.
-type Verdict struct {
-	Accepted []Accepted
-	AskAgain time.Time // from then on the whole list is to be asked for: something was not believed; zero for nothing
+// Changes is what counts of an answer.
+type Changes struct {
+	Accepted    []Accepted
+	PollAgainAt time.Time // from then on the whole list is to be asked for: something was not believed; zero for nothing
 }
 
 // record is what is known of a worker.
@@ -109,22 +109,22 @@
 	services map[string]*progress
 }
 
-// Begin enters what was known before this process began, at a revision of a service. How long ago that was is not known.
-func (t *Table) Begin(service string, revision int64, members []Member) {
+// Restore enters what was known before this process began, at a revision of a service. How long ago that was is not known.
+func (t *Table) Restore(service string, revision int64, members []Endpoint) {
 	t.service(service).revision = revision
 	for _, m := range members {
-		t.Enter(m, service, revision)
+		t.Record(m, service, revision)
 	}
 }
 
-// Enter notes what is known of a worker by another way than an answer.
-func (t *Table) Enter(m Member, service string, revision int64) {
+// Record notes what is known of a worker by another way than an answer.
+func (t *Table) Record(m Endpoint, service string, revision int64) {
 	if t.records == nil {
 		t.records = map[brain.WorkerID]record{}
 	}
 	r := record{state: m.State, start: m.Start, service: service, epoch: t.service(service).epoch, revision: revision}
 	if m.State != brain.Ready {
-		r.told = m.Told
+		r.told = m.NotifiedAt
 	}
 	t.records[m.ID] = r
 }
@@ -135,39 +135,39 @@
 	}
 	p := t.services[name]
 	if p == nil {
-		p = &progress{revision: Unknown}
+		p = &progress{revision: UnknownRevision}
 		t.services[name] = p
 	}
 	return p
 }
 
 // Order tells how an answer stands to those before. It is asked once for each answer, before Take.
-func (t *Table) Classify(a Answer) Order {
+func (t *Table) Classify(a ListResponse) Freshness {
 	p := t.service(a.Service)
 	switch {
 	case a.Revision >= p.revision:
-	case a.Asked.Before(p.heard):
+	case a.CalledAt.Before(p.heard):
 		return Overtaken
 	case p.lowerSince.IsZero():
-		p.lowerSince = a.Came
+		p.lowerSince = a.ReceivedAt
 		return Lagging
-	case a.Came.Sub(p.lowerSince) < Settle:
+	case a.ReceivedAt.Sub(p.lowerSince) < MaxStaleness:
 		return Lagging
 	default:
 		p.epoch++
 	}
-	p.revision, p.heard, p.lowerSince = a.Revision, a.Came, time.Time{}
+	p.revision, p.heard, p.lowerSince = a.Revision, a.ReceivedAt, time.Time{}
 	return Current
 }
 
 // Take gives what counts of an answer that is Current or Lagging.
-func (t *Table) Apply(a Answer, order Order) Verdict {
-	var v Verdict
+func (t *Table) Apply(a ListResponse, order Freshness) Changes {
+	var v Changes
 	if order == Lagging {
-		v.AskAgain = a.Came
+		v.PollAgainAt = a.ReceivedAt
 	}
-	named := make(map[brain.WorkerID]bool, len(a.Members))
-	for i, m := range a.Members {
+	named := make(map[brain.WorkerID]bool, len(a.Endpoints))
+	for i, m := range a.Endpoints {
 		named[m.ID] = true
 		t.takeMember(a, order, i, m, &v)
 	}
@@ -178,15 +178,15 @@
 }
 
 // takeMember takes in what an answer says of a worker.
-func (t *Table) takeMember(a Answer, order Order, index int, m Member, v *Verdict) {
+func (t *Table) takeMember(a ListResponse, order Freshness, index int, m Endpoint, v *Changes) {
 	r, known := t.records[m.ID]
 	if order == Lagging && (!known || m.State == brain.Ready || r.state != brain.Ready) {
 		return
 	}
 	newer := !known || order == Current && t.newer(a, r)
 	if m.State == brain.Ready && r.state != brain.Ready && !newer && m.Start <= r.start {
-		if again := r.learned.Add(Settle); v.AskAgain.IsZero() || again.Before(v.AskAgain) {
-			v.AskAgain = again
+		if again := r.learned.Add(MaxStaleness); v.PollAgainAt.IsZero() || again.Before(v.PollAgainAt) {
+			v.PollAgainAt = again
 		}
 		return
 	}
@@ -200,41 +200,41 @@
 }
 
 // newer tells whether an answer was surely composed behind what is known of a worker.
-func (t *Table) newer(a Answer, r record) bool {
-	same := r.service == a.Service && r.epoch == t.service(a.Service).epoch && r.revision != Unknown
-	return same && a.Revision > r.revision || !a.Asked.Before(r.learned.Add(Settle))
+func (t *Table) newer(a ListResponse, r record) bool {
+	same := r.service == a.Service && r.epoch == t.service(a.Service).epoch && r.revision != UnknownRevision
+	return same && a.Revision > r.revision || !a.CalledAt.Before(r.learned.Add(MaxStaleness))
 }
 
 // takeAbsent has those end whom a whole list does not name.
-func (t *Table) takeAbsent(a Answer, named map[brain.WorkerID]bool, v *Verdict) {
+func (t *Table) takeAbsent(a ListResponse, named map[brain.WorkerID]bool, v *Changes) {
 	for id, r := range t.records {
 		switch {
 		case named[id]:
 		case r.state != brain.Gone:
-			t.put(a, Absent, Member{ID: id, State: brain.Gone, Start: r.start}, r, v)
-		case a.Came.Sub(r.learned) > remembered:
+			t.put(a, NotListed, Endpoint{ID: id, State: brain.Gone, Start: r.start}, r, v)
+		case a.ReceivedAt.Sub(r.learned) > remembered:
 			delete(t.records, id)
 		}
 	}
 }
 
 // put enters what counts about a worker.
-func (t *Table) put(a Answer, index int, m Member, before record, v *Verdict) {
+func (t *Table) put(a ListResponse, index int, m Endpoint, before record, v *Changes) {
 	if t.records == nil {
 		t.records = map[brain.WorkerID]record{}
 	}
 	now := record{state: m.State, start: m.Start, learned: before.learned, service: a.Service, epoch: t.service(a.Service).epoch, revision: a.Revision}
 	if now.state != before.state || now.start != before.start {
-		now.learned = a.Came
+		now.learned = a.ReceivedAt
 	}
 	if now.state != brain.Ready {
 		now.told = before.told
 		if now.told.IsZero() {
-			now.told = earlier(m.Told, a.Came)
+			now.told = earlier(m.NotifiedAt, a.ReceivedAt)
 		}
 	}
 	t.records[m.ID] = now
-	v.Accepted = append(v.Accepted, Accepted{Index: index, ID: m.ID, State: now.state, Start: now.start, Told: now.told})
+	v.Accepted = append(v.Accepted, Accepted{Index: index, ID: m.ID, State: now.state, Start: now.start, NotifiedAt: now.told})
 }
 
 // earlier gives the earlier of two moments, of which the first may be none.
--- a/internal/decisions/membership/membership_test.go
+++ b/internal/decisions/membership/membership_test.go
@@ -12,14 +12,14 @@
 
 // table is what the properties are held over: Table, or a version of it that is broken on purpose.
 type table interface {
-	Classify(Answer) Order
-	Apply(Answer, Order) Verdict
+	Classify(ListResponse) Freshness
+	Apply(ListResponse, Freshness) Changes
 }
 
 // change is one of the truth about the worker "w": what discovery has from a moment on.
 type change struct {
 	at     time.Duration
-	member Member // State Gone for a worker that is not listed
+	member Endpoint // State Gone for a worker that is not listed
 }
 
 // world is a fleet's discovery: what is true when, and services that show it late.
@@ -54,9 +54,9 @@
 // answer brings an answer that was composed at a moment. It returns what breaks a property.
 func (w *world) answer(s shownBy, asked, composed, came time.Duration) error {
 	shown := w.asOf(composed)
-	a := Answer{Service: s.name, Revision: s.first + int64(shown), Complete: true, Asked: w.at(asked), Came: w.at(came)}
+	a := ListResponse{Service: s.name, Revision: s.first + int64(shown), Complete: true, CalledAt: w.at(asked), ReceivedAt: w.at(came)}
 	if m := w.truth[shown].member; m.State != brain.Gone {
-		a.Members = []Member{m}
+		a.Endpoints = []Endpoint{m}
 	}
 	order := w.table.Classify(a)
 	if order == Overtaken {
@@ -70,8 +70,8 @@
 			if was == brain.Ready {
 				w.known = max(w.known, shown)
 			}
-			if accepted.Told.After(a.Came) || accepted.Told.IsZero() {
-				return fmt.Errorf("told %v, behind the answer of %v", accepted.Told, a.Came)
+			if accepted.NotifiedAt.After(a.ReceivedAt) || accepted.NotifiedAt.IsZero() {
+				return fmt.Errorf("told %v, behind the answer of %v", accepted.NotifiedAt, a.ReceivedAt)
 			}
 		case was != brain.Ready && shown <= w.known:
 			return fmt.Errorf("a list of change %d, composed at %v, takes back what change %d brought", shown, composed, w.known)
@@ -83,7 +83,7 @@
 // settles tells whether answers that come from now on bring the truth in its time.
 func (w *world) settles(s shownBy, from time.Duration) error {
 	last := len(w.truth) - 1
-	for at := from; at <= from+Settle+time.Second; at += time.Second {
+	for at := from; at <= from+MaxStaleness+time.Second; at += time.Second {
 		if err := w.answer(s, at, at, at+10*time.Millisecond); err != nil {
 			return err
 		}
@@ -96,9 +96,11 @@
 
 // scripts are the truths that are played: a drain, an end, a return, a new start.
 func scripts() [][]change {
-	member := func(s brain.WorkerState, start brain.Clock) Member { return Member{ID: "w", State: s, Start: start} }
+	member := func(s brain.WorkerState, start brain.Clock) Endpoint {
+		return Endpoint{ID: "w", State: s, Start: start}
+	}
 	active, drains, gone, anew := member(brain.Ready, 0), member(brain.Draining, 0), member(brain.Gone, 0), member(brain.Ready, 7)
-	at := func(members ...Member) (truth []change) {
+	at := func(members ...Endpoint) (truth []change) {
 		for i, m := range members {
 			truth = append(truth, change{time.Duration(i) * 4 * time.Second, m})
 		}
@@ -109,7 +111,7 @@
 }
 
 // mostLag is how old an answer may be when its call is made, in the plays.
-const mostLag = Settle - time.Second
+const mostLag = MaxStaleness - time.Second
 
 // explore plays all sequences of so many answers of two services, each composed up to mostLag before its call or any time until it
 // came, and gives the first that breaks a property.
@@ -175,11 +177,11 @@
 // Long histories: drawn truths, answers that are delayed, doubled and overtaken, of replicas of two services that lag.
 func TestDrawnHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{table: &Table{}, now: brain.Gone, known: -1, truth: []change{{0, Member{ID: "w"}}}}
+		w := &world{table: &Table{}, now: brain.Gone, known: -1, truth: []change{{0, Endpoint{ID: "w"}}}}
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			at += time.Duration(rapid.Int64Range(int64(100*time.Millisecond), int64(8*time.Second)).Draw(t, "pause"))
-			m := Member{ID: "w", State: brain.WorkerState(rapid.IntRange(0, 2).Draw(t, "state")), Start: w.truth[len(w.truth)-1].member.Start}
+			m := Endpoint{ID: "w", State: brain.WorkerState(rapid.IntRange(0, 2).Draw(t, "state")), Start: w.truth[len(w.truth)-1].member.Start}
 			if m.State == brain.Ready && rapid.Bool().Draw(t, "a new start") {
 				m.Start += time.Second
 			}
@@ -208,13 +210,13 @@
 	state brain.WorkerState
 }
 
-func (l *literal) Apply(a Answer, _ Order) (v Verdict) {
-	m := Member{ID: "w", State: brain.Gone}
-	if len(a.Members) > 0 {
-		m = a.Members[0]
+func (l *literal) Apply(a ListResponse, _ Freshness) (v Changes) {
+	m := Endpoint{ID: "w", State: brain.Gone}
+	if len(a.Endpoints) > 0 {
+		m = a.Endpoints[0]
 	}
 	if l.state != m.State {
-		v.Accepted = []Accepted{{ID: "w", State: m.State, Told: a.Came}}
+		v.Accepted = []Accepted{{ID: "w", State: m.State, NotifiedAt: a.ReceivedAt}}
 	}
 	l.state = m.State
 	return v
@@ -226,7 +228,7 @@
 	ended bool
 }
 
-func (s *stubborn) Apply(a Answer, o Order) (v Verdict) {
+func (s *stubborn) Apply(a ListResponse, o Freshness) (v Changes) {
 	for _, x := range s.Table.Apply(a, o).Accepted {
 		if x.State == brain.Ready && s.ended {
 			continue
@@ -240,7 +242,7 @@
 // forgetful keeps nothing of a worker that is gone.
 type forgetful struct{ Table }
 
-func (f *forgetful) Apply(a Answer, o Order) Verdict {
+func (f *forgetful) Apply(a ListResponse, o Freshness) Changes {
 	v := f.Table.Apply(a, o)
 	if f.records["w"].state == brain.Gone {
 		delete(f.records, "w")
@@ -251,11 +253,11 @@
 // late counts a drain from the last answer that named it.
 type late struct{ Table }
 
-func (l *late) Apply(a Answer, o Order) Verdict {
+func (l *late) Apply(a ListResponse, o Freshness) Changes {
 	v := l.Table.Apply(a, o)
 	for i := range v.Accepted {
 		if v.Accepted[i].State != brain.Ready {
-			v.Accepted[i].Told = a.Came.Add(time.Second)
+			v.Accepted[i].NotifiedAt = a.ReceivedAt.Add(time.Second)
 		}
 	}
 	return v
@@ -282,17 +284,17 @@
 // An answer that is not believed says when to ask again.
 func TestAskAgain(t *testing.T) {
 	var known Table
-	take := func(a Answer) Verdict { return known.Apply(a, known.Classify(a)) }
-	drains := Answer{Service: "before", Revision: 9, Asked: epoch, Came: epoch.Add(time.Second), Members: []Member{{ID: "w", State: brain.Draining}}}
-	if v := take(drains); len(v.Accepted) != 1 || v.Accepted[0].Told != drains.Came || !v.AskAgain.IsZero() {
+	take := func(a ListResponse) Changes { return known.Apply(a, known.Classify(a)) }
+	drains := ListResponse{Service: "before", Revision: 9, CalledAt: epoch, ReceivedAt: epoch.Add(time.Second), Endpoints: []Endpoint{{ID: "w", State: brain.Draining}}}
+	if v := take(drains); len(v.Accepted) != 1 || v.Accepted[0].NotifiedAt != drains.ReceivedAt || !v.PollAgainAt.IsZero() {
 		t.Fatalf("%+v", v)
 	}
-	active := Answer{Service: "behind", Revision: 3, Complete: true, Asked: drains.Came.Add(time.Second), Came: drains.Came.Add(2 * time.Second), Members: []Member{{ID: "w"}}}
-	if v := take(active); len(v.Accepted) != 0 || v.AskAgain != drains.Came.Add(Settle) {
+	active := ListResponse{Service: "behind", Revision: 3, Complete: true, CalledAt: drains.ReceivedAt.Add(time.Second), ReceivedAt: drains.ReceivedAt.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
+	if v := take(active); len(v.Accepted) != 0 || v.PollAgainAt != drains.ReceivedAt.Add(MaxStaleness) {
 		t.Fatalf("%+v", v)
 	}
-	active.Asked, active.Came = drains.Came.Add(Settle), drains.Came.Add(Settle+time.Second)
-	if v := take(active); len(v.Accepted) != 1 || v.Accepted[0].State != brain.Ready || !v.Accepted[0].Told.IsZero() {
+	active.CalledAt, active.ReceivedAt = drains.ReceivedAt.Add(MaxStaleness), drains.ReceivedAt.Add(MaxStaleness+time.Second)
+	if v := take(active); len(v.Accepted) != 1 || v.Accepted[0].State != brain.Ready || !v.Accepted[0].NotifiedAt.IsZero() {
 		t.Fatalf("%+v", v)
 	}
 }
--- a/internal/decisions/neighbours/neighbours.go
+++ b/internal/decisions/neighbours/neighbours.go
@@ -27,32 +27,32 @@
 type Clock = time.Duration
 
 const (
-	// Spacing is the least time between two exchanges that a dispatcher begins, for each of its neighbours: an exchange
+	// MinExchangeInterval is the least time between two exchanges that a dispatcher begins, for each of its neighbours: an exchange
 	// takes bytes by their number.
-	Spacing = 200 * time.Millisecond
-	// Settle is for how long the leader has to know others than a dispatcher before it exchanges all with one of them:
+	MinExchangeInterval = 200 * time.Millisecond
+	// GossipSettleTime is for how long the leader has to know others than a dispatcher before it exchanges all with one of them:
 	// gossip tells it by itself who came and who fell silent, and takes up to so long. One that knows no more than half of
 	// those that the leader knows does not wait: gossip does not reach it.
-	Settle = 20 * time.Second
+	GossipSettleTime = 20 * time.Second
 
 	leastSpacing = 2 * time.Second
 	mostPatience = 16
 	named        = 2 // neighbours at a time
 )
 
-// Near tells whether two dispatchers gossip with each other.
-func Near(region, zone, otherRegion, otherZone string) bool {
+// ArePeers tells whether two dispatchers gossip with each other.
+func ArePeers(region, zone, otherRegion, otherZone string) bool {
 	return region == otherRegion && zone == otherZone
 }
 
-// Roll is who is of a zone, as somebody knows it, without their names.
-type Roll struct {
+// Digest is who is of a zone, as somebody knows it, without their names.
+type Digest struct {
 	Count int    `json:"n"`
 	Sum   uint64 `json:"s"` // of the names' hashes, in whatever order
 }
 
-// Of gives the roll of names, each of which is there once.
-func Of(names []string) (r Roll) {
+// DigestOf gives the roll of names, each of which is there once.
+func DigestOf(names []string) (r Digest) {
 	for _, name := range names {
 		h := fnv.New64a()
 		h.Write([]byte(name))
@@ -67,28 +67,28 @@
 	Name, Address, Region, Zone string
 }
 
-// Register is the leader's: who holds leases in each zone, as of its last look.
-type Register struct {
+// Directory is the leader's: who holds leases in each zone, as of its last look.
+type Directory struct {
 	looked Clock
 	zones  map[[2]string]*zone
 	turn   uint64
 }
 
 type zone struct {
-	roll    Roll
+	roll    Digest
 	members []Member // by name
 }
 
-// NewRegister makes an empty one. It is to be looked at before anybody is named.
-func NewRegister() *Register { return &Register{looked: -lookEvery, zones: map[[2]string]*zone{}} }
+// NewDirectory makes an empty one. It is to be looked at before anybody is named.
+func NewDirectory() *Directory { return &Directory{looked: -lookEvery, zones: map[[2]string]*zone{}} }
 
 const lookEvery = 250 * time.Millisecond
 
 // Due tells whether the register is to be made anew.
-func (g *Register) Due(now Clock) bool { return now-g.looked >= lookEvery }
+func (g *Directory) Due(now Clock) bool { return now-g.looked >= lookEvery }
 
-// Look takes in who holds leases now.
-func (g *Register) Look(members []Member, now Clock) {
+// Refresh takes in who holds leases now.
+func (g *Directory) Refresh(members []Member, now Clock) {
 	g.looked = now
 	clear(g.zones)
 	for _, m := range members {
@@ -106,25 +106,25 @@
 		for i, m := range z.members {
 			names[i] = m.Name
 		}
-		z.roll = Of(names)
+		z.roll = DigestOf(names)
 	}
 }
 
-// Named is what the leader says to one who knows other neighbours than the register has.
-type Named struct {
+// PeerSuggestion is what the leader says to one who knows other neighbours than the register has.
+type PeerSuggestion struct {
 	Count     int      `json:"n"` // that the register has
 	Addresses []string `json:"a"` // of some of them
 }
 
-// Name names some neighbours of one who knows others than the register has; nil where both know the same. Each question is
+// Suggest names some neighbours of one who knows others than the register has; nil where both know the same. Each question is
 // answered by others, so whoever asks often enough is named each.
-func (g *Register) Name(asks Member, knows Roll) *Named {
+func (g *Directory) Suggest(asks Member, knows Digest) *PeerSuggestion {
 	z := g.zones[[2]string{asks.Region, asks.Zone}]
 	if z == nil || z.roll == knows || len(z.members) < 2 && knows.Count < 2 {
 		return nil
 	}
 	g.turn++
-	n := &Named{Count: z.roll.Count}
+	n := &PeerSuggestion{Count: z.roll.Count}
 	h := fnv.New64a()
 	fmt.Fprint(h, asks.Name, g.turn)
 	begin := int(h.Sum64() * 0x9e3779b97f4a7c15 >> 33)
@@ -139,19 +139,19 @@
 	return n
 }
 
-// Visitor is a dispatcher's part.
-type Visitor struct {
+// Exchanger is a dispatcher's part.
+type Exchanger struct {
 	differs  bool
-	since    Clock // that the leader knows others
-	next     Clock // when it may begin another exchange
-	patience int   // times the spacing
-	knew     Roll  // at the last exchange
+	since    Clock  // that the leader knows others
+	next     Clock  // when it may begin another exchange
+	patience int    // times the spacing
+	knew     Digest // at the last exchange
 	visited  bool
 }
 
-// Visit tells whether to exchange all with one of those that the leader has named, and with whom, by what this dispatcher
+// NextExchange tells whether to exchange all with one of those that the leader has named, and with whom, by what this dispatcher
 // knows now; nil says that the leader knows the same.
-func (v *Visitor) Visit(n *Named, knows Roll, now Clock) (address string, ok bool) {
+func (v *Exchanger) NextExchange(n *PeerSuggestion, knows Digest, now Clock) (address string, ok bool) {
 	if n == nil || len(n.Addresses) == 0 {
 		v.differs, v.patience = false, 0
 		return "", false
@@ -160,7 +160,7 @@
 		v.differs, v.since = true, now
 	}
 	far := 2*knows.Count <= n.Count || knows.Count <= 1
-	if now < v.next || !far && now-v.since < Settle {
+	if now < v.next || !far && now-v.since < GossipSettleTime {
 		return "", false
 	}
 	if v.visited && knows == v.knew { // the last exchange changed nothing
@@ -169,6 +169,6 @@
 		v.patience = 1
 	}
 	v.visited, v.knew = true, knows
-	v.next = now + max(leastSpacing, time.Duration(knows.Count*v.patience)*Spacing)
+	v.next = now + max(leastSpacing, time.Duration(knows.Count*v.patience)*MinExchangeInterval)
 	return n.Addresses[0], true
 }
--- a/internal/decisions/neighbours/neighbours_test.go
+++ b/internal/decisions/neighbours/neighbours_test.go
@@ -14,15 +14,15 @@
 // it knows of its neighbours goes by exchanges, and by gossip among those that know each other, which loses what is cut.
 type play struct {
 	all      map[string]*one
-	register *Register
+	register *Directory
 	now      Clock
 	leases   map[string]Clock // until when the leader knows them
 	cut      map[string]bool  // zones of which two halves do not reach each other
 	lost     func() bool
-	late     map[string]*Named // the answer before, which comes again in place of one
+	late     map[string]*PeerSuggestion // the answer before, which comes again in place of one
 
 	// What may be broken on purpose.
-	name   func(r *Register, m Member, knows Roll) *Named
+	name   func(r *Directory, m Member, knows Digest) *PeerSuggestion
 	spaced bool
 	filter bool
 }
@@ -31,7 +31,7 @@
 	Member
 	knows   map[string]bool
 	frozen  bool
-	visitor Visitor
+	visitor Exchanger
 	met     []Clock
 	half    int
 }
@@ -42,8 +42,8 @@
 )
 
 func newPlay() *play {
-	return &play{all: map[string]*one{}, register: NewRegister(), leases: map[string]Clock{}, cut: map[string]bool{}, late: map[string]*Named{},
-		lost: func() bool { return false }, name: (*Register).Name, spaced: true, filter: true}
+	return &play{all: map[string]*one{}, register: NewDirectory(), leases: map[string]Clock{}, cut: map[string]bool{}, late: map[string]*PeerSuggestion{},
+		lost: func() bool { return false }, name: (*Directory).Suggest, spaced: true, filter: true}
 }
 
 func (p *play) join(name, zone string, half int) {
@@ -66,7 +66,7 @@
 
 // let has one know another, if they are neighbours.
 func (p *play) let(a *one, b *one) {
-	if !p.filter || Near(a.Region, a.Zone, b.Region, b.Zone) {
+	if !p.filter || ArePeers(a.Region, a.Zone, b.Region, b.Zone) {
 		a.knows[b.Name] = true
 	}
 }
@@ -108,7 +108,7 @@
 					present = append(present, x.Member)
 				}
 			}
-			p.register.Look(present, p.now)
+			p.register.Refresh(present, p.now)
 		}
 		named := p.name(p.register, o.Member, o.roll())
 		if p.lost() { // the answer: an older one comes in its place, or none
@@ -117,7 +117,7 @@
 			}
 		}
 		p.late[name] = named
-		if address, ok := o.visitor.Visit(named, o.roll(), p.now); ok || !p.spaced && named != nil && len(named.Addresses) > 0 {
+		if address, ok := o.visitor.NextExchange(named, o.roll(), p.now); ok || !p.spaced && named != nil && len(named.Addresses) > 0 {
 			if !ok {
 				address = named.Addresses[0]
 			}
@@ -135,7 +135,7 @@
 	}
 }
 
-func (o *one) roll() Roll { return Of(slices.Collect(maps.Keys(o.knows))) }
+func (o *one) roll() Digest { return DigestOf(slices.Collect(maps.Keys(o.knows))) }
 
 // wrong tells what does not hold though nothing has befallen the fleet for long: who does not know its neighbours, or
 // exchanges still, or has exchanged too often.
@@ -255,30 +255,32 @@
 		t.Fatal(wrong)
 	}
 	for what, broken := range map[string]func(*play){
-		"the leader names nobody": func(p *play) { p.name = func(*Register, Member, Roll) *Named { return nil } },
+		"the leader names nobody": func(p *play) { p.name = func(*Directory, Member, Digest) *PeerSuggestion { return nil } },
 		"the leader names one who knows the same": func(p *play) {
-			p.name = func(g *Register, m Member, knows Roll) *Named {
+			p.name = func(g *Directory, m Member, knows Digest) *PeerSuggestion {
 				g.turn = 0
-				return g.Name(m, Roll{})
+				return g.Suggest(m, Digest{})
 			}
 		},
 		"the leader names the one who asks": func(p *play) {
-			p.name = func(g *Register, m Member, knows Roll) *Named { return &Named{9, []string{m.Address}} }
+			p.name = func(g *Directory, m Member, knows Digest) *PeerSuggestion {
+				return &PeerSuggestion{9, []string{m.Address}}
+			}
 		},
 		"the leader names others' neighbours, and they are let in": func(p *play) {
 			p.filter = false
-			p.name = func(g *Register, m Member, knows Roll) *Named {
+			p.name = func(g *Directory, m Member, knows Digest) *PeerSuggestion {
 				m.Zone = map[string]string{"a": "b", "b": "a"}[m.Zone]
-				return g.Name(m, knows)
+				return g.Suggest(m, knows)
 			}
 		},
 		"no spacing": func(p *play) { p.spaced = false },
 		"the same neighbour each time": func(p *play) {
-			p.name = func(g *Register, m Member, knows Roll) *Named {
+			p.name = func(g *Directory, m Member, knows Digest) *PeerSuggestion {
 				g.turn = 0
-				named := g.Name(m, knows)
+				named := g.Suggest(m, knows)
 				if named != nil && len(named.Addresses) > 0 && p.at(named.Addresses[0]).half != p.all[m.Name].half {
-					return &Named{9, []string{m.Address}}
+					return &PeerSuggestion{9, []string{m.Address}}
 				}
 				return named
 			}
@@ -295,30 +297,30 @@
 // A dispatcher that is alone meets a neighbour with its first lease; one that knows some waits for gossip first; one whose
 // exchanges change nothing gets patient, and all that by its neighbours' number.
 func TestVisits(t *testing.T) {
-	named := &Named{120, []string{"x"}}
-	var v Visitor
-	if _, ok := v.Visit(named, Of([]string{"me"}), 0); !ok {
+	named := &PeerSuggestion{120, []string{"x"}}
+	var v Exchanger
+	if _, ok := v.NextExchange(named, DigestOf([]string{"me"}), 0); !ok {
 		t.Error("one that is alone does not meet at once")
 	}
 	many := make([]string, 100)
 	for i := range many {
 		many[i] = fmt.Sprint("n", i)
 	}
-	v = Visitor{}
-	if _, ok := v.Visit(named, Of(many[:60]), 0); !ok {
+	v = Exchanger{}
+	if _, ok := v.NextExchange(named, DigestOf(many[:60]), 0); !ok {
 		t.Error("one that knows half does not meet at once")
 	}
-	v = Visitor{}
-	knows, met := Of(many), []Clock{}
+	v = Exchanger{}
+	knows, met := DigestOf(many), []Clock{}
 	for now := Clock(0); now < time.Hour; now += step {
-		if _, ok := v.Visit(named, knows, now); ok {
+		if _, ok := v.NextExchange(named, knows, now); ok {
 			met = append(met, now)
 		}
 	}
-	if len(met) < 3 || met[0] != Settle || met[1]-met[0] != 100*Spacing || met[len(met)-1]-met[len(met)-2] != 16*100*Spacing {
+	if len(met) < 3 || met[0] != GossipSettleTime || met[1]-met[0] != 100*MinExchangeInterval || met[len(met)-1]-met[len(met)-2] != 16*100*MinExchangeInterval {
 		t.Errorf("met at %v", met)
 	}
-	if _, ok := v.Visit(nil, knows, 2*time.Hour); ok || v.differs {
+	if _, ok := v.NextExchange(nil, knows, 2*time.Hour); ok || v.differs {
 		t.Error("it meets though the leader knows the same")
 	}
 }
@@ -329,14 +331,14 @@
 		names := rapid.SliceOfNDistinct(rapid.StringN(1, 12, -1), 1, 30, rapid.ID[string]).Draw(t, "names")
 		other := slices.Clone(names)
 		slices.Reverse(other)
-		if Of(names) != Of(other) {
+		if DigestOf(names) != DigestOf(other) {
 			t.Fatal("the order counts")
 		}
-		if Of(names) == Of(names[1:]) {
+		if DigestOf(names) == DigestOf(names[1:]) {
 			t.Fatal("one less is the same")
 		}
 		other[0] += "x"
-		if !slices.Contains(names, other[0]) && Of(names) == Of(other) {
+		if !slices.Contains(names, other[0]) && DigestOf(names) == DigestOf(other) {
 			t.Fatal("another name is the same")
 		}
 	})
@@ -348,8 +350,8 @@
 	for i := range 800 {
 		all = append(all, Member{fmt.Sprint("n", i), "127.0.0.1:1", fmt.Sprint("r", i%3), fmt.Sprint("z", i%8)})
 	}
-	g := NewRegister()
+	g := NewDirectory()
 	for b.Loop() {
-		g.Look(all, 0)
+		g.Refresh(all, 0)
 	}
 }
--- a/internal/decisions/pacing/bound_test.go
+++ b/internal/decisions/pacing/bound_test.go
@@ -13,7 +13,7 @@
 		start := time.Unix(1e9, 0)
 		rules := Rules{Dispatchers: rapid.SampledFrom([]int{1, 5, 300}).Draw(t, "dispatchers")}
 		s, now, made := NewSchedule(start), start, 0
-		s.Begin(now)
+		s.Start(now)
 		kinds := []string{"news at once", "nothing at once", "older", "refused", "broken", "any"}
 		kind := rapid.SampledFrom(kinds).Draw(t, "answers")
 		for now.Before(start.Add(30 * time.Second)) {
@@ -22,7 +22,7 @@
 				now = at
 			}
 			made++
-			s.Call(now, made, true, rules, rapid.Float64Range(0, 1).Draw(t, "chance"))
+			s.CallStarted(now, made, true, rules, rapid.Float64Range(0, 1).Draw(t, "chance"))
 			now = now.Add(time.Millisecond)
 			chance, answer := rapid.Float64Range(0, 1).Draw(t, "chance"), kind
 			if kind == "any" {
@@ -30,15 +30,15 @@
 			}
 			switch answer {
 			case "news at once":
-				s.Answered(now, made, time.Millisecond, true, true, rules, chance)
+				s.CallAnswered(now, made, time.Millisecond, true, true, rules, chance)
 			case "nothing at once":
-				s.Answered(now, made, time.Millisecond, false, true, rules, chance)
+				s.CallAnswered(now, made, time.Millisecond, false, true, rules, chance)
 			case "older":
-				s.Stale(now, made, rules, chance)
+				s.CallStale(now, made, rules, chance)
 			case "refused":
-				s.Failed(now, made, Refused, rules, chance)
+				s.CallFailed(now, made, Rejected, rules, chance)
 			default:
-				s.Failed(now, made, Broken, rules, chance)
+				s.CallFailed(now, made, Broken, rules, chance)
 			}
 		}
 		most := 30*burst/2 + burst
@@ -55,10 +55,10 @@
 func TestDueCountsFromTheCall(t *testing.T) {
 	start, rules := time.Unix(1e9, 0), Rules{Dispatchers: 1}
 	s := NewSchedule(start)
-	s.Begin(start)
-	s.Call(start, 1, true, rules, 0)
-	s.Answered(start.Add(2*time.Second), 1, 2*time.Second, true, false, rules, 0)
-	if s.due != start.Add(Told) {
+	s.Start(start)
+	s.CallStarted(start, 1, true, rules, 0)
+	s.CallAnswered(start.Add(2*time.Second), 1, 2*time.Second, true, false, rules, 0)
+	if s.due != start.Add(NotificationDeadline) {
 		t.Errorf("a change counts as told %v behind the call", s.due.Sub(start))
 	}
 }
--- a/internal/decisions/pacing/crowd_test.go
+++ b/internal/decisions/pacing/crowd_test.go
@@ -73,13 +73,13 @@
 	d.made++
 	c.calls++
 	s := &c.service
-	o := &crowdCall{caller: d, number: d.made, kind: d.schedule.Call(c.now, d.made, d.revision >= 0, c.rules, c.chance()), begun: c.now}
+	o := &crowdCall{caller: d, number: d.made, kind: d.schedule.CallStarted(c.now, d.made, d.revision >= 0, c.rules, c.chance()), begun: c.now}
 	c.open = append(c.open, o)
 	switch {
 	case c.now.Before(s.downUntil):
 		o.endsAt, o.fails = c.now.Add(s.expires), true
-	case o.kind == Watch && c.now.Sub(d.watched) < Gap:
-		o.endsAt = c.now.Add(Wait)
+	case o.kind == Watch && c.now.Sub(d.watched) < WatchGap:
+		o.endsAt = c.now.Add(LongPollWait)
 		c.tell(o)
 	case s.free.Sub(c.now) > s.limit:
 		o.endsAt, o.fails = c.now.Add(refusalTakes), true
@@ -149,7 +149,7 @@
 	c.open = slices.Delete(c.open, i, i+1)
 	d := o.caller
 	if o.fails {
-		d.schedule.Failed(c.now, o.number, FailureOf(true, c.now.Sub(o.begun)), c.rules, c.chance())
+		d.schedule.CallFailed(c.now, o.number, ClassifyFailure(true, c.now.Sub(o.begun)), c.rules, c.chance())
 		return
 	}
 	d.watched = c.now
@@ -160,7 +160,7 @@
 		d.heard = c.now
 	}
 	early := o.kind == Watch && o.news
-	d.schedule.Answered(c.now, o.number, c.now.Sub(o.begun), o.news, early, c.rules, c.chance())
+	d.schedule.CallAnswered(c.now, o.number, c.now.Sub(o.begun), o.news, early, c.rules, c.chance())
 }
 
 // herd is a fleet that loses discovery for a while. Right behind its return most dispatchers are killed at once, and begin anew a
@@ -181,7 +181,7 @@
 	c.service.downUntil = start.Add(h.down)
 	for range h.dispatchers {
 		d := &crowdCaller{schedule: NewSchedule(start)}
-		d.schedule.Begin(start.Add(scale(time.Second, c.chance())))
+		d.schedule.Start(start.Add(scale(time.Second, c.chance())))
 		c.callers = append(c.callers, d)
 	}
 	kill := c.service.downUntil.Add(h.backBeforeKill)
@@ -215,7 +215,7 @@
 func (c *crowd) kill(d *crowdCaller, again time.Time) {
 	c.open = slices.DeleteFunc(c.open, func(o *crowdCall) bool { return o.caller == d })
 	d.schedule = NewSchedule(again)
-	d.schedule.Begin(again.Add(brain.FirstAsk(c.rules.Dispatchers, c.chance())))
+	d.schedule.Start(again.Add(brain.FirstAsk(c.rules.Dispatchers, c.chance())))
 	d.watched, d.newsAt = time.Time{}, time.Time{}
 }
 
@@ -231,7 +231,7 @@
 }
 
 // mostUnheard is how long a change may stay unheard: it counts as told after Told, and the grace of a drain begins then.
-const mostUnheard = Told + 300*time.Millisecond
+const mostUnheard = NotificationDeadline + 300*time.Millisecond
 
 // The service of the list came back after eight seconds, and 28 of 40 dispatchers were killed and began again. All of them called
 // within two seconds, more often the longer they had heard nothing, and beside calls that still waited. The service's queue grew
@@ -261,7 +261,7 @@
 	c := &crowd{rules: Rules{Dispatchers: dispatchers}, random: rand.New(rand.NewPCG(seed, 1)), service: service, now: start}
 	for range dispatchers {
 		d := &crowdCaller{schedule: NewSchedule(start)}
-		d.schedule.Begin(start.Add(scale(10*time.Second, c.chance())))
+		d.schedule.Start(start.Add(scale(10*time.Second, c.chance())))
 		c.callers = append(c.callers, d)
 	}
 	silent := start.Add(30 * time.Second)
--- a/internal/decisions/pacing/pacing.go
+++ b/internal/decisions/pacing/pacing.go
@@ -36,25 +36,25 @@
 
 // The spans of calls to discovery.
 const (
-	// Gap is how long after an answer the next call of a watch may come, and Margin what is kept of it for the way and for a
+	// WatchGap is how long after an answer the next call of a watch may come, and Margin what is kept of it for the way and for a
 	// busy core.
-	Gap    = 200 * time.Millisecond
-	Margin = 50 * time.Millisecond
+	WatchGap       = 200 * time.Millisecond
+	WatchGapMargin = 50 * time.Millisecond
 
-	// Told is how long after it could be had a change counts as told, and Moved how long after a move of discovery.
-	Told  = 6 * time.Second
-	Moved = 4 * time.Second
+	// NotificationDeadline is how long after it could be had a change counts as told, and Moved how long after a move of discovery.
+	NotificationDeadline     = 6 * time.Second
+	MoveNotificationDeadline = 4 * time.Second
 
-	// Wait is how long a watch waits for news.
-	Wait = 1500 * time.Millisecond
-	// Answer is how long an answer may take, beside the wait for news. No call hinders the next, so a late one costs a
+	// LongPollWait is how long a watch waits for news.
+	LongPollWait = 1500 * time.Millisecond
+	// ResponseTimeout is how long an answer may take, beside the wait for news. No call hinders the next, so a late one costs a
 	// connection only.
-	Answer = 4 * time.Second
+	ResponseTimeout = 4 * time.Second
 	// inTurn is how long a call may take at a service that serves calls in turn: it fails one that has waited for 2 s.
 	inTurn = 2700 * time.Millisecond
 
-	// Queued is how long a call without a wait takes at least that had to wait for its turn at the service.
-	Queued = 500 * time.Millisecond
+	// QueuedThreshold is how long a call without a wait takes at least that had to wait for its turn at the service.
+	QueuedThreshold = 500 * time.Millisecond
 
 	watchOverlap = 100 * time.Millisecond  // a watch that has not answered so long after its wait gets a call beside it, ...
 	overlapEach  = 200 * time.Millisecond  // ... spread by so much for each dispatcher beside this one ...
@@ -67,7 +67,7 @@
 	// A service that refused a call, or took longer than busyAnswer over one, has many callers for a while. A call that it has
 	// let in waits there for its turn: none is made beside it for as long as it may be served, unless less than busyFrom is
 	// left.
-	busyAnswer = Queued
+	busyAnswer = QueuedThreshold
 	busyFor    = 10 * time.Second
 	busyFrom   = 3800 * time.Millisecond
 
@@ -108,65 +108,65 @@
 type Kind uint8
 
 const (
-	Watch Kind = iota // goes on with a watch: it waits for news
-	Ask               // for what is newer than what is known, without waiting for it; a watch may go on behind it
-	Whole             // for the whole list
+	Watch    Kind = iota // goes on with a watch: it waits for news
+	Poll                 // for what is newer than what is known, without waiting for it; a watch may go on behind it
+	FullList             // for the whole list
 )
 
 // String names a kind as the log does.
-func (k Kind) String() string { return [...]string{Watch: "watch", Ask: "ask", Whole: "whole"}[k] }
+func (k Kind) String() string { return [...]string{Watch: "watch", Poll: "ask", FullList: "whole"}[k] }
 
 // Failure is how a call ended that brought no list.
 type Failure uint8
 
 const (
-	Broken  Failure = iota // no connection, it broke off, or nothing came
-	Refused                // the service had no room for it
-	Expired                // the service let it wait for its turn, and gave it up before
+	Broken   Failure = iota // no connection, it broke off, or nothing came
+	Rejected                // the service had no room for it
+	Expired                 // the service let it wait for its turn, and gave it up before
 )
 
 // String names a failure as the log does.
 func (f Failure) String() string {
-	return [...]string{Broken: "broken", Refused: "refused", Expired: "expired"}[f]
+	return [...]string{Broken: "broken", Rejected: "refused", Expired: "expired"}[f]
 }
 
-// FailureOf tells how a call ended that took so long, by whether the service said that it serves no more calls for now.
-func FailureOf(refused bool, took time.Duration) Failure {
+// ClassifyFailure tells how a call ended that took so long, by whether the service said that it serves no more calls for now.
+func ClassifyFailure(refused bool, took time.Duration) Failure {
 	switch {
 	case !refused:
 		return Broken
-	case took >= Queued:
+	case took >= QueuedThreshold:
 		return Expired
 	}
-	return Refused
+	return Rejected
 }
 
 // Rules are the settings that calls go by.
 type Rules struct {
-	Pushed      bool          // lists are pushed to an agent, which is called
-	Grace       time.Duration // for a drain
+	ListsPushed bool          // lists are pushed to an agent, which is called
+	DrainGrace  time.Duration // for a drain
 	Dispatchers int           // that call the same service
 }
 
-// Spans gives how long a call waits for news, and how long its answer may take beside that.
-func (r Rules) Spans(k Kind) (wait, within time.Duration) {
+// Timeouts gives how long a call waits for news, and how long its answer may take beside that.
+func (r Rules) Timeouts(k Kind) (wait, within time.Duration) {
 	switch {
-	case r.Pushed && k == Watch:
+	case r.ListsPushed && k == Watch:
 		return r.agentSpan(), r.agentSpan()
-	case r.Pushed: // one that does not wait
+	case r.ListsPushed: // one that does not wait
 		return 0, r.agentSpan()
 	case k == Watch:
-		return Wait, Answer
+		return LongPollWait, ResponseTimeout
 	}
-	return 0, Answer
+	return 0, ResponseTimeout
 }
 
 // agentSpan is how long a watch at an agent waits.
-func (r Rules) agentSpan() time.Duration { return max(r.Grace/5, agentLeast) }
+func (r Rules) agentSpan() time.Duration { return max(r.DrainGrace/5, agentLeast) }
 
-// Rewatch gives how long after an answer a watch's next call is made, by whether the answer told anything, whether it
+// RewatchDelay gives how long after an answer a watch's next call is made, by whether the answer told anything, whether it
 // came before the wait was over, how many dispatchers there are, and chance from 0 to 1.
-func Rewatch(fresh, early bool, dispatchers int, chance float64) time.Duration {
+func RewatchDelay(fresh, early bool, dispatchers int, chance float64) time.Duration {
 	least := time.Duration(0)
 	switch {
 	case fresh:
@@ -175,7 +175,7 @@
 	default:
 		least = empty
 	}
-	spread := min(time.Duration(max(dispatchers-1, 0))*each, Gap-Margin-least)
+	spread := min(time.Duration(max(dispatchers-1, 0))*each, WatchGap-WatchGapMargin-least)
 	return least + scale(spread, clamp(chance))
 }
 
--- a/internal/decisions/pacing/schedule.go
+++ b/internal/decisions/pacing/schedule.go
@@ -30,17 +30,19 @@
 }
 
 // NewSchedule begins at the start of a process. No call is made before Begin.
-func NewSchedule(now time.Time) *Schedule { return &Schedule{due: now.Add(Told), heard: now} }
+func NewSchedule(now time.Time) *Schedule {
+	return &Schedule{due: now.Add(NotificationDeadline), heard: now}
+}
 
-// Begin has the first call made now. Later it does nothing.
-func (s *Schedule) Begin(now time.Time) {
+// Start has the first call made now. Later it does nothing.
+func (s *Schedule) Start(now time.Time) {
 	if s.next.IsZero() {
-		s.AskAt(now)
+		s.PollAt(now)
 	}
 }
 
-// AskAt has the next call made at a time, without waiting for news.
-func (s *Schedule) AskAt(at time.Time) { s.next, s.kind = at, Ask }
+// PollAt has the next call made at a time, without waiting for news.
+func (s *Schedule) PollAt(at time.Time) { s.next, s.kind = at, Poll }
 
 // Next gives when the next call is to be made, if nothing comes before. It is not ok before Begin. Whatever a service answers, no
 // more than burst calls are made to it within burstSpan.
@@ -52,32 +54,32 @@
 	return at, !s.next.IsZero()
 }
 
-// Pausing tells whether the next call goes on with a watch whose last one has answered.
-func (s *Schedule) Pausing() bool { return !s.next.IsZero() && s.kind == Watch }
+// BetweenWatches tells whether the next call goes on with a watch whose last one has answered.
+func (s *Schedule) BetweenWatches() bool { return !s.next.IsZero() && s.kind == Watch }
 
-// Call notes that the next call is made now, under this number, and gives its kind: the whole list, where no revision is known
+// CallStarted notes that the next call is made now, under this number, and gives its kind: the whole list, where no revision is known
 // to ask behind.
-func (s *Schedule) Call(now time.Time, number int, revisionKnown bool, r Rules, chance float64) Kind {
+func (s *Schedule) CallStarted(now time.Time, number int, revisionKnown bool, r Rules, chance float64) Kind {
 	kind := s.kind
-	if !revisionKnown || kind == Ask && s.indexedOpen(now) && !r.Pushed {
-		kind = Whole
+	if !revisionKnown || kind == Poll && s.indexedOpen(now) && !r.ListsPushed {
+		kind = FullList
 	}
 	s.newest, s.watching = number, kind == Watch
 	s.unanswered++
-	s.begun, s.pushed = now, r.Pushed
+	s.begun, s.pushed = now, r.ListsPushed
 	s.recent[s.calls%burst] = now
 	s.calls++
-	if kind != Whole {
+	if kind != FullList {
 		s.indexed, s.indexedUntil = number, now.Add(r.served(kind))
 	}
-	s.AskAt(now.Add(s.overlap(now, kind, r, chance)))
+	s.PollAt(now.Add(s.overlap(now, kind, r, chance)))
 	return kind
 }
 
 // served is how long behind its beginning a call may still be served.
 func (r Rules) served(k Kind) time.Duration {
 	if k == Watch {
-		return Wait + watchOverlap
+		return LongPollWait + watchOverlap
 	}
 	return inTurn
 }
@@ -90,18 +92,18 @@
 // overlap is how long after the newest call a further one is made beside it.
 func (s *Schedule) overlap(now time.Time, kind Kind, r Rules, chance float64) time.Duration {
 	switch {
-	case r.Pushed && kind == Watch:
+	case r.ListsPushed && kind == Watch:
 		return r.agentSpan() + r.agentSpan()/4
-	case r.Pushed && s.unanswered > agentTries:
+	case r.ListsPushed && s.unanswered > agentTries:
 		return max(prompt, r.agentSpan()/2)
-	case r.Pushed:
+	case r.ListsPushed:
 		return r.agentSpan() / 2
 	case kind == Watch:
 		spread := min(time.Duration(max(r.Dispatchers-1, 0))*overlapEach, watchSpread)
-		return Wait + watchOverlap + scale(spread, clamp(chance))
+		return LongPollWait + watchOverlap + scale(spread, clamp(chance))
 	}
 	left := s.due.Sub(now)
-	if left <= lastAnswer || s.Busy(now) && left > busyFrom {
+	if left <= lastAnswer || s.ServiceBusy(now) && left > busyFrom {
 		return inTurn
 	}
 	return min(s.evenly(left), gap)
@@ -113,9 +115,9 @@
 	return max((left-lastAnswer)/time.Duration(max(tries-s.unanswered, 1)), leastGap)
 }
 
-// Answered notes that a call brought the list, how long it took, and whether it told anything or came before its wait was
+// CallAnswered notes that a call brought the list, how long it took, and whether it told anything or came before its wait was
 // over. A watch follows, unless a call is open that may become one.
-func (s *Schedule) Answered(now time.Time, number int, took time.Duration, fresh, early bool, r Rules, chance float64) {
+func (s *Schedule) CallAnswered(now time.Time, number int, took time.Duration, fresh, early bool, r Rules, chance float64) {
 	watchOpen := s.watching && s.newest != 0 && s.newest != number
 	wasWatch := s.watching && s.newest == number
 	whole := s.indexed != number
@@ -123,35 +125,35 @@
 	if !wasWatch {
 		asked = now.Add(-took)
 	}
-	s.due, s.heard, s.unanswered = asked.Add(Told), now, 0
+	s.due, s.heard, s.unanswered = asked.Add(NotificationDeadline), now, 0
 	if !wasWatch && took > busyAnswer {
 		s.busyUntil = now.Add(busyFor)
 	}
 	s.ended(number)
 	switch {
 	case watchOpen:
-	case s.indexedOpen(now) && !r.Pushed:
-		s.AskAt(s.indexedUntil)
-	case early && !fresh && !r.Pushed: // it does not wait for news
+	case s.indexedOpen(now) && !r.ListsPushed:
+		s.PollAt(s.indexedUntil)
+	case early && !fresh && !r.ListsPushed: // it does not wait for news
 		s.next, s.kind = now.Add(scale(s.strain(now), (1+clamp(chance))/2)), Watch
-	case whole && s.Busy(now) && !r.Pushed:
+	case whole && s.ServiceBusy(now) && !r.ListsPushed:
 		s.next, s.kind = now.Add(restOf(chance)), Watch
 	default:
 		s.next, s.kind = now.Add(r.rewatch(fresh, early, chance)), Watch
 	}
 }
 
-// Stale notes that a call was answered with what was known before, or less: as if it had not been answered, for what may be new. A
+// CallStale notes that a call was answered with what was known before, or less: as if it had not been answered, for what may be new. A
 // service that goes on so is asked less and less often.
-func (s *Schedule) Stale(now time.Time, number int, r Rules, chance float64) {
+func (s *Schedule) CallStale(now time.Time, number int, r Rules, chance float64) {
 	last := number == s.newest || s.newest == 0 && number == s.indexed
 	s.ended(number)
 	wait := s.strain(now)
-	if r.Pushed {
+	if r.ListsPushed {
 		wait = min(wait, r.agentSpan())
 	}
 	if last {
-		s.AskAt(now.Add(scale(wait, (1+clamp(chance))/2)))
+		s.PollAt(now.Add(scale(wait, (1+clamp(chance))/2)))
 	}
 }
 
@@ -166,28 +168,28 @@
 	return wait
 }
 
-// Hasten has a call made now, unless one is due that does not wait for news.
-func (s *Schedule) Hasten(now time.Time) {
+// PollNow has a call made now, unless one is due that does not wait for news.
+func (s *Schedule) PollNow(now time.Time) {
 	if !s.next.IsZero() && (s.kind == Watch || now.Before(s.next)) {
-		s.AskAt(now)
+		s.PollAt(now)
 	}
 }
 
-// HeardElsewhere notes that a service before a move told its list.
-func (s *Schedule) HeardElsewhere(now time.Time) { s.heard = now }
+// PreviousServiceAnswered notes that a service before a move told its list.
+func (s *Schedule) PreviousServiceAnswered(now time.Time) { s.heard = now }
 
-// Busy tells whether the service has many callers.
-func (s *Schedule) Busy(now time.Time) bool { return now.Before(s.busyUntil) }
+// ServiceBusy tells whether the service has many callers.
+func (s *Schedule) ServiceBusy(now time.Time) bool { return now.Before(s.busyUntil) }
 
 // restOf is how long a call waits that a busy service had better not be asked for now.
 func restOf(chance float64) time.Duration { return scale(busyRest, (1+clamp(chance))/2) }
 
 // rewatch is how long after an answer a watch's next call is made. An agent serves this dispatcher alone.
 func (r Rules) rewatch(fresh, early bool, chance float64) time.Duration {
-	if r.Pushed {
-		return min(Rewatch(fresh, early, 1, chance), r.agentSpan()/2)
+	if r.ListsPushed {
+		return min(RewatchDelay(fresh, early, 1, chance), r.agentSpan()/2)
 	}
-	return Rewatch(fresh, early, r.Dispatchers, chance)
+	return RewatchDelay(fresh, early, r.Dispatchers, chance)
 }
 
 // ended notes that a call is open no more.
@@ -200,9 +202,9 @@
 	}
 }
 
-// Failed notes that a call ended without the list, and how. The next call is made sooner where no newer one is open, and later
+// CallFailed notes that a call ended without the list, and how. The next call is made sooner where no newer one is open, and later
 // where the service has too many callers: what it lets in then it serves too late.
-func (s *Schedule) Failed(now time.Time, number int, how Failure, r Rules, chance float64) {
+func (s *Schedule) CallFailed(now time.Time, number int, how Failure, r Rules, chance float64) {
 	if how != Broken {
 		s.busyUntil = now.Add(busyFor)
 	}
@@ -212,13 +214,13 @@
 		return
 	}
 	if at := now.Add(s.backoff(now, how, r, chance)); at.Before(s.next) || how != Broken {
-		s.AskAt(at)
+		s.PollAt(at)
 	}
 }
 
 // backoff is how long behind a failed call the next is made.
 func (s *Schedule) backoff(now time.Time, how Failure, r Rules, chance float64) time.Duration {
-	if r.Pushed {
+	if r.ListsPushed {
 		if s.unanswered > agentTries {
 			return prompt
 		}
@@ -238,16 +240,16 @@
 // all. A call that was refused at once has cost it nothing.
 func overdueSpan(how Failure, dispatchers int, chance float64) time.Duration {
 	span := min(overdueEach*time.Duration(dispatchers), overdueMost)
-	if how == Refused {
+	if how == Rejected {
 		span /= 2
 	}
 	return scale(span, (1+clamp(chance))/2)
 }
 
-// Moved notes that another service is asked from now on. Moves in quick succession bring one call: what is asked of a service that
+// ServiceMoved notes that another service is asked from now on. Moves in quick succession bring one call: what is asked of a service that
 // is left in a moment is lost on it.
-func (s *Schedule) Moved(now time.Time, chance float64) {
-	if due := now.Add(Moved); s.due.After(due) || !s.due.After(now) {
+func (s *Schedule) ServiceMoved(now time.Time, chance float64) {
+	if due := now.Add(MoveNotificationDeadline); s.due.After(due) || !s.due.After(now) {
 		s.due = due
 	}
 	s.newest, s.indexed, s.unanswered = 0, 0, 0
@@ -256,11 +258,11 @@
 	}
 	at, again := now, !s.moved.IsZero() && now.Sub(s.moved) < quickMoves
 	s.moved = now
-	if again || s.Busy(now) && now.Sub(s.heard) < freshFor {
+	if again || s.ServiceBusy(now) && now.Sub(s.heard) < freshFor {
 		at = now.Add(restOf(chance) / 2)
 		if s.kind != Watch && s.next.Before(at) {
 			at = s.next
 		}
 	}
-	s.AskAt(at)
+	s.PollAt(at)
 }
--- a/internal/decisions/pacing/schedule_test.go
+++ b/internal/decisions/pacing/schedule_test.go
@@ -54,7 +54,7 @@
 
 // end gives when and how a call ends if nothing changes.
 func (s *simulation) end(c simCall) (at time.Time, fails bool) {
-	wait, within := s.rules.Spans(c.kind)
+	wait, within := s.rules.Timeouts(c.kind)
 	over := c.begun.Add(wait + within)
 	switch c.fault {
 	case hangs:
@@ -66,7 +66,7 @@
 	case answers503:
 		return c.begun.Add(latency), true
 	case answersLate:
-		if at := c.begun.Add(wait + late); !s.rules.Pushed && at.Before(over) {
+		if at := c.begun.Add(wait + late); !s.rules.ListsPushed && at.Before(over) {
 			return at, false
 		}
 		return over, true
@@ -75,7 +75,7 @@
 }
 
 func (s *simulation) latency() time.Duration {
-	if s.rules.Pushed {
+	if s.rules.ListsPushed {
 		return time.Millisecond
 	}
 	return latency
@@ -84,9 +84,9 @@
 // call makes the call that is due.
 func (s *simulation) call() {
 	s.made++
-	kind := s.schedule.Call(s.now, s.made, s.known, s.rules, s.chance())
+	kind := s.schedule.CallStarted(s.now, s.made, s.known, s.rules, s.chance())
 	for _, o := range s.open {
-		if kind != Whole && o.kind == Ask && o.begun.Add(inTurn).After(s.now) && !s.rules.Pushed {
+		if kind != FullList && o.kind == Poll && o.begun.Add(inTurn).After(s.now) && !s.rules.ListsPushed {
 			s.besideIndexed++
 		}
 	}
@@ -153,9 +153,9 @@
 		if c.fails {
 			how := Broken
 			if c.fault == answers503 {
-				how = Refused
+				how = Rejected
 			}
-			s.schedule.Failed(s.now, c.number, how, s.rules, s.chance())
+			s.schedule.CallFailed(s.now, c.number, how, s.rules, s.chance())
 			continue
 		}
 		s.known = true
@@ -164,14 +164,14 @@
 			s.toldAt = s.now
 			return
 		}
-		s.schedule.Answered(s.now, c.number, s.now.Sub(c.begun), told, false, s.rules, s.chance())
+		s.schedule.CallAnswered(s.now, c.number, s.now.Sub(c.begun), told, false, s.rules, s.chance())
 	}
 }
 
 func draw(t *rapid.T, pushed bool) *simulation {
 	start := time.Unix(1e9, 0)
-	rules := Rules{Pushed: pushed, Dispatchers: rapid.SampledFrom([]int{1, 5, 300, 900}).Draw(t, "dispatchers"),
-		Grace: time.Duration(rapid.Int64Range(int64(500*time.Millisecond), int64(3*time.Second)).Draw(t, "grace"))}
+	rules := Rules{ListsPushed: pushed, Dispatchers: rapid.SampledFrom([]int{1, 5, 300, 900}).Draw(t, "dispatchers"),
+		DrainGrace: time.Duration(rapid.Int64Range(int64(500*time.Millisecond), int64(3*time.Second)).Draw(t, "grace"))}
 	s := &simulation{schedule: NewSchedule(start), rules: rules, now: start, known: rapid.Bool().Draw(t, "a revision is known")}
 	s.chance = func() float64 { return rapid.SampledFrom([]float64{0, 0.3, 0.5, 0.9, 1}).Draw(t, "chance") }
 	return s
@@ -186,16 +186,16 @@
 	for _, pushed := range []bool{false, true} {
 		rapid.Check(t, func(t *rapid.T) {
 			s := draw(t, pushed)
-			s.schedule.Begin(s.now)
+			s.schedule.Start(s.now)
 			s.run(s.now.Add(time.Duration(rapid.Int64Range(int64(time.Second), int64(10*time.Second)).Draw(t, "quiet"))))
 			s.faults = drawFaults(t)
-			wait, _ := s.rules.Spans(Watch)
+			wait, _ := s.rules.Timeouts(Watch)
 			s.run(s.now.Add(time.Duration(rapid.Float64Range(0, 1.5).Draw(t, "into the faults") * float64(wait))))
 			s.change()
 			s.run(s.now.Add(time.Minute))
-			within := Told - Margin
+			within := NotificationDeadline - WatchGapMargin
 			if pushed {
-				within = s.rules.Grace * 3 / 5
+				within = s.rules.DrainGrace * 3 / 5
 			}
 			if took := s.toldAt.Sub(s.changedAt); s.toldAt.IsZero() || took > within {
 				t.Fatalf("told after %v, %v allowed", took, within)
@@ -211,13 +211,13 @@
 func TestThreeFaultyCallsBehindAMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := draw(t, false)
-		s.schedule.Begin(s.now)
+		s.schedule.Start(s.now)
 		s.run(s.now.Add(time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "quiet"))))
 		s.open, s.faults, s.known = nil, drawFaults(t), false
-		s.schedule.Moved(s.now, s.chance())
+		s.schedule.ServiceMoved(s.now, s.chance())
 		s.change()
 		s.run(s.now.Add(time.Minute))
-		if took := s.toldAt.Sub(s.changedAt); s.toldAt.IsZero() || took > Moved {
+		if took := s.toldAt.Sub(s.changedAt); s.toldAt.IsZero() || took > MoveNotificationDeadline {
 			t.Fatalf("told after %v", took)
 		}
 	})
@@ -230,9 +230,9 @@
 		s.faults = drawFaults(t)
 		s.change()
 		s.now = s.now.Add(time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "the first call")))
-		s.schedule.Begin(s.now)
+		s.schedule.Start(s.now)
 		s.run(s.now.Add(time.Minute))
-		if took := s.toldAt.Sub(s.changedAt); s.toldAt.IsZero() || took > Told-Margin {
+		if took := s.toldAt.Sub(s.changedAt); s.toldAt.IsZero() || took > NotificationDeadline-WatchGapMargin {
 			t.Fatalf("told after %v", took)
 		}
 	})
@@ -246,11 +246,11 @@
 		for range 2000 {
 			s.faults = append(s.faults, kind)
 		}
-		s.schedule.Begin(s.now)
+		s.schedule.Start(s.now)
 		s.run(s.now.Add(7 * time.Second))
 		before := s.made
 		s.run(s.now.Add(10 * time.Second))
-		if calls := s.made - before; calls > 400 || !s.rules.Pushed && s.rules.Dispatchers >= 300 && calls > 10*10 {
+		if calls := s.made - before; calls > 400 || !s.rules.ListsPushed && s.rules.Dispatchers >= 300 && calls > 10*10 {
 			t.Fatalf("%d calls in ten seconds", calls)
 		}
 	})
@@ -263,12 +263,12 @@
 	start := time.Unix(1e9, 0)
 	behind := func(silent time.Duration) time.Duration {
 		s := NewSchedule(start)
-		s.Begin(start)
-		s.Call(start, 1, true, rules, 0.5)
-		s.Answered(start, 1, 0, true, false, rules, 0.5)
+		s.Start(start)
+		s.CallStarted(start, 1, true, rules, 0.5)
+		s.CallAnswered(start, 1, 0, true, false, rules, 0.5)
 		now := start.Add(silent)
-		s.Call(now, 2, true, rules, 0.5)
-		s.Failed(now, 2, Refused, rules, 0.5)
+		s.CallStarted(now, 2, true, rules, 0.5)
+		s.CallFailed(now, 2, Rejected, rules, 0.5)
 		at, _ := s.Next()
 		return at.Sub(now)
 	}
--- a/internal/decisions/repeats/repeats.go
+++ b/internal/decisions/repeats/repeats.go
@@ -12,40 +12,40 @@
 //  5. A job is given up for want of readers only if none is left and nobody asked for it to go on.
 package repeats
 
-// Verdict says what becomes of a request.
-type Verdict uint8
+// Decision says what becomes of a request.
+type Decision uint8
 
 const (
-	Begin   Verdict = iota // a job of its own, which is remembered from now on
-	Join                   // the answer of the job that is remembered, whenever that comes
-	Another                // the key is of another job
-	Unknown                // there was a job, and it is not known here
-	Full                   // there is no room to remember one more
+	Start       Decision = iota // a job of its own, which is remembered from now on
+	Join                        // the answer of the job that is remembered, whenever that comes
+	KeyMismatch                 // the key is of another job
+	UnknownKey                  // there was a job, and it is not known here
+	TableFull                   // there is no room to remember one more
 )
 
-// Known is what is remembered of a key's job.
-type Known struct {
-	Refused bool // it has ended so
-	Same    bool // the request's is the same job
+// RememberedJob is what is remembered of a key's job.
+type RememberedJob struct {
+	Rejected bool // it has ended so
+	SameJob  bool // the request's is the same job
 }
 
-// Judge judges a request by what is remembered of its key, nil for nothing. again tells that the client had a part of
+// Decide judges a request by what is remembered of its key, nil for nothing. again tells that the client had a part of
 // the answer before; room that one more job can be remembered.
-func Judge(known *Known, again, room bool) Verdict {
+func Decide(known *RememberedJob, again, room bool) Decision {
 	switch {
-	case known != nil && (again || !known.Refused):
-		if !known.Same {
-			return Another
+	case known != nil && (again || !known.Rejected):
+		if !known.SameJob {
+			return KeyMismatch
 		}
 		return Join
 	case again:
-		return Unknown
+		return UnknownKey
 	case !room:
-		return Full
+		return TableFull
 	}
-	return Begin
+	return Start
 }
 
-// GiveUp tells whether a job that has not ended is given up when a reader leaves it: so many others wait for it, and
+// AbandonWithoutReaders tells whether a job that has not ended is given up when a reader leaves it: so many others wait for it, and
 // kept tells that it is to go on without any.
-func GiveUp(others int, kept bool) bool { return others == 0 && !kept }
+func AbandonWithoutReaders(others int, kept bool) bool { return others == 0 && !kept }
--- a/internal/decisions/repeats/repeats_test.go
+++ b/internal/decisions/repeats/repeats_test.go
@@ -24,12 +24,12 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				body, again := rapid.IntRange(0, 1).Draw(t, "body"), rapid.IntRange(0, 5).Draw(t, "again") == 0
-				var known *Known
+				var known *RememberedJob
 				if j != nil {
-					known = &Known{Refused: j.ended && j.refused, Same: j.body == body}
+					known = &RememberedJob{Rejected: j.ended && j.refused, SameJob: j.body == body}
 				}
-				switch v := Judge(known, again, len(table) < most); v {
-				case Begin:
+				switch v := Decide(known, again, len(table) < most); v {
+				case Start:
 					if again || j != nil && !(j.ended && j.refused) || len(table) >= most {
 						t.Fatalf("begun with %+v remembered, again %v, %d of %d", j, again, len(table), most)
 					}
@@ -42,15 +42,15 @@
 						t.Fatalf("joined %+v", j)
 					}
 					j.readers++
-				case Another:
+				case KeyMismatch:
 					if j == nil || j.body == body {
 						t.Fatalf("another than %+v", j)
 					}
-				case Unknown:
+				case UnknownKey:
 					if !again || j != nil {
 						t.Fatalf("unknown with %+v", j)
 					}
-				case Full:
+				case TableFull:
 					if len(table) < most {
 						t.Fatal("full")
 					}
@@ -67,7 +67,7 @@
 			case 4:
 				if j != nil && j.readers > 0 {
 					j.readers--
-					if !j.ended && GiveUp(j.readers, j.kept) {
+					if !j.ended && AbandonWithoutReaders(j.readers, j.kept) {
 						if j.readers > 0 || j.kept {
 							t.Fatal("given up with a reader")
 						}
--- a/internal/decisions/retries/retries.go
+++ b/internal/decisions/retries/retries.go
@@ -16,11 +16,11 @@
 	Window = 10 * time.Second
 	steps  = 10
 
-	// Floor is how many further calls a window allows whatever the first calls were.
-	Floor = 10
+	// MinRetries is how many further calls a window allows whatever the first calls were.
+	MinRetries = 10
 
-	// MostAccounts bounds the accounts that have a budget of their own.
-	MostAccounts = 1024
+	// MaxAccounts bounds the accounts that have a budget of their own.
+	MaxAccounts = 1024
 )
 
 // Budget counts calls. Make it with New.
@@ -38,22 +38,22 @@
 	return &Budget{share: share, classes: map[string]*count{}, accounts: map[string]*count{}}
 }
 
-// Retune puts another share in force. What was counted stands.
-func (b *Budget) Retune(share float64) { b.share = share }
+// SetRatio puts another share in force. What was counted stands.
+func (b *Budget) SetRatio(share float64) { b.share = share }
 
-// First counts a request's first call.
-func (b *Budget) First(now time.Duration, class, account string) {
+// CountFirstAttempt counts a request's first call.
+func (b *Budget) CountFirstAttempt(now time.Duration, class, account string) {
 	for _, c := range b.counts(class, account) {
 		c.at(now).first++
 	}
 }
 
-// Further tells whether a request may have a further call, and counts it if so.
-func (b *Budget) Further(now time.Duration, class, account string) bool {
+// AllowRetry tells whether a request may have a further call, and counts it if so.
+func (b *Budget) AllowRetry(now time.Duration, class, account string) bool {
 	counts := b.counts(class, account)
 	for _, c := range counts {
 		first, further := c.sums(now)
-		if float64(further+1) > b.share*float64(first)+Floor {
+		if float64(further+1) > b.share*float64(first)+MinRetries {
 			b.denied++
 			return false
 		}
@@ -75,7 +75,7 @@
 	}
 	a := b.accounts[account]
 	if a == nil {
-		if a = &b.others; len(b.accounts) < MostAccounts {
+		if a = &b.others; len(b.accounts) < MaxAccounts {
 			a = &count{}
 			b.accounts[account] = a
 		}
--- a/internal/decisions/retries/retries_test.go
+++ b/internal/decisions/retries/retries_test.go
@@ -25,8 +25,8 @@
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond
 			c := call{now, rapid.Bool().Draw(t, "further"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "account")}
 			if !c.further {
-				b.First(c.at, c.class, c.account)
-			} else if !b.Further(c.at, c.class, c.account) {
+				b.CountFirstAttempt(c.at, c.class, c.account)
+			} else if !b.AllowRetry(c.at, c.class, c.account) {
 				continue
 			}
 			calls = append(calls, c)
@@ -47,7 +47,7 @@
 						}
 					}
 				}
-				if float64(further) > share*float64(first)+Floor {
+				if float64(further) > share*float64(first)+MinRetries {
 					t.Fatalf("%d further calls to %d first ones", further, first)
 				}
 			}
@@ -60,28 +60,28 @@
 	b := New(0.2)
 	allowed := func(now time.Duration, n int) (got int) {
 		for range n {
-			if b.Further(now, "c", "a") {
+			if b.AllowRetry(now, "c", "a") {
 				got++
 			}
 		}
 		return got
 	}
-	if got := allowed(0, 100); got != Floor {
+	if got := allowed(0, 100); got != MinRetries {
 		t.Errorf("quiet: %d", got)
 	}
 	for range 1000 {
-		b.First(time.Second, "c", "a")
+		b.CountFirstAttempt(time.Second, "c", "a")
 	}
 	if got := allowed(2*time.Second, 1000); got != 200 {
 		t.Errorf("busy: %d more", got)
 	}
-	if got := allowed(Window+3*time.Second, 100); got != Floor || b.Denied() == 0 {
+	if got := allowed(Window+3*time.Second, 100); got != MinRetries || b.Denied() == 0 {
 		t.Errorf("a window later: %d, %d denied", got, b.Denied())
 	}
-	for i := range 2 * MostAccounts {
-		b.First(time.Hour, "c", fmt.Sprint(i))
+	for i := range 2 * MaxAccounts {
+		b.CountFirstAttempt(time.Hour, "c", fmt.Sprint(i))
 	}
-	if len(b.accounts) > MostAccounts {
+	if len(b.accounts) > MaxAccounts {
 		t.Errorf("%d accounts", len(b.accounts))
 	}
 }
--- a/internal/decisions/savedlist/savedlist.go
+++ b/internal/decisions/savedlist/savedlist.go
@@ -35,29 +35,29 @@
 
 // Rules are set once.
 type Rules struct {
-	Oldest        time.Duration // an older list is not used
-	Shrink        float64       // a first list below this share of what was trusted must be told twice; 0 for never
-	Cold          time.Duration // a worker that has started is warm after this long at most
-	StartCapacity float64       // and begins at this share of its capacity
-	Probing       bool          // workers may be probed
+	MaxAge            time.Duration // an older list is not used
+	MinFirstListShare float64       // a first list below this share of what was trusted must be told twice; 0 for never
+	SlowStartDuration time.Duration // a worker that has started is warm after this long at most
+	SlowStartCapacity float64       // and begins at this share of its capacity
+	MayProbe          bool          // workers may be probed
 }
 
 const (
-	// PacePerSecond is how many first probes go out in a second where workers are few; of many a second's worth is
-	// MostPace at most.
-	PacePerSecond, MostPace = 50, 400
+	// MinProbesPerSecond is how many first probes go out in a second where workers are few; of many a second's worth is
+	// MaxProbesPerSecond at most.
+	MinProbesPerSecond, MaxProbesPerSecond = 50, 400
 
-	// FirstWait and MostWait bound the waits between probes of a worker that does not answer.
-	FirstWait, MostWait = 500 * time.Millisecond, 30 * time.Second
+	// MinProbeRetryDelay and MaxProbeRetryDelay bound the waits between probes of a worker that does not answer.
+	MinProbeRetryDelay, MaxProbeRetryDelay = 500 * time.Millisecond, 30 * time.Second
 
-	// ProbeLost is how long a probe may be out: its answer is then not waited for.
-	ProbeLost = 2 * time.Second
+	// ProbeTimeout is how long a probe may be out: its answer is then not waited for.
+	ProbeTimeout = 2 * time.Second
 
-	// GoneAfter tells when a worker that never answered counts as gone; it is still asked.
-	GoneAfter, goneProbes = 20 * time.Second, 4
+	// AbsentAfter tells when a worker that never answered counts as gone; it is still asked.
+	AbsentAfter, goneProbes = 20 * time.Second, 4
 
-	// Second and Longest bound how long whom a doubted list does not name is kept.
-	Second, Longest = time.Second, 10 * time.Second
+	// ConfirmationDelay and MaxRetention bound how long whom a doubted list does not name is kept.
+	ConfirmationDelay, MaxRetention = time.Second, 10 * time.Second
 
 	coldLeft = 0.05 // of the cold workers so many may be taken for warm ones
 	spread   = 0.7  // of the logarithm of how much longer than usual a job takes at a warm worker
@@ -71,66 +71,66 @@
 	restless            = 0.1
 )
 
-// Worker is one of a saved list.
-type Worker struct {
-	ID    brain.WorkerID
-	State brain.WorkerState
-	Out   bool        // by hand
-	Since brain.Clock // when it had started; 0 for long ago
-	Heard brain.Clock // when it was last heard; 0 for never
+// CachedWorker is one of a saved list.
+type CachedWorker struct {
+	ID         brain.WorkerID
+	State      brain.WorkerState
+	Detached   bool        // by hand
+	StartedAt  brain.Clock // when it had started; 0 for long ago
+	LastSignal brain.Clock // when it was last heard; 0 for never
 }
 
-// List is a saved list.
-type List struct {
-	Made     brain.Clock // when it was last known to be true
-	Revision int64
-	Workers  []Worker
+// CachedList is a saved list.
+type CachedList struct {
+	ConfirmedAt brain.Clock // when it was last known to be true
+	Revision    int64
+	Workers     []CachedWorker
 }
 
-// Stage is how far a worker is trusted.
-type Stage uint8
+// TrustLevel is how far a worker is trusted.
+type TrustLevel uint8
 
 const (
-	Unheard Stage = iota // nothing has come from it
-	Foreign              // something else answers at its address
-	Absent               // it counts as gone
-	Heard                // it has answered, and gets what a cold one may
-	Proven               // it is what it was
-	Barred               // it drained, was gone or out by hand
+	Unconfirmed    TrustLevel = iota // nothing has come from it
+	ForeignService                   // something else answers at its address
+	Absent                           // it counts as gone
+	Responsive                       // it has answered, and gets what a cold one may
+	Verified                         // it is what it was
+	Excluded                         // it drained, was gone or out by hand
 )
 
-// Sign is what came back from a worker.
-type Sign uint8
+// ProbeResult is what came back from a worker.
+type ProbeResult uint8
 
 const (
-	Answered Sign = iota // as a worker answers a probe
-	Strange              // as no worker does
-	Silent               // nothing, or no connection
+	Answered     ProbeResult = iota // as a worker answers a probe
+	Unrecognized                    // as no worker does
+	NoResponse                      // nothing, or no connection
 )
 
-// Verdict is what is to be done. Exactly one of its fields is set.
-type Verdict struct {
-	Probe brain.WorkerID // ask it for a sign of life
-	Tell  *Told          // the module is to know
+// Action is what is to be done. Exactly one of its fields is set.
+type Action struct {
+	Probe    brain.WorkerID // ask it for a sign of life
+	Announce *ReadyWorker   // the module is to know
 }
 
-// Told is what the module is to know of a worker.
-type Told struct {
-	ID    brain.WorkerID
-	Since brain.Clock
-	Sure  bool // Since holds also where it is earlier than what was told before
+// ReadyWorker is what the module is to know of a worker.
+type ReadyWorker struct {
+	ID             brain.WorkerID
+	StartedAt      brain.Clock
+	StartConfirmed bool // Since holds also where it is earlier than what was told before
 }
 
-// Trust is the state of a start from a saved list. The times that its methods get never run backwards.
-type Trust struct {
+// Assessor is the state of a start from a saved list. The times that its methods get never run backwards.
+type Assessor struct {
 	rules   Rules
-	list    List
+	list    CachedList
 	usable  bool
 	begun   brain.Clock
 	age     time.Duration // of the list at the start; below 0 where it cannot be told
 	workers map[brain.WorkerID]*worker
 	order   []*worker // by when they are asked first
-	stages  [Barred + 1]int
+	stages  [Excluded + 1]int
 	pace    time.Duration
 	over    bool // discovery's list is in force
 
@@ -139,8 +139,8 @@
 }
 
 type worker struct {
-	Worker
-	stage  Stage
+	CachedWorker
+	stage  TrustLevel
 	out    bool        // a probe is
 	asked  brain.Clock // when the last probe went out
 	next   brain.Clock // when the next one may
@@ -150,12 +150,12 @@
 }
 
 // New begins at a time with a saved list. Usable tells whether it is of any use; Look gives the first verdicts.
-func New(now brain.Clock, l List, r Rules) *Trust {
-	t := &Trust{rules: r, list: l, workers: map[brain.WorkerID]*worker{}, begun: now, age: now - l.Made}
-	if l.Made > now {
+func New(now brain.Clock, l CachedList, r Rules) *Assessor {
+	t := &Assessor{rules: r, list: l, workers: map[brain.WorkerID]*worker{}, begun: now, age: now - l.ConfirmedAt}
+	if l.ConfirmedAt > now {
 		t.age = -1
 	}
-	if t.usable = t.age <= r.Oldest; !t.usable {
+	if t.usable = t.age <= r.MaxAge; !t.usable {
 		t.over = true
 		return t
 	}
@@ -163,18 +163,20 @@
 		if t.workers[in.ID] != nil {
 			continue
 		}
-		w := &worker{Worker: in, next: now}
-		t.stages[Unheard]++
-		if in.State != brain.Ready || in.Out {
-			t.move(w, Barred)
+		w := &worker{CachedWorker: in, next: now}
+		t.stages[Unconfirmed]++
+		if in.State != brain.Ready || in.Detached {
+			t.move(w, Excluded)
 		} else {
 			t.order = append(t.order, w)
 		}
 		t.workers[in.ID] = w
 	}
 	// Most likely there: those heard last, and of these the ones that had been up for longest.
-	slices.SortStableFunc(t.order, func(a, b *worker) int { return cmp.Or(cmp.Compare(b.Heard, a.Heard), cmp.Compare(a.Since, b.Since)) })
-	t.pace = time.Second / time.Duration(min(max(PacePerSecond, len(t.order)), MostPace))
+	slices.SortStableFunc(t.order, func(a, b *worker) int {
+		return cmp.Or(cmp.Compare(b.LastSignal, a.LastSignal), cmp.Compare(a.StartedAt, b.StartedAt))
+	})
+	t.pace = time.Second / time.Duration(min(max(MinProbesPerSecond, len(t.order)), MaxProbesPerSecond))
 	for i, w := range t.order {
 		w.next = now + time.Duration(i)*t.pace
 	}
@@ -182,37 +184,37 @@
 }
 
 // Usable tells whether the list may be used at all.
-func (t *Trust) Usable() bool { return t.usable }
+func (t *Assessor) Usable() bool { return t.usable }
 
 // Age is how old the list was at the start; not ok where its time lies in the future.
-func (t *Trust) Age() (age time.Duration, ok bool) { return max(t.age, 0), t.age >= 0 }
+func (t *Assessor) Age() (age time.Duration, ok bool) { return max(t.age, 0), t.age >= 0 }
 
-// Over tells whether discovery's list is in force: nothing is decided here any more.
-func (t *Trust) Over() bool { return t.over }
+// Finished tells whether discovery's list is in force: nothing is decided here any more.
+func (t *Assessor) Finished() bool { return t.over }
 
-// Doubting tells whether a list of discovery's waits for a second that agrees.
-func (t *Trust) Doubting() bool { return t.doubted != 0 }
+// AwaitingConfirmation tells whether a list of discovery's waits for a second that agrees.
+func (t *Assessor) AwaitingConfirmation() bool { return t.doubted != 0 }
 
-// Stages counts the workers by stage.
-func (t *Trust) Stages() [Barred + 1]int { return t.stages }
+// CountByLevel counts the workers by stage.
+func (t *Assessor) CountByLevel() [Excluded + 1]int { return t.stages }
 
 // move puts a worker into another stage.
-func (t *Trust) move(w *worker, to Stage) {
+func (t *Assessor) move(w *worker, to TrustLevel) {
 	t.stages[w.stage]--
 	w.stage = to
 	t.stages[to]++
 }
 
-// Look gives what is due by now.
-func (t *Trust) Look(now brain.Clock) (vs []Verdict) {
+// Check gives what is due by now.
+func (t *Assessor) Check(now brain.Clock) (vs []Action) {
 	if t.over {
 		return nil
 	}
 	for _, w := range t.order {
-		if w.stage > Absent || w.next > now || w.out && now < w.asked+ProbeLost {
+		if w.stage > Absent || w.next > now || w.out && now < w.asked+ProbeTimeout {
 			continue
 		}
-		if !t.rules.Probing { // nobody can be asked: it is told as cold, and its jobs tell the rest
+		if !t.rules.MayProbe { // nobody can be asked: it is told as cold, and its jobs tell the rest
 			vs = append(vs, t.hear(w, now))
 			continue
 		}
@@ -223,13 +225,13 @@
 			}
 		}
 		w.out, w.asked = true, now
-		vs = append(vs, Verdict{Probe: w.ID})
+		vs = append(vs, Action{Probe: w.ID})
 	}
 	return vs
 }
 
-// Due tells when Look has something to do if nothing comes before; not ok if never.
-func (t *Trust) Due() (at brain.Clock, ok bool) {
+// NextCheck tells when Look has something to do if nothing comes before; not ok if never.
+func (t *Assessor) NextCheck() (at brain.Clock, ok bool) {
 	if t.over {
 		return 0, false
 	}
@@ -239,7 +241,7 @@
 		}
 		next := w.next
 		if w.out {
-			next = max(next, w.asked+ProbeLost)
+			next = max(next, w.asked+ProbeTimeout)
 		}
 		if !ok || next < at {
 			at, ok = next, true
@@ -248,8 +250,8 @@
 	return at, ok
 }
 
-// Probed takes what came back of a probe.
-func (t *Trust) Probed(now brain.Clock, id brain.WorkerID, s Sign) []Verdict {
+// ProbeCompleted takes what came back of a probe.
+func (t *Assessor) ProbeCompleted(now brain.Clock, id brain.WorkerID, s ProbeResult) []Action {
 	w := t.workers[id]
 	if t.over || w == nil || !w.out || w.stage > Absent {
 		return nil
@@ -257,38 +259,38 @@
 	w.out = false
 	switch s {
 	case Answered:
-		return []Verdict{t.hear(w, now)}
-	case Strange:
-		t.move(w, Foreign)
+		return []Action{t.hear(w, now)}
+	case Unrecognized:
+		t.move(w, ForeignService)
 	}
 	t.failed(w, now)
 	return nil
 }
 
 // hear has a worker told as cold.
-func (t *Trust) hear(w *worker, now brain.Clock) Verdict {
-	t.move(w, Heard)
+func (t *Assessor) hear(w *worker, now brain.Clock) Action {
+	t.move(w, Responsive)
 	w.told = now
-	return Verdict{Tell: &Told{ID: w.ID, Since: max(now, 1)}}
+	return Action{Announce: &ReadyWorker{ID: w.ID, StartedAt: max(now, 1)}}
 }
 
-func (t *Trust) failed(w *worker, now brain.Clock) {
+func (t *Assessor) failed(w *worker, now brain.Clock) {
 	w.out = false
-	w.next = now + min(FirstWait<<min(w.fails, 16), MostWait)
+	w.next = now + min(MinProbeRetryDelay<<min(w.fails, 16), MaxProbeRetryDelay)
 	w.fails++
-	if w.stage == Unheard && w.fails >= goneProbes && now >= t.begun+GoneAfter {
+	if w.stage == Unconfirmed && w.fails >= goneProbes && now >= t.begun+AbsentAfter {
 		t.move(w, Absent)
 	}
 }
 
-// Begun is when this start began.
-func (t *Trust) Begun() brain.Clock { return t.begun }
+// StartedAt is when this start began.
+func (t *Assessor) StartedAt() brain.Clock { return t.begun }
 
-// Worked takes a job that a worker has served. late is the logarithm of how much longer it took than such jobs usually
+// JobServed takes a job that a worker has served. late is the logarithm of how much longer it took than such jobs usually
 // take at this worker.
-func (t *Trust) Worked(now brain.Clock, id brain.WorkerID, late float64) []Verdict {
+func (t *Assessor) JobServed(now brain.Clock, id brain.WorkerID, late float64) []Action {
 	w := t.workers[id]
-	if t.over || w == nil || w.stage != Heard || math.IsNaN(late) {
+	if t.over || w == nil || w.stage != Responsive || math.IsNaN(late) {
 		return nil
 	}
 	late = min(max(late, -mostLate), mostLate)
@@ -297,44 +299,44 @@
 	if w.weight < t.needed(w) {
 		return nil
 	}
-	t.move(w, Proven)
-	return []Verdict{{Tell: &Told{ID: w.ID, Since: w.Since, Sure: true}}}
+	t.move(w, Verified)
+	return []Action{{Announce: &ReadyWorker{ID: w.ID, StartedAt: w.StartedAt, StartConfirmed: true}}}
 }
 
 // prior is how likely a worker is held to be cold before anything is known of it.
-func (t *Trust) prior(w *worker) float64 {
+func (t *Assessor) prior(w *worker) float64 {
 	p := mostCold
 	if t.age >= 0 {
 		p = leastCold + (mostCold-leastCold)*(1-math.Exp(-float64(t.age)/float64(coldAge)))
 	}
-	if w.Since > 0 && w.Since > t.list.Made-t.rules.Cold {
+	if w.StartedAt > 0 && w.StartedAt > t.list.ConfirmedAt-t.rules.SlowStartDuration {
 		p += restless
 	}
 	return p
 }
 
 // needed is how much must speak for a worker: Wald's bound, and more the likelier it is cold beforehand.
-func (t *Trust) needed(w *worker) float64 { return -math.Log(coldLeft) - math.Log(1-t.prior(w)) }
+func (t *Assessor) needed(w *worker) float64 { return -math.Log(coldLeft) - math.Log(1-t.prior(w)) }
 
 // warmth is the share of its capacity that a worker has at least, by its age.
-func (t *Trust) warmth(age time.Duration) float64 {
-	start := min(max(t.rules.StartCapacity, 0.01), 1)
-	if t.rules.Cold <= 0 {
+func (t *Assessor) warmth(age time.Duration) float64 {
+	start := min(max(t.rules.SlowStartCapacity, 0.01), 1)
+	if t.rules.SlowStartDuration <= 0 {
 		return 1
 	}
-	return start + (1-start)*min(max(float64(age)/float64(t.rules.Cold), 0), 1)
+	return start + (1-start)*min(max(float64(age)/float64(t.rules.SlowStartDuration), 0), 1)
 }
 
-// Judgement says how a list of discovery's counts.
-type Judgement struct {
-	Keep  []brain.WorkerID // whom it does not name, and who stay as they are
-	Again brain.Clock      // when the whole list is to be asked for again; 0 where it counts as it is
+// ListDecision says how a list of discovery's counts.
+type ListDecision struct {
+	Retain    []brain.WorkerID // whom it does not name, and who stay as they are
+	RefetchAt brain.Clock      // when the whole list is to be asked for again; 0 where it counts as it is
 }
 
-// Listed judges a whole list of discovery's: its revision and whom it names as ready.
-func (t *Trust) Listed(now brain.Clock, revision int64, ready []brain.WorkerID) Judgement {
+// AssessList judges a whole list of discovery's: its revision and whom it names as ready.
+func (t *Assessor) AssessList(now brain.Clock, revision int64, ready []brain.WorkerID) ListDecision {
 	if t.over {
-		return Judgement{}
+		return ListDecision{}
 	}
 	named := map[brain.WorkerID]bool{}
 	for _, id := range ready {
@@ -343,48 +345,48 @@
 	trusted, lacking := 0, []brain.WorkerID(nil)
 	for _, w := range t.order {
 		trusted++
-		if !named[w.ID] && (w.stage == Heard || w.stage == Proven) {
+		if !named[w.ID] && (w.stage == Responsive || w.stage == Verified) {
 			lacking = append(lacking, w.ID)
 		}
 	}
-	few := trusted > 0 && float64(len(named)) < t.rules.Shrink*float64(trusted)
-	doubtful := t.rules.Shrink > 0 && len(lacking) > 0 && (few || revision < t.list.Revision)
+	few := trusted > 0 && float64(len(named)) < t.rules.MinFirstListShare*float64(trusted)
+	doubtful := t.rules.MinFirstListShare > 0 && len(lacking) > 0 && (few || revision < t.list.Revision)
 	switch {
-	case !doubtful, t.doubted != 0 && now >= t.doubted+Longest:
+	case !doubtful, t.doubted != 0 && now >= t.doubted+MaxRetention:
 		t.over = true
-		return Judgement{}
+		return ListDecision{}
 	case t.doubted == 0:
 		t.doubted, t.kept = now, lacking
-	case now >= t.doubted+Second && len(named) > 0: // a second one: whom it does not name either is gone
+	case now >= t.doubted+ConfirmationDelay && len(named) > 0: // a second one: whom it does not name either is gone
 		t.over = true
-		return Judgement{}
+		return ListDecision{}
 	}
-	return Judgement{Keep: lacking, Again: max(now+Second/2, t.doubted+Second)}
+	return ListDecision{Retain: lacking, RefetchAt: max(now+ConfirmationDelay/2, t.doubted+ConfirmationDelay)}
 }
 
-// Left tells that discovery has named a worker as draining or gone by itself: it is neither kept nor told any more.
-func (t *Trust) Left(id brain.WorkerID) {
+// RemovedByDiscovery tells that discovery has named a worker as draining or gone by itself: it is neither kept nor told any more.
+func (t *Assessor) RemovedByDiscovery(id brain.WorkerID) {
 	if w := t.workers[id]; w != nil {
-		t.move(w, Barred)
+		t.move(w, Excluded)
 	}
 }
 
-// Doubted gives until when those that are kept may be; not ok where none is.
-func (t *Trust) Doubted() (until brain.Clock, ok bool) {
-	return t.doubted + Longest, t.doubted != 0 && !t.over
+// RetainedUntil gives until when those that are kept may be; not ok where none is.
+func (t *Assessor) RetainedUntil() (until brain.Clock, ok bool) {
+	return t.doubted + MaxRetention, t.doubted != 0 && !t.over
 }
 
-// Expire ends the doubt at its latest: whom discovery did not name is gone.
-func (t *Trust) Expire(now brain.Clock) (gone []brain.WorkerID) {
-	if t.doubted == 0 || t.over || now < t.doubted+Longest {
+// ExpireRetained ends the doubt at its latest: whom discovery did not name is gone.
+func (t *Assessor) ExpireRetained(now brain.Clock) (gone []brain.WorkerID) {
+	if t.doubted == 0 || t.over || now < t.doubted+MaxRetention {
 		return nil
 	}
 	t.over = true
 	return t.kept
 }
 
-// Same tells whether a worker that discovery names is in the life that the saved list had it in.
-func (t *Trust) Same(id brain.WorkerID, since brain.Clock) bool {
+// SameIncarnation tells whether a worker that discovery names is in the life that the saved list had it in.
+func (t *Assessor) SameIncarnation(id brain.WorkerID, since brain.Clock) bool {
 	w := t.workers[id]
-	return w != nil && since <= w.Since
+	return w != nil && since <= w.StartedAt
 }
--- a/internal/decisions/savedlist/savedlist_test.go
+++ b/internal/decisions/savedlist/savedlist_test.go
@@ -14,15 +14,15 @@
 
 const day = 24 * time.Hour
 
-var rules = Rules{Oldest: 72 * time.Hour, Shrink: 0.5, Cold: 24 * time.Second, StartCapacity: 0.14, Probing: true}
+var rules = Rules{MaxAge: 72 * time.Hour, MinFirstListShare: 0.5, SlowStartDuration: 24 * time.Second, SlowStartCapacity: 0.14, MayProbe: true}
 
 func id(i int) brain.WorkerID { return brain.WorkerID(fmt.Sprint("w", i)) }
 
 // listOf is a list of so many workers that have been up for long.
-func listOf(made brain.Clock, n int) List {
-	l := List{Made: made, Revision: 7}
+func listOf(made brain.Clock, n int) CachedList {
+	l := CachedList{ConfirmedAt: made, Revision: 7}
 	for i := range n {
-		l.Workers = append(l.Workers, Worker{ID: id(i), Heard: made})
+		l.Workers = append(l.Workers, CachedWorker{ID: id(i), LastSignal: made})
 	}
 	return l
 }
@@ -37,7 +37,7 @@
 		if age, ok := trust.Age(); trust.Usable() != c.usable || ok != (c.age >= 0) || ok && age != c.age {
 			t.Errorf("%v: usable %v, age %v, %v", c.age, trust.Usable(), age, ok)
 		}
-		if !c.usable && (!trust.Over() || trust.Look(11*day) != nil) {
+		if !c.usable && (!trust.Finished() || trust.Check(11*day) != nil) {
 			t.Errorf("%v: still decides", c.age)
 		}
 	}
@@ -47,48 +47,48 @@
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rules
-		r.Probing = rapid.Bool().Draw(t, "probing")
+		r.MayProbe = rapid.Bool().Draw(t, "probing")
 		now := 10 * day
-		l := List{Made: now - time.Duration(rapid.IntRange(-5, 60).Draw(t, "age"))*time.Hour, Revision: 7}
+		l := CachedList{ConfirmedAt: now - time.Duration(rapid.IntRange(-5, 60).Draw(t, "age"))*time.Hour, Revision: 7}
 		n := rapid.IntRange(1, 30).Draw(t, "workers")
 		for i := range n {
-			l.Workers = append(l.Workers, Worker{ID: id(i), State: rapid.SampledFrom([]brain.WorkerState{brain.Ready, brain.Ready, brain.Draining, brain.Gone}).Draw(t, "state"),
-				Out: rapid.IntRange(0, 9).Draw(t, "out") == 0, Since: l.Made - time.Duration(rapid.IntRange(0, 100).Draw(t, "since"))*time.Second})
+			l.Workers = append(l.Workers, CachedWorker{ID: id(i), State: rapid.SampledFrom([]brain.WorkerState{brain.Ready, brain.Ready, brain.Draining, brain.Gone}).Draw(t, "state"),
+				Detached: rapid.IntRange(0, 9).Draw(t, "out") == 0, StartedAt: l.ConfirmedAt - time.Duration(rapid.IntRange(0, 100).Draw(t, "since"))*time.Second})
 		}
 		trust := New(now, l, r)
 		begun := now
 		out, answered, told, sure := map[brain.WorkerID]brain.Clock{}, map[brain.WorkerID]bool{}, map[brain.WorkerID]brain.Clock{}, map[brain.WorkerID]bool{}
 		probes := 0
-		take := func(vs []Verdict) {
+		take := func(vs []Action) {
 			for _, v := range vs {
-				if (v.Probe == "") == (v.Tell == nil) {
+				if (v.Probe == "") == (v.Announce == nil) {
 					t.Fatalf("%+v is not one verdict", v)
 				}
 				if w := v.Probe; w != "" {
-					if at, is := out[w]; is && now < at+ProbeLost {
+					if at, is := out[w]; is && now < at+ProbeTimeout {
 						t.Fatalf("two probes out to %s", w)
 					}
-					if told[w] != 0 || !r.Probing {
+					if told[w] != 0 || !r.MayProbe {
 						t.Fatalf("probes %s", w)
 					}
 					out[w] = now
 					probes++
 					continue
 				}
-				w := slices.IndexFunc(l.Workers, func(w Worker) bool { return w.ID == v.Tell.ID })
+				w := slices.IndexFunc(l.Workers, func(w CachedWorker) bool { return w.ID == v.Announce.ID })
 				saved := l.Workers[w]
 				switch {
-				case saved.State != brain.Ready || saved.Out:
+				case saved.State != brain.Ready || saved.Detached:
 					t.Fatalf("told one that had left: %+v", saved)
-				case r.Probing && !answered[saved.ID]:
+				case r.MayProbe && !answered[saved.ID]:
 					t.Fatalf("told one that never answered: %+v", saved)
-				case !v.Tell.Sure && v.Tell.Since != now:
-					t.Fatalf("told as started at %v at %v", v.Tell.Since, now)
-				case v.Tell.Sure && (told[saved.ID] == 0 || v.Tell.Since != saved.Since):
-					t.Fatalf("proven before it was told, or as another: %+v", v.Tell)
+				case !v.Announce.StartConfirmed && v.Announce.StartedAt != now:
+					t.Fatalf("told as started at %v at %v", v.Announce.StartedAt, now)
+				case v.Announce.StartConfirmed && (told[saved.ID] == 0 || v.Announce.StartedAt != saved.StartedAt):
+					t.Fatalf("proven before it was told, or as another: %+v", v.Announce)
 				}
 				told[saved.ID] = now
-				sure[saved.ID] = sure[saved.ID] || v.Tell.Sure
+				sure[saved.ID] = sure[saved.ID] || v.Announce.StartConfirmed
 			}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -96,29 +96,29 @@
 			w := id(rapid.IntRange(0, n-1).Draw(t, "worker"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				take(trust.Look(now))
+				take(trust.Check(now))
 			case 2:
-				s := rapid.SampledFrom([]Sign{Answered, Strange, Silent}).Draw(t, "sign")
+				s := rapid.SampledFrom([]ProbeResult{Answered, Unrecognized, NoResponse}).Draw(t, "sign")
 				if _, is := out[w]; is && s == Answered {
 					answered[w] = true
 				}
-				take(trust.Probed(now, w, s))
+				take(trust.ProbeCompleted(now, w, s))
 				delete(out, w)
 			case 3:
-				take(trust.Worked(now, w, rapid.Float64Range(-1, 4).Draw(t, "late")))
+				take(trust.JobServed(now, w, rapid.Float64Range(-1, 4).Draw(t, "late")))
 			}
-			if most := n + int((now-begun)/FirstWait+2)*n; probes > most {
+			if most := n + int((now-begun)/MinProbeRetryDelay+2)*n; probes > most {
 				t.Fatalf("%d probes of %d workers in %v", probes, n, now-begun)
 			}
-			if at, ok := trust.Due(); ok && at <= now {
-				take(trust.Look(now))
-				if at, ok := trust.Due(); ok && at <= now && r.Probing {
+			if at, ok := trust.NextCheck(); ok && at <= now {
+				take(trust.Check(now))
+				if at, ok := trust.NextCheck(); ok && at <= now && r.MayProbe {
 					t.Fatalf("due at %v after a look at %v", at, now)
 				}
 			}
 		}
 		counted := 0
-		for _, k := range trust.Stages() {
+		for _, k := range trust.CountByLevel() {
 			counted += k
 		}
 		if counted != n {
@@ -146,8 +146,8 @@
 			cold := i%2 == 0
 			now := 10 * day
 			trust := New(now, listOf(now-age, 1), rules)
-			trust.Look(now)
-			trust.Probed(now, id(0), Answered)
+			trust.Check(now)
+			trust.ProbeCompleted(now, id(0), Answered)
 			for range 20 {
 				now += 300 * time.Millisecond
 				late := spread * normal()
@@ -156,7 +156,7 @@
 				} else {
 					jobs++
 				}
-				if len(trust.Worked(now, id(0), late)) > 0 {
+				if len(trust.JobServed(now, id(0), late)) > 0 {
 					if cold {
 						wrong++
 					}
@@ -195,23 +195,23 @@
 	for _, n := range []int{3, 12, 50, 200, 20000} {
 		l := listOf(9*day, n)
 		for i := range l.Workers {
-			l.Workers[i].Heard = 9*day - time.Duration(i)*time.Second
+			l.Workers[i].LastSignal = 9*day - time.Duration(i)*time.Second
 		}
 		trust := New(10*day, l, rules)
 		asked, most := 0, 0
 		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
-			for _, v := range trust.Look(now) {
+			for _, v := range trust.Check(now) {
 				if v.Probe != id(asked) && asked < n {
 					t.Fatalf("%d workers: probe %d goes to %s", n, asked, v.Probe)
 				}
 				if asked++; asked == n {
 					break
 				}
-				trust.Probed(now, v.Probe, Answered)
+				trust.ProbeCompleted(now, v.Probe, Answered)
 			}
 			most = max(most, asked)
 		}
-		if want := min(n, MostPace+1); most > want || most < min(n, PacePerSecond) {
+		if want := min(n, MaxProbesPerSecond+1); most > want || most < min(n, MinProbesPerSecond) {
 			t.Errorf("%d workers: %d probes in a second", n, most)
 		}
 	}
@@ -219,12 +219,12 @@
 
 // Promise 7.
 func TestHandover(t *testing.T) {
-	begin := func() *Trust {
+	begin := func() *Assessor {
 		trust := New(10*day, listOf(10*day-time.Minute, 10), rules)
 		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
-			for _, v := range trust.Look(now) {
+			for _, v := range trust.Check(now) {
 				if i := slices.Index([]brain.WorkerID{id(8), id(9)}, v.Probe); i < 0 { // two never answer
-					trust.Probed(now, v.Probe, Answered)
+					trust.ProbeCompleted(now, v.Probe, Answered)
 				}
 			}
 		}
@@ -247,36 +247,36 @@
 		{"older", 3, ids(7), 1}, {"older, all that answer", 3, ids(8), -1}, {"more", 9, ids(12), -1},
 	} {
 		trust := begin()
-		j := trust.Listed(now, c.revision, c.ready)
+		j := trust.AssessList(now, c.revision, c.ready)
 		if c.kept < 0 {
-			if len(j.Keep) > 0 || j.Again != 0 || !trust.Over() {
+			if len(j.Retain) > 0 || j.RefetchAt != 0 || !trust.Finished() {
 				t.Errorf("%s: %+v", c.name, j)
 			}
 			continue
 		}
-		if len(j.Keep) != c.kept || j.Again != now+Second || trust.Over() {
+		if len(j.Retain) != c.kept || j.RefetchAt != now+ConfirmationDelay || trust.Finished() {
 			t.Errorf("%s: %+v", c.name, j)
 		}
-		if j := trust.Listed(now+Second/2, c.revision, c.ready); j.Again != now+Second || trust.Over() {
+		if j := trust.AssessList(now+ConfirmationDelay/2, c.revision, c.ready); j.RefetchAt != now+ConfirmationDelay || trust.Finished() {
 			t.Errorf("%s, told again too soon: %+v", c.name, j)
 		}
-		if until, ok := trust.Doubted(); !ok || until != now+Longest || trust.Expire(until-1) != nil {
+		if until, ok := trust.RetainedUntil(); !ok || until != now+MaxRetention || trust.ExpireRetained(until-1) != nil {
 			t.Errorf("%s: doubted until %v, %v", c.name, until, ok)
 		}
-		if j := trust.Listed(now+Second, c.revision, c.ready); (len(c.ready) > 0) != trust.Over() {
+		if j := trust.AssessList(now+ConfirmationDelay, c.revision, c.ready); (len(c.ready) > 0) != trust.Finished() {
 			t.Errorf("%s, told twice: %+v", c.name, j)
 		}
 		trust = begin()
-		trust.Listed(now, c.revision, c.ready)
-		if gone := trust.Expire(now + Longest); len(gone) != c.kept || !trust.Over() {
+		trust.AssessList(now, c.revision, c.ready)
+		if gone := trust.ExpireRetained(now + MaxRetention); len(gone) != c.kept || !trust.Finished() {
 			t.Errorf("%s, never told again: %v", c.name, gone)
 		}
 	}
 	// Who names no share wants every list at once.
 	r := rules
-	r.Shrink = 0
+	r.MinFirstListShare = 0
 	trust := New(10*day, listOf(10*day-time.Minute, 10), r)
-	if j := trust.Listed(now, 1, nil); j.Again != 0 || !trust.Over() {
+	if j := trust.AssessList(now, 1, nil); j.RefetchAt != 0 || !trust.Finished() {
 		t.Errorf("without a share: %+v", j)
 	}
 }
@@ -284,9 +284,9 @@
 // Promise 8.
 func TestSame(t *testing.T) {
 	l := listOf(10*day, 1)
-	l.Workers[0].Since = 9 * day
+	l.Workers[0].StartedAt = 9 * day
 	trust := New(10*day, l, rules)
-	if !trust.Same(id(0), 9*day) || trust.Same(id(0), 9*day+1) || trust.Same(id(1), 0) {
+	if !trust.SameIncarnation(id(0), 9*day) || trust.SameIncarnation(id(0), 9*day+1) || trust.SameIncarnation(id(1), 0) {
 		t.Error("a later start is the same life")
 	}
 }
--- a/internal/decisions/shares/shares.go
+++ b/internal/decisions/shares/shares.go
@@ -26,12 +26,12 @@
 // is the part of all others together.
 func New(room int, parts map[string]float64) *Table {
 	t := &Table{open: map[string]int{}}
-	t.Retune(room, parts)
+	t.SetQuotas(room, parts)
 	return t
 }
 
-// Retune changes room and parts. What is open stays open.
-func (t *Table) Retune(room int, parts map[string]float64) {
+// SetQuotas changes room and parts. What is open stays open.
+func (t *Table) SetQuotas(room int, parts map[string]float64) {
 	t.room, t.parts, t.other = room, parts, 1
 	for _, part := range parts {
 		t.other -= part
@@ -39,17 +39,17 @@
 	t.other = max(t.other, 0)
 }
 
-// Pot tells under which name an account's jobs count. It must be asked once a job: a retuning may change it.
-func (t *Table) Pot(account string) string {
+// QuotaName tells under which name an account's jobs count. It must be asked once a job: a retuning may change it.
+func (t *Table) QuotaName(account string) string {
 	if _, ok := t.parts[account]; ok {
 		return account
 	}
 	return ""
 }
 
-// Take takes a job of a pot, or tells that there is no room for it.
-func (t *Table) Take(pot string) bool {
-	if !streams.Fair(t.room, t.total, t.open[pot], t.floor(pot)) {
+// Admit takes a job of a pot, or tells that there is no room for it.
+func (t *Table) Admit(pot string) bool {
+	if !streams.WithinDynamicThreshold(t.room, t.total, t.open[pot], t.floor(pot)) {
 		return false
 	}
 	t.open[pot]++
@@ -57,19 +57,19 @@
 	return true
 }
 
-// Done ends a job that was taken.
-func (t *Table) Done(pot string) {
+// Release ends a job that was taken.
+func (t *Table) Release(pot string) {
 	t.total--
 	if t.open[pot]--; t.open[pot] <= 0 {
 		delete(t.open, pot)
 	}
 }
 
-// Total is how many jobs are open.
-func (t *Table) Total() int { return t.total }
+// TotalOpen is how many jobs are open.
+func (t *Table) TotalOpen() int { return t.total }
 
-// Open tells how many jobs of a pot are open, and how many it may always have.
-func (t *Table) Open(pot string) (open, share int) { return t.open[pot], t.floor(pot) }
+// Usage tells how many jobs of a pot are open, and how many it may always have.
+func (t *Table) Usage(pot string) (open, share int) { return t.open[pot], t.floor(pot) }
 
 // floor is an account's share in jobs: whole ones, and one at least.
 func (t *Table) floor(pot string) int {
--- a/internal/decisions/shares/shares_test.go
+++ b/internal/decisions/shares/shares_test.go
@@ -17,19 +17,19 @@
 			case 0:
 				if len(open) > 0 {
 					i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
-					table.Done(open[i])
+					table.Release(open[i])
 					open = append(open[:i], open[i+1:]...)
 				}
 			case 1:
 				if rapid.IntRange(0, 20).Draw(t, "retune") == 0 {
 					parts = map[string]float64{"a": 0.25, "d": 0.5}
-					table.Retune(room, parts)
+					table.SetQuotas(room, parts)
 				}
 			default:
-				pot := table.Pot(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "account"))
-				before, share := table.Open(pot)
+				pot := table.QuotaName(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "account"))
+				before, share := table.Usage(pot)
 				full := len(open) >= room
-				ok := table.Take(pot)
+				ok := table.Admit(pot)
 				switch {
 				case ok && full:
 					t.Fatal("more open than there is room")
@@ -47,7 +47,7 @@
 			}
 		}
 		for _, pot := range open {
-			table.Done(pot)
+			table.Release(pot)
 		}
 		if table.total != 0 || len(table.open) != 0 {
 			t.Fatalf("left over: %d, %v", table.total, table.open)
@@ -59,27 +59,27 @@
 func TestGreedy(t *testing.T) {
 	table := New(100, map[string]float64{"greedy": 0.2, "b": 0.4, "c": 0.4})
 	for range 500 {
-		table.Take("greedy")
+		table.Admit("greedy")
 	}
-	if open, _ := table.Open("greedy"); open != 50 {
+	if open, _ := table.Usage("greedy"); open != 50 {
 		t.Errorf("alone it holds %d", open)
 	}
 	for i := range 400 { // all run for the same time, the oldest ends first
-		table.Done("greedy")
+		table.Release("greedy")
 		for range 5 {
-			table.Take("greedy")
+			table.Admit("greedy")
 		}
 		for _, pot := range []string{"b", "c"} {
-			if open, share := table.Open(pot); open < share && i%2 == 0 && !table.Take(pot) && table.total < 100 {
+			if open, share := table.Usage(pot); open < share && i%2 == 0 && !table.Admit(pot) && table.total < 100 {
 				t.Fatalf("%s holds %d of %d and was turned away", pot, open, share)
 			}
 		}
 	}
-	if open, share := table.Open("greedy"); open > share {
+	if open, share := table.Usage("greedy"); open > share {
 		t.Errorf("the greedy one holds %d, its share is %d", open, share)
 	}
 	for _, pot := range []string{"b", "c"} {
-		if open, share := table.Open(pot); open != share {
+		if open, share := table.Usage(pot); open != share {
 			t.Errorf("%s holds %d, its share is %d", pot, open, share)
 		}
 	}
--- a/internal/decisions/starts/starts.go
+++ b/internal/decisions/starts/starts.go
@@ -19,8 +19,8 @@
 	"brassdale/brain"
 )
 
-// Current is how old the last list may be for a start in the next to be taken for one of just now.
-const Current = 6 * time.Second
+// MaxListGap is how old the last list may be for a start in the next to be taken for one of just now.
+const MaxListGap = 6 * time.Second
 
 // start is one that was told of a worker.
 type start struct {
@@ -28,26 +28,26 @@
 	at    brain.Clock // on the own clock
 }
 
-// Book remembers the starts of workers. Its zero value is empty.
-type Book struct {
+// Tracker remembers the starts of workers. Its zero value is empty.
+type Tracker struct {
 	workers map[brain.WorkerID]start
 }
 
-// Line is what a list says of a worker's start.
-type Line struct {
+// WorkerStart is what a list says of a worker's start.
+type WorkerStart struct {
 	ID    brain.WorkerID
 	Stamp brain.Clock // Unix time by discovery's clock; 0 for long ago
 }
 
-// Moment is when a list is taken in.
-type Moment struct {
-	Now     brain.Clock   // on the own clock, which runs on evenly
-	Wall    brain.Clock   // Unix time by the own wall clock, which may be wrong
-	Unheard time.Duration // how long nothing had been told before
+// ListTime is when a list is taken in.
+type ListTime struct {
+	Now           brain.Clock   // on the own clock, which runs on evenly
+	Wall          brain.Clock   // Unix time by the own wall clock, which may be wrong
+	SinceLastList time.Duration // how long nothing had been told before
 }
 
-// Enter takes in a list, or a change of it, and gives when each of its workers started, on the own clock; 0 for long ago.
-func (b *Book) Enter(m Moment, lines []Line) []brain.Clock {
+// Update takes in a list, or a change of it, and gives when each of its workers started, on the own clock; 0 for long ago.
+func (b *Tracker) Update(m ListTime, lines []WorkerStart) []brain.Clock {
 	newest := brain.Clock(0)
 	for _, l := range lines {
 		newest = max(newest, l.Stamp)
@@ -58,17 +58,17 @@
 		if l.Stamp > 0 && !(had && known.stamp == l.Stamp) {
 			b.Set(l.ID, l.Stamp, m.Now-m.age(l.Stamp, newest))
 		}
-		at[i] = b.At(l.ID)
+		at[i] = b.StartedAt(l.ID)
 	}
 	return at
 }
 
 // age is how old a worker is taken to be by a stamp that is told for the first time.
-func (m Moment) age(stamp, newest brain.Clock) time.Duration {
-	if m.Unheard < Current {
+func (m ListTime) age(stamp, newest brain.Clock) time.Duration {
+	if m.SinceLastList < MaxListGap {
 		return 0
 	}
-	age := min(newest-stamp, m.Unheard)
+	age := min(newest-stamp, m.SinceLastList)
 	if m.Wall >= newest { // else it is behind the clock that stamps, and tells nothing
 		age = min(age, m.Wall-stamp)
 	}
@@ -76,12 +76,12 @@
 }
 
 // Set notes when a start was, from one who knows.
-func (b *Book) Set(id brain.WorkerID, stamp, at brain.Clock) {
+func (b *Tracker) Set(id brain.WorkerID, stamp, at brain.Clock) {
 	if b.workers == nil {
 		b.workers = map[brain.WorkerID]start{}
 	}
 	b.workers[id] = start{stamp, at}
 }
 
-// At gives when a worker started last, on the own clock, as far as it was told; 0 for long ago.
-func (b *Book) At(id brain.WorkerID) brain.Clock { return b.workers[id].at }
+// StartedAt gives when a worker started last, on the own clock, as far as it was told; 0 for long ago.
+func (b *Tracker) StartedAt(id brain.WorkerID) brain.Clock { return b.workers[id].at }
--- a/internal/decisions/starts/starts_test.go
+++ b/internal/decisions/starts/starts_test.go
@@ -21,21 +21,21 @@
 		own, now := step("own wall clock"), brain.Clock(0)
 		truth := map[brain.WorkerID]brain.Clock{}
 		stamps := map[brain.WorkerID]brain.Clock{}
-		book := &Book{}
-		var first []Line
+		book := &Tracker{}
+		var first []WorkerStart
 		for _, id := range []brain.WorkerID{"a", "b", "c"} {
 			age := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "age"))
 			truth[id], stamps[id] = -age, epoch-age
-			first = append(first, Line{id, stamps[id]})
+			first = append(first, WorkerStart{id, stamps[id]})
 		}
-		check := func(lines []Line, at []brain.Clock) {
+		check := func(lines []WorkerStart, at []brain.Clock) {
 			for i, l := range lines {
 				if at[i] < truth[l.ID] {
 					t.Fatalf("%s is taken to be %v older than it is", l.ID, truth[l.ID]-at[i])
 				}
 			}
 		}
-		check(first, book.Enter(Moment{Now: now, Wall: epoch + own, Unheard: 1 << 62}, first))
+		check(first, book.Update(ListTime{Now: now, Wall: epoch + own, SinceLastList: 1 << 62}, first))
 		stamping := time.Duration(0)
 		for range 20 {
 			now += brain.Clock(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "later"))
@@ -53,24 +53,24 @@
 			if stamps[id] == 0 {
 				continue
 			}
-			lines := []Line{{id, stamps[id]}}
-			check(lines, book.Enter(Moment{Now: now, Wall: epoch + now + own, Unheard: time.Second}, lines))
+			lines := []WorkerStart{{id, stamps[id]}}
+			check(lines, book.Update(ListTime{Now: now, Wall: epoch + now + own, SinceLastList: time.Second}, lines))
 		}
 	})
 }
 
 // With clocks alike, a worker in the first list of a process is as old as it is, less the age of the newest at the most.
 func TestFirstList(t *testing.T) {
-	book := &Book{}
+	book := &Tracker{}
 	const now, wall = brain.Clock(time.Hour), brain.Clock(1e18)
-	at := book.Enter(Moment{Now: now, Wall: wall, Unheard: 1 << 62}, []Line{{"old", wall - brain.Clock(30*time.Second)}, {"young", wall - brain.Clock(2*time.Second)}, {"long ago", 0}})
+	at := book.Update(ListTime{Now: now, Wall: wall, SinceLastList: 1 << 62}, []WorkerStart{{"old", wall - brain.Clock(30*time.Second)}, {"young", wall - brain.Clock(2*time.Second)}, {"long ago", 0}})
 	if old, young := now-at[0], now-at[1]; old != 28*time.Second || young != 0 || at[2] != 0 {
 		t.Errorf("%v, %v, %v", old, young, at[2])
 	}
 	// Behind eight seconds in which nothing was told, a start lies no further back than these.
 	later := now + 8*time.Second
-	at = book.Enter(Moment{Now: later, Wall: wall + 8*time.Second, Unheard: 8 * time.Second},
-		[]Line{{"old", wall + time.Second}, {"young", wall + 5*time.Second}})
+	at = book.Update(ListTime{Now: later, Wall: wall + 8*time.Second, SinceLastList: 8 * time.Second},
+		[]WorkerStart{{"old", wall + time.Second}, {"young", wall + 5*time.Second}})
 	if old, young := later-at[0], later-at[1]; old != 4*time.Second || young != 0 {
 		t.Errorf("%v, %v", old, young)
 	}
--- a/internal/decisions/streams/streams.go
+++ b/internal/decisions/streams/streams.go
@@ -53,30 +53,30 @@
 	Length uint32 // bytes behind the head
 }
 
-// Why tells why a connection is to be ended; empty while it may go on.
-type Why string
+// CloseReason tells why a connection is to be ended; empty while it may go on.
+type CloseReason string
 
 // The reasons.
 const (
-	Resets    Why = "resets"    // streams opened and given up at once, or made to be reset
-	Pings     Why = "pings"     //
-	Options   Why = "settings"  //
-	Ranks     Why = "priority"  //
-	Windows   Why = "windows"   //
-	Crumbs    Why = "crumbs"    // bodies in pieces of next to nothing
-	Strange   Why = "unknown"   // kinds of frames that there are not
-	Fragments Why = "fragments" // a head in too many frames or bytes
-	Halves    Why = "halves"    // the preface, a frame or a head that did not come whole in time
+	TooManyResets         CloseReason = "resets"    // streams opened and given up at once, or made to be reset
+	TooManyPings          CloseReason = "pings"     //
+	TooManySettings       CloseReason = "settings"  //
+	TooManyPriorities     CloseReason = "priority"  //
+	TooManyWindowUpdates  CloseReason = "windows"   //
+	TooManyTinyDataFrames CloseReason = "crumbs"    // bodies in pieces of next to nothing
+	TooManyUnknownFrames  CloseReason = "unknown"   // kinds of frames that there are not
+	HeaderTooLong         CloseReason = "fragments" // a head in too many frames or bytes
+	IncompleteInTime      CloseReason = "halves"    // the preface, a frame or a head that did not come whole in time
 )
 
 const (
-	// Whole is how long the preface, a frame or a head may take from its first byte to its last.
-	Whole = 2600 * time.Millisecond
+	// CompletionTimeout is how long the preface, a frame or a head may take from its first byte to its last.
+	CompletionTimeout = 2600 * time.Millisecond
 
-	// MostFragments and MostHead bound a head: its frames, and their bytes together. One that is within the bound on
+	// MaxHeaderFrames and MostHead bound a head: its frames, and their bytes together. One that is within the bound on
 	// header lists (8 KiB) has room in one frame of the usual size.
-	MostFragments = 16
-	MostHead      = 32 << 10 // bytes
+	MaxHeaderFrames = 16
+	MaxHeaderBytes  = 32 << 10 // bytes
 
 	crumb = 64 // bytes; a piece of a body that is shorter and not the last
 )
@@ -89,19 +89,19 @@
 // The budgets, by reason. Bursts are what well-made clients were seen to need at most, several times over: all streams
 // given up at once, a WINDOW_UPDATE for the stream and one for the connection with each piece of an answer, a PING to
 // measure the way with each.
-var budgets = map[Why]budget{
-	Resets:  {burst: 256, rate: 20, credit: 1},
-	Pings:   {burst: 64, rate: 10, credit: 1},
-	Options: {burst: 16, rate: 2},
-	Ranks:   {burst: 512, rate: 20, credit: 2},
-	Windows: {burst: 1024, rate: 100, credit: 8},
-	Crumbs:  {burst: 1024, rate: 200, credit: 16},
-	Strange: {burst: 64, rate: 10, credit: 1},
+var budgets = map[CloseReason]budget{
+	TooManyResets:         {burst: 256, rate: 20, credit: 1},
+	TooManyPings:          {burst: 64, rate: 10, credit: 1},
+	TooManySettings:       {burst: 16, rate: 2},
+	TooManyPriorities:     {burst: 512, rate: 20, credit: 2},
+	TooManyWindowUpdates:  {burst: 1024, rate: 100, credit: 8},
+	TooManyTinyDataFrames: {burst: 1024, rate: 200, credit: 16},
+	TooManyUnknownFrames:  {burst: 64, rate: 10, credit: 1},
 }
 
 // Conn is what is known of a connection. The times that its methods get never run backwards.
 type Conn struct {
-	spent    map[Why]float64 // of each budget, as of at
+	spent    map[CloseReason]float64 // of each budget, as of at
 	at       time.Duration
 	answered float64 // streams, since at
 
@@ -111,28 +111,28 @@
 	inHead    bool
 	fragments int
 	bytes     uint32
-	ended     Why
+	ended     CloseReason
 }
 
 // New begins with a connection that has just been taken: its preface is to come.
 func New(now time.Duration) *Conn {
-	return &Conn{spent: map[Why]float64{}, at: now, began: now, partial: true}
+	return &Conn{spent: map[CloseReason]float64{}, at: now, began: now, partial: true}
 }
 
-// Preface tells that the preface is whole.
-func (c *Conn) Preface() { c.partial = false }
+// PrefaceCompleted tells that the preface is whole.
+func (c *Conn) PrefaceCompleted() { c.partial = false }
 
-// Begin tells that the first byte of a frame came.
-func (c *Conn) Begin(now time.Duration) { c.began, c.partial = now, true }
+// FrameStarted tells that the first byte of a frame came.
+func (c *Conn) FrameStarted(now time.Duration) { c.began, c.partial = now, true }
 
-// End tells that the last byte of a frame came.
-func (c *Conn) End() { c.partial = false }
+// FrameCompleted tells that the last byte of a frame came.
+func (c *Conn) FrameCompleted() { c.partial = false }
 
-// Answered tells that a stream had its answer in full.
-func (c *Conn) Answered() { c.answered++ }
+// StreamAnswered tells that a stream had its answer in full.
+func (c *Conn) StreamAnswered() { c.answered++ }
 
-// Came judges a frame by its head, before anything of it goes on.
-func (c *Conn) Came(now time.Duration, f Frame) Why {
+// FrameReceived judges a frame by its head, before anything of it goes on.
+func (c *Conn) FrameReceived(now time.Duration, f Frame) CloseReason {
 	switch f.Kind {
 	case Headers:
 		c.head, c.inHead, c.fragments, c.bytes = now, true, 0, 0
@@ -141,61 +141,61 @@
 		c.fragment(f)
 	case Data:
 		if f.Length < crumb && f.Flags&EndStream == 0 {
-			c.spend(now, Crumbs)
+			c.spend(now, TooManyTinyDataFrames)
 		}
 	case Reset:
-		c.spend(now, Resets)
+		c.spend(now, TooManyResets)
 	case Ping:
 		if f.Flags&Ack == 0 {
-			c.spend(now, Pings)
+			c.spend(now, TooManyPings)
 		}
 	case Settings:
-		c.spend(now, Options)
+		c.spend(now, TooManySettings)
 	case Priority:
-		c.spend(now, Ranks)
+		c.spend(now, TooManyPriorities)
 	case WindowUpdate:
-		c.spend(now, Windows)
+		c.spend(now, TooManyWindowUpdates)
 	case PushPromise, GoAway: // net/http ends the connection at the one and lets go of it behind the other
 	default:
-		c.spend(now, Strange)
+		c.spend(now, TooManyUnknownFrames)
 	}
 	return c.ended
 }
 
-// Sent judges a frame that this side sends: a client can have streams reset by breaking rules as well as by asking.
-func (c *Conn) Sent(now time.Duration, f Frame) Why {
+// FrameSent judges a frame that this side sends: a client can have streams reset by breaking rules as well as by asking.
+func (c *Conn) FrameSent(now time.Duration, f Frame) CloseReason {
 	if f.Kind == Reset {
-		c.spend(now, Resets)
+		c.spend(now, TooManyResets)
 	}
 	return c.ended
 }
 
-// Due tells when the connection is to be ended if nothing more comes; not ok if it may stay as it is.
-func (c *Conn) Due() (at time.Duration, ok bool) {
+// Deadline tells when the connection is to be ended if nothing more comes; not ok if it may stay as it is.
+func (c *Conn) Deadline() (at time.Duration, ok bool) {
 	switch {
 	case c.inHead && c.partial:
-		return min(c.head, c.began) + Whole, true
+		return min(c.head, c.began) + CompletionTimeout, true
 	case c.inHead:
-		return c.head + Whole, true
+		return c.head + CompletionTimeout, true
 	case c.partial:
-		return c.began + Whole, true
+		return c.began + CompletionTimeout, true
 	}
 	return 0, false
 }
 
-// Tick judges what is still half there.
-func (c *Conn) Tick(now time.Duration) Why {
-	if at, ok := c.Due(); ok && now >= at {
-		c.end(Halves)
+// CheckDeadline judges what is still half there.
+func (c *Conn) CheckDeadline(now time.Duration) CloseReason {
+	if at, ok := c.Deadline(); ok && now >= at {
+		c.end(IncompleteInTime)
 	}
 	return c.ended
 }
 
 func (c *Conn) fragment(f Frame) {
 	c.fragments++
-	c.bytes += min(f.Length, MostHead+1)
-	if c.fragments > MostFragments || c.bytes > MostHead {
-		c.end(Fragments)
+	c.bytes += min(f.Length, MaxHeaderBytes+1)
+	if c.fragments > MaxHeaderFrames || c.bytes > MaxHeaderBytes {
+		c.end(HeaderTooLong)
 	}
 	if f.Flags&EndHeaders != 0 {
 		c.inHead = false
@@ -203,7 +203,7 @@
 }
 
 // spend takes one from a budget.
-func (c *Conn) spend(now time.Duration, why Why) {
+func (c *Conn) spend(now time.Duration, why CloseReason) {
 	if now > c.at || c.answered > 0 {
 		passed := (now - c.at).Seconds()
 		for of, spent := range c.spent {
@@ -217,17 +217,17 @@
 	}
 }
 
-func (c *Conn) end(why Why) {
+func (c *Conn) end(why CloseReason) {
 	if c.ended == "" {
 		c.ended = why
 	}
 }
 
-// Fair tells whether one of several holders of a common room gets one more: always below the floor while there is any
+// WithinDynamicThreshold tells whether one of several holders of a common room gets one more: always below the floor while there is any
 // left, and above it as long as it has less than what is free. This is the dynamic threshold of A. Choudhury and
 // E. Hahne ("Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", IEEE/ACM Transactions on Networking
 // 6(2), 1998) with a factor of one: n holders that want all get 1/(n+1) each, nobody needs to know how many there are,
 // and a newcomer always finds room.
-func Fair(limit, total, mine, floor int) bool {
+func WithinDynamicThreshold(limit, total, mine, floor int) bool {
 	return total < limit && (mine < floor || mine < limit-total)
 }
--- a/internal/decisions/streams/streams_test.go
+++ b/internal/decisions/streams/streams_test.go
@@ -11,7 +11,7 @@
 func TestAnsweredIsNeverEnded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, now := New(0), time.Duration(0)
-		c.Preface()
+		c.PrefaceCompleted()
 		for range rapid.IntRange(1, 400).Draw(t, "streams") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Microsecond
 			frames := []Frame{{Kind: Headers, Flags: EndHeaders}, {Kind: Data, Length: 3}, {Kind: Data, Length: 2000, Flags: EndStream},
@@ -23,14 +23,14 @@
 				if f.Kind == Settings && now > 0 { // one for the settings of this side
 					continue
 				}
-				c.Begin(now)
-				if why := c.Came(now, f); why != "" {
+				c.FrameStarted(now)
+				if why := c.FrameReceived(now, f); why != "" {
 					t.Fatalf("%+v: %s", f, why)
 				}
-				c.End()
+				c.FrameCompleted()
 			}
-			c.Answered()
-			if why := c.Tick(now + time.Hour); why != "" {
+			c.StreamAnswered()
+			if why := c.CheckDeadline(now + time.Hour); why != "" {
 				t.Fatalf("idle: %s", why)
 			}
 		}
@@ -39,26 +39,26 @@
 
 var costly = []struct {
 	frame Frame
-	why   Why
+	why   CloseReason
 }{
-	{Frame{Kind: Reset}, Resets}, {Frame{Kind: Ping}, Pings}, {Frame{Kind: Settings}, Options}, {Frame{Kind: Priority}, Ranks},
-	{Frame{Kind: WindowUpdate}, Windows}, {Frame{Kind: Data}, Crumbs}, {Frame{Kind: 0x42}, Strange},
+	{Frame{Kind: Reset}, TooManyResets}, {Frame{Kind: Ping}, TooManyPings}, {Frame{Kind: Settings}, TooManySettings}, {Frame{Kind: Priority}, TooManyPriorities},
+	{Frame{Kind: WindowUpdate}, TooManyWindowUpdates}, {Frame{Kind: Data}, TooManyTinyDataFrames}, {Frame{Kind: 0x42}, TooManyUnknownFrames},
 }
 
 // Promise 2, and 5: floods end within their budgets whatever comes between, and stay ended.
 func TestFloodsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, now := New(0), time.Duration(0)
-		passed, answered := map[Why]float64{}, 0.0
-		ended := Why("")
+		passed, answered := map[CloseReason]float64{}, 0.0
+		ended := CloseReason("")
 		for range rapid.IntRange(1, 3000).Draw(t, "frames") {
 			now += time.Duration(rapid.IntRange(0, 2).Draw(t, "pause")) * time.Millisecond
 			if rapid.IntRange(0, 20).Draw(t, "what") == 0 {
-				c.Answered()
+				c.StreamAnswered()
 				answered++
 			}
 			flood := rapid.SampledFrom(costly).Draw(t, "kind")
-			why := c.Came(now, flood.frame)
+			why := c.FrameReceived(now, flood.frame)
 			if ended != "" && why != ended {
 				t.Fatalf("ended for %q, then %q", ended, why)
 			}
@@ -78,7 +78,7 @@
 	for _, flood := range costly {
 		c := New(0)
 		for i := 0; ; i++ {
-			if why := c.Came(0, flood.frame); why != "" {
+			if why := c.FrameReceived(0, flood.frame); why != "" {
 				if why != flood.why || i != int(budgets[why].burst) {
 					t.Errorf("%+v ended after %d for %s", flood.frame, i, why)
 				}
@@ -88,8 +88,8 @@
 	}
 	c := New(0)
 	for i := range 1000 {
-		if why := c.Sent(0, Frame{Kind: Reset}); why != "" {
-			if i != int(budgets[Resets].burst) {
+		if why := c.FrameSent(0, Frame{Kind: Reset}); why != "" {
+			if i != int(budgets[TooManyResets].burst) {
 				t.Errorf("resets of this side ended it after %d", i)
 			}
 			return
@@ -105,19 +105,19 @@
 		first := time.Duration(0) // of the oldest that is half there
 		half := true
 		if rapid.Bool().Draw(t, "preface") {
-			c.Preface()
+			c.PrefaceCompleted()
 			half = false
 		}
 		fragments, inHead := 0, false
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
-			if why := c.Tick(now); why != "" {
-				if !half || now < first+Whole {
+			if why := c.CheckDeadline(now); why != "" {
+				if !half || now < first+CompletionTimeout {
 					t.Fatalf("ended at %v for %s; half since %v: %v", now, why, first, half)
 				}
 				return
 			}
-			if half && now >= first+Whole {
+			if half && now >= first+CompletionTimeout {
 				t.Fatalf("at %v still there, half since %v", now, first)
 			}
 			f := Frame{Kind: Headers}
@@ -131,24 +131,24 @@
 				first = now
 			}
 			half = true
-			c.Begin(now)
+			c.FrameStarted(now)
 			if fragments++; !inHead {
 				fragments = 1
 			}
-			why := c.Came(now, f)
-			if (why == Fragments) != (fragments > MostFragments) {
+			why := c.FrameReceived(now, f)
+			if (why == HeaderTooLong) != (fragments > MaxHeaderFrames) {
 				t.Fatalf("%d fragments: %q", fragments, why)
 			}
 			if why != "" {
 				return
 			}
-			c.End()
+			c.FrameCompleted()
 			inHead = f.Flags&EndHeaders == 0
 			half = inHead
 		}
 	})
 	c := New(0)
-	if why := c.Came(0, Frame{Kind: Headers, Length: MostHead + 1}); why != Fragments {
+	if why := c.FrameReceived(0, Frame{Kind: Headers, Length: MaxHeaderBytes + 1}); why != HeaderTooLong {
 		t.Errorf("a head of too many bytes: %q", why)
 	}
 }
@@ -165,7 +165,7 @@
 				total--
 				continue
 			}
-			ok := Fair(limit, total, held[who], floor)
+			ok := WithinDynamicThreshold(limit, total, held[who], floor)
 			if held[who] < floor && total < limit && !ok {
 				t.Fatal("no room below the floor")
 			}
@@ -188,19 +188,19 @@
 	f.Add([]byte{1, 4, 0, 3, 0, 9, 1, 0, 0, 9, 0, 0})
 	f.Add([]byte{3, 0, 1, 3, 0, 1, 6, 0, 2, 8, 0, 255})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c, now, ended := New(0), time.Duration(0), Why("")
+		c, now, ended := New(0), time.Duration(0), CloseReason("")
 		for ; len(in) >= 3; in = in[3:] {
 			now += time.Duration(in[2]) * 10 * time.Millisecond
-			c.Begin(now)
-			why := c.Came(now, Frame{Kind: Kind(in[0]), Flags: in[1], Length: uint32(in[2]) << 6})
+			c.FrameStarted(now)
+			why := c.FrameReceived(now, Frame{Kind: Kind(in[0]), Flags: in[1], Length: uint32(in[2]) << 6})
 			if ended != "" && why != ended {
 				t.Fatalf("ended for %q, then %q", ended, why)
 			}
 			ended = why
 			if in[1]&1 == 0 {
-				c.End()
+				c.FrameCompleted()
 			}
-			if at, ok := c.Due(); ok && at > now+Whole {
+			if at, ok := c.Deadline(); ok && at > now+CompletionTimeout {
 				t.Fatalf("due at %v, now %v", at, now)
 			}
 			for of, spent := range c.spent {
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -21,7 +21,7 @@
 	policy     Policy
 	open       map[brain.RequestID]*open
 	told       map[brain.WorkerID]time.Duration // of which start of a box
-	watcher    *failover.Watcher                // nil where nobody plans
+	watcher    *failover.Recorder               // nil where nobody plans
 	plan       *failover.Plan
 	listedAs   map[brain.WorkerID]brain.WorkerInfo
 	subscribed bool
@@ -185,7 +185,7 @@
 	}
 	if o := d.open[r.id]; o != nil && o.out[r.attempt] {
 		if r.beganAt = d.w.now; d.watcher != nil {
-			d.watcher.Heard(d.w.zoneName(d.w.boxOf(r).zone), d.w.now)
+			d.watcher.ResponseReceived(d.w.zoneName(d.w.boxOf(r).zone), d.w.now)
 		}
 		d.feed(brain.AttemptStarted{ID: r.id, Attempt: r.attempt, Worker: r.box})
 	}
@@ -240,9 +240,9 @@
 			over = true
 			if d.watcher != nil {
 				if o == brain.Served {
-					d.watcher.Heard(d.w.zoneName(b.zone), d.w.now)
+					d.watcher.ResponseReceived(d.w.zoneName(b.zone), d.w.now)
 				} else {
-					d.watcher.Silent(d.w.zoneName(b.zone), d.w.now)
+					d.watcher.CallUnanswered(d.w.zoneName(b.zone), d.w.now)
 				}
 			}
 			d.feed(brain.ProbeCompleted{Worker: id, Outcome: o, Report: r})
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -52,7 +52,7 @@
 	for z := range w.s.Network.Zones {
 		regions[w.zoneName(z)] = w.region(z)
 	}
-	w.failover = &council{chance: w.source(4), planner: failover.NewPlanner(failover.Settings{Headroom: f.Headroom, ReturnIn: f.ReturnIn, Detect: f.Detect, Step: f.Step,
+	w.failover = &council{chance: w.source(4), planner: failover.NewPlanner(failover.Settings{Headroom: f.Headroom, RecoveryRamp: f.ReturnIn, DetectionTime: f.Detect, MaxShiftPerSecond: f.Step,
 		Distance: func(from, to string) float64 {
 			if from == to {
 				return 0
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, d := range w.dispatchers {
-		d.watcher, d.listedAs = failover.NewWatcher(fmt.Sprint("n", d.n), w.zoneName(d.zone), w.now), map[brain.WorkerID]brain.WorkerInfo{}
+		d.watcher, d.listedAs = failover.NewRecorder(fmt.Sprint("n", d.n), w.zoneName(d.zone), w.now), map[brain.WorkerID]brain.WorkerInfo{}
 		w.after(time.Duration(w.failover.chance.Float64()*float64(time.Second)), d.report)
 	}
 	w.after(time.Second, w.planNext)
@@ -97,14 +97,14 @@
 	}
 	for _, o := range d.open {
 		for i, r := range o.runs {
-			if o.out[i] && !r.silent && r.beganAt == 0 && w.now-r.sentAt > failover.SilentAfter {
+			if o.out[i] && !r.silent && r.beganAt == 0 && w.now-r.sentAt > failover.NoResponseAfter {
 				r.silent = true
-				d.watcher.Silent(w.zoneName(w.boxOf(r).zone), w.now)
+				d.watcher.CallUnanswered(w.zoneName(w.boxOf(r).zone), w.now)
 			}
 		}
 	}
 	r := d.watcher.Report(w.now, capacity)
-	w.after(time.Duration(d.chance.Float64()*float64(reportLate)), func() { w.failover.planner.Hear(r, w.now) })
+	w.after(time.Duration(d.chance.Float64()*float64(reportLate)), func() { w.failover.planner.AddReport(r, w.now) })
 	w.after(reportEvery, d.report)
 }
 
@@ -138,7 +138,7 @@
 	w := d.w
 	class := w.className(j)
 	if d.watcher != nil {
-		d.watcher.Asked(class, w.kinds[j.class].Worth)
+		d.watcher.JobArrived(class, w.kinds[j.class].Worth)
 	}
 	switch w.s.Failover.Mode {
 	case "near":
@@ -162,17 +162,17 @@
 	w := d.w
 	to := w.zoneName(w.boxOf(r).zone)
 	switch {
-	case d.watcher == nil, out == brain.NeverSent, out == brain.Cancelled && (r.beganAt > 0 || w.now-r.sentAt < failover.SilentAfter/4), r.silent && out == brain.TimedOut:
+	case d.watcher == nil, out == brain.NeverSent, out == brain.Cancelled && (r.beganAt > 0 || w.now-r.sentAt < failover.NoResponseAfter/4), r.silent && out == brain.TimedOut:
 		return
 	case out == brain.Cancelled, out == brain.TimedOut, out == brain.NoConnect, out == brain.Reset:
-		d.watcher.Silent(to, w.now)
+		d.watcher.CallUnanswered(to, w.now)
 		return
 	}
 	ran := time.Duration(0)
 	if out == brain.Served && r.beganAt > 0 {
 		ran = time.Duration(float64(w.now-r.beganAt) * float64(r.job.slots))
 	}
-	d.watcher.Ended(to, w.className(r.job), out == brain.Full, out == brain.Served && w.inTime(r.job, w.now-r.job.asked), ran, w.now)
+	d.watcher.CallEnded(to, w.className(r.job), out == brain.Full, out == brain.Served && w.inTime(r.job, w.now-r.job.asked), ran, w.now)
 }
 
 // className is a job's class by name.
--- a/internal/failover/guide.go
+++ b/internal/failover/guide.go
@@ -19,7 +19,7 @@
 	params *protocol.Live
 
 	mu      sync.Mutex
-	watcher *failover.Watcher
+	watcher *failover.Recorder
 	zone    string // of the dispatcher
 	boxes   map[brain.WorkerID]brain.WorkerInfo
 	plan    *failover.Plan
@@ -42,7 +42,7 @@
 	g := &Guide{params: p, boxes: map[brain.WorkerID]brain.WorkerInfo{}, keys: map[uint64]kept{}}
 	s := p.Now()
 	g.zone = zoneName(s, s.Locality)
-	g.watcher = failover.NewWatcher(name, g.zone, 0)
+	g.watcher = failover.NewRecorder(name, g.zone, 0)
 	return g
 }
 
@@ -97,7 +97,7 @@
 	if i, known := p.Class(class); known {
 		worth, window = p.Classes[i].Credit, p.Classes[i].Window.Span()
 	}
-	g.watcher.Asked(class, worth)
+	g.watcher.JobArrived(class, worth)
 	zone, ok := g.zone, true
 	if g.plan != nil && !g.alone {
 		own, hash := rand.Float64(), uint64(0)
@@ -142,7 +142,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
-	g.watcher.Heard(g.at(id), now)
+	g.watcher.ResponseReceived(g.at(id), now)
 }
 
 // Ended counts a call: how long its job waited at the box and ran; silent where nobody answered.
@@ -154,17 +154,17 @@
 	switch o {
 	case brain.NeverSent:
 	case brain.Cancelled:
-		if ran == 0 && took >= failover.SilentAfter/4 {
-			g.watcher.Silent(g.at(id), now)
+		if ran == 0 && took >= failover.NoResponseAfter/4 {
+			g.watcher.CallUnanswered(g.at(id), now)
 		}
 	case brain.TimedOut, brain.NoConnect, brain.Reset:
-		g.watcher.Silent(g.at(id), now)
+		g.watcher.CallUnanswered(g.at(id), now)
 	default:
 		inTime := o == brain.Served
 		if i, known := p.Class(class); known {
 			inTime = inTime && took <= p.Classes[i].Aim.Span()+time.Duration(p.Classes[i].AimStretch*float64(ran))
 		}
-		g.watcher.Ended(g.at(id), class, o == brain.Full, inTime, ran, now)
+		g.watcher.CallEnded(g.at(id), class, o == brain.Full, inTime, ran, now)
 	}
 }
 
@@ -172,7 +172,7 @@
 func (g *Guide) AttemptUnanswered(now brain.Clock, id brain.WorkerID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.watcher.Silent(g.at(id), now)
+	g.watcher.CallUnanswered(g.at(id), now)
 }
 
 // Probed counts a probe.
@@ -181,10 +181,10 @@
 	defer g.mu.Unlock()
 	switch o {
 	case brain.Served:
-		g.watcher.Heard(g.at(id), g.now)
+		g.watcher.ResponseReceived(g.at(id), g.now)
 	case brain.NeverSent:
 	default:
-		g.watcher.Silent(g.at(id), g.now)
+		g.watcher.CallUnanswered(g.at(id), g.now)
 	}
 }
 
@@ -192,7 +192,7 @@
 func (g *Guide) Urgent() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.watcher.Urgent(g.now)
+	return g.watcher.HasUrgentChange(g.now)
 }
 
 // Report gives what was seen since the last one. Sizes in the list are taken for slots.
--- a/internal/faults/towns.go
+++ b/internal/faults/towns.go
@@ -180,7 +180,7 @@
 				}
 			}
 			zones = append(zones, zone)
-			demands = append(demands, failover.Demand{Zone: zone.Name, Class: "x", Work: t.Load * each, Worth: 1})
+			demands = append(demands, failover.Demand{Zone: zone.Name, Class: "x", Work: t.Load * each, Weight: 1})
 		}
 		flow := failover.Solve(zones, demands, func(string, string, string) (float64, bool) { return 0, true }, t.Headroom)
 		for i, d := range demands {
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -68,29 +68,29 @@
 	client   *http.Client
 	listener net.Listener
 	members  *membership.List
-	visitor  neighbours.Visitor // the renewals'
-	reported agreement.Clock    // the same: when a question last had a report
-	changed  chan struct{}      // what may be acted on may have changed
+	visitor  neighbours.Exchanger // the renewals'
+	reported agreement.Clock      // the same: when a question last had a report
+	changed  chan struct{}        // what may be acted on may have changed
 	renewNow chan struct{}
 	purse    *purse
 	slow     chan struct{} // has a place for each whole record that is being sent
 
 	mu       sync.Mutex
 	holder   *agreement.Holder
-	seat     *seat                // nil for a follower
-	founder  *agreement.Founder   // what this dispatcher's file says, while it founds or has founded
-	leads    *agreement.Council   // nil while it does not lead
-	trying   *agreement.Trying    // nil while it leads no trial
-	planner  *failover.Planner    // nil while it does not lead
-	treasury *treasury            // the same, and where nothing is dealt out
-	register *neighbours.Register // nil while it does not lead
-	planned  string               // what was said of plans
-	planAt   agreement.Clock      // when the leader looks for another one
-	turn     int                  // seats that were asked in vain, one after the other
-	heard    bool                 // the record is one that entries may follow: on file, or the last answer\'s
-	last     string               // what was applied
-	turned   string               // what was said of a seat that it has not
-	news     chan struct{}        // closed when the council's record changes
+	seat     *seat                 // nil for a follower
+	founder  *agreement.Founder    // what this dispatcher's file says, while it founds or has founded
+	leads    *agreement.Council    // nil while it does not lead
+	trying   *agreement.Trying     // nil while it leads no trial
+	planner  *failover.Planner     // nil while it does not lead
+	treasury *treasury             // the same, and where nothing is dealt out
+	register *neighbours.Directory // nil while it does not lead
+	planned  string                // what was said of plans
+	planAt   agreement.Clock       // when the leader looks for another one
+	turn     int                   // seats that were asked in vain, one after the other
+	heard    bool                  // the record is one that entries may follow: on file, or the last answer\'s
+	last     string                // what was applied
+	turned   string                // what was said of a seat that it has not
+	news     chan struct{}         // closed when the council's record changes
 	counts   Counts
 }
 
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -13,16 +13,16 @@
 // purse is what this dispatcher may spend of the fleet's budgets.
 type purse struct {
 	mu      sync.Mutex
-	holders map[string]*budgets.Holder
+	holders map[string]*budgets.Lessee
 	firsts  uint64
 	at      agreement.Clock
 }
 
 func newPurse(o *Overload, among int, now agreement.Clock) *purse {
-	p := &purse{holders: map[string]*budgets.Holder{}, at: now}
+	p := &purse{holders: map[string]*budgets.Lessee{}, at: now}
 	for _, kind := range o.kinds() {
-		s := budgets.Settings{Rate: o.rate(kind, 0), Free: freeShare, Among: among}
-		p.holders[kind] = budgets.NewHolder(s.Alone(), now)
+		s := budgets.Settings{RatePerSecond: o.rate(kind, 0), UnleasedShare: freeShare, MaxLessees: among}
+		p.holders[kind] = budgets.NewLessee(s.UnleasedRate(), now)
 	}
 	return p
 }
@@ -32,7 +32,7 @@
 	a.purse.mu.Lock()
 	defer a.purse.mu.Unlock()
 	h := a.purse.holders[kind]
-	return h == nil || h.Use(a.now())
+	return h == nil || h.TryUse(a.now())
 }
 
 // wants is what this dispatcher asks of each budget, and how many first calls it makes a second.
@@ -69,7 +69,7 @@
 	defer a.purse.mu.Unlock()
 	for kind, rate := range rates {
 		if h := a.purse.holders[kind]; h != nil {
-			h.Granted(rate, asked, lease, a.now())
+			h.ApplyLease(rate, asked, lease, a.now())
 		}
 	}
 }
@@ -101,7 +101,7 @@
 
 // treasury is the leader's part.
 type treasury struct {
-	dealers map[string]*budgets.Dealer
+	dealers map[string]*budgets.Lessor
 	rates   map[string]float64
 	firsts  map[string]first
 	retuned agreement.Clock // by how many first calls all make
@@ -117,15 +117,15 @@
 
 // newTreasury begins without knowing of any lease.
 func (a *Agent) newTreasury() *treasury {
-	t := &treasury{dealers: map[string]*budgets.Dealer{}, rates: map[string]float64{}, firsts: map[string]first{}}
+	t := &treasury{dealers: map[string]*budgets.Lessor{}, rates: map[string]float64{}, firsts: map[string]first{}}
 	for _, kind := range a.Overload.kinds() {
-		t.dealers[kind] = budgets.NewDealer(a.budget(kind, 0), a.now())
+		t.dealers[kind] = budgets.NewLessor(a.budget(kind, 0), a.now())
 	}
 	return t
 }
 
 func (a *Agent) budget(kind string, firsts float64) budgets.Settings {
-	return budgets.Settings{Rate: a.Overload.rate(kind, firsts), Free: freeShare, Among: a.among(), Lease: a.lease}
+	return budgets.Settings{RatePerSecond: a.Overload.rate(kind, firsts), UnleasedShare: freeShare, MaxLessees: a.among(), LeaseDuration: a.lease}
 }
 
 // among is how many dispatchers there are at the most.
@@ -157,8 +157,8 @@
 		}
 		for kind, d := range t.dealers {
 			s := a.budget(kind, firsts)
-			t.rates[kind] = s.Rate
-			d.Retune(s)
+			t.rates[kind] = s.RatePerSecond
+			d.ApplySettings(s)
 		}
 	}
 	rates := map[string]float64{}
@@ -175,7 +175,7 @@
 		return nil
 	}
 	for _, kind := range a.Overload.kinds() {
-		all = append(all, Dealt{kind, a.treasury.rates[kind], a.treasury.dealers[kind].Given(a.now())})
+		all = append(all, Dealt{kind, a.treasury.rates[kind], a.treasury.dealers[kind].Outstanding(a.now())})
 	}
 	return all
 }
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -18,11 +18,11 @@
 func (a *Agent) grants(ctx context.Context, all []question) (answer, int) {
 	a.mu.Lock()
 	s, leads := a.seat, a.leads
-	got := answer{Refused: map[string]string{}, Rates: map[string]json.RawMessage{}, Form: a.form, Neighbours: map[string]*neighbours.Named{}}
+	got := answer{Refused: map[string]string{}, Rates: map[string]json.RawMessage{}, Form: a.form, Neighbours: map[string]*neighbours.PeerSuggestion{}}
 	if s != nil && leads != nil {
 		r := s.log.Record()
 		if a.register.Due(a.now()) {
-			a.register.Look(holders(leads.Present(a.now())), a.now())
+			a.register.Refresh(holders(leads.Present(a.now())), a.now())
 		}
 		for _, q := range all {
 			err := a.fits(q, r)
@@ -37,7 +37,7 @@
 				got.Rates[q.Name] = rates
 			}
 			if q.Neighbours != nil {
-				if named := a.register.Name(holder(q.Member), *q.Neighbours); named != nil {
+				if named := a.register.Suggest(holder(q.Member), *q.Neighbours); named != nil {
 					got.Neighbours[q.Name] = named
 				}
 			}
@@ -46,7 +46,7 @@
 			}
 			var report failover.Report
 			if a.planner != nil && q.Report != nil && json.Unmarshal(q.Report, &report) == nil {
-				a.planner.Hear(report, a.now())
+				a.planner.AddReport(report, a.now())
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	back := answer{LeaseMS: got.LeaseMS, Form: got.Form}
 	if named := got.Neighbours[q.Name]; named != nil {
-		back.Neighbours = map[string]*neighbours.Named{q.Name: named}
+		back.Neighbours = map[string]*neighbours.PeerSuggestion{q.Name: named}
 	}
 	if rates := got.Rates[q.Name]; rates != nil {
 		back.Rates = map[string]json.RawMessage{q.Name: rates}
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -28,7 +28,7 @@
 	Waits   []string            `json:"waits,omitempty"`   // for whom an announced version waits
 	Places  []agreement.Place   `json:"places,omitempty"`  // the council's seats, where this one leads
 	Members []membership.Member `json:"members,omitempty"` // by gossip
-	Zones   []failover.View     `json:"zones,omitempty"`   // as the leader plans them
+	Zones   []failover.ZoneView `json:"zones,omitempty"`   // as the leader plans them
 	Alone   bool                `json:"alone,omitempty"`   // it does not trust its plan any more
 	Spent   []Spent             `json:"spent,omitempty"`   // of the fleet's budgets, here
 	Dealt   []Dealt             `json:"dealt,omitempty"`   // and by all, where this one leads
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -21,7 +21,7 @@
 		a.treasury = a.newTreasury()
 	}
 	if leads {
-		a.leads, a.register = agreement.NewCouncil(a.lease, a.now()), neighbours.NewRegister()
+		a.leads, a.register = agreement.NewCouncil(a.lease, a.now()), neighbours.NewDirectory()
 		if a.Failover != nil {
 			s, regions := a.Failover.planner()
 			a.planner = failover.NewPlanner(s, regions, a.holder.Record().Plan, a.now())
@@ -117,10 +117,10 @@
 				share = h.Share
 			}
 		}
-		a.planner.Hold(zone, share)
+		a.planner.LimitZone(zone, share)
 	}
 	if p, made := a.planner.Next(a.now()); made {
-		a.log.Info("plan made", "number", p.Number, "why", fmt.Sprint(p.Why))
+		a.log.Info("plan made", "number", p.Number, "why", fmt.Sprint(p.Reasons))
 		return agreement.Entry{ID: rand.Text(), Plan: p}, true
 	}
 	return agreement.Entry{}, false
@@ -133,7 +133,7 @@
 	var shed, then float64
 	known := false
 	if planner != nil {
-		shed, then = planner.Room(h.Zone, h.Share, a.now())
+		shed, then = planner.PredictShedding(h.Zone, h.Share, a.now())
 		_, known = planner.Regions()[h.Zone]
 	}
 	a.mu.Unlock()
--- a/internal/fleet/log/stored_test.go
+++ b/internal/fleet/log/stored_test.go
@@ -33,8 +33,8 @@
 		{ID: "entry-2", Force: 1},
 		announce("entry-3", 1),
 		{ID: "entry-4", Withdraw: 2, Why: "why-4"},
-		{ID: "entry-5", Plan: &failover.Plan{Number: 7, Why: map[string]string{"zone-1": "why-5"},
-			Parts: map[string]map[string][]failover.Part{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}}},
+		{ID: "entry-5", Plan: &failover.Plan{Number: 7, Reasons: map[string]string{"zone-1": "why-5"},
+			Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}}},
 		{ID: "entry-6", Hold: &agreement.Hold{Zone: "zone-3", Share: 0.125, By: "by-6", Why: "why-6", Force: true}},
 		announce("entry-7", 3),
 	}
@@ -50,8 +50,8 @@
 	return agreement.Record{
 		Revision: 8, InForce: inForce, Announced: &announced, History: []agreement.Version{{}},
 		Withdrawn: []agreement.Withdrawal{{Version: version("entry-3", 2), Why: "why-4"}}, Council: storedFounders, NextSeat: 2,
-		Plan: &failover.Plan{Number: 7, Why: map[string]string{"zone-1": "why-5"},
-			Parts: map[string]map[string][]failover.Part{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}},
+		Plan: &failover.Plan{Number: 7, Reasons: map[string]string{"zone-1": "why-5"},
+			Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}},
 		Holds: []agreement.Hold{{Zone: "zone-3", Share: 0.125, By: "by-6", Why: "why-6", Force: true}},
 	}
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -183,7 +183,7 @@
 }
 
 // Roll is who is there, by what is known here.
-func (l *List) Roll() neighbours.Roll {
+func (l *List) Roll() neighbours.Digest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	names := make([]string, 0, len(l.all))
@@ -192,7 +192,7 @@
 			names = append(names, name)
 		}
 	}
-	return neighbours.Of(names)
+	return neighbours.DigestOf(names)
 }
 
 // Members are all that are known, by name; those that are gone for an hour.
@@ -271,7 +271,7 @@
 // NotifyAlive lets none in but neighbours: builds that gossip over the whole fleet tell of all.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	var m Self
-	if json.Unmarshal(n.Meta, &m) == nil && neighbours.Near(d.o.Self.Region, d.o.Self.Zone, m.Region, m.Zone) {
+	if json.Unmarshal(n.Meta, &m) == nil && neighbours.ArePeers(d.o.Self.Region, d.o.Self.Zone, m.Region, m.Zone) {
 		return nil
 	}
 	return errFar
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -155,9 +155,9 @@
 	}
 	roll, named := a.members.Roll(), got.Neighbours[a.Name]
 	if got.Form < formNeighbours && roll.Count <= 1 {
-		named = &neighbours.Named{Addresses: slices.DeleteFunc(slices.Clone(a.s.Voters), func(at string) bool { return at == a.address() })}
+		named = &neighbours.PeerSuggestion{Addresses: slices.DeleteFunc(slices.Clone(a.s.Voters), func(at string) bool { return at == a.address() })}
 	}
-	if address, ok := a.visitor.Visit(named, roll, a.now()); ok {
+	if address, ok := a.visitor.NextExchange(named, roll, a.now()); ok {
 		a.members.Meet(address)
 	}
 }
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -98,7 +98,7 @@
 		}
 	}
 	span := func(text string) time.Duration { d, _ := time.ParseDuration(text); return d }
-	return failover.Settings{Headroom: f.Headroom, ReturnIn: span(f.ReturnIn), Detect: span(f.Detect), Step: plannerStep,
+	return failover.Settings{Headroom: f.Headroom, RecoveryRamp: span(f.ReturnIn), DetectionTime: span(f.Detect), MaxShiftPerSecond: plannerStep,
 		Distance: func(from, to string) float64 { return math.Abs(float64(place[from] - place[to])) }}, regions
 }
 
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -30,8 +30,8 @@
 	f.Regions, f.ReturnIn = []Region{{"north", []string{"a", "b"}}}, "1s"
 	o.Failover, o.Planned = &f, func(*failover.Plan, bool) {}
 	o.Report = func() *failover.Report {
-		heard := []failover.Hearing{{To: "a"}, {To: "b"}}
-		return &failover.Report{Dispatcher: "n0", Zone: "a", Heard: heard, Capacity: map[string]float64{"a": 100, "b": 100}, Asked: []failover.Asked{{Class: "x", Work: 120, Worth: 1}}}
+		heard := []failover.LastResponse{{To: "a"}, {To: "b"}}
+		return &failover.Report{Dispatcher: "n0", Zone: "a", LastResponses: heard, Capacity: map[string]float64{"a": 100, "b": 100}, Arrivals: []failover.Arrivals{{Class: "x", Work: 120, Weight: 1}}}
 	}
 	a, err := New(o)
 	if err != nil {
--- a/internal/program/saved.go
+++ b/internal/program/saved.go
@@ -26,8 +26,8 @@
 // openSaved opens the folder. One that is of no use costs a line of the log and no more.
 func (d *dispatcher) openSaved(s *store.Settings, name string, p *protocol.Params) *saved {
 	oldest, _ := s.OldestAge() // was checked
-	sv := &saved{d: d, rules: savedlist.Rules{Oldest: oldest, Shrink: s.Shrink, Cold: p.Rules.Cold.Span(),
-		StartCapacity: p.Rules.StartCapacity, Probing: p.Limits.Probing}}
+	sv := &saved{d: d, rules: savedlist.Rules{MaxAge: oldest, MinFirstListShare: s.Shrink, SlowStartDuration: p.Rules.Cold.Span(),
+		SlowStartCapacity: p.Rules.StartCapacity, MayProbe: p.Limits.Probing}}
 	files, err := store.Folder(s.Directory, name)
 	if err != nil {
 		d.log.Warn("saved list cannot be kept, serving on without", "err", err)
@@ -63,12 +63,12 @@
 		}
 		f.Usual = append(f.Usual, usual)
 	}
-	list := savedlist.List{Made: clock.At(s.Made()), Revision: s.Revision}
+	list := savedlist.CachedList{ConfirmedAt: clock.At(s.Made()), Revision: s.Revision}
 	for i, d := range s.List().Destinations(p) {
 		f.Destinations[d.ID] = d
-		w := savedlist.Worker{ID: d.ID, State: d.State, Out: out[string(d.ID)], Since: d.StartedAt}
+		w := savedlist.CachedWorker{ID: d.ID, State: d.State, Detached: out[string(d.ID)], StartedAt: d.StartedAt}
 		if ms := s.Members[i].HeardMS; ms > 0 {
-			w.Heard = time.Duration(ms) * time.Millisecond
+			w.LastSignal = time.Duration(ms) * time.Millisecond
 		}
 		list.Workers = append(list.Workers, w)
 	}
--- a/internal/routing/answers.go
+++ b/internal/routing/answers.go
@@ -27,7 +27,7 @@
 		if ctx.Err() == nil {
 			s.failed(c, m.err, now)
 		}
-		s.calls.schedule.Failed(now, c.number, c.failure(m.err, now), rules, rand.Float64())
+		s.calls.schedule.CallFailed(now, c.number, c.failure(m.err, now), rules, rand.Float64())
 	case current || !s.calls.current.answered:
 		s.takeAnswer(ctx, c, m.update, now)
 	}
@@ -58,7 +58,7 @@
 func (s *Destinations) stale(now time.Time, c *listCall, recheck bool) {
 	if c.service == s.calls.current {
 		c.service.recheck = recheck
-		s.calls.schedule.Stale(now, c.number, s.rules(), rand.Float64())
+		s.calls.schedule.CallStale(now, c.number, s.rules(), rand.Float64())
 	}
 }
 
@@ -84,7 +84,7 @@
 		u.Complete = false
 		s.apply(c, u, brain.ListDelta, membership.Current)
 		service.revision = Whole
-		s.calls.schedule.AskAt(again)
+		s.calls.schedule.PollAt(again)
 		return
 	}
 	if u.Complete {
@@ -104,7 +104,7 @@
 		s.keeper.EndpointsUpdated(u)
 	}
 	s.source.Store(&Source{Name: "discovery", Told: now})
-	s.calls.schedule.Answered(now, c.number, now.Sub(c.begun), fresh, u.Early, s.rules(), rand.Float64())
+	s.calls.schedule.CallAnswered(now, c.number, now.Sub(c.begun), fresh, u.Early, s.rules(), rand.Float64())
 }
 
 // mostLag is how far a replica of discovery may be behind. Nothing of an answer tells.
@@ -116,7 +116,7 @@
 	switch {
 	case c.kind != pacing.Watch:
 		return c.begun.Add(-mostLag)
-	case !fresh && s.calls.schedule.Busy(now):
+	case !fresh && s.calls.schedule.ServiceBusy(now):
 		return time.Time{}
 	case u.At.IsZero():
 		return now.Add(-mostLag)
@@ -126,7 +126,7 @@
 
 // movedAt has what the list is known of end sooner: behind a move of discovery a change counts as told pacing.Moved later.
 func (s *Destinations) movedAt(now time.Time) {
-	if asOf := now.Add(pacing.Moved - pacing.Told); asOf.Before(s.asOf) {
+	if asOf := now.Add(pacing.MoveNotificationDeadline - pacing.NotificationDeadline); asOf.Before(s.asOf) {
 		s.asOf = asOf
 	}
 	s.core.Listed(brain.EndpointsUpdated{ListKind: brain.ListDelta, AsOf: s.core.clock.At(s.asOf)})
@@ -145,7 +145,7 @@
 	u.Complete = false
 	s.apply(c, u, brain.ListDelta, membership.Current)
 	c.service.revision, c.service.heard = u.Revision, now
-	s.calls.schedule.HeardElsewhere(now)
+	s.calls.schedule.PreviousServiceAnswered(now)
 	if c.kind == pacing.Watch {
 		s.calls.begin(ctx, now, c.service, pacing.Watch)
 	}
--- a/internal/routing/callfailures.go
+++ b/internal/routing/callfailures.go
@@ -23,7 +23,7 @@
 	f.calls++
 	f.last = err.Error()
 	switch how {
-	case pacing.Refused:
+	case pacing.Rejected:
 		f.refused++
 	case pacing.Expired:
 		f.expired++
@@ -54,7 +54,7 @@
 		s.log.Info("discovery keeps failing", "failed_calls", s.failures.calls, "refused", s.failures.refused, "expired", s.failures.expired,
 			"list_age", s.age(), "err", err)
 	}
-	if age := now.Sub(s.answered); age > pacing.Told && !s.failures.overdue {
+	if age := now.Sub(s.answered); age > pacing.NotificationDeadline && !s.failures.overdue {
 		s.failures.overdue = true
 		s.log.Warn("the list is overdue: workers that drain may still get requests", "list_age", s.age(), "failed_calls", s.failures.calls)
 	}
