--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -71,7 +71,7 @@
 		return
 	}
 	revisionKnown := l.current.revision != Whole && !l.current.recheck
-	kind := l.schedule.Call(now, l.made+1, revisionKnown, l.rules(), rand.Float64())
+	kind := l.schedule.CallStarted(now, l.made+1, revisionKnown, l.rules(), rand.Float64())
 	l.begin(ctx, now, l.current, kind)
 }
 
@@ -83,7 +83,7 @@
 	l.made++
 	ctx, stop := context.WithCancel(ctx)
 	c := &listCall{number: l.made, service: to, kind: kind, revision: to.revision, begun: now, stop: stop}
-	if kind == pacing.Whole {
+	if kind == pacing.FullList {
 		c.revision = Whole
 	}
 	l.ledger.discoveryCalled(len(l.open) > 0)
@@ -122,7 +122,7 @@
 // move goes on with another service. The calls to those before stay open until it has answered, and a watch there goes on that
 // is between two calls.
 func (l *listCalls) move(ctx context.Context, to Discovery, now time.Time) {
-	if l.current.answered && l.schedule.Pausing() {
+	if l.current.answered && l.schedule.BetweenWatches() {
 		l.begin(ctx, now, l.current, pacing.Watch)
 	}
 	l.former = append(l.former, l.current)
@@ -131,7 +131,7 @@
 		l.former = l.former[1:]
 	}
 	l.current = &service{discovery: to, revision: Whole}
-	l.schedule.Moved(now, rand.Float64())
+	l.schedule.ServiceMoved(now, rand.Float64())
 }
 
 // dropFormer lets go of the services before a move.
@@ -153,16 +153,16 @@
 }
 
 // answer gives what a call brought in the terms of membership.
-func (c *listCall) answer(u Update, came time.Time) membership.Answer {
-	a := membership.Answer{Service: c.service.discovery.Service(), Revision: u.Revision, Complete: u.Complete, Asked: c.begun, Came: came,
-		Members: make([]membership.Member, len(u.Destinations))}
+func (c *listCall) answer(u Update, came time.Time) membership.ListResponse {
+	a := membership.ListResponse{Service: c.service.discovery.Service(), Revision: u.Revision, Complete: u.Complete, CalledAt: c.begun, ReceivedAt: came,
+		Endpoints: make([]membership.Endpoint, len(u.Destinations))}
 	for i := range u.Destinations {
-		a.Members[i] = u.Destinations[i].member()
+		a.Endpoints[i] = u.Destinations[i].member()
 	}
 	return a
 }
 
 // failure tells how a call failed, as far as that tells of the service's load.
 func (c *listCall) failure(err error, now time.Time) pacing.Failure {
-	return pacing.FailureOf(errors.Is(err, ErrRefused), now.Sub(c.begun))
+	return pacing.ClassifyFailure(errors.Is(err, ErrRefused), now.Sub(c.begun))
 }
--- a/internal/routing/calls_test.go
+++ b/internal/routing/calls_test.go
@@ -169,7 +169,7 @@
 		again.answer <- Update{Revision: 4, Complete: true, Destinations: []Destination{worker("a", brain.Ready)}}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if took := time.Since(begun); took < membership.Settle || took > membership.Settle+4*time.Second || calls > 12 {
+	if took := time.Since(begun); took < membership.MaxStaleness || took > membership.MaxStaleness+4*time.Second || calls > 12 {
 		t.Errorf("believed after %v and %d calls", took, calls)
 	}
 }
@@ -192,17 +192,17 @@
 			call.answer <- list
 			break
 		}
-		if time.Since(known) > membership.Settle+time.Second {
+		if time.Since(known) > membership.MaxStaleness+time.Second {
 			t.Fatal("the whole list is not asked for again")
 		}
 		time.Sleep(100 * time.Millisecond)
 		call.answer <- Update{Revision: 70}
 	}
-	if st, _ := state(t, s, "a"); time.Since(known) < membership.Settle && st != brain.Draining {
+	if st, _ := state(t, s, "a"); time.Since(known) < membership.MaxStaleness && st != brain.Draining {
 		t.Errorf("believed %v behind the drain", time.Since(known))
 	}
 	eventually(t, "the return", func() bool { st, _ := state(t, s, "a"); return st == brain.Ready })
-	if took := time.Since(known); took < membership.Settle || took > membership.Settle+2*time.Second {
+	if took := time.Since(known); took < membership.MaxStaleness || took > membership.MaxStaleness+2*time.Second {
 		t.Errorf("believed after %v", took)
 	}
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -221,7 +221,7 @@
 	defer alarm.Stop()
 	var look <-chan time.Time
 	if c.guide != nil {
-		ticker := time.NewTicker(failover.SilentAfter / 4)
+		ticker := time.NewTicker(failover.NoResponseAfter / 4)
 		defer ticker.Stop()
 		look = ticker.C
 	}
@@ -309,7 +309,7 @@
 		if c.budget == nil {
 			c.budget = retries.New(m.share)
 		}
-		c.budget.Retune(m.share)
+		c.budget.SetRatio(m.share)
 	case learned:
 		m.answer <- c.module.LearnedState() // has room
 	case knows:
@@ -476,8 +476,8 @@
 	}
 	if c.budget != nil {
 		if id.Attempt == 0 {
-			c.budget.First(c.now, r.ClassName, r.Account)
-		} else if !c.budget.Further(c.now, r.ClassName, r.Account) {
+			c.budget.CountFirstAttempt(c.now, r.ClassName, r.Account)
+		} else if !c.budget.AllowRetry(c.now, r.ClassName, r.Account) {
 			c.ledger.denied(c.budget.Denied())
 			c.AttemptFinished(id, End{Outcome: brain.NeverSent})
 			return
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -172,7 +172,7 @@
 	c, f := startCore(t)
 	u := &updates{fake: f}
 	s := NewDestinations(c, u, newScripted(), Update{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s.Pace(func() pacing.Rules { return pacing.Rules{Pushed: true} })
+	s.Pace(func() pacing.Rules { return pacing.Rules{ListsPushed: true} })
 	began := time.Now()
 	bring(s, Update{Revision: 1, Complete: true, Destinations: []Destination{{WorkerInfo: brain.WorkerInfo{ID: "a", State: brain.Draining}}}}, brain.ListFull)
 	if got := u.got[len(u.got)-1]; got.Told.IsZero() || got.Told.After(began) {
--- a/internal/routing/destinations.go
+++ b/internal/routing/destinations.go
@@ -37,7 +37,7 @@
 var ErrRefused = errors.New("refused")
 
 // ListTold is how long after discovery had it a change counts as told at the latest.
-const ListTold = pacing.Told
+const ListTold = pacing.NotificationDeadline
 
 // Whole is no revision: who asks after it wants the whole set now.
 const Whole = -1
@@ -58,8 +58,8 @@
 	keeper  Keeper                         // nil for none
 	source  atomic.Pointer[Source]
 
-	starts starts.Book // of the workers, on the core's clock; known has them as discovery stamps them
-	told   bool        // a list of discovery's was taken in
+	starts starts.Tracker // of the workers, on the core's clock; known has them as discovery stamps them
+	told   bool           // a list of discovery's was taken in
 
 	rules     func() pacing.Rules
 	answered  time.Time     // when discovery last answered; before, when this process began
@@ -118,10 +118,10 @@
 func (s *Destinations) Run(ctx context.Context) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
-	if s.rules().Pushed {
+	if s.rules().ListsPushed {
 		s.Subscribe()
 	}
-	s.trust(func(now brain.Clock) []savedlist.Verdict { return s.start.Trust.Look(now) })
+	s.trust(func(now brain.Clock) []savedlist.Action { return s.start.Trust.Check(now) })
 	for {
 		if at, ok := s.wakeAt(); ok {
 			alarm.Reset(time.Until(at))
@@ -137,7 +137,7 @@
 		}
 		s.recheck(time.Now())
 		s.calls.call(ctx, time.Now())
-		s.trust(func(now brain.Clock) []savedlist.Verdict { return s.start.Trust.Look(now) })
+		s.trust(func(now brain.Clock) []savedlist.Action { return s.start.Trust.Check(now) })
 		s.expire()
 	}
 }
@@ -164,7 +164,7 @@
 	s.recheckAt = time.Time{}
 	if !s.calls.current.recheck {
 		s.calls.current.recheck = true
-		s.calls.schedule.Hasten(now)
+		s.calls.schedule.PollNow(now)
 	}
 }
 
@@ -172,7 +172,7 @@
 func (s *Destinations) receive(ctx context.Context, m any) {
 	switch m := m.(type) {
 	case subscribe:
-		s.calls.schedule.Begin(time.Now())
+		s.calls.schedule.Start(time.Now())
 	case move:
 		// The new one is asked for its whole set: nobody says that both count revisions alike, and a change that the old
 		// one had under way must not be lost. Until the answer the list as known holds, and what the old one still brings.
@@ -199,7 +199,7 @@
 	u := Update{Revision: s.calls.current.revision, Complete: true}
 	now := s.core.clock.Now()
 	for _, d := range s.known {
-		if at := s.starts.At(d.ID); at > 0 {
+		if at := s.starts.StartedAt(d.ID); at > 0 {
 			d.Age = now - at
 		}
 		u.Destinations = append(u.Destinations, d)
--- a/internal/routing/fromsaved.go
+++ b/internal/routing/fromsaved.go
@@ -13,7 +13,7 @@
 // FromSaved is a start from a saved list, while discovery has told nothing newer. What is decided on it is decided by
 // the module savedlist; here its verdicts are carried out, and what comes back is told to it.
 type FromSaved struct {
-	Trust        *savedlist.Trust
+	Trust        *savedlist.Assessor
 	Destinations map[brain.WorkerID]Destination // as the list has them
 	Usual        []float64                      // by class: the usual time of a job in seconds, as a logarithm; NaN where not known
 	Learned      brain.LearnedState             // classes are by number
@@ -27,7 +27,7 @@
 type Source struct {
 	Name     string    // discovery, saved, known, predecessor or none
 	Told     time.Time // when it was last known to be true; zero where nobody knows
-	Stages   [savedlist.Barred + 1]int
+	Stages   [savedlist.Excluded + 1]int
 	Doubting bool // a list of discovery's waits for a second that agrees
 }
 
@@ -38,7 +38,7 @@
 type sign struct {
 	id     brain.WorkerID
 	probe  bool
-	answer savedlist.Sign
+	answer savedlist.ProbeResult
 	late   float64 // of a job that was served
 }
 
@@ -80,12 +80,12 @@
 
 // Probed takes the outcome of a probe.
 func (w *witness) ProbeCompleted(id brain.WorkerID, o brain.Outcome, report bool) {
-	answer := savedlist.Silent
+	answer := savedlist.NoResponse
 	switch {
 	case o == brain.Served && (report || !w.f.Pulled):
 		answer = savedlist.Answered
 	case o == brain.Served, o == brain.Errored, o == brain.InvalidRequest, o == brain.Reset:
-		answer = savedlist.Strange
+		answer = savedlist.Unrecognized
 	}
 	w.mailbox.Post(sign{id: id, probe: true, answer: answer})
 }
@@ -105,34 +105,34 @@
 
 // heard tells the trust what came from an endpoint.
 func (s *Destinations) heard(m sign) {
-	s.trust(func(now brain.Clock) []savedlist.Verdict {
+	s.trust(func(now brain.Clock) []savedlist.Action {
 		if m.probe {
-			return s.start.Trust.Probed(now, m.id, m.answer)
+			return s.start.Trust.ProbeCompleted(now, m.id, m.answer)
 		}
-		return s.start.Trust.Worked(now, m.id, m.late)
+		return s.start.Trust.JobServed(now, m.id, m.late)
 	})
 }
 
 // trust carries verdicts out.
-func (s *Destinations) trust(ask func(brain.Clock) []savedlist.Verdict) {
+func (s *Destinations) trust(ask func(brain.Clock) []savedlist.Action) {
 	if s.start == nil {
 		return
 	}
 	listed := brain.EndpointsUpdated{ListKind: brain.ListDelta}
 	proven := brain.LearnedState{Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
 	for _, v := range ask(s.core.clock.Now()) {
-		if v.Tell == nil {
+		if v.Announce == nil {
 			s.endpoints.Probe(v.Probe)
 			continue
 		}
-		d := s.start.Destinations[v.Tell.ID]
+		d := s.start.Destinations[v.Announce.ID]
 		s.known[d.ID] = d
-		s.members.Enter(d.member(), "", membership.Unknown)
+		s.members.Record(d.member(), "", membership.UnknownRevision)
 		info := d.WorkerInfo
-		info.StartedAt, info.StartConfirmed = v.Tell.Since, v.Tell.Sure
+		info.StartedAt, info.StartConfirmed = v.Announce.StartedAt, v.Announce.StartConfirmed
 		s.starts.Set(d.ID, d.StartedAt, info.StartedAt)
 		listed.Workers = append(listed.Workers, info)
-		if was, ok := s.start.Learned.Workers[d.ID]; ok && v.Tell.Sure {
+		if was, ok := s.start.Learned.Workers[d.ID]; ok && v.Announce.StartConfirmed {
 			proven.Workers[d.ID] = was
 		}
 	}
@@ -151,8 +151,8 @@
 	if s.start == nil {
 		return 0, false
 	}
-	at, ok = s.start.Trust.Due()
-	if until, doubted := s.start.Trust.Doubted(); doubted && (!ok || until < at) {
+	at, ok = s.start.Trust.NextCheck()
+	if until, doubted := s.start.Trust.RetainedUntil(); doubted && (!ok || until < at) {
 		at, ok = until, true
 	}
 	return at, ok
@@ -171,29 +171,29 @@
 		if d.State == brain.Ready {
 			ready = append(ready, d.ID)
 		} else {
-			s.start.Trust.Left(d.ID)
+			s.start.Trust.RemovedByDiscovery(d.ID)
 		}
 	}
 	if !u.Complete {
 		return again, false
 	}
-	j := s.start.Trust.Listed(s.core.clock.Now(), u.Revision, ready)
-	if j.Again == 0 {
+	j := s.start.Trust.AssessList(s.core.clock.Now(), u.Revision, ready)
+	if j.RefetchAt == 0 {
 		return again, false
 	}
-	s.log.Warn("discovery's list lacks much of the saved one, asking again", "revision", u.Revision, "named", len(ready), "kept", len(j.Keep))
-	return s.core.clock.Time(j.Again), true
+	s.log.Warn("discovery's list lacks much of the saved one, asking again", "revision", u.Revision, "named", len(ready), "kept", len(j.Retain))
+	return s.core.clock.Time(j.RefetchAt), true
 }
 
 // handOver ends the start from a saved list, once discovery's is in force: what was learned holds for those that have not
 // started anew since.
 func (s *Destinations) handOver() {
-	if s.start == nil || !s.start.Trust.Over() {
+	if s.start == nil || !s.start.Trust.Finished() {
 		return
 	}
 	same := brain.LearnedState{Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
 	for id, was := range s.start.Learned.Workers {
-		if d, ok := s.known[id]; ok && s.start.Trust.Same(id, d.StartedAt) {
+		if d, ok := s.known[id]; ok && s.start.Trust.SameIncarnation(id, d.StartedAt) {
 			same.Workers[id] = was
 		}
 	}
@@ -216,13 +216,13 @@
 	if s.start == nil {
 		return
 	}
-	gone := s.start.Trust.Expire(s.core.clock.Now())
+	gone := s.start.Trust.ExpireRetained(s.core.clock.Now())
 	listed := brain.EndpointsUpdated{ListKind: brain.ListDelta}
 	now := time.Now()
 	for _, id := range gone {
 		d := s.known[id]
 		d.State, d.Told = brain.Gone, now
-		s.members.Enter(d.member(), "", membership.Unknown)
+		s.members.Record(d.member(), "", membership.UnknownRevision)
 		s.update(d)
 		listed.Workers = append(listed.Workers, d.WorkerInfo)
 	}
@@ -235,9 +235,9 @@
 
 // publish has the figures tell how far the trust goes.
 func (s *Destinations) publish() {
-	src := Source{Name: "saved", Stages: s.start.Trust.Stages(), Doubting: s.start.Trust.Doubting()}
+	src := Source{Name: "saved", Stages: s.start.Trust.CountByLevel(), Doubting: s.start.Trust.AwaitingConfirmation()}
 	if age, ok := s.start.Trust.Age(); ok {
-		src.Told = s.core.clock.Time(s.start.Trust.Begun()).Add(-age)
+		src.Told = s.core.clock.Time(s.start.Trust.StartedAt()).Add(-age)
 	}
 	s.source.Store(&src)
 }
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -67,7 +67,7 @@
 func (c *Core) listen() {
 	for _, r := range c.requests {
 		for i := range r.calls {
-			if a := &r.calls[i]; a.out && !a.silent && a.began == 0 && c.now-a.sent >= failover.SilentAfter {
+			if a := &r.calls[i]; a.out && !a.silent && a.began == 0 && c.now-a.sent >= failover.NoResponseAfter {
 				a.silent = true
 				c.guide.AttemptUnanswered(c.now, a.endpoint)
 			}
--- a/internal/routing/ledger.go
+++ b/internal/routing/ledger.go
@@ -115,7 +115,7 @@
 	l.enter(func(f *Figures) {
 		f.DiscoveryFailures++
 		switch how {
-		case pacing.Refused:
+		case pacing.Rejected:
 			f.DiscoveryRefused++
 		case pacing.Expired:
 			f.DiscoveryExpired++
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -13,7 +13,7 @@
 
 // begin takes in the list as it was known before.
 func (s *Destinations) begin(saved Update, now time.Time) {
-	members := make([]membership.Member, len(saved.Destinations))
+	members := make([]membership.Endpoint, len(saved.Destinations))
 	for i := range saved.Destinations {
 		d := &saved.Destinations[i]
 		if d.State != brain.Ready && d.Told.IsZero() { // a predecessor may have been told before
@@ -21,45 +21,45 @@
 		}
 		members[i] = d.member()
 	}
-	s.members.Begin(s.calls.current.discovery.Service(), saved.Revision, members)
+	s.members.Restore(s.calls.current.discovery.Service(), saved.Revision, members)
 	s.tell(saved, saved.Destinations, nil, brain.ListCached)
 }
 
 // toldFrom gives from when a drain counts that came now. What an agent had counts as told: it may have had it since it last
 // answered.
 func (s *Destinations) toldFrom(now time.Time) time.Time {
-	if s.rules().Pushed {
+	if s.rules().ListsPushed {
 		return s.answered
 	}
 	return now
 }
 
 // apply puts in force what counts of an answer.
-func (s *Destinations) apply(c *listCall, u Update, kind brain.ListKind, order membership.Order) {
+func (s *Destinations) apply(c *listCall, u Update, kind brain.ListKind, order membership.Freshness) {
 	now := u.At
 	if now.IsZero() {
 		now = time.Now()
 	}
 	answer := c.answer(u, now)
-	for i := range answer.Members {
-		if m := &answer.Members[i]; m.Told.IsZero() {
-			m.Told = s.toldFrom(now)
+	for i := range answer.Endpoints {
+		if m := &answer.Endpoints[i]; m.NotifiedAt.IsZero() {
+			m.NotifiedAt = s.toldFrom(now)
 		}
 	}
 	verdict := s.members.Apply(answer, order)
-	if c.service == s.calls.current && (u.Complete || !verdict.AskAgain.IsZero()) { // a change says nothing of what was not believed
-		s.recheckAt = verdict.AskAgain
+	if c.service == s.calls.current && (u.Complete || !verdict.PollAgainAt.IsZero()) { // a change says nothing of what was not believed
+		s.recheckAt = verdict.PollAgainAt
 	}
 	var listed, ended []Destination
 	for _, a := range verdict.Accepted {
-		if a.Index == membership.Absent {
+		if a.Index == membership.NotListed {
 			d := s.known[a.ID]
-			d.ID, d.State, d.Told = a.ID, a.State, a.Told
+			d.ID, d.State, d.Told = a.ID, a.State, a.NotifiedAt
 			ended = append(ended, d)
 			continue
 		}
 		d := u.Destinations[a.Index]
-		d.State, d.StartedAt, d.Told = a.State, a.Start, a.Told
+		d.State, d.StartedAt, d.Told = a.State, a.Start, a.NotifiedAt
 		listed = append(listed, d)
 	}
 	s.tell(u, listed, ended, kind)
@@ -96,19 +96,19 @@
 // dated gives the lines of a list with the starts of their workers on the core's clock.
 func (s *Destinations) dated(lines []Destination) []brain.WorkerInfo {
 	now := time.Now()
-	moment := starts.Moment{Now: s.core.clock.At(now), Wall: time.Duration(now.UnixNano()), Unheard: now.Sub(s.answered)}
+	moment := starts.ListTime{Now: s.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(s.answered)}
 	if !s.told {
-		moment.Unheard = forever
+		moment.SinceLastList = forever
 	}
-	stamped := make([]starts.Line, len(lines))
+	stamped := make([]starts.WorkerStart, len(lines))
 	for i, d := range lines {
-		stamped[i] = starts.Line{ID: d.ID, Stamp: d.StartedAt}
+		stamped[i] = starts.WorkerStart{ID: d.ID, Stamp: d.StartedAt}
 		if d.Age > 0 {
 			s.starts.Set(d.ID, d.StartedAt, moment.Now-d.Age)
 		}
 	}
 	infos := make([]brain.WorkerInfo, len(lines))
-	for i, at := range s.starts.Enter(moment, stamped) {
+	for i, at := range s.starts.Update(moment, stamped) {
 		infos[i] = lines[i].WorkerInfo
 		infos[i].StartedAt = at
 	}
@@ -116,7 +116,7 @@
 }
 
 // Started gives when a worker started, on the core's clock. It may be called before Run only.
-func (s *Destinations) Started(id brain.WorkerID) brain.Clock { return s.starts.At(id) }
+func (s *Destinations) Started(id brain.WorkerID) brain.Clock { return s.starts.StartedAt(id) }
 
 // update takes a line in and tells whether it is news: weights that fall with the load are not.
 func (s *Destinations) update(d Destination) bool {
@@ -137,8 +137,8 @@
 }
 
 // member gives what a line says of a worker's state.
-func (d *Destination) member() membership.Member {
-	return membership.Member{ID: d.ID, State: d.State, Start: d.StartedAt, Told: d.Told}
+func (d *Destination) member() membership.Endpoint {
+	return membership.Endpoint{ID: d.ID, State: d.State, Start: d.StartedAt, NotifiedAt: d.Told}
 }
 
 // logState tells of a worker whose state has changed. That a worker is new is no change: a first list may have thousands.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -86,7 +86,7 @@
 
 	mu      sync.Mutex
 	stands  []faults.Stand
-	watcher *planning.Watcher
+	watcher *planning.Recorder
 	rng     *rand.Rand
 	begin   time.Time
 	said    time.Time // of the last report
@@ -192,7 +192,7 @@
 		return &hollow{name: e.Name, meter: meter, find: transport.NewDiscovery(h.at, h.params, meter)}, nil
 	}
 	x := &hollow{name: e.Name, meter: meter, rng: rand.New(rand.NewPCG(h.spec.Seed, 1000+n)), begin: time.Now(), said: time.Now(),
-		watcher: planning.NewWatcher(e.Name, h.spec.Zone, 0)}
+		watcher: planning.NewRecorder(e.Name, h.spec.Zone, 0)}
 	o := fleet.Options{Settings: &s, Name: e.Name, Zone: h.spec.Zone, Apply: x.apply, Jobs: x.counted, Meter: x.meter,
 		Log: slog.New(roles{log.With("hollow", e.Name).Handler(), x})}
 	if h.spec.Failover != nil {
@@ -248,9 +248,9 @@
 			hears := h.heard()
 			x.mu.Lock()
 			if zone := zones[x.rng.IntN(len(zones))]; slices.Contains(hears, zone) {
-				x.watcher.Heard(zone, time.Since(x.begin))
+				x.watcher.ResponseReceived(zone, time.Since(x.begin))
 			} else {
-				x.watcher.Silent(zone, time.Since(x.begin))
+				x.watcher.CallUnanswered(zone, time.Since(x.begin))
 			}
 			x.mu.Unlock()
 		}
@@ -275,7 +275,7 @@
 func (x *hollow) urgent() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.watcher.Urgent(time.Since(x.begin))
+	return x.watcher.HasUrgentChange(time.Since(x.begin))
 }
 
 // report is of the shape that a real dispatcher's has: its probes tell it of zones, and its jobs of its own.
@@ -288,8 +288,8 @@
 	due := now.Sub(x.said).Seconds() * spec.Rate
 	for x.said = now; due > 0 && x.rng.Float64() < due; due-- {
 		x.jobs++
-		x.watcher.Asked(class.Name, class.Credit)
-		x.watcher.Ended(spec.Zone, class.Name, false, true, time.Duration(x.rng.ExpFloat64()*float64(hollowWork)), at)
+		x.watcher.JobArrived(class.Name, class.Credit)
+		x.watcher.CallEnded(spec.Zone, class.Name, false, true, time.Duration(x.rng.ExpFloat64()*float64(hollowWork)), at)
 	}
 	r := x.watcher.Report(at, maps.Clone(spec.Capacity)) // it keeps the map, and rounds what is in it
 	return &r
@@ -298,7 +298,7 @@
 // watch asks discovery as routing.Destinations does, and keeps nothing of what it tells.
 func (x *hollow) watch(ctx context.Context, params *protocol.Live) {
 	first := rand.Float64() * float64(params.Now().ReplicasOfMe) * firstEach.Seconds()
-	wait, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.Whole), pacing.Whole
+	wait, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.Whole), pacing.FullList
 	for {
 		select {
 		case <-ctx.Done():
@@ -307,12 +307,12 @@
 		}
 		u, err := x.find.Call(ctx, revision, kind)
 		if err != nil { // the module would decide when
-			wait, kind = time.Duration(rand.Float64()*float64(againMost)), pacing.Ask
+			wait, kind = time.Duration(rand.Float64()*float64(againMost)), pacing.Poll
 			continue
 		}
 		fresh := u.Revision != revision || len(u.Destinations) > 0
 		revision, kind = u.Revision, pacing.Watch
-		wait = pacing.Rewatch(fresh, u.Early, params.Now().ReplicasOfMe, rand.Float64())
+		wait = pacing.RewatchDelay(fresh, u.Early, params.Now().ReplicasOfMe, rand.Float64())
 	}
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -328,7 +328,7 @@
 		return false
 	}
 	if g.multiplexed {
-		if !streams.Fair(g.streams, g.jobs, c.jobs, surelyStreams) {
+		if !streams.WithinDynamicThreshold(g.streams, g.jobs, c.jobs, surelyStreams) {
 			return false
 		}
 		c.jobs++
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -45,7 +45,7 @@
 // what it had to tell counts as told for all that.
 func (d *Discovery) Call(ctx context.Context, revision int64, kind pacing.Kind) (routing.Update, error) {
 	p := d.Params.Now()
-	wait, within := PacingRules(p).Spans(kind)
+	wait, within := PacingRules(p).Timeouts(kind)
 	url, end := fmt.Sprintf("http://%s/registry/instances", d.Address), time.Now().Add(wait+within)
 	if revision != routing.Whole {
 		url += fmt.Sprintf("?index=%d&wait=%d", revision, wait.Milliseconds())
@@ -94,7 +94,7 @@
 
 // PacingRules gives what calls for the list go by.
 func PacingRules(p *protocol.Params) pacing.Rules {
-	return pacing.Rules{Pushed: p.Pushed(), Grace: p.Rules.DrainGrace.Span(), Dispatchers: p.ReplicasOfMe}
+	return pacing.Rules{ListsPushed: p.Pushed(), DrainGrace: p.Rules.DrainGrace.Span(), Dispatchers: p.ReplicasOfMe}
 }
 
 // Update gives a list in the core's terms.
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -45,7 +45,7 @@
 	c.out.start(c.Conn, gated.Close, c.sent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.alarm = time.AfterFunc(streams.Whole, c.look)
+	c.alarm = time.AfterFunc(streams.CompletionTimeout, c.look)
 	return c
 }
 
@@ -82,30 +82,30 @@
 func (c *conn) follow(b []byte) bool {
 	now := time.Since(c.taken)
 	c.mu.Lock()
-	why := streams.Why("")
+	why := streams.CloseReason("")
 	for len(b) > 0 && why == "" {
 		n, ev := c.in.step(b)
 		b = b[n:]
 		switch ev {
 		case greeted:
-			c.judge.Preface()
+			c.judge.PrefaceCompleted()
 			c.gated.Ready()
 		case begun:
-			c.judge.Begin(now)
+			c.judge.FrameStarted(now)
 		case headed:
 			f := c.in.frame()
 			if f.Kind == streams.Headers {
 				c.last = max(c.last, f.Stream)
 			}
-			if why = c.judge.Came(now, f); f.Length == 0 {
-				c.judge.End()
+			if why = c.judge.FrameReceived(now, f); f.Length == 0 {
+				c.judge.FrameCompleted()
 			}
 		case whole:
-			c.judge.End()
+			c.judge.FrameCompleted()
 		}
 	}
-	if _, due := c.judge.Due(); due && why == "" && c.alarm == nil {
-		c.alarm = time.AfterFunc(streams.Whole, c.look)
+	if _, due := c.judge.Deadline(); due && why == "" && c.alarm == nil {
+		c.alarm = time.AfterFunc(streams.CompletionTimeout, c.look)
 	}
 	c.mu.Unlock()
 	if why != "" {
@@ -118,8 +118,8 @@
 func (c *conn) look() {
 	now := time.Since(c.taken)
 	c.mu.Lock()
-	why := c.judge.Tick(now)
-	if at, due := c.judge.Due(); due && why == "" {
+	why := c.judge.CheckDeadline(now)
+	if at, due := c.judge.Deadline(); due && why == "" {
 		c.alarm = time.AfterFunc(at-now, c.look)
 	} else {
 		c.alarm = nil
@@ -131,7 +131,7 @@
 }
 
 // end ends the connection for a reason: the client is told, and what it still sends is not looked at.
-func (c *conn) end(why streams.Why) {
+func (c *conn) end(why streams.CloseReason) {
 	if c.ended.Swap(true) {
 		return
 	}
@@ -164,9 +164,9 @@
 	}
 	c.mu.Lock()
 	if answered {
-		c.judge.Answered()
+		c.judge.StreamAnswered()
 	}
-	why := c.judge.Sent(time.Since(c.taken), f)
+	why := c.judge.FrameSent(time.Since(c.taken), f)
 	c.mu.Unlock()
 	if why != "" {
 		go c.end(why) // the writer is held here
--- a/internal/transport/http2/front.go
+++ b/internal/transport/http2/front.go
@@ -51,7 +51,7 @@
 	conns     map[*conn]struct{}
 	leaving   bool
 	warning   *time.Timer // of the certificate's end; nil where there is none to come
-	calms     map[streams.Why]int
+	calms     map[streams.CloseReason]int
 	forbidden int
 }
 
@@ -64,7 +64,7 @@
 
 // New makes the front behind a multiplexed gate. Its files are read: an error names the one at fault.
 func New(s *Settings, core transport.Core, p *protocol.Live, gate *transport.Gate, ids *transport.OpenIDs, keys *transport.Keys, accounts *transport.Shares, log *slog.Logger) (*Front, error) {
-	f := &Front{log: log, gate: gate, conns: map[*conn]struct{}{}, calms: map[streams.Why]int{}}
+	f := &Front{log: log, gate: gate, conns: map[*conn]struct{}{}, calms: map[streams.CloseReason]int{}}
 	f.Inbound = transport.NewInbound(core, p, gate, ids, keys, accounts, f.vet, log)
 	put, err := f.Prepare(s)
 	if err != nil {
@@ -171,7 +171,7 @@
 }
 
 // calmed notes a connection that was ended by its budgets.
-func (f *Front) calmed(why streams.Why, c *transport.Conn) {
+func (f *Front) calmed(why streams.CloseReason, c *transport.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calms[why]++
@@ -208,8 +208,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fmt.Fprintf(&b, "front.http2.connections=%d\nfront.http2.streams=%d\nfront.http2.forbidden=%d\n", len(f.conns), f.gate.Jobs(), f.forbidden)
-	for _, why := range []streams.Why{streams.Crumbs, streams.Fragments, streams.Halves, streams.Pings, streams.Ranks,
-		streams.Resets, streams.Options, streams.Strange, streams.Windows} {
+	for _, why := range []streams.CloseReason{streams.TooManyTinyDataFrames, streams.HeaderTooLong, streams.IncompleteInTime, streams.TooManyPings, streams.TooManyPriorities,
+		streams.TooManyResets, streams.TooManySettings, streams.TooManyUnknownFrames, streams.TooManyWindowUpdates} {
 		fmt.Fprintf(&b, "front.http2.ended.%s=%d\n", why, f.calms[why])
 	}
 	if k := f.now.Load().keys; k != nil {
--- a/internal/transport/keys.go
+++ b/internal/transport/keys.go
@@ -106,39 +106,39 @@
 	if job.Key == "" {
 		j = nil
 	}
-	var known *repeats.Known
+	var known *repeats.RememberedJob
 	if j != nil {
-		known = &repeats.Known{Refused: j.refused(), Same: j.digest == digest}
+		known = &repeats.RememberedJob{Rejected: j.refused(), SameJob: j.digest == digest}
 	}
-	verdict := repeats.Judge(known, again, len(k.jobs) < k.set.Jobs && k.bytes.Load() < int64(k.set.KeepMB)<<20)
-	if verdict == repeats.Begin {
+	verdict := repeats.Decide(known, again, len(k.jobs) < k.set.Jobs && k.bytes.Load() < int64(k.set.KeepMB)<<20)
+	if verdict == repeats.Start {
 		j = &watched{keys: k, key: job.Key, id: job.ID, digest: digest, changed: make(chan struct{}),
 			window: job.Window, release: sync.OnceFunc(func() { k.ids.free(job.ID) })}
 	}
-	taken := verdict != repeats.Begin || k.ids.Take(job.ID, nil) // the predecessor is asked when nothing is held up by it
-	if ok = taken && (verdict == repeats.Begin || verdict == repeats.Join); ok {
+	taken := verdict != repeats.Start || k.ids.Take(job.ID, nil) // the predecessor is asked when nothing is held up by it
+	if ok = taken && (verdict == repeats.Start || verdict == repeats.Join); ok {
 		j.readers++
 		j.kept = j.kept || kept && job.Key != ""
-		if verdict == repeats.Begin && job.Key != "" {
+		if verdict == repeats.Start && job.Key != "" {
 			k.jobs[job.Key] = j
 		}
 	}
 	k.mu.Unlock()
-	if ok && verdict == repeats.Begin && !k.ids.confirm(job.ID) {
+	if ok && verdict == repeats.Start && !k.ids.confirm(job.ID) {
 		j.end(routing.Answer{Verdict: routing.Refused}) // for who joined meanwhile: it never ran
 		taken, ok = false, false
 	}
 	switch {
 	case !taken:
 		f.rejectJob(w, r, errIDInUse)
-	case verdict == repeats.Full:
+	case verdict == repeats.TableFull:
 		f.refuse(w, r, job.ClassName, "out of remembered jobs")
-	case verdict == repeats.Unknown:
+	case verdict == repeats.UnknownKey:
 		f.rejectJob(w, r, errUnknown)
-	case verdict == repeats.Another:
+	case verdict == repeats.KeyMismatch:
 		f.rejectJob(w, r, errAnother)
 	}
-	return j, verdict == repeats.Begin, ok
+	return j, verdict == repeats.Start, ok
 }
 
 // submitted notes a job's number at the core.
@@ -153,7 +153,7 @@
 	f.keys.mu.Lock()
 	j.readers--
 	ended := j.ended()
-	over := !ended && repeats.GiveUp(j.readers, j.kept)
+	over := !ended && repeats.AbandonWithoutReaders(j.readers, j.kept)
 	if over && f.keys.jobs[j.key] == j {
 		delete(f.keys.jobs, j.key) // whoever comes now begins anew
 	}
--- a/internal/transport/shares.go
+++ b/internal/transport/shares.go
@@ -73,21 +73,21 @@
 			parts[name] = most
 		}
 	}
-	s.table.Retune(max(s.set.Room-s.other, 0), parts)
+	s.table.SetQuotas(max(s.set.Room-s.other, 0), parts)
 }
 
 // Figures gives the numbers, a line each.
 func (s *Shares) Figures() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return fmt.Sprintf("accounts_room=%d\naccounts_open=%d\n", max(s.set.Room-s.other, 0), s.table.Total())
+	return fmt.Sprintf("accounts_room=%d\naccounts_open=%d\n", max(s.set.Room-s.other, 0), s.table.TotalOpen())
 }
 
 // Open is how many jobs are open.
 func (s *Shares) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Total()
+	return s.table.TotalOpen()
 }
 
 // take takes a job of an account and gives what ends it, or tells that there is no room.
@@ -97,13 +97,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pot := s.table.Pot(account)
-	if !s.table.Take(pot) {
+	pot := s.table.QuotaName(account)
+	if !s.table.Admit(pot) {
 		return nil, false
 	}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.table.Done(pot)
+		s.table.Release(pot)
 	}, true
 }
