--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -85,18 +85,18 @@
 
 func statusTable(w io.Writer, s fleet.Status) {
 	fmt.Fprintf(w, "fleet\t%s\ndispatcher\t%s\nseat\t%d\nleader's seat\t%d\nera\t%d\nacting on\t%v\nlapsed\t%t\nlease left\t%d ms\nin force\t%d\n", s.Fleet, s.Name,
-		s.Seat, s.Leader, s.Record.Era, s.Acting, s.Lapsed, s.LeaseMS, s.Record.InForce.Number)
+		s.Seat, s.Leader, s.Record.Epoch, s.Acting, s.Lapsed, s.LeaseMS, s.Record.InForce.Number)
 	if v := s.Record.Announced; v != nil {
-		fmt.Fprintf(w, "announced\t%d by %s: %s\nwaits for\t%v\n", v.Number, v.By, v.Why, s.Waits)
-		if t := v.Trial; t != nil {
-			fmt.Fprintf(w, "tried by\t%g of the dispatchers, for %v, margin %g\n", t.Share, t.For, t.Margin)
+		fmt.Fprintf(w, "announced\t%d by %s: %s\nwaits for\t%v\n", v.Number, v.By, v.Reason, s.Waits)
+		if t := v.Canary; t != nil {
+			fmt.Fprintf(w, "tried by\t%g of the dispatchers, for %v, margin %g\n", t.Share, t.MinDuration, t.FailureMargin)
 		}
 	}
 }
 
 // memberOf is a dispatcher of a fleet, by all that is known of it.
 type memberOf struct {
-	agreement.Member
+	agreement.Dispatcher
 	Gossip string // what its neighbour that was asked knows of it; "-" of other zones
 	Lease  string
 }
@@ -111,15 +111,15 @@
 				return err
 			}
 			var known struct {
-				Present []agreement.Member
-				Absent  []agreement.Absent
+				Present []agreement.Dispatcher
+				Absent  []agreement.AbsentDispatcher
 			}
 			if err := f.ask(c.Context(), "known", nil, &known); err != nil {
 				fmt.Fprintf(c.ErrOrStderr(), "nobody leads, so these are neighbours alone: %v\n", err)
 			}
 			all := map[string]memberOf{}
 			for _, m := range s.Members {
-				all[m.Name] = memberOf{agreement.Member{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone, Seat: m.Seat, Form: m.Form}, string(m.State), "-"}
+				all[m.Name] = memberOf{agreement.Dispatcher{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone, VoterID: m.Seat, MessageFormat: m.Form}, string(m.State), "-"}
 			}
 			gossip := func(name string) string {
 				if m, ok := all[name]; ok {
@@ -128,14 +128,14 @@
 				return "-"
 			}
 			for _, a := range known.Absent {
-				lease := fmt.Sprintf("ran out %v ago", a.For.Round(time.Second))
+				lease := fmt.Sprintf("ran out %v ago", a.AbsentFor.Round(time.Second))
 				if a.Left {
-					lease = fmt.Sprintf("left %v ago", a.For.Round(time.Second))
+					lease = fmt.Sprintf("left %v ago", a.AbsentFor.Round(time.Second))
 				}
-				all[a.Name] = memberOf{a.Member, gossip(a.Name), lease}
+				all[a.Name] = memberOf{a.Dispatcher, gossip(a.Name), lease}
 			}
 			for _, m := range known.Present {
-				all[m.Name] = memberOf{m, gossip(m.Name), fmt.Sprint("acknowledged ", m.Acked)}
+				all[m.Name] = memberOf{m, gossip(m.Name), fmt.Sprint("acknowledged ", m.AcknowledgedVersion)}
 			}
 			var rows []memberOf
 			for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -144,7 +144,7 @@
 			return f.print(c, rows, func(w io.Writer) {
 				fmt.Fprint(w, "dispatcher\tgossip\tregion\tzone\taddress\tseat\tform\tlease\n")
 				for _, m := range rows {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", m.Name, m.Gossip, m.Region, m.Zone, m.Address, m.Seat, m.Form, m.Lease)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", m.Name, m.Gossip, m.Region, m.Zone, m.Address, m.VoterID, m.MessageFormat, m.Lease)
 				}
 			})
 		}}
@@ -154,12 +154,12 @@
 	fmt.Fprint(w, "seat\tdispatcher\taddress\tregion\tzone\tvotes\tsilent\tbehind\n")
 	places := s.Places
 	if places == nil { // not asked at the leader
-		for _, seat := range s.Record.Council {
-			places = append(places, agreement.Place{Seat: seat})
+		for _, seat := range s.Record.Voters {
+			places = append(places, agreement.VoterStatus{Voter: seat})
 		}
 	}
 	for _, p := range places {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%t\t%v\t%d\n", p.ID, p.Name, p.Address, p.Region, p.Zone, !p.Learner, p.Silent, p.Behind)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%t\t%v\t%d\n", p.ID, p.Name, p.Address, p.Region, p.Zone, !p.Learner, p.SilentFor, p.EntriesBehind)
 	}
 }
 
@@ -177,13 +177,13 @@
 func historyTable(w io.Writer, r agreement.Record) {
 	fmt.Fprint(w, "version\tretries\trepeat\tout\tshares\tby\twhy\tat\tended\n")
 	row := func(v agreement.Version, ended string) {
-		fmt.Fprintf(w, "%d\t%g\t%t\t%v\t%v\t%s\t%s\t%s\t%s\n", v.Number, v.Rules.Retries, v.Rules.Repeat, v.Rules.Out, v.Rules.Shares, v.By, v.Why, v.At.Format(time.RFC3339), ended)
+		fmt.Fprintf(w, "%d\t%g\t%t\t%v\t%v\t%s\t%s\t%s\t%s\n", v.Number, v.Rules.RetryRatio, v.Rules.RetriesAllowed, v.Rules.DetachedWorkers, v.Rules.Quotas, v.By, v.Reason, v.At.Format(time.RFC3339), ended)
 	}
 	for _, v := range r.History {
 		row(v, "followed")
 	}
 	for _, x := range r.Withdrawn {
-		row(x.Version, "withdrawn: "+x.Why)
+		row(x.Version, "withdrawn: "+x.Reason)
 	}
 	row(r.InForce, "in force")
 }
@@ -196,12 +196,12 @@
 }
 
 // announce proposes rules to follow the version in force.
-func (f *allies) announce(c *cobra.Command, base uint64, r agreement.Rules, t *agreement.Trial) error {
+func (f *allies) announce(c *cobra.Command, base uint64, r agreement.Rules, t *agreement.Canary) error {
 	by := "unknown"
 	if u, err := user.Current(); err == nil {
 		by = u.Username
 	}
-	text, err := json.Marshal(agreement.Version{Number: base, Rules: r, By: by, Why: f.why, At: time.Now().UTC(), Trial: t})
+	text, err := json.Marshal(agreement.Version{Number: base, Rules: r, By: by, Reason: f.why, At: time.Now().UTC(), Canary: t})
 	if err != nil {
 		return err
 	}
@@ -227,13 +227,13 @@
 			if err != nil {
 				return err
 			}
-			var t *agreement.Trial
+			var t *agreement.Canary
 			if stage != "" {
 				percent, err := strconv.ParseFloat(strings.TrimSuffix(stage, "%"), 64)
 				if err != nil || !strings.HasSuffix(stage, "%") {
 					return fmt.Errorf(`--stage: %q is no share such as "10%%"`, stage)
 				}
-				t = &agreement.Trial{Share: percent / 100, For: span, Margin: margin}
+				t = &agreement.Canary{Share: percent / 100, MinDuration: span, FailureMargin: margin}
 				if err := t.Check(); err != nil {
 					return err
 				}
@@ -277,15 +277,15 @@
 			}
 			r := s.Record.InForce.Rules
 			if s.Record.InForce.Number == 0 {
-				r = agreement.Rules{Retries: -1, Repeat: true}
+				r = agreement.Rules{RetryRatio: -1, RetriesAllowed: true}
 			}
-			has := slices.Contains(r.Out, args[0])
+			has := slices.Contains(r.DetachedWorkers, args[0])
 			if has == out {
 				return fmt.Errorf("%s is so already", args[0])
 			}
-			r.Out = slices.DeleteFunc(slices.Clone(r.Out), func(id string) bool { return id == args[0] })
+			r.DetachedWorkers = slices.DeleteFunc(slices.Clone(r.DetachedWorkers), func(id string) bool { return id == args[0] })
 			if out {
-				r.Out = append(r.Out, args[0])
+				r.DetachedWorkers = append(r.DetachedWorkers, args[0])
 			}
 			return f.announce(c, s.Record.InForce.Number, r, nil)
 		}}
@@ -331,30 +331,30 @@
 
 // differences gives a line for each that there is.
 func differences(a, b agreement.Rules) (lines []string) {
-	if a.Retries != b.Retries {
-		lines = append(lines, fmt.Sprintf("retries %g -> %g", a.Retries, b.Retries))
+	if a.RetryRatio != b.RetryRatio {
+		lines = append(lines, fmt.Sprintf("retries %g -> %g", a.RetryRatio, b.RetryRatio))
 	}
-	if a.Repeat != b.Repeat {
-		lines = append(lines, fmt.Sprintf("repeat %t -> %t", a.Repeat, b.Repeat))
+	if a.RetriesAllowed != b.RetriesAllowed {
+		lines = append(lines, fmt.Sprintf("repeat %t -> %t", a.RetriesAllowed, b.RetriesAllowed))
 	}
-	for _, id := range b.Out {
-		if !slices.Contains(a.Out, id) {
+	for _, id := range b.DetachedWorkers {
+		if !slices.Contains(a.DetachedWorkers, id) {
 			lines = append(lines, "out + "+id)
 		}
 	}
-	for _, id := range a.Out {
-		if !slices.Contains(b.Out, id) {
+	for _, id := range a.DetachedWorkers {
+		if !slices.Contains(b.DetachedWorkers, id) {
 			lines = append(lines, "out - "+id)
 		}
 	}
-	names := maps.Clone(a.Shares)
+	names := maps.Clone(a.Quotas)
 	if names == nil {
 		names = map[string]float64{}
 	}
-	maps.Copy(names, b.Shares)
+	maps.Copy(names, b.Quotas)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		was, had := a.Shares[name]
-		is, has := b.Shares[name]
+		was, had := a.Quotas[name]
+		is, has := b.Quotas[name]
 		switch {
 		case !had:
 			lines = append(lines, fmt.Sprintf("shares + %s %g", name, is))
@@ -378,7 +378,7 @@
 				if err != nil {
 					text = err.Error()
 				} else {
-					text = fmt.Sprintf("acting on %v lapsed %t, in force %d, leader's seat %d, era %d", s.Acting, s.Lapsed, s.Record.InForce.Number, s.Leader, s.Record.Era)
+					text = fmt.Sprintf("acting on %v lapsed %t, in force %d, leader's seat %d, era %d", s.Acting, s.Lapsed, s.Record.InForce.Number, s.Leader, s.Record.Epoch)
 					if v := s.Record.Announced; v != nil {
 						text += fmt.Sprintf(", announced %d, waits for %v", v.Number, s.Waits)
 					}
@@ -416,7 +416,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "era %d: a council of seat %d, version %d in force\n", r.Era, seat, r.InForce.Number)
+			fmt.Fprintf(c.OutOrStdout(), "era %d: a council of seat %d, version %d in force\n", r.Epoch, seat, r.InForce.Number)
 			return nil
 		}}
 	c.Flags().Uint64Var(&seat, "seat", 0, "the seat whose file is in the directory")
--- a/internal/command/zones.go
+++ b/internal/command/zones.go
@@ -31,7 +31,7 @@
 		if u, err := user.Current(); err == nil {
 			by = u.Username
 		}
-		text, err := json.Marshal(agreement.Hold{Zone: zone, Share: share, By: by, Why: f.why, Force: force})
+		text, err := json.Marshal(agreement.ZoneLimit{Zone: zone, Share: share, By: by, Reason: f.why, Force: force})
 		if err != nil {
 			return err
 		}
@@ -76,8 +76,8 @@
 	for _, v := range s.Zones {
 		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%s\t%s\n", v.Zone, v.Region, v.Capacity, v.Planned, v.Demand, v.Shed, v.CapacityFactor, strings.Join(v.UnreachableFrom, ","), v.Reason)
 	}
-	for _, h := range s.Record.Holds {
-		fmt.Fprintf(w, "held: %s at %g by %s: %s\n", h.Zone, h.Share, h.By, h.Why)
+	for _, h := range s.Record.ZoneLimits {
+		fmt.Fprintf(w, "held: %s at %g by %s: %s\n", h.Zone, h.Share, h.By, h.Reason)
 	}
 }
 
@@ -123,10 +123,10 @@
 		known = true
 		fmt.Fprintf(w, "why: %s\n", why)
 	}
-	for _, h := range s.Record.Holds {
+	for _, h := range s.Record.ZoneLimits {
 		if h.Zone == zone {
 			known = true
-			fmt.Fprintf(w, "held at %g by %s: %s\n", h.Share, h.By, cmp.Or(h.Why, "-"))
+			fmt.Fprintf(w, "held at %g by %s: %s\n", h.Share, h.By, cmp.Or(h.Reason, "-"))
 		}
 	}
 	for _, v := range s.Zones {
--- a/internal/decisions/agreement/agreement.go
+++ b/internal/decisions/agreement/agreement.go
@@ -30,24 +30,24 @@
 
 // Rules are what a version says.
 type Rules struct {
-	Retries float64  `json:"retries"`       // further calls for each first one; below 0 for no bound
-	Repeat  bool     `json:"repeat"`        // whether anything is sent a second time
-	Out     []string `json:"out,omitempty"` // boxes that get nothing
+	RetryRatio      float64  `json:"retries"`       // further calls for each first one; below 0 for no bound
+	RetriesAllowed  bool     `json:"repeat"`        // whether anything is sent a second time
+	DetachedWorkers []string `json:"out,omitempty"` // boxes that get nothing
 
-	// Shares are the most that accounts may have of the room for open jobs, at each dispatcher; who is not named is not bound.
-	Shares map[string]float64 `json:"shares,omitempty"`
+	// Quotas are the most that accounts may have of the room for open jobs, at each dispatcher; who is not named is not bound.
+	Quotas map[string]float64 `json:"shares,omitempty"`
 }
 
-// Needs is the form of messages that a dispatcher must speak to read the rules.
-func (r Rules) Needs() int {
-	if len(r.Shares) > 0 {
+// MinMessageFormat is the form of messages that a dispatcher must speak to read the rules.
+func (r Rules) MinMessageFormat() int {
+	if len(r.Quotas) > 0 {
 		return 2
 	}
 	return 1
 }
 
 // unbound are the rules before the fleet has agreed on any.
-func unbound() Rules { return Rules{Retries: -1, Repeat: true} }
+func unbound() Rules { return Rules{RetryRatio: -1, RetriesAllowed: true} }
 
 // rules are those of a version.
 func (v Version) rules() Rules {
@@ -60,15 +60,15 @@
 // Check tells what is wrong with rules.
 func (r Rules) Check() error {
 	switch {
-	case math.IsNaN(r.Retries) || math.IsInf(r.Retries, 0) || r.Retries > MostRetries:
-		return fmt.Errorf("retries must be at most %v", float64(MostRetries))
-	case len(r.Out) > mostOut:
+	case math.IsNaN(r.RetryRatio) || math.IsInf(r.RetryRatio, 0) || r.RetryRatio > MaxRetryRatio:
+		return fmt.Errorf("retries must be at most %v", float64(MaxRetryRatio))
+	case len(r.DetachedWorkers) > mostOut:
 		return fmt.Errorf("out names more than %d boxes", mostOut)
-	case len(r.Shares) > mostShares:
+	case len(r.Quotas) > mostShares:
 		return fmt.Errorf("shares names more than %d accounts", mostShares)
 	}
-	seen := make(map[string]bool, len(r.Out))
-	for i, id := range r.Out {
+	seen := make(map[string]bool, len(r.DetachedWorkers))
+	for i, id := range r.DetachedWorkers {
 		if id == "" || len(id) > mostName {
 			return fmt.Errorf("out[%d] is no name of a box", i)
 		}
@@ -77,7 +77,7 @@
 		}
 		seen[id] = true
 	}
-	for name, share := range r.Shares {
+	for name, share := range r.Quotas {
 		if name == "" || len(name) > mostName || !(share >= 0 && share <= 1) {
 			return fmt.Errorf("shares[%q] must be from 0 to 1", name)
 		}
@@ -86,8 +86,8 @@
 }
 
 const (
-	// MostRetries is the largest bound on further calls that makes sense.
-	MostRetries = 16
+	// MaxRetryRatio is the largest bound on further calls that makes sense.
+	MaxRetryRatio = 16
 
 	mostOut     = 10_000
 	mostShares  = 1000
@@ -97,21 +97,21 @@
 
 // Stricter gives rules that allow only what both allow.
 func (r Rules) Stricter(o Rules) Rules {
-	s := Rules{Retries: r.Retries, Repeat: r.Repeat && o.Repeat}
-	if r.Retries < 0 || o.Retries >= 0 && o.Retries < r.Retries {
-		s.Retries = o.Retries
+	s := Rules{RetryRatio: r.RetryRatio, RetriesAllowed: r.RetriesAllowed && o.RetriesAllowed}
+	if r.RetryRatio < 0 || o.RetryRatio >= 0 && o.RetryRatio < r.RetryRatio {
+		s.RetryRatio = o.RetryRatio
 	}
-	s.Out = append(slices.Clone(r.Out), o.Out...)
-	slices.Sort(s.Out)
-	s.Out = slices.Compact(s.Out)
-	if len(r.Shares)+len(o.Shares) > 0 {
-		s.Shares = maps.Clone(r.Shares)
-		if s.Shares == nil {
-			s.Shares = map[string]float64{}
+	s.DetachedWorkers = append(slices.Clone(r.DetachedWorkers), o.DetachedWorkers...)
+	slices.Sort(s.DetachedWorkers)
+	s.DetachedWorkers = slices.Compact(s.DetachedWorkers)
+	if len(r.Quotas)+len(o.Quotas) > 0 {
+		s.Quotas = maps.Clone(r.Quotas)
+		if s.Quotas == nil {
+			s.Quotas = map[string]float64{}
 		}
-		for name, share := range o.Shares {
-			if had, ok := s.Shares[name]; !ok || share < had {
-				s.Shares[name] = share
+		for name, share := range o.Quotas {
+			if had, ok := s.Quotas[name]; !ok || share < had {
+				s.Quotas[name] = share
 			}
 		}
 	}
@@ -123,36 +123,36 @@
 	Number uint64    `json:"number"`
 	Rules  Rules     `json:"rules"`
 	By     string    `json:"by"`
-	Why    string    `json:"why"`
+	Reason string    `json:"why"`
 	At     time.Time `json:"at"`              // by the proposer's clock: for people, nothing is decided by it
-	Trial  *Trial    `json:"trial,omitempty"` // while only a part of the dispatchers keeps to it; nil for all
+	Canary *Canary   `json:"trial,omitempty"` // while only a part of the dispatchers keeps to it; nil for all
 }
 
 // Record is what the fleet has agreed on. The council's log makes it, entry by entry; everybody has it as of some revision.
 type Record struct {
-	Era       uint64         `json:"era,omitempty"` // goes up where a council is made anew without its majority
-	Revision  uint64         `json:"revision"`      // entries that changed it
-	InForce   Version        `json:"in_force"`
-	Announced *Version       `json:"announced,omitempty"`
-	History   []Version      `json:"history,omitempty"`   // those that were in force, the newest last
-	Withdrawn []Withdrawal   `json:"withdrawn,omitempty"` // the newest last
-	Council   []Seat         `json:"council,omitempty"`
-	Plan      *failover.Plan `json:"plan,omitempty"`      // where zones' jobs are served; nil where nobody plans
-	Holds     []Hold         `json:"holds,omitempty"`     // zones that people hold at a share of their capacity
-	NextSeat  uint64         `json:"next_seat,omitempty"` // no number is used twice
+	Epoch       uint64         `json:"era,omitempty"` // goes up where a council is made anew without its majority
+	Revision    uint64         `json:"revision"`      // entries that changed it
+	InForce     Version        `json:"in_force"`
+	Announced   *Version       `json:"announced,omitempty"`
+	History     []Version      `json:"history,omitempty"`   // those that were in force, the newest last
+	Withdrawn   []Withdrawal   `json:"withdrawn,omitempty"` // the newest last
+	Voters      []Voter        `json:"council,omitempty"`
+	Plan        *failover.Plan `json:"plan,omitempty"`      // where zones' jobs are served; nil where nobody plans
+	ZoneLimits  []ZoneLimit    `json:"holds,omitempty"`     // zones that people hold at a share of their capacity
+	NextVoterID uint64         `json:"next_seat,omitempty"` // no number is used twice
 }
 
-// Seat gives the council's seat of a number.
-func (r Record) Seat(id uint64) (Seat, bool) {
-	i := slices.IndexFunc(r.Council, func(s Seat) bool { return s.ID == id })
+// Voter gives the council's seat of a number.
+func (r Record) Voter(id uint64) (Voter, bool) {
+	i := slices.IndexFunc(r.Voters, func(s Voter) bool { return s.ID == id })
 	if i < 0 {
-		return Seat{}, false
+		return Voter{}, false
 	}
-	return r.Council[i], true
+	return r.Voters[i], true
 }
 
-// Brief is the record without what was: who acts on it needs no history, and it may be most of a record.
-func (r Record) Brief() Record {
+// WithoutHistory is the record without what was: who acts on it needs no history, and it may be most of a record.
+func (r Record) WithoutHistory() Record {
 	r.History, r.Withdrawn = nil, nil
 	return r
 }
@@ -160,43 +160,43 @@
 // Withdrawal is a version that was announced and given up.
 type Withdrawal struct {
 	Version Version `json:"version"`
-	Why     string  `json:"why"`
+	Reason  string  `json:"why"`
 }
 
-// Hold is a zone that people hold at a share of its capacity; 0 drains it.
-type Hold struct {
-	Zone  string  `json:"zone"`
-	Share float64 `json:"share"` // 1 lets it go
-	By    string  `json:"by"`
-	Why   string  `json:"why"`
-	Force bool    `json:"force,omitempty"` // though there is no room elsewhere
+// ZoneLimit is a zone that people hold at a share of its capacity; 0 drains it.
+type ZoneLimit struct {
+	Zone   string  `json:"zone"`
+	Share  float64 `json:"share"` // 1 lets it go
+	By     string  `json:"by"`
+	Reason string  `json:"why"`
+	Force  bool    `json:"force,omitempty"` // though there is no room elsewhere
 }
 
-// Newer tells whether a record is newer than another.
-func (r Record) Newer(o Record) bool {
-	return r.Era > o.Era || r.Era == o.Era && r.Revision > o.Revision
+// NewerThan tells whether a record is newer than another.
+func (r Record) NewerThan(o Record) bool {
+	return r.Epoch > o.Epoch || r.Epoch == o.Epoch && r.Revision > o.Revision
 }
 
 // Entry is a command in the council's log.
 type Entry struct {
-	ID       string         `json:"id"`                 // of the proposer's choice
-	Announce *Version       `json:"announce,omitempty"` // Number is the one that it follows; it gets the next
-	Force    uint64         `json:"force,omitempty"`    // the number of the announced version
-	Withdraw uint64         `json:"withdraw,omitempty"` // the same: it is given up
-	Widen    uint64         `json:"widen,omitempty"`    // the same: its trial is over, all keep to it
-	Why      string         `json:"why,omitempty"`      // of a withdrawal
-	Council  []Seat         `json:"council,omitempty"`  // who sits in the council from now on
-	Plan     *failover.Plan `json:"plan,omitempty"`     // the next one
-	Hold     *Hold          `json:"hold,omitempty"`
+	ID         string         `json:"id"`                 // of the proposer's choice
+	Announce   *Version       `json:"announce,omitempty"` // Number is the one that it follows; it gets the next
+	PutInForce uint64         `json:"force,omitempty"`    // the number of the announced version
+	Withdraw   uint64         `json:"withdraw,omitempty"` // the same: it is given up
+	EndCanary  uint64         `json:"widen,omitempty"`    // the same: its trial is over, all keep to it
+	Reason     string         `json:"why,omitempty"`      // of a withdrawal
+	Voters     []Voter        `json:"council,omitempty"`  // who sits in the council from now on
+	Plan       *failover.Plan `json:"plan,omitempty"`     // the next one
+	ZoneLimit  *ZoneLimit     `json:"hold,omitempty"`
 }
 
 // The reasons for which an entry changes nothing.
 var (
-	ErrUnderWay = errors.New("another change is under way")
-	ErrBase     = errors.New("it does not follow the version in force")
-	ErrNone     = errors.New("no such version is announced")
-	ErrTrial    = errors.New("its trial is not over")
-	ErrHold     = errors.New("a hold names a zone and a share from 0 to 1")
+	ErrChangeInProgress = errors.New("another change is under way")
+	ErrNotNextVersion   = errors.New("it does not follow the version in force")
+	ErrNotAnnounced     = errors.New("no such version is announced")
+	ErrCanaryRunning    = errors.New("its trial is not over")
+	ErrZoneLimit        = errors.New("a hold names a zone and a share from 0 to 1")
 )
 
 // Apply gives the record behind an entry. Where it gives an error the record is as it was.
@@ -205,12 +205,12 @@
 	switch {
 	case e.Announce != nil:
 		if r.Announced != nil {
-			return r, ErrUnderWay
+			return r, ErrChangeInProgress
 		}
 		if e.Announce.Number != r.InForce.Number {
-			return r, ErrBase
+			return r, ErrNotNextVersion
 		}
-		if err := cmp.Or(e.Announce.Rules.Check(), e.Announce.Trial.Check()); err != nil {
+		if err := cmp.Or(e.Announce.Rules.Check(), e.Announce.Canary.Check()); err != nil {
 			return r, err
 		}
 		v := *e.Announce
@@ -218,34 +218,34 @@
 		next.Announced = &v
 	case e.Plan != nil:
 		if r.Plan != nil && e.Plan.Number <= r.Plan.Number {
-			return r, ErrBase
+			return r, ErrNotNextVersion
 		}
 		next.Plan = e.Plan
-	case e.Hold != nil:
-		if e.Hold.Zone == "" || !(e.Hold.Share >= 0 && e.Hold.Share <= 1) {
-			return r, ErrHold
+	case e.ZoneLimit != nil:
+		if e.ZoneLimit.Zone == "" || !(e.ZoneLimit.Share >= 0 && e.ZoneLimit.Share <= 1) {
+			return r, ErrZoneLimit
 		}
-		next.Holds = slices.DeleteFunc(slices.Clone(r.Holds), func(h Hold) bool { return h.Zone == e.Hold.Zone })
-		if e.Hold.Share < 1 {
-			next.Holds = append(next.Holds, *e.Hold)
+		next.ZoneLimits = slices.DeleteFunc(slices.Clone(r.ZoneLimits), func(h ZoneLimit) bool { return h.Zone == e.ZoneLimit.Zone })
+		if e.ZoneLimit.Share < 1 {
+			next.ZoneLimits = append(next.ZoneLimits, *e.ZoneLimit)
 		}
-	case e.Council != nil:
-		next.Council = e.Council
-		for _, seat := range e.Council {
-			next.NextSeat = max(next.NextSeat, seat.ID+1)
+	case e.Voters != nil:
+		next.Voters = e.Voters
+		for _, seat := range e.Voters {
+			next.NextVoterID = max(next.NextVoterID, seat.ID+1)
 		}
-	case r.Announced == nil || r.Announced.Number != max(e.Force, e.Withdraw, e.Widen):
-		return r, ErrNone
-	case e.Widen > 0:
-		if r.Announced.Trial == nil {
-			return r, ErrNone
+	case r.Announced == nil || r.Announced.Number != max(e.PutInForce, e.Withdraw, e.EndCanary):
+		return r, ErrNotAnnounced
+	case e.EndCanary > 0:
+		if r.Announced.Canary == nil {
+			return r, ErrNotAnnounced
 		}
 		v := *r.Announced
-		v.Trial = nil
+		v.Canary = nil
 		next.Announced = &v
-	case e.Force > 0:
-		if r.Announced.Trial != nil {
-			return r, ErrTrial
+	case e.PutInForce > 0:
+		if r.Announced.Canary != nil {
+			return r, ErrCanaryRunning
 		}
 		next.History = append(slices.Clone(r.History), r.InForce)
 		if over := len(next.History) - mostHistory; over > 0 {
@@ -253,7 +253,7 @@
 		}
 		next.InForce, next.Announced = *r.Announced, nil
 	default: // its number is used up: who heard of it must not take another for it
-		next.Withdrawn = append(slices.Clone(r.Withdrawn), Withdrawal{*r.Announced, e.Why})
+		next.Withdrawn = append(slices.Clone(r.Withdrawn), Withdrawal{*r.Announced, e.Reason})
 		if over := len(next.Withdrawn) - mostHistory; over > 0 {
 			next.Withdrawn = next.Withdrawn[over:]
 		}
@@ -263,19 +263,19 @@
 	return next, nil
 }
 
-// Stand is what a dispatcher acts on.
-type Stand struct {
-	Versions []uint64 // it keeps the limits of each of them
-	Lapsed   bool     // it holds no lease
-	Rules    Rules
+// Effective is what a dispatcher acts on.
+type Effective struct {
+	Versions     []uint64 // it keeps the limits of each of them
+	LeaseExpired bool     // it holds no lease
+	Rules        Rules
 }
 
 // Contradicts tells whether two dispatchers act on versions that have nothing in common while both hold a lease.
-func (s Stand) Contradicts(o Stand) bool {
-	return !s.Lapsed && !o.Lapsed && s.Apart(o)
+func (s Effective) Contradicts(o Effective) bool {
+	return !s.LeaseExpired && !o.LeaseExpired && s.SharesNoVersion(o)
 }
 
-// Apart tells the same whether they hold leases or not.
-func (s Stand) Apart(o Stand) bool {
+// SharesNoVersion tells the same whether they hold leases or not.
+func (s Effective) SharesNoVersion(o Effective) bool {
 	return !slices.ContainsFunc(s.Versions, func(v uint64) bool { return slices.Contains(o.Versions, v) })
 }
--- a/internal/decisions/agreement/agreement_test.go
+++ b/internal/decisions/agreement/agreement_test.go
@@ -13,10 +13,10 @@
 )
 
 func rules(t *rapid.T, name string) Rules {
-	r := Rules{Retries: rapid.SampledFrom([]float64{-1, 0, 0.1, 1}).Draw(t, name+" retries"), Repeat: rapid.Bool().Draw(t, name+" repeat")}
+	r := Rules{RetryRatio: rapid.SampledFrom([]float64{-1, 0, 0.1, 1}).Draw(t, name+" retries"), RetriesAllowed: rapid.Bool().Draw(t, name+" repeat")}
 	for _, id := range []string{"a", "b", "c"} {
 		if rapid.Bool().Draw(t, name+" out "+id) {
-			r.Out = append(r.Out, id)
+			r.DetachedWorkers = append(r.DetachedWorkers, id)
 		}
 	}
 	return r
@@ -24,12 +24,12 @@
 
 // allows tells whether one allows no more than the other.
 func within(a, b Rules) bool {
-	if b.Retries >= 0 && (a.Retries < 0 || a.Retries > b.Retries) || a.Repeat && !b.Repeat {
+	if b.RetryRatio >= 0 && (a.RetryRatio < 0 || a.RetryRatio > b.RetryRatio) || a.RetriesAllowed && !b.RetriesAllowed {
 		return false
 	}
-	for _, id := range b.Out {
+	for _, id := range b.DetachedWorkers {
 		found := false
-		for _, o := range a.Out {
+		for _, o := range a.DetachedWorkers {
 			found = found || o == id
 		}
 		if !found {
@@ -57,9 +57,9 @@
 		e    Entry
 		want error
 	}{
-		{announce(1, Rules{}), ErrBase}, {Entry{Force: 1}, ErrNone}, {announce(0, Rules{Retries: 0.2}), nil}, {announce(0, Rules{}), ErrUnderWay},
-		{Entry{Force: 2}, ErrNone}, {Entry{Force: 1}, nil}, {Entry{Force: 1}, ErrNone}, {announce(1, Rules{}), nil}, {Entry{Withdraw: 2}, nil},
-		{announce(1, Rules{}), ErrBase}, {announce(3, Rules{Repeat: true}), nil}, {Entry{Force: 4}, nil},
+		{announce(1, Rules{}), ErrNotNextVersion}, {Entry{PutInForce: 1}, ErrNotAnnounced}, {announce(0, Rules{RetryRatio: 0.2}), nil}, {announce(0, Rules{}), ErrChangeInProgress},
+		{Entry{PutInForce: 2}, ErrNotAnnounced}, {Entry{PutInForce: 1}, nil}, {Entry{PutInForce: 1}, ErrNotAnnounced}, {announce(1, Rules{}), nil}, {Entry{Withdraw: 2}, nil},
+		{announce(1, Rules{}), ErrNotNextVersion}, {announce(3, Rules{RetriesAllowed: true}), nil}, {Entry{PutInForce: 4}, nil},
 	} {
 		next, err := r.Apply(c.e)
 		if !errors.Is(err, c.want) || err != nil && fmt.Sprint(next) != fmt.Sprint(r) || err == nil && next.Revision != r.Revision+1 {
@@ -67,10 +67,10 @@
 		}
 		r = next
 	}
-	if r.InForce.Number != 4 || !r.InForce.Rules.Repeat || len(r.History) != 2 {
+	if r.InForce.Number != 4 || !r.InForce.Rules.RetriesAllowed || len(r.History) != 2 {
 		t.Errorf("%+v", r)
 	}
-	for _, bad := range []Rules{{Retries: math.NaN()}, {Retries: 17}, {Out: []string{"a", "a"}}, {Out: []string{""}}} {
+	for _, bad := range []Rules{{RetryRatio: math.NaN()}, {RetryRatio: 17}, {DetachedWorkers: []string{"a", "a"}}, {DetachedWorkers: []string{""}}} {
 		if _, err := r.Apply(announce(4, bad)); err == nil {
 			t.Errorf("%+v was taken", bad)
 		}
@@ -83,8 +83,8 @@
 	now     Clock
 	record  Record
 	lease   time.Duration
-	council *Council
-	holders []*Holder
+	council *LeaseTable
+	holders []*Lessee
 	frozen  []bool
 	asked   []message // on their way to the leader
 	answers []message // and back
@@ -102,9 +102,9 @@
 
 func newWorld(n int, broken string) *world {
 	w := &world{lease: 2 * tick, broken: broken, frozen: make([]bool, n)}
-	w.council = NewCouncil(w.lease, -100*tick)
+	w.council = NewLeaseTable(w.lease, -100*tick)
 	for range n {
-		w.holders = append(w.holders, NewHolder(fmt.Sprint("d", len(w.holders)), Record{}))
+		w.holders = append(w.holders, NewLessee(fmt.Sprint("d", len(w.holders)), Record{}))
 	}
 	return w
 }
@@ -125,7 +125,7 @@
 		}
 		m := w.asked[which]
 		w.asked = append(append([]message(nil), w.asked[:which]...), w.asked[which+1:]...)
-		_ = w.council.Renewed(Member{Name: fmt.Sprint("d", m.from), Acked: m.acked}, w.now)
+		_ = w.council.Renew(Dispatcher{Name: fmt.Sprint("d", m.from), AcknowledgedVersion: m.acked}, w.now)
 		m.record = w.record
 		w.answers = append(append([]message(nil), w.answers...), m)
 	case 3: // an answer arrives
@@ -137,7 +137,7 @@
 		if w.broken == "counted from the answer" {
 			m.sent = w.now
 		}
-		w.holders[m.from].Heard(m.record, m.sent, w.lease)
+		w.holders[m.from].ApplyLease(m.record, m.sent, w.lease)
 	case 4: // an answer is lost
 		if which >= len(w.answers) {
 			return false
@@ -154,16 +154,16 @@
 		if a == nil {
 			return false
 		}
-		if may, _ := w.council.May(a.Number, w.now); !may && w.broken != "not waited" {
+		if may, _ := w.council.MayPutInForce(a.Number, w.now); !may && w.broken != "not waited" {
 			return false
 		}
-		w.record, _ = w.record.Apply(Entry{Force: a.Number})
+		w.record, _ = w.record.Apply(Entry{PutInForce: a.Number})
 	case 7: // another leader, who knows the record
 		elected := w.now
 		if w.broken == "a new leader does not wait" {
 			elected = -100 * tick
 		}
-		w.council = NewCouncil(w.lease, elected)
+		w.council = NewLeaseTable(w.lease, elected)
 	case 8: // a dispatcher freezes or goes on
 		if which >= len(w.holders) {
 			return false
@@ -178,7 +178,7 @@
 func (w *world) contradiction() string {
 	for i, a := range w.holders {
 		for j, b := range w.holders[:i] {
-			if x, y := a.Stand(w.now), b.Stand(w.now); !w.frozen[i] && !w.frozen[j] && x.Contradicts(y) {
+			if x, y := a.Effective(w.now), b.Effective(w.now); !w.frozen[i] && !w.frozen[j] && x.Contradicts(y) {
 				return fmt.Sprintf("at %v dispatcher %d acts on %v, %d on %v", w.now, j, y.Versions, i, x.Versions)
 			}
 		}
@@ -188,7 +188,7 @@
 
 func (w *world) clone() *world {
 	c := *w
-	c.council = &Council{w.council.lease, w.council.elected, map[string]member{}, map[string]Absent{}}
+	c.council = &LeaseTable{w.council.lease, w.council.elected, map[string]member{}, map[string]AbsentDispatcher{}}
 	for k, v := range w.council.members {
 		c.council.members[k] = v
 	}
@@ -219,7 +219,7 @@
 	parts := make([]string, len(w.holders))
 	for i, h := range w.holders {
 		m := w.council.members[h.name]
-		part := add(make([]byte, 0, 32), int64(h.record.Revision), int64(h.until/tick), int64(m.at/tick), int64(m.Acked))
+		part := add(make([]byte, 0, 32), int64(h.record.Revision), int64(h.until/tick), int64(m.at/tick), int64(m.AcknowledgedVersion))
 		if w.frozen[i] {
 			part = add(part, -1)
 		}
@@ -284,8 +284,8 @@
 				t.Parallel()
 				w := newWorld(c.dispatchers, broken)
 				for i, h := range w.holders { // all hold leases at the start
-					_ = w.council.Renewed(Member{Name: fmt.Sprint("d", i)}, 0)
-					h.Heard(w.record, 0, w.lease)
+					_ = w.council.Renew(Dispatcher{Name: fmt.Sprint("d", i)}, 0)
+					h.ApplyLease(w.record, 0, w.lease)
 				}
 				seen := map[string]int{}
 				found := search(w, c.depth, c.limits, seen, nil)
@@ -310,12 +310,12 @@
 			}
 		}
 		if w.record.Announced != nil { // nobody asks any more: it is in force a lease later
-			if may, waits := w.council.May(w.record.Announced.Number, w.now+w.lease+w.lease/50); !may {
+			if may, waits := w.council.MayPutInForce(w.record.Announced.Number, w.now+w.lease+w.lease/50); !may {
 				t.Fatalf("still waits for %v", waits)
 			}
 		}
 		for _, h := range w.holders {
-			if s := h.Stand(w.now + w.lease); !s.Lapsed || s.Rules.Repeat {
+			if s := h.Effective(w.now + w.lease); !s.LeaseExpired || s.Rules.RetriesAllowed {
 				t.Fatalf("%+v a lease after the last question", s)
 			}
 		}
@@ -325,19 +325,19 @@
 // A dispatcher that was told to end said that it leaves, and a renewal of its lease that was still on its way came behind that: the
 // leader took it for present until the lease ran out, and had never heard that it left. A process that has left does not renew.
 func TestRenewalBehindLeaving(t *testing.T) {
-	c := NewCouncil(time.Second, 0)
-	m := Member{Name: "n7", Instance: "process"}
-	if err := c.Renewed(m, 1); err != nil {
+	c := NewLeaseTable(time.Second, 0)
+	m := Dispatcher{Name: "n7", Instance: "process"}
+	if err := c.Renew(m, 1); err != nil {
 		t.Fatal(err)
 	}
-	c.Left(m.Name, m.Instance, 2)
-	if err := c.Renewed(m, 3); err == nil {
+	c.LeaseDropped(m.Name, m.Instance, 2)
+	if err := c.Renew(m, 3); err == nil {
 		t.Error("a process that has left renews its lease")
 	}
-	if all := c.Absent(4); len(c.Present(4)) != 0 || len(all) != 1 || !all[0].Left {
-		t.Errorf("present %v, absent %v", c.Present(4), all)
+	if all := c.AbsentDispatchers(4); len(c.LeaseHolders(4)) != 0 || len(all) != 1 || !all[0].Left {
+		t.Errorf("present %v, absent %v", c.LeaseHolders(4), all)
 	}
-	if err := c.Renewed(Member{Name: "n7", Instance: "its successor"}, 5); err != nil {
+	if err := c.Renew(Dispatcher{Name: "n7", Instance: "its successor"}, 5); err != nil {
 		t.Errorf("its successor: %v", err)
 	}
 }
--- a/internal/decisions/agreement/council_test.go
+++ b/internal/decisions/agreement/council_test.go
@@ -13,26 +13,26 @@
 // A second process of a name gets no lease before the first's has run out, and then counts as one that knows nothing; one
 // that left gives way at once.
 func TestNameInUse(t *testing.T) {
-	c := NewCouncil(2*tick, -100*tick)
-	first, second := Member{Name: "n", Instance: "1", Acked: 7}, Member{Name: "n", Instance: "2", Acked: 3}
-	if err := errors.Join(c.Renewed(first, 0), c.Renewed(first, tick)); err != nil {
+	c := NewLeaseTable(2*tick, -100*tick)
+	first, second := Dispatcher{Name: "n", Instance: "1", AcknowledgedVersion: 7}, Dispatcher{Name: "n", Instance: "2", AcknowledgedVersion: 3}
+	if err := errors.Join(c.Renew(first, 0), c.Renew(first, tick)); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Renewed(second, 3*tick); !errors.Is(err, ErrNameInUse) {
+	if err := c.Renew(second, 3*tick); !errors.Is(err, ErrNameInUse) {
 		t.Errorf("within the first's lease: %v", err)
 	}
-	if err := c.Renewed(second, tick+2*tick+tick/10); err != nil {
+	if err := c.Renew(second, tick+2*tick+tick/10); err != nil {
 		t.Error(err)
 	}
-	if may, waits := c.May(7, 3*tick+tick/10); may || fmt.Sprint(waits) != "[n]" {
+	if may, waits := c.MayPutInForce(7, 3*tick+tick/10); may || fmt.Sprint(waits) != "[n]" {
 		t.Errorf("what the first acknowledged counts for the second: %v %v", may, waits)
 	}
-	c.Left("n", "1", 0)
-	if c.Renewed(first, 4*tick) == nil {
+	c.LeaseDropped("n", "1", 0)
+	if c.Renew(first, 4*tick) == nil {
 		t.Error("an end of the first was taken for one of the second")
 	}
-	c.Left("n", "2", 0)
-	if err := c.Renewed(first, 4*tick); err != nil {
+	c.LeaseDropped("n", "2", 0)
+	if err := c.Renew(first, 4*tick); err != nil {
 		t.Error(err)
 	}
 }
@@ -41,53 +41,53 @@
 // stopped, one that does none passes, whatever their rate of failures is, and one without jobs ends.
 func TestTrial(t *testing.T) {
 	in := 0
-	trial := &Trial{Share: 0.3, For: 10 * time.Second, Margin: 0.02}
+	trial := &Canary{Share: 0.3, MinDuration: 10 * time.Second, FailureMargin: 0.02}
 	for i := range 1000 {
-		if trial.Has(fmt.Sprint("n", i), 5) {
+		if trial.Includes(fmt.Sprint("n", i), 5) {
 			in++
 		}
 	}
 	if in < 250 || in > 350 {
 		t.Errorf("%d of 1000 try it", in)
 	}
-	h := NewHolder("n0", Record{})
-	announced, err := Record{}.Apply(Entry{Announce: &Version{Rules: Rules{Retries: 0.1, Repeat: true}, Trial: &Trial{Share: 1e-9, For: 1}}})
-	if err != nil || !h.Learned(announced) || h.Acknowledged() != 0 || len(h.Stand(0).Versions) != 1 {
-		t.Errorf("%v, acknowledged %d, %+v", err, h.Acknowledged(), h.Stand(0))
+	h := NewLessee("n0", Record{})
+	announced, err := Record{}.Apply(Entry{Announce: &Version{Rules: Rules{RetryRatio: 0.1, RetriesAllowed: true}, Canary: &Canary{Share: 1e-9, MinDuration: 1}}})
+	if err != nil || !h.ApplyRecord(announced) || h.Acknowledged() != 0 || len(h.Effective(0).Versions) != 1 {
+		t.Errorf("%v, acknowledged %d, %+v", err, h.Acknowledged(), h.Effective(0))
 	}
-	if _, err := announced.Apply(Entry{Force: 1}); !errors.Is(err, ErrTrial) {
+	if _, err := announced.Apply(Entry{PutInForce: 1}); !errors.Is(err, ErrCanaryRunning) {
 		t.Error(err)
 	}
-	widened, err := announced.Apply(Entry{Widen: 1})
-	if err != nil || !h.Learned(widened) || h.Acknowledged() != 1 || len(h.Stand(0).Versions) != 2 {
-		t.Errorf("widened: %v, %+v", err, h.Stand(0))
+	widened, err := announced.Apply(Entry{EndCanary: 1})
+	if err != nil || !h.ApplyRecord(widened) || h.Acknowledged() != 1 || len(h.Effective(0).Versions) != 2 {
+		t.Errorf("widened: %v, %+v", err, h.Effective(0))
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		rate, harm := rapid.Float64Range(0, 0.5).Draw(t, "rate"), rapid.SampledFrom([]float64{0, 0.4}).Draw(t, "harm")
 		jobs := rapid.SampledFrom([]int{0, 1000}).Draw(t, "jobs")
-		y := NewTrying(5, 0)
+		y := NewEvaluation(5, 0)
 		see := func(part float64) {
 			for i := range 20 {
-				m := Member{Name: fmt.Sprint("n", i), Ended: 100, Bad: 100}
-				m.Ended += uint64(part * float64(jobs))
+				m := Dispatcher{Name: fmt.Sprint("n", i), JobsEnded: 100, JobsFailed: 100}
+				m.JobsEnded += uint64(part * float64(jobs))
 				add := rate
-				if trial.Has(m.Name, 5) {
+				if trial.Includes(m.Name, 5) {
 					add += harm
 				}
-				m.Bad += uint64(part * float64(jobs) * add)
-				y.See(m)
+				m.JobsFailed += uint64(part * float64(jobs) * add)
+				y.Observe(m)
 			}
 		}
 		see(0)
-		if o, _ := y.Judge(trial, 0); o != Going {
+		if o, _ := y.Judge(trial, 0); o != InProgress {
 			t.Fatalf("at the start: %v", o)
 		}
 		see(1)
-		want := map[bool]Outcome{true: Stopped, false: Passed}[harm > 0 || jobs == 0]
+		want := map[bool]Outcome{true: Failed, false: Passed}[harm > 0 || jobs == 0]
 		if o, why := y.Judge(trial, 30*time.Second); o != want {
 			t.Fatalf("%v, %s", o, why)
 		}
-		if o, _ := y.Judge(trial, time.Second); o == Passed || harm > 0 && jobs > 0 && o != Stopped {
+		if o, _ := y.Judge(trial, time.Second); o == Passed || harm > 0 && jobs > 0 && o != Failed {
 			t.Fatalf("early: %v", o)
 		}
 	})
@@ -98,28 +98,28 @@
 func TestReseat(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const patience = 30 * time.Second
-		var council []Place
-		var members []Member
+		var council []VoterStatus
+		var members []Dispatcher
 		zones := []string{"a", "b", "c"}
 		for i := range 5 {
-			council = append(council, Place{Seat: Seat{ID: uint64(i + 1), Address: fmt.Sprint("v", i), Zone: zones[i%3]}})
-			members = append(members, Member{Name: fmt.Sprint("v", i), Address: fmt.Sprint("v", i), Zone: zones[i%3], Seat: uint64(i + 1)})
+			council = append(council, VoterStatus{Voter: Voter{ID: uint64(i + 1), Address: fmt.Sprint("v", i), Zone: zones[i%3]}})
+			members = append(members, Dispatcher{Name: fmt.Sprint("v", i), Address: fmt.Sprint("v", i), Zone: zones[i%3], VoterID: uint64(i + 1)})
 		}
 		for i := range rapid.IntRange(2, 6).Draw(t, "followers") {
-			members = append(members, Member{Name: fmt.Sprint("f", i), Address: fmt.Sprint("f", i), Zone: zones[rapid.IntRange(0, 2).Draw(t, "zone")]})
+			members = append(members, Dispatcher{Name: fmt.Sprint("f", i), Address: fmt.Sprint("f", i), Zone: zones[rapid.IntRange(0, 2).Draw(t, "zone")]})
 		}
-		if m, ok := Reseat(council, members, 6, patience); ok {
+		if m, ok := PlanChange(council, members, 6, patience); ok {
 			t.Fatalf("nobody is gone, and %+v", m)
 		}
 		next := uint64(6)
 		for n := rapid.IntRange(1, 2).Draw(t, "gone"); n > 0; n-- {
 			i := rapid.IntRange(1, 4).Draw(t, "who")
-			council[i].Silent = 2 * patience
-			members = slices.DeleteFunc(members, func(m Member) bool { return m.Address == council[i].Address })
+			council[i].SilentFor = 2 * patience
+			members = slices.DeleteFunc(members, func(m Dispatcher) bool { return m.Address == council[i].Address })
 		}
 		there := func() (n int) {
 			for _, p := range council {
-				if !p.Learner && p.Silent == 0 {
+				if !p.Learner && p.SilentFor == 0 {
 					n++
 				}
 			}
@@ -127,22 +127,22 @@
 		}
 		for range 20 {
 			before := there()
-			m, ok := Reseat(council, members, next, patience)
+			m, ok := PlanChange(council, members, next, patience)
 			if !ok {
 				break
 			}
-			if m.Learn != nil {
-				council = append(council, Place{Seat: *m.Learn, Behind: 10})
+			if m.AddLearner != nil {
+				council = append(council, VoterStatus{Voter: *m.AddLearner, EntriesBehind: 10})
 				for i := range members {
-					if members[i].Name == m.Learn.Name {
-						members[i].Seat = next
+					if members[i].Name == m.AddLearner.Name {
+						members[i].VoterID = next
 					}
 				}
 				next++
 			}
-			council = slices.DeleteFunc(council, func(p Place) bool { return p.ID == m.Unseat })
+			council = slices.DeleteFunc(council, func(p VoterStatus) bool { return p.ID == m.Remove })
 			for i := range council {
-				if council[i].ID == m.Seat {
+				if council[i].ID == m.Promote {
 					council[i].Learner = false
 				}
 			}
@@ -161,51 +161,51 @@
 	// Machines that are set aside have the seats in the end, as many as there are, also the leader's, and wherever seats were
 	// before; then nothing moves.
 	rapid.Check(t, func(t *rapid.T) {
-		var council []Place
-		var members []Member
+		var council []VoterStatus
+		var members []Dispatcher
 		for i := range 9 {
-			m := Member{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i), Zone: string("abc"[i%3]), SetAside: rapid.Bool().Draw(t, "set aside")}
+			m := Dispatcher{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i), Zone: string("abc"[i%3]), DedicatedToControl: rapid.Bool().Draw(t, "set aside")}
 			if i < 5 {
-				m.Seat = uint64(i + 1)
-				council = append(council, Place{Seat: Seat{ID: m.Seat, Name: m.Name, Address: m.Address, Zone: m.Zone}, Leads: i == 0})
+				m.VoterID = uint64(i + 1)
+				council = append(council, VoterStatus{Voter: Voter{ID: m.VoterID, Name: m.Name, Address: m.Address, Zone: m.Zone}, IsLeader: i == 0})
 			}
 			members = append(members, m)
 		}
 		next, still := uint64(6), 0
 		for range 100 {
 			for i := range council { // as the log hears of a seat now and then
-				if !council[i].Leads {
-					council[i].Silent = time.Duration(rapid.IntRange(0, 700).Draw(t, "silent")) * time.Millisecond
+				if !council[i].IsLeader {
+					council[i].SilentFor = time.Duration(rapid.IntRange(0, 700).Draw(t, "silent")) * time.Millisecond
 				}
 			}
-			m, ok := Reseat(council, members, next, 30*time.Second)
+			m, ok := PlanChange(council, members, next, 30*time.Second)
 			if !ok {
 				still++
 				break
 			}
-			if m.Learn != nil {
-				council = append(council, Place{Seat: *m.Learn})
+			if m.AddLearner != nil {
+				council = append(council, VoterStatus{Voter: *m.AddLearner})
 				for i := range members {
-					if members[i].Name == m.Learn.Name {
-						members[i].Seat = next
+					if members[i].Name == m.AddLearner.Name {
+						members[i].VoterID = next
 					}
 				}
 				next++
 			}
 			for i := range council {
 				switch {
-				case council[i].ID == m.Seat:
+				case council[i].ID == m.Promote:
 					council[i].Learner = false
-				case m.Yield > 0:
-					council[i].Leads = council[i].ID == m.Yield
-				case council[i].ID == m.Unseat && council[i].Leads:
+				case m.TransferLeadership > 0:
+					council[i].IsLeader = council[i].ID == m.TransferLeadership
+				case council[i].ID == m.Remove && council[i].IsLeader:
 					t.Fatalf("the leader unseats itself: %+v", m)
 				}
 			}
-			council = slices.DeleteFunc(council, func(p Place) bool { return p.ID == m.Unseat })
+			council = slices.DeleteFunc(council, func(p VoterStatus) bool { return p.ID == m.Remove })
 			for i := range members {
-				if members[i].Seat == m.Unseat {
-					members[i].Seat = 0
+				if members[i].VoterID == m.Remove {
+					members[i].VoterID = 0
 				}
 			}
 			voters := 0
@@ -220,17 +220,17 @@
 		}
 		aside, seated, leads := 0, 0, 0
 		for _, m := range members {
-			if m.SetAside {
+			if m.DedicatedToControl {
 				aside++
 			}
 		}
 		for _, p := range council {
 			for _, m := range members {
-				if m.Seat == p.ID && m.SetAside {
+				if m.VoterID == p.ID && m.DedicatedToControl {
 					seated++
 				}
 			}
-			if p.Leads {
+			if p.IsLeader {
 				leads++
 			}
 		}
@@ -240,15 +240,15 @@
 		}
 	})
 	// A seat whose dispatcher is there without its disk is given away sooner; one that is back before its heir votes keeps it.
-	council := []Place{{Seat: Seat{ID: 1, Address: "a"}}, {Seat: Seat{ID: 2, Address: "b"}, Silent: 10 * time.Second}}
-	members := []Member{{Name: "a", Address: "a", Seat: 1}, {Name: "b", Address: "b"}}
-	if m, ok := Reseat(council, members, 3, 30*time.Second); !ok || m.Learn == nil || m.Learn.Name != "b" || m.Learn.ID != 3 {
+	council := []VoterStatus{{Voter: Voter{ID: 1, Address: "a"}}, {Voter: Voter{ID: 2, Address: "b"}, SilentFor: 10 * time.Second}}
+	members := []Dispatcher{{Name: "a", Address: "a", VoterID: 1}, {Name: "b", Address: "b"}}
+	if m, ok := PlanChange(council, members, 3, 30*time.Second); !ok || m.AddLearner == nil || m.AddLearner.Name != "b" || m.AddLearner.ID != 3 {
 		t.Errorf("%+v", m)
 	}
-	council = append(council, Place{Seat: Seat{ID: 3, Address: "b", Learner: true}})
-	council[1].Silent = 0
-	members[1].Seat = 3
-	if m, ok := Reseat(council, members, 4, 30*time.Second); !ok || m.Unseat != 3 || m.Seat != 0 {
+	council = append(council, VoterStatus{Voter: Voter{ID: 3, Address: "b", Learner: true}})
+	council[1].SilentFor = 0
+	members[1].VoterID = 3
+	if m, ok := PlanChange(council, members, 4, 30*time.Second); !ok || m.Remove != 3 || m.Promote != 0 {
 		t.Errorf("%+v", m)
 	}
 }
@@ -287,14 +287,14 @@
 					others[other+1] = Founder{file[other+1], rolls[other+1]}
 				}
 			}
-			switch what, roll := Begin(id, file[id], others, voters); what {
-			case Found:
+			switch what, roll := DecideFounding(id, file[id], others, voters); what {
+			case VoteToFound:
 				if spent[id] {
 					t.Fatalf("seat %d votes again with %s", id, file[id])
 				}
 				rolls[id] = roll
 				founded = true
-			case Wait:
+			case WaitForFounders:
 				if len(others) == voters-1 {
 					t.Fatal("all are there, and it waits")
 				}
@@ -305,10 +305,10 @@
 
 // A dispatcher asks its own zone first, and a fleet's questions are spread.
 func TestAsk(t *testing.T) {
-	council := []Seat{{ID: 1, Zone: "a", Region: "n"}, {ID: 2, Zone: "a", Region: "n"}, {ID: 3, Zone: "b", Region: "n"}, {ID: 4, Zone: "c", Region: "s"}, {ID: 5, Zone: "a", Learner: true}}
+	council := []Voter{{ID: 1, Zone: "a", Region: "n"}, {ID: 2, Zone: "a", Region: "n"}, {ID: 3, Zone: "b", Region: "n"}, {ID: 4, Zone: "c", Region: "s"}, {ID: 5, Zone: "a", Learner: true}}
 	firsts := map[uint64]int{}
 	for i := range 100 {
-		order := Ask(council, fmt.Sprint("n", i), "n", "a")
+		order := ContactOrder(council, fmt.Sprint("n", i), "n", "a")
 		if len(order) != 4 || order[2].ID != 3 || order[3].ID != 4 {
 			t.Fatalf("%+v", order)
 		}
--- a/internal/decisions/agreement/stored_test.go
+++ b/internal/decisions/agreement/stored_test.go
@@ -13,19 +13,19 @@
 func storedVersion(number uint64) Version {
 	base := float64(number)
 	return Version{
-		Number: number, By: "by-1", Why: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-		Rules: Rules{Retries: base + 0.1, Repeat: true, Out: []string{"worker-a", "worker-b"}, Shares: map[string]float64{"account-1": 0.25}},
-		Trial: &Trial{Share: 0.5, For: 7, Margin: 0.75},
+		Number: number, By: "by-1", Reason: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
+		Rules:  Rules{RetryRatio: base + 0.1, RetriesAllowed: true, DetachedWorkers: []string{"worker-a", "worker-b"}, Quotas: map[string]float64{"account-1": 0.25}},
+		Canary: &Canary{Share: 0.5, MinDuration: 7, FailureMargin: 0.75},
 	}
 }
 
 var (
-	storedSeat = Seat{ID: 21, Name: "dispatcher-1", Address: "127.0.0.1:9001", Region: "region-1", Zone: "zone-1", Learner: true}
-	storedHold = Hold{Zone: "zone-2", Share: 0.125, By: "by-2", Why: "why-2", Force: true}
+	storedSeat = Voter{ID: 21, Name: "dispatcher-1", Address: "127.0.0.1:9001", Region: "region-1", Zone: "zone-1", Learner: true}
+	storedHold = ZoneLimit{Zone: "zone-2", Share: 0.125, By: "by-2", Reason: "why-2", Force: true}
 	storedPlan = failover.Plan{Number: 31, Reasons: map[string]string{"zone-1": "why-3"},
 		Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-3", Share: 0.625}}}}}
-	storedMember = Member{Name: "dispatcher-2", Instance: "instance-1", Acked: 41, Form: 42, Era: 43, Address: "127.0.0.1:9002",
-		Region: "region-2", Zone: "zone-4", Seat: 44, Ended: 45, Bad: 46, Plan: 47, SetAside: true}
+	storedMember = Dispatcher{Name: "dispatcher-2", Instance: "instance-1", AcknowledgedVersion: 41, MessageFormat: 42, Epoch: 43, Address: "127.0.0.1:9002",
+		Region: "region-2", Zone: "zone-4", VoterID: 44, JobsEnded: 45, JobsFailed: 46, Plan: 47, DedicatedToControl: true}
 )
 
 // storedValues are what dispatchers store and exchange, by golden file; each field has a value of its own.
@@ -33,16 +33,16 @@
 	announced := storedVersion(2)
 	return map[string]any{
 		"record": Record{
-			Era: 11, Revision: 12, InForce: storedVersion(1), Announced: &announced, History: []Version{storedVersion(3)},
-			Withdrawn: []Withdrawal{{Version: storedVersion(4), Why: "why-4"}}, Council: []Seat{storedSeat}, Plan: &storedPlan,
-			Holds: []Hold{storedHold}, NextSeat: 13,
+			Epoch: 11, Revision: 12, InForce: storedVersion(1), Announced: &announced, History: []Version{storedVersion(3)},
+			Withdrawn: []Withdrawal{{Version: storedVersion(4), Reason: "why-4"}}, Voters: []Voter{storedSeat}, Plan: &storedPlan,
+			ZoneLimits: []ZoneLimit{storedHold}, NextVoterID: 13,
 		},
-		"entry": Entry{ID: "entry-1", Announce: &announced, Force: 51, Withdraw: 52, Widen: 53, Why: "why-5",
-			Council: []Seat{storedSeat}, Plan: &storedPlan, Hold: &storedHold},
+		"entry": Entry{ID: "entry-1", Announce: &announced, PutInForce: 51, Withdraw: 52, EndCanary: 53, Reason: "why-5",
+			Voters: []Voter{storedSeat}, Plan: &storedPlan, ZoneLimit: &storedHold},
 		"member":  storedMember,
-		"absent":  Absent{Member: storedMember, Left: true, For: 61},
-		"place":   Place{Seat: storedSeat, Silent: 62, Behind: 63, Leads: true},
-		"founder": Founder{Incarnation: "incarnation-1", Roll: map[uint64]string{71: "incarnation-2"}},
+		"absent":  AbsentDispatcher{Dispatcher: storedMember, Left: true, AbsentFor: 61},
+		"place":   VoterStatus{Voter: storedSeat, SilentFor: 62, EntriesBehind: 63, IsLeader: true},
+		"founder": Founder{Incarnation: "incarnation-1", FoundingVoters: map[uint64]string{71: "incarnation-2"}},
 	}
 }
 
--- a/internal/decisions/agreement/trial.go
+++ b/internal/decisions/agreement/trial.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Trial has a version kept by a part of the dispatchers first. They keep to the stricter of it and of what is in force, as
+// Canary has a version kept by a part of the dispatchers first. They keep to the stricter of it and of what is in force, as
 // behind any announcement; the others have not been told. What the version loosens is therefore not tried.
-type Trial struct {
-	Share  float64       `json:"share"`  // of the dispatchers
-	For    time.Duration `json:"for"`    // so long at least
-	Margin float64       `json:"margin"` // by which the part of their jobs that is refused or fails may be above the others'
+type Canary struct {
+	Share         float64       `json:"share"`  // of the dispatchers
+	MinDuration   time.Duration `json:"for"`    // so long at least
+	FailureMargin float64       `json:"margin"` // by which the part of their jobs that is refused or fails may be above the others'
 }
 
 const (
@@ -22,21 +22,21 @@
 )
 
 // Check tells what is wrong with a trial; with none there is nothing.
-func (t *Trial) Check() error {
+func (t *Canary) Check() error {
 	switch {
 	case t == nil:
 	case !(t.Share > 0 && t.Share <= 1):
 		return fmt.Errorf("a trial's share must be above 0 and at most 1")
-	case t.For <= 0 || t.For > 24*time.Hour:
+	case t.MinDuration <= 0 || t.MinDuration > 24*time.Hour:
 		return fmt.Errorf("a trial must last for more than nothing and a day at the most")
-	case !(t.Margin >= 0 && t.Margin <= 1):
+	case !(t.FailureMargin >= 0 && t.FailureMargin <= 1):
 		return fmt.Errorf("a trial's margin must be from 0 to 1")
 	}
 	return nil
 }
 
-// Has tells whether a dispatcher is of the part that tries a version. It is another part for each version.
-func (t *Trial) Has(name string, version uint64) bool {
+// Includes tells whether a dispatcher is of the part that tries a version. It is another part for each version.
+func (t *Canary) Includes(name string, version uint64) bool {
 	if t == nil {
 		return true
 	}
@@ -54,52 +54,52 @@
 
 // The outcomes.
 const (
-	Going Outcome = iota
+	InProgress Outcome = iota
 	Passed
-	Stopped
+	Failed
 )
 
-// Trying is the leader's part in a trial: what it saw since the trial began under it. A new leader begins anew.
-type Trying struct {
+// Evaluation is the leader's part in a trial: what it saw since the trial began under it. A new leader begins anew.
+type Evaluation struct {
 	version uint64
 	begin   Clock
-	first   map[string]Member // as they were at the start, or when they came
-	last    map[string]Member
+	first   map[string]Dispatcher // as they were at the start, or when they came
+	last    map[string]Dispatcher
 }
 
-// NewTrying begins.
-func NewTrying(version uint64, now Clock) *Trying {
-	return &Trying{version: version, begin: now, first: map[string]Member{}, last: map[string]Member{}}
+// NewEvaluation begins.
+func NewEvaluation(version uint64, now Clock) *Evaluation {
+	return &Evaluation{version: version, begin: now, first: map[string]Dispatcher{}, last: map[string]Dispatcher{}}
 }
 
 // Version is the one that is tried.
-func (t *Trying) Version() uint64 { return t.version }
+func (t *Evaluation) Version() uint64 { return t.version }
 
-// See takes in what a dispatcher says of its jobs. One whose process is another one begins anew.
-func (t *Trying) See(m Member) {
-	if was, ok := t.first[m.Name]; !ok || was.Instance != m.Instance || m.Ended < was.Ended {
+// Observe takes in what a dispatcher says of its jobs. One whose process is another one begins anew.
+func (t *Evaluation) Observe(m Dispatcher) {
+	if was, ok := t.first[m.Name]; !ok || was.Instance != m.Instance || m.JobsEnded < was.JobsEnded {
 		t.first[m.Name] = m
 	}
 	t.last[m.Name] = m
 }
 
 // Judge tells what becomes of the trial now, and why.
-func (t *Trying) Judge(trial *Trial, now Clock) (Outcome, string) {
+func (t *Evaluation) Judge(trial *Canary, now Clock) (Outcome, string) {
 	var ended, bad [2]float64 // of the others, of the part that tries
 	for name, m := range t.last {
 		part := 0
-		if trial.Has(name, t.version) {
+		if trial.Includes(name, t.version) {
 			part = 1
 		}
-		ended[part] += float64(m.Ended - t.first[name].Ended)
-		bad[part] += float64(m.Bad - t.first[name].Bad)
+		ended[part] += float64(m.JobsEnded - t.first[name].JobsEnded)
+		bad[part] += float64(m.JobsFailed - t.first[name].JobsFailed)
 	}
 	over := now - t.begin
 	if ended[1] < trialJobs {
-		if over >= trialWaits*trial.For {
-			return Stopped, fmt.Sprintf("the part that tries it ended %.0f jobs in %v", ended[1], trialWaits*trial.For)
+		if over >= trialWaits*trial.MinDuration {
+			return Failed, fmt.Sprintf("the part that tries it ended %.0f jobs in %v", ended[1], trialWaits*trial.MinDuration)
 		}
-		return Going, ""
+		return InProgress, ""
 	}
 	tried, others := bad[1]/ended[1], 0.0
 	error2 := rateError(bad[1], ended[1])
@@ -107,13 +107,13 @@
 		others = bad[0] / ended[0]
 		error2 += rateError(bad[0], ended[0])
 	}
-	if worse := tried - others - trial.Margin; worse > trialSure*math.Sqrt(error2) {
-		return Stopped, fmt.Sprintf("%.3f of %.0f jobs refused or failed where it is tried, %.3f of %.0f elsewhere", tried, ended[1], others, ended[0])
+	if worse := tried - others - trial.FailureMargin; worse > trialSure*math.Sqrt(error2) {
+		return Failed, fmt.Sprintf("%.3f of %.0f jobs refused or failed where it is tried, %.3f of %.0f elsewhere", tried, ended[1], others, ended[0])
 	}
-	if over >= trial.For {
+	if over >= trial.MinDuration {
 		return Passed, ""
 	}
-	return Going, ""
+	return InProgress, ""
 }
 
 // rateError is the variance of a rate seen, with one job of each kind more so that none is sure of itself.
--- a/internal/faults/propose.go
+++ b/internal/faults/propose.go
@@ -24,21 +24,21 @@
 		if !until(f.ctx, at) {
 			return
 		}
-		rules := agreement.Rules{Retries: float64(rng.IntN(10)) / 10, Repeat: rng.IntN(4) > 0}
+		rules := agreement.Rules{RetryRatio: float64(rng.IntN(10)) / 10, RetriesAllowed: rng.IntN(4) > 0}
 		if n++; f.Older > 0 && n%2 == 0 {
-			rules.Shares = map[string]float64{"deeside-aero": 0.5}
+			rules.Quotas = map[string]float64{"deeside-aero": 0.5}
 		}
 		f.propose(f.ats[rng.IntN(len(f.ats))], rules, nil)
 	}
 }
 
 // propose announces rules, if nothing is under way, and tells whether that was taken.
-func (f *play) propose(at string, rules agreement.Rules, trial *agreement.Trial) bool {
+func (f *play) propose(at string, rules agreement.Rules, trial *agreement.Canary) bool {
 	var s struct{ Record agreement.Record }
 	if f.call(at, "status", nil, &s) != nil || s.Record.Announced != nil {
 		return false
 	}
-	text, err := json.Marshal(agreement.Version{Number: s.Record.InForce.Number, Rules: rules, By: "rig", Why: "drawn", At: time.Now(), Trial: trial})
+	text, err := json.Marshal(agreement.Version{Number: s.Record.InForce.Number, Rules: rules, By: "rig", Reason: "drawn", At: time.Now(), Canary: trial})
 	var got struct{ Record agreement.Record }
 	if err == nil {
 		err = f.call(at, "propose", text, &got)
@@ -59,9 +59,9 @@
 func (f *play) stage() error {
 	var rules agreement.Rules
 	for _, id := range f.works.Boxes() {
-		rules.Out = append(rules.Out, string(id))
+		rules.DetachedWorkers = append(rules.DetachedWorkers, string(id))
 	}
-	for !f.propose(f.voters[0], rules, &agreement.Trial{Share: 0.5, For: 3 * time.Second, Margin: 0.05}) {
+	for !f.propose(f.voters[0], rules, &agreement.Canary{Share: 0.5, MinDuration: 3 * time.Second, FailureMargin: 0.05}) {
 		if !until(f.ctx, time.Now().Add(50*time.Millisecond)) {
 			return f.ctx.Err()
 		}
@@ -75,7 +75,7 @@
 	var wait sync.WaitGroup
 	for i := range taken {
 		wait.Go(func() {
-			taken[i] = f.propose(f.voters[i], agreement.Rules{Retries: float64(i), Repeat: true}, nil)
+			taken[i] = f.propose(f.voters[i], agreement.Rules{RetryRatio: float64(i), RetriesAllowed: true}, nil)
 		})
 	}
 	wait.Wait()
@@ -120,7 +120,7 @@
 		break
 	}
 	f.r.Withdrawn = len(s.Record.Withdrawn)
-	for _, seat := range s.Record.Council {
+	for _, seat := range s.Record.Voters {
 		f.r.Seats = append(f.r.Seats, seat.ID)
 	}
 }
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -38,7 +38,7 @@
 	Settings *Settings
 	Name     string                     // of the dispatcher
 	Zone     string                     // where its settings say none
-	Apply    func(agreement.Stand)      // is told of each change of what may be acted on; must not block
+	Apply    func(agreement.Effective)  // is told of each change of what may be acted on; must not block
 	Jobs     func() (ended, bad uint64) // since the start; bad are those refused or failed
 
 	Overload *Overload     // nil where nothing is dealt out
@@ -76,11 +76,11 @@
 	slow     chan struct{} // has a place for each whole record that is being sent
 
 	mu       sync.Mutex
-	holder   *agreement.Holder
+	holder   *agreement.Lessee
 	seat     *seat                 // nil for a follower
 	founder  *agreement.Founder    // what this dispatcher's file says, while it founds or has founded
-	leads    *agreement.Council    // nil while it does not lead
-	trying   *agreement.Trying     // nil while it leads no trial
+	leads    *agreement.LeaseTable // nil while it does not lead
+	trying   *agreement.Evaluation // nil while it leads no trial
 	planner  *failover.Planner     // nil while it does not lead
 	treasury *treasury             // the same, and where nothing is dealt out
 	register *neighbours.Directory // nil while it does not lead
@@ -127,7 +127,7 @@
 	if o.Failover != nil {
 		a.trusted, _ = time.ParseDuration(o.Failover.Alone) // the operator's file was checked
 	}
-	a.holder = agreement.NewHolder(o.Name, a.kept())
+	a.holder = agreement.NewLessee(o.Name, a.kept())
 	a.heard = a.holder.Record().Revision > 0
 	a.purse = newPurse(o.Overload, a.among(), a.now())
 	return a, nil
@@ -209,14 +209,14 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return membership.Self{Name: a.Name, Address: a.address(), Region: a.s.Region, Zone: a.Zone,
-		Era: a.holder.Record().Era, Seat: a.seat.id(), Form: a.form}
+		Era: a.holder.Record().Epoch, Seat: a.seat.id(), Form: a.form}
 }
 
 // Stand is what may be acted on now. Who was frozen finds its lease run out.
-func (a *Agent) Stand() agreement.Stand {
+func (a *Agent) Stand() agreement.Effective {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Stand(a.now())
+	return a.holder.Effective(a.now())
 }
 
 func wake(c chan struct{}) {
@@ -250,7 +250,7 @@
 // leave drops the lease and says so, so that a successor of the same name need not wait for its end.
 func (a *Agent) leave() {
 	a.mu.Lock()
-	a.holder.Dropped(a.now())
+	a.holder.DropLease(a.now())
 	a.mu.Unlock()
 	a.settle()
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(callWithin))
@@ -269,7 +269,7 @@
 		a.settle()
 		a.members.Say(a.self())
 		a.mu.Lock()
-		left := a.holder.Until() - a.now()
+		left := a.holder.LeaseExpiry() - a.now()
 		a.mu.Unlock()
 		if left <= 0 {
 			left = a.lease
@@ -293,18 +293,18 @@
 // settled does it; a.mu is held. Whoever takes a record in does this before it lets go of a.mu: what is said to be kept with
 // the next question has to be applied by then.
 func (a *Agent) settled() {
-	s := a.holder.Stand(a.now())
-	if text := fmt.Sprint(a.holder.Record().Era, s.Versions, s.Lapsed); text != a.last { // rules follow from these
+	s := a.holder.Effective(a.now())
+	if text := fmt.Sprint(a.holder.Record().Epoch, s.Versions, s.LeaseExpired); text != a.last { // rules follow from these
 		a.last = text
-		a.log.Info("acting on", "versions", fmt.Sprint(s.Versions), "lapsed", s.Lapsed, "at_ms", time.Now().UnixMilli())
+		a.log.Info("acting on", "versions", fmt.Sprint(s.Versions), "lapsed", s.LeaseExpired, "at_ms", time.Now().UnixMilli())
 		a.Apply(s)
 	}
-	a.settlePlan(s.Lapsed)
+	a.settlePlan(s.LeaseExpired)
 }
 
 // cutOff tells whether the lease has been gone for longer than the last plan is to be trusted; a.mu is held.
 func (a *Agent) cutOff(lapsed bool) bool {
-	return lapsed && a.now() >= a.holder.Until()+a.trusted
+	return lapsed && a.now() >= a.holder.LeaseExpiry()+a.trusted
 }
 
 // settlePlan has a plan acted on, where it is another, or where the lease has been gone for too long; a.mu is held.
@@ -327,7 +327,7 @@
 // learned takes a record in that came without a lease.
 func (a *Agent) learned(r agreement.Record) {
 	a.mu.Lock()
-	fresh := a.holder.Learned(r)
+	fresh := a.holder.ApplyRecord(r)
 	a.settled()
 	a.mu.Unlock()
 	if fresh {
@@ -353,7 +353,7 @@
 }
 
 func (a *Agent) keep(r agreement.Record) {
-	text, err := json.Marshal(r.Brief())
+	text, err := json.Marshal(r.WithoutHistory())
 	if err == nil {
 		err = renameio.WriteFile(a.knownFile(), text, 0o600)
 	}
--- a/internal/fleet/council.go
+++ b/internal/fleet/council.go
@@ -37,7 +37,7 @@
 func (s *seat) since(era, revision uint64) (entries []agreement.Entry, whole *agreement.Record, toEra, to uint64) {
 	entries, whole, toEra, to = s.log.Since(era, revision)
 	if whole != nil {
-		brief := whole.Brief()
+		brief := whole.WithoutHistory()
 		whole = &brief
 	}
 	return entries, whole, toEra, to
@@ -57,9 +57,9 @@
 		a.mu.Unlock()
 		if own != nil {
 			mine := own.log.Record()
-			_, has := r.Seat(own.id())
-			_, had := mine.Seat(own.id()) // one that was there when its seat was given away has that in its own log
-			if r.Era > mine.Era || len(r.Council) > 0 && !has && r.Newer(mine) || len(mine.Council) > 0 && !had {
+			_, has := r.Voter(own.id())
+			_, had := mine.Voter(own.id()) // one that was there when its seat was given away has that in its own log
+			if r.Epoch > mine.Epoch || len(r.Voters) > 0 && !has && r.NewerThan(mine) || len(mine.Voters) > 0 && !had {
 				a.stand("another has the seat")
 			}
 			continue
@@ -74,9 +74,9 @@
 // take opens the seat that a record, or the settings where there is none, gives this dispatcher.
 func (a *Agent) take(ctx context.Context, r agreement.Record) error {
 	first := uint64(a.s.Seat)
-	if len(r.Council) > 0 {
-		var s agreement.Seat // the last that it was given: while it is given anew the one that it lost is still there
-		for _, had := range r.Council {
+	if len(r.Voters) > 0 {
+		var s agreement.Voter // the last that it was given: while it is given anew the one that it lost is still there
+		for _, had := range r.Voters {
 			if had.Address == a.address() && (had.Name == "" || had.Name == a.Name) && had.ID > s.ID {
 				s = had
 			}
@@ -84,7 +84,7 @@
 		if s.ID == 0 {
 			return nil
 		}
-		if s.ID != first || r.Era > 0 {
+		if s.ID != first || r.Epoch > 0 {
 			_, err := os.Stat(councillog.Path(a.s.Directory, s.ID))
 			if err != nil && !s.Learner { // it has lost its file, with its votes
 				return nil
@@ -102,7 +102,7 @@
 	a.mu.Lock()
 	a.founder = &f
 	a.mu.Unlock()
-	if f.Roll == nil {
+	if f.FoundingVoters == nil {
 		others := map[uint64]agreement.Founder{}
 		for _, s := range a.s.founders() {
 			if s.ID == first {
@@ -116,11 +116,11 @@
 				others[s.ID] = o
 			}
 		}
-		what, roll := agreement.Begin(first, f.Incarnation, others, len(a.s.Voters))
+		what, roll := agreement.DecideFounding(first, f.Incarnation, others, len(a.s.Voters))
 		switch what {
-		case agreement.Wait:
+		case agreement.WaitForFounders:
 			return nil
-		case agreement.Spare:
+		case agreement.NotAFounder:
 			a.said("this file is not the one that the council was founded with: the dispatcher goes on as a follower")
 			return nil
 		}
@@ -147,7 +147,7 @@
 }
 
 // seated opens the seat's log and runs it.
-func (a *Agent) seated(ctx context.Context, id uint64, founders []agreement.Seat) error {
+func (a *Agent) seated(ctx context.Context, id uint64, founders []agreement.Voter) error {
 	ctx, stop := context.WithCancel(ctx)
 	s := &seat{stop: stop, ended: make(chan struct{}), peers: map[uint64]*peer{}}
 	log, err := councillog.Open(councillog.Options{Seat: id, Founders: founders, Directory: a.s.Directory, Log: a.log,
@@ -195,7 +195,7 @@
 // inLog takes what the log has applied. It does not block.
 func (a *Agent) inLog(r agreement.Record) {
 	a.mu.Lock()
-	a.holder.Learned(r)
+	a.holder.ApplyRecord(r)
 	a.settled()
 	close(a.news)
 	a.news = make(chan struct{})
@@ -227,24 +227,24 @@
 		// A seat that is new has an empty log, and has to answer a leader that may be none of the founders.
 		r := s.log.Record()
 		a.mu.Lock()
-		if known := a.holder.Record(); known.Newer(r) {
+		if known := a.holder.Record(); known.NewerThan(r) {
 			r = known
 		}
 		a.mu.Unlock()
-		council := r.Council
+		council := r.Voters
 		if len(council) == 0 {
 			council = a.s.founders()
 		}
-		i := slices.IndexFunc(council, func(o agreement.Seat) bool { return o.ID == to })
+		i := slices.IndexFunc(council, func(o agreement.Voter) bool { return o.ID == to })
 		if i < 0 {
 			continue // it has no seat any more
 		}
 		a.mu.Lock()
 		a.counts.Calls++
 		a.mu.Unlock()
-		status, text, err := Call(a.Meter.Call(ctx, traffic.Raft), a.client, fmt.Sprintf("http://%s/council/messages?era=%d", a.s.reach(council[i].Address), r.Era), batch, time.Now().Add(callWithin))
+		status, text, err := Call(a.Meter.Call(ctx, traffic.Raft), a.client, fmt.Sprintf("http://%s/council/messages?era=%d", a.s.reach(council[i].Address), r.Epoch), batch, time.Now().Add(callWithin))
 		var got answer
-		if err == nil && status == http.StatusGone && json.Unmarshal(text, &got) == nil && got.Era > r.Era {
+		if err == nil && status == http.StatusGone && json.Unmarshal(text, &got) == nil && got.Era > r.Epoch {
 			a.fenced(got.Era)
 			return
 		}
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -22,12 +22,12 @@
 	if s != nil && leads != nil {
 		r := s.log.Record()
 		if a.register.Due(a.now()) {
-			a.register.Refresh(holders(leads.Present(a.now())), a.now())
+			a.register.Refresh(holders(leads.LeaseHolders(a.now())), a.now())
 		}
 		for _, q := range all {
 			err := a.fits(q, r)
 			if err == nil {
-				err = leads.Renewed(q.Member, a.now())
+				err = leads.Renew(q.Dispatcher, a.now())
 			}
 			if err != nil {
 				got.Refused[q.Name] = err.Error()
@@ -37,12 +37,12 @@
 				got.Rates[q.Name] = rates
 			}
 			if q.Neighbours != nil {
-				if named := a.register.Suggest(holder(q.Member), *q.Neighbours); named != nil {
+				if named := a.register.Suggest(holder(q.Dispatcher), *q.Neighbours); named != nil {
 					got.Neighbours[q.Name] = named
 				}
 			}
 			if a.trying != nil {
-				a.trying.See(q.Member)
+				a.trying.Observe(q.Dispatcher)
 			}
 			var report failover.Report
 			if a.planner != nil && q.Report != nil && json.Unmarshal(q.Report, &report) == nil {
@@ -61,15 +61,15 @@
 		return answer{Why: err.Error()}, http.StatusServiceUnavailable
 	}
 	r := s.log.Record()
-	got.Era, got.Revision, got.LeaseMS = r.Era, r.Revision, a.lease.Milliseconds()
+	got.Era, got.Revision, got.LeaseMS = r.Epoch, r.Revision, a.lease.Milliseconds()
 	return got, http.StatusOK
 }
 
-func holder(m agreement.Member) neighbours.Member {
+func holder(m agreement.Dispatcher) neighbours.Member {
 	return neighbours.Member{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone}
 }
 
-func holders(present []agreement.Member) (all []neighbours.Member) {
+func holders(present []agreement.Dispatcher) (all []neighbours.Member) {
 	for _, m := range present {
 		all = append(all, holder(m))
 	}
@@ -78,16 +78,16 @@
 
 // fits tells whether who asks can be of the fleet as it stands.
 func (a *Agent) fits(q question, r agreement.Record) error {
-	needs := r.InForce.Rules.Needs()
+	needs := r.InForce.Rules.MinMessageFormat()
 	if v := r.Announced; v != nil {
-		needs = max(needs, v.Rules.Needs())
+		needs = max(needs, v.Rules.MinMessageFormat())
 	}
 	switch {
-	case q.Era > r.Era:
-		a.fenced(q.Era)
-		return agreement.ErrOlder
-	case q.Form < leastForm || q.Form < needs:
-		return fmt.Errorf("form %d of messages: the fleet needs %d", q.Form, max(needs, leastForm))
+	case q.Epoch > r.Epoch:
+		a.fenced(q.Epoch)
+		return agreement.ErrOldEpoch
+	case q.MessageFormat < leastForm || q.MessageFormat < needs:
+		return fmt.Errorf("form %d of messages: the fleet needs %d", q.MessageFormat, max(needs, leastForm))
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 		a.mu.Lock()
 		news := a.news
 		a.mu.Unlock()
-		if r := s.log.Record(); r.Era == got.Era && r.Revision >= got.Revision {
+		if r := s.log.Record(); r.Epoch == got.Era && r.Revision >= got.Revision {
 			break
 		}
 		select {
@@ -134,7 +134,7 @@
 	if rates := got.Rates[q.Name]; rates != nil {
 		back.Rates = map[string]json.RawMessage{q.Name: rates}
 	}
-	back.Entries, back.Record, back.Era, back.Revision = s.since(q.Era, q.Revision)
+	back.Entries, back.Record, back.Era, back.Revision = s.since(q.Epoch, q.Revision)
 	return back, http.StatusOK
 }
 
@@ -189,7 +189,7 @@
 			by, stop := context.WithDeadline(ctx, time.Now().Add(callWithin))
 			got, status = a.grants(by, questions)
 			stop()
-		} else if to, ok := r.Seat(leader); ok {
+		} else if to, ok := r.Voter(leader); ok {
 			by, stop := context.WithDeadline(ctx, time.Now().Add(min(callWithin, a.lease/3)))
 			var err error
 			part(a.Meter, true, questions...)
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -15,24 +15,24 @@
 
 // Status is what a dispatcher tells of the fleet.
 type Status struct {
-	Name    string              `json:"name"`
-	Fleet   string              `json:"fleet"`
-	Seat    uint64              `json:"seat,omitempty"`
-	Leader  uint64              `json:"leader,omitempty"`
-	Leads   bool                `json:"leads,omitempty"`
-	Acting  []uint64            `json:"acting"`
-	Lapsed  bool                `json:"lapsed,omitempty"`
-	LeaseMS int64               `json:"lease_left_ms"`
-	Record  agreement.Record    `json:"record"`
-	Present []agreement.Member  `json:"present,omitempty"` // who holds a lease, where this one leads
-	Waits   []string            `json:"waits,omitempty"`   // for whom an announced version waits
-	Places  []agreement.Place   `json:"places,omitempty"`  // the council's seats, where this one leads
-	Members []membership.Member `json:"members,omitempty"` // by gossip
-	Zones   []failover.ZoneView `json:"zones,omitempty"`   // as the leader plans them
-	Alone   bool                `json:"alone,omitempty"`   // it does not trust its plan any more
-	Spent   []Spent             `json:"spent,omitempty"`   // of the fleet's budgets, here
-	Dealt   []Dealt             `json:"dealt,omitempty"`   // and by all, where this one leads
-	Counts  Counts              `json:"counts"`
+	Name    string                  `json:"name"`
+	Fleet   string                  `json:"fleet"`
+	Seat    uint64                  `json:"seat,omitempty"`
+	Leader  uint64                  `json:"leader,omitempty"`
+	Leads   bool                    `json:"leads,omitempty"`
+	Acting  []uint64                `json:"acting"`
+	Lapsed  bool                    `json:"lapsed,omitempty"`
+	LeaseMS int64                   `json:"lease_left_ms"`
+	Record  agreement.Record        `json:"record"`
+	Present []agreement.Dispatcher  `json:"present,omitempty"` // who holds a lease, where this one leads
+	Waits   []string                `json:"waits,omitempty"`   // for whom an announced version waits
+	Places  []agreement.VoterStatus `json:"places,omitempty"`  // the council's seats, where this one leads
+	Members []membership.Member     `json:"members,omitempty"` // by gossip
+	Zones   []failover.ZoneView     `json:"zones,omitempty"`   // as the leader plans them
+	Alone   bool                    `json:"alone,omitempty"`   // it does not trust its plan any more
+	Spent   []Spent                 `json:"spent,omitempty"`   // of the fleet's budgets, here
+	Dealt   []Dealt                 `json:"dealt,omitempty"`   // and by all, where this one leads
+	Counts  Counts                  `json:"counts"`
 
 	Control map[string]traffic.Count `json:"control"` // bytes and messages that control cost this process, by kind
 }
@@ -41,9 +41,9 @@
 func (a *Agent) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := a.holder.Stand(a.now())
-	st := Status{Name: a.Name, Fleet: a.s.Name, Seat: a.seat.id(), Acting: s.Versions, Lapsed: s.Lapsed, Record: a.holder.Record(),
-		LeaseMS: max((a.holder.Until() - a.now()).Milliseconds(), 0), Leads: a.leads != nil, Counts: a.counts, Control: a.Meter.Counts()}
+	s := a.holder.Effective(a.now())
+	st := Status{Name: a.Name, Fleet: a.s.Name, Seat: a.seat.id(), Acting: s.Versions, Lapsed: s.LeaseExpired, Record: a.holder.Record(),
+		LeaseMS: max((a.holder.LeaseExpiry() - a.now()).Milliseconds(), 0), Leads: a.leads != nil, Counts: a.counts, Control: a.Meter.Counts()}
 	if a.members != nil {
 		st.Members = a.members.Members()
 	}
@@ -54,11 +54,11 @@
 	if a.planner != nil {
 		st.Zones = a.planner.Views(a.now())
 	}
-	st.Alone = a.Failover != nil && a.cutOff(s.Lapsed)
+	st.Alone = a.Failover != nil && a.cutOff(s.LeaseExpired)
 	if a.leads != nil {
-		st.Present = a.leads.Present(a.now())
+		st.Present = a.leads.LeaseHolders(a.now())
 		if v := st.Record.Announced; v != nil {
-			_, st.Waits = a.leads.May(v.Number, a.now())
+			_, st.Waits = a.leads.MayPutInForce(v.Number, a.now())
 		}
 	}
 	return st
@@ -112,7 +112,7 @@
 		a.reply(w, status, got)
 	})
 	mux.HandleFunc("POST /council/hold", func(w http.ResponseWriter, r *http.Request) {
-		var h agreement.Hold
+		var h agreement.ZoneLimit
 		if err := a.decode(r, &h); err != nil || h.Zone == "" || !(h.Share >= 0 && h.Share <= 1) || a.Failover == nil {
 			a.reply(w, http.StatusBadRequest, answer{Why: "no hold of a zone"})
 			return
@@ -150,17 +150,17 @@
 	}
 	era, bad := strconv.ParseUint(r.URL.Query().Get("era"), 10, 64)
 	a.mu.Lock()
-	s, known := a.seat, a.holder.Record().Era
+	s, known := a.seat, a.holder.Record().Epoch
 	a.counts.Served++
 	a.mu.Unlock()
 	switch {
 	case err != nil || bad != nil:
 		a.reply(w, http.StatusBadRequest, answer{Why: "no messages to a seat"})
 	case era < known:
-		a.reply(w, http.StatusGone, answer{Why: agreement.ErrOlder.Error(), Era: known})
+		a.reply(w, http.StatusGone, answer{Why: agreement.ErrOldEpoch.Error(), Era: known})
 	case s == nil:
 		a.reply(w, http.StatusMisdirectedRequest, answer{Why: "no seat"})
-	case era > s.log.Record().Era && s.log.Record().Revision > 0:
+	case era > s.log.Record().Epoch && s.log.Record().Revision > 0:
 		a.fenced(era)
 		a.reply(w, http.StatusMisdirectedRequest, answer{Why: "of a newer council"})
 	default:
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -21,7 +21,7 @@
 		a.treasury = a.newTreasury()
 	}
 	if leads {
-		a.leads, a.register = agreement.NewCouncil(a.lease, a.now()), neighbours.NewDirectory()
+		a.leads, a.register = agreement.NewLeaseTable(a.lease, a.now()), neighbours.NewDirectory()
 		if a.Failover != nil {
 			s, regions := a.Failover.planner()
 			a.planner = failover.NewPlanner(s, regions, a.holder.Record().Plan, a.now())
@@ -45,7 +45,7 @@
 		if e, ok := a.due(s, leads); ok {
 			by, stop := context.WithDeadline(ctx, time.Now().Add(callWithin))
 			if err := s.log.Propose(by, e); err == nil {
-				a.log.Info("council's entry", "force", e.Force, "widen", e.Widen, "withdraw", e.Withdraw, "why", e.Why)
+				a.log.Info("council's entry", "force", e.PutInForce, "widen", e.EndCanary, "withdraw", e.Withdraw, "why", e.Reason)
 			}
 			stop()
 			continue
@@ -55,21 +55,21 @@
 		}
 		looked = time.Now()
 		a.mu.Lock()
-		present := leads.Present(a.now())
+		present := leads.LeaseHolders(a.now())
 		a.mu.Unlock()
-		places, next := s.log.Places(), s.log.Record().NextSeat
-		if m, ok := agreement.Reseat(places, present, next, a.patience); ok {
+		places, next := s.log.Places(), s.log.Record().NextVoterID
+		if m, ok := agreement.PlanChange(places, present, next, a.patience); ok {
 			by, stop := context.WithDeadline(ctx, time.Now().Add(callWithin))
 			err := s.log.Reseat(by, m)
 			stop()
-			a.log.Info("council's seats", "learns", m.Learn, "votes", m.Seat, "goes", m.Unseat, "yields_to", m.Yield, "err", err)
+			a.log.Info("council's seats", "learns", m.AddLearner, "votes", m.Promote, "goes", m.Remove, "yields_to", m.TransferLeadership, "err", err)
 			pause(ctx, 5*sitEvery)
 		}
 	}
 }
 
 // due gives the entry whose time has come.
-func (a *Agent) due(s *seat, leads *agreement.Council) (agreement.Entry, bool) {
+func (a *Agent) due(s *seat, leads *agreement.LeaseTable) (agreement.Entry, bool) {
 	r := s.log.Record()
 	v := r.Announced
 	a.mu.Lock()
@@ -80,20 +80,20 @@
 	if v == nil {
 		return agreement.Entry{}, false
 	}
-	if v.Trial != nil {
+	if v.Canary != nil {
 		if a.trying == nil || a.trying.Version() != v.Number {
-			a.trying = agreement.NewTrying(v.Number, a.now())
+			a.trying = agreement.NewEvaluation(v.Number, a.now())
 		}
-		switch o, why := a.trying.Judge(v.Trial, a.now()); o {
+		switch o, why := a.trying.Judge(v.Canary, a.now()); o {
 		case agreement.Passed:
-			return agreement.Entry{ID: rand.Text(), Widen: v.Number}, true
-		case agreement.Stopped:
-			return agreement.Entry{ID: rand.Text(), Withdraw: v.Number, Why: why}, true
+			return agreement.Entry{ID: rand.Text(), EndCanary: v.Number}, true
+		case agreement.Failed:
+			return agreement.Entry{ID: rand.Text(), Withdraw: v.Number, Reason: why}, true
 		}
 		return agreement.Entry{}, false
 	}
-	may, _ := leads.May(v.Number, a.now())
-	return agreement.Entry{ID: rand.Text(), Force: v.Number}, may
+	may, _ := leads.MayPutInForce(v.Number, a.now())
+	return agreement.Entry{ID: rand.Text(), PutInForce: v.Number}, may
 }
 
 // planEvery is how often the leader looks whether another plan is called for.
@@ -101,18 +101,18 @@
 
 // plans gives the next plan, once all that hold leases act on the last: two plans at a time are in use, and no more; a.mu is
 // held.
-func (a *Agent) plans(r agreement.Record, leads *agreement.Council) (agreement.Entry, bool) {
+func (a *Agent) plans(r agreement.Record, leads *agreement.LeaseTable) (agreement.Entry, bool) {
 	last := uint64(0)
 	if r.Plan != nil {
 		last = r.Plan.Number
 	}
-	if a.planner == nil || a.now() < a.planAt || !leads.Planned(last, a.now()) {
+	if a.planner == nil || a.now() < a.planAt || !leads.AllOnPlan(last, a.now()) {
 		return agreement.Entry{}, false
 	}
 	a.planAt = a.now() + planEvery
 	for zone := range a.planner.Regions() {
 		share := 1.0
-		for _, h := range r.Holds {
+		for _, h := range r.ZoneLimits {
 			if h.Zone == zone {
 				share = h.Share
 			}
@@ -127,7 +127,7 @@
 }
 
 // hold has a zone held at a share of its capacity, where there is room for the rest elsewhere or it is forced.
-func (a *Agent) hold(ctx context.Context, h agreement.Hold, passed bool) (answer, int) {
+func (a *Agent) hold(ctx context.Context, h agreement.ZoneLimit, passed bool) (answer, int) {
 	a.mu.Lock()
 	s, planner := a.seat, a.planner
 	var shed, then float64
@@ -149,7 +149,7 @@
 	}
 	by, stop := context.WithDeadline(ctx, time.Now().Add(3*callWithin))
 	defer stop()
-	if err := s.log.Propose(by, agreement.Entry{ID: rand.Text(), Hold: &h}); err != nil {
+	if err := s.log.Propose(by, agreement.Entry{ID: rand.Text(), ZoneLimit: &h}); err != nil {
 		return answer{Why: err.Error()}, http.StatusServiceUnavailable
 	}
 	return answer{Why: room}, http.StatusOK
@@ -166,7 +166,7 @@
 			return answer{Why: "does not lead"}, http.StatusMisdirectedRequest
 		}
 		r, leader := s.log.Record(), s.log.Leader()
-		seat, ok := r.Seat(leader)
+		seat, ok := r.Voter(leader)
 		if !ok || leader == s.id() {
 			return answer{Why: "nobody leads"}, http.StatusServiceUnavailable
 		}
@@ -176,7 +176,7 @@
 }
 
 // passOn has a seat answer what this dispatcher was asked; a nil body gets.
-func (a *Agent) passOn(ctx context.Context, to agreement.Seat, what string, body any) (answer, int) {
+func (a *Agent) passOn(ctx context.Context, to agreement.Voter, what string, body any) (answer, int) {
 	by, stop := context.WithDeadline(ctx, time.Now().Add(4*callWithin))
 	defer stop()
 	got, status, err := a.post(by, to.Address, what, body)
@@ -207,7 +207,7 @@
 	leads := a.leads
 	var got answer
 	if leads != nil {
-		got.Present, got.Absent = leads.Present(a.now()), leads.Absent(a.now())
+		got.Present, got.Absent = leads.LeaseHolders(a.now()), leads.AbsentDispatchers(a.now())
 	}
 	a.mu.Unlock()
 	if leads != nil {
@@ -221,14 +221,14 @@
 	if err := v.Rules.Check(); err != nil {
 		return answer{Why: err.Error()}, http.StatusBadRequest
 	}
-	if err := v.Trial.Check(); err != nil {
+	if err := v.Canary.Check(); err != nil {
 		return answer{Why: err.Error()}, http.StatusBadRequest
 	}
 	a.mu.Lock()
 	s, leads := a.seat, a.leads
 	var cannot []string
 	if leads != nil {
-		cannot = leads.Readable(v.Rules, a.now())
+		cannot = leads.CannotRead(v.Rules, a.now())
 	}
 	a.mu.Unlock()
 	if s != nil && leads != nil {
@@ -238,11 +238,11 @@
 		ctx, stop := context.WithDeadline(ctx, time.Now().Add(3*callWithin))
 		defer stop()
 		err := s.log.Propose(ctx, agreement.Entry{ID: rand.Text(), Announce: &v})
-		record := s.log.Record().Brief()
+		record := s.log.Record().WithoutHistory()
 		switch {
 		case err == nil:
 			return answer{Record: &record}, http.StatusOK
-		case errors.Is(err, agreement.ErrUnderWay), errors.Is(err, agreement.ErrBase):
+		case errors.Is(err, agreement.ErrChangeInProgress), errors.Is(err, agreement.ErrNotNextVersion):
 			return answer{Why: err.Error(), Record: &record}, http.StatusConflict
 		default: // nobody knows whether it is announced: the status tells
 			return answer{Why: err.Error()}, http.StatusServiceUnavailable
@@ -256,7 +256,7 @@
 	a.mu.Lock()
 	s, leads := a.seat, a.leads
 	if leads != nil {
-		leads.Left(q.Name, q.Instance, a.now())
+		leads.LeaseDropped(q.Name, q.Instance, a.now())
 	}
 	a.mu.Unlock()
 	if leads != nil {
@@ -266,7 +266,7 @@
 		return answer{Why: "does not lead"}, http.StatusMisdirectedRequest
 	}
 	r, leader := s.log.Record(), s.log.Leader()
-	if to, ok := r.Seat(leader); ok {
+	if to, ok := r.Voter(leader); ok {
 		if got, status, err := a.post(ctx, to.Address, "leave?passed=1", q); err == nil {
 			return got, status
 		}
--- a/internal/fleet/log/log.go
+++ b/internal/fleet/log/log.go
@@ -43,7 +43,7 @@
 // Options make a seat's part.
 type Options struct {
 	Seat      uint64
-	Founders  []agreement.Seat // of the first council; nil for a seat that came later
+	Founders  []agreement.Voter // of the first council; nil for a seat that came later
 	Directory string
 	Send      func(to uint64, message []byte) // to another seat; must not block
 	Changed   func(agreement.Record)          // behind each entry that changed the record; must not block
@@ -65,8 +65,8 @@
 	mu     sync.Mutex
 	record agreement.Record
 	leader uint64
-	places []agreement.Place // of the council, while this seat leads
-	tail   []agreement.Entry // the entries that made the record's last revisions, the newest last
+	places []agreement.VoterStatus // of the council, while this seat leads
+	tail   []agreement.Entry       // the entries that made the record's last revisions, the newest last
 
 	// Owned by Run.
 	applied  uint64
@@ -86,7 +86,7 @@
 
 type call struct {
 	entry  *agreement.Entry // with move nil too, to confirm
-	move   *agreement.Move
+	move   *agreement.VoterChange
 	answer chan<- error
 }
 
@@ -159,7 +159,7 @@
 func (l *Log) Seat() uint64 { return l.o.Seat }
 
 // Places is what the leader sees of the council's seats; nil at others.
-func (l *Log) Places() []agreement.Place {
+func (l *Log) Places() []agreement.VoterStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.places)
@@ -174,14 +174,14 @@
 	switch missing := r.Revision - revision; {
 	case revision == 0: // nothing is known there
 		whole = &r
-	case era == r.Era && revision >= r.Revision:
+	case era == r.Epoch && revision >= r.Revision:
 		return nil, nil, era, revision
-	case era == r.Era && missing <= uint64(len(l.tail)):
+	case era == r.Epoch && missing <= uint64(len(l.tail)):
 		entries = slices.Clone(l.tail[uint64(len(l.tail))-missing:])
 	default:
 		whole = &r
 	}
-	return entries, whole, r.Era, r.Revision
+	return entries, whole, r.Epoch, r.Revision
 }
 
 // Step takes a message of another voter. It does not block.
@@ -202,7 +202,7 @@
 
 // Reseat changes the council, one move at a time. It returns once the move is in the log of this seat; the record tells when
 // it has come about.
-func (l *Log) Reseat(ctx context.Context, m agreement.Move) error {
+func (l *Log) Reseat(ctx context.Context, m agreement.VoterChange) error {
 	return l.ask(ctx, call{move: &m})
 }
 
@@ -370,7 +370,7 @@
 			return
 		}
 		l.conf, l.moved = l.node.ApplyConfChange(cc), true
-		entry.Council = l.council(cc.GetContext())
+		entry.Voters = l.council(cc.GetContext())
 	case e.GetType() != raftpb.EntryNormal || len(e.GetData()) == 0: // a new leader's first
 		return
 	default:
--- a/internal/fleet/log/log_test.go
+++ b/internal/fleet/log/log_test.go
@@ -34,9 +34,9 @@
 
 const mostSeats = 8
 
-func founders(n int) (all []agreement.Seat) {
+func founders(n int) (all []agreement.Voter) {
 	for i := range n {
-		all = append(all, agreement.Seat{ID: uint64(i + 1), Address: fmt.Sprint("a", i+1)})
+		all = append(all, agreement.Voter{ID: uint64(i + 1), Address: fmt.Sprint("a", i+1)})
 	}
 	return all
 }
@@ -59,7 +59,7 @@
 
 func (c *council) start(seat int) {
 	c.t.Helper()
-	var first []agreement.Seat
+	var first []agreement.Voter
 	if seat <= c.n {
 		first = founders(c.n)
 	}
@@ -179,7 +179,7 @@
 }
 
 func announce(base uint64) agreement.Entry {
-	return agreement.Entry{ID: fmt.Sprint("a", base), Announce: &agreement.Version{Number: base, Rules: agreement.Rules{Retries: 0.1, Repeat: true}}}
+	return agreement.Entry{ID: fmt.Sprint("a", base), Announce: &agreement.Version{Number: base, Rules: agreement.Rules{RetryRatio: 0.1, RetriesAllowed: true}}}
 }
 
 // The leader ends between the two steps, and comes back: the change goes on with another, and all have the same. Then all
@@ -189,7 +189,7 @@
 	c.change(announce(0))
 	old, _ := c.leader()
 	c.stop(old)
-	c.change(agreement.Entry{ID: "f1", Force: 1})
+	c.change(agreement.Entry{ID: "f1", PutInForce: 1})
 	c.start(old)
 	c.agree(3, 1, 2, 3)
 	for seat := 1; seat <= 3; seat++ {
@@ -216,7 +216,7 @@
 		t.Error("a leader without a majority confirms")
 	}
 	stop()
-	c.change(agreement.Entry{ID: "f1", Force: 1})
+	c.change(agreement.Entry{ID: "f1", PutInForce: 1})
 	c.set(func(int, int) bool { return false })
 	c.agree(3, 1, 2, 3, 4, 5)
 }
@@ -275,7 +275,7 @@
 	c.set(func(int, int) bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.1 })
 	for n := range uint64(keepBehind) {
 		c.change(announce(n))
-		c.change(agreement.Entry{ID: fmt.Sprint("f", n+1), Force: n + 1})
+		c.change(agreement.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
 	}
 	c.start(behind)
 	c.agree(2*keepBehind+1, 1, 2, 3)
@@ -292,7 +292,7 @@
 	c.stop(behind)
 	for n := range uint64(keepBehind) {
 		c.change(announce(n))
-		c.change(agreement.Entry{ID: fmt.Sprint("f", n+1), Force: n + 1})
+		c.change(agreement.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
 	}
 	c.mu.Lock()
 	c.snaps = 2
@@ -310,7 +310,7 @@
 	gone := lead%3 + 1
 	c.stop(gone)
 	const fresh = 4
-	move := func(m agreement.Move, come func(agreement.Record) bool) {
+	move := func(m agreement.VoterChange, come func(agreement.Record) bool) {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			_, l := c.leader()
@@ -321,32 +321,32 @@
 			err := l.Reseat(ctx, m)
 			stop()
 			if time.Now().After(end) {
-				t.Fatalf("%+v: %v, %+v", m, err, l.Record().Council)
+				t.Fatalf("%+v: %v, %+v", m, err, l.Record().Voters)
 			}
 		}
 	}
 	has := func(id uint64, learner bool) func(agreement.Record) bool {
 		return func(r agreement.Record) bool {
-			return slices.ContainsFunc(r.Council, func(s agreement.Seat) bool { return s.ID == id && s.Learner == learner })
+			return slices.ContainsFunc(r.Voters, func(s agreement.Voter) bool { return s.ID == id && s.Learner == learner })
 		}
 	}
-	move(agreement.Move{Learn: &agreement.Seat{ID: fresh, Name: "n4", Address: "a4", Learner: true}}, has(fresh, true))
+	move(agreement.VoterChange{AddLearner: &agreement.Voter{ID: fresh, Name: "n4", Address: "a4", Learner: true}}, has(fresh, true))
 	c.start(fresh)
-	c.change(agreement.Entry{ID: "f1", Force: 1})
+	c.change(agreement.Entry{ID: "f1", PutInForce: 1})
 	c.agree(c.at(lead).Record().Revision, lead, fresh)
 	_, l := c.leader()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		places := l.Places()
-		i := slices.IndexFunc(places, func(p agreement.Place) bool { return p.ID == fresh })
-		g := slices.IndexFunc(places, func(p agreement.Place) bool { return p.ID == uint64(gone) })
-		if i >= 0 && g >= 0 && places[i].Learner && places[i].Name == "n4" && places[i].Behind == 0 && places[i].Silent < time.Second && places[g].Silent > time.Second {
+		i := slices.IndexFunc(places, func(p agreement.VoterStatus) bool { return p.ID == fresh })
+		g := slices.IndexFunc(places, func(p agreement.VoterStatus) bool { return p.ID == uint64(gone) })
+		if i >= 0 && g >= 0 && places[i].Learner && places[i].Name == "n4" && places[i].EntriesBehind == 0 && places[i].SilentFor < time.Second && places[g].SilentFor > time.Second {
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatalf("%+v", places)
 		}
 	}
-	move(agreement.Move{Seat: fresh, Unseat: uint64(gone)}, func(r agreement.Record) bool { return has(fresh, false)(r) && len(r.Council) == 3 })
+	move(agreement.VoterChange{Promote: fresh, Remove: uint64(gone)}, func(r agreement.Record) bool { return has(fresh, false)(r) && len(r.Voters) == 3 })
 	other := 6 - lead - gone
 	c.stop(other)
 	c.start(gone) // with its votes of before
@@ -369,12 +369,12 @@
 		c.stop(seat)
 	}
 	r, err := Recover(c.dirs[fresh], fresh, "n4", "a4")
-	if err != nil || r.Era != 1 || r.InForce.Number != 3 || r.Announced != nil || len(r.Withdrawn) != 1 || len(r.Council) != 1 || r.NextSeat != 5 {
+	if err != nil || r.Epoch != 1 || r.InForce.Number != 3 || r.Announced != nil || len(r.Withdrawn) != 1 || len(r.Voters) != 1 || r.NextVoterID != 5 {
 		t.Fatalf("%v, %+v", err, r)
 	}
 	c.start(fresh)
 	c.change(announce(3))
-	if r := c.at(fresh).Record(); r.Era != 1 || r.Announced == nil {
+	if r := c.at(fresh).Record(); r.Epoch != 1 || r.Announced == nil {
 		t.Errorf("%+v", r)
 	}
 }
@@ -391,7 +391,7 @@
 	l.store.db.Close() // as a disk that takes nothing more
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(10*time.Second))
 	defer stop()
-	if err := l.Propose(ctx, agreement.Entry{ID: "f1", Force: 1}); err == nil {
+	if err := l.Propose(ctx, agreement.Entry{ID: "f1", PutInForce: 1}); err == nil {
 		t.Error("it gave its word without a disk")
 	}
 	if err := <-end; err == nil {
@@ -400,7 +400,7 @@
 	c.mu.Lock()
 	c.seats[lead] = nil
 	c.mu.Unlock()
-	c.change(agreement.Entry{ID: "f1 again", Force: 1})
+	c.change(agreement.Entry{ID: "f1 again", PutInForce: 1})
 	c.start(lead)
 	c.change(announce(1))
 	c.agree(4, 1, 2, 3)
@@ -426,14 +426,14 @@
 func TestFounder(t *testing.T) {
 	dir := t.TempDir()
 	a, err := Founder(dir, 1, nil)
-	if err != nil || a.Incarnation == "" || a.Roll != nil {
+	if err != nil || a.Incarnation == "" || a.FoundingVoters != nil {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	roll := map[uint64]string{1: a.Incarnation, 2: "x", 3: "y"}
 	if _, err := Founder(dir, 1, roll); err != nil {
 		t.Fatal(err)
 	}
-	if b, err := Founder(dir, 1, nil); err != nil || b.Incarnation != a.Incarnation || len(b.Roll) != 3 {
+	if b, err := Founder(dir, 1, nil); err != nil || b.Incarnation != a.Incarnation || len(b.FoundingVoters) != 3 {
 		t.Errorf("%+v, %v", b, err)
 	}
 }
--- a/internal/fleet/log/recover.go
+++ b/internal/fleet/log/recover.go
@@ -61,14 +61,14 @@
 		}
 	}
 	if a := r.Announced; a != nil {
-		if r, err = r.Apply(agreement.Entry{Withdraw: a.Number, Why: "the council was recovered"}); err != nil {
+		if r, err = r.Apply(agreement.Entry{Withdraw: a.Number, Reason: "the council was recovered"}); err != nil {
 			return r, err
 		}
 	}
-	r.Era++
+	r.Epoch++
 	r.Revision++
-	r.Council = []agreement.Seat{{ID: seat, Name: name, Address: address}}
-	r.NextSeat = max(r.NextSeat, seat+1)
+	r.Voters = []agreement.Voter{{ID: seat, Name: name, Address: address}}
+	r.NextVoterID = max(r.NextVoterID, seat+1)
 	state, err := json.Marshal(r)
 	if err != nil {
 		return r, err
--- a/internal/fleet/log/seats.go
+++ b/internal/fleet/log/seats.go
@@ -21,7 +21,7 @@
 	if !l.leads {
 		return
 	}
-	var places []agreement.Place
+	var places []agreement.VoterStatus
 	last, _ := l.store.LastIndex()
 	l.node.WithProgress(func(id uint64, typ raft.ProgressType, pr tracker.Progress) {
 		if l.silent[id]++; pr.RecentActive || id == l.o.Seat { // which raft forgets once an election's time
@@ -36,8 +36,8 @@
 		if pr.Match == 0 { // it has not answered yet, however short the log is
 			behind = math.MaxUint64
 		}
-		places = append(places, agreement.Place{Seat: agreement.Seat{ID: id, Learner: typ == raft.ProgressTypeLearner},
-			Silent: time.Duration(l.silent[id]) * tickEvery, Behind: behind, Leads: id == l.o.Seat})
+		places = append(places, agreement.VoterStatus{Voter: agreement.Voter{ID: id, Learner: typ == raft.ProgressTypeLearner},
+			SilentFor: time.Duration(l.silent[id]) * tickEvery, EntriesBehind: behind, IsLeader: id == l.o.Seat})
 	})
 	for id, ticks := range l.loading {
 		if ticks >= electionTicks {
@@ -47,10 +47,10 @@
 	}
 	l.mu.Lock()
 	for i := range places {
-		for _, s := range l.record.Council {
+		for _, s := range l.record.Voters {
 			if s.ID == places[i].ID {
 				s.Learner = places[i].Learner
-				places[i].Seat = s
+				places[i].Voter = s
 			}
 		}
 	}
@@ -59,9 +59,9 @@
 }
 
 // move proposes a change of the council.
-func (l *Log) move(m *agreement.Move) error {
-	if m.Yield > 0 {
-		l.node.TransferLeader(m.Yield)
+func (l *Log) move(m *agreement.VoterChange) error {
+	if m.TransferLeadership > 0 {
+		l.node.TransferLeader(m.TransferLeadership)
 		return nil
 	}
 	if l.conf.GetAutoLeave() || len(l.conf.GetVotersOutgoing()) > 0 {
@@ -71,36 +71,36 @@
 	change := func(what raftpb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: what.Enum(), NodeId: proto.Uint64(id)})
 	}
-	if m.Learn != nil {
-		change(raftpb.ConfChangeAddLearnerNode, m.Learn.ID)
+	if m.AddLearner != nil {
+		change(raftpb.ConfChangeAddLearnerNode, m.AddLearner.ID)
 		var err error
-		if cc.Context, err = json.Marshal(m.Learn); err != nil {
+		if cc.Context, err = json.Marshal(m.AddLearner); err != nil {
 			return err
 		}
 	}
-	if m.Seat > 0 {
-		change(raftpb.ConfChangeAddNode, m.Seat)
+	if m.Promote > 0 {
+		change(raftpb.ConfChangeAddNode, m.Promote)
 	}
-	if m.Unseat > 0 {
-		change(raftpb.ConfChangeRemoveNode, m.Unseat)
+	if m.Remove > 0 {
+		change(raftpb.ConfChangeRemoveNode, m.Remove)
 	}
 	return l.node.ProposeConfChange(cc)
 }
 
 // council gives the seats that the log's engine has now, with what is known of each.
-func (l *Log) council(fresh []byte) []agreement.Seat {
+func (l *Log) council(fresh []byte) []agreement.Voter {
 	l.mu.Lock()
-	known := slices.Clone(l.record.Council)
+	known := slices.Clone(l.record.Voters)
 	l.mu.Unlock()
-	var seat agreement.Seat
+	var seat agreement.Voter
 	if len(fresh) > 0 && json.Unmarshal(fresh, &seat) == nil {
 		known = append(known, seat)
 	}
-	all := []agreement.Seat{}
+	all := []agreement.Voter{}
 	add := func(ids []uint64, learner bool) {
 		for _, id := range ids {
 			for _, s := range known {
-				if s.ID == id && !slices.ContainsFunc(all, func(had agreement.Seat) bool { return had.ID == id }) {
+				if s.ID == id && !slices.ContainsFunc(all, func(had agreement.Voter) bool { return had.ID == id }) {
 					s.Learner = learner
 					all = append(all, s)
 				}
--- a/internal/fleet/log/store.go
+++ b/internal/fleet/log/store.go
@@ -46,7 +46,7 @@
 }
 
 // openStore opens or makes the file. One of another council is refused: two must not share a past by mistake.
-func openStore(path string, founders []agreement.Seat) (*store, error) {
+func openStore(path string, founders []agreement.Voter) (*store, error) {
 	db, err := openFile(path)
 	if err != nil {
 		return nil, err
@@ -90,26 +90,26 @@
 			}
 		}
 		if text := meta.Get(rollKey); text != nil {
-			return json.Unmarshal(text, &f.Roll)
+			return json.Unmarshal(text, &f.FoundingVoters)
 		}
 		if meta.Get(hardKey) != nil { // it has voted, before rolls were kept
-			f.Roll = map[uint64]string{seat: f.Incarnation}
+			f.FoundingVoters = map[uint64]string{seat: f.Incarnation}
 		}
 		return nil
 	})
 }
 
 // first is where every council's log begins: its voters, by number.
-func first(founders []agreement.Seat) (*raftpb.Snapshot, error) {
+func first(founders []agreement.Voter) (*raftpb.Snapshot, error) {
 	cs := &raftpb.ConfState{}
 	for _, s := range founders {
 		cs.Voters = append(cs.Voters, s.ID)
 	}
-	state, err := json.Marshal(agreement.Record{Revision: 1, Council: founders, NextSeat: uint64(len(founders)) + 1})
+	state, err := json.Marshal(agreement.Record{Revision: 1, Voters: founders, NextVoterID: uint64(len(founders)) + 1})
 	return &raftpb.Snapshot{Data: state, Metadata: &raftpb.SnapshotMetadata{ConfState: cs, Index: proto.Uint64(1), Term: proto.Uint64(1)}}, err
 }
 
-func (s *store) load(founders []agreement.Seat) error {
+func (s *store) load(founders []agreement.Voter) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
--- a/internal/fleet/log/stored_test.go
+++ b/internal/fleet/log/stored_test.go
@@ -15,7 +15,7 @@
 )
 
 // storedFounders are the voters of the log in testdata/stored: the one that wrote it.
-var storedFounders = []agreement.Seat{{ID: 1, Address: "127.0.0.1:9001"}}
+var storedFounders = []agreement.Voter{{ID: 1, Address: "127.0.0.1:9001"}}
 
 // storedIncarnation was drawn when the file in testdata/stored was made.
 const storedIncarnation = "HPSB64GR6P3ZLFVK5MYBPGJJAT"
@@ -24,18 +24,18 @@
 // the last ones are entries of their own.
 func storedEntries() []agreement.Entry {
 	announce := func(id string, follows uint64) agreement.Entry {
-		return agreement.Entry{ID: id, Announce: &agreement.Version{Number: follows, By: "by-" + id, Why: "why-" + id,
+		return agreement.Entry{ID: id, Announce: &agreement.Version{Number: follows, By: "by-" + id, Reason: "why-" + id,
 			At:    time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: agreement.Rules{Retries: 0.25, Repeat: true, Out: []string{"worker-" + id}, Shares: map[string]float64{"account-1": 0.5}}}}
+			Rules: agreement.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, Quotas: map[string]float64{"account-1": 0.5}}}}
 	}
 	return []agreement.Entry{
 		announce("entry-1", 0),
-		{ID: "entry-2", Force: 1},
+		{ID: "entry-2", PutInForce: 1},
 		announce("entry-3", 1),
-		{ID: "entry-4", Withdraw: 2, Why: "why-4"},
+		{ID: "entry-4", Withdraw: 2, Reason: "why-4"},
 		{ID: "entry-5", Plan: &failover.Plan{Number: 7, Reasons: map[string]string{"zone-1": "why-5"},
 			Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}}},
-		{ID: "entry-6", Hold: &agreement.Hold{Zone: "zone-3", Share: 0.125, By: "by-6", Why: "why-6", Force: true}},
+		{ID: "entry-6", ZoneLimit: &agreement.ZoneLimit{Zone: "zone-3", Share: 0.125, By: "by-6", Reason: "why-6", Force: true}},
 		announce("entry-7", 3),
 	}
 }
@@ -43,16 +43,16 @@
 // storedRecord is what the log in testdata/stored leads to.
 func storedRecord() agreement.Record {
 	version := func(id string, number uint64) agreement.Version {
-		return agreement.Version{Number: number, By: "by-" + id, Why: "why-" + id, At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: agreement.Rules{Retries: 0.25, Repeat: true, Out: []string{"worker-" + id}, Shares: map[string]float64{"account-1": 0.5}}}
+		return agreement.Version{Number: number, By: "by-" + id, Reason: "why-" + id, At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
+			Rules: agreement.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, Quotas: map[string]float64{"account-1": 0.5}}}
 	}
 	inForce, announced := version("entry-1", 3), version("entry-7", 4)
 	return agreement.Record{
 		Revision: 8, InForce: inForce, Announced: &announced, History: []agreement.Version{{}},
-		Withdrawn: []agreement.Withdrawal{{Version: version("entry-3", 2), Why: "why-4"}}, Council: storedFounders, NextSeat: 2,
+		Withdrawn: []agreement.Withdrawal{{Version: version("entry-3", 2), Reason: "why-4"}}, Voters: storedFounders, NextVoterID: 2,
 		Plan: &failover.Plan{Number: 7, Reasons: map[string]string{"zone-1": "why-5"},
 			Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}},
-		Holds: []agreement.Hold{{Zone: "zone-3", Share: 0.125, By: "by-6", Why: "why-6", Force: true}},
+		ZoneLimits: []agreement.ZoneLimit{{Zone: "zone-3", Share: 0.125, By: "by-6", Reason: "why-6", Force: true}},
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	if err := l.Propose(ctx, agreement.Entry{ID: "entry-8", Force: 4}); err != nil {
+	if err := l.Propose(ctx, agreement.Entry{ID: "entry-8", PutInForce: 4}); err != nil {
 		t.Error(err)
 	}
 	if number := l.Record().InForce.Number; number != 4 {
@@ -170,14 +170,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (agreement.Founder{Incarnation: storedIncarnation, Roll: map[uint64]string{1: storedIncarnation, 2: "incarnation-2"}}); !reflect.DeepEqual(f, want) {
+	if want := (agreement.Founder{Incarnation: storedIncarnation, FoundingVoters: map[uint64]string{1: storedIncarnation, 2: "incarnation-2"}}); !reflect.DeepEqual(f, want) {
 		t.Errorf("read %+v, want %+v", f, want)
 	}
 }
 
 // TestStoredLogOfAnotherSize checks that the stored number of voters is read: a council of another size is refused.
 func TestStoredLogOfAnotherSize(t *testing.T) {
-	two := append(storedFounders[:1:1], agreement.Seat{ID: 2, Address: "127.0.0.1:9002"})
+	two := append(storedFounders[:1:1], agreement.Voter{ID: 2, Address: "127.0.0.1:9002"})
 	s, err := openStore(Path(copyStored(t), 1), two)
 	if err == nil {
 		t.Error("a council of two was accepted, where one voter is stored")
@@ -192,10 +192,10 @@
 		t.Fatal(err)
 	}
 	want := storedRecord()
-	want.Withdrawn = append(want.Withdrawn, agreement.Withdrawal{Version: *want.Announced, Why: "the council was recovered"})
+	want.Withdrawn = append(want.Withdrawn, agreement.Withdrawal{Version: *want.Announced, Reason: "the council was recovered"})
 	want.Announced, want.InForce.Number = nil, 5
-	want.Era, want.Revision = 1, 10
-	want.Council = []agreement.Seat{{ID: 1, Name: "dispatcher-1", Address: "127.0.0.1:9002"}}
+	want.Epoch, want.Revision = 1, 10
+	want.Voters = []agreement.Voter{{ID: 1, Name: "dispatcher-1", Address: "127.0.0.1:9002"}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("recovered %+v, want %+v", got, want)
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -27,7 +27,7 @@
 
 // question asks for a lease.
 type question struct {
-	agreement.Member
+	agreement.Dispatcher
 	Revision uint64          `json:"revision"`         // of the record that is known; 0 for the whole record
 	Report   json.RawMessage `json:"report,omitempty"` // a failover.Report
 	Demand   json.RawMessage `json:"demand,omitempty"` // uses a second of each budget, by its name
@@ -69,8 +69,8 @@
 	Rates    map[string]json.RawMessage `json:"rates,omitempty"`    // by dispatcher; in each by budget
 	Why      string                     `json:"why,omitempty"`
 
-	Present []agreement.Member `json:"present,omitempty"` // who holds leases, ...
-	Absent  []agreement.Absent `json:"absent,omitempty"`  // ... and who held one lately
+	Present []agreement.Dispatcher       `json:"present,omitempty"` // who holds leases, ...
+	Absent  []agreement.AbsentDispatcher `json:"absent,omitempty"`  // ... and who held one lately
 
 	Form       int                                   `json:"form,omitempty"`       // the leader's
 	Neighbours map[string]*neighbours.PeerSuggestion `json:"neighbours,omitempty"` // by the dispatcher that knows others than the leader
--- a/internal/fleet/peers_test.go
+++ b/internal/fleet/peers_test.go
@@ -67,7 +67,7 @@
 
 func options(dir string) Options {
 	return Options{Settings: &Settings{Name: "t", Listen: "127.0.0.1:0", Voters: []string{"127.0.0.1:1"}, Directory: dir, Bound: "1s", Replace: "30s"}, Name: "n0",
-		Apply: func(agreement.Stand) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+		Apply: func(agreement.Effective) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
 // FuzzAnswer puts what no seat answers onto a record: it is refused, or follows from it.
@@ -91,7 +91,7 @@
 // that any record takes were counted twice, and the dispatcher took itself for newer than its council for good.
 func TestEntriesFollowTheQuestion(t *testing.T) {
 	council := func(id uint64) agreement.Entry {
-		return agreement.Entry{Council: []agreement.Seat{{ID: id, Address: "x"}}}
+		return agreement.Entry{Voters: []agreement.Voter{{ID: id, Address: "x"}}}
 	}
 	asked, _ := agreement.Record{}.Apply(council(1))
 	got := answer{Entries: []agreement.Entry{council(2)}, Revision: 2}
@@ -114,12 +114,12 @@
 		}
 		return a
 	}
-	if st := open().Stand(); !st.Lapsed || st.Rules.Repeat || st.Rules.Retries != -1 {
+	if st := open().Stand(); !st.LeaseExpired || st.Rules.RetriesAllowed || st.Rules.RetryRatio != -1 {
 		t.Errorf("at first %+v", st)
 	}
 	a := open()
-	a.keep(agreement.Record{Revision: 2, InForce: agreement.Version{Number: 1, Rules: agreement.Rules{Retries: 0.2, Repeat: true, Out: []string{"b"}}}})
-	if st := open().Stand(); !st.Lapsed || st.Versions[0] != 1 || st.Rules.Repeat || len(st.Rules.Out) != 1 {
+	a.keep(agreement.Record{Revision: 2, InForce: agreement.Version{Number: 1, Rules: agreement.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
+	if st := open().Stand(); !st.LeaseExpired || st.Versions[0] != 1 || st.Rules.RetriesAllowed || len(st.Rules.DetachedWorkers) != 1 {
 		t.Errorf("then %+v", st)
 	}
 }
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -15,14 +15,14 @@
 )
 
 // order gives the council's seats in the order in which this dispatcher asks them; its own first.
-func (a *Agent) order() []agreement.Seat {
+func (a *Agent) order() []agreement.Voter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	council := a.holder.Record().Council
+	council := a.holder.Record().Voters
 	if len(council) == 0 {
 		council = a.s.founders()
 	}
-	order := agreement.Ask(council, a.Name, a.s.Region, a.Zone)
+	order := agreement.ContactOrder(council, a.Name, a.s.Region, a.Zone)
 	if own := a.seat.id(); own != 0 {
 		for i, s := range order {
 			if s.ID == own {
@@ -35,7 +35,7 @@
 }
 
 // asks gives the seat that is asked now: the next one behind each that was asked in vain.
-func (a *Agent) asks() agreement.Seat {
+func (a *Agent) asks() agreement.Voter {
 	order := a.order()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,8 +70,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.holder.Record()
-	q := question{Report: report, Demand: demand, Firsts: firsts, Member: agreement.Member{Name: a.Name, Instance: a.instance, Acked: a.holder.Acknowledged(), Form: a.form, Era: r.Era,
-		Address: a.address(), Region: a.s.Region, Zone: a.Zone, Seat: a.seat.id(), Ended: ended, Bad: bad, SetAside: a.s.SetAside}, Revision: r.Revision}
+	q := question{Report: report, Demand: demand, Firsts: firsts, Dispatcher: agreement.Dispatcher{Name: a.Name, Instance: a.instance, AcknowledgedVersion: a.holder.Acknowledged(), MessageFormat: a.form, Epoch: r.Epoch,
+		Address: a.address(), Region: a.s.Region, Zone: a.Zone, VoterID: a.seat.id(), JobsEnded: ended, JobsFailed: bad, DedicatedToControl: a.s.SetAside}, Revision: r.Revision}
 	if r.Plan != nil {
 		q.Plan = r.Plan.Number
 	}
@@ -112,7 +112,7 @@
 	s := a.asks()
 	var got answer
 	var status int
-	if s.ID == q.Seat {
+	if s.ID == q.VoterID {
 		got, status = a.granted(ctx, q)
 	} else {
 		var err error
@@ -127,9 +127,9 @@
 	}
 	a.mu.Lock()
 	r, err := got.onto(of)
-	fresh := err == nil && r.Newer(a.holder.Record())
+	fresh := err == nil && r.NewerThan(a.holder.Record())
 	if err == nil {
-		a.holder.Heard(r, asked, time.Duration(got.LeaseMS)*time.Millisecond)
+		a.holder.ApplyLease(r, asked, time.Duration(got.LeaseMS)*time.Millisecond)
 		a.settled()
 	}
 	a.heard = err == nil && (a.heard || got.Record != nil) // else the whole is asked for
@@ -173,7 +173,7 @@
 			pause(ctx, a.lease/renewals)
 			continue
 		}
-		at := fmt.Sprintf("watch?era=%d&revision=%d&wait=%d", r.Era, r.Revision, watchFor.Milliseconds())
+		at := fmt.Sprintf("watch?era=%d&revision=%d&wait=%d", r.Epoch, r.Revision, watchFor.Milliseconds())
 		by, stop := context.WithDeadline(ctx, time.Now().Add(watchFor+callWithin))
 		got, status, err := a.post(by, a.asks().Address, at, nil)
 		stop()
@@ -228,7 +228,7 @@
 		}
 		r = next
 	}
-	if g.Revision > 0 && (r.Revision != g.Revision || r.Era != g.Era) {
+	if g.Revision > 0 && (r.Revision != g.Revision || r.Epoch != g.Era) {
 		return r, fmt.Errorf("entries lead to revision %d, not %d", r.Revision, g.Revision)
 	}
 	return r, nil
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -30,7 +30,7 @@
 	f := rulesFile{Retries: -1, Repeat: true}
 	var r agreement.Rules
 	err := diag.Decode(text, path, &f, func(body *hclsyntax.Body) (diags hcl.Diagnostics) {
-		r = agreement.Rules{Retries: f.Retries, Repeat: f.Repeat, Out: f.Out, Shares: f.Shares}
+		r = agreement.Rules{RetryRatio: f.Retries, RetriesAllowed: f.Repeat, DetachedWorkers: f.Out, Quotas: f.Shares}
 		if err := r.Check(); err != nil {
 			diags = append(diags, diag.At(body.MissingItemRange(), "Bad rules", "%v.", err))
 		}
@@ -58,7 +58,7 @@
 			a.log.Info("the rules in the file are announced", "version", v.Number)
 			return
 		}
-		got, status := a.propose(ctx, agreement.Version{Number: known.InForce.Number, Rules: r, By: a.Name, Why: "SIGHUP at " + a.Name, At: time.Now().UTC()}, false)
+		got, status := a.propose(ctx, agreement.Version{Number: known.InForce.Number, Rules: r, By: a.Name, Reason: "SIGHUP at " + a.Name, At: time.Now().UTC()}, false)
 		switch {
 		case status == http.StatusOK && got.Record != nil && got.Record.Announced != nil:
 			a.log.Info("proposed", "version", got.Record.Announced.Number)
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -154,9 +154,9 @@
 }
 
 // founders are the seats of the first council.
-func (s *Settings) founders() (all []agreement.Seat) {
+func (s *Settings) founders() (all []agreement.Voter) {
 	for i, v := range s.Voters {
-		all = append(all, agreement.Seat{ID: uint64(i + 1), Address: v})
+		all = append(all, agreement.Voter{ID: uint64(i + 1), Address: v})
 	}
 	return all
 }
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -19,24 +19,24 @@
 // storedRecord is one without history, as it is stored for the next start; records have golden bytes of their own beside
 // their package.
 func storedRecord() agreement.Record {
-	return agreement.Record{Era: 11, Revision: 12, NextSeat: 13,
-		InForce: agreement.Version{Number: 14, By: "by-1", Why: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: agreement.Rules{Retries: 0.25, Repeat: true, Out: []string{"worker-a"}, Shares: map[string]float64{"account-1": 0.5}}},
-		Council: []agreement.Seat{{ID: 15, Address: "127.0.0.1:9001"}}}
+	return agreement.Record{Epoch: 11, Revision: 12, NextVoterID: 13,
+		InForce: agreement.Version{Number: 14, By: "by-1", Reason: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
+			Rules: agreement.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-a"}, Quotas: map[string]float64{"account-1": 0.5}}},
+		Voters: []agreement.Voter{{ID: 15, Address: "127.0.0.1:9001"}}}
 }
 
 // storedMessages are what dispatchers send each other, and what they tell operators, by golden file.
 func storedMessages() map[string]any {
 	record := storedRecord()
-	member := agreement.Member{Name: "dispatcher-1", Instance: "instance-1", Acked: 21, Form: 22, Era: 23, Address: "127.0.0.1:9002",
-		Region: "region-1", Zone: "zone-1", Seat: 24, Ended: 25, Bad: 26, Plan: 27, SetAside: true}
+	member := agreement.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
+		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, Plan: 27, DedicatedToControl: true}
 	self := membership.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Era: 31, Seat: 32, Form: 33}
 	return map[string]any{
-		"question": question{Member: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
+		"question": question{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
 			Demand: json.RawMessage(`{"budget-1":1.5}`), Firsts: 42.5, Neighbours: &neighbours.Digest{Count: 43, Sum: 44}},
-		"answer": answer{Record: &record, Entries: []agreement.Entry{{ID: "entry-1", Force: 51}}, LeaseMS: 52, Era: 53, Revision: 54,
+		"answer": answer{Record: &record, Entries: []agreement.Entry{{ID: "entry-1", PutInForce: 51}}, LeaseMS: 52, Era: 53, Revision: 54,
 			Leader: 55, Refused: map[string]string{"dispatcher-4": "why-2"}, Rates: map[string]json.RawMessage{"dispatcher-5": json.RawMessage(`{"budget-2":2.5}`)},
-			Why: "why-3", Present: []agreement.Member{member}, Absent: []agreement.Absent{{Member: member, Left: true, For: 56}}, Form: 57,
+			Why: "why-3", Present: []agreement.Dispatcher{member}, Absent: []agreement.AbsentDispatcher{{Dispatcher: member, Left: true, AbsentFor: 56}}, Form: 57,
 			Neighbours: map[string]*neighbours.PeerSuggestion{"dispatcher-6": {Count: 58, Addresses: []string{"127.0.0.1:9004"}}}},
 		"report": failover.Report{Dispatcher: "dispatcher-7", Zone: "zone-3",
 			Observations:  []failover.Observation{{To: "zone-4", Class: "class-1", Ended: 61.5, InTime: 62.5, Full: 63.5}},
@@ -45,8 +45,8 @@
 			Capacity:      map[string]float64{"zone-6": 68.5}},
 		"self": self,
 		"status": Status{Name: "dispatcher-8", Fleet: "fleet-1", Seat: 71, Leader: 72, Leads: true, Acting: []uint64{73}, Lapsed: true, LeaseMS: 74,
-			Record: record, Present: []agreement.Member{member}, Waits: []string{"dispatcher-9"},
-			Places:  []agreement.Place{{Seat: agreement.Seat{ID: 75, Address: "127.0.0.1:9005"}, Silent: 76, Behind: 77, Leads: true}},
+			Record: record, Present: []agreement.Dispatcher{member}, Waits: []string{"dispatcher-9"},
+			Places:  []agreement.VoterStatus{{Voter: agreement.Voter{ID: 75, Address: "127.0.0.1:9005"}, SilentFor: 76, EntriesBehind: 77, IsLeader: true}},
 			Members: []membership.Member{{Self: self, State: membership.Left, Since: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC)}},
 			Zones: []failover.ZoneView{{Zone: "zone-7", Region: "region-3", Capacity: 81.5, Planned: 82.5, Demand: 83.5, Shed: 84.5, CapacityFactor: 85.5,
 				UnreachableFrom: []string{"zone-8"}, Reason: "why-4"}},
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -58,7 +58,7 @@
 	}
 	until("a plan that uses both zones", near(0.69, 0.72)) // 85 of 120
 	hold := func(share float64, force bool) (int, string) {
-		text, _ := json.Marshal(agreement.Hold{Zone: "a", Share: share, By: "t", Why: "test", Force: force})
+		text, _ := json.Marshal(agreement.ZoneLimit{Zone: "a", Share: share, By: "t", Reason: "test", Force: force})
 		status, body, err := Call(t.Context(), http.DefaultClient, fmt.Sprintf("http://%s/council/hold", at), text, time.Now().Add(5*time.Second))
 		if err != nil {
 			t.Fatal(err)
@@ -72,8 +72,8 @@
 		t.Errorf("%d %s", status, text)
 	}
 	until("nothing in the drained zone", near(0, 0.01))
-	if s := a.Status(); len(s.Record.Holds) != 1 || !s.Record.Holds[0].Force || len(s.Zones) != 2 {
-		t.Errorf("%+v", s.Record.Holds)
+	if s := a.Status(); len(s.Record.ZoneLimits) != 1 || !s.Record.ZoneLimits[0].Force || len(s.Zones) != 2 {
+		t.Errorf("%+v", s.Record.ZoneLimits)
 	}
 	if status, _ := hold(1, false); status != http.StatusOK {
 		t.Errorf("%d", status)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -248,8 +248,8 @@
 	if !r.decode(&s) {
 		return
 	}
-	if !(s.Retries >= 0 && s.Retries <= agreement.MostRetries) {
-		r.bad("retries", "It must be between 0 and %d.", agreement.MostRetries)
+	if !(s.Retries >= 0 && s.Retries <= agreement.MaxRetryRatio) {
+		r.bad("retries", "It must be between 0 and %d.", agreement.MaxRetryRatio)
 	}
 	if !(s.Probes >= 0 && s.Probes <= 1e6) {
 		r.bad("probes", "It must be between 0 and a million a second.")
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -113,7 +113,7 @@
 	if load != nil {
 		d.core.Spending(spend{a.agent})
 	}
-	may := func() bool { return a.agent.Stand().Rules.Repeat }
+	may := func() bool { return a.agent.Stand().Rules.RetriesAllowed }
 	d.core.Repeats(may)
 	d.fleet.Repeats = may
 	return nil
@@ -121,17 +121,17 @@
 
 // apply puts what may be acted on in force: the stricter of it and of what operators said to this dispatcher alone. What is
 // sent a second time is asked for at each call.
-func (a *agreed) apply(s agreement.Stand) {
+func (a *agreed) apply(s agreement.Effective) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fleet = s.Rules.Retries
+	a.fleet = s.Rules.RetryRatio
 	a.limit()
 	if a.d.accounts != nil {
-		a.d.accounts.Cap(s.Rules.Shares)
+		a.d.accounts.Cap(s.Rules.Quotas)
 	}
 	own := a.d.operations.file.list()
-	out := make(map[string]bool, len(s.Rules.Out))
-	for _, id := range s.Rules.Out {
+	out := make(map[string]bool, len(s.Rules.DetachedWorkers))
+	for _, id := range s.Rules.DetachedWorkers {
 		if out[id] = true; !a.out[id] {
 			a.d.core.Put(brain.WorkerID(id), true)
 		}
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -48,7 +48,7 @@
 	}
 	if o.d.agreed != nil {
 		s := o.d.agreed.agent.Stand()
-		figures += fmt.Sprintf("repeats_denied=%d\nfleet_version=%d\nfleet_lapsed=%t\n", counted.RepeatsDenied, s.Versions[len(s.Versions)-1], s.Lapsed)
+		figures += fmt.Sprintf("repeats_denied=%d\nfleet_version=%d\nfleet_lapsed=%t\n", counted.RepeatsDenied, s.Versions[len(s.Versions)-1], s.LeaseExpired)
 		control := o.d.meter.Counts()
 		for _, kind := range slices.Sorted(maps.Keys(control)) {
 			c := control[kind]
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -213,14 +213,14 @@
 }
 
 // apply notes what is acted on from now on.
-func (x *hollow) apply(s agreement.Stand) {
+func (x *hollow) apply(s agreement.Effective) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := time.UnixMilli(time.Now().UnixMilli()) // as real ones log it: rounded alike, what came later is not earlier
 	if n := len(x.stands); n > 0 {
 		x.stands[n-1].To = now
 	}
-	x.stands = append(x.stands, faults.Stand{From: now, Versions: slices.Clone(s.Versions), Lapsed: s.Lapsed})
+	x.stands = append(x.stands, faults.Stand{From: now, Versions: slices.Clone(s.Versions), Lapsed: s.LeaseExpired})
 }
 
 // counted are the jobs that it claims to have ended.
--- a/internal/scale/propose.go
+++ b/internal/scale/propose.go
@@ -41,12 +41,12 @@
 // once proposes rules again and again while nobody takes them, until then.
 func (p *proposer) once(end time.Time) bool {
 	f := p.f
-	rules := agreement.Rules{Retries: float64(p.rng.IntN(10)) / 10, Repeat: p.rng.IntN(4) > 0, Shares: map[string]float64{}}
+	rules := agreement.Rules{RetryRatio: float64(p.rng.IntN(10)) / 10, RetriesAllowed: p.rng.IntN(4) > 0, Quotas: map[string]float64{}}
 	for i := range f.Teams { // the quotas that control carries today
-		rules.Shares[teamName(i)] = float64(1+p.rng.IntN(20)) / 100
+		rules.Quotas[teamName(i)] = float64(1+p.rng.IntN(20)) / 100
 	}
 	for n, at := 0, time.Now(); f.ctx.Err() == nil; n++ {
-		v := agreement.Version{Number: p.known, Rules: rules, By: fleetName, Why: "a change of the plan's", At: at}
+		v := agreement.Version{Number: p.known, Rules: rules, By: fleetName, Reason: "a change of the plan's", At: at}
 		record, taken := f.order(v, n)
 		if p.known = max(p.known, record.InForce.Number); taken {
 			f.mu.Lock()
