--- a/internal/failover/guide.go
+++ b/internal/failover/guide.go
@@ -35,7 +35,7 @@
 	until brain.Clock
 }
 
-var _ routing.Guide = (*Guide)(nil)
+var _ routing.ZoneRouter = (*Guide)(nil)
 
 // New makes it for a dispatcher.
 func New(name string, p *protocol.Live) *Guide {
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -62,9 +62,9 @@
 
 // jobs counts those that ended since the start, and those of them that were refused or failed.
 func (a *agreed) jobs() (ended, bad uint64) {
-	for _, t := range a.d.core.Counters().Figures().Classes {
-		ended += uint64(t.Served + t.Refused + t.Failed)
-		bad += uint64(t.Refused + t.Failed)
+	for _, t := range a.d.core.Counters().Metrics().Classes {
+		ended += uint64(t.Served + t.Rejected + t.Failed)
+		bad += uint64(t.Rejected + t.Failed)
 	}
 	return ended, bad
 }
@@ -100,21 +100,21 @@
 	o := fleet.Options{Settings: s, Name: cfg.Name, Zone: zone, Apply: a.apply, Jobs: a.jobs, Meter: d.meter, Log: d.log}
 	if zones != nil {
 		a.guide = failover.New(cfg.Name, d.params)
-		d.core.Guided(a.guide)
+		d.core.SetZoneRouter(a.guide)
 		o.Failover, o.Report, o.Urgent, o.Planned = zones, a.guide.Report, a.guide.Urgent, a.guide.Follow
 	}
 	if load != nil {
-		o.Overload, o.Firsts, o.Among = load, d.core.Firsts, func() int { return d.params.Now().ReplicasOfMe }
+		o.Overload, o.Firsts, o.Among = load, d.core.FirstAttempts, func() int { return d.params.Now().ReplicasOfMe }
 	}
 	if a.agent, err = fleet.New(o); err != nil {
 		return err
 	}
 	d.agreed, d.budgeted = a, true
 	if load != nil {
-		d.core.Spending(spend{a.agent})
+		d.core.SetFleetBudget(spend{a.agent})
 	}
 	may := func() bool { return a.agent.Stand().Rules.RetriesAllowed }
-	d.core.Repeats(may)
+	d.core.SetRetryPermission(may)
 	d.fleet.Repeats = may
 	return nil
 }
@@ -133,12 +133,12 @@
 	out := make(map[string]bool, len(s.Rules.DetachedWorkers))
 	for _, id := range s.Rules.DetachedWorkers {
 		if out[id] = true; !a.out[id] {
-			a.d.core.Put(brain.WorkerID(id), true)
+			a.d.core.SetDetached(brain.WorkerID(id), true)
 		}
 	}
 	for id := range a.out {
 		if !out[id] && !slices.Contains(own, id) {
-			a.d.core.Put(brain.WorkerID(id), false)
+			a.d.core.SetDetached(brain.WorkerID(id), false)
 		}
 	}
 	a.out = out
@@ -150,7 +150,7 @@
 	if a.fleet >= 0 && (share < 0 || a.fleet < share) {
 		share = a.fleet
 	}
-	a.d.core.Limit(share)
+	a.d.core.SetRetryRatio(share)
 }
 
 // has tells whether the fleet has a box out.
@@ -166,7 +166,7 @@
 // limit puts the operator's own bound on further calls in force.
 func (d *dispatcher) limit(share float64) {
 	if d.retries = share; d.agreed == nil {
-		d.core.Limit(share)
+		d.core.SetRetryRatio(share)
 		return
 	}
 	d.agreed.mu.Lock()
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -27,15 +27,15 @@
 
 func (o *operations) Ready() bool { return o.d.serving.Load() }
 func (o *operations) Metrics() string {
-	counted := o.d.core.Counters().Figures()
+	counted := o.d.core.Counters().Metrics()
 	figures := protocol.Figures(counted)
 	unanswered := 0
 	for _, f := range o.d.fronts {
 		unanswered += f.gate.Unanswered()
 	}
 	figures += fmt.Sprintf("connections_unanswered=%d\n", unanswered)
-	if !counted.ListHeard.IsZero() {
-		figures += fmt.Sprintf("list_age_ms=%d\n", time.Since(counted.ListHeard).Milliseconds())
+	if !counted.ListReceivedAt.IsZero() {
+		figures += fmt.Sprintf("list_age_ms=%d\n", time.Since(counted.ListReceivedAt).Milliseconds())
 	}
 	if o.d.http2 != nil {
 		figures += o.d.http2.Figures()
@@ -48,7 +48,7 @@
 	}
 	if o.d.agreed != nil {
 		s := o.d.agreed.agent.Stand()
-		figures += fmt.Sprintf("repeats_denied=%d\nfleet_version=%d\nfleet_lapsed=%t\n", counted.RepeatsDenied, s.Versions[len(s.Versions)-1], s.LeaseExpired)
+		figures += fmt.Sprintf("repeats_denied=%d\nfleet_version=%d\nfleet_lapsed=%t\n", counted.FleetRetriesDenied, s.Versions[len(s.Versions)-1], s.LeaseExpired)
 		control := o.d.meter.Counts()
 		for _, kind := range slices.Sorted(maps.Keys(control)) {
 			c := control[kind]
@@ -75,7 +75,7 @@
 	defer stop()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	known, err := o.d.core.Knows(ctx, brain.WorkerID(id))
+	known, err := o.d.core.KnowsWorker(ctx, brain.WorkerID(id))
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	if err := o.file.put(id, out); err != nil {
 		return err
 	}
-	o.d.core.Put(brain.WorkerID(id), out)
+	o.d.core.SetDetached(brain.WorkerID(id), out)
 	if o.d.saved != nil {
 		o.d.saved.keeper.Out(o.file.list())
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -45,7 +45,7 @@
 	params     *protocol.Live
 	core       *routing.Core
 	fleet      *transport.Fleet
-	set        *routing.Destinations
+	set        *routing.EndpointList
 	ids        *transport.OpenIDs
 	keys       *transport.Keys   // nil where each request is a job of its own
 	accounts   *transport.Shares // nil where accounts have none
@@ -149,7 +149,7 @@
 		// What the agent has counts from the first moment on. Clients wait in the listeners' queues for it, but not for one
 		// that is silent.
 		select {
-		case <-d.set.First():
+		case <-d.set.FirstCallDone():
 		case <-time.After(agentFirst):
 		}
 	}
@@ -171,10 +171,10 @@
 	case err := <-failed:
 		return fmt.Errorf("listen: %w", err)
 	case s := <-signals:
-		log.Info("leaving", "signal", s.String(), "open", d.core.Open(), "replaced", d.passed.Load())
+		log.Info("leaving", "signal", s.String(), "open", d.core.OpenRequests(), "replaced", d.passed.Load())
 	}
 	d.agreed.leave(d.leave())
-	log.Info("left", "open", d.core.Open())
+	log.Info("left", "open", d.core.OpenRequests())
 	return nil
 }
 
@@ -186,40 +186,40 @@
 	})
 	d.register(&cfg.Settings)
 	d.fleet = transport.NewFleet(d.ctx, p, d.core, log)
-	known, source := routing.Update{}, routing.Source{Name: "none"}
+	known, source := routing.ListUpdate{}, routing.ListSource{Name: "none"}
 	if cfg.Known != nil {
 		known, source.Name = transport.Update(cfg.Known, p.Now()), "known"
 	}
 	if op.Saved != nil {
 		d.saved = d.openSaved(op.Saved, cfg.Name, p.Now())
 	}
-	var from *routing.FromSaved
+	var from *routing.CachedStart
 	if pred != nil && !pred.handover.Unsure { // it knows the list as of now
 		if u, err := pred.handover.Update(cfg.Discovery, p.Now()); err == nil {
-			known, source = u, routing.Source{Name: "predecessor", Told: time.Now()}
+			known, source = u, routing.ListSource{Name: "predecessor", ConfirmedAt: time.Now()}
 		} else {
 			log.Warn("the predecessor's list is of no use", "err", err)
 		}
 	} else if d.saved != nil {
-		if from = d.saved.from(clock); from != nil && !from.Trust.Usable() {
-			age, _ := from.Trust.Age()
+		if from = d.saved.from(clock); from != nil && !from.Assessor.Usable() {
+			age, _ := from.Assessor.Age()
 			log.Warn("the saved list is too old to be used", "age", age)
 			from = nil
 		}
 	}
 	if from != nil {
-		known = routing.Update{}
+		known = routing.ListUpdate{}
 	}
 	discovery := transport.NewDiscovery(cfg.Discovery, p, d.meter)
-	d.set = routing.NewDestinations(d.core, d.fleet, discovery, known, log)
+	d.set = routing.NewEndpointList(d.core, d.fleet, discovery, known, log)
 	d.set.SetSource(source)
-	d.set.Pace(func() pacing.Rules { return transport.PacingRules(p.Now()) })
+	d.set.SetPollRules(func() pacing.Rules { return transport.PacingRules(p.Now()) })
 	if from != nil {
-		d.set.StartFrom(from)
-		age, ok := from.Trust.Age()
-		log.Info("starting from the saved list", "boxes", len(from.Destinations), "age", age, "age_known", ok)
+		d.set.StartFromCache(from)
+		age, ok := from.Assessor.Age()
+		log.Info("starting from the saved list", "boxes", len(from.Endpoints), "age", age, "age_known", ok)
 	}
-	d.core.Attach(d.fleet, d.set.Subscribe)
+	d.core.SetEndpoints(d.fleet, d.set.Subscribe)
 	d.reloader = &reloader{d: d, env: env, discovery: discovery, cfg: cfg, path: options.Operator, op: op}
 
 	if s := op.Keyed(); s != nil {
@@ -294,7 +294,7 @@
 // register has the figures of all classes stand from the start.
 func (d *dispatcher) register(p *protocol.Params) {
 	for i := range p.Classes {
-		d.core.Counters().Class(p.Classes[i].Name)
+		d.core.Counters().AddClass(p.Classes[i].Name)
 	}
 }
 
@@ -303,7 +303,7 @@
 	d.serving.Store(false)
 	leave := time.Now()
 	end := leave.Add(min(d.params.Now().LongestDeadline(), mostCounted) + killSlack)
-	d.core.Ending(end.Add(-lastAnswer))
+	d.core.StartShutdown(end.Add(-lastAnswer))
 	passed := d.passed.Load()
 	for _, f := range d.fronts {
 		f.handler.Leaving()
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -55,7 +55,7 @@
 	}
 	if err != nil {
 		r.d.log.Error("reload refused, the old file stays in force", "err", err) // first: who sees the figure finds the reason
-		r.d.core.Counters().Reloaded(false)
+		r.d.core.Counters().CountReload(false)
 		return
 	}
 	put()
@@ -68,11 +68,11 @@
 	r.d.mu.Unlock()
 	r.d.deal()
 	// The module hears first, by the same mailbox that brings it the jobs: none comes under rules that it does not know.
-	r.d.params.Put(&cfg.Settings, r.d.core.Retune)
+	r.d.params.Put(&cfg.Settings, r.d.core.ApplySettings)
 	r.d.register(&cfg.Settings)
 	if cfg.Discovery != old.Discovery || !slices.Equal(cfg.Settings.Zones, old.Settings.Zones) || !slices.Equal(cfg.Settings.Flavors, old.Settings.Flavors) {
 		next := transport.NewDiscovery(cfg.Discovery, r.discovery.Params, r.d.meter)
-		r.d.set.Move(next)
+		r.d.set.ChangeDiscovery(next)
 		r.discovery = next
 	}
 	later := r.op.Later(op) // what is built in at the start
@@ -87,7 +87,7 @@
 	}
 	r.d.agreed.reloaded()
 	r.d.log.Info("reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Settings.Classes), "from_next_start", later)
-	r.d.core.Counters().Reloaded(true)
+	r.d.core.Counters().CountReload(true)
 }
 
 // prepare reads what the operator's file names, and gives what puts it in force.
--- a/internal/program/replace.go
+++ b/internal/program/replace.go
@@ -92,10 +92,10 @@
 	learned := p.handover.Experience
 	learned.Classes = d.params.Number(p.handover.Classes)
 	for id, w := range learned.Workers { // its clock is not this process's, and the list that came with it names the same starts
-		w.StartedAt = d.set.Started(id)
+		w.StartedAt = d.set.StartedAt(id)
 		learned.Workers[id] = w
 	}
-	d.core.Succeed(learned) // behind the list, which was told when it was made
+	d.core.AdoptLearnedState(learned) // behind the list, which was told when it was made
 	d.takeHeld(&protocol.Held{Outbound: d.shares.outbound / 2})
 	d.besideKeys(p.sibling, p.handover.Relay, true)
 	go func() {
@@ -155,17 +155,17 @@
 // precede lives with a successor until one of both is gone. It tells whether the successor served to the end.
 func (d *dispatcher) precede(sibling *transport.Sibling) (replaced bool) {
 	defer sibling.Close()
-	known, err := d.set.Known(d.ctx)
+	known, err := d.set.Snapshot(d.ctx)
 	if err != nil {
 		return false
 	}
-	learned, err := d.core.Experience(d.ctx)
+	learned, err := d.core.LearnedState(d.ctx)
 	if err != nil {
 		return false
 	}
 	h := &protocol.Handover{Unsure: d.set.Source().Name == "saved", Discovery: d.reloader.address(), Revision: known.Revision, Relay: d.relay,
 		Experience: learned, Classes: d.params.ByName(learned),
-		Members: protocol.KnownMembers(known.Destinations, d.params.Now())}
+		Members: protocol.KnownMembers(known.Endpoints, d.params.Now())}
 	var gates []*transport.Gate
 	for _, f := range d.fronts {
 		h.Fronts, gates = append(h.Fronts, f.name), append(gates, f.gate)
@@ -214,7 +214,7 @@
 		f.gate.Pause()
 		f.handler.Passing(true)
 	}
-	d.log.Info("successor serves: taking no new clients", "open", d.core.Open())
+	d.log.Info("successor serves: taking no new clients", "open", d.core.OpenRequests())
 	go func() {
 		last := protocol.Held{}
 		for tick := time.NewTicker(heldEvery); ; {
@@ -269,10 +269,10 @@
 	d.other = k
 	d.mu.Unlock()
 	if k != nil {
-		d.core.Shared(2)
+		d.core.SetProcessCount(2)
 		return
 	}
-	d.core.Shared(1)
+	d.core.SetProcessCount(1)
 	d.besideKeys(nil, "", false)
 }
 
@@ -292,6 +292,6 @@
 // putOut puts workers out that were out before.
 func (d *dispatcher) putOut(ids []string) {
 	for _, id := range ids {
-		d.core.Put(brain.WorkerID(id), true)
+		d.core.SetDetached(brain.WorkerID(id), true)
 	}
 }
--- a/internal/program/saved.go
+++ b/internal/program/saved.go
@@ -43,7 +43,7 @@
 }
 
 // from gives a start from what was loaded; nil where that is of no use.
-func (sv *saved) from(clock routing.Clock) *routing.FromSaved {
+func (sv *saved) from(clock routing.Clock) *routing.CachedStart {
 	s := sv.loaded
 	if s == nil || len(s.Members) == 0 {
 		return nil
@@ -53,39 +53,39 @@
 	for _, id := range s.Out {
 		out[id] = true
 	}
-	f := &routing.FromSaved{Destinations: map[brain.WorkerID]routing.Destination{}, Learned: s.Experience(),
-		Pulled: p.LoadReport.Via == "pull"}
-	f.Learned.Classes = sv.d.params.Number(s.Classes)
-	for _, c := range f.Learned.Classes {
+	f := &routing.CachedStart{Endpoints: map[brain.WorkerID]routing.Endpoint{}, LearnedState: s.Experience(),
+		ReportsPulled: p.LoadReport.Via == "pull"}
+	f.LearnedState.Classes = sv.d.params.Number(s.Classes)
+	for _, c := range f.LearnedState.Classes {
 		usual := math.NaN()
 		if c.Jobs > 0 {
 			usual = c.MeanLogRuntime
 		}
-		f.Usual = append(f.Usual, usual)
+		f.MeanLogRuntime = append(f.MeanLogRuntime, usual)
 	}
 	list := savedlist.CachedList{ConfirmedAt: clock.At(s.Made()), Revision: s.Revision}
 	for i, d := range s.List().Destinations(p) {
-		f.Destinations[d.ID] = d
+		f.Endpoints[d.ID] = d
 		w := savedlist.CachedWorker{ID: d.ID, State: d.State, Detached: out[string(d.ID)], StartedAt: d.StartedAt}
 		if ms := s.Members[i].HeardMS; ms > 0 {
 			w.LastSignal = time.Duration(ms) * time.Millisecond
 		}
 		list.Workers = append(list.Workers, w)
 	}
-	f.Trust = savedlist.New(clock.Now(), list, sv.rules)
+	f.Assessor = savedlist.New(clock.Now(), list, sv.rules)
 	return f
 }
 
 // keep has the list kept from now on.
 func (sv *saved) keep(ctx context.Context) {
 	sv.keeper = store.NewKeeper(sv.store, sv.loaded, sv, sv.d.reloader.address, sv.d.params.Now, sv.d.log)
-	sv.d.set.Keep(sv.keeper)
+	sv.d.set.SetStore(sv.keeper)
 	go sv.keeper.Run(ctx)
 }
 
 // Experience gives what the module has learned.
 func (sv *saved) LearnedState(ctx context.Context) (brain.LearnedState, map[string]brain.ClassStatistics, error) {
-	e, err := sv.d.core.Experience(ctx)
+	e, err := sv.d.core.LearnedState(ctx)
 	return e, sv.d.params.ByName(e), err
 }
 
@@ -94,13 +94,13 @@
 	src := sv.d.set.Source()
 	var b strings.Builder
 	fmt.Fprintf(&b, "list_source=%s\n", src.Name)
-	if !src.Told.IsZero() {
-		fmt.Fprintf(&b, "list_age_s=%d\n", int(time.Since(src.Told).Seconds()))
+	if !src.ConfirmedAt.IsZero() {
+		fmt.Fprintf(&b, "list_age_s=%d\n", int(time.Since(src.ConfirmedAt).Seconds()))
 	}
 	if src.Name == "saved" {
-		fmt.Fprintf(&b, "list_doubted=%d\n", oneIf(src.Doubting))
+		fmt.Fprintf(&b, "list_doubted=%d\n", oneIf(src.AwaitingConfirmation))
 		for stage, name := range []string{"unheard", "foreign", "absent", "heard", "proven", "barred"} {
-			fmt.Fprintf(&b, "boxes_%s=%d\n", name, src.Stages[stage])
+			fmt.Fprintf(&b, "boxes_%s=%d\n", name, src.TrustLevels[stage])
 		}
 	}
 	k := sv.keeper.State()
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -77,10 +77,10 @@
 
 // Destinations gives the list in the core's terms. Zones and kinds are numbered as in the settings;
 // one that they do not name is -1.
-func (l *List) Destinations(p *Params) []routing.Destination {
-	ds := make([]routing.Destination, 0, len(l.Members))
+func (l *List) Destinations(p *Params) []routing.Endpoint {
+	ds := make([]routing.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
-		d := routing.Destination{Address: m.HostPort, WorkerInfo: brain.WorkerInfo{
+		d := routing.Endpoint{Address: m.HostPort, WorkerInfo: brain.WorkerInfo{
 			ID: brain.WorkerID(m.ID), State: phases[m.Phase], Cell: m.Cell, Weight: m.Size,
 			Zone: slices.Index(p.Zones, m.Locality), MachineKind: slices.Index(p.Flavors, m.Flavor),
 		}}
--- a/internal/protocol/inbound.go
+++ b/internal/protocol/inbound.go
@@ -25,7 +25,7 @@
 	ID        string
 	Class     int // its number in the module
 	ClassName string
-	Rules     routing.Rules
+	Rules     routing.RequestLimits
 	Window    time.Duration // how long repeats of the class are remembered
 	Key       string        // Idempotency-Key
 	Account   string        // Req-Owner: whose job it is
@@ -73,7 +73,7 @@
 		return nil, reject(http.StatusNotFound, "no class %q", name)
 	}
 	j := &Job{ID: r.Header.Get("Req-Id"), Class: p.numbers[class], ClassName: name, Window: p.Classes[class].Window.Span(),
-		Rules: routing.Rules{MaxAttempts: p.Limits.MaxAttempts, AnswerSlack: p.Rules.AnswerSlack.Span()}, Key: r.Header.Get("Idempotency-Key"),
+		Rules: routing.RequestLimits{MaxAttempts: p.Limits.MaxAttempts, AnswerSlack: p.Rules.AnswerSlack.Span()}, Key: r.Header.Get("Idempotency-Key"),
 		Account: r.Header.Get("Req-Owner"),
 		Method:  r.Method, Target: r.URL.RequestURI(), Slots: 1, Pass: http.Header{}}
 	if kind := r.Header.Get("Req-Kind"); kind != "" && kind != name {
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -154,7 +154,7 @@
 		WeightByWork:  p.CountedBy == "work",
 	}
 	if s.ListPolled {
-		s.ListValidity = routing.ListTold + p.Rules.DrainGrace.Span()
+		s.ListValidity = routing.ListNotificationDeadline + p.Rules.DrainGrace.Span()
 	}
 	for i, c := range p.Classes {
 		class := brain.Class{
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -32,7 +32,7 @@
 	"held": Held{Inbound: []int{51, 52}, Outbound: 53, Jobs: 54},
 	"remembered": Remembered{
 		Key: "key-1", ID: "id-1", Digest: []byte{61, 62}, Events: []Event{{ID: "id-2", Name: "name-1", Data: "data-1", Retry: 63}},
-		Answer: routing.Answer{Verdict: routing.Refused, Result: []byte{64, 65}, RetryAfter: 66, Expired: true},
+		Answer: routing.Answer{Verdict: routing.Rejected, Result: []byte{64, 65}, RetryAfter: 66, DeadlinePassed: true},
 		Forget: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC), ForgetIn: 67, Started: true,
 	},
 	"note": Note{
--- a/internal/protocol/succession.go
+++ b/internal/protocol/succession.go
@@ -97,10 +97,10 @@
 }
 
 // KnownMembers gives destinations in the words of discovery, whose numbers of zones and kinds are each process's own.
-func KnownMembers(ds []routing.Destination, p *Params) (known []Known) {
+func KnownMembers(ds []routing.Endpoint, p *Params) (known []Known) {
 	now := time.Now()
 	for i, m := range Members(ds, p) {
-		k := Known{Member: m, Told: ds[i].Told, StartedAgo: ds[i].Age}
+		k := Known{Member: m, Told: ds[i].NotifiedAt, StartedAgo: ds[i].Age}
 		if !k.Told.IsZero() {
 			k.ToldAgo = max(now.Sub(k.Told), time.Nanosecond)
 		}
@@ -110,7 +110,7 @@
 }
 
 // Members gives destinations in the words of discovery.
-func Members(ds []routing.Destination, p *Params) (members []Member) {
+func Members(ds []routing.Endpoint, p *Params) (members []Member) {
 	name := func(names []string, i int) string {
 		if i < 0 || i >= len(names) {
 			return ""
@@ -131,22 +131,22 @@
 }
 
 // Update gives the predecessor's list in the core's terms. Its revision counts only where both ask the same discovery.
-func (s *Handover) Update(discovery string, p *Params) (routing.Update, error) {
+func (s *Handover) Update(discovery string, p *Params) (routing.ListUpdate, error) {
 	l := List{Revision: s.Revision, Complete: true}
 	for _, k := range s.Members {
 		l.Members = append(l.Members, k.Member)
 	}
 	if err := l.Check(); err != nil {
-		return routing.Update{}, err
+		return routing.ListUpdate{}, err
 	}
-	u := routing.Update{Revision: s.Revision, Complete: true, Destinations: l.Destinations(p)}
+	u := routing.ListUpdate{Revision: s.Revision, Complete: true, Endpoints: l.Destinations(p)}
 	if s.Discovery != discovery {
-		u.Revision = routing.Whole
+		u.Revision = routing.FullList
 	}
 	now := time.Now()
-	for i := range u.Destinations {
-		u.Destinations[i].Told = s.Members[i].told(now)
-		u.Destinations[i].Age = s.Members[i].StartedAgo
+	for i := range u.Endpoints {
+		u.Endpoints[i].NotifiedAt = s.Members[i].told(now)
+		u.Endpoints[i].Age = s.Members[i].StartedAgo
 	}
 	return u, nil
 }
--- a/internal/protocol/succession_test.go
+++ b/internal/protocol/succession_test.go
@@ -16,7 +16,7 @@
 	now := time.Now()
 	p := &Params{}
 	told := now.Add(-200 * time.Millisecond)
-	h := Handover{Discovery: "d", Members: KnownMembers([]routing.Destination{{Address: "127.0.0.1:1", Told: told,
+	h := Handover{Discovery: "d", Members: KnownMembers([]routing.Endpoint{{Address: "127.0.0.1:1", NotifiedAt: told,
 		WorkerInfo: brain.WorkerInfo{ID: "a", State: brain.Draining}}}, p)}
 	text, err := json.Marshal(h)
 	if err != nil {
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if off := u.Destinations[0].Told.Sub(told); off < -time.Second || off > time.Second {
+	if off := u.Endpoints[0].NotifiedAt.Sub(told); off < -time.Second || off > time.Second {
 		t.Errorf("the drain was told %v off", off)
 	}
 }
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -30,8 +30,8 @@
 // News is one message of an endpoint about a job.
 type News struct {
 	State State
-	Share float64     // Running: the share that is done
-	End   routing.End // Ended
+	Share float64               // Running: the share that is done
+	End   routing.AttemptResult // Ended
 }
 
 // maxLine bounds one message: a result, escaped at the worst, and its frame.
@@ -51,7 +51,7 @@
 func NewAnswer(id string, resp *http.Response) *Answer {
 	a := &Answer{id: id}
 	if resp.StatusCode != http.StatusOK {
-		end := routing.End{Outcome: brain.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
+		end := routing.AttemptResult{Outcome: brain.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
 		declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 		if declined && resp.Header.Get("Srv-Declined") == "1" {
 			end.Outcome = brain.Full
@@ -119,7 +119,7 @@
 		m.State = state
 	}
 	ended := func(o brain.Outcome) (News, error) {
-		return News{State: Ended, End: routing.End{Outcome: o, Report: loadOf(m.Load)}}, nil
+		return News{State: Ended, End: routing.AttemptResult{Outcome: o, Report: loadOf(m.Load)}}, nil
 	}
 	switch m.State {
 	case "started":
--- a/internal/routing/answers.go
+++ b/internal/routing/answers.go
@@ -15,7 +15,7 @@
 const lagReportEvery = 10 * time.Second
 
 // take takes in what a call brought.
-func (s *Destinations) take(ctx context.Context, c *listCall, m callEnded) {
+func (s *EndpointList) take(ctx context.Context, c *listCall, m callEnded) {
 	now, rules := time.Now(), s.rules()
 	if m.err == nil && s.start.foreign(m.update) {
 		m.err = errForeign
@@ -34,7 +34,7 @@
 }
 
 // takeAnswer takes in what a service told, as far as it counts.
-func (s *Destinations) takeAnswer(ctx context.Context, c *listCall, u Update, now time.Time) {
+func (s *EndpointList) takeAnswer(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
 	order := s.members.Classify(c.answer(u, now))
 	switch {
 	case order == membership.Overtaken:
@@ -55,7 +55,7 @@
 }
 
 // stale notes an answer that told nothing new, and whether the whole list is to be asked for.
-func (s *Destinations) stale(now time.Time, c *listCall, recheck bool) {
+func (s *EndpointList) stale(now time.Time, c *listCall, recheck bool) {
 	if c.service == s.calls.current {
 		c.service.recheck = recheck
 		s.calls.schedule.CallStale(now, c.number, s.rules(), rand.Float64())
@@ -63,7 +63,7 @@
 }
 
 // lagLevel is the level at which an answer with a lower revision is logged: of a row of them one in a while stands out.
-func (s *Destinations) lagLevel(now time.Time) slog.Level {
+func (s *EndpointList) lagLevel(now time.Time) slog.Level {
 	if now.Sub(s.lagged) < lagReportEvery {
 		return slog.LevelDebug
 	}
@@ -72,9 +72,9 @@
 }
 
 // takeList takes in the list, or a change of it, of the service in force.
-func (s *Destinations) takeList(now time.Time, c *listCall, u Update) {
+func (s *EndpointList) takeList(now time.Time, c *listCall, u ListUpdate) {
 	service := c.service
-	fresh := u.Revision != service.revision || len(u.Destinations) > 0
+	fresh := u.Revision != service.revision || len(u.Endpoints) > 0
 	if !service.answered {
 		service.answered = true
 		s.calls.dropFormer()
@@ -83,7 +83,7 @@
 	if again, doubted := s.judge(&u); doubted {
 		u.Complete = false
 		s.apply(c, u, brain.ListDelta, membership.Current)
-		service.revision = Whole
+		service.revision = FullList
 		s.calls.schedule.PollAt(again)
 		return
 	}
@@ -103,8 +103,8 @@
 	if s.keeper != nil {
 		s.keeper.EndpointsUpdated(u)
 	}
-	s.source.Store(&Source{Name: "discovery", Told: now})
-	s.calls.schedule.CallAnswered(now, c.number, now.Sub(c.begun), fresh, u.Early, s.rules(), rand.Float64())
+	s.source.Store(&ListSource{Name: "discovery", ConfirmedAt: now})
+	s.calls.schedule.CallAnswered(now, c.number, now.Sub(c.begun), fresh, u.BeforeWaitEnded, s.rules(), rand.Float64())
 }
 
 // mostLag is how far a replica of discovery may be behind. Nothing of an answer tells.
@@ -112,24 +112,24 @@
 
 // shownAsOf gives as of when an answer tells all that discovery had: for a watch when it came, else when its call was made. A busy
 // service may end a watch whose news has not had its turn: then it tells nothing of that.
-func (s *Destinations) shownAsOf(c *listCall, u Update, fresh bool, now time.Time) time.Time {
+func (s *EndpointList) shownAsOf(c *listCall, u ListUpdate, fresh bool, now time.Time) time.Time {
 	switch {
 	case c.kind != pacing.Watch:
 		return c.begun.Add(-mostLag)
 	case !fresh && s.calls.schedule.ServiceBusy(now):
 		return time.Time{}
-	case u.At.IsZero():
+	case u.ReceivedAt.IsZero():
 		return now.Add(-mostLag)
 	}
-	return u.At.Add(-mostLag)
+	return u.ReceivedAt.Add(-mostLag)
 }
 
 // movedAt has what the list is known of end sooner: behind a move of discovery a change counts as told pacing.Moved later.
-func (s *Destinations) movedAt(now time.Time) {
+func (s *EndpointList) movedAt(now time.Time) {
 	if asOf := now.Add(pacing.MoveNotificationDeadline - pacing.NotificationDeadline); asOf.Before(s.asOf) {
 		s.asOf = asOf
 	}
-	s.core.Listed(brain.EndpointsUpdated{ListKind: brain.ListDelta, AsOf: s.core.clock.At(s.asOf)})
+	s.core.UpdateEndpoints(brain.EndpointsUpdated{ListKind: brain.ListDelta, AsOf: s.core.clock.At(s.asOf)})
 }
 
 func latest(a, b time.Time) time.Time {
@@ -141,7 +141,7 @@
 
 // takeFormer takes in what a service brings that was asked before a move, while the new one has not answered. It tells of
 // workers that changed; which ones there are is the new one's word. A watch there goes on meanwhile.
-func (s *Destinations) takeFormer(ctx context.Context, c *listCall, u Update, now time.Time) {
+func (s *EndpointList) takeFormer(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
 	u.Complete = false
 	s.apply(c, u, brain.ListDelta, membership.Current)
 	c.service.revision, c.service.heard = u.Revision, now
--- a/internal/routing/callfailures.go
+++ b/internal/routing/callfailures.go
@@ -31,7 +31,7 @@
 }
 
 // mended notes that calls succeed again. It is called behind the list has come into force.
-func (s *Destinations) mended() {
+func (s *EndpointList) mended() {
 	if s.failures.calls > 0 {
 		s.log.Info("discovery answers again", "failed_calls", s.failures.calls, "refused", s.failures.refused, "expired", s.failures.expired)
 	}
@@ -39,7 +39,7 @@
 }
 
 // failed notes a failed call. The same fault again is no news: a list that is wrong is wrong at every call.
-func (s *Destinations) failed(c *listCall, err error, now time.Time) {
+func (s *EndpointList) failed(c *listCall, err error, now time.Time) {
 	took, how := now.Sub(c.begun), c.failure(err, now)
 	level := slog.LevelWarn
 	if s.failures.last == err.Error() {
@@ -61,4 +61,4 @@
 }
 
 // age is how long ago discovery last answered.
-func (s *Destinations) age() time.Duration { return time.Since(s.answered).Round(time.Millisecond) }
+func (s *EndpointList) age() time.Duration { return time.Since(s.answered).Round(time.Millisecond) }
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -41,7 +41,7 @@
 // callEnded is what became of a call.
 type callEnded struct {
 	number int
-	update Update
+	update ListUpdate
 	err    error
 }
 
@@ -57,7 +57,7 @@
 	open     []*listCall // the oldest first
 	made     int
 	ended    func(callEnded)
-	ledger   *Ledger
+	ledger   *Counters
 	log      *slog.Logger
 }
 
@@ -70,7 +70,7 @@
 	if !ok || now.Before(at) {
 		return
 	}
-	revisionKnown := l.current.revision != Whole && !l.current.recheck
+	revisionKnown := l.current.revision != FullList && !l.current.recheck
 	kind := l.schedule.CallStarted(now, l.made+1, revisionKnown, l.rules(), rand.Float64())
 	l.begin(ctx, now, l.current, kind)
 }
@@ -84,7 +84,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	c := &listCall{number: l.made, service: to, kind: kind, revision: to.revision, begun: now, stop: stop}
 	if kind == pacing.FullList {
-		c.revision = Whole
+		c.revision = FullList
 	}
 	l.ledger.discoveryCalled(len(l.open) > 0)
 	l.open = append(l.open, c)
@@ -109,7 +109,7 @@
 
 func (l *listCalls) logEnd(c *listCall, m callEnded) {
 	l.log.Debug("discovery called", "call", c.number, "kind", c.kind.String(), "former", c.service != l.current, "revision", c.revision,
-		"took", time.Since(c.begun), "got", m.update.Revision, "complete", m.update.Complete, "lines", len(m.update.Destinations),
+		"took", time.Since(c.begun), "got", m.update.Revision, "complete", m.update.Complete, "lines", len(m.update.Endpoints),
 		"beside", len(l.open), "err", m.err)
 }
 
@@ -130,7 +130,7 @@
 		l.drop(l.former[0])
 		l.former = l.former[1:]
 	}
-	l.current = &service{discovery: to, revision: Whole}
+	l.current = &service{discovery: to, revision: FullList}
 	l.schedule.ServiceMoved(now, rand.Float64())
 }
 
@@ -153,16 +153,16 @@
 }
 
 // answer gives what a call brought in the terms of membership.
-func (c *listCall) answer(u Update, came time.Time) membership.ListResponse {
+func (c *listCall) answer(u ListUpdate, came time.Time) membership.ListResponse {
 	a := membership.ListResponse{Service: c.service.discovery.Service(), Revision: u.Revision, Complete: u.Complete, CalledAt: c.begun, ReceivedAt: came,
-		Endpoints: make([]membership.Endpoint, len(u.Destinations))}
-	for i := range u.Destinations {
-		a.Endpoints[i] = u.Destinations[i].member()
+		Endpoints: make([]membership.Endpoint, len(u.Endpoints))}
+	for i := range u.Endpoints {
+		a.Endpoints[i] = u.Endpoints[i].member()
 	}
 	return a
 }
 
 // failure tells how a call failed, as far as that tells of the service's load.
 func (c *listCall) failure(err error, now time.Time) pacing.Failure {
-	return pacing.ClassifyFailure(errors.Is(err, ErrRefused), now.Sub(c.begun))
+	return pacing.ClassifyFailure(errors.Is(err, ErrDiscoveryRejected), now.Sub(c.begun))
 }
--- a/internal/routing/calls_test.go
+++ b/internal/routing/calls_test.go
@@ -23,14 +23,14 @@
 type scriptedCall struct {
 	kind     pacing.Kind
 	revision int64
-	answer   chan Update // closed for a failure
+	answer   chan ListUpdate // closed for a failure
 	gone     <-chan struct{}
 }
 
 func newScripted() *scripted { return &scripted{calls: make(chan scriptedCall, 64)} }
 
-func (s *scripted) Call(ctx context.Context, revision int64, kind pacing.Kind) (Update, error) {
-	c := scriptedCall{kind, revision, make(chan Update, 1), ctx.Done()}
+func (s *scripted) Call(ctx context.Context, revision int64, kind pacing.Kind) (ListUpdate, error) {
+	c := scriptedCall{kind, revision, make(chan ListUpdate, 1), ctx.Done()}
 	s.calls <- c
 	select {
 	case u, ok := <-c.answer:
@@ -39,7 +39,7 @@
 		}
 		return u, nil
 	case <-ctx.Done():
-		return Update{}, ctx.Err()
+		return ListUpdate{}, ctx.Err()
 	}
 }
 
@@ -58,10 +58,10 @@
 }
 
 // listing starts a destination set's actor on a discovery.
-func listing(t *testing.T, d Discovery) (*Destinations, *updates) {
+func listing(t *testing.T, d Discovery) (*EndpointList, *updates) {
 	c, f := startCore(t)
 	u := &updates{fake: f}
-	s := NewDestinations(c, u, d, Update{}, c.log)
+	s := NewEndpointList(c, u, d, ListUpdate{}, c.log)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
@@ -70,18 +70,18 @@
 	return s, u
 }
 
-func worker(id brain.WorkerID, state brain.WorkerState) Destination {
-	return Destination{WorkerInfo: brain.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
+func worker(id brain.WorkerID, state brain.WorkerState) Endpoint {
+	return Endpoint{WorkerInfo: brain.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
 }
 
 // state gives what the set knows of a worker.
-func state(t *testing.T, s *Destinations, id brain.WorkerID) (brain.WorkerState, bool) {
+func state(t *testing.T, s *EndpointList, id brain.WorkerID) (brain.WorkerState, bool) {
 	t.Helper()
-	u, err := s.Known(context.Background())
+	u, err := s.Snapshot(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, d := range u.Destinations {
+	for _, d := range u.Endpoints {
 		if d.ID == id {
 			return d.State, true
 		}
@@ -103,16 +103,16 @@
 func TestServicesBeforeAMove(t *testing.T) {
 	first, second, third := newScripted(), newScripted(), newScripted()
 	s, _ := listing(t, first)
-	(<-first.calls).answer <- Update{Revision: 1, Complete: true, Destinations: []Destination{worker("a", brain.Ready), worker("b", brain.Ready)}}
+	(<-first.calls).answer <- ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready), worker("b", brain.Ready)}}
 	watch := <-first.calls
 	if watch.kind != pacing.Watch || watch.revision != 1 {
 		t.Fatalf("behind the list came %+v", watch)
 	}
-	s.Move(second)
+	s.ChangeDiscovery(second)
 	close((<-second.calls).answer) // it fails, and nothing is open there
-	s.Move(third)
+	s.ChangeDiscovery(third)
 	whole := <-third.calls
-	watch.answer <- Update{Revision: 2, Destinations: []Destination{worker("a", brain.Draining)}}
+	watch.answer <- ListUpdate{Revision: 2, Endpoints: []Endpoint{worker("a", brain.Draining)}}
 	eventually(t, "the drain that the service before told", func() bool { st, _ := state(t, s, "a"); return st == brain.Draining })
 	again := <-first.calls
 	if again.kind != pacing.Watch || again.revision != 2 {
@@ -121,7 +121,7 @@
 	if first.closes()+second.closes() != 0 {
 		t.Error("a service was let go of before the new one had answered")
 	}
-	whole.answer <- Update{Revision: 70, Complete: true, Destinations: []Destination{worker("b", brain.Ready)}}
+	whole.answer <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{worker("b", brain.Ready)}}
 	eventually(t, "the new list", func() bool { _, known := state(t, s, "a"); return !known })
 	select {
 	case <-again.gone:
@@ -137,9 +137,9 @@
 	s, _ := listing(t, d)
 	late := <-d.calls
 	beside := <-d.calls // the first one is late
-	beside.answer <- Update{Revision: 5, Complete: true, Destinations: []Destination{worker("a", brain.Draining)}}
+	beside.answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", brain.Draining)}}
 	eventually(t, "the newer list", func() bool { st, known := state(t, s, "a"); return known && st == brain.Draining })
-	late.answer <- Update{Revision: 4, Complete: true, Destinations: []Destination{worker("a", brain.Ready)}}
+	late.answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready)}}
 	next := <-d.calls
 	if st, _ := state(t, s, "a"); st != brain.Draining || next.revision != 5 {
 		t.Errorf("the older answer counts: state %v, the next call is behind revision %d", st, next.revision)
@@ -152,21 +152,21 @@
 	t.Parallel()
 	d := newScripted()
 	s, _ := listing(t, d)
-	(<-d.calls).answer <- Update{Revision: 5, Complete: true, Destinations: []Destination{worker("a", brain.Draining)}}
+	(<-d.calls).answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", brain.Draining)}}
 	eventually(t, "the drain", func() bool { st, known := state(t, s, "a"); return known && st == brain.Draining })
 	begun := time.Now()
-	(<-d.calls).answer <- Update{Revision: 4, Complete: true, Destinations: []Destination{worker("a", brain.Ready)}}
+	(<-d.calls).answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready)}}
 	calls := 0
 	for {
 		if st, _ := state(t, s, "a"); st == brain.Ready {
 			break
 		}
 		again := <-d.calls
-		if again.revision != Whole {
+		if again.revision != FullList {
 			t.Errorf("behind a lower revision the next call is behind revision %d", again.revision)
 		}
 		calls++
-		again.answer <- Update{Revision: 4, Complete: true, Destinations: []Destination{worker("a", brain.Ready)}}
+		again.answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready)}}
 		time.Sleep(20 * time.Millisecond)
 	}
 	if took := time.Since(begun); took < membership.MaxStaleness || took > membership.MaxStaleness+4*time.Second || calls > 12 {
@@ -180,15 +180,15 @@
 	t.Parallel()
 	first, second := newScripted(), newScripted()
 	s, _ := listing(t, first)
-	(<-first.calls).answer <- Update{Revision: 5, Complete: true, Destinations: []Destination{worker("a", brain.Draining), worker("b", brain.Ready)}}
+	(<-first.calls).answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", brain.Draining), worker("b", brain.Ready)}}
 	eventually(t, "the drain", func() bool { st, known := state(t, s, "a"); return known && st == brain.Draining })
 	known := time.Now()
-	s.Move(second)
-	list := Update{Revision: 70, Complete: true, Destinations: []Destination{worker("a", brain.Ready), worker("b", brain.Ready)}}
+	s.ChangeDiscovery(second)
+	list := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready), worker("b", brain.Ready)}}
 	(<-second.calls).answer <- list
 	for {
 		call := <-second.calls
-		if call.revision == Whole {
+		if call.revision == FullList {
 			call.answer <- list
 			break
 		}
@@ -196,7 +196,7 @@
 			t.Fatal("the whole list is not asked for again")
 		}
 		time.Sleep(100 * time.Millisecond)
-		call.answer <- Update{Revision: 70}
+		call.answer <- ListUpdate{Revision: 70}
 	}
 	if st, _ := state(t, s, "a"); time.Since(known) < membership.MaxStaleness && st != brain.Draining {
 		t.Errorf("believed %v behind the drain", time.Since(known))
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -20,13 +20,13 @@
 // The verdicts: the result of an endpoint, a promise that nothing ran, neither.
 const (
 	Served Verdict = iota
-	Refused
+	Rejected
 	Failed
 )
 
 // String names a verdict as the log does.
 func (v Verdict) String() string {
-	return [...]string{Served: "served", Refused: "refused", Failed: "failed"}[v]
+	return [...]string{Served: "served", Rejected: "refused", Failed: "failed"}[v]
 }
 
 // guardAfter is how long past its slack a request stays with the module before the core fails it. What
@@ -38,13 +38,13 @@
 type Core struct {
 	module    *brain.Scheduler
 	clock     Clock
-	endpoints Endpoints
+	endpoints EndpointPool
 	subscribe func()
 	log       *slog.Logger
 	mailbox   *Mailbox[any]
 	lastID    atomic.Uint64
-	ledger    Ledger
-	witness   atomic.Pointer[Witness]
+	ledger    Counters
+	witness   atomic.Pointer[Observer]
 	firsts    atomic.Uint64 // first calls
 
 	// Owned by Run.
@@ -53,12 +53,12 @@
 	timers   timers
 	budget   *retries.Budget // of further calls; nil for no bound but the module's
 	repeats  func() bool     // whether anything may be sent a second time now; nil for always
-	spend    Spend           // nil where the fleet has no budgets
-	guide    Guide           // nil where nobody says to which zones jobs may go
+	spend    FleetBudget     // nil where the fleet has no budgets
+	guide    ZoneRouter      // nil where nobody says to which zones jobs may go
 }
 
 type request struct {
-	Inbound
+	Request
 	expires  brain.Clock
 	came     brain.Clock // for the guide
 	answered bool        // final answer given, or the client left: nothing is owed
@@ -76,8 +76,8 @@
 	silent      bool          // the guide has been told that there is no sign of it
 }
 
-// Watch has a witness hear of endpoints from now on; nil for nobody.
-func (c *Core) Watch(w Witness) {
+// SetObserver has a witness hear of endpoints from now on; nil for nobody.
+func (c *Core) SetObserver(w Observer) {
 	if w == nil {
 		c.witness.Store(nil)
 		return
@@ -89,17 +89,17 @@
 type (
 	arrived struct {
 		id brain.RequestID
-		in Inbound
+		in Request
 	}
 	left       struct{ id brain.RequestID }
-	began      struct{ id CallID }
+	began      struct{ id AttemptID }
 	progressed struct {
-		id    CallID
+		id    AttemptID
 		share float64
 	}
 	finished struct {
-		id  CallID
-		end End
+		id  AttemptID
+		end AttemptResult
 	}
 	byHand struct {
 		id  brain.WorkerID
@@ -119,13 +119,15 @@
 		requests: map[brain.RequestID]*request{}}
 }
 
-// Attach names those who carry actions out. subscribe asks for the destination set's changes; it must
+// SetEndpoints names those who carry actions out. subscribe asks for the destination set's changes; it must
 // not block.
-func (c *Core) Attach(e Endpoints, subscribe func()) { c.endpoints, c.subscribe = e, subscribe }
+func (c *Core) SetEndpoints(e EndpointPool, subscribe func()) {
+	c.endpoints, c.subscribe = e, subscribe
+}
 
 // Submit hands in a request and gives it an id of this dispatcher's own counting. Its client gets
 // exactly one answer, unless it leaves before.
-func (c *Core) Submit(in Inbound) brain.RequestID {
+func (c *Core) Submit(in Request) brain.RequestID {
 	id := brain.RequestID(c.lastID.Add(1))
 	c.ledger.taken()
 	c.mailbox.Post(arrived{id, in})
@@ -135,20 +137,22 @@
 // Leave tells that a request's client has gone.
 func (c *Core) ClientLeft(id brain.RequestID) { c.mailbox.Post(left{id}) }
 
-// Ending tells that this process ends: by then all requests must have their answers.
-func (c *Core) Ending(at time.Time) { c.mailbox.Post(brain.ShutdownStarted{Deadline: c.clock.At(at)}) }
+// StartShutdown tells that this process ends: by then all requests must have their answers.
+func (c *Core) StartShutdown(at time.Time) {
+	c.mailbox.Post(brain.ShutdownStarted{Deadline: c.clock.At(at)})
+}
 
-// Listed brings news of the destination set.
-func (c *Core) Listed(l brain.EndpointsUpdated) { c.mailbox.Post(l) }
+// UpdateEndpoints brings news of the destination set.
+func (c *Core) UpdateEndpoints(l brain.EndpointsUpdated) { c.mailbox.Post(l) }
 
 // Began tells that a call's job has started.
-func (c *Core) AttemptStarted(id CallID) { c.mailbox.Post(began{id}) }
+func (c *Core) AttemptStarted(id AttemptID) { c.mailbox.Post(began{id}) }
 
 // Progressed tells how far a call's job is.
-func (c *Core) AttemptProgressed(id CallID, share float64) { c.mailbox.Post(progressed{id, share}) }
+func (c *Core) AttemptProgressed(id AttemptID, share float64) { c.mailbox.Post(progressed{id, share}) }
 
 // Finished ends a call.
-func (c *Core) AttemptFinished(id CallID, end End) { c.mailbox.Post(finished{id, end}) }
+func (c *Core) AttemptFinished(id AttemptID, end AttemptResult) { c.mailbox.Post(finished{id, end}) }
 
 // Probed answers a probe.
 func (c *Core) ProbeCompleted(id brain.WorkerID, o brain.Outcome, r *brain.Report) {
@@ -162,33 +166,33 @@
 }
 
 // Dispatched tells that a call was written to its last byte.
-func (c *Core) AttemptSent() { c.ledger.Dispatched() }
+func (c *Core) AttemptSent() { c.ledger.CountAttemptSent() }
 
-// Open is how many requests wait for their answers.
-func (c *Core) Open() int { return c.ledger.Figures().Concurrent }
+// OpenRequests is how many requests wait for their answers.
+func (c *Core) OpenRequests() int { return c.ledger.Metrics().OpenRequests }
 
 // Ledger is the account that the core keeps.
-func (c *Core) Counters() *Ledger { return &c.ledger }
+func (c *Core) Counters() *Counters { return &c.ledger }
 
-// Put takes a worker out by hand, or puts it back. From then on the module knows.
-func (c *Core) Put(id brain.WorkerID, out bool) { c.mailbox.Post(byHand{id, out}) }
+// SetDetached takes a worker out by hand, or puts it back. From then on the module knows.
+func (c *Core) SetDetached(id brain.WorkerID, out bool) { c.mailbox.Post(byHand{id, out}) }
 
-// Knows tells whether a worker was ever listed, or is out by hand.
-func (c *Core) Knows(ctx context.Context, id brain.WorkerID) (bool, error) {
+// KnowsWorker tells whether a worker was ever listed, or is out by hand.
+func (c *Core) KnowsWorker(ctx context.Context, id brain.WorkerID) (bool, error) {
 	answer := make(chan bool, 1)
 	c.mailbox.Post(knows{id, answer})
 	return await(ctx, answer)
 }
 
-// Experience gives what the module has learned.
-func (c *Core) Experience(ctx context.Context) (brain.LearnedState, error) {
+// LearnedState gives what the module has learned.
+func (c *Core) LearnedState(ctx context.Context) (brain.LearnedState, error) {
 	answer := make(chan brain.LearnedState, 1)
 	c.mailbox.Post(learned{answer})
 	return await(ctx, answer)
 }
 
-// Succeed has the module begin with what another process has learned.
-func (c *Core) Succeed(e brain.LearnedState) {
+// AdoptLearnedState has the module begin with what another process has learned.
+func (c *Core) AdoptLearnedState(e brain.LearnedState) {
 	c.mailbox.Post(brain.HandoverCompleted{LearnedState: e})
 }
 
@@ -203,17 +207,19 @@
 	}
 }
 
-// Retune puts new settings in force for the requests that come from now on.
-func (c *Core) Retune(s brain.Settings) { c.mailbox.Post(brain.SettingsChanged{Settings: s}) }
+// ApplySettings puts new settings in force for the requests that come from now on.
+func (c *Core) ApplySettings(s brain.Settings) { c.mailbox.Post(brain.SettingsChanged{Settings: s}) }
 
-// Repeats names who says whether anything may be sent a second time. It is set before Run and must not block.
-func (c *Core) Repeats(may func() bool) { c.repeats = may }
+// SetRetryPermission names who says whether anything may be sent a second time. It is set before Run and must not block.
+func (c *Core) SetRetryPermission(may func() bool) { c.repeats = may }
 
-// Limit puts a budget in force for requests' further calls: so many for each first one; below 0 for none.
-func (c *Core) Limit(share float64) { c.mailbox.Post(limited{share}) }
+// SetRetryRatio puts a budget in force for requests' further calls: so many for each first one; below 0 for none.
+func (c *Core) SetRetryRatio(share float64) { c.mailbox.Post(limited{share}) }
 
-// Shared tells how many processes act as this dispatcher.
-func (c *Core) Shared(processes int) { c.mailbox.Post(brain.ProcessCountChanged{Processes: processes}) }
+// SetProcessCount tells how many processes act as this dispatcher.
+func (c *Core) SetProcessCount(processes int) {
+	c.mailbox.Post(brain.ProcessCountChanged{Processes: processes})
+}
 
 // Run is the actor's life.
 func (c *Core) Run(ctx context.Context) {
@@ -260,14 +266,14 @@
 func (c *Core) take(m any) {
 	switch m := m.(type) {
 	case arrived:
-		r := &request{Inbound: m.in, expires: c.clock.At(m.in.Deadline)}
+		r := &request{Request: m.in, expires: c.clock.At(m.in.Deadline)}
 		c.requests[m.id] = r
-		heap.Push(&c.timers, timer{at: r.expires + r.Rules.AnswerSlack + guardAfter, guard: m.id})
+		heap.Push(&c.timers, timer{at: r.expires + r.Limits.AnswerSlack + guardAfter, guard: m.id})
 		within, ok := c.bound(m.id, r)
 		if !ok {
 			return
 		}
-		c.feed(brain.RequestArrived{ID: m.id, Class: r.Class, Slots: r.Slots, EstimatedWork: r.Work, AffinityKey: r.Key, Deadline: r.expires, AllowedZones: within})
+		c.feed(brain.RequestArrived{ID: m.id, Class: r.Class, Slots: r.Slots, EstimatedWork: r.EstimatedWork, AffinityKey: r.AffinityKey, Deadline: r.expires, AllowedZones: within})
 	case left:
 		if r := c.requests[m.id]; r != nil && !r.answered {
 			r.answered = true
@@ -281,16 +287,16 @@
 				c.guide.AttemptStarted(c.now, a.endpoint)
 			}
 			if !r.answered {
-				r.Client.AttemptStarted(m.id.Attempt)
+				r.Client.AttemptStarted(m.id.Number)
 			}
-			c.feed(brain.AttemptStarted{ID: m.id.Request, Attempt: m.id.Attempt, Worker: a.endpoint})
+			c.feed(brain.AttemptStarted{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint})
 		}
 	case progressed:
 		if r, a := c.call(m.id); a != nil {
 			if !r.answered {
-				r.Client.AttemptProgressed(m.id.Attempt, m.share)
+				r.Client.AttemptProgressed(m.id.Number, m.share)
 			}
-			c.feed(brain.AttemptProgressed{ID: m.id.Request, Attempt: m.id.Attempt, Worker: a.endpoint, Share: m.share})
+			c.feed(brain.AttemptProgressed{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint, Share: m.share})
 		}
 	case finished:
 		c.finish(m.id, m.end)
@@ -323,17 +329,17 @@
 }
 
 // call finds a call that has no outcome yet.
-func (c *Core) call(id CallID) (*request, *call) {
+func (c *Core) call(id AttemptID) (*request, *call) {
 	r := c.requests[id.Request]
-	if r == nil || id.Attempt < 0 || id.Attempt >= len(r.calls) || !r.calls[id.Attempt].out {
+	if r == nil || id.Number < 0 || id.Number >= len(r.calls) || !r.calls[id.Number].out {
 		return nil, nil
 	}
-	return r, &r.calls[id.Attempt]
+	return r, &r.calls[id.Number]
 }
 
 // finish ends a call, once: a second outcome of the same call finds it closed. The first that was served
 // is the client's answer.
-func (c *Core) finish(id CallID, end End) {
+func (c *Core) finish(id AttemptID, end AttemptResult) {
 	r, a := c.call(id)
 	if a == nil {
 		return
@@ -349,8 +355,8 @@
 		}
 		c.answer(r, Answer{Verdict: Served, Result: end.Result})
 	}
-	c.feed(brain.AttemptFinished{ID: id.Request, Attempt: id.Attempt, Worker: a.endpoint, Outcome: end.Outcome,
-		Final: r.answered, Report: end.Report, ConnectionIdle: end.Idle})
+	c.feed(brain.AttemptFinished{ID: id.Request, Attempt: id.Number, Worker: a.endpoint, Outcome: end.Outcome,
+		Final: r.answered, Report: end.Report, ConnectionIdle: end.ConnectionIdle})
 	c.forget(id.Request, r)
 }
 
@@ -358,7 +364,7 @@
 // request here that would else stay open for ever.
 func (c *Core) overdue(id brain.RequestID) {
 	if r := c.requests[id]; r != nil && !r.answered {
-		c.log.Error("request overdue: failed by the core", "request", id, "id", r.Name)
+		c.log.Error("request overdue: failed by the core", "request", id, "id", r.LogName)
 		c.answer(r, Answer{Verdict: Failed})
 		c.feed(brain.ClientLeft{ID: id})
 		c.forget(id, r)
@@ -370,7 +376,7 @@
 	if r.answered {
 		return
 	}
-	a.Expired = a.Verdict != Served && (r.timedOut || c.now >= r.expires-r.Rules.AnswerSlack)
+	a.DeadlinePassed = a.Verdict != Served && (r.timedOut || c.now >= r.expires-r.Limits.AnswerSlack)
 	r.answered = true
 	c.ledger.answered(r.ClassName, a.Verdict, r.sent || r.out > 0)
 	c.logAnswer(r, a)
@@ -386,7 +392,7 @@
 	for i := range r.calls {
 		attempts = append(attempts, fmt.Sprintf("%s %s", r.calls[i].endpoint, r.calls[i].state()))
 	}
-	c.log.Debug("answered", "id", r.Name, "verdict", a.Verdict.String(), "expired", a.Expired, "attempts", attempts)
+	c.log.Debug("answered", "id", r.LogName, "verdict", a.Verdict.String(), "expired", a.DeadlinePassed, "attempts", attempts)
 }
 
 // state names how an attempt ended, or that it has not.
@@ -411,11 +417,11 @@
 		case brain.Send:
 			c.send(a)
 		case brain.Cancel:
-			if r, call := c.call(CallID{a.ID, a.Attempt}); r != nil {
-				c.endpoints.Cancel(call.endpoint, CallID{a.ID, a.Attempt})
+			if r, call := c.call(AttemptID{a.ID, a.Attempt}); r != nil {
+				c.endpoints.Cancel(call.endpoint, AttemptID{a.ID, a.Attempt})
 			}
 		case brain.Reject:
-			c.final(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
+			c.final(a.ID, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
 		case brain.Fail:
 			c.final(a.ID, Answer{Verdict: Failed})
 		case brain.CloseIdleConnections:
@@ -445,41 +451,41 @@
 
 // send starts a call, unless the request is over, its time has come or it has had all its calls.
 func (c *Core) send(a brain.Send) {
-	id := CallID{a.ID, 0}
+	id := AttemptID{a.ID, 0}
 	r := c.requests[a.ID]
 	if r == nil {
 		c.log.Error("module sent an unknown request", "request", a.ID)
 		return
 	}
-	id.Attempt = len(r.calls)
+	id.Number = len(r.calls)
 	r.calls = append(r.calls, call{endpoint: a.Worker, out: true, sent: c.now})
 	r.out++
-	out := Call{ID: id, Endpoint: a.Worker, Deadline: r.Deadline, Job: r.Job, Gone: r.Gone}
+	out := Attempt{ID: id, Endpoint: a.Worker, Deadline: r.Deadline, Job: r.Job, ClientGone: r.ClientGone}
 	if a.SendBy > 0 {
-		out.By = c.clock.Time(a.SendBy)
+		out.SendBy = c.clock.Time(a.SendBy)
 	}
-	if r.answered || c.now >= r.expires || out.Void(c.clock.Time(c.now)) || r.Rules.MaxAttempts > 0 && id.Attempt >= r.Rules.MaxAttempts {
-		c.AttemptFinished(id, End{Outcome: brain.NeverSent})
+	if r.answered || c.now >= r.expires || out.MustNotSend(c.clock.Time(c.now)) || r.Limits.MaxAttempts > 0 && id.Number >= r.Limits.MaxAttempts {
+		c.AttemptFinished(id, AttemptResult{Outcome: brain.NeverSent})
 		return
 	}
-	if id.Attempt > 0 && c.repeats != nil && !c.repeats() {
+	if id.Number > 0 && c.repeats != nil && !c.repeats() {
 		c.ledger.repeatDenied()
-		c.AttemptFinished(id, End{Outcome: brain.NeverSent})
+		c.AttemptFinished(id, AttemptResult{Outcome: brain.NeverSent})
 		return
 	}
-	if id.Attempt == 0 {
+	if id.Number == 0 {
 		c.firsts.Add(1)
 	} else if c.spend != nil && !c.spend.AllowRetry() {
 		c.ledger.repeatDenied()
-		c.AttemptFinished(id, End{Outcome: brain.NeverSent})
+		c.AttemptFinished(id, AttemptResult{Outcome: brain.NeverSent})
 		return
 	}
 	if c.budget != nil {
-		if id.Attempt == 0 {
+		if id.Number == 0 {
 			c.budget.CountFirstAttempt(c.now, r.ClassName, r.Account)
 		} else if !c.budget.AllowRetry(c.now, r.ClassName, r.Account) {
 			c.ledger.denied(c.budget.Denied())
-			c.AttemptFinished(id, End{Outcome: brain.NeverSent})
+			c.AttemptFinished(id, AttemptResult{Outcome: brain.NeverSent})
 			return
 		}
 	}
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -13,22 +13,22 @@
 
 // fake is all peers of the core at once: it passes what reaches them to the test.
 type fake struct {
-	sent      chan Call
-	cancelled chan CallID
+	sent      chan Attempt
+	cancelled chan AttemptID
 	answers   chan Answer
 }
 
-func (f *fake) Update(Destination)                      {}
-func (f *fake) Send(c Call)                             { f.sent <- c }
-func (f *fake) Cancel(_ brain.WorkerID, id CallID)      { f.cancelled <- id }
+func (f *fake) Update(Endpoint)                         {}
+func (f *fake) Send(c Attempt)                          { f.sent <- c }
+func (f *fake) Cancel(_ brain.WorkerID, id AttemptID)   { f.cancelled <- id }
 func (f *fake) CloseIdle(brain.WorkerID, time.Duration) {}
 func (f *fake) Probe(brain.WorkerID)                    {}
 func (f *fake) SetDetached(brain.WorkerID, time.Time)   {}
 func (f *fake) AttemptStarted(int)                      {}
 func (f *fake) AttemptProgressed(int, float64)          {}
 func (f *fake) Answered(a Answer)                       { f.answers <- a }
-func (f *fake) submit(c *Core, until time.Time) Call {
-	c.Submit(Inbound{Deadline: until, Slots: 1, Client: f, Rules: Rules{MaxAttempts: 4, AnswerSlack: 8 * time.Millisecond}})
+func (f *fake) submit(c *Core, until time.Time) Attempt {
+	c.Submit(Request{Deadline: until, Slots: 1, Client: f, Limits: RequestLimits{MaxAttempts: 4, AnswerSlack: 8 * time.Millisecond}})
 	return <-f.sent
 }
 
@@ -36,13 +36,13 @@
 	set := brain.Settings{Dispatchers: 1, MayCancel: true, MaxAttempts: 4, ReportsStart: true, AnswerSlack: 8 * time.Millisecond,
 		Classes: []brain.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second, Idempotency: brain.NonIdempotent, MachineKind: -1}}}
 	c := NewCore(brain.New(set, 1), NewClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f := &fake{make(chan Call, 16), make(chan CallID, 16), make(chan Answer, 16)}
-	c.Attach(f, func() {})
+	f := &fake{make(chan Attempt, 16), make(chan AttemptID, 16), make(chan Answer, 16)}
+	c.SetEndpoints(f, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	c.Listed(brain.EndpointsUpdated{ListKind: brain.ListCached, Workers: []brain.WorkerInfo{{ID: "a", Weight: 1}}})
+	c.UpdateEndpoints(brain.EndpointsUpdated{ListKind: brain.ListCached, Workers: []brain.WorkerInfo{{ID: "a", Weight: 1}}})
 	return c, f
 }
 
@@ -51,22 +51,22 @@
 	c, f := startCore(t)
 	call := f.submit(c, time.Now().Add(5*time.Second))
 	for range 2 {
-		c.AttemptFinished(call.ID, End{Outcome: brain.Served, Result: []byte("r")})
-		c.AttemptFinished(call.ID, End{Outcome: brain.Reset})
+		c.AttemptFinished(call.ID, AttemptResult{Outcome: brain.Served, Result: []byte("r")})
+		c.AttemptFinished(call.ID, AttemptResult{Outcome: brain.Reset})
 	}
-	c.AttemptFinished(CallID{call.ID.Request, 7}, End{})
+	c.AttemptFinished(AttemptID{call.ID.Request, 7}, AttemptResult{})
 	c.AttemptStarted(call.ID)
 	if a := <-f.answers; a.Verdict != Served || string(a.Result) != "r" {
 		t.Errorf("answered %+v", a)
 	}
 	// What was posted before a further request has been taken when that one is answered.
 	next := f.submit(c, time.Now().Add(5*time.Second))
-	c.AttemptFinished(next.ID, End{Outcome: brain.Errored})
-	if a := <-f.answers; a.Verdict != Failed || a.Expired || len(f.answers) > 0 || next.ID.Request == call.ID.Request {
+	c.AttemptFinished(next.ID, AttemptResult{Outcome: brain.Errored})
+	if a := <-f.answers; a.Verdict != Failed || a.DeadlinePassed || len(f.answers) > 0 || next.ID.Request == call.ID.Request {
 		t.Errorf("answered %+v, %d more answers", a, len(f.answers))
 	}
-	if c.Open() != 0 {
-		t.Errorf("%d open", c.Open())
+	if c.OpenRequests() != 0 {
+		t.Errorf("%d open", c.OpenRequests())
 	}
 }
 
@@ -77,30 +77,30 @@
 	deadline := time.Now().Add(300 * time.Millisecond)
 	call := f.submit(c, deadline)
 	c.AttemptStarted(call.ID)
-	if a := <-f.answers; a.Verdict != Failed || !a.Expired || time.Now().Before(deadline) {
+	if a := <-f.answers; a.Verdict != Failed || !a.DeadlinePassed || time.Now().Before(deadline) {
 		t.Errorf("answered %+v, %v from the deadline", a, time.Since(deadline))
 	}
-	c.AttemptFinished(call.ID, End{Outcome: brain.Served})
+	c.AttemptFinished(call.ID, AttemptResult{Outcome: brain.Served})
 	if c.submitAndFail(f); len(f.answers) > 0 {
 		t.Error("answered twice")
 	}
 }
 
 func (c *Core) submitAndFail(f *fake) {
-	c.AttemptFinished(f.submit(c, time.Now().Add(time.Second)).ID, End{Outcome: brain.Errored})
+	c.AttemptFinished(f.submit(c, time.Now().Add(time.Second)).ID, AttemptResult{Outcome: brain.Errored})
 	<-f.answers
 }
 
 // updates records what endpoints are told of the destination set.
 type updates struct {
 	*fake
-	got []Destination
+	got []Endpoint
 }
 
-func (u *updates) Update(d Destination) { u.got = append(u.got, d) }
+func (u *updates) Update(d Endpoint) { u.got = append(u.got, d) }
 
 // bring has an answer of discovery taken in.
-func bring(s *Destinations, u Update, kind brain.ListKind) {
+func bring(s *EndpointList, u ListUpdate, kind brain.ListKind) {
 	c := &listCall{service: s.calls.current, begun: time.Now()}
 	s.apply(c, u, kind, s.members.Classify(c.answer(u, time.Now())))
 }
@@ -110,15 +110,15 @@
 func TestGraceBeginsOnce(t *testing.T) {
 	c, f := startCore(t)
 	u := &updates{fake: f}
-	line := func(s brain.WorkerState) []Destination {
-		return []Destination{{WorkerInfo: brain.WorkerInfo{ID: "a", State: s}, Address: "h:1"}}
+	line := func(s brain.WorkerState) []Endpoint {
+		return []Endpoint{{WorkerInfo: brain.WorkerInfo{ID: "a", State: s}, Address: "h:1"}}
 	}
-	s := NewDestinations(c, u, newScripted(), Update{Destinations: line(brain.Ready)}, c.log)
-	bring(s, Update{Destinations: line(brain.Draining)}, brain.ListDelta)
-	bring(s, Update{Destinations: line(brain.Draining)}, brain.ListDelta)
-	bring(s, Update{Complete: true}, brain.ListFull)
-	if len(u.got) != 4 || !u.got[0].Told.IsZero() || u.got[1].Told.IsZero() || u.got[3].State != brain.Gone ||
-		u.got[2].Told != u.got[1].Told || u.got[3].Told != u.got[1].Told || u.got[3].Address != "h:1" {
+	s := NewEndpointList(c, u, newScripted(), ListUpdate{Endpoints: line(brain.Ready)}, c.log)
+	bring(s, ListUpdate{Endpoints: line(brain.Draining)}, brain.ListDelta)
+	bring(s, ListUpdate{Endpoints: line(brain.Draining)}, brain.ListDelta)
+	bring(s, ListUpdate{Complete: true}, brain.ListFull)
+	if len(u.got) != 4 || !u.got[0].NotifiedAt.IsZero() || u.got[1].NotifiedAt.IsZero() || u.got[3].State != brain.Gone ||
+		u.got[2].NotifiedAt != u.got[1].NotifiedAt || u.got[3].NotifiedAt != u.got[1].NotifiedAt || u.got[3].Address != "h:1" {
 		t.Errorf("told %+v", u.got)
 	}
 }
@@ -131,9 +131,9 @@
 	if id := <-f.cancelled; id != call.ID {
 		t.Errorf("called off %v, want %v", id, call.ID)
 	}
-	c.AttemptFinished(call.ID, End{Outcome: brain.Cancelled})
-	if c.submitAndFail(f); len(f.answers) > 0 || c.Open() != 0 {
-		t.Errorf("%d answers, %d open", len(f.answers), c.Open())
+	c.AttemptFinished(call.ID, AttemptResult{Outcome: brain.Cancelled})
+	if c.submitAndFail(f); len(f.answers) > 0 || c.OpenRequests() != 0 {
+		t.Errorf("%d answers, %d open", len(f.answers), c.OpenRequests())
 	}
 }
 
@@ -150,18 +150,18 @@
 		{outcomes: []brain.Outcome{brain.Full}},
 		{out: 1},
 	} {
-		f := &fake{make(chan Call, 16), make(chan CallID, 16), make(chan Answer, 16)}
+		f := &fake{make(chan Attempt, 16), make(chan AttemptID, 16), make(chan Answer, 16)}
 		c := NewCore(brain.New(brain.Settings{}, 1), NewClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		c.Attach(f, func() {})
-		req := &request{Inbound: Inbound{Client: f}}
+		c.SetEndpoints(f, func() {})
+		req := &request{Request: Request{Client: f}}
 		c.requests[1] = req
 		for i, o := range r.outcomes {
 			req.calls, req.out = append(req.calls, call{out: true}), 1
-			c.finish(CallID{1, i}, End{Outcome: o})
+			c.finish(AttemptID{1, i}, AttemptResult{Outcome: o})
 		}
 		req.out = r.out
-		if c.answer(req, Answer{Verdict: Failed}); c.ledger.Figures().FailedUnsent != r.want {
-			t.Errorf("%v, %d out: counted %d times", r.outcomes, r.out, c.ledger.Figures().FailedUnsent)
+		if c.answer(req, Answer{Verdict: Failed}); c.ledger.Metrics().FailedUnsent != r.want {
+			t.Errorf("%v, %d out: counted %d times", r.outcomes, r.out, c.ledger.Metrics().FailedUnsent)
 		}
 	}
 }
@@ -171,11 +171,11 @@
 func TestPushedCountsFromTheStart(t *testing.T) {
 	c, f := startCore(t)
 	u := &updates{fake: f}
-	s := NewDestinations(c, u, newScripted(), Update{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s.Pace(func() pacing.Rules { return pacing.Rules{ListsPushed: true} })
+	s := NewEndpointList(c, u, newScripted(), ListUpdate{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s.SetPollRules(func() pacing.Rules { return pacing.Rules{ListsPushed: true} })
 	began := time.Now()
-	bring(s, Update{Revision: 1, Complete: true, Destinations: []Destination{{WorkerInfo: brain.WorkerInfo{ID: "a", State: brain.Draining}}}}, brain.ListFull)
-	if got := u.got[len(u.got)-1]; got.Told.IsZero() || got.Told.After(began) {
-		t.Errorf("told %v behind the start", got.Told.Sub(began))
+	bring(s, ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{{WorkerInfo: brain.WorkerInfo{ID: "a", State: brain.Draining}}}}, brain.ListFull)
+	if got := u.got[len(u.got)-1]; got.NotifiedAt.IsZero() || got.NotifiedAt.After(began) {
+		t.Errorf("told %v behind the start", got.NotifiedAt.Sub(began))
 	}
 }
--- a/internal/routing/destinations.go
+++ b/internal/routing/destinations.go
@@ -14,49 +14,49 @@
 	"brassdale/internal/decisions/starts"
 )
 
-// Update is an answer of discovery.
-type Update struct {
-	Revision     int64
-	Complete     bool      // the whole set; who is absent is gone
-	Early        bool      // it came before the call's wait was over
-	At           time.Time // when it began to come; zero for now
-	Destinations []Destination
+// ListUpdate is an answer of discovery.
+type ListUpdate struct {
+	Revision        int64
+	Complete        bool      // the whole set; who is absent is gone
+	BeforeWaitEnded bool      // it came before the call's wait was over
+	ReceivedAt      time.Time // when it began to come; zero for now
+	Endpoints       []Endpoint
 }
 
 // Discovery is whoever knows the destination set. A call returns what is newer than the revision, for Whole the whole
 // set, by the deadline that it keeps itself, whatever discovery does.
 type Discovery interface {
-	Call(ctx context.Context, revision int64, kind pacing.Kind) (Update, error)
+	Call(ctx context.Context, revision int64, kind pacing.Kind) (ListUpdate, error)
 	// Service names the service: two of one name count revisions alike.
 	Service() string
 	// Close lets go of the connections that carry no call.
 	Close()
 }
 
-// ErrRefused is what a call ends with that discovery has refused, as it has too many.
-var ErrRefused = errors.New("refused")
+// ErrDiscoveryRejected is what a call ends with that discovery has refused, as it has too many.
+var ErrDiscoveryRejected = errors.New("refused")
 
-// ListTold is how long after discovery had it a change counts as told at the latest.
-const ListTold = pacing.NotificationDeadline
+// ListNotificationDeadline is how long after discovery had it a change counts as told at the latest.
+const ListNotificationDeadline = pacing.NotificationDeadline
 
-// Whole is no revision: who asks after it wants the whole set now.
-const Whole = -1
+// FullList is no revision: who asks after it wants the whole set now.
+const FullList = -1
 
-// Destinations is the destination set's actor. While subscribed it watches without a gap; each answer
+// EndpointList is the destination set's actor. While subscribed it watches without a gap; each answer
 // goes to the endpoints first and then to the module, so the module never sends to one unknown here.
-type Destinations struct {
+type EndpointList struct {
 	core      *Core
-	endpoints Endpoints
+	endpoints EndpointPool
 	log       *slog.Logger
 	mailbox   *Mailbox[any]
 
 	// Owned by Run.
 	calls   *listCalls
 	members membership.Table
-	known   map[brain.WorkerID]Destination // as members has their states
-	start   *FromSaved                     // nil unless this process started from a saved list and nobody told a newer one
-	keeper  Keeper                         // nil for none
-	source  atomic.Pointer[Source]
+	known   map[brain.WorkerID]Endpoint // as members has their states
+	start   *CachedStart                // nil unless this process started from a saved list and nobody told a newer one
+	keeper  EndpointStore               // nil for none
+	source  atomic.Pointer[ListSource]
 
 	starts starts.Tracker // of the workers, on the core's clock; known has them as discovery stamps them
 	told   bool           // a list of discovery's was taken in
@@ -78,13 +78,13 @@
 type (
 	subscribe struct{}
 	move      struct{ to Discovery }
-	ask       struct{ answer chan<- Update }
+	ask       struct{ answer chan<- ListUpdate }
 )
 
-// NewDestinations makes the actor with the set as it was known last, and tells the module of that.
-func NewDestinations(c *Core, e Endpoints, d Discovery, saved Update, log *slog.Logger) *Destinations {
+// NewEndpointList makes the actor with the set as it was known last, and tells the module of that.
+func NewEndpointList(c *Core, e EndpointPool, d Discovery, saved ListUpdate, log *slog.Logger) *EndpointList {
 	now := time.Now()
-	s := &Destinations{core: c, endpoints: e, log: log, mailbox: NewMailbox[any](), known: map[brain.WorkerID]Destination{},
+	s := &EndpointList{core: c, endpoints: e, log: log, mailbox: NewMailbox[any](), known: map[brain.WorkerID]Endpoint{},
 		rules: func() pacing.Rules { return pacing.Rules{Dispatchers: 1} }, answered: now, first: make(chan struct{})}
 	s.calls = &listCalls{schedule: pacing.NewSchedule(now), rules: func() pacing.Rules { return s.rules() },
 		current: &service{discovery: d}, ended: func(m callEnded) { s.mailbox.Post(m) }, ledger: &c.ledger, log: log}
@@ -95,33 +95,33 @@
 }
 
 // Subscribe asks for all changes from now on. It does not block.
-func (s *Destinations) Subscribe() { s.mailbox.Post(subscribe{}) }
+func (s *EndpointList) Subscribe() { s.mailbox.Post(subscribe{}) }
 
-// Move goes on with another discovery. It does not block.
-func (s *Destinations) Move(to Discovery) { s.mailbox.Post(move{to}) }
+// ChangeDiscovery goes on with another discovery. It does not block.
+func (s *EndpointList) ChangeDiscovery(to Discovery) { s.mailbox.Post(move{to}) }
 
-// Known gives the set as it is known, once the actor runs.
-func (s *Destinations) Known(ctx context.Context) (Update, error) {
-	answer := make(chan Update, 1)
+// Snapshot gives the set as it is known, once the actor runs.
+func (s *EndpointList) Snapshot(ctx context.Context) (ListUpdate, error) {
+	answer := make(chan ListUpdate, 1)
 	s.mailbox.Post(ask{answer})
 	return await(ctx, answer)
 }
 
-// Pace names who gives the rules that calls for the list go by, of the settings in force. Where lists are pushed to an agent
+// SetPollRules names who gives the rules that calls for the list go by, of the settings in force. Where lists are pushed to an agent
 // the module does not ask for changes: the actor calls the agent from its start.
-func (s *Destinations) Pace(rules func() pacing.Rules) { s.rules = rules }
+func (s *EndpointList) SetPollRules(rules func() pacing.Rules) { s.rules = rules }
 
-// First is closed when the first call has ended, however.
-func (s *Destinations) First() <-chan struct{} { return s.first }
+// FirstCallDone is closed when the first call has ended, however.
+func (s *EndpointList) FirstCallDone() <-chan struct{} { return s.first }
 
 // Run is the actor's life.
-func (s *Destinations) Run(ctx context.Context) {
+func (s *EndpointList) Run(ctx context.Context) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	if s.rules().ListsPushed {
 		s.Subscribe()
 	}
-	s.trust(func(now brain.Clock) []savedlist.Action { return s.start.Trust.Check(now) })
+	s.trust(func(now brain.Clock) []savedlist.Action { return s.start.Assessor.Check(now) })
 	for {
 		if at, ok := s.wakeAt(); ok {
 			alarm.Reset(time.Until(at))
@@ -137,13 +137,13 @@
 		}
 		s.recheck(time.Now())
 		s.calls.call(ctx, time.Now())
-		s.trust(func(now brain.Clock) []savedlist.Action { return s.start.Trust.Check(now) })
+		s.trust(func(now brain.Clock) []savedlist.Action { return s.start.Assessor.Check(now) })
 		s.expire()
 	}
 }
 
 // wakeAt gives when there is something to do if nothing comes.
-func (s *Destinations) wakeAt() (at time.Time, ok bool) {
+func (s *EndpointList) wakeAt() (at time.Time, ok bool) {
 	at, ok = s.calls.due()
 	if ok && !s.recheckAt.IsZero() && s.recheckAt.Before(at) {
 		at = s.recheckAt
@@ -157,7 +157,7 @@
 }
 
 // recheck has the whole list asked for where something of an answer was not believed, and may be by now.
-func (s *Destinations) recheck(now time.Time) {
+func (s *EndpointList) recheck(now time.Time) {
 	if s.recheckAt.IsZero() || now.Before(s.recheckAt) {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // receive takes a message.
-func (s *Destinations) receive(ctx context.Context, m any) {
+func (s *EndpointList) receive(ctx context.Context, m any) {
 	switch m := m.(type) {
 	case subscribe:
 		s.calls.schedule.Start(time.Now())
@@ -195,14 +195,14 @@
 }
 
 // whole gives the set as it is known.
-func (s *Destinations) whole() Update {
-	u := Update{Revision: s.calls.current.revision, Complete: true}
+func (s *EndpointList) whole() ListUpdate {
+	u := ListUpdate{Revision: s.calls.current.revision, Complete: true}
 	now := s.core.clock.Now()
 	for _, d := range s.known {
 		if at := s.starts.StartedAt(d.ID); at > 0 {
 			d.Age = now - at
 		}
-		u.Destinations = append(u.Destinations, d)
+		u.Endpoints = append(u.Endpoints, d)
 	}
 	return u
 }
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -7,9 +7,9 @@
 	"brassdale/internal/decisions/failover"
 )
 
-// Guide says to which zones jobs may go, and hears what becomes of their calls. No method blocks. Probed may be called by
+// ZoneRouter says to which zones jobs may go, and hears what becomes of their calls. No method blocks. Probed may be called by
 // anybody, the others by the core alone.
-type Guide interface {
+type ZoneRouter interface {
 	EndpointsUpdated(now brain.Clock, l brain.EndpointsUpdated)
 	// Arrived gives the zones, a bit for each number, 0 for all; not ok where the job is to be refused here, and for how long
 	// its client should stay away.
@@ -21,20 +21,20 @@
 	ProbeCompleted(id brain.WorkerID, o brain.Outcome)
 }
 
-// Spend says whether there is room for one more in what all dispatchers together may do. No method blocks.
-type Spend interface {
+// FleetBudget says whether there is room for one more in what all dispatchers together may do. No method blocks.
+type FleetBudget interface {
 	AllowRetry() bool // a further call of a job
 	AllowProbe() bool
 }
 
-// Spending names who says so. It is set before Run.
-func (c *Core) Spending(s Spend) { c.spend = s }
+// SetFleetBudget names who says so. It is set before Run.
+func (c *Core) SetFleetBudget(s FleetBudget) { c.spend = s }
 
-// Firsts is how many first calls there were.
-func (c *Core) Firsts() uint64 { return c.firsts.Load() }
+// FirstAttempts is how many first calls there were.
+func (c *Core) FirstAttempts() uint64 { return c.firsts.Load() }
 
-// Guided names the guide. It is set before Run.
-func (c *Core) Guided(g Guide) { c.guide = g }
+// SetZoneRouter names the guide. It is set before Run.
+func (c *Core) SetZoneRouter(g ZoneRouter) { c.guide = g }
 
 // bound asks the guide where a request may go. One that it has refused has its answer behind this.
 func (c *Core) bound(id brain.RequestID, r *request) (within uint64, ok bool) {
@@ -42,9 +42,9 @@
 		return 0, true
 	}
 	r.came = c.now
-	within, away, ok := c.guide.Route(c.now, r.ClassName, r.Repeat)
+	within, away, ok := c.guide.Route(c.now, r.ClassName, r.IdempotencyKey)
 	if !ok {
-		c.final(id, Answer{Verdict: Refused, RetryAfter: away})
+		c.final(id, Answer{Verdict: Rejected, RetryAfter: away})
 	}
 	return within, ok
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -12,22 +12,22 @@
 )
 
 // begin takes in the list as it was known before.
-func (s *Destinations) begin(saved Update, now time.Time) {
-	members := make([]membership.Endpoint, len(saved.Destinations))
-	for i := range saved.Destinations {
-		d := &saved.Destinations[i]
-		if d.State != brain.Ready && d.Told.IsZero() { // a predecessor may have been told before
-			d.Told = s.toldFrom(now)
+func (s *EndpointList) begin(saved ListUpdate, now time.Time) {
+	members := make([]membership.Endpoint, len(saved.Endpoints))
+	for i := range saved.Endpoints {
+		d := &saved.Endpoints[i]
+		if d.State != brain.Ready && d.NotifiedAt.IsZero() { // a predecessor may have been told before
+			d.NotifiedAt = s.toldFrom(now)
 		}
 		members[i] = d.member()
 	}
 	s.members.Restore(s.calls.current.discovery.Service(), saved.Revision, members)
-	s.tell(saved, saved.Destinations, nil, brain.ListCached)
+	s.tell(saved, saved.Endpoints, nil, brain.ListCached)
 }
 
 // toldFrom gives from when a drain counts that came now. What an agent had counts as told: it may have had it since it last
 // answered.
-func (s *Destinations) toldFrom(now time.Time) time.Time {
+func (s *EndpointList) toldFrom(now time.Time) time.Time {
 	if s.rules().ListsPushed {
 		return s.answered
 	}
@@ -35,8 +35,8 @@
 }
 
 // apply puts in force what counts of an answer.
-func (s *Destinations) apply(c *listCall, u Update, kind brain.ListKind, order membership.Freshness) {
-	now := u.At
+func (s *EndpointList) apply(c *listCall, u ListUpdate, kind brain.ListKind, order membership.Freshness) {
+	now := u.ReceivedAt
 	if now.IsZero() {
 		now = time.Now()
 	}
@@ -50,16 +50,16 @@
 	if c.service == s.calls.current && (u.Complete || !verdict.PollAgainAt.IsZero()) { // a change says nothing of what was not believed
 		s.recheckAt = verdict.PollAgainAt
 	}
-	var listed, ended []Destination
+	var listed, ended []Endpoint
 	for _, a := range verdict.Accepted {
 		if a.Index == membership.NotListed {
 			d := s.known[a.ID]
-			d.ID, d.State, d.Told = a.ID, a.State, a.NotifiedAt
+			d.ID, d.State, d.NotifiedAt = a.ID, a.State, a.NotifiedAt
 			ended = append(ended, d)
 			continue
 		}
-		d := u.Destinations[a.Index]
-		d.State, d.StartedAt, d.Told = a.State, a.Start, a.NotifiedAt
+		d := u.Endpoints[a.Index]
+		d.State, d.StartedAt, d.NotifiedAt = a.State, a.Start, a.NotifiedAt
 		listed = append(listed, d)
 	}
 	s.tell(u, listed, ended, kind)
@@ -67,7 +67,7 @@
 
 // tell passes on what has changed: to the endpoints first, then to the module. The ended ones are those that a whole list does not
 // name: the module knows by that.
-func (s *Destinations) tell(u Update, listed, ended []Destination, kind brain.ListKind) {
+func (s *EndpointList) tell(u ListUpdate, listed, ended []Endpoint, kind brain.ListKind) {
 	level := slog.LevelDebug
 	if u.Complete {
 		level = slog.LevelInfo
@@ -83,9 +83,9 @@
 		s.update(d)
 	}
 	s.core.ledger.listed(len(s.known))
-	s.core.Listed(news)
-	if len(u.Destinations) > 0 {
-		s.log.Log(context.Background(), level, "destination set", "revision", u.Revision, "complete", u.Complete, "lines", len(u.Destinations),
+	s.core.UpdateEndpoints(news)
+	if len(u.Endpoints) > 0 {
+		s.log.Log(context.Background(), level, "destination set", "revision", u.Revision, "complete", u.Complete, "lines", len(u.Endpoints),
 			"accepted", len(listed), "known", len(s.known))
 	}
 }
@@ -94,7 +94,7 @@
 const forever = time.Duration(math.MaxInt64)
 
 // dated gives the lines of a list with the starts of their workers on the core's clock.
-func (s *Destinations) dated(lines []Destination) []brain.WorkerInfo {
+func (s *EndpointList) dated(lines []Endpoint) []brain.WorkerInfo {
 	now := time.Now()
 	moment := starts.ListTime{Now: s.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(s.answered)}
 	if !s.told {
@@ -115,11 +115,11 @@
 	return infos
 }
 
-// Started gives when a worker started, on the core's clock. It may be called before Run only.
-func (s *Destinations) Started(id brain.WorkerID) brain.Clock { return s.starts.StartedAt(id) }
+// StartedAt gives when a worker started, on the core's clock. It may be called before Run only.
+func (s *EndpointList) StartedAt(id brain.WorkerID) brain.Clock { return s.starts.StartedAt(id) }
 
 // update takes a line in and tells whether it is news: weights that fall with the load are not.
-func (s *Destinations) update(d Destination) bool {
+func (s *EndpointList) update(d Endpoint) bool {
 	old := s.known[d.ID]
 	if d.Address == "" {
 		d.Address = old.Address
@@ -132,19 +132,19 @@
 		s.known[d.ID] = d
 	}
 	s.endpoints.Update(d)
-	old.Weight, old.Told = d.Weight, d.Told
+	old.Weight, old.NotifiedAt = d.Weight, d.NotifiedAt
 	return old != d
 }
 
 // member gives what a line says of a worker's state.
-func (d *Destination) member() membership.Endpoint {
-	return membership.Endpoint{ID: d.ID, State: d.State, Start: d.StartedAt, NotifiedAt: d.Told}
+func (d *Endpoint) member() membership.Endpoint {
+	return membership.Endpoint{ID: d.ID, State: d.State, Start: d.StartedAt, NotifiedAt: d.NotifiedAt}
 }
 
 // logState tells of a worker whose state has changed. That a worker is new is no change: a first list may have thousands.
-func (s *Destinations) logState(old, d Destination) {
+func (s *EndpointList) logState(old, d Endpoint) {
 	if _, known := s.known[d.ID]; known && old.State != d.State {
-		s.log.Info("worker's state", "worker", d.ID, "from", old.State.String(), "to", d.State.String(), "told_ago", ago(d.Told))
+		s.log.Info("worker's state", "worker", d.ID, "from", old.State.String(), "to", d.State.String(), "told_ago", ago(d.NotifiedAt))
 	}
 }
 
--- a/internal/routing/starts_test.go
+++ b/internal/routing/starts_test.go
@@ -15,9 +15,9 @@
 		"alike": 0, "ahead by an hour": time.Hour, "behind by an hour": -time.Hour, "ahead by seconds": 5 * time.Second, "behind by seconds": -5 * time.Second,
 	} {
 		c, f := startCore(t)
-		s := NewDestinations(c, &updates{fake: f}, newScripted(), Update{}, c.log)
+		s := NewEndpointList(c, &updates{fake: f}, newScripted(), ListUpdate{}, c.log)
 		age := func(id brain.WorkerID) time.Duration {
-			learned, err := c.Experience(context.Background())
+			learned, err := c.LearnedState(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -30,11 +30,11 @@
 		stamp := func(ago time.Duration) brain.Clock { // by a clock that ours is ahead of
 			return time.Duration(time.Now().Add(-apart - ago).UnixNano())
 		}
-		line := func(id brain.WorkerID, since brain.Clock) Destination {
-			return Destination{WorkerInfo: brain.WorkerInfo{ID: id, StartedAt: since, Weight: 1}, Address: "h:1"}
+		line := func(id brain.WorkerID, since brain.Clock) Endpoint {
+			return Endpoint{WorkerInfo: brain.WorkerInfo{ID: id, StartedAt: since, Weight: 1}, Address: "h:1"}
 		}
 		old, young := stamp(30*time.Second), stamp(2*time.Second)
-		bring(s, Update{Revision: 1, Complete: true, Destinations: []Destination{line("longago", 0), line("old", old), line("young", young)}}, brain.ListFull)
+		bring(s, ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{line("longago", 0), line("old", old), line("young", young)}}, brain.ListFull)
 		if got := age("longago"); got < time.Hour {
 			t.Errorf("%s: long ago is %v ago", name, got)
 		}
@@ -44,18 +44,18 @@
 		if got := age("old"); got > 31*time.Second || got < 20*time.Second {
 			t.Errorf("%s: 30 s ago, in the first list, is %v ago", name, got)
 		}
-		bring(s, Update{Revision: 2, Destinations: []Destination{line("joins", stamp(0)), line("old", stamp(0))}}, brain.ListDelta)
+		bring(s, ListUpdate{Revision: 2, Endpoints: []Endpoint{line("joins", stamp(0)), line("old", stamp(0))}}, brain.ListDelta)
 		for _, id := range []brain.WorkerID{"joins", "old"} {
 			if got := age(id); got < -time.Second || got > time.Second {
 				t.Errorf("%s: %s, just started, is %v ago", name, id, got)
 			}
 		}
-		bring(s, Update{Revision: 3, Destinations: []Destination{line("young", young)}}, brain.ListDelta)
+		bring(s, ListUpdate{Revision: 3, Endpoints: []Endpoint{line("young", young)}}, brain.ListDelta)
 		if got := age("young"); got > 4*time.Second || got < -time.Second {
 			t.Errorf("%s: told again with the same start, it is %v ago", name, got)
 		}
 		// The stamping clock is set back by an hour, and the worker starts again.
-		bring(s, Update{Revision: 4, Destinations: []Destination{line("joins", stamp(time.Hour))}}, brain.ListDelta)
+		bring(s, ListUpdate{Revision: 4, Endpoints: []Endpoint{line("joins", stamp(time.Hour))}}, brain.ListDelta)
 		if got := age("joins"); got > time.Second {
 			t.Errorf("%s: started again behind a step of the clock, it is %v ago", name, got)
 		}
@@ -66,14 +66,14 @@
 // taken for one of just now, though its start is the newest in the list.
 func TestAgesCrossToASuccessor(t *testing.T) {
 	c, f := startCore(t)
-	before := NewDestinations(c, &updates{fake: f}, newScripted(), Update{}, c.log)
+	before := NewEndpointList(c, &updates{fake: f}, newScripted(), ListUpdate{}, c.log)
 	stamp := time.Duration(time.Now().Add(-10 * time.Second).UnixNano())
 	before.starts.Set("a", stamp, c.clock.Now()-10*time.Second)
-	before.known["a"] = Destination{WorkerInfo: brain.WorkerInfo{ID: "a", StartedAt: stamp, Weight: 1}, Address: "h:1"}
+	before.known["a"] = Endpoint{WorkerInfo: brain.WorkerInfo{ID: "a", StartedAt: stamp, Weight: 1}, Address: "h:1"}
 	handed := before.whole()
 	next, g := startCore(t)
-	after := NewDestinations(next, &updates{fake: g}, newScripted(), handed, next.log)
-	if age := next.clock.Now() - after.Started("a"); age < 9*time.Second || age > 11*time.Second {
+	after := NewEndpointList(next, &updates{fake: g}, newScripted(), handed, next.log)
+	if age := next.clock.Now() - after.StartedAt("a"); age < 9*time.Second || age > 11*time.Second {
 		t.Errorf("taken to be %v old", age)
 	}
 }
--- a/internal/savedlist/keeper.go
+++ b/internal/savedlist/keeper.go
@@ -59,7 +59,7 @@
 
 type (
 	listed struct {
-		update routing.Update
+		update routing.ListUpdate
 		at     time.Time
 	}
 	outByHand struct{ ids []string }
@@ -78,7 +78,7 @@
 }
 
 // Listed tells what discovery said: the whole list or changes, perhaps none. It does not block.
-func (k *Keeper) EndpointsUpdated(u routing.Update) { k.box.Post(listed{u, time.Now()}) }
+func (k *Keeper) EndpointsUpdated(u routing.ListUpdate) { k.box.Post(listed{u, time.Now()}) }
 
 // Out tells who is out by hand from now on. It does not block.
 func (k *Keeper) Out(ids []string) { k.box.Post(outByHand{slices.Clone(ids)}) }
@@ -147,10 +147,10 @@
 }
 
 // fold adds an update to the members, and what it changes to news.
-func (k *Keeper) fold(u routing.Update, news map[string]protocol.Member) {
+func (k *Keeper) fold(u routing.ListUpdate, news map[string]protocol.Member) {
 	k.revision = u.Revision
 	present := map[string]bool{}
-	for _, m := range protocol.Members(u.Destinations, k.params()) {
+	for _, m := range protocol.Members(u.Endpoints, k.params()) {
 		present[m.ID] = true
 		old, known := k.members[m.ID]
 		if m.HostPort == "" {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -298,7 +298,7 @@
 // watch asks discovery as routing.Destinations does, and keeps nothing of what it tells.
 func (x *hollow) watch(ctx context.Context, params *protocol.Live) {
 	first := rand.Float64() * float64(params.Now().ReplicasOfMe) * firstEach.Seconds()
-	wait, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.Whole), pacing.FullList
+	wait, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), pacing.FullList
 	for {
 		select {
 		case <-ctx.Done():
@@ -310,9 +310,9 @@
 			wait, kind = time.Duration(rand.Float64()*float64(againMost)), pacing.Poll
 			continue
 		}
-		fresh := u.Revision != revision || len(u.Destinations) > 0
+		fresh := u.Revision != revision || len(u.Endpoints) > 0
 		revision, kind = u.Revision, pacing.Watch
-		wait = pacing.RewatchDelay(fresh, u.Early, params.Now().ReplicasOfMe, rand.Float64())
+		wait = pacing.RewatchDelay(fresh, u.BeforeWaitEnded, params.Now().ReplicasOfMe, rand.Float64())
 	}
 }
 
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -43,42 +43,42 @@
 
 // Call is one call. Its end is set beforehand: a discovery that was cut off keeps a connection open and silent, and
 // what it had to tell counts as told for all that.
-func (d *Discovery) Call(ctx context.Context, revision int64, kind pacing.Kind) (routing.Update, error) {
+func (d *Discovery) Call(ctx context.Context, revision int64, kind pacing.Kind) (routing.ListUpdate, error) {
 	p := d.Params.Now()
 	wait, within := PacingRules(p).Timeouts(kind)
 	url, end := fmt.Sprintf("http://%s/registry/instances", d.Address), time.Now().Add(wait+within)
-	if revision != routing.Whole {
+	if revision != routing.FullList {
 		url += fmt.Sprintf("?index=%d&wait=%d", revision, wait.Milliseconds())
 	}
 	ctx, stop := context.WithDeadline(ctx, end)
 	defer stop()
 	req, err := http.NewRequestWithContext(d.meter.Call(ctx, traffic.Discovery), http.MethodGet, url, nil)
 	if err != nil {
-		return routing.Update{}, err
+		return routing.ListUpdate{}, err
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		return routing.Update{}, err
+		return routing.ListUpdate{}, err
 	}
 	defer resp.Body.Close()
 	came := time.Now() // what the answer tells counts from when it was written
 	text, err := io.ReadAll(io.LimitReader(resp.Body, mostList))
 	if err != nil {
-		return routing.Update{}, err
+		return routing.ListUpdate{}, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return routing.Update{}, statusError(resp.StatusCode)
+		return routing.ListUpdate{}, statusError(resp.StatusCode)
 	}
 	l, err := protocol.ParseList(text)
 	if err != nil {
-		return routing.Update{}, err
+		return routing.ListUpdate{}, err
 	}
-	if revision == routing.Whole && !l.Complete {
-		return routing.Update{}, fmt.Errorf("asked for the whole list, discovery gave changes")
+	if revision == routing.FullList && !l.Complete {
+		return routing.ListUpdate{}, fmt.Errorf("asked for the whole list, discovery gave changes")
 	}
 	u := Update(l, d.Params.Now())
-	u.At = came
-	u.Early = time.Until(end) > within+wait/2
+	u.ReceivedAt = came
+	u.BeforeWaitEnded = time.Until(end) > within+wait/2
 	return u, nil
 }
 
@@ -89,7 +89,7 @@
 
 // Is has an answer that promises nothing for now count as routing.ErrRefused.
 func (e statusError) Is(target error) bool {
-	return target == routing.ErrRefused && (e == http.StatusServiceUnavailable || e == http.StatusTooManyRequests)
+	return target == routing.ErrDiscoveryRejected && (e == http.StatusServiceUnavailable || e == http.StatusTooManyRequests)
 }
 
 // PacingRules gives what calls for the list go by.
@@ -98,6 +98,6 @@
 }
 
 // Update gives a list in the core's terms.
-func Update(l *protocol.List, p *protocol.Params) routing.Update {
-	return routing.Update{Revision: l.Revision, Complete: l.Complete, Destinations: l.Destinations(p)}
+func Update(l *protocol.List, p *protocol.Params) routing.ListUpdate {
+	return routing.ListUpdate{Revision: l.Revision, Complete: l.Complete, Endpoints: l.Destinations(p)}
 }
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -36,13 +36,13 @@
 	box   *routing.Mailbox[any]
 
 	// Owned by run.
-	dest    routing.Destination
+	dest    routing.Endpoint
 	barred  time.Time // since when it is out by hand; zero while it is not
 	idle    []*wire   // the longest idle first
 	waiting []*exchange
-	starved []*exchange                  // for which no connection may be opened yet
-	dialing int                          // connections that are being opened; never fewer than exchanges that wait
-	calls   map[routing.CallID]*exchange // calls without an outcome
+	starved []*exchange                     // for which no connection may be opened yet
+	dialing int                             // connections that are being opened; never fewer than exchanges that wait
+	calls   map[routing.AttemptID]*exchange // calls without an outcome
 }
 
 // wire is a connection with what was read ahead of it.
@@ -58,13 +58,13 @@
 // heldBack logs that an attempt does not leave.
 func (e *endpoint) heldBack(x *exchange, why string) {
 	if !x.probe {
-		e.fleet.log.Debug("attempt held back", "id", x.name(), "attempt", x.call.ID.Attempt, "worker", e.id, "why", why)
+		e.fleet.log.Debug("attempt held back", "id", x.name(), "attempt", x.call.ID.Number, "worker", e.id, "why", why)
 	}
 }
 
 // The messages of the actor, beside routing.Destination and routing.Call.
 type (
-	cancel  struct{ id routing.CallID }
+	cancel  struct{ id routing.AttemptID }
 	drop    struct{ idle time.Duration }
 	probe   struct{}
 	room    struct{} // for a further connection, perhaps
@@ -81,8 +81,8 @@
 	}
 )
 
-func newEndpoint(f *Fleet, d routing.Destination) *endpoint {
-	return &endpoint{fleet: f, id: d.ID, dest: d, box: routing.NewMailbox[any](), calls: map[routing.CallID]*exchange{}}
+func newEndpoint(f *Fleet, d routing.Endpoint) *endpoint {
+	return &endpoint{fleet: f, id: d.ID, dest: d, box: routing.NewMailbox[any](), calls: map[routing.AttemptID]*exchange{}}
 }
 
 func (e *endpoint) run(ctx context.Context) {
@@ -108,12 +108,12 @@
 
 func (e *endpoint) take(m any) {
 	switch m := m.(type) {
-	case routing.Destination:
+	case routing.Endpoint:
 		if m.Address != e.dest.Address || m.StartedAt != e.dest.StartedAt || m.State == brain.Gone {
 			e.closeIdle(time.Time{}) // they lead to a process that is no more
 		}
 		e.dest = m
-	case routing.Call:
+	case routing.Attempt:
 		x := &exchange{call: m, deadline: m.Deadline}
 		e.calls[m.ID] = x
 		e.start(x)
@@ -132,7 +132,7 @@
 		e.starved = slices.DeleteFunc(e.starved, func(x *exchange) bool {
 			late := !now.Before(x.deadline)
 			if late {
-				e.end(x, routing.End{Outcome: brain.NeverSent})
+				e.end(x, routing.AttemptResult{Outcome: brain.NeverSent})
 			}
 			return late
 		})
@@ -179,7 +179,7 @@
 		e.close(w)
 	}
 	if x.void(now) {
-		e.end(x, routing.End{Outcome: brain.NeverSent})
+		e.end(x, routing.AttemptResult{Outcome: brain.NeverSent})
 		return
 	}
 	if !e.fleet.take(e) {
@@ -240,7 +240,7 @@
 	if errors.Is(m.err, syscall.EMFILE) || errors.Is(m.err, syscall.ENFILE) || errors.Is(m.err, syscall.EADDRNOTAVAIL) {
 		out = brain.NeverSent // this process's fault, not the endpoint's
 	}
-	e.end(x, routing.End{Outcome: out})
+	e.end(x, routing.AttemptResult{Outcome: out})
 }
 
 // free takes a connection that carries nothing: it serves whoever waits, or stands idle.
@@ -274,13 +274,13 @@
 	x.latest = e.latest(x)
 	if why := e.forbidden(x, now); why != "" {
 		e.heldBack(x, why)
-		e.end(x, routing.End{Outcome: brain.NeverSent})
+		e.end(x, routing.AttemptResult{Outcome: brain.NeverSent})
 		return false
 	}
 	if !x.probe {
-		e.fleet.log.Debug("attempt", "id", x.name(), "attempt", x.call.ID.Attempt, "worker", e.id, "state", e.dest.State, "idle", x.idle)
-		if !e.dest.Told.IsZero() {
-			e.fleet.log.Info("attempt to a worker that drains", "id", x.name(), "attempt", x.call.ID.Attempt, "worker", e.id, "told", now.Sub(e.dest.Told))
+		e.fleet.log.Debug("attempt", "id", x.name(), "attempt", x.call.ID.Number, "worker", e.id, "state", e.dest.State, "idle", x.idle)
+		if !e.dest.NotifiedAt.IsZero() {
+			e.fleet.log.Info("attempt to a worker that drains", "id", x.name(), "attempt", x.call.ID.Number, "worker", e.id, "told", now.Sub(e.dest.NotifiedAt))
 		}
 	}
 	x.wire, w.used = w, true
@@ -297,9 +297,9 @@
 		return ""
 	}
 	switch {
-	case x.call.ID.Attempt > 0 && e.fleet.Repeats != nil && !e.fleet.Repeats():
+	case x.call.ID.Number > 0 && e.fleet.Repeats != nil && !e.fleet.Repeats():
 		return "repeats are not allowed now"
-	case e.past(e.dest.Told, drainMargin, now):
+	case e.past(e.dest.NotifiedAt, drainMargin, now):
 		return "the worker drains or is gone"
 	case e.past(e.barred, writeMargin, now):
 		return "the worker is out by hand"
@@ -330,10 +330,10 @@
 			latest = t
 		}
 	}
-	if by := x.call.By; !by.IsZero() {
+	if by := x.call.SendBy; !by.IsZero() {
 		earlier(by.Add(-writeMargin))
 	}
-	if told := e.dest.Told; !told.IsZero() {
+	if told := e.dest.NotifiedAt; !told.IsZero() {
 		earlier(e.graceEnd(told, drainMargin))
 	}
 	if !e.barred.IsZero() {
@@ -342,7 +342,7 @@
 	return latest
 }
 
-func (e *endpoint) cancel(id routing.CallID) {
+func (e *endpoint) cancel(id routing.AttemptID) {
 	x := e.calls[id]
 	if x == nil || x.cut.Swap(true) {
 		return
@@ -354,14 +354,14 @@
 	for _, queue := range [...]*[]*exchange{&e.waiting, &e.starved} {
 		if i := slices.Index(*queue, x); i >= 0 {
 			*queue = slices.Delete(*queue, i, i+1)
-			e.end(x, routing.End{Outcome: brain.NeverSent})
+			e.end(x, routing.AttemptResult{Outcome: brain.NeverSent})
 			return
 		}
 	}
 }
 
 // end ends an exchange that no connection carries.
-func (e *endpoint) end(x *exchange, end routing.End) {
+func (e *endpoint) end(x *exchange, end routing.AttemptResult) {
 	if !x.probe {
 		delete(e.calls, x.call.ID)
 	}
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -17,10 +17,10 @@
 // sink takes the ends of calls.
 type sink chan brain.Outcome
 
-func (sink) AttemptStarted(routing.CallID)                                       {}
+func (sink) AttemptStarted(routing.AttemptID)                                    {}
 func (sink) AttemptSent()                                                        {}
-func (sink) AttemptProgressed(routing.CallID, float64)                           {}
-func (s sink) AttemptFinished(_ routing.CallID, e routing.End)                   { s <- e.Outcome }
+func (sink) AttemptProgressed(routing.AttemptID, float64)                        {}
+func (s sink) AttemptFinished(_ routing.AttemptID, e routing.AttemptResult)      { s <- e.Outcome }
 func (s sink) ProbeCompleted(_ brain.WorkerID, o brain.Outcome, _ *brain.Report) { s <- o }
 
 // newIdle makes an endpoint's actor that does not run, and a wire for it with its far end.
@@ -32,7 +32,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	live := &protocol.Live{}
 	live.Put(p, func(brain.Settings) {})
-	e := newEndpoint(NewFleet(context.Background(), live, ends, log), routing.Destination{Told: told})
+	e := newEndpoint(NewFleet(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: told})
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
 	quota := &io.LimitedReader{R: here}
@@ -40,7 +40,7 @@
 }
 
 func newExchange(deadline time.Time) *exchange {
-	return &exchange{call: routing.Call{Job: &protocol.Job{ID: "1", Method: "POST", Target: "/", Deadline: deadline}}, deadline: deadline}
+	return &exchange{call: routing.Attempt{Job: &protocol.Job{ID: "1", Method: "POST", Target: "/", Deadline: deadline}}, deadline: deadline}
 }
 
 // Two calls wait; the connection of the second comes first and carries the first call, then the first's
@@ -81,7 +81,7 @@
 		e, ends, w, there := newIdle(t, c.told)
 		x := newExchange(c.deadline)
 		x.cut.Store(c.cut)
-		x.call.By, x.call.Gone = c.by, func() bool { return c.gone }
+		x.call.SendBy, x.call.ClientGone = c.by, func() bool { return c.gone }
 		e.waiting = append(e.waiting, x)
 		e.free(w)
 		if c.sent {
@@ -121,7 +121,7 @@
 	defer ln.Close()
 	e.dest.Address = ln.Addr().String()
 	f := e.fleet
-	f.members["other"], f.members["this"] = newEndpoint(f, routing.Destination{}), e
+	f.members["other"], f.members["this"] = newEndpoint(f, routing.Endpoint{}), e
 	f.Allow(1)
 	if !f.take(e) {
 		t.Fatal("no room for the first")
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -15,7 +15,7 @@
 
 // exchange is a call or a probe, from its start here to its outcome.
 type exchange struct {
-	call     routing.Call
+	call     routing.Attempt
 	probe    bool
 	deadline time.Time
 	cut      atomic.Bool   // called off
@@ -26,7 +26,7 @@
 
 // void tells whether an exchange must not leave any more, if it has not yet.
 func (x *exchange) void(now time.Time) bool {
-	return x.cut.Load() || !now.Before(x.deadline) || !x.probe && x.call.Void(now)
+	return x.cut.Load() || !now.Before(x.deadline) || !x.probe && x.call.MustNotSend(now)
 }
 
 // voidBecause names what makes an exchange void.
@@ -36,7 +36,7 @@
 		return "called off"
 	case !now.Before(x.deadline):
 		return "its deadline has come"
-	case x.call.Gone != nil && x.call.Gone():
+	case x.call.ClientGone != nil && x.call.ClientGone():
 		return "its client has gone"
 	}
 	return "the window for a repeat is over"
@@ -51,18 +51,18 @@
 }
 
 // tell gives an exchange's outcome, once for each. It touches nothing that the actor owns.
-func (e *endpoint) tell(x *exchange, end routing.End) {
+func (e *endpoint) tell(x *exchange, end routing.AttemptResult) {
 	if x.probe {
 		e.fleet.sink.ProbeCompleted(e.id, end.Outcome, end.Report)
 	} else {
-		end.Idle = x.idle
+		end.ConnectionIdle = x.idle
 		e.fleet.sink.AttemptFinished(x.call.ID, end)
 	}
 }
 
 // writeBy is when the last byte of an exchange must have left.
 func (x *exchange) writeBy() time.Time {
-	if by := x.call.By; !by.IsZero() && by.Before(x.deadline) {
+	if by := x.call.SendBy; !by.IsZero() && by.Before(x.deadline) {
 		return by
 	}
 	return x.deadline
@@ -78,11 +78,11 @@
 	if now := time.Now(); x.void(now) || now.After(x.latest) { // this may have waited for its turn
 		e.heldBack(x, "it waited too long for its turn")
 		reuse = !x.cut.Load()
-		e.tell(x, routing.End{Outcome: brain.NeverSent})
+		e.tell(x, routing.AttemptResult{Outcome: brain.NeverSent})
 		return
 	}
 	if out, ok := x.write(text); !ok {
-		e.tell(x, routing.End{Outcome: out})
+		e.tell(x, routing.AttemptResult{Outcome: out})
 		return
 	}
 	if !x.probe {
@@ -90,7 +90,7 @@
 	}
 	resp, err := e.read(x)
 	if err != nil {
-		e.tell(x, routing.End{Outcome: x.broken(err)})
+		e.tell(x, routing.AttemptResult{Outcome: x.broken(err)})
 		return
 	}
 	reuse = x.drain(resp) && !x.cut.Load()
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	outcome, report := protocol.ParseProbe(resp, body)
-	e.tell(x, routing.End{Outcome: outcome, Report: report})
+	e.tell(x, routing.AttemptResult{Outcome: outcome, Report: report})
 	return resp, nil
 }
 
--- a/internal/transport/fleet.go
+++ b/internal/transport/fleet.go
@@ -20,9 +20,9 @@
 
 // Sink takes what comes back from endpoints. No method blocks.
 type Sink interface {
-	AttemptStarted(routing.CallID)
-	AttemptProgressed(routing.CallID, float64)
-	AttemptFinished(routing.CallID, routing.End)
+	AttemptStarted(routing.AttemptID)
+	AttemptProgressed(routing.AttemptID, float64)
+	AttemptFinished(routing.AttemptID, routing.AttemptResult)
 	ProbeCompleted(brain.WorkerID, brain.Outcome, *brain.Report)
 	AttemptSent() // a call was written to its last byte
 }
@@ -114,7 +114,7 @@
 }
 
 // Update tells an endpoint's actor what the destination set says of it, and starts the actor of a new one.
-func (f *Fleet) Update(d routing.Destination) {
+func (f *Fleet) Update(d routing.Endpoint) {
 	f.mu.Lock()
 	e := f.members[d.ID]
 	if e == nil && d.State != brain.Gone {
@@ -136,16 +136,16 @@
 }
 
 // Send starts a call.
-func (f *Fleet) Send(c routing.Call) {
+func (f *Fleet) Send(c routing.Attempt) {
 	if e := f.member(c.Endpoint); e != nil {
 		e.box.Post(c)
 		return
 	}
-	f.sink.AttemptFinished(c.ID, routing.End{Outcome: brain.NeverSent})
+	f.sink.AttemptFinished(c.ID, routing.AttemptResult{Outcome: brain.NeverSent})
 }
 
 // Cancel gives a call up.
-func (f *Fleet) Cancel(id brain.WorkerID, c routing.CallID) {
+func (f *Fleet) Cancel(id brain.WorkerID, c routing.AttemptID) {
 	if e := f.member(id); e != nil {
 		e.box.Post(cancel{c})
 	}
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -18,9 +18,9 @@
 
 // Core is what the fronts hand requests to.
 type Core interface {
-	Submit(routing.Inbound) brain.RequestID
+	Submit(routing.Request) brain.RequestID
 	ClientLeft(brain.RequestID)
-	Counters() *routing.Ledger
+	Counters() *routing.Counters
 }
 
 // front is what both fronts share: they let requests in and count connections.
@@ -112,7 +112,7 @@
 	if err != nil {
 		f.rejectJob(w, r, err)
 		if class := protocol.ClassOf(r); !params.Has(class) {
-			f.core.Counters().Unheard(class, routing.Failed) // perhaps of a class that was dropped
+			f.core.Counters().CountAnsweredByFrontend(class, routing.Failed) // perhaps of a class that was dropped
 		}
 		return nil, done
 	}
@@ -185,9 +185,9 @@
 // failFast is a refusal by the front itself, before the module has seen the request.
 func (f *front) failFast(w http.ResponseWriter, r *http.Request, class, why string) {
 	f.log.Warn("fail-fast", "why", why, "id", r.Header.Get("Req-Id"))
-	f.core.Counters().Unheard(class, routing.Refused)
+	f.core.Counters().CountAnsweredByFrontend(class, routing.Rejected)
 	defer boundReader(w, r)()
-	writeAnswer(w, routing.Answer{Verdict: routing.Refused, RetryAfter: f.params.Now().Limits.MaxRetryAfter.Span()})
+	writeAnswer(w, routing.Answer{Verdict: routing.Rejected, RetryAfter: f.params.Now().Limits.MaxRetryAfter.Span()})
 }
 
 // SetAside has the front say that this dispatcher wants no jobs: it is there for the fleet. It is called before the front serves.
--- a/internal/transport/held_up_test.go
+++ b/internal/transport/held_up_test.go
@@ -29,7 +29,7 @@
 	} {
 		e, ends, w, there := newIdle(t, c.told)
 		x := newExchange(far)
-		x.call.By = c.by
+		x.call.SendBy = c.by
 		if carried := e.carry(x, w); carried != c.sent {
 			t.Errorf("%s: sent %v", name, carried)
 		}
--- a/internal/transport/http2/front_test.go
+++ b/internal/transport/http2/front_test.go
@@ -20,14 +20,14 @@
 )
 
 // atOnce is a core that answers each job as it comes.
-type atOnce struct{ ledger routing.Ledger }
+type atOnce struct{ ledger routing.Counters }
 
-func (c *atOnce) Submit(in routing.Inbound) brain.RequestID {
+func (c *atOnce) Submit(in routing.Request) brain.RequestID {
 	in.Client.Answered(routing.Answer{Verdict: routing.Served, Result: []byte("priced")})
 	return 1
 }
-func (c *atOnce) ClientLeft(brain.RequestID) {}
-func (c *atOnce) Counters() *routing.Ledger  { return &c.ledger }
+func (c *atOnce) ClientLeft(brain.RequestID)  {}
+func (c *atOnce) Counters() *routing.Counters { return &c.ledger }
 
 // BenchmarkFronts tells what a job costs at each front, without the module and endpoints. The client costs nothing that
 // is counted.
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -43,7 +43,7 @@
 	defer f.ids.free(job.ID)
 	client := make(single, 1)
 	in := inboundOf(job, client)
-	in.Gone = gone(r)
+	in.ClientGone = gone(r)
 	id := f.core.Submit(in)
 	select {
 	case a := <-client:
@@ -73,9 +73,9 @@
 }
 
 // inboundOf gives a job in the core's terms.
-func inboundOf(j *protocol.Job, c routing.Client) routing.Inbound {
-	return routing.Inbound{Class: j.Class, ClassName: j.ClassName, Account: j.Account, Name: j.ID, Rules: j.Rules, Slots: j.Slots,
-		Work: j.Work, Key: j.Subject, Repeat: j.Key, Deadline: j.Deadline, Job: j, Client: c}
+func inboundOf(j *protocol.Job, c routing.Client) routing.Request {
+	return routing.Request{Class: j.Class, ClassName: j.ClassName, Account: j.Account, LogName: j.ID, Limits: j.Rules, Slots: j.Slots,
+		EstimatedWork: j.Work, AffinityKey: j.Subject, IdempotencyKey: j.Key, Deadline: j.Deadline, Job: j, Client: c}
 }
 
 // single is a client that waits for its answer alone.
@@ -91,9 +91,9 @@
 	switch {
 	case a.Verdict == routing.Served:
 		return http.StatusOK
-	case a.Verdict == routing.Refused:
+	case a.Verdict == routing.Rejected:
 		return http.StatusServiceUnavailable
-	case a.Expired:
+	case a.DeadlinePassed:
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
@@ -101,7 +101,7 @@
 
 func writeAnswer(w http.ResponseWriter, a routing.Answer) {
 	h := w.Header()
-	if a.Verdict == routing.Refused && a.RetryAfter > 0 {
+	if a.Verdict == routing.Rejected && a.RetryAfter > 0 {
 		h.Set("Retry-After", retryAfter(a.RetryAfter))
 	}
 	h.Set("Content-Type", "application/octet-stream")
--- a/internal/transport/keys.go
+++ b/internal/transport/keys.go
@@ -125,7 +125,7 @@
 	}
 	k.mu.Unlock()
 	if ok && verdict == repeats.Start && !k.ids.confirm(job.ID) {
-		j.end(routing.Answer{Verdict: routing.Refused}) // for who joined meanwhile: it never ran
+		j.end(routing.Answer{Verdict: routing.Rejected}) // for who joined meanwhile: it never ran
 		taken, ok = false, false
 	}
 	switch {
@@ -206,7 +206,7 @@
 			return
 		case <-late:
 			f.abandon(j)
-			f.write(w, r, routing.Answer{Verdict: routing.Failed, Expired: true})
+			f.write(w, r, routing.Answer{Verdict: routing.Failed, DeadlinePassed: true})
 			return
 		}
 	}
--- a/internal/transport/watched.go
+++ b/internal/transport/watched.go
@@ -47,7 +47,7 @@
 func (j *watched) refused() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.final != nil && j.final.Verdict == routing.Refused
+	return j.final != nil && j.final.Verdict == routing.Rejected
 }
 
 func (j *watched) ended() bool {
@@ -139,11 +139,11 @@
 		j.bytes.Add(int64(len(a.Result)))
 		j.keys.bytes.Add(int64(len(a.Result)))
 		j.add("done", 0, news{ID: j.id, Result: &result})
-	case routing.Refused:
+	case routing.Rejected:
 		j.add("refused", a.RetryAfter, news{ID: j.id, RetryAfterMS: a.RetryAfter.Milliseconds()})
 	default:
 		reason := "failed"
-		if a.Expired {
+		if a.DeadlinePassed {
 			reason = "deadline"
 		}
 		j.add("failed", 0, news{ID: j.id, Reason: reason})
