--- a/internal/command/budgets.go
+++ b/internal/command/budgets.go
@@ -17,12 +17,12 @@
 	c.PersistentFlags().BoolVar(&f.asJSON, "json", false, "as JSON")
 	c.AddCommand(f.show("status", "Demand, lease and what was denied here; at the leader also what is dealt out", func(w io.Writer, s fleet.Status) {
 		fmt.Fprint(w, "budget\there, a second\tasked for\tdenied\tof all, a second\tdealt out\n")
-		for i, x := range s.Spent {
+		for i, x := range s.BudgetUsage {
 			all := "-\t-"
-			if i < len(s.Dealt) {
-				all = fmt.Sprintf("%.1f\t%.1f", s.Dealt[i].Rate, s.Dealt[i].Given)
+			if i < len(s.BudgetsGranted) {
+				all = fmt.Sprintf("%.1f\t%.1f", s.BudgetsGranted[i].RatePerSecond, s.BudgetsGranted[i].Outstanding)
 			}
-			fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%d\t%s\n", x.Kind, x.Rate, x.Demand, x.Denied, all)
+			fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%d\t%s\n", x.Kind, x.RatePerSecond, x.Demand, x.Denied, all)
 		}
 	}))
 	return c
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -85,9 +85,9 @@
 
 func statusTable(w io.Writer, s fleet.Status) {
 	fmt.Fprintf(w, "fleet\t%s\ndispatcher\t%s\nseat\t%d\nleader's seat\t%d\nera\t%d\nacting on\t%v\nlapsed\t%t\nlease left\t%d ms\nin force\t%d\n", s.Fleet, s.Name,
-		s.Seat, s.Leader, s.Record.Epoch, s.Acting, s.Lapsed, s.LeaseMS, s.Record.InForce.Number)
+		s.VoterID, s.Leader, s.Record.Epoch, s.EffectiveVersions, s.LeaseExpired, s.LeaseLeftMS, s.Record.InForce.Number)
 	if v := s.Record.Announced; v != nil {
-		fmt.Fprintf(w, "announced\t%d by %s: %s\nwaits for\t%v\n", v.Number, v.By, v.Reason, s.Waits)
+		fmt.Fprintf(w, "announced\t%d by %s: %s\nwaits for\t%v\n", v.Number, v.By, v.Reason, s.WaitingFor)
 		if t := v.Canary; t != nil {
 			fmt.Fprintf(w, "tried by\t%g of the dispatchers, for %v, margin %g\n", t.Share, t.MinDuration, t.FailureMargin)
 		}
@@ -119,7 +119,7 @@
 			}
 			all := map[string]memberOf{}
 			for _, m := range s.Members {
-				all[m.Name] = memberOf{agreement.Dispatcher{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone, VoterID: m.Seat, MessageFormat: m.Form}, string(m.State), "-"}
+				all[m.Name] = memberOf{agreement.Dispatcher{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone, VoterID: m.VoterID, MessageFormat: m.MessageFormat}, string(m.State), "-"}
 			}
 			gossip := func(name string) string {
 				if m, ok := all[name]; ok {
@@ -152,7 +152,7 @@
 
 func councilTable(w io.Writer, s fleet.Status) {
 	fmt.Fprint(w, "seat\tdispatcher\taddress\tregion\tzone\tvotes\tsilent\tbehind\n")
-	places := s.Places
+	places := s.Voters
 	if places == nil { // not asked at the leader
 		for _, seat := range s.Record.Voters {
 			places = append(places, agreement.VoterStatus{Voter: seat})
@@ -378,9 +378,9 @@
 				if err != nil {
 					text = err.Error()
 				} else {
-					text = fmt.Sprintf("acting on %v lapsed %t, in force %d, leader's seat %d, era %d", s.Acting, s.Lapsed, s.Record.InForce.Number, s.Leader, s.Record.Epoch)
+					text = fmt.Sprintf("acting on %v lapsed %t, in force %d, leader's seat %d, era %d", s.EffectiveVersions, s.LeaseExpired, s.Record.InForce.Number, s.Leader, s.Record.Epoch)
 					if v := s.Record.Announced; v != nil {
-						text += fmt.Sprintf(", announced %d, waits for %v", v.Number, s.Waits)
+						text += fmt.Sprintf(", announced %d, waits for %v", v.Number, s.WaitingFor)
 					}
 				}
 				if text != last {
--- a/internal/command/saved.go
+++ b/internal/command/saved.go
@@ -32,7 +32,7 @@
 		}
 		var all error
 		for _, name := range names {
-			files, err := savedlist.Existing(dir, name)
+			files, err := savedlist.OpenExisting(dir, name)
 			if err == nil {
 				err = do(name, savedlist.NewStore(files, name))
 			}
@@ -52,7 +52,7 @@
 					return err
 				}
 				for _, g := range found {
-					if g.Saved != nil {
+					if g.List != nil {
 						return print(c.OutOrStdout(), g, asJSON)
 					}
 				}
@@ -76,7 +76,7 @@
 						fmt.Fprintf(c.OutOrStdout(), "%s: generation %d: %v\n", name, g.Number, g.Err)
 					default:
 						fmt.Fprintf(c.OutOrStdout(), "%s: generation %d: whole, of %s, %d boxes, %d records, %d bytes behind them\n",
-							name, g.Number, g.Saved.Made().UTC().Format(time.RFC3339), len(g.Saved.Members), g.Records, g.Torn)
+							name, g.Number, g.List.ConfirmedAt().UTC().Format(time.RFC3339), len(g.List.Members), g.Records, g.TornBytes)
 					}
 				}
 				if damaged > 0 {
@@ -105,16 +105,16 @@
 
 // print writes a generation for people, or as it is kept.
 func print(out io.Writer, g savedlist.Generation, asJSON bool) error {
-	s := g.Saved
+	s := g.List
 	if asJSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
 		return e.Encode(s)
 	}
 	fmt.Fprintf(out, "dispatcher %s, generation %d, revision %d of %s, true at %s (%s ago)\n", s.Dispatcher, g.Number, s.Revision, s.Discovery,
-		s.Made().UTC().Format(time.RFC3339), time.Since(s.Made()).Round(time.Second))
+		s.ConfirmedAt().UTC().Format(time.RFC3339), time.Since(s.ConfirmedAt()).Round(time.Second))
 	outByHand := map[string]bool{}
-	for _, id := range s.Out {
+	for _, id := range s.Detached {
 		outByHand[id] = true
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -130,7 +130,7 @@
 		if outByHand[m.ID] {
 			phase += ", out by hand"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", m.ID, m.HostPort, m.Locality, m.Flavor, m.Cell, phase, at(m.UpSinceMS), at(m.HeardMS))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", m.ID, m.HostPort, m.Locality, m.Flavor, m.Cell, phase, at(m.UpSinceMS), at(m.LastSignalMS))
 	}
 	return w.Flush()
 }
--- a/internal/command/zones.go
+++ b/internal/command/zones.go
@@ -138,7 +138,7 @@
 	if !known {
 		return fmt.Errorf("nothing is planned of a zone %q", zone)
 	}
-	if s.Alone {
+	if s.PlanExpired {
 		fmt.Fprintln(w, "this dispatcher has been cut off for too long: it serves its own zone only")
 	}
 	return nil
--- a/internal/failover/guide.go
+++ b/internal/failover/guide.go
@@ -14,8 +14,8 @@
 	"brassdale/internal/routing"
 )
 
-// Guide is the dispatcher's part. It is routing's Guide.
-type Guide struct {
+// Router is the dispatcher's part. It is routing's Router.
+type Router struct {
 	params *protocol.Live
 
 	mu      sync.Mutex
@@ -35,11 +35,11 @@
 	until brain.Clock
 }
 
-var _ routing.ZoneRouter = (*Guide)(nil)
+var _ routing.ZoneRouter = (*Router)(nil)
 
 // New makes it for a dispatcher.
-func New(name string, p *protocol.Live) *Guide {
-	g := &Guide{params: p, boxes: map[brain.WorkerID]brain.WorkerInfo{}, keys: map[uint64]kept{}}
+func New(name string, p *protocol.Live) *Router {
+	g := &Router{params: p, boxes: map[brain.WorkerID]brain.WorkerInfo{}, keys: map[uint64]kept{}}
 	s := p.Now()
 	g.zone = zoneName(s, s.Locality)
 	g.watcher = failover.NewRecorder(name, g.zone, 0)
@@ -53,23 +53,23 @@
 	return ""
 }
 
-// Follow has a plan acted on from now on; alone tells that this dispatcher has been cut off from the council for too long to
+// ApplyPlan has a plan acted on from now on; alone tells that this dispatcher has been cut off from the council for too long to
 // trust it: it serves near only.
-func (g *Guide) Follow(p *failover.Plan, alone bool) {
+func (g *Router) ApplyPlan(p *failover.Plan, alone bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.plan, g.alone = p, alone
 }
 
-// Shed counts the jobs that the plan had refused where they arrived.
-func (g *Guide) Shed() int {
+// ShedCount counts the jobs that the plan had refused where they arrived.
+func (g *Router) ShedCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.shed
 }
 
 // Listed takes news of the boxes.
-func (g *Guide) EndpointsUpdated(now brain.Clock, l brain.EndpointsUpdated) {
+func (g *Router) EndpointsUpdated(now brain.Clock, l brain.EndpointsUpdated) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
@@ -88,7 +88,7 @@
 
 // Arrived says to which zones a job may be sent, a bit for each number; not ok where it is shed here, and for how long its
 // client should stay away. Jobs of an idempotency key keep their zone for the window in which a repeat is dropped.
-func (g *Guide) Route(now brain.Clock, class, key string) (within uint64, away time.Duration, ok bool) {
+func (g *Router) Route(now brain.Clock, class, key string) (within uint64, away time.Duration, ok bool) {
 	p := g.params.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,10 +135,10 @@
 }
 
 // at gives the zone of a box.
-func (g *Guide) at(id brain.WorkerID) string { return zoneName(g.params.Now(), g.boxes[id].Zone) }
+func (g *Router) at(id brain.WorkerID) string { return zoneName(g.params.Now(), g.boxes[id].Zone) }
 
 // Began notes that a box has begun a job.
-func (g *Guide) AttemptStarted(now brain.Clock, id brain.WorkerID) {
+func (g *Router) AttemptStarted(now brain.Clock, id brain.WorkerID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
@@ -146,7 +146,7 @@
 }
 
 // Ended counts a call: how long its job waited at the box and ran; silent where nobody answered.
-func (g *Guide) AttemptEnded(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration) {
+func (g *Router) AttemptEnded(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration) {
 	p := g.params.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -169,14 +169,14 @@
 }
 
 // Silent counts a call of which there was no sign for a while.
-func (g *Guide) AttemptUnanswered(now brain.Clock, id brain.WorkerID) {
+func (g *Router) AttemptUnanswered(now brain.Clock, id brain.WorkerID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.watcher.CallUnanswered(g.at(id), now)
 }
 
 // Probed counts a probe.
-func (g *Guide) ProbeCompleted(id brain.WorkerID, o brain.Outcome) {
+func (g *Router) ProbeCompleted(id brain.WorkerID, o brain.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch o {
@@ -188,15 +188,15 @@
 	}
 }
 
-// Urgent tells whether the council is to hear at once of a way that has turned bad, or fine again.
-func (g *Guide) Urgent() bool {
+// HasUrgentChange tells whether the council is to hear at once of a way that has turned bad, or fine again.
+func (g *Router) HasUrgentChange() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.watcher.HasUrgentChange(g.now)
 }
 
 // Report gives what was seen since the last one. Sizes in the list are taken for slots.
-func (g *Guide) Report() *failover.Report {
+func (g *Router) Report() *failover.Report {
 	p := g.params.Now()
 	cold, start := p.Rules.Cold.Span(), p.Rules.StartCapacity
 	g.mu.Lock()
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -35,22 +35,22 @@
 
 // Options make a dispatcher's part.
 type Options struct {
-	Settings *Settings
-	Name     string                     // of the dispatcher
-	Zone     string                     // where its settings say none
-	Apply    func(agreement.Effective)  // is told of each change of what may be acted on; must not block
-	Jobs     func() (ended, bad uint64) // since the start; bad are those refused or failed
-
-	Overload *Overload     // nil where nothing is dealt out
-	Among    func() int    // dispatchers that there are at the most
-	Firsts   func() uint64 // first calls since the start
-
-	Failover *Failover                  // nil where nobody plans
-	Report   func() *failover.Report    // what this dispatcher saw of zones since the last one
-	Urgent   func() bool                // whether it is to be told at once; nil for never
-	Planned  func(*failover.Plan, bool) // is told of each plan, and whether this dispatcher is cut off from it for too long; must not block
-	Log      *slog.Logger
-	Meter    *traffic.Meter // of what control costs this process; nil for one of its own
+	Settings       *Settings
+	Name           string                     // of the dispatcher
+	Zone           string                     // where its settings say none
+	ApplyEffective func(agreement.Effective)  // is told of each change of what may be acted on; must not block
+	JobCounts      func() (ended, bad uint64) // since the start; bad are those refused or failed
+
+	Overload       *Overload     // nil where nothing is dealt out
+	MaxDispatchers func() int    // dispatchers that there are at the most
+	FirstAttempts  func() uint64 // first calls since the start
+
+	Failover        *Failover                  // nil where nobody plans
+	Report          func() *failover.Report    // what this dispatcher saw of zones since the last one
+	HasUrgentChange func() bool                // whether it is to be told at once; nil for never
+	PlanChanged     func(*failover.Plan, bool) // is told of each plan, and whether this dispatcher is cut off from it for too long; must not block
+	Log             *slog.Logger
+	Meter           *traffic.Meter // of what control costs this process; nil for one of its own
 }
 
 // Agent is a dispatcher's part in the fleet, and a seat's in the council where it has one.
@@ -67,7 +67,7 @@
 	log      *slog.Logger
 	client   *http.Client
 	listener net.Listener
-	members  *membership.List
+	members  *membership.Membership
 	visitor  neighbours.Exchanger // the renewals'
 	reported agreement.Clock      // the same: when a question last had a report
 	changed  chan struct{}        // what may be acted on may have changed
@@ -96,10 +96,10 @@
 
 // Counts are what the fleet costs this dispatcher.
 type Counts struct {
-	Calls   uint64 `json:"Calls"`   // to others
-	Served  uint64 `json:"Served"`  // of others
-	Renewed uint64 `json:"Renewed"` // leases that it got
-	Refused uint64 `json:"Refused"` // leases that it did not get
+	Calls    uint64 `json:"Calls"`   // to others
+	Served   uint64 `json:"Served"`  // of others
+	Renewed  uint64 `json:"Renewed"` // leases that it got
+	Rejected uint64 `json:"Refused"` // leases that it did not get
 }
 
 // New reads what the dispatcher knew at its last end.
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	patience, err := s.Patience()
+	patience, err := s.ReplaceAfterDuration()
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 	a := &Agent{Options: o, s: s, instance: rand.Text(), lease: lease, patience: patience, start: time.Now(), pace: testPace(), form: testForm(), log: o.Log,
 		client: newClient(o.Meter), changed: make(chan struct{}, 1), renewNow: make(chan struct{}, 1), slow: make(chan struct{}, 8), news: make(chan struct{})}
 	if o.Failover != nil {
-		a.trusted, _ = time.ParseDuration(o.Failover.Alone) // the operator's file was checked
+		a.trusted, _ = time.ParseDuration(o.Failover.MaxPlanAge) // the operator's file was checked
 	}
 	a.holder = agreement.NewLessee(o.Name, a.kept())
 	a.heard = a.holder.Record().Revision > 0
@@ -154,8 +154,8 @@
 	if a.listener, err = net.Listen("tcp", a.s.Listen); err != nil {
 		return err
 	}
-	o := membership.Options{Self: a.self(), Reach: a.s.reach, Log: a.log, Meter: a.Meter}
-	if o.Whole = a.form < formNeighbours; o.Whole {
+	o := membership.Options{Self: a.self(), ResolveAddress: a.s.reach, Log: a.log, Meter: a.Meter}
+	if o.WholeFleet = a.form < formNeighbours; o.WholeFleet {
 		o.Seeds = a.s.Voters
 	}
 	a.members, err = membership.New(o)
@@ -171,7 +171,7 @@
 	for said := false; ctx.Err() == nil; {
 		err := a.open()
 		if err == nil {
-			a.log.Info("listening", "front", "council", "address", a.listener.Addr().String(), "seat", a.s.Seat)
+			a.log.Info("listening", "front", "council", "address", a.listener.Addr().String(), "seat", a.s.VoterID)
 			return true
 		}
 		if !said {
@@ -209,11 +209,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return membership.Self{Name: a.Name, Address: a.address(), Region: a.s.Region, Zone: a.Zone,
-		Era: a.holder.Record().Epoch, Seat: a.seat.id(), Form: a.form}
+		Epoch: a.holder.Record().Epoch, VoterID: a.seat.id(), MessageFormat: a.form}
 }
 
-// Stand is what may be acted on now. Who was frozen finds its lease run out.
-func (a *Agent) Stand() agreement.Effective {
+// Effective is what may be acted on now. Who was frozen finds its lease run out.
+func (a *Agent) Effective() agreement.Effective {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.Effective(a.now())
@@ -267,7 +267,7 @@
 func (a *Agent) watch(ctx context.Context) {
 	for {
 		a.settle()
-		a.members.Say(a.self())
+		a.members.UpdateSelf(a.self())
 		a.mu.Lock()
 		left := a.holder.LeaseExpiry() - a.now()
 		a.mu.Unlock()
@@ -297,7 +297,7 @@
 	if text := fmt.Sprint(a.holder.Record().Epoch, s.Versions, s.LeaseExpired); text != a.last { // rules follow from these
 		a.last = text
 		a.log.Info("acting on", "versions", fmt.Sprint(s.Versions), "lapsed", s.LeaseExpired, "at_ms", time.Now().UnixMilli())
-		a.Apply(s)
+		a.ApplyEffective(s)
 	}
 	a.settlePlan(s.LeaseExpired)
 }
@@ -320,7 +320,7 @@
 	if text := fmt.Sprint(number, alone); text != a.planned {
 		a.planned = text
 		a.log.Info("plan", "number", number, "alone", alone, "at_ms", time.Now().UnixMilli())
-		a.Planned(plan, alone)
+		a.PlanChanged(plan, alone)
 	}
 }
 
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -27,8 +27,8 @@
 	return p
 }
 
-// May takes one use of a budget, if there is room. What has no budget is free.
-func (a *Agent) May(kind string) bool {
+// AllowUse takes one use of a budget, if there is room. What has no budget is free.
+func (a *Agent) AllowUse(kind string) bool {
 	a.purse.mu.Lock()
 	defer a.purse.mu.Unlock()
 	h := a.purse.holders[kind]
@@ -41,8 +41,8 @@
 		return nil, 0
 	}
 	now, all := a.now(), uint64(0)
-	if a.Firsts != nil {
-		all = a.Firsts()
+	if a.FirstAttempts != nil {
+		all = a.FirstAttempts()
 	}
 	p := a.purse
 	p.mu.Lock()
@@ -74,29 +74,29 @@
 	}
 }
 
-// Spent is how a budget stands at this dispatcher.
-type Spent struct {
-	Kind   string  `json:"kind"`
-	Rate   float64 `json:"rate"`   // a second, that it may spend now
-	Demand float64 `json:"demand"` // that it asked for lately
-	Denied int     `json:"denied"` // uses, since the start
+// BudgetUsage is how a budget stands at this dispatcher.
+type BudgetUsage struct {
+	Kind          string  `json:"kind"`
+	RatePerSecond float64 `json:"rate"`   // a second, that it may spend now
+	Demand        float64 `json:"demand"` // that it asked for lately
+	Denied        int     `json:"denied"` // uses, since the start
 }
 
-func (a *Agent) spent() (all []Spent) {
+func (a *Agent) spent() (all []BudgetUsage) {
 	a.purse.mu.Lock()
 	defer a.purse.mu.Unlock()
 	for _, kind := range a.Overload.kinds() {
 		h := a.purse.holders[kind]
-		all = append(all, Spent{kind, h.Rate(a.now()), h.Demand(a.now()), h.Denied()})
+		all = append(all, BudgetUsage{kind, h.Rate(a.now()), h.Demand(a.now()), h.Denied()})
 	}
 	return all
 }
 
-// Dealt is how a budget stands at the leader.
-type Dealt struct {
-	Kind  string  `json:"kind"`
-	Rate  float64 `json:"rate"`  // a second, of all together
-	Given float64 `json:"given"` // that leases and those without one may spend now
+// BudgetGranted is how a budget stands at the leader.
+type BudgetGranted struct {
+	Kind          string  `json:"kind"`
+	RatePerSecond float64 `json:"rate"`  // a second, of all together
+	Outstanding   float64 `json:"given"` // that leases and those without one may spend now
 }
 
 // treasury is the leader's part.
@@ -130,10 +130,10 @@
 
 // among is how many dispatchers there are at the most.
 func (a *Agent) among() int {
-	if a.Among == nil {
+	if a.MaxDispatchers == nil {
 		return 1
 	}
-	return max(a.Among(), 1)
+	return max(a.MaxDispatchers(), 1)
 }
 
 // deal gives a dispatcher its rates; a.mu is held.
@@ -170,12 +170,12 @@
 }
 
 // dealt is how the budgets stand; a.mu is held.
-func (a *Agent) dealt() (all []Dealt) {
+func (a *Agent) dealt() (all []BudgetGranted) {
 	if a.treasury == nil {
 		return nil
 	}
 	for _, kind := range a.Overload.kinds() {
-		all = append(all, Dealt{kind, a.treasury.rates[kind], a.treasury.dealers[kind].Outstanding(a.now())})
+		all = append(all, BudgetGranted{kind, a.treasury.rates[kind], a.treasury.dealers[kind].Outstanding(a.now())})
 	}
 	return all
 }
--- a/internal/fleet/council.go
+++ b/internal/fleet/council.go
@@ -30,12 +30,12 @@
 	if s == nil {
 		return 0
 	}
-	return s.log.Seat()
+	return s.log.VoterID()
 }
 
 // since gives what has changed since a revision, for who acts on it: a whole record goes without what was.
 func (s *seat) since(era, revision uint64) (entries []agreement.Entry, whole *agreement.Record, toEra, to uint64) {
-	entries, whole, toEra, to = s.log.Since(era, revision)
+	entries, whole, toEra, to = s.log.EntriesSince(era, revision)
 	if whole != nil {
 		brief := whole.WithoutHistory()
 		whole = &brief
@@ -73,7 +73,7 @@
 
 // take opens the seat that a record, or the settings where there is none, gives this dispatcher.
 func (a *Agent) take(ctx context.Context, r agreement.Record) error {
-	first := uint64(a.s.Seat)
+	first := uint64(a.s.VoterID)
 	if len(r.Voters) > 0 {
 		var s agreement.Voter // the last that it was given: while it is given anew the one that it lost is still there
 		for _, had := range r.Voters {
@@ -95,7 +95,7 @@
 	if first == 0 {
 		return nil
 	}
-	f, err := councillog.Founder(a.s.Directory, first, nil)
+	f, err := councillog.OpenFounder(a.s.Directory, first, nil)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 			a.said("this file is not the one that the council was founded with: the dispatcher goes on as a follower")
 			return nil
 		}
-		if f, err = councillog.Founder(a.s.Directory, first, roll); err != nil {
+		if f, err = councillog.OpenFounder(a.s.Directory, first, roll); err != nil {
 			return err
 		}
 		a.mu.Lock()
@@ -150,9 +150,9 @@
 func (a *Agent) seated(ctx context.Context, id uint64, founders []agreement.Voter) error {
 	ctx, stop := context.WithCancel(ctx)
 	s := &seat{stop: stop, ended: make(chan struct{}), peers: map[uint64]*peer{}}
-	log, err := councillog.Open(councillog.Options{Seat: id, Founders: founders, Directory: a.s.Directory, Log: a.log,
-		Send:    func(to uint64, m []byte) { a.send(ctx, s, to, m) },
-		Changed: func(r agreement.Record) { a.inLog(r) }, Leads: a.elected})
+	log, err := councillog.Open(councillog.Options{VoterID: id, Founders: founders, Directory: a.s.Directory, Log: a.log,
+		Send:          func(to uint64, m []byte) { a.send(ctx, s, to, m) },
+		RecordChanged: func(r agreement.Record) { a.inLog(r) }, LeadershipChanged: a.elected})
 	if err != nil {
 		stop()
 		return err
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -15,26 +15,26 @@
 
 // Status is what a dispatcher tells of the fleet.
 type Status struct {
-	Name    string                  `json:"name"`
-	Fleet   string                  `json:"fleet"`
-	Seat    uint64                  `json:"seat,omitempty"`
-	Leader  uint64                  `json:"leader,omitempty"`
-	Leads   bool                    `json:"leads,omitempty"`
-	Acting  []uint64                `json:"acting"`
-	Lapsed  bool                    `json:"lapsed,omitempty"`
-	LeaseMS int64                   `json:"lease_left_ms"`
-	Record  agreement.Record        `json:"record"`
-	Present []agreement.Dispatcher  `json:"present,omitempty"` // who holds a lease, where this one leads
-	Waits   []string                `json:"waits,omitempty"`   // for whom an announced version waits
-	Places  []agreement.VoterStatus `json:"places,omitempty"`  // the council's seats, where this one leads
-	Members []membership.Member     `json:"members,omitempty"` // by gossip
-	Zones   []failover.ZoneView     `json:"zones,omitempty"`   // as the leader plans them
-	Alone   bool                    `json:"alone,omitempty"`   // it does not trust its plan any more
-	Spent   []Spent                 `json:"spent,omitempty"`   // of the fleet's budgets, here
-	Dealt   []Dealt                 `json:"dealt,omitempty"`   // and by all, where this one leads
-	Counts  Counts                  `json:"counts"`
+	Name              string                  `json:"name"`
+	Fleet             string                  `json:"fleet"`
+	VoterID           uint64                  `json:"seat,omitempty"`
+	Leader            uint64                  `json:"leader,omitempty"`
+	IsLeader          bool                    `json:"leads,omitempty"`
+	EffectiveVersions []uint64                `json:"acting"`
+	LeaseExpired      bool                    `json:"lapsed,omitempty"`
+	LeaseLeftMS       int64                   `json:"lease_left_ms"`
+	Record            agreement.Record        `json:"record"`
+	LeaseHolders      []agreement.Dispatcher  `json:"present,omitempty"` // who holds a lease, where this one leads
+	WaitingFor        []string                `json:"waits,omitempty"`   // for whom an announced version waits
+	Voters            []agreement.VoterStatus `json:"places,omitempty"`  // the council's seats, where this one leads
+	Members           []membership.Member     `json:"members,omitempty"` // by gossip
+	Zones             []failover.ZoneView     `json:"zones,omitempty"`   // as the leader plans them
+	PlanExpired       bool                    `json:"alone,omitempty"`   // it does not trust its plan any more
+	BudgetUsage       []BudgetUsage           `json:"spent,omitempty"`   // of the fleet's budgets, here
+	BudgetsGranted    []BudgetGranted         `json:"dealt,omitempty"`   // and by all, where this one leads
+	Counts            Counts                  `json:"counts"`
 
-	Control map[string]traffic.Count `json:"control"` // bytes and messages that control cost this process, by kind
+	ControlTraffic map[string]traffic.Count `json:"control"` // bytes and messages that control cost this process, by kind
 }
 
 // Status gives it.
@@ -42,23 +42,23 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.holder.Effective(a.now())
-	st := Status{Name: a.Name, Fleet: a.s.Name, Seat: a.seat.id(), Acting: s.Versions, Lapsed: s.LeaseExpired, Record: a.holder.Record(),
-		LeaseMS: max((a.holder.LeaseExpiry() - a.now()).Milliseconds(), 0), Leads: a.leads != nil, Counts: a.counts, Control: a.Meter.Counts()}
+	st := Status{Name: a.Name, Fleet: a.s.Name, VoterID: a.seat.id(), EffectiveVersions: s.Versions, LeaseExpired: s.LeaseExpired, Record: a.holder.Record(),
+		LeaseLeftMS: max((a.holder.LeaseExpiry() - a.now()).Milliseconds(), 0), IsLeader: a.leads != nil, Counts: a.counts, ControlTraffic: a.Meter.Counts()}
 	if a.members != nil {
 		st.Members = a.members.Members()
 	}
 	if a.seat != nil {
-		st.Leader, st.Record, st.Places = a.seat.log.Leader(), a.seat.log.Record(), a.seat.log.Places()
+		st.Leader, st.Record, st.Voters = a.seat.log.Leader(), a.seat.log.Record(), a.seat.log.VoterStatuses()
 	}
-	st.Spent, st.Dealt = a.spent(), a.dealt()
+	st.BudgetUsage, st.BudgetsGranted = a.spent(), a.dealt()
 	if a.planner != nil {
 		st.Zones = a.planner.Views(a.now())
 	}
-	st.Alone = a.Failover != nil && a.cutOff(s.LeaseExpired)
+	st.PlanExpired = a.Failover != nil && a.cutOff(s.LeaseExpired)
 	if a.leads != nil {
-		st.Present = a.leads.LeaseHolders(a.now())
+		st.LeaseHolders = a.leads.LeaseHolders(a.now())
 		if v := st.Record.Announced; v != nil {
-			_, st.Waits = a.leads.MayPutInForce(v.Number, a.now())
+			_, st.WaitingFor = a.leads.MayPutInForce(v.Number, a.now())
 		}
 	}
 	return st
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -57,10 +57,10 @@
 		a.mu.Lock()
 		present := leads.LeaseHolders(a.now())
 		a.mu.Unlock()
-		places, next := s.log.Places(), s.log.Record().NextVoterID
+		places, next := s.log.VoterStatuses(), s.log.Record().NextVoterID
 		if m, ok := agreement.PlanChange(places, present, next, a.patience); ok {
 			by, stop := context.WithDeadline(ctx, time.Now().Add(callWithin))
-			err := s.log.Reseat(by, m)
+			err := s.log.ChangeVoters(by, m)
 			stop()
 			a.log.Info("council's seats", "learns", m.AddLearner, "votes", m.Promote, "goes", m.Remove, "yields_to", m.TransferLeadership, "err", err)
 			pause(ctx, 5*sitEvery)
--- a/internal/fleet/log/log.go
+++ b/internal/fleet/log/log.go
@@ -35,20 +35,20 @@
 
 // The reasons for which a call is not served.
 var (
-	ErrNotLeader = errors.New("this voter does not lead")
-	ErrStopped   = errors.New("the log has stopped")
-	ErrMoved     = errors.New("the council is being changed already")
+	ErrNotLeader        = errors.New("this voter does not lead")
+	ErrStopped          = errors.New("the log has stopped")
+	ErrChangeInProgress = errors.New("the council is being changed already")
 )
 
 // Options make a seat's part.
 type Options struct {
-	Seat      uint64
-	Founders  []agreement.Voter // of the first council; nil for a seat that came later
-	Directory string
-	Send      func(to uint64, message []byte) // to another seat; must not block
-	Changed   func(agreement.Record)          // behind each entry that changed the record; must not block
-	Leads     func(leads bool)                // must not block
-	Log       *slog.Logger
+	VoterID           uint64
+	Founders          []agreement.Voter // of the first council; nil for a seat that came later
+	Directory         string
+	Send              func(to uint64, message []byte) // to another seat; must not block
+	RecordChanged     func(agreement.Record)          // behind each entry that changed the record; must not block
+	LeadershipChanged func(leads bool)                // must not block
+	Log               *slog.Logger
 
 	SnapshotEvery uint64 // applied entries
 }
@@ -97,10 +97,10 @@
 
 // Open reads what the seat kept. Run goes on from there.
 func Open(o Options) (*Log, error) {
-	if o.Seat == 0 || o.Founders != nil && o.Seat > uint64(len(o.Founders)) {
-		return nil, fmt.Errorf("there is no seat %d", o.Seat)
+	if o.VoterID == 0 || o.Founders != nil && o.VoterID > uint64(len(o.Founders)) {
+		return nil, fmt.Errorf("there is no seat %d", o.VoterID)
 	}
-	s, err := openStore(Path(o.Directory, o.Seat), o.Founders)
+	s, err := openStore(Path(o.Directory, o.VoterID), o.Founders)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 		err = l.restore(snapshot)
 	}
 	if err == nil {
-		l.node, err = raft.NewRawNode(&raft.Config{ID: o.Seat, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: s,
+		l.node, err = raft.NewRawNode(&raft.Config{ID: o.VoterID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: s,
 			Applied: l.applied, MaxSizePerMsg: mostMessage, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, Logger: quiet{o.Log}})
 	}
 	if err != nil {
@@ -155,19 +155,19 @@
 	return l.leader
 }
 
-// Seat is the one that this is.
-func (l *Log) Seat() uint64 { return l.o.Seat }
+// VoterID is the one that this is.
+func (l *Log) VoterID() uint64 { return l.o.VoterID }
 
-// Places is what the leader sees of the council's seats; nil at others.
-func (l *Log) Places() []agreement.VoterStatus {
+// VoterStatuses is what the leader sees of the council's seats; nil at others.
+func (l *Log) VoterStatuses() []agreement.VoterStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.places)
 }
 
-// Since gives what has changed since a revision, and the era and revision that this leads to: entries to apply to the record
+// EntriesSince gives what has changed since a revision, and the era and revision that this leads to: entries to apply to the record
 // of that revision where they are still known, else the whole record.
-func (l *Log) Since(era, revision uint64) (entries []agreement.Entry, whole *agreement.Record, toEra, to uint64) {
+func (l *Log) EntriesSince(era, revision uint64) (entries []agreement.Entry, whole *agreement.Record, toEra, to uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record
@@ -200,9 +200,9 @@
 // Confirm tells whether this voter leads now, by the word of a majority, and has applied all that was committed before.
 func (l *Log) Confirm(ctx context.Context) error { return l.ask(ctx, call{}) }
 
-// Reseat changes the council, one move at a time. It returns once the move is in the log of this seat; the record tells when
+// ChangeVoters changes the council, one move at a time. It returns once the move is in the log of this seat; the record tells when
 // it has come about.
-func (l *Log) Reseat(ctx context.Context, m agreement.VoterChange) error {
+func (l *Log) ChangeVoters(ctx context.Context, m agreement.VoterChange) error {
 	return l.ask(ctx, call{move: &m})
 }
 
@@ -234,7 +234,7 @@
 		ticker.Stop()
 		close(l.done)
 		if l.leads {
-			l.o.Leads(false)
+			l.o.LeadershipChanged(false)
 		}
 		err = errors.Join(err, l.store.db.Close())
 	}()
@@ -253,7 +253,7 @@
 			l.read()
 		case text := <-l.in:
 			m := &raftpb.Message{}
-			if proto.Unmarshal(text, m) != nil || m.GetTo() != l.o.Seat || m.GetFrom() == 0 {
+			if proto.Unmarshal(text, m) != nil || m.GetTo() != l.o.VoterID || m.GetFrom() == 0 {
 				continue // not for this seat
 			}
 			if raft.IsLocalMsg(m.GetType()) {
@@ -318,7 +318,7 @@
 		if err := l.restore(rd.Snapshot); err != nil {
 			return err
 		}
-		l.o.Changed(l.Record())
+		l.o.RecordChanged(l.Record())
 	}
 	for _, e := range rd.CommittedEntries {
 		l.apply(e)
@@ -387,7 +387,7 @@
 		}
 		l.mu.Unlock()
 		if err == nil {
-			l.o.Changed(next)
+			l.o.RecordChanged(next)
 		}
 	}
 	if answer := l.waits[entry.ID]; answer != nil {
@@ -425,5 +425,5 @@
 		}
 		l.confirms = nil
 	}
-	l.o.Leads(leads)
+	l.o.LeadershipChanged(leads)
 }
--- a/internal/fleet/log/log_test.go
+++ b/internal/fleet/log/log_test.go
@@ -63,7 +63,7 @@
 	if seat <= c.n {
 		first = founders(c.n)
 	}
-	l, err := Open(Options{Seat: uint64(seat), Founders: first, Directory: c.dirs[seat], Changed: func(agreement.Record) {}, Leads: func(bool) {},
+	l, err := Open(Options{VoterID: uint64(seat), Founders: first, Directory: c.dirs[seat], RecordChanged: func(agreement.Record) {}, LeadershipChanged: func(bool) {},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), SnapshotEvery: 30, Send: func(id uint64, m []byte) {
 			to := int(id)
 			c.mu.Lock()
@@ -318,7 +318,7 @@
 				return
 			}
 			ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
-			err := l.Reseat(ctx, m)
+			err := l.ChangeVoters(ctx, m)
 			stop()
 			if time.Now().After(end) {
 				t.Fatalf("%+v: %v, %+v", m, err, l.Record().Voters)
@@ -336,7 +336,7 @@
 	c.agree(c.at(lead).Record().Revision, lead, fresh)
 	_, l := c.leader()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		places := l.Places()
+		places := l.VoterStatuses()
 		i := slices.IndexFunc(places, func(p agreement.VoterStatus) bool { return p.ID == fresh })
 		g := slices.IndexFunc(places, func(p agreement.VoterStatus) bool { return p.ID == uint64(gone) })
 		if i >= 0 && g >= 0 && places[i].Learner && places[i].Name == "n4" && places[i].EntriesBehind == 0 && places[i].SilentFor < time.Second && places[g].SilentFor > time.Second {
@@ -355,13 +355,13 @@
 
 	// What a follower missed is given as entries, or whole.
 	now := c.at(lead).Record()
-	entries, whole, _, _ := c.at(lead).Since(0, now.Revision-1)
+	entries, whole, _, _ := c.at(lead).EntriesSince(0, now.Revision-1)
 	before := now
 	before.Revision, before.Announced = now.Revision-1, nil
 	if after, err := before.Apply(entries[0]); len(entries) != 1 || whole != nil || err != nil || text(after) != text(now) {
 		t.Errorf("%+v, %v", entries, whole)
 	}
-	if _, whole, _, _ := c.at(lead).Since(9, now.Revision-1); whole == nil {
+	if _, whole, _, _ := c.at(lead).EntriesSince(9, now.Revision-1); whole == nil {
 		t.Error("entries of another era were given")
 	}
 
@@ -411,7 +411,7 @@
 		if err := os.Truncate(path, left); err != nil {
 			t.Fatal(err)
 		}
-		torn, err := Open(Options{Seat: uint64(lead), Founders: founders(3), Directory: c.dirs[lead], Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		torn, err := Open(Options{VoterID: uint64(lead), Founders: founders(3), Directory: c.dirs[lead], Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err == nil {
 			torn.store.db.Close()
 			t.Errorf("a file of %d bytes was opened", left)
@@ -425,15 +425,15 @@
 // A founder's file says with whom the council was founded, from then on.
 func TestFounder(t *testing.T) {
 	dir := t.TempDir()
-	a, err := Founder(dir, 1, nil)
+	a, err := OpenFounder(dir, 1, nil)
 	if err != nil || a.Incarnation == "" || a.FoundingVoters != nil {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	roll := map[uint64]string{1: a.Incarnation, 2: "x", 3: "y"}
-	if _, err := Founder(dir, 1, roll); err != nil {
+	if _, err := OpenFounder(dir, 1, roll); err != nil {
 		t.Fatal(err)
 	}
-	if b, err := Founder(dir, 1, nil); err != nil || b.Incarnation != a.Incarnation || len(b.FoundingVoters) != 3 {
+	if b, err := OpenFounder(dir, 1, nil); err != nil || b.Incarnation != a.Incarnation || len(b.FoundingVoters) != 3 {
 		t.Errorf("%+v, %v", b, err)
 	}
 }
@@ -442,7 +442,7 @@
 func TestOtherCouncil(t *testing.T) {
 	dir := t.TempDir()
 	open := func(seat, voters int) error {
-		l, err := Open(Options{Seat: uint64(seat), Founders: founders(voters), Directory: dir, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		l, err := Open(Options{VoterID: uint64(seat), Founders: founders(voters), Directory: dir, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err == nil {
 			l.store.db.Close()
 		}
@@ -463,8 +463,8 @@
 	f.Add([]byte{8, 3, 16, 1, 24, 2, 32, 9})
 	f.Add([]byte("no message"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := Open(Options{Seat: 1, Founders: founders(3), Directory: t.TempDir(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Send: func(uint64, []byte) {}, Changed: func(agreement.Record) {}, Leads: func(bool) {}})
+		l, err := Open(Options{VoterID: 1, Founders: founders(3), Directory: t.TempDir(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			Send: func(uint64, []byte) {}, RecordChanged: func(agreement.Record) {}, LeadershipChanged: func(bool) {}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/log/seats.go
+++ b/internal/fleet/log/seats.go
@@ -24,7 +24,7 @@
 	var places []agreement.VoterStatus
 	last, _ := l.store.LastIndex()
 	l.node.WithProgress(func(id uint64, typ raft.ProgressType, pr tracker.Progress) {
-		if l.silent[id]++; pr.RecentActive || id == l.o.Seat { // which raft forgets once an election's time
+		if l.silent[id]++; pr.RecentActive || id == l.o.VoterID { // which raft forgets once an election's time
 			l.silent[id] = 0
 		}
 		if pr.State == tracker.StateSnapshot {
@@ -37,7 +37,7 @@
 			behind = math.MaxUint64
 		}
 		places = append(places, agreement.VoterStatus{Voter: agreement.Voter{ID: id, Learner: typ == raft.ProgressTypeLearner},
-			SilentFor: time.Duration(l.silent[id]) * tickEvery, EntriesBehind: behind, IsLeader: id == l.o.Seat})
+			SilentFor: time.Duration(l.silent[id]) * tickEvery, EntriesBehind: behind, IsLeader: id == l.o.VoterID})
 	})
 	for id, ticks := range l.loading {
 		if ticks >= electionTicks {
@@ -65,7 +65,7 @@
 		return nil
 	}
 	if l.conf.GetAutoLeave() || len(l.conf.GetVotersOutgoing()) > 0 {
-		return ErrMoved
+		return ErrChangeInProgress
 	}
 	cc := &raftpb.ConfChangeV2{}
 	change := func(what raftpb.ConfChangeType, id uint64) {
--- a/internal/fleet/log/store.go
+++ b/internal/fleet/log/store.go
@@ -59,9 +59,9 @@
 	return s, nil
 }
 
-// Founder reads what a seat's file says of the first council, and makes the file where there is none. Once the council is
+// OpenFounder reads what a seat's file says of the first council, and makes the file where there is none. Once the council is
 // founded its roll is on file.
-func Founder(dir string, seat uint64, roll map[uint64]string) (f agreement.Founder, err error) {
+func OpenFounder(dir string, seat uint64, roll map[uint64]string) (f agreement.Founder, err error) {
 	db, err := openFile(Path(dir, seat))
 	if err != nil {
 		return f, err
--- a/internal/fleet/log/stored_test.go
+++ b/internal/fleet/log/stored_test.go
@@ -59,8 +59,8 @@
 // openStored opens the log of a directory and runs it until the test ends.
 func openStored(t *testing.T, dir string) *Log {
 	t.Helper()
-	l, err := Open(Options{Seat: 1, Founders: storedFounders, Directory: dir, SnapshotEvery: 5, Send: func(uint64, []byte) {},
-		Changed: func(agreement.Record) {}, Leads: func(bool) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	l, err := Open(Options{VoterID: 1, Founders: storedFounders, Directory: dir, SnapshotEvery: 5, Send: func(uint64, []byte) {},
+		RecordChanged: func(agreement.Record) {}, LeadershipChanged: func(bool) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 // TestStoredRoll reads the roll of founders from the stored file. It names a second one: a file without a roll is taken for
 // one that its own seat founded alone.
 func TestStoredRoll(t *testing.T) {
-	f, err := Founder(copyStored(t), 1, nil)
+	f, err := OpenFounder(copyStored(t), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -24,13 +24,13 @@
 
 // Self is what a dispatcher says of itself.
 type Self struct {
-	Name    string `json:"n"`
-	Address string `json:"a"`
-	Region  string `json:"r,omitempty"`
-	Zone    string `json:"z,omitempty"`
-	Era     uint64 `json:"e,omitempty"`
-	Seat    uint64 `json:"s,omitempty"`
-	Form    int    `json:"f"` // of messages that it can read
+	Name          string `json:"n"`
+	Address       string `json:"a"`
+	Region        string `json:"r,omitempty"`
+	Zone          string `json:"z,omitempty"`
+	Epoch         uint64 `json:"e,omitempty"`
+	VoterID       uint64 `json:"s,omitempty"`
+	MessageFormat int    `json:"f"` // of messages that it can read
 }
 
 // State is whether a member is there.
@@ -52,12 +52,12 @@
 
 // Options make a list.
 type Options struct {
-	Self  Self
-	Whole bool                // gossips over the whole fleet, as builds before form 3 did
-	Seeds []string            // addresses of some others, who are met while nobody else is there
-	Reach func(string) string // where an address is reached; nil for the address itself
-	Log   *slog.Logger
-	Meter *traffic.Meter // of what goes out and comes in; nil for none
+	Self           Self
+	WholeFleet     bool                // gossips over the whole fleet, as builds before form 3 did
+	Seeds          []string            // addresses of some others, who are met while nobody else is there
+	ResolveAddress func(string) string // where an address is reached; nil for the address itself
+	Log            *slog.Logger
+	Meter          *traffic.Meter // of what goes out and comes in; nil for none
 }
 
 const (
@@ -73,8 +73,8 @@
 	wordsMult = 8
 )
 
-// List is who is there.
-type List struct {
+// Membership is who is there.
+type Membership struct {
 	o  Options
 	t  *transport
 	ml *memberlist.Memberlist
@@ -97,15 +97,15 @@
 func (w word) Finished()                               {}
 
 // New listens at the dispatcher's address over UDP. Streams come by ServeHTTP.
-func New(o Options) (*List, error) {
-	if o.Reach == nil {
-		o.Reach = func(address string) string { return address }
+func New(o Options) (*Membership, error) {
+	if o.ResolveAddress == nil {
+		o.ResolveAddress = func(address string) string { return address }
 	}
-	t, err := newTransport(o.Self.Address, o.Reach, o.Meter)
+	t, err := newTransport(o.Self.Address, o.ResolveAddress, o.Meter)
 	if err != nil {
 		return nil, err
 	}
-	l := &List{o: o, t: t, self: o.Self, all: map[string]Member{}, fresh: make(chan struct{}, 1), meet: make(chan string, 1), leaving: map[string]time.Time{}}
+	l := &Membership{o: o, t: t, self: o.Self, all: map[string]Member{}, fresh: make(chan struct{}, 1), meet: make(chan string, 1), leaving: map[string]time.Time{}}
 	l.said = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return l.ml.NumMembers() }, RetransmitMult: wordsMult}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport, c.Delegate, c.Events, c.Conflict = o.Self.Name, t, (*delegate)(l), (*delegate)(l), (*delegate)(l)
@@ -113,7 +113,7 @@
 	c.BindPort = c.AdvertisePort
 	c.EnableCompression = false
 	c.DeadNodeReclaimTime = time.Millisecond // one that is gone may return at another address at once: who it is the council tells
-	if c.PushPullInterval = pushPullEvery; !o.Whole {
+	if c.PushPullInterval = pushPullEvery; !o.WholeFleet {
 		c.PushPullInterval, c.Alive = 0, (*delegate)(l)
 	}
 	c.LogOutput, c.Logger = nil, slog.NewLogLogger(o.Log.Handler(), slog.LevelDebug)
@@ -128,10 +128,10 @@
 }
 
 // ServeHTTP takes another member's stream.
-func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.t.ServeHTTP(w, r) }
+func (l *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.t.ServeHTTP(w, r) }
 
 // Run joins by the seeds, again while nobody else is there, and leaves in good order at the end.
-func (l *List) Run(ctx context.Context) {
+func (l *Membership) Run(ctx context.Context) {
 	defer func() {
 		l.said.QueueBroadcast(word(l.o.Self.Name))
 		time.Sleep(leaveWithin) // a few rounds of gossip
@@ -160,8 +160,8 @@
 	}
 }
 
-// Say tells the others what has changed. It does not block: memberlist does, until somebody has heard it.
-func (l *List) Say(s Self) {
+// UpdateSelf tells the others what has changed. It does not block: memberlist does, until somebody has heard it.
+func (l *Membership) UpdateSelf(s Self) {
 	l.mu.Lock()
 	same := l.self == s
 	l.self = s
@@ -174,16 +174,16 @@
 	}
 }
 
-// Meet has all that is known exchanged with another member. It does not block; one that is to be met waits for the one before.
-func (l *List) Meet(address string) {
+// ExchangeWith has all that is known exchanged with another member. It does not block; one that is to be met waits for the one before.
+func (l *Membership) ExchangeWith(address string) {
 	select {
 	case l.meet <- address:
 	default:
 	}
 }
 
-// Roll is who is there, by what is known here.
-func (l *List) Roll() neighbours.Digest {
+// Digest is who is there, by what is known here.
+func (l *Membership) Digest() neighbours.Digest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	names := make([]string, 0, len(l.all))
@@ -196,13 +196,13 @@
 }
 
 // Members are all that are known, by name; those that are gone for an hour.
-func (l *List) Members() []Member {
+func (l *Membership) Members() []Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.SortedFunc(maps.Values(l.all), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 }
 
-func (l *List) forget() {
+func (l *Membership) forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.leaving, func(_ string, at time.Time) bool { return time.Since(at) > keepLeaving })
@@ -210,7 +210,7 @@
 }
 
 // delegate is a list as memberlist sees it.
-type delegate List
+type delegate Membership
 
 // NodeMeta gives what is said of this member.
 func (d *delegate) NodeMeta(limit int) []byte {
@@ -218,7 +218,7 @@
 	defer d.mu.Unlock()
 	text, err := json.Marshal(d.self)
 	if err != nil || len(text) > min(limit, mostSaid) {
-		text, _ = json.Marshal(Self{Name: d.self.Name, Address: d.self.Address, Region: d.self.Region, Zone: d.self.Zone, Form: d.self.Form})
+		text, _ = json.Marshal(Self{Name: d.self.Name, Address: d.self.Address, Region: d.self.Region, Zone: d.self.Zone, MessageFormat: d.self.MessageFormat})
 	}
 	return text
 }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -18,7 +18,7 @@
 
 // one is a member in this process.
 type one struct {
-	*List
+	*Membership
 	server *http.Server
 	stop   context.CancelFunc
 	ended  chan struct{}
@@ -45,7 +45,7 @@
 // join starts a member that gossips over the whole fleet.
 func join(t *testing.T, name, zone, at string, seeds ...string) *one {
 	t.Helper()
-	return begin(t, Options{Self: Self{Name: name, Zone: zone}, Whole: true, Seeds: seeds}, at)
+	return begin(t, Options{Self: Self{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds}, at)
 }
 
 func begin(t *testing.T, o Options, at string) *one {
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Self.Address, o.Self.Region, o.Self.Form, o.Log = l.Addr().String(), "r", 2, slog.New(slog.NewTextHandler(io.Discard, nil))
+	o.Self.Address, o.Self.Region, o.Self.MessageFormat, o.Log = l.Addr().String(), "r", 2, slog.New(slog.NewTextHandler(io.Discard, nil))
 	list, err := New(o)
 	if err != nil {
 		t.Fatal(err)
@@ -106,8 +106,8 @@
 		m.sees(t, "back", map[State]int{Alive: 8, Left: 1})
 	}
 	said := all[3].self
-	said.Era, said.Seat = 12, 4
-	all[3].Say(said)
+	said.Epoch, said.VoterID = 12, 4
+	all[3].UpdateSelf(said)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		heard := 0
 		for _, m := range all[:7] {
@@ -138,22 +138,22 @@
 	for i := range 4 {
 		a, b = append(a, near(fmt.Sprint("a", i), "a")), append(b, near(fmt.Sprint("b", i), "b"))
 	}
-	a[0].Meet(a[1].self.Address)
-	a[2].Meet(a[3].self.Address)
+	a[0].ExchangeWith(a[1].self.Address)
+	a[2].ExchangeWith(a[3].self.Address)
 	for _, m := range a {
 		m.sees(t, "two parts", map[State]int{Alive: 2})
 	}
-	a[3].Meet(a[0].self.Address)
+	a[3].ExchangeWith(a[0].self.Address)
 	for _, m := range a {
 		m.sees(t, "one part", map[State]int{Alive: 4})
 	}
 	for i, m := range b[1:] {
-		m.Meet(b[i].self.Address)
+		m.ExchangeWith(b[i].self.Address)
 	}
 	for _, m := range b {
 		m.sees(t, "the other zone", map[State]int{Alive: 4})
 	}
-	b[0].Meet(a[0].self.Address) // nobody names it, and it changes nothing
+	b[0].ExchangeWith(a[0].self.Address) // nobody names it, and it changes nothing
 	older := join(t, "old", "a", "127.0.0.1:0", a[0].self.Address, b[0].self.Address)
 	older.sees(t, "of an older build", map[State]int{Alive: 9})
 	for _, m := range a {
@@ -166,7 +166,7 @@
 	for _, m := range b {
 		m.sees(t, "the other zone", map[State]int{Alive: 4})
 	}
-	if got, want := a[0].Roll(), a[1].Roll(); got != want || got.Count != 4 {
+	if got, want := a[0].Digest(), a[1].Digest(); got != want || got.Count != 4 {
 		t.Errorf("neighbours know %+v and %+v", got, want)
 	}
 }
--- a/internal/fleet/peers_test.go
+++ b/internal/fleet/peers_test.go
@@ -66,8 +66,8 @@
 }
 
 func options(dir string) Options {
-	return Options{Settings: &Settings{Name: "t", Listen: "127.0.0.1:0", Voters: []string{"127.0.0.1:1"}, Directory: dir, Bound: "1s", Replace: "30s"}, Name: "n0",
-		Apply: func(agreement.Effective) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	return Options{Settings: &Settings{Name: "t", Listen: "127.0.0.1:0", Voters: []string{"127.0.0.1:1"}, Directory: dir, LeaseDuration: "1s", ReplaceAfter: "30s"}, Name: "n0",
+		ApplyEffective: func(agreement.Effective) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
 // FuzzAnswer puts what no seat answers onto a record: it is refused, or follows from it.
@@ -114,12 +114,12 @@
 		}
 		return a
 	}
-	if st := open().Stand(); !st.LeaseExpired || st.Rules.RetriesAllowed || st.Rules.RetryRatio != -1 {
+	if st := open().Effective(); !st.LeaseExpired || st.Rules.RetriesAllowed || st.Rules.RetryRatio != -1 {
 		t.Errorf("at first %+v", st)
 	}
 	a := open()
 	a.keep(agreement.Record{Revision: 2, InForce: agreement.Version{Number: 1, Rules: agreement.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
-	if st := open().Stand(); !st.LeaseExpired || st.Versions[0] != 1 || st.Rules.RetriesAllowed || len(st.Rules.DetachedWorkers) != 1 {
+	if st := open().Effective(); !st.LeaseExpired || st.Versions[0] != 1 || st.Rules.RetriesAllowed || len(st.Rules.DetachedWorkers) != 1 {
 		t.Errorf("then %+v", st)
 	}
 }
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -50,7 +50,7 @@
 		a.counts.Renewed++
 		return
 	}
-	a.counts.Refused++
+	a.counts.Rejected++
 	a.turn++
 }
 
@@ -58,12 +58,12 @@
 // The answer's entries follow the record that the question is about, whatever was learned meanwhile.
 func (a *Agent) question() (question, agreement.Record) {
 	ended, bad := uint64(0), uint64(0)
-	if a.Jobs != nil {
-		ended, bad = a.Jobs()
+	if a.JobCounts != nil {
+		ended, bad = a.JobCounts()
 	}
 	demand, firsts := a.wants()
 	var report json.RawMessage
-	if now := a.now(); a.Report != nil && (now >= a.reported+reportEvery || a.Urgent != nil && a.Urgent()) {
+	if now := a.now(); a.Report != nil && (now >= a.reported+reportEvery || a.HasUrgentChange != nil && a.HasUrgentChange()) {
 		a.reported = now
 		report, _ = json.Marshal(a.Report()) // a struct of numbers and names
 	}
@@ -71,7 +71,7 @@
 	defer a.mu.Unlock()
 	r := a.holder.Record()
 	q := question{Report: report, Demand: demand, Firsts: firsts, Dispatcher: agreement.Dispatcher{Name: a.Name, Instance: a.instance, AcknowledgedVersion: a.holder.Acknowledged(), MessageFormat: a.form, Epoch: r.Epoch,
-		Address: a.address(), Region: a.s.Region, Zone: a.Zone, VoterID: a.seat.id(), JobsEnded: ended, JobsFailed: bad, DedicatedToControl: a.s.SetAside}, Revision: r.Revision}
+		Address: a.address(), Region: a.s.Region, Zone: a.Zone, VoterID: a.seat.id(), JobsEnded: ended, JobsFailed: bad, DedicatedToControl: a.s.DedicatedToControl}, Revision: r.Revision}
 	if r.Plan != nil {
 		q.Plan = r.Plan.Number
 	}
@@ -79,7 +79,7 @@
 		q.Revision = 0
 	}
 	if a.members != nil && a.form >= formNeighbours {
-		roll := a.members.Roll()
+		roll := a.members.Digest()
 		q.Neighbours = &roll
 	}
 	return q, r
@@ -153,12 +153,12 @@
 	if a.form < formNeighbours {
 		return
 	}
-	roll, named := a.members.Roll(), got.Neighbours[a.Name]
+	roll, named := a.members.Digest(), got.Neighbours[a.Name]
 	if got.Form < formNeighbours && roll.Count <= 1 {
 		named = &neighbours.PeerSuggestion{Addresses: slices.DeleteFunc(slices.Clone(a.s.Voters), func(at string) bool { return at == a.address() })}
 	}
 	if address, ok := a.visitor.NextExchange(named, roll, a.now()); ok {
-		a.members.Meet(address)
+		a.members.ExchangeWith(address)
 	}
 }
 
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -16,27 +16,27 @@
 
 // Settings are the operator's, in a block council.
 type Settings struct {
-	Name      string            `hcl:"fleet"`
-	Listen    string            `hcl:"listen"`        // for the other dispatchers and for 'brassdale fleet', over TCP and UDP
-	Voters    []string          `hcl:"voters"`        // addresses of the first council, by seat; later ones find the fleet by them
-	Seat      int               `hcl:"seat,optional"` // of this dispatcher in the first council, from 1; 0 for none
-	Directory string            `hcl:"directory"`
-	Bound     string            `hcl:"bound,optional"`
-	Replace   string            `hcl:"replace,optional"` // a seat that is silent for so long is given to another dispatcher
-	Region    string            `hcl:"region,optional"`
-	Zone      string            `hcl:"zone,optional"`      // the platform's where it is left out
-	SetAside  bool              `hcl:"set_aside,optional"` // the machine is for control: it wants no jobs, and is given seats first
-	Rules     string            `hcl:"rules,optional"`     // a file that is proposed at SIGHUP
-	Reach     map[string]string `hcl:"reach,optional"`     // where others' addresses are reached from here, if elsewhere
+	Name               string            `hcl:"fleet"`
+	Listen             string            `hcl:"listen"`        // for the other dispatchers and for 'brassdale fleet', over TCP and UDP
+	Voters             []string          `hcl:"voters"`        // addresses of the first council, by seat; later ones find the fleet by them
+	VoterID            int               `hcl:"seat,optional"` // of this dispatcher in the first council, from 1; 0 for none
+	Directory          string            `hcl:"directory"`
+	LeaseDuration      string            `hcl:"bound,optional"`
+	ReplaceAfter       string            `hcl:"replace,optional"` // a seat that is silent for so long is given to another dispatcher
+	Region             string            `hcl:"region,optional"`
+	Zone               string            `hcl:"zone,optional"`      // the platform's where it is left out
+	DedicatedToControl bool              `hcl:"set_aside,optional"` // the machine is for control: it wants no jobs, and is given seats first
+	Rules              string            `hcl:"rules,optional"`     // a file that is proposed at SIGHUP
+	AddressOverrides   map[string]string `hcl:"reach,optional"`     // where others' addresses are reached from here, if elsewhere
 }
 
 // Failover is the operator's, in a block failover: zones' jobs are served by a plan that the council makes.
 type Failover struct {
-	Regions  []Region `hcl:"region,block"`
-	Headroom float64  `hcl:"headroom,optional"`  // of a zone's capacity that no plan may plan away
-	ReturnIn string   `hcl:"return_in,optional"` // a zone that is back is given its traffic over so long at least
-	Alone    string   `hcl:"alone,optional"`     // how long a dispatcher without a lease may act on the last plan
-	Detect   string   `hcl:"detect,optional"`    // a trouble shorter than that changes nothing
+	Regions       []Region `hcl:"region,block"`
+	Headroom      float64  `hcl:"headroom,optional"`  // of a zone's capacity that no plan may plan away
+	RecoveryRamp  string   `hcl:"return_in,optional"` // a zone that is back is given its traffic over so long at least
+	MaxPlanAge    string   `hcl:"alone,optional"`     // how long a dispatcher without a lease may act on the last plan
+	DetectionTime string   `hcl:"detect,optional"`    // a trouble shorter than that changes nothing
 }
 
 // Region is a part of the world with zones near each other.
@@ -47,14 +47,14 @@
 
 // Overload is the operator's, in a block overload: what all dispatchers together may do is dealt out by the council.
 type Overload struct {
-	Retries float64 `hcl:"retries"`         // further calls for each first one of the fleet
-	Probes  float64 `hcl:"probes,optional"` // a second, at all boxes together; 0 for no bound
+	RetryRatio      float64 `hcl:"retries"`         // further calls for each first one of the fleet
+	ProbesPerSecond float64 `hcl:"probes,optional"` // a second, at all boxes together; 0 for no bound
 }
 
 // Budgets that are dealt out.
 const (
-	Retries = "retries"
-	Probes  = "probes"
+	RetryBudget = "retries"
+	ProbeBudget = "probes"
 )
 
 // kinds are those that the settings bound.
@@ -62,10 +62,10 @@
 	if o == nil {
 		return nil
 	}
-	if o.Probes > 0 {
-		return []string{Retries, Probes}
+	if o.ProbesPerSecond > 0 {
+		return []string{RetryBudget, ProbeBudget}
 	}
-	return []string{Retries}
+	return []string{RetryBudget}
 }
 
 const (
@@ -75,15 +75,15 @@
 
 // rate is a budget's, by the first calls that the fleet makes a second.
 func (o *Overload) rate(kind string, firsts float64) float64 {
-	if kind == Probes {
-		return o.Probes
+	if kind == ProbeBudget {
+		return o.ProbesPerSecond
 	}
-	return max(o.Retries*firsts, leastRetries)
+	return max(o.RetryRatio*firsts, leastRetries)
 }
 
 // DefaultFailover gives what holds where the block says nothing.
 func DefaultFailover() Failover {
-	return Failover{Headroom: 0.15, ReturnIn: "60s", Alone: "10s", Detect: "1s"}
+	return Failover{Headroom: 0.15, RecoveryRamp: "60s", MaxPlanAge: "10s", DetectionTime: "1s"}
 }
 
 // plannerStep is by how much shares move a second where nothing is out.
@@ -98,25 +98,27 @@
 		}
 	}
 	span := func(text string) time.Duration { d, _ := time.ParseDuration(text); return d }
-	return failover.Settings{Headroom: f.Headroom, RecoveryRamp: span(f.ReturnIn), DetectionTime: span(f.Detect), MaxShiftPerSecond: plannerStep,
+	return failover.Settings{Headroom: f.Headroom, RecoveryRamp: span(f.RecoveryRamp), DetectionTime: span(f.DetectionTime), MaxShiftPerSecond: plannerStep,
 		Distance: func(from, to string) float64 { return math.Abs(float64(place[from] - place[to])) }}, regions
 }
 
 // Default gives what holds where the block says nothing.
-func Default() Settings { return Settings{Bound: "2s", Replace: "30s"} }
+func Default() Settings { return Settings{LeaseDuration: "2s", ReplaceAfter: "30s"} }
 
 const (
-	// LeastBound is the shortest bound that makes sense: below it a lease does not outlast an election.
-	LeastBound = time.Second
-	// LeastReplace is the same for a seat that is silent.
-	LeastReplace = 3 * time.Second
+	// MinLease is the shortest bound that makes sense: below it a lease does not outlast an election.
+	MinLease = time.Second
+	// MinReplaceAfter is the same for a seat that is silent.
+	MinReplaceAfter = 3 * time.Second
 )
 
 // Lease is how long a lease lasts: the bound.
-func (s *Settings) Lease() (time.Duration, error) { return atLeast(s.Bound, LeastBound) }
+func (s *Settings) Lease() (time.Duration, error) { return atLeast(s.LeaseDuration, MinLease) }
 
-// Patience is how long a seat may be silent.
-func (s *Settings) Patience() (time.Duration, error) { return atLeast(s.Replace, LeastReplace) }
+// ReplaceAfterDuration is how long a seat may be silent.
+func (s *Settings) ReplaceAfterDuration() (time.Duration, error) {
+	return atLeast(s.ReplaceAfter, MinReplaceAfter)
+}
 
 func atLeast(text string, least time.Duration) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
@@ -136,10 +138,10 @@
 			return fmt.Errorf("voters[%d]: %w", i, err)
 		}
 	}
-	if s.Seat < 0 || s.Seat > len(s.Voters) {
-		return fmt.Errorf("there is no seat %d", s.Seat)
+	if s.VoterID < 0 || s.VoterID > len(s.Voters) {
+		return fmt.Errorf("there is no seat %d", s.VoterID)
 	}
-	if s.Seat > 0 && s.Voters[s.Seat-1] != s.Listen {
+	if s.VoterID > 0 && s.Voters[s.VoterID-1] != s.Listen {
 		return errors.New("the address in this dispatcher's seat is not the one where it listens")
 	}
 	return nil
@@ -147,7 +149,7 @@
 
 // reach gives where an address is reached from here.
 func (s *Settings) reach(address string) string {
-	if to, ok := s.Reach[address]; ok {
+	if to, ok := s.AddressOverrides[address]; ok {
 		return to
 	}
 	return address
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -30,7 +30,7 @@
 	record := storedRecord()
 	member := agreement.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
 		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, Plan: 27, DedicatedToControl: true}
-	self := membership.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Era: 31, Seat: 32, Form: 33}
+	self := membership.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
 	return map[string]any{
 		"question": question{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
 			Demand: json.RawMessage(`{"budget-1":1.5}`), Firsts: 42.5, Neighbours: &neighbours.Digest{Count: 43, Sum: 44}},
@@ -44,15 +44,15 @@
 			Arrivals:      []failover.Arrivals{{Class: "class-2", Work: 66.5, Weight: 67.5}},
 			Capacity:      map[string]float64{"zone-6": 68.5}},
 		"self": self,
-		"status": Status{Name: "dispatcher-8", Fleet: "fleet-1", Seat: 71, Leader: 72, Leads: true, Acting: []uint64{73}, Lapsed: true, LeaseMS: 74,
-			Record: record, Present: []agreement.Dispatcher{member}, Waits: []string{"dispatcher-9"},
-			Places:  []agreement.VoterStatus{{Voter: agreement.Voter{ID: 75, Address: "127.0.0.1:9005"}, SilentFor: 76, EntriesBehind: 77, IsLeader: true}},
+		"status": Status{Name: "dispatcher-8", Fleet: "fleet-1", VoterID: 71, Leader: 72, IsLeader: true, EffectiveVersions: []uint64{73}, LeaseExpired: true, LeaseLeftMS: 74,
+			Record: record, LeaseHolders: []agreement.Dispatcher{member}, WaitingFor: []string{"dispatcher-9"},
+			Voters:  []agreement.VoterStatus{{Voter: agreement.Voter{ID: 75, Address: "127.0.0.1:9005"}, SilentFor: 76, EntriesBehind: 77, IsLeader: true}},
 			Members: []membership.Member{{Self: self, State: membership.Left, Since: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC)}},
 			Zones: []failover.ZoneView{{Zone: "zone-7", Region: "region-3", Capacity: 81.5, Planned: 82.5, Demand: 83.5, Shed: 84.5, CapacityFactor: 85.5,
 				UnreachableFrom: []string{"zone-8"}, Reason: "why-4"}},
-			Alone: true, Spent: []Spent{{Kind: "budget-3", Rate: 91.5, Demand: 92.5, Denied: 93}},
-			Dealt: []Dealt{{Kind: "budget-4", Rate: 94.5, Given: 95.5}}, Counts: Counts{Calls: 96, Served: 97, Renewed: 98, Refused: 99},
-			Control: map[string]traffic.Count{"kind-1": {Sent: 101, Received: 102, Messages: 103}}},
+			PlanExpired: true, BudgetUsage: []BudgetUsage{{Kind: "budget-3", RatePerSecond: 91.5, Demand: 92.5, Denied: 93}},
+			BudgetsGranted: []BudgetGranted{{Kind: "budget-4", RatePerSecond: 94.5, Outstanding: 95.5}}, Counts: Counts{Calls: 96, Served: 97, Renewed: 98, Rejected: 99},
+			ControlTraffic: map[string]traffic.Count{"kind-1": {Sent: 101, Received: 102, Messages: 103}}},
 	}
 }
 
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -25,10 +25,10 @@
 	at := l.Addr().String()
 	l.Close()
 	o := options(t.TempDir())
-	o.Settings.Listen, o.Settings.Voters, o.Settings.Seat = at, []string{at}, 1
+	o.Settings.Listen, o.Settings.Voters, o.Settings.VoterID = at, []string{at}, 1
 	f := DefaultFailover()
-	f.Regions, f.ReturnIn = []Region{{"north", []string{"a", "b"}}}, "1s"
-	o.Failover, o.Planned = &f, func(*failover.Plan, bool) {}
+	f.Regions, f.RecoveryRamp = []Region{{"north", []string{"a", "b"}}}, "1s"
+	o.Failover, o.PlanChanged = &f, func(*failover.Plan, bool) {}
 	o.Report = func() *failover.Report {
 		heard := []failover.LastResponse{{To: "a"}, {To: "b"}}
 		return &failover.Report{Dispatcher: "n0", Zone: "a", LastResponses: heard, Capacity: map[string]float64{"a": 100, "b": 100}, Arrivals: []failover.Arrivals{{Class: "x", Work: 120, Weight: 1}}}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -225,12 +225,12 @@
 		s.Directory = filepath.Join(r.dir, s.Directory)
 	}
 	if _, err := s.Lease(); err != nil {
-		r.bad("bound", `%q is no duration of %v or more, such as "2s".`, s.Bound, fleet.LeastBound)
+		r.bad("bound", `%q is no duration of %v or more, such as "2s".`, s.LeaseDuration, fleet.MinLease)
 	}
-	if _, err := s.Patience(); err != nil {
-		r.bad("replace", `%q is no duration of %v or more, such as "30s".`, s.Replace, fleet.LeastReplace)
+	if _, err := s.ReplaceAfterDuration(); err != nil {
+		r.bad("replace", `%q is no duration of %v or more, such as "30s".`, s.ReplaceAfter, fleet.MinReplaceAfter)
 	}
-	for at, to := range s.Reach {
+	for at, to := range s.AddressOverrides {
 		for _, address := range []string{at, to} {
 			if _, _, err := net.SplitHostPort(address); err != nil {
 				r.bad("reach", "%v.", err)
@@ -248,10 +248,10 @@
 	if !r.decode(&s) {
 		return
 	}
-	if !(s.Retries >= 0 && s.Retries <= agreement.MaxRetryRatio) {
+	if !(s.RetryRatio >= 0 && s.RetryRatio <= agreement.MaxRetryRatio) {
 		r.bad("retries", "It must be between 0 and %d.", agreement.MaxRetryRatio)
 	}
-	if !(s.Probes >= 0 && s.Probes <= 1e6) {
+	if !(s.ProbesPerSecond >= 0 && s.ProbesPerSecond <= 1e6) {
 		r.bad("probes", "It must be between 0 and a million a second.")
 	}
 	f.Overload = &s
@@ -277,7 +277,7 @@
 	if !(s.Headroom >= 0 && s.Headroom < 1) {
 		r.bad("headroom", "It must be from 0 to less than 1.")
 	}
-	for name, text := range map[string]string{"return_in": s.ReturnIn, "alone": s.Alone, "detect": s.Detect} {
+	for name, text := range map[string]string{"return_in": s.RecoveryRamp, "alone": s.MaxPlanAge, "detect": s.DetectionTime} {
 		if d, err := time.ParseDuration(text); err != nil || d <= 0 {
 			r.bad(name, `%q is no duration above 0, such as "10s".`, text)
 		}
@@ -295,13 +295,13 @@
 	} else if !filepath.IsAbs(s.Directory) {
 		s.Directory = filepath.Join(r.dir, s.Directory)
 	}
-	if err := savedlist.CheckFolder(s.Directory); err != nil {
+	if err := savedlist.CheckDirectory(s.Directory); err != nil {
 		r.bad("directory", "%v.", err)
 	}
-	if oldest, err := s.OldestAge(); err != nil || oldest <= 0 {
-		r.bad("oldest", `%q is no duration above 0, such as "72h".`, s.Oldest)
+	if oldest, err := s.ParseMaxAge(); err != nil || oldest <= 0 {
+		r.bad("oldest", `%q is no duration above 0, such as "72h".`, s.MaxAge)
 	}
-	if !(s.Shrink >= 0 && s.Shrink <= 1) {
+	if !(s.MinFirstListShare >= 0 && s.MinFirstListShare <= 1) {
 		r.bad("shrink", "It must be between 0 and 1.")
 	}
 	f.Saved = &s
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -19,13 +19,13 @@
 	agent *fleet.Agent
 
 	mu    sync.Mutex
-	out   map[string]bool // boxes that the fleet has out
-	own   float64         // the operator's own bound on further calls; below 0 for none
-	fleet float64         // and the fleet's
-	guide *failover.Guide // nil where nobody plans zones
-	rules string          // the file that is proposed at SIGHUP; empty for none
-	stop  func()          // ends the agent's life
-	ended chan struct{}   // closed behind it
+	out   map[string]bool  // boxes that the fleet has out
+	own   float64          // the operator's own bound on further calls; below 0 for none
+	fleet float64          // and the fleet's
+	guide *failover.Router // nil where nobody plans zones
+	rules string           // the file that is proposed at SIGHUP; empty for none
+	stop  func()           // ends the agent's life
+	ended chan struct{}    // closed behind it
 }
 
 // run begins the agent's life.
@@ -57,8 +57,8 @@
 // spend asks the fleet's budgets.
 type spend struct{ agent *fleet.Agent }
 
-func (s spend) AllowRetry() bool { return s.agent.May(fleet.Retries) }
-func (s spend) AllowProbe() bool { return s.agent.May(fleet.Probes) }
+func (s spend) AllowRetry() bool { return s.agent.AllowUse(fleet.RetryBudget) }
+func (s spend) AllowProbe() bool { return s.agent.AllowUse(fleet.ProbeBudget) }
 
 // jobs counts those that ended since the start, and those of them that were refused or failed.
 func (a *agreed) jobs() (ended, bad uint64) {
@@ -97,14 +97,14 @@
 	if p := &cfg.Settings; p.Locality >= 0 && p.Locality < len(p.Zones) {
 		zone = p.Zones[p.Locality]
 	}
-	o := fleet.Options{Settings: s, Name: cfg.Name, Zone: zone, Apply: a.apply, Jobs: a.jobs, Meter: d.meter, Log: d.log}
+	o := fleet.Options{Settings: s, Name: cfg.Name, Zone: zone, ApplyEffective: a.apply, JobCounts: a.jobs, Meter: d.meter, Log: d.log}
 	if zones != nil {
 		a.guide = failover.New(cfg.Name, d.params)
 		d.core.SetZoneRouter(a.guide)
-		o.Failover, o.Report, o.Urgent, o.Planned = zones, a.guide.Report, a.guide.Urgent, a.guide.Follow
+		o.Failover, o.Report, o.HasUrgentChange, o.PlanChanged = zones, a.guide.Report, a.guide.HasUrgentChange, a.guide.ApplyPlan
 	}
 	if load != nil {
-		o.Overload, o.Firsts, o.Among = load, d.core.FirstAttempts, func() int { return d.params.Now().ReplicasOfMe }
+		o.Overload, o.FirstAttempts, o.MaxDispatchers = load, d.core.FirstAttempts, func() int { return d.params.Now().ReplicasOfMe }
 	}
 	if a.agent, err = fleet.New(o); err != nil {
 		return err
@@ -113,7 +113,7 @@
 	if load != nil {
 		d.core.SetFleetBudget(spend{a.agent})
 	}
-	may := func() bool { return a.agent.Stand().Rules.RetriesAllowed }
+	may := func() bool { return a.agent.Effective().Rules.RetriesAllowed }
 	d.core.SetRetryPermission(may)
 	d.fleet.Repeats = may
 	return nil
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -47,7 +47,7 @@
 		figures += fmt.Sprintf("retries_denied=%d\n", counted.RetriesDenied)
 	}
 	if o.d.agreed != nil {
-		s := o.d.agreed.agent.Stand()
+		s := o.d.agreed.agent.Effective()
 		figures += fmt.Sprintf("repeats_denied=%d\nfleet_version=%d\nfleet_lapsed=%t\n", counted.FleetRetriesDenied, s.Versions[len(s.Versions)-1], s.LeaseExpired)
 		control := o.d.meter.Counts()
 		for _, kind := range slices.Sorted(maps.Keys(control)) {
@@ -55,7 +55,7 @@
 			figures += fmt.Sprintf("control_%s_sent=%d\ncontrol_%s_received=%d\ncontrol_%s_messages=%d\n", kind, c.Sent, kind, c.Received, kind, c.Messages)
 		}
 		if g := o.d.agreed.guide; g != nil {
-			figures += fmt.Sprintf("zones_shed=%d\n", g.Shed())
+			figures += fmt.Sprintf("zones_shed=%d\n", g.ShedCount())
 		}
 	}
 	if o.d.saved != nil {
@@ -110,7 +110,7 @@
 	}
 	o.d.core.SetDetached(brain.WorkerID(id), out)
 	if o.d.saved != nil {
-		o.d.saved.keeper.Out(o.file.list())
+		o.d.saved.keeper.SetDetached(o.file.list())
 	}
 	return nil
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -123,7 +123,7 @@
 		log.Warn("workers that were out by hand are not known", "err", err)
 	}
 	if d.saved != nil && d.saved.loaded != nil && pred == nil && d.operations.file.none { // $TMPDIR does not outlast the machine
-		d.operations.file.take(d.saved.loaded.Out)
+		d.operations.file.take(d.saved.loaded.Detached)
 	}
 	d.putOut(d.operations.file.list())
 	d.takeRelayed()
@@ -282,7 +282,7 @@
 			return err
 		}
 	}
-	if op.Council != nil && op.Council.SetAside {
+	if op.Council != nil && op.Council.DedicatedToControl {
 		for _, f := range d.fronts {
 			f.handler.SetAside()
 		}
--- a/internal/program/saved.go
+++ b/internal/program/saved.go
@@ -19,16 +19,16 @@
 	d      *dispatcher
 	rules  savedlist.Rules
 	store  *store.Store
-	loaded *store.Saved // nil where there is none
-	keeper *store.Keeper
+	loaded *store.CachedList // nil where there is none
+	keeper *store.Writer
 }
 
 // openSaved opens the folder. One that is of no use costs a line of the log and no more.
 func (d *dispatcher) openSaved(s *store.Settings, name string, p *protocol.Params) *saved {
-	oldest, _ := s.OldestAge() // was checked
-	sv := &saved{d: d, rules: savedlist.Rules{MaxAge: oldest, MinFirstListShare: s.Shrink, SlowStartDuration: p.Rules.Cold.Span(),
+	oldest, _ := s.ParseMaxAge() // was checked
+	sv := &saved{d: d, rules: savedlist.Rules{MaxAge: oldest, MinFirstListShare: s.MinFirstListShare, SlowStartDuration: p.Rules.Cold.Span(),
 		SlowStartCapacity: p.Rules.StartCapacity, MayProbe: p.Limits.Probing}}
-	files, err := store.Folder(s.Directory, name)
+	files, err := store.OpenOrCreate(s.Directory, name)
 	if err != nil {
 		d.log.Warn("saved list cannot be kept, serving on without", "err", err)
 		return nil
@@ -50,10 +50,10 @@
 	}
 	p := sv.d.params.Now()
 	out := map[string]bool{}
-	for _, id := range s.Out {
+	for _, id := range s.Detached {
 		out[id] = true
 	}
-	f := &routing.CachedStart{Endpoints: map[brain.WorkerID]routing.Endpoint{}, LearnedState: s.Experience(),
+	f := &routing.CachedStart{Endpoints: map[brain.WorkerID]routing.Endpoint{}, LearnedState: s.LearnedState(),
 		ReportsPulled: p.LoadReport.Via == "pull"}
 	f.LearnedState.Classes = sv.d.params.Number(s.Classes)
 	for _, c := range f.LearnedState.Classes {
@@ -63,11 +63,11 @@
 		}
 		f.MeanLogRuntime = append(f.MeanLogRuntime, usual)
 	}
-	list := savedlist.CachedList{ConfirmedAt: clock.At(s.Made()), Revision: s.Revision}
+	list := savedlist.CachedList{ConfirmedAt: clock.At(s.ConfirmedAt()), Revision: s.Revision}
 	for i, d := range s.List().Destinations(p) {
 		f.Endpoints[d.ID] = d
 		w := savedlist.CachedWorker{ID: d.ID, State: d.State, Detached: out[string(d.ID)], StartedAt: d.StartedAt}
-		if ms := s.Members[i].HeardMS; ms > 0 {
+		if ms := s.Members[i].LastSignalMS; ms > 0 {
 			w.LastSignal = time.Duration(ms) * time.Millisecond
 		}
 		list.Workers = append(list.Workers, w)
@@ -78,7 +78,7 @@
 
 // keep has the list kept from now on.
 func (sv *saved) keep(ctx context.Context) {
-	sv.keeper = store.NewKeeper(sv.store, sv.loaded, sv, sv.d.reloader.address, sv.d.params.Now, sv.d.log)
+	sv.keeper = store.NewWriter(sv.store, sv.loaded, sv, sv.d.reloader.address, sv.d.params.Now, sv.d.log)
 	sv.d.set.SetStore(sv.keeper)
 	go sv.keeper.Run(ctx)
 }
@@ -103,10 +103,10 @@
 			fmt.Fprintf(&b, "boxes_%s=%d\n", name, src.TrustLevels[stage])
 		}
 	}
-	k := sv.keeper.State()
+	k := sv.keeper.Stats()
 	fmt.Fprintf(&b, "saved_snapshots=%d\nsaved_records=%d\nsaved_faults=%d\n", k.Snapshots, k.Records, k.Faults)
-	if !k.Last.IsZero() {
-		fmt.Fprintf(&b, "saved_age_s=%d\n", int(time.Since(k.Last).Seconds()))
+	if !k.LastSnapshot.IsZero() {
+		fmt.Fprintf(&b, "saved_age_s=%d\n", int(time.Since(k.LastSnapshot).Seconds()))
 	}
 	return b.String()
 }
--- a/internal/savedlist/files.go
+++ b/internal/savedlist/files.go
@@ -84,8 +84,8 @@
 func (d disk) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 func (d disk) Remove(name string) error     { return os.Remove(d.path(name)) }
 
-// CheckFolder tells what is wrong with a folder for saved lists; one that is not there yet is in order.
-func CheckFolder(path string) error {
+// CheckDirectory tells what is wrong with a folder for saved lists; one that is not there yet is in order.
+func CheckDirectory(path string) error {
 	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -100,23 +100,23 @@
 	return nil
 }
 
-// Folder gives a dispatcher's part of a folder, which is made where there is none.
-func Folder(path, dispatcher string) (Files, error) {
-	if err := CheckFolder(path); err != nil {
+// OpenOrCreate gives a dispatcher's part of a folder, which is made where there is none.
+func OpenOrCreate(path, dispatcher string) (Files, error) {
+	if err := CheckDirectory(path); err != nil {
 		return nil, err
 	}
 	own := filepath.Join(path, escape(dispatcher))
 	if err := os.MkdirAll(own, 0o700); err != nil {
 		return nil, err
 	}
-	if err := CheckFolder(own); err != nil {
+	if err := CheckDirectory(own); err != nil {
 		return nil, err
 	}
 	return disk(own), nil
 }
 
-// Existing gives a dispatcher's part of a folder as it is.
-func Existing(path, dispatcher string) (Files, error) {
+// OpenExisting gives a dispatcher's part of a folder as it is.
+func OpenExisting(path, dispatcher string) (Files, error) {
 	own := filepath.Join(path, escape(dispatcher))
 	if _, err := os.Stat(own); err != nil {
 		return nil, err
--- a/internal/savedlist/format.go
+++ b/internal/savedlist/format.go
@@ -16,47 +16,47 @@
 	"brassdale/internal/protocol"
 )
 
-// Version is the form of snapshots that are written. The one before it is read too: it was a list in discovery's words
+// FormatVersion is the form of snapshots that are written. The one before it is read too: it was a list in discovery's words
 // and the time when it was made, with nothing learned.
-const Version = 2
-
-// Saved is a list as it was kept: the last whole snapshot and what its journal adds.
-type Saved struct {
-	Dispatcher string                           `json:"dispatcher"`
-	MadeMS     int64                            `json:"made_ms"` // Unix time at which it was last known to be true
-	Revision   int64                            `json:"revision"`
-	Discovery  string                           `json:"discovery"`
-	Members    []Member                         `json:"members"`
-	Out        []string                         `json:"out"`     // by hand
-	Classes    map[string]brain.ClassStatistics `json:"classes"` // what was learned, by name
-	Allow      float64                          `json:"allow"`
-	Stay       float64                          `json:"stay"`
-	Mean       float64                          `json:"mean"`
+const FormatVersion = 2
+
+// CachedList is a list as it was kept: the last whole snapshot and what its journal adds.
+type CachedList struct {
+	Dispatcher    string                           `json:"dispatcher"`
+	ConfirmedAtMS int64                            `json:"made_ms"` // Unix time at which it was last known to be true
+	Revision      int64                            `json:"revision"`
+	Discovery     string                           `json:"discovery"`
+	Members       []CachedMember                   `json:"members"`
+	Detached      []string                         `json:"out"`     // by hand
+	Classes       map[string]brain.ClassStatistics `json:"classes"` // what was learned, by name
+	Overcommit    float64                          `json:"allow"`
+	MeanStay      float64                          `json:"stay"`
+	MeanWork      float64                          `json:"mean"`
 }
 
-// Member is a worker as it was known last.
-type Member struct {
+// CachedMember is a worker as it was known last.
+type CachedMember struct {
 	protocol.Member
-	HeardMS int64                   `json:"heard_ms"` // Unix time of the last sign of life; 0 for none
-	Learned *brain.WorkerStatistics `json:"learned,omitempty"`
+	LastSignalMS int64                   `json:"heard_ms"` // Unix time of the last sign of life; 0 for none
+	Statistics   *brain.WorkerStatistics `json:"learned,omitempty"`
 }
 
-// Made gives when the list was last known to be true.
-func (s *Saved) Made() time.Time { return time.UnixMilli(s.MadeMS) }
+// ConfirmedAt gives when the list was last known to be true.
+func (s *CachedList) ConfirmedAt() time.Time { return time.UnixMilli(s.ConfirmedAtMS) }
 
-// Experience gives what was learned, but for the classes, which are by name.
-func (s *Saved) Experience() brain.LearnedState {
-	e := brain.LearnedState{Overcommit: s.Allow, MeanStay: s.Stay, MeanWork: s.Mean, Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
+// LearnedState gives what was learned, but for the classes, which are by name.
+func (s *CachedList) LearnedState() brain.LearnedState {
+	e := brain.LearnedState{Overcommit: s.Overcommit, MeanStay: s.MeanStay, MeanWork: s.MeanWork, Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
 	for _, m := range s.Members {
-		if m.Learned != nil {
-			e.Workers[brain.WorkerID(m.ID)] = *m.Learned
+		if m.Statistics != nil {
+			e.Workers[brain.WorkerID(m.ID)] = *m.Statistics
 		}
 	}
 	return e
 }
 
 // List gives the members in discovery's words.
-func (s *Saved) List() *protocol.List {
+func (s *CachedList) List() *protocol.List {
 	l := &protocol.List{Revision: s.Revision, Complete: true}
 	for _, m := range s.Members {
 		l.Members = append(l.Members, m.Member)
@@ -70,12 +70,12 @@
 
 var errDamaged = errors.New("damaged")
 
-func encode(s *Saved) ([]byte, error) {
+func encode(s *CachedList) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	return seal(Version, body), nil
+	return seal(FormatVersion, body), nil
 }
 
 func seal(version int, body []byte) []byte {
@@ -90,7 +90,7 @@
 }
 
 // decode reads a snapshot. One byte of it that is not as it was written makes it an error.
-func decode(text []byte) (*Saved, error) {
+func decode(text []byte) (*CachedList, error) {
 	line, body, ok := bytes.Cut(text, []byte("\n"))
 	parts := strings.Split(string(line), " ")
 	if !ok || len(parts) != 4 || parts[0] != magic {
@@ -115,8 +115,8 @@
 }
 
 // versions read each form that there was.
-var versions = map[int]func([]byte) (*Saved, error){
-	1: func(body []byte) (*Saved, error) {
+var versions = map[int]func([]byte) (*CachedList, error){
+	1: func(body []byte) (*CachedList, error) {
 		var old struct {
 			Dispatcher string        `json:"dispatcher"`
 			MadeMS     int64         `json:"made_ms"`
@@ -125,20 +125,20 @@
 		if err := json.Unmarshal(body, &old); err != nil {
 			return nil, err
 		}
-		s := &Saved{Dispatcher: old.Dispatcher, MadeMS: old.MadeMS, Revision: old.List.Revision}
+		s := &CachedList{Dispatcher: old.Dispatcher, ConfirmedAtMS: old.MadeMS, Revision: old.List.Revision}
 		for _, m := range old.List.Members {
-			s.Members = append(s.Members, Member{Member: m})
+			s.Members = append(s.Members, CachedMember{Member: m})
 		}
 		return s, nil
 	},
-	2: func(body []byte) (*Saved, error) {
-		s := &Saved{}
+	2: func(body []byte) (*CachedList, error) {
+		s := &CachedList{}
 		return s, json.Unmarshal(body, s)
 	},
 }
 
 // check refuses what no process of this program wrote, whatever its sum.
-func (s *Saved) check() error { return s.List().Check() }
+func (s *CachedList) check() error { return s.List().Check() }
 
 // A change is a record of the journal: four bytes of length, eight of checksum, a JSON document. The sum covers the
 // number of the record, so that none can stand in another's place.
@@ -194,8 +194,8 @@
 }
 
 // apply adds a change to a list.
-func (s *Saved) apply(c change) {
-	s.MadeMS, s.Revision = max(s.MadeMS, c.AtMS), c.Revision
+func (s *CachedList) apply(c change) {
+	s.ConfirmedAtMS, s.Revision = max(s.ConfirmedAtMS, c.AtMS), c.Revision
 	at := map[string]int{}
 	for i, m := range s.Members {
 		at[m.ID] = i
@@ -204,18 +204,18 @@
 		i, known := at[m.ID]
 		if !known {
 			at[m.ID] = len(s.Members)
-			s.Members = append(s.Members, Member{Member: m})
+			s.Members = append(s.Members, CachedMember{Member: m})
 			continue
 		}
 		if m.HostPort == "" {
 			m.HostPort = s.Members[i].HostPort
 		}
 		if m.UpSinceMS > s.Members[i].UpSinceMS { // started anew: nothing of it holds
-			s.Members[i] = Member{}
+			s.Members[i] = CachedMember{}
 		}
 		s.Members[i].Member = m
 	}
 	if c.Out != nil {
-		s.Out = *c.Out
+		s.Detached = *c.Out
 	}
 }
--- a/internal/savedlist/keeper.go
+++ b/internal/savedlist/keeper.go
@@ -22,24 +22,24 @@
 	journalChanges = 256                    // more in one go is a snapshot's matter
 )
 
-// Learned is what else goes into a snapshot.
-type Learned interface {
+// LearnedStateSource is what else goes into a snapshot.
+type LearnedStateSource interface {
 	// Experience gives what the module has learned, and its classes by name.
 	LearnedState(context.Context) (brain.LearnedState, map[string]brain.ClassStatistics, error)
 }
 
-// Keeper keeps the list as it comes. It is an actor with a mailbox: nobody who tells it something waits for the disk,
+// Writer keeps the list as it comes. It is an actor with a mailbox: nobody who tells it something waits for the disk,
 // and however slow that is, no more waits to be written than the list itself.
-type Keeper struct {
+type Writer struct {
 	store     *Store
-	learned   Learned
+	learned   LearnedStateSource
 	discovery func() string // its address now
 	params    func() *protocol.Params
 	log       *slog.Logger
 	box       *routing.Mailbox[any]
 
 	// Owned by Run.
-	members   map[string]Member
+	members   map[string]CachedMember
 	revision  int64
 	out       []string
 	confirmed time.Time // when the list was last known to be true
@@ -48,13 +48,13 @@
 	failing   time.Time // when the disk failed last; zero while it does not
 
 	mu    sync.Mutex
-	state State
+	state Stats
 }
 
-// State is how the keeper is, for the figures.
-type State struct {
+// Stats is how the keeper is, for the figures.
+type Stats struct {
 	Snapshots, Records, Faults int
-	Last                       time.Time // of the last snapshot
+	LastSnapshot               time.Time // of the last snapshot
 }
 
 type (
@@ -65,33 +65,33 @@
 	outByHand struct{ ids []string }
 )
 
-// NewKeeper makes the actor. It begins with what was loaded; nil for nothing.
-func NewKeeper(s *Store, loaded *Saved, l Learned, discovery func() string, params func() *protocol.Params, log *slog.Logger) *Keeper {
-	k := &Keeper{store: s, learned: l, discovery: discovery, params: params, log: log, box: routing.NewMailbox[any](), members: map[string]Member{}}
+// NewWriter makes the actor. It begins with what was loaded; nil for nothing.
+func NewWriter(s *Store, loaded *CachedList, l LearnedStateSource, discovery func() string, params func() *protocol.Params, log *slog.Logger) *Writer {
+	k := &Writer{store: s, learned: l, discovery: discovery, params: params, log: log, box: routing.NewMailbox[any](), members: map[string]CachedMember{}}
 	if loaded != nil {
 		for _, m := range loaded.Members {
 			k.members[m.ID] = m
 		}
-		k.revision, k.out = loaded.Revision, loaded.Out
+		k.revision, k.out = loaded.Revision, loaded.Detached
 	}
 	return k
 }
 
 // Listed tells what discovery said: the whole list or changes, perhaps none. It does not block.
-func (k *Keeper) EndpointsUpdated(u routing.ListUpdate) { k.box.Post(listed{u, time.Now()}) }
+func (k *Writer) EndpointsUpdated(u routing.ListUpdate) { k.box.Post(listed{u, time.Now()}) }
 
-// Out tells who is out by hand from now on. It does not block.
-func (k *Keeper) Out(ids []string) { k.box.Post(outByHand{slices.Clone(ids)}) }
+// SetDetached tells who is out by hand from now on. It does not block.
+func (k *Writer) SetDetached(ids []string) { k.box.Post(outByHand{slices.Clone(ids)}) }
 
-// State gives the figures.
-func (k *Keeper) State() State {
+// Stats gives the figures.
+func (k *Writer) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state
 }
 
 // Run is the actor's life.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Writer) Run(ctx context.Context) {
 	look := time.NewTicker(time.Second)
 	defer look.Stop()
 	for {
@@ -109,7 +109,7 @@
 }
 
 // take folds all that has come into one change, so that a storm costs the disk one record.
-func (k *Keeper) take(messages []any) {
+func (k *Writer) take(messages []any) {
 	c := change{Revision: k.revision}
 	news := map[string]protocol.Member{}
 	for _, m := range messages {
@@ -135,7 +135,7 @@
 	if k.confirmed.IsZero() {
 		c.AtMS = 0
 	}
-	if err := k.store.Add(&c); err != nil {
+	if err := k.store.Append(&c); err != nil {
 		if err != errNoGeneration {
 			k.fault(err)
 		}
@@ -147,7 +147,7 @@
 }
 
 // fold adds an update to the members, and what it changes to news.
-func (k *Keeper) fold(u routing.ListUpdate, news map[string]protocol.Member) {
+func (k *Writer) fold(u routing.ListUpdate, news map[string]protocol.Member) {
 	k.revision = u.Revision
 	present := map[string]bool{}
 	for _, m := range protocol.Members(u.Endpoints, k.params()) {
@@ -165,7 +165,7 @@
 			continue
 		}
 		if m.UpSinceMS > old.UpSinceMS { // started anew: nothing of it holds
-			old = Member{}
+			old = CachedMember{}
 		}
 		old.Member = m
 		k.members[m.ID] = old
@@ -183,7 +183,7 @@
 }
 
 // due tells whether a snapshot is.
-func (k *Keeper) due(now time.Time) bool {
+func (k *Writer) due(now time.Time) bool {
 	switch {
 	case k.confirmed.IsZero(): // discovery has told nothing: what is on disk is as good
 		return false
@@ -195,21 +195,21 @@
 	return now.After(k.written.Add(confirmEvery))
 }
 
-func (k *Keeper) snapshot(ctx context.Context) {
-	s := &Saved{MadeMS: k.confirmed.UnixMilli(), Revision: k.revision, Discovery: k.discovery(), Out: k.out}
+func (k *Writer) snapshot(ctx context.Context) {
+	s := &CachedList{ConfirmedAtMS: k.confirmed.UnixMilli(), Revision: k.revision, Discovery: k.discovery(), Detached: k.out}
 	ctx, stop := context.WithDeadline(ctx, time.Now().Add(learnWithin))
 	e, classes, err := k.learned.LearnedState(ctx)
 	stop()
 	if err == nil {
-		s.Allow, s.Stay, s.Mean, s.Classes = e.Overcommit, e.MeanStay, e.MeanWork, classes
+		s.Overcommit, s.MeanStay, s.MeanWork, s.Classes = e.Overcommit, e.MeanStay, e.MeanWork, classes
 	}
 	for _, m := range k.members {
 		if was, ok := e.Workers[brain.WorkerID(m.ID)]; ok {
-			m.Learned, m.HeardMS = &was, was.LastSignal.Milliseconds()
+			m.Statistics, m.LastSignalMS = &was, was.LastSignal.Milliseconds()
 		}
 		s.Members = append(s.Members, m)
 	}
-	slices.SortFunc(s.Members, func(a, b Member) int {
+	slices.SortFunc(s.Members, func(a, b CachedMember) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -227,11 +227,11 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.state.Snapshots++
-	k.state.Last = k.written
+	k.state.LastSnapshot = k.written
 }
 
 // fault notes that the disk failed: one line until it works again.
-func (k *Keeper) fault(err error) {
+func (k *Writer) fault(err error) {
 	if k.failing.IsZero() {
 		k.log.Warn("saved list cannot be written, serving on without", "err", err)
 	}
--- a/internal/savedlist/store.go
+++ b/internal/savedlist/store.go
@@ -38,11 +38,11 @@
 
 // Generation is one generation as it was found.
 type Generation struct {
-	Number  uint64
-	Saved   *Saved // nil where it is damaged
-	Err     error  // why
-	Records int    // of the journal that were whole
-	Torn    int    // bytes behind them
+	Number    uint64
+	List      *CachedList // nil where it is damaged
+	Err       error       // why
+	Records   int         // of the journal that were whole
+	TornBytes int         // bytes behind them
 }
 
 // Generations reads all that there are, the newest first. Its error tells that the folder cannot be read.
@@ -60,22 +60,22 @@
 		g := Generation{Number: n}
 		text, err := s.files.Read(name)
 		if err == nil {
-			g.Saved, err = decode(text)
+			g.List, err = decode(text)
 		}
-		if err == nil && g.Saved.Dispatcher != s.dispatcher {
-			err = fmt.Errorf("it is of dispatcher %q", g.Saved.Dispatcher)
+		if err == nil && g.List.Dispatcher != s.dispatcher {
+			err = fmt.Errorf("it is of dispatcher %q", g.List.Dispatcher)
 		}
 		if err != nil {
-			g.Saved, g.Err = nil, err
+			g.List, g.Err = nil, err
 			found = append(found, g)
 			continue
 		}
 		if text, err := s.files.Read(fileName(journalName, n)); err == nil {
 			changes, good := decodeChanges(text)
 			for _, c := range changes {
-				g.Saved.apply(c)
+				g.List.apply(c)
 			}
-			g.Records, g.Torn = len(changes), len(text)-good
+			g.Records, g.TornBytes = len(changes), len(text)-good
 		} else if !errors.Is(err, fs.ErrNotExist) {
 			g.Err = err
 		}
@@ -92,7 +92,7 @@
 
 // Load gives the newest generation that is whole; nil where there is none. Those that are not are kept aside. What was
 // found wrong is in notes, a line each.
-func (s *Store) Load() (saved *Saved, notes []string) {
+func (s *Store) Load() (saved *CachedList, notes []string) {
 	found, err := s.Generations()
 	if err != nil {
 		return nil, []string{err.Error()}
@@ -101,14 +101,14 @@
 		if g.Err != nil {
 			notes = append(notes, fmt.Sprintf("generation %d: %v", g.Number, g.Err))
 		}
-		if g.Saved == nil && errors.Is(g.Err, errDamaged) {
+		if g.List == nil && errors.Is(g.Err, errDamaged) {
 			s.putAside(g.Number)
 		}
-		if g.Torn > 0 {
-			notes = append(notes, fmt.Sprintf("generation %d: the journal ends in %d bytes that are no record", g.Number, g.Torn))
+		if g.TornBytes > 0 {
+			notes = append(notes, fmt.Sprintf("generation %d: the journal ends in %d bytes that are no record", g.Number, g.TornBytes))
 		}
-		if g.Saved != nil && saved == nil {
-			saved = g.Saved
+		if g.List != nil && saved == nil {
+			saved = g.List
 		}
 	}
 	return saved, notes
@@ -138,7 +138,7 @@
 
 // Snapshot begins a generation. Another process of the same name may write beside this one: each generation has a
 // number that no file had.
-func (s *Store) Snapshot(saved *Saved) error {
+func (s *Store) Snapshot(saved *CachedList) error {
 	saved.Dispatcher = s.dispatcher
 	text, err := encode(saved)
 	if err != nil {
@@ -168,8 +168,8 @@
 // errNoGeneration tells that a change has no snapshot to follow.
 var errNoGeneration = errors.New("no generation to add to")
 
-// Add puts a change behind the generation. It is on disk when this returns. After an error only a snapshot helps.
-func (s *Store) Add(c *change) error {
+// Append puts a change behind the generation. It is on disk when this returns. After an error only a snapshot helps.
+func (s *Store) Append(c *change) error {
 	if s.generation == 0 || s.torn {
 		return errNoGeneration
 	}
--- a/internal/savedlist/store_test.go
+++ b/internal/savedlist/store_test.go
@@ -108,10 +108,10 @@
 	return protocol.Member{ID: id, HostPort: "127.0.0.1:3000", Locality: "llanelli", Flavor: "new-box", Cell: 1, Phase: phase, Size: 1}
 }
 
-func listOf(revision int64, ids ...string) *Saved {
-	s := &Saved{MadeMS: 1000 * revision, Revision: revision, Discovery: "127.0.0.1:8500", Out: []string{"out"}}
+func listOf(revision int64, ids ...string) *CachedList {
+	s := &CachedList{ConfirmedAtMS: 1000 * revision, Revision: revision, Discovery: "127.0.0.1:8500", Detached: []string{"out"}}
 	for _, id := range ids {
-		s.Members = append(s.Members, Member{Member: member(id, "active"), HeardMS: 7, Learned: &brain.WorkerStatistics{Slots: 5}})
+		s.Members = append(s.Members, CachedMember{Member: member(id, "active"), LastSignalMS: 7, Statistics: &brain.WorkerStatistics{Slots: 5}})
 	}
 	return s
 }
@@ -120,7 +120,7 @@
 func TestDamagedSnapshot(t *testing.T) {
 	m := newMemory()
 	s := NewStore(m, "n0")
-	for _, saved := range []*Saved{listOf(1, "a", "b"), listOf(2, "a", "b", "c")} {
+	for _, saved := range []*CachedList{listOf(1, "a", "b"), listOf(2, "a", "b", "c")} {
 		if err := s.Snapshot(saved); err != nil {
 			t.Fatal(err)
 		}
@@ -162,7 +162,7 @@
 	var ends []int
 	journal := fileName(journalName, 1)
 	for i, id := range []string{"a", "b", "c"} {
-		if err := s.Add(&change{AtMS: int64(2000 + i), Revision: int64(2 + i), Members: []protocol.Member{member(id, "leaving")}}); err != nil {
+		if err := s.Append(&change{AtMS: int64(2000 + i), Revision: int64(2 + i), Members: []protocol.Member{member(id, "leaving")}}); err != nil {
 			t.Fatal(err)
 		}
 		ends = append(ends, len(m.files[journal]))
@@ -223,7 +223,7 @@
 				if revision%3 == 1 {
 					err = s.Snapshot(listOf(revision, "a", "b"))
 				} else {
-					err = s.Add(&change{AtMS: 1000 * revision, Revision: revision, Members: []protocol.Member{member("a", "leaving")}})
+					err = s.Append(&change{AtMS: 1000 * revision, Revision: revision, Members: []protocol.Member{member("a", "leaving")}})
 				}
 				if err == nil {
 					told = revision
@@ -252,7 +252,7 @@
 // Two processes of one name write beside each other, and neither touches what the other writes now.
 func TestTwoProcesses(t *testing.T) {
 	dir := t.TempDir()
-	files, err := Folder(dir, "n0/../x")
+	files, err := OpenOrCreate(dir, "n0/../x")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,7 +262,7 @@
 			if err := s.Snapshot(listOf(10*i+1, "a")); err != nil {
 				t.Fatal(err)
 			}
-			if err := s.Add(&change{Revision: 10*i + 2, AtMS: 1, Members: []protocol.Member{member("a", "leaving")}}); err != nil {
+			if err := s.Append(&change{Revision: 10*i + 2, AtMS: 1, Members: []protocol.Member{member("a", "leaving")}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -272,12 +272,12 @@
 		t.Fatalf("%v, %v", found, err)
 	}
 	for _, g := range found {
-		if g.Err != nil || g.Records != 1 || g.Torn != 0 || g.Saved.Members[0].Phase != "leaving" {
+		if g.Err != nil || g.Records != 1 || g.TornBytes != 0 || g.List.Members[0].Phase != "leaving" {
 			t.Errorf("%+v", g)
 		}
 	}
 	// Another dispatcher's lists are its own, whatever they are named.
-	other, err := Folder(dir, "n1")
+	other, err := OpenOrCreate(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -305,14 +305,14 @@
 	if err := os.Chmod(dir, 0o770); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Folder(dir, "n0"); err == nil || !strings.Contains(err.Error(), "others may write") {
+	if _, err := OpenOrCreate(dir, "n0"); err == nil || !strings.Contains(err.Error(), "others may write") {
 		t.Errorf("others may write: %v", err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Folder(file, "n0"); err == nil {
+	if _, err := OpenOrCreate(file, "n0"); err == nil {
 		t.Error("a file is no folder")
 	}
 	m := newMemory()
@@ -321,10 +321,10 @@
 		t.Fatal(err)
 	}
 	m.fail = errors.New("no space left on device")
-	if err := s.Add(&change{Revision: 2}); !errors.Is(err, m.fail) {
+	if err := s.Append(&change{Revision: 2}); !errors.Is(err, m.fail) {
 		t.Errorf("a full disk: %v", err)
 	}
-	if err := s.Add(&change{Revision: 3}); err != errNoGeneration {
+	if err := s.Append(&change{Revision: 3}); err != errNoGeneration {
 		t.Errorf("behind a torn record: %v", err)
 	}
 	if err := s.Snapshot(listOf(4, "a")); !errors.Is(err, m.fail) {
@@ -341,7 +341,7 @@
 	m.files[fileName(snapshotName, 1)] = seal(1, []byte(`{"dispatcher":"n0","made_ms":5000,"list":{"revision":4,"complete":true,"members":[{"id":"a","host_port":"127.0.0.1:3000","locality":"llanelli","flavor":"new-box","cell":2,"phase":"active","size":1,"up_since_ms":9}]}}`))
 	m.files[fileName(snapshotName, 2)] = seal(99, []byte(`{}`))
 	saved, notes := NewStore(m, "n0").Load()
-	if saved == nil || saved.Revision != 4 || saved.MadeMS != 5000 || saved.Members[0].Cell != 2 || len(notes) != 1 || !strings.Contains(notes[0], "version 99") {
+	if saved == nil || saved.Revision != 4 || saved.ConfirmedAtMS != 5000 || saved.Members[0].Cell != 2 || len(notes) != 1 || !strings.Contains(notes[0], "version 99") {
 		t.Errorf("%+v, %v", saved, notes)
 	}
 	if m.files[fileName(snapshotName, 2)] == nil {
@@ -376,7 +376,7 @@
 			ids = append(ids, fmt.Sprintf("s-%08x", i))
 		}
 		b.Run(fmt.Sprint("write/", n), func(b *testing.B) {
-			files, err := Folder(b.TempDir(), "n0")
+			files, err := OpenOrCreate(b.TempDir(), "n0")
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -389,7 +389,7 @@
 			}
 		})
 		b.Run(fmt.Sprint("load/", n), func(b *testing.B) {
-			files, err := Folder(b.TempDir(), "n0")
+			files, err := OpenOrCreate(b.TempDir(), "n0")
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/savedlist/stored_test.go
+++ b/internal/savedlist/stored_test.go
@@ -13,17 +13,17 @@
 const storedDispatcher = "dispatcher 1" // with a blank, which is escaped in the name of its folder
 
 // storedSnapshot is what the snapshot in testdata/stored holds; each field has a value of its own.
-func storedSnapshot() *Saved {
-	return &Saved{
-		Dispatcher: storedDispatcher, MadeMS: 1001, Revision: 11, Discovery: "127.0.0.1:8500", Out: []string{"worker-z"},
-		Members: []Member{{
+func storedSnapshot() *CachedList {
+	return &CachedList{
+		Dispatcher: storedDispatcher, ConfirmedAtMS: 1001, Revision: 11, Discovery: "127.0.0.1:8500", Detached: []string{"worker-z"},
+		Members: []CachedMember{{
 			Member: protocol.Member{ID: "worker-a", HostPort: "127.0.0.1:3001", Locality: "zone-1", Flavor: "flavor-1",
 				Cell: 2, Phase: "active", Size: 1.5, UpSinceMS: 901},
-			HeardMS: 1000,
-			Learned: &brain.WorkerStatistics{StartedAt: 21, Slots: 22.5, Increment: 23.5, Slowness: 24.5, SlownessJobs: 25.5, LastSignal: 26},
+			LastSignalMS: 1000,
+			Statistics:   &brain.WorkerStatistics{StartedAt: 21, Slots: 22.5, Increment: 23.5, Slowness: 24.5, SlownessJobs: 25.5, LastSignal: 26},
 		}},
-		Classes: map[string]brain.ClassStatistics{"class-1": {WorkScale: 31.5, MeanLogRuntime: 32.5, Jobs: 33}},
-		Allow:   41.5, Stay: 42.5, Mean: 43.5,
+		Classes:    map[string]brain.ClassStatistics{"class-1": {WorkScale: 31.5, MeanLogRuntime: 32.5, Jobs: 33}},
+		Overcommit: 41.5, MeanStay: 42.5, MeanWork: 43.5,
 	}
 }
 
@@ -51,14 +51,14 @@
 			t.Fatal(err)
 		}
 	}
-	files, err := Folder(read, storedDispatcher)
+	files, err := OpenOrCreate(read, storedDispatcher)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, notes := NewStore(files, storedDispatcher).Load()
 	want := storedSnapshot()
-	want.MadeMS, want.Revision, want.Out = 1003, 13, []string{"worker-a", "worker-b"}
-	want.Members = append(want.Members, Member{Member: storedChanges()[0].Members[0]})
+	want.ConfirmedAtMS, want.Revision, want.Detached = 1003, 13, []string{"worker-a", "worker-b"}
+	want.Members = append(want.Members, CachedMember{Member: storedChanges()[0].Members[0]})
 	if len(notes) > 0 || !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v (notes %q)", got, want, notes)
 	}
@@ -82,7 +82,7 @@
 // writeStored writes the content of testdata/stored.
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
-	files, err := Folder(dir, storedDispatcher)
+	files, err := OpenOrCreate(dir, storedDispatcher)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range storedChanges() {
-		if err := store.Add(c); err != nil {
+		if err := store.Append(c); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -90,7 +90,7 @@
 // Parse reads the text of one.
 func Parse(text []byte, path string) (*File, error) {
 	s := fleet.Default()
-	f := &File{Settle: "20s", Bound: s.Bound, Replace: s.Replace}
+	f := &File{Settle: "20s", Bound: s.LeaseDuration, Replace: s.ReplaceAfter}
 	err := diag.Decode(text, path, f, func(body *hclsyntax.Body) hcl.Diagnostics { _, diags := f.plan(body); return diags })
 	if err != nil {
 		return nil, err
@@ -188,11 +188,11 @@
 
 // check tells what does not go together.
 func (p *Plan) check(say func(attribute, format string, a ...any)) {
-	if p.Bound > 0 && p.Bound < fleet.LeastBound {
-		say("bound", "It must be %v at least.", fleet.LeastBound)
+	if p.Bound > 0 && p.Bound < fleet.MinLease {
+		say("bound", "It must be %v at least.", fleet.MinLease)
 	}
-	if p.Replace > 0 && p.Replace < fleet.LeastReplace {
-		say("replace", "It must be %v at least.", fleet.LeastReplace)
+	if p.Replace > 0 && p.Replace < fleet.MinReplaceAfter {
+		say("replace", "It must be %v at least.", fleet.MinReplaceAfter)
 	}
 	if p.Regions < 1 || p.Regions > p.Zones {
 		say("regions", "There must be 1 at least, and no more than zones.")
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -247,7 +247,7 @@
 		}
 		zones.Regions = append(zones.Regions, region)
 	}
-	f.failover, f.overload = &zones, &fleet.Overload{Retries: 0.1, Probes: 40}
+	f.failover, f.overload = &zones, &fleet.Overload{RetryRatio: 0.1, ProbesPerSecond: 40}
 	return f.link()
 }
 
@@ -321,7 +321,7 @@
 		b.WriteString("]\n }\n")
 	}
 	fmt.Fprintf(&b, " headroom = %g\n return_in = %q\n alone = %q\n detect = %q\n}\noverload {\n retries = %g\n probes = %g\n}\n",
-		f.failover.Headroom, f.failover.ReturnIn, f.failover.Alone, f.failover.Detect, f.overload.Retries, f.overload.Probes)
+		f.failover.Headroom, f.failover.RecoveryRamp, f.failover.MaxPlanAge, f.failover.DetectionTime, f.overload.RetryRatio, f.overload.ProbesPerSecond)
 	return b.String()
 }
 
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -186,23 +186,23 @@
 func (h *Hollow) make(e HollowSpec, n uint64, log *slog.Logger) (*hollow, error) {
 	s := fleet.Default()
 	s.Name, s.Listen, s.Voters, s.Directory = h.spec.Fleet, e.Address, h.spec.Voters, filepath.Join(h.spec.Directory, e.Name)
-	s.Bound, s.Replace, s.Region, s.Zone, s.Reach = h.spec.Bound, h.spec.Replace, h.spec.Region, h.spec.Zone, h.spec.Reach
+	s.LeaseDuration, s.ReplaceAfter, s.Region, s.Zone, s.AddressOverrides = h.spec.Bound, h.spec.Replace, h.spec.Region, h.spec.Zone, h.spec.Reach
 	meter := &traffic.Meter{}
 	if h.spec.Bare {
 		return &hollow{name: e.Name, meter: meter, find: transport.NewDiscovery(h.at, h.params, meter)}, nil
 	}
 	x := &hollow{name: e.Name, meter: meter, rng: rand.New(rand.NewPCG(h.spec.Seed, 1000+n)), begin: time.Now(), said: time.Now(),
 		watcher: planning.NewRecorder(e.Name, h.spec.Zone, 0)}
-	o := fleet.Options{Settings: &s, Name: e.Name, Zone: h.spec.Zone, Apply: x.apply, Jobs: x.counted, Meter: x.meter,
+	o := fleet.Options{Settings: &s, Name: e.Name, Zone: h.spec.Zone, ApplyEffective: x.apply, JobCounts: x.counted, Meter: x.meter,
 		Log: slog.New(roles{log.With("hollow", e.Name).Handler(), x})}
 	if h.spec.Failover != nil {
-		o.Failover, o.Planned = h.spec.Failover, func(*planning.Plan, bool) {}
+		o.Failover, o.PlanChanged = h.spec.Failover, func(*planning.Plan, bool) {}
 		o.Report = func() *planning.Report { return x.report(&h.spec, h.params.Now()) }
-		o.Urgent = x.urgent
+		o.HasUrgentChange = x.urgent
 	}
 	if h.spec.Overload != nil {
-		o.Overload, o.Among = h.spec.Overload, func() int { return h.spec.Among }
-		o.Firsts = func() uint64 { n, _ := x.counted(); return n }
+		o.Overload, o.MaxDispatchers = h.spec.Overload, func() int { return h.spec.Among }
+		o.FirstAttempts = func() uint64 { n, _ := x.counted(); return n }
 	}
 	var err error
 	if x.agent, err = fleet.New(o); err != nil {
@@ -242,7 +242,7 @@
 	zones := slices.Sorted(maps.Keys(h.spec.Capacity))
 	for due := 0.0; ; due += rate * probeEvery.Seconds() {
 		for ; due >= 1; due-- {
-			if !x.agent.May(fleet.Probes) {
+			if !x.agent.AllowUse(fleet.ProbeBudget) {
 				continue
 			}
 			hears := h.heard()
