--- a/cmd/benchlink/link.go
+++ b/cmd/benchlink/link.go
@@ -29,7 +29,7 @@
 	Time         protocol.Micros
 	DispatcherID *int `json:"dispatcherId"`
 	InitSeed     uint64
-	Params       protocol.Params
+	Params       protocol.Settings
 	Ref          uint64
 	NodesList    []entry
 	Form         string
@@ -67,7 +67,7 @@
 
 // instance is one dispatcher of this process.
 type instance struct {
-	params protocol.Params
+	params protocol.Settings
 	brain  *brain.Scheduler
 }
 
@@ -111,7 +111,7 @@
 	}
 	switch name {
 	case "SYNC":
-		l.now = m.Time.Span()
+		l.now = m.Time.Duration()
 	case "YOUR_TURN":
 		l.out.WriteString("{\"FINISHED\":{}}\n")
 		return l.out.Flush()
@@ -164,7 +164,7 @@
 func (l *link) event(name string, id int, m *message) error {
 	switch name {
 	case "ENLIST":
-		l.instances[id] = &instance{params: m.Params, brain: brain.New(m.Params.Module(), m.InitSeed)}
+		l.instances[id] = &instance{params: m.Params, brain: brain.New(m.Params.SchedulerSettings(), m.InitSeed)}
 		return nil
 	case "SHUTDOWN":
 		delete(l.instances, id)
@@ -193,9 +193,9 @@
 	case "BACKENDS_CHANGED":
 		return l.listed(m)
 	case "ARRIVAL":
-		a := brain.RequestArrived{ID: req, Class: m.Qos, Slots: m.Width, Deadline: m.Expires.Span(), AffinityKey: m.Subject}
+		a := brain.RequestArrived{ID: req, Class: m.Qos, Slots: m.Width, Deadline: m.Expires.Duration(), AffinityKey: m.Subject}
 		if m.Bitmap&hintValid != 0 {
-			a.EstimatedWork = m.Effort.Span()
+			a.EstimatedWork = m.Effort.Duration()
 		}
 		return a, nil
 	case "STARTED":
@@ -246,7 +246,7 @@
 		}
 		ev.Workers = append(ev.Workers, brain.WorkerInfo{
 			ID: brain.WorkerID(e.Worker), State: state, Zone: e.RegionPart, Cell: e.Pod, MachineKind: e.Machine,
-			Weight: e.Weight, StartedAt: e.OnlineSince.Span(),
+			Weight: e.Weight, StartedAt: e.OnlineSince.Duration(),
 		})
 	}
 	return ev, nil
--- a/cmd/brassdale-lab/failover.go
+++ b/cmd/brassdale-lab/failover.go
@@ -11,19 +11,19 @@
 // failover sets four ways to decide on zones beside each other, in virtual time.
 func failover() *cobra.Command {
 	var out string
-	t := experiment.Towns{}
+	t := experiment.ZoneExperiment{}
 	c := &cobra.Command{Use: "failover", Short: "Set ways to decide where zones' jobs go beside each other, in virtual time", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			bar := progress(len(experiment.TownCases())*len(experiment.TownModes)*t.Seeds, "failover")
-			rows, err := experiment.RunTowns(c.Context(), t, runtime.GOMAXPROCS(0), func() { _ = bar.Add(1) })
+			bar := progress(len(experiment.ZoneCases())*len(experiment.ZoneModes)*t.Seeds, "failover")
+			rows, err := experiment.RunZones(c.Context(), t, runtime.GOMAXPROCS(0), func() { _ = bar.Add(1) })
 			_ = bar.Finish()
 			if err != nil {
 				return err
 			}
-			if err := experiment.TownTable(c.OutOrStdout(), rows); err != nil {
+			if err := experiment.ZoneTable(c.OutOrStdout(), rows); err != nil {
 				return err
 			}
-			return experiment.SaveTowns(folder(out), rows)
+			return experiment.SaveZoneRuns(folder(out), rows)
 		}}
 	c.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
 	c.Flags().IntVar(&t.Seeds, "seeds", 5, "from 1 on")
--- a/cmd/brassdale/council_life_test.go
+++ b/cmd/brassdale/council_life_test.go
@@ -26,7 +26,7 @@
 	for _, i := range which {
 		f.nodes[i].cmd.Process.Kill()
 		<-f.nodes[i].exited
-		f.away[i] = append(f.away[i], faults.Away{From: time.Now()})
+		f.away[i] = append(f.away[i], faults.Absence{From: time.Now()})
 	}
 }
 
--- a/cmd/brassdale/council_members_test.go
+++ b/cmd/brassdale/council_members_test.go
@@ -79,7 +79,7 @@
 	see("killed", 6, "ran out", map[string]string{"a": "gone"})
 	f.nodes[5].cmd.Process.Signal(syscall.SIGSTOP)
 	f.gossips("the frozen one gone", func() bool { g, l, _ := f.known(3, 5); return g == "gone" && strings.HasPrefix(l, "ran out") })
-	f.away[5] = append(f.away[5], faults.Away{From: time.Now()})
+	f.away[5] = append(f.away[5], faults.Absence{From: time.Now()})
 	f.nodes[5].cmd.Process.Signal(syscall.SIGCONT)
 	see("awake", 5, "acknowledged", map[string]string{"b": "alive"})
 	if apart := f.apart(); apart > 0 {
--- a/cmd/brassdale/council_test.go
+++ b/cmd/brassdale/council_test.go
@@ -20,7 +20,7 @@
 	at      []string // their councils' addresses
 	files   []string
 	workers []*worker
-	away    map[int][]faults.Away // when a process stood still or was gone
+	away    map[int][]faults.Absence // when a process stood still or was gone
 	voters  int
 	more    func(i int) string // that a dispatcher's block says beside the usual
 }
@@ -33,7 +33,7 @@
 
 func allyWith(t *testing.T, net4, voters, followers int, more func(int) string) *allied {
 	t.Helper()
-	f := &allied{t: t, voters: voters, more: more, workers: []*worker{newWorker(t, "a", works), newWorker(t, "b", works)}, away: map[int][]faults.Away{}}
+	f := &allied{t: t, voters: voters, more: more, workers: []*worker{newWorker(t, "a", works), newWorker(t, "b", works)}, away: map[int][]faults.Absence{}}
 	for i := range voters + followers {
 		l := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", net4, i+1)))
 		f.at = append(f.at, l.Addr().String())
@@ -71,8 +71,8 @@
 }
 
 // stands are what the process said that it acts on.
-func (f *allied) stands(i int) []faults.Stand {
-	return faults.Stands(f.nodes[i].log(), time.Now(), f.away[i])
+func (f *allied) stands(i int) []faults.EffectiveState {
+	return faults.EffectiveStates(f.nodes[i].log(), time.Now(), f.away[i])
 }
 
 // acts waits until the dispatchers act on a version alone, and hold leases.
@@ -88,11 +88,11 @@
 
 // apart gives how long any two dispatchers with leases acted on versions with nothing in common.
 func (f *allied) apart() time.Duration {
-	var all [][]faults.Stand
+	var all [][]faults.EffectiveState
 	for i := range f.nodes {
 		all = append(all, f.stands(i))
 	}
-	contradiction, _ := faults.Apart(all)
+	contradiction, _ := faults.ContradictionTime(all)
 	return contradiction
 }
 
@@ -152,13 +152,13 @@
 	f.propose("retries = 0.1\n", lead)
 	f.nodes[lead].cmd.Process.Kill()
 	<-f.nodes[lead].exited
-	f.away[lead] = append(f.away[lead], faults.Away{From: time.Now()})
+	f.away[lead] = append(f.away[lead], faults.Absence{From: time.Now()})
 	rest := without(f.all(), lead)
 	f.acts(2, rest...)
 
 	still := 4
 	f.nodes[still].cmd.Process.Signal(syscall.SIGSTOP)
-	f.away[still] = append(f.away[still], faults.Away{From: time.Now()})
+	f.away[still] = append(f.away[still], faults.Absence{From: time.Now()})
 	f.propose("repeat = false\n", rest[0])
 	f.acts(3, without(rest, still)...) // the change waits for its lease, and no longer
 	f.nodes[still].cmd.Process.Signal(syscall.SIGCONT)
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -13,7 +13,7 @@
 }
 
 // Now gives it, as of some moment soon.
-func (k *Works) Now() Standing {
+func (k *Cluster) Now() Standing {
 	got := make(chan Standing, 1)
 	k.w.post(func() {
 		s := Standing{Since: k.w.now - epoch, Boxes: len(k.w.boxes), Sends: k.w.sends, Probes: k.w.probes, Breaches: append([]Breach(nil), k.w.audit.breach...)}
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -36,12 +36,12 @@
 }
 
 // Start starts a dispatcher's program at the n-th door, with a folder of its own for its files, and waits until it serves.
-func (k *Works) Start(ctx context.Context, binary, dir string, n int, args ...string) (*Node, error) {
+func (k *Cluster) Start(ctx context.Context, binary, dir string, n int, args ...string) (*Node, error) {
 	return k.StartWith(ctx, binary, dir, n, nil, args...)
 }
 
 // StartWith does it with variables of the environment beside the usual.
-func (k *Works) StartWith(ctx context.Context, binary, dir string, n int, env []string, args ...string) (*Node, error) {
+func (k *Cluster) StartWith(ctx context.Context, binary, dir string, n int, env []string, args ...string) (*Node, error) {
 	path, err := k.Write(dir, n)
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 }
 
 // Write writes the platform's file for the n-th dispatcher into a folder of its own, and gives its path.
-func (k *Works) Write(dir string, n int) (path string, err error) {
+func (k *Cluster) Write(dir string, n int) (path string, err error) {
 	text, err := k.Config(n)
 	if err != nil {
 		return "", err
@@ -132,19 +132,19 @@
 func (d *Node) Signal(s os.Signal) error { return d.cmd.Process.Signal(s) }
 
 // Breaches are the rules that were broken by now.
-func (k *Works) Breaches() (all []Breach) {
+func (k *Cluster) Breaches() (all []Breach) {
 	got := make(chan []Breach, 1)
 	k.w.post(func() { got <- append([]Breach(nil), k.w.audit.breach...) })
 	return <-got
 }
 
-// Spent is when first calls, further ones and probes came, by all dispatchers.
-type Spent struct{ Firsts, Furthers, Probes []time.Duration }
+// Costs is when first calls, further ones and probes came, by all dispatchers.
+type Costs struct{ Firsts, Furthers, Probes []time.Duration }
 
 // Spent gives it.
-func (k *Works) Spent() Spent {
-	got := make(chan Spent, 1)
-	k.w.post(func() { got <- Spent{slices.Clone(k.firsts), slices.Clone(k.furthers), slices.Clone(k.asked)} })
+func (k *Cluster) Spent() Costs {
+	got := make(chan Costs, 1)
+	k.w.post(func() { got <- Costs{slices.Clone(k.firsts), slices.Clone(k.furthers), slices.Clone(k.asked)} })
 	return <-got
 }
 
@@ -155,7 +155,7 @@
 }
 
 // Load gives it.
-func (k *Works) Load() Load {
+func (k *Cluster) Load() Load {
 	got := make(chan Load, 1)
 	k.w.post(func() { got <- Load{k.w.sends, k.w.crossings, k.w.peak()} })
 	return <-got
@@ -168,7 +168,7 @@
 }
 
 // Boxes are the works' boxes.
-func (k *Works) Boxes() (ids []brain.WorkerID) {
+func (k *Cluster) Boxes() (ids []brain.WorkerID) {
 	for _, b := range k.w.boxes {
 		ids = append(ids, b.id)
 	}
@@ -270,7 +270,7 @@
 }
 
 // account takes a job's end, as its client saw it.
-func (k *Works) account(j load.Job, o load.Outcome, latency time.Duration) {
+func (k *Cluster) account(j load.Job, o load.Outcome, latency time.Duration) {
 	job := k.w.s.jobOf(j.Key)
 	k.w.post(func() {
 		t := &k.w.tallies[0]
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -53,15 +53,15 @@
 	return !late && ctx.Err() == nil
 }
 
-// Asked is how discovery was asked.
-type Asked struct {
+// DiscoveryCalls is how discovery was asked.
+type DiscoveryCalls struct {
 	Calls, Refused int
 	Most           int           // calls in any second
 	Longest        time.Duration // that any dispatcher had no call open
 }
 
 // Asked gives it.
-func (k *Works) Asked() (a Asked) {
+func (k *Cluster) Asked() (a DiscoveryCalls) {
 	k.turns.mu.Lock()
 	a.Calls, a.Refused = len(k.turns.calls), k.turns.refused
 	from := 0
@@ -82,7 +82,7 @@
 
 // Present tells that the n-th dispatcher is being started, or that it is ending: what it asks then, or does not, is no
 // part of a watch.
-func (k *Works) Present(n int, is bool) {
+func (k *Cluster) Present(n int, is bool) {
 	d := k.doors[n]
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,7 +91,7 @@
 }
 
 // Move puts discovery at another address. At the old one nobody is any more.
-func (k *Works) Move() error {
+func (k *Cluster) Move() error {
 	for _, d := range k.doors {
 		old := d.server
 		if err := d.listens(); err != nil {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -110,25 +110,25 @@
 	Keep  time.Duration // a box keeps it for so long since it used it last
 }
 
-// Trouble is a kind of fault.
-type Trouble uint8
+// FaultKind is a kind of fault.
+type FaultKind uint8
 
 const (
-	Freeze    Trouble = iota // takes jobs and probes, answers nothing; goes on afterwards where it stood
-	Silent                   // answers probes, starts no job
-	Slow                     // at a third of its speed
-	Restart                  // loses all it has, and comes back cold after one second
-	Drain                    // is listed as leaving, finishes what it has, and is gone at the end
-	Unheard                  // reports come late by three seconds
-	Reset                    // its connections break once, and what it had is lost; it goes on
-	Partition                // nothing reaches it and nothing comes from it; what was under way is reset once it is back
-	ListDown                 // discovery ends its watches and turns all calls away; Share counts for nothing
-	ListHung                 // discovery takes calls and answers none; the same
-	Burst                    // the rate is Size times the usual; Share counts for nothing
-	HeavyTail                // a few jobs are Size times as heavy; the same
-	ZoneLost                 // nothing reaches a zone's boxes, and they come back cold
-	Apart                    // nothing goes between the dispatchers of zone From and the boxes of Zone
-	Far                      // ways to and from a zone's boxes take Size times as long
+	Freeze    FaultKind = iota // takes jobs and probes, answers nothing; goes on afterwards where it stood
+	Silent                     // answers probes, starts no job
+	Slow                       // at a third of its speed
+	Restart                    // loses all it has, and comes back cold after one second
+	Drain                      // is listed as leaving, finishes what it has, and is gone at the end
+	Unheard                    // reports come late by three seconds
+	Reset                      // its connections break once, and what it had is lost; it goes on
+	Partition                  // nothing reaches it and nothing comes from it; what was under way is reset once it is back
+	ListDown                   // discovery ends its watches and turns all calls away; Share counts for nothing
+	ListHung                   // discovery takes calls and answers none; the same
+	Burst                      // the rate is Size times the usual; Share counts for nothing
+	HeavyTail                  // a few jobs are Size times as heavy; the same
+	ZoneLost                   // nothing reaches a zone's boxes, and they come back cold
+	Apart                      // nothing goes between the dispatchers of zone From and the boxes of Zone
+	Far                        // ways to and from a zone's boxes take Size times as long
 
 	troubleKinds = iota
 )
@@ -137,7 +137,7 @@
 type Fault struct {
 	At    time.Duration
 	For   time.Duration
-	Kind  Trouble
+	Kind  FaultKind
 	Share float64 // of the boxes, at least one; counts for nothing with a zone
 	Size  float64
 	Zone  int // counted from 1; 0 for none
--- a/internal/emulator/works.go
+++ b/internal/emulator/works.go
@@ -17,9 +17,9 @@
 	"brassdale/brain"
 )
 
-// Works is a scenario's boxes and discovery on loopback sockets: the model of Run, by a real clock, for real dispatchers.
+// Cluster is a scenario's boxes and discovery on loopback sockets: the model of Run, by a real clock, for real dispatchers.
 // Each dispatcher reaches discovery and every box at addresses of its own, so that who sent what is known.
-type Works struct {
+type Cluster struct {
 	w     *world
 	begin time.Time
 	doors []*Door
@@ -40,7 +40,7 @@
 
 // Door is what one dispatcher reaches.
 type Door struct {
-	works  *Works
+	works  *Cluster
 	n      int
 	zone   int
 	listen net.Listener // of discovery
@@ -72,7 +72,7 @@
 }
 
 // Open puts a scenario's works on loopback ports of the system's choice. Close ends it.
-func Open(s Scenario) (*Works, error) {
+func Open(s Scenario) (*Cluster, error) {
 	w, err := newWorld(&s)
 	if err == nil && s.virtual() {
 		err = errors.New("classes, memory, connections, live weights, bounded queues, pushed lists, reports in answers, bursts and heavy tails are played in virtual time only")
@@ -86,7 +86,7 @@
 	audited.Traffic.Window += socketSlack
 	w.audit.s = &audited
 	ctx, stop := context.WithCancel(context.Background())
-	k := &Works{w: w, begin: time.Now(), stop: stop, ended: make(chan struct{}), requests: map[string]*request{}}
+	k := &Cluster{w: w, begin: time.Now(), stop: stop, ended: make(chan struct{}), requests: map[string]*request{}}
 	for n := range s.Dispatchers {
 		d, err := k.door(n)
 		if err != nil {
@@ -115,13 +115,13 @@
 }
 
 // Close ends all that listens.
-func (k *Works) Close() {
+func (k *Cluster) Close() {
 	k.stop()
 	<-k.ended
 	k.closeAll()
 }
 
-func (k *Works) closeAll() {
+func (k *Cluster) closeAll() {
 	for _, d := range k.doors {
 		_ = d.server.Close()
 		for _, g := range d.gates {
@@ -131,9 +131,9 @@
 }
 
 // Troubles has the scenario's faults begin to count now.
-func (k *Works) Troubles() { k.w.post(k.w.troubles) }
+func (k *Cluster) Troubles() { k.w.post(k.w.troubles) }
 
-func (k *Works) door(n int) (*Door, error) {
+func (k *Cluster) door(n int) (*Door, error) {
 	d := &Door{works: k, n: n, zone: n % max(k.w.s.Network.Zones, 1), gates: map[brain.WorkerID]*gate{}, told: map[brain.WorkerID]time.Duration{}, chance: k.w.source(uint64(100 + n)),
 		entries: map[brain.WorkerID]entry{}, news: make(chan struct{})}
 	var err error
@@ -154,7 +154,7 @@
 
 // sync has each box's listeners be open while it is up: connections to one that is down are refused, and those that it
 // had are broken.
-func (k *Works) sync() {
+func (k *Cluster) sync() {
 	for _, d := range k.doors {
 		for _, g := range d.gates {
 			if down := g.b.down; down != g.down {
@@ -288,7 +288,7 @@
 }
 
 // take takes an attempt that came over a socket. When its first byte left is not known here: it counts as now.
-func (k *Works) take(a *run, id string, g *gate) {
+func (k *Cluster) take(a *run, id string, g *gate) {
 	q := k.requests[id]
 	if q == nil {
 		q = &request{id: uint64(len(k.requests) + 1)}
@@ -328,7 +328,7 @@
 }
 
 // Config gives the platform's file for the n-th dispatcher: it listens on a port of the system's choice.
-func (k *Works) Config(n int) ([]byte, error) {
+func (k *Cluster) Config(n int) ([]byte, error) {
 	if n < 0 || n >= len(k.doors) {
 		return nil, errors.New("there is no such dispatcher")
 	}
@@ -363,7 +363,7 @@
 }
 
 // zones are their names.
-func (k *Works) zones() (names []string) {
+func (k *Cluster) zones() (names []string) {
 	if k.w.s.Network.Zones < 2 {
 		return []string{"llanelli"}
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -187,7 +187,7 @@
 
 // unlisted begins a fault of discovery, or ends it. A dispatcher's watch ends at once where it is down; where it hangs, once
 // the dispatcher has waited for long enough. What changes meanwhile comes with the whole list, behind the next call.
-func (w *world) unlisted(t Trouble, by int) {
+func (w *world) unlisted(t FaultKind, by int) {
 	if t == ListDown {
 		w.down += by
 	} else {
@@ -395,7 +395,7 @@
 	}
 }
 
-func (b *box) befall(t Trouble) {
+func (b *box) befall(t FaultKind) {
 	switch t {
 	case Freeze:
 		b.frozen++
@@ -422,7 +422,7 @@
 	}
 }
 
-func (b *box) recover(t Trouble) {
+func (b *box) recover(t FaultKind) {
 	switch t {
 	case Freeze:
 		if b.frozen--; b.frozen == 0 {
--- a/internal/experiment/failover.go
+++ b/internal/experiment/failover.go
@@ -23,14 +23,14 @@
 	"brassdale/internal/emulator"
 )
 
-// Towns is a works of four zones in two regions for experiments on failover.
-type Towns struct {
+// ZoneExperiment is a works of four zones in two regions for experiments on failover.
+type ZoneExperiment struct {
 	Dispatchers, Boxes int
 	Seeds              int
 }
 
-// TownCase is a trouble, with the load that it comes at.
-type TownCase struct {
+// ZoneCase is a trouble, with the load that it comes at.
+type ZoneCase struct {
 	Name   string
 	Load   float64
 	Faults []emulator.Fault
@@ -44,16 +44,16 @@
 	townSpan  = 75 * time.Second
 )
 
-// TownCases are what is played. Times are of the run.
-func TownCases() []TownCase {
-	fault := func(kind emulator.Trouble, at, span time.Duration, zone, from int, size float64) emulator.Fault {
+// ZoneCases are what is played. Times are of the run.
+func ZoneCases() []ZoneCase {
+	fault := func(kind emulator.FaultKind, at, span time.Duration, zone, from int, size float64) emulator.Fault {
 		return emulator.Fault{Kind: kind, At: at, For: span, Zone: zone, From: from, Size: size, Share: 1}
 	}
 	var flaps []emulator.Fault
 	for at := townAt; at < townAt+townFor; at += 6 * time.Second {
 		flaps = append(flaps, fault(emulator.ZoneLost, at, 3*time.Second, 1, 0, 0))
 	}
-	return []TownCase{
+	return []ZoneCase{
 		{"calm", 0.6, nil},
 		{"lost", 0.55, []emulator.Fault{fault(emulator.ZoneLost, townAt, townFor, 1, 0, 0)}},
 		{"lost, full", 0.66, []emulator.Fault{fault(emulator.ZoneLost, townAt, townFor, 1, 0, 0)}},
@@ -67,13 +67,13 @@
 	}
 }
 
-// TownModes are who decides, in the order of the tables.
-var TownModes = []string{"", "near", "spread", "plan"}
+// ZoneModes are who decides, in the order of the tables.
+var ZoneModes = []string{"", "near", "spread", "plan"}
 
 var townNames = map[string]string{"": "each for itself", "near": "nearest only", "spread": "spread over all", "plan": "planned in common"}
 
-// TownRow is one run.
-type TownRow struct {
+// ZoneRow is one run.
+type ZoneRow struct {
 	Case, Mode                   string
 	Seed                         uint64
 	Fault, Behind, Return, All   float64 // share of worth in time
@@ -83,7 +83,7 @@
 }
 
 // Scenario gives the works of a case.
-func (t Towns) Scenario(c TownCase, mode string, seed uint64) emulator.Scenario {
+func (t ZoneExperiment) Scenario(c ZoneCase, mode string, seed uint64) emulator.Scenario {
 	s := emulator.LlanelliWorks(seed)
 	s.Span, s.Dispatchers = townSpan, t.Dispatchers
 	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Boxes, Slots: townSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
@@ -95,22 +95,22 @@
 	return s
 }
 
-// RunTowns plays all cases in all modes over seeds, so many at a time. each is called behind every run.
-func RunTowns(ctx context.Context, t Towns, together int, each func()) (rows []TownRow, err error) {
+// RunZones plays all cases in all modes over seeds, so many at a time. each is called behind every run.
+func RunZones(ctx context.Context, t ZoneExperiment, together int, each func()) (rows []ZoneRow, err error) {
 	type job struct {
-		c    TownCase
+		c    ZoneCase
 		mode string
 		seed uint64
 	}
 	var jobs []job
-	for _, c := range TownCases() {
-		for _, mode := range TownModes {
+	for _, c := range ZoneCases() {
+		for _, mode := range ZoneModes {
 			for seed := range t.Seeds {
 				jobs = append(jobs, job{c, mode, uint64(seed + 1)})
 			}
 		}
 	}
-	rows = make([]TownRow, len(jobs))
+	rows = make([]ZoneRow, len(jobs))
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	next := make(chan int)
@@ -123,7 +123,7 @@
 				if failed != nil {
 					err = failed
 				} else {
-					rows[i] = TownRow{Case: j.c.Name, Mode: j.mode, Seed: j.seed, Fault: r.Within(townAt+3*time.Second, townAt+townFor), Behind: r.Within(townAt+townFor, townAt+townFor+15*time.Second),
+					rows[i] = ZoneRow{Case: j.c.Name, Mode: j.mode, Seed: j.seed, Fault: r.Within(townAt+3*time.Second, townAt+townFor), Behind: r.Within(townAt+townFor, townAt+townFor+15*time.Second),
 						Return: r.Within(townAt+townFor+15*time.Second, townSpan), All: r.Service, Crossings: r.Crossings, Peak: r.ZonePeak, Moved: r.Moved.Seconds(),
 						Back: r.Back.Seconds(), Plans: r.PlanChanges, Breaches: len(r.Breaches), P99: r.P99.Seconds()}
 				}
@@ -146,15 +146,15 @@
 	return rows, err
 }
 
-// SaveTowns keeps the rows, a table and a chart in a folder.
-func SaveTowns(dir string, rows []TownRow) error {
+// SaveZoneRuns keeps the rows, a table and a chart in a folder.
+func SaveZoneRuns(dir string, rows []ZoneRow) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	if err := write(dir, map[string]func(io.Writer) error{"rows.csv": func(w io.Writer) error { return townCSV(w, rows) }, "table.txt": func(w io.Writer) error { return TownTable(w, rows) }}); err != nil {
+	if err := write(dir, map[string]func(io.Writer) error{"rows.csv": func(w io.Writer) error { return townCSV(w, rows) }, "table.txt": func(w io.Writer) error { return ZoneTable(w, rows) }}); err != nil {
 		return err
 	}
-	for name, of := range map[string]func(TownRow) float64{"served": func(r TownRow) float64 { return r.Fault }, "peak": func(r TownRow) float64 { return r.Peak }} {
+	for name, of := range map[string]func(ZoneRow) float64{"served": func(r ZoneRow) float64 { return r.Fault }, "peak": func(r ZoneRow) float64 { return r.Peak }} {
 		if err := townChart(filepath.Join(dir, name+".svg"), name, rows, of); err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func townCSV(out io.Writer, rows []TownRow) error {
+func townCSV(out io.Writer, rows []ZoneRow) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"case", "mode", "seed", "served_fault", "served_behind", "served_return", "served", "crossings", "zone_peak_over_capacity", "moved_s", "back_s", "plan_changes", "p99_s", "breaches"})
 	for _, r := range rows {
@@ -177,7 +177,7 @@
 }
 
 // group gives a case's rows in a mode.
-func group(rows []TownRow, name, mode string, of func(TownRow) float64) (xs []float64) {
+func group(rows []ZoneRow, name, mode string, of func(ZoneRow) float64) (xs []float64) {
 	for _, r := range rows {
 		if r.Case == name && r.Mode == mode {
 			xs = append(xs, of(r))
@@ -186,40 +186,40 @@
 	return xs
 }
 
-// TownTable sets the modes beside each other, case by case: means over seeds.
-func TownTable(out io.Writer, rows []TownRow) error {
+// ZoneTable sets the modes beside each other, case by case: means over seeds.
+func ZoneTable(out io.Writer, rows []ZoneRow) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "case\tdecided by\tin the fault\t15 s behind\tthen\tcrossings\tpeak\tpeak, most\tp99 s\tmoved s\tback s\tplans\tbreaches\n")
-	for _, c := range TownCases() {
-		for _, mode := range TownModes {
-			mean := func(of func(TownRow) float64) float64 { return stat.Mean(group(rows, c.Name, mode, of), nil) }
+	for _, c := range ZoneCases() {
+		for _, mode := range ZoneModes {
+			mean := func(of func(ZoneRow) float64) float64 { return stat.Mean(group(rows, c.Name, mode, of), nil) }
 			breaches, most := 0.0, 0.0
-			for _, x := range group(rows, c.Name, mode, func(r TownRow) float64 { return float64(r.Breaches) }) {
+			for _, x := range group(rows, c.Name, mode, func(r ZoneRow) float64 { return float64(r.Breaches) }) {
 				breaches += x
 			}
-			for _, x := range group(rows, c.Name, mode, func(r TownRow) float64 { return r.Peak }) {
+			for _, x := range group(rows, c.Name, mode, func(r ZoneRow) float64 { return r.Peak }) {
 				most = max(most, x)
 			}
-			fmt.Fprintf(w, "%s at %.2f\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%.0f\n", c.Name, c.Load, townNames[mode], mean(func(r TownRow) float64 { return r.Fault }),
-				mean(func(r TownRow) float64 { return r.Behind }), mean(func(r TownRow) float64 { return r.Return }), mean(func(r TownRow) float64 { return r.Crossings }),
-				mean(func(r TownRow) float64 { return r.Peak }), most, mean(func(r TownRow) float64 { return r.P99 }), mean(func(r TownRow) float64 { return r.Moved }),
-				mean(func(r TownRow) float64 { return r.Back }), mean(func(r TownRow) float64 { return float64(r.Plans) }), breaches)
+			fmt.Fprintf(w, "%s at %.2f\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%.0f\n", c.Name, c.Load, townNames[mode], mean(func(r ZoneRow) float64 { return r.Fault }),
+				mean(func(r ZoneRow) float64 { return r.Behind }), mean(func(r ZoneRow) float64 { return r.Return }), mean(func(r ZoneRow) float64 { return r.Crossings }),
+				mean(func(r ZoneRow) float64 { return r.Peak }), most, mean(func(r ZoneRow) float64 { return r.P99 }), mean(func(r ZoneRow) float64 { return r.Moved }),
+				mean(func(r ZoneRow) float64 { return r.Back }), mean(func(r ZoneRow) float64 { return float64(r.Plans) }), breaches)
 		}
 	}
 	return w.Flush()
 }
 
-func townChart(path, title string, rows []TownRow, of func(TownRow) float64) error {
+func townChart(path, title string, rows []ZoneRow, of func(ZoneRow) float64) error {
 	p := plot.New()
 	p.Title.Text = map[string]string{"served": "share of worth in time from 3 s into the fault", "peak": "most work that came to a zone over 5 s, of what it could do"}[title]
 	p.Legend.Top = true
 	var names []string
-	for _, c := range TownCases() {
+	for _, c := range ZoneCases() {
 		names = append(names, c.Name)
 	}
-	for i, mode := range TownModes {
+	for i, mode := range ZoneModes {
 		var values plotter.Values
-		for _, c := range TownCases() {
+		for _, c := range ZoneCases() {
 			values = append(values, stat.Mean(group(rows, c.Name, mode, of), nil))
 		}
 		b, err := plotter.NewBarChart(values, vg.Points(10))
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -133,7 +133,7 @@
 	Set    *World   `hcl:"set,block"`
 }
 
-var troubles = map[string]emulator.Trouble{"freeze": emulator.Freeze, "silent": emulator.Silent, "slow": emulator.Slow,
+var troubles = map[string]emulator.FaultKind{"freeze": emulator.Freeze, "silent": emulator.Silent, "slow": emulator.Slow,
 	"restart": emulator.Restart, "drain": emulator.Drain, "unheard": emulator.Unheard, "reset": emulator.Reset, "partition": emulator.Partition,
 	"burst": emulator.Burst, "heavy-tail": emulator.HeavyTail,
 	"list-down": emulator.ListDown, "list-hung": emulator.ListHung}
--- a/internal/failover/guide.go
+++ b/internal/failover/guide.go
@@ -16,7 +16,7 @@
 
 // Router is the dispatcher's part. It is routing's Router.
 type Router struct {
-	params *protocol.Live
+	params *protocol.LiveSettings
 
 	mu      sync.Mutex
 	watcher *failover.Recorder
@@ -38,15 +38,15 @@
 var _ routing.ZoneRouter = (*Router)(nil)
 
 // New makes it for a dispatcher.
-func New(name string, p *protocol.Live) *Router {
+func New(name string, p *protocol.LiveSettings) *Router {
 	g := &Router{params: p, boxes: map[brain.WorkerID]brain.WorkerInfo{}, keys: map[uint64]kept{}}
-	s := p.Now()
+	s := p.Current()
 	g.zone = zoneName(s, s.Locality)
 	g.watcher = failover.NewRecorder(name, g.zone, 0)
 	return g
 }
 
-func zoneName(p *protocol.Params, zone int) string {
+func zoneName(p *protocol.Settings, zone int) string {
 	if zone >= 0 && zone < len(p.Zones) {
 		return p.Zones[zone]
 	}
@@ -89,13 +89,13 @@
 // Arrived says to which zones a job may be sent, a bit for each number; not ok where it is shed here, and for how long its
 // client should stay away. Jobs of an idempotency key keep their zone for the window in which a repeat is dropped.
 func (g *Router) Route(now brain.Clock, class, key string) (within uint64, away time.Duration, ok bool) {
-	p := g.params.Now()
+	p := g.params.Current()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
 	worth, window := 1.0, time.Duration(0)
 	if i, known := p.Class(class); known {
-		worth, window = p.Classes[i].Credit, p.Classes[i].Window.Span()
+		worth, window = p.Classes[i].Credit, p.Classes[i].Window.Duration()
 	}
 	g.watcher.JobArrived(class, worth)
 	zone, ok := g.zone, true
@@ -135,7 +135,7 @@
 }
 
 // at gives the zone of a box.
-func (g *Router) at(id brain.WorkerID) string { return zoneName(g.params.Now(), g.boxes[id].Zone) }
+func (g *Router) at(id brain.WorkerID) string { return zoneName(g.params.Current(), g.boxes[id].Zone) }
 
 // Began notes that a box has begun a job.
 func (g *Router) AttemptStarted(now brain.Clock, id brain.WorkerID) {
@@ -147,7 +147,7 @@
 
 // Ended counts a call: how long its job waited at the box and ran; silent where nobody answered.
 func (g *Router) AttemptEnded(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration) {
-	p := g.params.Now()
+	p := g.params.Current()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
@@ -162,7 +162,7 @@
 	default:
 		inTime := o == brain.Served
 		if i, known := p.Class(class); known {
-			inTime = inTime && took <= p.Classes[i].Aim.Span()+time.Duration(p.Classes[i].AimStretch*float64(ran))
+			inTime = inTime && took <= p.Classes[i].Aim.Duration()+time.Duration(p.Classes[i].AimStretch*float64(ran))
 		}
 		g.watcher.CallEnded(g.at(id), class, o == brain.Full, inTime, ran, now)
 	}
@@ -197,8 +197,8 @@
 
 // Report gives what was seen since the last one. Sizes in the list are taken for slots.
 func (g *Router) Report() *failover.Report {
-	p := g.params.Now()
-	cold, start := p.Rules.Cold.Span(), p.Rules.StartCapacity
+	p := g.params.Current()
+	cold, start := p.Rules.Cold.Duration(), p.Rules.StartCapacity
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	capacity := map[string]float64{}
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -114,16 +114,16 @@
 	a := line(0, "[1]", false) + line(500, "\"[1 2]\"", false) + line(900, "[2]", false)
 	for _, c := range []struct {
 		log                   string
-		away                  []Away
+		away                  []Absence
 		contradiction, lapsed int
 	}{
 		{line(0, "[1]", false), nil, 1100, 0},
 		{line(0, "[1]", false) + line(850, "\"[1 2]\"", false), nil, 0, 0},
 		{line(0, "[1]", false) + line(950, "[1]", true), nil, 50, 1050},
-		{line(0, "[1]", false) + line(1500, "[2]", false), []Away{{at.Add(600 * time.Millisecond), at.Add(1500 * time.Millisecond)}}, 0, 0},
+		{line(0, "[1]", false) + line(1500, "[2]", false), []Absence{{at.Add(600 * time.Millisecond), at.Add(1500 * time.Millisecond)}}, 0, 0},
 	} {
 		end := at.Add(2 * time.Second)
-		contradiction, lapsed := Apart([][]Stand{Stands(a, end, nil), Stands(c.log, end, c.away)})
+		contradiction, lapsed := ContradictionTime([][]EffectiveState{EffectiveStates(a, end, nil), EffectiveStates(c.log, end, c.away)})
 		if contradiction != time.Duration(c.contradiction)*time.Millisecond || lapsed != time.Duration(c.lapsed)*time.Millisecond {
 			t.Errorf("%q: apart for %v, without a lease %v", c.log, contradiction, lapsed)
 		}
--- a/internal/faults/file.go
+++ b/internal/faults/file.go
@@ -27,11 +27,11 @@
 	Older     int          `hcl:"older,optional"`   // processes of an older build
 	Events    []EventFile  `hcl:"event,block"`      // in place of drawn faults
 	Release   *ReleaseFile `hcl:"release,block"`
-	Towns     *TownsFile   `hcl:"towns,block"`
+	Towns     *ZonesFile   `hcl:"towns,block"`
 }
 
-// TownsFile are zones in it.
-type TownsFile struct {
+// ZonesFile are zones in it.
+type ZonesFile struct {
 	Zones    int         `hcl:"zones"`
 	Regions  int         `hcl:"regions"`
 	Boxes    int         `hcl:"boxes"`
@@ -51,7 +51,7 @@
 	Size float64 `hcl:"size,optional"`
 }
 
-var zoneFaults = map[string]emulator.Trouble{"lost": emulator.ZoneLost, "apart": emulator.Apart, "far": emulator.Far}
+var zoneFaults = map[string]emulator.FaultKind{"lost": emulator.ZoneLost, "apart": emulator.Apart, "far": emulator.Far}
 
 // EventFile is an event in it.
 type EventFile struct {
@@ -144,7 +144,7 @@
 		}
 	}
 	if t := f.Towns; t != nil {
-		p.Towns = &Towns{Zones: t.Zones, Regions: t.Regions, Boxes: t.Boxes, Load: t.Load, Plans: true, Headroom: t.Headroom, Faults: make([]emulator.Fault, len(t.Faults))}
+		p.Towns = &ZonePlan{Zones: t.Zones, Regions: t.Regions, Boxes: t.Boxes, Load: t.Load, Plans: true, Headroom: t.Headroom, Faults: make([]emulator.Fault, len(t.Faults))}
 		spans = append(spans, span{&p.Towns.ReturnIn, "towns", t.ReturnIn})
 		for i, x := range t.Faults {
 			kind, ok := zoneFaults[x.Kind]
--- a/internal/faults/fleet.go
+++ b/internal/faults/fleet.go
@@ -32,47 +32,47 @@
 	Release           *Release      // nil for none
 	Replace           time.Duration // a silent seat's
 	Events            []Event       // in place of drawn ones
-	Towns             *Towns        // nil for one zone
+	Towns             *ZonePlan     // nil for one zone
 	Overload          *Overload     // nil for none
 	Older             int           // of the processes, the last ones, are of an older build
 }
 
 // Result is what came of it. The names of its figures are kept.
 type Result struct {
-	Seed             uint64          `json:"seed"`
-	Processes        int             `json:"processes"`
-	Faults           map[string]int  `json:"faults"`
-	ContradictionMS  float64         `json:"contradiction_max_ms"`
-	LapsedApartMS    float64         `json:"lapsed_apart_max_ms"` // one of the two held no lease, and sent nothing twice
-	BoundMS          float64         `json:"bound_ms"`
-	Jobs             int             `json:"jobs"`
-	AnsweredOnce     int             `json:"answered_once"`
-	AnsweredNever    int             `json:"answered_never"`
-	AnsweredTwice    int             `json:"answered_twice"`
-	LostWithProcess  int             `json:"lost_with_process"` // their process was killed or stood still meanwhile
-	Refused          int             `json:"refused"`           // of those answered once
-	RulesBroken      int             `json:"rules_broken"`
-	Breaches         []string        `json:"breaches,omitempty"`
-	Versions         uint64          `json:"versions"` // that came in force
-	Withdrawn        int             `json:"withdrawn,omitempty"`
-	Cost             *Cost           `json:"cost,omitempty"`  // of the fleet's own calls, without faults
-	Seats            []uint64        `json:"seats,omitempty"` // of the council at the end
-	Towns            *TownsResult    `json:"failover,omitempty"`
-	Overload         *OverloadResult `json:"overload,omitempty"`
-	RefusedOlder     int             `json:"refused_older,omitempty"` // proposals that older builds could not have read
-	InForceP50MS     float64         `json:"in_force_p50_ms"`
-	InForceP99MS     float64         `json:"in_force_p99_ms"`
-	SettledMS        float64         `json:"settled_ms"` // behind the last fault, until all acted on one version with leases
-	Restarted        int             `json:"restarted,omitempty"`
-	ListCalls        int             `json:"list_calls,omitempty"`
-	ListCallsMost    int             `json:"list_calls_most_s,omitempty"` // of all processes in any second
-	ListRefused      int             `json:"list_refused,omitempty"`
-	WatchGapMS       float64         `json:"watch_gap_max_ms,omitempty"` // that a process which was there had no call open
-	Stands           [][]Stand       `json:"-"`
-	Away             [][]Away        `json:"-"`
-	Events           []Event         `json:"-"`
-	Begin            time.Time       `json:"-"`
-	Logs             []string        `json:"-"` // of the processes
+	Seed             uint64             `json:"seed"`
+	Processes        int                `json:"processes"`
+	Faults           map[string]int     `json:"faults"`
+	ContradictionMS  float64            `json:"contradiction_max_ms"`
+	LapsedApartMS    float64            `json:"lapsed_apart_max_ms"` // one of the two held no lease, and sent nothing twice
+	BoundMS          float64            `json:"bound_ms"`
+	Jobs             int                `json:"jobs"`
+	AnsweredOnce     int                `json:"answered_once"`
+	AnsweredNever    int                `json:"answered_never"`
+	AnsweredTwice    int                `json:"answered_twice"`
+	LostWithProcess  int                `json:"lost_with_process"` // their process was killed or stood still meanwhile
+	Refused          int                `json:"refused"`           // of those answered once
+	RulesBroken      int                `json:"rules_broken"`
+	Breaches         []string           `json:"breaches,omitempty"`
+	Versions         uint64             `json:"versions"` // that came in force
+	Withdrawn        int                `json:"withdrawn,omitempty"`
+	Cost             *Cost              `json:"cost,omitempty"`  // of the fleet's own calls, without faults
+	Seats            []uint64           `json:"seats,omitempty"` // of the council at the end
+	Towns            *ZonesResult       `json:"failover,omitempty"`
+	Overload         *OverloadResult    `json:"overload,omitempty"`
+	RefusedOlder     int                `json:"refused_older,omitempty"` // proposals that older builds could not have read
+	InForceP50MS     float64            `json:"in_force_p50_ms"`
+	InForceP99MS     float64            `json:"in_force_p99_ms"`
+	SettledMS        float64            `json:"settled_ms"` // behind the last fault, until all acted on one version with leases
+	Restarted        int                `json:"restarted,omitempty"`
+	ListCalls        int                `json:"list_calls,omitempty"`
+	ListCallsMost    int                `json:"list_calls_most_s,omitempty"` // of all processes in any second
+	ListRefused      int                `json:"list_refused,omitempty"`
+	WatchGapMS       float64            `json:"watch_gap_max_ms,omitempty"` // that a process which was there had no call open
+	Stands           [][]EffectiveState `json:"-"`
+	Away             [][]Absence        `json:"-"`
+	Events           []Event            `json:"-"`
+	Begin            time.Time          `json:"-"`
+	Logs             []string           `json:"-"` // of the processes
 	announced, force map[uint64]time.Time
 }
 
@@ -86,7 +86,7 @@
 	node  *emulator.Node
 	dir   string // its disk
 	logs  string // of its earlier starts
-	away  []Away
+	away  []Absence
 	gone  bool
 	lost  bool       // it does not come back
 	env   []string   // beside the usual
@@ -98,7 +98,7 @@
 type play struct {
 	Plan
 	ctx      context.Context
-	works    *emulator.Works
+	works    *emulator.Cluster
 	scenario emulator.Scenario
 	binary   string
 	dir      string
@@ -302,7 +302,7 @@
 		if status != http.StatusOK {
 			f.r.Refused++
 		}
-	case slices.ContainsFunc(x.away, func(a Away) bool { return a.To.IsZero() || a.To.After(sent.Add(-time.Second)) }):
+	case slices.ContainsFunc(x.away, func(a Absence) bool { return a.To.IsZero() || a.To.After(sent.Add(-time.Second)) }):
 		f.r.LostWithProcess++
 	default:
 		f.r.AnsweredNever++
@@ -319,7 +319,7 @@
 			if f.all[i].lost {
 				continue
 			}
-			last := Stand{Lapsed: true}
+			last := EffectiveState{Lapsed: true}
 			if len(s) > 0 {
 				last = s[len(s)-1]
 			}
@@ -341,7 +341,7 @@
 }
 
 // versionOf is what the first process that is there acts on.
-func (f *play) versionOf(all [][]Stand) uint64 {
+func (f *play) versionOf(all [][]EffectiveState) uint64 {
 	for i, s := range all {
 		if !f.all[i].lost && len(s) > 0 {
 			return s[len(s)-1].Versions[0]
@@ -350,7 +350,7 @@
 	return 0
 }
 
-func (f *play) stands() (all [][]Stand) {
+func (f *play) stands() (all [][]EffectiveState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, x := range f.all {
@@ -358,7 +358,7 @@
 		if !x.lost { // else it is in there already
 			log += x.node.Log()
 		}
-		all = append(all, Stands(log, time.Now(), x.away))
+		all = append(all, EffectiveStates(log, time.Now(), x.away))
 	}
 	return all
 }
@@ -373,7 +373,7 @@
 	f.known()
 	f.towns()
 	f.overload()
-	contradiction, lapsed := Apart(r.Stands)
+	contradiction, lapsed := ContradictionTime(r.Stands)
 	r.ContradictionMS, r.LapsedApartMS = float64(contradiction.Milliseconds()), float64(lapsed.Milliseconds())
 	asked := f.works.Asked()
 	r.ListCalls, r.ListCallsMost, r.ListRefused, r.WatchGapMS = asked.Calls, asked.Most, asked.Refused, float64(asked.Longest.Milliseconds())
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -170,7 +170,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x.gone = true
-	x.away = append(x.away, Away{From: time.Now()})
+	x.away = append(x.away, Absence{From: time.Now()})
 }
 
 func (f *play) back(x *process) {
--- a/internal/faults/stands.go
+++ b/internal/faults/stands.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Stand is what a process acted on for a while.
-type Stand struct {
+// EffectiveState is what a process acted on for a while.
+type EffectiveState struct {
 	From     time.Time `json:"From"`
 	To       time.Time `json:"To"`
 	Versions []uint64  `json:"Versions"`
@@ -18,15 +18,15 @@
 
 var acting = regexp.MustCompile(`msg="acting on" versions="?\[([0-9 ]*)\]"? lapsed=(true|false) at_ms=(\d+)`)
 
-// Stands reads them from a process's log, which ended then. What it stood for while it was away is cut out: what it says
+// EffectiveStates reads them from a process's log, which ended then. What it stood for while it was away is cut out: what it says
 // first behind that is the first thing that it does.
-func Stands(log string, end time.Time, away []Away) (all []Stand) {
+func EffectiveStates(log string, end time.Time, away []Absence) (all []EffectiveState) {
 	for _, m := range acting.FindAllStringSubmatch(log, -1) {
 		ms, err := strconv.ParseInt(m[3], 10, 64)
 		if err != nil {
 			continue
 		}
-		s := Stand{From: time.UnixMilli(ms), To: end, Lapsed: m[2] == "true"}
+		s := EffectiveState{From: time.UnixMilli(ms), To: end, Lapsed: m[2] == "true"}
 		for _, v := range strings.Fields(m[1]) {
 			n, _ := strconv.ParseUint(v, 10, 64)
 			s.Versions = append(s.Versions, n)
@@ -46,12 +46,12 @@
 	return all
 }
 
-// Away is when a process stood still or was gone.
-type Away struct{ From, To time.Time }
+// Absence is when a process stood still or was gone.
+type Absence struct{ From, To time.Time }
 
-// Apart gives for how long any two processes acted on versions with nothing in common while both held leases, at the most;
+// ContradictionTime gives for how long any two processes acted on versions with nothing in common while both held leases, at the most;
 // and the same where one held none.
-func Apart(processes [][]Stand) (contradiction, lapsed time.Duration) {
+func ContradictionTime(processes [][]EffectiveState) (contradiction, lapsed time.Duration) {
 	for i, a := range processes {
 		for _, b := range processes[:i] {
 			for _, x := range a {
--- a/internal/faults/towns.go
+++ b/internal/faults/towns.go
@@ -12,8 +12,8 @@
 	"brassdale/internal/emulator"
 )
 
-// Towns are zones in regions, with faults of them, and a council that plans where their jobs are served.
-type Towns struct {
+// ZonePlan are zones in regions, with faults of them, and a council that plans where their jobs are served.
+type ZonePlan struct {
 	Zones, Regions, Boxes int
 	Load                  float64 // of what all boxes can do
 	Plans                 bool    // else each process decides by itself
@@ -22,8 +22,8 @@
 	Faults                []emulator.Fault
 }
 
-// TownsResult is what came of them. The names of its figures are kept.
-type TownsResult struct {
+// ZonesResult is what came of them. The names of its figures are kept.
+type ZonesResult struct {
 	Served           float64 `json:"served_share"`                       // of the jobs in time
 	ServedNoFailover float64 `json:"served_share_no_failover,omitempty"` // the model's: each process by itself
 	ServedFault      float64 `json:"served_share_fault"`                 // of those that came from 3 s after the first fault to its end
@@ -50,7 +50,7 @@
 	townAlone = 10 * time.Second
 )
 
-func (t *Towns) works(s *emulator.Scenario) {
+func (t *ZonePlan) works(s *emulator.Scenario) {
 	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Boxes, Slots: townSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = t.Zones, t.Regions, 0.03, 5*time.Millisecond
 	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, brain.Idempotent
@@ -59,7 +59,7 @@
 }
 
 // operator is the block of an operator's file.
-func (t *Towns) operator() string {
+func (t *ZonePlan) operator() string {
 	if t == nil || !t.Plans {
 		return ""
 	}
@@ -80,7 +80,7 @@
 func (f *play) count(at time.Time, inTime bool) {
 	if f.Towns != nil {
 		if f.r.Towns == nil {
-			f.r.Towns = &TownsResult{}
+			f.r.Towns = &ZonesResult{}
 		}
 		f.r.Towns.each = append(f.r.Towns.each, instant{at, inTime})
 	}
@@ -165,7 +165,7 @@
 }
 
 // least is how much has to cross, by what zones can do with and without the faults that take one.
-func (t *Towns) least(span time.Duration) float64 {
+func (t *ZonePlan) least(span time.Duration) float64 {
 	crossed := 0.0
 	const step = 500 * time.Millisecond
 	for at := time.Duration(0); at < span; at += step {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -31,22 +31,22 @@
 
 // File is what an operator's file switches on; nil stands for off.
 type File struct {
-	HTTP2    *http2.Settings
-	Progress *transport.ProgressSettings
-	Keys     *transport.KeysSettings
-	Accounts *transport.SharesSettings
-	Saved    *savedlist.Settings
-	Fleet    *transport.FleetSettings
-	Council  *fleet.Settings
-	Failover *fleet.Failover
-	Overload *fleet.Overload
+	HTTP2         *http2.Settings
+	Progress      *transport.ProgressSettings
+	Keys          *transport.IdempotencySettings
+	Quotas        *transport.QuotaSettings
+	EndpointCache *savedlist.Settings
+	Retries       *transport.RetrySettings
+	Fleet         *fleet.Settings
+	Failover      *fleet.Failover
+	Overload      *fleet.Overload
 }
 
-// Keyed gives the settings of the table of keys; nil where there is none. Fronts beside the platform's need it: a key
+// IdempotencySettings gives the settings of the table of keys; nil where there is none. Fronts beside the platform's need it: a key
 // may come in at any of them.
-func (f *File) Keyed() *transport.KeysSettings {
+func (f *File) IdempotencySettings() *transport.IdempotencySettings {
 	if f.Keys == nil && (f.HTTP2 != nil || f.Progress != nil) {
-		s := transport.DefaultKeys()
+		s := transport.DefaultIdempotency()
 		return &s
 	}
 	return f.Keys
@@ -70,13 +70,13 @@
 var blocks = []block{
 	{"front", "http2", readHTTP2, func(f *File) any { return orNil(f.HTTP2) }},
 	{"front", "progress", readProgress, func(f *File) any { return orNil(f.Progress) }},
-	{"keys", "", readKeys, func(f *File) any { return orNil(f.Keyed()) }},
-	{"accounts", "", readAccounts, func(f *File) any { return orNil(f.Accounts) }},
-	{"fleet", "", readFleet, func(f *File) any { return orNil(f.Fleet) }},
-	{"council", "", readCouncil, func(f *File) any { return orNil(f.Council) }},
+	{"keys", "", readKeys, func(f *File) any { return orNil(f.IdempotencySettings()) }},
+	{"accounts", "", readAccounts, func(f *File) any { return orNil(f.Quotas) }},
+	{"fleet", "", readFleet, func(f *File) any { return orNil(f.Retries) }},
+	{"council", "", readCouncil, func(f *File) any { return orNil(f.Fleet) }},
 	{"failover", "", readFailover, func(f *File) any { return orNil(f.Failover) }},
 	{"overload", "", readOverload, func(f *File) any { return orNil(f.Overload) }},
-	{"saved_list", "", readSaved, func(f *File) any { return orNil(f.Saved) }},
+	{"saved_list", "", readSaved, func(f *File) any { return orNil(f.EndpointCache) }},
 }
 
 // orNil keeps a nil pointer from becoming an interface that holds one.
@@ -168,11 +168,11 @@
 }
 
 func readAccounts(f *File, r *reader) {
-	s := transport.SharesSettings{}
+	s := transport.QuotaSettings{}
 	if !r.decode(&s) {
 		return
 	}
-	r.atLeast("room", s.Room, 1)
+	r.atLeast("room", s.Capacity, 1)
 	sum, seen := 0.0, map[string]bool{}
 	for _, b := range r.body.Blocks {
 		name := b.Labels[0]
@@ -193,18 +193,18 @@
 	if sum > 1+1e-9 {
 		r.bad("room", "The shares add up to %.3g, which is over 1.", sum)
 	}
-	f.Accounts = &s
+	f.Quotas = &s
 }
 
 func readFleet(f *File, r *reader) {
-	s := transport.FleetSettings{}
+	s := transport.RetrySettings{}
 	if !r.decode(&s) {
 		return
 	}
-	if !(s.RetryBudget >= 0 && s.RetryBudget <= 10) {
+	if !(s.RetryRatio >= 0 && s.RetryRatio <= 10) {
 		r.bad("retry_budget", "It must be between 0 and 10.")
 	}
-	f.Fleet = &s
+	f.Retries = &s
 }
 
 func readCouncil(f *File, r *reader) {
@@ -240,7 +240,7 @@
 	if s.Rules != "" && !filepath.IsAbs(s.Rules) {
 		s.Rules = filepath.Join(r.dir, s.Rules)
 	}
-	f.Council = &s
+	f.Fleet = &s
 }
 
 func readOverload(f *File, r *reader) {
@@ -304,7 +304,7 @@
 	if !(s.MinFirstListShare >= 0 && s.MinFirstListShare <= 1) {
 		r.bad("shrink", "It must be between 0 and 1.")
 	}
-	f.Saved = &s
+	f.EndpointCache = &s
 }
 
 func readProgress(f *File, r *reader) {
@@ -320,7 +320,7 @@
 }
 
 func readKeys(f *File, r *reader) {
-	s := transport.DefaultKeys()
+	s := transport.DefaultIdempotency()
 	if !r.decode(&s) {
 		return
 	}
@@ -402,8 +402,8 @@
 	return string(out.Bytes())
 }
 
-// Later names the blocks of another version of the file whose settings, or some of them, count from the next start on.
-func (f *File) Later(next *File) (later []string) {
+// NeedsRestart names the blocks of another version of the file whose settings, or some of them, count from the next start on.
+func (f *File) NeedsRestart(next *File) (later []string) {
 	for _, b := range blocks {
 		now, then := b.write(f), b.write(next)
 		if (now == nil) != (then == nil) || now != nil && !reflect.DeepEqual(f.built(now), f.built(then)) {
@@ -418,7 +418,7 @@
 	switch s := settings.(type) {
 	case *http2.Settings:
 		return []any{s.Listen, s.Streams}
-	case *transport.SharesSettings:
+	case *transport.QuotaSettings:
 		return nil
 	}
 	return settings
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -104,7 +104,7 @@
 		o.Failover, o.Report, o.HasUrgentChange, o.PlanChanged = zones, a.guide.Report, a.guide.HasUrgentChange, a.guide.ApplyPlan
 	}
 	if load != nil {
-		o.Overload, o.FirstAttempts, o.MaxDispatchers = load, d.core.FirstAttempts, func() int { return d.params.Now().ReplicasOfMe }
+		o.Overload, o.FirstAttempts, o.MaxDispatchers = load, d.core.FirstAttempts, func() int { return d.params.Current().ReplicasOfMe }
 	}
 	if a.agent, err = fleet.New(o); err != nil {
 		return err
@@ -115,7 +115,7 @@
 	}
 	may := func() bool { return a.agent.Effective().Rules.RetriesAllowed }
 	d.core.SetRetryPermission(may)
-	d.fleet.Repeats = may
+	d.fleet.RetriesAllowed = may
 	return nil
 }
 
@@ -127,7 +127,7 @@
 	a.fleet = s.Rules.RetryRatio
 	a.limit()
 	if a.d.accounts != nil {
-		a.d.accounts.Cap(s.Rules.Quotas)
+		a.d.accounts.CapQuotas(s.Rules.Quotas)
 	}
 	own := a.d.operations.file.list()
 	out := make(map[string]bool, len(s.Rules.DetachedWorkers))
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -28,7 +28,7 @@
 func (o *operations) Ready() bool { return o.d.serving.Load() }
 func (o *operations) Metrics() string {
 	counted := o.d.core.Counters().Metrics()
-	figures := protocol.Figures(counted)
+	figures := protocol.EncodeMetrics(counted)
 	unanswered := 0
 	for _, f := range o.d.fronts {
 		unanswered += f.gate.Unanswered()
@@ -38,10 +38,10 @@
 		figures += fmt.Sprintf("list_age_ms=%d\n", time.Since(counted.ListReceivedAt).Milliseconds())
 	}
 	if o.d.http2 != nil {
-		figures += o.d.http2.Figures()
+		figures += o.d.http2.Metrics()
 	}
 	if o.d.accounts != nil {
-		figures += o.d.accounts.Figures()
+		figures += o.d.accounts.Metrics()
 	}
 	if o.d.budgeted {
 		figures += fmt.Sprintf("retries_denied=%d\n", counted.RetriesDenied)
@@ -80,14 +80,14 @@
 		return err
 	}
 	if !known {
-		return &transport.Refusal{Status: http.StatusNotFound, Why: "no such worker was ever listed"}
+		return &transport.OperationError{Status: http.StatusNotFound, Reason: "no such worker was ever listed"}
 	}
 	if !out && o.d.agreed.has(id) {
-		return &transport.Refusal{Status: http.StatusConflict, Why: "the fleet has it out: propose rules without it"}
+		return &transport.OperationError{Status: http.StatusConflict, Reason: "the fleet has it out: propose rules without it"}
 	}
 	if sibling := o.d.sibling(); sibling != nil {
-		if yes, heard := sibling.Ask(protocol.Note{Worker: id, Out: out}, until); heard && !yes {
-			return &transport.Refusal{Status: http.StatusConflict, Why: "the other process could not do it"}
+		if yes, heard := sibling.Ask(protocol.HandoverMessage{Worker: id, Detached: out}, until); heard && !yes {
+			return &transport.OperationError{Status: http.StatusConflict, Reason: "the other process could not do it"}
 		}
 	}
 	return o.keep(id, out)
@@ -95,12 +95,12 @@
 
 // hand gives a successor its beginning. No call comes between the list of who is out and the moment from which the
 // successor is told of each call.
-func (o *operations) hand(sibling *transport.Sibling, h *protocol.Handover, gates []*transport.Gate) error {
+func (o *operations) hand(sibling *transport.PeerProcess, h *protocol.Handover, gates []*transport.Listener) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h.Out = o.file.list()
+	h.Detached = o.file.list()
 	o.d.setSibling(sibling)
-	return sibling.Hand(h, gates)
+	return sibling.HandOver(h, gates)
 }
 
 // keep does it in this process.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -42,23 +42,23 @@
 type dispatcher struct {
 	ctx        context.Context
 	log        *slog.Logger
-	params     *protocol.Live
+	params     *protocol.LiveSettings
 	core       *routing.Core
-	fleet      *transport.Fleet
+	fleet      *transport.EndpointPool
 	set        *routing.EndpointList
-	ids        *transport.OpenIDs
-	keys       *transport.Keys   // nil where each request is a job of its own
-	accounts   *transport.Shares // nil where accounts have none
+	ids        *transport.InFlightIDs
+	keys       *transport.IdempotencyTable // nil where each request is a job of its own
+	accounts   *transport.AccountQuotas    // nil where accounts have none
 	fronts     []*front
-	progress   *transport.Progress // nil where that front is off
-	http2      *http2.Front        // the same
-	saved      *saved              // nil where no list is kept
-	budgeted   bool                // further calls have a budget
-	retries    float64             // its share
-	agreed     *agreed             // nil where the fleet agrees on nothing
-	relayed    *http.Server        // takes readers that the other process relays
-	relay      string              // at this path; empty while nobody can
-	meter      *traffic.Meter      // of what control costs
+	progress   *transport.ProgressFrontend // nil where that front is off
+	http2      *http2.Frontend             // the same
+	saved      *saved                      // nil where no list is kept
+	budgeted   bool                        // further calls have a budget
+	retries    float64                     // its share
+	agreed     *agreed                     // nil where the fleet agrees on nothing
+	relayed    *http.Server                // takes readers that the other process relays
+	relay      string                      // at this path; empty while nobody can
+	meter      *traffic.Meter              // of what control costs
 	reloader   *reloader
 	operations *operations
 	socket     string      // where successors find this process
@@ -67,8 +67,8 @@
 
 	mu     sync.Mutex
 	shares shares
-	others *protocol.Held     // what another process holds that acts as the same dispatcher
-	other  *transport.Sibling // the connection to it
+	others *protocol.HandoverUsage // what another process holds that acts as the same dispatcher
+	other  *transport.PeerProcess  // the connection to it
 }
 
 // front is a listener with its handler.
@@ -80,7 +80,7 @@
 		Passing(bool)
 		SetAside()
 	}
-	gate     *transport.Gate
+	gate     *transport.Listener
 	listener net.Listener // the gate, or what is around it
 	server   *http.Server
 }
@@ -107,7 +107,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	d := &dispatcher{ctx: ctx, log: log, params: &protocol.Live{}, meter: &traffic.Meter{}, ids: &transport.OpenIDs{}, socket: keptFile(env, cfg, ".sock")}
+	d := &dispatcher{ctx: ctx, log: log, params: &protocol.LiveSettings{}, meter: &traffic.Meter{}, ids: &transport.InFlightIDs{}, socket: keptFile(env, cfg, ".sock")}
 	pred := d.meet()
 	if err := d.build(env, options, cfg, op, pred); err != nil {
 		return err
@@ -118,7 +118,7 @@
 	}
 	if pred != nil {
 		pred.close()
-		d.operations.file.take(pred.handover.Out)
+		d.operations.file.take(pred.handover.Detached)
 	} else if err := d.operations.file.load(); err != nil {
 		log.Warn("workers that were out by hand are not known", "err", err)
 	}
@@ -138,14 +138,14 @@
 		if err != nil {
 			return fmt.Errorf("admin: listen: %w", err)
 		}
-		gate := transport.NewGate(l, log)
-		gate.Allow(transport.MostCallers, math.MaxInt64)
+		gate := transport.NewListener(l, log)
+		gate.SetLimits(transport.MostCallers, math.MaxInt64)
 		go func() { failed <- transport.AdminServer(transport.AdminHandler(d.operations, log), log).Serve(gate) }()
 		log.Info("listening", "front", "admin", "address", gate.Addr().String())
 	}
 	go d.core.Run(ctx)
 	go d.set.Run(ctx)
-	if d.params.Now().Pushed() {
+	if d.params.Current().ListsPushed() {
 		// What the agent has counts from the first moment on. Clients wait in the listeners' queues for it, but not for one
 		// that is silent.
 		select {
@@ -161,7 +161,7 @@
 	d.serving.Store(true)
 	d.publish()
 	if pred != nil {
-		pred.sibling.Tell(protocol.Note{Serving: true, Relay: d.relay})
+		pred.sibling.Notify(protocol.HandoverMessage{Serving: true, Relay: d.relay})
 	}
 	log.Info("ready", "name", cfg.Name)
 	// To the very end, also while leaving: open requests still need to know who drains.
@@ -181,21 +181,21 @@
 // build makes all parts, none of which runs yet.
 func (d *dispatcher) build(env func(string) string, options Options, cfg *protocol.Config, op *operator.File, pred *predecessor) error {
 	p, log, clock := d.params, d.log, routing.NewClock()
-	p.Put(&cfg.Settings, func(s brain.Settings) {
+	p.Replace(&cfg.Settings, func(s brain.Settings) {
 		d.core = routing.NewCore(brain.New(s, cfg.SeedNumber()), clock, log)
 	})
 	d.register(&cfg.Settings)
-	d.fleet = transport.NewFleet(d.ctx, p, d.core, log)
+	d.fleet = transport.NewEndpointPool(d.ctx, p, d.core, log)
 	known, source := routing.ListUpdate{}, routing.ListSource{Name: "none"}
 	if cfg.Known != nil {
-		known, source.Name = transport.Update(cfg.Known, p.Now()), "known"
+		known, source.Name = transport.Update(cfg.Known, p.Current()), "known"
 	}
-	if op.Saved != nil {
-		d.saved = d.openSaved(op.Saved, cfg.Name, p.Now())
+	if op.EndpointCache != nil {
+		d.saved = d.openSaved(op.EndpointCache, cfg.Name, p.Current())
 	}
 	var from *routing.CachedStart
-	if pred != nil && !pred.handover.Unsure { // it knows the list as of now
-		if u, err := pred.handover.Update(cfg.Discovery, p.Now()); err == nil {
+	if pred != nil && !pred.handover.ListUnconfirmed { // it knows the list as of now
+		if u, err := pred.handover.Update(cfg.Discovery, p.Current()); err == nil {
 			known, source = u, routing.ListSource{Name: "predecessor", ConfirmedAt: time.Now()}
 		} else {
 			log.Warn("the predecessor's list is of no use", "err", err)
@@ -213,7 +213,7 @@
 	discovery := transport.NewDiscovery(cfg.Discovery, p, d.meter)
 	d.set = routing.NewEndpointList(d.core, d.fleet, discovery, known, log)
 	d.set.SetSource(source)
-	d.set.SetPollRules(func() pacing.Rules { return transport.PacingRules(p.Now()) })
+	d.set.SetPollRules(func() pacing.Rules { return transport.PacingRules(p.Current()) })
 	if from != nil {
 		d.set.StartFromCache(from)
 		age, ok := from.Assessor.Age()
@@ -222,23 +222,23 @@
 	d.core.SetEndpoints(d.fleet, d.set.Subscribe)
 	d.reloader = &reloader{d: d, env: env, discovery: discovery, cfg: cfg, path: options.Operator, op: op}
 
-	if s := op.Keyed(); s != nil {
-		d.keys = transport.NewKeys(s, d.ids, op.Progress != nil)
+	if s := op.IdempotencySettings(); s != nil {
+		d.keys = transport.NewIdempotencyTable(s, d.ids, op.Progress != nil)
 	}
-	if op.Fleet != nil {
-		d.limit(op.Fleet.RetryBudget)
+	if op.Retries != nil {
+		d.limit(op.Retries.RetryRatio)
 		d.budgeted = true
 	}
-	if op.Council == nil && (op.Failover != nil || op.Overload != nil) {
+	if op.Fleet == nil && (op.Failover != nil || op.Overload != nil) {
 		return fmt.Errorf("blocks failover and overload need a block council")
 	}
-	if op.Council != nil {
-		if err := d.agree(op.Council, op.Failover, op.Overload, cfg); err != nil {
+	if op.Fleet != nil {
+		if err := d.agree(op.Fleet, op.Failover, op.Overload, cfg); err != nil {
 			return fmt.Errorf("council: %w", err)
 		}
 	}
-	if op.Accounts != nil {
-		d.accounts = transport.NewShares(op.Accounts)
+	if op.Quotas != nil {
+		d.accounts = transport.NewAccountQuotas(op.Quotas)
 	}
 	add := func(name, address string, handler func(*net.TCPListener) (*front, error)) error {
 		l, err := pred.listener(name, address)
@@ -257,15 +257,15 @@
 		return nil
 	}
 	if err := add("inbound", cfg.Listen, func(l *net.TCPListener) (*front, error) {
-		g := transport.NewGate(l, log)
-		return &front{gate: g, handler: transport.NewInbound(d.core, p, g, d.ids, d.keys, d.accounts, nil, log)}, nil
+		g := transport.NewListener(l, log)
+		return &front{gate: g, handler: transport.NewJobFrontend(d.core, p, g, d.ids, d.keys, d.accounts, nil, log)}, nil
 	}); err != nil {
 		return err
 	}
 	if s := op.Progress; s != nil {
 		if err := add("progress", s.Listen, func(l *net.TCPListener) (*front, error) {
-			g := transport.NewGate(l, log)
-			d.progress = transport.NewProgress(d.core, p, s, g, d.ids, d.keys, d.accounts, log)
+			g := transport.NewListener(l, log)
+			d.progress = transport.NewProgressFrontend(d.core, p, s, g, d.ids, d.keys, d.accounts, log)
 			return &front{gate: g, handler: d.progress}, nil
 		}); err != nil {
 			return err
@@ -273,7 +273,7 @@
 	}
 	if s := op.HTTP2; s != nil {
 		if err := add("http2", s.Listen, func(l *net.TCPListener) (f *front, err error) {
-			g := transport.NewMultiplexedGate(l, log)
+			g := transport.NewMultiplexedListener(l, log)
 			if d.http2, err = http2.New(s, d.core, p, g, d.ids, d.keys, d.accounts, log); err != nil {
 				return nil, err
 			}
@@ -282,7 +282,7 @@
 			return err
 		}
 	}
-	if op.Council != nil && op.Council.DedicatedToControl {
+	if op.Fleet != nil && op.Fleet.DedicatedToControl {
 		for _, f := range d.fronts {
 			f.handler.SetAside()
 		}
@@ -292,7 +292,7 @@
 }
 
 // register has the figures of all classes stand from the start.
-func (d *dispatcher) register(p *protocol.Params) {
+func (d *dispatcher) register(p *protocol.Settings) {
 	for i := range p.Classes {
 		d.core.Counters().AddClass(p.Classes[i].Name)
 	}
@@ -302,7 +302,7 @@
 func (d *dispatcher) leave() time.Time {
 	d.serving.Store(false)
 	leave := time.Now()
-	end := leave.Add(min(d.params.Now().LongestDeadline(), mostCounted) + killSlack)
+	end := leave.Add(min(d.params.Current().LongestDeadline(), mostCounted) + killSlack)
 	d.core.StartShutdown(end.Add(-lastAnswer))
 	passed := d.passed.Load()
 	for _, f := range d.fronts {
@@ -328,7 +328,7 @@
 	// The front brings no client for long, but clients go on using the connections that they have, and perhaps have
 	// nobody else while another dispatcher restarts: then one connection that is refused makes the front give this
 	// one up with all that it could still serve. So the listener stays open for as long as answers can be in time.
-	held := func(f *front) bool { return f.gate.Held() > 0 }
+	held := func(f *front) bool { return f.gate.Connections() > 0 }
 	last := end.Add(-min(lastCall, max(end.Sub(leave)/lastPart, lastAnswer)))
 	for now := leave; now.Before(last) &&
 		(!passed && now.Before(leave.Add(stayOpen)) || slices.ContainsFunc(d.fronts, held)); now = time.Now() {
@@ -344,7 +344,7 @@
 	}
 	for now := time.Now(); now.Before(end.Add(-lastMoment)); now = time.Now() {
 		for _, f := range single {
-			f.gate.Dismiss()
+			f.gate.CloseIdle()
 		}
 		if !slices.ContainsFunc(single, held) {
 			break
@@ -352,16 +352,16 @@
 		time.Sleep(heldLook)
 	}
 	for _, f := range single {
-		f.gate.RefuseUnfinished()
+		f.gate.RejectUnfinished()
 	}
 	wait.Wait()
 	for _, f := range d.fronts {
-		if n := f.gate.Owed(); n > 0 {
+		if n := f.gate.PendingAnswers(); n > 0 {
 			d.log.Error("clients left unanswered", "front", f.name, "jobs", n)
 		}
 	}
 	if sibling := d.sibling(); sibling != nil && passed {
-		sibling.Ask(protocol.Note{Last: true}, end.Add(-lastMoment/2))
+		sibling.Ask(protocol.HandoverMessage{Last: true}, end.Add(-lastMoment/2))
 	}
 	return end.Add(-lastMoment / 2)
 }
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -68,14 +68,14 @@
 	r.d.mu.Unlock()
 	r.d.deal()
 	// The module hears first, by the same mailbox that brings it the jobs: none comes under rules that it does not know.
-	r.d.params.Put(&cfg.Settings, r.d.core.ApplySettings)
+	r.d.params.Replace(&cfg.Settings, r.d.core.ApplySettings)
 	r.d.register(&cfg.Settings)
 	if cfg.Discovery != old.Discovery || !slices.Equal(cfg.Settings.Zones, old.Settings.Zones) || !slices.Equal(cfg.Settings.Flavors, old.Settings.Flavors) {
 		next := transport.NewDiscovery(cfg.Discovery, r.discovery.Params, r.d.meter)
 		r.d.set.ChangeDiscovery(next)
 		r.discovery = next
 	}
-	later := r.op.Later(op) // what is built in at the start
+	later := r.op.NeedsRestart(op) // what is built in at the start
 	r.op = op
 	for _, f := range []struct {
 		field     string
@@ -100,11 +100,11 @@
 	}
 	return func() {
 		keys()
-		if r.d.budgeted && op.Fleet != nil {
-			r.d.limit(op.Fleet.RetryBudget)
+		if r.d.budgeted && op.Retries != nil {
+			r.d.limit(op.Retries.RetryRatio)
 		}
-		if r.d.accounts != nil && op.Accounts != nil {
-			r.d.accounts.Retune(op.Accounts)
+		if r.d.accounts != nil && op.Quotas != nil {
+			r.d.accounts.SetQuotas(op.Quotas)
 		}
 	}, nil
 }
--- a/internal/program/replace.go
+++ b/internal/program/replace.go
@@ -38,14 +38,14 @@
 
 // predecessor is the process that this one replaces, with what it handed over; nil where there is none.
 type predecessor struct {
-	sibling   *transport.Sibling
+	sibling   *transport.PeerProcess
 	handover  *protocol.Handover
 	listeners map[string]*net.TCPListener
 }
 
 // meet looks for a predecessor. With none, a dead one, its leftovers or one that hangs, this process starts alone.
 func (d *dispatcher) meet() *predecessor {
-	sibling, handover, listeners, err := transport.Meet(d.socket, time.Now().Add(meetWithin))
+	sibling, handover, listeners, err := transport.ConnectToPredecessor(d.socket, time.Now().Add(meetWithin))
 	if err != nil {
 		if _, none := os.Lstat(d.socket); none == nil {
 			d.log.Warn("no predecessor answers: starting alone", "err", err)
@@ -56,7 +56,7 @@
 	for i, name := range handover.Fronts {
 		p.listeners[name] = listeners[i]
 	}
-	d.log.Info("replacing", "members", len(handover.Members), "out", len(handover.Out), "listeners", len(listeners))
+	d.log.Info("replacing", "members", len(handover.Members), "out", len(handover.Detached), "listeners", len(listeners))
 	return p
 }
 
@@ -88,30 +88,30 @@
 // follow lives with the predecessor until it is gone.
 func (d *dispatcher) follow(p *predecessor) {
 	d.setSibling(p.sibling)
-	d.ids.Follow(p.sibling)
-	learned := p.handover.Experience
-	learned.Classes = d.params.Number(p.handover.Classes)
+	d.ids.DelegateTo(p.sibling)
+	learned := p.handover.LearnedState
+	learned.Classes = d.params.StatisticsByNumber(p.handover.Classes)
 	for id, w := range learned.Workers { // its clock is not this process's, and the list that came with it names the same starts
 		w.StartedAt = d.set.StartedAt(id)
 		learned.Workers[id] = w
 	}
 	d.core.AdoptLearnedState(learned) // behind the list, which was told when it was made
-	d.takeHeld(&protocol.Held{Outbound: d.shares.outbound / 2})
+	d.takeHeld(&protocol.HandoverUsage{Outbound: d.shares.outbound / 2})
 	d.besideKeys(p.sibling, p.handover.Relay, true)
 	go func() {
-		p.sibling.Run(func(n protocol.Note) {
+		p.sibling.Run(func(n protocol.HandoverMessage) {
 			switch {
-			case n.Held != nil:
-				d.takeHeld(n.Held)
+			case n.Usage != nil:
+				d.takeHeld(n.Usage)
 			case n.Last:
-				p.sibling.Tell(protocol.Note{Answer: n.Ask, Yes: true})
+				p.sibling.Notify(protocol.HandoverMessage{AnswerTo: n.QuestionID, Yes: true})
 			case n.Remembered != nil && d.keys != nil:
 				d.keys.Remember(n.Remembered)
 			case n.Worker != "":
 				d.keepFor(p.sibling, n)
 			}
 		})
-		d.ids.Follow(nil)
+		d.ids.DelegateTo(nil)
 		d.setSibling(nil)
 		d.takeHeld(nil)
 		d.log.Info("predecessor gone")
@@ -119,7 +119,7 @@
 }
 
 // takeHeld notes what the other process holds.
-func (d *dispatcher) takeHeld(h *protocol.Held) {
+func (d *dispatcher) takeHeld(h *protocol.HandoverUsage) {
 	d.mu.Lock()
 	d.others = h
 	d.mu.Unlock()
@@ -153,7 +153,7 @@
 }
 
 // precede lives with a successor until one of both is gone. It tells whether the successor served to the end.
-func (d *dispatcher) precede(sibling *transport.Sibling) (replaced bool) {
+func (d *dispatcher) precede(sibling *transport.PeerProcess) (replaced bool) {
 	defer sibling.Close()
 	known, err := d.set.Snapshot(d.ctx)
 	if err != nil {
@@ -163,10 +163,10 @@
 	if err != nil {
 		return false
 	}
-	h := &protocol.Handover{Unsure: d.set.Source().Name == "saved", Discovery: d.reloader.address(), Revision: known.Revision, Relay: d.relay,
-		Experience: learned, Classes: d.params.ByName(learned),
-		Members: protocol.KnownMembers(known.Endpoints, d.params.Now())}
-	var gates []*transport.Gate
+	h := &protocol.Handover{ListUnconfirmed: d.set.Source().Name == "saved", Discovery: d.reloader.address(), Revision: known.Revision, Relay: d.relay,
+		LearnedState: learned, Classes: d.params.StatisticsByName(learned),
+		Members: protocol.KnownMembers(known.Endpoints, d.params.Current())}
+	var gates []*transport.Listener
 	for _, f := range d.fronts {
 		h.Fronts, gates = append(h.Fronts, f.name), append(gates, f.gate)
 	}
@@ -174,16 +174,16 @@
 		d.log.Warn("a successor got nothing", "err", err)
 	} else {
 		d.log.Info("successor starts")
-		sibling.Run(func(n protocol.Note) {
+		sibling.Run(func(n protocol.HandoverMessage) {
 			switch {
 			case n.Serving:
 				d.passOn(sibling, n.Relay)
 			case n.Key != "":
-				sibling.Tell(protocol.Note{Answer: n.Ask, Yes: d.keys != nil && d.keys.Has(n.Key)})
-			case n.Take != "":
-				sibling.Tell(protocol.Note{Answer: n.Ask, Yes: d.ids.Take(n.Take, sibling)})
-			case n.Free != "":
-				d.ids.Free(n.Free, sibling)
+				sibling.Notify(protocol.HandoverMessage{AnswerTo: n.QuestionID, Yes: d.keys != nil && d.keys.Has(n.Key)})
+			case n.ReserveID != "":
+				sibling.Notify(protocol.HandoverMessage{AnswerTo: n.QuestionID, Yes: d.ids.Reserve(n.ReserveID, sibling)})
+			case n.ReleaseID != "":
+				d.ids.Release(n.ReleaseID, sibling)
 			case n.Worker != "":
 				d.keepFor(sibling, n)
 			}
@@ -193,7 +193,7 @@
 		return true
 	}
 	// The successor is gone first: this process is the dispatcher again.
-	d.ids.Forget(sibling)
+	d.ids.ReleaseAll(sibling)
 	d.setSibling(nil)
 	d.passed.Store(false)
 	for _, f := range d.fronts {
@@ -207,7 +207,7 @@
 }
 
 // passOn leaves new clients to the successor, and tells it what is still held here until the end.
-func (d *dispatcher) passOn(sibling *transport.Sibling, relay string) {
+func (d *dispatcher) passOn(sibling *transport.PeerProcess, relay string) {
 	d.passed.Store(true)
 	d.besideKeys(sibling, relay, false)
 	for _, f := range d.fronts {
@@ -216,18 +216,18 @@
 	}
 	d.log.Info("successor serves: taking no new clients", "open", d.core.OpenRequests())
 	go func() {
-		last := protocol.Held{}
+		last := protocol.HandoverUsage{}
 		for tick := time.NewTicker(heldEvery); ; {
-			held := protocol.Held{Outbound: d.fleet.Held() + spareOfHeld}
-			d.fleet.Allow(held.Outbound)
+			held := protocol.HandoverUsage{Outbound: d.fleet.OpenConnections() + spareOfHeld}
+			d.fleet.SetConnectionLimit(held.Outbound)
 			if d.accounts != nil {
-				held.Jobs = d.accounts.Open()
+				held.OpenJobs = d.accounts.OpenJobs()
 			}
 			for _, f := range d.fronts {
-				held.Inbound = append(held.Inbound, f.gate.Held())
+				held.Inbound = append(held.Inbound, f.gate.Connections())
 			}
-			if held.Outbound != last.Outbound || held.Jobs != last.Jobs || !slices.Equal(held.Inbound, last.Inbound) {
-				sibling.Tell(protocol.Note{Held: &held})
+			if held.Outbound != last.Outbound || held.OpenJobs != last.OpenJobs || !slices.Equal(held.Inbound, last.Inbound) {
+				sibling.Notify(protocol.HandoverMessage{Usage: &held})
 				last = held
 			}
 			select {
@@ -252,19 +252,19 @@
 		return
 	}
 	// Whoever is relayed was admitted where it came in: its account's share counts there.
-	whole := transport.NewInbound(d.core, d.params, d.fronts[0].gate, d.ids, d.keys, nil, nil, d.log)
-	d.relay, d.relayed = path, transport.Server(transport.Relayed{Whole: whole, Stream: d.progress}, d.log)
+	whole := transport.NewJobFrontend(d.core, d.params, d.fronts[0].gate, d.ids, d.keys, nil, nil, d.log)
+	d.relay, d.relayed = path, transport.Server(transport.RelayHandler{Whole: whole, Stream: d.progress}, d.log)
 	go func() { _ = d.relayed.Serve(listen.Durable(l, d.log)) }()
 }
 
-func (d *dispatcher) sibling() *transport.Sibling {
+func (d *dispatcher) sibling() *transport.PeerProcess {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.other
 }
 
 // setSibling notes the other process, nil for none, and how many then act as this dispatcher.
-func (d *dispatcher) setSibling(k *transport.Sibling) {
+func (d *dispatcher) setSibling(k *transport.PeerProcess) {
 	d.mu.Lock()
 	d.other = k
 	d.mu.Unlock()
@@ -277,16 +277,16 @@
 }
 
 // besideKeys has the table of keys, if there is one, go on beside another process's; nil for none.
-func (d *dispatcher) besideKeys(sibling *transport.Sibling, relay string, older bool) {
+func (d *dispatcher) besideKeys(sibling *transport.PeerProcess, relay string, older bool) {
 	if d.keys != nil {
-		d.keys.Beside(sibling, relay, older)
+		d.keys.RunBeside(sibling, relay, older)
 	}
 }
 
 // keepFor does here what an operator's call at the other process's admin endpoint asks for.
-func (d *dispatcher) keepFor(sibling *transport.Sibling, n protocol.Note) {
-	err := d.operations.keep(n.Worker, n.Out)
-	sibling.Tell(protocol.Note{Answer: n.Ask, Yes: err == nil})
+func (d *dispatcher) keepFor(sibling *transport.PeerProcess, n protocol.HandoverMessage) {
+	err := d.operations.keep(n.Worker, n.Detached)
+	sibling.Notify(protocol.HandoverMessage{AnswerTo: n.QuestionID, Yes: err == nil})
 }
 
 // putOut puts workers out that were out before.
--- a/internal/program/saved.go
+++ b/internal/program/saved.go
@@ -24,9 +24,9 @@
 }
 
 // openSaved opens the folder. One that is of no use costs a line of the log and no more.
-func (d *dispatcher) openSaved(s *store.Settings, name string, p *protocol.Params) *saved {
+func (d *dispatcher) openSaved(s *store.Settings, name string, p *protocol.Settings) *saved {
 	oldest, _ := s.ParseMaxAge() // was checked
-	sv := &saved{d: d, rules: savedlist.Rules{MaxAge: oldest, MinFirstListShare: s.MinFirstListShare, SlowStartDuration: p.Rules.Cold.Span(),
+	sv := &saved{d: d, rules: savedlist.Rules{MaxAge: oldest, MinFirstListShare: s.MinFirstListShare, SlowStartDuration: p.Rules.Cold.Duration(),
 		SlowStartCapacity: p.Rules.StartCapacity, MayProbe: p.Limits.Probing}}
 	files, err := store.OpenOrCreate(s.Directory, name)
 	if err != nil {
@@ -48,14 +48,14 @@
 	if s == nil || len(s.Members) == 0 {
 		return nil
 	}
-	p := sv.d.params.Now()
+	p := sv.d.params.Current()
 	out := map[string]bool{}
 	for _, id := range s.Detached {
 		out[id] = true
 	}
 	f := &routing.CachedStart{Endpoints: map[brain.WorkerID]routing.Endpoint{}, LearnedState: s.LearnedState(),
 		ReportsPulled: p.LoadReport.Via == "pull"}
-	f.LearnedState.Classes = sv.d.params.Number(s.Classes)
+	f.LearnedState.Classes = sv.d.params.StatisticsByNumber(s.Classes)
 	for _, c := range f.LearnedState.Classes {
 		usual := math.NaN()
 		if c.Jobs > 0 {
@@ -78,7 +78,7 @@
 
 // keep has the list kept from now on.
 func (sv *saved) keep(ctx context.Context) {
-	sv.keeper = store.NewWriter(sv.store, sv.loaded, sv, sv.d.reloader.address, sv.d.params.Now, sv.d.log)
+	sv.keeper = store.NewWriter(sv.store, sv.loaded, sv, sv.d.reloader.address, sv.d.params.Current, sv.d.log)
 	sv.d.set.SetStore(sv.keeper)
 	go sv.keeper.Run(ctx)
 }
@@ -86,7 +86,7 @@
 // Experience gives what the module has learned.
 func (sv *saved) LearnedState(ctx context.Context) (brain.LearnedState, map[string]brain.ClassStatistics, error) {
 	e, err := sv.d.core.LearnedState(ctx)
-	return e, sv.d.params.ByName(e), err
+	return e, sv.d.params.StatisticsByName(e), err
 }
 
 // figures are those of the list, a line each.
--- a/internal/program/shares.go
+++ b/internal/program/shares.go
@@ -62,19 +62,19 @@
 		if d.others != nil && i < len(d.others.Inbound) {
 			most = max(most-d.others.Inbound[i]-fixedSockets/len(d.fronts), 0)
 		}
-		f.gate.Allow(most, s.bodies)
-		f.gate.AllowStreams(s.streams)
+		f.gate.SetLimits(most, s.bodies)
+		f.gate.SetStreamLimit(s.streams)
 	}
 	if d.others != nil {
 		s.outbound = max(s.outbound-d.others.Outbound, 0)
 	}
-	d.fleet.Allow(s.outbound)
+	d.fleet.SetConnectionLimit(s.outbound)
 	if d.accounts != nil {
 		open := 0
 		if d.others != nil {
-			open = d.others.Jobs
+			open = d.others.OpenJobs
 		}
-		d.accounts.Beside(open)
+		d.accounts.ReserveFor(open)
 	}
 	debug.SetMemoryLimit(s.heap) // well before the limit at which the platform kills
 	if s.threads > 0 {
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -26,7 +26,7 @@
 	Seed      string
 	Limits    Limits
 	Known     *List
-	Settings  Params
+	Settings  Settings
 
 	raw map[string]any // the file as it is
 }
@@ -223,7 +223,7 @@
 }
 
 // Class gives the number of a class of request by its name.
-func (p *Params) Class(name string) (int, bool) {
+func (p *Settings) Class(name string) (int, bool) {
 	for i := range p.Classes {
 		if p.Classes[i].Name == name {
 			return i, true
@@ -232,14 +232,14 @@
 	return 0, false
 }
 
-// Has tells whether there is such a class.
-func (p *Params) Has(name string) bool {
+// HasClass tells whether there is such a class.
+func (p *Settings) HasClass(name string) bool {
 	_, ok := p.Class(name)
 	return ok
 }
 
 // LongestDeadline is the longest that a client of any class waits.
-func (p *Params) LongestDeadline() (longest time.Duration) {
+func (p *Settings) LongestDeadline() (longest time.Duration) {
 	for i := range p.Classes {
 		longest = max(longest, p.ClassDeadline(i))
 	}
@@ -247,4 +247,6 @@
 }
 
 // ClassDeadline is how long a client of the class waits at most.
-func (p *Params) ClassDeadline(class int) time.Duration { return p.Classes[class].Deadline.Span() }
+func (p *Settings) ClassDeadline(class int) time.Duration {
+	return p.Classes[class].Deadline.Duration()
+}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -77,7 +77,7 @@
 
 // Destinations gives the list in the core's terms. Zones and kinds are numbered as in the settings;
 // one that they do not name is -1.
-func (l *List) Destinations(p *Params) []routing.Endpoint {
+func (l *List) Destinations(p *Settings) []routing.Endpoint {
 	ds := make([]routing.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
 		d := routing.Endpoint{Address: m.HostPort, WorkerInfo: brain.WorkerInfo{
--- a/internal/protocol/figures.go
+++ b/internal/protocol/figures.go
@@ -9,8 +9,8 @@
 	"brassdale/internal/routing"
 )
 
-// Figures writes the numbers as operators' tools read them, a line each.
-func Figures(f routing.Metrics) string {
+// EncodeMetrics writes the numbers as operators' tools read them, a line each.
+func EncodeMetrics(f routing.Metrics) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(f.Classes)) {
 		t := f.Classes[name]
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -25,7 +25,7 @@
 	fmt.Fprintln(&got, "==== list")
 	writeKeys(&got, reflect.TypeFor[List](), "", asIs)
 	fmt.Fprintln(&got, "==== succession")
-	writeKeys(&got, reflect.TypeFor[Note](), "", asIs)
+	writeKeys(&got, reflect.TypeFor[HandoverMessage](), "", asIs)
 
 	path := filepath.Join("testdata", "keys.txt")
 	if *update {
--- a/internal/protocol/inbound.go
+++ b/internal/protocol/inbound.go
@@ -14,42 +14,42 @@
 	"brassdale/internal/routing"
 )
 
-// MaxBody is the most that a body of the platform's protocol holds.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the most that a body of the platform's protocol holds.
+const MaxBodyBytes = 64 << 10
 
 // mostCost is the largest guess at a job's work that makes sense, in microseconds: an hour.
 const mostCost = 3600e6
 
 // Job is an inbound request, decoded. It passes through the core unread, to whichever endpoint gets it.
 type Job struct {
-	ID        string
-	Class     int // its number in the module
-	ClassName string
-	Rules     routing.RequestLimits
-	Window    time.Duration // how long repeats of the class are remembered
-	Key       string        // Idempotency-Key
-	Account   string        // Req-Owner: whose job it is
-	Method    string
-	Target    string // path and query, as the client wrote them
-	Body      []byte
-	Slots     float64
-	Work      time.Duration // a guess at its work; 0 when not told
-	Subject   uint64        // what the job is about: a number for the cookie's user, 0 without one
-	Deadline  time.Time
-	Events    bool        // endpoints are asked to answer in server-sent events
-	Pass      http.Header // further headers that go on to the endpoint
+	ID                  string
+	Class               int // its number in the module
+	ClassName           string
+	Limits              routing.RequestLimits
+	DeduplicationWindow time.Duration // how long repeats of the class are remembered
+	IdempotencyKey      string        // Idempotency-Key
+	Account             string        // Req-Owner: whose job it is
+	Method              string
+	Target              string // path and query, as the client wrote them
+	Body                []byte
+	Slots               float64
+	EstimatedWork       time.Duration // a guess at its work; 0 when not told
+	AffinityKey         uint64        // what the job is about: a number for the cookie's user, 0 without one
+	Deadline            time.Time
+	Events              bool        // endpoints are asked to answer in server-sent events
+	ForwardedHeaders    http.Header // further headers that go on to the endpoint
 }
 
-// Reject says why an inbound request is no job, as the HTTP status to answer with.
-type Reject struct {
+// RequestError says why an inbound request is no job, as the HTTP status to answer with.
+type RequestError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (r *Reject) Error() string { return r.Why }
+func (r *RequestError) Error() string { return r.Reason }
 
 func reject(status int, format string, a ...any) error {
-	return &Reject{status, fmt.Sprintf(format, a...)}
+	return &RequestError{status, fmt.Sprintf(format, a...)}
 }
 
 // passed are the headers that go on to endpoints beside those that the protocol names.
@@ -63,7 +63,7 @@
 
 // DecodeInbound reads a whole request. Until its body is read to the end net/http does not look for the
 // client's leaving, so nothing may be handed on before.
-func DecodeInbound(r *http.Request, p *Params, arrived time.Time) (*Job, error) {
+func DecodeInbound(r *http.Request, p *Settings, arrived time.Time) (*Job, error) {
 	if r.Method != http.MethodPost {
 		return nil, reject(http.StatusMethodNotAllowed, "jobs come by POST")
 	}
@@ -72,12 +72,12 @@
 	if !ok {
 		return nil, reject(http.StatusNotFound, "no class %q", name)
 	}
-	j := &Job{ID: r.Header.Get("Req-Id"), Class: p.numbers[class], ClassName: name, Window: p.Classes[class].Window.Span(),
-		Rules: routing.RequestLimits{MaxAttempts: p.Limits.MaxAttempts, AnswerSlack: p.Rules.AnswerSlack.Span()}, Key: r.Header.Get("Idempotency-Key"),
+	j := &Job{ID: r.Header.Get("Req-Id"), Class: p.numbers[class], ClassName: name, DeduplicationWindow: p.Classes[class].Window.Duration(),
+		Limits: routing.RequestLimits{MaxAttempts: p.Limits.MaxAttempts, AnswerSlack: p.Rules.AnswerSlack.Duration()}, IdempotencyKey: r.Header.Get("Idempotency-Key"),
 		Account: r.Header.Get("Req-Owner"),
-		Method:  r.Method, Target: r.URL.RequestURI(), Slots: 1, Pass: http.Header{}}
+		Method:  r.Method, Target: r.URL.RequestURI(), Slots: 1, ForwardedHeaders: http.Header{}}
 	if kind := r.Header.Get("Req-Kind"); kind != "" && kind != name {
-		if !p.Has(kind) {
+		if !p.HasClass(kind) {
 			return nil, reject(http.StatusNotFound, "no class %q", kind)
 		}
 		return nil, reject(http.StatusBadRequest, "Req-Kind %q, path %q", kind, name)
@@ -92,7 +92,7 @@
 			return nil, reject(http.StatusBadRequest, "%s comes twice, is too long or not plain text", h)
 		}
 	}
-	if j.Key == "" && p.Classes[class].Effect == "keyed" {
+	if j.IdempotencyKey == "" && p.Classes[class].Effect == "keyed" {
 		return nil, reject(http.StatusBadRequest, "Idempotency-Key is absent")
 	}
 	wait := p.ClassDeadline(class)
@@ -110,24 +110,24 @@
 		return nil, err
 	}
 	if us, err := strconv.ParseFloat(r.Header.Get("Req-Cost"), 64); err == nil && us > 0 && us < mostCost {
-		j.Work = time.Duration(us * float64(time.Microsecond)) // what makes no sense is no guess
+		j.EstimatedWork = time.Duration(us * float64(time.Microsecond)) // what makes no sense is no guess
 	}
 	if user, err := r.Cookie("user"); err == nil && user.Value != "" {
-		j.Subject = hash(user.Value)
+		j.AffinityKey = hash(user.Value)
 	}
 	for _, h := range passed {
 		if v := r.Header.Values(h); len(v) > 0 && !slices.ContainsFunc(v, func(s string) bool { return !plain(s) }) {
-			j.Pass[h] = v
+			j.ForwardedHeaders[h] = v
 		}
 	}
-	if r.ContentLength > MaxBody {
-		return nil, reject(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
+	if r.ContentLength > MaxBodyBytes {
+		return nil, reject(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBodyBytes)
 	}
 	var whole bytes.Buffer
 	whole.Grow(int(max(r.ContentLength, 0)) + bytes.MinRead) // grown bit by bit, bodies cost thrice their memory
-	_, err := whole.ReadFrom(http.MaxBytesReader(nil, r.Body, MaxBody))
+	_, err := whole.ReadFrom(http.MaxBytesReader(nil, r.Body, MaxBodyBytes))
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-		return nil, reject(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBody)
+		return nil, reject(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBodyBytes)
 	} else if err != nil {
 		return nil, reject(http.StatusBadRequest, "the body cannot be read: %v", err)
 	}
@@ -167,20 +167,20 @@
 	var b bytes.Buffer
 	b.Grow(512 + len(j.Body))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nReq-Id: %s\r\n", j.Method, j.Target, host, j.ID)
-	if j.Key != "" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", j.Key)
+	if j.IdempotencyKey != "" {
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", j.IdempotencyKey)
 	}
 	if j.Events {
 		b.WriteString("Accept: text/event-stream\r\n")
 	}
-	_ = j.Pass.Write(&b) // a bytes.Buffer takes all
+	_ = j.ForwardedHeaders.Write(&b) // a bytes.Buffer takes all
 	fmt.Fprintf(&b, "Req-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n", max(left.Milliseconds(), 1), len(j.Body))
 	b.Write(j.Body)
 	return b.Bytes()
 }
 
 // EncodeProbe writes a probe. Its answer carries a load report where the deployment has any.
-func EncodeProbe(host string, p *Params) []byte {
+func EncodeProbe(host string, p *Settings) []byte {
 	path := "/stats"
 	if p.LoadReport.Via == "silent" || p.LoadReport.Via == "" {
 		path = "/health/live"
--- a/internal/protocol/inbound_test.go
+++ b/internal/protocol/inbound_test.go
@@ -22,11 +22,11 @@
 	f.Add([]byte(head + "Req-Id: b\r\n\r\n"))
 	f.Add([]byte(head + "Req-Deadline-Ms: 99999999999999999999\r\n\r\n"))
 	f.Add([]byte("GET /none HTTP/1.1\r\nHost: h\r\n\r\n"))
-	p := &Params{}
+	p := &Settings{}
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000}],"limits":{"maxAttempts":4}}`), p); err != nil {
 		f.Fatal(err)
 	}
-	(&Live{}).Put(p, func(brain.Settings) {})
+	(&LiveSettings{}).Replace(p, func(brain.Settings) {})
 	now := time.Unix(1e9, 0)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
@@ -35,13 +35,13 @@
 		}
 		job, err := DecodeInbound(r, p, now)
 		if err != nil {
-			why := (*Reject)(nil)
+			why := (*RequestError)(nil)
 			if !errors.As(err, &why) || why.Status < 400 || why.Status > 499 {
 				t.Fatalf("turned away with %v", err)
 			}
 			return
 		}
-		if job.Deadline.Before(now) || job.Deadline.After(now.Add(5*time.Second)) || len(job.Body) > MaxBody || job.ID == "" || job.Slots <= 0 || job.Work < 0 {
+		if job.Deadline.Before(now) || job.Deadline.After(now.Add(5*time.Second)) || len(job.Body) > MaxBodyBytes || job.ID == "" || job.Slots <= 0 || job.EstimatedWork < 0 {
 			t.Fatalf("%+v", job)
 		}
 		again, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(job.Encode("endpoint:1", job.Deadline.Sub(now)))))
@@ -57,11 +57,11 @@
 // A client's guess at the work reaches the module, which without it took a job 29 times as heavy as its class for a like
 // one; what is no figure is no guess, and no reason to turn a job away.
 func TestCostHint(t *testing.T) {
-	p := &Params{}
+	p := &Settings{}
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"stock-check","effect":"safe","deadline":5000000}]}`), p); err != nil {
 		t.Fatal(err)
 	}
-	(&Live{}).Put(p, func(brain.Settings) {})
+	(&LiveSettings{}).Replace(p, func(brain.Settings) {})
 	for text, want := range map[string]time.Duration{"152000": 152 * time.Millisecond, "": 0, "-5": 0, "many": 0, "NaN": 0, "1e300": 0} {
 		r, err := http.NewRequest("POST", "/stock-check", strings.NewReader(""))
 		if err != nil {
@@ -69,7 +69,7 @@
 		}
 		r.Header.Set("Req-Id", "a")
 		r.Header.Set("Req-Cost", text)
-		if job, err := DecodeInbound(r, p, time.Now()); err != nil || job.Work != want {
+		if job, err := DecodeInbound(r, p, time.Now()); err != nil || job.EstimatedWork != want {
 			t.Errorf("Req-Cost %q: %+v, %v", text, job, err)
 		}
 	}
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -12,11 +12,11 @@
 // Micros is a time or a span on the wire.
 type Micros int64
 
-// Span gives it as a duration.
-func (m Micros) Span() time.Duration { return time.Duration(m) * time.Microsecond }
+// Duration gives it as a duration.
+func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Params are the settings on the wire; unknown keys are skipped.
-type Params struct {
+// Settings are the settings on the wire; unknown keys are skipped.
+type Settings struct {
 	Classes []struct {
 		Name       string
 		Aim        Micros
@@ -70,12 +70,12 @@
 	numbers []int // of the classes, in the module
 }
 
-// Pushed tells whether lists are pushed: discovery's address is then that of an agent on this machine.
-func (p *Params) Pushed() bool { return p.Discovery == "push" }
+// ListsPushed tells whether lists are pushed: discovery's address is then that of an agent on this machine.
+func (p *Settings) ListsPushed() bool { return p.Discovery == "push" }
 
-// Live holds the settings in force. They are replaced as a whole: whoever begins something takes them once.
-type Live struct {
-	now atomic.Pointer[Params]
+// LiveSettings holds the settings in force. They are replaced as a whole: whoever begins something takes them once.
+type LiveSettings struct {
+	now atomic.Pointer[Settings]
 
 	// Owned by whoever calls Put. A class keeps its number in the module for good, so that jobs keep the rules that
 	// they began with; one whose rules change gets a further number, and its old one if they change back.
@@ -83,12 +83,12 @@
 	classes []brain.Class
 }
 
-// Now gives the settings in force.
-func (l *Live) Now() *Params { return l.now.Load() }
+// Current gives the settings in force.
+func (l *LiveSettings) Current() *Settings { return l.now.Load() }
 
-// ByName gives an experience's classes by their names, as far as they are in force.
-func (l *Live) ByName(e brain.LearnedState) map[string]brain.ClassStatistics {
-	p, named := l.Now(), map[string]brain.ClassStatistics{}
+// StatisticsByName gives an experience's classes by their names, as far as they are in force.
+func (l *LiveSettings) StatisticsByName(e brain.LearnedState) map[string]brain.ClassStatistics {
+	p, named := l.Current(), map[string]brain.ClassStatistics{}
 	for i, n := range p.numbers {
 		if n < len(e.Classes) {
 			named[p.Classes[i].Name] = e.Classes[n]
@@ -97,9 +97,9 @@
 	return named
 }
 
-// Number puts classes that another process named into the numbers of this one.
-func (l *Live) Number(named map[string]brain.ClassStatistics) []brain.ClassStatistics {
-	p := l.Now()
+// StatisticsByNumber puts classes that another process named into the numbers of this one.
+func (l *LiveSettings) StatisticsByNumber(named map[string]brain.ClassStatistics) []brain.ClassStatistics {
+	p := l.Current()
 	classes := make([]brain.ClassStatistics, len(p.numbers))
 	for i, n := range p.numbers {
 		if n < len(classes) {
@@ -109,10 +109,10 @@
 	return classes
 }
 
-// Put numbers the classes, gives the settings in the module's terms to swap, and puts them in force. The module must
+// Replace numbers the classes, gives the settings in the module's terms to swap, and puts them in force. The module must
 // know them before the first job of a new class: it is told in between.
-func (l *Live) Put(p *Params, swap func(brain.Settings)) {
-	s := p.Module()
+func (l *LiveSettings) Replace(p *Settings, swap func(brain.Settings)) {
+	s := p.SchedulerSettings()
 	p.numbers = nil
 	for i, class := range s.Classes {
 		n := 0
@@ -129,37 +129,37 @@
 	l.now.Store(p)
 }
 
-// Module gives the settings in the module's terms.
-func (p *Params) Module() brain.Settings {
+// SchedulerSettings gives the settings in the module's terms.
+func (p *Settings) SchedulerSettings() brain.Settings {
 	s := brain.Settings{
 		DispatcherIndex: p.Ordinal, Dispatchers: p.ReplicasOfMe, Zone: p.Locality,
 		ListPolled:        p.Discovery == "ask",
 		ReportsPulled:     p.LoadReport.Via == "pull",
 		ReportsStart:      p.FamilyInfo.TellsStart,
-		ProgressInterval:  p.FamilyInfo.Progress.Span(),
+		ProgressInterval:  p.FamilyInfo.Progress.Duration(),
 		MayProbe:          p.Limits.Probing,
 		MayCancel:         p.Limits.Cancel,
 		MayHedge:          p.Limits.MayDuplicate,
 		MayAdviseRetry:    p.Limits.RetryAfter,
 		MaxAttempts:       p.Limits.MaxAttempts,
-		MaxRetryAfter:     p.Limits.MaxRetryAfter.Span(),
-		AnswerSlack:       p.Rules.AnswerSlack.Span(),
-		MaxPollInterval:   p.Rules.AskWithin.Span(),
-		SlowStartDuration: p.Rules.Cold.Span(),
+		MaxRetryAfter:     p.Limits.MaxRetryAfter.Duration(),
+		AnswerSlack:       p.Rules.AnswerSlack.Duration(),
+		MaxPollInterval:   p.Rules.AskWithin.Duration(),
+		SlowStartDuration: p.Rules.Cold.Duration(),
 		SlowStartCapacity: p.Rules.StartCapacity,
 		OverloadMultiple:  p.Rules.TipMultiple,
-		OverloadWindow:    p.Rules.Fall.Span(),
+		OverloadWindow:    p.Rules.Fall.Duration(),
 
 		CrossZoneCost: p.Prices.CrossZone,
 		WeightByWork:  p.CountedBy == "work",
 	}
 	if s.ListPolled {
-		s.ListValidity = routing.ListNotificationDeadline + p.Rules.DrainGrace.Span()
+		s.ListValidity = routing.ListNotificationDeadline + p.Rules.DrainGrace.Duration()
 	}
 	for i, c := range p.Classes {
 		class := brain.Class{
-			LatencyObjective: c.Aim.Span(), ObjectiveStretch: c.AimStretch, Deadline: c.Deadline.Span(),
-			PriorityWeight: c.Credit, LateWeight: c.LateWorth, DeduplicationWindow: c.Window.Span(), Streamed: c.Stream,
+			LatencyObjective: c.Aim.Duration(), ObjectiveStretch: c.AimStretch, Deadline: c.Deadline.Duration(),
+			PriorityWeight: c.Credit, LateWeight: c.LateWorth, DeduplicationWindow: c.Window.Duration(), Streamed: c.Stream,
 			Idempotency: brain.NonIdempotent, DeduplicationScope: brain.ScopeAll, MachineKind: -1,
 		}
 		switch c.Effect {
@@ -186,7 +186,7 @@
 }
 
 // Report names the values of a load report by the columns of the settings.
-func (p *Params) Report(row []float64) *brain.Report {
+func (p *Settings) Report(row []float64) *brain.Report {
 	if row == nil {
 		return nil
 	}
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -15,13 +15,13 @@
 var storedNotes = map[string]any{
 	"handover": Handover{
 		Fronts: []string{"front-1", "front-2"}, Discovery: "127.0.0.1:8500", Revision: 11,
-		Members: []Known{{
+		Members: []KnownMember{{
 			Member: Member{ID: "worker-a", HostPort: "127.0.0.1:3001", Locality: "zone-1", Flavor: "flavor-1",
 				Cell: 2, Phase: "leaving", Size: 1.5, UpSinceMS: 901},
-			Told: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC), ToldAgo: 12, StartedAgo: 13,
+			NotifiedAt: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC), NotifiedAgo: 12, StartedAgo: 13,
 		}},
-		Out: []string{"worker-z"}, Relay: "127.0.0.1:8600", Unsure: true,
-		Experience: brain.LearnedState{
+		Detached: []string{"worker-z"}, Relay: "127.0.0.1:8600", ListUnconfirmed: true,
+		LearnedState: brain.LearnedState{
 			Overcommit: 21.5, MeanStay: 22.5, MeanWork: 23.5,
 			Classes: []brain.ClassStatistics{{WorkScale: 24.5, MeanLogRuntime: 25.5, Jobs: 26}},
 			Workers: map[brain.WorkerID]brain.WorkerStatistics{
@@ -29,20 +29,20 @@
 		},
 		Classes: map[string]brain.ClassStatistics{"class-1": {WorkScale: 41.5, MeanLogRuntime: 42.5, Jobs: 43}},
 	},
-	"held": Held{Inbound: []int{51, 52}, Outbound: 53, Jobs: 54},
-	"remembered": Remembered{
+	"held": HandoverUsage{Inbound: []int{51, 52}, Outbound: 53, OpenJobs: 54},
+	"remembered": RememberedJob{
 		Key: "key-1", ID: "id-1", Digest: []byte{61, 62}, Events: []Event{{ID: "id-2", Name: "name-1", Data: "data-1", Retry: 63}},
-		Answer: routing.Answer{Verdict: routing.Rejected, Result: []byte{64, 65}, RetryAfter: 66, DeadlinePassed: true},
-		Forget: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC), ForgetIn: 67, Started: true,
+		Answer:   routing.Answer{Verdict: routing.Rejected, Result: []byte{64, 65}, RetryAfter: 66, DeadlinePassed: true},
+		ForgetAt: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC), ForgetIn: 67, Started: true,
 	},
-	"note": Note{
-		Handover: &Handover{Relay: "relay-1"}, Held: &Held{Jobs: 71}, Remembered: &Remembered{Key: "key-2"},
-		Serving: true, Ask: 72, Answer: 73, Yes: true, Take: "take-1", Free: "free-1", Last: true,
-		Worker: "worker-b", Out: true, Key: "key-3", Relay: "relay-2",
+	"note": HandoverMessage{
+		Handover: &Handover{Relay: "relay-1"}, Usage: &HandoverUsage{OpenJobs: 71}, Remembered: &RememberedJob{Key: "key-2"},
+		Serving: true, QuestionID: 72, AnswerTo: 73, Yes: true, ReserveID: "take-1", ReleaseID: "free-1", Last: true,
+		Worker: "worker-b", Detached: true, Key: "key-3", Relay: "relay-2",
 	},
-	"note-serving": Note{Serving: true, Relay: "127.0.0.1:8601"},
-	"note-answer":  Note{Answer: 81, Yes: true},
-	"note-worker":  Note{Worker: "worker-c", Out: true},
+	"note-serving": HandoverMessage{Serving: true, Relay: "127.0.0.1:8601"},
+	"note-answer":  HandoverMessage{AnswerTo: 81, Yes: true},
+	"note-worker":  HandoverMessage{Worker: "worker-c", Detached: true},
 }
 
 // TestStoredNotes reads the messages as the program of commit c2c1317 wrote them, field by field, and checks that the
@@ -50,7 +50,7 @@
 func TestStoredNotes(t *testing.T) {
 	for name, want := range storedNotes {
 		t.Run(name, func(t *testing.T) {
-			if _, partial := want.(Note); !partial {
+			if _, partial := want.(HandoverMessage); !partial {
 				checkAllSet(t, name, reflect.ValueOf(want))
 			}
 			stored, err := os.ReadFile("testdata/stored/" + name + ".json")
--- a/internal/protocol/succession.go
+++ b/internal/protocol/succession.go
@@ -7,39 +7,39 @@
 	"brassdale/internal/routing"
 )
 
-// Note is a message between a process and the one that replaces it, a line of JSON. Each uses some fields.
-type Note struct {
-	Handover *Handover `json:"handover,omitempty"` // the predecessor's first word
-	Held     *Held     `json:"held,omitempty"`     // the predecessor: all that it still holds, and will hold no more of
+// HandoverMessage is a message between a process and the one that replaces it, a line of JSON. Each uses some fields.
+type HandoverMessage struct {
+	Handover *Handover      `json:"handover,omitempty"` // the predecessor's first word
+	Usage    *HandoverUsage `json:"held,omitempty"`     // the predecessor: all that it still holds, and will hold no more of
 
 	Serving bool `json:"serving,omitempty"` // the successor takes clients
 
 	// A question has a number; its answer repeats it.
-	Ask    uint64 `json:"ask,omitempty"`
-	Answer uint64 `json:"answer,omitempty"`
-	Yes    bool   `json:"yes,omitempty"`
+	QuestionID uint64 `json:"ask,omitempty"`
+	AnswerTo   uint64 `json:"answer,omitempty"`
+	Yes        bool   `json:"yes,omitempty"`
 
-	Take string `json:"take,omitempty"` // the successor asks for a Req-Id
-	Free string `json:"free,omitempty"` // and gives it back
+	ReserveID string `json:"take,omitempty"` // the successor asks for a Req-Id
+	ReleaseID string `json:"free,omitempty"` // and gives it back
 
 	Last bool `json:"last,omitempty"` // the predecessor asks before its end whether all that it told was taken
 
-	Worker string `json:"worker,omitempty"` // put out by hand, or back
-	Out    bool   `json:"out,omitempty"`
+	Worker   string `json:"worker,omitempty"` // put out by hand, or back
+	Detached bool   `json:"out,omitempty"`
 
-	Key        string      `json:"key,omitempty"`        // the successor asks whether a job is known under it
-	Remembered *Remembered `json:"remembered,omitempty"` // the predecessor's jobs that have ended
-	Relay      string      `json:"relay,omitempty"`      // with Serving: where the front for progress takes the other's readers
+	Key        string         `json:"key,omitempty"`        // the successor asks whether a job is known under it
+	Remembered *RememberedJob `json:"remembered,omitempty"` // the predecessor's jobs that have ended
+	Relay      string         `json:"relay,omitempty"`      // with Serving: where the front for progress takes the other's readers
 }
 
-// Remembered is an ended job of the front for progress.
-type Remembered struct {
-	Key    string         `json:"key"`
-	ID     string         `json:"id"`
-	Digest []byte         `json:"digest"`
-	Events []Event        `json:"events"`
-	Answer routing.Answer `json:"answer"`
-	Forget time.Time      `json:"forget"` // for builds that know no other; ForgetIn goes before it
+// RememberedJob is an ended job of the front for progress.
+type RememberedJob struct {
+	Key      string         `json:"key"`
+	ID       string         `json:"id"`
+	Digest   []byte         `json:"digest"`
+	Events   []Event        `json:"events"`
+	Answer   routing.Answer `json:"answer"`
+	ForgetAt time.Time      `json:"forget"` // for builds that know no other; ForgetIn goes before it
 
 	// ForgetIn is how much longer the job is remembered, from when this was sent: the wall clock may be set meanwhile.
 	ForgetIn time.Duration `json:"forget_in_ns,omitempty"`
@@ -47,62 +47,62 @@
 	Started bool `json:"started"`
 }
 
-// Held counts connections.
-type Held struct {
+// HandoverUsage counts connections.
+type HandoverUsage struct {
 	Inbound  []int `json:"inbound"` // by front
 	Outbound int   `json:"outbound"`
-	Jobs     int   `json:"jobs"` // open ones, where accounts have shares of the room
+	OpenJobs int   `json:"jobs"` // open ones, where accounts have shares of the room
 }
 
 // Handover is what a successor begins with.
 type Handover struct {
-	Fronts    []string `json:"fronts"` // whose listeners come with it, in order
-	Discovery string   `json:"discovery"`
-	Revision  int64    `json:"revision"`
-	Members   []Known  `json:"members"`
-	Out       []string `json:"out"` // workers that are out by hand
-	Relay     string   `json:"relay,omitempty"`
-	Unsure    bool     `json:"unsure,omitempty"` // the list is saved, and nobody told a newer one
-
-	Experience brain.LearnedState               `json:"experience"` // classes are by name, beside it
-	Classes    map[string]brain.ClassStatistics `json:"classes"`
+	Fronts          []string      `json:"fronts"` // whose listeners come with it, in order
+	Discovery       string        `json:"discovery"`
+	Revision        int64         `json:"revision"`
+	Members         []KnownMember `json:"members"`
+	Detached        []string      `json:"out"` // workers that are out by hand
+	Relay           string        `json:"relay,omitempty"`
+	ListUnconfirmed bool          `json:"unsure,omitempty"` // the list is saved, and nobody told a newer one
+
+	LearnedState brain.LearnedState               `json:"experience"` // classes are by name, beside it
+	Classes      map[string]brain.ClassStatistics `json:"classes"`
 }
 
-// Known is a member as the predecessor knows it.
-type Known struct {
+// KnownMember is a member as the predecessor knows it.
+type KnownMember struct {
 	Member
-	Told time.Time `json:"told"` // that it drains; for builds that know no other, ToldAgo goes before it
+	NotifiedAt time.Time `json:"told"` // that it drains; for builds that know no other, ToldAgo goes before it
 
-	// ToldAgo is how long ago it was told, from when this was sent: the wall clock may be set meanwhile.
-	ToldAgo time.Duration `json:"told_ago_ns,omitempty"`
+	// NotifiedAgo is how long ago it was told, from when this was sent: the wall clock may be set meanwhile.
+	NotifiedAgo time.Duration `json:"told_ago_ns,omitempty"`
 
 	// StartedAgo is how long ago it started, as far as the predecessor knew; 0 for long ago.
 	StartedAgo time.Duration `json:"started_ago_ns,omitempty"`
 }
 
 // told gives when the member was told to drain, on this process's clock; zero where it was not.
-func (k Known) told(now time.Time) time.Time {
-	if k.ToldAgo > 0 {
-		return now.Add(-k.ToldAgo)
+func (k KnownMember) told(now time.Time) time.Time {
+	if k.NotifiedAgo > 0 {
+		return now.Add(-k.NotifiedAgo)
 	}
-	return k.Told
+	return k.NotifiedAt
 }
 
 // ForgottenAt gives when the job is to be forgotten, on this process's clock.
-func (r *Remembered) ForgottenAt(now time.Time) time.Time {
+func (r *RememberedJob) ForgottenAt(now time.Time) time.Time {
 	if r.ForgetIn > 0 {
 		return now.Add(r.ForgetIn)
 	}
-	return r.Forget
+	return r.ForgetAt
 }
 
 // KnownMembers gives destinations in the words of discovery, whose numbers of zones and kinds are each process's own.
-func KnownMembers(ds []routing.Endpoint, p *Params) (known []Known) {
+func KnownMembers(ds []routing.Endpoint, p *Settings) (known []KnownMember) {
 	now := time.Now()
 	for i, m := range Members(ds, p) {
-		k := Known{Member: m, Told: ds[i].NotifiedAt, StartedAgo: ds[i].Age}
-		if !k.Told.IsZero() {
-			k.ToldAgo = max(now.Sub(k.Told), time.Nanosecond)
+		k := KnownMember{Member: m, NotifiedAt: ds[i].NotifiedAt, StartedAgo: ds[i].Age}
+		if !k.NotifiedAt.IsZero() {
+			k.NotifiedAgo = max(now.Sub(k.NotifiedAt), time.Nanosecond)
 		}
 		known = append(known, k)
 	}
@@ -110,7 +110,7 @@
 }
 
 // Members gives destinations in the words of discovery.
-func Members(ds []routing.Endpoint, p *Params) (members []Member) {
+func Members(ds []routing.Endpoint, p *Settings) (members []Member) {
 	name := func(names []string, i int) string {
 		if i < 0 || i >= len(names) {
 			return ""
@@ -131,7 +131,7 @@
 }
 
 // Update gives the predecessor's list in the core's terms. Its revision counts only where both ask the same discovery.
-func (s *Handover) Update(discovery string, p *Params) (routing.ListUpdate, error) {
+func (s *Handover) Update(discovery string, p *Settings) (routing.ListUpdate, error) {
 	l := List{Revision: s.Revision, Complete: true}
 	for _, k := range s.Members {
 		l.Members = append(l.Members, k.Member)
--- a/internal/protocol/succession_test.go
+++ b/internal/protocol/succession_test.go
@@ -14,7 +14,7 @@
 // how long a job is remembered. Setting the clock is played by another year in the words that cross.
 func TestHandoverOutlivesAStepOfTheClock(t *testing.T) {
 	now := time.Now()
-	p := &Params{}
+	p := &Settings{}
 	told := now.Add(-200 * time.Millisecond)
 	h := Handover{Discovery: "d", Members: KnownMembers([]routing.Endpoint{{Address: "127.0.0.1:1", NotifiedAt: told,
 		WorkerInfo: brain.WorkerInfo{ID: "a", State: brain.Draining}}}, p)}
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -27,29 +27,29 @@
 	Ended
 )
 
-// News is one message of an endpoint about a job.
-type News struct {
-	State State
-	Share float64               // Running: the share that is done
-	End   routing.AttemptResult // Ended
+// WorkerEvent is one message of an endpoint about a job.
+type WorkerEvent struct {
+	State  State
+	Share  float64               // Running: the share that is done
+	Result routing.AttemptResult // Ended
 }
 
 // maxLine bounds one message: a result, escaped at the worst, and its frame.
-const maxLine = 6*MaxBody + 4096
+const maxLine = 6*MaxBodyBytes + 4096
 
 // errMalformed is a message that is not of the protocol. What the endpoint did is unknown then.
 var errMalformed = errors.New("malformed message")
 
-// Answer reads an endpoint's answer to a job.
-type Answer struct {
+// WorkerResponse reads an endpoint's answer to a job.
+type WorkerResponse struct {
 	id    string
 	next  func() (text []byte, state string, err error)
-	early *News // an answer that ends the call by its status
+	early *WorkerEvent // an answer that ends the call by its status
 }
 
-// NewAnswer reads an answer's head. Chunks of JSON lines and server-sent events bring the same news.
-func NewAnswer(id string, resp *http.Response) *Answer {
-	a := &Answer{id: id}
+// NewWorkerResponse reads an answer's head. Chunks of JSON lines and server-sent events bring the same news.
+func NewWorkerResponse(id string, resp *http.Response) *WorkerResponse {
+	a := &WorkerResponse{id: id}
 	if resp.StatusCode != http.StatusOK {
 		end := routing.AttemptResult{Outcome: brain.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
 		declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
@@ -58,7 +58,7 @@
 		} else if resp.StatusCode >= 400 && resp.StatusCode < 500 {
 			end.Outcome = brain.InvalidRequest
 		}
-		a.early = &News{State: Ended, End: end}
+		a.early = &WorkerEvent{State: Ended, Result: end}
 		return a
 	}
 	if kind, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type")); kind == "text/event-stream" {
@@ -85,14 +85,14 @@
 
 // Next gives the next news. An error means that the answer ended, broke or made no sense before its last
 // message: the call's outcome is a reset then, or a time-out if nothing came until its deadline.
-func (a *Answer) Next() (News, error) {
+func (a *WorkerResponse) Next() (WorkerEvent, error) {
 	if a.early != nil {
 		return *a.early, nil
 	}
 	for {
 		text, state, err := a.next()
 		if err != nil {
-			return News{}, err
+			return WorkerEvent{}, err
 		}
 		if text = bytes.TrimSpace(text); len(text) == 0 {
 			continue
@@ -101,7 +101,7 @@
 	}
 }
 
-func (a *Answer) decode(text []byte, state string) (News, error) {
+func (a *WorkerResponse) decode(text []byte, state string) (WorkerEvent, error) {
 	var m struct {
 		ID     string
 		State  string
@@ -110,31 +110,31 @@
 		Load   map[string]any
 	}
 	if err := json.Unmarshal(text, &m); err != nil {
-		return News{}, fmt.Errorf("%w: %v", errMalformed, err)
+		return WorkerEvent{}, fmt.Errorf("%w: %v", errMalformed, err)
 	}
 	if m.ID != a.id && (m.ID != "" || state == "") {
-		return News{}, fmt.Errorf("%w: of job %q", errMalformed, m.ID)
+		return WorkerEvent{}, fmt.Errorf("%w: of job %q", errMalformed, m.ID)
 	}
 	if m.State == "" {
 		m.State = state
 	}
-	ended := func(o brain.Outcome) (News, error) {
-		return News{State: Ended, End: routing.AttemptResult{Outcome: o, Report: loadOf(m.Load)}}, nil
+	ended := func(o brain.Outcome) (WorkerEvent, error) {
+		return WorkerEvent{State: Ended, Result: routing.AttemptResult{Outcome: o, Report: loadOf(m.Load)}}, nil
 	}
 	switch m.State {
 	case "started":
-		return News{State: Started}, nil
+		return WorkerEvent{State: Started}, nil
 	case "running", "progress":
-		return News{State: Running, Share: min(max(m.Share, 0), 1)}, nil
+		return WorkerEvent{State: Running, Share: min(max(m.Share, 0), 1)}, nil
 	case "done":
 		if len(m.Result) == 0 { // only a worker's result makes an answer
-			return News{}, fmt.Errorf("%w: done without a result", errMalformed)
+			return WorkerEvent{}, fmt.Errorf("%w: done without a result", errMalformed)
 		}
 		n, err := ended(brain.Served)
-		n.End.Result = m.Result
+		n.Result.Result = m.Result
 		var plain string
 		if json.Unmarshal(m.Result, &plain) == nil {
-			n.End.Result = []byte(plain)
+			n.Result.Result = []byte(plain)
 		}
 		return n, err
 	case "failed":
@@ -144,7 +144,7 @@
 	case "lost":
 		return ended(brain.Reset)
 	}
-	return News{}, fmt.Errorf("%w: state %q", errMalformed, m.State)
+	return WorkerEvent{}, fmt.Errorf("%w: state %q", errMalformed, m.State)
 }
 
 // ParseProbe reads an endpoint's answer to a probe: a report in the body or in the header, if any.
--- a/internal/savedlist/keeper.go
+++ b/internal/savedlist/keeper.go
@@ -34,7 +34,7 @@
 	store     *Store
 	learned   LearnedStateSource
 	discovery func() string // its address now
-	params    func() *protocol.Params
+	params    func() *protocol.Settings
 	log       *slog.Logger
 	box       *routing.Mailbox[any]
 
@@ -66,7 +66,7 @@
 )
 
 // NewWriter makes the actor. It begins with what was loaded; nil for nothing.
-func NewWriter(s *Store, loaded *CachedList, l LearnedStateSource, discovery func() string, params func() *protocol.Params, log *slog.Logger) *Writer {
+func NewWriter(s *Store, loaded *CachedList, l LearnedStateSource, discovery func() string, params func() *protocol.Settings, log *slog.Logger) *Writer {
 	k := &Writer{store: s, learned: l, discovery: discovery, params: params, log: log, box: routing.NewMailbox[any](), members: map[string]CachedMember{}}
 	if loaded != nil {
 		for _, m := range loaded.Members {
--- a/internal/scale/befall.go
+++ b/internal/scale/befall.go
@@ -114,7 +114,7 @@
 		if !slices.Contains(who, m.name) || m.node == nil && m.process == nil {
 			continue
 		}
-		m.away = append(m.away, faults.Away{From: now})
+		m.away = append(m.away, faults.Absence{From: now})
 		if node := m.node; node != nil {
 			m.node = nil
 			all = append(all, func() error {
@@ -184,7 +184,7 @@
 		old := f.members[slices.IndexFunc(f.members, func(m *member) bool { return m.name == name })]
 		m := &member{name: fmt.Sprint("h", f.Hollow+i), role: serves, hollow: true, zone: old.zone}
 		err := f.add(m)
-		m.away = []faults.Away{{To: time.Now()}} // the time before
+		m.away = []faults.Absence{{To: time.Now()}} // the time before
 		f.struck.returned = append(f.struck.returned, m.name)
 		f.mu.Unlock()
 		if err != nil {
@@ -214,7 +214,7 @@
 			switch {
 			case !slices.Contains(who, m.name):
 			case s.CutTo:
-				m.cut = append(m.cut, faults.Away{From: time.Now()})
+				m.cut = append(m.cut, faults.Absence{From: time.Now()})
 			default:
 				m.cut[len(m.cut)-1].To = time.Now()
 				f.struck.returned = append(f.struck.returned, m.name)
--- a/internal/scale/failure.go
+++ b/internal/scale/failure.go
@@ -45,10 +45,10 @@
 // history is what a dispatcher of the fleet acted on, and when nobody reached it.
 type history struct {
 	*member
-	stands    []faults.Stand
-	unreached []faults.Away // until it was back, with the newest in force
-	never     int           // times that it did not get there
-	back      []float64     // how long it took each time, in milliseconds
+	stands    []faults.EffectiveState
+	unreached []faults.Absence // until it was back, with the newest in force
+	never     int              // times that it did not get there
+	back      []float64        // how long it took each time, in milliseconds
 }
 
 // histories are those of all that agree, once all is over.
@@ -154,7 +154,7 @@
 // took gives when a change was acted on, and whether it was not reached meanwhile.
 func (h *history) took(c change) (at time.Time, ok, gone bool) {
 	at, ok = h.acted(c)
-	gone = slices.ContainsFunc(h.unreached, func(a faults.Away) bool {
+	gone = slices.ContainsFunc(h.unreached, func(a faults.Absence) bool {
 		return (a.To.IsZero() || a.To.After(c.at)) && (!ok || a.From.Before(at))
 	})
 	return at, ok, gone
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -41,14 +41,14 @@
 	seat    int // in the first council; 0 for none
 	door    int // of a real one
 
-	node    *emulator.Node // of a real one that is there
-	process *process       // of a hollow one that is there
-	life    int            // counted by its starts
-	logs    string         // of a real one's earlier lives
-	past    []faults.Stand // of a hollow one's earlier lives
-	stands  []faults.Stand // and of this one, as they were read last
-	away    []faults.Away  // when it was not there
-	cut     []faults.Away  // when it was, and others did not reach it
+	node    *emulator.Node          // of a real one that is there
+	process *process                // of a hollow one that is there
+	life    int                     // counted by its starts
+	logs    string                  // of a real one's earlier lives
+	past    []faults.EffectiveState // of a hollow one's earlier lives
+	stands  []faults.EffectiveState // and of this one, as they were read last
+	away    []faults.Absence        // when it was not there
+	cut     []faults.Absence        // when it was, and others did not reach it
 }
 
 // stage is a fleet being played.
@@ -56,7 +56,7 @@
 	Plan
 	Options
 	ctx      context.Context
-	works    *emulator.Works
+	works    *emulator.Cluster
 	dir      string
 	groups   [][]*member // hollow ones that begin in one process
 	voters   []string
@@ -130,7 +130,7 @@
 		s.Traffic.Accounts = append(s.Traffic.Accounts, emulator.Account{Name: teamName(i), Share: 1})
 	}
 	share := 1 / float64(p.Workers) // one at a time
-	repeat := func(every time.Duration, kind emulator.Trouble, lasts time.Duration) {
+	repeat := func(every time.Duration, kind emulator.FaultKind, lasts time.Duration) {
 		for at := every; every > 0 && at+lasts < p.Span; at += every {
 			s.Faults = append(s.Faults, emulator.Fault{At: at, For: lasts, Kind: kind, Share: share})
 		}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -68,7 +68,7 @@
 // Hollow is a process's hollow dispatchers.
 type Hollow struct {
 	spec   Spec
-	params *protocol.Live
+	params *protocol.LiveSettings
 	at     string // discovery
 	late   ticker
 	all    []*hollow
@@ -85,7 +85,7 @@
 	find  *transport.Discovery
 
 	mu      sync.Mutex
-	stands  []faults.Stand
+	stands  []faults.EffectiveState
 	watcher *planning.Recorder
 	rng     *rand.Rand
 	begin   time.Time
@@ -142,8 +142,8 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	h := &Hollow{spec: spec, params: &protocol.Live{}, at: cfg.Discovery, hears: slices.Sorted(maps.Keys(spec.Capacity))}
-	h.params.Put(&cfg.Settings, func(brain.Settings) {})
+	h := &Hollow{spec: spec, params: &protocol.LiveSettings{}, at: cfg.Discovery, hears: slices.Sorted(maps.Keys(spec.Capacity))}
+	h.params.Replace(&cfg.Settings, func(brain.Settings) {})
 	for i, e := range spec.Each {
 		x, err := h.make(e, uint64(i), log)
 		if err != nil {
@@ -197,7 +197,7 @@
 		Log: slog.New(roles{log.With("hollow", e.Name).Handler(), x})}
 	if h.spec.Failover != nil {
 		o.Failover, o.PlanChanged = h.spec.Failover, func(*planning.Plan, bool) {}
-		o.Report = func() *planning.Report { return x.report(&h.spec, h.params.Now()) }
+		o.Report = func() *planning.Report { return x.report(&h.spec, h.params.Current()) }
 		o.HasUrgentChange = x.urgent
 	}
 	if h.spec.Overload != nil {
@@ -220,7 +220,7 @@
 	if n := len(x.stands); n > 0 {
 		x.stands[n-1].To = now
 	}
-	x.stands = append(x.stands, faults.Stand{From: now, Versions: slices.Clone(s.Versions), Lapsed: s.LeaseExpired})
+	x.stands = append(x.stands, faults.EffectiveState{From: now, Versions: slices.Clone(s.Versions), Lapsed: s.LeaseExpired})
 }
 
 // counted are the jobs that it claims to have ended.
@@ -279,7 +279,7 @@
 }
 
 // report is of the shape that a real dispatcher's has: its probes tell it of zones, and its jobs of its own.
-func (x *hollow) report(spec *Spec, p *protocol.Params) *planning.Report {
+func (x *hollow) report(spec *Spec, p *protocol.Settings) *planning.Report {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := time.Now()
@@ -296,8 +296,8 @@
 }
 
 // watch asks discovery as routing.Destinations does, and keeps nothing of what it tells.
-func (x *hollow) watch(ctx context.Context, params *protocol.Live) {
-	first := rand.Float64() * float64(params.Now().ReplicasOfMe) * firstEach.Seconds()
+func (x *hollow) watch(ctx context.Context, params *protocol.LiveSettings) {
+	first := rand.Float64() * float64(params.Current().ReplicasOfMe) * firstEach.Seconds()
 	wait, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), pacing.FullList
 	for {
 		select {
@@ -312,7 +312,7 @@
 		}
 		fresh := u.Revision != revision || len(u.Endpoints) > 0
 		revision, kind = u.Revision, pacing.Watch
-		wait = pacing.RewatchDelay(fresh, u.BeforeWaitEnded, params.Now().ReplicasOfMe, rand.Float64())
+		wait = pacing.RewatchDelay(fresh, u.BeforeWaitEnded, params.Current().ReplicasOfMe, rand.Float64())
 	}
 }
 
@@ -355,8 +355,8 @@
 	return h.hears
 }
 
-func (h *Hollow) stands() map[string][]faults.Stand {
-	all := map[string][]faults.Stand{}
+func (h *Hollow) stands() map[string][]faults.EffectiveState {
+	all := map[string][]faults.EffectiveState{}
 	for _, x := range h.all {
 		x.mu.Lock()
 		all[x.name] = slices.Clone(x.stands)
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -57,7 +57,7 @@
 	}
 	f := &stage{changes: []change{{version: 2, at: at}}}
 	acted := func(after time.Duration) []*history {
-		return []*history{{member: &member{name: "h1"}, stands: []faults.Stand{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
+		return []*history{{member: &member{name: "h1"}, stands: []faults.EffectiveState{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
 	}
 	for _, c := range []struct {
 		after, due, came time.Duration
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -100,7 +100,7 @@
 }
 
 // stood gives what a hollow dispatcher acted on, by its process's log.
-func stood(log, name string, end time.Time) []faults.Stand {
+func stood(log, name string, end time.Time) []faults.EffectiveState {
 	var own strings.Builder
 	mark := " hollow=" + name + " "
 	for line := range strings.Lines(log) {
@@ -108,7 +108,7 @@
 			own.WriteString(before + " " + after)
 		}
 	}
-	return faults.Stands(own.String(), end, nil)
+	return faults.EffectiveStates(own.String(), end, nil)
 }
 
 // startAll starts the seats, then all others at once.
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -160,11 +160,11 @@
 	all := f.histories()
 	f.returns(r, all)
 	f.inForce(r, all, after.late)
-	var stands [][]faults.Stand
+	var stands [][]faults.EffectiveState
 	for _, h := range all {
 		stands = append(stands, h.stands)
 	}
-	contradiction, _ := faults.Apart(stands)
+	contradiction, _ := faults.ContradictionTime(stands)
 	r.ContradictionMS = float64(contradiction.Microseconds()) / 1000
 	if f.Fault != nil {
 		r.Failures = []Failure{f.failure(all)}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -140,7 +140,7 @@
 }
 
 // standsOf gives what a dispatcher has acted on by now; of hollow ones as they were read last.
-func (f *stage) standsOf(m *member) []faults.Stand {
+func (f *stage) standsOf(m *member) []faults.EffectiveState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.hollow {
@@ -150,13 +150,13 @@
 	if m.node != nil {
 		log += m.node.Log()
 	}
-	return faults.Stands(log, time.Now(), m.away)
+	return faults.EffectiveStates(log, time.Now(), m.away)
 }
 
 // readStands asks the hollow dispatchers for theirs.
 func (f *stage) readStands() error {
 	for _, p := range f.processes() {
-		var all map[string][]faults.Stand
+		var all map[string][]faults.EffectiveState
 		if err := f.get("http://"+p.at+"/stands", &all); err != nil {
 			return fmt.Errorf("hollow process: %w", err)
 		}
@@ -176,7 +176,7 @@
 
 // waitLeased waits until all hold leases.
 func (f *stage) waitLeased(by time.Time) bool {
-	return f.waitAll(by, func(s faults.Stand) bool { return !s.Lapsed })
+	return f.waitAll(by, func(s faults.EffectiveState) bool { return !s.Lapsed })
 }
 
 // waitActed waits until all act on the newest version alone, with leases.
@@ -185,10 +185,12 @@
 	for _, c := range f.changes {
 		newest = max(newest, c.version)
 	}
-	return f.waitAll(by, func(s faults.Stand) bool { return !s.Lapsed && len(s.Versions) == 1 && s.Versions[0] >= newest })
+	return f.waitAll(by, func(s faults.EffectiveState) bool {
+		return !s.Lapsed && len(s.Versions) == 1 && s.Versions[0] >= newest
+	})
 }
 
-func (f *stage) waitAll(by time.Time, holds func(faults.Stand) bool) bool {
+func (f *stage) waitAll(by time.Time, holds func(faults.EffectiveState) bool) bool {
 	for f.ctx.Err() == nil {
 		all := f.readStands() == nil
 		for _, m := range f.members {
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -19,8 +19,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		gate := NewGate(l, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		gate.Allow(10, 1<<20)
+		gate := NewListener(l, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		gate.SetLimits(10, 1<<20)
 		failures := 3
 		accept := gate.accept
 		gate.accept = func() (*net.TCPConn, error) {
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -27,13 +27,13 @@
 	Attach(ctx context.Context, id string) error
 }
 
-// Refusal is an operator's call that is answered with no, and why.
-type Refusal struct {
+// OperationError is an operator's call that is answered with no, and why.
+type OperationError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *OperationError) Error() string { return r.Reason }
 
 // AdminHandler is the handler of the admin endpoint. A 2xx means yes.
 func AdminHandler(o Operations, log *slog.Logger) http.Handler {
@@ -62,7 +62,7 @@
 			enter(r, serving) // it has finished its call: it is not one of those that make room
 			if err = do(r.Context(), id); err != nil {
 				status := http.StatusInternalServerError
-				if no, ok := err.(*Refusal); ok {
+				if no, ok := err.(*OperationError); ok {
 					status = no.Status
 				}
 				log.Warn("operator's call refused", "call", name, "worker", id, "err", err)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -47,7 +47,7 @@
 // behind bytes that nobody has asked for yet.
 type Conn struct {
 	*net.TCPConn
-	gate *Gate
+	gate *Listener
 
 	// Owned by whoever reads, one at a time.
 	framing framing
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -14,15 +14,15 @@
 )
 
 // gateFor serves a handler behind a gate, and gives how to connect.
-func gateFor(t *testing.T, h http.HandlerFunc) (*Gate, func() net.Conn) {
+func gateFor(t *testing.T, h http.HandlerFunc) (*Listener, func() net.Conn) {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := NewGate(l, log)
-	g.Allow(100, 1<<20)
+	g := NewListener(l, log)
+	g.SetLimits(100, 1<<20)
 	go Server(h, log).Serve(g)
 	t.Cleanup(func() { g.Close() })
 	return g, func() net.Conn {
@@ -170,7 +170,7 @@
 		})
 		start := make(chan struct{})
 		done := make(chan struct{})
-		go func() { <-start; g.Dismiss(); close(done) }()
+		go func() { <-start; g.CloseIdle(); close(done) }()
 		if round%2 == 0 { // for sure before the request, or in the same moment
 			close(start)
 			<-done
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -22,7 +22,7 @@
 // Discovery asks for the destination set. It is the core's routing.Discovery.
 type Discovery struct {
 	Address string
-	Params  *protocol.Live
+	Params  *protocol.LiveSettings
 	meter   *traffic.Meter
 	client  http.Client
 }
@@ -35,7 +35,7 @@
 
 // NewDiscovery makes a client of its own: no proxy of the environment may come between. The meter counts what its calls cost;
 // nil for none.
-func NewDiscovery(address string, p *protocol.Live, m *traffic.Meter) *Discovery {
+func NewDiscovery(address string, p *protocol.LiveSettings, m *traffic.Meter) *Discovery {
 	dialer := &net.Dialer{Timeout: connectWithin}
 	return &Discovery{Address: address, Params: p, meter: m,
 		client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: m.Dial(dialer)}}}
@@ -44,7 +44,7 @@
 // Call is one call. Its end is set beforehand: a discovery that was cut off keeps a connection open and silent, and
 // what it had to tell counts as told for all that.
 func (d *Discovery) Call(ctx context.Context, revision int64, kind pacing.Kind) (routing.ListUpdate, error) {
-	p := d.Params.Now()
+	p := d.Params.Current()
 	wait, within := PacingRules(p).Timeouts(kind)
 	url, end := fmt.Sprintf("http://%s/registry/instances", d.Address), time.Now().Add(wait+within)
 	if revision != routing.FullList {
@@ -76,7 +76,7 @@
 	if revision == routing.FullList && !l.Complete {
 		return routing.ListUpdate{}, fmt.Errorf("asked for the whole list, discovery gave changes")
 	}
-	u := Update(l, d.Params.Now())
+	u := Update(l, d.Params.Current())
 	u.ReceivedAt = came
 	u.BeforeWaitEnded = time.Until(end) > within+wait/2
 	return u, nil
@@ -93,11 +93,11 @@
 }
 
 // PacingRules gives what calls for the list go by.
-func PacingRules(p *protocol.Params) pacing.Rules {
-	return pacing.Rules{ListsPushed: p.Pushed(), DrainGrace: p.Rules.DrainGrace.Span(), Dispatchers: p.ReplicasOfMe}
+func PacingRules(p *protocol.Settings) pacing.Rules {
+	return pacing.Rules{ListsPushed: p.ListsPushed(), DrainGrace: p.Rules.DrainGrace.Duration(), Dispatchers: p.ReplicasOfMe}
 }
 
 // Update gives a list in the core's terms.
-func Update(l *protocol.List, p *protocol.Params) routing.ListUpdate {
+func Update(l *protocol.List, p *protocol.Settings) routing.ListUpdate {
 	return routing.ListUpdate{Revision: l.Revision, Complete: l.Complete, Endpoints: l.Destinations(p)}
 }
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -31,7 +31,7 @@
 // endpoint is the actor of one endpoint. It alone owns the endpoint's connections: a connection is idle
 // here, or lent to the one exchange that runs on it.
 type endpoint struct {
-	fleet *Fleet
+	fleet *EndpointPool
 	id    brain.WorkerID
 	box   *routing.Mailbox[any]
 
@@ -81,7 +81,7 @@
 	}
 )
 
-func newEndpoint(f *Fleet, d routing.Endpoint) *endpoint {
+func newEndpoint(f *EndpointPool, d routing.Endpoint) *endpoint {
 	return &endpoint{fleet: f, id: d.ID, dest: d, box: routing.NewMailbox[any](), calls: map[routing.AttemptID]*exchange{}}
 }
 
@@ -194,7 +194,7 @@
 	}
 	e.waiting = append(e.waiting, x)
 	e.dialing++
-	address, until := e.dest.Address, time.Now().Add(e.fleet.params.Now().Limits.ConnectTimeout.Span())
+	address, until := e.dest.Address, time.Now().Add(e.fleet.params.Current().Limits.ConnectTimeout.Duration())
 	if x.deadline.Before(until) {
 		until = x.deadline
 	}
@@ -297,7 +297,7 @@
 		return ""
 	}
 	switch {
-	case x.call.ID.Number > 0 && e.fleet.Repeats != nil && !e.fleet.Repeats():
+	case x.call.ID.Number > 0 && e.fleet.RetriesAllowed != nil && !e.fleet.RetriesAllowed():
 		return "repeats are not allowed now"
 	case e.past(e.dest.NotifiedAt, drainMargin, now):
 		return "the worker drains or is gone"
@@ -316,7 +316,7 @@
 
 // graceEnd gives until when a call may be begun to an endpoint that was told then to drain, or is out by hand since then.
 func (e *endpoint) graceEnd(told time.Time, margin time.Duration) time.Time {
-	return told.Add(e.fleet.params.Now().Rules.DrainGrace.Span() - margin)
+	return told.Add(e.fleet.params.Current().Rules.DrainGrace.Duration() - margin)
 }
 
 // latest gives until when an exchange may be begun.
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -25,14 +25,14 @@
 
 // newIdle makes an endpoint's actor that does not run, and a wire for it with its far end.
 func newIdle(t *testing.T, told time.Time) (*endpoint, sink, *wire, net.Conn) {
-	p := &protocol.Params{}
+	p := &protocol.Settings{}
 	p.Limits.ConnectTimeout = protocol.Micros(time.Minute / time.Microsecond)
 	p.Rules.DrainGrace = 500000
 	ends := make(sink, 4)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	live := &protocol.Live{}
-	live.Put(p, func(brain.Settings) {})
-	e := newEndpoint(NewFleet(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: told})
+	live := &protocol.LiveSettings{}
+	live.Replace(p, func(brain.Settings) {})
+	e := newEndpoint(NewEndpointPool(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: told})
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
 	quota := &io.LimitedReader{R: here}
@@ -122,7 +122,7 @@
 	e.dest.Address = ln.Addr().String()
 	f := e.fleet
 	f.members["other"], f.members["this"] = newEndpoint(f, routing.Endpoint{}), e
-	f.Allow(1)
+	f.SetConnectionLimit(1)
 	if !f.take(e) {
 		t.Fatal("no room for the first")
 	}
@@ -140,8 +140,8 @@
 	for _, m := range e.box.Take() {
 		e.take(m)
 	}
-	if len(e.starved) != 0 || f.Held() != 1 || len(e.waiting) != 1 {
-		t.Errorf("%d still wait with room, %d held", len(e.starved), f.Held())
+	if len(e.starved) != 0 || f.OpenConnections() != 1 || len(e.waiting) != 1 {
+		t.Errorf("%d still wait with room, %d held", len(e.starved), f.OpenConnections())
 	}
 }
 
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -100,7 +100,7 @@
 func (e *endpoint) word(x *exchange) []byte {
 	host := x.wire.conn.RemoteAddr().String()
 	if x.probe {
-		return protocol.EncodeProbe(host, e.fleet.params.Now())
+		return protocol.EncodeProbe(host, e.fleet.params.Current())
 	}
 	job, _ := x.call.Job.(*protocol.Job)
 	return job.Encode(host, passedOn(time.Until(job.Deadline)))
@@ -132,9 +132,9 @@
 		return nil, err
 	}
 	if !x.probe {
-		return resp, e.follow(x, protocol.NewAnswer(x.name(), resp))
+		return resp, e.follow(x, protocol.NewWorkerResponse(x.name(), resp))
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, protocol.MaxBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, protocol.MaxBodyBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -159,13 +159,13 @@
 func (x *exchange) drain(resp *http.Response) bool {
 	conn := x.wire.conn
 	_ = conn.SetDeadline(time.Now().Add(drainWithin))
-	rest, err := io.Copy(io.Discard, io.LimitReader(resp.Body, protocol.MaxBody))
+	rest, err := io.Copy(io.Discard, io.LimitReader(resp.Body, protocol.MaxBodyBytes))
 	_ = conn.SetDeadline(time.Time{})
-	return err == nil && rest < protocol.MaxBody && !resp.Close
+	return err == nil && rest < protocol.MaxBodyBytes && !resp.Close
 }
 
 // follow passes a job's news on until its last message.
-func (e *endpoint) follow(x *exchange, a *protocol.Answer) error {
+func (e *endpoint) follow(x *exchange, a *protocol.WorkerResponse) error {
 	for {
 		news, err := a.Next()
 		if err != nil {
@@ -177,7 +177,7 @@
 		case protocol.Running:
 			e.fleet.sink.AttemptProgressed(x.call.ID, news.Share)
 		case protocol.Ended:
-			e.tell(x, news.End)
+			e.tell(x, news.Result)
 			return nil
 		}
 	}
--- a/internal/transport/fleet.go
+++ b/internal/transport/fleet.go
@@ -13,9 +13,9 @@
 	"brassdale/internal/routing"
 )
 
-// FleetSettings are the operator's, in a block fleet.
-type FleetSettings struct {
-	RetryBudget float64 `hcl:"retry_budget"` // further calls for each first one, over sliding windows
+// RetrySettings are the operator's, in a block fleet.
+type RetrySettings struct {
+	RetryRatio float64 `hcl:"retry_budget"` // further calls for each first one, over sliding windows
 }
 
 // Sink takes what comes back from endpoints. No method blocks.
@@ -27,11 +27,11 @@
 	AttemptSent() // a call was written to its last byte
 }
 
-// Fleet hands calls to the endpoints' actors. It is the core's routing.Endpoints. The actor of an endpoint
+// EndpointPool hands calls to the endpoints' actors. It is the core's routing.Endpoints. The actor of an endpoint
 // that is gone stays, idle: the module too remembers a worker for its life, and it may come back.
-type Fleet struct {
+type EndpointPool struct {
 	ctx     context.Context
-	params  *protocol.Live
+	params  *protocol.LiveSettings
 	sink    Sink
 	log     *slog.Logger
 	mu      sync.Mutex
@@ -41,25 +41,25 @@
 	barred  map[brain.WorkerID]time.Time // put out by hand, listed or not
 	starved []*endpoint                  // wait for a connection that they may open
 
-	// Repeats tells whether a call beyond a job's first may still leave; nil for always. It is set before the first call.
-	Repeats func() bool
+	// RetriesAllowed tells whether a call beyond a job's first may still leave; nil for always. It is set before the first call.
+	RetriesAllowed func() bool
 }
 
-// NewFleet makes an empty fleet. It opens no connection before Allow.
-func NewFleet(ctx context.Context, p *protocol.Live, sink Sink, log *slog.Logger) *Fleet {
-	return &Fleet{ctx: ctx, params: p, sink: sink, log: log, members: map[brain.WorkerID]*endpoint{},
+// NewEndpointPool makes an empty fleet. It opens no connection before Allow.
+func NewEndpointPool(ctx context.Context, p *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
+	return &EndpointPool{ctx: ctx, params: p, sink: sink, log: log, members: map[brain.WorkerID]*endpoint{},
 		barred: map[brain.WorkerID]time.Time{}}
 }
 
-// Allow sets how many connections all endpoints together may have open.
-func (f *Fleet) Allow(most int) {
+// SetConnectionLimit sets how many connections all endpoints together may have open.
+func (f *EndpointPool) SetConnectionLimit(most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.most = most
 	f.feed()
 }
 
-func (f *Fleet) allowed() int {
+func (f *EndpointPool) allowed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.most
@@ -67,7 +67,7 @@
 
 // take counts a connection that is to be opened, and tells whether it may be. If not, the endpoint hears of the next
 // that is closed, and all close what stands idle.
-func (f *Fleet) take(e *endpoint) bool {
+func (f *EndpointPool) take(e *endpoint) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.open < f.most {
@@ -84,14 +84,14 @@
 }
 
 // pass gives on what an endpoint that once waited has no more use for.
-func (f *Fleet) pass() {
+func (f *EndpointPool) pass() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.feed()
 }
 
 // give counts a connection that is closed.
-func (f *Fleet) give() {
+func (f *EndpointPool) give() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.open--
@@ -99,22 +99,22 @@
 }
 
 // feed tells those that wait as far as there is room; f.mu is held.
-func (f *Fleet) feed() {
+func (f *EndpointPool) feed() {
 	for n := f.most - f.open; n > 0 && len(f.starved) > 0; n-- {
 		f.starved[0].box.Post(room{})
 		f.starved = f.starved[1:]
 	}
 }
 
-// Held is how many they have.
-func (f *Fleet) Held() int {
+// OpenConnections is how many they have.
+func (f *EndpointPool) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.open
 }
 
 // Update tells an endpoint's actor what the destination set says of it, and starts the actor of a new one.
-func (f *Fleet) Update(d routing.Endpoint) {
+func (f *EndpointPool) Update(d routing.Endpoint) {
 	f.mu.Lock()
 	e := f.members[d.ID]
 	if e == nil && d.State != brain.Gone {
@@ -129,14 +129,14 @@
 	}
 }
 
-func (f *Fleet) member(id brain.WorkerID) *endpoint {
+func (f *EndpointPool) member(id brain.WorkerID) *endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members[id]
 }
 
 // Send starts a call.
-func (f *Fleet) Send(c routing.Attempt) {
+func (f *EndpointPool) Send(c routing.Attempt) {
 	if e := f.member(c.Endpoint); e != nil {
 		e.box.Post(c)
 		return
@@ -145,14 +145,14 @@
 }
 
 // Cancel gives a call up.
-func (f *Fleet) Cancel(id brain.WorkerID, c routing.AttemptID) {
+func (f *EndpointPool) Cancel(id brain.WorkerID, c routing.AttemptID) {
 	if e := f.member(id); e != nil {
 		e.box.Post(cancel{c})
 	}
 }
 
 // Bar puts an endpoint out by hand, or back. That stands beside what the destination set says of it.
-func (f *Fleet) SetDetached(id brain.WorkerID, since time.Time) {
+func (f *EndpointPool) SetDetached(id brain.WorkerID, since time.Time) {
 	f.mu.Lock()
 	if f.barred[id] = since; since.IsZero() {
 		delete(f.barred, id)
@@ -164,14 +164,14 @@
 }
 
 // Drop closes an endpoint's connections that have stood idle for so long.
-func (f *Fleet) CloseIdle(id brain.WorkerID, idle time.Duration) {
+func (f *EndpointPool) CloseIdle(id brain.WorkerID, idle time.Duration) {
 	if e := f.member(id); e != nil {
 		e.box.Post(drop{idle})
 	}
 }
 
 // Probe asks an endpoint for a sign of life.
-func (f *Fleet) Probe(id brain.WorkerID) {
+func (f *EndpointPool) Probe(id brain.WorkerID) {
 	if e := f.member(id); e != nil {
 		e.box.Post(probe{})
 		return
@@ -180,7 +180,7 @@
 }
 
 // idleMost is how many idle connections an endpoint may keep, so that all together stay within bounds.
-func (f *Fleet) idleMost() int {
+func (f *EndpointPool) idleMost() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.starved) > 0 {
@@ -189,6 +189,6 @@
 	return max(f.most/(2*max(len(f.members), 1)), 1)
 }
 
-func (f *Fleet) idleUntil(since time.Time) time.Time {
-	return since.Add(f.params.Now().Limits.ConnIdle.Span() * 85 / 100)
+func (f *EndpointPool) idleUntil(since time.Time) time.Time {
+	return since.Add(f.params.Current().Limits.ConnIdle.Duration() * 85 / 100)
 }
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -26,20 +26,20 @@
 // front is what both fronts share: they let requests in and count connections.
 type front struct {
 	core    Core
-	params  *protocol.Live
-	gate    *Gate
-	ids     *OpenIDs
+	params  *protocol.LiveSettings
+	gate    *Listener
+	ids     *InFlightIDs
 	leaving atomic.Pointer[time.Time] // since when; nil while it is not
 	passing atomic.Bool               // a successor serves here too: clients are to go there
-	keys    *Keys                     // nil where each request is a job of its own
-	shares  *Shares                   // nil where accounts have none
-	vet     Vet                       // nil where whoever comes may hand in any job
+	keys    *IdempotencyTable         // nil where each request is a job of its own
+	shares  *AccountQuotas            // nil where accounts have none
+	vet     Authorize                 // nil where whoever comes may hand in any job
 	aside   bool                      // this dispatcher wants no jobs
 	log     *slog.Logger
 }
 
-// Vet tells whether who sent a request may hand in its job; an error is a protocol.Reject.
-type Vet func(*http.Request, *protocol.Job) error
+// Authorize tells whether who sent a request may hand in its job; an error is a protocol.Reject.
+type Authorize func(*http.Request, *protocol.Job) error
 
 // closeBehind has the connection end behind the present answer. Where other streams share it, they end in their own
 // time, and only new ones have to come on another.
@@ -70,7 +70,7 @@
 // wants one is told that nobody is here, and all that this process could still serve goes unasked.
 func (f *front) tight() bool {
 	since := f.leaving.Load()
-	return since != nil && !f.passing.Load() && time.Since(*since) > frontLeaves && f.gate.Tight()
+	return since != nil && !f.passing.Load() && time.Since(*since) > frontLeaves && f.gate.NearlyFull()
 }
 
 // admit reads a request. It gives nil where it has answered itself: to what is no job, and to one more than there
@@ -78,7 +78,7 @@
 // the request is over.
 func (f *front) admit(w http.ResponseWriter, r *http.Request) (job *protocol.Job, done func()) {
 	done = func() {}
-	params := f.params.Now() // the rules that the job begins with
+	params := f.params.Current() // the rules that the job begins with
 	if !r.ProtoAtLeast(1, 1) || len(r.TransferEncoding) > 0 {
 		// Where the next request would begin is for net/http alone to say: the framing was not followed.
 		closeBehind(w)
@@ -96,8 +96,8 @@
 		return nil, done
 	}
 	size := r.ContentLength
-	if size < 0 || size > protocol.MaxBody { // not told, or cut off at the limit
-		size = protocol.MaxBody
+	if size < 0 || size > protocol.MaxBodyBytes { // not told, or cut off at the limit
+		size = protocol.MaxBodyBytes
 	}
 	if !f.gate.hold(size) {
 		f.refuse(w, r, protocol.ClassOf(r), "out of room for bodies")
@@ -111,7 +111,7 @@
 	}
 	if err != nil {
 		f.rejectJob(w, r, err)
-		if class := protocol.ClassOf(r); !params.Has(class) {
+		if class := protocol.ClassOf(r); !params.HasClass(class) {
 			f.core.Counters().CountAnsweredByFrontend(class, routing.Failed) // perhaps of a class that was dropped
 		}
 		return nil, done
@@ -187,7 +187,7 @@
 	f.log.Warn("fail-fast", "why", why, "id", r.Header.Get("Req-Id"))
 	f.core.Counters().CountAnsweredByFrontend(class, routing.Rejected)
 	defer boundReader(w, r)()
-	writeAnswer(w, routing.Answer{Verdict: routing.Rejected, RetryAfter: f.params.Now().Limits.MaxRetryAfter.Span()})
+	writeAnswer(w, routing.Answer{Verdict: routing.Rejected, RetryAfter: f.params.Current().Limits.MaxRetryAfter.Duration()})
 }
 
 // SetAside has the front say that this dispatcher wants no jobs: it is there for the fleet. It is called before the front serves.
@@ -207,11 +207,11 @@
 	}
 }
 
-var errIDInUse = &protocol.Reject{Status: http.StatusConflict, Why: "Req-Id is of a request that is open"}
+var errIDInUse = &protocol.RequestError{Status: http.StatusConflict, Reason: "Req-Id is of a request that is open"}
 
 // readJob reads and decodes a request. A body that does not come whole in time ends in an error; after that
 // the server must be free to notice that the client leaves.
-func readJob(w http.ResponseWriter, r *http.Request, p *protocol.Params) (*protocol.Job, error) {
+func readJob(w http.ResponseWriter, r *http.Request, p *protocol.Settings) (*protocol.Job, error) {
 	now := time.Now()
 	c := http.NewResponseController(w)
 	if r.ProtoMajor >= 2 {
@@ -229,7 +229,7 @@
 
 func (f *front) rejectJob(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
-	if why := (*protocol.Reject)(nil); errors.As(err, &why) {
+	if why := (*protocol.RequestError)(nil); errors.As(err, &why) {
 		status = why.Status
 	}
 	if status == http.StatusMethodNotAllowed {
--- a/internal/transport/gate.go
+++ b/internal/transport/gate.go
@@ -32,12 +32,12 @@
 	reserveShare = 10 // of the connections, one in so many more to refuse on
 )
 
-// Gate is a front's listener and the table of its connections. It keeps them inside the front's part of the
+// Listener is a front's listener and the table of its connections. It keeps them inside the front's part of the
 // descriptors whatever clients do: past it, one that is ending goes, then one that has said nothing yet, the oldest
 // first, then an idle one that never brought a job, one whose request has not gone on for long, one that is idle
 // between jobs, one that has only just come and said nothing, one whose request still comes, and one that carries a
 // job never. Where all carry jobs, the newcomer is served a refusal, up to a small reserve.
-type Gate struct {
+type Listener struct {
 	*net.TCPListener
 	room   atomic.Int64 // for the bodies of all requests together, in bytes
 	bodies atomic.Int64 // that are being read, or held for their jobs
@@ -84,36 +84,36 @@
 	return l.(*net.TCPListener), nil
 }
 
-// NewGate makes the gate of a front. It lets nothing in before Allow.
-func NewGate(l *net.TCPListener, log *slog.Logger) *Gate {
-	return &Gate{TCPListener: l, log: log, accept: l.AcceptTCP, failures: listen.Failures{Log: log}, conns: map[*Conn]struct{}{}}
+// NewListener makes the gate of a front. It lets nothing in before Allow.
+func NewListener(l *net.TCPListener, log *slog.Logger) *Listener {
+	return &Listener{TCPListener: l, log: log, accept: l.AcceptTCP, failures: listen.Failures{Log: log}, conns: map[*Conn]struct{}{}}
 }
 
-// NewMultiplexedGate makes the gate of a front whose connections carry many requests at a time. It gives their bytes as
+// NewMultiplexedListener makes the gate of a front whose connections carry many requests at a time. It gives their bytes as
 // they come: whoever knows the protocol follows them.
-func NewMultiplexedGate(l *net.TCPListener, log *slog.Logger) *Gate {
-	g := NewGate(l, log)
+func NewMultiplexedListener(l *net.TCPListener, log *slog.Logger) *Listener {
+	g := NewListener(l, log)
 	g.multiplexed = true
 	return g
 }
 
-// AllowStreams sets how many jobs all connections of a multiplexed gate may have open together.
-func (g *Gate) AllowStreams(most int) {
+// SetStreamLimit sets how many jobs all connections of a multiplexed gate may have open together.
+func (g *Listener) SetStreamLimit(most int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.streams = most
 }
 
-// Jobs is how many jobs the connections of a multiplexed gate have open.
-func (g *Gate) Jobs() int {
+// OpenStreams is how many jobs the connections of a multiplexed gate have open.
+func (g *Listener) OpenStreams() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.jobs
 }
 
-// Allow sets how many connections the front may hold, a tenth more to refuse on, and how many bytes of bodies:
+// SetLimits sets how many connections the front may hold, a tenth more to refuse on, and how many bytes of bodies:
 // each is small, but one on every connection would be more than the memory that the platform gives.
-func (g *Gate) Allow(most int, room int64) {
+func (g *Listener) SetLimits(most int, room int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.most = most
@@ -121,7 +121,7 @@
 }
 
 // Pause leaves new connections in the listener's queue, which a successor shares, until Resume.
-func (g *Gate) Pause() {
+func (g *Listener) Pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.paused == nil {
@@ -131,7 +131,7 @@
 }
 
 // Resume takes new connections again.
-func (g *Gate) Resume() {
+func (g *Listener) Resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.paused != nil {
@@ -142,14 +142,14 @@
 }
 
 // Close closes the listener.
-func (g *Gate) Close() error {
+func (g *Listener) Close() error {
 	err := g.TCPListener.Close()
 	g.Resume() // an Accept that pauses finds it closed
 	return err
 }
 
 // pausing gives what to wait for while no connections are taken; nil while they are.
-func (g *Gate) pausing() <-chan struct{} {
+func (g *Listener) pausing() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.paused
@@ -157,7 +157,7 @@
 
 // Accept gives the next connection and makes room for it. Only closing the gate ends it: whatever else accept fails with
 // (connections that were aborted, no descriptors, no memory, no room to poll one more) is over sooner or later.
-func (g *Gate) Accept() (net.Conn, error) {
+func (g *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := listen.Next(g.accept, g.failures.Failed)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -179,7 +179,7 @@
 }
 
 // admit enters a connection and tells whether there was room even for a refusal.
-func (g *Gate) admit(c *Conn) bool {
+func (g *Listener) admit(c *Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.conns) >= g.most {
@@ -206,7 +206,7 @@
 
 // ended takes a connection out of the table; g is locked. One that ends with nothing written, though its client has not
 // gone, is counted.
-func (g *Gate) ended(c *Conn) {
+func (g *Listener) ended(c *Conn) {
 	if _, held := g.conns[c]; held && !c.wrote.Load() && !c.gone.Load() {
 		g.unanswered++
 	}
@@ -214,14 +214,14 @@
 }
 
 // Unanswered is how many connections were ended here before anything was written on them, and their clients had not gone.
-func (g *Gate) Unanswered() int {
+func (g *Listener) Unanswered() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.unanswered
 }
 
 // spare finds the connection that is missed least.
-func (g *Gate) spare(now time.Time) *Conn {
+func (g *Listener) spare(now time.Time) *Conn {
 	rank := func(c *Conn) int {
 		switch {
 		case c.phase == closing:
@@ -258,10 +258,10 @@
 // dismissYoung is how long a client that has just connected has for its request while connections are dismissed.
 const dismissYoung = 300 * time.Millisecond
 
-// Dismiss ends the connections that owe nothing: those that are idle, and those that have brought nothing for a while. From
+// CloseIdle ends the connections that owe nothing: those that are idle, and those that have brought nothing for a while. From
 // then on each that comes to owe nothing ends too. A request that is half here is read on. Where connections are
 // multiplexed it does nothing: their protocol has a word for it.
-func (g *Gate) Dismiss() {
+func (g *Listener) CloseIdle() {
 	if g.multiplexed {
 		return
 	}
@@ -285,9 +285,9 @@
 // refuseWithin is how long the answer may take that a refusal writes: it fits into any client's window.
 const refuseWithin = 10 * time.Millisecond
 
-// RefuseUnfinished answers the requests that are half here, and takes no further byte of them. The process is about to end: a
+// RejectUnfinished answers the requests that are half here, and takes no further byte of them. The process is about to end: a
 // client that went on writing would find its connection closed with no answer. Where connections are multiplexed it does nothing.
-func (g *Gate) RefuseUnfinished() {
+func (g *Listener) RejectUnfinished() {
 	for _, c := range g.unfinished() {
 		_ = c.SetWriteDeadline(time.Now().Add(refuseWithin)) // fails only on a closed connection, as does what follows
 		_, _ = c.Write([]byte(refusal))
@@ -296,7 +296,7 @@
 }
 
 // unfinished takes the connections that have brought a part of a request, and lets no more of it in.
-func (g *Gate) unfinished() (all []*Conn) {
+func (g *Listener) unfinished() (all []*Conn) {
 	if g.multiplexed {
 		return nil
 	}
@@ -312,15 +312,15 @@
 	return all
 }
 
-// Dismissed tells whether connections end behind their answers.
-func (g *Gate) Dismissed() bool {
+// Closing tells whether connections end behind their answers.
+func (g *Listener) Closing() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.dismissed
 }
 
-// Owed is how many answers are owed.
-func (g *Gate) Owed() int {
+// PendingAnswers is how many answers are owed.
+func (g *Listener) PendingAnswers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	owed := g.jobs
@@ -333,14 +333,14 @@
 }
 
 // Full tells whether jobs hold more than the front's part of the descriptors.
-func (g *Gate) Full() bool {
+func (g *Listener) Full() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns) > g.most
 }
 
 // hold sets room aside for a request's body and tells whether there was any; what it gave must be let go of.
-func (g *Gate) hold(n int64) bool {
+func (g *Listener) hold(n int64) bool {
 	if g.bodies.Add(n) > g.room.Load() {
 		g.bodies.Add(-n)
 		return false
@@ -348,10 +348,10 @@
 	return true
 }
 
-func (g *Gate) letGo(n int64) { g.bodies.Add(-n) }
+func (g *Listener) letGo(n int64) { g.bodies.Add(-n) }
 
-// Held is how many connections clients hold.
-func (g *Gate) Held() int {
+// Connections is how many connections clients hold.
+func (g *Listener) Connections() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns)
@@ -360,8 +360,8 @@
 // spareShare is the part of the connections that is kept free while no new one can come.
 const spareShare = 16
 
-// Tight tells whether one more job would take of the last connections that are free for a next request.
-func (g *Gate) Tight() bool {
+// NearlyFull tells whether one more job would take of the last connections that are free for a next request.
+func (g *Listener) NearlyFull() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	free := -1 // without the one that asks
--- a/internal/transport/gate_test.go
+++ b/internal/transport/gate_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	g := NewGate(l, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	g := NewListener(l, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	now := time.Now()
 	add := func(p phase, age time.Duration, client bool) (*Conn, net.Conn) {
 		far, err := net.Dial("tcp", l.Addr().String())
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -21,7 +21,7 @@
 	net.Conn // the gate's, or TLS over it
 	gated    *transport.Conn
 	tls      *tls.Conn // nil where the connection is in clear
-	front    *Front
+	front    *Frontend
 	taken    time.Time // the judge's times count from here
 
 	checked bool // owned by Read: TLS agreed on the protocol
@@ -36,7 +36,7 @@
 	ended atomic.Bool // told to end: nothing more goes on to net/http
 }
 
-func newConn(front *Front, gated *transport.Conn, config *tls.Config) *conn {
+func newConn(front *Frontend, gated *transport.Conn, config *tls.Config) *conn {
 	c := &conn{Conn: gated, gated: gated, front: front, taken: time.Now(), judge: streams.New(0), in: follower{ahead: len(preface)}}
 	if config != nil {
 		c.tls = tls.Server(gated, config)
--- a/internal/transport/http2/front.go
+++ b/internal/transport/http2/front.go
@@ -39,11 +39,11 @@
 	connWindow   = 256 << 10
 )
 
-// Front is the front.
-type Front struct {
-	*transport.Inbound
+// Frontend is the front.
+type Frontend struct {
+	*transport.JobFrontend
 	log  *slog.Logger
-	gate *transport.Gate
+	gate *transport.Listener
 
 	now atomic.Pointer[inForce]
 
@@ -63,9 +63,9 @@
 }
 
 // New makes the front behind a multiplexed gate. Its files are read: an error names the one at fault.
-func New(s *Settings, core transport.Core, p *protocol.Live, gate *transport.Gate, ids *transport.OpenIDs, keys *transport.Keys, accounts *transport.Shares, log *slog.Logger) (*Front, error) {
-	f := &Front{log: log, gate: gate, conns: map[*conn]struct{}{}, calms: map[streams.CloseReason]int{}}
-	f.Inbound = transport.NewInbound(core, p, gate, ids, keys, accounts, f.vet, log)
+func New(s *Settings, core transport.Core, p *protocol.LiveSettings, gate *transport.Listener, ids *transport.InFlightIDs, keys *transport.IdempotencyTable, accounts *transport.AccountQuotas, log *slog.Logger) (*Frontend, error) {
+	f := &Frontend{log: log, gate: gate, conns: map[*conn]struct{}{}, calms: map[streams.CloseReason]int{}}
+	f.JobFrontend = transport.NewJobFrontend(core, p, gate, ids, keys, accounts, f.vet, log)
 	put, err := f.Prepare(s)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 
 // Prepare reads the files of new settings and gives what puts them in force, for the connections that come from then on;
 // certificates' grants hold for all from then on. After an error all is as it was.
-func (f *Front) Prepare(s *Settings) (put func(), err error) {
+func (f *Frontend) Prepare(s *Settings) (put func(), err error) {
 	next := &inForce{grants: grantsOf(s.Clients)}
 	if s.TLS != nil {
 		if next.keys, err = s.TLS.load(); err != nil {
@@ -94,7 +94,7 @@
 }
 
 // watch warns once of a certificate's end, when it is near.
-func (f *Front) watch(k *keys) {
+func (f *Frontend) watch(k *keys) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.warning != nil {
@@ -110,7 +110,7 @@
 }
 
 // Server makes the front's server.
-func (f *Front) Server(s *Settings) *http.Server {
+func (f *Frontend) Server(s *Settings) *http.Server {
 	server := transport.Server(f, f.log)
 	server.MaxHeaderBytes = mostHeaders
 	server.Protocols = &http.Protocols{}
@@ -121,15 +121,15 @@
 }
 
 // Listener gives the gate's connections to the server, followed.
-func (f *Front) Listener() net.Listener { return listener{f.gate, f} }
+func (f *Frontend) Listener() net.Listener { return listener{f.gate, f} }
 
 type listener struct {
-	*transport.Gate
-	front *Front
+	*transport.Listener
+	front *Frontend
 }
 
 func (l listener) Accept() (net.Conn, error) {
-	accepted, err := l.Gate.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
@@ -148,14 +148,14 @@
 	return c, nil
 }
 
-func (f *Front) forget(c *conn) {
+func (f *Frontend) forget(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, c)
 }
 
 // vet tells whether a client may hand in a job.
-func (f *Front) vet(r *http.Request, job *protocol.Job) error {
+func (f *Frontend) vet(r *http.Request, job *protocol.Job) error {
 	now := f.now.Load()
 	if !now.vets {
 		return nil
@@ -167,11 +167,11 @@
 	f.forbidden++
 	f.mu.Unlock()
 	f.log.Debug("client may not hand in this account's jobs", "id", job.ID, "account", job.Account)
-	return &protocol.Reject{Status: http.StatusForbidden, Why: "the certificate is not granted the account"}
+	return &protocol.RequestError{Status: http.StatusForbidden, Reason: "the certificate is not granted the account"}
 }
 
 // calmed notes a connection that was ended by its budgets.
-func (f *Front) calmed(why streams.CloseReason, c *transport.Conn) {
+func (f *Frontend) calmed(why streams.CloseReason, c *transport.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calms[why]++
@@ -180,18 +180,18 @@
 
 // Leaving turns the ready page to 503 and tells all clients to come no more: what they have sent until they hear it is
 // still served.
-func (f *Front) Leaving() {
-	f.Inbound.Leaving()
+func (f *Frontend) Leaving() {
+	f.JobFrontend.Leaving()
 	f.goAway(true)
 }
 
 // Passing has clients go to a successor at the same address.
-func (f *Front) Passing(on bool) {
-	f.Inbound.Passing(on)
+func (f *Frontend) Passing(on bool) {
+	f.JobFrontend.Passing(on)
 	f.goAway(on)
 }
 
-func (f *Front) goAway(on bool) {
+func (f *Frontend) goAway(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leaving = on
@@ -202,12 +202,12 @@
 	}
 }
 
-// Figures gives the front's numbers, a line each.
-func (f *Front) Figures() string {
+// Metrics gives the front's numbers, a line each.
+func (f *Frontend) Metrics() string {
 	var b strings.Builder
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fmt.Fprintf(&b, "front.http2.connections=%d\nfront.http2.streams=%d\nfront.http2.forbidden=%d\n", len(f.conns), f.gate.Jobs(), f.forbidden)
+	fmt.Fprintf(&b, "front.http2.connections=%d\nfront.http2.streams=%d\nfront.http2.forbidden=%d\n", len(f.conns), f.gate.OpenStreams(), f.forbidden)
 	for _, why := range []streams.CloseReason{streams.TooManyTinyDataFrames, streams.HeaderTooLong, streams.IncompleteInTime, streams.TooManyPings, streams.TooManyPriorities,
 		streams.TooManyResets, streams.TooManySettings, streams.TooManyUnknownFrames, streams.TooManyWindowUpdates} {
 		fmt.Fprintf(&b, "front.http2.ended.%s=%d\n", why, f.calms[why])
--- a/internal/transport/http2/front_test.go
+++ b/internal/transport/http2/front_test.go
@@ -32,12 +32,12 @@
 // BenchmarkFronts tells what a job costs at each front, without the module and endpoints. The client costs nothing that
 // is counted.
 func BenchmarkFronts(b *testing.B) {
-	params := &protocol.Live{}
-	p := &protocol.Params{}
+	params := &protocol.LiveSettings{}
+	p := &protocol.Settings{}
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000,"window":1000}],"limits":{"maxAttempts":4}}`), p); err != nil {
 		b.Fatal(err)
 	}
-	params.Put(p, func(brain.Settings) {})
+	params.Replace(p, func(brain.Settings) {})
 	log := slog.New(slog.DiscardHandler)
 	listen := func() *net.TCPListener {
 		l, err := transport.Listen("127.0.0.1:0")
@@ -51,9 +51,9 @@
 		b.Cleanup(func() { server.Close() })
 	}
 	b.Run("HTTP/1.1", func(b *testing.B) {
-		gate := transport.NewGate(listen(), log)
-		gate.Allow(100, math.MaxInt64)
-		serve(transport.Server(transport.NewInbound(&atOnce{}, params, gate, &transport.OpenIDs{}, nil, nil, nil, log), log), gate)
+		gate := transport.NewListener(listen(), log)
+		gate.SetLimits(100, math.MaxInt64)
+		serve(transport.Server(transport.NewJobFrontend(&atOnce{}, params, gate, &transport.InFlightIDs{}, nil, nil, nil, log), log), gate)
 		conn, err := net.Dial("tcp", gate.Addr().String())
 		if err != nil {
 			b.Fatal(err)
@@ -81,11 +81,11 @@
 		}
 	})
 	b.Run("HTTP/2", func(b *testing.B) {
-		gate := transport.NewMultiplexedGate(listen(), log)
-		gate.Allow(100, math.MaxInt64)
-		gate.AllowStreams(1000)
+		gate := transport.NewMultiplexedListener(listen(), log)
+		gate.SetLimits(100, math.MaxInt64)
+		gate.SetStreamLimit(1000)
 		s := Default()
-		front, err := New(&s, &atOnce{}, params, gate, &transport.OpenIDs{}, nil, nil, log)
+		front, err := New(&s, &atOnce{}, params, gate, &transport.InFlightIDs{}, nil, nil, log)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -11,12 +11,12 @@
 	"brassdale/internal/routing"
 )
 
-// Inbound is the front for the platform's protocol.
-type Inbound struct{ front }
+// JobFrontend is the front for the platform's protocol.
+type JobFrontend struct{ front }
 
-// NewInbound makes the front. keys, shares and vet may be nil.
-func NewInbound(c Core, p *protocol.Live, g *Gate, ids *OpenIDs, keys *Keys, shares *Shares, vet Vet, log *slog.Logger) *Inbound {
-	return &Inbound{front{core: c, params: p, gate: g, ids: ids, keys: keys, shares: shares, vet: vet, log: log}}
+// NewJobFrontend makes the front. keys, shares and vet may be nil.
+func NewJobFrontend(c Core, p *protocol.LiveSettings, g *Listener, ids *InFlightIDs, keys *IdempotencyTable, shares *AccountQuotas, vet Authorize, log *slog.Logger) *JobFrontend {
+	return &JobFrontend{front{core: c, params: p, gate: g, ids: ids, keys: keys, shares: shares, vet: vet, log: log}}
 }
 
 // Server makes the server for a front's handler. A connection that brings no whole head in time is closed, and
@@ -26,13 +26,13 @@
 		IdleTimeout: 2 * time.Minute, DisableGeneralOptionsHandler: true, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 }
 
-func (f *Inbound) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *JobFrontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	job, done := f.admit(w, r)
 	defer done()
 	if job == nil {
 		return
 	}
-	if f.keys != nil && job.Key != "" {
+	if f.keys != nil && job.IdempotencyKey != "" {
 		f.whole(w, r, job)
 		return
 	}
@@ -66,7 +66,7 @@
 // write writes an answer.
 func (f *front) write(w http.ResponseWriter, r *http.Request, a routing.Answer) {
 	defer boundReader(w, r)()
-	if f.gate.Dismissed() {
+	if f.gate.Closing() {
 		closeBehind(w)
 	}
 	writeAnswer(w, a)
@@ -74,8 +74,8 @@
 
 // inboundOf gives a job in the core's terms.
 func inboundOf(j *protocol.Job, c routing.Client) routing.Request {
-	return routing.Request{Class: j.Class, ClassName: j.ClassName, Account: j.Account, LogName: j.ID, Limits: j.Rules, Slots: j.Slots,
-		EstimatedWork: j.Work, AffinityKey: j.Subject, IdempotencyKey: j.Key, Deadline: j.Deadline, Job: j, Client: c}
+	return routing.Request{Class: j.Class, ClassName: j.ClassName, Account: j.Account, LogName: j.ID, Limits: j.Limits, Slots: j.Slots,
+		EstimatedWork: j.EstimatedWork, AffinityKey: j.AffinityKey, IdempotencyKey: j.IdempotencyKey, Deadline: j.Deadline, Job: j, Client: c}
 }
 
 // single is a client that waits for its answer alone.
--- a/internal/transport/keys.go
+++ b/internal/transport/keys.go
@@ -14,21 +14,21 @@
 	"brassdale/internal/routing"
 )
 
-// KeysSettings are the operator's, in a block keys.
-type KeysSettings struct {
+// IdempotencySettings are the operator's, in a block keys.
+type IdempotencySettings struct {
 	Jobs   int `hcl:"jobs,optional"`    // most jobs remembered at a time
 	KeepMB int `hcl:"keep_mb,optional"` // most memory for their answers
 }
 
-// DefaultKeys holds what an operator leaves out.
-func DefaultKeys() KeysSettings { return KeysSettings{Jobs: 8192, KeepMB: 24} }
+// DefaultIdempotency holds what an operator leaves out.
+func DefaultIdempotency() IdempotencySettings { return IdempotencySettings{Jobs: 8192, KeepMB: 24} }
 
-// Keys remembers the job of each Idempotency-Key, at whichever front it came in: while it is open, and for the key's
+// IdempotencyTable remembers the job of each Idempotency-Key, at whichever front it came in: while it is open, and for the key's
 // window after its end, which ends later than the one in which endpoints drop a repeat. Who comes with the key joins
 // it; so no key is started twice while endpoints may remember it.
-type Keys struct {
-	set     *KeysSettings
-	ids     *OpenIDs
+type IdempotencyTable struct {
+	set     *IdempotencySettings
+	ids     *InFlightIDs
 	streams bool         // a front streams jobs' events: they are kept too
 	bytes   atomic.Int64 // of the events and answers of all jobs
 
@@ -62,7 +62,7 @@
 const forgetEvery = 100 * time.Millisecond
 
 // retire has a job forgotten behind its window, unless its key has a newer one by then.
-func (k *Keys) retire(j *watched, window time.Duration) {
+func (k *IdempotencyTable) retire(j *watched, window time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	heap.Push((*byAge)(&k.old), retired{j, time.Now().Add(window)})
@@ -72,7 +72,7 @@
 }
 
 // sweep forgets what is due.
-func (k *Keys) sweep() {
+func (k *IdempotencyTable) sweep() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -85,16 +85,16 @@
 	}
 }
 
-// NewKeys makes the table. streams tells that there is a front that streams jobs' events.
-func NewKeys(s *KeysSettings, ids *OpenIDs, streams bool) *Keys {
-	return &Keys{set: s, ids: ids, streams: streams, jobs: map[string]*watched{}}
+// NewIdempotencyTable makes the table. streams tells that there is a front that streams jobs' events.
+func NewIdempotencyTable(s *IdempotencySettings, ids *InFlightIDs, streams bool) *IdempotencyTable {
+	return &IdempotencyTable{set: s, ids: ids, streams: streams, jobs: map[string]*watched{}}
 }
 
 // errUnknown: the job is known to another dispatcher, or was to this one before a restart. It may run or have run
 // elsewhere, so a run from here could be one too many.
-var errUnknown = &protocol.Reject{Status: http.StatusBadGateway, Why: "the job of this Idempotency-Key is not known here; nothing was started"}
+var errUnknown = &protocol.RequestError{Status: http.StatusBadGateway, Reason: "the job of this Idempotency-Key is not known here; nothing was started"}
 
-var errAnother = &protocol.Reject{Status: http.StatusUnprocessableEntity, Why: "Idempotency-Key was used for another job"}
+var errAnother = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
 
 // find gives the job of a request's key, the one that is known or a fresh one, with the request as one of its readers;
 // or it answers the request itself. kept tells that the job is to go on without readers.
@@ -102,8 +102,8 @@
 	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
 	k := f.keys
 	k.mu.Lock()
-	j = k.jobs[job.Key]
-	if job.Key == "" {
+	j = k.jobs[job.IdempotencyKey]
+	if job.IdempotencyKey == "" {
 		j = nil
 	}
 	var known *repeats.RememberedJob
@@ -112,15 +112,15 @@
 	}
 	verdict := repeats.Decide(known, again, len(k.jobs) < k.set.Jobs && k.bytes.Load() < int64(k.set.KeepMB)<<20)
 	if verdict == repeats.Start {
-		j = &watched{keys: k, key: job.Key, id: job.ID, digest: digest, changed: make(chan struct{}),
-			window: job.Window, release: sync.OnceFunc(func() { k.ids.free(job.ID) })}
+		j = &watched{keys: k, key: job.IdempotencyKey, id: job.ID, digest: digest, changed: make(chan struct{}),
+			window: job.DeduplicationWindow, release: sync.OnceFunc(func() { k.ids.free(job.ID) })}
 	}
-	taken := verdict != repeats.Start || k.ids.Take(job.ID, nil) // the predecessor is asked when nothing is held up by it
+	taken := verdict != repeats.Start || k.ids.Reserve(job.ID, nil) // the predecessor is asked when nothing is held up by it
 	if ok = taken && (verdict == repeats.Start || verdict == repeats.Join); ok {
 		j.readers++
-		j.kept = j.kept || kept && job.Key != ""
-		if verdict == repeats.Start && job.Key != "" {
-			k.jobs[job.Key] = j
+		j.kept = j.kept || kept && job.IdempotencyKey != ""
+		if verdict == repeats.Start && job.IdempotencyKey != "" {
+			k.jobs[job.IdempotencyKey] = j
 		}
 	}
 	k.mu.Unlock()
@@ -142,7 +142,7 @@
 }
 
 // submitted notes a job's number at the core.
-func (k *Keys) submitted(j *watched, id brain.RequestID) {
+func (k *IdempotencyTable) submitted(j *watched, id brain.RequestID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	j.request = id
@@ -213,14 +213,14 @@
 }
 
 // forget drops a job that was given up.
-func (k *Keys) forget(j *watched) {
+func (k *IdempotencyTable) forget(j *watched) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.drop(j)
 }
 
 // drop forgets a job; k.mu is held.
-func (k *Keys) drop(j *watched) {
+func (k *IdempotencyTable) drop(j *watched) {
 	if k.jobs[j.key] == j {
 		delete(k.jobs, j.key)
 	}
--- a/internal/transport/progress.go
+++ b/internal/transport/progress.go
@@ -26,20 +26,20 @@
 // final answer is with the client by then.
 const answerMargin = 100 * time.Millisecond
 
-// Progress is the front for progress by server-sent events. A job belongs to its key, not to a
+// ProgressFrontend is the front for progress by server-sent events. A job belongs to its key, not to a
 // connection: it runs on to its deadline when its client's stream drops, and a repeat of the key attaches
 // to it.
-type Progress struct {
+type ProgressFrontend struct {
 	front
 	set *ProgressSettings
 }
 
-// NewProgress makes the front.
-func NewProgress(c Core, p *protocol.Live, o *ProgressSettings, g *Gate, ids *OpenIDs, keys *Keys, shares *Shares, log *slog.Logger) *Progress {
-	return &Progress{front: front{core: c, params: p, gate: g, ids: ids, keys: keys, shares: shares, log: log}, set: o}
+// NewProgressFrontend makes the front.
+func NewProgressFrontend(c Core, p *protocol.LiveSettings, o *ProgressSettings, g *Listener, ids *InFlightIDs, keys *IdempotencyTable, shares *AccountQuotas, log *slog.Logger) *ProgressFrontend {
+	return &ProgressFrontend{front: front{core: c, params: p, gate: g, ids: ids, keys: keys, shares: shares, log: log}, set: o}
 }
 
-func (f *Progress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *ProgressFrontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	job, done := f.admit(w, r)
 	defer done()
 	if job == nil {
@@ -67,7 +67,7 @@
 		f.keys.submitted(j, f.core.Submit(inboundOf(job, j)))
 	}
 	leave := func() {
-		if job.Key == "" { // nobody could come back for it
+		if job.IdempotencyKey == "" { // nobody could come back for it
 			f.abandon(j)
 		}
 	}
@@ -76,7 +76,7 @@
 
 // stream sends a job's events from the one after seen. Until there is one, the answer is still free to be
 // a plain HTTP status.
-func (f *Progress) stream(w http.ResponseWriter, r *http.Request, j *watched, seen int, leave func()) {
+func (f *ProgressFrontend) stream(w http.ResponseWriter, r *http.Request, j *watched, seen int, leave func()) {
 	c := http.NewResponseController(w)
 	for begun := false; ; {
 		events, final, changed, ok := j.after(seen)
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -25,14 +25,14 @@
 // peer is the other process's table of keys. A job is at one of both: who comes to the other one for it is
 // relayed, through a Unix socket, and what has ended at the predecessor goes to the successor's table.
 type peer struct {
-	sibling *Sibling
+	sibling *PeerProcess
 	older   bool // it is the predecessor
 	proxy   *httputil.ReverseProxy
 }
 
-// Beside goes on beside another process, whose front takes relayed readers at a path; with none, alone. older tells
+// RunBeside goes on beside another process, whose front takes relayed readers at a path; with none, alone. older tells
 // whether that one is the predecessor; else it is handed what is remembered here.
-func (f *Keys) Beside(sibling *Sibling, path string, older bool) {
+func (f *IdempotencyTable) RunBeside(sibling *PeerProcess, path string, older bool) {
 	var p *peer
 	if sibling != nil && path != "" {
 		dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -43,7 +43,7 @@
 			Transport:     &http.Transport{DialContext: dial, DisableKeepAlives: true},
 			FlushInterval: -1, // each event at once
 			ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) {
-				http.Error(w, errUnknown.Why, errUnknown.Status)
+				http.Error(w, errUnknown.Reason, errUnknown.Status)
 			},
 		}}
 	}
@@ -61,7 +61,7 @@
 
 // elsewhere gives the other process's front if that one has the job of a key: the predecessor if it knows the key,
 // the successor for all keys that are not known here.
-func (f *Keys) elsewhere(key string) *peer {
+func (f *IdempotencyTable) elsewhere(key string) *peer {
 	f.mu.Lock()
 	p, known := f.peer, f.jobs[key] != nil
 	f.mu.Unlock()
@@ -71,14 +71,14 @@
 	case !p.older:
 		return p
 	}
-	if yes, heard := p.sibling.Ask(protocol.Note{Key: key}, time.Now().Add(siblingAnswers)); heard && yes {
+	if yes, heard := p.sibling.Ask(protocol.HandoverMessage{Key: key}, time.Now().Add(siblingAnswers)); heard && yes {
 		return p
 	}
 	return nil
 }
 
 // Has tells whether the job of a key is known here. One that was refused may be tried anew anywhere.
-func (f *Keys) Has(key string) bool {
+func (f *IdempotencyTable) Has(key string) bool {
 	f.mu.Lock()
 	j := f.jobs[key]
 	f.mu.Unlock()
@@ -87,7 +87,7 @@
 
 // elsewhere has the other process answer a request whose job it has, and tells whether that is so.
 func (f *front) elsewhere(w http.ResponseWriter, r *http.Request, job *protocol.Job, as string) bool {
-	p := f.keys.elsewhere(job.Key)
+	p := f.keys.elsewhere(job.IdempotencyKey)
 	if p == nil {
 		return false
 	}
@@ -98,13 +98,13 @@
 	return true
 }
 
-// Relayed is the handler for the readers that the other process relays. Both ways of answering go by one table.
-type Relayed struct {
-	Whole  *Inbound
-	Stream *Progress // nil where that front is off
+// RelayHandler is the handler for the readers that the other process relays. Both ways of answering go by one table.
+type RelayHandler struct {
+	Whole  *JobFrontend
+	Stream *ProgressFrontend // nil where that front is off
 }
 
-func (f Relayed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f RelayHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.Stream != nil && r.Header.Get(relayedAs) != inOnePiece {
 		f.Stream.ServeHTTP(w, r)
 		return
@@ -113,7 +113,7 @@
 }
 
 // hand gives an ended job to the successor.
-func (f *Keys) hand(j *watched) {
+func (f *IdempotencyTable) hand(j *watched) {
 	f.mu.Lock()
 	p := f.peer
 	f.mu.Unlock()
@@ -123,13 +123,13 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.final != nil {
-		p.sibling.Tell(protocol.Note{Remembered: &protocol.Remembered{Key: j.key, ID: j.id, Digest: j.digest[:],
-			Events: j.events, Answer: *j.final, Forget: j.forget, ForgetIn: time.Until(j.forget), Started: j.started}})
+		p.sibling.Notify(protocol.HandoverMessage{Remembered: &protocol.RememberedJob{Key: j.key, ID: j.id, Digest: j.digest[:],
+			Events: j.events, Answer: *j.final, ForgetAt: j.forget, ForgetIn: time.Until(j.forget), Started: j.started}})
 	}
 }
 
 // Remember takes an ended job over from the predecessor.
-func (f *Keys) Remember(r *protocol.Remembered) {
+func (f *IdempotencyTable) Remember(r *protocol.RememberedJob) {
 	forget := r.ForgottenAt(time.Now())
 	left := time.Until(forget)
 	if left <= 0 || len(r.Digest) != sha256.Size {
--- a/internal/transport/shares.go
+++ b/internal/transport/shares.go
@@ -7,28 +7,28 @@
 	"brassdale/internal/decisions/shares"
 )
 
-// Shares deals out the room for jobs among accounts, over all fronts together. A nil one has room for all.
-type Shares struct {
+// AccountQuotas deals out the room for jobs among accounts, over all fronts together. A nil one has room for all.
+type AccountQuotas struct {
 	mu    sync.Mutex
-	set   *SharesSettings
+	set   *QuotaSettings
 	other int                // jobs that another process has open which acts as the same dispatcher
 	caps  map[string]float64 // the most that accounts may have by the fleet's rules
 	table *shares.Table
 }
 
-// SharesSettings are the operator's, in a block accounts.
-type SharesSettings struct {
-	Room     int            `hcl:"room"` // jobs open at a time, over all fronts
-	Accounts []AccountShare `hcl:"account,block"`
+// QuotaSettings are the operator's, in a block accounts.
+type QuotaSettings struct {
+	Capacity int            `hcl:"room"` // jobs open at a time, over all fronts
+	Accounts []AccountQuota `hcl:"account,block"`
 }
 
-// AccountShare is an account's part of the room.
-type AccountShare struct {
+// AccountQuota is an account's part of the room.
+type AccountQuota struct {
 	Name  string  `hcl:"name,label"`
 	Share float64 `hcl:"share"` // between 0 and 1
 }
 
-func (s *SharesSettings) parts() map[string]float64 {
+func (s *QuotaSettings) parts() map[string]float64 {
 	parts := map[string]float64{}
 	for _, a := range s.Accounts {
 		parts[a.Name] = a.Share
@@ -36,29 +36,29 @@
 	return parts
 }
 
-// NewShares makes the table.
-func NewShares(s *SharesSettings) *Shares {
-	return &Shares{set: s, table: shares.New(s.Room, s.parts())}
+// NewAccountQuotas makes the table.
+func NewAccountQuotas(s *QuotaSettings) *AccountQuotas {
+	return &AccountQuotas{set: s, table: shares.New(s.Capacity, s.parts())}
 }
 
-// Retune changes the shares; what is open stays open.
-func (s *Shares) Retune(to *SharesSettings) {
+// SetQuotas changes the shares; what is open stays open.
+func (s *AccountQuotas) SetQuotas(to *QuotaSettings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.set = to
 	s.tune()
 }
 
-// Beside leaves room for the jobs that another process has open; 0 while there is none.
-func (s *Shares) Beside(open int) {
+// ReserveFor leaves room for the jobs that another process has open; 0 while there is none.
+func (s *AccountQuotas) ReserveFor(open int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.other = open
 	s.tune()
 }
 
-// Cap holds accounts to no more than these shares, whatever the settings say; who is not named is not bound.
-func (s *Shares) Cap(caps map[string]float64) {
+// CapQuotas holds accounts to no more than these shares, whatever the settings say; who is not named is not bound.
+func (s *AccountQuotas) CapQuotas(caps map[string]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.caps = caps
@@ -66,32 +66,32 @@
 }
 
 // tune puts the settings in force; s.mu is held.
-func (s *Shares) tune() {
+func (s *AccountQuotas) tune() {
 	parts := s.set.parts()
 	for name, most := range s.caps {
 		if part, ok := parts[name]; ok && most < part {
 			parts[name] = most
 		}
 	}
-	s.table.SetQuotas(max(s.set.Room-s.other, 0), parts)
+	s.table.SetQuotas(max(s.set.Capacity-s.other, 0), parts)
 }
 
-// Figures gives the numbers, a line each.
-func (s *Shares) Figures() string {
+// Metrics gives the numbers, a line each.
+func (s *AccountQuotas) Metrics() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return fmt.Sprintf("accounts_room=%d\naccounts_open=%d\n", max(s.set.Room-s.other, 0), s.table.TotalOpen())
+	return fmt.Sprintf("accounts_room=%d\naccounts_open=%d\n", max(s.set.Capacity-s.other, 0), s.table.TotalOpen())
 }
 
-// Open is how many jobs are open.
-func (s *Shares) Open() int {
+// OpenJobs is how many jobs are open.
+func (s *AccountQuotas) OpenJobs() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.TotalOpen()
 }
 
 // take takes a job of an account and gives what ends it, or tells that there is no room.
-func (s *Shares) take(account string) (free func(), ok bool) {
+func (s *AccountQuotas) take(account string) (free func(), ok bool) {
 	if s == nil {
 		return func() {}, true
 	}
--- a/internal/transport/sibling.go
+++ b/internal/transport/sibling.go
@@ -17,12 +17,12 @@
 	"brassdale/internal/routing"
 )
 
-// Sibling is the other process while one replaces the other: a Unix socket whose end is the other's end. It is an
+// PeerProcess is the other process while one replaces the other: a Unix socket whose end is the other's end. It is an
 // actor with a mailbox: nobody who tells it something waits for it.
-type Sibling struct {
+type PeerProcess struct {
 	conn *net.UnixConn
 	in   *json.Decoder
-	box  *routing.Mailbox[protocol.Note]
+	box  *routing.Mailbox[protocol.HandoverMessage]
 	gone chan struct{}
 
 	mu    sync.Mutex
@@ -35,13 +35,13 @@
 	mostFronts    = 4
 )
 
-func newSibling(conn *net.UnixConn) *Sibling {
-	return &Sibling{conn: conn, in: json.NewDecoder(conn), box: routing.NewMailbox[protocol.Note](), gone: make(chan struct{}), open: map[uint64]chan bool{}}
+func newSibling(conn *net.UnixConn) *PeerProcess {
+	return &PeerProcess{conn: conn, in: json.NewDecoder(conn), box: routing.NewMailbox[protocol.HandoverMessage](), gone: make(chan struct{}), open: map[uint64]chan bool{}}
 }
 
-// Meet finds the process that is to be replaced and takes over its listeners and what it knows. No such process, a
+// ConnectToPredecessor finds the process that is to be replaced and takes over its listeners and what it knows. No such process, a
 // dead one or one that does not answer until then is an error.
-func Meet(path string, until time.Time) (*Sibling, *protocol.Handover, []*net.TCPListener, error) {
+func ConnectToPredecessor(path string, until time.Time) (*PeerProcess, *protocol.Handover, []*net.TCPListener, error) {
 	conn, err := (&net.Dialer{Deadline: until}).Dial("unix", path)
 	if err != nil {
 		return nil, nil, nil, err
@@ -49,7 +49,7 @@
 	k := newSibling(conn.(*net.UnixConn))
 	_ = k.conn.SetDeadline(until)
 	listeners, err := k.receive()
-	var first protocol.Note
+	var first protocol.HandoverMessage
 	if err == nil {
 		err = k.in.Decode(&first)
 	}
@@ -68,7 +68,7 @@
 }
 
 // receive takes the listeners, which come with one byte.
-func (k *Sibling) receive() (listeners []*net.TCPListener, err error) {
+func (k *PeerProcess) receive() (listeners []*net.TCPListener, err error) {
 	mark, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4*mostFronts))
 	_, n, _, _, err := k.conn.ReadMsgUnix(mark, control)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return listeners, nil
 }
 
-// Hand gives a successor the listeners, without a copy here, and what it begins with.
-func (k *Sibling) Hand(s *protocol.Handover, gates []*Gate) error {
+// HandOver gives a successor the listeners, without a copy here, and what it begins with.
+func (k *PeerProcess) HandOver(s *protocol.Handover, gates []*Listener) error {
 	var fds []int
 	var send func() error
 	send = func() (err error) { // each descriptor is held while the next is asked for
@@ -118,25 +118,25 @@
 	if err := send(); err != nil {
 		return err
 	}
-	k.Tell(protocol.Note{Handover: s})
+	k.Notify(protocol.HandoverMessage{Handover: s})
 	return nil
 }
 
 // Run reads and writes until the other process is gone. take gets all but answers.
-func (k *Sibling) Run(take func(protocol.Note)) {
+func (k *PeerProcess) Run(take func(protocol.HandoverMessage)) {
 	go k.write()
 	for {
-		var n protocol.Note
+		var n protocol.HandoverMessage
 		if err := k.in.Decode(&n); err != nil {
 			break
 		}
-		if n.Answer == 0 {
+		if n.AnswerTo == 0 {
 			take(n)
 			continue
 		}
 		k.mu.Lock()
-		answered := k.open[n.Answer]
-		delete(k.open, n.Answer)
+		answered := k.open[n.AnswerTo]
+		delete(k.open, n.AnswerTo)
 		k.mu.Unlock()
 		if answered != nil {
 			answered <- n.Yes // has room
@@ -146,7 +146,7 @@
 	close(k.gone)
 }
 
-func (k *Sibling) write() {
+func (k *PeerProcess) write() {
 	out := json.NewEncoder(k.conn)
 	for {
 		select {
@@ -164,18 +164,18 @@
 	}
 }
 
-// Tell sends a note. It does not block.
-func (k *Sibling) Tell(n protocol.Note) { k.box.Post(n) }
+// Notify sends a note. It does not block.
+func (k *PeerProcess) Notify(n protocol.HandoverMessage) { k.box.Post(n) }
 
 // Ask sends a question and gives the answer; heard tells whether one came until then.
-func (k *Sibling) Ask(n protocol.Note, until time.Time) (yes, heard bool) {
+func (k *PeerProcess) Ask(n protocol.HandoverMessage, until time.Time) (yes, heard bool) {
 	answered := make(chan bool, 1)
 	k.mu.Lock()
 	k.asked++
-	n.Ask = k.asked
-	k.open[n.Ask] = answered
+	n.QuestionID = k.asked
+	k.open[n.QuestionID] = answered
 	k.mu.Unlock()
-	k.Tell(n)
+	k.Notify(n)
 	late := time.NewTimer(time.Until(until))
 	defer late.Stop()
 	select {
@@ -184,17 +184,17 @@
 	case <-k.gone:
 	case <-late.C:
 		k.mu.Lock()
-		delete(k.open, n.Ask)
+		delete(k.open, n.QuestionID)
 		k.mu.Unlock()
 	}
 	return false, false
 }
 
 // Gone is closed when the other process has ended.
-func (k *Sibling) Gone() <-chan struct{} { return k.gone }
+func (k *PeerProcess) Gone() <-chan struct{} { return k.gone }
 
 // Close ends the connection.
-func (k *Sibling) Close() { k.conn.Close() }
+func (k *PeerProcess) Close() { k.conn.Close() }
 
 // Publish listens for a successor at a path in place of whoever did so before. The name changes hands in one step:
 // at no time does a successor find nobody.
@@ -227,7 +227,7 @@
 }
 
 // AcceptSuccessor waits for the next successor: a process of the same user.
-func AcceptSuccessor(l *net.UnixListener, failed func(error)) (*Sibling, error) {
+func AcceptSuccessor(l *net.UnixListener, failed func(error)) (*PeerProcess, error) {
 	for {
 		conn, err := listen.Next(l.AcceptUnix, failed)
 		if err != nil {
--- a/internal/transport/waited_test.go
+++ b/internal/transport/waited_test.go
@@ -18,8 +18,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate := NewGate(l, quiet)
-	gate.Allow(10, 1<<20)
+	gate := NewListener(l, quiet)
+	gate.SetLimits(10, 1<<20)
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/watched.go
+++ b/internal/transport/watched.go
@@ -22,7 +22,7 @@
 // watched is a job with its events so far. Each reader goes through them at its own pace, so a slow one
 // holds up neither the core, which only appends, nor another reader.
 type watched struct {
-	keys   *Keys // where it is remembered
+	keys   *IdempotencyTable // where it is remembered
 	key    string
 	id     string // Req-Id of the request that started it
 	digest [sha256.Size]byte
