--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -76,9 +76,9 @@
 	name    string
 	handler interface {
 		http.Handler
-		Leaving()
-		Passing(bool)
-		SetAside()
+		StartShutdown()
+		PassToSuccessor(bool)
+		DedicateToControl()
 	}
 	gate     *transport.Listener
 	listener net.Listener // the gate, or what is around it
@@ -284,7 +284,7 @@
 	}
 	if op.Fleet != nil && op.Fleet.DedicatedToControl {
 		for _, f := range d.fronts {
-			f.handler.SetAside()
+			f.handler.DedicateToControl()
 		}
 	}
 	d.shares = sharesOf(cfg.Limits, len(d.fronts))
@@ -306,7 +306,7 @@
 	d.core.StartShutdown(end.Add(-lastAnswer))
 	passed := d.passed.Load()
 	for _, f := range d.fronts {
-		f.handler.Leaving()
+		f.handler.StartShutdown()
 		if passed { // the successor has the same listener: what waits there is its
 			f.gate.Close()
 		}
--- a/internal/program/replace.go
+++ b/internal/program/replace.go
@@ -197,7 +197,7 @@
 	d.setSibling(nil)
 	d.passed.Store(false)
 	for _, f := range d.fronts {
-		f.handler.Passing(false)
+		f.handler.PassToSuccessor(false)
 		f.gate.Resume()
 	}
 	d.deal()
@@ -212,7 +212,7 @@
 	d.besideKeys(sibling, relay, false)
 	for _, f := range d.fronts {
 		f.gate.Pause()
-		f.handler.Passing(true)
+		f.handler.PassToSuccessor(true)
 	}
 	d.log.Info("successor serves: taking no new clients", "open", d.core.OpenRequests())
 	go func() {
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -53,15 +53,15 @@
 	}
 }
 
-// Leaving turns the ready page to 503.
-func (f *front) Leaving() {
+// StartShutdown turns the ready page to 503.
+func (f *front) StartShutdown() {
 	now := time.Now()
 	f.leaving.Store(&now)
 }
 
-// Passing has clients go to a successor, each behind its next answer: a connection that is closed between requests
+// PassToSuccessor has clients go to a successor, each behind its next answer: a connection that is closed between requests
 // may cross one that is turned back unheard then.
-func (f *front) Passing(on bool) { f.passing.Store(on) }
+func (f *front) PassToSuccessor(on bool) { f.passing.Store(on) }
 
 // frontLeaves is how long after SIGTERM the platform's front goes on bringing new connections at least.
 const frontLeaves = 250 * time.Millisecond
@@ -190,8 +190,8 @@
 	writeAnswer(w, routing.Answer{Verdict: routing.Rejected, RetryAfter: f.params.Current().Limits.MaxRetryAfter.Duration()})
 }
 
-// SetAside has the front say that this dispatcher wants no jobs: it is there for the fleet. It is called before the front serves.
-func (f *front) SetAside() { f.aside = true }
+// DedicateToControl has the front say that this dispatcher wants no jobs: it is there for the fleet. It is called before the front serves.
+func (f *front) DedicateToControl() { f.aside = true }
 
 // serveHealth answers the pages that tell whether this process runs and wants work.
 func serveHealth(w http.ResponseWriter, r *http.Request, wantsNone bool) {
--- a/internal/transport/http2/front.go
+++ b/internal/transport/http2/front.go
@@ -178,16 +178,16 @@
 	f.log.Debug("connection ended", "front", "http2", "why", string(why), "client", c.RemoteAddr().String())
 }
 
-// Leaving turns the ready page to 503 and tells all clients to come no more: what they have sent until they hear it is
+// StartShutdown turns the ready page to 503 and tells all clients to come no more: what they have sent until they hear it is
 // still served.
-func (f *Frontend) Leaving() {
-	f.JobFrontend.Leaving()
+func (f *Frontend) StartShutdown() {
+	f.JobFrontend.StartShutdown()
 	f.goAway(true)
 }
 
-// Passing has clients go to a successor at the same address.
-func (f *Frontend) Passing(on bool) {
-	f.JobFrontend.Passing(on)
+// PassToSuccessor has clients go to a successor at the same address.
+func (f *Frontend) PassToSuccessor(on bool) {
+	f.JobFrontend.PassToSuccessor(on)
 	f.goAway(on)
 }
 
