--- a/cmd/brassdale/saved_bench_test.go
+++ b/cmd/brassdale/saved_bench_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brassdale/internal/savedlist"
+	"brassdale/internal/endpointcache"
 )
 
 const (
@@ -251,7 +251,7 @@
 
 // keepFor keeps a list that tells how long jobs take at the model's workers.
 func keepFor(b *testing.B, dir string, ago time.Duration, workers []*worker) {
-	keep(b, dir, ago, func(s *savedlist.CachedList) {
+	keep(b, dir, ago, func(s *endpointcache.CachedList) {
 		c := s.Classes["price-part"]
 		c.WorkScale, c.MeanLogRuntime = modelJob.Seconds(), -2.3
 		s.Classes["price-part"], s.MeanStay, s.MeanWork = c, modelJob.Seconds(), modelJob.Seconds()
--- a/cmd/brassdale/saved_test.go
+++ b/cmd/brassdale/saved_test.go
@@ -14,33 +14,33 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/internal/endpointcache"
 	"brassdale/internal/protocol"
-	"brassdale/internal/savedlist"
+	"brassdale/scheduler"
 )
 
 func savedBlock(dir string) string { return fmt.Sprintf("saved_list {\n  directory = %q\n}\n", dir) }
 
 // keep puts a list into a folder as a dispatcher would have left it, so long ago.
-func keep(t testing.TB, dir string, ago time.Duration, change func(*savedlist.CachedList), workers ...*worker) {
+func keep(t testing.TB, dir string, ago time.Duration, change func(*endpointcache.CachedList), workers ...*worker) {
 	t.Helper()
-	files, err := savedlist.OpenOrCreate(dir, "n0")
+	files, err := endpointcache.OpenOrCreate(dir, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	made := time.Now().Add(-ago)
-	s := &savedlist.CachedList{ConfirmedAtMS: made.UnixMilli(), Revision: 40, Overcommit: 0.5, MeanStay: 0.02, MeanWork: 0.02,
-		Classes: map[string]brain.ClassStatistics{"price-part": {WorkScale: 0.02, MeanLogRuntime: -3.9, Jobs: 500}}} // jobs of 20 ms
+	s := &endpointcache.CachedList{ConfirmedAtMS: made.UnixMilli(), Revision: 40, Overcommit: 0.5, MeanStay: 0.02, MeanWork: 0.02,
+		Classes: map[string]scheduler.ClassStatistics{"price-part": {WorkScale: 0.02, MeanLogRuntime: -3.9, Jobs: 500}}} // jobs of 20 ms
 	for _, b := range workers {
 		cell := 1
 		fmt.Sscan(b.cell, &cell)
-		s.Members = append(s.Members, savedlist.CachedMember{LastSignalMS: made.UnixMilli(), Member: protocol.Member{ID: b.id, HostPort: b.ln.Addr().String(),
-			Locality: "llanelli", Flavor: "new-worker", Cell: cell, Phase: b.phase, Size: 1}, Statistics: &brain.WorkerStatistics{Slots: 5, SlownessJobs: 50}})
+		s.Members = append(s.Members, endpointcache.CachedMember{LastSignalMS: made.UnixMilli(), Member: protocol.Member{ID: b.id, HostPort: b.ln.Addr().String(),
+			Locality: "llanelli", Flavor: "new-worker", Cell: cell, Phase: b.phase, Size: 1}, Statistics: &scheduler.WorkerStatistics{Slots: 5, SlownessJobs: 50}})
 	}
 	if change != nil {
 		change(s)
 	}
-	if err := savedlist.NewStore(files, "n0").Snapshot(s); err != nil {
+	if err := endpointcache.NewStore(files, "n0").Snapshot(s); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/brassdale/sites_test.go
+++ b/cmd/brassdale/sites_test.go
@@ -181,7 +181,7 @@
 		}
 	}
 	sources := []string{"../../deploy/balancer.toml"}
-	for _, glob := range []string{"../../brain/*.go", "../../internal/*/*.go", "../../internal/*/*/*.go", "*.go"} {
+	for _, glob := range []string{"../../scheduler/*.go", "../../internal/*/*.go", "../../internal/*/*/*.go", "*.go"} {
 		found, err := filepath.Glob(glob)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/benchlink/link.go
+++ b/cmd/simulator-adapter/link.go
@@ -9,8 +9,8 @@
 	"io"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
+	"brassdale/scheduler"
 )
 
 // entry is one line of a list.
@@ -55,26 +55,26 @@
 )
 
 var (
-	outcomes = map[string]brain.Outcome{
-		"S": brain.Served, "E": brain.Errored, "F": brain.Full, "T": brain.TimedOut,
-		"C": brain.NoConnect, "R": brain.Reset, "X": brain.Cancelled, "N": brain.NeverSent,
+	outcomes = map[string]scheduler.Outcome{
+		"S": scheduler.Served, "E": scheduler.Errored, "F": scheduler.Full, "T": scheduler.TimedOut,
+		"C": scheduler.NoConnect, "R": scheduler.Reset, "X": scheduler.Cancelled, "N": scheduler.NeverSent,
 	}
-	listKinds = map[string]brain.ListKind{
-		"INCREMENTAL": brain.ListDelta, "FULL": brain.ListFull, "SAVED": brain.ListCached, "FAILED": brain.ListFailed,
+	listKinds = map[string]scheduler.ListKind{
+		"INCREMENTAL": scheduler.ListDelta, "FULL": scheduler.ListFull, "SAVED": scheduler.ListCached, "FAILED": scheduler.ListFailed,
 	}
-	states = map[string]brain.WorkerState{"live": brain.Ready, "quiescing": brain.Draining, "dead": brain.Gone}
+	states = map[string]scheduler.WorkerState{"live": scheduler.Ready, "quiescing": scheduler.Draining, "dead": scheduler.Gone}
 )
 
 // instance is one dispatcher of this process.
 type instance struct {
 	params protocol.Settings
-	brain  *brain.Scheduler
+	scheduler  *scheduler.Scheduler
 }
 
 // link is the state of one conversation with the bench.
 type link struct {
 	out       *bufio.Writer
-	now       brain.Clock
+	now       scheduler.Clock
 	pages     map[uint64][]entry
 	instances map[int]*instance
 }
@@ -164,7 +164,7 @@
 func (l *link) event(name string, id int, m *message) error {
 	switch name {
 	case "ENLIST":
-		l.instances[id] = &instance{params: m.Params, brain: brain.New(m.Params.SchedulerSettings(), m.InitSeed)}
+		l.instances[id] = &instance{params: m.Params, scheduler: scheduler.New(m.Params.SchedulerSettings(), m.InitSeed)}
 		return nil
 	case "SHUTDOWN":
 		delete(l.instances, id)
@@ -178,7 +178,7 @@
 	if err != nil || ev == nil {
 		return err
 	}
-	for _, a := range in.brain.Handle(l.now, ev) {
+	for _, a := range in.scheduler.Handle(l.now, ev) {
 		if err := l.write(id, a); err != nil {
 			return err
 		}
@@ -187,24 +187,24 @@
 }
 
 // translate gives the event in the module's terms; nil for one that it does not need.
-func (l *link) translate(in *instance, name string, m *message) (brain.Event, error) {
-	req, worker := brain.RequestID(m.Handle), brain.WorkerID(m.Worker)
+func (l *link) translate(in *instance, name string, m *message) (scheduler.Event, error) {
+	req, worker := scheduler.RequestID(m.Handle), scheduler.WorkerID(m.Worker)
 	switch name {
 	case "BACKENDS_CHANGED":
 		return l.listed(m)
 	case "ARRIVAL":
-		a := brain.RequestArrived{ID: req, Class: m.Qos, Slots: m.Width, Deadline: m.Expires.Duration(), AffinityKey: m.Subject}
+		a := scheduler.RequestArrived{ID: req, Class: m.Qos, Slots: m.Width, Deadline: m.Expires.Duration(), AffinityKey: m.Subject}
 		if m.Bitmap&hintValid != 0 {
 			a.EstimatedWork = m.Effort.Duration()
 		}
 		return a, nil
 	case "STARTED":
-		return brain.AttemptStarted{ID: req, Attempt: m.SeqNo, Worker: worker, Streamed: true}, nil
+		return scheduler.AttemptStarted{ID: req, Attempt: m.SeqNo, Worker: worker, Streamed: true}, nil
 	case "INTERIM":
 		if m.Topic == topicStart {
-			return brain.AttemptStarted{ID: req, Attempt: m.SeqNo, Worker: worker}, nil
+			return scheduler.AttemptStarted{ID: req, Attempt: m.SeqNo, Worker: worker}, nil
 		}
-		return brain.AttemptProgressed{ID: req, Attempt: m.SeqNo, Worker: worker, Share: m.X}, nil
+		return scheduler.AttemptProgressed{ID: req, Attempt: m.SeqNo, Worker: worker, Share: m.X}, nil
 	case "CLOSED_ATTEMPT", "ECHO":
 		outcome, ok := outcomes[m.Verdict]
 		if !ok {
@@ -212,27 +212,27 @@
 		}
 		report := in.params.Report(m.Stats)
 		if name == "ECHO" {
-			return brain.ProbeCompleted{Worker: worker, Outcome: outcome, Report: report}, nil
+			return scheduler.ProbeCompleted{Worker: worker, Outcome: outcome, Report: report}, nil
 		}
-		return brain.AttemptFinished{ID: req, Attempt: m.SeqNo, Worker: worker, Outcome: outcome,
+		return scheduler.AttemptFinished{ID: req, Attempt: m.SeqNo, Worker: worker, Outcome: outcome,
 			Final: m.Final, Report: report, ConnectionIdle: -1}, nil
 	case "ELAPSED":
-		return brain.TimerFired{Token: m.Ref}, nil
+		return scheduler.TimerFired{Token: m.Ref}, nil
 	case "HANGUP":
-		return brain.ClientLeft{ID: req}, nil
+		return scheduler.ClientLeft{ID: req}, nil
 	case "PEER":
 		return nil, nil
 	}
 	return nil, errors.New("unknown message")
 }
 
-func (l *link) listed(m *message) (brain.Event, error) {
+func (l *link) listed(m *message) (scheduler.Event, error) {
 	kind, ok := listKinds[m.Form]
 	if !ok {
 		return nil, fmt.Errorf("unknown form %q", m.Form)
 	}
-	ev := brain.EndpointsUpdated{ListKind: kind}
-	if kind == brain.ListFailed {
+	ev := scheduler.EndpointsUpdated{ListKind: kind}
+	if kind == scheduler.ListFailed {
 		return ev, nil
 	}
 	page, ok := l.pages[m.Ref]
@@ -244,8 +244,8 @@
 		if !ok {
 			return nil, fmt.Errorf("unknown status %q", e.Status)
 		}
-		ev.Workers = append(ev.Workers, brain.WorkerInfo{
-			ID: brain.WorkerID(e.Worker), State: state, Zone: e.RegionPart, Cell: e.Pod, MachineKind: e.Machine,
+		ev.Workers = append(ev.Workers, scheduler.WorkerInfo{
+			ID: scheduler.WorkerID(e.Worker), State: state, Zone: e.RegionPart, Cell: e.Pod, MachineKind: e.Machine,
 			Weight: e.Weight, StartedAt: e.OnlineSince.Duration(),
 		})
 	}
@@ -292,25 +292,25 @@
 	}
 )
 
-func (l *link) write(id int, a brain.Action) error {
+func (l *link) write(id int, a scheduler.Action) error {
 	switch a := a.(type) {
-	case brain.Send:
+	case scheduler.Send:
 		return l.put("FORWARD", forward{id, uint64(a.ID), string(a.Worker)})
-	case brain.Cancel:
+	case scheduler.Cancel:
 		return l.put("ABORT_ATTEMPT", abort{id, uint64(a.ID), a.Attempt})
-	case brain.Reject:
+	case scheduler.Reject:
 		return l.put("BUSY", busy{id, uint64(a.ID), inMicros(a.RetryAfter)})
-	case brain.Fail:
+	case scheduler.Fail:
 		return l.put("END_FAILED", endFailed{id, uint64(a.ID)})
-	case brain.CloseIdleConnections:
+	case scheduler.CloseIdleConnections:
 		return l.put("DROP_CONNS", soundOut{id, string(a.Worker)})
-	case brain.Probe:
+	case scheduler.Probe:
 		return l.put("SOUND_OUT", soundOut{id, string(a.Worker)})
-	case brain.Subscribe:
+	case scheduler.Subscribe:
 		return l.put("TRACK", track{id, true})
-	case brain.SetTimer:
+	case scheduler.SetTimer:
 		return l.put("WAKE_AT", wakeAt{id, a.Token, inMicros(a.After)})
-	case brain.Log:
+	case scheduler.Log:
 		return l.put("SAY_LOG", sayLog{id, a.Text})
 	}
 	return fmt.Errorf("unknown action %T", a)
--- a/cmd/benchlink/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
 // Benchlink lets the decision module play in the operators' bench: it translates between the
-// bench's lines of JSON on standard input and output and the events and actions of package brain.
+// bench's lines of JSON on standard input and output and the events and actions of package scheduler.
 // It decides nothing.
 package main
 
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -19,7 +19,7 @@
 
 	"brassdale/internal/decisions/agreement"
 	"brassdale/internal/fleet"
-	councillog "brassdale/internal/fleet/log"
+	councillog "brassdale/internal/fleet/raftlog"
 )
 
 // answerWithin is how long a dispatcher has for a question of this command.
--- a/internal/command/saved.go
+++ b/internal/command/saved.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"brassdale/internal/savedlist"
+	"brassdale/internal/endpointcache"
 )
 
 // saved is the command that shows, checks and trims the folder of saved lists. A dispatcher may be at work in it.
@@ -19,11 +19,11 @@
 	var name string
 	c.PersistentFlags().StringVar(&name, "name", "", "the dispatcher whose lists are meant (all if left out)")
 
-	each := func(dir string, do func(string, *savedlist.Store) error) error {
+	each := func(dir string, do func(string, *endpointcache.Store) error) error {
 		names := []string{name}
 		if name == "" {
 			var err error
-			if names, err = savedlist.Dispatchers(dir); err != nil {
+			if names, err = endpointcache.Dispatchers(dir); err != nil {
 				return err
 			}
 			if len(names) == 0 {
@@ -32,9 +32,9 @@
 		}
 		var all error
 		for _, name := range names {
-			files, err := savedlist.OpenExisting(dir, name)
+			files, err := endpointcache.OpenExisting(dir, name)
 			if err == nil {
-				err = do(name, savedlist.NewStore(files, name))
+				err = do(name, endpointcache.NewStore(files, name))
 			}
 			if err != nil {
 				all = errors.Join(all, fmt.Errorf("%s: %w", name, err))
@@ -46,7 +46,7 @@
 	var asJSON bool
 	show := &cobra.Command{Use: "show DIR", Short: "Print the list that a start would begin with", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return each(args[0], func(name string, s *savedlist.Store) error {
+			return each(args[0], func(name string, s *endpointcache.Store) error {
 				found, err := s.Generations()
 				if err != nil {
 					return err
@@ -63,7 +63,7 @@
 
 	verify := &cobra.Command{Use: "verify DIR", Short: "Check all generations; exit code 1 if one is damaged", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return each(args[0], func(name string, s *savedlist.Store) error {
+			return each(args[0], func(name string, s *endpointcache.Store) error {
 				found, err := s.Generations()
 				if err != nil {
 					return err
@@ -92,7 +92,7 @@
 			if keep < 1 {
 				return errors.New("--keep must be 1 or more")
 			}
-			return each(args[0], func(name string, s *savedlist.Store) error {
+			return each(args[0], func(name string, s *endpointcache.Store) error {
 				removed, err := s.Prune(keep)
 				fmt.Fprintf(c.OutOrStdout(), "%s: %d files removed\n", name, removed)
 				return err
@@ -104,7 +104,7 @@
 }
 
 // print writes a generation for people, or as it is kept.
-func print(out io.Writer, g savedlist.Generation, asJSON bool) error {
+func print(out io.Writer, g endpointcache.Generation, asJSON bool) error {
 	s := g.List
 	if asJSON {
 		e := json.NewEncoder(out)
--- a/internal/decisions/budgets/budgets.go
+++ b/internal/decisions/budgetleases/budgets.go
@@ -1,4 +1,4 @@
-// Package budgets deals a rate that all dispatchers have together out among them, as leases that run out: further calls,
+// Package budgetleases deals a rate that all dispatchers have together out among them, as leases that run out: further calls,
 // probes, new connections. Values in, verdicts out: no I/O, no clock, no goroutine.
 //
 // A rate is of uses over time: each holder may keep a second's worth, or one use, and spend it at once.
@@ -8,7 +8,7 @@
 //  1. The sum of all leases that are valid at any time, and of what dispatchers may do without one, never exceeds the budget.
 //  2. Who asks for less than its fair part gets what it asks for; the rest is dealt out alike among the others, floors first.
 //  3. What one holds that is gone comes back when its lease has run out, no sooner; demand that rises is met within two leases.
-package budgets
+package budgetleases
 
 import (
 	"maps"
--- a/internal/decisions/budgets/budgets_test.go
+++ b/internal/decisions/budgetleases/budgets_test.go
@@ -1,4 +1,4 @@
-package budgets
+package budgetleases
 
 import (
 	"fmt"
--- a/internal/decisions/savedlist/savedlist.go
+++ b/internal/decisions/cachetrust/savedlist.go
@@ -1,4 +1,4 @@
-// Package savedlist decides how far a list of workers from before a restart is trusted while nobody can be asked for a
+// Package cachetrust decides how far a list of workers from before a restart is trusted while nobody can be asked for a
 // newer one, and how that is handed over when somebody can. Values in, verdicts out: no I/O, no clock, no goroutine.
 // Which worker gets a job stays the module's decision: what is decided here reaches it as news of the list.
 //
@@ -22,7 +22,7 @@
 //     a site that has no workers has no jobs either.
 //  8. A worker that discovery has as started when the saved list had it is what it was, and what was learned of it holds;
 //     one that started later is new.
-package savedlist
+package cachetrust
 
 import (
 	"cmp"
@@ -30,7 +30,7 @@
 	"slices"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // Rules are set once.
@@ -73,16 +73,16 @@
 
 // CachedWorker is one of a saved list.
 type CachedWorker struct {
-	ID         brain.WorkerID
-	State      brain.WorkerState
-	Detached   bool        // by hand
-	StartedAt  brain.Clock // when it had started; 0 for long ago
-	LastSignal brain.Clock // when it was last heard; 0 for never
+	ID         scheduler.WorkerID
+	State      scheduler.WorkerState
+	Detached   bool            // by hand
+	StartedAt  scheduler.Clock // when it had started; 0 for long ago
+	LastSignal scheduler.Clock // when it was last heard; 0 for never
 }
 
 // CachedList is a saved list.
 type CachedList struct {
-	ConfirmedAt brain.Clock // when it was last known to be true
+	ConfirmedAt scheduler.Clock // when it was last known to be true
 	Revision    int64
 	Workers     []CachedWorker
 }
@@ -110,14 +110,14 @@
 
 // Action is what is to be done. Exactly one of its fields is set.
 type Action struct {
-	Probe    brain.WorkerID // ask it for a sign of life
-	Announce *ReadyWorker   // the module is to know
+	Probe    scheduler.WorkerID // ask it for a sign of life
+	Announce *ReadyWorker       // the module is to know
 }
 
 // ReadyWorker is what the module is to know of a worker.
 type ReadyWorker struct {
-	ID             brain.WorkerID
-	StartedAt      brain.Clock
+	ID             scheduler.WorkerID
+	StartedAt      scheduler.Clock
 	StartConfirmed bool // Since holds also where it is earlier than what was told before
 }
 
@@ -126,32 +126,32 @@
 	rules   Rules
 	list    CachedList
 	usable  bool
-	begun   brain.Clock
+	begun   scheduler.Clock
 	age     time.Duration // of the list at the start; below 0 where it cannot be told
-	workers map[brain.WorkerID]*worker
+	workers map[scheduler.WorkerID]*worker
 	order   []*worker // by when they are asked first
 	stages  [Excluded + 1]int
 	pace    time.Duration
 	over    bool // discovery's list is in force
 
-	doubted brain.Clock // when a first list was doubted; 0 while none was
-	kept    []brain.WorkerID
+	doubted scheduler.Clock // when a first list was doubted; 0 while none was
+	kept    []scheduler.WorkerID
 }
 
 type worker struct {
 	CachedWorker
 	stage  TrustLevel
-	out    bool        // a probe is
-	asked  brain.Clock // when the last probe went out
-	next   brain.Clock // when the next one may
+	out    bool            // a probe is
+	asked  scheduler.Clock // when the last probe went out
+	next   scheduler.Clock // when the next one may
 	fails  int
 	weight float64 // logarithm of how much likelier it is warm than cold, by its jobs
-	told   brain.Clock
+	told   scheduler.Clock
 }
 
 // New begins at a time with a saved list. Usable tells whether it is of any use; Look gives the first verdicts.
-func New(now brain.Clock, l CachedList, r Rules) *Assessor {
-	t := &Assessor{rules: r, list: l, workers: map[brain.WorkerID]*worker{}, begun: now, age: now - l.ConfirmedAt}
+func New(now scheduler.Clock, l CachedList, r Rules) *Assessor {
+	t := &Assessor{rules: r, list: l, workers: map[scheduler.WorkerID]*worker{}, begun: now, age: now - l.ConfirmedAt}
 	if l.ConfirmedAt > now {
 		t.age = -1
 	}
@@ -165,7 +165,7 @@
 		}
 		w := &worker{CachedWorker: in, next: now}
 		t.stages[Unconfirmed]++
-		if in.State != brain.Ready || in.Detached {
+		if in.State != scheduler.Ready || in.Detached {
 			t.move(w, Excluded)
 		} else {
 			t.order = append(t.order, w)
@@ -206,7 +206,7 @@
 }
 
 // Check gives what is due by now.
-func (t *Assessor) Check(now brain.Clock) (vs []Action) {
+func (t *Assessor) Check(now scheduler.Clock) (vs []Action) {
 	if t.over {
 		return nil
 	}
@@ -231,7 +231,7 @@
 }
 
 // NextCheck tells when Look has something to do if nothing comes before; not ok if never.
-func (t *Assessor) NextCheck() (at brain.Clock, ok bool) {
+func (t *Assessor) NextCheck() (at scheduler.Clock, ok bool) {
 	if t.over {
 		return 0, false
 	}
@@ -251,7 +251,7 @@
 }
 
 // ProbeCompleted takes what came back of a probe.
-func (t *Assessor) ProbeCompleted(now brain.Clock, id brain.WorkerID, s ProbeResult) []Action {
+func (t *Assessor) ProbeCompleted(now scheduler.Clock, id scheduler.WorkerID, s ProbeResult) []Action {
 	w := t.workers[id]
 	if t.over || w == nil || !w.out || w.stage > Absent {
 		return nil
@@ -268,13 +268,13 @@
 }
 
 // hear has a worker told as cold.
-func (t *Assessor) hear(w *worker, now brain.Clock) Action {
+func (t *Assessor) hear(w *worker, now scheduler.Clock) Action {
 	t.move(w, Responsive)
 	w.told = now
 	return Action{Announce: &ReadyWorker{ID: w.ID, StartedAt: max(now, 1)}}
 }
 
-func (t *Assessor) failed(w *worker, now brain.Clock) {
+func (t *Assessor) failed(w *worker, now scheduler.Clock) {
 	w.out = false
 	w.next = now + min(MinProbeRetryDelay<<min(w.fails, 16), MaxProbeRetryDelay)
 	w.fails++
@@ -284,11 +284,11 @@
 }
 
 // StartedAt is when this start began.
-func (t *Assessor) StartedAt() brain.Clock { return t.begun }
+func (t *Assessor) StartedAt() scheduler.Clock { return t.begun }
 
 // JobServed takes a job that a worker has served. late is the logarithm of how much longer it took than such jobs usually
 // take at this worker.
-func (t *Assessor) JobServed(now brain.Clock, id brain.WorkerID, late float64) []Action {
+func (t *Assessor) JobServed(now scheduler.Clock, id scheduler.WorkerID, late float64) []Action {
 	w := t.workers[id]
 	if t.over || w == nil || w.stage != Responsive || math.IsNaN(late) {
 		return nil
@@ -329,20 +329,20 @@
 
 // ListDecision says how a list of discovery's counts.
 type ListDecision struct {
-	Retain    []brain.WorkerID // whom it does not name, and who stay as they are
-	RefetchAt brain.Clock      // when the whole list is to be asked for again; 0 where it counts as it is
+	Retain    []scheduler.WorkerID // whom it does not name, and who stay as they are
+	RefetchAt scheduler.Clock      // when the whole list is to be asked for again; 0 where it counts as it is
 }
 
 // AssessList judges a whole list of discovery's: its revision and whom it names as ready.
-func (t *Assessor) AssessList(now brain.Clock, revision int64, ready []brain.WorkerID) ListDecision {
+func (t *Assessor) AssessList(now scheduler.Clock, revision int64, ready []scheduler.WorkerID) ListDecision {
 	if t.over {
 		return ListDecision{}
 	}
-	named := map[brain.WorkerID]bool{}
+	named := map[scheduler.WorkerID]bool{}
 	for _, id := range ready {
 		named[id] = true
 	}
-	trusted, lacking := 0, []brain.WorkerID(nil)
+	trusted, lacking := 0, []scheduler.WorkerID(nil)
 	for _, w := range t.order {
 		trusted++
 		if !named[w.ID] && (w.stage == Responsive || w.stage == Verified) {
@@ -365,19 +365,19 @@
 }
 
 // RemovedByDiscovery tells that discovery has named a worker as draining or gone by itself: it is neither kept nor told any more.
-func (t *Assessor) RemovedByDiscovery(id brain.WorkerID) {
+func (t *Assessor) RemovedByDiscovery(id scheduler.WorkerID) {
 	if w := t.workers[id]; w != nil {
 		t.move(w, Excluded)
 	}
 }
 
 // RetainedUntil gives until when those that are kept may be; not ok where none is.
-func (t *Assessor) RetainedUntil() (until brain.Clock, ok bool) {
+func (t *Assessor) RetainedUntil() (until scheduler.Clock, ok bool) {
 	return t.doubted + MaxRetention, t.doubted != 0 && !t.over
 }
 
 // ExpireRetained ends the doubt at its latest: whom discovery did not name is gone.
-func (t *Assessor) ExpireRetained(now brain.Clock) (gone []brain.WorkerID) {
+func (t *Assessor) ExpireRetained(now scheduler.Clock) (gone []scheduler.WorkerID) {
 	if t.doubted == 0 || t.over || now < t.doubted+MaxRetention {
 		return nil
 	}
@@ -386,7 +386,7 @@
 }
 
 // SameIncarnation tells whether a worker that discovery names is in the life that the saved list had it in.
-func (t *Assessor) SameIncarnation(id brain.WorkerID, since brain.Clock) bool {
+func (t *Assessor) SameIncarnation(id scheduler.WorkerID, since scheduler.Clock) bool {
 	w := t.workers[id]
 	return w != nil && since <= w.StartedAt
 }
--- a/internal/decisions/savedlist/savedlist_test.go
+++ b/internal/decisions/cachetrust/savedlist_test.go
@@ -1,4 +1,4 @@
-package savedlist
+package cachetrust
 
 import (
 	"fmt"
@@ -9,17 +9,17 @@
 
 	"pgregory.net/rapid"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 const day = 24 * time.Hour
 
 var rules = Rules{MaxAge: 72 * time.Hour, MinFirstListShare: 0.5, SlowStartDuration: 24 * time.Second, SlowStartCapacity: 0.14, MayProbe: true}
 
-func id(i int) brain.WorkerID { return brain.WorkerID(fmt.Sprint("w", i)) }
+func id(i int) scheduler.WorkerID { return scheduler.WorkerID(fmt.Sprint("w", i)) }
 
 // listOf is a list of so many workers that have been up for long.
-func listOf(made brain.Clock, n int) CachedList {
+func listOf(made scheduler.Clock, n int) CachedList {
 	l := CachedList{ConfirmedAt: made, Revision: 7}
 	for i := range n {
 		l.Workers = append(l.Workers, CachedWorker{ID: id(i), LastSignal: made})
@@ -52,12 +52,12 @@
 		l := CachedList{ConfirmedAt: now - time.Duration(rapid.IntRange(-5, 60).Draw(t, "age"))*time.Hour, Revision: 7}
 		n := rapid.IntRange(1, 30).Draw(t, "workers")
 		for i := range n {
-			l.Workers = append(l.Workers, CachedWorker{ID: id(i), State: rapid.SampledFrom([]brain.WorkerState{brain.Ready, brain.Ready, brain.Draining, brain.Gone}).Draw(t, "state"),
+			l.Workers = append(l.Workers, CachedWorker{ID: id(i), State: rapid.SampledFrom([]scheduler.WorkerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Gone}).Draw(t, "state"),
 				Detached: rapid.IntRange(0, 9).Draw(t, "out") == 0, StartedAt: l.ConfirmedAt - time.Duration(rapid.IntRange(0, 100).Draw(t, "since"))*time.Second})
 		}
 		trust := New(now, l, r)
 		begun := now
-		out, answered, told, sure := map[brain.WorkerID]brain.Clock{}, map[brain.WorkerID]bool{}, map[brain.WorkerID]brain.Clock{}, map[brain.WorkerID]bool{}
+		out, answered, told, sure := map[scheduler.WorkerID]scheduler.Clock{}, map[scheduler.WorkerID]bool{}, map[scheduler.WorkerID]scheduler.Clock{}, map[scheduler.WorkerID]bool{}
 		probes := 0
 		take := func(vs []Action) {
 			for _, v := range vs {
@@ -78,7 +78,7 @@
 				w := slices.IndexFunc(l.Workers, func(w CachedWorker) bool { return w.ID == v.Announce.ID })
 				saved := l.Workers[w]
 				switch {
-				case saved.State != brain.Ready || saved.Detached:
+				case saved.State != scheduler.Ready || saved.Detached:
 					t.Fatalf("told one that had left: %+v", saved)
 				case r.MayProbe && !answered[saved.ID]:
 					t.Fatalf("told one that never answered: %+v", saved)
@@ -223,14 +223,14 @@
 		trust := New(10*day, listOf(10*day-time.Minute, 10), rules)
 		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
 			for _, v := range trust.Check(now) {
-				if i := slices.Index([]brain.WorkerID{id(8), id(9)}, v.Probe); i < 0 { // two never answer
+				if i := slices.Index([]scheduler.WorkerID{id(8), id(9)}, v.Probe); i < 0 { // two never answer
 					trust.ProbeCompleted(now, v.Probe, Answered)
 				}
 			}
 		}
 		return trust
 	}
-	ids := func(n int) (ids []brain.WorkerID) {
+	ids := func(n int) (ids []scheduler.WorkerID) {
 		for i := range n {
 			ids = append(ids, id(i))
 		}
@@ -240,7 +240,7 @@
 	for _, c := range []struct {
 		name     string
 		revision int64
-		ready    []brain.WorkerID
+		ready    []scheduler.WorkerID
 		kept     int // -1: counts at once
 	}{
 		{"all", 9, ids(10), -1}, {"half", 9, ids(5), -1}, {"below half", 9, ids(4), 4}, {"empty", 9, nil, 8},
--- a/internal/decisions/membership/membership.go
+++ b/internal/decisions/endpointstate/membership.go
@@ -1,4 +1,4 @@
-// Package membership owns what is known of each worker's state, and decides what an answer of discovery may change in it. Answers
+// Package endpointstate owns what is known of each worker's state, and decides what an answer of discovery may change in it. Answers
 // go in, with the service that gave them, their revision and when their call was made and answered; what counts of them comes
 // out. No I/O, no clock, no goroutine.
 //
@@ -20,12 +20,12 @@
 // have one address; (c) the list in the platform's file is of the service that the file names, and (d) what a saved list says
 // was known long ago: an answer of any service settles it; (e) a predecessor's list is of the service that it asked, with the
 // moments that it was told; (f) an agent is a service of its own.
-package membership
+package endpointstate
 
 import (
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 const (
@@ -41,10 +41,10 @@
 
 // Endpoint is what an answer says of a worker.
 type Endpoint struct {
-	ID         brain.WorkerID
-	State      brain.WorkerState
-	Start      brain.Clock // as discovery stamps it; 0 for long ago
-	NotifiedAt time.Time   // when a predecessor was told that it takes no more requests; zero for now
+	ID         scheduler.WorkerID
+	State      scheduler.WorkerState
+	Start      scheduler.Clock // as discovery stamps it; 0 for long ago
+	NotifiedAt time.Time       // when a predecessor was told that it takes no more requests; zero for now
 }
 
 // ListResponse is a list, or a change of one.
@@ -72,9 +72,9 @@
 // Accepted is what counts of an answer about one worker.
 type Accepted struct {
 	Index      int // of the answer's member, or Absent
-	ID         brain.WorkerID
-	State      brain.WorkerState
-	Start      brain.Clock
+	ID         scheduler.WorkerID
+	State      scheduler.WorkerState
+	Start      scheduler.Clock
 	NotifiedAt time.Time // when it was first told to be draining or gone; zero while it is neither
 }
 
@@ -86,8 +86,8 @@
 
 // record is what is known of a worker.
 type record struct {
-	state    brain.WorkerState
-	start    brain.Clock
+	state    scheduler.WorkerState
+	start    scheduler.Clock
 	told     time.Time // since when it takes no more requests
 	learned  time.Time // when its state or start became known here; zero for long ago
 	service  string
@@ -105,7 +105,7 @@
 
 // Table is what is known. Its zero value knows nothing.
 type Table struct {
-	records  map[brain.WorkerID]record
+	records  map[scheduler.WorkerID]record
 	services map[string]*progress
 }
 
@@ -120,10 +120,10 @@
 // Record notes what is known of a worker by another way than an answer.
 func (t *Table) Record(m Endpoint, service string, revision int64) {
 	if t.records == nil {
-		t.records = map[brain.WorkerID]record{}
+		t.records = map[scheduler.WorkerID]record{}
 	}
 	r := record{state: m.State, start: m.Start, service: service, epoch: t.service(service).epoch, revision: revision}
-	if m.State != brain.Ready {
+	if m.State != scheduler.Ready {
 		r.told = m.NotifiedAt
 	}
 	t.records[m.ID] = r
@@ -166,7 +166,7 @@
 	if order == Lagging {
 		v.PollAgainAt = a.ReceivedAt
 	}
-	named := make(map[brain.WorkerID]bool, len(a.Endpoints))
+	named := make(map[scheduler.WorkerID]bool, len(a.Endpoints))
 	for i, m := range a.Endpoints {
 		named[m.ID] = true
 		t.takeMember(a, order, i, m, &v)
@@ -180,17 +180,17 @@
 // takeMember takes in what an answer says of a worker.
 func (t *Table) takeMember(a ListResponse, order Freshness, index int, m Endpoint, v *Changes) {
 	r, known := t.records[m.ID]
-	if order == Lagging && (!known || m.State == brain.Ready || r.state != brain.Ready) {
+	if order == Lagging && (!known || m.State == scheduler.Ready || r.state != scheduler.Ready) {
 		return
 	}
 	newer := !known || order == Current && t.newer(a, r)
-	if m.State == brain.Ready && r.state != brain.Ready && !newer && m.Start <= r.start {
+	if m.State == scheduler.Ready && r.state != scheduler.Ready && !newer && m.Start <= r.start {
 		if again := r.learned.Add(MaxStaleness); v.PollAgainAt.IsZero() || again.Before(v.PollAgainAt) {
 			v.PollAgainAt = again
 		}
 		return
 	}
-	if r.state == brain.Gone && m.State == brain.Draining && !newer {
+	if r.state == scheduler.Gone && m.State == scheduler.Draining && !newer {
 		return // it has left since
 	}
 	if m.Start < r.start && !newer {
@@ -206,12 +206,12 @@
 }
 
 // takeAbsent has those end whom a whole list does not name.
-func (t *Table) takeAbsent(a ListResponse, named map[brain.WorkerID]bool, v *Changes) {
+func (t *Table) takeAbsent(a ListResponse, named map[scheduler.WorkerID]bool, v *Changes) {
 	for id, r := range t.records {
 		switch {
 		case named[id]:
-		case r.state != brain.Gone:
-			t.put(a, NotListed, Endpoint{ID: id, State: brain.Gone, Start: r.start}, r, v)
+		case r.state != scheduler.Gone:
+			t.put(a, NotListed, Endpoint{ID: id, State: scheduler.Gone, Start: r.start}, r, v)
 		case a.ReceivedAt.Sub(r.learned) > remembered:
 			delete(t.records, id)
 		}
@@ -221,13 +221,13 @@
 // put enters what counts about a worker.
 func (t *Table) put(a ListResponse, index int, m Endpoint, before record, v *Changes) {
 	if t.records == nil {
-		t.records = map[brain.WorkerID]record{}
+		t.records = map[scheduler.WorkerID]record{}
 	}
 	now := record{state: m.State, start: m.Start, learned: before.learned, service: a.Service, epoch: t.service(a.Service).epoch, revision: a.Revision}
 	if now.state != before.state || now.start != before.start {
 		now.learned = a.ReceivedAt
 	}
-	if now.state != brain.Ready {
+	if now.state != scheduler.Ready {
 		now.told = before.told
 		if now.told.IsZero() {
 			now.told = earlier(m.NotifiedAt, a.ReceivedAt)
--- a/internal/decisions/membership/membership_test.go
+++ b/internal/decisions/endpointstate/membership_test.go
@@ -1,4 +1,4 @@
-package membership
+package endpointstate
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // table is what the properties are held over: Table, or a version of it that is broken on purpose.
@@ -26,8 +26,8 @@
 type world struct {
 	truth []change
 	table table
-	now   brain.WorkerState // as the table's verdicts have it
-	known int               // the newest change whose restriction was accepted; -1 for none
+	now   scheduler.WorkerState // as the table's verdicts have it
+	known int                   // the newest change whose restriction was accepted; -1 for none
 }
 
 var epoch = time.Unix(1e9, 0)
@@ -55,7 +55,7 @@
 func (w *world) answer(s shownBy, asked, composed, came time.Duration) error {
 	shown := w.asOf(composed)
 	a := ListResponse{Service: s.name, Revision: s.first + int64(shown), Complete: true, CalledAt: w.at(asked), ReceivedAt: w.at(came)}
-	if m := w.truth[shown].member; m.State != brain.Gone {
+	if m := w.truth[shown].member; m.State != scheduler.Gone {
 		a.Endpoints = []Endpoint{m}
 	}
 	order := w.table.Classify(a)
@@ -66,14 +66,14 @@
 		was := w.now
 		w.now = accepted.State
 		switch {
-		case accepted.State != brain.Ready:
-			if was == brain.Ready {
+		case accepted.State != scheduler.Ready:
+			if was == scheduler.Ready {
 				w.known = max(w.known, shown)
 			}
 			if accepted.NotifiedAt.After(a.ReceivedAt) || accepted.NotifiedAt.IsZero() {
 				return fmt.Errorf("told %v, behind the answer of %v", accepted.NotifiedAt, a.ReceivedAt)
 			}
-		case was != brain.Ready && shown <= w.known:
+		case was != scheduler.Ready && shown <= w.known:
 			return fmt.Errorf("a list of change %d, composed at %v, takes back what change %d brought", shown, composed, w.known)
 		}
 	}
@@ -96,10 +96,10 @@
 
 // scripts are the truths that are played: a drain, an end, a return, a new start.
 func scripts() [][]change {
-	member := func(s brain.WorkerState, start brain.Clock) Endpoint {
+	member := func(s scheduler.WorkerState, start scheduler.Clock) Endpoint {
 		return Endpoint{ID: "w", State: s, Start: start}
 	}
-	active, drains, gone, anew := member(brain.Ready, 0), member(brain.Draining, 0), member(brain.Gone, 0), member(brain.Ready, 7)
+	active, drains, gone, anew := member(scheduler.Ready, 0), member(scheduler.Draining, 0), member(scheduler.Gone, 0), member(scheduler.Ready, 7)
 	at := func(members ...Endpoint) (truth []change) {
 		for i, m := range members {
 			truth = append(truth, change{time.Duration(i) * 4 * time.Second, m})
@@ -125,7 +125,7 @@
 	var steps []step
 	var play func(depth int, from time.Duration) error
 	run := func() error {
-		w := &world{truth: truth, table: make(), now: brain.Gone, known: -1}
+		w := &world{truth: truth, table: make(), now: scheduler.Gone, known: -1}
 		trace := ""
 		for _, s := range steps {
 			trace += fmt.Sprintf(" [%s asked %v composed %v came %v]", s.service.name, s.asked, s.composed, s.came)
@@ -177,12 +177,12 @@
 // Long histories: drawn truths, answers that are delayed, doubled and overtaken, of replicas of two services that lag.
 func TestDrawnHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{table: &Table{}, now: brain.Gone, known: -1, truth: []change{{0, Endpoint{ID: "w"}}}}
+		w := &world{table: &Table{}, now: scheduler.Gone, known: -1, truth: []change{{0, Endpoint{ID: "w"}}}}
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			at += time.Duration(rapid.Int64Range(int64(100*time.Millisecond), int64(8*time.Second)).Draw(t, "pause"))
-			m := Endpoint{ID: "w", State: brain.WorkerState(rapid.IntRange(0, 2).Draw(t, "state")), Start: w.truth[len(w.truth)-1].member.Start}
-			if m.State == brain.Ready && rapid.Bool().Draw(t, "a new start") {
+			m := Endpoint{ID: "w", State: scheduler.WorkerState(rapid.IntRange(0, 2).Draw(t, "state")), Start: w.truth[len(w.truth)-1].member.Start}
+			if m.State == scheduler.Ready && rapid.Bool().Draw(t, "a new start") {
 				m.Start += time.Second
 			}
 			w.truth = append(w.truth, change{at, m})
@@ -207,11 +207,11 @@
 // literal takes every answer at its word, as the dispatcher once did.
 type literal struct {
 	Table
-	state brain.WorkerState
+	state scheduler.WorkerState
 }
 
 func (l *literal) Apply(a ListResponse, _ Freshness) (v Changes) {
-	m := Endpoint{ID: "w", State: brain.Gone}
+	m := Endpoint{ID: "w", State: scheduler.Gone}
 	if len(a.Endpoints) > 0 {
 		m = a.Endpoints[0]
 	}
@@ -230,10 +230,10 @@
 
 func (s *stubborn) Apply(a ListResponse, o Freshness) (v Changes) {
 	for _, x := range s.Table.Apply(a, o).Accepted {
-		if x.State == brain.Ready && s.ended {
+		if x.State == scheduler.Ready && s.ended {
 			continue
 		}
-		s.ended = s.ended || x.State != brain.Ready
+		s.ended = s.ended || x.State != scheduler.Ready
 		v.Accepted = append(v.Accepted, x)
 	}
 	return v
@@ -244,7 +244,7 @@
 
 func (f *forgetful) Apply(a ListResponse, o Freshness) Changes {
 	v := f.Table.Apply(a, o)
-	if f.records["w"].state == brain.Gone {
+	if f.records["w"].state == scheduler.Gone {
 		delete(f.records, "w")
 	}
 	return v
@@ -256,7 +256,7 @@
 func (l *late) Apply(a ListResponse, o Freshness) Changes {
 	v := l.Table.Apply(a, o)
 	for i := range v.Accepted {
-		if v.Accepted[i].State != brain.Ready {
+		if v.Accepted[i].State != scheduler.Ready {
 			v.Accepted[i].NotifiedAt = a.ReceivedAt.Add(time.Second)
 		}
 	}
@@ -285,7 +285,7 @@
 func TestAskAgain(t *testing.T) {
 	var known Table
 	take := func(a ListResponse) Changes { return known.Apply(a, known.Classify(a)) }
-	drains := ListResponse{Service: "before", Revision: 9, CalledAt: epoch, ReceivedAt: epoch.Add(time.Second), Endpoints: []Endpoint{{ID: "w", State: brain.Draining}}}
+	drains := ListResponse{Service: "before", Revision: 9, CalledAt: epoch, ReceivedAt: epoch.Add(time.Second), Endpoints: []Endpoint{{ID: "w", State: scheduler.Draining}}}
 	if v := take(drains); len(v.Accepted) != 1 || v.Accepted[0].NotifiedAt != drains.ReceivedAt || !v.PollAgainAt.IsZero() {
 		t.Fatalf("%+v", v)
 	}
@@ -294,7 +294,7 @@
 		t.Fatalf("%+v", v)
 	}
 	active.CalledAt, active.ReceivedAt = drains.ReceivedAt.Add(MaxStaleness), drains.ReceivedAt.Add(MaxStaleness+time.Second)
-	if v := take(active); len(v.Accepted) != 1 || v.Accepted[0].State != brain.Ready || !v.Accepted[0].NotifiedAt.IsZero() {
+	if v := take(active); len(v.Accepted) != 1 || v.Accepted[0].State != scheduler.Ready || !v.Accepted[0].NotifiedAt.IsZero() {
 		t.Fatalf("%+v", v)
 	}
 }
--- a/internal/decisions/neighbours/neighbours.go
+++ b/internal/decisions/gossippeers/neighbours.go
@@ -1,4 +1,4 @@
-// Package neighbours decides which dispatchers of a fleet gossip with each other, and when two of them exchange all that they
+// Package gossippeers decides which dispatchers of a fleet gossip with each other, and when two of them exchange all that they
 // know. Neighbours are those of one zone. Who is there beyond it the council's leader knows by the leases that it gives
 // anyway. Values in, verdicts out: no I/O, no clock, no goroutine.
 //
@@ -13,7 +13,7 @@
 //  3. Two parts of a zone that do not know each other meet, once both hold leases: the smaller one within seconds.
 //  4. A dispatcher begins at most one exchange in Spacing for each neighbour, whatever anybody says; where exchanges change
 //     nothing, one in sixteen times that.
-package neighbours
+package gossippeers
 
 import (
 	"fmt"
--- a/internal/decisions/neighbours/neighbours_test.go
+++ b/internal/decisions/gossippeers/neighbours_test.go
@@ -1,4 +1,4 @@
-package neighbours
+package gossippeers
 
 import (
 	"fmt"
--- a/internal/decisions/streams/streams.go
+++ b/internal/decisions/http2limits/streams.go
@@ -1,4 +1,4 @@
-// Package streams decides what a client may do with one HTTP/2 connection beside having its jobs answered, and how a
+// Package http2limits decides what a client may do with one HTTP/2 connection beside having its jobs answered, and how a
 // front's room is dealt out among connections. Values in, verdicts out: no I/O, no clock, no goroutine.
 //
 // It promises:
@@ -17,7 +17,7 @@
 // The frames are those of RFC 9113, section 6. What net/http bounds by itself is not done again here: streams open at a
 // time (SETTINGS_MAX_CONCURRENT_STREAMS, and handlers that outlive their streams), the size of a header list, flow
 // control, queued replies to frames, and frames that break the protocol.
-package streams
+package http2limits
 
 import "time"
 
--- a/internal/decisions/streams/streams_test.go
+++ b/internal/decisions/http2limits/streams_test.go
@@ -1,4 +1,4 @@
-package streams
+package http2limits
 
 import (
 	"testing"
--- a/internal/decisions/repeats/repeats.go
+++ b/internal/decisions/idempotency/repeats.go
@@ -1,4 +1,4 @@
-// Package repeats decides what becomes of a request whose Idempotency-Key may have come before, at whichever front.
+// Package idempotency decides what becomes of a request whose Idempotency-Key may have come before, at whichever front.
 // Values in, verdicts out: no I/O, no clock, no goroutine.
 //
 // It promises:
@@ -10,7 +10,7 @@
 //  3. Only the same job is joined: the same target, account and body.
 //  4. Nothing begins that there is no room to remember.
 //  5. A job is given up for want of readers only if none is left and nobody asked for it to go on.
-package repeats
+package idempotency
 
 // Decision says what becomes of a request.
 type Decision uint8
--- a/internal/decisions/repeats/repeats_test.go
+++ b/internal/decisions/idempotency/repeats_test.go
@@ -1,4 +1,4 @@
-package repeats
+package idempotency
 
 import (
 	"testing"
--- a/internal/decisions/starts/starts.go
+++ b/internal/decisions/incarnations/starts.go
@@ -1,4 +1,4 @@
-// Package starts judges how long ago workers started. Values in, verdicts out: no I/O, no clock, no goroutine.
+// Package incarnations judges how long ago workers started. Values in, verdicts out: no I/O, no clock, no goroutine.
 //
 // Discovery stamps a worker's start with Unix time, by a wall clock that need not agree with the one here, and either may be
 // set forward or back at any moment. So a stamp tells which start is meant, and hardly when it was. Book promises:
@@ -11,12 +11,12 @@
 //     newest stamp is not gone by.
 //  3. The same stamp again is the same start. Another stamp, also a lower one, is another start: a clock was set back.
 //  4. No stamp means long ago: the worker is warm, unless a start of it was told here before.
-package starts
+package incarnations
 
 import (
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // MaxListGap is how old the last list may be for a start in the next to be taken for one of just now.
@@ -24,35 +24,35 @@
 
 // start is one that was told of a worker.
 type start struct {
-	stamp brain.Clock // as discovery has it
-	at    brain.Clock // on the own clock
+	stamp scheduler.Clock // as discovery has it
+	at    scheduler.Clock // on the own clock
 }
 
 // Tracker remembers the starts of workers. Its zero value is empty.
 type Tracker struct {
-	workers map[brain.WorkerID]start
+	workers map[scheduler.WorkerID]start
 }
 
 // WorkerStart is what a list says of a worker's start.
 type WorkerStart struct {
-	ID    brain.WorkerID
-	Stamp brain.Clock // Unix time by discovery's clock; 0 for long ago
+	ID    scheduler.WorkerID
+	Stamp scheduler.Clock // Unix time by discovery's clock; 0 for long ago
 }
 
 // ListTime is when a list is taken in.
 type ListTime struct {
-	Now           brain.Clock   // on the own clock, which runs on evenly
-	Wall          brain.Clock   // Unix time by the own wall clock, which may be wrong
-	SinceLastList time.Duration // how long nothing had been told before
+	Now           scheduler.Clock // on the own clock, which runs on evenly
+	Wall          scheduler.Clock // Unix time by the own wall clock, which may be wrong
+	SinceLastList time.Duration   // how long nothing had been told before
 }
 
 // Update takes in a list, or a change of it, and gives when each of its workers started, on the own clock; 0 for long ago.
-func (b *Tracker) Update(m ListTime, lines []WorkerStart) []brain.Clock {
-	newest := brain.Clock(0)
+func (b *Tracker) Update(m ListTime, lines []WorkerStart) []scheduler.Clock {
+	newest := scheduler.Clock(0)
 	for _, l := range lines {
 		newest = max(newest, l.Stamp)
 	}
-	at := make([]brain.Clock, len(lines))
+	at := make([]scheduler.Clock, len(lines))
 	for i, l := range lines {
 		known, had := b.workers[l.ID]
 		if l.Stamp > 0 && !(had && known.stamp == l.Stamp) {
@@ -64,7 +64,7 @@
 }
 
 // age is how old a worker is taken to be by a stamp that is told for the first time.
-func (m ListTime) age(stamp, newest brain.Clock) time.Duration {
+func (m ListTime) age(stamp, newest scheduler.Clock) time.Duration {
 	if m.SinceLastList < MaxListGap {
 		return 0
 	}
@@ -76,12 +76,12 @@
 }
 
 // Set notes when a start was, from one who knows.
-func (b *Tracker) Set(id brain.WorkerID, stamp, at brain.Clock) {
+func (b *Tracker) Set(id scheduler.WorkerID, stamp, at scheduler.Clock) {
 	if b.workers == nil {
-		b.workers = map[brain.WorkerID]start{}
+		b.workers = map[scheduler.WorkerID]start{}
 	}
 	b.workers[id] = start{stamp, at}
 }
 
 // StartedAt gives when a worker started last, on the own clock, as far as it was told; 0 for long ago.
-func (b *Tracker) StartedAt(id brain.WorkerID) brain.Clock { return b.workers[id].at }
+func (b *Tracker) StartedAt(id scheduler.WorkerID) scheduler.Clock { return b.workers[id].at }
--- a/internal/decisions/starts/starts_test.go
+++ b/internal/decisions/incarnations/starts_test.go
@@ -1,4 +1,4 @@
-package starts
+package incarnations
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // Whatever one of the two wall clocks does, no worker is taken to be older than it is by more than the time in which nothing was
@@ -17,18 +17,18 @@
 		step := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(-2*int64(time.Hour), 2*int64(time.Hour)).Draw(t, name))
 		}
-		const epoch = brain.Clock(1e18)
-		own, now := step("own wall clock"), brain.Clock(0)
-		truth := map[brain.WorkerID]brain.Clock{}
-		stamps := map[brain.WorkerID]brain.Clock{}
+		const epoch = scheduler.Clock(1e18)
+		own, now := step("own wall clock"), scheduler.Clock(0)
+		truth := map[scheduler.WorkerID]scheduler.Clock{}
+		stamps := map[scheduler.WorkerID]scheduler.Clock{}
 		book := &Tracker{}
 		var first []WorkerStart
-		for _, id := range []brain.WorkerID{"a", "b", "c"} {
+		for _, id := range []scheduler.WorkerID{"a", "b", "c"} {
 			age := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "age"))
 			truth[id], stamps[id] = -age, epoch-age
 			first = append(first, WorkerStart{id, stamps[id]})
 		}
-		check := func(lines []WorkerStart, at []brain.Clock) {
+		check := func(lines []WorkerStart, at []scheduler.Clock) {
 			for i, l := range lines {
 				if at[i] < truth[l.ID] {
 					t.Fatalf("%s is taken to be %v older than it is", l.ID, truth[l.ID]-at[i])
@@ -38,11 +38,11 @@
 		check(first, book.Update(ListTime{Now: now, Wall: epoch + own, SinceLastList: 1 << 62}, first))
 		stamping := time.Duration(0)
 		for range 20 {
-			now += brain.Clock(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "later"))
+			now += scheduler.Clock(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "later"))
 			if rapid.IntRange(0, 3).Draw(t, "a clock is set") == 0 {
 				own, stamping = step("own wall clock"), step("clock that stamps")
 			}
-			id := rapid.SampledFrom([]brain.WorkerID{"a", "b", "c", "d", "e"}).Draw(t, "id")
+			id := rapid.SampledFrom([]scheduler.WorkerID{"a", "b", "c", "d", "e"}).Draw(t, "id")
 			if rapid.Bool().Draw(t, "starts") {
 				stamp := epoch + now + stamping
 				if stamp == stamps[id] { // a clock set back to the nanosecond of the start before: nobody could tell the two apart
@@ -62,8 +62,8 @@
 // With clocks alike, a worker in the first list of a process is as old as it is, less the age of the newest at the most.
 func TestFirstList(t *testing.T) {
 	book := &Tracker{}
-	const now, wall = brain.Clock(time.Hour), brain.Clock(1e18)
-	at := book.Update(ListTime{Now: now, Wall: wall, SinceLastList: 1 << 62}, []WorkerStart{{"old", wall - brain.Clock(30*time.Second)}, {"young", wall - brain.Clock(2*time.Second)}, {"long ago", 0}})
+	const now, wall = scheduler.Clock(time.Hour), scheduler.Clock(1e18)
+	at := book.Update(ListTime{Now: now, Wall: wall, SinceLastList: 1 << 62}, []WorkerStart{{"old", wall - scheduler.Clock(30*time.Second)}, {"young", wall - scheduler.Clock(2*time.Second)}, {"long ago", 0}})
 	if old, young := now-at[0], now-at[1]; old != 28*time.Second || young != 0 || at[2] != 0 {
 		t.Errorf("%v, %v, %v", old, young, at[2])
 	}
--- a/internal/decisions/pacing/crowd_test.go
+++ b/internal/decisions/polling/crowd_test.go
@@ -1,4 +1,4 @@
-package pacing
+package polling
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // crowdedService is a discovery service of little capacity. It serves calls one after the other. A call that has waited for its
@@ -215,7 +215,7 @@
 func (c *crowd) kill(d *crowdCaller, again time.Time) {
 	c.open = slices.DeleteFunc(c.open, func(o *crowdCall) bool { return o.caller == d })
 	d.schedule = NewSchedule(again)
-	d.schedule.Start(again.Add(brain.FirstAsk(c.rules.Dispatchers, c.chance())))
+	d.schedule.Start(again.Add(scheduler.FirstAsk(c.rules.Dispatchers, c.chance())))
 	d.watched, d.newsAt = time.Time{}, time.Time{}
 }
 
--- a/internal/decisions/pacing/pacing.go
+++ b/internal/decisions/polling/pacing.go
@@ -1,4 +1,4 @@
-// Package pacing decides when a dispatcher calls discovery for the list of workers. Values in, verdicts out: no I/O, no clock,
+// Package polling decides when a dispatcher calls discovery for the list of workers. Values in, verdicts out: no I/O, no clock,
 // no goroutine.
 //
 // Discovery is one small service for all dispatchers. It may be slow, refuse calls, break them off or never answer, and a
@@ -30,7 +30,7 @@
 //     when it comes back from an outage, and when most of them begin anew right behind that. Calls that it lets in may expire in
 //     its queue, which costs it the same work: so one behind such a call, or where a change counts as told already, comes
 //     overdueSpan behind the beginning of the last.
-package pacing
+package polling
 
 import "time"
 
--- a/internal/decisions/pacing/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -1,4 +1,4 @@
-package pacing
+package polling
 
 import "time"
 
--- a/internal/decisions/shares/shares.go
+++ b/internal/decisions/quotas/shares.go
@@ -1,4 +1,4 @@
-// Package shares decides which accounts' jobs are taken when there is not room for all that come, over all fronts
+// Package quotas decides which accounts' jobs are taken when there is not room for all that come, over all fronts
 // together. Values in, verdicts out: no I/O, no clock, no goroutine.
 //
 // It promises:
@@ -9,9 +9,9 @@
 //     the moment they come; alone it may hold half of the room.
 //  4. Accounts that nobody listed have one share together: a client cannot gain by inventing names.
 //  5. What is done is free again, also after the shares were changed while it was open.
-package shares
+package quotas
 
-import "brassdale/internal/decisions/streams"
+import "brassdale/internal/decisions/http2limits"
 
 // Table is the account of what is open.
 type Table struct {
@@ -49,7 +49,7 @@
 
 // Admit takes a job of a pot, or tells that there is no room for it.
 func (t *Table) Admit(pot string) bool {
-	if !streams.WithinDynamicThreshold(t.room, t.total, t.open[pot], t.floor(pot)) {
+	if !http2limits.WithinDynamicThreshold(t.room, t.total, t.open[pot], t.floor(pot)) {
 		return false
 	}
 	t.open[pot]++
--- a/internal/decisions/shares/shares_test.go
+++ b/internal/decisions/quotas/shares_test.go
@@ -1,4 +1,4 @@
-package shares
+package quotas
 
 import (
 	"testing"
--- a/internal/decisions/retries/retries.go
+++ b/internal/decisions/retrybudget/retries.go
@@ -1,4 +1,4 @@
-// Package retries decides whether a further outbound call of a request may be made: a budget over all requests, as a share
+// Package retrybudget decides whether a further outbound call of a request may be made: a budget over all requests, as a share
 // of their first calls. What the module decides for one request is right for it; while a tenth of the endpoints fails, all
 // requests' further calls together can double the load of the rest. Values in, verdicts out: no I/O, no clock, no goroutine.
 //
@@ -7,7 +7,7 @@
 //  1. Further calls are at most the share of the first calls, and a floor that lets a quiet dispatcher repeat at all.
 //  2. A call that was not allowed costs nothing.
 //  3. What it remembers is bounded: accounts beyond the bound share one account's budget.
-package retries
+package retrybudget
 
 import "time"
 
--- a/internal/decisions/retries/retries_test.go
+++ b/internal/decisions/retrybudget/retries_test.go
@@ -1,4 +1,4 @@
-package retries
+package retrybudget
 
 import (
 	"fmt"
--- a/internal/documented_test.go
+++ b/internal/documented_test.go
@@ -15,7 +15,7 @@
 func TestExportedItemsAreDocumented(t *testing.T) {
 	packages := map[string]bool{}
 	files := map[string]string{}
-	for _, root := range []string{".", "../brain", "../cmd"} {
+	for _, root := range []string{".", "../scheduler", "../cmd"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() && d.Name() == "testdata" {
 				return filepath.SkipDir
--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // Breach is a rule that was broken.
 type Breach struct {
 	Rule    string
 	Request uint64
-	Box     brain.WorkerID // where one was concerned
-	At      time.Duration  // since the start
+	Box     scheduler.WorkerID // where one was concerned
+	At      time.Duration      // since the start
 	Why     string
 }
 
@@ -43,7 +43,7 @@
 
 type drainKey struct {
 	dispatcher int
-	box        brain.WorkerID
+	box        scheduler.WorkerID
 }
 
 // tried is what was done for a request.
@@ -57,7 +57,7 @@
 	at    time.Duration
 	bay   int
 	zone  int
-	box   brain.WorkerID
+	box   scheduler.WorkerID
 	out   bool
 	never bool // it is known not to have run
 }
@@ -66,7 +66,7 @@
 	return &auditor{s: s, base: base, tries: map[uint64]*tried{}, drained: map[drainKey]time.Duration{}}
 }
 
-func (a *auditor) broken(rule string, now time.Duration, request uint64, box brain.WorkerID, format string, args ...any) {
+func (a *auditor) broken(rule string, now time.Duration, request uint64, box scheduler.WorkerID, format string, args ...any) {
 	a.breach = append(a.breach, Breach{rule, request, box, now - a.base, fmt.Sprintf(format, args...)})
 }
 
@@ -93,7 +93,7 @@
 // answered takes a final answer. A refusal says that a further try is harmless, which it is not where one may have run.
 func (a *auditor) answered(now time.Duration, request uint64, refused bool) {
 	t := a.of(request)
-	if c := a.rules(t); refused && c.Effect != brain.Idempotent && !(c.Effect == brain.IdempotentWithKey && c.Scope == brain.ScopeAll) {
+	if c := a.rules(t); refused && c.Effect != scheduler.Idempotent && !(c.Effect == scheduler.IdempotentWithKey && c.Scope == scheduler.ScopeAll) {
 		for _, was := range t.sends {
 			if !was.never {
 				a.broken(RuleRepeat, now, request, was.box, "refused though it may have run there")
@@ -113,7 +113,7 @@
 }
 
 // sent takes an attempt, when its first byte leaves.
-func (a *auditor) sent(now time.Duration, dispatcher int, request uint64, box brain.WorkerID, bay, zone int) {
+func (a *auditor) sent(now time.Duration, dispatcher int, request uint64, box scheduler.WorkerID, bay, zone int) {
 	t := a.of(request)
 	if len(t.sends) >= a.s.Rules.MaxAttempts {
 		a.broken(RuleRepeat, now, request, box, "attempt number %d", len(t.sends)+1)
@@ -123,11 +123,11 @@
 		case was.never:
 		case was.out && !a.s.Rules.MayCopy:
 			a.broken(RuleRepeat, now, request, box, "a copy while one is out at %s", was.box)
-		case tr.Effect == brain.NonIdempotent:
+		case tr.Effect == scheduler.NonIdempotent:
 			a.broken(RuleRepeat, now, request, box, "it may have run at %s", was.box)
-		case tr.Effect == brain.IdempotentWithKey && (tr.Scope == brain.ScopeCell && was.bay != bay || tr.Scope == brain.ScopeZone && was.zone != zone):
+		case tr.Effect == scheduler.IdempotentWithKey && (tr.Scope == scheduler.ScopeCell && was.bay != bay || tr.Scope == scheduler.ScopeZone && was.zone != zone):
 			a.broken(RuleRepeat, now, request, box, "it may have run at %s of another bay or zone", was.box)
-		case tr.Effect == brain.IdempotentWithKey && now >= was.at+tr.Window:
+		case tr.Effect == scheduler.IdempotentWithKey && now >= was.at+tr.Window:
 			a.broken(RuleRepeat, now, request, box, "it may have run at %s, and the window is over", was.box)
 		}
 	}
@@ -138,17 +138,17 @@
 }
 
 // ended takes the outcome of an attempt.
-func (a *auditor) ended(request uint64, attempt int, o brain.Outcome) {
+func (a *auditor) ended(request uint64, attempt int, o scheduler.Outcome) {
 	if t := a.of(request); attempt < len(t.sends) {
 		t.sends[attempt].out = false
-		t.sends[attempt].never = o == brain.NeverSent || o == brain.NoConnect || o == brain.Full || o == brain.InvalidRequest
+		t.sends[attempt].never = o == scheduler.NeverSent || o == scheduler.NoConnect || o == scheduler.Full || o == scheduler.InvalidRequest
 	}
 }
 
 // told notes what a dispatcher was told of a box.
-func (a *auditor) told(now time.Duration, dispatcher int, box brain.WorkerID, s brain.WorkerState) {
+func (a *auditor) told(now time.Duration, dispatcher int, box scheduler.WorkerID, s scheduler.WorkerState) {
 	key := drainKey{dispatcher, box}
-	if _, is := a.drained[key]; s == brain.Ready {
+	if _, is := a.drained[key]; s == scheduler.Ready {
 		delete(a.drained, key)
 	} else if !is {
 		a.drained[key] = now
@@ -156,7 +156,7 @@
 }
 
 // pushed takes how much a cold box was sent lately, as a multiple of what it can do.
-func (a *auditor) pushed(now time.Duration, box brain.WorkerID, request uint64, load, most float64) {
+func (a *auditor) pushed(now time.Duration, box scheduler.WorkerID, request uint64, load, most float64) {
 	if load > most {
 		a.broken(RuleCold, now, request, box, "sent %.2f times what it can do", load)
 	}
--- a/internal/emulator/box.go
+++ b/internal/emulator/box.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // box is a costing box: slots that work jobs off in the order they came, each at the box's speed. What it leaves out: the
@@ -12,7 +12,7 @@
 // here: a copy takes its slot and answers as the first does. Whether a copy was allowed is the auditor's matter.
 type box struct {
 	w       *world
-	id      brain.WorkerID
+	id      scheduler.WorkerID
 	kind    int
 	bay     int
 	zone    int
@@ -21,7 +21,7 @@
 	slots   int
 	speed   float64
 	started time.Duration // 0 for long ago
-	state   brain.WorkerState
+	state   scheduler.WorkerState
 	down    bool // it has fallen over, is starting or is gone
 	life    int  // a restart begins another: what was under way in the one before never ends
 
@@ -33,7 +33,7 @@
 	held    []func()              // what would have been said while it is frozen
 	has     map[int]time.Duration // what it keeps of a subject, and when that was used last
 	pending []*run                // started
-	figures [8]brain.Report       // reports as they were, the newest last
+	figures [8]scheduler.Report   // reports as they were, the newest last
 	when    [8]time.Duration      // and since when
 	pushed  []push                // work sent to it lately, while cold
 	chance  *rand.Rand
@@ -51,18 +51,18 @@
 
 // origin is where attempts come from: a dispatcher of the model, or a real one behind a socket.
 type origin interface {
-	started(*run)                       // its job has
-	over(*run, brain.Outcome)           // it has ended
-	knows(brain.WorkerID) time.Duration // of which start of the box it was told
-	way() *rand.Rand                    // the chance in how long its way takes
+	started(*run)                           // its job has
+	over(*run, scheduler.Outcome)           // it has ended
+	knows(scheduler.WorkerID) time.Duration // of which start of the box it was told
+	way() *rand.Rand                        // the chance in how long its way takes
 }
 
 // run is an attempt at a box.
 type run struct {
 	job     *job
-	id      brain.RequestID
+	id      scheduler.RequestID
 	attempt int
-	box     brain.WorkerID
+	box     scheduler.WorkerID
 	from    origin
 	life    int
 	work    float64 // seconds at speed 1
@@ -70,7 +70,7 @@
 	began   bool
 	over    bool // ended, or called off
 	zone    int  // of the dispatcher
-	report  *brain.Report
+	report  *scheduler.Report
 
 	beganAt   time.Duration // when its dispatcher heard so
 	sentAt    time.Duration
@@ -96,7 +96,7 @@
 	}
 	b.weigh(r)
 	if b.down {
-		b.w.reply(r, brain.NoConnect)
+		b.w.reply(r, scheduler.NoConnect)
 		return
 	}
 	r.life = b.life
@@ -106,7 +106,7 @@
 	}
 	if b.full(r.job) {
 		r.over = true
-		b.w.reply(r, brain.Full)
+		b.w.reply(r, scheduler.Full)
 		return
 	}
 	b.queue = append(b.queue, r)
@@ -200,7 +200,7 @@
 	b.w.worked += r.work * float64(r.job.slots)
 	if !r.over {
 		r.over = true
-		b.w.reply(r, brain.Served)
+		b.w.reply(r, scheduler.Served)
 	} else {
 		b.w.wasted += r.work * float64(r.job.slots)
 	}
@@ -216,7 +216,7 @@
 	for _, r := range append(b.pending, b.queue...) {
 		if !r.over {
 			r.over = true
-			b.w.reply(r, brain.Reset)
+			b.w.reply(r, scheduler.Reset)
 		}
 	}
 	b.memory = 0
@@ -233,8 +233,8 @@
 }
 
 // load is what the box has to tell of itself.
-func (b *box) load() brain.Report {
-	return brain.Report{Busy: float64(b.busy) / float64(b.slots), Requests: -1, FreeSlots: float64(b.slots - b.busy),
+func (b *box) load() scheduler.Report {
+	return scheduler.Report{Busy: float64(b.busy) / float64(b.slots), Requests: -1, FreeSlots: float64(b.slots - b.busy),
 		Queue: float64(len(b.queue))}
 }
 
@@ -250,7 +250,7 @@
 }
 
 // report gives the figures as a probe finds them.
-func (b *box) report() *brain.Report {
+func (b *box) report() *scheduler.Report {
 	from := b.w.now - b.w.s.Reports.Delay
 	if b.late > 0 {
 		from -= 3 * time.Second
@@ -266,13 +266,13 @@
 }
 
 // probe answers a probe, as far as the box is there.
-func (b *box) probe(answer func(brain.Outcome, *brain.Report)) {
+func (b *box) probe(answer func(scheduler.Outcome, *scheduler.Report)) {
 	switch {
 	case b.down:
-		answer(brain.NoConnect, nil)
+		answer(scheduler.NoConnect, nil)
 	case b.frozen > 0 || b.cut > 0: // nobody hears anything: the dispatcher's own time runs out
 	default:
-		answer(brain.Served, b.report())
+		answer(scheduler.Served, b.report())
 	}
 }
 
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // What one deployment has and another has not: classes, wide jobs and memory, zones, connections, live weights, lists that
@@ -23,8 +23,8 @@
 	Stretch float64 // an answer counts within Aim + Stretch x the job's work
 	GiveUp  time.Duration
 	Worth   float64 // of a unit of work
-	Effect  brain.Idempotency
-	Scope   brain.DeduplicationScope // the group of boxes that drops repeats of a key ...
+	Effect  scheduler.Idempotency
+	Scope   scheduler.DeduplicationScope // the group of boxes that drops repeats of a key ...
 	Window  time.Duration
 	Wide    float64 // share of the jobs that take two slots
 }
@@ -35,7 +35,7 @@
 		return t.Classes
 	}
 	return []Class{{Share: 1, Work: t.Work, Spread: t.Spread, Aim: t.Aim, Stretch: t.Stretch, GiveUp: t.GiveUp, Worth: 1,
-		Effect: t.Effect, Scope: brain.ScopeCell, Window: t.Window}}
+		Effect: t.Effect, Scope: scheduler.ScopeCell, Window: t.Window}}
 }
 
 // virtual tells whether a scenario has any of it.
@@ -153,7 +153,7 @@
 // weigh tells all dispatchers of a box's weight, now and then: its size, less the more it holds.
 func (w *world) weigh() {
 	for _, b := range w.boxes {
-		if b.state == brain.Ready && !b.down {
+		if b.state == scheduler.Ready && !b.down {
 			w.changed(b)
 		}
 	}
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -4,26 +4,26 @@
 	"math/rand/v2"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/decisions/failover"
+	"brassdale/scheduler"
 )
 
 // Policy decides, as the module does: events in, actions out. The actions are read before the next call.
 type Policy interface {
-	Handle(now brain.Clock, ev brain.Event) []brain.Action
+	Handle(now scheduler.Clock, ev scheduler.Event) []scheduler.Action
 }
 
 // dispatcher carries a policy's actions out, as routing.Core does: it lets nothing through that the core would not.
 type dispatcher struct {
 	w          *world
 	n, zone    int
-	idle       map[brain.WorkerID][]time.Duration // connections, by since when they have been
+	idle       map[scheduler.WorkerID][]time.Duration // connections, by since when they have been
 	policy     Policy
-	open       map[brain.RequestID]*open
-	told       map[brain.WorkerID]time.Duration // of which start of a box
-	watcher    *failover.Recorder               // nil where nobody plans
+	open       map[scheduler.RequestID]*open
+	told       map[scheduler.WorkerID]time.Duration // of which start of a box
+	watcher    *failover.Recorder                   // nil where nobody plans
 	plan       *failover.Plan
-	listedAs   map[brain.WorkerID]brain.WorkerInfo
+	listedAs   map[scheduler.WorkerID]scheduler.WorkerInfo
 	subscribed bool
 	chance     *rand.Rand
 }
@@ -38,24 +38,24 @@
 }
 
 // feed tells the policy an event. Nothing in here feeds again: what an action brings about comes later.
-func (d *dispatcher) feed(ev brain.Event) {
+func (d *dispatcher) feed(ev scheduler.Event) {
 	for _, a := range d.policy.Handle(d.w.now, ev) {
 		switch a := a.(type) {
-		case brain.Send:
+		case scheduler.Send:
 			d.send(a)
-		case brain.Cancel:
+		case scheduler.Cancel:
 			if o := d.open[a.ID]; o != nil && a.Attempt < len(o.runs) && o.out[a.Attempt] {
 				r := o.runs[a.Attempt]
 				d.w.after(d.w.between(d.zone, d.w.boxOf(r), d.chance), func() { d.w.boxOf(r).cancel(r) })
-				d.w.after(0, func() { d.ended(a.ID, a.Attempt, brain.Cancelled) })
+				d.w.after(0, func() { d.ended(a.ID, a.Attempt, scheduler.Cancelled) })
 			}
-		case brain.Reject:
+		case scheduler.Reject:
 			d.answer(a.ID, refused, a.RetryAfter)
-		case brain.Fail:
+		case scheduler.Fail:
 			d.answer(a.ID, failed, 0)
-		case brain.Probe:
+		case scheduler.Probe:
 			d.probe(a.Worker)
-		case brain.Subscribe:
+		case scheduler.Subscribe:
 			switch {
 			case d.subscribed:
 			case d.w.down+d.w.hung > 0:
@@ -64,13 +64,13 @@
 				d.subscribed = true
 				d.w.after(d.w.late(d.chance), func() {
 					if d.subscribed {
-						d.listed(brain.ListFull, d.w.list())
+						d.listed(scheduler.ListFull, d.w.list())
 					}
 				})
 			}
-		case brain.SetTimer:
-			d.w.after(a.After, func() { d.feed(brain.TimerFired{Token: a.Token}) })
-		case brain.Log:
+		case scheduler.SetTimer:
+			d.w.after(a.After, func() { d.feed(scheduler.TimerFired{Token: a.Token}) })
+		case scheduler.Log:
 			d.w.note("%v dispatcher %d: %s", d.w.now-epoch, d.n, a.Text)
 		}
 	}
@@ -82,14 +82,14 @@
 	if d.w.down == 0 {
 		patience = hungCall
 	}
-	d.w.after(patience, func() { d.feed(brain.EndpointsUpdated{ListKind: brain.ListFailed}) })
+	d.w.after(patience, func() { d.feed(scheduler.EndpointsUpdated{ListKind: scheduler.ListFailed}) })
 }
 
 // hungCall is how long a dispatcher waits for an answer of discovery.
 const hungCall = 750 * time.Millisecond
 
 // arrived takes a client's request.
-func (d *dispatcher) arrived(j *job, id brain.RequestID, expires time.Duration) {
+func (d *dispatcher) arrived(j *job, id scheduler.RequestID, expires time.Duration) {
 	d.open[id] = &open{job: j, expires: expires}
 	d.w.audit.asked(uint64(id), d.w.class(j))
 	d.w.after(expires-d.w.now, func() { d.expired(id) })
@@ -98,11 +98,11 @@
 		d.w.after(0, func() { d.answer(id, refused, time.Duration((0.5+d.chance.Float64())*float64(time.Second))) })
 		return
 	}
-	d.feed(brain.RequestArrived{ID: id, Class: j.class, Slots: float64(j.slots), EstimatedWork: j.hint, AffinityKey: uint64(j.subject), Deadline: expires, AllowedZones: within})
+	d.feed(scheduler.RequestArrived{ID: id, Class: j.class, Slots: float64(j.slots), EstimatedWork: j.hint, AffinityKey: uint64(j.subject), Deadline: expires, AllowedZones: within})
 }
 
 // expired ends what is out when a client gives up.
-func (d *dispatcher) expired(id brain.RequestID) {
+func (d *dispatcher) expired(id scheduler.RequestID) {
 	o := d.open[id]
 	if o == nil {
 		return
@@ -111,12 +111,12 @@
 		if o.out[i] {
 			r := o.runs[i]
 			d.w.after(d.w.between(d.zone, d.w.boxOf(r), d.chance), func() { d.w.boxOf(r).cancel(r) })
-			d.ended(id, i, brain.TimedOut)
+			d.ended(id, i, scheduler.TimedOut)
 		}
 	}
 }
 
-func (d *dispatcher) send(a brain.Send) {
+func (d *dispatcher) send(a scheduler.Send) {
 	o := d.open[a.ID]
 	if o == nil {
 		return
@@ -128,14 +128,14 @@
 	o.runs, o.out = append(o.runs, r), append(o.out, true)
 	o.left++
 	if o.answered || d.w.now >= o.expires || attempt >= d.w.s.Rules.MaxAttempts || b == nil {
-		d.w.after(0, func() { d.ended(a.ID, attempt, brain.NeverSent) })
+		d.w.after(0, func() { d.ended(a.ID, attempt, scheduler.NeverSent) })
 		return
 	}
 	r.id = a.ID
 	d.w.sends++
 	more, ok := d.connect(b)
 	if !ok {
-		d.w.after(d.w.between(d.zone, b, d.chance), func() { d.ended(a.ID, attempt, brain.NoConnect) })
+		d.w.after(d.w.between(d.zone, b, d.chance), func() { d.ended(a.ID, attempt, scheduler.NoConnect) })
 		return
 	}
 	r.connected = true
@@ -154,7 +154,7 @@
 }
 
 // ended ends an attempt, once.
-func (d *dispatcher) ended(id brain.RequestID, attempt int, out brain.Outcome) {
+func (d *dispatcher) ended(id scheduler.RequestID, attempt int, out scheduler.Outcome) {
 	o := d.open[id]
 	if o == nil || !o.out[attempt] {
 		return
@@ -164,17 +164,17 @@
 	d.w.audit.ended(uint64(id), attempt, out)
 	r := o.runs[attempt]
 	if r.connected {
-		d.disconnect(d.w.boxOf(r), out == brain.Served || out == brain.Full)
+		d.disconnect(d.w.boxOf(r), out == scheduler.Served || out == scheduler.Full)
 	}
-	var report *brain.Report
-	if out == brain.Served || out == brain.Full {
+	var report *scheduler.Report
+	if out == scheduler.Served || out == scheduler.Full {
 		report = r.report
 	}
 	d.saw(r, o, out)
-	if out == brain.Served {
+	if out == scheduler.Served {
 		d.answer(id, served, 0)
 	}
-	d.feed(brain.AttemptFinished{ID: id, Attempt: attempt, Worker: o.runs[attempt].box, Outcome: out, Final: o.answered, Report: report, ConnectionIdle: -1})
+	d.feed(scheduler.AttemptFinished{ID: id, Attempt: attempt, Worker: o.runs[attempt].box, Outcome: out, Final: o.answered, Report: report, ConnectionIdle: -1})
 	d.forget(id)
 }
 
@@ -187,20 +187,20 @@
 		if r.beganAt = d.w.now; d.watcher != nil {
 			d.watcher.ResponseReceived(d.w.zoneName(d.w.boxOf(r).zone), d.w.now)
 		}
-		d.feed(brain.AttemptStarted{ID: r.id, Attempt: r.attempt, Worker: r.box})
+		d.feed(scheduler.AttemptStarted{ID: r.id, Attempt: r.attempt, Worker: r.box})
 	}
 }
 
-func (d *dispatcher) over(r *run, o brain.Outcome) {
+func (d *dispatcher) over(r *run, o scheduler.Outcome) {
 	if !d.cutOff(d.w.boxOf(r)) { // else nothing of it is heard before the client gives up
 		d.ended(r.id, r.attempt, o)
 	}
 }
-func (d *dispatcher) knows(id brain.WorkerID) time.Duration { return d.told[id] }
-func (d *dispatcher) way() *rand.Rand                       { return d.chance }
+func (d *dispatcher) knows(id scheduler.WorkerID) time.Duration { return d.told[id] }
+func (d *dispatcher) way() *rand.Rand                           { return d.chance }
 
 // answer gives the final answer. Whether there was one before is the auditor's to see.
-func (d *dispatcher) answer(id brain.RequestID, v verdict, after time.Duration) {
+func (d *dispatcher) answer(id scheduler.RequestID, v verdict, after time.Duration) {
 	o := d.open[id]
 	if o == nil || o.answered && v == served { // a second result is dropped
 		return
@@ -211,7 +211,7 @@
 	d.w.after(0, func() { d.forget(id) })
 }
 
-func (d *dispatcher) forget(id brain.RequestID) {
+func (d *dispatcher) forget(id scheduler.RequestID) {
 	if o := d.open[id]; o != nil && o.answered && o.left == 0 {
 		delete(d.open, id)
 		d.w.audit.forget(uint64(id))
@@ -219,7 +219,7 @@
 }
 
 // listed tells the policy of the list.
-func (d *dispatcher) listed(kind brain.ListKind, ws []brain.WorkerInfo) {
+func (d *dispatcher) listed(kind scheduler.ListKind, ws []scheduler.WorkerInfo) {
 	for _, w := range ws {
 		d.w.audit.told(d.w.now, d.n, w.ID, w.State)
 		if d.listedAs != nil {
@@ -227,30 +227,30 @@
 		}
 		d.told[w.ID] = max(d.told[w.ID], w.StartedAt)
 	}
-	d.feed(brain.EndpointsUpdated{ListKind: kind, Workers: ws})
+	d.feed(scheduler.EndpointsUpdated{ListKind: kind, Workers: ws})
 }
 
 // probe asks a box, and takes its silence for an answer after a while.
-func (d *dispatcher) probe(id brain.WorkerID) {
+func (d *dispatcher) probe(id scheduler.WorkerID) {
 	b := d.w.byID[id]
 	d.w.probes++
 	over := false
-	answer := func(o brain.Outcome, r *brain.Report) {
+	answer := func(o scheduler.Outcome, r *scheduler.Report) {
 		if !over {
 			over = true
 			if d.watcher != nil {
-				if o == brain.Served {
+				if o == scheduler.Served {
 					d.watcher.ResponseReceived(d.w.zoneName(b.zone), d.w.now)
 				} else {
 					d.watcher.CallUnanswered(d.w.zoneName(b.zone), d.w.now)
 				}
 			}
-			d.feed(brain.ProbeCompleted{Worker: id, Outcome: o, Report: r})
+			d.feed(scheduler.ProbeCompleted{Worker: id, Outcome: o, Report: r})
 		}
 	}
-	d.w.after(probeWithin, func() { answer(brain.TimedOut, nil) })
+	d.w.after(probeWithin, func() { answer(scheduler.TimedOut, nil) })
 	d.w.after(d.w.between(d.zone, b, d.chance), func() {
-		b.probe(func(o brain.Outcome, r *brain.Report) {
+		b.probe(func(o scheduler.Outcome, r *scheduler.Report) {
 			d.w.after(d.w.between(d.zone, b, d.chance), func() {
 				if !d.cutOff(b) {
 					answer(o, r)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -8,17 +8,17 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/emulator/policy"
+	"brassdale/scheduler"
 )
 
-func module(s brain.Settings, seed uint64) Policy { return brain.New(s, seed) }
+func module(s scheduler.Settings, seed uint64) Policy { return scheduler.New(s, seed) }
 
-func plain(name string) func(brain.Settings, uint64) Policy {
-	return func(s brain.Settings, seed uint64) Policy { return policy.New(name, s, seed) }
+func plain(name string) func(scheduler.Settings, uint64) Policy {
+	return func(s scheduler.Settings, seed uint64) Policy { return policy.New(name, s, seed) }
 }
 
-func mustRun(t testing.TB, s Scenario, p func(brain.Settings, uint64) Policy) *Result {
+func mustRun(t testing.TB, s Scenario, p func(scheduler.Settings, uint64) Policy) *Result {
 	t.Helper()
 	r, err := Run(s, p)
 	if err != nil {
@@ -76,7 +76,7 @@
 // queue is a site of one dispatcher and one box, without anything but waiting in line.
 func queue(seed uint64, slots int, load float64) Scenario {
 	return Scenario{Seed: seed, Span: 1500 * time.Second, Dispatchers: 1, Bays: 1,
-		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, Aim: time.Hour, GiveUp: time.Hour, Effect: brain.Idempotent},
+		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, Aim: time.Hour, GiveUp: time.Hour, Effect: scheduler.Idempotent},
 		Kinds:   []Kind{{"one", 1, slots, 1, 1, false}}, Discovery: time.Millisecond, Rules: Rules{MaxAttempts: 1}}
 }
 
@@ -121,10 +121,10 @@
 // meddler is a policy that breaks a rule on purpose.
 type meddler struct {
 	Policy
-	meddle func(brain.Event, []brain.Action) []brain.Action
+	meddle func(scheduler.Event, []scheduler.Action) []scheduler.Action
 }
 
-func (m meddler) Handle(now brain.Clock, ev brain.Event) []brain.Action {
+func (m meddler) Handle(now scheduler.Clock, ev scheduler.Event) []scheduler.Action {
 	return m.meddle(ev, m.Policy.Handle(now, ev))
 }
 
@@ -132,17 +132,19 @@
 func TestAuditor(t *testing.T) {
 	base := LlanelliWorks(1)
 	base.Span, base.Traffic.Rate = 8*time.Second, 40
-	all := func(s Scenario, meddle func(brain.Event, []brain.Action) []brain.Action) *Result {
-		return mustRun(t, s, func(set brain.Settings, seed uint64) Policy { return meddler{plain("round-robin")(set, seed), meddle} })
+	all := func(s Scenario, meddle func(scheduler.Event, []scheduler.Action) []scheduler.Action) *Result {
+		return mustRun(t, s, func(set scheduler.Settings, seed uint64) Policy {
+			return meddler{plain("round-robin")(set, seed), meddle}
+		})
 	}
 	drains := base
 	drains.Faults = []Fault{{At: time.Second, For: 6 * time.Second, Kind: Drain, Share: 0.2}}
 	starts := base
 	starts.Faults = []Fault{{At: time.Second, For: 1, Kind: Restart, Share: 0.01}}
 	starts.Traffic.Rate, starts.Discovery = 400, time.Millisecond
-	var listed []brain.WorkerID
-	hear := func(ev brain.Event) {
-		if l, is := ev.(brain.EndpointsUpdated); is && l.ListKind == brain.ListCached {
+	var listed []scheduler.WorkerID
+	hear := func(ev scheduler.Event) {
+		if l, is := ev.(scheduler.EndpointsUpdated); is && l.ListKind == scheduler.ListCached {
 			listed = nil
 			for _, w := range l.Workers {
 				listed = append(listed, w.ID)
@@ -150,40 +152,40 @@
 		}
 	}
 	for rule, r := range map[string]*Result{
-		RuleAnswer: all(base, func(_ brain.Event, acts []brain.Action) []brain.Action { // swallows all failures and refusals; and sends nothing
-			var kept []brain.Action
+		RuleAnswer: all(base, func(_ scheduler.Event, acts []scheduler.Action) []scheduler.Action { // swallows all failures and refusals; and sends nothing
+			var kept []scheduler.Action
 			for _, a := range acts {
-				if _, is := a.(brain.Send); !is {
+				if _, is := a.(scheduler.Send); !is {
 					kept = append(kept, a)
 				}
 			}
 			return kept
 		}),
-		RuleAnswer + ", twice": all(base, func(ev brain.Event, acts []brain.Action) []brain.Action {
-			if f, is := ev.(brain.AttemptFinished); is && f.Outcome == brain.Served {
-				acts = append(acts, brain.Fail{ID: f.ID})
+		RuleAnswer + ", twice": all(base, func(ev scheduler.Event, acts []scheduler.Action) []scheduler.Action {
+			if f, is := ev.(scheduler.AttemptFinished); is && f.Outcome == scheduler.Served {
+				acts = append(acts, scheduler.Fail{ID: f.ID})
 			}
 			return acts
 		}),
-		RuleRepeat: all(base, func(ev brain.Event, acts []brain.Action) []brain.Action { // tries twice, wherever it comes
+		RuleRepeat: all(base, func(ev scheduler.Event, acts []scheduler.Action) []scheduler.Action { // tries twice, wherever it comes
 			hear(ev)
 			for i, a := range acts {
-				if s, is := a.(brain.Send); is {
-					acts = append(acts, brain.Send{ID: s.ID, Worker: listed[(i+int(s.ID))%len(listed)]})
+				if s, is := a.(scheduler.Send); is {
+					acts = append(acts, scheduler.Send{ID: s.ID, Worker: listed[(i+int(s.ID))%len(listed)]})
 				}
 			}
 			return acts
 		}),
-		RuleDrain: all(drains, func(ev brain.Event, acts []brain.Action) []brain.Action { // goes by the first list
+		RuleDrain: all(drains, func(ev scheduler.Event, acts []scheduler.Action) []scheduler.Action { // goes by the first list
 			hear(ev)
 			for i, a := range acts {
-				if s, is := a.(brain.Send); is {
-					acts[i] = brain.Send{ID: s.ID, Worker: listed[int(s.ID)%len(listed)]}
+				if s, is := a.(scheduler.Send); is {
+					acts[i] = scheduler.Send{ID: s.ID, Worker: listed[int(s.ID)%len(listed)]}
 				}
 			}
 			return acts
 		}),
-		RuleCold: all(starts, func(_ brain.Event, acts []brain.Action) []brain.Action { return acts }),
+		RuleCold: all(starts, func(_ scheduler.Event, acts []scheduler.Action) []scheduler.Action { return acts }),
 	} {
 		rule, _, _ = strings.Cut(rule, ",")
 		found := false
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/decisions/failover"
+	"brassdale/scheduler"
 )
 
 // Failover is who decides to which zone a job goes, in virtual time. A council is a planner that hears of each dispatcher
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, d := range w.dispatchers {
-		d.watcher, d.listedAs = failover.NewRecorder(fmt.Sprint("n", d.n), w.zoneName(d.zone), w.now), map[brain.WorkerID]brain.WorkerInfo{}
+		d.watcher, d.listedAs = failover.NewRecorder(fmt.Sprint("n", d.n), w.zoneName(d.zone), w.now), map[scheduler.WorkerID]scheduler.WorkerInfo{}
 		w.after(time.Duration(w.failover.chance.Float64()*float64(time.Second)), d.report)
 	}
 	w.after(time.Second, w.planNext)
@@ -87,7 +87,7 @@
 	w := d.w
 	capacity := map[string]float64{}
 	for _, info := range d.listedAs {
-		if info.State == brain.Ready {
+		if info.State == scheduler.Ready {
 			age := w.s.Cold.For
 			if info.StartedAt > 0 {
 				age = w.now - info.StartedAt
@@ -158,21 +158,21 @@
 }
 
 // saw counts a call's end.
-func (d *dispatcher) saw(r *run, o *open, out brain.Outcome) {
+func (d *dispatcher) saw(r *run, o *open, out scheduler.Outcome) {
 	w := d.w
 	to := w.zoneName(w.boxOf(r).zone)
 	switch {
-	case d.watcher == nil, out == brain.NeverSent, out == brain.Cancelled && (r.beganAt > 0 || w.now-r.sentAt < failover.NoResponseAfter/4), r.silent && out == brain.TimedOut:
+	case d.watcher == nil, out == scheduler.NeverSent, out == scheduler.Cancelled && (r.beganAt > 0 || w.now-r.sentAt < failover.NoResponseAfter/4), r.silent && out == scheduler.TimedOut:
 		return
-	case out == brain.Cancelled, out == brain.TimedOut, out == brain.NoConnect, out == brain.Reset:
+	case out == scheduler.Cancelled, out == scheduler.TimedOut, out == scheduler.NoConnect, out == scheduler.Reset:
 		d.watcher.CallUnanswered(to, w.now)
 		return
 	}
 	ran := time.Duration(0)
-	if out == brain.Served && r.beganAt > 0 {
+	if out == scheduler.Served && r.beganAt > 0 {
 		ran = time.Duration(float64(w.now-r.beganAt) * float64(r.job.slots))
 	}
-	d.watcher.CallEnded(to, w.className(r.job), out == brain.Full, out == brain.Served && w.inTime(r.job, w.now-r.job.asked), ran, w.now)
+	d.watcher.CallEnded(to, w.className(r.job), out == scheduler.Full, out == scheduler.Served && w.inTime(r.job, w.now-r.job.asked), ran, w.now)
 }
 
 // className is a job's class by name.
@@ -211,7 +211,7 @@
 	for z := range w.perZone {
 		sum := 0.0
 		for _, b := range w.boxes {
-			if b.zone == z && !b.down && b.cut == 0 && b.state != brain.Gone {
+			if b.zone == z && !b.down && b.cut == 0 && b.state != scheduler.Gone {
 				sum += float64(b.slots) * b.speed * b.warmth()
 			}
 		}
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // towns is a works of four zones in two regions at six tenths of what it can do, of which one is lost for 20 s.
@@ -13,7 +13,7 @@
 	s.Span, s.Dispatchers = 100*time.Second, 12
 	s.Kinds = []Kind{{"box", 24, 5, 0.9, 1.1, false}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice = 4, 2, 0.03
-	s.Traffic.Rate, s.Traffic.Subjects, s.Traffic.Effect = 0.55*24*5/0.2, 0, brain.Idempotent
+	s.Traffic.Rate, s.Traffic.Subjects, s.Traffic.Effect = 0.55*24*5/0.2, 0, scheduler.Idempotent
 	s.Reports.Every = 500 * time.Millisecond
 	s.Faults = []Fault{{At: 20 * time.Second, For: 20 * time.Second, Kind: ZoneLost, Zone: 1, Share: 1}}
 	s.Failover = Failover{Mode: mode, Headroom: 0.1, ReturnIn: 30 * time.Second, Detect: time.Second, Step: 0.1}
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/load"
+	"brassdale/scheduler"
 )
 
 // socketSlack is how much longer the rules' limits are on sockets, as the protocol words it.
@@ -168,7 +168,7 @@
 }
 
 // Boxes are the works' boxes.
-func (k *Cluster) Boxes() (ids []brain.WorkerID) {
+func (k *Cluster) Boxes() (ids []scheduler.WorkerID) {
 	for _, b := range k.w.boxes {
 		ids = append(ids, b.id)
 	}
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // Names are the policies that there are.
@@ -18,8 +18,8 @@
 }
 
 // New makes a policy by its name; nil where there is none of the name.
-func New(name string, s brain.Settings, seed uint64) *Plain {
-	p := &Plain{most: s.MaxAttempts, probes: s.MayProbe, rng: rand.New(rand.NewPCG(seed, 0)), workers: map[brain.WorkerID]*worker{}}
+func New(name string, s scheduler.Settings, seed uint64) *Plain {
+	p := &Plain{most: s.MaxAttempts, probes: s.MayProbe, rng: rand.New(rand.NewPCG(seed, 0)), workers: map[scheduler.WorkerID]*worker{}}
 	pick, ok := map[string]func(*Plain) *worker{
 		"random":            (*Plain).random,
 		"round-robin":       (*Plain).robin,
@@ -39,7 +39,7 @@
 type Plain struct {
 	pick    func(*Plain) *worker
 	rng     *rand.Rand
-	workers map[brain.WorkerID]*worker
+	workers map[scheduler.WorkerID]*worker
 	ready   []*worker // by id
 	turn    int
 	asked   bool
@@ -48,7 +48,7 @@
 }
 
 type worker struct {
-	id    brain.WorkerID
+	id    scheduler.WorkerID
 	size  float64
 	out   int
 	told  float64 // LU: the load that it told of last
@@ -58,33 +58,33 @@
 const probeEvery = 1e9 // of each worker, where reports come by probes
 
 // Handle is the module's.
-func (p *Plain) Handle(_ brain.Clock, ev brain.Event) (acts []brain.Action) {
+func (p *Plain) Handle(_ scheduler.Clock, ev scheduler.Event) (acts []scheduler.Action) {
 	switch e := ev.(type) {
-	case brain.EndpointsUpdated:
+	case scheduler.EndpointsUpdated:
 		p.listed(e)
 		if !p.asked {
 			p.asked = true
-			acts = append(acts, brain.Subscribe{}, brain.SetTimer{After: probeEvery})
+			acts = append(acts, scheduler.Subscribe{}, scheduler.SetTimer{After: probeEvery})
 		}
-	case brain.TimerFired:
+	case scheduler.TimerFired:
 		if !p.probes {
 			return nil
 		}
 		for _, w := range p.ready {
-			acts = append(acts, brain.Probe{Worker: w.id})
+			acts = append(acts, scheduler.Probe{Worker: w.id})
 		}
-		acts = append(acts, brain.SetTimer{After: probeEvery})
-	case brain.ProbeCompleted:
+		acts = append(acts, scheduler.SetTimer{After: probeEvery})
+	case scheduler.ProbeCompleted:
 		// Least Used with Degradation: a report sets the value, each push raises it by what one job takes.
 		if w := p.workers[e.Worker]; w != nil && e.Report != nil && e.Report.Busy >= 0 {
 			w.told, w.value = e.Report.Busy, e.Report.Busy
 		}
-	case brain.RequestArrived:
+	case scheduler.RequestArrived:
 		if len(p.ready) == 0 {
-			return []brain.Action{brain.Reject{ID: e.ID}}
+			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
 		}
 		return p.send(e.ID)
-	case brain.AttemptFinished:
+	case scheduler.AttemptFinished:
 		if w := p.workers[e.Worker]; w != nil {
 			if w.out--; e.Report != nil && e.Report.Busy >= 0 {
 				w.told, w.value = e.Report.Busy, e.Report.Busy
@@ -92,30 +92,30 @@
 		}
 		switch {
 		case e.Final:
-		case e.Outcome == brain.Full && len(p.ready) > 0 && e.Attempt+1 < p.most: // turned away: on to the next
+		case e.Outcome == scheduler.Full && len(p.ready) > 0 && e.Attempt+1 < p.most: // turned away: on to the next
 			return p.send(e.ID)
-		case e.Outcome == brain.Full || e.Outcome == brain.NoConnect || e.Outcome == brain.NeverSent:
-			return []brain.Action{brain.Reject{ID: e.ID}}
+		case e.Outcome == scheduler.Full || e.Outcome == scheduler.NoConnect || e.Outcome == scheduler.NeverSent:
+			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
 		default:
-			return []brain.Action{brain.Fail{ID: e.ID}}
+			return []scheduler.Action{scheduler.Fail{ID: e.ID}}
 		}
 	}
 	return acts
 }
 
 // send picks a worker and sends a request there.
-func (p *Plain) send(id brain.RequestID) []brain.Action {
+func (p *Plain) send(id scheduler.RequestID) []scheduler.Action {
 	w := p.pick(p)
 	w.out++
 	w.value += 1 / max(w.size, 1)
-	return []brain.Action{brain.Send{ID: id, Worker: w.id}}
+	return []scheduler.Action{scheduler.Send{ID: id, Worker: w.id}}
 }
 
-func (p *Plain) listed(e brain.EndpointsUpdated) {
-	if e.ListKind == brain.ListFailed {
+func (p *Plain) listed(e scheduler.EndpointsUpdated) {
+	if e.ListKind == scheduler.ListFailed {
 		return
 	}
-	if e.ListKind != brain.ListDelta {
+	if e.ListKind != scheduler.ListDelta {
 		p.ready = nil
 	}
 	for _, in := range e.Workers {
@@ -125,7 +125,7 @@
 			p.workers[in.ID] = w
 		}
 		p.ready = slices.DeleteFunc(p.ready, func(o *worker) bool { return o == w })
-		if in.State == brain.Ready {
+		if in.State == scheduler.Ready {
 			p.ready = append(p.ready, w)
 		}
 	}
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // askWithin is how old a dispatcher's list may be that has no watch open: what changed before binds it.
@@ -143,7 +143,7 @@
 }
 
 // change takes a change of the list.
-func (d *Door) change(info brain.WorkerInfo) {
+func (d *Door) change(info scheduler.WorkerInfo) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -175,7 +175,7 @@
 	d.news = make(chan struct{})
 }
 
-var phaseNames = map[brain.WorkerState]string{brain.Ready: "active", brain.Draining: "leaving", brain.Gone: "left"}
+var phaseNames = map[scheduler.WorkerState]string{scheduler.Ready: "active", scheduler.Draining: "leaving", scheduler.Gone: "left"}
 
 // member and list are written by the protocol's page, beside the program's own types for reading them: a mistake that both
 // shared would not show.
@@ -197,11 +197,11 @@
 }
 
 // list gives the lines that changed since a revision; all that are not gone for a negative one. d.mu is held.
-func (d *Door) list(since int) (l list, told []brain.WorkerInfo) {
+func (d *Door) list(since int) (l list, told []scheduler.WorkerInfo) {
 	l = list{Revision: d.revision, Complete: since < 0, Members: []member{}}
 	for _, id := range d.order {
 		e := d.entries[id]
-		if since >= 0 && e.at <= since || since < 0 && e.info.State == brain.Gone {
+		if since >= 0 && e.at <= since || since < 0 && e.info.State == scheduler.Gone {
 			continue
 		}
 		m := member{ID: string(id), HostPort: d.gates[id].address, Locality: d.works.zones()[e.info.Zone], Flavor: d.works.w.s.Kinds[e.info.MachineKind].Name,
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // Scenario is a works, its traffic and its troubles.
@@ -45,7 +45,7 @@
 	Aim      time.Duration
 	Stretch  float64 // an answer counts within Aim + Stretch x the job's work
 	GiveUp   time.Duration
-	Effect   brain.Idempotency
+	Effect   scheduler.Idempotency
 	Window   time.Duration // for which a bay drops repeats of a key
 	Subjects int           // that jobs are about: a box keeps what it fetched for one; 0 for none
 	Accounts []Account
@@ -161,7 +161,7 @@
 	return Scenario{
 		Seed: seed, Span: time.Minute, Dispatchers: 2, Bays: 3,
 		Traffic: Traffic{Rate: 170, Work: 0.2, Spread: 0.7, Aim: 200 * time.Millisecond, Stretch: 2.5, GiveUp: 5 * time.Second,
-			Effect: brain.IdempotentWithKey, Window: 7500 * time.Millisecond, Subjects: 400, Retries: 0.5,
+			Effect: scheduler.IdempotentWithKey, Window: 7500 * time.Millisecond, Subjects: 400, Retries: 0.5,
 			Accounts: []Account{{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18}, {"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08}}},
 		Kinds:     []Kind{{"new-box", 9, 5, 0.85, 1.1, false}, {"old-box", 4, 4, 0.64, 0.86, false}},
 		Network:   Network{Delay: 500 * time.Microsecond, Cross: 15 * time.Millisecond, Idle: 5 * time.Second},
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // A box of a kind that shares works on all its jobs at once, each at its part of the speed, and turns away what comes beyond
@@ -24,7 +24,7 @@
 func (b *box) share(r *run) {
 	if len(b.pending) >= b.slots {
 		r.over = true
-		b.w.reply(r, brain.Full)
+		b.w.reply(r, scheduler.Full)
 		return
 	}
 	b.settle()
@@ -66,7 +66,7 @@
 		b.w.worked += r.work
 		if !r.over {
 			r.over = true
-			b.w.reply(r, brain.Served)
+			b.w.reply(r, scheduler.Served)
 		}
 	}
 	clear(b.pending[len(going):])
@@ -83,7 +83,7 @@
 	}
 	load := b.load()
 	for _, d := range b.w.dispatchers {
-		b.w.after(b.w.delay(d.chance), func() { d.feed(brain.ProbeCompleted{Worker: b.id, Outcome: brain.Served, Report: &load}) })
+		b.w.after(b.w.delay(d.chance), func() { d.feed(scheduler.ProbeCompleted{Worker: b.id, Outcome: scheduler.Served, Report: &load}) })
 	}
 }
 
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // A box that shares, with room for all that comes, against the closed form: at M/M/1 with processor sharing the mean time is
@@ -29,7 +29,7 @@
 func TestSharingTurnsAway(t *testing.T) {
 	s := queue(1, 1, 0.9)
 	s.Span, s.Kinds = 100*time.Second, []Kind{{"some", 3, 1, 1, 1, true}}
-	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Effect = 20, 3, 100, brain.Idempotent
+	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Effect = 20, 3, 100, scheduler.Idempotent
 	r := mustRun(t, s, plain("random"))
 	if r.Sends <= 1 || r.Served < r.Jobs*9/10 || len(r.Breaches) > 0 {
 		t.Errorf("%+v", r)
--- a/internal/emulator/works.go
+++ b/internal/emulator/works.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // Cluster is a scenario's boxes and discovery on loopback sockets: the model of Run, by a real clock, for real dispatchers.
@@ -45,18 +45,18 @@
 	zone   int
 	listen net.Listener // of discovery
 	server *http.Server
-	gates  map[brain.WorkerID]*gate
+	gates  map[scheduler.WorkerID]*gate
 
 	// Owned by the engine.
-	told   map[brain.WorkerID]time.Duration
+	told   map[scheduler.WorkerID]time.Duration
 	chance *rand.Rand
 
 	mu       sync.Mutex
 	revision int
 	down     bool // calls are turned away
 	hung     bool // or not answered
-	entries  map[brain.WorkerID]entry
-	order    []brain.WorkerID
+	entries  map[scheduler.WorkerID]entry
+	order    []scheduler.WorkerID
 	news     chan struct{} // closed by the next change
 	life     int           // of the dispatcher, counted by its starts and ends
 	absent   bool          // it is ending or gone
@@ -67,7 +67,7 @@
 
 // entry is a line of the list, and the revision of its last change.
 type entry struct {
-	info brain.WorkerInfo
+	info scheduler.WorkerInfo
 	at   int
 }
 
@@ -96,7 +96,7 @@
 		}
 		k.doors = append(k.doors, d)
 	}
-	w.listeners = append(w.listeners, func(info brain.WorkerInfo) {
+	w.listeners = append(w.listeners, func(info scheduler.WorkerInfo) {
 		for _, d := range k.doors {
 			w.after(w.late(d.chance), func() { d.change(info) })
 		}
@@ -134,8 +134,8 @@
 func (k *Cluster) Troubles() { k.w.post(k.w.troubles) }
 
 func (k *Cluster) door(n int) (*Door, error) {
-	d := &Door{works: k, n: n, zone: n % max(k.w.s.Network.Zones, 1), gates: map[brain.WorkerID]*gate{}, told: map[brain.WorkerID]time.Duration{}, chance: k.w.source(uint64(100 + n)),
-		entries: map[brain.WorkerID]entry{}, news: make(chan struct{})}
+	d := &Door{works: k, n: n, zone: n % max(k.w.s.Network.Zones, 1), gates: map[scheduler.WorkerID]*gate{}, told: map[scheduler.WorkerID]time.Duration{}, chance: k.w.source(uint64(100 + n)),
+		entries: map[scheduler.WorkerID]entry{}, news: make(chan struct{})}
 	var err error
 	if err = d.listens(); err != nil {
 		return nil, err
@@ -209,12 +209,12 @@
 
 func (g *gate) probe(w http.ResponseWriter, r *http.Request) {
 	k := g.door.works
-	answer := make(chan *brain.Report, 1)
+	answer := make(chan *scheduler.Report, 1)
 	k.w.post(func() {
 		k.w.probes++
 		k.asked = append(k.asked, k.w.now)
-		g.b.probe(func(o brain.Outcome, report *brain.Report) {
-			if o == brain.Served && !g.cutOff() {
+		g.b.probe(func(o scheduler.Outcome, report *scheduler.Report) {
+			if o == scheduler.Served && !g.cutOff() {
 				k.w.after(2*k.w.between(g.door.zone, g.b, g.door.chance), func() { answer <- report })
 			}
 		})
@@ -238,20 +238,20 @@
 		x.says <- `"state":"started"`
 	}
 }
-func (x *exchange) over(r *run, o brain.Outcome) {
+func (x *exchange) over(r *run, o scheduler.Outcome) {
 	k := x.g.door.works
 	if x.g.cutOff() { // nothing of it is heard
 		return
 	}
 	k.w.audit.ended(uint64(r.id), r.attempt, o)
-	if o == brain.Served {
+	if o == scheduler.Served {
 		x.says <- fmt.Sprintf(`"state":"done","result":"%.3f"`, r.work)
 		return
 	}
 	x.says <- ""
 }
-func (x *exchange) knows(id brain.WorkerID) time.Duration { return x.g.door.told[id] }
-func (x *exchange) way() *rand.Rand                       { return x.g.door.chance }
+func (x *exchange) knows(id scheduler.WorkerID) time.Duration { return x.g.door.told[id] }
+func (x *exchange) way() *rand.Rand                           { return x.g.door.chance }
 
 func (g *gate) work(w http.ResponseWriter, r *http.Request) {
 	k, id := g.door.works, r.Header.Get("Req-Id")
@@ -280,7 +280,7 @@
 		case <-r.Context().Done(): // the dispatcher gave up
 			k.w.post(func() {
 				g.b.cancel(a)
-				k.w.audit.ended(uint64(a.id), a.attempt, brain.Cancelled)
+				k.w.audit.ended(uint64(a.id), a.attempt, scheduler.Cancelled)
 			})
 			panic(http.ErrAbortHandler)
 		}
@@ -294,7 +294,7 @@
 		q = &request{id: uint64(len(k.requests) + 1)}
 		k.requests[id] = q
 	}
-	a.id, a.attempt = brain.RequestID(q.id), q.sends
+	a.id, a.attempt = scheduler.RequestID(q.id), q.sends
 	if q.sends == 0 {
 		k.firsts = append(k.firsts, k.w.now)
 	} else {
@@ -336,7 +336,7 @@
 	micros := func(t time.Duration) int64 { return t.Microseconds() }
 	m := k.w.settings(n)
 	c := m.Classes[0]
-	effect := map[brain.Idempotency]string{brain.Idempotent: "safe", brain.IdempotentWithKey: "keyed", brain.NonIdempotent: "unsafe"}[c.Idempotency]
+	effect := map[scheduler.Idempotency]string{scheduler.Idempotent: "safe", scheduler.IdempotentWithKey: "keyed", scheduler.NonIdempotent: "unsafe"}[c.Idempotency]
 	var kinds []string
 	for _, kind := range s.Kinds {
 		kinds = append(kinds, kind.Name)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // world is a run of a scenario.
@@ -15,15 +15,15 @@
 	engine
 	s           *Scenario
 	boxes       []*box
-	byID        map[brain.WorkerID]*box
+	byID        map[scheduler.WorkerID]*box
 	store       *queueOf
 	dispatchers []*dispatcher
-	lines       [][]*job                 // of the users
-	down, hung  int                      // faults of discovery
-	outages     []func()                 // hear of them
-	listeners   []func(brain.WorkerInfo) // hear of a change of the list, beside the dispatchers of the model
+	lines       [][]*job                     // of the users
+	down, hung  int                          // faults of discovery
+	outages     []func()                     // hear of them
+	listeners   []func(scheduler.WorkerInfo) // hear of a change of the list, beside the dispatchers of the model
 	audit       *auditor
-	lastID      brain.RequestID
+	lastID      scheduler.RequestID
 	clients     *rand.Rand
 	drawn       *rand.Rand // what classes and memory are drawn from
 	kinds       []Class    // of jobs
@@ -84,16 +84,16 @@
 
 // Run plays a scenario with a policy for each dispatcher. It ends when all is answered and every box is idle, or Settle
 // after the last job came.
-func Run(s Scenario, policy func(brain.Settings, uint64) Policy) (*Result, error) {
+func Run(s Scenario, policy func(scheduler.Settings, uint64) Policy) (*Result, error) {
 	w, err := newWorld(&s)
 	if err != nil {
 		return nil, err
 	}
 	for n := range s.Dispatchers {
-		d := &dispatcher{w: w, n: n, zone: n % max(s.Network.Zones, 1), idle: map[brain.WorkerID][]time.Duration{}, subscribed: s.Pushed, open: map[brain.RequestID]*open{}, told: map[brain.WorkerID]time.Duration{}, chance: w.source(uint64(100 + n))}
+		d := &dispatcher{w: w, n: n, zone: n % max(s.Network.Zones, 1), idle: map[scheduler.WorkerID][]time.Duration{}, subscribed: s.Pushed, open: map[scheduler.RequestID]*open{}, told: map[scheduler.WorkerID]time.Duration{}, chance: w.source(uint64(100 + n))}
 		d.policy = policy(w.settings(n), d.chance.Uint64())
 		w.dispatchers = append(w.dispatchers, d)
-		w.after(0, func() { d.listed(brain.ListCached, w.list()) })
+		w.after(0, func() { d.listed(scheduler.ListCached, w.list()) })
 	}
 	w.troubles()
 	w.plans()
@@ -110,7 +110,7 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{s: s, byID: map[brain.WorkerID]*box{}, tallies: make([]tally, max(len(s.Traffic.Accounts), 1))}
+	w := &world{s: s, byID: map[scheduler.WorkerID]*box{}, tallies: make([]tally, max(len(s.Traffic.Accounts), 1))}
 	w.now = epoch
 	w.audit = newAuditor(s, epoch)
 	w.lines = make([][]*job, s.Traffic.Users)
@@ -123,7 +123,7 @@
 	for kind, k := range s.Kinds {
 		for range k.Count {
 			n := len(w.boxes)
-			b := &box{w: w, id: brain.WorkerID(fmt.Sprintf("s-%06x", chance.Uint32()>>8)), kind: kind, bay: n % s.Bays, zone: n % max(s.Network.Zones, 1), slots: k.Slots, sharing: k.Sharing,
+			b := &box{w: w, id: scheduler.WorkerID(fmt.Sprintf("s-%06x", chance.Uint32()>>8)), kind: kind, bay: n % s.Bays, zone: n % max(s.Network.Zones, 1), slots: k.Slots, sharing: k.Sharing,
 				speed: k.SpeedMin + (k.SpeedMax-k.SpeedMin)*chance.Float64(), has: map[int]time.Duration{}, chance: w.source(uint64(1000 + n))}
 			for w.byID[b.id] != nil {
 				b.id += "x"
@@ -131,7 +131,7 @@
 			w.boxes = append(w.boxes, b)
 			w.byID[b.id] = b
 			for i := range b.figures {
-				b.figures[i] = brain.Report{Requests: -1, FreeSlots: float64(b.slots)}
+				b.figures[i] = scheduler.Report{Requests: -1, FreeSlots: float64(b.slots)}
 			}
 			if s.Reports.Every > 0 {
 				b.refresh()
@@ -160,29 +160,29 @@
 func (w *world) source(of uint64) *rand.Rand { return rand.New(rand.NewPCG(w.s.Seed, of)) }
 
 // settings are what a dispatcher is told.
-func (w *world) settings(n int) brain.Settings {
+func (w *world) settings(n int) scheduler.Settings {
 	t, r := &w.s.Traffic, &w.s.Rules
-	set := brain.Settings{DispatcherIndex: n, Dispatchers: w.s.Dispatchers, ListPolled: !w.s.Pushed, ReportsPulled: !w.s.Reports.Answers, ReportsStart: true, MayProbe: !w.s.Reports.Push,
+	set := scheduler.Settings{DispatcherIndex: n, Dispatchers: w.s.Dispatchers, ListPolled: !w.s.Pushed, ReportsPulled: !w.s.Reports.Answers, ReportsStart: true, MayProbe: !w.s.Reports.Push,
 		MayCancel: r.MayCancel, MayHedge: r.MayCopy, MayAdviseRetry: true, MaxAttempts: r.MaxAttempts, MaxRetryAfter: 2 * time.Second,
 		AnswerSlack: r.Slack, MaxPollInterval: askWithin, SlowStartDuration: w.s.Cold.For, SlowStartCapacity: w.s.Cold.Capacity, OverloadMultiple: w.s.Cold.Tip,
 		OverloadWindow: w.s.Cold.Fall, WeightByWork: true, Zone: n % max(w.s.Network.Zones, 1), CrossZoneCost: w.s.Network.CrossPrice}
 	for _, c := range t.classes() {
-		set.Classes = append(set.Classes, brain.Class{LatencyObjective: c.Aim, ObjectiveStretch: c.Stretch, Deadline: c.GiveUp, PriorityWeight: c.Worth, Idempotency: c.Effect,
+		set.Classes = append(set.Classes, scheduler.Class{LatencyObjective: c.Aim, ObjectiveStretch: c.Stretch, Deadline: c.GiveUp, PriorityWeight: c.Worth, Idempotency: c.Effect,
 			DeduplicationScope: c.Scope, DeduplicationWindow: c.Window, MachineKind: -1})
 	}
 	return set
 }
 
 // list is the list of boxes as it is now.
-func (w *world) list() (ws []brain.WorkerInfo) {
+func (w *world) list() (ws []scheduler.WorkerInfo) {
 	for _, b := range w.boxes {
 		ws = append(ws, b.info())
 	}
 	return ws
 }
 
-func (b *box) info() brain.WorkerInfo {
-	return brain.WorkerInfo{ID: b.id, State: b.state, Cell: b.bay, Zone: b.zone, MachineKind: b.kind, Weight: b.weight(), StartedAt: b.started}
+func (b *box) info() scheduler.WorkerInfo {
+	return scheduler.WorkerInfo{ID: b.id, State: b.state, Cell: b.bay, Zone: b.zone, MachineKind: b.kind, Weight: b.weight(), StartedAt: b.started}
 }
 
 // unlisted begins a fault of discovery, or ends it. A dispatcher's watch ends at once where it is down; where it hangs, once
@@ -210,7 +210,7 @@
 	for _, d := range w.dispatchers {
 		w.after(w.late(d.chance), func() {
 			if d.subscribed { // else it gets the whole list when it is again
-				d.listed(brain.ListDelta, []brain.WorkerInfo{info})
+				d.listed(scheduler.ListDelta, []scheduler.WorkerInfo{info})
 			}
 		})
 	}
@@ -233,7 +233,7 @@
 func (w *world) boxOf(r *run) *box { return w.byID[r.box] }
 
 // reply tells a dispatcher how an attempt ended.
-func (w *world) reply(r *run, o brain.Outcome) {
+func (w *world) reply(r *run, o scheduler.Outcome) {
 	b := w.boxOf(r)
 	if b.cut > 0 { // the other side hears of it once the box is back
 		b.unheard = append(b.unheard, r)
@@ -308,7 +308,7 @@
 			w.audit.gaveUp(w.now, uint64(id))
 			o.answered = true
 			w.done(j, failed)
-			d.feed(brain.ClientLeft{ID: id})
+			d.feed(scheduler.ClientLeft{ID: id})
 			d.forget(id)
 		}
 	})
@@ -316,7 +316,7 @@
 }
 
 // answered takes a client's final answer to one try.
-func (w *world) answered(j *job, _ brain.RequestID, v verdict, after time.Duration) {
+func (w *world) answered(j *job, _ scheduler.RequestID, v verdict, after time.Duration) {
 	if v == refused && j.tries == 1 && w.clients.Float64() < w.s.Traffic.Retries {
 		w.after(max(after, 100*time.Millisecond), func() { w.try(j) })
 		return
@@ -410,7 +410,7 @@
 	case Partition:
 		b.cut++
 	case Drain:
-		b.state = brain.Draining
+		b.state = scheduler.Draining
 		b.w.changed(b)
 	case Restart:
 		b.lose()
@@ -442,14 +442,14 @@
 		if b.cut--; b.cut == 0 {
 			for _, r := range b.unheard {
 				r.over = true
-				b.w.reply(r, brain.Reset)
+				b.w.reply(r, scheduler.Reset)
 			}
 			b.unheard = nil
 			b.lose()
 		}
 	case Drain: // it goes, whatever it still has
 		b.lose()
-		b.state, b.down = brain.Gone, true
+		b.state, b.down = scheduler.Gone, true
 		b.w.changed(b)
 	}
 	b.next()
--- a/internal/savedlist/files.go
+++ b/internal/endpointcache/files.go
@@ -1,4 +1,4 @@
-package savedlist
+package endpointcache
 
 import (
 	"errors"
--- a/internal/savedlist/format.go
+++ b/internal/endpointcache/format.go
@@ -1,4 +1,4 @@
-package savedlist
+package endpointcache
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
+	"brassdale/scheduler"
 )
 
 // FormatVersion is the form of snapshots that are written. The one before it is read too: it was a list in discovery's words
@@ -22,34 +22,34 @@
 
 // CachedList is a list as it was kept: the last whole snapshot and what its journal adds.
 type CachedList struct {
-	Dispatcher    string                           `json:"dispatcher"`
-	ConfirmedAtMS int64                            `json:"made_ms"` // Unix time at which it was last known to be true
-	Revision      int64                            `json:"revision"`
-	Discovery     string                           `json:"discovery"`
-	Members       []CachedMember                   `json:"members"`
-	Detached      []string                         `json:"out"`     // by hand
-	Classes       map[string]brain.ClassStatistics `json:"classes"` // what was learned, by name
-	Overcommit    float64                          `json:"allow"`
-	MeanStay      float64                          `json:"stay"`
-	MeanWork      float64                          `json:"mean"`
+	Dispatcher    string                               `json:"dispatcher"`
+	ConfirmedAtMS int64                                `json:"made_ms"` // Unix time at which it was last known to be true
+	Revision      int64                                `json:"revision"`
+	Discovery     string                               `json:"discovery"`
+	Members       []CachedMember                       `json:"members"`
+	Detached      []string                             `json:"out"`     // by hand
+	Classes       map[string]scheduler.ClassStatistics `json:"classes"` // what was learned, by name
+	Overcommit    float64                              `json:"allow"`
+	MeanStay      float64                              `json:"stay"`
+	MeanWork      float64                              `json:"mean"`
 }
 
 // CachedMember is a worker as it was known last.
 type CachedMember struct {
 	protocol.Member
-	LastSignalMS int64                   `json:"heard_ms"` // Unix time of the last sign of life; 0 for none
-	Statistics   *brain.WorkerStatistics `json:"learned,omitempty"`
+	LastSignalMS int64                       `json:"heard_ms"` // Unix time of the last sign of life; 0 for none
+	Statistics   *scheduler.WorkerStatistics `json:"learned,omitempty"`
 }
 
 // ConfirmedAt gives when the list was last known to be true.
 func (s *CachedList) ConfirmedAt() time.Time { return time.UnixMilli(s.ConfirmedAtMS) }
 
 // LearnedState gives what was learned, but for the classes, which are by name.
-func (s *CachedList) LearnedState() brain.LearnedState {
-	e := brain.LearnedState{Overcommit: s.Overcommit, MeanStay: s.MeanStay, MeanWork: s.MeanWork, Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
+func (s *CachedList) LearnedState() scheduler.LearnedState {
+	e := scheduler.LearnedState{Overcommit: s.Overcommit, MeanStay: s.MeanStay, MeanWork: s.MeanWork, Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
 	for _, m := range s.Members {
 		if m.Statistics != nil {
-			e.Workers[brain.WorkerID(m.ID)] = *m.Statistics
+			e.Workers[scheduler.WorkerID(m.ID)] = *m.Statistics
 		}
 	}
 	return e
--- a/internal/savedlist/keeper.go
+++ b/internal/endpointcache/keeper.go
@@ -1,4 +1,4 @@
-package savedlist
+package endpointcache
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 const (
@@ -25,7 +25,7 @@
 // LearnedStateSource is what else goes into a snapshot.
 type LearnedStateSource interface {
 	// Experience gives what the module has learned, and its classes by name.
-	LearnedState(context.Context) (brain.LearnedState, map[string]brain.ClassStatistics, error)
+	LearnedState(context.Context) (scheduler.LearnedState, map[string]scheduler.ClassStatistics, error)
 }
 
 // Writer keeps the list as it comes. It is an actor with a mailbox: nobody who tells it something waits for the disk,
@@ -204,7 +204,7 @@
 		s.Overcommit, s.MeanStay, s.MeanWork, s.Classes = e.Overcommit, e.MeanStay, e.MeanWork, classes
 	}
 	for _, m := range k.members {
-		if was, ok := e.Workers[brain.WorkerID(m.ID)]; ok {
+		if was, ok := e.Workers[scheduler.WorkerID(m.ID)]; ok {
 			m.Statistics, m.LastSignalMS = &was, was.LastSignal.Milliseconds()
 		}
 		s.Members = append(s.Members, m)
--- a/internal/savedlist/store.go
+++ b/internal/endpointcache/store.go
@@ -1,7 +1,7 @@
-// Package savedlist keeps the list of workers on disk, for a start while nobody can be asked for it: generations, each
+// Package endpointcache keeps the list of workers on disk, for a start while nobody can be asked for it: generations, each
 // a snapshot that is replaced whole and a journal of what came behind it. Whether and how far such a list is trusted is
 // decided in internal/decisions/savedlist; here it is only kept and read, damaged as it may be.
-package savedlist
+package endpointcache
 
 import (
 	"errors"
--- a/internal/savedlist/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -1,4 +1,4 @@
-package savedlist
+package endpointcache
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
+	"brassdale/scheduler"
 )
 
 // memory is a folder in memory that fails or stops as the tests say.
@@ -111,7 +111,7 @@
 func listOf(revision int64, ids ...string) *CachedList {
 	s := &CachedList{ConfirmedAtMS: 1000 * revision, Revision: revision, Discovery: "127.0.0.1:8500", Detached: []string{"out"}}
 	for _, id := range ids {
-		s.Members = append(s.Members, CachedMember{Member: member(id, "active"), LastSignalMS: 7, Statistics: &brain.WorkerStatistics{Slots: 5}})
+		s.Members = append(s.Members, CachedMember{Member: member(id, "active"), LastSignalMS: 7, Statistics: &scheduler.WorkerStatistics{Slots: 5}})
 	}
 	return s
 }
--- a/internal/savedlist/stored_test.go
+++ b/internal/endpointcache/stored_test.go
@@ -1,4 +1,4 @@
-package savedlist
+package endpointcache
 
 import (
 	"os"
@@ -6,8 +6,8 @@
 	"reflect"
 	"testing"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
+	"brassdale/scheduler"
 )
 
 const storedDispatcher = "dispatcher 1" // with a blank, which is escaped in the name of its folder
@@ -20,9 +20,9 @@
 			Member: protocol.Member{ID: "worker-a", HostPort: "127.0.0.1:3001", Locality: "zone-1", Flavor: "flavor-1",
 				Cell: 2, Phase: "active", Size: 1.5, UpSinceMS: 901},
 			LastSignalMS: 1000,
-			Statistics:   &brain.WorkerStatistics{StartedAt: 21, Slots: 22.5, Increment: 23.5, Slowness: 24.5, SlownessJobs: 25.5, LastSignal: 26},
+			Statistics:   &scheduler.WorkerStatistics{StartedAt: 21, Slots: 22.5, Increment: 23.5, Slowness: 24.5, SlownessJobs: 25.5, LastSignal: 26},
 		}},
-		Classes:    map[string]brain.ClassStatistics{"class-1": {WorkScale: 31.5, MeanLogRuntime: 32.5, Jobs: 33}},
+		Classes:    map[string]scheduler.ClassStatistics{"class-1": {WorkScale: 31.5, MeanLogRuntime: 32.5, Jobs: 33}},
 		Overcommit: 41.5, MeanStay: 42.5, MeanWork: 43.5,
 	}
 }
--- a/internal/experiment/failover.go
+++ b/internal/experiment/failover.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"brassdale/brain"
 	"brassdale/internal/emulator"
+	"brassdale/scheduler"
 )
 
 // ZoneExperiment is a works of four zones in two regions for experiments on failover.
@@ -88,7 +88,7 @@
 	s.Span, s.Dispatchers = townSpan, t.Dispatchers
 	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Boxes, Slots: townSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = 4, 2, 0.03, 10*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, brain.Idempotent
+	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, scheduler.Idempotent
 	s.Traffic.Rate = c.Load * float64(t.Boxes*townSlots) / townWork
 	s.Faults = slices.Clone(c.Faults)
 	s.Failover = emulator.Failover{Mode: mode, Headroom: 0.1, ReturnIn: 20 * time.Second, Detect: time.Second, Step: 0.1}
@@ -118,7 +118,7 @@
 		wait.Go(func() {
 			for i := range next {
 				j := jobs[i]
-				r, failed := emulator.Run(t.Scenario(j.c, j.mode, j.seed), func(s brain.Settings, seed uint64) emulator.Policy { return brain.New(s, seed) })
+				r, failed := emulator.Run(t.Scenario(j.c, j.mode, j.seed), func(s scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(s, seed) })
 				mu.Lock()
 				if failed != nil {
 					err = failed
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -12,10 +12,10 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"brassdale/brain"
-	"brassdale/internal/diag"
 	"brassdale/internal/emulator"
 	"brassdale/internal/emulator/policy"
+	"brassdale/internal/hcldiag"
+	"brassdale/scheduler"
 )
 
 // File is an experiment as an operator writes it.
@@ -103,11 +103,11 @@
 // class gives it in the emulator's terms.
 func (c *Class) class() (emulator.Class, error) {
 	out := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, Spread: c.Spread, Stretch: c.Stretch, Worth: c.Worth, Wide: c.Wide}
-	effect, ok := map[string]brain.Idempotency{"safe": brain.Idempotent, "keyed": brain.IdempotentWithKey, "unsafe": brain.NonIdempotent}[c.Effect]
+	effect, ok := map[string]scheduler.Idempotency{"safe": scheduler.Idempotent, "keyed": scheduler.IdempotentWithKey, "unsafe": scheduler.NonIdempotent}[c.Effect]
 	if !ok {
 		return out, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Effect)
 	}
-	scope, ok := map[string]brain.DeduplicationScope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone, "cell": brain.ScopeCell}[c.Scope]
+	scope, ok := map[string]scheduler.DeduplicationScope{"": scheduler.ScopeAll, "all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeCell}[c.Scope]
 	if !ok {
 		return out, fmt.Errorf("class %q: there is no scope %q", c.Name, c.Scope)
 	}
@@ -139,12 +139,12 @@
 	"list-down": emulator.ListDown, "list-hung": emulator.ListHung}
 
 // Load reads and checks an experiment. An error names all faults with file, line and column.
-func Load(path string) (*File, error) { return diag.Read(path, Parse) }
+func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse reads the text of an experiment; path is its name in errors.
 func Parse(text []byte, path string) (*File, error) {
 	f := &File{First: 1}
-	if err := diag.Decode(text, path, f, f.check); err != nil {
+	if err := hcldiag.Decode(text, path, f, f.check); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -153,9 +153,9 @@
 // check finds what gohcl cannot: each variant must be a scenario that can be played.
 func (f *File) check(body *hclsyntax.Body) (diags hcl.Diagnostics) {
 	bad := func(at hcl.Range, format string, a ...any) {
-		diags = append(diags, diag.At(at, "Bad experiment", format, a...))
+		diags = append(diags, hcldiag.At(at, "Bad experiment", format, a...))
 	}
-	blocks := diag.Blocks(body)
+	blocks := hcldiag.Blocks(body)
 	if f.Seeds < 1 {
 		bad(body.Attributes["seeds"].Expr.Range(), "seeds must be 1 or more.")
 	}
@@ -290,9 +290,9 @@
 }
 
 // decider gives what decides in a variant.
-func (v Variant) decider() func(brain.Settings, uint64) emulator.Policy {
+func (v Variant) decider() func(scheduler.Settings, uint64) emulator.Policy {
 	if v.Policy == "" || v.Policy == "module" {
-		return func(s brain.Settings, seed uint64) emulator.Policy { return brain.New(s, seed) }
+		return func(s scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(s, seed) }
 	}
-	return func(s brain.Settings, seed uint64) emulator.Policy { return policy.New(v.Policy, s, seed) }
+	return func(s scheduler.Settings, seed uint64) emulator.Policy { return policy.New(v.Policy, s, seed) }
 }
--- a/internal/faults/file.go
+++ b/internal/faults/file.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"brassdale/internal/diag"
 	"brassdale/internal/emulator"
+	"brassdale/internal/hcldiag"
 )
 
 // File is a scenario of a fleet as an operator writes it.
@@ -76,12 +76,12 @@
 }
 
 // Load reads and checks a scenario. An error names all faults with file, line and column.
-func Load(path string) (*File, error) { return diag.Read(path, Parse) }
+func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse reads the text of one.
 func Parse(text []byte, path string) (*File, error) {
 	f := &File{}
-	if err := diag.Decode(text, path, f, func(body *hclsyntax.Body) hcl.Diagnostics { _, diags := f.plan(body); return diags }); err != nil {
+	if err := hcldiag.Decode(text, path, f, func(body *hclsyntax.Body) hcl.Diagnostics { _, diags := f.plan(body); return diags }); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -100,7 +100,7 @@
 func (f *File) plan(body *hclsyntax.Body) (p Plan, diags hcl.Diagnostics) {
 	bad := func(attribute, format string, a ...any) {
 		if body != nil {
-			diags = append(diags, diag.At(diag.Place(body, attribute), "Bad "+attribute, format, a...))
+			diags = append(diags, hcldiag.At(hcldiag.Place(body, attribute), "Bad "+attribute, format, a...))
 		}
 	}
 	p = Plan{Processes: f.Processes, Voters: f.Voters, Rate: f.Rate}
--- a/internal/faults/towns.go
+++ b/internal/faults/towns.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/emulator"
+	"brassdale/scheduler"
 )
 
 // ZonePlan are zones in regions, with faults of them, and a council that plans where their jobs are served.
@@ -53,7 +53,7 @@
 func (t *ZonePlan) works(s *emulator.Scenario) {
 	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Boxes, Slots: townSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = t.Zones, t.Regions, 0.03, 5*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, brain.Idempotent
+	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, scheduler.Idempotent
 	s.Traffic.Rate = t.Load * float64(t.Boxes*townSlots) / townWork
 	s.Faults = append(s.Faults, t.Faults...)
 }
@@ -119,7 +119,7 @@
 	for _, mode := range []string{"", "plan"} { // the model of the same works, without the processes' own faults
 		s := f.scenario
 		s.Failover = emulator.Failover{Mode: mode, Headroom: f.Towns.Headroom, ReturnIn: f.Towns.ReturnIn, Detect: time.Second, Step: 0.1}
-		v, err := emulator.Run(s, func(s brain.Settings, seed uint64) emulator.Policy { return brain.New(s, seed) })
+		v, err := emulator.Run(s, func(s scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(s, seed) })
 		if err != nil {
 			continue
 		}
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -19,8 +19,8 @@
 
 	"brassdale/internal/decisions/agreement"
 	"brassdale/internal/decisions/failover"
-	"brassdale/internal/decisions/neighbours"
-	"brassdale/internal/fleet/membership"
+	"brassdale/internal/decisions/gossippeers"
+	"brassdale/internal/fleet/gossip"
 	"brassdale/internal/listen"
 	"brassdale/internal/traffic"
 )
@@ -67,30 +67,30 @@
 	log      *slog.Logger
 	client   *http.Client
 	listener net.Listener
-	members  *membership.Membership
-	visitor  neighbours.Exchanger // the renewals'
-	reported agreement.Clock      // the same: when a question last had a report
-	changed  chan struct{}        // what may be acted on may have changed
+	members  *gossip.Membership
+	visitor  gossippeers.Exchanger // the renewals'
+	reported agreement.Clock       // the same: when a question last had a report
+	changed  chan struct{}         // what may be acted on may have changed
 	renewNow chan struct{}
 	purse    *purse
 	slow     chan struct{} // has a place for each whole record that is being sent
 
 	mu       sync.Mutex
 	holder   *agreement.Lessee
-	seat     *seat                 // nil for a follower
-	founder  *agreement.Founder    // what this dispatcher's file says, while it founds or has founded
-	leads    *agreement.LeaseTable // nil while it does not lead
-	trying   *agreement.Evaluation // nil while it leads no trial
-	planner  *failover.Planner     // nil while it does not lead
-	treasury *treasury             // the same, and where nothing is dealt out
-	register *neighbours.Directory // nil while it does not lead
-	planned  string                // what was said of plans
-	planAt   agreement.Clock       // when the leader looks for another one
-	turn     int                   // seats that were asked in vain, one after the other
-	heard    bool                  // the record is one that entries may follow: on file, or the last answer\'s
-	last     string                // what was applied
-	turned   string                // what was said of a seat that it has not
-	news     chan struct{}         // closed when the council's record changes
+	seat     *seat                  // nil for a follower
+	founder  *agreement.Founder     // what this dispatcher's file says, while it founds or has founded
+	leads    *agreement.LeaseTable  // nil while it does not lead
+	trying   *agreement.Evaluation  // nil while it leads no trial
+	planner  *failover.Planner      // nil while it does not lead
+	treasury *treasury              // the same, and where nothing is dealt out
+	register *gossippeers.Directory // nil while it does not lead
+	planned  string                 // what was said of plans
+	planAt   agreement.Clock        // when the leader looks for another one
+	turn     int                    // seats that were asked in vain, one after the other
+	heard    bool                   // the record is one that entries may follow: on file, or the last answer\'s
+	last     string                 // what was applied
+	turned   string                 // what was said of a seat that it has not
+	news     chan struct{}          // closed when the council's record changes
 	counts   Counts
 }
 
@@ -154,11 +154,11 @@
 	if a.listener, err = net.Listen("tcp", a.s.Listen); err != nil {
 		return err
 	}
-	o := membership.Options{Self: a.self(), ResolveAddress: a.s.reach, Log: a.log, Meter: a.Meter}
+	o := gossip.Options{Self: a.self(), ResolveAddress: a.s.reach, Log: a.log, Meter: a.Meter}
 	if o.WholeFleet = a.form < formNeighbours; o.WholeFleet {
 		o.Seeds = a.s.Voters
 	}
-	a.members, err = membership.New(o)
+	a.members, err = gossip.New(o)
 	if err != nil {
 		a.listener.Close()
 	}
@@ -205,10 +205,10 @@
 }
 
 // self is what it says of itself to the members.
-func (a *Agent) self() membership.Self {
+func (a *Agent) self() gossip.Self {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return membership.Self{Name: a.Name, Address: a.address(), Region: a.s.Region, Zone: a.Zone,
+	return gossip.Self{Name: a.Name, Address: a.address(), Region: a.s.Region, Zone: a.Zone,
 		Epoch: a.holder.Record().Epoch, VoterID: a.seat.id(), MessageFormat: a.form}
 }
 
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -7,22 +7,22 @@
 	"time"
 
 	"brassdale/internal/decisions/agreement"
-	"brassdale/internal/decisions/budgets"
+	"brassdale/internal/decisions/budgetleases"
 )
 
 // purse is what this dispatcher may spend of the fleet's budgets.
 type purse struct {
 	mu      sync.Mutex
-	holders map[string]*budgets.Lessee
+	holders map[string]*budgetleases.Lessee
 	firsts  uint64
 	at      agreement.Clock
 }
 
 func newPurse(o *Overload, among int, now agreement.Clock) *purse {
-	p := &purse{holders: map[string]*budgets.Lessee{}, at: now}
+	p := &purse{holders: map[string]*budgetleases.Lessee{}, at: now}
 	for _, kind := range o.kinds() {
-		s := budgets.Settings{RatePerSecond: o.rate(kind, 0), UnleasedShare: freeShare, MaxLessees: among}
-		p.holders[kind] = budgets.NewLessee(s.UnleasedRate(), now)
+		s := budgetleases.Settings{RatePerSecond: o.rate(kind, 0), UnleasedShare: freeShare, MaxLessees: among}
+		p.holders[kind] = budgetleases.NewLessee(s.UnleasedRate(), now)
 	}
 	return p
 }
@@ -101,7 +101,7 @@
 
 // treasury is the leader's part.
 type treasury struct {
-	dealers map[string]*budgets.Lessor
+	dealers map[string]*budgetleases.Lessor
 	rates   map[string]float64
 	firsts  map[string]first
 	retuned agreement.Clock // by how many first calls all make
@@ -117,15 +117,15 @@
 
 // newTreasury begins without knowing of any lease.
 func (a *Agent) newTreasury() *treasury {
-	t := &treasury{dealers: map[string]*budgets.Lessor{}, rates: map[string]float64{}, firsts: map[string]first{}}
+	t := &treasury{dealers: map[string]*budgetleases.Lessor{}, rates: map[string]float64{}, firsts: map[string]first{}}
 	for _, kind := range a.Overload.kinds() {
-		t.dealers[kind] = budgets.NewLessor(a.budget(kind, 0), a.now())
+		t.dealers[kind] = budgetleases.NewLessor(a.budget(kind, 0), a.now())
 	}
 	return t
 }
 
-func (a *Agent) budget(kind string, firsts float64) budgets.Settings {
-	return budgets.Settings{RatePerSecond: a.Overload.rate(kind, firsts), UnleasedShare: freeShare, MaxLessees: a.among(), LeaseDuration: a.lease}
+func (a *Agent) budget(kind string, firsts float64) budgetleases.Settings {
+	return budgetleases.Settings{RatePerSecond: a.Overload.rate(kind, firsts), UnleasedShare: freeShare, MaxLessees: a.among(), LeaseDuration: a.lease}
 }
 
 // among is how many dispatchers there are at the most.
--- a/internal/fleet/council.go
+++ b/internal/fleet/council.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"brassdale/internal/decisions/agreement"
-	councillog "brassdale/internal/fleet/log"
+	councillog "brassdale/internal/fleet/raftlog"
 	"brassdale/internal/traffic"
 )
 
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/gossip/membership.go
@@ -1,7 +1,7 @@
-// Package membership knows which neighbours of a dispatcher are there, and in which seat of the council. It is gossip among
+// Package gossip knows which neighbours of a dispatcher are there, and in which seat of the council. It is gossip among
 // dispatchers of one zone, by hashicorp/memberlist: late, and at times wrong. Nothing is safe because of what it says; it
 // serves to show people who is there. Whom a dispatcher meets first, and when all is exchanged, decisions/neighbours says.
-package membership
+package gossip
 
 import (
 	"cmp"
@@ -18,7 +18,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"brassdale/internal/decisions/neighbours"
+	"brassdale/internal/decisions/gossippeers"
 	"brassdale/internal/traffic"
 )
 
@@ -183,7 +183,7 @@
 }
 
 // Digest is who is there, by what is known here.
-func (l *Membership) Digest() neighbours.Digest {
+func (l *Membership) Digest() gossippeers.Digest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	names := make([]string, 0, len(l.all))
@@ -192,7 +192,7 @@
 			names = append(names, name)
 		}
 	}
-	return neighbours.DigestOf(names)
+	return gossippeers.DigestOf(names)
 }
 
 // Members are all that are known, by name; those that are gone for an hour.
@@ -271,7 +271,7 @@
 // NotifyAlive lets none in but neighbours: builds that gossip over the whole fleet tell of all.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	var m Self
-	if json.Unmarshal(n.Meta, &m) == nil && neighbours.ArePeers(d.o.Self.Region, d.o.Self.Zone, m.Region, m.Zone) {
+	if json.Unmarshal(n.Meta, &m) == nil && gossippeers.ArePeers(d.o.Self.Region, d.o.Self.Zone, m.Region, m.Zone) {
 		return nil
 	}
 	return errFar
--- a/internal/fleet/membership/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -1,4 +1,4 @@
-package membership
+package gossip
 
 import (
 	"bufio"
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -9,7 +9,7 @@
 
 	"brassdale/internal/decisions/agreement"
 	"brassdale/internal/decisions/failover"
-	"brassdale/internal/decisions/neighbours"
+	"brassdale/internal/decisions/gossippeers"
 	"brassdale/internal/traffic"
 )
 
@@ -18,7 +18,7 @@
 func (a *Agent) grants(ctx context.Context, all []question) (answer, int) {
 	a.mu.Lock()
 	s, leads := a.seat, a.leads
-	got := answer{Refused: map[string]string{}, Rates: map[string]json.RawMessage{}, Form: a.form, Neighbours: map[string]*neighbours.PeerSuggestion{}}
+	got := answer{Refused: map[string]string{}, Rates: map[string]json.RawMessage{}, Form: a.form, Neighbours: map[string]*gossippeers.PeerSuggestion{}}
 	if s != nil && leads != nil {
 		r := s.log.Record()
 		if a.register.Due(a.now()) {
@@ -65,11 +65,11 @@
 	return got, http.StatusOK
 }
 
-func holder(m agreement.Dispatcher) neighbours.Member {
-	return neighbours.Member{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone}
+func holder(m agreement.Dispatcher) gossippeers.Member {
+	return gossippeers.Member{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone}
 }
 
-func holders(present []agreement.Dispatcher) (all []neighbours.Member) {
+func holders(present []agreement.Dispatcher) (all []gossippeers.Member) {
 	for _, m := range present {
 		all = append(all, holder(m))
 	}
@@ -129,7 +129,7 @@
 	}
 	back := answer{LeaseMS: got.LeaseMS, Form: got.Form}
 	if named := got.Neighbours[q.Name]; named != nil {
-		back.Neighbours = map[string]*neighbours.PeerSuggestion{q.Name: named}
+		back.Neighbours = map[string]*gossippeers.PeerSuggestion{q.Name: named}
 	}
 	if rates := got.Rates[q.Name]; rates != nil {
 		back.Rates = map[string]json.RawMessage{q.Name: rates}
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -9,7 +9,7 @@
 
 	"brassdale/internal/decisions/agreement"
 	"brassdale/internal/decisions/failover"
-	"brassdale/internal/fleet/membership"
+	"brassdale/internal/fleet/gossip"
 	"brassdale/internal/traffic"
 )
 
@@ -27,7 +27,7 @@
 	LeaseHolders      []agreement.Dispatcher  `json:"present,omitempty"` // who holds a lease, where this one leads
 	WaitingFor        []string                `json:"waits,omitempty"`   // for whom an announced version waits
 	Voters            []agreement.VoterStatus `json:"places,omitempty"`  // the council's seats, where this one leads
-	Members           []membership.Member     `json:"members,omitempty"` // by gossip
+	Members           []gossip.Member         `json:"members,omitempty"` // by gossip
 	Zones             []failover.ZoneView     `json:"zones,omitempty"`   // as the leader plans them
 	PlanExpired       bool                    `json:"alone,omitempty"`   // it does not trust its plan any more
 	BudgetUsage       []BudgetUsage           `json:"spent,omitempty"`   // of the fleet's budgets, here
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -10,7 +10,7 @@
 
 	"brassdale/internal/decisions/agreement"
 	"brassdale/internal/decisions/failover"
-	"brassdale/internal/decisions/neighbours"
+	"brassdale/internal/decisions/gossippeers"
 )
 
 // elected is told by the log. A new leader begins without knowing of any lease.
@@ -21,7 +21,7 @@
 		a.treasury = a.newTreasury()
 	}
 	if leads {
-		a.leads, a.register = agreement.NewLeaseTable(a.lease, a.now()), neighbours.NewDirectory()
+		a.leads, a.register = agreement.NewLeaseTable(a.lease, a.now()), gossippeers.NewDirectory()
 		if a.Failover != nil {
 			s, regions := a.Failover.planner()
 			a.planner = failover.NewPlanner(s, regions, a.holder.Record().Plan, a.now())
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"brassdale/internal/decisions/agreement"
-	"brassdale/internal/decisions/neighbours"
+	"brassdale/internal/decisions/gossippeers"
 	"brassdale/internal/traffic"
 )
 
@@ -33,7 +33,7 @@
 	Demand   json.RawMessage `json:"demand,omitempty"` // uses a second of each budget, by its name
 	Firsts   float64         `json:"firsts,omitempty"` // first calls a second
 
-	Neighbours *neighbours.Digest `json:"neighbours,omitempty"` // that it knows; nil of one that gossips over the whole fleet
+	Neighbours *gossippeers.Digest `json:"neighbours,omitempty"` // that it knows; nil of one that gossips over the whole fleet
 }
 
 // part has the bytes of reports and budgets in questions count as such, at the one who sends them or has received them.
@@ -72,8 +72,8 @@
 	Present []agreement.Dispatcher       `json:"present,omitempty"` // who holds leases, ...
 	Absent  []agreement.AbsentDispatcher `json:"absent,omitempty"`  // ... and who held one lately
 
-	Form       int                                   `json:"form,omitempty"`       // the leader's
-	Neighbours map[string]*neighbours.PeerSuggestion `json:"neighbours,omitempty"` // by the dispatcher that knows others than the leader
+	Form       int                                    `json:"form,omitempty"`       // the leader's
+	Neighbours map[string]*gossippeers.PeerSuggestion `json:"neighbours,omitempty"` // by the dispatcher that knows others than the leader
 }
 
 func newClient(m *traffic.Meter) *http.Client {
--- a/internal/fleet/log/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -1,6 +1,6 @@
-// Package log is the council's log: entries of agreement, in one order at all voters, by go.etcd.io/raft/v3 over files of
+// Package raftlog is the council's log: entries of agreement, in one order at all voters, by go.etcd.io/raft/v3 over files of
 // go.etcd.io/bbolt. Consensus is the library's; this package brings it time, disk and messages, and applies what is committed.
-package log
+package raftlog
 
 import (
 	"cmp"
--- a/internal/fleet/log/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -1,4 +1,4 @@
-package log
+package raftlog
 
 import (
 	"context"
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"brassdale/internal/decisions/agreement"
-	"brassdale/internal/decisions/neighbours"
+	"brassdale/internal/decisions/gossippeers"
 	"brassdale/internal/traffic"
 )
 
@@ -155,7 +155,7 @@
 	}
 	roll, named := a.members.Digest(), got.Neighbours[a.Name]
 	if got.Form < formNeighbours && roll.Count <= 1 {
-		named = &neighbours.PeerSuggestion{Addresses: slices.DeleteFunc(slices.Clone(a.s.Voters), func(at string) bool { return at == a.address() })}
+		named = &gossippeers.PeerSuggestion{Addresses: slices.DeleteFunc(slices.Clone(a.s.Voters), func(at string) bool { return at == a.address() })}
 	}
 	if address, ok := a.visitor.NextExchange(named, roll, a.now()); ok {
 		a.members.ExchangeWith(address)
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
 	"brassdale/internal/decisions/agreement"
-	"brassdale/internal/diag"
+	"brassdale/internal/hcldiag"
 )
 
 // rulesFile is a proposal as it is written.
@@ -23,16 +23,16 @@
 }
 
 // LoadRules reads a proposal, whole or not at all. An error names all faults with file, line and column.
-func LoadRules(path string) (*agreement.Rules, error) { return diag.Read(path, ReadRules) }
+func LoadRules(path string) (*agreement.Rules, error) { return hcldiag.Read(path, ReadRules) }
 
 // ReadRules reads the text of one.
 func ReadRules(text []byte, path string) (*agreement.Rules, error) {
 	f := rulesFile{Retries: -1, Repeat: true}
 	var r agreement.Rules
-	err := diag.Decode(text, path, &f, func(body *hclsyntax.Body) (diags hcl.Diagnostics) {
+	err := hcldiag.Decode(text, path, &f, func(body *hclsyntax.Body) (diags hcl.Diagnostics) {
 		r = agreement.Rules{RetryRatio: f.Retries, RetriesAllowed: f.Repeat, DetachedWorkers: f.Out, Quotas: f.Shares}
 		if err := r.Check(); err != nil {
-			diags = append(diags, diag.At(body.MissingItemRange(), "Bad rules", "%v.", err))
+			diags = append(diags, hcldiag.At(body.MissingItemRange(), "Bad rules", "%v.", err))
 		}
 		return diags
 	})
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -11,8 +11,8 @@
 
 	"brassdale/internal/decisions/agreement"
 	"brassdale/internal/decisions/failover"
-	"brassdale/internal/decisions/neighbours"
-	"brassdale/internal/fleet/membership"
+	"brassdale/internal/decisions/gossippeers"
+	"brassdale/internal/fleet/gossip"
 	"brassdale/internal/traffic"
 )
 
@@ -30,14 +30,14 @@
 	record := storedRecord()
 	member := agreement.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
 		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, Plan: 27, DedicatedToControl: true}
-	self := membership.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
+	self := gossip.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
 	return map[string]any{
 		"question": question{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
-			Demand: json.RawMessage(`{"budget-1":1.5}`), Firsts: 42.5, Neighbours: &neighbours.Digest{Count: 43, Sum: 44}},
+			Demand: json.RawMessage(`{"budget-1":1.5}`), Firsts: 42.5, Neighbours: &gossippeers.Digest{Count: 43, Sum: 44}},
 		"answer": answer{Record: &record, Entries: []agreement.Entry{{ID: "entry-1", PutInForce: 51}}, LeaseMS: 52, Era: 53, Revision: 54,
 			Leader: 55, Refused: map[string]string{"dispatcher-4": "why-2"}, Rates: map[string]json.RawMessage{"dispatcher-5": json.RawMessage(`{"budget-2":2.5}`)},
 			Why: "why-3", Present: []agreement.Dispatcher{member}, Absent: []agreement.AbsentDispatcher{{Dispatcher: member, Left: true, AbsentFor: 56}}, Form: 57,
-			Neighbours: map[string]*neighbours.PeerSuggestion{"dispatcher-6": {Count: 58, Addresses: []string{"127.0.0.1:9004"}}}},
+			Neighbours: map[string]*gossippeers.PeerSuggestion{"dispatcher-6": {Count: 58, Addresses: []string{"127.0.0.1:9004"}}}},
 		"report": failover.Report{Dispatcher: "dispatcher-7", Zone: "zone-3",
 			Observations:  []failover.Observation{{To: "zone-4", Class: "class-1", Ended: 61.5, InTime: 62.5, Full: 63.5}},
 			LastResponses: []failover.LastResponse{{To: "zone-5", Since: 64, Unanswered: 65}},
@@ -47,7 +47,7 @@
 		"status": Status{Name: "dispatcher-8", Fleet: "fleet-1", VoterID: 71, Leader: 72, IsLeader: true, EffectiveVersions: []uint64{73}, LeaseExpired: true, LeaseLeftMS: 74,
 			Record: record, LeaseHolders: []agreement.Dispatcher{member}, WaitingFor: []string{"dispatcher-9"},
 			Voters:  []agreement.VoterStatus{{Voter: agreement.Voter{ID: 75, Address: "127.0.0.1:9005"}, SilentFor: 76, EntriesBehind: 77, IsLeader: true}},
-			Members: []membership.Member{{Self: self, State: membership.Left, Since: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC)}},
+			Members: []gossip.Member{{Self: self, State: gossip.Left, Since: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC)}},
 			Zones: []failover.ZoneView{{Zone: "zone-7", Region: "region-3", Capacity: 81.5, Planned: 82.5, Demand: 83.5, Shed: 84.5, CapacityFactor: 85.5,
 				UnreachableFrom: []string{"zone-8"}, Reason: "why-4"}},
 			PlanExpired: true, BudgetUsage: []BudgetUsage{{Kind: "budget-3", RatePerSecond: 91.5, Demand: 92.5, Denied: 93}},
--- a/internal/diag/diag.go
+++ b/internal/hcldiag/diag.go
@@ -1,5 +1,5 @@
-// Package diag words what is wrong with a file in HCL.
-package diag
+// Package hcldiag words what is wrong with a file in HCL.
+package hcldiag
 
 import (
 	"fmt"
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -54,7 +54,7 @@
 var clocks = []string{"time.Now", "time.Since", "time.Until", "time.After", "time.AfterFunc", "time.NewTimer", "time.NewTicker", "time.Sleep", "time.Tick", "go"}
 
 func TestDecisionsArePure(t *testing.T) {
-	dirs := []string{"../brain"}
+	dirs := []string{"../scheduler"}
 	_ = filepath.WalkDir("decisions", func(path string, d fs.DirEntry, err error) error {
 		if err == nil && d.IsDir() && d.Name() != "testdata" {
 			dirs = append(dirs, path)
@@ -64,7 +64,7 @@
 	for _, dir := range dirs {
 		paths, calls := imports(t, dir)
 		for _, path := range paths {
-			if !slices.Contains(pure, path) && path != "brassdale/brain" && !strings.HasPrefix(path, "brassdale/internal/decisions/") {
+			if !slices.Contains(pure, path) && path != "brassdale/scheduler" && !strings.HasPrefix(path, "brassdale/internal/decisions/") {
 				t.Errorf("%s imports %s", dir, path)
 			}
 		}
@@ -87,19 +87,19 @@
 		return own
 	}
 	above := map[string][]string{ // by folder, what it may import of the project
-		"routing":          {"brain", "internal/decisions/"},
-		"protocol":         {"brain", "internal/routing"},
-		"transport":        {"brain", "internal/routing", "internal/protocol", "internal/decisions/", "internal/traffic", "internal/listen"},
-		"transport/http2":  {"brain", "internal/routing", "internal/protocol", "internal/decisions/", "internal/transport"},
-		"fleet":            {"internal/decisions/", "internal/fleet", "internal/diag", "internal/traffic", "internal/listen"},
-		"listen":           {},
-		"fleet/log":        {"internal/decisions/"},
-		"fleet/membership": {"internal/traffic", "internal/decisions/neighbours"},
-		"traffic":          {},
-		"operator":         {"internal/decisions/agreement", "internal/diag", "internal/fleet", "internal/protocol", "internal/transport", "internal/savedlist"},
-		"emulator":         {"brain", "internal/load", "internal/decisions/failover"},
-		"load":             {"internal/protocol", "internal/diag"},
-		"savedlist":        {"brain", "internal/routing", "internal/protocol"},
+		"routing":         {"scheduler", "internal/decisions/"},
+		"protocol":        {"scheduler", "internal/routing"},
+		"transport":       {"scheduler", "internal/routing", "internal/protocol", "internal/decisions/", "internal/traffic", "internal/listen"},
+		"transport/http2": {"scheduler", "internal/routing", "internal/protocol", "internal/decisions/", "internal/transport"},
+		"fleet":           {"internal/decisions/", "internal/fleet", "internal/hcldiag", "internal/traffic", "internal/listen"},
+		"listen":          {},
+		"fleet/raftlog":   {"internal/decisions/"},
+		"fleet/gossip":    {"internal/traffic", "internal/decisions/gossippeers"},
+		"traffic":         {},
+		"operator":        {"internal/decisions/agreement", "internal/hcldiag", "internal/fleet", "internal/protocol", "internal/transport", "internal/endpointcache"},
+		"emulator":        {"scheduler", "internal/load", "internal/decisions/failover"},
+		"load":            {"internal/protocol", "internal/hcldiag"},
+		"endpointcache":   {"scheduler", "internal/routing", "internal/protocol"},
 	}
 	for dir, may := range above {
 		paths, _ := imports(t, dir)
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"brassdale/internal/diag"
+	"brassdale/internal/hcldiag"
 )
 
 // File is a plan as an operator writes it.
@@ -65,12 +65,12 @@
 }
 
 // Load reads and checks a plan, its trace too. An error names all faults with file, line and column.
-func Load(path string) (*File, error) { return diag.Read(path, Parse) }
+func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse reads the text of a plan; path is its name in errors, and where its trace's path begins.
 func Parse(text []byte, path string) (*File, error) {
 	f := &File{Seed: 1, Wire: string(HTTP1), dir: filepath.Dir(path)}
-	if err := diag.Decode(text, path, f, f.check); err != nil {
+	if err := hcldiag.Decode(text, path, f, f.check); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -79,31 +79,31 @@
 // check finds what gohcl cannot, and fills in what the plan means.
 func (f *File) check(body *hclsyntax.Body) (diags hcl.Diagnostics) {
 	bad := func(at hcl.Range, format string, a ...any) {
-		diags = append(diags, diag.At(at, "Bad plan", format, a...))
+		diags = append(diags, hcldiag.At(at, "Bad plan", format, a...))
 	}
-	blocks := diag.Blocks(body)
+	blocks := hcldiag.Blocks(body)
 	span := func(b *hclsyntax.Body, name, text string) time.Duration {
 		if text == "" {
 			return 0
 		}
 		d, err := time.ParseDuration(text)
 		if err != nil || d < 0 {
-			bad(diag.Place(b, name), "%s: %q is no time like \"2.5s\".", name, text)
+			bad(hcldiag.Place(b, name), "%s: %q is no time like \"2.5s\".", name, text)
 		}
 		return d
 	}
 	f.terms = Terms{Class: f.Class, GiveUp: span(body, "give_up", f.GiveUp), Aim: span(body, "aim", f.Aim)}
 	if f.Class == "" {
-		bad(diag.Place(body, "class"), "class is empty.")
+		bad(hcldiag.Place(body, "class"), "class is empty.")
 	}
 	if f.terms.GiveUp <= 0 {
-		bad(diag.Place(body, "give_up"), "give_up must be above 0.")
+		bad(hcldiag.Place(body, "give_up"), "give_up must be above 0.")
 	}
 	if f.Seed < 0 {
-		bad(diag.Place(body, "seed"), "seed must not be below 0.")
+		bad(hcldiag.Place(body, "seed"), "seed must not be below 0.")
 	}
 	if _, err := NewClient(Wire(f.Wire), "x", []string{"h:1"}); err != nil {
-		bad(diag.Place(body, "wire"), "%v.", err)
+		bad(hcldiag.Place(body, "wire"), "%v.", err)
 	}
 	if (len(f.Phases) > 0) == (f.Trace != nil) {
 		bad(body.MissingItemRange(), "A plan has phases, or a trace.")
@@ -141,7 +141,7 @@
 	}
 	if t := f.Trace; t != nil && !diags.HasErrors() {
 		if err := f.read(t); err != nil {
-			bad(diag.Place(blocks["trace"][0].Body, "file"), "%s: %v.", t.File, err)
+			bad(hcldiag.Place(blocks["trace"][0].Body, "file"), "%s: %v.", t.File, err)
 		}
 	}
 	return diags
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -18,10 +18,10 @@
 	"github.com/hashicorp/hcl/v2/hclwrite"
 
 	"brassdale/internal/decisions/agreement"
-	"brassdale/internal/diag"
+	"brassdale/internal/endpointcache"
 	"brassdale/internal/fleet"
+	"brassdale/internal/hcldiag"
 	"brassdale/internal/protocol"
-	"brassdale/internal/savedlist"
 	"brassdale/internal/transport"
 	"brassdale/internal/transport/http2"
 )
@@ -35,7 +35,7 @@
 	Progress      *transport.ProgressSettings
 	Keys          *transport.IdempotencySettings
 	Quotas        *transport.QuotaSettings
-	EndpointCache *savedlist.Settings
+	EndpointCache *endpointcache.Settings
 	Retries       *transport.RetrySettings
 	Fleet         *fleet.Settings
 	Failover      *fleet.Failover
@@ -105,7 +105,7 @@
 func (r *reader) bad(attribute, format string, a ...any) { r.badIn(r.body, attribute, format, a...) }
 
 func (r *reader) badIn(body *hclsyntax.Body, attribute, format string, a ...any) {
-	r.diags = append(r.diags, diag.At(diag.Place(body, attribute), "Bad "+attribute, format, a...))
+	r.diags = append(r.diags, hcldiag.At(hcldiag.Place(body, attribute), "Bad "+attribute, format, a...))
 }
 
 // address checks where a front listens. Off loopback its traffic can be read on the way unless it is encrypted, so an
@@ -286,7 +286,7 @@
 }
 
 func readSaved(f *File, r *reader) {
-	s := savedlist.Default()
+	s := endpointcache.Default()
 	if !r.decode(&s) {
 		return
 	}
@@ -295,7 +295,7 @@
 	} else if !filepath.IsAbs(s.Directory) {
 		s.Directory = filepath.Join(r.dir, s.Directory)
 	}
-	if err := savedlist.CheckDirectory(s.Directory); err != nil {
+	if err := endpointcache.CheckDirectory(s.Directory); err != nil {
 		r.bad("directory", "%v.", err)
 	}
 	if oldest, err := s.ParseMaxAge(); err != nil || oldest <= 0 {
@@ -329,22 +329,22 @@
 	f.Keys = &s
 }
 
-// Load reads a file. Its error is a diag.Faults where the file can be read.
+// Load reads a file. Its error is a hcldiag.Faults where the file can be read.
 func Load(path string) (*File, error) {
 	if strings.EqualFold(filepath.Ext(path), ".toml") {
 		return nil, fmt.Errorf("%s: operators' files are HCL now: put its settings into a block front \"progress\" { ... }, see deploy/operator.hcl", path)
 	}
-	return diag.Read(path, Parse)
+	return hcldiag.Read(path, Parse)
 }
 
 // Parse reads the text of a file; path is its name in faults, and relative paths in it count from the path's folder.
-// All faults that can be found are in the error, which is then a diag.Faults.
+// All faults that can be found are in the error, which is then a hcldiag.Faults.
 func Parse(text []byte, path string) (*File, error) {
 	parsed, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	f := &File{}
 	if body, ok := parsed.Body.(*hclsyntax.Body); ok {
 		for _, attr := range body.Attributes {
-			diags = append(diags, diag.At(attr.NameRange, "Unsupported argument", "%q stands outside any block.", attr.Name))
+			diags = append(diags, hcldiag.At(attr.NameRange, "Unsupported argument", "%q stands outside any block.", attr.Name))
 		}
 		seen := map[string]hcl.Range{}
 		for _, b := range body.Blocks {
@@ -352,7 +352,7 @@
 		}
 	}
 	if diags.HasErrors() {
-		return nil, diag.Faults(diags)
+		return nil, hcldiag.Faults(diags)
 	}
 	return f, nil
 }
@@ -360,7 +360,7 @@
 // read reads a block.
 func (f *File) read(b *hclsyntax.Block, dir string, seen map[string]hcl.Range) hcl.Diagnostics {
 	fault := func(summary, format string, a ...any) hcl.Diagnostics {
-		return hcl.Diagnostics{diag.At(b.DefRange(), summary, format, a...)}
+		return hcl.Diagnostics{hcldiag.At(b.DefRange(), summary, format, a...)}
 	}
 	name := b.Type
 	for _, label := range b.Labels {
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/decisions/agreement"
-	"brassdale/internal/failover"
 	"brassdale/internal/fleet"
 	"brassdale/internal/protocol"
+	"brassdale/internal/zonerouting"
+	"brassdale/scheduler"
 )
 
 // agreed is what the fleet's rules are put in force by.
@@ -19,13 +19,13 @@
 	agent *fleet.Agent
 
 	mu    sync.Mutex
-	out   map[string]bool  // boxes that the fleet has out
-	own   float64          // the operator's own bound on further calls; below 0 for none
-	fleet float64          // and the fleet's
-	guide *failover.Router // nil where nobody plans zones
-	rules string           // the file that is proposed at SIGHUP; empty for none
-	stop  func()           // ends the agent's life
-	ended chan struct{}    // closed behind it
+	out   map[string]bool     // boxes that the fleet has out
+	own   float64             // the operator's own bound on further calls; below 0 for none
+	fleet float64             // and the fleet's
+	guide *zonerouting.Router // nil where nobody plans zones
+	rules string              // the file that is proposed at SIGHUP; empty for none
+	stop  func()              // ends the agent's life
+	ended chan struct{}       // closed behind it
 }
 
 // run begins the agent's life.
@@ -99,7 +99,7 @@
 	}
 	o := fleet.Options{Settings: s, Name: cfg.Name, Zone: zone, ApplyEffective: a.apply, JobCounts: a.jobs, Meter: d.meter, Log: d.log}
 	if zones != nil {
-		a.guide = failover.New(cfg.Name, d.params)
+		a.guide = zonerouting.New(cfg.Name, d.params)
 		d.core.SetZoneRouter(a.guide)
 		o.Failover, o.Report, o.HasUrgentChange, o.PlanChanged = zones, a.guide.Report, a.guide.HasUrgentChange, a.guide.ApplyPlan
 	}
@@ -133,12 +133,12 @@
 	out := make(map[string]bool, len(s.Rules.DetachedWorkers))
 	for _, id := range s.Rules.DetachedWorkers {
 		if out[id] = true; !a.out[id] {
-			a.d.core.SetDetached(brain.WorkerID(id), true)
+			a.d.core.SetDetached(scheduler.WorkerID(id), true)
 		}
 	}
 	for id := range a.out {
 		if !out[id] && !slices.Contains(own, id) {
-			a.d.core.SetDetached(brain.WorkerID(id), false)
+			a.d.core.SetDetached(scheduler.WorkerID(id), false)
 		}
 	}
 	a.out = out
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
 	"brassdale/internal/transport"
+	"brassdale/scheduler"
 )
 
 // A caller at the admin endpoint waits for a second. By then it has its answer.
@@ -75,7 +75,7 @@
 	defer stop()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	known, err := o.d.core.KnowsWorker(ctx, brain.WorkerID(id))
+	known, err := o.d.core.KnowsWorker(ctx, scheduler.WorkerID(id))
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	if err := o.file.put(id, out); err != nil {
 		return err
 	}
-	o.d.core.SetDetached(brain.WorkerID(id), out)
+	o.d.core.SetDetached(scheduler.WorkerID(id), out)
 	if o.d.saved != nil {
 		o.d.saved.keeper.SetDetached(o.file.list())
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -14,14 +14,14 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/polling"
 	"brassdale/internal/operator"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
 	"brassdale/internal/traffic"
 	"brassdale/internal/transport"
 	"brassdale/internal/transport/http2"
+	"brassdale/scheduler"
 )
 
 const (
@@ -181,8 +181,8 @@
 // build makes all parts, none of which runs yet.
 func (d *dispatcher) build(env func(string) string, options Options, cfg *protocol.Config, op *operator.File, pred *predecessor) error {
 	p, log, clock := d.params, d.log, routing.NewClock()
-	p.Replace(&cfg.Settings, func(s brain.Settings) {
-		d.core = routing.NewCore(brain.New(s, cfg.SeedNumber()), clock, log)
+	p.Replace(&cfg.Settings, func(s scheduler.Settings) {
+		d.core = routing.NewCore(scheduler.New(s, cfg.SeedNumber()), clock, log)
 	})
 	d.register(&cfg.Settings)
 	d.fleet = transport.NewEndpointPool(d.ctx, p, d.core, log)
@@ -213,7 +213,7 @@
 	discovery := transport.NewDiscovery(cfg.Discovery, p, d.meter)
 	d.set = routing.NewEndpointList(d.core, d.fleet, discovery, known, log)
 	d.set.SetSource(source)
-	d.set.SetPollRules(func() pacing.Rules { return transport.PacingRules(p.Current()) })
+	d.set.SetPollRules(func() polling.Rules { return transport.PacingRules(p.Current()) })
 	if from != nil {
 		d.set.StartFromCache(from)
 		age, ok := from.Assessor.Age()
--- a/internal/program/replace.go
+++ b/internal/program/replace.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/listen"
 	"brassdale/internal/protocol"
 	"brassdale/internal/transport"
+	"brassdale/scheduler"
 )
 
 const (
@@ -292,6 +292,6 @@
 // putOut puts workers out that were out before.
 func (d *dispatcher) putOut(ids []string) {
 	for _, id := range ids {
-		d.core.SetDetached(brain.WorkerID(id), true)
+		d.core.SetDetached(scheduler.WorkerID(id), true)
 	}
 }
--- a/internal/program/saved.go
+++ b/internal/program/saved.go
@@ -7,17 +7,17 @@
 	"strings"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/savedlist"
+	"brassdale/internal/decisions/cachetrust"
+	store "brassdale/internal/endpointcache"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
-	store "brassdale/internal/savedlist"
+	"brassdale/scheduler"
 )
 
 // saved is the part of the program that keeps the list on disk and starts from it.
 type saved struct {
 	d      *dispatcher
-	rules  savedlist.Rules
+	rules  cachetrust.Rules
 	store  *store.Store
 	loaded *store.CachedList // nil where there is none
 	keeper *store.Writer
@@ -26,7 +26,7 @@
 // openSaved opens the folder. One that is of no use costs a line of the log and no more.
 func (d *dispatcher) openSaved(s *store.Settings, name string, p *protocol.Settings) *saved {
 	oldest, _ := s.ParseMaxAge() // was checked
-	sv := &saved{d: d, rules: savedlist.Rules{MaxAge: oldest, MinFirstListShare: s.MinFirstListShare, SlowStartDuration: p.Rules.Cold.Duration(),
+	sv := &saved{d: d, rules: cachetrust.Rules{MaxAge: oldest, MinFirstListShare: s.MinFirstListShare, SlowStartDuration: p.Rules.Cold.Duration(),
 		SlowStartCapacity: p.Rules.StartCapacity, MayProbe: p.Limits.Probing}}
 	files, err := store.OpenOrCreate(s.Directory, name)
 	if err != nil {
@@ -53,7 +53,7 @@
 	for _, id := range s.Detached {
 		out[id] = true
 	}
-	f := &routing.CachedStart{Endpoints: map[brain.WorkerID]routing.Endpoint{}, LearnedState: s.LearnedState(),
+	f := &routing.CachedStart{Endpoints: map[scheduler.WorkerID]routing.Endpoint{}, LearnedState: s.LearnedState(),
 		ReportsPulled: p.LoadReport.Via == "pull"}
 	f.LearnedState.Classes = sv.d.params.StatisticsByNumber(s.Classes)
 	for _, c := range f.LearnedState.Classes {
@@ -63,16 +63,16 @@
 		}
 		f.MeanLogRuntime = append(f.MeanLogRuntime, usual)
 	}
-	list := savedlist.CachedList{ConfirmedAt: clock.At(s.ConfirmedAt()), Revision: s.Revision}
+	list := cachetrust.CachedList{ConfirmedAt: clock.At(s.ConfirmedAt()), Revision: s.Revision}
 	for i, d := range s.List().Destinations(p) {
 		f.Endpoints[d.ID] = d
-		w := savedlist.CachedWorker{ID: d.ID, State: d.State, Detached: out[string(d.ID)], StartedAt: d.StartedAt}
+		w := cachetrust.CachedWorker{ID: d.ID, State: d.State, Detached: out[string(d.ID)], StartedAt: d.StartedAt}
 		if ms := s.Members[i].LastSignalMS; ms > 0 {
 			w.LastSignal = time.Duration(ms) * time.Millisecond
 		}
 		list.Workers = append(list.Workers, w)
 	}
-	f.Assessor = savedlist.New(clock.Now(), list, sv.rules)
+	f.Assessor = cachetrust.New(clock.Now(), list, sv.rules)
 	return f
 }
 
@@ -84,7 +84,7 @@
 }
 
 // Experience gives what the module has learned.
-func (sv *saved) LearnedState(ctx context.Context) (brain.LearnedState, map[string]brain.ClassStatistics, error) {
+func (sv *saved) LearnedState(ctx context.Context) (scheduler.LearnedState, map[string]scheduler.ClassStatistics, error) {
 	e, err := sv.d.core.LearnedState(ctx)
 	return e, sv.d.params.StatisticsByName(e), err
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // List is what discovery answers: the whole destination set, or what changed in it.
@@ -32,7 +32,7 @@
 // Left is the phase of a member that is gone.
 const Left = "left"
 
-var phases = map[string]brain.WorkerState{"active": brain.Ready, "leaving": brain.Draining, Left: brain.Gone}
+var phases = map[string]scheduler.WorkerState{"active": scheduler.Ready, "leaving": scheduler.Draining, Left: scheduler.Gone}
 
 // ParseList decodes an answer of discovery.
 func ParseList(text []byte) (*List, error) {
@@ -80,8 +80,8 @@
 func (l *List) Destinations(p *Settings) []routing.Endpoint {
 	ds := make([]routing.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
-		d := routing.Endpoint{Address: m.HostPort, WorkerInfo: brain.WorkerInfo{
-			ID: brain.WorkerID(m.ID), State: phases[m.Phase], Cell: m.Cell, Weight: m.Size,
+		d := routing.Endpoint{Address: m.HostPort, WorkerInfo: scheduler.WorkerInfo{
+			ID: scheduler.WorkerID(m.ID), State: phases[m.Phase], Cell: m.Cell, Weight: m.Size,
 			Zone: slices.Index(p.Zones, m.Locality), MachineKind: slices.Index(p.Flavors, m.Flavor),
 		}}
 		if m.UpSinceMS > 0 {
--- a/internal/protocol/inbound_test.go
+++ b/internal/protocol/inbound_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // FuzzDecodeInbound feeds whole requests as they come: each is a job with a deadline within its class's and a body within
@@ -26,7 +26,7 @@
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000}],"limits":{"maxAttempts":4}}`), p); err != nil {
 		f.Fatal(err)
 	}
-	(&LiveSettings{}).Replace(p, func(brain.Settings) {})
+	(&LiveSettings{}).Replace(p, func(scheduler.Settings) {})
 	now := time.Unix(1e9, 0)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
@@ -61,7 +61,7 @@
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"stock-check","effect":"safe","deadline":5000000}]}`), p); err != nil {
 		t.Fatal(err)
 	}
-	(&LiveSettings{}).Replace(p, func(brain.Settings) {})
+	(&LiveSettings{}).Replace(p, func(scheduler.Settings) {})
 	for text, want := range map[string]time.Duration{"152000": 152 * time.Millisecond, "": 0, "-5": 0, "many": 0, "NaN": 0, "1e300": 0} {
 		r, err := http.NewRequest("POST", "/stock-check", strings.NewReader(""))
 		if err != nil {
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // Micros is a time or a span on the wire.
@@ -80,15 +80,15 @@
 	// Owned by whoever calls Put. A class keeps its number in the module for good, so that jobs keep the rules that
 	// they began with; one whose rules change gets a further number, and its old one if they change back.
 	names   []string
-	classes []brain.Class
+	classes []scheduler.Class
 }
 
 // Current gives the settings in force.
 func (l *LiveSettings) Current() *Settings { return l.now.Load() }
 
 // StatisticsByName gives an experience's classes by their names, as far as they are in force.
-func (l *LiveSettings) StatisticsByName(e brain.LearnedState) map[string]brain.ClassStatistics {
-	p, named := l.Current(), map[string]brain.ClassStatistics{}
+func (l *LiveSettings) StatisticsByName(e scheduler.LearnedState) map[string]scheduler.ClassStatistics {
+	p, named := l.Current(), map[string]scheduler.ClassStatistics{}
 	for i, n := range p.numbers {
 		if n < len(e.Classes) {
 			named[p.Classes[i].Name] = e.Classes[n]
@@ -98,9 +98,9 @@
 }
 
 // StatisticsByNumber puts classes that another process named into the numbers of this one.
-func (l *LiveSettings) StatisticsByNumber(named map[string]brain.ClassStatistics) []brain.ClassStatistics {
+func (l *LiveSettings) StatisticsByNumber(named map[string]scheduler.ClassStatistics) []scheduler.ClassStatistics {
 	p := l.Current()
-	classes := make([]brain.ClassStatistics, len(p.numbers))
+	classes := make([]scheduler.ClassStatistics, len(p.numbers))
 	for i, n := range p.numbers {
 		if n < len(classes) {
 			classes[n] = named[p.Classes[i].Name]
@@ -111,7 +111,7 @@
 
 // Replace numbers the classes, gives the settings in the module's terms to swap, and puts them in force. The module must
 // know them before the first job of a new class: it is told in between.
-func (l *LiveSettings) Replace(p *Settings, swap func(brain.Settings)) {
+func (l *LiveSettings) Replace(p *Settings, swap func(scheduler.Settings)) {
 	s := p.SchedulerSettings()
 	p.numbers = nil
 	for i, class := range s.Classes {
@@ -130,8 +130,8 @@
 }
 
 // SchedulerSettings gives the settings in the module's terms.
-func (p *Settings) SchedulerSettings() brain.Settings {
-	s := brain.Settings{
+func (p *Settings) SchedulerSettings() scheduler.Settings {
+	s := scheduler.Settings{
 		DispatcherIndex: p.Ordinal, Dispatchers: p.ReplicasOfMe, Zone: p.Locality,
 		ListPolled:        p.Discovery == "ask",
 		ReportsPulled:     p.LoadReport.Via == "pull",
@@ -157,22 +157,22 @@
 		s.ListValidity = routing.ListNotificationDeadline + p.Rules.DrainGrace.Duration()
 	}
 	for i, c := range p.Classes {
-		class := brain.Class{
+		class := scheduler.Class{
 			LatencyObjective: c.Aim.Duration(), ObjectiveStretch: c.AimStretch, Deadline: c.Deadline.Duration(),
 			PriorityWeight: c.Credit, LateWeight: c.LateWorth, DeduplicationWindow: c.Window.Duration(), Streamed: c.Stream,
-			Idempotency: brain.NonIdempotent, DeduplicationScope: brain.ScopeAll, MachineKind: -1,
+			Idempotency: scheduler.NonIdempotent, DeduplicationScope: scheduler.ScopeAll, MachineKind: -1,
 		}
 		switch c.Effect {
 		case "safe":
-			class.Idempotency = brain.Idempotent
+			class.Idempotency = scheduler.Idempotent
 		case "keyed":
-			class.Idempotency = brain.IdempotentWithKey
+			class.Idempotency = scheduler.IdempotentWithKey
 		}
 		switch c.DedupScope {
 		case "zone":
-			class.DeduplicationScope = brain.ScopeZone
+			class.DeduplicationScope = scheduler.ScopeZone
 		case "cell":
-			class.DeduplicationScope = brain.ScopeCell
+			class.DeduplicationScope = scheduler.ScopeCell
 		}
 		if i < len(p.FamilyInfo.ClassKind) {
 			class.MachineKind = p.FamilyInfo.ClassKind[i]
@@ -186,7 +186,7 @@
 }
 
 // Report names the values of a load report by the columns of the settings.
-func (p *Settings) Report(row []float64) *brain.Report {
+func (p *Settings) Report(row []float64) *scheduler.Report {
 	if row == nil {
 		return nil
 	}
@@ -199,11 +199,13 @@
 	return r
 }
 
-func noReport() *brain.Report { return &brain.Report{Busy: -1, Requests: -1, FreeSlots: -1, Queue: -1} }
+func noReport() *scheduler.Report {
+	return &scheduler.Report{Busy: -1, Requests: -1, FreeSlots: -1, Queue: -1}
+}
 
 // setColumn puts one figure into a report. Settings and simulator use other names than the sockets;
 // names that the module has no use for are skipped.
-func setColumn(r *brain.Report, name string, x float64) {
+func setColumn(r *scheduler.Report, name string, x float64) {
 	switch name {
 	case "cpu_share", "util":
 		r.Busy = x
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // storedNotes are the messages of a handover between processes, by golden file; each field has a value of its own.
@@ -21,13 +21,13 @@
 			NotifiedAt: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC), NotifiedAgo: 12, StartedAgo: 13,
 		}},
 		Detached: []string{"worker-z"}, Relay: "127.0.0.1:8600", ListUnconfirmed: true,
-		LearnedState: brain.LearnedState{
+		LearnedState: scheduler.LearnedState{
 			Overcommit: 21.5, MeanStay: 22.5, MeanWork: 23.5,
-			Classes: []brain.ClassStatistics{{WorkScale: 24.5, MeanLogRuntime: 25.5, Jobs: 26}},
-			Workers: map[brain.WorkerID]brain.WorkerStatistics{
+			Classes: []scheduler.ClassStatistics{{WorkScale: 24.5, MeanLogRuntime: 25.5, Jobs: 26}},
+			Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{
 				"worker-a": {StartedAt: 31, Slots: 32.5, Increment: 33.5, Slowness: 34.5, SlownessJobs: 35.5, LastSignal: 36}},
 		},
-		Classes: map[string]brain.ClassStatistics{"class-1": {WorkScale: 41.5, MeanLogRuntime: 42.5, Jobs: 43}},
+		Classes: map[string]scheduler.ClassStatistics{"class-1": {WorkScale: 41.5, MeanLogRuntime: 42.5, Jobs: 43}},
 	},
 	"held": HandoverUsage{Inbound: []int{51, 52}, Outbound: 53, OpenJobs: 54},
 	"remembered": RememberedJob{
--- a/internal/protocol/succession.go
+++ b/internal/protocol/succession.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // HandoverMessage is a message between a process and the one that replaces it, a line of JSON. Each uses some fields.
@@ -64,8 +64,8 @@
 	Relay           string        `json:"relay,omitempty"`
 	ListUnconfirmed bool          `json:"unsure,omitempty"` // the list is saved, and nobody told a newer one
 
-	LearnedState brain.LearnedState               `json:"experience"` // classes are by name, beside it
-	Classes      map[string]brain.ClassStatistics `json:"classes"`
+	LearnedState scheduler.LearnedState               `json:"experience"` // classes are by name, beside it
+	Classes      map[string]scheduler.ClassStatistics `json:"classes"`
 }
 
 // KnownMember is a member as the predecessor knows it.
--- a/internal/protocol/succession_test.go
+++ b/internal/protocol/succession_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // What a process hands to the one that replaces it holds though the wall clock is set in between: how long ago a drain was told,
@@ -17,7 +17,7 @@
 	p := &Settings{}
 	told := now.Add(-200 * time.Millisecond)
 	h := Handover{Discovery: "d", Members: KnownMembers([]routing.Endpoint{{Address: "127.0.0.1:1", NotifiedAt: told,
-		WorkerInfo: brain.WorkerInfo{ID: "a", State: brain.Draining}}}, p)}
+		WorkerInfo: scheduler.WorkerInfo{ID: "a", State: scheduler.Draining}}}, p)}
 	text, err := json.Marshal(h)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"strings"
 
-	"brassdale/brain"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // State is what one message of an endpoint says of a job.
@@ -51,12 +51,12 @@
 func NewWorkerResponse(id string, resp *http.Response) *WorkerResponse {
 	a := &WorkerResponse{id: id}
 	if resp.StatusCode != http.StatusOK {
-		end := routing.AttemptResult{Outcome: brain.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
+		end := routing.AttemptResult{Outcome: scheduler.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
 		declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 		if declined && resp.Header.Get("Srv-Declined") == "1" {
-			end.Outcome = brain.Full
+			end.Outcome = scheduler.Full
 		} else if resp.StatusCode >= 400 && resp.StatusCode < 500 {
-			end.Outcome = brain.InvalidRequest
+			end.Outcome = scheduler.InvalidRequest
 		}
 		a.early = &WorkerEvent{State: Ended, Result: end}
 		return a
@@ -118,7 +118,7 @@
 	if m.State == "" {
 		m.State = state
 	}
-	ended := func(o brain.Outcome) (WorkerEvent, error) {
+	ended := func(o scheduler.Outcome) (WorkerEvent, error) {
 		return WorkerEvent{State: Ended, Result: routing.AttemptResult{Outcome: o, Report: loadOf(m.Load)}}, nil
 	}
 	switch m.State {
@@ -130,7 +130,7 @@
 		if len(m.Result) == 0 { // only a worker's result makes an answer
 			return WorkerEvent{}, fmt.Errorf("%w: done without a result", errMalformed)
 		}
-		n, err := ended(brain.Served)
+		n, err := ended(scheduler.Served)
 		n.Result.Result = m.Result
 		var plain string
 		if json.Unmarshal(m.Result, &plain) == nil {
@@ -138,34 +138,34 @@
 		}
 		return n, err
 	case "failed":
-		return ended(brain.Errored)
+		return ended(scheduler.Errored)
 	case "returned":
-		return ended(brain.Full)
+		return ended(scheduler.Full)
 	case "lost":
-		return ended(brain.Reset)
+		return ended(scheduler.Reset)
 	}
 	return WorkerEvent{}, fmt.Errorf("%w: state %q", errMalformed, m.State)
 }
 
 // ParseProbe reads an endpoint's answer to a probe: a report in the body or in the header, if any.
-func ParseProbe(resp *http.Response, body []byte) (brain.Outcome, *brain.Report) {
+func ParseProbe(resp *http.Response, body []byte) (scheduler.Outcome, *scheduler.Report) {
 	if resp.StatusCode != http.StatusOK {
-		return brain.Errored, nil
+		return scheduler.Errored, nil
 	}
 	if r := parseLoad(resp.Header.Get("Srv-Load")); r != nil {
-		return brain.Served, r
+		return scheduler.Served, r
 	}
 	var fields map[string]any
 	if json.Unmarshal(body, &fields) == nil {
 		if inner, ok := fields["load"].(map[string]any); ok {
 			fields = inner
 		}
-		return brain.Served, loadOf(fields)
+		return scheduler.Served, loadOf(fields)
 	}
-	return brain.Served, parseLoad(string(body))
+	return scheduler.Served, parseLoad(string(body))
 }
 
-func loadOf(fields map[string]any) *brain.Report {
+func loadOf(fields map[string]any) *scheduler.Report {
 	r, found := noReport(), false
 	for name, v := range fields {
 		if x, ok := v.(float64); ok {
@@ -180,7 +180,7 @@
 }
 
 // parseLoad reads name=value,name=value; what is no such pair is skipped.
-func parseLoad(text string) *brain.Report {
+func parseLoad(text string) *scheduler.Report {
 	fields := map[string]any{}
 	for _, part := range strings.FieldsFunc(text, func(c rune) bool { return c == ',' || c == '\n' || c == ' ' }) {
 		name, value, _ := strings.Cut(part, "=")
--- a/internal/routing/answers.go
+++ b/internal/routing/answers.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/membership"
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/endpointstate"
+	"brassdale/internal/decisions/polling"
+	"brassdale/scheduler"
 )
 
 // lagReportEvery is how often an answer with a lower revision is logged so that it stands out.
@@ -37,14 +37,14 @@
 func (s *EndpointList) takeAnswer(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
 	order := s.members.Classify(c.answer(u, now))
 	switch {
-	case order == membership.Overtaken:
+	case order == endpointstate.Overtaken:
 		s.log.Info("discovery's answer was overtaken", "call", c.number, "revision", u.Revision, "known", c.service.revision)
 		s.stale(now, c, c.service.recheck)
-	case order == membership.Lagging:
+	case order == endpointstate.Lagging:
 		s.log.Log(context.Background(), s.lagLevel(now), "discovery's revision went back, asking for the whole list", "call", c.number,
 			"revision", u.Revision, "known", c.service.revision)
 		u.Complete = false
-		s.apply(c, u, brain.ListDelta, order)
+		s.apply(c, u, scheduler.ListDelta, order)
 		s.stale(now, c, true)
 	case c.service != s.calls.current:
 		s.takeFormer(ctx, c, u, now)
@@ -82,7 +82,7 @@
 	service.heard = now
 	if again, doubted := s.judge(&u); doubted {
 		u.Complete = false
-		s.apply(c, u, brain.ListDelta, membership.Current)
+		s.apply(c, u, scheduler.ListDelta, endpointstate.Current)
 		service.revision = FullList
 		s.calls.schedule.PollAt(again)
 		return
@@ -90,12 +90,12 @@
 	if u.Complete {
 		service.recheck = false
 	}
-	kind := brain.ListDelta
+	kind := scheduler.ListDelta
 	if u.Complete {
-		kind = brain.ListFull
+		kind = scheduler.ListFull
 	}
 	s.asOf = latest(s.asOf, s.shownAsOf(c, u, fresh, now))
-	s.apply(c, u, kind, membership.Current)
+	s.apply(c, u, kind, endpointstate.Current)
 	service.revision = u.Revision
 	s.answered = now
 	s.core.ledger.listHeard(now)
@@ -114,7 +114,7 @@
 // service may end a watch whose news has not had its turn: then it tells nothing of that.
 func (s *EndpointList) shownAsOf(c *listCall, u ListUpdate, fresh bool, now time.Time) time.Time {
 	switch {
-	case c.kind != pacing.Watch:
+	case c.kind != polling.Watch:
 		return c.begun.Add(-mostLag)
 	case !fresh && s.calls.schedule.ServiceBusy(now):
 		return time.Time{}
@@ -124,12 +124,12 @@
 	return u.ReceivedAt.Add(-mostLag)
 }
 
-// movedAt has what the list is known of end sooner: behind a move of discovery a change counts as told pacing.Moved later.
+// movedAt has what the list is known of end sooner: behind a move of discovery a change counts as told polling.Moved later.
 func (s *EndpointList) movedAt(now time.Time) {
-	if asOf := now.Add(pacing.MoveNotificationDeadline - pacing.NotificationDeadline); asOf.Before(s.asOf) {
+	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(s.asOf) {
 		s.asOf = asOf
 	}
-	s.core.UpdateEndpoints(brain.EndpointsUpdated{ListKind: brain.ListDelta, AsOf: s.core.clock.At(s.asOf)})
+	s.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: s.core.clock.At(s.asOf)})
 }
 
 func latest(a, b time.Time) time.Time {
@@ -143,10 +143,10 @@
 // workers that changed; which ones there are is the new one's word. A watch there goes on meanwhile.
 func (s *EndpointList) takeFormer(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
 	u.Complete = false
-	s.apply(c, u, brain.ListDelta, membership.Current)
+	s.apply(c, u, scheduler.ListDelta, endpointstate.Current)
 	c.service.revision, c.service.heard = u.Revision, now
 	s.calls.schedule.PreviousServiceAnswered(now)
-	if c.kind == pacing.Watch {
-		s.calls.begin(ctx, now, c.service, pacing.Watch)
+	if c.kind == polling.Watch {
+		s.calls.begin(ctx, now, c.service, polling.Watch)
 	}
 }
--- a/internal/routing/callfailures.go
+++ b/internal/routing/callfailures.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/polling"
 )
 
 // reportEvery is how often a row of failed calls to discovery is logged at the most.
@@ -19,13 +19,13 @@
 }
 
 // note adds a failed call.
-func (f *callFailures) note(err error, how pacing.Failure) {
+func (f *callFailures) note(err error, how polling.Failure) {
 	f.calls++
 	f.last = err.Error()
 	switch how {
-	case pacing.Rejected:
+	case polling.Rejected:
 		f.refused++
-	case pacing.Expired:
+	case polling.Expired:
 		f.expired++
 	}
 }
@@ -54,7 +54,7 @@
 		s.log.Info("discovery keeps failing", "failed_calls", s.failures.calls, "refused", s.failures.refused, "expired", s.failures.expired,
 			"list_age", s.age(), "err", err)
 	}
-	if age := now.Sub(s.answered); age > pacing.NotificationDeadline && !s.failures.overdue {
+	if age := now.Sub(s.answered); age > polling.NotificationDeadline && !s.failures.overdue {
 		s.failures.overdue = true
 		s.log.Warn("the list is overdue: workers that drain may still get requests", "list_age", s.age(), "failed_calls", s.failures.calls)
 	}
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"brassdale/internal/decisions/membership"
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/endpointstate"
+	"brassdale/internal/decisions/polling"
 )
 
 // mostOpenCalls bounds the calls for the list that are open at a time: a watch, those made beside it, and those that a move
@@ -32,7 +32,7 @@
 type listCall struct {
 	number   int
 	service  *service
-	kind     pacing.Kind
+	kind     polling.Kind
 	revision int64
 	begun    time.Time
 	stop     context.CancelFunc
@@ -50,8 +50,8 @@
 // of discovery the calls to the service before go on until the new one has answered. Owned by the actor of the destination
 // set; call results reach it by its mailbox.
 type listCalls struct {
-	schedule *pacing.Schedule
-	rules    func() pacing.Rules
+	schedule *polling.Schedule
+	rules    func() polling.Rules
 	current  *service
 	former   []*service  // before moves, while the current one has not answered; the oldest first
 	open     []*listCall // the oldest first
@@ -76,14 +76,14 @@
 }
 
 // begin makes a call, under the next number.
-func (l *listCalls) begin(ctx context.Context, now time.Time, to *service, kind pacing.Kind) {
+func (l *listCalls) begin(ctx context.Context, now time.Time, to *service, kind polling.Kind) {
 	if len(l.open) >= mostOpenCalls {
 		l.giveUp(l.open[0], "too many are open")
 	}
 	l.made++
 	ctx, stop := context.WithCancel(ctx)
 	c := &listCall{number: l.made, service: to, kind: kind, revision: to.revision, begun: now, stop: stop}
-	if kind == pacing.FullList {
+	if kind == polling.FullList {
 		c.revision = FullList
 	}
 	l.ledger.discoveryCalled(len(l.open) > 0)
@@ -123,7 +123,7 @@
 // is between two calls.
 func (l *listCalls) move(ctx context.Context, to Discovery, now time.Time) {
 	if l.current.answered && l.schedule.BetweenWatches() {
-		l.begin(ctx, now, l.current, pacing.Watch)
+		l.begin(ctx, now, l.current, polling.Watch)
 	}
 	l.former = append(l.former, l.current)
 	if len(l.former) > mostFormer {
@@ -153,9 +153,9 @@
 }
 
 // answer gives what a call brought in the terms of membership.
-func (c *listCall) answer(u ListUpdate, came time.Time) membership.ListResponse {
-	a := membership.ListResponse{Service: c.service.discovery.Service(), Revision: u.Revision, Complete: u.Complete, CalledAt: c.begun, ReceivedAt: came,
-		Endpoints: make([]membership.Endpoint, len(u.Endpoints))}
+func (c *listCall) answer(u ListUpdate, came time.Time) endpointstate.ListResponse {
+	a := endpointstate.ListResponse{Service: c.service.discovery.Service(), Revision: u.Revision, Complete: u.Complete, CalledAt: c.begun, ReceivedAt: came,
+		Endpoints: make([]endpointstate.Endpoint, len(u.Endpoints))}
 	for i := range u.Endpoints {
 		a.Endpoints[i] = u.Endpoints[i].member()
 	}
@@ -163,6 +163,6 @@
 }
 
 // failure tells how a call failed, as far as that tells of the service's load.
-func (c *listCall) failure(err error, now time.Time) pacing.Failure {
-	return pacing.ClassifyFailure(errors.Is(err, ErrDiscoveryRejected), now.Sub(c.begun))
+func (c *listCall) failure(err error, now time.Time) polling.Failure {
+	return polling.ClassifyFailure(errors.Is(err, ErrDiscoveryRejected), now.Sub(c.begun))
 }
--- a/internal/routing/calls_test.go
+++ b/internal/routing/calls_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/membership"
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/endpointstate"
+	"brassdale/internal/decisions/polling"
+	"brassdale/scheduler"
 )
 
 // scripted is a discovery whose calls the test answers.
@@ -21,7 +21,7 @@
 }
 
 type scriptedCall struct {
-	kind     pacing.Kind
+	kind     polling.Kind
 	revision int64
 	answer   chan ListUpdate // closed for a failure
 	gone     <-chan struct{}
@@ -29,7 +29,7 @@
 
 func newScripted() *scripted { return &scripted{calls: make(chan scriptedCall, 64)} }
 
-func (s *scripted) Call(ctx context.Context, revision int64, kind pacing.Kind) (ListUpdate, error) {
+func (s *scripted) Call(ctx context.Context, revision int64, kind polling.Kind) (ListUpdate, error) {
 	c := scriptedCall{kind, revision, make(chan ListUpdate, 1), ctx.Done()}
 	s.calls <- c
 	select {
@@ -70,12 +70,12 @@
 	return s, u
 }
 
-func worker(id brain.WorkerID, state brain.WorkerState) Endpoint {
-	return Endpoint{WorkerInfo: brain.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
+func worker(id scheduler.WorkerID, state scheduler.WorkerState) Endpoint {
+	return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
 }
 
 // state gives what the set knows of a worker.
-func state(t *testing.T, s *EndpointList, id brain.WorkerID) (brain.WorkerState, bool) {
+func state(t *testing.T, s *EndpointList, id scheduler.WorkerID) (scheduler.WorkerState, bool) {
 	t.Helper()
 	u, err := s.Snapshot(context.Background())
 	if err != nil {
@@ -103,25 +103,25 @@
 func TestServicesBeforeAMove(t *testing.T) {
 	first, second, third := newScripted(), newScripted(), newScripted()
 	s, _ := listing(t, first)
-	(<-first.calls).answer <- ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready), worker("b", brain.Ready)}}
+	(<-first.calls).answer <- ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready), worker("b", scheduler.Ready)}}
 	watch := <-first.calls
-	if watch.kind != pacing.Watch || watch.revision != 1 {
+	if watch.kind != polling.Watch || watch.revision != 1 {
 		t.Fatalf("behind the list came %+v", watch)
 	}
 	s.ChangeDiscovery(second)
 	close((<-second.calls).answer) // it fails, and nothing is open there
 	s.ChangeDiscovery(third)
 	whole := <-third.calls
-	watch.answer <- ListUpdate{Revision: 2, Endpoints: []Endpoint{worker("a", brain.Draining)}}
-	eventually(t, "the drain that the service before told", func() bool { st, _ := state(t, s, "a"); return st == brain.Draining })
+	watch.answer <- ListUpdate{Revision: 2, Endpoints: []Endpoint{worker("a", scheduler.Draining)}}
+	eventually(t, "the drain that the service before told", func() bool { st, _ := state(t, s, "a"); return st == scheduler.Draining })
 	again := <-first.calls
-	if again.kind != pacing.Watch || again.revision != 2 {
+	if again.kind != polling.Watch || again.revision != 2 {
 		t.Errorf("the watch went on as %+v", again)
 	}
 	if first.closes()+second.closes() != 0 {
 		t.Error("a service was let go of before the new one had answered")
 	}
-	whole.answer <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{worker("b", brain.Ready)}}
+	whole.answer <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{worker("b", scheduler.Ready)}}
 	eventually(t, "the new list", func() bool { _, known := state(t, s, "a"); return !known })
 	select {
 	case <-again.gone:
@@ -137,28 +137,28 @@
 	s, _ := listing(t, d)
 	late := <-d.calls
 	beside := <-d.calls // the first one is late
-	beside.answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", brain.Draining)}}
-	eventually(t, "the newer list", func() bool { st, known := state(t, s, "a"); return known && st == brain.Draining })
-	late.answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready)}}
+	beside.answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Draining)}}
+	eventually(t, "the newer list", func() bool { st, known := state(t, s, "a"); return known && st == scheduler.Draining })
+	late.answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready)}}
 	next := <-d.calls
-	if st, _ := state(t, s, "a"); st != brain.Draining || next.revision != 5 {
+	if st, _ := state(t, s, "a"); st != scheduler.Draining || next.revision != 5 {
 		t.Errorf("the older answer counts: state %v, the next call is behind revision %d", st, next.revision)
 	}
 }
 
 // An answer with a lower revision, as of a replica that lags, takes no drain back, nor does a second one that agrees: both may be of
-// that replica. A service that gives nothing else for membership.Settle counts anew, and is believed then.
+// that replica. A service that gives nothing else for endpointstate.Settle counts anew, and is believed then.
 func TestLowerRevision(t *testing.T) {
 	t.Parallel()
 	d := newScripted()
 	s, _ := listing(t, d)
-	(<-d.calls).answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", brain.Draining)}}
-	eventually(t, "the drain", func() bool { st, known := state(t, s, "a"); return known && st == brain.Draining })
+	(<-d.calls).answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Draining)}}
+	eventually(t, "the drain", func() bool { st, known := state(t, s, "a"); return known && st == scheduler.Draining })
 	begun := time.Now()
-	(<-d.calls).answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready)}}
+	(<-d.calls).answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready)}}
 	calls := 0
 	for {
-		if st, _ := state(t, s, "a"); st == brain.Ready {
+		if st, _ := state(t, s, "a"); st == scheduler.Ready {
 			break
 		}
 		again := <-d.calls
@@ -166,25 +166,25 @@
 			t.Errorf("behind a lower revision the next call is behind revision %d", again.revision)
 		}
 		calls++
-		again.answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready)}}
+		again.answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready)}}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if took := time.Since(begun); took < membership.MaxStaleness || took > membership.MaxStaleness+4*time.Second || calls > 12 {
+	if took := time.Since(begun); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+4*time.Second || calls > 12 {
 		t.Errorf("believed after %v and %d calls", took, calls)
 	}
 }
 
 // A worker drained at the service before a move, and is active again at the new one, which says so once and then only that nothing
-// has changed. That is not believed at first, as the list may be older; behind membership.Settle the whole list is asked for again.
+// has changed. That is not believed at first, as the list may be older; behind endpointstate.Settle the whole list is asked for again.
 func TestReturnBehindAMove(t *testing.T) {
 	t.Parallel()
 	first, second := newScripted(), newScripted()
 	s, _ := listing(t, first)
-	(<-first.calls).answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", brain.Draining), worker("b", brain.Ready)}}
-	eventually(t, "the drain", func() bool { st, known := state(t, s, "a"); return known && st == brain.Draining })
+	(<-first.calls).answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Draining), worker("b", scheduler.Ready)}}
+	eventually(t, "the drain", func() bool { st, known := state(t, s, "a"); return known && st == scheduler.Draining })
 	known := time.Now()
 	s.ChangeDiscovery(second)
-	list := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{worker("a", brain.Ready), worker("b", brain.Ready)}}
+	list := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready), worker("b", scheduler.Ready)}}
 	(<-second.calls).answer <- list
 	for {
 		call := <-second.calls
@@ -192,17 +192,17 @@
 			call.answer <- list
 			break
 		}
-		if time.Since(known) > membership.MaxStaleness+time.Second {
+		if time.Since(known) > endpointstate.MaxStaleness+time.Second {
 			t.Fatal("the whole list is not asked for again")
 		}
 		time.Sleep(100 * time.Millisecond)
 		call.answer <- ListUpdate{Revision: 70}
 	}
-	if st, _ := state(t, s, "a"); time.Since(known) < membership.MaxStaleness && st != brain.Draining {
+	if st, _ := state(t, s, "a"); time.Since(known) < endpointstate.MaxStaleness && st != scheduler.Draining {
 		t.Errorf("believed %v behind the drain", time.Since(known))
 	}
-	eventually(t, "the return", func() bool { st, _ := state(t, s, "a"); return st == brain.Ready })
-	if took := time.Since(known); took < membership.MaxStaleness || took > membership.MaxStaleness+2*time.Second {
+	eventually(t, "the return", func() bool { st, _ := state(t, s, "a"); return st == scheduler.Ready })
+	if took := time.Since(known); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+2*time.Second {
 		t.Errorf("believed after %v", took)
 	}
 }
