--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/decisions/failover"
-	"brassdale/internal/decisions/retries"
+	"brassdale/internal/decisions/retrybudget"
+	"brassdale/scheduler"
 )
 
 // Verdict is the kind of a final answer.
@@ -36,7 +36,7 @@
 // Core is the module's actor. It alone calls the module, carries out its actions in their order and
 // keeps its timers, and it owns the table of requests and calls.
 type Core struct {
-	module    *brain.Scheduler
+	module    *scheduler.Scheduler
 	clock     Clock
 	endpoints EndpointPool
 	subscribe func()
@@ -48,20 +48,20 @@
 	firsts    atomic.Uint64 // first calls
 
 	// Owned by Run.
-	now      brain.Clock
-	requests map[brain.RequestID]*request
+	now      scheduler.Clock
+	requests map[scheduler.RequestID]*request
 	timers   timers
-	budget   *retries.Budget // of further calls; nil for no bound but the module's
-	repeats  func() bool     // whether anything may be sent a second time now; nil for always
-	spend    FleetBudget     // nil where the fleet has no budgets
-	guide    ZoneRouter      // nil where nobody says to which zones jobs may go
+	budget   *retrybudget.Budget // of further calls; nil for no bound but the module's
+	repeats  func() bool         // whether anything may be sent a second time now; nil for always
+	spend    FleetBudget         // nil where the fleet has no budgets
+	guide    ZoneRouter          // nil where nobody says to which zones jobs may go
 }
 
 type request struct {
 	Request
-	expires  brain.Clock
-	came     brain.Clock // for the guide
-	answered bool        // final answer given, or the client left: nothing is owed
+	expires  scheduler.Clock
+	came     scheduler.Clock // for the guide
+	answered bool            // final answer given, or the client left: nothing is owed
 	timedOut bool
 	sent     bool // a call of it has left, or may have
 	calls    []call
@@ -69,11 +69,11 @@
 }
 
 type call struct {
-	endpoint    brain.WorkerID
+	endpoint    scheduler.WorkerID
 	out         bool
-	outcome     brain.Outcome // once it is not out
-	sent, began brain.Clock   // began is 0 until its job has
-	silent      bool          // the guide has been told that there is no sign of it
+	outcome     scheduler.Outcome // once it is not out
+	sent, began scheduler.Clock   // began is 0 until its job has
+	silent      bool              // the guide has been told that there is no sign of it
 }
 
 // SetObserver has a witness hear of endpoints from now on; nil for nobody.
@@ -88,10 +88,10 @@
 // The messages of the module's actor, beside the module's own events Listed and Probed.
 type (
 	arrived struct {
-		id brain.RequestID
+		id scheduler.RequestID
 		in Request
 	}
-	left       struct{ id brain.RequestID }
+	left       struct{ id scheduler.RequestID }
 	began      struct{ id AttemptID }
 	progressed struct {
 		id    AttemptID
@@ -102,21 +102,21 @@
 		end AttemptResult
 	}
 	byHand struct {
-		id  brain.WorkerID
+		id  scheduler.WorkerID
 		out bool
 	}
 	knows struct {
-		id     brain.WorkerID
+		id     scheduler.WorkerID
 		answer chan<- bool
 	}
-	learned struct{ answer chan<- brain.LearnedState }
+	learned struct{ answer chan<- scheduler.LearnedState }
 	limited struct{ share float64 }
 )
 
 // NewCore makes the actor. Attach must be called before Run.
-func NewCore(module *brain.Scheduler, clock Clock, log *slog.Logger) *Core {
+func NewCore(module *scheduler.Scheduler, clock Clock, log *slog.Logger) *Core {
 	return &Core{module: module, clock: clock, log: log, mailbox: NewMailbox[any](),
-		requests: map[brain.RequestID]*request{}}
+		requests: map[scheduler.RequestID]*request{}}
 }
 
 // SetEndpoints names those who carry actions out. subscribe asks for the destination set's changes; it must
@@ -127,23 +127,23 @@
 
 // Submit hands in a request and gives it an id of this dispatcher's own counting. Its client gets
 // exactly one answer, unless it leaves before.
-func (c *Core) Submit(in Request) brain.RequestID {
-	id := brain.RequestID(c.lastID.Add(1))
+func (c *Core) Submit(in Request) scheduler.RequestID {
+	id := scheduler.RequestID(c.lastID.Add(1))
 	c.ledger.taken()
 	c.mailbox.Post(arrived{id, in})
 	return id
 }
 
 // Leave tells that a request's client has gone.
-func (c *Core) ClientLeft(id brain.RequestID) { c.mailbox.Post(left{id}) }
+func (c *Core) ClientLeft(id scheduler.RequestID) { c.mailbox.Post(left{id}) }
 
 // StartShutdown tells that this process ends: by then all requests must have their answers.
 func (c *Core) StartShutdown(at time.Time) {
-	c.mailbox.Post(brain.ShutdownStarted{Deadline: c.clock.At(at)})
+	c.mailbox.Post(scheduler.ShutdownStarted{Deadline: c.clock.At(at)})
 }
 
 // UpdateEndpoints brings news of the destination set.
-func (c *Core) UpdateEndpoints(l brain.EndpointsUpdated) { c.mailbox.Post(l) }
+func (c *Core) UpdateEndpoints(l scheduler.EndpointsUpdated) { c.mailbox.Post(l) }
 
 // Began tells that a call's job has started.
 func (c *Core) AttemptStarted(id AttemptID) { c.mailbox.Post(began{id}) }
@@ -155,14 +155,14 @@
 func (c *Core) AttemptFinished(id AttemptID, end AttemptResult) { c.mailbox.Post(finished{id, end}) }
 
 // Probed answers a probe.
-func (c *Core) ProbeCompleted(id brain.WorkerID, o brain.Outcome, r *brain.Report) {
+func (c *Core) ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome, r *scheduler.Report) {
 	if w := c.witness.Load(); w != nil {
 		(*w).ProbeCompleted(id, o, r != nil)
 	}
 	if c.guide != nil {
 		c.guide.ProbeCompleted(id, o)
 	}
-	c.mailbox.Post(brain.ProbeCompleted{Worker: id, Outcome: o, Report: r})
+	c.mailbox.Post(scheduler.ProbeCompleted{Worker: id, Outcome: o, Report: r})
 }
 
 // Dispatched tells that a call was written to its last byte.
@@ -175,25 +175,25 @@
 func (c *Core) Counters() *Counters { return &c.ledger }
 
 // SetDetached takes a worker out by hand, or puts it back. From then on the module knows.
-func (c *Core) SetDetached(id brain.WorkerID, out bool) { c.mailbox.Post(byHand{id, out}) }
+func (c *Core) SetDetached(id scheduler.WorkerID, out bool) { c.mailbox.Post(byHand{id, out}) }
 
 // KnowsWorker tells whether a worker was ever listed, or is out by hand.
-func (c *Core) KnowsWorker(ctx context.Context, id brain.WorkerID) (bool, error) {
+func (c *Core) KnowsWorker(ctx context.Context, id scheduler.WorkerID) (bool, error) {
 	answer := make(chan bool, 1)
 	c.mailbox.Post(knows{id, answer})
 	return await(ctx, answer)
 }
 
 // LearnedState gives what the module has learned.
-func (c *Core) LearnedState(ctx context.Context) (brain.LearnedState, error) {
-	answer := make(chan brain.LearnedState, 1)
+func (c *Core) LearnedState(ctx context.Context) (scheduler.LearnedState, error) {
+	answer := make(chan scheduler.LearnedState, 1)
 	c.mailbox.Post(learned{answer})
 	return await(ctx, answer)
 }
 
 // AdoptLearnedState has the module begin with what another process has learned.
-func (c *Core) AdoptLearnedState(e brain.LearnedState) {
-	c.mailbox.Post(brain.HandoverCompleted{LearnedState: e})
+func (c *Core) AdoptLearnedState(e scheduler.LearnedState) {
+	c.mailbox.Post(scheduler.HandoverCompleted{LearnedState: e})
 }
 
 // await waits for an actor's answer.
@@ -208,7 +208,9 @@
 }
 
 // ApplySettings puts new settings in force for the requests that come from now on.
-func (c *Core) ApplySettings(s brain.Settings) { c.mailbox.Post(brain.SettingsChanged{Settings: s}) }
+func (c *Core) ApplySettings(s scheduler.Settings) {
+	c.mailbox.Post(scheduler.SettingsChanged{Settings: s})
+}
 
 // SetRetryPermission names who says whether anything may be sent a second time. It is set before Run and must not block.
 func (c *Core) SetRetryPermission(may func() bool) { c.repeats = may }
@@ -218,7 +220,7 @@
 
 // SetProcessCount tells how many processes act as this dispatcher.
 func (c *Core) SetProcessCount(processes int) {
-	c.mailbox.Post(brain.ProcessCountChanged{Processes: processes})
+	c.mailbox.Post(scheduler.ProcessCountChanged{Processes: processes})
 }
 
 // Run is the actor's life.
@@ -251,7 +253,7 @@
 		for len(c.timers) > 0 && c.timers[0].at <= c.now {
 			t := heap.Pop(&c.timers).(timer)
 			if t.guard == 0 {
-				c.feed(brain.TimerFired{Token: t.token})
+				c.feed(scheduler.TimerFired{Token: t.token})
 			} else {
 				c.overdue(t.guard)
 			}
@@ -273,12 +275,12 @@
 		if !ok {
 			return
 		}
-		c.feed(brain.RequestArrived{ID: m.id, Class: r.Class, Slots: r.Slots, EstimatedWork: r.EstimatedWork, AffinityKey: r.AffinityKey, Deadline: r.expires, AllowedZones: within})
+		c.feed(scheduler.RequestArrived{ID: m.id, Class: r.Class, Slots: r.Slots, EstimatedWork: r.EstimatedWork, AffinityKey: r.AffinityKey, Deadline: r.expires, AllowedZones: within})
 	case left:
 		if r := c.requests[m.id]; r != nil && !r.answered {
 			r.answered = true
 			c.ledger.left()
-			c.feed(brain.ClientLeft{ID: m.id})
+			c.feed(scheduler.ClientLeft{ID: m.id})
 			c.forget(m.id, r)
 		}
 	case began:
@@ -289,21 +291,21 @@
 			if !r.answered {
 				r.Client.AttemptStarted(m.id.Number)
 			}
-			c.feed(brain.AttemptStarted{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint})
+			c.feed(scheduler.AttemptStarted{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint})
 		}
 	case progressed:
 		if r, a := c.call(m.id); a != nil {
 			if !r.answered {
 				r.Client.AttemptProgressed(m.id.Number, m.share)
 			}
-			c.feed(brain.AttemptProgressed{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint, Share: m.share})
+			c.feed(scheduler.AttemptProgressed{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint, Share: m.share})
 		}
 	case finished:
 		c.finish(m.id, m.end)
 	case byHand:
-		ev, since := brain.Event(brain.WorkerReattached{Worker: m.id}), time.Time{}
+		ev, since := scheduler.Event(scheduler.WorkerReattached{Worker: m.id}), time.Time{}
 		if m.out {
-			ev, since = brain.WorkerDetached{Worker: m.id}, time.Now()
+			ev, since = scheduler.WorkerDetached{Worker: m.id}, time.Now()
 		}
 		c.endpoints.SetDetached(m.id, since) // first, so that what the module sends from now on finds it done
 		c.feed(ev)
@@ -313,15 +315,15 @@
 			return
 		}
 		if c.budget == nil {
-			c.budget = retries.New(m.share)
+			c.budget = retrybudget.New(m.share)
 		}
 		c.budget.SetRatio(m.share)
 	case learned:
 		m.answer <- c.module.LearnedState() // has room
 	case knows:
 		m.answer <- c.module.KnowsWorker(m.id) // has room
-	case brain.Event:
-		if l, ok := m.(brain.EndpointsUpdated); ok && c.guide != nil {
+	case scheduler.Event:
+		if l, ok := m.(scheduler.EndpointsUpdated); ok && c.guide != nil {
 			c.guide.EndpointsUpdated(c.now, l)
 		}
 		c.feed(m)
@@ -346,27 +348,27 @@
 	}
 	a.out, a.outcome = false, end.Outcome
 	r.out--
-	r.timedOut = r.timedOut || end.Outcome == brain.TimedOut
-	r.sent = r.sent || end.Outcome != brain.NeverSent && end.Outcome != brain.NoConnect
+	r.timedOut = r.timedOut || end.Outcome == scheduler.TimedOut
+	r.sent = r.sent || end.Outcome != scheduler.NeverSent && end.Outcome != scheduler.NoConnect
 	c.told(r, a, end.Outcome)
-	if end.Outcome == brain.Served {
+	if end.Outcome == scheduler.Served {
 		if w := c.witness.Load(); w != nil {
 			(*w).JobServed(a.endpoint, r.Class, c.now-cmp.Or(a.began, a.sent))
 		}
 		c.answer(r, Answer{Verdict: Served, Result: end.Result})
 	}
-	c.feed(brain.AttemptFinished{ID: id.Request, Attempt: id.Number, Worker: a.endpoint, Outcome: end.Outcome,
+	c.feed(scheduler.AttemptFinished{ID: id.Request, Attempt: id.Number, Worker: a.endpoint, Outcome: end.Outcome,
 		Final: r.answered, Report: end.Report, ConnectionIdle: end.ConnectionIdle})
 	c.forget(id.Request, r)
 }
 
 // overdue guards the promise to answer in time against a module that has not: it can only find a
 // request here that would else stay open for ever.
-func (c *Core) overdue(id brain.RequestID) {
+func (c *Core) overdue(id scheduler.RequestID) {
 	if r := c.requests[id]; r != nil && !r.answered {
 		c.log.Error("request overdue: failed by the core", "request", id, "id", r.LogName)
 		c.answer(r, Answer{Verdict: Failed})
-		c.feed(brain.ClientLeft{ID: id})
+		c.feed(scheduler.ClientLeft{ID: id})
 		c.forget(id, r)
 	}
 }
@@ -403,7 +405,7 @@
 	return a.outcome.String()
 }
 
-func (c *Core) forget(id brain.RequestID, r *request) {
+func (c *Core) forget(id scheduler.RequestID, r *request) {
 	if r.answered && r.out == 0 {
 		delete(c.requests, id)
 	}
@@ -411,38 +413,38 @@
 
 // feed tells the module an event and carries its actions out. Nothing in here feeds again: what an action
 // brings about comes by the mailbox.
-func (c *Core) feed(ev brain.Event) {
+func (c *Core) feed(ev scheduler.Event) {
 	for _, a := range c.module.Handle(c.now, ev) {
 		switch a := a.(type) {
-		case brain.Send:
+		case scheduler.Send:
 			c.send(a)
-		case brain.Cancel:
+		case scheduler.Cancel:
 			if r, call := c.call(AttemptID{a.ID, a.Attempt}); r != nil {
 				c.endpoints.Cancel(call.endpoint, AttemptID{a.ID, a.Attempt})
 			}
-		case brain.Reject:
+		case scheduler.Reject:
 			c.final(a.ID, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
-		case brain.Fail:
+		case scheduler.Fail:
 			c.final(a.ID, Answer{Verdict: Failed})
-		case brain.CloseIdleConnections:
+		case scheduler.CloseIdleConnections:
 			c.endpoints.CloseIdle(a.Worker, a.MinIdle)
-		case brain.Probe:
+		case scheduler.Probe:
 			if c.spend != nil && !c.spend.AllowProbe() {
-				c.ProbeCompleted(a.Worker, brain.NeverSent, nil)
+				c.ProbeCompleted(a.Worker, scheduler.NeverSent, nil)
 				continue
 			}
 			c.endpoints.Probe(a.Worker)
-		case brain.Subscribe:
+		case scheduler.Subscribe:
 			c.subscribe()
-		case brain.SetTimer:
+		case scheduler.SetTimer:
 			heap.Push(&c.timers, timer{at: c.now + a.After, token: a.Token})
-		case brain.Log:
+		case scheduler.Log:
 			c.log.Info(a.Text)
 		}
 	}
 }
 
-func (c *Core) final(id brain.RequestID, a Answer) {
+func (c *Core) final(id scheduler.RequestID, a Answer) {
 	if r := c.requests[id]; r != nil {
 		c.answer(r, a)
 		c.forget(id, r)
@@ -450,7 +452,7 @@
 }
 
 // send starts a call, unless the request is over, its time has come or it has had all its calls.
-func (c *Core) send(a brain.Send) {
+func (c *Core) send(a scheduler.Send) {
 	id := AttemptID{a.ID, 0}
 	r := c.requests[a.ID]
 	if r == nil {
@@ -465,19 +467,19 @@
 		out.SendBy = c.clock.Time(a.SendBy)
 	}
 	if r.answered || c.now >= r.expires || out.MustNotSend(c.clock.Time(c.now)) || r.Limits.MaxAttempts > 0 && id.Number >= r.Limits.MaxAttempts {
-		c.AttemptFinished(id, AttemptResult{Outcome: brain.NeverSent})
+		c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
 	if id.Number > 0 && c.repeats != nil && !c.repeats() {
 		c.ledger.repeatDenied()
-		c.AttemptFinished(id, AttemptResult{Outcome: brain.NeverSent})
+		c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
 	if id.Number == 0 {
 		c.firsts.Add(1)
 	} else if c.spend != nil && !c.spend.AllowRetry() {
 		c.ledger.repeatDenied()
-		c.AttemptFinished(id, AttemptResult{Outcome: brain.NeverSent})
+		c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
 	if c.budget != nil {
@@ -485,7 +487,7 @@
 			c.budget.CountFirstAttempt(c.now, r.ClassName, r.Account)
 		} else if !c.budget.AllowRetry(c.now, r.ClassName, r.Account) {
 			c.ledger.denied(c.budget.Denied())
-			c.AttemptFinished(id, AttemptResult{Outcome: brain.NeverSent})
+			c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
 			return
 		}
 	}
@@ -494,9 +496,9 @@
 
 // timer is a Wake of the module, or the guard of a request's deadline.
 type timer struct {
-	at    brain.Clock
+	at    scheduler.Clock
 	token uint64
-	guard brain.RequestID // 0 for a Wake
+	guard scheduler.RequestID // 0 for a Wake
 }
 
 type timers []timer
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/polling"
+	"brassdale/scheduler"
 )
 
 // fake is all peers of the core at once: it passes what reaches them to the test.
@@ -18,31 +18,31 @@
 	answers   chan Answer
 }
 
-func (f *fake) Update(Endpoint)                         {}
-func (f *fake) Send(c Attempt)                          { f.sent <- c }
-func (f *fake) Cancel(_ brain.WorkerID, id AttemptID)   { f.cancelled <- id }
-func (f *fake) CloseIdle(brain.WorkerID, time.Duration) {}
-func (f *fake) Probe(brain.WorkerID)                    {}
-func (f *fake) SetDetached(brain.WorkerID, time.Time)   {}
-func (f *fake) AttemptStarted(int)                      {}
-func (f *fake) AttemptProgressed(int, float64)          {}
-func (f *fake) Answered(a Answer)                       { f.answers <- a }
+func (f *fake) Update(Endpoint)                             {}
+func (f *fake) Send(c Attempt)                              { f.sent <- c }
+func (f *fake) Cancel(_ scheduler.WorkerID, id AttemptID)   { f.cancelled <- id }
+func (f *fake) CloseIdle(scheduler.WorkerID, time.Duration) {}
+func (f *fake) Probe(scheduler.WorkerID)                    {}
+func (f *fake) SetDetached(scheduler.WorkerID, time.Time)   {}
+func (f *fake) AttemptStarted(int)                          {}
+func (f *fake) AttemptProgressed(int, float64)              {}
+func (f *fake) Answered(a Answer)                           { f.answers <- a }
 func (f *fake) submit(c *Core, until time.Time) Attempt {
 	c.Submit(Request{Deadline: until, Slots: 1, Client: f, Limits: RequestLimits{MaxAttempts: 4, AnswerSlack: 8 * time.Millisecond}})
 	return <-f.sent
 }
 
 func startCore(t *testing.T) (*Core, *fake) {
-	set := brain.Settings{Dispatchers: 1, MayCancel: true, MaxAttempts: 4, ReportsStart: true, AnswerSlack: 8 * time.Millisecond,
-		Classes: []brain.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second, Idempotency: brain.NonIdempotent, MachineKind: -1}}}
-	c := NewCore(brain.New(set, 1), NewClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	set := scheduler.Settings{Dispatchers: 1, MayCancel: true, MaxAttempts: 4, ReportsStart: true, AnswerSlack: 8 * time.Millisecond,
+		Classes: []scheduler.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second, Idempotency: scheduler.NonIdempotent, MachineKind: -1}}}
+	c := NewCore(scheduler.New(set, 1), NewClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f := &fake{make(chan Attempt, 16), make(chan AttemptID, 16), make(chan Answer, 16)}
 	c.SetEndpoints(f, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	c.UpdateEndpoints(brain.EndpointsUpdated{ListKind: brain.ListCached, Workers: []brain.WorkerInfo{{ID: "a", Weight: 1}}})
+	c.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListCached, Workers: []scheduler.WorkerInfo{{ID: "a", Weight: 1}}})
 	return c, f
 }
 
@@ -51,8 +51,8 @@
 	c, f := startCore(t)
 	call := f.submit(c, time.Now().Add(5*time.Second))
 	for range 2 {
-		c.AttemptFinished(call.ID, AttemptResult{Outcome: brain.Served, Result: []byte("r")})
-		c.AttemptFinished(call.ID, AttemptResult{Outcome: brain.Reset})
+		c.AttemptFinished(call.ID, AttemptResult{Outcome: scheduler.Served, Result: []byte("r")})
+		c.AttemptFinished(call.ID, AttemptResult{Outcome: scheduler.Reset})
 	}
 	c.AttemptFinished(AttemptID{call.ID.Request, 7}, AttemptResult{})
 	c.AttemptStarted(call.ID)
@@ -61,7 +61,7 @@
 	}
 	// What was posted before a further request has been taken when that one is answered.
 	next := f.submit(c, time.Now().Add(5*time.Second))
-	c.AttemptFinished(next.ID, AttemptResult{Outcome: brain.Errored})
+	c.AttemptFinished(next.ID, AttemptResult{Outcome: scheduler.Errored})
 	if a := <-f.answers; a.Verdict != Failed || a.DeadlinePassed || len(f.answers) > 0 || next.ID.Request == call.ID.Request {
 		t.Errorf("answered %+v, %d more answers", a, len(f.answers))
 	}
@@ -80,14 +80,14 @@
 	if a := <-f.answers; a.Verdict != Failed || !a.DeadlinePassed || time.Now().Before(deadline) {
 		t.Errorf("answered %+v, %v from the deadline", a, time.Since(deadline))
 	}
-	c.AttemptFinished(call.ID, AttemptResult{Outcome: brain.Served})
+	c.AttemptFinished(call.ID, AttemptResult{Outcome: scheduler.Served})
 	if c.submitAndFail(f); len(f.answers) > 0 {
 		t.Error("answered twice")
 	}
 }
 
 func (c *Core) submitAndFail(f *fake) {
-	c.AttemptFinished(f.submit(c, time.Now().Add(time.Second)).ID, AttemptResult{Outcome: brain.Errored})
+	c.AttemptFinished(f.submit(c, time.Now().Add(time.Second)).ID, AttemptResult{Outcome: scheduler.Errored})
 	<-f.answers
 }
 
@@ -100,7 +100,7 @@
 func (u *updates) Update(d Endpoint) { u.got = append(u.got, d) }
 
 // bring has an answer of discovery taken in.
-func bring(s *EndpointList, u ListUpdate, kind brain.ListKind) {
+func bring(s *EndpointList, u ListUpdate, kind scheduler.ListKind) {
 	c := &listCall{service: s.calls.current, begun: time.Now()}
 	s.apply(c, u, kind, s.members.Classify(c.answer(u, time.Now())))
 }
@@ -110,14 +110,14 @@
 func TestGraceBeginsOnce(t *testing.T) {
 	c, f := startCore(t)
 	u := &updates{fake: f}
-	line := func(s brain.WorkerState) []Endpoint {
-		return []Endpoint{{WorkerInfo: brain.WorkerInfo{ID: "a", State: s}, Address: "h:1"}}
+	line := func(s scheduler.WorkerState) []Endpoint {
+		return []Endpoint{{WorkerInfo: scheduler.WorkerInfo{ID: "a", State: s}, Address: "h:1"}}
 	}
-	s := NewEndpointList(c, u, newScripted(), ListUpdate{Endpoints: line(brain.Ready)}, c.log)
-	bring(s, ListUpdate{Endpoints: line(brain.Draining)}, brain.ListDelta)
-	bring(s, ListUpdate{Endpoints: line(brain.Draining)}, brain.ListDelta)
-	bring(s, ListUpdate{Complete: true}, brain.ListFull)
-	if len(u.got) != 4 || !u.got[0].NotifiedAt.IsZero() || u.got[1].NotifiedAt.IsZero() || u.got[3].State != brain.Gone ||
+	s := NewEndpointList(c, u, newScripted(), ListUpdate{Endpoints: line(scheduler.Ready)}, c.log)
+	bring(s, ListUpdate{Endpoints: line(scheduler.Draining)}, scheduler.ListDelta)
+	bring(s, ListUpdate{Endpoints: line(scheduler.Draining)}, scheduler.ListDelta)
+	bring(s, ListUpdate{Complete: true}, scheduler.ListFull)
+	if len(u.got) != 4 || !u.got[0].NotifiedAt.IsZero() || u.got[1].NotifiedAt.IsZero() || u.got[3].State != scheduler.Gone ||
 		u.got[2].NotifiedAt != u.got[1].NotifiedAt || u.got[3].NotifiedAt != u.got[1].NotifiedAt || u.got[3].Address != "h:1" {
 		t.Errorf("told %+v", u.got)
 	}
@@ -131,7 +131,7 @@
 	if id := <-f.cancelled; id != call.ID {
 		t.Errorf("called off %v, want %v", id, call.ID)
 	}
-	c.AttemptFinished(call.ID, AttemptResult{Outcome: brain.Cancelled})
+	c.AttemptFinished(call.ID, AttemptResult{Outcome: scheduler.Cancelled})
 	if c.submitAndFail(f); len(f.answers) > 0 || c.OpenRequests() != 0 {
 		t.Errorf("%d answers, %d open", len(f.answers), c.OpenRequests())
 	}
@@ -140,18 +140,18 @@
 // A failure is counted as unsent where no call of the request left: none was made, or each ended before its last byte.
 func TestFailedUnsent(t *testing.T) {
 	for _, r := range []struct {
-		outcomes []brain.Outcome
+		outcomes []scheduler.Outcome
 		out      int
 		want     int
 	}{
 		{want: 1},
-		{outcomes: []brain.Outcome{brain.NoConnect, brain.NeverSent}, want: 1},
-		{outcomes: []brain.Outcome{brain.NoConnect, brain.Reset}},
-		{outcomes: []brain.Outcome{brain.Full}},
+		{outcomes: []scheduler.Outcome{scheduler.NoConnect, scheduler.NeverSent}, want: 1},
+		{outcomes: []scheduler.Outcome{scheduler.NoConnect, scheduler.Reset}},
+		{outcomes: []scheduler.Outcome{scheduler.Full}},
 		{out: 1},
 	} {
 		f := &fake{make(chan Attempt, 16), make(chan AttemptID, 16), make(chan Answer, 16)}
-		c := NewCore(brain.New(brain.Settings{}, 1), NewClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		c := NewCore(scheduler.New(scheduler.Settings{}, 1), NewClock(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		c.SetEndpoints(f, func() {})
 		req := &request{Request: Request{Client: f}}
 		c.requests[1] = req
@@ -172,9 +172,9 @@
 	c, f := startCore(t)
 	u := &updates{fake: f}
 	s := NewEndpointList(c, u, newScripted(), ListUpdate{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s.SetPollRules(func() pacing.Rules { return pacing.Rules{ListsPushed: true} })
+	s.SetPollRules(func() polling.Rules { return polling.Rules{ListsPushed: true} })
 	began := time.Now()
-	bring(s, ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{{WorkerInfo: brain.WorkerInfo{ID: "a", State: brain.Draining}}}}, brain.ListFull)
+	bring(s, ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{{WorkerInfo: scheduler.WorkerInfo{ID: "a", State: scheduler.Draining}}}}, scheduler.ListFull)
 	if got := u.got[len(u.got)-1]; got.NotifiedAt.IsZero() || got.NotifiedAt.After(began) {
 		t.Errorf("told %v behind the start", got.NotifiedAt.Sub(began))
 	}
--- a/internal/routing/destinations.go
+++ b/internal/routing/destinations.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/membership"
-	"brassdale/internal/decisions/pacing"
-	"brassdale/internal/decisions/savedlist"
-	"brassdale/internal/decisions/starts"
+	"brassdale/internal/decisions/cachetrust"
+	"brassdale/internal/decisions/endpointstate"
+	"brassdale/internal/decisions/incarnations"
+	"brassdale/internal/decisions/polling"
+	"brassdale/scheduler"
 )
 
 // ListUpdate is an answer of discovery.
@@ -26,7 +26,7 @@
 // Discovery is whoever knows the destination set. A call returns what is newer than the revision, for Whole the whole
 // set, by the deadline that it keeps itself, whatever discovery does.
 type Discovery interface {
-	Call(ctx context.Context, revision int64, kind pacing.Kind) (ListUpdate, error)
+	Call(ctx context.Context, revision int64, kind polling.Kind) (ListUpdate, error)
 	// Service names the service: two of one name count revisions alike.
 	Service() string
 	// Close lets go of the connections that carry no call.
@@ -37,7 +37,7 @@
 var ErrDiscoveryRejected = errors.New("refused")
 
 // ListNotificationDeadline is how long after discovery had it a change counts as told at the latest.
-const ListNotificationDeadline = pacing.NotificationDeadline
+const ListNotificationDeadline = polling.NotificationDeadline
 
 // FullList is no revision: who asks after it wants the whole set now.
 const FullList = -1
@@ -52,16 +52,16 @@
 
 	// Owned by Run.
 	calls   *listCalls
-	members membership.Table
-	known   map[brain.WorkerID]Endpoint // as members has their states
-	start   *CachedStart                // nil unless this process started from a saved list and nobody told a newer one
-	keeper  EndpointStore               // nil for none
+	members endpointstate.Table
+	known   map[scheduler.WorkerID]Endpoint // as members has their states
+	start   *CachedStart                    // nil unless this process started from a saved list and nobody told a newer one
+	keeper  EndpointStore                   // nil for none
 	source  atomic.Pointer[ListSource]
 
-	starts starts.Tracker // of the workers, on the core's clock; known has them as discovery stamps them
-	told   bool           // a list of discovery's was taken in
+	starts incarnations.Tracker // of the workers, on the core's clock; known has them as discovery stamps them
+	told   bool                 // a list of discovery's was taken in
 
-	rules     func() pacing.Rules
+	rules     func() polling.Rules
 	answered  time.Time     // when discovery last answered; before, when this process began
 	asOf      time.Time     // all that discovery had then is known
 	first     chan struct{} // closed when the first call has ended, however
@@ -84,9 +84,9 @@
 // NewEndpointList makes the actor with the set as it was known last, and tells the module of that.
 func NewEndpointList(c *Core, e EndpointPool, d Discovery, saved ListUpdate, log *slog.Logger) *EndpointList {
 	now := time.Now()
-	s := &EndpointList{core: c, endpoints: e, log: log, mailbox: NewMailbox[any](), known: map[brain.WorkerID]Endpoint{},
-		rules: func() pacing.Rules { return pacing.Rules{Dispatchers: 1} }, answered: now, first: make(chan struct{})}
-	s.calls = &listCalls{schedule: pacing.NewSchedule(now), rules: func() pacing.Rules { return s.rules() },
+	s := &EndpointList{core: c, endpoints: e, log: log, mailbox: NewMailbox[any](), known: map[scheduler.WorkerID]Endpoint{},
+		rules: func() polling.Rules { return polling.Rules{Dispatchers: 1} }, answered: now, first: make(chan struct{})}
+	s.calls = &listCalls{schedule: polling.NewSchedule(now), rules: func() polling.Rules { return s.rules() },
 		current: &service{discovery: d}, ended: func(m callEnded) { s.mailbox.Post(m) }, ledger: &c.ledger, log: log}
 	s.asOf = now.Add(-beforeStart)
 	s.calls.current.revision = saved.Revision
@@ -109,7 +109,7 @@
 
 // SetPollRules names who gives the rules that calls for the list go by, of the settings in force. Where lists are pushed to an agent
 // the module does not ask for changes: the actor calls the agent from its start.
-func (s *EndpointList) SetPollRules(rules func() pacing.Rules) { s.rules = rules }
+func (s *EndpointList) SetPollRules(rules func() polling.Rules) { s.rules = rules }
 
 // FirstCallDone is closed when the first call has ended, however.
 func (s *EndpointList) FirstCallDone() <-chan struct{} { return s.first }
@@ -121,7 +121,7 @@
 	if s.rules().ListsPushed {
 		s.Subscribe()
 	}
-	s.trust(func(now brain.Clock) []savedlist.Action { return s.start.Assessor.Check(now) })
+	s.trust(func(now scheduler.Clock) []cachetrust.Action { return s.start.Assessor.Check(now) })
 	for {
 		if at, ok := s.wakeAt(); ok {
 			alarm.Reset(time.Until(at))
@@ -137,7 +137,7 @@
 		}
 		s.recheck(time.Now())
 		s.calls.call(ctx, time.Now())
-		s.trust(func(now brain.Clock) []savedlist.Action { return s.start.Assessor.Check(now) })
+		s.trust(func(now scheduler.Clock) []cachetrust.Action { return s.start.Assessor.Check(now) })
 		s.expire()
 	}
 }
--- a/internal/routing/fromsaved.go
+++ b/internal/routing/fromsaved.go
@@ -5,19 +5,19 @@
 	"math"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/membership"
-	"brassdale/internal/decisions/savedlist"
+	"brassdale/internal/decisions/cachetrust"
+	"brassdale/internal/decisions/endpointstate"
+	"brassdale/scheduler"
 )
 
 // CachedStart is a start from a saved list, while discovery has told nothing newer. What is decided on it is decided by
 // the module savedlist; here its verdicts are carried out, and what comes back is told to it.
 type CachedStart struct {
-	Assessor       *savedlist.Assessor
-	Endpoints      map[brain.WorkerID]Endpoint // as the list has them
-	MeanLogRuntime []float64                   // by class: the usual time of a job in seconds, as a logarithm; NaN where not known
-	LearnedState   brain.LearnedState          // classes are by number
-	ReportsPulled  bool                        // an answer to a probe that carries no report is not an endpoint's
+	Assessor       *cachetrust.Assessor
+	Endpoints      map[scheduler.WorkerID]Endpoint // as the list has them
+	MeanLogRuntime []float64                       // by class: the usual time of a job in seconds, as a logarithm; NaN where not known
+	LearnedState   scheduler.LearnedState          // classes are by number
+	ReportsPulled  bool                            // an answer to a probe that carries no report is not an endpoint's
 }
 
 // EndpointStore hears what discovery says, to keep it. It does not block.
@@ -27,7 +27,7 @@
 type ListSource struct {
 	Name                 string    // discovery, saved, known, predecessor or none
 	ConfirmedAt          time.Time // when it was last known to be true; zero where nobody knows
-	TrustLevels          [savedlist.Excluded + 1]int
+	TrustLevels          [cachetrust.Excluded + 1]int
 	AwaitingConfirmation bool // a list of discovery's waits for a second that agrees
 }
 
@@ -36,9 +36,9 @@
 
 // sign is what came back from an endpoint.
 type sign struct {
-	id     brain.WorkerID
+	id     scheduler.WorkerID
 	probe  bool
-	answer savedlist.ProbeResult
+	answer cachetrust.ProbeResult
 	late   float64 // of a job that was served
 }
 
@@ -46,7 +46,7 @@
 func (s *EndpointList) StartFromCache(f *CachedStart) {
 	s.start, s.calls.current.revision = f, FullList
 	for _, d := range f.Endpoints {
-		if d.State == brain.Ready {
+		if d.State == scheduler.Ready {
 			s.endpoints.Update(d) // so that it can be probed; the module knows nothing of it
 		}
 	}
@@ -79,19 +79,19 @@
 }
 
 // Probed takes the outcome of a probe.
-func (w *witness) ProbeCompleted(id brain.WorkerID, o brain.Outcome, report bool) {
-	answer := savedlist.NoResponse
+func (w *witness) ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome, report bool) {
+	answer := cachetrust.NoResponse
 	switch {
-	case o == brain.Served && (report || !w.f.ReportsPulled):
-		answer = savedlist.Answered
-	case o == brain.Served, o == brain.Errored, o == brain.InvalidRequest, o == brain.Reset:
-		answer = savedlist.Unrecognized
+	case o == scheduler.Served && (report || !w.f.ReportsPulled):
+		answer = cachetrust.Answered
+	case o == scheduler.Served, o == scheduler.Errored, o == scheduler.InvalidRequest, o == scheduler.Reset:
+		answer = cachetrust.Unrecognized
 	}
 	w.mailbox.Post(sign{id: id, probe: true, answer: answer})
 }
 
 // Worked takes how long a job took.
-func (w *witness) JobServed(id brain.WorkerID, class int, took time.Duration) {
+func (w *witness) JobServed(id scheduler.WorkerID, class int, took time.Duration) {
 	f := w.f
 	if class >= len(f.MeanLogRuntime) || math.IsNaN(f.MeanLogRuntime[class]) {
 		return
@@ -105,7 +105,7 @@
 
 // heard tells the trust what came from an endpoint.
 func (s *EndpointList) heard(m sign) {
-	s.trust(func(now brain.Clock) []savedlist.Action {
+	s.trust(func(now scheduler.Clock) []cachetrust.Action {
 		if m.probe {
 			return s.start.Assessor.ProbeCompleted(now, m.id, m.answer)
 		}
@@ -114,12 +114,12 @@
 }
 
 // trust carries verdicts out.
-func (s *EndpointList) trust(ask func(brain.Clock) []savedlist.Action) {
+func (s *EndpointList) trust(ask func(scheduler.Clock) []cachetrust.Action) {
 	if s.start == nil {
 		return
 	}
-	listed := brain.EndpointsUpdated{ListKind: brain.ListDelta}
-	proven := brain.LearnedState{Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
+	listed := scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta}
+	proven := scheduler.LearnedState{Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
 	for _, v := range ask(s.core.clock.Now()) {
 		if v.Announce == nil {
 			s.endpoints.Probe(v.Probe)
@@ -127,7 +127,7 @@
 		}
 		d := s.start.Endpoints[v.Announce.ID]
 		s.known[d.ID] = d
-		s.members.Record(d.member(), "", membership.UnknownRevision)
+		s.members.Record(d.member(), "", endpointstate.UnknownRevision)
 		info := d.WorkerInfo
 		info.StartedAt, info.StartConfirmed = v.Announce.StartedAt, v.Announce.StartConfirmed
 		s.starts.Set(d.ID, d.StartedAt, info.StartedAt)
@@ -147,7 +147,7 @@
 }
 
 // due tells when the trust has something to do if nothing comes.
-func (s *EndpointList) due() (at brain.Clock, ok bool) {
+func (s *EndpointList) due() (at scheduler.Clock, ok bool) {
 	if s.start == nil {
 		return 0, false
 	}
@@ -164,11 +164,11 @@
 	if s.start == nil {
 		return again, false
 	}
-	var ready []brain.WorkerID
+	var ready []scheduler.WorkerID
 	for i := range u.Endpoints {
 		d := &u.Endpoints[i]
 		d.StartConfirmed = true // discovery knows when it started, whatever was supposed here
-		if d.State == brain.Ready {
+		if d.State == scheduler.Ready {
 			ready = append(ready, d.ID)
 		} else {
 			s.start.Assessor.RemovedByDiscovery(d.ID)
@@ -191,7 +191,7 @@
 	if s.start == nil || !s.start.Assessor.Finished() {
 		return
 	}
-	same := brain.LearnedState{Workers: map[brain.WorkerID]brain.WorkerStatistics{}}
+	same := scheduler.LearnedState{Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
 	for id, was := range s.start.LearnedState.Workers {
 		if d, ok := s.known[id]; ok && s.start.Assessor.SameIncarnation(id, d.StartedAt) {
 			same.Workers[id] = was
@@ -199,7 +199,7 @@
 	}
 	for id, d := range s.start.Endpoints {
 		if _, ok := s.known[id]; !ok {
-			d.State = brain.Gone
+			d.State = scheduler.Gone
 			s.endpoints.Update(d)
 		}
 	}
@@ -217,12 +217,12 @@
 		return
 	}
 	gone := s.start.Assessor.ExpireRetained(s.core.clock.Now())
-	listed := brain.EndpointsUpdated{ListKind: brain.ListDelta}
+	listed := scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta}
 	now := time.Now()
 	for _, id := range gone {
 		d := s.known[id]
-		d.State, d.NotifiedAt = brain.Gone, now
-		s.members.Record(d.member(), "", membership.UnknownRevision)
+		d.State, d.NotifiedAt = scheduler.Gone, now
+		s.members.Record(d.member(), "", endpointstate.UnknownRevision)
 		s.update(d)
 		listed.Workers = append(listed.Workers, d.WorkerInfo)
 	}
@@ -249,7 +249,7 @@
 		return false
 	}
 	for _, d := range u.Endpoints {
-		if d.Zone >= 0 || d.State == brain.Gone {
+		if d.Zone >= 0 || d.State == scheduler.Gone {
 			return false
 		}
 	}
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -3,22 +3,22 @@
 import (
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/decisions/failover"
+	"brassdale/scheduler"
 )
 
 // ZoneRouter says to which zones jobs may go, and hears what becomes of their calls. No method blocks. Probed may be called by
 // anybody, the others by the core alone.
 type ZoneRouter interface {
-	EndpointsUpdated(now brain.Clock, l brain.EndpointsUpdated)
+	EndpointsUpdated(now scheduler.Clock, l scheduler.EndpointsUpdated)
 	// Arrived gives the zones, a bit for each number, 0 for all; not ok where the job is to be refused here, and for how long
 	// its client should stay away.
-	Route(now brain.Clock, class, repeat string) (within uint64, away time.Duration, ok bool)
-	AttemptStarted(now brain.Clock, id brain.WorkerID)
-	AttemptUnanswered(now brain.Clock, id brain.WorkerID) // a call has been without any sign for failover.SilentAfter
+	Route(now scheduler.Clock, class, repeat string) (within uint64, away time.Duration, ok bool)
+	AttemptStarted(now scheduler.Clock, id scheduler.WorkerID)
+	AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID) // a call has been without any sign for failover.SilentAfter
 	// Ended tells how a call ended, how long ago its job came and for how long it ran; 0 where it has not begun.
-	AttemptEnded(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration)
-	ProbeCompleted(id brain.WorkerID, o brain.Outcome)
+	AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, o scheduler.Outcome, took, ran time.Duration)
+	ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome)
 }
 
 // FleetBudget says whether there is room for one more in what all dispatchers together may do. No method blocks.
@@ -37,7 +37,7 @@
 func (c *Core) SetZoneRouter(g ZoneRouter) { c.guide = g }
 
 // bound asks the guide where a request may go. One that it has refused has its answer behind this.
-func (c *Core) bound(id brain.RequestID, r *request) (within uint64, ok bool) {
+func (c *Core) bound(id scheduler.RequestID, r *request) (within uint64, ok bool) {
 	if c.guide == nil {
 		return 0, true
 	}
@@ -50,7 +50,7 @@
 }
 
 // told tells the guide how a call ended.
-func (c *Core) told(r *request, a *call, o brain.Outcome) {
+func (c *Core) told(r *request, a *call, o scheduler.Outcome) {
 	if c.guide == nil {
 		return
 	}
@@ -58,7 +58,7 @@
 	if a.began > 0 {
 		ran = c.now - a.began
 	}
-	if !a.silent || o == brain.Served || o == brain.Full || o == brain.Errored || o == brain.InvalidRequest {
+	if !a.silent || o == scheduler.Served || o == scheduler.Full || o == scheduler.Errored || o == scheduler.InvalidRequest {
 		c.guide.AttemptEnded(c.now, a.endpoint, r.ClassName, o, c.now-r.came, ran)
 	}
 }
--- a/internal/routing/ledger.go
+++ b/internal/routing/ledger.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/polling"
 )
 
 // Counters is the account of what became of the requests: each is entered once, where its one final answer is
@@ -111,13 +111,13 @@
 }
 
 // discoveryFailed counts a call that brought no list.
-func (l *Counters) discoveryFailed(how pacing.Failure) {
+func (l *Counters) discoveryFailed(how polling.Failure) {
 	l.enter(func(f *Metrics) {
 		f.DiscoveryFailures++
 		switch how {
-		case pacing.Rejected:
+		case polling.Rejected:
 			f.DiscoveryRejected++
-		case pacing.Expired:
+		case polling.Expired:
 			f.DiscoveryExpired++
 		}
 	})
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -6,23 +6,23 @@
 	"math"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/membership"
-	"brassdale/internal/decisions/starts"
+	"brassdale/internal/decisions/endpointstate"
+	"brassdale/internal/decisions/incarnations"
+	"brassdale/scheduler"
 )
 
 // begin takes in the list as it was known before.
 func (s *EndpointList) begin(saved ListUpdate, now time.Time) {
-	members := make([]membership.Endpoint, len(saved.Endpoints))
+	members := make([]endpointstate.Endpoint, len(saved.Endpoints))
 	for i := range saved.Endpoints {
 		d := &saved.Endpoints[i]
-		if d.State != brain.Ready && d.NotifiedAt.IsZero() { // a predecessor may have been told before
+		if d.State != scheduler.Ready && d.NotifiedAt.IsZero() { // a predecessor may have been told before
 			d.NotifiedAt = s.toldFrom(now)
 		}
 		members[i] = d.member()
 	}
 	s.members.Restore(s.calls.current.discovery.Service(), saved.Revision, members)
-	s.tell(saved, saved.Endpoints, nil, brain.ListCached)
+	s.tell(saved, saved.Endpoints, nil, scheduler.ListCached)
 }
 
 // toldFrom gives from when a drain counts that came now. What an agent had counts as told: it may have had it since it last
@@ -35,7 +35,7 @@
 }
 
 // apply puts in force what counts of an answer.
-func (s *EndpointList) apply(c *listCall, u ListUpdate, kind brain.ListKind, order membership.Freshness) {
+func (s *EndpointList) apply(c *listCall, u ListUpdate, kind scheduler.ListKind, order endpointstate.Freshness) {
 	now := u.ReceivedAt
 	if now.IsZero() {
 		now = time.Now()
@@ -52,7 +52,7 @@
 	}
 	var listed, ended []Endpoint
 	for _, a := range verdict.Accepted {
-		if a.Index == membership.NotListed {
+		if a.Index == endpointstate.NotListed {
 			d := s.known[a.ID]
 			d.ID, d.State, d.NotifiedAt = a.ID, a.State, a.NotifiedAt
 			ended = append(ended, d)
@@ -67,7 +67,7 @@
 
 // tell passes on what has changed: to the endpoints first, then to the module. The ended ones are those that a whole list does not
 // name: the module knows by that.
-func (s *EndpointList) tell(u ListUpdate, listed, ended []Endpoint, kind brain.ListKind) {
+func (s *EndpointList) tell(u ListUpdate, listed, ended []Endpoint, kind scheduler.ListKind) {
 	level := slog.LevelDebug
 	if u.Complete {
 		level = slog.LevelInfo
@@ -77,8 +77,8 @@
 			level = slog.LevelInfo
 		}
 	}
-	news := brain.EndpointsUpdated{ListKind: kind, Workers: s.dated(listed), AsOf: s.core.clock.At(s.asOf)}
-	s.told = s.told || kind != brain.ListCached
+	news := scheduler.EndpointsUpdated{ListKind: kind, Workers: s.dated(listed), AsOf: s.core.clock.At(s.asOf)}
+	s.told = s.told || kind != scheduler.ListCached
 	for _, d := range ended {
 		s.update(d)
 	}
@@ -94,20 +94,20 @@
 const forever = time.Duration(math.MaxInt64)
 
 // dated gives the lines of a list with the starts of their workers on the core's clock.
-func (s *EndpointList) dated(lines []Endpoint) []brain.WorkerInfo {
+func (s *EndpointList) dated(lines []Endpoint) []scheduler.WorkerInfo {
 	now := time.Now()
-	moment := starts.ListTime{Now: s.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(s.answered)}
+	moment := incarnations.ListTime{Now: s.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(s.answered)}
 	if !s.told {
 		moment.SinceLastList = forever
 	}
-	stamped := make([]starts.WorkerStart, len(lines))
+	stamped := make([]incarnations.WorkerStart, len(lines))
 	for i, d := range lines {
-		stamped[i] = starts.WorkerStart{ID: d.ID, Stamp: d.StartedAt}
+		stamped[i] = incarnations.WorkerStart{ID: d.ID, Stamp: d.StartedAt}
 		if d.Age > 0 {
 			s.starts.Set(d.ID, d.StartedAt, moment.Now-d.Age)
 		}
 	}
-	infos := make([]brain.WorkerInfo, len(lines))
+	infos := make([]scheduler.WorkerInfo, len(lines))
 	for i, at := range s.starts.Update(moment, stamped) {
 		infos[i] = lines[i].WorkerInfo
 		infos[i].StartedAt = at
@@ -116,7 +116,9 @@
 }
 
 // StartedAt gives when a worker started, on the core's clock. It may be called before Run only.
-func (s *EndpointList) StartedAt(id brain.WorkerID) brain.Clock { return s.starts.StartedAt(id) }
+func (s *EndpointList) StartedAt(id scheduler.WorkerID) scheduler.Clock {
+	return s.starts.StartedAt(id)
+}
 
 // update takes a line in and tells whether it is news: weights that fall with the load are not.
 func (s *EndpointList) update(d Endpoint) bool {
@@ -126,7 +128,7 @@
 	}
 	s.logState(old, d)
 	d.Age = 0 // it grows
-	if d.State == brain.Gone {
+	if d.State == scheduler.Gone {
 		delete(s.known, d.ID)
 	} else {
 		s.known[d.ID] = d
@@ -137,8 +139,8 @@
 }
 
 // member gives what a line says of a worker's state.
-func (d *Endpoint) member() membership.Endpoint {
-	return membership.Endpoint{ID: d.ID, State: d.State, Start: d.StartedAt, NotifiedAt: d.NotifiedAt}
+func (d *Endpoint) member() endpointstate.Endpoint {
+	return endpointstate.Endpoint{ID: d.ID, State: d.State, Start: d.StartedAt, NotifiedAt: d.NotifiedAt}
 }
 
 // logState tells of a worker whose state has changed. That a worker is new is no change: a first list may have thousands.
--- a/internal/routing/messages.go
+++ b/internal/routing/messages.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // Answer is the one final answer to an inbound request.
@@ -40,14 +40,14 @@
 
 // AttemptID names an outbound call.
 type AttemptID struct {
-	Request brain.RequestID
+	Request scheduler.RequestID
 	Number  int
 }
 
 // Attempt is an outbound call: one attempt at one endpoint, until its deadline.
 type Attempt struct {
 	ID         AttemptID
-	Endpoint   brain.WorkerID
+	Endpoint   scheduler.WorkerID
 	Deadline   time.Time
 	SendBy     time.Time // it must have left whole by then; zero for no bound but the deadline
 	ClientGone func() bool
@@ -61,15 +61,15 @@
 
 // AttemptResult is how a call ended.
 type AttemptResult struct {
-	Outcome        brain.Outcome
+	Outcome        scheduler.Outcome
 	Result         []byte // where Served
-	Report         *brain.Report
+	Report         *scheduler.Report
 	ConnectionIdle time.Duration // how long its connection had stood idle before
 }
 
 // Endpoint is an endpoint as the destination set lists it.
 type Endpoint struct {
-	brain.WorkerInfo
+	scheduler.WorkerInfo
 	Address    string
 	NotifiedAt time.Time // when it was told to be draining or gone; zero while it is neither
 
@@ -82,10 +82,10 @@
 type EndpointPool interface {
 	Update(Endpoint)
 	Send(Attempt)
-	Cancel(brain.WorkerID, AttemptID)
-	CloseIdle(id brain.WorkerID, idle time.Duration)
-	Probe(brain.WorkerID)
-	SetDetached(id brain.WorkerID, since time.Time) // put out by hand; zero: put back
+	Cancel(scheduler.WorkerID, AttemptID)
+	CloseIdle(id scheduler.WorkerID, idle time.Duration)
+	Probe(scheduler.WorkerID)
+	SetDetached(id scheduler.WorkerID, since time.Time) // put out by hand; zero: put back
 }
 
 // RequestLimits are the limits that the core itself must know of a request, as they were when it began.
@@ -96,6 +96,6 @@
 
 // Observer hears what comes from endpoints, beside the module. No method blocks.
 type Observer interface {
-	ProbeCompleted(id brain.WorkerID, o brain.Outcome, report bool)
-	JobServed(id brain.WorkerID, class int, took time.Duration) // a job of the class was served
+	ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome, report bool)
+	JobServed(id scheduler.WorkerID, class int, took time.Duration) // a job of the class was served
 }
--- a/internal/routing/starts_test.go
+++ b/internal/routing/starts_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // A worker's age as the module has it must not be more than it is, whichever way the wall clocks stand to each other: one that
@@ -16,7 +16,7 @@
 	} {
 		c, f := startCore(t)
 		s := NewEndpointList(c, &updates{fake: f}, newScripted(), ListUpdate{}, c.log)
-		age := func(id brain.WorkerID) time.Duration {
+		age := func(id scheduler.WorkerID) time.Duration {
 			learned, err := c.LearnedState(context.Background())
 			if err != nil {
 				t.Fatal(err)
@@ -27,14 +27,14 @@
 			}
 			return c.clock.Now() - since
 		}
-		stamp := func(ago time.Duration) brain.Clock { // by a clock that ours is ahead of
+		stamp := func(ago time.Duration) scheduler.Clock { // by a clock that ours is ahead of
 			return time.Duration(time.Now().Add(-apart - ago).UnixNano())
 		}
-		line := func(id brain.WorkerID, since brain.Clock) Endpoint {
-			return Endpoint{WorkerInfo: brain.WorkerInfo{ID: id, StartedAt: since, Weight: 1}, Address: "h:1"}
+		line := func(id scheduler.WorkerID, since scheduler.Clock) Endpoint {
+			return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, StartedAt: since, Weight: 1}, Address: "h:1"}
 		}
 		old, young := stamp(30*time.Second), stamp(2*time.Second)
-		bring(s, ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{line("longago", 0), line("old", old), line("young", young)}}, brain.ListFull)
+		bring(s, ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{line("longago", 0), line("old", old), line("young", young)}}, scheduler.ListFull)
 		if got := age("longago"); got < time.Hour {
 			t.Errorf("%s: long ago is %v ago", name, got)
 		}
@@ -44,18 +44,18 @@
 		if got := age("old"); got > 31*time.Second || got < 20*time.Second {
 			t.Errorf("%s: 30 s ago, in the first list, is %v ago", name, got)
 		}
-		bring(s, ListUpdate{Revision: 2, Endpoints: []Endpoint{line("joins", stamp(0)), line("old", stamp(0))}}, brain.ListDelta)
-		for _, id := range []brain.WorkerID{"joins", "old"} {
+		bring(s, ListUpdate{Revision: 2, Endpoints: []Endpoint{line("joins", stamp(0)), line("old", stamp(0))}}, scheduler.ListDelta)
+		for _, id := range []scheduler.WorkerID{"joins", "old"} {
 			if got := age(id); got < -time.Second || got > time.Second {
 				t.Errorf("%s: %s, just started, is %v ago", name, id, got)
 			}
 		}
-		bring(s, ListUpdate{Revision: 3, Endpoints: []Endpoint{line("young", young)}}, brain.ListDelta)
+		bring(s, ListUpdate{Revision: 3, Endpoints: []Endpoint{line("young", young)}}, scheduler.ListDelta)
 		if got := age("young"); got > 4*time.Second || got < -time.Second {
 			t.Errorf("%s: told again with the same start, it is %v ago", name, got)
 		}
 		// The stamping clock is set back by an hour, and the worker starts again.
-		bring(s, ListUpdate{Revision: 4, Endpoints: []Endpoint{line("joins", stamp(time.Hour))}}, brain.ListDelta)
+		bring(s, ListUpdate{Revision: 4, Endpoints: []Endpoint{line("joins", stamp(time.Hour))}}, scheduler.ListDelta)
 		if got := age("joins"); got > time.Second {
 			t.Errorf("%s: started again behind a step of the clock, it is %v ago", name, got)
 		}
@@ -69,7 +69,7 @@
 	before := NewEndpointList(c, &updates{fake: f}, newScripted(), ListUpdate{}, c.log)
 	stamp := time.Duration(time.Now().Add(-10 * time.Second).UnixNano())
 	before.starts.Set("a", stamp, c.clock.Now()-10*time.Second)
-	before.known["a"] = Endpoint{WorkerInfo: brain.WorkerInfo{ID: "a", StartedAt: stamp, Weight: 1}, Address: "h:1"}
+	before.known["a"] = Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: "a", StartedAt: stamp, Weight: 1}, Address: "h:1"}
 	handed := before.whole()
 	next, g := startCore(t)
 	after := NewEndpointList(next, &updates{fake: g}, newScripted(), handed, next.log)
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"brassdale/internal/diag"
+	"brassdale/internal/hcldiag"
 )
 
 // Kind is what fails.
@@ -115,5 +115,5 @@
 	if attribute == "kind" && len(b.LabelRanges) > 0 {
 		return b.LabelRanges[0]
 	}
-	return diag.Place(b.Body, attribute)
+	return hcldiag.Place(b.Body, attribute)
 }
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"brassdale/internal/diag"
 	"brassdale/internal/fleet"
+	"brassdale/internal/hcldiag"
 )
 
 // File is a fleet's size as an operator writes it, or several.
@@ -85,13 +85,13 @@
 }
 
 // Load reads and checks a file. An error names all faults with file, line and column.
-func Load(path string) (*File, error) { return diag.Read(path, Parse) }
+func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse reads the text of one.
 func Parse(text []byte, path string) (*File, error) {
 	s := fleet.Default()
 	f := &File{Settle: "20s", Bound: s.LeaseDuration, Replace: s.ReplaceAfter}
-	err := diag.Decode(text, path, f, func(body *hclsyntax.Body) hcl.Diagnostics { _, diags := f.plan(body); return diags })
+	err := hcldiag.Decode(text, path, f, func(body *hclsyntax.Body) hcl.Diagnostics { _, diags := f.plan(body); return diags })
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 				at = b.Body
 			}
 		}
-		diags = append(diags, diag.At(diag.Place(at, attribute), "Bad "+attribute, format, a...))
+		diags = append(diags, hcldiag.At(hcldiag.Place(at, attribute), "Bad "+attribute, format, a...))
 	}
 	p = Plan{Title: f.Title, Regions: f.Regions, Zones: f.Zones, Workers: f.Workers, Accelerators: f.Accelerators, Teams: f.Teams,
 		Dispatchers: f.Dispatchers, Seats: f.Seats, SetAside: f.SetAside, Hollow: f.Hollow, Processes: f.Processes, Bare: f.Bare, Rate: f.Rate}
@@ -149,7 +149,7 @@
 	}
 	if body != nil {
 		p.check(bad)
-		diags = append(diags, f.checkRuns(&p, diag.Blocks(body))...)
+		diags = append(diags, f.checkRuns(&p, hcldiag.Blocks(body))...)
 	}
 	return p, diags
 }
@@ -157,7 +157,7 @@
 // checkRuns tells what is wrong with the file's faults and slopes.
 func (f *File) checkRuns(p *Plan, blocks map[string][]*hclsyntax.Block) (diags hcl.Diagnostics) {
 	bad := func(b *hclsyntax.Block, attribute, format string, a ...any) {
-		diags = append(diags, diag.At(placeOf(b, attribute), "Bad "+attribute, format, a...))
+		diags = append(diags, hcldiag.At(placeOf(b, attribute), "Bad "+attribute, format, a...))
 	}
 	all := f.faults(func(n int, attribute, format string, a ...any) { bad(blocks["fault"][n], attribute, format, a...) })
 	for n, x := range all {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -16,16 +16,16 @@
 	"sync"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/decisions/agreement"
 	planning "brassdale/internal/decisions/failover"
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/polling"
 	"brassdale/internal/faults"
 	"brassdale/internal/fleet"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
 	"brassdale/internal/traffic"
 	"brassdale/internal/transport"
+	"brassdale/scheduler"
 )
 
 // Spec is what a process of hollow dispatchers is told. All of them are of one zone.
@@ -143,7 +143,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	h := &Hollow{spec: spec, params: &protocol.LiveSettings{}, at: cfg.Discovery, hears: slices.Sorted(maps.Keys(spec.Capacity))}
-	h.params.Replace(&cfg.Settings, func(brain.Settings) {})
+	h.params.Replace(&cfg.Settings, func(scheduler.Settings) {})
 	for i, e := range spec.Each {
 		x, err := h.make(e, uint64(i), log)
 		if err != nil {
@@ -298,7 +298,7 @@
 // watch asks discovery as routing.Destinations does, and keeps nothing of what it tells.
 func (x *hollow) watch(ctx context.Context, params *protocol.LiveSettings) {
 	first := rand.Float64() * float64(params.Current().ReplicasOfMe) * firstEach.Seconds()
-	wait, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), pacing.FullList
+	wait, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), polling.FullList
 	for {
 		select {
 		case <-ctx.Done():
@@ -307,12 +307,12 @@
 		}
 		u, err := x.find.Call(ctx, revision, kind)
 		if err != nil { // the module would decide when
-			wait, kind = time.Duration(rand.Float64()*float64(againMost)), pacing.Poll
+			wait, kind = time.Duration(rand.Float64()*float64(againMost)), polling.Poll
 			continue
 		}
 		fresh := u.Revision != revision || len(u.Endpoints) > 0
-		revision, kind = u.Revision, pacing.Watch
-		wait = pacing.RewatchDelay(fresh, u.BeforeWaitEnded, params.Current().ReplicasOfMe, rand.Float64())
+		revision, kind = u.Revision, polling.Watch
+		wait = polling.RewatchDelay(fresh, u.BeforeWaitEnded, params.Current().ReplicasOfMe, rand.Float64())
 	}
 }
 
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"brassdale/internal/diag"
+	"brassdale/internal/hcldiag"
 	"brassdale/internal/inject"
 )
 
@@ -24,12 +24,12 @@
 }
 
 // Load reads and checks a scenario. An error names all faults with file, line and column.
-func Load(path string) (*File, error) { return diag.Read(path, Parse) }
+func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse reads the text of one.
 func Parse(text []byte, path string) (*File, error) {
 	f := &File{}
-	if err := diag.Decode(text, path, f, f.check); err != nil {
+	if err := hcldiag.Decode(text, path, f, f.check); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -37,7 +37,7 @@
 
 func (f *File) check(body *hclsyntax.Body) (diags hcl.Diagnostics) {
 	bad := func(attribute, format string, a ...any) {
-		diags = append(diags, diag.At(diag.Place(body, attribute), "Bad "+attribute, format, a...))
+		diags = append(diags, hcldiag.At(hcldiag.Place(body, attribute), "Bad "+attribute, format, a...))
 	}
 	for name, r := range map[string][]int{"dispatchers": f.Dispatchers, "workers": f.Workers} {
 		if len(r) != 2 || r[0] < 1 || r[1] < r[0] || r[1] > 16 {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"brassdale/internal/decisions/streams"
+	"brassdale/internal/decisions/http2limits"
 )
 
 const (
@@ -328,7 +328,7 @@
 		return false
 	}
 	if g.multiplexed {
-		if !streams.WithinDynamicThreshold(g.streams, g.jobs, c.jobs, surelyStreams) {
+		if !http2limits.WithinDynamicThreshold(g.streams, g.jobs, c.jobs, surelyStreams) {
 			return false
 		}
 		c.jobs++
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"brassdale/internal/decisions/pacing"
+	"brassdale/internal/decisions/polling"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
 	"brassdale/internal/traffic"
@@ -43,7 +43,7 @@
 
 // Call is one call. Its end is set beforehand: a discovery that was cut off keeps a connection open and silent, and
 // what it had to tell counts as told for all that.
-func (d *Discovery) Call(ctx context.Context, revision int64, kind pacing.Kind) (routing.ListUpdate, error) {
+func (d *Discovery) Call(ctx context.Context, revision int64, kind polling.Kind) (routing.ListUpdate, error) {
 	p := d.Params.Current()
 	wait, within := PacingRules(p).Timeouts(kind)
 	url, end := fmt.Sprintf("http://%s/registry/instances", d.Address), time.Now().Add(wait+within)
@@ -93,8 +93,8 @@
 }
 
 // PacingRules gives what calls for the list go by.
-func PacingRules(p *protocol.Settings) pacing.Rules {
-	return pacing.Rules{ListsPushed: p.ListsPushed(), DrainGrace: p.Rules.DrainGrace.Duration(), Dispatchers: p.ReplicasOfMe}
+func PacingRules(p *protocol.Settings) polling.Rules {
+	return polling.Rules{ListsPushed: p.ListsPushed(), DrainGrace: p.Rules.DrainGrace.Duration(), Dispatchers: p.ReplicasOfMe}
 }
 
 // Update gives a list in the core's terms.
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 const (
@@ -32,7 +32,7 @@
 // here, or lent to the one exchange that runs on it.
 type endpoint struct {
 	fleet *EndpointPool
-	id    brain.WorkerID
+	id    scheduler.WorkerID
 	box   *routing.Mailbox[any]
 
 	// Owned by run.
@@ -109,7 +109,7 @@
 func (e *endpoint) take(m any) {
 	switch m := m.(type) {
 	case routing.Endpoint:
-		if m.Address != e.dest.Address || m.StartedAt != e.dest.StartedAt || m.State == brain.Gone {
+		if m.Address != e.dest.Address || m.StartedAt != e.dest.StartedAt || m.State == scheduler.Gone {
 			e.closeIdle(time.Time{}) // they lead to a process that is no more
 		}
 		e.dest = m
@@ -132,7 +132,7 @@
 		e.starved = slices.DeleteFunc(e.starved, func(x *exchange) bool {
 			late := !now.Before(x.deadline)
 			if late {
-				e.end(x, routing.AttemptResult{Outcome: brain.NeverSent})
+				e.end(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
 			}
 			return late
 		})
@@ -179,7 +179,7 @@
 		e.close(w)
 	}
 	if x.void(now) {
-		e.end(x, routing.AttemptResult{Outcome: brain.NeverSent})
+		e.end(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
 	if !e.fleet.take(e) {
@@ -236,9 +236,9 @@
 		e.start(x)
 		return
 	}
-	out := brain.NoConnect
+	out := scheduler.NoConnect
 	if errors.Is(m.err, syscall.EMFILE) || errors.Is(m.err, syscall.ENFILE) || errors.Is(m.err, syscall.EADDRNOTAVAIL) {
-		out = brain.NeverSent // this process's fault, not the endpoint's
+		out = scheduler.NeverSent // this process's fault, not the endpoint's
 	}
 	e.end(x, routing.AttemptResult{Outcome: out})
 }
@@ -259,7 +259,7 @@
 
 // rest lets a connection stand idle, if it may.
 func (e *endpoint) rest(w *wire) {
-	if len(e.idle) >= e.fleet.idleMost() || e.dest.State == brain.Gone {
+	if len(e.idle) >= e.fleet.idleMost() || e.dest.State == scheduler.Gone {
 		e.close(w)
 		return
 	}
@@ -274,7 +274,7 @@
 	x.latest = e.latest(x)
 	if why := e.forbidden(x, now); why != "" {
 		e.heldBack(x, why)
-		e.end(x, routing.AttemptResult{Outcome: brain.NeverSent})
+		e.end(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
 		return false
 	}
 	if !x.probe {
@@ -354,7 +354,7 @@
 	for _, queue := range [...]*[]*exchange{&e.waiting, &e.starved} {
 		if i := slices.Index(*queue, x); i >= 0 {
 			*queue = slices.Delete(*queue, i, i+1)
-			e.end(x, routing.AttemptResult{Outcome: brain.NeverSent})
+			e.end(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
 			return
 		}
 	}
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -9,19 +9,19 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // sink takes the ends of calls.
-type sink chan brain.Outcome
+type sink chan scheduler.Outcome
 
-func (sink) AttemptStarted(routing.AttemptID)                                    {}
-func (sink) AttemptSent()                                                        {}
-func (sink) AttemptProgressed(routing.AttemptID, float64)                        {}
-func (s sink) AttemptFinished(_ routing.AttemptID, e routing.AttemptResult)      { s <- e.Outcome }
-func (s sink) ProbeCompleted(_ brain.WorkerID, o brain.Outcome, _ *brain.Report) { s <- o }
+func (sink) AttemptStarted(routing.AttemptID)                                                {}
+func (sink) AttemptSent()                                                                    {}
+func (sink) AttemptProgressed(routing.AttemptID, float64)                                    {}
+func (s sink) AttemptFinished(_ routing.AttemptID, e routing.AttemptResult)                  { s <- e.Outcome }
+func (s sink) ProbeCompleted(_ scheduler.WorkerID, o scheduler.Outcome, _ *scheduler.Report) { s <- o }
 
 // newIdle makes an endpoint's actor that does not run, and a wire for it with its far end.
 func newIdle(t *testing.T, told time.Time) (*endpoint, sink, *wire, net.Conn) {
@@ -31,7 +31,7 @@
 	ends := make(sink, 4)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	live := &protocol.LiveSettings{}
-	live.Replace(p, func(brain.Settings) {})
+	live.Replace(p, func(scheduler.Settings) {})
 	e := newEndpoint(NewEndpointPool(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: told})
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
@@ -54,7 +54,7 @@
 		t.Fatal("the call that waited longest is not on the connection")
 	}
 	e.take(dialed{owner: first, err: io.EOF})
-	if o := <-ends; o != brain.NoConnect || len(e.waiting) != 0 {
+	if o := <-ends; o != scheduler.NoConnect || len(e.waiting) != 0 {
 		t.Errorf("ended as %v, %d wait", o, len(e.waiting))
 	}
 	there.Close()
@@ -89,10 +89,10 @@
 				t.Errorf("%s: nothing written: %v", name, err)
 			}
 			there.Close()
-			if o := <-ends; o != brain.Reset && o != brain.NoConnect {
+			if o := <-ends; o != scheduler.Reset && o != scheduler.NoConnect {
 				t.Errorf("%s: ended as %v", name, o)
 			}
-		} else if o := <-ends; o != brain.NeverSent || len(e.idle) != 1 || x.wire != nil {
+		} else if o := <-ends; o != scheduler.NeverSent || len(e.idle) != 1 || x.wire != nil {
 			t.Errorf("%s: ended as %v, %d idle connections", name, o, len(e.idle))
 		}
 	}
@@ -129,7 +129,7 @@
 	waits, late := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(-time.Hour))
 	e.start(waits)
 	e.start(late)
-	if o := <-ends; o != brain.NeverSent || len(e.starved) != 1 || len(ends) != 0 {
+	if o := <-ends; o != scheduler.NeverSent || len(e.starved) != 1 || len(ends) != 0 {
 		t.Errorf("the overdue call ended as %v; %d wait, %d more ends", o, len(e.starved), len(ends))
 	}
 	if got := f.members["other"].box.Take(); len(got) != 1 || got[0] != any(drop{0}) {
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // exchange is a call or a probe, from its start here to its outcome.
@@ -78,7 +78,7 @@
 	if now := time.Now(); x.void(now) || now.After(x.latest) { // this may have waited for its turn
 		e.heldBack(x, "it waited too long for its turn")
 		reuse = !x.cut.Load()
-		e.tell(x, routing.AttemptResult{Outcome: brain.NeverSent})
+		e.tell(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
 	if out, ok := x.write(text); !ok {
@@ -108,7 +108,7 @@
 
 // write writes a request, and tells how the exchange ended if its last byte did not leave: the endpoint has not begun what it
 // has not got whole.
-func (x *exchange) write(text []byte) (out brain.Outcome, ok bool) {
+func (x *exchange) write(text []byte) (out scheduler.Outcome, ok bool) {
 	conn := x.wire.conn
 	_ = conn.SetReadDeadline(x.deadline) // fails only on a closed connection, as does what follows
 	_ = conn.SetWriteDeadline(x.writeBy())
@@ -117,9 +117,9 @@
 	case err == nil || n == len(text):
 		return 0, true
 	case x.cut.Load():
-		return brain.NeverSent, false
+		return scheduler.NeverSent, false
 	}
-	return brain.NoConnect, false
+	return scheduler.NoConnect, false
 }
 
 // read reads the answer up to its last message, and tells the core of all that comes.
@@ -144,14 +144,14 @@
 }
 
 // broken gives the outcome of an exchange whose reading ended with an error.
-func (x *exchange) broken(err error) brain.Outcome {
+func (x *exchange) broken(err error) scheduler.Outcome {
 	switch {
 	case x.cut.Load():
-		return brain.Cancelled
+		return scheduler.Cancelled
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return brain.TimedOut
+		return scheduler.TimedOut
 	}
-	return brain.Reset
+	return scheduler.Reset
 }
 
 // drain reads the end of the framing, and tells whether the connection may carry a further request. A peer that holds it back
--- a/internal/transport/fleet.go
+++ b/internal/transport/fleet.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // RetrySettings are the operator's, in a block fleet.
@@ -23,7 +23,7 @@
 	AttemptStarted(routing.AttemptID)
 	AttemptProgressed(routing.AttemptID, float64)
 	AttemptFinished(routing.AttemptID, routing.AttemptResult)
-	ProbeCompleted(brain.WorkerID, brain.Outcome, *brain.Report)
+	ProbeCompleted(scheduler.WorkerID, scheduler.Outcome, *scheduler.Report)
 	AttemptSent() // a call was written to its last byte
 }
 
@@ -37,9 +37,9 @@
 	mu      sync.Mutex
 	most    int // connections that all endpoints together may have open
 	open    int // and how many are
-	members map[brain.WorkerID]*endpoint
-	barred  map[brain.WorkerID]time.Time // put out by hand, listed or not
-	starved []*endpoint                  // wait for a connection that they may open
+	members map[scheduler.WorkerID]*endpoint
+	barred  map[scheduler.WorkerID]time.Time // put out by hand, listed or not
+	starved []*endpoint                      // wait for a connection that they may open
 
 	// RetriesAllowed tells whether a call beyond a job's first may still leave; nil for always. It is set before the first call.
 	RetriesAllowed func() bool
@@ -47,8 +47,8 @@
 
 // NewEndpointPool makes an empty fleet. It opens no connection before Allow.
 func NewEndpointPool(ctx context.Context, p *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
-	return &EndpointPool{ctx: ctx, params: p, sink: sink, log: log, members: map[brain.WorkerID]*endpoint{},
-		barred: map[brain.WorkerID]time.Time{}}
+	return &EndpointPool{ctx: ctx, params: p, sink: sink, log: log, members: map[scheduler.WorkerID]*endpoint{},
+		barred: map[scheduler.WorkerID]time.Time{}}
 }
 
 // SetConnectionLimit sets how many connections all endpoints together may have open.
@@ -117,7 +117,7 @@
 func (f *EndpointPool) Update(d routing.Endpoint) {
 	f.mu.Lock()
 	e := f.members[d.ID]
-	if e == nil && d.State != brain.Gone {
+	if e == nil && d.State != scheduler.Gone {
 		e = newEndpoint(f, d)
 		e.barred = f.barred[d.ID]
 		f.members[d.ID] = e
@@ -129,7 +129,7 @@
 	}
 }
 
-func (f *EndpointPool) member(id brain.WorkerID) *endpoint {
+func (f *EndpointPool) member(id scheduler.WorkerID) *endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members[id]
@@ -141,18 +141,18 @@
 		e.box.Post(c)
 		return
 	}
-	f.sink.AttemptFinished(c.ID, routing.AttemptResult{Outcome: brain.NeverSent})
+	f.sink.AttemptFinished(c.ID, routing.AttemptResult{Outcome: scheduler.NeverSent})
 }
 
 // Cancel gives a call up.
-func (f *EndpointPool) Cancel(id brain.WorkerID, c routing.AttemptID) {
+func (f *EndpointPool) Cancel(id scheduler.WorkerID, c routing.AttemptID) {
 	if e := f.member(id); e != nil {
 		e.box.Post(cancel{c})
 	}
 }
 
 // Bar puts an endpoint out by hand, or back. That stands beside what the destination set says of it.
-func (f *EndpointPool) SetDetached(id brain.WorkerID, since time.Time) {
+func (f *EndpointPool) SetDetached(id scheduler.WorkerID, since time.Time) {
 	f.mu.Lock()
 	if f.barred[id] = since; since.IsZero() {
 		delete(f.barred, id)
@@ -164,19 +164,19 @@
 }
 
 // Drop closes an endpoint's connections that have stood idle for so long.
-func (f *EndpointPool) CloseIdle(id brain.WorkerID, idle time.Duration) {
+func (f *EndpointPool) CloseIdle(id scheduler.WorkerID, idle time.Duration) {
 	if e := f.member(id); e != nil {
 		e.box.Post(drop{idle})
 	}
 }
 
 // Probe asks an endpoint for a sign of life.
-func (f *EndpointPool) Probe(id brain.WorkerID) {
+func (f *EndpointPool) Probe(id scheduler.WorkerID) {
 	if e := f.member(id); e != nil {
 		e.box.Post(probe{})
 		return
 	}
-	f.sink.ProbeCompleted(id, brain.NeverSent, nil)
+	f.sink.ProbeCompleted(id, scheduler.NeverSent, nil)
 }
 
 // idleMost is how many idle connections an endpoint may keep, so that all together stay within bounds.
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // A reader that takes nothing for so long is cut off; from the front for progress it may come for the rest.
@@ -18,8 +18,8 @@
 
 // Core is what the fronts hand requests to.
 type Core interface {
-	Submit(routing.Request) brain.RequestID
-	ClientLeft(brain.RequestID)
+	Submit(routing.Request) scheduler.RequestID
+	ClientLeft(scheduler.RequestID)
 	Counters() *routing.Counters
 }
 
--- a/internal/transport/held_up_test.go
+++ b/internal/transport/held_up_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"brassdale/brain"
+	"brassdale/scheduler"
 )
 
 // A dispatcher may be held up for 0.15 s between reading its clock and writing. What is forbidden by then must not be begun
@@ -34,7 +34,7 @@
 			t.Errorf("%s: sent %v", name, carried)
 		}
 		if there.Close(); !c.sent {
-			if o := <-ends; o != brain.NeverSent {
+			if o := <-ends; o != scheduler.NeverSent {
 				t.Errorf("%s: ended as %v", name, o)
 			}
 		}
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/internal/decisions/streams"
+	"brassdale/internal/decisions/http2limits"
 	"brassdale/internal/transport"
 )
 
@@ -28,7 +28,7 @@
 	in      follower
 
 	mu    sync.Mutex
-	judge *streams.Conn
+	judge *http2limits.Conn
 	alarm *time.Timer // runs from when something is half there until it is found whole
 	last  uint32      // the highest stream that a client opened
 
@@ -37,7 +37,7 @@
 }
 
 func newConn(front *Frontend, gated *transport.Conn, config *tls.Config) *conn {
-	c := &conn{Conn: gated, gated: gated, front: front, taken: time.Now(), judge: streams.New(0), in: follower{ahead: len(preface)}}
+	c := &conn{Conn: gated, gated: gated, front: front, taken: time.Now(), judge: http2limits.New(0), in: follower{ahead: len(preface)}}
 	if config != nil {
 		c.tls = tls.Server(gated, config)
 		c.Conn = c.tls
@@ -45,7 +45,7 @@
 	c.out.start(c.Conn, gated.Close, c.sent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.alarm = time.AfterFunc(streams.CompletionTimeout, c.look)
+	c.alarm = time.AfterFunc(http2limits.CompletionTimeout, c.look)
 	return c
 }
 
@@ -82,7 +82,7 @@
 func (c *conn) follow(b []byte) bool {
 	now := time.Since(c.taken)
 	c.mu.Lock()
-	why := streams.CloseReason("")
+	why := http2limits.CloseReason("")
 	for len(b) > 0 && why == "" {
 		n, ev := c.in.step(b)
 		b = b[n:]
@@ -94,7 +94,7 @@
 			c.judge.FrameStarted(now)
 		case headed:
 			f := c.in.frame()
-			if f.Kind == streams.Headers {
+			if f.Kind == http2limits.Headers {
 				c.last = max(c.last, f.Stream)
 			}
 			if why = c.judge.FrameReceived(now, f); f.Length == 0 {
@@ -105,7 +105,7 @@
 		}
 	}
 	if _, due := c.judge.Deadline(); due && why == "" && c.alarm == nil {
-		c.alarm = time.AfterFunc(streams.CompletionTimeout, c.look)
+		c.alarm = time.AfterFunc(http2limits.CompletionTimeout, c.look)
 	}
 	c.mu.Unlock()
 	if why != "" {
@@ -131,7 +131,7 @@
 }
 
 // end ends the connection for a reason: the client is told, and what it still sends is not looked at.
-func (c *conn) end(why streams.CloseReason) {
+func (c *conn) end(why http2limits.CloseReason) {
 	if c.ended.Swap(true) {
 		return
 	}
@@ -157,9 +157,9 @@
 func (c *conn) SetDeadline(t time.Time) error { return c.Conn.SetReadDeadline(t) }
 
 // sent has the judge see a frame that goes out.
-func (c *conn) sent(f streams.Frame) {
-	answered := (f.Kind == streams.Data || f.Kind == streams.Headers) && f.Flags&streams.EndStream != 0
-	if !answered && f.Kind != streams.Reset {
+func (c *conn) sent(f http2limits.Frame) {
+	answered := (f.Kind == http2limits.Data || f.Kind == http2limits.Headers) && f.Flags&http2limits.EndStream != 0
+	if !answered && f.Kind != http2limits.Reset {
 		return
 	}
 	c.mu.Lock()
--- a/internal/transport/http2/frames.go
+++ b/internal/transport/http2/frames.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"brassdale/internal/decisions/streams"
+	"brassdale/internal/decisions/http2limits"
 )
 
 const (
@@ -55,8 +55,8 @@
 	whole         // the frame is whole
 )
 
-func (f *follower) frame() streams.Frame {
-	return streams.Frame{Kind: streams.Kind(f.head[3]), Flags: f.head[4], Stream: binary.BigEndian.Uint32(f.head[5:]) & lastOfAll, Length: f.left}
+func (f *follower) frame() http2limits.Frame {
+	return http2limits.Frame{Kind: http2limits.Kind(f.head[3]), Flags: f.head[4], Stream: binary.BigEndian.Uint32(f.head[5:]) & lastOfAll, Length: f.left}
 }
 
 // between tells whether another frame may be put in here.
--- a/internal/transport/http2/front.go
+++ b/internal/transport/http2/front.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/internal/decisions/streams"
+	"brassdale/internal/decisions/http2limits"
 	"brassdale/internal/protocol"
 	"brassdale/internal/transport"
 )
@@ -51,7 +51,7 @@
 	conns     map[*conn]struct{}
 	leaving   bool
 	warning   *time.Timer // of the certificate's end; nil where there is none to come
-	calms     map[streams.CloseReason]int
+	calms     map[http2limits.CloseReason]int
 	forbidden int
 }
 
@@ -64,7 +64,7 @@
 
 // New makes the front behind a multiplexed gate. Its files are read: an error names the one at fault.
 func New(s *Settings, core transport.Core, p *protocol.LiveSettings, gate *transport.Listener, ids *transport.InFlightIDs, keys *transport.IdempotencyTable, accounts *transport.AccountQuotas, log *slog.Logger) (*Frontend, error) {
-	f := &Frontend{log: log, gate: gate, conns: map[*conn]struct{}{}, calms: map[streams.CloseReason]int{}}
+	f := &Frontend{log: log, gate: gate, conns: map[*conn]struct{}{}, calms: map[http2limits.CloseReason]int{}}
 	f.JobFrontend = transport.NewJobFrontend(core, p, gate, ids, keys, accounts, f.vet, log)
 	put, err := f.Prepare(s)
 	if err != nil {
@@ -171,7 +171,7 @@
 }
 
 // calmed notes a connection that was ended by its budgets.
-func (f *Frontend) calmed(why streams.CloseReason, c *transport.Conn) {
+func (f *Frontend) calmed(why http2limits.CloseReason, c *transport.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calms[why]++
@@ -208,8 +208,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fmt.Fprintf(&b, "front.http2.connections=%d\nfront.http2.streams=%d\nfront.http2.forbidden=%d\n", len(f.conns), f.gate.OpenStreams(), f.forbidden)
-	for _, why := range []streams.CloseReason{streams.TooManyTinyDataFrames, streams.HeaderTooLong, streams.IncompleteInTime, streams.TooManyPings, streams.TooManyPriorities,
-		streams.TooManyResets, streams.TooManySettings, streams.TooManyUnknownFrames, streams.TooManyWindowUpdates} {
+	for _, why := range []http2limits.CloseReason{http2limits.TooManyTinyDataFrames, http2limits.HeaderTooLong, http2limits.IncompleteInTime, http2limits.TooManyPings, http2limits.TooManyPriorities,
+		http2limits.TooManyResets, http2limits.TooManySettings, http2limits.TooManyUnknownFrames, http2limits.TooManyWindowUpdates} {
 		fmt.Fprintf(&b, "front.http2.ended.%s=%d\n", why, f.calms[why])
 	}
 	if k := f.now.Load().keys; k != nil {
--- a/internal/transport/http2/front_test.go
+++ b/internal/transport/http2/front_test.go
@@ -12,22 +12,22 @@
 	"net/http"
 	"testing"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/streams"
+	"brassdale/internal/decisions/http2limits"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
 	"brassdale/internal/transport"
+	"brassdale/scheduler"
 )
 
 // atOnce is a core that answers each job as it comes.
 type atOnce struct{ ledger routing.Counters }
 
-func (c *atOnce) Submit(in routing.Request) brain.RequestID {
+func (c *atOnce) Submit(in routing.Request) scheduler.RequestID {
 	in.Client.Answered(routing.Answer{Verdict: routing.Served, Result: []byte("priced")})
 	return 1
 }
-func (c *atOnce) ClientLeft(brain.RequestID)  {}
-func (c *atOnce) Counters() *routing.Counters { return &c.ledger }
+func (c *atOnce) ClientLeft(scheduler.RequestID) {}
+func (c *atOnce) Counters() *routing.Counters    { return &c.ledger }
 
 // BenchmarkFronts tells what a job costs at each front, without the module and endpoints. The client costs nothing that
 // is counted.
@@ -37,7 +37,7 @@
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000,"window":1000}],"limits":{"maxAttempts":4}}`), p); err != nil {
 		b.Fatal(err)
 	}
-	params.Replace(p, func(brain.Settings) {})
+	params.Replace(p, func(scheduler.Settings) {})
 	log := slog.New(slog.DiscardHandler)
 	listen := func() *net.TCPListener {
 		l, err := transport.Listen("127.0.0.1:0")
@@ -124,7 +124,7 @@
 				if _, err := in.Discard(int(head[1])<<8 | int(head[2])); err != nil {
 					b.Fatal(err)
 				}
-				if head[3] == byte(streams.Data) && head[4]&streams.EndStream != 0 {
+				if head[3] == byte(http2limits.Data) && head[4]&http2limits.EndStream != 0 {
 					break
 				}
 			}
@@ -141,7 +141,7 @@
 	f.Add([]byte("\x00\x00\x03\x00\x01\x00\x00\x00\x01abc\x00\x00\x00\x04\x00\x00\x00\x00\x00"), uint8(1))
 	f.Add([]byte("\x00\x00\x08\x07\x00\x00\x00\x00\x00\x00\x00"), uint8(3))
 	f.Fuzz(func(t *testing.T, text []byte, cut uint8) {
-		frames := func(size int) (found []streams.Frame, between bool) {
+		frames := func(size int) (found []http2limits.Frame, between bool) {
 			var in follower
 			for rest := text; len(rest) > 0; {
 				piece := rest[:min(size, len(rest))]
--- a/internal/transport/http2/writer.go
+++ b/internal/transport/http2/writer.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"brassdale/internal/decisions/streams"
+	"brassdale/internal/decisions/http2limits"
 )
 
 const (
@@ -27,8 +27,8 @@
 // between two of net/http's.
 type writer struct {
 	conn net.Conn
-	cut  func() error        // ends the connection without a word
-	sent func(streams.Frame) // sees the head of each frame of net/http's
+	cut  func() error            // ends the connection without a word
+	sent func(http2limits.Frame) // sees the head of each frame of net/http's
 
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -42,7 +42,7 @@
 	failed  error
 }
 
-func (w *writer) start(conn net.Conn, cut func() error, sent func(streams.Frame)) {
+func (w *writer) start(conn net.Conn, cut func() error, sent func(http2limits.Frame)) {
 	w.conn, w.cut, w.sent = conn, cut, sent
 	w.changed = sync.NewCond(&w.mu)
 }
@@ -101,7 +101,7 @@
 	_ = w.conn.SetWriteDeadline(w.by) // also for the call that goes on now
 	if frame != nil && !w.begun {     // net/http had no time for its first frame: empty settings will do
 		w.begun = true
-		w.waiting = append(w.waiting, 0, 0, 0, byte(streams.Settings), 0, 0, 0, 0, 0)
+		w.waiting = append(w.waiting, 0, 0, 0, byte(http2limits.Settings), 0, 0, 0, 0, 0)
 	}
 	if frame != nil && w.follow.between() { // else the rest of a frame is missing, which nobody will send now
 		w.waiting = append(w.waiting, frame...)
@@ -162,7 +162,7 @@
 
 func goAwayFrame(last, code uint32, debug string) []byte {
 	n := 8 + len(debug)
-	b := []byte{byte(n >> 16), byte(n >> 8), byte(n), byte(streams.GoAway), 0, 0, 0, 0, 0}
+	b := []byte{byte(n >> 16), byte(n >> 8), byte(n), byte(http2limits.GoAway), 0, 0, 0, 0, 0}
 	b = binary.BigEndian.AppendUint32(b, last)
 	b = binary.BigEndian.AppendUint32(b, code)
 	return append(b, debug...)
--- a/internal/transport/keys.go
+++ b/internal/transport/keys.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/brain"
-	"brassdale/internal/decisions/repeats"
+	"brassdale/internal/decisions/idempotency"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // IdempotencySettings are the operator's, in a block keys.
@@ -106,43 +106,43 @@
 	if job.IdempotencyKey == "" {
 		j = nil
 	}
-	var known *repeats.RememberedJob
+	var known *idempotency.RememberedJob
 	if j != nil {
-		known = &repeats.RememberedJob{Rejected: j.refused(), SameJob: j.digest == digest}
+		known = &idempotency.RememberedJob{Rejected: j.refused(), SameJob: j.digest == digest}
 	}
-	verdict := repeats.Decide(known, again, len(k.jobs) < k.set.Jobs && k.bytes.Load() < int64(k.set.KeepMB)<<20)
-	if verdict == repeats.Start {
+	verdict := idempotency.Decide(known, again, len(k.jobs) < k.set.Jobs && k.bytes.Load() < int64(k.set.KeepMB)<<20)
+	if verdict == idempotency.Start {
 		j = &watched{keys: k, key: job.IdempotencyKey, id: job.ID, digest: digest, changed: make(chan struct{}),
 			window: job.DeduplicationWindow, release: sync.OnceFunc(func() { k.ids.free(job.ID) })}
 	}
-	taken := verdict != repeats.Start || k.ids.Reserve(job.ID, nil) // the predecessor is asked when nothing is held up by it
-	if ok = taken && (verdict == repeats.Start || verdict == repeats.Join); ok {
+	taken := verdict != idempotency.Start || k.ids.Reserve(job.ID, nil) // the predecessor is asked when nothing is held up by it
+	if ok = taken && (verdict == idempotency.Start || verdict == idempotency.Join); ok {
 		j.readers++
 		j.kept = j.kept || kept && job.IdempotencyKey != ""
-		if verdict == repeats.Start && job.IdempotencyKey != "" {
+		if verdict == idempotency.Start && job.IdempotencyKey != "" {
 			k.jobs[job.IdempotencyKey] = j
 		}
 	}
 	k.mu.Unlock()
-	if ok && verdict == repeats.Start && !k.ids.confirm(job.ID) {
+	if ok && verdict == idempotency.Start && !k.ids.confirm(job.ID) {
 		j.end(routing.Answer{Verdict: routing.Rejected}) // for who joined meanwhile: it never ran
 		taken, ok = false, false
 	}
 	switch {
 	case !taken:
 		f.rejectJob(w, r, errIDInUse)
-	case verdict == repeats.TableFull:
+	case verdict == idempotency.TableFull:
 		f.refuse(w, r, job.ClassName, "out of remembered jobs")
-	case verdict == repeats.UnknownKey:
+	case verdict == idempotency.UnknownKey:
 		f.rejectJob(w, r, errUnknown)
-	case verdict == repeats.KeyMismatch:
+	case verdict == idempotency.KeyMismatch:
 		f.rejectJob(w, r, errAnother)
 	}
-	return j, verdict == repeats.Start, ok
+	return j, verdict == idempotency.Start, ok
 }
 
 // submitted notes a job's number at the core.
-func (k *IdempotencyTable) submitted(j *watched, id brain.RequestID) {
+func (k *IdempotencyTable) submitted(j *watched, id scheduler.RequestID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	j.request = id
@@ -153,7 +153,7 @@
 	f.keys.mu.Lock()
 	j.readers--
 	ended := j.ended()
-	over := !ended && repeats.AbandonWithoutReaders(j.readers, j.kept)
+	over := !ended && idempotency.AbandonWithoutReaders(j.readers, j.kept)
 	if over && f.keys.jobs[j.key] == j {
 		delete(f.keys.jobs, j.key) // whoever comes now begins anew
 	}
--- a/internal/transport/shares.go
+++ b/internal/transport/shares.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"sync"
 
-	"brassdale/internal/decisions/shares"
+	"brassdale/internal/decisions/quotas"
 )
 
 // AccountQuotas deals out the room for jobs among accounts, over all fronts together. A nil one has room for all.
@@ -13,7 +13,7 @@
 	set   *QuotaSettings
 	other int                // jobs that another process has open which acts as the same dispatcher
 	caps  map[string]float64 // the most that accounts may have by the fleet's rules
-	table *shares.Table
+	table *quotas.Table
 }
 
 // QuotaSettings are the operator's, in a block accounts.
@@ -38,7 +38,7 @@
 
 // NewAccountQuotas makes the table.
 func NewAccountQuotas(s *QuotaSettings) *AccountQuotas {
-	return &AccountQuotas{set: s, table: shares.New(s.Capacity, s.parts())}
+	return &AccountQuotas{set: s, table: quotas.New(s.Capacity, s.parts())}
 }
 
 // SetQuotas changes the shares; what is open stays open.
--- a/internal/transport/watched.go
+++ b/internal/transport/watched.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 const (
@@ -31,7 +31,7 @@
 	release func() // frees the id, once
 
 	// Guarded by keys.mu.
-	request brain.RequestID
+	request scheduler.RequestID
 	readers int  // that wait for the answer and no more
 	kept    bool // it goes on without any
 
--- a/internal/failover/guide.go
+++ b/internal/zonerouting/guide.go
@@ -1,6 +1,6 @@
-// Package failover has a dispatcher act on the fleet's plan of zones: it says to which zone a job may go, counts what becomes
+// Package zonerouting has a dispatcher act on the fleet's plan of zones: it says to which zone a job may go, counts what becomes
 // of calls, and reports it. What is planned decisions/failover decides at the council's leader.
-package failover
+package zonerouting
 
 import (
 	"hash/fnv"
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"brassdale/brain"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
+	"brassdale/scheduler"
 )
 
 // Router is the dispatcher's part. It is routing's Router.
@@ -21,25 +21,25 @@
 	mu      sync.Mutex
 	watcher *failover.Recorder
 	zone    string // of the dispatcher
-	boxes   map[brain.WorkerID]brain.WorkerInfo
+	boxes   map[scheduler.WorkerID]scheduler.WorkerInfo
 	plan    *failover.Plan
 	alone   bool
-	now     brain.Clock
+	now     scheduler.Clock
 	keys    map[uint64]kept // zones of keys whose window is not over
-	swept   brain.Clock
+	swept   scheduler.Clock
 	shed    int
 }
 
 type kept struct {
 	zone  string
-	until brain.Clock
+	until scheduler.Clock
 }
 
 var _ routing.ZoneRouter = (*Router)(nil)
 
 // New makes it for a dispatcher.
 func New(name string, p *protocol.LiveSettings) *Router {
-	g := &Router{params: p, boxes: map[brain.WorkerID]brain.WorkerInfo{}, keys: map[uint64]kept{}}
+	g := &Router{params: p, boxes: map[scheduler.WorkerID]scheduler.WorkerInfo{}, keys: map[uint64]kept{}}
 	s := p.Current()
 	g.zone = zoneName(s, s.Locality)
 	g.watcher = failover.NewRecorder(name, g.zone, 0)
@@ -69,11 +69,11 @@
 }
 
 // Listed takes news of the boxes.
-func (g *Router) EndpointsUpdated(now brain.Clock, l brain.EndpointsUpdated) {
+func (g *Router) EndpointsUpdated(now scheduler.Clock, l scheduler.EndpointsUpdated) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
-	if l.ListKind == brain.ListFull || l.ListKind == brain.ListCached {
+	if l.ListKind == scheduler.ListFull || l.ListKind == scheduler.ListCached {
 		clear(g.boxes)
 	}
 	for _, w := range l.Workers {
@@ -88,7 +88,7 @@
 
 // Arrived says to which zones a job may be sent, a bit for each number; not ok where it is shed here, and for how long its
 // client should stay away. Jobs of an idempotency key keep their zone for the window in which a repeat is dropped.
-func (g *Router) Route(now brain.Clock, class, key string) (within uint64, away time.Duration, ok bool) {
+func (g *Router) Route(now scheduler.Clock, class, key string) (within uint64, away time.Duration, ok bool) {
 	p := g.params.Current()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,10 +135,12 @@
 }
 
 // at gives the zone of a box.
-func (g *Router) at(id brain.WorkerID) string { return zoneName(g.params.Current(), g.boxes[id].Zone) }
+func (g *Router) at(id scheduler.WorkerID) string {
+	return zoneName(g.params.Current(), g.boxes[id].Zone)
+}
 
 // Began notes that a box has begun a job.
-func (g *Router) AttemptStarted(now brain.Clock, id brain.WorkerID) {
+func (g *Router) AttemptStarted(now scheduler.Clock, id scheduler.WorkerID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
@@ -146,43 +148,43 @@
 }
 
 // Ended counts a call: how long its job waited at the box and ran; silent where nobody answered.
-func (g *Router) AttemptEnded(now brain.Clock, id brain.WorkerID, class string, o brain.Outcome, took, ran time.Duration) {
+func (g *Router) AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, o scheduler.Outcome, took, ran time.Duration) {
 	p := g.params.Current()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
 	switch o {
-	case brain.NeverSent:
-	case brain.Cancelled:
+	case scheduler.NeverSent:
+	case scheduler.Cancelled:
 		if ran == 0 && took >= failover.NoResponseAfter/4 {
 			g.watcher.CallUnanswered(g.at(id), now)
 		}
-	case brain.TimedOut, brain.NoConnect, brain.Reset:
+	case scheduler.TimedOut, scheduler.NoConnect, scheduler.Reset:
 		g.watcher.CallUnanswered(g.at(id), now)
 	default:
-		inTime := o == brain.Served
+		inTime := o == scheduler.Served
 		if i, known := p.Class(class); known {
 			inTime = inTime && took <= p.Classes[i].Aim.Duration()+time.Duration(p.Classes[i].AimStretch*float64(ran))
 		}
-		g.watcher.CallEnded(g.at(id), class, o == brain.Full, inTime, ran, now)
+		g.watcher.CallEnded(g.at(id), class, o == scheduler.Full, inTime, ran, now)
 	}
 }
 
 // Silent counts a call of which there was no sign for a while.
-func (g *Router) AttemptUnanswered(now brain.Clock, id brain.WorkerID) {
+func (g *Router) AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.watcher.CallUnanswered(g.at(id), now)
 }
 
 // Probed counts a probe.
-func (g *Router) ProbeCompleted(id brain.WorkerID, o brain.Outcome) {
+func (g *Router) ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch o {
-	case brain.Served:
+	case scheduler.Served:
 		g.watcher.ResponseReceived(g.at(id), g.now)
-	case brain.NeverSent:
+	case scheduler.NeverSent:
 	default:
 		g.watcher.CallUnanswered(g.at(id), g.now)
 	}
@@ -203,7 +205,7 @@
 	defer g.mu.Unlock()
 	capacity := map[string]float64{}
 	for _, b := range g.boxes {
-		if b.State == brain.Ready {
+		if b.State == scheduler.Ready {
 			age := cold
 			if b.StartedAt > 0 {
 				age = g.now - b.StartedAt
--- a/brain/attempts.go
+++ b/scheduler/attempts.go
@@ -1,6 +1,6 @@
 // The life of attempts, and the final answers that follow from how they end.
 
-package brain
+package scheduler
 
 import (
 	"cmp"
--- a/brain/coldbudget.go
+++ b/scheduler/coldbudget.go
@@ -1,6 +1,6 @@
 // Slow start: how much a worker that has just started may be sent.
 
-package brain
+package scheduler
 
 import (
 	"cmp"
--- a/brain/freshness.go
+++ b/scheduler/freshness.go
@@ -1,6 +1,6 @@
 // Until when a worker may be sent requests without a further word of it, and the health checks that give one.
 
-package brain
+package scheduler
 
 import "time"
 
--- a/brain/health.go
+++ b/scheduler/health.go
@@ -1,6 +1,6 @@
 // Outlier ejection: workers that cannot be reached, say nothing or fail requests get none but trials.
 
-package brain
+package scheduler
 
 import (
 	"fmt"
--- a/brain/load.go
+++ b/scheduler/load.go
@@ -1,6 +1,6 @@
 // The load values of workers, by their reports and the own requests there.
 
-package brain
+package scheduler
 
 import (
 	"math"
--- a/brain/membership.go
+++ b/scheduler/membership.go
@@ -1,6 +1,6 @@
 // Which workers there are, and which of them requests are drawn to.
 
-package brain
+package scheduler
 
 import (
 	"cmp"
--- a/brain/pick.go
+++ b/scheduler/pick.go
@@ -1,6 +1,6 @@
 // Which worker takes a request.
 
-package brain
+package scheduler
 
 import (
 	"math"
--- a/brain/queue.go
+++ b/scheduler/queue.go
@@ -1,6 +1,6 @@
 // Requests as they arrive, and in which order those that are held here are sent.
 
-package brain
+package scheduler
 
 import (
 	"cmp"
--- a/brain/retune_test.go
+++ b/scheduler/retune_test.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import "testing"
 
--- a/brain/review.go
+++ b/scheduler/review.go
@@ -1,6 +1,6 @@
 // The regular round over what is open: overdue requests, hedges, probes.
 
-package brain
+package scheduler
 
 import (
 	"cmp"
--- a/brain/brain.go
+++ b/scheduler/scheduler.go
@@ -1,11 +1,11 @@
-// Package brain decides where a dispatcher pushes its jobs, when it sends them again and when it
+// Package scheduler decides where a dispatcher pushes its jobs, when it sends them again and when it
 // turns them away. Its interface (settings, events, actions) is api.go, its state state.go; the decisions are
 // split by job: membership, load, pick, queue, attempts, review, health, coldbudget.
 //
 // The mechanism is Least Used with Degradation: each worker has a load value, a job goes to the
 // lowest, round robin among ties, each push raises the value by the job's share of the worker, and
 // each report resets it. Everything else is a departure; its comment says when it acts.
-package brain
+package scheduler
 
 import (
 	"cmp"
--- a/brain/brain_test.go
+++ b/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import (
 	"bufio"
@@ -208,7 +208,7 @@
 }
 
 func TestModuleLimits(t *testing.T) {
-	f, err := os.Open("brain.go")
+	f, err := os.Open("scheduler.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,11 +220,11 @@
 			lines++
 		}
 		if len([]rune(sc.Text())) > 110 {
-			t.Errorf("brain.go:%d is longer than 110 characters", n)
+			t.Errorf("scheduler.go:%d is longer than 110 characters", n)
 		}
 	}
 	if lines > 950 || lines == 0 {
-		t.Errorf("brain.go has %d non-blank lines, want at most 950", lines)
+		t.Errorf("scheduler.go has %d non-blank lines, want at most 950", lines)
 	}
 }
 
