--- a/cmd/simulator-adapter/link.go
+++ b/cmd/simulator-adapter/link.go
@@ -67,8 +67,8 @@
 
 // instance is one dispatcher of this process.
 type instance struct {
-	params protocol.Settings
-	scheduler  *scheduler.Scheduler
+	params    protocol.Settings
+	scheduler *scheduler.Scheduler
 }
 
 // link is the state of one conversation with the bench.
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -17,7 +17,9 @@
 
 	"github.com/spf13/cobra"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/canary"
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/voters"
 	"brassdale/internal/fleet"
 	councillog "brassdale/internal/fleet/raftlog"
 )
@@ -49,8 +51,8 @@
 }
 
 // record is all that was agreed on, with what was, as a seat has it.
-func (f *allies) record(ctx context.Context) (agreement.Record, error) {
-	var got struct{ Record agreement.Record }
+func (f *allies) record(ctx context.Context) (configversions.Record, error) {
+	var got struct{ Record configversions.Record }
 	err := f.ask(ctx, "record", nil, &got)
 	return got.Record, err
 }
@@ -96,7 +98,7 @@
 
 // memberOf is a dispatcher of a fleet, by all that is known of it.
 type memberOf struct {
-	agreement.Dispatcher
+	configversions.Dispatcher
 	Gossip string // what its neighbour that was asked knows of it; "-" of other zones
 	Lease  string
 }
@@ -111,15 +113,15 @@
 				return err
 			}
 			var known struct {
-				Present []agreement.Dispatcher
-				Absent  []agreement.AbsentDispatcher
+				Present []configversions.Dispatcher
+				Absent  []configversions.AbsentDispatcher
 			}
 			if err := f.ask(c.Context(), "known", nil, &known); err != nil {
 				fmt.Fprintf(c.ErrOrStderr(), "nobody leads, so these are neighbours alone: %v\n", err)
 			}
 			all := map[string]memberOf{}
 			for _, m := range s.Members {
-				all[m.Name] = memberOf{agreement.Dispatcher{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone, VoterID: m.VoterID, MessageFormat: m.MessageFormat}, string(m.State), "-"}
+				all[m.Name] = memberOf{configversions.Dispatcher{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone, VoterID: m.VoterID, MessageFormat: m.MessageFormat}, string(m.State), "-"}
 			}
 			gossip := func(name string) string {
 				if m, ok := all[name]; ok {
@@ -155,7 +157,7 @@
 	places := s.Voters
 	if places == nil { // not asked at the leader
 		for _, seat := range s.Record.Voters {
-			places = append(places, agreement.VoterStatus{Voter: seat})
+			places = append(places, voters.Status{Voter: seat})
 		}
 	}
 	for _, p := range places {
@@ -174,9 +176,9 @@
 		}}
 }
 
-func historyTable(w io.Writer, r agreement.Record) {
+func historyTable(w io.Writer, r configversions.Record) {
 	fmt.Fprint(w, "version\tretries\trepeat\tout\tshares\tby\twhy\tat\tended\n")
-	row := func(v agreement.Version, ended string) {
+	row := func(v configversions.Version, ended string) {
 		fmt.Fprintf(w, "%d\t%g\t%t\t%v\t%v\t%s\t%s\t%s\t%s\n", v.Number, v.Rules.RetryRatio, v.Rules.RetriesAllowed, v.Rules.DetachedWorkers, v.Rules.Quotas, v.By, v.Reason, v.At.Format(time.RFC3339), ended)
 	}
 	for _, v := range r.History {
@@ -196,16 +198,16 @@
 }
 
 // announce proposes rules to follow the version in force.
-func (f *allies) announce(c *cobra.Command, base uint64, r agreement.Rules, t *agreement.Canary) error {
+func (f *allies) announce(c *cobra.Command, base uint64, r configversions.Rules, t *canary.Rollout) error {
 	by := "unknown"
 	if u, err := user.Current(); err == nil {
 		by = u.Username
 	}
-	text, err := json.Marshal(agreement.Version{Number: base, Rules: r, By: by, Reason: f.why, At: time.Now().UTC(), Canary: t})
+	text, err := json.Marshal(configversions.Version{Number: base, Rules: r, By: by, Reason: f.why, At: time.Now().UTC(), Canary: t})
 	if err != nil {
 		return err
 	}
-	var got struct{ Record agreement.Record }
+	var got struct{ Record configversions.Record }
 	if err := f.ask(c.Context(), "propose", text, &got); err != nil {
 		return err
 	}
@@ -227,13 +229,13 @@
 			if err != nil {
 				return err
 			}
-			var t *agreement.Canary
+			var t *canary.Rollout
 			if stage != "" {
 				percent, err := strconv.ParseFloat(strings.TrimSuffix(stage, "%"), 64)
 				if err != nil || !strings.HasSuffix(stage, "%") {
 					return fmt.Errorf(`--stage: %q is no share such as "10%%"`, stage)
 				}
-				t = &agreement.Canary{Share: percent / 100, MinDuration: span, FailureMargin: margin}
+				t = &canary.Rollout{Share: percent / 100, MinDuration: span, FailureMargin: margin}
 				if err := t.Check(); err != nil {
 					return err
 				}
@@ -277,7 +279,7 @@
 			}
 			r := s.Record.InForce.Rules
 			if s.Record.InForce.Number == 0 {
-				r = agreement.Rules{RetryRatio: -1, RetriesAllowed: true}
+				r = configversions.Rules{RetryRatio: -1, RetriesAllowed: true}
 			}
 			has := slices.Contains(r.DetachedWorkers, args[0])
 			if has == out {
@@ -300,17 +302,17 @@
 				return err
 			}
 			all := append(slices.Clone(r.History), r.InForce)
-			pick := func(n, usual int) (agreement.Version, error) {
+			pick := func(n, usual int) (configversions.Version, error) {
 				if n >= len(args) {
 					if usual < 0 {
-						return agreement.Version{}, errors.New("no version was in force before")
+						return configversions.Version{}, errors.New("no version was in force before")
 					}
 					return all[usual], nil
 				}
 				number, err := strconv.ParseUint(args[n], 10, 64)
-				i := slices.IndexFunc(all, func(v agreement.Version) bool { return err == nil && v.Number == number })
+				i := slices.IndexFunc(all, func(v configversions.Version) bool { return err == nil && v.Number == number })
 				if i < 0 {
-					return agreement.Version{}, fmt.Errorf("no version %s was in force, as far as is kept", args[n])
+					return configversions.Version{}, fmt.Errorf("no version %s was in force, as far as is kept", args[n])
 				}
 				return all[i], nil
 			}
@@ -330,7 +332,7 @@
 }
 
 // differences gives a line for each that there is.
-func differences(a, b agreement.Rules) (lines []string) {
+func differences(a, b configversions.Rules) (lines []string) {
 	if a.RetryRatio != b.RetryRatio {
 		lines = append(lines, fmt.Sprintf("retries %g -> %g", a.RetryRatio, b.RetryRatio))
 	}
--- a/internal/command/zones.go
+++ b/internal/command/zones.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/fleet"
 )
@@ -31,7 +31,7 @@
 		if u, err := user.Current(); err == nil {
 			by = u.Username
 		}
-		text, err := json.Marshal(agreement.ZoneLimit{Zone: zone, Share: share, By: by, Reason: f.why, Force: force})
+		text, err := json.Marshal(configversions.ZoneLimit{Zone: zone, Share: share, By: by, Reason: f.why, Force: force})
 		if err != nil {
 			return err
 		}
--- a/internal/decisions/agreement/trial.go
+++ b/internal/decisions/canary/canary.go
@@ -1,4 +1,6 @@
-package agreement
+// Package canary decides which dispatchers try a new version of the fleet's rules first, and whether what they report lets all
+// others follow. Values in, verdicts out: no I/O, no clock, no goroutine.
+package canary
 
 import (
 	"fmt"
@@ -7,9 +9,9 @@
 	"time"
 )
 
-// Canary has a version kept by a part of the dispatchers first. They keep to the stricter of it and of what is in force, as
+// Rollout has a version kept by a part of the dispatchers first. They keep to the stricter of it and of what is in force, as
 // behind any announcement; the others have not been told. What the version loosens is therefore not tried.
-type Canary struct {
+type Rollout struct {
 	Share         float64       `json:"share"`  // of the dispatchers
 	MinDuration   time.Duration `json:"for"`    // so long at least
 	FailureMargin float64       `json:"margin"` // by which the part of their jobs that is refused or fails may be above the others'
@@ -22,7 +24,7 @@
 )
 
 // Check tells what is wrong with a trial; with none there is nothing.
-func (t *Canary) Check() error {
+func (t *Rollout) Check() error {
 	switch {
 	case t == nil:
 	case !(t.Share > 0 && t.Share <= 1):
@@ -36,7 +38,7 @@
 }
 
 // Includes tells whether a dispatcher is of the part that tries a version. It is another part for each version.
-func (t *Canary) Includes(name string, version uint64) bool {
+func (t *Rollout) Includes(name string, version uint64) bool {
 	if t == nil {
 		return true
 	}
@@ -49,6 +51,17 @@
 	return float64(x)/math.MaxUint64 < t.Share
 }
 
+// Clock is a point in time of one process: the time since an epoch of its own, which never moves back.
+type Clock = time.Duration
+
+// Sample is what a dispatcher reports of the jobs that it has ended since its process started.
+type Sample struct {
+	Dispatcher string // its name
+	Instance   string // of the process: drawn at its start
+	JobsEnded  uint64
+	JobsFailed uint64 // of those: rejected or failed
+}
+
 // Outcome is what became of a trial.
 type Outcome uint8
 
@@ -63,28 +76,28 @@
 type Evaluation struct {
 	version uint64
 	begin   Clock
-	first   map[string]Dispatcher // as they were at the start, or when they came
-	last    map[string]Dispatcher
+	first   map[string]Sample // as they were at the start, or when they came
+	last    map[string]Sample
 }
 
 // NewEvaluation begins.
 func NewEvaluation(version uint64, now Clock) *Evaluation {
-	return &Evaluation{version: version, begin: now, first: map[string]Dispatcher{}, last: map[string]Dispatcher{}}
+	return &Evaluation{version: version, begin: now, first: map[string]Sample{}, last: map[string]Sample{}}
 }
 
 // Version is the one that is tried.
 func (t *Evaluation) Version() uint64 { return t.version }
 
 // Observe takes in what a dispatcher says of its jobs. One whose process is another one begins anew.
-func (t *Evaluation) Observe(m Dispatcher) {
-	if was, ok := t.first[m.Name]; !ok || was.Instance != m.Instance || m.JobsEnded < was.JobsEnded {
-		t.first[m.Name] = m
+func (t *Evaluation) Observe(m Sample) {
+	if was, ok := t.first[m.Dispatcher]; !ok || was.Instance != m.Instance || m.JobsEnded < was.JobsEnded {
+		t.first[m.Dispatcher] = m
 	}
-	t.last[m.Name] = m
+	t.last[m.Dispatcher] = m
 }
 
 // Judge tells what becomes of the trial now, and why.
-func (t *Evaluation) Judge(trial *Canary, now Clock) (Outcome, string) {
+func (t *Evaluation) Judge(trial *Rollout, now Clock) (Outcome, string) {
 	var ended, bad [2]float64 // of the others, of the part that tries
 	for name, m := range t.last {
 		part := 0
--- a/internal/decisions/agreement/agreement_test.go
+++ b/internal/decisions/configversions/configversions_test.go
@@ -1,4 +1,4 @@
-package agreement
+package configversions
 
 import (
 	"errors"
--- a/internal/decisions/agreement/agreement.go
+++ b/internal/decisions/configversions/record.go
@@ -1,4 +1,4 @@
-// Package agreement decides which version of the fleet's rules a dispatcher may act on, and when a council may put the next
+// Package configversions decides which version of the fleet's rules a dispatcher may act on, and when a council may put the next
 // one in force. Values in, verdicts out: no I/O, no clock, no goroutine.
 //
 // A change goes in two steps. It is announced: who hears of it keeps to the stricter of both versions, and says so with its
@@ -11,7 +11,7 @@
 //  1. No two dispatchers that hold leases act on versions that have nothing in common.
 //  2. A dispatcher from which the council cannot be reached acts with restraint one lease after it last asked, at the latest.
 //  3. A change waits for one lease, lengthened by Drift, and no longer, whoever is gone.
-package agreement
+package configversions
 
 import (
 	"cmp"
@@ -22,7 +22,9 @@
 	"slices"
 	"time"
 
+	"brassdale/internal/decisions/canary"
 	"brassdale/internal/decisions/failover"
+	"brassdale/internal/decisions/voters"
 )
 
 // Clock is a point in time of one process: since an epoch of its own, never moved back.
@@ -120,12 +122,12 @@
 
 // Version is one version of the rules. Numbers go up by one.
 type Version struct {
-	Number uint64    `json:"number"`
-	Rules  Rules     `json:"rules"`
-	By     string    `json:"by"`
-	Reason string    `json:"why"`
-	At     time.Time `json:"at"`              // by the proposer's clock: for people, nothing is decided by it
-	Canary *Canary   `json:"trial,omitempty"` // while only a part of the dispatchers keeps to it; nil for all
+	Number uint64          `json:"number"`
+	Rules  Rules           `json:"rules"`
+	By     string          `json:"by"`
+	Reason string          `json:"why"`
+	At     time.Time       `json:"at"`              // by the proposer's clock: for people, nothing is decided by it
+	Canary *canary.Rollout `json:"trial,omitempty"` // while only a part of the dispatchers keeps to it; nil for all
 }
 
 // Record is what the fleet has agreed on. The council's log makes it, entry by entry; everybody has it as of some revision.
@@ -136,17 +138,17 @@
 	Announced   *Version       `json:"announced,omitempty"`
 	History     []Version      `json:"history,omitempty"`   // those that were in force, the newest last
 	Withdrawn   []Withdrawal   `json:"withdrawn,omitempty"` // the newest last
-	Voters      []Voter        `json:"council,omitempty"`
+	Voters      []voters.Voter `json:"council,omitempty"`
 	Plan        *failover.Plan `json:"plan,omitempty"`      // where zones' jobs are served; nil where nobody plans
 	ZoneLimits  []ZoneLimit    `json:"holds,omitempty"`     // zones that people hold at a share of their capacity
 	NextVoterID uint64         `json:"next_seat,omitempty"` // no number is used twice
 }
 
 // Voter gives the council's seat of a number.
-func (r Record) Voter(id uint64) (Voter, bool) {
-	i := slices.IndexFunc(r.Voters, func(s Voter) bool { return s.ID == id })
+func (r Record) Voter(id uint64) (voters.Voter, bool) {
+	i := slices.IndexFunc(r.Voters, func(s voters.Voter) bool { return s.ID == id })
 	if i < 0 {
-		return Voter{}, false
+		return voters.Voter{}, false
 	}
 	return r.Voters[i], true
 }
@@ -185,7 +187,7 @@
 	Withdraw   uint64         `json:"withdraw,omitempty"` // the same: it is given up
 	EndCanary  uint64         `json:"widen,omitempty"`    // the same: its trial is over, all keep to it
 	Reason     string         `json:"why,omitempty"`      // of a withdrawal
-	Voters     []Voter        `json:"council,omitempty"`  // who sits in the council from now on
+	Voters     []voters.Voter `json:"council,omitempty"`  // who sits in the council from now on
 	Plan       *failover.Plan `json:"plan,omitempty"`     // the next one
 	ZoneLimit  *ZoneLimit     `json:"hold,omitempty"`
 }
--- a/internal/decisions/agreement/stored_test.go
+++ b/internal/decisions/configversions/stored_test.go
@@ -1,4 +1,4 @@
-package agreement
+package configversions
 
 import (
 	"encoding/json"
@@ -7,7 +7,9 @@
 	"testing"
 	"time"
 
+	"brassdale/internal/decisions/canary"
 	"brassdale/internal/decisions/failover"
+	"brassdale/internal/decisions/voters"
 )
 
 func storedVersion(number uint64) Version {
@@ -15,12 +17,12 @@
 	return Version{
 		Number: number, By: "by-1", Reason: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
 		Rules:  Rules{RetryRatio: base + 0.1, RetriesAllowed: true, DetachedWorkers: []string{"worker-a", "worker-b"}, Quotas: map[string]float64{"account-1": 0.25}},
-		Canary: &Canary{Share: 0.5, MinDuration: 7, FailureMargin: 0.75},
+		Canary: &canary.Rollout{Share: 0.5, MinDuration: 7, FailureMargin: 0.75},
 	}
 }
 
 var (
-	storedSeat = Voter{ID: 21, Name: "dispatcher-1", Address: "127.0.0.1:9001", Region: "region-1", Zone: "zone-1", Learner: true}
+	storedSeat = voters.Voter{ID: 21, Name: "dispatcher-1", Address: "127.0.0.1:9001", Region: "region-1", Zone: "zone-1", Learner: true}
 	storedHold = ZoneLimit{Zone: "zone-2", Share: 0.125, By: "by-2", Reason: "why-2", Force: true}
 	storedPlan = failover.Plan{Number: 31, Reasons: map[string]string{"zone-1": "why-3"},
 		Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-3", Share: 0.625}}}}}
@@ -34,15 +36,15 @@
 	return map[string]any{
 		"record": Record{
 			Epoch: 11, Revision: 12, InForce: storedVersion(1), Announced: &announced, History: []Version{storedVersion(3)},
-			Withdrawn: []Withdrawal{{Version: storedVersion(4), Reason: "why-4"}}, Voters: []Voter{storedSeat}, Plan: &storedPlan,
+			Withdrawn: []Withdrawal{{Version: storedVersion(4), Reason: "why-4"}}, Voters: []voters.Voter{storedSeat}, Plan: &storedPlan,
 			ZoneLimits: []ZoneLimit{storedHold}, NextVoterID: 13,
 		},
 		"entry": Entry{ID: "entry-1", Announce: &announced, PutInForce: 51, Withdraw: 52, EndCanary: 53, Reason: "why-5",
-			Voters: []Voter{storedSeat}, Plan: &storedPlan, ZoneLimit: &storedHold},
+			Voters: []voters.Voter{storedSeat}, Plan: &storedPlan, ZoneLimit: &storedHold},
 		"member":  storedMember,
 		"absent":  AbsentDispatcher{Dispatcher: storedMember, Left: true, AbsentFor: 61},
-		"place":   VoterStatus{Voter: storedSeat, SilentFor: 62, EntriesBehind: 63, IsLeader: true},
-		"founder": Founder{Incarnation: "incarnation-1", FoundingVoters: map[uint64]string{71: "incarnation-2"}},
+		"place":   voters.Status{Voter: storedSeat, SilentFor: 62, EntriesBehind: 63, IsLeader: true},
+		"founder": voters.Founder{Incarnation: "incarnation-1", FoundingVoters: map[uint64]string{71: "incarnation-2"}},
 	}
 }
 
--- a/internal/decisions/agreement/seats.go
+++ b/internal/decisions/voters/voters.go
@@ -1,4 +1,6 @@
-package agreement
+// Package voters decides which dispatchers vote in the fleet's raft group: who may found it, which voter is replaced by whom,
+// and in which order a dispatcher contacts them. Values in, verdicts out: no I/O, no clock, no goroutine.
+package voters
 
 import (
 	"cmp"
@@ -18,16 +20,26 @@
 	Learner bool   `json:"learner,omitempty"` // it gets the log and does not vote yet
 }
 
-// VoterStatus is what the leader sees of a seat.
-type VoterStatus struct {
+// Candidate is a dispatcher that holds a lease: one that votes already, or one that may be asked to.
+type Candidate struct {
+	Name               string
+	Address            string
+	Region             string
+	Zone               string
+	VoterID            uint64 // under which it votes or learns; 0 for none
+	DedicatedToControl bool   // its machine serves no jobs, and is preferred as a voter
+}
+
+// Status is what the leader sees of a seat.
+type Status struct {
 	Voter
 	SilentFor     time.Duration `json:"Silent"` // since the log last heard of it; 0 for the leader's own
 	EntriesBehind uint64        `json:"Behind"` // entries that it has not got yet
 	IsLeader      bool          `json:"Leads,omitempty"`
 }
 
-// VoterChange changes one thing about the council.
-type VoterChange struct {
+// Change changes one thing about the council.
+type Change struct {
 	AddLearner         *Voter // takes this one in as a learner
 	Promote            uint64 // this learner votes from now on ...
 	Remove             uint64 // ... in place of this seat, or this one goes
@@ -45,8 +57,8 @@
 // is done while a seat is silent for a moment, one thing at a time, and never one that would leave fewer seats that are there than now. members are
 // who holds a lease. The one who is taken has its machine set aside for control, if there is such a one, and is of the region
 // and zone with the fewest seats.
-func PlanChange(council []VoterStatus, members []Dispatcher, next uint64, patience time.Duration) (m VoterChange, ok bool) {
-	var gone, learner, spare, aside *VoterStatus // spare sits at a dispatcher that serves jobs, aside on a machine set aside
+func PlanChange(council []Status, members []Candidate, next uint64, patience time.Duration) (m Change, ok bool) {
+	var gone, learner, spare, aside *Status // spare sits at a dispatcher that serves jobs, aside on a machine set aside
 	for i := range council {
 		p := &council[i]
 		for _, m := range members {
@@ -58,7 +70,7 @@
 				aside = p
 			}
 		}
-		lost := slices.ContainsFunc(members, func(m Dispatcher) bool { return m.Address == p.Address && m.VoterID != p.ID && m.VoterID == 0 })
+		lost := slices.ContainsFunc(members, func(m Candidate) bool { return m.Address == p.Address && m.VoterID != p.ID && m.VoterID == 0 })
 		switch {
 		case p.Learner:
 			learner = p
@@ -68,13 +80,13 @@
 			}
 		}
 	}
-	free := func(m Dispatcher) bool {
+	free := func(m Candidate) bool {
 		return m.DedicatedToControl && m.Address != "" && (m.VoterID == 0 || learner != nil && m.VoterID == learner.ID)
 	}
 	if gone == nil && spare != nil && slices.ContainsFunc(members, free) {
 		if spare.IsLeader {
 			if learner == nil && aside != nil {
-				return VoterChange{TransferLeadership: aside.ID}, true
+				return Change{TransferLeadership: aside.ID}, true
 			}
 		} else {
 			gone = spare
@@ -82,17 +94,17 @@
 	}
 	switch {
 	case learner != nil && (gone == nil || learner.SilentFor > patience):
-		return VoterChange{Remove: learner.ID}, true
+		return Change{Remove: learner.ID}, true
 	case learner != nil && learner.EntriesBehind <= caughtUp && learner.SilentFor < patience/learnSpans:
-		return VoterChange{Promote: learner.ID, Remove: gone.ID}, true
+		return Change{Promote: learner.ID, Remove: gone.ID}, true
 	case learner != nil || gone == nil:
-		return VoterChange{}, false
+		return Change{}, false
 	}
-	var best *Dispatcher
+	var best *Candidate
 	var least [3]int
 	for i := range members {
 		m := &members[i]
-		if m.VoterID != 0 || m.Address == "" || slices.ContainsFunc(council, func(p VoterStatus) bool { return p.Address == m.Address && p.ID != gone.ID }) {
+		if m.VoterID != 0 || m.Address == "" || slices.ContainsFunc(council, func(p Status) bool { return p.Address == m.Address && p.ID != gone.ID }) {
 			continue
 		}
 		has := [3]int{}
@@ -115,9 +127,9 @@
 		}
 	}
 	if best == nil || gone == spare && !best.DedicatedToControl {
-		return VoterChange{}, false
+		return Change{}, false
 	}
-	return VoterChange{AddLearner: &Voter{ID: next, Name: best.Name, Address: best.Address, Region: best.Region, Zone: best.Zone, Learner: true}}, true
+	return Change{AddLearner: &Voter{ID: next, Name: best.Name, Address: best.Address, Region: best.Region, Zone: best.Zone, Learner: true}}, true
 }
 
 // ContactOrder gives the seats in the order in which a dispatcher asks them: of its zone first, then of its region, then the others;
--- a/internal/decisions/agreement/council_test.go
+++ b/internal/decisions/voters/voters_test.go
@@ -1,7 +1,6 @@
-package agreement
+package voters
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"testing"
@@ -10,103 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-// A second process of a name gets no lease before the first's has run out, and then counts as one that knows nothing; one
-// that left gives way at once.
-func TestNameInUse(t *testing.T) {
-	c := NewLeaseTable(2*tick, -100*tick)
-	first, second := Dispatcher{Name: "n", Instance: "1", AcknowledgedVersion: 7}, Dispatcher{Name: "n", Instance: "2", AcknowledgedVersion: 3}
-	if err := errors.Join(c.Renew(first, 0), c.Renew(first, tick)); err != nil {
-		t.Fatal(err)
-	}
-	if err := c.Renew(second, 3*tick); !errors.Is(err, ErrNameInUse) {
-		t.Errorf("within the first's lease: %v", err)
-	}
-	if err := c.Renew(second, tick+2*tick+tick/10); err != nil {
-		t.Error(err)
-	}
-	if may, waits := c.MayPutInForce(7, 3*tick+tick/10); may || fmt.Sprint(waits) != "[n]" {
-		t.Errorf("what the first acknowledged counts for the second: %v %v", may, waits)
-	}
-	c.LeaseDropped("n", "1", 0)
-	if c.Renew(first, 4*tick) == nil {
-		t.Error("an end of the first was taken for one of the second")
-	}
-	c.LeaseDropped("n", "2", 0)
-	if err := c.Renew(first, 4*tick); err != nil {
-		t.Error(err)
-	}
-}
-
-// A trial keeps to about its share of the dispatchers, and of those alone the version is known; one that does harm is
-// stopped, one that does none passes, whatever their rate of failures is, and one without jobs ends.
-func TestTrial(t *testing.T) {
-	in := 0
-	trial := &Canary{Share: 0.3, MinDuration: 10 * time.Second, FailureMargin: 0.02}
-	for i := range 1000 {
-		if trial.Includes(fmt.Sprint("n", i), 5) {
-			in++
-		}
-	}
-	if in < 250 || in > 350 {
-		t.Errorf("%d of 1000 try it", in)
-	}
-	h := NewLessee("n0", Record{})
-	announced, err := Record{}.Apply(Entry{Announce: &Version{Rules: Rules{RetryRatio: 0.1, RetriesAllowed: true}, Canary: &Canary{Share: 1e-9, MinDuration: 1}}})
-	if err != nil || !h.ApplyRecord(announced) || h.Acknowledged() != 0 || len(h.Effective(0).Versions) != 1 {
-		t.Errorf("%v, acknowledged %d, %+v", err, h.Acknowledged(), h.Effective(0))
-	}
-	if _, err := announced.Apply(Entry{PutInForce: 1}); !errors.Is(err, ErrCanaryRunning) {
-		t.Error(err)
-	}
-	widened, err := announced.Apply(Entry{EndCanary: 1})
-	if err != nil || !h.ApplyRecord(widened) || h.Acknowledged() != 1 || len(h.Effective(0).Versions) != 2 {
-		t.Errorf("widened: %v, %+v", err, h.Effective(0))
-	}
-	rapid.Check(t, func(t *rapid.T) {
-		rate, harm := rapid.Float64Range(0, 0.5).Draw(t, "rate"), rapid.SampledFrom([]float64{0, 0.4}).Draw(t, "harm")
-		jobs := rapid.SampledFrom([]int{0, 1000}).Draw(t, "jobs")
-		y := NewEvaluation(5, 0)
-		see := func(part float64) {
-			for i := range 20 {
-				m := Dispatcher{Name: fmt.Sprint("n", i), JobsEnded: 100, JobsFailed: 100}
-				m.JobsEnded += uint64(part * float64(jobs))
-				add := rate
-				if trial.Includes(m.Name, 5) {
-					add += harm
-				}
-				m.JobsFailed += uint64(part * float64(jobs) * add)
-				y.Observe(m)
-			}
-		}
-		see(0)
-		if o, _ := y.Judge(trial, 0); o != InProgress {
-			t.Fatalf("at the start: %v", o)
-		}
-		see(1)
-		want := map[bool]Outcome{true: Failed, false: Passed}[harm > 0 || jobs == 0]
-		if o, why := y.Judge(trial, 30*time.Second); o != want {
-			t.Fatalf("%v, %s", o, why)
-		}
-		if o, _ := y.Judge(trial, time.Second); o == Passed || harm > 0 && jobs > 0 && o != Failed {
-			t.Fatalf("early: %v", o)
-		}
-	})
-}
-
 // Whatever happens to seats, a council comes to five that are there, over as many zones as can be, without ever having fewer
 // that vote and are there than it had; while all are there nothing moves.
 func TestReseat(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const patience = 30 * time.Second
-		var council []VoterStatus
-		var members []Dispatcher
+		var council []Status
+		var members []Candidate
 		zones := []string{"a", "b", "c"}
 		for i := range 5 {
-			council = append(council, VoterStatus{Voter: Voter{ID: uint64(i + 1), Address: fmt.Sprint("v", i), Zone: zones[i%3]}})
-			members = append(members, Dispatcher{Name: fmt.Sprint("v", i), Address: fmt.Sprint("v", i), Zone: zones[i%3], VoterID: uint64(i + 1)})
+			council = append(council, Status{Voter: Voter{ID: uint64(i + 1), Address: fmt.Sprint("v", i), Zone: zones[i%3]}})
+			members = append(members, Candidate{Name: fmt.Sprint("v", i), Address: fmt.Sprint("v", i), Zone: zones[i%3], VoterID: uint64(i + 1)})
 		}
 		for i := range rapid.IntRange(2, 6).Draw(t, "followers") {
-			members = append(members, Dispatcher{Name: fmt.Sprint("f", i), Address: fmt.Sprint("f", i), Zone: zones[rapid.IntRange(0, 2).Draw(t, "zone")]})
+			members = append(members, Candidate{Name: fmt.Sprint("f", i), Address: fmt.Sprint("f", i), Zone: zones[rapid.IntRange(0, 2).Draw(t, "zone")]})
 		}
 		if m, ok := PlanChange(council, members, 6, patience); ok {
 			t.Fatalf("nobody is gone, and %+v", m)
@@ -115,7 +31,7 @@
 		for n := rapid.IntRange(1, 2).Draw(t, "gone"); n > 0; n-- {
 			i := rapid.IntRange(1, 4).Draw(t, "who")
 			council[i].SilentFor = 2 * patience
-			members = slices.DeleteFunc(members, func(m Dispatcher) bool { return m.Address == council[i].Address })
+			members = slices.DeleteFunc(members, func(m Candidate) bool { return m.Address == council[i].Address })
 		}
 		there := func() (n int) {
 			for _, p := range council {
@@ -132,7 +48,7 @@
 				break
 			}
 			if m.AddLearner != nil {
-				council = append(council, VoterStatus{Voter: *m.AddLearner, EntriesBehind: 10})
+				council = append(council, Status{Voter: *m.AddLearner, EntriesBehind: 10})
 				for i := range members {
 					if members[i].Name == m.AddLearner.Name {
 						members[i].VoterID = next
@@ -140,7 +56,7 @@
 				}
 				next++
 			}
-			council = slices.DeleteFunc(council, func(p VoterStatus) bool { return p.ID == m.Remove })
+			council = slices.DeleteFunc(council, func(p Status) bool { return p.ID == m.Remove })
 			for i := range council {
 				if council[i].ID == m.Promote {
 					council[i].Learner = false
@@ -161,13 +77,13 @@
 	// Machines that are set aside have the seats in the end, as many as there are, also the leader's, and wherever seats were
 	// before; then nothing moves.
 	rapid.Check(t, func(t *rapid.T) {
-		var council []VoterStatus
-		var members []Dispatcher
+		var council []Status
+		var members []Candidate
 		for i := range 9 {
-			m := Dispatcher{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i), Zone: string("abc"[i%3]), DedicatedToControl: rapid.Bool().Draw(t, "set aside")}
+			m := Candidate{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i), Zone: string("abc"[i%3]), DedicatedToControl: rapid.Bool().Draw(t, "set aside")}
 			if i < 5 {
 				m.VoterID = uint64(i + 1)
-				council = append(council, VoterStatus{Voter: Voter{ID: m.VoterID, Name: m.Name, Address: m.Address, Zone: m.Zone}, IsLeader: i == 0})
+				council = append(council, Status{Voter: Voter{ID: m.VoterID, Name: m.Name, Address: m.Address, Zone: m.Zone}, IsLeader: i == 0})
 			}
 			members = append(members, m)
 		}
@@ -184,7 +100,7 @@
 				break
 			}
 			if m.AddLearner != nil {
-				council = append(council, VoterStatus{Voter: *m.AddLearner})
+				council = append(council, Status{Voter: *m.AddLearner})
 				for i := range members {
 					if members[i].Name == m.AddLearner.Name {
 						members[i].VoterID = next
@@ -202,7 +118,7 @@
 					t.Fatalf("the leader unseats itself: %+v", m)
 				}
 			}
-			council = slices.DeleteFunc(council, func(p VoterStatus) bool { return p.ID == m.Remove })
+			council = slices.DeleteFunc(council, func(p Status) bool { return p.ID == m.Remove })
 			for i := range members {
 				if members[i].VoterID == m.Remove {
 					members[i].VoterID = 0
@@ -240,12 +156,12 @@
 		}
 	})
 	// A seat whose dispatcher is there without its disk is given away sooner; one that is back before its heir votes keeps it.
-	council := []VoterStatus{{Voter: Voter{ID: 1, Address: "a"}}, {Voter: Voter{ID: 2, Address: "b"}, SilentFor: 10 * time.Second}}
-	members := []Dispatcher{{Name: "a", Address: "a", VoterID: 1}, {Name: "b", Address: "b"}}
+	council := []Status{{Voter: Voter{ID: 1, Address: "a"}}, {Voter: Voter{ID: 2, Address: "b"}, SilentFor: 10 * time.Second}}
+	members := []Candidate{{Name: "a", Address: "a", VoterID: 1}, {Name: "b", Address: "b"}}
 	if m, ok := PlanChange(council, members, 3, 30*time.Second); !ok || m.AddLearner == nil || m.AddLearner.Name != "b" || m.AddLearner.ID != 3 {
 		t.Errorf("%+v", m)
 	}
-	council = append(council, VoterStatus{Voter: Voter{ID: 3, Address: "b", Learner: true}})
+	council = append(council, Status{Voter: Voter{ID: 3, Address: "b", Learner: true}})
 	council[1].SilentFor = 0
 	members[1].VoterID = 3
 	if m, ok := PlanChange(council, members, 4, 30*time.Second); !ok || m.Remove != 3 || m.Promote != 0 {
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 )
 
 // operator is a process's file.
@@ -136,7 +136,7 @@
 			return err
 		}
 	case Pace:
-		x.env = []string{fmt.Sprintf("BRASSDALE_TEST_PACE=%g", map[bool]float64{false: 1 + agreement.MaxClockDrift/2, true: 1 - agreement.MaxClockDrift/2}[e.Reverse])}
+		x.env = []string{fmt.Sprintf("BRASSDALE_TEST_PACE=%g", map[bool]float64{false: 1 + configversions.MaxClockDrift/2, true: 1 - configversions.MaxClockDrift/2}[e.Reverse])}
 	}
 	until(f.ctx, end)
 	f.back(x)
--- a/internal/faults/propose.go
+++ b/internal/faults/propose.go
@@ -12,7 +12,8 @@
 	"sync"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/canary"
+	"brassdale/internal/decisions/configversions"
 )
 
 // proposals announces rules now and then, at some process that is there. Where some are of an older build every other
@@ -24,7 +25,7 @@
 		if !until(f.ctx, at) {
 			return
 		}
-		rules := agreement.Rules{RetryRatio: float64(rng.IntN(10)) / 10, RetriesAllowed: rng.IntN(4) > 0}
+		rules := configversions.Rules{RetryRatio: float64(rng.IntN(10)) / 10, RetriesAllowed: rng.IntN(4) > 0}
 		if n++; f.Older > 0 && n%2 == 0 {
 			rules.Quotas = map[string]float64{"deeside-aero": 0.5}
 		}
@@ -33,13 +34,13 @@
 }
 
 // propose announces rules, if nothing is under way, and tells whether that was taken.
-func (f *play) propose(at string, rules agreement.Rules, trial *agreement.Canary) bool {
-	var s struct{ Record agreement.Record }
+func (f *play) propose(at string, rules configversions.Rules, trial *canary.Rollout) bool {
+	var s struct{ Record configversions.Record }
 	if f.call(at, "status", nil, &s) != nil || s.Record.Announced != nil {
 		return false
 	}
-	text, err := json.Marshal(agreement.Version{Number: s.Record.InForce.Number, Rules: rules, By: "rig", Reason: "drawn", At: time.Now(), Canary: trial})
-	var got struct{ Record agreement.Record }
+	text, err := json.Marshal(configversions.Version{Number: s.Record.InForce.Number, Rules: rules, By: "rig", Reason: "drawn", At: time.Now(), Canary: trial})
+	var got struct{ Record configversions.Record }
 	if err == nil {
 		err = f.call(at, "propose", text, &got)
 	}
@@ -57,11 +58,11 @@
 
 // stage has half the processes try rules under which nothing is served, until that is taken.
 func (f *play) stage() error {
-	var rules agreement.Rules
+	var rules configversions.Rules
 	for _, id := range f.works.Boxes() {
 		rules.DetachedWorkers = append(rules.DetachedWorkers, string(id))
 	}
-	for !f.propose(f.voters[0], rules, &agreement.Canary{Share: 0.5, MinDuration: 3 * time.Second, FailureMargin: 0.05}) {
+	for !f.propose(f.voters[0], rules, &canary.Rollout{Share: 0.5, MinDuration: 3 * time.Second, FailureMargin: 0.05}) {
 		if !until(f.ctx, time.Now().Add(50*time.Millisecond)) {
 			return f.ctx.Err()
 		}
@@ -75,12 +76,12 @@
 	var wait sync.WaitGroup
 	for i := range taken {
 		wait.Go(func() {
-			taken[i] = f.propose(f.voters[i], agreement.Rules{RetryRatio: float64(i), RetriesAllowed: true}, nil)
+			taken[i] = f.propose(f.voters[i], configversions.Rules{RetryRatio: float64(i), RetriesAllowed: true}, nil)
 		})
 	}
 	wait.Wait()
 	if taken[0] && taken[1] {
-		var s struct{ Record agreement.Record }
+		var s struct{ Record configversions.Record }
 		if err := f.call(f.voters[0], "status", nil, &s); err != nil {
 			return err
 		}
@@ -112,7 +113,7 @@
 	if f.Voters == 0 {
 		return
 	}
-	var s struct{ Record agreement.Record }
+	var s struct{ Record configversions.Record }
 	for i, at := range f.ats {
 		if f.all[i].lost || f.call(at, "status", nil, &s) != nil {
 			continue
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -17,9 +17,11 @@
 
 	"github.com/google/renameio/v2"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/canary"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/gossippeers"
+	"brassdale/internal/decisions/voters"
 	"brassdale/internal/fleet/gossip"
 	"brassdale/internal/listen"
 	"brassdale/internal/traffic"
@@ -36,10 +38,10 @@
 // Options make a dispatcher's part.
 type Options struct {
 	Settings       *Settings
-	Name           string                     // of the dispatcher
-	Zone           string                     // where its settings say none
-	ApplyEffective func(agreement.Effective)  // is told of each change of what may be acted on; must not block
-	JobCounts      func() (ended, bad uint64) // since the start; bad are those refused or failed
+	Name           string                         // of the dispatcher
+	Zone           string                         // where its settings say none
+	ApplyEffective func(configversions.Effective) // is told of each change of what may be acted on; must not block
+	JobCounts      func() (ended, bad uint64)     // since the start; bad are those refused or failed
 
 	Overload       *Overload     // nil where nothing is dealt out
 	MaxDispatchers func() int    // dispatchers that there are at the most
@@ -69,28 +71,28 @@
 	listener net.Listener
 	members  *gossip.Membership
 	visitor  gossippeers.Exchanger // the renewals'
-	reported agreement.Clock       // the same: when a question last had a report
+	reported configversions.Clock  // the same: when a question last had a report
 	changed  chan struct{}         // what may be acted on may have changed
 	renewNow chan struct{}
 	purse    *purse
 	slow     chan struct{} // has a place for each whole record that is being sent
 
 	mu       sync.Mutex
-	holder   *agreement.Lessee
-	seat     *seat                  // nil for a follower
-	founder  *agreement.Founder     // what this dispatcher's file says, while it founds or has founded
-	leads    *agreement.LeaseTable  // nil while it does not lead
-	trying   *agreement.Evaluation  // nil while it leads no trial
-	planner  *failover.Planner      // nil while it does not lead
-	treasury *treasury              // the same, and where nothing is dealt out
-	register *gossippeers.Directory // nil while it does not lead
-	planned  string                 // what was said of plans
-	planAt   agreement.Clock        // when the leader looks for another one
-	turn     int                    // seats that were asked in vain, one after the other
-	heard    bool                   // the record is one that entries may follow: on file, or the last answer\'s
-	last     string                 // what was applied
-	turned   string                 // what was said of a seat that it has not
-	news     chan struct{}          // closed when the council's record changes
+	holder   *configversions.Lessee
+	seat     *seat                      // nil for a follower
+	founder  *voters.Founder            // what this dispatcher's file says, while it founds or has founded
+	leads    *configversions.LeaseTable // nil while it does not lead
+	trying   *canary.Evaluation         // nil while it leads no trial
+	planner  *failover.Planner          // nil while it does not lead
+	treasury *treasury                  // the same, and where nothing is dealt out
+	register *gossippeers.Directory     // nil while it does not lead
+	planned  string                     // what was said of plans
+	planAt   configversions.Clock       // when the leader looks for another one
+	turn     int                        // seats that were asked in vain, one after the other
+	heard    bool                       // the record is one that entries may follow: on file, or the last answer\'s
+	last     string                     // what was applied
+	turned   string                     // what was said of a seat that it has not
+	news     chan struct{}              // closed when the council's record changes
 	counts   Counts
 }
 
@@ -127,7 +129,7 @@
 	if o.Failover != nil {
 		a.trusted, _ = time.ParseDuration(o.Failover.MaxPlanAge) // the operator's file was checked
 	}
-	a.holder = agreement.NewLessee(o.Name, a.kept())
+	a.holder = configversions.NewLessee(o.Name, a.kept())
 	a.heard = a.holder.Record().Revision > 0
 	a.purse = newPurse(o.Overload, a.among(), a.now())
 	return a, nil
@@ -192,7 +194,7 @@
 }
 
 // now is monotonic: a clock that is set back or on moves nothing.
-func (a *Agent) now() agreement.Clock {
+func (a *Agent) now() configversions.Clock {
 	return time.Duration(float64(time.Since(a.start)) * a.pace)
 }
 
@@ -213,7 +215,7 @@
 }
 
 // Effective is what may be acted on now. Who was frozen finds its lease run out.
-func (a *Agent) Effective() agreement.Effective {
+func (a *Agent) Effective() configversions.Effective {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.Effective(a.now())
@@ -325,7 +327,7 @@
 }
 
 // learned takes a record in that came without a lease.
-func (a *Agent) learned(r agreement.Record) {
+func (a *Agent) learned(r configversions.Record) {
 	a.mu.Lock()
 	fresh := a.holder.ApplyRecord(r)
 	a.settled()
@@ -340,19 +342,19 @@
 func (a *Agent) knownFile() string { return filepath.Join(a.s.Directory, "known.json") }
 
 // kept reads what was known at the last end. What cannot be read is as nothing: the lease is what counts.
-func (a *Agent) kept() (r agreement.Record) {
+func (a *Agent) kept() (r configversions.Record) {
 	text, err := os.ReadFile(a.knownFile())
 	if err == nil {
 		err = json.Unmarshal(text, &r)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		a.log.Warn("what the fleet agreed on is not known", "err", err)
-		return agreement.Record{}
+		return configversions.Record{}
 	}
 	return r
 }
 
-func (a *Agent) keep(r agreement.Record) {
+func (a *Agent) keep(r configversions.Record) {
 	text, err := json.Marshal(r.WithoutHistory())
 	if err == nil {
 		err = renameio.WriteFile(a.knownFile(), text, 0o600)
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
 	"brassdale/internal/decisions/budgetleases"
+	"brassdale/internal/decisions/configversions"
 )
 
 // purse is what this dispatcher may spend of the fleet's budgets.
@@ -15,10 +15,10 @@
 	mu      sync.Mutex
 	holders map[string]*budgetleases.Lessee
 	firsts  uint64
-	at      agreement.Clock
+	at      configversions.Clock
 }
 
-func newPurse(o *Overload, among int, now agreement.Clock) *purse {
+func newPurse(o *Overload, among int, now configversions.Clock) *purse {
 	p := &purse{holders: map[string]*budgetleases.Lessee{}, at: now}
 	for _, kind := range o.kinds() {
 		s := budgetleases.Settings{RatePerSecond: o.rate(kind, 0), UnleasedShare: freeShare, MaxLessees: among}
@@ -60,7 +60,7 @@
 }
 
 // leased takes the rates of a lease in.
-func (a *Agent) leased(dealt json.RawMessage, asked agreement.Clock, lease time.Duration) {
+func (a *Agent) leased(dealt json.RawMessage, asked configversions.Clock, lease time.Duration) {
 	var rates map[string]float64
 	if dealt == nil || json.Unmarshal(dealt, &rates) != nil {
 		return
@@ -104,7 +104,7 @@
 	dealers map[string]*budgetleases.Lessor
 	rates   map[string]float64
 	firsts  map[string]first
-	retuned agreement.Clock // by how many first calls all make
+	retuned configversions.Clock // by how many first calls all make
 }
 
 // retuneEvery is for how long the budgets go by what all did before: one who asks is no reason to go through all.
@@ -112,7 +112,7 @@
 
 type first struct {
 	rate float64
-	at   agreement.Clock
+	at   configversions.Clock
 }
 
 // newTreasury begins without knowing of any lease.
--- a/internal/fleet/council.go
+++ b/internal/fleet/council.go
@@ -10,7 +10,8 @@
 	"sync"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/voters"
 	councillog "brassdale/internal/fleet/raftlog"
 	"brassdale/internal/traffic"
 )
@@ -34,7 +35,7 @@
 }
 
 // since gives what has changed since a revision, for who acts on it: a whole record goes without what was.
-func (s *seat) since(era, revision uint64) (entries []agreement.Entry, whole *agreement.Record, toEra, to uint64) {
+func (s *seat) since(era, revision uint64) (entries []configversions.Entry, whole *configversions.Record, toEra, to uint64) {
 	entries, whole, toEra, to = s.log.EntriesSince(era, revision)
 	if whole != nil {
 		brief := whole.WithoutHistory()
@@ -72,10 +73,10 @@
 }
 
 // take opens the seat that a record, or the settings where there is none, gives this dispatcher.
-func (a *Agent) take(ctx context.Context, r agreement.Record) error {
+func (a *Agent) take(ctx context.Context, r configversions.Record) error {
 	first := uint64(a.s.VoterID)
 	if len(r.Voters) > 0 {
-		var s agreement.Voter // the last that it was given: while it is given anew the one that it lost is still there
+		var s voters.Voter // the last that it was given: while it is given anew the one that it lost is still there
 		for _, had := range r.Voters {
 			if had.Address == a.address() && (had.Name == "" || had.Name == a.Name) && had.ID > s.ID {
 				s = had
@@ -103,7 +104,7 @@
 	a.founder = &f
 	a.mu.Unlock()
 	if f.FoundingVoters == nil {
-		others := map[uint64]agreement.Founder{}
+		others := map[uint64]voters.Founder{}
 		for _, s := range a.s.founders() {
 			if s.ID == first {
 				continue
@@ -111,16 +112,16 @@
 			by, stop := context.WithDeadline(ctx, time.Now().Add(callWithin))
 			status, text, err := Call(a.Meter.Call(by, traffic.Other), a.client, "http://"+a.s.reach(s.Address)+"/council/founder", nil, time.Now().Add(callWithin))
 			stop()
-			var o agreement.Founder
+			var o voters.Founder
 			if err == nil && status == http.StatusOK && json.Unmarshal(text, &o) == nil && o.Incarnation != "" {
 				others[s.ID] = o
 			}
 		}
-		what, roll := agreement.DecideFounding(first, f.Incarnation, others, len(a.s.Voters))
+		what, roll := voters.DecideFounding(first, f.Incarnation, others, len(a.s.Voters))
 		switch what {
-		case agreement.WaitForFounders:
+		case voters.WaitForFounders:
 			return nil
-		case agreement.NotAFounder:
+		case voters.NotAFounder:
 			a.said("this file is not the one that the council was founded with: the dispatcher goes on as a follower")
 			return nil
 		}
@@ -147,12 +148,12 @@
 }
 
 // seated opens the seat's log and runs it.
-func (a *Agent) seated(ctx context.Context, id uint64, founders []agreement.Voter) error {
+func (a *Agent) seated(ctx context.Context, id uint64, founders []voters.Voter) error {
 	ctx, stop := context.WithCancel(ctx)
 	s := &seat{stop: stop, ended: make(chan struct{}), peers: map[uint64]*peer{}}
 	log, err := councillog.Open(councillog.Options{VoterID: id, Founders: founders, Directory: a.s.Directory, Log: a.log,
 		Send:          func(to uint64, m []byte) { a.send(ctx, s, to, m) },
-		RecordChanged: func(r agreement.Record) { a.inLog(r) }, LeadershipChanged: a.elected})
+		RecordChanged: func(r configversions.Record) { a.inLog(r) }, LeadershipChanged: a.elected})
 	if err != nil {
 		stop()
 		return err
@@ -193,7 +194,7 @@
 }
 
 // inLog takes what the log has applied. It does not block.
-func (a *Agent) inLog(r agreement.Record) {
+func (a *Agent) inLog(r configversions.Record) {
 	a.mu.Lock()
 	a.holder.ApplyRecord(r)
 	a.settled()
@@ -235,7 +236,7 @@
 		if len(council) == 0 {
 			council = a.s.founders()
 		}
-		i := slices.IndexFunc(council, func(o agreement.Voter) bool { return o.ID == to })
+		i := slices.IndexFunc(council, func(o voters.Voter) bool { return o.ID == to })
 		if i < 0 {
 			continue // it has no seat any more
 		}
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/gossippeers"
 	"brassdale/internal/traffic"
@@ -42,7 +42,7 @@
 				}
 			}
 			if a.trying != nil {
-				a.trying.Observe(q.Dispatcher)
+				a.trying.Observe(canarySample(q.Dispatcher))
 			}
 			var report failover.Report
 			if a.planner != nil && q.Report != nil && json.Unmarshal(q.Report, &report) == nil {
@@ -65,11 +65,11 @@
 	return got, http.StatusOK
 }
 
-func holder(m agreement.Dispatcher) gossippeers.Member {
+func holder(m configversions.Dispatcher) gossippeers.Member {
 	return gossippeers.Member{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone}
 }
 
-func holders(present []agreement.Dispatcher) (all []gossippeers.Member) {
+func holders(present []configversions.Dispatcher) (all []gossippeers.Member) {
 	for _, m := range present {
 		all = append(all, holder(m))
 	}
@@ -77,7 +77,7 @@
 }
 
 // fits tells whether who asks can be of the fleet as it stands.
-func (a *Agent) fits(q question, r agreement.Record) error {
+func (a *Agent) fits(q question, r configversions.Record) error {
 	needs := r.InForce.Rules.MinMessageFormat()
 	if v := r.Announced; v != nil {
 		needs = max(needs, v.Rules.MinMessageFormat())
@@ -85,7 +85,7 @@
 	switch {
 	case q.Epoch > r.Epoch:
 		a.fenced(q.Epoch)
-		return agreement.ErrOldEpoch
+		return configversions.ErrOldEpoch
 	case q.MessageFormat < leastForm || q.MessageFormat < needs:
 		return fmt.Errorf("form %d of messages: the fleet needs %d", q.MessageFormat, max(needs, leastForm))
 	}
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -7,32 +7,33 @@
 	"strconv"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
+	"brassdale/internal/decisions/voters"
 	"brassdale/internal/fleet/gossip"
 	"brassdale/internal/traffic"
 )
 
 // Status is what a dispatcher tells of the fleet.
 type Status struct {
-	Name              string                  `json:"name"`
-	Fleet             string                  `json:"fleet"`
-	VoterID           uint64                  `json:"seat,omitempty"`
-	Leader            uint64                  `json:"leader,omitempty"`
-	IsLeader          bool                    `json:"leads,omitempty"`
-	EffectiveVersions []uint64                `json:"acting"`
-	LeaseExpired      bool                    `json:"lapsed,omitempty"`
-	LeaseLeftMS       int64                   `json:"lease_left_ms"`
-	Record            agreement.Record        `json:"record"`
-	LeaseHolders      []agreement.Dispatcher  `json:"present,omitempty"` // who holds a lease, where this one leads
-	WaitingFor        []string                `json:"waits,omitempty"`   // for whom an announced version waits
-	Voters            []agreement.VoterStatus `json:"places,omitempty"`  // the council's seats, where this one leads
-	Members           []gossip.Member         `json:"members,omitempty"` // by gossip
-	Zones             []failover.ZoneView     `json:"zones,omitempty"`   // as the leader plans them
-	PlanExpired       bool                    `json:"alone,omitempty"`   // it does not trust its plan any more
-	BudgetUsage       []BudgetUsage           `json:"spent,omitempty"`   // of the fleet's budgets, here
-	BudgetsGranted    []BudgetGranted         `json:"dealt,omitempty"`   // and by all, where this one leads
-	Counts            Counts                  `json:"counts"`
+	Name              string                      `json:"name"`
+	Fleet             string                      `json:"fleet"`
+	VoterID           uint64                      `json:"seat,omitempty"`
+	Leader            uint64                      `json:"leader,omitempty"`
+	IsLeader          bool                        `json:"leads,omitempty"`
+	EffectiveVersions []uint64                    `json:"acting"`
+	LeaseExpired      bool                        `json:"lapsed,omitempty"`
+	LeaseLeftMS       int64                       `json:"lease_left_ms"`
+	Record            configversions.Record       `json:"record"`
+	LeaseHolders      []configversions.Dispatcher `json:"present,omitempty"` // who holds a lease, where this one leads
+	WaitingFor        []string                    `json:"waits,omitempty"`   // for whom an announced version waits
+	Voters            []voters.Status             `json:"places,omitempty"`  // the council's seats, where this one leads
+	Members           []gossip.Member             `json:"members,omitempty"` // by gossip
+	Zones             []failover.ZoneView         `json:"zones,omitempty"`   // as the leader plans them
+	PlanExpired       bool                        `json:"alone,omitempty"`   // it does not trust its plan any more
+	BudgetUsage       []BudgetUsage               `json:"spent,omitempty"`   // of the fleet's budgets, here
+	BudgetsGranted    []BudgetGranted             `json:"dealt,omitempty"`   // and by all, where this one leads
+	Counts            Counts                      `json:"counts"`
 
 	ControlTraffic map[string]traffic.Count `json:"control"` // bytes and messages that control cost this process, by kind
 }
@@ -103,7 +104,7 @@
 		a.reply(w, status, got)
 	})
 	mux.HandleFunc("POST /council/propose", func(w http.ResponseWriter, r *http.Request) {
-		var v agreement.Version
+		var v configversions.Version
 		if err := a.decode(r, &v); err != nil {
 			a.reply(w, http.StatusBadRequest, answer{Why: err.Error()})
 			return
@@ -112,7 +113,7 @@
 		a.reply(w, status, got)
 	})
 	mux.HandleFunc("POST /council/hold", func(w http.ResponseWriter, r *http.Request) {
-		var h agreement.ZoneLimit
+		var h configversions.ZoneLimit
 		if err := a.decode(r, &h); err != nil || h.Zone == "" || !(h.Share >= 0 && h.Share <= 1) || a.Failover == nil {
 			a.reply(w, http.StatusBadRequest, answer{Why: "no hold of a zone"})
 			return
@@ -125,7 +126,7 @@
 		f := a.founder
 		a.mu.Unlock()
 		if f == nil {
-			f = &agreement.Founder{}
+			f = &voters.Founder{}
 		}
 		a.reply(w, http.StatusOK, f)
 	})
@@ -157,7 +158,7 @@
 	case err != nil || bad != nil:
 		a.reply(w, http.StatusBadRequest, answer{Why: "no messages to a seat"})
 	case era < known:
-		a.reply(w, http.StatusGone, answer{Why: agreement.ErrOldEpoch.Error(), Era: known})
+		a.reply(w, http.StatusGone, answer{Why: configversions.ErrOldEpoch.Error(), Era: known})
 	case s == nil:
 		a.reply(w, http.StatusMisdirectedRequest, answer{Why: "no seat"})
 	case era > s.log.Record().Epoch && s.log.Record().Revision > 0:
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -8,9 +8,11 @@
 	"net/http"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/canary"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/gossippeers"
+	"brassdale/internal/decisions/voters"
 )
 
 // elected is told by the log. A new leader begins without knowing of any lease.
@@ -21,7 +23,7 @@
 		a.treasury = a.newTreasury()
 	}
 	if leads {
-		a.leads, a.register = agreement.NewLeaseTable(a.lease, a.now()), gossippeers.NewDirectory()
+		a.leads, a.register = configversions.NewLeaseTable(a.lease, a.now()), gossippeers.NewDirectory()
 		if a.Failover != nil {
 			s, regions := a.Failover.planner()
 			a.planner = failover.NewPlanner(s, regions, a.holder.Record().Plan, a.now())
@@ -58,7 +60,7 @@
 		present := leads.LeaseHolders(a.now())
 		a.mu.Unlock()
 		places, next := s.log.VoterStatuses(), s.log.Record().NextVoterID
-		if m, ok := agreement.PlanChange(places, present, next, a.patience); ok {
+		if m, ok := voters.PlanChange(places, voterCandidates(present), next, a.patience); ok {
 			by, stop := context.WithDeadline(ctx, time.Now().Add(callWithin))
 			err := s.log.ChangeVoters(by, m)
 			stop()
@@ -68,8 +70,28 @@
 	}
 }
 
+// voterCandidates gives the dispatchers that hold leases as candidates for the raft group.
+func voterCandidates(leaseHolders []configversions.Dispatcher) []voters.Candidate {
+	candidates := make([]voters.Candidate, 0, len(leaseHolders))
+	for _, dispatcher := range leaseHolders {
+		candidates = append(candidates, voters.Candidate{
+			Name: dispatcher.Name, Address: dispatcher.Address, Region: dispatcher.Region, Zone: dispatcher.Zone,
+			VoterID: dispatcher.VoterID, DedicatedToControl: dispatcher.DedicatedToControl,
+		})
+	}
+	return candidates
+}
+
+// canarySample gives what a dispatcher reports of its jobs.
+func canarySample(dispatcher configversions.Dispatcher) canary.Sample {
+	return canary.Sample{
+		Dispatcher: dispatcher.Name, Instance: dispatcher.Instance,
+		JobsEnded: dispatcher.JobsEnded, JobsFailed: dispatcher.JobsFailed,
+	}
+}
+
 // due gives the entry whose time has come.
-func (a *Agent) due(s *seat, leads *agreement.LeaseTable) (agreement.Entry, bool) {
+func (a *Agent) due(s *seat, leads *configversions.LeaseTable) (configversions.Entry, bool) {
 	r := s.log.Record()
 	v := r.Announced
 	a.mu.Lock()
@@ -78,22 +100,22 @@
 		return e, true
 	}
 	if v == nil {
-		return agreement.Entry{}, false
+		return configversions.Entry{}, false
 	}
 	if v.Canary != nil {
 		if a.trying == nil || a.trying.Version() != v.Number {
-			a.trying = agreement.NewEvaluation(v.Number, a.now())
+			a.trying = canary.NewEvaluation(v.Number, a.now())
 		}
 		switch o, why := a.trying.Judge(v.Canary, a.now()); o {
-		case agreement.Passed:
-			return agreement.Entry{ID: rand.Text(), EndCanary: v.Number}, true
-		case agreement.Failed:
-			return agreement.Entry{ID: rand.Text(), Withdraw: v.Number, Reason: why}, true
+		case canary.Passed:
+			return configversions.Entry{ID: rand.Text(), EndCanary: v.Number}, true
+		case canary.Failed:
+			return configversions.Entry{ID: rand.Text(), Withdraw: v.Number, Reason: why}, true
 		}
-		return agreement.Entry{}, false
+		return configversions.Entry{}, false
 	}
 	may, _ := leads.MayPutInForce(v.Number, a.now())
-	return agreement.Entry{ID: rand.Text(), PutInForce: v.Number}, may
+	return configversions.Entry{ID: rand.Text(), PutInForce: v.Number}, may
 }
 
 // planEvery is how often the leader looks whether another plan is called for.
@@ -101,13 +123,13 @@
 
 // plans gives the next plan, once all that hold leases act on the last: two plans at a time are in use, and no more; a.mu is
 // held.
-func (a *Agent) plans(r agreement.Record, leads *agreement.LeaseTable) (agreement.Entry, bool) {
+func (a *Agent) plans(r configversions.Record, leads *configversions.LeaseTable) (configversions.Entry, bool) {
 	last := uint64(0)
 	if r.Plan != nil {
 		last = r.Plan.Number
 	}
 	if a.planner == nil || a.now() < a.planAt || !leads.AllOnPlan(last, a.now()) {
-		return agreement.Entry{}, false
+		return configversions.Entry{}, false
 	}
 	a.planAt = a.now() + planEvery
 	for zone := range a.planner.Regions() {
@@ -121,13 +143,13 @@
 	}
 	if p, made := a.planner.Next(a.now()); made {
 		a.log.Info("plan made", "number", p.Number, "why", fmt.Sprint(p.Reasons))
-		return agreement.Entry{ID: rand.Text(), Plan: p}, true
+		return configversions.Entry{ID: rand.Text(), Plan: p}, true
 	}
-	return agreement.Entry{}, false
+	return configversions.Entry{}, false
 }
 
 // hold has a zone held at a share of its capacity, where there is room for the rest elsewhere or it is forced.
-func (a *Agent) hold(ctx context.Context, h agreement.ZoneLimit, passed bool) (answer, int) {
+func (a *Agent) hold(ctx context.Context, h configversions.ZoneLimit, passed bool) (answer, int) {
 	a.mu.Lock()
 	s, planner := a.seat, a.planner
 	var shed, then float64
@@ -149,7 +171,7 @@
 	}
 	by, stop := context.WithDeadline(ctx, time.Now().Add(3*callWithin))
 	defer stop()
-	if err := s.log.Propose(by, agreement.Entry{ID: rand.Text(), ZoneLimit: &h}); err != nil {
+	if err := s.log.Propose(by, configversions.Entry{ID: rand.Text(), ZoneLimit: &h}); err != nil {
 		return answer{Why: err.Error()}, http.StatusServiceUnavailable
 	}
 	return answer{Why: room}, http.StatusOK
@@ -176,7 +198,7 @@
 }
 
 // passOn has a seat answer what this dispatcher was asked; a nil body gets.
-func (a *Agent) passOn(ctx context.Context, to agreement.Voter, what string, body any) (answer, int) {
+func (a *Agent) passOn(ctx context.Context, to voters.Voter, what string, body any) (answer, int) {
 	by, stop := context.WithDeadline(ctx, time.Now().Add(4*callWithin))
 	defer stop()
 	got, status, err := a.post(by, to.Address, what, body)
@@ -217,7 +239,7 @@
 }
 
 // propose announces a version, at whichever seat leads.
-func (a *Agent) propose(ctx context.Context, v agreement.Version, passed bool) (answer, int) {
+func (a *Agent) propose(ctx context.Context, v configversions.Version, passed bool) (answer, int) {
 	if err := v.Rules.Check(); err != nil {
 		return answer{Why: err.Error()}, http.StatusBadRequest
 	}
@@ -237,12 +259,12 @@
 		}
 		ctx, stop := context.WithDeadline(ctx, time.Now().Add(3*callWithin))
 		defer stop()
-		err := s.log.Propose(ctx, agreement.Entry{ID: rand.Text(), Announce: &v})
+		err := s.log.Propose(ctx, configversions.Entry{ID: rand.Text(), Announce: &v})
 		record := s.log.Record().WithoutHistory()
 		switch {
 		case err == nil:
 			return answer{Record: &record}, http.StatusOK
-		case errors.Is(err, agreement.ErrChangeInProgress), errors.Is(err, agreement.ErrNotNextVersion):
+		case errors.Is(err, configversions.ErrChangeInProgress), errors.Is(err, configversions.ErrNotNextVersion):
 			return answer{Why: err.Error(), Record: &record}, http.StatusConflict
 		default: // nobody knows whether it is announced: the status tells
 			return answer{Why: err.Error()}, http.StatusServiceUnavailable
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/gossippeers"
 	"brassdale/internal/traffic"
 )
@@ -27,7 +27,7 @@
 
 // question asks for a lease.
 type question struct {
-	agreement.Dispatcher
+	configversions.Dispatcher
 	Revision uint64          `json:"revision"`         // of the record that is known; 0 for the whole record
 	Report   json.RawMessage `json:"report,omitempty"` // a failover.Report
 	Demand   json.RawMessage `json:"demand,omitempty"` // uses a second of each budget, by its name
@@ -59,8 +59,8 @@
 
 // answer gives a lease, or news of the record, or says who may.
 type answer struct {
-	Record   *agreement.Record          `json:"record,omitempty"`  // whole, ...
-	Entries  []agreement.Entry          `json:"entries,omitempty"` // ... or what changed since the revision that was said
+	Record   *configversions.Record     `json:"record,omitempty"`  // whole, ...
+	Entries  []configversions.Entry     `json:"entries,omitempty"` // ... or what changed since the revision that was said
 	LeaseMS  int64                      `json:"lease_ms,omitempty"`
 	Era      uint64                     `json:"era,omitempty"`
 	Revision uint64                     `json:"revision,omitempty"` // that the leader has
@@ -69,8 +69,8 @@
 	Rates    map[string]json.RawMessage `json:"rates,omitempty"`    // by dispatcher; in each by budget
 	Why      string                     `json:"why,omitempty"`
 
-	Present []agreement.Dispatcher       `json:"present,omitempty"` // who holds leases, ...
-	Absent  []agreement.AbsentDispatcher `json:"absent,omitempty"`  // ... and who held one lately
+	Present []configversions.Dispatcher       `json:"present,omitempty"` // who holds leases, ...
+	Absent  []configversions.AbsentDispatcher `json:"absent,omitempty"`  // ... and who held one lately
 
 	Form       int                                    `json:"form,omitempty"`       // the leader's
 	Neighbours map[string]*gossippeers.PeerSuggestion `json:"neighbours,omitempty"` // by the dispatcher that knows others than the leader
--- a/internal/fleet/peers_test.go
+++ b/internal/fleet/peers_test.go
@@ -11,7 +11,8 @@
 	"strings"
 	"testing"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/voters"
 )
 
 // FuzzFrames takes batches apart that nobody put together; those that were come back as they were.
@@ -67,7 +68,7 @@
 
 func options(dir string) Options {
 	return Options{Settings: &Settings{Name: "t", Listen: "127.0.0.1:0", Voters: []string{"127.0.0.1:1"}, Directory: dir, LeaseDuration: "1s", ReplaceAfter: "30s"}, Name: "n0",
-		ApplyEffective: func(agreement.Effective) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+		ApplyEffective: func(configversions.Effective) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
 // FuzzAnswer puts what no seat answers onto a record: it is refused, or follows from it.
@@ -80,7 +81,7 @@
 		if json.Unmarshal(text, &got) != nil {
 			return
 		}
-		r, err := got.onto(agreement.Record{})
+		r, err := got.onto(configversions.Record{})
 		if err == nil && got.Record == nil && r.Revision != uint64(len(got.Entries)) {
 			t.Fatalf("%d entries make revision %d", len(got.Entries), r.Revision)
 		}
@@ -90,11 +91,11 @@
 // Entries follow the record that was asked about. Put onto a newer one, which the subscription had brought meanwhile, those
 // that any record takes were counted twice, and the dispatcher took itself for newer than its council for good.
 func TestEntriesFollowTheQuestion(t *testing.T) {
-	council := func(id uint64) agreement.Entry {
-		return agreement.Entry{Voters: []agreement.Voter{{ID: id, Address: "x"}}}
+	council := func(id uint64) configversions.Entry {
+		return configversions.Entry{Voters: []voters.Voter{{ID: id, Address: "x"}}}
 	}
-	asked, _ := agreement.Record{}.Apply(council(1))
-	got := answer{Entries: []agreement.Entry{council(2)}, Revision: 2}
+	asked, _ := configversions.Record{}.Apply(council(1))
+	got := answer{Entries: []configversions.Entry{council(2)}, Revision: 2}
 	newer, err := got.onto(asked)
 	if err != nil || newer.Revision != 2 {
 		t.Fatalf("%+v, %v", newer, err)
@@ -118,7 +119,7 @@
 		t.Errorf("at first %+v", st)
 	}
 	a := open()
-	a.keep(agreement.Record{Revision: 2, InForce: agreement.Version{Number: 1, Rules: agreement.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
+	a.keep(configversions.Record{Revision: 2, InForce: configversions.Version{Number: 1, Rules: configversions.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
 	if st := open().Effective(); !st.LeaseExpired || st.Versions[0] != 1 || st.Rules.RetriesAllowed || len(st.Rules.DetachedWorkers) != 1 {
 		t.Errorf("then %+v", st)
 	}
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -19,7 +19,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/voters"
 )
 
 const (
@@ -43,10 +44,10 @@
 // Options make a seat's part.
 type Options struct {
 	VoterID           uint64
-	Founders          []agreement.Voter // of the first council; nil for a seat that came later
+	Founders          []voters.Voter // of the first council; nil for a seat that came later
 	Directory         string
 	Send              func(to uint64, message []byte) // to another seat; must not block
-	RecordChanged     func(agreement.Record)          // behind each entry that changed the record; must not block
+	RecordChanged     func(configversions.Record)     // behind each entry that changed the record; must not block
 	LeadershipChanged func(leads bool)                // must not block
 	Log               *slog.Logger
 
@@ -63,10 +64,10 @@
 	done  chan struct{}
 
 	mu     sync.Mutex
-	record agreement.Record
+	record configversions.Record
 	leader uint64
-	places []agreement.VoterStatus // of the council, while this seat leads
-	tail   []agreement.Entry       // the entries that made the record's last revisions, the newest last
+	places []voters.Status        // of the council, while this seat leads
+	tail   []configversions.Entry // the entries that made the record's last revisions, the newest last
 
 	// Owned by Run.
 	applied  uint64
@@ -85,8 +86,8 @@
 }
 
 type call struct {
-	entry  *agreement.Entry // with move nil too, to confirm
-	move   *agreement.VoterChange
+	entry  *configversions.Entry // with move nil too, to confirm
+	move   *voters.Change
 	answer chan<- error
 }
 
@@ -131,7 +132,7 @@
 	if len(s.GetData()) == 0 {
 		return nil
 	}
-	var r agreement.Record
+	var r configversions.Record
 	if err := json.Unmarshal(s.GetData(), &r); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
@@ -142,7 +143,7 @@
 }
 
 // Record is what was applied here.
-func (l *Log) Record() agreement.Record {
+func (l *Log) Record() configversions.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.record
@@ -159,7 +160,7 @@
 func (l *Log) VoterID() uint64 { return l.o.VoterID }
 
 // VoterStatuses is what the leader sees of the council's seats; nil at others.
-func (l *Log) VoterStatuses() []agreement.VoterStatus {
+func (l *Log) VoterStatuses() []voters.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.places)
@@ -167,7 +168,7 @@
 
 // EntriesSince gives what has changed since a revision, and the era and revision that this leads to: entries to apply to the record
 // of that revision where they are still known, else the whole record.
-func (l *Log) EntriesSince(era, revision uint64) (entries []agreement.Entry, whole *agreement.Record, toEra, to uint64) {
+func (l *Log) EntriesSince(era, revision uint64) (entries []configversions.Entry, whole *configversions.Record, toEra, to uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record
@@ -193,7 +194,7 @@
 }
 
 // Propose has an entry applied and gives what that said. Where the context ends before, it may still be.
-func (l *Log) Propose(ctx context.Context, e agreement.Entry) error {
+func (l *Log) Propose(ctx context.Context, e configversions.Entry) error {
 	return l.ask(ctx, call{entry: &e})
 }
 
@@ -202,7 +203,7 @@
 
 // ChangeVoters changes the council, one move at a time. It returns once the move is in the log of this seat; the record tells when
 // it has come about.
-func (l *Log) ChangeVoters(ctx context.Context, m agreement.VoterChange) error {
+func (l *Log) ChangeVoters(ctx context.Context, m voters.Change) error {
 	return l.ask(ctx, call{move: &m})
 }
 
@@ -361,7 +362,7 @@
 
 func (l *Log) apply(e *raftpb.Entry) {
 	l.applied = e.GetIndex()
-	var entry agreement.Entry
+	var entry configversions.Entry
 	var err error
 	switch {
 	case e.GetType() == raftpb.EntryConfChangeV2:
@@ -378,7 +379,7 @@
 	}
 	if err == nil {
 		l.mu.Lock()
-		var next agreement.Record
+		var next configversions.Record
 		if next, err = l.record.Apply(entry); err == nil {
 			l.record = next
 			if l.tail = append(l.tail, entry); len(l.tail) > tailEntries {
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -16,7 +16,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/voters"
 )
 
 // council is voters in one process, with a network between them that loses what it is told to.
@@ -34,9 +35,9 @@
 
 const mostSeats = 8
 
-func founders(n int) (all []agreement.Voter) {
+func founders(n int) (all []voters.Voter) {
 	for i := range n {
-		all = append(all, agreement.Voter{ID: uint64(i + 1), Address: fmt.Sprint("a", i+1)})
+		all = append(all, voters.Voter{ID: uint64(i + 1), Address: fmt.Sprint("a", i+1)})
 	}
 	return all
 }
@@ -59,11 +60,11 @@
 
 func (c *council) start(seat int) {
 	c.t.Helper()
-	var first []agreement.Voter
+	var first []voters.Voter
 	if seat <= c.n {
 		first = founders(c.n)
 	}
-	l, err := Open(Options{VoterID: uint64(seat), Founders: first, Directory: c.dirs[seat], RecordChanged: func(agreement.Record) {}, LeadershipChanged: func(bool) {},
+	l, err := Open(Options{VoterID: uint64(seat), Founders: first, Directory: c.dirs[seat], RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), SnapshotEvery: 30, Send: func(id uint64, m []byte) {
 			to := int(id)
 			c.mu.Lock()
@@ -137,7 +138,7 @@
 }
 
 // change has an entry applied, whoever leads when.
-func (c *council) change(e agreement.Entry) {
+func (c *council) change(e configversions.Entry) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		_, l := c.leader()
@@ -173,13 +174,13 @@
 	c.t.Fatalf("revision %d never came to %v", revision, seats)
 }
 
-func text(r agreement.Record) string {
+func text(r configversions.Record) string {
 	text, _ := json.Marshal(r)
 	return string(text)
 }
 
-func announce(base uint64) agreement.Entry {
-	return agreement.Entry{ID: fmt.Sprint("a", base), Announce: &agreement.Version{Number: base, Rules: agreement.Rules{RetryRatio: 0.1, RetriesAllowed: true}}}
+func announce(base uint64) configversions.Entry {
+	return configversions.Entry{ID: fmt.Sprint("a", base), Announce: &configversions.Version{Number: base, Rules: configversions.Rules{RetryRatio: 0.1, RetriesAllowed: true}}}
 }
 
 // The leader ends between the two steps, and comes back: the change goes on with another, and all have the same. Then all
@@ -189,7 +190,7 @@
 	c.change(announce(0))
 	old, _ := c.leader()
 	c.stop(old)
-	c.change(agreement.Entry{ID: "f1", PutInForce: 1})
+	c.change(configversions.Entry{ID: "f1", PutInForce: 1})
 	c.start(old)
 	c.agree(3, 1, 2, 3)
 	for seat := 1; seat <= 3; seat++ {
@@ -216,7 +217,7 @@
 		t.Error("a leader without a majority confirms")
 	}
 	stop()
-	c.change(agreement.Entry{ID: "f1", PutInForce: 1})
+	c.change(configversions.Entry{ID: "f1", PutInForce: 1})
 	c.set(func(int, int) bool { return false })
 	c.agree(3, 1, 2, 3, 4, 5)
 }
@@ -275,7 +276,7 @@
 	c.set(func(int, int) bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.1 })
 	for n := range uint64(keepBehind) {
 		c.change(announce(n))
-		c.change(agreement.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
+		c.change(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
 	}
 	c.start(behind)
 	c.agree(2*keepBehind+1, 1, 2, 3)
@@ -292,7 +293,7 @@
 	c.stop(behind)
 	for n := range uint64(keepBehind) {
 		c.change(announce(n))
-		c.change(agreement.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
+		c.change(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
 	}
 	c.mu.Lock()
 	c.snaps = 2
@@ -310,7 +311,7 @@
 	gone := lead%3 + 1
 	c.stop(gone)
 	const fresh = 4
-	move := func(m agreement.VoterChange, come func(agreement.Record) bool) {
+	move := func(m voters.Change, come func(configversions.Record) bool) {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			_, l := c.leader()
@@ -325,20 +326,20 @@
 			}
 		}
 	}
-	has := func(id uint64, learner bool) func(agreement.Record) bool {
-		return func(r agreement.Record) bool {
-			return slices.ContainsFunc(r.Voters, func(s agreement.Voter) bool { return s.ID == id && s.Learner == learner })
+	has := func(id uint64, learner bool) func(configversions.Record) bool {
+		return func(r configversions.Record) bool {
+			return slices.ContainsFunc(r.Voters, func(s voters.Voter) bool { return s.ID == id && s.Learner == learner })
 		}
 	}
-	move(agreement.VoterChange{AddLearner: &agreement.Voter{ID: fresh, Name: "n4", Address: "a4", Learner: true}}, has(fresh, true))
+	move(voters.Change{AddLearner: &voters.Voter{ID: fresh, Name: "n4", Address: "a4", Learner: true}}, has(fresh, true))
 	c.start(fresh)
-	c.change(agreement.Entry{ID: "f1", PutInForce: 1})
+	c.change(configversions.Entry{ID: "f1", PutInForce: 1})
 	c.agree(c.at(lead).Record().Revision, lead, fresh)
 	_, l := c.leader()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		places := l.VoterStatuses()
-		i := slices.IndexFunc(places, func(p agreement.VoterStatus) bool { return p.ID == fresh })
-		g := slices.IndexFunc(places, func(p agreement.VoterStatus) bool { return p.ID == uint64(gone) })
+		i := slices.IndexFunc(places, func(p voters.Status) bool { return p.ID == fresh })
+		g := slices.IndexFunc(places, func(p voters.Status) bool { return p.ID == uint64(gone) })
 		if i >= 0 && g >= 0 && places[i].Learner && places[i].Name == "n4" && places[i].EntriesBehind == 0 && places[i].SilentFor < time.Second && places[g].SilentFor > time.Second {
 			break
 		}
@@ -346,7 +347,7 @@
 			t.Fatalf("%+v", places)
 		}
 	}
-	move(agreement.VoterChange{Promote: fresh, Remove: uint64(gone)}, func(r agreement.Record) bool { return has(fresh, false)(r) && len(r.Voters) == 3 })
+	move(voters.Change{Promote: fresh, Remove: uint64(gone)}, func(r configversions.Record) bool { return has(fresh, false)(r) && len(r.Voters) == 3 })
 	other := 6 - lead - gone
 	c.stop(other)
 	c.start(gone) // with its votes of before
@@ -391,7 +392,7 @@
 	l.store.db.Close() // as a disk that takes nothing more
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(10*time.Second))
 	defer stop()
-	if err := l.Propose(ctx, agreement.Entry{ID: "f1", PutInForce: 1}); err == nil {
+	if err := l.Propose(ctx, configversions.Entry{ID: "f1", PutInForce: 1}); err == nil {
 		t.Error("it gave its word without a disk")
 	}
 	if err := <-end; err == nil {
@@ -400,7 +401,7 @@
 	c.mu.Lock()
 	c.seats[lead] = nil
 	c.mu.Unlock()
-	c.change(agreement.Entry{ID: "f1 again", PutInForce: 1})
+	c.change(configversions.Entry{ID: "f1 again", PutInForce: 1})
 	c.start(lead)
 	c.change(announce(1))
 	c.agree(4, 1, 2, 3)
@@ -464,7 +465,7 @@
 	f.Add([]byte("no message"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := Open(Options{VoterID: 1, Founders: founders(3), Directory: t.TempDir(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Send: func(uint64, []byte) {}, RecordChanged: func(agreement.Record) {}, LeadershipChanged: func(bool) {}})
+			Send: func(uint64, []byte) {}, RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/raftlog/recover.go
+++ b/internal/fleet/raftlog/recover.go
@@ -11,13 +11,14 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/voters"
 )
 
 // Recover makes a council of one seat out of what the seat has on file, for a council that has lost its majority for good.
 // What it knows as announced is withdrawn: nobody knows who keeps to it. The record's era goes up, by which every dispatcher
 // that hears of it is fenced against the old council. No process may have the file open.
-func Recover(dir string, seat uint64, name, address string) (r agreement.Record, err error) {
+func Recover(dir string, seat uint64, name, address string) (r configversions.Record, err error) {
 	path := Path(dir, seat)
 	if _, err := os.Stat(path); err != nil {
 		return r, err
@@ -52,7 +53,7 @@
 			return r, err
 		}
 		for _, e := range entries {
-			var entry agreement.Entry
+			var entry configversions.Entry
 			if e.GetType() == raftpb.EntryNormal && len(e.GetData()) > 0 && json.Unmarshal(e.GetData(), &entry) == nil {
 				if next, err := r.Apply(entry); err == nil {
 					r = next
@@ -61,13 +62,13 @@
 		}
 	}
 	if a := r.Announced; a != nil {
-		if r, err = r.Apply(agreement.Entry{Withdraw: a.Number, Reason: "the council was recovered"}); err != nil {
+		if r, err = r.Apply(configversions.Entry{Withdraw: a.Number, Reason: "the council was recovered"}); err != nil {
 			return r, err
 		}
 	}
 	r.Epoch++
 	r.Revision++
-	r.Voters = []agreement.Voter{{ID: seat, Name: name, Address: address}}
+	r.Voters = []voters.Voter{{ID: seat, Name: name, Address: address}}
 	r.NextVoterID = max(r.NextVoterID, seat+1)
 	state, err := json.Marshal(r)
 	if err != nil {
--- a/internal/fleet/raftlog/seats.go
+++ b/internal/fleet/raftlog/seats.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/voters"
 )
 
 // look goes through what the leader knows of the seats. A snapshot of which nothing was heard for as long as an election
@@ -21,7 +21,7 @@
 	if !l.leads {
 		return
 	}
-	var places []agreement.VoterStatus
+	var places []voters.Status
 	last, _ := l.store.LastIndex()
 	l.node.WithProgress(func(id uint64, typ raft.ProgressType, pr tracker.Progress) {
 		if l.silent[id]++; pr.RecentActive || id == l.o.VoterID { // which raft forgets once an election's time
@@ -36,7 +36,7 @@
 		if pr.Match == 0 { // it has not answered yet, however short the log is
 			behind = math.MaxUint64
 		}
-		places = append(places, agreement.VoterStatus{Voter: agreement.Voter{ID: id, Learner: typ == raft.ProgressTypeLearner},
+		places = append(places, voters.Status{Voter: voters.Voter{ID: id, Learner: typ == raft.ProgressTypeLearner},
 			SilentFor: time.Duration(l.silent[id]) * tickEvery, EntriesBehind: behind, IsLeader: id == l.o.VoterID})
 	})
 	for id, ticks := range l.loading {
@@ -59,7 +59,7 @@
 }
 
 // move proposes a change of the council.
-func (l *Log) move(m *agreement.VoterChange) error {
+func (l *Log) move(m *voters.Change) error {
 	if m.TransferLeadership > 0 {
 		l.node.TransferLeader(m.TransferLeadership)
 		return nil
@@ -88,19 +88,19 @@
 }
 
 // council gives the seats that the log's engine has now, with what is known of each.
-func (l *Log) council(fresh []byte) []agreement.Voter {
+func (l *Log) council(fresh []byte) []voters.Voter {
 	l.mu.Lock()
 	known := slices.Clone(l.record.Voters)
 	l.mu.Unlock()
-	var seat agreement.Voter
+	var seat voters.Voter
 	if len(fresh) > 0 && json.Unmarshal(fresh, &seat) == nil {
 		known = append(known, seat)
 	}
-	all := []agreement.Voter{}
+	all := []voters.Voter{}
 	add := func(ids []uint64, learner bool) {
 		for _, id := range ids {
 			for _, s := range known {
-				if s.ID == id && !slices.ContainsFunc(all, func(had agreement.Voter) bool { return had.ID == id }) {
+				if s.ID == id && !slices.ContainsFunc(all, func(had voters.Voter) bool { return had.ID == id }) {
 					s.Learner = learner
 					all = append(all, s)
 				}
--- a/internal/fleet/raftlog/store.go
+++ b/internal/fleet/raftlog/store.go
@@ -13,7 +13,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/voters"
 )
 
 // store keeps a voter's part of the log in a file of bbolt's: what raft must find again after a crash. Reading goes to
@@ -46,7 +47,7 @@
 }
 
 // openStore opens or makes the file. One of another council is refused: two must not share a past by mistake.
-func openStore(path string, founders []agreement.Voter) (*store, error) {
+func openStore(path string, founders []voters.Voter) (*store, error) {
 	db, err := openFile(path)
 	if err != nil {
 		return nil, err
@@ -61,7 +62,7 @@
 
 // OpenFounder reads what a seat's file says of the first council, and makes the file where there is none. Once the council is
 // founded its roll is on file.
-func OpenFounder(dir string, seat uint64, roll map[uint64]string) (f agreement.Founder, err error) {
+func OpenFounder(dir string, seat uint64, roll map[uint64]string) (f voters.Founder, err error) {
 	db, err := openFile(Path(dir, seat))
 	if err != nil {
 		return f, err
@@ -100,16 +101,16 @@
 }
 
 // first is where every council's log begins: its voters, by number.
-func first(founders []agreement.Voter) (*raftpb.Snapshot, error) {
+func first(founders []voters.Voter) (*raftpb.Snapshot, error) {
 	cs := &raftpb.ConfState{}
 	for _, s := range founders {
 		cs.Voters = append(cs.Voters, s.ID)
 	}
-	state, err := json.Marshal(agreement.Record{Revision: 1, Voters: founders, NextVoterID: uint64(len(founders)) + 1})
+	state, err := json.Marshal(configversions.Record{Revision: 1, Voters: founders, NextVoterID: uint64(len(founders)) + 1})
 	return &raftpb.Snapshot{Data: state, Metadata: &raftpb.SnapshotMetadata{ConfState: cs, Index: proto.Uint64(1), Term: proto.Uint64(1)}}, err
 }
 
-func (s *store) load(founders []agreement.Voter) error {
+func (s *store) load(founders []voters.Voter) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
--- a/internal/fleet/raftlog/stored_test.go
+++ b/internal/fleet/raftlog/stored_test.go
@@ -10,49 +10,50 @@
 	"testing"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
+	"brassdale/internal/decisions/voters"
 )
 
 // storedFounders are the voters of the log in testdata/stored: the one that wrote it.
-var storedFounders = []agreement.Voter{{ID: 1, Address: "127.0.0.1:9001"}}
+var storedFounders = []voters.Voter{{ID: 1, Address: "127.0.0.1:9001"}}
 
 // storedIncarnation was drawn when the file in testdata/stored was made.
 const storedIncarnation = "HPSB64GR6P3ZLFVK5MYBPGJJAT"
 
 // storedEntries were proposed to the log in testdata/stored, in this order. The snapshot was taken behind the first ones;
 // the last ones are entries of their own.
-func storedEntries() []agreement.Entry {
-	announce := func(id string, follows uint64) agreement.Entry {
-		return agreement.Entry{ID: id, Announce: &agreement.Version{Number: follows, By: "by-" + id, Reason: "why-" + id,
+func storedEntries() []configversions.Entry {
+	announce := func(id string, follows uint64) configversions.Entry {
+		return configversions.Entry{ID: id, Announce: &configversions.Version{Number: follows, By: "by-" + id, Reason: "why-" + id,
 			At:    time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: agreement.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, Quotas: map[string]float64{"account-1": 0.5}}}}
+			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, Quotas: map[string]float64{"account-1": 0.5}}}}
 	}
-	return []agreement.Entry{
+	return []configversions.Entry{
 		announce("entry-1", 0),
 		{ID: "entry-2", PutInForce: 1},
 		announce("entry-3", 1),
 		{ID: "entry-4", Withdraw: 2, Reason: "why-4"},
 		{ID: "entry-5", Plan: &failover.Plan{Number: 7, Reasons: map[string]string{"zone-1": "why-5"},
 			Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}}},
-		{ID: "entry-6", ZoneLimit: &agreement.ZoneLimit{Zone: "zone-3", Share: 0.125, By: "by-6", Reason: "why-6", Force: true}},
+		{ID: "entry-6", ZoneLimit: &configversions.ZoneLimit{Zone: "zone-3", Share: 0.125, By: "by-6", Reason: "why-6", Force: true}},
 		announce("entry-7", 3),
 	}
 }
 
 // storedRecord is what the log in testdata/stored leads to.
-func storedRecord() agreement.Record {
-	version := func(id string, number uint64) agreement.Version {
-		return agreement.Version{Number: number, By: "by-" + id, Reason: "why-" + id, At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: agreement.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, Quotas: map[string]float64{"account-1": 0.5}}}
+func storedRecord() configversions.Record {
+	version := func(id string, number uint64) configversions.Version {
+		return configversions.Version{Number: number, By: "by-" + id, Reason: "why-" + id, At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
+			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, Quotas: map[string]float64{"account-1": 0.5}}}
 	}
 	inForce, announced := version("entry-1", 3), version("entry-7", 4)
-	return agreement.Record{
-		Revision: 8, InForce: inForce, Announced: &announced, History: []agreement.Version{{}},
-		Withdrawn: []agreement.Withdrawal{{Version: version("entry-3", 2), Reason: "why-4"}}, Voters: storedFounders, NextVoterID: 2,
+	return configversions.Record{
+		Revision: 8, InForce: inForce, Announced: &announced, History: []configversions.Version{{}},
+		Withdrawn: []configversions.Withdrawal{{Version: version("entry-3", 2), Reason: "why-4"}}, Voters: storedFounders, NextVoterID: 2,
 		Plan: &failover.Plan{Number: 7, Reasons: map[string]string{"zone-1": "why-5"},
 			Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-2", Share: 0.75}}}}},
-		ZoneLimits: []agreement.ZoneLimit{{Zone: "zone-3", Share: 0.125, By: "by-6", Reason: "why-6", Force: true}},
+		ZoneLimits: []configversions.ZoneLimit{{Zone: "zone-3", Share: 0.125, By: "by-6", Reason: "why-6", Force: true}},
 	}
 }
 
@@ -60,7 +61,7 @@
 func openStored(t *testing.T, dir string) *Log {
 	t.Helper()
 	l, err := Open(Options{VoterID: 1, Founders: storedFounders, Directory: dir, SnapshotEvery: 5, Send: func(uint64, []byte) {},
-		RecordChanged: func(agreement.Record) {}, LeadershipChanged: func(bool) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +140,7 @@
 		t.Fatalf("%d entries behind the snapshot, want %d", len(entries), len(proposed))
 	}
 	for i, e := range entries {
-		var entry agreement.Entry
+		var entry configversions.Entry
 		if err := json.Unmarshal(e.GetData(), &entry); err != nil || !reflect.DeepEqual(entry, proposed[i]) {
 			t.Errorf("entry %d: %+v (error %v), want %+v", e.GetIndex(), entry, err, proposed[i])
 		}
@@ -155,7 +156,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	if err := l.Propose(ctx, agreement.Entry{ID: "entry-8", PutInForce: 4}); err != nil {
+	if err := l.Propose(ctx, configversions.Entry{ID: "entry-8", PutInForce: 4}); err != nil {
 		t.Error(err)
 	}
 	if number := l.Record().InForce.Number; number != 4 {
@@ -170,14 +171,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (agreement.Founder{Incarnation: storedIncarnation, FoundingVoters: map[uint64]string{1: storedIncarnation, 2: "incarnation-2"}}); !reflect.DeepEqual(f, want) {
+	if want := (voters.Founder{Incarnation: storedIncarnation, FoundingVoters: map[uint64]string{1: storedIncarnation, 2: "incarnation-2"}}); !reflect.DeepEqual(f, want) {
 		t.Errorf("read %+v, want %+v", f, want)
 	}
 }
 
 // TestStoredLogOfAnotherSize checks that the stored number of voters is read: a council of another size is refused.
 func TestStoredLogOfAnotherSize(t *testing.T) {
-	two := append(storedFounders[:1:1], agreement.Voter{ID: 2, Address: "127.0.0.1:9002"})
+	two := append(storedFounders[:1:1], voters.Voter{ID: 2, Address: "127.0.0.1:9002"})
 	s, err := openStore(Path(copyStored(t), 1), two)
 	if err == nil {
 		t.Error("a council of two was accepted, where one voter is stored")
@@ -192,10 +193,10 @@
 		t.Fatal(err)
 	}
 	want := storedRecord()
-	want.Withdrawn = append(want.Withdrawn, agreement.Withdrawal{Version: *want.Announced, Reason: "the council was recovered"})
+	want.Withdrawn = append(want.Withdrawn, configversions.Withdrawal{Version: *want.Announced, Reason: "the council was recovered"})
 	want.Announced, want.InForce.Number = nil, 5
 	want.Epoch, want.Revision = 1, 10
-	want.Voters = []agreement.Voter{{ID: 1, Name: "dispatcher-1", Address: "127.0.0.1:9002"}}
+	want.Voters = []voters.Voter{{ID: 1, Name: "dispatcher-1", Address: "127.0.0.1:9002"}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("recovered %+v, want %+v", got, want)
 	}
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -9,20 +9,21 @@
 	"strings"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/gossippeers"
+	"brassdale/internal/decisions/voters"
 	"brassdale/internal/traffic"
 )
 
 // order gives the council's seats in the order in which this dispatcher asks them; its own first.
-func (a *Agent) order() []agreement.Voter {
+func (a *Agent) order() []voters.Voter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	council := a.holder.Record().Voters
 	if len(council) == 0 {
 		council = a.s.founders()
 	}
-	order := agreement.ContactOrder(council, a.Name, a.s.Region, a.Zone)
+	order := voters.ContactOrder(council, a.Name, a.s.Region, a.Zone)
 	if own := a.seat.id(); own != 0 {
 		for i, s := range order {
 			if s.ID == own {
@@ -35,7 +36,7 @@
 }
 
 // asks gives the seat that is asked now: the next one behind each that was asked in vain.
-func (a *Agent) asks() agreement.Voter {
+func (a *Agent) asks() voters.Voter {
 	order := a.order()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -56,7 +57,7 @@
 
 // question is what this dispatcher says when it asks for a lease.
 // The answer's entries follow the record that the question is about, whatever was learned meanwhile.
-func (a *Agent) question() (question, agreement.Record) {
+func (a *Agent) question() (question, configversions.Record) {
 	ended, bad := uint64(0), uint64(0)
 	if a.JobCounts != nil {
 		ended, bad = a.JobCounts()
@@ -70,7 +71,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.holder.Record()
-	q := question{Report: report, Demand: demand, Firsts: firsts, Dispatcher: agreement.Dispatcher{Name: a.Name, Instance: a.instance, AcknowledgedVersion: a.holder.Acknowledged(), MessageFormat: a.form, Epoch: r.Epoch,
+	q := question{Report: report, Demand: demand, Firsts: firsts, Dispatcher: configversions.Dispatcher{Name: a.Name, Instance: a.instance, AcknowledgedVersion: a.holder.Acknowledged(), MessageFormat: a.form, Epoch: r.Epoch,
 		Address: a.address(), Region: a.s.Region, Zone: a.Zone, VoterID: a.seat.id(), JobsEnded: ended, JobsFailed: bad, DedicatedToControl: a.s.DedicatedToControl}, Revision: r.Revision}
 	if r.Plan != nil {
 		q.Plan = r.Plan.Number
@@ -105,7 +106,7 @@
 	}
 }
 
-func (a *Agent) renewOnce(ctx context.Context, asked agreement.Clock, by time.Time) error {
+func (a *Agent) renewOnce(ctx context.Context, asked configversions.Clock, by time.Time) error {
 	ctx, stop := context.WithDeadline(ctx, by)
 	defer stop()
 	q, of := a.question()
@@ -217,7 +218,7 @@
 }
 
 // onto gives the record behind an answer.
-func (g answer) onto(r agreement.Record) (agreement.Record, error) {
+func (g answer) onto(r configversions.Record) (configversions.Record, error) {
 	if g.Record != nil {
 		return *g.Record, nil
 	}
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/hcldiag"
 )
 
@@ -23,14 +23,14 @@
 }
 
 // LoadRules reads a proposal, whole or not at all. An error names all faults with file, line and column.
-func LoadRules(path string) (*agreement.Rules, error) { return hcldiag.Read(path, ReadRules) }
+func LoadRules(path string) (*configversions.Rules, error) { return hcldiag.Read(path, ReadRules) }
 
 // ReadRules reads the text of one.
-func ReadRules(text []byte, path string) (*agreement.Rules, error) {
+func ReadRules(text []byte, path string) (*configversions.Rules, error) {
 	f := rulesFile{Retries: -1, Repeat: true}
-	var r agreement.Rules
+	var r configversions.Rules
 	err := hcldiag.Decode(text, path, &f, func(body *hclsyntax.Body) (diags hcl.Diagnostics) {
-		r = agreement.Rules{RetryRatio: f.Retries, RetriesAllowed: f.Repeat, DetachedWorkers: f.Out, Quotas: f.Shares}
+		r = configversions.Rules{RetryRatio: f.Retries, RetriesAllowed: f.Repeat, DetachedWorkers: f.Out, Quotas: f.Shares}
 		if err := r.Check(); err != nil {
 			diags = append(diags, hcldiag.At(body.MissingItemRange(), "Bad rules", "%v.", err))
 		}
@@ -45,7 +45,7 @@
 )
 
 // ProposeFile proposes rules that this dispatcher has read, where they are not in force, and logs what came of it.
-func (a *Agent) ProposeFile(ctx context.Context, r agreement.Rules) {
+func (a *Agent) ProposeFile(ctx context.Context, r configversions.Rules) {
 	ctx, stop := context.WithDeadline(ctx, time.Now().Add(proposeWithin))
 	defer stop()
 	for {
@@ -58,7 +58,7 @@
 			a.log.Info("the rules in the file are announced", "version", v.Number)
 			return
 		}
-		got, status := a.propose(ctx, agreement.Version{Number: known.InForce.Number, Rules: r, By: a.Name, Reason: "SIGHUP at " + a.Name, At: time.Now().UTC()}, false)
+		got, status := a.propose(ctx, configversions.Version{Number: known.InForce.Number, Rules: r, By: a.Name, Reason: "SIGHUP at " + a.Name, At: time.Now().UTC()}, false)
 		switch {
 		case status == http.StatusOK && got.Record != nil && got.Record.Announced != nil:
 			a.log.Info("proposed", "version", got.Record.Announced.Number)
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -10,8 +10,8 @@
 	"net"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
 	"brassdale/internal/decisions/failover"
+	"brassdale/internal/decisions/voters"
 )
 
 // Settings are the operator's, in a block council.
@@ -156,9 +156,9 @@
 }
 
 // founders are the seats of the first council.
-func (s *Settings) founders() (all []agreement.Voter) {
+func (s *Settings) founders() (all []voters.Voter) {
 	for i, v := range s.Voters {
-		all = append(all, agreement.Voter{ID: uint64(i + 1), Address: v})
+		all = append(all, voters.Voter{ID: uint64(i + 1), Address: v})
 	}
 	return all
 }
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -9,34 +9,35 @@
 	"testing"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/gossippeers"
+	"brassdale/internal/decisions/voters"
 	"brassdale/internal/fleet/gossip"
 	"brassdale/internal/traffic"
 )
 
 // storedRecord is one without history, as it is stored for the next start; records have golden bytes of their own beside
 // their package.
-func storedRecord() agreement.Record {
-	return agreement.Record{Epoch: 11, Revision: 12, NextVoterID: 13,
-		InForce: agreement.Version{Number: 14, By: "by-1", Reason: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: agreement.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-a"}, Quotas: map[string]float64{"account-1": 0.5}}},
-		Voters: []agreement.Voter{{ID: 15, Address: "127.0.0.1:9001"}}}
+func storedRecord() configversions.Record {
+	return configversions.Record{Epoch: 11, Revision: 12, NextVoterID: 13,
+		InForce: configversions.Version{Number: 14, By: "by-1", Reason: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
+			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-a"}, Quotas: map[string]float64{"account-1": 0.5}}},
+		Voters: []voters.Voter{{ID: 15, Address: "127.0.0.1:9001"}}}
 }
 
 // storedMessages are what dispatchers send each other, and what they tell operators, by golden file.
 func storedMessages() map[string]any {
 	record := storedRecord()
-	member := agreement.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
+	member := configversions.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
 		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, Plan: 27, DedicatedToControl: true}
 	self := gossip.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
 	return map[string]any{
 		"question": question{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
 			Demand: json.RawMessage(`{"budget-1":1.5}`), Firsts: 42.5, Neighbours: &gossippeers.Digest{Count: 43, Sum: 44}},
-		"answer": answer{Record: &record, Entries: []agreement.Entry{{ID: "entry-1", PutInForce: 51}}, LeaseMS: 52, Era: 53, Revision: 54,
+		"answer": answer{Record: &record, Entries: []configversions.Entry{{ID: "entry-1", PutInForce: 51}}, LeaseMS: 52, Era: 53, Revision: 54,
 			Leader: 55, Refused: map[string]string{"dispatcher-4": "why-2"}, Rates: map[string]json.RawMessage{"dispatcher-5": json.RawMessage(`{"budget-2":2.5}`)},
-			Why: "why-3", Present: []agreement.Dispatcher{member}, Absent: []agreement.AbsentDispatcher{{Dispatcher: member, Left: true, AbsentFor: 56}}, Form: 57,
+			Why: "why-3", Present: []configversions.Dispatcher{member}, Absent: []configversions.AbsentDispatcher{{Dispatcher: member, Left: true, AbsentFor: 56}}, Form: 57,
 			Neighbours: map[string]*gossippeers.PeerSuggestion{"dispatcher-6": {Count: 58, Addresses: []string{"127.0.0.1:9004"}}}},
 		"report": failover.Report{Dispatcher: "dispatcher-7", Zone: "zone-3",
 			Observations:  []failover.Observation{{To: "zone-4", Class: "class-1", Ended: 61.5, InTime: 62.5, Full: 63.5}},
@@ -45,8 +46,8 @@
 			Capacity:      map[string]float64{"zone-6": 68.5}},
 		"self": self,
 		"status": Status{Name: "dispatcher-8", Fleet: "fleet-1", VoterID: 71, Leader: 72, IsLeader: true, EffectiveVersions: []uint64{73}, LeaseExpired: true, LeaseLeftMS: 74,
-			Record: record, LeaseHolders: []agreement.Dispatcher{member}, WaitingFor: []string{"dispatcher-9"},
-			Voters:  []agreement.VoterStatus{{Voter: agreement.Voter{ID: 75, Address: "127.0.0.1:9005"}, SilentFor: 76, EntriesBehind: 77, IsLeader: true}},
+			Record: record, LeaseHolders: []configversions.Dispatcher{member}, WaitingFor: []string{"dispatcher-9"},
+			Voters:  []voters.Status{{Voter: voters.Voter{ID: 75, Address: "127.0.0.1:9005"}, SilentFor: 76, EntriesBehind: 77, IsLeader: true}},
 			Members: []gossip.Member{{Self: self, State: gossip.Left, Since: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC)}},
 			Zones: []failover.ZoneView{{Zone: "zone-7", Region: "region-3", Capacity: 81.5, Planned: 82.5, Demand: 83.5, Shed: 84.5, CapacityFactor: 85.5,
 				UnreachableFrom: []string{"zone-8"}, Reason: "why-4"}},
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 )
 
@@ -58,7 +58,7 @@
 	}
 	until("a plan that uses both zones", near(0.69, 0.72)) // 85 of 120
 	hold := func(share float64, force bool) (int, string) {
-		text, _ := json.Marshal(agreement.ZoneLimit{Zone: "a", Share: share, By: "t", Reason: "test", Force: force})
+		text, _ := json.Marshal(configversions.ZoneLimit{Zone: "a", Share: share, By: "t", Reason: "test", Force: force})
 		status, body, err := Call(t.Context(), http.DefaultClient, fmt.Sprintf("http://%s/council/hold", at), text, time.Now().Add(5*time.Second))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -96,7 +96,7 @@
 		"fleet/raftlog":   {"internal/decisions/"},
 		"fleet/gossip":    {"internal/traffic", "internal/decisions/gossippeers"},
 		"traffic":         {},
-		"operator":        {"internal/decisions/agreement", "internal/hcldiag", "internal/fleet", "internal/protocol", "internal/transport", "internal/endpointcache"},
+		"operator":        {"internal/decisions/configversions", "internal/hcldiag", "internal/fleet", "internal/protocol", "internal/transport", "internal/endpointcache"},
 		"emulator":        {"scheduler", "internal/load", "internal/decisions/failover"},
 		"load":            {"internal/protocol", "internal/hcldiag"},
 		"endpointcache":   {"scheduler", "internal/routing", "internal/protocol"},
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 	"github.com/hashicorp/hcl/v2/hclwrite"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/endpointcache"
 	"brassdale/internal/fleet"
 	"brassdale/internal/hcldiag"
@@ -248,8 +248,8 @@
 	if !r.decode(&s) {
 		return
 	}
-	if !(s.RetryRatio >= 0 && s.RetryRatio <= agreement.MaxRetryRatio) {
-		r.bad("retries", "It must be between 0 and %d.", agreement.MaxRetryRatio)
+	if !(s.RetryRatio >= 0 && s.RetryRatio <= configversions.MaxRetryRatio) {
+		r.bad("retries", "It must be between 0 and %d.", configversions.MaxRetryRatio)
 	}
 	if !(s.ProbesPerSecond >= 0 && s.ProbesPerSecond <= 1e6) {
 		r.bad("probes", "It must be between 0 and a million a second.")
--- a/internal/program/agreed.go
+++ b/internal/program/agreed.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/fleet"
 	"brassdale/internal/protocol"
 	"brassdale/internal/zonerouting"
@@ -121,7 +121,7 @@
 
 // apply puts what may be acted on in force: the stricter of it and of what operators said to this dispatcher alone. What is
 // sent a second time is asked for at each call.
-func (a *agreed) apply(s agreement.Effective) {
+func (a *agreed) apply(s configversions.Effective) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fleet = s.Rules.RetryRatio
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 	planning "brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/polling"
 	"brassdale/internal/faults"
@@ -213,7 +213,7 @@
 }
 
 // apply notes what is acted on from now on.
-func (x *hollow) apply(s agreement.Effective) {
+func (x *hollow) apply(s configversions.Effective) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := time.UnixMilli(time.Now().UnixMilli()) // as real ones log it: rounded alike, what came later is not earlier
--- a/internal/scale/propose.go
+++ b/internal/scale/propose.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"brassdale/internal/decisions/agreement"
+	"brassdale/internal/decisions/configversions"
 )
 
 // proposer proposes rules, one version behind the other.
@@ -41,12 +41,12 @@
 // once proposes rules again and again while nobody takes them, until then.
 func (p *proposer) once(end time.Time) bool {
 	f := p.f
-	rules := agreement.Rules{RetryRatio: float64(p.rng.IntN(10)) / 10, RetriesAllowed: p.rng.IntN(4) > 0, Quotas: map[string]float64{}}
+	rules := configversions.Rules{RetryRatio: float64(p.rng.IntN(10)) / 10, RetriesAllowed: p.rng.IntN(4) > 0, Quotas: map[string]float64{}}
 	for i := range f.Teams { // the quotas that control carries today
 		rules.Quotas[teamName(i)] = float64(1+p.rng.IntN(20)) / 100
 	}
 	for n, at := 0, time.Now(); f.ctx.Err() == nil; n++ {
-		v := agreement.Version{Number: p.known, Rules: rules, By: fleetName, Reason: "a change of the plan's", At: at}
+		v := configversions.Version{Number: p.known, Rules: rules, By: fleetName, Reason: "a change of the plan's", At: at}
 		record, taken := f.order(v, n)
 		if p.known = max(p.known, record.InForce.Number); taken {
 			f.mu.Lock()
@@ -96,8 +96,8 @@
 }
 
 // order proposes a version, and tells whether it was announced.
-func (f *stage) order(v agreement.Version, n int) (agreement.Record, bool) {
-	var got struct{ Record agreement.Record }
+func (f *stage) order(v configversions.Version, n int) (configversions.Record, bool) {
+	var got struct{ Record configversions.Record }
 	to := f.asked(n)
 	text, err := json.Marshal(v)
 	if err != nil {
