--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -20,7 +20,7 @@
   keep_mb = 24   # and most memory for their answers
 }
 
-# The list of workers on disk, for a start while discovery cannot be reached (docs/saved-list.md). Off without the block.
+# The list of workers on disk, for a start while discovery cannot be reached (docs/endpoint-cache.md). Off without the block.
 #
 # saved_list {
 #   directory = "/var/lib/brassdale"
