--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test race lint soak run demo sites
+.PHONY: build test race lint fmt soak run demo sites
 
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
@@ -16,6 +16,10 @@
 	test -z "$$(gofmt -l scheduler cmd internal)"
 	go vet ./...
 	go tool staticcheck ./...
+	go tool -modfile=tools/go.mod golangci-lint run ./...
+
+fmt:
+	gofmt -w scheduler cmd internal
 
 # Fifty seeds of real dispatchers under drawn faults, every rule audited: about seven minutes.
 soak: build
