--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,6 +1,5 @@
-// Benchlink lets the decision module play in the operators' bench: it translates between the
-// bench's lines of JSON on standard input and output and the events and actions of package scheduler.
-// It decides nothing.
+// Simulator-adapter plays the scheduler in the operators' simulator: it translates between the simulator's JSON lines on standard
+// input and output and the events and actions of package scheduler. It decides nothing.
 package main
 
 import (
