--- /dev/null
+++ b/internal/operator/file.go
@@ -0,0 +1,138 @@
+package operator
+
+import (
+	"fmt"
+	"path/filepath"
+	"reflect"
+	"strings"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/gohcl"
+	"github.com/hashicorp/hcl/v2/hclsyntax"
+	"github.com/hashicorp/hcl/v2/hclwrite"
+
+	"brassdale/internal/endpointcache"
+	"brassdale/internal/fleet"
+	"brassdale/internal/hcldiag"
+	"brassdale/internal/transport"
+	"brassdale/internal/transport/http2"
+)
+
+// File has the settings of each part that an operator's file switches on; nil means off.
+type File struct {
+	HTTP2         *http2.Settings                // block front "http2"
+	Progress      *transport.ProgressSettings    // block front "progress"
+	Keys          *transport.IdempotencySettings // block keys
+	Quotas        *transport.QuotaSettings       // block accounts
+	EndpointCache *endpointcache.Settings        // block saved_list
+	Retries       *transport.RetrySettings       // block fleet
+	Fleet         *fleet.Settings                // block council
+	Failover      *fleet.Failover                // block failover
+	Overload      *fleet.Overload                // block overload
+}
+
+// IdempotencySettings returns the settings of the table of idempotency keys; nil if there is no table. A frontend beside the
+// platform's needs one, with default settings if the file has no block: the same key may come in at any of them.
+func (f *File) IdempotencySettings() *transport.IdempotencySettings {
+	if f.Keys == nil && (f.HTTP2 != nil || f.Progress != nil) {
+		settings := transport.DefaultIdempotency()
+		return &settings
+	}
+	return f.Keys
+}
+
+// Load reads a file. If the file can be read, an error is a hcldiag.Faults with everything that is wrong with it.
+func Load(path string) (*File, error) {
+	if strings.EqualFold(filepath.Ext(path), ".toml") {
+		return nil, fmt.Errorf("%s: operators' files are HCL now: put its settings into a block front \"progress\" { ... }, see deploy/operator.hcl", path)
+	}
+	return hcldiag.Read(path, Parse)
+}
+
+// Parse reads the text of a file. path is its name in errors; relative paths in the file count from the path's directory. An
+// error is a hcldiag.Faults with everything that is wrong with the file.
+func Parse(text []byte, path string) (*File, error) {
+	parsed, faults := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
+	file := &File{}
+	if body, ok := parsed.Body.(*hclsyntax.Body); ok {
+		for _, attr := range body.Attributes {
+			faults = append(faults, hcldiag.At(attr.NameRange, "Unsupported argument", "%q stands outside any block.", attr.Name))
+		}
+		seen := map[string]hcl.Range{}
+		for _, block := range body.Blocks {
+			faults = append(faults, file.readBlock(block, filepath.Dir(path), seen)...)
+		}
+	}
+	if faults.HasErrors() {
+		return nil, hcldiag.Faults(faults)
+	}
+	return file, nil
+}
+
+// readBlock reads a block into the file and returns its faults. seen has the places of the blocks that were read before.
+func (f *File) readBlock(parsed *hclsyntax.Block, dir string, seenAt map[string]hcl.Range) hcl.Diagnostics {
+	fault := func(summary, format string, arguments ...any) hcl.Diagnostics {
+		return hcl.Diagnostics{hcldiag.At(parsed.DefRange(), summary, format, arguments...)}
+	}
+	name := parsed.Type
+	for _, label := range parsed.Labels {
+		name += fmt.Sprintf(" %q", label)
+	}
+	for _, known := range blocks {
+		if known.String() != name {
+			continue
+		}
+		if firstAt, twice := seenAt[name]; twice {
+			return fault("Duplicate block", "The block %s stands at %s already.", name, firstAt)
+		}
+		seenAt[name] = parsed.DefRange()
+		reader := &blockReader{body: parsed.Body, baseDir: dir}
+		known.read(f, reader)
+		return reader.faults
+	}
+	var names []string
+	for _, known := range blocks {
+		names = append(names, known.String())
+	}
+	return fault("Unsupported block", "There is no block %s; there are: %s.", name, strings.Join(names, ", "))
+}
+
+// String returns the settings in force, defaults included, in the form of a file.
+func (f *File) String() string {
+	out := hclwrite.NewEmptyFile()
+	for _, block := range blocks {
+		settings := block.write(f)
+		if settings == nil {
+			continue
+		}
+		var labels []string
+		if block.label != "" {
+			labels = []string{block.label}
+		}
+		gohcl.EncodeIntoBody(settings, out.Body().AppendNewBlock(block.kind, labels).Body())
+	}
+	return string(out.Bytes())
+}
+
+// NeedsRestart returns the blocks of which next has settings that take effect only at the next start.
+func (f *File) NeedsRestart(next *File) (changed []string) {
+	for _, block := range blocks {
+		now, then := block.write(f), block.write(next)
+		if (now == nil) != (then == nil) || now != nil && !reflect.DeepEqual(f.startupSettings(now), f.startupSettings(then)) {
+			changed = append(changed, block.String())
+		}
+	}
+	return changed
+}
+
+// startupSettings returns those of a block's settings that are read at the start alone; nil if all can change while the program
+// runs.
+func (f *File) startupSettings(settings any) any {
+	switch s := settings.(type) {
+	case *http2.Settings:
+		return []any{s.Listen, s.Streams}
+	case *transport.QuotaSettings:
+		return nil
+	}
+	return settings
+}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each fault is told with its place, and all of them at once.
+// Each fault is reported with its place, and all of them at once.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"front \"progress\" {\n  listen = \"here\"\n}\nkeys {\n  jobs = 0\n}", "f.hcl:2:12: Bad listen|f.hcl:5:10: Bad jobs"},
@@ -33,7 +33,7 @@
 	}
 }
 
-// What is in force is printed as a file that says the same.
+// File.String writes a file with the same settings.
 func TestInForce(t *testing.T) {
 	f, err := Load("../../deploy/operator.hcl")
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// No text makes the reader fail in another way than by faults.
+// Whatever the text, an error is a list of faults.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("front \"progress\" {\n  listen = \"127.0.0.1:0\"\n  jobs = 7\n}"))
 	f.Add([]byte("front \"progress\" {\n  listen = [1]\n  tls {\n}\n}\nfront {}"))
