--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line.
+// Package command is the command line of the dispatcher: serving, checking files, and looking at a fleet.
 package command
 
 import (
@@ -16,9 +16,9 @@
 	"brassdale/internal/program"
 )
 
-// New makes the command. Without a sub-command it serves, as the platform starts it.
+// New makes the root command. Without a sub-command it serves, which is how the platform starts it.
 func New() *cobra.Command {
-	serve := &serving{}
+	serve := &serveCommand{}
 	root := &cobra.Command{
 		Use:   "brassdale",
 		Short: "A dispatcher for quote jobs",
@@ -30,25 +30,27 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	serve.flags(root)
+	serve.addFlags(root)
 	sub := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM and all is answered", Args: cobra.NoArgs, RunE: serve.run}
-	serve.flags(sub)
-	root.AddCommand(sub, check(), saved(), fleetCommand(), zonesCommand(), budgetsCommand(), version())
+	serve.addFlags(sub)
+	root.AddCommand(sub, checkCommand(), endpointCacheCommand(), fleetCommand(), zonesCommand(), budgetsCommand(), versionCommand())
 	return root
 }
 
-// serving is the command that serves, with its flags.
-type serving struct {
+// serveCommand is the command that serves, with its flags.
+type serveCommand struct {
 	operator, format, level string
 }
 
-func (s *serving) flags(c *cobra.Command) {
+// addFlags adds the flags to a command that serves.
+func (s *serveCommand) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&s.operator, "operator", "", "the operator's file (HCL), which switches on what the platform does not ask for")
 	c.Flags().StringVar(&s.format, "log-format", "text", "text or json")
 	c.Flags().StringVar(&s.level, "log-level", "", "debug, info, warn or error (info, or debug where BRASSDALE_DEBUG is set)")
 }
 
-func (s *serving) run(*cobra.Command, []string) error {
+// run serves until a signal ends the program.
+func (s *serveCommand) run(*cobra.Command, []string) error {
 	options := program.Options{Operator: s.operator}
 	if s.level == "" && os.Getenv("BRASSDALE_DEBUG") != "" {
 		s.level = "debug"
@@ -66,50 +68,52 @@
 	default:
 		return fmt.Errorf("--log-format: %q is neither text nor json", s.format)
 	}
-	// A channel each: where one signal waits already, a further one is dropped, and a SIGTERM must not be
-	// dropped for a SIGHUP. Both are taken from the first moment on, or a SIGHUP would end the program.
+	// A channel for each signal: a signal is dropped if its channel is full, and a SIGTERM must not be dropped for a SIGHUP. Both are
+	// caught from the first moment on, or a SIGHUP during the start would end the program.
 	ends, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reloads, syscall.SIGHUP)
 	return program.Run(os.Getenv, options, ends, reloads)
 }
 
-func check() *cobra.Command {
+// checkCommand makes 'brassdale check'.
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check an operator's file: print every fault, or what would be in force",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := operator.Load(args[0])
+			file, err := operator.Load(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Fprint(c.OutOrStdout(), f)
+			fmt.Fprint(c.OutOrStdout(), file)
 			return nil
 		},
 	}
 }
 
-func version() *cobra.Command {
+// versionCommand makes 'brassdale version'.
+func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print what this binary was built from",
 		Args:  cobra.NoArgs,
-		Run: func(c *cobra.Command, _ []string) {
+		Run: func(command *cobra.Command, _ []string) {
 			revision, changed := "unknown", ""
 			info, ok := debug.ReadBuildInfo()
 			if !ok {
 				info = &debug.BuildInfo{}
 			}
-			for _, s := range info.Settings {
+			for _, setting := range info.Settings {
 				switch {
-				case s.Key == "vcs.revision":
-					revision = s.Value
-				case s.Key == "vcs.modified" && s.Value == "true":
+				case setting.Key == "vcs.revision":
+					revision = setting.Value
+				case setting.Key == "vcs.modified" && setting.Value == "true":
 					changed = " (changed)"
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "brassdale %s%s %s\n", revision, changed, strings.TrimSpace(info.GoVersion))
+			fmt.Fprintf(command.OutOrStdout(), "brassdale %s%s %s\n", revision, changed, strings.TrimSpace(info.GoVersion))
 		},
 	}
 }
