--- a/cmd/brassdale-lab/soak.go
+++ b/cmd/brassdale-lab/soak.go
@@ -119,7 +119,7 @@
 	}
 	defer os.RemoveAll(dir)
 	r, err := soak.Play(s.command.Context(), p, s.programs, dir)
-	row := soakRow{Scenario: p.Scenario, Seed: p.Seed, Effect: p.Effect, Failures: p.Failures}
+	row := soakRow{Scenario: p.Scenario, Seed: p.Seed, Effect: p.Idempotency, Failures: p.SystemCallFaults}
 	for _, e := range p.Events {
 		row.Events = append(row.Events, fmt.Sprintf("%.1fs %s", e.At.Seconds(), e.Kind))
 	}
@@ -135,7 +135,7 @@
 	row.Requests, row.Attempts, row.Breaches = len(r.Record.Requests), len(r.Record.Attempts), r.ByRule()
 	s.rows = append(s.rows, row)
 	fmt.Fprintf(w, "%s seed %d: %s, pushed %t, %d dispatchers, %d workers, deadline %v, %d events, %d requests, %d attempts, broken: %v\n",
-		p.Scenario, p.Seed, p.Effect, p.Pushed, p.Dispatchers, p.Workers, p.Deadline, len(p.Events), row.Requests, row.Attempts, row.Breaches)
+		p.Scenario, p.Seed, p.Idempotency, p.ListsPushed, p.Dispatchers, p.Workers, p.Deadline, len(p.Events), row.Requests, row.Attempts, row.Breaches)
 	if len(r.Breaches) == 0 {
 		return
 	}
@@ -154,7 +154,7 @@
 		if i == timelinesPerRun {
 			break
 		}
-		fmt.Fprintf(w, " %s %s worker %d: %s\n%s", b.Rule, b.Request, b.Worker, b.Why, r.Timeline(b))
+		fmt.Fprintf(w, " %s %s worker %d: %s\n%s", b.Rule, b.Request, b.Worker, b.Detail, r.Timeline(b))
 	}
 	for _, e := range r.Record.Events {
 		fmt.Fprintf(w, "  event %s\n", e)
--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -10,13 +10,13 @@
 func clean() (Plan, *Record) {
 	begun := time.Unix(1e9, 0)
 	at := func(s float64) time.Time { return begun.Add(time.Duration(s * float64(time.Second))) }
-	p := Plan{Dispatchers: 1, Workers: 2, Effect: Keyed, Deadline: time.Second, Window: 2 * time.Second}
-	r := &Record{Begun: begun,
-		Lives:    []*Life{{Started: at(0), Ready: at(0.1), Ended: at(60), Killed: true}},
-		Changes:  []Change{{Revision: 1, At: at(0), Worker: 0, Phase: active}, {Revision: 2, At: at(10), Worker: 0, Phase: leaving}, {Revision: 3, At: at(20), Worker: 1, Phase: active, Cold: true}},
-		Answers:  []Answer{{At: at(0.2), Revision: 1}, {At: at(10.1), Revision: 2}, {At: at(20.1), Revision: 3}},
-		Requests: []*Request{{ID: "a", Written: at(1), Deadline: p.Deadline, Status: 200, Result: "a", Answered: at(1.2)}},
-		Attempts: []*Attempt{{ID: "a", Worker: 0, Cell: 0, First: at(1.01), Last: at(1.02), Told: 900 * time.Millisecond, Ran: true, Result: "a", Ended: at(1.19)}},
+	p := Plan{Dispatchers: 1, Workers: 2, Idempotency: IdempotentWithKey, Deadline: time.Second, DeduplicationWindow: 2 * time.Second}
+	r := &Record{StartedAt: begun,
+		ProcessRuns:      []*ProcessRun{{StartedAt: at(0), ReadyAt: at(0.1), EndedAt: at(60), Killed: true}},
+		EndpointChanges:  []EndpointChange{{Revision: 1, At: at(0), Worker: 0, Phase: phaseActive}, {Revision: 2, At: at(10), Worker: 0, Phase: phaseLeaving}, {Revision: 3, At: at(20), Worker: 1, Phase: phaseActive, Restarted: true}},
+		DiscoveryAnswers: []DiscoveryAnswer{{At: at(0.2), Revision: 1}, {At: at(10.1), Revision: 2}, {At: at(20.1), Revision: 3}},
+		Requests:         []*Request{{ID: "a", WrittenAt: at(1), Deadline: p.Deadline, Status: 200, Result: "a", AnsweredAt: at(1.2)}},
+		Attempts:         []*Attempt{{ID: "a", Worker: 0, Cell: 0, FirstByteAt: at(1.01), LastByteAt: at(1.02), Timeout: 900 * time.Millisecond, MayHaveExecuted: true, Result: "a", EndedAt: at(1.19)}},
 	}
 	return p, r
 }
@@ -28,33 +28,37 @@
 		rule string
 		do   func(*Plan, *Record)
 	}{
-		"clean":                  {"", func(*Plan, *Record) {}},
-		"answered late":          {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Answered = r.Requests[0].Written.Add(second(1.6)) }},
-		"not answered":           {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Status = 0 }},
-		"not answered, reused":   {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Status, r.Requests[0].Reused = 0, true }},
-		"made up":                {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Result = "b" }},
-		"for who has gone":       {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Left = r.Attempts[0].First.Add(-second(0.11)) }},
-		"open at a late kill":    {RuleLost, func(_ *Plan, r *Record) { openAtKill(r, 0.8) }},
-		"open at an early kill":  {"", func(_ *Plan, r *Record) { openAtKill(r, 0.6) }},
-		"unsafe twice":           {RuleDuplicate, func(p *Plan, r *Record) { p.Effect = Unsafe; again(r, 0.5, 0) }},
-		"past the window":        {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 2.1, 0) }},
-		"inside the window":      {"", func(_ *Plan, r *Record) { again(r, 0.5, 0) }},
-		"at another cell":        {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 0.5, 1) }},
-		"two out":                {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 0.05, 0) }},
-		"refused, may have run":  {RuleRefused, func(_ *Plan, r *Record) { r.Requests[0].Status = 503 }},
-		"told too much":          {RuleDeadline, func(_ *Plan, r *Record) { r.Attempts[0].Told = second(1.2) }},
-		"drained, told":          {RuleDrain, func(_ *Plan, r *Record) { attemptAt(r, 10.7) }},
-		"drained, in the grace":  {"", func(_ *Plan, r *Record) { attemptAt(r, 10.6) }},
-		"drained, not told":      {"", func(_ *Plan, r *Record) { r.Answers = r.Answers[:1]; attemptAt(r, 16.5) }},
-		"drained, counts as so":  {RuleDrain, func(_ *Plan, r *Record) { r.Answers = r.Answers[:1]; attemptAt(r, 16.6) }},
-		"drained, in an outage":  {"", func(_ *Plan, r *Record) { r.Answers = r.Answers[:1]; outage(r, 9, 15); attemptAt(r, 21) }},
-		"pushed, past the grace": {RuleDrain, func(p *Plan, r *Record) { p.Pushed = true; attemptAt(r, 10.56) }},
-		"pushed, in the grace":   {"", func(p *Plan, r *Record) { p.Pushed = true; attemptAt(r, 10.54) }},
-		"a crowd at a cold one":  {RuleFailback, func(_ *Plan, r *Record) { crowdAt(r, 100) }},
+		"clean":                 {"", func(*Plan, *Record) {}},
+		"answered late":         {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].AnsweredAt = r.Requests[0].WrittenAt.Add(second(1.6)) }},
+		"not answered":          {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Status = 0 }},
+		"not answered, reused":  {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Status, r.Requests[0].ConnectionReused = 0, true }},
+		"made up":               {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Result = "b" }},
+		"for who has gone":      {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].LeftAt = r.Attempts[0].FirstByteAt.Add(-second(0.11)) }},
+		"open at a late kill":   {RuleLost, func(_ *Plan, r *Record) { openAtKill(r, 0.8) }},
+		"open at an early kill": {"", func(_ *Plan, r *Record) { openAtKill(r, 0.6) }},
+		"unsafe twice":          {RuleDuplicate, func(p *Plan, r *Record) { p.Idempotency = NonIdempotent; again(r, 0.5, 0) }},
+		"past the window":       {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 2.1, 0) }},
+		"inside the window":     {"", func(_ *Plan, r *Record) { again(r, 0.5, 0) }},
+		"at another cell":       {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 0.5, 1) }},
+		"two out":               {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 0.05, 0) }},
+		"refused, may have run": {RuleRejected, func(_ *Plan, r *Record) { r.Requests[0].Status = 503 }},
+		"told too much":         {RuleDeadline, func(_ *Plan, r *Record) { r.Attempts[0].Timeout = second(1.2) }},
+		"drained, told":         {RuleDrain, func(_ *Plan, r *Record) { attemptAt(r, 10.7) }},
+		"drained, in the grace": {"", func(_ *Plan, r *Record) { attemptAt(r, 10.6) }},
+		"drained, not told":     {"", func(_ *Plan, r *Record) { r.DiscoveryAnswers = r.DiscoveryAnswers[:1]; attemptAt(r, 16.5) }},
+		"drained, counts as so": {RuleDrain, func(_ *Plan, r *Record) { r.DiscoveryAnswers = r.DiscoveryAnswers[:1]; attemptAt(r, 16.6) }},
+		"drained, in an outage": {"", func(_ *Plan, r *Record) {
+			r.DiscoveryAnswers = r.DiscoveryAnswers[:1]
+			outage(r, 9, 15)
+			attemptAt(r, 21)
+		}},
+		"pushed, past the grace": {RuleDrain, func(p *Plan, r *Record) { p.ListsPushed = true; attemptAt(r, 10.56) }},
+		"pushed, in the grace":   {"", func(p *Plan, r *Record) { p.ListsPushed = true; attemptAt(r, 10.54) }},
+		"a crowd at a cold one":  {RuleSlowStart, func(_ *Plan, r *Record) { crowdAt(r, 100) }},
 		"a few at a cold one":    {"", func(_ *Plan, r *Record) { crowdAt(r, 40) }},
-		"ended by itself":        {RuleCrash, func(_ *Plan, r *Record) { r.Lives[0].Crashed = "exit status 2" }},
-		"never ready":            {RuleReady, func(_ *Plan, r *Record) { r.Lives[0].Ready = time.Time{} }},
-		"ready late":             {RuleReady, func(_ *Plan, r *Record) { r.Lives[0].Ready = r.Lives[0].Started.Add(second(10.1)) }},
+		"ended by itself":        {RuleCrash, func(_ *Plan, r *Record) { r.ProcessRuns[0].Crashed = "exit status 2" }},
+		"never ready":            {RuleReady, func(_ *Plan, r *Record) { r.ProcessRuns[0].ReadyAt = time.Time{} }},
+		"ready late":             {RuleReady, func(_ *Plan, r *Record) { r.ProcessRuns[0].ReadyAt = r.ProcessRuns[0].StartedAt.Add(second(10.1)) }},
 	}
 	for name, c := range spoil {
 		p, r := clean()
@@ -75,37 +79,37 @@
 	first := *r.Attempts[0]
 	next := first
 	shift := time.Duration(later * float64(time.Second))
-	next.Cell, next.First, next.Last, next.Ended = cell, first.First.Add(shift), first.Last.Add(shift), first.Ended.Add(shift)
-	next.Told = 0
-	r.Requests[0].Deadline, r.Requests[0].Answered = 5*time.Second, next.Ended
+	next.Cell, next.FirstByteAt, next.LastByteAt, next.EndedAt = cell, first.FirstByteAt.Add(shift), first.LastByteAt.Add(shift), first.EndedAt.Add(shift)
+	next.Timeout = 0
+	r.Requests[0].Deadline, r.Requests[0].AnsweredAt = 5*time.Second, next.EndedAt
 	r.Attempts = append(r.Attempts, &next)
 }
 
 // attemptAt adds a request with an attempt at the worker that drains.
 func attemptAt(r *Record, s float64) {
-	at := r.Begun.Add(time.Duration(s * float64(time.Second)))
-	r.Requests = append(r.Requests, &Request{ID: "d", Written: at, Deadline: time.Second, Status: 200, Result: "d", Answered: at.Add(100 * time.Millisecond)})
-	r.Attempts = append(r.Attempts, &Attempt{ID: "d", First: at, Last: at, Ran: true, Result: "d", Ended: at.Add(90 * time.Millisecond)})
+	at := r.StartedAt.Add(time.Duration(s * float64(time.Second)))
+	r.Requests = append(r.Requests, &Request{ID: "d", WrittenAt: at, Deadline: time.Second, Status: 200, Result: "d", AnsweredAt: at.Add(100 * time.Millisecond)})
+	r.Attempts = append(r.Attempts, &Attempt{ID: "d", FirstByteAt: at, LastByteAt: at, MayHaveExecuted: true, Result: "d", EndedAt: at.Add(90 * time.Millisecond)})
 }
 
 func outage(r *Record, from, to float64) {
-	at := func(s float64) time.Time { return r.Begun.Add(time.Duration(s * float64(time.Second))) }
-	r.Outages = append(r.Outages, Outage{at(from), at(to)})
+	at := func(s float64) time.Time { return r.StartedAt.Add(time.Duration(s * float64(time.Second))) }
+	r.Outages = append(r.Outages, DiscoveryOutage{at(from), at(to)})
 }
 
 // crowdAt sends so many requests to the cold worker at once.
 func crowdAt(r *Record, count int) {
-	at := r.Begun.Add(20200 * time.Millisecond)
+	at := r.StartedAt.Add(20200 * time.Millisecond)
 	for range count {
-		r.Attempts = append(r.Attempts, &Attempt{ID: "c", Worker: 1, First: at, Last: at, Ended: at})
+		r.Attempts = append(r.Attempts, &Attempt{ID: "c", Worker: 1, FirstByteAt: at, LastByteAt: at, EndedAt: at})
 	}
 }
 
 // openAtKill has a request open when its process is killed behind SIGTERM, written so many seconds behind that.
 func openAtKill(r *Record, behind float64) {
-	q, l := r.Requests[0], r.Lives[0]
-	l.Term = q.Written.Add(-time.Duration(behind * float64(time.Second)))
-	l.Ended = q.Answered
+	q, l := r.Requests[0], r.ProcessRuns[0]
+	l.SIGTERMAt = q.WrittenAt.Add(-time.Duration(behind * float64(time.Second)))
+	l.EndedAt = q.AnsweredAt
 	q.Status, q.Result = 0, ""
 }
 
@@ -118,7 +122,7 @@
 	kinds := map[Kind]bool{}
 	for seed := range uint64(50) {
 		p, again := f.Draw(seed), f.Draw(seed)
-		if len(p.Events) != len(again.Events) || p.Failures != again.Failures {
+		if len(p.Events) != len(again.Events) || p.SystemCallFaults != again.SystemCallFaults {
 			t.Fatalf("seed %d draws two plans", seed)
 		}
 		for i, e := range p.Events {
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -18,57 +18,57 @@
 
 // discovery is the stand-in for discovery: one service, which each dispatcher reaches at addresses of its own.
 type discovery struct {
-	record *Record
-	stamps time.Duration // how far its clock is ahead
+	record      *Record
+	clockOffset time.Duration // how far its clock is ahead
 
-	mu       sync.Mutex
-	revision int
-	members  []*member
-	history  []snapshot
-	views    map[int]*view // by dispatcher: of the address that it asks now
-	capacity *capacity     // nil for no bound
-	changed  chan struct{}
-	down     bool
-	faults   map[int][]CallFault // by dispatcher: of the next calls
-	silenced chan struct{}       // closed when all watches that are open fall silent
-	servers  []*http.Server
+	mu           sync.Mutex
+	revision     int
+	members      []*member
+	history      []snapshot
+	replicaViews map[int]*replicaView // by dispatcher: of the address that it asks now
+	queue        *serviceQueue        // nil for no bound
+	changed      chan struct{}
+	down         bool
+	faults       map[int][]CallFault // by dispatcher: of the next calls
+	silenced     chan struct{}       // closed when all watches that are open fall silent
+	servers      []*http.Server
 }
 
-const lateBy = 1950 * time.Millisecond
+const lateAnswerDelay = 1950 * time.Millisecond
 
 func newDiscovery(r *Record, p Plan) *discovery {
-	d := &discovery{record: r, stamps: p.Stamps, changed: make(chan struct{}), silenced: make(chan struct{}), faults: map[int][]CallFault{}, views: map[int]*view{}}
-	if p.Crowded {
-		d.capacity = &capacity{perCall: crowdedPass / time.Duration(p.Dispatchers), expires: crowdedExpires, limit: crowdedLimit}
+	d := &discovery{record: r, clockOffset: p.DiscoveryClockOffset, changed: make(chan struct{}), silenced: make(chan struct{}), faults: map[int][]CallFault{}, replicaViews: map[int]*replicaView{}}
+	if p.DiscoveryCrowded {
+		d.queue = &serviceQueue{timePerCall: crowdedRoundTime / time.Duration(p.Dispatchers), maxWait: crowdedMaxWait, maxBacklog: crowdedMaxBacklog}
 	}
-	d.keep()
+	d.recordSnapshot()
 	return d
 }
 
 // What a crowded discovery needs to serve one call of each dispatcher, how long it lets a call wait, and how much work may wait.
 const (
-	crowdedPass    = 2500 * time.Millisecond
-	crowdedExpires = 2 * time.Second
-	crowdedLimit   = 3800 * time.Millisecond
+	crowdedRoundTime  = 2500 * time.Millisecond
+	crowdedMaxWait    = 2 * time.Second
+	crowdedMaxBacklog = 3800 * time.Millisecond
 )
 
-// view gives how a dispatcher sees the list at the address that it asks now.
-func (d *discovery) view(dispatcher int) *view {
+// replicaView gives how a dispatcher sees the list at the address that it asks now.
+func (d *discovery) replicaView(dispatcher int) *replicaView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.views[dispatcher]
+	return d.replicaViews[dispatcher]
 }
 
-// address opens one more address for a dispatcher.
-func (d *discovery) address(dispatcher int) (string, error) {
+// newAddress opens one more newAddress for a dispatcher.
+func (d *discovery) newAddress(dispatcher int) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	v := &view{}
+	v := &replicaView{}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(dispatcher, v, w, r) })}
 	d.mu.Lock()
-	d.views[dispatcher] = v
+	d.replicaViews[dispatcher] = v
 	d.servers = append(d.servers, s)
 	d.mu.Unlock()
 	go func() { _ = s.Serve(l) }()
@@ -83,8 +83,8 @@
 	}
 }
 
-// set changes the list and notes what changed of a worker.
-func (d *discovery) set(w *worker, phase string, cold bool) {
+// setPhase changes the list and notes what changed of a worker.
+func (d *discovery) setPhase(w *worker, phase string, cold bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var m *member
@@ -102,28 +102,28 @@
 	}
 	m.phase = phase
 	if cold {
-		m.since = time.Now().Add(d.stamps).UnixMilli()
+		m.since = time.Now().Add(d.clockOffset).UnixMilli()
 	}
 	d.revision++
-	w.unready.Store(phase != active)
-	d.keep()
-	d.record.change(Change{Revision: d.revision, At: time.Now(), Worker: w.number, Phase: phase, Cold: cold})
+	w.unready.Store(phase != phaseActive)
+	d.recordSnapshot()
+	d.record.addChange(EndpointChange{Revision: d.revision, At: time.Now(), Worker: w.number, Phase: phase, Restarted: cold})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// known gives the list as a dispatcher is started with it.
-func (d *discovery) known(dispatcher int) string {
+// initialList gives the list as a dispatcher is started with it.
+func (d *discovery) initialList(dispatcher int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asOf(time.Now()).word(dispatcher)
+	return d.asOf(time.Now()).encode(dispatcher)
 }
 
 // stepClock sets the clock forward or back that stamps starts.
 func (d *discovery) stepClock(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stamps += by
+	d.clockOffset += by
 }
 
 // failCalls has the next calls of each dispatcher fail.
@@ -135,8 +135,8 @@
 	}
 }
 
-// silence has all open watches say nothing more.
-func (d *discovery) silence() {
+// silenceWatches has all open watches say nothing more.
+func (d *discovery) silenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(d.silenced)
@@ -154,7 +154,7 @@
 	}
 }
 
-func (d *discovery) serve(dispatcher int, v *view, w http.ResponseWriter, r *http.Request) {
+func (d *discovery) serve(dispatcher int, v *replicaView, w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	index, err := strconv.Atoi(query.Get("index"))
 	if err != nil {
@@ -169,48 +169,48 @@
 	down, silenced := d.down, d.silenced
 	d.mu.Unlock()
 	switch {
-	case down || fault == Answers:
+	case down || fault == CallRejected:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case fault == Refused:
-		reset(w)
+	case fault == CallReset:
+		resetCall(w)
 		return
-	case fault == Hangs:
+	case fault == CallHangs:
 		<-r.Context().Done()
 		return
 	}
-	if d.capacity != nil && !d.continues(dispatcher, wait) {
-		pause, served := d.capacity.turn(time.Now())
+	if d.queue != nil && !d.continuesWatch(dispatcher, wait) {
+		pause, served := d.queue.enqueue(time.Now())
 		time.Sleep(pause)
 		if !served {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 	}
-	lag, delay := v.call(time.Now())
-	if !d.await(r, index, time.Duration(wait)*time.Millisecond, lag, silenced) {
+	lag, delay := v.nextCall(time.Now())
+	if !d.awaitChange(r, index, time.Duration(wait)*time.Millisecond, lag, silenced) {
 		return
 	}
-	if fault == Late {
-		delay = lateBy
+	if fault == CallLate {
+		delay = lateAnswerDelay
 	}
-	d.tell(dispatcher, w, r, index, lag, delay, fault == BreaksOff)
+	d.writeList(dispatcher, w, r, index, lag, delay, fault == CallBreaksOff)
 }
 
 // watchGap is how soon behind its last answer a watch goes on, and needs no turn.
 const watchGap = 200 * time.Millisecond
 
-// continues tells whether a call goes on with a watch.
-func (d *discovery) continues(dispatcher int, wait int) bool {
-	last := d.record.lastAnswer(dispatcher)
+// continuesWatch tells whether a call goes on with a watch.
+func (d *discovery) continuesWatch(dispatcher int, wait int) bool {
+	last := d.record.lastAnswerAt(dispatcher)
 	return wait > 0 && time.Since(last) < watchGap
 }
 
-// lagLook is how often a replica that lags looks whether it has news by now.
-const lagLook = 20 * time.Millisecond
+// replicaPollInterval is how often a replica that lags looks whether it has news by now.
+const replicaPollInterval = 20 * time.Millisecond
 
-// await waits for news, and tells whether the call is to be answered.
-func (d *discovery) await(r *http.Request, index int, wait, lag time.Duration, silenced <-chan struct{}) bool {
+// awaitChange waits for news, and tells whether the call is to be answered.
+func (d *discovery) awaitChange(r *http.Request, index int, wait, lag time.Duration, silenced <-chan struct{}) bool {
 	over := time.After(wait)
 	for {
 		d.mu.Lock()
@@ -221,7 +221,7 @@
 		}
 		var later <-chan time.Time
 		if lag > 0 {
-			later = time.After(lagLook)
+			later = time.After(replicaPollInterval)
 		}
 		select {
 		case <-changed:
@@ -237,8 +237,8 @@
 	}
 }
 
-// tell writes the list, or half of it. It was composed before the delay.
-func (d *discovery) tell(dispatcher int, w http.ResponseWriter, r *http.Request, index int, lag, delay time.Duration, half bool) {
+// writeList writes the list, or half of it. It was composed before the delay.
+func (d *discovery) writeList(dispatcher int, w http.ResponseWriter, r *http.Request, index int, lag, delay time.Duration, half bool) {
 	d.mu.Lock()
 	down, shown := d.down, d.asOf(time.Now().Add(-lag))
 	d.mu.Unlock()
@@ -247,7 +247,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	revision, text := shown.revision, shown.word(dispatcher)
+	revision, text := shown.revision, shown.encode(dispatcher)
 	if index == revision {
 		text = fmt.Sprintf(`{"revision":%d,"complete":false,"members":[]}`, revision)
 	}
@@ -261,11 +261,11 @@
 	if _, err := fmt.Fprint(w, text); err != nil || http.NewResponseController(w).Flush() != nil || r.Context().Err() != nil {
 		return
 	}
-	d.record.answer(Answer{Dispatcher: dispatcher, At: time.Now(), Revision: revision})
+	d.record.addAnswer(DiscoveryAnswer{Dispatcher: dispatcher, At: time.Now(), Revision: revision})
 }
 
-// reset breaks the connection of a call.
-func reset(w http.ResponseWriter) {
+// resetCall breaks the connection of a call.
+func resetCall(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -44,8 +44,8 @@
 			bad(name, "It is [least, most], from 1 to 16.")
 		}
 	}
-	if span, err := time.ParseDuration(f.Span); err != nil || span < quietAtFirst+quietAtLast+time.Second || span > time.Hour {
-		bad("span", "It is a time of %v to an hour.", quietAtFirst+quietAtLast+time.Second)
+	if span, err := time.ParseDuration(f.Span); err != nil || span < quietStart+quietEnd+time.Second || span > time.Hour {
+		bad("span", "It is a time of %v to an hour.", quietStart+quietEnd+time.Second)
 	}
 	if every, err := time.ParseDuration(f.Every); err != nil || every < 50*time.Millisecond {
 		bad("every", "It is a time of 50ms or more.")
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -20,81 +20,83 @@
 	Injector   string // brassdale-lab, which has system calls fail; empty where none do
 }
 
-// dispatcher is one whose process is started, signalled and started again at the same address.
-type dispatcher struct {
-	number   int
-	listen   string
-	plan     Plan
-	programs Programs
-	dir      string
-	record   *Record
-	find     *discovery
+// dispatcherProcess is one whose process is started, signalled and started again at the same address.
+type dispatcherProcess struct {
+	number    int
+	listen    string
+	plan      Plan
+	programs  Programs
+	directory string
+	record    *Record
+	discovery *discovery
 
-	changing sync.Mutex // held while the process is ended and started again
+	restarting sync.Mutex // held while the process is ended and started again
 
-	mu      sync.Mutex
-	address string // of discovery
-	life    *Life
-	pid     int
-	exited  chan struct{}
-	logs    *os.File
+	mu         sync.Mutex
+	address    string // of discovery
+	processRun *ProcessRun
+	pid        int
+	exited     chan struct{}
+	logs       *os.File
 }
 
 const (
-	killSlack   = 700 * time.Millisecond // behind the longest deadline, of which mostCounted counts at the most
-	mostCounted = 3 * time.Second
-	stopFor     = 150 * time.Millisecond
+	killSlack          = 700 * time.Millisecond // behind the longest deadline, of which mostCounted counts at the most
+	maxCountedDeadline = 3 * time.Second
+	pauseTime          = 150 * time.Millisecond
 )
 
-func newDispatcher(number int, p Plan, programs Programs, dir string, r *Record, find *discovery) (*dispatcher, error) {
+func newDispatcherProcess(number int, p Plan, programs Programs, dir string, r *Record, find *discovery) (*dispatcherProcess, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // a port that is free, and stays so for the next moment
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
-	d := &dispatcher{number: number, listen: l.Addr().String(), plan: p, programs: programs, dir: dir, record: r, find: find}
-	if d.address, err = find.address(number); err != nil {
+	d := &dispatcherProcess{number: number, listen: l.Addr().String(), plan: p, programs: programs, directory: dir, record: r, discovery: find}
+	if d.address, err = find.newAddress(number); err != nil {
 		return nil, err
 	}
 	d.logs, err = os.Create(filepath.Join(dir, fmt.Sprintf("n%d.log", number)))
 	return d, err
 }
 
-func (d *dispatcher) file() string { return filepath.Join(d.dir, fmt.Sprintf("n%d.json", d.number)) }
+func (d *dispatcherProcess) configPath() string {
+	return filepath.Join(d.directory, fmt.Sprintf("n%d.json", d.number))
+}
 
-// configure writes its file.
-func (d *dispatcher) configure() error {
+// writeConfig writes its file.
+func (d *dispatcherProcess) writeConfig() error {
 	d.mu.Lock()
 	address := d.address
 	d.mu.Unlock()
-	text := d.plan.config(d.number, d.listen, address, d.find.known(d.number))
-	return os.WriteFile(d.file(), []byte(text), 0o600)
+	text := d.plan.config(d.number, d.listen, address, d.discovery.initialList(d.number))
+	return os.WriteFile(d.configPath(), []byte(text), 0o600)
 }
 
 // start starts a process and waits until it is ready, or for as long as it may take.
-func (d *dispatcher) start() error {
-	if err := d.configure(); err != nil {
+func (d *dispatcherProcess) start() error {
+	if err := d.writeConfig(); err != nil {
 		return err
 	}
 	command := []string{d.programs.Dispatcher}
-	if d.plan.Failures != "" {
-		command = append([]string{d.programs.Injector, "inject", "--rules", d.plan.Failures, "--seed", strconv.FormatUint(d.plan.Seed, 10),
+	if d.plan.SystemCallFaults != "" {
+		command = append([]string{d.programs.Injector, "inject", "--rules", d.plan.SystemCallFaults, "--seed", strconv.FormatUint(d.plan.Seed, 10),
 			"--after", "1s", "--"}, command...)
 	}
-	tmp, err := os.MkdirTemp(d.dir, "tmp-")
+	tmp, err := os.MkdirTemp(d.directory, "tmp-")
 	if err != nil {
 		return err
 	}
 	c := exec.Command(command[0], command[1:]...)
-	c.Env = append(os.Environ(), "GW_CONFIG="+d.file(), "TMPDIR="+tmp, "GW_ADMIN=", "BRASSDALE_DEBUG=1")
+	c.Env = append(os.Environ(), "GW_CONFIG="+d.configPath(), "TMPDIR="+tmp, "GW_ADMIN=", "BRASSDALE_DEBUG=1")
 	pids := &pidReader{to: d.logs, found: make(chan int, 1)}
 	c.Stderr = pids
-	l := &Life{Dispatcher: d.number, Started: time.Now()}
+	l := &ProcessRun{Dispatcher: d.number, StartedAt: time.Now()}
 	if err := c.Start(); err != nil {
 		return err
 	}
 	pid := c.Process.Pid
-	if d.plan.Failures != "" {
+	if d.plan.SystemCallFaults != "" {
 		select {
 		case pid = <-pids.found:
 		case <-time.After(readyWithin):
@@ -103,17 +105,17 @@
 	}
 	exited := make(chan struct{})
 	d.mu.Lock()
-	if d.life != nil {
-		l.Number = d.life.Number + 1
+	if d.processRun != nil {
+		l.Number = d.processRun.Number + 1
 	}
-	d.life, d.pid, d.exited = l, pid, exited
+	d.processRun, d.pid, d.exited = l, pid, exited
 	d.mu.Unlock()
-	d.record.life(l)
+	d.record.addProcessRun(l)
 	go func() {
 		err := c.Wait()
-		d.record.add(func() {
-			l.Ended = time.Now()
-			if l.Term.IsZero() && !l.Killed {
+		d.record.locked(func() {
+			l.EndedAt = time.Now()
+			if l.SIGTERMAt.IsZero() && !l.Killed {
 				l.Crashed = fmt.Sprintf("ended by itself: %v", err)
 			} else if err != nil && !l.Killed {
 				l.Crashed = fmt.Sprintf("told to end, it ended with %v", err)
@@ -125,16 +127,16 @@
 }
 
 // awaitReady asks until the process wants work.
-func (d *dispatcher) awaitReady(l *Life) error {
+func (d *dispatcherProcess) awaitReady(l *ProcessRun) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := l.Started.Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := l.StartedAt.Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		resp, err := client.Get("http://" + d.listen + "/health/ready")
 		if err != nil {
 			continue
 		}
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			d.record.add(func() { l.Ready = time.Now() })
+			d.record.locked(func() { l.ReadyAt = time.Now() })
 			return nil
 		}
 	}
@@ -164,15 +166,15 @@
 }
 
 // current gives the process of now, whether it takes requests, and its number.
-func (d *dispatcher) current() (l *Life, up bool) {
+func (d *dispatcherProcess) current() (l *ProcessRun, up bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record.mu.Lock()
 	defer d.record.mu.Unlock()
-	return d.life, d.life != nil && !d.life.Ready.IsZero() && d.life.Ended.IsZero()
+	return d.processRun, d.processRun != nil && !d.processRun.ReadyAt.IsZero() && d.processRun.EndedAt.IsZero()
 }
 
-func (d *dispatcher) signal(s syscall.Signal) {
+func (d *dispatcherProcess) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
@@ -182,53 +184,53 @@
 	}
 }
 
-// kill kills the process and starts it again behind a pause.
-func (d *dispatcher) kill(pause time.Duration) error {
-	if !d.changing.TryLock() {
+// killAndRestart kills the process and starts it again behind a pause.
+func (d *dispatcherProcess) killAndRestart(pause time.Duration) error {
+	if !d.restarting.TryLock() {
 		return nil
 	}
-	defer d.changing.Unlock()
-	d.end()
+	defer d.restarting.Unlock()
+	d.kill()
 	time.Sleep(pause)
 	return d.start()
 }
 
-// end kills the process for good.
-func (d *dispatcher) end() {
+// kill kills the process for good.
+func (d *dispatcherProcess) kill() {
 	d.mu.Lock()
-	l, exited := d.life, d.exited
+	l, exited := d.processRun, d.exited
 	d.mu.Unlock()
-	d.record.add(func() { l.Killed = true })
+	d.record.locked(func() { l.Killed = true })
 	d.signal(syscall.SIGKILL)
 	<-exited
 }
 
-// restart tells the process to end, kills it as early as may be, and starts it again.
-func (d *dispatcher) restart() error {
-	if !d.changing.TryLock() {
+// terminateAndRestart tells the process to end, kills it as early as may be, and starts it again.
+func (d *dispatcherProcess) terminateAndRestart() error {
+	if !d.restarting.TryLock() {
 		return nil
 	}
-	defer d.changing.Unlock()
+	defer d.restarting.Unlock()
 	d.mu.Lock()
-	l, exited := d.life, d.exited
+	l, exited := d.processRun, d.exited
 	d.mu.Unlock()
-	d.record.add(func() { l.Term = time.Now() })
+	d.record.locked(func() { l.SIGTERMAt = time.Now() })
 	d.signal(syscall.SIGTERM)
 	select {
 	case <-exited:
-	case <-time.After(min(d.plan.Deadline, mostCounted) + killSlack):
-		d.end()
+	case <-time.After(min(d.plan.Deadline, maxCountedDeadline) + killSlack):
+		d.kill()
 	}
 	return d.start()
 }
 
 // moveTo tells it of a new configuration that moves discovery to a replica which lags for a while.
-func (d *dispatcher) moveTo(lag time.Duration, until time.Time) error {
-	address, err := d.find.address(d.number)
+func (d *dispatcherProcess) moveTo(lag time.Duration, until time.Time) error {
+	address, err := d.discovery.newAddress(d.number)
 	if err != nil {
 		return err
 	}
-	d.find.view(d.number).trouble(lag, 0, false, until)
+	d.discovery.replicaView(d.number).injectFault(lag, 0, false, until)
 	d.mu.Lock()
 	d.address = address
 	d.mu.Unlock()
@@ -236,9 +238,9 @@
 }
 
 // reload tells it of a new configuration; moved has it find discovery at another address.
-func (d *dispatcher) reload(moved bool) error {
+func (d *dispatcherProcess) reload(moved bool) error {
 	if moved {
-		address, err := d.find.address(d.number)
+		address, err := d.discovery.newAddress(d.number)
 		if err != nil {
 			return err
 		}
@@ -246,19 +248,19 @@
 		d.address = address
 		d.mu.Unlock()
 	}
-	if err := d.configure(); err != nil {
+	if err := d.writeConfig(); err != nil {
 		return err
 	}
 	d.signal(syscall.SIGHUP)
 	return nil
 }
 
-// holdUp stops the process for a moment, again and again.
-func (d *dispatcher) holdUp(until time.Time) {
+// pauseRepeatedly stops the process for a moment, again and again.
+func (d *dispatcherProcess) pauseRepeatedly(until time.Time) {
 	for time.Now().Before(until) {
 		d.signal(syscall.SIGSTOP)
-		time.Sleep(stopFor)
+		time.Sleep(pauseTime)
 		d.signal(syscall.SIGCONT)
-		time.Sleep(2 * stopFor)
+		time.Sleep(2 * pauseTime)
 	}
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -7,99 +7,105 @@
 
 // Request is what a client saw of a request.
 type Request struct {
-	ID         string
-	Dispatcher int
-	Life       int       // of the dispatcher's process
-	Written    time.Time // its last byte; zero while it is not whole
-	Deadline   time.Duration
-	Reused     bool      // its connection had carried another before
-	Left       time.Time // when its client closed or gave up; zero if it stayed
-	Status     int       // of the whole answer; 0 for none
-	Result     string
-	Answered   time.Time // when the answer was whole, or the connection ended
-	Why        string    // how the connection ended without an answer
-	Resent     bool      // it was sent again on a new connection, under another id
+	ID               string
+	Dispatcher       int
+	ProcessRun       int       // of the dispatcher's process
+	WrittenAt        time.Time // its last byte; zero while it is not whole
+	Deadline         time.Duration
+	ConnectionReused bool      // its connection had carried another before
+	LeftAt           time.Time // when its client closed or gave up; zero if it stayed
+	Status           int       // of the whole answer; 0 for none
+	Result           string
+	AnsweredAt       time.Time // when the answer was whole, or the connection ended
+	Error            string    // how the connection ended without an answer
+	Resent           bool      // it was sent again on a new connection, under another id
 }
 
 // Attempt is what a worker saw of an attempt.
 type Attempt struct {
-	ID         string
-	Dispatcher int
-	Worker     int
-	Cell       int
-	First      time.Time // its first byte
-	Last       time.Time // its last byte
-	Told       time.Duration
-	Ran        bool // it may have run
-	Result     string
-	Ended      time.Time // when the worker was done with it, or saw it given up
+	ID              string
+	Dispatcher      int
+	Worker          int
+	Cell            int
+	FirstByteAt     time.Time // its first byte
+	LastByteAt      time.Time // its last byte
+	Timeout         time.Duration
+	MayHaveExecuted bool // it may have run
+	Result          string
+	EndedAt         time.Time // when the worker was done with it, or saw it given up
 }
 
-// Life is one process of a dispatcher.
-type Life struct {
+// ProcessRun is one process of a dispatcher.
+type ProcessRun struct {
 	Dispatcher int
 	Number     int
-	Started    time.Time
-	Ready      time.Time
-	Term       time.Time // SIGTERM
-	Ended      time.Time
+	StartedAt  time.Time
+	ReadyAt    time.Time
+	SIGTERMAt  time.Time // SIGTERM
+	EndedAt    time.Time
 	Killed     bool // by SIGKILL
 	Crashed    string
 }
 
-// Answer is what discovery wrote to a dispatcher, whole.
-type Answer struct {
+// DiscoveryAnswer is what discovery wrote to a dispatcher, whole.
+type DiscoveryAnswer struct {
 	Dispatcher int
 	At         time.Time
 	Revision   int
 }
 
-// Change is a worker's change in discovery's list.
-type Change struct {
-	Revision int
-	At       time.Time
-	Worker   int
-	Phase    string
-	Cold     bool // it has started just then
+// EndpointChange is a worker's change in discovery's list.
+type EndpointChange struct {
+	Revision  int
+	At        time.Time
+	Worker    int
+	Phase     string
+	Restarted bool // it has started just then
 }
 
-// Outage is a time in which discovery answered nobody.
-type Outage struct{ From, To time.Time }
+// DiscoveryOutage is a time in which discovery answered nobody.
+type DiscoveryOutage struct{ From, To time.Time }
 
 // Record is all that the peers saw in a run.
 type Record struct {
-	mu       sync.Mutex
-	Begun    time.Time
-	Requests []*Request
-	Attempts []*Attempt
-	Lives    []*Life
-	Answers  []Answer
-	Changes  []Change
-	Outages  []Outage
-	Events   []string // with their times, for timelines
+	mu               sync.Mutex
+	StartedAt        time.Time
+	Requests         []*Request
+	Attempts         []*Attempt
+	ProcessRuns      []*ProcessRun
+	DiscoveryAnswers []DiscoveryAnswer
+	EndpointChanges  []EndpointChange
+	Outages          []DiscoveryOutage
+	Events           []string // with their times, for timelines
 }
 
-func (r *Record) add(do func()) {
+func (r *Record) locked(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do()
 }
 
-func (r *Record) request(q *Request) { r.add(func() { r.Requests = append(r.Requests, q) }) }
-func (r *Record) attempt(a *Attempt) { r.add(func() { r.Attempts = append(r.Attempts, a) }) }
-func (r *Record) answer(a Answer)    { r.add(func() { r.Answers = append(r.Answers, a) }) }
+func (r *Record) addRequest(q *Request) { r.locked(func() { r.Requests = append(r.Requests, q) }) }
+func (r *Record) addAttempt(a *Attempt) { r.locked(func() { r.Attempts = append(r.Attempts, a) }) }
+func (r *Record) addAnswer(a DiscoveryAnswer) {
+	r.locked(func() { r.DiscoveryAnswers = append(r.DiscoveryAnswers, a) })
+}
 
-// lastAnswer gives when discovery last told a dispatcher its list.
-func (r *Record) lastAnswer(dispatcher int) (at time.Time) {
-	r.add(func() {
-		for i := len(r.Answers) - 1; i >= 0 && at.IsZero(); i-- {
-			if r.Answers[i].Dispatcher == dispatcher {
-				at = r.Answers[i].At
+// lastAnswerAt gives when discovery last told a dispatcher its list.
+func (r *Record) lastAnswerAt(dispatcher int) (at time.Time) {
+	r.locked(func() {
+		for i := len(r.DiscoveryAnswers) - 1; i >= 0 && at.IsZero(); i-- {
+			if r.DiscoveryAnswers[i].Dispatcher == dispatcher {
+				at = r.DiscoveryAnswers[i].At
 			}
 		}
 	})
 	return at
 }
 
-func (r *Record) change(c Change) { r.add(func() { r.Changes = append(r.Changes, c) }) }
-func (r *Record) life(l *Life)    { r.add(func() { r.Lives = append(r.Lives, l) }) }
+func (r *Record) addChange(c EndpointChange) {
+	r.locked(func() { r.EndpointChanges = append(r.EndpointChanges, c) })
+}
+func (r *Record) addProcessRun(l *ProcessRun) {
+	r.locked(func() { r.ProcessRuns = append(r.ProcessRuns, l) })
+}
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -15,8 +15,8 @@
 	members  []member
 }
 
-// view is how one address of discovery shows the list: late, and answers after a while.
-type view struct {
+// replicaView is how one address of discovery shows the list: late, and answers after a while.
+type replicaView struct {
 	mu    sync.Mutex
 	lag   time.Duration // the list is as it was so long ago
 	flaps bool          // at every other call only
@@ -25,15 +25,15 @@
 	calls int
 }
 
-// trouble has the address show the list late, or answer late, for a while.
-func (v *view) trouble(lag, delay time.Duration, flaps bool, until time.Time) {
+// injectFault has the address show the list late, or answer late, for a while.
+func (v *replicaView) injectFault(lag, delay time.Duration, flaps bool, until time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lag, v.delay, v.flaps, v.until = lag, delay, flaps, until
 }
 
-// call gives how late the list is that a call is shown, and for how long its answer is held back.
-func (v *view) call(now time.Time) (lag, delay time.Duration) {
+// nextCall gives how late the list is that a nextCall is shown, and for how long its answer is held back.
+func (v *replicaView) nextCall(now time.Time) (lag, delay time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.calls++
@@ -49,8 +49,8 @@
 	return v.lag, delay
 }
 
-// keep notes the list as it is now; d.mu is held.
-func (d *discovery) keep() {
+// recordSnapshot notes the list as it is now; d.mu is held.
+func (d *discovery) recordSnapshot() {
 	s := snapshot{at: time.Now(), revision: d.revision}
 	for _, m := range d.members {
 		s.members = append(s.members, *m)
@@ -69,8 +69,8 @@
 	return shown
 }
 
-// word words a list for a dispatcher.
-func (s snapshot) word(dispatcher int) string {
+// encode words a list for a dispatcher.
+func (s snapshot) encode(dispatcher int) string {
 	var lines []string
 	for _, m := range s.members {
 		lines = append(lines, fmt.Sprintf(`{"id":"w%d","host_port":%q,"locality":"here","flavor":"new","cell":%d,"phase":%q,"size":1.0,"up_since_ms":%d}`,
@@ -79,29 +79,29 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, s.revision, strings.Join(lines, ","))
 }
 
-// capacity is the one queue of a service that all dispatchers share. A call that has waited too long is given up, and its work is
+// serviceQueue is the one queue of a service that all dispatchers share. A call that has waited too long is given up, and its work is
 // done all the same.
-type capacity struct {
-	perCall, expires, limit time.Duration
+type serviceQueue struct {
+	timePerCall, maxWait, maxBacklog time.Duration
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-// turn gives how long a call waits, and whether it is served then.
-func (c *capacity) turn(now time.Time) (wait time.Duration, served bool) {
+// enqueue gives how long a call waits, and whether it is served then.
+func (c *serviceQueue) enqueue(now time.Time) (wait time.Duration, served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.free.Before(now) {
-		c.free = now
+	if c.freeAt.Before(now) {
+		c.freeAt = now
 	}
-	if c.free.Sub(now) > c.limit {
+	if c.freeAt.Sub(now) > c.maxBacklog {
 		return 0, false
 	}
-	c.free = c.free.Add(c.perCall)
-	wait = c.free.Sub(now)
-	if wait > c.expires {
-		return c.expires, false
+	c.freeAt = c.freeAt.Add(c.timePerCall)
+	wait = c.freeAt.Sub(now)
+	if wait > c.maxWait {
+		return c.maxWait, false
 	}
 	return wait, true
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,7 +15,7 @@
 	Plan     Plan
 	Record   *Record
 	Breaches []Breach
-	Logs     string // the folder of the dispatchers' logs
+	LogDir   string // the folder of the dispatchers' logs
 }
 
 // ByRule counts the breaches.
@@ -29,15 +29,15 @@
 
 // run is a run while it plays.
 type run struct {
-	plan    Plan
-	record  *Record
-	find    *discovery
-	fleet   []*dispatcher
-	clients []*clients
+	plan        Plan
+	record      *Record
+	discovery   *discovery
+	dispatchers []*dispatcherProcess
+	clients     []*clientGroup
 
 	mu      sync.Mutex
 	workers map[int]*worker
-	errs    []error
+	errors  []error
 }
 
 // Play plays a plan in a folder, in real time.
@@ -46,28 +46,28 @@
 		return nil, err
 	}
 	record := &Record{}
-	r := &run{plan: p, record: record, find: newDiscovery(record, p), workers: map[int]*worker{}}
-	defer r.find.close()
+	r := &run{plan: p, record: record, discovery: newDiscovery(record, p), workers: map[int]*worker{}}
+	defer r.discovery.close()
 	for i := range p.Workers {
-		if err := r.join(i, false); err != nil {
+		if err := r.startWorker(i, false); err != nil {
 			return nil, err
 		}
 	}
 	defer r.stopWorkers()
 	var starting sync.WaitGroup
 	for i := range p.Dispatchers {
-		d, err := newDispatcher(i, p, programs, dir, record, r.find)
+		d, err := newDispatcherProcess(i, p, programs, dir, record, r.discovery)
 		if err != nil {
 			return nil, err
 		}
 		defer d.logs.Close()
-		r.fleet = append(r.fleet, d)
-		r.clients = append(r.clients, &clients{d: d, record: record, plan: p, rng: rand.New(rand.NewPCG(p.Seed, uint64(i)))})
-		starting.Go(func() { r.failed(d.start()) })
+		r.dispatchers = append(r.dispatchers, d)
+		r.clients = append(r.clients, &clientGroup{dispatcher: d, record: record, plan: p, rng: rand.New(rand.NewPCG(p.Seed, uint64(i)))})
+		starting.Go(func() { r.addError(d.start()) })
 	}
 	starting.Wait()
-	record.add(func() { record.Begun = time.Now() })
-	end := record.Begun.Add(p.Span)
+	record.locked(func() { record.StartedAt = time.Now() })
+	end := record.StartedAt.Add(p.Span)
 	var sending, happening sync.WaitGroup
 	for _, c := range r.clients {
 		sending.Go(func() { c.run(end) })
@@ -75,41 +75,41 @@
 	for _, e := range p.Events {
 		happening.Go(func() {
 			select {
-			case <-time.After(time.Until(record.Begun.Add(e.At))):
-				r.note(e)
-				r.failed(r.happen(e, time.Now().Add(e.For)))
+			case <-time.After(time.Until(record.StartedAt.Add(e.At))):
+				r.recordEvent(e)
+				r.addError(r.playEvent(e, time.Now().Add(e.Duration)))
 			case <-ctx.Done():
 			}
 		})
 	}
 	happening.Wait()
 	sending.Wait()
-	for _, d := range r.fleet {
-		d.end()
+	for _, d := range r.dispatchers {
+		d.kill()
 	}
-	if err := errors.Join(append(r.errs, ctx.Err())...); err != nil {
+	if err := errors.Join(append(r.errors, ctx.Err())...); err != nil {
 		return nil, err
 	}
-	return &Result{Plan: p, Record: record, Breaches: Audit(p, record), Logs: dir}, nil
+	return &Result{Plan: p, Record: record, Breaches: Audit(p, record), LogDir: dir}, nil
 }
 
-func (r *run) failed(err error) {
+func (r *run) addError(err error) {
 	if err == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.errs = append(r.errs, err)
+	r.errors = append(r.errors, err)
 }
 
-func (r *run) note(e Event) {
-	r.record.add(func() {
-		r.record.Events = append(r.record.Events, fmt.Sprintf("%.3f %s", time.Since(r.record.Begun).Seconds(), e))
+func (r *run) recordEvent(e Event) {
+	r.record.locked(func() {
+		r.record.Events = append(r.record.Events, fmt.Sprintf("%.3f %s", time.Since(r.record.StartedAt).Seconds(), e))
 	})
 }
 
-// join starts a worker and lists it.
-func (r *run) join(number int, cold bool) error {
+// startWorker starts a worker and lists it.
+func (r *run) startWorker(number int, cold bool) error {
 	w, err := newWorker(number, r.plan.Dispatchers, r.record)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 	r.mu.Lock()
 	r.workers[number] = w
 	r.mu.Unlock()
-	r.find.set(w, active, cold)
+	r.discovery.setPhase(w, phaseActive, cold)
 	return nil
 }
 
@@ -136,100 +136,100 @@
 }
 
 const (
-	crowdSize   = 800
-	restartTime = 300 * time.Millisecond
-	mostDrained = 2 // part of the workers, one in so many, that may drain at a time
+	idleClientCount   = 800
+	workerRestartTime = 300 * time.Millisecond
+	minReadyShare     = 2 // part of the workers, one in so many, that may drain at a time
 )
 
-// happen plays an event to its end.
-func (r *run) happen(e Event, until time.Time) error {
+// playEvent plays an event to its end.
+func (r *run) playEvent(e Event, until time.Time) error {
 	switch e.Kind {
 	case Drain:
-		r.drain(e.Target)
+		r.drainWorker(e.Target)
 	case Join:
-		return r.join(e.Target, true)
+		return r.startWorker(e.Target, true)
 	case Restart:
 		w := r.worker(e.Target)
 		w.stop()
-		time.Sleep(restartTime)
+		time.Sleep(workerRestartTime)
 		if err := w.start(); err != nil {
 			return err
 		}
-		r.find.set(w, active, true)
-	case WorkerHangs, WorkerResets, WorkerLate:
-		r.worker(e.Target).trouble(e.Kind, until)
+		r.discovery.setPhase(w, phaseActive, true)
+	case WorkerHangs, WorkerResets, WorkerReadsLate:
+		r.worker(e.Target).injectFault(e.Kind, until)
 	case FaultyCalls:
-		r.find.failCalls(r.plan.Dispatchers, e.Calls)
+		r.discovery.failCalls(r.plan.Dispatchers, e.Calls)
 	case SilentWatches:
-		r.find.silence()
+		r.discovery.silenceWatches()
 	case DiscoveryDown:
-		return r.outage(until)
-	case Move, Reload:
-		return r.fleet[e.Target].reload(e.Kind == Move)
-	case Holdups:
-		r.fleet[e.Target].holdUp(until)
-	case Term:
-		return r.fleet[e.Target].restart()
+		return r.stopDiscovery(until)
+	case DiscoveryMove, Reload:
+		return r.dispatchers[e.Target].reload(e.Kind == DiscoveryMove)
+	case ProcessPauses:
+		r.dispatchers[e.Target].pauseRepeatedly(until)
+	case Terminate:
+		return r.dispatchers[e.Target].terminateAndRestart()
 	case Kill:
-		return r.fleet[e.Target].kill(time.Until(until) / 4)
-	case Crowd:
-		r.clients[e.Target].crowd(crowdSize, until)
+		return r.dispatchers[e.Target].killAndRestart(time.Until(until) / 4)
+	case IdleClients:
+		r.clients[e.Target].openIdleConnections(idleClientCount, until)
 	case ClientsLeave:
-		r.clients[e.Target].leaveUntil(until)
+		r.clients[e.Target].setLeaveEarly(until)
 	case ClockStep:
-		r.find.stepClock(e.Step)
-	case Lag:
-		r.find.view(e.Target).trouble(e.Step, 0, e.Flaps, until)
-	case SlowAnswers:
-		r.find.view(e.Target).trouble(0, e.Step, false, until)
-	case LaggingMove:
-		r.drain(e.Worker)
-		time.Sleep(e.For / 4)
-		return r.fleet[e.Target].moveTo(e.Step, time.Now().Add(e.For))
-	case Moves:
-		return r.moves(e)
+		r.discovery.stepClock(e.Step)
+	case ReplicaLag:
+		r.discovery.replicaView(e.Target).injectFault(e.Step, 0, e.Flaps, until)
+	case DelayedAnswers:
+		r.discovery.replicaView(e.Target).injectFault(0, e.Step, false, until)
+	case MoveToLaggingReplica:
+		r.drainWorker(e.Worker)
+		time.Sleep(e.Duration / 4)
+		return r.dispatchers[e.Target].moveTo(e.Step, time.Now().Add(e.Duration))
+	case DiscoveryMoves:
+		return r.moveDiscoveryRepeatedly(e)
 	}
 	return nil
 }
 
-// drain has a worker drain, unless half of them do.
-func (r *run) drain(number int) {
-	r.find.mu.Lock()
+// drainWorker has a worker drainWorker, unless half of them do.
+func (r *run) drainWorker(number int) {
+	r.discovery.mu.Lock()
 	up := 0
-	for _, m := range r.find.members {
-		if m.phase == active {
+	for _, m := range r.discovery.members {
+		if m.phase == phaseActive {
 			up++
 		}
 	}
-	r.find.mu.Unlock()
-	if up > max(r.plan.Workers/mostDrained, 1) {
-		r.find.set(r.worker(number), leaving, false)
+	r.discovery.mu.Unlock()
+	if up > max(r.plan.Workers/minReadyShare, 1) {
+		r.discovery.setPhase(r.worker(number), phaseLeaving, false)
 	}
 }
 
-// mostMoves is how many new configurations come in a row.
-const mostMoves = 4
+// movesInARow is how many new configurations come in a row.
+const movesInARow = 4
 
-// moves brings several new configurations, each of which moves discovery, and has a worker drain in the middle.
-func (r *run) moves(e Event) error {
-	for i := range mostMoves {
-		if i == mostMoves/2 {
-			r.drain(e.Worker)
+// moveDiscoveryRepeatedly brings several new configurations, each of which moveDiscoveryRepeatedly discovery, and has a worker drain in the middle.
+func (r *run) moveDiscoveryRepeatedly(e Event) error {
+	for i := range movesInARow {
+		if i == movesInARow/2 {
+			r.drainWorker(e.Worker)
 		}
-		if err := r.fleet[e.Target].reload(true); err != nil {
+		if err := r.dispatchers[e.Target].reload(true); err != nil {
 			return err
 		}
-		time.Sleep(e.For / mostMoves)
+		time.Sleep(e.Duration / movesInARow)
 	}
 	return nil
 }
 
-// outage has discovery refuse all calls for a while.
-func (r *run) outage(until time.Time) error {
+// stopDiscovery has discovery refuse all calls for a while.
+func (r *run) stopDiscovery(until time.Time) error {
 	from := time.Now()
-	r.find.setDown(true)
+	r.discovery.setDown(true)
 	time.Sleep(time.Until(until))
-	r.find.setDown(false)
-	r.record.add(func() { r.record.Outages = append(r.record.Outages, Outage{from, time.Now()}) })
+	r.discovery.setDown(false)
+	r.record.locked(func() { r.record.Outages = append(r.record.Outages, DiscoveryOutage{from, time.Now()}) })
 	return nil
 }
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -7,23 +7,23 @@
 
 // The figures that all runs share; they reach the dispatchers as settings.
 const (
-	drainGrace    = 500 * time.Millisecond
-	coldFor       = 6 * time.Second
-	fallSpan      = 1500 * time.Millisecond
-	startCapacity = 0.14
-	tipMultiple   = 3.0
-	workerSlots   = 5
-	jobTime       = 60 * time.Millisecond // of a worker, on average
-	class         = "quote"
-	active        = "active"
-	leaving       = "leaving"
+	drainGrace        = 500 * time.Millisecond
+	slowStartDuration = 6 * time.Second
+	overloadWindow    = 1500 * time.Millisecond
+	slowStartCapacity = 0.14
+	overloadMultiple  = 3.0
+	workerSlots       = 5
+	jobTime           = 60 * time.Millisecond // of a worker, on average
+	className         = "quote"
+	phaseActive       = "active"
+	phaseLeaving      = "leaving"
 )
 
 // settings gives what a dispatcher is told, as the platform words it.
 func (p Plan) settings(dispatcher int) string {
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
 	mode := "ask"
-	if p.Pushed {
+	if p.ListsPushed {
 		mode = "push"
 	}
 	return fmt.Sprintf(`{"classes":[{"aim":200000,"credit":1,"deadline":%d,"dedupScope":"cell","effect":%q,"lateWorth":0.1,"name":%q,"window":%d}],
@@ -31,8 +31,8 @@
 "limits":{"cancel":true,"connIdle":5000000,"connectTimeout":200000,"maxAttempts":4,"maxRetryAfter":2000000,"mayDuplicate":%t,"probing":true,"retryAfter":true},
 "loadReport":{"columns":["cpu_share","pending","x0","x1"],"via":"pull"},"ordinal":%d,"replicasOfMe":%d,
 "rules":{"answerSlack":8000,"askWithin":10000000,"cold":%d,"drainGrace":%d,"fall":%d,"startCapacity":%g,"tipMultiple":%g},"zones":["here"]}`,
-		micros(p.Deadline), p.Effect, class, micros(p.Window), mode, p.Duplicates, dispatcher, p.Dispatchers,
-		micros(coldFor), micros(drainGrace), micros(fallSpan), startCapacity, tipMultiple)
+		micros(p.Deadline), p.Idempotency, className, micros(p.DeduplicationWindow), mode, p.MayHedge, dispatcher, p.Dispatchers,
+		micros(slowStartDuration), micros(drainGrace), micros(overloadWindow), slowStartCapacity, overloadMultiple)
 }
 
 // config gives a dispatcher's file.
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// moment is a line of a timeline.
-type moment struct {
+// timelineEntry is a line of a timeline.
+type timelineEntry struct {
 	at   time.Time
 	text string
 }
@@ -21,45 +21,45 @@
 	rec := r.Record
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	var moments []moment
+	var moments []timelineEntry
 	note := func(at time.Time, format string, args ...any) {
 		if !at.IsZero() {
-			moments = append(moments, moment{at, fmt.Sprintf(format, args...)})
+			moments = append(moments, timelineEntry{at, fmt.Sprintf(format, args...)})
 		}
 	}
-	note(b.At, "BROKEN %s: %s", b.Rule, b.Why)
+	note(b.At, "BROKEN %s: %s", b.Rule, b.Detail)
 	for _, q := range rec.Requests {
 		if q.ID == b.Request && b.Request != "" {
-			note(q.Written, "client: written to n%d, life %d, waits %v, reused connection %t", q.Dispatcher, q.Life, q.Deadline, q.Reused)
-			note(q.Left, "client: left")
-			note(q.Answered, "client: status %d %q %s", q.Status, q.Result, q.Why)
+			note(q.WrittenAt, "client: written to n%d, life %d, waits %v, reused connection %t", q.Dispatcher, q.ProcessRun, q.Deadline, q.ConnectionReused)
+			note(q.LeftAt, "client: left")
+			note(q.AnsweredAt, "client: status %d %q %s", q.Status, q.Result, q.Error)
 		}
 	}
 	for _, t := range rec.Attempts {
 		if t.ID == b.Request && b.Request != "" {
-			note(t.First, "w%d: first byte from n%d, told %v", t.Worker, t.Dispatcher, t.Told)
-			note(t.Ended, "w%d: ended, result %q", t.Worker, t.Result)
+			note(t.FirstByteAt, "w%d: first byte from n%d, told %v", t.Worker, t.Dispatcher, t.Timeout)
+			note(t.EndedAt, "w%d: ended, result %q", t.Worker, t.Result)
 		}
 	}
-	for _, c := range rec.Changes {
+	for _, c := range rec.EndpointChanges {
 		if b.Worker >= 0 && c.Worker == b.Worker {
-			note(c.At, "discovery: revision %d, w%d %s, cold %t", c.Revision, c.Worker, c.Phase, c.Cold)
+			note(c.At, "discovery: revision %d, w%d %s, cold %t", c.Revision, c.Worker, c.Phase, c.Restarted)
 		}
 	}
 	if b.Rule == RuleDrain {
-		for _, w := range rec.Answers {
+		for _, w := range rec.DiscoveryAnswers {
 			note(w.At, "discovery: wrote revision %d to n%d", w.Revision, w.Dispatcher)
 		}
 	}
-	for _, l := range rec.Lives {
-		note(l.Started, "n%d: life %d started", l.Dispatcher, l.Number)
-		note(l.Term, "n%d: SIGTERM", l.Dispatcher)
-		note(l.Ended, "n%d: ended, killed %t", l.Dispatcher, l.Killed)
+	for _, l := range rec.ProcessRuns {
+		note(l.StartedAt, "n%d: life %d started", l.Dispatcher, l.Number)
+		note(l.SIGTERMAt, "n%d: SIGTERM", l.Dispatcher)
+		note(l.EndedAt, "n%d: ended, killed %t", l.Dispatcher, l.Killed)
 	}
-	slices.SortFunc(moments, func(a, b moment) int { return a.at.Compare(b.at) })
+	slices.SortFunc(moments, func(a, b timelineEntry) int { return a.at.Compare(b.at) })
 	var text strings.Builder
 	for _, m := range moments {
-		fmt.Fprintf(&text, "  %9.3f %s\n", m.at.Sub(rec.Begun).Seconds(), m.text)
+		fmt.Fprintf(&text, "  %9.3f %s\n", m.at.Sub(rec.StartedAt).Seconds(), m.text)
 	}
 	for _, line := range r.logLines(b.Request) {
 		fmt.Fprintf(&text, "  log %s\n", line)
@@ -72,7 +72,7 @@
 	if id == "" {
 		return nil
 	}
-	files, _ := filepath.Glob(filepath.Join(r.Logs, "n*.log"))
+	files, _ := filepath.Glob(filepath.Join(r.LogDir, "n*.log"))
 	for _, path := range files {
 		f, err := os.Open(path)
 		if err != nil {
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -21,43 +21,43 @@
 
 	unready atomic.Bool // discovery does not list it as active: it answers probes with 503
 
-	mu        sync.Mutex
-	ports     []string // by dispatcher
-	listeners []net.Listener
-	conns     map[net.Conn]bool
-	hangs     time.Time // until then it says nothing more of its jobs
-	resets    time.Time // until then it breaks connections under jobs
-	late      time.Time // until then it takes a while to read from new connections
+	mu             sync.Mutex
+	addresses      []string // by dispatcher
+	listeners      []net.Listener
+	connections    map[net.Conn]bool
+	hangsUntil     time.Time // until then it says nothing more of its jobs
+	resetsUntil    time.Time // until then it breaks connections under jobs
+	readsLateUntil time.Time // until then it takes a while to read from new connections
 }
 
 func newWorker(number, dispatchers int, r *Record) (*worker, error) {
-	w := &worker{number: number, record: r, slots: make(chan struct{}, workerSlots), ports: make([]string, dispatchers), conns: map[net.Conn]bool{}}
-	for i := range w.ports {
-		w.ports[i] = "127.0.0.1:0"
+	w := &worker{number: number, record: r, slots: make(chan struct{}, workerSlots), addresses: make([]string, dispatchers), connections: map[net.Conn]bool{}}
+	for i := range w.addresses {
+		w.addresses[i] = "127.0.0.1:0"
 	}
 	return w, w.start()
 }
 
-// cells is how many cells there are.
-const cells = 2
+// cellCount is how many cellCount there are.
+const cellCount = 2
 
-func (w *worker) cell() int { return w.number % cells }
+func (w *worker) cell() int { return w.number % cellCount }
 
 func (w *worker) address(dispatcher int) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ports[dispatcher]
+	return w.addresses[dispatcher]
 }
 
 // start listens at its addresses, the same ones each time.
 func (w *worker) start() error {
-	for i := range w.ports {
+	for i := range w.addresses {
 		l, err := net.Listen("tcp", w.address(i))
 		if err != nil {
 			return err
 		}
 		w.mu.Lock()
-		w.ports[i] = l.Addr().String()
+		w.addresses[i] = l.Addr().String()
 		w.listeners = append(w.listeners, l)
 		w.mu.Unlock()
 		go w.accept(l, i)
@@ -73,7 +73,7 @@
 		l.Close()
 	}
 	w.listeners = nil
-	for c := range w.conns {
+	for c := range w.connections {
 		resetConn(c)
 	}
 }
@@ -85,21 +85,21 @@
 	c.Close()
 }
 
-// trouble sets until when something is wrong with it.
-func (w *worker) trouble(kind Kind, until time.Time) {
+// injectFault sets until when something is wrong with it.
+func (w *worker) injectFault(kind Kind, until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch kind {
 	case WorkerHangs:
-		w.hangs = until
+		w.hangsUntil = until
 	case WorkerResets:
-		w.resets = until
-	case WorkerLate:
-		w.late = until
+		w.resetsUntil = until
+	case WorkerReadsLate:
+		w.readsLateUntil = until
 	}
 }
 
-func (w *worker) troubled(until *time.Time) bool {
+func (w *worker) hasFault(until *time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Now().Before(*until)
@@ -112,34 +112,34 @@
 			return
 		}
 		w.mu.Lock()
-		w.conns[c] = true
+		w.connections[c] = true
 		w.mu.Unlock()
 		go func() {
 			pause := time.Duration(0)
-			if w.troubled(&w.late) {
+			if w.hasFault(&w.readsLateUntil) {
 				pause = time.Duration(rand.IntN(1000)) * time.Millisecond
 			}
 			w.serve(c, dispatcher, pause)
 			c.Close()
 			w.mu.Lock()
-			delete(w.conns, c)
+			delete(w.connections, c)
 			w.mu.Unlock()
 		}()
 	}
 }
 
-// came is when the first byte of a request came, or why none did.
-type came struct {
+// firstByte is when the first byte of a request firstByte, or why none did.
+type firstByte struct {
 	at  time.Time
 	err error
 }
 
-// await waits for the next byte beside who calls it.
-func await(in *bufio.Reader) <-chan came {
-	next := make(chan came, 1)
+// awaitByte waits for the next byte beside who calls it.
+func awaitByte(in *bufio.Reader) <-chan firstByte {
+	next := make(chan firstByte, 1)
 	go func() {
 		_, err := in.Peek(1)
-		next <- came{time.Now(), err}
+		next <- firstByte{time.Now(), err}
 	}()
 	return next
 }
@@ -147,7 +147,7 @@
 // serve serves a connection, one request at a time, the first behind a pause.
 func (w *worker) serve(c net.Conn, dispatcher int, pause time.Duration) {
 	in := bufio.NewReader(c)
-	for next := await(in); ; pause = 0 {
+	for next := awaitByte(in); ; pause = 0 {
 		first := <-next
 		time.Sleep(pause)
 		if first.err != nil {
@@ -161,7 +161,7 @@
 			return
 		}
 		last := time.Now().Add(-pause)
-		next = await(in)
+		next = awaitByte(in)
 		if r.URL.Path == "/stats" && w.unready.Load() {
 			fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 			continue
@@ -173,26 +173,26 @@
 			continue
 		}
 		left, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
-		a := &Attempt{ID: r.Header.Get("Req-Id"), Dispatcher: dispatcher, Worker: w.number, Cell: w.cell(), First: first.at, Last: last,
-			Told: time.Duration(left) * time.Millisecond, Ran: true}
-		w.record.attempt(a)
-		if !w.work(c, a, next, pause > 0) {
+		a := &Attempt{ID: r.Header.Get("Req-Id"), Dispatcher: dispatcher, Worker: w.number, Cell: w.cell(), FirstByteAt: first.at, LastByteAt: last,
+			Timeout: time.Duration(left) * time.Millisecond, MayHaveExecuted: true}
+		w.record.addAttempt(a)
+		if !w.runJob(c, a, next, pause > 0) {
 			return
 		}
 	}
 }
 
-// work does a job, and tells whether its connection may carry a further one. Of a job that was read late nobody knows when it was
+// runJob does a job, and tells whether its connection may carry a further one. Of a job that was read late nobody knows when it was
 // given up: it counts as given up at once.
-func (w *worker) work(c net.Conn, a *Attempt, next <-chan came, late bool) bool {
+func (w *worker) runJob(c net.Conn, a *Attempt, next <-chan firstByte, late bool) bool {
 	end := func(result string) {
-		w.record.add(func() {
-			if a.Ended, a.Result = time.Now(), result; late && result == "" {
-				a.Ended = a.Last
+		w.record.locked(func() {
+			if a.EndedAt, a.Result = time.Now(), result; late && result == "" {
+				a.EndedAt = a.LastByteAt
 			}
 		})
 	}
-	if w.troubled(&w.resets) {
+	if w.hasFault(&w.resetsUntil) {
 		resetConn(c)
 		end("")
 		return false
@@ -218,7 +218,7 @@
 			return false
 		case <-time.After(takes):
 		}
-		if !w.troubled(&w.hangs) {
+		if !w.hasFault(&w.hangsUntil) {
 			break
 		}
 	}
