--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -9,204 +9,205 @@
 	"time"
 )
 
-// Breach is a rule that was broken, with the request or the worker concerned.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule    string
-	Request string // its id; empty where none is concerned
-	Worker  int    // -1 where none is
+	Request string // id of the request concerned; empty for none
+	Worker  int    // number of the worker concerned; -1 for none
 	At      time.Time
 	Detail  string
 }
 
-// The rules.
+// The rules of the protocol, by the names that the operators use.
 const (
-	RuleLost      = "lost"      // one final answer in time, and no attempt for a client that has gone
-	RuleDuplicate = "duplicate" // a repeat only as the class allows
-	RuleRejected  = "refused"   // a refusal promises that nothing ran
-	RuleDrain     = "drain"     // nothing new to a draining worker past the grace
-	RuleSlowStart = "failback"  // no cold worker gets more than it can stand
-	RuleDeadline  = "deadline"  // what a worker is told is no more than the client has left
-	RuleReady     = "ready"     // a process that starts is ready in time
-	RuleCrash     = "crash"     // and does not end by itself
+	RuleLost      = "lost"      // one final answer in time, and no attempt for a client that has left
+	RuleDuplicate = "duplicate" // retries and hedged attempts only as the class allows
+	RuleRejected  = "refused"   // a rejection promises that nothing ran
+	RuleDrain     = "drain"     // nothing new to a draining worker after the grace period
+	RuleSlowStart = "failback"  // no overload of a warming worker
+	RuleDeadline  = "deadline"  // a worker's timeout is no longer than the client's remaining time
+	RuleReady     = "ready"     // a process is ready in time
+	RuleCrash     = "crash"     // a process does not end by itself
 )
 
-// RuleNames lists them in the order of tables.
+// RuleNames lists the rules in the order of tables.
 var RuleNames = []string{RuleLost, RuleDuplicate, RuleRejected, RuleDrain, RuleSlowStart, RuleDeadline, RuleReady, RuleCrash}
 
 const (
-	answerSlack           = 500 * time.Millisecond // an answer may be so late and only earns nothing
+	answerSlack           = 500 * time.Millisecond // an answer that is late by less is not lost
 	clientLeftSlack       = 100 * time.Millisecond
 	deadlineSlack         = 150 * time.Millisecond
-	socketSlack           = 50 * time.Millisecond // of every time limit
+	socketSlack           = 50 * time.Millisecond // tolerance of every time limit
 	notificationDeadline  = 6 * time.Second
 	readyWithin           = 10 * time.Second
 	pollRegistration      = "epoll_ctl"
-	shutdownRequestWindow = 700 * time.Millisecond // behind SIGTERM: what came sooner may be found unanswered by SIGKILL
+	shutdownRequestWindow = 700 * time.Millisecond // after SIGTERM: a request that came sooner may be unanswered at SIGKILL
 )
 
-// auditor holds the rules over a record.
+// auditor checks the rules on a record.
 type auditor struct {
 	plan     Plan
 	record   *Record
-	attempts map[string][]*Attempt // by request, in order
+	attempts map[string][]*Attempt // by request, in order of their first byte
 	breaches []Breach
 }
 
-// Audit gives all breaches in a record.
-func Audit(p Plan, r *Record) []Breach {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	a := &auditor{plan: p, record: r, attempts: map[string][]*Attempt{}}
-	slices.SortFunc(r.Attempts, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
-	for _, t := range r.Attempts {
-		a.attempts[t.ID] = append(a.attempts[t.ID], t)
+// Audit returns all breaches in a record.
+func Audit(plan Plan, record *Record) []Breach {
+	record.mu.Lock()
+	defer record.mu.Unlock()
+	auditor := &auditor{plan: plan, record: record, attempts: map[string][]*Attempt{}}
+	slices.SortFunc(record.Attempts, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
+	for _, attempt := range record.Attempts {
+		auditor.attempts[attempt.ID] = append(auditor.attempts[attempt.ID], attempt)
 	}
-	for _, q := range r.Requests {
-		a.checkAnswered(q)
-		a.checkRepeats(q)
-		a.checkRejections(q)
-		a.checkClientLeft(q)
-		a.checkDeadlines(q)
+	for _, request := range record.Requests {
+		auditor.checkAnswered(request)
+		auditor.checkRepeats(request)
+		auditor.checkRejections(request)
+		auditor.checkClientLeft(request)
+		auditor.checkDeadlines(request)
 	}
-	a.checkDrains()
-	a.checkSlowStart()
-	a.checkProcessRuns()
-	return a.breaches
+	auditor.checkDrains()
+	auditor.checkSlowStart()
+	auditor.checkProcessRuns()
+	return auditor.breaches
 }
 
+// addBreach adds a breach. request is empty and worker -1 if none is concerned.
 func (a *auditor) addBreach(rule, request string, worker int, at time.Time, format string, args ...any) {
 	a.breaches = append(a.breaches, Breach{rule, request, worker, at, fmt.Sprintf(format, args...)})
 }
 
-// processRunOf finds the process that a request went to.
-func (a *auditor) processRunOf(q *Request) *ProcessRun {
-	for _, l := range a.record.ProcessRuns {
-		if l.Dispatcher == q.Dispatcher && l.Number == q.ProcessRun {
-			return l
+// processRunOf returns the process that a request was sent to; nil if it is unknown.
+func (a *auditor) processRunOf(request *Request) *ProcessRun {
+	for _, run := range a.record.ProcessRuns {
+		if run.Dispatcher == request.Dispatcher && run.Number == request.ProcessRun {
+			return run
 		}
 	}
 	return nil
 }
 
-// checkAnswered holds that a request that was taken gets one whole answer in time.
-func (a *auditor) checkAnswered(q *Request) {
-	if q.WrittenAt.IsZero() || !q.LeftAt.IsZero() {
+// checkAnswered checks that a request gets one complete answer in time.
+func (a *auditor) checkAnswered(request *Request) {
+	if request.WrittenAt.IsZero() || !request.LeftAt.IsZero() {
 		return
 	}
-	due := q.WrittenAt.Add(q.Deadline + answerSlack)
-	if q.Status > 0 {
-		if q.AnsweredAt.After(due) {
-			a.addBreach(RuleLost, q.ID, -1, q.AnsweredAt, "answered %v behind its deadline", q.AnsweredAt.Sub(q.WrittenAt.Add(q.Deadline)))
+	due := request.WrittenAt.Add(request.Deadline + answerSlack)
+	if request.Status > 0 {
+		if request.AnsweredAt.After(due) {
+			a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "answered %v after its deadline", request.AnsweredAt.Sub(request.WrittenAt.Add(request.Deadline)))
 		}
-		made := func(t *Attempt) bool { return t.Result != "" && t.Result == q.Result }
-		if q.Status == 200 && !slices.ContainsFunc(a.attempts[q.ID], made) {
-			a.addBreach(RuleLost, q.ID, -1, q.AnsweredAt, "served with what no worker made: %q", q.Result)
+		madeResult := func(attempt *Attempt) bool { return attempt.Result != "" && attempt.Result == request.Result }
+		if request.Status == 200 && !slices.ContainsFunc(a.attempts[request.ID], madeResult) {
+			a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "served with a result that no worker made: %q", request.Result)
 		}
 		return
 	}
-	l := a.processRunOf(q)
+	run := a.processRunOf(request)
 	switch {
-	case l != nil && !l.EndedAt.IsZero() && l.Killed && !q.AnsweredAt.Before(l.EndedAt.Add(-socketSlack)):
-		if l.SIGTERMAt.IsZero() || q.WrittenAt.Before(l.SIGTERMAt.Add(shutdownRequestWindow)) {
-			return // what a kill finds open is not lost, but for what came late behind SIGTERM
+	case run != nil && !run.EndedAt.IsZero() && run.Killed && !request.AnsweredAt.Before(run.EndedAt.Add(-socketSlack)):
+		if run.SIGTERMAt.IsZero() || request.WrittenAt.Before(run.SIGTERMAt.Add(shutdownRequestWindow)) {
+			return // open at a SIGKILL, unless it came late after SIGTERM
 		}
-	case q.ConnectionReused && len(a.attempts[q.ID]) == 0 && q.Resent:
-		return // a connection may end between requests, and the client sends once more on another
-	case !q.ConnectionReused && len(a.attempts[q.ID]) == 0 && strings.Contains(a.plan.SystemCallFaults, pollRegistration):
-		return // the system would not let it be polled: it was closed unread
+	case request.ConnectionReused && len(a.attempts[request.ID]) == 0 && request.Resent:
+		return // an idle connection may be closed; the client has sent the request again on another
+	case !request.ConnectionReused && len(a.attempts[request.ID]) == 0 && strings.Contains(a.plan.SystemCallFaults, pollRegistration):
+		return // the injected fault kept the connection from being polled: it was closed unread
 	}
-	a.addBreach(RuleLost, q.ID, -1, q.AnsweredAt, "no answer: %s", cmp.Or(q.Error, "nothing came"))
+	a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "no answer: %s", cmp.Or(request.Error, "nothing came"))
 }
 
-// checkRepeats holds that an attempt behind another goes out only as the class allows.
-func (a *auditor) checkRepeats(q *Request) {
+// checkRepeats checks that an attempt after one that may have run is sent only as the class allows.
+func (a *auditor) checkRepeats(request *Request) {
 	var first *Attempt
-	for _, t := range a.attempts[q.ID] {
+	for _, attempt := range a.attempts[request.ID] {
 		if first != nil {
 			switch a.plan.Idempotency {
 			case NonIdempotent:
-				a.addBreach(RuleDuplicate, q.ID, t.Worker, t.FirstByteAt, "of an unsafe class, behind an attempt at %d that may have run", first.Worker)
+				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "of a non-idempotent class, after an attempt at %d that may have run", first.Worker)
 			case IdempotentWithKey:
-				if over := t.LastByteAt.Sub(first.LastByteAt) - a.plan.DeduplicationWindow; over > socketSlack {
-					a.addBreach(RuleDuplicate, q.ID, t.Worker, t.FirstByteAt, "%v behind the window for repeats", over)
+				if excess := attempt.LastByteAt.Sub(first.LastByteAt) - a.plan.DeduplicationWindow; excess > socketSlack {
+					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "%v after the deduplication window", excess)
 				}
-				if t.Cell != first.Cell {
-					a.addBreach(RuleDuplicate, q.ID, t.Worker, t.FirstByteAt, "at another cell than the one that may have run it")
+				if attempt.Cell != first.Cell {
+					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "in another cell than the attempt that may have run")
 				}
 			}
 		}
-		for _, o := range a.attempts[q.ID] {
-			if !a.plan.MayHedge && o != t && o.FirstByteAt.Before(t.FirstByteAt) && t.LastByteAt.Before(o.EndedAt.Add(-socketSlack)) {
-				a.addBreach(RuleDuplicate, q.ID, t.Worker, t.FirstByteAt, "two attempts out, the other at %d", o.Worker)
+		for _, other := range a.attempts[request.ID] {
+			if !a.plan.MayHedge && other != attempt && other.FirstByteAt.Before(attempt.FirstByteAt) && attempt.LastByteAt.Before(other.EndedAt.Add(-socketSlack)) {
+				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "two attempts in flight, the other at %d", other.Worker)
 			}
 		}
-		if t.MayHaveExecuted && first == nil {
-			first = t
+		if attempt.MayHaveExecuted && first == nil {
+			first = attempt
 		}
 	}
 }
 
-// checkRejections holds that a refusal is given only where nothing ran, unless the class is safe.
-func (a *auditor) checkRejections(q *Request) {
-	if q.Status != 503 && q.Status != 429 || a.plan.Idempotency == Idempotent {
+// checkRejections checks that a request is rejected only if nothing ran, unless its class is idempotent.
+func (a *auditor) checkRejections(request *Request) {
+	if request.Status != 503 && request.Status != 429 || a.plan.Idempotency == Idempotent {
 		return
 	}
-	for _, t := range a.attempts[q.ID] {
-		if t.MayHaveExecuted {
-			a.addBreach(RuleRejected, q.ID, t.Worker, q.AnsweredAt, "refused with %d, though an attempt may have run", q.Status)
+	for _, attempt := range a.attempts[request.ID] {
+		if attempt.MayHaveExecuted {
+			a.addBreach(RuleRejected, request.ID, attempt.Worker, request.AnsweredAt, "rejected with %d, though an attempt may have run", request.Status)
 			return
 		}
 	}
 }
 
-// checkClientLeft holds that nothing is begun for a client that has checkClientLeft.
-func (a *auditor) checkClientLeft(q *Request) {
-	if q.LeftAt.IsZero() {
+// checkClientLeft checks that no attempt begins for a client that has left.
+func (a *auditor) checkClientLeft(request *Request) {
+	if request.LeftAt.IsZero() {
 		return
 	}
-	for _, t := range a.attempts[q.ID] {
-		if late := t.FirstByteAt.Sub(q.LeftAt); late > clientLeftSlack {
-			a.addBreach(RuleLost, q.ID, t.Worker, t.FirstByteAt, "an attempt began %v behind its client's leaving", late)
+	for _, attempt := range a.attempts[request.ID] {
+		if late := attempt.FirstByteAt.Sub(request.LeftAt); late > clientLeftSlack {
+			a.addBreach(RuleLost, request.ID, attempt.Worker, attempt.FirstByteAt, "an attempt began %v after its client left", late)
 		}
 	}
 }
 
-// checkDeadlines holds that workers are told no more time than is left.
-func (a *auditor) checkDeadlines(q *Request) {
-	if q.WrittenAt.IsZero() {
+// checkDeadlines checks that a worker's timeout is no longer than the client's remaining time.
+func (a *auditor) checkDeadlines(request *Request) {
+	if request.WrittenAt.IsZero() {
 		return
 	}
-	for _, t := range a.attempts[q.ID] {
-		if over := t.LastByteAt.Add(t.Timeout).Sub(q.WrittenAt.Add(q.Deadline)); over > deadlineSlack {
-			a.addBreach(RuleDeadline, q.ID, t.Worker, t.LastByteAt, "told %v more than was left", over)
+	for _, attempt := range a.attempts[request.ID] {
+		if excess := attempt.LastByteAt.Add(attempt.Timeout).Sub(request.WrittenAt.Add(request.Deadline)); excess > deadlineSlack {
+			a.addBreach(RuleDeadline, request.ID, attempt.Worker, attempt.LastByteAt, "timeout %v longer than the remaining time", excess)
 		}
 	}
 }
 
-// notifiedAt gives when a change counts as notifiedAt at a process of a dispatcher.
-func (a *auditor) notifiedAt(c EndpointChange, l *ProcessRun) time.Time {
-	had := c.At
-	if l.StartedAt.After(had) {
-		had = l.StartedAt
+// notifiedAt returns from when on the platform counts a process as notified of a change.
+func (a *auditor) notifiedAt(change EndpointChange, run *ProcessRun) time.Time {
+	reachable := change.At
+	if run.StartedAt.After(reachable) {
+		reachable = run.StartedAt
 	}
-	for _, o := range a.record.Outages {
-		if !o.From.After(had.Add(a.outageReach())) && o.To.After(had) {
-			had = o.To
+	for _, outage := range a.record.Outages {
+		if !outage.From.After(reachable.Add(a.outageReach())) && outage.To.After(reachable) {
+			reachable = outage.To
 		}
 	}
 	if a.plan.ListsPushed {
-		return had
+		return reachable
 	}
-	told := had.Add(notificationDeadline)
-	for _, w := range a.record.DiscoveryAnswers {
-		if w.Dispatcher == l.Dispatcher && w.Revision >= c.Revision && w.At.After(l.StartedAt) && w.At.Before(told) {
-			told = w.At
+	notified := reachable.Add(notificationDeadline)
+	for _, answer := range a.record.DiscoveryAnswers {
+		if answer.Dispatcher == run.Dispatcher && answer.Revision >= change.Revision && answer.At.After(run.StartedAt) && answer.At.Before(notified) {
+			notified = answer.At
 		}
 	}
-	return told
+	return notified
 }
 
-// outageReach is how long behind a change an outage still keeps it from being heard.
+// outageReach is how long after a change an outage still delays its notification.
 func (a *auditor) outageReach() time.Duration {
 	if a.plan.ListsPushed {
 		return drainGrace
@@ -214,82 +215,83 @@
 	return notificationDeadline
 }
 
-// checkDrains holds that nothing new reaches a draining worker past the grace.
+// checkDrains checks that no attempt reaches a draining worker after the grace period.
 func (a *auditor) checkDrains() {
-	for _, c := range a.record.EndpointChanges {
-		if c.Phase == phaseActive {
+	for _, change := range a.record.EndpointChanges {
+		if change.Phase == phaseActive {
 			continue
 		}
-		until := a.nextChange(c)
-		for _, l := range a.record.ProcessRuns {
-			limit := a.notifiedAt(c, l).Add(drainGrace + socketSlack)
-			for _, t := range a.record.Attempts {
-				if t.Worker == c.Worker && t.Dispatcher == l.Dispatcher && t.FirstByteAt.After(limit) && t.FirstByteAt.Before(until) && a.isRunning(t.FirstByteAt, l) {
-					a.addBreach(RuleDrain, t.ID, t.Worker, t.FirstByteAt, "%v behind the grace, revision %d was told at %s", t.FirstByteAt.Sub(limit), c.Revision, a.timeText(a.notifiedAt(c, l)))
+		until := a.nextChange(change)
+		for _, run := range a.record.ProcessRuns {
+			limit := a.notifiedAt(change, run).Add(drainGrace + socketSlack)
+			for _, attempt := range a.record.Attempts {
+				if attempt.Worker == change.Worker && attempt.Dispatcher == run.Dispatcher && attempt.FirstByteAt.After(limit) && attempt.FirstByteAt.Before(until) && a.isRunning(attempt.FirstByteAt, run) {
+					a.addBreach(RuleDrain, attempt.ID, attempt.Worker, attempt.FirstByteAt, "%v after the grace period, notified of revision %d at %s", attempt.FirstByteAt.Sub(limit), change.Revision, a.timeText(a.notifiedAt(change, run)))
 				}
 			}
 		}
 	}
 }
 
-// nextChange gives when a worker changed again.
-func (a *auditor) nextChange(c EndpointChange) time.Time {
-	for _, d := range a.record.EndpointChanges {
-		if d.Worker == c.Worker && d.Revision > c.Revision {
-			return d.At
+// nextChange returns when the worker of a change changed again; a time after the run for never.
+func (a *auditor) nextChange(change EndpointChange) time.Time {
+	for _, later := range a.record.EndpointChanges {
+		if later.Worker == change.Worker && later.Revision > change.Revision {
+			return later.At
 		}
 	}
 	return a.record.StartedAt.Add(time.Hour)
 }
 
-func (a *auditor) isRunning(t time.Time, l *ProcessRun) bool {
-	return !t.Before(l.StartedAt) && (l.EndedAt.IsZero() || t.Before(l.EndedAt.Add(socketSlack)))
+// isRunning reports whether a process was running at a time.
+func (a *auditor) isRunning(at time.Time, run *ProcessRun) bool {
+	return !at.Before(run.StartedAt) && (run.EndedAt.IsZero() || at.Before(run.EndedAt.Add(socketSlack)))
 }
 
-// warmupFactor is the share of its capacity that a worker has at an age.
+// warmupFactor returns the share of its capacity that a worker has at an age.
 func warmupFactor(age time.Duration) float64 {
 	return min(slowStartCapacity+(1-slowStartCapacity)*float64(age)/float64(slowStartDuration), 1)
 }
 
-// checkSlowStart holds that a worker that has started gets no more than it can stand, unless over a third came from dispatchers that
-// had not been told of the start.
+// checkSlowStart checks that a warming worker gets no more requests in the overload window than it can take, unless a third of them or more
+// came from dispatchers that were not notified of its start.
 func (a *auditor) checkSlowStart() {
-	for _, c := range a.record.EndpointChanges {
-		if !c.Restarted {
+	for _, change := range a.record.EndpointChanges {
+		if !change.Restarted {
 			continue
 		}
-		var came []*Attempt
-		for _, t := range a.record.Attempts {
-			if t.Worker == c.Worker && t.FirstByteAt.After(c.At) && t.FirstByteAt.Before(c.At.Add(slowStartDuration)) {
-				came = append(came, t)
+		var attempts []*Attempt
+		for _, attempt := range a.record.Attempts {
+			if attempt.Worker == change.Worker && attempt.FirstByteAt.After(change.At) && attempt.FirstByteAt.Before(change.At.Add(slowStartDuration)) {
+				attempts = append(attempts, attempt)
 			}
 		}
-		slices.SortFunc(came, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
-		for i, last := range came {
-			n := overloadMultiple * warmupFactor(last.FirstByteAt.Sub(c.At)) * workerSlots * overloadWindow.Seconds() / jobTime.Seconds()
-			budget := n + 2*math.Sqrt(n) + 2
-			if n < 30 {
-				budget = n + 3*math.Sqrt(n) + 3
+		slices.SortFunc(attempts, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
+		for i, last := range attempts {
+			meanCapacity := overloadMultiple * warmupFactor(last.FirstByteAt.Sub(change.At)) * workerSlots * overloadWindow.Seconds() / jobTime.Seconds()
+			budget := meanCapacity + 2*math.Sqrt(meanCapacity) + 2
+			if meanCapacity < 30 {
+				budget = meanCapacity + 3*math.Sqrt(meanCapacity) + 3
 			}
-			from := slices.IndexFunc(came, func(t *Attempt) bool { return t.FirstByteAt.After(last.FirstByteAt.Add(-overloadWindow)) })
-			got := came[from : i+1]
-			if float64(len(got)) <= budget {
+			first := slices.IndexFunc(attempts, func(t *Attempt) bool { return t.FirstByteAt.After(last.FirstByteAt.Add(-overloadWindow)) })
+			inWindow := attempts[first : i+1]
+			if float64(len(inWindow)) <= budget {
 				continue
 			}
-			if knew := a.countNotified(c, got); knew*3 > 2*len(got) {
-				a.addBreach(RuleSlowStart, "", c.Worker, last.FirstByteAt, "%d requests in %v, %d of them by who knew, %.0f allowed %v behind its start",
-					len(got), overloadWindow, knew, budget, last.FirstByteAt.Sub(c.At))
+			if notified := a.countNotified(change, inWindow); notified*3 > 2*len(inWindow) {
+				a.addBreach(RuleSlowStart, "", change.Worker, last.FirstByteAt, "%d requests in %v, %d of them by notified processes, %.0f allowed %v after its start",
+					len(inWindow), overloadWindow, notified, budget, last.FirstByteAt.Sub(change.At))
 			}
-			break // it has fallen
+			break // an overloaded worker is down from then on
 		}
 	}
 }
 
-// countNotified counts the attempts of dispatchers that had been told of a change.
-func (a *auditor) countNotified(c EndpointChange, attempts []*Attempt) (count int) {
-	for _, t := range attempts {
-		for _, l := range a.record.ProcessRuns {
-			if l.Dispatcher == t.Dispatcher && a.isRunning(t.FirstByteAt, l) && !a.notifiedAt(c, l).After(t.FirstByteAt) {
+// countNotified returns how many attempts came from processes that were notified of a change.
+func (a *auditor) countNotified(change EndpointChange, attempts []*Attempt) (count int) {
+	for _, attempt := range attempts {
+		for _, run := range a.record.ProcessRuns {
+			if run.Dispatcher == attempt.Dispatcher && a.isRunning(attempt.FirstByteAt, run) && !a.notifiedAt(change, run).After(attempt.FirstByteAt) {
 				count++
 				break
 			}
@@ -298,19 +300,19 @@
 	return count
 }
 
-// checkProcessRuns holds that processes become ready in time and end only when they are told to.
+// checkProcessRuns checks that processes become ready in time, and end only when they are told to.
 func (a *auditor) checkProcessRuns() {
-	for _, l := range a.record.ProcessRuns {
-		if l.Crashed != "" {
-			a.addBreach(RuleCrash, "", -1, l.EndedAt, "dispatcher %d: %s", l.Dispatcher, l.Crashed)
+	for _, run := range a.record.ProcessRuns {
+		if run.Crashed != "" {
+			a.addBreach(RuleCrash, "", -1, run.EndedAt, "dispatcher %d: %s", run.Dispatcher, run.Crashed)
 		}
-		if l.ReadyAt.IsZero() && (l.EndedAt.IsZero() || l.EndedAt.Sub(l.StartedAt) > readyWithin) || l.ReadyAt.Sub(l.StartedAt) > readyWithin {
-			a.addBreach(RuleReady, "", -1, l.StartedAt, "dispatcher %d: not ready within %v", l.Dispatcher, readyWithin)
+		if run.ReadyAt.IsZero() && (run.EndedAt.IsZero() || run.EndedAt.Sub(run.StartedAt) > readyWithin) || run.ReadyAt.Sub(run.StartedAt) > readyWithin {
+			a.addBreach(RuleReady, "", -1, run.StartedAt, "dispatcher %d: not ready within %v", run.Dispatcher, readyWithin)
 		}
 	}
 }
 
-// timeText words a time as the timelines do.
-func (a *auditor) timeText(t time.Time) string {
-	return fmt.Sprintf("%.3f", t.Sub(a.record.StartedAt).Seconds())
+// timeText returns a time as timelines show it, in seconds since the run started.
+func (a *auditor) timeText(at time.Time) string {
+	return fmt.Sprintf("%.3f", at.Sub(a.record.StartedAt).Seconds())
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// clientBehavior is how a client behaves with a request.
+// clientBehavior is how a client sends a request and takes its answer.
 type clientBehavior int
 
 const (
@@ -20,21 +21,21 @@
 	freshConnection                  // on a new connection
 	slowWriter                       // writes in pieces
 	pipelinedRequests                // writes two at once
-	leavesEarly                      // closes soon behind its request
-	halfCloses                       // shuts its own side soon behind its request
+	leavesEarly                      // closes soon after its request
+	halfCloses                       // closes its sending side soon after its request
 	stopsHalfway                     // stops in the middle of a request and stays
 	sendsGarbage                     // sends what is no request
 )
 
-// clientBehaviors weighs them.
+// clientBehaviors are drawn from with equal probability, so that a repeated one is more frequent.
 var clientBehaviors = []clientBehavior{plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, freshConnection, freshConnection, slowWriter, pipelinedRequests, leavesEarly, halfCloses, stopsHalfway, sendsGarbage}
 
 const (
-	badClientTimeout = 3 * time.Second // a client that stops has its error or its end by then
-	extraReadTime    = 2 * time.Second // so much longer than its deadline a client reads on, to record what comes
+	badClientTimeout = 3 * time.Second // by then a client that stops halfway gets an error or a close
+	extraReadTime    = 2 * time.Second // for this long after its deadline a client goes on reading, to record what comes
 )
 
-// clientGroup are those of one dispatcher.
+// clientGroup is the clients of one dispatcher.
 type clientGroup struct {
 	dispatcher *dispatcherProcess
 	record     *Record
@@ -45,10 +46,10 @@
 	mu              sync.Mutex
 	idle            []*clientConn
 	lastNumber      int
-	leaveEarlyUntil time.Time // until then all clients leave soon
+	leaveEarlyUntil time.Time // until then all clients leave early
 }
 
-// clientConn is a connection that may carry a further request.
+// clientConn is a client's connection, which may carry several requests.
 type clientConn struct {
 	net.Conn
 	reader     *bufio.Reader
@@ -56,37 +57,38 @@
 	reused     bool
 }
 
-// run sends requests until the end.
+// run sends requests until the end, and waits for their answers.
 func (c *clientGroup) run(end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(time.Second) / c.plan.Rate))
-		life, up := c.dispatcher.current()
+		processRun, up := c.dispatcher.current()
 		if !up {
 			continue
 		}
-		how := clientBehaviors[c.rng.IntN(len(clientBehaviors))]
-		if c.leavesEarlyNow() && how == plainClient {
-			how = leavesEarly
+		behavior := clientBehaviors[c.rng.IntN(len(clientBehaviors))]
+		if c.leavesEarlyNow() && behavior == plainClient {
+			behavior = leavesEarly
 		}
 		wait := time.Duration(c.rng.IntN(300)) * time.Millisecond
-		c.requests.Go(func() { c.send(how, life, wait) })
+		c.requests.Go(func() { c.send(behavior, processRun, wait) })
 	}
 	c.requests.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.idle {
-		conn.Close()
+		_ = conn.Close() // its outcome is recorded already
 	}
 }
 
+// leavesEarlyNow reports whether clients leave early now.
 func (c *clientGroup) leavesEarlyNow() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Now().Before(c.leaveEarlyUntil)
 }
 
-// newRequest makes a newRequest's record and text.
-func (c *clientGroup) newRequest(life int) (*Request, []byte) {
+// newRequest returns the record and the text of a new request.
+func (c *clientGroup) newRequest(processRun int) (*Request, []byte) {
 	c.mu.Lock()
 	c.lastNumber++
 	id := fmt.Sprintf("%04x-%d-%d", c.plan.Seed, c.dispatcher.number, c.lastNumber)
@@ -97,15 +99,15 @@
 	}
 	text := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: api\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\nReq-Deadline-Ms: %d\r\n%sContent-Length: 7\r\n\r\ndrawing",
 		className, id, className, c.plan.Deadline.Milliseconds(), key)
-	return &Request{ID: id, Dispatcher: c.dispatcher.number, ProcessRun: life, Deadline: c.plan.Deadline}, []byte(text)
+	return &Request{ID: id, Dispatcher: c.dispatcher.number, ProcessRun: processRun, Deadline: c.plan.Deadline}, []byte(text)
 }
 
-// connection gives a connection that rests, or a new one; nil where none comes up.
-func (c *clientGroup) connection(life int, anew bool) *clientConn {
+// connection returns an idle connection, or a new one if there is none or fresh is set; nil if none comes up.
+func (c *clientGroup) connection(processRun int, fresh bool) *clientConn {
 	c.mu.Lock()
-	if n := len(c.idle); n > 0 && !anew {
-		conn := c.idle[n-1]
-		c.idle = c.idle[:n-1]
+	if idle := len(c.idle); idle > 0 && !fresh {
+		conn := c.idle[idle-1]
+		c.idle = c.idle[:idle-1]
 		c.mu.Unlock()
 		return conn
 	}
@@ -114,9 +116,10 @@
 	if err != nil {
 		return nil
 	}
-	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), processRun: life}
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), processRun: processRun}
 }
 
+// releaseConnection makes a connection idle.
 func (c *clientGroup) releaseConnection(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,61 +127,61 @@
 	c.idle = append(c.idle, conn)
 }
 
-// send has a client send a request in its manner.
-func (c *clientGroup) send(how clientBehavior, l *ProcessRun, wait time.Duration) {
-	conn := c.connection(l.Number, how != plainClient && how != pipelinedRequests)
+// send sends a request with a behavior and records what comes of it.
+func (c *clientGroup) send(behavior clientBehavior, run *ProcessRun, wait time.Duration) {
+	conn := c.connection(run.Number, behavior != plainClient && behavior != pipelinedRequests)
 	if conn == nil {
 		return
 	}
-	q, text := c.newRequest(conn.processRun)
-	q.ConnectionReused = conn.reused
-	switch how {
+	request, text := c.newRequest(conn.processRun)
+	request.ConnectionReused = conn.reused
+	switch behavior {
 	case leavesEarly, halfCloses:
-		c.writeAndLeave(conn, q, text, how == halfCloses, wait)
+		c.writeAndLeave(conn, request, text, behavior == halfCloses, wait)
 	case stopsHalfway, sendsGarbage:
-		c.stopHalfway(conn, text, how == sendsGarbage)
+		c.stopHalfway(conn, text, behavior == sendsGarbage)
 	case pipelinedRequests:
 		second, more := c.newRequest(conn.processRun)
 		second.ConnectionReused = true
-		c.write(conn, append(bytes.Clone(text), more...), q, second)
+		c.write(conn, append(bytes.Clone(text), more...), request, second)
 		switch {
-		case !c.read(conn, q):
-			second.AnsweredAt, second.Error = time.Now(), "the connection ended behind the one before"
-			if q.Status == 0 && q.ConnectionReused {
-				c.resend(l, q)
+		case !c.read(conn, request):
+			second.AnsweredAt, second.Error = time.Now(), "the connection ended after the request before"
+			if request.Status == 0 && request.ConnectionReused {
+				c.resend(run, request)
 			}
-			c.resend(l, second)
+			c.resend(run, second)
 		case c.read(conn, second):
 			c.releaseConnection(conn)
 		case second.Status == 0:
-			c.resend(l, second)
+			c.resend(run, second)
 		}
 		c.record.addRequest(second)
 	case slowWriter:
 		for i := 0; i < len(text)-1; i += 40 {
 			if _, err := conn.Write(text[i:min(i+40, len(text)-1)]); err != nil {
-				conn.Close()
-				return // it was never whole
+				_ = conn.Close()
+				return // it was never complete
 			}
 			time.Sleep(wait / 3)
 		}
-		c.write(conn, text[len(text)-1:], q)
-		c.readAndRelease(conn, q)
+		c.write(conn, text[len(text)-1:], request)
+		c.readAndRelease(conn, request)
 	default:
-		c.write(conn, text, q)
-		if !c.readAndRelease(conn, q) && q.ConnectionReused && q.Status == 0 && len(q.Error) > 0 {
-			c.resend(l, q)
+		c.write(conn, text, request)
+		if !c.readAndRelease(conn, request) && request.ConnectionReused && request.Status == 0 && len(request.Error) > 0 {
+			c.resend(run, request)
 		}
 	}
-	if how != stopsHalfway && how != sendsGarbage {
-		c.record.addRequest(q)
+	if behavior != stopsHalfway && behavior != sendsGarbage {
+		c.record.addRequest(request)
 	}
 }
 
-// resend sends a request once more on a new connection, whose first one was ended before it.
-func (c *clientGroup) resend(l *ProcessRun, q *Request) {
-	q.Resent = true
-	if conn := c.connection(l.Number, true); conn != nil {
+// resend sends a request again on a new connection, as its first one was closed before the request was read.
+func (c *clientGroup) resend(run *ProcessRun, request *Request) {
+	request.Resent = true
+	if conn := c.connection(run.Number, true); conn != nil {
 		next, text := c.newRequest(conn.processRun)
 		c.write(conn, text, next)
 		c.readAndRelease(conn, next)
@@ -186,65 +189,65 @@
 	}
 }
 
-// write writes the last bytes of requests.
+// write writes the last bytes of requests, and records when.
 func (c *clientGroup) write(conn *clientConn, text []byte, requests ...*Request) {
 	_ = conn.SetWriteDeadline(time.Now().Add(c.plan.Deadline))
 	_, err := conn.Write(text)
 	now := time.Now()
-	for _, q := range requests {
+	for _, request := range requests {
 		if err == nil {
-			q.WrittenAt = now
+			request.WrittenAt = now
 		}
 	}
 }
 
-// readAndRelease reads an answer and keeps the connection if it may carry more.
-func (c *clientGroup) readAndRelease(conn *clientConn, q *Request) bool {
-	ok := c.read(conn, q)
+// readAndRelease reads an answer, and makes the connection idle if it may carry another request.
+func (c *clientGroup) readAndRelease(conn *clientConn, request *Request) bool {
+	ok := c.read(conn, request)
 	if ok {
 		c.releaseConnection(conn)
 	}
 	return ok
 }
 
-// read reads an answer, and tells whether the connection may carry more.
-func (c *clientGroup) read(conn *clientConn, q *Request) bool {
-	_ = conn.SetReadDeadline(q.WrittenAt.Add(c.plan.Deadline + extraReadTime))
+// read reads and records an answer, and reports whether the connection may carry another request.
+func (c *clientGroup) read(conn *clientConn, request *Request) bool {
+	_ = conn.SetReadDeadline(request.WrittenAt.Add(c.plan.Deadline + extraReadTime))
 	resp, err := http.ReadResponse(conn.reader, nil)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(resp.Body)
 	}
-	q.AnsweredAt = time.Now()
+	request.AnsweredAt = time.Now()
 	if err != nil {
-		q.Error = err.Error()
-		conn.Close()
+		request.Error = err.Error()
+		_ = conn.Close() // its outcome is recorded already
 		return false
 	}
-	q.Status, q.Result = resp.StatusCode, string(body)
+	request.Status, request.Result = resp.StatusCode, string(body)
 	if resp.Close {
-		conn.Close()
+		_ = conn.Close() // its outcome is recorded already
 		return false
 	}
 	return true
 }
 
-// writeAndLeave writes a request and goes.
-func (c *clientGroup) writeAndLeave(conn *clientConn, q *Request, text []byte, half bool, wait time.Duration) {
-	c.write(conn, text, q)
+// writeAndLeave writes a request and closes the connection after a while, at first only its sending side if half is set.
+func (c *clientGroup) writeAndLeave(conn *clientConn, request *Request, text []byte, half bool, wait time.Duration) {
+	c.write(conn, text, request)
 	time.Sleep(wait)
-	q.LeftAt = time.Now()
-	if t, ok := conn.Conn.(*net.TCPConn); ok && half {
-		_ = t.CloseWrite()
+	request.LeftAt = time.Now()
+	if tcp, ok := conn.Conn.(*net.TCPConn); ok && half {
+		_ = tcp.CloseWrite()
 		_ = conn.SetReadDeadline(time.Now().Add(time.Second))
 		_, _ = io.Copy(io.Discard, conn)
 	}
-	conn.Close()
+	_ = conn.Close() // the client leaves
 }
 
-// stopHalfway sends half a request, or what is none, and stays. It is owed an error or an end.
+// stopHalfway sends half a request, or garbage, and stays connected. It is owed an error or a close within badClientTimeout.
 func (c *clientGroup) stopHalfway(conn *clientConn, text []byte, noisy bool) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	half := text[:len(text)/2]
 	if noisy {
 		half = []byte("\x16\x03\x01 no request\r\n\r\n")
@@ -255,14 +258,14 @@
 	}
 	_ = conn.SetReadDeadline(begun.Add(badClientTimeout + time.Second))
 	_, err := io.Copy(io.Discard, conn)
-	l := conn.processRun
-	if late, ok := err.(net.Error); ok && late.Timeout() {
-		c.record.addRequest(&Request{ID: fmt.Sprintf("stopper at n%d", c.dispatcher.number), Dispatcher: c.dispatcher.number, ProcessRun: l, WrittenAt: begun,
+	run := conn.processRun
+	if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
+		c.record.addRequest(&Request{ID: fmt.Sprintf("stopper at n%d", c.dispatcher.number), Dispatcher: c.dispatcher.number, ProcessRun: run, WrittenAt: begun,
 			Deadline: badClientTimeout - answerSlack, AnsweredAt: time.Now(), Error: "half a request got neither an error nor an end"})
 	}
 }
 
-// openIdleConnections opens connections that say nothing for a while.
+// openIdleConnections opens connections that send nothing, and closes them at a time.
 func (c *clientGroup) openIdleConnections(count int, until time.Time) {
 	var conns []net.Conn
 	for range count {
@@ -272,12 +275,13 @@
 	}
 	time.Sleep(time.Until(until))
 	for _, conn := range conns {
-		conn.Close()
+		_ = conn.Close() // its outcome is recorded already
 	}
 }
 
-func (c *clientGroup) setLeaveEarly(t time.Time) {
+// setLeaveEarly makes all clients leave early until a time.
+func (c *clientGroup) setLeaveEarly(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaveEarlyUntil = t
+	c.leaveEarlyUntil = until
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -13,10 +13,10 @@
 type member struct {
 	worker *worker
 	phase  string
-	since  int64 // the stamp of its start, in Unix milliseconds; 0 for long ago
+	since  int64 // when it started by discovery's clock, in Unix milliseconds; 0 for long ago
 }
 
-// discovery is the stand-in for discovery: one service, which each dispatcher reaches at addresses of its own.
+// discovery is the stand-in for the discovery service. Each dispatcher reaches it at addresses of its own.
 type discovery struct {
 	record      *Record
 	clockOffset time.Duration // how far its clock is ahead
@@ -25,108 +25,111 @@
 	revision     int
 	members      []*member
 	history      []snapshot
-	replicaViews map[int]*replicaView // by dispatcher: of the address that it asks now
-	queue        *serviceQueue        // nil for no bound
+	replicaViews map[int]*replicaView // by dispatcher: of the address in its configuration
+	queue        *serviceQueue        // nil if calls are served at once
 	changed      chan struct{}
 	down         bool
-	faults       map[int][]CallFault // by dispatcher: of the next calls
-	silenced     chan struct{}       // closed when all watches that are open fall silent
+	faults       map[int][]CallFault // by dispatcher: faults of its next calls
+	silenced     chan struct{}       // closed to make all open watches fall silent
 	servers      []*http.Server
 }
 
+// lateAnswerDelay is by how much the answer of a CallLate is delayed.
 const lateAnswerDelay = 1950 * time.Millisecond
 
-func newDiscovery(r *Record, p Plan) *discovery {
-	d := &discovery{record: r, clockOffset: p.DiscoveryClockOffset, changed: make(chan struct{}), silenced: make(chan struct{}), faults: map[int][]CallFault{}, replicaViews: map[int]*replicaView{}}
-	if p.DiscoveryCrowded {
-		d.queue = &serviceQueue{timePerCall: crowdedRoundTime / time.Duration(p.Dispatchers), maxWait: crowdedMaxWait, maxBacklog: crowdedMaxBacklog}
+// newDiscovery makes a service with an empty list.
+func newDiscovery(record *Record, plan Plan) *discovery {
+	service := &discovery{record: record, clockOffset: plan.DiscoveryClockOffset, changed: make(chan struct{}), silenced: make(chan struct{}), faults: map[int][]CallFault{}, replicaViews: map[int]*replicaView{}}
+	if plan.DiscoveryCrowded {
+		service.queue = &serviceQueue{timePerCall: crowdedRoundTime / time.Duration(plan.Dispatchers), maxWait: crowdedMaxWait, maxBacklog: crowdedMaxBacklog}
 	}
-	d.recordSnapshot()
-	return d
+	service.recordSnapshot()
+	return service
 }
 
-// What a crowded discovery needs to serve one call of each dispatcher, how long it lets a call wait, and how much work may wait.
+// The queue of a crowded discovery.
 const (
-	crowdedRoundTime  = 2500 * time.Millisecond
-	crowdedMaxWait    = 2 * time.Second
-	crowdedMaxBacklog = 3800 * time.Millisecond
+	crowdedRoundTime  = 2500 * time.Millisecond // for one call of each dispatcher
+	crowdedMaxWait    = 2 * time.Second         // of a call
+	crowdedMaxBacklog = 3800 * time.Millisecond // of all calls that wait
 )
 
-// replicaView gives how a dispatcher sees the list at the address that it asks now.
+// replicaView returns the view of the address that a dispatcher is configured with.
 func (d *discovery) replicaView(dispatcher int) *replicaView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.replicaViews[dispatcher]
 }
 
-// newAddress opens one more newAddress for a dispatcher.
+// newAddress opens another address for a dispatcher and returns it.
 func (d *discovery) newAddress(dispatcher int) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	v := &replicaView{}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(dispatcher, v, w, r) })}
+	view := &replicaView{}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(dispatcher, view, w, r) })}
 	d.mu.Lock()
-	d.replicaViews[dispatcher] = v
-	d.servers = append(d.servers, s)
+	d.replicaViews[dispatcher] = view
+	d.servers = append(d.servers, server)
 	d.mu.Unlock()
-	go func() { _ = s.Serve(l) }()
-	return l.Addr().String(), nil
+	go func() { _ = server.Serve(listener) }()
+	return listener.Addr().String(), nil
 }
 
+// close closes all addresses.
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, s := range d.servers {
-		s.Close()
+	for _, server := range d.servers {
+		_ = server.Close() // the run is over
 	}
 }
 
-// setPhase changes the list and notes what changed of a worker.
-func (d *discovery) setPhase(w *worker, phase string, cold bool) {
+// setPhase lists a worker in a phase, and records the change if there is one; restarted stamps a start.
+func (d *discovery) setPhase(worker *worker, phase string, restarted bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var m *member
+	var entry *member
 	for _, o := range d.members {
-		if o.worker == w {
-			m = o
+		if o.worker == worker {
+			entry = o
 		}
 	}
-	if m == nil {
-		m = &member{worker: w}
-		d.members = append(d.members, m)
+	if entry == nil {
+		entry = &member{worker: worker}
+		d.members = append(d.members, entry)
 	}
-	if m.phase == phase && !cold {
+	if entry.phase == phase && !restarted {
 		return
 	}
-	m.phase = phase
-	if cold {
-		m.since = time.Now().Add(d.clockOffset).UnixMilli()
+	entry.phase = phase
+	if restarted {
+		entry.since = time.Now().Add(d.clockOffset).UnixMilli()
 	}
 	d.revision++
-	w.unready.Store(phase != phaseActive)
+	worker.unready.Store(phase != phaseActive)
 	d.recordSnapshot()
-	d.record.addChange(EndpointChange{Revision: d.revision, At: time.Now(), Worker: w.number, Phase: phase, Restarted: cold})
+	d.record.addChange(EndpointChange{Revision: d.revision, At: time.Now(), Worker: worker.number, Phase: phase, Restarted: restarted})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// initialList gives the list as a dispatcher is started with it.
+// initialList returns the list that a dispatcher is started with.
 func (d *discovery) initialList(dispatcher int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.asOf(time.Now()).encode(dispatcher)
 }
 
-// stepClock sets the clock forward or back that stamps starts.
+// stepClock sets the clock forward, or back if by is negative.
 func (d *discovery) stepClock(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.clockOffset += by
 }
 
-// failCalls has the next calls of each dispatcher fail.
+// failCalls makes the next calls of each dispatcher fail.
 func (d *discovery) failCalls(dispatchers int, faults []CallFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,7 +138,7 @@
 	}
 }
 
-// silenceWatches has all open watches say nothing more.
+// silenceWatches makes all open watches fall silent.
 func (d *discovery) silenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,7 +146,7 @@
 	d.silenced = make(chan struct{})
 }
 
-// setDown has it refuse all calls, or answer again.
+// setDown makes the service reject all calls, or serve again.
 func (d *discovery) setDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,7 +157,8 @@
 	}
 }
 
-func (d *discovery) serve(dispatcher int, v *replicaView, w http.ResponseWriter, r *http.Request) {
+// serve serves one call of a dispatcher at an address.
+func (d *discovery) serve(dispatcher int, view *replicaView, w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	index, err := strconv.Atoi(query.Get("index"))
 	if err != nil {
@@ -187,7 +191,7 @@
 			return
 		}
 	}
-	lag, delay := v.nextCall(time.Now())
+	lag, delay := view.nextCall(time.Now())
 	if !d.awaitChange(r, index, time.Duration(wait)*time.Millisecond, lag, silenced) {
 		return
 	}
@@ -197,21 +201,21 @@
 	d.writeList(dispatcher, w, r, index, lag, delay, fault == CallBreaksOff)
 }
 
-// watchGap is how soon behind its last answer a watch goes on, and needs no turn.
+// watchGap is how soon after its last answer a call must come to continue a watch, which does not queue.
 const watchGap = 200 * time.Millisecond
 
-// continuesWatch tells whether a call goes on with a watch.
+// continuesWatch reports whether a call continues a watch.
 func (d *discovery) continuesWatch(dispatcher int, wait int) bool {
 	last := d.record.lastAnswerAt(dispatcher)
 	return wait > 0 && time.Since(last) < watchGap
 }
 
-// replicaPollInterval is how often a replica that lags looks whether it has news by now.
+// replicaPollInterval is how often a lagging replica checks whether it shows a change by now.
 const replicaPollInterval = 20 * time.Millisecond
 
-// awaitChange waits for news, and tells whether the call is to be answered.
+// awaitChange waits until the list differs from the revision index, or the wait is over, and reports whether to answer the call.
 func (d *discovery) awaitChange(r *http.Request, index int, wait, lag time.Duration, silenced <-chan struct{}) bool {
-	over := time.After(wait)
+	waitOver := time.After(wait)
 	for {
 		d.mu.Lock()
 		newer, changed := d.asOf(time.Now().Add(-lag)).revision != index || d.down, d.changed
@@ -226,7 +230,7 @@
 		select {
 		case <-changed:
 		case <-later:
-		case <-over:
+		case <-waitOver:
 			return true
 		case <-silenced:
 			<-r.Context().Done()
@@ -237,7 +241,7 @@
 	}
 }
 
-// writeList writes the list, or half of it. It was composed before the delay.
+// writeList writes the list, or half of it, as it was before the delay.
 func (d *discovery) writeList(dispatcher int, w http.ResponseWriter, r *http.Request, index int, lag, delay time.Duration, half bool) {
 	d.mu.Lock()
 	down, shown := d.down, d.asOf(time.Now().Add(-lag))
@@ -264,14 +268,14 @@
 	d.record.addAnswer(DiscoveryAnswer{Dispatcher: dispatcher, At: time.Now(), Revision: revision})
 }
 
-// resetCall breaks the connection of a call.
+// resetCall resets the connection of a call.
 func resetCall(w http.ResponseWriter) {
-	c, _, err := http.NewResponseController(w).Hijack()
+	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	c.Close()
+	_ = conn.Close() // it is meant to break
 }
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -11,22 +11,22 @@
 	"brassdale/internal/inject"
 )
 
-// File is a scenario of a soak as an operator writes it. Ranges are [least, most].
+// File is a scenario as its HCL file has it. Ranges are [minimum, maximum].
 type File struct {
 	Title       string   `hcl:"title"`
 	Dispatchers []int    `hcl:"dispatchers"`
 	Workers     []int    `hcl:"workers"`
 	Span        string   `hcl:"span"`
-	Every       string   `hcl:"every"` // between events, on average
+	Every       string   `hcl:"every"` // mean time between events
 	Rate        float64  `hcl:"rate"`  // requests a second at each dispatcher
 	Events      []string `hcl:"events,optional"`
-	Failures    []string `hcl:"failures,optional"` // rules for system calls, of which a third of the runs has one
+	Failures    []string `hcl:"failures,optional"` // rules for internal/inject; a third of the runs uses one of them
 }
 
-// Load reads and checks a scenario. An error names all faults with file, line and column.
+// Load reads and checks a scenario file. An error is a hcldiag.Faults: every fault with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
-// Parse reads the text of one.
+// Parse reads and checks the text of a scenario. path is its name in errors.
 func Parse(text []byte, path string) (*File, error) {
 	f := &File{}
 	if err := hcldiag.Decode(text, path, f, f.check); err != nil {
@@ -35,47 +35,52 @@
 	return f, nil
 }
 
+// check returns the faults that the HCL decoder does not find.
 func (f *File) check(body *hclsyntax.Body) (diags hcl.Diagnostics) {
-	bad := func(attribute, format string, a ...any) {
+	addFault := func(attribute, format string, a ...any) {
 		diags = append(diags, hcldiag.At(hcldiag.Place(body, attribute), "Bad "+attribute, format, a...))
 	}
-	for name, r := range map[string][]int{"dispatchers": f.Dispatchers, "workers": f.Workers} {
-		if len(r) != 2 || r[0] < 1 || r[1] < r[0] || r[1] > 16 {
-			bad(name, "It is [least, most], from 1 to 16.")
+	for name, limits := range map[string][]int{"dispatchers": f.Dispatchers, "workers": f.Workers} {
+		if len(limits) != 2 || limits[0] < 1 || limits[1] < limits[0] || limits[1] > 16 {
+			addFault(name, "It is [least, most], from 1 to 16.")
 		}
 	}
 	if span, err := time.ParseDuration(f.Span); err != nil || span < quietStart+quietEnd+time.Second || span > time.Hour {
-		bad("span", "It is a time of %v to an hour.", quietStart+quietEnd+time.Second)
+		addFault("span", "It is a time of %v to an hour.", quietStart+quietEnd+time.Second)
 	}
 	if every, err := time.ParseDuration(f.Every); err != nil || every < 50*time.Millisecond {
-		bad("every", "It is a time of 50ms or more.")
+		addFault("every", "It is a time of 50ms or more.")
 	}
 	if !(f.Rate > 0) || f.Rate > 1000 {
-		bad("rate", "It is over 0 and 1000 at the most.")
+		addFault("rate", "It is over 0 and 1000 at the most.")
 	}
-	for _, e := range f.Events {
-		if !slices.Contains(Kinds, Kind(e)) {
-			bad("events", "There are no events %q.", e)
+	for _, event := range f.Events {
+		if !slices.Contains(Kinds, Kind(event)) {
+			addFault("events", "There are no events %q.", event)
 		}
 	}
 	for _, rules := range f.Failures {
 		if _, err := inject.ParseRules(rules); err != nil {
-			bad("failures", "%v.", err)
+			addFault("failures", "%v.", err)
 		}
 	}
 	return diags
 }
 
-func (f *File) span() time.Duration  { d, _ := time.ParseDuration(f.Span); return d }
+// span returns the length of a run. check has parsed it before.
+func (f *File) span() time.Duration { d, _ := time.ParseDuration(f.Span); return d }
+
+// every returns the mean time between events. check has parsed it before.
 func (f *File) every() time.Duration { d, _ := time.ParseDuration(f.Every); return d }
 
+// kinds returns the kinds of events that are drawn; all if the file names none.
 func (f *File) kinds() []Kind {
 	if len(f.Events) == 0 {
 		return Kinds
 	}
 	kinds := make([]Kind, len(f.Events))
-	for i, e := range f.Events {
-		kinds[i] = Kind(e)
+	for i, event := range f.Events {
+		kinds[i] = Kind(event)
 	}
 	return kinds
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,5 +1,5 @@
-// Package soak plays real dispatchers on loopback against stand-ins for clients, workers and discovery, with faults drawn from a
-// seed, and holds the rules of the protocol over what these peers recorded. It knows nothing of how a dispatcher decides.
+// Package soak runs real dispatcher processes on loopback against stand-ins for clients, workers and discovery, injects faults drawn
+// from a seed, and checks the rules of the protocol on what these peers recorded. It knows nothing of how a dispatcher decides.
 package soak
 
 import (
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// Kind is what happens in an event.
+// Kind is the kind of an event, as scenario files name it.
 type Kind string
 
 // The kinds of events.
 const (
-	Drain                Kind = "drain"          // a worker drains and stays up
-	Join                 Kind = "join"           // a worker joins, cold
-	Restart              Kind = "restart"        // a worker ends and comes back cold
-	WorkerHangs          Kind = "worker-hangs"   // it takes jobs and says nothing
-	WorkerResets         Kind = "worker-resets"  // it breaks connections under jobs
-	WorkerReadsLate      Kind = "worker-late"    // it takes a while to read from new connections
+	Drain                Kind = "drain"          // a worker starts draining and stays up
+	Join                 Kind = "join"           // a worker joins and warms up
+	Restart              Kind = "restart"        // a worker ends, comes back and warms up
+	WorkerHangs          Kind = "worker-hangs"   // a worker takes jobs and sends nothing
+	WorkerResets         Kind = "worker-resets"  // a worker resets connections that carry jobs
+	WorkerReadsLate      Kind = "worker-late"    // a worker reads late from new connections
 	FaultyCalls          Kind = "faulty-calls"   // the next three calls of each dispatcher to discovery fail, each in its own way
 	SilentWatches        Kind = "silent-watches" // open watches fall silent
-	DiscoveryDown        Kind = "discovery-down" // discovery refuses all calls
-	DiscoveryMove        Kind = "move"           // a new configuration moves discovery
+	DiscoveryDown        Kind = "discovery-down" // discovery rejects all calls
+	DiscoveryMove        Kind = "move"           // a new configuration names another address of discovery
 	Reload               Kind = "reload"         // a new configuration changes nothing
-	ProcessPauses        Kind = "hold-ups"       // a dispatcher is stopped for 0.15 s again and again
-	Terminate            Kind = "term"           // a dispatcher is told to end, killed as early as may be, and started again
-	Kill                 Kind = "kill"           // a dispatcher is killed and started again
-	IdleClients          Kind = "crowd"          // connections that say nothing or stop half way
-	ClientsLeave         Kind = "clients-leave"  // clients close their connections soon behind their requests
-	ClockStep            Kind = "clock-step"     // the clock that stamps starts is set forward or back
-	ReplicaLag           Kind = "lag"            // a replica of discovery shows the list late, at each call or at every other
-	MoveToLaggingReplica Kind = "lagging-move"   // a worker drains, and a new configuration moves discovery to a replica that lags
-	DelayedAnswers       Kind = "slow-answers"   // answers of discovery are held back, each for another time: they overtake each other
-	DiscoveryMoves       Kind = "moves"          // several new configurations in a row, with a drain between them
+	ProcessPauses        Kind = "hold-ups"       // a dispatcher is stopped for 0.15 s, repeatedly
+	Terminate            Kind = "term"           // a dispatcher gets SIGTERM, SIGKILL as early as is allowed, and is restarted
+	Kill                 Kind = "kill"           // a dispatcher gets SIGKILL and is restarted
+	IdleClients          Kind = "crowd"          // many connections that send nothing
+	ClientsLeave         Kind = "clients-leave"  // clients close their connections soon after their requests
+	ClockStep            Kind = "clock-step"     // discovery's clock, which stamps starts, is set forward or back
+	ReplicaLag           Kind = "lag"            // a replica of discovery shows an old list, at each call or at every other
+	MoveToLaggingReplica Kind = "lagging-move"   // a worker starts draining, and a new configuration names a replica that lags
+	DelayedAnswers       Kind = "slow-answers"   // answers of discovery are delayed, each by another time, so that they overtake each other
+	DiscoveryMoves       Kind = "moves"          // several new configurations in a row, and a worker starts draining between them
 )
 
 // Kinds lists all kinds.
 var Kinds = []Kind{Drain, Join, Restart, WorkerHangs, WorkerResets, WorkerReadsLate, FaultyCalls, SilentWatches, DiscoveryDown, DiscoveryMove, Reload,
 	ProcessPauses, Terminate, Kill, IdleClients, ClientsLeave, ClockStep, ReplicaLag, MoveToLaggingReplica, DelayedAnswers, DiscoveryMoves}
 
-// CallFault is what discovery does with a call.
+// CallFault is what discovery does with a call in place of answering it.
 type CallFault string
 
 // The faults of a call.
@@ -50,36 +50,36 @@
 	CallBreaksOff CallFault = "breaks-off" // half an answer, then nothing
 	CallReset     CallFault = "refused"    // the connection is reset
 	CallRejected  CallFault = "503"
-	CallLate      CallFault = "late" // 1.95 s later
+	CallLate      CallFault = "late" // the answer comes 1.95 s later
 )
 
 var callFaults = []CallFault{CallHangs, CallBreaksOff, CallReset, CallRejected, CallLate}
 
-// Event is something that happens in a run.
+// Event is a fault or a change in a run.
 type Event struct {
-	At       time.Duration
-	Duration time.Duration
+	At       time.Duration // since the run started
+	Duration time.Duration // of the fault
 	Kind     Kind
-	Target   int           // a worker or a dispatcher, by its number
-	Calls    []CallFault   // of FaultyCalls
-	Step     time.Duration // of ClockStep; of Lag and LaggingMove how late the list is, of SlowAnswers how late at the most
-	Flaps    bool          // of Lag: at every other call only
-	Worker   int           // that drains, of LaggingMove and Moves
+	Target   int           // the worker or dispatcher concerned, by its number
+	Calls    []CallFault   // for FaultyCalls: the next three
+	Step     time.Duration // for ClockStep; how old the list is for ReplicaLag and MoveToLaggingReplica; the longest delay for DelayedAnswers
+	Flaps    bool          // for ReplicaLag: only every other call shows the old list
+	Worker   int           // that starts draining, for MoveToLaggingReplica and DiscoveryMoves
 }
 
-// String words an event for a timeline.
+// String returns the event as a timeline shows it.
 func (e Event) String() string {
 	return fmt.Sprintf("%s of %d for %v %v", e.Kind, e.Target, e.Duration, e.Calls)
 }
 
-// Effects of a class, as the settings have them.
+// The effects that a class may have in the settings: what a repeated request may do.
 const (
 	Idempotent        = "safe"
 	IdempotentWithKey = "keyed"
 	NonIdempotent     = "unsafe"
 )
 
-// Plan is all that a run does.
+// Plan is everything that a run does. The same scenario and seed give the same plan.
 type Plan struct {
 	Scenario             string
 	Seed                 uint64
@@ -89,77 +89,92 @@
 	Rate                 float64 // requests a second at each dispatcher
 	Idempotency          string
 	Deadline             time.Duration
-	DeduplicationWindow  time.Duration // for a repeat of a keyed request
-	MayHedge             bool          // a request may have two attempts out
-	ListsPushed          bool          // lists are pushed to an agent, and what it has counts as told at once
-	DiscoveryCrowded     bool          // discovery serves calls in turn, and needs some seconds for one of each dispatcher
-	DiscoveryClockOffset time.Duration // how far the clock that stamps starts is ahead
-	SystemCallFaults     string        // rules for system calls that fail; empty for none
+	DeduplicationWindow  time.Duration // in which workers drop repeats of a request with an idempotency key
+	MayHedge             bool          // a request may have two attempts in flight
+	ListsPushed          bool          // lists are pushed to an agent; a dispatcher counts as notified of what the agent has
+	DiscoveryCrowded     bool          // discovery serves calls one after the other, and needs some seconds for one call of each dispatcher
+	DiscoveryClockOffset time.Duration // how far discovery's clock, which stamps starts, is ahead
+	SystemCallFaults     string        // rules for internal/inject; empty for none
 	Events               []Event
 }
 
 const (
-	quietStart        = 3 * time.Second // until the first event: watches are open by then
-	quietEnd          = 8 * time.Second // behind the last one: what was told late shows
-	maxReplicaLagMS   = 2500            // milliseconds that a replica of discovery is behind at the most
-	firstJoinedWorker = 90              // numbers of workers that join begin behind this
+	quietStart        = 3 * time.Second // before the first event, so that watches are open
+	quietEnd          = 8 * time.Second // after the last event, so that a late notification still shows
+	maxReplicaLagMS   = 2500            // milliseconds
+	firstJoinedWorker = 90              // number of the first worker that joins
 )
 
-// Draw makes the plan of a seed.
+// Draw returns the plan of a seed.
 func (f *File) Draw(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 36))
-	between := func(r []int) int { return r[0] + rng.IntN(r[1]-r[0]+1) }
-	p := Plan{Scenario: f.Title, Seed: seed, Dispatchers: between(f.Dispatchers), Workers: between(f.Workers), Span: f.span(), Rate: f.Rate,
+	between := func(limits []int) int { return limits[0] + rng.IntN(limits[1]-limits[0]+1) }
+	plan := Plan{Scenario: f.Title, Seed: seed, Dispatchers: between(f.Dispatchers), Workers: between(f.Workers), Span: f.span(), Rate: f.Rate,
 		Idempotency:          []string{Idempotent, IdempotentWithKey, NonIdempotent}[rng.IntN(3)],
 		Deadline:             []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}[rng.IntN(3)],
 		DeduplicationWindow:  []time.Duration{500 * time.Millisecond, 2 * time.Second}[rng.IntN(2)],
 		MayHedge:             rng.IntN(2) == 0,
 		DiscoveryClockOffset: []time.Duration{0, time.Hour, -time.Hour, 7 * time.Second, -7 * time.Second}[rng.IntN(5)]}
 	if len(f.Failures) > 0 && rng.IntN(3) == 0 {
-		p.SystemCallFaults = f.Failures[rng.IntN(len(f.Failures))]
+		plan.SystemCallFaults = f.Failures[rng.IntN(len(f.Failures))]
 	}
-	p.ListsPushed = rng.IntN(4) == 0
-	p.DiscoveryCrowded = !p.ListsPushed && rng.IntN(4) == 0
-	joined := firstJoinedWorker
-	for at := quietStart; at < p.Span-quietEnd; at += time.Duration((0.3 + rng.Float64()) * float64(f.every())) {
-		e := Event{At: at, Kind: f.kinds()[rng.IntN(len(f.kinds()))], Duration: time.Duration((0.5 + 2*rng.Float64()) * float64(time.Second))}
-		switch e.Kind {
-		case Drain, Restart, WorkerHangs, WorkerResets, WorkerReadsLate:
-			e.Target = rng.IntN(p.Workers)
-		case Join:
-			e.Target = joined
-			joined++
-		case FaultyCalls:
-			for range 3 {
-				e.Calls = append(e.Calls, callFaults[rng.IntN(len(callFaults))])
-			}
-			// What may be held back is a change: one follows.
-			p.Events = append(p.Events, Event{At: at + time.Duration(rng.IntN(1500))*time.Millisecond, Kind: Drain, Target: rng.IntN(p.Workers)})
-		case ClockStep:
-			e.Step = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}[rng.IntN(4)]
-		case ReplicaLag:
-			e.Target, e.Step, e.Flaps = rng.IntN(p.Dispatchers), time.Duration(1+rng.IntN(maxReplicaLagMS))*time.Millisecond, rng.IntN(2) == 0
-			if p.ListsPushed { // an agent is not late
-				e.Kind = Reload
-			}
-		case MoveToLaggingReplica, DiscoveryMoves:
-			e.Target, e.Worker, e.Step = rng.IntN(p.Dispatchers), rng.IntN(p.Workers), time.Duration(1+rng.IntN(maxReplicaLagMS))*time.Millisecond
-			if p.ListsPushed {
-				e.Kind = Reload
-			}
-		case DelayedAnswers:
-			e.Target, e.Step = rng.IntN(p.Dispatchers), time.Duration(200+rng.IntN(1300))*time.Millisecond
-			if p.ListsPushed {
-				e.Kind = Reload
-			}
-		default:
-			if p.ListsPushed && e.Kind == DiscoveryMove { // what a new agent has counts later
-				e.Kind = Reload
-			}
-			e.Target = rng.IntN(p.Dispatchers)
+	plan.ListsPushed = rng.IntN(4) == 0
+	plan.DiscoveryCrowded = !plan.ListsPushed && rng.IntN(4) == 0
+	nextWorker := firstJoinedWorker
+	for at := quietStart; at < plan.Span-quietEnd; at += time.Duration((0.3 + rng.Float64()) * float64(f.every())) {
+		event := Event{At: at, Kind: f.kinds()[rng.IntN(len(f.kinds()))], Duration: time.Duration((0.5 + 2*rng.Float64()) * float64(time.Second))}
+		if event.Kind == Join {
+			event.Target = nextWorker
+			nextWorker++
 		}
-		p.Events = append(p.Events, e)
+		plan.drawEvent(rng, event)
 	}
-	slices.SortStableFunc(p.Events, func(a, b Event) int { return int(a.At - b.At) })
-	return p
+	slices.SortStableFunc(plan.Events, func(a, b Event) int { return int(a.At - b.At) })
+	return plan
+}
+
+// drawEvent draws what an event of a kind needs, and adds the event to the plan.
+func (p *Plan) drawEvent(rng *rand.Rand, event Event) {
+	kind := event.Kind
+	if p.ListsPushed && needsDiscoveryReplicas(kind) {
+		event.Kind = Reload
+	}
+	switch kind {
+	case Join:
+	case Drain, Restart, WorkerHangs, WorkerResets, WorkerReadsLate:
+		event.Target = rng.IntN(p.Workers)
+	case FaultyCalls:
+		for range 3 {
+			event.Calls = append(event.Calls, callFaults[rng.IntN(len(callFaults))])
+		}
+		// Failing calls delay the notification of a change, so one follows.
+		drain := Event{At: event.At + time.Duration(rng.IntN(1500))*time.Millisecond, Kind: Drain, Target: rng.IntN(p.Workers)}
+		p.Events = append(p.Events, drain)
+	case ClockStep:
+		event.Step = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}[rng.IntN(4)]
+	case ReplicaLag:
+		event.Target = rng.IntN(p.Dispatchers)
+		event.Step = time.Duration(1+rng.IntN(maxReplicaLagMS)) * time.Millisecond
+		event.Flaps = rng.IntN(2) == 0
+	case MoveToLaggingReplica, DiscoveryMoves:
+		event.Target = rng.IntN(p.Dispatchers)
+		event.Worker = rng.IntN(p.Workers)
+		event.Step = time.Duration(1+rng.IntN(maxReplicaLagMS)) * time.Millisecond
+	case DelayedAnswers:
+		event.Target = rng.IntN(p.Dispatchers)
+		event.Step = time.Duration(200+rng.IntN(1300)) * time.Millisecond
+	default:
+		event.Target = rng.IntN(p.Dispatchers)
+	}
+	p.Events = append(p.Events, event)
+}
+
+// needsDiscoveryReplicas reports whether a kind of event makes sense only where lists are polled. After a move to another agent the
+// platform counts its list later, which the audit does not know.
+func needsDiscoveryReplicas(kind Kind) bool {
+	switch kind {
+	case ReplicaLag, MoveToLaggingReplica, DiscoveryMoves, DelayedAnswers, DiscoveryMove:
+		return true
+	}
+	return false
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,13 +14,13 @@
 	"time"
 )
 
-// Programs are the binaries that a run starts.
+// Programs are the paths of the binaries that a run starts.
 type Programs struct {
 	Dispatcher string
-	Injector   string // brassdale-lab, which has system calls fail; empty where none do
+	Injector   string // brassdale-lab, which injects faults into system calls; empty for none
 }
 
-// dispatcherProcess is one whose process is started, signalled and started again at the same address.
+// dispatcherProcess is a dispatcher whose process is started, signalled and restarted at the same address.
 type dispatcherProcess struct {
 	number    int
 	listen    string
@@ -30,7 +30,7 @@
 	record    *Record
 	discovery *discovery
 
-	restarting sync.Mutex // held while the process is ended and started again
+	restarting sync.Mutex // locked while the process is ended and restarted
 
 	mu         sync.Mutex
 	address    string // of discovery
@@ -41,30 +41,34 @@
 }
 
 const (
-	killSlack          = 700 * time.Millisecond // behind the longest deadline, of which mostCounted counts at the most
+	killSlack          = 700 * time.Millisecond // after the longest deadline, of which at most maxCountedDeadline counts
 	maxCountedDeadline = 3 * time.Second
-	pauseTime          = 150 * time.Millisecond
+	pauseTime          = 150 * time.Millisecond // of ProcessPauses
 )
 
-func newDispatcherProcess(number int, p Plan, programs Programs, dir string, r *Record, find *discovery) (*dispatcherProcess, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a port that is free, and stays so for the next moment
+// newDispatcherProcess prepares a dispatcher, which start then starts.
+func newDispatcherProcess(number int, plan Plan, programs Programs, dir string, record *Record, service *discovery) (*dispatcherProcess, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // a free port; another process could take it before start
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
-	d := &dispatcherProcess{number: number, listen: l.Addr().String(), plan: p, programs: programs, directory: dir, record: r, discovery: find}
-	if d.address, err = find.newAddress(number); err != nil {
+	if err := listener.Close(); err != nil {
 		return nil, err
 	}
-	d.logs, err = os.Create(filepath.Join(dir, fmt.Sprintf("n%d.log", number)))
-	return d, err
+	process := &dispatcherProcess{number: number, listen: listener.Addr().String(), plan: plan, programs: programs, directory: dir, record: record, discovery: service}
+	if process.address, err = service.newAddress(number); err != nil {
+		return nil, err
+	}
+	process.logs, err = os.Create(filepath.Join(dir, fmt.Sprintf("n%d.log", number)))
+	return process, err
 }
 
+// configPath returns the path of the dispatcher's configuration.
 func (d *dispatcherProcess) configPath() string {
 	return filepath.Join(d.directory, fmt.Sprintf("n%d.json", d.number))
 }
 
-// writeConfig writes its file.
+// writeConfig writes the dispatcher's configuration.
 func (d *dispatcherProcess) writeConfig() error {
 	d.mu.Lock()
 	address := d.address
@@ -73,29 +77,22 @@
 	return os.WriteFile(d.configPath(), []byte(text), 0o600)
 }
 
-// start starts a process and waits until it is ready, or for as long as it may take.
+// start starts a process and waits until it is ready, for at most readyWithin.
 func (d *dispatcherProcess) start() error {
 	if err := d.writeConfig(); err != nil {
 		return err
 	}
-	command := []string{d.programs.Dispatcher}
-	if d.plan.SystemCallFaults != "" {
-		command = append([]string{d.programs.Injector, "inject", "--rules", d.plan.SystemCallFaults, "--seed", strconv.FormatUint(d.plan.Seed, 10),
-			"--after", "1s", "--"}, command...)
-	}
-	tmp, err := os.MkdirTemp(d.directory, "tmp-")
+	child, err := d.command()
 	if err != nil {
 		return err
 	}
-	c := exec.Command(command[0], command[1:]...)
-	c.Env = append(os.Environ(), "GW_CONFIG="+d.configPath(), "TMPDIR="+tmp, "GW_ADMIN=", "BRASSDALE_DEBUG=1")
 	pids := &pidReader{to: d.logs, found: make(chan int, 1)}
-	c.Stderr = pids
-	l := &ProcessRun{Dispatcher: d.number, StartedAt: time.Now()}
-	if err := c.Start(); err != nil {
+	child.Stderr = pids
+	run := &ProcessRun{Dispatcher: d.number, StartedAt: time.Now()}
+	if err := child.Start(); err != nil {
 		return err
 	}
-	pid := c.Process.Pid
+	pid := child.Process.Pid
 	if d.plan.SystemCallFaults != "" {
 		select {
 		case pid = <-pids.found:
@@ -106,44 +103,66 @@
 	exited := make(chan struct{})
 	d.mu.Lock()
 	if d.processRun != nil {
-		l.Number = d.processRun.Number + 1
+		run.Number = d.processRun.Number + 1
 	}
-	d.processRun, d.pid, d.exited = l, pid, exited
+	d.processRun, d.pid, d.exited = run, pid, exited
 	d.mu.Unlock()
-	d.record.addProcessRun(l)
-	go func() {
-		err := c.Wait()
-		d.record.locked(func() {
-			l.EndedAt = time.Now()
-			if l.SIGTERMAt.IsZero() && !l.Killed {
-				l.Crashed = fmt.Sprintf("ended by itself: %v", err)
-			} else if err != nil && !l.Killed {
-				l.Crashed = fmt.Sprintf("told to end, it ended with %v", err)
-			}
-		})
-		close(exited)
-	}()
-	return d.awaitReady(l)
+	d.record.addProcessRun(run)
+	go d.recordEnd(child, run, exited)
+	d.awaitReady(run)
+	return nil
+}
+
+// command returns the command that starts the process, with a temporary directory of its own.
+func (d *dispatcherProcess) command() (*exec.Cmd, error) {
+	command := []string{d.programs.Dispatcher}
+	if d.plan.SystemCallFaults != "" {
+		injector := []string{
+			d.programs.Injector, "inject", "--rules", d.plan.SystemCallFaults,
+			"--seed", strconv.FormatUint(d.plan.Seed, 10), "--after", "1s", "--",
+		}
+		command = append(injector, command...)
+	}
+	temporary, err := os.MkdirTemp(d.directory, "tmp-")
+	if err != nil {
+		return nil, err
+	}
+	child := exec.Command(command[0], command[1:]...)
+	child.Env = append(os.Environ(), "GW_CONFIG="+d.configPath(), "TMPDIR="+temporary, "GW_ADMIN=", "BRASSDALE_DEBUG=1")
+	return child, nil
+}
+
+// recordEnd waits for the end of a process, records how it ended and closes exited.
+func (d *dispatcherProcess) recordEnd(child *exec.Cmd, run *ProcessRun, exited chan<- struct{}) {
+	err := child.Wait()
+	d.record.locked(func() {
+		run.EndedAt = time.Now()
+		if run.SIGTERMAt.IsZero() && !run.Killed {
+			run.Crashed = fmt.Sprintf("ended by itself: %v", err)
+		} else if err != nil && !run.Killed {
+			run.Crashed = fmt.Sprintf("after SIGTERM it ended with %v", err)
+		}
+	})
+	close(exited)
 }
 
-// awaitReady asks until the process wants work.
-func (d *dispatcherProcess) awaitReady(l *ProcessRun) error {
+// awaitReady polls the process until it is ready or readyWithin is over, which the audit finds.
+func (d *dispatcherProcess) awaitReady(run *ProcessRun) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := l.StartedAt.Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := run.StartedAt.Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		resp, err := client.Get("http://" + d.listen + "/health/ready")
 		if err != nil {
 			continue
 		}
-		resp.Body.Close()
+		_ = resp.Body.Close() // nothing is read from it
 		if resp.StatusCode == http.StatusOK {
-			d.record.locked(func() { l.ReadyAt = time.Now() })
-			return nil
+			d.record.locked(func() { run.ReadyAt = time.Now() })
+			return
 		}
 	}
-	return nil // the audit finds it
 }
 
-// pidReader passes a log on and finds the line that tells the program's number.
+// pidReader writes a log on to a file, and finds the line of the injector with the process id of the dispatcher.
 type pidReader struct {
 	to    *os.File
 	found chan int
@@ -151,22 +170,24 @@
 	done  bool
 }
 
+// pidLine is the injector's line.
 var pidLine = regexp.MustCompile(`inject: pid=(\d+)\n`)
 
-func (p *pidReader) Write(b []byte) (int, error) {
+// Write implements io.Writer.
+func (p *pidReader) Write(text []byte) (int, error) {
 	if !p.done {
-		p.text = append(p.text, b...)
-		if m := pidLine.FindSubmatch(p.text); m != nil {
-			pid, _ := strconv.Atoi(string(m[1]))
+		p.text = append(p.text, text...)
+		if match := pidLine.FindSubmatch(p.text); match != nil {
+			pid, _ := strconv.Atoi(string(match[1]))
 			p.found <- pid
 			p.text, p.done = nil, true
 		}
 	}
-	return p.to.Write(b)
+	return p.to.Write(text)
 }
 
-// current gives the process of now, whether it takes requests, and its number.
-func (d *dispatcherProcess) current() (l *ProcessRun, up bool) {
+// current returns the process that was started last, and whether it takes requests.
+func (d *dispatcherProcess) current() (run *ProcessRun, up bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.record.mu.Lock()
@@ -174,17 +195,18 @@
 	return d.processRun, d.processRun != nil && !d.processRun.ReadyAt.IsZero() && d.processRun.EndedAt.IsZero()
 }
 
-func (d *dispatcherProcess) signal(s syscall.Signal) {
+// signal sends a signal, unless the process has exited.
+func (d *dispatcherProcess) signal(signal syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
 	case <-d.exited:
 	default:
-		_ = syscall.Kill(d.pid, s)
+		_ = syscall.Kill(d.pid, signal)
 	}
 }
 
-// killAndRestart kills the process and starts it again behind a pause.
+// killAndRestart kills the process and starts it again after a pause. It does nothing while another restart is in progress.
 func (d *dispatcherProcess) killAndRestart(pause time.Duration) error {
 	if !d.restarting.TryLock() {
 		return nil
@@ -195,26 +217,27 @@
 	return d.start()
 }
 
-// kill kills the process for good.
+// kill kills the process and waits for its end.
 func (d *dispatcherProcess) kill() {
 	d.mu.Lock()
-	l, exited := d.processRun, d.exited
+	run, exited := d.processRun, d.exited
 	d.mu.Unlock()
-	d.record.locked(func() { l.Killed = true })
+	d.record.locked(func() { run.Killed = true })
 	d.signal(syscall.SIGKILL)
 	<-exited
 }
 
-// terminateAndRestart tells the process to end, kills it as early as may be, and starts it again.
+// terminateAndRestart sends SIGTERM, kills the process as early as the platform may, and starts it again. It does nothing while another
+// restart is in progress.
 func (d *dispatcherProcess) terminateAndRestart() error {
 	if !d.restarting.TryLock() {
 		return nil
 	}
 	defer d.restarting.Unlock()
 	d.mu.Lock()
-	l, exited := d.processRun, d.exited
+	run, exited := d.processRun, d.exited
 	d.mu.Unlock()
-	d.record.locked(func() { l.SIGTERMAt = time.Now() })
+	d.record.locked(func() { run.SIGTERMAt = time.Now() })
 	d.signal(syscall.SIGTERM)
 	select {
 	case <-exited:
@@ -224,30 +247,37 @@
 	return d.start()
 }
 
-// moveTo tells it of a new configuration that moves discovery to a replica which lags for a while.
-func (d *dispatcherProcess) moveTo(lag time.Duration, until time.Time) error {
+// moveToReplica reloads a configuration that names a replica of discovery which lags until a time.
+func (d *dispatcherProcess) moveToReplica(lag time.Duration, until time.Time) error {
+	if err := d.newDiscoveryAddress(); err != nil {
+		return err
+	}
+	d.discovery.replicaView(d.number).injectFault(lag, 0, false, until)
+	return d.reload()
+}
+
+// moveDiscovery reloads a configuration that names another address of discovery.
+func (d *dispatcherProcess) moveDiscovery() error {
+	if err := d.newDiscoveryAddress(); err != nil {
+		return err
+	}
+	return d.reload()
+}
+
+// newDiscoveryAddress opens another address of discovery, for the next configuration.
+func (d *dispatcherProcess) newDiscoveryAddress() error {
 	address, err := d.discovery.newAddress(d.number)
 	if err != nil {
 		return err
 	}
-	d.discovery.replicaView(d.number).injectFault(lag, 0, false, until)
 	d.mu.Lock()
+	defer d.mu.Unlock()
 	d.address = address
-	d.mu.Unlock()
-	return d.reload(false)
+	return nil
 }
 
-// reload tells it of a new configuration; moved has it find discovery at another address.
-func (d *dispatcherProcess) reload(moved bool) error {
-	if moved {
-		address, err := d.discovery.newAddress(d.number)
-		if err != nil {
-			return err
-		}
-		d.mu.Lock()
-		d.address = address
-		d.mu.Unlock()
-	}
+// reload writes the configuration and sends SIGHUP.
+func (d *dispatcherProcess) reload() error {
 	if err := d.writeConfig(); err != nil {
 		return err
 	}
@@ -255,7 +285,7 @@
 	return nil
 }
 
-// pauseRepeatedly stops the process for a moment, again and again.
+// pauseRepeatedly stops the process for pauseTime, repeatedly, until a time.
 func (d *dispatcherProcess) pauseRepeatedly(until time.Time) {
 	for time.Now().Before(until) {
 		d.signal(syscall.SIGSTOP)
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -5,68 +5,69 @@
 	"time"
 )
 
-// Request is what a client saw of a request.
+// Request is what a client recorded of a request.
 type Request struct {
 	ID               string
 	Dispatcher       int
-	ProcessRun       int       // of the dispatcher's process
-	WrittenAt        time.Time // its last byte; zero while it is not whole
+	ProcessRun       int       // number of the dispatcher's process
+	WrittenAt        time.Time // its last byte; zero if it was never complete
 	Deadline         time.Duration
-	ConnectionReused bool      // its connection had carried another before
-	LeftAt           time.Time // when its client closed or gave up; zero if it stayed
-	Status           int       // of the whole answer; 0 for none
+	ConnectionReused bool      // its connection had carried another request before
+	LeftAt           time.Time // when its client closed the connection or gave up; zero if it stayed
+	Status           int       // of a complete answer; 0 for none
 	Result           string
-	AnsweredAt       time.Time // when the answer was whole, or the connection ended
-	Error            string    // how the connection ended without an answer
-	Resent           bool      // it was sent again on a new connection, under another id
+	AnsweredAt       time.Time // when the answer was complete, or the connection ended
+	Error            string    // how the connection ended, if there was no answer
+	Resent           bool      // it was sent again on a new connection, with another id
 }
 
-// Attempt is what a worker saw of an attempt.
+// Attempt is what a worker recorded of an attempt.
 type Attempt struct {
 	ID              string
 	Dispatcher      int
 	Worker          int
 	Cell            int
-	FirstByteAt     time.Time // its first byte
-	LastByteAt      time.Time // its last byte
-	Timeout         time.Duration
-	MayHaveExecuted bool // it may have run
+	FirstByteAt     time.Time     // its first byte
+	LastByteAt      time.Time     // its last byte
+	Timeout         time.Duration // that the dispatcher gave the worker
+	MayHaveExecuted bool          // false only if the worker surely did not run it
 	Result          string
-	EndedAt         time.Time // when the worker was done with it, or saw it given up
+	EndedAt         time.Time // when the worker finished the job, or saw it cancelled
 }
 
-// ProcessRun is one process of a dispatcher.
+// ProcessRun is one process of a dispatcher, from its start to its end.
 type ProcessRun struct {
 	Dispatcher int
 	Number     int
 	StartedAt  time.Time
 	ReadyAt    time.Time
-	SIGTERMAt  time.Time // SIGTERM
+	SIGTERMAt  time.Time // zero if it got no SIGTERM
 	EndedAt    time.Time
-	Killed     bool // by SIGKILL
-	Crashed    string
+	Killed     bool   // by SIGKILL of the run
+	Crashed    string // how it ended though it was not killed; empty if it did not
 }
 
-// DiscoveryAnswer is what discovery wrote to a dispatcher, whole.
+// DiscoveryAnswer is a list that discovery wrote to a dispatcher to its last byte.
 type DiscoveryAnswer struct {
 	Dispatcher int
 	At         time.Time
 	Revision   int
 }
 
-// EndpointChange is a worker's change in discovery's list.
+// EndpointChange is a change of a worker in discovery's list.
 type EndpointChange struct {
 	Revision  int
 	At        time.Time
 	Worker    int
 	Phase     string
-	Restarted bool // it has started just then
+	Restarted bool // the worker has just started, and warms up
 }
 
-// DiscoveryOutage is a time in which discovery answered nobody.
+// DiscoveryOutage is a time in which discovery rejected all calls.
 type DiscoveryOutage struct{ From, To time.Time }
 
-// Record is all that the peers saw in a run.
+// Record is everything that the peers recorded in a run. Its methods may be called by any goroutine; the fields are read once the run
+// has ended, or within locked.
 type Record struct {
 	mu               sync.Mutex
 	StartedAt        time.Time
@@ -76,22 +77,27 @@
 	DiscoveryAnswers []DiscoveryAnswer
 	EndpointChanges  []EndpointChange
 	Outages          []DiscoveryOutage
-	Events           []string // with their times, for timelines
+	Events           []string // with their times
 }
 
+// locked calls do while no other goroutine changes the record.
 func (r *Record) locked(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do()
 }
 
-func (r *Record) addRequest(q *Request) { r.locked(func() { r.Requests = append(r.Requests, q) }) }
-func (r *Record) addAttempt(a *Attempt) { r.locked(func() { r.Attempts = append(r.Attempts, a) }) }
-func (r *Record) addAnswer(a DiscoveryAnswer) {
-	r.locked(func() { r.DiscoveryAnswers = append(r.DiscoveryAnswers, a) })
+func (r *Record) addRequest(request *Request) {
+	r.locked(func() { r.Requests = append(r.Requests, request) })
+}
+func (r *Record) addAttempt(attempt *Attempt) {
+	r.locked(func() { r.Attempts = append(r.Attempts, attempt) })
+}
+func (r *Record) addAnswer(answer DiscoveryAnswer) {
+	r.locked(func() { r.DiscoveryAnswers = append(r.DiscoveryAnswers, answer) })
 }
 
-// lastAnswerAt gives when discovery last told a dispatcher its list.
+// lastAnswerAt returns when discovery last wrote a list to a dispatcher; zero for never.
 func (r *Record) lastAnswerAt(dispatcher int) (at time.Time) {
 	r.locked(func() {
 		for i := len(r.DiscoveryAnswers) - 1; i >= 0 && at.IsZero(); i-- {
@@ -103,9 +109,9 @@
 	return at
 }
 
-func (r *Record) addChange(c EndpointChange) {
-	r.locked(func() { r.EndpointChanges = append(r.EndpointChanges, c) })
+func (r *Record) addChange(change EndpointChange) {
+	r.locked(func() { r.EndpointChanges = append(r.EndpointChanges, change) })
 }
-func (r *Record) addProcessRun(l *ProcessRun) {
-	r.locked(func() { r.ProcessRuns = append(r.ProcessRuns, l) })
+func (r *Record) addProcessRun(run *ProcessRun) {
+	r.locked(func() { r.ProcessRuns = append(r.ProcessRuns, run) })
 }
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// snapshot is the list as it was from a moment on.
+// snapshot is the endpoint list as it was from a time on.
 type snapshot struct {
 	at       time.Time
 	revision int
 	members  []member
 }
 
-// replicaView is how one address of discovery shows the list: late, and answers after a while.
+// replicaView is how one address of discovery shows the list: as it was a while ago, and with delayed answers.
 type replicaView struct {
 	mu    sync.Mutex
-	lag   time.Duration // the list is as it was so long ago
-	flaps bool          // at every other call only
-	delay time.Duration // an answer is held back for up to this
-	until time.Time     // of all that
+	lag   time.Duration // the list is this old
+	flaps bool          // only every other call shows the old list
+	delay time.Duration // answers are delayed by up to this
+	until time.Time     // when the fault ends
 	calls int
 }
 
-// injectFault has the address show the list late, or answer late, for a while.
+// injectFault makes the address show an old list, or delay its answers, until a time.
 func (v *replicaView) injectFault(lag, delay time.Duration, flaps bool, until time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lag, v.delay, v.flaps, v.until = lag, delay, flaps, until
 }
 
-// nextCall gives how late the list is that a nextCall is shown, and for how long its answer is held back.
+// nextCall counts a call, and returns how old its list is and by how much its answer is delayed.
 func (v *replicaView) nextCall(now time.Time) (lag, delay time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -49,46 +49,48 @@
 	return v.lag, delay
 }
 
-// recordSnapshot notes the list as it is now; d.mu is held.
+// recordSnapshot adds the list as it is now to the history. d.mu must be locked.
 func (d *discovery) recordSnapshot() {
-	s := snapshot{at: time.Now(), revision: d.revision}
-	for _, m := range d.members {
-		s.members = append(s.members, *m)
+	current := snapshot{at: time.Now(), revision: d.revision}
+	for _, member := range d.members {
+		current.members = append(current.members, *member)
 	}
-	d.history = append(d.history, s)
+	d.history = append(d.history, current)
 }
 
-// asOf gives the list as it was; d.mu is held.
+// asOf returns the list as it was at a time. d.mu must be locked.
 func (d *discovery) asOf(at time.Time) snapshot {
 	shown := d.history[0]
-	for _, s := range d.history {
-		if !s.at.After(at) {
-			shown = s
+	for _, earlier := range d.history {
+		if !earlier.at.After(at) {
+			shown = earlier
 		}
 	}
 	return shown
 }
 
-// encode words a list for a dispatcher.
+// encode returns the list as JSON, with the addresses at which a dispatcher reaches the workers.
 func (s snapshot) encode(dispatcher int) string {
 	var lines []string
-	for _, m := range s.members {
+	for _, member := range s.members {
 		lines = append(lines, fmt.Sprintf(`{"id":"w%d","host_port":%q,"locality":"here","flavor":"new","cell":%d,"phase":%q,"size":1.0,"up_since_ms":%d}`,
-			m.worker.number, m.worker.address(dispatcher), m.worker.cell(), m.phase, m.since))
+			member.worker.number, member.worker.address(dispatcher), member.worker.cell(), member.phase, member.since))
 	}
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, s.revision, strings.Join(lines, ","))
 }
 
-// serviceQueue is the one queue of a service that all dispatchers share. A call that has waited too long is given up, and its work is
-// done all the same.
+// serviceQueue is the queue of a service that serves one call at a time. A call that has waited too long gets no answer, and costs its
+// time all the same.
 type serviceQueue struct {
-	timePerCall, maxWait, maxBacklog time.Duration
+	timePerCall time.Duration // that the service needs
+	maxWait     time.Duration // of a call
+	maxBacklog  time.Duration // of the queue; beyond it calls are rejected at once
 
 	mu     sync.Mutex
-	freeAt time.Time
+	freeAt time.Time // when the service has served all calls
 }
 
-// enqueue gives how long a call waits, and whether it is served then.
+// enqueue adds a call, and returns how long the call waits and whether it is served then.
 func (c *serviceQueue) enqueue(now time.Time) (wait time.Duration, served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Result is what became of a run.
+// Result is what came of a run.
 type Result struct {
 	Plan     Plan
 	Record   *Record
 	Breaches []Breach
-	LogDir   string // the folder of the dispatchers' logs
+	LogDir   string // where the dispatchers' logs are
 }
 
-// ByRule counts the breaches.
+// ByRule returns the number of breaches of each rule.
 func (r *Result) ByRule() map[string]int {
 	counts := map[string]int{}
-	for _, b := range r.Breaches {
-		counts[b.Rule]++
+	for _, breach := range r.Breaches {
+		counts[breach.Rule]++
 	}
 	return counts
 }
 
-// run is a run while it plays.
+// run is a run in progress.
 type run struct {
 	plan        Plan
 	record      *Record
@@ -40,59 +40,73 @@
 	errors  []error
 }
 
-// Play plays a plan in a folder, in real time.
-func Play(ctx context.Context, p Plan, programs Programs, dir string) (*Result, error) {
+// Play runs a plan in real time and returns its audited record. It writes logs and configuration to dir, and ends all processes that it
+// started. It returns an error if the run could not be played to its end, not if a rule was broken.
+func Play(ctx context.Context, plan Plan, programs Programs, dir string) (*Result, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
 	record := &Record{}
-	r := &run{plan: p, record: record, discovery: newDiscovery(record, p), workers: map[int]*worker{}}
-	defer r.discovery.close()
-	for i := range p.Workers {
-		if err := r.startWorker(i, false); err != nil {
+	current := &run{plan: plan, record: record, discovery: newDiscovery(record, plan), workers: map[int]*worker{}}
+	defer current.discovery.close()
+	for i := range plan.Workers {
+		if err := current.startWorker(i, false); err != nil {
 			return nil, err
 		}
 	}
-	defer r.stopWorkers()
+	defer current.stopWorkers()
+	defer current.closeLogs()
 	var starting sync.WaitGroup
-	for i := range p.Dispatchers {
-		d, err := newDispatcherProcess(i, p, programs, dir, record, r.discovery)
+	for i := range plan.Dispatchers {
+		process, err := newDispatcherProcess(i, plan, programs, dir, record, current.discovery)
 		if err != nil {
 			return nil, err
 		}
-		defer d.logs.Close()
-		r.dispatchers = append(r.dispatchers, d)
-		r.clients = append(r.clients, &clientGroup{dispatcher: d, record: record, plan: p, rng: rand.New(rand.NewPCG(p.Seed, uint64(i)))})
-		starting.Go(func() { r.addError(d.start()) })
+		current.dispatchers = append(current.dispatchers, process)
+		current.clients = append(current.clients, &clientGroup{dispatcher: process, record: record, plan: plan, rng: rand.New(rand.NewPCG(plan.Seed, uint64(i)))})
+		starting.Go(func() { current.addError(process.start()) })
 	}
 	starting.Wait()
 	record.locked(func() { record.StartedAt = time.Now() })
-	end := record.StartedAt.Add(p.Span)
+	current.playEvents(ctx)
+	if err := errors.Join(append(current.errors, ctx.Err())...); err != nil {
+		return nil, err
+	}
+	return &Result{Plan: plan, Record: record, Breaches: Audit(plan, record), LogDir: dir}, nil
+}
+
+// playEvents runs the clients and the events to the end of the plan, and then kills the dispatchers.
+func (r *run) playEvents(ctx context.Context) {
+	end := r.record.StartedAt.Add(r.plan.Span)
 	var sending, happening sync.WaitGroup
-	for _, c := range r.clients {
-		sending.Go(func() { c.run(end) })
+	for _, group := range r.clients {
+		sending.Go(func() { group.run(end) })
 	}
-	for _, e := range p.Events {
+	for _, event := range r.plan.Events {
 		happening.Go(func() {
 			select {
-			case <-time.After(time.Until(record.StartedAt.Add(e.At))):
-				r.recordEvent(e)
-				r.addError(r.playEvent(e, time.Now().Add(e.Duration)))
+			case <-time.After(time.Until(r.record.StartedAt.Add(event.At))):
+				r.recordEvent(event)
+				r.addError(r.playEvent(event, time.Now().Add(event.Duration)))
 			case <-ctx.Done():
 			}
 		})
 	}
 	happening.Wait()
 	sending.Wait()
-	for _, d := range r.dispatchers {
-		d.kill()
+	for _, process := range r.dispatchers {
+		process.kill()
 	}
-	if err := errors.Join(append(r.errors, ctx.Err())...); err != nil {
-		return nil, err
+}
+
+// closeLogs closes the dispatchers' logs.
+func (r *run) closeLogs() {
+	for _, process := range r.dispatchers {
+		_ = process.logs.Close() // a line that is lost shows in the audit's timelines only
 	}
-	return &Result{Plan: p, Record: record, Breaches: Audit(p, record), LogDir: dir}, nil
 }
 
+// addError adds an error of the run itself; nil is none.
 func (r *run) addError(err error) {
 	if err == nil {
 		return
@@ -102,33 +116,36 @@
 	r.errors = append(r.errors, err)
 }
 
-func (r *run) recordEvent(e Event) {
+// recordEvent records that an event begins now.
+func (r *run) recordEvent(event Event) {
 	r.record.locked(func() {
-		r.record.Events = append(r.record.Events, fmt.Sprintf("%.3f %s", time.Since(r.record.StartedAt).Seconds(), e))
+		r.record.Events = append(r.record.Events, fmt.Sprintf("%.3f %s", time.Since(r.record.StartedAt).Seconds(), event))
 	})
 }
 
-// startWorker starts a worker and lists it.
-func (r *run) startWorker(number int, cold bool) error {
-	w, err := newWorker(number, r.plan.Dispatchers, r.record)
+// startWorker starts a worker and lists it as active; restarted makes it warm up.
+func (r *run) startWorker(number int, restarted bool) error {
+	started, err := newWorker(number, r.plan.Dispatchers, r.record)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.workers[number] = w
+	r.workers[number] = started
 	r.mu.Unlock()
-	r.discovery.setPhase(w, phaseActive, cold)
+	r.discovery.setPhase(started, phaseActive, restarted)
 	return nil
 }
 
+// stopWorkers ends all workers.
 func (r *run) stopWorkers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, w := range r.workers {
-		w.stop()
+	for _, started := range r.workers {
+		started.stop()
 	}
 }
 
+// worker returns a worker by its number.
 func (r *run) worker(number int) *worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,95 +153,98 @@
 }
 
 const (
-	idleClientCount   = 800
+	idleClientCount   = 800 // connections of IdleClients
 	workerRestartTime = 300 * time.Millisecond
-	minReadyShare     = 2 // part of the workers, one in so many, that may drain at a time
+	minReadyShare     = 2 // one of so many workers must stay ready
 )
 
-// playEvent plays an event to its end.
-func (r *run) playEvent(e Event, until time.Time) error {
-	switch e.Kind {
+// playEvent plays an event until it is over.
+func (r *run) playEvent(event Event, until time.Time) error {
+	switch event.Kind {
 	case Drain:
-		r.drainWorker(e.Target)
+		r.drainWorker(event.Target)
 	case Join:
-		return r.startWorker(e.Target, true)
+		return r.startWorker(event.Target, true)
 	case Restart:
-		w := r.worker(e.Target)
-		w.stop()
+		started := r.worker(event.Target)
+		started.stop()
 		time.Sleep(workerRestartTime)
-		if err := w.start(); err != nil {
+		if err := started.start(); err != nil {
 			return err
 		}
-		r.discovery.setPhase(w, phaseActive, true)
+		r.discovery.setPhase(started, phaseActive, true)
 	case WorkerHangs, WorkerResets, WorkerReadsLate:
-		r.worker(e.Target).injectFault(e.Kind, until)
+		r.worker(event.Target).injectFault(event.Kind, until)
 	case FaultyCalls:
-		r.discovery.failCalls(r.plan.Dispatchers, e.Calls)
+		r.discovery.failCalls(r.plan.Dispatchers, event.Calls)
 	case SilentWatches:
 		r.discovery.silenceWatches()
 	case DiscoveryDown:
 		return r.stopDiscovery(until)
-	case DiscoveryMove, Reload:
-		return r.dispatchers[e.Target].reload(e.Kind == DiscoveryMove)
+	case DiscoveryMove:
+		return r.dispatchers[event.Target].moveDiscovery()
+	case Reload:
+		return r.dispatchers[event.Target].reload()
 	case ProcessPauses:
-		r.dispatchers[e.Target].pauseRepeatedly(until)
+		r.dispatchers[event.Target].pauseRepeatedly(until)
 	case Terminate:
-		return r.dispatchers[e.Target].terminateAndRestart()
+		return r.dispatchers[event.Target].terminateAndRestart()
 	case Kill:
-		return r.dispatchers[e.Target].killAndRestart(time.Until(until) / 4)
+		return r.dispatchers[event.Target].killAndRestart(time.Until(until) / 4)
 	case IdleClients:
-		r.clients[e.Target].openIdleConnections(idleClientCount, until)
+		r.clients[event.Target].openIdleConnections(idleClientCount, until)
 	case ClientsLeave:
-		r.clients[e.Target].setLeaveEarly(until)
+		r.clients[event.Target].setLeaveEarly(until)
 	case ClockStep:
-		r.discovery.stepClock(e.Step)
+		r.discovery.stepClock(event.Step)
 	case ReplicaLag:
-		r.discovery.replicaView(e.Target).injectFault(e.Step, 0, e.Flaps, until)
+		r.discovery.replicaView(event.Target).injectFault(event.Step, 0, event.Flaps, until)
 	case DelayedAnswers:
-		r.discovery.replicaView(e.Target).injectFault(0, e.Step, false, until)
+		r.discovery.replicaView(event.Target).injectFault(0, event.Step, false, until)
 	case MoveToLaggingReplica:
-		r.drainWorker(e.Worker)
-		time.Sleep(e.Duration / 4)
-		return r.dispatchers[e.Target].moveTo(e.Step, time.Now().Add(e.Duration))
+		r.drainWorker(event.Worker)
+		time.Sleep(event.Duration / 4)
+		return r.dispatchers[event.Target].moveToReplica(event.Step, time.Now().Add(event.Duration))
 	case DiscoveryMoves:
-		return r.moveDiscoveryRepeatedly(e)
+		return r.moveDiscoveryRepeatedly(event)
 	}
 	return nil
 }
 
-// drainWorker has a worker drainWorker, unless half of them do.
+// drainWorker makes a worker drain, unless too few would stay ready.
 func (r *run) drainWorker(number int) {
 	r.discovery.mu.Lock()
-	up := 0
-	for _, m := range r.discovery.members {
-		if m.phase == phaseActive {
-			up++
+	ready := 0
+	for _, member := range r.discovery.members {
+		if member.phase == phaseActive {
+			ready++
 		}
 	}
 	r.discovery.mu.Unlock()
-	if up > max(r.plan.Workers/minReadyShare, 1) {
+	if ready > max(r.plan.Workers/minReadyShare, 1) {
 		r.discovery.setPhase(r.worker(number), phaseLeaving, false)
 	}
 }
 
-// movesInARow is how many new configurations come in a row.
+// movesInARow is how many new configurations DiscoveryMoves brings.
 const movesInARow = 4
 
-// moveDiscoveryRepeatedly brings several new configurations, each of which moveDiscoveryRepeatedly discovery, and has a worker drain in the middle.
-func (r *run) moveDiscoveryRepeatedly(e Event) error {
+// moveDiscoveryRepeatedly brings several new configurations, each with another address of discovery; a worker starts draining in the
+// middle.
+func (r *run) moveDiscoveryRepeatedly(event Event) error {
 	for i := range movesInARow {
 		if i == movesInARow/2 {
-			r.drainWorker(e.Worker)
+			r.drainWorker(event.Worker)
 		}
-		if err := r.dispatchers[e.Target].reload(true); err != nil {
+		if err := r.dispatchers[event.Target].moveDiscovery(); err != nil {
 			return err
 		}
-		time.Sleep(e.Duration / movesInARow)
+		time.Sleep(event.Duration / movesInARow)
 	}
 	return nil
 }
 
-// stopDiscovery has discovery refuse all calls for a while.
+// stopDiscovery makes discovery reject all calls until a time.
 func (r *run) stopDiscovery(until time.Time) error {
 	from := time.Now()
 	r.discovery.setDown(true)
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// The figures that all runs share; they reach the dispatchers as settings.
+// What all runs share. The dispatchers get it as settings.
 const (
 	drainGrace        = 500 * time.Millisecond
 	slowStartDuration = 6 * time.Second
 	overloadWindow    = 1500 * time.Millisecond
 	slowStartCapacity = 0.14
 	overloadMultiple  = 3.0
-	workerSlots       = 5
-	jobTime           = 60 * time.Millisecond // of a worker, on average
+	workerSlots       = 5                     // jobs that a worker runs at a time
+	jobTime           = 60 * time.Millisecond // mean time that a worker needs for a job
 	className         = "quote"
 	phaseActive       = "active"
 	phaseLeaving      = "leaving"
 )
 
-// settings gives what a dispatcher is told, as the platform words it.
+// settings returns the settings of a dispatcher as the platform's JSON.
 func (p Plan) settings(dispatcher int) string {
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
 	mode := "ask"
@@ -35,7 +35,7 @@
 		micros(slowStartDuration), micros(drainGrace), micros(overloadWindow), slowStartCapacity, overloadMultiple)
 }
 
-// config gives a dispatcher's file.
+// config returns the file of a dispatcher, which names the addresses that it listens at and reaches discovery at, and a first list.
 func (p Plan) config(dispatcher int, listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		dispatcher, listen, discovery, p.Seed*1000+uint64(dispatcher), known, p.settings(dispatcher))
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -16,74 +16,74 @@
 	text string
 }
 
-// Timeline words all that is known of a breach's request or worker, in order.
-func (r *Result) Timeline(b Breach) string {
-	rec := r.Record
-	rec.mu.Lock()
-	defer rec.mu.Unlock()
-	var moments []timelineEntry
+// Timeline returns everything that was recorded of a breach's request or worker, in the order of time.
+func (r *Result) Timeline(breach Breach) string {
+	record := r.Record
+	record.mu.Lock()
+	defer record.mu.Unlock()
+	var entries []timelineEntry
 	note := func(at time.Time, format string, args ...any) {
 		if !at.IsZero() {
-			moments = append(moments, timelineEntry{at, fmt.Sprintf(format, args...)})
+			entries = append(entries, timelineEntry{at, fmt.Sprintf(format, args...)})
 		}
 	}
-	note(b.At, "BROKEN %s: %s", b.Rule, b.Detail)
-	for _, q := range rec.Requests {
-		if q.ID == b.Request && b.Request != "" {
-			note(q.WrittenAt, "client: written to n%d, life %d, waits %v, reused connection %t", q.Dispatcher, q.ProcessRun, q.Deadline, q.ConnectionReused)
-			note(q.LeftAt, "client: left")
-			note(q.AnsweredAt, "client: status %d %q %s", q.Status, q.Result, q.Error)
+	note(breach.At, "BROKEN %s: %s", breach.Rule, breach.Detail)
+	for _, request := range record.Requests {
+		if request.ID == breach.Request && breach.Request != "" {
+			note(request.WrittenAt, "client: wrote to n%d, process %d, deadline %v, connection reused %t", request.Dispatcher, request.ProcessRun, request.Deadline, request.ConnectionReused)
+			note(request.LeftAt, "client: left")
+			note(request.AnsweredAt, "client: status %d %q %s", request.Status, request.Result, request.Error)
 		}
 	}
-	for _, t := range rec.Attempts {
-		if t.ID == b.Request && b.Request != "" {
-			note(t.FirstByteAt, "w%d: first byte from n%d, told %v", t.Worker, t.Dispatcher, t.Timeout)
-			note(t.EndedAt, "w%d: ended, result %q", t.Worker, t.Result)
+	for _, attempt := range record.Attempts {
+		if attempt.ID == breach.Request && breach.Request != "" {
+			note(attempt.FirstByteAt, "w%d: first byte from n%d, timeout %v", attempt.Worker, attempt.Dispatcher, attempt.Timeout)
+			note(attempt.EndedAt, "w%d: ended, result %q", attempt.Worker, attempt.Result)
 		}
 	}
-	for _, c := range rec.EndpointChanges {
-		if b.Worker >= 0 && c.Worker == b.Worker {
-			note(c.At, "discovery: revision %d, w%d %s, cold %t", c.Revision, c.Worker, c.Phase, c.Restarted)
+	for _, change := range record.EndpointChanges {
+		if breach.Worker >= 0 && change.Worker == breach.Worker {
+			note(change.At, "discovery: revision %d, w%d %s, restarted %t", change.Revision, change.Worker, change.Phase, change.Restarted)
 		}
 	}
-	if b.Rule == RuleDrain {
-		for _, w := range rec.DiscoveryAnswers {
-			note(w.At, "discovery: wrote revision %d to n%d", w.Revision, w.Dispatcher)
+	if breach.Rule == RuleDrain {
+		for _, answer := range record.DiscoveryAnswers {
+			note(answer.At, "discovery: wrote revision %d to n%d", answer.Revision, answer.Dispatcher)
 		}
 	}
-	for _, l := range rec.ProcessRuns {
-		note(l.StartedAt, "n%d: life %d started", l.Dispatcher, l.Number)
-		note(l.SIGTERMAt, "n%d: SIGTERM", l.Dispatcher)
-		note(l.EndedAt, "n%d: ended, killed %t", l.Dispatcher, l.Killed)
+	for _, run := range record.ProcessRuns {
+		note(run.StartedAt, "n%d: process %d started", run.Dispatcher, run.Number)
+		note(run.SIGTERMAt, "n%d: SIGTERM", run.Dispatcher)
+		note(run.EndedAt, "n%d: ended, killed %t", run.Dispatcher, run.Killed)
 	}
-	slices.SortFunc(moments, func(a, b timelineEntry) int { return a.at.Compare(b.at) })
+	slices.SortFunc(entries, func(a, b timelineEntry) int { return a.at.Compare(b.at) })
 	var text strings.Builder
-	for _, m := range moments {
-		fmt.Fprintf(&text, "  %9.3f %s\n", m.at.Sub(rec.StartedAt).Seconds(), m.text)
+	for _, entry := range entries {
+		fmt.Fprintf(&text, "  %9.3f %s\n", entry.at.Sub(record.StartedAt).Seconds(), entry.text)
 	}
-	for _, line := range r.logLines(b.Request) {
+	for _, line := range r.logLines(breach.Request) {
 		fmt.Fprintf(&text, "  log %s\n", line)
 	}
 	return text.String()
 }
 
-// logLines gives the lines of the dispatchers' logs that name a request.
+// logLines returns the lines of the dispatchers' logs that name a request.
 func (r *Result) logLines(id string) (lines []string) {
 	if id == "" {
 		return nil
 	}
 	files, _ := filepath.Glob(filepath.Join(r.LogDir, "n*.log"))
 	for _, path := range files {
-		f, err := os.Open(path)
+		file, err := os.Open(path)
 		if err != nil {
 			continue
 		}
-		for in := bufio.NewScanner(f); in.Scan(); {
-			if strings.Contains(in.Text(), "id="+id+" ") {
-				lines = append(lines, strings.TrimSpace(in.Text()))
+		for scanner := bufio.NewScanner(file); scanner.Scan(); {
+			if strings.Contains(scanner.Text(), "id="+id+" ") {
+				lines = append(lines, strings.TrimSpace(scanner.Text()))
 			}
 		}
-		f.Close()
+		_ = file.Close() // it was only read
 	}
 	return lines
 }
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -13,79 +13,83 @@
 	"time"
 )
 
-// worker is the stand-in for a worker. Each dispatcher reaches it at an address of its own.
+// worker is the stand-in for a worker. Each dispatcher reaches it at an address of its own, by which the worker knows who sends.
 type worker struct {
 	number int
 	record *Record
 	slots  chan struct{}
 
-	unready atomic.Bool // discovery does not list it as active: it answers probes with 503
+	unready atomic.Bool // discovery does not list it as active: probes are answered 503
 
 	mu             sync.Mutex
 	addresses      []string // by dispatcher
 	listeners      []net.Listener
 	connections    map[net.Conn]bool
-	hangsUntil     time.Time // until then it says nothing more of its jobs
-	resetsUntil    time.Time // until then it breaks connections under jobs
-	readsLateUntil time.Time // until then it takes a while to read from new connections
+	hangsUntil     time.Time // until then it sends nothing more of its jobs
+	resetsUntil    time.Time // until then it resets connections that carry jobs
+	readsLateUntil time.Time // until then it reads late from new connections
 }
 
-func newWorker(number, dispatchers int, r *Record) (*worker, error) {
-	w := &worker{number: number, record: r, slots: make(chan struct{}, workerSlots), addresses: make([]string, dispatchers), connections: map[net.Conn]bool{}}
-	for i := range w.addresses {
-		w.addresses[i] = "127.0.0.1:0"
+// newWorker starts a worker that the given number of dispatchers can reach.
+func newWorker(number, dispatchers int, record *Record) (*worker, error) {
+	started := &worker{number: number, record: record, slots: make(chan struct{}, workerSlots), addresses: make([]string, dispatchers), connections: map[net.Conn]bool{}}
+	for i := range started.addresses {
+		started.addresses[i] = "127.0.0.1:0"
 	}
-	return w, w.start()
+	return started, started.start()
 }
 
-// cellCount is how many cellCount there are.
+// cellCount is the number of cells that workers belong to.
 const cellCount = 2
 
+// cell returns the worker's cell.
 func (w *worker) cell() int { return w.number % cellCount }
 
+// address returns where a dispatcher reaches the worker.
 func (w *worker) address(dispatcher int) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.addresses[dispatcher]
 }
 
-// start listens at its addresses, the same ones each time.
+// start listens at the worker's addresses, which stay the same over restarts.
 func (w *worker) start() error {
 	for i := range w.addresses {
-		l, err := net.Listen("tcp", w.address(i))
+		listener, err := net.Listen("tcp", w.address(i))
 		if err != nil {
 			return err
 		}
 		w.mu.Lock()
-		w.addresses[i] = l.Addr().String()
-		w.listeners = append(w.listeners, l)
+		w.addresses[i] = listener.Addr().String()
+		w.listeners = append(w.listeners, listener)
 		w.mu.Unlock()
-		go w.accept(l, i)
+		go w.accept(listener, i)
 	}
 	return nil
 }
 
-// stop ends it as a process that dies: its connections are reset.
+// stop ends the worker as if its process had died: connections are reset.
 func (w *worker) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, l := range w.listeners {
-		l.Close()
+	for _, listener := range w.listeners {
+		_ = listener.Close() // it is restarted at the same address, which fails if this did
 	}
 	w.listeners = nil
-	for c := range w.connections {
-		resetConn(c)
+	for conn := range w.connections {
+		resetConn(conn)
 	}
 }
 
-func resetConn(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+// resetConn closes a connection with a reset.
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	c.Close()
+	_ = conn.Close() // it is meant to break
 }
 
-// injectFault sets until when something is wrong with it.
+// injectFault makes the worker show a fault until a time.
 func (w *worker) injectFault(kind Kind, until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,134 +103,136 @@
 	}
 }
 
+// hasFault reports whether the fault that ends at until still lasts. until points to a field, which is read under the lock.
 func (w *worker) hasFault(until *time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Now().Before(*until)
 }
 
-func (w *worker) accept(l net.Listener, dispatcher int) {
+// accept serves the connections of a dispatcher.
+func (w *worker) accept(listener net.Listener, dispatcher int) {
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		w.mu.Lock()
-		w.connections[c] = true
+		w.connections[conn] = true
 		w.mu.Unlock()
 		go func() {
 			pause := time.Duration(0)
 			if w.hasFault(&w.readsLateUntil) {
 				pause = time.Duration(rand.IntN(1000)) * time.Millisecond
 			}
-			w.serve(c, dispatcher, pause)
-			c.Close()
+			w.serve(conn, dispatcher, pause)
+			_ = conn.Close() // serve has read all it wants
 			w.mu.Lock()
-			delete(w.connections, c)
+			delete(w.connections, conn)
 			w.mu.Unlock()
 		}()
 	}
 }
 
-// firstByte is when the first byte of a request firstByte, or why none did.
+// firstByte is when the first byte of a request was received, or why none was.
 type firstByte struct {
 	at  time.Time
 	err error
 }
 
-// awaitByte waits for the next byte beside who calls it.
-func awaitByte(in *bufio.Reader) <-chan firstByte {
+// awaitByte returns a channel that gets the time of the next byte, which is not consumed.
+func awaitByte(reader *bufio.Reader) <-chan firstByte {
 	next := make(chan firstByte, 1)
 	go func() {
-		_, err := in.Peek(1)
+		_, err := reader.Peek(1)
 		next <- firstByte{time.Now(), err}
 	}()
 	return next
 }
 
-// serve serves a connection, one request at a time, the first behind a pause.
-func (w *worker) serve(c net.Conn, dispatcher int, pause time.Duration) {
-	in := bufio.NewReader(c)
-	for next := awaitByte(in); ; pause = 0 {
+// serve serves a connection, one request at a time. It reads the first one after a pause.
+func (w *worker) serve(conn net.Conn, dispatcher int, pause time.Duration) {
+	reader := bufio.NewReader(conn)
+	for next := awaitByte(reader); ; pause = 0 {
 		first := <-next
 		time.Sleep(pause)
 		if first.err != nil {
 			return
 		}
-		r, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
 		last := time.Now().Add(-pause)
-		next = awaitByte(in)
-		if r.URL.Path == "/stats" && w.unready.Load() {
-			fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+		next = awaitByte(reader)
+		if request.URL.Path == "/stats" && w.unready.Load() {
+			fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
-		if r.URL.Path == "/stats" {
+		if request.URL.Path == "/stats" {
 			free := cap(w.slots) - len(w.slots)
 			text := fmt.Sprintf("util=%.2f,queue=0,x0=%d,x1=5", float64(len(w.slots))/float64(cap(w.slots)), free)
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 			continue
 		}
-		left, _ := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
-		a := &Attempt{ID: r.Header.Get("Req-Id"), Dispatcher: dispatcher, Worker: w.number, Cell: w.cell(), FirstByteAt: first.at, LastByteAt: last,
-			Timeout: time.Duration(left) * time.Millisecond, MayHaveExecuted: true}
-		w.record.addAttempt(a)
-		if !w.runJob(c, a, next, pause > 0) {
+		remaining, _ := strconv.Atoi(request.Header.Get("Req-Deadline-Ms"))
+		attempt := &Attempt{ID: request.Header.Get("Req-Id"), Dispatcher: dispatcher, Worker: w.number, Cell: w.cell(), FirstByteAt: first.at, LastByteAt: last,
+			Timeout: time.Duration(remaining) * time.Millisecond, MayHaveExecuted: true}
+		w.record.addAttempt(attempt)
+		if !w.runJob(conn, attempt, next, pause > 0) {
 			return
 		}
 	}
 }
 
-// runJob does a job, and tells whether its connection may carry a further one. Of a job that was read late nobody knows when it was
-// given up: it counts as given up at once.
-func (w *worker) runJob(c net.Conn, a *Attempt, next <-chan firstByte, late bool) bool {
+// runJob runs a job, and reports whether its connection may carry another. It is unknown when a job that was read late was cancelled:
+// it counts as cancelled at once.
+func (w *worker) runJob(conn net.Conn, attempt *Attempt, next <-chan firstByte, late bool) bool {
 	end := func(result string) {
 		w.record.locked(func() {
-			if a.EndedAt, a.Result = time.Now(), result; late && result == "" {
-				a.EndedAt = a.LastByteAt
+			if attempt.EndedAt, attempt.Result = time.Now(), result; late && result == "" {
+				attempt.EndedAt = attempt.LastByteAt
 			}
 		})
 	}
 	if w.hasFault(&w.resetsUntil) {
-		resetConn(c)
+		resetConn(conn)
 		end("")
 		return false
 	}
 	select {
 	case w.slots <- struct{}{}:
-	case <-next: // given up while it waited
+	case <-next: // cancelled while it waited for a slot
 		end("")
 		return false
 	}
 	defer func() { <-w.slots }()
-	say := func(text string) {
-		line := fmt.Sprintf("{\"id\":%q,\"from\":\"w%d\",%s}\n", a.ID, w.number, text)
-		fmt.Fprintf(c, "%x\r\n%s\r\n", len(line), line)
+	sendLine := func(text string) {
+		line := fmt.Sprintf("{\"id\":%q,\"from\":\"w%d\",%s}\n", attempt.ID, w.number, text)
+		fmt.Fprintf(conn, "%x\r\n%s\r\n", len(line), line)
 	}
-	fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-	say(`"state":"started"`)
-	takes := time.Duration((0.5 + rand.Float64()) * float64(jobTime))
+	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
+	sendLine(`"state":"started"`)
+	jobDuration := time.Duration((0.5 + rand.Float64()) * float64(jobTime))
 	for {
 		select {
-		case <-next: // given up
+		case <-next: // cancelled
 			end("")
 			return false
-		case <-time.After(takes):
+		case <-time.After(jobDuration):
 		}
 		if !w.hasFault(&w.hangsUntil) {
 			break
 		}
 	}
-	result := fmt.Sprintf("%s by w%d", a.ID, w.number)
-	end(result) // first: the client's record must not have it before
-	say(fmt.Sprintf(`"state":"done","result":%q`, result))
-	if _, err := io.WriteString(c, "0\r\n\r\n"); err != nil {
+	result := fmt.Sprintf("%s by w%d", attempt.ID, w.number)
+	end(result) // first, so that no client records it before
+	sendLine(fmt.Sprintf(`"state":"done","result":%q`, result))
+	if _, err := io.WriteString(conn, "0\r\n\r\n"); err != nil {
 		return false
 	}
-	return true // the byte that is awaited belongs to the next request
+	return true // the next byte belongs to the next request
 }
