--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -7,171 +7,171 @@
 	"slices"
 )
 
-func (d *Scheduler) send(r *request, w *worker) {
-	if w.own == 0 {
-		w.heard = d.now
+func (s *Scheduler) send(r *request, w *worker) {
+	if w.ownSlots == 0 {
+		w.lastSignal = s.now
 	}
-	for _, h := range []*health{&w.health, &w.classes[r.class]} {
-		if h.strikes > 0 { // a trial: the next one waits
-			h.until = d.now + d.ejectFor(h)
+	for _, h := range []*ejectionState{&w.ejectionState, &w.classEjections[r.class]} {
+		if h.consecutiveEjections > 0 { // a trial: the next one waits
+			h.ejectedUntil = s.now + s.ejectionDuration(h)
 		}
 	}
-	idle := d.now - cmp.Or(w.used, d.now)
-	if w.used = d.now; d.idleSafe > 0 && d.now < d.idleLost+idleMemory && (w.own > 0 || idle*5 > d.idleSafe*4) {
+	idle := s.now - cmp.Or(w.lastUsed, s.now)
+	if w.lastUsed = s.now; s.safeIdle > 0 && s.now < s.idleLossAt+idleLossRetention && (w.ownSlots > 0 || idle*5 > s.safeIdle*4) {
 		// What idle connections carry may be lost; a new one costs a little.
-		d.do(CloseIdleConnections{Worker: w.ID, MinIdle: d.idleSafe * 4 / 5})
+		s.emit(CloseIdleConnections{Worker: w.ID, MinIdle: s.safeIdle * 4 / 5})
 		idle = 0
 	}
-	if d.warmth(w) < 1 {
-		w.sent = append(w.sent, spend{d.now, d.cost(r)})
+	if s.warmupFactor(w) < 1 {
+		w.slowStartCharges = append(w.slowStartCharges, slowStartCharge{s.now, s.chargedWork(r)})
 	}
-	d.bump(w, r.slots)
-	w.turn += 1 / w.size()
-	w.recent.add(d.now, 1/w.size())
-	d.recent.add(d.now, 1)
-	if w.pushes++; w.pushes >= pushesToHalve {
-		w.increment, w.pushes = max(w.increment/2, leastIncrement), 0
+	s.addOwnSlots(w, r.slots)
+	w.weightedSends += 1 / w.weight()
+	w.recentSends.add(s.now, 1/w.weight())
+	s.recentSends.add(s.now, 1)
+	if w.sendsSinceFull++; w.sendsSinceFull >= sendsToHalveIncrement {
+		w.increment, w.sendsSinceFull = max(w.increment/2, minIncrement), 0
 	}
-	by := earlier(d.repeatBy(r), d.sendBy(w))
-	a := attempt{w: w, sent: d.now, out: true, maybe: true, idle: idle, trial: w.own == r.slots && d.unheard(w)}
+	by := earlierBound(s.retrySendDeadline(r), s.freshUntil(w))
+	a := attempt{worker: w, sentAt: s.now, inFlight: true, mayHaveExecuted: true, connectionIdle: idle, trial: w.ownSlots == r.slots && s.reportOverdue(w)}
 	if a.trial {
-		d.trials++
+		s.trialsInFlight++
 	}
 	r.attempts = append(r.attempts, a)
-	d.do(Send{ID: r.id, Worker: w.ID, SendBy: by})
+	s.emit(Send{ID: r.id, Worker: w.ID, SendBy: by})
 }
 
-func (d *Scheduler) onBegan(e AttemptStarted) {
-	r, a := d.attempt(e.ID, e.Attempt)
+func (s *Scheduler) onAttemptStarted(e AttemptStarted) {
+	r, a := s.attemptInFlight(e.ID, e.Attempt)
 	if a == nil {
 		return
 	}
-	d.heard(a.w)
-	if a.began == 0 {
-		a.began, a.w.back = d.now, false
-		d.ways[a.w.Zone] = min(cmp.Or(d.ways[a.w.Zone], mostWay), d.now-a.sent)
-		d.learnWait(r, a)
+	s.recordSignal(a.worker)
+	if a.startedAt == 0 {
+		a.startedAt, a.worker.reattached = s.now, false
+		s.roundTripTimes[a.worker.Zone] = min(cmp.Or(s.roundTripTimes[a.worker.Zone], maxRoundTripTime), s.now-a.sentAt)
+		s.adjustOvercommit(r, a)
 		if a.lost {
 			a.lost = false
-			d.bump(a.w, r.slots)
+			s.addOwnSlots(a.worker, r.slots)
 		}
-		a.w.running += r.slots
-		if a.w.running > max(a.w.total, 1/a.w.increment) {
-			d.seen(a.w, a.w.running)
+		a.worker.runningSlots += r.slots
+		if a.worker.runningSlots > max(a.worker.observedSlots, 1/a.worker.increment) {
+			s.recordSlots(a.worker, a.worker.runningSlots)
 		}
 	}
 	r.streamed = r.streamed || e.Streamed
-	d.callOff(r, func(b *attempt) bool { return b != a && b.began == 0 })
+	s.cancelAttempts(r, func(b *attempt) bool { return b != a && b.startedAt == 0 })
 }
 
-// learnWait moves the allowance: up while requests are held here though jobs start soon; down where they wait
-func (d *Scheduler) learnWait(r *request, a *attempt) {
-	if d.now == d.stalled {
+// adjustOvercommit moves the allowance: up while requests are held here though jobs start soon; down where they wait
+func (s *Scheduler) adjustOvercommit(r *request, a *attempt) {
+	if s.now == s.resumedAt {
 		return
 	}
-	wait := d.now - a.sent - d.ways[a.w.Zone]
-	d.waited(a.w, wait > waitGrace)
-	spare := d.slack(r) + d.now - r.born
-	step := d.allowBy()
+	wait := s.now - a.sentAt - s.roundTripTimes[a.worker.Zone]
+	s.recordStart(a.worker, wait > delayedStartThreshold)
+	spare := s.slack(r) + s.now - r.firstAskedAt
+	step := s.overcommitStep()
 	switch {
-	case float64(wait) > waitShare*float64(spare):
-		d.allow = max(d.allow-step, leastAllow)
-	case d.slowdown(a.w) > 1: // kept short by its pace: that a job starts there soon tells nothing of the others
-	case len(d.held) > 0:
-		d.allow = min(d.allow+step, mostAllow)
-	case d.allow < firstAllow:
-		d.allow += step
+	case float64(wait) > tolerableWaitShare*float64(spare):
+		s.overcommit = max(s.overcommit-step, minOvercommit)
+	case s.slowdown(a.worker) > 1: // kept short by its pace: that a job starts there soon tells nothing of the others
+	case len(s.queued) > 0:
+		s.overcommit = min(s.overcommit+step, maxOvercommit)
+	case s.overcommit < initialOvercommit:
+		s.overcommit += step
 	}
 }
 
-// allowBy is how far one job moves the allowance.
-func (d *Scheduler) allowBy() float64 {
-	if d.small {
-		return min(allowStep*float64(d.set.Dispatchers), mostStep)
+// overcommitStep is how far one job moves the allowance.
+func (s *Scheduler) overcommitStep() float64 {
+	if s.loadsKnown {
+		return min(overcommitPerJob*float64(s.settings.Dispatchers), maxOvercommitStep)
 	}
-	return allowStep
+	return overcommitPerJob
 }
 
-func (d *Scheduler) onFinished(e AttemptFinished) {
-	r, a := d.attempt(e.ID, e.Attempt)
+func (s *Scheduler) onAttemptFinished(e AttemptFinished) {
+	r, a := s.attemptInFlight(e.ID, e.Attempt)
 	if a == nil {
 		return
 	}
-	w := a.w
-	a.out = false
+	w := a.worker
+	a.inFlight = false
 	if e.ConnectionIdle >= 0 {
-		a.idle = e.ConnectionIdle
+		a.connectionIdle = e.ConnectionIdle
 	}
 	if a.trial {
-		d.trials--
+		s.trialsInFlight--
 	}
-	a.maybe = e.Outcome != Full && e.Outcome != NoConnect && e.Outcome != NeverSent && e.Outcome != InvalidRequest
+	a.mayHaveExecuted = e.Outcome != Full && e.Outcome != NoConnect && e.Outcome != NeverSent && e.Outcome != InvalidRequest
 	if !a.lost {
-		d.bump(w, -r.slots)
+		s.addOwnSlots(w, -r.slots)
 	}
-	if a.began > 0 {
-		w.running = max(w.running-r.slots, 0)
+	if a.startedAt > 0 {
+		w.runningSlots = max(w.runningSlots-r.slots, 0)
 	}
 	switch e.Outcome {
 	case Served:
-		w.back = false
-		w.classes[r.class].eased()
-		d.heard(w)
-		d.ran(r, a)
+		w.reattached = false
+		w.classEjections[r.class].recordSuccess()
+		s.recordSignal(w)
+		s.recordRuntime(r, a)
 	case Full:
-		d.heard(w)
-		w.full = d.now + max(seconds(d.stay), ownMemory) // the value is 1 until then
-		w.increment, w.pushes = min(2*w.increment, 1), 0
+		s.recordSignal(w)
+		w.fullUntil = s.now + max(durationOf(s.meanStay), reportLookback) // the value is 1 until then
+		w.increment, w.sendsSinceFull = min(2*w.increment, 1), 0
 	case InvalidRequest: // the client's fault: a bad client must not get workers shunned
-		d.heard(w)
+		s.recordSignal(w)
 	case NoConnect, Reset:
-		if e.Outcome == NoConnect || !d.idleLoss(a) {
-			d.lost(w)
+		if e.Outcome == NoConnect || !s.recordIdleLoss(a) {
+			s.recordConnectionLoss(w)
 		}
 	case Errored, TimedOut:
-		if e.Outcome == Errored || a.began == 0 && !a.lost {
-			d.failed(w, r.class)
+		if e.Outcome == Errored || a.startedAt == 0 && !a.lost {
+			s.recordFailure(w, r.class)
 		}
 	}
-	d.applyReport(w, e.Report)
+	s.applyReport(w, e.Report)
 	switch {
 	case e.Final || e.Outcome == Served:
-		d.finish(r)
-	case r.done:
-		d.forget(r)
+		s.finishRequest(r)
+	case r.finished:
+		s.deleteUnlessInFlight(r)
 	case e.Outcome == InvalidRequest:
-		d.do(Fail{ID: r.id})
-		d.finish(r)
-	case r.has(out):
-	case r.expires-d.now <= d.tick() || !d.canGo(r):
-		d.answer(r)
+		s.emit(Fail{ID: r.id})
+		s.finishRequest(r)
+	case r.anyAttempt(isInFlight):
+	case r.deadline-s.now <= s.queueReviewInterval() || !s.retryPossible(r):
+		s.rejectOrFail(r)
 	default:
-		d.held = append(d.held, r)
+		s.queued = append(s.queued, r)
 	}
 }
 
-// canGo tells whether some listed worker may take the request, now or later.
-func (d *Scheduler) canGo(r *request) bool {
-	if !r.has(maybe) {
-		return len(r.attempts) < r.set.MaxAttempts
+// retryPossible tells whether some listed worker may take the request, now or later.
+func (s *Scheduler) retryPossible(r *request) bool {
+	if !r.anyAttempt(mayHaveExecuted) {
+		return len(r.attempts) < r.settings.MaxAttempts
 	}
-	return slices.ContainsFunc(d.workers, func(w *worker) bool { return d.may(r, w) })
+	return slices.ContainsFunc(s.workers, func(w *worker) bool { return s.permitted(r, w) })
 }
 
-// answer gives the final answer: a refusal where a further try is harmless, else a failure.
-func (d *Scheduler) answer(r *request) {
-	c := &r.set.Classes[r.class]
-	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll || !r.has(maybe) {
-		d.do(Reject{ID: r.id, RetryAfter: r.set.MaxRetryAfter})
+// rejectOrFail gives the final rejectOrFail: a refusal where a further try is harmless, else a failure.
+func (s *Scheduler) rejectOrFail(r *request) {
+	c := &r.settings.Classes[r.class]
+	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll || !r.anyAttempt(mayHaveExecuted) {
+		s.emit(Reject{ID: r.id, RetryAfter: r.settings.MaxRetryAfter})
 	} else {
-		d.do(Fail{ID: r.id})
+		s.emit(Fail{ID: r.id})
 	}
-	d.finish(r)
+	s.finishRequest(r)
 }
 
-// finish ends what is owed and calls off what is still out.
-func (d *Scheduler) finish(r *request) {
-	r.done = true
-	d.callOff(r, func(*attempt) bool { return true })
-	d.forget(r)
+// finishRequest ends what is owed and calls off what is still out.
+func (s *Scheduler) finishRequest(r *request) {
+	r.finished = true
+	s.cancelAttempts(r, func(*attempt) bool { return true })
+	s.deleteUnlessInFlight(r)
 }
--- a/scheduler/cost_bench_test.go
+++ b/scheduler/cost_bench_test.go
@@ -11,7 +11,7 @@
 	for _, keyed := range []bool{true, false} {
 		for _, n := range []int{12, 60, 200, 1000, 5000} {
 			b.Run(fmt.Sprintf("keys=%v/workers=%d", keyed, n), func(b *testing.B) {
-				s := plain()
+				s := baseSettings()
 				s.Dispatchers, s.ReportsPulled, s.MayProbe, s.MayHedge = 80, true, true, true
 				d, now := New(s, 1), start
 				d.Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: workers(n)})
@@ -23,9 +23,9 @@
 					if keyed {
 						ev.AffinityKey = uint64(id%500) + 1
 					}
-					to := sentTo(d.Handle(now, ev))
+					to := firstSendWorker(d.Handle(now, ev))
 					d.Handle(now+time.Millisecond, AttemptStarted{ID: id, Worker: to})
-					d.Handle(now+50*time.Millisecond, TimerFired{Token: tickToken})
+					d.Handle(now+50*time.Millisecond, TimerFired{Token: reviewTimer})
 					d.Handle(now+90*time.Millisecond, AttemptFinished{ID: id, Worker: to, Outcome: Served, Final: true})
 				}
 			})
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// asked is many dispatchers at one list of workers, as the settings tell each.
-func asked(t *testing.T, dispatchers, n int) (vs []*driver) {
+// newDispatchers is many dispatchers at one list of workers, as the settings tell each.
+func newDispatchers(t *testing.T, dispatchers, n int) (vs []*driver) {
 	for me := range dispatchers {
-		s := plain()
+		s := baseSettings()
 		s.DispatcherIndex, s.Dispatchers, s.ReportsPulled, s.MayProbe = me, dispatchers, true, true
 		v := newDriver(t, s)
-		v.list(workers(n)...)
+		v.listWorkers(workers(n)...)
 		vs = append(vs, v)
 	}
 	return vs
 }
 
-// learns has the first jobs run one after the other, each for so long.
-func (v *driver) learns(jobs RequestID, run time.Duration) {
+// learnRuntimes has the first jobs run one after the other, each for so long.
+func (v *driver) learnRuntimes(jobs RequestID, run time.Duration) {
 	for id := RequestID(1); id <= jobs; id++ {
-		v.arrive(id, 0)
-		v.give(AttemptStarted{ID: id})
-		v.pass(run)
-		v.served(id, nil)
+		v.submit(id, 0)
+		v.handle(AttemptStarted{ID: id})
+		v.advance(run)
+		v.finishServed(id, nil)
 	}
 }
 
@@ -34,19 +34,19 @@
 // drew its jobs to a few workers of its own, whatever their keys: every worker fetched what eighty dispatchers' keys
 // need, on 60 workers for most of the jobs, and kept none of it.
 func TestKeysGoHomeFromAllOfMany(t *testing.T) {
-	vs := asked(t, 80, 60)
+	vs := newDispatchers(t, 80, 60)
 	for _, v := range vs {
-		v.give(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: v.now + 4*time.Second}) // from now on it knows of keys
-		v.served(1, nil)
-		v.now += 2 * nearFresh
-		v.pass(nearFresh)
+		v.handle(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: v.now + 4*time.Second}) // from now on it knows of keys
+		v.finishServed(1, nil)
+		v.now += 2 * subsetInterval
+		v.advance(subsetInterval)
 	}
 	away := 0
 	for key := uint64(2); key < 22; key++ {
 		homes := map[WorkerID]int{}
 		for _, v := range vs {
-			homes[sentTo(v.give(RequestArrived{ID: RequestID(key), Slots: 1, AffinityKey: key, Deadline: v.now + 4*time.Second}))]++
-			v.served(RequestID(key), nil)
+			homes[firstSendWorker(v.handle(RequestArrived{ID: RequestID(key), Slots: 1, AffinityKey: key, Deadline: v.now + 4*time.Second}))]++
+			v.finishServed(RequestID(key), nil)
 			v.now += 500 * ms
 		}
 		most := 0
@@ -62,11 +62,11 @@
 
 // A key with a large part of all jobs is at more homes, by how much it is: one dispatcher's jobs are few, but a sample.
 func TestHotKeySpreads(t *testing.T) {
-	v := asked(t, 80, 60)[0]
+	v := newDispatchers(t, 80, 60)[0]
 	to := map[WorkerID]int{}
 	for id := RequestID(1); id <= 40; id++ { // a job in 300 ms, each ended before the next
-		to[sentTo(v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: v.now + 4*time.Second}))]++
-		v.served(id, nil)
+		to[firstSendWorker(v.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: v.now + 4*time.Second}))]++
+		v.finishServed(id, nil)
 		v.now += 300 * ms
 	}
 	if len(to) < 4 {
@@ -80,15 +80,15 @@
 	for _, dispatchers := range []int{2, 10, 80} {
 		t.Run(fmt.Sprint(dispatchers), func(t *testing.T) {
 			const n, span = 60, 80 * time.Second
-			v := asked(t, dispatchers, n)[0]
-			v.give(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: v.now + 4*time.Second})
-			v.served(1, nil)
+			v := newDispatchers(t, dispatchers, n)[0]
+			v.handle(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: v.now + 4*time.Second})
+			v.finishServed(1, nil)
 			probes := 0
 			for end := v.now + span; v.now < end; v.now += 50 * ms {
-				for _, a := range v.give(TimerFired{Token: tickToken}) {
+				for _, a := range v.handle(TimerFired{Token: reviewTimer}) {
 					if p, ok := a.(Probe); ok {
 						probes++
-						v.give(ProbeCompleted{Worker: p.Worker, Report: report(0.5, 2)})
+						v.handle(ProbeCompleted{Worker: p.Worker, Report: loadReport(0.5, 2)})
 					}
 				}
 			}
@@ -106,15 +106,15 @@
 func TestColdBudgetFromFewJobs(t *testing.T) {
 	const dispatchers, n, jobs = 80, 60, 8
 	sent := 0
-	for _, v := range asked(t, dispatchers, n) {
-		v.learns(jobs, 250*ms)
+	for _, v := range newDispatchers(t, dispatchers, n) {
+		v.learnRuntimes(jobs, 250*ms)
 		cold := workers(n)
 		for i := range cold {
-			cold[i].ID, cold[i].StartedAt = WorkerID(fmt.Sprint("new-", i)), v.now-v.d.set.SlowStartDuration/10
+			cold[i].ID, cold[i].StartedAt = WorkerID(fmt.Sprint("new-", i)), v.now-v.scheduler.settings.SlowStartDuration/10
 		}
-		v.list(cold...) // all of them are replaced
+		v.listWorkers(cold...) // all of them are replaced
 		for i := range n {
-			for _, a := range v.give(RequestArrived{ID: RequestID(100 + i), Slots: 1, AffinityKey: uint64(i), Deadline: v.now + 4*time.Second}) {
+			for _, a := range v.handle(RequestArrived{ID: RequestID(100 + i), Slots: 1, AffinityKey: uint64(i), Deadline: v.now + 4*time.Second}) {
 				if s, ok := a.(Send); ok && s.ID >= 100 {
 					sent++
 				}
@@ -131,39 +131,39 @@
 // keys' homes alone brought it next to nothing of a dispatcher's few jobs, while the warm ones' queues were full.
 func TestColdHelpsWhileJobsWait(t *testing.T) {
 	for _, wait := range []time.Duration{10 * ms, 300 * ms} {
-		s := plain()
+		s := baseSettings()
 		s.Classes[0].LateWeight = 1
 		v := newDriver(t, s)
 		ws := workers(8)
-		v.list(ws...)
+		v.listWorkers(ws...)
 		for id := RequestID(1); id <= 12; id++ {
-			v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(id), Deadline: v.now + 4*time.Second})
-			v.pass(wait)
-			v.give(AttemptStarted{ID: id})
-			v.pass(100 * ms)
-			v.served(id, nil)
+			v.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(id), Deadline: v.now + 4*time.Second})
+			v.advance(wait)
+			v.handle(AttemptStarted{ID: id})
+			v.advance(100 * ms)
+			v.finishServed(id, nil)
 		}
 		ws[0].StartedAt = v.now - s.SlowStartDuration/2
-		v.list(ws...)
+		v.listWorkers(ws...)
 		first := 0 // of the keys whose next job goes to the cold one
 		for key := uint64(20); key < 24; key++ {
-			first += oneIf(sentTo(v.give(RequestArrived{ID: RequestID(key), Slots: 1, AffinityKey: key, Deadline: v.now + 4*time.Second})) == ws[0].ID)
-			v.served(RequestID(key), nil)
+			first += oneIf(firstSendWorker(v.handle(RequestArrived{ID: RequestID(key), Slots: 1, AffinityKey: key, Deadline: v.now + 4*time.Second})) == ws[0].ID)
+			v.finishServed(RequestID(key), nil)
 			v.now += s.OverloadWindow
 		}
-		if jammed := wait > waitGrace; jammed != (first == 4) {
+		if jammed := wait > delayedStartThreshold; jammed != (first == 4) {
 			t.Errorf("after waits of %v: %d of 4 to the cold worker", wait, first)
 		}
 	}
 }
 
-// toHung plays many dispatchers over workers of which some take jobs and begin none, each job met by one dispatcher
+// hungWorkerShare plays many dispatchers over workers of which some take jobs and begin none, each job met by one dispatcher
 // in turn, and gives the part of all first sends that went to those in the last third.
-func toHung(t *testing.T, dispatchers, n, hung, jobs int, every time.Duration) float64 {
-	vs := asked(t, dispatchers, n)
+func hungWorkerShare(t *testing.T, dispatchers, n, hung, jobs int, every time.Duration) float64 {
+	vs := newDispatchers(t, dispatchers, n)
 	var bad, all int
 	for _, v := range vs {
-		v.d.set.MayHedge = true
+		v.scheduler.settings.MayHedge = true
 	}
 	is := map[WorkerID]bool{}
 	for _, w := range workers(n)[:hung] {
@@ -173,29 +173,29 @@
 		v := vs[i%dispatchers]
 		id, r := RequestID(i+1), 0
 		v.now = max(v.now, start+time.Duration(i)*every)
-		acts := v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i*7 + 1), Deadline: v.now + 5*time.Second})
-		to := sentTo(acts)
+		acts := v.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i*7 + 1), Deadline: v.now + 5*time.Second})
+		to := firstSendWorker(acts)
 		if i > 2*jobs/3 {
 			all++
 			bad += oneIf(is[to])
 		}
 		for n := 0; is[to] && n < 4; n++ { // until a copy is begun
 			end := v.now + 400*ms
-			for to = ""; to == "" && v.now < end && v.d.open[id] != nil; {
-				to = sentTo(v.pass(10 * ms))
+			for to = ""; to == "" && v.now < end && v.scheduler.requests[id] != nil; {
+				to = firstSendWorker(v.advance(10 * ms))
 			}
 			r++
 		}
-		if v.d.open[id] == nil || to == "" {
-			v.give(ClientLeft{ID: id})
+		if v.scheduler.requests[id] == nil || to == "" {
+			v.handle(ClientLeft{ID: id})
 			continue
 		}
-		v.give(AttemptStarted{ID: id, Attempt: r})
+		v.handle(AttemptStarted{ID: id, Attempt: r})
 		for a := range r {
-			v.give(AttemptFinished{ID: id, Attempt: a, Outcome: Cancelled})
+			v.handle(AttemptFinished{ID: id, Attempt: a, Outcome: Cancelled})
 		}
-		v.pass(100 * ms)
-		v.give(AttemptFinished{ID: id, Attempt: r, Outcome: Served, Final: true})
+		v.advance(100 * ms)
+		v.handle(AttemptFinished{ID: id, Attempt: r, Outcome: Served, Final: true})
 	}
 	return float64(bad) / float64(all)
 }
@@ -204,7 +204,7 @@
 // were copied and called off, so nothing that was out told of silence, and probes were answered: they kept their share.
 func TestHungAreFoundThoughMetSeldom(t *testing.T) {
 	const hung, n = 5, 30
-	if got := toHung(t, 8, n, hung, 1600, 20*ms); got > 0.65*hung/n {
+	if got := hungWorkerShare(t, 8, n, hung, 1600, 20*ms); got > 0.65*hung/n {
 		t.Errorf("%.3f of the jobs go to them first, %.3f of the workers are hung", got, float64(hung)/n)
 	}
 }
@@ -219,27 +219,27 @@
 	}
 	sent := map[WorkerID][]push{}
 	var set *Settings
-	for _, v := range asked(t, dispatchers, n) {
+	for _, v := range newDispatchers(t, dispatchers, n) {
 		v.now = start
-		set = v.d.set
-		v.learns(8, mean*1000*ms)
+		set = v.scheduler.settings
+		v.learnRuntimes(8, mean*1000*ms)
 		v.now = start + 10*time.Second
 		ws := workers(n)
 		for i := range cold {
 			ws[i].StartedAt = v.now
 		}
-		v.give(EndpointsUpdated{ListKind: ListFull, Workers: ws})
+		v.handle(EndpointsUpdated{ListKind: ListFull, Workers: ws})
 		for i := range 16 { // four jobs a second
-			v.d.jam = 1
+			v.scheduler.congestion = 1
 			id := RequestID(100 + i)
-			for _, a := range v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i + v.d.set.DispatcherIndex*100 + 1), Deadline: v.now + 4*time.Second}) {
+			for _, a := range v.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i + v.scheduler.settings.DispatcherIndex*100 + 1), Deadline: v.now + 4*time.Second}) {
 				if s, ok := a.(Send); ok && s.ID == id {
 					sent[s.Worker] = append(sent[s.Worker], push{v.now, mean})
 				}
 			}
-			v.give(AttemptStarted{ID: id})
-			v.pass(mean * 1000 * ms)
-			v.give(AttemptFinished{ID: id, Outcome: Served, Final: true})
+			v.handle(AttemptStarted{ID: id})
+			v.advance(mean * 1000 * ms)
+			v.handle(AttemptFinished{ID: id, Outcome: Served, Final: true})
 		}
 	}
 	used, could := 0.0, 0.0
@@ -258,7 +258,7 @@
 				t.Fatalf("%s: %.2f s of work within %v at an age of %.2f", w.ID, sum, set.OverloadWindow, age)
 			}
 		}
-		could += coldShare * set.OverloadMultiple * 0.36 * 4 // the mean share of capacity over the 4 s
+		could += usedBudgetShare * set.OverloadMultiple * 0.36 * 4 // the mean share of capacity over the 4 s
 	}
 	if used < could/3 {
 		t.Errorf("%.1f s of work sent to cold workers, of %.1f that they could be sent", used, could)
@@ -269,7 +269,7 @@
 // worker, for want of a mean job, and all of them together had many times its budget.
 func TestFewOwnersBeforeTheFirstJob(t *testing.T) {
 	for me := range 30 {
-		s := plain()
+		s := baseSettings()
 		s.DispatcherIndex, s.Dispatchers, s.ReportsPulled, s.MayProbe = 10*me, 300, true, true
 		s.SlowStartDuration, s.SlowStartCapacity, s.OverloadMultiple, s.OverloadWindow = 24*time.Second, 0.14, 3, 1500*ms
 		v := newDriver(t, s)
@@ -277,10 +277,10 @@
 		for i := range ws[80:] {
 			ws[80+i].StartedAt = v.now - time.Second
 		}
-		v.list(ws...)
+		v.listWorkers(ws...)
 		own := 0
-		for _, w := range v.d.workers {
-			own += oneIf(v.d.warmth(w) < 1 && v.d.part(w) > 0)
+		for _, w := range v.scheduler.workers {
+			own += oneIf(v.scheduler.warmupFactor(w) < 1 && v.scheduler.slowStartShare(w) > 0)
 		}
 		if own > 30 {
 			t.Errorf("dispatcher %d owns %d of 90 cold workers before its first job", me, own)
@@ -290,13 +290,13 @@
 
 // At 173 workers the jobs of a hot key waited at the 32 of its window while four in five were free.
 func TestHotKeyReachesAllOfTheFullFleet(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.Dispatchers = 300
 	d := New(s, 1)
 	d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(200)})
 	at := map[WorkerID]bool{}
 	for id := RequestID(1); id <= 400; id++ {
-		to := sentTo(d.Handle(start+Clock(id)*ms, RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: start + 5*time.Second}))
+		to := firstSendWorker(d.Handle(start+Clock(id)*ms, RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: start + 5*time.Second}))
 		if to == "" {
 			t.Fatalf("job %d waits, with %d of 200 workers in use", id, len(at))
 		}
@@ -312,10 +312,10 @@
 func TestHotKeyIsSpreadAlikeByAll(t *testing.T) {
 	at, hot, first := map[WorkerID]int{}, 0, map[WorkerID]int{}
 	for me := range 4 {
-		s := plain()
+		s := baseSettings()
 		s.DispatcherIndex, s.Dispatchers = 70*me, 300
 		v := newDriver(t, s)
-		v.list(workers(185)...)
+		v.listWorkers(workers(185)...)
 		for id := RequestID(1); id <= 600; id++ {
 			key := uint64(id) << 20 // that comes once
 			if id%8 == 0 {
@@ -323,10 +323,10 @@
 			} else if id%100 == 1 {
 				key = 11
 			}
-			to := sentTo(v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: key, Deadline: v.now + 2*time.Second}))
-			v.give(AttemptStarted{ID: id, Worker: to})
+			to := firstSendWorker(v.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: key, Deadline: v.now + 2*time.Second}))
+			v.handle(AttemptStarted{ID: id, Worker: to})
 			v.now += 150 * ms
-			v.served(id, nil)
+			v.finishServed(id, nil)
 			if key == 7 && id > 200 {
 				at[to]++
 				hot++
@@ -352,7 +352,7 @@
 func TestWindowsOfKeys(t *testing.T) {
 	const n, keys = 1000, 4000
 	make := func(n int, turned bool) *Scheduler {
-		s := plain()
+		s := baseSettings()
 		s.Dispatchers = 80
 		d := New(s, 1)
 		ws := workers(n)
@@ -368,18 +368,18 @@
 	}
 	home := func(d *Scheduler, key uint64) (best WorkerID) {
 		least := math.Inf(1)
-		for _, w := range d.nearOf(key) {
-			if h := w.homes(key); h < least {
+		for _, w := range d.candidatesForKey(key) {
+			if h := w.affinityRank(key); h < least {
 				least, best = h, w.ID
 			}
 		}
 		return best
 	}
-	for listed, want := range map[int]int{100: 100, 200: 200, allOfKey: allOfKey, allOfKey + 1: keyWindow} {
-		d := make(2*allOfKey, false) // those that are gone count for nothing
+	for listed, want := range map[int]int{100: 100, 200: 200, maxFullScanWorkers: maxFullScanWorkers, maxFullScanWorkers + 1: keyCandidates} {
+		d := make(2*maxFullScanWorkers, false) // those that are gone count for nothing
 		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(listed)})
 		on := 0
-		for _, w := range d.nearOf(1) {
+		for _, w := range d.candidatesForKey(1) {
 			on += oneIf(w.listed)
 		}
 		if on != want {
@@ -389,7 +389,7 @@
 	a, b, more := make(n, false), make(n, true), make(n+1, false)
 	at, moved := map[WorkerID]int{}, 0
 	for key := uint64(1); key <= keys; key++ {
-		if got := len(a.nearOf(key)); got != keyWindow {
+		if got := len(a.candidatesForKey(key)); got != keyCandidates {
 			t.Fatalf("key %d: %d workers", key, got)
 		}
 		h := home(a, key)
--- a/scheduler/freshness.go
+++ b/scheduler/freshness.go
@@ -5,55 +5,57 @@
 import "time"
 
 const (
-	// checkAgain is how long behind a health check that it failed a worker is checked again.
-	checkAgain = 500 * time.Millisecond
+	// failedProbeBackoff is how long behind a health check that it failed a worker is checked again.
+	failedProbeBackoff = 500 * time.Millisecond
 
-	// checkWait is how long a request waits for the outcome of a health check before it goes to another worker.
-	checkWait = 50 * time.Millisecond
+	// healthCheckWait is how long a request waits for the outcome of a health check before it goes to another worker.
+	healthCheckWait = 50 * time.Millisecond
 )
 
-// sendBy is until when a request to the worker may leave: what has drained since its state was last known counts as told from
+// freshUntil is until when a request to the worker may leave: what has drained since its state was last known counts as told from
 // then on. That is as of the list, or as of the last health check that it passed. 0 where the settings bound nothing.
-func (d *Scheduler) sendBy(w *worker) Clock {
-	if d.set.ListValidity <= 0 || !d.set.MayProbe {
+func (s *Scheduler) freshUntil(w *worker) Clock {
+	if s.settings.ListValidity <= 0 || !s.settings.MayProbe {
 		return 0
 	}
-	return max(d.listAsOf, w.passedAt) + d.set.ListValidity
+	return max(s.listAsOf, w.probePassedAt) + s.settings.ListValidity
 }
 
-// fresh tells whether a request may be sent to the worker now.
-func (d *Scheduler) fresh(w *worker) bool {
-	by := d.sendBy(w)
-	return by == 0 || d.now+sendLate < by
+// confirmedFresh tells whether a request may be sent to the worker now.
+func (s *Scheduler) confirmedFresh(w *worker) bool {
+	by := s.freshUntil(w)
+	return by == 0 || s.now+maxSendDelay < by
 }
 
-// checkable tells whether the worker may be sent a request, or may be asked whether it may.
-func (d *Scheduler) checkable(w *worker) bool { return d.fresh(w) || d.now >= w.checkFrom }
+// freshOrProbeable tells whether the worker may be sent a request, or may be asked whether it may.
+func (s *Scheduler) freshOrProbeable(w *worker) bool {
+	return s.confirmedFresh(w) || s.now >= w.nextHealthCheckAt
+}
 
-// check asks a worker for a sign that it takes requests.
-func (d *Scheduler) check(w *worker) {
-	if !w.probing && d.now >= w.checkFrom {
-		d.probe(w)
+// probeBeforeUse asks a worker for a sign that it takes requests.
+func (s *Scheduler) probeBeforeUse(w *worker) {
+	if !w.probeInFlight && s.now >= w.nextHealthCheckAt {
+		s.sendProbe(w)
 	}
 }
 
-func (d *Scheduler) probe(w *worker) {
-	w.probing, w.probedAt = true, d.now
-	d.do(Probe{Worker: w.ID})
+func (s *Scheduler) sendProbe(w *worker) {
+	w.probeInFlight, w.probeSentAt = true, s.now
+	s.emit(Probe{Worker: w.ID})
 }
 
-// checked takes the outcome of a probe in: a worker that drains does not answer that it is well.
-func (d *Scheduler) checked(w *worker, o Outcome) {
-	w.probing = false
+// recordProbeOutcome takes the outcome of a probe in: a worker that drains does not answer that it is well.
+func (s *Scheduler) recordProbeOutcome(w *worker, o Outcome) {
+	w.probeInFlight = false
 	if o == Served {
-		w.passedAt = max(w.passedAt, w.probedAt)
+		w.probePassedAt = max(w.probePassedAt, w.probeSentAt)
 		return
 	}
-	w.checkFrom = d.now + checkAgain
+	w.nextHealthCheckAt = s.now + failedProbeBackoff
 }
 
-// earlier gives the earlier of two bounds, of which 0 is none.
-func earlier(a, b Clock) Clock {
+// earlierBound gives the earlierBound of two bounds, of which 0 is none.
+func earlierBound(a, b Clock) Clock {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
--- a/scheduler/freshness_test.go
+++ b/scheduler/freshness_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// checkedSite is a deployment where workers may be probed and a list holds for a while.
-func checkedSite() Settings {
-	s := plain()
+// probingSettings is a deployment where workers may be probed and a list holds for a while.
+func probingSettings() Settings {
+	s := baseSettings()
 	s.MayProbe, s.ListValidity = true, 6500*ms
 	return s
 }
@@ -17,47 +17,47 @@
 // Discovery refused a dispatcher's calls for longer than a drain may stay unheard, and requests went to workers that had drained.
 // A draining worker answers probes with 503: where the list is overdue each worker is probed before it gets a request.
 func TestOverdueListIsNotTrusted(t *testing.T) {
-	v := newDriver(t, checkedSite())
-	v.give(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: v.now})
-	if to := v.arrive(1, 0); to == "" || count[Probe](v.acts) != 0 {
-		t.Fatalf("with a list of now: %v", v.acts)
+	v := newDriver(t, probingSettings())
+	v.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: v.now})
+	if to := v.submit(1, 0); to == "" || countActions[Probe](v.actions) != 0 {
+		t.Fatalf("with a list of now: %v", v.actions)
 	}
-	v.served(1, nil)
-	v.now += v.d.set.ListValidity - sendLate
-	if to := v.arrive(2, 0); to != "" || count[Probe](v.acts) != 1 {
-		t.Fatalf("with an overdue list: %v", v.acts)
+	v.finishServed(1, nil)
+	v.now += v.scheduler.settings.ListValidity - maxSendDelay
+	if to := v.submit(2, 0); to != "" || countActions[Probe](v.actions) != 1 {
+		t.Fatalf("with an overdue list: %v", v.actions)
 	}
-	first := v.acts[0].(Probe).Worker
-	v.give(ProbeCompleted{Worker: first, Outcome: Errored})
-	if count[Send](v.acts) != 0 || count[Probe](v.acts) != 1 || v.acts[0].(Probe).Worker == first {
-		t.Fatalf("behind a failed probe: %v", v.acts)
+	first := v.actions[0].(Probe).Worker
+	v.handle(ProbeCompleted{Worker: first, Outcome: Errored})
+	if countActions[Send](v.actions) != 0 || countActions[Probe](v.actions) != 1 || v.actions[0].(Probe).Worker == first {
+		t.Fatalf("behind a failed probe: %v", v.actions)
 	}
-	second := v.acts[0].(Probe).Worker
-	if v.give(ProbeCompleted{Worker: second, Outcome: Served}); sentTo(v.acts) != second {
-		t.Fatalf("behind a passed probe: %v", v.acts)
+	second := v.actions[0].(Probe).Worker
+	if v.handle(ProbeCompleted{Worker: second, Outcome: Served}); firstSendWorker(v.actions) != second {
+		t.Fatalf("behind a passed probe: %v", v.actions)
 	}
-	for _, a := range v.acts {
-		if s, ok := a.(Send); ok && s.SendBy != v.now+v.d.set.ListValidity {
-			t.Errorf("it must leave by %v, %v is said", v.now+v.d.set.ListValidity, s.SendBy)
+	for _, a := range v.actions {
+		if s, ok := a.(Send); ok && s.SendBy != v.now+v.scheduler.settings.ListValidity {
+			t.Errorf("it must leave by %v, %v is said", v.now+v.scheduler.settings.ListValidity, s.SendBy)
 		}
 	}
-	v.served(2, nil)
-	v.give(EndpointsUpdated{ListKind: ListDelta, AsOf: v.now})
-	if to := v.arrive(3, 0); to == "" || count[Probe](v.acts) != 0 {
-		t.Errorf("with a list of now again: %v", v.acts)
+	v.finishServed(2, nil)
+	v.handle(EndpointsUpdated{ListKind: ListDelta, AsOf: v.now})
+	if to := v.submit(3, 0); to == "" || countActions[Probe](v.actions) != 0 {
+		t.Errorf("with a list of now again: %v", v.actions)
 	}
 }
 
 // Where nothing may be probed, and where lists are pushed, the old list holds.
 func TestOverdueListWithoutProbes(t *testing.T) {
 	for _, change := range []func(*Settings){func(s *Settings) { s.MayProbe = false }, func(s *Settings) { s.ListValidity = 0 }} {
-		s := checkedSite()
+		s := probingSettings()
 		change(&s)
 		v := newDriver(t, s)
-		v.give(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: v.now})
+		v.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: v.now})
 		v.now += time.Hour
-		if to := v.arrive(1, 0); to == "" {
-			t.Errorf("%v", v.acts)
+		if to := v.submit(1, 0); to == "" {
+			t.Errorf("%v", v.actions)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 // Whatever comes, no request leaves for a worker whose last word is older than the list is valid, and none is said to leave later.
 func TestNoSendBehindTheLastWord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := checkedSite()
+		s := probingSettings()
 		d, now := New(s, rapid.Uint64().Draw(t, "seed")), start
 		ws := workers(rapid.IntRange(1, 4).Draw(t, "workers"))
 		word := map[WorkerID]Clock{}
@@ -105,7 +105,7 @@
 					handle(ProbeCompleted{Worker: w, Outcome: o})
 				}
 			default:
-				handle(TimerFired{Token: tickToken})
+				handle(TimerFired{Token: reviewTimer})
 			}
 		}
 	})
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -8,90 +8,90 @@
 	"time"
 )
 
-// sound tells whether the class may be sent to the worker: not shunned, or due for a trial.
-func (d *Scheduler) sound(w *worker, class int) bool {
-	free := func(h *health) bool { return h.strikes == 0 || d.now >= h.until }
-	return free(&w.health) && free(&w.classes[class])
+// healthy tells whether the class may be sent to the worker: not shunned, or due for a trial.
+func (s *Scheduler) healthy(w *worker, class int) bool {
+	free := func(h *ejectionState) bool { return h.consecutiveEjections == 0 || s.now >= h.ejectedUntil }
+	return free(&w.ejectionState) && free(&w.classEjections[class])
 }
 
-func (d *Scheduler) ejectFor(h *health) time.Duration {
-	return time.Duration((1 + d.rng.Float64()/4) * float64(firstShun<<h.strikes))
+func (s *Scheduler) ejectionDuration(h *ejectionState) time.Duration {
+	return time.Duration((1 + s.random.Float64()/4) * float64(ejectionBase<<h.consecutiveEjections))
 }
 
-func (d *Scheduler) eject(w *worker, h *health, least int, why string) {
-	if h.strikes == 0 {
-		d.do(Log{Text: fmt.Sprintf("worker %s shunned: %s", w.ID, why)})
+func (s *Scheduler) eject(w *worker, h *ejectionState, least int, why string) {
+	if h.consecutiveEjections == 0 {
+		s.emit(Log{Text: fmt.Sprintf("worker %s shunned: %s", w.ID, why)})
 	}
-	h.strikes = max(h.strikes, min(h.strikes+1, mostStrikes), least)
-	h.until = d.now + d.ejectFor(h)
+	h.consecutiveEjections = max(h.consecutiveEjections, min(h.consecutiveEjections+1, maxEjectionDoublings), least)
+	h.ejectedUntil = s.now + s.ejectionDuration(h)
 }
 
-// lost counts a connection that broke or never came up; one alone, with signs of life about it, is chance.
-func (d *Scheduler) lost(w *worker) {
-	if w.fails++; w.fails >= lossesToShun {
-		d.eject(w, &w.health, 0, "unreachable")
+// recordConnectionLoss counts a connection that broke or never came up; one alone, with signs of life about it, is chance.
+func (s *Scheduler) recordConnectionLoss(w *worker) {
+	if w.failureCount++; w.failureCount >= lossesToEject {
+		s.eject(w, &w.ejectionState, 0, "unreachable")
 	}
 }
 
-// failed counts a failure of a class; successes of other classes do not clear it. Where one class is shunned
+// recordFailure counts a failure of a class; successes of other classes do not clear it. Where one class is shunned
 // a failure of another is no chance: what fails at once draws jobs, a dozen of four classes each time.
-func (d *Scheduler) failed(w *worker, class int) {
-	h := &w.classes[class]
-	w.failures.add(d.now, 1)
-	ill := slices.ContainsFunc(w.classes, func(h health) bool { return h.strikes > 0 })
-	if h.fails++; h.fails >= failsToShun || ill {
-		d.eject(w, h, 0, fmt.Sprintf("keeps failing class %d", class))
+func (s *Scheduler) recordFailure(w *worker, class int) {
+	h := &w.classEjections[class]
+	w.recentFailures.add(s.now, 1)
+	ill := slices.ContainsFunc(w.classEjections, func(h ejectionState) bool { return h.consecutiveEjections > 0 })
+	if h.failureCount++; h.failureCount >= failuresToEject || ill {
+		s.eject(w, h, 0, fmt.Sprintf("keeps failing class %d", class))
 	}
 }
 
-// checkAttempt looks for silence: of a worker from which nothing at all is heard, and of a single job at a
+// detectSilence looks for silence: of a worker from which nothing at all is heard, and of a single job at a
 // worker that lives, and by a later report has a free slot. That job is lost: an idle connection was dropped
 // unseen, or the worker leaves its class unanswered. May hurt where reports tell too little load.
-func (d *Scheduler) checkAttempt(r *request, a *attempt) {
-	w := a.w
-	limit := max(time.Duration(silentRuns*float64(d.set.ProgressInterval))+silentSlack, silentLeast)
+func (s *Scheduler) detectSilence(r *request, a *attempt) {
+	w := a.worker
+	limit := max(time.Duration(missedProgressPeriods*float64(s.settings.ProgressInterval))+progressSlack, minSilence)
 	switch {
-	case !a.out || !d.set.ReportsStart || a.lost:
-	case d.now-w.heard > limit && (d.set.ProgressInterval > 0 || w.running == 0):
-		if d.sound(w, r.class) && w.listed {
-			d.eject(w, &w.health, 0, "silent")
+	case !a.inFlight || !s.settings.ReportsStart || a.lost:
+	case s.now-w.lastSignal > limit && (s.settings.ProgressInterval > 0 || w.runningSlots == 0):
+		if s.healthy(w, r.class) && w.listed {
+			s.eject(w, &w.ejectionState, 0, "silent")
 		}
-	case d.stuck(a, silentLeast+ownMemory) && w.reported > a.sent+silentLeast && w.load < 1-d.share(w, 0.5):
+	case s.startOverdue(a, minSilence+reportLookback) && w.reportedAt > a.sentAt+minSilence && w.reportedLoad < 1-s.slotShare(w, 0.5):
 		a.lost = true
-		d.bump(w, -r.slots)
-		if !d.idleLoss(a) {
-			d.eject(w, &w.classes[r.class], lostStrikes, fmt.Sprintf("class %d unanswered", r.class))
+		s.addOwnSlots(w, -r.slots)
+		if !s.recordIdleLoss(a) {
+			s.eject(w, &w.classEjections[r.class], unansweredEjections, fmt.Sprintf("class %d unanswered", r.class))
 		}
 	}
 }
 
-// idleLoss tells whether an attempt was lost with an idle connection: older ones are then dropped before use.
-func (d *Scheduler) idleLoss(a *attempt) bool {
-	if a.idle < idleLeast || a.began > 0 {
+// recordIdleLoss tells whether an attempt was lost with an idle connection: older ones are then dropped before use.
+func (s *Scheduler) recordIdleLoss(a *attempt) bool {
+	if a.connectionIdle < minLossIdle || a.startedAt > 0 {
 		return false
 	}
-	if d.idleSafe = min(d.idleSafe, a.idle); d.idleSafe == 0 || d.now > d.idleLost+idleMemory {
-		d.idleSafe = a.idle
+	if s.safeIdle = min(s.safeIdle, a.connectionIdle); s.safeIdle == 0 || s.now > s.idleLossAt+idleLossRetention {
+		s.safeIdle = a.connectionIdle
 	}
-	d.idleLost = d.now
+	s.idleLossAt = s.now
 	return true
 }
 
-func (d *Scheduler) onProbed(e ProbeCompleted) {
-	w := d.byID[e.Worker]
+func (s *Scheduler) onProbeCompleted(e ProbeCompleted) {
+	w := s.workersByID[e.Worker]
 	if w == nil {
 		return
 	}
-	d.checked(w, e.Outcome)
+	s.recordProbeOutcome(w, e.Outcome)
 	if e.Outcome == Served {
-		d.heard(w)
-		if e.Report != nil && *e.Report != w.last { // else not refreshed since: it is as old as it was
-			w.last = *e.Report
-			d.applyReport(w, e.Report)
+		s.recordSignal(w)
+		if e.Report != nil && *e.Report != w.lastProbeReport { // else not refreshed since: it is as old as it was
+			w.lastProbeReport = *e.Report
+			s.applyReport(w, e.Report)
 		}
 		return
 	}
 	if e.Outcome == NoConnect || e.Outcome == TimedOut {
-		d.lost(w)
+		s.recordConnectionLoss(w)
 	}
 }
--- a/scheduler/key_test.go
+++ b/scheduler/key_test.go
@@ -9,13 +9,13 @@
 	for key := uint64(1); key <= 40; key++ {
 		var home WorkerID
 		for me := range 3 {
-			s := plain()
+			s := baseSettings()
 			s.DispatcherIndex, s.Dispatchers = me, 3
 			v := newDriver(t, s)
-			v.list(workers(4)...)
+			v.listWorkers(workers(4)...)
 			for id := RequestID(1); id <= 2; id++ {
-				w := sentTo(v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: key, Deadline: v.now + 2*s.Classes[0].Deadline}))
-				v.served(id, nil)
+				w := firstSendWorker(v.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: key, Deadline: v.now + 2*s.Classes[0].Deadline}))
+				v.finishServed(id, nil)
 				if home == "" {
 					home = w
 				}
@@ -38,11 +38,11 @@
 }
 
 func TestBusyHomeIsPassedOver(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(4)...)
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(4)...)
 	to := map[WorkerID]int{}
 	for id := RequestID(1); id <= 20; id++ {
-		to[sentTo(v.give(RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: v.now + 2*v.d.set.Classes[0].Deadline}))]++
+		to[firstSendWorker(v.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: v.now + 2*v.scheduler.settings.Classes[0].Deadline}))]++
 	}
 	delete(to, "") // held here
 	if len(to) != 4 {
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -10,109 +10,109 @@
 	"time"
 )
 
-func (d *Scheduler) onListed(e EndpointsUpdated) {
+func (s *Scheduler) onEndpointsUpdated(e EndpointsUpdated) {
 	if e.AsOf != 0 {
-		d.listAsOf = e.AsOf
+		s.listAsOf = e.AsOf
 	}
 	if e.ListKind == ListFull || e.ListKind == ListCached {
-		for _, w := range d.workers {
+		for _, w := range s.workers {
 			w.listed = false
 		}
 	}
 	for _, in := range e.Workers {
-		d.enter(in)
+		s.updateWorker(in)
 	}
-	d.choose()
+	s.chooseSubset()
 	switch e.ListKind {
 	case ListCached:
-		d.ask(askFirst)
+		s.schedulePoll(maxFirstPollDelay)
 	case ListFailed:
-		d.ask(MaxListRetryDelay)
+		s.schedulePoll(MaxListRetryDelay)
 	}
 }
 
 // setDetached puts a worker out, or back. Then it is cold: by the list, or, where that tells of no start since it
 // was put out, from now on, as the news may be still to come.
-func (d *Scheduler) setDetached(id WorkerID, out bool) {
-	w := d.byID[id]
-	if d.out[id] = out; !out {
-		delete(d.out, id)
+func (s *Scheduler) setDetached(id WorkerID, out bool) {
+	w := s.workersByID[id]
+	if s.detached[id] = out; !out {
+		delete(s.detached, id)
 	}
-	if w == nil || w.out == out {
+	if w == nil || w.detached == out {
 		return
 	}
-	if w.out, w.nextProbe = out, 0; out {
-		w.outAt = d.now
+	if w.detached, w.nextProbeAt = out, 0; out {
+		w.detachedAt = s.now
 	} else {
-		d.anew(w)
-		if w.back = true; w.StartedAt < w.outAt {
-			w.StartedAt = d.now
+		s.resetStatistics(w)
+		if w.reattached = true; w.StartedAt < w.detachedAt {
+			w.StartedAt = s.now
 		}
 	}
-	d.choose()
+	s.chooseSubset()
 }
 
-// ask subscribes after a jittered wait, the longer the more dispatchers there are: the list service is small,
+// schedulePoll subscribes after a jittered wait, the longer the more dispatchers there are: the list service is small,
 // and those that restart together would overrun it. Behind a failure it is AskMost at the longest: what there
 // is to tell counts as told 6 s after it could be had, whatever failed; pacing has the sum of these.
-func (d *Scheduler) ask(most time.Duration) {
-	if d.set.ListPolled {
-		d.do(SetTimer{Token: askToken, After: askWait(d.set.Dispatchers, most, d.rng.Float64()) + 1})
+func (s *Scheduler) schedulePoll(most time.Duration) {
+	if s.settings.ListPolled {
+		s.emit(SetTimer{Token: pollTimer, After: pollDelay(s.settings.Dispatchers, most, s.random.Float64()) + 1})
 	}
 }
 
 // FirstAsk is how long behind its start one of so many dispatchers asks for the list, by chance from 0 to 1.
 func FirstAsk(dispatchers int, chance float64) time.Duration {
-	return askWait(dispatchers, askFirst, chance)
+	return pollDelay(dispatchers, maxFirstPollDelay, chance)
 }
 
-func askWait(dispatchers int, most time.Duration, chance float64) time.Duration {
-	wait := askLeast + min(askSpread*time.Duration(max(dispatchers-askFew, 0)), most-askLeast)
-	return time.Duration(float64(wait) * (askSoonest + (1-askSoonest)*chance))
+func pollDelay(dispatchers int, most time.Duration, chance float64) time.Duration {
+	wait := minPollDelay + min(pollDelayPerDispatcher*time.Duration(max(dispatchers-dispatchersWithoutSpread, 0)), most-minPollDelay)
+	return time.Duration(float64(wait) * (fixedPollDelayShare + (1-fixedPollDelayShare)*chance))
 }
 
-// choose picks the workers that jobs are drawn to. Where jobs have keys it is all: what a key needs is at
+// chooseSubset picks the workers that jobs are drawn to. Where jobs have keys it is all: what a key needs is at
 // its homes, the same for every dispatcher. Else, on a fleet large against the own job rate, it is few: of
 // too many a dispatcher hears so seldom that it knows none. All deal the workers of a zone out along the same
 // few rings, each from a place by its number, so every worker is drawn from by about as many. The window goes
 // on past workers that are shunned, cold or leave.
-func (d *Scheduler) choose() {
-	d.chosen, d.near, d.size = d.now, d.near[:0], 0
+func (s *Scheduler) chooseSubset() {
+	s.subsetChosenAt, s.subset, s.totalWeight = s.now, s.subset[:0], 0
 	var zones [2][]*worker // the own zone, and all others
-	for _, w := range d.workers {
-		if z := oneIf(w.Zone != d.set.Zone); w.listed && !w.out {
+	for _, w := range s.workers {
+		if z := oneIf(w.Zone != s.settings.Zone); w.listed && !w.detached {
 			zones[z] = append(zones[z], w)
-			d.size += w.size()
+			s.totalWeight += w.weight()
 		}
 	}
-	d.all = len(zones[0]) + len(zones[1])
-	all := float64(d.all)
-	want := int(math.Ceil(max(nearLeast, nearSpan*d.rate, 2*all/float64(d.set.Dispatchers))))
-	if d.small = all <= max(nearAll*d.rate, float64(want)); d.small || d.keyed {
-		d.near = append(d.near, d.workers...)
-		d.encircle()
-		d.cursor %= max(len(d.near), 1)
+	s.listedCount = len(zones[0]) + len(zones[1])
+	all := float64(s.listedCount)
+	want := int(math.Ceil(max(minSubsetSize, subsetSeconds*s.arrivalRate, 2*all/float64(s.settings.Dispatchers))))
+	if s.loadsKnown = all <= max(wholeFleetSeconds*s.arrivalRate, float64(want)); s.loadsKnown || s.affinityInUse {
+		s.subset = append(s.subset, s.workers...)
+		s.rebuildHashRing()
+		s.rotationCursor %= max(len(s.subset), 1)
 		return
 	}
-	d.window(zones[0], want)
-	d.window(zones[1], want)
-	d.cursor = 0
+	s.addToSubset(zones[0], want)
+	s.addToSubset(zones[1], want)
+	s.rotationCursor = 0
 }
 
-// window adds so many sound, warm workers along the ring, and the cold ones that this dispatcher owns.
-func (d *Scheduler) window(ws []*worker, want int) {
-	ring := d.set.DispatcherIndex % nearRings * 64 / nearRings // a rotated hash gives another order
+// addToSubset adds so many sound, warm workers along the ring, and the cold ones that this dispatcher owns.
+func (s *Scheduler) addToSubset(ws []*worker, want int) {
+	ring := s.settings.DispatcherIndex % subsetRings * 64 / subsetRings // a rotated hash gives another order
 	slices.SortFunc(ws, func(a, b *worker) int {
-		return cmp.Compare(bits.RotateLeft64(a.hash, ring), bits.RotateLeft64(b.hash, ring))
+		return cmp.Compare(bits.RotateLeft64(a.idHash, ring), bits.RotateLeft64(b.idHash, ring))
 	})
-	from := int(float64(len(ws)) * float64(bits.Reverse64(uint64(d.set.DispatcherIndex/nearRings))) / (1 << 64))
+	from := int(float64(len(ws)) * float64(bits.Reverse64(uint64(s.settings.DispatcherIndex/subsetRings))) / (1 << 64))
 	for i := range ws {
 		w := ws[(from+i)%len(ws)]
-		cold := d.warmth(w) < 1
-		if cold && d.part(w) > 0 || !cold && want > 0 {
-			d.near = append(d.near, w)
+		cold := s.warmupFactor(w) < 1
+		if cold && s.slowStartShare(w) > 0 || !cold && want > 0 {
+			s.subset = append(s.subset, w)
 		}
-		if !cold && w.strikes == 0 {
+		if !cold && w.consecutiveEjections == 0 {
 			want--
 		}
 	}
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -7,91 +7,91 @@
 	"time"
 )
 
-// world plays random but legal events against one dispatcher and checks the four rules on what it
+// randomWorld plays random but legal events against one dispatcher and checks the four rules on what it
 // does. It is no model of a fleet: outcomes, losses, lists and notes are drawn at will.
-type world struct {
-	t       *testing.T
-	s       Settings
-	d       *Scheduler
-	rng     *rand.Rand
-	now     Clock
-	wakes   map[uint64][]Clock
-	told    map[WorkerID]Clock // since when a worker drains or is gone
-	list    map[WorkerID]WorkerInfo
-	reqs    map[RequestID]*tracked
-	ids     []RequestID
-	live    []RequestID          // not answered, or with attempts out
-	cold    map[WorkerID][]Clock // sends in the last fall window
-	subs    int
-	answers int
+type randomWorld struct {
+	t            *testing.T
+	settings     Settings
+	scheduler    *Scheduler
+	random       *rand.Rand
+	now          Clock
+	timers       map[uint64][]Clock
+	notifiedAt   map[WorkerID]Clock // since when a worker drains or is gone
+	listed       map[WorkerID]WorkerInfo
+	requests     map[RequestID]*trackedRequest
+	ids          []RequestID
+	unfinished   []RequestID          // not answered, or with attempts out
+	warmingSends map[WorkerID][]Clock // sends in the last fall window
+	pendingPolls int
+	answers      int
 }
 
-type tracked struct {
+type trackedRequest struct {
 	RequestArrived
-	sends  []*sent
-	closed bool
+	attempts []*trackedAttempt
+	closed   bool
 }
 
-type sent struct {
-	w                 WorkerInfo
-	at                Clock
-	out, maybe, begun bool
+type trackedAttempt struct {
+	worker                             WorkerInfo
+	sentAt                             Clock
+	inFlight, mayHaveExecuted, started bool
 }
 
 const drainGrace = 500 * ms
 
-func newWorld(t *testing.T, s Settings, seed uint64) *world {
-	w := &world{
-		t: t, s: s, d: New(s, seed), rng: rand.New(rand.NewPCG(seed, 7)), now: start,
-		wakes: map[uint64][]Clock{}, told: map[WorkerID]Clock{}, list: map[WorkerID]WorkerInfo{},
-		reqs: map[RequestID]*tracked{}, cold: map[WorkerID][]Clock{},
+func newWorld(t *testing.T, s Settings, seed uint64) *randomWorld {
+	w := &randomWorld{
+		t: t, settings: s, scheduler: New(s, seed), random: rand.New(rand.NewPCG(seed, 7)), now: start,
+		timers: map[uint64][]Clock{}, notifiedAt: map[WorkerID]Clock{}, listed: map[WorkerID]WorkerInfo{},
+		requests: map[RequestID]*trackedRequest{}, warmingSends: map[WorkerID][]Clock{},
 	}
 	var all []WorkerInfo
 	for i, in := range workers(6) {
 		in.Zone, in.Cell = i%2, i%3
-		w.list[in.ID] = in
+		w.listed[in.ID] = in
 		all = append(all, in)
 	}
-	w.give(EndpointsUpdated{ListKind: ListCached, Workers: all})
+	w.handle(EndpointsUpdated{ListKind: ListCached, Workers: all})
 	return w
 }
 
-func (w *world) give(ev Event) {
-	for _, a := range w.d.Handle(w.now, ev) {
+func (w *randomWorld) handle(ev Event) {
+	for _, a := range w.scheduler.Handle(w.now, ev) {
 		w.check(a)
 	}
 }
 
 // check applies the rules to one action.
-func (w *world) check(a Action) {
+func (w *randomWorld) check(a Action) {
 	switch a := a.(type) {
 	case SetTimer:
-		w.wakes[a.Token] = append(w.wakes[a.Token], w.now+a.After)
+		w.timers[a.Token] = append(w.timers[a.Token], w.now+a.After)
 	case Subscribe:
-		w.subs++
+		w.pendingPolls++
 	case Send:
 		w.checkSend(a)
 	case Reject:
-		q := w.owed(a.ID, "refuses")
-		for _, s := range q.sends {
-			c := w.s.Classes[q.Class]
-			if s.maybe && (c.Idempotency == NonIdempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope != ScopeAll) {
+		q := w.mustBeOwed(a.ID, "refuses")
+		for _, s := range q.attempts {
+			c := w.settings.Classes[q.Class]
+			if s.mayHaveExecuted && (c.Idempotency == NonIdempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope != ScopeAll) {
 				w.t.Fatalf("%v: refuses %d, which may have run", w.now, a.ID)
 			}
 		}
 		q.closed = true
 	case Fail:
-		w.owed(a.ID, "fails").closed = true
+		w.mustBeOwed(a.ID, "fails").closed = true
 	case Cancel:
-		q := w.reqs[a.ID]
-		if !w.s.MayCancel || q == nil || a.Attempt < 0 || a.Attempt >= len(q.sends) {
+		q := w.requests[a.ID]
+		if !w.settings.MayCancel || q == nil || a.Attempt < 0 || a.Attempt >= len(q.attempts) {
 			w.t.Fatalf("%v: cancels attempt %d of %d, which was never made", w.now, a.Attempt, a.ID)
 		}
 	}
 }
 
-func (w *world) owed(id RequestID, does string) *tracked {
-	q := w.reqs[id]
+func (w *randomWorld) mustBeOwed(id RequestID, does string) *trackedRequest {
+	q := w.requests[id]
 	if q == nil || q.closed {
 		w.t.Fatalf("%v: %s request %d, which is over or unknown", w.now, does, id)
 	}
@@ -99,95 +99,95 @@
 	return q
 }
 
-func (w *world) checkSend(a Send) {
-	q := w.owed(a.ID, "sends")
+func (w *randomWorld) checkSend(a Send) {
+	q := w.mustBeOwed(a.ID, "sends")
 	w.answers--
-	in, known := w.list[a.Worker]
+	in, known := w.listed[a.Worker]
 	if !known {
 		w.t.Fatalf("%v: sends to %s, which no list named", w.now, a.Worker)
 	}
-	if at, gone := w.told[a.Worker]; gone && w.now > at+drainGrace {
+	if at, gone := w.notifiedAt[a.Worker]; gone && w.now > at+drainGrace {
 		w.t.Fatalf("%v: sends to %s, drained since %v", w.now, a.Worker, at)
 	}
-	if len(q.sends) >= w.s.MaxAttempts {
-		w.t.Fatalf("%v: attempt %d of %d", w.now, len(q.sends), a.ID)
+	if len(q.attempts) >= w.settings.MaxAttempts {
+		w.t.Fatalf("%v: attempt %d of %d", w.now, len(q.attempts), a.ID)
 	}
-	c := w.s.Classes[q.Class]
-	for _, s := range q.sends {
+	c := w.settings.Classes[q.Class]
+	for _, s := range q.attempts {
 		switch {
-		case s.out && !w.s.MayHedge:
+		case s.inFlight && !w.settings.MayHedge:
 			w.t.Fatalf("%v: second attempt of %d at once", w.now, a.ID)
-		case !s.maybe || c.Idempotency == Idempotent:
+		case !s.mayHaveExecuted || c.Idempotency == Idempotent:
 		case c.Idempotency == NonIdempotent:
 			w.t.Fatalf("%v: unsafe %d sent again", w.now, a.ID)
-		case w.now > s.at+c.DeduplicationWindow, c.DeduplicationScope == ScopeZone && s.w.Zone != in.Zone,
-			c.DeduplicationScope == ScopeCell && s.w.Cell != in.Cell:
+		case w.now > s.sentAt+c.DeduplicationWindow, c.DeduplicationScope == ScopeZone && s.worker.Zone != in.Zone,
+			c.DeduplicationScope == ScopeCell && s.worker.Cell != in.Cell:
 			w.t.Fatalf("%v: keyed %d sent again out of its group or window", w.now, a.ID)
 		}
 	}
-	q.sends = append(q.sends, &sent{w: in, at: w.now, out: true, maybe: true})
-	if age := w.now - in.StartedAt; in.StartedAt > 0 && age < w.s.SlowStartDuration {
+	q.attempts = append(q.attempts, &trackedAttempt{worker: in, sentAt: w.now, inFlight: true, mayHaveExecuted: true})
+	if age := w.now - in.StartedAt; in.StartedAt > 0 && age < w.settings.SlowStartDuration {
 		var recent []Clock
-		for _, at := range w.cold[a.Worker] {
-			if at > w.now-w.s.OverloadWindow {
+		for _, at := range w.warmingSends[a.Worker] {
+			if at > w.now-w.settings.OverloadWindow {
 				recent = append(recent, at)
 			}
 		}
-		w.cold[a.Worker] = append(recent, w.now)
+		w.warmingSends[a.Worker] = append(recent, w.now)
 		// Each job of this world takes at least 20 ms of a slot.
-		warmth := w.s.SlowStartCapacity + (1-w.s.SlowStartCapacity)*float64(age)/float64(w.s.SlowStartDuration)
-		budget := w.s.OverloadMultiple * warmth * 4 * w.s.OverloadWindow.Seconds() / min(float64(w.s.Dispatchers), 2)
-		if work := 0.02 * float64(len(w.cold[a.Worker])); work > budget+0.02 {
+		warmth := w.settings.SlowStartCapacity + (1-w.settings.SlowStartCapacity)*float64(age)/float64(w.settings.SlowStartDuration)
+		budget := w.settings.OverloadMultiple * warmth * 4 * w.settings.OverloadWindow.Seconds() / min(float64(w.settings.Dispatchers), 2)
+		if work := 0.02 * float64(len(w.warmingSends[a.Worker])); work > budget+0.02 {
 			w.t.Fatalf("%v: %d jobs in %v to %s, %v old: %.2f of %.2f slot-seconds",
-				w.now, len(w.cold[a.Worker]), w.s.OverloadWindow, a.Worker, age, work, budget)
+				w.now, len(w.warmingSends[a.Worker]), w.settings.OverloadWindow, a.Worker, age, work, budget)
 		}
 	}
 }
 
 // step lets a millisecond or a few go by and draws what happens.
-func (w *world) step(load float64) {
-	w.now += time.Duration(1+w.rng.IntN(5)) * ms
-	if w.s.Dispatchers > 2 && w.rng.IntN(500) == 0 { // the dispatcher itself stands still, and nothing is due
-		if !slices.ContainsFunc(w.live, func(id RequestID) bool { return w.reqs[id].Deadline < w.now+2100*ms }) {
+func (w *randomWorld) step(load float64) {
+	w.now += time.Duration(1+w.random.IntN(5)) * ms
+	if w.settings.Dispatchers > 2 && w.random.IntN(500) == 0 { // the dispatcher itself stands still, and nothing is due
+		if !slices.ContainsFunc(w.unfinished, func(id RequestID) bool { return w.requests[id].Deadline < w.now+2100*ms }) {
 			w.now += 2 * time.Second
 		}
 	}
-	for _, token := range []uint64{tickToken, askToken} {
-		for i := 0; i < len(w.wakes[token]); i++ {
-			if w.wakes[token][i] <= w.now {
-				w.wakes[token] = append(w.wakes[token][:i], w.wakes[token][i+1:]...)
-				w.give(TimerFired{Token: token})
+	for _, token := range []uint64{reviewTimer, pollTimer} {
+		for i := 0; i < len(w.timers[token]); i++ {
+			if w.timers[token][i] <= w.now {
+				w.timers[token] = append(w.timers[token][:i], w.timers[token][i+1:]...)
+				w.handle(TimerFired{Token: token})
 				i = -1
 			}
 		}
 	}
-	for ; w.subs > 0; w.subs-- {
-		if w.rng.IntN(2) == 0 {
-			w.give(EndpointsUpdated{ListKind: ListFailed})
+	for ; w.pendingPolls > 0; w.pendingPolls-- {
+		if w.random.IntN(2) == 0 {
+			w.handle(EndpointsUpdated{ListKind: ListFailed})
 		} else {
-			w.give(EndpointsUpdated{ListKind: ListDelta})
+			w.handle(EndpointsUpdated{ListKind: ListDelta})
 		}
 	}
-	if w.rng.Float64() < load {
+	if w.random.Float64() < load {
 		id := RequestID(len(w.ids) + 1)
-		c := w.rng.IntN(len(w.s.Classes))
-		q := &tracked{RequestArrived: RequestArrived{ID: id, Class: c, Slots: 1, Deadline: w.now + w.s.Classes[c].Deadline}}
-		w.ids, w.live, w.reqs[id] = append(w.ids, id), append(w.live, id), q
-		w.give(q.RequestArrived)
+		c := w.random.IntN(len(w.settings.Classes))
+		q := &trackedRequest{RequestArrived: RequestArrived{ID: id, Class: c, Slots: 1, Deadline: w.now + w.settings.Classes[c].Deadline}}
+		w.ids, w.unfinished, w.requests[id] = append(w.ids, id), append(w.unfinished, id), q
+		w.handle(q.RequestArrived)
 	}
-	if w.rng.IntN(400) == 0 {
+	if w.random.IntN(400) == 0 {
 		w.changeList()
 	}
-	w.live = slices.DeleteFunc(w.live, func(id RequestID) bool {
-		q := w.reqs[id]
-		if !q.closed && w.now > q.Deadline+w.s.AnswerSlack {
+	w.unfinished = slices.DeleteFunc(w.unfinished, func(id RequestID) bool {
+		q := w.requests[id]
+		if !q.closed && w.now > q.Deadline+w.settings.AnswerSlack {
 			w.t.Fatalf("%v: no answer for %d, due %v", w.now, id, q.Deadline)
 		}
-		return q.closed && !slices.ContainsFunc(q.sends, func(s *sent) bool { return s.out })
+		return q.closed && !slices.ContainsFunc(q.attempts, func(s *trackedAttempt) bool { return s.inFlight })
 	})
-	for _, id := range slices.Clone(w.live) {
-		for n, s := range w.reqs[id].sends {
-			if s.out {
+	for _, id := range slices.Clone(w.unfinished) {
+		for n, s := range w.requests[id].attempts {
+			if s.inFlight {
 				w.attempt(id, n, s)
 			}
 		}
@@ -195,60 +195,60 @@
 }
 
 // attempt lets something happen to an attempt that is out.
-func (w *world) attempt(id RequestID, n int, s *sent) {
-	q := w.reqs[id]
+func (w *randomWorld) attempt(id RequestID, n int, s *trackedAttempt) {
+	q := w.requests[id]
 	end := func(o Outcome) {
-		s.out, s.maybe = false, o != Full && o != NoConnect && o != NeverSent
+		s.inFlight, s.mayHaveExecuted = false, o != Full && o != NoConnect && o != NeverSent
 		final := q.closed || o == Served
 		if final && !q.closed {
 			q.closed = true
 			w.answers++
 		}
-		r := Report{Busy: w.rng.Float64(), Requests: -1, FreeSlots: float64(w.rng.IntN(5))}
-		w.give(AttemptFinished{ID: id, Attempt: n, Worker: s.w.ID, Outcome: o, Final: final, Report: &r})
+		r := Report{Busy: w.random.Float64(), Requests: -1, FreeSlots: float64(w.random.IntN(5))}
+		w.handle(AttemptFinished{ID: id, Attempt: n, Worker: s.worker.ID, Outcome: o, Final: final, Report: &r})
 	}
-	switch x := w.rng.IntN(1000); {
+	switch x := w.random.IntN(1000); {
 	case w.now >= q.Deadline:
 		end(TimedOut)
-	case w.now < s.at+20*ms:
-	case x < 20 && !s.begun:
-		s.begun = true
-		w.give(AttemptStarted{ID: id, Attempt: n, Worker: s.w.ID})
+	case w.now < s.sentAt+20*ms:
+	case x < 20 && !s.started:
+		s.started = true
+		w.handle(AttemptStarted{ID: id, Attempt: n, Worker: s.worker.ID})
 	case x < 25:
-		w.give(AttemptProgressed{ID: id, Attempt: n, Worker: s.w.ID, Share: w.rng.Float64()})
-	case x < 40 && s.begun:
+		w.handle(AttemptProgressed{ID: id, Attempt: n, Worker: s.worker.ID, Share: w.random.Float64()})
+	case x < 40 && s.started:
 		end(Served)
 	case x >= 40 && x < 46:
 		end([]Outcome{Errored, Full, TimedOut, NoConnect, Reset, NeverSent}[x-40])
-	case x == 46 && !q.closed && w.rng.IntN(4) == 0:
+	case x == 46 && !q.closed && w.random.IntN(4) == 0:
 		q.closed = true
-		w.give(ClientLeft{ID: id})
+		w.handle(ClientLeft{ID: id})
 	}
 }
 
-func (w *world) changeList() {
-	in := w.list[WorkerID([]string{"w00", "w01", "w02", "w03"}[w.rng.IntN(4)])]
-	switch w.rng.IntN(3) {
+func (w *randomWorld) changeList() {
+	in := w.listed[WorkerID([]string{"w00", "w01", "w02", "w03"}[w.random.IntN(4)])]
+	switch w.random.IntN(3) {
 	case 0:
 		in.State = Draining
 	case 1:
 		in.State = Gone
 	case 2:
-		in.State, in.StartedAt = Ready, w.now-time.Duration(w.rng.IntN(2000))*ms
+		in.State, in.StartedAt = Ready, w.now-time.Duration(w.random.IntN(2000))*ms
 	}
-	w.list[in.ID] = in
+	w.listed[in.ID] = in
 	if in.State == Ready {
-		delete(w.told, in.ID)
-	} else if _, was := w.told[in.ID]; !was {
-		w.told[in.ID] = w.now
+		delete(w.notifiedAt, in.ID)
+	} else if _, was := w.notifiedAt[in.ID]; !was {
+		w.notifiedAt[in.ID] = w.now
 	}
-	w.give(EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{in}})
+	w.handle(EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{in}})
 }
 
 // TestRulesOnRandomDays asserts the four rules over long random event sequences.
 func TestRulesOnRandomDays(t *testing.T) {
 	for seed := uint64(1); seed <= 32; seed++ {
-		s := plain()
+		s := baseSettings()
 		if seed > 24 { // few of hundreds own a cold worker; this is one of them at times
 			s.DispatcherIndex, s.Dispatchers = int(seed)*37%300, 300
 		}
@@ -267,7 +267,7 @@
 			w.step(0)
 		}
 		for _, id := range w.ids {
-			if !w.reqs[id].closed {
+			if !w.requests[id].closed {
 				t.Fatalf("seed %d: request %d has no answer at the end", seed, id)
 			}
 		}
@@ -280,7 +280,7 @@
 // The same events give the same actions.
 func TestDeterminism(t *testing.T) {
 	play := func() int {
-		w := newWorld(t, plain(), 5)
+		w := newWorld(t, baseSettings(), 5)
 		for range 3000 {
 			w.step(0.4)
 		}
@@ -300,7 +300,7 @@
 		f.Add(c.seed, c.dispatchers, c.bits, uint8(60))
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, dispatchers, bits uint16, load uint8) {
-		s := plain()
+		s := baseSettings()
 		s.Dispatchers = 1 + int(dispatchers%1000)
 		s.DispatcherIndex = int(seed % uint64(s.Dispatchers))
 		s.MayHedge, s.MayCancel, s.ListPolled = bits&1 > 0, bits&2 > 0, bits&4 > 0
@@ -314,7 +314,7 @@
 			w.step(0)
 		}
 		for _, id := range w.ids {
-			if !w.reqs[id].closed {
+			if !w.requests[id].closed {
 				t.Fatalf("request %d has no answer at the end", id)
 			}
 		}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -14,77 +14,79 @@
 )
 
 // Handle takes one event and returns what to do. The result is valid until the next call.
-func (d *Scheduler) Handle(now Clock, ev Event) []Action {
-	d.now = max(d.now, now)
-	d.acts = d.acts[:0]
-	d.first = cmp.Or(d.first, d.now)
+func (s *Scheduler) Handle(now Clock, ev Event) []Action {
+	s.now = max(s.now, now)
+	s.actions = s.actions[:0]
+	s.firstEventAt = cmp.Or(s.firstEventAt, s.now)
 	// After a standstill of this process or machine all that came is found at once: nobody was silent.
-	if d.ticking && d.now > d.tickAt+stallLeast && d.now != d.stalled {
-		d.stalled = d.now
-		for _, w := range d.workers {
-			w.heard = d.now
+	if s.reviewScheduled && s.now > s.nextReviewAt+minStall && s.now != s.resumedAt {
+		s.resumedAt = s.now
+		for _, w := range s.workers {
+			w.lastSignal = s.now
 		}
 	}
 	switch e := ev.(type) {
 	case EndpointsUpdated:
-		d.onListed(e)
+		s.onEndpointsUpdated(e)
 	case RequestArrived:
-		d.onArrived(e)
+		s.onRequestArrived(e)
 	case AttemptFinished:
-		d.onFinished(e)
+		s.onAttemptFinished(e)
 	case ProbeCompleted:
-		d.onProbed(e)
+		s.onProbeCompleted(e)
 	case AttemptStarted:
-		d.onBegan(e)
+		s.onAttemptStarted(e)
 	case AttemptProgressed:
-		if _, a := d.attempt(e.ID, e.Attempt); a != nil {
-			d.heard(a.w)
+		if _, a := s.attemptInFlight(e.ID, e.Attempt); a != nil {
+			s.recordSignal(a.worker)
 		}
 	case ClientLeft:
-		if r := d.open[e.ID]; r != nil {
-			d.finish(r)
+		if r := s.requests[e.ID]; r != nil {
+			s.finishRequest(r)
 		}
 	case ShutdownStarted:
-		d.ends = e.Deadline
-		for _, r := range d.order {
-			r.expires = min(r.expires, d.ends)
+		s.shutdownDeadline = e.Deadline
+		for _, r := range s.requestsByArrival {
+			r.deadline = min(r.deadline, s.shutdownDeadline)
 		}
-		d.do(SetTimer{Token: endToken, After: d.ends - d.now + d.set.AnswerSlack/2}) // looks are too seldom for it
+		// looks are too seldom for it
+		s.emit(SetTimer{Token: shutdownTimer, After: s.shutdownDeadline - s.now + s.settings.AnswerSlack/2})
 	case WorkerDetached:
-		d.setDetached(e.Worker, true)
+		s.setDetached(e.Worker, true)
 	case WorkerReattached:
-		d.setDetached(e.Worker, false)
+		s.setDetached(e.Worker, false)
 	case HandoverCompleted:
-		d.adopt(e.LearnedState)
+		s.adoptLearnedState(e.LearnedState)
 	case SettingsChanged:
-		d.retune(e.Settings)
+		s.applySettings(e.Settings)
 	case ProcessCountChanged:
-		d.processes = max(e.Processes, 1)
+		s.processes = max(e.Processes, 1)
 	case TimerFired:
 		switch {
-		case e.Token == askToken:
-			d.do(Subscribe{})
-		case e.Token == endToken:
-			d.look()
-		case e.Token == tickToken && d.now >= d.tickAt: // else an older timer; a later one is set
-			d.ticking = false
-			if d.now != d.stalled { // else what has come must be read first
-				d.look()
+		case e.Token == pollTimer:
+			s.emit(Subscribe{})
+		case e.Token == shutdownTimer:
+			s.reviewAll()
+		case e.Token == reviewTimer && s.now >= s.nextReviewAt: // else an older timer; a later one is set
+			s.reviewScheduled = false
+			if s.now != s.resumedAt { // else what has come must be read first
+				s.reviewAll()
 			}
 		}
 	}
-	d.place()
-	if len(d.order) > 0 || d.set.ReportsPulled {
-		pause := tickIdle
-		if len(d.held) > 0 {
-			pause = d.tick()
-		} else if slices.ContainsFunc(d.order, func(r *request) bool { return r.has(waiting) }) {
-			pause = copyGrace + time.Millisecond
+	s.sendQueued()
+	if len(s.requestsByArrival) > 0 || s.settings.ReportsPulled {
+		pause := idleReviewInterval
+		if len(s.queued) > 0 {
+			pause = s.queueReviewInterval()
+		} else if slices.ContainsFunc(
+			s.requestsByArrival, func(r *request) bool { return r.anyAttempt(awaitsStart) }) {
+			pause = hedgeDelay + time.Millisecond
 		}
-		if at := d.now + pause; !d.ticking || at < d.tickAt { // else a look is due before
-			d.ticking, d.tickAt = true, at
-			d.do(SetTimer{Token: tickToken, After: pause})
+		if at := s.now + pause; !s.reviewScheduled || at < s.nextReviewAt { // else a look is due before
+			s.reviewScheduled, s.nextReviewAt = true, at
+			s.emit(SetTimer{Token: reviewTimer, After: pause})
 		}
 	}
-	return d.acts
+	return s.actions
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -17,58 +17,58 @@
 
 // driver drives one dispatcher by hand and keeps what it did.
 type driver struct {
-	t    *testing.T
-	d    *Scheduler
-	now  Clock
-	acts []Action // of the last event
-	all  []Action
+	t          *testing.T
+	scheduler  *Scheduler
+	now        Clock
+	actions    []Action // of the last event
+	allActions []Action
 }
 
 func newDriver(t *testing.T, s Settings) *driver {
 	t.Helper()
-	return &driver{t: t, d: New(s, 1), now: start}
+	return &driver{t: t, scheduler: New(s, 1), now: start}
 }
 
-// aged is a dispatcher that has been here for so long that no other one's pushes count beside its own.
-func aged(t *testing.T, s Settings) *driver {
+// newSettledDriver is a dispatcher that has been here for so long that no other one's pushes count beside its own.
+func newSettledDriver(t *testing.T, s Settings) *driver {
 	t.Helper()
 	v := newDriver(t, s)
-	v.give(TimerFired{})
-	v.now += s.OverloadWindow + sendLate
+	v.handle(TimerFired{})
+	v.now += s.OverloadWindow + maxSendDelay
 	return v
 }
 
-// give passes an event and returns the actions.
-func (v *driver) give(ev Event) []Action {
-	v.acts = append([]Action(nil), v.d.Handle(v.now, ev)...)
-	v.all = append(v.all, v.acts...)
-	return v.acts
+// handle passes an event and returns the actions.
+func (v *driver) handle(ev Event) []Action {
+	v.actions = append([]Action(nil), v.scheduler.Handle(v.now, ev)...)
+	v.allActions = append(v.allActions, v.actions...)
+	return v.actions
 }
 
-// pass lets time go by in ticks.
-func (v *driver) pass(span time.Duration) (acts []Action) {
+// advance lets time go by in ticks.
+func (v *driver) advance(span time.Duration) (acts []Action) {
 	for end := v.now + span; v.now < end; {
 		v.now += 10 * ms
-		acts = append(acts, v.give(TimerFired{Token: tickToken})...)
+		acts = append(acts, v.handle(TimerFired{Token: reviewTimer})...)
 	}
 	return acts
 }
 
-func (v *driver) list(workers ...WorkerInfo) {
-	v.give(EndpointsUpdated{ListKind: ListFull, Workers: workers})
+func (v *driver) listWorkers(workers ...WorkerInfo) {
+	v.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers})
 }
 
-// arrive brings a request of class c with two seconds left and returns where it was sent.
-func (v *driver) arrive(id RequestID, c int) WorkerID {
-	return sentTo(v.give(RequestArrived{ID: id, Class: c, Slots: 1, Deadline: v.now + 2*time.Second}))
+// submit brings a request of class c with two seconds left and returns where it was sent.
+func (v *driver) submit(id RequestID, c int) WorkerID {
+	return firstSendWorker(v.handle(RequestArrived{ID: id, Class: c, Slots: 1, Deadline: v.now + 2*time.Second}))
 }
 
-// served ends attempt 0 of a request.
-func (v *driver) served(id RequestID, r *Report) []Action {
-	return v.give(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: r})
+// finishServed ends attempt 0 of a request.
+func (v *driver) finishServed(id RequestID, r *Report) []Action {
+	return v.handle(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: r})
 }
 
-func sentTo(acts []Action) WorkerID {
+func firstSendWorker(acts []Action) WorkerID {
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
 			return s.Worker
@@ -77,8 +77,8 @@
 	return ""
 }
 
-// count tells how many actions are of type A.
-func count[A Action](acts []Action) (n int) {
+// countActions tells how many actions are of type A.
+func countActions[A Action](acts []Action) (n int) {
 	for _, a := range acts {
 		if _, ok := a.(A); ok {
 			n++
@@ -94,8 +94,8 @@
 	return ws
 }
 
-// plain is a deployment with a safe, a keyed and an unsafe class.
-func plain() Settings {
+// baseSettings is a deployment with a safe, a keyed and an unsafe class.
+func baseSettings() Settings {
 	c := Class{LatencyObjective: 200 * ms, ObjectiveStretch: 2, Deadline: 2 * time.Second, PriorityWeight: 1, MachineKind: -1, DeduplicationWindow: time.Second}
 	keyed, unsafe := c, c
 	keyed.Idempotency, keyed.DeduplicationScope, unsafe.Idempotency = IdempotentWithKey, ScopeZone, NonIdempotent
@@ -106,102 +106,104 @@
 	}
 }
 
-func report(busy, free float64) *Report { return &Report{Busy: busy, Requests: -1, FreeSlots: free} }
+func loadReport(busy, free float64) *Report {
+	return &Report{Busy: busy, Requests: -1, FreeSlots: free}
+}
 
 func TestOrdinaryPath(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(3)...)
-	got := fmt.Sprint(v.arrive(1, 0), v.arrive(2, 0), v.arrive(3, 0), v.arrive(4, 0))
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(3)...)
+	got := fmt.Sprint(v.submit(1, 0), v.submit(2, 0), v.submit(3, 0), v.submit(4, 0))
 	if got != "w00w01w02w00" {
 		t.Errorf("round robin among ties went to %s", got)
 	}
-	v.served(2, report(0.9, 1))
-	v.served(3, report(0, 4))
-	if w := v.arrive(5, 0); w != "w02" {
+	v.finishServed(2, loadReport(0.9, 1))
+	v.finishServed(3, loadReport(0, 4))
+	if w := v.submit(5, 0); w != "w02" {
 		t.Errorf("the lowest reported value is w02, sent to %s", w)
 	}
 }
 
 func TestRotationStartsAtOwnNumber(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.DispatcherIndex = 2
 	v := newDriver(t, s)
-	v.list(workers(3)...)
-	if w := v.arrive(1, 0); w != "w02" {
+	v.listWorkers(workers(3)...)
+	if w := v.submit(1, 0); w != "w02" {
 		t.Errorf("dispatcher 2 began at %s", w)
 	}
 }
 
 func TestIncrement(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(1)...)
-	w := v.d.workers[0]
-	if got := v.d.share(w, 1); got != firstIncrement {
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(1)...)
+	w := v.scheduler.workers[0]
+	if got := v.scheduler.slotShare(w, 1); got != initialIncrement {
 		t.Errorf("without figures a slot counts %v", got)
 	}
-	v.arrive(1, 0)
-	v.give(AttemptFinished{ID: 1, Outcome: Full})
-	if got := v.d.share(w, 1); got != 2*firstIncrement || v.d.value(w) < 1-1e-9 {
-		t.Errorf("after a 'full' a slot counts %v, the value is %v", got, v.d.value(w))
+	v.submit(1, 0)
+	v.handle(AttemptFinished{ID: 1, Outcome: Full})
+	if got := v.scheduler.slotShare(w, 1); got != 2*initialIncrement || v.scheduler.loadValue(w) < 1-1e-9 {
+		t.Errorf("after a 'full' a slot counts %v, the value is %v", got, v.scheduler.loadValue(w))
 	}
-	for id := RequestID(10); id < 10+pushesToHalve; id++ {
+	for id := RequestID(10); id < 10+sendsToHalveIncrement; id++ {
 		v.now += 2 * time.Second
-		v.arrive(id, 0)
-		v.served(id, nil)
+		v.submit(id, 0)
+		v.finishServed(id, nil)
 	}
-	if got := v.d.share(w, 1); got > firstIncrement {
-		t.Errorf("after %d pushes without a 'full' a slot counts %v", pushesToHalve, got)
+	if got := v.scheduler.slotShare(w, 1); got > initialIncrement {
+		t.Errorf("after %d pushes without a 'full' a slot counts %v", sendsToHalveIncrement, got)
 	}
-	v.arrive(100, 0)
-	v.served(100, report(0.2, 8))
-	if got := v.d.share(w, 1); got != 1.0/8 {
+	v.submit(100, 0)
+	v.finishServed(100, loadReport(0.2, 8))
+	if got := v.scheduler.slotShare(w, 1); got != 1.0/8 {
 		t.Errorf("with 8 free slots seen a slot counts %v", got)
 	}
 }
 
 // The first running job was taken for all the slots a worker has, so idle workers looked full.
 func TestFirstRunningJobIsNotTheSlotTotal(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(1)...)
-	v.arrive(1, 0)
-	v.give(AttemptStarted{ID: 1})
-	if w := v.arrive(2, 0); w == "" {
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(1)...)
+	v.submit(1, 0)
+	v.handle(AttemptStarted{ID: 1})
+	if w := v.submit(2, 0); w == "" {
 		t.Error("held a request beside one running job on a worker of unknown size")
 	}
 }
 
 // A few long jobs among the first made workers look several times slower than their peers.
 func TestFewLongJobsDoNotMakeAWorkerSlow(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(2)...)
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(2)...)
 	run := func(id RequestID, took time.Duration) {
-		v.arrive(id, 0)
-		v.give(AttemptStarted{ID: id})
+		v.submit(id, 0)
+		v.handle(AttemptStarted{ID: id})
 		v.now += took
-		v.served(id, nil)
+		v.finishServed(id, nil)
 	}
 	run(1, 5*ms)
 	run(2, 100*ms)
 	run(3, 5*ms)
 	run(4, 100*ms)
-	for _, w := range v.d.workers {
-		if f := v.d.slowdown(w); f != 1 {
+	for _, w := range v.scheduler.workers {
+		if f := v.scheduler.slowdown(w); f != 1 {
 			t.Errorf("%s drags %v after two jobs", w.ID, f)
 		}
 	}
 }
 
 func TestBadReports(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(1)...)
-	w := v.d.workers[0]
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(1)...)
+	w := v.scheduler.workers[0]
 	for i, r := range []*Report{
-		nil, {}, report(math.NaN(), math.Inf(1)), report(-1, -5), {Busy: math.Inf(1), Requests: math.NaN(), FreeSlots: -1},
+		nil, {}, loadReport(math.NaN(), math.Inf(1)), loadReport(-1, -5), {Busy: math.Inf(1), Requests: math.NaN(), FreeSlots: -1},
 	} {
 		id := RequestID(i + 1)
-		v.arrive(id, 0)
-		v.served(id, r)
-		if x := v.d.value(w); math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
+		v.submit(id, 0)
+		v.finishServed(id, r)
+		if x := v.scheduler.loadValue(w); math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 			t.Errorf("report %d made the value %v", i, x)
 		}
 	}
@@ -231,63 +233,63 @@
 // Requests queued at the workers under overload came late all at once; the wait there must shut the
 // door here, and open it again once jobs start soon.
 func TestAllowanceFollowsWaits(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(2)...)
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(2)...)
 	job := func(id RequestID, wait time.Duration) {
-		v.arrive(id, 0)
-		v.pass(wait)
-		v.give(AttemptStarted{ID: id})
-		v.pass(10 * ms)
-		v.served(id, report(0, 4))
+		v.submit(id, 0)
+		v.advance(wait)
+		v.handle(AttemptStarted{ID: id})
+		v.advance(10 * ms)
+		v.finishServed(id, loadReport(0, 4))
 	}
 	for id := RequestID(1); id <= 30; id++ {
 		job(id, 150*ms)
 	}
-	if v.d.allow > 0 {
-		t.Errorf("after long waits the allowance is still %v", v.d.allow)
+	if v.scheduler.overcommit > 0 {
+		t.Errorf("after long waits the allowance is still %v", v.scheduler.overcommit)
 	}
 	for id := RequestID(100); id < 150; id++ {
 		job(id, ms)
 	}
-	if v.d.allow < firstAllow {
-		t.Errorf("after short waits the allowance is only %v", v.d.allow)
+	if v.scheduler.overcommit < initialOvercommit {
+		t.Errorf("after short waits the allowance is only %v", v.scheduler.overcommit)
 	}
 }
 
 // A report is older than most jobs: dispatchers herded on the worker that was idle when they heard.
 func TestOldReportFadesToTheMean(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.Dispatchers = 1
 	v := newDriver(t, s)
-	v.list(workers(2)...)
-	v.arrive(1, 0)
-	v.arrive(2, 0)
-	v.served(1, report(0, 4))
-	v.served(2, report(1, 0))
-	idle, busy := v.d.workers[0], v.d.workers[1]
-	if a, b := v.d.value(idle), v.d.value(busy); a > 0.01 || b < 0.9 {
+	v.listWorkers(workers(2)...)
+	v.submit(1, 0)
+	v.submit(2, 0)
+	v.finishServed(1, loadReport(0, 4))
+	v.finishServed(2, loadReport(1, 0))
+	idle, busy := v.scheduler.workers[0], v.scheduler.workers[1]
+	if a, b := v.scheduler.loadValue(idle), v.scheduler.loadValue(busy); a > 0.01 || b < 0.9 {
 		t.Errorf("fresh reports of 0 and 1 give values %v and %v", a, b)
 	}
 	v.now += 5 * time.Second
-	v.give(TimerFired{})
-	if a, b := v.d.value(idle), v.d.value(busy); math.Abs(a-b) > 0.05 {
+	v.handle(TimerFired{})
+	if a, b := v.scheduler.loadValue(idle), v.scheduler.loadValue(busy); math.Abs(a-b) > 0.05 {
 		t.Errorf("old reports still tell workers apart: %v and %v", a, b)
 	}
 }
 
 // With many dispatchers each report drew all of them to the same few idle workers (incident i5522b7).
 func TestReportsWithinDoubtAreTies(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(4)...)
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(4)...)
 	for id := RequestID(1); id <= 4; id++ {
-		v.arrive(id, 0)
+		v.submit(id, 0)
 	}
 	for id := RequestID(1); id <= 4; id++ {
-		v.served(id, report([]float64{0, 0.25, 0.1, 0.3}[id-1], 4))
+		v.finishServed(id, loadReport([]float64{0, 0.25, 0.1, 0.3}[id-1], 4))
 	}
 	got := map[WorkerID]bool{}
 	for id := RequestID(11); id <= 14; id++ {
-		got[v.arrive(id, 0)] = true
+		got[v.submit(id, 0)] = true
 	}
 	if len(got) != 4 {
 		t.Errorf("four jobs went to %d of 4 workers that differ by less than a job", len(got))
@@ -297,18 +299,18 @@
 // Held back by an old report of a full worker, a dispatcher sent nothing, so no answer brought a
 // newer report, and it refused everything from then on.
 func TestHoldingEndsWithoutNews(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(2)...)
-	v.arrive(1, 0)
-	v.arrive(2, 0)
-	v.served(1, &Report{Busy: 1, Requests: 12, FreeSlots: 0})
-	v.served(2, &Report{Busy: 1, Requests: 12, FreeSlots: 0})
-	for _, w := range v.d.workers {
-		w.total, w.base = 4, 3
-	}
-	v.d.others = 3
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(2)...)
+	v.submit(1, 0)
+	v.submit(2, 0)
+	v.finishServed(1, &Report{Busy: 1, Requests: 12, FreeSlots: 0})
+	v.finishServed(2, &Report{Busy: 1, Requests: 12, FreeSlots: 0})
+	for _, w := range v.scheduler.workers {
+		w.observedSlots, w.othersLoad = 4, 3
+	}
+	v.scheduler.meanOthersLoad = 3
 	v.now += 3 * time.Second
-	if w := v.arrive(3, 0); w == "" {
+	if w := v.submit(3, 0); w == "" {
 		t.Error("held a request though nothing was heard of any worker for 3 s")
 	}
 }
@@ -316,34 +318,34 @@
 // A zone was cut off while machines were replaced (incident ic763e6): old reports from beyond the cut
 // made the few reachable workers, new ones too, look as loaded as the lost zone had been.
 func TestOldReportsAndNewcomersDoNotCount(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(2)...)
-	v.arrive(1, 0)
-	v.served(1, report(0.9, 0.4))
-	if v.d.others == 0 {
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(2)...)
+	v.submit(1, 0)
+	v.finishServed(1, loadReport(0.9, 0.4))
+	if v.scheduler.meanOthersLoad == 0 {
 		t.Fatal("a fresh report does not count")
 	}
 	v.now += 4 * time.Second
-	v.list(append(workers(2), WorkerInfo{ID: "w99"})...)
-	if x := v.d.value(v.d.byID["w99"]); x != 0 {
+	v.listWorkers(append(workers(2), WorkerInfo{ID: "w99"})...)
+	if x := v.scheduler.loadValue(v.scheduler.workersByID["w99"]); x != 0 {
 		t.Errorf("a newcomer's value is %v", x)
 	}
-	v.give(RequestArrived{ID: 2, Slots: 1, Deadline: v.now + time.Second})
-	v.give(AttemptFinished{ID: 2, Outcome: Served, Final: true, Report: report(0, 4)})
-	if v.d.others > 0.01 {
-		t.Errorf("after one fresh report of 0 the mean is %v", v.d.others)
+	v.handle(RequestArrived{ID: 2, Slots: 1, Deadline: v.now + time.Second})
+	v.handle(AttemptFinished{ID: 2, Outcome: Served, Final: true, Report: loadReport(0, 4)})
+	if v.scheduler.meanOthersLoad > 0.01 {
+		t.Errorf("after one fresh report of 0 the mean is %v", v.scheduler.meanOthersLoad)
 	}
 }
 
 // Workers that are always busy show few free slots; peers of their kind tell how many they have.
 func TestSlotsByKind(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(2)...)
-	v.arrive(1, 0)
-	v.arrive(2, 0)
-	v.served(1, report(0.8, 1))
-	v.served(2, report(0, 5))
-	if got := v.d.slots(v.d.workers[0]); got != 5 {
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(2)...)
+	v.submit(1, 0)
+	v.submit(2, 0)
+	v.finishServed(1, loadReport(0.8, 1))
+	v.finishServed(2, loadReport(0, 5))
+	if got := v.scheduler.estimatedSlots(v.scheduler.workers[0]); got != 5 {
 		t.Errorf("a busy worker of a kind with 5 slots counts as %v", got)
 	}
 }
@@ -351,16 +353,16 @@
 // A cold worker alone in the list, asked for far more than it can do: what it is sent within the fall
 // window stays within this dispatcher's part of its budget.
 func TestColdBudget(t *testing.T) {
-	s := plain()
-	v := aged(t, s)
-	v.list(WorkerInfo{ID: "w", StartedAt: v.now - ms})
-	v.d.seen(v.d.workers[0], 4)
-	v.d.classes[0], v.d.mean, v.d.jobs = classState{scale: 0.1, usual: math.Log(0.1), jobs: 100}, 0.1, 100
+	s := baseSettings()
+	v := newSettledDriver(t, s)
+	v.listWorkers(WorkerInfo{ID: "w", StartedAt: v.now - ms})
+	v.scheduler.recordSlots(v.scheduler.workers[0], 4)
+	v.scheduler.classes[0], v.scheduler.meanWork, v.scheduler.servedJobs = classState{workScale: 0.1, meanLogRuntime: math.Log(0.1), jobs: 100}, 0.1, 100
 	sent := 0
 	for id := RequestID(1); id <= 50; id++ {
-		if v.arrive(id, 0) != "" {
+		if v.submit(id, 0) != "" {
 			sent++
-			v.served(id, nil)
+			v.finishServed(id, nil)
 		}
 		v.now += 10 * ms
 	}
@@ -373,19 +375,19 @@
 // During a release (hunted day ha8faba, incident i1f5a28) cold workers stood unused: under load the hold
 // limit, multiplied by their slowness, left no room for a first job, and many warm by working.
 func TestUnusedColdWorkerHasRoom(t *testing.T) {
-	v := aged(t, plain())
-	v.list(WorkerInfo{ID: "w", StartedAt: v.now - 2*time.Second})
-	v.d.seen(v.d.workers[0], 2)
-	v.d.classes[0], v.d.mean, v.d.jobs = classState{scale: 0.05, usual: math.Log(0.05), jobs: 100}, 0.05, 100
-	v.d.allow = leastAllow
-	if v.arrive(1, 0) == "" {
+	v := newSettledDriver(t, baseSettings())
+	v.listWorkers(WorkerInfo{ID: "w", StartedAt: v.now - 2*time.Second})
+	v.scheduler.recordSlots(v.scheduler.workers[0], 2)
+	v.scheduler.classes[0], v.scheduler.meanWork, v.scheduler.servedJobs = classState{workScale: 0.05, meanLogRuntime: math.Log(0.05), jobs: 100}, 0.05, 100
+	v.scheduler.overcommit = minOvercommit
+	if v.submit(1, 0) == "" {
 		t.Error("no room for a first job within the budget")
 	}
 }
 
 // Events that make no sense are ignored or answered in time; none makes it panic or act illegally.
 func TestSenselessEvents(t *testing.T) {
-	for name, s := range map[string]Settings{"absent settings": {}, "plain": plain()} {
+	for name, s := range map[string]Settings{"absent settings": {}, "plain": baseSettings()} {
 		t.Run(name, func(t *testing.T) {
 			v := newDriver(t, s)
 			for _, ev := range []Event{
@@ -393,16 +395,16 @@
 				AttemptFinished{ID: 5, Attempt: 3, Outcome: Outcome(99)}, ProbeCompleted{Worker: "nobody", Outcome: Served},
 				EndpointsUpdated{ListKind: ListKind(9)}, EndpointsUpdated{ListKind: ListFailed}, EndpointsUpdated{ListKind: ListFull},
 			} {
-				v.give(ev)
+				v.handle(ev)
 			}
-			if n := count[Send](v.all) + count[Reject](v.all) + count[Fail](v.all) + count[Cancel](v.all); n > 0 {
+			if n := countActions[Send](v.allActions) + countActions[Reject](v.allActions) + countActions[Fail](v.allActions) + countActions[Cancel](v.allActions); n > 0 {
 				t.Errorf("%d actions on requests that do not exist", n)
 			}
-			v.list(workers(2)...)
-			id := v.arrive(1, 77)
-			v.give(AttemptFinished{ID: 1, Attempt: 9, Worker: id, Outcome: Served, Final: true})
-			v.give(AttemptFinished{ID: 1, Worker: id, Outcome: Served, Final: true})
-			if acts := v.give(AttemptFinished{ID: 1, Worker: id, Outcome: Errored}); count[Fail](acts)+count[Reject](acts) > 0 {
+			v.listWorkers(workers(2)...)
+			id := v.submit(1, 77)
+			v.handle(AttemptFinished{ID: 1, Attempt: 9, Worker: id, Outcome: Served, Final: true})
+			v.handle(AttemptFinished{ID: 1, Worker: id, Outcome: Served, Final: true})
+			if acts := v.handle(AttemptFinished{ID: 1, Worker: id, Outcome: Errored}); countActions[Fail](acts)+countActions[Reject](acts) > 0 {
 				t.Error("a duplicate outcome was answered again")
 			}
 		})
@@ -410,10 +412,10 @@
 }
 
 func TestPastDeadlineIsAnsweredAtOnce(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(1)...)
-	acts := v.give(RequestArrived{ID: 1, Slots: 1, Deadline: v.now - time.Second})
-	if count[Reject](acts) != 1 || count[Send](acts) != 0 {
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(1)...)
+	acts := v.handle(RequestArrived{ID: 1, Slots: 1, Deadline: v.now - time.Second})
+	if countActions[Reject](acts) != 1 || countActions[Send](acts) != 0 {
 		t.Errorf("a request past its deadline got %v", acts)
 	}
 }
@@ -425,12 +427,12 @@
 		list  []WorkerInfo
 		slots float64
 	}{"empty list": {nil, 1}, "all drain": {[]WorkerInfo{draining}, 1}, "no number": {nil, math.NaN()}} {
-		v := newDriver(t, plain())
-		v.list(c.list...)
-		v.give(RequestArrived{ID: 1, Class: 2, Slots: c.slots, Deadline: v.now + 2*time.Second})
-		v.pass(2 * time.Second)
-		if count[Reject](v.all) != 1 || count[Send](v.all)+count[Fail](v.all) != 0 {
-			t.Errorf("%s: got %v", name, v.all)
+		v := newDriver(t, baseSettings())
+		v.listWorkers(c.list...)
+		v.handle(RequestArrived{ID: 1, Class: 2, Slots: c.slots, Deadline: v.now + 2*time.Second})
+		v.advance(2 * time.Second)
+		if countActions[Reject](v.allActions) != 1 || countActions[Send](v.allActions)+countActions[Fail](v.allActions) != 0 {
+			t.Errorf("%s: got %v", name, v.allActions)
 		}
 	}
 }
@@ -448,12 +450,12 @@
 		{unsafe, Errored, false}, {unsafe, Reset, false}, {unsafe, TimedOut, false}, {unsafe, Cancelled, false},
 		{unsafe, Full, true}, {unsafe, NoConnect, true}, {unsafe, NeverSent, true},
 	} {
-		v := newDriver(t, plain())
-		v.list(workers(3)...)
-		first := v.arrive(1, c.class)
-		acts := v.give(AttemptFinished{ID: 1, Worker: first, Outcome: c.outcome})
-		next := sentTo(acts)
-		if (next != "") != c.again || next == first || count[Fail](acts) == 1 == c.again {
+		v := newDriver(t, baseSettings())
+		v.listWorkers(workers(3)...)
+		first := v.submit(1, c.class)
+		acts := v.handle(AttemptFinished{ID: 1, Worker: first, Outcome: c.outcome})
+		next := firstSendWorker(acts)
+		if (next != "") != c.again || next == first || countActions[Fail](acts) == 1 == c.again {
 			t.Errorf("class %d, outcome %d: %v, want again %v", c.class, c.outcome, acts, c.again)
 		}
 	}
@@ -461,32 +463,32 @@
 
 // A keyed request that may have run is sent again only within its zone.
 func TestKeyedStaysInItsZone(t *testing.T) {
-	v := newDriver(t, plain())
+	v := newDriver(t, baseSettings())
 	ws := workers(2)
 	ws[1].Zone = 1
-	v.list(ws...)
-	first := v.arrive(1, 1)
-	if acts := v.give(AttemptFinished{ID: 1, Worker: first, Outcome: Reset}); sentTo(acts) != "" && sentTo(acts) != first {
+	v.listWorkers(ws...)
+	first := v.submit(1, 1)
+	if acts := v.handle(AttemptFinished{ID: 1, Worker: first, Outcome: Reset}); firstSendWorker(acts) != "" && firstSendWorker(acts) != first {
 		t.Errorf("sent on to another zone: %v", acts)
 	}
 }
 
 // A silent worker is drawn no more, and many silent ones at once leave somebody to send to.
 func TestSilence(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(2)...)
-	silent := v.arrive(1, 2)
-	v.pass(1900 * ms)
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(2)...)
+	silent := v.submit(1, 2)
+	v.advance(1900 * ms)
 	for id := RequestID(2); id < 6; id++ {
-		if w := v.arrive(id, 0); w == silent {
+		if w := v.submit(id, 0); w == silent {
 			t.Errorf("request %d went to the silent worker", id)
 		}
-		v.give(AttemptFinished{ID: id, Outcome: Served, Final: true})
+		v.handle(AttemptFinished{ID: id, Outcome: Served, Final: true})
 	}
-	for _, w := range v.d.workers {
-		v.d.eject(w, &w.health, 0, "test")
+	for _, w := range v.scheduler.workers {
+		v.scheduler.eject(w, &w.ejectionState, 0, "test")
 	}
-	if w := v.arrive(9, 0); w == "" {
+	if w := v.submit(9, 0); w == "" {
 		t.Error("nobody to send to when all are shunned")
 	}
 }
--- a/scheduler/succeed_test.go
+++ b/scheduler/succeed_test.go
@@ -9,12 +9,12 @@
 // A dispatcher that goes on in the place of another begins with what that one learned, also as text; of a worker that
 // has started anew since, with nothing.
 func TestSucceeds(t *testing.T) {
-	v := newDriver(t, plain())
-	v.list(workers(2)...)
-	old := v.d
-	old.allow, old.classes[1] = -0.2, classState{scale: 0.3, usual: -1.5, jobs: 40}
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(2)...)
+	old := v.scheduler
+	old.overcommit, old.classes[1] = -0.2, classState{workScale: 0.3, meanLogRuntime: -1.5, jobs: 40}
 	for _, w := range old.workers {
-		w.total, w.lag, w.jobs = 6, 12, 12
+		w.observedSlots, w.slownessSum, w.slownessJobs = 6, 12, 12
 	}
 	text, err := json.Marshal(old.LearnedState())
 	if err != nil {
@@ -24,16 +24,16 @@
 	if err := json.Unmarshal(text, &e); err != nil {
 		t.Fatal(err)
 	}
-	next := newDriver(t, plain())
+	next := newDriver(t, baseSettings())
 	ws := workers(2)
 	ws[1].StartedAt = next.now - time.Second
-	next.list(ws...)
-	next.give(HandoverCompleted{LearnedState: e})
-	same, anew := next.d.byID[ws[0].ID], next.d.byID[ws[1].ID]
-	if next.d.allow != old.allow || next.d.classes[1] != old.classes[1] || next.d.slots(same) != 6 || next.d.slowdown(same) != old.slowdown(old.workers[0]) {
-		t.Errorf("allow %v, class %+v, slots %v, drag %v", next.d.allow, next.d.classes[1], next.d.slots(same), next.d.slowdown(same))
+	next.listWorkers(ws...)
+	next.handle(HandoverCompleted{LearnedState: e})
+	same, anew := next.scheduler.workersByID[ws[0].ID], next.scheduler.workersByID[ws[1].ID]
+	if next.scheduler.overcommit != old.overcommit || next.scheduler.classes[1] != old.classes[1] || next.scheduler.estimatedSlots(same) != 6 || next.scheduler.slowdown(same) != old.slowdown(old.workers[0]) {
+		t.Errorf("allow %v, class %+v, slots %v, drag %v", next.scheduler.overcommit, next.scheduler.classes[1], next.scheduler.estimatedSlots(same), next.scheduler.slowdown(same))
 	}
-	if anew.jobs != 0 || anew.lag != 0 {
-		t.Errorf("of a worker that started anew: %v jobs", anew.jobs)
+	if anew.slownessJobs != 0 || anew.slownessSum != 0 {
+		t.Errorf("of a worker that started anew: %v jobs", anew.slownessJobs)
 	}
 }
