--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -29,9 +29,7 @@
 	w.weightedSends += 1 / w.weight()
 	w.recentSends.add(s.now, 1/w.weight())
 	s.recentSends.add(s.now, 1)
-	if w.sendsSinceFull++; w.sendsSinceFull >= sendsToHalveIncrement {
-		w.increment, w.sendsSinceFull = max(w.increment/2, minIncrement), 0
-	}
+	w.recordSend()
 	by := earlierBound(s.retrySendDeadline(r), s.freshUntil(w))
 	a := attempt{worker: w, sentAt: s.now, inFlight: true, mayHaveExecuted: true, connectionIdle: idle, trial: w.ownSlots == r.slots && s.reportOverdue(w)}
 	if a.trial {
@@ -49,7 +47,7 @@
 	s.recordSignal(a.worker)
 	if a.startedAt == 0 {
 		a.startedAt, a.worker.reattached = s.now, false
-		s.roundTripTimes[a.worker.Zone] = min(cmp.Or(s.roundTripTimes[a.worker.Zone], maxRoundTripTime), s.now-a.sentAt)
+		s.recordRoundTrip(a.worker.Zone, s.now-a.sentAt)
 		s.adjustOvercommit(r, a)
 		if a.lost {
 			a.lost = false
@@ -64,34 +62,6 @@
 	s.cancelAttempts(r, func(b *attempt) bool { return b != a && b.startedAt == 0 })
 }
 
-// adjustOvercommit moves the allowance: up while requests are held here though jobs start soon; down where they wait
-func (s *Scheduler) adjustOvercommit(r *request, a *attempt) {
-	if s.now == s.resumedAt {
-		return
-	}
-	wait := s.now - a.sentAt - s.roundTripTimes[a.worker.Zone]
-	s.recordStart(a.worker, wait > delayedStartThreshold)
-	spare := s.slack(r) + s.now - r.firstAskedAt
-	step := s.overcommitStep()
-	switch {
-	case float64(wait) > tolerableWaitShare*float64(spare):
-		s.overcommit = max(s.overcommit-step, minOvercommit)
-	case s.slowdown(a.worker) > 1: // kept short by its pace: that a job starts there soon tells nothing of the others
-	case len(s.queued) > 0:
-		s.overcommit = min(s.overcommit+step, maxOvercommit)
-	case s.overcommit < initialOvercommit:
-		s.overcommit += step
-	}
-}
-
-// overcommitStep is how far one job moves the allowance.
-func (s *Scheduler) overcommitStep() float64 {
-	if s.loadsKnown {
-		return min(overcommitPerJob*float64(s.settings.Dispatchers), maxOvercommitStep)
-	}
-	return overcommitPerJob
-}
-
 func (s *Scheduler) onAttemptFinished(e AttemptFinished) {
 	r, a := s.attemptInFlight(e.ID, e.Attempt)
 	if a == nil {
@@ -120,8 +90,7 @@
 		s.recordRuntime(r, a)
 	case Full:
 		s.recordSignal(w)
-		w.fullUntil = s.now + max(durationOf(s.meanStay), reportLookback) // the value is 1 until then
-		w.increment, w.sendsSinceFull = min(2*w.increment, 1), 0
+		s.recordFull(w)
 	case InvalidRequest: // the client's fault: a bad client must not get workers shunned
 		s.recordSignal(w)
 	case NoConnect, Reset:
--- /dev/null
+++ b/scheduler/placement.go
@@ -0,0 +1,135 @@
+package scheduler
+
+import (
+	"math"
+	"slices"
+)
+
+// Placement: which worker takes a request.
+//
+// Of the workers that the request may be sent to (permitted), that are neither ejected nor tried before (suitable), that have
+// room for it (hasCapacity, withinSlowStartBudget) and whose place on the endpoint list is recent enough (confirmedFresh), the
+// one with the lowest score wins; round robin decides among ties.
+
+const (
+	// crossZoneWeight is the load difference, as a share of a worker, that makes up for sending across zones, for each unit of
+	// Settings.CrossZoneCost, where the loads of all workers are known.
+	crossZoneWeight = 15
+
+	// subsetCrossZoneWeight replaces crossZoneWeight where requests go to a subset, whose loads are known roughly.
+	subsetCrossZoneWeight = 3
+
+	// failureLoad is the load that is added to a worker's value for a failure share of 1, as a multiple of its capacity.
+	failureLoad = 2
+
+	// tieTolerance is the difference below which two scores are equal.
+	tieTolerance = 1e-9
+)
+
+// scoreTerms are the parts of a score that are the same for all candidates of one request.
+type scoreTerms struct {
+	crossZoneLoad  float64         // added to a worker of another zone
+	slownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil where the loads tell it
+	sharedRank     float64         // affinity ranks up to this one count alike
+}
+
+// pickWorker returns the worker that request is sent to now, or nil if there is none at the moment.
+//
+// If the best worker is no longer confirmedFresh, it is probed, and the request waits up to healthCheckWait for the result:
+// the next worker in order usually costs more than this wait. After that the best of the fresh ones is taken.
+func (s *Scheduler) pickWorker(request *request, overcommit float64) *worker {
+	best := s.leastLoaded(request, overcommit, s.freshOrProbeable)
+	if best == nil || s.confirmedFresh(best) {
+		return best
+	}
+	s.probeBeforeUse(best)
+	if s.now < best.probeSentAt+healthCheckWait {
+		return nil
+	}
+	return s.leastLoaded(request, overcommit, s.confirmedFresh)
+}
+
+// leastLoaded returns the worker with the lowest score among the eligible ones that can take request now, or nil. Equal scores
+// go to the worker with the fewest sends by weight, then to the first one from the rotation cursor, which moves past the winner.
+func (s *Scheduler) leastLoaded(request *request, overcommit float64, eligible func(*worker) bool) *worker {
+	candidates, acceptUnsuitable := s.candidates(request, eligible)
+	terms := s.scoreTerms(request)
+	var best *worker
+	lowest, bestIndex := math.Inf(1), 0
+	for offset := range candidates {
+		index := (s.rotationCursor + offset) % len(candidates)
+		candidate := candidates[index]
+		if !eligible(candidate) || !s.permitted(request, candidate) || !acceptUnsuitable && !s.suitable(request, candidate) {
+			continue
+		}
+		if !s.hasCapacity(candidate, request.slots, overcommit) || !s.withinSlowStartBudget(candidate, request) {
+			continue
+		}
+		score := s.score(request, candidate, &terms)
+		tie := score < lowest+tieTolerance
+		if score < lowest-tieTolerance || tie && candidate.weightedSends < best.weightedSends-tieTolerance {
+			best, lowest, bestIndex = candidate, min(score, lowest), index
+		}
+	}
+	if best != nil {
+		s.rotationCursor = (bestIndex + 1) % len(candidates)
+	}
+	return best
+}
+
+// candidates returns the workers to choose from: the subset (for a request with an affinity key, the key's part of it), or all
+// workers if none of the subset is permitted and suitable. If none at all is, acceptUnsuitable is set: an ejected worker, or one
+// that was tried before, is better than none.
+func (s *Scheduler) candidates(request *request, eligible func(*worker) bool) (candidates []*worker, acceptUnsuitable bool) {
+	usable := func(candidate *worker) bool {
+		return eligible(candidate) && s.permitted(request, candidate) && s.suitable(request, candidate)
+	}
+	candidates = s.candidatesForKey(request.affinityKey)
+	if slices.ContainsFunc(candidates, usable) {
+		return candidates, false
+	}
+	return s.workers, !slices.ContainsFunc(s.workers, usable)
+}
+
+// suitable reports whether the worker is healthy for the request's class and has had no attempt of the request yet.
+func (s *Scheduler) suitable(request *request, worker *worker) bool {
+	return s.healthy(worker, request.class) && !request.hasTried(worker)
+}
+
+// scoreTerms returns what the scores of a request's candidates have in common.
+func (s *Scheduler) scoreTerms(request *request) scoreTerms {
+	terms := scoreTerms{
+		crossZoneLoad:  s.settings.CrossZoneCost * subsetCrossZoneWeight,
+		slownessByKind: s.slownessByKind,
+		sharedRank:     s.affinityWidth(request.affinityKey) / max(s.totalWeight, 1e-3),
+	}
+	if s.loadsKnown { // the loads are known well, and show the pace of a machine kind too
+		terms.crossZoneLoad, terms.slownessByKind = s.settings.CrossZoneCost*crossZoneWeight, nil
+	}
+	return terms
+}
+
+// score returns the order of a worker among the candidates of a request: the lowest wins. It is the load value, as a share of
+// the worker, plus what the worker's slowness, its recent failures and another zone cost. Two rules change the order:
+//
+//   - A worker without own attempts that the operator has just reattached, or that warms up while many requests wait elsewhere,
+//     comes first (two affinityOffsets less): it gets work only if somebody sends it some.
+//   - Workers with a free slot for a request with an affinity key come next, ordered by the key (affinityScore) instead of load.
+func (s *Scheduler) score(request *request, worker *worker, terms *scoreTerms) float64 {
+	score := s.loadValue(worker)
+	pace := s.slowdown(worker) * math.Exp(terms.slownessByKind[worker.MachineKind])
+	score += (pace-1)*(score+s.slotShare(worker, request.slots)) + failureLoad*worker.excessFailureShare(s.now)
+	if worker.Zone != s.settings.Zone {
+		score += terms.crossZoneLoad
+	}
+	if worker.ownSlots == 0 && (worker.reattached || s.congestion > maxCongestion && s.warmupFactor(worker) < 1) {
+		score -= 2 * affinityOffset
+	}
+	if request.affinityKey == 0 || score <= -affinityOffset {
+		return score
+	}
+	if (score+s.slotShare(worker, request.slots-toleratedSlots))*s.slowdown(worker) <= 1 {
+		return s.affinityScore(request, worker, score, terms.sharedRank)
+	}
+	return score
+}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -12,11 +12,9 @@
 // The state that the decisions of brain.go are made on; nothing is decided here.
 
 const (
-	congestionJobs   = 10 // jobs
-	failurePriorJobs = 4  // jobs
+	failurePriorJobs = 4 // jobs
 
 	toleratedFailureShare = 0.1 // share of the jobs
-	keysPerWorker         = 4   // jobs for each worker: a key that fills one is seen a few times
 
 	reviewTimer, pollTimer, shutdownTimer = 1, 2, 3 // of the timers
 )
@@ -240,13 +238,6 @@
 	*mean += max(1/float64(n), 1-meanRetention) * (x - *mean)
 }
 
-// recordStart notes whether a job recordStart for its start at a worker.
-func (s *Scheduler) recordStart(w *worker, is bool) {
-	if s.congestion += (float64(oneIf(is)) - s.congestion) / congestionJobs; !is {
-		w.cancelledWaits.sum /= 2
-	}
-}
-
 // recordCancelledWait notes that an attempt is called off which waited for its start for so long that it was copied.
 func (s *Scheduler) recordCancelledWait(a *attempt) {
 	if s.startOverdue(a, hedgeDelay) {
@@ -269,12 +260,6 @@
 	}
 }
 
-// recordSlots notes slots that a worker was recordSlots to have.
-func (s *Scheduler) recordSlots(w *worker, slots float64) {
-	w.observedSlots = max(w.observedSlots, slots)
-	s.slotsByKind[w.MachineKind] = max(s.slotsByKind[w.MachineKind], w.observedSlots)
-}
-
 // queueReviewInterval is the pause between looks while something is held.
 func (s *Scheduler) queueReviewInterval() time.Duration {
 	return min(maxQueueReviewInterval, max(s.settings.AnswerSlack/2, time.Millisecond))
@@ -287,13 +272,6 @@
 	return max(bad/(bad+w.recentSuccesses.value(now)+failurePriorJobs)-toleratedFailureShare, 0)
 }
 
-// addOwnSlots accounts for own slots coming (positive) or going.
-func (s *Scheduler) addOwnSlots(w *worker, slots float64) {
-	keep := math.Exp(-float64(s.now-w.meanOwnSlotsAt) / float64(reportLookback))
-	w.meanOwnSlots, w.meanOwnSlotsAt = w.meanOwnSlots*keep+w.ownSlots*(1-keep), s.now
-	w.ownSlots = max(w.ownSlots+slots, 0)
-}
-
 // recordSignal notes a sign of life.
 func (s *Scheduler) recordSignal(w *worker) {
 	w.lastSignal, w.lastUsed, w.consecutiveEjections, w.failureCount = s.now, s.now, 0, 0
@@ -426,13 +404,6 @@
 
 const hashRingSalt = 0x5bd1e995 // a key's place on the ring is not by what ranks its homes
 
-// affinityRank is a worker's place in a key's rotation, the same at every dispatcher: the lowest comes first.
-// Workers come first by their size.
-func (w *worker) affinityRank(key uint64) float64 {
-	u := (float64(mixBits(mixBits(key)^w.idHash)>>11) + 0.5) / (1 << 53)
-	return -math.Log(u) / w.weight()
-}
-
 // weight is a worker's weight as it was registered.
 func (w *worker) weight() float64 { return max(figureOrMissing(w.Weight), 1e-3) }
 
@@ -477,34 +448,6 @@
 	return (min(max(off/own, 0), 1)*t.cancelledSquared + undroppedPrior*undroppedPriorReports) / (t.cancelledSquared + undroppedPriorReports)
 }
 
-// keyCounter counts by key. The past weighs half as much each time the count is full, and what it then tells of a key that came
-// once is dropped: it holds no more keys than the count.
-type keyCounter struct {
-	counts map[uint64]float64
-	total  float64
-}
-
-func (t *keyCounter) add(key uint64, full int) {
-	if t.total >= float64(max(full, 1)) {
-		t.total /= 2
-		for k, n := range t.counts {
-			if t.counts[k] = n / 2; n < 2 {
-				delete(t.counts, k)
-			}
-		}
-	}
-	t.counts[key]++
-	t.total++
-}
-
-// figureOrMissing gives -1 for a figure that was not told.
-func figureOrMissing(x float64) float64 {
-	if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-		return -1
-	}
-	return x
-}
-
 func (r *request) anyAttempt(is func(attempt) bool) bool { return slices.ContainsFunc(r.attempts, is) }
 
 func isInFlight(a attempt) bool      { return a.inFlight }
