--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -1,146 +1,225 @@
-// The life of attempts, and the final answers that follow from how they end.
-
 package scheduler
 
 import (
 	"cmp"
 	"slices"
+	"time"
 )
 
-func (s *Scheduler) send(r *request, w *worker) {
-	if w.ownSlots == 0 {
-		w.lastSignal = s.now
-	}
-	for _, h := range []*ejectionState{&w.ejectionState, &w.classEjections[r.class]} {
-		if h.consecutiveEjections > 0 { // a trial: the next one waits
-			h.ejectedUntil = s.now + s.ejectionDuration(h)
-		}
-	}
-	idle := s.now - cmp.Or(w.lastUsed, s.now)
-	if w.lastUsed = s.now; s.safeIdle > 0 && s.now < s.idleLossAt+idleLossRetention && (w.ownSlots > 0 || idle*5 > s.safeIdle*4) {
-		// What idle connections carry may be lost; a new one costs a little.
-		s.emit(CloseIdleConnections{Worker: w.ID, MinIdle: s.safeIdle * 4 / 5})
-		idle = 0
-	}
-	if s.warmupFactor(w) < 1 {
-		w.slowStartCharges = append(w.slowStartCharges, slowStartCharge{s.now, s.chargedWork(r)})
-	}
-	s.addOwnSlots(w, r.slots)
-	w.weightedSends += 1 / w.weight()
-	w.recentSends.add(s.now, 1/w.weight())
+// Attempts: what follows when one is sent, starts, ends or is cancelled.
+
+// attempt is one send of a request to a worker.
+type attempt struct {
+	worker          *worker
+	sentAt          Clock
+	startedAt       Clock         // 0 until the worker reports the start
+	inFlight        bool          // sent, no outcome yet
+	mayHaveExecuted bool          // true until an outcome rules it out
+	cancelled       bool          // a Cancel was emitted
+	trial           bool          // sent because the worker's report is overdue
+	lost            bool          // taken for lost: it no longer counts as using slots (see detectSilence)
+	connectionIdle  time.Duration // how long its connection, or while that is unknown the worker, had been unused before
+}
+
+func isInFlight(a attempt) bool      { return a.inFlight }
+func mayHaveExecuted(a attempt) bool { return a.mayHaveExecuted }
+func awaitsStart(a attempt) bool     { return a.inFlight && a.startedAt == 0 && !a.lost }
+
+// anyAttempt reports whether the condition holds for one of the request's attempts.
+func (r *request) anyAttempt(condition func(attempt) bool) bool {
+	return slices.ContainsFunc(r.attempts, condition)
+}
+
+// hasTried reports whether the worker has had an attempt of the request.
+func (r *request) hasTried(candidate *worker) bool {
+	return r.anyAttempt(func(a attempt) bool { return a.worker == candidate })
+}
+
+// attemptInFlight returns a request and its attempt with the given number, or nil for both if there is no such attempt or its
+// outcome is known.
+func (s *Scheduler) attemptInFlight(id RequestID, number int) (*request, *attempt) {
+	request := s.requests[id]
+	if request == nil || number < 0 || number >= len(request.attempts) || !request.attempts[number].inFlight {
+		return nil, nil
+	}
+	return request, &request.attempts[number]
+}
+
+// send sends a further attempt of request to worker and accounts for it: slots and slow-start charge at the worker, the
+// rotation among ties, the next trial of an ejected worker.
+func (s *Scheduler) send(request *request, worker *worker) {
+	if worker.ownSlots == 0 {
+		worker.lastSignal = s.now // silence counts from here
+	}
+	s.postponeNextTrial(worker, request.class)
+	idle := s.closeSuspectConnections(worker)
+	if s.warmupFactor(worker) < 1 {
+		worker.slowStartCharges = append(worker.slowStartCharges, slowStartCharge{s.now, s.chargedWork(request)})
+	}
+	s.addOwnSlots(worker, request.slots)
+	worker.weightedSends += 1 / worker.weight()
+	worker.recentSends.add(s.now, 1/worker.weight())
 	s.recentSends.add(s.now, 1)
-	w.recordSend()
-	by := earlierBound(s.retrySendDeadline(r), s.freshUntil(w))
-	a := attempt{worker: w, sentAt: s.now, inFlight: true, mayHaveExecuted: true, connectionIdle: idle, trial: w.ownSlots == r.slots && s.reportOverdue(w)}
-	if a.trial {
+	worker.recordSend()
+	sent := attempt{
+		worker: worker, sentAt: s.now, inFlight: true, mayHaveExecuted: true, connectionIdle: idle,
+		trial: worker.ownSlots == request.slots && s.reportOverdue(worker),
+	}
+	if sent.trial {
 		s.trialsInFlight++
 	}
-	r.attempts = append(r.attempts, a)
-	s.emit(Send{ID: r.id, Worker: w.ID, SendBy: by})
+	sendBy := earlierBound(s.retrySendDeadline(request), s.freshUntil(worker)) // before this attempt is one of the request's
+	request.attempts = append(request.attempts, sent)
+	s.emit(Send{ID: request.id, Worker: worker.ID, SendBy: sendBy})
 }
 
-func (s *Scheduler) onAttemptStarted(e AttemptStarted) {
-	r, a := s.attemptInFlight(e.ID, e.Attempt)
-	if a == nil {
+// onAttemptStarted learns from the start of an attempt and cancels the request's other attempts that have not started.
+func (s *Scheduler) onAttemptStarted(event AttemptStarted) {
+	request, started := s.attemptInFlight(event.ID, event.Attempt)
+	if started == nil {
 		return
 	}
-	s.recordSignal(a.worker)
-	if a.startedAt == 0 {
-		a.startedAt, a.worker.reattached = s.now, false
-		s.recordRoundTrip(a.worker.Zone, s.now-a.sentAt)
-		s.adjustOvercommit(r, a)
-		if a.lost {
-			a.lost = false
-			s.addOwnSlots(a.worker, r.slots)
-		}
-		a.worker.runningSlots += r.slots
-		if a.worker.runningSlots > max(a.worker.observedSlots, 1/a.worker.increment) {
-			s.recordSlots(a.worker, a.worker.runningSlots)
-		}
+	s.recordSignal(started.worker)
+	if started.startedAt == 0 {
+		s.recordAttemptStart(request, started)
 	}
-	r.streamed = r.streamed || e.Streamed
-	s.cancelAttempts(r, func(b *attempt) bool { return b != a && b.startedAt == 0 })
+	request.streamed = request.streamed || event.Streamed
+	s.cancelAttempts(request, func(other *attempt) bool { return other != started && other.startedAt == 0 })
 }
 
-func (s *Scheduler) onAttemptFinished(e AttemptFinished) {
-	r, a := s.attemptInFlight(e.ID, e.Attempt)
-	if a == nil {
+// recordAttemptStart takes in that an attempt runs. More running slots than a worker was thought to have are evidence of more
+// slots; a single running job on a worker of unknown size is none.
+func (s *Scheduler) recordAttemptStart(request *request, started *attempt) {
+	worker := started.worker
+	started.startedAt, worker.reattached = s.now, false
+	s.recordRoundTrip(worker.Zone, s.now-started.sentAt)
+	s.adjustOvercommit(request, started)
+	if started.lost {
+		started.lost = false
+		s.addOwnSlots(worker, request.slots)
+	}
+	worker.runningSlots += request.slots
+	if worker.runningSlots > max(worker.observedSlots, 1/worker.increment) {
+		s.recordSlots(worker, worker.runningSlots)
+	}
+}
+
+// onAttemptProgressed takes news of a running attempt as a signal of its worker.
+func (s *Scheduler) onAttemptProgressed(event AttemptProgressed) {
+	if _, running := s.attemptInFlight(event.ID, event.Attempt); running != nil {
+		s.recordSignal(running.worker)
+	}
+}
+
+// onAttemptFinished takes in the outcome of an attempt: what it tells of the worker first, then what follows for the request.
+func (s *Scheduler) onAttemptFinished(event AttemptFinished) {
+	request, ended := s.attemptInFlight(event.ID, event.Attempt)
+	if ended == nil {
 		return
 	}
-	w := a.worker
-	a.inFlight = false
-	if e.ConnectionIdle >= 0 {
-		a.connectionIdle = e.ConnectionIdle
+	if event.ConnectionIdle >= 0 {
+		ended.connectionIdle = event.ConnectionIdle
 	}
-	if a.trial {
+	ended.mayHaveExecuted = mayExecute(event.Outcome)
+	s.releaseAttempt(request, ended)
+	s.learnFromOutcome(request, ended, event.Outcome)
+	s.applyReport(ended.worker, event.Report)
+	s.continueRequest(request, event)
+}
+
+// mayExecute reports whether the job of an attempt with this outcome may have run, or may run yet.
+func mayExecute(outcome Outcome) bool {
+	return outcome != Full && outcome != NoConnect && outcome != NeverSent && outcome != InvalidRequest
+}
+
+// releaseAttempt ends what an attempt occupies at its worker.
+func (s *Scheduler) releaseAttempt(request *request, ended *attempt) {
+	ended.inFlight = false
+	if ended.trial {
 		s.trialsInFlight--
 	}
-	a.mayHaveExecuted = e.Outcome != Full && e.Outcome != NoConnect && e.Outcome != NeverSent && e.Outcome != InvalidRequest
-	if !a.lost {
-		s.addOwnSlots(w, -r.slots)
+	if !ended.lost {
+		s.addOwnSlots(ended.worker, -request.slots)
 	}
-	if a.startedAt > 0 {
-		w.runningSlots = max(w.runningSlots-r.slots, 0)
+	if ended.startedAt > 0 {
+		ended.worker.runningSlots = max(ended.worker.runningSlots-request.slots, 0)
 	}
-	switch e.Outcome {
+}
+
+// learnFromOutcome updates what is known of the worker. An invalid request is the client's fault and only a signal; a timeout
+// is the worker's fault if the job never started; a cancelled attempt, or one that was never sent, says nothing.
+func (s *Scheduler) learnFromOutcome(request *request, ended *attempt, outcome Outcome) {
+	worker := ended.worker
+	switch outcome {
 	case Served:
-		w.reattached = false
-		w.classEjections[r.class].recordSuccess()
-		s.recordSignal(w)
-		s.recordRuntime(r, a)
+		worker.reattached = false
+		worker.classEjections[request.class].recordSuccess()
+		s.recordSignal(worker)
+		s.recordRuntime(request, ended)
 	case Full:
-		s.recordSignal(w)
-		s.recordFull(w)
-	case InvalidRequest: // the client's fault: a bad client must not get workers shunned
-		s.recordSignal(w)
+		s.recordSignal(worker)
+		s.recordFull(worker)
+	case InvalidRequest:
+		s.recordSignal(worker)
 	case NoConnect, Reset:
-		if e.Outcome == NoConnect || !s.recordIdleLoss(a) {
-			s.recordConnectionLoss(w)
+		if outcome == NoConnect || !s.recordIdleLoss(ended) {
+			s.recordConnectionLoss(worker)
 		}
 	case Errored, TimedOut:
-		if e.Outcome == Errored || a.startedAt == 0 && !a.lost {
-			s.recordFailure(w, r.class)
+		if outcome == Errored || ended.startedAt == 0 && !ended.lost {
+			s.recordFailure(worker, request.class)
 		}
 	}
-	s.applyReport(w, e.Report)
-	switch {
-	case e.Final || e.Outcome == Served:
-		s.finishRequest(r)
-	case r.finished:
-		s.deleteUnlessInFlight(r)
-	case e.Outcome == InvalidRequest:
-		s.emit(Fail{ID: r.id})
-		s.finishRequest(r)
-	case r.anyAttempt(isInFlight):
-	case r.deadline-s.now <= s.queueReviewInterval() || !s.retryPossible(r):
-		s.rejectOrFail(r)
-	default:
-		s.queued = append(s.queued, r)
+}
+
+// cancelAttempts cancels the request's attempts in flight that meet the condition, where the settings permit it.
+func (s *Scheduler) cancelAttempts(request *request, condition func(*attempt) bool) {
+	if !request.settings.MayCancel {
+		return
+	}
+	for number := range request.attempts {
+		candidate := &request.attempts[number]
+		if !candidate.inFlight || candidate.cancelled || !condition(candidate) {
+			continue
+		}
+		candidate.cancelled = true
+		s.recordCancellation(candidate, request.slots)
+		s.emit(Cancel{ID: request.id, Attempt: number})
 	}
 }
 
-// retryPossible tells whether some listed worker may take the request, now or later.
-func (s *Scheduler) retryPossible(r *request) bool {
-	if !r.anyAttempt(mayHaveExecuted) {
-		return len(r.attempts) < r.settings.MaxAttempts
+// everyAttempt is the condition of cancelAttempts that all attempts meet.
+func everyAttempt(*attempt) bool { return true }
+
+// recordCancellation notes at the worker what is cancelled before its start: the slots, and the wait if it was long enough for a
+// hedge.
+func (s *Scheduler) recordCancellation(cancelled *attempt, slots float64) {
+	worker := cancelled.worker
+	if cancelled.startedAt == 0 {
+		worker.cancelledSlots.window = max(durationOf(s.meanStay), reportLookback)
+		worker.cancelledSlots.add(s.now, slots)
+	}
+	if s.startOverdue(cancelled, hedgeDelay) {
+		worker.cancelledWaits.add(s.now, 1)
 	}
-	return slices.ContainsFunc(s.workers, func(w *worker) bool { return s.permitted(r, w) })
 }
 
-// rejectOrFail gives the final rejectOrFail: a refusal where a further try is harmless, else a failure.
-func (s *Scheduler) rejectOrFail(r *request) {
-	c := &r.settings.Classes[r.class]
-	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll || !r.anyAttempt(mayHaveExecuted) {
-		s.emit(Reject{ID: r.id, RetryAfter: r.settings.MaxRetryAfter})
-	} else {
-		s.emit(Fail{ID: r.id})
+// earlierBound returns the earlier of two bounds, of which 0 means none.
+func earlierBound(a, b Clock) Clock {
+	if a == 0 || b != 0 && b < a {
+		return b
 	}
-	s.finishRequest(r)
+	return a
 }
 
-// finishRequest ends what is owed and calls off what is still out.
-func (s *Scheduler) finishRequest(r *request) {
-	r.finished = true
-	s.cancelAttempts(r, func(*attempt) bool { return true })
-	s.deleteUnlessInFlight(r)
+// closeSuspectConnections emits CloseIdleConnections if connections of the worker have been idle for long enough that an attempt
+// on one of them may be lost (see recordIdleLoss); a new connection costs little. It returns how long the worker was unused.
+func (s *Scheduler) closeSuspectConnections(worker *worker) time.Duration {
+	idle := s.now - cmp.Or(worker.lastUsed, s.now)
+	worker.lastUsed = s.now
+	if s.safeIdle > 0 && s.now < s.idleLossAt+idleLossRetention && (worker.ownSlots > 0 || idle*5 > s.safeIdle*4) {
+		s.emit(CloseIdleConnections{Worker: worker.ID, MinIdle: s.safeIdle * 4 / 5})
+		return 0
+	}
+	return idle
 }
--- a/scheduler/freshness.go
+++ b/scheduler/freshness.go
@@ -53,11 +53,3 @@
 	}
 	w.nextHealthCheckAt = s.now + failedProbeBackoff
 }
-
-// earlierBound gives the earlierBound of two bounds, of which 0 is none.
-func earlierBound(a, b Clock) Clock {
-	if a == 0 || b != 0 && b < a {
-		return b
-	}
-	return a
-}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -95,3 +95,12 @@
 		s.recordConnectionLoss(w)
 	}
 }
+
+// postponeNextTrial sets when the next trial of an ejected worker, or of one of its classes, may follow this attempt.
+func (s *Scheduler) postponeNextTrial(worker *worker, class int) {
+	for _, state := range []*ejectionState{&worker.ejectionState, &worker.classEjections[class]} {
+		if state.consecutiveEjections > 0 {
+			state.ejectedUntil = s.now + s.ejectionDuration(state)
+		}
+	}
+}
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -130,13 +130,13 @@
 		v.scheduler.requests[id] = r
 		v.scheduler.requestsByArrival = append(v.scheduler.requestsByArrival, r)
 	}
-	v.scheduler.reviewAll()
+	v.scheduler.review()
 	if drag := v.scheduler.slowdown(w); drag != 1 {
 		t.Errorf("drag %v while they have only begun", drag)
 	}
 	v.now += time.Second
 	v.scheduler.now = v.now
-	v.scheduler.reviewAll()
+	v.scheduler.review()
 	if drag := v.scheduler.slowdown(w); drag < slowdownThreshold {
 		t.Errorf("drag %v after a second of jobs that take a tenth", drag)
 	}
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -55,37 +55,6 @@
 	s.queued = append(s.queued, r)
 }
 
-// estimatedRuntime estimates the running time of a request; 0 when nothing is known.
-func (s *Scheduler) estimatedRuntime(r *request) float64 {
-	scale := s.classes[r.class].workScale
-	if r.estimatedWork > 0 {
-		return cmp.Or(scale, 1) * r.estimatedWork.Seconds()
-	}
-	return scale
-}
-
-// slack is how long a request can still wait for a slot and be in time.
-func (s *Scheduler) slack(r *request) time.Duration {
-	c := &r.settings.Classes[r.class]
-	run := durationOf(s.estimatedRuntime(r))
-	if r.estimatedWork <= 0 {
-		run = durationOf(typicalRuntimeShare * s.estimatedRuntime(r))
-	}
-	in := min(c.LatencyObjective+time.Duration((c.ObjectiveStretch-1)*float64(run)), max(c.Deadline-run, c.LatencyObjective))
-	return min(r.firstAskedAt+in, r.deadline-run) - s.now
-}
-
-// maxStartWait is how long a request whose late answer is worth nothing may wait for its start: as long as it can
-// be in time. Where its own need is not told that is a like job's, and the less the more of the recent jobs
-// waited, down to half its aim: where all wait, what begins has waited as long as it may, and some fail.
-func (s *Scheduler) maxStartWait(r *request) time.Duration {
-	most := s.slack(r) + s.now - r.firstAskedAt
-	if r.estimatedWork > 0 {
-		return most
-	}
-	return most + durationOf(s.congestion*(r.settings.Classes[r.class].LatencyObjective/2-most).Seconds())
-}
-
 // sendQueued pushes what is held, as far as there is room: what can still be in time first, then by worth for its
 // work, then the youngest (under overload the old ones are nearly lost, and would make all late).
 func (s *Scheduler) sendQueued() {
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -1,108 +1,177 @@
-// The regular round over what is open: overdue requests, hedges, probes.
-
 package scheduler
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
 
-// reviewAll is the regular round: overdue requests, copies, silent workers, probes.
-func (s *Scheduler) reviewAll() {
-	for _, w := range s.workers {
-		w.delayedStarts, w.runningSlownessSum, w.runningSlownessJobs = 0, 0, 0
+// Review: the regular round over all open requests, driven by a timer. It looks for silent workers and delayed starts, gives up
+// what is too late, hedges, renews the subset and sends the regular probes.
+
+const (
+	// maxQueueReviewInterval bounds the time between reviews while requests are queued.
+	maxQueueReviewInterval = 20 * time.Millisecond
+
+	// idleReviewInterval is the time between reviews while no attempt awaits its start.
+	idleReviewInterval = 200 * time.Millisecond
+
+	// minStall is how late the timer of a review must be to show that this process, or its machine, stood still.
+	minStall = 100 * time.Millisecond
+)
+
+// The tokens of the timers.
+const (
+	reviewTimer   = 1
+	pollTimer     = 2
+	shutdownTimer = 3
+)
+
+// queueReviewInterval returns the time between reviews while requests are queued. It is also the margin by which answers are
+// given before a deadline.
+func (s *Scheduler) queueReviewInterval() time.Duration {
+	return min(maxQueueReviewInterval, max(s.settings.AnswerSlack/2, time.Millisecond))
+}
+
+// scheduleReview sets a timer for the next review unless an earlier one is set. Nothing is due without open requests, except
+// probes where reports are pulled.
+func (s *Scheduler) scheduleReview() {
+	if len(s.requestsByArrival) == 0 && !s.settings.ReportsPulled {
+		return
 	}
-	s.requestsByArrival = slices.DeleteFunc(s.requestsByArrival, func(r *request) bool { return s.requests[r.id] != r })
-	for _, r := range s.requestsByArrival {
-		for i := range r.attempts {
-			a := &r.attempts[i]
-			s.detectSilence(r, a)
-			if s.startOverdue(a, startGracePeriod) && !a.lost {
-				a.worker.delayedStarts++
-			}
-			// One that runs for longer than usual tells of a slow worker before it ends.
-			if a.inFlight && a.startedAt > 0 {
-				if late := s.logSlowness(r, a); late > 0 {
-					a.worker.runningSlownessSum, a.worker.runningSlownessJobs = a.worker.runningSlownessSum+late, a.worker.runningSlownessJobs+1
-				}
-			}
+	pause := idleReviewInterval
+	if len(s.queued) > 0 {
+		pause = s.queueReviewInterval()
+	} else if slices.ContainsFunc(s.requestsByArrival, func(r *request) bool { return r.anyAttempt(awaitsStart) }) {
+		pause = hedgeDelay + time.Millisecond
+	}
+	if at := s.now + pause; !s.reviewScheduled || at < s.nextReviewAt {
+		s.reviewScheduled, s.nextReviewAt = true, at
+		s.emit(SetTimer{Token: reviewTimer, After: pause})
+	}
+}
+
+// detectStall notes when the timer of a review comes late: this process stood still, and all that came meanwhile is found at
+// once. No worker was silent then, and times measured in this turn are wrong.
+func (s *Scheduler) detectStall() {
+	if !s.reviewScheduled || s.now <= s.nextReviewAt+minStall || s.now == s.resumedAt {
+		return
+	}
+	s.resumedAt = s.now
+	for _, worker := range s.workers {
+		worker.lastSignal = s.now
+	}
+}
+
+// onTimerFired acts on a timer. That of an earlier review, replaced since, is ignored; behind a stall the review waits until
+// what has come is read.
+func (s *Scheduler) onTimerFired(event TimerFired) {
+	switch {
+	case event.Token == pollTimer:
+		s.emit(Subscribe{})
+	case event.Token == shutdownTimer:
+		s.review()
+	case event.Token == reviewTimer && s.now >= s.nextReviewAt:
+		s.reviewScheduled = false
+		if s.now != s.resumedAt {
+			s.review()
 		}
 	}
-	for _, r := range slices.Clone(s.requestsByArrival) {
-		if !r.finished && !r.streamed {
-			s.reviewRequest(r)
+}
+
+// review is one round.
+func (s *Scheduler) review() {
+	s.requestsByArrival = slices.DeleteFunc(s.requestsByArrival, func(r *request) bool { return s.requests[r.id] != r })
+	s.reviewWorkers()
+	for _, request := range slices.Clone(s.requestsByArrival) {
+		if !request.finished && !request.streamed {
+			s.reviewRequest(request)
 		}
 	}
 	if s.now-s.subsetChosenAt >= subsetInterval {
 		s.chooseSubset()
 	}
-	pause := float64(probeInterval) * max(float64(s.settings.Dispatchers)/maxProbers, 1)
-	if len(s.subset) < len(s.workers) { // else every dispatcher asks every worker
-		pause = float64(probeInterval)
+	s.probeSubset()
+}
+
+// reviewWorkers counts, for each worker, the own attempts that have not started in time, and those that run for longer than
+// usual: they show a slow worker before they end. It also looks for silence.
+func (s *Scheduler) reviewWorkers() {
+	for _, worker := range s.workers {
+		worker.delayedStarts, worker.runningSlownessSum, worker.runningSlownessJobs = 0, 0, 0
 	}
-	for _, w := range s.subset {
-		if w.nextProbeAt == 0 { // many dispatchers that start, or hear of it, at once would overrun it
-			w.nextProbeAt = s.now + time.Duration(s.random.Float64()*(pause-float64(probeInterval)))
-		}
-		if s.settings.ReportsPulled && s.settings.MayProbe && w.listed && !w.detached && !w.probeInFlight && s.now >= w.nextProbeAt {
-			// Spread, so that not all workers are known equally late, nor all dispatchers at once.
-			w.nextProbeAt = s.now + time.Duration((0.75+s.random.Float64()/2)*pause)
-			s.sendProbe(w)
+	for _, request := range s.requestsByArrival {
+		for i := range request.attempts {
+			attempt := &request.attempts[i]
+			s.detectSilence(request, attempt)
+			s.countDelays(request, attempt)
 		}
 	}
 }
 
-// startOverdue tells whether an attempt should have begun by now.
-func (s *Scheduler) startOverdue(a *attempt, grace time.Duration) bool {
-	return a.inFlight && a.startedAt == 0 && s.settings.ReportsStart && s.now-a.sentAt > grace+connectionRoundTrips*s.roundTripTimes[a.worker.Zone]
+// countDelays adds an attempt to its worker's counts of delayed starts and of slow jobs that run now.
+func (s *Scheduler) countDelays(request *request, attempt *attempt) {
+	worker := attempt.worker
+	if s.startOverdue(attempt, startGracePeriod) && !attempt.lost {
+		worker.delayedStarts++
+	}
+	if !attempt.inFlight || attempt.startedAt <= 0 {
+		return
+	}
+	if slowness := s.logSlowness(request, attempt); slowness > 0 {
+		worker.runningSlownessSum += slowness
+		worker.runningSlownessJobs++
+	}
 }
 
-// reviewRequest looks at one open request. One that nobody will begin in time is given up, unless workers were seen
-// to keep what is called off: it is in the way all the same, and its client comes again. Where copies are
-// allowed and loads known roughly, one that has not begun soon gets another at the next worker, and the first
-// to begin calls the others off: a search for a free slot. Where all loads are known it finds none and costs
-// what it waits for: there only a worker that says nothing for a usual stay has its jobs copied. Where few
-// workers are drawn from, their loads are known as well, but not what others send there, nor whether what is
-// called off is kept and runs for nothing: there are few copies then, and the fewer the more jobs wait.
-func (s *Scheduler) reviewRequest(r *request) {
-	var last *attempt
-	begun, sound := false, false
-	for i := range r.attempts {
-		if a := &r.attempts[i]; a.inFlight {
-			last, begun, sound = a, begun || a.startedAt > 0, sound || s.healthy(a.worker, r.class)
+// reviewRequest decides, for a request that is owed an answer, in this order:
+//
+//  1. Without an attempt in flight (it is queued) it is answered if its deadline is near or it is too late.
+//  2. Past its deadline it fails.
+//  3. If it is too late and no attempt has started it is given up, unless workers run cancelled jobs all the same.
+//  4. It is left alone if it is not idempotent, its latest attempt is cancelled, an attempt runs at a healthy worker, or only one
+//     more attempt is left, which a retry may need.
+//  5. Otherwise it is hedged, where that is permitted, or its attempts at ejected workers are cancelled, so that it is retried.
+func (s *Scheduler) reviewRequest(request *request) {
+	var latest *attempt
+	started, atHealthyWorker := false, false
+	for i := range request.attempts {
+		if candidate := &request.attempts[i]; candidate.inFlight {
+			latest, started = candidate, started || candidate.startedAt > 0
+			atHealthyWorker = atHealthyWorker || s.healthy(candidate.worker, request.class)
 		}
 	}
-	c := &r.settings.Classes[r.class]
-	late := c.LateWeight <= 0 && s.now-r.firstAskedAt > s.maxStartWait(r)
+	settings, late := request.settings, s.tooLate(request)
 	switch {
-	case last == nil:
-		if r.deadline-s.now <= 2*s.queueReviewInterval() || late {
-			s.rejectOrFail(r)
-		}
-	case s.now >= r.deadline+r.settings.AnswerSlack/2:
-		s.emit(Fail{ID: r.id})
-		s.finishRequest(r)
-	case late && !begun && s.settings.ReportsStart && s.cancellations.undroppedShare() < maxUndroppedShare: // its turn comes too late: given up
-		s.recordStart(last.worker, true)
-		s.overcommit = max(s.overcommit-s.overcommitStep(), minOvercommit)
-		s.rejectOrFail(r)
-	case c.Idempotency == NonIdempotent || last.cancelled || begun && sound || len(r.attempts)+1 >= r.settings.MaxAttempts:
-	case r.settings.MayHedge && r.settings.MayCancel:
-		stuck := s.startOverdue(last, hedgeDelay+durationOf(s.congestion*congestionHedgeDelay.Seconds()))
-		if s.loadsKnown {
-			stuck = s.startOverdue(last, durationOf(cmp.Or(s.meanStay, 1))) && last.worker.lastSignal <= last.sentAt
-		} else if len(s.subset) < len(s.workers) {
-			stuck = stuck && s.recentHedges.value(s.now) < (maxCongestion-s.congestion)*s.recentSends.value(s.now)
+	case latest == nil:
+		if late || request.deadline-s.now <= 2*s.queueReviewInterval() {
+			s.rejectOrFail(request)
 		}
-		if late || !stuck && s.healthy(last.worker, r.class) {
-			return
+	case s.now >= request.deadline+settings.AnswerSlack/2:
+		s.failRequest(request)
+	case late && !started && s.settings.ReportsStart && s.cancellations.undroppedShare() < maxUndroppedShare:
+		s.giveUp(request, latest.worker)
+	case settings.Classes[request.class].Idempotency == NonIdempotent, latest.cancelled, started && atHealthyWorker,
+		len(request.attempts)+1 >= settings.MaxAttempts:
+	case settings.MayHedge && settings.MayCancel:
+		s.hedge(request, latest, late)
+	case !atHealthyWorker:
+		s.cancelAttempts(request, everyAttempt)
+	}
+}
+
+func (s *Scheduler) probeSubset() {
+	pause := float64(probeInterval) * max(float64(s.settings.Dispatchers)/maxProbers, 1)
+	if len(s.subset) < len(s.workers) { // else every dispatcher asks every worker
+		pause = float64(probeInterval)
+	}
+	for _, w := range s.subset {
+		if w.nextProbeAt == 0 { // many dispatchers that start, or hear of it, at once would overrun it
+			w.nextProbeAt = s.now + time.Duration(s.random.Float64()*(pause-float64(probeInterval)))
 		}
-		if w := s.pickWorker(r, s.overcommit); w != nil && !r.hasTried(w) {
-			s.recentHedges.add(s.now, 1)
-			s.send(r, w)
+		if s.settings.ReportsPulled && s.settings.MayProbe && w.listed && !w.detached && !w.probeInFlight && s.now >= w.nextProbeAt {
+			// Spread, so that not all workers are known equally late, nor all dispatchers at once.
+			w.nextProbeAt = s.now + time.Duration((0.75+s.random.Float64()/2)*pause)
+			s.sendProbe(w)
 		}
-	case !sound && r.settings.MayCancel:
-		s.cancelAttempts(r, func(*attempt) bool { return true })
 	}
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"hash/fnv"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -11,14 +10,6 @@
 
 // The state that the decisions of brain.go are made on; nothing is decided here.
 
-const (
-	failurePriorJobs = 4 // jobs
-
-	toleratedFailureShare = 0.1 // share of the jobs
-
-	reviewTimer, pollTimer, shutdownTimer = 1, 2, 3 // of the timers
-)
-
 // ejectionState tells whether jobs may go to a worker, or those of one class.
 type ejectionState struct {
 	failureCount         float64
@@ -80,15 +71,6 @@
 	work float64
 }
 
-type attempt struct {
-	worker                               *worker
-	sentAt, startedAt                    Clock
-	inFlight, mayHaveExecuted, cancelled bool
-	trial                                bool          // sent to hear of a worker (see hasRoom)
-	lost                                 bool          // it holds no slot there
-	connectionIdle                       time.Duration // how long the worker had not been used before
-}
-
 type request struct {
 	id                     RequestID
 	settings               *Settings // as it began
@@ -107,13 +89,6 @@
 	return r.allowedZones != 0 && r.allowedZones>>uint(zone&63)&1 == 0
 }
 
-type classState struct {
-	workScale       float64 // mean run time, per unit of hint or in seconds
-	meanLogRuntime  float64 // the same as a mean of logarithms, which few long jobs do not sway
-	jobs            int
-	longestTimeLeft time.Duration // longest time that a try of this class had left on arrival
-}
-
 // Scheduler is the decision state of one dispatcher. Make it with New.
 type Scheduler struct {
 	settings                     *Settings // in force; replaced as a whole
@@ -232,77 +207,11 @@
 
 // ---- Helpers ----
 
-// updateMean moves a mean by its n-th value. The first few weigh alike: moved by as little as later ones, it would be too
-// low for as many jobs as it remembers, which a dispatcher among many does not see within a minute.
-func updateMean(mean *float64, n int, x float64) {
-	*mean += max(1/float64(n), 1-meanRetention) * (x - *mean)
-}
-
-// recordCancelledWait notes that an attempt is called off which waited for its start for so long that it was copied.
-func (s *Scheduler) recordCancelledWait(a *attempt) {
-	if s.startOverdue(a, hedgeDelay) {
-		a.worker.cancelledWaits.add(s.now, 1)
-	}
-}
-
-// cancelAttempts cancels the attempts that are out and meet the condition.
-func (s *Scheduler) cancelAttempts(r *request, when func(*attempt) bool) {
-	for i := range r.attempts {
-		if a := &r.attempts[i]; r.settings.MayCancel && a.inFlight && !a.cancelled && when(a) {
-			a.cancelled = true
-			if a.startedAt == 0 {
-				a.worker.cancelledSlots.window = max(durationOf(s.meanStay), reportLookback)
-				a.worker.cancelledSlots.add(s.now, r.slots)
-			}
-			s.recordCancelledWait(a)
-			s.emit(Cancel{ID: r.id, Attempt: i})
-		}
-	}
-}
-
-// queueReviewInterval is the pause between looks while something is held.
-func (s *Scheduler) queueReviewInterval() time.Duration {
-	return min(maxQueueReviewInterval, max(s.settings.AnswerSlack/2, time.Millisecond))
-}
-
-// excessFailureShare is the share of its recent jobs that a worker failed, as if some more had been served: a few in a hundred are
-// chance, and what it did is forgotten, or one that has recovered would get no job to show it.
-func (w *worker) excessFailureShare(now Clock) float64 {
-	bad := min(w.recentFailures.value(now), failurePriorJobs)
-	return max(bad/(bad+w.recentSuccesses.value(now)+failurePriorJobs)-toleratedFailureShare, 0)
-}
-
 // recordSignal notes a sign of life.
 func (s *Scheduler) recordSignal(w *worker) {
 	w.lastSignal, w.lastUsed, w.consecutiveEjections, w.failureCount = s.now, s.now, 0, 0
 }
 
-// deleteUnlessInFlight drops a finished request once no attempt of it is out.
-func (s *Scheduler) deleteUnlessInFlight(r *request) {
-	if !r.anyAttempt(isInFlight) {
-		delete(s.requests, r.id)
-	}
-}
-
-// recordRuntime learns from a job's running time what its class takes and how fast the worker is.
-func (s *Scheduler) recordRuntime(r *request, a *attempt) {
-	c, unit := &s.classes[r.class], cmp.Or(r.estimatedWork.Seconds(), 1)
-	run := (s.now - cmp.Or(a.startedAt, a.sentAt)).Seconds()
-	if s.now == s.resumedAt || run <= 0 {
-		return
-	}
-	a.worker.recentSuccesses.add(s.now, 1)
-	s.servedJobs, c.jobs = s.servedJobs+1, c.jobs+1
-	updateMean(&s.meanStay, s.servedJobs, (s.now - a.sentAt).Seconds())
-	updateMean(&s.meanWork, s.servedJobs, run*r.slots)
-	updateMean(&c.workScale, c.jobs, run/unit)
-	updateMean(&c.meanLogRuntime, c.jobs, math.Log(run/unit))
-	late := s.logSlowness(r, a)
-	s.slownessByKind[a.worker.MachineKind] += (1 - meanRetention) * (late - s.slownessByKind[a.worker.MachineKind])
-	a.worker.slownessSum = a.worker.slownessSum*slownessRetention + late
-	a.worker.slownessJobs = a.worker.slownessJobs*slownessRetention + 1
-}
-
 // warmupFactor is the share of its capacity that a worker can be trusted to have, by its age.
 func (s *Scheduler) warmupFactor(w *worker) float64 {
 	age := s.now - w.StartedAt
@@ -407,67 +316,6 @@
 // weight is a worker's weight as it was registered.
 func (w *worker) weight() float64 { return max(figureOrMissing(w.Weight), 1e-3) }
 
-// decayingCounter is a sum that fades over a span.
-type decayingCounter struct {
-	sum       float64
-	updatedAt Clock
-	window    time.Duration // 0 for rateSpan
-}
-
-func (f *decayingCounter) value(now Clock) float64 {
-	f.sum *= math.Exp(-float64(now-f.updatedAt) / float64(cmp.Or(f.window, arrivalRateWindow)))
-	f.updatedAt = now
-	return f.sum
-}
-
-func (f *decayingCounter) add(now Clock, amount float64) { f.sum = f.value(now) + amount }
-
-// cancellationEstimate tells from reports whether workers keep what is called off while it waits, which no setting does. What a worker
-// holds is taken as a multiple of the own jobs there (others send as many) and of the own ones lately called off there, by
-// least squares: where called off means gone, the second factor is none of the first.
-type cancellationEstimate struct{ ownSquared, ownTimesCancelled, cancelledSquared, occupiedTimesOwn, occupiedTimesCancelled float64 }
-
-const (
-	undroppedPrior        = 0.25 // of what is called off is assumed to be kept, ...
-	undroppedPriorReports = 20   // ... as if so many reports had told it
-	maxOwnMultiple        = 4    // of the own jobs: where these are a smaller part of all, they tell nothing
-)
-
-func (t *cancellationEstimate) observe(held, own, off float64) {
-	t.ownSquared, t.ownTimesCancelled, t.cancelledSquared = t.ownSquared+own*own, t.ownTimesCancelled+own*off, t.cancelledSquared+off*off
-	t.occupiedTimesOwn, t.occupiedTimesCancelled = t.occupiedTimesOwn+held*own, t.occupiedTimesCancelled+held*off
-}
-
-// undroppedShare is the share that stays.
-func (t *cancellationEstimate) undroppedShare() float64 {
-	det := t.ownSquared*t.cancelledSquared - t.ownTimesCancelled*t.ownTimesCancelled
-	own, off := (t.occupiedTimesOwn*t.cancelledSquared-t.occupiedTimesCancelled*t.ownTimesCancelled)/det, (t.occupiedTimesCancelled*t.ownSquared-t.occupiedTimesOwn*t.ownTimesCancelled)/det
-	if det <= 0 || own <= 0 || own > maxOwnMultiple {
-		return undroppedPrior
-	}
-	return (min(max(off/own, 0), 1)*t.cancelledSquared + undroppedPrior*undroppedPriorReports) / (t.cancelledSquared + undroppedPriorReports)
-}
-
-func (r *request) anyAttempt(is func(attempt) bool) bool { return slices.ContainsFunc(r.attempts, is) }
-
-func isInFlight(a attempt) bool      { return a.inFlight }
-func mayHaveExecuted(a attempt) bool { return a.mayHaveExecuted }
-func awaitsStart(a attempt) bool     { return a.inFlight && a.startedAt == 0 && !a.lost }
-
-func (r *request) hasTried(w *worker) bool {
-	return r.anyAttempt(func(a attempt) bool { return a.worker == w })
-}
-
-func durationOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-func (s *Scheduler) attemptInFlight(id RequestID, n int) (*request, *attempt) {
-	r := s.requests[id]
-	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].inFlight {
-		return nil, nil
-	}
-	return r, &r.attempts[n]
-}
-
 // updateWorker takes a line of the list in.
 func (s *Scheduler) updateWorker(in WorkerInfo) {
 	w := s.workersByID[in.ID]
@@ -512,20 +360,4 @@
 	return n
 }
 
-// logSlowness is how much longer than usual an attempt has run by now, as a logarithm.
-func (s *Scheduler) logSlowness(r *request, a *attempt) float64 {
-	if s.classes[r.class].jobs == 0 {
-		return 0
-	}
-	run := (s.now - cmp.Or(a.startedAt, a.sentAt)).Seconds()
-	return math.Log(max(run, 1e-6)/cmp.Or(r.estimatedWork.Seconds(), 1)) - s.classes[r.class].meanLogRuntime
-}
-
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
-
-func oneIf(is bool) int {
-	if is {
-		return 1
-	}
-	return 0
-}
--- /dev/null
+++ b/scheduler/statistics.go
@@ -0,0 +1,138 @@
+package scheduler
+
+import (
+	"cmp"
+	"math"
+	"time"
+)
+
+// Statistics that the rules share: means of runtimes and stays, decaying counts, the slowness of workers.
+
+const (
+	// arrivalRateWindow is the time constant of the own arrival rate, and of decayingCounter unless it has its own.
+	arrivalRateWindow = 10 * time.Second
+
+	// meanRetention is the weight of the past when a mean of the class or the dispatcher moves: it covers about thirty jobs.
+	meanRetention = 0.97
+
+	// slownessRetention is the weight of the past in a worker's slowness: it covers about twenty jobs.
+	slownessRetention = 0.95
+
+	// slownessPriorJobs is the number of jobs of ordinary (or, in slow start, of the feared) pace that are assumed beside those
+	// seen.
+	slownessPriorJobs = 8
+
+	// slowdownThreshold is the factor up to which a slower worker counts as of ordinary pace: less is chance.
+	slowdownThreshold = 1.5
+
+	// failurePriorJobs is the number of served jobs assumed beside those seen, and the bound of the failures that count.
+	failurePriorJobs = 4
+
+	// toleratedFailureShare is the share of failures that is chance.
+	toleratedFailureShare = 0.1
+)
+
+// decayingCounter is a sum whose past decays exponentially.
+type decayingCounter struct {
+	sum       float64
+	updatedAt Clock
+	window    time.Duration // time constant; 0 for arrivalRateWindow
+}
+
+// value returns the sum as of now.
+func (c *decayingCounter) value(now Clock) float64 {
+	c.sum *= math.Exp(-float64(now-c.updatedAt) / float64(cmp.Or(c.window, arrivalRateWindow)))
+	c.updatedAt = now
+	return c.sum
+}
+
+// add adds an amount as of now.
+func (c *decayingCounter) add(now Clock, amount float64) { c.sum = c.value(now) + amount }
+
+// classState is what a scheduler has learned of a class's requests.
+type classState struct {
+	workScale       float64 // mean runtime in seconds, or, with an estimate of the work, as a multiple of it
+	meanLogRuntime  float64 // mean logarithm of the same, which few long jobs do not sway
+	jobs            int     // number of served jobs
+	longestTimeLeft time.Duration
+}
+
+// updateMean moves a mean by its n-th value: the first values weigh alike, later ones by 1 - meanRetention.
+func updateMean(mean *float64, n int, value float64) {
+	*mean += max(1/float64(n), 1-meanRetention) * (value - *mean)
+}
+
+// recordRuntime learns from a served attempt what its class takes and how fast its worker is. After a stall of this process the
+// times are wrong and nothing is learned.
+func (s *Scheduler) recordRuntime(request *request, served *attempt) {
+	class, unit := &s.classes[request.class], cmp.Or(request.estimatedWork.Seconds(), 1)
+	runtime := (s.now - cmp.Or(served.startedAt, served.sentAt)).Seconds()
+	if s.now == s.resumedAt || runtime <= 0 {
+		return
+	}
+	worker := served.worker
+	worker.recentSuccesses.add(s.now, 1)
+	s.servedJobs, class.jobs = s.servedJobs+1, class.jobs+1
+	updateMean(&s.meanStay, s.servedJobs, (s.now - served.sentAt).Seconds())
+	updateMean(&s.meanWork, s.servedJobs, runtime*request.slots)
+	updateMean(&class.workScale, class.jobs, runtime/unit)
+	updateMean(&class.meanLogRuntime, class.jobs, math.Log(runtime/unit))
+	slowness := s.logSlowness(request, served)
+	s.slownessByKind[worker.MachineKind] += (1 - meanRetention) * (slowness - s.slownessByKind[worker.MachineKind])
+	worker.slownessSum = worker.slownessSum*slownessRetention + slowness
+	worker.slownessJobs = worker.slownessJobs*slownessRetention + 1
+}
+
+// logSlowness returns the logarithm of an attempt's runtime so far as a multiple of the usual one of its class; 0 while the
+// class is unknown.
+func (s *Scheduler) logSlowness(request *request, attempt *attempt) float64 {
+	class := &s.classes[request.class]
+	if class.jobs == 0 {
+		return 0
+	}
+	runtime := (s.now - cmp.Or(attempt.startedAt, attempt.sentAt)).Seconds()
+	return math.Log(max(runtime, 1e-6)/cmp.Or(request.estimatedWork.Seconds(), 1)) - class.meanLogRuntime
+}
+
+// estimatedRuntime returns the expected runtime of request in seconds: the class's mean, scaled by the estimate of the work if
+// there is one; 0 if nothing is known.
+func (s *Scheduler) estimatedRuntime(request *request) float64 {
+	scale := s.classes[request.class].workScale
+	if request.estimatedWork > 0 {
+		return cmp.Or(scale, 1) * request.estimatedWork.Seconds()
+	}
+	return scale
+}
+
+// slowdown returns how many times longer than elsewhere a job occupies a slot of the worker, at least 1: by the jobs that ended
+// there and those that run for longer than usual. In slow start the settings' worst case stands for the first jobs, as most
+// workers are better than it; otherwise a factor up to slowdownThreshold counts as 1.
+func (s *Scheduler) slowdown(worker *worker) float64 {
+	feared := -math.Log(s.warmupFactor(worker))
+	sum := worker.slownessSum + worker.runningSlownessSum + slownessPriorJobs*feared
+	jobs := worker.slownessJobs + worker.runningSlownessJobs + slownessPriorJobs
+	factor := math.Exp(sum / jobs)
+	if feared == 0 && factor <= slowdownThreshold {
+		return 1
+	}
+	return max(factor, 1)
+}
+
+// excessFailureShare returns the share of its recent jobs that the worker failed, beyond toleratedFailureShare. The bound of the
+// failures lets one that has recovered get jobs to show it.
+func (w *worker) excessFailureShare(now Clock) float64 {
+	failures := min(w.recentFailures.value(now), failurePriorJobs)
+	share := failures / (failures + w.recentSuccesses.value(now) + failurePriorJobs)
+	return max(share-toleratedFailureShare, 0)
+}
+
+// durationOf returns a number of seconds as a duration.
+func durationOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+
+// oneIf returns 1 if the condition holds, otherwise 0.
+func oneIf(condition bool) int {
+	if condition {
+		return 1
+	}
+	return 0
+}
