--- a/scheduler/freshness.go
+++ b/scheduler/freshness.go
@@ -1,55 +1,54 @@
-// Until when a worker may be sent requests without a further word of it, and the health checks that give one.
-
 package scheduler
 
 import "time"
 
+// Freshness: how old a reading of the endpoint list may be. A worker may have begun to drain since the list was read, and must
+// not get requests for longer than ListValidity after that. Once the list is older, a worker is probed before use: a draining
+// one answers a probe with an error.
+
 const (
-	// failedProbeBackoff is how long behind a health check that it failed a worker is checked again.
+	// failedProbeBackoff is how long after a failed probe a worker is not probed again before use.
 	failedProbeBackoff = 500 * time.Millisecond
 
-	// healthCheckWait is how long a request waits for the outcome of a health check before it goes to another worker.
+	// healthCheckWait is how long a request waits for the outcome of a probe before it goes to another worker.
 	healthCheckWait = 50 * time.Millisecond
 )
 
-// freshUntil is until when a request to the worker may leave: what has drained since its state was last known counts as told from
-// then on. That is as of the list, or as of the last health check that it passed. 0 where the settings bound nothing.
-func (s *Scheduler) freshUntil(w *worker) Clock {
+// freshUntil returns until when a request for the worker may leave: ListValidity after its state was last confirmed, by the list
+// (EndpointsUpdated.AsOf) or by a passed probe, whichever is later. 0 means no bound: the settings give no validity, or do not
+// permit probes.
+func (s *Scheduler) freshUntil(worker *worker) Clock {
 	if s.settings.ListValidity <= 0 || !s.settings.MayProbe {
 		return 0
 	}
-	return max(s.listAsOf, w.probePassedAt) + s.settings.ListValidity
+	return max(s.listAsOf, worker.probePassedAt) + s.settings.ListValidity
 }
 
-// confirmedFresh tells whether a request may be sent to the worker now.
-func (s *Scheduler) confirmedFresh(w *worker) bool {
-	by := s.freshUntil(w)
-	return by == 0 || s.now+maxSendDelay < by
+// confirmedFresh reports whether a request that is sent to the worker now leaves before freshUntil, the delay of a new connection
+// included.
+func (s *Scheduler) confirmedFresh(worker *worker) bool {
+	until := s.freshUntil(worker)
+	return until == 0 || s.now+maxSendDelay < until
 }
 
-// freshOrProbeable tells whether the worker may be sent a request, or may be asked whether it may.
-func (s *Scheduler) freshOrProbeable(w *worker) bool {
-	return s.confirmedFresh(w) || s.now >= w.nextHealthCheckAt
+// freshOrProbeable reports whether the worker is confirmed fresh, or may be probed to confirm it.
+func (s *Scheduler) freshOrProbeable(worker *worker) bool {
+	return s.confirmedFresh(worker) || s.now >= worker.nextHealthCheckAt
 }
 
-// probeBeforeUse asks a worker for a sign that it takes requests.
-func (s *Scheduler) probeBeforeUse(w *worker) {
-	if !w.probeInFlight && s.now >= w.nextHealthCheckAt {
-		s.sendProbe(w)
+// probeBeforeUse probes the worker unless a probe is in flight or one has just failed.
+func (s *Scheduler) probeBeforeUse(worker *worker) {
+	if !worker.probeInFlight && s.now >= worker.nextHealthCheckAt {
+		s.sendProbe(worker)
 	}
 }
 
-func (s *Scheduler) sendProbe(w *worker) {
-	w.probeInFlight, w.probeSentAt = true, s.now
-	s.emit(Probe{Worker: w.ID})
-}
-
-// recordProbeOutcome takes the outcome of a probe in: a worker that drains does not answer that it is well.
-func (s *Scheduler) recordProbeOutcome(w *worker, o Outcome) {
-	w.probeInFlight = false
-	if o == Served {
-		w.probePassedAt = max(w.probePassedAt, w.probeSentAt)
+// recordProbeOutcome notes that the worker is ready as of when the probe was sent, or that the probe failed.
+func (s *Scheduler) recordProbeOutcome(worker *worker, outcome Outcome) {
+	worker.probeInFlight = false
+	if outcome != Served {
+		worker.nextHealthCheckAt = s.now + failedProbeBackoff
 		return
 	}
-	w.nextHealthCheckAt = s.now + failedProbeBackoff
+	worker.probePassedAt = max(worker.probePassedAt, worker.probeSentAt)
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -1,5 +1,3 @@
-// Requests as they arrive, and in which order those that are held here are sent.
-
 package scheduler
 
 import (
@@ -9,82 +7,127 @@
 	"time"
 )
 
-func (s *Scheduler) onRequestArrived(e RequestArrived) {
-	if s.requests[e.ID] != nil {
+// Admission and the queue: what an arriving request gets, and the order in which queued requests are sent.
+
+// onRequestArrived admits a request: it queues, unless its deadline is so near that only a rejection is in time. A second one
+// with the same id is ignored.
+func (s *Scheduler) onRequestArrived(event RequestArrived) {
+	if s.requests[event.ID] != nil {
 		return
 	}
-	class := e.Class
-	if class < 0 || class >= len(s.settings.Classes) {
-		class = 0 // an unknown class: the first stands in, at the cost of its rules only
+	if event.Class < 0 || event.Class >= len(s.settings.Classes) {
+		event.Class = 0 // unknown: the first class stands in
 	}
-	if figureOrMissing(e.Slots) <= 0 {
-		e.Slots = 1
+	if figureOrMissing(event.Slots) <= 0 {
+		event.Slots = 1
 	}
-	c := &s.classes[class]
-	over := min(max(s.now-s.firstEventAt, time.Second), arrivalRateWindow)
-	s.arrivalRate = s.arrivalRate*math.Exp(-float64(s.now-s.lastArrivalAt)/float64(over)) + 1/over.Seconds()
-	s.lastArrivalAt = s.now
 	if s.shutdownDeadline > 0 {
-		e.Deadline = min(e.Deadline, s.shutdownDeadline)
+		event.Deadline = min(event.Deadline, s.shutdownDeadline)
 	}
-	left := e.Deadline - s.now
-	c.longestTimeLeft = max(c.longestTimeLeft, left)
-	s.lastSequence++
-	if e.AffinityKey != 0 {
-		if !s.affinityInUse {
-			s.affinityInUse = true
-			s.chooseSubset()
-		}
-		s.recentKeys.add(e.AffinityKey, keysPerWorker*s.listedCount)
+	s.recordArrival()
+	s.recordKey(event.AffinityKey)
+	arrived := s.newRequest(event)
+	s.requests[event.ID] = arrived
+	s.requestsByArrival = append(s.requestsByArrival, arrived)
+	if event.Deadline-s.now <= s.queueReviewInterval() {
+		s.rejectOrFail(arrived)
+		return
 	}
-	r := &request{
-		id: e.ID, settings: s.settings, class: class, slots: e.Slots, affinityKey: e.AffinityKey,
-		estimatedWork: max(e.EstimatedWork, 0), deadline: e.Deadline, sequence: s.lastSequence,
-		firstAskedAt: s.now, allowedZones: e.AllowedZones,
+	s.queued = append(s.queued, arrived)
+}
+
+// recordArrival updates the own arrival rate, in requests a second.
+func (s *Scheduler) recordArrival() {
+	window := min(max(s.now-s.firstEventAt, time.Second), arrivalRateWindow)
+	decay := math.Exp(-float64(s.now-s.lastArrivalAt) / float64(window))
+	s.arrivalRate = s.arrivalRate*decay + 1/window.Seconds()
+	s.lastArrivalAt = s.now
+}
+
+// recordKey counts a request's affinity key, if it has one. The first one ever makes all workers candidates (chooseSubset).
+func (s *Scheduler) recordKey(key uint64) {
+	if key == 0 {
+		return
 	}
-	// A repeat has less time left than a first try; one with very little is an impatient client's.
-	if left > c.longestTimeLeft/2 {
-		r.firstAskedAt = min(s.now, e.Deadline-c.longestTimeLeft)
+	if !s.affinityInUse {
+		s.affinityInUse = true
+		s.chooseSubset()
 	}
-	s.requests[e.ID] = r
-	s.requestsByArrival = append(s.requestsByArrival, r)
-	if left <= s.queueReviewInterval() { // too late for anything but the answer
-		s.rejectOrFail(r)
-		return
+	s.recentKeys.add(key, keysPerWorker*s.listedCount)
+}
+
+// newRequest returns the state of an arrived request. When its client first asked is estimated from the time left to the
+// deadline: a client's retry has less than the longest time that its class ever had on arrival. One with less than half of that
+// is taken for an impatient client's first try.
+func (s *Scheduler) newRequest(event RequestArrived) *request {
+	class := &s.classes[event.Class]
+	timeLeft := event.Deadline - s.now
+	class.longestTimeLeft = max(class.longestTimeLeft, timeLeft)
+	firstAskedAt := s.now
+	if timeLeft > class.longestTimeLeft/2 {
+		firstAskedAt = min(s.now, event.Deadline-class.longestTimeLeft)
+	}
+	s.lastSequence++
+	return &request{
+		id: event.ID, settings: s.settings, class: event.Class, sequence: s.lastSequence, slots: event.Slots,
+		affinityKey: event.AffinityKey, estimatedWork: max(event.EstimatedWork, 0), allowedZones: event.AllowedZones,
+		firstAskedAt: firstAskedAt, deadline: event.Deadline,
 	}
-	s.queued = append(s.queued, r)
 }
 
-// sendQueued pushes what is held, as far as there is room: what can still be in time first, then by worth for its
-// work, then the youngest (under overload the old ones are nearly lost, and would make all late).
+// sendQueued sends the queued requests, in the order of compareQueued, as far as workers have capacity. Requests whose affinity
+// worker takes them go first, since a slot that comes free is worth most to them.
 func (s *Scheduler) sendQueued() {
 	if len(s.queued) == 0 {
 		return
 	}
 	s.queued = slices.DeleteFunc(s.queued, func(r *request) bool { return r.finished })
 	if len(s.queued) > 1 {
-		slices.SortStableFunc(s.queued, func(a, b *request) int {
-			late := cmp.Compare(min(s.slack(b), 0), min(s.slack(a), 0))
-			if s.slack(a) < 0 && s.slack(b) < 0 {
-				late = 0
-			}
-			return cmp.Or(late, cmp.Compare(s.priorityDensity(b), s.priorityDensity(a)), cmp.Compare(b.sequence, a.sequence))
-		})
+		slices.SortStableFunc(s.queued, s.compareQueued)
 	}
-	// A slot that comes free is worth most to a job whose key is at home there; then to any.
-	for _, homely := range [...]bool{true, false} {
-		full := false
-		s.queued = slices.DeleteFunc(s.queued, func(r *request) bool {
-			if full && len(r.attempts) == 0 || homely && r.affinityKey == 0 {
-				return false
-			}
-			w := s.pickWorker(r, s.overcommit)
-			full = full || w == nil && len(r.attempts) == 0
-			if w == nil || homely && !s.isAffinityWorker(r, w) {
-				return false
-			}
-			s.send(r, w)
-			return true
-		})
+	s.sendQueuedTo(true)
+	s.sendQueuedTo(false)
+}
+
+// sendQueuedTo sends what can be sent: to affinity workers alone, or to any. Once no worker takes a first attempt, no other first
+// attempt is tried. Retries always are, and one without a worker says nothing of the others: it may go to fewer workers.
+func (s *Scheduler) sendQueuedTo(affinityWorkersOnly bool) {
+	full := false
+	s.queued = slices.DeleteFunc(s.queued, func(request *request) bool {
+		retry := len(request.attempts) > 0
+		if full && !retry || affinityWorkersOnly && request.affinityKey == 0 {
+			return false
+		}
+		worker := s.pickWorker(request, s.overcommit)
+		if worker == nil {
+			full = full || !retry
+			return false
+		}
+		if affinityWorkersOnly && !s.isAffinityWorker(request, worker) {
+			return false
+		}
+		s.send(request, worker)
+		return true
+	})
+}
+
+// compareQueued orders queued requests: those that can still be in time first, then by priority for their work, then the
+// youngest. Under overload the oldest are nearly lost, and sent first they would make all others late.
+func (s *Scheduler) compareQueued(a, b *request) int {
+	slackA, slackB := s.slack(a), s.slack(b)
+	late := cmp.Compare(min(slackB, 0), min(slackA, 0))
+	if slackA < 0 && slackB < 0 {
+		late = 0
+	}
+	return cmp.Or(late, cmp.Compare(s.priorityDensity(b), s.priorityDensity(a)), cmp.Compare(b.sequence, a.sequence))
+}
+
+// priorityDensity returns the priority weight of request for each unit of its class's mean work, or, where weights are already
+// meant for a unit of work (WeightByWork), the weight alone.
+func (s *Scheduler) priorityDensity(request *request) float64 {
+	weight := request.settings.Classes[request.class].PriorityWeight
+	if s.settings.WeightByWork {
+		return weight
 	}
+	return weight / max(s.classes[request.class].workScale, 1e-3)
 }
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -158,20 +158,3 @@
 		s.cancelAttempts(request, everyAttempt)
 	}
 }
-
-func (s *Scheduler) probeSubset() {
-	pause := float64(probeInterval) * max(float64(s.settings.Dispatchers)/maxProbers, 1)
-	if len(s.subset) < len(s.workers) { // else every dispatcher asks every worker
-		pause = float64(probeInterval)
-	}
-	for _, w := range s.subset {
-		if w.nextProbeAt == 0 { // many dispatchers that start, or hear of it, at once would overrun it
-			w.nextProbeAt = s.now + time.Duration(s.random.Float64()*(pause-float64(probeInterval)))
-		}
-		if s.settings.ReportsPulled && s.settings.MayProbe && w.listed && !w.detached && !w.probeInFlight && s.now >= w.nextProbeAt {
-			// Spread, so that not all workers are known equally late, nor all dispatchers at once.
-			w.nextProbeAt = s.now + time.Duration((0.75+s.random.Float64()/2)*pause)
-			s.sendProbe(w)
-		}
-	}
-}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -10,19 +10,6 @@
 
 // The state that the decisions of brain.go are made on; nothing is decided here.
 
-// ejectionState tells whether jobs may go to a worker, or those of one class.
-type ejectionState struct {
-	failureCount         float64
-	consecutiveEjections int
-	ejectedUntil         Clock // nothing before this while strikes > 0, then one trial
-}
-
-// recordSuccess takes a success in: one among failures clears half of them, else a worker that fails every second job is never
-// shunned.
-func (h *ejectionState) recordSuccess() {
-	h.failureCount, h.consecutiveEjections = h.failureCount/2, h.consecutiveEjections/2
-}
-
 // worker is what this dispatcher knows of one worker.
 type worker struct {
 	WorkerInfo
@@ -66,11 +53,6 @@
 	slowStartCharges          []slowStartCharge // work pushed while cold
 }
 
-type slowStartCharge struct {
-	at   Clock
-	work float64
-}
-
 type request struct {
 	id                     RequestID
 	settings               *Settings // as it began
@@ -207,21 +189,6 @@
 
 // ---- Helpers ----
 
-// recordSignal notes a sign of life.
-func (s *Scheduler) recordSignal(w *worker) {
-	w.lastSignal, w.lastUsed, w.consecutiveEjections, w.failureCount = s.now, s.now, 0, 0
-}
-
-// warmupFactor is the share of its capacity that a worker can be trusted to have, by its age.
-func (s *Scheduler) warmupFactor(w *worker) float64 {
-	age := s.now - w.StartedAt
-	if w.StartedAt <= 0 || s.settings.SlowStartDuration <= 0 || age >= s.settings.SlowStartDuration {
-		return 1
-	}
-	start := min(max(s.settings.SlowStartCapacity, 0.01), 1)
-	return start + (1-start)*max(float64(age)/float64(s.settings.SlowStartDuration), 0)
-}
-
 // normalized gives settings as the decisions take them.
 func (s Settings) normalized() *Settings {
 	s.Dispatchers, s.DispatcherIndex = max(s.Dispatchers, s.DispatcherIndex+1, 1), max(s.DispatcherIndex, 0)
@@ -352,12 +319,4 @@
 // KnowsWorker tells whether the list ever named the worker, or it is out by hand.
 func (s *Scheduler) KnowsWorker(id WorkerID) bool { return s.workersByID[id] != nil || s.detached[id] }
 
-// CountAvoided counts the workers on the list that get no jobs but trials, by hand or by choice.
-func (s *Scheduler) CountAvoided() (n int) {
-	for _, w := range s.workers {
-		n += oneIf(w.State != Gone && (w.detached || w.consecutiveEjections > 0))
-	}
-	return n
-}
-
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
