--- a/scheduler/freshness.go
+++ b/scheduler/freshness.go
@@ -1,61 +1,54 @@
-// Until when a worker may be sent requests without a further word of it, and the health checks that give one.
-
 package scheduler
 
 import "time"
 
+// Freshness: how old a reading of the endpoint list may be. A worker may have begun to drain since the list was read, and must
+// not get requests for longer than ListValidity after that. Once the list is older, a worker is probed before use: a draining
+// one answers a probe with an error.
+
 const (
-	// checkAgain is how long behind a health check that it failed a worker is checked again.
-	checkAgain = 500 * time.Millisecond
+	// failedProbeBackoff is how long after a failed probe a worker is not probed again before use.
+	failedProbeBackoff = 500 * time.Millisecond
 
-	// checkWait is how long a request waits for the outcome of a health check before it goes to another worker.
-	checkWait = 50 * time.Millisecond
+	// healthCheckWait is how long a request waits for the outcome of a probe before it goes to another worker.
+	healthCheckWait = 50 * time.Millisecond
 )
 
-// sendBy is until when a request to the worker may leave: what has drained since its state was last known counts as told from
-// then on. That is as of the list, or as of the last health check that it passed. 0 where the settings bound nothing.
-func (d *Scheduler) sendBy(w *worker) Clock {
-	if d.set.ListValidity <= 0 || !d.set.MayProbe {
+// freshUntil returns until when a request for the worker may leave: ListValidity after its state was last confirmed, by the list
+// (EndpointsUpdated.AsOf) or by a passed probe, whichever is later. 0 means no bound: the settings give no validity, or do not
+// permit probes.
+func (s *Scheduler) freshUntil(worker *worker) Clock {
+	if s.settings.ListValidity <= 0 || !s.settings.MayProbe {
 		return 0
 	}
-	return max(d.listAsOf, w.passedAt) + d.set.ListValidity
-}
-
-// fresh tells whether a request may be sent to the worker now.
-func (d *Scheduler) fresh(w *worker) bool {
-	by := d.sendBy(w)
-	return by == 0 || d.now+sendLate < by
+	return max(s.listAsOf, worker.probePassedAt) + s.settings.ListValidity
 }
 
-// checkable tells whether the worker may be sent a request, or may be asked whether it may.
-func (d *Scheduler) checkable(w *worker) bool { return d.fresh(w) || d.now >= w.checkFrom }
-
-// check asks a worker for a sign that it takes requests.
-func (d *Scheduler) check(w *worker) {
-	if !w.probing && d.now >= w.checkFrom {
-		d.probe(w)
-	}
+// confirmedFresh reports whether a request that is sent to the worker now leaves before freshUntil, the delay of a new connection
+// included.
+func (s *Scheduler) confirmedFresh(worker *worker) bool {
+	until := s.freshUntil(worker)
+	return until == 0 || s.now+maxSendDelay < until
 }
 
-func (d *Scheduler) probe(w *worker) {
-	w.probing, w.probedAt = true, d.now
-	d.do(Probe{Worker: w.ID})
+// freshOrProbeable reports whether the worker is confirmed fresh, or may be probed to confirm it.
+func (s *Scheduler) freshOrProbeable(worker *worker) bool {
+	return s.confirmedFresh(worker) || s.now >= worker.nextHealthCheckAt
 }
 
-// checked takes the outcome of a probe in: a worker that drains does not answer that it is well.
-func (d *Scheduler) checked(w *worker, o Outcome) {
-	w.probing = false
-	if o == Served {
-		w.passedAt = max(w.passedAt, w.probedAt)
-		return
+// probeBeforeUse probes the worker unless a probe is in flight or one has just failed.
+func (s *Scheduler) probeBeforeUse(worker *worker) {
+	if !worker.probeInFlight && s.now >= worker.nextHealthCheckAt {
+		s.sendProbe(worker)
 	}
-	w.checkFrom = d.now + checkAgain
 }
 
-// earlier gives the earlier of two bounds, of which 0 is none.
-func earlier(a, b Clock) Clock {
-	if a == 0 || b != 0 && b < a {
-		return b
+// recordProbeOutcome notes that the worker is ready as of when the probe was sent, or that the probe failed.
+func (s *Scheduler) recordProbeOutcome(worker *worker, outcome Outcome) {
+	worker.probeInFlight = false
+	if outcome != Served {
+		worker.nextHealthCheckAt = s.now + failedProbeBackoff
+		return
 	}
-	return a
+	worker.probePassedAt = max(worker.probePassedAt, worker.probeSentAt)
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -1,5 +1,3 @@
-// Requests as they arrive, and in which order those that are held here are sent.
-
 package scheduler
 
 import (
@@ -9,113 +7,127 @@
 	"time"
 )
 
-func (d *Scheduler) onArrived(e RequestArrived) {
-	if d.open[e.ID] != nil {
+// Admission and the queue: what an arriving request gets, and the order in which queued requests are sent.
+
+// onRequestArrived admits a request: it queues, unless its deadline is so near that only a rejection is in time. A second one
+// with the same id is ignored.
+func (s *Scheduler) onRequestArrived(event RequestArrived) {
+	if s.requests[event.ID] != nil {
 		return
 	}
-	class := e.Class
-	if class < 0 || class >= len(d.set.Classes) {
-		class = 0 // an unknown class: the first stands in, at the cost of its rules only
-	}
-	if sane(e.Slots) <= 0 {
-		e.Slots = 1
-	}
-	c := &d.classes[class]
-	over := min(max(d.now-d.first, time.Second), rateSpan)
-	d.rate = d.rate*math.Exp(-float64(d.now-d.last)/float64(over)) + 1/over.Seconds()
-	d.last = d.now
-	if d.ends > 0 {
-		e.Deadline = min(e.Deadline, d.ends)
-	}
-	left := e.Deadline - d.now
-	c.span = max(c.span, left)
-	d.seq++
-	if e.AffinityKey != 0 {
-		if !d.keyed {
-			d.keyed = true
-			d.choose()
-		}
-		d.keys.add(e.AffinityKey, keyMemory*d.all)
+	if event.Class < 0 || event.Class >= len(s.settings.Classes) {
+		event.Class = 0 // unknown: the first class stands in
 	}
-	r := &request{
-		id: e.ID, set: d.set, class: class, slots: e.Slots, key: e.AffinityKey,
-		hint: max(e.EstimatedWork, 0), expires: e.Deadline, seq: d.seq,
-		born: d.now, within: e.AllowedZones,
+	if figureOrMissing(event.Slots) <= 0 {
+		event.Slots = 1
 	}
-	// A repeat has less time left than a first try; one with very little is an impatient client's.
-	if left > c.span/2 {
-		r.born = min(d.now, e.Deadline-c.span)
+	if s.shutdownDeadline > 0 {
+		event.Deadline = min(event.Deadline, s.shutdownDeadline)
 	}
-	d.open[e.ID] = r
-	d.order = append(d.order, r)
-	if left <= d.tick() { // too late for anything but the answer
-		d.answer(r)
+	s.recordArrival()
+	s.recordKey(event.AffinityKey)
+	arrived := s.newRequest(event)
+	s.requests[event.ID] = arrived
+	s.requestsByArrival = append(s.requestsByArrival, arrived)
+	if event.Deadline-s.now <= s.queueReviewInterval() {
+		s.rejectOrFail(arrived)
 		return
 	}
-	d.held = append(d.held, r)
+	s.queued = append(s.queued, arrived)
 }
 
-// work estimates the running time of a request; 0 when nothing is known.
-func (d *Scheduler) work(r *request) float64 {
-	scale := d.classes[r.class].scale
-	if r.hint > 0 {
-		return cmp.Or(scale, 1) * r.hint.Seconds()
-	}
-	return scale
+// recordArrival updates the own arrival rate, in requests a second.
+func (s *Scheduler) recordArrival() {
+	window := min(max(s.now-s.firstEventAt, time.Second), arrivalRateWindow)
+	decay := math.Exp(-float64(s.now-s.lastArrivalAt) / float64(window))
+	s.arrivalRate = s.arrivalRate*decay + 1/window.Seconds()
+	s.lastArrivalAt = s.now
 }
 
-// slack is how long a request can still wait for a slot and be in time.
-func (d *Scheduler) slack(r *request) time.Duration {
-	c := &r.set.Classes[r.class]
-	run := seconds(d.work(r))
-	if r.hint <= 0 {
-		run = seconds(workShare * d.work(r))
+// recordKey counts a request's affinity key, if it has one. The first one ever makes all workers candidates (chooseSubset).
+func (s *Scheduler) recordKey(key uint64) {
+	if key == 0 {
+		return
 	}
-	in := min(c.LatencyObjective+time.Duration((c.ObjectiveStretch-1)*float64(run)), max(c.Deadline-run, c.LatencyObjective))
-	return min(r.born+in, r.expires-run) - d.now
+	if !s.affinityInUse {
+		s.affinityInUse = true
+		s.chooseSubset()
+	}
+	s.recentKeys.add(key, keysPerWorker*s.listedCount)
 }
 
-// patience is how long a request whose late answer is worth nothing may wait for its start: as long as it can
-// be in time. Where its own need is not told that is a like job's, and the less the more of the recent jobs
-// waited, down to half its aim: where all wait, what begins has waited as long as it may, and some fail.
-func (d *Scheduler) patience(r *request) time.Duration {
-	most := d.slack(r) + d.now - r.born
-	if r.hint > 0 {
-		return most
+// newRequest returns the state of an arrived request. When its client first asked is estimated from the time left to the
+// deadline: a client's retry has less than the longest time that its class ever had on arrival. One with less than half of that
+// is taken for an impatient client's first try.
+func (s *Scheduler) newRequest(event RequestArrived) *request {
+	class := &s.classes[event.Class]
+	timeLeft := event.Deadline - s.now
+	class.longestTimeLeft = max(class.longestTimeLeft, timeLeft)
+	firstAskedAt := s.now
+	if timeLeft > class.longestTimeLeft/2 {
+		firstAskedAt = min(s.now, event.Deadline-class.longestTimeLeft)
+	}
+	s.lastSequence++
+	return &request{
+		id: event.ID, settings: s.settings, class: event.Class, sequence: s.lastSequence, slots: event.Slots,
+		affinityKey: event.AffinityKey, estimatedWork: max(event.EstimatedWork, 0), allowedZones: event.AllowedZones,
+		firstAskedAt: firstAskedAt, deadline: event.Deadline,
 	}
-	return most + seconds(d.jam*(r.set.Classes[r.class].LatencyObjective/2-most).Seconds())
 }
 
-// place pushes what is held, as far as there is room: what can still be in time first, then by worth for its
-// work, then the youngest (under overload the old ones are nearly lost, and would make all late).
-func (d *Scheduler) place() {
-	if len(d.held) == 0 {
+// sendQueued sends the queued requests, in the order of compareQueued, as far as workers have capacity. Requests whose affinity
+// worker takes them go first, since a slot that comes free is worth most to them.
+func (s *Scheduler) sendQueued() {
+	if len(s.queued) == 0 {
 		return
 	}
-	d.held = slices.DeleteFunc(d.held, func(r *request) bool { return r.done })
-	if len(d.held) > 1 {
-		slices.SortStableFunc(d.held, func(a, b *request) int {
-			late := cmp.Compare(min(d.slack(b), 0), min(d.slack(a), 0))
-			if d.slack(a) < 0 && d.slack(b) < 0 {
-				late = 0
-			}
-			return cmp.Or(late, cmp.Compare(d.density(b), d.density(a)), cmp.Compare(b.seq, a.seq))
-		})
+	s.queued = slices.DeleteFunc(s.queued, func(r *request) bool { return r.finished })
+	if len(s.queued) > 1 {
+		slices.SortStableFunc(s.queued, s.compareQueued)
 	}
-	// A slot that comes free is worth most to a job whose key is at home there; then to any.
-	for _, homely := range [...]bool{true, false} {
-		full := false
-		d.held = slices.DeleteFunc(d.held, func(r *request) bool {
-			if full && len(r.attempts) == 0 || homely && r.key == 0 {
-				return false
-			}
-			w := d.pick(r, d.allow)
-			full = full || w == nil && len(r.attempts) == 0
-			if w == nil || homely && !d.home(r, w) {
-				return false
-			}
-			d.send(r, w)
-			return true
-		})
+	s.sendQueuedTo(true)
+	s.sendQueuedTo(false)
+}
+
+// sendQueuedTo sends what can be sent: to affinity workers alone, or to any. Once no worker takes a first attempt, no other first
+// attempt is tried. Retries always are, and one without a worker says nothing of the others: it may go to fewer workers.
+func (s *Scheduler) sendQueuedTo(affinityWorkersOnly bool) {
+	full := false
+	s.queued = slices.DeleteFunc(s.queued, func(request *request) bool {
+		retry := len(request.attempts) > 0
+		if full && !retry || affinityWorkersOnly && request.affinityKey == 0 {
+			return false
+		}
+		worker := s.pickWorker(request, s.overcommit)
+		if worker == nil {
+			full = full || !retry
+			return false
+		}
+		if affinityWorkersOnly && !s.isAffinityWorker(request, worker) {
+			return false
+		}
+		s.send(request, worker)
+		return true
+	})
+}
+
+// compareQueued orders queued requests: those that can still be in time first, then by priority for their work, then the
+// youngest. Under overload the oldest are nearly lost, and sent first they would make all others late.
+func (s *Scheduler) compareQueued(a, b *request) int {
+	slackA, slackB := s.slack(a), s.slack(b)
+	late := cmp.Compare(min(slackB, 0), min(slackA, 0))
+	if slackA < 0 && slackB < 0 {
+		late = 0
+	}
+	return cmp.Or(late, cmp.Compare(s.priorityDensity(b), s.priorityDensity(a)), cmp.Compare(b.sequence, a.sequence))
+}
+
+// priorityDensity returns the priority weight of request for each unit of its class's mean work, or, where weights are already
+// meant for a unit of work (WeightByWork), the weight alone.
+func (s *Scheduler) priorityDensity(request *request) float64 {
+	weight := request.settings.Classes[request.class].PriorityWeight
+	if s.settings.WeightByWork {
+		return weight
 	}
+	return weight / max(s.classes[request.class].workScale, 1e-3)
 }
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -1,108 +1,160 @@
-// The regular round over what is open: overdue requests, hedges, probes.
-
 package scheduler
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
 
-// look is the regular round: overdue requests, copies, silent workers, probes.
-func (d *Scheduler) look() {
-	for _, w := range d.workers {
-		w.waiting, w.lagOut, w.jobsOut = 0, 0, 0
+// Review: the regular round over all open requests, driven by a timer. It looks for silent workers and delayed starts, gives up
+// what is too late, hedges, renews the subset and sends the regular probes.
+
+const (
+	// maxQueueReviewInterval bounds the time between reviews while requests are queued.
+	maxQueueReviewInterval = 20 * time.Millisecond
+
+	// idleReviewInterval is the time between reviews while no attempt awaits its start.
+	idleReviewInterval = 200 * time.Millisecond
+
+	// minStall is how late the timer of a review must be to show that this process, or its machine, stood still.
+	minStall = 100 * time.Millisecond
+)
+
+// The tokens of the timers.
+const (
+	reviewTimer   = 1
+	pollTimer     = 2
+	shutdownTimer = 3
+)
+
+// queueReviewInterval returns the time between reviews while requests are queued. It is also the margin by which answers are
+// given before a deadline.
+func (s *Scheduler) queueReviewInterval() time.Duration {
+	return min(maxQueueReviewInterval, max(s.settings.AnswerSlack/2, time.Millisecond))
+}
+
+// scheduleReview sets a timer for the next review unless an earlier one is set. Nothing is due without open requests, except
+// probes where reports are pulled.
+func (s *Scheduler) scheduleReview() {
+	if len(s.requestsByArrival) == 0 && !s.settings.ReportsPulled {
+		return
+	}
+	pause := idleReviewInterval
+	if len(s.queued) > 0 {
+		pause = s.queueReviewInterval()
+	} else if slices.ContainsFunc(s.requestsByArrival, func(r *request) bool { return r.anyAttempt(awaitsStart) }) {
+		pause = hedgeDelay + time.Millisecond
+	}
+	if at := s.now + pause; !s.reviewScheduled || at < s.nextReviewAt {
+		s.reviewScheduled, s.nextReviewAt = true, at
+		s.emit(SetTimer{Token: reviewTimer, After: pause})
+	}
+}
+
+// detectStall notes when the timer of a review comes late: this process stood still, and all that came meanwhile is found at
+// once. No worker was silent then, and times measured in this turn are wrong.
+func (s *Scheduler) detectStall() {
+	if !s.reviewScheduled || s.now <= s.nextReviewAt+minStall || s.now == s.resumedAt {
+		return
 	}
-	d.order = slices.DeleteFunc(d.order, func(r *request) bool { return d.open[r.id] != r })
-	for _, r := range d.order {
-		for i := range r.attempts {
-			a := &r.attempts[i]
-			d.checkAttempt(r, a)
-			if d.stuck(a, startGrace) && !a.lost {
-				a.w.waiting++
-			}
-			// One that runs for longer than usual tells of a slow worker before it ends.
-			if a.out && a.began > 0 {
-				if late := d.lateness(r, a); late > 0 {
-					a.w.lagOut, a.w.jobsOut = a.w.lagOut+late, a.w.jobsOut+1
-				}
-			}
+	s.resumedAt = s.now
+	for _, worker := range s.workers {
+		worker.lastSignal = s.now
+	}
+}
+
+// onTimerFired acts on a timer. That of an earlier review, replaced since, is ignored; behind a stall the review waits until
+// what has come is read.
+func (s *Scheduler) onTimerFired(event TimerFired) {
+	switch {
+	case event.Token == pollTimer:
+		s.emit(Subscribe{})
+	case event.Token == shutdownTimer:
+		s.review()
+	case event.Token == reviewTimer && s.now >= s.nextReviewAt:
+		s.reviewScheduled = false
+		if s.now != s.resumedAt {
+			s.review()
 		}
 	}
-	for _, r := range slices.Clone(d.order) {
-		if !r.done && !r.streamed {
-			d.review(r)
+}
+
+// review is one round.
+func (s *Scheduler) review() {
+	s.requestsByArrival = slices.DeleteFunc(s.requestsByArrival, func(r *request) bool { return s.requests[r.id] != r })
+	s.reviewWorkers()
+	for _, request := range slices.Clone(s.requestsByArrival) {
+		if !request.finished && !request.streamed {
+			s.reviewRequest(request)
 		}
 	}
-	if d.now-d.chosen >= nearFresh {
-		d.choose()
+	if s.now-s.subsetChosenAt >= subsetInterval {
+		s.chooseSubset()
 	}
-	pause := float64(probeEvery) * max(float64(d.set.Dispatchers)/probersMost, 1)
-	if len(d.near) < len(d.workers) { // else every dispatcher asks every worker
-		pause = float64(probeEvery)
+	s.probeSubset()
+}
+
+// reviewWorkers counts, for each worker, the own attempts that have not started in time, and those that run for longer than
+// usual: they show a slow worker before they end. It also looks for silence.
+func (s *Scheduler) reviewWorkers() {
+	for _, worker := range s.workers {
+		worker.delayedStarts, worker.runningSlownessSum, worker.runningSlownessJobs = 0, 0, 0
 	}
-	for _, w := range d.near {
-		if w.nextProbe == 0 { // many dispatchers that start, or hear of it, at once would overrun it
-			w.nextProbe = d.now + time.Duration(d.rng.Float64()*(pause-float64(probeEvery)))
-		}
-		if d.set.ReportsPulled && d.set.MayProbe && w.listed && !w.out && !w.probing && d.now >= w.nextProbe {
-			// Spread, so that not all workers are known equally late, nor all dispatchers at once.
-			w.nextProbe = d.now + time.Duration((0.75+d.rng.Float64()/2)*pause)
-			d.probe(w)
+	for _, request := range s.requestsByArrival {
+		for i := range request.attempts {
+			attempt := &request.attempts[i]
+			s.detectSilence(request, attempt)
+			s.countDelays(request, attempt)
 		}
 	}
 }
 
-// stuck tells whether an attempt should have begun by now.
-func (d *Scheduler) stuck(a *attempt, grace time.Duration) bool {
-	return a.out && a.began == 0 && d.set.ReportsStart && d.now-a.sent > grace+newWays*d.ways[a.w.Zone]
+// countDelays adds an attempt to its worker's counts of delayed starts and of slow jobs that run now.
+func (s *Scheduler) countDelays(request *request, attempt *attempt) {
+	worker := attempt.worker
+	if s.startOverdue(attempt, startGracePeriod) && !attempt.lost {
+		worker.delayedStarts++
+	}
+	if !attempt.inFlight || attempt.startedAt <= 0 {
+		return
+	}
+	if slowness := s.logSlowness(request, attempt); slowness > 0 {
+		worker.runningSlownessSum += slowness
+		worker.runningSlownessJobs++
+	}
 }
 
-// review looks at one open request. One that nobody will begin in time is given up, unless workers were seen
-// to keep what is called off: it is in the way all the same, and its client comes again. Where copies are
-// allowed and loads known roughly, one that has not begun soon gets another at the next worker, and the first
-// to begin calls the others off: a search for a free slot. Where all loads are known it finds none and costs
-// what it waits for: there only a worker that says nothing for a usual stay has its jobs copied. Where few
-// workers are drawn from, their loads are known as well, but not what others send there, nor whether what is
-// called off is kept and runs for nothing: there are few copies then, and the fewer the more jobs wait.
-func (d *Scheduler) review(r *request) {
-	var last *attempt
-	begun, sound := false, false
-	for i := range r.attempts {
-		if a := &r.attempts[i]; a.out {
-			last, begun, sound = a, begun || a.began > 0, sound || d.sound(a.w, r.class)
+// reviewRequest decides, for a request that is owed an answer, in this order:
+//
+//  1. Without an attempt in flight (it is queued) it is answered if its deadline is near or it is too late.
+//  2. Past its deadline it fails.
+//  3. If it is too late and no attempt has started it is given up, unless workers run cancelled jobs all the same.
+//  4. It is left alone if it is not idempotent, its latest attempt is cancelled, an attempt runs at a healthy worker, or only one
+//     more attempt is left, which a retry may need.
+//  5. Otherwise it is hedged, where that is permitted, or its attempts at ejected workers are cancelled, so that it is retried.
+func (s *Scheduler) reviewRequest(request *request) {
+	var latest *attempt
+	started, atHealthyWorker := false, false
+	for i := range request.attempts {
+		if candidate := &request.attempts[i]; candidate.inFlight {
+			latest, started = candidate, started || candidate.startedAt > 0
+			atHealthyWorker = atHealthyWorker || s.healthy(candidate.worker, request.class)
 		}
 	}
-	c := &r.set.Classes[r.class]
-	late := c.LateWeight <= 0 && d.now-r.born > d.patience(r)
+	settings, late := request.settings, s.tooLate(request)
 	switch {
-	case last == nil:
-		if r.expires-d.now <= 2*d.tick() || late {
-			d.answer(r)
-		}
-	case d.now >= r.expires+r.set.AnswerSlack/2:
-		d.do(Fail{ID: r.id})
-		d.finish(r)
-	case late && !begun && d.set.ReportsStart && d.traces.kept() < keptMost: // its turn comes too late: given up
-		d.waited(last.w, true)
-		d.allow = max(d.allow-d.allowBy(), leastAllow)
-		d.answer(r)
-	case c.Idempotency == NonIdempotent || last.canceled || begun && sound || len(r.attempts)+1 >= r.set.MaxAttempts:
-	case r.set.MayHedge && r.set.MayCancel:
-		stuck := d.stuck(last, copyGrace+seconds(d.jam*jamGrace.Seconds()))
-		if d.small {
-			stuck = d.stuck(last, seconds(cmp.Or(d.stay, 1))) && last.w.heard <= last.sent
-		} else if len(d.near) < len(d.workers) {
-			stuck = stuck && d.copies.at(d.now) < (jamMost-d.jam)*d.recent.at(d.now)
-		}
-		if late || !stuck && d.sound(last.w, r.class) {
-			return
-		}
-		if w := d.pick(r, d.allow); w != nil && !r.tried(w) {
-			d.copies.add(d.now, 1)
-			d.send(r, w)
+	case latest == nil:
+		if late || request.deadline-s.now <= 2*s.queueReviewInterval() {
+			s.rejectOrFail(request)
 		}
-	case !sound && r.set.MayCancel:
-		d.callOff(r, func(*attempt) bool { return true })
+	case s.now >= request.deadline+settings.AnswerSlack/2:
+		s.failRequest(request)
+	case late && !started && s.settings.ReportsStart && s.cancellations.undroppedShare() < maxUndroppedShare:
+		s.giveUp(request, latest.worker)
+	case settings.Classes[request.class].Idempotency == NonIdempotent, latest.cancelled, started && atHealthyWorker,
+		len(request.attempts)+1 >= settings.MaxAttempts:
+	case settings.MayHedge && settings.MayCancel:
+		s.hedge(request, latest, late)
+	case !atHealthyWorker:
+		s.cancelAttempts(request, everyAttempt)
 	}
 }
