--- a/internal/decisions/endpointstate/endpointstate.go
+++ b/internal/decisions/endpointstate/endpointstate.go
@@ -32,8 +32,8 @@
 	// MaxStaleness is how far behind the newest list an answer may have been composed: what discovery has counts as told after it.
 	MaxStaleness = 6 * time.Second
 
-	// remembered is how long a worker that is gone is known to be.
-	remembered = 10 * MaxStaleness
+	// goneRetention is how long a worker that is gone is known to be.
+	goneRetention = 10 * MaxStaleness
 )
 
 // UnknownRevision is the revision of a list whose revision cannot be compared with any.
@@ -86,159 +86,159 @@
 
 // record is what is known of a worker.
 type record struct {
-	state    scheduler.WorkerState
-	start    scheduler.Clock
-	told     time.Time // since when it takes no more requests
-	learned  time.Time // when its state or start became known here; zero for long ago
-	service  string
-	epoch    int
-	revision int64
+	state      scheduler.WorkerState
+	start      scheduler.Clock
+	notifiedAt time.Time // since when it takes no more requests
+	learnedAt  time.Time // when its state or start became known here; zero for long ago
+	service    string
+	epoch      int
+	revision   int64
 }
 
-// progress is how far a service has come.
-type progress struct {
-	revision   int64
-	epoch      int       // how often it has begun to count anew
-	heard      time.Time // when the last current answer came
-	lowerSince time.Time // since when it has given lower revisions only; zero while it does not
+// serviceProgress is how far a service has come.
+type serviceProgress struct {
+	revision      int64
+	epoch         int       // how often it has begun to count anew
+	lastCurrentAt time.Time // when the last current answer came
+	lowerSince    time.Time // since when it has given lower revisions only; zero while it does not
 }
 
 // Table is what is known. Its zero value knows nothing.
 type Table struct {
 	records  map[scheduler.WorkerID]record
-	services map[string]*progress
+	services map[string]*serviceProgress
 }
 
 // Restore enters what was known before this process began, at a revision of a service. How long ago that was is not known.
 func (t *Table) Restore(service string, revision int64, members []Endpoint) {
-	t.service(service).revision = revision
-	for _, m := range members {
-		t.Record(m, service, revision)
+	t.serviceProgress(service).revision = revision
+	for _, endpoint := range members {
+		t.Record(endpoint, service, revision)
 	}
 }
 
 // Record notes what is known of a worker by another way than an answer.
-func (t *Table) Record(m Endpoint, service string, revision int64) {
+func (t *Table) Record(endpoint Endpoint, service string, revision int64) {
 	if t.records == nil {
 		t.records = map[scheduler.WorkerID]record{}
 	}
-	r := record{state: m.State, start: m.Start, service: service, epoch: t.service(service).epoch, revision: revision}
-	if m.State != scheduler.Ready {
-		r.told = m.NotifiedAt
+	r := record{state: endpoint.State, start: endpoint.Start, service: service, epoch: t.serviceProgress(service).epoch, revision: revision}
+	if endpoint.State != scheduler.Ready {
+		r.notifiedAt = endpoint.NotifiedAt
 	}
-	t.records[m.ID] = r
+	t.records[endpoint.ID] = r
 }
 
-func (t *Table) service(name string) *progress {
+func (t *Table) serviceProgress(name string) *serviceProgress {
 	if t.services == nil {
-		t.services = map[string]*progress{}
+		t.services = map[string]*serviceProgress{}
 	}
 	p := t.services[name]
 	if p == nil {
-		p = &progress{revision: UnknownRevision}
+		p = &serviceProgress{revision: UnknownRevision}
 		t.services[name] = p
 	}
 	return p
 }
 
 // Order tells how an answer stands to those before. It is asked once for each answer, before Take.
-func (t *Table) Classify(a ListResponse) Freshness {
-	p := t.service(a.Service)
+func (t *Table) Classify(response ListResponse) Freshness {
+	p := t.serviceProgress(response.Service)
 	switch {
-	case a.Revision >= p.revision:
-	case a.CalledAt.Before(p.heard):
+	case response.Revision >= p.revision:
+	case response.CalledAt.Before(p.lastCurrentAt):
 		return Overtaken
 	case p.lowerSince.IsZero():
-		p.lowerSince = a.ReceivedAt
+		p.lowerSince = response.ReceivedAt
 		return Lagging
-	case a.ReceivedAt.Sub(p.lowerSince) < MaxStaleness:
+	case response.ReceivedAt.Sub(p.lowerSince) < MaxStaleness:
 		return Lagging
 	default:
 		p.epoch++
 	}
-	p.revision, p.heard, p.lowerSince = a.Revision, a.ReceivedAt, time.Time{}
+	p.revision, p.lastCurrentAt, p.lowerSince = response.Revision, response.ReceivedAt, time.Time{}
 	return Current
 }
 
 // Take gives what counts of an answer that is Current or Lagging.
-func (t *Table) Apply(a ListResponse, order Freshness) Changes {
-	var v Changes
-	if order == Lagging {
-		v.PollAgainAt = a.ReceivedAt
+func (t *Table) Apply(response ListResponse, freshness Freshness) Changes {
+	var changes Changes
+	if freshness == Lagging {
+		changes.PollAgainAt = response.ReceivedAt
 	}
-	named := make(map[scheduler.WorkerID]bool, len(a.Endpoints))
-	for i, m := range a.Endpoints {
+	named := make(map[scheduler.WorkerID]bool, len(response.Endpoints))
+	for i, m := range response.Endpoints {
 		named[m.ID] = true
-		t.takeMember(a, order, i, m, &v)
+		t.applyEndpoint(response, freshness, i, m, &changes)
 	}
-	if a.Complete && order == Current {
-		t.takeAbsent(a, named, &v)
+	if response.Complete && freshness == Current {
+		t.applyUnlisted(response, named, &changes)
 	}
-	return v
+	return changes
 }
 
-// takeMember takes in what an answer says of a worker.
-func (t *Table) takeMember(a ListResponse, order Freshness, index int, m Endpoint, v *Changes) {
-	r, known := t.records[m.ID]
-	if order == Lagging && (!known || m.State == scheduler.Ready || r.state != scheduler.Ready) {
+// applyEndpoint takes in what an answer says of a worker.
+func (t *Table) applyEndpoint(response ListResponse, freshness Freshness, index int, endpoint Endpoint, changes *Changes) {
+	r, known := t.records[endpoint.ID]
+	if freshness == Lagging && (!known || endpoint.State == scheduler.Ready || r.state != scheduler.Ready) {
 		return
 	}
-	newer := !known || order == Current && t.newer(a, r)
-	if m.State == scheduler.Ready && r.state != scheduler.Ready && !newer && m.Start <= r.start {
-		if again := r.learned.Add(MaxStaleness); v.PollAgainAt.IsZero() || again.Before(v.PollAgainAt) {
-			v.PollAgainAt = again
+	newer := !known || freshness == Current && t.composedAfter(response, r)
+	if endpoint.State == scheduler.Ready && r.state != scheduler.Ready && !newer && endpoint.Start <= r.start {
+		if pollAgainAt := r.learnedAt.Add(MaxStaleness); changes.PollAgainAt.IsZero() || pollAgainAt.Before(changes.PollAgainAt) {
+			changes.PollAgainAt = pollAgainAt
 		}
 		return
 	}
-	if r.state == scheduler.Gone && m.State == scheduler.Draining && !newer {
+	if r.state == scheduler.Gone && endpoint.State == scheduler.Draining && !newer {
 		return // it has left since
 	}
-	if m.Start < r.start && !newer {
-		m.Start = r.start
+	if endpoint.Start < r.start && !newer {
+		endpoint.Start = r.start
 	}
-	t.put(a, index, m, r, v)
+	t.accept(response, index, endpoint, r, changes)
 }
 
-// newer tells whether an answer was surely composed behind what is known of a worker.
-func (t *Table) newer(a ListResponse, r record) bool {
-	same := r.service == a.Service && r.epoch == t.service(a.Service).epoch && r.revision != UnknownRevision
-	return same && a.Revision > r.revision || !a.CalledAt.Before(r.learned.Add(MaxStaleness))
+// composedAfter tells whether an answer was surely composed behind what is known of a worker.
+func (t *Table) composedAfter(response ListResponse, r record) bool {
+	comparable := r.service == response.Service && r.epoch == t.serviceProgress(response.Service).epoch && r.revision != UnknownRevision
+	return comparable && response.Revision > r.revision || !response.CalledAt.Before(r.learnedAt.Add(MaxStaleness))
 }
 
-// takeAbsent has those end whom a whole list does not name.
-func (t *Table) takeAbsent(a ListResponse, named map[scheduler.WorkerID]bool, v *Changes) {
+// applyUnlisted has those end whom a whole list does not name.
+func (t *Table) applyUnlisted(response ListResponse, listed map[scheduler.WorkerID]bool, changes *Changes) {
 	for id, r := range t.records {
 		switch {
-		case named[id]:
+		case listed[id]:
 		case r.state != scheduler.Gone:
-			t.put(a, NotListed, Endpoint{ID: id, State: scheduler.Gone, Start: r.start}, r, v)
-		case a.ReceivedAt.Sub(r.learned) > remembered:
+			t.accept(response, NotListed, Endpoint{ID: id, State: scheduler.Gone, Start: r.start}, r, changes)
+		case response.ReceivedAt.Sub(r.learnedAt) > goneRetention:
 			delete(t.records, id)
 		}
 	}
 }
 
-// put enters what counts about a worker.
-func (t *Table) put(a ListResponse, index int, m Endpoint, before record, v *Changes) {
+// accept enters what counts about a worker.
+func (t *Table) accept(response ListResponse, index int, endpoint Endpoint, before record, changes *Changes) {
 	if t.records == nil {
 		t.records = map[scheduler.WorkerID]record{}
 	}
-	now := record{state: m.State, start: m.Start, learned: before.learned, service: a.Service, epoch: t.service(a.Service).epoch, revision: a.Revision}
+	now := record{state: endpoint.State, start: endpoint.Start, learnedAt: before.learnedAt, service: response.Service, epoch: t.serviceProgress(response.Service).epoch, revision: response.Revision}
 	if now.state != before.state || now.start != before.start {
-		now.learned = a.ReceivedAt
+		now.learnedAt = response.ReceivedAt
 	}
 	if now.state != scheduler.Ready {
-		now.told = before.told
-		if now.told.IsZero() {
-			now.told = earlier(m.NotifiedAt, a.ReceivedAt)
+		now.notifiedAt = before.notifiedAt
+		if now.notifiedAt.IsZero() {
+			now.notifiedAt = earlierNonZero(endpoint.NotifiedAt, response.ReceivedAt)
 		}
 	}
-	t.records[m.ID] = now
-	v.Accepted = append(v.Accepted, Accepted{Index: index, ID: m.ID, State: now.state, Start: now.start, NotifiedAt: now.told})
+	t.records[endpoint.ID] = now
+	changes.Accepted = append(changes.Accepted, Accepted{Index: index, ID: endpoint.ID, State: now.state, Start: now.start, NotifiedAt: now.notifiedAt})
 }
 
-// earlier gives the earlier of two moments, of which the first may be none.
-func earlier(a, b time.Time) time.Time {
+// earlierNonZero gives the earlierNonZero of two moments, of which the first may be none.
+func earlierNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -16,26 +16,26 @@
 	Apply(ListResponse, Freshness) Changes
 }
 
-// change is one of the truth about the worker "w": what discovery has from a moment on.
-type change struct {
-	at     time.Duration
-	member Endpoint // State Gone for a worker that is not listed
+// fleetChange is one of the truth about the worker "w": what discovery has from a moment on.
+type fleetChange struct {
+	at       time.Duration
+	endpoint Endpoint // State Gone for a worker that is not listed
 }
 
-// world is a fleet's discovery: what is true when, and services that show it late.
-type world struct {
-	truth []change
-	table table
-	now   scheduler.WorkerState // as the table's verdicts have it
-	known int                   // the newest change whose restriction was accepted; -1 for none
+// discoveryModel is a fleet's discovery: what is true when, and services that show it late.
+type discoveryModel struct {
+	truth             []fleetChange
+	table             table
+	acceptedState     scheduler.WorkerState // as the table's verdicts have it
+	newestRestriction int                   // the newest change whose restriction was accepted; -1 for none
 }
 
 var epoch = time.Unix(1e9, 0)
 
-func (w *world) at(d time.Duration) time.Time { return epoch.Add(d) }
+func (w *discoveryModel) at(d time.Duration) time.Time { return epoch.Add(d) }
 
-// asOf gives the index of the change that was in force at a moment.
-func (w *world) asOf(d time.Duration) int {
+// changeInForce gives the index of the change that was in force at a moment.
+func (w *discoveryModel) changeInForce(d time.Duration) int {
 	n := 0
 	for i, c := range w.truth {
 		if c.at <= d {
@@ -46,16 +46,16 @@
 }
 
 // service is one that shows the truth late, and counts revisions from a number of its own.
-type shownBy struct {
-	name  string
-	first int64
+type modelService struct {
+	name          string
+	firstRevision int64
 }
 
 // answer brings an answer that was composed at a moment. It returns what breaks a property.
-func (w *world) answer(s shownBy, asked, composed, came time.Duration) error {
-	shown := w.asOf(composed)
-	a := ListResponse{Service: s.name, Revision: s.first + int64(shown), Complete: true, CalledAt: w.at(asked), ReceivedAt: w.at(came)}
-	if m := w.truth[shown].member; m.State != scheduler.Gone {
+func (w *discoveryModel) answer(s modelService, asked, composed, came time.Duration) error {
+	shown := w.changeInForce(composed)
+	a := ListResponse{Service: s.name, Revision: s.firstRevision + int64(shown), Complete: true, CalledAt: w.at(asked), ReceivedAt: w.at(came)}
+	if m := w.truth[shown].endpoint; m.State != scheduler.Gone {
 		a.Endpoints = []Endpoint{m}
 	}
 	order := w.table.Classify(a)
@@ -63,69 +63,69 @@
 		return nil
 	}
 	for _, accepted := range w.table.Apply(a, order).Accepted {
-		was := w.now
-		w.now = accepted.State
+		was := w.acceptedState
+		w.acceptedState = accepted.State
 		switch {
 		case accepted.State != scheduler.Ready:
 			if was == scheduler.Ready {
-				w.known = max(w.known, shown)
+				w.newestRestriction = max(w.newestRestriction, shown)
 			}
 			if accepted.NotifiedAt.After(a.ReceivedAt) || accepted.NotifiedAt.IsZero() {
 				return fmt.Errorf("told %v, behind the answer of %v", accepted.NotifiedAt, a.ReceivedAt)
 			}
-		case was != scheduler.Ready && shown <= w.known:
-			return fmt.Errorf("a list of change %d, composed at %v, takes back what change %d brought", shown, composed, w.known)
+		case was != scheduler.Ready && shown <= w.newestRestriction:
+			return fmt.Errorf("a list of change %d, composed at %v, takes back what change %d brought", shown, composed, w.newestRestriction)
 		}
 	}
 	return nil
 }
 
-// settles tells whether answers that come from now on bring the truth in its time.
-func (w *world) settles(s shownBy, from time.Duration) error {
+// converges tells whether answers that come from now on bring the truth in its time.
+func (w *discoveryModel) converges(s modelService, from time.Duration) error {
 	last := len(w.truth) - 1
 	for at := from; at <= from+MaxStaleness+time.Second; at += time.Second {
 		if err := w.answer(s, at, at, at+10*time.Millisecond); err != nil {
 			return err
 		}
 	}
-	if truth := w.truth[last].member.State; truth != w.now {
-		return fmt.Errorf("the worker is %v, and %v is known", truth, w.now)
+	if truth := w.truth[last].endpoint.State; truth != w.acceptedState {
+		return fmt.Errorf("the worker is %v, and %v is known", truth, w.acceptedState)
 	}
 	return nil
 }
 
 // scripts are the truths that are played: a drain, an end, a return, a new start.
-func scripts() [][]change {
+func scripts() [][]fleetChange {
 	member := func(s scheduler.WorkerState, start scheduler.Clock) Endpoint {
 		return Endpoint{ID: "w", State: s, Start: start}
 	}
 	active, drains, gone, anew := member(scheduler.Ready, 0), member(scheduler.Draining, 0), member(scheduler.Gone, 0), member(scheduler.Ready, 7)
-	at := func(members ...Endpoint) (truth []change) {
+	at := func(members ...Endpoint) (truth []fleetChange) {
 		for i, m := range members {
-			truth = append(truth, change{time.Duration(i) * 4 * time.Second, m})
+			truth = append(truth, fleetChange{time.Duration(i) * 4 * time.Second, m})
 		}
 		return truth
 	}
-	return [][]change{at(active, drains), at(active, gone), at(active, drains, gone), at(active, drains, active), at(active, gone, anew),
+	return [][]fleetChange{at(active, drains), at(active, gone), at(active, drains, gone), at(active, drains, active), at(active, gone, anew),
 		at(active, drains, anew), at(active, gone, active)}
 }
 
-// mostLag is how old an answer may be when its call is made, in the plays.
-const mostLag = MaxStaleness - time.Second
+// maxLag is how old an answer may be when its call is made, in the plays.
+const maxLag = MaxStaleness - time.Second
 
 // explore plays all sequences of so many answers of two services, each composed up to mostLag before its call or any time until it
 // came, and gives the first that breaks a property.
-func explore(make func() table, truth []change, answers int) error {
+func explore(make func() table, truth []fleetChange, answers int) error {
 	type step struct {
-		service               shownBy
+		service               modelService
 		asked, composed, came time.Duration
 	}
-	services := []shownBy{{"before", 1}, {"behind", 100}}
+	services := []modelService{{"before", 1}, {"behind", 100}}
 	moments := []time.Duration{1, 5, 9, 13}
 	var steps []step
 	var play func(depth int, from time.Duration) error
 	run := func() error {
-		w := &world{truth: truth, table: make(), now: scheduler.Gone, known: -1}
+		w := &discoveryModel{truth: truth, table: make(), acceptedState: scheduler.Gone, newestRestriction: -1}
 		trace := ""
 		for _, s := range steps {
 			trace += fmt.Sprintf(" [%s asked %v composed %v came %v]", s.service.name, s.asked, s.composed, s.came)
@@ -133,7 +133,7 @@
 				return fmt.Errorf("%w:%s", err, trace)
 			}
 		}
-		if err := w.settles(services[1], max(truth[len(truth)-1].at, 14*time.Second)+time.Second); err != nil {
+		if err := w.converges(services[1], max(truth[len(truth)-1].at, 14*time.Second)+time.Second); err != nil {
 			return fmt.Errorf("%w:%s", err, trace)
 		}
 		return nil
@@ -149,7 +149,7 @@
 			}
 			for _, service := range services {
 				for _, asked := range []time.Duration{came - 100*time.Millisecond, came - 4*time.Second} {
-					for _, composed := range []time.Duration{came, asked, asked - mostLag} {
+					for _, composed := range []time.Duration{came, asked, asked - maxLag} {
 						steps = append(steps, step{service, asked, composed, came})
 						err := play(depth-1, came+time.Millisecond)
 						steps = steps[:len(steps)-1]
@@ -166,7 +166,7 @@
 }
 
 // All sequences of three answers of two services over each script.
-func TestEverySmallHistory(t *testing.T) {
+func TestTable_everySmallHistory(t *testing.T) {
 	for i, truth := range scripts() {
 		if err := explore(func() table { return &Table{} }, truth, 3); err != nil {
 			t.Errorf("script %d: %v", i, err)
@@ -175,42 +175,42 @@
 }
 
 // Long histories: drawn truths, answers that are delayed, doubled and overtaken, of replicas of two services that lag.
-func TestDrawnHistories(t *testing.T) {
+func TestTable_drawnHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{table: &Table{}, now: scheduler.Gone, known: -1, truth: []change{{0, Endpoint{ID: "w"}}}}
+		w := &discoveryModel{table: &Table{}, acceptedState: scheduler.Gone, newestRestriction: -1, truth: []fleetChange{{0, Endpoint{ID: "w"}}}}
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			at += time.Duration(rapid.Int64Range(int64(100*time.Millisecond), int64(8*time.Second)).Draw(t, "pause"))
-			m := Endpoint{ID: "w", State: scheduler.WorkerState(rapid.IntRange(0, 2).Draw(t, "state")), Start: w.truth[len(w.truth)-1].member.Start}
+			m := Endpoint{ID: "w", State: scheduler.WorkerState(rapid.IntRange(0, 2).Draw(t, "state")), Start: w.truth[len(w.truth)-1].endpoint.Start}
 			if m.State == scheduler.Ready && rapid.Bool().Draw(t, "a new start") {
 				m.Start += time.Second
 			}
-			w.truth = append(w.truth, change{at, m})
+			w.truth = append(w.truth, fleetChange{at, m})
 		}
-		services := []shownBy{{"before", 1}, {"behind", 100}}
+		services := []modelService{{"before", 1}, {"behind", 100}}
 		came := time.Duration(0)
 		for range rapid.IntRange(0, 30).Draw(t, "answers") {
 			came += time.Duration(rapid.Int64Range(1, int64(2*time.Second)).Draw(t, "gap"))
 			asked := came - time.Duration(rapid.Int64Range(1, int64(5*time.Second)).Draw(t, "took"))
-			lag := time.Duration(rapid.Int64Range(0, int64(mostLag)).Draw(t, "lag"))
+			lag := time.Duration(rapid.Int64Range(0, int64(maxLag)).Draw(t, "lag"))
 			composed := asked - lag + time.Duration(rapid.Float64Range(0, 1).Draw(t, "composed")*float64(came-asked+lag))
 			if err := w.answer(rapid.SampledFrom(services).Draw(t, "service"), asked, composed, came); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := w.settles(services[1], max(at, came)+time.Second); err != nil {
+		if err := w.converges(services[1], max(at, came)+time.Second); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// literal takes every answer at its word, as the dispatcher once did.
-type literal struct {
+// believesEverything takes every answer at its word, as the dispatcher once did.
+type believesEverything struct {
 	Table
 	state scheduler.WorkerState
 }
 
-func (l *literal) Apply(a ListResponse, _ Freshness) (v Changes) {
+func (l *believesEverything) Apply(a ListResponse, _ Freshness) (v Changes) {
 	m := Endpoint{ID: "w", State: scheduler.Gone}
 	if len(a.Endpoints) > 0 {
 		m = a.Endpoints[0]
@@ -222,13 +222,13 @@
 	return v
 }
 
-// stubborn never believes that a worker has come back.
-type stubborn struct {
+// neverReattaches never believes that a worker has come back.
+type neverReattaches struct {
 	Table
 	ended bool
 }
 
-func (s *stubborn) Apply(a ListResponse, o Freshness) (v Changes) {
+func (s *neverReattaches) Apply(a ListResponse, o Freshness) (v Changes) {
 	for _, x := range s.Table.Apply(a, o).Accepted {
 		if x.State == scheduler.Ready && s.ended {
 			continue
@@ -239,10 +239,10 @@
 	return v
 }
 
-// forgetful keeps nothing of a worker that is gone.
-type forgetful struct{ Table }
+// forgetsGone keeps nothing of a worker that is gone.
+type forgetsGone struct{ Table }
 
-func (f *forgetful) Apply(a ListResponse, o Freshness) Changes {
+func (f *forgetsGone) Apply(a ListResponse, o Freshness) Changes {
 	v := f.Table.Apply(a, o)
 	if f.records["w"].state == scheduler.Gone {
 		delete(f.records, "w")
@@ -250,10 +250,10 @@
 	return v
 }
 
-// late counts a drain from the last answer that named it.
-type late struct{ Table }
+// countsDrainLate counts a drain from the last answer that named it.
+type countsDrainLate struct{ Table }
 
-func (l *late) Apply(a ListResponse, o Freshness) Changes {
+func (l *countsDrainLate) Apply(a ListResponse, o Freshness) Changes {
 	v := l.Table.Apply(a, o)
 	for i := range v.Accepted {
 		if v.Accepted[i].State != scheduler.Ready {
@@ -264,12 +264,12 @@
 }
 
 // Each property is broken by a version that is broken on purpose.
-func TestBrokenTablesAreFound(t *testing.T) {
+func TestExplore_findsBrokenTables(t *testing.T) {
 	for name, make := range map[string]func() table{
-		"takes every answer at its word":   func() table { return &literal{} },
-		"never believes a return":          func() table { return &stubborn{} },
-		"forgets who is gone":              func() table { return &forgetful{} },
-		"counts a drain from a later time": func() table { return &late{} },
+		"takes every answer at its word":   func() table { return &believesEverything{} },
+		"never believes a return":          func() table { return &neverReattaches{} },
+		"forgets who is gone":              func() table { return &forgetsGone{} },
+		"counts a drain from a later time": func() table { return &countsDrainLate{} },
 	} {
 		found := false
 		for _, truth := range scripts() {
@@ -282,7 +282,7 @@
 }
 
 // An answer that is not believed says when to ask again.
-func TestAskAgain(t *testing.T) {
+func TestTable_pollAgainAt(t *testing.T) {
 	var known Table
 	take := func(a ListResponse) Changes { return known.Apply(a, known.Classify(a)) }
 	drains := ListResponse{Service: "before", Revision: 9, CalledAt: epoch, ReceivedAt: epoch.Add(time.Second), Endpoints: []Endpoint{{ID: "w", State: scheduler.Draining}}}
