--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -10,291 +10,324 @@
 	"brassdale/scheduler"
 )
 
-// table is what the properties are held over: Table, or a version of it that is broken on purpose.
+// table is the subject of the properties: Table, or a version of it with a deliberate fault.
 type table interface {
 	Classify(ListResponse) Freshness
 	Apply(ListResponse, Freshness) Changes
 }
 
-// fleetChange is one of the truth about the worker "w": what discovery has from a moment on.
+// fleetChange is a change of the true state of the worker "w" at a time after the start of the model.
 type fleetChange struct {
 	at       time.Duration
-	endpoint Endpoint // State Gone for a worker that is not listed
+	endpoint Endpoint // with state Gone for a worker that is not listed
 }
 
-// discoveryModel is a fleet's discovery: what is true when, and services that show it late.
+// discoveryModel is the truth over time, and services that show it late.
 type discoveryModel struct {
 	truth             []fleetChange
 	table             table
-	acceptedState     scheduler.WorkerState // as the table's verdicts have it
+	acceptedState     scheduler.WorkerState // by the table's changes
 	newestRestriction int                   // the newest change whose restriction was accepted; -1 for none
 }
 
 var epoch = time.Unix(1e9, 0)
 
-func (w *discoveryModel) at(d time.Duration) time.Time { return epoch.Add(d) }
+func (m *discoveryModel) at(offset time.Duration) time.Time { return epoch.Add(offset) }
 
-// changeInForce gives the index of the change that was in force at a moment.
-func (w *discoveryModel) changeInForce(d time.Duration) int {
-	n := 0
-	for i, c := range w.truth {
-		if c.at <= d {
-			n = i
+// changeInForce returns the index of the change that is in force at a time.
+func (m *discoveryModel) changeInForce(at time.Duration) int {
+	index := 0
+	for i, change := range m.truth {
+		if change.at <= at {
+			index = i
 		}
 	}
-	return n
+	return index
 }
 
-// service is one that shows the truth late, and counts revisions from a number of its own.
+// modelService is a service that shows the truth late, and counts revisions from a number of its own.
 type modelService struct {
 	name          string
 	firstRevision int64
 }
 
-// answer brings an answer that was composed at a moment. It returns what breaks a property.
-func (w *discoveryModel) answer(s modelService, asked, composed, came time.Duration) error {
-	shown := w.changeInForce(composed)
-	a := ListResponse{Service: s.name, Revision: s.firstRevision + int64(shown), Complete: true, CalledAt: w.at(asked), ReceivedAt: w.at(came)}
-	if m := w.truth[shown].endpoint; m.State != scheduler.Gone {
-		a.Endpoints = []Endpoint{m}
+// modelResponse is when a response of a service was called for, composed and received.
+type modelResponse struct {
+	service                    modelService
+	called, composed, received time.Duration
+}
+
+func (r modelResponse) String() string {
+	return fmt.Sprintf("[%s called at %v composed at %v received at %v]", r.service.name, r.called, r.composed, r.received)
+}
+
+// respond passes a response to the table, and returns the property that its changes violate.
+func (m *discoveryModel) respond(r modelResponse) error {
+	shown := m.changeInForce(r.composed)
+	response := ListResponse{Service: r.service.name, Revision: r.service.firstRevision + int64(shown), Complete: true,
+		CalledAt: m.at(r.called), ReceivedAt: m.at(r.received)}
+	if endpoint := m.truth[shown].endpoint; endpoint.State != scheduler.Gone {
+		response.Endpoints = []Endpoint{endpoint}
 	}
-	order := w.table.Classify(a)
-	if order == Overtaken {
+	freshness := m.table.Classify(response)
+	if freshness == Overtaken {
 		return nil
 	}
-	for _, accepted := range w.table.Apply(a, order).Accepted {
-		was := w.acceptedState
-		w.acceptedState = accepted.State
+	for _, accepted := range m.table.Apply(response, freshness).Accepted {
+		before := m.acceptedState
+		m.acceptedState = accepted.State
 		switch {
 		case accepted.State != scheduler.Ready:
-			if was == scheduler.Ready {
-				w.newestRestriction = max(w.newestRestriction, shown)
+			if before == scheduler.Ready {
+				m.newestRestriction = max(m.newestRestriction, shown)
 			}
-			if accepted.NotifiedAt.After(a.ReceivedAt) || accepted.NotifiedAt.IsZero() {
-				return fmt.Errorf("told %v, behind the answer of %v", accepted.NotifiedAt, a.ReceivedAt)
+			if accepted.NotifiedAt.After(response.ReceivedAt) || accepted.NotifiedAt.IsZero() {
+				return fmt.Errorf("notified at %v, after the response of %v", accepted.NotifiedAt, response.ReceivedAt)
 			}
-		case was != scheduler.Ready && shown <= w.newestRestriction:
-			return fmt.Errorf("a list of change %d, composed at %v, takes back what change %d brought", shown, composed, w.newestRestriction)
+		case before != scheduler.Ready && shown <= m.newestRestriction:
+			return fmt.Errorf("a list of change %d, composed at %v, withdraws the restriction of change %d", shown, r.composed, m.newestRestriction)
 		}
 	}
 	return nil
 }
 
-// converges tells whether answers that come from now on bring the truth in its time.
-func (w *discoveryModel) converges(s modelService, from time.Duration) error {
-	last := len(w.truth) - 1
+// converges returns an error unless responses that are received from now on bring the table to the truth within its time.
+func (m *discoveryModel) converges(service modelService, from time.Duration) error {
+	last := len(m.truth) - 1
 	for at := from; at <= from+MaxStaleness+time.Second; at += time.Second {
-		if err := w.answer(s, at, at, at+10*time.Millisecond); err != nil {
+		if err := m.respond(modelResponse{service, at, at, at + 10*time.Millisecond}); err != nil {
 			return err
 		}
 	}
-	if truth := w.truth[last].endpoint.State; truth != w.acceptedState {
-		return fmt.Errorf("the worker is %v, and %v is known", truth, w.acceptedState)
+	if truth := m.truth[last].endpoint.State; truth != m.acceptedState {
+		return fmt.Errorf("the worker is %v, the table has %v", truth, m.acceptedState)
 	}
 	return nil
 }
 
-// scripts are the truths that are played: a drain, an end, a return, a new start.
-func scripts() [][]fleetChange {
-	member := func(s scheduler.WorkerState, start scheduler.Clock) Endpoint {
-		return Endpoint{ID: "w", State: s, Start: start}
+// truths are the histories of the worker that are explored: a drain, an end, a return, a new start.
+func truths() [][]fleetChange {
+	endpoint := func(state scheduler.WorkerState, start scheduler.Clock) Endpoint {
+		return Endpoint{ID: "w", State: state, Start: start}
 	}
-	active, drains, gone, anew := member(scheduler.Ready, 0), member(scheduler.Draining, 0), member(scheduler.Gone, 0), member(scheduler.Ready, 7)
-	at := func(members ...Endpoint) (truth []fleetChange) {
-		for i, m := range members {
-			truth = append(truth, fleetChange{time.Duration(i) * 4 * time.Second, m})
+	ready, draining, gone := endpoint(scheduler.Ready, 0), endpoint(scheduler.Draining, 0), endpoint(scheduler.Gone, 0)
+	restarted := endpoint(scheduler.Ready, 7)
+	history := func(endpoints ...Endpoint) (truth []fleetChange) {
+		for i, e := range endpoints {
+			truth = append(truth, fleetChange{time.Duration(i) * 4 * time.Second, e})
 		}
 		return truth
 	}
-	return [][]fleetChange{at(active, drains), at(active, gone), at(active, drains, gone), at(active, drains, active), at(active, gone, anew),
-		at(active, drains, anew), at(active, gone, active)}
+	return [][]fleetChange{
+		history(ready, draining),
+		history(ready, gone),
+		history(ready, draining, gone),
+		history(ready, draining, ready),
+		history(ready, gone, restarted),
+		history(ready, draining, restarted),
+		history(ready, gone, ready),
+	}
 }
 
-// maxLag is how old an answer may be when its call is made, in the plays.
+// maxLag is how long before its call a response of the model may have been composed.
 const maxLag = MaxStaleness - time.Second
 
-// explore plays all sequences of so many answers of two services, each composed up to mostLag before its call or any time until it
-// came, and gives the first that breaks a property.
-func explore(make func() table, truth []fleetChange, answers int) error {
-	type step struct {
-		service               modelService
-		asked, composed, came time.Duration
-	}
-	services := []modelService{{"before", 1}, {"behind", 100}}
-	moments := []time.Duration{1, 5, 9, 13}
-	var steps []step
-	var play func(depth int, from time.Duration) error
-	run := func() error {
-		w := &discoveryModel{truth: truth, table: make(), acceptedState: scheduler.Gone, newestRestriction: -1}
-		trace := ""
-		for _, s := range steps {
-			trace += fmt.Sprintf(" [%s asked %v composed %v came %v]", s.service.name, s.asked, s.composed, s.came)
-			if err := w.answer(s.service, s.asked, s.composed, s.came); err != nil {
-				return fmt.Errorf("%w:%s", err, trace)
-			}
+// testServices are the services before and after a move of discovery.
+func testServices() []modelService { return []modelService{{"before", 1}, {"after", 100}} }
+
+// explore plays all sequences of a number of responses of two services, each composed up to maxLag before its call or any time until
+// it was received, and returns the first violation of a property.
+func explore(newTable func() table, truth []fleetChange, responses int) error {
+	var sequence []modelResponse
+	var explorePrefix func(depth int, from time.Duration) error
+	explorePrefix = func(depth int, from time.Duration) error {
+		if depth == 0 {
+			return play(newTable(), truth, sequence)
 		}
-		if err := w.converges(services[1], max(truth[len(truth)-1].at, 14*time.Second)+time.Second); err != nil {
-			return fmt.Errorf("%w:%s", err, trace)
+		for _, response := range responsesFrom(from) {
+			sequence = append(sequence, response)
+			err := explorePrefix(depth-1, response.received+time.Millisecond)
+			sequence = sequence[:len(sequence)-1]
+			if err != nil {
+				return err
+			}
 		}
 		return nil
 	}
-	play = func(depth int, from time.Duration) error {
-		if depth == 0 {
-			return run()
+	return explorePrefix(responses, 0)
+}
+
+// responsesFrom returns the responses that may be received from a time on.
+func responsesFrom(from time.Duration) (responses []modelResponse) {
+	for _, received := range []time.Duration{time.Second, 5 * time.Second, 9 * time.Second, 13 * time.Second} {
+		if received < from {
+			continue
 		}
-		for _, came := range moments {
-			came *= time.Second
-			if came < from {
-				continue
-			}
-			for _, service := range services {
-				for _, asked := range []time.Duration{came - 100*time.Millisecond, came - 4*time.Second} {
-					for _, composed := range []time.Duration{came, asked, asked - maxLag} {
-						steps = append(steps, step{service, asked, composed, came})
-						err := play(depth-1, came+time.Millisecond)
-						steps = steps[:len(steps)-1]
-						if err != nil {
-							return err
-						}
-					}
+		for _, service := range testServices() {
+			for _, called := range []time.Duration{received - 100*time.Millisecond, received - 4*time.Second} {
+				for _, composed := range []time.Duration{received, called, called - maxLag} {
+					responses = append(responses, modelResponse{service, called, composed, received})
 				}
 			}
 		}
-		return nil
 	}
-	return play(answers, 0)
+	return responses
+}
+
+// play passes a sequence of responses to a table, and returns the first violation of a property.
+func play(subject table, truth []fleetChange, sequence []modelResponse) error {
+	model := &discoveryModel{truth: truth, table: subject, acceptedState: scheduler.Gone, newestRestriction: -1}
+	for _, response := range sequence {
+		if err := model.respond(response); err != nil {
+			return fmt.Errorf("%w: %v", err, sequence)
+		}
+	}
+	if err := model.converges(testServices()[1], max(truth[len(truth)-1].at, 14*time.Second)+time.Second); err != nil {
+		return fmt.Errorf("%w: %v", err, sequence)
+	}
+	return nil
 }
 
-// All sequences of three answers of two services over each script.
+// All sequences of three responses of two services over each history hold the properties.
 func TestTable_everySmallHistory(t *testing.T) {
-	for i, truth := range scripts() {
+	for i, truth := range truths() {
 		if err := explore(func() table { return &Table{} }, truth, 3); err != nil {
-			t.Errorf("script %d: %v", i, err)
+			t.Errorf("history %d: %v", i, err)
 		}
 	}
 }
 
-// Long histories: drawn truths, answers that are delayed, doubled and overtaken, of replicas of two services that lag.
+// Long random histories hold the properties: responses of lagging replicas of two services that are delayed, repeated and overtaken.
 func TestTable_drawnHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &discoveryModel{table: &Table{}, acceptedState: scheduler.Gone, newestRestriction: -1, truth: []fleetChange{{0, Endpoint{ID: "w"}}}}
-		at := time.Duration(0)
-		for range rapid.IntRange(1, 6).Draw(t, "changes") {
-			at += time.Duration(rapid.Int64Range(int64(100*time.Millisecond), int64(8*time.Second)).Draw(t, "pause"))
-			m := Endpoint{ID: "w", State: scheduler.WorkerState(rapid.IntRange(0, 2).Draw(t, "state")), Start: w.truth[len(w.truth)-1].endpoint.Start}
-			if m.State == scheduler.Ready && rapid.Bool().Draw(t, "a new start") {
-				m.Start += time.Second
-			}
-			w.truth = append(w.truth, fleetChange{at, m})
-		}
-		services := []modelService{{"before", 1}, {"behind", 100}}
-		came := time.Duration(0)
-		for range rapid.IntRange(0, 30).Draw(t, "answers") {
-			came += time.Duration(rapid.Int64Range(1, int64(2*time.Second)).Draw(t, "gap"))
-			asked := came - time.Duration(rapid.Int64Range(1, int64(5*time.Second)).Draw(t, "took"))
+		truth := drawTruth(t)
+		model := &discoveryModel{table: &Table{}, acceptedState: scheduler.Gone, newestRestriction: -1, truth: truth}
+		received := time.Duration(0)
+		for range rapid.IntRange(0, 30).Draw(t, "responses") {
+			received += time.Duration(rapid.Int64Range(1, int64(2*time.Second)).Draw(t, "gap"))
+			called := received - time.Duration(rapid.Int64Range(1, int64(5*time.Second)).Draw(t, "took"))
 			lag := time.Duration(rapid.Int64Range(0, int64(maxLag)).Draw(t, "lag"))
-			composed := asked - lag + time.Duration(rapid.Float64Range(0, 1).Draw(t, "composed")*float64(came-asked+lag))
-			if err := w.answer(rapid.SampledFrom(services).Draw(t, "service"), asked, composed, came); err != nil {
+			composed := called - lag + time.Duration(rapid.Float64Range(0, 1).Draw(t, "composed")*float64(received-called+lag))
+			service := rapid.SampledFrom(testServices()).Draw(t, "service")
+			if err := model.respond(modelResponse{service, called, composed, received}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := w.converges(services[1], max(at, came)+time.Second); err != nil {
+		if err := model.converges(testServices()[1], max(truth[len(truth)-1].at, received)+time.Second); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// believesEverything takes every answer at its word, as the dispatcher once did.
+// drawTruth draws a history of the worker.
+func drawTruth(t *rapid.T) []fleetChange {
+	truth := []fleetChange{{0, Endpoint{ID: "w"}}}
+	at := time.Duration(0)
+	for range rapid.IntRange(1, 6).Draw(t, "changes") {
+		at += time.Duration(rapid.Int64Range(int64(100*time.Millisecond), int64(8*time.Second)).Draw(t, "pause"))
+		state := scheduler.WorkerState(rapid.IntRange(0, 2).Draw(t, "state"))
+		endpoint := Endpoint{ID: "w", State: state, Start: truth[len(truth)-1].endpoint.Start}
+		if endpoint.State == scheduler.Ready && rapid.Bool().Draw(t, "a new start") {
+			endpoint.Start += time.Second
+		}
+		truth = append(truth, fleetChange{at, endpoint})
+	}
+	return truth
+}
+
+// believesEverything accepts each response as it is.
 type believesEverything struct {
 	Table
 	state scheduler.WorkerState
 }
 
-func (l *believesEverything) Apply(a ListResponse, _ Freshness) (v Changes) {
-	m := Endpoint{ID: "w", State: scheduler.Gone}
-	if len(a.Endpoints) > 0 {
-		m = a.Endpoints[0]
+func (b *believesEverything) Apply(response ListResponse, _ Freshness) (changes Changes) {
+	endpoint := Endpoint{ID: "w", State: scheduler.Gone}
+	if len(response.Endpoints) > 0 {
+		endpoint = response.Endpoints[0]
 	}
-	if l.state != m.State {
-		v.Accepted = []Accepted{{ID: "w", State: m.State, NotifiedAt: a.ReceivedAt}}
+	if b.state != endpoint.State {
+		changes.Accepted = []Accepted{{ID: "w", State: endpoint.State, NotifiedAt: response.ReceivedAt}}
 	}
-	l.state = m.State
-	return v
+	b.state = endpoint.State
+	return changes
 }
 
-// neverReattaches never believes that a worker has come back.
+// neverReattaches never accepts that a worker has returned.
 type neverReattaches struct {
 	Table
-	ended bool
+	restricted bool
 }
 
-func (s *neverReattaches) Apply(a ListResponse, o Freshness) (v Changes) {
-	for _, x := range s.Table.Apply(a, o).Accepted {
-		if x.State == scheduler.Ready && s.ended {
+func (n *neverReattaches) Apply(response ListResponse, freshness Freshness) (changes Changes) {
+	for _, accepted := range n.Table.Apply(response, freshness).Accepted {
+		if accepted.State == scheduler.Ready && n.restricted {
 			continue
 		}
-		s.ended = s.ended || x.State != scheduler.Ready
-		v.Accepted = append(v.Accepted, x)
+		n.restricted = n.restricted || accepted.State != scheduler.Ready
+		changes.Accepted = append(changes.Accepted, accepted)
 	}
-	return v
+	return changes
 }
 
-// forgetsGone keeps nothing of a worker that is gone.
+// forgetsGone retains nothing of a worker that is gone.
 type forgetsGone struct{ Table }
 
-func (f *forgetsGone) Apply(a ListResponse, o Freshness) Changes {
-	v := f.Table.Apply(a, o)
+func (f *forgetsGone) Apply(response ListResponse, freshness Freshness) Changes {
+	changes := f.Table.Apply(response, freshness)
 	if f.records["w"].state == scheduler.Gone {
 		delete(f.records, "w")
 	}
-	return v
+	return changes
 }
 
-// countsDrainLate counts a drain from the last answer that named it.
+// countsDrainLate dates a drain after the last response that named it.
 type countsDrainLate struct{ Table }
 
-func (l *countsDrainLate) Apply(a ListResponse, o Freshness) Changes {
-	v := l.Table.Apply(a, o)
-	for i := range v.Accepted {
-		if v.Accepted[i].State != scheduler.Ready {
-			v.Accepted[i].NotifiedAt = a.ReceivedAt.Add(time.Second)
+func (c *countsDrainLate) Apply(response ListResponse, freshness Freshness) Changes {
+	changes := c.Table.Apply(response, freshness)
+	for i := range changes.Accepted {
+		if changes.Accepted[i].State != scheduler.Ready {
+			changes.Accepted[i].NotifiedAt = response.ReceivedAt.Add(time.Second)
 		}
 	}
-	return v
+	return changes
 }
 
-// Each property is broken by a version that is broken on purpose.
+// Each deliberate fault violates a property in some small history.
 func TestExplore_findsBrokenTables(t *testing.T) {
-	for name, make := range map[string]func() table{
-		"takes every answer at its word":   func() table { return &believesEverything{} },
-		"never believes a return":          func() table { return &neverReattaches{} },
-		"forgets who is gone":              func() table { return &forgetsGone{} },
-		"counts a drain from a later time": func() table { return &countsDrainLate{} },
+	for name, newTable := range map[string]func() table{
+		"accepts each response as it is": func() table { return &believesEverything{} },
+		"never accepts a return":         func() table { return &neverReattaches{} },
+		"forgets gone workers":           func() table { return &forgetsGone{} },
+		"dates a drain too late":         func() table { return &countsDrainLate{} },
 	} {
 		found := false
-		for _, truth := range scripts() {
-			found = found || explore(make, truth, 3) != nil
+		for _, truth := range truths() {
+			found = found || explore(newTable, truth, 3) != nil
 		}
 		if !found {
-			t.Errorf("one that %s is not found", name)
+			t.Errorf("a table that %s is not found", name)
 		}
 	}
 }
 
-// An answer that is not believed says when to ask again.
+// A response that is not accepted says when to poll again.
 func TestTable_pollAgainAt(t *testing.T) {
 	var known Table
-	take := func(a ListResponse) Changes { return known.Apply(a, known.Classify(a)) }
-	drains := ListResponse{Service: "before", Revision: 9, CalledAt: epoch, ReceivedAt: epoch.Add(time.Second), Endpoints: []Endpoint{{ID: "w", State: scheduler.Draining}}}
-	if v := take(drains); len(v.Accepted) != 1 || v.Accepted[0].NotifiedAt != drains.ReceivedAt || !v.PollAgainAt.IsZero() {
-		t.Fatalf("%+v", v)
+	apply := func(response ListResponse) Changes { return known.Apply(response, known.Classify(response)) }
+	drain := ListResponse{Service: "before", Revision: 9, CalledAt: epoch, ReceivedAt: epoch.Add(time.Second),
+		Endpoints: []Endpoint{{ID: "w", State: scheduler.Draining}}}
+	if changes := apply(drain); len(changes.Accepted) != 1 || changes.Accepted[0].NotifiedAt != drain.ReceivedAt || !changes.PollAgainAt.IsZero() {
+		t.Fatalf("a drain: %+v", changes)
 	}
-	active := ListResponse{Service: "behind", Revision: 3, Complete: true, CalledAt: drains.ReceivedAt.Add(time.Second), ReceivedAt: drains.ReceivedAt.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
-	if v := take(active); len(v.Accepted) != 0 || v.PollAgainAt != drains.ReceivedAt.Add(MaxStaleness) {
-		t.Fatalf("%+v", v)
+	ready := ListResponse{Service: "after", Revision: 3, Complete: true, CalledAt: drain.ReceivedAt.Add(time.Second),
+		ReceivedAt: drain.ReceivedAt.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
+	if changes := apply(ready); len(changes.Accepted) != 0 || changes.PollAgainAt != drain.ReceivedAt.Add(MaxStaleness) {
+		t.Fatalf("a return too soon: %+v", changes)
 	}
-	active.CalledAt, active.ReceivedAt = drains.ReceivedAt.Add(MaxStaleness), drains.ReceivedAt.Add(MaxStaleness+time.Second)
-	if v := take(active); len(v.Accepted) != 1 || v.Accepted[0].State != scheduler.Ready || !v.Accepted[0].NotifiedAt.IsZero() {
-		t.Fatalf("%+v", v)
+	ready.CalledAt, ready.ReceivedAt = drain.ReceivedAt.Add(MaxStaleness), drain.ReceivedAt.Add(MaxStaleness+time.Second)
+	if changes := apply(ready); len(changes.Accepted) != 1 || changes.Accepted[0].State != scheduler.Ready || !changes.Accepted[0].NotifiedAt.IsZero() {
+		t.Fatalf("a return after MaxStaleness: %+v", changes)
 	}
 }
--- /dev/null
+++ b/internal/decisions/endpointstate/listresponse.go
@@ -0,0 +1,25 @@
+package endpointstate
+
+import (
+	"time"
+
+	"brassdale/scheduler"
+)
+
+// ListResponse is a response of a discovery service: the full list of workers, or the entries that changed.
+type ListResponse struct {
+	Service    string // responses with the same name share one sequence of revisions
+	Revision   int64
+	Complete   bool      // the full list: workers that it does not name are gone
+	CalledAt   time.Time // when the call was sent
+	ReceivedAt time.Time // when the response was received; not before CalledAt
+	Endpoints  []Endpoint
+}
+
+// Endpoint is what a response says of one worker.
+type Endpoint struct {
+	ID         scheduler.WorkerID
+	State      scheduler.WorkerState
+	Start      scheduler.Clock // of the worker, by discovery's clock; 0 for long ago
+	NotifiedAt time.Time       // when a predecessor process learned that the worker is not ready; zero for now
+}
--- /dev/null
+++ b/internal/decisions/endpointstate/table.go
@@ -0,0 +1,155 @@
+package endpointstate
+
+import (
+	"time"
+
+	"brassdale/scheduler"
+)
+
+// goneRetention is how long a worker that is gone is remembered, so that a stale response does not bring it back.
+const goneRetention = 10 * MaxStaleness
+
+// record is what is known of one worker.
+type record struct {
+	state      scheduler.WorkerState
+	start      scheduler.Clock // by discovery's clock; 0 for long ago
+	notifiedAt time.Time       // since when the worker is known not to be ready; zero while it is ready
+	learnedAt  time.Time       // when its state or start became known to this process; zero for long ago
+	service    string          // the service, epoch and revision that last confirmed the state
+	epoch      int
+	revision   int64
+}
+
+// Table is what is known of all workers. The zero value is an empty table. It is not safe for concurrent use.
+type Table struct {
+	records  map[scheduler.WorkerID]record
+	services map[string]*serviceProgress
+}
+
+// Restore enters the list that was known before this process began, at a revision of a service. It is called before the first
+// Classify. When the list was learned is not known.
+func (t *Table) Restore(service string, revision int64, endpoints []Endpoint) {
+	t.serviceProgress(service).revision = revision
+	for _, endpoint := range endpoints {
+		t.Record(endpoint, service, revision)
+	}
+}
+
+// Record enters the state of one worker that is known otherwise than by a response, in place of what was known of it.
+func (t *Table) Record(endpoint Endpoint, service string, revision int64) {
+	entry := record{state: endpoint.State, start: endpoint.Start, service: service, epoch: t.serviceProgress(service).epoch, revision: revision}
+	if endpoint.State != scheduler.Ready {
+		entry.notifiedAt = endpoint.NotifiedAt
+	}
+	t.set(endpoint.ID, entry)
+}
+
+// Classify compares a response with those before it of its service, and records it. It is called once for each response; unless
+// the result is Overtaken, Apply follows with the result.
+func (t *Table) Classify(response ListResponse) Freshness {
+	return t.serviceProgress(response.Service).classify(response)
+}
+
+// Apply records a response that Classify found Current or Lagging, and returns what it changes.
+func (t *Table) Apply(response ListResponse, freshness Freshness) Changes {
+	var changes Changes
+	if freshness == Lagging {
+		changes.PollAgainAt = response.ReceivedAt
+	}
+	listed := make(map[scheduler.WorkerID]bool, len(response.Endpoints))
+	for i, endpoint := range response.Endpoints {
+		listed[endpoint.ID] = true
+		t.applyEndpoint(response, freshness, i, endpoint, &changes)
+	}
+	if response.Complete && freshness == Current {
+		t.applyUnlisted(response, listed, &changes)
+	}
+	return changes
+}
+
+// applyEndpoint records what a response says of one worker, as far as it is accepted.
+func (t *Table) applyEndpoint(response ListResponse, freshness Freshness, index int, endpoint Endpoint, changes *Changes) {
+	before, known := t.records[endpoint.ID]
+	if freshness == Lagging && (!known || endpoint.State == scheduler.Ready || before.state != scheduler.Ready) {
+		return
+	}
+	newer := !known || freshness == Current && t.composedAfter(response, before)
+	if endpoint.State == scheduler.Ready && before.state != scheduler.Ready && !newer && endpoint.Start <= before.start {
+		changes.pollAgainBy(before.learnedAt.Add(MaxStaleness))
+		return
+	}
+	if before.state == scheduler.Gone && endpoint.State == scheduler.Draining && !newer {
+		return // the worker has left since the response was composed
+	}
+	if endpoint.Start < before.start && !newer {
+		endpoint.Start = before.start
+	}
+	t.accept(response, index, endpoint, before, changes)
+}
+
+// composedAfter reports whether a response was certainly composed after a record was learned.
+func (t *Table) composedAfter(response ListResponse, known record) bool {
+	sameSequence := known.service == response.Service && known.epoch == t.serviceProgress(response.Service).epoch && known.revision != UnknownRevision
+	return sameSequence && response.Revision > known.revision || !response.CalledAt.Before(known.learnedAt.Add(MaxStaleness))
+}
+
+// applyUnlisted records the workers that a complete response does not name as gone, and forgets those that have been gone for
+// longer than goneRetention.
+func (t *Table) applyUnlisted(response ListResponse, listed map[scheduler.WorkerID]bool, changes *Changes) {
+	for id, known := range t.records {
+		switch {
+		case listed[id]:
+		case known.state != scheduler.Gone:
+			t.accept(response, NotListed, Endpoint{ID: id, State: scheduler.Gone, Start: known.start}, known, changes)
+		case response.ReceivedAt.Sub(known.learnedAt) > goneRetention:
+			delete(t.records, id)
+		}
+	}
+}
+
+// accept records a worker's state by a response, and adds it to the changes.
+func (t *Table) accept(response ListResponse, index int, endpoint Endpoint, before record, changes *Changes) {
+	after := record{state: endpoint.State, start: endpoint.Start, learnedAt: before.learnedAt, service: response.Service,
+		epoch: t.serviceProgress(response.Service).epoch, revision: response.Revision}
+	if after.state != before.state || after.start != before.start {
+		after.learnedAt = response.ReceivedAt
+	}
+	if after.state != scheduler.Ready {
+		after.notifiedAt = before.notifiedAt
+		if after.notifiedAt.IsZero() {
+			after.notifiedAt = earlierNonZero(endpoint.NotifiedAt, response.ReceivedAt)
+		}
+	}
+	t.set(endpoint.ID, after)
+	changes.Accepted = append(changes.Accepted,
+		Accepted{Index: index, ID: endpoint.ID, State: after.state, Start: after.start, NotifiedAt: after.notifiedAt})
+}
+
+// set replaces the record of a worker.
+func (t *Table) set(id scheduler.WorkerID, entry record) {
+	if t.records == nil {
+		t.records = map[scheduler.WorkerID]record{}
+	}
+	t.records[id] = entry
+}
+
+// serviceProgress returns the progress of a service, which is created on first use.
+func (t *Table) serviceProgress(name string) *serviceProgress {
+	if t.services == nil {
+		t.services = map[string]*serviceProgress{}
+	}
+	progress := t.services[name]
+	if progress == nil {
+		progress = &serviceProgress{revision: UnknownRevision}
+		t.services[name] = progress
+	}
+	return progress
+}
+
+// earlierNonZero returns the earlier of two times, of which the first may be zero for none.
+func earlierNonZero(optional, other time.Time) time.Time {
+	if optional.IsZero() || other.Before(optional) {
+		return other
+	}
+	return optional
+}
