--- a/internal/decisions/polling/bound_test.go
+++ b/internal/decisions/polling/bound_test.go
@@ -8,7 +8,7 @@
 )
 
 // However a service answers, and however soon, a dispatcher calls it no more often than it is bound to.
-func TestCallsAreBounded(t *testing.T) {
+func TestSchedule_callsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1e9, 0)
 		rules := Rules{Dispatchers: rapid.SampledFrom([]int{1, 5, 300}).Draw(t, "dispatchers")}
@@ -41,7 +41,7 @@
 				s.CallFailed(now, made, Broken, rules, chance)
 			}
 		}
-		most := 30*burst/2 + burst
+		most := 30*maxBurstCalls/2 + maxBurstCalls
 		if kind == "nothing at once" || kind == "older" {
 			most = 30
 		}
@@ -52,13 +52,13 @@
 }
 
 // An answer to a call that does not wait may be as old as the call.
-func TestDueCountsFromTheCall(t *testing.T) {
+func TestSchedule_deadlineFromCall(t *testing.T) {
 	start, rules := time.Unix(1e9, 0), Rules{Dispatchers: 1}
 	s := NewSchedule(start)
 	s.Start(start)
 	s.CallStarted(start, 1, true, rules, 0)
 	s.CallAnswered(start.Add(2*time.Second), 1, 2*time.Second, true, false, rules, 0)
-	if s.due != start.Add(NotificationDeadline) {
-		t.Errorf("a change counts as told %v behind the call", s.due.Sub(start))
+	if s.notificationDue != start.Add(NotificationDeadline) {
+		t.Errorf("a change counts as told %v behind the call", s.notificationDue.Sub(start))
 	}
 }
--- a/internal/decisions/polling/polling.go
+++ b/internal/decisions/polling/polling.go
@@ -50,58 +50,58 @@
 	// ResponseTimeout is how long an answer may take, beside the wait for news. No call hinders the next, so a late one costs a
 	// connection only.
 	ResponseTimeout = 4 * time.Second
-	// inTurn is how long a call may take at a service that serves calls in turn: it fails one that has waited for 2 s.
-	inTurn = 2700 * time.Millisecond
+	// queuedCallTimeout is how long a call may take at a service that serves calls in turn: it fails one that has waited for 2 s.
+	queuedCallTimeout = 2700 * time.Millisecond
 
 	// QueuedThreshold is how long a call without a wait takes at least that had to wait for its turn at the service.
 	QueuedThreshold = 500 * time.Millisecond
 
-	watchOverlap = 100 * time.Millisecond  // a watch that has not answered so long after its wait gets a call beside it, ...
-	overlapEach  = 200 * time.Millisecond  // ... spread by so much for each dispatcher beside this one ...
-	watchSpread  = 1200 * time.Millisecond // ... and by this at most: where discovery falls silent it does so for all
-	gap          = 2100 * time.Millisecond // a call that does not wait gets a further one beside it at the latest, ...
-	leastGap     = 300 * time.Millisecond  // ... and no sooner than this
-	tries        = 4                       // calls that are made until a change counts as told
-	lastAnswer   = 200 * time.Millisecond  // that the last of them has for its answer
+	watchResponseGrace         = 100 * time.Millisecond  // a watch that has not answered so long after its wait gets a call beside it, ...
+	overlapSpreadPerDispatcher = 200 * time.Millisecond  // ... spread by so much for each dispatcher beside this one ...
+	maxOverlapSpread           = 1200 * time.Millisecond // ... and by this at most: where discovery falls silent it does so for all
+	maxPollGap                 = 2100 * time.Millisecond // a call that does not wait gets a further one beside it at the latest, ...
+	minPollGap                 = 300 * time.Millisecond  // ... and no sooner than this
+	callsPerDeadline           = 4                       // calls that are made until a change counts as told
+	lastResponseTime           = 200 * time.Millisecond  // that the last of them has for its answer
 
-	// A service that refused a call, or took longer than busyAnswer over one, has many callers for a while. A call that it has
+	// A service that refused a call, or took longer than busyResponseTime over one, has many callers for a while. A call that it has
 	// let in waits there for its turn: none is made beside it for as long as it may be served, unless less than busyFrom is
 	// left.
-	busyAnswer = QueuedThreshold
-	busyFor    = 10 * time.Second
-	busyFrom   = 3800 * time.Millisecond
+	busyResponseTime    = QueuedThreshold
+	busyDuration        = 10 * time.Second
+	busyRepollThreshold = 3800 * time.Millisecond
 
-	// Who has just heard from a busy service leaves it to others for a while: a new watch begins up to busyRest later, and the
+	// Who has just heard from a busy service leaves it to others for a while: a new watch begins up to maxBusyDelay later, and the
 	// call behind a move up to half of that, where the list is younger than freshFor or another move was just before.
-	busyRest = time.Second
-	freshFor = 2 * time.Second
-	// quickMoves is how soon behind another a move is one of several in quick succession.
-	quickMoves = time.Second
+	maxBusyDelay = time.Second
+	freshListAge = 2 * time.Second
+	// rapidMoveInterval is how soon behind another a move is one of several in quick succession.
+	rapidMoveInterval = time.Second
 
 	// Behind an answer that was of no use, as an older one is, the next call is made after this, ...
-	strainLeast = 200 * time.Millisecond
-	strainMost  = 3200 * time.Millisecond // ... doubled for each further one up to this, ...
-	strainSteps = 6
-	strainOver  = 10 * time.Second // ... until there has been none for so long
+	minUselessDelay     = 200 * time.Millisecond
+	maxUselessDelay     = 3200 * time.Millisecond // ... doubled for each further one up to this, ...
+	maxUselessDoublings = 6
+	uselessResetAfter   = 10 * time.Second // ... until there has been none for so long
 
-	burst     = 10 // calls within burstSpan
-	burstSpan = 2 * time.Second
+	maxBurstCalls = 10 // calls within burstSpan
+	burstWindow   = 2 * time.Second
 
-	each   = 4 * time.Millisecond   // of spread for each dispatcher beside this one
-	empty  = 20 * time.Millisecond  // after an answer that told nothing
-	prompt = 100 * time.Millisecond // and that came at once, as an agent's may
+	rewatchSpreadPerDispatcher = 4 * time.Millisecond   // of spread for each dispatcher beside this one
+	unchangedRewatchDelay      = 20 * time.Millisecond  // after an answer that told nothing
+	earlyRewatchDelay          = 100 * time.Millisecond // and that came at once, as an agent's may
 
 	// Behind a call that failed the next is made after an even part of the time left, or this, if it is less.
-	backoffLeast = 100 * time.Millisecond
-	backoffEach  = 300 * time.Millisecond // for each dispatcher beside this one
-	backoffMost  = 2 * time.Second
-	leastOfShare = 0.4 // of that is no chance
+	minBackoff           = 100 * time.Millisecond
+	backoffPerDispatcher = 300 * time.Millisecond // for each dispatcher beside this one
+	maxBackoff           = 2 * time.Second
+	minBackoffFraction   = 0.4 // of that is no chance
 
-	overdueEach = 800 * time.Millisecond // between the beginnings of calls where a change counts as told, for each dispatcher, ...
-	overdueMost = 5 * time.Second        // ... and at most
+	overdueIntervalPerDispatcher = 800 * time.Millisecond // between the beginnings of calls where a change counts as told, for each dispatcher, ...
+	maxOverdueInterval           = 5 * time.Second        // ... and at most
 
-	agentLeast = 50 * time.Millisecond // a call to an agent may take so long, whatever the grace
-	agentTries = 4                     // calls without an answer, behind which an agent is called every prompt only
+	minAgentTimeout     = 50 * time.Millisecond // a call to an agent may take so long, whatever the grace
+	maxPromptAgentCalls = 4                     // calls without an answer, behind which an agent is called every prompt only
 )
 
 // Kind is what a call for the list is.
@@ -131,9 +131,9 @@
 }
 
 // ClassifyFailure tells how a call ended that took so long, by whether the service said that it serves no more calls for now.
-func ClassifyFailure(refused bool, took time.Duration) Failure {
+func ClassifyFailure(rejected bool, took time.Duration) Failure {
 	switch {
-	case !refused:
+	case !rejected:
 		return Broken
 	case took >= QueuedThreshold:
 		return Expired
@@ -149,36 +149,38 @@
 }
 
 // Timeouts gives how long a call waits for news, and how long its answer may take beside that.
-func (r Rules) Timeouts(k Kind) (wait, within time.Duration) {
+func (r Rules) Timeouts(kind Kind) (wait, responseTimeout time.Duration) {
 	switch {
-	case r.ListsPushed && k == Watch:
-		return r.agentSpan(), r.agentSpan()
+	case r.ListsPushed && kind == Watch:
+		return r.agentTimeout(), r.agentTimeout()
 	case r.ListsPushed: // one that does not wait
-		return 0, r.agentSpan()
-	case k == Watch:
+		return 0, r.agentTimeout()
+	case kind == Watch:
 		return LongPollWait, ResponseTimeout
 	}
 	return 0, ResponseTimeout
 }
 
-// agentSpan is how long a watch at an agent waits.
-func (r Rules) agentSpan() time.Duration { return max(r.DrainGrace/5, agentLeast) }
+// agentTimeout is how long a watch at an agent waits.
+func (r Rules) agentTimeout() time.Duration { return max(r.DrainGrace/5, minAgentTimeout) }
 
 // RewatchDelay gives how long after an answer a watch's next call is made, by whether the answer told anything, whether it
 // came before the wait was over, how many dispatchers there are, and chance from 0 to 1.
-func RewatchDelay(fresh, early bool, dispatchers int, chance float64) time.Duration {
-	least := time.Duration(0)
+func RewatchDelay(changed, early bool, dispatchers int, chance float64) time.Duration {
+	minDelay := time.Duration(0)
 	switch {
-	case fresh:
+	case changed:
 	case early:
-		least = prompt
+		minDelay = earlyRewatchDelay
 	default:
-		least = empty
+		minDelay = unchangedRewatchDelay
 	}
-	spread := min(time.Duration(max(dispatchers-1, 0))*each, WatchGap-WatchGapMargin-least)
-	return least + scale(spread, clamp(chance))
+	spread := min(time.Duration(max(dispatchers-1, 0))*rewatchSpreadPerDispatcher, WatchGap-WatchGapMargin-minDelay)
+	return minDelay + scale(spread, clamp(chance))
 }
 
 func clamp(chance float64) float64 { return min(max(chance, 0), 1) }
 
-func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+func scale(duration time.Duration, factor float64) time.Duration {
+	return time.Duration(float64(duration) * factor)
+}
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// fault is what discovery does with a call.
-type fault int
+// callFault is what discovery does with a call.
+type callFault int
 
 const (
-	answers   fault = iota
-	hangs           // nothing comes, also where there is news
-	breaksOff       // begins to answer and never ends, or ends at once
-	isRefused       // no connection
+	answersInTime     callFault = iota
+	neverAnswers                // nothing comes, also where there is news
+	breaksOff                   // begins to answer and never ends, or ends at once
+	connectionRefused           // no connection
 	answers503
 	answersLate // 2 s later than it could
 	faultKinds
@@ -22,56 +22,56 @@
 
 const (
 	latency = 50 * time.Millisecond // of a call that is answered
-	late    = 2 * time.Second
+	lateBy  = 2 * time.Second
 )
 
 // simCall is a call that is open in the simulation.
 type simCall struct {
-	number int
-	kind   Kind
-	begun  time.Time
-	fault  fault
-	endsAt time.Time // unless there is news before
-	fails  bool
+	number   int
+	kind     Kind
+	calledAt time.Time
+	fault    callFault
+	endsAt   time.Time // unless there is news before
+	fails    bool
 }
 
 // simulation plays a schedule against a discovery in virtual time.
 type simulation struct {
-	schedule  *Schedule
-	rules     Rules
-	chance    func() float64
-	now       time.Time
-	open      []simCall
-	made      int
-	faults    []fault // of the calls that are made from now on
-	changedAt time.Time
-	toldAt    time.Time
-	most      int  // calls open at a time
-	known     bool // a revision is
+	schedule      *Schedule
+	rules         Rules
+	chance        func() float64
+	now           time.Time
+	open          []simCall
+	made          int
+	faults        []callFault // of the calls that are made from now on
+	changedAt     time.Time
+	notifiedAt    time.Time
+	maxOpen       int  // calls open at a time
+	revisionKnown bool // a revision is
 
-	besideIndexed int // calls with an index that were made beside another one which may still have been served
+	concurrentIndexed int // calls with an index that were made beside another one which may still have been served
 }
 
-// end gives when and how a call ends if nothing changes.
-func (s *simulation) end(c simCall) (at time.Time, fails bool) {
+// outcome gives when and how a call ends if nothing changes.
+func (s *simulation) outcome(c simCall) (at time.Time, fails bool) {
 	wait, within := s.rules.Timeouts(c.kind)
-	over := c.begun.Add(wait + within)
+	over := c.calledAt.Add(wait + within)
 	switch c.fault {
-	case hangs:
+	case neverAnswers:
 		return over, true
 	case breaksOff:
-		return c.begun.Add(time.Duration(s.chance() * float64(wait+within))), true
-	case isRefused:
-		return c.begun.Add(time.Millisecond), true
+		return c.calledAt.Add(time.Duration(s.chance() * float64(wait+within))), true
+	case connectionRefused:
+		return c.calledAt.Add(time.Millisecond), true
 	case answers503:
-		return c.begun.Add(latency), true
+		return c.calledAt.Add(latency), true
 	case answersLate:
-		if at := c.begun.Add(wait + late); !s.rules.ListsPushed && at.Before(over) {
+		if at := c.calledAt.Add(wait + lateBy); !s.rules.ListsPushed && at.Before(over) {
 			return at, false
 		}
 		return over, true
 	}
-	return c.begun.Add(max(wait, s.latency())), false
+	return c.calledAt.Add(max(wait, s.latency())), false
 }
 
 func (s *simulation) latency() time.Duration {
@@ -84,29 +84,29 @@
 // call makes the call that is due.
 func (s *simulation) call() {
 	s.made++
-	kind := s.schedule.CallStarted(s.now, s.made, s.known, s.rules, s.chance())
+	kind := s.schedule.CallStarted(s.now, s.made, s.revisionKnown, s.rules, s.chance())
 	for _, o := range s.open {
-		if kind != FullList && o.kind == Poll && o.begun.Add(inTurn).After(s.now) && !s.rules.ListsPushed {
-			s.besideIndexed++
+		if kind != FullList && o.kind == Poll && o.calledAt.Add(queuedCallTimeout).After(s.now) && !s.rules.ListsPushed {
+			s.concurrentIndexed++
 		}
 	}
-	c := simCall{number: s.made, kind: kind, begun: s.now}
+	c := simCall{number: s.made, kind: kind, calledAt: s.now}
 	if len(s.faults) > 0 {
 		c.fault, s.faults = s.faults[0], s.faults[1:]
 	}
-	c.endsAt, c.fails = s.end(c)
+	c.endsAt, c.fails = s.outcome(c)
 	if c.kind == Watch && !s.changedAt.IsZero() && !c.fails { // there is news already
-		c.endsAt = s.newsAt(c)
+		c.endsAt = s.changeReportedAt(c)
 	}
 	s.open = append(s.open, c)
-	s.most = max(s.most, len(s.open))
+	s.maxOpen = max(s.maxOpen, len(s.open))
 }
 
-// newsAt is when an open watch tells of a change that is there now.
-func (s *simulation) newsAt(c simCall) time.Time {
+// changeReportedAt is when an open watch tells of a change that is there now.
+func (s *simulation) changeReportedAt(c simCall) time.Time {
 	at := s.now.Add(s.latency())
 	if c.fault == answersLate {
-		at = at.Add(late)
+		at = at.Add(lateBy)
 	}
 	if at.After(c.endsAt) {
 		return c.endsAt
@@ -119,13 +119,13 @@
 	s.changedAt = s.now
 	for i, c := range s.open {
 		if c.kind == Watch && !c.fails {
-			s.open[i].endsAt = s.newsAt(c)
+			s.open[i].endsAt = s.changeReportedAt(c)
 		}
 	}
 }
 
-// run plays until a time, or until the change is told.
-func (s *simulation) run(until time.Time) {
+// runUntil plays until a time, or until the change is told.
+func (s *simulation) runUntil(until time.Time) {
 	for {
 		at, ok := s.schedule.Next()
 		if !ok {
@@ -158,98 +158,98 @@
 			s.schedule.CallFailed(s.now, c.number, how, s.rules, s.chance())
 			continue
 		}
-		s.known = true
+		s.revisionKnown = true
 		told := !s.changedAt.IsZero()
-		if told && s.toldAt.IsZero() {
-			s.toldAt = s.now
+		if told && s.notifiedAt.IsZero() {
+			s.notifiedAt = s.now
 			return
 		}
-		s.schedule.CallAnswered(s.now, c.number, s.now.Sub(c.begun), told, false, s.rules, s.chance())
+		s.schedule.CallAnswered(s.now, c.number, s.now.Sub(c.calledAt), told, false, s.rules, s.chance())
 	}
 }
 
-func draw(t *rapid.T, pushed bool) *simulation {
+func drawSimulation(t *rapid.T, pushed bool) *simulation {
 	start := time.Unix(1e9, 0)
 	rules := Rules{ListsPushed: pushed, Dispatchers: rapid.SampledFrom([]int{1, 5, 300, 900}).Draw(t, "dispatchers"),
 		DrainGrace: time.Duration(rapid.Int64Range(int64(500*time.Millisecond), int64(3*time.Second)).Draw(t, "grace"))}
-	s := &simulation{schedule: NewSchedule(start), rules: rules, now: start, known: rapid.Bool().Draw(t, "a revision is known")}
+	s := &simulation{schedule: NewSchedule(start), rules: rules, now: start, revisionKnown: rapid.Bool().Draw(t, "a revision is known")}
 	s.chance = func() float64 { return rapid.SampledFrom([]float64{0, 0.3, 0.5, 0.9, 1}).Draw(t, "chance") }
 	return s
 }
 
-func drawFaults(t *rapid.T) []fault {
-	return rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(faultKinds)-1), func(i int) fault { return fault(i) }), 3, 3).Draw(t, "faults")
+func drawFaults(t *rapid.T) []callFault {
+	return rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(faultKinds)-1), func(i int) callFault { return callFault(i) }), 3, 3).Draw(t, "faults")
 }
 
 // No three calls that fail in whatever way, of which the first is open when something changes, hold it back past its time.
-func TestThreeFaultyCalls(t *testing.T) {
+func TestSchedule_threeFaultyCalls(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		rapid.Check(t, func(t *rapid.T) {
-			s := draw(t, pushed)
+			s := drawSimulation(t, pushed)
 			s.schedule.Start(s.now)
-			s.run(s.now.Add(time.Duration(rapid.Int64Range(int64(time.Second), int64(10*time.Second)).Draw(t, "quiet"))))
+			s.runUntil(s.now.Add(time.Duration(rapid.Int64Range(int64(time.Second), int64(10*time.Second)).Draw(t, "quiet"))))
 			s.faults = drawFaults(t)
 			wait, _ := s.rules.Timeouts(Watch)
-			s.run(s.now.Add(time.Duration(rapid.Float64Range(0, 1.5).Draw(t, "into the faults") * float64(wait))))
+			s.runUntil(s.now.Add(time.Duration(rapid.Float64Range(0, 1.5).Draw(t, "into the faults") * float64(wait))))
 			s.change()
-			s.run(s.now.Add(time.Minute))
+			s.runUntil(s.now.Add(time.Minute))
 			within := NotificationDeadline - WatchGapMargin
 			if pushed {
 				within = s.rules.DrainGrace * 3 / 5
 			}
-			if took := s.toldAt.Sub(s.changedAt); s.toldAt.IsZero() || took > within {
+			if took := s.notifiedAt.Sub(s.changedAt); s.notifiedAt.IsZero() || took > within {
 				t.Fatalf("told after %v, %v allowed", took, within)
 			}
-			if s.most > 7 || s.besideIndexed > 0 {
-				t.Fatalf("%d calls open at a time, %d of them took another's place", s.most, s.besideIndexed)
+			if s.maxOpen > 7 || s.concurrentIndexed > 0 {
+				t.Fatalf("%d calls open at a time, %d of them took another's place", s.maxOpen, s.concurrentIndexed)
 			}
 		})
 	}
 }
 
 // The same behind a move: the first three calls to the new service are the faulty ones, whatever was open before.
-func TestThreeFaultyCallsBehindAMove(t *testing.T) {
+func TestSchedule_threeFaultyCallsAfterMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := draw(t, false)
+		s := drawSimulation(t, false)
 		s.schedule.Start(s.now)
-		s.run(s.now.Add(time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "quiet"))))
-		s.open, s.faults, s.known = nil, drawFaults(t), false
+		s.runUntil(s.now.Add(time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "quiet"))))
+		s.open, s.faults, s.revisionKnown = nil, drawFaults(t), false
 		s.schedule.ServiceMoved(s.now, s.chance())
 		s.change()
-		s.run(s.now.Add(time.Minute))
-		if took := s.toldAt.Sub(s.changedAt); s.toldAt.IsZero() || took > MoveNotificationDeadline {
+		s.runUntil(s.now.Add(time.Minute))
+		if took := s.notifiedAt.Sub(s.changedAt); s.notifiedAt.IsZero() || took > MoveNotificationDeadline {
 			t.Fatalf("told after %v", took)
 		}
 	})
 }
 
 // And behind a start, whose first call may be three seconds late.
-func TestThreeFaultyCallsBehindAStart(t *testing.T) {
+func TestSchedule_threeFaultyCallsAfterStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := draw(t, false)
+		s := drawSimulation(t, false)
 		s.faults = drawFaults(t)
 		s.change()
 		s.now = s.now.Add(time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "the first call")))
 		s.schedule.Start(s.now)
-		s.run(s.now.Add(time.Minute))
-		if took := s.toldAt.Sub(s.changedAt); s.toldAt.IsZero() || took > NotificationDeadline-WatchGapMargin {
+		s.runUntil(s.now.Add(time.Minute))
+		if took := s.notifiedAt.Sub(s.changedAt); s.notifiedAt.IsZero() || took > NotificationDeadline-WatchGapMargin {
 			t.Fatalf("told after %v", took)
 		}
 	})
 }
 
 // While a service is down for long, or answers all calls at once with nothing, it is not called in a loop.
-func TestNoLoop(t *testing.T) {
+func TestSchedule_noCallLoop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := draw(t, rapid.Bool().Draw(t, "pushed"))
-		kind := rapid.SampledFrom([]fault{hangs, breaksOff, isRefused, answers503}).Draw(t, "fault")
+		s := drawSimulation(t, rapid.Bool().Draw(t, "pushed"))
+		kind := rapid.SampledFrom([]callFault{neverAnswers, breaksOff, connectionRefused, answers503}).Draw(t, "fault")
 		for range 2000 {
 			s.faults = append(s.faults, kind)
 		}
 		s.schedule.Start(s.now)
-		s.run(s.now.Add(7 * time.Second))
+		s.runUntil(s.now.Add(7 * time.Second))
 		before := s.made
-		s.run(s.now.Add(10 * time.Second))
+		s.runUntil(s.now.Add(10 * time.Second))
 		if calls := s.made - before; calls > 400 || !s.rules.ListsPushed && s.rules.Dispatchers >= 300 && calls > 10*10 {
 			t.Fatalf("%d calls in ten seconds", calls)
 		}
@@ -258,7 +258,7 @@
 
 // Of two dispatchers that a crowded service refuses, the one that has gone without an answer for four seconds calls three times
 // as often as the one that heard just now.
-func TestLongestWithoutAnAnswerFirst(t *testing.T) {
+func TestSchedule_longestWithoutResponseFirst(t *testing.T) {
 	rules := Rules{Dispatchers: 6}
 	start := time.Unix(1e9, 0)
 	behind := func(silent time.Duration) time.Duration {
