--- a/internal/decisions/polling/polling_test.go
+++ b/internal/decisions/polling/polling_test.go
@@ -7,25 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// A watch goes on in time, after an answer that told nothing not at once, and never later for chance alone than its
-// spread.
+// Promises 3 and 5: the next call of a watch is made inside the gap, and not at once after a response without a change.
 func TestRewatchDelay_insideWatchGap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fresh := rapid.Bool().Draw(t, "fresh")
-		n := rapid.IntRange(-1, 1<<30).Draw(t, "dispatchers")
+		changed := rapid.Bool().Draw(t, "changed")
+		dispatchers := rapid.IntRange(-1, 1<<30).Draw(t, "dispatchers")
 		early := rapid.Bool().Draw(t, "early")
-		got := RewatchDelay(fresh, early, n, rapid.Float64Range(0, 1).Draw(t, "chance"))
-		if got < 0 || got > WatchGap-WatchGapMargin || !fresh && got < unchangedRewatchDelay || !fresh && early && got < earlyRewatchDelay {
-			t.Fatalf("after %v", got)
+		got := RewatchDelay(changed, early, dispatchers, rapid.Float64Range(0, 1).Draw(t, "chance"))
+		if got < 0 || got > WatchGap-WatchGapMargin || !changed && got < unchangedRewatchDelay || !changed && early && got < earlyRewatchDelay {
+			t.Fatalf("next call after %v", got)
 		}
 	})
 }
 
-// Eighty dispatchers that hear of a change at once ask again over at least 100 ms, two within 5 ms.
+// Promise 4: the calls of 80 dispatchers that received a change at once are spread over 100 ms or more, those of two over 5 ms.
 func TestRewatchDelay_spread(t *testing.T) {
-	for n, want := range map[int][2]time.Duration{1: {0, 0}, 2: {1, 5 * time.Millisecond}, 80: {100 * time.Millisecond, WatchGap}} {
-		if got := RewatchDelay(true, false, n, 1) - RewatchDelay(true, false, n, 0); got < want[0] || got > want[1] {
-			t.Errorf("%d dispatchers: spread over %v", n, got)
+	for dispatchers, want := range map[int][2]time.Duration{1: {0, 0}, 2: {1, 5 * time.Millisecond}, 80: {100 * time.Millisecond, WatchGap}} {
+		if got := RewatchDelay(true, false, dispatchers, 1) - RewatchDelay(true, false, dispatchers, 0); got < want[0] || got > want[1] {
+			t.Errorf("%d dispatchers: spread over %v", dispatchers, got)
 		}
 	}
 }
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -2,50 +2,92 @@
 
 import "time"
 
-// Schedule tells when the next call is made, and of what kind. The times that its methods get never run backwards. It knows
-// the calls to the service in force only, by their numbers.
+const (
+	// maxBurstCalls is how many calls are made within burstWindow at most, whatever the service returns.
+	maxBurstCalls = 10
+	burstWindow   = 2 * time.Second
+
+	// callsPerDeadline is how many calls are made until the platform counts a change as notified.
+	callsPerDeadline = 4
+
+	// lastResponseTime is how long before that time the last of these calls is made.
+	lastResponseTime = 200 * time.Millisecond
+
+	// minPollGap and maxPollGap bound the time after which a further call is made beside one that does not wait.
+	minPollGap = 300 * time.Millisecond
+	maxPollGap = 2100 * time.Millisecond
+
+	// overlapSpreadPerDispatcher is by how much each dispatcher beside this one widens the random spread of the calls beside a watch:
+	// where discovery goes silent, it does so for all.
+	overlapSpreadPerDispatcher = 200 * time.Millisecond
+	maxOverlapSpread           = 1200 * time.Millisecond
+
+	// maxPromptAgentCalls is how many calls without a response are made to an agent before they are made agentRetryDelay apart.
+	maxPromptAgentCalls = 4
+	agentRetryDelay     = 100 * time.Millisecond
+
+	// busyResponseTime is the response time over which a service counts as busy, for busyDuration.
+	busyResponseTime = QueuedThreshold
+	busyDuration     = 10 * time.Second
+
+	// busyRepollThreshold is how much of NotificationDeadline is left when a further call is made to a busy service beside one that it
+	// may have queued.
+	busyRepollThreshold = 3800 * time.Millisecond
+)
+
+// Schedule decides when the next call is made, and of which kind. It knows calls to the current service only, by the numbers that
+// the caller gives them (from 1). Times that are passed to its methods must not go back; each chance is a random draw from 0 to 1.
+// It is not safe for concurrent use. Its owner calls Start once, CallStarted at the time that Next returns, and one of CallAnswered,
+// CallStale and CallFailed when a call to the current service ends.
 type Schedule struct {
-	notificationDue time.Time // from then on a change may count as told that is not here
-	lastListAt      time.Time // when a list came last, from this service or one before a move
-	lastMoveAt      time.Time // when the last move was; zero for none
+	notificationDue time.Time // when a change that is not here may count as notified
+	lastListAt      time.Time // when a list was last received, from the current service or one before a move
+	lastMoveAt      time.Time // when discovery last moved; zero for never
 
-	nextCallAt time.Time // of the next call; zero while none is to be made
-	nextKind   Kind      // of the next call
+	nextCallAt time.Time // zero until Start
+	nextKind   Kind
 
-	newestCall     int // number of the newest call; 0 once it has ended
-	newestIsWatch  bool
-	unanswered     int       // calls that were begun since the last answer
-	newestCalledAt time.Time // when the newest one was
+	newestCall     int       // number of the newest call; 0 once it has ended
+	newestIsWatch  bool      // holds for the newest call, also once it has ended
+	newestCalledAt time.Time // when the newest call was made
+	unanswered     int       // calls that were made since the last response
 
-	indexedCall   int       // number of the newest call with an index; 0 once it has ended
-	indexedUntil  time.Time // until when it may still be served
-	lastUselessAt time.Time // when an answer was of no use last
-	uselessCount  int       // how many were, at short intervals
+	indexedCall  int       // number of the newest call with a revision; 0 once it has ended
+	indexedUntil time.Time // until when it may still be served
 
-	recentCallTimes [maxBurstCalls]time.Time // when the last calls were made
-	callCount       int                      // how many were
-	listsPushed     bool                     // the service is an agent, which serves this dispatcher alone
+	lastUselessAt time.Time // when a response was last useless: stale, or early without a change
+	uselessCount  int       // how many were, less than uselessResetAfter apart
 
-	busyUntil time.Time // until then the service counts as busy: it refused a call, or took long to answer one
+	recentCallTimes [maxBurstCalls]time.Time // ring of the times of the last calls
+	callCount       int                      // calls made
+	listsPushed     bool                     // the last call was made to an agent, which serves this dispatcher alone
+
+	busyUntil time.Time // until when the service counts as busy
 }
 
-// NewSchedule begins at the start of a process. No call is made before Begin.
+// NewSchedule returns the schedule of a process that starts now. No call is due before Start.
 func NewSchedule(now time.Time) *Schedule {
 	return &Schedule{notificationDue: now.Add(NotificationDeadline), lastListAt: now}
 }
 
-// Start has the first call made now. Later it does nothing.
+// Start makes the first call due now. Further calls of Start do nothing.
 func (s *Schedule) Start(now time.Time) {
 	if s.nextCallAt.IsZero() {
 		s.PollAt(now)
 	}
 }
 
-// PollAt has the next call made at a time, without waiting for news.
+// PollAt makes the next call due at a time, as one that does not wait for a change.
 func (s *Schedule) PollAt(at time.Time) { s.nextCallAt, s.nextKind = at, Poll }
 
-// Next gives when the next call is to be made, if nothing comes before. It is not ok before Begin. Whatever a service answers, no
-// more than burst calls are made to it within burstSpan.
+// PollNow makes a call due now, unless one that does not wait is due already.
+func (s *Schedule) PollNow(now time.Time) {
+	if !s.nextCallAt.IsZero() && (s.nextKind == Watch || now.Before(s.nextCallAt)) {
+		s.PollAt(now)
+	}
+}
+
+// Next returns when the next call is to be made if nothing happens before; it is not ok before Start.
 func (s *Schedule) Next() (at time.Time, ok bool) {
 	at = s.nextCallAt
 	if earliest := s.recentCallTimes[s.callCount%maxBurstCalls].Add(burstWindow); !s.listsPushed && s.callCount >= maxBurstCalls && at.Before(earliest) {
@@ -54,11 +96,14 @@
 	return at, !s.nextCallAt.IsZero()
 }
 
-// BetweenWatches tells whether the next call goes on with a watch whose last one has answered.
+// BetweenWatches reports whether the next call continues a watch whose last call was answered.
 func (s *Schedule) BetweenWatches() bool { return !s.nextCallAt.IsZero() && s.nextKind == Watch }
 
-// CallStarted notes that the next call is made now, under this number, and gives its kind: the whole list, where no revision is known
-// to ask behind.
+// ServiceBusy reports whether the service counts as busy: it has rejected a call lately, or taken long to answer one.
+func (s *Schedule) ServiceBusy(now time.Time) bool { return now.Before(s.busyUntil) }
+
+// CallStarted records that the next call is made now under a number, and returns its kind. Where no revision is known it is
+// FullList.
 func (s *Schedule) CallStarted(now time.Time, number int, revisionKnown bool, rules Rules, chance float64) Kind {
 	kind := s.nextKind
 	if !revisionKnown || kind == Poll && s.indexedCallOpen(now) && !rules.ListsPushed {
@@ -76,26 +121,18 @@
 	return kind
 }
 
-// servedWithin is how long behind its beginning a call may still be servedWithin.
-func (r Rules) servedWithin(kind Kind) time.Duration {
-	if kind == Watch {
-		return LongPollWait + watchResponseGrace
-	}
-	return queuedCallTimeout
-}
-
-// indexedCallOpen tells whether a call with an index is open that may still be served.
+// indexedCallOpen reports whether a call with a revision is in flight that may still be served.
 func (s *Schedule) indexedCallOpen(now time.Time) bool {
 	return s.indexedCall != 0 && now.Before(s.indexedUntil)
 }
 
-// overlapDelay is how long after the newest call a further one is made beside it.
+// overlapDelay returns how long after a call a further one is made beside it.
 func (s *Schedule) overlapDelay(now time.Time, kind Kind, rules Rules, chance float64) time.Duration {
 	switch {
 	case rules.ListsPushed && kind == Watch:
 		return rules.agentTimeout() + rules.agentTimeout()/4
 	case rules.ListsPushed && s.unanswered > maxPromptAgentCalls:
-		return max(earlyRewatchDelay, rules.agentTimeout()/2)
+		return max(agentRetryDelay, rules.agentTimeout()/2)
 	case rules.ListsPushed:
 		return rules.agentTimeout() / 2
 	case kind == Watch:
@@ -109,90 +146,13 @@
 	return min(s.evenInterval(left), maxPollGap)
 }
 
-// evenInterval divides the time that is left until a change may count as told among the calls that are still to be made in it. To make
-// them as early as possible would fill the service's queue with calls that wait for the same answer.
+// evenInterval divides the time that is left until a change may count as notified by the calls that are still to be made in it.
+// Making them earlier would fill the service's queue with calls for the same response.
 func (s *Schedule) evenInterval(left time.Duration) time.Duration {
 	return max((left-lastResponseTime)/time.Duration(max(callsPerDeadline-s.unanswered, 1)), minPollGap)
 }
 
-// CallAnswered notes that a call brought the list, how long it took, and whether it told anything or came before its wait was
-// over. A watch follows, unless a call is open that may become one.
-func (s *Schedule) CallAnswered(now time.Time, number int, took time.Duration, changed, early bool, rules Rules, chance float64) {
-	watchOpen := s.newestIsWatch && s.newestCall != 0 && s.newestCall != number
-	wasWatch := s.newestIsWatch && s.newestCall == number
-	fullList := s.indexedCall != number
-	coveredUntil := now // a watch tells what has happened by its end
-	if !wasWatch {
-		coveredUntil = now.Add(-took)
-	}
-	s.notificationDue, s.lastListAt, s.unanswered = coveredUntil.Add(NotificationDeadline), now, 0
-	if !wasWatch && took > busyResponseTime {
-		s.busyUntil = now.Add(busyDuration)
-	}
-	s.callEnded(number)
-	switch {
-	case watchOpen:
-	case s.indexedCallOpen(now) && !rules.ListsPushed:
-		s.PollAt(s.indexedUntil)
-	case early && !changed && !rules.ListsPushed: // it does not wait for news
-		s.nextCallAt, s.nextKind = now.Add(scale(s.recordUseless(now), (1+clamp(chance))/2)), Watch
-	case fullList && s.ServiceBusy(now) && !rules.ListsPushed:
-		s.nextCallAt, s.nextKind = now.Add(busyDelay(chance)), Watch
-	default:
-		s.nextCallAt, s.nextKind = now.Add(rules.rewatchDelay(changed, early, chance)), Watch
-	}
-}
-
-// CallStale notes that a call was answered with what was known before, or less: as if it had not been answered, for what may be new. A
-// service that goes on so is asked less and less often.
-func (s *Schedule) CallStale(now time.Time, number int, rules Rules, chance float64) {
-	newest := number == s.newestCall || s.newestCall == 0 && number == s.indexedCall
-	s.callEnded(number)
-	wait := s.recordUseless(now)
-	if rules.ListsPushed {
-		wait = min(wait, rules.agentTimeout())
-	}
-	if newest {
-		s.PollAt(now.Add(scale(wait, (1+clamp(chance))/2)))
-	}
-}
-
-// recordUseless notes an answer that was of no use, and gives how long to wait behind it.
-func (s *Schedule) recordUseless(now time.Time) time.Duration {
-	if now.Sub(s.lastUselessAt) > uselessResetAfter {
-		s.uselessCount = 0
-	}
-	s.lastUselessAt = now
-	wait := min(minUselessDelay<<s.uselessCount, maxUselessDelay)
-	s.uselessCount = min(s.uselessCount+1, maxUselessDoublings)
-	return wait
-}
-
-// PollNow has a call made now, unless one is due that does not wait for news.
-func (s *Schedule) PollNow(now time.Time) {
-	if !s.nextCallAt.IsZero() && (s.nextKind == Watch || now.Before(s.nextCallAt)) {
-		s.PollAt(now)
-	}
-}
-
-// PreviousServiceAnswered notes that a service before a move told its list.
-func (s *Schedule) PreviousServiceAnswered(now time.Time) { s.lastListAt = now }
-
-// ServiceBusy tells whether the service has many callers.
-func (s *Schedule) ServiceBusy(now time.Time) bool { return now.Before(s.busyUntil) }
-
-// busyDelay is how long a call waits that a busy service had better not be asked for now.
-func busyDelay(chance float64) time.Duration { return scale(maxBusyDelay, (1+clamp(chance))/2) }
-
-// rewatchDelay is how long after an answer a watch's next call is made. An agent serves this dispatcher alone.
-func (r Rules) rewatchDelay(changed, early bool, chance float64) time.Duration {
-	if r.ListsPushed {
-		return min(RewatchDelay(changed, early, 1, chance), r.agentTimeout()/2)
-	}
-	return RewatchDelay(changed, early, r.Dispatchers, chance)
-}
-
-// callEnded notes that a call is open no more.
+// callEnded records that a call is no longer in flight.
 func (s *Schedule) callEnded(number int) {
 	if s.newestCall == number {
 		s.newestCall = 0
@@ -201,68 +161,3 @@
 		s.indexedCall = 0
 	}
 }
-
-// CallFailed notes that a call ended without the list, and how. The next call is made sooner where no newer one is open, and later
-// where the service has too many callers: what it lets in then it serves too late.
-func (s *Schedule) CallFailed(now time.Time, number int, failure Failure, rules Rules, chance float64) {
-	if failure != Broken {
-		s.busyUntil = now.Add(busyDuration)
-	}
-	newest := number == s.newestCall || s.newestCall == 0 && number == s.indexedCall
-	s.callEnded(number)
-	if !newest && failure != Expired {
-		return
-	}
-	if at := now.Add(s.backoffDelay(now, failure, rules, chance)); at.Before(s.nextCallAt) || failure != Broken {
-		s.PollAt(at)
-	}
-}
-
-// backoffDelay is how long behind a failed call the next is made.
-func (s *Schedule) backoffDelay(now time.Time, failure Failure, rules Rules, chance float64) time.Duration {
-	if rules.ListsPushed {
-		if s.unanswered > maxPromptAgentCalls {
-			return earlyRewatchDelay
-		}
-		return rules.agentTimeout() / 4
-	}
-	left := s.notificationDue.Sub(now)
-	if left <= lastResponseTime || failure == Expired {
-		next := s.newestCalledAt.Add(overdueInterval(failure, rules.Dispatchers, chance))
-		return max(next.Sub(now), minBackoff)
-	}
-	limit := min(minBackoff+backoffPerDispatcher*time.Duration(max(rules.Dispatchers-1, 0)), maxBackoff)
-	return scale(min(s.evenInterval(left), limit), minBackoffFraction+(1-minBackoffFraction)*clamp(chance))
-}
-
-// overdueInterval is how long behind the beginning of a failed call the next is begun where a change counts as told already, or the
-// service is known to serve too late. All dispatchers together then call no faster than it serves them that needs some seconds for
-// all. A call that was refused at once has cost it nothing.
-func overdueInterval(failure Failure, dispatchers int, chance float64) time.Duration {
-	interval := min(overdueIntervalPerDispatcher*time.Duration(dispatchers), maxOverdueInterval)
-	if failure == Rejected {
-		interval /= 2
-	}
-	return scale(interval, (1+clamp(chance))/2)
-}
-
-// ServiceMoved notes that another service is asked from now on. Moves in quick succession bring one call: what is asked of a service that
-// is left in a moment is lost on it.
-func (s *Schedule) ServiceMoved(now time.Time, chance float64) {
-	if due := now.Add(MoveNotificationDeadline); s.notificationDue.After(due) || !s.notificationDue.After(now) {
-		s.notificationDue = due
-	}
-	s.newestCall, s.indexedCall, s.unanswered = 0, 0, 0
-	if s.nextCallAt.IsZero() {
-		return
-	}
-	at, rapid := now, !s.lastMoveAt.IsZero() && now.Sub(s.lastMoveAt) < rapidMoveInterval
-	s.lastMoveAt = now
-	if rapid || s.ServiceBusy(now) && now.Sub(s.lastListAt) < freshListAge {
-		at = now.Add(busyDelay(chance) / 2)
-		if s.nextKind != Watch && s.nextCallAt.Before(at) {
-			at = s.nextCallAt
-		}
-	}
-	s.PollAt(at)
-}
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -7,73 +7,74 @@
 	"pgregory.net/rapid"
 )
 
-// callFault is what discovery does with a call.
+// callFault is how discovery treats a call.
 type callFault int
 
 const (
 	answersInTime     callFault = iota
-	neverAnswers                // nothing comes, also where there is news
-	breaksOff                   // begins to answer and never ends, or ends at once
-	connectionRefused           // no connection
+	neverAnswers                // no response, also when the list changes
+	breaksOff                   // the response never ends, or the connection breaks
+	connectionRefused           // there is no connection
 	answers503
-	answersLate // 2 s later than it could
+	answersLate // lateBy later than it could
 	faultKinds
 )
 
 const (
-	latency = 50 * time.Millisecond // of a call that is answered
+	latency = 50 * time.Millisecond // of a response
 	lateBy  = 2 * time.Second
 )
 
-// simCall is a call that is open in the simulation.
+// simCall is a call in flight in the simulation.
 type simCall struct {
 	number   int
 	kind     Kind
 	calledAt time.Time
 	fault    callFault
-	endsAt   time.Time // unless there is news before
+	endsAt   time.Time // unless the list changes before
 	fails    bool
 }
 
-// simulation plays a schedule against a discovery in virtual time.
+// simulation runs a schedule against a discovery in virtual time.
 type simulation struct {
 	schedule      *Schedule
 	rules         Rules
 	chance        func() float64
 	now           time.Time
-	open          []simCall
-	made          int
-	faults        []callFault // of the calls that are made from now on
+	openCalls     []simCall
+	callCount     int
+	faults        []callFault // of the next calls
 	changedAt     time.Time
 	notifiedAt    time.Time
-	maxOpen       int  // calls open at a time
-	revisionKnown bool // a revision is
+	maxOpen       int // most calls in flight at a time
+	revisionKnown bool
 
-	concurrentIndexed int // calls with an index that were made beside another one which may still have been served
+	concurrentIndexed int // calls with a revision that were made while another one might still be served
 }
 
-// outcome gives when and how a call ends if nothing changes.
-func (s *simulation) outcome(c simCall) (at time.Time, fails bool) {
-	wait, within := s.rules.Timeouts(c.kind)
-	over := c.calledAt.Add(wait + within)
-	switch c.fault {
+// outcome returns when and how a call ends if the list does not change.
+func (s *simulation) outcome(call simCall) (at time.Time, fails bool) {
+	wait, within := s.rules.Timeouts(call.kind)
+	over := call.calledAt.Add(wait + within)
+	switch call.fault {
 	case neverAnswers:
 		return over, true
 	case breaksOff:
-		return c.calledAt.Add(time.Duration(s.chance() * float64(wait+within))), true
+		return call.calledAt.Add(time.Duration(s.chance() * float64(wait+within))), true
 	case connectionRefused:
-		return c.calledAt.Add(time.Millisecond), true
+		return call.calledAt.Add(time.Millisecond), true
 	case answers503:
-		return c.calledAt.Add(latency), true
+		return call.calledAt.Add(latency), true
 	case answersLate:
-		if at := c.calledAt.Add(wait + lateBy); !s.rules.ListsPushed && at.Before(over) {
+		if at := call.calledAt.Add(wait + lateBy); !s.rules.ListsPushed && at.Before(over) {
 			return at, false
 		}
 		return over, true
 	}
-	return c.calledAt.Add(max(wait, s.latency())), false
+	return call.calledAt.Add(max(wait, s.latency())), false
 }
 
+// latency returns how long a response takes.
 func (s *simulation) latency() time.Duration {
 	if s.rules.ListsPushed {
 		return time.Millisecond
@@ -81,60 +82,60 @@
 	return latency
 }
 
-// call makes the call that is due.
+// call makes the due call.
 func (s *simulation) call() {
-	s.made++
-	kind := s.schedule.CallStarted(s.now, s.made, s.revisionKnown, s.rules, s.chance())
-	for _, o := range s.open {
-		if kind != FullList && o.kind == Poll && o.calledAt.Add(queuedCallTimeout).After(s.now) && !s.rules.ListsPushed {
+	s.callCount++
+	kind := s.schedule.CallStarted(s.now, s.callCount, s.revisionKnown, s.rules, s.chance())
+	for _, other := range s.openCalls {
+		if kind != FullList && other.kind == Poll && other.calledAt.Add(queuedCallTimeout).After(s.now) && !s.rules.ListsPushed {
 			s.concurrentIndexed++
 		}
 	}
-	c := simCall{number: s.made, kind: kind, calledAt: s.now}
+	call := simCall{number: s.callCount, kind: kind, calledAt: s.now}
 	if len(s.faults) > 0 {
-		c.fault, s.faults = s.faults[0], s.faults[1:]
+		call.fault, s.faults = s.faults[0], s.faults[1:]
 	}
-	c.endsAt, c.fails = s.outcome(c)
-	if c.kind == Watch && !s.changedAt.IsZero() && !c.fails { // there is news already
-		c.endsAt = s.changeReportedAt(c)
+	call.endsAt, call.fails = s.outcome(call)
+	if call.kind == Watch && !s.changedAt.IsZero() && !call.fails { // the list has changed already
+		call.endsAt = s.changeReportedAt(call)
 	}
-	s.open = append(s.open, c)
-	s.maxOpen = max(s.maxOpen, len(s.open))
+	s.openCalls = append(s.openCalls, call)
+	s.maxOpen = max(s.maxOpen, len(s.openCalls))
 }
 
-// changeReportedAt is when an open watch tells of a change that is there now.
-func (s *simulation) changeReportedAt(c simCall) time.Time {
+// changeReportedAt returns when a watch in flight returns a change of now.
+func (s *simulation) changeReportedAt(call simCall) time.Time {
 	at := s.now.Add(s.latency())
-	if c.fault == answersLate {
+	if call.fault == answersLate {
 		at = at.Add(lateBy)
 	}
-	if at.After(c.endsAt) {
-		return c.endsAt
+	if at.After(call.endsAt) {
+		return call.endsAt
 	}
 	return at
 }
 
-// change makes news: a watch that is not broken tells of it.
+// change changes the list: a watch without a fault returns it.
 func (s *simulation) change() {
 	s.changedAt = s.now
-	for i, c := range s.open {
-		if c.kind == Watch && !c.fails {
-			s.open[i].endsAt = s.changeReportedAt(c)
+	for i, call := range s.openCalls {
+		if call.kind == Watch && !call.fails {
+			s.openCalls[i].endsAt = s.changeReportedAt(call)
 		}
 	}
 }
 
-// runUntil plays until a time, or until the change is told.
+// runUntil advances the simulation to a time, or until the change was received.
 func (s *simulation) runUntil(until time.Time) {
 	for {
 		at, ok := s.schedule.Next()
 		if !ok {
-			panic("no call is to be made")
+			panic("no call is scheduled")
 		}
 		ending := -1
-		for i, c := range s.open {
-			if c.endsAt.Before(at) {
-				at, ending = c.endsAt, i
+		for i, call := range s.openCalls {
+			if call.endsAt.Before(at) {
+				at, ending = call.endsAt, i
 			}
 		}
 		if at.After(until) {
@@ -148,8 +149,8 @@
 			s.call()
 			continue
 		}
-		c := s.open[ending]
-		s.open = append(s.open[:ending], s.open[ending+1:]...)
+		c := s.openCalls[ending]
+		s.openCalls = append(s.openCalls[:ending], s.openCalls[ending+1:]...)
 		if c.fails {
 			how := Broken
 			if c.fault == answers503 {
@@ -172,110 +173,111 @@
 	start := time.Unix(1e9, 0)
 	rules := Rules{ListsPushed: pushed, Dispatchers: rapid.SampledFrom([]int{1, 5, 300, 900}).Draw(t, "dispatchers"),
 		DrainGrace: time.Duration(rapid.Int64Range(int64(500*time.Millisecond), int64(3*time.Second)).Draw(t, "grace"))}
-	s := &simulation{schedule: NewSchedule(start), rules: rules, now: start, revisionKnown: rapid.Bool().Draw(t, "a revision is known")}
-	s.chance = func() float64 { return rapid.SampledFrom([]float64{0, 0.3, 0.5, 0.9, 1}).Draw(t, "chance") }
-	return s
+	sim := &simulation{schedule: NewSchedule(start), rules: rules, now: start, revisionKnown: rapid.Bool().Draw(t, "a revision is known")}
+	sim.chance = func() float64 { return rapid.SampledFrom([]float64{0, 0.3, 0.5, 0.9, 1}).Draw(t, "chance") }
+	return sim
 }
 
 func drawFaults(t *rapid.T) []callFault {
 	return rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(faultKinds)-1), func(i int) callFault { return callFault(i) }), 3, 3).Draw(t, "faults")
 }
 
-// No three calls that fail in whatever way, of which the first is open when something changes, hold it back past its time.
+// Promises 1, 2 and 6: three faulty calls of any kind, the first of which is in flight when the list changes, delay the change no
+// longer than guaranteed.
 func TestSchedule_threeFaultyCalls(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		rapid.Check(t, func(t *rapid.T) {
-			s := drawSimulation(t, pushed)
-			s.schedule.Start(s.now)
-			s.runUntil(s.now.Add(time.Duration(rapid.Int64Range(int64(time.Second), int64(10*time.Second)).Draw(t, "quiet"))))
-			s.faults = drawFaults(t)
-			wait, _ := s.rules.Timeouts(Watch)
-			s.runUntil(s.now.Add(time.Duration(rapid.Float64Range(0, 1.5).Draw(t, "into the faults") * float64(wait))))
-			s.change()
-			s.runUntil(s.now.Add(time.Minute))
+			sim := drawSimulation(t, pushed)
+			sim.schedule.Start(sim.now)
+			sim.runUntil(sim.now.Add(time.Duration(rapid.Int64Range(int64(time.Second), int64(10*time.Second)).Draw(t, "quiet"))))
+			sim.faults = drawFaults(t)
+			wait, _ := sim.rules.Timeouts(Watch)
+			sim.runUntil(sim.now.Add(time.Duration(rapid.Float64Range(0, 1.5).Draw(t, "into the faults") * float64(wait))))
+			sim.change()
+			sim.runUntil(sim.now.Add(time.Minute))
 			within := NotificationDeadline - WatchGapMargin
 			if pushed {
-				within = s.rules.DrainGrace * 3 / 5
+				within = sim.rules.DrainGrace * 3 / 5
 			}
-			if took := s.notifiedAt.Sub(s.changedAt); s.notifiedAt.IsZero() || took > within {
-				t.Fatalf("told after %v, %v allowed", took, within)
+			if took := sim.notifiedAt.Sub(sim.changedAt); sim.notifiedAt.IsZero() || took > within {
+				t.Fatalf("received after %v, %v allowed", took, within)
 			}
-			if s.maxOpen > 7 || s.concurrentIndexed > 0 {
-				t.Fatalf("%d calls open at a time, %d of them took another's place", s.maxOpen, s.concurrentIndexed)
+			if sim.maxOpen > 7 || sim.concurrentIndexed > 0 {
+				t.Fatalf("%d calls in flight at a time, %d of them with a revision beside another", sim.maxOpen, sim.concurrentIndexed)
 			}
 		})
 	}
 }
 
-// The same behind a move: the first three calls to the new service are the faulty ones, whatever was open before.
+// Promise 1 after a move: the first three calls to the new service are faulty, whatever was in flight before.
 func TestSchedule_threeFaultyCallsAfterMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawSimulation(t, false)
-		s.schedule.Start(s.now)
-		s.runUntil(s.now.Add(time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "quiet"))))
-		s.open, s.faults, s.revisionKnown = nil, drawFaults(t), false
-		s.schedule.ServiceMoved(s.now, s.chance())
-		s.change()
-		s.runUntil(s.now.Add(time.Minute))
-		if took := s.notifiedAt.Sub(s.changedAt); s.notifiedAt.IsZero() || took > MoveNotificationDeadline {
-			t.Fatalf("told after %v", took)
+		sim := drawSimulation(t, false)
+		sim.schedule.Start(sim.now)
+		sim.runUntil(sim.now.Add(time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "quiet"))))
+		sim.openCalls, sim.faults, sim.revisionKnown = nil, drawFaults(t), false
+		sim.schedule.ServiceMoved(sim.now, sim.chance())
+		sim.change()
+		sim.runUntil(sim.now.Add(time.Minute))
+		if took := sim.notifiedAt.Sub(sim.changedAt); sim.notifiedAt.IsZero() || took > MoveNotificationDeadline {
+			t.Fatalf("received after %v", took)
 		}
 	})
 }
 
-// And behind a start, whose first call may be three seconds late.
+// Promise 1 after the start of a process, whose first call may be 3 s late.
 func TestSchedule_threeFaultyCallsAfterStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawSimulation(t, false)
-		s.faults = drawFaults(t)
-		s.change()
-		s.now = s.now.Add(time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "the first call")))
-		s.schedule.Start(s.now)
-		s.runUntil(s.now.Add(time.Minute))
-		if took := s.notifiedAt.Sub(s.changedAt); s.notifiedAt.IsZero() || took > NotificationDeadline-WatchGapMargin {
-			t.Fatalf("told after %v", took)
+		sim := drawSimulation(t, false)
+		sim.faults = drawFaults(t)
+		sim.change()
+		sim.now = sim.now.Add(time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "the first call")))
+		sim.schedule.Start(sim.now)
+		sim.runUntil(sim.now.Add(time.Minute))
+		if took := sim.notifiedAt.Sub(sim.changedAt); sim.notifiedAt.IsZero() || took > NotificationDeadline-WatchGapMargin {
+			t.Fatalf("received after %v", took)
 		}
 	})
 }
 
-// While a service is down for long, or answers all calls at once with nothing, it is not called in a loop.
+// Promise 5: a service that fails each call is not called in a loop.
 func TestSchedule_noCallLoop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawSimulation(t, rapid.Bool().Draw(t, "pushed"))
+		sim := drawSimulation(t, rapid.Bool().Draw(t, "pushed"))
 		kind := rapid.SampledFrom([]callFault{neverAnswers, breaksOff, connectionRefused, answers503}).Draw(t, "fault")
 		for range 2000 {
-			s.faults = append(s.faults, kind)
+			sim.faults = append(sim.faults, kind)
 		}
-		s.schedule.Start(s.now)
-		s.runUntil(s.now.Add(7 * time.Second))
-		before := s.made
-		s.runUntil(s.now.Add(10 * time.Second))
-		if calls := s.made - before; calls > 400 || !s.rules.ListsPushed && s.rules.Dispatchers >= 300 && calls > 10*10 {
+		sim.schedule.Start(sim.now)
+		sim.runUntil(sim.now.Add(7 * time.Second))
+		before := sim.callCount
+		sim.runUntil(sim.now.Add(10 * time.Second))
+		if calls := sim.callCount - before; calls > 400 || !sim.rules.ListsPushed && sim.rules.Dispatchers >= 300 && calls > 10*10 {
 			t.Fatalf("%d calls in ten seconds", calls)
 		}
 	})
 }
 
-// Of two dispatchers that a crowded service refuses, the one that has gone without an answer for four seconds calls three times
-// as often as the one that heard just now.
+// Promise 8: of two dispatchers that a busy service rejects, the one without a response for 4 s calls at least twice as often as the one
+// that has just received one.
 func TestSchedule_longestWithoutResponseFirst(t *testing.T) {
 	rules := Rules{Dispatchers: 6}
 	start := time.Unix(1e9, 0)
-	behind := func(silent time.Duration) time.Duration {
-		s := NewSchedule(start)
-		s.Start(start)
-		s.CallStarted(start, 1, true, rules, 0.5)
-		s.CallAnswered(start, 1, 0, true, false, rules, 0.5)
-		now := start.Add(silent)
-		s.CallStarted(now, 2, true, rules, 0.5)
-		s.CallFailed(now, 2, Rejected, rules, 0.5)
-		at, _ := s.Next()
+	delayAfter := func(silence time.Duration) time.Duration {
+		schedule := NewSchedule(start)
+		schedule.Start(start)
+		schedule.CallStarted(start, 1, true, rules, 0.5)
+		schedule.CallAnswered(start, 1, 0, true, false, rules, 0.5)
+		now := start.Add(silence)
+		schedule.CallStarted(now, 2, true, rules, 0.5)
+		schedule.CallFailed(now, 2, Rejected, rules, 0.5)
+		at, _ := schedule.Next()
 		return at.Sub(now)
 	}
-	if fresh, stale := behind(0), behind(4*time.Second); fresh < 2*stale {
-		t.Errorf("%v and %v", fresh, stale)
+	if fresh, stale := delayAfter(0), delayAfter(4*time.Second); fresh < 2*stale {
+		t.Errorf("called again after %v with a fresh list, after %v with a stale one", fresh, stale)
 	}
-	if stale, down := behind(5*time.Second), behind(20*time.Second); down < stale {
-		t.Errorf("a service that is down is called after %v", down)
+	if stale, down := delayAfter(5*time.Second), delayAfter(20*time.Second); down < stale {
+		t.Errorf("a service that is down is called again after %v", down)
 	}
 }
