--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -22,15 +22,15 @@
 // MaxListGap is how old the last list may be for a start in the next to be taken for one of just now.
 const MaxListGap = 6 * time.Second
 
-// start is one that was told of a worker.
-type start struct {
-	stamp scheduler.Clock // as discovery has it
-	at    scheduler.Clock // on the own clock
+// incarnation is one that was told of a worker.
+type incarnation struct {
+	stamp     scheduler.Clock // as discovery has it
+	startedAt scheduler.Clock // on the own clock
 }
 
 // Tracker remembers the starts of workers. Its zero value is empty.
 type Tracker struct {
-	workers map[scheduler.WorkerID]start
+	incarnations map[scheduler.WorkerID]incarnation
 }
 
 // WorkerStart is what a list says of a worker's start.
@@ -47,24 +47,24 @@
 }
 
 // Update takes in a list, or a change of it, and gives when each of its workers started, on the own clock; 0 for long ago.
-func (b *Tracker) Update(m ListTime, lines []WorkerStart) []scheduler.Clock {
+func (b *Tracker) Update(received ListTime, starts []WorkerStart) []scheduler.Clock {
 	newest := scheduler.Clock(0)
-	for _, l := range lines {
-		newest = max(newest, l.Stamp)
+	for _, start := range starts {
+		newest = max(newest, start.Stamp)
 	}
-	at := make([]scheduler.Clock, len(lines))
-	for i, l := range lines {
-		known, had := b.workers[l.ID]
+	startedAt := make([]scheduler.Clock, len(starts))
+	for i, l := range starts {
+		known, had := b.incarnations[l.ID]
 		if l.Stamp > 0 && !(had && known.stamp == l.Stamp) {
-			b.Set(l.ID, l.Stamp, m.Now-m.age(l.Stamp, newest))
+			b.Set(l.ID, l.Stamp, received.Now-received.estimatedAge(l.Stamp, newest))
 		}
-		at[i] = b.StartedAt(l.ID)
+		startedAt[i] = b.StartedAt(l.ID)
 	}
-	return at
+	return startedAt
 }
 
-// age is how old a worker is taken to be by a stamp that is told for the first time.
-func (m ListTime) age(stamp, newest scheduler.Clock) time.Duration {
+// estimatedAge is how old a worker is taken to be by a stamp that is told for the first time.
+func (m ListTime) estimatedAge(stamp, newest scheduler.Clock) time.Duration {
 	if m.SinceLastList < MaxListGap {
 		return 0
 	}
@@ -77,11 +77,13 @@
 
 // Set notes when a start was, from one who knows.
 func (b *Tracker) Set(id scheduler.WorkerID, stamp, at scheduler.Clock) {
-	if b.workers == nil {
-		b.workers = map[scheduler.WorkerID]start{}
+	if b.incarnations == nil {
+		b.incarnations = map[scheduler.WorkerID]incarnation{}
 	}
-	b.workers[id] = start{stamp, at}
+	b.incarnations[id] = incarnation{stamp, at}
 }
 
 // StartedAt gives when a worker started last, on the own clock, as far as it was told; 0 for long ago.
-func (b *Tracker) StartedAt(id scheduler.WorkerID) scheduler.Clock { return b.workers[id].at }
+func (b *Tracker) StartedAt(id scheduler.WorkerID) scheduler.Clock {
+	return b.incarnations[id].startedAt
+}
