--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -1,16 +1,17 @@
-// Package incarnations judges how long ago workers started. Values in, verdicts out: no I/O, no clock, no goroutine.
+// Package incarnations estimates how long ago each worker started. It does no I/O, reads no clock and starts no goroutine.
 //
-// Discovery stamps a worker's start with Unix time, by a wall clock that need not agree with the one here, and either may be
-// set forward or back at any moment. So a stamp tells which start is meant, and hardly when it was. Book promises:
+// Discovery stamps the start of a worker with Unix time by its own clock, which need not agree with the wall clock here; either
+// clock may be stepped at any time. A stamp therefore identifies a start (an incarnation of the worker), but hardly says when it
+// was. Tracker guarantees:
 //
-//  1. A start that is told while lists come counts from when it was first told here: the worker is that old at least, and it is
-//     not taken for warmer than it is.
-//  2. A list behind a time in which nothing was told, as the first of a process, may name workers that started long before. One
-//     of them is taken to be as old as its stamp is behind the newest stamp of that list, or as the own wall clock has it, or
-//     as that time was long, whichever is least. No clock needs to be right for the first; an own clock that is behind the
-//     newest stamp is not gone by.
-//  3. The same stamp again is the same start. Another stamp, also a lower one, is another start: a clock was set back.
-//  4. No stamp means long ago: the worker is warm, unless a start of it was told here before.
+//  1. A start in a list that was received less than MaxListGap after the one before counts from when it was first received here: the
+//     worker is at least that old, and is never taken to have finished its slow start too early.
+//  2. A list after a longer gap, such as the first of a process, may name workers that started long ago. The age of one is the least
+//     of: its stamp's distance from the newest stamp in the list, its stamp's distance from the wall clock here, and the gap. The
+//     first does not depend on any clock being right; the second is left out where the wall clock is behind the newest stamp.
+//  3. The same stamp is the same incarnation; another stamp, also a lower one, is another incarnation, as a clock may have been set
+//     back.
+//  4. No stamp means that the worker started long ago, unless a start of it was received here before.
 package incarnations
 
 import (
@@ -19,71 +20,73 @@
 	"brassdale/scheduler"
 )
 
-// MaxListGap is how old the last list may be for a start in the next to be taken for one of just now.
+// MaxListGap is the time since the last list up to which a start in the next one counts as one of just now.
 const MaxListGap = 6 * time.Second
 
-// incarnation is one that was told of a worker.
+// incarnation is one start of a worker.
 type incarnation struct {
-	stamp     scheduler.Clock // as discovery has it
-	startedAt scheduler.Clock // on the own clock
+	stamp     scheduler.Clock // Unix time by discovery's clock
+	startedAt scheduler.Clock // by this process's monotonic clock
 }
 
-// Tracker remembers the starts of workers. Its zero value is empty.
+// Tracker holds the last start of each worker. The zero value is an empty tracker. It is not safe for concurrent use.
 type Tracker struct {
 	incarnations map[scheduler.WorkerID]incarnation
 }
 
-// WorkerStart is what a list says of a worker's start.
+// WorkerStart is the start of a worker in a list.
 type WorkerStart struct {
 	ID    scheduler.WorkerID
 	Stamp scheduler.Clock // Unix time by discovery's clock; 0 for long ago
 }
 
-// ListTime is when a list is taken in.
+// ListTime is when a list was received.
 type ListTime struct {
-	Now           scheduler.Clock // on the own clock, which runs on evenly
-	Wall          scheduler.Clock // Unix time by the own wall clock, which may be wrong
-	SinceLastList time.Duration   // how long nothing had been told before
+	Now           scheduler.Clock // by this process's monotonic clock
+	Wall          scheduler.Clock // Unix time by the wall clock here, which may be wrong
+	SinceLastList time.Duration   // since the list before, or very long for the first
 }
 
-// Update takes in a list, or a change of it, and gives when each of its workers started, on the own clock; 0 for long ago.
-func (b *Tracker) Update(received ListTime, starts []WorkerStart) []scheduler.Clock {
+// Update records the starts in a list, or in a change of one, and returns when each of its workers started, by this process's
+// monotonic clock; 0 for long ago.
+func (t *Tracker) Update(received ListTime, starts []WorkerStart) []scheduler.Clock {
 	newest := scheduler.Clock(0)
 	for _, start := range starts {
 		newest = max(newest, start.Stamp)
 	}
 	startedAt := make([]scheduler.Clock, len(starts))
-	for i, l := range starts {
-		known, had := b.incarnations[l.ID]
-		if l.Stamp > 0 && !(had && known.stamp == l.Stamp) {
-			b.Set(l.ID, l.Stamp, received.Now-received.estimatedAge(l.Stamp, newest))
+	for i, start := range starts {
+		known, ok := t.incarnations[start.ID]
+		if start.Stamp > 0 && (!ok || known.stamp != start.Stamp) {
+			t.Set(start.ID, start.Stamp, received.Now-received.estimatedAge(start.Stamp, newest))
 		}
-		startedAt[i] = b.StartedAt(l.ID)
+		startedAt[i] = t.StartedAt(start.ID)
 	}
 	return startedAt
 }
 
-// estimatedAge is how old a worker is taken to be by a stamp that is told for the first time.
-func (m ListTime) estimatedAge(stamp, newest scheduler.Clock) time.Duration {
-	if m.SinceLastList < MaxListGap {
+// estimatedAge returns how long ago a worker with a stamp that is new here is taken to have started, where newest is the newest
+// stamp in the same list.
+func (l ListTime) estimatedAge(stamp, newest scheduler.Clock) time.Duration {
+	if l.SinceLastList < MaxListGap {
 		return 0
 	}
-	age := min(newest-stamp, m.SinceLastList)
-	if m.Wall >= newest { // else it is behind the clock that stamps, and tells nothing
-		age = min(age, m.Wall-stamp)
+	age := min(newest-stamp, l.SinceLastList)
+	if l.Wall >= newest { // a wall clock behind discovery's says nothing
+		age = min(age, l.Wall-stamp)
 	}
 	return age
 }
 
-// Set notes when a start was, from one who knows.
-func (b *Tracker) Set(id scheduler.WorkerID, stamp, at scheduler.Clock) {
-	if b.incarnations == nil {
-		b.incarnations = map[scheduler.WorkerID]incarnation{}
+// Set records a start whose time is known otherwise, such as from a predecessor process.
+func (t *Tracker) Set(id scheduler.WorkerID, stamp, startedAt scheduler.Clock) {
+	if t.incarnations == nil {
+		t.incarnations = map[scheduler.WorkerID]incarnation{}
 	}
-	b.incarnations[id] = incarnation{stamp, at}
+	t.incarnations[id] = incarnation{stamp, startedAt}
 }
 
-// StartedAt gives when a worker started last, on the own clock, as far as it was told; 0 for long ago.
-func (b *Tracker) StartedAt(id scheduler.WorkerID) scheduler.Clock {
-	return b.incarnations[id].startedAt
+// StartedAt returns when a worker last started, by this process's monotonic clock; 0 for long ago or for a worker that is not known.
+func (t *Tracker) StartedAt(id scheduler.WorkerID) scheduler.Clock {
+	return t.incarnations[id].startedAt
 }
--- a/internal/decisions/incarnations/incarnations_test.go
+++ b/internal/decisions/incarnations/incarnations_test.go
@@ -9,9 +9,7 @@
 	"brassdale/scheduler"
 )
 
-// Whatever one of the two wall clocks does, no worker is taken to be older than it is by more than the time in which nothing was
-// told, and one that starts while lists come is never taken to be older than it is at all. One that started long before the
-// newest is not taken for a new one for that.
+// Promises 1 to 3: however the two wall clocks are stepped, no worker is taken to be older than it is.
 func TestTracker_neverOverestimatesAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawStep := func(name string) time.Duration {
@@ -28,10 +26,10 @@
 			truth[id], stamps[id] = -age, epoch-age
 			first = append(first, WorkerStart{id, stamps[id]})
 		}
-		check := func(starts []WorkerStart, at []scheduler.Clock) {
-			for i, l := range starts {
-				if at[i] < truth[l.ID] {
-					t.Fatalf("%s is taken to be %v older than it is", l.ID, truth[l.ID]-at[i])
+		check := func(starts []WorkerStart, startedAt []scheduler.Clock) {
+			for i, start := range starts {
+				if startedAt[i] < truth[start.ID] {
+					t.Fatalf("%s is taken to be %v older than it is", start.ID, truth[start.ID]-startedAt[i])
 				}
 			}
 		}
@@ -45,7 +43,7 @@
 			id := rapid.SampledFrom([]scheduler.WorkerID{"a", "b", "c", "d", "e"}).Draw(t, "id")
 			if rapid.Bool().Draw(t, "starts") {
 				stamp := epoch + now + stampOffset
-				if stamp == stamps[id] { // a clock set back to the nanosecond of the start before: nobody could tell the two apart
+				if stamp == stamps[id] { // a clock set back to the very nanosecond: the two starts cannot be told apart
 					stamp++
 				}
 				truth[id], stamps[id] = now, stamp
@@ -53,25 +51,26 @@
 			if stamps[id] == 0 {
 				continue
 			}
-			lines := []WorkerStart{{id, stamps[id]}}
-			check(lines, tracker.Update(ListTime{Now: now, Wall: epoch + now + ownWall, SinceLastList: time.Second}, lines))
+			update := []WorkerStart{{id, stamps[id]}}
+			check(update, tracker.Update(ListTime{Now: now, Wall: epoch + now + ownWall, SinceLastList: time.Second}, update))
 		}
 	})
 }
 
-// With clocks alike, a worker in the first list of a process is as old as it is, less the age of the newest at the most.
+// Promise 2: where the clocks agree, a worker in the first list of a process has its age, less that of the newest one at most.
 func TestTracker_firstList(t *testing.T) {
 	tracker := &Tracker{}
 	const now, wall = scheduler.Clock(time.Hour), scheduler.Clock(1e18)
-	startedAt := tracker.Update(ListTime{Now: now, Wall: wall, SinceLastList: 1 << 62}, []WorkerStart{{"old", wall - scheduler.Clock(30*time.Second)}, {"young", wall - scheduler.Clock(2*time.Second)}, {"long ago", 0}})
+	startedAt := tracker.Update(ListTime{Now: now, Wall: wall, SinceLastList: 1 << 62},
+		[]WorkerStart{{"old", wall - 30*time.Second}, {"young", wall - 2*time.Second}, {"long ago", 0}})
 	if old, young := now-startedAt[0], now-startedAt[1]; old != 28*time.Second || young != 0 || startedAt[2] != 0 {
-		t.Errorf("%v, %v, %v", old, young, startedAt[2])
+		t.Errorf("first list: old %v, young %v, long ago started at %v", old, young, startedAt[2])
 	}
-	// Behind eight seconds in which nothing was told, a start lies no further back than these.
+	// After a gap of 8 s, a start lies no further back than the gap.
 	later := now + 8*time.Second
 	startedAt = tracker.Update(ListTime{Now: later, Wall: wall + 8*time.Second, SinceLastList: 8 * time.Second},
 		[]WorkerStart{{"old", wall + time.Second}, {"young", wall + 5*time.Second}})
 	if old, young := later-startedAt[0], later-startedAt[1]; old != 4*time.Second || young != 0 {
-		t.Errorf("%v, %v", old, young)
+		t.Errorf("after a gap: old %v, young %v", old, young)
 	}
 }
