--- a/internal/decisions/cachetrust/cachetrust.go
+++ b/internal/decisions/cachetrust/cachetrust.go
@@ -54,21 +54,21 @@
 	ProbeTimeout = 2 * time.Second
 
 	// AbsentAfter tells when a worker that never answered counts as gone; it is still asked.
-	AbsentAfter, goneProbes = 20 * time.Second, 4
+	AbsentAfter, minProbesForAbsent = 20 * time.Second, 4
 
 	// ConfirmationDelay and MaxRetention bound how long whom a doubted list does not name is kept.
 	ConfirmationDelay, MaxRetention = time.Second, 10 * time.Second
 
-	coldLeft = 0.05 // of the cold workers so many may be taken for warm ones
-	spread   = 0.7  // of the logarithm of how much longer than usual a job takes at a warm worker
-	mostLate = 3.0  // of one job that is looked at
+	maxFalseWarmRate    = 0.05 // of the cold workers so many may be taken for warm ones
+	logRuntimeDeviation = 0.7  // of the logarithm of how much longer than usual a job takes at a warm worker
+	maxLogLateness      = 3.0  // of one job that is looked at
 
 	// How likely a worker is cold before anything is heard of it: at a fresh list little (this process was down for
 	// a moment), with age as much as not (whatever ended the last process may have ended the workers too). One that
 	// had just started when the list was made starts more often.
-	leastCold, mostCold = 0.05, 0.5
-	coldAge             = 6 * time.Hour
-	restless            = 0.1
+	minWarmingUpPrior, maxWarmingUpPrior = 0.05, 0.5
+	priorAgeScale                        = 6 * time.Hour
+	recentStartPrior                     = 0.1
 )
 
 // CachedWorker is one of a saved list.
@@ -123,64 +123,64 @@
 
 // Assessor is the state of a start from a saved list. The times that its methods get never run backwards.
 type Assessor struct {
-	rules   Rules
-	list    CachedList
-	usable  bool
-	begun   scheduler.Clock
-	age     time.Duration // of the list at the start; below 0 where it cannot be told
-	workers map[scheduler.WorkerID]*worker
-	order   []*worker // by when they are asked first
-	stages  [Excluded + 1]int
-	pace    time.Duration
-	over    bool // discovery's list is in force
-
-	doubted scheduler.Clock // when a first list was doubted; 0 while none was
-	kept    []scheduler.WorkerID
+	rules        Rules
+	list         CachedList
+	usable       bool
+	startedAt    scheduler.Clock
+	age          time.Duration // of the list at the start; below 0 where it cannot be told
+	workers      map[scheduler.WorkerID]*assessedWorker
+	probeOrder   []*assessedWorker // by when they are asked first
+	countByLevel [Excluded + 1]int
+	pace         time.Duration
+	finished     bool // discovery's list is in force
+
+	doubtedAt scheduler.Clock // when a first list was doubted; 0 while none was
+	retained  []scheduler.WorkerID
 }
 
-type worker struct {
+type assessedWorker struct {
 	CachedWorker
-	stage  TrustLevel
-	out    bool            // a probe is
-	asked  scheduler.Clock // when the last probe went out
-	next   scheduler.Clock // when the next one may
-	fails  int
-	weight float64 // logarithm of how much likelier it is warm than cold, by its jobs
-	told   scheduler.Clock
+	level              TrustLevel
+	probing            bool            // a probe is
+	probedAt           scheduler.Clock // when the last probe went out
+	nextProbeAt        scheduler.Clock // when the next one may
+	failedProbes       int
+	logLikelihoodRatio float64 // logarithm of how much likelier it is warm than cold, by its jobs
+	announcedAt        scheduler.Clock
 }
 
 // New begins at a time with a saved list. Usable tells whether it is of any use; Look gives the first verdicts.
-func New(now scheduler.Clock, l CachedList, r Rules) *Assessor {
-	t := &Assessor{rules: r, list: l, workers: map[scheduler.WorkerID]*worker{}, begun: now, age: now - l.ConfirmedAt}
-	if l.ConfirmedAt > now {
-		t.age = -1
+func New(now scheduler.Clock, list CachedList, rules Rules) *Assessor {
+	assessor := &Assessor{rules: rules, list: list, workers: map[scheduler.WorkerID]*assessedWorker{}, startedAt: now, age: now - list.ConfirmedAt}
+	if list.ConfirmedAt > now {
+		assessor.age = -1
 	}
-	if t.usable = t.age <= r.MaxAge; !t.usable {
-		t.over = true
-		return t
+	if assessor.usable = assessor.age <= rules.MaxAge; !assessor.usable {
+		assessor.finished = true
+		return assessor
 	}
-	for _, in := range l.Workers {
-		if t.workers[in.ID] != nil {
+	for _, cached := range list.Workers {
+		if assessor.workers[cached.ID] != nil {
 			continue
 		}
-		w := &worker{CachedWorker: in, next: now}
-		t.stages[Unconfirmed]++
-		if in.State != scheduler.Ready || in.Detached {
-			t.move(w, Excluded)
+		w := &assessedWorker{CachedWorker: cached, nextProbeAt: now}
+		assessor.countByLevel[Unconfirmed]++
+		if cached.State != scheduler.Ready || cached.Detached {
+			assessor.setLevel(w, Excluded)
 		} else {
-			t.order = append(t.order, w)
+			assessor.probeOrder = append(assessor.probeOrder, w)
 		}
-		t.workers[in.ID] = w
+		assessor.workers[cached.ID] = w
 	}
 	// Most likely there: those heard last, and of these the ones that had been up for longest.
-	slices.SortStableFunc(t.order, func(a, b *worker) int {
+	slices.SortStableFunc(assessor.probeOrder, func(a, b *assessedWorker) int {
 		return cmp.Or(cmp.Compare(b.LastSignal, a.LastSignal), cmp.Compare(a.StartedAt, b.StartedAt))
 	})
-	t.pace = time.Second / time.Duration(min(max(MinProbesPerSecond, len(t.order)), MaxProbesPerSecond))
-	for i, w := range t.order {
-		w.next = now + time.Duration(i)*t.pace
+	assessor.pace = time.Second / time.Duration(min(max(MinProbesPerSecond, len(assessor.probeOrder)), MaxProbesPerSecond))
+	for i, w := range assessor.probeOrder {
+		w.nextProbeAt = now + time.Duration(i)*assessor.pace
 	}
-	return t
+	return assessor
 }
 
 // Usable tells whether the list may be used at all.
@@ -190,58 +190,58 @@
 func (t *Assessor) Age() (age time.Duration, ok bool) { return max(t.age, 0), t.age >= 0 }
 
 // Finished tells whether discovery's list is in force: nothing is decided here any more.
-func (t *Assessor) Finished() bool { return t.over }
+func (t *Assessor) Finished() bool { return t.finished }
 
 // AwaitingConfirmation tells whether a list of discovery's waits for a second that agrees.
-func (t *Assessor) AwaitingConfirmation() bool { return t.doubted != 0 }
+func (t *Assessor) AwaitingConfirmation() bool { return t.doubtedAt != 0 }
 
 // CountByLevel counts the workers by stage.
-func (t *Assessor) CountByLevel() [Excluded + 1]int { return t.stages }
+func (t *Assessor) CountByLevel() [Excluded + 1]int { return t.countByLevel }
 
-// move puts a worker into another stage.
-func (t *Assessor) move(w *worker, to TrustLevel) {
-	t.stages[w.stage]--
-	w.stage = to
-	t.stages[to]++
+// setLevel puts a worker into another stage.
+func (t *Assessor) setLevel(w *assessedWorker, to TrustLevel) {
+	t.countByLevel[w.level]--
+	w.level = to
+	t.countByLevel[to]++
 }
 
 // Check gives what is due by now.
-func (t *Assessor) Check(now scheduler.Clock) (vs []Action) {
-	if t.over {
+func (t *Assessor) Check(now scheduler.Clock) (actions []Action) {
+	if t.finished {
 		return nil
 	}
-	for _, w := range t.order {
-		if w.stage > Absent || w.next > now || w.out && now < w.asked+ProbeTimeout {
+	for _, w := range t.probeOrder {
+		if w.level > Absent || w.nextProbeAt > now || w.probing && now < w.probedAt+ProbeTimeout {
 			continue
 		}
 		if !t.rules.MayProbe { // nobody can be asked: it is told as cold, and its jobs tell the rest
-			vs = append(vs, t.hear(w, now))
+			actions = append(actions, t.announce(w, now))
 			continue
 		}
-		if w.out { // its answer never came
-			t.failed(w, now)
-			if w.next > now {
+		if w.probing { // its answer never came
+			t.probeFailed(w, now)
+			if w.nextProbeAt > now {
 				continue
 			}
 		}
-		w.out, w.asked = true, now
-		vs = append(vs, Action{Probe: w.ID})
+		w.probing, w.probedAt = true, now
+		actions = append(actions, Action{Probe: w.ID})
 	}
-	return vs
+	return actions
 }
 
 // NextCheck tells when Look has something to do if nothing comes before; not ok if never.
 func (t *Assessor) NextCheck() (at scheduler.Clock, ok bool) {
-	if t.over {
+	if t.finished {
 		return 0, false
 	}
-	for _, w := range t.order {
-		if w.stage > Absent {
+	for _, w := range t.probeOrder {
+		if w.level > Absent {
 			continue
 		}
-		next := w.next
-		if w.out {
-			next = max(next, w.asked+ProbeTimeout)
+		next := w.nextProbeAt
+		if w.probing {
+			next = max(next, w.probedAt+ProbeTimeout)
 		}
 		if !ok || next < at {
 			at, ok = next, true
@@ -251,80 +251,82 @@
 }
 
 // ProbeCompleted takes what came back of a probe.
-func (t *Assessor) ProbeCompleted(now scheduler.Clock, id scheduler.WorkerID, s ProbeResult) []Action {
+func (t *Assessor) ProbeCompleted(now scheduler.Clock, id scheduler.WorkerID, result ProbeResult) []Action {
 	w := t.workers[id]
-	if t.over || w == nil || !w.out || w.stage > Absent {
+	if t.finished || w == nil || !w.probing || w.level > Absent {
 		return nil
 	}
-	w.out = false
-	switch s {
+	w.probing = false
+	switch result {
 	case Answered:
-		return []Action{t.hear(w, now)}
+		return []Action{t.announce(w, now)}
 	case Unrecognized:
-		t.move(w, ForeignService)
+		t.setLevel(w, ForeignService)
 	}
-	t.failed(w, now)
+	t.probeFailed(w, now)
 	return nil
 }
 
-// hear has a worker told as cold.
-func (t *Assessor) hear(w *worker, now scheduler.Clock) Action {
-	t.move(w, Responsive)
-	w.told = now
+// announce has a worker told as cold.
+func (t *Assessor) announce(w *assessedWorker, now scheduler.Clock) Action {
+	t.setLevel(w, Responsive)
+	w.announcedAt = now
 	return Action{Announce: &ReadyWorker{ID: w.ID, StartedAt: max(now, 1)}}
 }
 
-func (t *Assessor) failed(w *worker, now scheduler.Clock) {
-	w.out = false
-	w.next = now + min(MinProbeRetryDelay<<min(w.fails, 16), MaxProbeRetryDelay)
-	w.fails++
-	if w.stage == Unconfirmed && w.fails >= goneProbes && now >= t.begun+AbsentAfter {
-		t.move(w, Absent)
+func (t *Assessor) probeFailed(w *assessedWorker, now scheduler.Clock) {
+	w.probing = false
+	w.nextProbeAt = now + min(MinProbeRetryDelay<<min(w.failedProbes, 16), MaxProbeRetryDelay)
+	w.failedProbes++
+	if w.level == Unconfirmed && w.failedProbes >= minProbesForAbsent && now >= t.startedAt+AbsentAfter {
+		t.setLevel(w, Absent)
 	}
 }
 
 // StartedAt is when this start began.
-func (t *Assessor) StartedAt() scheduler.Clock { return t.begun }
+func (t *Assessor) StartedAt() scheduler.Clock { return t.startedAt }
 
 // JobServed takes a job that a worker has served. late is the logarithm of how much longer it took than such jobs usually
 // take at this worker.
-func (t *Assessor) JobServed(now scheduler.Clock, id scheduler.WorkerID, late float64) []Action {
+func (t *Assessor) JobServed(now scheduler.Clock, id scheduler.WorkerID, logLateness float64) []Action {
 	w := t.workers[id]
-	if t.over || w == nil || w.stage != Responsive || math.IsNaN(late) {
+	if t.finished || w == nil || w.level != Responsive || math.IsNaN(logLateness) {
 		return nil
 	}
-	late = min(max(late, -mostLate), mostLate)
-	slow := -math.Log(t.warmth(now - w.told)) // how late a job would be at a worker that was cold when it was told
-	w.weight += (slow*slow - 2*late*slow) / (2 * spread * spread)
-	if w.weight < t.needed(w) {
+	logLateness = min(max(logLateness, -maxLogLateness), maxLogLateness)
+	warmingUpLateness := -math.Log(t.warmupFactor(now - w.announcedAt)) // how late a job would be at a worker that was cold when it was told
+	w.logLikelihoodRatio += (warmingUpLateness*warmingUpLateness - 2*logLateness*warmingUpLateness) / (2 * logRuntimeDeviation * logRuntimeDeviation)
+	if w.logLikelihoodRatio < t.requiredEvidence(w) {
 		return nil
 	}
-	t.move(w, Verified)
+	t.setLevel(w, Verified)
 	return []Action{{Announce: &ReadyWorker{ID: w.ID, StartedAt: w.StartedAt, StartConfirmed: true}}}
 }
 
-// prior is how likely a worker is held to be cold before anything is known of it.
-func (t *Assessor) prior(w *worker) float64 {
-	p := mostCold
+// warmingUpPrior is how likely a worker is held to be cold before anything is known of it.
+func (t *Assessor) warmingUpPrior(w *assessedWorker) float64 {
+	probability := maxWarmingUpPrior
 	if t.age >= 0 {
-		p = leastCold + (mostCold-leastCold)*(1-math.Exp(-float64(t.age)/float64(coldAge)))
+		probability = minWarmingUpPrior + (maxWarmingUpPrior-minWarmingUpPrior)*(1-math.Exp(-float64(t.age)/float64(priorAgeScale)))
 	}
 	if w.StartedAt > 0 && w.StartedAt > t.list.ConfirmedAt-t.rules.SlowStartDuration {
-		p += restless
+		probability += recentStartPrior
 	}
-	return p
+	return probability
 }
 
-// needed is how much must speak for a worker: Wald's bound, and more the likelier it is cold beforehand.
-func (t *Assessor) needed(w *worker) float64 { return -math.Log(coldLeft) - math.Log(1-t.prior(w)) }
+// requiredEvidence is how much must speak for a worker: Wald's bound, and more the likelier it is cold beforehand.
+func (t *Assessor) requiredEvidence(w *assessedWorker) float64 {
+	return -math.Log(maxFalseWarmRate) - math.Log(1-t.warmingUpPrior(w))
+}
 
-// warmth is the share of its capacity that a worker has at least, by its age.
-func (t *Assessor) warmth(age time.Duration) float64 {
-	start := min(max(t.rules.SlowStartCapacity, 0.01), 1)
+// warmupFactor is the share of its capacity that a worker has at least, by its age.
+func (t *Assessor) warmupFactor(age time.Duration) float64 {
+	initial := min(max(t.rules.SlowStartCapacity, 0.01), 1)
 	if t.rules.SlowStartDuration <= 0 {
 		return 1
 	}
-	return start + (1-start)*min(max(float64(age)/float64(t.rules.SlowStartDuration), 0), 1)
+	return initial + (1-initial)*min(max(float64(age)/float64(t.rules.SlowStartDuration), 0), 1)
 }
 
 // ListDecision says how a list of discovery's counts.
@@ -335,58 +337,58 @@
 
 // AssessList judges a whole list of discovery's: its revision and whom it names as ready.
 func (t *Assessor) AssessList(now scheduler.Clock, revision int64, ready []scheduler.WorkerID) ListDecision {
-	if t.over {
+	if t.finished {
 		return ListDecision{}
 	}
-	named := map[scheduler.WorkerID]bool{}
+	listed := map[scheduler.WorkerID]bool{}
 	for _, id := range ready {
-		named[id] = true
+		listed[id] = true
 	}
-	trusted, lacking := 0, []scheduler.WorkerID(nil)
-	for _, w := range t.order {
+	trusted, missing := 0, []scheduler.WorkerID(nil)
+	for _, w := range t.probeOrder {
 		trusted++
-		if !named[w.ID] && (w.stage == Responsive || w.stage == Verified) {
-			lacking = append(lacking, w.ID)
+		if !listed[w.ID] && (w.level == Responsive || w.level == Verified) {
+			missing = append(missing, w.ID)
 		}
 	}
-	few := trusted > 0 && float64(len(named)) < t.rules.MinFirstListShare*float64(trusted)
-	doubtful := t.rules.MinFirstListShare > 0 && len(lacking) > 0 && (few || revision < t.list.Revision)
+	tooFew := trusted > 0 && float64(len(listed)) < t.rules.MinFirstListShare*float64(trusted)
+	doubtful := t.rules.MinFirstListShare > 0 && len(missing) > 0 && (tooFew || revision < t.list.Revision)
 	switch {
-	case !doubtful, t.doubted != 0 && now >= t.doubted+MaxRetention:
-		t.over = true
+	case !doubtful, t.doubtedAt != 0 && now >= t.doubtedAt+MaxRetention:
+		t.finished = true
 		return ListDecision{}
-	case t.doubted == 0:
-		t.doubted, t.kept = now, lacking
-	case now >= t.doubted+ConfirmationDelay && len(named) > 0: // a second one: whom it does not name either is gone
-		t.over = true
+	case t.doubtedAt == 0:
+		t.doubtedAt, t.retained = now, missing
+	case now >= t.doubtedAt+ConfirmationDelay && len(listed) > 0: // a second one: whom it does not name either is gone
+		t.finished = true
 		return ListDecision{}
 	}
-	return ListDecision{Retain: lacking, RefetchAt: max(now+ConfirmationDelay/2, t.doubted+ConfirmationDelay)}
+	return ListDecision{Retain: missing, RefetchAt: max(now+ConfirmationDelay/2, t.doubtedAt+ConfirmationDelay)}
 }
 
 // RemovedByDiscovery tells that discovery has named a worker as draining or gone by itself: it is neither kept nor told any more.
 func (t *Assessor) RemovedByDiscovery(id scheduler.WorkerID) {
 	if w := t.workers[id]; w != nil {
-		t.move(w, Excluded)
+		t.setLevel(w, Excluded)
 	}
 }
 
 // RetainedUntil gives until when those that are kept may be; not ok where none is.
 func (t *Assessor) RetainedUntil() (until scheduler.Clock, ok bool) {
-	return t.doubted + MaxRetention, t.doubted != 0 && !t.over
+	return t.doubtedAt + MaxRetention, t.doubtedAt != 0 && !t.finished
 }
 
 // ExpireRetained ends the doubt at its latest: whom discovery did not name is gone.
 func (t *Assessor) ExpireRetained(now scheduler.Clock) (gone []scheduler.WorkerID) {
-	if t.doubted == 0 || t.over || now < t.doubted+MaxRetention {
+	if t.doubtedAt == 0 || t.finished || now < t.doubtedAt+MaxRetention {
 		return nil
 	}
-	t.over = true
-	return t.kept
+	t.finished = true
+	return t.retained
 }
 
 // SameIncarnation tells whether a worker that discovery names is in the life that the saved list had it in.
-func (t *Assessor) SameIncarnation(id scheduler.WorkerID, since scheduler.Clock) bool {
+func (t *Assessor) SameIncarnation(id scheduler.WorkerID, startedAt scheduler.Clock) bool {
 	w := t.workers[id]
-	return w != nil && since <= w.StartedAt
+	return w != nil && startedAt <= w.StartedAt
 }
