--- /dev/null
+++ b/internal/decisions/cachetrust/cachedlist.go
@@ -0,0 +1,19 @@
+package cachetrust
+
+import "brassdale/scheduler"
+
+// CachedList is an endpoint list as it was cached.
+type CachedList struct {
+	ConfirmedAt scheduler.Clock // when the list was last known to be in force
+	Revision    int64
+	Workers     []CachedWorker
+}
+
+// CachedWorker is a worker in a cached list.
+type CachedWorker struct {
+	ID         scheduler.WorkerID
+	State      scheduler.WorkerState
+	Detached   bool            // by the operator
+	StartedAt  scheduler.Clock // 0 for long ago
+	LastSignal scheduler.Clock // when something was last received from it; 0 for never
+}
--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -18,16 +18,16 @@
 
 func workerID(i int) scheduler.WorkerID { return scheduler.WorkerID(fmt.Sprint("w", i)) }
 
-// listOfWorkers is a list of so many workers that have been up for long.
-func listOfWorkers(made scheduler.Clock, n int) CachedList {
-	l := CachedList{ConfirmedAt: made, Revision: 7}
-	for i := range n {
-		l.Workers = append(l.Workers, CachedWorker{ID: workerID(i), LastSignal: made})
+// listOfWorkers returns a list of so many workers that started long ago.
+func listOfWorkers(confirmedAt scheduler.Clock, workers int) CachedList {
+	list := CachedList{ConfirmedAt: confirmedAt, Revision: 7}
+	for i := range workers {
+		list.Workers = append(list.Workers, CachedWorker{ID: workerID(i), LastSignal: confirmedAt})
 	}
-	return l
+	return list
 }
 
-// Promise 1.
+// Promise 1: a list older than MaxAge is not used.
 func TestNew_maxAge(t *testing.T) {
 	for _, test := range []struct {
 		age    time.Duration
@@ -43,77 +43,93 @@
 	}
 }
 
-// Promises 2 to 6, whatever comes in whatever order.
+// promiseChecker checks each action of an Assessor against promises 2 to 6.
+type promiseChecker struct {
+	t                     *rapid.T
+	rules                 Rules
+	list                  CachedList
+	now                   scheduler.Clock
+	probedAt, announcedAt map[scheduler.WorkerID]scheduler.Clock
+	answered              map[scheduler.WorkerID]bool
+	probes                int
+}
+
+func (c *promiseChecker) check(actions []Action) {
+	for _, action := range actions {
+		if (action.Probe == "") == (action.Announce == nil) {
+			c.t.Fatalf("%+v does not have exactly one field set", action)
+		}
+		if action.Probe != "" {
+			c.checkProbe(action.Probe)
+			continue
+		}
+		c.checkAnnouncement(action.Announce)
+	}
+}
+
+func (c *promiseChecker) checkProbe(id scheduler.WorkerID) {
+	if at, inFlight := c.probedAt[id]; inFlight && c.now < at+ProbeTimeout {
+		c.t.Fatalf("two probes of %s in flight", id)
+	}
+	if c.announcedAt[id] != 0 || !c.rules.MayProbe {
+		c.t.Fatalf("probes %s", id)
+	}
+	c.probedAt[id] = c.now
+	c.probes++
+}
+
+func (c *promiseChecker) checkAnnouncement(announced *ReadyWorker) {
+	index := slices.IndexFunc(c.list.Workers, func(w CachedWorker) bool { return w.ID == announced.ID })
+	cached := c.list.Workers[index]
+	switch {
+	case cached.State != scheduler.Ready || cached.Detached:
+		c.t.Fatalf("announces one that was not ready: %+v", cached)
+	case c.rules.MayProbe && !c.answered[cached.ID]:
+		c.t.Fatalf("announces one that never answered: %+v", cached)
+	case !announced.StartConfirmed && announced.StartedAt != c.now:
+		c.t.Fatalf("announced as started at %v at %v", announced.StartedAt, c.now)
+	case announced.StartConfirmed && (c.announcedAt[cached.ID] == 0 || announced.StartedAt != cached.StartedAt):
+		c.t.Fatalf("confirmed before it was announced, or with another start: %+v", announced)
+	}
+	c.announcedAt[cached.ID] = c.now
+}
+
+// Promises 2 to 6, for any events in any order.
 func TestAssessor_promises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := testRules
 		rules.MayProbe = rapid.Bool().Draw(t, "probing")
 		now := 10 * day
-		list := CachedList{ConfirmedAt: now - time.Duration(rapid.IntRange(-5, 60).Draw(t, "age"))*time.Hour, Revision: 7}
-		workers := rapid.IntRange(1, 30).Draw(t, "workers")
-		for i := range workers {
-			list.Workers = append(list.Workers, CachedWorker{ID: workerID(i), State: rapid.SampledFrom([]scheduler.WorkerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Gone}).Draw(t, "state"),
-				Detached: rapid.IntRange(0, 9).Draw(t, "out") == 0, StartedAt: list.ConfirmedAt - time.Duration(rapid.IntRange(0, 100).Draw(t, "since"))*time.Second})
-		}
+		list := drawList(t, now)
+		workers := len(list.Workers)
 		assessor := New(now, list, rules)
 		startedAt := now
-		probedAt, answered, announcedAt, confirmed := map[scheduler.WorkerID]scheduler.Clock{}, map[scheduler.WorkerID]bool{}, map[scheduler.WorkerID]scheduler.Clock{}, map[scheduler.WorkerID]bool{}
-		probes := 0
-		checkActions := func(vs []Action) {
-			for _, v := range vs {
-				if (v.Probe == "") == (v.Announce == nil) {
-					t.Fatalf("%+v is not one verdict", v)
-				}
-				if w := v.Probe; w != "" {
-					if at, is := probedAt[w]; is && now < at+ProbeTimeout {
-						t.Fatalf("two probes out to %s", w)
-					}
-					if announcedAt[w] != 0 || !rules.MayProbe {
-						t.Fatalf("probes %s", w)
-					}
-					probedAt[w] = now
-					probes++
-					continue
-				}
-				w := slices.IndexFunc(list.Workers, func(w CachedWorker) bool { return w.ID == v.Announce.ID })
-				saved := list.Workers[w]
-				switch {
-				case saved.State != scheduler.Ready || saved.Detached:
-					t.Fatalf("told one that had left: %+v", saved)
-				case rules.MayProbe && !answered[saved.ID]:
-					t.Fatalf("told one that never answered: %+v", saved)
-				case !v.Announce.StartConfirmed && v.Announce.StartedAt != now:
-					t.Fatalf("told as started at %v at %v", v.Announce.StartedAt, now)
-				case v.Announce.StartConfirmed && (announcedAt[saved.ID] == 0 || v.Announce.StartedAt != saved.StartedAt):
-					t.Fatalf("proven before it was told, or as another: %+v", v.Announce)
-				}
-				announcedAt[saved.ID] = now
-				confirmed[saved.ID] = confirmed[saved.ID] || v.Announce.StartConfirmed
-			}
-		}
+		checker := &promiseChecker{t: t, rules: rules, list: list, probedAt: map[scheduler.WorkerID]scheduler.Clock{},
+			announcedAt: map[scheduler.WorkerID]scheduler.Clock{}, answered: map[scheduler.WorkerID]bool{}}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
-			w := workerID(rapid.IntRange(0, workers-1).Draw(t, "worker"))
+			checker.now = now
+			id := workerID(rapid.IntRange(0, workers-1).Draw(t, "worker"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				checkActions(assessor.Check(now))
+				checker.check(assessor.Check(now))
 			case 2:
-				s := rapid.SampledFrom([]ProbeResult{Answered, Unrecognized, NoResponse}).Draw(t, "sign")
-				if _, is := probedAt[w]; is && s == Answered {
-					answered[w] = true
+				result := rapid.SampledFrom([]ProbeResult{Answered, Unrecognized, NoResponse}).Draw(t, "result")
+				if _, inFlight := checker.probedAt[id]; inFlight && result == Answered {
+					checker.answered[id] = true
 				}
-				checkActions(assessor.ProbeCompleted(now, w, s))
-				delete(probedAt, w)
+				checker.check(assessor.ProbeCompleted(now, id, result))
+				delete(checker.probedAt, id)
 			case 3:
-				checkActions(assessor.JobServed(now, w, rapid.Float64Range(-1, 4).Draw(t, "late")))
+				checker.check(assessor.JobServed(now, id, rapid.Float64Range(-1, 4).Draw(t, "log lateness")))
 			}
-			if maxProbes := workers + int((now-startedAt)/MinProbeRetryDelay+2)*workers; probes > maxProbes {
-				t.Fatalf("%d probes of %d workers in %v", probes, workers, now-startedAt)
+			if maxProbes := workers + int((now-startedAt)/MinProbeRetryDelay+2)*workers; checker.probes > maxProbes {
+				t.Fatalf("%d probes of %d workers in %v", checker.probes, workers, now-startedAt)
 			}
 			if at, ok := assessor.NextCheck(); ok && at <= now {
-				checkActions(assessor.Check(now))
+				checker.check(assessor.Check(now))
 				if at, ok := assessor.NextCheck(); ok && at <= now && rules.MayProbe {
-					t.Fatalf("due at %v after a look at %v", at, now)
+					t.Fatalf("due at %v after a check at %v", at, now)
 				}
 			}
 		}
@@ -127,7 +143,22 @@
 	})
 }
 
-// Promise 5: a worker that is cold is seldom taken for warm, one that is warm after a job or three.
+// drawList draws a cached list of up to 30 workers in any states.
+func drawList(t *rapid.T, now scheduler.Clock) CachedList {
+	states := []scheduler.WorkerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Gone}
+	list := CachedList{ConfirmedAt: now - time.Duration(rapid.IntRange(-5, 60).Draw(t, "age"))*time.Hour, Revision: 7}
+	for i := range rapid.IntRange(1, 30).Draw(t, "workers") {
+		list.Workers = append(list.Workers, CachedWorker{
+			ID:        workerID(i),
+			State:     rapid.SampledFrom(states).Draw(t, "state"),
+			Detached:  rapid.IntRange(0, 9).Draw(t, "detached") == 0,
+			StartedAt: list.ConfirmedAt - time.Duration(rapid.IntRange(0, 100).Draw(t, "since"))*time.Second,
+		})
+	}
+	return list
+}
+
+// Promise 5: a worker that is warming up is seldom taken for warm, and a warm one is confirmed after four jobs on average.
 func TestJobServed_sequentialTest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := time.Duration(rapid.IntRange(0, 48).Draw(t, "hours")) * time.Hour
@@ -135,7 +166,7 @@
 		falseWarm, warmJobs := 0, 0
 		const workers = 300
 		state := seed
-		normal := func() (sum float64) { // a sum of twelve even numbers is near enough
+		normal := func() (sum float64) { // a sum of twelve uniform draws is close enough
 			for range 12 {
 				state = state*6364136223846793005 + 1442695040888963407
 				sum += float64(state>>11) / (1 << 53)
@@ -165,15 +196,15 @@
 			}
 		}
 		if falseWarm > workers/2/8 {
-			t.Fatalf("%d of %d cold workers taken for warm with a list of %v", falseWarm, workers/2, age)
+			t.Fatalf("%d of %d warming workers taken for warm with a list of %v", falseWarm, workers/2, age)
 		}
 		if warmJobs > 4*workers/2 {
-			t.Fatalf("%d jobs to prove %d warm workers with a list of %v", warmJobs, workers/2, age)
+			t.Fatalf("%d jobs to confirm %d warm workers with a list of %v", warmJobs, workers/2, age)
 		}
 	})
 }
 
-// The older the list, the less a worker is trusted.
+// Promise 5: the older the list, the less a worker is trusted.
 func TestWarmingUpPrior_growsWithAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		younger, older := rapid.IntRange(0, 72).Draw(t, "a"), rapid.IntRange(0, 72).Draw(t, "b")
@@ -181,8 +212,8 @@
 			younger, older = older, younger
 		}
 		prior := func(hours int) float64 {
-			trust := New(10*day, listOfWorkers(10*day-time.Duration(hours)*time.Hour, 1), testRules)
-			return trust.warmingUpPrior(trust.probeOrder[0])
+			assessor := New(10*day, listOfWorkers(10*day-time.Duration(hours)*time.Hour, 1), testRules)
+			return assessor.warmingUpPrior(assessor.probeOrder[0])
 		}
 		if prior(younger) > prior(older) {
 			t.Fatalf("after %d h %v, after %d h %v", younger, prior(younger), older, prior(older))
@@ -190,7 +221,7 @@
 	})
 }
 
-// Promise 6: the first probes are paced, and those heard last come first.
+// Promise 6: the rate of first probes is bounded, and workers with the latest signal come first.
 func TestCheck_probeRate(t *testing.T) {
 	for _, workers := range []int{3, 12, 50, 200, 20000} {
 		list := listOfWorkers(9*day, workers)
@@ -200,14 +231,14 @@
 		assessor := New(10*day, list, testRules)
 		probes, inOneSecond := 0, 0
 		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
-			for _, v := range assessor.Check(now) {
-				if v.Probe != workerID(probes) && probes < workers {
-					t.Fatalf("%d workers: probe %d goes to %s", workers, probes, v.Probe)
+			for _, action := range assessor.Check(now) {
+				if action.Probe != workerID(probes) && probes < workers {
+					t.Fatalf("%d workers: probe %d goes to %s", workers, probes, action.Probe)
 				}
 				if probes++; probes == workers {
 					break
 				}
-				assessor.ProbeCompleted(now, v.Probe, Answered)
+				assessor.ProbeCompleted(now, action.Probe, Answered)
 			}
 			inOneSecond = max(inOneSecond, probes)
 		}
@@ -217,21 +248,21 @@
 	}
 }
 
-// Promise 7.
+// Promise 7: which first lists of discovery are in force at once, and how the others are confirmed.
 func TestAssessList_firstList(t *testing.T) {
 	newAssessor := func() *Assessor {
 		assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), testRules)
 		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
-			for _, v := range assessor.Check(now) {
-				if i := slices.Index([]scheduler.WorkerID{workerID(8), workerID(9)}, v.Probe); i < 0 { // two never answer
-					assessor.ProbeCompleted(now, v.Probe, Answered)
+			for _, action := range assessor.Check(now) {
+				if i := slices.Index([]scheduler.WorkerID{workerID(8), workerID(9)}, action.Probe); i < 0 { // two never answer
+					assessor.ProbeCompleted(now, action.Probe, Answered)
 				}
 			}
 		}
 		return assessor
 	}
-	workerIDs := func(n int) (ids []scheduler.WorkerID) {
-		for i := range n {
+	workerIDs := func(count int) (ids []scheduler.WorkerID) {
+		for i := range count {
 			ids = append(ids, workerID(i))
 		}
 		return ids
@@ -241,52 +272,57 @@
 		name     string
 		revision int64
 		ready    []scheduler.WorkerID
-		kept     int // -1: counts at once
+		retained int // -1: the list is in force at once
 	}{
-		{"all", 9, workerIDs(10), -1}, {"half", 9, workerIDs(5), -1}, {"below half", 9, workerIDs(4), 4}, {"empty", 9, nil, 8},
-		{"older", 3, workerIDs(7), 1}, {"older, all that answer", 3, workerIDs(8), -1}, {"more", 9, workerIDs(12), -1},
+		{"all", 9, workerIDs(10), -1},
+		{"half", 9, workerIDs(5), -1},
+		{"below half", 9, workerIDs(4), 4},
+		{"empty", 9, nil, 8},
+		{"lower revision", 3, workerIDs(7), 1},
+		{"lower revision, all that answer", 3, workerIDs(8), -1},
+		{"more", 9, workerIDs(12), -1},
 	} {
-		trust := newAssessor()
-		j := trust.AssessList(now, test.revision, test.ready)
-		if test.kept < 0 {
-			if len(j.Retain) > 0 || j.RefetchAt != 0 || !trust.Finished() {
-				t.Errorf("%s: %+v", test.name, j)
+		assessor := newAssessor()
+		decision := assessor.AssessList(now, test.revision, test.ready)
+		if test.retained < 0 {
+			if len(decision.Retain) > 0 || decision.RefetchAt != 0 || !assessor.Finished() {
+				t.Errorf("%s: %+v", test.name, decision)
 			}
 			continue
 		}
-		if len(j.Retain) != test.kept || j.RefetchAt != now+ConfirmationDelay || trust.Finished() {
-			t.Errorf("%s: %+v", test.name, j)
+		if len(decision.Retain) != test.retained || decision.RefetchAt != now+ConfirmationDelay || assessor.Finished() {
+			t.Errorf("%s: %+v", test.name, decision)
 		}
-		if j := trust.AssessList(now+ConfirmationDelay/2, test.revision, test.ready); j.RefetchAt != now+ConfirmationDelay || trust.Finished() {
-			t.Errorf("%s, told again too soon: %+v", test.name, j)
+		if decision := assessor.AssessList(now+ConfirmationDelay/2, test.revision, test.ready); decision.RefetchAt != now+ConfirmationDelay || assessor.Finished() {
+			t.Errorf("%s, received again too soon: %+v", test.name, decision)
 		}
-		if until, ok := trust.RetainedUntil(); !ok || until != now+MaxRetention || trust.ExpireRetained(until-1) != nil {
-			t.Errorf("%s: doubted until %v, %v", test.name, until, ok)
+		if until, ok := assessor.RetainedUntil(); !ok || until != now+MaxRetention || assessor.ExpireRetained(until-1) != nil {
+			t.Errorf("%s: retained until %v, %v", test.name, until, ok)
 		}
-		if j := trust.AssessList(now+ConfirmationDelay, test.revision, test.ready); (len(test.ready) > 0) != trust.Finished() {
-			t.Errorf("%s, told twice: %+v", test.name, j)
+		if decision := assessor.AssessList(now+ConfirmationDelay, test.revision, test.ready); (len(test.ready) > 0) != assessor.Finished() {
+			t.Errorf("%s, received twice: %+v", test.name, decision)
 		}
-		trust = newAssessor()
-		trust.AssessList(now, test.revision, test.ready)
-		if gone := trust.ExpireRetained(now + MaxRetention); len(gone) != test.kept || !trust.Finished() {
-			t.Errorf("%s, never told again: %v", test.name, gone)
+		assessor = newAssessor()
+		assessor.AssessList(now, test.revision, test.ready)
+		if gone := assessor.ExpireRetained(now + MaxRetention); len(gone) != test.retained || !assessor.Finished() {
+			t.Errorf("%s, never received again: %v", test.name, gone)
 		}
 	}
-	// Who names no share wants every list at once.
+	// Without a share, each list is in force at once.
 	rules := testRules
 	rules.MinFirstListShare = 0
-	trust := New(10*day, listOfWorkers(10*day-time.Minute, 10), rules)
-	if j := trust.AssessList(now, 1, nil); j.RefetchAt != 0 || !trust.Finished() {
-		t.Errorf("without a share: %+v", j)
+	assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), rules)
+	if decision := assessor.AssessList(now, 1, nil); decision.RefetchAt != 0 || !assessor.Finished() {
+		t.Errorf("without a share: %+v", decision)
 	}
 }
 
-// Promise 8.
+// Promise 8: a later start is another incarnation.
 func TestSameIncarnation_laterStart(t *testing.T) {
 	list := listOfWorkers(10*day, 1)
 	list.Workers[0].StartedAt = 9 * day
 	assessor := New(10*day, list, testRules)
 	if !assessor.SameIncarnation(workerID(0), 9*day) || assessor.SameIncarnation(workerID(0), 9*day+1) || assessor.SameIncarnation(workerID(1), 0) {
-		t.Error("a later start is the same life")
+		t.Error("a later start is the same incarnation, or the same start is not, or an unknown worker has one")
 	}
 }
