--- a/internal/endpointcache/files.go
+++ b/internal/endpointcache/files.go
@@ -105,7 +105,7 @@
 	if err := CheckDirectory(path); err != nil {
 		return nil, err
 	}
-	own := filepath.Join(path, escape(dispatcher))
+	own := filepath.Join(path, escapeName(dispatcher))
 	if err := os.MkdirAll(own, 0o700); err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 
 // OpenExisting gives a dispatcher's part of a folder as it is.
 func OpenExisting(path, dispatcher string) (Files, error) {
-	own := filepath.Join(path, escape(dispatcher))
+	own := filepath.Join(path, escapeName(dispatcher))
 	if _, err := os.Stat(own); err != nil {
 		return nil, err
 	}
@@ -133,14 +133,14 @@
 	var names []string
 	for _, e := range entries {
 		if e.IsDir() {
-			names = append(names, unescape(e.Name()))
+			names = append(names, unescapeName(e.Name()))
 		}
 	}
 	return names, nil
 }
 
-// escape makes a file's name of any text, and of no two texts the same.
-func escape(text string) string {
+// escapeName makes a file's name of any text, and of no two texts the same.
+func escapeName(text string) string {
 	var b []byte
 	for i := range len(text) {
 		c := text[i]
@@ -156,7 +156,7 @@
 	return string(b)
 }
 
-func unescape(name string) string {
+func unescapeName(name string) string {
 	var b []byte
 	for i := 0; i < len(name); i++ {
 		var c byte
--- a/internal/endpointcache/format.go
+++ b/internal/endpointcache/format.go
@@ -66,56 +66,56 @@
 
 // A snapshot is a line of text that names form, length and checksum, and a JSON document. Length and sum cover the line's
 // version too, so that none of it can change unseen.
-const magic = "brassdale-saved-list"
+const snapshotMagic = "brassdale-saved-list"
 
-var errDamaged = errors.New("damaged")
+var ErrDamaged = errors.New("damaged")
 
-func encode(s *CachedList) ([]byte, error) {
+func encodeList(s *CachedList) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	return seal(FormatVersion, body), nil
+	return encodeSnapshot(FormatVersion, body), nil
 }
 
-func seal(version int, body []byte) []byte {
-	return append(fmt.Appendf(nil, "%s %d %d %016x\n", magic, version, len(body), sum(version, body)), body...)
+func encodeSnapshot(version int, body []byte) []byte {
+	return append(fmt.Appendf(nil, "%s %d %d %016x\n", snapshotMagic, version, len(body), snapshotChecksum(version, body)), body...)
 }
 
-func sum(version int, body []byte) uint64 {
+func snapshotChecksum(version int, body []byte) uint64 {
 	h := xxhash.New()
 	h.WriteString(strconv.Itoa(version) + " " + strconv.Itoa(len(body)) + "\n")
 	h.Write(body)
 	return h.Sum64()
 }
 
-// decode reads a snapshot. One byte of it that is not as it was written makes it an error.
-func decode(text []byte) (*CachedList, error) {
+// decodeSnapshot reads a snapshot. One byte of it that is not as it was written makes it an error.
+func decodeSnapshot(text []byte) (*CachedList, error) {
 	line, body, ok := bytes.Cut(text, []byte("\n"))
 	parts := strings.Split(string(line), " ")
-	if !ok || len(parts) != 4 || parts[0] != magic {
-		return nil, fmt.Errorf("%w: no snapshot", errDamaged)
+	if !ok || len(parts) != 4 || parts[0] != snapshotMagic {
+		return nil, fmt.Errorf("%w: no snapshot", ErrDamaged)
 	}
 	version, err := strconv.Atoi(parts[1])
 	if err != nil {
-		return nil, fmt.Errorf("%w: version %q", errDamaged, parts[1])
+		return nil, fmt.Errorf("%w: version %q", ErrDamaged, parts[1])
 	}
-	if parts[1] != strconv.Itoa(version) || parts[2] != strconv.Itoa(len(body)) || parts[3] != fmt.Sprintf("%016x", sum(version, body)) {
-		return nil, fmt.Errorf("%w: length or checksum", errDamaged)
+	if parts[1] != strconv.Itoa(version) || parts[2] != strconv.Itoa(len(body)) || parts[3] != fmt.Sprintf("%016x", snapshotChecksum(version, body)) {
+		return nil, fmt.Errorf("%w: length or checksum", ErrDamaged)
 	}
-	read, ok := versions[version]
+	read, ok := bodyDecoders[version]
 	if !ok {
 		return nil, fmt.Errorf("version %d is not known to this program", version)
 	}
 	s, err := read(body)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", errDamaged, err)
+		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-// versions read each form that there was.
-var versions = map[int]func([]byte) (*CachedList, error){
+// bodyDecoders read each form that there was.
+var bodyDecoders = map[int]func([]byte) (*CachedList, error){
 	1: func(body []byte) (*CachedList, error) {
 		var old struct {
 			Dispatcher string        `json:"dispatcher"`
@@ -137,34 +137,34 @@
 	},
 }
 
-// check refuses what no process of this program wrote, whatever its sum.
-func (s *CachedList) check() error { return s.List().Check() }
+// validate refuses what no process of this program wrote, whatever its sum.
+func (s *CachedList) validate() error { return s.List().Check() }
 
-// A change is a record of the journal: four bytes of length, eight of checksum, a JSON document. The sum covers the
+// A journalRecord is a record of the journal: four bytes of length, eight of checksum, a JSON document. The sum covers the
 // number of the record, so that none can stand in another's place.
-type change struct {
+type journalRecord struct {
 	AtMS     int64             `json:"at_ms"`
 	Revision int64             `json:"revision"`
 	Members  []protocol.Member `json:"members,omitempty"`
-	Out      *[]string         `json:"out,omitempty"` // all that are out by hand from now on
+	Detached *[]string         `json:"out,omitempty"` // all that are out by hand from now on
 }
 
 const (
-	recordHead = 12
-	mostRecord = 16 << 20 // bytes; more is no record
+	recordHeaderBytes = 12
+	maxRecordBytes    = 16 << 20 // bytes; more is no record
 )
 
-func encodeChange(n uint64, c *change) ([]byte, error) {
+func encodeRecord(n uint64, c *journalRecord) ([]byte, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return nil, err
 	}
 	b := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
-	b = binary.BigEndian.AppendUint64(b, recordSum(n, body))
+	b = binary.BigEndian.AppendUint64(b, recordChecksum(n, body))
 	return append(b, body...), nil
 }
 
-func recordSum(n uint64, body []byte) uint64 {
+func recordChecksum(n uint64, body []byte) uint64 {
 	h := xxhash.New()
 	h.Write(binary.BigEndian.AppendUint64(nil, n))
 	h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(body))))
@@ -172,29 +172,29 @@
 	return h.Sum64()
 }
 
-// decodeChanges reads a journal up to the first record that is not whole, and tells how many bytes that were.
-func decodeChanges(text []byte) (changes []change, good int) {
+// decodeJournal reads a journal up to the first record that is not whole, and tells how many bytes that were.
+func decodeJournal(text []byte) (changes []journalRecord, good int) {
 	for n := uint64(0); ; n++ {
 		rest := text[good:]
-		if len(rest) < recordHead {
+		if len(rest) < recordHeaderBytes {
 			return changes, good
 		}
 		size := binary.BigEndian.Uint32(rest)
-		if size > mostRecord || int(size) > len(rest)-recordHead {
+		if size > maxRecordBytes || int(size) > len(rest)-recordHeaderBytes {
 			return changes, good
 		}
-		body := rest[recordHead : recordHead+int(size)]
-		c := change{}
-		if binary.BigEndian.Uint64(rest[4:]) != recordSum(n, body) || json.Unmarshal(body, &c) != nil ||
+		body := rest[recordHeaderBytes : recordHeaderBytes+int(size)]
+		c := journalRecord{}
+		if binary.BigEndian.Uint64(rest[4:]) != recordChecksum(n, body) || json.Unmarshal(body, &c) != nil ||
 			(&protocol.List{Members: c.Members}).Check() != nil {
 			return changes, good
 		}
-		changes, good = append(changes, c), good+recordHead+int(size)
+		changes, good = append(changes, c), good+recordHeaderBytes+int(size)
 	}
 }
 
 // apply adds a change to a list.
-func (s *CachedList) apply(c change) {
+func (s *CachedList) apply(c journalRecord) {
 	s.ConfirmedAtMS, s.Revision = max(s.ConfirmedAtMS, c.AtMS), c.Revision
 	at := map[string]int{}
 	for i, m := range s.Members {
@@ -215,7 +215,7 @@
 		}
 		s.Members[i].Member = m
 	}
-	if c.Out != nil {
-		s.Detached = *c.Out
+	if c.Detached != nil {
+		s.Detached = *c.Detached
 	}
 }
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	snapshotName = "snapshot-" // and the generation's number in hexadecimal
-	journalName  = "journal-"
-	damagedName  = "damaged-" // put before the name of a file that is kept aside
+	snapshotPrefix = "snapshot-" // and the generation's number in hexadecimal
+	journalPrefix  = "journal-"
+	damagedPrefix  = "damaged-" // put before the name of a file that is kept aside
 
-	keepGenerations = 3
-	keepDamaged     = 4
+	retainedGenerations = 3
+	retainedDamaged     = 4
 )
 
 // Store is a dispatcher's part of the folder. It is of one goroutine.
@@ -26,9 +26,9 @@
 	files      Files
 	dispatcher string
 
-	generation uint64 // that is written; 0 for none
-	records    uint64 // in its journal
-	torn       bool   // its journal may end in a part of a record: nothing more may follow there
+	currentGeneration uint64 // that is written; 0 for none
+	journalRecords    uint64 // in its journal
+	journalTorn       bool   // its journal may end in a part of a record: nothing more may follow there
 }
 
 // NewStore makes a store on files.
@@ -53,14 +53,14 @@
 	}
 	var found []Generation
 	for _, name := range names {
-		n, ok := number(name, snapshotName)
+		number, ok := generationNumber(name, snapshotPrefix)
 		if !ok {
 			continue
 		}
-		g := Generation{Number: n}
+		g := Generation{Number: number}
 		text, err := s.files.Read(name)
 		if err == nil {
-			g.List, err = decode(text)
+			g.List, err = decodeSnapshot(text)
 		}
 		if err == nil && g.List.Dispatcher != s.dispatcher {
 			err = fmt.Errorf("it is of dispatcher %q", g.List.Dispatcher)
@@ -70,8 +70,8 @@
 			found = append(found, g)
 			continue
 		}
-		if text, err := s.files.Read(fileName(journalName, n)); err == nil {
-			changes, good := decodeChanges(text)
+		if text, err := s.files.Read(fileName(journalPrefix, number)); err == nil {
+			changes, good := decodeJournal(text)
 			for _, c := range changes {
 				g.List.apply(c)
 			}
@@ -101,8 +101,8 @@
 		if g.Err != nil {
 			notes = append(notes, fmt.Sprintf("generation %d: %v", g.Number, g.Err))
 		}
-		if g.List == nil && errors.Is(g.Err, errDamaged) {
-			s.putAside(g.Number)
+		if g.List == nil && errors.Is(g.Err, ErrDamaged) {
+			s.setAside(g.Number)
 		}
 		if g.TornBytes > 0 {
 			notes = append(notes, fmt.Sprintf("generation %d: the journal ends in %d bytes that are no record", g.Number, g.TornBytes))
@@ -114,11 +114,11 @@
 	return saved, notes
 }
 
-// putAside keeps a damaged generation for inspection, and drops the oldest of those.
-func (s *Store) putAside(n uint64) {
-	for _, kind := range []string{snapshotName, journalName} {
+// setAside keeps a damaged generation for inspection, and drops the oldest of those.
+func (s *Store) setAside(n uint64) {
+	for _, kind := range []string{snapshotPrefix, journalPrefix} {
 		name := fileName(kind, n)
-		_ = s.files.Rename(name, damagedName+name) // the journal may not be there
+		_ = s.files.Rename(name, damagedPrefix+name) // the journal may not be there
 	}
 	names, err := s.files.Names()
 	if err != nil {
@@ -126,13 +126,13 @@
 	}
 	var aside []string
 	for _, name := range names { // by kind, then by number
-		if strings.HasPrefix(name, damagedName+snapshotName) {
+		if strings.HasPrefix(name, damagedPrefix+snapshotPrefix) {
 			aside = append(aside, name)
 		}
 	}
-	for _, name := range aside[:max(len(aside)-keepDamaged, 0)] {
+	for _, name := range aside[:max(len(aside)-retainedDamaged, 0)] {
 		_ = s.files.Remove(name)
-		_ = s.files.Remove(damagedName + journalName + strings.TrimPrefix(name, damagedName+snapshotName))
+		_ = s.files.Remove(damagedPrefix + journalPrefix + strings.TrimPrefix(name, damagedPrefix+snapshotPrefix))
 	}
 }
 
@@ -140,7 +140,7 @@
 // number that no file had.
 func (s *Store) Snapshot(saved *CachedList) error {
 	saved.Dispatcher = s.dispatcher
-	text, err := encode(saved)
+	text, err := encodeList(saved)
 	if err != nil {
 		return err
 	}
@@ -148,20 +148,20 @@
 	if err != nil {
 		return err
 	}
-	last := s.generation
+	last := s.currentGeneration
 	for _, name := range names {
-		name = strings.TrimPrefix(name, damagedName)
-		for _, kind := range []string{snapshotName, journalName} {
-			if n, ok := number(name, kind); ok {
+		name = strings.TrimPrefix(name, damagedPrefix)
+		for _, kind := range []string{snapshotPrefix, journalPrefix} {
+			if n, ok := generationNumber(name, kind); ok {
 				last = max(last, n)
 			}
 		}
 	}
-	if err := s.files.Replace(fileName(snapshotName, last+1), text); err != nil {
+	if err := s.files.Replace(fileName(snapshotPrefix, last+1), text); err != nil {
 		return err
 	}
-	s.generation, s.records, s.torn = last+1, 0, false
-	_, _ = s.Prune(keepGenerations)
+	s.currentGeneration, s.journalRecords, s.journalTorn = last+1, 0, false
+	_, _ = s.Prune(retainedGenerations)
 	return nil
 }
 
@@ -169,19 +169,19 @@
 var errNoGeneration = errors.New("no generation to add to")
 
 // Append puts a change behind the generation. It is on disk when this returns. After an error only a snapshot helps.
-func (s *Store) Append(c *change) error {
-	if s.generation == 0 || s.torn {
+func (s *Store) Append(c *journalRecord) error {
+	if s.currentGeneration == 0 || s.journalTorn {
 		return errNoGeneration
 	}
-	record, err := encodeChange(s.records, c)
+	record, err := encodeRecord(s.journalRecords, c)
 	if err != nil {
 		return err
 	}
-	if err := s.files.Append(fileName(journalName, s.generation), record); err != nil {
-		s.torn = true
+	if err := s.files.Append(fileName(journalPrefix, s.currentGeneration), record); err != nil {
+		s.journalTorn = true
 		return err
 	}
-	s.records++
+	s.journalRecords++
 	return nil
 }
 
@@ -194,7 +194,7 @@
 	}
 	var numbers []uint64
 	for _, name := range names {
-		if n, ok := number(name, snapshotName); ok {
+		if n, ok := generationNumber(name, snapshotPrefix); ok {
 			numbers = append(numbers, n)
 		}
 	}
@@ -204,9 +204,9 @@
 	}
 	oldest := numbers[len(numbers)-keep]
 	for _, name := range names {
-		n, ok := number(name, snapshotName)
+		n, ok := generationNumber(name, snapshotPrefix)
 		if !ok {
-			n, ok = number(name, journalName)
+			n, ok = generationNumber(name, journalPrefix)
 		}
 		if ok && n < oldest {
 			if e := s.files.Remove(name); e != nil {
@@ -221,8 +221,8 @@
 
 func fileName(kind string, n uint64) string { return fmt.Sprintf("%s%016x", kind, n) }
 
-// number gives the generation of a file of a kind.
-func number(name, kind string) (uint64, bool) {
+// generationNumber gives the generation of a file of a kind.
+func generationNumber(name, kind string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, kind)
 	if !ok || len(digits) != 16 {
 		return 0, false
--- a/internal/endpointcache/stored_test.go
+++ b/internal/endpointcache/stored_test.go
@@ -28,11 +28,11 @@
 }
 
 // storedChanges are what the journal in testdata/stored holds.
-func storedChanges() []*change {
-	return []*change{
+func storedChanges() []*journalRecord {
+	return []*journalRecord{
 		{AtMS: 1002, Revision: 12, Members: []protocol.Member{{ID: "worker-b", HostPort: "127.0.0.1:3002", Locality: "zone-2",
 			Flavor: "flavor-2", Cell: 3, Phase: "leaving", Size: 2.5, UpSinceMS: 902}}},
-		{AtMS: 1003, Revision: 13, Out: &[]string{"worker-a", "worker-b"}},
+		{AtMS: 1003, Revision: 13, Detached: &[]string{"worker-a", "worker-b"}},
 	}
 }
 
--- a/internal/endpointcache/writer.go
+++ b/internal/endpointcache/writer.go
@@ -15,11 +15,11 @@
 const (
 	// A snapshot is written at most so often, and only when something has changed; where nothing has, that it still
 	// holds is written down now and then.
-	snapshotEvery  = 5 * time.Second
-	confirmEvery   = time.Minute
-	learnWithin    = 500 * time.Millisecond // the module has to say what it has learned
-	retryEvery     = 15 * time.Second       // after a fault of the disk
-	journalChanges = 256                    // more in one go is a snapshot's matter
+	snapshotInterval    = 5 * time.Second
+	confirmInterval     = time.Minute
+	learnedStateTimeout = 500 * time.Millisecond // the module has to say what it has learned
+	faultRetryInterval  = 15 * time.Second       // after a fault of the disk
+	maxRecordMembers    = 256                    // more in one go is a snapshot's matter
 )
 
 // LearnedStateSource is what else goes into a snapshot.
@@ -31,24 +31,24 @@
 // Writer keeps the list as it comes. It is an actor with a mailbox: nobody who tells it something waits for the disk,
 // and however slow that is, no more waits to be written than the list itself.
 type Writer struct {
-	store     *Store
-	learned   LearnedStateSource
-	discovery func() string // its address now
-	params    func() *protocol.Settings
-	log       *slog.Logger
-	box       *routing.Mailbox[any]
+	store            *Store
+	learnedState     LearnedStateSource
+	discoveryAddress func() string // its address now
+	settings         func() *protocol.Settings
+	log              *slog.Logger
+	mailbox          *routing.Mailbox[any]
 
 	// Owned by Run.
-	members   map[string]CachedMember
-	revision  int64
-	out       []string
-	confirmed time.Time // when the list was last known to be true
-	dirty     bool      // the members differ from what is on disk
-	written   time.Time // when the last snapshot was
-	failing   time.Time // when the disk failed last; zero while it does not
+	members        map[string]CachedMember
+	revision       int64
+	detached       []string
+	confirmedAt    time.Time // when the list was last known to be true
+	dirty          bool      // the members differ from what is on disk
+	lastSnapshotAt time.Time // when the last snapshot was
+	failedAt       time.Time // when the disk failed last; zero while it does not
 
 	mu    sync.Mutex
-	state Stats
+	stats Stats
 }
 
 // Stats is how the keeper is, for the figures.
@@ -58,36 +58,38 @@
 }
 
 type (
-	listed struct {
-		update routing.ListUpdate
-		at     time.Time
+	endpointsUpdated struct {
+		update     routing.ListUpdate
+		receivedAt time.Time
 	}
-	outByHand struct{ ids []string }
+	detachedChanged struct{ ids []string }
 )
 
 // NewWriter makes the actor. It begins with what was loaded; nil for nothing.
 func NewWriter(s *Store, loaded *CachedList, l LearnedStateSource, discovery func() string, params func() *protocol.Settings, log *slog.Logger) *Writer {
-	k := &Writer{store: s, learned: l, discovery: discovery, params: params, log: log, box: routing.NewMailbox[any](), members: map[string]CachedMember{}}
+	k := &Writer{store: s, learnedState: l, discoveryAddress: discovery, settings: params, log: log, mailbox: routing.NewMailbox[any](), members: map[string]CachedMember{}}
 	if loaded != nil {
 		for _, m := range loaded.Members {
 			k.members[m.ID] = m
 		}
-		k.revision, k.out = loaded.Revision, loaded.Detached
+		k.revision, k.detached = loaded.Revision, loaded.Detached
 	}
 	return k
 }
 
 // Listed tells what discovery said: the whole list or changes, perhaps none. It does not block.
-func (k *Writer) EndpointsUpdated(u routing.ListUpdate) { k.box.Post(listed{u, time.Now()}) }
+func (k *Writer) EndpointsUpdated(u routing.ListUpdate) {
+	k.mailbox.Post(endpointsUpdated{u, time.Now()})
+}
 
 // SetDetached tells who is out by hand from now on. It does not block.
-func (k *Writer) SetDetached(ids []string) { k.box.Post(outByHand{slices.Clone(ids)}) }
+func (k *Writer) SetDetached(ids []string) { k.mailbox.Post(detachedChanged{slices.Clone(ids)}) }
 
 // Stats gives the figures.
 func (k *Writer) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.state
+	return k.stats
 }
 
 // Run is the actor's life.
@@ -98,59 +100,59 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.box.Signal():
+		case <-k.mailbox.Signal():
 		case <-look.C:
 		}
-		k.take(k.box.Take())
-		if k.due(time.Now()) {
+		k.applyMessages(k.mailbox.Take())
+		if k.snapshotDue(time.Now()) {
 			k.snapshot(ctx)
 		}
 	}
 }
 
-// take folds all that has come into one change, so that a storm costs the disk one record.
-func (k *Writer) take(messages []any) {
-	c := change{Revision: k.revision}
+// applyMessages folds all that has come into one change, so that a storm costs the disk one record.
+func (k *Writer) applyMessages(messages []any) {
+	c := journalRecord{Revision: k.revision}
 	news := map[string]protocol.Member{}
 	for _, m := range messages {
 		switch m := m.(type) {
-		case outByHand:
-			k.out, c.Out = m.ids, &m.ids
-		case listed:
-			k.confirmed = m.at
-			k.fold(m.update, news)
+		case detachedChanged:
+			k.detached, c.Detached = m.ids, &m.ids
+		case endpointsUpdated:
+			k.confirmedAt = m.receivedAt
+			k.applyUpdate(m.update, news)
 		}
 	}
-	if len(news) == 0 && c.Out == nil {
+	if len(news) == 0 && c.Detached == nil {
 		return
 	}
 	k.dirty = true
-	if len(news) > journalChanges || !k.failing.IsZero() {
+	if len(news) > maxRecordMembers || !k.failedAt.IsZero() {
 		return // a snapshot will have it
 	}
 	for _, m := range news {
 		c.Members = append(c.Members, m)
 	}
-	c.AtMS, c.Revision = k.confirmed.UnixMilli(), k.revision
-	if k.confirmed.IsZero() {
+	c.AtMS, c.Revision = k.confirmedAt.UnixMilli(), k.revision
+	if k.confirmedAt.IsZero() {
 		c.AtMS = 0
 	}
 	if err := k.store.Append(&c); err != nil {
 		if err != errNoGeneration {
-			k.fault(err)
+			k.recordFault(err)
 		}
 		return
 	}
 	k.mu.Lock()
-	k.state.Records++
+	k.stats.Records++
 	k.mu.Unlock()
 }
 
-// fold adds an update to the members, and what it changes to news.
-func (k *Writer) fold(u routing.ListUpdate, news map[string]protocol.Member) {
+// applyUpdate adds an update to the members, and what it changes to news.
+func (k *Writer) applyUpdate(u routing.ListUpdate, news map[string]protocol.Member) {
 	k.revision = u.Revision
 	present := map[string]bool{}
-	for _, m := range protocol.Members(u.Endpoints, k.params()) {
+	for _, m := range protocol.Members(u.Endpoints, k.settings()) {
 		present[m.ID] = true
 		old, known := k.members[m.ID]
 		if m.HostPort == "" {
@@ -182,23 +184,23 @@
 	}
 }
 
-// due tells whether a snapshot is.
-func (k *Writer) due(now time.Time) bool {
+// snapshotDue tells whether a snapshot is.
+func (k *Writer) snapshotDue(now time.Time) bool {
 	switch {
-	case k.confirmed.IsZero(): // discovery has told nothing: what is on disk is as good
+	case k.confirmedAt.IsZero(): // discovery has told nothing: what is on disk is as good
 		return false
-	case !k.failing.IsZero():
-		return now.After(k.failing.Add(retryEvery))
+	case !k.failedAt.IsZero():
+		return now.After(k.failedAt.Add(faultRetryInterval))
 	case k.dirty:
-		return now.After(k.written.Add(snapshotEvery))
+		return now.After(k.lastSnapshotAt.Add(snapshotInterval))
 	}
-	return now.After(k.written.Add(confirmEvery))
+	return now.After(k.lastSnapshotAt.Add(confirmInterval))
 }
 
 func (k *Writer) snapshot(ctx context.Context) {
-	s := &CachedList{ConfirmedAtMS: k.confirmed.UnixMilli(), Revision: k.revision, Discovery: k.discovery(), Detached: k.out}
-	ctx, stop := context.WithDeadline(ctx, time.Now().Add(learnWithin))
-	e, classes, err := k.learned.LearnedState(ctx)
+	s := &CachedList{ConfirmedAtMS: k.confirmedAt.UnixMilli(), Revision: k.revision, Discovery: k.discoveryAddress(), Detached: k.detached}
+	ctx, stop := context.WithDeadline(ctx, time.Now().Add(learnedStateTimeout))
+	e, classes, err := k.learnedState.LearnedState(ctx)
 	stop()
 	if err == nil {
 		s.Overcommit, s.MeanStay, s.MeanWork, s.Classes = e.Overcommit, e.MeanStay, e.MeanWork, classes
@@ -215,28 +217,28 @@
 		}
 		return 1
 	})
-	k.written = time.Now()
+	k.lastSnapshotAt = time.Now()
 	if err := k.store.Snapshot(s); err != nil {
-		k.fault(err)
+		k.recordFault(err)
 		return
 	}
-	if !k.failing.IsZero() {
+	if !k.failedAt.IsZero() {
 		k.log.Info("saved list is written again")
 	}
-	k.dirty, k.failing = false, time.Time{}
+	k.dirty, k.failedAt = false, time.Time{}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.state.Snapshots++
-	k.state.LastSnapshot = k.written
+	k.stats.Snapshots++
+	k.stats.LastSnapshot = k.lastSnapshotAt
 }
 
-// fault notes that the disk failed: one line until it works again.
-func (k *Writer) fault(err error) {
-	if k.failing.IsZero() {
+// recordFault notes that the disk failed: one line until it works again.
+func (k *Writer) recordFault(err error) {
+	if k.failedAt.IsZero() {
 		k.log.Warn("saved list cannot be written, serving on without", "err", err)
 	}
-	k.failing = time.Now()
+	k.failedAt = time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.state.Faults++
+	k.stats.Faults++
 }
