--- /dev/null
+++ b/internal/endpointcache/journal.go
@@ -0,0 +1,73 @@
+package endpointcache
+
+import (
+	"encoding/binary"
+	"encoding/json"
+
+	"github.com/cespare/xxhash/v2"
+
+	"brassdale/internal/protocol"
+)
+
+// journalRecord is a change of the list. It is stored as its length (4 bytes), a checksum (8 bytes) and a JSON document. The checksum
+// covers the index of the record in the journal, so that no record can be read at the place of another.
+type journalRecord struct {
+	AtMS     int64             `json:"at_ms"` // Unix time at which the list was last known to be in force
+	Revision int64             `json:"revision"`
+	Members  []protocol.Member `json:"members,omitempty"` // the workers that changed
+	Detached *[]string         `json:"out,omitempty"`     // all workers that the operator has detached; nil for no change
+}
+
+const (
+	recordLengthBytes = 4
+	recordHeaderBytes = recordLengthBytes + 8
+	maxRecordBytes    = 16 << 20 // a greater length is taken for damage
+)
+
+// encodeRecord returns the bytes of a record at an index of the journal.
+func encodeRecord(index uint64, record *journalRecord) ([]byte, error) {
+	body, err := json.Marshal(record)
+	if err != nil {
+		return nil, err
+	}
+	encoded := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
+	encoded = binary.BigEndian.AppendUint64(encoded, recordChecksum(index, body))
+	return append(encoded, body...), nil
+}
+
+// recordChecksum returns the checksum of a record.
+func recordChecksum(index uint64, body []byte) uint64 {
+	digest := xxhash.New()
+	_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, index)) // a digest returns no error
+	_, _ = digest.Write(binary.BigEndian.AppendUint32(nil, uint32(len(body))))
+	_, _ = digest.Write(body)
+	return digest.Sum64()
+}
+
+// decodeJournal reads a journal up to the first record that is not whole, and returns the number of bytes before it.
+func decodeJournal(text []byte) (records []journalRecord, wholeBytes int) {
+	for index := uint64(0); ; index++ {
+		record, size, ok := decodeRecord(index, text[wholeBytes:])
+		if !ok {
+			return records, wholeBytes
+		}
+		records, wholeBytes = append(records, record), wholeBytes+size
+	}
+}
+
+// decodeRecord reads the record at the beginning of a text, and returns its size in bytes; it is not ok unless the record is whole.
+func decodeRecord(index uint64, text []byte) (record journalRecord, size int, ok bool) {
+	if len(text) < recordHeaderBytes {
+		return record, 0, false
+	}
+	length := binary.BigEndian.Uint32(text)
+	if length > maxRecordBytes || int(length) > len(text)-recordHeaderBytes {
+		return record, 0, false
+	}
+	size = recordHeaderBytes + int(length)
+	body := text[recordHeaderBytes:size]
+	if binary.BigEndian.Uint64(text[recordLengthBytes:]) != recordChecksum(index, body) || json.Unmarshal(body, &record) != nil {
+		return record, 0, false
+	}
+	return record, size, (&protocol.List{Members: record.Members}).Check() == nil
+}
--- /dev/null
+++ b/internal/endpointcache/memoryfiles_test.go
@@ -0,0 +1,97 @@
+package endpointcache
+
+import (
+	"errors"
+	"io/fs"
+	"slices"
+)
+
+// memoryFiles are files in memory that fail, or stop in a crash of the machine, as a test says.
+type memoryFiles struct {
+	files     map[string][]byte
+	steps     int   // changes so far
+	crashAt   int   // the change at which the machine crashes, of which a part may be done; 0 for never
+	crashPart int   // which part of it is done
+	failWith  error // the error of each change; nil for none
+}
+
+var errCrashed = errors.New("the machine has crashed")
+
+// step counts a change, and returns the error that it ends in.
+func (m *memoryFiles) step() error {
+	m.steps++
+	switch {
+	case m.failWith != nil:
+		return m.failWith
+	case m.crashAt > 0 && m.steps >= m.crashAt:
+		return errCrashed
+	}
+	return nil
+}
+
+func (m *memoryFiles) Names() ([]string, error) {
+	var names []string
+	for name := range m.files {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names, nil
+}
+
+func (m *memoryFiles) Read(name string) ([]byte, error) {
+	text, ok := m.files[name]
+	if !ok {
+		return nil, fs.ErrNotExist
+	}
+	return text, nil
+}
+
+func (m *memoryFiles) Replace(name string, content []byte) error {
+	if err := m.step(); err != nil {
+		if err == errCrashed && m.steps == m.crashAt {
+			switch m.crashPart {
+			case 1: // after the rename
+				m.files[name] = content
+			case 2: // before it: a temporary file is left
+				m.files["."+name+"123"] = content[:len(content)/2]
+			}
+		}
+		return err
+	}
+	m.files[name] = slices.Clone(content)
+	return nil
+}
+
+func (m *memoryFiles) Append(name string, content []byte) error {
+	if err := m.step(); err != nil {
+		if err == errCrashed && m.steps == m.crashAt {
+			m.files[name] = append(m.files[name], content[:len(content)*m.crashPart/2]...)
+		}
+		return err
+	}
+	m.files[name] = append(m.files[name], content...)
+	return nil
+}
+
+func (m *memoryFiles) Rename(from, to string) error {
+	if err := m.step(); err != nil {
+		return err
+	}
+	text, ok := m.files[from]
+	if !ok {
+		return fs.ErrNotExist
+	}
+	m.files[to] = text
+	delete(m.files, from)
+	return nil
+}
+
+func (m *memoryFiles) Remove(name string) error {
+	if err := m.step(); err != nil {
+		return err
+	}
+	delete(m.files, name)
+	return nil
+}
+
+func newMemoryFiles() *memoryFiles { return &memoryFiles{files: map[string][]byte{}} }
--- a/internal/endpointcache/settings.go
+++ b/internal/endpointcache/settings.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Settings are the operator's, in a block saved_list.
+// Settings is the block saved_list of the operator's file.
 type Settings struct {
 	Directory         string  `hcl:"directory"`
 	MaxAge            string  `hcl:"oldest,optional"` // an older list is not used; a duration such as "72h"
-	MinFirstListShare float64 `hcl:"shrink,optional"` // a first list below this share of the saved one must be told twice; 0 for never
+	MinFirstListShare float64 `hcl:"shrink,optional"` // a first list below this share of the cached one must be confirmed; 0 for never
 }
 
-// Default holds what an operator leaves out.
+// Default returns the values of the optional settings.
 func Default() Settings { return Settings{MaxAge: "72h", MinFirstListShare: 0.5} }
 
-// ParseMaxAge gives Oldest as a duration. Its error tells that it is none.
+// ParseMaxAge returns MaxAge as a duration, or an error if it is not one.
 func (s *Settings) ParseMaxAge() (time.Duration, error) { return time.ParseDuration(s.MaxAge) }
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -1,146 +1,87 @@
-// Package endpointcache keeps the list of workers on disk, for a start while nobody can be asked for it: generations, each
-// a snapshot that is replaced whole and a journal of what came behind it. Whether and how far such a list is trusted is
-// decided in internal/decisions/savedlist; here it is only kept and read, damaged as it may be.
 package endpointcache
 
 import (
 	"errors"
 	"fmt"
-	"io/fs"
 	"slices"
-	"strconv"
 	"strings"
 )
 
 const (
-	snapshotPrefix = "snapshot-" // and the generation's number in hexadecimal
-	journalPrefix  = "journal-"
-	damagedPrefix  = "damaged-" // put before the name of a file that is kept aside
-
+	// retainedGenerations is how many generations are retained when a snapshot is written.
 	retainedGenerations = 3
-	retainedDamaged     = 4
+
+	// retainedDamaged is how many damaged generations are retained for inspection.
+	retainedDamaged = 4
 )
 
-// Store is a dispatcher's part of the folder. It is of one goroutine.
+// Store is a dispatcher's directory of generations. It is not safe for concurrent use.
 type Store struct {
 	files      Files
 	dispatcher string
 
-	currentGeneration uint64 // that is written; 0 for none
-	journalRecords    uint64 // in its journal
-	journalTorn       bool   // its journal may end in a part of a record: nothing more may follow there
+	currentGeneration uint64 // the generation that is written; 0 for none
+	journalRecords    uint64 // records in its journal
+	journalTorn       bool   // its journal may end in a part of a record, after which nothing may be written
 }
 
-// NewStore makes a store on files.
+// NewStore returns the store of a dispatcher with this name.
 func NewStore(files Files, dispatcher string) *Store {
 	return &Store{files: files, dispatcher: dispatcher}
 }
 
-// Generation is one generation as it was found.
-type Generation struct {
-	Number    uint64
-	List      *CachedList // nil where it is damaged
-	Err       error       // why
-	Records   int         // of the journal that were whole
-	TornBytes int         // bytes behind them
-}
-
-// Generations reads all that there are, the newest first. Its error tells that the folder cannot be read.
-func (s *Store) Generations() ([]Generation, error) {
-	names, err := s.files.Names()
-	if err != nil {
-		return nil, err
-	}
-	var found []Generation
-	for _, name := range names {
-		number, ok := generationNumber(name, snapshotPrefix)
-		if !ok {
-			continue
-		}
-		g := Generation{Number: number}
-		text, err := s.files.Read(name)
-		if err == nil {
-			g.List, err = decodeSnapshot(text)
-		}
-		if err == nil && g.List.Dispatcher != s.dispatcher {
-			err = fmt.Errorf("it is of dispatcher %q", g.List.Dispatcher)
-		}
-		if err != nil {
-			g.List, g.Err = nil, err
-			found = append(found, g)
-			continue
-		}
-		if text, err := s.files.Read(fileName(journalPrefix, number)); err == nil {
-			changes, good := decodeJournal(text)
-			for _, c := range changes {
-				g.List.apply(c)
-			}
-			g.Records, g.TornBytes = len(changes), len(text)-good
-		} else if !errors.Is(err, fs.ErrNotExist) {
-			g.Err = err
-		}
-		found = append(found, g)
-	}
-	slices.SortFunc(found, func(a, b Generation) int {
-		if a.Number < b.Number {
-			return 1
-		}
-		return -1
-	})
-	return found, nil
-}
-
-// Load gives the newest generation that is whole; nil where there is none. Those that are not are kept aside. What was
-// found wrong is in notes, a line each.
-func (s *Store) Load() (saved *CachedList, notes []string) {
+// Load returns the list of the newest generation whose snapshot is whole, or nil. It sets damaged generations aside. Each fault that it
+// found is described in notes.
+func (s *Store) Load() (list *CachedList, notes []string) {
 	found, err := s.Generations()
 	if err != nil {
 		return nil, []string{err.Error()}
 	}
-	for _, g := range found {
-		if g.Err != nil {
-			notes = append(notes, fmt.Sprintf("generation %d: %v", g.Number, g.Err))
+	for _, generation := range found {
+		if generation.Err != nil {
+			notes = append(notes, fmt.Sprintf("generation %d: %v", generation.Number, generation.Err))
 		}
-		if g.List == nil && errors.Is(g.Err, ErrDamaged) {
-			s.setAside(g.Number)
+		if generation.List == nil && errors.Is(generation.Err, ErrDamaged) {
+			s.setAside(generation.Number)
 		}
-		if g.TornBytes > 0 {
-			notes = append(notes, fmt.Sprintf("generation %d: the journal ends in %d bytes that are no record", g.Number, g.TornBytes))
+		if generation.TornBytes > 0 {
+			notes = append(notes, fmt.Sprintf("generation %d: the journal ends in %d bytes that are no record", generation.Number, generation.TornBytes))
 		}
-		if g.List != nil && saved == nil {
-			saved = g.List
+		if generation.List != nil && list == nil {
+			list = generation.List
 		}
 	}
-	return saved, notes
+	return list, notes
 }
 
-// setAside keeps a damaged generation for inspection, and drops the oldest of those.
-func (s *Store) setAside(n uint64) {
-	for _, kind := range []string{snapshotPrefix, journalPrefix} {
-		name := fileName(kind, n)
-		_ = s.files.Rename(name, damagedPrefix+name) // the journal may not be there
+// setAside renames a damaged generation, and removes the oldest of those that were set aside. Its errors are ignored: the files are for
+// inspection only, and there may be no journal.
+func (s *Store) setAside(number uint64) {
+	for _, prefix := range []string{snapshotPrefix, journalPrefix} {
+		name := fileName(prefix, number)
+		_ = s.files.Rename(name, damagedPrefix+name)
 	}
 	names, err := s.files.Names()
 	if err != nil {
 		return
 	}
-	var aside []string
-	for _, name := range names { // by kind, then by number
+	var damaged []string // in ascending order of their numbers, as Names sorts
+	for _, name := range names {
 		if strings.HasPrefix(name, damagedPrefix+snapshotPrefix) {
-			aside = append(aside, name)
+			damaged = append(damaged, name)
 		}
 	}
-	for _, name := range aside[:max(len(aside)-retainedDamaged, 0)] {
+	for _, name := range damaged[:max(len(damaged)-retainedDamaged, 0)] {
 		_ = s.files.Remove(name)
 		_ = s.files.Remove(damagedPrefix + journalPrefix + strings.TrimPrefix(name, damagedPrefix+snapshotPrefix))
 	}
 }
 
-// Snapshot begins a generation. Another process of the same name may write beside this one: each generation has a
-// number that no file had.
-func (s *Store) Snapshot(saved *CachedList) error {
-	saved.Dispatcher = s.dispatcher
-	text, err := encodeList(saved)
+// Snapshot begins a generation with a list. The number of the generation is one that no file has had, since another process of the same
+// name may write to the directory.
+func (s *Store) Snapshot(list *CachedList) error {
+	list.Dispatcher = s.dispatcher
+	text, err := encodeList(list)
 	if err != nil {
 		return err
 	}
@@ -148,36 +89,40 @@
 	if err != nil {
 		return err
 	}
+	next := s.lastNumber(names) + 1
+	if err := s.files.Replace(fileName(snapshotPrefix, next), text); err != nil {
+		return err
+	}
+	s.currentGeneration, s.journalRecords, s.journalTorn = next, 0, false
+	_, _ = s.Prune(retainedGenerations) // what cannot be removed now is removed after a later snapshot
+	return nil
+}
+
+// lastNumber returns the highest number of a generation that was written or has a file.
+func (s *Store) lastNumber(names []string) uint64 {
 	last := s.currentGeneration
 	for _, name := range names {
 		name = strings.TrimPrefix(name, damagedPrefix)
-		for _, kind := range []string{snapshotPrefix, journalPrefix} {
-			if n, ok := generationNumber(name, kind); ok {
-				last = max(last, n)
+		for _, prefix := range []string{snapshotPrefix, journalPrefix} {
+			if number, ok := generationNumber(name, prefix); ok {
+				last = max(last, number)
 			}
 		}
 	}
-	if err := s.files.Replace(fileName(snapshotPrefix, last+1), text); err != nil {
-		return err
-	}
-	s.currentGeneration, s.journalRecords, s.journalTorn = last+1, 0, false
-	_, _ = s.Prune(retainedGenerations)
-	return nil
+	return last
 }
 
-// errNoGeneration tells that a change has no snapshot to follow.
-var errNoGeneration = errors.New("no generation to add to")
-
-// Append puts a change behind the generation. It is on disk when this returns. After an error only a snapshot helps.
-func (s *Store) Append(c *journalRecord) error {
+// Append adds a record to the journal of the current generation. The record is on disk when Append returns. After an error, Append fails
+// until the next Snapshot.
+func (s *Store) Append(record *journalRecord) error {
 	if s.currentGeneration == 0 || s.journalTorn {
 		return errNoGeneration
 	}
-	record, err := encodeRecord(s.journalRecords, c)
+	encoded, err := encodeRecord(s.journalRecords, record)
 	if err != nil {
 		return err
 	}
-	if err := s.files.Append(fileName(journalPrefix, s.currentGeneration), record); err != nil {
+	if err := s.files.Append(fileName(journalPrefix, s.currentGeneration), encoded); err != nil {
 		s.journalTorn = true
 		return err
 	}
@@ -185,8 +130,7 @@
 	return nil
 }
 
-// Prune removes all but the newest generations that are whole, and what is left of older ones. It tells how many files
-// it removed.
+// Prune removes the files of all generations that are older than the newest so many, and returns the number of files that it removed.
 func (s *Store) Prune(keep int) (removed int, err error) {
 	names, err := s.files.Names()
 	if err != nil {
@@ -194,8 +138,8 @@
 	}
 	var numbers []uint64
 	for _, name := range names {
-		if n, ok := generationNumber(name, snapshotPrefix); ok {
-			numbers = append(numbers, n)
+		if number, ok := generationNumber(name, snapshotPrefix); ok {
+			numbers = append(numbers, number)
 		}
 	}
 	slices.Sort(numbers)
@@ -204,29 +148,18 @@
 	}
 	oldest := numbers[len(numbers)-keep]
 	for _, name := range names {
-		n, ok := generationNumber(name, snapshotPrefix)
+		number, ok := generationNumber(name, snapshotPrefix)
 		if !ok {
-			n, ok = generationNumber(name, journalPrefix)
+			number, ok = generationNumber(name, journalPrefix)
 		}
-		if ok && n < oldest {
-			if e := s.files.Remove(name); e != nil {
-				err = errors.Join(err, e)
-				continue
-			}
-			removed++
+		if !ok || number >= oldest {
+			continue
 		}
+		if removeErr := s.files.Remove(name); removeErr != nil {
+			err = errors.Join(err, removeErr)
+			continue
+		}
+		removed++
 	}
 	return removed, err
 }
-
-func fileName(kind string, n uint64) string { return fmt.Sprintf("%s%016x", kind, n) }
-
-// generationNumber gives the generation of a file of a kind.
-func generationNumber(name, kind string) (uint64, bool) {
-	digits, ok := strings.CutPrefix(name, kind)
-	if !ok || len(digits) != 16 {
-		return 0, false
-	}
-	n, err := strconv.ParseUint(digits, 16, 64)
-	return n, err == nil
-}
--- a/internal/endpointcache/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
@@ -14,130 +13,40 @@
 	"brassdale/scheduler"
 )
 
-// memoryFiles is a folder in memoryFiles that fails or stops as the tests say.
-type memoryFiles struct {
-	files     map[string][]byte
-	steps     int   // steps that change something, so far
-	crashAt   int   // at this one the machine stops: a part of it may be done; 0 for never
-	crashPart int   // how much of it is
-	failWith  error // each step that changes something ends in it
-}
-
-var errCrashed = errors.New("the machine has stopped")
-
-// step counts a step, and tells whether it is carried out whole, and whether it happens at all.
-func (m *memoryFiles) step() (err error) {
-	m.steps++
-	switch {
-	case m.failWith != nil:
-		return m.failWith
-	case m.crashAt > 0 && m.steps >= m.crashAt:
-		return errCrashed
-	}
-	return nil
-}
-
-func (m *memoryFiles) Names() ([]string, error) {
-	var names []string
-	for name := range m.files {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names, nil
-}
-
-func (m *memoryFiles) Read(name string) ([]byte, error) {
-	text, ok := m.files[name]
-	if !ok {
-		return nil, fs.ErrNotExist
-	}
-	return text, nil
-}
-
-func (m *memoryFiles) Replace(name string, content []byte) error {
-	if err := m.step(); err != nil {
-		if err == errCrashed && m.steps == m.crashAt {
-			switch m.crashPart {
-			case 1: // behind the rename
-				m.files[name] = content
-			case 2: // a temporary file is left
-				m.files["."+name+"123"] = content[:len(content)/2]
-			}
-		}
-		return err
-	}
-	m.files[name] = slices.Clone(content)
-	return nil
-}
-
-func (m *memoryFiles) Append(name string, content []byte) error {
-	if err := m.step(); err != nil {
-		if err == errCrashed && m.steps == m.crashAt {
-			m.files[name] = append(m.files[name], content[:len(content)*m.crashPart/2]...)
-		}
-		return err
-	}
-	m.files[name] = append(m.files[name], content...)
-	return nil
-}
-
-func (m *memoryFiles) Rename(from, to string) error {
-	if err := m.step(); err != nil {
-		return err
-	}
-	text, ok := m.files[from]
-	if !ok {
-		return fs.ErrNotExist
-	}
-	m.files[to] = text
-	delete(m.files, from)
-	return nil
-}
-
-func (m *memoryFiles) Remove(name string) error {
-	if err := m.step(); err != nil {
-		return err
-	}
-	delete(m.files, name)
-	return nil
-}
-
-func newMemoryFiles() *memoryFiles { return &memoryFiles{files: map[string][]byte{}} }
-
 func testMember(id, phase string) protocol.Member {
 	return protocol.Member{ID: id, HostPort: "127.0.0.1:3000", Locality: "llanelli", Flavor: "new-box", Cell: 1, Phase: phase, Size: 1}
 }
 
 func testList(revision int64, ids ...string) *CachedList {
-	s := &CachedList{ConfirmedAtMS: 1000 * revision, Revision: revision, Discovery: "127.0.0.1:8500", Detached: []string{"out"}}
+	list := &CachedList{ConfirmedAtMS: 1000 * revision, Revision: revision, Discovery: "127.0.0.1:8500", Detached: []string{"detached"}}
 	for _, id := range ids {
-		s.Members = append(s.Members, CachedMember{Member: testMember(id, "active"), LastSignalMS: 7, Statistics: &scheduler.WorkerStatistics{Slots: 5}})
+		list.Members = append(list.Members, CachedMember{Member: testMember(id, "active"), LastSignalMS: 7, Statistics: &scheduler.WorkerStatistics{Slots: 5}})
 	}
-	return s
+	return list
 }
 
-// Any one byte changed, and any end cut off, of a snapshot: the one before it is used, whole.
+// Promises 2 and 5: if a byte of a snapshot is changed, or its end is cut off, the generation before it is used.
 func TestLoad_damagedSnapshot(t *testing.T) {
-	m := newMemoryFiles()
-	store := NewStore(m, "n0")
-	for _, saved := range []*CachedList{testList(1, "a", "b"), testList(2, "a", "b", "c")} {
-		if err := store.Snapshot(saved); err != nil {
+	original := newMemoryFiles()
+	store := NewStore(original, "n0")
+	for _, list := range []*CachedList{testList(1, "a", "b"), testList(2, "a", "b", "c")} {
+		if err := store.Snapshot(list); err != nil {
 			t.Fatal(err)
 		}
 	}
 	newest := fileName(snapshotPrefix, 2)
-	whole := m.files[newest]
+	whole := original.files[newest]
 	check := func(what string, damaged []byte) {
 		t.Helper()
 		files := newMemoryFiles()
-		files.files[fileName(snapshotPrefix, 1)], files.files[newest] = m.files[fileName(snapshotPrefix, 1)], damaged
-		saved, notes := NewStore(files, "n0").Load()
-		if saved == nil || saved.Revision != 1 || len(saved.Members) != 2 || len(notes) != 1 {
-			t.Fatalf("%s: %+v, %v", what, saved, notes)
+		files.files[fileName(snapshotPrefix, 1)], files.files[newest] = original.files[fileName(snapshotPrefix, 1)], damaged
+		list, notes := NewStore(files, "n0").Load()
+		if list == nil || list.Revision != 1 || len(list.Members) != 2 || len(notes) != 1 {
+			t.Fatalf("%s: %+v, %v", what, list, notes)
 		}
-		if _, aside := files.files[damagedPrefix+newest]; !aside {
+		if _, isAside := files.files[damagedPrefix+newest]; !isAside {
 			if _, there := files.files[newest]; !there || !strings.Contains(notes[0], "version") {
-				t.Fatalf("%s: not kept aside: %v", what, notes)
+				t.Fatalf("%s: not set aside: %v", what, notes)
 			}
 		}
 	}
@@ -152,10 +61,10 @@
 	check("longer", append(slices.Clone(whole), ' '))
 }
 
-// Any end of a journal cut off, and any byte changed: what is before holds, what is behind is not believed.
+// Promise 3: if the end of a journal is cut off or a byte is changed, the records before that are used and none after.
 func TestLoad_damagedJournal(t *testing.T) {
-	m := newMemoryFiles()
-	store := NewStore(m, "n0")
+	original := newMemoryFiles()
+	store := NewStore(original, "n0")
 	if err := store.Snapshot(testList(1, "a", "b", "c")); err != nil {
 		t.Fatal(err)
 	}
@@ -165,27 +74,27 @@
 		if err := store.Append(&journalRecord{AtMS: int64(2000 + i), Revision: int64(2 + i), Members: []protocol.Member{testMember(id, "leaving")}}); err != nil {
 			t.Fatal(err)
 		}
-		ends = append(ends, len(m.files[journal]))
+		ends = append(ends, len(original.files[journal]))
 	}
-	whole := m.files[journal]
-	loadLeaving := func(text []byte) (n int, torn bool) {
+	whole := original.files[journal]
+	loadLeaving := func(text []byte) (count int, torn bool) {
 		files := newMemoryFiles()
-		files.files[fileName(snapshotPrefix, 1)], files.files[journal] = m.files[fileName(snapshotPrefix, 1)], text
-		saved, notes := NewStore(files, "n0").Load()
-		if saved == nil || len(saved.Members) != 3 {
-			t.Fatalf("%+v, %v", saved, notes)
+		files.files[fileName(snapshotPrefix, 1)], files.files[journal] = original.files[fileName(snapshotPrefix, 1)], text
+		list, notes := NewStore(files, "n0").Load()
+		if list == nil || len(list.Members) != 3 {
+			t.Fatalf("%+v, %v", list, notes)
 		}
-		for i, m := range saved.Members {
-			if m.Phase == "leaving" {
-				if n++; n != i+1 {
-					t.Fatalf("leaving are %+v", saved.Members)
+		for i, member := range list.Members {
+			if member.Phase == "leaving" {
+				if count++; count != i+1 {
+					t.Fatalf("leaving are %+v", list.Members)
 				}
 			}
 		}
-		if saved.Revision != int64(1+n) {
-			t.Fatalf("%d are leaving at revision %d", n, saved.Revision)
+		if list.Revision != int64(1+count) {
+			t.Fatalf("%d are leaving at revision %d", count, list.Revision)
 		}
-		return n, len(notes) > 0
+		return count, len(notes) > 0
 	}
 	for i := range whole {
 		want := 0
@@ -194,30 +103,31 @@
 				want++
 			}
 		}
-		if n, torn := loadLeaving(whole[:i]); n != want || torn == (i == 0 || slices.Contains(ends, i)) {
-			t.Fatalf("cut at %d: %d records, torn %v", i, n, torn)
+		if count, torn := loadLeaving(whole[:i]); count != want || torn == (i == 0 || slices.Contains(ends, i)) {
+			t.Fatalf("cut at %d: %d records, torn %v", i, count, torn)
 		}
 		damaged := slices.Clone(whole)
 		damaged[i] ^= 0x10
-		if n, _ := loadLeaving(damaged); n != want {
-			t.Fatalf("byte %d changed: %d records, want %d", i, n, want)
+		if count, _ := loadLeaving(damaged); count != want {
+			t.Fatalf("byte %d changed: %d records, want %d", i, count, want)
 		}
 	}
-	// A record in another's place is none.
+	// A record at the place of another is not used.
 	swapped := slices.Concat(whole[ends[0]:ends[1]], whole[:ends[0]])
-	if n, torn := loadLeaving(swapped); n != 0 || !torn {
-		t.Errorf("records in another order: %d", n)
+	if count, torn := loadLeaving(swapped); count != 0 || !torn {
+		t.Errorf("records in another order: %d", count)
 	}
 }
 
-// The machine stops at any step: what was told to be on disk before is there, and the next process goes on from it.
+// Promise 1: if the machine crashes at any change of the files, all that was written without an error is read, and the next process
+// continues from it.
 func TestStore_crashAtAnyStep(t *testing.T) {
 	for crashPart := range 3 {
 		for crashAt := 1; ; crashAt++ {
 			files := newMemoryFiles()
 			files.crashAt, files.crashPart = crashAt, crashPart
 			store := NewStore(files, "n0")
-			stored := int64(0) // the last revision that was on disk by the store's word
+			stored := int64(0) // the last revision that was written without an error
 			for revision := int64(1); revision <= 12; revision++ {
 				var err error
 				if revision%3 == 1 {
@@ -232,15 +142,15 @@
 			crashed := files.steps >= crashAt
 			files.crashAt = 0
 			next := NewStore(files, "n0")
-			saved, _ := next.Load()
-			if stored > 0 && (saved == nil || saved.Revision < stored) || saved != nil && saved.Revision > stored+1 {
-				t.Fatalf("step %d, part %d: %d was told, %+v found", crashAt, crashPart, stored, saved)
+			list, _ := next.Load()
+			if stored > 0 && (list == nil || list.Revision < stored) || list != nil && list.Revision > stored+1 {
+				t.Fatalf("step %d, part %d: %d was stored, %+v found", crashAt, crashPart, stored, list)
 			}
 			if err := next.Snapshot(testList(20, "c")); err != nil {
 				t.Fatal(err)
 			}
-			if saved, _ := NewStore(files, "n0").Load(); saved == nil || saved.Revision != 20 {
-				t.Fatalf("step %d, part %d: the next process's list is not found: %+v", crashAt, crashPart, saved)
+			if list, _ := NewStore(files, "n0").Load(); list == nil || list.Revision != 20 {
+				t.Fatalf("step %d, part %d: the next process's list is not found: %+v", crashAt, crashPart, list)
 			}
 			if !crashed {
 				break
@@ -249,46 +159,46 @@
 	}
 }
 
-// Two processes of one name write beside each other, and neither touches what the other writes now.
+// Promise 4: two processes of one name write at the same time, and neither changes what the other writes.
 func TestStore_twoProcesses(t *testing.T) {
 	dir := t.TempDir()
 	files, err := OpenOrCreate(dir, "n0/../x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := NewStore(files, "n0/../x"), NewStore(files, "n0/../x")
+	first, second := NewStore(files, "n0/../x"), NewStore(files, "n0/../x")
 	for i := range int64(5) {
-		for _, s := range []*Store{a, b} {
-			if err := s.Snapshot(testList(10*i+1, "a")); err != nil {
+		for _, store := range []*Store{first, second} {
+			if err := store.Snapshot(testList(10*i+1, "a")); err != nil {
 				t.Fatal(err)
 			}
-			if err := s.Append(&journalRecord{Revision: 10*i + 2, AtMS: 1, Members: []protocol.Member{testMember("a", "leaving")}}); err != nil {
+			if err := store.Append(&journalRecord{Revision: 10*i + 2, AtMS: 1, Members: []protocol.Member{testMember("a", "leaving")}}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	found, err := a.Generations()
+	found, err := first.Generations()
 	if err != nil || len(found) != retainedGenerations {
 		t.Fatalf("%v, %v", found, err)
 	}
-	for _, g := range found {
-		if g.Err != nil || g.Records != 1 || g.TornBytes != 0 || g.List.Members[0].Phase != "leaving" {
-			t.Errorf("%+v", g)
+	for _, generation := range found {
+		if generation.Err != nil || generation.Records != 1 || generation.TornBytes != 0 || generation.List.Members[0].Phase != "leaving" {
+			t.Errorf("%+v", generation)
 		}
 	}
-	// Another dispatcher's lists are its own, whatever they are named.
+	// Each dispatcher has a directory of its own, whatever its name.
 	other, err := OpenOrCreate(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if saved, _ := NewStore(other, "n1").Load(); saved != nil {
-		t.Errorf("found %+v", saved)
+	if list, _ := NewStore(other, "n1").Load(); list != nil {
+		t.Errorf("found %+v", list)
 	}
 	if names, _ := Dispatchers(dir); !slices.Equal(names, []string{"n0/../x", "n1"}) {
 		t.Errorf("dispatchers %q", names)
 	}
 	if info, _ := os.Stat(filepath.Join(dir, "n1")); info.Mode().Perm() != 0o700 {
-		t.Errorf("folder of mode %o", info.Mode().Perm())
+		t.Errorf("directory of mode %o", info.Mode().Perm())
 	}
 	names, _ := files.Names()
 	for _, name := range names {
@@ -298,7 +208,7 @@
 	}
 }
 
-// A folder that others may write, one that is none, a disk that takes nothing: an error each, and the list from before is
+// A directory that others may write, a path that is no directory, and a full disk each lead to an error, and the list written before is
 // still read.
 func TestStore_badDirectories(t *testing.T) {
 	dir := t.TempDir()
@@ -313,7 +223,7 @@
 		t.Fatal(err)
 	}
 	if _, err := OpenOrCreate(file, "n0"); err == nil {
-		t.Error("a file is no folder")
+		t.Error("a file is taken for a directory")
 	}
 	files := newMemoryFiles()
 	store := NewStore(files, "n0")
@@ -325,31 +235,31 @@
 		t.Errorf("a full disk: %v", err)
 	}
 	if err := store.Append(&journalRecord{Revision: 3}); err != errNoGeneration {
-		t.Errorf("behind a torn record: %v", err)
+		t.Errorf("after a torn record: %v", err)
 	}
 	if err := store.Snapshot(testList(4, "a")); !errors.Is(err, files.failWith) {
 		t.Errorf("a full disk: %v", err)
 	}
-	if saved, _ := store.Load(); saved == nil || saved.Revision != 1 {
-		t.Errorf("found %+v", saved)
+	if list, _ := store.Load(); list == nil || list.Revision != 1 {
+		t.Errorf("found %+v", list)
 	}
 }
 
-// The form before this one is read; one from the future is left where it is.
+// A snapshot of format version 1 is read; one of a later program's version is left where it is.
 func TestVersions(t *testing.T) {
 	files := newMemoryFiles()
 	files.files[fileName(snapshotPrefix, 1)] = encodeSnapshot(1, []byte(`{"dispatcher":"n0","made_ms":5000,"list":{"revision":4,"complete":true,"members":[{"id":"a","host_port":"127.0.0.1:3000","locality":"llanelli","flavor":"new-box","cell":2,"phase":"active","size":1,"up_since_ms":9}]}}`))
 	files.files[fileName(snapshotPrefix, 2)] = encodeSnapshot(99, []byte(`{}`))
-	saved, notes := NewStore(files, "n0").Load()
-	if saved == nil || saved.Revision != 4 || saved.ConfirmedAtMS != 5000 || saved.Members[0].Cell != 2 || len(notes) != 1 || !strings.Contains(notes[0], "version 99") {
-		t.Errorf("%+v, %v", saved, notes)
+	list, notes := NewStore(files, "n0").Load()
+	if list == nil || list.Revision != 4 || list.ConfirmedAtMS != 5000 || list.Members[0].Cell != 2 || len(notes) != 1 || !strings.Contains(notes[0], "version 99") {
+		t.Errorf("%+v, %v", list, notes)
 	}
 	if files.files[fileName(snapshotPrefix, 2)] == nil {
-		t.Error("a newer program's list was put aside")
+		t.Error("a newer program's list was set aside")
 	}
 }
 
-// FuzzDecode: whatever is on disk, nothing but what was written whole is believed, and it can be written again.
+// FuzzDecode: whatever is on disk, only what is whole is read, and it can be written again.
 func FuzzDecode(f *testing.F) {
 	whole, _ := encodeList(testList(3, "a", "b"))
 	f.Add(whole)
@@ -357,38 +267,38 @@
 	record, _ := encodeRecord(0, &journalRecord{Revision: 3, Members: []protocol.Member{testMember("a", "left")}})
 	f.Add(record)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if saved, err := decodeSnapshot(text); err == nil {
-			if _, err := encodeList(saved); err != nil {
+		if list, err := decodeSnapshot(text); err == nil {
+			if _, err := encodeList(list); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if changes, good := decodeJournal(text); good > len(text) || len(changes) > 0 && good == 0 {
-			t.Fatalf("%d changes in %d of %d bytes", len(changes), good, len(text))
+		if records, wholeBytes := decodeJournal(text); wholeBytes > len(text) || len(records) > 0 && wholeBytes == 0 {
+			t.Fatalf("%d records in %d of %d bytes", len(records), wholeBytes, len(text))
 		}
 	})
 }
 
-// BenchmarkSnapshot: what a snapshot and a load cost, by boxes.
+// BenchmarkSnapshot measures a snapshot and a load, by the number of workers.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, n := range []int{20, 1000, 20000} {
+	for _, workers := range []int{20, 1000, 20000} {
 		var ids []string
-		for i := range n {
+		for i := range workers {
 			ids = append(ids, fmt.Sprintf("s-%08x", i))
 		}
-		b.Run(fmt.Sprint("write/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("write/", workers), func(b *testing.B) {
 			files, err := OpenOrCreate(b.TempDir(), "n0")
 			if err != nil {
 				b.Fatal(err)
 			}
-			s, saved := NewStore(files, "n0"), testList(1, ids...)
+			store, list := NewStore(files, "n0"), testList(1, ids...)
 			b.ReportAllocs()
 			for b.Loop() {
-				if err := s.Snapshot(saved); err != nil {
+				if err := store.Snapshot(list); err != nil {
 					b.Fatal(err)
 				}
 			}
 		})
-		b.Run(fmt.Sprint("load/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("load/", workers), func(b *testing.B) {
 			files, err := OpenOrCreate(b.TempDir(), "n0")
 			if err != nil {
 				b.Fatal(err)
@@ -399,7 +309,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if saved, _ := s.Load(); saved == nil {
+				if list, _ := s.Load(); list == nil {
 					b.Fatal("nothing found")
 				}
 			}
--- a/internal/endpointcache/writer.go
+++ b/internal/endpointcache/writer.go
@@ -2,8 +2,10 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -13,27 +15,37 @@
 )
 
 const (
-	// A snapshot is written at most so often, and only when something has changed; where nothing has, that it still
-	// holds is written down now and then.
-	snapshotInterval    = 5 * time.Second
-	confirmInterval     = time.Minute
-	learnedStateTimeout = 500 * time.Millisecond // the module has to say what it has learned
-	faultRetryInterval  = 15 * time.Second       // after a fault of the disk
-	maxRecordMembers    = 256                    // more in one go is a snapshot's matter
+	// snapshotInterval is the least time between snapshots of a list that changes.
+	snapshotInterval = 5 * time.Second
+
+	// confirmInterval is the time between snapshots of a list that does not change, which record that it is still in force.
+	confirmInterval = time.Minute
+
+	// faultRetryInterval is the time after a fault of the disk until the next snapshot.
+	faultRetryInterval = 15 * time.Second
+
+	// dueCheckInterval is how often Run checks whether a snapshot is due.
+	dueCheckInterval = time.Second
+
+	// learnedStateTimeout is how long a snapshot waits for the learned state.
+	learnedStateTimeout = 500 * time.Millisecond
+
+	// maxRecordMembers is how many changed workers a journal record may have; more are left to the next snapshot.
+	maxRecordMembers = 256
 )
 
-// LearnedStateSource is what else goes into a snapshot.
+// LearnedStateSource returns what the scheduler has learned.
 type LearnedStateSource interface {
-	// Experience gives what the module has learned, and its classes by name.
+	// LearnedState returns the learned state, and the statistics of its classes by name. It may block until the context ends.
 	LearnedState(context.Context) (scheduler.LearnedState, map[string]scheduler.ClassStatistics, error)
 }
 
-// Writer keeps the list as it comes. It is an actor with a mailbox: nobody who tells it something waits for the disk,
-// and however slow that is, no more waits to be written than the list itself.
+// Writer writes the endpoint list to a store as it changes. It is an actor with a mailbox: callers of EndpointsUpdated and SetDetached do
+// not wait for the disk, and what waits to be written is bounded by the size of the list, however slow the disk is.
 type Writer struct {
 	store            *Store
 	learnedState     LearnedStateSource
-	discoveryAddress func() string // its address now
+	discoveryAddress func() string
 	settings         func() *protocol.Settings
 	log              *slog.Logger
 	mailbox          *routing.Mailbox[any]
@@ -42,21 +54,22 @@
 	members        map[string]CachedMember
 	revision       int64
 	detached       []string
-	confirmedAt    time.Time // when the list was last known to be true
-	dirty          bool      // the members differ from what is on disk
-	lastSnapshotAt time.Time // when the last snapshot was
-	failedAt       time.Time // when the disk failed last; zero while it does not
+	confirmedAt    time.Time // when the list was last known to be in force; zero until the first update
+	dirty          bool      // the members differ from the last snapshot
+	lastSnapshotAt time.Time // when a snapshot was last written or tried
+	failedAt       time.Time // when the disk last failed; zero once a snapshot was written
 
 	mu    sync.Mutex
 	stats Stats
 }
 
-// Stats is how the keeper is, for the figures.
+// Stats are the counters of a Writer.
 type Stats struct {
 	Snapshots, Records, Faults int
-	LastSnapshot               time.Time // of the last snapshot
+	LastSnapshot               time.Time // when the last snapshot was written; zero for never
 }
 
+// The messages in the mailbox of a Writer.
 type (
 	endpointsUpdated struct {
 		update     routing.ListUpdate
@@ -65,180 +78,189 @@
 	detachedChanged struct{ ids []string }
 )
 
-// NewWriter makes the actor. It begins with what was loaded; nil for nothing.
-func NewWriter(s *Store, loaded *CachedList, l LearnedStateSource, discovery func() string, params func() *protocol.Settings, log *slog.Logger) *Writer {
-	k := &Writer{store: s, learnedState: l, discoveryAddress: discovery, settings: params, log: log, mailbox: routing.NewMailbox[any](), members: map[string]CachedMember{}}
+// NewWriter returns a Writer that starts with the loaded list, or with none if it is nil. discovery returns the current address of
+// discovery, settings the current settings. Nothing is written before Run.
+func NewWriter(store *Store, loaded *CachedList, learned LearnedStateSource, discovery func() string, settings func() *protocol.Settings, log *slog.Logger) *Writer {
+	writer := &Writer{store: store, learnedState: learned, discoveryAddress: discovery, settings: settings, log: log,
+		mailbox: routing.NewMailbox[any](), members: map[string]CachedMember{}}
 	if loaded != nil {
-		for _, m := range loaded.Members {
-			k.members[m.ID] = m
+		for _, member := range loaded.Members {
+			writer.members[member.ID] = member
 		}
-		k.revision, k.detached = loaded.Revision, loaded.Detached
+		writer.revision, writer.detached = loaded.Revision, loaded.Detached
 	}
-	return k
+	return writer
 }
 
-// Listed tells what discovery said: the whole list or changes, perhaps none. It does not block.
-func (k *Writer) EndpointsUpdated(u routing.ListUpdate) {
-	k.mailbox.Post(endpointsUpdated{u, time.Now()})
+// EndpointsUpdated passes on a response of discovery: the full list, or what has changed, if anything. It does not block.
+func (w *Writer) EndpointsUpdated(update routing.ListUpdate) {
+	w.mailbox.Post(endpointsUpdated{update, time.Now()})
 }
 
-// SetDetached tells who is out by hand from now on. It does not block.
-func (k *Writer) SetDetached(ids []string) { k.mailbox.Post(detachedChanged{slices.Clone(ids)}) }
+// SetDetached passes on the IDs of all workers that the operator has detached. It does not block.
+func (w *Writer) SetDetached(ids []string) { w.mailbox.Post(detachedChanged{slices.Clone(ids)}) }
 
-// Stats gives the figures.
-func (k *Writer) Stats() Stats {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.stats
+// Stats returns the counters. It is safe for concurrent use.
+func (w *Writer) Stats() Stats {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.stats
 }
 
-// Run is the actor's life.
-func (k *Writer) Run(ctx context.Context) {
-	look := time.NewTicker(time.Second)
-	defer look.Stop()
+// Run writes records and snapshots until the context ends.
+func (w *Writer) Run(ctx context.Context) {
+	ticker := time.NewTicker(dueCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.mailbox.Signal():
-		case <-look.C:
+		case <-w.mailbox.Signal():
+		case <-ticker.C:
 		}
-		k.applyMessages(k.mailbox.Take())
-		if k.snapshotDue(time.Now()) {
-			k.snapshot(ctx)
+		w.applyMessages(w.mailbox.Take())
+		if w.snapshotDue(time.Now()) {
+			w.snapshot(ctx)
 		}
 	}
 }
 
-// applyMessages folds all that has come into one change, so that a storm costs the disk one record.
-func (k *Writer) applyMessages(messages []any) {
-	c := journalRecord{Revision: k.revision}
-	news := map[string]protocol.Member{}
-	for _, m := range messages {
-		switch m := m.(type) {
+// applyMessages applies all messages, and writes one journal record for them, so that a burst of updates costs the disk one write.
+func (w *Writer) applyMessages(messages []any) {
+	record := journalRecord{Revision: w.revision}
+	changed := map[string]protocol.Member{}
+	for _, message := range messages {
+		switch message := message.(type) {
 		case detachedChanged:
-			k.detached, c.Detached = m.ids, &m.ids
+			w.detached, record.Detached = message.ids, &message.ids
 		case endpointsUpdated:
-			k.confirmedAt = m.receivedAt
-			k.applyUpdate(m.update, news)
+			w.confirmedAt = message.receivedAt
+			w.applyUpdate(message.update, changed)
 		}
 	}
-	if len(news) == 0 && c.Detached == nil {
+	if len(changed) == 0 && record.Detached == nil {
 		return
 	}
-	k.dirty = true
-	if len(news) > maxRecordMembers || !k.failedAt.IsZero() {
-		return // a snapshot will have it
+	w.dirty = true
+	if len(changed) > maxRecordMembers || !w.failedAt.IsZero() {
+		return // the next snapshot has the changes
 	}
-	for _, m := range news {
-		c.Members = append(c.Members, m)
+	for _, member := range changed {
+		record.Members = append(record.Members, member)
 	}
-	c.AtMS, c.Revision = k.confirmedAt.UnixMilli(), k.revision
-	if k.confirmedAt.IsZero() {
-		c.AtMS = 0
+	record.Revision = w.revision
+	if !w.confirmedAt.IsZero() {
+		record.AtMS = w.confirmedAt.UnixMilli()
 	}
-	if err := k.store.Append(&c); err != nil {
-		if err != errNoGeneration {
-			k.recordFault(err)
-		}
+	w.append(&record)
+}
+
+// append writes a journal record. Before the first snapshot there is no journal, and the record is left to the snapshot.
+func (w *Writer) append(record *journalRecord) {
+	err := w.store.Append(record)
+	switch {
+	case errors.Is(err, errNoGeneration):
+		return
+	case err != nil:
+		w.recordFault(err)
 		return
 	}
-	k.mu.Lock()
-	k.stats.Records++
-	k.mu.Unlock()
+	w.mu.Lock()
+	w.stats.Records++
+	w.mu.Unlock()
 }
 
-// applyUpdate adds an update to the members, and what it changes to news.
-func (k *Writer) applyUpdate(u routing.ListUpdate, news map[string]protocol.Member) {
-	k.revision = u.Revision
-	present := map[string]bool{}
-	for _, m := range protocol.Members(u.Endpoints, k.settings()) {
-		present[m.ID] = true
-		old, known := k.members[m.ID]
-		if m.HostPort == "" {
-			m.HostPort = old.HostPort
-		}
-		if known && old.Member == m || !known && m.Phase == protocol.Left {
+// applyUpdate applies an update to the members, and adds the members that it changes to changed.
+func (w *Writer) applyUpdate(update routing.ListUpdate, changed map[string]protocol.Member) {
+	w.revision = update.Revision
+	listed := map[string]bool{}
+	for _, member := range protocol.Members(update.Endpoints, w.settings()) {
+		listed[member.ID] = true
+		before, known := w.members[member.ID]
+		after := before.updatedTo(member)
+		if known && before.Member == after.Member || !known && member.Phase == protocol.Left {
 			continue
 		}
-		news[m.ID] = m
-		if m.Phase == protocol.Left {
-			delete(k.members, m.ID)
+		changed[member.ID] = after.Member
+		if member.Phase == protocol.Left {
+			delete(w.members, member.ID)
 			continue
 		}
-		if m.UpSinceMS > old.UpSinceMS { // started anew: nothing of it holds
-			old = CachedMember{}
-		}
-		old.Member = m
-		k.members[m.ID] = old
+		w.members[member.ID] = after
 	}
-	if !u.Complete {
-		return
+	if update.Complete {
+		w.removeUnlisted(listed, changed)
 	}
-	for id, m := range k.members {
-		if !present[id] {
-			m.Phase = protocol.Left
-			news[id] = m.Member
-			delete(k.members, id)
+}
+
+// removeUnlisted removes the members that a full list does not name, and adds them to changed.
+func (w *Writer) removeUnlisted(listed map[string]bool, changed map[string]protocol.Member) {
+	for id, member := range w.members {
+		if !listed[id] {
+			member.Phase = protocol.Left
+			changed[id] = member.Member
+			delete(w.members, id)
 		}
 	}
 }
 
-// snapshotDue tells whether a snapshot is.
-func (k *Writer) snapshotDue(now time.Time) bool {
+// snapshotDue reports whether a snapshot is due. It never is before the first update: the list on disk is as good.
+func (w *Writer) snapshotDue(now time.Time) bool {
 	switch {
-	case k.confirmedAt.IsZero(): // discovery has told nothing: what is on disk is as good
+	case w.confirmedAt.IsZero():
 		return false
-	case !k.failedAt.IsZero():
-		return now.After(k.failedAt.Add(faultRetryInterval))
-	case k.dirty:
-		return now.After(k.lastSnapshotAt.Add(snapshotInterval))
+	case !w.failedAt.IsZero():
+		return now.After(w.failedAt.Add(faultRetryInterval))
+	case w.dirty:
+		return now.After(w.lastSnapshotAt.Add(snapshotInterval))
 	}
-	return now.After(k.lastSnapshotAt.Add(confirmInterval))
+	return now.After(w.lastSnapshotAt.Add(confirmInterval))
 }
 
-func (k *Writer) snapshot(ctx context.Context) {
-	s := &CachedList{ConfirmedAtMS: k.confirmedAt.UnixMilli(), Revision: k.revision, Discovery: k.discoveryAddress(), Detached: k.detached}
-	ctx, stop := context.WithDeadline(ctx, time.Now().Add(learnedStateTimeout))
-	e, classes, err := k.learnedState.LearnedState(ctx)
-	stop()
-	if err == nil {
-		s.Overcommit, s.MeanStay, s.MeanWork, s.Classes = e.Overcommit, e.MeanStay, e.MeanWork, classes
+// snapshot writes the list as a new generation.
+func (w *Writer) snapshot(ctx context.Context) {
+	list := w.cachedList(ctx)
+	w.lastSnapshotAt = time.Now()
+	if err := w.store.Snapshot(list); err != nil {
+		w.recordFault(err)
+		return
 	}
-	for _, m := range k.members {
-		if was, ok := e.Workers[scheduler.WorkerID(m.ID)]; ok {
-			m.Statistics, m.LastSignalMS = &was, was.LastSignal.Milliseconds()
-		}
-		s.Members = append(s.Members, m)
+	if !w.failedAt.IsZero() {
+		w.log.Info("endpoint cache write recovered")
 	}
-	slices.SortFunc(s.Members, func(a, b CachedMember) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
-	k.lastSnapshotAt = time.Now()
-	if err := k.store.Snapshot(s); err != nil {
-		k.recordFault(err)
-		return
+	w.dirty, w.failedAt = false, time.Time{}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stats.Snapshots++
+	w.stats.LastSnapshot = w.lastSnapshotAt
+}
+
+// cachedList returns the list as it is stored, with the learned state if that is available within learnedStateTimeout.
+func (w *Writer) cachedList(ctx context.Context) *CachedList {
+	list := &CachedList{ConfirmedAtMS: w.confirmedAt.UnixMilli(), Revision: w.revision, Discovery: w.discoveryAddress(), Detached: w.detached}
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(learnedStateTimeout))
+	state, classes, err := w.learnedState.LearnedState(ctx)
+	cancel()
+	if err == nil {
+		list.Overcommit, list.MeanStay, list.MeanWork, list.Classes = state.Overcommit, state.MeanStay, state.MeanWork, classes
 	}
-	if !k.failedAt.IsZero() {
-		k.log.Info("saved list is written again")
+	for _, member := range w.members {
+		if statistics, ok := state.Workers[scheduler.WorkerID(member.ID)]; ok {
+			member.Statistics, member.LastSignalMS = &statistics, statistics.LastSignal.Milliseconds()
+		}
+		list.Members = append(list.Members, member)
 	}
-	k.dirty, k.failedAt = false, time.Time{}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stats.Snapshots++
-	k.stats.LastSnapshot = k.lastSnapshotAt
+	slices.SortFunc(list.Members, func(a, b CachedMember) int { return strings.Compare(a.ID, b.ID) })
+	return list
 }
 
-// recordFault notes that the disk failed: one line until it works again.
-func (k *Writer) recordFault(err error) {
-	if k.failedAt.IsZero() {
-		k.log.Warn("saved list cannot be written, serving on without", "err", err)
+// recordFault records that the disk has failed. It logs the first failure until a snapshot was written again.
+func (w *Writer) recordFault(err error) {
+	if w.failedAt.IsZero() {
+		w.log.Warn("endpoint cache write failed", "err", err)
 	}
-	k.failedAt = time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stats.Faults++
+	w.failedAt = time.Now()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stats.Faults++
 }
