--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -126,7 +126,7 @@
 			keep(t, dir, time.Hour, nil, a, b)
 			n := alone(t, dir, discovery)
 			n.served("first")
-			if !strings.Contains(n.log(), "starting from the saved list") || n.vars("list_source") != "saved" || n.figure("list_age_s") < 3600 {
+			if !strings.Contains(n.log(), "started from endpoint cache") || n.vars("list_source") != "saved" || n.figure("list_age_s") < 3600 {
 				t.Errorf("source %q, age %d", n.vars("list_source"), n.figure("list_age_s"))
 			}
 			n.waitFor("both to be heard", func() bool { return n.figure("boxes_heard")+n.figure("boxes_proven") == 2 })
@@ -294,7 +294,7 @@
 		t.Fatal(err)
 	}
 	n := start(t, savedBlock(useless), a)
-	if status, _, _ := n.do(request(n.url, "k")); status != 200 || !strings.Contains(n.log(), "saved list cannot be kept") {
+	if status, _, _ := n.do(request(n.url, "k")); status != 200 || !strings.Contains(n.log(), "endpoint cache disabled") {
 		t.Errorf("with a folder of no use: %d", status)
 	}
 	open := t.TempDir()
--- a/internal/program/endpointcache.go
+++ b/internal/program/endpointcache.go
@@ -30,14 +30,14 @@
 		SlowStartCapacity: p.Rules.StartCapacity, MayProbe: p.Limits.Probing}}
 	files, err := store.OpenOrCreate(s.Directory, name)
 	if err != nil {
-		d.log.Warn("saved list cannot be kept, serving on without", "err", err)
+		d.log.Warn("endpoint cache disabled", "err", err)
 		return nil
 	}
 	sv.store = store.NewStore(files, name)
 	var notes []string
 	sv.loaded, notes = sv.store.Load()
 	for _, note := range notes {
-		d.log.Warn("saved list", "fault", note)
+		d.log.Warn("endpoint cache damaged", "fault", note)
 	}
 	return sv
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -203,7 +203,7 @@
 	} else if d.saved != nil {
 		if from = d.saved.from(clock); from != nil && !from.Assessor.Usable() {
 			age, _ := from.Assessor.Age()
-			log.Warn("the saved list is too old to be used", "age", age)
+			log.Warn("endpoint cache too old", "age", age)
 			from = nil
 		}
 	}
@@ -217,7 +217,7 @@
 	if from != nil {
 		d.set.StartFromCache(from)
 		age, ok := from.Assessor.Age()
-		log.Info("starting from the saved list", "boxes", len(from.Endpoints), "age", age, "age_known", ok)
+		log.Info("started from endpoint cache", "workers", len(from.Endpoints), "age", age, "age_known", ok)
 	}
 	d.core.SetEndpoints(d.fleet, d.set.Subscribe)
 	d.reloader = &reloader{d: d, env: env, discovery: discovery, cfg: cfg, path: options.Operator, op: op}
