--- a/internal/decisions/http2limits/http2limits.go
+++ b/internal/decisions/http2limits/http2limits.go
@@ -78,75 +78,75 @@
 	MaxHeaderFrames = 16
 	MaxHeaderBytes  = 32 << 10 // bytes
 
-	crumb = 64 // bytes; a piece of a body that is shorter and not the last
+	minDataBytes = 64 // bytes; a piece of a body that is shorter and not the last
 )
 
-// budget is a token bucket: so many at once, so many more a second, and so many more for each stream answered.
-type budget struct {
-	burst, rate, credit float64
+// frameBudget is a token bucket: so many at once, so many more a second, and so many more for each stream answered.
+type frameBudget struct {
+	burst, rate, answerCredit float64
 }
 
-// The budgets, by reason. Bursts are what well-made clients were seen to need at most, several times over: all streams
+// The frameBudgets, by reason. Bursts are what well-made clients were seen to need at most, several times over: all streams
 // given up at once, a WINDOW_UPDATE for the stream and one for the connection with each piece of an answer, a PING to
 // measure the way with each.
-var budgets = map[CloseReason]budget{
-	TooManyResets:         {burst: 256, rate: 20, credit: 1},
-	TooManyPings:          {burst: 64, rate: 10, credit: 1},
+var frameBudgets = map[CloseReason]frameBudget{
+	TooManyResets:         {burst: 256, rate: 20, answerCredit: 1},
+	TooManyPings:          {burst: 64, rate: 10, answerCredit: 1},
 	TooManySettings:       {burst: 16, rate: 2},
-	TooManyPriorities:     {burst: 512, rate: 20, credit: 2},
-	TooManyWindowUpdates:  {burst: 1024, rate: 100, credit: 8},
-	TooManyTinyDataFrames: {burst: 1024, rate: 200, credit: 16},
-	TooManyUnknownFrames:  {burst: 64, rate: 10, credit: 1},
+	TooManyPriorities:     {burst: 512, rate: 20, answerCredit: 2},
+	TooManyWindowUpdates:  {burst: 1024, rate: 100, answerCredit: 8},
+	TooManyTinyDataFrames: {burst: 1024, rate: 200, answerCredit: 16},
+	TooManyUnknownFrames:  {burst: 64, rate: 10, answerCredit: 1},
 }
 
 // Conn is what is known of a connection. The times that its methods get never run backwards.
 type Conn struct {
-	spent    map[CloseReason]float64 // of each budget, as of at
-	at       time.Duration
-	answered float64 // streams, since at
-
-	began     time.Duration // of the preface, then of the frame that is coming
-	partial   bool          // the one of these is not whole
-	head      time.Duration // when the head began that is coming
-	inHead    bool
-	fragments int
-	bytes     uint32
-	ended     CloseReason
+	spent           map[CloseReason]float64 // of each budget, as of at
+	spentAt         time.Duration
+	answeredStreams float64 // streams, since at
+
+	partStartedAt   time.Duration // of the preface, then of the frame that is coming
+	partOpen        bool          // the one of these is not whole
+	headerStartedAt time.Duration // when the head began that is coming
+	headerOpen      bool
+	headerFrames    int
+	headerBytes     uint32
+	closeReason     CloseReason
 }
 
 // New begins with a connection that has just been taken: its preface is to come.
 func New(now time.Duration) *Conn {
-	return &Conn{spent: map[CloseReason]float64{}, at: now, began: now, partial: true}
+	return &Conn{spent: map[CloseReason]float64{}, spentAt: now, partStartedAt: now, partOpen: true}
 }
 
 // PrefaceCompleted tells that the preface is whole.
-func (c *Conn) PrefaceCompleted() { c.partial = false }
+func (c *Conn) PrefaceCompleted() { c.partOpen = false }
 
 // FrameStarted tells that the first byte of a frame came.
-func (c *Conn) FrameStarted(now time.Duration) { c.began, c.partial = now, true }
+func (c *Conn) FrameStarted(now time.Duration) { c.partStartedAt, c.partOpen = now, true }
 
 // FrameCompleted tells that the last byte of a frame came.
-func (c *Conn) FrameCompleted() { c.partial = false }
+func (c *Conn) FrameCompleted() { c.partOpen = false }
 
 // StreamAnswered tells that a stream had its answer in full.
-func (c *Conn) StreamAnswered() { c.answered++ }
+func (c *Conn) StreamAnswered() { c.answeredStreams++ }
 
 // FrameReceived judges a frame by its head, before anything of it goes on.
-func (c *Conn) FrameReceived(now time.Duration, f Frame) CloseReason {
-	switch f.Kind {
+func (c *Conn) FrameReceived(now time.Duration, frame Frame) CloseReason {
+	switch frame.Kind {
 	case Headers:
-		c.head, c.inHead, c.fragments, c.bytes = now, true, 0, 0
-		c.fragment(f)
+		c.headerStartedAt, c.headerOpen, c.headerFrames, c.headerBytes = now, true, 0, 0
+		c.addHeaderFrame(frame)
 	case Continuation:
-		c.fragment(f)
+		c.addHeaderFrame(frame)
 	case Data:
-		if f.Length < crumb && f.Flags&EndStream == 0 {
+		if frame.Length < minDataBytes && frame.Flags&EndStream == 0 {
 			c.spend(now, TooManyTinyDataFrames)
 		}
 	case Reset:
 		c.spend(now, TooManyResets)
 	case Ping:
-		if f.Flags&Ack == 0 {
+		if frame.Flags&Ack == 0 {
 			c.spend(now, TooManyPings)
 		}
 	case Settings:
@@ -159,26 +159,26 @@
 	default:
 		c.spend(now, TooManyUnknownFrames)
 	}
-	return c.ended
+	return c.closeReason
 }
 
 // FrameSent judges a frame that this side sends: a client can have streams reset by breaking rules as well as by asking.
-func (c *Conn) FrameSent(now time.Duration, f Frame) CloseReason {
-	if f.Kind == Reset {
+func (c *Conn) FrameSent(now time.Duration, frame Frame) CloseReason {
+	if frame.Kind == Reset {
 		c.spend(now, TooManyResets)
 	}
-	return c.ended
+	return c.closeReason
 }
 
 // Deadline tells when the connection is to be ended if nothing more comes; not ok if it may stay as it is.
 func (c *Conn) Deadline() (at time.Duration, ok bool) {
 	switch {
-	case c.inHead && c.partial:
-		return min(c.head, c.began) + CompletionTimeout, true
-	case c.inHead:
-		return c.head + CompletionTimeout, true
-	case c.partial:
-		return c.began + CompletionTimeout, true
+	case c.headerOpen && c.partOpen:
+		return min(c.headerStartedAt, c.partStartedAt) + CompletionTimeout, true
+	case c.headerOpen:
+		return c.headerStartedAt + CompletionTimeout, true
+	case c.partOpen:
+		return c.partStartedAt + CompletionTimeout, true
 	}
 	return 0, false
 }
@@ -186,40 +186,40 @@
 // CheckDeadline judges what is still half there.
 func (c *Conn) CheckDeadline(now time.Duration) CloseReason {
 	if at, ok := c.Deadline(); ok && now >= at {
-		c.end(IncompleteInTime)
+		c.close(IncompleteInTime)
 	}
-	return c.ended
+	return c.closeReason
 }
 
-func (c *Conn) fragment(f Frame) {
-	c.fragments++
-	c.bytes += min(f.Length, MaxHeaderBytes+1)
-	if c.fragments > MaxHeaderFrames || c.bytes > MaxHeaderBytes {
-		c.end(HeaderTooLong)
+func (c *Conn) addHeaderFrame(frame Frame) {
+	c.headerFrames++
+	c.headerBytes += min(frame.Length, MaxHeaderBytes+1)
+	if c.headerFrames > MaxHeaderFrames || c.headerBytes > MaxHeaderBytes {
+		c.close(HeaderTooLong)
 	}
-	if f.Flags&EndHeaders != 0 {
-		c.inHead = false
+	if frame.Flags&EndHeaders != 0 {
+		c.headerOpen = false
 	}
 }
 
 // spend takes one from a budget.
-func (c *Conn) spend(now time.Duration, why CloseReason) {
-	if now > c.at || c.answered > 0 {
-		passed := (now - c.at).Seconds()
+func (c *Conn) spend(now time.Duration, reason CloseReason) {
+	if now > c.spentAt || c.answeredStreams > 0 {
+		elapsed := (now - c.spentAt).Seconds()
 		for of, spent := range c.spent {
-			b := budgets[of]
-			c.spent[of] = max(spent-b.rate*passed-b.credit*c.answered, 0)
+			b := frameBudgets[of]
+			c.spent[of] = max(spent-b.rate*elapsed-b.answerCredit*c.answeredStreams, 0)
 		}
-		c.at, c.answered = max(now, c.at), 0
+		c.spentAt, c.answeredStreams = max(now, c.spentAt), 0
 	}
-	if c.spent[why]++; c.spent[why] > budgets[why].burst {
-		c.end(why)
+	if c.spent[reason]++; c.spent[reason] > frameBudgets[reason].burst {
+		c.close(reason)
 	}
 }
 
-func (c *Conn) end(why CloseReason) {
-	if c.ended == "" {
-		c.ended = why
+func (c *Conn) close(reason CloseReason) {
+	if c.closeReason == "" {
+		c.closeReason = reason
 	}
 }
 
@@ -228,6 +228,6 @@
 // E. Hahne ("Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", IEEE/ACM Transactions on Networking
 // 6(2), 1998) with a factor of one: n holders that want all get 1/(n+1) each, nobody needs to know how many there are,
 // and a newcomer always finds room.
-func WithinDynamicThreshold(limit, total, mine, floor int) bool {
-	return total < limit && (mine < floor || mine < limit-total)
+func WithinDynamicThreshold(limit, total, own, floor int) bool {
+	return total < limit && (own < floor || own < limit-total)
 }
--- a/internal/decisions/http2limits/http2limits_test.go
+++ b/internal/decisions/http2limits/http2limits_test.go
@@ -8,10 +8,10 @@
 )
 
 // Promise 1: whoever has jobs answered may do as much beside as the credits say, at any rate.
-func TestAnsweredIsNeverEnded(t *testing.T) {
+func TestConn_answeredStreamsNeverClose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, now := New(0), time.Duration(0)
-		c.PrefaceCompleted()
+		conn, now := New(0), time.Duration(0)
+		conn.PrefaceCompleted()
 		for range rapid.IntRange(1, 400).Draw(t, "streams") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Microsecond
 			frames := []Frame{{Kind: Headers, Flags: EndHeaders}, {Kind: Data, Length: 3}, {Kind: Data, Length: 2000, Flags: EndStream},
@@ -19,25 +19,25 @@
 			if rapid.Bool().Draw(t, "given up") {
 				frames = append(frames, Frame{Kind: Reset})
 			}
-			for _, f := range frames {
-				if f.Kind == Settings && now > 0 { // one for the settings of this side
+			for _, frame := range frames {
+				if frame.Kind == Settings && now > 0 { // one for the settings of this side
 					continue
 				}
-				c.FrameStarted(now)
-				if why := c.FrameReceived(now, f); why != "" {
-					t.Fatalf("%+v: %s", f, why)
+				conn.FrameStarted(now)
+				if reason := conn.FrameReceived(now, frame); reason != "" {
+					t.Fatalf("%+v: %s", frame, reason)
 				}
-				c.FrameCompleted()
+				conn.FrameCompleted()
 			}
-			c.StreamAnswered()
-			if why := c.CheckDeadline(now + time.Hour); why != "" {
+			conn.StreamAnswered()
+			if why := conn.CheckDeadline(now + time.Hour); why != "" {
 				t.Fatalf("idle: %s", why)
 			}
 		}
 	})
 }
 
-var costly = []struct {
+var floodFrames = []struct {
 	frame Frame
 	why   CloseReason
 }{
@@ -46,40 +46,40 @@
 }
 
 // Promise 2, and 5: floods end within their budgets whatever comes between, and stay ended.
-func TestFloodsEnd(t *testing.T) {
+func TestConn_floodsClose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, now := New(0), time.Duration(0)
+		conn, now := New(0), time.Duration(0)
 		passed, answered := map[CloseReason]float64{}, 0.0
-		ended := CloseReason("")
+		closedFor := CloseReason("")
 		for range rapid.IntRange(1, 3000).Draw(t, "frames") {
 			now += time.Duration(rapid.IntRange(0, 2).Draw(t, "pause")) * time.Millisecond
 			if rapid.IntRange(0, 20).Draw(t, "what") == 0 {
-				c.StreamAnswered()
+				conn.StreamAnswered()
 				answered++
 			}
-			flood := rapid.SampledFrom(costly).Draw(t, "kind")
-			why := c.FrameReceived(now, flood.frame)
-			if ended != "" && why != ended {
-				t.Fatalf("ended for %q, then %q", ended, why)
+			flood := rapid.SampledFrom(floodFrames).Draw(t, "kind")
+			reason := conn.FrameReceived(now, flood.frame)
+			if closedFor != "" && reason != closedFor {
+				t.Fatalf("ended for %q, then %q", closedFor, reason)
 			}
-			if ended = why; why == "" {
+			if closedFor = reason; reason == "" {
 				passed[flood.why]++
 			}
-			b := budgets[flood.why]
-			if most := b.burst + b.rate*now.Seconds() + b.credit*answered; passed[flood.why] > most {
-				t.Fatalf("%s: %v passed, %v at most", flood.why, passed[flood.why], most)
+			budget := frameBudgets[flood.why]
+			if limit := budget.burst + budget.rate*now.Seconds() + budget.answerCredit*answered; passed[flood.why] > limit {
+				t.Fatalf("%s: %v passed, %v at most", flood.why, passed[flood.why], limit)
 			}
 		}
 	})
 }
 
 // Each flood by itself ends for its own reason, at its burst.
-func TestEachFlood(t *testing.T) {
-	for _, flood := range costly {
-		c := New(0)
+func TestConn_eachFloodClosesAtItsBurst(t *testing.T) {
+	for _, flood := range floodFrames {
+		conn := New(0)
 		for i := 0; ; i++ {
-			if why := c.FrameReceived(0, flood.frame); why != "" {
-				if why != flood.why || i != int(budgets[why].burst) {
+			if why := conn.FrameReceived(0, flood.frame); why != "" {
+				if why != flood.why || i != int(frameBudgets[why].burst) {
 					t.Errorf("%+v ended after %d for %s", flood.frame, i, why)
 				}
 				break
@@ -89,7 +89,7 @@
 	c := New(0)
 	for i := range 1000 {
 		if why := c.FrameSent(0, Frame{Kind: Reset}); why != "" {
-			if i != int(budgets[TooManyResets].burst) {
+			if i != int(frameBudgets[TooManyResets].burst) {
 				t.Errorf("resets of this side ended it after %d", i)
 			}
 			return
@@ -99,52 +99,52 @@
 }
 
 // Promises 3 and 4.
-func TestHalves(t *testing.T) {
+func TestConn_incompleteInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, now := New(0), time.Duration(0)
-		first := time.Duration(0) // of the oldest that is half there
-		half := true
+		conn, now := New(0), time.Duration(0)
+		openSince := time.Duration(0) // of the oldest that is open there
+		open := true
 		if rapid.Bool().Draw(t, "preface") {
-			c.PrefaceCompleted()
-			half = false
+			conn.PrefaceCompleted()
+			open = false
 		}
-		fragments, inHead := 0, false
+		headerFrames, headerOpen := 0, false
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
-			if why := c.CheckDeadline(now); why != "" {
-				if !half || now < first+CompletionTimeout {
-					t.Fatalf("ended at %v for %s; half since %v: %v", now, why, first, half)
+			if why := conn.CheckDeadline(now); why != "" {
+				if !open || now < openSince+CompletionTimeout {
+					t.Fatalf("ended at %v for %s; half since %v: %v", now, why, openSince, open)
 				}
 				return
 			}
-			if half && now >= first+CompletionTimeout {
-				t.Fatalf("at %v still there, half since %v", now, first)
+			if open && now >= openSince+CompletionTimeout {
+				t.Fatalf("at %v still there, half since %v", now, openSince)
 			}
-			f := Frame{Kind: Headers}
-			if inHead {
-				f.Kind = Continuation
+			frame := Frame{Kind: Headers}
+			if headerOpen {
+				frame.Kind = Continuation
 			}
 			if rapid.Bool().Draw(t, "last") {
-				f.Flags = EndHeaders
+				frame.Flags = EndHeaders
 			}
-			if !half {
-				first = now
+			if !open {
+				openSince = now
 			}
-			half = true
-			c.FrameStarted(now)
-			if fragments++; !inHead {
-				fragments = 1
+			open = true
+			conn.FrameStarted(now)
+			if headerFrames++; !headerOpen {
+				headerFrames = 1
 			}
-			why := c.FrameReceived(now, f)
-			if (why == HeaderTooLong) != (fragments > MaxHeaderFrames) {
-				t.Fatalf("%d fragments: %q", fragments, why)
+			why := conn.FrameReceived(now, frame)
+			if (why == HeaderTooLong) != (headerFrames > MaxHeaderFrames) {
+				t.Fatalf("%d fragments: %q", headerFrames, why)
 			}
 			if why != "" {
 				return
 			}
-			c.FrameCompleted()
-			inHead = f.Flags&EndHeaders == 0
-			half = inHead
+			conn.FrameCompleted()
+			headerOpen = frame.Flags&EndHeaders == 0
+			open = headerOpen
 		}
 	})
 	c := New(0)
@@ -154,30 +154,30 @@
 }
 
 // Promise 6.
-func TestFair(t *testing.T) {
+func TestWithinDynamicThreshold_fair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit, floor := rapid.IntRange(1, 60).Draw(t, "limit"), rapid.IntRange(0, 4).Draw(t, "floor")
-		held, total := map[int]int{}, 0
+		open, total := map[int]int{}, 0
 		for range 300 {
-			who := rapid.IntRange(0, 5).Draw(t, "who")
-			if rapid.IntRange(0, 2).Draw(t, "what") == 0 && held[who] > 0 {
-				held[who]--
+			holder := rapid.IntRange(0, 5).Draw(t, "who")
+			if rapid.IntRange(0, 2).Draw(t, "what") == 0 && open[holder] > 0 {
+				open[holder]--
 				total--
 				continue
 			}
-			ok := WithinDynamicThreshold(limit, total, held[who], floor)
-			if held[who] < floor && total < limit && !ok {
+			ok := WithinDynamicThreshold(limit, total, open[holder], floor)
+			if open[holder] < floor && total < limit && !ok {
 				t.Fatal("no room below the floor")
 			}
 			if !ok {
 				continue
 			}
-			held[who]++
+			open[holder]++
 			if total++; total > limit {
 				t.Fatal("more than the limit")
 			}
-			if held[who] > floor && limit-total < held[who]-1 {
-				t.Fatalf("%d held, %d free", held[who], limit-total)
+			if open[holder] > floor && limit-total < open[holder]-1 {
+				t.Fatalf("%d held, %d free", open[holder], limit-total)
 			}
 		}
 	})
@@ -188,23 +188,23 @@
 	f.Add([]byte{1, 4, 0, 3, 0, 9, 1, 0, 0, 9, 0, 0})
 	f.Add([]byte{3, 0, 1, 3, 0, 1, 6, 0, 2, 8, 0, 255})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c, now, ended := New(0), time.Duration(0), CloseReason("")
+		conn, now, closedFor := New(0), time.Duration(0), CloseReason("")
 		for ; len(in) >= 3; in = in[3:] {
 			now += time.Duration(in[2]) * 10 * time.Millisecond
-			c.FrameStarted(now)
-			why := c.FrameReceived(now, Frame{Kind: Kind(in[0]), Flags: in[1], Length: uint32(in[2]) << 6})
-			if ended != "" && why != ended {
-				t.Fatalf("ended for %q, then %q", ended, why)
+			conn.FrameStarted(now)
+			reason := conn.FrameReceived(now, Frame{Kind: Kind(in[0]), Flags: in[1], Length: uint32(in[2]) << 6})
+			if closedFor != "" && reason != closedFor {
+				t.Fatalf("ended for %q, then %q", closedFor, reason)
 			}
-			ended = why
+			closedFor = reason
 			if in[1]&1 == 0 {
-				c.FrameCompleted()
+				conn.FrameCompleted()
 			}
-			if at, ok := c.Deadline(); ok && at > now+CompletionTimeout {
+			if at, ok := conn.Deadline(); ok && at > now+CompletionTimeout {
 				t.Fatalf("due at %v, now %v", at, now)
 			}
-			for of, spent := range c.spent {
-				if spent < 0 || ended == "" && spent > budgets[of].burst {
+			for of, spent := range conn.spent {
+				if spent < 0 || closedFor == "" && spent > frameBudgets[of].burst {
 					t.Fatalf("%s: %v spent", of, spent)
 				}
 			}
--- a/internal/decisions/idempotency/idempotency.go
+++ b/internal/decisions/idempotency/idempotency.go
@@ -31,16 +31,16 @@
 
 // Decide judges a request by what is remembered of its key, nil for nothing. again tells that the client had a part of
 // the answer before; room that one more job can be remembered.
-func Decide(known *RememberedJob, again, room bool) Decision {
+func Decide(remembered *RememberedJob, resumed, hasCapacity bool) Decision {
 	switch {
-	case known != nil && (again || !known.Rejected):
-		if !known.SameJob {
+	case remembered != nil && (resumed || !remembered.Rejected):
+		if !remembered.SameJob {
 			return KeyMismatch
 		}
 		return Join
-	case again:
+	case resumed:
 		return UnknownKey
-	case !room:
+	case !hasCapacity:
 		return TableFull
 	}
 	return Start
@@ -48,4 +48,6 @@
 
 // AbandonWithoutReaders tells whether a job that has not ended is given up when a reader leaves it: so many others wait for it, and
 // kept tells that it is to go on without any.
-func AbandonWithoutReaders(others int, kept bool) bool { return others == 0 && !kept }
+func AbandonWithoutReaders(otherReaders int, runsWithoutReaders bool) bool {
+	return otherReaders == 0 && !runsWithoutReaders
+}
--- a/internal/decisions/idempotency/idempotency_test.go
+++ b/internal/decisions/idempotency/idempotency_test.go
@@ -7,7 +7,7 @@
 )
 
 // A table driven by the verdicts, against what must be true of each key whatever comes.
-func TestPromises(t *testing.T) {
+func TestDecide_promises(t *testing.T) {
 	type job struct {
 		body    int
 		ended   bool
@@ -16,62 +16,62 @@
 		kept    bool
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		table, most := map[string]*job{}, rapid.IntRange(1, 4).Draw(t, "most")
+		jobs, capacity := map[string]*job{}, rapid.IntRange(1, 4).Draw(t, "most")
 		running := map[string]int{}
 		for range 200 {
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "key")
-			j := table[key]
+			current := jobs[key]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				body, again := rapid.IntRange(0, 1).Draw(t, "body"), rapid.IntRange(0, 5).Draw(t, "again") == 0
+				body, resumed := rapid.IntRange(0, 1).Draw(t, "body"), rapid.IntRange(0, 5).Draw(t, "again") == 0
 				var known *RememberedJob
-				if j != nil {
-					known = &RememberedJob{Rejected: j.ended && j.refused, SameJob: j.body == body}
+				if current != nil {
+					known = &RememberedJob{Rejected: current.ended && current.refused, SameJob: current.body == body}
 				}
-				switch v := Decide(known, again, len(table) < most); v {
+				switch v := Decide(known, resumed, len(jobs) < capacity); v {
 				case Start:
-					if again || j != nil && !(j.ended && j.refused) || len(table) >= most {
-						t.Fatalf("begun with %+v remembered, again %v, %d of %d", j, again, len(table), most)
+					if resumed || current != nil && !(current.ended && current.refused) || len(jobs) >= capacity {
+						t.Fatalf("begun with %+v remembered, again %v, %d of %d", current, resumed, len(jobs), capacity)
 					}
 					if running[key]++; running[key] > 1 {
 						t.Fatal("two jobs of a key run")
 					}
-					table[key] = &job{body: body, readers: 1}
+					jobs[key] = &job{body: body, readers: 1}
 				case Join:
-					if j == nil || j.body != body {
-						t.Fatalf("joined %+v", j)
+					if current == nil || current.body != body {
+						t.Fatalf("joined %+v", current)
 					}
-					j.readers++
+					current.readers++
 				case KeyMismatch:
-					if j == nil || j.body == body {
-						t.Fatalf("another than %+v", j)
+					if current == nil || current.body == body {
+						t.Fatalf("another than %+v", current)
 					}
 				case UnknownKey:
-					if !again || j != nil {
-						t.Fatalf("unknown with %+v", j)
+					if !resumed || current != nil {
+						t.Fatalf("unknown with %+v", current)
 					}
 				case TableFull:
-					if len(table) < most {
+					if len(jobs) < capacity {
 						t.Fatal("full")
 					}
 				}
 			case 2:
-				if j != nil && !j.ended {
-					j.ended, j.refused = true, rapid.Bool().Draw(t, "refused")
+				if current != nil && !current.ended {
+					current.ended, current.refused = true, rapid.Bool().Draw(t, "refused")
 					running[key]--
 				}
 			case 3:
-				if j != nil && j.ended {
-					delete(table, key)
+				if current != nil && current.ended {
+					delete(jobs, key)
 				}
 			case 4:
-				if j != nil && j.readers > 0 {
-					j.readers--
-					if !j.ended && AbandonWithoutReaders(j.readers, j.kept) {
-						if j.readers > 0 || j.kept {
+				if current != nil && current.readers > 0 {
+					current.readers--
+					if !current.ended && AbandonWithoutReaders(current.readers, current.kept) {
+						if current.readers > 0 || current.kept {
 							t.Fatal("given up with a reader")
 						}
-						delete(table, key)
+						delete(jobs, key)
 						running[key]--
 					}
 				}
--- a/internal/decisions/quotas/quotas.go
+++ b/internal/decisions/quotas/quotas.go
@@ -15,67 +15,67 @@
 
 // Table is the account of what is open.
 type Table struct {
-	room  int
-	parts map[string]float64
-	other float64 // the part of all accounts that have none of their own
-	open  map[string]int
-	total int
+	capacity      int
+	shares        map[string]float64
+	unlistedShare float64 // the part of all accounts that have none of their own
+	open          map[string]int
+	totalOpen     int
 }
 
 // New makes a table for a room of so many jobs, of which each account has a part between 0 and 1. What the parts leave
 // is the part of all others together.
-func New(room int, parts map[string]float64) *Table {
+func New(capacity int, shares map[string]float64) *Table {
 	t := &Table{open: map[string]int{}}
-	t.SetQuotas(room, parts)
+	t.SetQuotas(capacity, shares)
 	return t
 }
 
 // SetQuotas changes room and parts. What is open stays open.
-func (t *Table) SetQuotas(room int, parts map[string]float64) {
-	t.room, t.parts, t.other = room, parts, 1
-	for _, part := range parts {
-		t.other -= part
+func (t *Table) SetQuotas(capacity int, shares map[string]float64) {
+	t.capacity, t.shares, t.unlistedShare = capacity, shares, 1
+	for _, share := range shares {
+		t.unlistedShare -= share
 	}
-	t.other = max(t.other, 0)
+	t.unlistedShare = max(t.unlistedShare, 0)
 }
 
 // QuotaName tells under which name an account's jobs count. It must be asked once a job: a retuning may change it.
 func (t *Table) QuotaName(account string) string {
-	if _, ok := t.parts[account]; ok {
+	if _, ok := t.shares[account]; ok {
 		return account
 	}
 	return ""
 }
 
 // Admit takes a job of a pot, or tells that there is no room for it.
-func (t *Table) Admit(pot string) bool {
-	if !http2limits.WithinDynamicThreshold(t.room, t.total, t.open[pot], t.floor(pot)) {
+func (t *Table) Admit(quota string) bool {
+	if !http2limits.WithinDynamicThreshold(t.capacity, t.totalOpen, t.open[quota], t.guaranteed(quota)) {
 		return false
 	}
-	t.open[pot]++
-	t.total++
+	t.open[quota]++
+	t.totalOpen++
 	return true
 }
 
 // Release ends a job that was taken.
-func (t *Table) Release(pot string) {
-	t.total--
-	if t.open[pot]--; t.open[pot] <= 0 {
-		delete(t.open, pot)
+func (t *Table) Release(quota string) {
+	t.totalOpen--
+	if t.open[quota]--; t.open[quota] <= 0 {
+		delete(t.open, quota)
 	}
 }
 
 // TotalOpen is how many jobs are open.
-func (t *Table) TotalOpen() int { return t.total }
+func (t *Table) TotalOpen() int { return t.totalOpen }
 
 // Usage tells how many jobs of a pot are open, and how many it may always have.
-func (t *Table) Usage(pot string) (open, share int) { return t.open[pot], t.floor(pot) }
+func (t *Table) Usage(quota string) (open, share int) { return t.open[quota], t.guaranteed(quota) }
 
-// floor is an account's share in jobs: whole ones, and one at least.
-func (t *Table) floor(pot string) int {
-	part, ok := t.parts[pot]
+// guaranteed is an account's share in jobs: whole ones, and one at least.
+func (t *Table) guaranteed(quota string) int {
+	share, ok := t.shares[quota]
 	if !ok {
-		part = t.other
+		share = t.unlistedShare
 	}
-	return max(int(part*float64(t.room)), 1)
+	return max(int(share*float64(t.capacity)), 1)
 }
--- a/internal/decisions/quotas/quotas_test.go
+++ b/internal/decisions/quotas/quotas_test.go
@@ -6,11 +6,11 @@
 	"pgregory.net/rapid"
 )
 
-func TestPromises(t *testing.T) {
+func TestTable_promises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := rapid.IntRange(8, 80).Draw(t, "room")
-		parts := map[string]float64{"a": 0.5, "b": 0.25, "c": 0.125}
-		table := New(room, parts)
+		capacity := rapid.IntRange(8, 80).Draw(t, "room")
+		shares := map[string]float64{"a": 0.5, "b": 0.25, "c": 0.125}
+		table := New(capacity, shares)
 		var open []string
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
@@ -22,41 +22,41 @@
 				}
 			case 1:
 				if rapid.IntRange(0, 20).Draw(t, "retune") == 0 {
-					parts = map[string]float64{"a": 0.25, "d": 0.5}
-					table.SetQuotas(room, parts)
+					shares = map[string]float64{"a": 0.25, "d": 0.5}
+					table.SetQuotas(capacity, shares)
 				}
 			default:
-				pot := table.QuotaName(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "account"))
-				before, share := table.Usage(pot)
-				full := len(open) >= room
-				ok := table.Admit(pot)
+				quota := table.QuotaName(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "account"))
+				before, share := table.Usage(quota)
+				full := len(open) >= capacity
+				ok := table.Admit(quota)
 				switch {
 				case ok && full:
 					t.Fatal("more open than there is room")
 				case !ok && !full && before < share:
-					t.Fatalf("%q holds %d of its share of %d and was turned away", pot, before, share)
-				case ok && before >= share && before >= room-len(open):
-					t.Fatalf("%q got its job %d beyond its share of %d with %d free", pot, before+1, share, room-len(open))
+					t.Fatalf("%q holds %d of its share of %d and was turned away", quota, before, share)
+				case ok && before >= share && before >= capacity-len(open):
+					t.Fatalf("%q got its job %d beyond its share of %d with %d free", quota, before+1, share, capacity-len(open))
 				}
 				if ok {
-					open = append(open, pot)
+					open = append(open, quota)
 				}
 			}
-			if len(open) > room {
+			if len(open) > capacity {
 				t.Fatal("more open than there is room")
 			}
 		}
 		for _, pot := range open {
 			table.Release(pot)
 		}
-		if table.total != 0 || len(table.open) != 0 {
-			t.Fatalf("left over: %d, %v", table.total, table.open)
+		if table.totalOpen != 0 || len(table.open) != 0 {
+			t.Fatalf("left over: %d, %v", table.totalOpen, table.open)
 		}
 	})
 }
 
 // An account at five times its share beside others that want theirs: these get it, whatever the greedy one took first.
-func TestGreedy(t *testing.T) {
+func TestAdmit_greedyAccount(t *testing.T) {
 	table := New(100, map[string]float64{"greedy": 0.2, "b": 0.4, "c": 0.4})
 	for range 500 {
 		table.Admit("greedy")
@@ -69,9 +69,9 @@
 		for range 5 {
 			table.Admit("greedy")
 		}
-		for _, pot := range []string{"b", "c"} {
-			if open, share := table.Usage(pot); open < share && i%2 == 0 && !table.Admit(pot) && table.total < 100 {
-				t.Fatalf("%s holds %d of %d and was turned away", pot, open, share)
+		for _, quota := range []string{"b", "c"} {
+			if open, share := table.Usage(quota); open < share && i%2 == 0 && !table.Admit(quota) && table.totalOpen < 100 {
+				t.Fatalf("%s holds %d of %d and was turned away", quota, open, share)
 			}
 		}
 	}
--- a/internal/decisions/retrybudget/retrybudget.go
+++ b/internal/decisions/retrybudget/retrybudget.go
@@ -13,8 +13,8 @@
 
 const (
 	// Window is the time over which calls are counted, in steps of Window/steps.
-	Window = 10 * time.Second
-	steps  = 10
+	Window      = 10 * time.Second
+	windowSteps = 10
 
 	// MinRetries is how many further calls a window allows whatever the first calls were.
 	MinRetries = 10
@@ -25,41 +25,41 @@
 
 // Budget counts calls. Make it with New.
 type Budget struct {
-	share    float64
-	all      count
-	classes  map[string]*count
-	accounts map[string]*count
-	others   count // accounts beyond the bound
+	ratio    float64
+	total    attemptWindow
+	classes  map[string]*attemptWindow
+	accounts map[string]*attemptWindow
+	overflow attemptWindow // accounts beyond the bound
 	denied   int
 }
 
 // New makes a budget of so many further calls for each first one.
-func New(share float64) *Budget {
-	return &Budget{share: share, classes: map[string]*count{}, accounts: map[string]*count{}}
+func New(ratio float64) *Budget {
+	return &Budget{ratio: ratio, classes: map[string]*attemptWindow{}, accounts: map[string]*attemptWindow{}}
 }
 
 // SetRatio puts another share in force. What was counted stands.
-func (b *Budget) SetRatio(share float64) { b.share = share }
+func (b *Budget) SetRatio(ratio float64) { b.ratio = ratio }
 
 // CountFirstAttempt counts a request's first call.
 func (b *Budget) CountFirstAttempt(now time.Duration, class, account string) {
-	for _, c := range b.counts(class, account) {
-		c.at(now).first++
+	for _, window := range b.windowsOf(class, account) {
+		window.stepAt(now).first++
 	}
 }
 
 // AllowRetry tells whether a request may have a further call, and counts it if so.
 func (b *Budget) AllowRetry(now time.Duration, class, account string) bool {
-	counts := b.counts(class, account)
-	for _, c := range counts {
-		first, further := c.sums(now)
-		if float64(further+1) > b.share*float64(first)+MinRetries {
+	windows := b.windowsOf(class, account)
+	for _, window := range windows {
+		first, retries := window.totals(now)
+		if float64(retries+1) > b.ratio*float64(first)+MinRetries {
 			b.denied++
 			return false
 		}
 	}
-	for _, c := range counts {
-		c.at(now).further++
+	for _, c := range windows {
+		c.stepAt(now).retries++
 	}
 	return true
 }
@@ -67,44 +67,44 @@
 // Denied is how many further calls were not allowed.
 func (b *Budget) Denied() int { return b.denied }
 
-func (b *Budget) counts(class, account string) [3]*count {
+func (b *Budget) windowsOf(class, account string) [3]*attemptWindow {
 	c := b.classes[class]
 	if c == nil {
-		c = &count{}
+		c = &attemptWindow{}
 		b.classes[class] = c // classes are the settings', so they are few
 	}
 	a := b.accounts[account]
 	if a == nil {
-		if a = &b.others; len(b.accounts) < MaxAccounts {
-			a = &count{}
+		if a = &b.overflow; len(b.accounts) < MaxAccounts {
+			a = &attemptWindow{}
 			b.accounts[account] = a
 		}
 	}
-	return [3]*count{&b.all, c, a}
+	return [3]*attemptWindow{&b.total, c, a}
 }
 
-// count is a sliding window of calls.
-type count struct {
-	step  int64 // of the newest slot
-	slots [steps]slot
+// attemptWindow is a sliding window of calls.
+type attemptWindow struct {
+	newestStep int64 // of the newest slot
+	steps      [windowSteps]attempts
 }
 
-type slot struct{ first, further int }
+type attempts struct{ first, retries int }
 
-// at gives the slot of a time, and forgets those that are out of the window. Time does not go back.
-func (c *count) at(now time.Duration) *slot {
-	step := int64(now / (Window / steps))
-	for n := min(step-c.step, steps); n > 0; n-- {
-		c.slots[(step-n+1+steps)%steps] = slot{}
+// stepAt gives the slot of a time, and forgets those that are out of the window. Time does not go back.
+func (c *attemptWindow) stepAt(now time.Duration) *attempts {
+	step := int64(now / (Window / windowSteps))
+	for n := min(step-c.newestStep, windowSteps); n > 0; n-- {
+		c.steps[(step-n+1+windowSteps)%windowSteps] = attempts{}
 	}
-	c.step = max(c.step, step)
-	return &c.slots[c.step%steps]
+	c.newestStep = max(c.newestStep, step)
+	return &c.steps[c.newestStep%windowSteps]
 }
 
-func (c *count) sums(now time.Duration) (first, further int) {
-	c.at(now)
-	for _, s := range c.slots {
-		first, further = first+s.first, further+s.further
+func (c *attemptWindow) totals(now time.Duration) (first, retries int) {
+	c.stepAt(now)
+	for _, s := range c.steps {
+		first, retries = first+s.first, retries+s.retries
 	}
-	return first, further
+	return first, retries
 }
--- a/internal/decisions/retrybudget/retrybudget_test.go
+++ b/internal/decisions/retrybudget/retrybudget_test.go
@@ -10,7 +10,7 @@
 
 // Whatever comes, further calls within any window stay within the share of the first ones and the floor, for all together,
 // each class and each account, and the module remembers a bounded number of accounts.
-func TestBudgetHolds(t *testing.T) {
+func TestBudget_holdsInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 2).Draw(t, "share")
 		b := New(share)
@@ -37,7 +37,7 @@
 					continue
 				}
 				first, further := 0, 0
-				from := (int64(calls[end].at/(Window/steps)) - steps + 1) * int64(Window/steps)
+				from := (int64(calls[end].at/(Window/windowSteps)) - windowSteps + 1) * int64(Window/windowSteps)
 				for _, c := range calls[:end+1] {
 					if int64(c.at) >= from && of(c) {
 						if c.further {
@@ -56,7 +56,7 @@
 }
 
 // A quiet dispatcher may repeat, a busy one by its share, and a window later all is as before.
-func TestBudgetByExample(t *testing.T) {
+func TestBudget_byExample(t *testing.T) {
 	b := New(0.2)
 	allowed := func(now time.Duration, n int) (got int) {
 		for range n {
