--- a/internal/decisions/configversions/configversions_test.go
+++ b/internal/decisions/configversions/configversions_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func rules(t *rapid.T, name string) Rules {
+func drawRules(t *rapid.T, name string) Rules {
 	r := Rules{RetryRatio: rapid.SampledFrom([]float64{-1, 0, 0.1, 1}).Draw(t, name+" retries"), RetriesAllowed: rapid.Bool().Draw(t, name+" repeat")}
 	for _, id := range []string{"a", "b", "c"} {
 		if rapid.Bool().Draw(t, name+" out "+id) {
@@ -23,7 +23,7 @@
 }
 
 // allows tells whether one allows no more than the other.
-func within(a, b Rules) bool {
+func permitsNoMoreThan(a, b Rules) bool {
 	if b.RetryRatio >= 0 && (a.RetryRatio < 0 || a.RetryRatio > b.RetryRatio) || a.RetriesAllowed && !b.RetriesAllowed {
 		return false
 	}
@@ -40,17 +40,17 @@
 }
 
 // The stricter of two is within both, whichever comes first, and of one with itself the same.
-func TestStricter(t *testing.T) {
+func TestRulesStricter_permitsOnlyWhatBothPermit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := rules(t, "a"), rules(t, "b")
+		a, b := drawRules(t, "a"), drawRules(t, "b")
 		s, o := a.Stricter(b), b.Stricter(a)
-		if !within(s, a) || !within(s, b) || fmt.Sprint(s) != fmt.Sprint(o) || fmt.Sprint(s.Stricter(s)) != fmt.Sprint(s) {
+		if !permitsNoMoreThan(s, a) || !permitsNoMoreThan(s, b) || fmt.Sprint(s) != fmt.Sprint(o) || fmt.Sprint(s.Stricter(s)) != fmt.Sprint(s) {
 			t.Fatalf("%+v and %+v: %+v, %+v", a, b, s, o)
 		}
 	})
 }
 
-func TestRecord(t *testing.T) {
+func TestRecordApply(t *testing.T) {
 	announce := func(base uint64, r Rules) Entry { return Entry{Announce: &Version{Number: base, Rules: r}} }
 	var r Record
 	for _, c := range []struct {
@@ -77,72 +77,72 @@
 	}
 }
 
-// world is a small model of a fleet: dispatchers that ask, freeze and act; a council whose leader may change; messages that
+// fleetModel is a small model of a fleet: dispatchers that ask, freeze and act; a council whose leader may change; messages that
 // come late, in any order, or never.
-type world struct {
-	now     Clock
-	record  Record
-	lease   time.Duration
-	council *LeaseTable
-	holders []*Lessee
-	frozen  []bool
-	asked   []message // on their way to the leader
-	answers []message // and back
-	broken  string    // which part is deliberately wrong
+type fleetModel struct {
+	now           Clock
+	record        Record
+	leaseDuration time.Duration
+	leaseTable    *LeaseTable
+	lessees       []*Lessee
+	frozen        []bool
+	requests      []renewal // on their way to the leader
+	responses     []renewal // and back
+	fault         string    // which part is deliberately wrong
 }
 
-type message struct {
-	from   int
-	sent   Clock
-	acked  uint64
-	record Record
+type renewal struct {
+	from         int
+	requestedAt  Clock
+	acknowledged uint64
+	record       Record
 }
 
-const tick = time.Second
+const timeStep = time.Second
 
-func newWorld(n int, broken string) *world {
-	w := &world{lease: 2 * tick, broken: broken, frozen: make([]bool, n)}
-	w.council = NewLeaseTable(w.lease, -100*tick)
+func newFleetModel(n int, broken string) *fleetModel {
+	w := &fleetModel{leaseDuration: 2 * timeStep, fault: broken, frozen: make([]bool, n)}
+	w.leaseTable = NewLeaseTable(w.leaseDuration, -100*timeStep)
 	for range n {
-		w.holders = append(w.holders, NewLessee(fmt.Sprint("d", len(w.holders)), Record{}))
+		w.lessees = append(w.lessees, NewLessee(fmt.Sprint("d", len(w.lessees)), Record{}))
 	}
 	return w
 }
 
 // step does one of the things that may happen; false where it cannot.
-func (w *world) step(what, which int) bool {
+func (w *fleetModel) step(what, which int) bool {
 	switch what {
 	case 0: // time passes
-		w.now += tick
+		w.now += timeStep
 	case 1: // a dispatcher asks
-		if which >= len(w.holders) || w.frozen[which] || len(w.asked) > 1 {
+		if which >= len(w.lessees) || w.frozen[which] || len(w.requests) > 1 {
 			return false
 		}
-		w.asked = append(w.asked, message{from: which, sent: w.now, acked: w.holders[which].Acknowledged()})
+		w.requests = append(w.requests, renewal{from: which, requestedAt: w.now, acknowledged: w.lessees[which].Acknowledged()})
 	case 2: // the leader answers
-		if which >= len(w.asked) || len(w.answers) > 1 {
+		if which >= len(w.requests) || len(w.responses) > 1 {
 			return false
 		}
-		m := w.asked[which]
-		w.asked = append(append([]message(nil), w.asked[:which]...), w.asked[which+1:]...)
-		_ = w.council.Renew(Dispatcher{Name: fmt.Sprint("d", m.from), AcknowledgedVersion: m.acked}, w.now)
+		m := w.requests[which]
+		w.requests = append(append([]renewal(nil), w.requests[:which]...), w.requests[which+1:]...)
+		_ = w.leaseTable.Renew(Dispatcher{Name: fmt.Sprint("d", m.from), AcknowledgedVersion: m.acknowledged}, w.now)
 		m.record = w.record
-		w.answers = append(append([]message(nil), w.answers...), m)
+		w.responses = append(append([]renewal(nil), w.responses...), m)
 	case 3: // an answer arrives
-		if which >= len(w.answers) || w.frozen[w.answers[which].from] {
+		if which >= len(w.responses) || w.frozen[w.responses[which].from] {
 			return false
 		}
-		m := w.answers[which]
-		w.answers = append(append([]message(nil), w.answers[:which]...), w.answers[which+1:]...)
-		if w.broken == "counted from the answer" {
-			m.sent = w.now
+		m := w.responses[which]
+		w.responses = append(append([]renewal(nil), w.responses[:which]...), w.responses[which+1:]...)
+		if w.fault == "counted from the answer" {
+			m.requestedAt = w.now
 		}
-		w.holders[m.from].ApplyLease(m.record, m.sent, w.lease)
+		w.lessees[m.from].ApplyLease(m.record, m.requestedAt, w.leaseDuration)
 	case 4: // an answer is lost
-		if which >= len(w.answers) {
+		if which >= len(w.responses) {
 			return false
 		}
-		w.answers = append(append([]message(nil), w.answers[:which]...), w.answers[which+1:]...)
+		w.responses = append(append([]renewal(nil), w.responses[:which]...), w.responses[which+1:]...)
 	case 5: // a change is announced
 		next, err := w.record.Apply(Entry{Announce: &Version{Number: w.record.InForce.Number}})
 		if err != nil {
@@ -154,18 +154,18 @@
 		if a == nil {
 			return false
 		}
-		if may, _ := w.council.MayPutInForce(a.Number, w.now); !may && w.broken != "not waited" {
+		if may, _ := w.leaseTable.MayPutInForce(a.Number, w.now); !may && w.fault != "not waited" {
 			return false
 		}
 		w.record, _ = w.record.Apply(Entry{PutInForce: a.Number})
 	case 7: // another leader, who knows the record
 		elected := w.now
-		if w.broken == "a new leader does not wait" {
-			elected = -100 * tick
+		if w.fault == "a new leader does not wait" {
+			elected = -100 * timeStep
 		}
-		w.council = NewLeaseTable(w.lease, elected)
+		w.leaseTable = NewLeaseTable(w.leaseDuration, elected)
 	case 8: // a dispatcher freezes or goes on
-		if which >= len(w.holders) {
+		if which >= len(w.lessees) {
 			return false
 		}
 		w.frozen = append([]bool(nil), w.frozen...)
@@ -175,9 +175,9 @@
 }
 
 // contradiction names two dispatchers that could act now on versions with nothing in common.
-func (w *world) contradiction() string {
-	for i, a := range w.holders {
-		for j, b := range w.holders[:i] {
+func (w *fleetModel) contradiction() string {
+	for i, a := range w.lessees {
+		for j, b := range w.lessees[:i] {
 			if x, y := a.Effective(w.now), b.Effective(w.now); !w.frozen[i] && !w.frozen[j] && x.Contradicts(y) {
 				return fmt.Sprintf("at %v dispatcher %d acts on %v, %d on %v", w.now, j, y.Versions, i, x.Versions)
 			}
@@ -186,22 +186,22 @@
 	return ""
 }
 
-func (w *world) clone() *world {
+func (w *fleetModel) clone() *fleetModel {
 	c := *w
-	c.council = &LeaseTable{w.council.lease, w.council.elected, map[string]member{}, map[string]AbsentDispatcher{}}
-	for k, v := range w.council.members {
-		c.council.members[k] = v
+	c.leaseTable = &LeaseTable{w.leaseTable.leaseDuration, w.leaseTable.electedAt, map[string]leaseRecord{}, map[string]AbsentDispatcher{}}
+	for k, v := range w.leaseTable.leases {
+		c.leaseTable.leases[k] = v
 	}
-	c.holders = nil
-	for _, h := range w.holders {
+	c.lessees = nil
+	for _, h := range w.lessees {
 		copied := *h
-		c.holders = append(c.holders, &copied)
+		c.lessees = append(c.lessees, &copied)
 	}
 	return &c
 }
 
 // key is a state as far as it matters for what may follow: dispatchers are alike, and so are the orders of messages.
-func (w *world) key(limits [9]int) string {
+func (w *fleetModel) key(limits [9]int) string {
 	add := func(to []byte, all ...int64) []byte {
 		for _, n := range all {
 			to = append(to, byte(n)) // small numbers: 12 steps lead to no others
@@ -212,22 +212,22 @@
 	if a := w.record.Announced; a != nil {
 		announced = int64(a.Number)
 	}
-	key := add(make([]byte, 0, 96), int64(w.now/tick), int64(w.record.Revision), int64(w.record.InForce.Number), announced, int64(max(w.council.elected, -tick)/tick))
+	key := add(make([]byte, 0, 96), int64(w.now/timeStep), int64(w.record.Revision), int64(w.record.InForce.Number), announced, int64(max(w.leaseTable.electedAt, -timeStep)/timeStep))
 	for _, n := range limits {
 		key = add(key, int64(n))
 	}
-	parts := make([]string, len(w.holders))
-	for i, h := range w.holders {
-		m := w.council.members[h.name]
-		part := add(make([]byte, 0, 32), int64(h.record.Revision), int64(h.until/tick), int64(m.at/tick), int64(m.AcknowledgedVersion))
+	parts := make([]string, len(w.lessees))
+	for i, h := range w.lessees {
+		m := w.leaseTable.leases[h.name]
+		part := add(make([]byte, 0, 32), int64(h.record.Revision), int64(h.leaseExpiry/timeStep), int64(m.renewedAt/timeStep), int64(m.AcknowledgedVersion))
 		if w.frozen[i] {
 			part = add(part, -1)
 		}
-		for which, all := range [][]message{w.asked, w.answers} {
+		for which, all := range [][]renewal{w.requests, w.responses} {
 			var own []string
 			for _, m := range all {
 				if m.from == i {
-					own = append(own, string(add(nil, int64(-2-which), int64(m.sent/tick), int64(m.acked), int64(m.record.Revision))))
+					own = append(own, string(add(nil, int64(-2-which), int64(m.requestedAt/timeStep), int64(m.acknowledged), int64(m.record.Revision))))
 				}
 			}
 			slices.Sort(own)
@@ -243,7 +243,7 @@
 }
 
 // search goes through all that may happen in so many steps, and gives the first contradiction with the way there.
-func search(w *world, depth int, limits [9]int, seen map[string]int, way []string) []string {
+func search(w *fleetModel, depth int, limits [9]int, seen map[string]int, way []string) []string {
 	if c := w.contradiction(); c != "" {
 		return append(way, c)
 	}
@@ -256,7 +256,7 @@
 		if left == 0 {
 			continue
 		}
-		for which := range len(w.holders) {
+		for which := range len(w.lessees) {
 			if which > 0 && (what == 0 || what >= 5 && what <= 7) {
 				break
 			}
@@ -274,7 +274,7 @@
 
 // All that may happen: to two dispatchers in 12 steps with one change, and to three in 11 with two changes, with a freeze, a
 // lost answer and a change of leader. Nothing contradicts; each of three mistakes is found.
-func TestExhaustive(t *testing.T) {
+func TestLeases_exhaustiveSearch(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers, depth int
 		limits             [9]int
@@ -282,10 +282,10 @@
 		for _, broken := range []string{"", "not waited", "counted from the answer", "a new leader does not wait"} {
 			t.Run(fmt.Sprintf("%d dispatchers %s", c.dispatchers, broken), func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(c.dispatchers, broken)
-				for i, h := range w.holders { // all hold leases at the start
-					_ = w.council.Renew(Dispatcher{Name: fmt.Sprint("d", i)}, 0)
-					h.ApplyLease(w.record, 0, w.lease)
+				w := newFleetModel(c.dispatchers, broken)
+				for i, h := range w.lessees { // all hold leases at the start
+					_ = w.leaseTable.Renew(Dispatcher{Name: fmt.Sprint("d", i)}, 0)
+					h.ApplyLease(w.record, 0, w.leaseDuration)
 				}
 				seen := map[string]int{}
 				found := search(w, c.depth, c.limits, seen, nil)
@@ -300,9 +300,9 @@
 
 // Drawn histories of more dispatchers and changes, long ones: nothing contradicts, the council never waits for longer than a
 // lease, and who cannot ask is lapsed a lease later.
-func TestDrawn(t *testing.T) {
+func TestLeases_randomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(2, 5).Draw(t, "dispatchers"), "")
+		w := newFleetModel(rapid.IntRange(2, 5).Draw(t, "dispatchers"), "")
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
 			w.step(rapid.SampledFrom([]int{0, 0, 1, 1, 2, 2, 3, 3, 4, 5, 6, 7, 8}).Draw(t, "what"), rapid.IntRange(0, 4).Draw(t, "which"))
 			if c := w.contradiction(); c != "" {
@@ -310,12 +310,12 @@
 			}
 		}
 		if w.record.Announced != nil { // nobody asks any more: it is in force a lease later
-			if may, waits := w.council.MayPutInForce(w.record.Announced.Number, w.now+w.lease+w.lease/50); !may {
+			if may, waits := w.leaseTable.MayPutInForce(w.record.Announced.Number, w.now+w.leaseDuration+w.leaseDuration/50); !may {
 				t.Fatalf("still waits for %v", waits)
 			}
 		}
-		for _, h := range w.holders {
-			if s := h.Effective(w.now + w.lease); !s.LeaseExpired || s.Rules.RetriesAllowed {
+		for _, h := range w.lessees {
+			if s := h.Effective(w.now + w.leaseDuration); !s.LeaseExpired || s.Rules.RetriesAllowed {
 				t.Fatalf("%+v a lease after the last question", s)
 			}
 		}
@@ -324,7 +324,7 @@
 
 // A dispatcher that was told to end said that it leaves, and a renewal of its lease that was still on its way came behind that: the
 // leader took it for present until the lease ran out, and had never heard that it left. A process that has left does not renew.
-func TestRenewalBehindLeaving(t *testing.T) {
+func TestLeaseTable_rejectsRenewalAfterLeaseDropped(t *testing.T) {
 	c := NewLeaseTable(time.Second, 0)
 	m := Dispatcher{Name: "n7", Instance: "process"}
 	if err := c.Renew(m, 1); err != nil {
--- a/internal/decisions/configversions/leases.go
+++ b/internal/decisions/configversions/leases.go
@@ -10,29 +10,29 @@
 
 // Lessee is a dispatcher's part.
 type Lessee struct {
-	name   string
-	record Record
-	stand  Effective // by the record, as with a lease
-	until  Clock
-	held   bool // a lease was held at any time
+	name        string
+	record      Record
+	effective   Effective // by the record, as with a lease
+	leaseExpiry Clock
+	hadLease    bool // a lease was held at any time
 }
 
 // NewLessee makes the part of a dispatcher of a name, that knows a record from before and holds no lease.
 func NewLessee(name string, known Record) *Lessee {
 	h := &Lessee{name: name}
-	h.know(known)
+	h.setRecord(known)
 	return h
 }
 
-// know takes a record in, and what follows from it: rules may be large, and are asked for at each call.
-func (h *Lessee) know(r Record) {
-	same := h.stand.Versions != nil && r.Epoch == h.record.Epoch && r.Revision == h.record.Revision
+// setRecord takes a record in, and what follows from it: rules may be large, and are asked for at each call.
+func (h *Lessee) setRecord(r Record) {
+	same := h.effective.Versions != nil && r.Epoch == h.record.Epoch && r.Revision == h.record.Revision
 	if h.record = r; same {
 		return
 	}
-	h.stand = Effective{Versions: []uint64{r.InForce.Number}, Rules: r.InForce.rules()}
-	if a := h.announced(); a != nil {
-		h.stand.Versions, h.stand.Rules = append(h.stand.Versions, a.Number), h.stand.Rules.Stricter(a.Rules)
+	h.effective = Effective{Versions: []uint64{r.InForce.Number}, Rules: r.InForce.effectiveRules()}
+	if a := h.announcedVersion(); a != nil {
+		h.effective.Versions, h.effective.Rules = append(h.effective.Versions, a.Number), h.effective.Rules.Stricter(a.Rules)
 	}
 }
 
@@ -41,9 +41,9 @@
 	if h.record.NewerThan(r) { // an older answer that came later, or of a council that is none any more; so is its lease
 		return
 	}
-	h.know(r)
-	if until := asked + lease; !h.held || until > h.until {
-		h.until, h.held = until, true
+	h.setRecord(r)
+	if until := asked + lease; !h.hadLease || until > h.leaseExpiry {
+		h.leaseExpiry, h.hadLease = until, true
 	}
 }
 
@@ -52,22 +52,22 @@
 	if !r.NewerThan(h.record) {
 		return false
 	}
-	h.know(r)
+	h.setRecord(r)
 	return true
 }
 
 // DropLease ends the lease: the dispatcher leaves, or is not who it thought.
 func (h *Lessee) DropLease(now Clock) {
-	if h.held && h.until > now {
-		h.until = now
+	if h.hadLease && h.leaseExpiry > now {
+		h.leaseExpiry = now
 	}
 }
 
 // Record is the newest that it heard of.
 func (h *Lessee) Record() Record { return h.record }
 
-// announced is the version that is announced to this dispatcher; nil for none, or where it is tried by others first.
-func (h *Lessee) announced() *Version {
+// announcedVersion is the version that is announcedVersion to this dispatcher; nil for none, or where it is tried by others first.
+func (h *Lessee) announcedVersion() *Version {
 	if a := h.record.Announced; a != nil && a.Canary.Includes(h.name, a.Number) {
 		return a
 	}
@@ -76,19 +76,19 @@
 
 // Acknowledged is the newest version whose limits it keeps, said with each renewal.
 func (h *Lessee) Acknowledged() uint64 {
-	if a := h.announced(); a != nil {
+	if a := h.announcedVersion(); a != nil {
 		return a.Number
 	}
 	return h.record.InForce.Number
 }
 
 // LeaseExpiry is when its lease runs out; zero where it never had one.
-func (h *Lessee) LeaseExpiry() Clock { return h.until }
+func (h *Lessee) LeaseExpiry() Clock { return h.leaseExpiry }
 
 // Effective is what it may act on now.
 func (h *Lessee) Effective(now Clock) Effective {
-	s := h.stand
-	if s.LeaseExpired = !h.held || now >= h.until; s.LeaseExpired {
+	s := h.effective
+	if s.LeaseExpired = !h.hadLease || now >= h.leaseExpiry; s.LeaseExpired {
 		s.Rules.RetriesAllowed = false
 	}
 	return s
@@ -97,10 +97,10 @@
 // LeaseTable is the leader's part. What it knows of leases is its own: a new leader waits for all that an old one may have
 // given.
 type LeaseTable struct {
-	lease   time.Duration // lengthened by drift
-	elected Clock
-	members map[string]member
-	absent  map[string]AbsentDispatcher
+	leaseDuration time.Duration // lengthened by drift
+	electedAt     Clock
+	leases        map[string]leaseRecord
+	absent        map[string]AbsentDispatcher
 }
 
 // AbsentDispatcher is a dispatcher that held a lease and holds none any more.
@@ -108,11 +108,11 @@
 	Dispatcher
 	Left      bool          `json:"left,omitempty"` // it said so
 	AbsentFor time.Duration `json:"for"`
-	at        Clock
+	since     Clock
 }
 
-// keepAbsent is for how long who is absent is remembered.
-const keepAbsent = time.Hour
+// absentRetention is for how long who is absent is remembered.
+const absentRetention = time.Hour
 
 // Dispatcher is a dispatcher that asks for a lease.
 type Dispatcher struct {
@@ -131,9 +131,9 @@
 	DedicatedToControl  bool   `json:"set_aside,omitempty"` // its machine is for control, and is given seats first
 }
 
-type member struct {
+type leaseRecord struct {
 	Dispatcher
-	at Clock // of its last renewal
+	renewedAt Clock // of its last renewal
 }
 
 // The reasons for which nobody gets a lease.
@@ -148,7 +148,7 @@
 
 // NewLeaseTable makes the part of a leader that was elected then.
 func NewLeaseTable(lease time.Duration, elected Clock) *LeaseTable {
-	return &LeaseTable{lease: lease + time.Duration(MaxClockDrift*float64(lease)), elected: elected, members: map[string]member{}, absent: map[string]AbsentDispatcher{}}
+	return &LeaseTable{leaseDuration: lease + time.Duration(MaxClockDrift*float64(lease)), electedAt: elected, leases: map[string]leaseRecord{}, absent: map[string]AbsentDispatcher{}}
 }
 
 // Renew notes that a dispatcher asked for a lease. It is called before the lease is given. Of two processes of one name
@@ -157,37 +157,37 @@
 	if gone, ok := c.absent[m.Name]; ok && gone.Left && gone.Instance == m.Instance {
 		return ErrShutDown // a renewal that was on its way
 	}
-	had, known := c.members[m.Name]
+	had, known := c.leases[m.Name]
 	if known && had.Instance != m.Instance {
-		if now < had.at+c.lease {
+		if now < had.renewedAt+c.leaseDuration {
 			return fmt.Errorf("%q: %w", m.Name, ErrNameInUse)
 		}
 		had.AcknowledgedVersion = 0
 	}
 	m.AcknowledgedVersion = max(m.AcknowledgedVersion, had.AcknowledgedVersion)
-	c.members[m.Name] = member{m, now}
+	c.leases[m.Name] = leaseRecord{m, now}
 	delete(c.absent, m.Name)
 	return nil
 }
 
 // LeaseDropped notes that a process has dropped its lease for good. It is called behind that.
 func (c *LeaseTable) LeaseDropped(name, instance string, now Clock) {
-	if m, ok := c.members[name]; ok && m.Instance == instance {
-		delete(c.members, name)
-		c.absent[name] = AbsentDispatcher{Dispatcher: m.Dispatcher, Left: true, at: now}
+	if m, ok := c.leases[name]; ok && m.Instance == instance {
+		delete(c.leases, name)
+		c.absent[name] = AbsentDispatcher{Dispatcher: m.Dispatcher, Left: true, since: now}
 	}
 }
 
 // expire forgets leases that have run out: whoever comes back hears of what was announced first.
 func (c *LeaseTable) expire(now Clock) {
-	for name, m := range c.members {
-		if now >= m.at+c.lease {
-			delete(c.members, name)
-			c.absent[name] = AbsentDispatcher{Dispatcher: m.Dispatcher, at: m.at + c.lease}
+	for name, m := range c.leases {
+		if now >= m.renewedAt+c.leaseDuration {
+			delete(c.leases, name)
+			c.absent[name] = AbsentDispatcher{Dispatcher: m.Dispatcher, since: m.renewedAt + c.leaseDuration}
 		}
 	}
 	for name, a := range c.absent {
-		if now >= a.at+keepAbsent {
+		if now >= a.since+absentRetention {
 			delete(c.absent, name)
 		}
 	}
@@ -197,7 +197,7 @@
 func (c *LeaseTable) AbsentDispatchers(now Clock) (all []AbsentDispatcher) {
 	c.expire(now)
 	for _, a := range c.absent {
-		a.AbsentFor = now - a.at
+		a.AbsentFor = now - a.since
 		all = append(all, a)
 	}
 	slices.SortFunc(all, func(a, b AbsentDispatcher) int { return strings.Compare(a.Name, b.Name) })
@@ -207,13 +207,13 @@
 // MayPutInForce tells whether a version may be in force now, and if not, for whom it waits.
 func (c *LeaseTable) MayPutInForce(version uint64, now Clock) (may bool, waits []string) {
 	c.expire(now)
-	for name, m := range c.members {
+	for name, m := range c.leases {
 		if m.AcknowledgedVersion < version {
 			waits = append(waits, name)
 		}
 	}
 	slices.Sort(waits)
-	if now < c.elected+c.lease {
+	if now < c.electedAt+c.leaseDuration {
 		waits = append(waits, "leases of the leader before")
 	}
 	return len(waits) == 0, waits
@@ -221,8 +221,8 @@
 
 // AllOnPlan tells whether all that hold leases act on a plan, or know a newer one.
 func (c *LeaseTable) AllOnPlan(plan uint64, now Clock) bool {
-	for _, m := range c.members {
-		if now < m.at+c.lease && m.Plan < plan {
+	for _, m := range c.leases {
+		if now < m.renewedAt+c.leaseDuration && m.Plan < plan {
 			return false
 		}
 	}
@@ -231,8 +231,8 @@
 
 // LeaseHolders are the dispatchers that hold leases, by name.
 func (c *LeaseTable) LeaseHolders(now Clock) (all []Dispatcher) {
-	for _, m := range c.members {
-		if now < m.at+c.lease {
+	for _, m := range c.leases {
+		if now < m.renewedAt+c.leaseDuration {
 			all = append(all, m.Dispatcher)
 		}
 	}
--- a/internal/decisions/configversions/record.go
+++ b/internal/decisions/configversions/record.go
@@ -48,13 +48,13 @@
 	return 1
 }
 
-// unbound are the rules before the fleet has agreed on any.
-func unbound() Rules { return Rules{RetryRatio: -1, RetriesAllowed: true} }
+// unrestrictedRules are the rules before the fleet has agreed on any.
+func unrestrictedRules() Rules { return Rules{RetryRatio: -1, RetriesAllowed: true} }
 
-// rules are those of a version.
-func (v Version) rules() Rules {
+// effectiveRules are those of a version.
+func (v Version) effectiveRules() Rules {
 	if v.Number == 0 {
-		return unbound()
+		return unrestrictedRules()
 	}
 	return v.Rules
 }
@@ -64,14 +64,14 @@
 	switch {
 	case math.IsNaN(r.RetryRatio) || math.IsInf(r.RetryRatio, 0) || r.RetryRatio > MaxRetryRatio:
 		return fmt.Errorf("retries must be at most %v", float64(MaxRetryRatio))
-	case len(r.DetachedWorkers) > mostOut:
-		return fmt.Errorf("out names more than %d boxes", mostOut)
-	case len(r.Quotas) > mostShares:
-		return fmt.Errorf("shares names more than %d accounts", mostShares)
+	case len(r.DetachedWorkers) > maxDetachedWorkers:
+		return fmt.Errorf("out names more than %d boxes", maxDetachedWorkers)
+	case len(r.Quotas) > maxQuotas:
+		return fmt.Errorf("shares names more than %d accounts", maxQuotas)
 	}
 	seen := make(map[string]bool, len(r.DetachedWorkers))
 	for i, id := range r.DetachedWorkers {
-		if id == "" || len(id) > mostName {
+		if id == "" || len(id) > maxNameLength {
 			return fmt.Errorf("out[%d] is no name of a box", i)
 		}
 		if seen[id] {
@@ -80,7 +80,7 @@
 		seen[id] = true
 	}
 	for name, share := range r.Quotas {
-		if name == "" || len(name) > mostName || !(share >= 0 && share <= 1) {
+		if name == "" || len(name) > maxNameLength || !(share >= 0 && share <= 1) {
 			return fmt.Errorf("shares[%q] must be from 0 to 1", name)
 		}
 	}
@@ -91,10 +91,10 @@
 	// MaxRetryRatio is the largest bound on further calls that makes sense.
 	MaxRetryRatio = 16
 
-	mostOut     = 10_000
-	mostShares  = 1000
-	mostName    = 2048 // bytes of a box's or an account's name
-	mostHistory = 64
+	maxDetachedWorkers = 10_000
+	maxQuotas          = 1000
+	maxNameLength      = 2048 // bytes of a box's or an account's name
+	maxHistory         = 64
 )
 
 // Stricter gives rules that allow only what both allow.
@@ -250,13 +250,13 @@
 			return r, ErrCanaryRunning
 		}
 		next.History = append(slices.Clone(r.History), r.InForce)
-		if over := len(next.History) - mostHistory; over > 0 {
+		if over := len(next.History) - maxHistory; over > 0 {
 			next.History = next.History[over:]
 		}
 		next.InForce, next.Announced = *r.Announced, nil
 	default: // its number is used up: who heard of it must not take another for it
 		next.Withdrawn = append(slices.Clone(r.Withdrawn), Withdrawal{*r.Announced, e.Reason})
-		if over := len(next.Withdrawn) - mostHistory; over > 0 {
+		if over := len(next.Withdrawn) - maxHistory; over > 0 {
 			next.Withdrawn = next.Withdrawn[over:]
 		}
 		next.InForce.Number, next.Announced = r.Announced.Number+1, nil
--- a/internal/decisions/configversions/stored_test.go
+++ b/internal/decisions/configversions/stored_test.go
@@ -22,11 +22,11 @@
 }
 
 var (
-	storedSeat = voters.Voter{ID: 21, Name: "dispatcher-1", Address: "127.0.0.1:9001", Region: "region-1", Zone: "zone-1", Learner: true}
-	storedHold = ZoneLimit{Zone: "zone-2", Share: 0.125, By: "by-2", Reason: "why-2", Force: true}
-	storedPlan = failover.Plan{Number: 31, Reasons: map[string]string{"zone-1": "why-3"},
+	storedVoter     = voters.Voter{ID: 21, Name: "dispatcher-1", Address: "127.0.0.1:9001", Region: "region-1", Zone: "zone-1", Learner: true}
+	storedZoneLimit = ZoneLimit{Zone: "zone-2", Share: 0.125, By: "by-2", Reason: "why-2", Force: true}
+	storedPlan      = failover.Plan{Number: 31, Reasons: map[string]string{"zone-1": "why-3"},
 		Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-3", Share: 0.625}}}}}
-	storedMember = Dispatcher{Name: "dispatcher-2", Instance: "instance-1", AcknowledgedVersion: 41, MessageFormat: 42, Epoch: 43, Address: "127.0.0.1:9002",
+	storedDispatcher = Dispatcher{Name: "dispatcher-2", Instance: "instance-1", AcknowledgedVersion: 41, MessageFormat: 42, Epoch: 43, Address: "127.0.0.1:9002",
 		Region: "region-2", Zone: "zone-4", VoterID: 44, JobsEnded: 45, JobsFailed: 46, Plan: 47, DedicatedToControl: true}
 )
 
@@ -36,14 +36,14 @@
 	return map[string]any{
 		"record": Record{
 			Epoch: 11, Revision: 12, InForce: storedVersion(1), Announced: &announced, History: []Version{storedVersion(3)},
-			Withdrawn: []Withdrawal{{Version: storedVersion(4), Reason: "why-4"}}, Voters: []voters.Voter{storedSeat}, Plan: &storedPlan,
-			ZoneLimits: []ZoneLimit{storedHold}, NextVoterID: 13,
+			Withdrawn: []Withdrawal{{Version: storedVersion(4), Reason: "why-4"}}, Voters: []voters.Voter{storedVoter}, Plan: &storedPlan,
+			ZoneLimits: []ZoneLimit{storedZoneLimit}, NextVoterID: 13,
 		},
 		"entry": Entry{ID: "entry-1", Announce: &announced, PutInForce: 51, Withdraw: 52, EndCanary: 53, Reason: "why-5",
-			Voters: []voters.Voter{storedSeat}, Plan: &storedPlan, ZoneLimit: &storedHold},
-		"member":  storedMember,
-		"absent":  AbsentDispatcher{Dispatcher: storedMember, Left: true, AbsentFor: 61},
-		"place":   voters.Status{Voter: storedSeat, SilentFor: 62, EntriesBehind: 63, IsLeader: true},
+			Voters: []voters.Voter{storedVoter}, Plan: &storedPlan, ZoneLimit: &storedZoneLimit},
+		"member":  storedDispatcher,
+		"absent":  AbsentDispatcher{Dispatcher: storedDispatcher, Left: true, AbsentFor: 61},
+		"place":   voters.Status{Voter: storedVoter, SilentFor: 62, EntriesBehind: 63, IsLeader: true},
 		"founder": voters.Founder{Incarnation: "incarnation-1", FoundingVoters: map[uint64]string{71: "incarnation-2"}},
 	}
 }
