--- /dev/null
+++ b/internal/decisions/configversions/entry.go
@@ -0,0 +1,146 @@
+package configversions
+
+import (
+	"cmp"
+	"errors"
+	"slices"
+
+	"brassdale/internal/decisions/failover"
+	"brassdale/internal/decisions/voters"
+)
+
+// Entry is a command in the raft log. It changes one thing: exactly one of Announce, PutInForce, Withdraw, EndCanary, Voters,
+// Plan and ZoneLimit is set.
+type Entry struct {
+	ID         string         `json:"id"`                 // chosen by the proposer, to recognise the entry in the log
+	Announce   *Version       `json:"announce,omitempty"` // a new version; its Number is that of the version in force
+	PutInForce uint64         `json:"force,omitempty"`    // number of the announced version, which becomes the one in force
+	Withdraw   uint64         `json:"withdraw,omitempty"` // number of the announced version, which is given up
+	EndCanary  uint64         `json:"widen,omitempty"`    // number of the announced version, which concerns all from now on
+	Reason     string         `json:"why,omitempty"`      // of a withdrawal
+	Voters     []voters.Voter `json:"council,omitempty"`  // all voters and learners from now on
+	Plan       *failover.Plan `json:"plan,omitempty"`     // the next zone plan
+	ZoneLimit  *ZoneLimit     `json:"hold,omitempty"`     // replaces the zone's limit
+}
+
+// The errors with which Apply rejects an entry, beside those of Rules.Check and canary.Rollout.Check.
+var (
+	ErrChangeInProgress = errors.New("another change is under way")
+	ErrNotNextVersion   = errors.New("it does not follow the version in force")
+	ErrNotAnnounced     = errors.New("no such version is announced")
+	ErrCanaryRunning    = errors.New("its trial is not over")
+	ErrZoneLimit        = errors.New("a hold names a zone and a share from 0 to 1")
+)
+
+// Apply returns the record that results from an entry. With an error, which is the same at every dispatcher that applies the
+// entry to the same record, it returns r unchanged.
+func (r Record) Apply(entry Entry) (Record, error) {
+	next, err := r.apply(entry)
+	if err != nil {
+		return r, err
+	}
+	next.Revision++
+	return next, nil
+}
+
+// apply is Apply without the revision. The record that it returns with an error has no meaning.
+func (r Record) apply(entry Entry) (Record, error) {
+	switch {
+	case entry.Announce != nil:
+		return r.announce(*entry.Announce)
+	case entry.Plan != nil:
+		return r.replacePlan(entry.Plan)
+	case entry.ZoneLimit != nil:
+		return r.limitZone(*entry.ZoneLimit)
+	case entry.Voters != nil:
+		return r.replaceVoters(entry.Voters), nil
+	case r.Announced == nil || r.Announced.Number != max(entry.PutInForce, entry.Withdraw, entry.EndCanary):
+		return r, ErrNotAnnounced
+	case entry.EndCanary > 0:
+		return r.endCanary()
+	case entry.PutInForce > 0:
+		return r.putInForce()
+	default:
+		return r.withdraw(entry.Reason), nil
+	}
+}
+
+// announce makes version, with the next number, the announced one.
+func (r Record) announce(version Version) (Record, error) {
+	if r.Announced != nil {
+		return r, ErrChangeInProgress
+	}
+	if version.Number != r.InForce.Number {
+		return r, ErrNotNextVersion
+	}
+	if err := cmp.Or(version.Rules.Check(), version.Canary.Check()); err != nil {
+		return r, err
+	}
+	version.Number++
+	r.Announced = &version
+	return r, nil
+}
+
+// replacePlan sets a zone plan with a larger number than the last one's.
+func (r Record) replacePlan(plan *failover.Plan) (Record, error) {
+	if r.Plan != nil && plan.Number <= r.Plan.Number {
+		return r, ErrNotNextVersion
+	}
+	r.Plan = plan
+	return r, nil
+}
+
+// limitZone replaces the limit of one zone. A share of 1 ends the zone's limit.
+func (r Record) limitZone(limit ZoneLimit) (Record, error) {
+	if !limit.valid() {
+		return r, ErrZoneLimit
+	}
+	r.ZoneLimits = slices.DeleteFunc(slices.Clone(r.ZoneLimits), func(old ZoneLimit) bool { return old.Zone == limit.Zone })
+	if limit.Share < 1 {
+		r.ZoneLimits = append(r.ZoneLimits, limit)
+	}
+	return r, nil
+}
+
+// replaceVoters sets the members of the raft group.
+func (r Record) replaceVoters(members []voters.Voter) Record {
+	r.Voters = members
+	for _, voter := range members {
+		r.NextVoterID = max(r.NextVoterID, voter.ID+1)
+	}
+	return r
+}
+
+// endCanary has the announced version concern all dispatchers.
+func (r Record) endCanary() (Record, error) {
+	if r.Announced.Canary == nil {
+		return r, ErrNotAnnounced
+	}
+	version := *r.Announced
+	version.Canary = nil
+	r.Announced = &version
+	return r, nil
+}
+
+// putInForce makes the announced version the one in force.
+func (r Record) putInForce() (Record, error) {
+	if r.Announced.Canary != nil {
+		return r, ErrCanaryRunning
+	}
+	r.History = newest(append(slices.Clone(r.History), r.InForce))
+	r.InForce, r.Announced = *r.Announced, nil
+	return r, nil
+}
+
+// withdraw gives the announced version up. The version in force takes the number behind it, so that no later version has the
+// number of the withdrawn one, which dispatchers may have acknowledged.
+func (r Record) withdraw(reason string) Record {
+	r.Withdrawn = newest(append(slices.Clone(r.Withdrawn), Withdrawal{*r.Announced, reason}))
+	r.InForce.Number, r.Announced = r.Announced.Number+1, nil
+	return r
+}
+
+// newest returns the last maxHistory items.
+func newest[Item any](items []Item) []Item {
+	return items[max(len(items)-maxHistory, 0):]
+}
--- /dev/null
+++ b/internal/decisions/configversions/leasetable.go
@@ -0,0 +1,161 @@
+package configversions
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+const (
+	// MaxClockDrift is the share by which a dispatcher's clock may run slower than the leader's. A lease lasts that much longer
+	// in the leader's table than at the dispatcher, which counts it from when it sent the renewal.
+	MaxClockDrift = 0.01
+
+	// absentRetention is how long the table retains a dispatcher whose lease has ended.
+	absentRetention = time.Hour
+
+	// predecessorLeases is shown in place of a name while leases of the leader before may be valid.
+	predecessorLeases = "leases of the leader before"
+)
+
+// The errors with which a renewal is rejected.
+var (
+	ErrNameInUse = errors.New("another process of that name holds a lease")
+	ErrShutDown  = errors.New("this process has said that it leaves")
+	ErrOldEpoch  = errors.New("the fleet has a newer council")
+)
+
+// LeaseTable is the raft leader's side of the agreement: who may hold a lease, and what each has acknowledged. It is not
+// replicated. A new leader starts with an empty table and counts on leases that its predecessor may have granted.
+type LeaseTable struct {
+	leaseDuration time.Duration // lengthened by MaxClockDrift
+	electedAt     Clock
+	leases        map[string]leaseRecord      // by name of the dispatcher
+	absent        map[string]AbsentDispatcher // by name of the dispatcher
+}
+
+// leaseRecord is the last renewal of a dispatcher.
+type leaseRecord struct {
+	Dispatcher
+	renewedAt Clock
+}
+
+// NewLeaseTable returns the table of a leader that was elected at electedAt and grants leases of the given duration.
+func NewLeaseTable(lease time.Duration, electedAt Clock) *LeaseTable {
+	return &LeaseTable{
+		leaseDuration: lease + time.Duration(MaxClockDrift*float64(lease)),
+		electedAt:     electedAt,
+		leases:        map[string]leaseRecord{},
+		absent:        map[string]AbsentDispatcher{},
+	}
+}
+
+// Renew records that a dispatcher asks for a lease. It must be called before the lease is granted, which it is only where Renew
+// returns nil.
+//
+// It returns ErrShutDown where the process has dropped its lease for good, and an error that wraps ErrNameInUse while another
+// process of the same name may hold a lease: the two may act on different versions.
+func (t *LeaseTable) Renew(dispatcher Dispatcher, now Clock) error {
+	if left, ok := t.absent[dispatcher.Name]; ok && left.Left && left.Instance == dispatcher.Instance {
+		return ErrShutDown // the renewal was overtaken by the word that the process shuts down
+	}
+	last, known := t.leases[dispatcher.Name]
+	if known && last.Instance != dispatcher.Instance {
+		if now < t.expiry(last) {
+			return fmt.Errorf("%q: %w", dispatcher.Name, ErrNameInUse)
+		}
+		last.AcknowledgedVersion = 0
+	}
+	dispatcher.AcknowledgedVersion = max(dispatcher.AcknowledgedVersion, last.AcknowledgedVersion)
+	t.leases[dispatcher.Name] = leaseRecord{dispatcher, now}
+	delete(t.absent, dispatcher.Name)
+	return nil
+}
+
+// expiry returns when the lease of a renewal expires, by the leader's clock.
+func (t *LeaseTable) expiry(lease leaseRecord) Clock { return lease.renewedAt + t.leaseDuration }
+
+// LeaseDropped records that a process has dropped its lease for good. It is called after the process has dropped it.
+func (t *LeaseTable) LeaseDropped(name, instance string, now Clock) {
+	if lease, ok := t.leases[name]; ok && lease.Instance == instance {
+		delete(t.leases, name)
+		t.absent[name] = AbsentDispatcher{Dispatcher: lease.Dispatcher, Left: true, since: now}
+	}
+}
+
+// expire moves dispatchers whose leases have expired to the absent ones, and removes those that have been absent for
+// absentRetention. What an expired lease acknowledged no longer counts.
+func (t *LeaseTable) expire(now Clock) {
+	for name, lease := range t.leases {
+		if expiry := t.expiry(lease); now >= expiry {
+			delete(t.leases, name)
+			t.absent[name] = AbsentDispatcher{Dispatcher: lease.Dispatcher, since: expiry}
+		}
+	}
+	for name, absent := range t.absent {
+		if now >= absent.since+absentRetention {
+			delete(t.absent, name)
+		}
+	}
+}
+
+// AbsentDispatchers returns the dispatchers whose leases ended less than absentRetention ago, sorted by name.
+func (t *LeaseTable) AbsentDispatchers(now Clock) (all []AbsentDispatcher) {
+	t.expire(now)
+	for _, absent := range t.absent {
+		absent.AbsentFor = now - absent.since
+		all = append(all, absent)
+	}
+	slices.SortFunc(all, func(a, b AbsentDispatcher) int { return strings.Compare(a.Name, b.Name) })
+	return all
+}
+
+// MayPutInForce reports whether the version with the given number may be put in force now. If not, waitsFor names the
+// dispatchers that may hold a lease and have not acknowledged it, sorted, and then the predecessor's leases.
+func (t *LeaseTable) MayPutInForce(version uint64, now Clock) (may bool, waitsFor []string) {
+	t.expire(now)
+	for name, lease := range t.leases {
+		if lease.AcknowledgedVersion < version {
+			waitsFor = append(waitsFor, name)
+		}
+	}
+	slices.Sort(waitsFor)
+	if now < t.electedAt+t.leaseDuration {
+		waitsFor = append(waitsFor, predecessorLeases)
+	}
+	return len(waitsFor) == 0, waitsFor
+}
+
+// AllOnPlan reports whether every dispatcher that may hold a lease acts on the zone plan with the given number, or a newer one.
+func (t *LeaseTable) AllOnPlan(plan uint64, now Clock) bool {
+	for _, lease := range t.leases {
+		if now < t.expiry(lease) && lease.Plan < plan {
+			return false
+		}
+	}
+	return true
+}
+
+// LeaseHolders returns the dispatchers that may hold leases, sorted by name.
+func (t *LeaseTable) LeaseHolders(now Clock) (all []Dispatcher) {
+	for _, lease := range t.leases {
+		if now < t.expiry(lease) {
+			all = append(all, lease.Dispatcher)
+		}
+	}
+	slices.SortFunc(all, func(a, b Dispatcher) int { return strings.Compare(a.Name, b.Name) })
+	return all
+}
+
+// CannotRead returns the names of lease holders whose message format is too old for the rules. Dispatchers without a lease need
+// not be considered: a renewal in a format that is too old is rejected.
+func (t *LeaseTable) CannotRead(rules Rules, now Clock) (names []string) {
+	for _, dispatcher := range t.LeaseHolders(now) {
+		if dispatcher.MessageFormat < rules.MinMessageFormat() {
+			names = append(names, dispatcher.Name)
+		}
+	}
+	return names
+}
