--- a/internal/decisions/voters/voters.go
+++ b/internal/decisions/voters/voters.go
@@ -47,8 +47,8 @@
 }
 
 const (
-	caughtUp   = 64 // entries
-	learnSpans = 4  // times the patience that a learner has to catch up
+	maxEntriesBehind = 64 // entries
+	presentDivisor   = 4  // times the patience that a learner has to catch up
 )
 
 // PlanChange tells what the leader does about a council of which a seat has been silent for longer than patience: a dispatcher
@@ -57,16 +57,16 @@
 // is done while a seat is silent for a moment, one thing at a time, and never one that would leave fewer seats that are there than now. members are
 // who holds a lease. The one who is taken has its machine set aside for control, if there is such a one, and is of the region
 // and zone with the fewest seats.
-func PlanChange(council []Status, members []Candidate, next uint64, patience time.Duration) (m Change, ok bool) {
-	var gone, learner, spare, aside *Status // spare sits at a dispatcher that serves jobs, aside on a machine set aside
-	for i := range council {
-		p := &council[i]
+func PlanChange(statuses []Status, members []Candidate, nextID uint64, maxSilence time.Duration) (m Change, ok bool) {
+	var replaced, learner, spare, aside *Status // spare sits at a dispatcher that serves jobs, aside on a machine set aside
+	for i := range statuses {
+		p := &statuses[i]
 		for _, m := range members {
 			switch {
-			case m.VoterID != p.ID || p.Learner || p.SilentFor >= patience/learnSpans: // the log hears of each a few times a second
+			case m.VoterID != p.ID || p.Learner || p.SilentFor >= maxSilence/presentDivisor: // the log hears of each a few times a second
 			case !m.DedicatedToControl && (spare == nil || spare.IsLeader):
 				spare = p
-			case m.DedicatedToControl && p.EntriesBehind <= caughtUp:
+			case m.DedicatedToControl && p.EntriesBehind <= maxEntriesBehind:
 				aside = p
 			}
 		}
@@ -74,45 +74,45 @@
 		switch {
 		case p.Learner:
 			learner = p
-		case p.SilentFor > patience || lost && p.SilentFor > patience/learnSpans: // its dispatcher is there, and without its disk
-			if gone == nil || p.SilentFor > gone.SilentFor {
-				gone = p
+		case p.SilentFor > maxSilence || lost && p.SilentFor > maxSilence/presentDivisor: // its dispatcher is there, and without its disk
+			if replaced == nil || p.SilentFor > replaced.SilentFor {
+				replaced = p
 			}
 		}
 	}
 	free := func(m Candidate) bool {
 		return m.DedicatedToControl && m.Address != "" && (m.VoterID == 0 || learner != nil && m.VoterID == learner.ID)
 	}
-	if gone == nil && spare != nil && slices.ContainsFunc(members, free) {
+	if replaced == nil && spare != nil && slices.ContainsFunc(members, free) {
 		if spare.IsLeader {
 			if learner == nil && aside != nil {
 				return Change{TransferLeadership: aside.ID}, true
 			}
 		} else {
-			gone = spare
+			replaced = spare
 		}
 	}
 	switch {
-	case learner != nil && (gone == nil || learner.SilentFor > patience):
+	case learner != nil && (replaced == nil || learner.SilentFor > maxSilence):
 		return Change{Remove: learner.ID}, true
-	case learner != nil && learner.EntriesBehind <= caughtUp && learner.SilentFor < patience/learnSpans:
-		return Change{Promote: learner.ID, Remove: gone.ID}, true
-	case learner != nil || gone == nil:
+	case learner != nil && learner.EntriesBehind <= maxEntriesBehind && learner.SilentFor < maxSilence/presentDivisor:
+		return Change{Promote: learner.ID, Remove: replaced.ID}, true
+	case learner != nil || replaced == nil:
 		return Change{}, false
 	}
 	var best *Candidate
 	var least [3]int
 	for i := range members {
 		m := &members[i]
-		if m.VoterID != 0 || m.Address == "" || slices.ContainsFunc(council, func(p Status) bool { return p.Address == m.Address && p.ID != gone.ID }) {
+		if m.VoterID != 0 || m.Address == "" || slices.ContainsFunc(statuses, func(p Status) bool { return p.Address == m.Address && p.ID != replaced.ID }) {
 			continue
 		}
 		has := [3]int{}
 		if !m.DedicatedToControl {
 			has[0] = 1
 		}
-		for _, p := range council {
-			if p.ID == gone.ID {
+		for _, p := range statuses {
+			if p.ID == replaced.ID {
 				continue
 			}
 			if p.Region == m.Region {
@@ -126,17 +126,17 @@
 			best, least = m, has
 		}
 	}
-	if best == nil || gone == spare && !best.DedicatedToControl {
+	if best == nil || replaced == spare && !best.DedicatedToControl {
 		return Change{}, false
 	}
-	return Change{AddLearner: &Voter{ID: next, Name: best.Name, Address: best.Address, Region: best.Region, Zone: best.Zone, Learner: true}}, true
+	return Change{AddLearner: &Voter{ID: nextID, Name: best.Name, Address: best.Address, Region: best.Region, Zone: best.Zone, Learner: true}}, true
 }
 
 // ContactOrder gives the seats in the order in which a dispatcher asks them: of its zone first, then of its region, then the others;
 // alike ones in an order of its own, so that a fleet's questions are spread.
-func ContactOrder(council []Voter, name, region, zone string) []Voter {
+func ContactOrder(voters []Voter, name, region, zone string) []Voter {
 	var order []Voter
-	for _, s := range council {
+	for _, s := range voters {
 		if !s.Learner {
 			order = append(order, s)
 		}
--- a/internal/decisions/voters/voters_test.go
+++ b/internal/decisions/voters/voters_test.go
@@ -11,7 +11,7 @@
 
 // Whatever happens to seats, a council comes to five that are there, over as many zones as can be, without ever having fewer
 // that vote and are there than it had; while all are there nothing moves.
-func TestReseat(t *testing.T) {
+func TestPlanChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const patience = 30 * time.Second
 		var council []Status
@@ -171,7 +171,7 @@
 
 // A first council is founded once, by voters that all are there; who comes with another file than it was founded with does
 // not vote, whatever of the others it hears.
-func TestFounding(t *testing.T) {
+func TestDecideFounding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const voters = 3
 		file := map[uint64]string{}
@@ -220,7 +220,7 @@
 }
 
 // A dispatcher asks its own zone first, and a fleet's questions are spread.
-func TestAsk(t *testing.T) {
+func TestContactOrder(t *testing.T) {
 	council := []Voter{{ID: 1, Zone: "a", Region: "n"}, {ID: 2, Zone: "a", Region: "n"}, {ID: 3, Zone: "b", Region: "n"}, {ID: 4, Zone: "c", Region: "s"}, {ID: 5, Zone: "a", Learner: true}}
 	firsts := map[uint64]int{}
 	for i := range 100 {
