--- /dev/null
+++ b/internal/decisions/voters/contactorder_test.go
@@ -0,0 +1,28 @@
+package voters
+
+import (
+	"fmt"
+	"testing"
+)
+
+// TestContactOrder checks that voters of the own zone come first, and that the fleet's requests spread over them.
+func TestContactOrder(t *testing.T) {
+	voters := []Voter{
+		{ID: 1, Zone: "a", Region: "n"},
+		{ID: 2, Zone: "a", Region: "n"},
+		{ID: 3, Zone: "b", Region: "n"},
+		{ID: 4, Zone: "c", Region: "s"},
+		{ID: 5, Zone: "a", Learner: true},
+	}
+	timesFirst := map[uint64]int{}
+	for i := range 100 {
+		order := ContactOrder(voters, fmt.Sprint("n", i), "n", "a")
+		if len(order) != 4 || order[2].ID != 3 || order[3].ID != 4 {
+			t.Fatalf("%+v", order)
+		}
+		timesFirst[order[0].ID]++
+	}
+	if timesFirst[1] < 25 || timesFirst[2] < 25 {
+		t.Errorf("%v", timesFirst)
+	}
+}
--- /dev/null
+++ b/internal/decisions/voters/doc.go
@@ -0,0 +1,12 @@
+// Package voters decides which dispatchers vote in the fleet's raft group: who may found it, which voter is replaced by whom,
+// and in which order a dispatcher contacts the voters. It is pure: values in, verdicts out, with no I/O, no clock and no
+// goroutine.
+//
+// It guarantees:
+//
+//  1. A group is founded only while all its founding voters are present, and a founding voter that has lost its storage does
+//     not vote under its ID again (DecideFounding).
+//  2. The leader changes one thing at a time, and no change leaves fewer voters present than there were: a voter is removed only
+//     together with the promotion of a learner that has caught up (PlanChange).
+//  3. While every voter is present, and no machine that is dedicated to control waits to become one, nothing changes.
+package voters
--- /dev/null
+++ b/internal/decisions/voters/founding.go
@@ -0,0 +1,39 @@
+package voters
+
+// Founder is what a founding voter tells the others before there is a raft log.
+type Founder struct {
+	Incarnation    string            `json:"incarnation"`    // drawn when its storage was created
+	FoundingVoters map[uint64]string `json:"roll,omitempty"` // incarnations, by voter ID, with which it founded the group; nil before
+}
+
+// FoundingDecision is what a founding voter may do.
+type FoundingDecision uint8
+
+const (
+	// WaitForFounders says that other founding voters have not been reached yet.
+	WaitForFounders FoundingDecision = iota
+	// VoteToFound says that the voter may vote.
+	VoteToFound
+	// NotAFounder says that the group was founded with other storage of this voter: it must not vote under its ID again.
+	NotAFounder
+)
+
+// DecideFounding returns what the voter with the given ID may do that has not founded the group yet. incarnation is its own,
+// others are the founding voters that it has reached, by ID, and voters is the number of founding voters. With VoteToFound it
+// returns the incarnations of all founding voters, which the voter must store before it votes.
+//
+// The group is founded only when all founding voters are reached: afterwards a voter that is late could not be told from one
+// that has lost its storage, and with it the votes that it cast.
+func DecideFounding(id uint64, incarnation string, others map[uint64]Founder, voters int) (FoundingDecision, map[uint64]string) {
+	incarnations := map[uint64]string{id: incarnation}
+	for otherID, other := range others {
+		if other.FoundingVoters != nil && other.FoundingVoters[id] != incarnation {
+			return NotAFounder, nil
+		}
+		incarnations[otherID] = other.Incarnation
+	}
+	if len(incarnations) < voters {
+		return WaitForFounders, nil
+	}
+	return VoteToFound, incarnations
+}
--- /dev/null
+++ b/internal/decisions/voters/founding_test.go
@@ -0,0 +1,72 @@
+package voters
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// foundersModel are three founding voters, of which one may lose its storage after the group is founded.
+type foundersModel struct {
+	incarnations map[uint64]string            // of each voter's storage
+	founded      map[uint64]map[uint64]string // with which incarnations each voter founded the group
+	lostVotes    map[uint64]bool              // voters that voted beside others, with storage that is lost
+	created      int                          // storages so far
+}
+
+const foundingVoters = 3
+
+// createStorage gives a voter new, empty storage.
+func (m *foundersModel) createStorage(id uint64) {
+	m.created++
+	m.incarnations[id] = fmt.Sprint("file ", m.created)
+	delete(m.founded, id)
+}
+
+// loseStorage loses a voter's storage. Without others the voter cannot have been part of a majority.
+func (m *foundersModel) loseStorage(id uint64) {
+	m.lostVotes[id] = m.lostVotes[id] || m.founded[id] != nil && len(m.founded) > 1
+	m.createStorage(id)
+}
+
+// TestDecideFounding checks that a group is founded once, by founding voters that are all present, and that a voter does not vote
+// with other storage than it founded the group with, whichever others it reaches. Only one voter loses its storage: what a
+// majority loses no one can know any more.
+func TestDecideFounding(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		model := foundersModel{incarnations: map[uint64]string{}, founded: map[uint64]map[uint64]string{}, lostVotes: map[uint64]bool{}}
+		for id := range uint64(foundingVoters) {
+			model.createStorage(id + 1)
+		}
+		founded := false
+		loser := uint64(rapid.IntRange(1, foundingVoters).Draw(t, "loser"))
+		for range rapid.IntRange(1, 30).Draw(t, "steps") {
+			id := uint64(rapid.IntRange(1, foundingVoters).Draw(t, "voter"))
+			if founded && id == loser && rapid.IntRange(0, 2).Draw(t, "loses its storage") == 0 {
+				model.loseStorage(id)
+			}
+			if model.founded[id] != nil {
+				continue
+			}
+			others := map[uint64]Founder{}
+			for i := range uint64(foundingVoters) {
+				if other := i + 1; other != id && (founded || rapid.Bool().Draw(t, "reached")) {
+					others[other] = Founder{model.incarnations[other], model.founded[other]}
+				}
+			}
+			switch decision, incarnations := DecideFounding(id, model.incarnations[id], others, foundingVoters); decision {
+			case VoteToFound:
+				if model.lostVotes[id] {
+					t.Fatalf("voter %d votes again with %s", id, model.incarnations[id])
+				}
+				model.founded[id] = incarnations
+				founded = true
+			case WaitForFounders:
+				if len(others) == foundingVoters-1 {
+					t.Fatal("all are present, and it waits")
+				}
+			}
+		}
+	})
+}
