--- a/internal/decisions/canary/canary.go
+++ b/internal/decisions/canary/canary.go
@@ -18,9 +18,9 @@
 }
 
 const (
-	trialJobs  = 50  // of the part that tries, at least
-	trialSure  = 3.0 // standard errors that a difference has to be from the margin to stop a trial
-	trialWaits = 3   // times its span that a trial waits for jobs
+	minCanaryJobs     = 50  // of the part that tries, at least
+	standardErrors    = 3.0 // standard errors that a difference has to be from the margin to stop a trial
+	maxDurationFactor = 3   // times its span that a trial waits for jobs
 )
 
 // Check tells what is wrong with a trial; with none there is nothing.
@@ -74,15 +74,15 @@
 
 // Evaluation is the leader's part in a trial: what it saw since the trial began under it. A new leader begins anew.
 type Evaluation struct {
-	version uint64
-	begin   Clock
-	first   map[string]Sample // as they were at the start, or when they came
-	last    map[string]Sample
+	version   uint64
+	beganAt   Clock
+	baselines map[string]Sample // as they were at the start, or when they came
+	latest    map[string]Sample
 }
 
 // NewEvaluation begins.
 func NewEvaluation(version uint64, now Clock) *Evaluation {
-	return &Evaluation{version: version, begin: now, first: map[string]Sample{}, last: map[string]Sample{}}
+	return &Evaluation{version: version, beganAt: now, baselines: map[string]Sample{}, latest: map[string]Sample{}}
 }
 
 // Version is the one that is tried.
@@ -90,37 +90,37 @@
 
 // Observe takes in what a dispatcher says of its jobs. One whose process is another one begins anew.
 func (t *Evaluation) Observe(m Sample) {
-	if was, ok := t.first[m.Dispatcher]; !ok || was.Instance != m.Instance || m.JobsEnded < was.JobsEnded {
-		t.first[m.Dispatcher] = m
+	if was, ok := t.baselines[m.Dispatcher]; !ok || was.Instance != m.Instance || m.JobsEnded < was.JobsEnded {
+		t.baselines[m.Dispatcher] = m
 	}
-	t.last[m.Dispatcher] = m
+	t.latest[m.Dispatcher] = m
 }
 
 // Judge tells what becomes of the trial now, and why.
 func (t *Evaluation) Judge(trial *Rollout, now Clock) (Outcome, string) {
 	var ended, bad [2]float64 // of the others, of the part that tries
-	for name, m := range t.last {
+	for name, m := range t.latest {
 		part := 0
 		if trial.Includes(name, t.version) {
 			part = 1
 		}
-		ended[part] += float64(m.JobsEnded - t.first[name].JobsEnded)
-		bad[part] += float64(m.JobsFailed - t.first[name].JobsFailed)
+		ended[part] += float64(m.JobsEnded - t.baselines[name].JobsEnded)
+		bad[part] += float64(m.JobsFailed - t.baselines[name].JobsFailed)
 	}
-	over := now - t.begin
-	if ended[1] < trialJobs {
-		if over >= trialWaits*trial.MinDuration {
-			return Failed, fmt.Sprintf("the part that tries it ended %.0f jobs in %v", ended[1], trialWaits*trial.MinDuration)
+	over := now - t.beganAt
+	if ended[1] < minCanaryJobs {
+		if over >= maxDurationFactor*trial.MinDuration {
+			return Failed, fmt.Sprintf("the part that tries it ended %.0f jobs in %v", ended[1], maxDurationFactor*trial.MinDuration)
 		}
 		return InProgress, ""
 	}
 	tried, others := bad[1]/ended[1], 0.0
-	error2 := rateError(bad[1], ended[1])
+	error2 := rateVariance(bad[1], ended[1])
 	if ended[0] > 0 {
 		others = bad[0] / ended[0]
-		error2 += rateError(bad[0], ended[0])
+		error2 += rateVariance(bad[0], ended[0])
 	}
-	if worse := tried - others - trial.FailureMargin; worse > trialSure*math.Sqrt(error2) {
+	if worse := tried - others - trial.FailureMargin; worse > standardErrors*math.Sqrt(error2) {
 		return Failed, fmt.Sprintf("%.3f of %.0f jobs refused or failed where it is tried, %.3f of %.0f elsewhere", tried, ended[1], others, ended[0])
 	}
 	if over >= trial.MinDuration {
@@ -129,8 +129,8 @@
 	return InProgress, ""
 }
 
-// rateError is the variance of a rate seen, with one job of each kind more so that none is sure of itself.
-func rateError(bad, of float64) float64 {
+// rateVariance is the variance of a rate seen, with one job of each kind more so that none is sure of itself.
+func rateVariance(bad, of float64) float64 {
 	p := (bad + 1) / (of + 2)
 	return p * (1 - p) / (of + 2)
 }
--- a/internal/decisions/canary/canary_test.go
+++ b/internal/decisions/canary/canary_test.go
@@ -10,7 +10,7 @@
 
 // A canary keeps to about its share of the dispatchers; one that does harm fails, one that does none passes, whatever the rate
 // of failures is, and one without jobs fails.
-func TestRollout(t *testing.T) {
+func TestEvaluation_judgesHarmAtAnyFailureRate(t *testing.T) {
 	in := 0
 	trial := &Rollout{Share: 0.3, MinDuration: 10 * time.Second, FailureMargin: 0.02}
 	for i := range 1000 {
