--- a/internal/decisions/budgetleases/budgetleases_test.go
+++ b/internal/decisions/budgetleases/budgetleases_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-const lease = 2 * time.Second
+const leaseDuration = 2 * time.Second
 
-// sum is what all holders may use now, whether the dealer knows it or not.
-func sum(holders []*Lessee, now []Clock) (all float64) {
+// usableRate is what all holders may use now, whether the dealer knows it or not.
+func usableRate(holders []*Lessee, now []Clock) (all float64) {
 	for i, h := range holders {
 		all += h.Rate(now[i])
 	}
@@ -21,17 +21,17 @@
 
 // Whatever is asked, lost, late, doubled, frozen or led by another, with clocks that run a little apart: what is leased and what
 // may be done without never exceeds the budget.
-func TestSum(t *testing.T) {
+func TestLessor_neverExceedsBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "dispatchers")
-		s := Settings{RatePerSecond: 100, UnleasedShare: rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "free"), MaxLessees: n, LeaseDuration: lease}
+		s := Settings{RatePerSecond: 100, UnleasedShare: rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "free"), MaxLessees: n, LeaseDuration: leaseDuration}
 		d := NewLessor(s, -time.Minute)
 		var holders []*Lessee
 		now := make([]Clock, n)
 		pace := make([]float64, n)
 		for i := range n {
 			holders = append(holders, NewLessee(s.UnleasedRate(), 0))
-			pace[i] = rapid.Float64Range(1-Drift/2, 1+Drift/2).Draw(t, "pace")
+			pace[i] = rapid.Float64Range(1-MaxClockDrift/2, 1+MaxClockDrift/2).Draw(t, "pace")
 		}
 		type answer struct {
 			to    int
@@ -55,14 +55,14 @@
 				if len(late) > 0 {
 					k := rapid.IntRange(0, len(late)-1).Draw(t, "answer")
 					a := late[k]
-					holders[a.to].ApplyLease(a.rate, a.asked, lease, now[a.to])
+					holders[a.to].ApplyLease(a.rate, a.asked, leaseDuration, now[a.to])
 				}
 			case 5: // one starts anew, and knows nothing
 				holders[i] = NewLessee(s.UnleasedRate(), now[i])
 			case 6: // another leads
 				d = NewLessor(s, leader)
 			}
-			if got := sum(holders, now); got > s.RatePerSecond+1e-6 {
+			if got := usableRate(holders, now); got > s.RatePerSecond+1e-6 {
 				t.Fatalf("%v of %v", got, s.RatePerSecond)
 			}
 			if given := d.Outstanding(leader); given > s.RatePerSecond+1e-6 {
@@ -73,10 +73,10 @@
 }
 
 // Deal gives all what they ask for, again and again, and the parts that come of it.
-func deal(s Settings, demand, floor []float64) (parts []float64) {
+func grantRepeatedly(s Settings, demand, floor []float64) (parts []float64) {
 	d := NewLessor(s, -time.Minute)
 	parts = make([]float64, len(demand))
-	for now := Clock(0); now < 10*lease; now += lease / 4 {
+	for now := Clock(0); now < 10*leaseDuration; now += leaseDuration / 4 {
 		for i := range demand {
 			parts[i] = d.Grant(fmt.Sprint(i), demand[i], floor[i], now)
 		}
@@ -86,15 +86,15 @@
 
 // Parts are fair: who asks for little has it, the rest is alike among the others, floors first; tenfold demand at one is met from
 // what others do not want within two leases.
-func TestFair(t *testing.T) {
-	s := Settings{RatePerSecond: 100, UnleasedShare: 0.1, MaxLessees: 4, LeaseDuration: lease}
+func TestLessor_sharesFairly(t *testing.T) {
+	s := Settings{RatePerSecond: 100, UnleasedShare: 0.1, MaxLessees: 4, LeaseDuration: leaseDuration}
 	for _, c := range []struct{ demand, floor, want []float64 }{
 		{[]float64{10, 10, 10, 10}, []float64{0, 0, 0, 0}, []float64{12.5, 12.5, 12.5, 12.5}},
 		{[]float64{100, 100, 100, 100}, []float64{0, 0, 0, 0}, []float64{25, 25, 25, 25}},
 		{[]float64{4, 100, 100, 0}, []float64{0, 0, 0, 0}, []float64{5, 46.25, 46.25, 2.5}},
 		{[]float64{100, 100, 100, 100}, []float64{40, 0, 0, 0}, []float64{53.1, 15.6, 15.6, 15.6}},
 	} {
-		got := deal(s, c.demand, c.floor)
+		got := grantRepeatedly(s, c.demand, c.floor)
 		for i := range got {
 			if math.Abs(got[i]-c.want[i]) > 1.5 {
 				t.Errorf("demand %v, floor %v: %v, not %v", c.demand, c.floor, got, c.want)
@@ -104,7 +104,7 @@
 	}
 	d := NewLessor(s, -time.Minute)
 	rate, met := 0.0, Clock(0)
-	for now := Clock(0); now < 20*time.Second; now += lease / 4 {
+	for now := Clock(0); now < 20*time.Second; now += leaseDuration / 4 {
 		demand := []float64{7, 7, 7, 7}
 		if now >= 10*time.Second {
 			demand[0] = 70
@@ -118,15 +118,15 @@
 			met = now - 10*time.Second
 		}
 	}
-	if met == 0 || met > 2*lease {
+	if met == 0 || met > 2*leaseDuration {
 		t.Errorf("tenfold demand is met after %v", met)
 	}
 }
 
 // A holder uses what its lease gives, no more behind a freeze than in any second, and its own part when that has run out.
-func TestHolder(t *testing.T) {
+func TestLessee_usesItsLease(t *testing.T) {
 	h := NewLessee(1, 0)
-	h.ApplyLease(50, 0, lease, 0)
+	h.ApplyLease(50, 0, leaseDuration, 0)
 	use := func(from, to Clock) (n int) {
 		for now := from; now < to; now += time.Millisecond {
 			if h.TryUse(now) {
@@ -141,7 +141,7 @@
 	if demand := h.Demand(time.Second); demand < 300 {
 		t.Errorf("asked for 1000 a second: %v", demand)
 	}
-	h.ApplyLease(50, time.Second, lease, time.Second)
+	h.ApplyLease(50, time.Second, leaseDuration, time.Second)
 	if n := use(30*time.Second, 31*time.Second); n > 3 { // frozen for 29 s
 		t.Errorf("%d in the second behind a freeze", n)
 	}
