--- /dev/null
+++ b/internal/decisions/budgetleases/lessee.go
@@ -0,0 +1,83 @@
+package budgetleases
+
+import "time"
+
+const (
+	// maxSavedUse is the time whose unused rate a lessee saves, so that a burst uses at most what one second of its lease permits.
+	maxSavedUse = time.Second
+
+	// demandWindow is the time over which demand is smoothed.
+	demandWindow = 2 * time.Second
+)
+
+// Lessee is a dispatcher's side of one budget: a token bucket that fills at the rate of its lease.
+type Lessee struct {
+	unleasedRate float64 // uses a second without a lease
+	rate         float64 // uses a second of the lease
+	expiry       Clock   // of the lease
+	tokens       float64 // uses saved, as of filledAt
+	filledAt     Clock
+	demand       float64 // smoothed TryUse calls a second, as of filledAt
+	denied       int
+}
+
+// NewLessee returns a lessee without a lease, which may make unleasedRate uses a second.
+func NewLessee(unleasedRate float64, now Clock) *Lessee {
+	return &Lessee{unleasedRate: unleasedRate, filledAt: now}
+}
+
+// ApplyLease stores a lease of rate uses a second, which lasts from requestedAt, when the lessee asked for it. It is ignored where
+// it expires before the current one.
+func (l *Lessee) ApplyLease(rate float64, requestedAt Clock, lease time.Duration, now Clock) {
+	l.refill(now)
+	if expiry := requestedAt + lease; expiry >= l.expiry || now >= l.expiry {
+		l.rate, l.expiry = rate, expiry
+	}
+}
+
+// Rate returns the uses a second that the lessee may make now.
+func (l *Lessee) Rate(now Clock) float64 {
+	if now < l.expiry {
+		return l.rate
+	}
+	return l.unleasedRate
+}
+
+// refill adds the tokens since filledAt, at the rates that applied. It saves no more than maxSavedUse at the current rate, or one
+// use: a process that was paused may not use what accrued meanwhile.
+func (l *Lessee) refill(now Clock) {
+	if now <= l.filledAt {
+		return
+	}
+	leased := max(min(now, l.expiry)-l.filledAt, 0)
+	l.tokens += l.rate*leased.Seconds() + l.unleasedRate*(now-l.filledAt-leased).Seconds()
+	l.tokens = min(l.tokens, max(l.Rate(now)*maxSavedUse.Seconds(), 1))
+	l.demand *= demandDecay(now - l.filledAt)
+	l.filledAt = now
+}
+
+// demandDecay returns the share of the demand that remains after elapsed.
+func demandDecay(elapsed time.Duration) float64 {
+	return 1 / (1 + elapsed.Seconds()/demandWindow.Seconds())
+}
+
+// TryUse reports whether the lessee may make one use now, and counts it.
+func (l *Lessee) TryUse(now Clock) bool {
+	l.refill(now)
+	l.demand += 1 / demandWindow.Seconds()
+	if l.tokens < 1 {
+		l.denied++
+		return false
+	}
+	l.tokens--
+	return true
+}
+
+// Demand returns the smoothed number of TryUse calls a second.
+func (l *Lessee) Demand(now Clock) float64 {
+	l.refill(now)
+	return l.demand
+}
+
+// Denied returns the number of TryUse calls that returned false.
+func (l *Lessee) Denied() int { return l.denied }
--- /dev/null
+++ b/internal/decisions/budgetleases/lessor.go
@@ -0,0 +1,179 @@
+package budgetleases
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+const (
+	// allocationInterval is the maximum age of the allocation on which a grant rests: it goes through all lessees, and each of
+	// them asks several times a second.
+	allocationInterval = 50 * time.Millisecond
+
+	// demandHeadroom times its demand is the most that a lessee is granted. The margin meets demand that rises until the next
+	// renewal.
+	demandHeadroom = 1.25
+)
+
+// Lessor grants the leases of one budget. The raft leader runs one. It is not replicated: a new one grants nothing above
+// Settings.UnleasedRate while leases of its predecessor may be valid.
+type Lessor struct {
+	settings  Settings
+	electedAt Clock
+	lessees   map[string]*lesseeState // by name
+
+	// The allocation, computed by allocate.
+	allocatedAt Clock
+	stale       bool    // it must be computed before the next grant
+	granted     float64 // uses a second that all lessees may make together; at least the sum of their maxValidGrant
+	floorScale  float64 // from 0 to 1: the share of the floors that fits into the budget
+	level       float64 // uses a second beyond its floor that a lessee gets at the most
+}
+
+// lesseeState is what the lessor knows of a lessee.
+type lesseeState struct {
+	demand, floor float64 // uses a second, as it last asked
+	requestedAt   Clock
+	grants        []grant // those that may be valid
+	granted       float64 // its part of Lessor.granted
+}
+
+// grant is a lease that was granted.
+type grant struct {
+	rate   float64 // uses a second
+	expiry Clock   // by the lessor's clock, lengthened by MaxClockDrift
+}
+
+// NewLessor returns the lessor of a leader that was elected at electedAt.
+func NewLessor(settings Settings, electedAt Clock) *Lessor {
+	return &Lessor{settings: settings, electedAt: electedAt, lessees: map[string]*lesseeState{}, stale: true}
+}
+
+// ApplySettings changes the budget. A smaller budget is exceeded until the leases granted before have expired.
+func (l *Lessor) ApplySettings(settings Settings) {
+	if settings != l.settings {
+		l.settings, l.stale = settings, true
+	}
+}
+
+// leaseDuration returns how long a lease may be valid by the lessor's clock.
+func (l *Lessor) leaseDuration() time.Duration {
+	return l.settings.LeaseDuration + time.Duration(MaxClockDrift*float64(l.settings.LeaseDuration))
+}
+
+// expire removes expired grants, and lessees that have none and have not asked for one for a lease duration.
+func (l *Lessor) expire(now Clock) {
+	maps.DeleteFunc(l.lessees, func(_ string, lessee *lesseeState) bool {
+		lessee.grants = slices.DeleteFunc(lessee.grants, func(g grant) bool { return now >= g.expiry })
+		return len(lessee.grants) == 0 && now >= lessee.requestedAt+l.leaseDuration()
+	})
+}
+
+// maxValidGrant returns the largest rate that any grant permits the lessee.
+func (s *lesseeState) maxValidGrant() (rate float64) {
+	for _, g := range s.grants {
+		rate = max(rate, g.rate)
+	}
+	return rate
+}
+
+// Grant returns the uses a second that the dispatcher with the given name may make, as a lease that begins when it asked. demand
+// is what it needs now, and floor is the part of it that it gets before others get more than their floors; both are uses a second.
+//
+// The rate is at least what the dispatcher may use without a lease, but 0 where Settings.MaxLessees others have leases: the
+// budget then has no room for it.
+func (l *Lessor) Grant(name string, demand, floor float64, now Clock) float64 {
+	unleased := l.settings.UnleasedRate()
+	if now < l.electedAt+l.leaseDuration() {
+		return unleased
+	}
+	lessee := l.lessees[name]
+	if lessee == nil {
+		if l.expire(now); len(l.lessees) >= l.settings.MaxLessees {
+			return 0
+		}
+		lessee = &lesseeState{}
+		l.lessees[name], l.stale = lessee, true
+	}
+	lessee.demand, lessee.floor, lessee.requestedAt = max(demand, 0), max(floor, 0), now
+	if l.stale || now >= l.allocatedAt+allocationInterval {
+		l.allocate(now)
+	}
+	others := l.granted - lessee.granted + l.unleasedReserve()
+	rate := max(min(l.fairRate(lessee), l.settings.RatePerSecond-others), unleased)
+	lessee.grants = append(lessee.grants, grant{rate, now + l.leaseDuration()})
+	l.granted -= lessee.granted
+	lessee.granted = max(lessee.maxValidGrant(), unleased)
+	l.granted += lessee.granted
+	return rate
+}
+
+// unleasedReserve returns the uses a second that are reserved for dispatchers that the lessor does not know.
+func (l *Lessor) unleasedReserve() float64 {
+	return l.settings.UnleasedRate() * float64(l.settings.MaxLessees-len(l.lessees))
+}
+
+// assured returns the rate that a lessee is granted before others get more than theirs: its floor, as far as it needs it.
+func (l *Lessor) assured(lessee *lesseeState) float64 {
+	return max(min(lessee.floor, lessee.demand), l.settings.UnleasedRate())
+}
+
+// unassured returns the rate that a lessee needs beyond its assured one, with demandHeadroom.
+func (l *Lessor) unassured(lessee *lesseeState) float64 {
+	return max(demandHeadroom*lessee.demand-l.assured(lessee), 0)
+}
+
+// fairRate returns a lessee's share of the budget in the current allocation.
+func (l *Lessor) fairRate(lessee *lesseeState) float64 {
+	return l.assured(lessee)*l.floorScale + min(l.unassured(lessee), max(l.level, 0))
+}
+
+// allocate computes the allocation from all lessees' demands. A grant that expires before the next one counts until then, so that
+// granted is never too small.
+func (l *Lessor) allocate(now Clock) {
+	l.expire(now)
+	l.allocatedAt, l.stale, l.granted = now, false, 0
+	unleased := l.settings.UnleasedRate()
+	left := l.settings.RatePerSecond - l.unleasedReserve()
+	floors := 0.0
+	for _, lessee := range l.lessees {
+		lessee.granted = max(lessee.maxValidGrant(), unleased)
+		l.granted += lessee.granted
+		floors += l.assured(lessee)
+	}
+	l.floorScale = 1
+	if floors > left {
+		l.floorScale = max(left, 0) / floors
+	}
+	left -= floors * l.floorScale
+	needs := make([]float64, 0, len(l.lessees))
+	for _, lessee := range l.lessees {
+		needs = append(needs, l.unassured(lessee))
+	}
+	l.level = fillLevel(needs, left)
+}
+
+// fillLevel returns the level up to which all needs can be met from a total: the needs below it are met, and the others get as
+// much as it. It sorts needs.
+func fillLevel(needs []float64, total float64) (level float64) {
+	slices.Sort(needs)
+	for i, need := range needs {
+		share := total / float64(len(needs)-i)
+		if need > share {
+			return share
+		}
+		level = need
+		total -= need
+	}
+	return level
+}
+
+// Outstanding returns the uses a second that all dispatchers together may make at most now, with and without leases.
+func (l *Lessor) Outstanding(now Clock) (rate float64) {
+	l.expire(now)
+	for _, lessee := range l.lessees {
+		rate += max(lessee.maxValidGrant(), l.settings.UnleasedRate())
+	}
+	return rate + l.unleasedReserve()
+}
