--- a/internal/decisions/gossippeers/gossippeers.go
+++ b/internal/decisions/gossippeers/gossippeers.go
@@ -35,9 +35,9 @@
 	// those that the leader knows does not wait: gossip does not reach it.
 	GossipSettleTime = 20 * time.Second
 
-	leastSpacing = 2 * time.Second
-	mostPatience = 16
-	named        = 2 // neighbours at a time
+	minExchangePause  = 2 * time.Second
+	maxBackoffFactor  = 16
+	maxSuggestedPeers = 2 // neighbours at a time
 )
 
 // ArePeers tells whether two dispatchers gossip with each other.
@@ -69,33 +69,35 @@
 
 // Directory is the leader's: who holds leases in each zone, as of its last look.
 type Directory struct {
-	looked Clock
-	zones  map[[2]string]*zone
-	turn   uint64
+	refreshedAt Clock
+	zones       map[[2]string]*zoneMembers
+	suggestions uint64
 }
 
-type zone struct {
-	roll    Digest
+type zoneMembers struct {
+	digest  Digest
 	members []Member // by name
 }
 
 // NewDirectory makes an empty one. It is to be looked at before anybody is named.
-func NewDirectory() *Directory { return &Directory{looked: -lookEvery, zones: map[[2]string]*zone{}} }
+func NewDirectory() *Directory {
+	return &Directory{refreshedAt: -refreshInterval, zones: map[[2]string]*zoneMembers{}}
+}
 
-const lookEvery = 250 * time.Millisecond
+const refreshInterval = 250 * time.Millisecond
 
 // Due tells whether the register is to be made anew.
-func (g *Directory) Due(now Clock) bool { return now-g.looked >= lookEvery }
+func (g *Directory) Due(now Clock) bool { return now-g.refreshedAt >= refreshInterval }
 
 // Refresh takes in who holds leases now.
 func (g *Directory) Refresh(members []Member, now Clock) {
-	g.looked = now
+	g.refreshedAt = now
 	clear(g.zones)
 	for _, m := range members {
 		at := [2]string{m.Region, m.Zone}
 		z := g.zones[at]
 		if z == nil {
-			z = &zone{}
+			z = &zoneMembers{}
 			g.zones[at] = z
 		}
 		z.members = append(z.members, m)
@@ -106,7 +108,7 @@
 		for i, m := range z.members {
 			names[i] = m.Name
 		}
-		z.roll = DigestOf(names)
+		z.digest = DigestOf(names)
 	}
 }
 
@@ -120,18 +122,18 @@
 // answered by others, so whoever asks often enough is named each.
 func (g *Directory) Suggest(asks Member, knows Digest) *PeerSuggestion {
 	z := g.zones[[2]string{asks.Region, asks.Zone}]
-	if z == nil || z.roll == knows || len(z.members) < 2 && knows.Count < 2 {
+	if z == nil || z.digest == knows || len(z.members) < 2 && knows.Count < 2 {
 		return nil
 	}
-	g.turn++
-	n := &PeerSuggestion{Count: z.roll.Count}
+	g.suggestions++
+	n := &PeerSuggestion{Count: z.digest.Count}
 	h := fnv.New64a()
-	fmt.Fprint(h, asks.Name, g.turn)
+	fmt.Fprint(h, asks.Name, g.suggestions)
 	begin := int(h.Sum64() * 0x9e3779b97f4a7c15 >> 33)
 	for i := range z.members {
 		m := z.members[(begin+i)%len(z.members)]
 		if m.Name != asks.Name && m.Address != "" {
-			if n.Addresses = append(n.Addresses, m.Address); len(n.Addresses) == named {
+			if n.Addresses = append(n.Addresses, m.Address); len(n.Addresses) == maxSuggestedPeers {
 				break
 			}
 		}
@@ -141,34 +143,34 @@
 
 // Exchanger is a dispatcher's part.
 type Exchanger struct {
-	differs  bool
-	since    Clock  // that the leader knows others
-	next     Clock  // when it may begin another exchange
-	patience int    // times the spacing
-	knew     Digest // at the last exchange
-	visited  bool
+	differs       bool
+	differsSince  Clock  // that the leader knows others
+	nextAt        Clock  // when it may begin another exchange
+	backoffFactor int    // times the spacing
+	lastDigest    Digest // at the last exchange
+	exchanged     bool
 }
 
 // NextExchange tells whether to exchange all with one of those that the leader has named, and with whom, by what this dispatcher
 // knows now; nil says that the leader knows the same.
 func (v *Exchanger) NextExchange(n *PeerSuggestion, knows Digest, now Clock) (address string, ok bool) {
 	if n == nil || len(n.Addresses) == 0 {
-		v.differs, v.patience = false, 0
+		v.differs, v.backoffFactor = false, 0
 		return "", false
 	}
 	if !v.differs {
-		v.differs, v.since = true, now
+		v.differs, v.differsSince = true, now
 	}
 	far := 2*knows.Count <= n.Count || knows.Count <= 1
-	if now < v.next || !far && now-v.since < GossipSettleTime {
+	if now < v.nextAt || !far && now-v.differsSince < GossipSettleTime {
 		return "", false
 	}
-	if v.visited && knows == v.knew { // the last exchange changed nothing
-		v.patience = min(max(2*v.patience, 2), mostPatience)
+	if v.exchanged && knows == v.lastDigest { // the last exchange changed nothing
+		v.backoffFactor = min(max(2*v.backoffFactor, 2), maxBackoffFactor)
 	} else {
-		v.patience = 1
+		v.backoffFactor = 1
 	}
-	v.visited, v.knew = true, knows
-	v.next = now + max(leastSpacing, time.Duration(knows.Count*v.patience)*MinExchangeInterval)
+	v.exchanged, v.lastDigest = true, knows
+	v.nextAt = now + max(minExchangePause, time.Duration(knows.Count*v.backoffFactor)*MinExchangeInterval)
 	return n.Addresses[0], true
 }
