--- /dev/null
+++ b/internal/decisions/gossippeers/digest_test.go
@@ -0,0 +1,27 @@
+package gossippeers
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestDigestOf checks that a digest does not depend on the order of the names, and differs for any two sets that are drawn.
+func TestDigestOf(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		names := rapid.SliceOfNDistinct(rapid.StringN(1, 12, -1), 1, 30, rapid.ID[string]).Draw(t, "names")
+		other := slices.Clone(names)
+		slices.Reverse(other)
+		if DigestOf(names) != DigestOf(other) {
+			t.Fatal("the order counts")
+		}
+		if DigestOf(names) == DigestOf(names[1:]) {
+			t.Fatal("one less is the same")
+		}
+		other[0] += "x"
+		if !slices.Contains(names, other[0]) && DigestOf(names) == DigestOf(other) {
+			t.Fatal("another name is the same")
+		}
+	})
+}
--- /dev/null
+++ b/internal/decisions/gossippeers/member.go
@@ -0,0 +1,11 @@
+package gossippeers
+
+// Member is a dispatcher that holds a lease.
+type Member struct {
+	Name, Address, Region, Zone string
+}
+
+// ArePeers reports whether two dispatchers gossip with each other: those of one zone of one region do.
+func ArePeers(region, zone, otherRegion, otherZone string) bool {
+	return region == otherRegion && zone == otherZone
+}
