--- a/internal/decisions/failover/plan.go
+++ b/internal/decisions/failover/plan.go
@@ -19,8 +19,8 @@
 	Reasons map[string]string                 `json:"why,omitempty"` // by zone, for people
 }
 
-// parts gives an entry.
-func (p *Plan) parts(zone, class string) []ZoneShare {
+// shares gives an entry.
+func (p *Plan) shares(zone, class string) []ZoneShare {
 	if p != nil {
 		if all, ok := p.Shares[zone][class]; ok {
 			return all
@@ -31,7 +31,7 @@
 
 // Share gives how much of what arrives a zone serves.
 func (p *Plan) Share(from, class, to string) float64 {
-	for _, part := range p.parts(from, class) {
+	for _, part := range p.shares(from, class) {
 		if part.Zone == to {
 			return part.Share
 		}
@@ -42,7 +42,7 @@
 // Choose gives the zone for a job, by a number from 0 to 1 that is the job's own: the same plan gives the same zone, and a
 // plan that moves a little moves few jobs. It is not ok where the job is shed.
 func (p *Plan) Choose(from, class string, own float64) (zone string, ok bool) {
-	for _, part := range p.parts(from, class) {
+	for _, part := range p.shares(from, class) {
 		if own < part.Share {
 			return part.Zone, true
 		}
@@ -51,11 +51,11 @@
 	return "", false
 }
 
-// planOf makes a plan of a flow.
-func planOf(demands []Demand, zones []Zone, f Flow) *Plan {
+// newPlan makes a plan of a flow.
+func newPlan(demands []Demand, zones []Zone, f Flow) *Plan {
 	p := &Plan{Shares: map[string]map[string][]ZoneShare{}}
 	for i, d := range demands {
-		if d.Work <= tiny {
+		if d.Work <= negligible {
 			continue
 		}
 		parts := []ZoneShare{}
@@ -88,7 +88,7 @@
 func (p *Plan) Load(demands []Demand) map[string]float64 {
 	load := map[string]float64{}
 	for _, d := range demands {
-		for _, part := range p.parts(d.Zone, d.Class) {
+		for _, part := range p.shares(d.Zone, d.Class) {
 			load[part.Zone] += d.Work * part.Share
 		}
 	}
@@ -99,14 +99,14 @@
 func MaxMixedLoad(a, b *Plan, demands []Demand) map[string]float64 {
 	load := map[string]float64{}
 	for _, d := range demands {
-		for _, zone := range zonesOf(a.parts(d.Zone, d.Class), b.parts(d.Zone, d.Class)) {
+		for _, zone := range zonesOfEither(a.shares(d.Zone, d.Class), b.shares(d.Zone, d.Class)) {
 			load[zone] += d.Work * max(a.Share(d.Zone, d.Class, zone), b.Share(d.Zone, d.Class, zone))
 		}
 	}
 	return load
 }
 
-func zonesOf(a, b []ZoneShare) (zones []string) {
+func zonesOfEither(a, b []ZoneShare) (zones []string) {
 	for _, part := range append(slices.Clone(a), b...) {
 		if !slices.Contains(zones, part.Zone) {
 			zones = append(zones, part.Zone)
@@ -118,10 +118,10 @@
 // MaxDivergence is the most by which a share of two plans differs, over what is asked for.
 func MaxDivergence(a, b *Plan, demands []Demand) (most float64) {
 	for _, d := range demands {
-		if d.Work <= tiny {
+		if d.Work <= negligible {
 			continue
 		}
-		for _, zone := range zonesOf(a.parts(d.Zone, d.Class), b.parts(d.Zone, d.Class)) {
+		for _, zone := range zonesOfEither(a.shares(d.Zone, d.Class), b.shares(d.Zone, d.Class)) {
 			most = max(most, math.Abs(a.Share(d.Zone, d.Class, zone)-b.Share(d.Zone, d.Class, zone)))
 		}
 	}
@@ -132,9 +132,9 @@
 func Interpolate(a, b *Plan, demands []Demand, far float64) *Plan {
 	p := &Plan{Shares: map[string]map[string][]ZoneShare{}}
 	for _, d := range demands {
-		from, to := a.parts(d.Zone, d.Class), b.parts(d.Zone, d.Class)
+		from, to := a.shares(d.Zone, d.Class), b.shares(d.Zone, d.Class)
 		parts := []ZoneShare{}
-		for _, zone := range zonesOf(to, from) {
+		for _, zone := range zonesOfEither(to, from) {
 			if share := (1-far)*a.Share(d.Zone, d.Class, zone) + far*b.Share(d.Zone, d.Class, zone); share > 1e-6 {
 				parts = append(parts, ZoneShare{zone, share})
 			}
--- a/internal/decisions/failover/planner.go
+++ b/internal/decisions/failover/planner.go
@@ -54,87 +54,87 @@
 }
 
 // verdict on a way from one zone to another, or on a class there.
-type state struct {
-	bad      bool
-	since    Clock // that it has been so
-	out      bool
-	back     Clock // when it was let back in
-	relapses int
+type routeState struct {
+	failing    bool
+	since      Clock // that it has been so
+	excluded   bool
+	restoredAt Clock // when it was let back in
+	relapses   int
 }
 
-type way struct{ from, to, class string } // class is empty for the whole way
+type route struct{ from, to, class string } // class is empty for the whole way
 
 // Planner makes plans out of reports. The council's leader runs one; a new leader begins anew, with the plan in force.
 type Planner struct {
-	s       Settings
-	zones   map[string]string // regions by zone
-	reports map[string]heard
-	ways    map[way]*state
-	asked   map[[2]string]Arrivals // by zone of arrival and class, smoothed
-	losses  map[string]*loss       // by zone
-	factor  map[string]float64     // of a zone's capacity that its times bear out
-	held    map[string]float64     // zones that people have put out, wholly or to a share of their capacity
-	plan    *Plan
-	at      Clock // when the plan was made
-	looked  Clock
+	settings        Settings
+	regions         map[string]string // regions by zone
+	reports         map[string]receivedReport
+	routes          map[route]*routeState
+	arrivals        map[[2]string]Arrivals // by zone of arrival and class, smoothed
+	zoneLosses      map[string]*zoneLoss   // by zone
+	capacityFactors map[string]float64     // of a zone's capacity that its times bear out
+	zoneLimits      map[string]float64     // zones that people have put out, wholly or to a share of their capacity
+	plan            *Plan
+	plannedAt       Clock // when the plan was made
+	nextCalledAt    Clock
 }
 
-type heard struct {
+type receivedReport struct {
 	Report
-	at Clock
+	receivedAt Clock
 }
 
-// says gives a dispatcher's word on a way: bad where nothing was answered for a while though it was asked for, fine where
+// verdict gives a dispatcher's word on a way: bad where nothing was answered for a while though it was asked for, fine where
 // something was. A zone that is too full to begin jobs answers probes, and that it is full: that is no way that is out.
-func (h LastResponse) says() (bad, any bool) {
+func (h LastResponse) verdict() (bad, any bool) {
 	switch {
-	case h.Unanswered >= unanswered && h.Since >= NoResponseAfter:
+	case h.Unanswered >= minUnanswered && h.Since >= NoResponseAfter:
 		return true, true
-	case h.Since < fineFor:
+	case h.Since < maxResponseAge:
 		return false, true
 	}
 	return false, false
 }
 
 const (
-	reportsLast = 3 * time.Second // an older report says nothing of now
-	unanswered  = 2               // calls or probes
-	fineFor     = 2 * time.Second // an older answer says nothing
-	lateLess    = 0.5             // of a zone's answers in time, and it has less capacity than it seems
-	lateFactor  = 0.9             // a second
-	fineFactor  = 0.05            // a second, back
-	leastFactor = 0.1
-	classJobs   = 20  // of a class, and nearly none in time while others are: it is lost there
-	classLess   = 0.1 // in time
-	classFine   = 0.6 // of the others
-	smooth      = 0.4 // weight of the newest second in what is asked for
-	leastMove   = 0.02
-	mostRelapse = 3 // doublings of patience
-	calmFor     = 5 * time.Second
+	maxReportAge        = 3 * time.Second // an older report says nothing of now
+	minUnanswered       = 2               // calls or probes
+	maxResponseAge      = 2 * time.Second // an older answer says nothing
+	minInTimeShare      = 0.5             // of a zone's answers in time, and it has less capacity than it seems
+	capacityDecay       = 0.9             // a second
+	capacityRecovery    = 0.05            // a second, back
+	minCapacityFactor   = 0.1
+	minEndedCalls       = 20  // of a class, and nearly none in time while others are: it is lost there
+	lostClassInTime     = 0.1 // in time
+	otherClassesInTime  = 0.6 // of the others
+	arrivalsSmoothing   = 0.4 // weight of the newest second in what is asked for
+	minShareChange      = 0.02
+	maxRelapseDoublings = 3 // doublings of patience
+	maxPlanPause        = 5 * time.Second
 )
 
 // NewPlanner begins with the plan in force; nil for none.
 func NewPlanner(s Settings, regions map[string]string, plan *Plan, now Clock) *Planner {
-	return &Planner{s: s, zones: regions, reports: map[string]heard{}, ways: map[way]*state{}, asked: map[[2]string]Arrivals{},
-		losses: map[string]*loss{}, factor: map[string]float64{}, held: map[string]float64{}, plan: plan, at: now, looked: now}
+	return &Planner{settings: s, regions: regions, reports: map[string]receivedReport{}, routes: map[route]*routeState{}, arrivals: map[[2]string]Arrivals{},
+		zoneLosses: map[string]*zoneLoss{}, capacityFactors: map[string]float64{}, zoneLimits: map[string]float64{}, plan: plan, plannedAt: now, nextCalledAt: now}
 }
 
 // AddReport takes a report in.
-func (p *Planner) AddReport(r Report, now Clock) { p.reports[r.Dispatcher] = heard{r, now} }
+func (p *Planner) AddReport(r Report, now Clock) { p.reports[r.Dispatcher] = receivedReport{r, now} }
 
-func sane(s Observation) bool {
+func isValid(s Observation) bool {
 	return s.Ended >= 0 && s.InTime >= 0 && s.Full >= 0 && !math.IsInf(s.Ended+s.InTime+s.Full, 0)
 }
 
 // LimitZone has a zone get no more than a share of its capacity, by people's word; 1 ends that.
 func (p *Planner) LimitZone(zone string, share float64) {
-	if p.held[zone] = share; share >= 1 {
-		delete(p.held, zone)
+	if p.zoneLimits[zone] = share; share >= 1 {
+		delete(p.zoneLimits, zone)
 	}
 }
 
 // Regions are the zones' regions by zone.
-func (p *Planner) Regions() map[string]string { return p.zones }
+func (p *Planner) Regions() map[string]string { return p.regions }
 
 // Plan is the one that was made last.
 func (p *Planner) Plan() *Plan { return p.plan }
@@ -142,22 +142,24 @@
 // Next looks at what was heard and gives a plan, where another than the last is called for. It is asked every second or so,
 // once all that may act on older ones know the last.
 func (p *Planner) Next(now Clock) (*Plan, bool) {
-	seconds := min((now - p.looked).Seconds(), 5)
-	p.looked = now
-	maps.DeleteFunc(p.reports, func(_ string, h heard) bool { return now-h.at > reportsLast })
+	seconds := min((now - p.nextCalledAt).Seconds(), 5)
+	p.nextCalledAt = now
+	maps.DeleteFunc(p.reports, func(_ string, h receivedReport) bool { return now-h.receivedAt > maxReportAge })
 	if len(p.reports) == 0 {
 		return p.plan, false
 	}
-	p.judge(now, seconds)
-	p.ask()
-	zones, demands := p.world(now)
+	p.updateVerdicts(now, seconds)
+	p.updateArrivals()
+	zones, demands := p.inputs(now)
 	if len(demands) == 0 {
 		return p.plan, false
 	}
-	ways := func(from, to, class string) (float64, bool) { return p.s.Distance(from, to), !p.out(from, to, class) }
-	target := planOf(demands, zones, Solve(zones, demands, ways, p.s.Headroom))
-	why := p.why(zones, demands, target)
-	urgent := p.plan == nil || p.barred(demands)
+	ways := func(from, to, class string) (float64, bool) {
+		return p.settings.Distance(from, to), !p.isExcluded(from, to, class)
+	}
+	target := newPlan(demands, zones, Solve(zones, demands, ways, p.settings.Headroom))
+	why := p.reasons(zones, demands, target)
+	urgent := p.plan == nil || p.planUsesExcludedRoute(demands)
 	for _, z := range zones { // more than all of it
 		if load := p.plan.Load(demands)[z.Name]; load > z.Capacity*1.02 {
 			urgent = true
@@ -166,34 +168,34 @@
 	next := target
 	if !urgent {
 		apart := MaxDivergence(p.plan, target, demands)
-		if apart < leastMove || now-p.at < min(p.s.DetectionTime, calmFor) {
+		if apart < minShareChange || now-p.plannedAt < min(p.settings.DetectionTime, maxPlanPause) {
 			return p.plan, false
 		}
-		if most := p.s.MaxShiftPerSecond * min((now-p.at).Seconds(), 1); apart > most {
+		if most := p.settings.MaxShiftPerSecond * min((now-p.plannedAt).Seconds(), 1); apart > most {
 			next = Interpolate(p.plan, target, demands, most/apart)
 		}
 		// While some act on the last plan and others on this one no zone gets more than all of it.
-		for far := 0.5; far > 0.05 && !p.mixes(next, zones, demands); far /= 2 {
+		for far := 0.5; far > 0.05 && !p.mixedLoadFits(next, zones, demands); far /= 2 {
 			next = Interpolate(p.plan, next, demands, far)
 		}
 	}
 	next.Reasons = why
 	if p.plan != nil {
-		if MaxDivergence(p.plan, next, demands) < leastMove/4 && maps.Equal(p.plan.Reasons, next.Reasons) {
+		if MaxDivergence(p.plan, next, demands) < minShareChange/4 && maps.Equal(p.plan.Reasons, next.Reasons) {
 			return p.plan, false
 		}
 		next.Number = p.plan.Number
 	}
 	next.Number++
-	p.plan, p.at = next, now
+	p.plan, p.plannedAt = next, now
 	return next, true
 }
 
-// mixes tells whether the last plan and the next, mixed, keep within all zones.
-func (p *Planner) mixes(next *Plan, zones []Zone, demands []Demand) bool {
+// mixedLoadFits tells whether the last plan and the next, mixed, keep within all zones.
+func (p *Planner) mixedLoadFits(next *Plan, zones []Zone, demands []Demand) bool {
 	most := MaxMixedLoad(p.plan, next, demands)
 	for _, z := range zones {
-		if most[z.Name] > max(z.Capacity, p.plan.Load(demands)[z.Name])+tiny {
+		if most[z.Name] > max(z.Capacity, p.plan.Load(demands)[z.Name])+negligible {
 			return false
 		}
 	}
@@ -202,10 +204,12 @@
 
 // PredictShedding tells how much work a second is shed now, and how much would be with a zone at a share of its capacity.
 func (p *Planner) PredictShedding(zone string, share float64, now Clock) (shed, then float64) {
-	zones, demands := p.world(now)
-	ways := func(from, to, class string) (float64, bool) { return p.s.Distance(from, to), !p.out(from, to, class) }
+	zones, demands := p.inputs(now)
+	ways := func(from, to, class string) (float64, bool) {
+		return p.settings.Distance(from, to), !p.isExcluded(from, to, class)
+	}
 	sum := func() (all float64) {
-		for _, x := range Solve(zones, demands, ways, p.s.Headroom).Shed {
+		for _, x := range Solve(zones, demands, ways, p.settings.Headroom).Shed {
 			all += x
 		}
 		return all
@@ -219,48 +223,48 @@
 	return shed, sum()
 }
 
-// world is the zones and what is asked for.
-func (p *Planner) world(now Clock) (zones []Zone, demands []Demand) {
+// inputs is the zones and what is asked for.
+func (p *Planner) inputs(now Clock) (zones []Zone, demands []Demand) {
 	capacity := map[string][]float64{}
 	for _, h := range p.reports {
 		for zone, c := range h.Capacity {
 			capacity[zone] = append(capacity[zone], c)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(p.zones)) {
+	for _, name := range slices.Sorted(maps.Keys(p.regions)) {
 		c := median(capacity[name]) // one list that is wrong moves nothing
-		if f, ok := p.factor[name]; ok {
+		if f, ok := p.capacityFactors[name]; ok {
 			c *= f
 		}
-		if share, ok := p.held[name]; ok {
+		if share, ok := p.zoneLimits[name]; ok {
 			c *= share
 		}
-		zones = append(zones, Zone{name, p.zones[name], c * p.returned(name, now)})
+		zones = append(zones, Zone{name, p.regions[name], c * p.recoveryShare(name, now)})
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(p.asked), func(a, b [2]string) int { return strings.Compare(a[0]+"\x00"+a[1], b[0]+"\x00"+b[1]) }) {
-		a := p.asked[key]
+	for _, key := range slices.SortedFunc(maps.Keys(p.arrivals), func(a, b [2]string) int { return strings.Compare(a[0]+"\x00"+a[1], b[0]+"\x00"+b[1]) }) {
+		a := p.arrivals[key]
 		demands = append(demands, Demand{key[0], key[1], a.Work, a.Weight})
 	}
 	return zones, demands
 }
 
-// returned is how much of its capacity a zone gets that was lost. One that some could not reach was there all the time.
-func (p *Planner) returned(zone string, now Clock) float64 {
-	l := p.losses[zone]
-	if l == nil || l.now || p.s.RecoveryRamp <= 0 {
+// recoveryShare is how much of its capacity a zone gets that was lost. One that some could not reach was there all the time.
+func (p *Planner) recoveryShare(zone string, now Clock) float64 {
+	l := p.zoneLosses[zone]
+	if l == nil || l.lost || p.settings.RecoveryRamp <= 0 {
 		return 1
 	}
-	return min(max((now-l.back).Seconds()/p.s.RecoveryRamp.Seconds(), 0.05), 1)
+	return min(max((now-l.recoveredAt).Seconds()/p.settings.RecoveryRamp.Seconds(), 0.05), 1)
 }
 
-// loss is that of a whole zone, now or before.
-type loss struct {
-	now  bool
-	back Clock
+// zoneLoss is that of a whole zone, now or before.
+type zoneLoss struct {
+	lost        bool
+	recoveredAt Clock
 }
 
-// ask sums up what dispatchers say that clients ask for.
-func (p *Planner) ask() {
+// updateArrivals sums up what dispatchers say that clients updateArrivals for.
+func (p *Planner) updateArrivals() {
 	sum := map[[2]string]Arrivals{}
 	for _, h := range p.reports {
 		for _, a := range h.Arrivals {
@@ -274,60 +278,60 @@
 			sum[key] = s
 		}
 	}
-	for key, was := range p.asked {
+	for key, was := range p.arrivals {
 		if _, ok := sum[key]; !ok {
 			sum[key] = Arrivals{Weight: was.Weight}
 		}
 	}
 	for key, s := range sum {
-		if was, ok := p.asked[key]; ok {
-			s.Work = was.Work + smooth*(s.Work-was.Work)
+		if was, ok := p.arrivals[key]; ok {
+			s.Work = was.Work + arrivalsSmoothing*(s.Work-was.Work)
 		}
-		if s.Work > tiny {
-			p.asked[key] = s
+		if s.Work > negligible {
+			p.arrivals[key] = s
 		} else {
-			delete(p.asked, key)
+			delete(p.arrivals, key)
 		}
 	}
 }
 
-// judge goes through ways and zones.
-func (p *Planner) judge(now Clock, seconds float64) {
+// updateVerdicts goes through ways and zones.
+func (p *Planner) updateVerdicts(now Clock, seconds float64) {
 	type tally struct{ bad, fine int }
-	seen := map[way]tally{}
+	seen := map[route]tally{}
 	inTime := map[[2]string][2]float64{} // by zone and class: in time, of those reached and not turned away
 	for _, h := range p.reports {
 		for _, s := range h.Observations {
-			if sane(s) && s.Class != "" {
+			if isValid(s) && s.Class != "" {
 				k := [2]string{s.To, s.Class}
 				inTime[k] = [2]float64{inTime[k][0] + min(s.InTime, s.Ended), inTime[k][1] + max(s.Ended-s.Full, 0)}
 			}
 		}
 		for _, x := range h.LastResponses {
-			bad, any := x.says()
+			bad, any := x.verdict()
 			if !any {
 				continue
 			}
-			y := seen[way{h.Zone, x.To, ""}]
+			y := seen[route{h.Zone, x.To, ""}]
 			if bad {
 				y.bad++
 			} else {
 				y.fine++
 			}
-			seen[way{h.Zone, x.To, ""}] = y
+			seen[route{h.Zone, x.To, ""}] = y
 		}
 	}
 	for w, y := range seen {
-		p.mark(w, y.bad > y.fine, now) // a way is out by the word of most of those who use it
+		p.updateRoute(w, y.bad > y.fine, now) // a way is out by the word of most of those who use it
 	}
-	for zone := range p.zones {
-		switch l := p.losses[zone]; {
-		case p.lost(zone):
-			p.losses[zone] = &loss{now: true}
-		case l != nil && l.now:
-			l.now, l.back = false, now
-		case l != nil && now-l.back > 2*p.s.RecoveryRamp:
-			delete(p.losses, zone)
+	for zone := range p.regions {
+		switch l := p.zoneLosses[zone]; {
+		case p.isLost(zone):
+			p.zoneLosses[zone] = &zoneLoss{lost: true}
+		case l != nil && l.lost:
+			l.lost, l.recoveredAt = false, now
+		case l != nil && now-l.recoveredAt > 2*p.settings.RecoveryRamp:
+			delete(p.zoneLosses, zone)
 		}
 		good, all := 0.0, 0.0
 		for k, x := range inTime {
@@ -340,67 +344,67 @@
 				continue
 			}
 			others, rest := good-x[0], all-x[1]
-			lost := x[1] >= classJobs && x[0]/x[1] < classLess && rest >= classJobs && others/rest > classFine
-			for from := range p.zones {
-				if w := (way{from, zone, k[1]}); lost || p.ways[w] != nil {
-					p.mark(w, lost, now)
+			lost := x[1] >= minEndedCalls && x[0]/x[1] < lostClassInTime && rest >= minEndedCalls && others/rest > otherClassesInTime
+			for from := range p.regions {
+				if w := (route{from, zone, k[1]}); lost || p.routes[w] != nil {
+					p.updateRoute(w, lost, now)
 				}
 			}
 		}
-		f, ok := p.factor[zone]
+		f, ok := p.capacityFactors[zone]
 		if !ok {
 			f = 1
 		}
 		switch {
-		case all >= classJobs && good/all < lateLess:
-			f *= math.Pow(lateFactor, seconds)
-		case all >= classJobs || all == 0:
-			f += fineFactor * seconds
+		case all >= minEndedCalls && good/all < minInTimeShare:
+			f *= math.Pow(capacityDecay, seconds)
+		case all >= minEndedCalls || all == 0:
+			f += capacityRecovery * seconds
 		}
-		p.factor[zone] = min(max(f, leastFactor), 1)
+		p.capacityFactors[zone] = min(max(f, minCapacityFactor), 1)
 	}
 }
 
-// mark notes whether a way is bad now, and lets it out or in behind the time that is due.
-func (p *Planner) mark(w way, bad bool, now Clock) {
-	s := p.ways[w]
+// updateRoute notes whether a way is bad now, and lets it out or in behind the time that is due.
+func (p *Planner) updateRoute(w route, bad bool, now Clock) {
+	s := p.routes[w]
 	if s == nil {
 		if !bad {
 			return
 		}
-		s = &state{since: now}
-		p.ways[w] = s
-		s.bad = true
+		s = &routeState{since: now}
+		p.routes[w] = s
+		s.failing = true
 	}
-	if s.bad != bad {
-		s.bad, s.since = bad, now
+	if s.failing != bad {
+		s.failing, s.since = bad, now
 	}
-	switch patience := p.s.DetectionTime << min(s.relapses, mostRelapse); {
-	case bad && !s.out && now-s.since >= p.s.DetectionTime:
-		s.out = true
+	switch patience := p.settings.DetectionTime << min(s.relapses, maxRelapseDoublings); {
+	case bad && !s.excluded && now-s.since >= p.settings.DetectionTime:
+		s.excluded = true
 		s.relapses++
-	case !bad && s.out && now-s.since >= patience:
-		s.out, s.back = false, now
-	case !bad && !s.out && s.relapses > 0 && now-s.back > 4*p.s.RecoveryRamp && now-s.back > time.Minute:
-		delete(p.ways, w) // it has been fine for long: what was is forgotten
+	case !bad && s.excluded && now-s.since >= patience:
+		s.excluded, s.restoredAt = false, now
+	case !bad && !s.excluded && s.relapses > 0 && now-s.restoredAt > 4*p.settings.RecoveryRamp && now-s.restoredAt > time.Minute:
+		delete(p.routes, w) // it has been fine for long: what was is forgotten
 	}
 }
 
-// out tells whether jobs of a class may not go a way now.
-func (p *Planner) out(from, to, class string) bool {
-	for _, w := range []way{{from, to, ""}, {from, to, class}} {
-		if s := p.ways[w]; s != nil && s.out {
+// isExcluded tells whether jobs of a class may not go a way now.
+func (p *Planner) isExcluded(from, to, class string) bool {
+	for _, w := range []route{{from, to, ""}, {from, to, class}} {
+		if s := p.routes[w]; s != nil && s.excluded {
 			return true
 		}
 	}
 	return false
 }
 
-// lost tells whether a zone is out for most zones that say anything of it.
-func (p *Planner) lost(zone string) bool {
+// isLost tells whether a zone is out for most zones that say anything of it.
+func (p *Planner) isLost(zone string) bool {
 	out, in := 0, 0
-	for from := range p.zones {
-		if s := p.ways[way{from, zone, ""}]; s != nil && s.out {
+	for from := range p.regions {
+		if s := p.routes[route{from, zone, ""}]; s != nil && s.excluded {
 			out++
 		} else {
 			in++
@@ -409,11 +413,11 @@
 	return out > in
 }
 
-// barred tells whether the plan sends anything where nothing may go.
-func (p *Planner) barred(demands []Demand) bool {
+// planUsesExcludedRoute tells whether the plan sends anything where nothing may go.
+func (p *Planner) planUsesExcludedRoute(demands []Demand) bool {
 	for _, d := range demands {
-		for _, part := range p.plan.parts(d.Zone, d.Class) {
-			if part.Share > leastMove/4 && p.out(d.Zone, part.Zone, d.Class) {
+		for _, part := range p.plan.shares(d.Zone, d.Class) {
+			if part.Share > minShareChange/4 && p.isExcluded(d.Zone, part.Zone, d.Class) {
 				return true
 			}
 		}
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -9,42 +9,42 @@
 	"pgregory.net/rapid"
 )
 
-// towns is a fleet that reports once a second: dispatchers in zones, each of which sees what there is to see.
-type towns struct {
-	p        *Planner
-	now      Clock
-	zones    []string
-	capacity map[string]float64
-	work     map[string]float64 // asked for by zone, of class "dear" (worth 6) a quarter, of "cheap" the rest
-	lost     map[string]bool
-	cut      map[[2]string]bool
-	late     map[string]bool
-	noClass  map[[2]string]bool
-	liar     string
-	plans    int
-	alone    int // dispatchers in a zone
+// fleetModel is a fleet that reports once a second: dispatchers in zones, each of which sees what there is to see.
+type fleetModel struct {
+	planner            *Planner
+	now                Clock
+	zones              []string
+	capacity           map[string]float64
+	work               map[string]float64 // asked for by zone, of class "dear" (worth 6) a quarter, of "cheap" the rest
+	lost               map[string]bool
+	cut                map[[2]string]bool
+	late               map[string]bool
+	lostClasses        map[[2]string]bool
+	wrongDispatcher    string
+	plansMade          int
+	dispatchersPerZone int // dispatchers in a zone
 }
 
-func newTowns(alone int) *towns {
-	t := &towns{zones: []string{"a", "b", "c", "d"}, capacity: map[string]float64{}, work: map[string]float64{}, lost: map[string]bool{}, cut: map[[2]string]bool{},
-		late: map[string]bool{}, noClass: map[[2]string]bool{}, alone: alone}
+func newFleetModel(alone int) *fleetModel {
+	t := &fleetModel{zones: []string{"a", "b", "c", "d"}, capacity: map[string]float64{}, work: map[string]float64{}, lost: map[string]bool{}, cut: map[[2]string]bool{},
+		late: map[string]bool{}, lostClasses: map[[2]string]bool{}, dispatchersPerZone: alone}
 	regions := map[string]string{}
 	for i, z := range t.zones {
 		t.capacity[z], t.work[z] = 100, 50
 		regions[z] = []string{"north", "south"}[i/2]
 	}
-	t.p = NewPlanner(Settings{Headroom: 0.15, RecoveryRamp: 60 * time.Second, DetectionTime: 1500 * time.Millisecond, MaxShiftPerSecond: 0.1,
+	t.planner = NewPlanner(Settings{Headroom: 0.15, RecoveryRamp: 60 * time.Second, DetectionTime: 1500 * time.Millisecond, MaxShiftPerSecond: 0.1,
 		Distance: func(from, to string) float64 { return math.Abs(float64(from[0]) - float64(to[0])) }}, regions, nil, 0)
 	return t
 }
 
-func (t *towns) run(seconds int) {
+func (t *fleetModel) run(seconds int) {
 	for range seconds {
 		t.now += time.Second
 		for _, from := range t.zones {
-			for n := range t.alone {
+			for n := range t.dispatchersPerZone {
 				r := Report{Dispatcher: fmt.Sprint(from, n), Zone: from, Capacity: map[string]float64{}}
-				share := t.work[from] / float64(t.alone)
+				share := t.work[from] / float64(t.dispatchersPerZone)
 				r.Arrivals = []Arrivals{{"dear", share / 4, 6}, {"cheap", share * 3 / 4, 1}}
 				for _, to := range t.zones {
 					r.Capacity[to] = t.capacity[to]
@@ -53,7 +53,7 @@
 					if away {
 						h = LastResponse{to, time.Second, 5}
 					}
-					if r.Dispatcher == t.liar { // all is the other way round, and ten times as much
+					if r.Dispatcher == t.wrongDispatcher { // all is the other way round, and ten times as much
 						r.Capacity[to] = 10 * t.capacity[to]
 						if h = (LastResponse{to, time.Second, 5}); away {
 							h = LastResponse{To: to}
@@ -61,50 +61,50 @@
 					}
 					r.LastResponses = append(r.LastResponses, h)
 					for _, class := range []string{"dear", "cheap"} {
-						if share := t.p.Plan().Share(from, class, to); share > 0 && !away {
+						if share := t.planner.Plan().Share(from, class, to); share > 0 && !away {
 							s := Observation{To: to, Class: class, Ended: 20 * share, InTime: 20 * share}
-							if t.late[to] || t.noClass[[2]string{to, class}] {
+							if t.late[to] || t.lostClasses[[2]string{to, class}] {
 								s.InTime = 0
 							}
 							r.Observations = append(r.Observations, s)
 						}
 					}
 				}
-				t.p.AddReport(r, t.now)
+				t.planner.AddReport(r, t.now)
 			}
 		}
-		if _, made := t.p.Next(t.now); made {
-			t.plans++
+		if _, made := t.planner.Next(t.now); made {
+			t.plansMade++
 		}
 	}
 }
 
-func (t *towns) load() map[string]float64 {
-	_, demands := t.p.world(t.now)
-	return t.p.Plan().Load(demands)
+func (t *fleetModel) load() map[string]float64 {
+	_, demands := t.planner.inputs(t.now)
+	return t.planner.Plan().Load(demands)
 }
 
 // Calm: everything near, one plan. A trouble of a second changes nothing; a zone that is lost is left within three seconds,
 // for its region first and within room; back, it is filled over a minute, and later the more it flaps.
-func TestLossAndReturn(t *testing.T) {
-	w := newTowns(3)
+func TestPlanner_lossAndRecovery(t *testing.T) {
+	w := newFleetModel(3)
 	w.run(10)
 	for _, z := range w.zones {
-		if w.p.Plan().Share(z, "dear", z) < 0.999 || w.p.Plan().Share(z, "cheap", z) < 0.999 {
-			t.Fatalf("%+v", w.p.Plan())
+		if w.planner.Plan().Share(z, "dear", z) < 0.999 || w.planner.Plan().Share(z, "cheap", z) < 0.999 {
+			t.Fatalf("%+v", w.planner.Plan())
 		}
 	}
-	calm := w.plans
+	calm := w.plansMade
 	w.lost["a"] = true
 	w.run(1)
 	w.lost["a"] = false
 	w.run(10)
-	if w.plans != calm {
-		t.Errorf("a trouble of a second made %d plans", w.plans-calm)
+	if w.plansMade != calm {
+		t.Errorf("a trouble of a second made %d plans", w.plansMade-calm)
 	}
 	w.lost["a"] = true
 	w.run(3)
-	p := w.p.Plan()
+	p := w.planner.Plan()
 	if p.Share("a", "dear", "a") > 0 || p.Share("a", "dear", "b") < 0.99 || p.Share("c", "dear", "c") < 0.99 || p.Reasons["a"] == "" {
 		t.Fatalf("after three seconds %+v", p)
 	}
@@ -118,63 +118,63 @@
 	}
 	w.lost["a"] = false
 	w.run(15)
-	if share := w.p.Plan().Share("a", "cheap", "a"); share > 0.75 {
+	if share := w.planner.Plan().Share("a", "cheap", "a"); share > 0.75 {
 		t.Errorf("%v back after 15 s", share)
 	}
 	w.run(90)
-	if share := w.p.Plan().Share("a", "cheap", "a"); share < 0.99 {
-		t.Errorf("%v back after 105 s: %+v", share, w.p.Plan())
+	if share := w.planner.Plan().Share("a", "cheap", "a"); share < 0.99 {
+		t.Errorf("%v back after 105 s: %+v", share, w.planner.Plan())
 	}
-	before := w.plans
+	before := w.plansMade
 	for range 20 { // three seconds there, three gone
 		w.lost["a"] = !w.lost["a"]
 		w.run(3)
 	}
-	if made := w.plans - before; made > 12 {
+	if made := w.plansMade - before; made > 12 {
 		t.Errorf("%d plans for a minute of flapping", made)
 	}
 }
 
 // A way that is cut in one direction is left by those who use it alone; a dispatcher that tells the contrary of all moves
 // nothing; a zone that is late is given less, one that loses a class none of that class.
-func TestGreyTrouble(t *testing.T) {
-	w := newTowns(3)
+func TestPlanner_partialFaults(t *testing.T) {
+	w := newFleetModel(3)
 	w.work["a"] = 120 // so that a uses b
 	w.run(30)
-	if w.p.Plan().Share("a", "cheap", "b") < 0.1 {
-		t.Fatalf("%+v", w.p.Plan())
+	if w.planner.Plan().Share("a", "cheap", "b") < 0.1 {
+		t.Fatalf("%+v", w.planner.Plan())
 	}
 	w.cut[[2]string{"a", "b"}] = true
 	w.run(5)
-	p := w.p.Plan()
+	p := w.planner.Plan()
 	if p.Share("a", "cheap", "b") > 0 || p.Share("b", "cheap", "b") < 0.99 || p.Share("a", "cheap", "c")+p.Share("a", "cheap", "d") < 0.1 {
 		t.Errorf("a cannot reach b: %+v", p)
 	}
 
-	w = newTowns(3)
-	w.liar = "a1"
+	w = newFleetModel(3)
+	w.wrongDispatcher = "a1"
 	w.run(20)
-	if w.p.Plan().Share("a", "dear", "a") < 0.99 || w.plans > 2 {
-		t.Errorf("by one liar's word %+v", w.p.Plan())
+	if w.planner.Plan().Share("a", "dear", "a") < 0.99 || w.plansMade > 2 {
+		t.Errorf("by one liar's word %+v", w.planner.Plan())
 	}
 	w.lost["c"] = true
 	w.run(4)
-	if w.p.Plan().Share("c", "dear", "c") > 0 {
-		t.Errorf("in spite of the loss, by one liar's word %+v", w.p.Plan())
+	if w.planner.Plan().Share("c", "dear", "c") > 0 {
+		t.Errorf("in spite of the loss, by one liar's word %+v", w.planner.Plan())
 	}
 
-	w = newTowns(2)
+	w = newFleetModel(2)
 	w.run(5)
 	w.late["b"] = true
 	w.run(20)
-	if w.p.Plan().Share("b", "cheap", "b") > 0.7 {
-		t.Errorf("late for 20 s %+v", w.p.Plan())
+	if w.planner.Plan().Share("b", "cheap", "b") > 0.7 {
+		t.Errorf("late for 20 s %+v", w.planner.Plan())
 	}
-	w = newTowns(2)
+	w = newFleetModel(2)
 	w.run(5)
-	w.noClass[[2]string{"b", "dear"}] = true
+	w.lostClasses[[2]string{"b", "dear"}] = true
 	w.run(6)
-	if p := w.p.Plan(); p.Share("b", "dear", "b") > 0 || p.Share("b", "cheap", "b") < 0.99 || p.Share("b", "dear", "a") < 0.99 {
+	if p := w.planner.Plan(); p.Share("b", "dear", "b") > 0 || p.Share("b", "cheap", "b") < 0.99 || p.Share("b", "dear", "a") < 0.99 {
 		t.Errorf("b answers nothing dear: %+v", p)
 	}
 }
@@ -182,9 +182,9 @@
 // Whatever befalls zones and ways, a plan never loads a zone above its room by what was known, mixed with the one before no
 // zone above its capacity but for what was lost, and shares move by no more than a step where nothing is out; all short, it is
 // the cheap that is shed.
-func TestPlanner(t *testing.T) {
+func TestPlanner_randomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTowns(rapid.IntRange(1, 3).Draw(t, "dispatchers"))
+		w := newFleetModel(rapid.IntRange(1, 3).Draw(t, "dispatchers"))
 		w.run(3)
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
 			a, b := rapid.SampledFrom(w.zones).Draw(t, "a"), rapid.SampledFrom(w.zones).Draw(t, "b")
@@ -201,13 +201,13 @@
 				w.late[a] = !w.late[a]
 			}
 			for range rapid.IntRange(1, 8).Draw(t, "seconds") {
-				before := w.p.Plan()
+				before := w.planner.Plan()
 				w.run(1)
-				p := w.p.Plan()
-				zones, demands := w.p.world(w.now)
+				p := w.planner.Plan()
+				zones, demands := w.planner.inputs(w.now)
 				for _, d := range demands {
 					sum := 0.0
-					for _, part := range p.parts(d.Zone, d.Class) {
+					for _, part := range p.shares(d.Zone, d.Class) {
 						sum += part.Share
 						if part.Share < 0 || part.Share > 1+1e-9 {
 							t.Fatalf("share %v", part)
@@ -225,25 +225,25 @@
 						t.Fatalf("%v in %+v", load, z)
 					}
 				}
-				if w.p.barred(demands) {
+				if w.planner.planUsesExcludedRoute(demands) {
 					t.Fatalf("jobs are sent where nothing may go: %+v", p)
 				}
 			}
 		}
-		_, demands := w.p.world(w.now)
+		_, demands := w.planner.inputs(w.now)
 		for _, d := range demands { // the dear is shed only where no cheap of its zone is served
 			if d.Class != "dear" {
 				continue
 			}
 			dear, cheap := 0.0, 0.0
-			for _, part := range w.p.Plan().parts(d.Zone, "dear") {
+			for _, part := range w.planner.Plan().shares(d.Zone, "dear") {
 				dear += part.Share
 			}
-			for _, part := range w.p.Plan().parts(d.Zone, "cheap") {
+			for _, part := range w.planner.Plan().shares(d.Zone, "cheap") {
 				cheap += part.Share
 			}
 			if dear < 0.9 && cheap > dear+0.2 {
-				t.Fatalf("in %s %v of the dear is served and %v of the cheap: %+v", d.Zone, dear, cheap, w.p.Plan())
+				t.Fatalf("in %s %v of the dear is served and %v of the cheap: %+v", d.Zone, dear, cheap, w.planner.Plan())
 			}
 		}
 	})
--- a/internal/decisions/failover/reasons.go
+++ b/internal/decisions/failover/reasons.go
@@ -22,25 +22,25 @@
 
 // Views gives it for all zones, by name.
 func (p *Planner) Views(now Clock) (all []ZoneView) {
-	zones, demands := p.world(now)
+	zones, demands := p.inputs(now)
 	load := p.plan.Load(demands)
 	for _, z := range zones {
 		v := ZoneView{Zone: z.Name, Region: z.Region, Capacity: z.Capacity, Planned: load[z.Name], CapacityFactor: 1}
-		if f, ok := p.factor[z.Name]; ok {
+		if f, ok := p.capacityFactors[z.Name]; ok {
 			v.CapacityFactor = f
 		}
 		for _, d := range demands {
 			if d.Zone == z.Name {
 				v.Demand += d.Work
 				served := 0.0
-				for _, part := range p.plan.parts(d.Zone, d.Class) {
+				for _, part := range p.plan.shares(d.Zone, d.Class) {
 					served += part.Share
 				}
 				v.Shed += d.Work * max(1-served, 0)
 			}
 		}
 		for _, o := range zones {
-			if p.out(o.Name, z.Name, "") {
+			if p.isExcluded(o.Name, z.Name, "") {
 				v.UnreachableFrom = append(v.UnreachableFrom, o.Name)
 			}
 		}
@@ -52,20 +52,20 @@
 	return all
 }
 
-// why gives the reasons that people see, by zone. They name causes, not figures that move: a new figure is no new plan.
-func (p *Planner) why(zones []Zone, demands []Demand, target *Plan) map[string]string {
+// reasons gives the reasons that people see, by zone. They name causes, not figures that move: a new figure is no new plan.
+func (p *Planner) reasons(zones []Zone, demands []Demand, target *Plan) map[string]string {
 	why := map[string]string{}
 	for _, z := range zones {
 		var says []string
-		if share, ok := p.held[z.Name]; ok {
+		if share, ok := p.zoneLimits[z.Name]; ok {
 			says = append(says, fmt.Sprintf("held at %g of its capacity", share))
 		}
-		if p.lost(z.Name) {
+		if p.isLost(z.Name) {
 			says = append(says, "lost for most zones")
 		}
 		var from []string
 		for _, o := range zones {
-			if s := p.ways[way{o.Name, z.Name, ""}]; s != nil && s.out && !p.lost(z.Name) {
+			if s := p.routes[route{o.Name, z.Name, ""}]; s != nil && s.excluded && !p.isLost(z.Name) {
 				from = append(from, o.Name)
 			}
 		}
@@ -73,17 +73,17 @@
 			says = append(says, "not reached from "+strings.Join(from, ", "))
 		}
 		classes := map[string]bool{}
-		for w, s := range p.ways {
-			if w.to == z.Name && w.class != "" && s.out {
+		for w, s := range p.routes {
+			if w.to == z.Name && w.class != "" && s.excluded {
 				classes[w.class] = true
 			}
 		}
-		l := p.losses[z.Name]
-		returning := l != nil && !l.now
+		l := p.zoneLosses[z.Name]
+		returning := l != nil && !l.lost
 		for _, c := range slices.Sorted(maps.Keys(classes)) {
 			says = append(says, "answers no "+c)
 		}
-		if p.factor[z.Name] < 0.7 {
+		if p.capacityFactors[z.Name] < 0.7 {
 			says = append(says, "late")
 		}
 		if returning {
@@ -95,11 +95,11 @@
 				continue
 			}
 			sum := 0.0
-			for _, part := range target.parts(d.Zone, d.Class) {
+			for _, part := range target.shares(d.Zone, d.Class) {
 				sum += part.Share
-				crosses = crosses || part.Zone != z.Name && part.Share > leastMove
+				crosses = crosses || part.Zone != z.Name && part.Share > minShareChange
 			}
-			shed = shed || sum < 1-leastMove
+			shed = shed || sum < 1-minShareChange
 		}
 		if crosses {
 			says = append(says, "more than it has room for goes elsewhere")
--- a/internal/decisions/failover/solve.go
+++ b/internal/decisions/failover/solve.go
@@ -43,11 +43,11 @@
 // The costs of a unit of work that leaves its zone, or its region: the one weighs more than any distance, the other more
 // than any crossing within regions.
 const (
-	zoneCost   = 1e3
-	regionCost = 1e6
+	zoneCrossingCost   = 1e3
+	regionCrossingCost = 1e6
 )
 
-const tiny = 1e-9
+const negligible = 1e-9
 
 // Solve gives the flow that serves the most worth within room, and of those the one that crosses least. Demands are taken in
 // by worth, each over the cheapest path there is, which may turn others aside but never out: by the exchange argument of
@@ -77,15 +77,15 @@
 				cost[i][j] = math.Inf(1)
 			case d.Zone == z.Name:
 			case region[d.Zone] == z.Region:
-				cost[i][j] = zoneCost + distance
+				cost[i][j] = zoneCrossingCost + distance
 			default:
-				cost[i][j] = regionCost + distance
+				cost[i][j] = regionCrossingCost + distance
 			}
 		}
 	}
-	g := graph{served: f.Served, cost: cost, room: room, left: make([]float64, len(demands)), worth: make([]float64, len(demands))}
+	g := flowGraph{served: f.Served, cost: cost, capacityLeft: room, unserved: make([]float64, len(demands)), weight: make([]float64, len(demands))}
 	for i, d := range demands {
-		g.worth[i] = d.Weight
+		g.weight[i] = d.Weight
 	}
 	for k := 0; k < len(order); {
 		group := order[k:]
@@ -97,36 +97,36 @@
 		}
 		k += len(group)
 		for _, i := range group {
-			g.left[i] = max(demands[i].Work, 0)
+			g.unserved[i] = max(demands[i].Work, 0)
 		}
 		for g.augment(demands[group[0]].Weight) {
 		}
 	}
-	copy(f.Shed, g.left)
+	copy(f.Shed, g.unserved)
 	return f
 }
 
-// graph is what a flow may still become.
-type graph struct {
-	served, cost      [][]float64 // by demand and zone
-	room, left, worth []float64   // of zones; of demands that were taken in already
+// flowGraph is what a flow may still become.
+type flowGraph struct {
+	served, cost                   [][]float64 // by demand and zone
+	capacityLeft, unserved, weight []float64   // of zones; of demands that were taken in already
 }
 
-// step tells how a demand or a zone is reached on the cheapest path.
-type step struct {
-	from int
-	swap bool // a demand of the same worth is shed in place of this one
+// pathStep tells how a demand or a zone is reached on the cheapest path.
+type pathStep struct {
+	from      int
+	displaces bool // a demand of the same worth is shed in place of this one
 }
 
 // augment serves more of the demands of a worth: over the cheapest path into a zone with room, or into a full one out of which
 // another demand is turned to the next, or is shed for one of the same worth. It tells whether there was a path.
-func (g *graph) augment(worth float64) bool {
-	n, m := len(g.served), len(g.room)
-	demand, zone := make([]float64, n), make([]float64, m) // the least cost to get there
-	byZone, byDemand := make([]step, n), make([]int, m)    // and from where; a source comes from nowhere
+func (g *flowGraph) augment(worth float64) bool {
+	n, m := len(g.served), len(g.capacityLeft)
+	demand, zone := make([]float64, n), make([]float64, m)  // the least cost to get there
+	byZone, byDemand := make([]pathStep, n), make([]int, m) // and from where; a source comes from nowhere
 	for i := range demand {
 		demand[i], byZone[i].from = math.Inf(1), -1
-		if g.worth[i] == worth && g.left[i] > tiny {
+		if g.weight[i] == worth && g.unserved[i] > negligible {
 			demand[i] = 0
 		}
 	}
@@ -137,55 +137,55 @@
 		changed = false
 		for i := range n {
 			for j := range m {
-				if to := demand[i] + g.cost[i][j]; to < zone[j]-tiny {
+				if to := demand[i] + g.cost[i][j]; to < zone[j]-negligible {
 					zone[j], byDemand[j], changed = to, i, true
 				}
 			}
 		}
 		for i := range n {
 			for j := range m {
-				if to := zone[j] - g.cost[i][j]; g.served[i][j] > tiny && to < demand[i]-tiny {
-					demand[i], byZone[i], changed = to, step{j, false}, true
+				if to := zone[j] - g.cost[i][j]; g.served[i][j] > negligible && to < demand[i]-negligible {
+					demand[i], byZone[i], changed = to, pathStep{j, false}, true
 				}
 			}
 		}
 		for i := range n {
 			for o := range n {
-				if o != i && g.worth[o] == g.worth[i] && g.left[o] > tiny && demand[i] < demand[o]-tiny {
-					demand[o], byZone[o], changed = demand[i], step{i, true}, true
+				if o != i && g.weight[o] == g.weight[i] && g.unserved[o] > negligible && demand[i] < demand[o]-negligible {
+					demand[o], byZone[o], changed = demand[i], pathStep{i, true}, true
 				}
 			}
 		}
 	}
 	end := -1
 	for j := range m {
-		if g.room[j] > tiny && !math.IsInf(zone[j], 1) && (end < 0 || zone[j] < zone[end]-tiny) {
+		if g.capacityLeft[j] > negligible && !math.IsInf(zone[j], 1) && (end < 0 || zone[j] < zone[end]-negligible) {
 			end = j
 		}
 	}
 	if end < 0 {
 		return false
 	}
-	most := g.room[end]
-	g.walk(end, byDemand, byZone, func(i, _ int, s step) {
+	most := g.capacityLeft[end]
+	g.walkBack(end, byDemand, byZone, func(i, _ int, s pathStep) {
 		switch {
-		case s.from < 0 || s.swap:
-			most = min(most, g.left[i])
+		case s.from < 0 || s.displaces:
+			most = min(most, g.unserved[i])
 		default:
 			most = min(most, g.served[i][s.from])
 		}
 	})
-	g.room[end] -= most
-	g.walk(end, byDemand, byZone, func(i, to int, s step) {
+	g.capacityLeft[end] -= most
+	g.walkBack(end, byDemand, byZone, func(i, to int, s pathStep) {
 		if to >= 0 {
 			g.served[i][to] += most
 		}
 		switch {
 		case s.from < 0:
-			g.left[i] -= most
-		case s.swap:
-			g.left[i] -= most
-			g.left[s.from] += most
+			g.unserved[i] -= most
+		case s.displaces:
+			g.unserved[i] -= most
+			g.unserved[s.from] += most
 		default:
 			g.served[i][s.from] -= most
 		}
@@ -193,15 +193,15 @@
 	return true
 }
 
-// walk goes back over a path: for each demand on it the zone that it goes to, below 0 for none, and how it came to be there.
-func (g *graph) walk(end int, byDemand []int, byZone []step, visit func(i, to int, s step)) {
+// walkBack goes back over a path: for each demand on it the zone that it goes to, below 0 for none, and how it came to be there.
+func (g *flowGraph) walkBack(end int, byDemand []int, byZone []pathStep, visit func(i, to int, s pathStep)) {
 	for i, to := byDemand[end], end; ; {
 		s := byZone[i]
 		visit(i, to, s)
 		switch {
 		case s.from < 0:
 			return
-		case s.swap:
+		case s.displaces:
 			i, to = s.from, -1
 		default:
 			i, to = byDemand[s.from], s.from
--- a/internal/decisions/failover/solve_test.go
+++ b/internal/decisions/failover/solve_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// world draws zones, demands and ways.
-func world(t *rapid.T) (zones []Zone, demands []Demand, ways Reachability) {
+// drawInputs draws zones, demands and ways.
+func drawInputs(t *rapid.T) (zones []Zone, demands []Demand, ways Reachability) {
 	n := rapid.IntRange(1, 4).Draw(t, "zones")
 	for i := range n {
 		zones = append(zones, Zone{fmt.Sprint("z", i), fmt.Sprint("r", i%2), float64(rapid.IntRange(0, 20).Draw(t, "capacity"))})
@@ -30,8 +30,8 @@
 	return zones, demands, func(from, to, _ string) (float64, bool) { return 1, !cut[from+to] }
 }
 
-// price is what a unit of work costs that crosses: out of a region more than any number of zones.
-func price(zones []Zone, from string, to Zone) float64 {
+// crossingPrice is what a unit of work costs that crosses: out of a region more than any number of zones.
+func crossingPrice(zones []Zone, from string, to Zone) float64 {
 	for _, z := range zones {
 		if z.Name == from && z.Name == to.Name {
 			return 0
@@ -42,8 +42,8 @@
 	return 1e-2
 }
 
-// yardstick solves the same as a linear programme: the most worth, and then the least crossing.
-func yardstick(zones []Zone, demands []Demand, ways Reachability, headroom float64) (worth, crossing float64) {
+// solveAsLinearProgramme solves the same as a linear programme: the most worth, and then the least crossing.
+func solveAsLinearProgramme(zones []Zone, demands []Demand, ways Reachability, headroom float64) (worth, crossing float64) {
 	n, m := len(demands), len(zones)
 	cols := n*m + n + m // flows, what is shed, what room is left
 	cost := make([]float64, cols)
@@ -57,7 +57,7 @@
 			if _, ok := ways(d.Zone, z.Name, d.Class); !ok {
 				cost[i*m+j] = 1e6
 			} else {
-				cost[i*m+j] = price(zones, d.Zone, z)
+				cost[i*m+j] = crossingPrice(zones, d.Zone, z)
 			}
 		}
 		a.Set(i, n*m+i, 1)
@@ -74,16 +74,16 @@
 	for i, d := range demands {
 		worth += d.Weight * (d.Work - x[n*m+i])
 		for j, z := range zones {
-			crossing += price(zones, d.Zone, z) * x[i*m+j]
+			crossing += crossingPrice(zones, d.Zone, z) * x[i*m+j]
 		}
 	}
 	return worth, crossing
 }
 
 // A flow keeps within room and ways, serves as much worth as the linear programme, and crosses no more.
-func TestSolve(t *testing.T) {
+func TestSolve_matchesLinearProgramme(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		zones, demands, ways := world(t)
+		zones, demands, ways := drawInputs(t)
 		if len(demands) == 0 {
 			return
 		}
@@ -101,7 +101,7 @@
 				sum += x
 				load[j] += x
 				worth += d.Weight * x
-				crossing += price(zones, d.Zone, z) * x
+				crossing += crossingPrice(zones, d.Zone, z) * x
 			}
 			if math.Abs(sum-d.Work) > 1e-6 {
 				t.Fatalf("%v of %v is accounted for", sum, d)
@@ -112,7 +112,7 @@
 				t.Fatalf("%v planned in %+v", load[j], z)
 			}
 		}
-		best, least := yardstick(zones, demands, ways, headroom)
+		best, least := solveAsLinearProgramme(zones, demands, ways, headroom)
 		if math.IsNaN(best) {
 			return // degenerate for the simplex method
 		}
@@ -124,17 +124,17 @@
 
 // A job's own number gives its zone: in the shares of the plan, the same again, and most jobs stay where a plan moves a
 // little. Mixed, two plans load a zone with no less than either.
-func TestChoose(t *testing.T) {
+func TestPlanChoose_followsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		zones, demands, ways := world(t)
-		a := planOf(demands, zones, Solve(zones, demands, ways, 0.15))
+		zones, demands, ways := drawInputs(t)
+		a := newPlan(demands, zones, Solve(zones, demands, ways, 0.15))
 		for i := range zones {
 			zones[i].Capacity *= rapid.Float64Range(0.9, 1.1).Draw(t, "moves")
 		}
-		b := planOf(demands, zones, Solve(zones, demands, ways, 0.15))
+		b := newPlan(demands, zones, Solve(zones, demands, ways, 0.15))
 		apart := MaxDivergence(a, b, demands)
 		for _, d := range demands {
-			if d.Work < tiny {
+			if d.Work < negligible {
 				continue
 			}
 			moved, got := 0, map[string]int{}
