--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -29,94 +29,94 @@
 	return [...]string{Served: "served", Rejected: "refused", Failed: "failed"}[v]
 }
 
-// guardAfter is how long past its slack a request stays with the module before the core fails it. What
+// overdueMargin is how long past its slack a request stays with the module before the core fails it. What
 // tells the module of the deadline may itself be late on a busy machine.
-const guardAfter = 20 * time.Millisecond
+const overdueMargin = 20 * time.Millisecond
 
 // Core is the module's actor. It alone calls the module, carries out its actions in their order and
 // keeps its timers, and it owns the table of requests and calls.
 type Core struct {
-	module    *scheduler.Scheduler
-	clock     Clock
-	endpoints EndpointPool
-	subscribe func()
-	log       *slog.Logger
-	mailbox   *Mailbox[any]
-	lastID    atomic.Uint64
-	ledger    Counters
-	witness   atomic.Pointer[Observer]
-	firsts    atomic.Uint64 // first calls
+	scheduler     *scheduler.Scheduler
+	clock         Clock
+	endpoints     EndpointPool
+	subscribe     func()
+	log           *slog.Logger
+	mailbox       *Mailbox[any]
+	lastRequestID atomic.Uint64
+	counters      Counters
+	observer      atomic.Pointer[Observer]
+	firstAttempts atomic.Uint64 // first calls
 
 	// Owned by Run.
-	now      scheduler.Clock
-	requests map[scheduler.RequestID]*request
-	timers   timers
-	budget   *retrybudget.Budget // of further calls; nil for no bound but the module's
-	repeats  func() bool         // whether anything may be sent a second time now; nil for always
-	spend    FleetBudget         // nil where the fleet has no budgets
-	guide    ZoneRouter          // nil where nobody says to which zones jobs may go
+	now            scheduler.Clock
+	requests       map[scheduler.RequestID]*openRequest
+	timers         timers
+	retryBudget    *retrybudget.Budget // of further calls; nil for no bound but the module's
+	retriesAllowed func() bool         // whether anything may be sent a second time now; nil for always
+	fleetBudget    FleetBudget         // nil where the fleet has no budgets
+	zoneRouter     ZoneRouter          // nil where nobody says to which zones jobs may go
 }
 
-type request struct {
+type openRequest struct {
 	Request
-	expires  scheduler.Clock
-	came     scheduler.Clock // for the guide
-	answered bool            // final answer given, or the client left: nothing is owed
-	timedOut bool
-	sent     bool // a call of it has left, or may have
-	calls    []call
-	out      int // calls without an outcome
+	expiresAt   scheduler.Clock
+	arrivedAt   scheduler.Clock // for the guide
+	answered    bool            // final answer given, or the client left: nothing is owed
+	timedOut    bool
+	attemptSent bool // a call of it has left, or may have
+	attempts    []attempt
+	inFlight    int // calls without an outcome
 }
 
-type call struct {
-	endpoint    scheduler.WorkerID
-	out         bool
-	outcome     scheduler.Outcome // once it is not out
-	sent, began scheduler.Clock   // began is 0 until its job has
-	silent      bool              // the guide has been told that there is no sign of it
+type attempt struct {
+	endpoint           scheduler.WorkerID
+	inFlight           bool
+	outcome            scheduler.Outcome // once it is not out
+	sentAt, startedAt  scheduler.Clock   // began is 0 until its job has
+	unansweredReported bool              // the guide has been told that there is no sign of it
 }
 
 // SetObserver has a witness hear of endpoints from now on; nil for nobody.
 func (c *Core) SetObserver(w Observer) {
 	if w == nil {
-		c.witness.Store(nil)
+		c.observer.Store(nil)
 		return
 	}
-	c.witness.Store(&w)
+	c.observer.Store(&w)
 }
 
 // The messages of the module's actor, beside the module's own events Listed and Probed.
 type (
-	arrived struct {
-		id scheduler.RequestID
-		in Request
+	submitRequest struct {
+		id      scheduler.RequestID
+		request Request
 	}
-	left       struct{ id scheduler.RequestID }
-	began      struct{ id AttemptID }
-	progressed struct {
+	clientLeft        struct{ id scheduler.RequestID }
+	attemptStarted    struct{ id AttemptID }
+	attemptProgressed struct {
 		id    AttemptID
 		share float64
 	}
-	finished struct {
-		id  AttemptID
-		end AttemptResult
+	attemptFinished struct {
+		id     AttemptID
+		result AttemptResult
 	}
-	byHand struct {
-		id  scheduler.WorkerID
-		out bool
+	setDetached struct {
+		id       scheduler.WorkerID
+		detached bool
 	}
-	knows struct {
-		id     scheduler.WorkerID
-		answer chan<- bool
+	knowsWorker struct {
+		id    scheduler.WorkerID
+		reply chan<- bool
 	}
-	learned struct{ answer chan<- scheduler.LearnedState }
-	limited struct{ share float64 }
+	learnedStateQuery struct{ reply chan<- scheduler.LearnedState }
+	setRetryRatio     struct{ ratio float64 }
 )
 
 // NewCore makes the actor. Attach must be called before Run.
 func NewCore(module *scheduler.Scheduler, clock Clock, log *slog.Logger) *Core {
-	return &Core{module: module, clock: clock, log: log, mailbox: NewMailbox[any](),
-		requests: map[scheduler.RequestID]*request{}}
+	return &Core{scheduler: module, clock: clock, log: log, mailbox: NewMailbox[any](),
+		requests: map[scheduler.RequestID]*openRequest{}}
 }
 
 // SetEndpoints names those who carry actions out. subscribe asks for the destination set's changes; it must
@@ -128,14 +128,14 @@
 // Submit hands in a request and gives it an id of this dispatcher's own counting. Its client gets
 // exactly one answer, unless it leaves before.
 func (c *Core) Submit(in Request) scheduler.RequestID {
-	id := scheduler.RequestID(c.lastID.Add(1))
-	c.ledger.taken()
-	c.mailbox.Post(arrived{id, in})
+	id := scheduler.RequestID(c.lastRequestID.Add(1))
+	c.counters.countSubmitted()
+	c.mailbox.Post(submitRequest{id, in})
 	return id
 }
 
 // Leave tells that a request's client has gone.
-func (c *Core) ClientLeft(id scheduler.RequestID) { c.mailbox.Post(left{id}) }
+func (c *Core) ClientLeft(id scheduler.RequestID) { c.mailbox.Post(clientLeft{id}) }
 
 // StartShutdown tells that this process ends: by then all requests must have their answers.
 func (c *Core) StartShutdown(at time.Time) {
@@ -146,49 +146,53 @@
 func (c *Core) UpdateEndpoints(l scheduler.EndpointsUpdated) { c.mailbox.Post(l) }
 
 // Began tells that a call's job has started.
-func (c *Core) AttemptStarted(id AttemptID) { c.mailbox.Post(began{id}) }
+func (c *Core) AttemptStarted(id AttemptID) { c.mailbox.Post(attemptStarted{id}) }
 
 // Progressed tells how far a call's job is.
-func (c *Core) AttemptProgressed(id AttemptID, share float64) { c.mailbox.Post(progressed{id, share}) }
+func (c *Core) AttemptProgressed(id AttemptID, share float64) {
+	c.mailbox.Post(attemptProgressed{id, share})
+}
 
 // Finished ends a call.
-func (c *Core) AttemptFinished(id AttemptID, end AttemptResult) { c.mailbox.Post(finished{id, end}) }
+func (c *Core) AttemptFinished(id AttemptID, end AttemptResult) {
+	c.mailbox.Post(attemptFinished{id, end})
+}
 
 // Probed answers a probe.
 func (c *Core) ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome, r *scheduler.Report) {
-	if w := c.witness.Load(); w != nil {
+	if w := c.observer.Load(); w != nil {
 		(*w).ProbeCompleted(id, o, r != nil)
 	}
-	if c.guide != nil {
-		c.guide.ProbeCompleted(id, o)
+	if c.zoneRouter != nil {
+		c.zoneRouter.ProbeCompleted(id, o)
 	}
 	c.mailbox.Post(scheduler.ProbeCompleted{Worker: id, Outcome: o, Report: r})
 }
 
 // Dispatched tells that a call was written to its last byte.
-func (c *Core) AttemptSent() { c.ledger.CountAttemptSent() }
+func (c *Core) AttemptSent() { c.counters.CountAttemptSent() }
 
 // OpenRequests is how many requests wait for their answers.
-func (c *Core) OpenRequests() int { return c.ledger.Metrics().OpenRequests }
+func (c *Core) OpenRequests() int { return c.counters.Metrics().OpenRequests }
 
 // Ledger is the account that the core keeps.
-func (c *Core) Counters() *Counters { return &c.ledger }
+func (c *Core) Counters() *Counters { return &c.counters }
 
 // SetDetached takes a worker out by hand, or puts it back. From then on the module knows.
-func (c *Core) SetDetached(id scheduler.WorkerID, out bool) { c.mailbox.Post(byHand{id, out}) }
+func (c *Core) SetDetached(id scheduler.WorkerID, out bool) { c.mailbox.Post(setDetached{id, out}) }
 
 // KnowsWorker tells whether a worker was ever listed, or is out by hand.
 func (c *Core) KnowsWorker(ctx context.Context, id scheduler.WorkerID) (bool, error) {
 	answer := make(chan bool, 1)
-	c.mailbox.Post(knows{id, answer})
-	return await(ctx, answer)
+	c.mailbox.Post(knowsWorker{id, answer})
+	return awaitReply(ctx, answer)
 }
 
 // LearnedState gives what the module has learned.
 func (c *Core) LearnedState(ctx context.Context) (scheduler.LearnedState, error) {
 	answer := make(chan scheduler.LearnedState, 1)
-	c.mailbox.Post(learned{answer})
-	return await(ctx, answer)
+	c.mailbox.Post(learnedStateQuery{answer})
+	return awaitReply(ctx, answer)
 }
 
 // AdoptLearnedState has the module begin with what another process has learned.
@@ -196,8 +200,8 @@
 	c.mailbox.Post(scheduler.HandoverCompleted{LearnedState: e})
 }
 
-// await waits for an actor's answer.
-func await[T any](ctx context.Context, answer <-chan T) (T, error) {
+// awaitReply waits for an actor's answer.
+func awaitReply[T any](ctx context.Context, answer <-chan T) (T, error) {
 	select {
 	case x := <-answer:
 		return x, nil
@@ -213,10 +217,10 @@
 }
 
 // SetRetryPermission names who says whether anything may be sent a second time. It is set before Run and must not block.
-func (c *Core) SetRetryPermission(may func() bool) { c.repeats = may }
+func (c *Core) SetRetryPermission(may func() bool) { c.retriesAllowed = may }
 
 // SetRetryRatio puts a budget in force for requests' further calls: so many for each first one; below 0 for none.
-func (c *Core) SetRetryRatio(share float64) { c.mailbox.Post(limited{share}) }
+func (c *Core) SetRetryRatio(share float64) { c.mailbox.Post(setRetryRatio{share}) }
 
 // SetProcessCount tells how many processes act as this dispatcher.
 func (c *Core) SetProcessCount(processes int) {
@@ -228,7 +232,7 @@
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	var look <-chan time.Time
-	if c.guide != nil {
+	if c.zoneRouter != nil {
 		ticker := time.NewTicker(failover.NoResponseAfter / 4)
 		defer ticker.Stop()
 		look = ticker.C
@@ -248,188 +252,188 @@
 		// a standstill of this process as one turn.
 		c.now = c.clock.Now()
 		for _, m := range c.mailbox.Take() {
-			c.take(m)
+			c.handleMessage(m)
 		}
 		for len(c.timers) > 0 && c.timers[0].at <= c.now {
 			t := heap.Pop(&c.timers).(timer)
-			if t.guard == 0 {
-				c.feed(scheduler.TimerFired{Token: t.token})
+			if t.overdueRequest == 0 {
+				c.handleEvent(scheduler.TimerFired{Token: t.token})
 			} else {
-				c.overdue(t.guard)
+				c.failOverdue(t.overdueRequest)
 			}
 		}
-		if c.guide != nil {
-			c.listen()
+		if c.zoneRouter != nil {
+			c.reportUnanswered()
 		}
-		c.ledger.avoids(c.module.CountAvoided())
+		c.counters.setAvoidedEndpoints(c.scheduler.CountAvoided())
 	}
 }
 
-func (c *Core) take(m any) {
+func (c *Core) handleMessage(m any) {
 	switch m := m.(type) {
-	case arrived:
-		r := &request{Request: m.in, expires: c.clock.At(m.in.Deadline)}
+	case submitRequest:
+		r := &openRequest{Request: m.request, expiresAt: c.clock.At(m.request.Deadline)}
 		c.requests[m.id] = r
-		heap.Push(&c.timers, timer{at: r.expires + r.Limits.AnswerSlack + guardAfter, guard: m.id})
-		within, ok := c.bound(m.id, r)
+		heap.Push(&c.timers, timer{at: r.expiresAt + r.Limits.AnswerSlack + overdueMargin, overdueRequest: m.id})
+		within, ok := c.routeRequest(m.id, r)
 		if !ok {
 			return
 		}
-		c.feed(scheduler.RequestArrived{ID: m.id, Class: r.Class, Slots: r.Slots, EstimatedWork: r.EstimatedWork, AffinityKey: r.AffinityKey, Deadline: r.expires, AllowedZones: within})
-	case left:
+		c.handleEvent(scheduler.RequestArrived{ID: m.id, Class: r.Class, Slots: r.Slots, EstimatedWork: r.EstimatedWork, AffinityKey: r.AffinityKey, Deadline: r.expiresAt, AllowedZones: within})
+	case clientLeft:
 		if r := c.requests[m.id]; r != nil && !r.answered {
 			r.answered = true
-			c.ledger.left()
-			c.feed(scheduler.ClientLeft{ID: m.id})
-			c.forget(m.id, r)
+			c.counters.countClientLeft()
+			c.handleEvent(scheduler.ClientLeft{ID: m.id})
+			c.removeIfClosed(m.id, r)
 		}
-	case began:
-		if r, a := c.call(m.id); a != nil {
-			if a.began = c.now; c.guide != nil {
-				c.guide.AttemptStarted(c.now, a.endpoint)
+	case attemptStarted:
+		if r, a := c.findAttempt(m.id); a != nil {
+			if a.startedAt = c.now; c.zoneRouter != nil {
+				c.zoneRouter.AttemptStarted(c.now, a.endpoint)
 			}
 			if !r.answered {
 				r.Client.AttemptStarted(m.id.Number)
 			}
-			c.feed(scheduler.AttemptStarted{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint})
+			c.handleEvent(scheduler.AttemptStarted{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint})
 		}
-	case progressed:
-		if r, a := c.call(m.id); a != nil {
+	case attemptProgressed:
+		if r, a := c.findAttempt(m.id); a != nil {
 			if !r.answered {
 				r.Client.AttemptProgressed(m.id.Number, m.share)
 			}
-			c.feed(scheduler.AttemptProgressed{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint, Share: m.share})
+			c.handleEvent(scheduler.AttemptProgressed{ID: m.id.Request, Attempt: m.id.Number, Worker: a.endpoint, Share: m.share})
 		}
-	case finished:
-		c.finish(m.id, m.end)
-	case byHand:
+	case attemptFinished:
+		c.finishAttempt(m.id, m.result)
+	case setDetached:
 		ev, since := scheduler.Event(scheduler.WorkerReattached{Worker: m.id}), time.Time{}
-		if m.out {
+		if m.detached {
 			ev, since = scheduler.WorkerDetached{Worker: m.id}, time.Now()
 		}
 		c.endpoints.SetDetached(m.id, since) // first, so that what the module sends from now on finds it done
-		c.feed(ev)
-	case limited:
-		if m.share < 0 {
-			c.budget = nil
+		c.handleEvent(ev)
+	case setRetryRatio:
+		if m.ratio < 0 {
+			c.retryBudget = nil
 			return
 		}
-		if c.budget == nil {
-			c.budget = retrybudget.New(m.share)
+		if c.retryBudget == nil {
+			c.retryBudget = retrybudget.New(m.ratio)
 		}
-		c.budget.SetRatio(m.share)
-	case learned:
-		m.answer <- c.module.LearnedState() // has room
-	case knows:
-		m.answer <- c.module.KnowsWorker(m.id) // has room
+		c.retryBudget.SetRatio(m.ratio)
+	case learnedStateQuery:
+		m.reply <- c.scheduler.LearnedState() // has room
+	case knowsWorker:
+		m.reply <- c.scheduler.KnowsWorker(m.id) // has room
 	case scheduler.Event:
-		if l, ok := m.(scheduler.EndpointsUpdated); ok && c.guide != nil {
-			c.guide.EndpointsUpdated(c.now, l)
+		if l, ok := m.(scheduler.EndpointsUpdated); ok && c.zoneRouter != nil {
+			c.zoneRouter.EndpointsUpdated(c.now, l)
 		}
-		c.feed(m)
+		c.handleEvent(m)
 	}
 }
 
-// call finds a call that has no outcome yet.
-func (c *Core) call(id AttemptID) (*request, *call) {
+// findAttempt finds a findAttempt that has no outcome yet.
+func (c *Core) findAttempt(id AttemptID) (*openRequest, *attempt) {
 	r := c.requests[id.Request]
-	if r == nil || id.Number < 0 || id.Number >= len(r.calls) || !r.calls[id.Number].out {
+	if r == nil || id.Number < 0 || id.Number >= len(r.attempts) || !r.attempts[id.Number].inFlight {
 		return nil, nil
 	}
-	return r, &r.calls[id.Number]
+	return r, &r.attempts[id.Number]
 }
 
-// finish ends a call, once: a second outcome of the same call finds it closed. The first that was served
+// finishAttempt ends a call, once: a second outcome of the same call finds it closed. The first that was served
 // is the client's answer.
-func (c *Core) finish(id AttemptID, end AttemptResult) {
-	r, a := c.call(id)
+func (c *Core) finishAttempt(id AttemptID, end AttemptResult) {
+	r, a := c.findAttempt(id)
 	if a == nil {
 		return
 	}
-	a.out, a.outcome = false, end.Outcome
-	r.out--
+	a.inFlight, a.outcome = false, end.Outcome
+	r.inFlight--
 	r.timedOut = r.timedOut || end.Outcome == scheduler.TimedOut
-	r.sent = r.sent || end.Outcome != scheduler.NeverSent && end.Outcome != scheduler.NoConnect
-	c.told(r, a, end.Outcome)
+	r.attemptSent = r.attemptSent || end.Outcome != scheduler.NeverSent && end.Outcome != scheduler.NoConnect
+	c.reportAttemptEnded(r, a, end.Outcome)
 	if end.Outcome == scheduler.Served {
-		if w := c.witness.Load(); w != nil {
-			(*w).JobServed(a.endpoint, r.Class, c.now-cmp.Or(a.began, a.sent))
+		if w := c.observer.Load(); w != nil {
+			(*w).JobServed(a.endpoint, r.Class, c.now-cmp.Or(a.startedAt, a.sentAt))
 		}
-		c.answer(r, Answer{Verdict: Served, Result: end.Result})
+		c.answerRequest(r, Answer{Verdict: Served, Result: end.Result})
 	}
-	c.feed(scheduler.AttemptFinished{ID: id.Request, Attempt: id.Number, Worker: a.endpoint, Outcome: end.Outcome,
+	c.handleEvent(scheduler.AttemptFinished{ID: id.Request, Attempt: id.Number, Worker: a.endpoint, Outcome: end.Outcome,
 		Final: r.answered, Report: end.Report, ConnectionIdle: end.ConnectionIdle})
-	c.forget(id.Request, r)
+	c.removeIfClosed(id.Request, r)
 }
 
-// overdue guards the promise to answer in time against a module that has not: it can only find a
+// failOverdue guards the promise to answer in time against a module that has not: it can only find a
 // request here that would else stay open for ever.
-func (c *Core) overdue(id scheduler.RequestID) {
+func (c *Core) failOverdue(id scheduler.RequestID) {
 	if r := c.requests[id]; r != nil && !r.answered {
 		c.log.Error("request overdue: failed by the core", "request", id, "id", r.LogName)
-		c.answer(r, Answer{Verdict: Failed})
-		c.feed(scheduler.ClientLeft{ID: id})
-		c.forget(id, r)
+		c.answerRequest(r, Answer{Verdict: Failed})
+		c.handleEvent(scheduler.ClientLeft{ID: id})
+		c.removeIfClosed(id, r)
 	}
 }
 
-// answer gives the final answer; a second one is dropped.
-func (c *Core) answer(r *request, a Answer) {
+// answerRequest gives the final answerRequest; a second one is dropped.
+func (c *Core) answerRequest(r *openRequest, a Answer) {
 	if r.answered {
 		return
 	}
-	a.DeadlinePassed = a.Verdict != Served && (r.timedOut || c.now >= r.expires-r.Limits.AnswerSlack)
+	a.DeadlinePassed = a.Verdict != Served && (r.timedOut || c.now >= r.expiresAt-r.Limits.AnswerSlack)
 	r.answered = true
-	c.ledger.answered(r.ClassName, a.Verdict, r.sent || r.out > 0)
+	c.counters.countAnswered(r.ClassName, a.Verdict, r.attemptSent || r.inFlight > 0)
 	c.logAnswer(r, a)
 	r.Client.Answered(a)
 }
 
 // logAnswer tells, at debug level, how a request was answered and how each of its attempts stood then.
-func (c *Core) logAnswer(r *request, a Answer) {
+func (c *Core) logAnswer(r *openRequest, a Answer) {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	var attempts []string
-	for i := range r.calls {
-		attempts = append(attempts, fmt.Sprintf("%s %s", r.calls[i].endpoint, r.calls[i].state()))
+	for i := range r.attempts {
+		attempts = append(attempts, fmt.Sprintf("%s %s", r.attempts[i].endpoint, r.attempts[i].stateName()))
 	}
 	c.log.Debug("answered", "id", r.LogName, "verdict", a.Verdict.String(), "expired", a.DeadlinePassed, "attempts", attempts)
 }
 
-// state names how an attempt ended, or that it has not.
-func (a *call) state() string {
-	if a.out {
+// stateName names how an attempt ended, or that it has not.
+func (a *attempt) stateName() string {
+	if a.inFlight {
 		return "open"
 	}
 	return a.outcome.String()
 }
 
-func (c *Core) forget(id scheduler.RequestID, r *request) {
-	if r.answered && r.out == 0 {
+func (c *Core) removeIfClosed(id scheduler.RequestID, r *openRequest) {
+	if r.answered && r.inFlight == 0 {
 		delete(c.requests, id)
 	}
 }
 
-// feed tells the module an event and carries its actions out. Nothing in here feeds again: what an action
+// handleEvent tells the module an event and carries its actions out. Nothing in here feeds again: what an action
 // brings about comes by the mailbox.
-func (c *Core) feed(ev scheduler.Event) {
-	for _, a := range c.module.Handle(c.now, ev) {
+func (c *Core) handleEvent(ev scheduler.Event) {
+	for _, a := range c.scheduler.Handle(c.now, ev) {
 		switch a := a.(type) {
 		case scheduler.Send:
-			c.send(a)
+			c.sendAttempt(a)
 		case scheduler.Cancel:
-			if r, call := c.call(AttemptID{a.ID, a.Attempt}); r != nil {
+			if r, call := c.findAttempt(AttemptID{a.ID, a.Attempt}); r != nil {
 				c.endpoints.Cancel(call.endpoint, AttemptID{a.ID, a.Attempt})
 			}
 		case scheduler.Reject:
-			c.final(a.ID, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
+			c.closeRequest(a.ID, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
 		case scheduler.Fail:
-			c.final(a.ID, Answer{Verdict: Failed})
+			c.closeRequest(a.ID, Answer{Verdict: Failed})
 		case scheduler.CloseIdleConnections:
 			c.endpoints.CloseIdle(a.Worker, a.MinIdle)
 		case scheduler.Probe:
-			if c.spend != nil && !c.spend.AllowProbe() {
+			if c.fleetBudget != nil && !c.fleetBudget.AllowProbe() {
 				c.ProbeCompleted(a.Worker, scheduler.NeverSent, nil)
 				continue
 			}
@@ -444,49 +448,49 @@
 	}
 }
 
-func (c *Core) final(id scheduler.RequestID, a Answer) {
+func (c *Core) closeRequest(id scheduler.RequestID, a Answer) {
 	if r := c.requests[id]; r != nil {
-		c.answer(r, a)
-		c.forget(id, r)
+		c.answerRequest(r, a)
+		c.removeIfClosed(id, r)
 	}
 }
 
-// send starts a call, unless the request is over, its time has come or it has had all its calls.
-func (c *Core) send(a scheduler.Send) {
+// sendAttempt starts a call, unless the request is over, its time has come or it has had all its calls.
+func (c *Core) sendAttempt(a scheduler.Send) {
 	id := AttemptID{a.ID, 0}
 	r := c.requests[a.ID]
 	if r == nil {
 		c.log.Error("module sent an unknown request", "request", a.ID)
 		return
 	}
-	id.Number = len(r.calls)
-	r.calls = append(r.calls, call{endpoint: a.Worker, out: true, sent: c.now})
-	r.out++
+	id.Number = len(r.attempts)
+	r.attempts = append(r.attempts, attempt{endpoint: a.Worker, inFlight: true, sentAt: c.now})
+	r.inFlight++
 	out := Attempt{ID: id, Endpoint: a.Worker, Deadline: r.Deadline, Job: r.Job, ClientGone: r.ClientGone}
 	if a.SendBy > 0 {
 		out.SendBy = c.clock.Time(a.SendBy)
 	}
-	if r.answered || c.now >= r.expires || out.MustNotSend(c.clock.Time(c.now)) || r.Limits.MaxAttempts > 0 && id.Number >= r.Limits.MaxAttempts {
+	if r.answered || c.now >= r.expiresAt || out.MustNotSend(c.clock.Time(c.now)) || r.Limits.MaxAttempts > 0 && id.Number >= r.Limits.MaxAttempts {
 		c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
-	if id.Number > 0 && c.repeats != nil && !c.repeats() {
-		c.ledger.repeatDenied()
+	if id.Number > 0 && c.retriesAllowed != nil && !c.retriesAllowed() {
+		c.counters.countFleetRetryDenied()
 		c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
 	if id.Number == 0 {
-		c.firsts.Add(1)
-	} else if c.spend != nil && !c.spend.AllowRetry() {
-		c.ledger.repeatDenied()
+		c.firstAttempts.Add(1)
+	} else if c.fleetBudget != nil && !c.fleetBudget.AllowRetry() {
+		c.counters.countFleetRetryDenied()
 		c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
-	if c.budget != nil {
+	if c.retryBudget != nil {
 		if id.Number == 0 {
-			c.budget.CountFirstAttempt(c.now, r.ClassName, r.Account)
-		} else if !c.budget.AllowRetry(c.now, r.ClassName, r.Account) {
-			c.ledger.denied(c.budget.Denied())
+			c.retryBudget.CountFirstAttempt(c.now, r.ClassName, r.Account)
+		} else if !c.retryBudget.AllowRetry(c.now, r.ClassName, r.Account) {
+			c.counters.setRetriesDenied(c.retryBudget.Denied())
 			c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
 			return
 		}
@@ -496,9 +500,9 @@
 
 // timer is a Wake of the module, or the guard of a request's deadline.
 type timer struct {
-	at    scheduler.Clock
-	token uint64
-	guard scheduler.RequestID // 0 for a Wake
+	at             scheduler.Clock
+	token          uint64
+	overdueRequest scheduler.RequestID // 0 for a Wake
 }
 
 type timers []timer
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -11,8 +11,8 @@
 // Counters is the account of what became of the requests: each is entered once, where its one final answer is
 // decided. It is read beside the core, which a reader never holds up.
 type Counters struct {
-	mu sync.Mutex
-	f  Metrics
+	mu      sync.Mutex
+	metrics Metrics
 }
 
 // Metrics are a moment's numbers, counted from the start of the process.
@@ -40,21 +40,21 @@
 func (l *Counters) Metrics() Metrics {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f := l.f
+	f := l.metrics
 	f.Classes = maps.Clone(f.Classes)
 	return f
 }
 
-func (l *Counters) enter(change func(*Metrics)) {
+func (l *Counters) update(change func(*Metrics)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.f.Classes == nil {
-		l.f.Classes = map[string]ClassCounts{}
+	if l.metrics.Classes == nil {
+		l.metrics.Classes = map[string]ClassCounts{}
 	}
-	change(&l.f)
+	change(&l.metrics)
 }
 
-func (f *Metrics) count(class string, v Verdict) {
+func (f *Metrics) countAnswer(class string, v Verdict) {
 	t := f.Classes[class]
 	switch v {
 	case Served:
@@ -69,7 +69,7 @@
 
 // AddClass has a class stand in the account before it has had a request.
 func (l *Counters) AddClass(name string) {
-	l.enter(func(f *Metrics) {
+	l.update(func(f *Metrics) {
 		if _, stands := f.Classes[name]; !stands {
 			f.Classes[name] = ClassCounts{}
 		}
@@ -79,19 +79,19 @@
 // CountAnsweredByFrontend counts a request that a front answered itself, before the module heard of it. What names a class that there
 // never was is no job.
 func (l *Counters) CountAnsweredByFrontend(class string, v Verdict) {
-	l.enter(func(f *Metrics) {
+	l.update(func(f *Metrics) {
 		if _, had := f.Classes[class]; had {
-			f.count(class, v)
+			f.countAnswer(class, v)
 		}
 	})
 }
 
 // CountAttemptSent counts a call that was written to its last byte.
-func (l *Counters) CountAttemptSent() { l.enter(func(f *Metrics) { f.AttemptsSent++ }) }
+func (l *Counters) CountAttemptSent() { l.update(func(f *Metrics) { f.AttemptsSent++ }) }
 
 // CountReload counts a new version of the platform's file, taken or not.
 func (l *Counters) CountReload(taken bool) {
-	l.enter(func(f *Metrics) {
+	l.update(func(f *Metrics) {
 		if taken {
 			f.ReloadsApplied++
 		} else {
@@ -100,9 +100,9 @@
 	})
 }
 
-// discoveryCalled counts a call for the list, and whether it is made while another is open.
-func (l *Counters) discoveryCalled(beside bool) {
-	l.enter(func(f *Metrics) {
+// countDiscoveryCall counts a call for the list, and whether it is made while another is open.
+func (l *Counters) countDiscoveryCall(beside bool) {
+	l.update(func(f *Metrics) {
 		f.DiscoveryCalls++
 		if beside {
 			f.DiscoveryOverlaps++
@@ -110,9 +110,9 @@
 	})
 }
 
-// discoveryFailed counts a call that brought no list.
-func (l *Counters) discoveryFailed(how polling.Failure) {
-	l.enter(func(f *Metrics) {
+// countDiscoveryFailure counts a call that brought no list.
+func (l *Counters) countDiscoveryFailure(how polling.Failure) {
+	l.update(func(f *Metrics) {
 		f.DiscoveryFailures++
 		switch how {
 		case polling.Rejected:
@@ -123,14 +123,16 @@
 	})
 }
 
-func (l *Counters) listHeard(at time.Time) { l.enter(func(f *Metrics) { f.ListReceivedAt = at }) }
+func (l *Counters) setListReceivedAt(at time.Time) {
+	l.update(func(f *Metrics) { f.ListReceivedAt = at })
+}
 
-func (l *Counters) taken() { l.enter(func(f *Metrics) { f.OpenRequests++ }) }
-func (l *Counters) left()  { l.enter(func(f *Metrics) { f.OpenRequests-- }) }
+func (l *Counters) countSubmitted()  { l.update(func(f *Metrics) { f.OpenRequests++ }) }
+func (l *Counters) countClientLeft() { l.update(func(f *Metrics) { f.OpenRequests-- }) }
 
-func (l *Counters) answered(class string, v Verdict, sent bool) {
-	l.enter(func(f *Metrics) {
-		f.count(class, v)
+func (l *Counters) countAnswered(class string, v Verdict, sent bool) {
+	l.update(func(f *Metrics) {
+		f.countAnswer(class, v)
 		f.OpenRequests--
 		if v == Failed && !sent {
 			f.FailedUnsent++
@@ -138,7 +140,7 @@
 	})
 }
 
-func (l *Counters) listed(n int)  { l.enter(func(f *Metrics) { f.ListedEndpoints = n }) }
-func (l *Counters) denied(n int)  { l.enter(func(f *Metrics) { f.RetriesDenied = n }) }
-func (l *Counters) repeatDenied() { l.enter(func(f *Metrics) { f.FleetRetriesDenied++ }) }
-func (l *Counters) avoids(n int)  { l.enter(func(f *Metrics) { f.AvoidedEndpoints = n }) }
+func (l *Counters) setListedEndpoints(n int)  { l.update(func(f *Metrics) { f.ListedEndpoints = n }) }
+func (l *Counters) setRetriesDenied(n int)    { l.update(func(f *Metrics) { f.RetriesDenied = n }) }
+func (l *Counters) countFleetRetryDenied()    { l.update(func(f *Metrics) { f.FleetRetriesDenied++ }) }
+func (l *Counters) setAvoidedEndpoints(n int) { l.update(func(f *Metrics) { f.AvoidedEndpoints = n }) }
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -45,52 +45,52 @@
 // EndpointList is the destination set's actor. While subscribed it watches without a gap; each answer
 // goes to the endpoints first and then to the module, so the module never sends to one unknown here.
 type EndpointList struct {
-	core      *Core
-	endpoints EndpointPool
-	log       *slog.Logger
-	mailbox   *Mailbox[any]
+	core    *Core
+	pool    EndpointPool
+	log     *slog.Logger
+	mailbox *Mailbox[any]
 
 	// Owned by Run.
-	calls   *listCalls
-	members endpointstate.Table
-	known   map[scheduler.WorkerID]Endpoint // as members has their states
-	start   *CachedStart                    // nil unless this process started from a saved list and nobody told a newer one
-	keeper  EndpointStore                   // nil for none
-	source  atomic.Pointer[ListSource]
-
-	starts incarnations.Tracker // of the workers, on the core's clock; known has them as discovery stamps them
-	told   bool                 // a list of discovery's was taken in
-
-	rules     func() polling.Rules
-	answered  time.Time     // when discovery last answered; before, when this process began
-	asOf      time.Time     // all that discovery had then is known
-	first     chan struct{} // closed when the first call has ended, however
-	failures  callFailures  // since a call succeeded
-	reported  time.Time     // when a row of failures was last logged
-	lagged    time.Time     // when an answer with a lower revision was last logged
-	recheckAt time.Time     // when the whole list is to be asked for, as something was not believed; zero for never
+	calls       *listCalls
+	states      endpointstate.Table
+	known       map[scheduler.WorkerID]Endpoint // as members has their states
+	cachedStart *CachedStart                    // nil unless this process started from a saved list and nobody told a newer one
+	store       EndpointStore                   // nil for none
+	source      atomic.Pointer[ListSource]
+
+	incarnations incarnations.Tracker // of the workers, on the core's clock; known has them as discovery stamps them
+	listReceived bool                 // a list of discovery's was taken in
+
+	pollRules        func() polling.Rules
+	answeredAt       time.Time     // when discovery last answered; before, when this process began
+	completeAsOf     time.Time     // all that discovery had then is known
+	firstCallDone    chan struct{} // closed when the first call has ended, however
+	failures         callFailures  // since a call succeeded
+	failuresLoggedAt time.Time     // when a row of failures was last logged
+	lagLoggedAt      time.Time     // when an answer with a lower revision was last logged
+	recheckAt        time.Time     // when the whole list is to be asked for, as something was not believed; zero for never
 }
 
-// beforeStart is how long before the start of a process a change may have been made that counts as told in its time: the process
+// startLookback is how long before the start of a process a change may have been made that counts as told in its time: the process
 // before it has just ended, or it was killed.
-const beforeStart = 2 * time.Second
+const startLookback = 2 * time.Second
 
 type (
-	subscribe struct{}
-	move      struct{ to Discovery }
-	ask       struct{ answer chan<- ListUpdate }
+	subscribe       struct{}
+	changeDiscovery struct{ to Discovery }
+	snapshotQuery   struct{ reply chan<- ListUpdate }
 )
 
 // NewEndpointList makes the actor with the set as it was known last, and tells the module of that.
 func NewEndpointList(c *Core, e EndpointPool, d Discovery, saved ListUpdate, log *slog.Logger) *EndpointList {
 	now := time.Now()
-	s := &EndpointList{core: c, endpoints: e, log: log, mailbox: NewMailbox[any](), known: map[scheduler.WorkerID]Endpoint{},
-		rules: func() polling.Rules { return polling.Rules{Dispatchers: 1} }, answered: now, first: make(chan struct{})}
-	s.calls = &listCalls{schedule: polling.NewSchedule(now), rules: func() polling.Rules { return s.rules() },
-		current: &service{discovery: d}, ended: func(m callEnded) { s.mailbox.Post(m) }, ledger: &c.ledger, log: log}
-	s.asOf = now.Add(-beforeStart)
+	s := &EndpointList{core: c, pool: e, log: log, mailbox: NewMailbox[any](), known: map[scheduler.WorkerID]Endpoint{},
+		pollRules: func() polling.Rules { return polling.Rules{Dispatchers: 1} }, answeredAt: now, firstCallDone: make(chan struct{})}
+	s.calls = &listCalls{schedule: polling.NewSchedule(now), pollRules: func() polling.Rules { return s.pollRules() },
+		current: &discoveryService{discovery: d}, onEnded: func(m callEnded) { s.mailbox.Post(m) }, counters: &c.counters, log: log}
+	s.completeAsOf = now.Add(-startLookback)
 	s.calls.current.revision = saved.Revision
-	s.begin(saved, now)
+	s.restore(saved, now)
 	return s
 }
 
@@ -98,32 +98,32 @@
 func (s *EndpointList) Subscribe() { s.mailbox.Post(subscribe{}) }
 
 // ChangeDiscovery goes on with another discovery. It does not block.
-func (s *EndpointList) ChangeDiscovery(to Discovery) { s.mailbox.Post(move{to}) }
+func (s *EndpointList) ChangeDiscovery(to Discovery) { s.mailbox.Post(changeDiscovery{to}) }
 
 // Snapshot gives the set as it is known, once the actor runs.
 func (s *EndpointList) Snapshot(ctx context.Context) (ListUpdate, error) {
 	answer := make(chan ListUpdate, 1)
-	s.mailbox.Post(ask{answer})
-	return await(ctx, answer)
+	s.mailbox.Post(snapshotQuery{answer})
+	return awaitReply(ctx, answer)
 }
 
 // SetPollRules names who gives the rules that calls for the list go by, of the settings in force. Where lists are pushed to an agent
 // the module does not ask for changes: the actor calls the agent from its start.
-func (s *EndpointList) SetPollRules(rules func() polling.Rules) { s.rules = rules }
+func (s *EndpointList) SetPollRules(rules func() polling.Rules) { s.pollRules = rules }
 
 // FirstCallDone is closed when the first call has ended, however.
-func (s *EndpointList) FirstCallDone() <-chan struct{} { return s.first }
+func (s *EndpointList) FirstCallDone() <-chan struct{} { return s.firstCallDone }
 
 // Run is the actor's life.
 func (s *EndpointList) Run(ctx context.Context) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
-	if s.rules().ListsPushed {
+	if s.pollRules().ListsPushed {
 		s.Subscribe()
 	}
-	s.trust(func(now scheduler.Clock) []cachetrust.Action { return s.start.Assessor.Check(now) })
+	s.runAssessor(func(now scheduler.Clock) []cachetrust.Action { return s.cachedStart.Assessor.Check(now) })
 	for {
-		if at, ok := s.wakeAt(); ok {
+		if at, ok := s.nextWake(); ok {
 			alarm.Reset(time.Until(at))
 		}
 		select {
@@ -133,22 +133,22 @@
 		case <-alarm.C:
 		}
 		for _, m := range s.mailbox.Take() {
-			s.receive(ctx, m)
+			s.handleMessage(ctx, m)
 		}
-		s.recheck(time.Now())
-		s.calls.call(ctx, time.Now())
-		s.trust(func(now scheduler.Clock) []cachetrust.Action { return s.start.Assessor.Check(now) })
-		s.expire()
+		s.pollFullListIfDue(time.Now())
+		s.calls.callIfDue(ctx, time.Now())
+		s.runAssessor(func(now scheduler.Clock) []cachetrust.Action { return s.cachedStart.Assessor.Check(now) })
+		s.expireRetained()
 	}
 }
 
-// wakeAt gives when there is something to do if nothing comes.
-func (s *EndpointList) wakeAt() (at time.Time, ok bool) {
-	at, ok = s.calls.due()
+// nextWake gives when there is something to do if nothing comes.
+func (s *EndpointList) nextWake() (at time.Time, ok bool) {
+	at, ok = s.calls.nextCall()
 	if ok && !s.recheckAt.IsZero() && s.recheckAt.Before(at) {
 		at = s.recheckAt
 	}
-	if due, trusts := s.due(); trusts {
+	if due, trusts := s.assessorDue(); trusts {
 		if t := s.core.clock.Time(due); !ok || t.Before(at) {
 			at, ok = t, true
 		}
@@ -156,50 +156,50 @@
 	return at, ok
 }
 
-// recheck has the whole list asked for where something of an answer was not believed, and may be by now.
-func (s *EndpointList) recheck(now time.Time) {
+// pollFullListIfDue has the whole list asked for where something of an answer was not believed, and may be by now.
+func (s *EndpointList) pollFullListIfDue(now time.Time) {
 	if s.recheckAt.IsZero() || now.Before(s.recheckAt) {
 		return
 	}
 	s.recheckAt = time.Time{}
-	if !s.calls.current.recheck {
-		s.calls.current.recheck = true
+	if !s.calls.current.fullListDue {
+		s.calls.current.fullListDue = true
 		s.calls.schedule.PollNow(now)
 	}
 }
 
-// receive takes a message.
-func (s *EndpointList) receive(ctx context.Context, m any) {
+// handleMessage takes a message.
+func (s *EndpointList) handleMessage(ctx context.Context, m any) {
 	switch m := m.(type) {
 	case subscribe:
 		s.calls.schedule.Start(time.Now())
-	case move:
+	case changeDiscovery:
 		// The new one is asked for its whole set: nobody says that both count revisions alike, and a change that the old
 		// one had under way must not be lost. Until the answer the list as known holds, and what the old one still brings.
-		s.log.Info("discovery moved", "open_calls", len(s.calls.open), "list_age", s.age())
+		s.log.Info("discovery moved", "open_calls", len(s.calls.open), "list_age", s.listAge())
 		now := time.Now()
-		s.calls.move(ctx, m.to, now)
-		s.movedAt(now)
-	case ask:
-		m.answer <- s.whole() // has room
-	case sign:
-		s.heard(m)
+		s.calls.changeService(ctx, m.to, now)
+		s.serviceChanged(now)
+	case snapshotQuery:
+		m.reply <- s.snapshot() // has room
+	case endpointSignal:
+		s.handleSignal(m)
 	case callEnded:
-		if c := s.calls.take(m); c != nil {
-			s.take(ctx, c, m)
+		if c := s.calls.remove(m); c != nil {
+			s.handleCallEnded(ctx, c, m)
 		}
 		if m.number == 1 {
-			close(s.first)
+			close(s.firstCallDone)
 		}
 	}
 }
 
-// whole gives the set as it is known.
-func (s *EndpointList) whole() ListUpdate {
+// snapshot gives the set as it is known.
+func (s *EndpointList) snapshot() ListUpdate {
 	u := ListUpdate{Revision: s.calls.current.revision, Complete: true}
 	now := s.core.clock.Now()
 	for _, d := range s.known {
-		if at := s.starts.StartedAt(d.ID); at > 0 {
+		if at := s.incarnations.StartedAt(d.ID); at > 0 {
 			d.Age = now - at
 		}
 		u.Endpoints = append(u.Endpoints, d)
--- a/internal/routing/listcalls.go
+++ b/internal/routing/listcalls.go
@@ -12,30 +12,30 @@
 	"brassdale/internal/decisions/polling"
 )
 
-// mostOpenCalls bounds the calls for the list that are open at a time: a watch, those made beside it, and those that a move
+// maxOpenCalls bounds the calls for the list that are open at a time: a watch, those made beside it, and those that a move
 // of discovery found open.
-const mostOpenCalls = 8
-
-// mostFormer bounds the services before moves that are still listened to.
-const mostFormer = 4
-
-// service is a discovery service that is asked, or was before a move.
-type service struct {
-	discovery Discovery
-	revision  int64     // that is known of it; Whole for none
-	answered  bool      // it has brought a list
-	heard     time.Time // when it last did
-	recheck   bool      // the whole list is to be asked for: something of it was not believed
+const maxOpenCalls = 8
+
+// maxPreviousServices bounds the services before moves that are still listened to.
+const maxPreviousServices = 4
+
+// discoveryService is a discovery discoveryService that is asked, or was before a move.
+type discoveryService struct {
+	discovery   Discovery
+	revision    int64     // that is known of it; Whole for none
+	answered    bool      // it has brought a list
+	heard       time.Time // when it last did
+	fullListDue bool      // the whole list is to be asked for: something of it was not believed
 }
 
 // listCall is a call for the list that has not ended.
 type listCall struct {
-	number   int
-	service  *service
-	kind     polling.Kind
-	revision int64
-	begun    time.Time
-	stop     context.CancelFunc
+	number    int
+	service   *discoveryService
+	kind      polling.Kind
+	revision  int64
+	startedAt time.Time
+	cancel    context.CancelFunc
 }
 
 // callEnded is what became of a call.
@@ -50,56 +50,56 @@
 // of discovery the calls to the service before go on until the new one has answered. Owned by the actor of the destination
 // set; call results reach it by its mailbox.
 type listCalls struct {
-	schedule *polling.Schedule
-	rules    func() polling.Rules
-	current  *service
-	former   []*service  // before moves, while the current one has not answered; the oldest first
-	open     []*listCall // the oldest first
-	made     int
-	ended    func(callEnded)
-	ledger   *Counters
-	log      *slog.Logger
+	schedule   *polling.Schedule
+	pollRules  func() polling.Rules
+	current    *discoveryService
+	previous   []*discoveryService // before moves, while the current one has not answered; the oldest first
+	open       []*listCall         // the oldest first
+	lastNumber int
+	onEnded    func(callEnded)
+	counters   *Counters
+	log        *slog.Logger
 }
 
-// due gives the time of the next call; not ok where none is to be made.
-func (l *listCalls) due() (at time.Time, ok bool) { return l.schedule.Next() }
+// nextCall gives the time of the next call; not ok where none is to be made.
+func (l *listCalls) nextCall() (at time.Time, ok bool) { return l.schedule.Next() }
 
-// call makes the next call if its time has come.
-func (l *listCalls) call(ctx context.Context, now time.Time) {
+// callIfDue makes the next callIfDue if its time has come.
+func (l *listCalls) callIfDue(ctx context.Context, now time.Time) {
 	at, ok := l.schedule.Next()
 	if !ok || now.Before(at) {
 		return
 	}
-	revisionKnown := l.current.revision != FullList && !l.current.recheck
-	kind := l.schedule.CallStarted(now, l.made+1, revisionKnown, l.rules(), rand.Float64())
-	l.begin(ctx, now, l.current, kind)
+	revisionKnown := l.current.revision != FullList && !l.current.fullListDue
+	kind := l.schedule.CallStarted(now, l.lastNumber+1, revisionKnown, l.pollRules(), rand.Float64())
+	l.startCall(ctx, now, l.current, kind)
 }
 
-// begin makes a call, under the next number.
-func (l *listCalls) begin(ctx context.Context, now time.Time, to *service, kind polling.Kind) {
-	if len(l.open) >= mostOpenCalls {
-		l.giveUp(l.open[0], "too many are open")
+// startCall makes a call, under the next number.
+func (l *listCalls) startCall(ctx context.Context, now time.Time, to *discoveryService, kind polling.Kind) {
+	if len(l.open) >= maxOpenCalls {
+		l.cancel(l.open[0], "too many are open")
 	}
-	l.made++
+	l.lastNumber++
 	ctx, stop := context.WithCancel(ctx)
-	c := &listCall{number: l.made, service: to, kind: kind, revision: to.revision, begun: now, stop: stop}
+	c := &listCall{number: l.lastNumber, service: to, kind: kind, revision: to.revision, startedAt: now, cancel: stop}
 	if kind == polling.FullList {
 		c.revision = FullList
 	}
-	l.ledger.discoveryCalled(len(l.open) > 0)
+	l.counters.countDiscoveryCall(len(l.open) > 0)
 	l.open = append(l.open, c)
 	go func() {
 		update, err := to.discovery.Call(ctx, c.revision, kind)
-		l.ended(callEnded{c.number, update, err})
+		l.onEnded(callEnded{c.number, update, err})
 	}()
 }
 
-// take removes a call that has ended; nil where it was given up before.
-func (l *listCalls) take(m callEnded) *listCall {
+// remove removes a call that has ended; nil where it was given up before.
+func (l *listCalls) remove(m callEnded) *listCall {
 	for i, c := range l.open {
 		if c.number == m.number {
 			l.open = append(l.open[:i], l.open[i+1:]...)
-			c.stop()
+			c.cancel()
 			l.logEnd(c, m)
 			return c
 		}
@@ -109,60 +109,60 @@
 
 func (l *listCalls) logEnd(c *listCall, m callEnded) {
 	l.log.Debug("discovery called", "call", c.number, "kind", c.kind.String(), "former", c.service != l.current, "revision", c.revision,
-		"took", time.Since(c.begun), "got", m.update.Revision, "complete", m.update.Complete, "lines", len(m.update.Endpoints),
+		"took", time.Since(c.startedAt), "got", m.update.Revision, "complete", m.update.Complete, "lines", len(m.update.Endpoints),
 		"beside", len(l.open), "err", m.err)
 }
 
-// giveUp ends a call that has not ended.
-func (l *listCalls) giveUp(c *listCall, why string) {
-	l.log.Debug("discovery call given up", "call", c.number, "kind", c.kind.String(), "after", time.Since(c.begun), "why", why)
-	l.take(callEnded{number: c.number, err: context.Canceled})
+// cancel ends a call that has not ended.
+func (l *listCalls) cancel(c *listCall, why string) {
+	l.log.Debug("discovery call given up", "call", c.number, "kind", c.kind.String(), "after", time.Since(c.startedAt), "why", why)
+	l.remove(callEnded{number: c.number, err: context.Canceled})
 }
 
-// move goes on with another service. The calls to those before stay open until it has answered, and a watch there goes on that
+// changeService goes on with another service. The calls to those before stay open until it has answered, and a watch there goes on that
 // is between two calls.
-func (l *listCalls) move(ctx context.Context, to Discovery, now time.Time) {
+func (l *listCalls) changeService(ctx context.Context, to Discovery, now time.Time) {
 	if l.current.answered && l.schedule.BetweenWatches() {
-		l.begin(ctx, now, l.current, polling.Watch)
+		l.startCall(ctx, now, l.current, polling.Watch)
 	}
-	l.former = append(l.former, l.current)
-	if len(l.former) > mostFormer {
-		l.drop(l.former[0])
-		l.former = l.former[1:]
+	l.previous = append(l.previous, l.current)
+	if len(l.previous) > maxPreviousServices {
+		l.dropService(l.previous[0])
+		l.previous = l.previous[1:]
 	}
-	l.current = &service{discovery: to, revision: FullList}
+	l.current = &discoveryService{discovery: to, revision: FullList}
 	l.schedule.ServiceMoved(now, rand.Float64())
 }
 
-// dropFormer lets go of the services before a move.
-func (l *listCalls) dropFormer() {
-	for _, s := range l.former {
-		l.drop(s)
+// dropPrevious lets go of the services before a move.
+func (l *listCalls) dropPrevious() {
+	for _, s := range l.previous {
+		l.dropService(s)
 	}
-	l.former = nil
+	l.previous = nil
 }
 
-// drop gives up what is open at a service and lets go of its connections.
-func (l *listCalls) drop(s *service) {
+// dropService gives up what is open at a service and lets go of its connections.
+func (l *listCalls) dropService(s *discoveryService) {
 	for _, c := range slices.Clone(l.open) {
 		if c.service == s {
-			l.giveUp(c, "discovery has moved")
+			l.cancel(c, "discovery has moved")
 		}
 	}
 	s.discovery.Close()
 }
 
-// answer gives what a call brought in the terms of membership.
-func (c *listCall) answer(u ListUpdate, came time.Time) endpointstate.ListResponse {
-	a := endpointstate.ListResponse{Service: c.service.discovery.Service(), Revision: u.Revision, Complete: u.Complete, CalledAt: c.begun, ReceivedAt: came,
+// response gives what a call brought in the terms of membership.
+func (c *listCall) response(u ListUpdate, came time.Time) endpointstate.ListResponse {
+	a := endpointstate.ListResponse{Service: c.service.discovery.Service(), Revision: u.Revision, Complete: u.Complete, CalledAt: c.startedAt, ReceivedAt: came,
 		Endpoints: make([]endpointstate.Endpoint, len(u.Endpoints))}
 	for i := range u.Endpoints {
-		a.Endpoints[i] = u.Endpoints[i].member()
+		a.Endpoints[i] = u.Endpoints[i].listedState()
 	}
 	return a
 }
 
 // failure tells how a call failed, as far as that tells of the service's load.
 func (c *listCall) failure(err error, now time.Time) polling.Failure {
-	return polling.ClassifyFailure(errors.Is(err, ErrDiscoveryRejected), now.Sub(c.begun))
+	return polling.ClassifyFailure(errors.Is(err, ErrDiscoveryRejected), now.Sub(c.startedAt))
 }
--- a/internal/routing/listcalls_test.go
+++ b/internal/routing/listcalls_test.go
@@ -13,27 +13,29 @@
 	"brassdale/scheduler"
 )
 
-// scripted is a discovery whose calls the test answers.
-type scripted struct {
+// scriptedDiscovery is a discovery whose calls the test answers.
+type scriptedDiscovery struct {
 	calls  chan scriptedCall
 	mu     sync.Mutex
 	closed int
 }
 
 type scriptedCall struct {
-	kind     polling.Kind
-	revision int64
-	answer   chan ListUpdate // closed for a failure
-	gone     <-chan struct{}
+	kind      polling.Kind
+	revision  int64
+	response  chan ListUpdate // closed for a failure
+	cancelled <-chan struct{}
 }
 
-func newScripted() *scripted { return &scripted{calls: make(chan scriptedCall, 64)} }
+func newScriptedDiscovery() *scriptedDiscovery {
+	return &scriptedDiscovery{calls: make(chan scriptedCall, 64)}
+}
 
-func (s *scripted) Call(ctx context.Context, revision int64, kind polling.Kind) (ListUpdate, error) {
+func (s *scriptedDiscovery) Call(ctx context.Context, revision int64, kind polling.Kind) (ListUpdate, error) {
 	c := scriptedCall{kind, revision, make(chan ListUpdate, 1), ctx.Done()}
 	s.calls <- c
 	select {
-	case u, ok := <-c.answer:
+	case u, ok := <-c.response:
 		if !ok {
 			return u, errors.New("failed")
 		}
@@ -43,24 +45,24 @@
 	}
 }
 
-func (s *scripted) Service() string { return fmt.Sprintf("%p", s) }
+func (s *scriptedDiscovery) Service() string { return fmt.Sprintf("%p", s) }
 
-func (s *scripted) Close() {
+func (s *scriptedDiscovery) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed++
 }
 
-func (s *scripted) closes() int {
+func (s *scriptedDiscovery) closes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed
 }
 
-// listing starts a destination set's actor on a discovery.
-func listing(t *testing.T, d Discovery) (*EndpointList, *updates) {
-	c, f := startCore(t)
-	u := &updates{fake: f}
+// startEndpointList starts a destination set's actor on a discovery.
+func startEndpointList(t *testing.T, d Discovery) (*EndpointList, *recordingPool) {
+	c, f := startTestCore(t)
+	u := &recordingPool{fakePeers: f}
 	s := NewEndpointList(c, u, d, ListUpdate{}, c.log)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -70,12 +72,12 @@
 	return s, u
 }
 
-func worker(id scheduler.WorkerID, state scheduler.WorkerState) Endpoint {
+func testEndpoint(id scheduler.WorkerID, state scheduler.WorkerState) Endpoint {
 	return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
 }
 
-// state gives what the set knows of a worker.
-func state(t *testing.T, s *EndpointList, id scheduler.WorkerID) (scheduler.WorkerState, bool) {
+// endpointState gives what the set knows of a worker.
+func endpointState(t *testing.T, s *EndpointList, id scheduler.WorkerID) (scheduler.WorkerState, bool) {
 	t.Helper()
 	u, err := s.Snapshot(context.Background())
 	if err != nil {
@@ -100,20 +102,20 @@
 
 // Behind a move the watch at the service before goes on, and what it tells of a drain counts, until the new one has answered. Then
 // it is given up, and the connections to all services before are let go of, also of one that had no call open.
-func TestServicesBeforeAMove(t *testing.T) {
-	first, second, third := newScripted(), newScripted(), newScripted()
-	s, _ := listing(t, first)
-	(<-first.calls).answer <- ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready), worker("b", scheduler.Ready)}}
+func TestEndpointList_discoveryChanged_previousWatchContinues(t *testing.T) {
+	first, second, third := newScriptedDiscovery(), newScriptedDiscovery(), newScriptedDiscovery()
+	s, _ := startEndpointList(t, first)
+	(<-first.calls).response <- ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
 	watch := <-first.calls
 	if watch.kind != polling.Watch || watch.revision != 1 {
 		t.Fatalf("behind the list came %+v", watch)
 	}
 	s.ChangeDiscovery(second)
-	close((<-second.calls).answer) // it fails, and nothing is open there
+	close((<-second.calls).response) // it fails, and nothing is open there
 	s.ChangeDiscovery(third)
 	whole := <-third.calls
-	watch.answer <- ListUpdate{Revision: 2, Endpoints: []Endpoint{worker("a", scheduler.Draining)}}
-	eventually(t, "the drain that the service before told", func() bool { st, _ := state(t, s, "a"); return st == scheduler.Draining })
+	watch.response <- ListUpdate{Revision: 2, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
+	eventually(t, "the drain that the service before told", func() bool { st, _ := endpointState(t, s, "a"); return st == scheduler.Draining })
 	again := <-first.calls
 	if again.kind != polling.Watch || again.revision != 2 {
 		t.Errorf("the watch went on as %+v", again)
@@ -121,10 +123,10 @@
 	if first.closes()+second.closes() != 0 {
 		t.Error("a service was let go of before the new one had answered")
 	}
-	whole.answer <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{worker("b", scheduler.Ready)}}
-	eventually(t, "the new list", func() bool { _, known := state(t, s, "a"); return !known })
+	whole.response <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("b", scheduler.Ready)}}
+	eventually(t, "the new list", func() bool { _, known := endpointState(t, s, "a"); return !known })
 	select {
-	case <-again.gone:
+	case <-again.cancelled:
 	case <-time.After(5 * time.Second):
 		t.Error("the watch at the service before goes on")
 	}
@@ -132,33 +134,33 @@
 }
 
 // An answer that was overtaken by that of a call beside it changes nothing.
-func TestOvertakenAnswer(t *testing.T) {
-	d := newScripted()
-	s, _ := listing(t, d)
+func TestEndpointList_overtakenResponse_ignored(t *testing.T) {
+	d := newScriptedDiscovery()
+	s, _ := startEndpointList(t, d)
 	late := <-d.calls
 	beside := <-d.calls // the first one is late
-	beside.answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Draining)}}
-	eventually(t, "the newer list", func() bool { st, known := state(t, s, "a"); return known && st == scheduler.Draining })
-	late.answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready)}}
+	beside.response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
+	eventually(t, "the newer list", func() bool { st, known := endpointState(t, s, "a"); return known && st == scheduler.Draining })
+	late.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 	next := <-d.calls
-	if st, _ := state(t, s, "a"); st != scheduler.Draining || next.revision != 5 {
+	if st, _ := endpointState(t, s, "a"); st != scheduler.Draining || next.revision != 5 {
 		t.Errorf("the older answer counts: state %v, the next call is behind revision %d", st, next.revision)
 	}
 }
 
 // An answer with a lower revision, as of a replica that lags, takes no drain back, nor does a second one that agrees: both may be of
 // that replica. A service that gives nothing else for endpointstate.Settle counts anew, and is believed then.
-func TestLowerRevision(t *testing.T) {
+func TestEndpointList_lowerRevision_believedAfterMaxStaleness(t *testing.T) {
 	t.Parallel()
-	d := newScripted()
-	s, _ := listing(t, d)
-	(<-d.calls).answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Draining)}}
-	eventually(t, "the drain", func() bool { st, known := state(t, s, "a"); return known && st == scheduler.Draining })
+	d := newScriptedDiscovery()
+	s, _ := startEndpointList(t, d)
+	(<-d.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
+	eventually(t, "the drain", func() bool { st, known := endpointState(t, s, "a"); return known && st == scheduler.Draining })
 	begun := time.Now()
-	(<-d.calls).answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready)}}
+	(<-d.calls).response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 	calls := 0
 	for {
-		if st, _ := state(t, s, "a"); st == scheduler.Ready {
+		if st, _ := endpointState(t, s, "a"); st == scheduler.Ready {
 			break
 		}
 		again := <-d.calls
@@ -166,7 +168,7 @@
 			t.Errorf("behind a lower revision the next call is behind revision %d", again.revision)
 		}
 		calls++
-		again.answer <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready)}}
+		again.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 		time.Sleep(20 * time.Millisecond)
 	}
 	if took := time.Since(begun); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+4*time.Second || calls > 12 {
@@ -176,32 +178,32 @@
 
 // A worker drained at the service before a move, and is active again at the new one, which says so once and then only that nothing
 // has changed. That is not believed at first, as the list may be older; behind endpointstate.Settle the whole list is asked for again.
-func TestReturnBehindAMove(t *testing.T) {
+func TestEndpointList_workerReturnsAfterDiscoveryChanged(t *testing.T) {
 	t.Parallel()
-	first, second := newScripted(), newScripted()
-	s, _ := listing(t, first)
-	(<-first.calls).answer <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Draining), worker("b", scheduler.Ready)}}
-	eventually(t, "the drain", func() bool { st, known := state(t, s, "a"); return known && st == scheduler.Draining })
+	first, second := newScriptedDiscovery(), newScriptedDiscovery()
+	s, _ := startEndpointList(t, first)
+	(<-first.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining), testEndpoint("b", scheduler.Ready)}}
+	eventually(t, "the drain", func() bool { st, known := endpointState(t, s, "a"); return known && st == scheduler.Draining })
 	known := time.Now()
 	s.ChangeDiscovery(second)
-	list := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{worker("a", scheduler.Ready), worker("b", scheduler.Ready)}}
-	(<-second.calls).answer <- list
+	list := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
+	(<-second.calls).response <- list
 	for {
 		call := <-second.calls
 		if call.revision == FullList {
-			call.answer <- list
+			call.response <- list
 			break
 		}
 		if time.Since(known) > endpointstate.MaxStaleness+time.Second {
 			t.Fatal("the whole list is not asked for again")
 		}
 		time.Sleep(100 * time.Millisecond)
-		call.answer <- ListUpdate{Revision: 70}
+		call.response <- ListUpdate{Revision: 70}
 	}
-	if st, _ := state(t, s, "a"); time.Since(known) < endpointstate.MaxStaleness && st != scheduler.Draining {
+	if st, _ := endpointState(t, s, "a"); time.Since(known) < endpointstate.MaxStaleness && st != scheduler.Draining {
 		t.Errorf("believed %v behind the drain", time.Since(known))
 	}
-	eventually(t, "the return", func() bool { st, _ := state(t, s, "a"); return st == scheduler.Ready })
+	eventually(t, "the return", func() bool { st, _ := endpointState(t, s, "a"); return st == scheduler.Ready })
 	if took := time.Since(known); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+2*time.Second {
 		t.Errorf("believed after %v", took)
 	}
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -11,25 +11,25 @@
 	"brassdale/scheduler"
 )
 
-// begin takes in the list as it was known before.
-func (s *EndpointList) begin(saved ListUpdate, now time.Time) {
+// restore takes in the list as it was known before.
+func (s *EndpointList) restore(saved ListUpdate, now time.Time) {
 	members := make([]endpointstate.Endpoint, len(saved.Endpoints))
 	for i := range saved.Endpoints {
 		d := &saved.Endpoints[i]
 		if d.State != scheduler.Ready && d.NotifiedAt.IsZero() { // a predecessor may have been told before
-			d.NotifiedAt = s.toldFrom(now)
+			d.NotifiedAt = s.notifiedFrom(now)
 		}
-		members[i] = d.member()
+		members[i] = d.listedState()
 	}
-	s.members.Restore(s.calls.current.discovery.Service(), saved.Revision, members)
-	s.tell(saved, saved.Endpoints, nil, scheduler.ListCached)
+	s.states.Restore(s.calls.current.discovery.Service(), saved.Revision, members)
+	s.publishChanges(saved, saved.Endpoints, nil, scheduler.ListCached)
 }
 
-// toldFrom gives from when a drain counts that came now. What an agent had counts as told: it may have had it since it last
+// notifiedFrom gives from when a drain counts that came now. What an agent had counts as told: it may have had it since it last
 // answered.
-func (s *EndpointList) toldFrom(now time.Time) time.Time {
-	if s.rules().ListsPushed {
-		return s.answered
+func (s *EndpointList) notifiedFrom(now time.Time) time.Time {
+	if s.pollRules().ListsPushed {
+		return s.answeredAt
 	}
 	return now
 }
@@ -40,13 +40,13 @@
 	if now.IsZero() {
 		now = time.Now()
 	}
-	answer := c.answer(u, now)
+	answer := c.response(u, now)
 	for i := range answer.Endpoints {
 		if m := &answer.Endpoints[i]; m.NotifiedAt.IsZero() {
-			m.NotifiedAt = s.toldFrom(now)
+			m.NotifiedAt = s.notifiedFrom(now)
 		}
 	}
-	verdict := s.members.Apply(answer, order)
+	verdict := s.states.Apply(answer, order)
 	if c.service == s.calls.current && (u.Complete || !verdict.PollAgainAt.IsZero()) { // a change says nothing of what was not believed
 		s.recheckAt = verdict.PollAgainAt
 	}
@@ -62,27 +62,27 @@
 		d.State, d.StartedAt, d.NotifiedAt = a.State, a.Start, a.NotifiedAt
 		listed = append(listed, d)
 	}
-	s.tell(u, listed, ended, kind)
+	s.publishChanges(u, listed, ended, kind)
 }
 
-// tell passes on what has changed: to the endpoints first, then to the module. The ended ones are those that a whole list does not
+// publishChanges passes on what has changed: to the endpoints first, then to the module. The ended ones are those that a whole list does not
 // name: the module knows by that.
-func (s *EndpointList) tell(u ListUpdate, listed, ended []Endpoint, kind scheduler.ListKind) {
+func (s *EndpointList) publishChanges(u ListUpdate, listed, ended []Endpoint, kind scheduler.ListKind) {
 	level := slog.LevelDebug
 	if u.Complete {
 		level = slog.LevelInfo
 	}
 	for _, d := range listed {
-		if s.update(d) {
+		if s.updateEndpoint(d) {
 			level = slog.LevelInfo
 		}
 	}
-	news := scheduler.EndpointsUpdated{ListKind: kind, Workers: s.dated(listed), AsOf: s.core.clock.At(s.asOf)}
-	s.told = s.told || kind != scheduler.ListCached
+	news := scheduler.EndpointsUpdated{ListKind: kind, Workers: s.withStartTimes(listed), AsOf: s.core.clock.At(s.completeAsOf)}
+	s.listReceived = s.listReceived || kind != scheduler.ListCached
 	for _, d := range ended {
-		s.update(d)
+		s.updateEndpoint(d)
 	}
-	s.core.ledger.listed(len(s.known))
+	s.core.counters.setListedEndpoints(len(s.known))
 	s.core.UpdateEndpoints(news)
 	if len(u.Endpoints) > 0 {
 		s.log.Log(context.Background(), level, "destination set", "revision", u.Revision, "complete", u.Complete, "lines", len(u.Endpoints),
@@ -93,22 +93,22 @@
 // forever is longer than any process runs.
 const forever = time.Duration(math.MaxInt64)
 
-// dated gives the lines of a list with the starts of their workers on the core's clock.
-func (s *EndpointList) dated(lines []Endpoint) []scheduler.WorkerInfo {
+// withStartTimes gives the lines of a list with the starts of their workers on the core's clock.
+func (s *EndpointList) withStartTimes(lines []Endpoint) []scheduler.WorkerInfo {
 	now := time.Now()
-	moment := incarnations.ListTime{Now: s.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(s.answered)}
-	if !s.told {
+	moment := incarnations.ListTime{Now: s.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(s.answeredAt)}
+	if !s.listReceived {
 		moment.SinceLastList = forever
 	}
 	stamped := make([]incarnations.WorkerStart, len(lines))
 	for i, d := range lines {
 		stamped[i] = incarnations.WorkerStart{ID: d.ID, Stamp: d.StartedAt}
 		if d.Age > 0 {
-			s.starts.Set(d.ID, d.StartedAt, moment.Now-d.Age)
+			s.incarnations.Set(d.ID, d.StartedAt, moment.Now-d.Age)
 		}
 	}
 	infos := make([]scheduler.WorkerInfo, len(lines))
-	for i, at := range s.starts.Update(moment, stamped) {
+	for i, at := range s.incarnations.Update(moment, stamped) {
 		infos[i] = lines[i].WorkerInfo
 		infos[i].StartedAt = at
 	}
@@ -117,41 +117,41 @@
 
 // StartedAt gives when a worker started, on the core's clock. It may be called before Run only.
 func (s *EndpointList) StartedAt(id scheduler.WorkerID) scheduler.Clock {
-	return s.starts.StartedAt(id)
+	return s.incarnations.StartedAt(id)
 }
 
-// update takes a line in and tells whether it is news: weights that fall with the load are not.
-func (s *EndpointList) update(d Endpoint) bool {
+// updateEndpoint takes a line in and tells whether it is news: weights that fall with the load are not.
+func (s *EndpointList) updateEndpoint(d Endpoint) bool {
 	old := s.known[d.ID]
 	if d.Address == "" {
 		d.Address = old.Address
 	}
-	s.logState(old, d)
+	s.logStateChange(old, d)
 	d.Age = 0 // it grows
 	if d.State == scheduler.Gone {
 		delete(s.known, d.ID)
 	} else {
 		s.known[d.ID] = d
 	}
-	s.endpoints.Update(d)
+	s.pool.Update(d)
 	old.Weight, old.NotifiedAt = d.Weight, d.NotifiedAt
 	return old != d
 }
 
-// member gives what a line says of a worker's state.
-func (d *Endpoint) member() endpointstate.Endpoint {
+// listedState gives what a line says of a worker's state.
+func (d *Endpoint) listedState() endpointstate.Endpoint {
 	return endpointstate.Endpoint{ID: d.ID, State: d.State, Start: d.StartedAt, NotifiedAt: d.NotifiedAt}
 }
 
-// logState tells of a worker whose state has changed. That a worker is new is no change: a first list may have thousands.
-func (s *EndpointList) logState(old, d Endpoint) {
+// logStateChange tells of a worker whose state has changed. That a worker is new is no change: a first list may have thousands.
+func (s *EndpointList) logStateChange(old, d Endpoint) {
 	if _, known := s.known[d.ID]; known && old.State != d.State {
-		s.log.Info("worker's state", "worker", d.ID, "from", old.State.String(), "to", d.State.String(), "told_ago", ago(d.NotifiedAt))
+		s.log.Info("worker's state", "worker", d.ID, "from", old.State.String(), "to", d.State.String(), "told_ago", sinceNotified(d.NotifiedAt))
 	}
 }
 
-// ago is how long ago a time was; 0 for none.
-func ago(t time.Time) time.Duration {
+// sinceNotified is how long sinceNotified a time was; 0 for none.
+func sinceNotified(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -11,76 +11,76 @@
 	"brassdale/scheduler"
 )
 
-// lagReportEvery is how often an answer with a lower revision is logged so that it stands out.
-const lagReportEvery = 10 * time.Second
+// lagLogInterval is how often an answer with a lower revision is logged so that it stands out.
+const lagLogInterval = 10 * time.Second
 
-// take takes in what a call brought.
-func (s *EndpointList) take(ctx context.Context, c *listCall, m callEnded) {
-	now, rules := time.Now(), s.rules()
-	if m.err == nil && s.start.foreign(m.update) {
-		m.err = errForeign
+// handleCallEnded takes in what a call brought.
+func (s *EndpointList) handleCallEnded(ctx context.Context, c *listCall, m callEnded) {
+	now, rules := time.Now(), s.pollRules()
+	if m.err == nil && s.cachedStart.isForeign(m.update) {
+		m.err = errForeignList
 	}
 	current := c.service == s.calls.current
 	switch {
 	case m.err != nil && !current: // it is asked no more
 	case m.err != nil:
 		if ctx.Err() == nil {
-			s.failed(c, m.err, now)
+			s.recordFailure(c, m.err, now)
 		}
 		s.calls.schedule.CallFailed(now, c.number, c.failure(m.err, now), rules, rand.Float64())
 	case current || !s.calls.current.answered:
-		s.takeAnswer(ctx, c, m.update, now)
+		s.handleResponse(ctx, c, m.update, now)
 	}
 }
 
-// takeAnswer takes in what a service told, as far as it counts.
-func (s *EndpointList) takeAnswer(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
-	order := s.members.Classify(c.answer(u, now))
+// handleResponse takes in what a service told, as far as it counts.
+func (s *EndpointList) handleResponse(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
+	order := s.states.Classify(c.response(u, now))
 	switch {
 	case order == endpointstate.Overtaken:
 		s.log.Info("discovery's answer was overtaken", "call", c.number, "revision", u.Revision, "known", c.service.revision)
-		s.stale(now, c, c.service.recheck)
+		s.markStale(now, c, c.service.fullListDue)
 	case order == endpointstate.Lagging:
 		s.log.Log(context.Background(), s.lagLevel(now), "discovery's revision went back, asking for the whole list", "call", c.number,
 			"revision", u.Revision, "known", c.service.revision)
 		u.Complete = false
 		s.apply(c, u, scheduler.ListDelta, order)
-		s.stale(now, c, true)
+		s.markStale(now, c, true)
 	case c.service != s.calls.current:
-		s.takeFormer(ctx, c, u, now)
+		s.acceptPrevious(ctx, c, u, now)
 	default:
-		s.takeList(now, c, u)
-		s.mended() // behind the list's own line: who reads that discovery answers again finds its list in force
+		s.acceptList(now, c, u)
+		s.recordRecovery() // behind the list's own line: who reads that discovery answers again finds its list in force
 	}
 }
 
-// stale notes an answer that told nothing new, and whether the whole list is to be asked for.
-func (s *EndpointList) stale(now time.Time, c *listCall, recheck bool) {
+// markStale notes an answer that told nothing new, and whether the whole list is to be asked for.
+func (s *EndpointList) markStale(now time.Time, c *listCall, recheck bool) {
 	if c.service == s.calls.current {
-		c.service.recheck = recheck
-		s.calls.schedule.CallStale(now, c.number, s.rules(), rand.Float64())
+		c.service.fullListDue = recheck
+		s.calls.schedule.CallStale(now, c.number, s.pollRules(), rand.Float64())
 	}
 }
 
 // lagLevel is the level at which an answer with a lower revision is logged: of a row of them one in a while stands out.
 func (s *EndpointList) lagLevel(now time.Time) slog.Level {
-	if now.Sub(s.lagged) < lagReportEvery {
+	if now.Sub(s.lagLoggedAt) < lagLogInterval {
 		return slog.LevelDebug
 	}
-	s.lagged = now
+	s.lagLoggedAt = now
 	return slog.LevelWarn
 }
 
-// takeList takes in the list, or a change of it, of the service in force.
-func (s *EndpointList) takeList(now time.Time, c *listCall, u ListUpdate) {
+// acceptList takes in the list, or a change of it, of the service in force.
+func (s *EndpointList) acceptList(now time.Time, c *listCall, u ListUpdate) {
 	service := c.service
 	fresh := u.Revision != service.revision || len(u.Endpoints) > 0
 	if !service.answered {
 		service.answered = true
-		s.calls.dropFormer()
+		s.calls.dropPrevious()
 	}
 	service.heard = now
-	if again, doubted := s.judge(&u); doubted {
+	if again, doubted := s.assessList(&u); doubted {
 		u.Complete = false
 		s.apply(c, u, scheduler.ListDelta, endpointstate.Current)
 		service.revision = FullList
@@ -88,65 +88,65 @@
 		return
 	}
 	if u.Complete {
-		service.recheck = false
+		service.fullListDue = false
 	}
 	kind := scheduler.ListDelta
 	if u.Complete {
 		kind = scheduler.ListFull
 	}
-	s.asOf = latest(s.asOf, s.shownAsOf(c, u, fresh, now))
+	s.completeAsOf = later(s.completeAsOf, s.completeAt(c, u, fresh, now))
 	s.apply(c, u, kind, endpointstate.Current)
 	service.revision = u.Revision
-	s.answered = now
-	s.core.ledger.listHeard(now)
-	s.handOver()
-	if s.keeper != nil {
-		s.keeper.EndpointsUpdated(u)
+	s.answeredAt = now
+	s.core.counters.setListReceivedAt(now)
+	s.completeCachedStart()
+	if s.store != nil {
+		s.store.EndpointsUpdated(u)
 	}
 	s.source.Store(&ListSource{Name: "discovery", ConfirmedAt: now})
-	s.calls.schedule.CallAnswered(now, c.number, now.Sub(c.begun), fresh, u.BeforeWaitEnded, s.rules(), rand.Float64())
+	s.calls.schedule.CallAnswered(now, c.number, now.Sub(c.startedAt), fresh, u.BeforeWaitEnded, s.pollRules(), rand.Float64())
 }
 
-// mostLag is how far a replica of discovery may be behind. Nothing of an answer tells.
-const mostLag = 2500 * time.Millisecond
+// maxReplicaLag is how far a replica of discovery may be behind. Nothing of an answer tells.
+const maxReplicaLag = 2500 * time.Millisecond
 
-// shownAsOf gives as of when an answer tells all that discovery had: for a watch when it came, else when its call was made. A busy
+// completeAt gives as of when an answer tells all that discovery had: for a watch when it came, else when its call was made. A busy
 // service may end a watch whose news has not had its turn: then it tells nothing of that.
-func (s *EndpointList) shownAsOf(c *listCall, u ListUpdate, fresh bool, now time.Time) time.Time {
+func (s *EndpointList) completeAt(c *listCall, u ListUpdate, fresh bool, now time.Time) time.Time {
 	switch {
 	case c.kind != polling.Watch:
-		return c.begun.Add(-mostLag)
+		return c.startedAt.Add(-maxReplicaLag)
 	case !fresh && s.calls.schedule.ServiceBusy(now):
 		return time.Time{}
 	case u.ReceivedAt.IsZero():
-		return now.Add(-mostLag)
+		return now.Add(-maxReplicaLag)
 	}
-	return u.ReceivedAt.Add(-mostLag)
+	return u.ReceivedAt.Add(-maxReplicaLag)
 }
 
-// movedAt has what the list is known of end sooner: behind a move of discovery a change counts as told polling.Moved later.
-func (s *EndpointList) movedAt(now time.Time) {
-	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(s.asOf) {
-		s.asOf = asOf
+// serviceChanged has what the list is known of end sooner: behind a move of discovery a change counts as told polling.Moved later.
+func (s *EndpointList) serviceChanged(now time.Time) {
+	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(s.completeAsOf) {
+		s.completeAsOf = asOf
 	}
-	s.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: s.core.clock.At(s.asOf)})
+	s.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: s.core.clock.At(s.completeAsOf)})
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// takeFormer takes in what a service brings that was asked before a move, while the new one has not answered. It tells of
+// acceptPrevious takes in what a service brings that was asked before a move, while the new one has not answered. It tells of
 // workers that changed; which ones there are is the new one's word. A watch there goes on meanwhile.
-func (s *EndpointList) takeFormer(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
+func (s *EndpointList) acceptPrevious(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
 	u.Complete = false
 	s.apply(c, u, scheduler.ListDelta, endpointstate.Current)
 	c.service.revision, c.service.heard = u.Revision, now
 	s.calls.schedule.PreviousServiceAnswered(now)
 	if c.kind == polling.Watch {
-		s.calls.begin(ctx, now, c.service, polling.Watch)
+		s.calls.startCall(ctx, now, c.service, polling.Watch)
 	}
 }
--- a/internal/routing/starts_test.go
+++ b/internal/routing/starts_test.go
@@ -10,12 +10,12 @@
 
 // A worker's age as the module has it must not be more than it is, whichever way the wall clocks stand to each other: one that
 // has just started is cold. It must not be less for long either: a worker whose stamp lies in the future is not cold for ever.
-func TestStartsWithClocksApart(t *testing.T) {
+func TestEndpointList_startTimesWithClockSkew(t *testing.T) {
 	for name, apart := range map[string]time.Duration{
 		"alike": 0, "ahead by an hour": time.Hour, "behind by an hour": -time.Hour, "ahead by seconds": 5 * time.Second, "behind by seconds": -5 * time.Second,
 	} {
-		c, f := startCore(t)
-		s := NewEndpointList(c, &updates{fake: f}, newScripted(), ListUpdate{}, c.log)
+		c, f := startTestCore(t)
+		s := NewEndpointList(c, &recordingPool{fakePeers: f}, newScriptedDiscovery(), ListUpdate{}, c.log)
 		age := func(id scheduler.WorkerID) time.Duration {
 			learned, err := c.LearnedState(context.Background())
 			if err != nil {
@@ -34,7 +34,7 @@
 			return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, StartedAt: since, Weight: 1}, Address: "h:1"}
 		}
 		old, young := stamp(30*time.Second), stamp(2*time.Second)
-		bring(s, ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{line("longago", 0), line("old", old), line("young", young)}}, scheduler.ListFull)
+		applyResponse(s, ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{line("longago", 0), line("old", old), line("young", young)}}, scheduler.ListFull)
 		if got := age("longago"); got < time.Hour {
 			t.Errorf("%s: long ago is %v ago", name, got)
 		}
@@ -44,18 +44,18 @@
 		if got := age("old"); got > 31*time.Second || got < 20*time.Second {
 			t.Errorf("%s: 30 s ago, in the first list, is %v ago", name, got)
 		}
-		bring(s, ListUpdate{Revision: 2, Endpoints: []Endpoint{line("joins", stamp(0)), line("old", stamp(0))}}, scheduler.ListDelta)
+		applyResponse(s, ListUpdate{Revision: 2, Endpoints: []Endpoint{line("joins", stamp(0)), line("old", stamp(0))}}, scheduler.ListDelta)
 		for _, id := range []scheduler.WorkerID{"joins", "old"} {
 			if got := age(id); got < -time.Second || got > time.Second {
 				t.Errorf("%s: %s, just started, is %v ago", name, id, got)
 			}
 		}
-		bring(s, ListUpdate{Revision: 3, Endpoints: []Endpoint{line("young", young)}}, scheduler.ListDelta)
+		applyResponse(s, ListUpdate{Revision: 3, Endpoints: []Endpoint{line("young", young)}}, scheduler.ListDelta)
 		if got := age("young"); got > 4*time.Second || got < -time.Second {
 			t.Errorf("%s: told again with the same start, it is %v ago", name, got)
 		}
 		// The stamping clock is set back by an hour, and the worker starts again.
-		bring(s, ListUpdate{Revision: 4, Endpoints: []Endpoint{line("joins", stamp(time.Hour))}}, scheduler.ListDelta)
+		applyResponse(s, ListUpdate{Revision: 4, Endpoints: []Endpoint{line("joins", stamp(time.Hour))}}, scheduler.ListDelta)
 		if got := age("joins"); got > time.Second {
 			t.Errorf("%s: started again behind a step of the clock, it is %v ago", name, got)
 		}
@@ -64,15 +64,15 @@
 
 // A process that takes another's place has the ages of workers from it: one that was told to have started ten seconds ago is not
 // taken for one of just now, though its start is the newest in the list.
-func TestAgesCrossToASuccessor(t *testing.T) {
-	c, f := startCore(t)
-	before := NewEndpointList(c, &updates{fake: f}, newScripted(), ListUpdate{}, c.log)
+func TestEndpointList_agesPassToSuccessor(t *testing.T) {
+	c, f := startTestCore(t)
+	before := NewEndpointList(c, &recordingPool{fakePeers: f}, newScriptedDiscovery(), ListUpdate{}, c.log)
 	stamp := time.Duration(time.Now().Add(-10 * time.Second).UnixNano())
-	before.starts.Set("a", stamp, c.clock.Now()-10*time.Second)
+	before.incarnations.Set("a", stamp, c.clock.Now()-10*time.Second)
 	before.known["a"] = Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: "a", StartedAt: stamp, Weight: 1}, Address: "h:1"}
-	handed := before.whole()
-	next, g := startCore(t)
-	after := NewEndpointList(next, &updates{fake: g}, newScripted(), handed, next.log)
+	handed := before.snapshot()
+	next, g := startTestCore(t)
+	after := NewEndpointList(next, &recordingPool{fakePeers: g}, newScriptedDiscovery(), handed, next.log)
 	if age := next.clock.Now() - after.StartedAt("a"); age < 9*time.Second || age > 11*time.Second {
 		t.Errorf("taken to be %v old", age)
 	}
--- a/internal/routing/zonerouting.go
+++ b/internal/routing/zonerouting.go
@@ -28,48 +28,48 @@
 }
 
 // SetFleetBudget names who says so. It is set before Run.
-func (c *Core) SetFleetBudget(s FleetBudget) { c.spend = s }
+func (c *Core) SetFleetBudget(s FleetBudget) { c.fleetBudget = s }
 
 // FirstAttempts is how many first calls there were.
-func (c *Core) FirstAttempts() uint64 { return c.firsts.Load() }
+func (c *Core) FirstAttempts() uint64 { return c.firstAttempts.Load() }
 
 // SetZoneRouter names the guide. It is set before Run.
-func (c *Core) SetZoneRouter(g ZoneRouter) { c.guide = g }
+func (c *Core) SetZoneRouter(g ZoneRouter) { c.zoneRouter = g }
 
-// bound asks the guide where a request may go. One that it has refused has its answer behind this.
-func (c *Core) bound(id scheduler.RequestID, r *request) (within uint64, ok bool) {
-	if c.guide == nil {
+// routeRequest asks the guide where a request may go. One that it has refused has its answer behind this.
+func (c *Core) routeRequest(id scheduler.RequestID, r *openRequest) (within uint64, ok bool) {
+	if c.zoneRouter == nil {
 		return 0, true
 	}
-	r.came = c.now
-	within, away, ok := c.guide.Route(c.now, r.ClassName, r.IdempotencyKey)
+	r.arrivedAt = c.now
+	within, away, ok := c.zoneRouter.Route(c.now, r.ClassName, r.IdempotencyKey)
 	if !ok {
-		c.final(id, Answer{Verdict: Rejected, RetryAfter: away})
+		c.closeRequest(id, Answer{Verdict: Rejected, RetryAfter: away})
 	}
 	return within, ok
 }
 
-// told tells the guide how a call ended.
-func (c *Core) told(r *request, a *call, o scheduler.Outcome) {
-	if c.guide == nil {
+// reportAttemptEnded tells the guide how a call ended.
+func (c *Core) reportAttemptEnded(r *openRequest, a *attempt, o scheduler.Outcome) {
+	if c.zoneRouter == nil {
 		return
 	}
 	ran := time.Duration(0)
-	if a.began > 0 {
-		ran = c.now - a.began
+	if a.startedAt > 0 {
+		ran = c.now - a.startedAt
 	}
-	if !a.silent || o == scheduler.Served || o == scheduler.Full || o == scheduler.Errored || o == scheduler.InvalidRequest {
-		c.guide.AttemptEnded(c.now, a.endpoint, r.ClassName, o, c.now-r.came, ran)
+	if !a.unansweredReported || o == scheduler.Served || o == scheduler.Full || o == scheduler.Errored || o == scheduler.InvalidRequest {
+		c.zoneRouter.AttemptEnded(c.now, a.endpoint, r.ClassName, o, c.now-r.arrivedAt, ran)
 	}
 }
 
-// listen looks for calls without any sign.
-func (c *Core) listen() {
+// reportUnanswered looks for calls without any sign.
+func (c *Core) reportUnanswered() {
 	for _, r := range c.requests {
-		for i := range r.calls {
-			if a := &r.calls[i]; a.out && !a.silent && a.began == 0 && c.now-a.sent >= failover.NoResponseAfter {
-				a.silent = true
-				c.guide.AttemptUnanswered(c.now, a.endpoint)
+		for i := range r.attempts {
+			if a := &r.attempts[i]; a.inFlight && !a.unansweredReported && a.startedAt == 0 && c.now-a.sentAt >= failover.NoResponseAfter {
+				a.unansweredReported = true
+				c.zoneRouter.AttemptUnanswered(c.now, a.endpoint)
 			}
 		}
 	}
