--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -20,20 +20,21 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// council is voters in one process, with a network between them that loses what it is told to.
-type council struct {
-	t     *testing.T
-	n     int // of the first voters
-	dirs  []string
-	mu    sync.Mutex
-	seats []*Log // nil while down
-	stops []context.CancelFunc
-	ends  []chan error
-	lose  func(from, to int) bool
-	snaps int // snapshots that are lost yet
+// cluster is a raft group in one process, with a network between its voters that drops what a test says. mu guards all fields
+// below it.
+type cluster struct {
+	t             *testing.T
+	founders      int
+	dirs          []string
+	mu            sync.Mutex
+	logs          []*Log // by voter ID; nil while the voter is down
+	stops         []context.CancelFunc
+	ends          []chan error
+	drop          func(from, to int) bool
+	dropSnapshots int // the next ones, to any voter
 }
 
-const mostSeats = 8
+const voterIDLimit = 8 // all voter IDs are below it
 
 func founders(n int) (all []voters.Voter) {
 	for i := range n {
@@ -42,42 +43,42 @@
 	return all
 }
 
-func newCouncil(t *testing.T, n int) *council {
-	c := &council{t: t, n: n, seats: make([]*Log, mostSeats), stops: make([]context.CancelFunc, mostSeats), ends: make([]chan error, mostSeats),
-		dirs: make([]string, mostSeats), lose: func(int, int) bool { return false }}
-	for seat := 1; seat < mostSeats; seat++ {
-		if c.dirs[seat] = t.TempDir(); seat <= n {
-			c.start(seat)
+func newCluster(t *testing.T, n int) *cluster {
+	c := &cluster{t: t, founders: n, logs: make([]*Log, voterIDLimit), stops: make([]context.CancelFunc, voterIDLimit), ends: make([]chan error, voterIDLimit),
+		dirs: make([]string, voterIDLimit), drop: func(int, int) bool { return false }}
+	for id := 1; id < voterIDLimit; id++ {
+		if c.dirs[id] = t.TempDir(); id <= n {
+			c.start(id)
 		}
 	}
 	t.Cleanup(func() {
-		for seat := 1; seat < mostSeats; seat++ {
-			c.stop(seat)
+		for id := 1; id < voterIDLimit; id++ {
+			c.stop(id)
 		}
 	})
 	return c
 }
 
-func (c *council) start(seat int) {
+func (c *cluster) start(id int) {
 	c.t.Helper()
 	var first []voters.Voter
-	if seat <= c.n {
-		first = founders(c.n)
+	if id <= c.founders {
+		first = founders(c.founders)
 	}
-	l, err := Open(Options{VoterID: uint64(seat), Founders: first, Directory: c.dirs[seat], RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {},
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), SnapshotEvery: 30, Send: func(id uint64, m []byte) {
-			to := int(id)
+	l, err := Open(Options{VoterID: uint64(id), Founders: first, Directory: c.dirs[id], RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {},
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), SnapshotEvery: 30, Send: func(receiver uint64, m []byte) {
+			to := int(receiver)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if c.snaps > 0 {
+			if c.dropSnapshots > 0 {
 				var sent raftpb.Message
 				if proto.Unmarshal(m, &sent) == nil && sent.GetType() == raftpb.MsgSnap {
-					c.snaps--
+					c.dropSnapshots--
 					return
 				}
 			}
-			if to < len(c.seats) && c.seats[to] != nil && c.seats[seat] != nil && !c.lose(seat, to) {
-				c.seats[to].Step(m)
+			if to < len(c.logs) && c.logs[to] != nil && c.logs[id] != nil && !c.drop(id, to) {
+				c.logs[to].Step(m)
 			}
 		}})
 	if err != nil {
@@ -86,59 +87,59 @@
 	ctx, stop := context.WithCancel(context.Background())
 	end := make(chan error, 1)
 	c.mu.Lock()
-	c.seats[seat], c.stops[seat], c.ends[seat] = l, stop, end
+	c.logs[id], c.stops[id], c.ends[id] = l, stop, end
 	c.mu.Unlock()
 	go func() { end <- l.Run(ctx) }()
 }
 
-// stop ends a voter where it stands.
-func (c *council) stop(seat int) {
+// stop ends a voter.
+func (c *cluster) stop(id int) {
 	c.mu.Lock()
-	l, stop, end := c.seats[seat], c.stops[seat], c.ends[seat]
-	c.seats[seat] = nil
+	l, stop, end := c.logs[id], c.stops[id], c.ends[id]
+	c.logs[id] = nil
 	c.mu.Unlock()
 	if l == nil {
 		return
 	}
 	stop()
 	if err := <-end; err != nil {
-		c.t.Errorf("seat %d: %v", seat, err)
+		c.t.Errorf("voter %d: %v", id, err)
 	}
 }
 
-func (c *council) set(lose func(from, to int) bool) {
+func (c *cluster) dropMessages(drop func(from, to int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lose = lose
+	c.drop = drop
 }
 
-func (c *council) at(seat int) *Log {
+func (c *cluster) log(id int) *Log {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.seats[seat]
+	return c.logs[id]
 }
 
-// leader waits for a voter that a majority confirms.
-func (c *council) leader() (int, *Log) {
+// leader waits until a majority confirms a leader, and returns it.
+func (c *cluster) leader() (int, *Log) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		for seat := range c.seats {
-			if l := c.at(seat); l != nil {
+		for id := range c.logs {
+			if l := c.log(id); l != nil {
 				ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(300*time.Millisecond))
 				err := l.Confirm(ctx)
 				stop()
 				if err == nil {
-					return seat, l
+					return id, l
 				}
 			}
 		}
 	}
-	c.t.Fatal("nobody leads")
+	c.t.Fatal("no leader was confirmed")
 	return 0, nil
 }
 
-// change has an entry applied, whoever leads when.
-func (c *council) change(e configversions.Entry) {
+// propose has an entry applied, whichever voter leads.
+func (c *cluster) propose(e configversions.Entry) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		_, l := c.leader()
@@ -149,29 +150,29 @@
 			return
 		}
 		if _, again := l.Record().Apply(e); again != nil && l.Record().Revision > 0 {
-			return // it was, though the answer was lost
+			return // it was applied, though the result was lost
 		}
 	}
-	c.t.Fatal("no change goes through")
+	c.t.Fatal("the entry was never applied")
 }
 
-func (c *council) agree(revision uint64, seats ...int) {
+func (c *cluster) awaitRevision(revision uint64, ids ...int) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		all := true
-		for _, seat := range seats {
-			all = all && c.at(seat).Record().Revision >= revision
+		for _, id := range ids {
+			all = all && c.log(id).Record().Revision >= revision
 		}
 		if all {
-			for _, seat := range seats {
-				if a, b := text(c.at(seat).Record()), text(c.at(seats[0]).Record()); a != b && c.at(seat).Record().Revision == c.at(seats[0]).Record().Revision {
-					c.t.Errorf("seat %d has %s, seat %d %s", seat, a, seats[0], b)
+			for _, id := range ids {
+				if a, b := text(c.log(id).Record()), text(c.log(ids[0]).Record()); a != b && c.log(id).Record().Revision == c.log(ids[0]).Record().Revision {
+					c.t.Errorf("voter %d has %s, voter %d has %s", id, a, ids[0], b)
 				}
 			}
 			return
 		}
 	}
-	c.t.Fatalf("revision %d never came to %v", revision, seats)
+	c.t.Fatalf("revision %d was never applied at all of the voters %v", revision, ids)
 }
 
 func text(r configversions.Record) string {
@@ -183,58 +184,59 @@
 	return configversions.Entry{ID: fmt.Sprint("a", base), Announce: &configversions.Version{Number: base, Rules: configversions.Rules{RetryRatio: 0.1, RetriesAllowed: true}}}
 }
 
-// The leader ends between the two steps, and comes back: the change goes on with another, and all have the same. Then all
-// are started anew, one with its disk lost.
-func TestLeaderEndsBetweenTheSteps(t *testing.T) {
-	c := newCouncil(t, 3)
-	c.change(announce(0))
+// TestPropose_leaderStopsBetweenTheSteps stops the leader between announcing a version and putting it in force, and starts it
+// again: the next leader continues, and all voters have the same record. Then all restart, one with an empty disk.
+func TestPropose_leaderStopsBetweenTheSteps(t *testing.T) {
+	c := newCluster(t, 3)
+	c.propose(announce(0))
 	old, _ := c.leader()
 	c.stop(old)
-	c.change(configversions.Entry{ID: "f1", PutInForce: 1})
+	c.propose(configversions.Entry{ID: "f1", PutInForce: 1})
 	c.start(old)
-	c.agree(3, 1, 2, 3)
-	for seat := 1; seat <= 3; seat++ {
-		c.stop(seat)
+	c.awaitRevision(3, 1, 2, 3)
+	for id := 1; id <= 3; id++ {
+		c.stop(id)
 	}
 	os.Remove(Path(c.dirs[old], uint64(old)))
-	for seat := 1; seat <= 3; seat++ {
-		c.start(seat)
+	for id := 1; id <= 3; id++ {
+		c.start(id)
 	}
-	c.change(announce(1))
-	c.agree(4, 1, 2, 3)
+	c.propose(announce(1))
+	c.awaitRevision(4, 1, 2, 3)
 }
 
-// Of five, two are cut off, the leader among them: it confirms nothing, and neither side of two does. Healed, all agree.
-func TestSplit(t *testing.T) {
-	c := newCouncil(t, 5)
-	c.change(announce(0))
+// TestConfirm_partition cuts two of five voters off, the leader among them: it confirms nothing, and the other three go on.
+// Once the partition heals all voters have the same record.
+func TestConfirm_partition(t *testing.T) {
+	c := newCluster(t, 5)
+	c.propose(announce(0))
 	old, l := c.leader()
 	other := old%5 + 1
-	apart := func(seat int) bool { return seat == old || seat == other }
-	c.set(func(from, to int) bool { return apart(from) != apart(to) })
+	apart := func(id int) bool { return id == old || id == other }
+	c.dropMessages(func(from, to int) bool { return apart(from) != apart(to) })
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(700*time.Millisecond))
 	if err := l.Confirm(ctx); err == nil {
-		t.Error("a leader without a majority confirms")
+		t.Error("a leader without a majority was confirmed")
 	}
 	stop()
-	c.change(configversions.Entry{ID: "f1", PutInForce: 1})
-	c.set(func(int, int) bool { return false })
-	c.agree(3, 1, 2, 3, 4, 5)
+	c.propose(configversions.Entry{ID: "f1", PutInForce: 1})
+	c.dropMessages(func(int, int) bool { return false })
+	c.awaitRevision(3, 1, 2, 3, 4, 5)
 }
 
-// Many ask at once who leads: all are answered, by few questions to the other voters. 300 dispatchers that renew four times a
-// second asked 1,200 times.
-func TestConfirmTogether(t *testing.T) {
-	c := newCouncil(t, 3)
+// TestConfirm_manyCallersShareMessages has many callers confirm the leader at once: all are answered, by fewer messages to the
+// other voters than there are callers.
+func TestConfirm_manyCallersShareMessages(t *testing.T) {
+	c := newCluster(t, 3)
 	const many = 300
-	for end := time.Now().Add(20 * time.Second); ; { // on a busy machine another may lead meanwhile: again, then
-		seat, l := c.leader()
+	for end := time.Now().Add(20 * time.Second); ; { // on a busy machine the leadership may move meanwhile: try again then
+		id, l := c.leader()
 		var mu sync.Mutex
 		sent := 0
-		c.set(func(from, _ int) bool {
+		c.dropMessages(func(from, _ int) bool {
 			mu.Lock()
 			defer mu.Unlock()
-			if from == seat {
+			if from == id {
 				sent++
 			}
 			return false
@@ -260,53 +262,54 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d messages of the leader for %d questions, %v", sent, many, failed)
+			t.Fatalf("%d messages of the leader for %d callers, error %v", sent, many, failed)
 		}
 	}
 }
 
-// A tenth of all messages is lost, and the log is long enough for snapshots: a voter that was down for them catches up.
-func TestLossAndSnapshots(t *testing.T) {
-	c := newCouncil(t, 3)
+// TestLog_messageLoss drops a tenth of all messages, over a log long enough for snapshots: a voter that was down catches up.
+func TestLog_messageLoss(t *testing.T) {
+	c := newCluster(t, 3)
 	leader, _ := c.leader()
 	behind := leader%3 + 1
 	c.stop(behind)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(5, 5))
-	c.set(func(int, int) bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.1 })
-	for n := range uint64(keepBehind) {
-		c.change(announce(n))
-		c.change(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
+	c.dropMessages(func(int, int) bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.1 })
+	for n := range uint64(retainedEntries) {
+		c.propose(announce(n))
+		c.propose(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
 	}
 	c.start(behind)
-	c.agree(2*keepBehind+1, 1, 2, 3)
-	if got := c.at(behind).Record(); got.InForce.Number != keepBehind || len(got.History) == 0 {
-		t.Errorf("caught up to %d", got.InForce.Number)
+	c.awaitRevision(2*retainedEntries+1, 1, 2, 3)
+	if got := c.log(behind).Record(); got.InForce.Number != retainedEntries || len(got.History) == 0 {
+		t.Errorf("caught up to version %d with %d in its history", got.InForce.Number, len(got.History))
 	}
 }
 
-// The first snapshots to a voter that was down are lost: it catches up all the same. It did not while the same voter led.
-func TestLostSnapshots(t *testing.T) {
-	c := newCouncil(t, 3)
+// TestLog_snapshotsLost drops the first snapshots to a voter that was down: it catches up under the same leader.
+func TestLog_snapshotsLost(t *testing.T) {
+	c := newCluster(t, 3)
 	leader, _ := c.leader()
 	behind := leader%3 + 1
 	c.stop(behind)
-	for n := range uint64(keepBehind) {
-		c.change(announce(n))
-		c.change(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
+	for n := range uint64(retainedEntries) {
+		c.propose(announce(n))
+		c.propose(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
 	}
 	c.mu.Lock()
-	c.snaps = 2
+	c.dropSnapshots = 2
 	c.mu.Unlock()
 	c.start(behind)
-	c.agree(2*keepBehind+1, 1, 2, 3)
+	c.awaitRevision(2*retainedEntries+1, 1, 2, 3)
 }
 
-// A voter is gone for good: another learns the log, takes its place, and the council stands the loss of a further one. The one
-// that comes back has no say. Then all but one are gone, and a council is made of what that one has on file.
-func TestSeatsMove(t *testing.T) {
-	c := newCouncil(t, 3)
-	c.change(announce(0))
+// TestChangeVoters_replaceAndRecover replaces a voter that is gone for good by a learner, after which the group survives the
+// loss of another one; the replaced voter comes back and changes nothing. Then all but one are gone, and a group is recovered
+// from the file of that one.
+func TestChangeVoters_replaceAndRecover(t *testing.T) {
+	c := newCluster(t, 3)
+	c.propose(announce(0))
 	lead, _ := c.leader()
 	gone := lead%3 + 1
 	c.stop(gone)
@@ -333,78 +336,78 @@
 	}
 	move(voters.Change{AddLearner: &voters.Voter{ID: fresh, Name: "n4", Address: "a4", Learner: true}}, has(fresh, true))
 	c.start(fresh)
-	c.change(configversions.Entry{ID: "f1", PutInForce: 1})
-	c.agree(c.at(lead).Record().Revision, lead, fresh)
+	c.propose(configversions.Entry{ID: "f1", PutInForce: 1})
+	c.awaitRevision(c.log(lead).Record().Revision, lead, fresh)
 	_, l := c.leader()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		places := l.VoterStatuses()
-		i := slices.IndexFunc(places, func(p voters.Status) bool { return p.ID == fresh })
-		g := slices.IndexFunc(places, func(p voters.Status) bool { return p.ID == uint64(gone) })
-		if i >= 0 && g >= 0 && places[i].Learner && places[i].Name == "n4" && places[i].EntriesBehind == 0 && places[i].SilentFor < time.Second && places[g].SilentFor > time.Second {
+		statuses := l.VoterStatuses()
+		i := slices.IndexFunc(statuses, func(p voters.Status) bool { return p.ID == fresh })
+		g := slices.IndexFunc(statuses, func(p voters.Status) bool { return p.ID == uint64(gone) })
+		if i >= 0 && g >= 0 && statuses[i].Learner && statuses[i].Name == "n4" && statuses[i].EntriesBehind == 0 && statuses[i].SilentFor < time.Second && statuses[g].SilentFor > time.Second {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%+v", places)
+			t.Fatalf("%+v", statuses)
 		}
 	}
 	move(voters.Change{Promote: fresh, Remove: uint64(gone)}, func(r configversions.Record) bool { return has(fresh, false)(r) && len(r.Voters) == 3 })
 	other := 6 - lead - gone
 	c.stop(other)
-	c.start(gone) // with its votes of before
-	c.change(announce(1))
-	c.agree(c.at(lead).Record().Revision, lead, fresh)
+	c.start(gone) // with the votes on its file
+	c.propose(announce(1))
+	c.awaitRevision(c.log(lead).Record().Revision, lead, fresh)
 
-	// What a follower missed is given as entries, or whole.
-	now := c.at(lead).Record()
-	entries, whole, _, _ := c.at(lead).EntriesSince(0, now.Revision-1)
+	// A follower gets the entries that it missed, or the whole record.
+	now := c.log(lead).Record()
+	entries, whole, _, _ := c.log(lead).EntriesSince(0, now.Revision-1)
 	before := now
 	before.Revision, before.Announced = now.Revision-1, nil
 	if after, err := before.Apply(entries[0]); len(entries) != 1 || whole != nil || err != nil || text(after) != text(now) {
 		t.Errorf("%+v, %v", entries, whole)
 	}
-	if _, whole, _, _ := c.at(lead).EntriesSince(9, now.Revision-1); whole == nil {
-		t.Error("entries of another era were given")
+	if _, whole, _, _ := c.log(lead).EntriesSince(9, now.Revision-1); whole == nil {
+		t.Error("entries of another epoch were returned")
 	}
 
-	for _, seat := range []int{gone, lead, fresh} {
-		c.stop(seat)
+	for _, id := range []int{gone, lead, fresh} {
+		c.stop(id)
 	}
 	r, err := Recover(c.dirs[fresh], fresh, "n4", "a4")
 	if err != nil || r.Epoch != 1 || r.InForce.Number != 3 || r.Announced != nil || len(r.Withdrawn) != 1 || len(r.Voters) != 1 || r.NextVoterID != 5 {
 		t.Fatalf("%v, %+v", err, r)
 	}
 	c.start(fresh)
-	c.change(announce(3))
-	if r := c.at(fresh).Record(); r.Epoch != 1 || r.Announced == nil {
+	c.propose(announce(3))
+	if r := c.log(fresh).Record(); r.Epoch != 1 || r.Announced == nil {
 		t.Errorf("%+v", r)
 	}
 }
 
-// A voter whose disk fails ends rather than give its word; the others go on, and with its file again it catches up. A file
-// whose end was torn off is not opened: what it promised is not known.
-func TestDiskFault(t *testing.T) {
-	c := newCouncil(t, 3)
-	c.change(announce(0))
+// TestRun_diskFault checks that a voter whose disk fails stops rather than acknowledge anything; the others go on, and with its
+// file back it catches up. A truncated file is not opened, as the votes in it are unknown.
+func TestRun_diskFault(t *testing.T) {
+	c := newCluster(t, 3)
+	c.propose(announce(0))
 	lead, _ := c.leader()
 	c.mu.Lock()
-	l, end := c.seats[lead], c.ends[lead]
+	l, end := c.logs[lead], c.ends[lead]
 	c.mu.Unlock()
-	l.store.db.Close() // as a disk that takes nothing more
+	l.store.db.Close() // like a disk that fails all writes
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(10*time.Second))
 	defer stop()
 	if err := l.Propose(ctx, configversions.Entry{ID: "f1", PutInForce: 1}); err == nil {
-		t.Error("it gave its word without a disk")
+		t.Error("the entry was applied without a disk")
 	}
 	if err := <-end; err == nil {
-		t.Error("it ended without a fault")
+		t.Error("Run ended without an error")
 	}
 	c.mu.Lock()
-	c.seats[lead] = nil
+	c.logs[lead] = nil
 	c.mu.Unlock()
-	c.change(configversions.Entry{ID: "f1 again", PutInForce: 1})
+	c.propose(configversions.Entry{ID: "f1 again", PutInForce: 1})
 	c.start(lead)
-	c.change(announce(1))
-	c.agree(4, 1, 2, 3)
+	c.propose(announce(1))
+	c.awaitRevision(4, 1, 2, 3)
 
 	c.stop(lead)
 	path := Path(c.dirs[lead], uint64(lead))
@@ -423,8 +426,8 @@
 	}
 }
 
-// A founder's file says with whom the council was founded, from then on.
-func TestFounder(t *testing.T) {
+// TestOpenFounder checks that a founder's file retains its incarnation and the founding voters.
+func TestOpenFounder(t *testing.T) {
 	dir := t.TempDir()
 	a, err := OpenFounder(dir, 1, nil)
 	if err != nil || a.Incarnation == "" || a.FoundingVoters != nil {
@@ -439,11 +442,12 @@
 	}
 }
 
-// A file of a council of another size is refused, as is a seat that there is not.
-func TestOtherCouncil(t *testing.T) {
+// TestOpen_otherFounders checks that a file of a group with another number of founders is rejected, and so is a voter ID that
+// is not a founder's.
+func TestOpen_otherFounders(t *testing.T) {
 	dir := t.TempDir()
-	open := func(seat, voters int) error {
-		l, err := Open(Options{VoterID: uint64(seat), Founders: founders(voters), Directory: dir, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	open := func(id, voters int) error {
+		l, err := Open(Options{VoterID: uint64(id), Founders: founders(voters), Directory: dir, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err == nil {
 			l.store.db.Close()
 		}
@@ -454,12 +458,12 @@
 	}
 	for _, bad := range [][2]int{{1, 5}, {0, 3}, {4, 3}} {
 		if open(bad[0], bad[1]) == nil {
-			t.Errorf("seat %d of %d was taken", bad[0], bad[1])
+			t.Errorf("voter %d of %d founders was opened", bad[0], bad[1])
 		}
 	}
 }
 
-// FuzzStep feeds voters what no voter sends.
+// FuzzStep passes a voter bytes that no voter sends.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{8, 3, 16, 1, 24, 2, 32, 9})
 	f.Add([]byte("no message"))
--- /dev/null
+++ b/internal/fleet/raftlog/raftlogger.go
@@ -0,0 +1,23 @@
+package raftlog
+
+import (
+	"fmt"
+	"log/slog"
+)
+
+// raftLogger is the logger of the raft library. Its warnings and errors are logged as such, the rest at debug level. Fatal
+// and Panic panic, as raft demands: it calls them where its invariants no longer hold.
+type raftLogger struct{ log *slog.Logger }
+
+func (l raftLogger) Debug(v ...any)                   { l.log.Debug(fmt.Sprint(v...)) }
+func (l raftLogger) Debugf(format string, v ...any)   { l.log.Debug(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Info(v ...any)                    { l.log.Debug(fmt.Sprint(v...)) }
+func (l raftLogger) Infof(format string, v ...any)    { l.log.Debug(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Warning(v ...any)                 { l.log.Warn(fmt.Sprint(v...)) }
+func (l raftLogger) Warningf(format string, v ...any) { l.log.Warn(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Error(v ...any)                   { l.log.Error(fmt.Sprint(v...)) }
+func (l raftLogger) Errorf(format string, v ...any)   { l.log.Error(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Fatal(v ...any)                   { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Fatalf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Panic(v ...any)                   { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Panicf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
--- a/internal/fleet/raftlog/voters.go
+++ b/internal/fleet/raftlog/voters.go
@@ -2,114 +2,85 @@
 
 import (
 	"encoding/json"
-	"math"
 	"slices"
-	"time"
 
-	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
-	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
 	"brassdale/internal/decisions/voters"
 )
 
-// look goes through what the leader knows of the seats. A snapshot of which nothing was heard for as long as an election
-// takes is sent again: raft sends one once and then nothing more to that seat until it is told how that ended, and what is
-// lost on the way tells nobody.
-func (l *Log) look() {
-	if !l.leads {
-		return
+// proposeChange proposes a change of the voters, or starts a transfer of the leadership.
+func (l *Log) proposeChange(change *voters.Change) error {
+	if change.TransferLeadership > 0 {
+		l.node.TransferLeader(change.TransferLeadership)
+		return nil
 	}
-	var places []voters.Status
-	last, _ := l.store.LastIndex()
-	l.node.WithProgress(func(id uint64, typ raft.ProgressType, pr tracker.Progress) {
-		if l.silent[id]++; pr.RecentActive || id == l.o.VoterID { // which raft forgets once an election's time
-			l.silent[id] = 0
-		}
-		if pr.State == tracker.StateSnapshot {
-			l.loading[id]++
-		} else {
-			delete(l.loading, id)
-		}
-		behind := last - min(pr.Match, last)
-		if pr.Match == 0 { // it has not answered yet, however short the log is
-			behind = math.MaxUint64
-		}
-		places = append(places, voters.Status{Voter: voters.Voter{ID: id, Learner: typ == raft.ProgressTypeLearner},
-			SilentFor: time.Duration(l.silent[id]) * tickEvery, EntriesBehind: behind, IsLeader: id == l.o.VoterID})
-	})
-	for id, ticks := range l.loading {
-		if ticks >= electionTicks {
-			delete(l.loading, id)
-			l.node.ReportSnapshot(id, raft.SnapshotFailure)
-		}
+	if l.inJointConfiguration() {
+		return ErrChangeInProgress
 	}
-	l.mu.Lock()
-	for i := range places {
-		for _, s := range l.record.Voters {
-			if s.ID == places[i].ID {
-				s.Learner = places[i].Learner
-				places[i].Voter = s
-			}
-		}
+	confChange, err := newConfChange(change)
+	if err != nil {
+		return err
 	}
-	l.places = places
-	l.mu.Unlock()
+	return l.node.ProposeConfChange(confChange)
 }
 
-// move proposes a change of the council.
-func (l *Log) move(m *voters.Change) error {
-	if m.TransferLeadership > 0 {
-		l.node.TransferLeader(m.TransferLeadership)
-		return nil
-	}
-	if l.conf.GetAutoLeave() || len(l.conf.GetVotersOutgoing()) > 0 {
-		return ErrChangeInProgress
-	}
-	cc := &raftpb.ConfChangeV2{}
-	change := func(what raftpb.ConfChangeType, id uint64) {
-		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: what.Enum(), NodeId: proto.Uint64(id)})
+// inJointConfiguration reports whether a change of several voters is applied and not yet concluded.
+func (l *Log) inJointConfiguration() bool {
+	return l.confState.GetAutoLeave() || len(l.confState.GetVotersOutgoing()) > 0
+}
+
+// newConfChange returns a change in raft's terms. The voter that is added is its context: raft itself knows only IDs.
+func newConfChange(change *voters.Change) (*raftpb.ConfChangeV2, error) {
+	confChange := &raftpb.ConfChangeV2{}
+	add := func(kind raftpb.ConfChangeType, id uint64) {
+		single := &raftpb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(id)}
+		confChange.Changes = append(confChange.Changes, single)
 	}
-	if m.AddLearner != nil {
-		change(raftpb.ConfChangeAddLearnerNode, m.AddLearner.ID)
-		var err error
-		if cc.Context, err = json.Marshal(m.AddLearner); err != nil {
-			return err
+	if change.AddLearner != nil {
+		encoded, err := json.Marshal(change.AddLearner)
+		if err != nil {
+			return nil, err
 		}
+		confChange.Context = encoded
+		add(raftpb.ConfChangeAddLearnerNode, change.AddLearner.ID)
 	}
-	if m.Promote > 0 {
-		change(raftpb.ConfChangeAddNode, m.Promote)
+	if change.Promote > 0 {
+		add(raftpb.ConfChangeAddNode, change.Promote)
 	}
-	if m.Remove > 0 {
-		change(raftpb.ConfChangeRemoveNode, m.Remove)
+	if change.Remove > 0 {
+		add(raftpb.ConfChangeRemoveNode, change.Remove)
 	}
-	return l.node.ProposeConfChange(cc)
+	return confChange, nil
 }
 
-// council gives the seats that the log's engine has now, with what is known of each.
-func (l *Log) council(fresh []byte) []voters.Voter {
+// votersOf returns the voters and learners of the current configuration with what is known of each: by the record, and by the
+// context of the change that led here.
+func (l *Log) votersOf(changeContext []byte) []voters.Voter {
 	l.mu.Lock()
 	known := slices.Clone(l.record.Voters)
 	l.mu.Unlock()
-	var seat voters.Voter
-	if len(fresh) > 0 && json.Unmarshal(fresh, &seat) == nil {
-		known = append(known, seat)
+	var added voters.Voter
+	if len(changeContext) > 0 && json.Unmarshal(changeContext, &added) == nil {
+		known = append(known, added)
 	}
-	all := []voters.Voter{}
+	current := []voters.Voter{}
 	add := func(ids []uint64, learner bool) {
 		for _, id := range ids {
-			for _, s := range known {
-				if s.ID == id && !slices.ContainsFunc(all, func(had voters.Voter) bool { return had.ID == id }) {
-					s.Learner = learner
-					all = append(all, s)
-				}
+			hasID := func(voter voters.Voter) bool { return voter.ID == id }
+			i := slices.IndexFunc(known, hasID)
+			if i < 0 || slices.ContainsFunc(current, hasID) {
+				continue
 			}
+			voter := known[i]
+			voter.Learner = learner
+			current = append(current, voter)
 		}
 	}
-	add(l.conf.GetVoters(), false)
-	add(l.conf.GetVotersOutgoing(), false)
-	add(l.conf.GetLearners(), true)
-	add(l.conf.GetLearnersNext(), true)
-	return all
+	add(l.confState.GetVoters(), false)
+	add(l.confState.GetVotersOutgoing(), false)
+	add(l.confState.GetLearners(), true)
+	add(l.confState.GetLearnersNext(), true)
+	return current
 }
