--- /dev/null
+++ b/cmd/brassdale-lab/demo.go
@@ -0,0 +1,169 @@
+package main
+
+import (
+	"context"
+	_ "embed"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"brassdale/internal/emulator"
+	"brassdale/internal/experiment"
+	"brassdale/internal/load"
+)
+
+// demoScenario is a calm deployment.
+//
+//go:embed demo.hcl
+var demoScenario []byte
+
+// demoCommand makes 'brassdale-lab demo', which runs a whole deployment on loopback and shows how it goes.
+func demoCommand() *cobra.Command {
+	var path, binary, variant string
+	var span time.Duration
+	command := &cobra.Command{Use: "demo", Short: "Run boxes, discovery, dispatchers and a gentle load on loopback, and show live figures", Args: cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
+			file, err := experiment.Parse(demoScenario, "demo.hcl")
+			if path != "" {
+				file, err = experiment.Load(path)
+			}
+			if err != nil {
+				return err
+			}
+			scenario, err := variantScenario(file, variant, uint64(file.First))
+			if err != nil {
+				return err
+			}
+			if path == "" {
+				scenario.Span = 24 * time.Hour // until Ctrl-C
+			}
+			ctx := command.Context()
+			if span > 0 {
+				var stop context.CancelFunc
+				ctx, stop = context.WithDeadline(ctx, time.Now().Add(span))
+				defer stop()
+			}
+			return playDemo(ctx, command.OutOrStdout(), scenario, binary)
+		}}
+	command.Flags().StringVar(&path, "scenario", "", "an experiment's file whose first variant is played (a calm works if left out)")
+	command.Flags().StringVar(&variant, "variant", "", "another variant of it")
+	command.Flags().StringVar(&binary, "binary", dispatcherPath(), "the dispatcher's program")
+	command.Flags().DurationVar(&span, "for", 0, "stop by itself after this")
+	return command
+}
+
+// playDemo starts an emulated deployment, its dispatchers and its load, and prints a line a second until the load has ended. It is an error
+// if a rule was broken.
+func playDemo(ctx context.Context, out io.Writer, scenario emulator.Scenario, binary string) error {
+	cluster, err := emulator.Open(scenario) //nolint:contextcheck // its servers run until Close, beyond the context of the load
+	if err != nil {
+		return err
+	}
+	defer cluster.Close()
+	dir, err := os.MkdirTemp("", "demo") // short: the dispatchers' sockets are in it
+	if err != nil {
+		return err
+	}
+	defer func() { _ = os.RemoveAll(dir) }()
+	var nodes []*emulator.Node
+	var targets []string
+	for number := range scenario.Dispatchers {
+		node, err := cluster.Start(ctx, binary, dir, number)
+		if err != nil {
+			return err
+		}
+		defer node.Kill()
+		nodes, targets = append(nodes, node), append(targets, node.Address)
+		fmt.Fprintf(out, "dispatcher %d: clients at %s, operators at http://%s/_vars\n", number, node.Address, node.Admin)
+	}
+	client, err := load.NewClient(load.HTTP1, scenario.Terms().Class, targets)
+	if err != nil {
+		return err
+	}
+	defer client.Close()
+	cluster.Troubles()
+	var recent recentJobs
+	options := load.Options{Terms: scenario.Terms(), Seed: scenario.Seed, Each: recent.add}
+	ended := make(chan *load.Result, 1)
+	go func() { ended <- load.Run(ctx, scenario.Jobs(), client, options) }()
+	tick := time.NewTicker(time.Second)
+	defer tick.Stop()
+	for {
+		select {
+		case result := <-ended:
+			fmt.Fprintln(out)
+			return endDemo(out, cluster, nodes, result)
+		case <-tick.C:
+			showLine(out, recent.line(cluster.Now()))
+		}
+	}
+}
+
+// showLine prints a line, over the line before on a terminal.
+func showLine(out io.Writer, line string) {
+	if isTerminal(os.Stdout) {
+		fmt.Fprintf(out, "\r\x1b[K%s", line)
+		return
+	}
+	fmt.Fprintln(out, line)
+}
+
+// stopWithin is how long a dispatcher of the demo has to end after SIGTERM.
+const stopWithin = 6 * time.Second
+
+// endDemo prints the figures of the load and stops the dispatchers. It is an error if one does not stop, or a rule was broken.
+func endDemo(out io.Writer, cluster *emulator.Cluster, nodes []*emulator.Node, result *load.Result) error {
+	if err := result.Figures().Table(out); err != nil {
+		return err
+	}
+	for number, node := range nodes {
+		if err := node.Stop(time.Now().Add(stopWithin)); err != nil {
+			return fmt.Errorf("dispatcher %d: %w\n%s", number, err, node.Log())
+		}
+	}
+	return errors.Join(result.Usable(), reportStatus(out, cluster.Now()))
+}
+
+// recentJobs collects the jobs that ended since the last line was made.
+type recentJobs struct {
+	mu        sync.Mutex
+	latencies []time.Duration
+	outcomes  map[load.Outcome]int
+}
+
+// add adds a job that has ended.
+func (s *recentJobs) add(_ load.Job, outcome load.Outcome, latency time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.outcomes == nil {
+		s.outcomes = map[load.Outcome]int{}
+	}
+	s.outcomes[outcome]++
+	if outcome == load.Served || outcome == load.Late {
+		s.latencies = append(s.latencies, latency)
+	}
+}
+
+// line returns the figures of the jobs since the last call and of the deployment now, on one line.
+func (s *recentJobs) line(now emulator.Standing) string {
+	s.mu.Lock()
+	times, ends := s.latencies, s.outcomes
+	s.latencies, s.outcomes = nil, nil
+	s.mu.Unlock()
+	slices.Sort(times)
+	quantile := func(p float64) time.Duration {
+		if len(times) == 0 {
+			return 0
+		}
+		return times[min(int(p*float64(len(times))), len(times)-1)].Round(time.Millisecond)
+	}
+	return fmt.Sprintf("%4.0fs  served %d/s  refused %d  failed %d  unanswered %d   p50 %v  p99 %v   boxes %d of %d (cold %d, in trouble %d), slots %d of %d, waiting %d   broken rules %d",
+		now.Since.Seconds(), ends[load.Served]+ends[load.Late], ends[load.Refused], ends[load.Failed], ends[load.Unanswered], quantile(0.5), quantile(0.99),
+		now.Up, now.Boxes, now.Cold, now.Troubled, now.Busy, now.Slots, now.Waiting, len(now.Breaches))
+}
--- a/cmd/brassdale-lab/failover.go
+++ b/cmd/brassdale-lab/failover.go
@@ -8,26 +8,26 @@
 	"brassdale/internal/experiment"
 )
 
-// failover sets four ways to decide on zones beside each other, in virtual time.
-func failover() *cobra.Command {
+// failoverCommand makes 'brassdale-lab failover', which compares ways to route between zones in virtual time.
+func failoverCommand() *cobra.Command {
 	var out string
-	t := experiment.ZoneExperiment{}
-	c := &cobra.Command{Use: "failover", Short: "Set ways to decide where zones' jobs go beside each other, in virtual time", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			bar := progress(len(experiment.ZoneCases())*len(experiment.ZoneModes)*t.Seeds, "failover")
-			rows, err := experiment.RunZones(c.Context(), t, runtime.GOMAXPROCS(0), func() { _ = bar.Add(1) })
+	zones := experiment.ZoneExperiment{}
+	command := &cobra.Command{Use: "failover", Short: "Set ways to decide where zones' jobs go beside each other, in virtual time", Args: cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
+			bar := progressBar(len(experiment.ZoneCases())*len(experiment.ZoneModes)*zones.Seeds, "failover")
+			rows, err := experiment.RunZones(command.Context(), zones, runtime.GOMAXPROCS(0), func() { _ = bar.Add(1) })
 			_ = bar.Finish()
 			if err != nil {
 				return err
 			}
-			if err := experiment.ZoneTable(c.OutOrStdout(), rows); err != nil {
+			if err := experiment.ZoneTable(command.OutOrStdout(), rows); err != nil {
 				return err
 			}
-			return experiment.SaveZoneRuns(folder(out), rows)
+			return experiment.SaveZoneRuns(resultDirectory(out), rows)
 		}}
-	c.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
-	c.Flags().IntVar(&t.Seeds, "seeds", 5, "from 1 on")
-	c.Flags().IntVar(&t.Dispatchers, "dispatchers", 300, "in four zones")
-	c.Flags().IntVar(&t.Boxes, "boxes", 40, "of five slots, in four zones")
-	return c
+	command.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
+	command.Flags().IntVar(&zones.Seeds, "seeds", 5, "from 1 on")
+	command.Flags().IntVar(&zones.Dispatchers, "dispatchers", 300, "in four zones")
+	command.Flags().IntVar(&zones.Boxes, "boxes", 40, "of five slots, in four zones")
+	return command
 }
--- a/cmd/brassdale-lab/fleet.go
+++ b/cmd/brassdale-lab/fleet.go
@@ -11,30 +11,30 @@
 	"brassdale/internal/faults"
 )
 
-// fleet plays faults between real processes of a fleet.
-func fleet() *cobra.Command {
+// fleetCommand makes 'brassdale-lab fleet', which injects faults between the real processes of a fleet.
+func fleetCommand() *cobra.Command {
 	var out, binary string
 	var seed uint64
 	var processes, repeats int
-	c := &cobra.Command{Use: "fleet FILE", Short: "Play a fleet of real dispatchers with faults between them, on loopback", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			f, err := faults.Load(args[0])
+	command := &cobra.Command{Use: "fleet FILE", Short: "Play a fleet of real dispatchers with faults between them, on loopback", Args: cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			file, err := faults.Load(args[0])
 			if err != nil {
 				return err
 			}
 			bad := 0
-			for n := range max(repeats, 1) {
-				dir := folder(out)
+			for repeat := range max(repeats, 1) {
+				dir := resultDirectory(out)
 				if repeats > 1 {
-					dir = filepath.Join(dir, fmt.Sprintf("seed-%d", seed+uint64(n)))
+					dir = filepath.Join(dir, fmt.Sprintf("seed-%d", seed+uint64(repeat)))
 				}
-				r, err := playFleet(c, f.Plan(seed+uint64(n), processes), binary, dir)
+				result, err := playFleet(command, file.Plan(seed+uint64(repeat), processes), binary, dir)
 				if err != nil {
-					return fmt.Errorf("seed %d: %w", seed+uint64(n), err)
+					return fmt.Errorf("seed %d: %w", seed+uint64(repeat), err)
 				}
-				fmt.Fprintf(c.OutOrStdout(), "seed %d: contradiction %.0f ms of %.0f ms, %d versions, %d jobs, %d answered once, %d never, %d lost with their process, %d rules broken\n",
-					r.Seed, r.ContradictionMS, r.BoundMS, r.Versions, r.Jobs, r.AnsweredOnce, r.AnsweredNever, r.LostWithProcess, r.RulesBroken)
-				if r.Bad() {
+				fmt.Fprintf(command.OutOrStdout(), "seed %d: contradiction %.0f ms of %.0f ms, %d versions, %d jobs, %d answered once, %d never, %d lost with their process, %d rules broken\n",
+					result.Seed, result.ContradictionMS, result.BoundMS, result.Versions, result.Jobs, result.AnsweredOnce, result.AnsweredNever, result.LostWithProcess, result.RulesBroken)
+				if result.Bad() {
 					bad++
 				}
 			}
@@ -43,16 +43,16 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
-	c.Flags().StringVar(&binary, "binary", dispatcherBeside(), "the dispatcher's program")
-	c.Flags().Uint64Var(&seed, "seed", 1, "of the schedule, the jobs and the proposals")
-	c.Flags().IntVar(&processes, "processes", 0, "so many instead of the file's")
-	c.Flags().IntVar(&repeats, "repeats", 1, "so many seeds from the first on, one after the other")
-	return c
+	command.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
+	command.Flags().StringVar(&binary, "binary", dispatcherPath(), "the dispatcher's program")
+	command.Flags().Uint64Var(&seed, "seed", 1, "of the schedule, the jobs and the proposals")
+	command.Flags().IntVar(&processes, "processes", 0, "so many instead of the file's")
+	command.Flags().IntVar(&repeats, "repeats", 1, "so many seeds from the first on, one after the other")
+	return command
 }
 
-// playFleet plays a plan and keeps its result and time line.
-func playFleet(c *cobra.Command, p faults.Plan, binary, dir string) (*faults.Result, error) {
+// playFleet runs a plan and writes its result and timeline to a directory; of a run that broke a rule also the logs.
+func playFleet(command *cobra.Command, plan faults.Plan, binary, dir string) (*faults.Result, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -60,22 +60,22 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(work)
-	r, err := faults.Play(c.Context(), p, binary, work)
+	defer func() { _ = os.RemoveAll(work) }()
+	result, err := faults.Play(command.Context(), plan, binary, work)
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.MarshalIndent(r, "", "  ")
+	text, err := json.MarshalIndent(result, "", "  ")
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "result.json"), append(text, '\n'), 0o644)
 	}
-	for i, log := range r.Logs {
-		if err == nil && r.Bad() { // to look into
+	for i, log := range result.Logs {
+		if err == nil && result.Bad() { // to look into
 			err = os.WriteFile(filepath.Join(dir, fmt.Sprintf("process-%d.log", i)), []byte(log), 0o644)
 		}
 	}
 	if err == nil {
-		err = r.Chart(filepath.Join(dir, "timeline.svg"))
+		err = result.Chart(filepath.Join(dir, "timeline.svg"))
 	}
-	return r, err
+	return result, err
 }
--- a/cmd/brassdale-lab/inject.go
+++ b/cmd/brassdale-lab/inject.go
@@ -13,12 +13,12 @@
 	"brassdale/internal/inject"
 )
 
-// injectCommand runs a program whose system calls fail now and then.
+// injectCommand makes 'brassdale-lab inject', which runs a program and makes some of its system calls fail.
 func injectCommand() *cobra.Command {
 	var rules string
 	var seed uint64
 	var after time.Duration
-	c := &cobra.Command{Use: "inject -- PROGRAM ARGUMENT...", Short: "Run a program whose system calls fail now and then", Args: cobra.MinimumNArgs(1),
+	command := &cobra.Command{Use: "inject -- PROGRAM ARGUMENT...", Short: "Run a program whose system calls fail now and then", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			parsed, err := inject.ParseRules(rules)
 			if err != nil {
@@ -28,16 +28,16 @@
 			if err != nil {
 				return err
 			}
-			signal.Ignore(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT) // they are for the program
+			signal.Ignore(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT) // they are meant for the program
 			begin := time.Now()
-			t := inject.Tracer{Rules: parsed, Seed: seed, Calm: func() bool { return time.Since(begin) < after },
+			tracer := inject.Tracer{Rules: parsed, Seed: seed, Calm: func() bool { return time.Since(begin) < after },
 				Began: func(pid int) { fmt.Fprintf(os.Stderr, "inject: pid=%d\n", pid) },
 				Failed: func(call string, n int) {
-					if n&(n-1) == 0 { // the first, and then fewer and fewer
+					if n&(n-1) == 0 { // the first, second, fourth, ...
 						fmt.Fprintf(os.Stderr, "inject: call=%s failed=%d\n", call, n)
 					}
 				}}
-			status, err := t.Run(append([]string{self, "launch", "--rules", rules, "--"}, args...))
+			status, err := tracer.Run(append([]string{self, "launch", "--rules", rules, "--"}, args...))
 			if err != nil {
 				return err
 			}
@@ -49,22 +49,22 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&rules, "rules", "", "call=ERRNO:one-in, separated by commas; read and write may be short")
-	c.Flags().Uint64Var(&seed, "seed", 1, "of the choice of calls")
-	c.Flags().DurationVar(&after, "after", 0, "nothing fails before")
-	return c
+	command.Flags().StringVar(&rules, "rules", "", "call=ERRNO:one-in, separated by commas; read and write may be short")
+	command.Flags().Uint64Var(&seed, "seed", 1, "of the choice of calls")
+	command.Flags().DurationVar(&after, "after", 0, "nothing fails before")
+	return command
 }
 
-// launchCommand becomes a program that its tracer stops; inject starts it.
+// launchCommand makes the hidden command that replaces itself with a traced program; inject starts it.
 func launchCommand() *cobra.Command {
 	var rules string
-	c := &cobra.Command{Use: "launch -- PROGRAM ARGUMENT...", Hidden: true, Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+	command := &cobra.Command{Use: "launch -- PROGRAM ARGUMENT...", Hidden: true, Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		parsed, err := inject.ParseRules(rules)
 		if err != nil {
 			return err
 		}
 		return inject.Launch(parsed, args)
 	}}
-	c.Flags().StringVar(&rules, "rules", "", "as for inject")
-	return c
+	command.Flags().StringVar(&rules, "rules", "", "as for inject")
+	return command
 }
--- a/cmd/brassdale-lab/load.go
+++ b/cmd/brassdale-lab/load.go
@@ -12,39 +12,39 @@
 	"brassdale/internal/load"
 )
 
-// loadCommand sends a plan's jobs to running dispatchers.
+// loadCommand makes 'brassdale-lab load', which sends the jobs of a plan to running dispatchers.
 func loadCommand() *cobra.Command {
 	var targets []string
 	var out string
 	var clients int
-	c := &cobra.Command{Use: "load --target HOST:PORT FILE", Short: "Send a plan's jobs to dispatchers, open loop, and tell what came of them",
+	command := &cobra.Command{Use: "load --target HOST:PORT FILE", Short: "Send a plan's jobs to dispatchers, open loop, and tell what came of them",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			f, err := load.Load(args[0])
+		RunE: func(command *cobra.Command, args []string) error {
+			file, err := load.Load(args[0])
 			if err != nil {
 				return err
 			}
-			client, err := f.Client(targets)
+			client, err := file.Client(targets)
 			if err != nil {
 				return err
 			}
 			defer client.Close()
-			bar := progress(-1, "jobs")
-			o := f.Options()
-			o.Clients = clients
-			o.Each = func(load.Job, load.Outcome, time.Duration) { _ = bar.Add(1) }
-			r := load.Run(c.Context(), f.Source(), client, o)
+			bar := progressBar(-1, "jobs")
+			options := file.Options()
+			options.Clients = clients
+			options.Each = func(load.Job, load.Outcome, time.Duration) { _ = bar.Add(1) }
+			result := load.Run(command.Context(), file.Source(), client, options)
 			_ = bar.Finish()
-			figures := r.Figures()
-			if err := figures.Table(c.OutOrStdout()); err != nil {
+			figures := result.Figures()
+			if err := figures.Table(command.OutOrStdout()); err != nil {
 				return err
 			}
 			if out != "" {
-				if err := keep(out, figures); err != nil {
+				if err := writeFigures(out, figures); err != nil {
 					return err
 				}
 			}
-			if err := r.Usable(); err != nil {
+			if err := result.Usable(); err != nil {
 				return err
 			}
 			if figures.CutShort {
@@ -52,15 +52,15 @@
 			}
 			return nil
 		}}
-	c.Flags().StringSliceVar(&targets, "target", nil, "a dispatcher's address, host:port; may be given again")
-	c.Flags().StringVar(&out, "out", "", "a file for the figures, as JSON")
-	c.Flags().IntVar(&clients, "closed", 0, "so many clients that each wait for their answer, to show what that would hide")
-	_ = c.MarkFlagRequired("target")
-	return c
+	command.Flags().StringSliceVar(&targets, "target", nil, "a dispatcher's address, host:port; may be given again")
+	command.Flags().StringVar(&out, "out", "", "a file for the figures, as JSON")
+	command.Flags().IntVar(&clients, "closed", 0, "so many clients that each wait for their answer, to show what that would hide")
+	_ = command.MarkFlagRequired("target")
+	return command
 }
 
-// keep writes figures to a file.
-func keep(path string, f load.Figures) error {
+// writeFigures writes figures to a file as JSON.
+func writeFigures(path string, figures load.Figures) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
@@ -68,9 +68,8 @@
 	if err != nil {
 		return err
 	}
-	if err := f.JSON(file); err != nil {
-		file.Close()
-		return err
+	if err := figures.JSON(file); err != nil {
+		return errors.Join(err, file.Close())
 	}
 	if err := file.Close(); err != nil {
 		return err
--- a/cmd/brassdale-lab/scalefit.go
+++ b/cmd/brassdale-lab/scalefit.go
@@ -10,19 +10,19 @@
 	"brassdale/internal/scale/fit"
 )
 
-// scaleReport draws the results of scale runs together.
-func scaleReport() *cobra.Command {
+// scaleReportCommand makes 'brassdale-lab scale-report', which fits the costs of scale runs to the fleet's size.
+func scaleReportCommand() *cobra.Command {
 	var out string
 	var before []string
-	c := &cobra.Command{Use: "scale-report DIR...", Short: "Fit what scale runs cost against the fleet's size, and draw it", Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+	command := &cobra.Command{Use: "scale-report DIR...", Short: "Fit what scale runs cost against the fleet's size, and draw it", Args: cobra.MinimumNArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
 			rows, err := fit.Read(args...)
 			if err != nil {
 				return err
 			}
-			var was []fit.Row
+			var rowsBefore []fit.Row
 			if len(before) > 0 {
-				if was, err = fit.Read(before...); err != nil {
+				if rowsBefore, err = fit.Read(before...); err != nil {
 					return err
 				}
 			}
@@ -30,26 +30,26 @@
 			if info, err := os.Stat(args[0]); dir == "" && len(args) == 1 && err == nil && info.IsDir() {
 				dir = args[0]
 			}
-			dir = folder(dir)
+			dir = resultDirectory(dir)
 			if err := fit.Save(dir, rows); err != nil {
 				return err
 			}
-			if err := fit.Table(c.OutOrStdout(), rows); err != nil {
+			if err := fit.Table(command.OutOrStdout(), rows); err != nil {
 				return err
 			}
-			if len(was) > 0 {
-				fmt.Fprintln(c.OutOrStdout())
-				if err := fit.CompareTable(c.OutOrStdout(), was, rows); err != nil {
+			if len(rowsBefore) > 0 {
+				fmt.Fprintln(command.OutOrStdout())
+				if err := fit.CompareTable(command.OutOrStdout(), rowsBefore, rows); err != nil {
 					return err
 				}
-				if err := fit.SaveCompared(filepath.Join(dir, "compared.txt"), was, rows); err != nil {
+				if err := fit.SaveCompared(filepath.Join(dir, "compared.txt"), rowsBefore, rows); err != nil {
 					return err
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "kept in %s\n", dir)
+			fmt.Fprintf(command.OutOrStdout(), "kept in %s\n", dir)
 			return nil
 		}}
-	c.Flags().StringVar(&out, "out", "", "the folder for what is written (DIR if there is one, else results/ and the time)")
-	c.Flags().StringSliceVar(&before, "before", nil, "a folder of runs of the build before, to compare with; may be given again")
-	return c
+	command.Flags().StringVar(&out, "out", "", "the folder for what is written (DIR if there is one, else results/ and the time)")
+	command.Flags().StringSliceVar(&before, "before", nil, "a folder of runs of the build before, to compare with; may be given again")
+	return command
 }
--- a/cmd/brassdale-lab/scalefit_test.go
+++ b/cmd/brassdale-lab/scalefit_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	run := func(args ...string) (string, error) {
-		c, out := scaleReport(), &bytes.Buffer{}
+		c, out := scaleReportCommand(), &bytes.Buffer{}
 		c.SilenceUsage, c.SilenceErrors = true, true
 		c.SetOut(out)
 		c.SetArgs(args)
--- a/cmd/brassdale-lab/soak.go
+++ b/cmd/brassdale-lab/soak.go
@@ -14,12 +14,12 @@
 	"brassdale/internal/soak"
 )
 
-// soakCommand plays scenarios of real dispatchers with faults drawn from seeds, and holds the rules over them.
+// soakCommand makes 'brassdale-lab soak', which runs real dispatchers with faults drawn from seeds and checks every rule.
 func soakCommand() *cobra.Command {
 	var out, binary, seeds string
 	var together int
-	c := &cobra.Command{Use: "soak FILE...", Short: "Play real dispatchers with faults drawn from seeds, and hold every rule over what their peers saw", Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+	command := &cobra.Command{Use: "soak FILE...", Short: "Play real dispatchers with faults drawn from seeds, and hold every rule over what their peers saw", Args: cobra.MinimumNArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
 			from, to, err := parseSeeds(seeds)
 			if err != nil {
 				return err
@@ -30,25 +30,25 @@
 			}
 			var plans []soak.Plan
 			for _, path := range args {
-				f, err := soak.Load(path)
+				file, err := soak.Load(path)
 				if err != nil {
 					return err
 				}
 				for seed := from; seed <= to; seed++ {
-					plans = append(plans, f.Draw(seed))
+					plans = append(plans, file.Draw(seed))
 				}
 			}
-			s := soakRun{command: c, programs: soak.Programs{Dispatcher: binary, Injector: self}, out: folder(out), file: strings.Join(args, " ")}
-			return s.play(plans, together)
+			session := soakSession{command: command, programs: soak.Programs{Dispatcher: binary, Injector: self}, directory: resultDirectory(out), scenarios: strings.Join(args, " ")}
+			return session.play(plans, together)
 		}}
-	c.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
-	c.Flags().StringVar(&binary, "binary", dispatcherBeside(), "the dispatcher's program")
-	c.Flags().StringVar(&seeds, "seeds", "1", "one seed, or the first and the last as A-B")
-	c.Flags().IntVar(&together, "together", 2, "so many runs beside each other")
-	return c
+	command.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
+	command.Flags().StringVar(&binary, "binary", dispatcherPath(), "the dispatcher's program")
+	command.Flags().StringVar(&seeds, "seeds", "1", "one seed, or the first and the last as A-B")
+	command.Flags().IntVar(&together, "together", 2, "so many runs beside each other")
+	return command
 }
 
-// parseSeeds reads A or A-B.
+// parseSeeds reads one seed A, or a range A-B.
 func parseSeeds(text string) (from, to uint64, err error) {
 	first, last, ranged := strings.Cut(text, "-")
 	if from, err = strconv.ParseUint(first, 10, 64); err != nil {
@@ -63,19 +63,19 @@
 	return from, to, nil
 }
 
-// soakRun is one call of the command.
-type soakRun struct {
-	command  *cobra.Command
-	programs soak.Programs
-	out      string
-	file     string // the scenarios, for the command that plays a seed again
+// soakSession is one execution of the command.
+type soakSession struct {
+	command   *cobra.Command
+	programs  soak.Programs
+	directory string
+	scenarios string // for the command that repeats a seed
 
-	mu   sync.Mutex
-	rows []soakRow
-	errs []error
+	mu     sync.Mutex
+	rows   []soakRow
+	errors []error
 }
 
-// soakRow is a run's row of the table.
+// soakRow is a run in soak.json.
 type soakRow struct {
 	Scenario string         `json:"scenario"`
 	Seed     uint64         `json:"seed"`
@@ -85,20 +85,20 @@
 	Requests int            `json:"requests"`
 	Attempts int            `json:"attempts"`
 	Breaches map[string]int `json:"breaches,omitempty"`
-	Error    string         `json:"error,omitempty"` // the run did not come to its end: it does not count
+	Error    string         `json:"error,omitempty"` // why the run was not played to its end, and does not count
 }
 
-// play plays all plans, some beside each other.
-func (s *soakRun) play(plans []soak.Plan, together int) error {
-	if err := os.MkdirAll(s.out, 0o755); err != nil {
+// play runs all plans, so many at a time, and writes the report.
+func (s *soakSession) play(plans []soak.Plan, together int) error {
+	if err := os.MkdirAll(s.directory, 0o755); err != nil {
 		return err
 	}
 	next := make(chan soak.Plan)
 	var wait sync.WaitGroup
 	for range max(together, 1) {
 		wait.Go(func() {
-			for p := range next {
-				s.one(p)
+			for plan := range next {
+				s.playOne(plan)
 			}
 		})
 	}
@@ -107,98 +107,98 @@
 	}
 	close(next)
 	wait.Wait()
-	return s.report()
+	return s.writeReport()
 }
 
-// one plays a plan, prints its row and the timelines of its breaches.
-func (s *soakRun) one(p soak.Plan) {
+// playOne runs a plan, and prints its row and the timelines of its breaches.
+func (s *soakSession) playOne(plan soak.Plan) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
-		s.errs = append(s.errs, err)
+		s.errors = append(s.errors, err)
 		return
 	}
-	defer os.RemoveAll(dir)
-	r, err := soak.Play(s.command.Context(), p, s.programs, dir)
-	row := soakRow{Scenario: p.Scenario, Seed: p.Seed, Effect: p.Idempotency, Failures: p.SystemCallFaults}
-	for _, e := range p.Events {
-		row.Events = append(row.Events, fmt.Sprintf("%.1fs %s", e.At.Seconds(), e.Kind))
+	defer func() { _ = os.RemoveAll(dir) }()
+	result, err := soak.Play(s.command.Context(), plan, s.programs, dir)
+	row := soakRow{Scenario: plan.Scenario, Seed: plan.Seed, Effect: plan.Idempotency, Failures: plan.SystemCallFaults}
+	for _, event := range plan.Events {
+		row.Events = append(row.Events, fmt.Sprintf("%.1fs %s", event.At.Seconds(), event.Kind))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.command.OutOrStdout()
+	output := s.command.OutOrStdout()
 	if err != nil {
 		row.Error = err.Error()
-		fmt.Fprintf(w, "%s seed %d: not played: %v\n", p.Scenario, p.Seed, err)
+		fmt.Fprintf(output, "%s seed %d: not played: %v\n", plan.Scenario, plan.Seed, err)
 		s.rows = append(s.rows, row)
 		return
 	}
-	row.Requests, row.Attempts, row.Breaches = len(r.Record.Requests), len(r.Record.Attempts), r.ByRule()
+	row.Requests, row.Attempts, row.Breaches = len(result.Record.Requests), len(result.Record.Attempts), result.ByRule()
 	s.rows = append(s.rows, row)
-	fmt.Fprintf(w, "%s seed %d: %s, pushed %t, %d dispatchers, %d workers, deadline %v, %d events, %d requests, %d attempts, broken: %v\n",
-		p.Scenario, p.Seed, p.Idempotency, p.ListsPushed, p.Dispatchers, p.Workers, p.Deadline, len(p.Events), row.Requests, row.Attempts, row.Breaches)
-	if len(r.Breaches) == 0 {
+	fmt.Fprintf(output, "%s seed %d: %s, pushed %t, %d dispatchers, %d workers, deadline %v, %d events, %d requests, %d attempts, broken: %v\n",
+		plan.Scenario, plan.Seed, plan.Idempotency, plan.ListsPushed, plan.Dispatchers, plan.Workers, plan.Deadline, len(plan.Events), row.Requests, row.Attempts, row.Breaches)
+	if len(result.Breaches) == 0 {
 		return
 	}
-	s.keep(r, dir)
+	s.keepEvidence(result, dir)
 }
 
 const (
-	timelinesPerRun = 3
-	logFiles        = "n*.log"
+	maxTimelines = 3 // of a run
+	logFiles     = "n*.log"
 )
 
-// keep prints the timelines of a run's first breaches and keeps its logs.
-func (s *soakRun) keep(r *soak.Result, dir string) {
-	w := s.command.OutOrStdout()
-	for i, b := range r.Breaches {
-		if i == timelinesPerRun {
+// keepEvidence prints the timelines of a run's first breaches and copies its logs to the results.
+func (s *soakSession) keepEvidence(result *soak.Result, dir string) {
+	output := s.command.OutOrStdout()
+	for i, breach := range result.Breaches {
+		if i == maxTimelines {
 			break
 		}
-		fmt.Fprintf(w, " %s %s worker %d: %s\n%s", b.Rule, b.Request, b.Worker, b.Detail, r.Timeline(b))
+		fmt.Fprintf(output, " %s %s worker %d: %s\n%s", breach.Rule, breach.Request, breach.Worker, breach.Detail, result.Timeline(breach))
 	}
-	for _, e := range r.Record.Events {
-		fmt.Fprintf(w, "  event %s\n", e)
+	for _, event := range result.Record.Events {
+		fmt.Fprintf(output, "  event %s\n", event)
 	}
-	fmt.Fprintf(w, " again: brassdale-lab soak %s --seeds %d\n", s.file, r.Plan.Seed)
+	fmt.Fprintf(output, " again: brassdale-lab soak %s --seeds %d\n", s.scenarios, result.Plan.Seed)
 	files, _ := filepath.Glob(filepath.Join(dir, logFiles))
 	for _, path := range files {
 		text, err := os.ReadFile(path)
 		if err == nil {
-			err = os.WriteFile(filepath.Join(s.out, fmt.Sprintf("seed-%d-%s", r.Plan.Seed, filepath.Base(path))), text, 0o644)
+			err = os.WriteFile(filepath.Join(s.directory, fmt.Sprintf("seed-%d-%s", result.Plan.Seed, filepath.Base(path))), text, 0o644)
 		}
 		if err != nil {
-			s.errs = append(s.errs, err)
+			s.errors = append(s.errors, err)
 		}
 	}
 }
 
-// report writes the rows and tells what was broken.
-func (s *soakRun) report() error {
+// writeReport writes soak.json and prints the totals. It returns an error if a rule was broken or a run was not played.
+func (s *soakSession) writeReport() error {
 	text, err := json.MarshalIndent(s.rows, "", " ")
 	if err == nil {
-		err = os.WriteFile(filepath.Join(s.out, "soak.json"), append(text, '\n'), 0o644)
+		err = os.WriteFile(filepath.Join(s.directory, "soak.json"), append(text, '\n'), 0o644)
 	}
 	if err != nil {
 		return err
 	}
-	total, requests, unplayed := map[string]int{}, 0, 0
-	broken := 0
-	for _, r := range s.rows {
-		requests += r.Requests
-		if r.Error != "" {
+	byRule, requests, unplayed := map[string]int{}, 0, 0
+	breaches := 0
+	for _, row := range s.rows {
+		requests += row.Requests
+		if row.Error != "" {
 			unplayed++
 		}
-		for rule, n := range r.Breaches {
-			total[rule] += n
-			broken += n
+		for rule, n := range row.Breaches {
+			byRule[rule] += n
+			breaches += n
 		}
 	}
-	fmt.Fprintf(s.command.OutOrStdout(), "%d runs, %d not played, %d requests, broken: %v\n", len(s.rows), unplayed, requests, total)
-	if len(s.errs) > 0 {
-		return s.errs[0]
+	fmt.Fprintf(s.command.OutOrStdout(), "%d runs, %d not played, %d requests, broken: %v\n", len(s.rows), unplayed, requests, byRule)
+	if len(s.errors) > 0 {
+		return s.errors[0]
 	}
-	if broken > 0 || unplayed > 0 {
-		return fmt.Errorf("%d breaches, %d runs not played", broken, unplayed)
+	if breaches > 0 || unplayed > 0 {
+		return fmt.Errorf("%d breaches, %d runs not played", breaches, unplayed)
 	}
 	return nil
 }
