--- a/cmd/brassdale-lab/demo.go
+++ b/cmd/brassdale-lab/demo.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	defer client.Close()
-	cluster.Troubles()
+	cluster.StartFaults()
 	var recent recentJobs
 	options := load.Options{Terms: scenario.Terms(), Seed: scenario.Seed, Each: recent.add}
 	ended := make(chan *load.Result, 1)
@@ -151,7 +151,7 @@
 }
 
 // line returns the figures of the jobs since the last call and of the deployment now, on one line.
-func (s *recentJobs) line(now emulator.Standing) string {
+func (s *recentJobs) line(now emulator.Status) string {
 	s.mu.Lock()
 	times, ends := s.latencies, s.outcomes
 	s.latencies, s.outcomes = nil, nil
@@ -165,5 +165,5 @@
 	}
 	return fmt.Sprintf("%4.0fs  served %d/s  refused %d  failed %d  unanswered %d   p50 %v  p99 %v   boxes %d of %d (cold %d, in trouble %d), slots %d of %d, waiting %d   broken rules %d",
 		now.Since.Seconds(), ends[load.Served]+ends[load.Late], ends[load.Refused], ends[load.Failed], ends[load.Unanswered], quantile(0.5), quantile(0.99),
-		now.Up, now.Boxes, now.Cold, now.Troubled, now.Busy, now.Slots, now.Waiting, len(now.Breaches))
+		now.Up, now.Workers, now.WarmingUp, now.Faulty, now.Busy, now.Slots, now.Waiting, len(now.Breaches))
 }
--- a/cmd/brassdale-lab/emulate.go
+++ b/cmd/brassdale-lab/emulate.go
@@ -68,8 +68,8 @@
 				}
 				fmt.Fprintf(out, "dispatcher %d: GW_CONFIG=%s bin/brassdale\n", number, path)
 			}
-			cluster.Troubles()
-			fmt.Fprintf(out, "%d boxes, %d faults to come; Ctrl-C ends it\n", cluster.Now().Boxes, len(scenario.Faults))
+			cluster.StartFaults()
+			fmt.Fprintf(out, "%d boxes, %d faults to come; Ctrl-C ends it\n", cluster.Now().Workers, len(scenario.Faults))
 			<-command.Context().Done()
 			return reportStatus(out, cluster.Now())
 		}}
@@ -80,7 +80,7 @@
 }
 
 // reportStatus prints the breaches of rules, and returns an error if there are any.
-func reportStatus(out io.Writer, status emulator.Standing) error {
+func reportStatus(out io.Writer, status emulator.Status) error {
 	for _, breach := range status.Breaches {
 		fmt.Fprintln(out, breach)
 	}
--- a/cmd/brassdale-lab/experiment.go
+++ b/cmd/brassdale-lab/experiment.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	var results []experiment.Work
+	var results []experiment.Deployment
 	behind := 0
 	for _, path := range files {
 		file, err := experiment.Load(path)
@@ -89,7 +89,7 @@
 		for _, breach := range module {
 			fmt.Fprintf(os.Stderr, "%s: %s\n", file.Title, breach)
 		}
-		results = append(results, experiment.Work{Name: file.Title, Rows: rows})
+		results = append(results, experiment.Deployment{Name: file.Title, Rows: rows})
 	}
 	out = resultDirectory(out)
 	if err := experiment.SaveOverview(out, results); err != nil {
--- a/cmd/brassdale-lab/failover.go
+++ b/cmd/brassdale-lab/failover.go
@@ -28,6 +28,6 @@
 	command.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
 	command.Flags().IntVar(&zones.Seeds, "seeds", 5, "from 1 on")
 	command.Flags().IntVar(&zones.Dispatchers, "dispatchers", 300, "in four zones")
-	command.Flags().IntVar(&zones.Boxes, "boxes", 40, "of five slots, in four zones")
+	command.Flags().IntVar(&zones.Workers, "boxes", 40, "of five slots, in four zones")
 	return command
 }
--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -11,25 +11,25 @@
 type Breach struct {
 	Rule    string
 	Request uint64
-	Box     scheduler.WorkerID // where one was concerned
+	Worker  scheduler.WorkerID // where one was concerned
 	At      time.Duration      // since the start
 	Why     string
 }
 
 func (b Breach) String() string {
 	at := ""
-	if b.Box != "" {
-		at = " at box " + string(b.Box)
+	if b.Worker != "" {
+		at = " at box " + string(b.Worker)
 	}
 	return fmt.Sprintf("%s: request %d%s, %v: %s", b.Rule, b.Request, at, b.At, b.Why)
 }
 
 // The rules.
 const (
-	RuleAnswer = "one final answer before give-up"
-	RuleRepeat = "repeats only as the class allows"
-	RuleDrain  = "nothing new to a draining box after the grace"
-	RuleCold   = "no cold box pushed over"
+	RuleAnswer    = "one final answer before give-up"
+	RuleRepeat    = "repeats only as the class allows"
+	RuleDrain     = "nothing new to a draining box after the grace"
+	RuleSlowStart = "no cold box pushed over"
 )
 
 // auditor holds the rules over all that happens. It knows nothing of how anybody decides.
@@ -43,7 +43,7 @@
 
 type drainKey struct {
 	dispatcher int
-	box        scheduler.WorkerID
+	worker     scheduler.WorkerID
 }
 
 // tried is what was done for a request.
@@ -54,20 +54,20 @@
 }
 
 type sending struct {
-	at    time.Duration
-	bay   int
-	zone  int
-	box   scheduler.WorkerID
-	out   bool
-	never bool // it is known not to have run
+	at       time.Duration
+	bay      int
+	zone     int
+	worker   scheduler.WorkerID
+	inFlight bool
+	never    bool // it is known not to have run
 }
 
 func newAuditor(s *Scenario, base time.Duration) *auditor {
 	return &auditor{s: s, base: base, tries: map[uint64]*tried{}, drained: map[drainKey]time.Duration{}}
 }
 
-func (a *auditor) broken(rule string, now time.Duration, request uint64, box scheduler.WorkerID, format string, args ...any) {
-	a.breach = append(a.breach, Breach{rule, request, box, now - a.base, fmt.Sprintf(format, args...)})
+func (a *auditor) addBreach(rule string, now time.Duration, request uint64, worker scheduler.WorkerID, format string, args ...any) {
+	a.breach = append(a.breach, Breach{rule, request, worker, now - a.base, fmt.Sprintf(format, args...)})
 }
 
 func (a *auditor) of(request uint64) *tried {
@@ -79,8 +79,8 @@
 	return t
 }
 
-// asked takes a request of a class.
-func (a *auditor) asked(request uint64, c *Class) { a.of(request).class = c }
+// requested takes a request of a class.
+func (a *auditor) requested(request uint64, c *Class) { a.of(request).class = c }
 
 // rules are those of a request's class.
 func (a *auditor) rules(t *tried) Class {
@@ -96,58 +96,58 @@
 	if c := a.rules(t); refused && c.Effect != scheduler.Idempotent && !(c.Effect == scheduler.IdempotentWithKey && c.Scope == scheduler.ScopeAll) {
 		for _, was := range t.sends {
 			if !was.never {
-				a.broken(RuleRepeat, now, request, was.box, "refused though it may have run there")
+				a.addBreach(RuleRepeat, now, request, was.worker, "refused though it may have run there")
 			}
 		}
 	}
 	if t.answers++; t.answers > 1 {
-		a.broken(RuleAnswer, now, request, "", "answer number %d", t.answers)
+		a.addBreach(RuleAnswer, now, request, "", "answer number %d", t.answers)
 	}
 }
 
 // gaveUp tells that a client waits no longer.
 func (a *auditor) gaveUp(now time.Duration, request uint64) {
 	if a.of(request).answers == 0 {
-		a.broken(RuleAnswer, now, request, "", "none came")
+		a.addBreach(RuleAnswer, now, request, "", "none came")
 	}
 }
 
 // sent takes an attempt, when its first byte leaves.
-func (a *auditor) sent(now time.Duration, dispatcher int, request uint64, box scheduler.WorkerID, bay, zone int) {
+func (a *auditor) sent(now time.Duration, dispatcher int, request uint64, worker scheduler.WorkerID, bay, zone int) {
 	t := a.of(request)
 	if len(t.sends) >= a.s.Rules.MaxAttempts {
-		a.broken(RuleRepeat, now, request, box, "attempt number %d", len(t.sends)+1)
+		a.addBreach(RuleRepeat, now, request, worker, "attempt number %d", len(t.sends)+1)
 	}
 	for _, was := range t.sends {
 		switch tr := a.rules(t); {
 		case was.never:
-		case was.out && !a.s.Rules.MayCopy:
-			a.broken(RuleRepeat, now, request, box, "a copy while one is out at %s", was.box)
+		case was.inFlight && !a.s.Rules.MayCopy:
+			a.addBreach(RuleRepeat, now, request, worker, "a copy while one is out at %s", was.worker)
 		case tr.Effect == scheduler.NonIdempotent:
-			a.broken(RuleRepeat, now, request, box, "it may have run at %s", was.box)
+			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s", was.worker)
 		case tr.Effect == scheduler.IdempotentWithKey && (tr.Scope == scheduler.ScopeCell && was.bay != bay || tr.Scope == scheduler.ScopeZone && was.zone != zone):
-			a.broken(RuleRepeat, now, request, box, "it may have run at %s of another bay or zone", was.box)
+			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s of another bay or zone", was.worker)
 		case tr.Effect == scheduler.IdempotentWithKey && now >= was.at+tr.Window:
-			a.broken(RuleRepeat, now, request, box, "it may have run at %s, and the window is over", was.box)
+			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s, and the window is over", was.worker)
 		}
 	}
-	t.sends = append(t.sends, sending{at: now, bay: bay, zone: zone, box: box, out: true})
-	if told, is := a.drained[(drainKey{dispatcher, box})]; is && now > told+a.s.Rules.DrainGrace {
-		a.broken(RuleDrain, now, request, box, "%v after it was told", now-told)
+	t.sends = append(t.sends, sending{at: now, bay: bay, zone: zone, worker: worker, inFlight: true})
+	if notified, is := a.drained[(drainKey{dispatcher, worker})]; is && now > notified+a.s.Rules.DrainGrace {
+		a.addBreach(RuleDrain, now, request, worker, "%v after it was told", now-notified)
 	}
 }
 
 // ended takes the outcome of an attempt.
 func (a *auditor) ended(request uint64, attempt int, o scheduler.Outcome) {
 	if t := a.of(request); attempt < len(t.sends) {
-		t.sends[attempt].out = false
+		t.sends[attempt].inFlight = false
 		t.sends[attempt].never = o == scheduler.NeverSent || o == scheduler.NoConnect || o == scheduler.Full || o == scheduler.InvalidRequest
 	}
 }
 
-// told notes what a dispatcher was told of a box.
-func (a *auditor) told(now time.Duration, dispatcher int, box scheduler.WorkerID, s scheduler.WorkerState) {
-	key := drainKey{dispatcher, box}
+// notified notes what a dispatcher was notified of a box.
+func (a *auditor) notified(now time.Duration, dispatcher int, worker scheduler.WorkerID, s scheduler.WorkerState) {
+	key := drainKey{dispatcher, worker}
 	if _, is := a.drained[key]; s == scheduler.Ready {
 		delete(a.drained, key)
 	} else if !is {
@@ -156,9 +156,9 @@
 }
 
 // pushed takes how much a cold box was sent lately, as a multiple of what it can do.
-func (a *auditor) pushed(now time.Duration, box scheduler.WorkerID, request uint64, load, most float64) {
-	if load > most {
-		a.broken(RuleCold, now, request, box, "sent %.2f times what it can do", load)
+func (a *auditor) pushed(now time.Duration, worker scheduler.WorkerID, request uint64, load, maximum float64) {
+	if load > maximum {
+		a.addBreach(RuleSlowStart, now, request, worker, "sent %.2f times what it can do", load)
 	}
 }
 
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -20,16 +20,16 @@
 // Cluster is a scenario's boxes and discovery on loopback sockets: the model of Run, by a real clock, for real dispatchers.
 // Each dispatcher reaches discovery and every box at addresses of its own, so that who sent what is known.
 type Cluster struct {
-	w     *world
-	begin time.Time
-	doors []*Door
-	turns turns
-	stop  context.CancelFunc
-	ended chan struct{}
+	w         *world
+	begin     time.Time
+	doors     []*DiscoveryServer
+	nextTurns roundRobin
+	stop      context.CancelFunc
+	ended     chan struct{}
 
 	// Owned by the engine.
-	requests                map[string]*request
-	firsts, furthers, asked []time.Duration // when first calls, further ones and probes came
+	requests                      map[string]*request
+	firsts, furthers, requestedAt []time.Duration // when first calls, further ones and probes came
 }
 
 // request is what was sent of one client's try.
@@ -38,18 +38,18 @@
 	sends int
 }
 
-// Door is what one dispatcher reaches.
-type Door struct {
-	works  *Cluster
-	n      int
-	zone   int
-	listen net.Listener // of discovery
-	server *http.Server
-	gates  map[scheduler.WorkerID]*gate
+// DiscoveryServer is what one dispatcher reaches.
+type DiscoveryServer struct {
+	cluster *Cluster
+	n       int
+	zone    int
+	listen  net.Listener // of discovery
+	server  *http.Server
+	gates   map[scheduler.WorkerID]*gate
 
 	// Owned by the engine.
-	told   map[scheduler.WorkerID]time.Duration
-	chance *rand.Rand
+	notifiedAt map[scheduler.WorkerID]time.Duration
+	chance     *rand.Rand
 
 	mu       sync.Mutex
 	revision int
@@ -57,7 +57,7 @@
 	hung     bool // or not answered
 	entries  map[scheduler.WorkerID]entry
 	order    []scheduler.WorkerID
-	news     chan struct{} // closed by the next change
+	changed  chan struct{} // closed by the next change
 	life     int           // of the dispatcher, counted by its starts and ends
 	absent   bool          // it is ending or gone
 	open     int           // calls of this life that are being served
@@ -88,7 +88,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	k := &Cluster{w: w, begin: time.Now(), stop: stop, ended: make(chan struct{}), requests: map[string]*request{}}
 	for n := range s.Dispatchers {
-		d, err := k.door(n)
+		d, err := k.discoveryServer(n)
 		if err != nil {
 			stop()
 			k.closeAll()
@@ -130,18 +130,18 @@
 	}
 }
 
-// Troubles has the scenario's faults begin to count now.
-func (k *Cluster) Troubles() { k.w.post(k.w.troubles) }
+// StartFaults has the scenario's faults begin to count now.
+func (k *Cluster) StartFaults() { k.w.post(k.w.faults) }
 
-func (k *Cluster) door(n int) (*Door, error) {
-	d := &Door{works: k, n: n, zone: n % max(k.w.s.Network.Zones, 1), gates: map[scheduler.WorkerID]*gate{}, told: map[scheduler.WorkerID]time.Duration{}, chance: k.w.source(uint64(100 + n)),
-		entries: map[scheduler.WorkerID]entry{}, news: make(chan struct{})}
+func (k *Cluster) discoveryServer(n int) (*DiscoveryServer, error) {
+	d := &DiscoveryServer{cluster: k, n: n, zone: n % max(k.w.s.Network.Zones, 1), gates: map[scheduler.WorkerID]*gate{}, notifiedAt: map[scheduler.WorkerID]time.Duration{}, chance: k.w.source(uint64(100 + n)),
+		entries: map[scheduler.WorkerID]entry{}, changed: make(chan struct{})}
 	var err error
 	if err = d.listens(); err != nil {
 		return nil, err
 	}
-	for _, b := range k.w.boxes {
-		g := &gate{door: d, b: b}
+	for _, b := range k.w.workers {
+		g := &gate{discoveryServer: d, b: b}
 		if err := g.open("127.0.0.1:0"); err != nil {
 			return nil, err
 		}
@@ -170,11 +170,11 @@
 
 // gate is a box as one dispatcher reaches it.
 type gate struct {
-	door    *Door
-	b       *box
-	down    bool // owned by the engine
-	address string
-	server  *http.Server
+	discoveryServer *DiscoveryServer
+	b               *worker
+	down            bool // owned by the engine
+	address         string
+	server          *http.Server
 }
 
 // open listens, at an address that it had before or at any.
@@ -208,14 +208,14 @@
 }
 
 func (g *gate) probe(w http.ResponseWriter, r *http.Request) {
-	k := g.door.works
+	k := g.discoveryServer.cluster
 	answer := make(chan *scheduler.Report, 1)
 	k.w.post(func() {
 		k.w.probes++
-		k.asked = append(k.asked, k.w.now)
+		k.requestedAt = append(k.requestedAt, k.w.now)
 		g.b.probe(func(o scheduler.Outcome, report *scheduler.Report) {
 			if o == scheduler.Served && !g.cutOff() {
-				k.w.after(2*k.w.between(g.door.zone, g.b, g.door.chance), func() { answer <- report })
+				k.w.after(2*k.w.between(g.discoveryServer.zone, g.b, g.discoveryServer.chance), func() { answer <- report })
 			}
 		})
 	})
@@ -239,7 +239,7 @@
 	}
 }
 func (x *exchange) over(r *run, o scheduler.Outcome) {
-	k := x.g.door.works
+	k := x.g.discoveryServer.cluster
 	if x.g.cutOff() { // nothing of it is heard
 		return
 	}
@@ -250,18 +250,20 @@
 	}
 	x.says <- ""
 }
-func (x *exchange) knows(id scheduler.WorkerID) time.Duration { return x.g.door.told[id] }
-func (x *exchange) way() *rand.Rand                           { return x.g.door.chance }
+func (x *exchange) knows(id scheduler.WorkerID) time.Duration {
+	return x.g.discoveryServer.notifiedAt[id]
+}
+func (x *exchange) oneWayDelay() *rand.Rand { return x.g.discoveryServer.chance }
 
 func (g *gate) work(w http.ResponseWriter, r *http.Request) {
-	k, id := g.door.works, r.Header.Get("Req-Id")
+	k, id := g.discoveryServer.cluster, r.Header.Get("Req-Id")
 	if _, err := io.Copy(io.Discard, r.Body); err != nil || id == "" || r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	x := &exchange{g, make(chan string, 4)}
 	j := k.w.s.jobOf(r.Header.Get("Idempotency-Key"))
-	a := &run{job: j, box: g.b.id, from: x, work: j.work, zone: g.door.zone}
+	a := &run{job: j, worker: g.b.id, from: x, work: j.work, zone: g.discoveryServer.zone}
 	k.w.post(func() { k.take(a, id, g) })
 	flush := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/json")
@@ -302,11 +304,11 @@
 	}
 	q.sends++
 	k.w.sends++
-	if g.b.zone != g.door.zone {
+	if g.b.zone != g.discoveryServer.zone {
 		k.w.crossings++
 	}
-	k.w.audit.sent(k.w.now, g.door.n, q.id, g.b.id, g.b.bay, g.b.zone)
-	k.w.after(k.w.between(g.door.zone, g.b, g.door.chance), func() {
+	k.w.audit.sent(k.w.now, g.discoveryServer.n, q.id, g.b.id, g.b.bay, g.b.zone)
+	k.w.after(k.w.between(g.discoveryServer.zone, g.b, g.discoveryServer.chance), func() {
 		if !a.over && !g.cutOff() {
 			if g.b.cut == 0 && !g.b.down {
 				k.w.pushedAt(g.b, a.work)
@@ -374,7 +376,9 @@
 }
 
 // cutOff tells whether nothing goes between the door's dispatcher and the box.
-func (g *gate) cutOff() bool { return g.door.works.w.apart[[2]int{g.door.zone, g.b.zone}] > 0 }
+func (g *gate) cutOff() bool {
+	return g.discoveryServer.cluster.w.apart[[2]int{g.discoveryServer.zone, g.b.zone}] > 0
+}
 
 // className is the one class of a scenario's jobs.
 const className = "price-part"
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -15,18 +15,18 @@
 
 // Class is one class of jobs. A scenario without classes has one, as its Traffic says.
 type Class struct {
-	Name    string
-	Share   float64 // of the jobs; shares count against each other
-	Work    float64 // mean seconds of a job at a slot of speed 1
-	Spread  float64 // of the logarithm of a job's work
-	Aim     time.Duration
-	Stretch float64 // an answer counts within Aim + Stretch x the job's work
-	GiveUp  time.Duration
-	Worth   float64 // of a unit of work
-	Effect  scheduler.Idempotency
-	Scope   scheduler.DeduplicationScope // the group of boxes that drops repeats of a key ...
-	Window  time.Duration
-	Wide    float64 // share of the jobs that take two slots
+	Name           string
+	Share          float64 // of the jobs; shares count against each other
+	Work           float64 // mean seconds of a job at a slot of speed 1
+	Spread         float64 // of the logarithm of a job's work
+	Aim            time.Duration
+	Stretch        float64 // an answer counts within Aim + Stretch x the job's work
+	GiveUp         time.Duration
+	PriorityWeight float64 // of a unit of work
+	Effect         scheduler.Idempotency
+	Scope          scheduler.DeduplicationScope // the group of boxes that drops repeats of a key ...
+	Window         time.Duration
+	Wide           float64 // share of the jobs that take two slots
 }
 
 // classes are the scenario's, one at least.
@@ -34,7 +34,7 @@
 	if len(t.Classes) > 0 {
 		return t.Classes
 	}
-	return []Class{{Share: 1, Work: t.Work, Spread: t.Spread, Aim: t.Aim, Stretch: t.Stretch, GiveUp: t.GiveUp, Worth: 1,
+	return []Class{{Share: 1, Work: t.Work, Spread: t.Spread, Aim: t.Aim, Stretch: t.Stretch, GiveUp: t.GiveUp, PriorityWeight: 1,
 		Effect: t.Effect, Scope: scheduler.ScopeCell, Window: t.Window}}
 }
 
@@ -85,24 +85,24 @@
 
 // value is what a job is worth to its client, in time.
 func (w *world) value(j *job) float64 {
-	return w.class(j).Worth * j.work * float64(j.slots)
+	return w.class(j).PriorityWeight * j.work * float64(j.slots)
 }
 
 func (w *world) class(j *job) *Class { return &w.kinds[j.class] }
 
 // fits tells whether a box can begin a job now. It has a unit of memory for each slot.
-func (b *box) fits(j *job) bool {
+func (b *worker) fits(j *job) bool {
 	return b.busy+j.slots <= b.slots && b.memory+j.memory <= float64(b.slots)
 }
 
 // full tells whether a box turns a job away: it could never run it, or too many wait.
-func (b *box) full(j *job) bool {
+func (b *worker) full(j *job) bool {
 	most := b.w.s.Queue * float64(b.slots)
 	return j.slots > b.slots || j.memory > float64(b.slots) || most > 0 && float64(len(b.queue)) >= most && !b.fits(j)
 }
 
 // between is a way from a dispatcher's zone to a box or back.
-func (w *world) between(zone int, b *box, chance *rand.Rand) time.Duration {
+func (w *world) between(zone int, b *worker, chance *rand.Rand) time.Duration {
 	var way time.Duration
 	if zone == b.zone {
 		way = w.delay(chance)
@@ -117,7 +117,7 @@
 
 // connect gives how much longer a job's way to a box is for want of a connection that stands idle; not ok where the box
 // takes no further one.
-func (d *dispatcher) connect(b *box) (more time.Duration, ok bool) {
+func (d *dispatcher) connect(b *worker) (more time.Duration, ok bool) {
 	n := &d.w.s.Network
 	if n.Handshake <= 0 {
 		return 0, true
@@ -140,7 +140,7 @@
 }
 
 // disconnect takes a connection back: idle behind an answer, closed behind all else.
-func (d *dispatcher) disconnect(b *box, whole bool) {
+func (d *dispatcher) disconnect(b *worker, whole bool) {
 	switch {
 	case d.w.s.Network.Handshake <= 0:
 	case whole:
@@ -152,7 +152,7 @@
 
 // weigh tells all dispatchers of a box's weight, now and then: its size, less the more it holds.
 func (w *world) weigh() {
-	for _, b := range w.boxes {
+	for _, b := range w.workers {
 		if b.state == scheduler.Ready && !b.down {
 			w.changed(b)
 		}
@@ -163,7 +163,7 @@
 const weighEvery = time.Second
 
 // weight is what the list says of a box.
-func (b *box) weight() float64 {
+func (b *worker) weight() float64 {
 	if !b.w.s.LiveWeights {
 		return float64(b.slots)
 	}
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -20,7 +20,7 @@
 	idle       map[scheduler.WorkerID][]time.Duration // connections, by since when they have been
 	policy     Policy
 	open       map[scheduler.RequestID]*open
-	told       map[scheduler.WorkerID]time.Duration // of which start of a box
+	notify     map[scheduler.WorkerID]time.Duration // of which start of a box
 	watcher    *failover.Recorder                   // nil where nobody plans
 	plan       *failover.Plan
 	listedAs   map[scheduler.WorkerID]scheduler.WorkerInfo
@@ -33,7 +33,7 @@
 	expires  time.Duration
 	answered bool
 	runs     []*run
-	out      []bool
+	inFlight []bool
 	left     int // attempts without an outcome
 }
 
@@ -44,9 +44,9 @@
 		case scheduler.Send:
 			d.send(a)
 		case scheduler.Cancel:
-			if o := d.open[a.ID]; o != nil && a.Attempt < len(o.runs) && o.out[a.Attempt] {
+			if o := d.open[a.ID]; o != nil && a.Attempt < len(o.runs) && o.inFlight[a.Attempt] {
 				r := o.runs[a.Attempt]
-				d.w.after(d.w.between(d.zone, d.w.boxOf(r), d.chance), func() { d.w.boxOf(r).cancel(r) })
+				d.w.after(d.w.between(d.zone, d.w.workerOf(r), d.chance), func() { d.w.workerOf(r).cancel(r) })
 				d.w.after(0, func() { d.ended(a.ID, a.Attempt, scheduler.Cancelled) })
 			}
 		case scheduler.Reject:
@@ -78,11 +78,11 @@
 
 // refused has a call to discovery fail: at once where it is down, behind the caller's patience where it hangs.
 func (d *dispatcher) refused() {
-	patience := d.w.delay(d.chance)
+	clientPatience := d.w.delay(d.chance)
 	if d.w.down == 0 {
-		patience = hungCall
+		clientPatience = hungCall
 	}
-	d.w.after(patience, func() { d.feed(scheduler.EndpointsUpdated{ListKind: scheduler.ListFailed}) })
+	d.w.after(clientPatience, func() { d.feed(scheduler.EndpointsUpdated{ListKind: scheduler.ListFailed}) })
 }
 
 // hungCall is how long a dispatcher waits for an answer of discovery.
@@ -91,7 +91,7 @@
 // arrived takes a client's request.
 func (d *dispatcher) arrived(j *job, id scheduler.RequestID, expires time.Duration) {
 	d.open[id] = &open{job: j, expires: expires}
-	d.w.audit.asked(uint64(id), d.w.class(j))
+	d.w.audit.requested(uint64(id), d.w.class(j))
 	d.w.after(expires-d.w.now, func() { d.expired(id) })
 	within, ok := d.guided(j)
 	if !ok { // shed where it arrives
@@ -108,9 +108,9 @@
 		return
 	}
 	for i := range o.runs {
-		if o.out[i] {
+		if o.inFlight[i] {
 			r := o.runs[i]
-			d.w.after(d.w.between(d.zone, d.w.boxOf(r), d.chance), func() { d.w.boxOf(r).cancel(r) })
+			d.w.after(d.w.between(d.zone, d.w.workerOf(r), d.chance), func() { d.w.workerOf(r).cancel(r) })
 			d.ended(id, i, scheduler.TimedOut)
 		}
 	}
@@ -124,8 +124,8 @@
 	b := d.w.byID[a.Worker]
 	attempt := len(o.runs)
 	r := &run{job: o.job, attempt: attempt, from: d, work: o.job.work, zone: d.zone}
-	r.box, r.sentAt = a.Worker, d.w.now
-	o.runs, o.out = append(o.runs, r), append(o.out, true)
+	r.worker, r.sentAt = a.Worker, d.w.now
+	o.runs, o.inFlight = append(o.runs, r), append(o.inFlight, true)
 	o.left++
 	if o.answered || d.w.now >= o.expires || attempt >= d.w.s.Rules.MaxAttempts || b == nil {
 		d.w.after(0, func() { d.ended(a.ID, attempt, scheduler.NeverSent) })
@@ -154,50 +154,50 @@
 }
 
 // ended ends an attempt, once.
-func (d *dispatcher) ended(id scheduler.RequestID, attempt int, out scheduler.Outcome) {
+func (d *dispatcher) ended(id scheduler.RequestID, attempt int, inFlight scheduler.Outcome) {
 	o := d.open[id]
-	if o == nil || !o.out[attempt] {
+	if o == nil || !o.inFlight[attempt] {
 		return
 	}
-	o.out[attempt] = false
+	o.inFlight[attempt] = false
 	o.left--
-	d.w.audit.ended(uint64(id), attempt, out)
+	d.w.audit.ended(uint64(id), attempt, inFlight)
 	r := o.runs[attempt]
 	if r.connected {
-		d.disconnect(d.w.boxOf(r), out == scheduler.Served || out == scheduler.Full)
+		d.disconnect(d.w.workerOf(r), inFlight == scheduler.Served || inFlight == scheduler.Full)
 	}
 	var report *scheduler.Report
-	if out == scheduler.Served || out == scheduler.Full {
+	if inFlight == scheduler.Served || inFlight == scheduler.Full {
 		report = r.report
 	}
-	d.saw(r, o, out)
-	if out == scheduler.Served {
+	d.saw(r, o, inFlight)
+	if inFlight == scheduler.Served {
 		d.answer(id, served, 0)
 	}
-	d.feed(scheduler.AttemptFinished{ID: id, Attempt: attempt, Worker: o.runs[attempt].box, Outcome: out, Final: o.answered, Report: report, ConnectionIdle: -1})
+	d.feed(scheduler.AttemptFinished{ID: id, Attempt: attempt, Worker: o.runs[attempt].worker, Outcome: inFlight, Final: o.answered, Report: report, ConnectionIdle: -1})
 	d.forget(id)
 }
 
 // started, over, knows and way make it an origin of attempts.
 func (d *dispatcher) started(r *run) {
-	if d.cutOff(d.w.boxOf(r)) {
+	if d.cutOff(d.w.workerOf(r)) {
 		return
 	}
-	if o := d.open[r.id]; o != nil && o.out[r.attempt] {
+	if o := d.open[r.id]; o != nil && o.inFlight[r.attempt] {
 		if r.beganAt = d.w.now; d.watcher != nil {
-			d.watcher.ResponseReceived(d.w.zoneName(d.w.boxOf(r).zone), d.w.now)
+			d.watcher.ResponseReceived(d.w.zoneName(d.w.workerOf(r).zone), d.w.now)
 		}
-		d.feed(scheduler.AttemptStarted{ID: r.id, Attempt: r.attempt, Worker: r.box})
+		d.feed(scheduler.AttemptStarted{ID: r.id, Attempt: r.attempt, Worker: r.worker})
 	}
 }
 
 func (d *dispatcher) over(r *run, o scheduler.Outcome) {
-	if !d.cutOff(d.w.boxOf(r)) { // else nothing of it is heard before the client gives up
+	if !d.cutOff(d.w.workerOf(r)) { // else nothing of it is heard before the client gives up
 		d.ended(r.id, r.attempt, o)
 	}
 }
-func (d *dispatcher) knows(id scheduler.WorkerID) time.Duration { return d.told[id] }
-func (d *dispatcher) way() *rand.Rand                           { return d.chance }
+func (d *dispatcher) knows(id scheduler.WorkerID) time.Duration { return d.notify[id] }
+func (d *dispatcher) oneWayDelay() *rand.Rand                   { return d.chance }
 
 // answer gives the final answer. Whether there was one before is the auditor's to see.
 func (d *dispatcher) answer(id scheduler.RequestID, v verdict, after time.Duration) {
@@ -221,11 +221,11 @@
 // listed tells the policy of the list.
 func (d *dispatcher) listed(kind scheduler.ListKind, ws []scheduler.WorkerInfo) {
 	for _, w := range ws {
-		d.w.audit.told(d.w.now, d.n, w.ID, w.State)
+		d.w.audit.notified(d.w.now, d.n, w.ID, w.State)
 		if d.listedAs != nil {
 			d.listedAs[w.ID] = w
 		}
-		d.told[w.ID] = max(d.told[w.ID], w.StartedAt)
+		d.notify[w.ID] = max(d.notify[w.ID], w.StartedAt)
 	}
 	d.feed(scheduler.EndpointsUpdated{ListKind: kind, Workers: ws})
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -185,12 +185,12 @@
 			}
 			return acts
 		}),
-		RuleCold: all(starts, func(_ scheduler.Event, acts []scheduler.Action) []scheduler.Action { return acts }),
+		RuleSlowStart: all(starts, func(_ scheduler.Event, acts []scheduler.Action) []scheduler.Action { return acts }),
 	} {
 		rule, _, _ = strings.Cut(rule, ",")
 		found := false
 		for _, b := range r.Breaches {
-			if b.Rule == rule && b.Request > 0 && b.At > 0 && (rule == RuleAnswer || b.Box != "") {
+			if b.Rule == rule && b.Request > 0 && b.At > 0 && (rule == RuleAnswer || b.Worker != "") {
 				found = true
 			}
 		}
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -20,8 +20,8 @@
 	Step     float64
 }
 
-// council is the planner with its clients.
-type council struct {
+// voterGroup is the planner with its clients.
+type voterGroup struct {
 	planner *failover.Planner
 	chance  *rand.Rand
 	changes int
@@ -52,7 +52,7 @@
 	for z := range w.s.Network.Zones {
 		regions[w.zoneName(z)] = w.region(z)
 	}
-	w.failover = &council{chance: w.source(4), planner: failover.NewPlanner(failover.Settings{Headroom: f.Headroom, RecoveryRamp: f.ReturnIn, DetectionTime: f.Detect, MaxShiftPerSecond: f.Step,
+	w.failover = &voterGroup{chance: w.source(4), planner: failover.NewPlanner(failover.Settings{Headroom: f.Headroom, RecoveryRamp: f.ReturnIn, DetectionTime: f.Detect, MaxShiftPerSecond: f.Step,
 		Distance: func(from, to string) float64 {
 			if from == to {
 				return 0
@@ -88,18 +88,18 @@
 	capacity := map[string]float64{}
 	for _, info := range d.listedAs {
 		if info.State == scheduler.Ready {
-			age := w.s.Cold.For
+			age := w.s.SlowStart.For
 			if info.StartedAt > 0 {
 				age = w.now - info.StartedAt
 			}
-			capacity[w.zoneName(info.Zone)] += failover.Capacity(info.Weight, w.s.Cold.Capacity, age, w.s.Cold.For)
+			capacity[w.zoneName(info.Zone)] += failover.Capacity(info.Weight, w.s.SlowStart.Capacity, age, w.s.SlowStart.For)
 		}
 	}
 	for _, o := range d.open {
 		for i, r := range o.runs {
-			if o.out[i] && !r.silent && r.beganAt == 0 && w.now-r.sentAt > failover.NoResponseAfter {
+			if o.inFlight[i] && !r.silent && r.beganAt == 0 && w.now-r.sentAt > failover.NoResponseAfter {
 				r.silent = true
-				d.watcher.CallUnanswered(w.zoneName(w.boxOf(r).zone), w.now)
+				d.watcher.CallUnanswered(w.zoneName(w.workerOf(r).zone), w.now)
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 	w := d.w
 	class := w.className(j)
 	if d.watcher != nil {
-		d.watcher.JobArrived(class, w.kinds[j.class].Worth)
+		d.watcher.JobArrived(class, w.kinds[j.class].PriorityWeight)
 	}
 	switch w.s.Failover.Mode {
 	case "near":
@@ -158,31 +158,31 @@
 }
 
 // saw counts a call's end.
-func (d *dispatcher) saw(r *run, o *open, out scheduler.Outcome) {
+func (d *dispatcher) saw(r *run, o *open, inFlight scheduler.Outcome) {
 	w := d.w
-	to := w.zoneName(w.boxOf(r).zone)
+	to := w.zoneName(w.workerOf(r).zone)
 	switch {
-	case d.watcher == nil, out == scheduler.NeverSent, out == scheduler.Cancelled && (r.beganAt > 0 || w.now-r.sentAt < failover.NoResponseAfter/4), r.silent && out == scheduler.TimedOut:
+	case d.watcher == nil, inFlight == scheduler.NeverSent, inFlight == scheduler.Cancelled && (r.beganAt > 0 || w.now-r.sentAt < failover.NoResponseAfter/4), r.silent && inFlight == scheduler.TimedOut:
 		return
-	case out == scheduler.Cancelled, out == scheduler.TimedOut, out == scheduler.NoConnect, out == scheduler.Reset:
+	case inFlight == scheduler.Cancelled, inFlight == scheduler.TimedOut, inFlight == scheduler.NoConnect, inFlight == scheduler.Reset:
 		d.watcher.CallUnanswered(to, w.now)
 		return
 	}
 	ran := time.Duration(0)
-	if out == scheduler.Served && r.beganAt > 0 {
+	if inFlight == scheduler.Served && r.beganAt > 0 {
 		ran = time.Duration(float64(w.now-r.beganAt) * float64(r.job.slots))
 	}
-	d.watcher.CallEnded(to, w.className(r.job), out == scheduler.Full, out == scheduler.Served && w.inTime(r.job, w.now-r.job.asked), ran, w.now)
+	d.watcher.CallEnded(to, w.className(r.job), inFlight == scheduler.Full, inFlight == scheduler.Served && w.inTime(r.job, w.now-r.job.requestedAt), ran, w.now)
 }
 
 // className is a job's class by name.
 func (w *world) className(j *job) string { return cmp.Or(w.kinds[j.class].Name, className) }
 
 // cutOff tells whether nothing goes between the dispatcher and a box.
-func (d *dispatcher) cutOff(b *box) bool { return d.w.apart[[2]int{d.zone, b.zone}] > 0 }
+func (d *dispatcher) cutOff(b *worker) bool { return d.w.apart[[2]int{d.zone, b.zone}] > 0 }
 
-// befallZone plays a zone's fault.
-func (w *world) befallZone(f Fault) {
+// applyZoneFault plays a zone's fault.
+func (w *world) applyZoneFault(f Fault) {
 	zone := f.Zone - 1
 	switch f.Kind {
 	case Apart:
@@ -192,7 +192,7 @@
 		w.far[zone] = f.Size
 		w.after(f.For, func() { w.far[zone] = 0 })
 	case ZoneLost:
-		for _, b := range w.boxes {
+		for _, b := range w.workers {
 			if b.zone != zone {
 				continue
 			}
@@ -210,9 +210,9 @@
 func (w *world) able() {
 	for z := range w.perZone {
 		sum := 0.0
-		for _, b := range w.boxes {
+		for _, b := range w.workers {
 			if b.zone == z && !b.down && b.cut == 0 && b.state != scheduler.Gone {
-				sum += float64(b.slots) * b.speed * b.warmth()
+				sum += float64(b.slots) * b.speed * b.warmupFactor()
 			}
 		}
 		w.perZone[z].able = append(w.perZone[z].able, sum)
@@ -222,7 +222,7 @@
 }
 
 // pushedAt counts work that came to a zone's boxes.
-func (w *world) pushedAt(b *box, work float64) {
+func (w *world) pushedAt(b *worker, work float64) {
 	if t := &w.perZone[b.zone]; len(t.pushed) > 0 {
 		t.pushed[len(t.pushed)-1] += work
 	}
@@ -232,7 +232,7 @@
 const peakOver = 5
 
 // peak is the most that came to a zone's boxes, as a share of what they could do, while they could do anything.
-func (w *world) peak() (most float64) {
+func (w *world) peak() (peak float64) {
 	for _, t := range w.perZone {
 		for i := peakOver; i < len(t.pushed); i++ {
 			pushed, able := 0.0, 0.0
@@ -245,27 +245,27 @@
 				whole = whole && t.able[k] > 0
 			}
 			if whole {
-				most = max(most, pushed/able)
+				peak = max(peak, pushed/able)
 			}
 		}
 	}
-	return most
+	return peak
 }
 
 // second is what was asked for in one, and what of it was in time.
-type second struct{ asked, good float64 }
+type second struct{ requested, good float64 }
 
 // countAt enters a job's end where its client asked.
 func (w *world) countAt(j *job, v verdict) {
-	at := int((j.asked - epoch - warmUp) / time.Second)
+	at := int((j.requestedAt - epoch - warmUp) / time.Second)
 	for len(w.seconds) <= at {
 		w.seconds = append(w.seconds, second{})
 	}
 	if at < 0 {
 		return
 	}
-	w.seconds[at].asked += w.value(j)
-	if v == served && w.inTime(j, w.now-j.asked) {
+	w.seconds[at].requested += w.value(j)
+	if v == served && w.inTime(j, w.now-j.requestedAt) {
 		w.seconds[at].good += w.value(j)
 	}
 }
@@ -275,12 +275,12 @@
 	var sum second
 	for i, s := range r.Seconds {
 		if at := time.Duration(i) * time.Second; at >= from && at < to {
-			sum.asked += s.asked
+			sum.requested += s.requested
 			sum.good += s.good
 		}
 	}
-	if sum.asked == 0 {
+	if sum.requested == 0 {
 		return 1
 	}
-	return sum.good / sum.asked
+	return sum.good / sum.requested
 }
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -144,7 +144,7 @@
 // Spent gives it.
 func (k *Cluster) Spent() Costs {
 	got := make(chan Costs, 1)
-	k.w.post(func() { got <- Costs{slices.Clone(k.firsts), slices.Clone(k.furthers), slices.Clone(k.asked)} })
+	k.w.post(func() { got <- Costs{slices.Clone(k.firsts), slices.Clone(k.furthers), slices.Clone(k.requestedAt)} })
 	return <-got
 }
 
@@ -167,9 +167,9 @@
 	return err == nil && after.Seconds() <= s.Traffic.Aim.Seconds()+s.Traffic.Stretch*work
 }
 
-// Boxes are the works' boxes.
-func (k *Cluster) Boxes() (ids []scheduler.WorkerID) {
-	for _, b := range k.w.boxes {
+// Workers are the works' boxes.
+func (k *Cluster) Workers() (ids []scheduler.WorkerID) {
+	for _, b := range k.w.workers {
 		ids = append(ids, b.id)
 	}
 	return ids
@@ -199,7 +199,7 @@
 // Terms are what they do and want.
 func (s *Scenario) Terms() load.Terms {
 	return load.Terms{Class: className, GiveUp: s.Traffic.GiveUp,
-		Retry: load.Retry{Most: 1, Share: s.Traffic.Retries, Wait: 100 * time.Millisecond, Honour: true}}
+		Retry: load.Retry{Max: 1, Share: s.Traffic.Retries, Wait: 100 * time.Millisecond, Honour: true}}
 }
 
 // jobs gives a plan's jobs the keys that boxes know the work by.
@@ -255,7 +255,7 @@
 		return nil, err
 	}
 	defer c.Close()
-	k.Troubles()
+	k.StartFaults()
 	o := load.Options{Terms: s.Terms(), Seed: s.Seed, Each: k.account}
 	g := load.Run(ctx, s.Jobs(), c, o)
 	if err := g.Usable(); err != nil {
@@ -279,7 +279,7 @@
 				t = &k.w.tallies[i]
 			}
 		}
-		t.ask(job.work)
+		t.countRequest(job.work)
 		v := failed
 		switch o {
 		case load.Served, load.Late:
@@ -287,7 +287,7 @@
 		case load.Refused:
 			v = refused
 		case load.Unanswered:
-			k.w.audit.broken(RuleAnswer, k.w.now, 0, "", "job %s: no answer in %v", j.Key, latency)
+			k.w.audit.addBreach(RuleAnswer, k.w.now, 0, "", "job %s: no answer in %v", j.Key, latency)
 		}
 		k.w.count(t, v, job, latency)
 	})
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -117,7 +117,7 @@
 	}
 	post(first, "one")
 	post(other, "one")
-	k.Troubles()
+	k.StartFaults()
 	revision := file.Known.Revision
 	for told := 0; told < len(file.Known.Members); { // the watch tells that all drain
 		resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?index=%d&wait=5000", file.Discovery, revision))
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -19,14 +19,14 @@
 
 // New makes a policy by its name; nil where there is none of the name.
 func New(name string, s scheduler.Settings, seed uint64) *Plain {
-	p := &Plain{most: s.MaxAttempts, probes: s.MayProbe, rng: rand.New(rand.NewPCG(seed, 0)), workers: map[scheduler.WorkerID]*worker{}}
+	p := &Plain{maximum: s.MaxAttempts, probes: s.MayProbe, rng: rand.New(rand.NewPCG(seed, 0)), workers: map[scheduler.WorkerID]*worker{}}
 	pick, ok := map[string]func(*Plain) *worker{
 		"random":            (*Plain).random,
 		"round-robin":       (*Plain).robin,
-		"least-outstanding": func(p *Plain) *worker { return p.least(func(w *worker) float64 { return float64(w.out) }) },
+		"least-outstanding": func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return float64(w.inFlight) }) },
 		"two-choices":       (*Plain).two,
-		"lu":                func(p *Plain) *worker { return p.least(func(w *worker) float64 { return w.told }) },
-		"lud":               func(p *Plain) *worker { return p.least(func(w *worker) float64 { return w.value }) },
+		"lu":                func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return w.notified }) },
+		"lud":               func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return w.value }) },
 	}[name]
 	if !ok {
 		return nil
@@ -37,22 +37,22 @@
 
 // Plain is a policy.
 type Plain struct {
-	pick    func(*Plain) *worker
-	rng     *rand.Rand
-	workers map[scheduler.WorkerID]*worker
-	ready   []*worker // by id
-	turn    int
-	asked   bool
-	probes  bool
-	most    int // attempts for a request
+	pick     func(*Plain) *worker
+	rng      *rand.Rand
+	workers  map[scheduler.WorkerID]*worker
+	ready    []*worker // by id
+	nextTurn int
+	polledAt bool
+	probes   bool
+	maximum  int // attempts for a request
 }
 
 type worker struct {
-	id    scheduler.WorkerID
-	size  float64
-	out   int
-	told  float64 // LU: the load that it told of last
-	value float64 // LUD: the load that it told of last, and what was pushed since
+	id       scheduler.WorkerID
+	size     float64
+	inFlight int
+	notified float64 // LU: the load that it told of last
+	value    float64 // LUD: the load that it told of last, and what was pushed since
 }
 
 const probeEvery = 1e9 // of each worker, where reports come by probes
@@ -62,8 +62,8 @@
 	switch e := ev.(type) {
 	case scheduler.EndpointsUpdated:
 		p.listed(e)
-		if !p.asked {
-			p.asked = true
+		if !p.polledAt {
+			p.polledAt = true
 			acts = append(acts, scheduler.Subscribe{}, scheduler.SetTimer{After: probeEvery})
 		}
 	case scheduler.TimerFired:
@@ -77,7 +77,7 @@
 	case scheduler.ProbeCompleted:
 		// Least Used with Degradation: a report sets the value, each push raises it by what one job takes.
 		if w := p.workers[e.Worker]; w != nil && e.Report != nil && e.Report.Busy >= 0 {
-			w.told, w.value = e.Report.Busy, e.Report.Busy
+			w.notified, w.value = e.Report.Busy, e.Report.Busy
 		}
 	case scheduler.RequestArrived:
 		if len(p.ready) == 0 {
@@ -86,13 +86,13 @@
 		return p.send(e.ID)
 	case scheduler.AttemptFinished:
 		if w := p.workers[e.Worker]; w != nil {
-			if w.out--; e.Report != nil && e.Report.Busy >= 0 {
-				w.told, w.value = e.Report.Busy, e.Report.Busy
+			if w.inFlight--; e.Report != nil && e.Report.Busy >= 0 {
+				w.notified, w.value = e.Report.Busy, e.Report.Busy
 			}
 		}
 		switch {
 		case e.Final:
-		case e.Outcome == scheduler.Full && len(p.ready) > 0 && e.Attempt+1 < p.most: // turned away: on to the next
+		case e.Outcome == scheduler.Full && len(p.ready) > 0 && e.Attempt+1 < p.maximum: // turned away: on to the next
 			return p.send(e.ID)
 		case e.Outcome == scheduler.Full || e.Outcome == scheduler.NoConnect || e.Outcome == scheduler.NeverSent:
 			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
@@ -106,7 +106,7 @@
 // send picks a worker and sends a request there.
 func (p *Plain) send(id scheduler.RequestID) []scheduler.Action {
 	w := p.pick(p)
-	w.out++
+	w.inFlight++
 	w.value += 1 / max(w.size, 1)
 	return []scheduler.Action{scheduler.Send{ID: id, Worker: w.id}}
 }
@@ -140,26 +140,26 @@
 func (p *Plain) random() *worker { return p.ready[p.rng.IntN(len(p.ready))] }
 
 func (p *Plain) robin() *worker {
-	p.turn++
-	return p.ready[p.turn%len(p.ready)]
+	p.nextTurn++
+	return p.ready[p.nextTurn%len(p.ready)]
 }
 
 // two is the better of two drawn at random (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
 // 1996).
 func (p *Plain) two() *worker {
 	a, b := p.random(), p.random()
-	if b.out < a.out {
+	if b.inFlight < a.inFlight {
 		return b
 	}
 	return a
 }
 
-// least gives the worker of the least value; ties go round robin.
-func (p *Plain) least(value func(*worker) float64) *worker {
-	p.turn++
-	best := p.ready[p.turn%len(p.ready)]
+// leastLoaded gives the worker of the leastLoaded value; ties go round robin.
+func (p *Plain) leastLoaded(value func(*worker) float64) *worker {
+	p.nextTurn++
+	best := p.ready[p.nextTurn%len(p.ready)]
 	for i := range p.ready {
-		if w := p.ready[(p.turn+i)%len(p.ready)]; value(w) < value(best) {
+		if w := p.ready[(p.nextTurn+i)%len(p.ready)]; value(w) < value(best) {
 			best = w
 		}
 	}
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -12,17 +12,17 @@
 	"brassdale/scheduler"
 )
 
-// askWithin is how old a dispatcher's list may be that has no watch open: what changed before binds it.
-const askWithin = 10 * time.Second
+// maxPollInterval is how old a dispatcher's list may be that has no watch open: what changed before binds it.
+const maxPollInterval = 10 * time.Second
 
 // Calls is how discovery takes the calls of all dispatchers together, on sockets.
 type Calls struct {
-	Rate     float64       // that it works through a second, in turn; 0 for any number
-	Patience time.Duration // one that would wait longer is turned away then
+	Rate          float64       // that it works through a second, in turn; 0 for any number
+	ClientTimeout time.Duration // one that would wait longer is turned away then
 }
 
-// turns are the calls of all doors.
-type turns struct {
+// roundRobin are the calls of all doors.
+type roundRobin struct {
 	mu      sync.Mutex
 	next    time.Time
 	calls   []time.Time
@@ -30,7 +30,7 @@
 }
 
 // take waits for a call's turn, and tells whether it came.
-func (t *turns) take(ctx context.Context, c *Calls) bool {
+func (t *roundRobin) take(ctx context.Context, c *Calls) bool {
 	now := time.Now()
 	t.mu.Lock()
 	t.calls = append(t.calls, now)
@@ -38,10 +38,10 @@
 		t.next = now
 	}
 	wait := t.next.Sub(now)
-	late := c.Rate > 0 && wait > c.Patience
+	late := c.Rate > 0 && wait > c.ClientTimeout
 	if late {
 		t.refused++
-		wait = c.Patience
+		wait = c.ClientTimeout
 	} else if c.Rate > 0 {
 		t.next = t.next.Add(time.Duration(float64(time.Second) / c.Rate))
 	}
@@ -56,22 +56,22 @@
 // DiscoveryCalls is how discovery was asked.
 type DiscoveryCalls struct {
 	Calls, Refused int
-	Most           int           // calls in any second
+	Max            int           // calls in any second
 	Longest        time.Duration // that any dispatcher had no call open
 }
 
-// Asked gives it.
-func (k *Cluster) Asked() (a DiscoveryCalls) {
-	k.turns.mu.Lock()
-	a.Calls, a.Refused = len(k.turns.calls), k.turns.refused
+// DiscoveryCalls gives it.
+func (k *Cluster) DiscoveryCalls() (a DiscoveryCalls) {
+	k.nextTurns.mu.Lock()
+	a.Calls, a.Refused = len(k.nextTurns.calls), k.nextTurns.refused
 	from := 0
-	for i, at := range k.turns.calls {
-		for at.Sub(k.turns.calls[from]) >= time.Second {
+	for i, at := range k.nextTurns.calls {
+		for at.Sub(k.nextTurns.calls[from]) >= time.Second {
 			from++
 		}
-		a.Most = max(a.Most, i-from+1)
+		a.Max = max(a.Max, i-from+1)
 	}
-	k.turns.mu.Unlock()
+	k.nextTurns.mu.Unlock()
 	for _, d := range k.doors {
 		d.mu.Lock()
 		a.Longest = max(a.Longest, d.longest)
@@ -103,7 +103,7 @@
 }
 
 // listens opens an address for the door's discovery.
-func (d *Door) listens() error {
+func (d *DiscoveryServer) listens() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 }
 
 // begin counts a call, of the life that it gives.
-func (d *Door) begin() (life int) {
+func (d *DiscoveryServer) begin() (life int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.absent {
@@ -131,7 +131,7 @@
 }
 
 // end is its end.
-func (d *Door) end(life int) {
+func (d *DiscoveryServer) end(life int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if life != d.life {
@@ -143,7 +143,7 @@
 }
 
 // change takes a change of the list.
-func (d *Door) change(info scheduler.WorkerInfo) {
+func (d *DiscoveryServer) change(info scheduler.WorkerInfo) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -151,18 +151,18 @@
 	d.wake()
 	// Told or not, so long after it was made it binds.
 	revision := d.revision
-	d.works.w.after(askWithin, func() {
+	d.cluster.w.after(maxPollInterval, func() {
 		d.mu.Lock()
 		newest := d.entries[info.ID].at == revision
 		d.mu.Unlock()
 		if newest {
-			d.works.w.audit.told(d.works.w.now, d.n, info.ID, info.State)
+			d.cluster.w.audit.notified(d.cluster.w.now, d.n, info.ID, info.State)
 		}
 	})
 }
 
 // fail begins or ends a fault of discovery: who watches hears of it.
-func (d *Door) fail(down, hung bool) {
+func (d *DiscoveryServer) fail(down, hung bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down, d.hung = down, hung
@@ -170,9 +170,9 @@
 }
 
 // wake has all who watch look again. d.mu is held.
-func (d *Door) wake() {
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *DiscoveryServer) wake() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 var phaseNames = map[scheduler.WorkerState]string{scheduler.Ready: "active", scheduler.Draining: "leaving", scheduler.Gone: "left"}
@@ -197,26 +197,26 @@
 }
 
 // list gives the lines that changed since a revision; all that are not gone for a negative one. d.mu is held.
-func (d *Door) list(since int) (l list, told []scheduler.WorkerInfo) {
+func (d *DiscoveryServer) list(since int) (l list, notified []scheduler.WorkerInfo) {
 	l = list{Revision: d.revision, Complete: since < 0, Members: []member{}}
 	for _, id := range d.order {
 		e := d.entries[id]
 		if since >= 0 && e.at <= since || since < 0 && e.info.State == scheduler.Gone {
 			continue
 		}
-		m := member{ID: string(id), HostPort: d.gates[id].address, Locality: d.works.zones()[e.info.Zone], Flavor: d.works.w.s.Kinds[e.info.MachineKind].Name,
+		m := member{ID: string(id), HostPort: d.gates[id].address, Locality: d.cluster.zones()[e.info.Zone], Flavor: d.cluster.w.s.Kinds[e.info.MachineKind].Name,
 			Cell: e.info.Cell, Phase: phaseNames[e.info.State], Size: e.info.Weight}
 		if e.info.StartedAt > 0 {
-			m.UpSinceMS = d.works.begin.Add(e.info.StartedAt - epoch).UnixMilli()
+			m.UpSinceMS = d.cluster.begin.Add(e.info.StartedAt - epoch).UnixMilli()
 		}
 		l.Members = append(l.Members, m)
-		told = append(told, e.info)
+		notified = append(notified, e.info)
 	}
-	return l, told
+	return l, notified
 }
 
 // ServeHTTP is discovery: the whole list, or a watch.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -230,7 +230,7 @@
 		}
 	}
 	defer d.end(d.begin())
-	if !d.works.turns.take(r.Context(), &d.works.w.s.Calls) {
+	if !d.cluster.nextTurns.take(r.Context(), &d.cluster.w.s.Calls) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -239,10 +239,10 @@
 	defer over.Stop()
 	d.mu.Lock()
 	for waiting := true; d.hung || !d.down && waiting && since >= d.revision; {
-		news := d.news
+		changed := d.changed
 		d.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-over.C: // once; one that hangs waits on
 			waiting = false
 		case <-r.Context().Done():
@@ -255,16 +255,16 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	l, told := d.list(since)
+	l, notified := d.list(since)
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	if json.NewEncoder(w).Encode(l) != nil {
 		return
 	}
-	d.works.w.post(func() {
-		for _, info := range told {
-			d.works.w.audit.told(d.works.w.now, d.n, info.ID, info.State)
-			d.told[info.ID] = max(d.told[info.ID], info.StartedAt)
+	d.cluster.w.post(func() {
+		for _, info := range notified {
+			d.cluster.w.audit.notified(d.cluster.w.now, d.n, info.ID, info.State)
+			d.notifiedAt[info.ID] = max(d.notifiedAt[info.ID], info.StartedAt)
 		}
 	})
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -45,30 +45,30 @@
 func (w *world) result() *Result {
 	r := &Result{Breaches: w.audit.breach, Notes: w.notes, Worst: 1, WorstClass: 1}
 	for _, t := range w.byClass {
-		if t.asked > 0 {
-			r.WorstClass = min(r.WorstClass, t.good/t.asked)
+		if t.requested > 0 {
+			r.WorstClass = min(r.WorstClass, t.good/t.requested)
 		}
 	}
 	r.Seconds, r.ZonePeak = w.seconds, w.peak()
 	if f := w.failover; f != nil {
 		r.PlanChanges, r.Moved, r.Back = f.changes, f.moved, f.back
 	}
-	asked, good := 0.0, 0.0
+	requested, good := 0.0, 0.0
 	for i, t := range w.tallies {
 		r.Jobs, r.Served, r.Late, r.Refused, r.Failed = r.Jobs+t.jobs, r.Served+t.served, r.Late+t.late, r.Refused+t.refused, r.Failed+t.failed
-		asked, good = asked+t.asked, good+t.good
+		requested, good = requested+t.requested, good+t.good
 		a := AccountResult{Jobs: t.jobs, Refused: t.refused}
 		if i < len(w.s.Traffic.Accounts) {
 			a.Name = w.s.Traffic.Accounts[i].Name
 		}
-		if t.asked > 0 {
-			a.Service = t.good / t.asked
+		if t.requested > 0 {
+			a.Service = t.good / t.requested
 			r.Worst = min(r.Worst, a.Service)
 		}
 		r.Accounts = append(r.Accounts, a)
 	}
-	if asked > 0 {
-		r.Service = good / asked
+	if requested > 0 {
+		r.Service = good / requested
 	}
 	if r.Jobs > 0 {
 		r.Sends, r.Probes = float64(w.sends)/float64(r.Jobs), float64(w.probes)/float64(r.Jobs)
@@ -78,7 +78,7 @@
 		r.Speed = w.speed / float64(r.Served)
 	}
 	could := 0.0
-	for _, b := range w.boxes {
+	for _, b := range w.workers {
 		if could += b.speed; !b.sharing {
 			could += b.speed * float64(b.slots-1)
 		}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -25,7 +25,7 @@
 	Discovery   time.Duration // how late a change of the list is told, on average
 	Calls       Calls         // to discovery, on sockets
 	Reports     Reports
-	Cold        Cold
+	SlowStart   SlowStart
 	Store       Store
 	Faults      []Fault
 	Rules       Rules
@@ -95,8 +95,8 @@
 	Delay   time.Duration // and are so old
 }
 
-// Cold is how a box starts.
-type Cold struct {
+// SlowStart is how a box starts.
+type SlowStart struct {
 	Capacity float64       // a box begins at this share of its speed
 	For      time.Duration // and is warm after so long
 	Tip      float64       // sent more than this multiple of what it can do ...
@@ -114,23 +114,23 @@
 type FaultKind uint8
 
 const (
-	Freeze    FaultKind = iota // takes jobs and probes, answers nothing; goes on afterwards where it stood
-	Silent                     // answers probes, starts no job
-	Slow                       // at a third of its speed
-	Restart                    // loses all it has, and comes back cold after one second
-	Drain                      // is listed as leaving, finishes what it has, and is gone at the end
-	Unheard                    // reports come late by three seconds
-	Reset                      // its connections break once, and what it had is lost; it goes on
-	Partition                  // nothing reaches it and nothing comes from it; what was under way is reset once it is back
-	ListDown                   // discovery ends its watches and turns all calls away; Share counts for nothing
-	ListHung                   // discovery takes calls and answers none; the same
-	Burst                      // the rate is Size times the usual; Share counts for nothing
-	HeavyTail                  // a few jobs are Size times as heavy; the same
-	ZoneLost                   // nothing reaches a zone's boxes, and they come back cold
-	Apart                      // nothing goes between the dispatchers of zone From and the boxes of Zone
-	Far                        // ways to and from a zone's boxes take Size times as long
-
-	troubleKinds = iota
+	Freeze     FaultKind = iota // takes jobs and probes, answers nothing; goes on afterwards where it stood
+	Silent                      // answers probes, starts no job
+	Slow                        // at a third of its speed
+	Restart                     // loses all it has, and comes back cold after one second
+	Drain                       // is listed as leaving, finishes what it has, and is gone at the end
+	Unreported                  // reports come late by three seconds
+	Reset                       // its connections break once, and what it had is lost; it goes on
+	Partition                   // nothing reaches it and nothing comes from it; what was under way is reset once it is back
+	ListDown                    // discovery ends its watches and turns all calls away; Share counts for nothing
+	ListHung                    // discovery takes calls and answers none; the same
+	Burst                       // the rate is Size times the usual; Share counts for nothing
+	HeavyTail                   // a few jobs are Size times as heavy; the same
+	ZoneLost                    // nothing reaches a zone's boxes, and they come back cold
+	Apart                       // nothing goes between the dispatchers of zone From and the boxes of Zone
+	Far                         // ways to and from a zone's boxes take Size times as long
+
+	faultKinds = iota
 )
 
 // Fault befalls some boxes for a while.
@@ -167,7 +167,7 @@
 		Network:   Network{Delay: 500 * time.Microsecond, Cross: 15 * time.Millisecond, Idle: 5 * time.Second},
 		Discovery: time.Second,
 		Reports:   Reports{Every: 700 * time.Millisecond, Cost: time.Millisecond},
-		Cold:      Cold{Capacity: 0.14, For: 24 * time.Second, Tip: 3, Fall: 1500 * time.Millisecond},
+		SlowStart: SlowStart{Capacity: 0.14, For: 24 * time.Second, Tip: 3, Fall: 1500 * time.Millisecond},
 		Store:     Store{Fetch: 0.05, Slots: 40, Keep: 30 * time.Second},
 		Rules:     Rules{MaxAttempts: 4, Slack: 8 * time.Millisecond, DrainGrace: 500 * time.Millisecond, MayCopy: true, MayCancel: true},
 	}
@@ -175,12 +175,12 @@
 
 // Check tells what is wrong with a scenario.
 func (s *Scenario) Check() error {
-	boxes := 0
+	workers := 0
 	for i, k := range s.Kinds {
 		if k.Count < 0 || k.Slots < 1 || k.SpeedMin <= 0 || k.SpeedMax < k.SpeedMin {
 			return fmt.Errorf("kinds[%d]: needs slots, and speeds above 0 in order", i)
 		}
-		boxes += k.Count
+		workers += k.Count
 	}
 	for i, f := range s.Faults {
 		if sized := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == Far; sized && f.Size <= 0 {
@@ -189,17 +189,17 @@
 		if zoned := f.Kind >= ZoneLost; zoned && (f.Zone < 1 || f.Zone > s.Network.Zones) {
 			return fmt.Errorf("faults[%d]: needs a zone that there is", i)
 		}
-		if f.At < 0 || f.For <= 0 || f.Share <= 0 || f.Share > 1 || f.Kind >= troubleKinds {
+		if f.At < 0 || f.For <= 0 || f.Share <= 0 || f.Share > 1 || f.Kind >= faultKinds {
 			return fmt.Errorf("faults[%d]: needs a time, a span and a share between 0 and 1", i)
 		}
 	}
 	for i, c := range s.Traffic.Classes {
-		if c.Share <= 0 || c.Work <= 0 || c.Aim <= 0 || c.GiveUp <= 0 || c.GiveUp > s.Traffic.GiveUp || c.Worth <= 0 {
+		if c.Share <= 0 || c.Work <= 0 || c.Aim <= 0 || c.GiveUp <= 0 || c.GiveUp > s.Traffic.GiveUp || c.PriorityWeight <= 0 {
 			return fmt.Errorf("classes[%d]: needs a share, work, an aim, a give-up within the traffic's and a worth", i)
 		}
 	}
 	switch {
-	case boxes == 0:
+	case workers == 0:
 		return errors.New("no box")
 	case s.Dispatchers < 1:
 		return errors.New("no dispatcher")
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -10,7 +10,7 @@
 // its slots: the paper's pool element, in place of slots with a queue.
 
 // settle brings the work that is left up to now.
-func (b *box) settle() {
+func (b *worker) settle() {
 	if n := len(b.pending); n > 0 {
 		part := (b.w.now - b.settled).Seconds() * b.pace() / float64(n)
 		for _, r := range b.pending {
@@ -21,7 +21,7 @@
 }
 
 // share takes an attempt, or turns it away.
-func (b *box) share(r *run) {
+func (b *worker) share(r *run) {
 	if len(b.pending) >= b.slots {
 		r.over = true
 		b.w.reply(r, scheduler.Full)
@@ -37,25 +37,25 @@
 }
 
 // plan sees to the next job's end, as it stands: any change before makes it void.
-func (b *box) plan() {
-	b.turn++
+func (b *worker) plan() {
+	b.turnNumber++
 	if len(b.pending) == 0 {
 		return
 	}
-	least := b.pending[0].left
+	minimum := b.pending[0].left
 	for _, r := range b.pending {
-		least = min(least, r.left)
+		minimum = min(minimum, r.left)
 	}
-	turn, life := b.turn, b.life
-	b.w.after(time.Duration(max(least, 0)*float64(len(b.pending))/b.pace()*float64(time.Second)), func() {
-		if turn == b.turn && life == b.life {
+	next, life := b.turnNumber, b.life
+	b.w.after(time.Duration(max(minimum, 0)*float64(len(b.pending))/b.pace()*float64(time.Second)), func() {
+		if next == b.turnNumber && life == b.life {
 			b.shared()
 		}
 	})
 }
 
 // shared ends the jobs that are done.
-func (b *box) shared() {
+func (b *worker) shared() {
 	b.settle()
 	going := b.pending[:0]
 	for _, r := range b.pending {
@@ -77,7 +77,7 @@
 }
 
 // push has all dispatchers told of the load, where boxes tell by themselves.
-func (b *box) push() {
+func (b *worker) push() {
 	if !b.w.s.Reports.Push {
 		return
 	}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -7,10 +7,10 @@
 	"brassdale/scheduler"
 )
 
-// box is a costing box: slots that work jobs off in the order they came, each at the box's speed. What it leaves out: the
+// worker is a costing worker: slots that work jobs off in the order they came, each at the worker's speed. What it leaves out: the
 // backfilling, and that a new connection costs it work. That a bay saves a repeat's quote only once is not seen
 // here: a copy takes its slot and answers as the first does. Whether a copy was allowed is the auditor's matter.
-type box struct {
+type worker struct {
 	w       *world
 	id      scheduler.WorkerID
 	kind    int
@@ -26,27 +26,27 @@
 	life    int  // a restart begins another: what was under way in the one before never ends
 
 	frozen, silent, slow, late, cut int    // how many faults of the kind it has now
-	unheard                         []*run // attempts that did not reach it, while it was cut off
+	unreported                      []*run // attempts that did not reach it, while it was cut off
 
-	busy    int
-	queue   []*run
-	held    []func()              // what would have been said while it is frozen
-	has     map[int]time.Duration // what it keeps of a subject, and when that was used last
-	pending []*run                // started
-	figures [8]scheduler.Report   // reports as they were, the newest last
-	when    [8]time.Duration      // and since when
-	pushed  []push                // work sent to it lately, while cold
-	chance  *rand.Rand
+	busy     int
+	queue    []*run
+	inFlight []func()              // what would have been said while it is frozen
+	has      map[int]time.Duration // what it keeps of a subject, and when that was used last
+	pending  []*run                // started
+	figures  [8]scheduler.Report   // reports as they were, the newest last
+	when     [8]time.Duration      // and since when
+	pushed   []push                // work sent to it lately, while cold
+	chance   *rand.Rand
 
-	sharing bool          // works on all its jobs at once
-	settled time.Duration // as of when their work is known
-	turn    int           // of the plan for the next end
+	sharing    bool          // works on all its jobs at once
+	settled    time.Duration // as of when their work is known
+	turnNumber int           // of the plan for the next end
 }
 
 type push struct {
-	at   time.Duration
-	work float64
-	told bool // by a dispatcher that had been told of the box's start
+	at       time.Duration
+	work     float64
+	notified bool // by a dispatcher that had been told of the box's start
 }
 
 // origin is where attempts come from: a dispatcher of the model, or a real one behind a socket.
@@ -54,7 +54,7 @@
 	started(*run)                           // its job has
 	over(*run, scheduler.Outcome)           // it has ended
 	knows(scheduler.WorkerID) time.Duration // of which start of the box it was told
-	way() *rand.Rand                        // the chance in how long its way takes
+	oneWayDelay() *rand.Rand                // the chance in how long its way takes
 }
 
 // run is an attempt at a box.
@@ -62,7 +62,7 @@
 	job     *job
 	id      scheduler.RequestID
 	attempt int
-	box     scheduler.WorkerID
+	worker  scheduler.WorkerID
 	from    origin
 	life    int
 	work    float64 // seconds at speed 1
@@ -78,9 +78,9 @@
 	connected bool // it has a connection
 }
 
-// warmth is the share of its speed that the box has now.
-func (b *box) warmth() float64 {
-	c := &b.w.s.Cold
+// warmupFactor is the share of its speed that the box has now.
+func (b *worker) warmupFactor() float64 {
+	c := &b.w.s.SlowStart
 	if b.started == 0 || c.For <= 0 {
 		return 1
 	}
@@ -89,9 +89,9 @@
 }
 
 // take takes an attempt. What is refused or dropped is said at once.
-func (b *box) take(r *run) {
+func (b *worker) take(r *run) {
 	if b.cut > 0 {
-		b.unheard = append(b.unheard, r)
+		b.unreported = append(b.unreported, r)
 		return
 	}
 	b.weigh(r)
@@ -114,23 +114,23 @@
 }
 
 // weigh counts what is sent to a cold box, and has it fall over if that was too much.
-func (b *box) weigh(r *run) {
-	c := &b.w.s.Cold
-	if b.started == 0 || c.Tip <= 0 || b.warmth() >= 1 {
+func (b *worker) weigh(r *run) {
+	c := &b.w.s.SlowStart
+	if b.started == 0 || c.Tip <= 0 || b.warmupFactor() >= 1 {
 		return
 	}
 	b.pushed = append(b.pushed, push{b.w.now, r.work, r.from.knows(b.id) >= b.started})
 	for len(b.pushed) > 0 && b.pushed[0].at < b.w.now-c.Fall {
 		b.pushed = b.pushed[1:]
 	}
-	sum, told := 0.0, 0.0
+	sum, notified := 0.0, 0.0
 	for _, p := range b.pushed {
-		if sum += p.work; p.told {
-			told += p.work
+		if sum += p.work; p.notified {
+			notified += p.work
 		}
 	}
-	load := sum / (float64(b.slots) * b.speed * b.warmth() * c.Fall.Seconds())
-	if !b.down && told >= sum*2/3 { // else nobody could know
+	load := sum / (float64(b.slots) * b.speed * b.warmupFactor() * c.Fall.Seconds())
+	if !b.down && notified >= sum*2/3 { // else nobody could know
 		b.w.audit.pushed(b.w.now, b.id, uint64(r.id), load, c.Tip)
 	}
 	if load > c.Tip && !b.down {
@@ -141,7 +141,7 @@
 }
 
 // next starts what there are slots for.
-func (b *box) next() {
+func (b *worker) next() {
 	for len(b.queue) > 0 && (b.fits(b.queue[0].job) || b.queue[0].over && !b.w.s.Keeps) && b.silent == 0 && b.frozen == 0 && !b.down {
 		r := b.queue[0]
 		b.queue = b.queue[1:]
@@ -158,7 +158,7 @@
 }
 
 // fetch gets what a job is about, if the box does not have it, and goes on.
-func (b *box) fetch(subject int, then func()) {
+func (b *worker) fetch(subject int, then func()) {
 	s := &b.w.s.Store
 	if subject == 0 || s.Fetch <= 0 {
 		then()
@@ -176,17 +176,17 @@
 }
 
 // work runs a job to its end.
-func (b *box) work(r *run) {
+func (b *worker) work(r *run) {
 	b.w.after(time.Duration(r.work/b.pace()*float64(time.Second)), func() { b.finish(r) })
 }
 
 // finish ends a job, or, while the box stands still, has that wait until it goes on.
-func (b *box) finish(r *run) {
+func (b *worker) finish(r *run) {
 	if r.life != b.life {
 		return // of a life that is over
 	}
 	if b.frozen > 0 {
-		b.held = append(b.held, func() { b.finish(r) })
+		b.inFlight = append(b.inFlight, func() { b.finish(r) })
 		return
 	}
 	b.busy -= r.job.slots
@@ -208,10 +208,10 @@
 }
 
 // cancel calls an attempt off: one that waits is dropped, unless boxes keep it, one that runs goes on to its end for nobody.
-func (b *box) cancel(r *run) { r.over = true }
+func (b *worker) cancel(r *run) { r.over = true }
 
 // lose loses all that the box has.
-func (b *box) lose() {
+func (b *worker) lose() {
 	b.life++
 	for _, r := range append(b.pending, b.queue...) {
 		if !r.over {
@@ -220,12 +220,12 @@
 		}
 	}
 	b.memory = 0
-	b.pending, b.queue, b.held, b.busy, b.has = nil, nil, nil, 0, map[int]time.Duration{}
+	b.pending, b.queue, b.inFlight, b.busy, b.has = nil, nil, nil, 0, map[int]time.Duration{}
 }
 
 // pace is the speed that a slot has now, or where jobs share, all of them together.
-func (b *box) pace() float64 {
-	speed := b.speed * b.warmth()
+func (b *worker) pace() float64 {
+	speed := b.speed * b.warmupFactor()
 	if b.slow > 0 {
 		speed /= 3
 	}
@@ -233,13 +233,13 @@
 }
 
 // load is what the box has to tell of itself.
-func (b *box) load() scheduler.Report {
+func (b *worker) load() scheduler.Report {
 	return scheduler.Report{Busy: float64(b.busy) / float64(b.slots), Requests: -1, FreeSlots: float64(b.slots - b.busy),
 		Queue: float64(len(b.queue))}
 }
 
 // refresh has the box's figures made anew, now and then.
-func (b *box) refresh() {
+func (b *worker) refresh() {
 	copy(b.figures[:], b.figures[1:])
 	copy(b.when[:], b.when[1:])
 	last := len(b.when) - 1
@@ -250,7 +250,7 @@
 }
 
 // report gives the figures as a probe finds them.
-func (b *box) report() *scheduler.Report {
+func (b *worker) report() *scheduler.Report {
 	from := b.w.now - b.w.s.Reports.Delay
 	if b.late > 0 {
 		from -= 3 * time.Second
@@ -266,7 +266,7 @@
 }
 
 // probe answers a probe, as far as the box is there.
-func (b *box) probe(answer func(scheduler.Outcome, *scheduler.Report)) {
+func (b *worker) probe(answer func(scheduler.Outcome, *scheduler.Report)) {
 	switch {
 	case b.down:
 		answer(scheduler.NoConnect, nil)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,8 +14,8 @@
 type world struct {
 	engine
 	s           *Scenario
-	boxes       []*box
-	byID        map[scheduler.WorkerID]*box
+	workers     []*worker
+	byID        map[scheduler.WorkerID]*worker
 	store       *queueOf
 	dispatchers []*dispatcher
 	lines       [][]*job                     // of the users
@@ -30,7 +30,7 @@
 	byClass     []tally
 	burst, tail float64
 
-	failover *council
+	failover *voterGroup
 	apart    map[[2]int]int // faults between a zone's dispatchers and another's boxes
 	far      map[int]float64
 	perZone  []zoneTally
@@ -46,17 +46,17 @@
 
 // job is what a client wants, over its tries.
 type job struct {
-	account int
-	work    float64
-	class   int
-	slots   int
-	memory  float64
-	hint    time.Duration
-	subject int
-	user    int
-	asked   time.Duration
-	tries   int
-	done    bool
+	account     int
+	work        float64
+	class       int
+	slots       int
+	memory      float64
+	hint        time.Duration
+	subject     int
+	user        int
+	requestedAt time.Duration
+	tries       int
+	done        bool
 }
 
 type verdict uint8
@@ -69,14 +69,14 @@
 
 type tally struct {
 	jobs                          int
-	asked, good                   float64 // work
+	requested, good               float64 // work
 	served, late, refused, failed int
 }
 
-// ask enters a job that its client wants done.
-func (t *tally) ask(work float64) {
+// countRequest enters a job that its client wants done.
+func (t *tally) countRequest(work float64) {
 	t.jobs++
-	t.asked += work
+	t.requested += work
 }
 
 // epoch is how long before the start clocks began.
@@ -90,12 +90,12 @@
 		return nil, err
 	}
 	for n := range s.Dispatchers {
-		d := &dispatcher{w: w, n: n, zone: n % max(s.Network.Zones, 1), idle: map[scheduler.WorkerID][]time.Duration{}, subscribed: s.Pushed, open: map[scheduler.RequestID]*open{}, told: map[scheduler.WorkerID]time.Duration{}, chance: w.source(uint64(100 + n))}
+		d := &dispatcher{w: w, n: n, zone: n % max(s.Network.Zones, 1), idle: map[scheduler.WorkerID][]time.Duration{}, subscribed: s.Pushed, open: map[scheduler.RequestID]*open{}, notify: map[scheduler.WorkerID]time.Duration{}, chance: w.source(uint64(100 + n))}
 		d.policy = policy(w.settings(n), d.chance.Uint64())
 		w.dispatchers = append(w.dispatchers, d)
 		w.after(0, func() { d.listed(scheduler.ListCached, w.list()) })
 	}
-	w.troubles()
+	w.faults()
 	w.plans()
 	w.after(warmUp, w.arrive)
 	if s.LiveWeights {
@@ -110,7 +110,7 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{s: s, byID: map[scheduler.WorkerID]*box{}, tallies: make([]tally, max(len(s.Traffic.Accounts), 1))}
+	w := &world{s: s, byID: map[scheduler.WorkerID]*worker{}, tallies: make([]tally, max(len(s.Traffic.Accounts), 1))}
 	w.now = epoch
 	w.audit = newAuditor(s, epoch)
 	w.lines = make([][]*job, s.Traffic.Users)
@@ -122,13 +122,13 @@
 	chance := w.source(2)
 	for kind, k := range s.Kinds {
 		for range k.Count {
-			n := len(w.boxes)
-			b := &box{w: w, id: scheduler.WorkerID(fmt.Sprintf("s-%06x", chance.Uint32()>>8)), kind: kind, bay: n % s.Bays, zone: n % max(s.Network.Zones, 1), slots: k.Slots, sharing: k.Sharing,
+			n := len(w.workers)
+			b := &worker{w: w, id: scheduler.WorkerID(fmt.Sprintf("s-%06x", chance.Uint32()>>8)), kind: kind, bay: n % s.Bays, zone: n % max(s.Network.Zones, 1), slots: k.Slots, sharing: k.Sharing,
 				speed: k.SpeedMin + (k.SpeedMax-k.SpeedMin)*chance.Float64(), has: map[int]time.Duration{}, chance: w.source(uint64(1000 + n))}
 			for w.byID[b.id] != nil {
 				b.id += "x"
 			}
-			w.boxes = append(w.boxes, b)
+			w.workers = append(w.workers, b)
 			w.byID[b.id] = b
 			for i := range b.figures {
 				b.figures[i] = scheduler.Report{Requests: -1, FreeSlots: float64(b.slots)}
@@ -141,10 +141,10 @@
 	return w, nil
 }
 
-// troubles sees to the faults.
-func (w *world) troubles() {
+// faults sees to the faults.
+func (w *world) faults() {
 	for i, f := range w.s.Faults {
-		w.after(f.At, func() { w.befall(f, w.source(uint64(10+i))) })
+		w.after(f.At, func() { w.applyFault(f, w.source(uint64(10+i))) })
 	}
 }
 
@@ -164,10 +164,10 @@
 	t, r := &w.s.Traffic, &w.s.Rules
 	set := scheduler.Settings{DispatcherIndex: n, Dispatchers: w.s.Dispatchers, ListPolled: !w.s.Pushed, ReportsPulled: !w.s.Reports.Answers, ReportsStart: true, MayProbe: !w.s.Reports.Push,
 		MayCancel: r.MayCancel, MayHedge: r.MayCopy, MayAdviseRetry: true, MaxAttempts: r.MaxAttempts, MaxRetryAfter: 2 * time.Second,
-		AnswerSlack: r.Slack, MaxPollInterval: askWithin, SlowStartDuration: w.s.Cold.For, SlowStartCapacity: w.s.Cold.Capacity, OverloadMultiple: w.s.Cold.Tip,
-		OverloadWindow: w.s.Cold.Fall, WeightByWork: true, Zone: n % max(w.s.Network.Zones, 1), CrossZoneCost: w.s.Network.CrossPrice}
+		AnswerSlack: r.Slack, MaxPollInterval: maxPollInterval, SlowStartDuration: w.s.SlowStart.For, SlowStartCapacity: w.s.SlowStart.Capacity, OverloadMultiple: w.s.SlowStart.Tip,
+		OverloadWindow: w.s.SlowStart.Fall, WeightByWork: true, Zone: n % max(w.s.Network.Zones, 1), CrossZoneCost: w.s.Network.CrossPrice}
 	for _, c := range t.classes() {
-		set.Classes = append(set.Classes, scheduler.Class{LatencyObjective: c.Aim, ObjectiveStretch: c.Stretch, Deadline: c.GiveUp, PriorityWeight: c.Worth, Idempotency: c.Effect,
+		set.Classes = append(set.Classes, scheduler.Class{LatencyObjective: c.Aim, ObjectiveStretch: c.Stretch, Deadline: c.GiveUp, PriorityWeight: c.PriorityWeight, Idempotency: c.Effect,
 			DeduplicationScope: c.Scope, DeduplicationWindow: c.Window, MachineKind: -1})
 	}
 	return set
@@ -175,13 +175,13 @@
 
 // list is the list of boxes as it is now.
 func (w *world) list() (ws []scheduler.WorkerInfo) {
-	for _, b := range w.boxes {
+	for _, b := range w.workers {
 		ws = append(ws, b.info())
 	}
 	return ws
 }
 
-func (b *box) info() scheduler.WorkerInfo {
+func (b *worker) info() scheduler.WorkerInfo {
 	return scheduler.WorkerInfo{ID: b.id, State: b.state, Cell: b.bay, Zone: b.zone, MachineKind: b.kind, Weight: b.weight(), StartedAt: b.started}
 }
 
@@ -205,7 +205,7 @@
 }
 
 // changed tells all dispatchers of a box, late.
-func (w *world) changed(b *box) {
+func (w *world) changed(b *worker) {
 	info := b.info()
 	for _, d := range w.dispatchers {
 		w.after(w.late(d.chance), func() {
@@ -230,28 +230,28 @@
 	return time.Duration((0.5 + chance.Float64()) * float64(w.s.Discovery))
 }
 
-func (w *world) boxOf(r *run) *box { return w.byID[r.box] }
+func (w *world) workerOf(r *run) *worker { return w.byID[r.worker] }
 
 // reply tells a dispatcher how an attempt ended.
 func (w *world) reply(r *run, o scheduler.Outcome) {
-	b := w.boxOf(r)
+	b := w.workerOf(r)
 	if b.cut > 0 { // the other side hears of it once the box is back
-		b.unheard = append(b.unheard, r)
+		b.unreported = append(b.unreported, r)
 		return
 	}
 	if w.s.Reports.Answers {
 		r.report = b.report()
 	}
-	w.after(w.between(r.zone, b, r.from.way()), func() { r.from.over(r, o) })
+	w.after(w.between(r.zone, b, r.from.oneWayDelay()), func() { r.from.over(r, o) })
 }
 
 // began tells a dispatcher that a job has started.
 func (w *world) began(r *run) {
-	b := w.boxOf(r)
+	b := w.workerOf(r)
 	if b.cut > 0 {
 		return
 	}
-	w.after(w.between(r.zone, b, r.from.way()), func() { r.from.started(r) })
+	w.after(w.between(r.zone, b, r.from.oneWayDelay()), func() { r.from.started(r) })
 }
 
 // job makes one of so many means of work, where that is exponentially distributed, and draws the rest.
@@ -272,7 +272,7 @@
 	work := w.clients.ExpFloat64()
 	w.clients.Uint64() // was a key once; without it every seed of the kept results would play other traffic
 	j := t.job(work, w.clients)
-	j.asked = w.now
+	j.requestedAt = w.now
 	pick, sum := w.clients.Float64(), 0.0
 	for _, a := range t.Accounts {
 		sum += a.Share
@@ -284,8 +284,8 @@
 		}
 	}
 	w.dress(j)
-	w.tallies[j.account].ask(w.value(j))
-	w.byClass[j.class].ask(w.value(j))
+	w.tallies[j.account].countRequest(w.value(j))
+	w.byClass[j.class].countRequest(w.value(j))
 	if t.Users > 0 {
 		w.enqueue(j)
 	} else {
@@ -333,9 +333,9 @@
 	if w.s.Traffic.Users > 0 {
 		defer w.nextOf(j)
 	}
-	w.count(&w.tallies[j.account], v, j, w.now-j.asked)
+	w.count(&w.tallies[j.account], v, j, w.now-j.requestedAt)
 	w.countAt(j, v)
-	if v == served && w.inTime(j, w.now-j.asked) {
+	if v == served && w.inTime(j, w.now-j.requestedAt) {
 		w.byClass[j.class].good += w.value(j)
 	}
 }
@@ -366,8 +366,8 @@
 	}
 }
 
-// befall has a fault come over some boxes, and go.
-func (w *world) befall(f Fault, chance *rand.Rand) {
+// applyFault has a fault come over some boxes, and go.
+func (w *world) applyFault(f Fault, chance *rand.Rand) {
 	switch f.Kind {
 	case Burst:
 		w.burst *= f.Size
@@ -379,7 +379,7 @@
 		return
 	}
 	if f.Kind >= ZoneLost {
-		w.befallZone(f)
+		w.applyZoneFault(f)
 		return
 	}
 	if f.Kind == ListDown || f.Kind == ListHung {
@@ -387,15 +387,15 @@
 		w.after(f.For, func() { w.unlisted(f.Kind, -1) })
 		return
 	}
-	some := slices.Clone(w.boxes)
+	some := slices.Clone(w.workers)
 	chance.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
 	for _, b := range some[:max(int(f.Share*float64(len(some))), 1)] {
-		b.befall(f.Kind)
+		b.applyFault(f.Kind)
 		w.after(f.For, func() { b.recover(f.Kind) })
 	}
 }
 
-func (b *box) befall(t FaultKind) {
+func (b *worker) applyFault(t FaultKind) {
 	switch t {
 	case Freeze:
 		b.frozen++
@@ -403,7 +403,7 @@
 		b.silent++
 	case Slow:
 		b.slow++
-	case Unheard:
+	case Unreported:
 		b.late++
 	case Reset:
 		b.lose()
@@ -422,13 +422,13 @@
 	}
 }
 
-func (b *box) recover(t FaultKind) {
+func (b *worker) recover(t FaultKind) {
 	switch t {
 	case Freeze:
 		if b.frozen--; b.frozen == 0 {
-			held := b.held
-			b.held = nil
-			for _, say := range held {
+			inFlight := b.inFlight
+			b.inFlight = nil
+			for _, say := range inFlight {
 				say()
 			}
 		}
@@ -436,15 +436,15 @@
 		b.silent--
 	case Slow:
 		b.slow--
-	case Unheard:
+	case Unreported:
 		b.late--
 	case Partition:
 		if b.cut--; b.cut == 0 {
-			for _, r := range b.unheard {
+			for _, r := range b.unreported {
 				r.over = true
 				b.w.reply(r, scheduler.Reset)
 			}
-			b.unheard = nil
+			b.unreported = nil
 			b.lose()
 		}
 	case Drain: // it goes, whatever it still has
--- a/internal/experiment/failover.go
+++ b/internal/experiment/failover.go
@@ -25,8 +25,8 @@
 
 // ZoneExperiment is a works of four zones in two regions for experiments on failover.
 type ZoneExperiment struct {
-	Dispatchers, Boxes int
-	Seeds              int
+	Dispatchers, Workers int
+	Seeds                int
 }
 
 // ZoneCase is a trouble, with the load that it comes at.
@@ -37,11 +37,11 @@
 }
 
 const (
-	townSlots = 5
-	townWork  = 0.2 // seconds
-	townAt    = 15 * time.Second
-	townFor   = 20 * time.Second
-	townSpan  = 75 * time.Second
+	zoneSlots         = 5
+	zoneWork          = 0.2 // seconds
+	zoneFaultAt       = 15 * time.Second
+	zoneFaultDuration = 20 * time.Second
+	zoneSpan          = 75 * time.Second
 )
 
 // ZoneCases are what is played. Times are of the run.
@@ -50,19 +50,19 @@
 		return emulator.Fault{Kind: kind, At: at, For: span, Zone: zone, From: from, Size: size, Share: 1}
 	}
 	var flaps []emulator.Fault
-	for at := townAt; at < townAt+townFor; at += 6 * time.Second {
+	for at := zoneFaultAt; at < zoneFaultAt+zoneFaultDuration; at += 6 * time.Second {
 		flaps = append(flaps, fault(emulator.ZoneLost, at, 3*time.Second, 1, 0, 0))
 	}
 	return []ZoneCase{
 		{"calm", 0.6, nil},
-		{"lost", 0.55, []emulator.Fault{fault(emulator.ZoneLost, townAt, townFor, 1, 0, 0)}},
-		{"lost, full", 0.66, []emulator.Fault{fault(emulator.ZoneLost, townAt, townFor, 1, 0, 0)}},
-		{"two lost", 0.7, []emulator.Fault{fault(emulator.ZoneLost, townAt, townFor, 1, 0, 0), fault(emulator.ZoneLost, townAt+5*time.Second, townFor-5*time.Second, 3, 0, 0)}},
-		{"cut one way", 0.6, []emulator.Fault{fault(emulator.Apart, townAt, townFor, 1, 1, 0)}},
-		{"regions cut", 0.6, []emulator.Fault{fault(emulator.Apart, townAt, townFor, 1, 3, 0), fault(emulator.Apart, townAt, townFor, 1, 4, 0),
-			fault(emulator.Apart, townAt, townFor, 2, 3, 0), fault(emulator.Apart, townAt, townFor, 2, 4, 0), fault(emulator.Apart, townAt, townFor, 3, 1, 0),
-			fault(emulator.Apart, townAt, townFor, 4, 1, 0), fault(emulator.Apart, townAt, townFor, 3, 2, 0), fault(emulator.Apart, townAt, townFor, 4, 2, 0)}},
-		{"ten times as far", 0.6, []emulator.Fault{fault(emulator.Far, townAt, townFor, 1, 0, 10)}},
+		{"lost", 0.55, []emulator.Fault{fault(emulator.ZoneLost, zoneFaultAt, zoneFaultDuration, 1, 0, 0)}},
+		{"lost, full", 0.66, []emulator.Fault{fault(emulator.ZoneLost, zoneFaultAt, zoneFaultDuration, 1, 0, 0)}},
+		{"two lost", 0.7, []emulator.Fault{fault(emulator.ZoneLost, zoneFaultAt, zoneFaultDuration, 1, 0, 0), fault(emulator.ZoneLost, zoneFaultAt+5*time.Second, zoneFaultDuration-5*time.Second, 3, 0, 0)}},
+		{"cut one way", 0.6, []emulator.Fault{fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 1, 1, 0)}},
+		{"regions cut", 0.6, []emulator.Fault{fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 1, 3, 0), fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 1, 4, 0),
+			fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 2, 3, 0), fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 2, 4, 0), fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 3, 1, 0),
+			fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 4, 1, 0), fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 3, 2, 0), fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, 4, 2, 0)}},
+		{"ten times as far", 0.6, []emulator.Fault{fault(emulator.Far, zoneFaultAt, zoneFaultDuration, 1, 0, 10)}},
 		{"flapping", 0.55, flaps},
 	}
 }
@@ -70,7 +70,7 @@
 // ZoneModes are who decides, in the order of the tables.
 var ZoneModes = []string{"", "near", "spread", "plan"}
 
-var townNames = map[string]string{"": "each for itself", "near": "nearest only", "spread": "spread over all", "plan": "planned in common"}
+var zoneNames = map[string]string{"": "each for itself", "near": "nearest only", "spread": "spread over all", "plan": "planned in common"}
 
 // ZoneRow is one run.
 type ZoneRow struct {
@@ -85,11 +85,11 @@
 // Scenario gives the works of a case.
 func (t ZoneExperiment) Scenario(c ZoneCase, mode string, seed uint64) emulator.Scenario {
 	s := emulator.LlanelliWorks(seed)
-	s.Span, s.Dispatchers = townSpan, t.Dispatchers
-	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Boxes, Slots: townSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
+	s.Span, s.Dispatchers = zoneSpan, t.Dispatchers
+	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Workers, Slots: zoneSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = 4, 2, 0.03, 10*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, scheduler.Idempotent
-	s.Traffic.Rate = c.Load * float64(t.Boxes*townSlots) / townWork
+	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = zoneWork, 0, scheduler.Idempotent
+	s.Traffic.Rate = c.Load * float64(t.Workers*zoneSlots) / zoneWork
 	s.Faults = slices.Clone(c.Faults)
 	s.Failover = emulator.Failover{Mode: mode, Headroom: 0.1, ReturnIn: 20 * time.Second, Detect: time.Second, Step: 0.1}
 	return s
@@ -123,8 +123,8 @@
 				if failed != nil {
 					err = failed
 				} else {
-					rows[i] = ZoneRow{Case: j.c.Name, Mode: j.mode, Seed: j.seed, Fault: r.Within(townAt+3*time.Second, townAt+townFor), Behind: r.Within(townAt+townFor, townAt+townFor+15*time.Second),
-						Return: r.Within(townAt+townFor+15*time.Second, townSpan), All: r.Service, Crossings: r.Crossings, Peak: r.ZonePeak, Moved: r.Moved.Seconds(),
+					rows[i] = ZoneRow{Case: j.c.Name, Mode: j.mode, Seed: j.seed, Fault: r.Within(zoneFaultAt+3*time.Second, zoneFaultAt+zoneFaultDuration), Behind: r.Within(zoneFaultAt+zoneFaultDuration, zoneFaultAt+zoneFaultDuration+15*time.Second),
+						Return: r.Within(zoneFaultAt+zoneFaultDuration+15*time.Second, zoneSpan), All: r.Service, Crossings: r.Crossings, Peak: r.ZonePeak, Moved: r.Moved.Seconds(),
 						Back: r.Back.Seconds(), Plans: r.PlanChanges, Breaches: len(r.Breaches), P99: r.P99.Seconds()}
 				}
 				mu.Unlock()
@@ -151,22 +151,22 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	if err := write(dir, map[string]func(io.Writer) error{"rows.csv": func(w io.Writer) error { return townCSV(w, rows) }, "table.txt": func(w io.Writer) error { return ZoneTable(w, rows) }}); err != nil {
+	if err := write(dir, map[string]func(io.Writer) error{"rows.csv": func(w io.Writer) error { return zoneCSV(w, rows) }, "table.txt": func(w io.Writer) error { return ZoneTable(w, rows) }}); err != nil {
 		return err
 	}
 	for name, of := range map[string]func(ZoneRow) float64{"served": func(r ZoneRow) float64 { return r.Fault }, "peak": func(r ZoneRow) float64 { return r.Peak }} {
-		if err := townChart(filepath.Join(dir, name+".svg"), name, rows, of); err != nil {
+		if err := zoneChart(filepath.Join(dir, name+".svg"), name, rows, of); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func townCSV(out io.Writer, rows []ZoneRow) error {
+func zoneCSV(out io.Writer, rows []ZoneRow) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"case", "mode", "seed", "served_fault", "served_behind", "served_return", "served", "crossings", "zone_peak_over_capacity", "moved_s", "back_s", "plan_changes", "p99_s", "breaches"})
 	for _, r := range rows {
-		line := []string{r.Case, townNames[r.Mode], strconv.FormatUint(r.Seed, 10)}
+		line := []string{r.Case, zoneNames[r.Mode], strconv.FormatUint(r.Seed, 10)}
 		for _, x := range []float64{r.Fault, r.Behind, r.Return, r.All, r.Crossings, r.Peak, r.Moved, r.Back, float64(r.Plans), r.P99, float64(r.Breaches)} {
 			line = append(line, strconv.FormatFloat(x, 'f', 4, 64))
 		}
@@ -200,7 +200,7 @@
 			for _, x := range group(rows, c.Name, mode, func(r ZoneRow) float64 { return r.Peak }) {
 				most = max(most, x)
 			}
-			fmt.Fprintf(w, "%s at %.2f\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%.0f\n", c.Name, c.Load, townNames[mode], mean(func(r ZoneRow) float64 { return r.Fault }),
+			fmt.Fprintf(w, "%s at %.2f\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%.0f\n", c.Name, c.Load, zoneNames[mode], mean(func(r ZoneRow) float64 { return r.Fault }),
 				mean(func(r ZoneRow) float64 { return r.Behind }), mean(func(r ZoneRow) float64 { return r.Return }), mean(func(r ZoneRow) float64 { return r.Crossings }),
 				mean(func(r ZoneRow) float64 { return r.Peak }), most, mean(func(r ZoneRow) float64 { return r.P99 }), mean(func(r ZoneRow) float64 { return r.Moved }),
 				mean(func(r ZoneRow) float64 { return r.Back }), mean(func(r ZoneRow) float64 { return float64(r.Plans) }), breaches)
@@ -209,7 +209,7 @@
 	return w.Flush()
 }
 
-func townChart(path, title string, rows []ZoneRow, of func(ZoneRow) float64) error {
+func zoneChart(path, title string, rows []ZoneRow, of func(ZoneRow) float64) error {
 	p := plot.New()
 	p.Title.Text = map[string]string{"served": "share of worth in time from 3 s into the fault", "peak": "most work that came to a zone over 5 s, of what it could do"}[title]
 	p.Legend.Top = true
@@ -228,7 +228,7 @@
 		}
 		b.Color, b.Offset = plotutil.Color(i), vg.Points(float64(11*i-16))
 		p.Add(b)
-		p.Legend.Add(townNames[mode], b)
+		p.Legend.Add(zoneNames[mode], b)
 	}
 	p.NominalX(names...)
 	return p.Save(900, 360, path)
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -86,23 +86,23 @@
 
 // Class is a class of jobs.
 type Class struct {
-	Name    string  `hcl:"name,label"`
-	Share   float64 `hcl:"share"`
-	Work    float64 `hcl:"work"`
-	Spread  float64 `hcl:"spread,optional"`
-	Aim     string  `hcl:"aim"`
-	Stretch float64 `hcl:"stretch"`
-	GiveUp  string  `hcl:"give_up"`
-	Worth   float64 `hcl:"worth"`
-	Effect  string  `hcl:"effect"`          // safe, keyed or unsafe
-	Scope   string  `hcl:"scope,optional"`  // all, zone or cell, where keyed
-	Window  string  `hcl:"window,optional"` // where keyed
-	Wide    float64 `hcl:"wide,optional"`
+	Name           string  `hcl:"name,label"`
+	Share          float64 `hcl:"share"`
+	Work           float64 `hcl:"work"`
+	Spread         float64 `hcl:"spread,optional"`
+	Aim            string  `hcl:"aim"`
+	Stretch        float64 `hcl:"stretch"`
+	GiveUp         string  `hcl:"give_up"`
+	PriorityWeight float64 `hcl:"worth"`
+	Effect         string  `hcl:"effect"`          // safe, keyed or unsafe
+	Scope          string  `hcl:"scope,optional"`  // all, zone or cell, where keyed
+	Window         string  `hcl:"window,optional"` // where keyed
+	Wide           float64 `hcl:"wide,optional"`
 }
 
 // class gives it in the emulator's terms.
 func (c *Class) class() (emulator.Class, error) {
-	out := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, Spread: c.Spread, Stretch: c.Stretch, Worth: c.Worth, Wide: c.Wide}
+	out := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, Spread: c.Spread, Stretch: c.Stretch, PriorityWeight: c.PriorityWeight, Wide: c.Wide}
 	effect, ok := map[string]scheduler.Idempotency{"safe": scheduler.Idempotent, "keyed": scheduler.IdempotentWithKey, "unsafe": scheduler.NonIdempotent}[c.Effect]
 	if !ok {
 		return out, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Effect)
@@ -133,8 +133,8 @@
 	Set    *World   `hcl:"set,block"`
 }
 
-var troubles = map[string]emulator.FaultKind{"freeze": emulator.Freeze, "silent": emulator.Silent, "slow": emulator.Slow,
-	"restart": emulator.Restart, "drain": emulator.Drain, "unheard": emulator.Unheard, "reset": emulator.Reset, "partition": emulator.Partition,
+var faultKinds = map[string]emulator.FaultKind{"freeze": emulator.Freeze, "silent": emulator.Silent, "slow": emulator.Slow,
+	"restart": emulator.Restart, "drain": emulator.Drain, "unheard": emulator.Unreported, "reset": emulator.Reset, "partition": emulator.Partition,
 	"burst": emulator.Burst, "heavy-tail": emulator.HeavyTail,
 	"list-down": emulator.ListDown, "list-hung": emulator.ListHung}
 
@@ -202,7 +202,7 @@
 		s.Traffic.GiveUp = max(s.Traffic.GiveUp, c.GiveUp)
 	}
 	for _, in := range f.Faults {
-		kind, ok := troubles[in.Kind]
+		kind, ok := faultKinds[in.Kind]
 		if !ok {
 			return s, fmt.Errorf("there is no fault %q", in.Kind)
 		}
--- a/internal/experiment/overview.go
+++ b/internal/experiment/overview.go
@@ -15,8 +15,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Work is what came of one experiment among several.
-type Work struct {
+// Deployment is what came of one experiment among several.
+type Deployment struct {
 	Name string
 	Rows []Row
 }
@@ -39,7 +39,7 @@
 func (s Standing) Behind() bool { return s.Broken > 0 || s.Difference.Mean < -s.Margin() }
 
 // Standings compares by merit. A work's first variant is the module.
-func Standings(works []Work) (all []Standing) {
+func Standings(deployments []Deployment) (all []Standing) {
 	merit := func(r Row) float64 { return r.Merit }
 	of := func(rows []Row) Summary {
 		var x []float64
@@ -48,7 +48,7 @@
 		}
 		return interval(x)
 	}
-	for _, w := range works {
+	for _, w := range deployments {
 		names, by := variants(w.Rows)
 		if len(names) == 0 {
 			continue
@@ -94,18 +94,18 @@
 }
 
 // SaveOverview keeps several experiments in a folder: the rows of all as CSV, the table and a chart.
-func SaveOverview(dir string, works []Work) error {
+func SaveOverview(dir string, deployments []Deployment) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	var rows []Row
-	for _, w := range works {
+	for _, w := range deployments {
 		for _, r := range w.Rows {
 			r.Variant = w.Name + "/" + r.Variant
 			rows = append(rows, r)
 		}
 	}
-	all := Standings(works)
+	all := Standings(deployments)
 	if err := write(dir, map[string]func(io.Writer) error{
 		"rows.csv":     func(f io.Writer) error { return writeCSV(f, rows) },
 		"overview.txt": func(f io.Writer) error { return Overview(f, all) },
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -17,7 +17,7 @@
 	if err != nil || len(files) < 12 {
 		t.Fatalf("%d works, %v", len(files), err)
 	}
-	var works []Work
+	var works []Deployment
 	for _, path := range files {
 		f, err := Load(path)
 		if err != nil {
@@ -32,7 +32,7 @@
 		for _, b := range module {
 			t.Errorf("%s: %s", f.Title, b)
 		}
-		works = append(works, Work{f.Title, rows})
+		works = append(works, Deployment{f.Title, rows})
 	}
 	for _, s := range Standings(works) {
 		// Two seeds tell little of chance: the margin is that of the kept six-seed runs, 0.05 at the most.
@@ -47,19 +47,19 @@
 	row := func(variant string, seed uint64, merit float64) Row {
 		return Row{Variant: variant, Seed: seed, Merit: merit}
 	}
-	work := func(name string, merit float64) Work {
-		return Work{name, []Row{row("module", 1, merit), row("module", 2, merit+0.01), row("random", 1, 0.2), row("random", 2, 0.2), row("lud", 1, 0.8), row("lud", 2, 0.81)}}
+	work := func(name string, merit float64) Deployment {
+		return Deployment{name, []Row{row("module", 1, merit), row("module", 2, merit+0.01), row("random", 1, 0.2), row("random", 2, 0.2), row("lud", 1, 0.8), row("lud", 2, 0.81)}}
 	}
 	broken := work("broken", 0.9)
 	broken.Rows[0].Breaches = []string{"a rule"}
-	all := Standings([]Work{work("level", 0.79), work("behind", 0.7), broken})
+	all := Standings([]Deployment{work("level", 0.79), work("behind", 0.7), broken})
 	for i, want := range []bool{false, true, true} {
 		if s := all[i]; s.Behind() != want || s.Plain != "lud" {
 			t.Errorf("%+v: behind %v", s, s.Behind())
 		}
 	}
 	dir := t.TempDir()
-	if err := SaveOverview(dir, []Work{work("level", 0.79), work("behind", 0.7)}); err != nil {
+	if err := SaveOverview(dir, []Deployment{work("level", 0.79), work("behind", 0.7)}); err != nil {
 		t.Fatal(err)
 	}
 	table, _ := os.ReadFile(filepath.Join(dir, "overview.txt"))
--- a/internal/faults/cases_test.go
+++ b/internal/faults/cases_test.go
@@ -27,11 +27,11 @@
 			Plan{Processes: 5, Voters: 3, Span: s(12), Proposals: s(0.4), Events: []Event{{At: s(1), For: s(3), Kind: Freeze, Process: 4},
 				{At: s(2), For: s(1), Kind: Kill, Process: Leader}, {At: s(6), For: s(0.2), Kind: Anew, Process: 1}}},
 			func(r *Result) bool {
-				return r.Versions >= 3 && slices.ContainsFunc(r.Seats, func(id uint64) bool { return id > 3 })
+				return r.Versions >= 3 && slices.ContainsFunc(r.Voters, func(id uint64) bool { return id > 3 })
 			}},
 		"two of three voters are gone for good, one after the other": {
 			Plan{Processes: 6, Voters: 3, Span: s(15), Proposals: s(0.5), Events: []Event{{At: s(1), Kind: Gone, Process: 2}, {At: s(8), Kind: Gone, Process: 1}}},
-			func(r *Result) bool { return r.Versions >= 3 && len(r.Seats) == 3 && !slices.Contains(r.Seats, 3) }},
+			func(r *Result) bool { return r.Versions >= 3 && len(r.Voters) == 3 && !slices.Contains(r.Voters, 3) }},
 		"rules that refuse all are tried by half, a third is of an older build": {
 			Plan{Processes: 6, Voters: 3, Older: 2, Span: s(10), Proposals: s(0.4), Events: []Event{{At: s(2), Kind: Stage}}},
 			func(r *Result) bool { return r.Withdrawn == 1 && r.RefusedOlder > 0 && r.Versions >= 3 }},
@@ -51,7 +51,7 @@
 					Versions                                  uint64
 					Seats                                     []uint64
 					Breaches                                  []string
-				}{r.ContradictionMS, r.SettledMS, r.Jobs, r.AnsweredOnce, r.AnsweredNever, r.LostWithProcess, r.Withdrawn, r.RefusedOlder, r.Versions, r.Seats, r.Breaches})
+				}{r.ContradictionMS, r.SettledMS, r.Jobs, r.AnsweredOnce, r.AnsweredNever, r.LostWithProcess, r.Withdrawn, r.RefusedOlder, r.Versions, r.Voters, r.Breaches})
 			}
 		})
 	}
--- a/internal/faults/cost.go
+++ b/internal/faults/cost.go
@@ -17,8 +17,8 @@
 	ByKind     map[string]float64 `json:"bytes_by_kind"`   // of them
 	Interface  float64            `json:"interface_bytes"` // that the loopback interface received, packet heads, jobs and all that goes over it included
 	CPU        float64            `json:"cpu_ms"`          // of the whole process, with its jobs
-	CallsMost  float64            `json:"calls_most"`      // made and served by one process
-	BytesMost  float64            `json:"bytes_most"`      // likewise
+	MaxCalls   float64            `json:"calls_most"`      // made and served by one process
+	MaxBytes   float64            `json:"bytes_most"`      // likewise
 	CPUMost    float64            `json:"cpu_ms_most"`     // likewise
 	MemoryMB   float64            `json:"memory_mb"`       // resident, on average
 	interfaces float64            // since the machine's start
@@ -82,7 +82,7 @@
 		}
 		calls, served, cpu := (s.calls-b.calls)/seconds, (s.served-b.served)/seconds, (s.cpu-b.cpu)/seconds
 		c.Calls, c.Bytes, c.CPU = c.Calls+calls/n, c.Bytes+bytes/n, c.CPU+cpu/n
-		c.CallsMost, c.BytesMost, c.CPUMost = max(c.CallsMost, calls+served), max(c.BytesMost, bytes), max(c.CPUMost, cpu)
+		c.MaxCalls, c.MaxBytes, c.CPUMost = max(c.MaxCalls, calls+served), max(c.MaxBytes, bytes), max(c.CPUMost, cpu)
 	}
 	return c
 }
--- a/internal/faults/draw.go
+++ b/internal/faults/draw.go
@@ -31,7 +31,7 @@
 			return err
 		}
 	}
-	for i, all := range r.Stands {
+	for i, all := range r.EffectiveStates {
 		for _, s := range all {
 			width := vg.Points(4)
 			if s.Lapsed {
@@ -47,5 +47,5 @@
 			}
 		}
 	}
-	return p.Save(720, vg.Points(60+40*float64(max(len(r.Stands), 3))), path)
+	return p.Save(720, vg.Points(60+40*float64(max(len(r.EffectiveStates), 3))), path)
 }
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -150,15 +150,15 @@
 		t.Fatal(err)
 	}
 	p := f.Plan(3, 10)
-	p.Span, p.Release.At, p.Release.Moves, p.Release.Calls, p.Release.Patience = 10*time.Second, time.Second, 3*time.Second, 5, 200*time.Millisecond
+	p.Span, p.Release.At, p.Release.Moves, p.Release.Calls, p.Release.ClientTimeout = 10*time.Second, time.Second, 3*time.Second, 5, 200*time.Millisecond
 	r, err := Play(t.Context(), p, build(t), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Bad() || r.Restarted != 10 || r.Jobs < 300 || r.ListRefused == 0 || r.ListCallsMost > 8*p.Processes {
+	if r.Bad() || r.Restarted != 10 || r.Jobs < 300 || r.ListRefused == 0 || r.MaxListCalls > 8*p.Processes {
 		t.Errorf("%+v", r)
 	}
-	if most := p.Release.Told + 3*time.Second; r.WatchGapMS > float64(most.Milliseconds()) {
+	if most := p.Release.NotifyAfter + 3*time.Second; r.WatchGapMS > float64(most.Milliseconds()) {
 		t.Errorf("a dispatcher had no call open for %v ms", r.WatchGapMS)
 	}
 }
--- a/internal/faults/file.go
+++ b/internal/faults/file.go
@@ -27,14 +27,14 @@
 	Older     int          `hcl:"older,optional"`   // processes of an older build
 	Events    []EventFile  `hcl:"event,block"`      // in place of drawn faults
 	Release   *ReleaseFile `hcl:"release,block"`
-	Towns     *ZonesFile   `hcl:"towns,block"`
+	Zones     *ZonesFile   `hcl:"towns,block"`
 }
 
 // ZonesFile are zones in it.
 type ZonesFile struct {
 	Zones    int         `hcl:"zones"`
 	Regions  int         `hcl:"regions"`
-	Boxes    int         `hcl:"boxes"`
+	Workers  int         `hcl:"boxes"`
 	Load     float64     `hcl:"load"`
 	Headroom float64     `hcl:"headroom"`
 	ReturnIn string      `hcl:"return_in"`
@@ -65,14 +65,14 @@
 
 // ReleaseFile is a release in it.
 type ReleaseFile struct {
-	At       string  `hcl:"at"`
-	Drained  float64 `hcl:"drained,optional"`
-	Anew     float64 `hcl:"anew,optional"`
-	Rolling  string  `hcl:"rolling,optional"`
-	Moves    string  `hcl:"moves,optional"`
-	Told     string  `hcl:"told,optional"`
-	Calls    float64 `hcl:"calls,optional"`
-	Patience string  `hcl:"patience,optional"`
+	At            string  `hcl:"at"`
+	Drained       float64 `hcl:"drained,optional"`
+	Anew          float64 `hcl:"anew,optional"`
+	Rolling       string  `hcl:"rolling,optional"`
+	Moves         string  `hcl:"moves,optional"`
+	NotifyAfter   string  `hcl:"told,optional"`
+	Calls         float64 `hcl:"calls,optional"`
+	ClientTimeout string  `hcl:"patience,optional"`
 }
 
 // Load reads and checks a scenario. An error names all faults with file, line and column.
@@ -108,9 +108,9 @@
 		to         *time.Duration
 		name, text string
 	}
-	council, faulty := f.Voters > 0, f.Every != "" || len(f.Faults) > 0
+	voters, faulty := f.Voters > 0, f.Every != "" || len(f.Faults) > 0
 	spans := []span{{&p.Span, "span", f.Span}}
-	if council {
+	if voters {
 		spans = append(spans, span{&p.Bound, "bound", f.Bound}, span{&p.Proposals, "proposals", f.Proposals})
 	}
 	if faulty {
@@ -119,7 +119,7 @@
 	if r := f.Release; r != nil {
 		p.Release = &Release{Drained: r.Drained, Anew: r.Anew, Calls: r.Calls}
 		spans = append(spans, span{&p.Release.At, "release", r.At})
-		for to, text := range map[*time.Duration]string{&p.Release.Rolling: r.Rolling, &p.Release.Moves: r.Moves, &p.Release.Told: r.Told, &p.Release.Patience: r.Patience} {
+		for to, text := range map[*time.Duration]string{&p.Release.Rolling: r.Rolling, &p.Release.Moves: r.Moves, &p.Release.NotifyAfter: r.NotifyAfter, &p.Release.ClientTimeout: r.ClientTimeout} {
 			if text != "" {
 				spans = append(spans, span{to, "release", text})
 			}
@@ -143,18 +143,18 @@
 			bad("event", "There is no kind %q, or no process %d.", e.Kind, e.Process)
 		}
 	}
-	if t := f.Towns; t != nil {
-		p.Towns = &ZonePlan{Zones: t.Zones, Regions: t.Regions, Boxes: t.Boxes, Load: t.Load, Plans: true, Headroom: t.Headroom, Faults: make([]emulator.Fault, len(t.Faults))}
-		spans = append(spans, span{&p.Towns.ReturnIn, "towns", t.ReturnIn})
+	if t := f.Zones; t != nil {
+		p.Zones = &ZonePlan{Zones: t.Zones, Regions: t.Regions, Workers: t.Workers, Load: t.Load, Plans: true, Headroom: t.Headroom, Faults: make([]emulator.Fault, len(t.Faults))}
+		spans = append(spans, span{&p.Zones.ReturnIn, "towns", t.ReturnIn})
 		for i, x := range t.Faults {
 			kind, ok := zoneFaults[x.Kind]
-			p.Towns.Faults[i] = emulator.Fault{Kind: kind, Zone: x.Zone, From: x.From, Size: x.Size, Share: 1}
-			spans = append(spans, span{&p.Towns.Faults[i].At, "towns", x.At}, span{&p.Towns.Faults[i].For, "towns", x.For})
+			p.Zones.Faults[i] = emulator.Fault{Kind: kind, Zone: x.Zone, From: x.From, Size: x.Size, Share: 1}
+			spans = append(spans, span{&p.Zones.Faults[i].At, "towns", x.At}, span{&p.Zones.Faults[i].For, "towns", x.For})
 			if !ok || x.Zone < 1 || x.Zone > t.Zones || x.From < 0 || x.From > t.Zones {
 				bad("towns", "There is no fault %q, or no zone %d or %d.", x.Kind, x.Zone, x.From)
 			}
 		}
-		if t.Zones < 2 || t.Regions < 1 || t.Regions > t.Zones || t.Boxes < t.Zones || !(t.Load > 0) || !(t.Headroom >= 0 && t.Headroom < 1) {
+		if t.Zones < 2 || t.Regions < 1 || t.Regions > t.Zones || t.Workers < t.Zones || !(t.Load > 0) || !(t.Headroom >= 0 && t.Headroom < 1) {
 			bad("towns", "There must be zones in regions, a box for each, a load above 0 and a headroom from 0 to less than 1.")
 		}
 	}
@@ -168,7 +168,7 @@
 	if f.Voters != 0 && f.Voters != 1 && f.Voters != 3 && f.Voters != 5 || f.Voters > f.Processes {
 		bad("voters", "There must be 0, 1, 3 or 5, and no more than processes.")
 	}
-	if f.Rate <= 0 && f.Towns == nil {
+	if f.Rate <= 0 && f.Zones == nil {
 		bad("rate", "It must be above 0.")
 	}
 	if faulty && len(f.Faults) == 0 {
--- a/internal/faults/fleet.go
+++ b/internal/faults/fleet.go
@@ -32,7 +32,7 @@
 	Release           *Release      // nil for none
 	Replace           time.Duration // a silent seat's
 	Events            []Event       // in place of drawn ones
-	Towns             *ZonePlan     // nil for one zone
+	Zones             *ZonePlan     // nil for one zone
 	Overload          *Overload     // nil for none
 	Older             int           // of the processes, the last ones, are of an older build
 }
@@ -56,8 +56,8 @@
 	Versions         uint64             `json:"versions"` // that came in force
 	Withdrawn        int                `json:"withdrawn,omitempty"`
 	Cost             *Cost              `json:"cost,omitempty"`  // of the fleet's own calls, without faults
-	Seats            []uint64           `json:"seats,omitempty"` // of the council at the end
-	Towns            *ZonesResult       `json:"failover,omitempty"`
+	Voters           []uint64           `json:"seats,omitempty"` // of the council at the end
+	Zones            *ZonesResult       `json:"failover,omitempty"`
 	Overload         *OverloadResult    `json:"overload,omitempty"`
 	RefusedOlder     int                `json:"refused_older,omitempty"` // proposals that older builds could not have read
 	InForceP50MS     float64            `json:"in_force_p50_ms"`
@@ -65,11 +65,11 @@
 	SettledMS        float64            `json:"settled_ms"` // behind the last fault, until all acted on one version with leases
 	Restarted        int                `json:"restarted,omitempty"`
 	ListCalls        int                `json:"list_calls,omitempty"`
-	ListCallsMost    int                `json:"list_calls_most_s,omitempty"` // of all processes in any second
+	MaxListCalls     int                `json:"list_calls_most_s,omitempty"` // of all processes in any second
 	ListRefused      int                `json:"list_refused,omitempty"`
 	WatchGapMS       float64            `json:"watch_gap_max_ms,omitempty"` // that a process which was there had no call open
-	Stands           [][]EffectiveState `json:"-"`
-	Away             [][]Absence        `json:"-"`
+	EffectiveStates  [][]EffectiveState `json:"-"`
+	Absences         [][]Absence        `json:"-"`
 	Events           []Event            `json:"-"`
 	Begin            time.Time          `json:"-"`
 	Logs             []string           `json:"-"` // of the processes
@@ -83,22 +83,22 @@
 
 // process is a dispatcher over its starts.
 type process struct {
-	node  *emulator.Node
-	dir   string // its disk
-	logs  string // of its earlier starts
-	away  []Absence
-	gone  bool
-	lost  bool       // it does not come back
-	env   []string   // beside the usual
-	files sync.Mutex // held while it is started or told of a new file
-	state State      // of its links: To is what it says
+	node     *emulator.Node
+	dir      string // its disk
+	logs     string // of its earlier starts
+	absences []Absence
+	gone     bool
+	lost     bool       // it does not come back
+	env      []string   // beside the usual
+	files    sync.Mutex // held while it is started or told of a new file
+	state    State      // of its links: To is what it says
 }
 
 // play is a plan being played.
 type play struct {
 	Plan
 	ctx      context.Context
-	works    *emulator.Cluster
+	cluster  *emulator.Cluster
 	scenario emulator.Scenario
 	binary   string
 	dir      string
@@ -118,21 +118,21 @@
 	s := emulator.LlanelliWorks(p.Seed)
 	s.Span, s.Dispatchers, s.Traffic.Rate = p.Span, p.Processes, p.Rate
 	if p.Release != nil {
-		p.Release.works(&s)
+		p.Release.cluster(&s)
 	}
 	if p.Overload != nil {
-		p.Overload.works(&s)
+		p.Overload.cluster(&s)
 	}
-	if p.Towns != nil {
-		p.Towns.works(&s)
+	if p.Zones != nil {
+		p.Zones.cluster(&s)
 		p.Rate = s.Traffic.Rate
 	}
-	works, err := emulator.Open(s)
+	cluster, err := emulator.Open(s)
 	if err != nil {
 		return nil, err
 	}
-	defer works.Close()
-	f := &play{Plan: p, scenario: s, ctx: ctx, works: works, binary: binary, dir: dir, links: map[[2]int]*Link{},
+	defer cluster.Close()
+	f := &play{Plan: p, scenario: s, ctx: ctx, cluster: cluster, binary: binary, dir: dir, links: map[[2]int]*Link{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		r: &Result{Seed: p.Seed, Processes: p.Processes, Faults: map[string]int{}, BoundMS: float64(p.Bound.Milliseconds()),
 			announced: map[uint64]time.Time{}, force: map[uint64]time.Time{}}}
@@ -186,8 +186,8 @@
 	f.r.Begin = time.Now()
 	begin, end := f.r.Begin, f.r.Begin.Add(f.Span)
 	before := f.cost()
-	if f.Towns != nil || f.Overload != nil {
-		f.works.Troubles()
+	if f.Zones != nil || f.Overload != nil {
+		f.cluster.StartFaults()
 	}
 	var wait sync.WaitGroup
 	var failed error
@@ -197,7 +197,7 @@
 			if !until(f.ctx, begin.Add(e.At)) {
 				return
 			}
-			if err := f.befall(e, begin.Add(e.At+e.For)); err != nil {
+			if err := f.applyFault(e, begin.Add(e.At+e.For)); err != nil {
 				f.mu.Lock()
 				failed = cmp.Or(failed, err)
 				f.mu.Unlock()
@@ -302,7 +302,7 @@
 		if status != http.StatusOK {
 			f.r.Refused++
 		}
-	case slices.ContainsFunc(x.away, func(a Absence) bool { return a.To.IsZero() || a.To.After(sent.Add(-time.Second)) }):
+	case slices.ContainsFunc(x.absences, func(a Absence) bool { return a.To.IsZero() || a.To.After(sent.Add(-time.Second)) }):
 		f.r.LostWithProcess++
 	default:
 		f.r.AnsweredNever++
@@ -313,7 +313,7 @@
 func (f *play) settle() {
 	begin := time.Now()
 	for time.Since(begin) < 20*time.Second && f.ctx.Err() == nil {
-		all := f.stands()
+		all := f.effectiveStates()
 		one := true
 		for i, s := range all {
 			if f.all[i].lost {
@@ -350,7 +350,7 @@
 	return 0
 }
 
-func (f *play) stands() (all [][]EffectiveState) {
+func (f *play) effectiveStates() (all [][]EffectiveState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, x := range f.all {
@@ -358,7 +358,7 @@
 		if !x.lost { // else it is in there already
 			log += x.node.Log()
 		}
-		all = append(all, EffectiveStates(log, time.Now(), x.away))
+		all = append(all, EffectiveStates(log, time.Now(), x.absences))
 	}
 	return all
 }
@@ -366,22 +366,22 @@
 // account draws the figures together.
 func (f *play) account() {
 	r := f.r
-	r.Stands = f.stands()
+	r.EffectiveStates = f.effectiveStates()
 	for _, x := range f.all {
-		r.Away, r.Logs = append(r.Away, x.away), append(r.Logs, x.logs+x.node.Log())
+		r.Absences, r.Logs = append(r.Absences, x.absences), append(r.Logs, x.logs+x.node.Log())
 	}
 	f.known()
-	f.towns()
+	f.checkZones()
 	f.overload()
-	contradiction, lapsed := ContradictionTime(r.Stands)
+	contradiction, lapsed := ContradictionTime(r.EffectiveStates)
 	r.ContradictionMS, r.LapsedApartMS = float64(contradiction.Milliseconds()), float64(lapsed.Milliseconds())
-	asked := f.works.Asked()
-	r.ListCalls, r.ListCallsMost, r.ListRefused, r.WatchGapMS = asked.Calls, asked.Most, asked.Refused, float64(asked.Longest.Milliseconds())
-	for _, b := range f.works.Breaches() {
+	requested := f.cluster.DiscoveryCalls()
+	r.ListCalls, r.MaxListCalls, r.ListRefused, r.WatchGapMS = requested.Calls, requested.Max, requested.Refused, float64(requested.Longest.Milliseconds())
+	for _, b := range f.cluster.Breaches() {
 		r.RulesBroken++
 		r.Breaches = append(r.Breaches, b.String())
 	}
-	for _, all := range r.Stands {
+	for _, all := range r.EffectiveStates {
 		for _, s := range all {
 			if v := s.Versions[0]; len(s.Versions) == 1 && !s.Lapsed {
 				if at, ok := r.force[v]; !ok || s.From.Before(at) {
--- a/internal/faults/link.go
+++ b/internal/faults/link.go
@@ -28,13 +28,13 @@
 	packets  net.PacketConn
 	to       string
 
-	mu    sync.Mutex
-	state State
-	held  map[net.Conn]bool // connections on which something waits
-	conns map[net.Conn]bool
-	rng   *rand.Rand
-	over  bool
-	moved chan struct{} // closed at each change
+	mu      sync.Mutex
+	state   State
+	delayed map[net.Conn]bool // connections on which something waits
+	conns   map[net.Conn]bool
+	rng     *rand.Rand
+	over    bool
+	moved   chan struct{} // closed at each change
 }
 
 // NewLink listens on a loopback port of the system's choice and passes on to an address.
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, packets: packets, to: to, held: map[net.Conn]bool{}, conns: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), moved: make(chan struct{})}
+	k := &Link{listener: l, packets: packets, to: to, delayed: map[net.Conn]bool{}, conns: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), moved: make(chan struct{})}
 	go k.serve()
 	go k.relay()
 	return k, nil
@@ -111,10 +111,10 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if (k.state.CutTo || k.state.CutFrom) && !s.CutTo && !s.CutFrom {
-		for c := range k.held {
+		for c := range k.delayed {
 			reset(c)
 		}
-		k.held = map[net.Conn]bool{}
+		k.delayed = map[net.Conn]bool{}
 	}
 	k.state = s
 	close(k.moved)
@@ -180,7 +180,7 @@
 			k.mu.Lock()
 			for _, c := range []net.Conn{in, out} {
 				delete(k.conns, c)
-				delete(k.held, c)
+				delete(k.delayed, c)
 			}
 			k.mu.Unlock()
 		}()
@@ -248,7 +248,7 @@
 		k.mu.Lock()
 		moved, stands := k.moved, cut(k.state) && !k.over
 		if stands {
-			k.held[from], k.held[to] = true, true
+			k.delayed[from], k.delayed[to] = true, true
 		}
 		k.mu.Unlock()
 		if !stands {
--- a/internal/faults/overload.go
+++ b/internal/faults/overload.go
@@ -23,7 +23,7 @@
 	Firsts     int                `json:"firsts"`
 }
 
-func (o *Overload) works(s *emulator.Scenario) {
+func (o *Overload) cluster(s *emulator.Scenario) {
 	if o.Frozen > 0 {
 		s.Faults = append(s.Faults, emulator.Fault{At: o.At, For: o.For, Kind: emulator.Freeze, Share: o.Frozen})
 	}
@@ -37,8 +37,8 @@
 }
 
 const (
-	overWindow   = 5 * time.Second
-	leastFurther = 1.0 // a second, of a fleet that has next to nothing to do
+	overWindow = 5 * time.Second
+	minRetries = 1.0 // a second, of a fleet that has next to nothing to do
 )
 
 // within counts the times in a window that ends then.
@@ -58,15 +58,15 @@
 	if o == nil {
 		return
 	}
-	spent := f.works.Spent()
+	spent := f.cluster.Spent()
 	r := &OverloadResult{BudgetOver: map[string]float64{}, Further: len(spent.Furthers), Probes: len(spent.Probes), Firsts: len(spent.Firsts)}
 	seconds, n := overWindow.Seconds(), float64(f.Processes)
 	for _, at := range spent.Furthers {
-		most := 0.0
+		maximum := 0.0
 		for back := time.Duration(0); back <= 2*f.Bound; back += f.Bound / 4 {
-			most = max(most, within(spent.Firsts, at-back, overWindow)/seconds)
+			maximum = max(maximum, within(spent.Firsts, at-back, overWindow)/seconds)
 		}
-		rate := max(o.Retries*most, leastFurther)
+		rate := max(o.Retries*maximum, minRetries)
 		r.BudgetOver["retries"] = max(r.BudgetOver["retries"], within(spent.Furthers, at, overWindow)/(rate*(seconds+1)+n))
 	}
 	for _, at := range spent.Probes {
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -17,12 +17,12 @@
 	if f.Voters == 0 {
 		return ""
 	}
-	seat := 0
+	voter := 0
 	if i < f.Voters {
-		seat = i + 1
+		voter = i + 1
 	}
 	text := fmt.Sprintf("council {\n fleet = \"rig\"\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n region = %q\n zone = %q\n",
-		f.ats[i], seat, f.all[i].dir, f.Bound, fmt.Sprint("r", i%2), fmt.Sprint("z", i%3))
+		f.ats[i], voter, f.all[i].dir, f.Bound, fmt.Sprint("r", i%2), fmt.Sprint("z", i%3))
 	if f.Replace > 0 {
 		text += fmt.Sprintf(" replace = %q\n", f.Replace)
 	}
@@ -36,7 +36,7 @@
 			text += fmt.Sprintf("  %q = %q\n", f.ats[ends[1]], l.Address())
 		}
 	}
-	return text + " }\n}\n" + f.Towns.operator() + f.Overload.operator()
+	return text + " }\n}\n" + f.Zones.operator() + f.Overload.operator()
 }
 
 func (f *play) start(i int) error {
@@ -51,7 +51,7 @@
 	if i >= f.Processes-f.Older {
 		env = append(env, "BRASSDALE_TEST_FORM=1")
 	}
-	node, err := f.works.StartWith(f.ctx, f.binary, f.dir, i, env, "serve", "--operator", path)
+	node, err := f.cluster.StartWith(f.ctx, f.binary, f.dir, i, env, "serve", "--operator", path)
 	if err != nil {
 		return err
 	}
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// befall plays one fault to its end.
-func (f *play) befall(e Event, end time.Time) error {
+// applyFault plays one fault to its end.
+func (f *play) applyFault(e Event, end time.Time) error {
 	if e.Process == Leader {
 		e.Process = f.leader()
 	}
@@ -170,13 +170,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x.gone = true
-	x.away = append(x.away, Absence{From: time.Now()})
+	x.absences = append(x.absences, Absence{From: time.Now()})
 }
 
 func (f *play) back(x *process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x.away[len(x.away)-1].To, x.gone = time.Now(), false
+	x.absences[len(x.absences)-1].To, x.gone = time.Now(), false
 }
 
 // each goes through the links of a process; called tells that it is the one who is called.
--- a/internal/faults/propose.go
+++ b/internal/faults/propose.go
@@ -34,12 +34,12 @@
 }
 
 // propose announces rules, if nothing is under way, and tells whether that was taken.
-func (f *play) propose(at string, rules configversions.Rules, trial *canary.Rollout) bool {
+func (f *play) propose(at string, rules configversions.Rules, rollout *canary.Rollout) bool {
 	var s struct{ Record configversions.Record }
 	if f.call(at, "status", nil, &s) != nil || s.Record.Announced != nil {
 		return false
 	}
-	text, err := json.Marshal(configversions.Version{Number: s.Record.InForce.Number, Rules: rules, By: "rig", Reason: "drawn", At: time.Now(), Canary: trial})
+	text, err := json.Marshal(configversions.Version{Number: s.Record.InForce.Number, Rules: rules, By: "rig", Reason: "drawn", At: time.Now(), Canary: rollout})
 	var got struct{ Record configversions.Record }
 	if err == nil {
 		err = f.call(at, "propose", text, &got)
@@ -59,7 +59,7 @@
 // stage has half the processes try rules under which nothing is served, until that is taken.
 func (f *play) stage() error {
 	var rules configversions.Rules
-	for _, id := range f.works.Boxes() {
+	for _, id := range f.cluster.Workers() {
 		rules.DetachedWorkers = append(rules.DetachedWorkers, string(id))
 	}
 	for !f.propose(f.voters[0], rules, &canary.Rollout{Share: 0.5, MinDuration: 3 * time.Second, FailureMargin: 0.05}) {
@@ -121,8 +121,8 @@
 		break
 	}
 	f.r.Withdrawn = len(s.Record.Withdrawn)
-	for _, seat := range s.Record.Voters {
-		f.r.Seats = append(f.r.Seats, seat.ID)
+	for _, voter := range s.Record.Voters {
+		f.r.Voters = append(f.r.Voters, voter.ID)
 	}
 }
 
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -15,21 +15,21 @@
 // than it can serve, a tenth of the dispatchers at a time is ended by SIGTERM and started anew, and in the middle of it
 // discovery moves, which the dispatchers are told of by SIGHUP.
 type Release struct {
-	At       time.Duration // the boxes'
-	Drained  float64       // share of the boxes that leave
-	Anew     float64       // share that starts anew
-	Rolling  time.Duration // between two steps of the dispatchers' restart, which begins with the boxes'; 0 for none
-	Moves    time.Duration // when discovery does; 0 for never
-	Told     time.Duration // so much later the dispatchers hear of it
-	Calls    float64       // that discovery works through a second; 0 for any number
-	Patience time.Duration
+	At            time.Duration // the boxes'
+	Drained       float64       // share of the boxes that leave
+	Anew          float64       // share that starts anew
+	Rolling       time.Duration // between two steps of the dispatchers' restart, which begins with the boxes'; 0 for none
+	Moves         time.Duration // when discovery does; 0 for never
+	NotifyAfter   time.Duration // so much later the dispatchers hear of it
+	Calls         float64       // that discovery works through a second; 0 for any number
+	ClientTimeout time.Duration
 }
 
 // drainFor is how long a box that leaves is there for what it has.
 const drainFor = 4 * time.Second
 
-func (r *Release) works(s *emulator.Scenario) {
-	s.Calls = emulator.Calls{Rate: r.Calls, Patience: r.Patience}
+func (r *Release) cluster(s *emulator.Scenario) {
+	s.Calls = emulator.Calls{Rate: r.Calls, ClientTimeout: r.ClientTimeout}
 	if r.Drained > 0 {
 		s.Faults = append(s.Faults, emulator.Fault{At: r.At, For: drainFor, Kind: emulator.Drain, Share: r.Drained})
 	}
@@ -46,7 +46,7 @@
 // release plays the dispatchers' and discovery's part.
 func (f *play) release(begin time.Time) error {
 	r := f.Release
-	f.works.Troubles()
+	f.cluster.StartFaults()
 	var wait sync.WaitGroup
 	errs := make(chan error, f.Processes+1)
 	if r.Rolling > 0 {
@@ -78,7 +78,7 @@
 // restart ends a process in good order, while clients go on for a while, and starts it anew.
 func (f *play) restart(i int) error {
 	x := f.all[i]
-	f.works.Present(i, false)
+	f.cluster.Present(i, false)
 	begin := time.Now()
 	x.files.Lock()
 	err := x.node.Signal(syscall.SIGTERM)
@@ -104,13 +104,13 @@
 
 // move puts discovery elsewhere, and tells those that are there.
 func (f *play) move() error {
-	if err := f.works.Move(); err != nil {
+	if err := f.cluster.Move(); err != nil {
 		return err
 	}
-	until(f.ctx, time.Now().Add(f.Release.Told))
+	until(f.ctx, time.Now().Add(f.Release.NotifyAfter))
 	for i, x := range f.all {
 		x.files.Lock()
-		_, err := f.works.Write(f.dir, i)
+		_, err := f.cluster.Write(f.dir, i)
 		if err == nil {
 			err = x.node.Signal(syscall.SIGHUP)
 			if errors.Is(err, os.ErrProcessDone) {
--- a/internal/faults/status.go
+++ b/internal/faults/status.go
@@ -20,7 +20,7 @@
 
 // EffectiveStates reads them from a process's log, which ended then. What it stood for while it was away is cut out: what it says
 // first behind that is the first thing that it does.
-func EffectiveStates(log string, end time.Time, away []Absence) (all []EffectiveState) {
+func EffectiveStates(log string, end time.Time, absences []Absence) (all []EffectiveState) {
 	for _, m := range acting.FindAllStringSubmatch(log, -1) {
 		ms, err := strconv.ParseInt(m[3], 10, 64)
 		if err != nil {
@@ -37,7 +37,7 @@
 		all = append(all, s)
 	}
 	for i := range all {
-		for _, a := range away {
+		for _, a := range absences {
 			if a.From.After(all[i].From) && a.From.Before(all[i].To) {
 				all[i].To = a.From
 			}
--- a/internal/faults/topology.go
+++ b/internal/faults/topology.go
@@ -14,12 +14,12 @@
 
 // ZonePlan are zones in regions, with faults of them, and a council that plans where their jobs are served.
 type ZonePlan struct {
-	Zones, Regions, Boxes int
-	Load                  float64 // of what all boxes can do
-	Plans                 bool    // else each process decides by itself
-	Headroom              float64
-	ReturnIn              time.Duration
-	Faults                []emulator.Fault
+	Zones, Regions, Workers int
+	Load                    float64 // of what all boxes can do
+	Plans                   bool    // else each process decides by itself
+	Headroom                float64
+	ReturnIn                time.Duration
+	Faults                  []emulator.Fault
 }
 
 // ZonesResult is what came of them. The names of its figures are kept.
@@ -29,7 +29,7 @@
 	ServedFault      float64 `json:"served_share_fault"`                 // of those that came from 3 s after the first fault to its end
 	ServedBehind     float64 `json:"served_share_behind"`                // and in the 15 s behind
 	Crossing         float64 `json:"crossing_share"`                     // of the calls
-	CrossingLeast    float64 `json:"crossing_least"`                     // that had to cross, by what zones could do
+	MinCrossing      float64 `json:"crossing_least"`                     // that had to cross, by what zones could do
 	Peak             float64 `json:"zone_peak_over_capacity"`
 	PlanChanges      uint64  `json:"plan_changes"`
 	DetectMS         float64 `json:"detect_ms"`                  // from the first fault to the first plan behind it
@@ -45,16 +45,16 @@
 }
 
 const (
-	townSlots = 5
-	townWork  = 0.2 // seconds of a job
-	townAlone = 10 * time.Second
+	zoneSlots  = 5
+	zoneWork   = 0.2 // seconds of a job
+	maxPlanAge = 10 * time.Second
 )
 
-func (t *ZonePlan) works(s *emulator.Scenario) {
-	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Boxes, Slots: townSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
+func (t *ZonePlan) cluster(s *emulator.Scenario) {
+	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Workers, Slots: zoneSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = t.Zones, t.Regions, 0.03, 5*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = townWork, 0, scheduler.Idempotent
-	s.Traffic.Rate = t.Load * float64(t.Boxes*townSlots) / townWork
+	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = zoneWork, 0, scheduler.Idempotent
+	s.Traffic.Rate = t.Load * float64(t.Workers*zoneSlots) / zoneWork
 	s.Faults = append(s.Faults, t.Faults...)
 }
 
@@ -73,24 +73,24 @@
 		}
 		text += fmt.Sprintf(" region \"r%d\" {\n  zones = [%s]\n }\n", r, strings.Join(zones, ", "))
 	}
-	return text + fmt.Sprintf(" headroom = %g\n return_in = %q\n alone = %q\n}\n", t.Headroom, t.ReturnIn, townAlone)
+	return text + fmt.Sprintf(" headroom = %g\n return_in = %q\n alone = %q\n}\n", t.Headroom, t.ReturnIn, maxPlanAge)
 }
 
 // count enters a job's end for its client.
 func (f *play) count(at time.Time, inTime bool) {
-	if f.Towns != nil {
-		if f.r.Towns == nil {
-			f.r.Towns = &ZonesResult{}
+	if f.Zones != nil {
+		if f.r.Zones == nil {
+			f.r.Zones = &ZonesResult{}
 		}
-		f.r.Towns.each = append(f.r.Towns.each, instant{at, inTime})
+		f.r.Zones.each = append(f.r.Zones.each, instant{at, inTime})
 	}
 }
 
 var planned = regexp.MustCompile(`msg=plan number=(\d+) alone=(true|false) at_ms=(\d+)`)
 
-// towns draws the zones' figures together.
-func (f *play) towns() {
-	r := f.r.Towns
+// checkZones draws the zones' figures together.
+func (f *play) checkZones() {
+	r := f.r.Zones
 	if r == nil {
 		return
 	}
@@ -107,18 +107,18 @@
 	}
 	end := f.r.Begin.Add(f.Span)
 	r.Served = share(f.r.Begin, end)
-	load := f.works.Load()
+	load := f.cluster.Load()
 	r.Crossing, r.Peak = float64(load.Crossings)/float64(max(load.Sends, 1)), load.Peak
-	if len(f.Towns.Faults) == 0 {
+	if len(f.Zones.Faults) == 0 {
 		return
 	}
-	first := f.Towns.Faults[0]
+	first := f.Zones.Faults[0]
 	from, to := f.r.Begin.Add(first.At), f.r.Begin.Add(first.At+first.For)
 	r.ServedFault, r.ServedBehind = share(from.Add(3*time.Second), to), share(to, to.Add(15*time.Second))
-	r.CrossingLeast = f.Towns.least(f.Span)
+	r.MinCrossing = f.Zones.minCrossing(f.Span)
 	for _, mode := range []string{"", "plan"} { // the model of the same works, without the processes' own faults
 		s := f.scenario
-		s.Failover = emulator.Failover{Mode: mode, Headroom: f.Towns.Headroom, ReturnIn: f.Towns.ReturnIn, Detect: time.Second, Step: 0.1}
+		s.Failover = emulator.Failover{Mode: mode, Headroom: f.Zones.Headroom, ReturnIn: f.Zones.ReturnIn, Detect: time.Second, Step: 0.1}
 		v, err := emulator.Run(s, func(s scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(s, seed) })
 		if err != nil {
 			continue
@@ -164,14 +164,14 @@
 	r.DetectMS, r.MovedMS, r.BackMS = ms(detected, from), ms(moved, from), ms(last, to)
 }
 
-// least is how much has to cross, by what zones can do with and without the faults that take one.
-func (t *ZonePlan) least(span time.Duration) float64 {
+// minCrossing is how much has to cross, by what zones can do with and without the faults that take one.
+func (t *ZonePlan) minCrossing(span time.Duration) float64 {
 	crossed := 0.0
 	const step = 500 * time.Millisecond
 	for at := time.Duration(0); at < span; at += step {
 		var zones []failover.Zone
 		var demands []failover.Demand
-		each := float64(t.Boxes*townSlots) / float64(t.Zones)
+		each := float64(t.Workers*zoneSlots) / float64(t.Zones)
 		for z := range t.Zones {
 			zone := failover.Zone{Name: fmt.Sprint("z", z), Region: fmt.Sprint("r", z*t.Regions/t.Zones), Capacity: each}
 			for _, f := range t.Faults {
@@ -186,7 +186,7 @@
 		for i, d := range demands {
 			for j, z := range zones {
 				if d.Zone != z.Name {
-					crossed += flow.Served[i][j] / (t.Load * float64(t.Boxes*townSlots))
+					crossed += flow.Served[i][j] / (t.Load * float64(t.Workers*zoneSlots))
 				}
 			}
 		}
--- a/internal/faults/topology_test.go
+++ b/internal/faults/topology_test.go
@@ -25,12 +25,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := Plan{Seed: 5, Processes: 7, Voters: 3, Bound: 2 * time.Second, Span: s(22), Proposals: s(30), Events: c.events,
-				Towns: &ZonePlan{Zones: 3, Regions: 1, Boxes: 9, Load: 0.45, Plans: true, Headroom: 0.1, ReturnIn: s(5), Faults: []emulator.Fault{c.fault}}}
+				Zones: &ZonePlan{Zones: 3, Regions: 1, Workers: 9, Load: 0.45, Plans: true, Headroom: 0.1, ReturnIn: s(5), Faults: []emulator.Fault{c.fault}}}
 			r, err := Play(t.Context(), p, binary, t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := r.Towns
+			w := r.Zones
 			if r.Bad() || w.PlanChanges < 2 || w.ServedFault < 0.75 || w.MovedMS < 0 {
 				t.Errorf("%+v, %d never answered, %v", w, r.AnsweredNever, r.Breaches)
 			}
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -19,7 +19,7 @@
 	Aim      string       `hcl:"aim,optional"`
 	Wire     string       `hcl:"wire,optional"` // http1, if left out
 	Seed     int          `hcl:"seed,optional"`
-	MostOpen int          `hcl:"most_open,optional"`
+	MaxOpen  int          `hcl:"most_open,optional"`
 	Phases   []phaseBlock `hcl:"phase,block"`
 	Trace    *traceBlock  `hcl:"trace,block"`
 	Accounts []accountBlk `hcl:"account,block"`
@@ -58,7 +58,7 @@
 }
 
 type retryBlock struct {
-	Most   int     `hcl:"most"`
+	Max    int     `hcl:"most"`
 	Share  float64 `hcl:"share"`
 	Wait   string  `hcl:"wait"`
 	Honour bool    `hcl:"honour,optional"`
@@ -134,8 +134,8 @@
 	}
 	if r := f.Retry; r != nil {
 		b := blocks["retry"][0]
-		f.terms.Retry = Retry{Most: r.Most, Share: r.Share, Wait: span(b.Body, "wait", r.Wait), Honour: r.Honour}
-		if r.Most < 0 || r.Share < 0 || r.Share > 1 {
+		f.terms.Retry = Retry{Max: r.Max, Share: r.Share, Wait: span(b.Body, "wait", r.Wait), Honour: r.Honour}
+		if r.Max < 0 || r.Share < 0 || r.Share > 1 {
 			bad(b.DefRange(), "retry needs most not below 0 and a share from 0 to 1.")
 		}
 	}
@@ -183,7 +183,7 @@
 
 // Options are those of a run of the plan.
 func (f *File) Options() Options {
-	return Options{Terms: f.terms, Seed: uint64(f.Seed), MostOpen: f.MostOpen}
+	return Options{Terms: f.terms, Seed: uint64(f.Seed), MaxOpen: f.MaxOpen}
 }
 
 // Client gives what sends the plan's jobs to targets.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -46,7 +46,7 @@
 
 // Retry is how clients come back. A client does so after a refusal, which says that it is harmless, and after nothing else.
 type Retry struct {
-	Most   int           // times for a job; 0 for never
+	Max    int           // times for a job; 0 for never
 	Share  float64       // of the refused jobs whose client does
 	Wait   time.Duration // where the refusal says nothing
 	Honour bool          // wait as the refusal says, else Wait always
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -204,7 +204,7 @@
 		<-block
 		return Answer{}
 	})
-	full := Run(t.Context(), plan(), waits, Options{Terms: Terms{GiveUp: time.Second}, MostOpen: 3})
+	full := Run(t.Context(), plan(), waits, Options{Terms: Terms{GiveUp: time.Second}, MaxOpen: 3})
 	if err := full.Usable(); !errors.Is(err, ErrUnusable) || full.Figures().Outcomes["served"] != 3 {
 		t.Errorf("out of room: %v, %v", err, full.Figures().Outcomes)
 	}
@@ -256,7 +256,7 @@
 	defer c.Close()
 	run := func(giveUp time.Duration) Figures {
 		got = nil
-		o := Options{Terms: Terms{GiveUp: giveUp, Retry: Retry{Most: 1, Share: 1, Wait: time.Millisecond, Honour: true}}}
+		o := Options{Terms: Terms{GiveUp: giveUp, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, Honour: true}}}
 		return Run(t.Context(), Recorded([]Job{{Account: "a"}}), c, o).Figures()
 	}
 	f := run(5 * time.Second)
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -86,8 +86,8 @@
 	if r.clients > 0 {
 		return nil // who waits is late by design: how late stands in the figures
 	}
-	if at := time.Duration(r.lag.ValueAtQuantile(lagShare*100)) * time.Microsecond; r.planned > 0 && at > LagMost {
-		return fmt.Errorf("%w: one of 100 jobs left %v late or later, %v is allowed", ErrUnusable, at, LagMost)
+	if at := time.Duration(r.lag.ValueAtQuantile(lagShare*100)) * time.Microsecond; r.planned > 0 && at > MaxLag {
+		return fmt.Errorf("%w: one of 100 jobs left %v late or later, %v is allowed", ErrUnusable, at, MaxLag)
 	}
 	return nil
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// A result is of use if so large a part of the jobs left no later than LagMost after they were due.
-	LagMost  = 10 * time.Millisecond
+	// A result is of use if so large a part of the jobs left no later than MaxLag after they were due.
+	MaxLag   = 10 * time.Millisecond
 	lagShare = 0.99
 
 	// The pacer sleeps to this much before a job is due and yields from there on: a sleep ends late by about as much.
@@ -33,19 +33,19 @@
 
 // Options of a run.
 type Options struct {
-	Terms    Terms
-	Seed     uint64
-	Clients  int // 0 for an open loop; else so many, each of which waits for its answer before it sends again
-	MostOpen int // jobs in flight; those due beyond it are not sent, and the result is unusable. 0 for 100,000
-	Begin    time.Time
-	Each     func(Job, Outcome, time.Duration) // hears of each job, its end and its latency, from many goroutines; nil for nobody
+	Terms   Terms
+	Seed    uint64
+	Clients int // 0 for an open loop; else so many, each of which waits for its answer before it sends again
+	MaxOpen int // jobs in flight; those due beyond it are not sent, and the result is unusable. 0 for 100,000
+	Begin   time.Time
+	Each    func(Job, Outcome, time.Duration) // hears of each job, its end and its latency, from many goroutines; nil for nobody
 }
 
 // Run sends a plan's jobs to their times and waits for their ends. When the context ends, what was measured by then is
 // given, marked as cut short.
 func Run(ctx context.Context, source Source, to Sender, o Options) *Result {
-	if o.MostOpen <= 0 {
-		o.MostOpen = 100_000
+	if o.MaxOpen <= 0 {
+		o.MaxOpen = 100_000
 	}
 	if o.Begin.IsZero() {
 		o.Begin = time.Now()
@@ -68,7 +68,7 @@
 			j.Key = newKey()
 		}
 		r.due(time.Since(due))
-		if open.Load() >= int64(o.MostOpen) {
+		if open.Load() >= int64(o.MaxOpen) {
 			r.shed()
 			leave(room)
 			continue
@@ -166,7 +166,7 @@
 		if a.Outcome == Served && t.Aim > 0 && e.latency > t.Aim {
 			e.outcome = Late
 		}
-		if a.Outcome != Refused || !again || e.tries > t.Retry.Most {
+		if a.Outcome != Refused || !again || e.tries > t.Retry.Max {
 			return e
 		}
 		pause := t.Retry.Wait
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	mostBody  = 1 << 20
+	maxBody   = 1 << 20
 	idleHosts = 4096 // connections kept for a target
 )
 
@@ -109,7 +109,7 @@
 		return lastEvent(resp.Body)
 	}
 	// The time of an answer is that of its last byte.
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, mostBody)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)); err != nil {
 		return Answer{Outcome: Unanswered}
 	}
 	switch resp.StatusCode {
--- a/internal/load/shapes.go
+++ b/internal/load/shapes.go
@@ -47,15 +47,15 @@
 	return p.Rate
 }
 
-// most is the highest rate of the phase.
-func (p *Phase) most() float64 { return max(p.Rate, p.To) }
+// maxRate is the highest rate of the phase.
+func (p *Phase) maxRate() float64 { return max(p.Rate, p.To) }
 
 // check tells what is wrong with a phase.
 func (p *Phase) check() error {
 	switch {
 	case p.For <= 0:
 		return fmt.Errorf("for must be above 0")
-	case p.Rate < 0 || p.To < 0 || p.most() <= 0 || math.IsInf(p.most(), 0) || math.IsNaN(p.Rate+p.To):
+	case p.Rate < 0 || p.To < 0 || p.maxRate() <= 0 || math.IsInf(p.maxRate(), 0) || math.IsNaN(p.Rate+p.To):
 		return fmt.Errorf("needs a rate above 0")
 	case p.Shape == Burst && (p.Every <= 0 || p.Last <= 0 || p.Last > p.Every):
 		return fmt.Errorf("a burst needs every, and last within it")
@@ -146,12 +146,12 @@
 		return g.at < p.For
 	}
 	for {
-		gap := g.arrivals.ExpFloat64() / (p.most() * extra) * float64(time.Second)
+		gap := g.arrivals.ExpFloat64() / (p.maxRate() * extra) * float64(time.Second)
 		if gap >= float64(p.For-g.at) {
 			return false
 		}
 		g.at += time.Duration(gap)
-		if g.arrivals.Float64()*p.most() < p.rate(g.at) {
+		if g.arrivals.Float64()*p.maxRate() < p.rate(g.at) {
 			return true
 		}
 	}
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -32,8 +32,8 @@
 	return c.Compile("trace.schema.json")
 })
 
-// mostTrace bounds what is read of one line.
-const mostTrace = 1 << 20
+// maxTrace bounds what is read of one line.
+const maxTrace = 1 << 20
 
 // record is a line of a trace.
 type record struct {
@@ -108,7 +108,7 @@
 
 func readLines(in io.Reader, add func(int, record) error) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 0, 4096), mostTrace)
+	lines.Buffer(make([]byte, 0, 4096), maxTrace)
 	n := 0
 	for lines.Scan() {
 		n++
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -21,7 +21,7 @@
 	wrong := func(attribute, format string, a ...any) {
 		err = errors.Join(err, fmt.Errorf("%s: "+format, append([]any{attribute}, a...)...))
 	}
-	if f.SetAside < f.Seats {
+	if f.SetAside < f.Voters {
 		wrong("set_aside", "There must be a machine for each seat: no dispatcher that is compared has one.")
 	}
 	if f.Bare < 1 {
--- a/internal/scale/failure.go
+++ b/internal/scale/failure.go
@@ -45,10 +45,10 @@
 // history is what a dispatcher of the fleet acted on, and when nobody reached it.
 type history struct {
 	*member
-	stands    []faults.EffectiveState
-	unreached []faults.Absence // until it was back, with the newest in force
-	never     int              // times that it did not get there
-	back      []float64        // how long it took each time, in milliseconds
+	effectiveStates []faults.EffectiveState
+	unreached       []faults.Absence // until it was back, with the newest in force
+	never           int              // times that it did not get there
+	back            []float64        // how long it took each time, in milliseconds
 }
 
 // histories are those of all that agree, once all is over.
@@ -57,8 +57,8 @@
 		if m.role == bare {
 			continue
 		}
-		h := &history{member: m, stands: f.standsOf(m)}
-		for _, a := range slices.Concat(m.away, m.cut) {
+		h := &history{member: m, effectiveStates: f.effectiveStatesOf(m)}
+		for _, a := range slices.Concat(m.absences, m.cut) {
 			if !a.To.IsZero() {
 				newest := uint64(0)
 				for _, c := range f.changes {
@@ -85,7 +85,7 @@
 
 // holds gives the first moment from one on at which it acts on a version or a newer one alone, with a lease.
 func (h *history) holds(version uint64, from time.Time) (time.Time, bool) {
-	for _, s := range h.stands {
+	for _, s := range h.effectiveStates {
 		if s.To.After(from) && !s.Lapsed && len(s.Versions) == 1 && s.Versions[0] >= version {
 			if s.From.After(from) {
 				from = s.From
@@ -98,7 +98,7 @@
 
 // acted gives when it first acted on a change alone, or on a newer one.
 func (h *history) acted(c change) (time.Time, bool) {
-	for _, s := range h.stands {
+	for _, s := range h.effectiveStates {
 		if len(s.Versions) == 1 && s.Versions[0] >= c.version {
 			return s.From, true
 		}
@@ -162,7 +162,7 @@
 
 // failure draws together what the run's fault came to.
 func (f *stage) failure(all []*history) Failure {
-	x, s := f.Fault, f.struck
+	x, s := f.Fault, f.faulty
 	r := Failure{Kind: x.Kind, AtS: s.at.Sub(f.begin).Seconds(), Befell: s.befell, Led: s.led, Returned: []float64{}}
 	if x.For > 0 {
 		r.ForS = s.over.Sub(s.at).Seconds()
@@ -191,7 +191,7 @@
 	slices.Sort(r.Returned)
 	for _, sample := range f.samples {
 		for _, m := range f.members {
-			r.Reseated = r.Reseated || sample.seated[m.name] && m.seat == 0
+			r.Reseated = r.Reseated || sample.seated[m.name] && m.voter == 0
 		}
 	}
 	if at, ok := f.whole(all, first); ok {
@@ -206,12 +206,12 @@
 	if version == 0 {
 		return time.Time{}, false
 	}
-	at := f.struck.at
+	at := f.faulty.at
 	for moved := true; moved; {
 		moved = false
 		for _, h := range all {
 			next, ok := h.holds(version, at)
-			for _, a := range h.away {
+			for _, a := range h.absences {
 				comes := a.From.IsZero() || f.Fault.Kind == Together
 				if still := a.To.IsZero() || a.To.After(at); !comes && still && (!ok || next.After(a.From)) { // it is not to be there then
 					next, ok = a.From, true
@@ -231,7 +231,7 @@
 // peaks gives the most bytes and milliseconds a second over spans within two moments, by role.
 func (f *stage) peaks(from, to time.Time) (bytes, busy map[role]float64) {
 	bytes, busy = map[role]float64{}, map[role]float64{}
-	most := func(to map[role]float64, of role, x float64) { to[of] = max(to[of], x) }
+	maximum := func(to map[role]float64, of role, x float64) { to[of] = max(to[of], x) }
 	first := 0
 	for last := range f.samples {
 		end := f.samples[last]
@@ -260,9 +260,9 @@
 					used += busySince(window[i-1], window[i], m.name)
 				}
 			}
-			most(bytes, of, sum/seconds)
+			maximum(bytes, of, sum/seconds)
 			if of != serves || m.hollow || f.Hollow == 0 {
-				most(busy, of, used/seconds)
+				maximum(busy, of, used/seconds)
 			}
 		}
 	}
--- a/internal/scale/failure_test.go
+++ b/internal/scale/failure_test.go
@@ -58,7 +58,7 @@
 		t.Fatalf("%+v", all)
 	}
 	// The first zone and region have a seat, the real dispatcher that serves and two hollow ones; the fleet has ten in all.
-	befell := map[Kind]int{Seat: 1, Zone: 4, Regions: 4, Replaced: 2, Together: 10}
+	befell := map[Kind]int{VoterFault: 1, Zone: 4, Regions: 4, Replaced: 2, Together: 10}
 	returned := map[Kind]int{Zone: 4, Regions: 4, Replaced: 2, Together: 10}
 	for _, p := range all {
 		t.Run(p.Name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 			if x.Changes == 0 || x.WholeAgainS == nil {
 				t.Errorf("%d changes, whole again after %v", x.Changes, x.WholeAgainS)
 			}
-			if (kind == Seat || kind == Together) && !x.Led {
+			if (kind == VoterFault || kind == Together) && !x.Led {
 				t.Error("who led was not among them")
 			}
 			if x.AtS < (500 * time.Millisecond).Seconds() {
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -15,14 +15,14 @@
 
 // The kinds.
 const (
-	Seat     Kind = "seat"     // the machine of the seat that leads
-	Zone     Kind = "zone"     // a zone's boxes, seats and dispatchers
-	Regions  Kind = "regions"  // a region and the others do not reach each other
-	Replaced Kind = "replaced" // dispatchers are killed one by one, and others start in their place
-	Together Kind = "together" // all dispatchers are killed, and start at once
+	VoterFault Kind = "seat"     // the machine of the seat that leads
+	Zone       Kind = "zone"     // a zone's boxes, seats and dispatchers
+	Regions    Kind = "regions"  // a region and the others do not reach each other
+	Replaced   Kind = "replaced" // dispatchers are killed one by one, and others start in their place
+	Together   Kind = "together" // all dispatchers are killed, and start at once
 )
 
-var kinds = []Kind{Seat, Zone, Regions, Replaced, Together}
+var kinds = []Kind{VoterFault, Zone, Regions, Replaced, Together}
 
 // FaultFile is one in a file. Each is played in a run of its own.
 type FaultFile struct {
@@ -55,7 +55,7 @@
 			to              *time.Duration
 			attribute, text string
 			optional        bool
-		}{{&fault.At, "at", x.At, false}, {&fault.For, "for", x.For, fault.Kind == Seat || fault.Kind == Zone}, {&fault.After, "after", x.After, true}} {
+		}{{&fault.At, "at", x.At, false}, {&fault.For, "for", x.For, fault.Kind == VoterFault || fault.Kind == Zone}, {&fault.After, "after", x.After, true}} {
 			if d.text == "" && d.optional {
 				continue
 			}
@@ -85,8 +85,8 @@
 // check tells what does not go together with the fleet that it befalls.
 func (x *Fault) check(p *Plan, say func(attribute, format string, a ...any)) {
 	switch x.Kind {
-	case Seat:
-		if p.SetAside < 1 || p.Seats < 3 {
+	case VoterFault:
+		if p.SetAside < 1 || p.Voters < 3 {
 			say("kind", "It needs machines set aside, and 3 seats at least.")
 		}
 	case Zone:
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -14,8 +14,8 @@
 	"brassdale/internal/faults"
 )
 
-// struck is what a fault came to.
-type struck struct {
+// faulty is what a fault came to.
+type faulty struct {
 	at       time.Time // its begin
 	over     time.Time // zero while it is not
 	led      bool      // who led was gone or cut off
@@ -23,8 +23,8 @@
 	returned []string  // that were gone or cut off, or are new, and are there again
 }
 
-// boxes are the faults that the works' boxes have with the fleet's.
-func (x *Fault) boxes(p *Plan) (all []emulator.Fault) {
+// workers are the faults that the works' workers have with the fleet's.
+func (x *Fault) workers(p *Plan) (all []emulator.Fault) {
 	switch x.Kind {
 	case Zone:
 		lasts := x.For
@@ -44,8 +44,8 @@
 	return all
 }
 
-// befall plays the run's fault to its end.
-func (f *stage) befall() error {
+// injectFault plays the run's fault to its end.
+func (f *stage) injectFault() error {
 	x, begin := f.Fault, f.begin.Add(f.Fault.At)
 	over := begin.Add(x.For)
 	if !until(f.ctx, begin) {
@@ -55,9 +55,9 @@
 	all = slices.DeleteFunc(all, func(m member) bool { return m.role == bare })
 	var who []string
 	for _, m := range all {
-		struck := map[Kind]bool{Seat: m.name == leads, Zone: m.zone == x.Zone, Regions: f.region(m.zone) == x.Region, Together: true}[x.Kind]
-		if x.Kind == Seat && !f.isAside(leads) { // nobody leads, or a dispatcher that was given a seat
-			struck = m.seat == 1
+		struck := map[Kind]bool{VoterFault: m.name == leads, Zone: m.zone == x.Zone, Regions: f.region(m.zone) == x.Region, Together: true}[x.Kind]
+		if x.Kind == VoterFault && !f.isAside(leads) { // nobody leads, or a dispatcher that was given a seat
+			struck = m.voter == 1
 		}
 		if struck {
 			who = append(who, m.name)
@@ -71,12 +71,12 @@
 		}
 	}
 	f.mu.Lock()
-	f.struck = struck{at: time.Now(), led: slices.Contains(who, leads), befell: len(who)}
+	f.faulty = faulty{at: time.Now(), led: slices.Contains(who, leads), befell: len(who)}
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.struck.over = time.Now()
+		f.faulty.over = time.Now()
 	}()
 	select {
 	case f.hurry <- struct{}{}:
@@ -114,7 +114,7 @@
 		if !slices.Contains(who, m.name) || m.node == nil && m.process == nil {
 			continue
 		}
-		m.away = append(m.away, faults.Absence{From: now})
+		m.absences = append(m.absences, faults.Absence{From: now})
 		if node := m.node; node != nil {
 			m.node = nil
 			all = append(all, func() error {
@@ -138,7 +138,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for _, m := range p.members {
-				m.past, m.stands = append(m.past, stood(string(text), m.name, now)...), nil
+				m.past, m.effectiveStates = append(m.past, stood(string(text), m.name, now)...), nil
 			}
 			return err
 		})
@@ -157,8 +157,8 @@
 			continue
 		}
 		f.mu.Lock()
-		m.away[len(m.away)-1].To = now
-		f.struck.returned = append(f.struck.returned, m.name)
+		m.absences[len(m.absences)-1].To = now
+		f.faulty.returned = append(f.faulty.returned, m.name)
 		f.mu.Unlock()
 		if !m.hollow {
 			all = append(all, func() error { return f.start(m) })
@@ -184,8 +184,8 @@
 		old := f.members[slices.IndexFunc(f.members, func(m *member) bool { return m.name == name })]
 		m := &member{name: fmt.Sprint("h", f.Hollow+i), role: serves, hollow: true, zone: old.zone}
 		err := f.add(m)
-		m.away = []faults.Absence{{To: time.Now()}} // the time before
-		f.struck.returned = append(f.struck.returned, m.name)
+		m.absences = []faults.Absence{{To: time.Now()}} // the time before
+		f.faulty.returned = append(f.faulty.returned, m.name)
 		f.mu.Unlock()
 		if err != nil {
 			return err
@@ -217,7 +217,7 @@
 				m.cut = append(m.cut, faults.Absence{From: time.Now()})
 			default:
 				m.cut[len(m.cut)-1].To = time.Now()
-				f.struck.returned = append(f.struck.returned, m.name)
+				f.faulty.returned = append(f.faulty.returned, m.name)
 			}
 		}
 	}
@@ -265,13 +265,13 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(askWithin))
+	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(maxPollInterval))
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(text))
 	if err != nil {
 		return err
 	}
-	resp, err := f.asks.http.Do(r)
+	resp, err := f.contacts.http.Do(r)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -28,7 +28,7 @@
 	Accelerators int     `hcl:"accelerators,optional"` // among the workers, a slot for each; left out: one each
 	Teams        int     `hcl:"teams,optional"`
 	Dispatchers  int     `hcl:"dispatchers"` // that serve jobs
-	Seats        int     `hcl:"seats"`
+	Voters       int     `hcl:"seats"`
 	SetAside     int     `hcl:"set_aside,optional"` // machines beside them for control alone: the first seats are there
 	Hollow       int     `hcl:"hollow,optional"`    // of the dispatchers
 	Processes    int     `hcl:"processes,optional"` // that hold the hollow ones; left out: one for each zone
@@ -57,7 +57,7 @@
 	Settle, Span, Rest                    time.Duration
 	Bound, Replace                        time.Duration
 	Regions, Zones, Workers, Accelerators int
-	Teams, Dispatchers, Seats, SetAside   int
+	Teams, Dispatchers, Voters, SetAside  int
 	Hollow, Processes, Bare               int
 	Rate                                  float64
 	Every, Restarts, Drains               time.Duration // 0 for never
@@ -113,7 +113,7 @@
 		diags = append(diags, hcldiag.At(hcldiag.Place(at, attribute), "Bad "+attribute, format, a...))
 	}
 	p = Plan{Title: f.Title, Regions: f.Regions, Zones: f.Zones, Workers: f.Workers, Accelerators: f.Accelerators, Teams: f.Teams,
-		Dispatchers: f.Dispatchers, Seats: f.Seats, SetAside: f.SetAside, Hollow: f.Hollow, Processes: f.Processes, Bare: f.Bare, Rate: f.Rate}
+		Dispatchers: f.Dispatchers, Voters: f.Voters, SetAside: f.SetAside, Hollow: f.Hollow, Processes: f.Processes, Bare: f.Bare, Rate: f.Rate}
 	if p.Accelerators == 0 {
 		p.Accelerators = p.Workers
 	}
@@ -183,8 +183,8 @@
 	return diags
 }
 
-// mostDoors is how many real dispatchers a machine's ports and descriptors hold, by workers: each has a listener for each.
-func mostDoors(workers int) int { return 12_000 / max(workers, 1) }
+// maxListeners is how many real dispatchers a machine's ports and descriptors hold, by workers: each has a listener for each.
+func maxListeners(workers int) int { return 12_000 / max(workers, 1) }
 
 // check tells what does not go together.
 func (p *Plan) check(say func(attribute, format string, a ...any)) {
@@ -203,10 +203,10 @@
 	if p.Accelerators < p.Workers {
 		say("accelerators", "There must be one for each worker.")
 	}
-	if p.Seats != 1 && p.Seats != 3 && p.Seats != 5 {
+	if p.Voters != 1 && p.Voters != 3 && p.Voters != 5 {
 		say("seats", "There must be 1, 3 or 5.")
 	}
-	if p.SetAside < 0 || p.Seats > p.SetAside+p.Real() {
+	if p.SetAside < 0 || p.Voters > p.SetAside+p.Real() {
 		say("set_aside", "Seats need machines set aside, or real dispatchers.")
 	}
 	if p.Hollow < 0 || p.Hollow > p.Dispatchers {
@@ -215,8 +215,8 @@
 	if p.Hollow > 0 && (p.Processes < min(p.Zones, p.Hollow) || p.Processes > p.Hollow) {
 		say("processes", "There must be one for each zone at least, and no more than hollow dispatchers.")
 	}
-	if n := p.doors(); n > mostDoors(p.Workers) {
-		say("dispatchers", "%d real ones are too many with %d workers, at most %d: more must be hollow.", n-1, p.Workers, mostDoors(p.Workers)-1)
+	if n := p.listeners(); n > maxListeners(p.Workers) {
+		say("dispatchers", "%d real ones are too many with %d workers, at most %d: more must be hollow.", n-1, p.Workers, maxListeners(p.Workers)-1)
 	}
 	if p.Rest > 0 && p.Rest >= p.Span {
 		say("rest", "It must be shorter than the span.")
@@ -235,5 +235,5 @@
 	}
 }
 
-// doors are the works' ends for real dispatchers, and the last for all hollow ones.
-func (p *Plan) doors() int { return p.SetAside + p.Real() + p.Bare + 1 }
+// listeners are the works' ends for real dispatchers, and the last for all hollow ones.
+func (p *Plan) listeners() int { return p.SetAside + p.Real() + p.Bare + 1 }
--- a/internal/scale/fit/draw.go
+++ b/internal/scale/fit/draw.go
@@ -30,7 +30,7 @@
 // draw writes the charts, over the runs in which the number of dispatchers alone varies. A chart without a figure is not
 // written, and an old one of its name goes.
 func draw(dir string, rows []Row) error {
-	along, held := Along(rows, "dispatchers")
+	along, constant := Along(rows, "dispatchers")
 	for _, c := range []struct {
 		file, title, unit string
 		limit, scale      float64
@@ -42,7 +42,7 @@
 			[]series{{"dispatcher", "control_cpu_ms_s"}, {"hollow dispatcher", "hollow_cpu_ms_s"}, {"seat, most", "seat_cpu_ms_s_most"}, {"leader", "leader_cpu_ms_s"}}},
 		{"seats.svg", "control at seats, both ways", "KB/s", 0, 1000, []series{{"seat, most", "seat_bytes_s_most"}, {"leader", "leader_bytes_s"}}},
 	} {
-		p := chart(c.title, held, c.unit)
+		p := chart(c.title, constant, c.unit)
 		some := false
 		for i, s := range c.of {
 			points, middle := points(along, s.figure, c.scale)
@@ -58,14 +58,14 @@
 			return err
 		}
 	}
-	return stacked(filepath.Join(dir, "kinds.svg"), along, held)
+	return stacked(filepath.Join(dir, "kinds.svg"), along, constant)
 }
 
-func chart(title, held, unit string) *plot.Plot {
+func chart(title, constant, unit string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "dispatchers", unit
-	if held != "" {
-		p.Title.Text += "\n" + held
+	if constant != "" {
+		p.Title.Text += "\n" + constant
 	}
 	p.X.Min, p.Y.Min = 0, 0
 	p.Legend.Top, p.Legend.Left = true, true
@@ -82,11 +82,11 @@
 	}
 	p.Add(plotter.NewGrid())
 	if limit > 0 {
-		most := 0.0
+		maximum := 0.0
 		for _, r := range along {
-			most = max(most, r.Numbers["dispatchers"])
+			maximum = max(maximum, r.Numbers["dispatchers"])
 		}
-		l, err := plotter.NewLine(plotter.XYs{{X: 0, Y: limit}, {X: most, Y: limit}})
+		l, err := plotter.NewLine(plotter.XYs{{X: 0, Y: limit}, {X: maximum, Y: limit}})
 		if err != nil {
 			return err
 		}
@@ -140,9 +140,9 @@
 }
 
 // stacked draws what a dispatcher's bytes are made of: a band for each kind, at the medians over seeds.
-func stacked(path string, along []Row, held string) error {
+func stacked(path string, along []Row, constant string) error {
 	const prefix = "bytes_by_kind."
-	p := chart("control at a dispatcher by kind, both ways", held, "KB/s")
+	p := chart("control at a dispatcher by kind, both ways", constant, "KB/s")
 	var bands []*plotter.Line
 	var labels []string
 	sum := map[float64]float64{}
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -53,10 +53,10 @@
 // Fit fits a figure against a size: "dispatchers", "workers", "zones", "changes" or any other number of the rows. Runs that
 // fell behind, or have not both numbers, are left out.
 func Fit(rows []Row, by, figure string) Regression {
-	kept, behind := counted(rows)
+	used, behind := counted(rows)
 	f := Regression{Figure: figure, By: by, FellBehind: behind, Verdict: Unclear}
 	var x, y []float64
-	for _, r := range kept {
+	for _, r := range used {
 		size, ok := r.Numbers[by]
 		value, also := r.Numbers[figure]
 		if ok && also {
--- a/internal/scale/fit/rows.go
+++ b/internal/scale/fit/rows.go
@@ -56,15 +56,15 @@
 }
 
 // counted gives the runs that count, sorted, and the names of those that fell behind.
-func counted(rows []Row) (kept []Row, behind []string) {
+func counted(rows []Row) (used []Row, behind []string) {
 	for _, r := range sorted(rows) {
 		if r.FellBehind {
 			behind = append(behind, r.Name())
 		} else {
-			kept = append(kept, r)
+			used = append(used, r)
 		}
 	}
-	return kept, behind
+	return used, behind
 }
 
 // names gives the names of all numbers that the rows have.
--- a/internal/scale/fit/save.go
+++ b/internal/scale/fit/save.go
@@ -45,12 +45,12 @@
 // The names of what slopes.json has are kept. Slopes there are for one of the size.
 type (
 	axisJSON struct {
-		By     string      `json:"by"`
-		Held   string      `json:"held,omitempty"`
-		Runs   int         `json:"runs"`
-		Aside  int         `json:"runs_aside"`
-		Why    string      `json:"why,omitempty"`
-		Slopes []slopeJSON `json:"slopes"`
+		By       string      `json:"by"`
+		Constant string      `json:"held,omitempty"`
+		Runs     int         `json:"runs"`
+		Aside    int         `json:"runs_aside"`
+		Why      string      `json:"why,omitempty"`
+		Slopes   []slopeJSON `json:"slopes"`
 	}
 	slopeJSON struct {
 		Role    string    `json:"role"`
@@ -82,7 +82,7 @@
 func slopesJSON(out io.Writer, rows []Row) error {
 	all := []axisJSON{}
 	for _, a := range Slopes(rows) {
-		x := axisJSON{a.By, a.Held, a.Runs, a.Aside, a.Why, []slopeJSON{}}
+		x := axisJSON{a.By, a.Constant, a.Runs, a.Aside, a.Why, []slopeJSON{}}
 		for _, s := range a.Slopes {
 			x.Slopes = append(x.Slopes, slopeJSON{s.Role, s.Figure, s.N, s.Linear.json(), s.Log.json(), s.Verdict, s.Why})
 		}
@@ -120,7 +120,7 @@
 				}
 				cells = append(cells, part...)
 			}
-			_ = w.Write(append(cells, string(s.Verdict), s.Why, a.Held))
+			_ = w.Write(append(cells, string(s.Verdict), s.Why, a.Constant))
 		}
 	}
 	w.Flush()
--- a/internal/scale/fit/slopes.go
+++ b/internal/scale/fit/slopes.go
@@ -64,22 +64,22 @@
 
 // Axis is all figures against one size, over runs that differ in no other.
 type Axis struct {
-	By     string
-	Per    float64 // of the size, for the table
-	Held   string  // the sizes that are the same in all of its runs
-	Runs   int
-	Aside  int    // runs of other sizes
-	Why    string // that nothing was fitted
-	Slopes []Slope
+	By       string
+	Per      float64 // of the size, for the table
+	Constant string  // the sizes that are the same in all of its runs
+	Runs     int
+	Aside    int    // runs of other sizes
+	Why      string // that nothing was fitted
+	Slopes   []Slope
 }
 
 // Along gives the runs in which a size varies and no other does. Of several such sets it takes the one with most values of
 // the size, then with most runs, then the first by its other sizes. held names those.
-func Along(rows []Row, by string) (along []Row, held string) {
+func Along(rows []Row, by string) (along []Row, constant string) {
 	sets := map[string][]Row{}
 	var order []string
-	kept, _ := counted(rows)
-	for _, r := range kept {
+	used, _ := counted(rows)
+	for _, r := range used {
 		if _, ok := r.Numbers[by]; !ok {
 			continue
 		}
@@ -95,13 +95,13 @@
 		}
 		sets[key] = append(sets[key], r)
 	}
-	most := 0
+	maximum := 0
 	for _, key := range order {
-		if n := values(sets[key], by); n > most || n == most && len(sets[key]) > len(along) {
-			along, held, most = sets[key], key, n
+		if n := values(sets[key], by); n > maximum || n == maximum && len(sets[key]) > len(along) {
+			along, constant, maximum = sets[key], key, n
 		}
 	}
-	return along, held
+	return along, constant
 }
 
 // values counts the different values of a number.
@@ -115,10 +115,10 @@
 
 // Slopes fits every figure of every role against every size.
 func Slopes(rows []Row) (all []Axis) {
-	kept, _ := counted(rows)
+	used, _ := counted(rows)
 	for _, axis := range axes {
-		along, held := Along(kept, axis.by)
-		a := Axis{By: axis.by, Per: axis.per, Held: held, Runs: len(along), Aside: len(kept) - len(along)}
+		along, constant := Along(used, axis.by)
+		a := Axis{By: axis.by, Per: axis.per, Constant: constant, Runs: len(along), Aside: len(used) - len(along)}
 		switch {
 		case len(along) == 0:
 			a.Why = "no run that counts names it"
--- a/internal/scale/fit/table.go
+++ b/internal/scale/fit/table.go
@@ -97,7 +97,7 @@
 		_, err := fmt.Fprintf(out, "\nagainst %s: nothing fitted, %s\n", a.By, a.Why)
 		return err
 	}
-	fmt.Fprintf(out, "\nagainst %s: %d runs at %s", a.By, a.Runs, a.Held)
+	fmt.Fprintf(out, "\nagainst %s: %d runs at %s", a.By, a.Runs, a.Constant)
 	if a.Aside > 0 {
 		fmt.Fprintf(out, " (%d at other sizes left aside)", a.Aside)
 	}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -33,22 +33,22 @@
 
 // member is a dispatcher of the fleet, over its starts. What changes while it plays, the stage's mutex guards.
 type member struct {
-	name    string
-	role    role
-	hollow  bool
-	address string // for the others
-	zone    int
-	seat    int // in the first council; 0 for none
-	door    int // of a real one
-
-	node    *emulator.Node          // of a real one that is there
-	process *process                // of a hollow one that is there
-	life    int                     // counted by its starts
-	logs    string                  // of a real one's earlier lives
-	past    []faults.EffectiveState // of a hollow one's earlier lives
-	stands  []faults.EffectiveState // and of this one, as they were read last
-	away    []faults.Absence        // when it was not there
-	cut     []faults.Absence        // when it was, and others did not reach it
+	name     string
+	role     role
+	hollow   bool
+	address  string // for the others
+	zone     int
+	voter    int // in the first council; 0 for none
+	listener int // of a real one
+
+	node            *emulator.Node          // of a real one that is there
+	process         *process                // of a hollow one that is there
+	life            int                     // counted by its starts
+	logs            string                  // of a real one's earlier lives
+	past            []faults.EffectiveState // of a hollow one's earlier lives
+	effectiveStates []faults.EffectiveState // and of this one, as they were read last
+	absences        []faults.Absence        // when it was not there
+	cut             []faults.Absence        // when it was, and others did not reach it
 }
 
 // stage is a fleet being played.
@@ -56,7 +56,7 @@
 	Plan
 	Options
 	ctx      context.Context
-	works    *emulator.Cluster
+	cluster  *emulator.Cluster
 	dir      string
 	groups   [][]*member // hollow ones that begin in one process
 	voters   []string
@@ -65,7 +65,7 @@
 	linked   traffic.Meter                      // ... here
 	failover *fleet.Failover
 	overload *fleet.Overload
-	asks     *client // of counts
+	contacts *client // of counts
 	orders   *client // of changes
 	late     ticker
 	begin    time.Time     // of the measured span
@@ -78,7 +78,7 @@
 	changes []change
 	jobs    tally
 	samples []reading
-	struck  struck
+	faulty  faulty
 }
 
 // client is HTTP of the runner's own, counted, as it goes over the same interface.
@@ -118,11 +118,11 @@
 // scenario is the works' part of a plan.
 func (p *Plan) scenario() emulator.Scenario {
 	s := emulator.Usual(p.Seed)
-	s.Dispatchers, s.Span = p.doors(), p.Settle+p.Span
-	most := p.Accelerators / p.Workers
-	more := p.Accelerators - most*p.Workers
-	s.Kinds = []emulator.Kind{{Name: "box", Count: p.Workers - more, Slots: most, SpeedMin: 0.9, SpeedMax: 1.1},
-		{Name: "large-box", Count: more, Slots: most + 1, SpeedMin: 0.9, SpeedMax: 1.1}}
+	s.Dispatchers, s.Span = p.listeners(), p.Settle+p.Span
+	maximum := p.Accelerators / p.Workers
+	more := p.Accelerators - maximum*p.Workers
+	s.Kinds = []emulator.Kind{{Name: "box", Count: p.Workers - more, Slots: maximum, SpeedMin: 0.9, SpeedMax: 1.1},
+		{Name: "large-box", Count: more, Slots: maximum + 1, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = p.Zones, p.Regions, 0.03, 5*time.Millisecond
 	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Rate = hollowWork.Seconds(), 0, max(p.Rate, 1)
 	s.Traffic.Accounts = nil
@@ -136,7 +136,7 @@
 		}
 	}
 	if p.Fault != nil {
-		s.Faults = append(s.Faults, p.Fault.boxes(p)...)
+		s.Faults = append(s.Faults, p.Fault.workers(p)...)
 	}
 	repeat(p.Restarts, emulator.Restart, time.Second)
 	repeat(p.Drains, emulator.Drain, drainFor)
@@ -163,14 +163,14 @@
 
 // place gives a free door, of a zone if there is one.
 func place(free *[]int, zone, zones int) int {
-	i := max(slices.IndexFunc(*free, func(door int) bool { return door%zones == zone }), 0)
+	i := max(slices.IndexFunc(*free, func(listener int) bool { return listener%zones == zone }), 0)
 	door := (*free)[i]
 	*free = slices.Delete(*free, i, i+1)
 	return door
 }
 
-// seatZone gives where a seat of the first council is: regions have as many as can be, and zones one each.
-func (p *Plan) seatZone(n int) int {
+// voterZone gives where a seat of the first council is: regions have as many as can be, and zones one each.
+func (p *Plan) voterZone(n int) int {
 	var zones []int
 	for z := range p.Zones {
 		if p.region(z) == n%p.Regions {
@@ -191,8 +191,8 @@
 // build names who is there, and where.
 func (f *stage) build() error {
 	var free []int
-	for door := range f.doors() - 1 {
-		free = append(free, door)
+	for listener := range f.listeners() - 1 {
+		free = append(free, listener)
 	}
 	for i := range f.SetAside + f.Real() + f.Bare {
 		m := &member{name: fmt.Sprint("n", i), role: serves}
@@ -200,14 +200,14 @@
 		if i < f.SetAside {
 			m.role = aside
 		}
-		if i < f.Seats {
-			m.seat, zone = i+1, f.seatZone(i)
+		if i < f.Voters {
+			m.voter, zone = i+1, f.voterZone(i)
 		}
 		if i >= f.SetAside+f.Real() {
 			m.role = bare
 		}
-		m.door = place(&free, zone, f.Zones)
-		m.zone = m.door % f.Zones
+		m.listener = place(&free, zone, f.Zones)
+		m.zone = m.listener % f.Zones
 		if err := f.add(m); err != nil {
 			return err
 		}
@@ -234,7 +234,7 @@
 	}
 	f.groups = append(f.groups, apart)
 	f.groups = slices.DeleteFunc(f.groups, func(g []*member) bool { return len(g) == 0 })
-	for _, m := range f.members[:f.Seats] {
+	for _, m := range f.members[:f.Voters] {
 		f.voters = append(f.voters, m.address)
 	}
 	zones := fleet.DefaultFailover()
@@ -259,7 +259,7 @@
 	}
 	f.links = map[[2]int]map[string]*faults.Link{}
 	for from := range f.Regions {
-		for n, m := range f.members[:f.Seats] {
+		for n, m := range f.members[:f.Voters] {
 			to := f.region(m.zone)
 			if to == from {
 				continue
@@ -304,7 +304,7 @@
 func (f *stage) operator(m *member) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "council {\n fleet = %q\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n replace = %q\n region = %q\n zone = %q\n set_aside = %t\n voters = [",
-		fleetName, m.address, m.seat, filepath.Join(f.dir, "disk-"+m.name), f.Bound, f.Replace, regionName(f.region(m.zone)), zoneName(m.zone), m.role == aside)
+		fleetName, m.address, m.voter, filepath.Join(f.dir, "disk-"+m.name), f.Bound, f.Replace, regionName(f.region(m.zone)), zoneName(m.zone), m.role == aside)
 	for _, v := range f.voters {
 		fmt.Fprintf(&b, "%q, ", v)
 	}
@@ -326,8 +326,8 @@
 }
 
 // config writes the platform's file of a door for somebody, with the number of dispatchers that the whole fleet has.
-func (f *stage) config(door int, whose string) (path string, err error) {
-	text, err := f.works.Config(door)
+func (f *stage) config(listener int, whose string) (path string, err error) {
+	text, err := f.cluster.Config(listener)
 	if err != nil {
 		return "", err
 	}
@@ -352,7 +352,7 @@
 
 // start starts a real dispatcher.
 func (f *stage) start(m *member) error {
-	config, err := f.config(m.door, m.name)
+	config, err := f.config(m.listener, m.name)
 	if err != nil {
 		return err
 	}
@@ -364,7 +364,7 @@
 		}
 		args = append(args, "--operator", path)
 	}
-	node, err := f.works.StartWith(f.ctx, f.Binary, f.dir, m.door, []string{"GW_CONFIG=" + config}, args...)
+	node, err := f.cluster.StartWith(f.ctx, f.Binary, f.dir, m.listener, []string{"GW_CONFIG=" + config}, args...)
 	if err != nil {
 		return err
 	}
@@ -387,13 +387,13 @@
 
 // get asks the runner's own questions.
 func (f *stage) get(url string, to any) error {
-	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(askWithin))
+	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(maxPollInterval))
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := f.asks.http.Do(r)
+	resp, err := f.contacts.http.Do(r)
 	if err != nil {
 		return err
 	}
@@ -409,4 +409,4 @@
 	return json.Unmarshal(text, to)
 }
 
-const askWithin = 5 * time.Second
+const maxPollInterval = 5 * time.Second
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -73,8 +73,8 @@
 	late   ticker
 	all    []*hollow
 
-	mu    sync.Mutex
-	hears []string // zones of which there are answers
+	mu        sync.Mutex
+	observers []string // zones of which there are answers
 }
 
 // hollow is a dispatcher without jobs and endpoints.
@@ -84,14 +84,14 @@
 	meter *traffic.Meter
 	find  *transport.Discovery
 
-	mu      sync.Mutex
-	stands  []faults.EffectiveState
-	watcher *planning.Recorder
-	rng     *rand.Rand
-	begin   time.Time
-	said    time.Time // of the last report
-	jobs    uint64    // that it claims since its start
-	role    Role
+	mu              sync.Mutex
+	effectiveStates []faults.EffectiveState
+	watcher         *planning.Recorder
+	rng             *rand.Rand
+	begin           time.Time
+	said            time.Time // of the last report
+	jobs            uint64    // that it claims since its start
+	role            Role
 }
 
 // Role is what a hollow dispatcher is in the council.
@@ -135,14 +135,14 @@
 }
 
 // Serve holds the hollow dispatchers of a spec until the reader ends, and tells the writer where it is asked for counts.
-func Serve(ctx context.Context, spec Spec, until io.Reader, tell io.Writer, log *slog.Logger) error {
+func Serve(ctx context.Context, spec Spec, until io.Reader, status io.Writer, log *slog.Logger) error {
 	cfg, err := protocol.LoadConfig(spec.Config, os.Getenv)
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	h := &Hollow{spec: spec, params: &protocol.LiveSettings{}, at: cfg.Discovery, hears: slices.Sorted(maps.Keys(spec.Capacity))}
+	h := &Hollow{spec: spec, params: &protocol.LiveSettings{}, at: cfg.Discovery, observers: slices.Sorted(maps.Keys(spec.Capacity))}
 	h.params.Replace(&cfg.Settings, func(scheduler.Settings) {})
 	for i, e := range spec.Each {
 		x, err := h.make(e, uint64(i), log)
@@ -157,7 +157,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(h.counts()) })
-	mux.HandleFunc("GET /stands", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(h.stands()) })
+	mux.HandleFunc("GET /stands", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(h.effectiveStates()) })
 	mux.HandleFunc("POST /hears", h.hear)
 	server := &http.Server{Handler: mux}
 	go server.Serve(l)
@@ -170,7 +170,7 @@
 			go x.probe(ctx, h)
 		}
 	}
-	if _, err := fmt.Fprintln(tell, l.Addr()); err != nil {
+	if _, err := fmt.Fprintln(status, l.Addr()); err != nil {
 		return err
 	}
 	// They end with the process: no leave is said that a killed one would not say.
@@ -217,10 +217,10 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := time.UnixMilli(time.Now().UnixMilli()) // as real ones log it: rounded alike, what came later is not earlier
-	if n := len(x.stands); n > 0 {
-		x.stands[n-1].To = now
+	if n := len(x.effectiveStates); n > 0 {
+		x.effectiveStates[n-1].To = now
 	}
-	x.stands = append(x.stands, faults.EffectiveState{From: now, Versions: slices.Clone(s.Versions), Lapsed: s.LeaseExpired})
+	x.effectiveStates = append(x.effectiveStates, faults.EffectiveState{From: now, Versions: slices.Clone(s.Versions), Lapsed: s.LeaseExpired})
 }
 
 // counted are the jobs that it claims to have ended.
@@ -235,9 +235,9 @@
 
 // probe asks for as many probes as the module would, and hears of a worker's zone by each that the fleet's budget allows.
 func (x *hollow) probe(ctx context.Context, h *Hollow) {
-	rate := float64(min(h.spec.Workers, probedMost))
+	rate := float64(min(h.spec.Workers, maxProbed))
 	if h.spec.Workers <= probedAll {
-		rate = float64(h.spec.Workers) / max(float64(h.spec.Among)/probersMost, 1)
+		rate = float64(h.spec.Workers) / max(float64(h.spec.Among)/maxProbers, 1)
 	}
 	zones := slices.Sorted(maps.Keys(h.spec.Capacity))
 	for due := 0.0; ; due += rate * probeEvery.Seconds() {
@@ -245,7 +245,7 @@
 			if !x.agent.AllowUse(fleet.ProbeBudget) {
 				continue
 			}
-			hears := h.heard()
+			hears := h.observed()
 			x.mu.Lock()
 			if zone := zones[x.rng.IntN(len(zones))]; slices.Contains(hears, zone) {
 				x.watcher.ResponseReceived(zone, time.Since(x.begin))
@@ -265,10 +265,10 @@
 // What the module does about probes: each worker has two dispatchers' worth a second, and past some a dispatcher looks at a
 // few of them alone, once a second.
 const (
-	probedAll   = 512
-	probedMost  = 32
-	probersMost = 2
-	probeEvery  = 250 * time.Millisecond
+	probedAll  = 512
+	maxProbed  = 32
+	maxProbers = 2
+	probeEvery = 250 * time.Millisecond
 )
 
 // urgent is as a real dispatcher's guide has it.
@@ -303,11 +303,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(min(wait, firstMost)):
+		case <-time.After(min(wait, maxFirst)):
 		}
 		u, err := x.find.Call(ctx, revision, kind)
 		if err != nil { // the module would decide when
-			wait, kind = time.Duration(rand.Float64()*float64(againMost)), polling.Poll
+			wait, kind = time.Duration(rand.Float64()*float64(maxAgain)), polling.Poll
 			continue
 		}
 		fresh := u.Revision != revision || len(u.Endpoints) > 0
@@ -319,8 +319,8 @@
 // What the module does about the first call, and about one that failed.
 const (
 	firstEach = 50 * time.Millisecond
-	firstMost = 3 * time.Second
-	againMost = 900 * time.Millisecond
+	maxFirst  = 3 * time.Second
+	maxAgain  = 900 * time.Millisecond
 )
 
 func (h *Hollow) counts() Counts {
@@ -344,22 +344,22 @@
 		return
 	}
 	h.mu.Lock()
-	h.hears = zones
+	h.observers = zones
 	h.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (h *Hollow) heard() []string {
+func (h *Hollow) observed() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.hears
+	return h.observers
 }
 
-func (h *Hollow) stands() map[string][]faults.EffectiveState {
+func (h *Hollow) effectiveStates() map[string][]faults.EffectiveState {
 	all := map[string][]faults.EffectiveState{}
 	for _, x := range h.all {
 		x.mu.Lock()
-		all[x.name] = slices.Clone(x.stands)
+		all[x.name] = slices.Clone(x.effectiveStates)
 		x.mu.Unlock()
 	}
 	return all
--- a/internal/scale/hop.go
+++ b/internal/scale/hop.go
@@ -53,9 +53,9 @@
 	}
 	defer h.drop(in)
 	var wait sync.WaitGroup
-	for _, way := range [][2]net.Conn{{in, out}, {out, in}} {
+	for _, direction := range [][2]net.Conn{{in, out}, {out, in}} {
 		wait.Go(func() {
-			_, _ = io.Copy(way[1], way[0])
+			_, _ = io.Copy(direction[1], direction[0])
 			in.Close()
 			out.Close()
 		})
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -17,7 +17,7 @@
 	tickEvery      = 100 * time.Millisecond
 	tickLate       = 250 * time.Millisecond // by more the machine is the limit, ...
 	ticksMayBeLate = 3                      // ... if that is so more often
-	mostBusy       = 0.85                   // of all cores, over the measured span
+	maxBusy        = 0.85                   // of all cores, over the measured span
 
 	ticksPerSecond = 100 // of the kernel's clock in /proc
 )
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -40,7 +40,7 @@
 		before, after reading
 		want          string
 	}{
-		{"nothing", reading{}, reading{machine: machine{busy: mostBusy * 1000, all: 1000}}, ""},
+		{"nothing", reading{}, reading{machine: machine{busy: maxBusy * 1000, all: 1000}}, ""},
 		{"a few ticks", reading{}, reading{late: late(ticksMayBeLate)}, ""},
 		{"ticks before", reading{late: late(9)}, reading{late: late(9 + ticksMayBeLate)}, ""},
 		{"ticks", reading{late: late(2)}, reading{late: late(2 + ticksMayBeLate + 1)}, "4 ticks"},
@@ -57,7 +57,7 @@
 	}
 	f := &stage{changes: []change{{version: 2, at: at}}}
 	acted := func(after time.Duration) []*history {
-		return []*history{{member: &member{name: "h1"}, stands: []faults.EffectiveState{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
+		return []*history{{member: &member{name: "h1"}, effectiveStates: []faults.EffectiveState{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
 	}
 	for _, c := range []struct {
 		after, due, came time.Duration
@@ -80,11 +80,11 @@
 func TestStarved(t *testing.T) {
 	f, err := Parse([]byte(sizesFile), "x.hcl")
 	all := points(t, f, err)
-	x := &stage{Plan: all[0].Plan, Options: options(t), ctx: t.Context(), dir: t.TempDir(), asks: newClient(), orders: newClient()}
-	if x.works, err = emulator.Open(x.scenario()); err != nil {
+	x := &stage{Plan: all[0].Plan, Options: options(t), ctx: t.Context(), dir: t.TempDir(), contacts: newClient(), orders: newClient()}
+	if x.cluster, err = emulator.Open(x.scenario()); err != nil {
 		t.Fatal(err)
 	}
-	defer x.works.Close()
+	defer x.cluster.Close()
 	defer x.closeAll()
 	if err := x.build(); err != nil {
 		t.Fatal(err)
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -32,7 +32,7 @@
 	n := f.started
 	f.started++
 	f.mu.Unlock()
-	config, err := f.config(f.doors()-1, fmt.Sprint("hollow-", n))
+	config, err := f.config(f.listeners()-1, fmt.Sprint("hollow-", n))
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	for _, m := range f.members {
 		switch {
 		case m.hollow:
-		case m.seat > 0:
+		case m.voter > 0:
 			seats = append(seats, func() error { return f.start(m) })
 		default:
 			others = append(others, func() error { return f.start(m) })
@@ -147,7 +147,7 @@
 	for _, h := range f.hops {
 		h.Close()
 	}
-	f.asks.http.CloseIdleConnections()
+	f.contacts.http.CloseIdleConnections()
 	f.orders.http.CloseIdleConnections()
 }
 
--- a/internal/scale/propose.go
+++ b/internal/scale/propose.go
@@ -65,7 +65,7 @@
 func (p *proposer) last(by time.Time) {
 	f := p.f
 	f.mu.Lock()
-	over := f.struck.over
+	over := f.faulty.over
 	done := slices.ContainsFunc(f.changes, func(c change) bool { return !c.at.Before(over) })
 	f.mu.Unlock()
 	if !done {
@@ -78,14 +78,14 @@
 	orderWithin = 2 * time.Second
 )
 
-// asked gives whom a proposal goes to: who leads, and for each one that was in vain the next seat that is there.
-func (f *stage) asked(n int) string {
+// contacted gives whom a proposal goes to: who leads, and for each one that was in vain the next seat that is there.
+func (f *stage) contacted(n int) string {
 	leads := f.leader()
 	var seats []string
 	for _, m := range f.there() {
 		if m.name == leads {
 			seats = slices.Insert(seats, 0, m.address)
-		} else if m.seat > 0 {
+		} else if m.voter > 0 {
 			seats = append(seats, m.address)
 		}
 	}
@@ -98,7 +98,7 @@
 // order proposes a version, and tells whether it was announced.
 func (f *stage) order(v configversions.Version, n int) (configversions.Record, bool) {
 	var got struct{ Record configversions.Record }
-	to := f.asked(n)
+	to := f.contacted(n)
 	text, err := json.Marshal(v)
 	if err != nil {
 		return got.Record, false
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -32,7 +32,7 @@
 	Zones        int       `json:"zones"`
 	Regions      int       `json:"regions"`
 	Teams        int       `json:"teams"`
-	Seats        int       `json:"seats"`
+	Voters       int       `json:"seats"`
 	SetAside     int       `json:"set_aside"`
 	Changes      int       `json:"changes"`
 
@@ -43,11 +43,11 @@
 	CPU             float64 `json:"control_cpu_ms_s"`  // of a real one, less a bare one's
 	Memory          float64 `json:"control_memory_mb"` // the same
 	HollowCPU       float64 `json:"hollow_cpu_ms_s"`
-	SeatBytesMost   float64 `json:"seat_bytes_s_most"`
-	SeatCPUMost     float64 `json:"seat_cpu_ms_s_most"`
+	MaxVoterBytes   float64 `json:"seat_bytes_s_most"`
+	MaxVoterCPU     float64 `json:"seat_cpu_ms_s_most"`
 	LeaderBytes     float64 `json:"leader_bytes_s"`
 	LeaderCPU       float64 `json:"leader_cpu_ms_s"`
-	SeatMemoryMost  float64 `json:"seat_memory_mb_most"`
+	MaxVoterMemory  float64 `json:"seat_memory_mb_most"`
 	RealCPU         float64 `json:"real_cpu_ms_s"` // whole, as that of the others
 	BareCPU         float64 `json:"bare_cpu_ms_s"`
 	HollowBareCPU   float64 `json:"hollow_bare_cpu_ms_s,omitempty"`
@@ -61,7 +61,7 @@
 	BytesByKind       map[string]float64 `json:"bytes_by_kind"` // a dispatcher, a second
 	MessagesByKind    map[string]float64 `json:"messages_by_kind"`
 	LeaderBytesByKind map[string]float64 `json:"leader_bytes_by_kind"`
-	SeatBytesByKind   map[string]float64 `json:"seat_bytes_by_kind"` // of those that do not lead, on average
+	VoterBytesByKind  map[string]float64 `json:"seat_bytes_by_kind"` // of those that do not lead, on average
 	HollowBytesByKind map[string]float64 `json:"hollow_bytes_by_kind"`
 	RealBytesByKind   map[string]float64 `json:"real_bytes_by_kind"`
 	DiscoveryCalls    float64            `json:"discovery_calls_s"` // of all
@@ -135,7 +135,7 @@
 func (f *stage) account(before, rested, after reading) *Result {
 	r := &Result{Title: f.Title, Seed: f.Seed, At: f.begin.UTC(), BoundMS: float64(f.Bound.Milliseconds()), Packing: f.Packing(),
 		Dispatchers: f.Dispatchers, Hollow: f.Hollow, Processes: f.Processes, Real: f.Real(), Bare: f.Bare, Workers: f.Workers, Accelerators: f.Accelerators,
-		Zones: f.Zones, Regions: f.Regions, Teams: f.Teams, Seats: f.Seats, SetAside: f.SetAside,
+		Zones: f.Zones, Regions: f.Regions, Teams: f.Teams, Voters: f.Voters, SetAside: f.SetAside,
 		Jobs: f.jobs.jobs, AnsweredOnce: f.jobs.once, AnsweredNever: f.jobs.never, LostWithProcess: f.jobs.lost, ReturnedInForceMS: []float64{}}
 	for _, c := range f.changes {
 		if c.at.Before(after.at) {
@@ -145,7 +145,7 @@
 	f.bytes(r, before, after)
 	f.usage(r, before, after)
 	f.fell(r, before, after)
-	r.WorkerProbes = len(f.works.Spent().Probes)
+	r.WorkerProbes = len(f.cluster.Spent().Probes)
 	if f.Fault == nil {
 		f.compareInterface(r, before, after)
 	}
@@ -160,16 +160,16 @@
 	all := f.histories()
 	f.returns(r, all)
 	f.inForce(r, all, after.late)
-	var stands [][]faults.EffectiveState
+	var states [][]faults.EffectiveState
 	for _, h := range all {
-		stands = append(stands, h.stands)
+		states = append(states, h.effectiveStates)
 	}
-	contradiction, _ := faults.ContradictionTime(stands)
+	contradiction, _ := faults.ContradictionTime(states)
 	r.ContradictionMS = float64(contradiction.Microseconds()) / 1000
 	if f.Fault != nil {
 		r.Failures = []Failure{f.failure(all)}
 	}
-	for _, b := range f.works.Breaches() {
+	for _, b := range f.cluster.Breaches() {
 		r.RulesBroken++
 		r.Breaches = append(r.Breaches, b.String())
 	}
@@ -237,7 +237,7 @@
 	r.BytesP50, r.BytesP99, r.BytesMean = quantile(0.5, all.bytes), quantile(0.99, all.bytes), mean(all.bytes)
 	r.Messages, r.BytesByKind, r.MessagesByKind = mean(all.messages), all.bytesByKind, all.messagesByKind
 	hollow := f.each(before, after, f.serving(func(m *member) bool { return m.hollow }))
-	real := f.each(before, after, f.serving(func(m *member) bool { return !m.hollow && m.seat == 0 }))
+	real := f.each(before, after, f.serving(func(m *member) bool { return !m.hollow && m.voter == 0 }))
 	r.HollowBytesMean, r.RealBytesMean, r.HollowBytesByKind, r.RealBytesByKind = mean(hollow.bytes), mean(real.bytes), hollow.bytesByKind, real.bytesByKind
 	r.HollowMessages, r.RealMessages = mean(hollow.messages), mean(real.messages)
 	var seats, leads []*member
@@ -250,9 +250,9 @@
 		}
 	}
 	for _, m := range append(slices.Clone(seats), leads...) {
-		r.SeatBytesMost = max(r.SeatBytesMost, mean(f.each(before, after, []*member{m}).bytes))
+		r.MaxVoterBytes = max(r.MaxVoterBytes, mean(f.each(before, after, []*member{m}).bytes))
 	}
-	r.SeatBytesByKind = f.each(before, after, seats).bytesByKind
+	r.VoterBytesByKind = f.each(before, after, seats).bytesByKind
 	x := f.each(before, after, leads)
 	r.LeaderBytes, r.LeaderBytesByKind = mean(x.bytes), x.bytesByKind
 	for name := range after.control {
@@ -269,7 +269,7 @@
 	for _, m := range f.members {
 		ms, mb := cpu(before, after, m.name)/r.SpanS, after.used[after.pids[m.name]].memory
 		if after.seated[m.name] {
-			r.SeatCPUMost, r.SeatMemoryMost = max(r.SeatCPUMost, ms), max(r.SeatMemoryMost, mb)
+			r.MaxVoterCPU, r.MaxVoterMemory = max(r.MaxVoterCPU, ms), max(r.MaxVoterMemory, mb)
 		}
 		if m.name == after.leads {
 			r.LeaderCPU = ms
@@ -298,7 +298,7 @@
 	switch {
 	case late > ticksMayBeLate:
 		r.FellBehind, r.FellBehindWhy = true, fmt.Sprintf("%d ticks of %v were late by more than %v", late, tickEvery, tickLate)
-	case r.MachineBusy > mostBusy:
+	case r.MachineBusy > maxBusy:
 		r.FellBehind, r.FellBehindWhy = true, fmt.Sprintf("%.0f%% of %d cores were busy", 100*r.MachineBusy, runtime.NumCPU())
 	}
 }
@@ -332,7 +332,7 @@
 		"%d changes in force after %.0f ms p50, %.0f p99, %.0f p99.9; contradiction %.1f ms, %d rules broken; %d jobs, %d answered once, %d never, %d lost with their dispatcher\n"+
 		"machine %.0f%% busy; counted %.2f of what the interface carried",
 		r.Seed, r.Dispatchers, r.Hollow, r.Workers, r.Zones, r.BytesP50, r.BytesP99, r.Messages, r.CPU, r.HollowCPU, r.Memory,
-		r.SeatBytesMost, r.SeatCPUMost, r.SeatMemoryMost, r.LeaderBytes, r.LeaderCPU,
+		r.MaxVoterBytes, r.MaxVoterCPU, r.MaxVoterMemory, r.LeaderBytes, r.LeaderCPU,
 		r.Changes, r.InForceP50MS, r.InForceP99MS, r.InForceP999MS, r.ContradictionMS, r.RulesBroken, r.Jobs, r.AnsweredOnce, r.AnsweredNever, r.LostWithProcess,
 		100*r.MachineBusy, r.Interface.Ratio)
 	for _, x := range r.Failures {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -46,11 +46,11 @@
 	defer os.RemoveAll(dir)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	f := &stage{Plan: p, Options: o, ctx: ctx, dir: dir, asks: newClient(), orders: newClient(), hurry: make(chan struct{}, 1)}
-	if f.works, err = emulator.Open(p.scenario()); err != nil {
+	f := &stage{Plan: p, Options: o, ctx: ctx, dir: dir, contacts: newClient(), orders: newClient(), hurry: make(chan struct{}, 1)}
+	if f.cluster, err = emulator.Open(p.scenario()); err != nil {
 		return nil, err
 	}
-	defer f.works.Close()
+	defer f.cluster.Close()
 	defer f.closeAll()
 	if err := f.build(); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	if !until(f.ctx, leased.Add(f.Settle)) {
 		return nil, f.ctx.Err()
 	}
-	f.works.Troubles()
+	f.cluster.StartFaults()
 	before, err := f.read()
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	}
 	var failed error
 	if f.Fault != nil {
-		wait.Go(func() { failed = f.befall() })
+		wait.Go(func() { failed = f.injectFault() })
 		f.sample(end)
 	}
 	until(f.ctx, end)
@@ -119,7 +119,7 @@
 		proposer.last(time.Now().Add(actWithin))
 	}
 	f.waitActed(time.Now().Add(actWithin))
-	if err := f.readStands(); err != nil {
+	if err := f.readEffectiveStates(); err != nil {
 		return nil, err
 	}
 	return f.account(before, rested, after), nil
@@ -139,22 +139,22 @@
 	}
 }
 
-// standsOf gives what a dispatcher has acted on by now; of hollow ones as they were read last.
-func (f *stage) standsOf(m *member) []faults.EffectiveState {
+// effectiveStatesOf gives what a dispatcher has acted on by now; of hollow ones as they were read last.
+func (f *stage) effectiveStatesOf(m *member) []faults.EffectiveState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.hollow {
-		return append(slices.Clone(m.past), m.stands...)
+		return append(slices.Clone(m.past), m.effectiveStates...)
 	}
 	log := m.logs
 	if m.node != nil {
 		log += m.node.Log()
 	}
-	return faults.EffectiveStates(log, time.Now(), m.away)
+	return faults.EffectiveStates(log, time.Now(), m.absences)
 }
 
-// readStands asks the hollow dispatchers for theirs.
-func (f *stage) readStands() error {
+// readEffectiveStates asks the hollow dispatchers for theirs.
+func (f *stage) readEffectiveStates() error {
 	for _, p := range f.processes() {
 		var all map[string][]faults.EffectiveState
 		if err := f.get("http://"+p.at+"/stands", &all); err != nil {
@@ -165,8 +165,8 @@
 			if m.process != p {
 				continue
 			}
-			if m.stands = all[m.name]; len(m.stands) > 0 {
-				m.stands[len(m.stands)-1].To = time.Now()
+			if m.effectiveStates = all[m.name]; len(m.effectiveStates) > 0 {
+				m.effectiveStates[len(m.effectiveStates)-1].To = time.Now()
 			}
 		}
 		f.mu.Unlock()
@@ -192,10 +192,10 @@
 
 func (f *stage) waitAll(by time.Time, holds func(faults.EffectiveState) bool) bool {
 	for f.ctx.Err() == nil {
-		all := f.readStands() == nil
+		all := f.readEffectiveStates() == nil
 		for _, m := range f.members {
 			if m.role != bare && all && !m.gone() {
-				s := f.standsOf(m)
+				s := f.effectiveStatesOf(m)
 				all = len(s) > 0 && holds(s[len(s)-1])
 			}
 		}
@@ -210,7 +210,7 @@
 }
 
 // gone tells whether a dispatcher was killed and has not come back.
-func (m *member) gone() bool { return len(m.away) > 0 && m.away[len(m.away)-1].To.IsZero() }
+func (m *member) gone() bool { return len(m.absences) > 0 && m.absences[len(m.absences)-1].To.IsZero() }
 
 // read reads all that is counted. Real dispatchers are asked at their doors, which are no part of control. Those that do not
 // answer are named in the error, and left out.
@@ -219,7 +219,7 @@
 	if r.machine, err = machineNow(); err != nil {
 		return r, err
 	}
-	r.own, r.orders, r.linked = total(&f.asks.meter), total(&f.orders.meter), total(&f.linked)
+	r.own, r.orders, r.linked = total(&f.contacts.meter), total(&f.orders.meter), total(&f.linked)
 	r.at = time.Now()
 	var mu sync.Mutex
 	var all []func() error
