--- a/internal/decisions/idempotency/idempotency.go
+++ b/internal/decisions/idempotency/idempotency.go
@@ -1,36 +1,37 @@
-// Package idempotency decides what becomes of a request whose Idempotency-Key may have come before, at whichever front.
-// Values in, verdicts out: no I/O, no clock, no goroutine.
+// Package idempotency decides how a request is handled whose Idempotency-Key may have been received before, at any frontend. It does no
+// I/O, reads no clock and starts no goroutine.
 //
-// It promises:
+// Guarantees:
 //
-//  1. A key that is remembered begins no further job, unless the one before was refused: that one never ran, so a new
-//     try is harmless.
-//  2. A request that says it had a part of the answer already begins nothing: where its key is not remembered, its job
-//     may have run elsewhere or before.
-//  3. Only the same job is joined: the same target, account and body.
-//  4. Nothing begins that there is no room to remember.
-//  5. A job is given up for want of readers only if none is left and nobody asked for it to go on.
+//  1. A request with a key that is remembered starts no further job, unless the job before was rejected: that one never ran, so that a
+//     new attempt is harmless.
+//  2. A request that resumes an answer of which the client has a part starts no job: if its key is not remembered, its job may have run
+//     before, or at another dispatcher.
+//  3. A request joins a remembered job only if it asks for the same one: the same target, account and body.
+//  4. No job starts that cannot be remembered for lack of capacity.
+//  5. A job is abandoned for lack of readers only if none is left and nobody asked for it to run without readers.
 package idempotency
 
-// Decision says what becomes of a request.
+// Decision is how a request is handled.
 type Decision uint8
 
+// The decisions.
 const (
-	Start       Decision = iota // a job of its own, which is remembered from now on
-	Join                        // the answer of the job that is remembered, whenever that comes
-	KeyMismatch                 // the key is of another job
-	UnknownKey                  // there was a job, and it is not known here
-	TableFull                   // there is no room to remember one more
+	Start       Decision = iota // start a job, and remember it
+	Join                        // answer with the result of the remembered job once it ends
+	KeyMismatch                 // reject: the key belongs to another job
+	UnknownKey                  // reject: the request resumes a job that is not remembered here
+	TableFull                   // reject: no further job can be remembered
 )
 
-// RememberedJob is what is remembered of a key's job.
+// RememberedJob is what is remembered of the job with a key.
 type RememberedJob struct {
-	Rejected bool // it has ended so
-	SameJob  bool // the request's is the same job
+	Rejected bool // the job has ended by being rejected
+	SameJob  bool // the request asks for the same job
 }
 
-// Decide judges a request by what is remembered of its key, nil for nothing. again tells that the client had a part of
-// the answer before; room that one more job can be remembered.
+// Decide returns how a request is handled. remembered is the job with its key, nil for none; resumed says that the client has a part of
+// the answer; hasCapacity says that one more job can be remembered.
 func Decide(remembered *RememberedJob, resumed, hasCapacity bool) Decision {
 	switch {
 	case remembered != nil && (resumed || !remembered.Rejected):
@@ -46,8 +47,8 @@
 	return Start
 }
 
-// AbandonWithoutReaders tells whether a job that has not ended is given up when a reader leaves it: so many others wait for it, and
-// kept tells that it is to go on without any.
+// AbandonWithoutReaders reports whether a running job is abandoned when a reader leaves it, by the number of its other readers and
+// whether it is to run without any.
 func AbandonWithoutReaders(otherReaders int, runsWithoutReaders bool) bool {
 	return otherReaders == 0 && !runsWithoutReaders
 }
--- a/internal/decisions/idempotency/idempotency_test.go
+++ b/internal/decisions/idempotency/idempotency_test.go
@@ -6,32 +6,32 @@
 	"pgregory.net/rapid"
 )
 
-// A table driven by the verdicts, against what must be true of each key whatever comes.
+// Promises 1 to 5, for a table of jobs that is driven by the decisions on any sequence of requests.
 func TestDecide_promises(t *testing.T) {
 	type job struct {
-		body    int
-		ended   bool
-		refused bool
-		readers int
-		kept    bool
+		body               int
+		ended              bool
+		rejected           bool
+		readers            int
+		runsWithoutReaders bool
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		jobs, capacity := map[string]*job{}, rapid.IntRange(1, 4).Draw(t, "most")
+		jobs, capacity := map[string]*job{}, rapid.IntRange(1, 4).Draw(t, "capacity")
 		running := map[string]int{}
 		for range 200 {
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "key")
 			current := jobs[key]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				body, resumed := rapid.IntRange(0, 1).Draw(t, "body"), rapid.IntRange(0, 5).Draw(t, "again") == 0
-				var known *RememberedJob
+				body, resumed := rapid.IntRange(0, 1).Draw(t, "body"), rapid.IntRange(0, 5).Draw(t, "resumed") == 0
+				var remembered *RememberedJob
 				if current != nil {
-					known = &RememberedJob{Rejected: current.ended && current.refused, SameJob: current.body == body}
+					remembered = &RememberedJob{Rejected: current.ended && current.rejected, SameJob: current.body == body}
 				}
-				switch v := Decide(known, resumed, len(jobs) < capacity); v {
+				switch Decide(remembered, resumed, len(jobs) < capacity) {
 				case Start:
-					if resumed || current != nil && !(current.ended && current.refused) || len(jobs) >= capacity {
-						t.Fatalf("begun with %+v remembered, again %v, %d of %d", current, resumed, len(jobs), capacity)
+					if resumed || current != nil && !(current.ended && current.rejected) || len(jobs) >= capacity {
+						t.Fatalf("started with %+v remembered, resumed %v, %d of %d", current, resumed, len(jobs), capacity)
 					}
 					if running[key]++; running[key] > 1 {
 						t.Fatal("two jobs of a key run")
@@ -44,20 +44,20 @@
 					current.readers++
 				case KeyMismatch:
 					if current == nil || current.body == body {
-						t.Fatalf("another than %+v", current)
+						t.Fatalf("key mismatch with %+v", current)
 					}
 				case UnknownKey:
 					if !resumed || current != nil {
-						t.Fatalf("unknown with %+v", current)
+						t.Fatalf("unknown key with %+v", current)
 					}
 				case TableFull:
 					if len(jobs) < capacity {
-						t.Fatal("full")
+						t.Fatal("table full below its capacity")
 					}
 				}
 			case 2:
 				if current != nil && !current.ended {
-					current.ended, current.refused = true, rapid.Bool().Draw(t, "refused")
+					current.ended, current.rejected = true, rapid.Bool().Draw(t, "rejected")
 					running[key]--
 				}
 			case 3:
@@ -67,9 +67,9 @@
 			case 4:
 				if current != nil && current.readers > 0 {
 					current.readers--
-					if !current.ended && AbandonWithoutReaders(current.readers, current.kept) {
-						if current.readers > 0 || current.kept {
-							t.Fatal("given up with a reader")
+					if !current.ended && AbandonWithoutReaders(current.readers, current.runsWithoutReaders) {
+						if current.readers > 0 || current.runsWithoutReaders {
+							t.Fatal("abandoned with a reader")
 						}
 						delete(jobs, key)
 						running[key]--
