--- a/internal/decisions/retrybudget/retrybudget.go
+++ b/internal/decisions/retrybudget/retrybudget.go
@@ -1,54 +1,53 @@
-// Package retrybudget decides whether a further outbound call of a request may be made: a budget over all requests, as a share
-// of their first calls. What the module decides for one request is right for it; while a tenth of the endpoints fails, all
-// requests' further calls together can double the load of the rest. Values in, verdicts out: no I/O, no clock, no goroutine.
+// Package retrybudget decides whether a further attempt of a request, a retry or a hedge, may be sent. The scheduler decides it for each
+// request by itself; while a tenth of the workers fails, the further attempts of all requests together could double the load on the
+// rest. The budget bounds them to a share of the first attempts. The package does no I/O, reads no clock and starts no goroutine.
 //
-// It promises, over any window, for all requests together and for those of each class and of each account:
+// Budget guarantees, over any Window, for all requests together and for those of each class and of each account:
 //
-//  1. Further calls are at most the share of the first calls, and a floor that lets a quiet dispatcher repeat at all.
-//  2. A call that was not allowed costs nothing.
-//  3. What it remembers is bounded: accounts beyond the bound share one account's budget.
+//  1. Further attempts are at most the ratio times the first attempts, plus MinRetries.
+//  2. An attempt that was denied does not count.
+//  3. Memory is bounded: accounts beyond MaxAccounts share one budget.
 package retrybudget
 
 import "time"
 
 const (
-	// Window is the time over which calls are counted, in steps of Window/steps.
-	Window      = 10 * time.Second
-	windowSteps = 10
+	// Window is the time over which attempts are counted, in steps of Window/windowSteps.
+	Window = 10 * time.Second
 
-	// MinRetries is how many further calls a window allows whatever the first calls were.
+	// MinRetries is how many further attempts a window allows without any first attempt.
 	MinRetries = 10
 
-	// MaxAccounts bounds the accounts that have a budget of their own.
+	// MaxAccounts is how many accounts have a budget of their own.
 	MaxAccounts = 1024
 )
 
-// Budget counts calls. Make it with New.
+// Budget counts attempts. It is made by New, and is not safe for concurrent use. Times that are passed to its methods must not go back.
 type Budget struct {
 	ratio    float64
 	total    attemptWindow
 	classes  map[string]*attemptWindow
 	accounts map[string]*attemptWindow
-	overflow attemptWindow // accounts beyond the bound
+	overflow attemptWindow // accounts beyond MaxAccounts
 	denied   int
 }
 
-// New makes a budget of so many further calls for each first one.
+// New returns a budget of ratio further attempts for each first one.
 func New(ratio float64) *Budget {
 	return &Budget{ratio: ratio, classes: map[string]*attemptWindow{}, accounts: map[string]*attemptWindow{}}
 }
 
-// SetRatio puts another share in force. What was counted stands.
+// SetRatio changes the ratio. Attempts that were counted still count.
 func (b *Budget) SetRatio(ratio float64) { b.ratio = ratio }
 
-// CountFirstAttempt counts a request's first call.
+// CountFirstAttempt counts the first attempt of a request.
 func (b *Budget) CountFirstAttempt(now time.Duration, class, account string) {
 	for _, window := range b.windowsOf(class, account) {
 		window.stepAt(now).first++
 	}
 }
 
-// AllowRetry tells whether a request may have a further call, and counts it if so.
+// AllowRetry reports whether a request may have a further attempt, and counts it if so.
 func (b *Budget) AllowRetry(now time.Duration, class, account string) bool {
 	windows := b.windowsOf(class, account)
 	for _, window := range windows {
@@ -58,53 +57,29 @@
 			return false
 		}
 	}
-	for _, c := range windows {
-		c.stepAt(now).retries++
+	for _, window := range windows {
+		window.stepAt(now).retries++
 	}
 	return true
 }
 
-// Denied is how many further calls were not allowed.
+// Denied returns how many further attempts were denied.
 func (b *Budget) Denied() int { return b.denied }
 
+// windowsOf returns the windows that an attempt counts in: of all requests, of its class and of its account. Classes are those in the
+// settings, and therefore few.
 func (b *Budget) windowsOf(class, account string) [3]*attemptWindow {
-	c := b.classes[class]
-	if c == nil {
-		c = &attemptWindow{}
-		b.classes[class] = c // classes are the settings', so they are few
+	ofClass := b.classes[class]
+	if ofClass == nil {
+		ofClass = &attemptWindow{}
+		b.classes[class] = ofClass
 	}
-	a := b.accounts[account]
-	if a == nil {
-		if a = &b.overflow; len(b.accounts) < MaxAccounts {
-			a = &attemptWindow{}
-			b.accounts[account] = a
+	ofAccount := b.accounts[account]
+	if ofAccount == nil {
+		if ofAccount = &b.overflow; len(b.accounts) < MaxAccounts {
+			ofAccount = &attemptWindow{}
+			b.accounts[account] = ofAccount
 		}
 	}
-	return [3]*attemptWindow{&b.total, c, a}
-}
-
-// attemptWindow is a sliding window of calls.
-type attemptWindow struct {
-	newestStep int64 // of the newest slot
-	steps      [windowSteps]attempts
-}
-
-type attempts struct{ first, retries int }
-
-// stepAt gives the slot of a time, and forgets those that are out of the window. Time does not go back.
-func (c *attemptWindow) stepAt(now time.Duration) *attempts {
-	step := int64(now / (Window / windowSteps))
-	for n := min(step-c.newestStep, windowSteps); n > 0; n-- {
-		c.steps[(step-n+1+windowSteps)%windowSteps] = attempts{}
-	}
-	c.newestStep = max(c.newestStep, step)
-	return &c.steps[c.newestStep%windowSteps]
-}
-
-func (c *attemptWindow) totals(now time.Duration) (first, retries int) {
-	c.stepAt(now)
-	for _, s := range c.steps {
-		first, retries = first+s.first, retries+s.retries
-	}
-	return first, retries
+	return [3]*attemptWindow{&b.total, ofClass, ofAccount}
 }
--- a/internal/decisions/retrybudget/retrybudget_test.go
+++ b/internal/decisions/retrybudget/retrybudget_test.go
@@ -8,80 +8,86 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes, further calls within any window stay within the share of the first ones and the floor, for all together,
-// each class and each account, and the module remembers a bounded number of accounts.
+// Promises 1 and 2: for any sequence of attempts, the further attempts in any window stay within the ratio of the first ones plus
+// MinRetries, for all together, each class and each account.
 func TestBudget_holdsInAnyWindow(t *testing.T) {
+	type attempt struct {
+		at             time.Duration
+		further        bool
+		class, account string
+	}
 	rapid.Check(t, func(t *rapid.T) {
-		share := rapid.Float64Range(0, 2).Draw(t, "share")
-		b := New(share)
-		type call struct {
-			at             time.Duration
-			further        bool
-			class, account string
-		}
-		var calls []call
+		ratio := rapid.Float64Range(0, 2).Draw(t, "ratio")
+		budget := New(ratio)
+		var sent []attempt
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 400).Draw(t, "calls") {
+		for range rapid.IntRange(1, 400).Draw(t, "attempts") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond
-			c := call{now, rapid.Bool().Draw(t, "further"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "account")}
-			if !c.further {
-				b.CountFirstAttempt(c.at, c.class, c.account)
-			} else if !b.AllowRetry(c.at, c.class, c.account) {
+			next := attempt{now, rapid.Bool().Draw(t, "further"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
+				rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "account")}
+			if !next.further {
+				budget.CountFirstAttempt(next.at, next.class, next.account)
+			} else if !budget.AllowRetry(next.at, next.class, next.account) {
 				continue
 			}
-			calls = append(calls, c)
+			sent = append(sent, next)
 		}
-		for _, of := range []func(call) bool{func(call) bool { return true }, func(c call) bool { return c.class == "a" }, func(c call) bool { return c.account == "x" }} {
-			for end := range calls {
-				if !of(calls[end]) || !calls[end].further {
+		for _, counted := range []func(attempt) bool{
+			func(attempt) bool { return true },
+			func(a attempt) bool { return a.class == "a" },
+			func(a attempt) bool { return a.account == "x" },
+		} {
+			for end, last := range sent {
+				if !counted(last) || !last.further {
 					continue
 				}
 				first, further := 0, 0
-				from := (int64(calls[end].at/(Window/windowSteps)) - windowSteps + 1) * int64(Window/windowSteps)
-				for _, c := range calls[:end+1] {
-					if int64(c.at) >= from && of(c) {
-						if c.further {
+				from := (int64(last.at/(Window/windowSteps)) - windowSteps + 1) * int64(Window/windowSteps)
+				for _, earlier := range sent[:end+1] {
+					if int64(earlier.at) >= from && counted(earlier) {
+						if earlier.further {
 							further++
 						} else {
 							first++
 						}
 					}
 				}
-				if float64(further) > share*float64(first)+MinRetries {
-					t.Fatalf("%d further calls to %d first ones", further, first)
+				if float64(further) > ratio*float64(first)+MinRetries {
+					t.Fatalf("%d further attempts to %d first ones", further, first)
 				}
 			}
 		}
 	})
 }
 
-// A quiet dispatcher may repeat, a busy one by its share, and a window later all is as before.
+// Promises 1 and 3: an idle dispatcher may retry MinRetries times, a busy one by the ratio, and after a window without attempts it is idle
+// again; the number of accounts is bounded.
 func TestBudget_byExample(t *testing.T) {
-	b := New(0.2)
-	allowed := func(now time.Duration, n int) (got int) {
-		for range n {
-			if b.AllowRetry(now, "c", "a") {
+	budget := New(0.2)
+	allowed := func(now time.Duration, retries int) (got int) {
+		for range retries {
+			if budget.AllowRetry(now, "c", "a") {
 				got++
 			}
 		}
 		return got
 	}
 	if got := allowed(0, 100); got != MinRetries {
-		t.Errorf("quiet: %d", got)
+		t.Errorf("idle: %d", got)
 	}
 	for range 1000 {
-		b.CountFirstAttempt(time.Second, "c", "a")
+		budget.CountFirstAttempt(time.Second, "c", "a")
 	}
 	if got := allowed(2*time.Second, 1000); got != 200 {
 		t.Errorf("busy: %d more", got)
 	}
-	if got := allowed(Window+3*time.Second, 100); got != MinRetries || b.Denied() == 0 {
-		t.Errorf("a window later: %d, %d denied", got, b.Denied())
+	if got := allowed(Window+3*time.Second, 100); got != MinRetries || budget.Denied() == 0 {
+		t.Errorf("a window later: %d, %d denied", got, budget.Denied())
 	}
 	for i := range 2 * MaxAccounts {
-		b.CountFirstAttempt(time.Hour, "c", fmt.Sprint(i))
+		budget.CountFirstAttempt(time.Hour, "c", fmt.Sprint(i))
 	}
-	if len(b.accounts) > MaxAccounts {
-		t.Errorf("%d accounts", len(b.accounts))
+	if len(budget.accounts) > MaxAccounts {
+		t.Errorf("%d accounts", len(budget.accounts))
 	}
 }
