--- a/internal/decisions/quotas/quotas.go
+++ b/internal/decisions/quotas/quotas.go
@@ -1,36 +1,39 @@
-// Package quotas decides which accounts' jobs are taken when there is not room for all that come, over all fronts
-// together. Values in, verdicts out: no I/O, no clock, no goroutine.
+// Package quotas decides which accounts' jobs are admitted when there is not capacity for all, over all frontends together. It does no
+// I/O, reads no clock and starts no goroutine.
 //
-// It promises:
+// Table guarantees:
 //
-//  1. No more jobs are open than there is room.
-//  2. An account that holds less than its share of the room gets its job taken whenever there is any room.
-//  3. An account gets more than its share only as long as it holds less than what is free, so that others find room
-//     the moment they come; alone it may hold half of the room.
-//  4. Accounts that nobody listed have one share together: a client cannot gain by inventing names.
-//  5. What is done is free again, also after the shares were changed while it was open.
+//  1. No more jobs are open than the capacity.
+//  2. An account with fewer open jobs than its guaranteed number has a job admitted whenever any capacity is free.
+//  3. An account has a job admitted beyond its guaranteed number only if it has fewer open jobs than the free capacity, so that other
+//     accounts find capacity at once; alone it may use half of the capacity.
+//  4. Accounts that are not listed share one quota: a client gains nothing by inventing names.
+//  5. A job that ends frees its capacity, also if the quotas were changed while it was open.
 package quotas
 
 import "brassdale/internal/decisions/http2limits"
 
-// Table is the account of what is open.
+// unlistedQuota is the name of the quota that all accounts share which are not listed.
+const unlistedQuota = ""
+
+// Table counts the open jobs of each quota. It is made by New, and is not safe for concurrent use.
 type Table struct {
-	capacity      int
-	shares        map[string]float64
-	unlistedShare float64 // the part of all accounts that have none of their own
-	open          map[string]int
+	capacity      int                // jobs
+	shares        map[string]float64 // of the capacity, from 0 to 1, by account
+	unlistedShare float64            // of all accounts together that are not in shares
+	open          map[string]int     // jobs, by quota
 	totalOpen     int
 }
 
-// New makes a table for a room of so many jobs, of which each account has a part between 0 and 1. What the parts leave
-// is the part of all others together.
+// New returns a table for a capacity in jobs, of which each account in shares has a share from 0 to 1. The remainder is the share of all
+// other accounts together.
 func New(capacity int, shares map[string]float64) *Table {
-	t := &Table{open: map[string]int{}}
-	t.SetQuotas(capacity, shares)
-	return t
+	table := &Table{open: map[string]int{}}
+	table.SetQuotas(capacity, shares)
+	return table
 }
 
-// SetQuotas changes room and parts. What is open stays open.
+// SetQuotas changes the capacity and the shares. Open jobs stay open.
 func (t *Table) SetQuotas(capacity int, shares map[string]float64) {
 	t.capacity, t.shares, t.unlistedShare = capacity, shares, 1
 	for _, share := range shares {
@@ -39,15 +42,16 @@
 	t.unlistedShare = max(t.unlistedShare, 0)
 }
 
-// QuotaName tells under which name an account's jobs count. It must be asked once a job: a retuning may change it.
+// QuotaName returns the quota of an account, which is passed to the other methods. It is called once for each job, since SetQuotas may
+// change it while the job is open.
 func (t *Table) QuotaName(account string) string {
 	if _, ok := t.shares[account]; ok {
 		return account
 	}
-	return ""
+	return unlistedQuota
 }
 
-// Admit takes a job of a pot, or tells that there is no room for it.
+// Admit counts a job and returns true, or returns false if there is no capacity for it. Each admitted job must be released.
 func (t *Table) Admit(quota string) bool {
 	if !http2limits.WithinDynamicThreshold(t.capacity, t.totalOpen, t.open[quota], t.guaranteed(quota)) {
 		return false
@@ -57,7 +61,7 @@
 	return true
 }
 
-// Release ends a job that was taken.
+// Release ends an admitted job.
 func (t *Table) Release(quota string) {
 	t.totalOpen--
 	if t.open[quota]--; t.open[quota] <= 0 {
@@ -65,13 +69,13 @@
 	}
 }
 
-// TotalOpen is how many jobs are open.
+// TotalOpen returns the number of open jobs.
 func (t *Table) TotalOpen() int { return t.totalOpen }
 
-// Usage tells how many jobs of a pot are open, and how many it may always have.
-func (t *Table) Usage(quota string) (open, share int) { return t.open[quota], t.guaranteed(quota) }
+// Usage returns how many jobs of a quota are open, and how many are guaranteed.
+func (t *Table) Usage(quota string) (open, guaranteed int) { return t.open[quota], t.guaranteed(quota) }
 
-// guaranteed is an account's share in jobs: whole ones, and one at least.
+// guaranteed returns the share of a quota in jobs, rounded down, and at least 1.
 func (t *Table) guaranteed(quota string) int {
 	share, ok := t.shares[quota]
 	if !ok {
--- a/internal/decisions/quotas/quotas_test.go
+++ b/internal/decisions/quotas/quotas_test.go
@@ -6,9 +6,10 @@
 	"pgregory.net/rapid"
 )
 
+// Promises 1 to 5, for any sequence of jobs and changes of the quotas.
 func TestTable_promises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		capacity := rapid.IntRange(8, 80).Draw(t, "room")
+		capacity := rapid.IntRange(8, 80).Draw(t, "capacity")
 		shares := map[string]float64{"a": 0.5, "b": 0.25, "c": 0.125}
 		table := New(capacity, shares)
 		var open []string
@@ -21,66 +22,67 @@
 					open = append(open[:i], open[i+1:]...)
 				}
 			case 1:
-				if rapid.IntRange(0, 20).Draw(t, "retune") == 0 {
+				if rapid.IntRange(0, 20).Draw(t, "change the quotas") == 0 {
 					shares = map[string]float64{"a": 0.25, "d": 0.5}
 					table.SetQuotas(capacity, shares)
 				}
 			default:
 				quota := table.QuotaName(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "account"))
-				before, share := table.Usage(quota)
+				before, guaranteed := table.Usage(quota)
 				full := len(open) >= capacity
-				ok := table.Admit(quota)
+				admitted := table.Admit(quota)
 				switch {
-				case ok && full:
-					t.Fatal("more open than there is room")
-				case !ok && !full && before < share:
-					t.Fatalf("%q holds %d of its share of %d and was turned away", quota, before, share)
-				case ok && before >= share && before >= capacity-len(open):
-					t.Fatalf("%q got its job %d beyond its share of %d with %d free", quota, before+1, share, capacity-len(open))
+				case admitted && full:
+					t.Fatal("more open than the capacity")
+				case !admitted && !full && before < guaranteed:
+					t.Fatalf("%q has %d of its guaranteed %d and was rejected", quota, before, guaranteed)
+				case admitted && before >= guaranteed && before >= capacity-len(open):
+					t.Fatalf("%q had job %d admitted beyond its guaranteed %d with %d free", quota, before+1, guaranteed, capacity-len(open))
 				}
-				if ok {
+				if admitted {
 					open = append(open, quota)
 				}
 			}
 			if len(open) > capacity {
-				t.Fatal("more open than there is room")
+				t.Fatal("more open than the capacity")
 			}
 		}
-		for _, pot := range open {
-			table.Release(pot)
+		for _, quota := range open {
+			table.Release(quota)
 		}
 		if table.totalOpen != 0 || len(table.open) != 0 {
-			t.Fatalf("left over: %d, %v", table.totalOpen, table.open)
+			t.Fatalf("not released: %d, %v", table.totalOpen, table.open)
 		}
 	})
 }
 
-// An account at five times its share beside others that want theirs: these get it, whatever the greedy one took first.
+// Promises 2 and 3: beside an account that asks for five times its share, the others get their guaranteed numbers, whatever the greedy one
+// had open first.
 func TestAdmit_greedyAccount(t *testing.T) {
 	table := New(100, map[string]float64{"greedy": 0.2, "b": 0.4, "c": 0.4})
 	for range 500 {
 		table.Admit("greedy")
 	}
 	if open, _ := table.Usage("greedy"); open != 50 {
-		t.Errorf("alone it holds %d", open)
+		t.Errorf("alone it has %d open", open)
 	}
-	for i := range 400 { // all run for the same time, the oldest ends first
+	for i := range 400 { // all jobs run for the same time
 		table.Release("greedy")
 		for range 5 {
 			table.Admit("greedy")
 		}
 		for _, quota := range []string{"b", "c"} {
-			if open, share := table.Usage(quota); open < share && i%2 == 0 && !table.Admit(quota) && table.totalOpen < 100 {
-				t.Fatalf("%s holds %d of %d and was turned away", quota, open, share)
+			if open, guaranteed := table.Usage(quota); open < guaranteed && i%2 == 0 && !table.Admit(quota) && table.totalOpen < 100 {
+				t.Fatalf("%s has %d of its guaranteed %d and was rejected", quota, open, guaranteed)
 			}
 		}
 	}
-	if open, share := table.Usage("greedy"); open > share {
-		t.Errorf("the greedy one holds %d, its share is %d", open, share)
+	if open, guaranteed := table.Usage("greedy"); open > guaranteed {
+		t.Errorf("the greedy one has %d, it is guaranteed %d", open, guaranteed)
 	}
 	for _, pot := range []string{"b", "c"} {
-		if open, share := table.Usage(pot); open != share {
-			t.Errorf("%s holds %d, its share is %d", pot, open, share)
+		if open, guaranteed := table.Usage(pot); open != guaranteed {
+			t.Errorf("%s has %d, it is guaranteed %d", pot, open, guaranteed)
 		}
 	}
 }
