--- a/internal/decisions/http2limits/http2limits_test.go
+++ b/internal/decisions/http2limits/http2limits_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Promise 1: whoever has jobs answered may do as much beside as the credits say, at any rate.
+// Promise 1: a client whose streams are answered may send as many other frames as the credits allow, at any rate.
 func TestConn_answeredStreamsNeverClose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
@@ -16,11 +16,11 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Microsecond
 			frames := []Frame{{Kind: Headers, Flags: EndHeaders}, {Kind: Data, Length: 3}, {Kind: Data, Length: 2000, Flags: EndStream},
 				{Kind: WindowUpdate}, {Kind: WindowUpdate}, {Kind: Ping}, {Kind: Settings, Flags: Ack}}
-			if rapid.Bool().Draw(t, "given up") {
+			if rapid.Bool().Draw(t, "reset") {
 				frames = append(frames, Frame{Kind: Reset})
 			}
 			for _, frame := range frames {
-				if frame.Kind == Settings && now > 0 { // one for the settings of this side
+				if frame.Kind == Settings && now > 0 { // a single ACK for the settings of this side
 					continue
 				}
 				conn.FrameStarted(now)
@@ -30,22 +30,28 @@
 				conn.FrameCompleted()
 			}
 			conn.StreamAnswered()
-			if why := conn.CheckDeadline(now + time.Hour); why != "" {
-				t.Fatalf("idle: %s", why)
+			if reason := conn.CheckDeadline(now + time.Hour); reason != "" {
+				t.Fatalf("idle: %s", reason)
 			}
 		}
 	})
 }
 
+// floodFrames are the frames of each budget.
 var floodFrames = []struct {
-	frame Frame
-	why   CloseReason
+	frame  Frame
+	reason CloseReason
 }{
-	{Frame{Kind: Reset}, TooManyResets}, {Frame{Kind: Ping}, TooManyPings}, {Frame{Kind: Settings}, TooManySettings}, {Frame{Kind: Priority}, TooManyPriorities},
-	{Frame{Kind: WindowUpdate}, TooManyWindowUpdates}, {Frame{Kind: Data}, TooManyTinyDataFrames}, {Frame{Kind: 0x42}, TooManyUnknownFrames},
+	{Frame{Kind: Reset}, TooManyResets},
+	{Frame{Kind: Ping}, TooManyPings},
+	{Frame{Kind: Settings}, TooManySettings},
+	{Frame{Kind: Priority}, TooManyPriorities},
+	{Frame{Kind: WindowUpdate}, TooManyWindowUpdates},
+	{Frame{Kind: Data}, TooManyTinyDataFrames},
+	{Frame{Kind: 0x42}, TooManyUnknownFrames},
 }
 
-// Promise 2, and 5: floods end within their budgets whatever comes between, and stay ended.
+// Promises 2 and 5: floods close the connection within their budgets, whatever is received in between, for one lasting reason.
 func TestConn_floodsClose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
@@ -60,45 +66,45 @@
 			flood := rapid.SampledFrom(floodFrames).Draw(t, "kind")
 			reason := conn.FrameReceived(now, flood.frame)
 			if closedFor != "" && reason != closedFor {
-				t.Fatalf("ended for %q, then %q", closedFor, reason)
+				t.Fatalf("closed for %q, then %q", closedFor, reason)
 			}
 			if closedFor = reason; reason == "" {
-				passed[flood.why]++
+				passed[flood.reason]++
 			}
-			budget := frameBudgets[flood.why]
-			if limit := budget.burst + budget.rate*now.Seconds() + budget.answerCredit*answered; passed[flood.why] > limit {
-				t.Fatalf("%s: %v passed, %v at most", flood.why, passed[flood.why], limit)
+			budget := frameBudgets[flood.reason]
+			if limit := budget.burst + budget.rate*now.Seconds() + budget.answerCredit*answered; passed[flood.reason] > limit {
+				t.Fatalf("%s: %v passed, %v at most", flood.reason, passed[flood.reason], limit)
 			}
 		}
 	})
 }
 
-// Each flood by itself ends for its own reason, at its burst.
+// Promise 2: each flood by itself closes the connection for its own reason, at its burst.
 func TestConn_eachFloodClosesAtItsBurst(t *testing.T) {
 	for _, flood := range floodFrames {
 		conn := New(0)
 		for i := 0; ; i++ {
-			if why := conn.FrameReceived(0, flood.frame); why != "" {
-				if why != flood.why || i != int(frameBudgets[why].burst) {
-					t.Errorf("%+v ended after %d for %s", flood.frame, i, why)
+			if reason := conn.FrameReceived(0, flood.frame); reason != "" {
+				if reason != flood.reason || i != int(frameBudgets[reason].burst) {
+					t.Errorf("%+v closed after %d for %s", flood.frame, i, reason)
 				}
 				break
 			}
 		}
 	}
-	c := New(0)
+	conn := New(0)
 	for i := range 1000 {
-		if why := c.FrameSent(0, Frame{Kind: Reset}); why != "" {
+		if reason := conn.FrameSent(0, Frame{Kind: Reset}); reason != "" {
 			if i != int(frameBudgets[TooManyResets].burst) {
-				t.Errorf("resets of this side ended it after %d", i)
+				t.Errorf("resets of this side closed it after %d", i)
 			}
 			return
 		}
 	}
-	t.Error("a client may have any number of streams reset")
+	t.Error("a client may make this side reset any number of streams")
 }
 
-// Promises 3 and 4.
+// Promises 3 and 4: what is not complete in time, and header blocks that are too long, close the connection.
 func TestConn_incompleteInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
@@ -111,14 +117,14 @@
 		headerFrames, headerOpen := 0, false
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
-			if why := conn.CheckDeadline(now); why != "" {
+			if reason := conn.CheckDeadline(now); reason != "" {
 				if !open || now < openSince+CompletionTimeout {
-					t.Fatalf("ended at %v for %s; half since %v: %v", now, why, openSince, open)
+					t.Fatalf("closed at %v for %s; incomplete since %v: %v", now, reason, openSince, open)
 				}
 				return
 			}
 			if open && now >= openSince+CompletionTimeout {
-				t.Fatalf("at %v still there, half since %v", now, openSince)
+				t.Fatalf("not closed at %v, incomplete since %v", now, openSince)
 			}
 			frame := Frame{Kind: Headers}
 			if headerOpen {
@@ -135,11 +141,11 @@
 			if headerFrames++; !headerOpen {
 				headerFrames = 1
 			}
-			why := conn.FrameReceived(now, frame)
-			if (why == HeaderTooLong) != (headerFrames > MaxHeaderFrames) {
-				t.Fatalf("%d fragments: %q", headerFrames, why)
+			reason := conn.FrameReceived(now, frame)
+			if (reason == HeaderTooLong) != (headerFrames > MaxHeaderFrames) {
+				t.Fatalf("%d header frames: %q", headerFrames, reason)
 			}
-			if why != "" {
+			if reason != "" {
 				return
 			}
 			conn.FrameCompleted()
@@ -147,13 +153,13 @@
 			open = headerOpen
 		}
 	})
-	c := New(0)
-	if why := c.FrameReceived(0, Frame{Kind: Headers, Length: MaxHeaderBytes + 1}); why != HeaderTooLong {
-		t.Errorf("a head of too many bytes: %q", why)
+	conn := New(0)
+	if reason := conn.FrameReceived(0, Frame{Kind: Headers, Length: MaxHeaderBytes + 1}); reason != HeaderTooLong {
+		t.Errorf("a header block of too many bytes: %q", reason)
 	}
 }
 
-// Promise 6.
+// Promise 6: the dynamic threshold keeps the limit, serves users below the floor, and leaves capacity free.
 func TestWithinDynamicThreshold_fair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit, floor := rapid.IntRange(1, 60).Draw(t, "limit"), rapid.IntRange(0, 4).Draw(t, "floor")
@@ -167,7 +173,7 @@
 			}
 			ok := WithinDynamicThreshold(limit, total, open[holder], floor)
 			if open[holder] < floor && total < limit && !ok {
-				t.Fatal("no room below the floor")
+				t.Fatal("rejected below the floor")
 			}
 			if !ok {
 				continue
@@ -177,13 +183,13 @@
 				t.Fatal("more than the limit")
 			}
 			if open[holder] > floor && limit-total < open[holder]-1 {
-				t.Fatalf("%d held, %d free", open[holder], limit-total)
+				t.Fatalf("%d in use, %d free", open[holder], limit-total)
 			}
 		}
 	})
 }
 
-// FuzzConn feeds frames as they come: no order of them is beyond the budgets' meaning.
+// FuzzConn records any frames in any order: budgets, deadlines and the reason to close stay consistent.
 func FuzzConn(f *testing.F) {
 	f.Add([]byte{1, 4, 0, 3, 0, 9, 1, 0, 0, 9, 0, 0})
 	f.Add([]byte{3, 0, 1, 3, 0, 1, 6, 0, 2, 8, 0, 255})
@@ -194,7 +200,7 @@
 			conn.FrameStarted(now)
 			reason := conn.FrameReceived(now, Frame{Kind: Kind(in[0]), Flags: in[1], Length: uint32(in[2]) << 6})
 			if closedFor != "" && reason != closedFor {
-				t.Fatalf("ended for %q, then %q", closedFor, reason)
+				t.Fatalf("closed for %q, then %q", closedFor, reason)
 			}
 			closedFor = reason
 			if in[1]&1 == 0 {
@@ -203,9 +209,9 @@
 			if at, ok := conn.Deadline(); ok && at > now+CompletionTimeout {
 				t.Fatalf("due at %v, now %v", at, now)
 			}
-			for of, spent := range conn.spent {
-				if spent < 0 || closedFor == "" && spent > frameBudgets[of].burst {
-					t.Fatalf("%s: %v spent", of, spent)
+			for budgetReason, spent := range conn.spent {
+				if spent < 0 || closedFor == "" && spent > frameBudgets[budgetReason].burst {
+					t.Fatalf("%s: %v spent", budgetReason, spent)
 				}
 			}
 		}
