--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -248,25 +248,30 @@
 	}
 }
 
-// Promise 7: which first lists of discovery are in force at once, and how the others are confirmed.
-func TestAssessList_firstList(t *testing.T) {
-	newAssessor := func() *Assessor {
-		assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), testRules)
-		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
-			for _, action := range assessor.Check(now) {
-				if i := slices.Index([]scheduler.WorkerID{workerID(8), workerID(9)}, action.Probe); i < 0 { // two never answer
-					assessor.ProbeCompleted(now, action.Probe, Answered)
-				}
+// newAnsweredAssessor returns an Assessor of ten workers, of which all but two have answered.
+func newAnsweredAssessor() *Assessor {
+	assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), testRules)
+	silent := []scheduler.WorkerID{workerID(8), workerID(9)}
+	for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
+		for _, action := range assessor.Check(now) {
+			if !slices.Contains(silent, action.Probe) {
+				assessor.ProbeCompleted(now, action.Probe, Answered)
 			}
 		}
-		return assessor
 	}
-	workerIDs := func(count int) (ids []scheduler.WorkerID) {
-		for i := range count {
-			ids = append(ids, workerID(i))
-		}
-		return ids
+	return assessor
+}
+
+// firstIDs returns the IDs of the first so many workers.
+func firstIDs(count int) (ids []scheduler.WorkerID) {
+	for i := range count {
+		ids = append(ids, workerID(i))
 	}
+	return ids
+}
+
+// Promise 7: which first lists of discovery are in force at once, and how the others are confirmed.
+func TestAssessList_firstList(t *testing.T) {
 	now := 10*day + 2*time.Second
 	for _, test := range []struct {
 		name     string
@@ -274,15 +279,15 @@
 		ready    []scheduler.WorkerID
 		retained int // -1: the list is in force at once
 	}{
-		{"all", 9, workerIDs(10), -1},
-		{"half", 9, workerIDs(5), -1},
-		{"below half", 9, workerIDs(4), 4},
+		{"all", 9, firstIDs(10), -1},
+		{"half", 9, firstIDs(5), -1},
+		{"below half", 9, firstIDs(4), 4},
 		{"empty", 9, nil, 8},
-		{"lower revision", 3, workerIDs(7), 1},
-		{"lower revision, all that answer", 3, workerIDs(8), -1},
-		{"more", 9, workerIDs(12), -1},
+		{"lower revision", 3, firstIDs(7), 1},
+		{"lower revision, all that answer", 3, firstIDs(8), -1},
+		{"more", 9, firstIDs(12), -1},
 	} {
-		assessor := newAssessor()
+		assessor := newAnsweredAssessor()
 		decision := assessor.AssessList(now, test.revision, test.ready)
 		if test.retained < 0 {
 			if len(decision.Retain) > 0 || decision.RefetchAt != 0 || !assessor.Finished() {
@@ -302,7 +307,7 @@
 		if decision := assessor.AssessList(now+ConfirmationDelay, test.revision, test.ready); (len(test.ready) > 0) != assessor.Finished() {
 			t.Errorf("%s, received twice: %+v", test.name, decision)
 		}
-		assessor = newAssessor()
+		assessor = newAnsweredAssessor()
 		assessor.AssessList(now, test.revision, test.ready)
 		if gone := assessor.ExpireRetained(now + MaxRetention); len(gone) != test.retained || !assessor.Finished() {
 			t.Errorf("%s, never received again: %v", test.name, gone)
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -62,10 +62,10 @@
 }
 
 // respond passes a response to the table, and returns the property that its changes violate.
-func (m *discoveryModel) respond(r modelResponse) error {
-	shown := m.changeInForce(r.composed)
-	response := ListResponse{Service: r.service.name, Revision: r.service.firstRevision + int64(shown), Complete: true,
-		CalledAt: m.at(r.called), ReceivedAt: m.at(r.received)}
+func (m *discoveryModel) respond(planned modelResponse) error {
+	shown := m.changeInForce(planned.composed)
+	response := ListResponse{Service: planned.service.name, Revision: planned.service.firstRevision + int64(shown), Complete: true,
+		CalledAt: m.at(planned.called), ReceivedAt: m.at(planned.received)}
 	if endpoint := m.truth[shown].endpoint; endpoint.State != scheduler.Gone {
 		response.Endpoints = []Endpoint{endpoint}
 	}
@@ -85,7 +85,7 @@
 				return fmt.Errorf("notified at %v, after the response of %v", accepted.NotifiedAt, response.ReceivedAt)
 			}
 		case before != scheduler.Ready && shown <= m.newestRestriction:
-			return fmt.Errorf("a list of change %d, composed at %v, withdraws the restriction of change %d", shown, r.composed, m.newestRestriction)
+			return fmt.Errorf("a list of change %d, composed at %v, withdraws the restriction of change %d", shown, planned.composed, m.newestRestriction)
 		}
 	}
 	return nil
--- a/internal/decisions/http2limits/http2limits_test.go
+++ b/internal/decisions/http2limits/http2limits_test.go
@@ -108,7 +108,7 @@
 func TestConn_incompleteInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
-		openSince := time.Duration(0) // of the oldest that is open there
+		openSince := time.Duration(0) // since when something is incomplete
 		open := true
 		if rapid.Bool().Draw(t, "preface") {
 			conn.PrefaceCompleted()
@@ -136,7 +136,6 @@
 			if !open {
 				openSince = now
 			}
-			open = true
 			conn.FrameStarted(now)
 			if headerFrames++; !headerOpen {
 				headerFrames = 1
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -149,26 +149,35 @@
 			s.call()
 			continue
 		}
-		c := s.openCalls[ending]
-		s.openCalls = append(s.openCalls[:ending], s.openCalls[ending+1:]...)
-		if c.fails {
-			how := Broken
-			if c.fault == answers503 {
-				how = Rejected
-			}
-			s.schedule.CallFailed(s.now, c.number, how, s.rules, s.chance())
-			continue
-		}
-		s.revisionKnown = true
-		told := !s.changedAt.IsZero()
-		if told && s.notifiedAt.IsZero() {
-			s.notifiedAt = s.now
+		if s.endCall(ending) {
 			return
 		}
-		s.schedule.CallAnswered(s.now, c.number, s.now.Sub(c.calledAt), told, false, s.rules, s.chance())
 	}
 }
 
+// endCall passes the end of a call in flight to the schedule. It reports whether the change was received first with this call.
+func (s *simulation) endCall(index int) (notified bool) {
+	call := s.openCalls[index]
+	s.openCalls = append(s.openCalls[:index], s.openCalls[index+1:]...)
+	if call.fails {
+		failure := Broken
+		if call.fault == answers503 {
+			failure = Rejected
+		}
+		s.schedule.CallFailed(s.now, call.number, failure, s.rules, s.chance())
+		return false
+	}
+	s.revisionKnown = true
+	changed := !s.changedAt.IsZero()
+	if changed && s.notifiedAt.IsZero() {
+		s.notifiedAt = s.now
+		return true
+	}
+	s.schedule.CallAnswered(s.now, call.number, s.now.Sub(call.calledAt), changed, false, s.rules, s.chance())
+	return false
+}
+
+// drawSimulation draws a simulation in which calls go to discovery, or to an agent where lists are pushed.
 func drawSimulation(t *rapid.T, pushed bool) *simulation {
 	start := time.Unix(1e9, 0)
 	rules := Rules{ListsPushed: pushed, Dispatchers: rapid.SampledFrom([]int{1, 5, 300, 900}).Draw(t, "dispatchers"),
--- a/internal/endpointcache/memoryfiles_test.go
+++ b/internal/endpointcache/memoryfiles_test.go
@@ -48,7 +48,7 @@
 
 func (m *memoryFiles) Replace(name string, content []byte) error {
 	if err := m.step(); err != nil {
-		if err == errCrashed && m.steps == m.crashAt {
+		if errors.Is(err, errCrashed) && m.steps == m.crashAt {
 			switch m.crashPart {
 			case 1: // after the rename
 				m.files[name] = content
@@ -64,7 +64,7 @@
 
 func (m *memoryFiles) Append(name string, content []byte) error {
 	if err := m.step(); err != nil {
-		if err == errCrashed && m.steps == m.crashAt {
+		if errors.Is(err, errCrashed) && m.steps == m.crashAt {
 			m.files[name] = append(m.files[name], content[:len(content)*m.crashPart/2]...)
 		}
 		return err
@@ -94,4 +94,5 @@
 	return nil
 }
 
+// newMemoryFiles returns no files.
 func newMemoryFiles() *memoryFiles { return &memoryFiles{files: map[string][]byte{}} }
--- a/internal/endpointcache/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -77,39 +77,25 @@
 		ends = append(ends, len(original.files[journal]))
 	}
 	whole := original.files[journal]
+	snapshot := original.files[fileName(snapshotPrefix, 1)]
 	loadLeaving := func(text []byte) (count int, torn bool) {
-		files := newMemoryFiles()
-		files.files[fileName(snapshotPrefix, 1)], files.files[journal] = original.files[fileName(snapshotPrefix, 1)], text
-		list, notes := NewStore(files, "n0").Load()
-		if list == nil || len(list.Members) != 3 {
-			t.Fatalf("%+v, %v", list, notes)
-		}
-		for i, member := range list.Members {
-			if member.Phase == "leaving" {
-				if count++; count != i+1 {
-					t.Fatalf("leaving are %+v", list.Members)
-				}
-			}
-		}
-		if list.Revision != int64(1+count) {
-			t.Fatalf("%d are leaving at revision %d", count, list.Revision)
-		}
-		return count, len(notes) > 0
+		t.Helper()
+		return loadLeavingMembers(t, snapshot, text)
 	}
-	for i := range whole {
+	for offset := range whole {
 		want := 0
 		for _, end := range ends {
-			if end <= i {
+			if end <= offset {
 				want++
 			}
 		}
-		if count, torn := loadLeaving(whole[:i]); count != want || torn == (i == 0 || slices.Contains(ends, i)) {
-			t.Fatalf("cut at %d: %d records, torn %v", i, count, torn)
+		if count, torn := loadLeaving(whole[:offset]); count != want || torn == (offset == 0 || slices.Contains(ends, offset)) {
+			t.Fatalf("cut at %d: %d records, torn %v", offset, count, torn)
 		}
 		damaged := slices.Clone(whole)
-		damaged[i] ^= 0x10
+		damaged[offset] ^= 0x10
 		if count, _ := loadLeaving(damaged); count != want {
-			t.Fatalf("byte %d changed: %d records, want %d", i, count, want)
+			t.Fatalf("byte %d changed: %d records, want %d", offset, count, want)
 		}
 	}
 	// A record at the place of another is not used.
@@ -119,6 +105,29 @@
 	}
 }
 
+// loadLeavingMembers loads a snapshot of three workers with a journal in which they leave one after the other. It returns how many have
+// left by the records that were read, and whether the journal was found torn.
+func loadLeavingMembers(t *testing.T, snapshot, journal []byte) (count int, torn bool) {
+	t.Helper()
+	files := newMemoryFiles()
+	files.files[fileName(snapshotPrefix, 1)], files.files[fileName(journalPrefix, 1)] = snapshot, journal
+	list, notes := NewStore(files, "n0").Load()
+	if list == nil || len(list.Members) != 3 {
+		t.Fatalf("%+v, %v", list, notes)
+	}
+	for i, member := range list.Members {
+		if member.Phase == "leaving" {
+			if count++; count != i+1 {
+				t.Fatalf("leaving are %+v", list.Members)
+			}
+		}
+	}
+	if list.Revision != int64(1+count) {
+		t.Fatalf("%d are leaving at revision %d", count, list.Revision)
+	}
+	return count, len(notes) > 0
+}
+
 // Promise 1: if the machine crashes at any change of the files, all that was written without an error is read, and the next process
 // continues from it.
 func TestStore_crashAtAnyStep(t *testing.T) {
@@ -234,7 +243,7 @@
 	if err := store.Append(&journalRecord{Revision: 2}); !errors.Is(err, files.failWith) {
 		t.Errorf("a full disk: %v", err)
 	}
-	if err := store.Append(&journalRecord{Revision: 3}); err != errNoGeneration {
+	if err := store.Append(&journalRecord{Revision: 3}); err != errNoGeneration { //nolint:errorlint // the very error, not one that wraps it
 		t.Errorf("after a torn record: %v", err)
 	}
 	if err := store.Snapshot(testList(4, "a")); !errors.Is(err, files.failWith) {
