--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -331,3 +331,16 @@
 		t.Fatalf("a return after MaxStaleness: %+v", changes)
 	}
 }
+
+// Promise 1 after a restart: a drain that a predecessor process handed over is not withdrawn by the first list of another service,
+// whose call was made less than MaxStaleness after the drain was notified.
+func TestRestoredDrain_notWithdrawnByOtherService(t *testing.T) {
+	var restored Table
+	drain := Endpoint{ID: "w", State: scheduler.Draining, NotifiedAt: epoch}
+	restored.Restore("before", 9, []Endpoint{drain})
+	ready := ListResponse{Service: "after", Revision: 3, Complete: true, CalledAt: epoch.Add(time.Second),
+		ReceivedAt: epoch.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
+	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 0 {
+		t.Errorf("accepted %+v", changes.Accepted)
+	}
+}
