--- /dev/null
+++ b/internal/decisions/failover/plan_test.go
@@ -0,0 +1,60 @@
+package failover
+
+import (
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestPlanChoose_followsShares checks that requests are distributed by the shares of a plan, that most keep their zone when shares
+// change little, and that two plans, mixed or interpolated, load the zones as MaxMixedLoad and Interpolate say.
+func TestPlanChoose_followsShares(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		zones, demands, reachable := drawInputs(t)
+		plan := newPlan(demands, zones, Solve(zones, demands, reachable, 0.15))
+		for i := range zones {
+			zones[i].Capacity *= rapid.Float64Range(0.9, 1.1).Draw(t, "capacity factor")
+		}
+		next := newPlan(demands, zones, Solve(zones, demands, reachable, 0.15))
+		for _, demand := range demands {
+			if demand.Work >= negligible {
+				checkChoices(t, demand, zones, plan, next, MaxDivergence(plan, next, demands))
+			}
+		}
+		for zone, mixed := range MaxMixedLoad(plan, next, demands) {
+			if mixed < plan.Load(demands)[zone]-1e-6 || mixed < next.Load(demands)[zone]-1e-6 {
+				t.Fatalf("mixed %v in %s", mixed, zone)
+			}
+		}
+		half := Interpolate(plan, next, demands, 0.5)
+		for zone, load := range half.Load(demands) {
+			if load > max(plan.Load(demands)[zone], next.Load(demands)[zone])+1e-6 {
+				t.Fatalf("between two plans %v in %s", load, zone)
+			}
+		}
+	})
+}
+
+// checkChoices has both plans choose zones for many requests of a demand.
+func checkChoices(t *rapid.T, demand Demand, zones []Zone, plan, next *Plan, divergence float64) {
+	t.Helper()
+	const requests = 2000
+	moved, chosen := 0, map[string]int{}
+	for i := range requests {
+		number := (float64(i) + 0.5) / requests
+		zone, _ := plan.Choose(demand.Zone, demand.Class, number)
+		chosen[zone]++
+		if other, _ := next.Choose(demand.Zone, demand.Class, number); other != zone {
+			moved++
+		}
+	}
+	for _, zone := range zones {
+		if share := plan.Share(demand.Zone, demand.Class, zone.Name); math.Abs(float64(chosen[zone.Name])/requests-share) > 2e-3 {
+			t.Fatalf("%d of %d in %s, share %v", chosen[zone.Name], requests, zone.Name, share)
+		}
+	}
+	if float64(moved)/requests > float64(len(zones)*len(zones))*divergence+1e-2 {
+		t.Fatalf("%d of %d moved, shares by %v", moved, requests, divergence)
+	}
+}
--- a/internal/decisions/failover/reasons.go
+++ b/internal/decisions/failover/reasons.go
@@ -7,109 +7,81 @@
 	"strings"
 )
 
-// ZoneView is what the planner makes of a zone.
-type ZoneView struct {
-	Zone            string   `json:"zone"`
-	Region          string   `json:"region"`
-	Capacity        float64  `json:"capacity"` // slots, as it is planned with
-	Planned         float64  `json:"planned"`  // slots' work that the plan has it serve
-	Demand          float64  `json:"asked"`    // that comes there
-	Shed            float64  `json:"shed"`     // of what comes there
-	CapacityFactor  float64  `json:"factor"`   // of its capacity that its times bear out
-	UnreachableFrom []string `json:"out_from,omitempty"`
-	Reason          string   `json:"why,omitempty"`
-}
+// lateCapacityFactor is the capacity factor below which a zone is called late.
+const lateCapacityFactor = 0.7
 
-// Views gives it for all zones, by name.
-func (p *Planner) Views(now Clock) (all []ZoneView) {
-	zones, demands := p.inputs(now)
-	load := p.plan.Load(demands)
-	for _, z := range zones {
-		v := ZoneView{Zone: z.Name, Region: z.Region, Capacity: z.Capacity, Planned: load[z.Name], CapacityFactor: 1}
-		if f, ok := p.capacityFactors[z.Name]; ok {
-			v.CapacityFactor = f
-		}
-		for _, d := range demands {
-			if d.Zone == z.Name {
-				v.Demand += d.Work
-				served := 0.0
-				for _, part := range p.plan.shares(d.Zone, d.Class) {
-					served += part.Share
-				}
-				v.Shed += d.Work * max(1-served, 0)
-			}
-		}
-		for _, o := range zones {
-			if p.isExcluded(o.Name, z.Name, "") {
-				v.UnreachableFrom = append(v.UnreachableFrom, o.Name)
-			}
-		}
-		if p.plan != nil {
-			v.Reason = p.plan.Reasons[z.Name]
+// reasons returns the reasons for a target, by zone, for people. They name causes and no figures that change, as a plan with other
+// reasons is another plan.
+func (p *Planner) reasons(zones []Zone, demands []Demand, target *Plan) map[string]string {
+	reasons := map[string]string{}
+	for _, zone := range zones {
+		if all := append(p.capacityReasons(zone.Name, zones), target.demandReasons(zone.Name, demands)...); len(all) > 0 {
+			reasons[zone.Name] = strings.Join(all, "; ")
 		}
-		all = append(all, v)
 	}
-	return all
+	return reasons
 }
 
-// reasons gives the reasons that people see, by zone. They name causes, not figures that move: a new figure is no new plan.
-func (p *Planner) reasons(zones []Zone, demands []Demand, target *Plan) map[string]string {
-	why := map[string]string{}
-	for _, z := range zones {
-		var says []string
-		if share, ok := p.zoneLimits[z.Name]; ok {
-			says = append(says, fmt.Sprintf("held at %g of its capacity", share))
-		}
-		if p.isLost(z.Name) {
-			says = append(says, "lost for most zones")
-		}
-		var from []string
-		for _, o := range zones {
-			if s := p.routes[route{o.Name, z.Name, ""}]; s != nil && s.excluded && !p.isLost(z.Name) {
-				from = append(from, o.Name)
-			}
-		}
-		if len(from) > 0 {
-			says = append(says, "not reached from "+strings.Join(from, ", "))
-		}
-		classes := map[string]bool{}
-		for w, s := range p.routes {
-			if w.to == z.Name && w.class != "" && s.excluded {
-				classes[w.class] = true
-			}
-		}
-		l := p.zoneLosses[z.Name]
-		returning := l != nil && !l.lost
-		for _, c := range slices.Sorted(maps.Keys(classes)) {
-			says = append(says, "answers no "+c)
-		}
-		if p.capacityFactors[z.Name] < 0.7 {
-			says = append(says, "late")
-		}
-		if returning {
-			says = append(says, "filled step by step")
-		}
-		shed, crosses := false, false
-		for _, d := range demands {
-			if d.Zone != z.Name {
-				continue
-			}
-			sum := 0.0
-			for _, part := range target.shares(d.Zone, d.Class) {
-				sum += part.Share
-				crosses = crosses || part.Zone != z.Name && part.Share > minShareChange
-			}
-			shed = shed || sum < 1-minShareChange
+// capacityReasons returns why a zone may not serve all that it could.
+func (p *Planner) capacityReasons(zone string, zones []Zone) (reasons []string) {
+	if share, ok := p.zoneLimits[zone]; ok {
+		reasons = append(reasons, fmt.Sprintf("held at %g of its capacity", share))
+	}
+	if p.isLost(zone) {
+		reasons = append(reasons, "lost for most zones")
+	} else if from := p.unreachableFrom(zone, zones); len(from) > 0 {
+		reasons = append(reasons, "not reached from "+strings.Join(from, ", "))
+	}
+	for _, class := range p.lostClasses(zone) {
+		reasons = append(reasons, "answers no "+class)
+	}
+	if p.capacityFactors[zone] < lateCapacityFactor {
+		reasons = append(reasons, "late")
+	}
+	if loss := p.zoneLosses[zone]; loss != nil && !loss.lost {
+		reasons = append(reasons, "filled step by step")
+	}
+	return reasons
+}
+
+// unreachableFrom returns the zones whose routes to a zone are excluded for all classes.
+func (p *Planner) unreachableFrom(zone string, zones []Zone) (from []string) {
+	for _, other := range zones {
+		if p.isRouteExcluded(route{other.Name, zone, ""}) {
+			from = append(from, other.Name)
 		}
-		if crosses {
-			says = append(says, "more than it has room for goes elsewhere")
+	}
+	return from
+}
+
+// lostClasses returns the classes for which any route to a zone is excluded, sorted.
+func (p *Planner) lostClasses(zone string) []string {
+	classes := map[string]bool{}
+	for r, state := range p.routes {
+		if r.to == zone && r.class != "" && state.excluded {
+			classes[r.class] = true
 		}
-		if shed {
-			says = append(says, "what is worth least is shed here")
+	}
+	return slices.Sorted(maps.Keys(classes))
+}
+
+// demandReasons returns what the plan does with requests that arrive in a zone and are not all served there.
+func (p *Plan) demandReasons(zone string, demands []Demand) (reasons []string) {
+	crosses, sheds := false, false
+	for _, demand := range demands {
+		if demand.Zone != zone {
+			continue
 		}
-		if len(says) > 0 {
-			why[z.Name] = strings.Join(says, "; ")
+		for _, share := range p.shares(demand.Zone, demand.Class) {
+			crosses = crosses || share.Zone != zone && share.Share > minShareChange
 		}
+		sheds = sheds || p.servedShare(demand) < 1-minShareChange
+	}
+	if crosses {
+		reasons = append(reasons, "more than it has room for goes elsewhere")
+	}
+	if sheds {
+		reasons = append(reasons, "what is worth least is shed here")
 	}
-	return why
+	return reasons
 }
--- a/internal/decisions/failover/recorder.go
+++ b/internal/decisions/failover/recorder.go
@@ -5,144 +5,159 @@
 	"time"
 )
 
-// Recorder is a dispatcher's part: it counts what the reports say.
+const (
+	// workSmoothing is the weight of one call in the mean work of its class.
+	workSmoothing = 0.05
+
+	// minReportSpan is the shortest time, in seconds, over which a report's rates are computed.
+	minReportSpan = 1e-3
+)
+
+// Recorder records what a dispatcher observes, for its reports.
 type Recorder struct {
-	name, zone      string
-	observations    map[[2]string]*Observation // by zone and class
-	arrivals        map[string]*classArrivals
-	lastSignals     map[string]lastSignal
-	reportedFailing map[string]bool // ways that were bad by the last report
+	name, zone      string // of the dispatcher
+	observations    map[zoneClass]*Observation
+	arrivals        map[string]*classArrivals // by class
+	lastSignals     map[string]lastSignal     // by zone
+	reportedFailing map[string]bool           // by zone: the verdicts of the last report
 	reportedAt      Clock
 }
 
+// lastSignal is the last sign of a zone.
 type lastSignal struct {
-	at         Clock
-	unanswered int
+	at         Clock // of the first unanswered call where there was no sign yet
+	unanswered int   // calls and probes since then
 }
 
+// classArrivals is what clients ask for of one class.
 type classArrivals struct {
 	jobs     float64 // since the last report
-	weight   float64
-	meanWork float64 // seconds of a slot that a job of the class takes, on average
+	weight   float64 // priority weight of a slot-second
+	meanWork float64 // slot-seconds of a job, smoothed; 0 where it is not known
 }
 
-// NewRecorder begins.
+// NewRecorder returns the recorder of the dispatcher with the given name in a zone. The first report covers the time from now.
 func NewRecorder(name, zone string, now Clock) *Recorder {
-	return &Recorder{name: name, zone: zone, observations: map[[2]string]*Observation{}, arrivals: map[string]*classArrivals{}, lastSignals: map[string]lastSignal{}, reportedFailing: map[string]bool{}, reportedAt: now}
+	return &Recorder{
+		name:            name,
+		zone:            zone,
+		observations:    map[zoneClass]*Observation{},
+		arrivals:        map[string]*classArrivals{},
+		lastSignals:     map[string]lastSignal{},
+		reportedFailing: map[string]bool{},
+		reportedAt:      now,
+	}
+}
+
+func (r *Recorder) arrivalsOf(class string) *classArrivals {
+	arrivals := r.arrivals[class]
+	if arrivals == nil {
+		arrivals = &classArrivals{}
+		r.arrivals[class] = arrivals
+	}
+	return arrivals
 }
 
-func (w *Recorder) arrivalsOf(class string) *classArrivals {
-	a := w.arrivals[class]
-	if a == nil {
-		a = &classArrivals{}
-		w.arrivals[class] = a
+func (r *Recorder) observationOf(to, class string) *Observation {
+	key := zoneClass{to, class}
+	observation := r.observations[key]
+	if observation == nil {
+		observation = &Observation{To: to, Class: class}
+		r.observations[key] = observation
 	}
-	return a
+	return observation
 }
 
-// JobArrived counts a job that came, whatever becomes of it; worth is of a second of its work.
-func (w *Recorder) JobArrived(class string, worth float64) {
-	a := w.arrivalsOf(class)
-	a.jobs++
-	a.weight = worth
+// JobArrived counts a request, whatever becomes of it. weight is the priority weight of a second of its work.
+func (r *Recorder) JobArrived(class string, weight float64) {
+	arrivals := r.arrivalsOf(class)
+	arrivals.jobs++
+	arrivals.weight = weight
 }
 
-// CallEnded counts a call that somebody answered: whether that was to turn it away, whether its answer was in time, and for how
-// long its job ran at all its slots together; 0 where that is not known.
-func (w *Recorder) CallEnded(to, class string, full, inTime bool, ran time.Duration, now Clock) {
-	s := w.observationOf(to, class)
-	s.Ended++
+// CallEnded counts a call that the zone answered: whether it rejected the call for lack of capacity, whether the answer was in
+// time, and how long the job ran, over all its slots; 0 where that is not known.
+func (r *Recorder) CallEnded(to, class string, full, inTime bool, ran time.Duration, now Clock) {
+	observation := r.observationOf(to, class)
+	observation.Ended++
 	if full {
-		s.Full++
+		observation.Full++
 	}
 	if inTime {
-		s.InTime++
+		observation.InTime++
 	}
-	if a := w.arrivalsOf(class); ran > 0 {
-		if a.meanWork == 0 {
-			a.meanWork = ran.Seconds()
+	if arrivals := r.arrivalsOf(class); ran > 0 {
+		if arrivals.meanWork == 0 {
+			arrivals.meanWork = ran.Seconds()
 		}
-		a.meanWork += 0.05 * (ran.Seconds() - a.meanWork)
+		arrivals.meanWork += workSmoothing * (ran.Seconds() - arrivals.meanWork)
 	}
-	w.ResponseReceived(to, now)
+	r.ResponseReceived(to, now)
 }
 
-// NoResponseAfter is how long a call may be without any sign before it is counted as one that nobody has answered.
-const NoResponseAfter = 500 * time.Millisecond
-
-// ResponseReceived notes any sign of a zone: an answer, to a probe too, or that a job has started.
-func (w *Recorder) ResponseReceived(to string, now Clock) { w.lastSignals[to] = lastSignal{now, 0} }
+// ResponseReceived records a sign of a zone: an answer to a call or to a probe, or that a job has started.
+func (r *Recorder) ResponseReceived(to string, now Clock) { r.lastSignals[to] = lastSignal{now, 0} }
 
-// CallUnanswered counts a call or a probe that nobody has answered.
-func (w *Recorder) CallUnanswered(to string, now Clock) {
-	h, ok := w.lastSignals[to]
+// CallUnanswered counts a call or a probe that had no answer, or no sign for NoResponseAfter.
+func (r *Recorder) CallUnanswered(to string, now Clock) {
+	signal, ok := r.lastSignals[to]
 	if !ok {
-		h.at = now
+		signal.at = now
 	}
-	h.unanswered++
-	w.lastSignals[to] = h
+	signal.unanswered++
+	r.lastSignals[to] = signal
 }
 
-func (w *Recorder) observationOf(to, class string) *Observation {
-	s := w.observations[[2]string{to, class}]
-	if s == nil {
-		s = &Observation{To: to, Class: class}
-		w.observations[[2]string{to, class}] = s
-	}
-	return s
-}
-
-// Report gives what was seen since the last one, and begins anew.
-func (w *Recorder) Report(now Clock, capacity map[string]float64) Report {
-	r := Report{Dispatcher: w.name, Zone: w.zone, Capacity: map[string]float64{}}
-	seconds := max((now - w.reportedAt).Seconds(), 1e-3)
-	for key, s := range w.observations {
-		if s.Ended > 0 {
-			r.Observations = append(r.Observations, *s)
-		}
-		delete(w.observations, key)
-	}
-	clear(w.reportedFailing)
-	for to, h := range w.lastSignals {
-		x := LastResponse{to, (now - h.at).Round(time.Millisecond), h.unanswered}
-		bad, any := x.verdict()
-		if !any && x.Unanswered == 0 {
-			continue // an old answer, and nothing asked for since: it says nothing
+// Report returns what was recorded since the last report. capacity is in slots, by zone, as Capacity returns it for each worker.
+func (r *Recorder) Report(now Clock, capacity map[string]float64) Report {
+	report := Report{Dispatcher: r.name, Zone: r.zone, Capacity: map[string]float64{}}
+	for key, observation := range r.observations {
+		if observation.Ended > 0 {
+			report.Observations = append(report.Observations, *observation)
 		}
-		w.reportedFailing[to] = bad
-		r.LastResponses = append(r.LastResponses, x)
+		delete(r.observations, key)
 	}
-	for class, a := range w.arrivals {
-		r.Arrivals = append(r.Arrivals, Arrivals{class, roundToThousandth(a.jobs / seconds * a.meanWork), a.weight})
-		a.jobs = 0
+	report.LastResponses = r.lastResponses(now)
+	seconds := max((now - r.reportedAt).Seconds(), minReportSpan)
+	for class, arrivals := range r.arrivals {
+		work := arrivals.jobs / seconds * arrivals.meanWork
+		report.Arrivals = append(report.Arrivals, Arrivals{class, roundToThousandth(work), arrivals.weight})
+		arrivals.jobs = 0
 	}
-	for zone, c := range capacity {
-		r.Capacity[zone] = roundToThousandth(c)
+	for zone, slots := range capacity {
+		report.Capacity[zone] = roundToThousandth(slots)
 	}
-	w.reportedAt = now
-	return r
+	r.reportedAt = now
+	return report
 }
 
-// HasUrgentChange tells whether a way is bad that was not by the last report, or the other way round.
-func (w *Recorder) HasUrgentChange(now Clock) bool {
-	for to, h := range w.lastSignals {
-		if bad, any := (LastResponse{to, now - h.at, h.unanswered}).verdict(); any && bad != w.reportedFailing[to] {
-			return true
+// lastResponses returns the last signs of all zones but those that were not called since a sign that is too old to say anything. It
+// records the verdicts that they are.
+func (r *Recorder) lastResponses(now Clock) (responses []LastResponse) {
+	clear(r.reportedFailing)
+	for to, signal := range r.lastSignals {
+		response := LastResponse{to, (now - signal.at).Round(time.Millisecond), signal.unanswered}
+		failing, known := response.verdict()
+		if !known && response.Unanswered == 0 {
+			continue
 		}
+		r.reportedFailing[to] = failing
+		responses = append(responses, response)
 	}
-	return false
+	return responses
 }
 
-// roundToThousandth rounds to a thousandth: nobody plans by less, and each digit is sent by every dispatcher every second.
-func roundToThousandth(x float64) float64 { return math.Round(x*1000) / 1000 }
-
-// Capacity is what boxes of a size in slots can take now from everybody: one that started so long ago is at a share of its
-// size that rises evenly, and is given jobs by a few dispatchers only, as its budget is dealt out among all.
-func Capacity(size, start float64, age, cold time.Duration) float64 {
-	if cold <= 0 || age >= cold {
-		return size
+// HasUrgentChange reports whether the verdict on a route differs from that of the last report, so that the next one should be sent
+// at once.
+func (r *Recorder) HasUrgentChange(now Clock) bool {
+	for to, signal := range r.lastSignals {
+		failing, known := (LastResponse{to, now - signal.at, signal.unanswered}).verdict()
+		if known && failing != r.reportedFailing[to] {
+			return true
+		}
 	}
-	return size * warmingUpUse * (start + (1-start)*max(age.Seconds(), 0)/cold.Seconds())
+	return false
 }
 
-const warmingUpUse = 0.2
+// roundToThousandth keeps reports short: each dispatcher sends every digit each second, and no plan depends on more of them.
+func roundToThousandth(value float64) float64 { return math.Round(value*1000) / 1000 }
--- a/internal/decisions/failover/solve_test.go
+++ b/internal/decisions/failover/solve_test.go
@@ -10,18 +10,20 @@
 	"pgregory.net/rapid"
 )
 
-// drawInputs draws zones, demands and ways.
-func drawInputs(t *rapid.T) (zones []Zone, demands []Demand, ways Reachability) {
-	n := rapid.IntRange(1, 4).Draw(t, "zones")
-	for i := range n {
+// drawInputs draws up to four zones in two regions, with demands and routes that are cut.
+func drawInputs(t *rapid.T) (zones []Zone, demands []Demand, reachable Reachability) {
+	t.Helper()
+	count := rapid.IntRange(1, 4).Draw(t, "zones")
+	for i := range count {
 		zones = append(zones, Zone{fmt.Sprint("z", i), fmt.Sprint("r", i%2), float64(rapid.IntRange(0, 20).Draw(t, "capacity"))})
-		for c := range rapid.IntRange(0, 2).Draw(t, "classes") {
-			demands = append(demands, Demand{fmt.Sprint("z", i), fmt.Sprint("c", c), float64(rapid.IntRange(0, 20).Draw(t, "work")), float64(1 + 5*c)})
+		for class := range rapid.IntRange(0, 2).Draw(t, "classes") {
+			work := float64(rapid.IntRange(0, 20).Draw(t, "work"))
+			demands = append(demands, Demand{fmt.Sprint("z", i), fmt.Sprint("c", class), work, float64(1 + 5*class)})
 		}
 	}
 	cut := map[string]bool{}
-	for i := range n {
-		for j := range n {
+	for i := range count {
+		for j := range count {
 			if rapid.IntRange(0, 4).Draw(t, "cut") == 0 {
 				cut[fmt.Sprint("z", i, "z", j)] = true
 			}
@@ -30,142 +32,99 @@
 	return zones, demands, func(from, to, _ string) (float64, bool) { return 1, !cut[from+to] }
 }
 
-// crossingPrice is what a unit of work costs that crosses: out of a region more than any number of zones.
+// crossingPrice returns the price of a slot of work that goes from one zone to another: one that leaves its region costs more than
+// any number of crossings of zones.
 func crossingPrice(zones []Zone, from string, to Zone) float64 {
-	for _, z := range zones {
-		if z.Name == from && z.Name == to.Name {
+	for _, zone := range zones {
+		if zone.Name == from && zone.Name == to.Name {
 			return 0
-		} else if z.Name == from && z.Region == to.Region {
+		} else if zone.Name == from && zone.Region == to.Region {
 			return 1e-4
 		}
 	}
 	return 1e-2
 }
 
-// solveAsLinearProgramme solves the same as a linear programme: the most worth, and then the least crossing.
-func solveAsLinearProgramme(zones []Zone, demands []Demand, ways Reachability, headroom float64) (worth, crossing float64) {
-	n, m := len(demands), len(zones)
-	cols := n*m + n + m // flows, what is shed, what room is left
-	cost := make([]float64, cols)
-	a := mat.NewDense(n+m, cols, nil)
-	b := make([]float64, n+m)
-	for i, d := range demands {
-		b[i] = d.Work
-		for j, z := range zones {
-			a.Set(i, i*m+j, 1)
-			a.Set(n+j, i*m+j, 1)
-			if _, ok := ways(d.Zone, z.Name, d.Class); !ok {
-				cost[i*m+j] = 1e6
+// solveAsLinearProgramme solves what Solve does as a linear programme. It returns the most weight of work that can be served, and
+// the least price of crossings with it; no number where the simplex method fails.
+func solveAsLinearProgramme(zones []Zone, demands []Demand, reachable Reachability, headroom float64) (weight, crossings float64) {
+	demandCount, zoneCount := len(demands), len(zones)
+	flows := demandCount * zoneCount
+	columns := flows + demandCount + zoneCount // flows, what is shed, what capacity is left
+	cost := make([]float64, columns)
+	coefficients := mat.NewDense(demandCount+zoneCount, columns, nil)
+	bounds := make([]float64, demandCount+zoneCount)
+	for row, demand := range demands {
+		bounds[row] = demand.Work
+		for j, zone := range zones {
+			column := row*zoneCount + j
+			coefficients.Set(row, column, 1)
+			coefficients.Set(demandCount+j, column, 1)
+			if _, ok := reachable(demand.Zone, zone.Name, demand.Class); !ok {
+				cost[column] = 1e6
 			} else {
-				cost[i*m+j] = crossingPrice(zones, d.Zone, z)
+				cost[column] = crossingPrice(zones, demand.Zone, zone)
 			}
 		}
-		a.Set(i, n*m+i, 1)
-		cost[n*m+i] = d.Weight
+		coefficients.Set(row, flows+row, 1)
+		cost[flows+row] = demand.Weight
 	}
-	for j, z := range zones {
-		b[n+j] = z.Capacity * (1 - headroom)
-		a.Set(n+j, n*m+n+j, 1)
+	for j, zone := range zones {
+		bounds[demandCount+j] = zone.Capacity * (1 - headroom)
+		coefficients.Set(demandCount+j, flows+demandCount+j, 1)
 	}
-	_, x, err := lp.Simplex(cost, a, b, 1e-10, nil)
+	_, solution, err := lp.Simplex(cost, coefficients, bounds, 1e-10, nil)
 	if err != nil {
 		return math.NaN(), 0
 	}
-	for i, d := range demands {
-		worth += d.Weight * (d.Work - x[n*m+i])
-		for j, z := range zones {
-			crossing += crossingPrice(zones, d.Zone, z) * x[i*m+j]
+	for i, demand := range demands {
+		weight += demand.Weight * (demand.Work - solution[flows+i])
+		for j, zone := range zones {
+			crossings += crossingPrice(zones, demand.Zone, zone) * solution[i*zoneCount+j]
 		}
 	}
-	return worth, crossing
+	return weight, crossings
 }
 
-// A flow keeps within room and ways, serves as much worth as the linear programme, and crosses no more.
+// TestSolve_matchesLinearProgramme checks that a flow keeps within capacities and routes, serves as much weight of work as the
+// linear programme, and crosses no more.
 func TestSolve_matchesLinearProgramme(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		zones, demands, ways := drawInputs(t)
+		zones, demands, reachable := drawInputs(t)
 		if len(demands) == 0 {
 			return
 		}
 		headroom := rapid.SampledFrom([]float64{0, 0.15}).Draw(t, "headroom")
-		f := Solve(zones, demands, ways, headroom)
-		worth, crossing := 0.0, 0.0
+		flow := Solve(zones, demands, reachable, headroom)
+		weight, crossings := 0.0, 0.0
 		load := make([]float64, len(zones))
-		for i, d := range demands {
-			sum := f.Shed[i]
-			for j, z := range zones {
-				x := f.Served[i][j]
-				if _, ok := ways(d.Zone, z.Name, d.Class); x < -1e-6 || x > 1e-6 && !ok {
-					t.Fatalf("%v of %v in %v", x, d, z)
+		for i, demand := range demands {
+			sum := flow.Shed[i]
+			for j, zone := range zones {
+				served := flow.Served[i][j]
+				if _, ok := reachable(demand.Zone, zone.Name, demand.Class); served < -1e-6 || served > 1e-6 && !ok {
+					t.Fatalf("%v of %v in %v", served, demand, zone)
 				}
-				sum += x
-				load[j] += x
-				worth += d.Weight * x
-				crossing += crossingPrice(zones, d.Zone, z) * x
+				sum += served
+				load[j] += served
+				weight += demand.Weight * served
+				crossings += crossingPrice(zones, demand.Zone, zone) * served
 			}
-			if math.Abs(sum-d.Work) > 1e-6 {
-				t.Fatalf("%v of %v is accounted for", sum, d)
+			if math.Abs(sum-demand.Work) > 1e-6 {
+				t.Fatalf("%v of %v is accounted for", sum, demand)
 			}
 		}
-		for j, z := range zones {
-			if load[j] > z.Capacity*(1-headroom)+1e-6 {
-				t.Fatalf("%v planned in %+v", load[j], z)
+		for j, zone := range zones {
+			if load[j] > zone.Capacity*(1-headroom)+1e-6 {
+				t.Fatalf("%v planned in %+v", load[j], zone)
 			}
 		}
-		best, least := solveAsLinearProgramme(zones, demands, ways, headroom)
-		if math.IsNaN(best) {
+		mostWeight, leastCrossings := solveAsLinearProgramme(zones, demands, reachable, headroom)
+		if math.IsNaN(mostWeight) {
 			return // degenerate for the simplex method
 		}
-		if worth < best-1e-4*(1+best) || crossing > least+1e-5 {
-			t.Fatalf("worth %v of %v, crossing %v of %v", worth, best, crossing, least)
-		}
-	})
-}
-
-// A job's own number gives its zone: in the shares of the plan, the same again, and most jobs stay where a plan moves a
-// little. Mixed, two plans load a zone with no less than either.
-func TestPlanChoose_followsShares(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		zones, demands, ways := drawInputs(t)
-		a := newPlan(demands, zones, Solve(zones, demands, ways, 0.15))
-		for i := range zones {
-			zones[i].Capacity *= rapid.Float64Range(0.9, 1.1).Draw(t, "moves")
-		}
-		b := newPlan(demands, zones, Solve(zones, demands, ways, 0.15))
-		apart := MaxDivergence(a, b, demands)
-		for _, d := range demands {
-			if d.Work < negligible {
-				continue
-			}
-			moved, got := 0, map[string]int{}
-			const n = 2000
-			for k := range n {
-				own := (float64(k) + 0.5) / n
-				to, _ := a.Choose(d.Zone, d.Class, own)
-				got[to]++
-				if again, _ := b.Choose(d.Zone, d.Class, own); again != to {
-					moved++
-				}
-			}
-			for _, z := range zones {
-				if share := a.Share(d.Zone, d.Class, z.Name); math.Abs(float64(got[z.Name])/n-share) > 2e-3 {
-					t.Fatalf("%d of %d in %s, share %v", got[z.Name], n, z.Name, share)
-				}
-			}
-			if float64(moved)/n > float64(len(zones)*len(zones))*apart+1e-2 {
-				t.Fatalf("%d of %d moved, shares by %v", moved, n, apart)
-			}
-		}
-		for zone, most := range MaxMixedLoad(a, b, demands) {
-			if most < a.Load(demands)[zone]-1e-6 || most < b.Load(demands)[zone]-1e-6 {
-				t.Fatalf("mixed %v in %s", most, zone)
-			}
-		}
-		half := Interpolate(a, b, demands, 0.5)
-		for zone, load := range half.Load(demands) {
-			if load > max(a.Load(demands)[zone], b.Load(demands)[zone])+1e-6 {
-				t.Fatalf("between two plans %v in %s", load, zone)
-			}
+		if weight < mostWeight-1e-4*(1+mostWeight) || crossings > leastCrossings+1e-5 {
+			t.Fatalf("weight %v of %v, crossings %v of %v", weight, mostWeight, crossings, leastCrossings)
 		}
 	})
 }
