--- a/internal/zonerouting/router.go
+++ b/internal/zonerouting/router.go
@@ -16,21 +16,21 @@
 
 // Router is the dispatcher's part. It is routing's Router.
 type Router struct {
-	params *protocol.LiveSettings
-
-	mu      sync.Mutex
-	watcher *failover.Recorder
-	zone    string // of the dispatcher
-	boxes   map[scheduler.WorkerID]scheduler.WorkerInfo
-	plan    *failover.Plan
-	alone   bool
-	now     scheduler.Clock
-	keys    map[uint64]kept // zones of keys whose window is not over
-	swept   scheduler.Clock
-	shed    int
+	settings *protocol.LiveSettings
+
+	mu          sync.Mutex
+	recorder    *failover.Recorder
+	zone        string // of the dispatcher
+	workers     map[scheduler.WorkerID]scheduler.WorkerInfo
+	plan        *failover.Plan
+	planExpired bool
+	now         scheduler.Clock
+	keyZones    map[uint64]keyZone // zones of keys whose window is not over
+	sweptAt     scheduler.Clock
+	shedCount   int
 }
 
-type kept struct {
+type keyZone struct {
 	zone  string
 	until scheduler.Clock
 }
@@ -39,10 +39,10 @@
 
 // New makes it for a dispatcher.
 func New(name string, p *protocol.LiveSettings) *Router {
-	g := &Router{params: p, boxes: map[scheduler.WorkerID]scheduler.WorkerInfo{}, keys: map[uint64]kept{}}
+	g := &Router{settings: p, workers: map[scheduler.WorkerID]scheduler.WorkerInfo{}, keyZones: map[uint64]keyZone{}}
 	s := p.Current()
 	g.zone = zoneName(s, s.Locality)
-	g.watcher = failover.NewRecorder(name, g.zone, 0)
+	g.recorder = failover.NewRecorder(name, g.zone, 0)
 	return g
 }
 
@@ -58,14 +58,14 @@
 func (g *Router) ApplyPlan(p *failover.Plan, alone bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.plan, g.alone = p, alone
+	g.plan, g.planExpired = p, alone
 }
 
 // ShedCount counts the jobs that the plan had refused where they arrived.
 func (g *Router) ShedCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.shed
+	return g.shedCount
 }
 
 // Listed takes news of the boxes.
@@ -74,22 +74,22 @@
 	defer g.mu.Unlock()
 	g.now = now
 	if l.ListKind == scheduler.ListFull || l.ListKind == scheduler.ListCached {
-		clear(g.boxes)
+		clear(g.workers)
 	}
 	for _, w := range l.Workers {
-		g.boxes[w.ID] = w
+		g.workers[w.ID] = w
 	}
 }
 
 const (
-	leastAway = 500 * time.Millisecond // for which a client that is shed is told to stay away
-	sweepEach = time.Second
+	minRetryAfter = 500 * time.Millisecond // for which a client that is shed is told to stay away
+	sweepInterval = time.Second
 )
 
 // Arrived says to which zones a job may be sent, a bit for each number; not ok where it is shed here, and for how long its
 // client should stay away. Jobs of an idempotency key keep their zone for the window in which a repeat is dropped.
 func (g *Router) Route(now scheduler.Clock, class, key string) (within uint64, away time.Duration, ok bool) {
-	p := g.params.Current()
+	p := g.settings.Current()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
@@ -97,9 +97,9 @@
 	if i, known := p.Class(class); known {
 		worth, window = p.Classes[i].Credit, p.Classes[i].Window.Duration()
 	}
-	g.watcher.JobArrived(class, worth)
+	g.recorder.JobArrived(class, worth)
 	zone, ok := g.zone, true
-	if g.plan != nil && !g.alone {
+	if g.plan != nil && !g.planExpired {
 		own, hash := rand.Float64(), uint64(0)
 		if key != "" {
 			h := fnv.New64a()
@@ -107,21 +107,21 @@
 			hash = h.Sum64() * 0x9e3779b97f4a7c15
 			own = float64(hash>>11) / (1 << 53)
 		}
-		was, had := g.keys[hash]
+		was, had := g.keyZones[hash]
 		if had = had && hash != 0 && now < was.until; had {
 			zone = was.zone
 		} else if zone, ok = g.plan.Choose(g.zone, class, own); !ok {
-			g.shed++
-			return 0, leastAway + time.Duration(rand.Float64()*float64(3*leastAway)), false
+			g.shedCount++
+			return 0, minRetryAfter + time.Duration(rand.Float64()*float64(3*minRetryAfter)), false
 		}
 		if hash != 0 && window > 0 && !had {
-			g.keys[hash] = kept{zone, now + window}
+			g.keyZones[hash] = keyZone{zone, now + window}
 		}
-		if now-g.swept > sweepEach {
-			g.swept = now
-			for k, x := range g.keys {
+		if now-g.sweptAt > sweepInterval {
+			g.sweptAt = now
+			for k, x := range g.keyZones {
 				if now >= x.until {
-					delete(g.keys, k)
+					delete(g.keyZones, k)
 				}
 			}
 		}
@@ -134,9 +134,9 @@
 	return 0, 0, true
 }
 
-// at gives the zone of a box.
-func (g *Router) at(id scheduler.WorkerID) string {
-	return zoneName(g.params.Current(), g.boxes[id].Zone)
+// zoneOf gives the zone of a box.
+func (g *Router) zoneOf(id scheduler.WorkerID) string {
+	return zoneName(g.settings.Current(), g.workers[id].Zone)
 }
 
 // Began notes that a box has begun a job.
@@ -144,12 +144,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
-	g.watcher.ResponseReceived(g.at(id), now)
+	g.recorder.ResponseReceived(g.zoneOf(id), now)
 }
 
 // Ended counts a call: how long its job waited at the box and ran; silent where nobody answered.
 func (g *Router) AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, o scheduler.Outcome, took, ran time.Duration) {
-	p := g.params.Current()
+	p := g.settings.Current()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = now
@@ -157,16 +157,16 @@
 	case scheduler.NeverSent:
 	case scheduler.Cancelled:
 		if ran == 0 && took >= failover.NoResponseAfter/4 {
-			g.watcher.CallUnanswered(g.at(id), now)
+			g.recorder.CallUnanswered(g.zoneOf(id), now)
 		}
 	case scheduler.TimedOut, scheduler.NoConnect, scheduler.Reset:
-		g.watcher.CallUnanswered(g.at(id), now)
+		g.recorder.CallUnanswered(g.zoneOf(id), now)
 	default:
 		inTime := o == scheduler.Served
 		if i, known := p.Class(class); known {
 			inTime = inTime && took <= p.Classes[i].Aim.Duration()+time.Duration(p.Classes[i].AimStretch*float64(ran))
 		}
-		g.watcher.CallEnded(g.at(id), class, o == scheduler.Full, inTime, ran, now)
+		g.recorder.CallEnded(g.zoneOf(id), class, o == scheduler.Full, inTime, ran, now)
 	}
 }
 
@@ -174,7 +174,7 @@
 func (g *Router) AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.watcher.CallUnanswered(g.at(id), now)
+	g.recorder.CallUnanswered(g.zoneOf(id), now)
 }
 
 // Probed counts a probe.
@@ -183,10 +183,10 @@
 	defer g.mu.Unlock()
 	switch o {
 	case scheduler.Served:
-		g.watcher.ResponseReceived(g.at(id), g.now)
+		g.recorder.ResponseReceived(g.zoneOf(id), g.now)
 	case scheduler.NeverSent:
 	default:
-		g.watcher.CallUnanswered(g.at(id), g.now)
+		g.recorder.CallUnanswered(g.zoneOf(id), g.now)
 	}
 }
 
@@ -194,17 +194,17 @@
 func (g *Router) HasUrgentChange() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.watcher.HasUrgentChange(g.now)
+	return g.recorder.HasUrgentChange(g.now)
 }
 
 // Report gives what was seen since the last one. Sizes in the list are taken for slots.
 func (g *Router) Report() *failover.Report {
-	p := g.params.Current()
+	p := g.settings.Current()
 	cold, start := p.Rules.Cold.Duration(), p.Rules.StartCapacity
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	capacity := map[string]float64{}
-	for _, b := range g.boxes {
+	for _, b := range g.workers {
 		if b.State == scheduler.Ready {
 			age := cold
 			if b.StartedAt > 0 {
@@ -213,6 +213,6 @@
 			capacity[zoneName(p, b.Zone)] += failover.Capacity(b.Weight, start, age, cold)
 		}
 	}
-	r := g.watcher.Report(g.now, capacity)
+	r := g.recorder.Report(g.now, capacity)
 	return &r
 }
