--- /dev/null
+++ b/internal/zonerouting/keyzones.go
@@ -0,0 +1,51 @@
+package zonerouting
+
+import (
+	"time"
+
+	"brassdale/scheduler"
+)
+
+// sweepInterval is the time between two removals of expired keys.
+const sweepInterval = time.Second
+
+// keyZones are the zones to which requests of idempotency keys were sent, within the keys' deduplication windows.
+type keyZones struct {
+	zones   map[uint64]keyZone // by hash of the key
+	sweptAt scheduler.Clock
+}
+
+// keyZone is the zone of a key.
+type keyZone struct {
+	zone   string
+	expiry scheduler.Clock
+}
+
+// get returns the zone of a key by its hash. A hash of 0 stands for no key.
+func (k *keyZones) get(hash uint64, now scheduler.Clock) (zone string, ok bool) {
+	if hash == 0 {
+		return "", false
+	}
+	entry, ok := k.zones[hash]
+	return entry.zone, ok && now < entry.expiry
+}
+
+// add stores the zone of a key by its hash, which it does not for a hash of 0.
+func (k *keyZones) add(hash uint64, zone string, expiry scheduler.Clock) {
+	if hash != 0 {
+		k.zones[hash] = keyZone{zone, expiry}
+	}
+}
+
+// sweep removes expired keys, once in sweepInterval.
+func (k *keyZones) sweep(now scheduler.Clock) {
+	if now-k.sweptAt <= sweepInterval {
+		return
+	}
+	k.sweptAt = now
+	for hash, entry := range k.zones {
+		if now >= entry.expiry {
+			delete(k.zones, hash)
+		}
+	}
+}
