--- a/internal/decisions/budgetleases/lessee.go
+++ b/internal/decisions/budgetleases/lessee.go
@@ -26,8 +26,8 @@
 	return &Lessee{unleasedRate: unleasedRate, filledAt: now}
 }
 
-// ApplyLease stores a lease of rate uses a second, which lasts from requestedAt, when the lessee asked for it. It is ignored where
-// it expires before the current one.
+// ApplyLease stores a lease of rate uses a second, which lasts from requestedAt, when the lessee sent the request. It is
+// ignored where it expires before the current one.
 func (l *Lessee) ApplyLease(rate float64, requestedAt Clock, lease time.Duration, now Clock) {
 	l.refill(now)
 	if expiry := requestedAt + lease; expiry >= l.expiry || now >= l.expiry {
--- a/internal/decisions/budgetleases/lessor.go
+++ b/internal/decisions/budgetleases/lessor.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// allocationInterval is the maximum age of the allocation on which a grant rests: it goes through all lessees, and each of
-	// them asks several times a second.
+	// allocationInterval is the maximum age of the allocation on which a grant rests: computing it goes through all lessees, each
+	// of which requests several grants a second.
 	allocationInterval = 50 * time.Millisecond
 
 	// demandHeadroom times its demand is the most that a lessee is granted. The margin meets demand that rises until the next
@@ -33,7 +33,7 @@
 
 // lesseeState is what the lessor knows of a lessee.
 type lesseeState struct {
-	demand, floor float64 // uses a second, as it last asked
+	demand, floor float64 // uses a second, as it last requested
 	requestedAt   Clock
 	grants        []grant // those that may be valid
 	granted       float64 // its part of Lessor.granted
@@ -62,7 +62,7 @@
 	return l.settings.LeaseDuration + time.Duration(MaxClockDrift*float64(l.settings.LeaseDuration))
 }
 
-// expire removes expired grants, and lessees that have none and have not asked for one for a lease duration.
+// expire removes expired grants, and lessees that have none and have not requested one for a lease duration.
 func (l *Lessor) expire(now Clock) {
 	maps.DeleteFunc(l.lessees, func(_ string, lessee *lesseeState) bool {
 		lessee.grants = slices.DeleteFunc(lessee.grants, func(g grant) bool { return now >= g.expiry })
@@ -78,8 +78,8 @@
 	return rate
 }
 
-// Grant returns the uses a second that the dispatcher with the given name may make, as a lease that begins when it asked. demand
-// is what it needs now, and floor is the part of it that it gets before others get more than their floors; both are uses a second.
+// Grant returns the uses a second that the dispatcher with the given name may make, as a lease that begins when it sent the
+// request. demand is what it needs now, and floor is the part of it that it gets before others get more than their floors; both are uses a second.
 //
 // The rate is at least what the dispatcher may use without a lease, but 0 where Settings.MaxLessees others have leases: the
 // budget then has no room for it.
--- a/internal/decisions/failover/report.go
+++ b/internal/decisions/failover/report.go
@@ -49,7 +49,7 @@
 	return false, false
 }
 
-// Arrivals is what clients asked of a dispatcher, of one class.
+// Arrivals is the work that clients requested of a dispatcher, of one class.
 type Arrivals struct {
 	Class  string  `json:"class"`
 	Work   float64 `json:"work"`  // slots that it keeps busy: slot-seconds a second
--- a/internal/zonerouting/router.go
+++ b/internal/zonerouting/router.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// minRetryAfter is the minimum time for which the client of a request that is shed should wait. The time that it is told is
-	// drawn from minRetryAfter to minRetryAfter and maxRetryAfterSpread more, so that clients do not come back together.
+	// minRetryAfter is the minimum Retry-After of a request that is shed. Up to maxRetryAfterSpread is drawn in addition, so that
+	// clients do not retry together.
 	minRetryAfter       = 500 * time.Millisecond
 	maxRetryAfterSpread = 3 * minRetryAfter
 
