--- a/internal/decisions/budgetleases/lessor.go
+++ b/internal/decisions/budgetleases/lessor.go
@@ -79,7 +79,8 @@
 }
 
 // Grant returns the uses a second that the dispatcher with the given name may make, as a lease that begins when it sent the
-// request. demand is what it needs now, and floor is the part of it that it gets before others get more than their floors; both are uses a second.
+// request. demand is what it needs now, and floor is the part of it that it gets before others get more than their floors; both are
+// uses a second.
 //
 // The rate is at least what the dispatcher may use without a lease, but 0 where Settings.MaxLessees others have leases: the
 // budget then has no room for it.
