--- /dev/null
+++ b/scheduler/actions.go
@@ -0,0 +1,62 @@
+package scheduler
+
+import "time"
+
+// Action is something that a scheduler wants done. The actions are the structs below, to be carried out in order.
+type Action interface{ action() }
+
+// Send starts an attempt. A request's attempts are numbered 0, 1, 2 and so on as they are sent. An attempt lasts until its
+// outcome, or until the client stops waiting. One whose last byte has not left by SendBy must not leave: its outcome is
+// NeverSent.
+type Send struct {
+	ID     RequestID
+	Worker WorkerID
+	SendBy Clock // 0 for no bound
+}
+
+// Cancel cancels an attempt; its outcome follows as usual.
+type Cancel struct {
+	ID      RequestID
+	Attempt int
+}
+
+// Reject is a final answer: the client may send the request again without harm.
+type Reject struct {
+	ID         RequestID
+	RetryAfter time.Duration // advice when; 0 for none
+}
+
+// Fail is a final answer that promises nothing: the request may have executed.
+type Fail struct{ ID RequestID }
+
+// CloseIdleConnections closes the connections to a worker that have been idle for at least MinIdle, or, where that is unknown,
+// all idle ones.
+type CloseIdleConnections struct {
+	Worker  WorkerID
+	MinIdle time.Duration
+}
+
+// Probe asks a worker whether it takes requests, and for its load report; a ProbeCompleted follows.
+type Probe struct{ Worker WorkerID }
+
+// Subscribe asks for the changes of the endpoint list from now on, those that were missed first.
+type Subscribe struct{}
+
+// SetTimer asks for a TimerFired event with the token, After from now.
+type SetTimer struct {
+	Token uint64
+	After time.Duration
+}
+
+// Log is a line for the operator. Lines are rare: each tells of a change of state.
+type Log struct{ Text string }
+
+func (Send) action()                 {}
+func (Cancel) action()               {}
+func (Reject) action()               {}
+func (Fail) action()                 {}
+func (CloseIdleConnections) action() {}
+func (Probe) action()                {}
+func (Subscribe) action()            {}
+func (SetTimer) action()             {}
+func (Log) action()                  {}
--- /dev/null
+++ b/scheduler/endpoints.go
@@ -0,0 +1,135 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Endpoints: updates of the endpoint list, workers that the operator detaches, and when the list is polled.
+
+const (
+	// MaxListRetryDelay is the longest time between a failed poll of the endpoint list and the Subscribe that follows.
+	MaxListRetryDelay = 900 * time.Millisecond
+
+	// minPollDelay is the longest delay of a poll where there are few dispatchers.
+	minPollDelay = 100 * time.Millisecond
+
+	// pollDelayPerDispatcher is added to it for each dispatcher beyond dispatchersWithoutSpread.
+	pollDelayPerDispatcher = 400 * time.Millisecond
+
+	// dispatchersWithoutSpread is the number of dispatchers whose polls need not be spread.
+	dispatchersWithoutSpread = 2
+
+	// maxFirstPollDelay bounds the delay of the first poll after a start.
+	maxFirstPollDelay = 3 * time.Second
+
+	// fixedPollDelayShare is the share of the delay that is not random.
+	fixedPollDelayShare = 0.05
+)
+
+// onEndpointsUpdated takes in an update of the endpoint list, and schedules a poll after a cached list or a failed call.
+func (s *Scheduler) onEndpointsUpdated(event EndpointsUpdated) {
+	if event.AsOf != 0 {
+		s.listAsOf = event.AsOf
+	}
+	if event.ListKind == ListFull || event.ListKind == ListCached {
+		for _, worker := range s.workers {
+			worker.listed = false
+		}
+	}
+	for _, info := range event.Workers {
+		s.updateWorker(info)
+	}
+	s.chooseSubset()
+	switch event.ListKind {
+	case ListCached:
+		s.schedulePoll(maxFirstPollDelay)
+	case ListFailed:
+		s.schedulePoll(MaxListRetryDelay)
+	}
+}
+
+// updateWorker takes in one entry of the endpoint list. What was learned of a worker is void once it has restarted.
+func (s *Scheduler) updateWorker(info WorkerInfo) {
+	known := s.workersByID[info.ID]
+	if known == nil {
+		known = s.addWorker(info.ID)
+	} else if info.StartedAt > known.StartedAt {
+		s.resetStatistics(known)
+	}
+	info.StartedAt = known.startTime(info)
+	known.WorkerInfo = info
+	known.listed = info.State == Ready
+}
+
+// addWorker adds a worker that no list named before; the workers are ordered by id.
+func (s *Scheduler) addWorker(id WorkerID) *worker {
+	added := &worker{
+		increment: initialIncrement, idHash: hashWorkerID(id), detached: s.detached[id],
+		classEjections: make([]ejectionState, len(s.classes)),
+	}
+	s.workersByID[id] = added
+	place, _ := slices.BinarySearchFunc(s.workers, id, func(w *worker, id WorkerID) int { return cmp.Compare(w.ID, id) })
+	s.workers = slices.Insert(s.workers, place, added)
+	return added
+}
+
+// startTime returns when the worker started, by its entry in a list: the latest start known, as an older list must not make it
+// older, unless this start is confirmed and the operator has not just reattached the worker.
+func (w *worker) startTime(info WorkerInfo) Clock {
+	if info.StartConfirmed && !w.reattached {
+		return info.StartedAt
+	}
+	return max(info.StartedAt, w.StartedAt)
+}
+
+// setDetached detaches a worker, or reattaches it. A reattached worker is in slow start, since it was most likely restarted: from
+// its start by the list or, if the list tells of none since it was detached, from now on.
+func (s *Scheduler) setDetached(id WorkerID, detached bool) {
+	if detached {
+		s.detached[id] = true
+	} else {
+		delete(s.detached, id)
+	}
+	worker := s.workersByID[id]
+	if worker == nil || worker.detached == detached {
+		return
+	}
+	worker.detached, worker.nextProbeAt = detached, 0
+	if detached {
+		worker.detachedAt = s.now
+	} else {
+		s.resetStatistics(worker)
+		worker.reattached = true
+		if worker.StartedAt < worker.detachedAt {
+			worker.StartedAt = s.now
+		}
+	}
+	s.chooseSubset()
+}
+
+// KnowsWorker reports whether a list ever named the worker, or the operator has detached it.
+func (s *Scheduler) KnowsWorker(id WorkerID) bool { return s.workersByID[id] != nil || s.detached[id] }
+
+// schedulePoll sets the timer of the next poll, where the list is polled, after a random delay of at most maxDelay.
+func (s *Scheduler) schedulePoll(maxDelay time.Duration) {
+	if s.settings.ListPolled {
+		delay := pollDelay(s.settings.Dispatchers, maxDelay, s.random.Float64())
+		s.emit(SetTimer{Token: pollTimer, After: delay + 1})
+	}
+}
+
+// FirstAsk returns how long after its start a dispatcher polls the endpoint list, by the number of dispatchers that may start
+// at the same time and by chance, a random number in [0, 1).
+func FirstAsk(dispatchers int, chance float64) time.Duration {
+	return pollDelay(dispatchers, maxFirstPollDelay, chance)
+}
+
+// pollDelay returns the delay of a poll, at most maxDelay. It grows with the number of dispatchers: discovery serves few calls a
+// second, and those of many dispatchers that start, or fail, at the same time would overrun it.
+func pollDelay(dispatchers int, maxDelay time.Duration, chance float64) time.Duration {
+	spread := pollDelayPerDispatcher * time.Duration(max(dispatchers-dispatchersWithoutSpread, 0))
+	delay := minPollDelay + min(spread, maxDelay-minPollDelay)
+	return time.Duration(float64(delay) * (fixedPollDelayShare + (1-fixedPollDelayShare)*chance))
+}
--- /dev/null
+++ b/scheduler/events.go
@@ -0,0 +1,177 @@
+package scheduler
+
+import "time"
+
+// Clock is a point in time: the time since an epoch that the caller picks and never moves back.
+type Clock = time.Duration
+
+// RequestID identifies one client request, a client's retry included. It is never reused within a scheduler's life.
+type RequestID uint64
+
+// WorkerID is the stable name of a worker. Nothing else follows from it.
+type WorkerID string
+
+// Event is something that happened to a dispatcher. The events are the structs below.
+type Event interface{ event() }
+
+// ListKind says how an EndpointsUpdated event relates to the endpoint list before it.
+type ListKind uint8
+
+// The kinds of endpoint updates.
+const (
+	ListDelta  ListKind = iota // only the workers that changed
+	ListFull                   // all workers; absent ones are gone
+	ListCached                 // all workers as once known, perhaps long ago
+	ListFailed                 // the call failed or the watch broke; the list before stays in force
+)
+
+// WorkerState is a worker's state by the endpoint list.
+type WorkerState uint8
+
+// The states: it takes requests, it finishes those that it has, it is no longer listed.
+const (
+	Ready WorkerState = iota
+	Draining
+	Gone
+)
+
+// String returns a state's name in log lines.
+func (s WorkerState) String() string {
+	return [...]string{Ready: "active", Draining: "draining", Gone: "gone"}[s]
+}
+
+// WorkerInfo is one entry of the endpoint list.
+type WorkerInfo struct {
+	ID             WorkerID
+	State          WorkerState
+	Zone           int
+	Cell           int
+	MachineKind    int
+	Weight         float64 // relative size
+	StartedAt      Clock   // when it last started; 0 for long ago
+	StartConfirmed bool    // StartedAt holds even where it is earlier than the one known before
+}
+
+// EndpointsUpdated brings an update of the endpoint list.
+type EndpointsUpdated struct {
+	ListKind ListKind
+	Workers  []WorkerInfo
+	AsOf     Clock // all changes up to this time are included by now; 0 if that is as before
+}
+
+// RequestArrived is a client's request. The scheduler owes it one final answer (Reject, Fail or a served attempt) by Deadline.
+type RequestArrived struct {
+	ID            RequestID
+	Class         int           // number in Settings.Classes; the first stands in for an unknown one
+	Slots         float64       // of a worker that its job takes; 0 or less, or not a number, counts as 1
+	Deadline      Clock         // when the client stops waiting
+	EstimatedWork time.Duration // rough estimate of its runtime; 0 if unknown
+	AffinityKey   uint64        // requests with the same key should share workers; 0 for none
+	AllowedZones  uint64        // zones that it may be sent to, a bit for each number; 0 for all
+}
+
+// Outcome is how an attempt or a probe ended.
+type Outcome uint8
+
+// The outcomes.
+const (
+	Served         Outcome = iota
+	Errored                // ended with an error; may have executed
+	Full                   // rejected by the worker for want of capacity; never executed
+	TimedOut               // may have executed, or may yet
+	NoConnect              // never reached the worker
+	Reset                  // the connection broke; may have executed
+	Cancelled              // cancelled by the dispatcher; may have executed
+	NeverSent              // did not leave; never executed
+	InvalidRequest         // rejected for what the request is; never executed, and would be nowhere
+)
+
+var outcomeNames = [...]string{Served: "served", Errored: "errored", Full: "full", TimedOut: "timed out", NoConnect: "no connection",
+	Reset: "reset", Cancelled: "cancelled", NeverSent: "never sent", InvalidRequest: "rejected"}
+
+// String returns an outcome's name in log lines.
+func (o Outcome) String() string { return outcomeNames[o] }
+
+// Report is the load that a worker reports of itself. A field that is negative or not a finite number counts as not reported.
+type Report struct {
+	Busy      float64 // share of its cores that is busy
+	Requests  float64 // number of requests that run or wait there
+	FreeSlots float64
+	Queue     float64 // number of requests that wait there
+}
+
+// AttemptFinished brings the outcome of an attempt; each Send gets exactly one.
+type AttemptFinished struct {
+	ID             RequestID
+	Attempt        int // number, as in Send
+	Worker         WorkerID
+	Outcome        Outcome
+	Final          bool          // the client has its answer, or the request was over before
+	Report         *Report       // nil for none
+	ConnectionIdle time.Duration // how long the connection had been idle before the attempt; below 0 if unknown
+}
+
+// ProbeCompleted brings the outcome of a Probe.
+type ProbeCompleted struct {
+	Worker  WorkerID
+	Outcome Outcome // Served if the worker answered that it takes requests
+	Report  *Report // nil for none
+}
+
+// AttemptStarted says that an attempt's job runs. Streamed is set when the answer has begun to reach the client: the client
+// depends on this attempt from then on.
+type AttemptStarted struct {
+	ID       RequestID
+	Attempt  int
+	Worker   WorkerID
+	Streamed bool
+}
+
+// AttemptProgressed brings the share, from 0 to 1, of an attempt's job that is done.
+type AttemptProgressed struct {
+	ID      RequestID
+	Attempt int
+	Worker  WorkerID
+	Share   float64
+}
+
+// ClientLeft says that the client has gone: nothing is owed for the request any more.
+type ClientLeft struct{ ID RequestID }
+
+// ShutdownStarted says that this process ends at Deadline: open requests, and those that still arrive, are answered by then.
+type ShutdownStarted struct{ Deadline Clock }
+
+// WorkerDetached says that the operator has detached a worker: it gets no requests, whatever the endpoint list says.
+type WorkerDetached struct{ Worker WorkerID }
+
+// WorkerReattached ends that. The worker was most likely restarted, so what was learned of it is void.
+type WorkerReattached struct{ Worker WorkerID }
+
+// ProcessCountChanged gives the number of processes that act as this one dispatcher: two during a handover.
+type ProcessCountChanged struct{ Processes int }
+
+// SettingsChanged brings new settings. A class keeps its number for the scheduler's life: new classes are appended, and a class
+// whose rules change becomes a new one. Open requests keep the settings that they arrived under.
+type SettingsChanged struct{ Settings Settings }
+
+// HandoverCompleted brings what the predecessor has learned to a scheduler that takes over from it. It comes after the first
+// endpoint list and before any request.
+type HandoverCompleted struct{ LearnedState LearnedState }
+
+// TimerFired answers a SetTimer.
+type TimerFired struct{ Token uint64 }
+
+func (EndpointsUpdated) event()    {}
+func (RequestArrived) event()      {}
+func (AttemptFinished) event()     {}
+func (ProbeCompleted) event()      {}
+func (AttemptStarted) event()      {}
+func (AttemptProgressed) event()   {}
+func (ClientLeft) event()          {}
+func (ShutdownStarted) event()     {}
+func (WorkerDetached) event()      {}
+func (WorkerReattached) event()    {}
+func (ProcessCountChanged) event() {}
+func (SettingsChanged) event()     {}
+func (HandoverCompleted) event()   {}
+func (TimerFired) event()          {}
--- /dev/null
+++ b/scheduler/learnedstate.go
@@ -0,0 +1,73 @@
+package scheduler
+
+// LearnedState is what a scheduler has learned that also holds for a process that takes over from it.
+type LearnedState struct {
+	Overcommit float64                       `json:"Allow"`   // share of a worker's slots
+	MeanStay   float64                       `json:"Stay"`    // seconds from send to outcome
+	MeanWork   float64                       `json:"Mean"`    // of a job, in slot-seconds
+	Classes    []ClassStatistics             `json:"Classes"` // by number
+	Workers    map[WorkerID]WorkerStatistics `json:"Workers"`
+}
+
+// ClassStatistics says how long jobs of a class run.
+type ClassStatistics struct {
+	WorkScale      float64 `json:"Scale"` // mean runtime in seconds, or as a multiple of the estimated work
+	MeanLogRuntime float64 `json:"Usual"` // mean logarithm of the same
+	Jobs           int     `json:"Jobs"`  // number of served jobs
+}
+
+// WorkerStatistics is what was learned of a worker's process that started at StartedAt.
+type WorkerStatistics struct {
+	StartedAt    Clock   `json:"Since"`
+	Slots        float64 `json:"Total"`     // the most slots seen; 0 if unknown
+	Increment    float64 `json:"Increment"` // load of one slot while the slots are unknown
+	Slowness     float64 `json:"Lag"`       // sum over jobs of the logarithm of their runtime as a multiple of the usual one
+	SlownessJobs float64 `json:"JobsOf"`    // their number, decayed like the sum
+	LastSignal   Clock   `json:"Heard"`     // last sign of life
+}
+
+// LearnedState returns what was learned so far.
+func (s *Scheduler) LearnedState() LearnedState {
+	learned := LearnedState{
+		Overcommit: s.overcommit, MeanStay: s.meanStay, MeanWork: s.meanWork, Workers: map[WorkerID]WorkerStatistics{},
+	}
+	for _, class := range s.classes {
+		learned.Classes = append(learned.Classes, ClassStatistics{
+			WorkScale: class.workScale, MeanLogRuntime: class.meanLogRuntime, Jobs: class.jobs,
+		})
+	}
+	for _, worker := range s.workers {
+		if worker.State != Gone {
+			learned.Workers[worker.ID] = WorkerStatistics{
+				StartedAt: worker.StartedAt, Slots: worker.observedSlots, Increment: worker.increment,
+				Slowness: worker.slownessSum, SlownessJobs: worker.slownessJobs, LastSignal: worker.lastSignal,
+			}
+		}
+	}
+	return learned
+}
+
+// onHandoverCompleted begins with what the predecessor has learned, of the workers that are listed and have not restarted since.
+// Learned state without classes tells of workers alone, and the process does not count as a successor.
+func (s *Scheduler) onHandoverCompleted(event HandoverCompleted) {
+	learned := event.LearnedState
+	if len(learned.Classes) > 0 {
+		s.tookOver = true
+		s.overcommit, s.meanStay, s.meanWork = learned.Overcommit, learned.MeanStay, learned.MeanWork
+	}
+	for number, class := range learned.Classes {
+		if number < len(s.classes) {
+			s.servedJobs += class.Jobs
+			s.classes[number] = classState{
+				workScale: class.WorkScale, meanLogRuntime: class.MeanLogRuntime, jobs: class.Jobs,
+			}
+		}
+	}
+	for id, before := range learned.Workers {
+		if worker := s.workersByID[id]; worker != nil && worker.StartedAt <= before.StartedAt {
+			worker.StartedAt, worker.increment = before.StartedAt, before.Increment
+			worker.slownessSum, worker.slownessJobs = before.Slowness, before.SlownessJobs
+			s.recordSlots(worker, before.Slots)
+		}
+	}
+}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,51 +1,193 @@
-// Package scheduler decides where a dispatcher pushes its jobs, when it sends them again and when it
-// turns them away. Its interface (settings, events, actions) is api.go, its state state.go; the decisions are
-// split by job: membership, load, pick, queue, attempts, review, health, coldbudget.
+// Package scheduler makes the decisions of a dispatcher: which worker gets a request, when an attempt is
+// retried or hedged, what is rejected and when a request is given up. It is pure: no I/O, clock or
+// goroutine.
 //
-// The mechanism is Least Used with Degradation: each worker has a load value, a job goes to the
-// lowest, round robin among ties, each push raises the value by the job's share of the worker, and
-// each report resets it. Everything else is a departure; its comment says when it acts.
+// # Model
+//
+// The mechanism is Least Used with Degradation. Each worker has a load value, from 0 (idle) to 1 (full) and
+// beyond. A request goes to the worker with the lowest value, round robin among ties; each send raises the
+// worker's value by an increment, the share of the worker that the request takes; each load report of the
+// worker resets the value. Where another rule departs from this, the comment at its function says when and
+// why.
+//
+// # Life of a request
+//
+// RequestArrived admits a request to the queue. Each event ends with a look at the queue: as far as workers
+// have capacity, requests leave it by Send, which starts an attempt. AttemptStarted says that the attempt
+// runs; the request's other attempts are then cancelled (Cancel). AttemptFinished brings its outcome:
+// served, and the client has its answer; or not, and the request queues again for a retry if its
+// idempotency permits one. A review, by a timer (SetTimer, TimerFired), hedges what has not started in time
+// and gives up what is too late. A request ends with a served attempt, Reject (sending it again is
+// harmless) or Fail, or when its client has gone (ClientLeft).
+//
+// # Invariants
+//
+//   - Each request gets at most one final answer, by its deadline plus Settings.AnswerSlack if timers fire
+//     in time, and no attempt is sent after it.
+//   - A non-idempotent request has at most one attempt that may have executed. One with an idempotency key
+//     is sent again only inside its deduplication scope and window. No request has more than MaxAttempts
+//     attempts.
+//   - Reject is given only if repeating the request is harmless.
+//   - No request is sent to a worker that is not listed as ready, or that the operator has detached.
+//   - A warming worker gets no more than this dispatcher's share of its slow-start budget, or one request.
+//   - The same settings, seed and events give the same actions.
+//
+// # What the caller must do
+//
+// One goroutine at a time calls the methods of a Scheduler. It passes each event with the time, which never
+// goes back, and carries the returned actions out in order before the next call: the result of Handle is
+// valid only until then. Each Send gets exactly one AttemptFinished, each Probe one ProbeCompleted, and
+// each SetTimer one TimerFired, late rather than early.
+//
+// # Where the rules are
+//
+//   - queue.go: admission, the order of the queue
+//   - placement.go, loadvalue.go, overcommit.go: which worker, its load value, when it has capacity
+//   - affinity.go, subset.go: workers for an affinity key, which workers are candidates at all
+//   - attempts.go, retries.go: the life of attempts, what permits a further one, final answers
+//   - review.go, hedging.go, deadlines.go: the regular review, hedges, giving up
+//   - slowstart.go, outlier.go: warming workers, ejection of outliers and their way back
+//   - endpoints.go, freshness.go, probing.go: the endpoint list, its age, probes
+//   - statistics.go, learnedstate.go: means and counts that the rules share, what a successor takes over
+//   - settings.go, events.go, actions.go: the interface; worker.go, request.go: the state
 package scheduler
 
-import "cmp"
+import (
+	"cmp"
+	"math/rand/v2"
+	"time"
+)
+
+// Scheduler is the decision state of one dispatcher. Make it with New. It is not safe for concurrent use.
+type Scheduler struct {
+	settings *Settings // in force; replaced as a whole
+	random   *rand.Rand
+	now      Clock    // time of the current event
+	actions  []Action // of the current event
+
+	// The workers.
+	workers        []*worker // all that a list ever named, by id
+	workersByID    map[WorkerID]*worker
+	detached       map[WorkerID]bool // by the operator, whether or not a list has named them
+	listAsOf       Clock             // the endpoint list includes all changes up to this time
+	listedCount    int               // of listed workers that are not detached
+	totalWeight    float64           // of the same
+	trialsInFlight int               // trial attempts at workers whose report is overdue
+
+	// The candidates.
+	subset            []*worker // that requests are sent to, by id or in this dispatcher's order
+	subsetChosenAt    Clock
+	loadsKnown        bool // the fleet is so small that all loads are known
+	affinityInUse     bool // a request with an affinity key has arrived
+	rotationCursor    int  // round robin among ties: index of the first candidate
+	hashRing          []*worker
+	hashRingSum       uint64    // of the hashes of its members
+	warmingCandidates []*worker // warming workers of which this dispatcher has a slow-start share
+	candidateBuffer   []*worker // reused by candidatesForKey
+
+	// The requests.
+	requests          map[RequestID]*request
+	requestsByArrival []*request
+	queued            []*request // those that wait here for a worker
+	lastSequence      int
+
+	// What was learned.
+	overcommit      float64 // share of its slots that a worker may be filled beyond them
+	congestion      float64 // share of the recent attempts whose start was delayed
+	arrivalRate     float64 // own requests a second
+	meanStay        float64 // seconds from send to outcome
+	meanWork        float64 // of a job, in slot-seconds
+	meanOthersLoad  float64 // of other dispatchers, as a share of a worker
+	servedJobs      int
+	classes         []classState
+	recentSends     decayingCounter
+	recentHedges    decayingCounter
+	recentKeys      keyCounter
+	cancellations   cancellationEstimate
+	slownessByKind  map[int]float64       // mean logSlowness of a machine kind
+	slotsByKind     map[int]float64       // the most slots seen at a worker of a machine kind
+	roundTripTimes  map[int]time.Duration // by zone: the least time from send to start
+	safeIdle        time.Duration         // connections idle for less were not lost; 0 if none was lost
+	idleLossAt      Clock                 // when an idle connection was last lost
+	firstEventAt    Clock
+	lastArrivalAt   Clock
+	resumedAt       Clock // the turn in which this process found that it had stood still
+	reviewScheduled bool
+	nextReviewAt    Clock
 
-// Handle takes one event and returns what to do. The result is valid until the next call.
-func (s *Scheduler) Handle(now Clock, ev Event) []Action {
+	// The process.
+	processes        int   // that act as this dispatcher
+	tookOver         bool  // has the state of a predecessor, which sent a share of its own
+	shutdownDeadline Clock // when this process ends; 0 while unknown
+}
+
+// New makes a Scheduler. The seed decides the random draws.
+func New(settings Settings, seed uint64) *Scheduler {
+	normalized := settings.normalized()
+	return &Scheduler{
+		settings:       normalized,
+		random:         rand.New(rand.NewPCG(seed, uint64(normalized.DispatcherIndex))),
+		workersByID:    map[WorkerID]*worker{},
+		detached:       map[WorkerID]bool{},
+		rotationCursor: normalized.DispatcherIndex,
+		requests:       map[RequestID]*request{},
+		overcommit:     initialOvercommit,
+		classes:        make([]classState, len(normalized.Classes)),
+		recentKeys:     keyCounter{counts: map[uint64]float64{}},
+		slownessByKind: map[int]float64{},
+		slotsByKind:    map[int]float64{},
+		roundTripTimes: map[int]time.Duration{},
+		processes:      1,
+	}
+}
+
+// Handle takes in one event at the time now and returns the actions that follow, to be carried out in
+// order. A time before that of an earlier event counts as the earlier one. The result is valid until the
+// next call.
+func (s *Scheduler) Handle(now Clock, event Event) []Action {
 	s.now = max(s.now, now)
 	s.actions = s.actions[:0]
 	s.firstEventAt = cmp.Or(s.firstEventAt, s.now)
 	s.detectStall()
-	switch e := ev.(type) {
+	s.dispatch(event)
+	s.sendQueued()
+	s.scheduleReview()
+	return s.actions
+}
+
+// dispatch calls the event's handler.
+func (s *Scheduler) dispatch(event Event) {
+	switch event := event.(type) {
 	case EndpointsUpdated:
-		s.onEndpointsUpdated(e)
+		s.onEndpointsUpdated(event)
 	case RequestArrived:
-		s.onRequestArrived(e)
+		s.onRequestArrived(event)
 	case AttemptFinished:
-		s.onAttemptFinished(e)
+		s.onAttemptFinished(event)
 	case ProbeCompleted:
-		s.onProbeCompleted(e)
+		s.onProbeCompleted(event)
 	case AttemptStarted:
-		s.onAttemptStarted(e)
+		s.onAttemptStarted(event)
 	case AttemptProgressed:
-		s.onAttemptProgressed(e)
+		s.onAttemptProgressed(event)
 	case ClientLeft:
-		s.onClientLeft(e)
+		s.onClientLeft(event)
 	case ShutdownStarted:
-		s.onShutdownStarted(e)
+		s.onShutdownStarted(event)
 	case WorkerDetached:
-		s.setDetached(e.Worker, true)
+		s.setDetached(event.Worker, true)
 	case WorkerReattached:
-		s.setDetached(e.Worker, false)
+		s.setDetached(event.Worker, false)
 	case HandoverCompleted:
-		s.adoptLearnedState(e.LearnedState)
+		s.onHandoverCompleted(event)
 	case SettingsChanged:
-		s.applySettings(e.Settings)
+		s.onSettingsChanged(event)
 	case ProcessCountChanged:
-		s.processes = max(e.Processes, 1)
+		s.processes = max(event.Processes, 1)
 	case TimerFired:
-		s.onTimerFired(e)
+		s.onTimerFired(event)
 	}
-	s.sendQueued()
-	s.scheduleReview()
-	return s.actions
 }
+
+// emit adds an action to those of the current event.
+func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
--- /dev/null
+++ b/scheduler/settings.go
@@ -0,0 +1,96 @@
+package scheduler
+
+import "time"
+
+// Idempotency says what a second execution of a request may do.
+type Idempotency uint8
+
+// The kinds of idempotency.
+const (
+	Idempotent        Idempotency = iota // may be repeated and rejected at will
+	IdempotentWithKey                    // carries a key; workers of one scope drop repeats for Class.DeduplicationWindow
+	NonIdempotent                        // must never execute twice
+)
+
+// DeduplicationScope is the group of workers that drops the repeats of a request with an idempotency key.
+type DeduplicationScope uint8
+
+// The scopes: all workers, those of one zone, those of one cell.
+const (
+	ScopeAll DeduplicationScope = iota
+	ScopeZone
+	ScopeCell
+)
+
+// Class describes one kind of request.
+type Class struct {
+	LatencyObjective    time.Duration // an answer within LatencyObjective + ObjectiveStretch x own work counts in full
+	ObjectiveStretch    float64
+	Deadline            time.Duration // how long a client waits, its retries included
+	PriorityWeight      float64       // value of an answer in time
+	LateWeight          float64       // value of a later answer, as a share of PriorityWeight
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope // for IdempotentWithKey
+	DeduplicationWindow time.Duration      // how long workers remember a key
+	Streamed            bool               // the answer is streamed to the client
+	MachineKind         int                // the only machine kind that runs it, or -1 for any
+}
+
+// Settings configure a Scheduler. The zero value is usable: absent limits fall to the cautious side (no hedge, probe or cancel).
+type Settings struct {
+	DispatcherIndex int // own number among the dispatchers, from 0
+	Dispatchers     int // number of dispatchers that share the workers; at least 1 is assumed
+	Zone            int // own zone
+	Classes         []Class
+
+	ListPolled       bool          // the endpoint list comes only when Subscribe asks for it
+	ReportsPulled    bool          // load reports come with probes only
+	ReportsStart     bool          // workers report when a job starts
+	ProgressInterval time.Duration // time between progress reports of a running job; 0 for none
+
+	MayProbe       bool
+	MayCancel      bool
+	MayHedge       bool          // a further attempt may be sent while one is in flight
+	MayAdviseRetry bool          // Reject may carry RetryAfter
+	MaxAttempts    int           // of one request; 0 for the default of 16
+	MaxRetryAfter  time.Duration // the advice that Reject carries
+
+	MaxPollInterval   time.Duration // where ListPolled: without a call for so long the dispatcher counts as notified of all changes
+	ListValidity      time.Duration // how long after its state was confirmed a worker may be sent requests; 0 for no bound
+	AnswerSlack       time.Duration // how long after its deadline a final answer still counts
+	SlowStartDuration time.Duration // age at which a started worker has its full capacity
+	SlowStartCapacity float64       // capacity of a worker that has just started, as a share of its full one
+	OverloadMultiple  float64       // a warming worker that is sent more than this multiple of its capacity ...
+	OverloadWindow    time.Duration // ... for this long fails
+
+	CrossZoneCost float64 // cost of sending across zones, as a share of a request's priority weight
+	WeightByWork  bool    // priority weights are meant for each unit of a request's work
+}
+
+// defaultMaxAttempts applies where the settings say nothing.
+const defaultMaxAttempts = 16
+
+// normalized returns the settings with defaults for what is absent or out of range.
+func (s Settings) normalized() *Settings {
+	s.Dispatchers, s.DispatcherIndex = max(s.Dispatchers, s.DispatcherIndex+1, 1), max(s.DispatcherIndex, 0)
+	if len(s.Classes) == 0 {
+		s.Classes = []Class{{Idempotency: NonIdempotent, MachineKind: -1}}
+	}
+	if !s.MayAdviseRetry {
+		s.MaxRetryAfter = 0
+	}
+	if s.MaxAttempts <= 0 {
+		s.MaxAttempts = defaultMaxAttempts
+	}
+	return &s
+}
+
+// onSettingsChanged puts new settings in force. Open requests keep those that they arrived under.
+func (s *Scheduler) onSettingsChanged(event SettingsChanged) {
+	s.settings = event.Settings.normalized()
+	added := max(len(s.settings.Classes)-len(s.classes), 0)
+	s.classes = append(s.classes, make([]classState, added)...)
+	for _, worker := range s.workers {
+		worker.classEjections = append(worker.classEjections, make([]ejectionState, added)...)
+	}
+}
--- /dev/null
+++ b/scheduler/worker.go
@@ -0,0 +1,86 @@
+package scheduler
+
+import "hash/fnv"
+
+// worker is what a scheduler knows of one worker.
+type worker struct {
+	WorkerInfo
+	idHash     uint64 // of the id, the same at every dispatcher
+	listed     bool   // ready by the endpoint list
+	detached   bool   // by the operator
+	detachedAt Clock
+	reattached bool // by the operator, and no own attempt has started since
+
+	ejectionState                   // of the worker as a whole
+	classEjections  []ejectionState // by class
+	recentFailures  decayingCounter // own jobs that failed
+	recentSuccesses decayingCounter // own jobs that were served
+
+	// The load by the last report, as a share of the worker.
+	reportedAt      Clock // 0 for never
+	reportedLoad    float64
+	othersLoad      float64 // of other dispatchers: the reported load less the own slots of that time
+	meanOthersLoad  float64 // over othersLoadWindow
+	lastProbeReport Report
+	fullUntil       Clock // it rejected an attempt as full; its load value is 1 at least until then
+
+	// The own slots there.
+	ownSlots       float64 // of attempts in flight
+	meanOwnSlots   float64 // over reportLookback, as of meanOwnSlotsAt
+	meanOwnSlotsAt Clock
+	runningSlots   float64         // of attempts that have started
+	cancelledSlots decayingCounter // of attempts that were cancelled before their start
+	cancelledWaits decayingCounter // attempts that were cancelled after they had waited for long enough to be hedged
+	delayedStarts  int             // attempts that have not started in time, as of the last review
+
+	// Its size.
+	observedSlots  float64 // the most slots seen; 0 while unknown
+	increment      float64 // load of one slot until then
+	sendsSinceFull int
+
+	// The sends to it.
+	weightedSends    float64         // by 1/weight: ties go round robin, to a worker of twice the weight twice as often
+	recentSends      decayingCounter // the same, decaying
+	slowStartCharges []slowStartCharge
+
+	// Its pace: sums of logSlowness over jobs, and their numbers.
+	slownessSum         float64 // over served jobs, decaying
+	slownessJobs        float64
+	runningSlownessSum  float64 // over jobs that run for longer than usual, as of the last review
+	runningSlownessJobs float64
+
+	lastSignal        Clock // last sign of life, or first send after none was in flight
+	lastUsed          Clock // last send or sign of life
+	nextProbeAt       Clock // of the regular probes; 0 for not yet chosen
+	probeInFlight     bool
+	probeSentAt       Clock
+	probePassedAt     Clock // when the last probe that passed was sent
+	nextHealthCheckAt Clock // no probe before use until then
+}
+
+// available reports whether the worker is listed as ready and not detached.
+func (w *worker) available() bool { return w.listed && !w.detached }
+
+// weight returns the worker's registered weight, at least 0.001.
+func (w *worker) weight() float64 { return max(figureOrMissing(w.Weight), 1e-3) }
+
+// resetStatistics forgets what was learned of a worker's process before its restart.
+func (s *Scheduler) resetStatistics(worker *worker) {
+	worker.reportedAt, worker.lastProbeReport, worker.fullUntil = 0, Report{}, 0
+	worker.othersLoad, worker.meanOthersLoad = 0, 0
+	worker.slownessSum, worker.slownessJobs = 0, 0
+	worker.ejectionState, worker.classEjections = ejectionState{}, make([]ejectionState, len(s.classes))
+}
+
+// hashWorkerID scatters worker ids, the same way at every dispatcher.
+func hashWorkerID(id WorkerID) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(id)) // a hash never returns an error
+	return mixBits(hash.Sum64())
+}
+
+// mixBits scatters the bits of a hash, so that sums and exclusive ors of hashes are scattered too.
+func mixBits(hash uint64) uint64 {
+	hash = (hash ^ hash>>32) * 0x9e3779b97f4a7c15
+	return hash ^ hash>>29
+}
