--- a/scheduler/freshness_test.go
+++ b/scheduler/freshness_test.go
@@ -14,9 +14,9 @@
 	return s
 }
 
-// Discovery refused a dispatcher's calls for longer than a drain may stay unheard, and requests went to workers that had drained.
-// A draining worker answers probes with 503: where the list is overdue each worker is probed before it gets a request.
-func TestOverdueListIsNotTrusted(t *testing.T) {
+// Where the endpoint list is older than its validity, a worker is probed before it gets a request: a draining one answers with
+// an error. A request waits for the probe, goes to the next worker if it fails, and carries the new bound for its send.
+func TestFreshness_probeBeforeUse(t *testing.T) {
 	v := newDriver(t, probingSettings())
 	v.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: v.now})
 	if to := v.submit(1, 0); to == "" || countActions[Probe](v.actions) != 0 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Where nothing may be probed, and where lists are pushed, the old list holds.
-func TestOverdueListWithoutProbes(t *testing.T) {
+// Where probes are not permitted, or the list has no bound, an old list stays in force.
+func TestFreshness_noBoundWithoutProbesOrValidity(t *testing.T) {
 	for _, change := range []func(*Settings){func(s *Settings) { s.MayProbe = false }, func(s *Settings) { s.ListValidity = 0 }} {
 		s := probingSettings()
 		change(&s)
@@ -62,8 +62,9 @@
 	}
 }
 
-// Whatever comes, no request leaves for a worker whose last word is older than the list is valid, and none is said to leave later.
-func TestNoSendBehindTheLastWord(t *testing.T) {
+// Whatever comes, no request is sent to a worker whose state was confirmed longer ago than the list is valid, and none has a
+// later SendBy.
+func TestFreshness_noSendAfterValidity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := probingSettings()
 		d, now := New(s, rapid.Uint64().Draw(t, "seed")), start
--- a/scheduler/succeed_test.go
+++ b/scheduler/learnedstate_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A dispatcher that goes on in the place of another begins with what that one learned, also as text; of a worker that
-// has started anew since, with nothing.
-func TestSucceeds(t *testing.T) {
+// A successor begins with what its predecessor learned, also after a round trip through JSON; of a worker that has restarted
+// since, with nothing.
+func TestHandover_learnedState(t *testing.T) {
 	v := newDriver(t, baseSettings())
 	v.listWorkers(workers(2)...)
 	old := v.scheduler
--- /dev/null
+++ b/scheduler/placement_test.go
@@ -0,0 +1,54 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A worker whose load grows over time gets fewer requests long before it is full.
+func TestPlacement_ageingWorkerGetsLess(t *testing.T) {
+	d := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[0]
+	ageing := d.subset[0]
+	got, id := map[bool]int{}, RequestID(0)
+	for i := range 60 {
+		d.now += 200 * ms
+		d.applyReport(ageing, loadReport(min(1, 0.3+0.02*float64(i)), 1))
+		for _, w := range d.subset[1:] {
+			d.applyReport(w, loadReport(0.3, 3))
+		}
+		id++
+		to := firstSendWorker(d.Handle(d.now, RequestArrived{ID: id, Slots: 1, Deadline: d.now + time.Second}))
+		got[to == ageing.ID]++
+		d.Handle(d.now, AttemptFinished{ID: id, Outcome: Served, Final: true})
+	}
+	if got[true] >= 60/len(d.subset) {
+		t.Errorf("the ageing one of %d workers got %d of 60 jobs", len(d.subset), got[true])
+	}
+}
+
+// Requests go round robin among workers of equal load, then to the lowest reported load.
+func TestPlacement_leastLoadedRoundRobin(t *testing.T) {
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(3)...)
+	got := fmt.Sprint(v.submit(1, 0), v.submit(2, 0), v.submit(3, 0), v.submit(4, 0))
+	if got != "w00w01w02w00" {
+		t.Errorf("round robin among ties went to %s", got)
+	}
+	v.finishServed(2, loadReport(0.9, 1))
+	v.finishServed(3, loadReport(0, 4))
+	if w := v.submit(5, 0); w != "w02" {
+		t.Errorf("the lowest reported value is w02, sent to %s", w)
+	}
+}
+
+// Each dispatcher begins the rotation at its own index.
+func TestPlacement_rotationStartsAtDispatcherIndex(t *testing.T) {
+	s := baseSettings()
+	s.DispatcherIndex = 2
+	v := newDriver(t, s)
+	v.listWorkers(workers(3)...)
+	if w := v.submit(1, 0); w != "w02" {
+		t.Errorf("dispatcher 2 began at %s", w)
+	}
+}
--- /dev/null
+++ b/scheduler/probing_test.go
@@ -0,0 +1,48 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A worker gets one to two and a half probes a second, however many dispatchers there are.
+func TestProbe_rateByDispatchers(t *testing.T) {
+	for _, dispatchers := range []int{2, 10, 80} {
+		t.Run(fmt.Sprint(dispatchers), func(t *testing.T) {
+			const n, span = 60, 80 * time.Second
+			v := newDispatchers(t, dispatchers, n)[0]
+			v.handle(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: v.now + 4*time.Second})
+			v.finishServed(1, nil)
+			probes := 0
+			for end := v.now + span; v.now < end; v.now += 50 * ms {
+				for _, a := range v.handle(TimerFired{Token: reviewTimer}) {
+					if p, ok := a.(Probe); ok {
+						probes++
+						v.handle(ProbeCompleted{Worker: p.Worker, Report: loadReport(0.5, 2)})
+					}
+				}
+			}
+			each := float64(probes*dispatchers) / n / span.Seconds()
+			if each < 1 || each > 2.5 {
+				t.Errorf("%.1f probes a second at each worker", each)
+			}
+		})
+	}
+}
+
+// A probe with the figures of the one before brings no newer report: the worker has not refreshed them.
+func TestProbe_repeatedReportIsNotFresh(t *testing.T) {
+	v := newDriver(t, baseSettings())
+	v.listWorkers(workers(1)...)
+	w, first := v.scheduler.workers[0], v.now
+	for _, c := range []struct {
+		free float64
+		want Clock
+	}{{3.5, first}, {3.5, first}, {3.4, first + 2*time.Second}} {
+		if v.handle(ProbeCompleted{Worker: w.ID, Report: loadReport(0.5, c.free)}); w.reportedAt != c.want || w.lastSignal != v.now {
+			t.Errorf("reported at %v, heard at %v, want %v and now", w.reportedAt, w.lastSignal, c.want)
+		}
+		v.now += time.Second
+	}
+}
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -245,8 +245,8 @@
 	w.handle(EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{in}})
 }
 
-// TestRulesOnRandomDays asserts the four rules over long random event sequences.
-func TestRulesOnRandomDays(t *testing.T) {
+// The rules hold over long random event sequences.
+func TestRules_randomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 32; seed++ {
 		s := baseSettings()
 		if seed > 24 { // few of hundreds own a cold worker; this is one of them at times
@@ -291,7 +291,7 @@
 	}
 }
 
-// FuzzRules asserts the four rules, and no panic, over event sequences drawn from the fuzzer's bytes.
+// The rules hold, without a panic, over event sequences drawn from the fuzzer's bytes.
 func FuzzRules(f *testing.F) {
 	for _, c := range []struct {
 		seed              uint64
--- a/scheduler/cost_bench_test.go
+++ b/scheduler/scheduler_bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkJob is a job from its arrival to its end, at one of eighty dispatchers, by the number of workers listed.
+// BenchmarkJob is one request from its arrival to its end, at one of eighty dispatchers, by the number of workers and with or
+// without affinity keys.
 func BenchmarkJob(b *testing.B) {
 	for _, keyed := range []bool{true, false} {
 		for _, n := range []int{12, 60, 200, 1000, 5000} {
@@ -32,3 +33,23 @@
 		}
 	}
 }
+
+// BenchmarkHandle is one request from its arrival to its end, by the number of workers.
+func BenchmarkHandle(b *testing.B) {
+	for _, n := range []int{20, 200} {
+		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
+			s := baseSettings()
+			s.Dispatchers = 300
+			d := New(s, 1)
+			d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(n, 2)})
+			b.ReportAllocs()
+			for i := 0; b.Loop(); i++ {
+				at, id := start+Clock(i)*200*ms, RequestID(i+1)
+				d.Handle(at, RequestArrived{ID: id, Class: i % 3, Slots: 1, Deadline: at + 2*time.Second})
+				d.Handle(at, AttemptStarted{ID: id})
+				d.Handle(at+100*ms, TimerFired{Token: reviewTimer})
+				d.Handle(at+150*ms, AttemptFinished{ID: id, Outcome: Served, Final: true, Report: loadReport(0.5, 2)})
+			}
+		})
+	}
+}
--- /dev/null
+++ b/scheduler/subset_test.go
@@ -0,0 +1,158 @@
+package scheduler
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+// Where many workers are listed, a key's candidates are a part of them: the same at every dispatcher, whatever the order in
+// which it heard of the workers; a worker that joins moves few keys, and no worker has far more keys than another.
+func TestCandidatesForKey(t *testing.T) {
+	const n, keys = 1000, 4000
+	make := func(n int, turned bool) *Scheduler {
+		s := baseSettings()
+		s.Dispatchers = 80
+		d := New(s, 1)
+		ws := workers(n)
+		for i := range ws {
+			ws[i].ID = WorkerID(fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250))
+		}
+		if turned {
+			slices.Reverse(ws)
+		}
+		d.Handle(start, RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: start + time.Second})
+		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: ws})
+		return d
+	}
+	home := func(d *Scheduler, key uint64) (best WorkerID) {
+		least := math.Inf(1)
+		for _, w := range d.candidatesForKey(key) {
+			if h := w.affinityRank(key); h < least {
+				least, best = h, w.ID
+			}
+		}
+		return best
+	}
+	for listed, want := range map[int]int{100: 100, 200: 200, maxFullScanWorkers: maxFullScanWorkers, maxFullScanWorkers + 1: keyCandidates} {
+		d := make(2*maxFullScanWorkers, false) // those that are gone count for nothing
+		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(listed)})
+		on := 0
+		for _, w := range d.candidatesForKey(1) {
+			on += oneIf(w.listed)
+		}
+		if on != want {
+			t.Errorf("%d listed: a job looks at %d, want %d", listed, on, want)
+		}
+	}
+	a, b, more := make(n, false), make(n, true), make(n+1, false)
+	at, moved := map[WorkerID]int{}, 0
+	for key := uint64(1); key <= keys; key++ {
+		if got := len(a.candidatesForKey(key)); got != keyCandidates {
+			t.Fatalf("key %d: %d workers", key, got)
+		}
+		h := home(a, key)
+		if h != home(b, key) {
+			t.Fatalf("key %d is at home elsewhere at another dispatcher", key)
+		}
+		moved += oneIf(h != home(more, key))
+		at[h]++
+	}
+	if moved > keys/100 { // a thousandth are the new one's; as many again lost their window's last
+		t.Errorf("%d of %d keys moved when one of %d workers joined", moved, keys, n)
+	}
+	most := 0
+	for _, got := range at {
+		most = max(most, got)
+	}
+	if mean := float64(keys) / n; float64(most) > 6*mean || len(at) < n*8/10 {
+		t.Errorf("%d workers have keys, the most %d, %.0f in the mean", len(at), most, mean)
+	}
+}
+
+func subsetIDs(d *Scheduler) map[WorkerID]bool {
+	m := map[WorkerID]bool{}
+	for _, w := range d.subset {
+		m[w.ID] = true
+	}
+	return m
+}
+
+// On a large fleet each dispatcher has a small subset, each worker is in about as many subsets, and a worker that leaves
+// changes few of them.
+func TestSubset_smallBalancedStable(t *testing.T) {
+	ws := zonedWorkers(180, 2)
+	ds := newSchedulers(baseSettings(), 300, 2, ws)
+	own := map[WorkerID]int{}
+	for _, d := range ds {
+		if len(d.subset) != 2*minSubsetSize {
+			t.Fatalf("dispatcher %d draws from %d workers, want %d of each zone group", d.settings.DispatcherIndex, len(d.subset), minSubsetSize)
+		}
+		for _, w := range d.subset {
+			if w.Zone == d.settings.Zone {
+				own[w.ID]++
+			}
+		}
+	}
+	mean := float64(300*minSubsetSize) / 180
+	for _, w := range ws {
+		if n := float64(own[w.ID]); n < 0.5*mean || n > 1.6*mean {
+			t.Errorf("worker %s is drawn from by %v dispatchers of its zone, the mean is %.1f", w.ID, n, mean)
+		}
+	}
+	before := make([]map[WorkerID]bool, len(ds))
+	for i, d := range ds {
+		before[i] = subsetIDs(d)
+		d.Handle(start, EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{{ID: ws[40].ID, State: Gone}}})
+	}
+	moved := 0
+	for i, d := range ds {
+		for id := range subsetIDs(d) {
+			if !before[i][id] {
+				moved++
+			}
+		}
+	}
+	if all := 300 * 2 * minSubsetSize; moved == 0 || moved > all/5 {
+		t.Errorf("one worker left and %d of %d places moved", moved, all)
+	}
+}
+
+// A fleet that is small against the own arrival rate is in the subset as a whole.
+func TestSubset_wholeSmallFleet(t *testing.T) {
+	for _, d := range newSchedulers(baseSettings(), 3, 1, zonedWorkers(4, 1)) {
+		if !d.loadsKnown || len(d.subset) != 4 {
+			t.Errorf("dispatcher %d draws from %d of 4 workers", d.settings.DispatcherIndex, len(d.subset))
+		}
+	}
+	d := New(baseSettings(), 1)
+	d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(20, 1)})
+	for i := range 60 { // 30 jobs a second: all 20 are heard of often enough
+		d.Handle(start+Clock(i)*33*ms, RequestArrived{ID: RequestID(i + 1), Slots: 1, Deadline: start + time.Hour})
+	}
+	d.chooseSubset()
+	if !d.loadsKnown || len(d.subset) != 20 {
+		t.Errorf("with 30 jobs a second it draws from %d of 20 workers", len(d.subset))
+	}
+}
+
+// A subset whose workers are ejected goes on with the next ones in order.
+func TestSubset_goesPastEjectedWorkers(t *testing.T) {
+	d := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[7]
+	first := slices.Clone(d.subset)
+	for _, w := range first {
+		d.eject(w, &w.ejectionState, 0, "test")
+	}
+	d.chooseSubset()
+	sound := 0
+	for _, w := range d.subset {
+		if w.consecutiveEjections == 0 {
+			sound++
+		}
+	}
+	if sound < minSubsetSize {
+		t.Errorf("with its %d workers shunned it draws from %d sound ones", len(first), sound)
+	}
+}
