--- a/cmd/brassdale/council_life_test.go
+++ b/cmd/brassdale/council_life_test.go
@@ -148,7 +148,7 @@
 	n.reload(n.config)
 	f.acts(2, f.all()...)
 	n.reload(n.config)
-	n.waitFor("word that it is in force", func() bool { return strings.Contains(n.log(), "the rules in the file are in force") })
+	n.waitFor("word that it is in force", func() bool { return strings.Contains(n.log(), "rules file already in force") })
 	put("retries = \"many\"\n")
 	n.reload(n.config)
 	n.waitFor("the refusal", func() bool { return strings.Contains(n.log(), "rules.hcl:1") })
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -109,7 +109,7 @@
 func TestApart(t *testing.T) {
 	at := time.UnixMilli(1_000_000)
 	line := func(ms int, versions string, lapsed bool) string {
-		return fmt.Sprintf("level=INFO msg=\"acting on\" versions=%s lapsed=%t at_ms=%d\n", versions, lapsed, 1_000_000+ms)
+		return fmt.Sprintf("level=INFO msg=\"config version applied\" versions=%s lease_expired=%t at_ms=%d\n", versions, lapsed, 1_000_000+ms)
 	}
 	a := line(0, "[1]", false) + line(500, "\"[1 2]\"", false) + line(900, "[2]", false)
 	for _, c := range []struct {
--- a/internal/faults/status.go
+++ b/internal/faults/status.go
@@ -16,7 +16,7 @@
 	Lapsed   bool      `json:"Lapsed"`
 }
 
-var acting = regexp.MustCompile(`msg="acting on" versions="?\[([0-9 ]*)\]"? lapsed=(true|false) at_ms=(\d+)`)
+var acting = regexp.MustCompile(`msg="config version applied" versions="?\[([0-9 ]*)\]"? lease_expired=(true|false) at_ms=(\d+)`)
 
 // EffectiveStates reads them from a process's log, which ended then. What it stood for while it was away is cut out: what it says
 // first behind that is the first thing that it does.
--- a/internal/faults/topology.go
+++ b/internal/faults/topology.go
@@ -86,7 +86,7 @@
 	}
 }
 
-var planned = regexp.MustCompile(`msg=plan number=(\d+) alone=(true|false) at_ms=(\d+)`)
+var planned = regexp.MustCompile(`msg="failover plan applied" number=(\d+) expired=(true|false) at_ms=(\d+)`)
 
 // towns draws the zones' figures together.
 func (f *play) towns() {
--- a/internal/fleet/peers_test.go
+++ b/internal/fleet/agent_test.go
@@ -15,27 +15,28 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// FuzzFrames takes batches apart that nobody put together; those that were come back as they were.
-func FuzzFrames(f *testing.F) {
+// FuzzSplitBatch splits arbitrary bytes, which either fails or gives the same batch again, and batches of messages, which gives
+// the messages.
+func FuzzSplitBatch(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 7}, []byte("m"))
 	f.Add([]byte{255, 255, 255, 255}, []byte{})
 	f.Fuzz(func(t *testing.T, text, m []byte) {
-		if all, err := frames(text); err == nil {
+		if all, err := splitBatch(text); err == nil {
 			var again []byte
 			for _, m := range all {
-				again = frame(again, m)
+				again = appendMessage(again, m)
 			}
 			if !bytes.Equal(again, text) {
 				t.Fatalf("%v became %v", text, again)
 			}
 		}
-		if all, err := frames(frame(frame(nil, m), text)); err != nil || len(all) != 2 || !bytes.Equal(all[0], m) || !bytes.Equal(all[1], text) {
+		if all, err := splitBatch(appendMessage(appendMessage(nil, m), text)); err != nil || len(all) != 2 || !bytes.Equal(all[0], m) || !bytes.Equal(all[1], text) {
 			t.Fatalf("%v, %v", all, err)
 		}
 	})
 }
 
-// FuzzCalls sends a dispatcher what no other sends: it answers, and takes nothing for a proposal that is none.
+// FuzzCalls makes arbitrary calls to a dispatcher that leads nobody: it responds, and accepts nothing.
 func FuzzCalls(f *testing.F) {
 	a, err := New(options(f.TempDir()))
 	if err != nil {
@@ -71,42 +72,42 @@
 		ApplyEffective: func(configversions.Effective) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
-// FuzzAnswer puts what no seat answers onto a record: it is refused, or follows from it.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse applies arbitrary responses to a record: that fails, or leads to the record that follows.
+func FuzzResponse(f *testing.F) {
 	f.Add([]byte(`{"entries":[{"id":"a","announce":{"number":0,"rules":{"retries":0.1}}},{"id":"b","force":1}],"lease_ms":5}`))
 	f.Add([]byte(`{"record":{"revision":4,"in_force":{"number":2}}}`))
 	f.Add([]byte(`{"entries":[{"id":"a","council":[{"id":9,"address":"x"}]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var got answer
+		var got response
 		if json.Unmarshal(text, &got) != nil {
 			return
 		}
-		r, err := got.onto(configversions.Record{})
+		r, err := got.applyTo(configversions.Record{})
 		if err == nil && got.Record == nil && r.Revision != uint64(len(got.Entries)) {
 			t.Fatalf("%d entries make revision %d", len(got.Entries), r.Revision)
 		}
 	})
 }
 
-// Entries follow the record that was asked about. Put onto a newer one, which the subscription had brought meanwhile, those
-// that any record takes were counted twice, and the dispatcher took itself for newer than its council for good.
-func TestEntriesFollowTheQuestion(t *testing.T) {
-	council := func(id uint64) configversions.Entry {
+// TestResponseApplyTo_newerRecord applies entries to a record that has them already, as the subscription may bring between a
+// request and its response: that is an error. Counted twice they would make the dispatcher newer than its voters for good.
+func TestResponseApplyTo_newerRecord(t *testing.T) {
+	votersEntry := func(id uint64) configversions.Entry {
 		return configversions.Entry{Voters: []voters.Voter{{ID: id, Address: "x"}}}
 	}
-	asked, _ := configversions.Record{}.Apply(council(1))
-	got := answer{Entries: []configversions.Entry{council(2)}, Revision: 2}
-	newer, err := got.onto(asked)
+	asked, _ := configversions.Record{}.Apply(votersEntry(1))
+	got := response{Entries: []configversions.Entry{votersEntry(2)}, Revision: 2}
+	newer, err := got.applyTo(asked)
 	if err != nil || newer.Revision != 2 {
 		t.Fatalf("%+v, %v", newer, err)
 	}
-	if _, err := got.onto(newer); err == nil {
-		t.Error("entries were taken twice")
+	if _, err := got.applyTo(newer); err == nil {
+		t.Error("entries were applied twice")
 	}
 }
 
-// What was known at the last end holds at the next start, without a lease; what cannot be read is as nothing.
-func TestKnownOutlastsTheProcess(t *testing.T) {
+// TestNew_storedRecord checks that the record of the last process is effective in the next one, without a lease.
+func TestNew_storedRecord(t *testing.T) {
 	o := options(t.TempDir())
 	open := func() *Agent {
 		a, err := New(o)
@@ -119,7 +120,7 @@
 		t.Errorf("at first %+v", st)
 	}
 	a := open()
-	a.keep(configversions.Record{Revision: 2, InForce: configversions.Version{Number: 1, Rules: configversions.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
+	a.saveRecord(configversions.Record{Revision: 2, InForce: configversions.Version{Number: 1, Rules: configversions.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
 	if st := open().Effective(); !st.LeaseExpired || st.Versions[0] != 1 || st.Rules.RetriesAllowed || len(st.Rules.DetachedWorkers) != 1 {
 		t.Errorf("then %+v", st)
 	}
--- /dev/null
+++ b/internal/fleet/budgetlessees.go
@@ -0,0 +1,116 @@
+package fleet
+
+import (
+	"encoding/json"
+	"math"
+	"sync"
+	"time"
+
+	"brassdale/internal/decisions/budgetleases"
+	"brassdale/internal/decisions/configversions"
+)
+
+// budgetLessees are this dispatcher's leases of the fleet's budgets. mu guards the fields below it; all methods may be called
+// from any goroutine and do not block.
+type budgetLessees struct {
+	overload *Overload // nil where there are no budgets
+	now      func() configversions.Clock
+
+	mu            sync.Mutex
+	lessees       map[string]*budgetleases.Lessee // by kind
+	firstAttempts uint64                          // as of countedAt
+	countedAt     configversions.Clock
+}
+
+func newBudgetLessees(overload *Overload, maxDispatchers int, now func() configversions.Clock) *budgetLessees {
+	start := now()
+	budgets := &budgetLessees{
+		overload:  overload,
+		now:       now,
+		lessees:   map[string]*budgetleases.Lessee{},
+		countedAt: start,
+	}
+	for _, kind := range overload.kinds() {
+		settings := budgetleases.Settings{
+			RatePerSecond: overload.ratePerSecond(kind, 0),
+			UnleasedShare: unleasedShare,
+			MaxLessees:    maxDispatchers,
+		}
+		budgets.lessees[kind] = budgetleases.NewLessee(settings.UnleasedRate(), start)
+	}
+	return budgets
+}
+
+// AllowUse takes one use of a budget and returns true, where the lease has one left or there is no such budget.
+func (a *Agent) AllowUse(kind string) bool { return a.budgets.tryUse(kind) }
+
+func (b *budgetLessees) tryUse(kind string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	lessee := b.lessees[kind]
+	return lessee == nil || lessee.TryUse(b.now())
+}
+
+// demand returns what this dispatcher demands of each budget, in uses per second by kind, encoded, and its first attempts per
+// second since the last call. firstAttempts counts them since the start; nil for none.
+func (b *budgetLessees) demand(firstAttempts func() uint64) (demand json.RawMessage, firstAttemptsPerSecond float64) {
+	if b.overload == nil {
+		return nil, 0
+	}
+	now := b.now()
+	var attempts uint64
+	if firstAttempts != nil {
+		attempts = firstAttempts()
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	demands := map[string]float64{}
+	for kind, lessee := range b.lessees {
+		demands[kind] = math.Round(1000*lessee.Demand(now)) / 1000 // three decimals are enough, and shorter
+	}
+	if elapsed := now - b.countedAt; elapsed > 0 {
+		firstAttemptsPerSecond = float64(attempts-b.firstAttempts) / elapsed.Seconds()
+	}
+	b.firstAttempts = attempts
+	b.countedAt = now
+	demand, _ = json.Marshal(demands) // finite numbers have no error
+	return demand, firstAttemptsPerSecond
+}
+
+// applyRates takes over the rates of a lease, encoded, by kind. Nil, or what cannot be read, changes nothing.
+func (b *budgetLessees) applyRates(encoded json.RawMessage, askedAt configversions.Clock, lease time.Duration) {
+	var rates map[string]float64
+	if encoded == nil || json.Unmarshal(encoded, &rates) != nil {
+		return
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for kind, rate := range rates {
+		if lessee := b.lessees[kind]; lessee != nil {
+			lessee.ApplyLease(rate, askedAt, lease, b.now())
+		}
+	}
+}
+
+// BudgetUsage is the state of a budget at this dispatcher.
+type BudgetUsage struct {
+	Kind          string  `json:"kind"`
+	RatePerSecond float64 `json:"rate"`   // of its lease
+	Demand        float64 `json:"demand"` // uses per second that were asked for lately
+	Denied        int     `json:"denied"` // uses, since the start
+}
+
+func (b *budgetLessees) usage() (usages []BudgetUsage) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, kind := range b.overload.kinds() {
+		lessee := b.lessees[kind]
+		usages = append(usages, BudgetUsage{
+			Kind:          kind,
+			RatePerSecond: lessee.Rate(b.now()),
+			Demand:        lessee.Demand(b.now()),
+			Denied:        lessee.Denied(),
+		})
+	}
+	return usages
+}
--- /dev/null
+++ b/internal/fleet/doc.go
@@ -0,0 +1,10 @@
+// Package fleet makes dispatchers that can reach each other act on one version of the operators' rules at a time.
+//
+// A few of them are voters of a raft group, which stores the versions (package raftlog). The leader grants every dispatcher a
+// lease on the record that it knows; a version comes into force once all dispatchers that may hold a lease have acknowledged
+// it (package decisions/configversions). A dispatcher whose lease runs out keeps to all versions that it knows and retries
+// nothing until it has another one. The leader also leases out the fleet's budgets and plans the failover between zones.
+//
+// The package is off unless the operator's file has a block council. The block, the calls between dispatchers and the stored
+// files keep names that are older than the code: a seat is a voter, an era an epoch, a hold a zone limit.
+package fleet
--- /dev/null
+++ b/internal/fleet/effective.go
@@ -0,0 +1,80 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"brassdale/internal/decisions/configversions"
+)
+
+// Effective returns the rules that this dispatcher may act on now. It looks at the clock each time, so that a process that was
+// frozen finds that its lease has run out.
+func (a *Agent) Effective() configversions.Effective {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lessee.Effective(a.now())
+}
+
+// watchLease applies what changes without a message: the end of the lease. It also has gossip tell the others what changed.
+func (a *Agent) watchLease(ctx context.Context) {
+	for {
+		a.applyState()
+		a.members.UpdateSelf(a.self())
+		a.mu.Lock()
+		remaining := a.lessee.LeaseExpiry() - a.now()
+		a.mu.Unlock()
+		if remaining <= 0 {
+			remaining = a.leaseDuration
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-a.stateChanged:
+		case <-time.After(remaining):
+		}
+	}
+}
+
+// applyState has the effective rules and the plan applied where they have changed.
+func (a *Agent) applyState() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.applyStateLocked()
+}
+
+// applyStateLocked is applyState with a.mu held. Whoever changes the record calls it before releasing a.mu: the next request
+// for a lease acknowledges the record, and what is acknowledged must be applied.
+func (a *Agent) applyStateLocked() {
+	effective := a.lessee.Effective(a.now())
+	// The rules follow from the versions and the lease.
+	state := fmt.Sprint(a.lessee.Record().Epoch, effective.Versions, effective.LeaseExpired)
+	if state != a.appliedState {
+		a.appliedState = state
+		a.log.Info("config version applied", "versions", fmt.Sprint(effective.Versions), "lease_expired", effective.LeaseExpired,
+			"at_ms", time.Now().UnixMilli())
+		a.options.ApplyEffective(effective)
+	}
+	a.applyPlanLocked(effective.LeaseExpired)
+}
+
+// applyPlanLocked has the plan applied where it is another one, or where it has expired or no longer is. a.mu is held.
+func (a *Agent) applyPlanLocked(leaseExpired bool) {
+	if !a.planningEnabled() {
+		return
+	}
+	expired := a.planExpiredLocked(leaseExpired)
+	plan, number := currentPlan(a.lessee.Record())
+	state := fmt.Sprint(number, expired)
+	if state == a.appliedPlan {
+		return
+	}
+	a.appliedPlan = state
+	a.log.Info("failover plan applied", "number", number, "expired", expired, "at_ms", time.Now().UnixMilli())
+	a.options.PlanChanged(plan, expired)
+}
+
+// planExpiredLocked reports whether the lease has been gone for longer than a plan is trusted without one. a.mu is held.
+func (a *Agent) planExpiredLocked(leaseExpired bool) bool {
+	return leaseExpired && a.now() >= a.lessee.LeaseExpiry()+a.maxPlanAge
+}
--- /dev/null
+++ b/internal/fleet/failoversettings.go
@@ -0,0 +1,64 @@
+package fleet
+
+import (
+	"math"
+	"time"
+
+	"brassdale/internal/decisions/failover"
+)
+
+// Failover are the operator's settings in a block failover: the leader plans which zone serves which zone's jobs. Durations
+// are checked when the operator's file is read.
+type Failover struct {
+	// Regions are all regions of the fleet.
+	Regions []Region `hcl:"region,block"`
+	// Headroom is the share of a zone's capacity that no plan uses.
+	Headroom float64 `hcl:"headroom,optional"`
+	// RecoveryRamp is the shortest time over which a zone that recovered gets its traffic back.
+	RecoveryRamp string `hcl:"return_in,optional"`
+	// MaxPlanAge is how long a dispatcher without a lease may act on the last plan.
+	MaxPlanAge string `hcl:"alone,optional"`
+	// DetectionTime is the duration below which a fault changes nothing.
+	DetectionTime string `hcl:"detect,optional"`
+}
+
+// Region is a set of zones near each other.
+type Region struct {
+	Name  string   `hcl:"name,label"`
+	Zones []string `hcl:"zones"`
+}
+
+// DefaultFailover returns what applies where the block says nothing.
+func DefaultFailover() Failover {
+	return Failover{Headroom: 0.15, RecoveryRamp: "60s", MaxPlanAge: "10s", DetectionTime: "1s"}
+}
+
+// maxShiftPerSecond is by how much a share of a plan may change in a second while no zone has failed.
+const maxShiftPerSecond = 0.1
+
+// planner returns the settings in the planner's terms, and the region of each zone. The distance of two zones is that of
+// their places in the list of all zones.
+func (f *Failover) planner() (settings failover.Settings, regions map[string]string) {
+	regions = map[string]string{}
+	positions := map[string]int{}
+	for _, region := range f.Regions {
+		for _, zone := range region.Zones {
+			regions[zone] = region.Name
+			positions[zone] = len(positions)
+		}
+	}
+	settings = failover.Settings{
+		Headroom:          f.Headroom,
+		RecoveryRamp:      checkedDuration(f.RecoveryRamp),
+		DetectionTime:     checkedDuration(f.DetectionTime),
+		MaxShiftPerSecond: maxShiftPerSecond,
+		Distance:          func(from, to string) float64 { return math.Abs(float64(positions[from] - positions[to])) },
+	}
+	return settings, regions
+}
+
+// checkedDuration returns a duration that was checked when the operator's file was read.
+func checkedDuration(text string) time.Duration {
+	duration, _ := time.ParseDuration(text)
+	return duration
+}
--- /dev/null
+++ b/internal/fleet/follow.go
@@ -0,0 +1,74 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"brassdale/internal/decisions/configversions"
+)
+
+// maxWatch is how long one call waits for a change of the record.
+const maxWatch = 10 * time.Second
+
+// followRecord follows the record at a voter by long polling, so that a change comes as soon as that voter has it. A dispatcher
+// that is a voter has the record from its own log, and one without a record gets it with its first lease.
+func (a *Agent) followRecord(ctx context.Context) {
+	for ctx.Err() == nil {
+		a.mu.Lock()
+		isVoter := a.voter.id() != 0
+		record := a.lessee.Record()
+		complete := a.recordComplete
+		a.mu.Unlock()
+		if isVoter || !complete {
+			sleep(ctx, a.renewInterval())
+			continue
+		}
+		got, err := a.awaitChange(ctx, record)
+		if err != nil {
+			sleep(ctx, a.renewInterval())
+			continue
+		}
+		next, err := got.applyTo(record)
+		if err != nil {
+			a.requestWholeRecord()
+			sleep(ctx, a.renewInterval())
+			continue
+		}
+		a.learn(next)
+	}
+}
+
+// awaitChange asks a voter for what follows a record, and waits for it up to maxWatch.
+func (a *Agent) awaitChange(ctx context.Context, record configversions.Record) (response, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxWatch+callTimeout)
+	defer cancel()
+	name := fmt.Sprintf("watch?era=%d&revision=%d&wait=%d", record.Epoch, record.Revision, maxWatch.Milliseconds())
+	got, status, err := a.call(ctx, a.nextVoter().Address, name, nil)
+	if err == nil && status != http.StatusOK {
+		err = fmt.Errorf("watch: status %d: %s", status, got.Reason)
+	}
+	return got, err
+}
+
+// requestWholeRecord has the next request for a lease ask for the whole record.
+func (a *Agent) requestWholeRecord() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.recordComplete = false
+}
+
+// learn takes over a record that came without a lease.
+func (a *Agent) learn(record configversions.Record) {
+	a.mu.Lock()
+	isNew := a.lessee.ApplyRecord(record)
+	a.applyStateLocked()
+	a.mu.Unlock()
+	if !isNew {
+		return
+	}
+	a.saveRecord(record)
+	wake(a.stateChanged)
+	wake(a.renewNow) // acknowledges it
+}
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -1,214 +1,151 @@
 package fleet
 
 import (
+	"encoding/json"
+	"fmt"
 	"io"
 	"net/http"
 	"slices"
-	"strconv"
-	"time"
 
 	"brassdale/internal/decisions/configversions"
-	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/voters"
-	"brassdale/internal/fleet/gossip"
 	"brassdale/internal/traffic"
 )
 
-// Status is what a dispatcher tells of the fleet.
-type Status struct {
-	Name              string                      `json:"name"`
-	Fleet             string                      `json:"fleet"`
-	VoterID           uint64                      `json:"seat,omitempty"`
-	Leader            uint64                      `json:"leader,omitempty"`
-	IsLeader          bool                        `json:"leads,omitempty"`
-	EffectiveVersions []uint64                    `json:"acting"`
-	LeaseExpired      bool                        `json:"lapsed,omitempty"`
-	LeaseLeftMS       int64                       `json:"lease_left_ms"`
-	Record            configversions.Record       `json:"record"`
-	LeaseHolders      []configversions.Dispatcher `json:"present,omitempty"` // who holds a lease, where this one leads
-	WaitingFor        []string                    `json:"waits,omitempty"`   // for whom an announced version waits
-	Voters            []voters.Status             `json:"places,omitempty"`  // the council's seats, where this one leads
-	Members           []gossip.Member             `json:"members,omitempty"` // by gossip
-	Zones             []failover.ZoneView         `json:"zones,omitempty"`   // as the leader plans them
-	PlanExpired       bool                        `json:"alone,omitempty"`   // it does not trust its plan any more
-	BudgetUsage       []BudgetUsage               `json:"spent,omitempty"`   // of the fleet's budgets, here
-	BudgetsGranted    []BudgetGranted             `json:"dealt,omitempty"`   // and by all, where this one leads
-	Counts            Counts                      `json:"counts"`
-
-	ControlTraffic map[string]traffic.Count `json:"control"` // bytes and messages that control cost this process, by kind
+// handler serves the calls of other dispatchers and of 'brassdale fleet'.
+func (a *Agent) handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /members/stream", func(w http.ResponseWriter, r *http.Request) { a.members.ServeHTTP(w, r) })
+	mux.HandleFunc("POST /council/messages", a.serveMessages)
+	mux.HandleFunc("GET /council/watch", a.serveWatch)
+	mux.HandleFunc("POST /council/renew", a.serveRenew)
+	mux.HandleFunc("POST /council/grant", a.serveGrant)
+	mux.HandleFunc("POST /council/leave", a.serveLeave)
+	mux.HandleFunc("POST /council/propose", a.servePropose)
+	mux.HandleFunc("POST /council/hold", a.serveZoneLimit)
+	mux.HandleFunc("GET /council/founder", a.serveFounder)
+	mux.HandleFunc("GET /council/record", a.serveRecord)
+	mux.HandleFunc("GET /council/known", a.serveDispatchers)
+	mux.HandleFunc("GET /council/status", a.serveStatus)
+	return mux
 }
 
-// Status gives it.
-func (a *Agent) Status() Status {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	s := a.holder.Effective(a.now())
-	st := Status{Name: a.Name, Fleet: a.s.Name, VoterID: a.seat.id(), EffectiveVersions: s.Versions, LeaseExpired: s.LeaseExpired, Record: a.holder.Record(),
-		LeaseLeftMS: max((a.holder.LeaseExpiry() - a.now()).Milliseconds(), 0), IsLeader: a.leads != nil, Counts: a.counts, ControlTraffic: a.Meter.Counts()}
-	if a.members != nil {
-		st.Members = a.members.Members()
+// serveRenew serves one dispatcher's request for a lease, at a voter.
+func (a *Agent) serveRenew(w http.ResponseWriter, r *http.Request) {
+	var request leaseRequest
+	if err := a.decode(r, &request); err != nil || !request.valid() {
+		a.reply(w, http.StatusBadRequest, response{Reason: reasonNoRequest})
+		return
 	}
-	if a.seat != nil {
-		st.Leader, st.Record, st.Voters = a.seat.log.Leader(), a.seat.log.Record(), a.seat.log.VoterStatuses()
+	meterRequests(a.options.Meter, false, request)
+	got, status := a.grantLease(r.Context(), request)
+	a.options.Meter.Within(traffic.Renewal, traffic.Budget, len(got.BudgetRates[request.Name]), 0)
+	a.reply(w, status, got)
+}
+
+// serveGrant serves a voter's request for the leases of several dispatchers, at the leader.
+func (a *Agent) serveGrant(w http.ResponseWriter, r *http.Request) {
+	var requests []leaseRequest
+	invalid := func(request leaseRequest) bool { return !request.valid() }
+	if err := a.decode(r, &requests); err != nil || len(requests) == 0 || slices.ContainsFunc(requests, invalid) {
+		a.reply(w, http.StatusBadRequest, response{Reason: "no questions"})
+		return
 	}
-	st.BudgetUsage, st.BudgetsGranted = a.spent(), a.dealt()
-	if a.planner != nil {
-		st.Zones = a.planner.Views(a.now())
+	meterRequests(a.options.Meter, false, requests...)
+	got, status := a.grantLeases(r.Context(), requests)
+	for _, rates := range got.BudgetRates {
+		a.options.Meter.Within(traffic.Renewal, traffic.Budget, len(rates), 0)
 	}
-	st.PlanExpired = a.Failover != nil && a.cutOff(s.LeaseExpired)
-	if a.leads != nil {
-		st.LeaseHolders = a.leads.LeaseHolders(a.now())
-		if v := st.Record.Announced; v != nil {
-			_, st.WaitingFor = a.leads.MayPutInForce(v.Number, a.now())
-		}
+	a.reply(w, status, got)
+}
+
+// serveLeave serves a dispatcher's word that it has dropped its lease.
+func (a *Agent) serveLeave(w http.ResponseWriter, r *http.Request) {
+	var request leaseRequest
+	if err := a.decode(r, &request); err != nil || !request.valid() {
+		a.reply(w, http.StatusBadRequest, response{Reason: reasonNoRequest})
+		return
 	}
-	return st
+	got, status := a.dropLease(r.Context(), request, wasForwarded(r))
+	a.reply(w, status, got)
 }
 
-func (a *Agent) handler() http.Handler {
-	mux := http.NewServeMux()
-	mux.Handle("GET /members/stream", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { a.members.ServeHTTP(w, r) }))
-	mux.HandleFunc("POST /council/messages", a.messages)
-	mux.HandleFunc("GET /council/watch", a.watched)
-	mux.HandleFunc("POST /council/renew", func(w http.ResponseWriter, r *http.Request) {
-		var q question
-		if err := a.decode(r, &q); err != nil || q.Name == "" || q.Instance == "" {
-			a.reply(w, http.StatusBadRequest, answer{Why: "no question"})
-			return
-		}
-		part(a.Meter, false, q)
-		got, status := a.granted(r.Context(), q)
-		a.Meter.Within(traffic.Renewal, traffic.Budget, len(got.Rates[q.Name]), 0)
-		a.reply(w, status, got)
-	})
-	mux.HandleFunc("POST /council/grant", func(w http.ResponseWriter, r *http.Request) {
-		var all []question
-		if err := a.decode(r, &all); err != nil || len(all) == 0 || slices.ContainsFunc(all, func(q question) bool { return q.Name == "" || q.Instance == "" }) {
-			a.reply(w, http.StatusBadRequest, answer{Why: "no questions"})
-			return
-		}
-		part(a.Meter, false, all...)
-		got, status := a.grants(r.Context(), all)
-		for _, rates := range got.Rates {
-			a.Meter.Within(traffic.Renewal, traffic.Budget, len(rates), 0)
-		}
-		a.reply(w, status, got)
-	})
-	mux.HandleFunc("POST /council/leave", func(w http.ResponseWriter, r *http.Request) {
-		var q question
-		if err := a.decode(r, &q); err != nil || q.Name == "" || q.Instance == "" {
-			a.reply(w, http.StatusBadRequest, answer{Why: "no question"})
-			return
-		}
-		got, status := a.left(r.Context(), q, r.URL.Query().Get("passed") != "")
-		a.reply(w, status, got)
-	})
-	mux.HandleFunc("POST /council/propose", func(w http.ResponseWriter, r *http.Request) {
-		var v configversions.Version
-		if err := a.decode(r, &v); err != nil {
-			a.reply(w, http.StatusBadRequest, answer{Why: err.Error()})
-			return
-		}
-		got, status := a.propose(r.Context(), v, r.URL.Query().Get("passed") != "")
-		a.reply(w, status, got)
-	})
-	mux.HandleFunc("POST /council/hold", func(w http.ResponseWriter, r *http.Request) {
-		var h configversions.ZoneLimit
-		if err := a.decode(r, &h); err != nil || h.Zone == "" || !(h.Share >= 0 && h.Share <= 1) || a.Failover == nil {
-			a.reply(w, http.StatusBadRequest, answer{Why: "no hold of a zone"})
-			return
-		}
-		got, status := a.hold(r.Context(), h, r.URL.Query().Get("passed") != "")
-		a.reply(w, status, got)
-	})
-	mux.HandleFunc("GET /council/founder", func(w http.ResponseWriter, _ *http.Request) {
-		a.mu.Lock()
-		f := a.founder
-		a.mu.Unlock()
-		if f == nil {
-			f = &voters.Founder{}
-		}
-		a.reply(w, http.StatusOK, f)
-	})
-	mux.HandleFunc("GET /council/record", func(w http.ResponseWriter, r *http.Request) {
-		got, status := a.record(r.Context(), r.URL.Query().Get("passed") != "")
-		a.reply(w, status, got)
-	})
-	mux.HandleFunc("GET /council/known", func(w http.ResponseWriter, r *http.Request) {
-		got, status := a.known(r.Context(), r.URL.Query().Get("passed") != "")
-		a.reply(w, status, got)
-	})
-	mux.HandleFunc("GET /council/status", func(w http.ResponseWriter, _ *http.Request) { a.reply(w, http.StatusOK, a.Status()) })
-	return mux
+// servePropose serves the proposal of a version.
+func (a *Agent) servePropose(w http.ResponseWriter, r *http.Request) {
+	var version configversions.Version
+	if err := a.decode(r, &version); err != nil {
+		a.reply(w, http.StatusBadRequest, response{Reason: err.Error()})
+		return
+	}
+	got, status := a.propose(r.Context(), version, wasForwarded(r))
+	a.reply(w, status, got)
 }
 
-// messages takes another seat's. Of two councils the one of the older era hears that it is none any more.
-func (a *Agent) messages(w http.ResponseWriter, r *http.Request) {
-	var all [][]byte
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
-	if err == nil {
-		all, err = frames(text)
+// serveZoneLimit serves the limit of a zone.
+func (a *Agent) serveZoneLimit(w http.ResponseWriter, r *http.Request) {
+	var limit configversions.ZoneLimit
+	err := a.decode(r, &limit)
+	if err != nil || limit.Zone == "" || limit.Share < 0 || limit.Share > 1 || !a.planningEnabled() {
+		a.reply(w, http.StatusBadRequest, response{Reason: "no hold of a zone"})
+		return
 	}
-	era, bad := strconv.ParseUint(r.URL.Query().Get("era"), 10, 64)
+	got, status := a.limitZone(r.Context(), limit, wasForwarded(r))
+	a.reply(w, status, got)
+}
+
+// serveFounder serves what this dispatcher's file says of the founding; empty for one that is no founder.
+func (a *Agent) serveFounder(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
-	s, known := a.seat, a.holder.Record().Epoch
-	a.counts.Served++
+	founder := a.founder
 	a.mu.Unlock()
-	switch {
-	case err != nil || bad != nil:
-		a.reply(w, http.StatusBadRequest, answer{Why: "no messages to a seat"})
-	case era < known:
-		a.reply(w, http.StatusGone, answer{Why: configversions.ErrOldEpoch.Error(), Era: known})
-	case s == nil:
-		a.reply(w, http.StatusMisdirectedRequest, answer{Why: "no seat"})
-	case era > s.log.Record().Epoch && s.log.Record().Revision > 0:
-		a.fenced(era)
-		a.reply(w, http.StatusMisdirectedRequest, answer{Why: "of a newer council"})
-	default:
-		for _, m := range all {
-			s.log.Step(m)
-		}
-		w.WriteHeader(http.StatusNoContent)
+	if founder == nil {
+		founder = &voters.Founder{}
 	}
+	a.reply(w, http.StatusOK, founder)
 }
 
-// watched waits until the council has something newer than a revision, and gives it. Whole records are sent to a few at a
-// time, so that a change that all hear of at once does not hold the log up.
-func (a *Agent) watched(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	era, err1 := strconv.ParseUint(q.Get("era"), 10, 64)
-	revision, err2 := strconv.ParseUint(q.Get("revision"), 10, 64)
-	wait, err3 := strconv.ParseUint(q.Get("wait"), 10, 32)
-	if err1 != nil || err2 != nil || err3 != nil {
-		a.reply(w, http.StatusBadRequest, answer{Why: "no revision"})
-		return
+// serveRecord serves the whole record.
+func (a *Agent) serveRecord(w http.ResponseWriter, r *http.Request) {
+	got, status := a.record(r.Context(), wasForwarded(r))
+	a.reply(w, status, got)
+}
+
+// serveDispatchers serves the dispatchers that hold a lease or held one lately.
+func (a *Agent) serveDispatchers(w http.ResponseWriter, r *http.Request) {
+	got, status := a.dispatchers(r.Context(), wasForwarded(r))
+	a.reply(w, status, got)
+}
+
+// serveStatus serves the status of this dispatcher.
+func (a *Agent) serveStatus(w http.ResponseWriter, _ *http.Request) {
+	a.reply(w, http.StatusOK, a.Status())
+}
+
+// wasForwarded reports whether another dispatcher forwarded a call.
+func wasForwarded(r *http.Request) bool { return r.URL.Query().Get(forwardedParam) != "" }
+
+// decode reads the body of a request, whole, as JSON.
+func (a *Agent) decode(r *http.Request, to any) error {
+	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxBodyBytes))
+	if err != nil {
+		return err
 	}
-	over := time.NewTimer(min(time.Duration(wait)*time.Millisecond, watchFor))
-	defer over.Stop()
-	for waiting := true; ; {
-		a.mu.Lock()
-		s, news := a.seat, a.news
-		a.mu.Unlock()
-		if s == nil {
-			a.reply(w, http.StatusMisdirectedRequest, answer{Why: "no seat"})
-			return
-		}
-		entries, whole, toEra, to := s.since(era, revision)
-		if entries == nil && whole == nil && waiting {
-			select {
-			case <-news:
-			case <-over.C:
-				waiting = false
-			case <-r.Context().Done():
-				return
-			}
-			continue
-		}
-		if whole != nil {
-			a.slow <- struct{}{}
-			defer func() { <-a.slow }()
-		}
-		a.reply(w, http.StatusOK, answer{Entries: entries, Record: whole, Era: toEra, Revision: to})
-		return
+	a.countServed()
+	if err := json.Unmarshal(text, to); err != nil {
+		return fmt.Errorf("body: %w", err)
+	}
+	return nil
+}
+
+// reply writes a response as JSON. One that cannot be written is lost, as the caller is gone.
+func (a *Agent) reply(w http.ResponseWriter, status int, body any) {
+	text, err := json.Marshal(body)
+	if err != nil {
+		status = http.StatusInternalServerError
+		text = []byte("{}")
 	}
+	w.Header().Set("Content-Type", "application/json")
+	w.Header()["Date"] = nil // unused, and each dispatcher makes some calls per second
+	w.WriteHeader(status)
+	_, _ = w.Write(text)
 }
--- /dev/null
+++ b/internal/fleet/leadership.go
@@ -0,0 +1,53 @@
+package fleet
+
+import (
+	"brassdale/internal/decisions/canary"
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/failover"
+	"brassdale/internal/decisions/gossippeers"
+)
+
+// leadership is what this dispatcher has while it leads. A new leader begins without knowing of any lease, and so puts nothing
+// in force, and leases no budget out, before all leases of its predecessor have run out. Guarded by Agent.mu.
+type leadership struct {
+	leases    *configversions.LeaseTable
+	directory *gossippeers.Directory
+	canary    *canary.Evaluation // nil while no version has a canary
+	planner   *failover.Planner  // nil where nobody plans
+	budgets   *budgetLessors     // nil where there are none
+}
+
+// leadershipChanged is called by the goroutine of Log.Run. It does not block.
+func (a *Agent) leadershipChanged(leads bool) {
+	a.mu.Lock()
+	a.leadership = nil
+	if leads {
+		a.leadership = a.newLeadershipLocked()
+	}
+	a.mu.Unlock()
+	a.log.Info("leadership changed", "leads", leads)
+	wake(a.stateChanged)
+}
+
+// newLeadershipLocked returns what a new leader begins with. a.mu is held.
+func (a *Agent) newLeadershipLocked() *leadership {
+	started := &leadership{
+		leases:    configversions.NewLeaseTable(a.leaseDuration, a.now()),
+		directory: gossippeers.NewDirectory(),
+	}
+	if a.options.Overload != nil {
+		started.budgets = a.newBudgetLessors()
+	}
+	if a.planningEnabled() {
+		settings, regions := a.options.Failover.planner()
+		started.planner = failover.NewPlanner(settings, regions, a.lessee.Record().Plan, a.now())
+	}
+	return started
+}
+
+// currentLeadership returns this dispatcher's voter and leadership; nil for a follower, and for a voter that does not lead.
+func (a *Agent) currentLeadership() (*ownVoter, *leadership) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.voter, a.leadership
+}
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -5,205 +5,189 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"time"
 
 	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/gossippeers"
-	"brassdale/internal/traffic"
 )
 
-// grants gives leases to those who ask, if this seat leads. That somebody asked is noted first: a version waits for it from
-// then on. Then a majority confirms who leads, so a leader that was cut off gives none.
-func (a *Agent) grants(ctx context.Context, all []question) (answer, int) {
+// grantLeases grants leases to the dispatchers that request them, if this voter leads. Each request is noted before a majority
+// confirms the leadership: from then on a version waits for that dispatcher, whether or not it gets its lease. A leader that
+// was cut off from the majority grants none.
+func (a *Agent) grantLeases(ctx context.Context, requests []leaseRequest) (response, int) {
+	granted := response{
+		Rejected:        map[string]string{},
+		BudgetRates:     map[string]json.RawMessage{},
+		MessageFormat:   a.messageFormat,
+		PeerSuggestions: map[string]*gossippeers.PeerSuggestion{},
+	}
 	a.mu.Lock()
-	s, leads := a.seat, a.leads
-	got := answer{Refused: map[string]string{}, Rates: map[string]json.RawMessage{}, Form: a.form, Neighbours: map[string]*gossippeers.PeerSuggestion{}}
-	if s != nil && leads != nil {
-		r := s.log.Record()
-		if a.register.Due(a.now()) {
-			a.register.Refresh(holders(leads.LeaseHolders(a.now())), a.now())
-		}
-		for _, q := range all {
-			err := a.fits(q, r)
-			if err == nil {
-				err = leads.Renew(q.Dispatcher, a.now())
-			}
-			if err != nil {
-				got.Refused[q.Name] = err.Error()
-				continue
-			}
-			if rates := a.deal(q); rates != nil {
-				got.Rates[q.Name] = rates
-			}
-			if q.Neighbours != nil {
-				if named := a.register.Suggest(holder(q.Dispatcher), *q.Neighbours); named != nil {
-					got.Neighbours[q.Name] = named
-				}
-			}
-			if a.trying != nil {
-				a.trying.Observe(canarySample(q.Dispatcher))
-			}
-			var report failover.Report
-			if a.planner != nil && q.Report != nil && json.Unmarshal(q.Report, &report) == nil {
-				a.planner.AddReport(report, a.now())
-			}
-		}
+	own, lead := a.voter, a.leadership
+	if own != nil && lead != nil {
+		a.noteRequestsLocked(own.log.Record(), lead, requests, granted)
 	}
 	a.mu.Unlock()
-	if s == nil {
-		return answer{Why: "no seat"}, http.StatusMisdirectedRequest
+	if own == nil {
+		return response{Reason: reasonNotVoter}, http.StatusMisdirectedRequest
 	}
-	if leads == nil {
-		return answer{Leader: s.log.Leader(), Why: "does not lead"}, http.StatusMisdirectedRequest
+	if lead == nil {
+		return response{Leader: own.log.Leader(), Reason: reasonNotLeader}, http.StatusMisdirectedRequest
 	}
-	if err := s.log.Confirm(ctx); err != nil {
-		return answer{Why: err.Error()}, http.StatusServiceUnavailable
+	if err := own.log.Confirm(ctx); err != nil {
+		return response{Reason: err.Error()}, http.StatusServiceUnavailable
 	}
-	r := s.log.Record()
-	got.Era, got.Revision, got.LeaseMS = r.Epoch, r.Revision, a.lease.Milliseconds()
-	return got, http.StatusOK
+	record := own.log.Record()
+	granted.Epoch = record.Epoch
+	granted.Revision = record.Revision
+	granted.LeaseMS = a.leaseDuration.Milliseconds()
+	return granted, http.StatusOK
 }
 
-func holder(m configversions.Dispatcher) gossippeers.Member {
-	return gossippeers.Member{Name: m.Name, Address: m.Address, Region: m.Region, Zone: m.Zone}
+// noteRequestsLocked notes the requests in the leader's tables, and writes what each dispatcher gets into the maps of granted.
+// a.mu is held.
+func (a *Agent) noteRequestsLocked(record configversions.Record, lead *leadership, requests []leaseRequest, granted response) {
+	if lead.directory.Due(a.now()) {
+		lead.directory.Refresh(gossipMembers(lead.leases.LeaseHolders(a.now())), a.now())
+	}
+	for _, request := range requests {
+		err := a.checkRequest(request, record)
+		if err == nil {
+			err = lead.leases.Renew(request.Dispatcher, a.now())
+		}
+		if err != nil {
+			granted.Rejected[request.Name] = err.Error()
+			continue
+		}
+		if rates := a.grantBudgetsLocked(lead.budgets, request); rates != nil {
+			granted.BudgetRates[request.Name] = rates
+		}
+		if request.Digest != nil {
+			if suggestion := lead.directory.Suggest(gossipMember(request.Dispatcher), *request.Digest); suggestion != nil {
+				granted.PeerSuggestions[request.Name] = suggestion
+			}
+		}
+		if lead.canary != nil {
+			lead.canary.Observe(canarySample(request.Dispatcher))
+		}
+		a.noteReportLocked(lead.planner, request.Report)
+	}
 }
 
-func holders(present []configversions.Dispatcher) (all []gossippeers.Member) {
-	for _, m := range present {
-		all = append(all, holder(m))
+// noteReportLocked passes a dispatcher's report to the planner. One that cannot be read is ignored. a.mu is held.
+func (a *Agent) noteReportLocked(planner *failover.Planner, encoded json.RawMessage) {
+	if planner == nil || encoded == nil {
+		return
+	}
+	var report failover.Report
+	if json.Unmarshal(encoded, &report) == nil {
+		planner.AddReport(report, a.now())
 	}
-	return all
 }
 
-// fits tells whether who asks can be of the fleet as it stands.
-func (a *Agent) fits(q question, r configversions.Record) error {
-	needs := r.InForce.Rules.MinMessageFormat()
-	if v := r.Announced; v != nil {
-		needs = max(needs, v.Rules.MinMessageFormat())
-	}
-	switch {
-	case q.Epoch > r.Epoch:
-		a.fenced(q.Epoch)
+// checkRequest returns why the dispatcher of a request cannot be part of the fleet as it is.
+func (a *Agent) checkRequest(request leaseRequest, record configversions.Record) error {
+	required := record.InForce.Rules.MinMessageFormat()
+	if announced := record.Announced; announced != nil {
+		required = max(required, announced.Rules.MinMessageFormat())
+	}
+	required = max(required, minMessageFormat)
+	if request.Epoch > record.Epoch {
+		a.leaveOldRaftGroup(request.Epoch)
 		return configversions.ErrOldEpoch
-	case q.MessageFormat < leastForm || q.MessageFormat < needs:
-		return fmt.Errorf("form %d of messages: the fleet needs %d", q.MessageFormat, max(needs, leastForm))
+	}
+	if request.MessageFormat < required {
+		return fmt.Errorf("form %d of messages: the fleet needs %d", request.MessageFormat, required)
 	}
 	return nil
 }
 
-// granted has one lease given: by this seat if it leads, else by the leader, asked by this seat for all that wait.
-func (a *Agent) granted(ctx context.Context, q question) (answer, int) {
-	a.mu.Lock()
-	s, leads := a.seat, a.leads != nil
-	a.mu.Unlock()
-	if s == nil {
-		return answer{Why: "no seat"}, http.StatusMisdirectedRequest
+// gossipMember returns a dispatcher in the terms of gossip.
+func gossipMember(dispatcher configversions.Dispatcher) gossippeers.Member {
+	return gossippeers.Member{
+		Name:    dispatcher.Name,
+		Address: dispatcher.Address,
+		Region:  dispatcher.Region,
+		Zone:    dispatcher.Zone,
 	}
-	var got answer
+}
+
+func gossipMembers(dispatchers []configversions.Dispatcher) (members []gossippeers.Member) {
+	for _, dispatcher := range dispatchers {
+		members = append(members, gossipMember(dispatcher))
+	}
+	return members
+}
+
+// grantLease gets a lease for one dispatcher, from this voter if it leads, else from the leader. It answers once this voter's
+// record is as new as the leader's, with what the dispatcher has to know of the record.
+func (a *Agent) grantLease(ctx context.Context, request leaseRequest) (response, int) {
+	own, lead := a.currentLeadership()
+	if own == nil {
+		return response{Reason: reasonNotVoter}, http.StatusMisdirectedRequest
+	}
+	var got response
 	var status int
-	if leads {
-		got, status = a.grants(ctx, []question{q})
+	if lead != nil {
+		got, status = a.grantLeases(ctx, []leaseRequest{request})
 	} else {
-		got, status = s.relay.ask(ctx, q)
+		got, status = own.relay.request(ctx, request)
 	}
 	if status != http.StatusOK {
 		return got, status
 	}
-	if why := got.Refused[q.Name]; why != "" {
-		return answer{Why: why}, http.StatusConflict
+	if reason := got.Rejected[request.Name]; reason != "" {
+		return response{Reason: reason}, http.StatusConflict
+	}
+	if !a.awaitRevision(ctx, own, got.Epoch, got.Revision) {
+		return response{Reason: "this seat is behind"}, http.StatusServiceUnavailable
 	}
-	// The record goes from here, once this seat has what the leader had.
+	lease := response{LeaseMS: got.LeaseMS, MessageFormat: got.MessageFormat}
+	if suggestion := got.PeerSuggestions[request.Name]; suggestion != nil {
+		lease.PeerSuggestions = map[string]*gossippeers.PeerSuggestion{request.Name: suggestion}
+	}
+	if rates := got.BudgetRates[request.Name]; rates != nil {
+		lease.BudgetRates = map[string]json.RawMessage{request.Name: rates}
+	}
+	lease.Entries, lease.Record, lease.Epoch, lease.Revision = own.entriesSince(request.Epoch, request.Revision)
+	return lease, http.StatusOK
+}
+
+// awaitRevision waits until this voter has applied a revision, and returns false when the context ends first.
+func (a *Agent) awaitRevision(ctx context.Context, own *ownVoter, epoch, revision uint64) bool {
 	for {
 		a.mu.Lock()
-		news := a.news
+		changed := a.recordChanged
 		a.mu.Unlock()
-		if r := s.log.Record(); r.Epoch == got.Era && r.Revision >= got.Revision {
-			break
+		if record := own.log.Record(); record.Epoch == epoch && record.Revision >= revision {
+			return true
 		}
 		select {
 		case <-ctx.Done():
-			return answer{Why: "this seat is behind"}, http.StatusServiceUnavailable
-		case <-news:
+			return false
+		case <-changed:
 		}
 	}
-	back := answer{LeaseMS: got.LeaseMS, Form: got.Form}
-	if named := got.Neighbours[q.Name]; named != nil {
-		back.Neighbours = map[string]*gossippeers.PeerSuggestion{q.Name: named}
-	}
-	if rates := got.Rates[q.Name]; rates != nil {
-		back.Rates = map[string]json.RawMessage{q.Name: rates}
-	}
-	back.Entries, back.Record, back.Era, back.Revision = s.since(q.Epoch, q.Revision)
-	return back, http.StatusOK
 }
 
-// relay gathers questions for the leader.
-type relay struct{ in chan asked }
-
-type asked struct {
-	q      question
-	answer chan<- relayedAnswer
-}
-
-type relayedAnswer struct {
-	answer
-	status int
-}
-
-func (r *relay) ask(ctx context.Context, q question) (answer, int) {
-	back := make(chan relayedAnswer, 1)
-	select {
-	case r.in <- asked{q, back}:
-	default:
-		return answer{Why: "too many questions wait"}, http.StatusServiceUnavailable
-	}
-	select {
-	case got := <-back:
-		return got.answer, got.status
-	case <-ctx.Done():
-		return answer{Why: ctx.Err().Error()}, http.StatusServiceUnavailable
+// dropLease notes at the leader that a dispatcher has dropped its lease. A voter forwards it to the leader, once.
+func (a *Agent) dropLease(ctx context.Context, request leaseRequest, forwarded bool) (response, int) {
+	a.mu.Lock()
+	own, lead := a.voter, a.leadership
+	if lead != nil {
+		lead.leases.LeaseDropped(request.Name, request.Instance, a.now())
 	}
-}
-
-// relayed asks the leader, one call at a time with all that wait.
-func (a *Agent) relayed(ctx context.Context, s *seat) {
-	for {
-		var all []asked
-		select {
-		case <-ctx.Done():
-			return
-		case q := <-s.relay.in:
-			all = append(all, q)
-		}
-		for len(s.relay.in) > 0 && len(all) < mostBatch {
-			all = append(all, <-s.relay.in)
-		}
-		var questions []question
-		for _, q := range all {
-			questions = append(questions, q.q)
-		}
-		got, status := answer{Why: "nobody leads"}, http.StatusServiceUnavailable
-		r, leader := s.log.Record(), s.log.Leader()
-		if leader == s.id() { // since a moment ago
-			by, stop := context.WithDeadline(ctx, time.Now().Add(callWithin))
-			got, status = a.grants(by, questions)
-			stop()
-		} else if to, ok := r.Voter(leader); ok {
-			by, stop := context.WithDeadline(ctx, time.Now().Add(min(callWithin, a.lease/3)))
-			var err error
-			part(a.Meter, true, questions...)
-			if got, status, err = a.post(by, to.Address, "grant", questions); err != nil {
-				got, status = answer{Why: err.Error()}, http.StatusServiceUnavailable
-			}
-			for _, rates := range got.Rates {
-				a.Meter.Within(traffic.Renewal, traffic.Budget, 0, len(rates))
-			}
-			stop()
-		}
-		for _, q := range all {
-			q.answer <- relayedAnswer{got, status} // has room
+	a.mu.Unlock()
+	if lead != nil {
+		return response{}, http.StatusOK
+	}
+	if own == nil || forwarded {
+		return response{Reason: reasonNotLeader}, http.StatusMisdirectedRequest
+	}
+	record := own.log.Record()
+	if leader, ok := record.Voter(own.log.Leader()); ok {
+		if got, status, err := a.call(ctx, leader.Address, "leave"+forwardedQuery, request); err == nil {
+			return got, status
 		}
-		pause(ctx, relayEvery)
 	}
+	return response{Reason: reasonNoLeader}, http.StatusServiceUnavailable
 }
--- /dev/null
+++ b/internal/fleet/operatorcalls.go
@@ -0,0 +1,156 @@
+package fleet
+
+import (
+	"context"
+	"crypto/rand"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/voters"
+)
+
+const (
+	proposeTimeout = 3 * callTimeout // of an operator's entry, at the leader
+	forwardTimeout = 4 * callTimeout // of a call that another dispatcher answers
+)
+
+// addedShedding is by how much more work a zone limit may have shed, in slots, before it needs to be forced.
+const addedShedding = 0.5
+
+// propose announces a version, here or at the leader. forwarded says that another voter took this one for the leader.
+func (a *Agent) propose(ctx context.Context, version configversions.Version, forwarded bool) (response, int) {
+	if err := version.Rules.Check(); err != nil {
+		return response{Reason: err.Error()}, http.StatusBadRequest
+	}
+	if err := version.Canary.Check(); err != nil {
+		return response{Reason: err.Error()}, http.StatusBadRequest
+	}
+	a.mu.Lock()
+	own, lead := a.voter, a.leadership
+	var cannotRead []string
+	if lead != nil {
+		cannotRead = lead.leases.CannotRead(version.Rules, a.now())
+	}
+	a.mu.Unlock()
+	if own == nil || lead == nil {
+		return a.forwardToLeader(ctx, "propose", version, forwarded)
+	}
+	if len(cannotRead) > 0 {
+		return response{Reason: fmt.Sprintf("older builds could not read it: %v", cannotRead)}, http.StatusConflict
+	}
+	return announce(ctx, own, version)
+}
+
+// announce appends the announcement of a version to the log. After an error of another kind than a conflict nobody knows
+// whether the version is announced; the status tells.
+func announce(ctx context.Context, own *ownVoter, version configversions.Version) (response, int) {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	defer cancel()
+	err := own.log.Propose(ctx, configversions.Entry{ID: rand.Text(), Announce: &version})
+	record := own.log.Record().WithoutHistory()
+	switch {
+	case err == nil:
+		return response{Record: &record}, http.StatusOK
+	case errors.Is(err, configversions.ErrChangeInProgress), errors.Is(err, configversions.ErrNotNextVersion):
+		return response{Reason: err.Error(), Record: &record}, http.StatusConflict
+	}
+	return response{Reason: err.Error()}, http.StatusServiceUnavailable
+}
+
+// limitZone limits a zone to a share of its capacity, where the other zones have the capacity for the rest or it is forced.
+func (a *Agent) limitZone(ctx context.Context, limit configversions.ZoneLimit, forwarded bool) (response, int) {
+	a.mu.Lock()
+	own := a.voter
+	planning := a.leadership != nil && a.leadership.planner != nil
+	var shedNow, shedThen float64
+	zoneExists := false
+	if planning {
+		planner := a.leadership.planner
+		shedNow, shedThen = planner.PredictShedding(limit.Zone, limit.Share, a.now())
+		_, zoneExists = planner.Regions()[limit.Zone]
+	}
+	a.mu.Unlock()
+	if !planning {
+		return a.forwardToLeader(ctx, "hold", limit, forwarded)
+	}
+	prediction := fmt.Sprintf("%.1f slots' work a second is shed now, %.1f with %s at %g", shedNow, shedThen, limit.Zone, limit.Share)
+	switch {
+	case !zoneExists:
+		return response{Reason: fmt.Sprintf("there is no zone %q", limit.Zone)}, http.StatusNotFound
+	case shedThen > shedNow+addedShedding && !limit.Force:
+		return response{Reason: "no room elsewhere: " + prediction}, http.StatusConflict
+	}
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	defer cancel()
+	if err := own.log.Propose(ctx, configversions.Entry{ID: rand.Text(), ZoneLimit: &limit}); err != nil {
+		return response{Reason: err.Error()}, http.StatusServiceUnavailable
+	}
+	return response{Reason: prediction}, http.StatusOK
+}
+
+// record returns the whole record with its history, as a voter has it: this one or the one that is asked.
+func (a *Agent) record(ctx context.Context, forwarded bool) (response, int) {
+	if own := a.currentVoter(); own != nil {
+		record := own.log.Record()
+		return response{Record: &record}, http.StatusOK
+	}
+	if forwarded {
+		return response{Reason: reasonNotVoter}, http.StatusMisdirectedRequest
+	}
+	return a.forward(ctx, a.nextVoter(), "record"+forwardedQuery, nil)
+}
+
+// dispatchers returns the dispatchers that hold a lease and those that held one lately, as the leader knows them.
+func (a *Agent) dispatchers(ctx context.Context, forwarded bool) (response, int) {
+	a.mu.Lock()
+	lead := a.leadership
+	var got response
+	if lead != nil {
+		got.LeaseHolders = lead.leases.LeaseHolders(a.now())
+		got.Absent = lead.leases.AbsentDispatchers(a.now())
+	}
+	a.mu.Unlock()
+	if lead != nil {
+		return got, http.StatusOK
+	}
+	return a.forwardToLeader(ctx, "known", nil, forwarded)
+}
+
+// forwardedQuery marks a call that a dispatcher forwards, so that it is not forwarded a second time.
+const (
+	forwardedParam = "passed"
+	forwardedQuery = "?" + forwardedParam + "=1"
+)
+
+// forwardToLeader has the leader answer a call: a voter forwards to the voter that leads, a follower to some voter. A nil body
+// makes it a GET request.
+func (a *Agent) forwardToLeader(ctx context.Context, name string, body any, forwarded bool) (response, int) {
+	own := a.currentVoter()
+	if own == nil {
+		return a.forward(ctx, a.nextVoter(), name, body)
+	}
+	if forwarded { // by a voter that took this one for the leader
+		return response{Reason: reasonNotLeader}, http.StatusMisdirectedRequest
+	}
+	record := own.log.Record()
+	leaderID := own.log.Leader()
+	leader, ok := record.Voter(leaderID)
+	if !ok || leaderID == own.id() {
+		return response{Reason: reasonNoLeader}, http.StatusServiceUnavailable
+	}
+	return a.forward(ctx, leader, name+forwardedQuery, body)
+}
+
+// forward has another voter answer a call.
+func (a *Agent) forward(ctx context.Context, to voters.Voter, name string, body any) (response, int) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(forwardTimeout))
+	defer cancel()
+	got, status, err := a.call(ctx, to.Address, name, body)
+	if err != nil {
+		return response{Reason: err.Error()}, http.StatusServiceUnavailable
+	}
+	return got, status
+}
--- /dev/null
+++ b/internal/fleet/options.go
@@ -0,0 +1,46 @@
+package fleet
+
+import (
+	"log/slog"
+
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/failover"
+	"brassdale/internal/traffic"
+)
+
+// Options configure an Agent. The callbacks are called from the agent's goroutines; ApplyEffective and PlanChanged are called
+// with the agent's lock held, so they must neither block nor call the agent.
+type Options struct {
+	// Settings are the operator's, checked.
+	Settings *Settings
+	// Name is the dispatcher's, unique in the fleet.
+	Name string
+	// Zone is used where the settings name none.
+	Zone string
+	// ApplyEffective is called with the effective rules whenever they change.
+	ApplyEffective func(configversions.Effective)
+	// JobCounts returns the jobs that ended since the start, and those of them that were rejected or failed. Nil for none.
+	JobCounts func() (ended, bad uint64)
+
+	// Overload are the budgets of the fleet; nil where it has none.
+	Overload *Overload
+	// MaxDispatchers returns the largest number of dispatchers that the fleet may have. Nil for 1.
+	MaxDispatchers func() int
+	// FirstAttempts returns the first attempts of requests since the start. Nil for none.
+	FirstAttempts func() uint64
+
+	// Failover are the settings of failover between zones; nil where nobody plans it.
+	Failover *Failover
+	// Report returns what this dispatcher observed of zones since the last report. Nil for nothing.
+	Report func() *failover.Report
+	// HasUrgentChange reports whether the leader should get a report at once. Nil for never.
+	HasUrgentChange func() bool
+	// PlanChanged is called with each new plan, and with expired when this dispatcher has had no lease for too long to
+	// trust the plan. The plan is nil where there is none.
+	PlanChanged func(plan *failover.Plan, expired bool)
+
+	// Log receives the agent's log lines.
+	Log *slog.Logger
+	// Meter counts the control traffic of this process. Nil for a meter of the agent's own.
+	Meter *traffic.Meter
+}
--- /dev/null
+++ b/internal/fleet/recordfile.go
@@ -0,0 +1,40 @@
+package fleet
+
+import (
+	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
+
+	"github.com/google/renameio/v2"
+
+	"brassdale/internal/decisions/configversions"
+)
+
+// recordFile is where a dispatcher stores the record that it knows, for its next process.
+func (a *Agent) recordFile() string { return filepath.Join(a.settings.Directory, "known.json") }
+
+// loadRecord returns the stored record; an empty one where there is none, or none that can be read: without a lease it only
+// restricts what the dispatcher does.
+func (a *Agent) loadRecord() (record configversions.Record) {
+	text, err := os.ReadFile(a.recordFile())
+	if err == nil {
+		err = json.Unmarshal(text, &record)
+	}
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
+		a.log.Warn("stored record not read", "err", err)
+		return configversions.Record{}
+	}
+	return record
+}
+
+// saveRecord stores the record, without its history. A failure is logged: the dispatcher goes on without a stored record.
+func (a *Agent) saveRecord(record configversions.Record) {
+	text, err := json.Marshal(record.WithoutHistory())
+	if err == nil {
+		err = renameio.WriteFile(a.recordFile(), text, 0o600)
+	}
+	if err != nil {
+		a.log.Warn("record not stored", "err", err)
+	}
+}
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net/http"
 	"slices"
-	"strings"
 	"time"
 
 	"brassdale/internal/decisions/configversions"
@@ -15,222 +14,232 @@
 	"brassdale/internal/traffic"
 )
 
-// order gives the council's seats in the order in which this dispatcher asks them; its own first.
-func (a *Agent) order() []voters.Voter {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	council := a.holder.Record().Voters
-	if len(council) == 0 {
-		council = a.s.founders()
-	}
-	order := voters.ContactOrder(council, a.Name, a.s.Region, a.Zone)
-	if own := a.seat.id(); own != 0 {
-		for i, s := range order {
-			if s.ID == own {
-				copy(order[1:i+1], order[:i])
-				order[0] = s
-			}
+const (
+	// renewalsPerLease is how often a lease is renewed before it runs out. What changes in between comes by followRecord.
+	renewalsPerLease = 4
+	// reportInterval is the shortest time between two reports of zones, but for urgent ones.
+	reportInterval = 900 * time.Millisecond
+)
+
+// renewInterval is the time between two renewals.
+func (a *Agent) renewInterval() time.Duration { return a.leaseDuration / renewalsPerLease }
+
+// renewLeases renews the dispatcher's lease until the context ends: every renewInterval, sooner where no voter granted one, and
+// at once when renewNow wakes it.
+func (a *Agent) renewLeases(ctx context.Context) {
+	interval := a.renewInterval()
+	for ctx.Err() == nil {
+		askedAt := a.now() // the lease counts from here, which is before the leader's clock for it starts
+		begin := time.Now()
+		err := a.renewOnce(ctx, askedAt, begin.Add(a.leaseCallTimeout()))
+		a.noteRenewal(err == nil)
+		wait := time.Until(begin.Add(interval))
+		if err != nil {
+			a.log.Debug("lease not renewed", "err", err)
+			wait = min(wait, interval/4)
+		}
+		select {
+		case <-ctx.Done():
+		case <-a.renewNow:
+		case <-time.After(max(wait, time.Millisecond)):
 		}
 	}
-	return order
 }
 
-// asks gives the seat that is asked now: the next one behind each that was asked in vain.
-func (a *Agent) asks() voters.Voter {
-	order := a.order()
+// noteRenewal counts a request for a lease. After one that failed another voter is asked.
+func (a *Agent) noteRenewal(granted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return order[a.turn%len(order)]
-}
-
-// tried notes whether a seat answered.
-func (a *Agent) tried(ok bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if ok {
+	if granted {
 		a.counts.Renewed++
 		return
 	}
 	a.counts.Rejected++
-	a.turn++
+	a.failedVoters++
 }
 
-// question is what this dispatcher says when it asks for a lease.
-// The answer's entries follow the record that the question is about, whatever was learned meanwhile.
-func (a *Agent) question() (question, configversions.Record) {
-	ended, bad := uint64(0), uint64(0)
-	if a.JobCounts != nil {
-		ended, bad = a.JobCounts()
-	}
-	demand, firsts := a.wants()
-	var report json.RawMessage
-	if now := a.now(); a.Report != nil && (now >= a.reported+reportEvery || a.HasUrgentChange != nil && a.HasUrgentChange()) {
-		a.reported = now
-		report, _ = json.Marshal(a.Report()) // a struct of numbers and names
+// renewOnce requests a lease and takes it over.
+func (a *Agent) renewOnce(ctx context.Context, askedAt configversions.Clock, deadline time.Time) error {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
+	defer cancel()
+	request, base := a.newLeaseRequest()
+	voter := a.nextVoter()
+	got, status, err := a.requestLease(ctx, voter, request)
+	if err != nil {
+		return err
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	r := a.holder.Record()
-	q := question{Report: report, Demand: demand, Firsts: firsts, Dispatcher: configversions.Dispatcher{Name: a.Name, Instance: a.instance, AcknowledgedVersion: a.holder.Acknowledged(), MessageFormat: a.form, Epoch: r.Epoch,
-		Address: a.address(), Region: a.s.Region, Zone: a.Zone, VoterID: a.seat.id(), JobsEnded: ended, JobsFailed: bad, DedicatedToControl: a.s.DedicatedToControl}, Revision: r.Revision}
-	if r.Plan != nil {
-		q.Plan = r.Plan.Number
+	if status != http.StatusOK {
+		return fmt.Errorf("voter %d: %d %s", voter.ID, status, got.Reason)
 	}
-	if !a.heard {
-		q.Revision = 0
+	lease := time.Duration(got.LeaseMS) * time.Millisecond
+	record, isNew, err := a.applyLease(got, base, askedAt, lease)
+	if err != nil {
+		return err
 	}
-	if a.members != nil && a.form >= formNeighbours {
-		roll := a.members.Digest()
-		q.Neighbours = &roll
+	a.exchangeWithPeer(got)
+	a.budgets.applyRates(got.BudgetRates[a.options.Name], askedAt, lease)
+	if isNew {
+		a.saveRecord(record)
+		wake(a.renewNow) // acknowledges it
+		wake(a.stateChanged)
 	}
-	return q, r
+	return nil
 }
 
-// renew asks for leases, and again sooner where nobody gave one.
-func (a *Agent) renew(ctx context.Context) {
-	every := a.lease / renewals
-	for ctx.Err() == nil {
-		asked, begin := a.now(), time.Now()
-		err := a.renewOnce(ctx, asked, begin.Add(min(callWithin, a.lease/3)))
-		a.tried(err == nil)
-		wait := time.Until(begin.Add(every))
-		if err != nil {
-			a.log.Debug("no lease", "err", err)
-			wait = min(wait, every/4)
-		}
-		select {
-		case <-ctx.Done():
-		case <-a.renewNow:
-		case <-time.After(max(wait, time.Millisecond)):
-		}
+// requestLease requests a lease from a voter, which may be this dispatcher's own.
+func (a *Agent) requestLease(ctx context.Context, voter voters.Voter, request leaseRequest) (response, int, error) {
+	if voter.ID == request.VoterID {
+		got, status := a.grantLease(ctx, request)
+		return got, status, nil
+	}
+	meterRequests(a.options.Meter, true, request)
+	got, status, err := a.call(ctx, voter.Address, "renew", request)
+	if err == nil {
+		a.options.Meter.Within(traffic.Renewal, traffic.Budget, 0, len(got.BudgetRates[a.options.Name]))
 	}
+	return got, status, err
 }
 
-func (a *Agent) renewOnce(ctx context.Context, asked configversions.Clock, by time.Time) error {
-	ctx, stop := context.WithDeadline(ctx, by)
-	defer stop()
-	q, of := a.question()
-	s := a.asks()
-	var got answer
-	var status int
-	if s.ID == q.VoterID {
-		got, status = a.granted(ctx, q)
-	} else {
-		var err error
-		part(a.Meter, true, q)
-		if got, status, err = a.post(ctx, s.Address, "renew", q); err != nil {
-			return err
-		}
-		a.Meter.Within(traffic.Renewal, traffic.Budget, 0, len(got.Rates[a.Name]))
-	}
-	if status != http.StatusOK {
-		return fmt.Errorf("seat %d: %d %s", s.ID, status, got.Why)
-	}
+// applyLease takes over a lease, and the record that its response leads to from base, the record that the request was about.
+// isNew reports whether the record is newer than the one known before. Where the entries do not follow, the next request is
+// for the whole record.
+func (a *Agent) applyLease(
+	got response, base configversions.Record, askedAt configversions.Clock, lease time.Duration,
+) (record configversions.Record, isNew bool, err error) {
 	a.mu.Lock()
-	r, err := got.onto(of)
-	fresh := err == nil && r.NewerThan(a.holder.Record())
-	if err == nil {
-		a.holder.ApplyLease(r, asked, time.Duration(got.LeaseMS)*time.Millisecond)
-		a.settled()
-	}
-	a.heard = err == nil && (a.heard || got.Record != nil) // else the whole is asked for
-	a.mu.Unlock()
+	defer a.mu.Unlock()
+	record, err = got.applyTo(base)
 	if err != nil {
-		return err
-	}
-	a.visit(got)
-	a.leased(got.Rates[a.Name], asked, time.Duration(got.LeaseMS)*time.Millisecond)
-	if fresh {
-		a.keep(r)
-		wake(a.renewNow)
-		wake(a.changed)
-	}
-	return nil
+		a.recordComplete = false
+		return record, false, err
+	}
+	isNew = record.NewerThan(a.lessee.Record())
+	a.lessee.ApplyLease(record, askedAt, lease)
+	a.applyStateLocked()
+	a.recordComplete = a.recordComplete || got.Record != nil
+	return record, isNew, nil
 }
 
-// visit exchanges all with a neighbour where the leader has named some and it is time. A leader of an older build names nobody:
-// who is alone then meets a voter, as that build does.
-func (a *Agent) visit(got answer) {
-	if a.form < formNeighbours {
+// newLeaseRequest returns a request for a lease, and the record that it is about: the entries of the response follow that one,
+// whatever is learned meanwhile. Only the goroutine of Run may call it.
+func (a *Agent) newLeaseRequest() (leaseRequest, configversions.Record) {
+	var ended, failed uint64
+	if a.options.JobCounts != nil {
+		ended, failed = a.options.JobCounts()
+	}
+	demand, firstAttemptsPerSecond := a.budgets.demand(a.options.FirstAttempts)
+	report := a.dueReport()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	record := a.lessee.Record()
+	_, plan := currentPlan(record)
+	request := leaseRequest{
+		Dispatcher: configversions.Dispatcher{
+			Name:                a.options.Name,
+			Instance:            a.instance,
+			AcknowledgedVersion: a.lessee.Acknowledged(),
+			MessageFormat:       a.messageFormat,
+			Epoch:               record.Epoch,
+			Address:             a.address(),
+			Region:              a.settings.Region,
+			Zone:                a.options.Zone,
+			VoterID:             a.voter.id(),
+			JobsEnded:           ended,
+			JobsFailed:          failed,
+			Plan:                plan,
+			DedicatedToControl:  a.settings.DedicatedToControl,
+		},
+		Revision:               record.Revision,
+		Report:                 report,
+		BudgetDemand:           demand,
+		FirstAttemptsPerSecond: firstAttemptsPerSecond,
+	}
+	if !a.recordComplete {
+		request.Revision = 0
+	}
+	if a.members != nil && a.messageFormat >= zoneGossipFormat {
+		digest := a.members.Digest()
+		request.Digest = &digest
+	}
+	return request, record
+}
+
+// dueReport returns the report of zones, encoded, where it is time for one; else nil. Only the goroutine of Run may call it.
+func (a *Agent) dueReport() json.RawMessage {
+	if a.options.Report == nil {
+		return nil
+	}
+	now := a.now()
+	urgent := a.options.HasUrgentChange
+	if now < a.reportedAt+reportInterval && (urgent == nil || !urgent()) {
+		return nil
+	}
+	a.reportedAt = now
+	encoded, _ := json.Marshal(a.options.Report()) // a struct of numbers and names has no error
+	return encoded
+}
+
+// exchangeWithPeer has gossip exchange its state with a peer that the leader suggests, where it is time for that. A leader of
+// an older build suggests none: a dispatcher that knows nobody then exchanges with a founder, as that build does. Only the
+// goroutine of Run may call it.
+func (a *Agent) exchangeWithPeer(got response) {
+	if a.messageFormat < zoneGossipFormat {
 		return
 	}
-	roll, named := a.members.Digest(), got.Neighbours[a.Name]
-	if got.Form < formNeighbours && roll.Count <= 1 {
-		named = &gossippeers.PeerSuggestion{Addresses: slices.DeleteFunc(slices.Clone(a.s.Voters), func(at string) bool { return at == a.address() })}
+	digest := a.members.Digest()
+	suggestion := got.PeerSuggestions[a.options.Name]
+	if got.MessageFormat < zoneGossipFormat && digest.Count <= 1 {
+		isOwn := func(address string) bool { return address == a.address() }
+		others := slices.DeleteFunc(slices.Clone(a.settings.Voters), isOwn)
+		suggestion = &gossippeers.PeerSuggestion{Addresses: others}
 	}
-	if address, ok := a.visitor.NextExchange(named, roll, a.now()); ok {
+	if address, ok := a.exchanger.NextExchange(suggestion, digest, a.now()); ok {
 		a.members.ExchangeWith(address)
 	}
 }
 
-// subscribe follows the record at some seat: what changes comes as soon as that seat has it, the newest only where this
-// dispatcher is slow. A dispatcher with a seat has it from its own log.
-func (a *Agent) subscribe(ctx context.Context) {
-	for ctx.Err() == nil {
-		a.mu.Lock()
-		own, r, heard := a.seat.id(), a.holder.Record(), a.heard
-		a.mu.Unlock()
-		if own != 0 || !heard {
-			pause(ctx, a.lease/renewals)
-			continue
-		}
-		at := fmt.Sprintf("watch?era=%d&revision=%d&wait=%d", r.Epoch, r.Revision, watchFor.Milliseconds())
-		by, stop := context.WithDeadline(ctx, time.Now().Add(watchFor+callWithin))
-		got, status, err := a.post(by, a.asks().Address, at, nil)
-		stop()
+// releaseLease drops the lease and tells a voter, so that no change and no successor of the same name waits for its end. Only
+// the goroutine of Run may call it.
+func (a *Agent) releaseLease(ctx context.Context) {
+	a.mu.Lock()
+	a.lessee.DropLease(a.now())
+	a.mu.Unlock()
+	a.applyState()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	request, _ := a.newLeaseRequest()
+	for _, voter := range a.contactOrder() {
+		_, status, err := a.call(ctx, voter.Address, "leave", request)
 		if err == nil && status == http.StatusOK {
-			if r, err = got.onto(r); err == nil {
-				a.learned(r)
-				continue
-			}
-			a.mu.Lock()
-			a.heard = false
-			a.mu.Unlock()
+			return
 		}
-		pause(ctx, a.lease/renewals)
 	}
 }
 
-// watchFor is how long a subscription waits for news in one call.
-const watchFor = 10 * time.Second
-
-// post calls another dispatcher; a nil body gets.
-func (a *Agent) post(ctx context.Context, address, what string, body any) (got answer, status int, err error) {
-	var text []byte
-	if body != nil {
-		if text, err = json.Marshal(body); err != nil {
-			return got, 0, err
-		}
-	}
-	by, ok := ctx.Deadline()
-	if !ok {
-		by = time.Now().Add(callWithin)
-	}
-	name, _, _ := strings.Cut(what, "?")
-	status, back, err := Call(a.Meter.Call(ctx, kindOfCall(name)), a.client, "http://"+a.s.reach(address)+"/council/"+what, text, by)
+// contactOrder returns the voters in the order in which this dispatcher asks them: itself, where it is one, then the nearest.
+func (a *Agent) contactOrder() []voters.Voter {
 	a.mu.Lock()
-	a.counts.Calls++
-	a.mu.Unlock()
-	if err == nil {
-		err = json.Unmarshal(back, &got)
-	}
-	return got, status, err
+	defer a.mu.Unlock()
+	group := a.lessee.Record().Voters
+	if len(group) == 0 {
+		group = a.settings.founders()
+	}
+	order := voters.ContactOrder(group, a.options.Name, a.settings.Region, a.options.Zone)
+	isOwn := func(voter voters.Voter) bool { return voter.ID == a.voter.id() }
+	own := slices.IndexFunc(order, isOwn)
+	if own < 0 {
+		return order
+	}
+	first := order[own]
+	copy(order[1:own+1], order[:own])
+	order[0] = first
+	return order
 }
 
-// onto gives the record behind an answer.
-func (g answer) onto(r configversions.Record) (configversions.Record, error) {
-	if g.Record != nil {
-		return *g.Record, nil
-	}
-	for _, e := range g.Entries {
-		next, err := r.Apply(e)
-		if err != nil {
-			return r, fmt.Errorf("an entry does not follow revision %d: %w", r.Revision, err)
-		}
-		r = next
-	}
-	if g.Revision > 0 && (r.Revision != g.Revision || r.Epoch != g.Era) {
-		return r, fmt.Errorf("entries lead to revision %d, not %d", r.Revision, g.Revision)
-	}
-	return r, nil
+// nextVoter returns the voter to ask now: the nearest, and the next one after each that was asked in vain.
+func (a *Agent) nextVoter() voters.Voter {
+	order := a.contactOrder()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return order[a.failedVoters%len(order)]
 }
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -33,12 +33,12 @@
 		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, Plan: 27, DedicatedToControl: true}
 	self := gossip.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
 	return map[string]any{
-		"question": question{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
-			Demand: json.RawMessage(`{"budget-1":1.5}`), Firsts: 42.5, Neighbours: &gossippeers.Digest{Count: 43, Sum: 44}},
-		"answer": answer{Record: &record, Entries: []configversions.Entry{{ID: "entry-1", PutInForce: 51}}, LeaseMS: 52, Era: 53, Revision: 54,
-			Leader: 55, Refused: map[string]string{"dispatcher-4": "why-2"}, Rates: map[string]json.RawMessage{"dispatcher-5": json.RawMessage(`{"budget-2":2.5}`)},
-			Why: "why-3", Present: []configversions.Dispatcher{member}, Absent: []configversions.AbsentDispatcher{{Dispatcher: member, Left: true, AbsentFor: 56}}, Form: 57,
-			Neighbours: map[string]*gossippeers.PeerSuggestion{"dispatcher-6": {Count: 58, Addresses: []string{"127.0.0.1:9004"}}}},
+		"question": leaseRequest{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
+			BudgetDemand: json.RawMessage(`{"budget-1":1.5}`), FirstAttemptsPerSecond: 42.5, Digest: &gossippeers.Digest{Count: 43, Sum: 44}},
+		"answer": response{Record: &record, Entries: []configversions.Entry{{ID: "entry-1", PutInForce: 51}}, LeaseMS: 52, Epoch: 53, Revision: 54,
+			Leader: 55, Rejected: map[string]string{"dispatcher-4": "why-2"}, BudgetRates: map[string]json.RawMessage{"dispatcher-5": json.RawMessage(`{"budget-2":2.5}`)},
+			Reason: "why-3", LeaseHolders: []configversions.Dispatcher{member}, Absent: []configversions.AbsentDispatcher{{Dispatcher: member, Left: true, AbsentFor: 56}}, MessageFormat: 57,
+			PeerSuggestions: map[string]*gossippeers.PeerSuggestion{"dispatcher-6": {Count: 58, Addresses: []string{"127.0.0.1:9004"}}}},
 		"report": failover.Report{Dispatcher: "dispatcher-7", Zone: "zone-3",
 			Observations:  []failover.Observation{{To: "zone-4", Class: "class-1", Ended: 61.5, InTime: 62.5, Full: 63.5}},
 			LastResponses: []failover.LastResponse{{To: "zone-5", Since: 64, Unanswered: 65}},
@@ -104,14 +104,14 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a := &Agent{s: &Settings{Directory: filepath.Dir(path)}, log: slog.New(slog.DiscardHandler)}
-	if got := a.kept(); !reflect.DeepEqual(got, storedRecord()) {
+	a := &Agent{settings: &Settings{Directory: filepath.Dir(path)}, log: slog.New(slog.DiscardHandler)}
+	if got := a.loadRecord(); !reflect.DeepEqual(got, storedRecord()) {
 		t.Errorf("read %+v, want %+v", got, storedRecord())
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	a.keep(storedRecord())
+	a.saveRecord(storedRecord())
 	if text, err := os.ReadFile(path); err != nil || string(text) != string(stored) {
 		t.Errorf("wrote %s (error %v), want %s", text, err, stored)
 	}
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -2,258 +2,216 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
-	"net/http"
 	"os"
-	"slices"
-	"sync"
 	"time"
 
 	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/voters"
-	councillog "brassdale/internal/fleet/raftlog"
-	"brassdale/internal/traffic"
+	"brassdale/internal/fleet/raftlog"
 )
 
-// seat is this dispatcher's place in the council while it has one.
-type seat struct {
-	log   *councillog.Log
-	stop  context.CancelFunc
-	ended chan struct{}
-	relay relay
+const (
+	voterCheckInterval = 100 * time.Millisecond
+	voterRetryInterval = time.Second // after a voter could not be started
+)
 
-	mu    sync.Mutex
-	peers map[uint64]*peer
+// Reasons for which this dispatcher is no longer a voter.
+const (
+	reasonShutdown  = ""
+	reasonReplaced  = "replaced"
+	reasonNewerRaft = "newer raft group"
+)
+
+// ownVoter is this dispatcher's voter while it is one. It ends when cancel is called, or when the disk fails: then it stays
+// the dispatcher's voter, and takes no part in the raft group, until another dispatcher replaces it.
+type ownVoter struct {
+	log    *raftlog.Log
+	relay  *leaderRelay
+	sender *raftSender
+	cancel context.CancelFunc
+	ended  chan struct{} // closed when log.Run has returned and its file is closed
 }
 
-func (s *seat) id() uint64 {
-	if s == nil {
+// id returns the voter's ID; 0 for no voter.
+func (v *ownVoter) id() uint64 {
+	if v == nil {
 		return 0
 	}
-	return s.log.VoterID()
+	return v.log.VoterID()
 }
 
-// since gives what has changed since a revision, for who acts on it: a whole record goes without what was.
-func (s *seat) since(era, revision uint64) (entries []configversions.Entry, whole *configversions.Record, toEra, to uint64) {
-	entries, whole, toEra, to = s.log.EntriesSince(era, revision)
+// entriesSince is Log.EntriesSince for a dispatcher that acts on the record: a whole record has no history.
+func (v *ownVoter) entriesSince(epoch, revision uint64) (entries []configversions.Entry, whole *configversions.Record, toEpoch, toRevision uint64) {
+	entries, whole, toEpoch, toRevision = v.log.EntriesSince(epoch, revision)
 	if whole != nil {
 		brief := whole.WithoutHistory()
 		whole = &brief
 	}
-	return entries, whole, toEra, to
+	return entries, whole, toEpoch, toRevision
 }
 
-const (
-	sitEvery   = 100 * time.Millisecond
-	relayEvery = 10 * time.Millisecond // between two batches of questions to the leader
-)
+// currentVoter returns this dispatcher's voter; nil for a follower.
+func (a *Agent) currentVoter() *ownVoter {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.voter
+}
 
-// sit takes the seat that this dispatcher has by what is known, and gives it up when it has none any more.
-func (a *Agent) sit(ctx context.Context) {
-	defer func() { a.stand("") }()
-	for ; ctx.Err() == nil; pause(ctx, sitEvery) {
+// manageVoter starts this dispatcher's voter when the record, or the settings before there is one, say that it is one, and
+// stops it when it no longer is. It stops the voter when the context ends.
+func (a *Agent) manageVoter(ctx context.Context) {
+	defer a.stopVoter(reasonShutdown)
+	for ; ctx.Err() == nil; sleep(ctx, voterCheckInterval) {
 		a.mu.Lock()
-		r, own := a.holder.Record(), a.seat
+		record := a.lessee.Record()
+		own := a.voter
 		a.mu.Unlock()
 		if own != nil {
-			mine := own.log.Record()
-			_, has := r.Voter(own.id())
-			_, had := mine.Voter(own.id()) // one that was there when its seat was given away has that in its own log
-			if r.Epoch > mine.Epoch || len(r.Voters) > 0 && !has && r.NewerThan(mine) || len(mine.Voters) > 0 && !had {
-				a.stand("another has the seat")
+			if replaced(own, record) {
+				a.stopVoter(reasonReplaced)
 			}
 			continue
 		}
-		if err := a.take(ctx, r); err != nil && ctx.Err() == nil {
-			a.log.Warn("the seat in the council is not taken", "err", err)
-			pause(ctx, time.Second)
+		if err := a.startVoter(ctx, record); err != nil && ctx.Err() == nil {
+			a.log.Warn("voter not started", "err", err)
+			sleep(ctx, voterRetryInterval)
 		}
 	}
 }
 
-// take opens the seat that a record, or the settings where there is none, gives this dispatcher.
-func (a *Agent) take(ctx context.Context, r configversions.Record) error {
-	first := uint64(a.s.VoterID)
-	if len(r.Voters) > 0 {
-		var s voters.Voter // the last that it was given: while it is given anew the one that it lost is still there
-		for _, had := range r.Voters {
-			if had.Address == a.address() && (had.Name == "" || had.Name == a.Name) && had.ID > s.ID {
-				s = had
-			}
-		}
-		if s.ID == 0 {
+// replaced reports whether a voter is no longer one: by the record that its dispatcher knows, where that is newer than the
+// voter's own log, or by the log itself, which has it where the voter was there when it was removed.
+func replaced(own *ownVoter, record configversions.Record) bool {
+	logged := own.log.Record()
+	_, inRecord := record.Voter(own.id())
+	_, inLog := logged.Voter(own.id())
+	switch {
+	case record.Epoch > logged.Epoch:
+		return true
+	case len(record.Voters) > 0 && !inRecord && record.NewerThan(logged):
+		return true
+	}
+	return len(logged.Voters) > 0 && !inLog
+}
+
+// startVoter starts this dispatcher's voter, if a record says that it is one, or, without a voter in the record, if the
+// settings say that it is a founder.
+func (a *Agent) startVoter(ctx context.Context, record configversions.Record) error {
+	founderID := uint64(a.settings.VoterID)
+	if len(record.Voters) > 0 {
+		assigned := a.assignedVoter(record)
+		if assigned.ID == 0 {
 			return nil
 		}
-		if s.ID != first || r.Epoch > 0 {
-			_, err := os.Stat(councillog.Path(a.s.Directory, s.ID))
-			if err != nil && !s.Learner { // it has lost its file, with its votes
-				return nil
-			}
-			return a.seated(ctx, s.ID, nil)
+		if assigned.ID != founderID || record.Epoch > 0 {
+			return a.rejoin(ctx, assigned)
 		}
 	}
-	if first == 0 {
+	if founderID == 0 {
 		return nil
 	}
-	f, err := councillog.OpenFounder(a.s.Directory, first, nil)
-	if err != nil {
-		return err
-	}
-	a.mu.Lock()
-	a.founder = &f
-	a.mu.Unlock()
-	if f.FoundingVoters == nil {
-		others := map[uint64]voters.Founder{}
-		for _, s := range a.s.founders() {
-			if s.ID == first {
-				continue
-			}
-			by, stop := context.WithDeadline(ctx, time.Now().Add(callWithin))
-			status, text, err := Call(a.Meter.Call(by, traffic.Other), a.client, "http://"+a.s.reach(s.Address)+"/council/founder", nil, time.Now().Add(callWithin))
-			stop()
-			var o voters.Founder
-			if err == nil && status == http.StatusOK && json.Unmarshal(text, &o) == nil && o.Incarnation != "" {
-				others[s.ID] = o
-			}
-		}
-		what, roll := voters.DecideFounding(first, f.Incarnation, others, len(a.s.Voters))
-		switch what {
-		case voters.WaitForFounders:
-			return nil
-		case voters.NotAFounder:
-			a.said("this file is not the one that the council was founded with: the dispatcher goes on as a follower")
-			return nil
+	return a.startFounder(ctx, founderID)
+}
+
+// assignedVoter returns the voter that is this dispatcher by a record; one with ID 0 where none is. While a voter that lost its
+// file is replaced by the same dispatcher there are two: the one with the higher ID counts.
+func (a *Agent) assignedVoter(record configversions.Record) (assigned voters.Voter) {
+	for _, voter := range record.Voters {
+		if voter.Address != a.address() || voter.Name != "" && voter.Name != a.options.Name {
+			continue
 		}
-		if f, err = councillog.OpenFounder(a.s.Directory, first, roll); err != nil {
-			return err
+		if voter.ID > assigned.ID {
+			assigned = voter
 		}
-		a.mu.Lock()
-		a.founder = &f
-		a.mu.Unlock()
-		a.log.Info("council founded", "voters", len(roll))
 	}
-	return a.seated(ctx, first, a.s.founders())
+	return assigned
 }
 
-// said logs what stands for long, once.
-func (a *Agent) said(text string) {
-	a.mu.Lock()
-	had := a.turned == text
-	a.turned = text
-	a.mu.Unlock()
-	if !had {
-		a.log.Warn(text)
+// rejoin runs a voter that is not a founder, or one of a recovered group. A voter that has lost its file, with its votes, does
+// not start again under its ID; a learner has no file yet.
+func (a *Agent) rejoin(ctx context.Context, voter voters.Voter) error {
+	_, err := os.Stat(raftlog.Path(a.settings.Directory, voter.ID))
+	if err != nil && !voter.Learner {
+		return nil
 	}
+	return a.runVoter(ctx, voter.ID, nil)
 }
 
-// seated opens the seat's log and runs it.
-func (a *Agent) seated(ctx context.Context, id uint64, founders []voters.Voter) error {
-	ctx, stop := context.WithCancel(ctx)
-	s := &seat{stop: stop, ended: make(chan struct{}), peers: map[uint64]*peer{}}
-	log, err := councillog.Open(councillog.Options{VoterID: id, Founders: founders, Directory: a.s.Directory, Log: a.log,
-		Send:          func(to uint64, m []byte) { a.send(ctx, s, to, m) },
-		RecordChanged: func(r configversions.Record) { a.inLog(r) }, LeadershipChanged: a.elected})
+// runVoter opens a voter's log and runs it. founders is nil for a voter that is none. The goroutines that it starts end with
+// the context or with stopVoter.
+func (a *Agent) runVoter(ctx context.Context, id uint64, founders []voters.Voter) error {
+	ctx, cancel := context.WithCancel(ctx)
+	own := &ownVoter{
+		relay:  newLeaderRelay(),
+		sender: &raftSender{agent: a, peers: map[uint64]*raftPeer{}},
+		cancel: cancel,
+		ended:  make(chan struct{}),
+	}
+	log, err := raftlog.Open(raftlog.Options{
+		VoterID:           id,
+		Founders:          founders,
+		Directory:         a.settings.Directory,
+		Send:              func(to uint64, message []byte) { own.sender.send(ctx, own.log, to, message) },
+		RecordChanged:     a.logApplied,
+		LeadershipChanged: a.leadershipChanged,
+		Log:               a.log,
+	})
 	if err != nil {
-		stop()
+		cancel()
 		return err
 	}
-	s.log = log
-	s.relay.in = make(chan asked, mostAsking)
+	own.log = log
 	a.mu.Lock()
-	a.seat = s
+	a.voter = own
 	a.mu.Unlock()
-	a.log.Info("seated", "seat", id)
-	go a.relayed(ctx, s)
+	a.log.Info("became voter", "voter_id", id)
+	go a.relayRequests(ctx, own)
 	go func() {
-		defer close(s.ended)
+		defer close(own.ended)
 		if err := log.Run(ctx); err != nil && ctx.Err() == nil {
-			a.log.Error("this voter has stopped: the dispatcher goes on as a follower", "err", err)
+			a.log.Error("voter stopped, continuing as follower", "err", err)
 		}
 	}()
 	return nil
 }
 
-// stand gives the seat up; its file too where another has the seat, as a seat is never taken twice.
-func (a *Agent) stand(why string) {
+// stopVoter stops this dispatcher's voter and waits for its end. Except at a shutdown its file is removed, as an ID is never
+// used a second time.
+func (a *Agent) stopVoter(reason string) {
 	a.mu.Lock()
-	s := a.seat
-	a.seat, a.leads, a.trying, a.planner, a.treasury, a.register = nil, nil, nil, nil, nil, nil
+	own := a.voter
+	a.voter = nil
+	a.leadership = nil
 	a.mu.Unlock()
-	if s == nil {
+	if own == nil {
 		return
 	}
-	s.stop()
-	<-s.ended
-	if why != "" {
-		a.log.Info("unseated", "seat", s.id(), "why", why)
-		if err := os.Remove(councillog.Path(a.s.Directory, s.id())); err != nil {
-			a.log.Warn("the seat's file stays", "err", err)
-		}
+	own.cancel()
+	<-own.ended
+	if reason == reasonShutdown {
+		return
+	}
+	a.log.Info("no longer a voter", "voter_id", own.id(), "reason", reason)
+	if err := os.Remove(raftlog.Path(a.settings.Directory, own.id())); err != nil {
+		a.log.Warn("voter file not removed", "err", err)
 	}
 }
 
-// inLog takes what the log has applied. It does not block.
-func (a *Agent) inLog(r configversions.Record) {
+// logApplied takes a record over that the voter's log has applied. The goroutine of Log.Run calls it; it does not block.
+func (a *Agent) logApplied(record configversions.Record) {
 	a.mu.Lock()
-	a.holder.ApplyRecord(r)
-	a.settled()
-	close(a.news)
-	a.news = make(chan struct{})
+	a.lessee.ApplyRecord(record)
+	a.applyStateLocked()
+	close(a.recordChanged)
+	a.recordChanged = make(chan struct{})
 	a.mu.Unlock()
-	wake(a.changed)
+	wake(a.stateChanged)
 	wake(a.renewNow)
 }
 
-// send hands a message to another seat.
-func (a *Agent) send(ctx context.Context, s *seat, to uint64, m []byte) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := s.peers[to]
-	if p == nil {
-		p = &peer{out: make(chan []byte, mostBatch)}
-		s.peers[to] = p
-		go a.carry(ctx, s, to, p)
-	}
-	p.send(m)
-}
-
-// carry takes messages to another seat, as many as there are in one call. What is lost is sent again by the log.
-func (a *Agent) carry(ctx context.Context, s *seat, to uint64, p *peer) {
-	for {
-		batch, ok := p.next(ctx)
-		if !ok {
-			return
-		}
-		// A seat that is new has an empty log, and has to answer a leader that may be none of the founders.
-		r := s.log.Record()
-		a.mu.Lock()
-		if known := a.holder.Record(); known.NewerThan(r) {
-			r = known
-		}
-		a.mu.Unlock()
-		council := r.Voters
-		if len(council) == 0 {
-			council = a.s.founders()
-		}
-		i := slices.IndexFunc(council, func(o voters.Voter) bool { return o.ID == to })
-		if i < 0 {
-			continue // it has no seat any more
-		}
-		a.mu.Lock()
-		a.counts.Calls++
-		a.mu.Unlock()
-		status, text, err := Call(a.Meter.Call(ctx, traffic.Raft), a.client, fmt.Sprintf("http://%s/council/messages?era=%d", a.s.reach(council[i].Address), r.Epoch), batch, time.Now().Add(callWithin))
-		var got answer
-		if err == nil && status == http.StatusGone && json.Unmarshal(text, &got) == nil && got.Era > r.Epoch {
-			a.fenced(got.Era)
-			return
-		}
-	}
-}
-
-// fenced ends this dispatcher's part in a council that is none any more.
-func (a *Agent) fenced(era uint64) {
-	a.log.Warn("the fleet has a newer council", "era", era)
-	go a.stand("a newer council")
+// leaveOldRaftGroup stops this dispatcher's voter because the fleet has a raft group of a higher epoch, recovered from one
+// voter. The callers may not block, so it does not wait for the voter's end.
+func (a *Agent) leaveOldRaftGroup(epoch uint64) {
+	a.log.Warn("newer raft group found", "epoch", epoch)
+	go a.stopVoter(reasonNewerRaft)
 }
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zonelimit_test.go
@@ -15,9 +15,9 @@
 	"brassdale/internal/decisions/failover"
 )
 
-// A council of one plans by what it is told: calm, all is served near. A drain of a zone for which the others have no room is
-// refused with the figures, and done where it is forced; returned, the zone has its jobs again.
-func TestHold(t *testing.T) {
+// TestLimitZone has a raft group of one plan by a report. A limit of a zone for which the other zone lacks the capacity is
+// rejected with the figures, and applied where it is forced; once the limit is lifted the zone gets its jobs back.
+func TestLimitZone(t *testing.T) {
 	l, err := net.Listen("tcp", "127.99.7.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 		}
 	}
 	until("a plan that uses both zones", near(0.69, 0.72)) // 85 of 120
-	hold := func(share float64, force bool) (int, string) {
+	limit := func(share float64, force bool) (int, string) {
 		text, _ := json.Marshal(configversions.ZoneLimit{Zone: "a", Share: share, By: "t", Reason: "test", Force: force})
 		status, body, err := Call(t.Context(), http.DefaultClient, fmt.Sprintf("http://%s/council/hold", at), text, time.Now().Add(5*time.Second))
 		if err != nil {
@@ -65,17 +65,17 @@
 		}
 		return status, string(body)
 	}
-	if status, text := hold(0, false); status != http.StatusConflict || !strings.Contains(text, "no room elsewhere") {
+	if status, text := limit(0, false); status != http.StatusConflict || !strings.Contains(text, "no room elsewhere") {
 		t.Errorf("%d %s", status, text)
 	}
-	if status, text := hold(0, true); status != http.StatusOK {
+	if status, text := limit(0, true); status != http.StatusOK {
 		t.Errorf("%d %s", status, text)
 	}
 	until("nothing in the drained zone", near(0, 0.01))
 	if s := a.Status(); len(s.Record.ZoneLimits) != 1 || !s.Record.ZoneLimits[0].Force || len(s.Zones) != 2 {
 		t.Errorf("%+v", s.Record.ZoneLimits)
 	}
-	if status, _ := hold(1, false); status != http.StatusOK {
+	if status, _ := limit(1, false); status != http.StatusOK {
 		t.Errorf("%d", status)
 	}
 	until("its jobs again", near(0.65, 0.72))
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -110,11 +110,11 @@
 	x := h.of
 	x.mu.Lock()
 	switch r.Message {
-	case "seated":
+	case "became voter":
 		x.role.Seated = true
-	case "unseated":
+	case "no longer a voter":
 		x.role = Role{}
-	case "council":
+	case "leadership changed":
 		x.role.Leads = time.Time{}
 		r.Attrs(func(a slog.Attr) bool {
 			if a.Key == "leads" && a.Value.Bool() {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -320,9 +320,9 @@
 
 // roleOf gives a real dispatcher's role in the council, by the log of its life.
 func roleOf(log string) (is Role) {
-	is.Seated = strings.LastIndex(log, "msg=seated ") > strings.LastIndex(log, "msg=unseated ")
-	i := strings.LastIndex(log, "msg=council leads=")
-	if i < 0 || !strings.HasPrefix(log[i:], "msg=council leads=true") || !is.Seated {
+	is.Seated = strings.LastIndex(log, `msg="became voter" `) > strings.LastIndex(log, `msg="no longer a voter" `)
+	i := strings.LastIndex(log, `msg="leadership changed" leads=`)
+	if i < 0 || !strings.HasPrefix(log[i:], `msg="leadership changed" leads=true`) || !is.Seated {
 		return is
 	}
 	at, _, _ := strings.Cut(log[strings.LastIndexByte(log[:i], '\n')+1:], " ")
