--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,13 +1,10 @@
-// Package gossip knows which neighbours of a dispatcher are there, and in which seat of the council. It is gossip among
-// dispatchers of one zone, by hashicorp/memberlist: late, and at times wrong. Nothing is safe because of what it says; it
-// serves to show people who is there. Whom a dispatcher meets first, and when all is exchanged, decisions/neighbours says.
+// Package gossip knows which dispatchers of the same zone are there, by hashicorp/memberlist. What it knows is late and at
+// times wrong; nothing depends on it but what operators are shown. With whom a dispatcher exchanges its whole state, and when,
+// package decisions/gossippeers decides.
 package gossip
 
 import (
-	"cmp"
 	"context"
-	"encoding/json"
-	"errors"
 	"log/slog"
 	"maps"
 	"net/http"
@@ -22,293 +19,203 @@
 	"brassdale/internal/traffic"
 )
 
-// Self is what a dispatcher says of itself.
-type Self struct {
-	Name          string `json:"n"`
-	Address       string `json:"a"`
-	Region        string `json:"r,omitempty"`
-	Zone          string `json:"z,omitempty"`
-	Epoch         uint64 `json:"e,omitempty"`
-	VoterID       uint64 `json:"s,omitempty"`
-	MessageFormat int    `json:"f"` // of messages that it can read
-}
-
-// State is whether a member is there.
-type State string
-
-// The states.
 const (
-	Alive State = "alive"
-	Gone  State = "gone" // it fell silent
-	Left  State = "left" // it said that it would
+	joinInterval           = 2 * time.Second
+	fullSyncInterval       = 10 * time.Second       // between two exchanges of the whole state, where the whole fleet gossips
+	leaveTimeout           = 500 * time.Millisecond // for the others to hear that this dispatcher leaves
+	updateTimeout          = 500 * time.Millisecond // for one of them to hear of a change of Self
+	absentRetention        = time.Hour              // for which members that are gone are shown
+	leaveNoticeRetention   = 10 * time.Second       // for which a notice that a member leaves explains why it is gone
+	leaveNoticeRetransmits = 8                      // times the logarithm of the members: memberlist's own 4 loses some
 )
 
-// Member is a dispatcher, as far as is known.
-type Member struct {
-	Self
-	State State     `json:"State"`
-	Since time.Time `json:"Since"` // of the state, as heard here
-}
-
-// Options make a list.
+// Options configure a Membership.
 type Options struct {
-	Self           Self
-	WholeFleet     bool                // gossips over the whole fleet, as builds before form 3 did
-	Seeds          []string            // addresses of some others, who are met while nobody else is there
-	ResolveAddress func(string) string // where an address is reached; nil for the address itself
-	Log            *slog.Logger
-	Meter          *traffic.Meter // of what goes out and comes in; nil for none
-}
-
-const (
-	joinEvery     = 2 * time.Second
-	pushPullEvery = 10 * time.Second // where the whole fleet gossips, members exchange all that they know so often
-	leaveWithin   = 500 * time.Millisecond
-	keepGone      = time.Hour
-	keepLeaving   = 10 * time.Second // a word that somebody leaves is about what happens within so long
-	mostSaid      = 512              // bytes that memberlist carries
-
-	// How often each member sends such a word on, times the logarithm of their number: with memberlist's own 4, one of
-	// eight members missed it in one of some ten times, and nothing says it again.
-	wordsMult = 8
-)
-
-// Membership is who is there.
+	// Self is what this dispatcher says of itself at first.
+	Self Self
+	// WholeFleet makes it gossip with the whole fleet, as builds before message format 3 do.
+	WholeFleet bool
+	// Seeds are addresses of others, which are joined while nobody else is known.
+	Seeds []string
+	// ResolveAddress returns where an address is reached from here; nil for the address itself.
+	ResolveAddress func(string) string
+	// Log receives the log lines.
+	Log *slog.Logger
+	// Meter counts the traffic; nil for none.
+	Meter *traffic.Meter
+}
+
+// Membership is the list of members. Run owns the calls to memberlist that block; all other methods may be called from any
+// goroutine and do not block. memberlist calls the delegate from goroutines of its own. mu guards the fields below it and is
+// never held during I/O, but for log lines.
 type Membership struct {
-	o  Options
-	t  *transport
-	ml *memberlist.Memberlist
-
-	said  *memberlist.TransmitLimitedQueue // words that go round, beside memberlist's own
-	fresh chan struct{}                    // what this member says has changed
-	meet  chan string                      // with whom all is to be exchanged
+	options      Options
+	transport    *transport
+	list         *memberlist.Memberlist
+	leaveNotices *memberlist.TransmitLimitedQueue // that this member passes on
+	selfChanged  chan struct{}                    // wakes Run
+	exchangeWith chan string                      // the address of the next exchange, for Run
 
 	mu      sync.Mutex
 	self    Self
-	all     map[string]Member
-	leaving map[string]time.Time // who said so, and when that was heard
+	members map[string]Member    // by name, with this one
+	leaving map[string]time.Time // when a notice was received, by the name of the member that leaves
 }
 
-// word is a member's that it leaves. memberlist tells everybody that it is gone, and nobody why.
-type word string
-
-func (w word) Invalidates(o memberlist.Broadcast) bool { return o == memberlist.Broadcast(w) }
-func (w word) Message() []byte                         { return []byte(w) }
-func (w word) Finished()                               {}
-
-// New listens at the dispatcher's address over UDP. Streams come by ServeHTTP.
-func New(o Options) (*Membership, error) {
-	if o.ResolveAddress == nil {
-		o.ResolveAddress = func(address string) string { return address }
+// New listens at the dispatcher's address over UDP. Streams come over its HTTP server, by ServeHTTP.
+func New(options Options) (*Membership, error) {
+	if options.ResolveAddress == nil {
+		options.ResolveAddress = func(address string) string { return address }
 	}
-	t, err := newTransport(o.Self.Address, o.ResolveAddress, o.Meter)
+	transport, err := newTransport(options.Self.Address, options.ResolveAddress, options.Meter)
 	if err != nil {
 		return nil, err
 	}
-	l := &Membership{o: o, t: t, self: o.Self, all: map[string]Member{}, fresh: make(chan struct{}, 1), meet: make(chan string, 1), leaving: map[string]time.Time{}}
-	l.said = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return l.ml.NumMembers() }, RetransmitMult: wordsMult}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Delegate, c.Events, c.Conflict = o.Self.Name, t, (*delegate)(l), (*delegate)(l), (*delegate)(l)
-	c.AdvertiseAddr, c.AdvertisePort, err = splitAddress(o.Self.Address)
-	c.BindPort = c.AdvertisePort
-	c.EnableCompression = false
-	c.DeadNodeReclaimTime = time.Millisecond // one that is gone may return at another address at once: who it is the council tells
-	if c.PushPullInterval = pushPullEvery; !o.WholeFleet {
-		c.PushPullInterval, c.Alive = 0, (*delegate)(l)
+	membership := &Membership{
+		options:      options,
+		transport:    transport,
+		selfChanged:  make(chan struct{}, 1),
+		exchangeWith: make(chan string, 1),
+		self:         options.Self,
+		members:      map[string]Member{},
+		leaving:      map[string]time.Time{},
 	}
-	c.LogOutput, c.Logger = nil, slog.NewLogLogger(o.Log.Handler(), slog.LevelDebug)
+	membership.leaveNotices = &memberlist.TransmitLimitedQueue{
+		NumNodes:       func() int { return membership.list.NumMembers() },
+		RetransmitMult: leaveNoticeRetransmits,
+	}
+	config, err := membership.config()
 	if err == nil {
-		l.ml, err = memberlist.Create(c)
+		membership.list, err = memberlist.Create(config)
 	}
 	if err != nil {
-		_ = t.Shutdown()
+		_ = transport.Shutdown() // has no error to return
 		return nil, err
 	}
-	return l, nil
+	return membership, nil
 }
 
-// ServeHTTP takes another member's stream.
-func (l *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.t.ServeHTTP(w, r) }
+// config returns memberlist's settings.
+func (m *Membership) config() (*memberlist.Config, error) {
+	host, port, err := splitAddress(m.options.Self.Address)
+	if err != nil {
+		return nil, err
+	}
+	config := memberlist.DefaultLANConfig()
+	config.Name = m.options.Self.Name
+	config.Transport = m.transport
+	config.AdvertiseAddr = host
+	config.AdvertisePort = port
+	config.BindPort = port
+	config.Delegate = (*delegate)(m)
+	config.Events = (*delegate)(m)
+	config.Conflict = (*delegate)(m)
+	config.EnableCompression = false
+	config.DeadNodeReclaimTime = time.Millisecond // a member may come back at another address at once
+	config.LogOutput = nil
+	config.Logger = slog.NewLogLogger(m.options.Log.Handler(), slog.LevelDebug)
+	if m.options.WholeFleet {
+		config.PushPullInterval = fullSyncInterval
+		return config, nil
+	}
+	config.PushPullInterval = 0 // gossippeers decides when to exchange the whole state
+	config.Alive = (*delegate)(m)
+	return config, nil
+}
 
-// Run joins by the seeds, again while nobody else is there, and leaves in good order at the end.
-func (l *Membership) Run(ctx context.Context) {
-	defer func() {
-		l.said.QueueBroadcast(word(l.o.Self.Name))
-		time.Sleep(leaveWithin) // a few rounds of gossip
-		_ = l.ml.Leave(leaveWithin)
-		_ = l.ml.Shutdown()
-	}()
-	seeds := slices.DeleteFunc(slices.Clone(l.o.Seeds), func(s string) bool { return s == l.o.Self.Address })
+// ServeHTTP takes another member's stream.
+func (m *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.transport.ServeHTTP(w, r) }
+
+// Run takes part in the gossip until the context ends; then it tells the others that this member leaves, for which it takes
+// some leaveTimeout.
+func (m *Membership) Run(ctx context.Context) {
+	defer m.leave()
+	isSelf := func(address string) bool { return address == m.options.Self.Address }
+	seeds := slices.DeleteFunc(slices.Clone(m.options.Seeds), isSelf)
 	for {
-		if l.ml.NumMembers() <= 1 && len(seeds) > 0 {
-			if _, err := l.ml.Join(seeds); err != nil {
-				l.o.Log.Debug("nobody joined", "err", err)
-			}
+		if m.list.NumMembers() <= 1 && len(seeds) > 0 {
+			m.join(seeds...)
 		}
-		l.forget()
+		m.forget()
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.fresh:
-			_ = l.ml.UpdateNode(leaveWithin)
-		case address := <-l.meet:
-			if _, err := l.ml.Join([]string{address}); err != nil {
-				l.o.Log.Debug("a neighbour is not met", "address", address, "err", err)
-			}
-		case <-time.After(joinEvery):
+		case <-m.selfChanged:
+			_ = m.list.UpdateNode(updateTimeout) // a timeout: the others hear of it later
+		case address := <-m.exchangeWith:
+			m.join(address)
+		case <-time.After(joinInterval):
 		}
 	}
 }
 
-// UpdateSelf tells the others what has changed. It does not block: memberlist does, until somebody has heard it.
-func (l *Membership) UpdateSelf(s Self) {
-	l.mu.Lock()
-	same := l.self == s
-	l.self = s
-	l.mu.Unlock()
-	if !same {
-		select {
-		case l.fresh <- struct{}{}:
-		default:
-		}
+// join exchanges the whole state with the members at some addresses.
+func (m *Membership) join(addresses ...string) {
+	if _, err := m.list.Join(addresses); err != nil {
+		m.options.Log.Debug("gossip exchange failed", "addresses", strings.Join(addresses, " "), "err", err)
 	}
 }
 
-// ExchangeWith has all that is known exchanged with another member. It does not block; one that is to be met waits for the one before.
-func (l *Membership) ExchangeWith(address string) {
-	select {
-	case l.meet <- address:
-	default:
-	}
+// leave tells the others that this member leaves, and ends its part. The process ends, so errors change nothing.
+func (m *Membership) leave() {
+	m.leaveNotices.QueueBroadcast(leaveNotice(m.options.Self.Name))
+	time.Sleep(leaveTimeout) // a few rounds of gossip
+	_ = m.list.Leave(leaveTimeout)
+	_ = m.list.Shutdown()
 }
 
-// Digest is who is there, by what is known here.
-func (l *Membership) Digest() gossippeers.Digest {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	names := make([]string, 0, len(l.all))
-	for name, m := range l.all {
-		if m.State == Alive {
-			names = append(names, name)
-		}
+// UpdateSelf has the others told what has changed of this member.
+func (m *Membership) UpdateSelf(self Self) {
+	m.mu.Lock()
+	same := m.self == self
+	m.self = self
+	m.mu.Unlock()
+	if same {
+		return
 	}
-	return gossippeers.DigestOf(names)
-}
-
-// Members are all that are known, by name; those that are gone for an hour.
-func (l *Membership) Members() []Member {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.SortedFunc(maps.Values(l.all), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
-}
-
-func (l *Membership) forget() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	maps.DeleteFunc(l.leaving, func(_ string, at time.Time) bool { return time.Since(at) > keepLeaving })
-	maps.DeleteFunc(l.all, func(_ string, m Member) bool { return m.State != Alive && time.Since(m.Since) > keepGone })
-}
-
-// delegate is a list as memberlist sees it.
-type delegate Membership
-
-// NodeMeta gives what is said of this member.
-func (d *delegate) NodeMeta(limit int) []byte {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	text, err := json.Marshal(d.self)
-	if err != nil || len(text) > min(limit, mostSaid) {
-		text, _ = json.Marshal(Self{Name: d.self.Name, Address: d.self.Address, Region: d.self.Region, Zone: d.self.Zone, MessageFormat: d.self.MessageFormat})
+	select {
+	case m.selfChanged <- struct{}{}:
+	default: // Run has not seen the change before, and will see both
 	}
-	return text
-}
-
-// NotifyMsg takes a member's word that it leaves, before or behind the news that it is gone, and passes it on once.
-func (d *delegate) NotifyMsg(text []byte) {
-	d.heard(string(text))
 }
 
-func (d *delegate) heard(name string) {
-	d.mu.Lock()
-	m, known := d.all[name]
-	_, had := d.leaving[name]
-	if known && !had {
-		d.leaving[name] = time.Now()
-		if m.State == Gone && time.Since(m.Since) < keepLeaving {
-			m.State = Left
-			d.all[name] = m
-		}
-	}
-	d.mu.Unlock()
-	if known && !had {
-		d.said.QueueBroadcast(word(name))
+// ExchangeWith has the whole state exchanged with the member at an address. While an exchange waits, further ones are dropped.
+func (m *Membership) ExchangeWith(address string) {
+	select {
+	case m.exchangeWith <- address:
+	default:
 	}
 }
 
-func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.said.GetBroadcasts(overhead, limit)
-}
-
-// LocalState and MergeRemoteState exchange such words whole: a packet may be lost.
-func (d *delegate) LocalState(bool) []byte {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	text, _ := json.Marshal(slices.Collect(maps.Keys(d.leaving)))
-	return text
-}
-
-func (d *delegate) MergeRemoteState(text []byte, _ bool) {
-	var names []string
-	if json.Unmarshal(text, &names) == nil {
-		for _, name := range names {
-			d.heard(name)
+// Digest returns the digest of the members that are alive.
+func (m *Membership) Digest() gossippeers.Digest {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	names := make([]string, 0, len(m.members))
+	for name, member := range m.members {
+		if member.State == Alive {
+			names = append(names, name)
 		}
 	}
+	return gossippeers.DigestOf(names)
 }
 
-var errFar = errors.New("it is of another zone")
-
-// NotifyAlive lets none in but neighbours: builds that gossip over the whole fleet tell of all.
-func (d *delegate) NotifyAlive(n *memberlist.Node) error {
-	var m Self
-	if json.Unmarshal(n.Meta, &m) == nil && gossippeers.ArePeers(d.o.Self.Region, d.o.Self.Zone, m.Region, m.Zone) {
-		return nil
-	}
-	return errFar
-}
-
-func (d *delegate) NotifyJoin(n *memberlist.Node)   { d.note(n, Alive) }
-func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.note(n, Alive) }
-func (d *delegate) NotifyLeave(n *memberlist.Node)  { d.note(n, Gone) }
-
-// NotifyConflict tells of two members of one name at two addresses.
-func (d *delegate) NotifyConflict(is, other *memberlist.Node) {
-	d.o.Log.Warn("two dispatchers have one name", "name", is.Name, "address", is.Address(), "other", other.Address())
-}
-
-func (d *delegate) note(n *memberlist.Node, s State) {
-	m := Member{Since: time.Now()}
-	if json.Unmarshal(n.Meta, &m.Self) != nil || m.Name != n.Name { // of a build that says it otherwise
-		m.Self = Self{Name: n.Name, Address: n.Address()}
-	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	_, leaving := d.leaving[n.Name]
-	switch {
-	case s == Alive:
-		if was := d.all[n.Name].State; was == Gone || was == Left { // it is back
-			delete(d.leaving, n.Name)
-		}
-	case leaving:
-		s = Left
-	}
-	was := d.all[n.Name]
-	m.State = s
-	if was.State == s {
-		m.Since = was.Since
-	}
-	d.all[n.Name] = m
-	if was.State != s && n.Name != d.self.Name {
-		d.o.Log.Info("member", "name", n.Name, "state", s, "address", cmp.Or(m.Address, n.Address()), "zone", m.Zone)
-	}
+// Members returns all known members by name, this one and those that are gone for less than absentRetention among them.
+func (m *Membership) Members() []Member {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	byName := func(a, b Member) int { return strings.Compare(a.Name, b.Name) }
+	return slices.SortedFunc(maps.Values(m.members), byName)
+}
+
+// forget drops what is too old.
+func (m *Membership) forget() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	maps.DeleteFunc(m.leaving, func(_ string, receivedAt time.Time) bool {
+		return time.Since(receivedAt) > leaveNoticeRetention
+	})
+	maps.DeleteFunc(m.members, func(_ string, member Member) bool {
+		return member.State != Alive && time.Since(member.Since) > absentRetention
+	})
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// one is a member in this process.
-type one struct {
+// testMember is a member in this process.
+type testMember struct {
 	*Membership
 	server *http.Server
 	stop   context.CancelFunc
@@ -25,30 +25,30 @@
 	dead   bool
 }
 
-func (o *one) leave() {
-	if o.dead {
+func (m *testMember) leave() {
+	if m.dead {
 		return
 	}
-	o.stop()
-	<-o.ended
-	o.server.Close()
+	m.stop()
+	<-m.ended
+	m.server.Close()
 }
 
-// dies ends it without a word.
-func (o *one) dies() {
-	o.dead = true
-	o.server.Close()
-	_ = o.t.Shutdown()
-	_ = o.ml.Shutdown()
+// kill ends the member without a leave notice.
+func (m *testMember) kill() {
+	m.dead = true
+	m.server.Close()
+	_ = m.transport.Shutdown()
+	_ = m.list.Shutdown()
 }
 
-// join starts a member that gossips over the whole fleet.
-func join(t *testing.T, name, zone, at string, seeds ...string) *one {
+// join starts a member that gossips with the whole fleet.
+func join(t *testing.T, name, zone, at string, seeds ...string) *testMember {
 	t.Helper()
 	return begin(t, Options{Self: Self{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds}, at)
 }
 
-func begin(t *testing.T, o Options, at string) *one {
+func begin(t *testing.T, o Options, at string) *testMember {
 	t.Helper()
 	l, err := net.Listen("tcp", at)
 	if err != nil {
@@ -60,146 +60,146 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	m := &one{list, &http.Server{Handler: list}, stop, make(chan struct{}), false}
+	m := &testMember{list, &http.Server{Handler: list}, stop, make(chan struct{}), false}
 	go m.server.Serve(l)
 	go func() { list.Run(ctx); close(m.ended) }()
 	t.Cleanup(m.leave)
 	return m
 }
 
-// sees waits until a member sees so many in each state.
-func (o *one) sees(t *testing.T, what string, want map[State]int) {
+// awaitStates waits until a member sees so many members in each state.
+func (m *testMember) awaitStates(t *testing.T, what string, want map[State]int) {
 	t.Helper()
 	var got map[State]int
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		got = map[State]int{}
-		for _, m := range o.Members() {
-			got[m.State]++
+		for _, member := range m.Members() {
+			got[member.State]++
 		}
 		if fmt.Sprint(got) == fmt.Sprint(want) {
 			return
 		}
 	}
-	t.Fatalf("%s: %s sees %v, not %v", what, o.self.Name, got, want)
+	t.Fatalf("%s: %s sees %v, not %v", what, m.self.Name, got, want)
 }
 
-// Nine members find each other by one seed, with what each says of itself; one leaves, one dies, and comes back under its
-// name at another address; a change of what one says reaches all.
-func TestNine(t *testing.T) {
+// TestRun_wholeFleet has nine members find each other by one seed, with what each says of itself; one leaves, one is killed and
+// comes back under its name at another address; a change of what one says of itself reaches all.
+func TestRun_wholeFleet(t *testing.T) {
 	t.Parallel()
 	seed := join(t, "m0", "a", "127.0.0.1:0")
-	all := []*one{seed}
+	all := []*testMember{seed}
 	for i := 1; i < 9; i++ {
 		all = append(all, join(t, fmt.Sprint("m", i), string("abc"[i%3]), "127.0.0.1:0", seed.self.Address))
 	}
 	for _, m := range all {
-		m.sees(t, "joined", map[State]int{Alive: 9})
+		m.awaitStates(t, "joined", map[State]int{Alive: 9})
 	}
 	all[7].leave()
-	all[8].dies()
+	all[8].kill()
 	for _, m := range all[:7] {
-		m.sees(t, "one left, one died", map[State]int{Alive: 7, Left: 1, Gone: 1})
+		m.awaitStates(t, "one left, one died", map[State]int{Alive: 7, Left: 1, Gone: 1})
 	}
 	back := join(t, "m8", "b", "127.0.0.1:0", seed.self.Address)
-	back.sees(t, "back", map[State]int{Alive: 8})
+	back.awaitStates(t, "back", map[State]int{Alive: 8})
 	for _, m := range all[:7] {
-		m.sees(t, "back", map[State]int{Alive: 8, Left: 1})
+		m.awaitStates(t, "back", map[State]int{Alive: 8, Left: 1})
 	}
-	said := all[3].self
-	said.Epoch, said.VoterID = 12, 4
-	all[3].UpdateSelf(said)
+	changed := all[3].self
+	changed.Epoch, changed.VoterID = 12, 4
+	all[3].UpdateSelf(changed)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		heard := 0
+		informed := 0
 		for _, m := range all[:7] {
 			for _, o := range m.Members() {
-				if o.Self == said {
-					heard++
+				if o.Self == changed {
+					informed++
 				}
 			}
 		}
-		if heard == 7 {
+		if informed == 7 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d of 7 heard it", heard)
+			t.Fatalf("%d of 7 members have the change", informed)
 		}
 	}
 }
 
-// Members of two zones and one that gossips over the whole fleet: who has met a neighbour knows all neighbours and nobody
-// else, who has met nobody knows nobody, two parts of a zone become one by one exchange, and one that dies is gone for its
-// neighbours alone.
-func TestNeighbours(t *testing.T) {
+// TestRun_zones has members of two zones and one that gossips with the whole fleet: a member that exchanged with a peer knows all
+// peers of its zone and nobody else, one that exchanged with nobody knows nobody, two parts of a zone become one by one
+// exchange, and one that is killed is gone for its peers alone.
+func TestRun_zones(t *testing.T) {
 	t.Parallel()
-	near := func(name, zone string) *one {
+	near := func(name, zone string) *testMember {
 		return begin(t, Options{Self: Self{Name: name, Zone: zone}}, "127.0.0.1:0")
 	}
-	var a, b []*one
+	var a, b []*testMember
 	for i := range 4 {
 		a, b = append(a, near(fmt.Sprint("a", i), "a")), append(b, near(fmt.Sprint("b", i), "b"))
 	}
 	a[0].ExchangeWith(a[1].self.Address)
 	a[2].ExchangeWith(a[3].self.Address)
 	for _, m := range a {
-		m.sees(t, "two parts", map[State]int{Alive: 2})
+		m.awaitStates(t, "two parts", map[State]int{Alive: 2})
 	}
 	a[3].ExchangeWith(a[0].self.Address)
 	for _, m := range a {
-		m.sees(t, "one part", map[State]int{Alive: 4})
+		m.awaitStates(t, "one part", map[State]int{Alive: 4})
 	}
 	for i, m := range b[1:] {
 		m.ExchangeWith(b[i].self.Address)
 	}
 	for _, m := range b {
-		m.sees(t, "the other zone", map[State]int{Alive: 4})
+		m.awaitStates(t, "the other zone", map[State]int{Alive: 4})
 	}
-	b[0].ExchangeWith(a[0].self.Address) // nobody names it, and it changes nothing
+	b[0].ExchangeWith(a[0].self.Address) // of another zone: changes nothing
 	older := join(t, "old", "a", "127.0.0.1:0", a[0].self.Address, b[0].self.Address)
-	older.sees(t, "of an older build", map[State]int{Alive: 9})
+	older.awaitStates(t, "of an older build", map[State]int{Alive: 9})
 	for _, m := range a {
-		m.sees(t, "with an older neighbour", map[State]int{Alive: 5})
+		m.awaitStates(t, "with an older neighbour", map[State]int{Alive: 5})
 	}
-	a[3].dies()
+	a[3].kill()
 	for _, m := range a[:3] {
-		m.sees(t, "one died", map[State]int{Alive: 4, Gone: 1})
+		m.awaitStates(t, "one died", map[State]int{Alive: 4, Gone: 1})
 	}
 	for _, m := range b {
-		m.sees(t, "the other zone", map[State]int{Alive: 4})
+		m.awaitStates(t, "the other zone", map[State]int{Alive: 4})
 	}
 	if got, want := a[0].Digest(), a[1].Digest(); got != want || got.Count != 4 {
-		t.Errorf("neighbours know %+v and %+v", got, want)
+		t.Errorf("peers have the digests %+v and %+v", got, want)
 	}
 }
 
-// By hand: BRASSDALE_MEMBERS=300 go test -run Many -v ./internal/fleet/membership
-func TestMany(t *testing.T) {
+// TestRun_many measures many members: BRASSDALE_MEMBERS=300 go test -run TestRun_many -v ./internal/fleet/gossip
+func TestRun_many(t *testing.T) {
 	n, _ := strconv.Atoi(os.Getenv("BRASSDALE_MEMBERS"))
 	if n == 0 {
-		t.Skip("BRASSDALE_MEMBERS says how many")
+		t.Skip("BRASSDALE_MEMBERS sets the number of members")
 	}
 	begin := time.Now()
 	seed := join(t, "m0", "a", "127.0.0.1:0")
-	all := []*one{seed}
+	all := []*testMember{seed}
 	for i := 1; i < n; i++ {
 		all = append(all, join(t, fmt.Sprint("m", i), string("abc"[i%3]), "127.0.0.1:0", seed.self.Address))
 	}
 	for _, m := range all {
-		m.sees(t, "joined", map[State]int{Alive: n})
+		m.awaitStates(t, "joined", map[State]int{Alive: n})
 	}
 	joined := time.Since(begin)
 	begin = time.Now()
 	for _, m := range all[n-n/10:] {
-		m.dies()
+		m.kill()
 	}
 	for _, m := range all[:n-n/10] {
-		m.sees(t, "died", map[State]int{Alive: n - n/10, Gone: n / 10})
+		m.awaitStates(t, "died", map[State]int{Alive: n - n/10, Gone: n / 10})
 	}
 	died, cpu := time.Since(begin), used()
 	time.Sleep(10 * time.Second)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	for _, m := range all[:n-n/10] {
-		m.dies()
+		m.kill()
 	}
 	t.Logf("%d members: all see all after %v, and that a tenth is gone after %v; at rest %.1f ms of CPU a second and member, %.0f KiB of heap a member",
 		n, joined.Round(time.Millisecond), died.Round(time.Millisecond), float64((used()-cpu).Microseconds())/10/float64(n)/1000, float64(memory.HeapAlloc)/1024/float64(n))
@@ -211,8 +211,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// A listener that is no member's answers, and is told what it is.
-func TestNoMember(t *testing.T) {
+// TestServeHTTP_notAMember checks that a caller that is no member is told to upgrade, and that packets that are none of
+// memberlist's change nothing.
+func TestServeHTTP_notAMember(t *testing.T) {
 	o := join(t, "m0", "a", "127.0.0.1:0")
 	resp, err := http.Get("http://" + o.self.Address)
 	if err != nil || resp.StatusCode != http.StatusUpgradeRequired {
@@ -228,5 +229,5 @@
 		})
 	}
 	wait.Wait()
-	o.sees(t, "still there", map[State]int{Alive: 1})
+	o.awaitStates(t, "still there", map[State]int{Alive: 1})
 }
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -15,147 +16,179 @@
 )
 
 const (
-	mostPacket  = 64 << 10
-	waitPackets = 256 // that came and were not taken yet; what comes beyond is lost
-	upgrade     = "brassdale-members"
+	maxPacketBytes   = 64 << 10
+	maxQueuedPackets = 256 // received and not yet taken by memberlist; further ones are dropped, as on a network
+	streamProtocol   = "brassdale-members"
+	streamBufferSize = 256 // bytes: the response to an upgrade fits in
 )
 
 // transport carries memberlist's packets over UDP at the dispatcher's address, and its streams over the HTTP server that
-// listens at the same address over TCP. So a fleet needs one address for each dispatcher.
+// listens at the same address over TCP, so that a dispatcher needs one address. memberlist calls its methods from several
+// goroutines. The goroutine of readPackets ends with Shutdown.
 type transport struct {
 	conn    net.PacketConn
 	ip      net.IP
 	port    int
-	reach   func(string) string
+	resolve func(address string) string
 	meter   *traffic.Meter
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	done    chan struct{}
-	once    sync.Once
-	wait    sync.WaitGroup
+	closing sync.Once
+	reading sync.WaitGroup
 }
 
 var _ memberlist.Transport = (*transport)(nil)
 
-func newTransport(address string, reach func(string) string, meter *traffic.Meter) (*transport, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+func newTransport(address string, resolve func(string) string, meter *traffic.Meter) (*transport, error) {
+	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
 	}
-	packets, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", udpAddress)
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{conn: meter.Packets(packets, traffic.OfMembers), meter: meter, ip: at.IP, port: at.Port, reach: reach, packets: make(chan *memberlist.Packet, waitPackets),
-		streams: make(chan net.Conn), done: make(chan struct{})}
-	t.wait.Go(t.read)
-	return t, nil
+	listening := &transport{
+		conn:    meter.Packets(conn, traffic.OfMembers),
+		ip:      udpAddress.IP,
+		port:    udpAddress.Port,
+		resolve: resolve,
+		meter:   meter,
+		packets: make(chan *memberlist.Packet, maxQueuedPackets),
+		streams: make(chan net.Conn),
+		done:    make(chan struct{}),
+	}
+	listening.reading.Go(listening.readPackets)
+	return listening, nil
 }
 
-func (t *transport) read() {
-	buf := make([]byte, mostPacket)
+// readPackets reads packets until the transport is shut down. Other errors are those of a packet that was sent, such as that
+// nobody listens where it went.
+func (t *transport) readPackets() {
+	buffer := make([]byte, maxPacketBytes)
 	for {
-		n, from, err := t.conn.ReadFrom(buf)
+		length, from, err := t.conn.ReadFrom(buffer)
 		if err != nil {
 			select {
 			case <-t.done:
 				return
 			default:
-				continue // such as word that nobody listens where a packet went
+				continue
 			}
 		}
-		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: from, Timestamp: time.Now()}
+		content := append([]byte(nil), buffer[:length]...)
+		packet := &memberlist.Packet{Buf: content, From: from, Timestamp: time.Now()}
 		select {
-		case t.packets <- p:
+		case t.packets <- packet:
 		default:
 		}
 	}
 }
 
+// FinalAdvertiseAddr returns the dispatcher's address.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) { return t.ip, t.port, nil }
 
-func (t *transport) WriteTo(b []byte, address string) (time.Time, error) {
-	to, err := net.ResolveUDPAddr("udp", t.reach(address))
+// WriteTo sends a packet, and returns when it did.
+func (t *transport) WriteTo(packet []byte, address string) (time.Time, error) {
+	to, err := net.ResolveUDPAddr("udp", t.resolve(address))
 	if err == nil {
-		_, err = t.conn.WriteTo(b, to)
+		_, err = t.conn.WriteTo(packet, to)
 	}
 	return time.Now(), err
 }
 
+// PacketCh returns the channel of received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
-// DialTimeout is memberlist's name for it: the interface has a span where this program has deadlines.
-func (t *transport) DialTimeout(address string, within time.Duration) (net.Conn, error) {
-	by := time.Now().Add(within)
-	to, err := (&net.Dialer{Deadline: by}).Dial("tcp", t.reach(address))
+// StreamCh returns the channel of streams that others opened.
+func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+
+// DialTimeout opens a stream to another member: a connection to its HTTP server, upgraded.
+func (t *transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	deadline := time.Now().Add(timeout)
+	dialer := &net.Dialer{Deadline: deadline}
+	conn, err := dialer.Dial("tcp", t.resolve(address))
 	if err != nil {
 		return nil, err
 	}
-	c := t.meter.Of(to, traffic.Gossip)
+	conn = t.meter.Of(conn, traffic.Gossip)
 	t.meter.Message(traffic.Gossip)
-	_ = c.SetDeadline(by)
-	_, err = fmt.Fprintf(c, "GET /members/stream HTTP/1.1\r\nHost: %s\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", address, upgrade)
-	in := bufio.NewReaderSize(c, 256)
-	if err == nil {
-		var resp *http.Response
-		if resp, err = http.ReadResponse(in, nil); err == nil && resp.StatusCode != http.StatusSwitchingProtocols {
-			err = fmt.Errorf("%s answered %s", address, resp.Status)
-		}
+	_ = conn.SetDeadline(deadline) // a connection on which it fails fails to be written, too
+	stream, err := upgrade(conn, address)
+	if err != nil {
+		return nil, errors.Join(err, conn.Close())
+	}
+	_ = conn.SetDeadline(time.Time{})
+	return stream, nil
+}
+
+// upgrade asks the HTTP server at the other end of a connection to make it a stream.
+func upgrade(conn net.Conn, address string) (net.Conn, error) {
+	_, err := fmt.Fprintf(conn, "GET /members/stream HTTP/1.1\r\nHost: %s\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", address, streamProtocol)
+	if err != nil {
+		return nil, err
 	}
+	reader := bufio.NewReaderSize(conn, streamBufferSize)
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		c.Close()
 		return nil, err
 	}
-	_ = c.SetDeadline(time.Time{})
-	return &readFirst{c, in}, nil
+	if response.StatusCode != http.StatusSwitchingProtocols {
+		return nil, fmt.Errorf("%s answered %s", address, response.Status)
+	}
+	return &bufferedConn{conn, reader}, nil
 }
 
-// readFirst is a connection of which something was read already.
-type readFirst struct {
+// bufferedConn is a connection of which a part was read into a buffer.
+type bufferedConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (r *readFirst) Read(b []byte) (int, error) { return r.in.Read(b) }
+// Read reads from the buffer first.
+func (c *bufferedConn) Read(b []byte) (int, error) { return c.reader.Read(b) }
 
-// ServeHTTP takes a stream.
+// ServeHTTP takes a stream that another member opens, and waits until memberlist takes it over.
 func (t *transport) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.Header.Get("Upgrade") != upgrade {
+	if r.Header.Get("Upgrade") != streamProtocol {
 		w.WriteHeader(http.StatusUpgradeRequired)
 		return
 	}
-	c, rw, err := http.NewResponseController(w).Hijack()
+	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if _, err := fmt.Fprintf(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", upgrade); err != nil {
-		c.Close()
+	_, err = fmt.Fprintf(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", streamProtocol)
+	if err != nil {
+		_ = conn.Close() // the other end is gone
 		return
 	}
-	_ = c.SetDeadline(time.Time{})
+	_ = conn.SetDeadline(time.Time{})
 	select {
-	case t.streams <- &readFirst{c, rw.Reader}:
+	case t.streams <- &bufferedConn{conn, buffered.Reader}:
 	case <-t.done:
-		c.Close()
+		_ = conn.Close() // this member is shutting down
 	}
 }
 
+// Shutdown closes the UDP socket and waits for the goroutine that reads from it.
 func (t *transport) Shutdown() error {
-	t.once.Do(func() {
+	t.closing.Do(func() {
 		close(t.done)
-		t.conn.Close()
+		_ = t.conn.Close() // nothing is left to do about it
 	})
-	t.wait.Wait()
+	t.reading.Wait()
 	return nil
 }
 
-func splitAddress(address string) (string, int, error) {
-	host, text, err := net.SplitHostPort(address)
+// splitAddress returns the host and the port of an address.
+func splitAddress(address string) (host string, port int, err error) {
+	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
 		return "", 0, err
 	}
-	port, err := strconv.Atoi(text)
+	port, err = strconv.Atoi(portText)
 	return host, port, err
 }
