--- /dev/null
+++ b/internal/hcldiag/hcldiag.go
@@ -0,0 +1,82 @@
+// Package hcldiag reads files in HCL and words what is wrong with them.
+package hcldiag
+
+import (
+	"fmt"
+	"os"
+	"strings"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/gohcl"
+	"github.com/hashicorp/hcl/v2/hclsyntax"
+)
+
+// Faults is an error that names all that is wrong with a file.
+type Faults hcl.Diagnostics //nolint:errname // the plural says what it is: all faults of a file
+
+// Error returns a line for each fault: file, line, column and what is wrong.
+func (f Faults) Error() string {
+	var lines []string
+	for _, diagnostic := range f {
+		position := ""
+		if subject := diagnostic.Subject; subject != nil {
+			position = fmt.Sprintf("%s:%d:%d: ", subject.Filename, subject.Start.Line, subject.Start.Column)
+		}
+		detail := strings.ReplaceAll(diagnostic.Detail, "\n", " ")
+		lines = append(lines, fmt.Sprintf("%s%s: %s", position, diagnostic.Summary, detail))
+	}
+	return strings.Join(lines, "\n")
+}
+
+// At returns a fault at a place. The detail is formatted as by fmt.Sprintf.
+func At(place hcl.Range, summary, format string, args ...any) *hcl.Diagnostic {
+	return &hcl.Diagnostic{
+		Severity: hcl.DiagError,
+		Summary:  summary,
+		Detail:   fmt.Sprintf(format, args...),
+		Subject:  &place,
+	}
+}
+
+// Decode decodes the text of a file into a struct with hcl tags, and calls check, where it could be decoded, for what gohcl
+// cannot find. path is the file's name in the error, which is Faults.
+func Decode(text []byte, path string, into any, check func(*hclsyntax.Body) hcl.Diagnostics) error {
+	parsed, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
+	if !diags.HasErrors() {
+		diags = append(diags, gohcl.DecodeBody(parsed.Body, nil, into)...)
+	}
+	if !diags.HasErrors() {
+		diags = append(diags, check(parsed.Body.(*hclsyntax.Body))...)
+	}
+	if diags.HasErrors() {
+		return Faults(diags)
+	}
+	return nil
+}
+
+// Blocks returns a body's blocks by type, in their order in the file.
+func Blocks(body *hclsyntax.Body) map[string][]*hclsyntax.Block {
+	blocks := map[string][]*hclsyntax.Block{}
+	for _, block := range body.Blocks {
+		blocks[block.Type] = append(blocks[block.Type], block)
+	}
+	return blocks
+}
+
+// Place returns where an attribute's value is, or where the attribute is missing.
+func Place(body *hclsyntax.Body, attribute string) hcl.Range {
+	if found := body.Attributes[attribute]; found != nil {
+		return found.Expr.Range()
+	}
+	return body.MissingItemRange()
+}
+
+// Read reads a file and parses it. parse gets the path for its errors.
+func Read[T any](path string, parse func(text []byte, path string) (T, error)) (T, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		var none T
+		return none, err
+	}
+	return parse(text, path)
+}
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,5 +1,5 @@
-// Package listen keeps listeners going. An accept may fail in many ways that pass: a connection that was aborted before it was
-// taken, no descriptors, no memory, no room to poll one more. Of these net/http's server takes some for lasting and returns.
+// Package listen makes listeners that survive errors of accept. Many of these pass: a connection that was aborted before it was
+// accepted, no descriptors, no memory. The server of net/http takes some of them for lasting and ends.
 package listen
 
 import (
@@ -12,33 +12,34 @@
 )
 
 const (
-	firstPause = time.Millisecond       // behind an error, and twice as long behind each further one, ...
-	mostPause  = 100 * time.Millisecond // ... up to this
-	logEvery   = time.Second            // so often a row of errors is logged at the most
+	minBackoff  = time.Millisecond // after an error; doubled after each further one
+	maxBackoff  = 100 * time.Millisecond
+	logInterval = time.Second // between two log lines about errors, at least
 )
 
-// Next gives the next connection. Only the listener's closing ends it, and a deadline that was set on it: both are errors of
-// whoever owns it. All other errors are told to failed and outlived.
+// Next returns the next connection. It ends with an error only when the listener is closed or a deadline that was set on it is
+// over, as both are the owner's own doing. It passes all other errors to failed, and blocks until an accept succeeds.
 func Next[C any](accept func() (C, error), failed func(error)) (C, error) {
-	pause := firstPause
+	backoff := minBackoff
 	for {
 		conn, err := accept()
 		if err == nil || errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return conn, err
 		}
 		failed(err)
-		time.Sleep(pause)
-		pause = min(2*pause, mostPause)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// Failures logs errors of accept, a line a second at the most. Its zero value needs only a Log.
+// Failures logs errors of accept, one line in logInterval at most. Its zero value needs only a Log. It may be used from any
+// goroutine.
 type Failures struct {
 	Log *slog.Logger
 
-	mu    sync.Mutex
-	count int
-	said  time.Time
+	mu       sync.Mutex
+	count    int // since the last log line
+	loggedAt time.Time
 }
 
 // Failed notes an error.
@@ -46,22 +47,27 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.count++
-	if now := time.Now(); now.Sub(f.said) >= logEvery {
-		f.Log.Warn("accept failed, the listener goes on", "failures", f.count, "err", err)
-		f.said, f.count = now, 0
+	now := time.Now()
+	if now.Sub(f.loggedAt) < logInterval {
+		return
 	}
+	f.Log.Warn("accept failed, listener continues", "failures", f.count, "err", err)
+	f.loggedAt = now
+	f.count = 0
 }
 
-// durable is a listener that outlives errors of accept.
-type durable struct {
-	net.Listener
-	failures Failures
+// Durable returns a listener whose Accept ends only when it is closed.
+func Durable(listener net.Listener, log *slog.Logger) net.Listener {
+	return &durableListener{Listener: listener, failures: Failures{Log: log}}
 }
 
-// Durable gives a listener whose Accept ends only when it is closed.
-func Durable(l net.Listener, log *slog.Logger) net.Listener {
-	return &durable{Listener: l, failures: Failures{Log: log}}
+// durableListener is a listener that survives errors of accept.
+type durableListener struct {
+	net.Listener
+	failures Failures
 }
 
 // Accept implements net.Listener.
-func (d *durable) Accept() (net.Conn, error) { return Next(d.Listener.Accept, d.failures.Failed) }
+func (l *durableListener) Accept() (net.Conn, error) {
+	return Next(l.Listener.Accept, l.failures.Failed)
+}
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// Errors pass, a closing and a deadline of the owner's own do not.
+// TestNext survives errors, but not the owner's closing of the listener nor its deadline.
 func TestNext(t *testing.T) {
 	for _, last := range []error{nil, net.ErrClosed, os.ErrDeadlineExceeded} {
 		results := []error{syscall.ENOBUFS, errors.New("unheard of"), syscall.EMFILE, last}
@@ -28,8 +28,8 @@
 	}
 }
 
-// A row of errors is one line of the log.
-func TestFailuresAreLoggedOnceASecond(t *testing.T) {
+// TestFailures_oneLogLineASecond logs many errors as one line.
+func TestFailures_oneLogLineASecond(t *testing.T) {
 	var mu sync.Mutex
 	var text strings.Builder
 	f := Failures{Log: slog.New(slog.NewTextHandler(writer(func(p []byte) {
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -8,105 +8,111 @@
 	"sync/atomic"
 )
 
-// Conn is a connection whose bytes are counted. It carries one message after the other; who knows what the next one is for
-// says so.
+// Conn is a connection whose bytes are counted. It carries one message after the other, of several kinds: at the client's end
+// Call sets the kind of the next one, at the server's Handler does, once it has read the request's header.
 type Conn struct {
 	net.Conn
-	meter  *Meter
-	kind   atomic.Uint32 // of what is written, and of what is read where that is known before
-	served bool          // bytes are read before anybody knows what they are for
-	unread atomic.Int64  // read, and not named yet
+	meter      *Meter
+	kind       atomic.Uint32 // of what is written and, at the client's end, read
+	serverSide bool          // what is read is of a kind that Handler finds out later
+	unassigned atomic.Int64  // bytes that were read and are not counted yet, at the server's end
 }
 
-// Of counts a connection's bytes as a kind until it is said otherwise.
-func (m *Meter) Of(c net.Conn, k Kind) *Conn {
-	counted := &Conn{Conn: c, meter: m}
-	counted.kind.Store(uint32(k))
+// Of counts a connection's bytes as a kind until another one is set.
+func (m *Meter) Of(conn net.Conn, kind Kind) *Conn {
+	counted := &Conn{Conn: conn, meter: m}
+	counted.kind.Store(uint32(kind))
 	return counted
 }
 
-func (c *Conn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	if c.served {
-		c.unread.Add(int64(n))
+// Read counts what it reads.
+func (c *Conn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
+	if c.serverSide {
+		c.unassigned.Add(int64(n))
 	} else {
 		c.meter.Received(Kind(c.kind.Load()), n)
 	}
 	return n, err
 }
 
-func (c *Conn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
+// Write counts what it writes.
+func (c *Conn) Write(content []byte) (int, error) {
+	n, err := c.Conn.Write(content)
 	c.meter.Sent(Kind(c.kind.Load()), n)
 	return n, err
 }
 
-// Close counts what was read and never named.
+// Close counts what was read since the last request as of that one's kind.
 func (c *Conn) Close() error {
-	c.meter.Received(Kind(c.kind.Load()), int(c.unread.Swap(0)))
+	c.meter.Received(Kind(c.kind.Load()), int(c.unassigned.Swap(0)))
 	return c.Conn.Close()
 }
 
-// name has what was read since the last naming, and what follows, count as a kind.
-func (c *Conn) name(k Kind) {
-	c.kind.Store(uint32(k))
-	c.meter.Received(k, int(c.unread.Swap(0)))
+// assign counts what was read since the last call, and what follows, as of a kind.
+func (c *Conn) assign(kind Kind) {
+	c.kind.Store(uint32(kind))
+	c.meter.Received(kind, int(c.unassigned.Swap(0)))
 }
 
-// Dial counts what a dialer's connections carry.
-func (m *Meter) Dial(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
+// Dial returns a dial function whose connections are counted, as Other until Call sets another kind.
+func (m *Meter) Dial(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		c, err := d.DialContext(ctx, network, address)
+		conn, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return m.Of(c, Other), nil
+		return m.Of(conn, Other), nil
 	}
 }
 
-// Call has a client's call count as a kind, on whichever of the meter's connections it goes out.
-func (m *Meter) Call(ctx context.Context, k Kind) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if c, ok := info.Conn.(*Conn); ok {
-			c.kind.Store(uint32(k))
-		}
-		m.Message(k)
-	}})
+// Call returns a context with which an HTTP client's call counts as a kind, on whichever of the meter's connections it is made.
+func (m *Meter) Call(ctx context.Context, kind Kind) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(info httptrace.GotConnInfo) {
+			if conn, ok := info.Conn.(*Conn); ok {
+				conn.kind.Store(uint32(kind))
+			}
+			m.Message(kind)
+		},
+	})
 }
 
-type listener struct {
+// Listen returns a listener whose connections are counted, by the kinds that Handler finds out.
+func (m *Meter) Listen(listener net.Listener) net.Listener { return countedListener{listener, m} }
+
+type countedListener struct {
 	net.Listener
 	meter *Meter
 }
 
-// Listen counts what a listener's connections carry, once a Handler names it.
-func (m *Meter) Listen(l net.Listener) net.Listener { return listener{l, m} }
-
-func (l listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+// Accept returns a Conn.
+func (l countedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	counted := l.meter.Of(c, Other)
-	counted.served = true
+	counted := l.meter.Of(conn, Other)
+	counted.serverSide = true
 	return counted, nil
 }
 
+// connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// Note is a server's ConnContext: its handler finds the connection by it.
-func Note(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+// Note is the ConnContext of a server whose handler is one of Handler.
+func Note(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// Handler names what a server's connections carry, by request, and counts the calls that are served.
-func (m *Meter) Handler(next http.Handler, kind func(*http.Request) Kind) http.Handler {
+// Handler counts the calls that a server serves, and their bytes, as of the kind that a function returns for the request.
+func (m *Meter) Handler(next http.Handler, kindOf func(*http.Request) Kind) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		k := kind(r)
-		m.Message(k)
-		if c, ok := r.Context().Value(connKey{}).(*Conn); ok {
-			c.name(k)
-			defer c.name(k) // the body came behind the head; the answer's last bytes go out behind this
+		kind := kindOf(r)
+		m.Message(kind)
+		if conn, ok := r.Context().Value(connKey{}).(*Conn); ok {
+			conn.assign(kind)
+			defer conn.assign(kind) // the body was read after the header; the end of the response is written after this
 		}
 		next.ServeHTTP(w, r)
 	})
--- a/internal/traffic/packets.go
+++ b/internal/traffic/packets.go
@@ -5,72 +5,91 @@
 	"net"
 )
 
-// Packets counts what is sent and received over UDP, each packet as the kind that its bytes tell.
+// Packets is a packet connection whose packets are counted, each as of the kind that a function returns for its bytes.
 type Packets struct {
 	net.PacketConn
-	meter *Meter
-	kind  func([]byte) Kind
+	meter  *Meter
+	kindOf func([]byte) Kind
 }
 
-// Packets counts those of a connection.
-func (m *Meter) Packets(c net.PacketConn, kind func([]byte) Kind) *Packets {
-	return &Packets{c, m, kind}
+// Packets counts the packets of a connection.
+func (m *Meter) Packets(conn net.PacketConn, kindOf func([]byte) Kind) *Packets {
+	return &Packets{PacketConn: conn, meter: m, kindOf: kindOf}
 }
 
-// ReadFrom reads one.
-func (p *Packets) ReadFrom(b []byte) (int, net.Addr, error) {
-	n, from, err := p.PacketConn.ReadFrom(b)
+// ReadFrom reads and counts one packet.
+func (p *Packets) ReadFrom(buffer []byte) (int, net.Addr, error) {
+	n, from, err := p.PacketConn.ReadFrom(buffer)
 	if err == nil {
-		k := p.kind(b[:n])
-		p.meter.Received(k, n)
-		p.meter.Message(k)
+		kind := p.kindOf(buffer[:n])
+		p.meter.Received(kind, n)
+		p.meter.Message(kind)
 	}
 	return n, from, err
 }
 
-// WriteTo writes one.
-func (p *Packets) WriteTo(b []byte, to net.Addr) (int, error) {
-	n, err := p.PacketConn.WriteTo(b, to)
+// WriteTo writes and counts one packet.
+func (p *Packets) WriteTo(packet []byte, to net.Addr) (int, error) {
+	n, err := p.PacketConn.WriteTo(packet, to)
 	if err == nil {
-		k := p.kind(b)
-		p.meter.Sent(k, n)
-		p.meter.Message(k)
+		kind := p.kindOf(packet)
+		p.meter.Sent(kind, n)
+		p.meter.Message(kind)
 	}
 	return n, err
 }
 
-// What memberlist's packets begin with.
+// The first bytes of memberlist's messages.
 const (
-	memberPing     = 0
-	memberIndirect = 1
-	memberAck      = 2
-	memberCompound = 7 // a count, so many lengths of two bytes, the messages
-	memberNack     = 11
-	memberSummed   = 12 // a checksum of four bytes, a message
+	memberPing         = 0
+	memberIndirectPing = 1
+	memberAck          = 2
+	memberCompound     = 7 // followed by a count, as many lengths of two bytes, and the messages
+	memberNack         = 11
+	memberChecksum     = 12 // followed by a checksum of four bytes and a message
 )
 
-// OfMembers tells what a packet of memberlist's is for: one that carries a probe or its answer is a probe's, whatever news
-// ride on it.
-func OfMembers(b []byte) Kind {
-	for range 2 {
-		if len(b) > 5 && b[0] == memberSummed {
-			b = b[5:]
+const (
+	checksumHeaderBytes = 5
+	compoundHeaderBytes = 2
+	compoundLengthBytes = 2
+	maxNesting          = 2 // a compound message, and the first one in it
+)
+
+// OfMembers returns the kind of a packet of memberlist: Probe for one that carries a probe or the response to one, whatever
+// updates go with it, else Gossip.
+func OfMembers(packet []byte) Kind {
+	for range maxNesting {
+		if len(packet) > checksumHeaderBytes && packet[0] == memberChecksum {
+			packet = packet[checksumHeaderBytes:]
 		}
-		if len(b) < 2 {
+		if len(packet) < compoundHeaderBytes {
 			return Gossip
 		}
-		switch b[0] {
-		case memberPing, memberIndirect, memberAck, memberNack:
+		switch packet[0] {
+		case memberPing, memberIndirectPing, memberAck, memberNack:
 			return Probe
 		case memberCompound:
-			n := int(b[1])
-			if len(b) < 2+2*n || n == 0 {
+			first, ok := firstOfCompound(packet)
+			if !ok {
 				return Gossip
 			}
-			b = b[2+2*n:][:min(int(binary.BigEndian.Uint16(b[2:])), len(b)-2-2*n)]
+			packet = first
 		default:
 			return Gossip
 		}
 	}
 	return Gossip
 }
+
+// firstOfCompound returns the first message of a compound one, as far as the packet has it.
+func firstOfCompound(packet []byte) (first []byte, ok bool) {
+	count := int(packet[1])
+	header := compoundHeaderBytes + compoundLengthBytes*count
+	if count == 0 || len(packet) < header {
+		return nil, false
+	}
+	length := int(binary.BigEndian.Uint16(packet[compoundHeaderBytes:]))
+	messages := packet[header:]
+	return messages[:min(length, len(messages))], true
+}
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts what control writes and reads: bytes at the connection, heads included, over TCP and UDP, and
-// messages, by what they are for. What the kernel adds (packet heads, acknowledgements) is not in it.
+// Package traffic counts the control traffic of a process: bytes at the connection, headers included, over TCP and UDP, and
+// messages, by what they are for. What the kernel adds (packet headers, acknowledgements) is not counted.
 package traffic
 
 import "sync/atomic"
@@ -9,89 +9,109 @@
 
 // The kinds.
 const (
-	Other     Kind = iota // commands of people, founding, and what nobody has named yet
-	Renewal               // leases: questions and answers, at seats those gathered for the leader too
-	Record                // subscriptions to what was agreed on
-	Report                // what dispatchers saw of zones, within renewals
-	Budget                // what they ask for and are dealt, within renewals
-	Gossip                // who is there: news, and exchanges of all that is known
-	Probe                 // of members: whether they are there
-	Raft                  // between seats
-	Discovery             // calls for the list of workers
+	Other     Kind = iota // operators' commands, founding, and bytes of which nothing else is known
+	Renewal               // requests for leases, at voters also those gathered for the leader
+	Record                // watches of the fleet's record
+	Report                // observations of zones, within renewals
+	Budget                // demands of budgets and their leases, within renewals
+	Gossip                // who is there: updates, and exchanges of the whole state
+	Probe                 // of members, whether they are there
+	Raft                  // between voters
+	Discovery             // polls for the endpoint list
 	kinds
 )
 
-var names = [kinds]string{"other", "renewal", "record", "report", "budget", "gossip", "member_probe", "raft", "discovery"}
+var kindNames = [kinds]string{
+	Other:     "other",
+	Renewal:   "renewal",
+	Record:    "record",
+	Report:    "report",
+	Budget:    "budget",
+	Gossip:    "gossip",
+	Probe:     "member_probe",
+	Raft:      "raft",
+	Discovery: "discovery",
+}
 
-func (k Kind) String() string { return names[k] }
+// String returns the kind's name in metrics.
+func (k Kind) String() string { return kindNames[k] }
 
-// Count is what was counted of a kind since the start. Messages are calls and packets, each counted at both of its ends.
+// Count is what was counted of a kind since the start.
 type Count struct {
 	Sent     uint64 `json:"sent"` // bytes
 	Received uint64 `json:"received"`
-	Messages uint64 `json:"messages"`
+	Messages uint64 `json:"messages"` // calls and packets, each counted at both of its ends
 }
 
-// Bytes are those of both ways.
+// Bytes returns the bytes of both directions.
 func (c Count) Bytes() uint64 { return c.Sent + c.Received }
 
-// Meter counts. The zero value counts from nothing, and a nil one not at all. Calls may come at the same time.
+// Meter counts traffic. The zero value is ready for use, and a nil Meter counts nothing. It may be used from any goroutine.
 type Meter struct {
-	all [kinds]struct{ sent, received, messages atomic.Uint64 }
+	counters [kinds]counter
 }
 
+type counter struct{ sent, received, messages atomic.Uint64 }
+
 // Sent adds bytes that were written.
-func (m *Meter) Sent(k Kind, n int) {
-	if m != nil && n > 0 {
-		m.all[k].sent.Add(uint64(n))
+func (m *Meter) Sent(kind Kind, bytes int) {
+	if m != nil && bytes > 0 {
+		m.counters[kind].sent.Add(uint64(bytes))
 	}
 }
 
 // Received adds bytes that were read.
-func (m *Meter) Received(k Kind, n int) {
-	if m != nil && n > 0 {
-		m.all[k].received.Add(uint64(n))
+func (m *Meter) Received(kind Kind, bytes int) {
+	if m != nil && bytes > 0 {
+		m.counters[kind].received.Add(uint64(bytes))
 	}
 }
 
 // Message adds one message.
-func (m *Meter) Message(k Kind) {
+func (m *Meter) Message(kind Kind) {
 	if m != nil {
-		m.all[k].messages.Add(1)
+		m.counters[kind].messages.Add(1)
 	}
 }
 
-// Within has a part of what is counted as one kind count as another: the bytes of a report in a question for a lease.
-// They may be taken away before they are counted; in between the first kind lacks them.
+// Within counts a part of the bytes of one kind as bytes of another, such as a report within a renewal. It may be called
+// before the bytes themselves are counted: until then the first kind has too few.
 func (m *Meter) Within(of, as Kind, sent, received int) {
 	if m == nil {
 		return
 	}
-	m.all[of].sent.Add(-uint64(sent))
-	m.all[of].received.Add(-uint64(received))
-	m.all[as].sent.Add(uint64(sent))
-	m.all[as].received.Add(uint64(received))
+	m.counters[of].sent.Add(-uint64(sent))
+	m.counters[of].received.Add(-uint64(received))
+	m.counters[as].sent.Add(uint64(sent))
+	m.counters[as].received.Add(uint64(received))
 }
 
-// Counts gives what was counted of each kind of which there was anything, by its name.
+// Counts returns what was counted, by the name of the kind, without kinds of which nothing was.
 func (m *Meter) Counts() map[string]Count {
-	all := map[string]Count{}
+	counts := map[string]Count{}
 	if m == nil {
-		return all
+		return counts
 	}
-	for k := range m.all {
-		x := &m.all[k]
-		if c := (Count{x.sent.Load(), x.received.Load(), x.messages.Load()}); c != (Count{}) {
-			all[Kind(k).String()] = c
+	for kind := range m.counters {
+		counted := &m.counters[kind]
+		count := Count{
+			Sent:     counted.sent.Load(),
+			Received: counted.received.Load(),
+			Messages: counted.messages.Load(),
+		}
+		if count != (Count{}) {
+			counts[Kind(kind).String()] = count
 		}
 	}
-	return all
+	return counts
 }
 
-// Total is the sum over kinds.
-func Total(all map[string]Count) (c Count) {
-	for _, x := range all {
-		c.Sent, c.Received, c.Messages = c.Sent+x.Sent, c.Received+x.Received, c.Messages+x.Messages
+// Total returns the sum over kinds.
+func Total(counts map[string]Count) (total Count) {
+	for _, count := range counts {
+		total.Sent += count.Sent
+		total.Received += count.Received
+		total.Messages += count.Messages
 	}
-	return c
+	return total
 }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// relay passes one connection's bytes on and counts them by itself.
+// relay forwards the bytes of connections and counts them.
 type relay struct {
 	net.Listener
 	mu       sync.Mutex
@@ -51,9 +51,9 @@
 	}
 }
 
-// Two ends of HTTP calls of several kinds, on connections that are used again: each end counts every byte that a relay
-// between them saw, heads included, both name them alike, and what one end counts as sent the other has as received.
-func TestBothEndsCountWhatGoesBetween(t *testing.T) {
+// TestMeter_bothEndsCountAlike makes HTTP calls of several kinds over reused connections: each end counts every byte that a
+// relay between them sees, headers included, as of the same kind, and what one end sends the other receives.
+func TestMeter_bothEndsCountAlike(t *testing.T) {
 	var client, server Meter
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,11 +91,11 @@
 	transport.CloseIdleConnections()
 	between.Close()
 	s.Close()
-	var mine, its map[string]Count
+	var clientCounts, serverCounts map[string]Count
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		mine, its = client.Counts(), server.Counts()
+		clientCounts, serverCounts = client.Counts(), server.Counts()
 		r.mu.Lock()
-		done := uint64(r.to) == Total(mine).Sent && uint64(r.to) == Total(its).Received && uint64(r.back) == Total(its).Sent && uint64(r.back) == Total(mine).Received
+		done := uint64(r.to) == Total(clientCounts).Sent && uint64(r.to) == Total(serverCounts).Received && uint64(r.back) == Total(serverCounts).Sent && uint64(r.back) == Total(clientCounts).Received
 		r.mu.Unlock()
 		if done {
 			break
@@ -103,18 +103,18 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if Total(mine).Sent != uint64(r.to) || Total(mine).Received != uint64(r.back) {
-		t.Errorf("the client counts %+v, between them went %d and %d", Total(mine), r.to, r.back)
+	if Total(clientCounts).Sent != uint64(r.to) || Total(clientCounts).Received != uint64(r.back) {
+		t.Errorf("the client counts %+v, between them went %d and %d", Total(clientCounts), r.to, r.back)
 	}
 	for _, k := range []Kind{Renewal, Record, Other} {
-		m, o := mine[k.String()], its[k.String()]
+		m, o := clientCounts[k.String()], serverCounts[k.String()]
 		if m.Sent != o.Received || m.Received != o.Sent || m.Messages != o.Messages || m.Messages == 0 {
 			t.Errorf("%v: the client counts %+v, the server %+v", k, m, o)
 		}
 	}
 }
 
-// Packets of memberlist's are told apart by what they begin with, alone, summed or many in one.
+// TestOfMembers finds the kind of packets that are a single message, a compound one, or one with a checksum.
 func TestOfMembers(t *testing.T) {
 	ping, news := append([]byte{memberPing}, "ping........"...), append([]byte{4}, "alive......"...)
 	compound := func(all ...[]byte) []byte {
@@ -124,7 +124,7 @@
 		}
 		return append(b, bytes.Join(all, nil)...)
 	}
-	summed := func(b []byte) []byte { return append([]byte{memberSummed, 1, 2, 3, 4}, b...) }
+	summed := func(b []byte) []byte { return append([]byte{memberChecksum, 1, 2, 3, 4}, b...) }
 	for _, x := range []struct {
 		what   string
 		packet []byte
@@ -140,10 +140,10 @@
 	}
 }
 
-// FuzzOfMembers takes what is no packet.
+// FuzzOfMembers passes arbitrary bytes.
 func FuzzOfMembers(f *testing.F) {
 	f.Add([]byte{memberCompound, 2, 0, 1, 0, 200, 0, 4})
-	f.Add([]byte{memberSummed, 0, 0, 0, 0, memberCompound, 255})
+	f.Add([]byte{memberChecksum, 0, 0, 0, 0, memberCompound, 255})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if k := OfMembers(b); k != Gossip && k != Probe {
 			t.Fatalf("%v is counted as %v", b, k)
@@ -151,8 +151,8 @@
 	})
 }
 
-// Whatever is counted in whatever order, a part that is moved to another kind changes no sum.
-func TestSums(t *testing.T) {
+// TestWithin_sumsUnchanged counts in any order: a part that is counted as another kind changes no sum.
+func TestWithin_sumsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Meter
 		var sent, received uint64
@@ -173,6 +173,6 @@
 	none.Sent(Gossip, 4)
 	none.Within(Gossip, Report, 1, 1)
 	if len(none.Counts()) > 0 {
-		t.Error("a meter that is none counts")
+		t.Error("a nil meter counts")
 	}
 }
