--- a/internal/decisions/voters/doc.go
+++ b/internal/decisions/voters/doc.go
@@ -8,5 +8,6 @@
 //     not vote under its ID again (DecideFounding).
 //  2. The leader changes one thing at a time, and no change leaves fewer voters present than there were: a voter is removed only
 //     together with the promotion of a learner that has caught up (PlanChange).
-//  3. While every voter is present, and no machine that is dedicated to control waits to become one, nothing changes.
+//  3. While every voter is present, there is no learner, and no machine dedicated to control waits to become a voter, nothing
+//     changes.
 package voters
