--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -7,15 +7,15 @@
 )
 
 // sends gives the workers that submitJobs go to, one after the other.
-func (v *driver) submitJobs(from RequestID, n int) (to []WorkerID) {
+func (d *driver) submitJobs(from RequestID, n int) (to []WorkerID) {
 	for id := from; id < from+RequestID(n); id++ {
-		for _, a := range v.handle(RequestArrived{ID: id, Slots: 1, Deadline: v.now + v.scheduler.settings.Classes[0].Deadline}) {
+		for _, a := range d.handle(RequestArrived{ID: id, Slots: 1, Deadline: d.now + d.scheduler.settings.Classes[0].Deadline}) {
 			if s, ok := a.(Send); ok {
 				to = append(to, s.Worker)
 			}
 		}
-		v.finishServed(id, nil)
-		v.now += ms
+		d.finishServed(id, nil)
+		d.now += ms
 	}
 	return to
 }
@@ -23,56 +23,56 @@
 // A detached worker gets nothing, whatever lists say, and its ejection is another matter. Reattached it warms up, is healthy
 // and gets the first request.
 func TestDetach(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.scheduler.settings.SlowStartDuration, v.scheduler.settings.SlowStartCapacity, v.scheduler.settings.OverloadMultiple, v.scheduler.settings.OverloadWindow = 20*time.Second, 0.2, 3, 1500*ms
-	v.listWorkers(workers(3)...)
-	w := v.scheduler.workers[1]
+	driver := newDriver(t, baseSettings())
+	driver.scheduler.settings.SlowStartDuration, driver.scheduler.settings.SlowStartCapacity, driver.scheduler.settings.OverloadMultiple, driver.scheduler.settings.OverloadWindow = 20*time.Second, 0.2, 3, 1500*ms
+	driver.listWorkers(workers(3)...)
+	w := driver.scheduler.workers[1]
 	w.observedSlots = 4
-	w.consecutiveEjections, w.ejectedUntil = 3, v.now+time.Hour
-	v.handle(WorkerDetached{Worker: w.ID})
-	v.listWorkers(workers(3)...)
+	w.consecutiveEjections, w.ejectedUntil = 3, driver.now+time.Hour
+	driver.handle(WorkerDetached{Worker: w.ID})
+	driver.listWorkers(workers(3)...)
 	w.consecutiveEjections = 0
-	for _, to := range v.submitJobs(1, 12) {
+	for _, to := range driver.submitJobs(1, 12) {
 		if to == w.ID {
-			t.Fatal("a job went to the worker that is out")
+			t.Fatal("a request went to the detached worker")
 		}
 	}
-	if v.scheduler.CountAvoided() != 1 || !v.scheduler.KnowsWorker(w.ID) || v.scheduler.KnowsWorker("never") {
-		t.Errorf("%d avoided", v.scheduler.CountAvoided())
+	if driver.scheduler.CountAvoided() != 1 || !driver.scheduler.KnowsWorker(w.ID) || driver.scheduler.KnowsWorker("never") {
+		t.Errorf("%d avoided", driver.scheduler.CountAvoided())
 	}
-	w.consecutiveEjections, w.ejectedUntil = 3, v.now+time.Hour
-	v.handle(WorkerReattached{Worker: w.ID})
-	if v.scheduler.warmupFactor(w) > 0.21 || v.scheduler.CountAvoided() != 0 {
-		t.Errorf("put back: warmth %v, %d avoided", v.scheduler.warmupFactor(w), v.scheduler.CountAvoided())
+	w.consecutiveEjections, w.ejectedUntil = 3, driver.now+time.Hour
+	driver.handle(WorkerReattached{Worker: w.ID})
+	if driver.scheduler.warmupFactor(w) > 0.21 || driver.scheduler.CountAvoided() != 0 {
+		t.Errorf("reattached: warmup factor %v, %d avoided", driver.scheduler.warmupFactor(w), driver.scheduler.CountAvoided())
 	}
-	if to := v.submitJobs(100, 1); len(to) != 1 || to[0] != w.ID {
-		t.Errorf("the first job went to %v", to)
+	if to := driver.submitJobs(100, 1); len(to) != 1 || to[0] != w.ID {
+		t.Errorf("the first request went to %v", to)
 	}
-	// Out before it was ever listed, as a process that replaces another is told.
-	v.handle(WorkerDetached{Worker: "later"})
-	v.listWorkers(append(workers(3), WorkerInfo{ID: "later", Weight: 1})...)
-	for _, to := range v.submitJobs(200, 12) {
+	// Detached before it was ever listed, as a successor is notified.
+	driver.handle(WorkerDetached{Worker: "later"})
+	driver.listWorkers(append(workers(3), WorkerInfo{ID: "later", Weight: 1})...)
+	for _, to := range driver.submitJobs(200, 12) {
 		if to == "later" {
-			t.Fatal("a job went to the worker that was out before it was listed")
+			t.Fatal("a request went to the worker that was detached before it was listed")
 		}
 	}
 }
 
 // Dispatchers that start together do not poll the endpoint list at the same time, and all do within maxFirstPollDelay.
 func TestPoll_firstCallsAreSpread(t *testing.T) {
-	s := baseSettings()
-	s.ListPolled, s.MaxPollInterval = true, 10*time.Second
+	settings := baseSettings()
+	settings.ListPolled, settings.MaxPollInterval = true, 10*time.Second
 	var first, last time.Duration = time.Hour, 0
 	for i := range 2000 {
-		s.DispatcherIndex, s.Dispatchers = i, 2000
-		for _, a := range New(s, uint64(i)).Handle(start, EndpointsUpdated{ListKind: ListCached, Workers: zonedWorkers(1, 1)}) {
+		settings.DispatcherIndex, settings.Dispatchers = i, 2000
+		for _, a := range New(settings, uint64(i)).Handle(start, EndpointsUpdated{ListKind: ListCached, Workers: zonedWorkers(1, 1)}) {
 			if w, ok := a.(SetTimer); ok && w.Token == pollTimer {
 				first, last = min(first, w.After), max(last, w.After)
 			}
 		}
 	}
-	if last-first < 2*time.Second || last > 3*time.Second+ms { // and an answer that is late is here within 6 s
-		t.Errorf("2000 dispatchers call between %v and %v after their start", first, last)
+	if last-first < 2*time.Second || last > 3*time.Second+ms { // so that even a late response is received within 6 s
+		t.Errorf("2000 dispatchers poll between %v and %v after their start", first, last)
 	}
 }
 
@@ -81,9 +81,9 @@
 func TestPoll_retryDelayIsBounded(t *testing.T) {
 	var first, last time.Duration = time.Hour, 0
 	for i := range 300 {
-		s := baseSettings()
-		s.ListPolled, s.MaxPollInterval, s.DispatcherIndex, s.Dispatchers = true, 10*time.Second, i, 300
-		d := New(s, uint64(i))
+		settings := baseSettings()
+		settings.ListPolled, settings.MaxPollInterval, settings.DispatcherIndex, settings.Dispatchers = true, 10*time.Second, i, 300
+		d := New(settings, uint64(i))
 		d.Handle(start, EndpointsUpdated{ListKind: ListCached, Workers: zonedWorkers(1, 1)})
 		for n := range 6 {
 			for _, a := range d.Handle(start+time.Duration(n)*time.Second, EndpointsUpdated{ListKind: ListFailed}) {
@@ -94,7 +94,7 @@
 		}
 	}
 	if last > MaxListRetryDelay+ms || last-first < MaxListRetryDelay/2 {
-		t.Errorf("300 dispatchers call again between %v and %v", first, last)
+		t.Errorf("300 dispatchers poll again between %v and %v", first, last)
 	}
 }
 
@@ -104,25 +104,25 @@
 	for dispatchers, most := range map[int]time.Duration{2: 250 * ms, 80: 3*time.Second + ms} {
 		var at []time.Duration
 		for i := range dispatchers {
-			s := baseSettings()
-			s.ListPolled, s.MaxPollInterval, s.DispatcherIndex, s.Dispatchers = true, 10*time.Second, i, dispatchers
-			for _, a := range New(s, uint64(i)).Handle(start, EndpointsUpdated{ListKind: ListCached, Workers: zonedWorkers(1, 1)}) {
+			settings := baseSettings()
+			settings.ListPolled, settings.MaxPollInterval, settings.DispatcherIndex, settings.Dispatchers = true, 10*time.Second, i, dispatchers
+			for _, a := range New(settings, uint64(i)).Handle(start, EndpointsUpdated{ListKind: ListCached, Workers: zonedWorkers(1, 1)}) {
 				if w, ok := a.(SetTimer); ok && w.Token == pollTimer {
 					at = append(at, w.After)
 				}
 			}
 		}
 		slices.Sort(at)
-		free, away := time.Duration(0), 0 // the service works through calls in turn, each for 50 ms
+		free, rejected := time.Duration(0), 0 // the service serves calls in turn, each in 50 ms
 		for _, t := range at {
 			if free = max(free, t); free-t > 2*time.Second {
-				away++
+				rejected++
 				continue
 			}
 			free += 50 * ms
 		}
-		if away > 0 || len(at) != dispatchers || at[len(at)-1] > most {
-			t.Errorf("%d dispatchers: %d calls, the last after %v, %d turned away", dispatchers, len(at), at[len(at)-1], away)
+		if rejected > 0 || len(at) != dispatchers || at[len(at)-1] > most {
+			t.Errorf("%d dispatchers: %d calls, the last after %v, %d rejected", dispatchers, len(at), at[len(at)-1], rejected)
 		}
 	}
 }
--- a/scheduler/freshness_test.go
+++ b/scheduler/freshness_test.go
@@ -7,44 +7,44 @@
 	"pgregory.net/rapid"
 )
 
-// probingSettings is a deployment where workers may be probed and a list holds for a while.
+// probingSettings returns settings where probes are permitted and the endpoint list is valid for 6.5 s.
 func probingSettings() Settings {
-	s := baseSettings()
-	s.MayProbe, s.ListValidity = true, 6500*ms
-	return s
+	settings := baseSettings()
+	settings.MayProbe, settings.ListValidity = true, 6500*ms
+	return settings
 }
 
 // Where the endpoint list is older than its validity, a worker is probed before it gets a request: a draining one answers with
 // an error. A request waits for the probe, goes to the next worker if it fails, and carries the new bound for its send.
 func TestFreshness_probeBeforeUse(t *testing.T) {
-	v := newDriver(t, probingSettings())
-	v.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: v.now})
-	if to := v.submit(1, 0); to == "" || countActions[Probe](v.actions) != 0 {
-		t.Fatalf("with a list of now: %v", v.actions)
+	driver := newDriver(t, probingSettings())
+	driver.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: driver.now})
+	if to := driver.submit(1, 0); to == "" || countActions[Probe](driver.actions) != 0 {
+		t.Fatalf("with a list of now: %v", driver.actions)
 	}
-	v.finishServed(1, nil)
-	v.now += v.scheduler.settings.ListValidity - maxSendDelay
-	if to := v.submit(2, 0); to != "" || countActions[Probe](v.actions) != 1 {
-		t.Fatalf("with an overdue list: %v", v.actions)
+	driver.finishServed(1, nil)
+	driver.now += driver.scheduler.settings.ListValidity - maxSendDelay
+	if to := driver.submit(2, 0); to != "" || countActions[Probe](driver.actions) != 1 {
+		t.Fatalf("with an overdue list: %v", driver.actions)
 	}
-	first := v.actions[0].(Probe).Worker
-	v.handle(ProbeCompleted{Worker: first, Outcome: Errored})
-	if countActions[Send](v.actions) != 0 || countActions[Probe](v.actions) != 1 || v.actions[0].(Probe).Worker == first {
-		t.Fatalf("behind a failed probe: %v", v.actions)
+	first := driver.actions[0].(Probe).Worker
+	driver.handle(ProbeCompleted{Worker: first, Outcome: Errored})
+	if countActions[Send](driver.actions) != 0 || countActions[Probe](driver.actions) != 1 || driver.actions[0].(Probe).Worker == first {
+		t.Fatalf("behind a failed probe: %v", driver.actions)
 	}
-	second := v.actions[0].(Probe).Worker
-	if v.handle(ProbeCompleted{Worker: second, Outcome: Served}); firstSendWorker(v.actions) != second {
-		t.Fatalf("behind a passed probe: %v", v.actions)
+	second := driver.actions[0].(Probe).Worker
+	if driver.handle(ProbeCompleted{Worker: second, Outcome: Served}); firstSendWorker(driver.actions) != second {
+		t.Fatalf("behind a passed probe: %v", driver.actions)
 	}
-	for _, a := range v.actions {
-		if s, ok := a.(Send); ok && s.SendBy != v.now+v.scheduler.settings.ListValidity {
-			t.Errorf("it must leave by %v, %v is said", v.now+v.scheduler.settings.ListValidity, s.SendBy)
+	for _, a := range driver.actions {
+		if s, ok := a.(Send); ok && s.SendBy != driver.now+driver.scheduler.settings.ListValidity {
+			t.Errorf("it must leave by %v, %v is said", driver.now+driver.scheduler.settings.ListValidity, s.SendBy)
 		}
 	}
-	v.finishServed(2, nil)
-	v.handle(EndpointsUpdated{ListKind: ListDelta, AsOf: v.now})
-	if to := v.submit(3, 0); to == "" || countActions[Probe](v.actions) != 0 {
-		t.Errorf("with a list of now again: %v", v.actions)
+	driver.finishServed(2, nil)
+	driver.handle(EndpointsUpdated{ListKind: ListDelta, AsOf: driver.now})
+	if to := driver.submit(3, 0); to == "" || countActions[Probe](driver.actions) != 0 {
+		t.Errorf("with a list of now again: %v", driver.actions)
 	}
 }
 
@@ -53,11 +53,11 @@
 	for _, change := range []func(*Settings){func(s *Settings) { s.MayProbe = false }, func(s *Settings) { s.ListValidity = 0 }} {
 		s := probingSettings()
 		change(&s)
-		v := newDriver(t, s)
-		v.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: v.now})
-		v.now += time.Hour
-		if to := v.submit(1, 0); to == "" {
-			t.Errorf("%v", v.actions)
+		driver := newDriver(t, s)
+		driver.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: driver.now})
+		driver.now += time.Hour
+		if to := driver.submit(1, 0); to == "" {
+			t.Errorf("%v", driver.actions)
 		}
 	}
 }
@@ -66,9 +66,9 @@
 // later SendBy.
 func TestFreshness_noSendAfterValidity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := probingSettings()
-		d, now := New(s, rapid.Uint64().Draw(t, "seed")), start
-		ws := workers(rapid.IntRange(1, 4).Draw(t, "workers"))
+		settings := probingSettings()
+		d, now := New(settings, rapid.Uint64().Draw(t, "seed")), start
+		infos := workers(rapid.IntRange(1, 4).Draw(t, "workers"))
 		word := map[WorkerID]Clock{}
 		asked := map[WorkerID]Clock{}
 		list := now
@@ -79,14 +79,14 @@
 				case Probe:
 					asked[a.Worker] = now
 				case Send:
-					last := max(list, word[a.Worker]) + s.ListValidity
+					last := max(list, word[a.Worker]) + settings.ListValidity
 					if now >= last || a.SendBy == 0 || a.SendBy > last {
-						t.Fatalf("at %v a request is sent to %s, by %v; the last word is of %v", now, a.Worker, a.SendBy, last-s.ListValidity)
+						t.Fatalf("at %v a request is sent to %s, by %v; the last word is of %v", now, a.Worker, a.SendBy, last-settings.ListValidity)
 					}
 				}
 			}
 		}
-		handle(EndpointsUpdated{ListKind: ListFull, Workers: ws, AsOf: list})
+		handle(EndpointsUpdated{ListKind: ListFull, Workers: infos, AsOf: list})
 		for range 60 {
 			now += time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause"))
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
--- a/scheduler/hedging.go
+++ b/scheduler/hedging.go
@@ -49,7 +49,7 @@
 //   - Loads known roughly (all workers are candidates): hedgeDelay, and more with congestion.
 //   - A subset of the workers: the same, but the share of hedges among recent sends stays below maxCongestion less the
 //     congestion. What other dispatchers send there is unknown, and cancelled jobs may still run.
-//   - All loads known: a mean stay, and only if nothing was heard of the worker since the send. There is no free slot to be
+//   - All loads known: a mean stay, and only without a signal of the worker since the send. There is no free slot to be
 //     found elsewhere, so a hedge would only add to the queues.
 func (s *Scheduler) needsHedge(latest *attempt) bool {
 	overdue := s.startOverdue(latest, hedgeDelay+durationOf(s.congestion*congestionHedgeDelay.Seconds()))
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -6,54 +6,55 @@
 	"time"
 )
 
-// newDispatchers is many dispatchers at one list of workers, as the settings tell each.
-func newDispatchers(t *testing.T, dispatchers, n int) (vs []*driver) {
+// newDispatchers returns the drivers of many dispatchers with one list of n workers.
+func newDispatchers(t *testing.T, dispatchers, n int) (drivers []*driver) {
+	t.Helper()
 	for me := range dispatchers {
-		s := baseSettings()
-		s.DispatcherIndex, s.Dispatchers, s.ReportsPulled, s.MayProbe = me, dispatchers, true, true
-		v := newDriver(t, s)
-		v.listWorkers(workers(n)...)
-		vs = append(vs, v)
+		settings := baseSettings()
+		settings.DispatcherIndex, settings.Dispatchers, settings.ReportsPulled, settings.MayProbe = me, dispatchers, true, true
+		driver := newDriver(t, settings)
+		driver.listWorkers(workers(n)...)
+		drivers = append(drivers, driver)
 	}
-	return vs
+	return drivers
 }
 
-// learnRuntimes has the first jobs run one after the other, each for so long.
-func (v *driver) learnRuntimes(jobs RequestID, run time.Duration) {
+// learnRuntimes serves requests one after the other, each with the same runtime.
+func (d *driver) learnRuntimes(jobs RequestID, run time.Duration) {
 	for id := RequestID(1); id <= jobs; id++ {
-		v.submit(id, 0)
-		v.handle(AttemptStarted{ID: id})
-		v.advance(run)
-		v.finishServed(id, nil)
+		d.submit(id, 0)
+		d.handle(AttemptStarted{ID: id})
+		d.advance(run)
+		d.finishServed(id, nil)
 	}
 }
 
-// zonedWorkers makes n workers spread over zones.
+// zonedWorkers returns n workers spread over zones.
 func zonedWorkers(n, zones int) []WorkerInfo {
-	ws := make([]WorkerInfo, n)
-	for i := range ws {
-		ws[i] = WorkerInfo{ID: WorkerID(fmt.Sprintf("10.0.%d.%d:5000", i/7, i)), Zone: i % zones, Weight: 2}
+	infos := make([]WorkerInfo, n)
+	for i := range infos {
+		infos[i] = WorkerInfo{ID: WorkerID(fmt.Sprintf("10.0.%d.%d:5000", i/7, i)), Zone: i % zones, Weight: 2}
 	}
-	return ws
+	return infos
 }
 
-// overuse makes all dispatchers of a deployment, each with the list.
-func newSchedulers(s Settings, n, zones int, ws []WorkerInfo) []*Scheduler {
-	ds := make([]*Scheduler, n)
-	for i := range ds {
+// newSchedulers returns the schedulers of n dispatchers, each with the list.
+func newSchedulers(s Settings, n, zones int, infos []WorkerInfo) []*Scheduler {
+	schedulers := make([]*Scheduler, n)
+	for i := range schedulers {
 		s.DispatcherIndex, s.Dispatchers, s.Zone = i, n, i%zones
-		ds[i] = New(s, uint64(i))
-		ds[i].Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: ws})
+		schedulers[i] = New(s, uint64(i))
+		schedulers[i].Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: infos})
 	}
-	return ds
+	return schedulers
 }
 
 const ms = time.Millisecond
 
-// start is a point well after the epoch, as a dispatcher meets it.
+// start is a point well after the epoch.
 const start = 1000 * time.Second
 
-// driver drives one dispatcher by hand and keeps what it did.
+// driver passes events to one scheduler and records the actions.
 type driver struct {
 	t          *testing.T
 	scheduler  *Scheduler
@@ -67,47 +68,47 @@
 	return &driver{t: t, scheduler: New(s, 1), now: start}
 }
 
-// newSettledDriver is a dispatcher that has been here for so long that no other one's pushes count beside its own.
+// newSettledDriver returns a driver whose scheduler has run for longer than the sends of a predecessor count.
 func newSettledDriver(t *testing.T, s Settings) *driver {
 	t.Helper()
-	v := newDriver(t, s)
-	v.handle(TimerFired{})
-	v.now += s.OverloadWindow + maxSendDelay
-	return v
+	driver := newDriver(t, s)
+	driver.handle(TimerFired{})
+	driver.now += s.OverloadWindow + maxSendDelay
+	return driver
 }
 
-// handle passes an event and returns the actions.
-func (v *driver) handle(ev Event) []Action {
-	v.actions = append([]Action(nil), v.scheduler.Handle(v.now, ev)...)
-	v.allActions = append(v.allActions, v.actions...)
-	return v.actions
+// handle passes an event and returns its actions.
+func (d *driver) handle(ev Event) []Action {
+	d.actions = append([]Action(nil), d.scheduler.Handle(d.now, ev)...)
+	d.allActions = append(d.allActions, d.actions...)
+	return d.actions
 }
 
-// advance lets time go by in ticks.
-func (v *driver) advance(span time.Duration) (acts []Action) {
-	for end := v.now + span; v.now < end; {
-		v.now += 10 * ms
-		acts = append(acts, v.handle(TimerFired{Token: reviewTimer})...)
+// advance lets time pass in steps of 10 ms, each with a review.
+func (d *driver) advance(span time.Duration) (actions []Action) {
+	for end := d.now + span; d.now < end; {
+		d.now += 10 * ms
+		actions = append(actions, d.handle(TimerFired{Token: reviewTimer})...)
 	}
-	return acts
+	return actions
 }
 
-func (v *driver) listWorkers(workers ...WorkerInfo) {
-	v.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers})
+func (d *driver) listWorkers(workers ...WorkerInfo) {
+	d.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers})
 }
 
-// submit brings a request of class c with two seconds left and returns where it was sent.
-func (v *driver) submit(id RequestID, c int) WorkerID {
-	return firstSendWorker(v.handle(RequestArrived{ID: id, Class: c, Slots: 1, Deadline: v.now + 2*time.Second}))
+// submit passes a request of class c with two seconds left and returns the worker it was sent to, or "".
+func (d *driver) submit(id RequestID, c int) WorkerID {
+	return firstSendWorker(d.handle(RequestArrived{ID: id, Class: c, Slots: 1, Deadline: d.now + 2*time.Second}))
 }
 
-// finishServed ends attempt 0 of a request.
-func (v *driver) finishServed(id RequestID, r *Report) []Action {
-	return v.handle(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: r})
+// finishServed passes the outcome served for attempt 0 of a request.
+func (d *driver) finishServed(id RequestID, r *Report) []Action {
+	return d.handle(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: r})
 }
 
-func firstSendWorker(acts []Action) WorkerID {
-	for _, a := range acts {
+func firstSendWorker(actions []Action) WorkerID {
+	for _, a := range actions {
 		if s, ok := a.(Send); ok {
 			return s.Worker
 		}
@@ -115,9 +116,9 @@
 	return ""
 }
 
-// countActions tells how many actions are of type A.
-func countActions[A Action](acts []Action) (n int) {
-	for _, a := range acts {
+// countActions returns the number of actions of type A.
+func countActions[A Action](actions []Action) (n int) {
+	for _, a := range actions {
 		if _, ok := a.(A); ok {
 			n++
 		}
@@ -125,20 +126,21 @@
 	return n
 }
 
-func workers(n int) (ws []WorkerInfo) {
+func workers(n int) (infos []WorkerInfo) {
 	for i := range n {
-		ws = append(ws, WorkerInfo{ID: WorkerID(fmt.Sprintf("w%02d", i)), Weight: 1})
+		infos = append(infos, WorkerInfo{ID: WorkerID(fmt.Sprintf("w%02d", i)), Weight: 1})
 	}
-	return ws
+	return infos
 }
 
-// baseSettings is a deployment with a safe, a keyed and an unsafe class.
+// baseSettings returns settings with an idempotent class, one with idempotency keys and one that is not idempotent.
 func baseSettings() Settings {
 	c := Class{LatencyObjective: 200 * ms, ObjectiveStretch: 2, Deadline: 2 * time.Second, PriorityWeight: 1, MachineKind: -1, DeduplicationWindow: time.Second}
-	keyed, unsafe := c, c
-	keyed.Idempotency, keyed.DeduplicationScope, unsafe.Idempotency = IdempotentWithKey, ScopeZone, NonIdempotent
+	withKey, nonIdempotent := c, c
+	withKey.Idempotency, withKey.DeduplicationScope = IdempotentWithKey, ScopeZone
+	nonIdempotent.Idempotency = NonIdempotent
 	return Settings{
-		Dispatchers: 2, Classes: []Class{c, keyed, unsafe}, ReportsStart: true, ProgressInterval: time.Second,
+		Dispatchers: 2, Classes: []Class{c, withKey, nonIdempotent}, ReportsStart: true, ProgressInterval: time.Second,
 		MayCancel: true, MaxAttempts: 4, AnswerSlack: 20 * ms,
 		SlowStartDuration: 10 * time.Second, SlowStartCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}
--- a/scheduler/learnedstate_test.go
+++ b/scheduler/learnedstate_test.go
@@ -9,9 +9,9 @@
 // A successor begins with what its predecessor learned, also after a round trip through JSON; of a worker that has restarted
 // since, with nothing.
 func TestHandover_learnedState(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(2)...)
-	old := v.scheduler
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(2)...)
+	old := driver.scheduler
 	old.overcommit, old.classes[1] = -0.2, classState{workScale: 0.3, meanLogRuntime: -1.5, jobs: 40}
 	for _, w := range old.workers {
 		w.observedSlots, w.slownessSum, w.slownessJobs = 6, 12, 12
@@ -25,15 +25,15 @@
 		t.Fatal(err)
 	}
 	next := newDriver(t, baseSettings())
-	ws := workers(2)
-	ws[1].StartedAt = next.now - time.Second
-	next.listWorkers(ws...)
+	infos := workers(2)
+	infos[1].StartedAt = next.now - time.Second
+	next.listWorkers(infos...)
 	next.handle(HandoverCompleted{LearnedState: e})
-	same, anew := next.scheduler.workersByID[ws[0].ID], next.scheduler.workersByID[ws[1].ID]
+	same, anew := next.scheduler.workersByID[infos[0].ID], next.scheduler.workersByID[infos[1].ID]
 	if next.scheduler.overcommit != old.overcommit || next.scheduler.classes[1] != old.classes[1] || next.scheduler.estimatedSlots(same) != 6 || next.scheduler.slowdown(same) != old.slowdown(old.workers[0]) {
-		t.Errorf("allow %v, class %+v, slots %v, drag %v", next.scheduler.overcommit, next.scheduler.classes[1], next.scheduler.estimatedSlots(same), next.scheduler.slowdown(same))
+		t.Errorf("overcommit %v, class %+v, slots %v, slowdown %v", next.scheduler.overcommit, next.scheduler.classes[1], next.scheduler.estimatedSlots(same), next.scheduler.slowdown(same))
 	}
 	if anew.slownessJobs != 0 || anew.slownessSum != 0 {
-		t.Errorf("of a worker that started anew: %v jobs", anew.slownessJobs)
+		t.Errorf("of a worker that has restarted: %v jobs", anew.slownessJobs)
 	}
 }
--- a/scheduler/loadvalue_test.go
+++ b/scheduler/loadvalue_test.go
@@ -9,24 +9,24 @@
 // A worker with free slots rejects a job as full, for want of memory: the job is retried elsewhere, and the next go elsewhere
 // for a mean stay.
 func TestFull_withFreeSlots(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(2)...)
-	for _, w := range v.scheduler.workers {
-		v.scheduler.recordSlots(w, 4)
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(2)...)
+	for _, w := range driver.scheduler.workers {
+		driver.scheduler.recordSlots(w, 4)
 	}
-	first := v.submit(1, 2)
-	next := firstSendWorker(v.handle(AttemptFinished{ID: 1, Worker: first, Outcome: Full, Report: nil}))
+	first := driver.submit(1, 2)
+	next := firstSendWorker(driver.handle(AttemptFinished{ID: 1, Worker: first, Outcome: Full, Report: nil}))
 	if next == "" || next == first {
-		t.Fatalf("turned away at %s, sent on to %q", first, next)
+		t.Fatalf("rejected at %s, retried at %q", first, next)
 	}
 	for id := RequestID(2); id <= 4; id++ {
-		if w := v.submit(id, 2); w == first {
+		if w := driver.submit(id, 2); w == first {
 			t.Errorf("job %d went to the worker that is full", id)
 		}
 	}
-	v.now += 2 * time.Second
-	if w := v.submit(5, 2); w != first {
-		t.Errorf("2 s later a job went to %s, which holds four", w)
+	driver.now += 2 * time.Second
+	if w := driver.submit(5, 2); w != first {
+		t.Errorf("2 s later a request went to %s, which has the more attempts", w)
 	}
 }
 
@@ -36,9 +36,9 @@
 		dispatchers, workers int
 		rate, most           float64
 	}{{1, 10, 10, 0}, {16, 28, 11, math.Sqrt(15)}, {300, 180, 1, 2}, {300, 180, 6, 4}} {
-		s := baseSettings()
-		s.Dispatchers = c.dispatchers
-		d := New(s, 1)
+		settings := baseSettings()
+		settings.Dispatchers = c.dispatchers
+		d := New(settings, 1)
 		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(c.workers, 1)})
 		d.arrivalRate, d.meanStay = c.rate, 1
 		w := d.workers[0]
@@ -46,7 +46,7 @@
 		fresh := d.loadUncertainty(w)
 		d.now += time.Second
 		if old := d.loadUncertainty(w); old > c.most+1e-9 || old < fresh {
-			t.Errorf("%d dispatchers, %d workers, %v jobs/s: doubt %v fresh, %v after a second, want at most %v",
+			t.Errorf("%d dispatchers, %d workers, %v requests/s: uncertainty %v at once, %v after a second, want at most %v",
 				c.dispatchers, c.workers, c.rate, fresh, old, c.most)
 		}
 	}
@@ -70,55 +70,55 @@
 // The increment of a slot is 25% at first, doubles with a 'full' outcome, halves after sendsToHalveIncrement sends without one,
 // and gives way to the slots that a report shows.
 func TestIncrement(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(1)...)
-	w := v.scheduler.workers[0]
-	if got := v.scheduler.slotShare(w, 1); got != initialIncrement {
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(1)...)
+	w := driver.scheduler.workers[0]
+	if got := driver.scheduler.slotShare(w, 1); got != initialIncrement {
 		t.Errorf("without figures a slot counts %v", got)
 	}
-	v.submit(1, 0)
-	v.handle(AttemptFinished{ID: 1, Outcome: Full})
-	if got := v.scheduler.slotShare(w, 1); got != 2*initialIncrement || v.scheduler.loadValue(w) < 1-1e-9 {
-		t.Errorf("after a 'full' a slot counts %v, the value is %v", got, v.scheduler.loadValue(w))
+	driver.submit(1, 0)
+	driver.handle(AttemptFinished{ID: 1, Outcome: Full})
+	if got := driver.scheduler.slotShare(w, 1); got != 2*initialIncrement || driver.scheduler.loadValue(w) < 1-1e-9 {
+		t.Errorf("after a 'full' a slot counts %v, the value is %v", got, driver.scheduler.loadValue(w))
 	}
 	for id := RequestID(10); id < 10+sendsToHalveIncrement; id++ {
-		v.now += 2 * time.Second
-		v.submit(id, 0)
-		v.finishServed(id, nil)
+		driver.now += 2 * time.Second
+		driver.submit(id, 0)
+		driver.finishServed(id, nil)
 	}
-	if got := v.scheduler.slotShare(w, 1); got > initialIncrement {
-		t.Errorf("after %d pushes without a 'full' a slot counts %v", sendsToHalveIncrement, got)
+	if got := driver.scheduler.slotShare(w, 1); got > initialIncrement {
+		t.Errorf("after %d sends without a 'full' a slot counts %v", sendsToHalveIncrement, got)
 	}
-	v.submit(100, 0)
-	v.finishServed(100, loadReport(0.2, 8))
-	if got := v.scheduler.slotShare(w, 1); got != 1.0/8 {
+	driver.submit(100, 0)
+	driver.finishServed(100, loadReport(0.2, 8))
+	if got := driver.scheduler.slotShare(w, 1); got != 1.0/8 {
 		t.Errorf("with 8 free slots seen a slot counts %v", got)
 	}
 }
 
 // One running job is no evidence that a worker has one slot.
 func TestSlots_notFromOneRunningJob(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(1)...)
-	v.submit(1, 0)
-	v.handle(AttemptStarted{ID: 1})
-	if w := v.submit(2, 0); w == "" {
-		t.Error("held a request beside one running job on a worker of unknown size")
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(1)...)
+	driver.submit(1, 0)
+	driver.handle(AttemptStarted{ID: 1})
+	if w := driver.submit(2, 0); w == "" {
+		t.Error("queued a request beside one running job on a worker of unknown size")
 	}
 }
 
 // Reports with missing, negative or infinite figures leave the load value a number of at least 0.
 func TestReport_invalidFigures(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(1)...)
-	w := v.scheduler.workers[0]
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(1)...)
+	w := driver.scheduler.workers[0]
 	for i, r := range []*Report{
 		nil, {}, loadReport(math.NaN(), math.Inf(1)), loadReport(-1, -5), {Busy: math.Inf(1), Requests: math.NaN(), FreeSlots: -1},
 	} {
 		id := RequestID(i + 1)
-		v.submit(id, 0)
-		v.finishServed(id, r)
-		if x := v.scheduler.loadValue(w); math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
+		driver.submit(id, 0)
+		driver.finishServed(id, r)
+		if x := driver.scheduler.loadValue(w); math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 			t.Errorf("report %d made the value %v", i, x)
 		}
 	}
@@ -127,21 +127,21 @@
 // The value of an old report moves to the fleet's mean: otherwise all dispatchers would send to the worker that was idle when
 // it reported.
 func TestLoadValue_oldReportMovesToFleetMean(t *testing.T) {
-	s := baseSettings()
-	s.Dispatchers = 1
-	v := newDriver(t, s)
-	v.listWorkers(workers(2)...)
-	v.submit(1, 0)
-	v.submit(2, 0)
-	v.finishServed(1, loadReport(0, 4))
-	v.finishServed(2, loadReport(1, 0))
-	idle, busy := v.scheduler.workers[0], v.scheduler.workers[1]
-	if a, b := v.scheduler.loadValue(idle), v.scheduler.loadValue(busy); a > 0.01 || b < 0.9 {
+	settings := baseSettings()
+	settings.Dispatchers = 1
+	driver := newDriver(t, settings)
+	driver.listWorkers(workers(2)...)
+	driver.submit(1, 0)
+	driver.submit(2, 0)
+	driver.finishServed(1, loadReport(0, 4))
+	driver.finishServed(2, loadReport(1, 0))
+	idle, busy := driver.scheduler.workers[0], driver.scheduler.workers[1]
+	if a, b := driver.scheduler.loadValue(idle), driver.scheduler.loadValue(busy); a > 0.01 || b < 0.9 {
 		t.Errorf("fresh reports of 0 and 1 give values %v and %v", a, b)
 	}
-	v.now += 5 * time.Second
-	v.handle(TimerFired{})
-	if a, b := v.scheduler.loadValue(idle), v.scheduler.loadValue(busy); math.Abs(a-b) > 0.05 {
+	driver.now += 5 * time.Second
+	driver.handle(TimerFired{})
+	if a, b := driver.scheduler.loadValue(idle), driver.scheduler.loadValue(busy); math.Abs(a-b) > 0.05 {
 		t.Errorf("old reports still tell workers apart: %v and %v", a, b)
 	}
 }
@@ -149,17 +149,17 @@
 // With many dispatchers, loads that differ by less than a job are ties: otherwise each report would draw all dispatchers to the
 // same few workers.
 func TestLoadValue_differencesWithinUncertaintyAreTies(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(4)...)
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(4)...)
 	for id := RequestID(1); id <= 4; id++ {
-		v.submit(id, 0)
+		driver.submit(id, 0)
 	}
 	for id := RequestID(1); id <= 4; id++ {
-		v.finishServed(id, loadReport([]float64{0, 0.25, 0.1, 0.3}[id-1], 4))
+		driver.finishServed(id, loadReport([]float64{0, 0.25, 0.1, 0.3}[id-1], 4))
 	}
 	got := map[WorkerID]bool{}
 	for id := RequestID(11); id <= 14; id++ {
-		got[v.submit(id, 0)] = true
+		got[driver.submit(id, 0)] = true
 	}
 	if len(got) != 4 {
 		t.Errorf("four jobs went to %d of 4 workers that differ by less than a job", len(got))
@@ -168,34 +168,34 @@
 
 // Workers without a recent report are no part of the fleet's mean load: neither those beyond a network partition nor new ones.
 func TestMeanOthersLoad_onlyRecentReports(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(2)...)
-	v.submit(1, 0)
-	v.finishServed(1, loadReport(0.9, 0.4))
-	if v.scheduler.meanOthersLoad == 0 {
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(2)...)
+	driver.submit(1, 0)
+	driver.finishServed(1, loadReport(0.9, 0.4))
+	if driver.scheduler.meanOthersLoad == 0 {
 		t.Fatal("a fresh report does not count")
 	}
-	v.now += 4 * time.Second
-	v.listWorkers(append(workers(2), WorkerInfo{ID: "w99"})...)
-	if x := v.scheduler.loadValue(v.scheduler.workersByID["w99"]); x != 0 {
+	driver.now += 4 * time.Second
+	driver.listWorkers(append(workers(2), WorkerInfo{ID: "w99"})...)
+	if x := driver.scheduler.loadValue(driver.scheduler.workersByID["w99"]); x != 0 {
 		t.Errorf("a newcomer's value is %v", x)
 	}
-	v.handle(RequestArrived{ID: 2, Slots: 1, Deadline: v.now + time.Second})
-	v.handle(AttemptFinished{ID: 2, Outcome: Served, Final: true, Report: loadReport(0, 4)})
-	if v.scheduler.meanOthersLoad > 0.01 {
-		t.Errorf("after one fresh report of 0 the mean is %v", v.scheduler.meanOthersLoad)
+	driver.handle(RequestArrived{ID: 2, Slots: 1, Deadline: driver.now + time.Second})
+	driver.handle(AttemptFinished{ID: 2, Outcome: Served, Final: true, Report: loadReport(0, 4)})
+	if driver.scheduler.meanOthersLoad > 0.01 {
+		t.Errorf("after one fresh report of 0 the mean is %v", driver.scheduler.meanOthersLoad)
 	}
 }
 
 // Workers that are always busy show few free slots; others of their machine kind show how many they have.
 func TestSlots_byMachineKind(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(2)...)
-	v.submit(1, 0)
-	v.submit(2, 0)
-	v.finishServed(1, loadReport(0.8, 1))
-	v.finishServed(2, loadReport(0, 5))
-	if got := v.scheduler.estimatedSlots(v.scheduler.workers[0]); got != 5 {
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(2)...)
+	driver.submit(1, 0)
+	driver.submit(2, 0)
+	driver.finishServed(1, loadReport(0.8, 1))
+	driver.finishServed(2, loadReport(0, 5))
+	if got := driver.scheduler.estimatedSlots(driver.scheduler.workers[0]); got != 5 {
 		t.Errorf("a busy worker of a kind with 5 slots counts as %v", got)
 	}
 }
--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -53,7 +53,7 @@
 // stays within 1 + overcommit. Without own attempts there, three rules let one in beyond that:
 //
 //   - A worker that warms up and is not full is limited by withinSlowStartBudget alone. Limited by its slowdown as well it
-//     would get no jobs, and stay cold for longer.
+//     would get no jobs, by which many warm up.
 //   - A worker of ordinary pace is tried if its report is overdue, by about one attempt of all dispatchers at a time, or if it
 //     looks half idle: a wide request must go somewhere, and without an attempt there may be no further report.
 //   - An overcommit below 0 counts as 0: to hold the request back would relieve nobody, and without a start nothing would raise
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -29,26 +29,26 @@
 
 // Requests go round robin among workers of equal load, then to the lowest reported load.
 func TestPlacement_leastLoadedRoundRobin(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(3)...)
-	got := fmt.Sprint(v.submit(1, 0), v.submit(2, 0), v.submit(3, 0), v.submit(4, 0))
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(3)...)
+	got := fmt.Sprint(driver.submit(1, 0), driver.submit(2, 0), driver.submit(3, 0), driver.submit(4, 0))
 	if got != "w00w01w02w00" {
 		t.Errorf("round robin among ties went to %s", got)
 	}
-	v.finishServed(2, loadReport(0.9, 1))
-	v.finishServed(3, loadReport(0, 4))
-	if w := v.submit(5, 0); w != "w02" {
+	driver.finishServed(2, loadReport(0.9, 1))
+	driver.finishServed(3, loadReport(0, 4))
+	if w := driver.submit(5, 0); w != "w02" {
 		t.Errorf("the lowest reported value is w02, sent to %s", w)
 	}
 }
 
 // Each dispatcher begins the rotation at its own index.
 func TestPlacement_rotationStartsAtDispatcherIndex(t *testing.T) {
-	s := baseSettings()
-	s.DispatcherIndex = 2
-	v := newDriver(t, s)
-	v.listWorkers(workers(3)...)
-	if w := v.submit(1, 0); w != "w02" {
+	settings := baseSettings()
+	settings.DispatcherIndex = 2
+	driver := newDriver(t, settings)
+	driver.listWorkers(workers(3)...)
+	if w := driver.submit(1, 0); w != "w02" {
 		t.Errorf("dispatcher 2 began at %s", w)
 	}
 }
--- a/scheduler/probing_test.go
+++ b/scheduler/probing_test.go
@@ -11,15 +11,15 @@
 	for _, dispatchers := range []int{2, 10, 80} {
 		t.Run(fmt.Sprint(dispatchers), func(t *testing.T) {
 			const n, span = 60, 80 * time.Second
-			v := newDispatchers(t, dispatchers, n)[0]
-			v.handle(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: v.now + 4*time.Second})
-			v.finishServed(1, nil)
+			driver := newDispatchers(t, dispatchers, n)[0]
+			driver.handle(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: driver.now + 4*time.Second})
+			driver.finishServed(1, nil)
 			probes := 0
-			for end := v.now + span; v.now < end; v.now += 50 * ms {
-				for _, a := range v.handle(TimerFired{Token: reviewTimer}) {
+			for end := driver.now + span; driver.now < end; driver.now += 50 * ms {
+				for _, a := range driver.handle(TimerFired{Token: reviewTimer}) {
 					if p, ok := a.(Probe); ok {
 						probes++
-						v.handle(ProbeCompleted{Worker: p.Worker, Report: loadReport(0.5, 2)})
+						driver.handle(ProbeCompleted{Worker: p.Worker, Report: loadReport(0.5, 2)})
 					}
 				}
 			}
@@ -33,16 +33,16 @@
 
 // A probe with the figures of the one before brings no newer report: the worker has not refreshed them.
 func TestProbe_repeatedReportIsNotFresh(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(1)...)
-	w, first := v.scheduler.workers[0], v.now
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(1)...)
+	w, first := driver.scheduler.workers[0], driver.now
 	for _, c := range []struct {
 		free float64
 		want Clock
 	}{{3.5, first}, {3.5, first}, {3.4, first + 2*time.Second}} {
-		if v.handle(ProbeCompleted{Worker: w.ID, Report: loadReport(0.5, c.free)}); w.reportedAt != c.want || w.lastSignal != v.now {
-			t.Errorf("reported at %v, heard at %v, want %v and now", w.reportedAt, w.lastSignal, c.want)
+		if driver.handle(ProbeCompleted{Worker: w.ID, Report: loadReport(0.5, c.free)}); w.reportedAt != c.want || w.lastSignal != driver.now {
+			t.Errorf("reported at %v, last signal at %v, want %v and now", w.reportedAt, w.lastSignal, c.want)
 		}
-		v.now += time.Second
+		driver.now += time.Second
 	}
 }
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// randomWorld plays random but legal events against one dispatcher and checks the four rules on what it
-// does. It is no model of a fleet: outcomes, losses, lists and notes are drawn at will.
+// randomWorld passes random but legal events to one scheduler and checks its actions against the rules: final answers, attempts
+// and their idempotency, draining workers, slow start. It is no model of a fleet: outcomes, losses and lists are random.
 type randomWorld struct {
 	t            *testing.T
 	settings     Settings
@@ -20,8 +20,8 @@
 	listed       map[WorkerID]WorkerInfo
 	requests     map[RequestID]*trackedRequest
 	ids          []RequestID
-	unfinished   []RequestID          // not answered, or with attempts out
-	warmingSends map[WorkerID][]Clock // sends in the last fall window
+	unfinished   []RequestID          // not answered, or with attempts in flight
+	warmingSends map[WorkerID][]Clock // sends in the last overload window
 	pendingPolls int
 	answers      int
 }
@@ -64,6 +64,7 @@
 
 // check applies the rules to one action.
 func (w *randomWorld) check(a Action) {
+	w.t.Helper()
 	switch a := a.(type) {
 	case SetTimer:
 		w.timers[a.Token] = append(w.timers[a.Token], w.now+a.After)
@@ -72,11 +73,11 @@
 	case Send:
 		w.checkSend(a)
 	case Reject:
-		q := w.mustBeOwed(a.ID, "refuses")
+		q := w.mustBeOwed(a.ID, "rejects")
 		for _, s := range q.attempts {
 			c := w.settings.Classes[q.Class]
 			if s.mayHaveExecuted && (c.Idempotency == NonIdempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope != ScopeAll) {
-				w.t.Fatalf("%v: refuses %d, which may have run", w.now, a.ID)
+				w.t.Fatalf("%v: rejects %d, which may have executed", w.now, a.ID)
 			}
 		}
 		q.closed = true
@@ -91,6 +92,7 @@
 }
 
 func (w *randomWorld) mustBeOwed(id RequestID, does string) *trackedRequest {
+	w.t.Helper()
 	q := w.requests[id]
 	if q == nil || q.closed {
 		w.t.Fatalf("%v: %s request %d, which is over or unknown", w.now, does, id)
@@ -100,6 +102,7 @@
 }
 
 func (w *randomWorld) checkSend(a Send) {
+	w.t.Helper()
 	q := w.mustBeOwed(a.ID, "sends")
 	w.answers--
 	in, known := w.listed[a.Worker]
@@ -119,10 +122,10 @@
 			w.t.Fatalf("%v: second attempt of %d at once", w.now, a.ID)
 		case !s.mayHaveExecuted || c.Idempotency == Idempotent:
 		case c.Idempotency == NonIdempotent:
-			w.t.Fatalf("%v: unsafe %d sent again", w.now, a.ID)
+			w.t.Fatalf("%v: non-idempotent %d sent again", w.now, a.ID)
 		case w.now > s.sentAt+c.DeduplicationWindow, c.DeduplicationScope == ScopeZone && s.worker.Zone != in.Zone,
 			c.DeduplicationScope == ScopeCell && s.worker.Cell != in.Cell:
-			w.t.Fatalf("%v: keyed %d sent again out of its group or window", w.now, a.ID)
+			w.t.Fatalf("%v: %d sent again out of its deduplication scope or window", w.now, a.ID)
 		}
 	}
 	q.attempts = append(q.attempts, &trackedAttempt{worker: in, sentAt: w.now, inFlight: true, mayHaveExecuted: true})
@@ -134,7 +137,7 @@
 			}
 		}
 		w.warmingSends[a.Worker] = append(recent, w.now)
-		// Each job of this world takes at least 20 ms of a slot.
+		// Each job here takes at least 20 ms of a slot.
 		warmth := w.settings.SlowStartCapacity + (1-w.settings.SlowStartCapacity)*float64(age)/float64(w.settings.SlowStartDuration)
 		budget := w.settings.OverloadMultiple * warmth * 4 * w.settings.OverloadWindow.Seconds() / min(float64(w.settings.Dispatchers), 2)
 		if work := 0.02 * float64(len(w.warmingSends[a.Worker])); work > budget+0.02 {
@@ -144,10 +147,10 @@
 	}
 }
 
-// step lets a millisecond or a few go by and draws what happens.
+// step lets one to five milliseconds pass and draws what happens.
 func (w *randomWorld) step(load float64) {
 	w.now += time.Duration(1+w.random.IntN(5)) * ms
-	if w.settings.Dispatchers > 2 && w.random.IntN(500) == 0 { // the dispatcher itself stands still, and nothing is due
+	if w.settings.Dispatchers > 2 && w.random.IntN(500) == 0 { // this process stalls, while nothing is due
 		if !slices.ContainsFunc(w.unfinished, func(id RequestID) bool { return w.requests[id].Deadline < w.now+2100*ms }) {
 			w.now += 2 * time.Second
 		}
@@ -194,7 +197,7 @@
 	}
 }
 
-// attempt lets something happen to an attempt that is out.
+// attempt lets something happen to an attempt in flight.
 func (w *randomWorld) attempt(id RequestID, n int, s *trackedAttempt) {
 	q := w.requests[id]
 	end := func(o Outcome) {
@@ -248,17 +251,17 @@
 // The rules hold over long random event sequences.
 func TestRules_randomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 32; seed++ {
-		s := baseSettings()
-		if seed > 24 { // few of hundreds own a cold worker; this is one of them at times
-			s.DispatcherIndex, s.Dispatchers = int(seed)*37%300, 300
+		settings := baseSettings()
+		if seed > 24 { // few of hundreds have a share of a warming worker; this is one of them at times
+			settings.DispatcherIndex, settings.Dispatchers = int(seed)*37%300, 300
 		}
-		s.MayHedge = seed%2 == 0
-		s.MayProbe, s.ReportsPulled = seed%3 == 0, seed%3 == 0
-		s.ListPolled = seed%4 == 0
-		s.Classes = append(s.Classes, s.Classes[1])
-		s.Classes[1].DeduplicationScope = []DeduplicationScope{ScopeAll, ScopeZone, ScopeCell}[seed%3]
-		s.Classes[3].LateWeight = 0.3
-		w := newWorld(t, s, seed)
+		settings.MayHedge = seed%2 == 0
+		settings.MayProbe, settings.ReportsPulled = seed%3 == 0, seed%3 == 0
+		settings.ListPolled = seed%4 == 0
+		settings.Classes = append(settings.Classes, settings.Classes[1])
+		settings.Classes[1].DeduplicationScope = []DeduplicationScope{ScopeAll, ScopeZone, ScopeCell}[seed%3]
+		settings.Classes[3].LateWeight = 0.3
+		w := newWorld(t, settings, seed)
 		load := 0.1 + 0.2*float64(seed%4)
 		for range 6000 {
 			w.step(load)
@@ -300,13 +303,13 @@
 		f.Add(c.seed, c.dispatchers, c.bits, uint8(60))
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, dispatchers, bits uint16, load uint8) {
-		s := baseSettings()
-		s.Dispatchers = 1 + int(dispatchers%1000)
-		s.DispatcherIndex = int(seed % uint64(s.Dispatchers))
-		s.MayHedge, s.MayCancel, s.ListPolled = bits&1 > 0, bits&2 > 0, bits&4 > 0
-		s.MayProbe, s.ReportsPulled, s.ReportsStart = bits&8 > 0, bits&8 > 0, bits&16 == 0
-		s.Classes[1].DeduplicationScope = DeduplicationScope(bits >> 5 % 3)
-		w := newWorld(t, s, seed)
+		settings := baseSettings()
+		settings.Dispatchers = 1 + int(dispatchers%1000)
+		settings.DispatcherIndex = int(seed % uint64(settings.Dispatchers))
+		settings.MayHedge, settings.MayCancel, settings.ListPolled = bits&1 > 0, bits&2 > 0, bits&4 > 0
+		settings.MayProbe, settings.ReportsPulled, settings.ReportsStart = bits&8 > 0, bits&8 > 0, bits&16 == 0
+		settings.Classes[1].DeduplicationScope = DeduplicationScope(bits >> 5 % 3)
+		w := newWorld(t, settings, seed)
 		for range 1500 {
 			w.step(float64(load) / 256)
 		}
--- a/scheduler/scheduler_bench_test.go
+++ b/scheduler/scheduler_bench_test.go
@@ -9,19 +9,19 @@
 // BenchmarkJob is one request from its arrival to its end, at one of eighty dispatchers, by the number of workers and with or
 // without affinity keys.
 func BenchmarkJob(b *testing.B) {
-	for _, keyed := range []bool{true, false} {
+	for _, withKeys := range []bool{true, false} {
 		for _, n := range []int{12, 60, 200, 1000, 5000} {
-			b.Run(fmt.Sprintf("keys=%v/workers=%d", keyed, n), func(b *testing.B) {
-				s := baseSettings()
-				s.Dispatchers, s.ReportsPulled, s.MayProbe, s.MayHedge = 80, true, true, true
-				d, now := New(s, 1), start
+			b.Run(fmt.Sprintf("keys=%v/workers=%d", withKeys, n), func(b *testing.B) {
+				settings := baseSettings()
+				settings.Dispatchers, settings.ReportsPulled, settings.MayProbe, settings.MayHedge = 80, true, true, true
+				d, now := New(settings, 1), start
 				d.Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: workers(n)})
 				id := RequestID(0)
 				for b.Loop() {
 					id++
 					now += 100 * time.Millisecond
 					ev := RequestArrived{ID: id, Slots: 1, Deadline: now + 5*time.Second}
-					if keyed {
+					if withKeys {
 						ev.AffinityKey = uint64(id%500) + 1
 					}
 					to := firstSendWorker(d.Handle(now, ev))
@@ -38,9 +38,9 @@
 func BenchmarkHandle(b *testing.B) {
 	for _, n := range []int{20, 200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
-			s := baseSettings()
-			s.Dispatchers = 300
-			d := New(s, 1)
+			settings := baseSettings()
+			settings.Dispatchers = 300
+			d := New(settings, 1)
 			d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(n, 2)})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -33,22 +33,22 @@
 func TestHandle_invalidEvents(t *testing.T) {
 	for name, s := range map[string]Settings{"absent settings": {}, "plain": baseSettings()} {
 		t.Run(name, func(t *testing.T) {
-			v := newDriver(t, s)
+			driver := newDriver(t, s)
 			for _, ev := range []Event{
 				nil, TimerFired{Token: 999}, ClientLeft{ID: 5}, AttemptStarted{ID: 5}, AttemptProgressed{ID: 5, Attempt: -1},
 				AttemptFinished{ID: 5, Attempt: 3, Outcome: Outcome(99)}, ProbeCompleted{Worker: "nobody", Outcome: Served},
 				EndpointsUpdated{ListKind: ListKind(9)}, EndpointsUpdated{ListKind: ListFailed}, EndpointsUpdated{ListKind: ListFull},
 			} {
-				v.handle(ev)
+				driver.handle(ev)
 			}
-			if n := countActions[Send](v.allActions) + countActions[Reject](v.allActions) + countActions[Fail](v.allActions) + countActions[Cancel](v.allActions); n > 0 {
+			if n := countActions[Send](driver.allActions) + countActions[Reject](driver.allActions) + countActions[Fail](driver.allActions) + countActions[Cancel](driver.allActions); n > 0 {
 				t.Errorf("%d actions on requests that do not exist", n)
 			}
-			v.listWorkers(workers(2)...)
-			id := v.submit(1, 77)
-			v.handle(AttemptFinished{ID: 1, Attempt: 9, Worker: id, Outcome: Served, Final: true})
-			v.handle(AttemptFinished{ID: 1, Worker: id, Outcome: Served, Final: true})
-			if acts := v.handle(AttemptFinished{ID: 1, Worker: id, Outcome: Errored}); countActions[Fail](acts)+countActions[Reject](acts) > 0 {
+			driver.listWorkers(workers(2)...)
+			id := driver.submit(1, 77)
+			driver.handle(AttemptFinished{ID: 1, Attempt: 9, Worker: id, Outcome: Served, Final: true})
+			driver.handle(AttemptFinished{ID: 1, Worker: id, Outcome: Served, Final: true})
+			if actions := driver.handle(AttemptFinished{ID: 1, Worker: id, Outcome: Errored}); countActions[Fail](actions)+countActions[Reject](actions) > 0 {
 				t.Error("a duplicate outcome was answered again")
 			}
 		})
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -12,15 +12,15 @@
 		{DispatcherIndex: -4, Dispatchers: -1}, {DispatcherIndex: 9, Dispatchers: 3}, {DispatcherIndex: math.MaxInt, Dispatchers: 2},
 		{CrossZoneCost: math.NaN(), Zone: math.MinInt}, {ListPolled: true, MaxPollInterval: -time.Second, MaxAttempts: -3},
 	} {
-		v := newDriver(t, s)
-		v.listWorkers(append(zonedWorkers(40, 3), WorkerInfo{ID: "odd", Zone: math.MaxInt, MachineKind: -9, Weight: math.NaN()},
+		driver := newDriver(t, s)
+		driver.listWorkers(append(zonedWorkers(40, 3), WorkerInfo{ID: "odd", Zone: math.MaxInt, MachineKind: -9, Weight: math.NaN()},
 			WorkerInfo{ID: "odd", Zone: math.MinInt, Weight: -1}, WorkerInfo{ID: "late", StartedAt: start + time.Hour})...)
 		for id := RequestID(1); id <= 30; id++ {
-			if v.submit(id, 0) == "" {
+			if driver.submit(id, 0) == "" {
 				t.Errorf("settings %+v: request %d was not sent", s, id)
 			}
-			v.handle(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: loadReport(0.2, 3)})
-			v.now += 100 * ms
+			driver.handle(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: loadReport(0.2, 3)})
+			driver.now += 100 * ms
 		}
 	}
 }
@@ -28,21 +28,21 @@
 // New settings hold for later requests: an open request keeps its number of attempts and its class's idempotency, an added
 // class has its own, and classes keep their numbers.
 func TestSettingsChanged_openRequestsKeepTheirs(t *testing.T) {
-	v := newDriver(t, baseSettings())
-	v.listWorkers(workers(3)...)
+	driver := newDriver(t, baseSettings())
+	driver.listWorkers(workers(3)...)
 	arrive := func(id RequestID, class int) {
-		v.handle(RequestArrived{ID: id, Class: class, Slots: 1, Deadline: v.now + v.scheduler.settings.Classes[class].Deadline})
+		driver.handle(RequestArrived{ID: id, Class: class, Slots: 1, Deadline: driver.now + driver.scheduler.settings.Classes[class].Deadline})
 	}
 	arrive(1, 0)
 	next := baseSettings()
 	next.MaxAttempts = 1
-	fresh := next.Classes[2] // unsafe
-	next.Classes = append(next.Classes, fresh)
-	v.handle(SettingsChanged{Settings: next})
+	added := next.Classes[2] // not idempotent
+	next.Classes = append(next.Classes, added)
+	driver.handle(SettingsChanged{Settings: next})
 	arrive(2, 0)
 	arrive(3, 3)
 	for id, want := range map[RequestID]int{1: 1, 2: 0, 3: 0} {
-		if n := countActions[Send](v.handle(AttemptFinished{ID: id, Outcome: Reset})); n != want {
+		if n := countActions[Send](driver.handle(AttemptFinished{ID: id, Outcome: Reset})); n != want {
 			t.Errorf("request %d: sent %d times more, want %d", id, n, want)
 		}
 	}
--- a/scheduler/subset_test.go
+++ b/scheduler/subset_test.go
@@ -13,21 +13,21 @@
 func TestCandidatesForKey(t *testing.T) {
 	const n, keys = 1000, 4000
 	make := func(n int, turned bool) *Scheduler {
-		s := baseSettings()
-		s.Dispatchers = 80
-		d := New(s, 1)
-		ws := workers(n)
-		for i := range ws {
-			ws[i].ID = WorkerID(fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250))
+		settings := baseSettings()
+		settings.Dispatchers = 80
+		d := New(settings, 1)
+		infos := workers(n)
+		for i := range infos {
+			infos[i].ID = WorkerID(fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250))
 		}
 		if turned {
-			slices.Reverse(ws)
+			slices.Reverse(infos)
 		}
 		d.Handle(start, RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: start + time.Second})
-		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: ws})
+		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: infos})
 		return d
 	}
-	home := func(d *Scheduler, key uint64) (best WorkerID) {
+	firstWorker := func(d *Scheduler, key uint64) (best WorkerID) {
 		least := math.Inf(1)
 		for _, w := range d.candidatesForKey(key) {
 			if h := w.affinityRank(key); h < least {
@@ -37,14 +37,14 @@
 		return best
 	}
 	for listed, want := range map[int]int{100: 100, 200: 200, maxFullScanWorkers: maxFullScanWorkers, maxFullScanWorkers + 1: keyCandidates} {
-		d := make(2*maxFullScanWorkers, false) // those that are gone count for nothing
+		d := make(2*maxFullScanWorkers, false) // workers that are gone do not count
 		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(listed)})
 		on := 0
 		for _, w := range d.candidatesForKey(1) {
 			on += oneIf(w.listed)
 		}
 		if on != want {
-			t.Errorf("%d listed: a job looks at %d, want %d", listed, on, want)
+			t.Errorf("%d listed: a key has %d candidates, want %d", listed, on, want)
 		}
 	}
 	a, b, more := make(n, false), make(n, true), make(n+1, false)
@@ -53,14 +53,14 @@
 		if got := len(a.candidatesForKey(key)); got != keyCandidates {
 			t.Fatalf("key %d: %d workers", key, got)
 		}
-		h := home(a, key)
-		if h != home(b, key) {
-			t.Fatalf("key %d is at home elsewhere at another dispatcher", key)
+		h := firstWorker(a, key)
+		if h != firstWorker(b, key) {
+			t.Fatalf("key %d has another first worker at another dispatcher", key)
 		}
-		moved += oneIf(h != home(more, key))
+		moved += oneIf(h != firstWorker(more, key))
 		at[h]++
 	}
-	if moved > keys/100 { // a thousandth are the new one's; as many again lost their window's last
+	if moved > keys/100 { // a thousandth go to the new one; as many again lost the last of their candidates
 		t.Errorf("%d of %d keys moved when one of %d workers joined", moved, keys, n)
 	}
 	most := 0
@@ -83,12 +83,12 @@
 // On a large fleet each dispatcher has a small subset, each worker is in about as many subsets, and a worker that leaves
 // changes few of them.
 func TestSubset_smallBalancedStable(t *testing.T) {
-	ws := zonedWorkers(180, 2)
-	ds := newSchedulers(baseSettings(), 300, 2, ws)
+	infos := zonedWorkers(180, 2)
+	schedulers := newSchedulers(baseSettings(), 300, 2, infos)
 	own := map[WorkerID]int{}
-	for _, d := range ds {
+	for _, d := range schedulers {
 		if len(d.subset) != 2*minSubsetSize {
-			t.Fatalf("dispatcher %d draws from %d workers, want %d of each zone group", d.settings.DispatcherIndex, len(d.subset), minSubsetSize)
+			t.Fatalf("dispatcher %d has a subset of %d workers, want %d of each zone group", d.settings.DispatcherIndex, len(d.subset), minSubsetSize)
 		}
 		for _, w := range d.subset {
 			if w.Zone == d.settings.Zone {
@@ -97,18 +97,18 @@
 		}
 	}
 	mean := float64(300*minSubsetSize) / 180
-	for _, w := range ws {
+	for _, w := range infos {
 		if n := float64(own[w.ID]); n < 0.5*mean || n > 1.6*mean {
-			t.Errorf("worker %s is drawn from by %v dispatchers of its zone, the mean is %.1f", w.ID, n, mean)
+			t.Errorf("worker %s is in the subsets of %v dispatchers of its zone, the mean is %.1f", w.ID, n, mean)
 		}
 	}
-	before := make([]map[WorkerID]bool, len(ds))
-	for i, d := range ds {
+	before := make([]map[WorkerID]bool, len(schedulers))
+	for i, d := range schedulers {
 		before[i] = subsetIDs(d)
-		d.Handle(start, EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{{ID: ws[40].ID, State: Gone}}})
+		d.Handle(start, EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{{ID: infos[40].ID, State: Gone}}})
 	}
 	moved := 0
-	for i, d := range ds {
+	for i, d := range schedulers {
 		for id := range subsetIDs(d) {
 			if !before[i][id] {
 				moved++
@@ -124,17 +124,17 @@
 func TestSubset_wholeSmallFleet(t *testing.T) {
 	for _, d := range newSchedulers(baseSettings(), 3, 1, zonedWorkers(4, 1)) {
 		if !d.loadsKnown || len(d.subset) != 4 {
-			t.Errorf("dispatcher %d draws from %d of 4 workers", d.settings.DispatcherIndex, len(d.subset))
+			t.Errorf("dispatcher %d has %d of 4 workers in its subset", d.settings.DispatcherIndex, len(d.subset))
 		}
 	}
 	d := New(baseSettings(), 1)
 	d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(20, 1)})
-	for i := range 60 { // 30 jobs a second: all 20 are heard of often enough
+	for i := range 60 { // 30 requests a second: all 20 report often enough
 		d.Handle(start+Clock(i)*33*ms, RequestArrived{ID: RequestID(i + 1), Slots: 1, Deadline: start + time.Hour})
 	}
 	d.chooseSubset()
 	if !d.loadsKnown || len(d.subset) != 20 {
-		t.Errorf("with 30 jobs a second it draws from %d of 20 workers", len(d.subset))
+		t.Errorf("with 30 requests a second its subset has %d of 20 workers", len(d.subset))
 	}
 }
 
@@ -146,13 +146,13 @@
 		d.eject(w, &w.ejectionState, 0, "test")
 	}
 	d.chooseSubset()
-	sound := 0
+	healthy := 0
 	for _, w := range d.subset {
 		if w.consecutiveEjections == 0 {
-			sound++
+			healthy++
 		}
 	}
-	if sound < minSubsetSize {
-		t.Errorf("with its %d workers shunned it draws from %d sound ones", len(first), sound)
+	if healthy < minSubsetSize {
+		t.Errorf("with its %d workers ejected the subset has %d healthy ones", len(first), healthy)
 	}
 }
