--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is something that a scheduler wants done. The actions are the structs below, to be carried out in order.
+// Action is something that a scheduler wants done. The actions are the structs below; the caller executes them in order.
 type Action interface{ action() }
 
 // Send starts an attempt. A request's attempts are numbered 0, 1, 2 and so on as they are sent. An attempt lasts until its
@@ -48,7 +48,7 @@
 	After time.Duration
 }
 
-// Log is a line for the operator. Lines are rare: each tells of a change of state.
+// Log is a line for the operator. Lines are rare: each reports a change of state.
 type Log struct{ Text string }
 
 func (Send) action()                 {}
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -14,7 +14,7 @@
 	sentAt          Clock
 	startedAt       Clock         // 0 until the worker reports the start
 	inFlight        bool          // sent, no outcome yet
-	mayHaveExecuted bool          // true until an outcome rules it out
+	mayHaveExecuted bool          // false once an outcome excludes it
 	cancelled       bool          // a Cancel was emitted
 	trial           bool          // sent because the worker's report is overdue
 	lost            bool          // taken for lost: it no longer counts as using slots (see detectSilence)
@@ -104,14 +104,14 @@
 	}
 }
 
-// onAttemptProgressed takes news of a running attempt as a signal of its worker.
+// onAttemptProgressed counts progress of a running attempt as a signal of its worker.
 func (s *Scheduler) onAttemptProgressed(event AttemptProgressed) {
 	if _, running := s.attemptInFlight(event.ID, event.Attempt); running != nil {
 		s.recordSignal(running.worker)
 	}
 }
 
-// onAttemptFinished takes in the outcome of an attempt: what it tells of the worker first, then what follows for the request.
+// onAttemptFinished handles the outcome of an attempt: first what it shows of the worker, then what follows for the request.
 func (s *Scheduler) onAttemptFinished(event AttemptFinished) {
 	request, ended := s.attemptInFlight(event.ID, event.Attempt)
 	if ended == nil {
@@ -147,7 +147,7 @@
 }
 
 // learnFromOutcome updates what is known of the worker. An invalid request is the client's fault and only a signal; a timeout
-// is the worker's fault if the job never started; a cancelled attempt, or one that was never sent, says nothing.
+// is the worker's fault if the job never started; a cancelled attempt, or one that was never sent, shows nothing.
 func (s *Scheduler) learnFromOutcome(request *request, ended *attempt, outcome Outcome) {
 	worker := ended.worker
 	switch outcome {
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -33,14 +33,14 @@
 	}
 	stretched := class.LatencyObjective + time.Duration((class.ObjectiveStretch-1)*float64(runtime))
 	wait := min(stretched, max(class.Deadline-runtime, class.LatencyObjective))
-	return min(request.firstAskedAt+wait, request.deadline-runtime) - s.now
+	return min(request.clientStartedAt+wait, request.deadline-runtime) - s.now
 }
 
-// maxStartWait returns how long after its client first asked a request whose late answer is worth nothing may wait for its
+// maxStartWait returns how long after its client first sent it a request whose late answer has no value may wait for its
 // start: as long as it can be in time. Without an estimate of its own work it is less with congestion, down to half the latency
 // objective: where all wait for as long as they may, some of what starts is late nevertheless.
 func (s *Scheduler) maxStartWait(request *request) time.Duration {
-	longest := s.slack(request) + s.now - request.firstAskedAt
+	longest := s.slack(request) + s.now - request.clientStartedAt
 	if request.estimatedWork > 0 {
 		return longest
 	}
@@ -48,10 +48,10 @@
 	return longest + durationOf(s.congestion*(shortest-longest).Seconds())
 }
 
-// tooLate reports whether a late answer to request is worth nothing and its start has been awaited for too long.
+// tooLate reports whether a late answer to request has no value and its start has been delayed beyond maxStartWait.
 func (s *Scheduler) tooLate(request *request) bool {
 	class := &request.settings.Classes[request.class]
-	return class.LateWeight <= 0 && s.now-request.firstAskedAt > s.maxStartWait(request)
+	return class.LateWeight <= 0 && s.now-request.clientStartedAt > s.maxStartWait(request)
 }
 
 // giveUp answers a request that is too late and has not started at the worker. The wait counts as a delayed start.
@@ -72,7 +72,7 @@
 }
 
 // cancellationEstimate estimates from load reports which share of the jobs that are cancelled before their start workers keep
-// and run, which no setting tells. The jobs at a worker are fitted, by least squares, as a multiple of the own ones in flight
+// and run, which the settings do not say. The jobs at a worker are fitted, by least squares, as a multiple of the own ones in flight
 // there (other dispatchers send as many each) plus a multiple of the own ones cancelled lately: where workers drop cancelled
 // jobs, the second factor is 0. The fields are the sums of products that the fit needs.
 type cancellationEstimate struct {
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -41,7 +41,7 @@
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
 	driver.scheduler.congestion = 1
-	r := &request{settings: driver.scheduler.settings, firstAskedAt: driver.now, deadline: driver.now + 2*time.Second, estimatedWork: 400 * ms}
+	r := &request{settings: driver.scheduler.settings, clientStartedAt: driver.now, deadline: driver.now + 2*time.Second, estimatedWork: 400 * ms}
 	if got := driver.scheduler.maxStartWait(r); got != 600*ms { // the latency objective, and twice its work less the work itself
 		t.Errorf("maximum start wait %v", got)
 	}
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -28,7 +28,7 @@
 	fixedPollDelayShare = 0.05
 )
 
-// onEndpointsUpdated takes in an update of the endpoint list, and schedules a poll after a cached list or a failed call.
+// onEndpointsUpdated handles an update of the endpoint list, and schedules a poll after a cached list or a failed call.
 func (s *Scheduler) onEndpointsUpdated(event EndpointsUpdated) {
 	if event.AsOf != 0 {
 		s.listAsOf = event.AsOf
@@ -50,7 +50,7 @@
 	}
 }
 
-// updateWorker takes in one entry of the endpoint list. What was learned of a worker is void once it has restarted.
+// updateWorker applies one entry of the endpoint list. What was learned of a worker is void once it has restarted.
 func (s *Scheduler) updateWorker(info WorkerInfo) {
 	known := s.workersByID[info.ID]
 	if known == nil {
@@ -85,7 +85,7 @@
 }
 
 // setDetached detaches a worker, or reattaches it. A reattached worker is in slow start, since it was most likely restarted: from
-// its start by the list or, if the list tells of none since it was detached, from now on.
+// its start by the list or, if the list shows none since it was detached, from now on.
 func (s *Scheduler) setDetached(id WorkerID, detached bool) {
 	if detached {
 		s.detached[id] = true
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -95,9 +95,9 @@
 // Report is the load that a worker reports of itself. A field that is negative or not a finite number counts as not reported.
 type Report struct {
 	Busy      float64 // share of its cores that is busy
-	Requests  float64 // number of requests that run or wait there
+	Requests  float64 // number of requests that run or are queued at the worker
 	FreeSlots float64
-	Queue     float64 // number of requests that wait there
+	Queue     float64 // number of requests that are queued at the worker
 }
 
 // AttemptFinished brings the outcome of an attempt; each Send gets exactly one.
@@ -147,7 +147,7 @@
 // WorkerReattached ends that. The worker was most likely restarted, so what was learned of it is void.
 type WorkerReattached struct{ Worker WorkerID }
 
-// ProcessCountChanged gives the number of processes that act as this one dispatcher: two during a handover.
+// ProcessCountChanged brings the number of processes that act as this one dispatcher: two during a handover.
 type ProcessCountChanged struct{ Processes int }
 
 // SettingsChanged brings new settings. A class keeps its number for the scheduler's life: new classes are appended, and a class
--- a/scheduler/learnedstate.go
+++ b/scheduler/learnedstate.go
@@ -47,8 +47,8 @@
 	return learned
 }
 
-// onHandoverCompleted begins with what the predecessor has learned, of the workers that are listed and have not restarted since.
-// Learned state without classes tells of workers alone, and the process does not count as a successor.
+// onHandoverCompleted starts from what the predecessor has learned, of the workers that are listed and have not restarted since.
+// Learned state without classes covers workers alone, and the process does not count as a successor.
 func (s *Scheduler) onHandoverCompleted(event HandoverCompleted) {
 	learned := event.LearnedState
 	if len(learned.Classes) > 0 {
--- a/scheduler/loadvalue.go
+++ b/scheduler/loadvalue.go
@@ -107,7 +107,7 @@
 	worker.increment, worker.sendsSinceFull = min(2*worker.increment, 1), 0
 }
 
-// applyReport takes a worker's load report in; nil and reports without a usable figure change nothing. The load of others is
+// applyReport applies a worker's load report; nil and reports without a usable figure change nothing. The load of others is
 // the reported load less the own slots in flight at about the time that the report describes.
 func (s *Scheduler) applyReport(worker *worker, report *Report) {
 	if report == nil {
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -27,13 +27,13 @@
 	// trial may cost such a job.
 	unansweredEjections = 5
 
-	// missedProgressPeriods is the number of progress intervals without news from which a worker does not respond.
+	// missedProgressPeriods is the number of progress intervals without a signal after which a worker counts as not responding.
 	missedProgressPeriods = 1.5
 
 	// progressSlack is added to these for the network.
 	progressSlack = 300 * time.Millisecond
 
-	// minSilence is the shortest time without news after which a worker may be taken not to respond, and the age from which a
+	// minSilence is the shortest time without a signal after which a worker may count as not responding, and the age from which a
 	// report is overdue.
 	minSilence = time.Second
 
@@ -43,7 +43,7 @@
 	// idleLossRetention is how long the loss of an idle connection is remembered.
 	idleLossRetention = 15 * time.Second
 
-	// freeShareOfLostAttempt is the share of a slot that must be free, by a later report, to tell that an attempt is lost.
+	// freeShareOfLostAttempt is the share of a slot that must be free, by a later report, for an attempt to count as lost.
 	freeShareOfLostAttempt = 0.5
 )
 
@@ -54,7 +54,7 @@
 	ejectedUntil         Clock   // time of the next trial while ejected
 }
 
-// recordSuccess takes in that a job was served. It halves the failures and ejections instead of clearing them, or a worker that
+// recordSuccess notes a served job. It halves the failures and ejections instead of clearing them, or a worker that
 // fails every second job would never be ejected.
 func (e *ejectionState) recordSuccess() {
 	e.failureCount, e.consecutiveEjections = e.failureCount/2, e.consecutiveEjections/2
@@ -129,7 +129,7 @@
 //   - The attempt has not started although a later report of the worker shows a free slot. It is lost: with an idle connection
 //     that was dropped unseen, or because the worker leaves its class unanswered, which is then ejected.
 //
-// Where reports show too little load the second rule may take a waiting attempt for lost.
+// Where reports show too little load the second rule may count a waiting attempt as lost.
 func (s *Scheduler) detectSilence(request *request, attempt *attempt) {
 	if !attempt.inFlight || !s.settings.ReportsStart || attempt.lost {
 		return
--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -87,7 +87,7 @@
 	}
 	wait := s.now - attempt.sentAt - s.roundTripTimes[attempt.worker.Zone]
 	s.recordStart(attempt.worker, wait > delayedStartThreshold)
-	spare := s.slack(request) + s.now - request.firstAskedAt
+	spare := s.slack(request) + s.now - request.clientStartedAt
 	step := s.overcommitStep()
 	switch {
 	case float64(wait) > tolerableWaitShare*float64(spare):
--- a/scheduler/overcommit_test.go
+++ b/scheduler/overcommit_test.go
@@ -32,7 +32,7 @@
 	infos[0].StartedAt = driver.now
 	driver.listWorkers(infos...)
 	warming, warm := driver.scheduler.workersByID[infos[0].ID], driver.scheduler.workersByID[infos[1].ID]
-	r := &request{settings: driver.scheduler.settings, firstAskedAt: driver.now, deadline: driver.now + time.Second}
+	r := &request{settings: driver.scheduler.settings, clientStartedAt: driver.now, deadline: driver.now + time.Second}
 	driver.scheduler.queued = []*request{r}
 	before := driver.scheduler.overcommit
 	if driver.scheduler.adjustOvercommit(r, &attempt{worker: warming, sentAt: driver.scheduler.now}); driver.scheduler.overcommit != before {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -8,7 +8,7 @@
 // Placement: which worker takes a request.
 //
 // Of the workers that the request may be sent to (permitted), that are neither ejected nor tried before (suitable), that have
-// room for it (hasCapacity, withinSlowStartBudget) and whose place on the endpoint list is recent enough (confirmedFresh), the
+// capacity for it (hasCapacity, withinSlowStartBudget) and whose place on the endpoint list is recent enough (confirmedFresh), the
 // one with the lowest score wins; round robin decides among ties.
 
 const (
@@ -29,7 +29,7 @@
 // scoreTerms are the parts of a score that are the same for all candidates of one request.
 type scoreTerms struct {
 	crossZoneLoad  float64         // added to a worker of another zone
-	slownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil where the loads tell it
+	slownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil where the loads show it
 	sharedRank     float64         // affinity ranks up to this one count alike
 }
 
@@ -113,7 +113,7 @@
 // the worker, plus what the worker's slowness, its recent failures and another zone cost. Two rules change the order:
 //
 //   - A worker without own attempts that the operator has just reattached, or that warms up while many requests wait elsewhere,
-//     comes first (two affinityOffsets less): it gets work only if somebody sends it some.
+//     comes first (two affinityOffsets less): it would not get work by its load alone.
 //   - Workers with a free slot for a request with an affinity key come next, ordered by the key (affinityScore) instead of load.
 func (s *Scheduler) score(request *request, worker *worker, terms *scoreTerms) float64 {
 	score := s.loadValue(worker)
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -52,7 +52,7 @@
 	s.emit(Probe{Worker: worker.ID})
 }
 
-// onProbeCompleted takes in the outcome of a probe. A report with the same figures as the one before counts as not refreshed: it
+// onProbeCompleted handles the outcome of a probe. A report with the same figures as the one before counts as not refreshed: it
 // is as old as that one.
 func (s *Scheduler) onProbeCompleted(event ProbeCompleted) {
 	worker := s.workersByID[event.Worker]
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -56,7 +56,7 @@
 	s.recentKeys.add(key, keysPerWorker*s.listedCount)
 }
 
-// newRequest returns the state of an arrived request. When its client first asked is estimated from the time left to the
+// newRequest returns the state of an arrived request. When its client first sent it is estimated from the time left to the
 // deadline: a client's retry has less than the longest time that its class ever had on arrival. One with less than half of that
 // is taken for an impatient client's first try.
 func (s *Scheduler) newRequest(event RequestArrived) *request {
@@ -71,12 +71,12 @@
 	return &request{
 		id: event.ID, settings: s.settings, class: event.Class, sequence: s.lastSequence, slots: event.Slots,
 		affinityKey: event.AffinityKey, estimatedWork: max(event.EstimatedWork, 0), allowedZones: event.AllowedZones,
-		firstAskedAt: firstAskedAt, deadline: event.Deadline,
+		clientStartedAt: firstAskedAt, deadline: event.Deadline,
 	}
 }
 
 // sendQueued sends the queued requests, in the order of compareQueued, as far as workers have capacity. Requests whose affinity
-// worker takes them go first, since a slot that comes free is worth most to them.
+// worker takes them go first, since a free slot there serves them fastest.
 func (s *Scheduler) sendQueued() {
 	if len(s.queued) == 0 {
 		return
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -47,7 +47,8 @@
 }
 
 // retrySendDeadline returns when the last byte of a further attempt must have left, or 0 for no bound: workers drop repeats of a
-// key for the deduplication window of its class, which counts from the first attempt that may have executed.
+// key for the deduplication window of its class, which counts from the first attempt that may have executed. One review interval is
+// left as a margin.
 func (s *Scheduler) retrySendDeadline(request *request) Clock {
 	class := &request.settings.Classes[request.class]
 	first := slices.IndexFunc(request.attempts, mayHaveExecuted)
@@ -99,7 +100,7 @@
 	s.finishRequest(request)
 }
 
-// failRequest gives the final answer that promises nothing.
+// failRequest gives the final answer Fail, which does not permit the client to repeat the request.
 func (s *Scheduler) failRequest(request *request) {
 	s.emit(Fail{ID: request.id})
 	s.finishRequest(request)
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Review: the regular round over all open requests, driven by a timer. It looks for silent workers and delayed starts, gives up
+// Review: the regular round over all open requests, driven by a timer. It detects silent workers and delayed starts, gives up
 // what is too late, hedges, renews the subset and sends the regular probes.
 
 const (
@@ -94,7 +94,7 @@
 }
 
 // reviewWorkers counts, for each worker, the own attempts that have not started in time, and those that run for longer than
-// usual: they show a slow worker before they end. It also looks for silence.
+// usual: they show a slow worker before they end. It also detects silence.
 func (s *Scheduler) reviewWorkers() {
 	for _, worker := range s.workers {
 		worker.delayedStarts, worker.runningSlownessSum, worker.runningSlownessJobs = 0, 0, 0
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -12,7 +12,7 @@
 //
 // # Life of a request
 //
-// RequestArrived admits a request to the queue. Each event ends with a look at the queue: as far as workers
+// RequestArrived admits a request to the queue. After each event the queue is served: as far as workers
 // have capacity, requests leave it by Send, which starts an attempt. AttemptStarted says that the attempt
 // runs; the request's other attempts are then cancelled (Cancel). AttemptFinished brings its outcome:
 // served, and the client has its answer; or not, and the request queues again for a retry if its
@@ -35,7 +35,7 @@
 // # What the caller must do
 //
 // One goroutine at a time calls the methods of a Scheduler. It passes each event with the time, which never
-// goes back, and carries the returned actions out in order before the next call: the result of Handle is
+// goes back, and executes the returned actions in order before the next call: the result of Handle is
 // valid only until then. Each Send gets exactly one AttemptFinished, each Probe one ProbeCompleted, and
 // each SetTimer one TimerFired, late rather than early.
 //
@@ -141,8 +141,8 @@
 	}
 }
 
-// Handle takes in one event at the time now and returns the actions that follow, to be carried out in
-// order. A time before that of an earlier event counts as the earlier one. The result is valid until the
+// Handle processes one event at the time now and returns the actions that follow, to be executed in order.
+// A time before that of an earlier event counts as the earlier one. The result is valid until the
 // next call.
 func (s *Scheduler) Handle(now Clock, event Event) []Action {
 	s.now = max(s.now, now)
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -36,7 +36,7 @@
 	MachineKind         int                // the only machine kind that runs it, or -1 for any
 }
 
-// Settings configure a Scheduler. The zero value is usable: absent limits fall to the cautious side (no hedge, probe or cancel).
+// Settings configure a Scheduler. The zero value is usable: what is absent is not permitted (hedges, probes, cancellation).
 type Settings struct {
 	DispatcherIndex int // own number among the dispatchers, from 0
 	Dispatchers     int // number of dispatchers that share the workers; at least 1 is assumed
@@ -70,7 +70,7 @@
 // defaultMaxAttempts applies where the settings say nothing.
 const defaultMaxAttempts = 16
 
-// normalized returns the settings with defaults for what is absent or out of range.
+// normalized returns the settings with defaults for absent and invalid values.
 func (s Settings) normalized() *Settings {
 	s.Dispatchers, s.DispatcherIndex = max(s.Dispatchers, s.DispatcherIndex+1, 1), max(s.DispatcherIndex, 0)
 	if len(s.Classes) == 0 {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Slow start: how a worker that has just started is kept from overload. The settings say what it can do at first
+// Slow start: how a worker that has just started is protected from overload. The settings say what it can do at first
 // (SlowStartCapacity), when it is warm (SlowStartDuration), and that it fails if all dispatchers together send it more than
 // OverloadMultiple times its capacity for one OverloadWindow. The work of one window, in slot-seconds, is its budget; each
 // dispatcher sends no more than its share of it.
@@ -76,7 +76,7 @@
 	return usedBudgetShare / float64(s.processes) * s.settings.OverloadMultiple * work
 }
 
-// slowStartShare returns this dispatcher's share of the budget, in slot-seconds. The budget is dealt out by whole jobs, one to a
+// slowStartShare returns this dispatcher's share of the budget, in slot-seconds. The budget is distributed by whole jobs, one to a
 // dispatcher in turn, beginning at a place that follows from the worker's id: split evenly among hundreds it would be less than
 // a job for each. Dispatchers that estimate the budget or the jobs differently still have different turns, so that all together
 // send no more than the largest of their budgets.
--- a/scheduler/statistics_test.go
+++ b/scheduler/statistics_test.go
@@ -34,7 +34,7 @@
 	driver.scheduler.classes[0] = classState{workScale: 0.1, meanLogRuntime: -2.3, jobs: 100}
 	deadline := driver.scheduler.settings.Classes[0].Deadline
 	for id := RequestID(1); id <= 12; id++ {
-		r := &request{id: id, settings: driver.scheduler.settings, slots: 1, firstAskedAt: driver.now, deadline: driver.now + deadline,
+		r := &request{id: id, settings: driver.scheduler.settings, slots: 1, clientStartedAt: driver.now, deadline: driver.now + deadline,
 			attempts: []attempt{{worker: w, sentAt: driver.now, startedAt: driver.now, inFlight: true, mayHaveExecuted: true}}}
 		driver.scheduler.requests[id] = r
 		driver.scheduler.requestsByArrival = append(driver.scheduler.requestsByArrival, r)
--- a/scheduler/subset.go
+++ b/scheduler/subset.go
@@ -26,7 +26,7 @@
 	// dispatchersPerWorker is the least number of dispatchers that have a worker in their subsets.
 	dispatchersPerWorker = 2
 
-	// subsetRings is the number of orders in which the workers are dealt out to dispatchers.
+	// subsetRings is the number of orders in which workers are assigned to dispatchers.
 	subsetRings = 4
 
 	// subsetInterval is the time between choices of the subset.
@@ -46,7 +46,7 @@
 
 // chooseSubset chooses the workers that requests are sent to. All are chosen where requests have affinity keys, as the workers of
 // a key must be the same at every dispatcher, and where the fleet is small against the own arrival rate. Otherwise a few are,
-// half of them in the own zone: all dispatchers order the workers of a zone in the same few ways and each begins at a place by
+// as many of the own zone as of all others: all dispatchers order the workers of a zone in the same few ways and each begins at a place by
 // its number, so that every worker is in about as many subsets.
 func (s *Scheduler) chooseSubset() {
 	s.subsetChosenAt, s.subset, s.totalWeight = s.now, s.subset[:0], 0
@@ -101,7 +101,7 @@
 
 // rebuildHashRing brings the hash ring up to date: the available workers of the subset by their hashes, with the first
 // keyCandidates once more at the end, so that each part of the ring is one slice. It is empty where all workers are candidates
-// for each key. The sum of the members' hashes tells whether it has changed.
+// for each key. The sum of the members' hashes shows whether it has changed.
 func (s *Scheduler) rebuildHashRing() {
 	count, sum := 0, uint64(0)
 	s.warmingCandidates = s.warmingCandidates[:0]
