--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -41,15 +41,20 @@
 //
 // # Where the rules are
 //
-//   - queue.go: admission, the order of the queue
-//   - placement.go, loadvalue.go, overcommit.go: which worker, its load value, when it has capacity
-//   - affinity.go, subset.go: workers for an affinity key, which workers are candidates at all
-//   - attempts.go, retries.go: the life of attempts, what permits a further one, final answers
-//   - review.go, hedging.go, deadlines.go: the regular review, hedges, giving up
-//   - slowstart.go, outlier.go: warming workers, ejection of outliers and their way back
-//   - endpoints.go, freshness.go, probing.go: the endpoint list, its age, probes
-//   - statistics.go, learnedstate.go: means and counts that the rules share, what a successor takes over
-//   - settings.go, events.go, actions.go: the interface; worker.go, request.go: the state
+//   - Which worker gets a request, and why: leastLoaded and score (placement.go), loadValue (loadvalue.go),
+//     hasCapacity (overcommit.go), affinityRank (affinity.go), chooseSubset (subset.go)
+//   - What waits, and in which order it is sent: onRequestArrived and compareQueued (queue.go)
+//   - When an attempt is retried: continueRequest and permitted (retries.go), after learnFromOutcome
+//     (attempts.go); when it is hedged: needsHedge (hedging.go)
+//   - What is rejected, failed or given up, and when: rejectOrFail (retries.go), reviewRequest (review.go),
+//     tooLate (deadlines.go)
+//   - How a starting worker is protected from overload: withinSlowStartBudget (slowstart.go)
+//   - When a worker is ejected and let back: eject, healthy and recordSignal (outlier.go)
+//   - What the age of the endpoint list changes: freshUntil (freshness.go), pickWorker (placement.go); list
+//     updates, detached workers and polls: endpoints.go
+//   - When workers are probed: probeSubset (probing.go), probeBeforeUse (freshness.go)
+//   - Means and counts that the rules share: statistics.go; what a successor takes over: learnedstate.go
+//   - The interface: settings.go, events.go, actions.go; the state: worker.go, request.go, Scheduler below
 package scheduler
 
 import (
