--- a/scheduler/hedging.go
+++ b/scheduler/hedging.go
@@ -38,7 +38,7 @@
 	if late || !needed && s.healthy(latest.worker, request.class) {
 		return
 	}
-	if worker := s.pickWorker(request, s.overcommit); worker != nil && !request.hasTried(worker) {
+	if worker := s.pickWorker(request); worker != nil && !request.hasTried(worker) {
 		s.recentHedges.add(s.now, 1)
 		s.send(request, worker)
 	}
--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -58,7 +58,7 @@
 //     looks half idle: a wide request must go somewhere, and without an attempt there may be no further report.
 //   - An overcommit below 0 counts as 0: to hold the request back would relieve nobody, and without a start nothing would raise
 //     the overcommit again.
-func (s *Scheduler) hasCapacity(worker *worker, slots, overcommit float64) bool {
+func (s *Scheduler) hasCapacity(worker *worker, slots float64) bool {
 	if worker.ownSlots == 0 && s.warmupFactor(worker) < 1 && s.loadValue(worker) < 1 {
 		return true
 	}
@@ -69,7 +69,7 @@
 	}
 	floor := -float64(min(worker.ownSlots, 1))
 	load := s.loadValue(worker) + s.slotShare(worker, slots-toleratedSlots)
-	return load*s.slowdown(worker) <= 1+max(overcommit, floor)+tieTolerance
+	return load*s.slowdown(worker) <= 1+max(s.overcommit, floor)+tieTolerance
 }
 
 // reportOverdue reports whether nothing is known of a worker's load any more although reports come with outcomes: only an
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -37,8 +37,8 @@
 //
 // If the best worker is no longer confirmedFresh, it is probed, and the request waits up to healthCheckWait for the result:
 // the next worker in order usually costs more than this wait. After that the best of the fresh ones is taken.
-func (s *Scheduler) pickWorker(request *request, overcommit float64) *worker {
-	best := s.leastLoaded(request, overcommit, s.freshOrProbeable)
+func (s *Scheduler) pickWorker(request *request) *worker {
+	best := s.leastLoaded(request, s.freshOrProbeable)
 	if best == nil || s.confirmedFresh(best) {
 		return best
 	}
@@ -46,12 +46,12 @@
 	if s.now < best.probeSentAt+healthCheckWait {
 		return nil
 	}
-	return s.leastLoaded(request, overcommit, s.confirmedFresh)
+	return s.leastLoaded(request, s.confirmedFresh)
 }
 
 // leastLoaded returns the worker with the lowest score among the eligible ones that can take request now, or nil. Equal scores
 // go to the worker with the fewest sends by weight, then to the first one from the rotation cursor, which moves past the winner.
-func (s *Scheduler) leastLoaded(request *request, overcommit float64, eligible func(*worker) bool) *worker {
+func (s *Scheduler) leastLoaded(request *request, eligible func(*worker) bool) *worker {
 	candidates, acceptUnsuitable := s.candidates(request, eligible)
 	terms := s.scoreTerms(request)
 	var best *worker
@@ -62,7 +62,7 @@
 		if !eligible(candidate) || !s.permitted(request, candidate) || !acceptUnsuitable && !s.suitable(request, candidate) {
 			continue
 		}
-		if !s.hasCapacity(candidate, request.slots, overcommit) || !s.withinSlowStartBudget(candidate, request) {
+		if !s.hasCapacity(candidate, request.slots) || !s.withinSlowStartBudget(candidate, request) {
 			continue
 		}
 		score := s.score(request, candidate, &terms)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -98,7 +98,7 @@
 		if full && !retry || affinityWorkersOnly && request.affinityKey == 0 {
 			return false
 		}
-		worker := s.pickWorker(request, s.overcommit)
+		worker := s.pickWorker(request)
 		if worker == nil {
 			full = full || !retry
 			return false
