--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -53,12 +53,12 @@
 // stays within 1 + overcommit. Without own attempts there, three rules let one in beyond that:
 //
 //   - A worker that warms up and is not full is limited by withinSlowStartBudget alone. Limited by its slowdown as well it
-//     would get no jobs, and stay cold for longer.
+//     would get no jobs, by which many warm up.
 //   - A worker of ordinary pace is tried if its report is overdue, by about one attempt of all dispatchers at a time, or if it
 //     looks half idle: a wide request must go somewhere, and without an attempt there may be no further report.
 //   - An overcommit below 0 counts as 0: to hold the request back would relieve nobody, and without a start nothing would raise
 //     the overcommit again.
-func (s *Scheduler) hasCapacity(worker *worker, slots, overcommit float64) bool {
+func (s *Scheduler) hasCapacity(worker *worker, slots float64) bool {
 	if worker.ownSlots == 0 && s.warmupFactor(worker) < 1 && s.loadValue(worker) < 1 {
 		return true
 	}
@@ -69,7 +69,7 @@
 	}
 	floor := -float64(min(worker.ownSlots, 1))
 	load := s.loadValue(worker) + s.slotShare(worker, slots-toleratedSlots)
-	return load*s.slowdown(worker) <= 1+max(overcommit, floor)+tieTolerance
+	return load*s.slowdown(worker) <= 1+max(s.overcommit, floor)+tieTolerance
 }
 
 // reportOverdue reports whether nothing is known of a worker's load any more although reports come with outcomes: only an
@@ -87,7 +87,7 @@
 	}
 	wait := s.now - attempt.sentAt - s.roundTripTimes[attempt.worker.Zone]
 	s.recordStart(attempt.worker, wait > delayedStartThreshold)
-	spare := s.slack(request) + s.now - request.firstAskedAt
+	spare := s.slack(request) + s.now - request.clientStartedAt
 	step := s.overcommitStep()
 	switch {
 	case float64(wait) > tolerableWaitShare*float64(spare):
