--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -137,7 +137,7 @@
 	g.set(func() { a.phase = "active" })
 	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "revision=3") })
 	n.reload(n.config)
-	n.waitFor("the reload", func() bool { return strings.Contains(n.log(), "reloaded") })
+	n.waitFor("the reload", func() bool { return strings.Contains(n.log(), "settings reloaded") })
 	if jobs := some(n, "listed"); jobs != 0 {
 		t.Errorf("%d jobs came to the worker that is out and listed anew", jobs)
 	}
@@ -183,7 +183,7 @@
 			t.Fatal(err)
 		}
 		m = n.successor("")
-		if out := m.figure("targets_disabled"); out != 0 || strings.Count(m.log(), "out by hand are not known") != 1 {
+		if out := m.figure("targets_disabled"); out != 0 || strings.Count(m.log(), "detached workers not read") != 1 {
 			t.Errorf("file %q: %d out", text, out)
 		}
 	}
--- a/cmd/brassdale/council_life_test.go
+++ b/cmd/brassdale/council_life_test.go
@@ -131,7 +131,7 @@
 	}
 
 	f.nodes[0].reload(f.nodes[0].config)
-	f.nodes[0].waitFor("word that nothing is proposed", func() bool { return strings.Contains(f.nodes[0].log(), "not read at SIGHUP") })
+	f.nodes[0].waitFor("word that nothing is proposed", func() bool { return strings.Contains(f.nodes[0].log(), "no rules file to propose") })
 	rules := filepath.Join(t.TempDir(), "rules.hcl")
 	put := func(text string) {
 		if err := os.WriteFile(rules, []byte(text), 0o600); err != nil {
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -126,7 +126,7 @@
 			keep(t, dir, time.Hour, nil, a, b)
 			n := alone(t, dir, discovery)
 			n.served("first")
-			if !strings.Contains(n.log(), "starting from the saved list") || n.vars("list_source") != "saved" || n.figure("list_age_s") < 3600 {
+			if !strings.Contains(n.log(), "starting from endpoint cache") || n.vars("list_source") != "saved" || n.figure("list_age_s") < 3600 {
 				t.Errorf("source %q, age %d", n.vars("list_source"), n.figure("list_age_s"))
 			}
 			n.waitFor("both to be heard", func() bool { return n.figure("boxes_heard")+n.figure("boxes_proven") == 2 })
@@ -276,7 +276,7 @@
 		t.Error("the age of a list from the future is known")
 	}
 	m := alone(t, old, nil)
-	m.waitFor("the line", func() bool { return strings.Contains(m.log(), "too old") })
+	m.waitFor("the line", func() bool { return strings.Contains(m.log(), "endpoint cache expired") })
 	if status, _, after := m.do(request(m.url, "k", "Req-Deadline-Ms", "300")); status != 503 || after == "" {
 		t.Errorf("with no list at all: %d, Retry-After %q", status, after)
 	}
@@ -294,7 +294,7 @@
 		t.Fatal(err)
 	}
 	n := start(t, savedBlock(useless), a)
-	if status, _, _ := n.do(request(n.url, "k")); status != 200 || !strings.Contains(n.log(), "saved list cannot be kept") {
+	if status, _, _ := n.do(request(n.url, "k")); status != 200 || !strings.Contains(n.log(), "endpoint cache not opened") {
 		t.Errorf("with a folder of no use: %d", status)
 	}
 	open := t.TempDir()
--- a/cmd/brassdale/inbound_test.go
+++ b/cmd/brassdale/inbound_test.go
@@ -303,7 +303,7 @@
 	if status := <-answered; status != 502 && status != 504 {
 		t.Errorf("the stuck job: %d", status)
 	}
-	n.waitFor("the end", func() bool { return strings.Contains(n.log(), "msg=left") })
+	n.waitFor("the end", func() bool { return strings.Contains(n.log(), "msg=\"shutdown complete\"") })
 	took := time.Since(begin) // the race detector holds up the exit itself by a second
 	if <-n.exited; took > 3700*time.Millisecond || n.cmd.ProcessState.ExitCode() != 0 {
 		t.Errorf("exit code %d after %v: it would have been killed", n.cmd.ProcessState.ExitCode(), took)
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -100,7 +100,7 @@
 			time.Sleep(3 * time.Second)
 			close(stop)
 			wait.Wait()
-			if !strings.Contains(n.log(), "msg=reloaded") {
+			if !strings.Contains(n.log(), "msg=\"settings reloaded\"") {
 				t.Error("discovery was not moved")
 			}
 			if last := at.lastSince(drained); last > time.Second+drainGraceOnSockets {
--- a/cmd/brassdale/moved_discovery_test.go
+++ b/cmd/brassdale/moved_discovery_test.go
@@ -88,7 +88,7 @@
 
 	drained := time.Now()
 	n.reload(movedTo(n.config, refuses.Listener.Addr().String()))
-	n.waitFor("the move", func() bool { return strings.Contains(n.log(), "msg=reloaded") })
+	n.waitFor("the move", func() bool { return strings.Contains(n.log(), "msg=\"settings reloaded\"") })
 	time.Sleep(300 * time.Millisecond) // of waiting in discovery's queue
 	g.set(func() { a.phase = "leaving"; g.workers = append(g.workers, b) })
 	time.Sleep(time.Until(drained.Add(toldAtTheLatest + drainGraceOnSockets + 300*time.Millisecond)))
--- a/cmd/brassdale/process_test.go
+++ b/cmd/brassdale/process_test.go
@@ -310,7 +310,7 @@
 // passesOn waits until so many successors have told the program that they serve.
 func (n *node) passesOn(times int) {
 	n.t.Helper()
-	n.waitFor("the successor's word", func() bool { return strings.Count(n.log(), "successor serves") == times })
+	n.waitFor("the successor's word", func() bool { return strings.Count(n.log(), "handover complete") == times })
 }
 
 // call makes an operator's call at the door and gives the status and the body.
--- a/cmd/brassdale/progress_test.go
+++ b/cmd/brassdale/progress_test.go
@@ -313,7 +313,7 @@
 	check(t, "the second stream", second.rest(), "2 done")
 	check(t, "the other stream", other.rest(), "2 done")
 	n.ends(time.Now().Add(5 * time.Second))
-	m.waitFor("the end of the predecessor", func() bool { return strings.Contains(m.log(), "predecessor gone") })
+	m.waitFor("the end of the predecessor", func() bool { return strings.Contains(m.log(), "predecessor ended") })
 	check(t, "what the successor remembers", m.open(request(m.progress, "k", "Req-Id", "later")).rest(), "1 started, 2 done")
 	check(t, "the rest of it", m.open(request(m.progress, "k", "Req-Id", "rest", "Last-Event-ID", "1")).rest(), "2 done")
 	if resp := m.open(request(m.progress, "never", "Last-Event-ID", "1")); resp.resp.StatusCode != 502 {
--- a/cmd/brassdale/reload_test.go
+++ b/cmd/brassdale/reload_test.go
@@ -26,7 +26,7 @@
 
 	n.reload(strings.Replace(n.config, `"discovery":"`, `"discovery":"nowhere `, 1))
 	n.waitFor("a refusal", func() bool {
-		return strings.Count(n.log(), "reload refused") == 1 && strings.Contains(n.log(), "discovery: ")
+		return strings.Count(n.log(), "reload failed") == 1 && strings.Contains(n.log(), "discovery: ")
 	})
 
 	a.phase = "leaving"
--- a/cmd/brassdale/replace_test.go
+++ b/cmd/brassdale/replace_test.go
@@ -74,7 +74,7 @@
 		t.Errorf("the open job: %d", status)
 	}
 	n.ends(time.Now().Add(5 * time.Second))
-	m.waitFor("the end of the predecessor", func() bool { return strings.Contains(m.log(), "predecessor gone") })
+	m.waitFor("the end of the predecessor", func() bool { return strings.Contains(m.log(), "predecessor ended") })
 	before := m.figure("replies.price-part.success")
 	if resp := ask("last"); resp.StatusCode != 200 || m.figure("replies.price-part.success") <= before {
 		t.Errorf("after: %d", resp.StatusCode)
@@ -123,7 +123,7 @@
 	n.passesOn(1)
 	m.cmd.Process.Kill()
 	<-m.exited
-	n.waitFor("the successor's end", func() bool { return strings.Contains(n.log(), "serving on alone") })
+	n.waitFor("the successor's end", func() bool { return strings.Contains(n.log(), "continuing alone") })
 	each := func(n *node, key string) {
 		t.Helper()
 		r := request(n.url, key)
@@ -187,7 +187,7 @@
 			t.Errorf("job %d: %d", i, status)
 		}
 	}
-	if times := strings.Count(n.log(), "cannot be replaced while it serves"); times != 1 {
+	if times := strings.Count(n.log(), "handover socket not available"); times != 1 {
 		t.Errorf("said %d times", times)
 	}
 }
--- a/cmd/brassdale/unfinished_test.go
+++ b/cmd/brassdale/unfinished_test.go
@@ -10,8 +10,8 @@
 )
 
 // A process had been told to end. A client wrote its request in pieces, and wrote the last byte 76 ms behind the end of the process
-// ("left open=0"): its connection had been closed with no answer. A request that is half here when the process ends is refused
-// with a whole answer, so that its client knows that nothing ran, and the last byte is nobody's.
+// ("shutdown complete" open_requests=0): its connection had been closed with no answer. A request that is half here when the
+// process ends is refused with a whole answer, so that its client knows that nothing ran, and the last byte is nobody's.
 func TestUnfinishedRequestIsRefusedAtTheEnd(t *testing.T) {
 	t.Parallel()
 	b := newWorker(t, "a", works)
--- a/internal/hcldiag/hcldiag.go
+++ b/internal/hcldiag/hcldiag.go
@@ -12,7 +12,7 @@
 )
 
 // Faults is an error that names all that is wrong with a file.
-type Faults hcl.Diagnostics //nolint:errname // the plural says what it is: all faults of a file
+type Faults hcl.Diagnostics
 
 // Error returns a line for each fault: file, line, column and what is wrong.
 func (f Faults) Error() string {
--- /dev/null
+++ b/internal/program/build.go
@@ -0,0 +1,190 @@
+package program
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"brassdale/internal/decisions/polling"
+	"brassdale/internal/operator"
+	"brassdale/internal/routing"
+	"brassdale/internal/transport"
+	"brassdale/internal/transport/http2"
+	"brassdale/scheduler"
+)
+
+// sourceCache is the name of the source of an endpoint list that was read from the endpoint cache.
+const sourceCache = "saved"
+
+// errNeedsFleet is returned for blocks that only a fleet can do something with.
+var errNeedsFleet = errors.New("blocks failover and overload need a block council")
+
+// build makes all parts, none of which runs yet.
+func (d *dispatcher) build(ctx context.Context, in *inputs) error {
+	clock := routing.NewClock()
+	d.settings.Replace(&in.config.Settings, func(settings scheduler.Settings) {
+		d.core = routing.NewCore(scheduler.New(settings, in.config.SeedNumber()), clock, d.log)
+	})
+	d.registerClasses(&in.config.Settings)
+	d.endpoints = transport.NewEndpointPool(ctx, d.settings, d.core, d.log)
+	if in.operator.EndpointCache != nil {
+		d.cache = d.openEndpointCache(in.operator.EndpointCache, in.config.Name, d.settings.Current())
+	}
+	discovery := transport.NewDiscovery(in.config.Discovery, d.settings, d.meter)
+	d.buildEndpointList(in, clock, discovery) //nolint:contextcheck // the list that it begins with is there already
+	d.reloader = newReloader(d, in, discovery)
+	if err := d.buildLimits(in); err != nil {
+		return err
+	}
+	if err := d.buildFrontends(in); err != nil { //nolint:contextcheck // to listen at an address does not block
+		return err
+	}
+	d.limits = newResourceLimits(in.config.Limits, len(d.frontends))
+	return nil
+}
+
+// buildEndpointList makes the endpoint list, which begins with what is known before discovery answers.
+func (d *dispatcher) buildEndpointList(in *inputs, clock routing.Clock, discovery *transport.Discovery) {
+	known, source := d.knownList(in)
+	start := d.cachedStart(in.predecessor, clock)
+	if start != nil {
+		known = routing.ListUpdate{}
+	}
+	d.endpointList = routing.NewEndpointList(d.core, d.endpoints, discovery, known, d.log)
+	d.endpointList.SetSource(source)
+	d.endpointList.SetPollRules(func() polling.Rules { return transport.PacingRules(d.settings.Current()) })
+	if start != nil {
+		d.endpointList.StartFromCache(start)
+		age, ok := start.Assessor.Age()
+		d.log.Info("starting from endpoint cache", "endpoints", len(start.Endpoints), "age", age, "age_known", ok)
+	}
+	d.core.SetEndpoints(d.endpoints, d.endpointList.Subscribe)
+}
+
+// knownList returns the predecessor's list, if it is confirmed, else that of the platform's file, and where it is from.
+func (d *dispatcher) knownList(in *inputs) (routing.ListUpdate, routing.ListSource) {
+	known := routing.ListUpdate{}
+	source := routing.ListSource{Name: "none"}
+	if in.config.Known != nil {
+		known = transport.Update(in.config.Known, d.settings.Current())
+		source.Name = "known"
+	}
+	if !in.predecessor.hasConfirmedList() {
+		return known, source
+	}
+	update, err := in.predecessor.handover.Update(in.config.Discovery, d.settings.Current())
+	if err != nil {
+		d.log.Warn("predecessor's endpoint list not usable", "err", err)
+		return known, source
+	}
+	return update, routing.ListSource{Name: "predecessor", ConfirmedAt: time.Now()}
+}
+
+// cachedStart returns a start from the endpoint cache; nil where there is a better one, or the cache is too old.
+func (d *dispatcher) cachedStart(pred *predecessor, clock routing.Clock) *routing.CachedStart {
+	if d.cache == nil || pred.hasConfirmedList() {
+		return nil
+	}
+	start := d.cache.start(clock)
+	if start != nil && !start.Assessor.Usable() {
+		age, _ := start.Assessor.Age() // 0 where it is not known
+		d.log.Warn("endpoint cache expired", "age", age)
+		return nil
+	}
+	return start
+}
+
+// buildLimits makes what bounds requests: idempotency, the retry budget, the fleet and quotas.
+func (d *dispatcher) buildLimits(in *inputs) error {
+	op := in.operator
+	if settings := op.IdempotencySettings(); settings != nil {
+		d.idempotencyTable = transport.NewIdempotencyTable(settings, d.inFlightIDs, op.Progress != nil)
+	}
+	if op.Retries != nil {
+		d.setRetryRatio(op.Retries.RetryRatio)
+		d.retriesBounded = true
+	}
+	if op.Fleet == nil && (op.Failover != nil || op.Overload != nil) {
+		return errNeedsFleet
+	}
+	if op.Fleet != nil {
+		if err := d.buildFleetAgent(op, in.config); err != nil {
+			return fmt.Errorf("council: %w", err)
+		}
+	}
+	if op.Quotas != nil {
+		d.quotas = transport.NewAccountQuotas(op.Quotas)
+	}
+	return nil
+}
+
+// buildFrontends makes all frontends that the operator's file has a block for.
+func (d *dispatcher) buildFrontends(in *inputs) error {
+	op := in.operator
+	if err := d.addFrontend(in, "inbound", in.config.Listen, d.newJobFrontend); err != nil {
+		return err
+	}
+	if op.Progress != nil {
+		if err := d.addFrontend(in, "progress", op.Progress.Listen, d.newProgressFrontend(op)); err != nil {
+			return err
+		}
+	}
+	if op.HTTP2 != nil {
+		if err := d.addFrontend(in, "http2", op.HTTP2.Listen, d.newHTTP2Frontend(op)); err != nil {
+			return err
+		}
+	}
+	if op.Fleet != nil && op.Fleet.DedicatedToControl {
+		for _, f := range d.frontends {
+			f.handler.DedicateToControl()
+		}
+	}
+	return nil
+}
+
+// addFrontend adds a frontend at an address, with the predecessor's listener where that has one.
+func (d *dispatcher) addFrontend(in *inputs, name, address string, build func(*net.TCPListener) (*frontend, error)) error {
+	socket, err := in.predecessor.listener(name, address)
+	if err != nil {
+		return fmt.Errorf("%s: listen: %w", name, err)
+	}
+	added, err := build(socket)
+	if err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	added.name = name
+	if added.server == nil {
+		added.served = added.listener
+		added.server = transport.Server(added.handler, d.log)
+	}
+	d.frontends = append(d.frontends, added)
+	return nil
+}
+
+func (d *dispatcher) newJobFrontend(socket *net.TCPListener) (*frontend, error) {
+	listener := transport.NewListener(socket, d.log)
+	handler := transport.NewJobFrontend(d.core, d.settings, listener, d.inFlightIDs, d.idempotencyTable, d.quotas, nil, d.log)
+	return &frontend{listener: listener, handler: handler}, nil
+}
+
+func (d *dispatcher) newProgressFrontend(op *operator.File) func(*net.TCPListener) (*frontend, error) {
+	return func(socket *net.TCPListener) (*frontend, error) {
+		listener := transport.NewListener(socket, d.log)
+		d.progress = transport.NewProgressFrontend(d.core, d.settings, op.Progress, listener, d.inFlightIDs, d.idempotencyTable, d.quotas, d.log)
+		return &frontend{listener: listener, handler: d.progress}, nil
+	}
+}
+
+func (d *dispatcher) newHTTP2Frontend(op *operator.File) func(*net.TCPListener) (*frontend, error) {
+	return func(socket *net.TCPListener) (*frontend, error) {
+		listener := transport.NewMultiplexedListener(socket, d.log)
+		handler, err := http2.New(op.HTTP2, d.core, d.settings, listener, d.inFlightIDs, d.idempotencyTable, d.quotas, d.log)
+		if err != nil {
+			return nil, err
+		}
+		d.http2 = handler
+		return &frontend{listener: listener, handler: handler, served: handler.Listener(), server: handler.Server(op.HTTP2)}, nil
+	}
+}
--- a/internal/program/detached_test.go
+++ b/internal/program/detachedworkers_test.go
@@ -14,31 +14,31 @@
 func TestStoredDetachedWorkers(t *testing.T) {
 	const stored = `{"name":"dispatcher-1","workers":["worker-a","worker-b"]}`
 	dir := t.TempDir()
-	path := keptFile(func(string) string { return dir }, &protocol.Config{Listen: "127.0.0.1:8080"}, ".detached")
+	path := runtimeFile(func(string) string { return dir }, &protocol.Config{Listen: "127.0.0.1:8080"}, ".detached")
 	if want := filepath.Join(dir, "brassdale-127.0.0.1:8080.detached"); path != want {
 		t.Errorf("the file is %q, want %q", path, want)
 	}
 	if err := os.WriteFile(path, []byte(stored), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	file := &detached{path: path, name: "dispatcher-1"}
+	file := &detachedWorkers{path: path, dispatcher: "dispatcher-1"}
 	if err := file.load(); err != nil {
 		t.Fatal(err)
 	}
-	if want := []string{"worker-a", "worker-b"}; file.none || !reflect.DeepEqual(file.list(), want) {
-		t.Errorf("read %q (no file: %v), want %q", file.list(), file.none, want)
+	if want := []string{"worker-a", "worker-b"}; file.fileMissing || !reflect.DeepEqual(file.list(), want) {
+		t.Errorf("read %q (no file: %v), want %q", file.list(), file.fileMissing, want)
 	}
 
-	written := &detached{path: filepath.Join(t.TempDir(), "detached.json"), name: "dispatcher-1"}
+	written := &detachedWorkers{path: filepath.Join(t.TempDir(), "detached.json"), dispatcher: "dispatcher-1"}
 	for _, worker := range []string{"worker-a", "worker-b"} {
-		if err := written.put(worker, true); err != nil {
+		if err := written.set(worker, true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if text, err := os.ReadFile(written.path); err != nil || string(text) != stored {
 		t.Errorf("wrote %q (error %v), want %q", text, err, stored)
 	}
-	if err := (&detached{path: path, name: "dispatcher-2"}).load(); err == nil {
+	if err := (&detachedWorkers{path: path, dispatcher: "dispatcher-2"}).load(); err == nil {
 		t.Error("the file of another dispatcher was accepted")
 	}
 }
--- a/internal/program/endpointcache.go
+++ b/internal/program/endpointcache.go
@@ -8,111 +8,149 @@
 	"time"
 
 	"brassdale/internal/decisions/cachetrust"
-	store "brassdale/internal/endpointcache"
+	"brassdale/internal/endpointcache"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
 	"brassdale/scheduler"
 )
 
-// saved is the part of the program that keeps the list on disk and starts from it.
-type saved struct {
-	d      *dispatcher
-	rules  cachetrust.Rules
-	store  *store.Store
-	loaded *store.CachedList // nil where there is none
-	keeper *store.Writer
+// endpointCache writes the endpoint list to the disk, and starts from what an earlier process has written.
+type endpointCache struct {
+	dispatcher *dispatcher
+	rules      cachetrust.Rules
+	store      *endpointcache.Store
+	loaded     *endpointcache.CachedList // nil where there is none
+	writer     *endpointcache.Writer     // nil before write
 }
 
-// openSaved opens the folder. One that is of no use costs a line of the log and no more.
-func (d *dispatcher) openSaved(s *store.Settings, name string, p *protocol.Settings) *saved {
-	oldest, _ := s.ParseMaxAge() // was checked
-	sv := &saved{d: d, rules: cachetrust.Rules{MaxAge: oldest, MinFirstListShare: s.MinFirstListShare, SlowStartDuration: p.Rules.Cold.Duration(),
-		SlowStartCapacity: p.Rules.StartCapacity, MayProbe: p.Limits.Probing}}
-	files, err := store.OpenOrCreate(s.Directory, name)
+// openEndpointCache opens the cache's directory. Where that fails it logs a warning and returns nil: the dispatcher works
+// without a cache.
+func (d *dispatcher) openEndpointCache(settings *endpointcache.Settings, name string, current *protocol.Settings) *endpointCache {
+	files, err := endpointcache.OpenOrCreate(settings.Directory, name)
 	if err != nil {
-		d.log.Warn("saved list cannot be kept, serving on without", "err", err)
+		d.log.Warn("endpoint cache not opened, continuing without", "err", err)
 		return nil
 	}
-	sv.store = store.NewStore(files, name)
-	var notes []string
-	sv.loaded, notes = sv.store.Load()
-	for _, note := range notes {
-		d.log.Warn("saved list", "fault", note)
+	maxAge, _ := settings.ParseMaxAge() // checked when the operator's file was read
+	cache := &endpointCache{
+		dispatcher: d,
+		rules: cachetrust.Rules{
+			MaxAge:            maxAge,
+			MinFirstListShare: settings.MinFirstListShare,
+			SlowStartDuration: current.Rules.Cold.Duration(),
+			SlowStartCapacity: current.Rules.StartCapacity,
+			MayProbe:          current.Limits.Probing,
+		},
+		store: endpointcache.NewStore(files, name),
 	}
-	return sv
+	var faults []string
+	cache.loaded, faults = cache.store.Load()
+	for _, fault := range faults {
+		d.log.Warn("endpoint cache not read in full", "fault", fault)
+	}
+	return cache
 }
 
-// from gives a start from what was loaded; nil where that is of no use.
-func (sv *saved) from(clock routing.Clock) *routing.CachedStart {
-	s := sv.loaded
-	if s == nil || len(s.Members) == 0 {
+// start returns a start from the cached list; nil where there is none.
+func (c *endpointCache) start(clock routing.Clock) *routing.CachedStart {
+	cached := c.loaded
+	if cached == nil || len(cached.Members) == 0 {
 		return nil
 	}
-	p := sv.d.params.Current()
-	out := map[string]bool{}
-	for _, id := range s.Detached {
-		out[id] = true
+	current := c.dispatcher.settings.Current()
+	start := &routing.CachedStart{
+		Endpoints:     map[scheduler.WorkerID]routing.Endpoint{},
+		LearnedState:  cached.LearnedState(),
+		ReportsPulled: current.LoadReport.Via == "pull",
 	}
-	f := &routing.CachedStart{Endpoints: map[scheduler.WorkerID]routing.Endpoint{}, LearnedState: s.LearnedState(),
-		ReportsPulled: p.LoadReport.Via == "pull"}
-	f.LearnedState.Classes = sv.d.params.StatisticsByNumber(s.Classes)
-	for _, c := range f.LearnedState.Classes {
-		usual := math.NaN()
-		if c.Jobs > 0 {
-			usual = c.MeanLogRuntime
-		}
-		f.MeanLogRuntime = append(f.MeanLogRuntime, usual)
+	start.LearnedState.Classes = c.dispatcher.settings.StatisticsByNumber(cached.Classes)
+	for _, class := range start.LearnedState.Classes {
+		start.MeanLogRuntime = append(start.MeanLogRuntime, meanLogRuntime(class))
+	}
+	endpoints := cached.List().Destinations(current)
+	for _, endpoint := range endpoints {
+		start.Endpoints[endpoint.ID] = endpoint
+	}
+	list := cachetrust.CachedList{
+		ConfirmedAt: clock.At(cached.ConfirmedAt()),
+		Revision:    cached.Revision,
+		Workers:     cachedWorkers(cached, endpoints),
+	}
+	start.Assessor = cachetrust.New(clock.Now(), list, c.rules)
+	return start
+}
+
+// meanLogRuntime returns the mean logarithm of the runtimes of a class; NaN where no job of it has ended.
+func meanLogRuntime(class scheduler.ClassStatistics) float64 {
+	if class.Jobs > 0 {
+		return class.MeanLogRuntime
+	}
+	return math.NaN()
+}
+
+// cachedWorkers returns the workers of a cached list. endpoints are its members, in their order.
+func cachedWorkers(cached *endpointcache.CachedList, endpoints []routing.Endpoint) (workers []cachetrust.CachedWorker) {
+	detached := map[string]bool{}
+	for _, id := range cached.Detached {
+		detached[id] = true
 	}
-	list := cachetrust.CachedList{ConfirmedAt: clock.At(s.ConfirmedAt()), Revision: s.Revision}
-	for i, d := range s.List().Destinations(p) {
-		f.Endpoints[d.ID] = d
-		w := cachetrust.CachedWorker{ID: d.ID, State: d.State, Detached: out[string(d.ID)], StartedAt: d.StartedAt}
-		if ms := s.Members[i].LastSignalMS; ms > 0 {
-			w.LastSignal = time.Duration(ms) * time.Millisecond
+	for i, endpoint := range endpoints {
+		worker := cachetrust.CachedWorker{
+			ID:        endpoint.ID,
+			State:     endpoint.State,
+			Detached:  detached[string(endpoint.ID)],
+			StartedAt: endpoint.StartedAt,
+		}
+		if ms := cached.Members[i].LastSignalMS; ms > 0 {
+			worker.LastSignal = time.Duration(ms) * time.Millisecond
 		}
-		list.Workers = append(list.Workers, w)
+		workers = append(workers, worker)
 	}
-	f.Assessor = cachetrust.New(clock.Now(), list, sv.rules)
-	return f
+	return workers
 }
 
-// keep has the list kept from now on.
-func (sv *saved) keep(ctx context.Context) {
-	sv.keeper = store.NewWriter(sv.store, sv.loaded, sv, sv.d.reloader.address, sv.d.params.Current, sv.d.log)
-	sv.d.set.SetStore(sv.keeper)
-	go sv.keeper.Run(ctx)
+// write has the endpoint list written from now on, by a goroutine that ends with the context.
+func (c *endpointCache) write(ctx context.Context) {
+	d := c.dispatcher
+	c.writer = endpointcache.NewWriter(c.store, c.loaded, c, d.reloader.discoveryAddress, d.settings.Current, d.log)
+	d.endpointList.SetStore(c.writer)
+	go c.writer.Run(ctx)
 }
 
-// Experience gives what the module has learned.
-func (sv *saved) LearnedState(ctx context.Context) (scheduler.LearnedState, map[string]scheduler.ClassStatistics, error) {
-	e, err := sv.d.core.LearnedState(ctx)
-	return e, sv.d.params.StatisticsByName(e), err
+// LearnedState returns what the scheduler has learned, and the statistics of classes by their names.
+func (c *endpointCache) LearnedState(ctx context.Context) (scheduler.LearnedState, map[string]scheduler.ClassStatistics, error) {
+	learned, err := c.dispatcher.core.LearnedState(ctx)
+	return learned, c.dispatcher.settings.StatisticsByName(learned), err
 }
 
-// figures are those of the list, a line each.
-func (sv *saved) figures() string {
-	src := sv.d.set.Source()
-	var b strings.Builder
-	fmt.Fprintf(&b, "list_source=%s\n", src.Name)
-	if !src.ConfirmedAt.IsZero() {
-		fmt.Fprintf(&b, "list_age_s=%d\n", int(time.Since(src.ConfirmedAt).Seconds()))
+// trustLevelNames are the names of routing.ListSource.TrustLevels in metrics, in their order.
+var trustLevelNames = []string{"unheard", "foreign", "absent", "heard", "proven", "barred"}
+
+// metrics returns the metrics of the cache and of the source of the list, a line each.
+func (c *endpointCache) metrics() string {
+	source := c.dispatcher.endpointList.Source()
+	var text strings.Builder
+	fmt.Fprintf(&text, "list_source=%s\n", source.Name)
+	if !source.ConfirmedAt.IsZero() {
+		fmt.Fprintf(&text, "list_age_s=%d\n", int(time.Since(source.ConfirmedAt).Seconds()))
 	}
-	if src.Name == "saved" {
-		fmt.Fprintf(&b, "list_doubted=%d\n", oneIf(src.AwaitingConfirmation))
-		for stage, name := range []string{"unheard", "foreign", "absent", "heard", "proven", "barred"} {
-			fmt.Fprintf(&b, "boxes_%s=%d\n", name, src.TrustLevels[stage])
+	if source.Name == sourceCache {
+		fmt.Fprintf(&text, "list_doubted=%d\n", oneIf(source.AwaitingConfirmation))
+		for level, name := range trustLevelNames {
+			fmt.Fprintf(&text, "boxes_%s=%d\n", name, source.TrustLevels[level])
 		}
 	}
-	k := sv.keeper.Stats()
-	fmt.Fprintf(&b, "saved_snapshots=%d\nsaved_records=%d\nsaved_faults=%d\n", k.Snapshots, k.Records, k.Faults)
-	if !k.LastSnapshot.IsZero() {
-		fmt.Fprintf(&b, "saved_age_s=%d\n", int(time.Since(k.LastSnapshot).Seconds()))
+	stats := c.writer.Stats()
+	fmt.Fprintf(&text, "saved_snapshots=%d\nsaved_records=%d\nsaved_faults=%d\n", stats.Snapshots, stats.Records, stats.Faults)
+	if !stats.LastSnapshot.IsZero() {
+		fmt.Fprintf(&text, "saved_age_s=%d\n", int(time.Since(stats.LastSnapshot).Seconds()))
 	}
-	return b.String()
+	return text.String()
 }
 
-func oneIf(is bool) int {
-	if is {
+// oneIf returns 1 for true and 0 for false.
+func oneIf(condition bool) int {
+	if condition {
 		return 1
 	}
 	return 0
--- /dev/null
+++ b/internal/program/fleetagent.go
@@ -0,0 +1,217 @@
+package program
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/fleet"
+	"brassdale/internal/operator"
+	"brassdale/internal/protocol"
+	"brassdale/internal/zonerouting"
+	"brassdale/scheduler"
+)
+
+// noRetryBound stands for a retry ratio without a bound.
+const noRetryBound = -1
+
+// fleetAgent runs the agent of the fleet and applies the fleet's rules to this dispatcher, the stricter of them and of what its
+// own operators say. run, leave, proposeRules and hasDetached accept nil, which stands for a dispatcher that is in no fleet. The
+// fields above mu do not change once run is called; mu guards those below it.
+type fleetAgent struct {
+	dispatcher *dispatcher
+	agent      *fleet.Agent
+	zoneRouter *zonerouting.Router // nil where nobody plans failover
+	rulesFile  string              // proposed at SIGHUP; empty for none
+	cancel     func()              // ends agent.Run
+	ended      chan struct{}       // closed when it has ended
+
+	mu              sync.Mutex
+	detached        map[string]bool // workers that the fleet has detached
+	localRetryRatio float64         // of the operator's file; below 0 without a bound
+	fleetRetryRatio float64         // of the fleet's rules; below 0 without a bound
+}
+
+// buildFleetAgent makes the dispatcher's part in the fleet, which does nothing before run.
+func (d *dispatcher) buildFleetAgent(op *operator.File, config *protocol.Config) (err error) {
+	built := &fleetAgent{
+		dispatcher:      d,
+		rulesFile:       op.Fleet.Rules,
+		localRetryRatio: noRetryBound,
+		fleetRetryRatio: noRetryBound,
+	}
+	if d.retriesBounded {
+		built.localRetryRatio = d.retryRatio
+	}
+	if built.agent, err = fleet.New(built.options(op, config)); err != nil {
+		return err
+	}
+	d.fleet = built
+	d.retriesBounded = true
+	if op.Overload != nil {
+		d.core.SetFleetBudget(fleetBudget{built.agent})
+	}
+	retriesAllowed := func() bool { return built.agent.Effective().Rules.RetriesAllowed }
+	d.core.SetRetryPermission(retriesAllowed)
+	d.endpoints.RetriesAllowed = retriesAllowed
+	return nil
+}
+
+// options returns the options of the agent, and makes the zone router where failover is planned.
+func (a *fleetAgent) options(op *operator.File, config *protocol.Config) fleet.Options {
+	dispatcher := a.dispatcher
+	options := fleet.Options{
+		Settings:       op.Fleet,
+		Name:           config.Name,
+		Zone:           zoneOf(&config.Settings),
+		ApplyEffective: a.apply,
+		JobCounts:      a.jobCounts,
+		Meter:          dispatcher.meter,
+		Log:            dispatcher.log,
+	}
+	if op.Failover != nil {
+		a.zoneRouter = zonerouting.New(config.Name, dispatcher.settings)
+		dispatcher.core.SetZoneRouter(a.zoneRouter)
+		options.Failover = op.Failover
+		options.Report = a.zoneRouter.Report
+		options.HasUrgentChange = a.zoneRouter.HasUrgentChange
+		options.PlanChanged = a.zoneRouter.ApplyPlan
+	}
+	if op.Overload != nil {
+		options.Overload = op.Overload
+		options.FirstAttempts = dispatcher.core.FirstAttempts
+		options.MaxDispatchers = func() int { return dispatcher.settings.Current().ReplicasOfMe }
+	}
+	return options
+}
+
+// zoneOf returns the zone in which the platform says that this dispatcher is; empty for none.
+func zoneOf(settings *protocol.Settings) string {
+	if settings.Locality < 0 || settings.Locality >= len(settings.Zones) {
+		return ""
+	}
+	return settings.Zones[settings.Locality]
+}
+
+// run runs the agent in a goroutine that ends with the context or with leave.
+func (a *fleetAgent) run(ctx context.Context) {
+	if a == nil {
+		return
+	}
+	ctx, a.cancel = context.WithCancel(ctx)
+	a.ended = make(chan struct{})
+	go func() {
+		defer close(a.ended)
+		a.agent.Run(ctx)
+	}()
+}
+
+// leave has the agent drop its lease and tell the fleet, as far as that can be done by a deadline: then neither a successor of
+// the same name nor a change waits for the end of the lease.
+func (a *fleetAgent) leave(deadline time.Time) {
+	if a == nil {
+		return
+	}
+	a.cancel()
+	select {
+	case <-a.ended:
+	case <-time.After(time.Until(deadline)):
+	}
+}
+
+// fleetBudget asks the fleet's budgets.
+type fleetBudget struct{ agent *fleet.Agent }
+
+// AllowRetry takes one use of the retry budget, if there is one.
+func (b fleetBudget) AllowRetry() bool { return b.agent.AllowUse(fleet.RetryBudget) }
+
+// AllowProbe takes one use of the probe budget, if there is one.
+func (b fleetBudget) AllowProbe() bool { return b.agent.AllowUse(fleet.ProbeBudget) }
+
+// jobCounts returns the jobs that ended since the start, and those of them that were rejected or failed.
+func (a *fleetAgent) jobCounts() (ended, failed uint64) {
+	for _, class := range a.dispatcher.core.Counters().Metrics().Classes {
+		ended += uint64(class.Served + class.Rejected + class.Failed)
+		failed += uint64(class.Rejected + class.Failed)
+	}
+	return ended, failed
+}
+
+// proposeRules proposes the rules of the file that the operators named, in a goroutine that ends with the context.
+func (a *fleetAgent) proposeRules(ctx context.Context) {
+	if a == nil {
+		return
+	}
+	if a.rulesFile == "" {
+		a.dispatcher.log.Info("no rules file to propose")
+		return
+	}
+	rules, err := fleet.LoadRules(a.rulesFile)
+	if err != nil {
+		a.dispatcher.log.Error("rules file not proposed", "err", err)
+		return
+	}
+	go a.agent.ProposeFile(ctx, *rules)
+}
+
+// apply applies the effective rules. The agent calls it with its lock held; it does not block. Whether retries are allowed is
+// asked for at each of them.
+func (a *fleetAgent) apply(effective configversions.Effective) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.fleetRetryRatio = effective.Rules.RetryRatio
+	a.applyRetryRatioLocked()
+	if quotas := a.dispatcher.quotas; quotas != nil {
+		quotas.CapQuotas(effective.Rules.Quotas)
+	}
+	a.applyDetachedLocked(effective.Rules.DetachedWorkers)
+}
+
+// applyDetachedLocked detaches the workers that the fleet has detached, and attaches those that it no longer has, but for those
+// that this dispatcher's own operators have detached. a.mu is held.
+func (a *fleetAgent) applyDetachedLocked(ids []string) {
+	core := a.dispatcher.core
+	detachedHere := a.dispatcher.operations.detached.list()
+	detached := make(map[string]bool, len(ids))
+	for _, id := range ids {
+		detached[id] = true
+		if !a.detached[id] {
+			core.SetDetached(scheduler.WorkerID(id), true)
+		}
+	}
+	for id := range a.detached {
+		if !detached[id] && !slices.Contains(detachedHere, id) {
+			core.SetDetached(scheduler.WorkerID(id), false)
+		}
+	}
+	a.detached = detached
+}
+
+// setLocalRetryRatio sets the operator's own bound on further attempts for each first one.
+func (a *fleetAgent) setLocalRetryRatio(ratio float64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.localRetryRatio = ratio
+	a.applyRetryRatioLocked()
+}
+
+// applyRetryRatioLocked applies the smaller one of both bounds. a.mu is held.
+func (a *fleetAgent) applyRetryRatioLocked() {
+	ratio := a.localRetryRatio
+	if a.fleetRetryRatio >= 0 && (ratio < 0 || a.fleetRetryRatio < ratio) {
+		ratio = a.fleetRetryRatio
+	}
+	a.dispatcher.core.SetRetryRatio(ratio)
+}
+
+// hasDetached reports whether the fleet has a worker detached.
+func (a *fleetAgent) hasDetached(id string) bool {
+	if a == nil {
+		return false
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.detached[id]
+}
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -6,6 +6,7 @@
 	"maps"
 	"net/http"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -14,103 +15,127 @@
 	"brassdale/scheduler"
 )
 
-// A caller at the admin endpoint waits for a second. By then it has its answer.
-const answerCalls = 600 * time.Millisecond
+// operationTimeout is how long a call at the admin API may take. Callers wait for a second.
+const operationTimeout = 600 * time.Millisecond
 
-// operations is what the admin endpoint opens on.
+// operations is what the admin API does. It may be used from any goroutine.
 type operations struct {
-	d    *dispatcher
-	file *detached
+	dispatcher *dispatcher
+	detached   *detachedWorkers
 
-	mu sync.Mutex // one call that changes something at a time
+	mu sync.Mutex // held during a call that detaches a worker, and while a successor gets the list of these
 }
 
-func (o *operations) Ready() bool { return o.d.serving.Load() }
+// Ready reports whether this process accepts clients.
+func (o *operations) Ready() bool { return o.dispatcher.serving.Load() }
+
+// Metrics returns all metrics, a line each.
 func (o *operations) Metrics() string {
-	counted := o.d.core.Counters().Metrics()
-	figures := protocol.EncodeMetrics(counted)
+	dispatcher := o.dispatcher
+	counted := dispatcher.core.Counters().Metrics()
+	var text strings.Builder
+	text.WriteString(protocol.EncodeMetrics(counted))
 	unanswered := 0
-	for _, f := range o.d.fronts {
-		unanswered += f.gate.Unanswered()
+	for _, f := range dispatcher.frontends {
+		unanswered += f.listener.Unanswered()
 	}
-	figures += fmt.Sprintf("connections_unanswered=%d\n", unanswered)
+	fmt.Fprintf(&text, "connections_unanswered=%d\n", unanswered)
 	if !counted.ListReceivedAt.IsZero() {
-		figures += fmt.Sprintf("list_age_ms=%d\n", time.Since(counted.ListReceivedAt).Milliseconds())
+		fmt.Fprintf(&text, "list_age_ms=%d\n", time.Since(counted.ListReceivedAt).Milliseconds())
 	}
-	if o.d.http2 != nil {
-		figures += o.d.http2.Metrics()
+	if dispatcher.http2 != nil {
+		text.WriteString(dispatcher.http2.Metrics())
 	}
-	if o.d.accounts != nil {
-		figures += o.d.accounts.Metrics()
+	if dispatcher.quotas != nil {
+		text.WriteString(dispatcher.quotas.Metrics())
 	}
-	if o.d.budgeted {
-		figures += fmt.Sprintf("retries_denied=%d\n", counted.RetriesDenied)
+	if dispatcher.retriesBounded {
+		fmt.Fprintf(&text, "retries_denied=%d\n", counted.RetriesDenied)
 	}
-	if o.d.agreed != nil {
-		s := o.d.agreed.agent.Effective()
-		figures += fmt.Sprintf("repeats_denied=%d\nfleet_version=%d\nfleet_lapsed=%t\n", counted.FleetRetriesDenied, s.Versions[len(s.Versions)-1], s.LeaseExpired)
-		control := o.d.meter.Counts()
-		for _, kind := range slices.Sorted(maps.Keys(control)) {
-			c := control[kind]
-			figures += fmt.Sprintf("control_%s_sent=%d\ncontrol_%s_received=%d\ncontrol_%s_messages=%d\n", kind, c.Sent, kind, c.Received, kind, c.Messages)
-		}
-		if g := o.d.agreed.guide; g != nil {
-			figures += fmt.Sprintf("zones_shed=%d\n", g.ShedCount())
-		}
+	if dispatcher.fleet != nil {
+		fmt.Fprintf(&text, "repeats_denied=%d\n", counted.FleetRetriesDenied)
+		text.WriteString(dispatcher.fleet.metrics())
+	}
+	if dispatcher.cache != nil {
+		text.WriteString(dispatcher.cache.metrics())
+	}
+	return text.String()
+}
+
+// metrics returns the metrics of the fleet and of control traffic, a line each.
+func (a *fleetAgent) metrics() string {
+	var text strings.Builder
+	effective := a.agent.Effective()
+	newest := effective.Versions[len(effective.Versions)-1]
+	fmt.Fprintf(&text, "fleet_version=%d\nfleet_lapsed=%t\n", newest, effective.LeaseExpired)
+	control := a.dispatcher.meter.Counts()
+	for _, kind := range slices.Sorted(maps.Keys(control)) {
+		count := control[kind]
+		fmt.Fprintf(&text, "control_%s_sent=%d\n", kind, count.Sent)
+		fmt.Fprintf(&text, "control_%s_received=%d\n", kind, count.Received)
+		fmt.Fprintf(&text, "control_%s_messages=%d\n", kind, count.Messages)
 	}
-	if o.d.saved != nil {
-		figures += o.d.saved.figures()
+	if a.zoneRouter != nil {
+		fmt.Fprintf(&text, "zones_shed=%d\n", a.zoneRouter.ShedCount())
 	}
-	return figures
+	return text.String()
 }
 
-func (o *operations) Detach(ctx context.Context, id string) error { return o.put(ctx, id, true) }
-func (o *operations) Attach(ctx context.Context, id string) error { return o.put(ctx, id, false) }
+// Detach has a worker get no jobs.
+func (o *operations) Detach(ctx context.Context, id string) error {
+	return o.setDetached(ctx, id, true)
+}
+
+// Attach has a worker that was detached get jobs again.
+func (o *operations) Attach(ctx context.Context, id string) error {
+	return o.setDetached(ctx, id, false)
+}
 
-// put takes a worker out by hand, or puts it back: in the other process too while there is one, on file, and in the
-// module, in this order, so that a yes is true of all three.
-func (o *operations) put(ctx context.Context, id string, out bool) error {
-	until := time.Now().Add(answerCalls)
-	ctx, stop := context.WithDeadline(ctx, until)
-	defer stop()
+// setDetached detaches a worker, or attaches it again: in the peer process, if there is one, on file, and in the scheduler, in
+// this order, so that a success is true of all three. Errors for the caller are a transport.OperationError.
+func (o *operations) setDetached(ctx context.Context, id string, isDetached bool) error {
+	deadline := time.Now().Add(operationTimeout)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
+	defer cancel()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	known, err := o.d.core.KnowsWorker(ctx, scheduler.WorkerID(id))
+	known, err := o.dispatcher.core.KnowsWorker(ctx, scheduler.WorkerID(id))
 	if err != nil {
 		return err
 	}
 	if !known {
 		return &transport.OperationError{Status: http.StatusNotFound, Reason: "no such worker was ever listed"}
 	}
-	if !out && o.d.agreed.has(id) {
+	if !isDetached && o.dispatcher.fleet.hasDetached(id) {
 		return &transport.OperationError{Status: http.StatusConflict, Reason: "the fleet has it out: propose rules without it"}
 	}
-	if sibling := o.d.sibling(); sibling != nil {
-		if yes, heard := sibling.Ask(protocol.HandoverMessage{Worker: id, Detached: out}, until); heard && !yes {
+	if peer := o.dispatcher.peerProcess(); peer != nil {
+		done, answered := peer.Ask(protocol.HandoverMessage{Worker: id, Detached: isDetached}, deadline)
+		if answered && !done {
 			return &transport.OperationError{Status: http.StatusConflict, Reason: "the other process could not do it"}
 		}
 	}
-	return o.keep(id, out)
+	return o.applyDetached(id, isDetached)
 }
 
-// hand gives a successor its beginning. No call comes between the list of who is out and the moment from which the
-// successor is told of each call.
-func (o *operations) hand(sibling *transport.PeerProcess, h *protocol.Handover, gates []*transport.Listener) error {
+// handOver sends a successor what it begins with. No worker is detached between the list of these and the moment from which the
+// successor is told of each.
+func (o *operations) handOver(peer *transport.PeerProcess, handover *protocol.Handover, listeners []*transport.Listener) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h.Detached = o.file.list()
-	o.d.setSibling(sibling)
-	return sibling.HandOver(h, gates)
+	handover.Detached = o.detached.list()
+	o.dispatcher.setPeer(peer)
+	return peer.HandOver(handover, listeners)
 }
 
-// keep does it in this process.
-func (o *operations) keep(id string, out bool) error {
-	if err := o.file.put(id, out); err != nil {
+// applyDetached detaches a worker, or attaches it again, in this process alone.
+func (o *operations) applyDetached(id string, isDetached bool) error {
+	if err := o.detached.set(id, isDetached); err != nil {
 		return err
 	}
-	o.d.core.SetDetached(scheduler.WorkerID(id), out)
-	if o.d.saved != nil {
-		o.d.saved.keeper.SetDetached(o.file.list())
+	o.dispatcher.core.SetDetached(scheduler.WorkerID(id), isDetached)
+	if cache := o.dispatcher.cache; cache != nil {
+		cache.writer.SetDetached(o.detached.list())
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/program/predecessor.go
@@ -0,0 +1,131 @@
+package program
+
+import (
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"brassdale/internal/protocol"
+	"brassdale/internal/transport"
+)
+
+// predecessorTimeout is how long a predecessor may take to answer before this process starts without it.
+const predecessorTimeout = 500 * time.Millisecond
+
+// runtimeFile returns the path of a file in the temporary directory, which outlasts the process and not the machine. The name
+// has the clients' address in it: several dispatchers may share the directory.
+func runtimeFile(env func(string) string, config *protocol.Config, extension string) string {
+	directory := env("TMPDIR")
+	if directory == "" {
+		directory = os.TempDir()
+	}
+	replaceInvalid := func(char rune) rune {
+		if char == '/' || char == 0 {
+			return '_'
+		}
+		return char
+	}
+	return filepath.Join(directory, "brassdale-"+strings.Map(replaceInvalid, config.Listen)+extension)
+}
+
+// predecessor is the process that this one replaces, with what it handed over. Its methods accept nil, which stands for none.
+type predecessor struct {
+	peer      *transport.PeerProcess
+	handover  *protocol.Handover
+	listeners map[string]*net.TCPListener // by frontend; those that nobody took yet
+}
+
+// findPredecessor connects to the predecessor; nil where there is none, only its socket file, or one that does not answer.
+func (d *dispatcher) findPredecessor() *predecessor {
+	peer, handover, listeners, err := transport.ConnectToPredecessor(d.socket, time.Now().Add(predecessorTimeout))
+	if err != nil {
+		if _, missing := os.Lstat(d.socket); missing == nil {
+			d.log.Warn("predecessor not reached, starting alone", "err", err)
+		}
+		return nil
+	}
+	found := &predecessor{peer: peer, handover: handover, listeners: map[string]*net.TCPListener{}}
+	for i, name := range handover.Fronts {
+		found.listeners[name] = listeners[i]
+	}
+	d.log.Info("predecessor found", "endpoints", len(handover.Members), "detached", len(handover.Detached), "listeners", len(listeners))
+	return found
+}
+
+// hasConfirmedList reports whether the predecessor handed over an endpoint list that discovery confirmed.
+func (p *predecessor) hasConfirmedList() bool { return p != nil && !p.handover.ListUnconfirmed }
+
+// listener returns the listener of a frontend: the predecessor's, with the clients that wait at it, where that has the address,
+// else a new one.
+func (p *predecessor) listener(name, address string) (*net.TCPListener, error) {
+	if p == nil || p.listeners[name] == nil {
+		return transport.Listen(address)
+	}
+	inherited := p.listeners[name]
+	delete(p.listeners, name)
+	if sameAddress(address, inherited.Addr().String()) {
+		return inherited, nil
+	}
+	_ = inherited.Close() // the predecessor has it open still
+	return transport.Listen(address)
+}
+
+// sameAddress reports whether a listener at an address is one for the wanted address, whose port may be 0 and whose host may
+// be unspecified.
+func sameAddress(wanted, existing string) bool {
+	host, port, _ := net.SplitHostPort(wanted) // checked when the files were read
+	existingHost, existingPort, _ := net.SplitHostPort(existing)
+	samePort := port == existingPort || port == "0"
+	return samePort && (host == existingHost || net.ParseIP(host).IsUnspecified())
+}
+
+// closeListeners closes the listeners of frontends that are off in this process: clients would wait at them for nobody.
+func (p *predecessor) closeListeners() {
+	for _, listener := range p.listeners {
+		_ = listener.Close() // the predecessor has it open still
+	}
+}
+
+// followPredecessor takes over what the predecessor has learned, and shares limits, request IDs and idempotency keys with it
+// until it ends. The goroutine that it starts ends with the predecessor.
+func (d *dispatcher) followPredecessor(pred *predecessor) {
+	d.setPeer(pred.peer)
+	d.inFlightIDs.DelegateTo(pred.peer)
+	d.adoptLearnedState(pred.handover)
+	d.setPeerUsage(&protocol.HandoverUsage{Outbound: d.limits.outbound / 2}) // until it says what it uses
+	d.shareIdempotencyKeys(pred.peer, pred.handover.Relay, true)
+	go func() {
+		pred.peer.Run(func(message protocol.HandoverMessage) { d.handlePredecessorMessage(pred.peer, message) })
+		d.inFlightIDs.DelegateTo(nil)
+		d.setPeer(nil)
+		d.setPeerUsage(nil)
+		d.log.Info("predecessor ended")
+	}()
+}
+
+// adoptLearnedState takes over what the predecessor has learned. It does so after the endpoint list was built, by which the
+// starts of workers are on this process's clock.
+func (d *dispatcher) adoptLearnedState(handover *protocol.Handover) {
+	learned := handover.LearnedState
+	learned.Classes = d.settings.StatisticsByNumber(handover.Classes)
+	for id, worker := range learned.Workers {
+		worker.StartedAt = d.endpointList.StartedAt(id)
+		learned.Workers[id] = worker
+	}
+	d.core.AdoptLearnedState(learned)
+}
+
+func (d *dispatcher) handlePredecessorMessage(peer *transport.PeerProcess, message protocol.HandoverMessage) {
+	switch {
+	case message.Usage != nil:
+		d.setPeerUsage(message.Usage)
+	case message.Last:
+		peer.Notify(protocol.HandoverMessage{AnswerTo: message.QuestionID, Yes: true})
+	case message.Remembered != nil && d.idempotencyTable != nil:
+		d.idempotencyTable.Remember(message.Remembered)
+	case message.Worker != "":
+		d.handleDetachMessage(peer, message)
+	}
+}
--- /dev/null
+++ b/internal/program/reloader.go
@@ -0,0 +1,158 @@
+package program
+
+import (
+	"context"
+	"os"
+	"slices"
+	"sync"
+
+	"brassdale/internal/operator"
+	"brassdale/internal/protocol"
+	"brassdale/internal/transport"
+)
+
+// reloader applies new versions of the platform's file and the operator's, each whole or not at all. The goroutine of run owns
+// all fields; mu is for the readers of config elsewhere.
+type reloader struct {
+	dispatcher   *dispatcher
+	env          func(string) string
+	discovery    *transport.Discovery
+	operatorPath string         // empty for none
+	operator     *operator.File // in force, as far as it can be without a restart
+
+	mu     sync.Mutex
+	config *protocol.Config // in force; written with mu held
+}
+
+func newReloader(d *dispatcher, in *inputs, discovery *transport.Discovery) *reloader {
+	return &reloader{
+		dispatcher:   d,
+		env:          in.env,
+		discovery:    discovery,
+		operatorPath: in.options.Operator,
+		operator:     in.operator,
+		config:       in.config,
+	}
+}
+
+// discoveryAddress returns the address of discovery. It may be called from any goroutine.
+func (r *reloader) discoveryAddress() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.config.Discovery
+}
+
+// run reloads the files for each value of reloads, until the context ends.
+func (r *reloader) run(ctx context.Context, reloads <-chan os.Signal) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-reloads:
+			r.reload(ctx)
+		}
+	}
+}
+
+// reload reads and checks both files before it applies anything: a file that is half written changes nothing. Requests,
+// connections and the endpoint list stay as they are.
+func (r *reloader) reload(ctx context.Context) {
+	counters := r.dispatcher.core.Counters()
+	config, op, applyOperator, err := r.load()
+	if err != nil {
+		r.dispatcher.log.Error("reload failed, settings unchanged", "err", err) // before the metric: who sees that finds the reason
+		counters.CountReload(false)
+		return
+	}
+	applyOperator()
+	old := r.applyConfig(config)
+	restartRequired := r.operator.NeedsRestart(op)
+	restartRequired = append(restartRequired, changedAddresses(old, config)...)
+	r.operator = op
+	r.dispatcher.fleet.proposeRules(ctx)
+	r.dispatcher.log.Info("settings reloaded", "discovery", config.Discovery, "classes", len(config.Settings.Classes),
+		"restart_required", restartRequired)
+	counters.CountReload(true)
+}
+
+// load reads and checks both files. applyOperator applies the operator's.
+func (r *reloader) load() (config *protocol.Config, op *operator.File, applyOperator func(), err error) {
+	config, err = protocol.LoadConfig(r.env("GW_CONFIG"), r.env)
+	if err != nil {
+		return nil, nil, nil, err
+	}
+	if err := config.Follows(r.config); err != nil {
+		return nil, nil, nil, err
+	}
+	if r.operatorPath == "" {
+		return config, r.operator, func() {}, nil
+	}
+	op, err = operator.Load(r.operatorPath)
+	if err != nil {
+		return nil, nil, nil, err
+	}
+	applyOperator, err = r.prepare(op)
+	return config, op, applyOperator, err
+}
+
+// prepare reads the files that the operator's file names, and returns a function that applies it.
+func (r *reloader) prepare(op *operator.File) (apply func(), err error) {
+	dispatcher := r.dispatcher
+	applyCertificates := func() {}
+	if dispatcher.http2 != nil && op.HTTP2 != nil {
+		if applyCertificates, err = dispatcher.http2.Prepare(op.HTTP2); err != nil {
+			return nil, err
+		}
+	}
+	return func() {
+		applyCertificates()
+		if dispatcher.retriesBounded && op.Retries != nil {
+			dispatcher.setRetryRatio(op.Retries.RetryRatio)
+		}
+		if dispatcher.quotas != nil && op.Quotas != nil {
+			dispatcher.quotas.SetQuotas(op.Quotas)
+		}
+	}, nil
+}
+
+// applyConfig applies the platform's file and returns the one before.
+func (r *reloader) applyConfig(config *protocol.Config) (old *protocol.Config) {
+	dispatcher := r.dispatcher
+	r.mu.Lock()
+	old = r.config
+	r.config = config
+	r.mu.Unlock()
+	dispatcher.mu.Lock()
+	dispatcher.limits = newResourceLimits(config.Limits, len(dispatcher.frontends))
+	dispatcher.mu.Unlock()
+	dispatcher.applyResourceLimits()
+	// The scheduler gets its settings by the queue that brings it the jobs, so none comes under settings that it does not know.
+	dispatcher.settings.Replace(&config.Settings, dispatcher.core.ApplySettings)
+	dispatcher.registerClasses(&config.Settings)
+	if discoveryChanged(old, config) {
+		r.discovery = transport.NewDiscovery(config.Discovery, r.discovery.Params, dispatcher.meter)
+		dispatcher.endpointList.ChangeDiscovery(r.discovery)
+	}
+	return old
+}
+
+// discoveryChanged reports whether discovery is at another address, or its answers are to be read otherwise.
+func discoveryChanged(old, config *protocol.Config) bool {
+	return config.Discovery != old.Discovery ||
+		!slices.Equal(config.Settings.Zones, old.Settings.Zones) ||
+		!slices.Equal(config.Settings.Flavors, old.Settings.Flavors)
+}
+
+// changedAddresses returns the fields of the platform's file that have changed and count only after a restart.
+func changedAddresses(old, config *protocol.Config) (fields []string) {
+	if config.Name != old.Name {
+		fields = append(fields, "name")
+	}
+	if config.Listen != old.Listen {
+		fields = append(fields, "listen")
+	}
+	if config.Admin != old.Admin {
+		fields = append(fields, "admin")
+	}
+	return fields
+}
--- /dev/null
+++ b/internal/program/successor.go
@@ -0,0 +1,176 @@
+package program
+
+import (
+	"context"
+	"net"
+	"slices"
+	"time"
+
+	"brassdale/internal/listen"
+	"brassdale/internal/protocol"
+	"brassdale/internal/transport"
+)
+
+const (
+	usageReportInterval = 50 * time.Millisecond
+	// spareOutbound is the number of connections to endpoints that a process which hands over may still open, as not every
+	// attempt finds one that is open.
+	spareOutbound = 8
+)
+
+// publish accepts successors from now on, in a goroutine that ends when one takes the socket over.
+func (d *dispatcher) publish(ctx context.Context) {
+	socket, err := transport.Publish(d.socket)
+	if err != nil {
+		d.log.Warn("handover socket not available", "err", err)
+		return
+	}
+	go d.acceptSuccessors(ctx, socket)
+}
+
+// acceptSuccessors serves successors, one at a time.
+func (d *dispatcher) acceptSuccessors(ctx context.Context, socket *net.UnixListener) {
+	defer func() { _ = socket.Close() }() // nobody connects to it any more
+	failures := listen.Failures{Log: d.log}
+	for {
+		peer, err := transport.AcceptSuccessor(socket, failures.Failed)
+		if err != nil {
+			return
+		}
+		if d.peerProcess() != nil {
+			peer.Close()
+			continue
+		}
+		if socketTaken := d.serveSuccessor(ctx, peer); socketTaken {
+			return
+		}
+	}
+}
+
+// serveSuccessor hands this process's state to a successor and serves its messages, until one of both ends. It reports whether
+// the socket leads elsewhere now: to the successor, or, when that has ended first, to a new socket of this process.
+func (d *dispatcher) serveSuccessor(ctx context.Context, peer *transport.PeerProcess) (socketTaken bool) {
+	defer peer.Close()
+	handover, err := d.newHandover(ctx)
+	if err != nil {
+		return false
+	}
+	var listeners []*transport.Listener
+	for _, f := range d.frontends {
+		handover.Fronts = append(handover.Fronts, f.name)
+		listeners = append(listeners, f.listener)
+	}
+	if err := d.operations.handOver(peer, handover, listeners); err != nil {
+		d.log.Warn("handover failed", "err", err)
+	} else {
+		d.log.Info("handover started")
+		peer.Run(func(message protocol.HandoverMessage) { d.handleSuccessorMessage(peer, message) })
+	}
+	if !d.serving.Load() { // shutting down
+		return true
+	}
+	d.resumeAlone(ctx, peer)
+	return true
+}
+
+// newHandover returns what a successor begins with, without the frontends and detached workers.
+func (d *dispatcher) newHandover(ctx context.Context) (*protocol.Handover, error) {
+	known, err := d.endpointList.Snapshot(ctx)
+	if err != nil {
+		return nil, err
+	}
+	learned, err := d.core.LearnedState(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return &protocol.Handover{
+		ListUnconfirmed: d.endpointList.Source().Name == sourceCache,
+		Discovery:       d.reloader.discoveryAddress(),
+		Revision:        known.Revision,
+		Relay:           d.relayPath,
+		LearnedState:    learned,
+		Classes:         d.settings.StatisticsByName(learned),
+		Members:         protocol.KnownMembers(known.Endpoints, d.settings.Current()),
+	}, nil
+}
+
+func (d *dispatcher) handleSuccessorMessage(peer *transport.PeerProcess, message protocol.HandoverMessage) {
+	switch {
+	case message.Serving:
+		d.handOverClients(peer, message.Relay)
+	case message.Key != "":
+		known := d.idempotencyTable != nil && d.idempotencyTable.Has(message.Key)
+		peer.Notify(protocol.HandoverMessage{AnswerTo: message.QuestionID, Yes: known})
+	case message.ReserveID != "":
+		reserved := d.inFlightIDs.Reserve(message.ReserveID, peer)
+		peer.Notify(protocol.HandoverMessage{AnswerTo: message.QuestionID, Yes: reserved})
+	case message.ReleaseID != "":
+		d.inFlightIDs.Release(message.ReleaseID, peer)
+	case message.Worker != "":
+		d.handleDetachMessage(peer, message)
+	}
+}
+
+// handOverClients leaves new clients to the successor, and reports what this process still uses until one of both ends.
+func (d *dispatcher) handOverClients(peer *transport.PeerProcess, relayPath string) {
+	d.handedOver.Store(true)
+	d.shareIdempotencyKeys(peer, relayPath, false)
+	for _, f := range d.frontends {
+		f.listener.Pause()
+		f.handler.PassToSuccessor(true)
+	}
+	d.log.Info("handover complete, listeners paused", "open_requests", d.core.OpenRequests())
+	go d.reportUsage(peer)
+}
+
+// reportUsage tells the successor what this process uses of the limits of both, whenever that has changed. It returns when the
+// successor ends.
+func (d *dispatcher) reportUsage(peer *transport.PeerProcess) {
+	ticker := time.NewTicker(usageReportInterval)
+	defer ticker.Stop()
+	reported := protocol.HandoverUsage{}
+	for {
+		usage := d.usage()
+		d.endpoints.SetConnectionLimit(usage.Outbound)
+		if !sameUsage(usage, reported) {
+			peer.Notify(protocol.HandoverMessage{Usage: &usage})
+			reported = usage
+		}
+		select {
+		case <-ticker.C:
+		case <-peer.Gone():
+			return
+		}
+	}
+}
+
+// usage returns what this process uses of the limits.
+func (d *dispatcher) usage() protocol.HandoverUsage {
+	usage := protocol.HandoverUsage{Outbound: d.endpoints.OpenConnections() + spareOutbound}
+	if d.quotas != nil {
+		usage.OpenJobs = d.quotas.OpenJobs()
+	}
+	for _, f := range d.frontends {
+		usage.Inbound = append(usage.Inbound, f.listener.Connections())
+	}
+	return usage
+}
+
+func sameUsage(a, b protocol.HandoverUsage) bool {
+	return a.Outbound == b.Outbound && a.OpenJobs == b.OpenJobs && slices.Equal(a.Inbound, b.Inbound)
+}
+
+// resumeAlone makes this process the dispatcher again after its successor has ended, and accepts successors at a new socket, as
+// the old one led to that process.
+func (d *dispatcher) resumeAlone(ctx context.Context, peer *transport.PeerProcess) {
+	d.inFlightIDs.ReleaseAll(peer)
+	d.setPeer(nil)
+	d.handedOver.Store(false)
+	for _, f := range d.frontends {
+		f.handler.PassToSuccessor(false)
+		f.listener.Resume()
+	}
+	d.applyResourceLimits()
+	d.publish(ctx)
+	d.log.Error("successor ended, continuing alone")
+}
