--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -276,7 +276,7 @@
 		t.Error("the age of a list from the future is known")
 	}
 	m := alone(t, old, nil)
-	m.waitFor("the line", func() bool { return strings.Contains(m.log(), "too old") })
+	m.waitFor("the line", func() bool { return strings.Contains(m.log(), "endpoint cache too old") })
 	if status, _, after := m.do(request(m.url, "k", "Req-Deadline-Ms", "300")); status != 503 || after == "" {
 		t.Errorf("with no list at all: %d, Retry-After %q", status, after)
 	}
