--- a/internal/transport/accountquotas.go
+++ b/internal/transport/accountquotas.go
@@ -9,11 +9,11 @@
 
 // AccountQuotas deals out the room for jobs among accounts, over all fronts together. A nil one has room for all.
 type AccountQuotas struct {
-	mu    sync.Mutex
-	set   *QuotaSettings
-	other int                // jobs that another process has open which acts as the same dispatcher
-	caps  map[string]float64 // the most that accounts may have by the fleet's rules
-	table *quotas.Table
+	mu         sync.Mutex
+	settings   *QuotaSettings
+	openAtPeer int                // jobs that another process has open which acts as the same dispatcher
+	fleetCaps  map[string]float64 // the most that accounts may have by the fleet's rules
+	table      *quotas.Table
 }
 
 // QuotaSettings are the operator's, in a block accounts.
@@ -28,7 +28,7 @@
 	Share float64 `hcl:"share"` // between 0 and 1
 }
 
-func (s *QuotaSettings) parts() map[string]float64 {
+func (s *QuotaSettings) shares() map[string]float64 {
 	parts := map[string]float64{}
 	for _, a := range s.Accounts {
 		parts[a.Name] = a.Share
@@ -38,49 +38,49 @@
 
 // NewAccountQuotas makes the table.
 func NewAccountQuotas(s *QuotaSettings) *AccountQuotas {
-	return &AccountQuotas{set: s, table: quotas.New(s.Capacity, s.parts())}
+	return &AccountQuotas{settings: s, table: quotas.New(s.Capacity, s.shares())}
 }
 
 // SetQuotas changes the shares; what is open stays open.
 func (s *AccountQuotas) SetQuotas(to *QuotaSettings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set = to
-	s.tune()
+	s.settings = to
+	s.applySettings()
 }
 
 // ReserveFor leaves room for the jobs that another process has open; 0 while there is none.
 func (s *AccountQuotas) ReserveFor(open int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.other = open
-	s.tune()
+	s.openAtPeer = open
+	s.applySettings()
 }
 
 // CapQuotas holds accounts to no more than these shares, whatever the settings say; who is not named is not bound.
 func (s *AccountQuotas) CapQuotas(caps map[string]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.caps = caps
-	s.tune()
+	s.fleetCaps = caps
+	s.applySettings()
 }
 
-// tune puts the settings in force; s.mu is held.
-func (s *AccountQuotas) tune() {
-	parts := s.set.parts()
-	for name, most := range s.caps {
+// applySettings puts the settings in force; s.mu is held.
+func (s *AccountQuotas) applySettings() {
+	parts := s.settings.shares()
+	for name, most := range s.fleetCaps {
 		if part, ok := parts[name]; ok && most < part {
 			parts[name] = most
 		}
 	}
-	s.table.SetQuotas(max(s.set.Capacity-s.other, 0), parts)
+	s.table.SetQuotas(max(s.settings.Capacity-s.openAtPeer, 0), parts)
 }
 
 // Metrics gives the numbers, a line each.
 func (s *AccountQuotas) Metrics() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return fmt.Sprintf("accounts_room=%d\naccounts_open=%d\n", max(s.set.Capacity-s.other, 0), s.table.TotalOpen())
+	return fmt.Sprintf("accounts_room=%d\naccounts_open=%d\n", max(s.settings.Capacity-s.openAtPeer, 0), s.table.TotalOpen())
 }
 
 // OpenJobs is how many jobs are open.
@@ -90,8 +90,8 @@
 	return s.table.TotalOpen()
 }
 
-// take takes a job of an account and gives what ends it, or tells that there is no room.
-func (s *AccountQuotas) take(account string) (free func(), ok bool) {
+// admit takes a job of an account and gives what ends it, or tells that there is no room.
+func (s *AccountQuotas) admit(account string) (free func(), ok bool) {
 	if s == nil {
 		return func() {}, true
 	}
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -15,8 +15,8 @@
 	// its call for the longest goes.
 	MostCallers = 12
 
-	callWithin = 2 * time.Second // for a whole call; who means it takes far less
-	mostID     = 256
+	adminCallTimeout = 2 * time.Second // for a whole call; who means it takes far less
+	maxWorkerIDBytes = 256
 )
 
 // Operations is what the admin endpoint opens on. No method takes longer than the context allows.
@@ -53,13 +53,13 @@
 	worker := func(name string, do func(context.Context, string) error) {
 		mux.HandleFunc("POST /_workers/"+name, func(w http.ResponseWriter, r *http.Request) {
 			// What is too long is read on a little by net/http: closed at once, its caller might not see the no.
-			body, err := io.ReadAll(io.LimitReader(r.Body, mostID+1))
+			body, err := io.ReadAll(io.LimitReader(r.Body, maxWorkerIDBytes+1))
 			id := strings.TrimSpace(string(body))
-			if err != nil || id == "" || len(body) > mostID {
+			if err != nil || id == "" || len(body) > maxWorkerIDBytes {
 				http.Error(w, "the body must be a worker's id", http.StatusBadRequest)
 				return
 			}
-			enter(r, serving) // it has finished its call: it is not one of those that make room
+			enterPhase(r, phaseServing) // it has finished its call: it is not one of those that make room
 			if err = do(r.Context(), id); err != nil {
 				status := http.StatusInternalServerError
 				if no, ok := err.(*OperationError); ok {
@@ -81,7 +81,7 @@
 // AdminServer is the server of the admin endpoint: one call a connection, each bounded in time and bytes.
 func AdminServer(h http.Handler, log *slog.Logger) *http.Server {
 	s := Server(h, log)
-	s.ReadHeaderTimeout, s.ReadTimeout, s.WriteTimeout, s.MaxHeaderBytes = callWithin, callWithin, callWithin, 4<<10
+	s.ReadHeaderTimeout, s.ReadTimeout, s.WriteTimeout, s.MaxHeaderBytes = adminCallTimeout, adminCallTimeout, adminCallTimeout, 4<<10
 	s.SetKeepAlivesEnabled(false)
 	return s
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// mostAhead is how many bytes behind a request that is not answered yet are kept for its connection's next one. What
+	// maxReadAheadBytes is how many bytes behind a request that is not answered yet are kept for its connection's next one. What
 	// comes beyond is discarded, and the connection ends behind the answer: its client sends that again on another one.
-	mostAhead = 16 << 10
+	maxReadAheadBytes = 16 << 10
 
 	// A connection that ends is read on for so long, or up to so many bytes: closed over unread bytes it would be reset,
 	// and a reset takes with it what the client has not read of its answer.
-	lingerFor  = time.Second
-	lingerMost = 1 << 20
+	lingeringCloseTimeout  = time.Second
+	lingeringCloseMaxBytes = 1 << 20
 )
 
 // phase is what a client's connection is at.
 type phase uint8
 
 const (
-	silent  phase = iota // nothing has come yet
-	idle                 // between requests
-	reading              // a request has begun to come
-	serving              // a job has been taken: its answer is owed
-	closing              // it takes no further request and owes nothing
+	phaseNew     phase = iota // nothing has come yet
+	phaseIdle                 // between requests
+	phaseReading              // a request has begun to come
+	phaseServing              // a job has been taken: its answer is owed
+	phaseClosing              // it takes no further request and owes nothing
 )
 
 // String names a phase as the log does.
 func (p phase) String() string {
-	return [...]string{silent: "silent", idle: "idle", reading: "reading", serving: "serving", closing: "closing"}[p]
+	return [...]string{phaseNew: "silent", phaseIdle: "idle", phaseReading: "reading", phaseServing: "serving", phaseClosing: "closing"}[p]
 }
 
 // Conn is a client's connection, as the gate knows it.
@@ -47,34 +47,34 @@
 // behind bytes that nobody has asked for yet.
 type Conn struct {
 	*net.TCPConn
-	gate *Listener
+	listener *Listener
 
 	// Owned by whoever reads, one at a time.
-	framing framing
-	whole   bool       // the present request has come whole and is not answered
-	ahead   aheadQueue // what came behind it
-	last    time.Time  // when the bytes had come that were read last, ...
-	direct  bool       // ... which came from the system, and not from ahead
+	framing            requestFraming
+	requestComplete    bool           // the present request has come whole and is not answered
+	pending            readAheadQueue // what came behind it
+	lastReadAt         time.Time      // when the bytes had come that were read last, ...
+	lastReadFromSocket bool           // ... which came from the system, and not from ahead
 
-	arrived atomic.Pointer[time.Time] // when the last byte of the present request had come; nil where that is not known
+	requestArrivedAt atomic.Pointer[time.Time] // when the last byte of the present request had come; nil where that is not known
 
-	wrote  atomic.Bool  // something of an answer was written
-	gone   atomic.Bool  // the client has closed its side, or the connection broke
-	behind atomic.Int32 // ahead.size
-	flood  atomic.Bool  // more than mostAhead came behind a request
+	responseStarted   atomic.Bool  // something of an answer was written
+	clientGone        atomic.Bool  // the client has closed its side, or the connection broke
+	pendingBytes      atomic.Int32 // ahead.size
+	pendingOverflowed atomic.Bool  // more than mostAhead came behind a request
 
 	// Guarded by gate.mu.
-	phase  phase
-	since  time.Time // of the phase; while it is reading, of the last bytes
-	client bool      // it has brought a job
-	began  time.Time // when it was taken, or the first byte of the present request came
-	jobs   int       // open on it, where it is multiplexed
-	told   bool      // Close was called
+	phase          phase
+	phaseSince     time.Time // of the phase; while it is reading, of the last bytes
+	hasCarriedJob  bool      // it has brought a job
+	requestBeganAt time.Time // when it was taken, or the first byte of the present request came
+	openJobs       int       // open on it, where it is multiplexed
+	closeStarted   bool      // Close was called
 }
 
-// unread tells whether bytes wait on the connection.
-func (c *Conn) unread() bool {
-	if c.behind.Load() > 0 {
+// hasUnreadBytes tells whether bytes wait on the connection.
+func (c *Conn) hasUnreadBytes() bool {
+	if c.pendingBytes.Load() > 0 {
 		return true
 	}
 	n := 0
@@ -84,20 +84,20 @@
 	return n > 0
 }
 
-// mostUnread bounds what is believed of the system's word on how long bytes lay unread.
-const mostUnread = 5 * time.Second
+// maxTrustedReceiveAge bounds what is believed of the system's word on how long bytes lay unread.
+const maxTrustedReceiveAge = 5 * time.Second
 
-// unreadFor asks the system how long ago the last bytes came on the connection; 0 where it does not say.
-func (c *Conn) unreadFor() time.Duration {
-	ago := time.Duration(c.info().Last_data_recv) * time.Millisecond
-	if ago > mostUnread {
+// sinceLastReceive asks the system how long ago the last bytes came on the connection; 0 where it does not say.
+func (c *Conn) sinceLastReceive() time.Duration {
+	ago := time.Duration(c.tcpInfo().Last_data_recv) * time.Millisecond
+	if ago > maxTrustedReceiveAge {
 		return 0
 	}
 	return ago
 }
 
-// info asks the system about the connection; all zero where it does not say.
-func (c *Conn) info() (info unix.TCPInfo) {
+// tcpInfo asks the system about the connection; all zero where it does not say.
+func (c *Conn) tcpInfo() (info unix.TCPInfo) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return info
@@ -110,35 +110,35 @@
 	return info
 }
 
-// hasLeft tells whether the client has closed its side or the connection has broken, read to its end or not.
-func (c *Conn) hasLeft() bool {
-	if c.gone.Load() {
+// clientHasLeft tells whether the client has closed its side or the connection has broken, read to its end or not.
+func (c *Conn) clientHasLeft() bool {
+	if c.clientGone.Load() {
 		return true
 	}
-	switch c.info().State {
+	switch c.tcpInfo().State {
 	case unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSE:
 		return true
 	}
 	return false
 }
 
-// heard notes that bytes of a request came, and tells whether it may still come here; the gate is locked.
-func (c *Conn) heard(now time.Time) bool {
-	if c.phase == closing {
+// noteRequestBytesLocked notes that bytes of a request came, and tells whether it may still come here; the gate is locked.
+func (c *Conn) noteRequestBytesLocked(now time.Time) bool {
+	if c.phase == phaseClosing {
 		return false
 	}
-	if c.gate.multiplexed && c.phase != silent { // how far its requests are is not told by bytes
+	if c.listener.multiplexed && c.phase != phaseNew { // how far its requests are is not told by bytes
 		return true
 	}
 	switch c.phase {
-	case idle:
-		c.began = now
+	case phaseIdle:
+		c.requestBeganAt = now
 		fallthrough
-	case silent:
-		c.phase = reading
+	case phaseNew:
+		c.phase = phaseReading
 	}
-	if c.phase == reading {
-		c.since = now
+	if c.phase == phaseReading {
+		c.phaseSince = now
 	}
 	return true
 }
@@ -150,37 +150,37 @@
 		return 0, nil
 	}
 	for {
-		if f := &c.framing; f.spoilt > 0 {
-			b[0] = spoiler[len(spoiler)-f.spoilt]
-			f.spoilt--
+		if f := &c.framing; f.malformedBytesLeft > 0 {
+			b[0] = malformedLineEnd[len(malformedLineEnd)-f.malformedBytesLeft]
+			f.malformedBytesLeft--
 			return 1, nil
 		}
-		if c.over() {
+		if c.mayNotContinue() {
 			return 0, io.EOF
 		}
-		if c.unanswered() {
+		if c.awaitingAnswer() {
 			if err := c.readAhead(); err != nil {
 				return 0, err
 			}
 			continue
 		}
-		n, err := c.next(b)
-		if n > 0 && !c.came() {
+		n, err := c.readNext(b)
+		if n > 0 && !c.noteRequestBytes() {
 			return 0, io.EOF // the connection was ended just now: these bytes are of no request that is taken here
 		}
-		if c.gate.multiplexed {
+		if c.listener.multiplexed {
 			return n, err
 		}
-		passed, whole := c.framing.pass(b[:n])
+		passed, whole := c.framing.scan(b[:n])
 		if whole {
-			c.whole = true
-			last := c.last
-			if c.direct { // else it was read ahead, as it came
-				last = last.Add(-c.unreadFor())
+			c.requestComplete = true
+			last := c.lastReadAt
+			if c.lastReadFromSocket { // else it was read ahead, as it came
+				last = last.Add(-c.sinceLastReceive())
 			}
-			c.arrived.Store(&last)
-			c.ahead.putBack(b[passed:n], last)
-			c.behind.Store(int32(c.ahead.size))
+			c.requestArrivedAt.Store(&last)
+			c.pending.pushFront(b[passed:n], last)
+			c.pendingBytes.Store(int32(c.pending.size))
 		}
 		if passed > 0 || err != nil {
 			return passed, err
@@ -190,21 +190,21 @@
 
 // Write writes of an answer.
 func (c *Conn) Write(b []byte) (int, error) {
-	c.wrote.Store(true)
+	c.responseStarted.Store(true)
 	return c.TCPConn.Write(b)
 }
 
-// next gives what was read ahead, then what comes.
-func (c *Conn) next(b []byte) (n int, err error) {
-	if c.ahead.size == 0 {
+// readNext gives what was read ahead, then what comes.
+func (c *Conn) readNext(b []byte) (n int, err error) {
+	if c.pending.size == 0 {
 		n, err = c.TCPConn.Read(b)
-		c.last, c.direct = time.Now(), true
-		c.lost(err)
+		c.lastReadAt, c.lastReadFromSocket = time.Now(), true
+		c.noteReadError(err)
 		return n, err
 	}
-	n, c.last = c.ahead.take(b)
-	c.direct = false
-	c.behind.Store(int32(c.ahead.size))
+	n, c.lastReadAt = c.pending.pop(b)
+	c.lastReadFromSocket = false
+	c.pendingBytes.Store(int32(c.pending.size))
 	return n, nil
 }
 
@@ -212,88 +212,88 @@
 func (c *Conn) readAhead() error {
 	var b [512]byte
 	n, err := c.TCPConn.Read(b[:])
-	if c.ahead.size+n > mostAhead {
-		c.flood.Store(true)
+	if c.pending.size+n > maxReadAheadBytes {
+		c.pendingOverflowed.Store(true)
 		n = 0
 	}
-	c.ahead.push(b[:n], time.Now())
-	c.behind.Store(int32(c.ahead.size))
-	c.lost(err)
+	c.pending.push(b[:n], time.Now())
+	c.pendingBytes.Store(int32(c.pending.size))
+	c.noteReadError(err)
 	return err
 }
 
-// lost notes that the client has gone, where an error tells it.
-func (c *Conn) lost(err error) {
+// noteReadError notes that the client has gone, where an error tells it.
+func (c *Conn) noteReadError(err error) {
 	if late, ok := err.(net.Error); err != nil && !(ok && late.Timeout()) {
-		c.gone.Store(true)
+		c.clientGone.Store(true)
 	}
 }
 
-// unanswered tells whether the present request is here whole: what comes now is of a later one.
-func (c *Conn) unanswered() bool {
-	if c.gate.multiplexed {
+// awaitingAnswer tells whether the present request is here whole: what comes now is of a later one.
+func (c *Conn) awaitingAnswer() bool {
+	if c.listener.multiplexed {
 		return false
 	}
-	if c.whole {
+	if c.requestComplete {
 		return true
 	}
-	if c.framing.where != inRest { // where the end of a chunked request is, only the front knows
+	if c.framing.position != inChunkedBody { // where the end of a chunked request is, only the front knows
 		return false
 	}
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	return c.phase == serving
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.phase == phaseServing
 }
 
-// over tells whether no request may come any more.
-func (c *Conn) over() bool {
-	if c.gate.multiplexed {
+// mayNotContinue tells whether no request may come any more.
+func (c *Conn) mayNotContinue() bool {
+	if c.listener.multiplexed {
 		return false
 	}
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	return c.phase == closing || c.phase == idle && (c.gone.Load() || c.flood.Load())
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.phase == phaseClosing || c.phase == phaseIdle && (c.clientGone.Load() || c.pendingOverflowed.Load())
 }
 
-// came notes bytes of a request, and tells whether it may still come here.
-func (c *Conn) came() bool {
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	return c.heard(time.Now())
+// noteRequestBytes notes bytes of a request, and tells whether it may still come here.
+func (c *Conn) noteRequestBytes() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.noteRequestBytesLocked(time.Now())
 }
 
 // Close ends the connection. The client is told, and what it still sends is read and discarded for a while; of a client
 // that has gone nothing more can come.
 func (c *Conn) Close() error {
-	if !c.gate.multiplexed && !c.gone.Load() && c.hangUp() {
-		c.linger()
+	if !c.listener.multiplexed && !c.clientGone.Load() && c.beginClose() {
+		c.lingeringClose()
 	}
-	c.gate.mu.Lock()
-	c.gate.log.Debug("client's connection closed", "phase", c.phase.String(), "gone", c.gone.Load(), "wrote", c.wrote.Load(), "client", c.RemoteAddr())
-	c.gate.ended(c)
-	c.gate.mu.Unlock()
+	c.listener.mu.Lock()
+	c.listener.log.Debug("client's connection closed", "phase", c.phase.String(), "gone", c.clientGone.Load(), "wrote", c.responseStarted.Load(), "client", c.RemoteAddr())
+	c.listener.ended(c)
+	c.listener.mu.Unlock()
 	return c.TCPConn.Close()
 }
 
-// hangUp takes no further request on the connection, and tells whether its client has still to be told.
-func (c *Conn) hangUp() bool {
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	if c.told {
+// beginClose takes no further request on the connection, and tells whether its client has still to be told.
+func (c *Conn) beginClose() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.closeStarted {
 		return false
 	}
-	c.told, c.phase, c.since = true, closing, time.Now()
+	c.closeStarted, c.phase, c.phaseSince = true, phaseClosing, time.Now()
 	return true
 }
 
-// linger shuts the sending side and reads until the client ends its own.
-func (c *Conn) linger() {
+// lingeringClose shuts the sending side and reads until the client ends its own.
+func (c *Conn) lingeringClose() {
 	if c.TCPConn.CloseWrite() != nil {
 		return
 	}
-	_ = c.TCPConn.SetReadDeadline(time.Now().Add(lingerFor)) // fails only on a closed connection, as does what follows
+	_ = c.TCPConn.SetReadDeadline(time.Now().Add(lingeringCloseTimeout)) // fails only on a closed connection, as does what follows
 	var b [4096]byte
-	for left := lingerMost; left > 0; {
+	for left := lingeringCloseMaxBytes; left > 0; {
 		n, err := c.TCPConn.Read(b[:])
 		if err != nil {
 			return
@@ -302,66 +302,66 @@
 	}
 }
 
-// enter notes what the connection is at.
-func (c *Conn) enter(p phase) {
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	if p == idle {
-		c.whole = false
-		c.arrived.Store(nil)
+// enterPhase notes what the connection is at.
+func (c *Conn) enterPhase(p phase) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if p == phaseIdle {
+		c.requestComplete = false
+		c.requestArrivedAt.Store(nil)
 	}
-	if c.phase != closing {
-		c.phase, c.since, c.client = p, time.Now(), c.client || p == serving
+	if c.phase != phaseClosing {
+		c.phase, c.phaseSince, c.hasCarriedJob = p, time.Now(), c.hasCarriedJob || p == phaseServing
 	}
-	if p == idle && c.gate.dismissed && c.behind.Load() == 0 {
-		c.phase = closing // over tells net/http, which ends it
+	if p == phaseIdle && c.listener.dismissed && c.pendingBytes.Load() == 0 {
+		c.phase = phaseClosing // over tells net/http, which ends it
 	}
 }
 
-// take enters a job that the connection brings, and tells whether it may have one more: where connections are
-// multiplexed, one of them must not take all that there is room for.
-func (c *Conn) take() bool {
-	g := c.gate
+// admitJob enters a job that the connection brings, and tells whether it may have one more: where connections are
+// multiplexed, one of them must not admitJob all that there is room for.
+func (c *Conn) admitJob() bool {
+	g := c.listener
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.multiplexed && c.phase == closing { // its client has been answered already
+	if !g.multiplexed && c.phase == phaseClosing { // its client has been answered already
 		return false
 	}
 	if g.multiplexed {
-		if !http2limits.WithinDynamicThreshold(g.streams, g.jobs, c.jobs, surelyStreams) {
+		if !http2limits.WithinDynamicThreshold(g.streams, g.jobs, c.openJobs, surelyStreams) {
 			return false
 		}
-		c.jobs++
+		c.openJobs++
 		g.jobs++
 	}
-	c.phase, c.since, c.client = serving, time.Now(), true
+	c.phase, c.phaseSince, c.hasCarriedJob = phaseServing, time.Now(), true
 	return true
 }
 
-// leave ends a job that was taken. Where the connection carries one at a time, net/http tells when it is idle again.
-func (c *Conn) leave() {
-	g := c.gate
+// releaseJob ends a job that was taken. Where the connection carries one at a time, net/http tells when it is idle again.
+func (c *Conn) releaseJob() {
+	g := c.listener
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.multiplexed {
 		return
 	}
 	g.jobs--
-	if c.jobs--; c.jobs == 0 {
-		c.phase, c.since = idle, time.Now()
+	if c.openJobs--; c.openJobs == 0 {
+		c.phase, c.phaseSince = phaseIdle, time.Now()
 	}
 }
 
 // Ready tells that a multiplexed connection can carry requests from now on.
-func (c *Conn) Ready() { c.enter(idle) }
+func (c *Conn) Ready() { c.enterPhase(phaseIdle) }
 
-// Gated gives the connection: what is wrapped around it has the same method.
-func (c *Conn) Gated() *Conn { return c }
+// ClientConn gives the connection: what is wrapped around it has the same method.
+func (c *Conn) ClientConn() *Conn { return c }
 
 type connKey struct{}
 
-// note is an http.Server's ConnContext: handlers find their connection by it.
-func note(ctx context.Context, c net.Conn) context.Context {
+// withConn is an http.Server's ConnContext: handlers find their connection by it.
+func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
@@ -371,68 +371,68 @@
 	return c
 }
 
-// gone tells, at any time, whether a request's client has left; it costs a system call.
-func gone(r *http.Request) func() bool {
-	ctx, c := r.Context(), gated(r)
-	return func() bool { return ctx.Err() != nil || c != nil && c.hasLeft() }
+// clientGoneFunc tells, at any time, whether a request's client has left; it costs a system call.
+func clientGoneFunc(r *http.Request) func() bool {
+	ctx, c := r.Context(), clientConnOf(r)
+	return func() bool { return ctx.Err() != nil || c != nil && c.clientHasLeft() }
 }
 
-// gated gives the connection of a request as its gate knows it; nil where it came through none.
-func gated(r *http.Request) *Conn {
-	if c, ok := ConnOf(r).(interface{ Gated() *Conn }); ok {
-		return c.Gated()
+// clientConnOf gives the connection of a request as its gate knows it; nil where it came through none.
+func clientConnOf(r *http.Request) *Conn {
+	if c, ok := ConnOf(r).(interface{ ClientConn() *Conn }); ok {
+		return c.ClientConn()
 	}
 	return nil
 }
 
-// enter notes what a request's connection is at.
-func enter(r *http.Request, p phase) {
-	if c := gated(r); c != nil {
-		c.enter(p)
+// enterPhase notes what a request's connection is at.
+func enterPhase(r *http.Request, p phase) {
+	if c := clientConnOf(r); c != nil {
+		c.enterPhase(p)
 	}
 }
 
-// take enters a request's job at its connection, and tells whether there was room; leave ends it.
-func take(r *http.Request) bool {
-	c := gated(r)
-	return c == nil || c.take()
+// admitJob enters a request's job at its connection, and tells whether there was room; leave ends it.
+func admitJob(r *http.Request) bool {
+	c := clientConnOf(r)
+	return c == nil || c.admitJob()
 }
 
-func leave(r *http.Request) {
-	if c := gated(r); c != nil {
-		c.leave()
+func releaseJob(r *http.Request) {
+	if c := clientConnOf(r); c != nil {
+		c.releaseJob()
 	}
 }
 
-// wholeBy is when a request must be here whole.
-func wholeBy(r *http.Request) time.Time {
-	c := gated(r)
-	if c == nil || c.gate.multiplexed { // its head had its own time, and is whole
+// requestReadDeadline is when a request must be here whole.
+func requestReadDeadline(r *http.Request) time.Time {
+	c := clientConnOf(r)
+	if c == nil || c.listener.multiplexed { // its head had its own time, and is whole
 		return time.Now().Add(wholeWithin)
 	}
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	return c.began.Add(wholeWithin)
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.requestBeganAt.Add(wholeWithin)
 }
 
-// waitedUnread gives for how long a request had been here whole before now.
-func waitedUnread(r *http.Request, now time.Time) time.Duration {
-	c := gated(r)
+// unreadDuration gives for how long a request had been here whole before now.
+func unreadDuration(r *http.Request, now time.Time) time.Duration {
+	c := clientConnOf(r)
 	if c == nil {
 		return 0
 	}
-	arrived := c.arrived.Load()
+	arrived := c.requestArrivedAt.Load()
 	if arrived == nil {
 		return 0
 	}
 	return max(now.Sub(*arrived), 0)
 }
 
-// watch is an http.Server's ConnState.
-func watch(conn net.Conn, s http.ConnState) {
+// trackConnState is an http.Server's ConnState.
+func trackConnState(conn net.Conn, s http.ConnState) {
 	if c, ok := conn.(*Conn); ok {
 		if s == http.StateIdle {
-			c.enter(idle)
+			c.enterPhase(phaseIdle)
 		}
 	}
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -50,7 +50,7 @@
 
 // A client's leaving shows while its request is served, whatever it has sent behind that, and however it leaves.
 func TestLeavingShowsBehindUnreadBytes(t *testing.T) {
-	for name, behind := range map[string]int{"nothing": 0, "a byte": 1, "a request": len(get), "more than is kept": 3 * mostAhead} {
+	for name, behind := range map[string]int{"nothing": 0, "a byte": 1, "a request": len(get), "more than is kept": 3 * maxReadAheadBytes} {
 		for how, leave := range map[string]func(*net.TCPConn){
 			"closes":      func(c *net.TCPConn) { c.Close() },
 			"half-closes": func(c *net.TCPConn) { c.CloseWrite() },
@@ -58,8 +58,8 @@
 		} {
 			began, left := make(chan struct{}), make(chan struct{})
 			_, dial := gateFor(t, func(_ http.ResponseWriter, r *http.Request) {
-				is := gone(r)
-				enter(r, serving)
+				is := clientGoneFunc(r)
+				enterPhase(r, phaseServing)
 				close(began)
 				<-r.Context().Done()
 				if is() {
@@ -85,7 +85,7 @@
 	release := make(chan struct{})
 	served := 0
 	_, dial := gateFor(t, func(w http.ResponseWriter, r *http.Request) {
-		enter(r, serving)
+		enterPhase(r, phaseServing)
 		body, _ := io.ReadAll(r.Body)
 		if served++; served == 1 {
 			<-release
@@ -113,14 +113,14 @@
 // A connection that ends over unread bytes is not reset: its client reads the answer and then the end.
 func TestLingeringClose(t *testing.T) {
 	_, dial := gateFor(t, func(w http.ResponseWriter, r *http.Request) {
-		enter(r, serving)
+		enterPhase(r, phaseServing)
 		closeBehind(w)
 		fmt.Fprint(w, "answer")
 	})
 	for range 20 {
 		c := dial()
 		io.WriteString(c, get+get+get)
-		c.Write(make([]byte, 2*mostAhead))
+		c.Write(make([]byte, 2*maxReadAheadBytes))
 		in := bufio.NewReader(c)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -144,7 +144,7 @@
 		var begun atomic.Int32
 		g, dial := gateFor(t, func(w http.ResponseWriter, r *http.Request) {
 			begun.Add(1)
-			enter(r, serving)
+			enterPhase(r, phaseServing)
 			fmt.Fprint(w, "answer")
 		})
 		c := dial()
@@ -164,7 +164,7 @@
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			for c := range g.conns {
-				return c.phase == idle
+				return c.phase == phaseIdle
 			}
 			return false
 		})
@@ -201,7 +201,7 @@
 	const behind = 200
 	release := make(chan struct{})
 	g, dial := gateFor(t, func(w http.ResponseWriter, r *http.Request) {
-		enter(r, serving)
+		enterPhase(r, phaseServing)
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Path == "/0" {
 			<-release
@@ -218,14 +218,14 @@
 	for i := 1; i <= behind; i++ {
 		kept += ask(i)
 	}
-	if kept < 2*4096 || kept > mostAhead {
+	if kept < 2*4096 || kept > maxReadAheadBytes {
 		t.Fatalf("%d bytes are no test", kept)
 	}
 	until(t, "all of it kept", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		for c := range g.conns {
-			return int(c.behind.Load()) == kept
+			return int(c.pendingBytes.Load()) == kept
 		}
 		return false
 	})
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	connectWithin = 500 * time.Millisecond // one that is cut off takes no connection: that shows long before a watch's end
-	mostList      = 4 << 20
+	discoveryDialTimeout = 500 * time.Millisecond // one that is cut off takes no connection: that shows long before a watch's end
+	maxListBytes         = 4 << 20
 )
 
 // Discovery asks for the destination set. It is the core's routing.Discovery.
@@ -36,7 +36,7 @@
 // NewDiscovery makes a client of its own: no proxy of the environment may come between. The meter counts what its calls cost;
 // nil for none.
 func NewDiscovery(address string, p *protocol.LiveSettings, m *traffic.Meter) *Discovery {
-	dialer := &net.Dialer{Timeout: connectWithin}
+	dialer := &net.Dialer{Timeout: discoveryDialTimeout}
 	return &Discovery{Address: address, Params: p, meter: m,
 		client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: m.Dial(dialer)}}}
 }
@@ -62,7 +62,7 @@
 	}
 	defer resp.Body.Close()
 	came := time.Now() // what the answer tells counts from when it was written
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostList))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return routing.ListUpdate{}, err
 	}
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -299,7 +299,7 @@
 	switch {
 	case x.call.ID.Number > 0 && e.fleet.RetriesAllowed != nil && !e.fleet.RetriesAllowed():
 		return "repeats are not allowed now"
-	case e.past(e.dest.NotifiedAt, drainMargin, now):
+	case e.past(e.dest.NotifiedAt, drainGraceMargin, now):
 		return "the worker drains or is gone"
 	case e.past(e.barred, writeMargin, now):
 		return "the worker is out by hand"
@@ -334,7 +334,7 @@
 		earlier(by.Add(-writeMargin))
 	}
 	if told := e.dest.NotifiedAt; !told.IsZero() {
-		earlier(e.graceEnd(told, drainMargin))
+		earlier(e.graceEnd(told, drainGraceMargin))
 	}
 	if !e.barred.IsZero() {
 		earlier(e.graceEnd(e.barred, writeMargin))
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -103,7 +103,7 @@
 		return protocol.EncodeProbe(host, e.fleet.params.Current())
 	}
 	job, _ := x.call.Job.(*protocol.Job)
-	return job.Encode(host, passedOn(time.Until(job.Deadline)))
+	return job.Encode(host, forwardedTimeLimit(time.Until(job.Deadline)))
 }
 
 // write writes a request, and tells how the exchange ended if its last byte did not leave: the endpoint has not begun what it
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -127,17 +127,17 @@
 	case f.tight():
 		f.failFast(w, r, job.ClassName, "leaving, the last free connections")
 		return nil, done
-	case !take(r):
+	case !admitJob(r):
 		f.failFast(w, r, job.ClassName, "the connection has its part of the streams")
 		return nil, done
 	}
-	done = func() { letGo(); leave(r) }
-	free, ok := f.shares.take(job.Account)
+	done = func() { letGo(); releaseJob(r) }
+	free, ok := f.shares.admit(job.Account)
 	if !ok {
 		f.failFast(w, r, job.ClassName, "the account has its share")
 		return nil, done
 	}
-	done = func() { free(); leave(r); letGo() }
+	done = func() { free(); releaseJob(r); letGo() }
 	return job, done
 }
 
@@ -215,14 +215,14 @@
 	now := time.Now()
 	c := http.NewResponseController(w)
 	if r.ProtoMajor >= 2 {
-		defer within(time.Until(wholeBy(r)), c.SetReadDeadline)()
+		defer within(time.Until(requestReadDeadline(r)), c.SetReadDeadline)()
 		return protocol.DecodeInbound(r, p, now)
 	}
-	_ = c.SetReadDeadline(wholeBy(r))
+	_ = c.SetReadDeadline(requestReadDeadline(r))
 	job, err := protocol.DecodeInbound(r, p, now)
 	if err == nil {
 		_ = c.SetReadDeadline(time.Time{})
-		job.Deadline = job.Deadline.Add(-waitedUnread(r, now)) // its client's time ran while it waited behind another
+		job.Deadline = job.Deadline.Add(-unreadDuration(r, now)) // its client's time ran while it waited behind another
 	}
 	return job, err
 }
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -20,23 +20,23 @@
 // PeerProcess is the other process while one replaces the other: a Unix socket whose end is the other's end. It is an
 // actor with a mailbox: nobody who tells it something waits for it.
 type PeerProcess struct {
-	conn *net.UnixConn
-	in   *json.Decoder
-	box  *routing.Mailbox[protocol.HandoverMessage]
-	gone chan struct{}
-
-	mu    sync.Mutex
-	asked uint64
-	open  map[uint64]chan bool
+	conn    *net.UnixConn
+	decoder *json.Decoder
+	mailbox *routing.Mailbox[protocol.HandoverMessage]
+	gone    chan struct{}
+
+	mu               sync.Mutex
+	lastQuestionID   uint64
+	pendingQuestions map[uint64]chan bool
 }
 
 const (
-	siblingWithin = time.Second // a process that takes nothing from its sibling for so long is as good as dead
-	mostFronts    = 4
+	peerWriteTimeout = time.Second // a process that takes nothing from its sibling for so long is as good as dead
+	maxListeners     = 4
 )
 
-func newSibling(conn *net.UnixConn) *PeerProcess {
-	return &PeerProcess{conn: conn, in: json.NewDecoder(conn), box: routing.NewMailbox[protocol.HandoverMessage](), gone: make(chan struct{}), open: map[uint64]chan bool{}}
+func newPeerProcess(conn *net.UnixConn) *PeerProcess {
+	return &PeerProcess{conn: conn, decoder: json.NewDecoder(conn), mailbox: routing.NewMailbox[protocol.HandoverMessage](), gone: make(chan struct{}), pendingQuestions: map[uint64]chan bool{}}
 }
 
 // ConnectToPredecessor finds the process that is to be replaced and takes over its listeners and what it knows. No such process, a
@@ -46,12 +46,12 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	k := newSibling(conn.(*net.UnixConn))
+	k := newPeerProcess(conn.(*net.UnixConn))
 	_ = k.conn.SetDeadline(until)
-	listeners, err := k.receive()
+	listeners, err := k.receiveListeners()
 	var first protocol.HandoverMessage
 	if err == nil {
-		err = k.in.Decode(&first)
+		err = k.decoder.Decode(&first)
 	}
 	if err == nil && (first.Handover == nil || len(first.Handover.Fronts) != len(listeners)) {
 		err = errors.New("the predecessor's first word is no handover")
@@ -67,9 +67,9 @@
 	return k, first.Handover, listeners, nil
 }
 
-// receive takes the listeners, which come with one byte.
-func (k *PeerProcess) receive() (listeners []*net.TCPListener, err error) {
-	mark, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4*mostFronts))
+// receiveListeners takes the listeners, which come with one byte.
+func (k *PeerProcess) receiveListeners() (listeners []*net.TCPListener, err error) {
+	mark, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4*maxListeners))
 	_, n, _, _, err := k.conn.ReadMsgUnix(mark, control)
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 		_, _, err = k.conn.WriteMsgUnix([]byte{'\n'}, syscall.UnixRights(fds...), nil)
 		return err
 	}
-	_ = k.conn.SetWriteDeadline(time.Now().Add(siblingWithin))
+	_ = k.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
 	if err := send(); err != nil {
 		return err
 	}
@@ -124,10 +124,10 @@
 
 // Run reads and writes until the other process is gone. take gets all but answers.
 func (k *PeerProcess) Run(take func(protocol.HandoverMessage)) {
-	go k.write()
+	go k.writeMessages()
 	for {
 		var n protocol.HandoverMessage
-		if err := k.in.Decode(&n); err != nil {
+		if err := k.decoder.Decode(&n); err != nil {
 			break
 		}
 		if n.AnswerTo == 0 {
@@ -135,8 +135,8 @@
 			continue
 		}
 		k.mu.Lock()
-		answered := k.open[n.AnswerTo]
-		delete(k.open, n.AnswerTo)
+		answered := k.pendingQuestions[n.AnswerTo]
+		delete(k.pendingQuestions, n.AnswerTo)
 		k.mu.Unlock()
 		if answered != nil {
 			answered <- n.Yes // has room
@@ -146,16 +146,16 @@
 	close(k.gone)
 }
 
-func (k *PeerProcess) write() {
+func (k *PeerProcess) writeMessages() {
 	out := json.NewEncoder(k.conn)
 	for {
 		select {
 		case <-k.gone:
 			return
-		case <-k.box.Signal():
+		case <-k.mailbox.Signal():
 		}
-		for _, n := range k.box.Take() {
-			_ = k.conn.SetWriteDeadline(time.Now().Add(siblingWithin))
+		for _, n := range k.mailbox.Take() {
+			_ = k.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
 			if err := out.Encode(n); err != nil {
 				k.conn.Close() // ends Run
 				return
@@ -165,15 +165,15 @@
 }
 
 // Notify sends a note. It does not block.
-func (k *PeerProcess) Notify(n protocol.HandoverMessage) { k.box.Post(n) }
+func (k *PeerProcess) Notify(n protocol.HandoverMessage) { k.mailbox.Post(n) }
 
 // Ask sends a question and gives the answer; heard tells whether one came until then.
 func (k *PeerProcess) Ask(n protocol.HandoverMessage, until time.Time) (yes, heard bool) {
 	answered := make(chan bool, 1)
 	k.mu.Lock()
-	k.asked++
-	n.QuestionID = k.asked
-	k.open[n.QuestionID] = answered
+	k.lastQuestionID++
+	n.QuestionID = k.lastQuestionID
+	k.pendingQuestions[n.QuestionID] = answered
 	k.mu.Unlock()
 	k.Notify(n)
 	late := time.NewTimer(time.Until(until))
@@ -184,7 +184,7 @@
 	case <-k.gone:
 	case <-late.C:
 		k.mu.Lock()
-		delete(k.open, n.QuestionID)
+		delete(k.pendingQuestions, n.QuestionID)
 		k.mu.Unlock()
 	}
 	return false, false
@@ -238,7 +238,7 @@
 			_ = raw.Control(func(fd uintptr) { who, _ = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED) })
 		}
 		if who != nil && int(who.Uid) == os.Getuid() {
-			return newSibling(conn), nil
+			return newPeerProcess(conn), nil
 		}
 		conn.Close()
 	}
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -12,143 +12,143 @@
 	"brassdale/internal/transport"
 )
 
-// lingers is how long a connection that was told to end is still read, so that the word is not lost to a reset.
-const lingers = 250 * time.Millisecond
+// closeTimeout is how long a connection that was told to end is still read, so that the word is not lost to a reset.
+const closeTimeout = 250 * time.Millisecond
 
 // conn is a client's connection. Both ways its frames are followed by their heads alone: net/http speaks the protocol,
 // the judge says when it has been enough.
 type conn struct {
-	net.Conn // the gate's, or TLS over it
-	gated    *transport.Conn
-	tls      *tls.Conn // nil where the connection is in clear
-	front    *Frontend
-	taken    time.Time // the judge's times count from here
-
-	checked bool // owned by Read: TLS agreed on the protocol
-	in      follower
-
-	mu    sync.Mutex
-	judge *http2limits.Conn
-	alarm *time.Timer // runs from when something is half there until it is found whole
-	last  uint32      // the highest stream that a client opened
-
-	out   writer
-	ended atomic.Bool // told to end: nothing more goes on to net/http
+	net.Conn   // the gate's, or TLS over it
+	clientConn *transport.Conn
+	tls        *tls.Conn // nil where the connection is in clear
+	frontend   *Frontend
+	acceptedAt time.Time // the judge's times count from here
+
+	protocolChecked bool // owned by Read: TLS agreed on the protocol
+	inbound         frameScanner
+
+	mu               sync.Mutex
+	limits           *http2limits.Conn
+	completionTimer  *time.Timer // runs from when something is half there until it is found whole
+	lastClientStream uint32      // the highest stream that a client opened
+
+	outbound   frameWriter
+	terminated atomic.Bool // told to end: nothing more goes on to net/http
 }
 
 func newConn(front *Frontend, gated *transport.Conn, config *tls.Config) *conn {
-	c := &conn{Conn: gated, gated: gated, front: front, taken: time.Now(), judge: http2limits.New(0), in: follower{ahead: len(preface)}}
+	c := &conn{Conn: gated, clientConn: gated, frontend: front, acceptedAt: time.Now(), limits: http2limits.New(0), inbound: frameScanner{prefaceBytesLeft: len(preface)}}
 	if config != nil {
 		c.tls = tls.Server(gated, config)
 		c.Conn = c.tls
 	}
-	c.out.start(c.Conn, gated.Close, c.sent)
+	c.outbound.start(c.Conn, gated.Close, c.frameSent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.alarm = time.AfterFunc(http2limits.CompletionTimeout, c.look)
+	c.completionTimer = time.AfterFunc(http2limits.CompletionTimeout, c.checkCompletion)
 	return c
 }
 
-// Gated gives the connection as its gate knows it.
-func (c *conn) Gated() *transport.Conn { return c.gated }
+// ClientConn gives the connection as its gate knows it.
+func (c *conn) ClientConn() *transport.Conn { return c.clientConn }
 
 // Read hands net/http what came, unless it was too much.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.tls != nil && !c.checked {
+	if c.tls != nil && !c.protocolChecked {
 		if err := c.tls.Handshake(); err != nil { // within net/http's time for a first head
 			return 0, err
 		}
 		if c.tls.ConnectionState().NegotiatedProtocol != "h2" {
 			return 0, io.EOF
 		}
-		c.checked = true
+		c.protocolChecked = true
 	}
 	for {
 		n, err := c.Conn.Read(b)
 		switch {
-		case c.ended.Load():
+		case c.terminated.Load():
 			if err != nil {
 				return 0, io.EOF
 			}
 			continue // so that the word is read before the end
-		case n > 0 && !c.follow(b[:n]):
+		case n > 0 && !c.inspect(b[:n]):
 			continue
 		}
 		return n, err
 	}
 }
 
-// follow has the judge see what came, and tells whether it may go on.
-func (c *conn) follow(b []byte) bool {
-	now := time.Since(c.taken)
+// inspect has the judge see what came, and tells whether it may go on.
+func (c *conn) inspect(b []byte) bool {
+	now := time.Since(c.acceptedAt)
 	c.mu.Lock()
 	why := http2limits.CloseReason("")
 	for len(b) > 0 && why == "" {
-		n, ev := c.in.step(b)
+		n, ev := c.inbound.step(b)
 		b = b[n:]
 		switch ev {
-		case greeted:
-			c.judge.PrefaceCompleted()
-			c.gated.Ready()
-		case begun:
-			c.judge.FrameStarted(now)
-		case headed:
-			f := c.in.frame()
+		case prefaceRead:
+			c.limits.PrefaceCompleted()
+			c.clientConn.Ready()
+		case frameBegun:
+			c.limits.FrameStarted(now)
+		case headRead:
+			f := c.inbound.frame()
 			if f.Kind == http2limits.Headers {
-				c.last = max(c.last, f.Stream)
+				c.lastClientStream = max(c.lastClientStream, f.Stream)
 			}
-			if why = c.judge.FrameReceived(now, f); f.Length == 0 {
-				c.judge.FrameCompleted()
+			if why = c.limits.FrameReceived(now, f); f.Length == 0 {
+				c.limits.FrameCompleted()
 			}
-		case whole:
-			c.judge.FrameCompleted()
+		case frameRead:
+			c.limits.FrameCompleted()
 		}
 	}
-	if _, due := c.judge.Deadline(); due && why == "" && c.alarm == nil {
-		c.alarm = time.AfterFunc(http2limits.CompletionTimeout, c.look)
+	if _, due := c.limits.Deadline(); due && why == "" && c.completionTimer == nil {
+		c.completionTimer = time.AfterFunc(http2limits.CompletionTimeout, c.checkCompletion)
 	}
 	c.mu.Unlock()
 	if why != "" {
-		c.end(why)
+		c.terminate(why)
 	}
 	return why == ""
 }
 
-// look ends what has stayed half there, and looks again while something is.
-func (c *conn) look() {
-	now := time.Since(c.taken)
+// checkCompletion ends what has stayed half there, and looks again while something is.
+func (c *conn) checkCompletion() {
+	now := time.Since(c.acceptedAt)
 	c.mu.Lock()
-	why := c.judge.CheckDeadline(now)
-	if at, due := c.judge.Deadline(); due && why == "" {
-		c.alarm = time.AfterFunc(at-now, c.look)
+	why := c.limits.CheckDeadline(now)
+	if at, due := c.limits.Deadline(); due && why == "" {
+		c.completionTimer = time.AfterFunc(at-now, c.checkCompletion)
 	} else {
-		c.alarm = nil
+		c.completionTimer = nil
 	}
 	c.mu.Unlock()
 	if why != "" {
-		c.end(why)
+		c.terminate(why)
 	}
 }
 
-// end ends the connection for a reason: the client is told, and what it still sends is not looked at.
-func (c *conn) end(why http2limits.CloseReason) {
-	if c.ended.Swap(true) {
+// terminate ends the connection for a reason: the client is told, and what it still sends is not looked at.
+func (c *conn) terminate(why http2limits.CloseReason) {
+	if c.terminated.Swap(true) {
 		return
 	}
-	c.front.calmed(why, c.gated)
+	c.frontend.recordFloodClose(why, c.clientConn)
 	c.mu.Lock()
-	last := c.last
+	last := c.lastClientStream
 	c.mu.Unlock()
-	c.out.last(goAwayFrame(last, codeCalm, string(why)), time.Now().Add(lingers))
+	c.outbound.finish(goAwayFrame(last, errCodeEnhanceYourCalm, string(why)), time.Now().Add(closeTimeout))
 	if c.tls != nil {
 		_ = c.tls.CloseWrite()
 	}
-	_ = c.gated.CloseWrite()
-	_ = c.Conn.SetReadDeadline(time.Now().Add(lingers))
+	_ = c.clientConn.CloseWrite()
+	_ = c.Conn.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
 // Write takes net/http's frames.
-func (c *conn) Write(b []byte) (int, error) { return c.out.write(b) }
+func (c *conn) Write(b []byte) (int, error) { return c.outbound.write(b) }
 
 // SetWriteDeadline does nothing: how long a write may take is the writer's matter.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
@@ -156,34 +156,34 @@
 // SetDeadline sets the one for reading.
 func (c *conn) SetDeadline(t time.Time) error { return c.Conn.SetReadDeadline(t) }
 
-// sent has the judge see a frame that goes out.
-func (c *conn) sent(f http2limits.Frame) {
+// frameSent has the judge see a frame that goes out.
+func (c *conn) frameSent(f http2limits.Frame) {
 	answered := (f.Kind == http2limits.Data || f.Kind == http2limits.Headers) && f.Flags&http2limits.EndStream != 0
 	if !answered && f.Kind != http2limits.Reset {
 		return
 	}
 	c.mu.Lock()
 	if answered {
-		c.judge.StreamAnswered()
+		c.limits.StreamAnswered()
 	}
-	why := c.judge.FrameSent(time.Since(c.taken), f)
+	why := c.limits.FrameSent(time.Since(c.acceptedAt), f)
 	c.mu.Unlock()
 	if why != "" {
-		go c.end(why) // the writer is held here
+		go c.terminate(why) // the writer is held here
 	}
 }
 
 // Close ends the connection for good.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	if c.alarm != nil {
-		c.alarm.Stop()
+	if c.completionTimer != nil {
+		c.completionTimer.Stop()
 	}
 	c.mu.Unlock()
-	c.front.forget(c)
-	c.out.last(nil, time.Now().Add(lingers))
+	c.frontend.removeConn(c)
+	c.outbound.finish(nil, time.Now().Add(closeTimeout))
 	if c.tls != nil {
 		return c.tls.Close()
 	}
-	return c.gated.Close()
+	return c.clientConn.Close()
 }
--- a/internal/transport/http2/keys.go
+++ b/internal/transport/http2/credentials.go
@@ -24,13 +24,13 @@
 	Accounts []string `hcl:"accounts"` // Req-Owner
 }
 
-// soon is how long before the end of a certificate its operator is told.
-const soon = 14 * 24 * time.Hour
+// expiryWarningPeriod is how long before the end of a certificate its operator is told.
+const expiryWarningPeriod = 14 * 24 * time.Hour
 
-// keys are the files' contents as of one moment.
-type keys struct {
-	config *tls.Config
-	ends   time.Time // of the certificate
+// credentials are the files' contents as of one moment.
+type credentials struct {
+	config    *tls.Config
+	expiresAt time.Time // of the certificate
 }
 
 // FileError is what is wrong with a file, and by which field of the settings it was named.
@@ -42,7 +42,7 @@
 func (e *FileError) Error() string { return e.Field + ": " + e.Err.Error() }
 
 // load reads all files of the settings, or none: an error is a FileError.
-func (t *TLS) load() (*keys, error) {
+func (t *TLS) load() (*credentials, error) {
 	info, err := os.Stat(t.Key)
 	if err != nil {
 		return nil, &FileError{"key", err}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, &FileError{"certificate", err}
 	}
-	k := &keys{ends: pair.Leaf.NotAfter, config: &tls.Config{
+	k := &credentials{expiresAt: pair.Leaf.NotAfter, config: &tls.Config{
 		Certificates: []tls.Certificate{pair}, NextProtos: []string{"h2"}, MinVersion: tls.VersionTLS12,
 		// Of TLS 1.2 what RFC 9113, section 9.2.2, leaves over.
 		CipherSuites: []uint16{tls.TLS_ECDHE_ECDSA_WITH_AES_128_GCM_SHA256, tls.TLS_ECDHE_RSA_WITH_AES_128_GCM_SHA256,
@@ -89,7 +89,7 @@
 // grants tells which accounts' jobs a certificate may hand in, by the names that it may have.
 type grants map[string][]string
 
-func grantsOf(clients []Client) grants {
+func newGrants(clients []Client) grants {
 	g := grants{}
 	for _, c := range clients {
 		for _, name := range c.Names {
@@ -99,15 +99,15 @@
 	return g
 }
 
-// allow tells whether the certificate of a connection may hand in an account's job.
-func (g grants) allow(state tls.ConnectionState, account string) bool {
+// permits tells whether the certificate of a connection may hand in an account's job.
+func (g grants) permits(state tls.ConnectionState, account string) bool {
 	if len(state.VerifiedChains) == 0 || account == "" {
 		return false
 	}
-	return slices.ContainsFunc(namesOf(state.PeerCertificates[0]), func(name string) bool { return slices.Contains(g[name], account) })
+	return slices.ContainsFunc(certificateNames(state.PeerCertificates[0]), func(name string) bool { return slices.Contains(g[name], account) })
 }
 
-func namesOf(cert *x509.Certificate) []string {
+func certificateNames(cert *x509.Certificate) []string {
 	names := slices.Clone(cert.DNSNames)
 	for _, u := range cert.URIs {
 		names = append(names, u.String())
@@ -118,4 +118,4 @@
 	return names
 }
 
-var errNoKeys = errors.New("tls cannot be switched on or off while the program runs")
+var errTLSToggled = errors.New("tls cannot be switched on or off while the program runs")
--- a/internal/transport/http2/frontend_test.go
+++ b/internal/transport/http2/frontend_test.go
@@ -19,15 +19,15 @@
 	"brassdale/scheduler"
 )
 
-// atOnce is a core that answers each job as it comes.
-type atOnce struct{ ledger routing.Counters }
+// immediateCore is a core that answers each job as it comes.
+type immediateCore struct{ ledger routing.Counters }
 
-func (c *atOnce) Submit(in routing.Request) scheduler.RequestID {
+func (c *immediateCore) Submit(in routing.Request) scheduler.RequestID {
 	in.Client.Answered(routing.Answer{Verdict: routing.Served, Result: []byte("priced")})
 	return 1
 }
-func (c *atOnce) ClientLeft(scheduler.RequestID) {}
-func (c *atOnce) Counters() *routing.Counters    { return &c.ledger }
+func (c *immediateCore) ClientLeft(scheduler.RequestID) {}
+func (c *immediateCore) Counters() *routing.Counters    { return &c.ledger }
 
 // BenchmarkFronts tells what a job costs at each front, without the module and endpoints. The client costs nothing that
 // is counted.
@@ -53,7 +53,7 @@
 	b.Run("HTTP/1.1", func(b *testing.B) {
 		gate := transport.NewListener(listen(), log)
 		gate.SetLimits(100, math.MaxInt64)
-		serve(transport.Server(transport.NewJobFrontend(&atOnce{}, params, gate, &transport.InFlightIDs{}, nil, nil, nil, log), log), gate)
+		serve(transport.Server(transport.NewJobFrontend(&immediateCore{}, params, gate, &transport.InFlightIDs{}, nil, nil, nil, log), log), gate)
 		conn, err := net.Dial("tcp", gate.Addr().String())
 		if err != nil {
 			b.Fatal(err)
@@ -85,7 +85,7 @@
 		gate.SetLimits(100, math.MaxInt64)
 		gate.SetStreamLimit(1000)
 		s := Default()
-		front, err := New(&s, &atOnce{}, params, gate, &transport.InFlightIDs{}, nil, nil, log)
+		front, err := New(&s, &immediateCore{}, params, gate, &transport.InFlightIDs{}, nil, nil, log)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -108,7 +108,7 @@
 		data := len(job) - 4
 		job = append(job, "drawing"...)
 		window := binary.BigEndian.AppendUint32([]byte{0, 0, 4, 8, 0, 0, 0, 0, 0}, 6)
-		in, head := bufio.NewReader(conn), make([]byte, frameHead)
+		in, head := bufio.NewReader(conn), make([]byte, frameHeadBytes)
 		stream := uint32(1)
 		b.ReportAllocs()
 		for b.Loop() {
@@ -137,12 +137,12 @@
 }
 
 // The follower finds the same frames however the bytes are cut.
-func FuzzFollower(f *testing.F) {
+func FuzzFrameScanner(f *testing.F) {
 	f.Add([]byte("\x00\x00\x03\x00\x01\x00\x00\x00\x01abc\x00\x00\x00\x04\x00\x00\x00\x00\x00"), uint8(1))
 	f.Add([]byte("\x00\x00\x08\x07\x00\x00\x00\x00\x00\x00\x00"), uint8(3))
 	f.Fuzz(func(t *testing.T, text []byte, cut uint8) {
 		frames := func(size int) (found []http2limits.Frame, between bool) {
-			var in follower
+			var in frameScanner
 			for rest := text; len(rest) > 0; {
 				piece := rest[:min(size, len(rest))]
 				rest = rest[len(piece):]
@@ -151,12 +151,12 @@
 					if n == 0 {
 						t.Fatal("no way on")
 					}
-					if piece = piece[n:]; ev == headed {
+					if piece = piece[n:]; ev == headRead {
 						found = append(found, in.frame())
 					}
 				}
 			}
-			return found, in.between()
+			return found, in.betweenFrames()
 		}
 		whole, end := frames(len(text) + 1)
 		pieces, endOfPieces := frames(int(cut) + 1)
--- a/internal/transport/idempotencytable.go
+++ b/internal/transport/idempotencytable.go
@@ -27,78 +27,78 @@
 // window after its end, which ends later than the one in which endpoints drop a repeat. Who comes with the key joins
 // it; so no key is started twice while endpoints may remember it.
 type IdempotencyTable struct {
-	set     *IdempotencySettings
-	ids     *InFlightIDs
-	streams bool         // a front streams jobs' events: they are kept too
-	bytes   atomic.Int64 // of the events and answers of all jobs
-
-	mu   sync.Mutex
-	jobs map[string]*watched // by key
-	peer *peer               // the other process while one replaces the other
-	old  []retired           // jobs that have ended, a heap by when they are forgotten
-	look *time.Timer         // nil while none has
+	settings      *IdempotencySettings
+	inFlightIDs   *InFlightIDs
+	recordEvents  bool         // a front streams jobs' events: they are kept too
+	retainedBytes atomic.Int64 // of the events and answers of all jobs
+
+	mu         sync.Mutex
+	jobs       map[string]*jobStream // by key
+	peer       *peerTable            // the other process while one replaces the other
+	endedJobs  []endedJob            // jobs that have ended, a heap by when they are forgotten
+	sweepTimer *time.Timer           // nil while none has
 }
 
-// retired is a job that has ended and is forgotten at a time.
-type retired struct {
-	job *watched
-	at  time.Time
+// endedJob is a job that has ended and is forgotten at a time.
+type endedJob struct {
+	job      *jobStream
+	forgetAt time.Time
 }
 
-type byAge []retired
+type byForgetTime []endedJob
 
-func (o byAge) Len() int           { return len(o) }
-func (o byAge) Less(i, j int) bool { return o[i].at.Before(o[j].at) }
-func (o byAge) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
-func (o *byAge) Push(x any)        { *o = append(*o, x.(retired)) }
-func (o *byAge) Pop() any {
+func (o byForgetTime) Len() int           { return len(o) }
+func (o byForgetTime) Less(i, j int) bool { return o[i].forgetAt.Before(o[j].forgetAt) }
+func (o byForgetTime) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
+func (o *byForgetTime) Push(x any)        { *o = append(*o, x.(endedJob)) }
+func (o *byForgetTime) Pop() any {
 	last := (*o)[len(*o)-1]
-	(*o)[len(*o)-1] = retired{}
+	(*o)[len(*o)-1] = endedJob{}
 	*o = (*o)[:len(*o)-1]
 	return last
 }
 
-// forgetEvery is how much longer than its window a job may be remembered: a timer for each would cost more than the job.
-const forgetEvery = 100 * time.Millisecond
+// minSweepInterval is how much longer than its window a job may be remembered: a timer for each would cost more than the job.
+const minSweepInterval = 100 * time.Millisecond
 
-// retire has a job forgotten behind its window, unless its key has a newer one by then.
-func (k *IdempotencyTable) retire(j *watched, window time.Duration) {
+// forgetAfter has a job forgotten behind its window, unless its key has a newer one by then.
+func (k *IdempotencyTable) forgetAfter(j *jobStream, window time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	heap.Push((*byAge)(&k.old), retired{j, time.Now().Add(window)})
-	if k.look == nil {
-		k.look = time.AfterFunc(window, k.sweep)
+	heap.Push((*byForgetTime)(&k.endedJobs), endedJob{j, time.Now().Add(window)})
+	if k.sweepTimer == nil {
+		k.sweepTimer = time.AfterFunc(window, k.forgetExpired)
 	}
 }
 
-// sweep forgets what is due.
-func (k *IdempotencyTable) sweep() {
+// forgetExpired forgets what is due.
+func (k *IdempotencyTable) forgetExpired() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	for len(k.old) > 0 && !k.old[0].at.After(now) {
-		k.drop(heap.Pop((*byAge)(&k.old)).(retired).job)
+	for len(k.endedJobs) > 0 && !k.endedJobs[0].forgetAt.After(now) {
+		k.removeLocked(heap.Pop((*byForgetTime)(&k.endedJobs)).(endedJob).job)
 	}
-	k.look = nil
-	if len(k.old) > 0 {
-		k.look = time.AfterFunc(max(k.old[0].at.Sub(now), forgetEvery), k.sweep)
+	k.sweepTimer = nil
+	if len(k.endedJobs) > 0 {
+		k.sweepTimer = time.AfterFunc(max(k.endedJobs[0].forgetAt.Sub(now), minSweepInterval), k.forgetExpired)
 	}
 }
 
 // NewIdempotencyTable makes the table. streams tells that there is a front that streams jobs' events.
 func NewIdempotencyTable(s *IdempotencySettings, ids *InFlightIDs, streams bool) *IdempotencyTable {
-	return &IdempotencyTable{set: s, ids: ids, streams: streams, jobs: map[string]*watched{}}
+	return &IdempotencyTable{settings: s, inFlightIDs: ids, recordEvents: streams, jobs: map[string]*jobStream{}}
 }
 
-// errUnknown: the job is known to another dispatcher, or was to this one before a restart. It may run or have run
+// errUnknownKey: the job is known to another dispatcher, or was to this one before a restart. It may run or have run
 // elsewhere, so a run from here could be one too many.
-var errUnknown = &protocol.RequestError{Status: http.StatusBadGateway, Reason: "the job of this Idempotency-Key is not known here; nothing was started"}
+var errUnknownKey = &protocol.RequestError{Status: http.StatusBadGateway, Reason: "the job of this Idempotency-Key is not known here; nothing was started"}
 
-var errAnother = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
+var errKeyMismatch = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
 
-// find gives the job of a request's key, the one that is known or a fresh one, with the request as one of its readers;
+// joinOrStart gives the job of a request's key, the one that is known or a fresh one, with the request as one of its readers;
 // or it answers the request itself. kept tells that the job is to go on without readers.
-func (f *front) find(w http.ResponseWriter, r *http.Request, job *protocol.Job, again, kept bool) (j *watched, fresh, ok bool) {
+func (f *front) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, again, kept bool) (j *jobStream, fresh, ok bool) {
 	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
 	k := f.keys
 	k.mu.Lock()
@@ -108,24 +108,24 @@
 	}
 	var known *idempotency.RememberedJob
 	if j != nil {
-		known = &idempotency.RememberedJob{Rejected: j.refused(), SameJob: j.digest == digest}
+		known = &idempotency.RememberedJob{Rejected: j.rejected(), SameJob: j.digest == digest}
 	}
-	verdict := idempotency.Decide(known, again, len(k.jobs) < k.set.Jobs && k.bytes.Load() < int64(k.set.KeepMB)<<20)
+	verdict := idempotency.Decide(known, again, len(k.jobs) < k.settings.Jobs && k.retainedBytes.Load() < int64(k.settings.KeepMB)<<20)
 	if verdict == idempotency.Start {
-		j = &watched{keys: k, key: job.IdempotencyKey, id: job.ID, digest: digest, changed: make(chan struct{}),
-			window: job.DeduplicationWindow, release: sync.OnceFunc(func() { k.ids.free(job.ID) })}
+		j = &jobStream{table: k, key: job.IdempotencyKey, id: job.ID, digest: digest, changed: make(chan struct{}),
+			deduplicationWindow: job.DeduplicationWindow, release: sync.OnceFunc(func() { k.inFlightIDs.releaseEverywhere(job.ID) })}
 	}
-	taken := verdict != idempotency.Start || k.ids.Reserve(job.ID, nil) // the predecessor is asked when nothing is held up by it
+	taken := verdict != idempotency.Start || k.inFlightIDs.Reserve(job.ID, nil) // the predecessor is asked when nothing is held up by it
 	if ok = taken && (verdict == idempotency.Start || verdict == idempotency.Join); ok {
 		j.readers++
-		j.kept = j.kept || kept && job.IdempotencyKey != ""
+		j.runsWithoutReaders = j.runsWithoutReaders || kept && job.IdempotencyKey != ""
 		if verdict == idempotency.Start && job.IdempotencyKey != "" {
 			k.jobs[job.IdempotencyKey] = j
 		}
 	}
 	k.mu.Unlock()
-	if ok && verdict == idempotency.Start && !k.ids.confirm(job.ID) {
-		j.end(routing.Answer{Verdict: routing.Rejected}) // for who joined meanwhile: it never ran
+	if ok && verdict == idempotency.Start && !k.inFlightIDs.confirmWithPredecessor(job.ID) {
+		j.finish(routing.Answer{Verdict: routing.Rejected}) // for who joined meanwhile: it never ran
 		taken, ok = false, false
 	}
 	switch {
@@ -134,56 +134,56 @@
 	case verdict == idempotency.TableFull:
 		f.refuse(w, r, job.ClassName, "out of remembered jobs")
 	case verdict == idempotency.UnknownKey:
-		f.rejectJob(w, r, errUnknown)
+		f.rejectJob(w, r, errUnknownKey)
 	case verdict == idempotency.KeyMismatch:
-		f.rejectJob(w, r, errAnother)
+		f.rejectJob(w, r, errKeyMismatch)
 	}
 	return j, verdict == idempotency.Start, ok
 }
 
-// submitted notes a job's number at the core.
-func (k *IdempotencyTable) submitted(j *watched, id scheduler.RequestID) {
+// setRequestID notes a job's number at the core.
+func (k *IdempotencyTable) setRequestID(j *jobStream, id scheduler.RequestID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	j.request = id
+	j.requestID = id
 }
 
-// abandon notes that a reader has left before the end. With the last one the job is given up, unless it is to go on.
-func (f *front) abandon(j *watched) {
+// abandonJob notes that a reader has left before the end. With the last one the job is given up, unless it is to go on.
+func (f *front) abandonJob(j *jobStream) {
 	f.keys.mu.Lock()
 	j.readers--
-	ended := j.ended()
-	over := !ended && idempotency.AbandonWithoutReaders(j.readers, j.kept)
+	ended := j.hasEnded()
+	over := !ended && idempotency.AbandonWithoutReaders(j.readers, j.runsWithoutReaders)
 	if over && f.keys.jobs[j.key] == j {
 		delete(f.keys.jobs, j.key) // whoever comes now begins anew
 	}
-	id := j.request
+	id := j.requestID
 	f.keys.mu.Unlock()
 	if over {
 		f.core.ClientLeft(id)
-		f.keys.forget(j)
+		f.keys.remove(j)
 		j.release()
 	}
 }
 
-// whole answers a request with its key's job in one piece.
-func (f *front) whole(w http.ResponseWriter, r *http.Request, job *protocol.Job) {
-	if f.elsewhere(w, r, job, inOnePiece) {
+// serveKeyedJob answers a request with its key's job in one piece.
+func (f *front) serveKeyedJob(w http.ResponseWriter, r *http.Request, job *protocol.Job) {
+	if f.relayToPeer(w, r, job, relayWhole) {
 		return
 	}
-	j, fresh, ok := f.find(w, r, job, false, false)
+	j, fresh, ok := f.joinOrStart(w, r, job, false, false)
 	if !ok {
 		return
 	}
 	if fresh {
-		f.keys.submitted(j, f.core.Submit(inboundOf(job, j)))
+		f.keys.setRequestID(j, f.core.Submit(coreRequest(job, j)))
 	} else {
-		if !f.ids.take(job.ID) { // also where it is that of the job itself
-			f.abandon(j)
+		if !f.ids.reserveEverywhere(job.ID) { // also where it is that of the job itself
+			f.abandonJob(j)
 			f.rejectJob(w, r, errIDInUse)
 			return
 		}
-		defer f.ids.free(job.ID)
+		defer f.ids.releaseEverywhere(job.ID)
 	}
 	// Only one that joined may have a deadline before the job's: the core answers all others in time.
 	var late <-chan time.Time
@@ -193,36 +193,36 @@
 		late = timer.C
 	}
 	for {
-		_, final, changed, _ := j.after(0)
+		_, final, changed, _ := j.eventsAfter(0)
 		if final != nil {
-			f.write(w, r, *final)
+			f.respond(w, r, *final)
 			return
 		}
 		select {
 		case <-changed:
 		case <-r.Context().Done():
-			f.abandon(j)
-			f.left(w, r)
+			f.abandonJob(j)
+			f.respondToDepartedClient(w, r)
 			return
 		case <-late:
-			f.abandon(j)
-			f.write(w, r, routing.Answer{Verdict: routing.Failed, DeadlinePassed: true})
+			f.abandonJob(j)
+			f.respond(w, r, routing.Answer{Verdict: routing.Failed, DeadlinePassed: true})
 			return
 		}
 	}
 }
 
-// forget drops a job that was given up.
-func (k *IdempotencyTable) forget(j *watched) {
+// remove drops a job that was given up.
+func (k *IdempotencyTable) remove(j *jobStream) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.drop(j)
+	k.removeLocked(j)
 }
 
-// drop forgets a job; k.mu is held.
-func (k *IdempotencyTable) drop(j *watched) {
+// removeLocked forgets a job; k.mu is held.
+func (k *IdempotencyTable) removeLocked(j *jobStream) {
 	if k.jobs[j.key] == j {
 		delete(k.jobs, j.key)
 	}
-	k.bytes.Add(-j.bytes.Swap(0))
+	k.retainedBytes.Add(-j.retainedBytes.Swap(0))
 }
--- a/internal/transport/inflightids.go
+++ b/internal/transport/inflightids.go
@@ -13,33 +13,33 @@
 //
 // While one process replaces another, the predecessor's table decides for both.
 type InFlightIDs struct {
-	mu   sync.Mutex
-	open map[string]*PeerProcess // by whom: nil for this process
-	pred *PeerProcess
+	mu          sync.Mutex
+	owners      map[string]*PeerProcess // by whom: nil for this process
+	predecessor *PeerProcess
 }
 
-// siblingAnswers is how long a predecessor has to say whether an id is free. One that is stuck for longer is taken to
+// peerAnswerTimeout is how long a predecessor has to say whether an id is free. One that is stuck for longer is taken to
 // have none open that matter: its clients hear nothing either.
-const siblingAnswers = 250 * time.Millisecond
+const peerAnswerTimeout = 250 * time.Millisecond
 
 // DelegateTo has the ids asked of a predecessor too, until it is gone.
 func (o *InFlightIDs) DelegateTo(pred *PeerProcess) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pred = pred
+	o.predecessor = pred
 }
 
 // Reserve takes an id for the process that asks, nil for this one, and tells whether it was free here.
 func (o *InFlightIDs) Reserve(id string, by *PeerProcess) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, taken := o.open[id]; taken {
+	if _, taken := o.owners[id]; taken {
 		return false
 	}
-	if o.open == nil {
-		o.open = map[string]*PeerProcess{}
+	if o.owners == nil {
+		o.owners = map[string]*PeerProcess{}
 	}
-	o.open[id] = by
+	o.owners[id] = by
 	return true
 }
 
@@ -47,8 +47,8 @@
 func (o *InFlightIDs) Release(id string, by *PeerProcess) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if owner, taken := o.open[id]; taken && owner == by {
-		delete(o.open, id)
+	if owner, taken := o.owners[id]; taken && owner == by {
+		delete(o.owners, id)
 	}
 }
 
@@ -56,21 +56,23 @@
 func (o *InFlightIDs) ReleaseAll(by *PeerProcess) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	maps.DeleteFunc(o.open, func(_ string, owner *PeerProcess) bool { return owner == by })
+	maps.DeleteFunc(o.owners, func(_ string, owner *PeerProcess) bool { return owner == by })
 }
 
-func (o *InFlightIDs) predecessor() *PeerProcess {
+func (o *InFlightIDs) currentPredecessor() *PeerProcess {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.pred
+	return o.predecessor
 }
 
-func (o *InFlightIDs) take(id string) bool { return o.Reserve(id, nil) && o.confirm(id) }
+func (o *InFlightIDs) reserveEverywhere(id string) bool {
+	return o.Reserve(id, nil) && o.confirmWithPredecessor(id)
+}
 
-// confirm has a predecessor agree to an id that was taken here; if it does not, the id is free again.
-func (o *InFlightIDs) confirm(id string) bool {
-	if pred := o.predecessor(); pred != nil {
-		yes, heard := pred.Ask(protocol.HandoverMessage{ReserveID: id}, time.Now().Add(siblingAnswers))
+// confirmWithPredecessor has a predecessor agree to an id that was taken here; if it does not, the id is free again.
+func (o *InFlightIDs) confirmWithPredecessor(id string) bool {
+	if pred := o.currentPredecessor(); pred != nil {
+		yes, heard := pred.Ask(protocol.HandoverMessage{ReserveID: id}, time.Now().Add(peerAnswerTimeout))
 		switch {
 		case !heard: // nor will it answer for the next
 			o.DelegateTo(nil)
@@ -82,9 +84,9 @@
 	return true
 }
 
-func (o *InFlightIDs) free(id string) {
+func (o *InFlightIDs) releaseEverywhere(id string) {
 	o.Release(id, nil)
-	if pred := o.predecessor(); pred != nil {
+	if pred := o.currentPredecessor(); pred != nil {
 		pred.Notify(protocol.HandoverMessage{ReleaseID: id})
 	}
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -170,7 +170,7 @@
 			return nil, err
 		}
 		now := time.Now()
-		c := &Conn{TCPConn: conn, gate: g, since: now, began: now}
+		c := &Conn{TCPConn: conn, listener: g, phaseSince: now, requestBeganAt: now}
 		if g.admit(c) {
 			return c, nil
 		}
@@ -183,16 +183,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.conns) >= g.most {
-		if old := g.spare(c.since); old != nil {
+		if old := g.spare(c.phaseSince); old != nil {
 			// The reading side of net/http notices and ends it; the descriptor is free at once.
 			g.ended(old)
 			g.log.Debug("client's connection ended", "why", "room", "phase", old.phase.String(), "client", old.RemoteAddr())
-			old.phase = closing // what its reader has in hand is of no request any more
+			old.phase = phaseClosing // what its reader has in hand is of no request any more
 			old.TCPConn.Close()
 			g.evicted++
-			if c.since.Sub(g.said) > time.Second {
+			if c.phaseSince.Sub(g.said) > time.Second {
 				g.log.Warn("clients' connections closed for want of room", "closed", g.evicted, "most", g.most)
-				g.said, g.evicted = c.since, 0
+				g.said, g.evicted = c.phaseSince, 0
 			}
 		} else if len(g.conns) >= g.most+g.most/reserveShare {
 			g.unanswered++
@@ -207,7 +207,7 @@
 // ended takes a connection out of the table; g is locked. One that ends with nothing written, though its client has not
 // gone, is counted.
 func (g *Listener) ended(c *Conn) {
-	if _, held := g.conns[c]; held && !c.wrote.Load() && !c.gone.Load() {
+	if _, held := g.conns[c]; held && !c.responseStarted.Load() && !c.clientGone.Load() {
 		g.unanswered++
 	}
 	delete(g.conns, c)
@@ -224,19 +224,19 @@
 func (g *Listener) spare(now time.Time) *Conn {
 	rank := func(c *Conn) int {
 		switch {
-		case c.phase == closing:
+		case c.phase == phaseClosing:
 			return 7
-		case c.phase == silent && now.Sub(c.since) > youngAge:
+		case c.phase == phaseNew && now.Sub(c.phaseSince) > youngAge:
 			return 6
-		case c.phase == idle && !c.client:
+		case c.phase == phaseIdle && !c.hasCarriedJob:
 			return 5
-		case c.phase == reading && now.Sub(c.since) > stalledAge:
+		case c.phase == phaseReading && now.Sub(c.phaseSince) > stalledAge:
 			return 4
-		case c.phase == idle: // while this process leaves, its client may have no other
+		case c.phase == phaseIdle: // while this process leaves, its client may have no other
 			return 3
-		case c.phase == silent:
+		case c.phase == phaseNew:
 			return 2
-		case c.phase == reading:
+		case c.phase == phaseReading:
 			return 1
 		}
 		return 0
@@ -244,14 +244,14 @@
 	for {
 		var worst *Conn
 		for c := range g.conns {
-			if r := rank(c); r > 0 && (worst == nil || r > rank(worst) || r == rank(worst) && c.since.Before(worst.since)) {
+			if r := rank(c); r > 0 && (worst == nil || r > rank(worst) || r == rank(worst) && c.phaseSince.Before(worst.phaseSince)) {
 				worst = c
 			}
 		}
-		if worst == nil || worst.phase == reading || worst.phase == closing || !worst.unread() {
+		if worst == nil || worst.phase == phaseReading || worst.phase == phaseClosing || !worst.hasUnreadBytes() {
 			return worst
 		}
-		worst.heard(now) // it has only not had its turn to be read
+		worst.noteRequestBytesLocked(now) // it has only not had its turn to be read
 	}
 }
 
@@ -270,9 +270,9 @@
 	defer g.mu.Unlock()
 	g.dismissed = true
 	for c := range g.conns {
-		if c.phase == idle && c.behind.Load() == 0 || c.phase == silent && now.Sub(c.since) > dismissYoung {
+		if c.phase == phaseIdle && c.pendingBytes.Load() == 0 || c.phase == phaseNew && now.Sub(c.phaseSince) > dismissYoung {
 			g.log.Debug("client's connection ended", "why", "leaving", "phase", c.phase.String(), "client", c.RemoteAddr())
-			c.phase, c.since = closing, now
+			c.phase, c.phaseSince = phaseClosing, now
 			// Whoever waits there to read finds it over, and lingers. A byte that comes in this very moment finds it so too.
 			_ = c.TCPConn.SetReadDeadline(now)
 		}
@@ -303,8 +303,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.conns {
-		if c.phase == reading && c.arrived.Load() == nil && !c.wrote.Load() {
-			c.phase, c.told = closing, true
+		if c.phase == phaseReading && c.requestArrivedAt.Load() == nil && !c.responseStarted.Load() {
+			c.phase, c.closeStarted = phaseClosing, true
 			all = append(all, c)
 			g.log.Debug("client's connection ended", "why", "leaving, half a request", "client", c.RemoteAddr())
 		}
@@ -325,7 +325,7 @@
 	defer g.mu.Unlock()
 	owed := g.jobs
 	for c := range g.conns {
-		if !g.multiplexed && c.phase == serving {
+		if !g.multiplexed && c.phase == phaseServing {
 			owed++
 		}
 	}
@@ -366,7 +366,7 @@
 	defer g.mu.Unlock()
 	free := -1 // without the one that asks
 	for c := range g.conns {
-		if c.phase != serving && c.phase != closing {
+		if c.phase != phaseServing && c.phase != phaseClosing {
 			free++
 		}
 	}
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -29,25 +29,25 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { far.Close(); near.Close() })
-		c := &Conn{TCPConn: near, gate: g, phase: p, since: now.Add(-age), client: client}
+		c := &Conn{TCPConn: near, listener: g, phase: p, phaseSince: now.Add(-age), hasCarriedJob: client}
 		g.conns[c] = struct{}{}
 		return c, far
 	}
-	add(serving, time.Hour, true)
-	goesOn, _ := add(reading, 100*time.Millisecond, false)
-	unread, far := add(silent, time.Second, false)
+	add(phaseServing, time.Hour, true)
+	goesOn, _ := add(phaseReading, 100*time.Millisecond, false)
+	unread, far := add(phaseNew, time.Second, false)
 	if _, err := far.Write([]byte("P")); err != nil {
 		t.Fatal(err)
 	}
-	for !unread.unread() { // until it is there
+	for !unread.hasUnreadBytes() { // until it is there
 		time.Sleep(time.Millisecond)
 	}
-	idler, _ := add(idle, time.Second, true)
-	longer, _ := add(idle, 2*time.Second, true)
-	justCome, _ := add(silent, time.Millisecond, false)
-	stalled, _ := add(reading, time.Second, false)
-	asked, _ := add(idle, time.Second, false)
-	mute, _ := add(silent, 100*time.Millisecond, false)
+	idler, _ := add(phaseIdle, time.Second, true)
+	longer, _ := add(phaseIdle, 2*time.Second, true)
+	justCome, _ := add(phaseNew, time.Millisecond, false)
+	stalled, _ := add(phaseReading, time.Second, false)
+	asked, _ := add(phaseIdle, time.Second, false)
+	mute, _ := add(phaseNew, 100*time.Millisecond, false)
 	for i, want := range []*Conn{mute, asked, stalled, longer, idler, justCome, goesOn, unread, nil} {
 		got := g.spare(now)
 		if got != want {
--- a/internal/transport/progressfrontend.go
+++ b/internal/transport/progressfrontend.go
@@ -31,12 +31,12 @@
 // to it.
 type ProgressFrontend struct {
 	front
-	set *ProgressSettings
+	settings *ProgressSettings
 }
 
 // NewProgressFrontend makes the front.
 func NewProgressFrontend(c Core, p *protocol.LiveSettings, o *ProgressSettings, g *Listener, ids *InFlightIDs, keys *IdempotencyTable, shares *AccountQuotas, log *slog.Logger) *ProgressFrontend {
-	return &ProgressFrontend{front: front{core: c, params: p, gate: g, ids: ids, keys: keys, shares: shares, log: log}, set: o}
+	return &ProgressFrontend{front: front{core: c, params: p, gate: g, ids: ids, keys: keys, shares: shares, log: log}, settings: o}
 }
 
 func (f *ProgressFrontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -53,33 +53,33 @@
 			return
 		}
 	}
-	job.Events = f.set.Upstream == "events"
+	job.Events = f.settings.Upstream == "events"
 	wait := time.Until(job.Deadline)
 	job.Deadline = job.Deadline.Add(-min(answerMargin, wait/20))
-	if f.elsewhere(w, r, job, "") {
+	if f.relayToPeer(w, r, job, "") {
 		return
 	}
-	j, fresh, ok := f.find(w, r, job, again != "", true)
+	j, fresh, ok := f.joinOrStart(w, r, job, again != "", true)
 	if !ok {
 		return
 	}
 	if fresh {
-		f.keys.submitted(j, f.core.Submit(inboundOf(job, j)))
+		f.keys.setRequestID(j, f.core.Submit(coreRequest(job, j)))
 	}
 	leave := func() {
 		if job.IdempotencyKey == "" { // nobody could come back for it
-			f.abandon(j)
+			f.abandonJob(j)
 		}
 	}
-	f.stream(w, r, j, seen, leave)
+	f.streamEvents(w, r, j, seen, leave)
 }
 
-// stream sends a job's events from the one after seen. Until there is one, the answer is still free to be
+// streamEvents sends a job's events from the one after seen. Until there is one, the answer is still free to be
 // a plain HTTP status.
-func (f *ProgressFrontend) stream(w http.ResponseWriter, r *http.Request, j *watched, seen int, leave func()) {
+func (f *ProgressFrontend) streamEvents(w http.ResponseWriter, r *http.Request, j *jobStream, seen int, leave func()) {
 	c := http.NewResponseController(w)
 	for begun := false; ; {
-		events, final, changed, ok := j.after(seen)
+		events, final, changed, ok := j.eventsAfter(seen)
 		switch {
 		case !ok: // its id is of no event of this job
 			http.Error(w, "Last-Event-ID is not of this job; nothing was started", http.StatusBadGateway)
@@ -118,7 +118,7 @@
 		case <-r.Context().Done(): // the stream dropped; the job goes on until its deadline
 			leave()
 			if !begun {
-				f.left(w, r)
+				f.respondToDepartedClient(w, r)
 			}
 			return
 		}
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -18,60 +18,60 @@
 
 // The header by which one process tells the other how a relayed reader wants its answer.
 const (
-	relayedAs  = "Brassdale-Relayed-As"
-	inOnePiece = "whole"
+	relayModeHeader = "Brassdale-Relayed-As"
+	relayWhole      = "whole"
 )
 
-// peer is the other process's table of keys. A job is at one of both: who comes to the other one for it is
+// peerTable is the other process's table of keys. A job is at one of both: who comes to the other one for it is
 // relayed, through a Unix socket, and what has ended at the predecessor goes to the successor's table.
-type peer struct {
-	sibling *PeerProcess
-	older   bool // it is the predecessor
-	proxy   *httputil.ReverseProxy
+type peerTable struct {
+	process       *PeerProcess
+	isPredecessor bool // it is the predecessor
+	proxy         *httputil.ReverseProxy
 }
 
 // RunBeside goes on beside another process, whose front takes relayed readers at a path; with none, alone. older tells
 // whether that one is the predecessor; else it is handed what is remembered here.
 func (f *IdempotencyTable) RunBeside(sibling *PeerProcess, path string, older bool) {
-	var p *peer
+	var p *peerTable
 	if sibling != nil && path != "" {
 		dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", path)
 		}
-		p = &peer{sibling: sibling, older: older, proxy: &httputil.ReverseProxy{
+		p = &peerTable{process: sibling, isPredecessor: older, proxy: &httputil.ReverseProxy{
 			Rewrite:       func(r *httputil.ProxyRequest) { r.SetURL(&url.URL{Scheme: "http", Host: r.In.Host}) },
 			Transport:     &http.Transport{DialContext: dial, DisableKeepAlives: true},
 			FlushInterval: -1, // each event at once
 			ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) {
-				http.Error(w, errUnknown.Reason, errUnknown.Status)
+				http.Error(w, errUnknownKey.Reason, errUnknownKey.Status)
 			},
 		}}
 	}
 	f.mu.Lock()
 	f.peer = p
-	var known []*watched
+	var known []*jobStream
 	for _, j := range f.jobs {
 		known = append(known, j)
 	}
 	f.mu.Unlock()
 	for _, j := range known {
-		f.hand(j)
+		f.sendToSuccessor(j)
 	}
 }
 
-// elsewhere gives the other process's front if that one has the job of a key: the predecessor if it knows the key,
+// peerWithJob gives the other process's front if that one has the job of a key: the predecessor if it knows the key,
 // the successor for all keys that are not known here.
-func (f *IdempotencyTable) elsewhere(key string) *peer {
+func (f *IdempotencyTable) peerWithJob(key string) *peerTable {
 	f.mu.Lock()
 	p, known := f.peer, f.jobs[key] != nil
 	f.mu.Unlock()
 	switch {
 	case p == nil || known || key == "":
 		return nil
-	case !p.older:
+	case !p.isPredecessor:
 		return p
 	}
-	if yes, heard := p.sibling.Ask(protocol.HandoverMessage{Key: key}, time.Now().Add(siblingAnswers)); heard && yes {
+	if yes, heard := p.process.Ask(protocol.HandoverMessage{Key: key}, time.Now().Add(peerAnswerTimeout)); heard && yes {
 		return p
 	}
 	return nil
@@ -82,18 +82,18 @@
 	f.mu.Lock()
 	j := f.jobs[key]
 	f.mu.Unlock()
-	return j != nil && !j.refused()
+	return j != nil && !j.rejected()
 }
 
-// elsewhere has the other process answer a request whose job it has, and tells whether that is so.
-func (f *front) elsewhere(w http.ResponseWriter, r *http.Request, job *protocol.Job, as string) bool {
-	p := f.keys.elsewhere(job.IdempotencyKey)
+// relayToPeer has the other process answer a request whose job it has, and tells whether that is so.
+func (f *front) relayToPeer(w http.ResponseWriter, r *http.Request, job *protocol.Job, as string) bool {
+	p := f.keys.peerWithJob(job.IdempotencyKey)
 	if p == nil {
 		return false
 	}
 	r.Body, r.ContentLength, r.TransferEncoding = io.NopCloser(bytes.NewReader(job.Body)), int64(len(job.Body)), nil
 	r.Header.Set("Req-Deadline-Ms", strconv.FormatInt(max(time.Until(job.Deadline).Milliseconds(), 1), 10))
-	r.Header.Set(relayedAs, as)
+	r.Header.Set(relayModeHeader, as)
 	p.proxy.ServeHTTP(w, r)
 	return true
 }
@@ -105,26 +105,26 @@
 }
 
 func (f RelayHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.Stream != nil && r.Header.Get(relayedAs) != inOnePiece {
+	if f.Stream != nil && r.Header.Get(relayModeHeader) != relayWhole {
 		f.Stream.ServeHTTP(w, r)
 		return
 	}
 	f.Whole.ServeHTTP(w, r)
 }
 
-// hand gives an ended job to the successor.
-func (f *IdempotencyTable) hand(j *watched) {
+// sendToSuccessor gives an ended job to the successor.
+func (f *IdempotencyTable) sendToSuccessor(j *jobStream) {
 	f.mu.Lock()
 	p := f.peer
 	f.mu.Unlock()
-	if p == nil || p.older || j.key == "" {
+	if p == nil || p.isPredecessor || j.key == "" {
 		return
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.final != nil {
-		p.sibling.Notify(protocol.HandoverMessage{Remembered: &protocol.RememberedJob{Key: j.key, ID: j.id, Digest: j.digest[:],
-			Events: j.events, Answer: *j.final, ForgetAt: j.forget, ForgetIn: time.Until(j.forget), Started: j.started}})
+	if j.finalAnswer != nil {
+		p.process.Notify(protocol.HandoverMessage{Remembered: &protocol.RememberedJob{Key: j.key, ID: j.id, Digest: j.digest[:],
+			Events: j.events, Answer: *j.finalAnswer, ForgetAt: j.forgetAt, ForgetIn: time.Until(j.forgetAt), Started: j.started}})
 	}
 }
 
@@ -135,20 +135,20 @@
 	if left <= 0 || len(r.Digest) != sha256.Size {
 		return
 	}
-	j := &watched{keys: f, key: r.Key, id: r.ID, digest: [sha256.Size]byte(r.Digest), release: sync.OnceFunc(func() {}),
-		events: r.Events, started: r.Started, final: &r.Answer, forget: forget, changed: make(chan struct{})}
+	j := &jobStream{table: f, key: r.Key, id: r.ID, digest: [sha256.Size]byte(r.Digest), release: sync.OnceFunc(func() {}),
+		events: r.Events, started: r.Started, finalAnswer: &r.Answer, forgetAt: forget, changed: make(chan struct{})}
 	size := int64(0)
 	for _, ev := range r.Events {
-		size += int64(len(ev.Data)) + eventCost
+		size += int64(len(ev.Data)) + eventOverheadBytes
 	}
 	f.mu.Lock()
-	if f.jobs[r.Key] != nil || len(f.jobs) >= f.set.Jobs || f.bytes.Load()+size > int64(f.set.KeepMB)<<20 {
+	if f.jobs[r.Key] != nil || len(f.jobs) >= f.settings.Jobs || f.retainedBytes.Load()+size > int64(f.settings.KeepMB)<<20 {
 		f.mu.Unlock()
 		return
 	}
-	j.bytes.Store(size)
-	f.bytes.Add(size)
+	j.retainedBytes.Store(size)
+	f.retainedBytes.Add(size)
 	f.jobs[r.Key] = j
 	f.mu.Unlock()
-	f.retire(j, left)
+	f.forgetAfter(j, left)
 }
--- a/internal/transport/unreadtime_test.go
+++ b/internal/transport/unreadtime_test.go
@@ -45,7 +45,7 @@
 func TestRequestThatLayUnread(t *testing.T) {
 	const unread = 300 * time.Millisecond
 	got := servedLater(t, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", func(*net.TCPConn) {}, unread,
-		func(r *http.Request) time.Duration { return waitedUnread(r, time.Now()) })
+		func(r *http.Request) time.Duration { return unreadDuration(r, time.Now()) })
 	if got < unread-50*time.Millisecond || got > unread+200*time.Millisecond {
 		t.Errorf("it waited for %v, seen as %v", unread, got)
 	}
@@ -60,7 +60,7 @@
 		"stays":      func(*net.TCPConn) {},
 	} {
 		got := servedLater(t, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx", leave, 50*time.Millisecond,
-			func(r *http.Request) bool { return gone(r)() })
+			func(r *http.Request) bool { return clientGoneFunc(r)() })
 		if got != (name != "stays") {
 			t.Errorf("%s: seen as gone %v", name, got)
 		}
