--- a/internal/transport/idempotencytable.go
+++ b/internal/transport/idempotencytable.go
@@ -3,226 +3,178 @@
 import (
 	"container/heap"
 	"crypto/sha256"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"brassdale/internal/decisions/idempotency"
 	"brassdale/internal/protocol"
-	"brassdale/internal/routing"
 	"brassdale/scheduler"
 )
 
-// IdempotencySettings are the operator's, in a block keys.
+// IdempotencySettings is the block keys of the operator's file.
 type IdempotencySettings struct {
-	Jobs   int `hcl:"jobs,optional"`    // most jobs remembered at a time
-	KeepMB int `hcl:"keep_mb,optional"` // most memory for their answers
+	Jobs   int `hcl:"jobs,optional"`    // maximum number of jobs remembered at a time
+	KeepMB int `hcl:"keep_mb,optional"` // maximum size of their events and answers, in MiB
 }
 
-// DefaultIdempotency holds what an operator leaves out.
+// DefaultIdempotency returns the settings used for what the operator's file leaves out.
 func DefaultIdempotency() IdempotencySettings { return IdempotencySettings{Jobs: 8192, KeepMB: 24} }
 
-// IdempotencyTable remembers the job of each Idempotency-Key, at whichever front it came in: while it is open, and for the key's
-// window after its end, which ends later than the one in which endpoints drop a repeat. Who comes with the key joins
-// it; so no key is started twice while endpoints may remember it.
+// IdempotencyTable remembers the job of each Idempotency-Key, whichever frontend received it: while the job is open, and for
+// the deduplication window after its end. A request that repeats the key joins the job. Since the window counts from the
+// job's end, it ends later than the one in which workers drop a repeat, so no key is started a second time while a
+// worker may remember it.
+//
+// All methods may be called from any goroutine. mu is taken before the mu of a jobStream, and is never held while a
+// request waits for the other process.
 type IdempotencyTable struct {
 	settings      *IdempotencySettings
 	inFlightIDs   *InFlightIDs
-	recordEvents  bool         // a front streams jobs' events: they are kept too
-	retainedBytes atomic.Int64 // of the events and answers of all jobs
+	recordEvents  bool         // a frontend streams events, so jobs record them; otherwise they record the final answer only
+	retainedBytes atomic.Int64 // events and answers of all jobs
 
 	mu         sync.Mutex
-	jobs       map[string]*jobStream // by key
-	peer       *peerTable            // the other process while one replaces the other
-	endedJobs  []endedJob            // jobs that have ended, a heap by when they are forgotten
-	sweepTimer *time.Timer           // nil while none has
+	jobs       map[string]*jobStream // by idempotency key
+	peer       *peerTable            // table of the other process during a handover, else nil
+	endedJobs  []endedJob            // a heap by forgetAt
+	sweepTimer *time.Timer           // runs forgetExpired; nil while endedJobs is empty
 }
 
-// endedJob is a job that has ended and is forgotten at a time.
-type endedJob struct {
-	job      *jobStream
-	forgetAt time.Time
+// NewIdempotencyTable returns an empty table. recordEvents says that a frontend streams the events of jobs.
+func NewIdempotencyTable(settings *IdempotencySettings, inFlightIDs *InFlightIDs, recordEvents bool) *IdempotencyTable {
+	return &IdempotencyTable{settings: settings, inFlightIDs: inFlightIDs, recordEvents: recordEvents, jobs: map[string]*jobStream{}}
 }
 
-type byForgetTime []endedJob
-
-func (o byForgetTime) Len() int           { return len(o) }
-func (o byForgetTime) Less(i, j int) bool { return o[i].forgetAt.Before(o[j].forgetAt) }
-func (o byForgetTime) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
-func (o *byForgetTime) Push(x any)        { *o = append(*o, x.(endedJob)) }
-func (o *byForgetTime) Pop() any {
-	last := (*o)[len(*o)-1]
-	(*o)[len(*o)-1] = endedJob{}
-	*o = (*o)[:len(*o)-1]
-	return last
+// Has reports whether the job of a key is known here. A rejected job does not count: it may be started anew by any process.
+func (t *IdempotencyTable) Has(key string) bool {
+	t.mu.Lock()
+	stream := t.jobs[key]
+	t.mu.Unlock()
+	return stream != nil && !stream.rejected()
 }
 
-// minSweepInterval is how much longer than its window a job may be remembered: a timer for each would cost more than the job.
-const minSweepInterval = 100 * time.Millisecond
-
-// forgetAfter has a job forgotten behind its window, unless its key has a newer one by then.
-func (k *IdempotencyTable) forgetAfter(j *jobStream, window time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	heap.Push((*byForgetTime)(&k.endedJobs), endedJob{j, time.Now().Add(window)})
-	if k.sweepTimer == nil {
-		k.sweepTimer = time.AfterFunc(window, k.forgetExpired)
+// reserveJob decides what a request with an idempotency key, or with none, gets. With Start it returns a new stream, with
+// Join the known one, and adds the request to its readers. reserved is false if Start was decided but the request id is
+// that of an open request; the stream is then of no use. resumes says that the client has seen events of the job before.
+func (t *IdempotencyTable) reserveJob(job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, decision idempotency.Decision, reserved bool) {
+	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
+	hasKey := job.IdempotencyKey != ""
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var known *idempotency.RememberedJob
+	if hasKey {
+		stream = t.jobs[job.IdempotencyKey]
+	}
+	if stream != nil {
+		known = &idempotency.RememberedJob{Rejected: stream.rejected(), SameJob: stream.digest == digest}
+	}
+	decision = idempotency.Decide(known, resumes, t.hasCapacityLocked())
+	switch decision {
+	case idempotency.Start:
+		stream = t.newJobStream(job, digest)
+		// Only this process is asked here, under the lock; the caller asks the predecessor.
+		if !t.inFlightIDs.Reserve(job.ID, nil) {
+			return stream, decision, false
+		}
+		if hasKey {
+			t.jobs[job.IdempotencyKey] = stream
+		}
+	case idempotency.Join:
+	default:
+		return stream, decision, true
 	}
+	stream.readers++
+	stream.runsWithoutReaders = stream.runsWithoutReaders || runsWithoutReaders && hasKey
+	return stream, decision, true
 }
 
-// forgetExpired forgets what is due.
-func (k *IdempotencyTable) forgetExpired() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := time.Now()
-	for len(k.endedJobs) > 0 && !k.endedJobs[0].forgetAt.After(now) {
-		k.removeLocked(heap.Pop((*byForgetTime)(&k.endedJobs)).(endedJob).job)
-	}
-	k.sweepTimer = nil
-	if len(k.endedJobs) > 0 {
-		k.sweepTimer = time.AfterFunc(max(k.endedJobs[0].forgetAt.Sub(now), minSweepInterval), k.forgetExpired)
-	}
+// hasCapacityLocked reports whether one more job can be remembered. t.mu is held.
+func (t *IdempotencyTable) hasCapacityLocked() bool {
+	return len(t.jobs) < t.settings.Jobs && t.retainedBytes.Load() < t.maxRetainedBytes()
 }
 
-// NewIdempotencyTable makes the table. streams tells that there is a front that streams jobs' events.
-func NewIdempotencyTable(s *IdempotencySettings, ids *InFlightIDs, streams bool) *IdempotencyTable {
-	return &IdempotencyTable{settings: s, inFlightIDs: ids, recordEvents: streams, jobs: map[string]*jobStream{}}
+func (t *IdempotencyTable) maxRetainedBytes() int64 { return int64(t.settings.KeepMB) << 20 }
+
+// setRequestID records the core's number of a job, once it was submitted.
+func (t *IdempotencyTable) setRequestID(stream *jobStream, id scheduler.RequestID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	stream.requestID = id
 }
 
-// errUnknownKey: the job is known to another dispatcher, or was to this one before a restart. It may run or have run
-// elsewhere, so a run from here could be one too many.
-var errUnknownKey = &protocol.RequestError{Status: http.StatusBadGateway, Reason: "the job of this Idempotency-Key is not known here; nothing was started"}
+// removeReader records that a reader left before the job's end. It reports whether the job, whose number at the core is
+// id, is to be abandoned; its key is free from then on.
+func (t *IdempotencyTable) removeReader(stream *jobStream) (id scheduler.RequestID, abandon bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	stream.readers--
+	abandon = !stream.hasEnded() && idempotency.AbandonWithoutReaders(stream.readers, stream.runsWithoutReaders)
+	if abandon && t.jobs[stream.key] == stream {
+		delete(t.jobs, stream.key)
+	}
+	return stream.requestID, abandon
+}
 
-var errKeyMismatch = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
+// remove forgets an abandoned job.
+func (t *IdempotencyTable) remove(stream *jobStream) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.removeLocked(stream)
+}
 
-// joinOrStart gives the job of a request's key, the one that is known or a fresh one, with the request as one of its readers;
-// or it answers the request itself. kept tells that the job is to go on without readers.
-func (f *front) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, again, kept bool) (j *jobStream, fresh, ok bool) {
-	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
-	k := f.keys
-	k.mu.Lock()
-	j = k.jobs[job.IdempotencyKey]
-	if job.IdempotencyKey == "" {
-		j = nil
-	}
-	var known *idempotency.RememberedJob
-	if j != nil {
-		known = &idempotency.RememberedJob{Rejected: j.rejected(), SameJob: j.digest == digest}
-	}
-	verdict := idempotency.Decide(known, again, len(k.jobs) < k.settings.Jobs && k.retainedBytes.Load() < int64(k.settings.KeepMB)<<20)
-	if verdict == idempotency.Start {
-		j = &jobStream{table: k, key: job.IdempotencyKey, id: job.ID, digest: digest, changed: make(chan struct{}),
-			deduplicationWindow: job.DeduplicationWindow, release: sync.OnceFunc(func() { k.inFlightIDs.releaseEverywhere(job.ID) })}
+// removeLocked forgets a job and its bytes, unless its key belongs to a newer job by now. t.mu is held.
+func (t *IdempotencyTable) removeLocked(stream *jobStream) {
+	if t.jobs[stream.key] == stream {
+		delete(t.jobs, stream.key)
 	}
-	taken := verdict != idempotency.Start || k.inFlightIDs.Reserve(job.ID, nil) // the predecessor is asked when nothing is held up by it
-	if ok = taken && (verdict == idempotency.Start || verdict == idempotency.Join); ok {
-		j.readers++
-		j.runsWithoutReaders = j.runsWithoutReaders || kept && job.IdempotencyKey != ""
-		if verdict == idempotency.Start && job.IdempotencyKey != "" {
-			k.jobs[job.IdempotencyKey] = j
-		}
-	}
-	k.mu.Unlock()
-	if ok && verdict == idempotency.Start && !k.inFlightIDs.confirmWithPredecessor(job.ID) {
-		j.finish(routing.Answer{Verdict: routing.Rejected}) // for who joined meanwhile: it never ran
-		taken, ok = false, false
-	}
-	switch {
-	case !taken:
-		f.rejectJob(w, r, errIDInUse)
-	case verdict == idempotency.TableFull:
-		f.refuse(w, r, job.ClassName, "out of remembered jobs")
-	case verdict == idempotency.UnknownKey:
-		f.rejectJob(w, r, errUnknownKey)
-	case verdict == idempotency.KeyMismatch:
-		f.rejectJob(w, r, errKeyMismatch)
-	}
-	return j, verdict == idempotency.Start, ok
+	t.retainedBytes.Add(-stream.retainedBytes.Swap(0))
 }
 
-// setRequestID notes a job's number at the core.
-func (k *IdempotencyTable) setRequestID(j *jobStream, id scheduler.RequestID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	j.requestID = id
-}
+// minSweepInterval is the minimum time between two sweeps, and so the most by which a job may be remembered beyond its
+// window. One timer serves all jobs, since a timer each would cost more than the rest of the job's bookkeeping.
+const minSweepInterval = 100 * time.Millisecond
 
-// abandonJob notes that a reader has left before the end. With the last one the job is given up, unless it is to go on.
-func (f *front) abandonJob(j *jobStream) {
-	f.keys.mu.Lock()
-	j.readers--
-	ended := j.hasEnded()
-	over := !ended && idempotency.AbandonWithoutReaders(j.readers, j.runsWithoutReaders)
-	if over && f.keys.jobs[j.key] == j {
-		delete(f.keys.jobs, j.key) // whoever comes now begins anew
-	}
-	id := j.requestID
-	f.keys.mu.Unlock()
-	if over {
-		f.core.ClientLeft(id)
-		f.keys.remove(j)
-		j.release()
+// forgetAfter has an ended job forgotten after its window.
+func (t *IdempotencyTable) forgetAfter(stream *jobStream, window time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	heap.Push((*byForgetTime)(&t.endedJobs), endedJob{stream, time.Now().Add(window)})
+	if t.sweepTimer == nil {
+		t.sweepTimer = time.AfterFunc(window, t.forgetExpired)
 	}
 }
 
-// serveKeyedJob answers a request with its key's job in one piece.
-func (f *front) serveKeyedJob(w http.ResponseWriter, r *http.Request, job *protocol.Job) {
-	if f.relayToPeer(w, r, job, relayWhole) {
-		return
-	}
-	j, fresh, ok := f.joinOrStart(w, r, job, false, false)
-	if !ok {
-		return
-	}
-	if fresh {
-		f.keys.setRequestID(j, f.core.Submit(coreRequest(job, j)))
-	} else {
-		if !f.ids.reserveEverywhere(job.ID) { // also where it is that of the job itself
-			f.abandonJob(j)
-			f.rejectJob(w, r, errIDInUse)
-			return
-		}
-		defer f.ids.releaseEverywhere(job.ID)
+// forgetExpired forgets the jobs whose window has ended, and starts the timer for the next one.
+func (t *IdempotencyTable) forgetExpired() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	for len(t.endedJobs) > 0 && !t.endedJobs[0].forgetAt.After(now) {
+		t.removeLocked(heap.Pop((*byForgetTime)(&t.endedJobs)).(endedJob).stream)
 	}
-	// Only one that joined may have a deadline before the job's: the core answers all others in time.
-	var late <-chan time.Time
-	if !fresh {
-		timer := time.NewTimer(time.Until(job.Deadline))
-		defer timer.Stop()
-		late = timer.C
-	}
-	for {
-		_, final, changed, _ := j.eventsAfter(0)
-		if final != nil {
-			f.respond(w, r, *final)
-			return
-		}
-		select {
-		case <-changed:
-		case <-r.Context().Done():
-			f.abandonJob(j)
-			f.respondToDepartedClient(w, r)
-			return
-		case <-late:
-			f.abandonJob(j)
-			f.respond(w, r, routing.Answer{Verdict: routing.Failed, DeadlinePassed: true})
-			return
-		}
+	t.sweepTimer = nil
+	if len(t.endedJobs) > 0 {
+		t.sweepTimer = time.AfterFunc(max(t.endedJobs[0].forgetAt.Sub(now), minSweepInterval), t.forgetExpired)
 	}
 }
 
-// remove drops a job that was given up.
-func (k *IdempotencyTable) remove(j *jobStream) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.removeLocked(j)
+// endedJob is a job that has ended, with the time at which it is forgotten.
+type endedJob struct {
+	stream   *jobStream
+	forgetAt time.Time
 }
 
-// removeLocked forgets a job; k.mu is held.
-func (k *IdempotencyTable) removeLocked(j *jobStream) {
-	if k.jobs[j.key] == j {
-		delete(k.jobs, j.key)
-	}
-	k.retainedBytes.Add(-j.retainedBytes.Swap(0))
+// byForgetTime is a heap.Interface; the job that is forgotten next comes first.
+type byForgetTime []endedJob
+
+func (h byForgetTime) Len() int           { return len(h) }
+func (h byForgetTime) Less(i, j int) bool { return h[i].forgetAt.Before(h[j].forgetAt) }
+func (h byForgetTime) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *byForgetTime) Push(x any)        { *h = append(*h, x.(endedJob)) }
+func (h *byForgetTime) Pop() any {
+	last := (*h)[len(*h)-1]
+	(*h)[len(*h)-1] = endedJob{}
+	*h = (*h)[:len(*h)-1]
+	return last
 }
--- a/internal/transport/jobstream.go
+++ b/internal/transport/jobstream.go
@@ -14,138 +14,161 @@
 )
 
 const (
-	// Events of one job, of which progress may take so many: an endpoint that floods is cut short.
-	maxProgressEvents  = 256
-	eventOverheadBytes = 64 // of an event beside its data, in memory
+	maxProgressEvents  = 256 // events of a job after which progress is dropped, as a worker may send it without end
+	eventOverheadBytes = 64  // memory of an event besides its data
 )
 
-// jobStream is a job with its events so far. Each reader goes through them at its own pace, so a slow one
-// holds up neither the core, which only appends, nor another reader.
+// jobStream is a job of the IdempotencyTable with its events so far. It is the routing.Client of the job: the core appends
+// events, and each reader follows them at its own pace with eventsAfter, so a slow reader holds up neither the core nor
+// another reader.
+//
+// Events are only ever appended, and nothing follows the final answer. Methods may be called from any goroutine and do
+// not block.
 type jobStream struct {
-	table               *IdempotencyTable // where it is remembered
-	key                 string
-	id                  string // Req-Id of the request that started it
-	digest              [sha256.Size]byte
-	deduplicationWindow time.Duration
-
-	release func() // frees the id, once
-
-	// Guarded by keys.mu.
-	requestID          scheduler.RequestID
-	readers            int  // that wait for the answer and no more
-	runsWithoutReaders bool // it goes on without any
-
-	mu            sync.Mutex
-	forgetAt      time.Time // when it is, once it has ended
-	events        []protocol.Event
-	started       bool
-	finalAnswer   *routing.Answer
-	changed       chan struct{} // closed and made anew with each event
-	retainedBytes atomic.Int64
+	table               *IdempotencyTable
+	key                 string            // Idempotency-Key; empty for a job that no other request can join
+	id                  string            // Req-Id of the request that started it
+	digest              [sha256.Size]byte // of target, account and body
+	deduplicationWindow time.Duration     // how long the job is remembered after its end
+	releaseID           func()            // releases id in InFlightIDs; further calls do nothing
+
+	// Guarded by table.mu.
+	requestID          scheduler.RequestID // the core's number; 0 until it was submitted
+	readers            int                 // requests that wait for the job
+	runsWithoutReaders bool                // it is not abandoned when its last reader leaves
+
+	mu          sync.Mutex
+	forgetAt    time.Time // when it is forgotten; set with finalAnswer
+	events      []protocol.Event
+	started     bool // the event "started" was recorded
+	finalAnswer *routing.Answer
+	changed     chan struct{} // closed when something is recorded; replaced if more may follow
+
+	retainedBytes atomic.Int64 // events and answer, as counted in table.retainedBytes
 }
 
-func (j *jobStream) rejected() bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.finalAnswer != nil && j.finalAnswer.Verdict == routing.Rejected
+// newJobStream returns the stream of a job that is about to start.
+func (t *IdempotencyTable) newJobStream(job *protocol.Job, digest [sha256.Size]byte) *jobStream {
+	return &jobStream{
+		table:               t,
+		key:                 job.IdempotencyKey,
+		id:                  job.ID,
+		digest:              digest,
+		deduplicationWindow: job.DeduplicationWindow,
+		releaseID:           sync.OnceFunc(func() { t.inFlightIDs.releaseEverywhere(job.ID) }),
+		changed:             make(chan struct{}),
+	}
 }
 
-func (j *jobStream) hasEnded() bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.finalAnswer != nil
+// rejected reports whether the job ended without having run.
+func (s *jobStream) rejected() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.finalAnswer != nil && s.finalAnswer.Verdict == routing.Rejected
 }
 
-// eventsAfter gives the events behind the first so many; not ok if there are not so many.
-func (j *jobStream) eventsAfter(seen int) (events []protocol.Event, final *routing.Answer, changed <-chan struct{}, ok bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if seen > len(j.events) {
-		return nil, nil, nil, false
-	}
-	return j.events[seen:len(j.events):len(j.events)], j.finalAnswer, j.changed, true
+// hasEnded reports whether the job has its final answer.
+func (s *jobStream) hasEnded() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.finalAnswer != nil
 }
 
-// appendEvent appends an event; j.mu is held.
-func (j *jobStream) appendEvent(name string, retry time.Duration, data any) {
-	if !j.table.recordEvents {
-		if j.finalAnswer != nil {
-			close(j.changed)
-		}
-		return
-	}
-	text, err := json.Marshal(data)
-	if err != nil { // of plain values: cannot be
-		text = []byte("{}")
+// eventsAfter returns the events after the first seen ones, the final answer (nil while there is none), and a channel that
+// is closed with the next event. It is not ok if the job has fewer than seen events.
+func (s *jobStream) eventsAfter(seen int) (events []protocol.Event, answer *routing.Answer, changed <-chan struct{}, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if seen > len(s.events) {
+		return nil, nil, nil, false
 	}
-	j.events = append(j.events, protocol.Event{ID: strconv.Itoa(len(j.events) + 1), Name: name, Data: string(text), Retry: retry})
-	j.retainedBytes.Add(int64(len(text)) + eventOverheadBytes)
-	j.table.retainedBytes.Add(int64(len(text)) + eventOverheadBytes)
-	close(j.changed)
-	j.changed = make(chan struct{})
+	return s.events[seen:len(s.events):len(s.events)], s.finalAnswer, s.changed, true
 }
 
-// eventData is what an event's data holds; each event uses some.
-type eventData struct {
-	ID           string   `json:"id"`
-	Attempt      *int     `json:"attempt,omitempty"`
-	Share        *float64 `json:"share,omitempty"`
-	Result       *string  `json:"result,omitempty"`
-	Reason       string   `json:"reason,omitempty"`
-	RetryAfterMS int64    `json:"retry_after_ms,omitempty"`
-}
-
-// Began tells of the first start only: that a job was sent again is the dispatcher's matter.
-func (j *jobStream) AttemptStarted(attempt int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if !j.started && j.finalAnswer == nil {
-		j.started = true
-		j.appendEvent("started", 0, eventData{ID: j.id, Attempt: &attempt})
+// AttemptStarted records the start of the first attempt. Retries and hedges are not shown to clients.
+func (s *jobStream) AttemptStarted(attempt int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.started && s.finalAnswer == nil {
+		s.started = true
+		s.appendEventLocked("started", 0, eventData{ID: s.id, Attempt: &attempt})
 	}
 }
 
-// Progressed tells how far an attempt is. A further attempt starts over.
-func (j *jobStream) AttemptProgressed(attempt int, share float64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.finalAnswer == nil && len(j.events) < maxProgressEvents {
-		j.appendEvent("progress", 0, eventData{ID: j.id, Attempt: &attempt, Share: &share})
+// AttemptProgressed records how far an attempt is. A further attempt starts over.
+func (s *jobStream) AttemptProgressed(attempt int, share float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.finalAnswer == nil && len(s.events) < maxProgressEvents {
+		s.appendEventLocked("progress", 0, eventData{ID: s.id, Attempt: &attempt, Share: &share})
 	}
 }
 
-// Answered ends the job. It is remembered for its window from now on, which ends later than the one in
-// which endpoints drop a repeat.
-func (j *jobStream) Answered(a routing.Answer) {
-	j.release()
-	j.finish(a)
-	j.table.sendToSuccessor(j)
+// Answered ends the job with the core's final answer, and sends it to a successor process.
+func (s *jobStream) Answered(answer routing.Answer) {
+	s.releaseID()
+	s.finish(answer)
+	s.table.sendToSuccessor(s)
 }
 
-// finish gives the job its answer.
-func (j *jobStream) finish(a routing.Answer) {
-	j.recordFinalAnswer(a)
-	j.table.forgetAfter(j, j.deduplicationWindow)
+// finish records the final answer. The deduplication window begins now.
+func (s *jobStream) finish(answer routing.Answer) {
+	s.recordFinalAnswer(answer)
+	s.table.forgetAfter(s, s.deduplicationWindow)
 }
 
-func (j *jobStream) recordFinalAnswer(a routing.Answer) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.finalAnswer = &a
-	j.forgetAt = time.Now().Add(j.deduplicationWindow)
-	switch a.Verdict {
+func (s *jobStream) recordFinalAnswer(answer routing.Answer) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.finalAnswer = &answer
+	s.forgetAt = time.Now().Add(s.deduplicationWindow)
+	switch answer.Verdict {
 	case routing.Served:
-		result := string(a.Result)
-		j.retainedBytes.Add(int64(len(a.Result)))
-		j.table.retainedBytes.Add(int64(len(a.Result)))
-		j.appendEvent("done", 0, eventData{ID: j.id, Result: &result})
+		result := string(answer.Result)
+		s.retain(int64(len(answer.Result)))
+		s.appendEventLocked("done", 0, eventData{ID: s.id, Result: &result})
 	case routing.Rejected:
-		j.appendEvent("refused", a.RetryAfter, eventData{ID: j.id, RetryAfterMS: a.RetryAfter.Milliseconds()})
+		s.appendEventLocked("refused", answer.RetryAfter, eventData{ID: s.id, RetryAfterMS: answer.RetryAfter.Milliseconds()})
 	default:
 		reason := "failed"
-		if a.DeadlinePassed {
+		if answer.DeadlinePassed {
 			reason = "deadline"
 		}
-		j.appendEvent("failed", 0, eventData{ID: j.id, Reason: reason})
+		s.appendEventLocked("failed", 0, eventData{ID: s.id, Reason: reason})
 	}
 }
+
+// eventData is the data of an event, as JSON; each kind of event sets some of the fields.
+type eventData struct {
+	ID           string   `json:"id"`
+	Attempt      *int     `json:"attempt,omitempty"`
+	Share        *float64 `json:"share,omitempty"`
+	Result       *string  `json:"result,omitempty"`
+	Reason       string   `json:"reason,omitempty"`
+	RetryAfterMS int64    `json:"retry_after_ms,omitempty"`
+}
+
+// appendEventLocked records an event and wakes the readers. If events are not recorded, only the final answer wakes them.
+// s.mu is held.
+func (s *jobStream) appendEventLocked(name string, retry time.Duration, data eventData) {
+	if !s.table.recordEvents {
+		if s.finalAnswer != nil {
+			close(s.changed)
+		}
+		return
+	}
+	text, err := json.Marshal(data)
+	if err != nil { // a share that is no number
+		text = []byte("{}")
+	}
+	s.events = append(s.events, protocol.Event{ID: strconv.Itoa(len(s.events) + 1), Name: name, Data: string(text), Retry: retry})
+	s.retain(int64(len(text)) + eventOverheadBytes)
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// retain counts bytes that are kept until the job is forgotten.
+func (s *jobStream) retain(size int64) {
+	s.retainedBytes.Add(size)
+	s.table.retainedBytes.Add(size)
+}
--- /dev/null
+++ b/internal/transport/keyedjob.go
@@ -0,0 +1,100 @@
+package transport
+
+import (
+	"net/http"
+	"time"
+
+	"brassdale/internal/decisions/idempotency"
+	"brassdale/internal/protocol"
+	"brassdale/internal/routing"
+)
+
+// errUnknownKey rejects a reader that resumes a job which is not in the table: another dispatcher knows it, or this one did
+// before a restart. The job may run, or have run, elsewhere, so it must not be started from here.
+var errUnknownKey = &protocol.RequestError{Status: http.StatusBadGateway, Reason: "the job of this Idempotency-Key is not known here; nothing was started"}
+
+// errKeyMismatch rejects a key that was used for another path, account or body.
+var errKeyMismatch = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
+
+// joinOrStart returns the job of a request's idempotency key, with the request as one of its readers: the known job, or a
+// new one, which the caller must submit (started). If it is not ok, the request has been answered.
+// resumes says that the client has seen events of the job; runsWithoutReaders, that the job goes on without readers.
+func (f *front) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, started, ok bool) {
+	stream, decision, reserved := f.keys.reserveJob(job, resumes, runsWithoutReaders)
+	if decision == idempotency.Start && reserved && !f.keys.inFlightIDs.confirmWithPredecessor(job.ID) {
+		stream.finish(routing.Answer{Verdict: routing.Rejected}) // for requests that joined meanwhile: the job never ran
+		reserved = false
+	}
+	switch {
+	case !reserved:
+		f.rejectJob(w, r, errIDInUse)
+	case decision == idempotency.TableFull:
+		f.refuse(w, r, job.ClassName, "out of remembered jobs")
+	case decision == idempotency.UnknownKey:
+		f.rejectJob(w, r, errUnknownKey)
+	case decision == idempotency.KeyMismatch:
+		f.rejectJob(w, r, errKeyMismatch)
+	default:
+		return stream, decision == idempotency.Start, true
+	}
+	return nil, false, false
+}
+
+// abandonJob records that a reader left before the job's end, and cancels the job if it may not run without readers.
+func (f *front) abandonJob(stream *jobStream) {
+	id, abandon := f.keys.removeReader(stream)
+	if !abandon {
+		return
+	}
+	f.core.ClientLeft(id)
+	f.keys.remove(stream)
+	stream.releaseID()
+}
+
+// serveKeyedJob answers a request that has an idempotency key with the final answer of the key's job, in one piece. It
+// returns when the request is answered or its client has left.
+func (f *front) serveKeyedJob(w http.ResponseWriter, r *http.Request, job *protocol.Job) {
+	if f.relayToPeer(w, r, job, relayWhole) {
+		return
+	}
+	stream, started, ok := f.joinOrStart(w, r, job, false, false)
+	if !ok {
+		return
+	}
+	if started {
+		f.keys.setRequestID(stream, f.core.Submit(coreRequest(job, stream)))
+		f.respondWhenEnded(w, r, stream, nil) // the core answers by this request's deadline
+		return
+	}
+	if !f.ids.reserveEverywhere(job.ID) { // also if the id is that of the job itself
+		f.abandonJob(stream)
+		f.rejectJob(w, r, errIDInUse)
+		return
+	}
+	defer f.ids.releaseEverywhere(job.ID)
+	timer := time.NewTimer(time.Until(job.Deadline)) // a request that joined may have an earlier deadline than the job
+	defer timer.Stop()
+	f.respondWhenEnded(w, r, stream, timer.C)
+}
+
+// respondWhenEnded waits for a job's end, the client's leaving or a receive from deadline (nil for none).
+func (f *front) respondWhenEnded(w http.ResponseWriter, r *http.Request, stream *jobStream, deadline <-chan time.Time) {
+	for {
+		_, answer, changed, _ := stream.eventsAfter(0)
+		if answer != nil {
+			f.respond(w, r, *answer)
+			return
+		}
+		select {
+		case <-changed:
+		case <-r.Context().Done():
+			f.abandonJob(stream)
+			f.respondToDepartedClient(w, r)
+			return
+		case <-deadline:
+			f.abandonJob(stream)
+			f.respond(w, r, routing.Answer{Verdict: routing.Failed, DeadlinePassed: true})
+			return
+		}
+	}
+}
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -77,14 +77,6 @@
 	return nil
 }
 
-// Has tells whether the job of a key is known here. One that was refused may be tried anew anywhere.
-func (f *IdempotencyTable) Has(key string) bool {
-	f.mu.Lock()
-	j := f.jobs[key]
-	f.mu.Unlock()
-	return j != nil && !j.rejected()
-}
-
 // relayToPeer has the other process answer a request whose job it has, and tells whether that is so.
 func (f *front) relayToPeer(w http.ResponseWriter, r *http.Request, job *protocol.Job, as string) bool {
 	p := f.keys.peerWithJob(job.IdempotencyKey)
@@ -135,7 +127,7 @@
 	if left <= 0 || len(r.Digest) != sha256.Size {
 		return
 	}
-	j := &jobStream{table: f, key: r.Key, id: r.ID, digest: [sha256.Size]byte(r.Digest), release: sync.OnceFunc(func() {}),
+	j := &jobStream{table: f, key: r.Key, id: r.ID, digest: [sha256.Size]byte(r.Digest), releaseID: sync.OnceFunc(func() {}),
 		events: r.Events, started: r.Started, finalAnswer: &r.Answer, forgetAt: forget, changed: make(chan struct{})}
 	size := int64(0)
 	for _, ev := range r.Events {
