--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Whatever a system call fails with, a listener goes on until it is closed. ENOBUFS from accept once ended the process, with all
-// that it held, as did a descriptor that could not be polled.
+// Whatever accept fails with, a listener goes on until it is closed. ENOBUFS from accept once ended the process with all its
+// requests, as did a descriptor that could not be polled.
 func TestAcceptOutlivesErrors(t *testing.T) {
 	for _, fault := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EPERM, syscall.EPROTO, syscall.EMFILE, syscall.ENFILE,
-		syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EINTR, syscall.EHOSTUNREACH, syscall.ENETDOWN, errors.New("unheard of")} {
+		syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EINTR, syscall.EHOSTUNREACH, syscall.ENETDOWN, errors.New("unknown")} {
 		l, err := Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		gate := NewListener(l, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		gate.SetLimits(10, 1<<20)
+		listener := NewListener(l, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		listener.SetLimits(10, 1<<20)
 		failures := 3
-		accept := gate.accept
-		gate.accept = func() (*net.TCPConn, error) {
+		accept := listener.accept
+		listener.accept = func() (*net.TCPConn, error) {
 			if failures > 0 {
 				failures--
 				return nil, &net.OpError{Op: "accept", Net: "tcp", Err: fault}
@@ -34,16 +34,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := gate.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Errorf("%v ends the listener: %v", fault, err)
 		} else {
 			conn.(*Conn).TCPConn.Close()
 		}
 		client.Close()
-		time.AfterFunc(20*time.Millisecond, func() { gate.Close() })
-		if _, err := gate.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("closed, it ends with %v", err)
+		time.AfterFunc(20*time.Millisecond, func() { listener.Close() })
+		if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
+			t.Errorf("Accept after Close: %v", err)
 		}
 	}
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// gateFor serves a handler behind a gate, and gives how to connect.
-func gateFor(t *testing.T, h http.HandlerFunc) (*Listener, func() net.Conn) {
+// listenerFor serves a handler on a listener, and returns it with a function that connects to it.
+func listenerFor(t *testing.T, h http.HandlerFunc) (*Listener, func() net.Conn) {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g := NewListener(l, log)
-	g.SetLimits(100, 1<<20)
-	go Server(h, log).Serve(g)
-	t.Cleanup(func() { g.Close() })
-	return g, func() net.Conn {
+	listener := NewListener(l, log)
+	listener.SetLimits(100, 1<<20)
+	go Server(h, log).Serve(listener)
+	t.Cleanup(func() { listener.Close() })
+	return listener, func() net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -38,26 +38,26 @@
 
 const get = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// until waits for what another goroutine does.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil waits for what another goroutine does.
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never seen: %s", what)
+			t.Fatalf("not seen within 10 s: %s", what)
 		}
 	}
 }
 
-// A client's leaving shows while its request is served, whatever it has sent behind that, and however it leaves.
+// A client's leaving is noticed while its request is served, whatever it sent after the request and however it leaves.
 func TestLeavingShowsBehindUnreadBytes(t *testing.T) {
-	for name, behind := range map[string]int{"nothing": 0, "a byte": 1, "a request": len(get), "more than is kept": 3 * maxReadAheadBytes} {
+	for name, behind := range map[string]int{"nothing": 0, "a byte": 1, "a request": len(get), "more than is queued": 3 * maxReadAheadBytes} {
 		for how, leave := range map[string]func(*net.TCPConn){
 			"closes":      func(c *net.TCPConn) { c.Close() },
 			"half-closes": func(c *net.TCPConn) { c.CloseWrite() },
 			"resets":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		} {
 			began, left := make(chan struct{}), make(chan struct{})
-			_, dial := gateFor(t, func(_ http.ResponseWriter, r *http.Request) {
+			_, dial := listenerFor(t, func(_ http.ResponseWriter, r *http.Request) {
 				is := clientGoneFunc(r)
 				enterPhase(r, phaseServing)
 				close(began)
@@ -74,17 +74,17 @@
 			select {
 			case <-left:
 			case <-time.After(5 * time.Second):
-				t.Errorf("a client that %s behind %s is not seen", how, name)
+				t.Errorf("a client that %s after sending %s is not noticed", how, name)
 			}
 		}
 	}
 }
 
-// What came behind a request is the next one's, whole, in its turn.
+// Bytes received after an unanswered request belong to the next one, which is served complete and in its turn.
 func TestWhatComesBehindIsKept(t *testing.T) {
 	release := make(chan struct{})
 	served := 0
-	_, dial := gateFor(t, func(w http.ResponseWriter, r *http.Request) {
+	_, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
 		enterPhase(r, phaseServing)
 		body, _ := io.ReadAll(r.Body)
 		if served++; served == 1 {
@@ -110,9 +110,9 @@
 	}
 }
 
-// A connection that ends over unread bytes is not reset: its client reads the answer and then the end.
+// A connection that is closed with unread bytes is not reset: its client reads the answer and then EOF.
 func TestLingeringClose(t *testing.T) {
-	_, dial := gateFor(t, func(w http.ResponseWriter, r *http.Request) {
+	_, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
 		enterPhase(r, phaseServing)
 		closeBehind(w)
 		fmt.Fprint(w, "answer")
@@ -131,25 +131,25 @@
 		}
 		c.Write([]byte("and more"))
 		if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Fatalf("behind the answer: %v", err)
+			t.Fatalf("after the answer: %v", err)
 		}
 	}
 }
 
-// A request that comes on a resting connection in the moment in which that is dismissed is answered, or it is not read and
-// its client sees the end: none is begun and left without an answer, and no connection is reset.
+// A request that is received on an idle connection while CloseIdle closes it is answered, or it is not read and its client
+// sees EOF: none is handled and left without an answer, and no connection is reset.
 func TestRequestAsItsConnectionIsDismissed(t *testing.T) {
-	both := [2]int{}
+	outcomes := [2]int{}
 	for round := range 200 {
-		var begun atomic.Int32
-		g, dial := gateFor(t, func(w http.ResponseWriter, r *http.Request) {
-			begun.Add(1)
+		var handled atomic.Int32
+		listener, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
+			handled.Add(1)
 			enterPhase(r, phaseServing)
 			fmt.Fprint(w, "answer")
 		})
 		c := dial()
 		in := bufio.NewReader(c)
-		ask := func() error {
+		readAnswer := func() error {
 			resp, err := http.ReadResponse(in, nil)
 			if err == nil {
 				_, err = io.ReadAll(resp.Body)
@@ -157,21 +157,21 @@
 			return err
 		}
 		io.WriteString(c, get)
-		if err := ask(); err != nil {
+		if err := readAnswer(); err != nil {
 			t.Fatal(err)
 		}
-		until(t, "the connection at rest", func() bool {
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			for c := range g.conns {
+		waitUntil(t, "the connection idle", func() bool {
+			listener.mu.Lock()
+			defer listener.mu.Unlock()
+			for c := range listener.conns {
 				return c.phase == phaseIdle
 			}
 			return false
 		})
 		start := make(chan struct{})
 		done := make(chan struct{})
-		go func() { <-start; g.CloseIdle(); close(done) }()
-		if round%2 == 0 { // for sure before the request, or in the same moment
+		go func() { <-start; listener.CloseIdle(); close(done) }()
+		if round%2 == 0 { // before the request, or at the same time
 			close(start)
 			<-done
 			io.WriteString(c, get)
@@ -179,28 +179,28 @@
 			close(start)
 			io.WriteString(c, get)
 		}
-		err := ask()
-		answered := begun.Load() == 2
+		err := readAnswer()
+		answered := handled.Load() == 2
 		if answered != (err == nil) || err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) || round%2 == 0 && answered {
-			t.Fatalf("round %d: begun %v, its client saw %v", round, answered, err)
+			t.Fatalf("round %d: handled %v, its client saw %v", round, answered, err)
 		}
 		if answered {
-			both[0]++
+			outcomes[0]++
 		} else {
-			both[1]++
+			outcomes[1]++
 		}
 		c.Close()
-		g.Close()
+		listener.Close()
 	}
-	t.Logf("%d answered, %d not read", both[0], both[1])
+	t.Logf("%d answered, %d not read", outcomes[0], outcomes[1])
 }
 
-// More came behind a request than net/http reads at a time: each is served in its turn, with the body that is its own. What
-// was left of a read once went behind what had come later.
+// Requests that fill more than one read of net/http, queued after an unanswered one, are served in order, each with its own body.
+// What was left of a read was once queued after what had been received later.
 func TestManyBehindKeepTheirOrder(t *testing.T) {
 	const behind = 200
 	release := make(chan struct{})
-	g, dial := gateFor(t, func(w http.ResponseWriter, r *http.Request) {
+	listener, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
 		enterPhase(r, phaseServing)
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Path == "/0" {
@@ -209,23 +209,23 @@
 		fmt.Fprint(w, r.URL.Path, string(body))
 	})
 	c := dial()
-	ask := func(i int) int {
+	send := func(i int) int {
 		n, _ := fmt.Fprintf(c, "POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\n%05d", i, i)
 		return n
 	}
-	ask(0)
-	kept := 0
+	send(0)
+	sentAhead := 0
 	for i := 1; i <= behind; i++ {
-		kept += ask(i)
+		sentAhead += send(i)
 	}
-	if kept < 2*4096 || kept > maxReadAheadBytes {
-		t.Fatalf("%d bytes are no test", kept)
+	if sentAhead < 2*4096 || sentAhead > maxReadAheadBytes {
+		t.Fatalf("%d bytes: too few for several reads, or too many to be queued", sentAhead)
 	}
-	until(t, "all of it kept", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		for c := range g.conns {
-			return int(c.pendingBytes.Load()) == kept
+	waitUntil(t, "all bytes queued", func() bool {
+		listener.mu.Lock()
+		defer listener.mu.Unlock()
+		for c := range listener.conns {
+			return int(c.pendingBytes.Load()) == sentAhead
 		}
 		return false
 	})
--- /dev/null
+++ b/internal/transport/connphase.go
@@ -0,0 +1,122 @@
+package transport
+
+import (
+	"time"
+
+	"brassdale/internal/decisions/http2limits"
+)
+
+// phase is what a client's connection is at. A connection that is not multiplexed goes
+//
+//	new -> reading -> serving -> idle -> reading -> ...
+//
+// without serving if the request is rejected, and from any phase to closing, which it never leaves. A multiplexed one is new
+// or reading until its preface was read (Conn.Ready); then it is serving while it has jobs, and idle otherwise.
+type phase uint8
+
+const (
+	phaseNew     phase = iota // accepted; nothing was read from it
+	phaseIdle                 // between requests
+	phaseReading              // a part of a request was read
+	phaseServing              // a job was admitted; its answer is pending
+	phaseClosing              // takes no further request; no answer is pending
+)
+
+// String returns the phase as it is logged.
+func (p phase) String() string {
+	return [...]string{phaseNew: "new", phaseIdle: "idle", phaseReading: "reading", phaseServing: "serving", phaseClosing: "closing"}[p]
+}
+
+// enterPhase changes the phase, unless the connection is closing. Once the listener closes idle connections
+// (Listener.CloseIdle), one that becomes idle without pending bytes is closing at once, and its next Read returns io.EOF.
+func (c *Conn) enterPhase(next phase) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if next == phaseIdle {
+		c.requestComplete = false
+		c.requestArrivedAt.Store(nil)
+	}
+	if c.phase != phaseClosing {
+		c.phase, c.phaseSince, c.hasCarriedJob = next, time.Now(), c.hasCarriedJob || next == phaseServing
+	}
+	if next == phaseIdle && c.listener.dismissed && c.pendingBytes.Load() == 0 {
+		c.phase = phaseClosing
+	}
+}
+
+// Ready records that the preface of a multiplexed connection was read: it can carry requests from now on.
+func (c *Conn) Ready() { c.enterPhase(phaseIdle) }
+
+// noteRequestBytes records that bytes of a request were read, and reports whether they may still be served.
+func (c *Conn) noteRequestBytes() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.noteRequestBytesLocked(time.Now())
+}
+
+// noteRequestBytesLocked is noteRequestBytes; listener.mu is held.
+func (c *Conn) noteRequestBytesLocked(now time.Time) bool {
+	if c.phase == phaseClosing {
+		return false
+	}
+	if c.listener.multiplexed && c.phase != phaseNew { // bytes do not say how far its requests are
+		return true
+	}
+	switch c.phase {
+	case phaseIdle:
+		c.requestBeganAt = now
+		fallthrough
+	case phaseNew:
+		c.phase = phaseReading
+	}
+	if c.phase == phaseReading {
+		c.phaseSince = now
+	}
+	return true
+}
+
+// mayNotContinue reports whether the connection may carry no further request: it is closing, or idle after its client left or
+// sent more than could be queued.
+func (c *Conn) mayNotContinue() bool {
+	if c.listener.multiplexed {
+		return false
+	}
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.phase == phaseClosing || c.phase == phaseIdle && (c.clientGone.Load() || c.pendingOverflowed.Load())
+}
+
+// admitJob records a job on the connection, and reports whether it may have one: not when it is closing, as its client has been
+// answered already, and not when it is multiplexed and has its share of the listener's streams.
+func (c *Conn) admitJob() bool {
+	listener := c.listener
+	listener.mu.Lock()
+	defer listener.mu.Unlock()
+	if !listener.multiplexed && c.phase == phaseClosing {
+		return false
+	}
+	if listener.multiplexed {
+		if !http2limits.WithinDynamicThreshold(listener.streams, listener.jobs, c.openJobs, surelyStreams) {
+			return false
+		}
+		c.openJobs++
+		listener.jobs++
+	}
+	c.phase, c.phaseSince, c.hasCarriedJob = phaseServing, time.Now(), true
+	return true
+}
+
+// releaseJob ends a job that was admitted. On a connection that is not multiplexed it does nothing: net/http reports when that is
+// idle again.
+func (c *Conn) releaseJob() {
+	listener := c.listener
+	listener.mu.Lock()
+	defer listener.mu.Unlock()
+	if !listener.multiplexed {
+		return
+	}
+	listener.jobs--
+	if c.openJobs--; c.openJobs == 0 {
+		c.phase, c.phaseSince = phaseIdle, time.Now()
+	}
+}
--- a/internal/transport/held_up_test.go
+++ b/internal/transport/held_up_test.go
@@ -7,11 +7,11 @@
 	"brassdale/scheduler"
 )
 
-// A dispatcher may be held up for 0.15 s between reading its clock and writing. What is forbidden by then must not be begun
-// before, with 50 ms of its own on top: the grace of a drain, the window for a repeat. The list that told the drain may have lain
-// unread for as long before.
+// A process may be paused for 150 ms between reading the clock and writing. What must not be written after a point in time (the end
+// of a drain grace period, or of the window for a retry) is not begun later than that and 50 ms of processing before it. The
+// endpoint list that announced the drain may have lain unread for another 150 ms.
 func TestHeldUpBeforeTheWrite(t *testing.T) {
-	const heldUp = 150 * time.Millisecond
+	const pause = 150 * time.Millisecond
 	now := time.Now()
 	grace := 500 * time.Millisecond // of newIdle
 	far := now.Add(time.Hour)
@@ -19,22 +19,22 @@
 		told, by time.Time
 		sent     bool
 	}{
-		"drain, room to spare":       {told: now.Add(-grace + 2*heldUp + 100*time.Millisecond), sent: true},
-		"drain, over if held up":     {told: now.Add(-grace + heldUp)},
-		"drain, over if read late":   {told: now.Add(-grace + 2*heldUp)},
-		"drain, no room of its own":  {told: now.Add(-grace + 2*heldUp + 40*time.Millisecond)},
-		"repeat, room to spare":      {by: now.Add(heldUp + 200*time.Millisecond), sent: true},
-		"repeat, over if held up":    {by: now.Add(heldUp)},
-		"repeat, no room of its own": {by: now.Add(heldUp + 40*time.Millisecond)},
+		"drain, time to spare":          {told: now.Add(-grace + 2*pause + 100*time.Millisecond), sent: true},
+		"drain, over after a pause":     {told: now.Add(-grace + pause)},
+		"drain, over after a late read": {told: now.Add(-grace + 2*pause)},
+		"drain, no time for processing": {told: now.Add(-grace + 2*pause + 40*time.Millisecond)},
+		"retry, time to spare":          {by: now.Add(pause + 200*time.Millisecond), sent: true},
+		"retry, over after a pause":     {by: now.Add(pause)},
+		"retry, no time for processing": {by: now.Add(pause + 40*time.Millisecond)},
 	} {
-		e, ends, w, there := newIdle(t, c.told)
+		e, outcomes, w, there := newIdle(t, c.told)
 		x := newExchange(far)
 		x.call.SendBy = c.by
 		if carried := e.carry(x, w); carried != c.sent {
 			t.Errorf("%s: sent %v", name, carried)
 		}
 		if there.Close(); !c.sent {
-			if o := <-ends; o != scheduler.NeverSent {
+			if o := <-outcomes; o != scheduler.NeverSent {
 				t.Errorf("%s: ended as %v", name, o)
 			}
 		}
--- /dev/null
+++ b/internal/transport/lingeringclose.go
@@ -0,0 +1,51 @@
+package transport
+
+import "time"
+
+// A connection that is closed is read on for lingeringCloseTimeout, or up to lingeringCloseMaxBytes. Closed with unread
+// bytes it would be reset, and a reset discards what the client has not read of its answer.
+const (
+	lingeringCloseTimeout  = time.Second
+	lingeringCloseMaxBytes = 1 << 20
+)
+
+// Close ends the connection. If it is not multiplexed and its client has not left, the sending side is shut first and what the client
+// still sends is read and discarded, so Close may block for lingeringCloseTimeout.
+func (c *Conn) Close() error {
+	if !c.listener.multiplexed && !c.clientGone.Load() && c.beginClose() {
+		c.lingeringClose()
+	}
+	c.listener.mu.Lock()
+	c.listener.log.Debug("client connection closed", "phase", c.phase.String(), "client_gone", c.clientGone.Load(),
+		"response_started", c.responseStarted.Load(), "client", c.RemoteAddr())
+	c.listener.ended(c)
+	c.listener.mu.Unlock()
+	return c.TCPConn.Close()
+}
+
+// beginClose enters phaseClosing, and reports whether nobody has done so for a close before.
+func (c *Conn) beginClose() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.closeStarted {
+		return false
+	}
+	c.closeStarted, c.phase, c.phaseSince = true, phaseClosing, time.Now()
+	return true
+}
+
+// lingeringClose shuts the sending side, and reads until the client shuts its own or a limit is reached.
+func (c *Conn) lingeringClose() {
+	if c.CloseWrite() != nil {
+		return
+	}
+	_ = c.SetReadDeadline(time.Now().Add(lingeringCloseTimeout)) // fails only on a closed connection, as the reads do then
+	var b [4096]byte
+	for left := lingeringCloseMaxBytes; left > 0; {
+		n, err := c.TCPConn.Read(b[:])
+		if err != nil {
+			return
+		}
+		left -= n
+	}
+}
--- a/internal/transport/readahead.go
+++ b/internal/transport/readahead.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// readAheadQueue holds bytes of a connection that were read before their turn, each with the time when it came: a request's time
-// counts from its last byte, however long it waits behind another one.
+// readAheadQueue queues bytes of a connection that were read after an unanswered request, each with the time at which it was
+// received: the deadline of a request counts from its last byte, however long that waits for the answer before it.
+// It is owned by the goroutine that reads the connection.
 type readAheadQueue struct {
-	chunks []readAheadChunk
-	size   int
+	chunks []readAheadChunk // in the order of the bytes; none is empty
+	size   int              // bytes in all chunks
 }
 
+// readAheadChunk is bytes that were received within chunkMergeInterval.
 type readAheadChunk struct {
 	bytes      []byte
-	receivedAt time.Time
+	receivedAt time.Time // of the first of them
 }
 
-// chunkMergeInterval is how close to each other bytes may come to be kept together.
+// chunkMergeInterval is the time within which bytes are taken as received together.
 const chunkMergeInterval = time.Millisecond
 
-// push adds bytes that came now, behind all others.
+// push appends a copy of bytes that were received now.
 func (q *readAheadQueue) push(b []byte, now time.Time) {
 	if len(b) == 0 {
 		return
@@ -30,24 +32,25 @@
 	q.chunks = append(q.chunks, readAheadChunk{append([]byte(nil), b...), now})
 }
 
-// pushFront puts bytes before all others.
-func (q *readAheadQueue) pushFront(b []byte, came time.Time) {
+// pushFront puts a copy of bytes before all others.
+func (q *readAheadQueue) pushFront(b []byte, receivedAt time.Time) {
 	if len(b) == 0 {
 		return
 	}
 	q.size += len(b)
-	q.chunks = append([]readAheadChunk{{append([]byte(nil), b...), came}}, q.chunks...)
+	q.chunks = append([]readAheadChunk{{append([]byte(nil), b...), receivedAt}}, q.chunks...)
 }
 
-// pop moves bytes that came together into b, and gives how many and when they came.
-func (q *readAheadQueue) pop(b []byte) (n int, came time.Time) {
+// pop moves bytes of the first chunk into b, and returns how many and when they were received. The queue must not be empty.
+func (q *readAheadQueue) pop(b []byte) (n int, receivedAt time.Time) {
 	first := &q.chunks[0]
-	n, came = copy(b, first.bytes), first.receivedAt
+	n, receivedAt = copy(b, first.bytes), first.receivedAt
 	q.size -= n
-	if first.bytes = first.bytes[n:]; len(first.bytes) == 0 {
-		if q.chunks = q.chunks[1:]; len(q.chunks) == 0 {
-			q.chunks = nil // its room is free
-		}
+	if first.bytes = first.bytes[n:]; len(first.bytes) > 0 {
+		return n, receivedAt
 	}
-	return n, came
+	if q.chunks = q.chunks[1:]; len(q.chunks) == 0 {
+		q.chunks = nil // frees the array
+	}
+	return n, receivedAt
 }
--- /dev/null
+++ b/internal/transport/requestconn.go
@@ -0,0 +1,91 @@
+package transport
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+)
+
+// connKey is the context key of a request's connection.
+type connKey struct{}
+
+// withConn is the ConnContext of an http.Server: it makes the connection known to handlers.
+func withConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, conn)
+}
+
+// ConnOf returns the connection of a request as its server's listener accepted it, nil if there is none.
+func ConnOf(r *http.Request) net.Conn {
+	conn, _ := r.Context().Value(connKey{}).(net.Conn)
+	return conn
+}
+
+// clientConnOf returns the Conn below a request's connection, nil if it did not come through a Listener, for example one
+// that the other process relayed.
+func clientConnOf(r *http.Request) *Conn {
+	if wrapper, ok := ConnOf(r).(interface{ ClientConn() *Conn }); ok {
+		return wrapper.ClientConn()
+	}
+	return nil
+}
+
+// clientGoneFunc returns a function that reports whether a request's client has left. It may be called at any time from any
+// goroutine, and costs a system call.
+func clientGoneFunc(r *http.Request) func() bool {
+	ctx, conn := r.Context(), clientConnOf(r)
+	return func() bool { return ctx.Err() != nil || conn != nil && conn.clientHasLeft() }
+}
+
+// enterPhase changes the phase of a request's connection.
+func enterPhase(r *http.Request, next phase) {
+	if conn := clientConnOf(r); conn != nil {
+		conn.enterPhase(next)
+	}
+}
+
+// admitJob records a request's job on its connection, and reports whether that may have one. If so, releaseJob must be called
+// when the job has ended.
+func admitJob(r *http.Request) bool {
+	conn := clientConnOf(r)
+	return conn == nil || conn.admitJob()
+}
+
+// releaseJob ends a job that admitJob admitted.
+func releaseJob(r *http.Request) {
+	if conn := clientConnOf(r); conn != nil {
+		conn.releaseJob()
+	}
+}
+
+// requestReadDeadline returns when a request must have been received completely: wholeWithin after its first byte, or from now
+// if it is multiplexed, since its head is complete and had a time of its own.
+func requestReadDeadline(r *http.Request) time.Time {
+	conn := clientConnOf(r)
+	if conn == nil || conn.listener.multiplexed {
+		return time.Now().Add(wholeWithin)
+	}
+	conn.listener.mu.Lock()
+	defer conn.listener.mu.Unlock()
+	return conn.requestBeganAt.Add(wholeWithin)
+}
+
+// unreadDuration returns how long before now the last byte of a request had been received, 0 if it is not known.
+func unreadDuration(r *http.Request, now time.Time) time.Duration {
+	conn := clientConnOf(r)
+	if conn == nil {
+		return 0
+	}
+	arrivedAt := conn.requestArrivedAt.Load()
+	if arrivedAt == nil {
+		return 0
+	}
+	return max(now.Sub(*arrivedAt), 0)
+}
+
+// trackConnState is the ConnState of an http.Server: it records when a connection is idle again.
+func trackConnState(conn net.Conn, state http.ConnState) {
+	if c, ok := conn.(*Conn); ok && state == http.StateIdle {
+		c.enterPhase(phaseIdle)
+	}
+}
--- /dev/null
+++ b/internal/transport/requestframing.go
@@ -0,0 +1,138 @@
+package transport
+
+import (
+	"strconv"
+	"strings"
+)
+
+// requestFraming follows the bytes of a connection from request to request, and rejects heads that leave in doubt where
+// the next request begins (request smuggling, RFC 9112, section 11.2): those with both Content-Length and Transfer-Encoding,
+// of which net/http silently drops the former, folded lines, and lengths that are no number. The line of a rejected head is made
+// malformed, so that net/http answers it with 400 and closes the connection, after the answers to earlier requests.
+// It is owned by the goroutine that reads the connection; the zero value awaits a first request.
+type requestFraming struct {
+	position            framingPosition
+	linePrefix          []byte // the present line of the head, up to maxLinePrefix bytes
+	hasContentLength    bool   // in the present head
+	hasTransferEncoding bool   // in the present head
+	bodyBytesLeft       int64
+	malformedBytesLeft  int // bytes of malformedLineEnd that net/http has not read yet
+}
+
+// framingPosition is the part of a request that the next byte belongs to.
+type framingPosition uint8
+
+const (
+	inRequestLine framingPosition = iota
+	inHead
+	inBody
+	inChunkedBody     // its end is not looked for: the frontend closes the connection after the answer
+	inRejectedRequest // nothing more is passed on
+)
+
+const (
+	contentLengthName    = "content-length"
+	transferEncodingName = "transfer-encoding"
+
+	// maxLinePrefix is how many bytes of a line must be seen: the longer name and its colon, or a length with spaces.
+	maxLinePrefix = len(contentLengthName) + 1 + 40
+
+	// malformedLineEnd, after a byte that no header may have, ends the line and the head.
+	malformedLineEnd = "\n\n"
+)
+
+// scan returns how many of the bytes may be passed on, at most up to the end of a request, and whether that end was reached.
+// If the head is rejected, it replaces the last byte that is passed on by one that no header may have; nextMalformedByte gives
+// the bytes that follow.
+func (f *requestFraming) scan(b []byte) (n int, complete bool) {
+	for i := 0; i < len(b); i++ {
+		switch f.position {
+		case inBody:
+			skip := min(f.bodyBytesLeft, int64(len(b)-i))
+			f.bodyBytesLeft -= skip
+			i += int(skip) - 1
+			if f.bodyBytesLeft == 0 {
+				f.beginRequest()
+				return i + 1, true
+			}
+		case inChunkedBody:
+			return len(b), false
+		case inRejectedRequest:
+			return i, false
+		case inRequestLine:
+			if b[i] == '\n' {
+				f.position = inHead
+			}
+		case inHead:
+			if !f.scanHeadByte(b[i]) {
+				b[i], f.position, f.malformedBytesLeft = 0, inRejectedRequest, len(malformedLineEnd)
+				return i + 1, false
+			}
+			if f.position == inRequestLine { // the request has no body
+				return i + 1, true
+			}
+		}
+	}
+	return len(b), false
+}
+
+// nextMalformedByte returns the next byte of malformedLineEnd. malformedBytesLeft must be above 0.
+func (f *requestFraming) nextMalformedByte() byte {
+	next := malformedLineEnd[len(malformedLineEnd)-f.malformedBytesLeft]
+	f.malformedBytesLeft--
+	return next
+}
+
+// scanHeadByte scans a byte of a head, and reports whether the head is acceptable so far.
+func (f *requestFraming) scanHeadByte(c byte) bool {
+	if c == '\n' {
+		return f.scanLineEnd()
+	}
+	if len(f.linePrefix) == maxLinePrefix {
+		return true
+	}
+	f.linePrefix = append(f.linePrefix, c)
+	switch {
+	case len(f.linePrefix) == 1: // a space or tab folds the line into the one before
+		return c != ' ' && c != '\t'
+	case c != ':':
+		return true
+	case strings.EqualFold(string(f.linePrefix), contentLengthName+":"):
+		f.hasContentLength = true
+	case strings.EqualFold(string(f.linePrefix), transferEncodingName+":"):
+		f.hasTransferEncoding = true
+	}
+	return !f.hasContentLength || !f.hasTransferEncoding
+}
+
+// scanLineEnd ends a line of a head, and reports whether the line is acceptable.
+func (f *requestFraming) scanLineEnd() bool {
+	line, seenWhole := strings.TrimSuffix(string(f.linePrefix), "\r"), len(f.linePrefix) < maxLinePrefix
+	f.linePrefix = f.linePrefix[:0]
+	if line == "" {
+		f.endHead()
+		return true
+	}
+	name, value, _ := strings.Cut(line, ":")
+	if !strings.EqualFold(name, contentLengthName) {
+		return true
+	}
+	length, err := strconv.ParseUint(strings.Trim(value, " \t"), 10, 63)
+	f.bodyBytesLeft = int64(length)
+	return err == nil && seenWhole // a length padded with zeros beyond the prefix is rejected
+}
+
+// endHead ends a head.
+func (f *requestFraming) endHead() {
+	switch {
+	case f.hasTransferEncoding:
+		f.position = inChunkedBody
+	case f.bodyBytesLeft > 0:
+		f.position = inBody
+	default:
+		f.beginRequest()
+	}
+}
+
+// beginRequest awaits the next request. The buffer of the line is reused.
+func (f *requestFraming) beginRequest() { *f = requestFraming{linePrefix: f.linePrefix[:0]} }
--- /dev/null
+++ b/internal/transport/tcpinfo.go
@@ -0,0 +1,60 @@
+package transport
+
+import (
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// What the kernel says of a client's connection. Each method costs a system call. An error of one is taken as no
+// information: it means that the connection is closed already, which its reader notices.
+
+// hasUnreadBytes reports whether bytes were received on the connection that its reader has not given to net/http.
+func (c *Conn) hasUnreadBytes() bool {
+	if c.pendingBytes.Load() > 0 {
+		return true
+	}
+	unread := 0
+	if raw, err := c.SyscallConn(); err == nil {
+		_ = raw.Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
+	}
+	return unread > 0
+}
+
+// maxTrustedReceiveAge is the longest time since the last receive that is believed.
+const maxTrustedReceiveAge = 5 * time.Second
+
+// sinceLastReceive returns how long ago the kernel received the last bytes on the connection, 0 if it is not known.
+func (c *Conn) sinceLastReceive() time.Duration {
+	age := time.Duration(c.tcpInfo().Last_data_recv) * time.Millisecond
+	if age > maxTrustedReceiveAge {
+		return 0
+	}
+	return age
+}
+
+// clientHasLeft reports whether the client has shut its side or the connection has broken, even if bytes are unread.
+func (c *Conn) clientHasLeft() bool {
+	if c.clientGone.Load() {
+		return true
+	}
+	switch c.tcpInfo().State {
+	case unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSE:
+		return true
+	}
+	return false
+}
+
+// tcpInfo returns the kernel's state of the connection, the zero value if there is none.
+func (c *Conn) tcpInfo() (info unix.TCPInfo) {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return info
+	}
+	_ = raw.Control(func(fd uintptr) {
+		if current, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			info = *current
+		}
+	})
+	return info
+}
