--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -1,12 +1,11 @@
 package transport
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
-	"sync"
 	"syscall"
 	"time"
 
@@ -14,63 +13,53 @@
 
 	"brassdale/internal/listen"
 	"brassdale/internal/protocol"
-	"brassdale/internal/routing"
 )
 
-// PeerProcess is the other process while one replaces the other: a Unix socket whose end is the other's end. It is an
-// actor with a mailbox: nobody who tells it something waits for it.
-type PeerProcess struct {
-	conn    *net.UnixConn
-	decoder *json.Decoder
-	mailbox *routing.Mailbox[protocol.HandoverMessage]
-	gone    chan struct{}
-
-	mu               sync.Mutex
-	lastQuestionID   uint64
-	pendingQuestions map[uint64]chan bool
-}
+// How two processes of one dispatcher hand over. The predecessor listens at a Unix socket (Publish, AcceptSuccessor). The successor
+// connects to it (ConnectToPredecessor). The predecessor sends one byte with the descriptors of its listeners, then a Handover
+// (PeerProcess.HandOver), and goes on serving. From then on both run PeerProcess.Run.
 
 const (
-	peerWriteTimeout = time.Second // a process that takes nothing from its sibling for so long is as good as dead
-	maxListeners     = 4
+	maxListeners       = 4 // that one handover can carry
+	descriptorBytes    = 4 // of a descriptor in a control message
+	privateSocketPerms = 0o600
 )
 
-func newPeerProcess(conn *net.UnixConn) *PeerProcess {
-	return &PeerProcess{conn: conn, decoder: json.NewDecoder(conn), mailbox: routing.NewMailbox[protocol.HandoverMessage](), gone: make(chan struct{}), pendingQuestions: map[uint64]chan bool{}}
-}
+// errNoHandover says that the predecessor's first message lacks the handover, or that not all listeners came with it.
+var errNoHandover = errors.New("the first message of the predecessor is not a handover with its listeners")
 
-// ConnectToPredecessor finds the process that is to be replaced and takes over its listeners and what it knows. No such process, a
-// dead one or one that does not answer until then is an error.
-func ConnectToPredecessor(path string, until time.Time) (*PeerProcess, *protocol.Handover, []*net.TCPListener, error) {
-	conn, err := (&net.Dialer{Deadline: until}).Dial("unix", path)
+// ConnectToPredecessor connects to the process that listens at path, and takes over its listeners, in the order of Handover.Fronts,
+// and its state. It blocks until the deadline at most. It fails if there is no such process, or if that does not answer.
+func ConnectToPredecessor(path string, deadline time.Time) (*PeerProcess, *protocol.Handover, []*net.TCPListener, error) {
+	conn, err := (&net.Dialer{Deadline: deadline}).Dial("unix", path)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	k := newPeerProcess(conn.(*net.UnixConn))
-	_ = k.conn.SetDeadline(until)
-	listeners, err := k.receiveListeners()
+	predecessor := newPeerProcess(conn.(*net.UnixConn))
+	_ = predecessor.conn.SetDeadline(deadline) // fails only on a closed connection, as the reads do then
+	listeners, err := predecessor.receiveListeners()
 	var first protocol.HandoverMessage
 	if err == nil {
-		err = k.decoder.Decode(&first)
+		err = predecessor.decoder.Decode(&first)
 	}
 	if err == nil && (first.Handover == nil || len(first.Handover.Fronts) != len(listeners)) {
-		err = errors.New("the predecessor's first word is no handover")
+		err = errNoHandover
 	}
 	if err != nil {
-		conn.Close()
-		for _, l := range listeners {
-			l.Close()
+		predecessor.Close()
+		for _, listener := range listeners {
+			closeQuietly(listener)
 		}
 		return nil, nil, nil, err
 	}
-	_ = k.conn.SetDeadline(time.Time{})
-	return k, first.Handover, listeners, nil
+	_ = predecessor.conn.SetDeadline(time.Time{})
+	return predecessor, first.Handover, listeners, nil
 }
 
-// receiveListeners takes the listeners, which come with one byte.
-func (k *PeerProcess) receiveListeners() (listeners []*net.TCPListener, err error) {
-	mark, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4*maxListeners))
-	_, n, _, _, err := k.conn.ReadMsgUnix(mark, control)
+// receiveListeners receives the listeners, which are sent with one byte. Even with an error, those that it returns are open.
+func (p *PeerProcess) receiveListeners() (listeners []*net.TCPListener, err error) {
+	mark, control := make([]byte, 1), make([]byte, unix.CmsgSpace(descriptorBytes*maxListeners))
+	_, n, _, _, err := p.conn.ReadMsgUnix(mark, control)
 	if err != nil {
 		return nil, err
 	}
@@ -84,162 +73,117 @@
 			return listeners, err
 		}
 		for _, fd := range fds {
-			f := os.NewFile(uintptr(fd), "listener")
-			l, err := net.FileListener(f)
-			f.Close()
-			if tcp, ok := l.(*net.TCPListener); ok {
-				listeners = append(listeners, tcp)
-			} else if err == nil {
-				l.Close()
+			if listener := tcpListenerOf(fd); listener != nil {
+				listeners = append(listeners, listener)
 			}
 		}
 	}
 	return listeners, nil
 }
 
-// HandOver gives a successor the listeners, without a copy here, and what it begins with.
-func (k *PeerProcess) HandOver(s *protocol.Handover, gates []*Listener) error {
-	var fds []int
-	var send func() error
-	send = func() (err error) { // each descriptor is held while the next is asked for
-		if len(fds) < len(gates) {
-			raw, err := gates[len(fds)].SyscallConn()
-			if err != nil {
-				return err
-			}
-			var inner error
-			err = raw.Control(func(fd uintptr) { fds = append(fds, int(fd)); inner = send() })
-			return errors.Join(err, inner)
-		}
-		_, _, err = k.conn.WriteMsgUnix([]byte{'\n'}, syscall.UnixRights(fds...), nil)
-		return err
+// tcpListenerOf returns the TCP listener of a descriptor, and closes the descriptor. nil says that it was of anything else.
+func tcpListenerOf(fd int) *net.TCPListener {
+	file := os.NewFile(uintptr(fd), "listener")
+	defer closeQuietly(file)
+	listener, err := net.FileListener(file) // duplicates the descriptor
+	if err != nil {
+		return nil
 	}
-	_ = k.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
-	if err := send(); err != nil {
-		return err
+	tcp, ok := listener.(*net.TCPListener)
+	if !ok {
+		closeQuietly(listener)
+		return nil
 	}
-	k.Notify(protocol.HandoverMessage{Handover: s})
-	return nil
+	return tcp
 }
 
-// Run reads and writes until the other process is gone. take gets all but answers.
-func (k *PeerProcess) Run(take func(protocol.HandoverMessage)) {
-	go k.writeMessages()
-	for {
-		var n protocol.HandoverMessage
-		if err := k.decoder.Decode(&n); err != nil {
-			break
-		}
-		if n.AnswerTo == 0 {
-			take(n)
-			continue
-		}
-		k.mu.Lock()
-		answered := k.pendingQuestions[n.AnswerTo]
-		delete(k.pendingQuestions, n.AnswerTo)
-		k.mu.Unlock()
-		if answered != nil {
-			answered <- n.Yes // has room
-		}
+// HandOver sends the listeners and the state to a successor. The listeners stay open here. It must be called before Run, and
+// blocks for peerWriteTimeout at most.
+func (p *PeerProcess) HandOver(state *protocol.Handover, listeners []*Listener) error {
+	_ = p.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)) // fails only on a closed connection, as the write does
+	err := withDescriptors(listeners, nil, func(fds []int) error {
+		_, _, err := p.conn.WriteMsgUnix([]byte{'\n'}, syscall.UnixRights(fds...), nil)
+		return err
+	})
+	if err != nil {
+		return err
 	}
-	k.conn.Close()
-	close(k.gone)
+	p.Notify(protocol.HandoverMessage{Handover: state})
+	return nil
 }
 
-func (k *PeerProcess) writeMessages() {
-	out := json.NewEncoder(k.conn)
-	for {
-		select {
-		case <-k.gone:
-			return
-		case <-k.mailbox.Signal():
-		}
-		for _, n := range k.mailbox.Take() {
-			_ = k.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
-			if err := out.Encode(n); err != nil {
-				k.conn.Close() // ends Run
-				return
-			}
-		}
+// withDescriptors calls use with fds and the descriptors of the listeners, none of which is closed before use returns: each
+// listener's RawConn keeps its own open while the next is asked.
+func withDescriptors(listeners []*Listener, fds []int, use func(fds []int) error) error {
+	if len(listeners) == 0 {
+		return use(fds)
 	}
+	raw, err := listeners[0].SyscallConn()
+	if err != nil {
+		return err
+	}
+	var inner error
+	err = raw.Control(func(fd uintptr) { inner = withDescriptors(listeners[1:], append(fds, int(fd)), use) })
+	return errors.Join(err, inner)
 }
 
-// Notify sends a note. It does not block.
-func (k *PeerProcess) Notify(n protocol.HandoverMessage) { k.mailbox.Post(n) }
-
-// Ask sends a question and gives the answer; heard tells whether one came until then.
-func (k *PeerProcess) Ask(n protocol.HandoverMessage, until time.Time) (yes, heard bool) {
-	answered := make(chan bool, 1)
-	k.mu.Lock()
-	k.lastQuestionID++
-	n.QuestionID = k.lastQuestionID
-	k.pendingQuestions[n.QuestionID] = answered
-	k.mu.Unlock()
-	k.Notify(n)
-	late := time.NewTimer(time.Until(until))
-	defer late.Stop()
-	select {
-	case yes := <-answered:
-		return yes, true
-	case <-k.gone:
-	case <-late.C:
-		k.mu.Lock()
-		delete(k.pendingQuestions, n.QuestionID)
-		k.mu.Unlock()
-	}
-	return false, false
-}
-
-// Gone is closed when the other process has ended.
-func (k *PeerProcess) Gone() <-chan struct{} { return k.gone }
-
-// Close ends the connection.
-func (k *PeerProcess) Close() { k.conn.Close() }
-
-// Publish listens for a successor at a path in place of whoever did so before. The name changes hands in one step:
-// at no time does a successor find nobody.
+// Publish listens for a successor at path, in place of the process that did so before. The path changes hands in one step: at no
+// time does a successor find no listener.
 func Publish(path string) (*net.UnixListener, error) {
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	l, err := ListenPrivate(fresh)
+	ownPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	listener, err := ListenPrivate(ownPath)
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then it may be another's
-	if err := os.Rename(fresh, path); err != nil {
-		l.Close()
+	listener.SetUnlinkOnClose(false) // by then the path may belong to the successor
+	if err := os.Rename(ownPath, path); err != nil {
+		closeQuietly(listener)
 		return nil, err
 	}
-	return l, nil
+	return listener, nil
 }
 
-// ListenPrivate listens at a path for processes of the same user.
+// ListenPrivate listens at path for processes of the same user. It replaces a socket that is there.
 func ListenPrivate(path string) (*net.UnixListener, error) {
-	_ = os.Remove(path) // of a dead process that had the same number
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	_ = os.Remove(path) // left by a dead process that had the same number; if it stays, listening fails
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Chmod(path, 0o600); err != nil {
-		l.Close()
+	if err := os.Chmod(path, privateSocketPerms); err != nil {
+		closeQuietly(listener)
 		return nil, err
 	}
-	return l, nil
+	return listener, nil
 }
 
-// AcceptSuccessor waits for the next successor: a process of the same user.
-func AcceptSuccessor(l *net.UnixListener, failed func(error)) (*PeerProcess, error) {
+// AcceptSuccessor waits for the next successor, which must be a process of the same user, and fails only when the listener is
+// closed. It calls failed with other errors of accept.
+func AcceptSuccessor(listener *net.UnixListener, failed func(error)) (*PeerProcess, error) {
 	for {
-		conn, err := listen.Next(l.AcceptUnix, failed)
+		conn, err := listen.Next(listener.AcceptUnix, failed)
 		if err != nil {
 			return nil, err
 		}
-		var who *unix.Ucred
-		if raw, err := conn.SyscallConn(); err == nil {
-			_ = raw.Control(func(fd uintptr) { who, _ = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED) })
-		}
-		if who != nil && int(who.Uid) == os.Getuid() {
+		if isSameUser(conn) {
 			return newPeerProcess(conn), nil
 		}
-		conn.Close()
+		closeQuietly(conn)
+	}
+}
+
+// isSameUser reports whether the process at the other end has this process's user id.
+func isSameUser(conn *net.UnixConn) bool {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return false
 	}
+	var credentials *unix.Ucred
+	_ = raw.Control(func(fd uintptr) { // without credentials the peer is rejected, whatever the error was
+		credentials, _ = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+	})
+	return credentials != nil && int(credentials.Uid) == os.Getuid()
 }
+
+// closeQuietly closes what is not used any more. There is nothing to do about an error.
+func closeQuietly(closer io.Closer) { _ = closer.Close() }
--- a/internal/transport/inflightids.go
+++ b/internal/transport/inflightids.go
@@ -8,85 +8,92 @@
 	"brassdale/internal/protocol"
 )
 
-// InFlightIDs holds the Req-Id of each job that is open, at whichever front. A second job under the id of an open
-// one is not let in: endpoints would take it for a copy of the first, whose client has done no wrong.
+// InFlightIDs holds the Req-Id of each open job, over all frontends. A second job with the id of an open one is rejected:
+// workers would take it for a copy of the first.
 //
-// While one process replaces another, the predecessor's table decides for both.
+// During a handover both processes are one dispatcher: an id is reserved in the successor's table and in the predecessor's, which
+// decides for both. Methods may be called from any goroutine; those that ask the predecessor block for peerAnswerTimeout
+// at most. The zero value is empty and ready for use.
 type InFlightIDs struct {
 	mu          sync.Mutex
-	owners      map[string]*PeerProcess // by whom: nil for this process
-	predecessor *PeerProcess
+	owners      map[string]*PeerProcess // by id; nil for this process
+	predecessor *PeerProcess            // nil if there is none
 }
 
-// peerAnswerTimeout is how long a predecessor has to say whether an id is free. One that is stuck for longer is taken to
-// have none open that matter: its clients hear nothing either.
+// peerAnswerTimeout is how long a question waits for the other process. A predecessor that takes longer is taken to have no open
+// jobs that matter: its clients get no answers either.
 const peerAnswerTimeout = 250 * time.Millisecond
 
-// DelegateTo has the ids asked of a predecessor too, until it is gone.
-func (o *InFlightIDs) DelegateTo(pred *PeerProcess) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.predecessor = pred
+// DelegateTo has each id reserved at the predecessor too; nil ends that.
+func (i *InFlightIDs) DelegateTo(predecessor *PeerProcess) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.predecessor = predecessor
 }
 
-// Reserve takes an id for the process that asks, nil for this one, and tells whether it was free here.
-func (o *InFlightIDs) Reserve(id string, by *PeerProcess) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if _, taken := o.owners[id]; taken {
+// Reserve reserves an id in this process's table for owner, nil for this process. It reports whether the id was free.
+func (i *InFlightIDs) Reserve(id string, owner *PeerProcess) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if _, taken := i.owners[id]; taken {
 		return false
 	}
-	if o.owners == nil {
-		o.owners = map[string]*PeerProcess{}
+	if i.owners == nil {
+		i.owners = map[string]*PeerProcess{}
 	}
-	o.owners[id] = by
+	i.owners[id] = owner
 	return true
 }
 
-// Release gives back what the same process took.
-func (o *InFlightIDs) Release(id string, by *PeerProcess) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if owner, taken := o.owners[id]; taken && owner == by {
-		delete(o.owners, id)
+// Release releases an id in this process's table, if it is reserved for owner.
+func (i *InFlightIDs) Release(id string, owner *PeerProcess) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if current, taken := i.owners[id]; taken && current == owner {
+		delete(i.owners, id)
 	}
 }
 
-// ReleaseAll gives back all that a process had taken which is gone.
-func (o *InFlightIDs) ReleaseAll(by *PeerProcess) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	maps.DeleteFunc(o.owners, func(_ string, owner *PeerProcess) bool { return owner == by })
+// ReleaseAll releases all ids that are reserved for a process which is gone.
+func (i *InFlightIDs) ReleaseAll(owner *PeerProcess) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	maps.DeleteFunc(i.owners, func(_ string, current *PeerProcess) bool { return current == owner })
 }
 
-func (o *InFlightIDs) currentPredecessor() *PeerProcess {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.predecessor
+// reserveEverywhere reserves an id for this process here and at the predecessor, and reports whether it was free at both.
+func (i *InFlightIDs) reserveEverywhere(id string) bool {
+	return i.Reserve(id, nil) && i.confirmWithPredecessor(id)
 }
 
-func (o *InFlightIDs) reserveEverywhere(id string) bool {
-	return o.Reserve(id, nil) && o.confirmWithPredecessor(id)
+// confirmWithPredecessor reserves at the predecessor an id that is reserved here, and reports whether it was free there; if not, it
+// is released here. A predecessor that does not answer is not asked again.
+func (i *InFlightIDs) confirmWithPredecessor(id string) bool {
+	predecessor := i.currentPredecessor()
+	if predecessor == nil {
+		return true
+	}
+	free, heard := predecessor.Ask(protocol.HandoverMessage{ReserveID: id}, time.Now().Add(peerAnswerTimeout))
+	if !heard {
+		i.DelegateTo(nil)
+		return true
+	}
+	if !free {
+		i.Release(id, nil)
+	}
+	return free
 }
 
-// confirmWithPredecessor has a predecessor agree to an id that was taken here; if it does not, the id is free again.
-func (o *InFlightIDs) confirmWithPredecessor(id string) bool {
-	if pred := o.currentPredecessor(); pred != nil {
-		yes, heard := pred.Ask(protocol.HandoverMessage{ReserveID: id}, time.Now().Add(peerAnswerTimeout))
-		switch {
-		case !heard: // nor will it answer for the next
-			o.DelegateTo(nil)
-		case !yes:
-			o.Release(id, nil)
-			return false
-		}
+// releaseEverywhere releases an id that reserveEverywhere reserved. It does not block.
+func (i *InFlightIDs) releaseEverywhere(id string) {
+	i.Release(id, nil)
+	if predecessor := i.currentPredecessor(); predecessor != nil {
+		predecessor.Notify(protocol.HandoverMessage{ReleaseID: id})
 	}
-	return true
 }
 
-func (o *InFlightIDs) releaseEverywhere(id string) {
-	o.Release(id, nil)
-	if pred := o.currentPredecessor(); pred != nil {
-		pred.Notify(protocol.HandoverMessage{ReleaseID: id})
-	}
+func (i *InFlightIDs) currentPredecessor() *PeerProcess {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.predecessor
 }
