--- a/internal/transport/accountquotas.go
+++ b/internal/transport/accountquotas.go
@@ -7,103 +7,108 @@
 	"brassdale/internal/decisions/quotas"
 )
 
-// AccountQuotas deals out the room for jobs among accounts, over all fronts together. A nil one has room for all.
-type AccountQuotas struct {
-	mu         sync.Mutex
-	settings   *QuotaSettings
-	openAtPeer int                // jobs that another process has open which acts as the same dispatcher
-	fleetCaps  map[string]float64 // the most that accounts may have by the fleet's rules
-	table      *quotas.Table
-}
-
-// QuotaSettings are the operator's, in a block accounts.
+// QuotaSettings is the block accounts of the operator's file.
 type QuotaSettings struct {
-	Capacity int            `hcl:"room"` // jobs open at a time, over all fronts
+	Capacity int            `hcl:"room"` // jobs open at a time, over all frontends
 	Accounts []AccountQuota `hcl:"account,block"`
 }
 
-// AccountQuota is an account's part of the room.
+// AccountQuota is the share of one account.
 type AccountQuota struct {
 	Name  string  `hcl:"name,label"`
-	Share float64 `hcl:"share"` // between 0 and 1
+	Share float64 `hcl:"share"` // of the capacity, between 0 and 1
 }
 
+// shares returns the shares by account, in a map of its own.
 func (s *QuotaSettings) shares() map[string]float64 {
-	parts := map[string]float64{}
-	for _, a := range s.Accounts {
-		parts[a.Name] = a.Share
+	shares := map[string]float64{}
+	for _, account := range s.Accounts {
+		shares[account.Name] = account.Share
 	}
-	return parts
+	return shares
 }
 
-// NewAccountQuotas makes the table.
-func NewAccountQuotas(s *QuotaSettings) *AccountQuotas {
-	return &AccountQuotas{settings: s, table: quotas.New(s.Capacity, s.shares())}
+// AccountQuotas divides the capacity for open jobs among accounts, over all frontends together. Only admit may be called on a nil
+// one, and then admits every job. Methods may be called from any goroutine.
+type AccountQuotas struct {
+	mu         sync.Mutex
+	settings   *QuotaSettings
+	openAtPeer int                // jobs that the predecessor has open during a handover
+	fleetCaps  map[string]float64 // maximum shares by the fleet's rules; accounts that are not named have none
+	table      *quotas.Table
 }
 
-// SetQuotas changes the shares; what is open stays open.
-func (s *AccountQuotas) SetQuotas(to *QuotaSettings) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.settings = to
-	s.applySettings()
+// NewAccountQuotas returns the quotas with no job open.
+func NewAccountQuotas(settings *QuotaSettings) *AccountQuotas {
+	return &AccountQuotas{settings: settings, table: quotas.New(settings.Capacity, settings.shares())}
 }
 
-// ReserveFor leaves room for the jobs that another process has open; 0 while there is none.
-func (s *AccountQuotas) ReserveFor(open int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.openAtPeer = open
-	s.applySettings()
+// SetQuotas replaces the settings. Open jobs stay open, also beyond the new shares.
+func (q *AccountQuotas) SetQuotas(settings *QuotaSettings) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.settings = settings
+	q.applySettings()
 }
 
-// CapQuotas holds accounts to no more than these shares, whatever the settings say; who is not named is not bound.
-func (s *AccountQuotas) CapQuotas(caps map[string]float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.fleetCaps = caps
-	s.applySettings()
+// ReserveFor takes the jobs that another process of this dispatcher has open off the capacity; 0 if there is none.
+func (q *AccountQuotas) ReserveFor(open int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.openAtPeer = open
+	q.applySettings()
 }
 
-// applySettings puts the settings in force; s.mu is held.
-func (s *AccountQuotas) applySettings() {
-	parts := s.settings.shares()
-	for name, most := range s.fleetCaps {
-		if part, ok := parts[name]; ok && most < part {
-			parts[name] = most
+// CapQuotas limits accounts to these shares where the settings give them more. It replaces earlier limits.
+func (q *AccountQuotas) CapQuotas(caps map[string]float64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.fleetCaps = caps
+	q.applySettings()
+}
+
+// applySettings puts the settings and limits in force. q.mu is held.
+func (q *AccountQuotas) applySettings() {
+	shares := q.settings.shares()
+	for name, limit := range q.fleetCaps {
+		if share, ok := shares[name]; ok && limit < share {
+			shares[name] = limit
 		}
 	}
-	s.table.SetQuotas(max(s.settings.Capacity-s.openAtPeer, 0), parts)
+	q.table.SetQuotas(q.capacity(), shares)
 }
 
-// Metrics gives the numbers, a line each.
-func (s *AccountQuotas) Metrics() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return fmt.Sprintf("accounts_room=%d\naccounts_open=%d\n", max(s.settings.Capacity-s.openAtPeer, 0), s.table.TotalOpen())
+// capacity returns how many jobs this process may have open. q.mu is held.
+func (q *AccountQuotas) capacity() int { return max(q.settings.Capacity-q.openAtPeer, 0) }
+
+// Metrics returns the metrics, one on a line.
+func (q *AccountQuotas) Metrics() string {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return fmt.Sprintf("accounts_room=%d\naccounts_open=%d\n", q.capacity(), q.table.TotalOpen())
 }
 
-// OpenJobs is how many jobs are open.
-func (s *AccountQuotas) OpenJobs() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.table.TotalOpen()
+// OpenJobs returns how many jobs are open.
+func (q *AccountQuotas) OpenJobs() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.table.TotalOpen()
 }
 
-// admit takes a job of an account and gives what ends it, or tells that there is no room.
-func (s *AccountQuotas) admit(account string) (free func(), ok bool) {
-	if s == nil {
+// admit opens a job of an account, if the account's quota allows one more. release must be called once, when the job ends.
+func (q *AccountQuotas) admit(account string) (release func(), ok bool) {
+	if q == nil {
 		return func() {}, true
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	pot := s.table.QuotaName(account)
-	if !s.table.Admit(pot) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	quota := q.table.QuotaName(account)
+	if !q.table.Admit(quota) {
 		return nil, false
 	}
 	return func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.table.Release(pot)
+		q.mu.Lock()
+		defer q.mu.Unlock()
+		q.table.Release(quota)
 	}, true
 }
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -16,131 +16,165 @@
 	"brassdale/internal/protocol"
 )
 
-// The header by which one process tells the other how a relayed reader wants its answer.
 const (
-	relayModeHeader = "Brassdale-Relayed-As"
-	relayWhole      = "whole"
+	relayModeHeader = "Brassdale-Relayed-As" // how the client of a relayed request wants its answer
+	relayWhole      = "whole"                // in one piece; any other value: as a stream of events
 )
 
-// peerTable is the other process's table of keys. A job is at one of both: who comes to the other one for it is
-// relayed, through a Unix socket, and what has ended at the predecessor goes to the successor's table.
+// peerTable is the idempotency table of the other process during a handover. The job of a key is in one of both tables. A request
+// for it that reaches the other process is relayed through a Unix socket; jobs that have ended at the predecessor are sent
+// to the successor.
 type peerTable struct {
 	process       *PeerProcess
-	isPredecessor bool // it is the predecessor
+	isPredecessor bool
 	proxy         *httputil.ReverseProxy
 }
 
-// RunBeside goes on beside another process, whose front takes relayed readers at a path; with none, alone. older tells
-// whether that one is the predecessor; else it is handed what is remembered here.
-func (f *IdempotencyTable) RunBeside(sibling *PeerProcess, path string, older bool) {
-	var p *peerTable
-	if sibling != nil && path != "" {
-		dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return (&net.Dialer{}).DialContext(ctx, "unix", path)
-		}
-		p = &peerTable{process: sibling, isPredecessor: older, proxy: &httputil.ReverseProxy{
-			Rewrite:       func(r *httputil.ProxyRequest) { r.SetURL(&url.URL{Scheme: "http", Host: r.In.Host}) },
-			Transport:     &http.Transport{DialContext: dial, DisableKeepAlives: true},
-			FlushInterval: -1, // each event at once
-			ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) {
-				http.Error(w, errUnknownKey.Reason, errUnknownKey.Status)
-			},
-		}}
+// newPeerTable returns the table of a process that takes relayed requests on the Unix socket at path.
+func newPeerTable(process *PeerProcess, path string, isPredecessor bool) *peerTable {
+	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
+		return (&net.Dialer{}).DialContext(ctx, "unix", path)
 	}
-	f.mu.Lock()
-	f.peer = p
-	var known []*jobStream
-	for _, j := range f.jobs {
-		known = append(known, j)
+	return &peerTable{process: process, isPredecessor: isPredecessor, proxy: &httputil.ReverseProxy{
+		Rewrite:       func(r *httputil.ProxyRequest) { r.SetURL(&url.URL{Scheme: "http", Host: r.In.Host}) },
+		Transport:     &http.Transport{DialContext: dial, DisableKeepAlives: true},
+		FlushInterval: -1, // each event at once
+		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) {
+			http.Error(w, errUnknownKey.Reason, errUnknownKey.Status)
+		},
+	}}
+}
+
+// RunBeside shares the jobs with another process from now on, which takes relayed requests on the Unix socket at path; with a nil
+// process or no path, the table is alone again. A successor is sent the jobs that have ended here.
+func (t *IdempotencyTable) RunBeside(process *PeerProcess, path string, isPredecessor bool) {
+	var peer *peerTable
+	if process != nil && path != "" {
+		peer = newPeerTable(process, path, isPredecessor)
+	}
+	t.mu.Lock()
+	t.peer = peer
+	var streams []*jobStream
+	for _, stream := range t.jobs {
+		streams = append(streams, stream)
 	}
-	f.mu.Unlock()
-	for _, j := range known {
-		f.sendToSuccessor(j)
+	t.mu.Unlock()
+	for _, stream := range streams {
+		t.sendToSuccessor(stream)
 	}
 }
 
-// peerWithJob gives the other process's front if that one has the job of a key: the predecessor if it knows the key,
-// the successor for all keys that are not known here.
-func (f *IdempotencyTable) peerWithJob(key string) *peerTable {
-	f.mu.Lock()
-	p, known := f.peer, f.jobs[key] != nil
-	f.mu.Unlock()
+// peerWithJob returns the other process's table if a key's job is to be looked for there, else nil: that of a predecessor that
+// says it knows the key, and that of a successor for every key that is not known here. It may wait for the predecessor for
+// peerAnswerTimeout.
+func (t *IdempotencyTable) peerWithJob(key string) *peerTable {
+	t.mu.Lock()
+	peer, known := t.peer, t.jobs[key] != nil
+	t.mu.Unlock()
 	switch {
-	case p == nil || known || key == "":
+	case peer == nil || known || key == "":
 		return nil
-	case !p.isPredecessor:
-		return p
+	case !peer.isPredecessor:
+		return peer
 	}
-	if yes, heard := p.process.Ask(protocol.HandoverMessage{Key: key}, time.Now().Add(peerAnswerTimeout)); heard && yes {
-		return p
+	if yes, heard := peer.process.Ask(protocol.HandoverMessage{Key: key}, time.Now().Add(peerAnswerTimeout)); heard && yes {
+		return peer
 	}
 	return nil
 }
 
-// relayToPeer has the other process answer a request whose job it has, and tells whether that is so.
-func (f *front) relayToPeer(w http.ResponseWriter, r *http.Request, job *protocol.Job, as string) bool {
-	p := f.keys.peerWithJob(job.IdempotencyKey)
-	if p == nil {
+// relayToPeer has the other process answer a request if the key's job is there, and reports whether it did. mode is the value
+// of relayModeHeader.
+func (f *front) relayToPeer(w http.ResponseWriter, r *http.Request, job *protocol.Job, mode string) bool {
+	peer := f.keys.peerWithJob(job.IdempotencyKey)
+	if peer == nil {
 		return false
 	}
-	r.Body, r.ContentLength, r.TransferEncoding = io.NopCloser(bytes.NewReader(job.Body)), int64(len(job.Body)), nil
+	r.Body, r.ContentLength, r.TransferEncoding = io.NopCloser(bytes.NewReader(job.Body)), int64(len(job.Body)), nil // was read by admit
 	r.Header.Set("Req-Deadline-Ms", strconv.FormatInt(max(time.Until(job.Deadline).Milliseconds(), 1), 10))
-	r.Header.Set(relayModeHeader, as)
-	p.proxy.ServeHTTP(w, r)
+	r.Header.Set(relayModeHeader, mode)
+	peer.proxy.ServeHTTP(w, r)
 	return true
 }
 
-// RelayHandler is the handler for the readers that the other process relays. Both ways of answering go by one table.
+// RelayHandler handles the requests that the other process relays.
 type RelayHandler struct {
 	Whole  *JobFrontend
-	Stream *ProgressFrontend // nil where that front is off
+	Stream *ProgressFrontend // nil if that frontend is off
 }
 
-func (f RelayHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.Stream != nil && r.Header.Get(relayModeHeader) != relayWhole {
-		f.Stream.ServeHTTP(w, r)
+// ServeHTTP implements http.Handler.
+func (h RelayHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if h.Stream != nil && r.Header.Get(relayModeHeader) != relayWhole {
+		h.Stream.ServeHTTP(w, r)
 		return
 	}
-	f.Whole.ServeHTTP(w, r)
+	h.Whole.ServeHTTP(w, r)
 }
 
-// sendToSuccessor gives an ended job to the successor.
-func (f *IdempotencyTable) sendToSuccessor(j *jobStream) {
-	f.mu.Lock()
-	p := f.peer
-	f.mu.Unlock()
-	if p == nil || p.isPredecessor || j.key == "" {
+// sendToSuccessor sends an ended job to the successor, if there is one. It does not block.
+func (t *IdempotencyTable) sendToSuccessor(stream *jobStream) {
+	t.mu.Lock()
+	peer := t.peer
+	t.mu.Unlock()
+	if peer == nil || peer.isPredecessor || stream.key == "" {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.finalAnswer != nil {
-		p.process.Notify(protocol.HandoverMessage{Remembered: &protocol.RememberedJob{Key: j.key, ID: j.id, Digest: j.digest[:],
-			Events: j.events, Answer: *j.finalAnswer, ForgetAt: j.forgetAt, ForgetIn: time.Until(j.forgetAt), Started: j.started}})
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
+	if stream.finalAnswer == nil {
+		return
 	}
+	peer.process.Notify(protocol.HandoverMessage{Remembered: &protocol.RememberedJob{
+		Key:      stream.key,
+		ID:       stream.id,
+		Digest:   stream.digest[:],
+		Events:   stream.events,
+		Answer:   *stream.finalAnswer,
+		ForgetAt: stream.forgetAt,
+		ForgetIn: time.Until(stream.forgetAt),
+		Started:  stream.started,
+	}})
 }
 
-// Remember takes an ended job over from the predecessor.
-func (f *IdempotencyTable) Remember(r *protocol.RememberedJob) {
-	forget := r.ForgottenAt(time.Now())
-	left := time.Until(forget)
-	if left <= 0 || len(r.Digest) != sha256.Size {
+// Remember adds an ended job of the predecessor for the rest of its window. It is dropped if its key is known here, or if the
+// table is full.
+func (t *IdempotencyTable) Remember(job *protocol.RememberedJob) {
+	forgetAt := job.ForgottenAt(time.Now())
+	timeLeft := time.Until(forgetAt)
+	if timeLeft <= 0 || len(job.Digest) != sha256.Size {
 		return
 	}
-	j := &jobStream{table: f, key: r.Key, id: r.ID, digest: [sha256.Size]byte(r.Digest), releaseID: sync.OnceFunc(func() {}),
-		events: r.Events, started: r.Started, finalAnswer: &r.Answer, forgetAt: forget, changed: make(chan struct{})}
+	stream := &jobStream{
+		table:       t,
+		key:         job.Key,
+		id:          job.ID,
+		digest:      [sha256.Size]byte(job.Digest),
+		releaseID:   sync.OnceFunc(func() {}),
+		events:      job.Events,
+		started:     job.Started,
+		finalAnswer: &job.Answer,
+		forgetAt:    forgetAt,
+		changed:     make(chan struct{}),
+	}
+	if t.addRemembered(stream) {
+		t.forgetAfter(stream, timeLeft)
+	}
+}
+
+// addRemembered adds an ended job, if its key is free and there is capacity.
+func (t *IdempotencyTable) addRemembered(stream *jobStream) bool {
 	size := int64(0)
-	for _, ev := range r.Events {
-		size += int64(len(ev.Data)) + eventOverheadBytes
+	for _, event := range stream.events {
+		size += int64(len(event.Data)) + eventOverheadBytes
 	}
-	f.mu.Lock()
-	if f.jobs[r.Key] != nil || len(f.jobs) >= f.settings.Jobs || f.retainedBytes.Load()+size > int64(f.settings.KeepMB)<<20 {
-		f.mu.Unlock()
-		return
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.jobs[stream.key] != nil || len(t.jobs) >= t.settings.Jobs || t.retainedBytes.Load()+size > t.maxRetainedBytes() {
+		return false
 	}
-	j.retainedBytes.Store(size)
-	f.retainedBytes.Add(size)
-	f.jobs[r.Key] = j
-	f.mu.Unlock()
-	f.forgetAfter(j, left)
+	stream.retainedBytes.Store(size)
+	t.retainedBytes.Add(size)
+	t.jobs[stream.key] = stream
+	return true
 }
