--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -10,78 +11,100 @@
 	"time"
 )
 
-const (
-	// MostCallers is how many callers the admin endpoint holds at a time; past it the one that has not finished
-	// its call for the longest goes.
-	MostCallers = 12
+// MostCallers is the maximum number of connections to the admin API. For one more, the one that has been at its call for the
+// longest is closed.
+const MostCallers = 12
 
-	adminCallTimeout = 2 * time.Second // for a whole call; who means it takes far less
-	maxWorkerIDBytes = 256
+const (
+	adminCallTimeout    = 2 * time.Second // for a whole call
+	maxAdminHeaderBytes = 4 << 10
+	maxWorkerIDBytes    = 256
 )
 
-// Operations is what the admin endpoint opens on. No method takes longer than the context allows.
+// Operations is what the admin API needs of the program. Its methods may be called from any goroutine, and return when the
+// context ends.
 type Operations interface {
+	// Ready reports whether this process takes requests.
 	Ready() bool
+	// Metrics returns the metrics, one on a line.
 	Metrics() string
+	// Detach detaches a worker: it gets no new jobs. An *OperationError says why it cannot be done.
 	Detach(ctx context.Context, id string) error
+	// Attach reattaches a worker. An *OperationError says why it cannot be done.
 	Attach(ctx context.Context, id string) error
 }
 
-// OperationError is an operator's call that is answered with no, and why.
+// OperationError is an operation that is rejected, with the HTTP status and the text for the operator.
 type OperationError struct {
 	Status int
 	Reason string
 }
 
-func (r *OperationError) Error() string { return r.Reason }
+func (e *OperationError) Error() string { return e.Reason }
 
-// AdminHandler is the handler of the admin endpoint. A 2xx means yes.
-func AdminHandler(o Operations, log *slog.Logger) http.Handler {
+// workerOperation is an operation on a worker: POST /_workers/<name>, with the worker's id as body.
+type workerOperation struct {
+	name   string
+	logged string // message of the log line when it is done
+	apply  func(ctx context.Context, id string) error
+}
+
+// AdminHandler returns the handler of the admin API. A status of 2xx says that the call is done.
+func AdminHandler(operations Operations, log *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_ready", func(w http.ResponseWriter, _ *http.Request) {
-		if !o.Ready() {
+		if !operations.Ready() {
 			http.Error(w, "not yet, or not any more", http.StatusServiceUnavailable)
 			return
 		}
-		io.WriteString(w, "ready\n")
+		fmt.Fprint(w, "ready\n")
 	})
 	mux.HandleFunc("GET /_vars", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Header().Set("Cache-Control", "no-store")
-		io.WriteString(w, o.Metrics())
+		fmt.Fprint(w, operations.Metrics())
 	})
-	worker := func(name string, do func(context.Context, string) error) {
-		mux.HandleFunc("POST /_workers/"+name, func(w http.ResponseWriter, r *http.Request) {
-			// What is too long is read on a little by net/http: closed at once, its caller might not see the no.
-			body, err := io.ReadAll(io.LimitReader(r.Body, maxWorkerIDBytes+1))
-			id := strings.TrimSpace(string(body))
-			if err != nil || id == "" || len(body) > maxWorkerIDBytes {
-				http.Error(w, "the body must be a worker's id", http.StatusBadRequest)
-				return
-			}
-			enterPhase(r, phaseServing) // it has finished its call: it is not one of those that make room
-			if err = do(r.Context(), id); err != nil {
-				status := http.StatusInternalServerError
-				if no, ok := err.(*OperationError); ok {
-					status = no.Status
-				}
-				log.Warn("operator's call refused", "call", name, "worker", id, "err", err)
-				http.Error(w, err.Error(), status)
-				return
-			}
-			log.Info("operator's call", "call", name, "worker", id)
-			fmt.Fprintf(w, "%s %s\n", name, id)
+	for _, operation := range []workerOperation{
+		{name: "detach", logged: "worker detached", apply: operations.Detach},
+		{name: "attach", logged: "worker reattached", apply: operations.Attach},
+	} {
+		mux.HandleFunc("POST /_workers/"+operation.name, func(w http.ResponseWriter, r *http.Request) {
+			operation.serve(w, r, log)
 		})
 	}
-	worker("detach", o.Detach)
-	worker("attach", o.Attach)
 	return mux
 }
 
-// AdminServer is the server of the admin endpoint: one call a connection, each bounded in time and bytes.
-func AdminServer(h http.Handler, log *slog.Logger) *http.Server {
-	s := Server(h, log)
-	s.ReadHeaderTimeout, s.ReadTimeout, s.WriteTimeout, s.MaxHeaderBytes = adminCallTimeout, adminCallTimeout, adminCallTimeout, 4<<10
-	s.SetKeepAlivesEnabled(false)
-	return s
+// serve applies the operation to the worker that the request names.
+func (o workerOperation) serve(w http.ResponseWriter, r *http.Request, log *slog.Logger) {
+	// Of a body that is too long, net/http reads some more before it closes the connection, so that the caller sees the answer.
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxWorkerIDBytes+1))
+	id := strings.TrimSpace(string(body))
+	if err != nil || id == "" || len(body) > maxWorkerIDBytes {
+		http.Error(w, "the body must be a worker's id", http.StatusBadRequest)
+		return
+	}
+	enterPhase(r, phaseServing) // the listener does not close it to make room
+	if err := o.apply(r.Context(), id); err != nil {
+		status := http.StatusInternalServerError
+		if rejection := (*OperationError)(nil); errors.As(err, &rejection) {
+			status = rejection.Status
+		}
+		log.Warn("admin operation rejected", "operation", o.name, "worker", id, "err", err)
+		http.Error(w, err.Error(), status)
+		return
+	}
+	log.Info(o.logged, "worker", id)
+	fmt.Fprintf(w, "%s %s\n", o.name, id)
+}
+
+// AdminServer returns the server of the admin API: one call on a connection, limited in time and size.
+func AdminServer(handler http.Handler, log *slog.Logger) *http.Server {
+	server := Server(handler, log)
+	server.ReadHeaderTimeout = adminCallTimeout
+	server.ReadTimeout = adminCallTimeout
+	server.WriteTimeout = adminCallTimeout
+	server.MaxHeaderBytes = maxAdminHeaderBytes
+	server.SetKeepAlivesEnabled(false)
+	return server
 }
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,11 +16,13 @@
 )
 
 const (
-	discoveryDialTimeout = 500 * time.Millisecond // one that is cut off takes no connection: that shows long before a watch's end
-	maxListBytes         = 4 << 20
+	// discoveryDialTimeout limits connecting, so that a partition shows long before the end of a long poll.
+	discoveryDialTimeout = 500 * time.Millisecond
+
+	maxListBytes = 4 << 20
 )
 
-// Discovery asks for the destination set. It is the core's routing.Discovery.
+// Discovery is the client of a discovery service, and the core's routing.Discovery. It may be used from any goroutine.
 type Discovery struct {
 	Address string
 	Params  *protocol.LiveSettings
@@ -27,77 +30,88 @@
 	client  http.Client
 }
 
-// Service names the service by its address.
+// NewDiscovery returns a client of the service at an address. It uses no proxy of the environment. The meter counts the bytes of its
+// calls; nil for none.
+func NewDiscovery(address string, settings *protocol.LiveSettings, meter *traffic.Meter) *Discovery {
+	dialer := &net.Dialer{Timeout: discoveryDialTimeout}
+	transport := &http.Transport{MaxIdleConnsPerHost: 1, DialContext: meter.Dial(dialer)}
+	return &Discovery{Address: address, Params: settings, meter: meter, client: http.Client{Transport: transport}}
+}
+
+// Service returns the address, as the name of the service.
 func (d *Discovery) Service() string { return d.Address }
 
-// Close gives up the connection of a discovery that is asked no more.
+// Close closes the idle connection of a service that is not called any more.
 func (d *Discovery) Close() { d.client.CloseIdleConnections() }
 
-// NewDiscovery makes a client of its own: no proxy of the environment may come between. The meter counts what its calls cost;
-// nil for none.
-func NewDiscovery(address string, p *protocol.LiveSettings, m *traffic.Meter) *Discovery {
-	dialer := &net.Dialer{Timeout: discoveryDialTimeout}
-	return &Discovery{Address: address, Params: p, meter: m,
-		client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: m.Dial(dialer)}}}
-}
+// errNotFullList says that discovery responded with changes where all endpoints were requested.
+var errNotFullList = errors.New("asked for the whole list, discovery gave changes")
 
-// Call is one call. Its end is set beforehand: a discovery that was cut off keeps a connection open and silent, and
-// what it had to tell counts as told for all that.
+// Call makes one call, for the changes since a revision or for routing.FullList. It blocks until the response, or until the
+// deadline of its kind, which is set in advance: a partitioned service may leave a connection open and silent, and its
+// endpoints still count as notified then.
 func (d *Discovery) Call(ctx context.Context, revision int64, kind polling.Kind) (routing.ListUpdate, error) {
-	p := d.Params.Current()
-	wait, within := PacingRules(p).Timeouts(kind)
-	url, end := fmt.Sprintf("http://%s/registry/instances", d.Address), time.Now().Add(wait+within)
-	if revision != routing.FullList {
-		url += fmt.Sprintf("?index=%d&wait=%d", revision, wait.Milliseconds())
-	}
-	ctx, stop := context.WithDeadline(ctx, end)
+	wait, responseTimeout := PacingRules(d.Params.Current()).Timeouts(kind)
+	deadline := time.Now().Add(wait + responseTimeout)
+	ctx, stop := context.WithDeadline(ctx, deadline)
 	defer stop()
-	req, err := http.NewRequestWithContext(d.meter.Call(ctx, traffic.Discovery), http.MethodGet, url, nil)
+	list, receivedAt, err := d.fetch(ctx, revision, wait)
 	if err != nil {
 		return routing.ListUpdate{}, err
 	}
-	resp, err := d.client.Do(req)
-	if err != nil {
-		return routing.ListUpdate{}, err
+	if revision == routing.FullList && !list.Complete {
+		return routing.ListUpdate{}, errNotFullList
 	}
-	defer resp.Body.Close()
-	came := time.Now() // what the answer tells counts from when it was written
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
+	update := Update(list, d.Params.Current())
+	update.ReceivedAt = receivedAt
+	update.BeforeWaitEnded = time.Until(deadline) > responseTimeout+wait/2
+	return update, nil
+}
+
+// fetch requests and decodes a list. receivedAt is when the head of the response was received: the age of what it says
+// counts from then.
+func (d *Discovery) fetch(ctx context.Context, revision int64, wait time.Duration) (list *protocol.List, receivedAt time.Time, err error) {
+	url := fmt.Sprintf("http://%s/registry/instances", d.Address)
+	if revision != routing.FullList {
+		url += fmt.Sprintf("?index=%d&wait=%d", revision, wait.Milliseconds())
+	}
+	request, err := http.NewRequestWithContext(d.meter.Call(ctx, traffic.Discovery), http.MethodGet, url, nil)
 	if err != nil {
-		return routing.ListUpdate{}, err
+		return nil, time.Time{}, err
 	}
-	if resp.StatusCode != http.StatusOK {
-		return routing.ListUpdate{}, statusError(resp.StatusCode)
+	response, err := d.client.Do(request)
+	if err != nil {
+		return nil, time.Time{}, err
 	}
-	l, err := protocol.ParseList(text)
+	defer closeQuietly(response.Body)
+	receivedAt = time.Now()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
-		return routing.ListUpdate{}, err
+		return nil, time.Time{}, err
 	}
-	if revision == routing.FullList && !l.Complete {
-		return routing.ListUpdate{}, fmt.Errorf("asked for the whole list, discovery gave changes")
+	if response.StatusCode != http.StatusOK {
+		return nil, time.Time{}, statusError(response.StatusCode)
 	}
-	u := Update(l, d.Params.Current())
-	u.ReceivedAt = came
-	u.BeforeWaitEnded = time.Until(end) > within+wait/2
-	return u, nil
+	list, err = protocol.ParseList(text)
+	return list, receivedAt, err
 }
 
-// statusError is an answer of discovery that is no list.
+// statusError is a response of discovery with a status other than 200.
 type statusError int
 
 func (e statusError) Error() string { return fmt.Sprintf("discovery answered %d", int(e)) }
 
-// Is has an answer that promises nothing for now count as routing.ErrRefused.
+// Is reports whether the target is routing.ErrDiscoveryRejected and the status says that the service is overloaded.
 func (e statusError) Is(target error) bool {
 	return target == routing.ErrDiscoveryRejected && (e == http.StatusServiceUnavailable || e == http.StatusTooManyRequests)
 }
 
-// PacingRules gives what calls for the list go by.
-func PacingRules(p *protocol.Settings) polling.Rules {
-	return polling.Rules{ListsPushed: p.ListsPushed(), DrainGrace: p.Rules.DrainGrace.Duration(), Dispatchers: p.ReplicasOfMe}
+// PacingRules returns the rules of polling that follow from the settings.
+func PacingRules(settings *protocol.Settings) polling.Rules {
+	return polling.Rules{ListsPushed: settings.ListsPushed(), DrainGrace: settings.Rules.DrainGrace.Duration(), Dispatchers: settings.ReplicasOfMe}
 }
 
-// Update gives a list in the core's terms.
-func Update(l *protocol.List, p *protocol.Settings) routing.ListUpdate {
-	return routing.ListUpdate{Revision: l.Revision, Complete: l.Complete, Endpoints: l.Destinations(p)}
+// Update returns a list in the core's terms.
+func Update(list *protocol.List, settings *protocol.Settings) routing.ListUpdate {
+	return routing.ListUpdate{Revision: list.Revision, Complete: list.Complete, Endpoints: list.Destinations(settings)}
 }
--- a/internal/transport/writemargins.go
+++ b/internal/transport/writemargins.go
@@ -2,31 +2,35 @@
 
 import "time"
 
-// The margins that are kept before moments behind which something must not be begun. They follow from two terms of the
-// operators: a dispatcher may be held up for mostHoldUp between reading its clock and writing, and time limits on sockets are
-// 50 ms longer than the settings give them, which is left for the way and not used up here.
+// A request must not reach a worker after certain points in time: the end of a drain grace period, or of the window in which the
+// worker recognizes a retry. The margins are how long before such a point the clock must have been read for the last time before
+// the write. They follow from two terms of the operators: a process may be paused for maxProcessPause between reading the
+// clock and writing, and workers allow 50 ms more than the settings say, which is left for the network and not used here.
 const (
-	// maxProcessPause is how long a process may be held up between a look at the clock and a write.
+	// maxProcessPause is the longest pause of a process between reading the clock and writing.
 	maxProcessPause = 150 * time.Millisecond
 
-	// processingDelay is for what the program itself takes from the look to the write on a busy core: a goroutine's turn, and the
-	// wording of the request.
+	// processingDelay is the program's own time from reading the clock to the write on a busy core: scheduling of the goroutine
+	// and encoding of the request.
 	processingDelay = 50 * time.Millisecond
 
-	// writeMargin is how long before such a moment the last look at the clock must be: mostHoldUp + ownDelay, 200 ms.
+	// writeMargin is the margin before a point in time that this process knows exactly: 200 ms.
 	writeMargin = maxProcessPause + processingDelay
 
-	// drainGraceMargin is kept before the end of a drain's grace, which counts from when discovery wrote the list: it may have lain
-	// unread for mostHoldUp, and the process may be held up once more behind the look at the clock. 350 ms.
+	// drainGraceMargin is the margin before the end of a drain grace period: 350 ms. The period counts from when discovery
+	// wrote the list, which may have lain unread during one pause, before another one delays the write.
 	drainGraceMargin = maxProcessPause + writeMargin
+)
 
-	// deadlineMargin is taken off what a client has left before it is passed on: the request may have waited unread for as
-	// long, while its client's time ran. The slack of 150 ms covers mostHoldUp. Of a short time it is deadlinePart only.
+// The time limit that is forwarded to a worker is shorter than what is left to the client by deadlineMargin, since the request may
+// have lain unread for as long; the 150 ms of tolerance in the rules cover maxProcessPause. Of a short time it is shorter by
+// 1/deadlineMarginDivisor only.
+const (
 	deadlineMargin        = processingDelay
 	deadlineMarginDivisor = 8
 )
 
-// forwardedTimeLimit gives how long an endpoint is told that it has, of what is left to the client.
-func forwardedTimeLimit(left time.Duration) time.Duration {
-	return max(left-min(deadlineMargin, left/deadlineMarginDivisor), 0)
+// forwardedTimeLimit returns the time limit to forward to a worker, when a client has timeLeft.
+func forwardedTimeLimit(timeLeft time.Duration) time.Duration {
+	return max(timeLeft-min(deadlineMargin, timeLeft/deadlineMarginDivisor), 0)
 }
