--- a/cmd/brassdale/tls_test.go
+++ b/cmd/brassdale/tls_test.go
@@ -158,7 +158,7 @@
 		t.Errorf("after refused reloads: %d", status)
 	}
 	// A new one that ends soon, and a new grant.
-	if strings.Contains(n.log(), "certificate ends") {
+	if strings.Contains(n.log(), "certificate expires") {
 		t.Error("warned too soon")
 	}
 	cert, key = ca.sign("dispatcher.example", 3*24*time.Hour)
@@ -166,7 +166,7 @@
 	os.Chmod(at("server.key"), 0o600)
 	write("server.key", key)
 	reload(1, 2)
-	n.waitFor("the warning", func() bool { return strings.Count(n.log(), "certificate ends") == 1 })
+	n.waitFor("the warning", func() bool { return strings.Count(n.log(), "certificate expires") == 1 })
 	if days := n.figure("front.http2.certificate_days"); days != 2 {
 		t.Errorf("the new certificate ends in %d days", days)
 	}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -46,13 +46,13 @@
 // Read implements net.Conn. On a connection that is not multiplexed it returns bytes of one request only, after the framing
 // has been checked. After the end of a request it blocks until that is answered, reading ahead meanwhile, and returns
 // io.EOF once the connection may not carry a further request.
-func (c *Conn) Read(b []byte) (int, error) {
-	if len(b) == 0 {
+func (c *Conn) Read(buffer []byte) (int, error) {
+	if len(buffer) == 0 {
 		return 0, nil
 	}
 	for {
 		if c.framing.malformedBytesLeft > 0 {
-			b[0] = c.framing.nextMalformedByte()
+			buffer[0] = c.framing.nextMalformedByte()
 			return 1, nil
 		}
 		if c.mayNotContinue() {
@@ -64,16 +64,16 @@
 			}
 			continue
 		}
-		n, err := c.readNext(b)
+		n, err := c.readNext(buffer)
 		if n > 0 && !c.noteRequestBytes() {
 			return 0, io.EOF // closed since the check above: these bytes belong to no request that is served here
 		}
 		if c.listener.multiplexed {
 			return n, err
 		}
-		passed, complete := c.framing.scan(b[:n])
+		passed, complete := c.framing.scan(buffer[:n])
 		if complete {
-			c.completeRequest(b[passed:n])
+			c.completeRequest(buffer[passed:n])
 		}
 		if passed > 0 || err != nil {
 			return passed, err
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -12,168 +12,200 @@
 	"brassdale/internal/transport"
 )
 
-// closeTimeout is how long a connection that was told to end is still read, so that the word is not lost to a reset.
+// closeTimeout is how long closing a connection may write what is queued, and how long a terminated connection is still read,
+// so that a reset does not discard the GOAWAY.
 const closeTimeout = 250 * time.Millisecond
 
-// conn is a client's connection. Both ways its frames are followed by their heads alone: net/http speaks the protocol,
-// the judge says when it has been enough.
+// conn is a client's connection as net/http sees it. Frames in both directions are followed by their heads: net/http speaks the
+// protocol, and http2limits.Conn says when the client exceeds a limit; then the connection is terminated.
+//
+// net/http's reader calls Read; Write, Close and the deadlines may be called from any goroutine.
 type conn struct {
-	net.Conn   // the gate's, or TLS over it
+	net.Conn   // clientConn, or TLS over it
 	clientConn *transport.Conn
-	tls        *tls.Conn // nil where the connection is in clear
+	tls        *tls.Conn // nil in cleartext
 	frontend   *Frontend
-	acceptedAt time.Time // the judge's times count from here
+	acceptedAt time.Time // times are passed to limits as the duration since then
 
-	protocolChecked bool // owned by Read: TLS agreed on the protocol
-	inbound         frameScanner
+	protocolChecked bool         // owned by Read: the TLS handshake has agreed on h2
+	inbound         frameScanner // owned by Read
 
 	mu               sync.Mutex
 	limits           *http2limits.Conn
-	completionTimer  *time.Timer // runs from when something is half there until it is found whole
-	lastClientStream uint32      // the highest stream that a client opened
+	completionTimer  *time.Timer // runs checkCompletion while something is incomplete; else nil
+	lastClientStream uint32      // the highest stream that the client opened
 
 	outbound   frameWriter
-	terminated atomic.Bool // told to end: nothing more goes on to net/http
+	terminated atomic.Bool // by terminate: nothing more is passed to net/http
 }
 
-func newConn(front *Frontend, gated *transport.Conn, config *tls.Config) *conn {
-	c := &conn{Conn: gated, clientConn: gated, frontend: front, acceptedAt: time.Now(), limits: http2limits.New(0), inbound: frameScanner{prefaceBytesLeft: len(preface)}}
+// newConn returns a connection that was accepted now; config is nil in cleartext.
+func newConn(frontend *Frontend, clientConn *transport.Conn, config *tls.Config) *conn {
+	c := &conn{
+		Conn:       clientConn,
+		clientConn: clientConn,
+		frontend:   frontend,
+		acceptedAt: time.Now(),
+		limits:     http2limits.New(0),
+		inbound:    frameScanner{prefaceBytesLeft: len(preface)},
+	}
 	if config != nil {
-		c.tls = tls.Server(gated, config)
+		c.tls = tls.Server(clientConn, config)
 		c.Conn = c.tls
 	}
-	c.outbound.start(c.Conn, gated.Close, c.frameSent)
+	c.outbound.start(c.Conn, clientConn.Close, c.frameSent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.completionTimer = time.AfterFunc(http2limits.CompletionTimeout, c.checkCompletion)
 	return c
 }
 
-// ClientConn gives the connection as its gate knows it.
+// ClientConn returns the connection as its listener knows it.
 func (c *conn) ClientConn() *transport.Conn { return c.clientConn }
 
-// Read hands net/http what came, unless it was too much.
-func (c *conn) Read(b []byte) (int, error) {
-	if c.tls != nil && !c.protocolChecked {
-		if err := c.tls.Handshake(); err != nil { // within net/http's time for a first head
-			return 0, err
-		}
-		if c.tls.ConnectionState().NegotiatedProtocol != "h2" {
-			return 0, io.EOF
-		}
-		c.protocolChecked = true
+// Read gives net/http the received bytes, unless they exceed a limit. After terminate it reads on until the client ends the
+// connection or closeTimeout has passed, and gives nothing.
+func (c *conn) Read(buffer []byte) (int, error) {
+	if err := c.checkProtocol(); err != nil {
+		return 0, err
 	}
 	for {
-		n, err := c.Conn.Read(b)
+		n, err := c.Conn.Read(buffer)
 		switch {
 		case c.terminated.Load():
 			if err != nil {
 				return 0, io.EOF
 			}
-			continue // so that the word is read before the end
-		case n > 0 && !c.inspect(b[:n]):
+			continue
+		case n > 0 && !c.inspect(buffer[:n]):
 			continue
 		}
 		return n, err
 	}
 }
 
-// inspect has the judge see what came, and tells whether it may go on.
-func (c *conn) inspect(b []byte) bool {
+// checkProtocol does the TLS handshake, once. It returns io.EOF if that did not agree on h2. The handshake is limited by
+// net/http's read deadline for a first request.
+func (c *conn) checkProtocol() error {
+	if c.tls == nil || c.protocolChecked {
+		return nil
+	}
+	if err := c.tls.Handshake(); err != nil {
+		return err
+	}
+	if c.tls.ConnectionState().NegotiatedProtocol != "h2" {
+		return io.EOF
+	}
+	c.protocolChecked = true
+	return nil
+}
+
+// inspect applies the limits to received bytes, and reports whether they may be passed on. If not, it has terminated the
+// connection.
+func (c *conn) inspect(data []byte) bool {
 	now := time.Since(c.acceptedAt)
 	c.mu.Lock()
-	why := http2limits.CloseReason("")
-	for len(b) > 0 && why == "" {
-		n, ev := c.inbound.step(b)
-		b = b[n:]
-		switch ev {
+	reason := http2limits.CloseReason("")
+	for len(data) > 0 && reason == "" {
+		n, event := c.inbound.step(data)
+		data = data[n:]
+		switch event {
 		case prefaceRead:
 			c.limits.PrefaceCompleted()
 			c.clientConn.Ready()
 		case frameBegun:
 			c.limits.FrameStarted(now)
 		case headRead:
-			f := c.inbound.frame()
-			if f.Kind == http2limits.Headers {
-				c.lastClientStream = max(c.lastClientStream, f.Stream)
-			}
-			if why = c.limits.FrameReceived(now, f); f.Length == 0 {
-				c.limits.FrameCompleted()
-			}
+			reason = c.headReceivedLocked(now, c.inbound.frame())
 		case frameRead:
 			c.limits.FrameCompleted()
 		}
 	}
-	if _, due := c.limits.Deadline(); due && why == "" && c.completionTimer == nil {
+	if _, incomplete := c.limits.Deadline(); incomplete && reason == "" && c.completionTimer == nil {
 		c.completionTimer = time.AfterFunc(http2limits.CompletionTimeout, c.checkCompletion)
 	}
 	c.mu.Unlock()
-	if why != "" {
-		c.terminate(why)
+	if reason != "" {
+		c.terminate(reason)
+	}
+	return reason == ""
+}
+
+// headReceivedLocked applies the limits to a frame whose head was received. c.mu is held.
+func (c *conn) headReceivedLocked(now time.Duration, frame http2limits.Frame) http2limits.CloseReason {
+	if frame.Kind == http2limits.Headers {
+		c.lastClientStream = max(c.lastClientStream, frame.Stream)
+	}
+	reason := c.limits.FrameReceived(now, frame)
+	if frame.Length == 0 {
+		c.limits.FrameCompleted()
 	}
-	return why == ""
+	return reason
 }
 
-// checkCompletion ends what has stayed half there, and looks again while something is.
+// checkCompletion terminates the connection if the preface, a frame or a header block has been incomplete for too long, and runs
+// again while one is incomplete.
 func (c *conn) checkCompletion() {
 	now := time.Since(c.acceptedAt)
 	c.mu.Lock()
-	why := c.limits.CheckDeadline(now)
-	if at, due := c.limits.Deadline(); due && why == "" {
+	reason := c.limits.CheckDeadline(now)
+	if at, incomplete := c.limits.Deadline(); incomplete && reason == "" {
 		c.completionTimer = time.AfterFunc(at-now, c.checkCompletion)
 	} else {
 		c.completionTimer = nil
 	}
 	c.mu.Unlock()
-	if why != "" {
-		c.terminate(why)
+	if reason != "" {
+		c.terminate(reason)
 	}
 }
 
-// terminate ends the connection for a reason: the client is told, and what it still sends is not looked at.
-func (c *conn) terminate(why http2limits.CloseReason) {
+// terminate ends the connection for a reason, with a GOAWAY that names it. What the client still sends is discarded. It blocks
+// until the GOAWAY is written, for closeTimeout at most. Further calls do nothing.
+func (c *conn) terminate(reason http2limits.CloseReason) {
 	if c.terminated.Swap(true) {
 		return
 	}
-	c.frontend.recordFloodClose(why, c.clientConn)
+	c.frontend.recordFloodClose(reason, c.clientConn)
 	c.mu.Lock()
-	last := c.lastClientStream
+	lastStream := c.lastClientStream
 	c.mu.Unlock()
-	c.outbound.finish(goAwayFrame(last, errCodeEnhanceYourCalm, string(why)), time.Now().Add(closeTimeout))
+	c.outbound.finish(goAwayFrame(lastStream, errCodeEnhanceYourCalm, string(reason)), time.Now().Add(closeTimeout))
+	// The following fail only on a connection that is closed already.
 	if c.tls != nil {
 		_ = c.tls.CloseWrite()
 	}
 	_ = c.clientConn.CloseWrite()
-	_ = c.Conn.SetReadDeadline(time.Now().Add(closeTimeout))
+	_ = c.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// Write takes net/http's frames.
-func (c *conn) Write(b []byte) (int, error) { return c.outbound.write(b) }
+// Write queues net/http's frames. It blocks while too much is queued.
+func (c *conn) Write(data []byte) (int, error) { return c.outbound.write(data) }
 
-// SetWriteDeadline does nothing: how long a write may take is the writer's matter.
+// SetWriteDeadline does nothing: the frameWriter limits how long a write may take.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetDeadline sets the one for reading.
-func (c *conn) SetDeadline(t time.Time) error { return c.Conn.SetReadDeadline(t) }
+// SetDeadline sets the read deadline.
+func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// frameSent has the judge see a frame that goes out.
-func (c *conn) frameSent(f http2limits.Frame) {
-	answered := (f.Kind == http2limits.Data || f.Kind == http2limits.Headers) && f.Flags&http2limits.EndStream != 0
-	if !answered && f.Kind != http2limits.Reset {
+// frameSent applies the limits to a frame of net/http. The frameWriter calls it under its lock.
+func (c *conn) frameSent(frame http2limits.Frame) {
+	answered := (frame.Kind == http2limits.Data || frame.Kind == http2limits.Headers) && frame.Flags&http2limits.EndStream != 0
+	if !answered && frame.Kind != http2limits.Reset {
 		return
 	}
 	c.mu.Lock()
 	if answered {
 		c.limits.StreamAnswered()
 	}
-	why := c.limits.FrameSent(time.Since(c.acceptedAt), f)
+	reason := c.limits.FrameSent(time.Since(c.acceptedAt), frame)
 	c.mu.Unlock()
-	if why != "" {
-		go c.terminate(why) // the writer is held here
+	if reason != "" {
+		go c.terminate(reason) // needs the frameWriter's lock
 	}
 }
 
-// Close ends the connection for good.
+// Close closes the connection, after what is queued was written, for closeTimeout at most.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	if c.completionTimer != nil {
--- a/internal/transport/http2/frontend.go
+++ b/internal/transport/http2/frontend.go
@@ -1,15 +1,13 @@
-// Package http2 is the front for clients that speak HTTP/2, on an address of its own. What a job is, how it is decoded,
-// admitted and answered is transport.Inbound's, as for HTTP/1.1; net/http's server speaks the protocol. This package
-// adds what only HTTP/2 needs: each connection's frames are followed by their heads, so that the module
-// internal/decisions/streams can end it before a flood reaches net/http; GOAWAY when clients are to go elsewhere;
-// TLS, whose files are replaced while the program runs; and certificates that stand for accounts.
+// Package http2 is the frontend for clients that speak HTTP/2, on an address of its own. Jobs are decoded, admitted and answered by
+// transport.JobFrontend, as for HTTP/1.1, and net/http's server speaks the protocol. This package adds what only HTTP/2 needs: it
+// follows the frames of each connection by their heads, so that internal/decisions/http2limits can terminate the connection
+// before a flood reaches net/http; GOAWAY when clients are to use another connection; TLS, whose files are reloaded while
+// the program runs; and grants of accounts to client certificates.
 package http2
 
 import (
-	"crypto/tls"
 	"fmt"
 	"log/slog"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
@@ -21,68 +19,62 @@
 	"brassdale/internal/transport"
 )
 
-// Settings are the operator's, in a block front "http2".
+// Settings is the block front "http2" of the operator's file.
 type Settings struct {
 	Listen    string   `hcl:"listen"`
 	Cleartext bool     `hcl:"cleartext,optional"` // the address may be off loopback without TLS
-	Streams   int      `hcl:"streams,optional"`   // concurrent on one connection
-	TLS       *TLS     `hcl:"tls,block"`          // without it: cleartext with prior knowledge
-	Clients   []Client `hcl:"client,block"`       // who may hand in whose jobs, where tls has a client_ca
+	Streams   int      `hcl:"streams,optional"`   // maximum of concurrent streams on one connection
+	TLS       *TLS     `hcl:"tls,block"`          // nil: cleartext with prior knowledge
+	Clients   []Client `hcl:"client,block"`       // in force if TLS has a ClientCA
 }
 
-// Default holds what an operator leaves out.
+// Default returns the settings used for what the operator's file leaves out.
 func Default() Settings { return Settings{Streams: 128} }
 
-const (
-	maxHeaderBytes    = 8 << 10  // bytes of a request's header list
-	streamWindowBytes = 64 << 10 // bytes that a client may send ahead on a stream: a whole body
-	connWindowBytes   = 256 << 10
-)
-
-// Frontend is the front.
+// Frontend is the frontend. Its methods may be called from any goroutine.
 type Frontend struct {
 	*transport.JobFrontend
 	log      *slog.Logger
 	listener *transport.Listener
 
-	current atomic.Pointer[reloadable]
+	current atomic.Pointer[reloadable] // set by New
 
 	mu            sync.Mutex
 	conns         map[*conn]struct{}
-	goingAway     bool
-	expiryTimer   *time.Timer // of the certificate's end; nil where there is none to come
+	goingAway     bool        // clients are to use another connection
+	expiryTimer   *time.Timer // of the warning before the certificate expires; nil in cleartext
 	floodCloses   map[http2limits.CloseReason]int
-	forbiddenJobs int
+	forbiddenJobs int // answered 403
 }
 
-// reloadable is what a SIGHUP may replace, whole.
+// reloadable is the part of the settings that Prepare replaces as a whole.
 type reloadable struct {
-	credentials               *credentials // nil in clear
+	credentials               *credentials // nil in cleartext
 	grants                    grants
-	requiresClientCertificate bool // clients must show certificates
+	requiresClientCertificate bool
 }
 
-// New makes the front behind a multiplexed gate. Its files are read: an error names the one at fault.
-func New(s *Settings, core transport.Core, p *protocol.LiveSettings, gate *transport.Listener, ids *transport.InFlightIDs, keys *transport.IdempotencyTable, accounts *transport.AccountQuotas, log *slog.Logger) (*Frontend, error) {
-	f := &Frontend{log: log, listener: gate, conns: map[*conn]struct{}{}, floodCloses: map[http2limits.CloseReason]int{}}
-	f.JobFrontend = transport.NewJobFrontend(core, p, gate, ids, keys, accounts, f.authorize, log)
-	put, err := f.Prepare(s)
+// New returns the frontend behind a multiplexed listener. It reads the files that the settings name; quotas may be nil.
+func New(settings *Settings, core transport.Core, live *protocol.LiveSettings, listener *transport.Listener, ids *transport.InFlightIDs, keys *transport.IdempotencyTable, quotas *transport.AccountQuotas, log *slog.Logger) (*Frontend, error) {
+	f := &Frontend{log: log, listener: listener, conns: map[*conn]struct{}{}, floodCloses: map[http2limits.CloseReason]int{}}
+	f.JobFrontend = transport.NewJobFrontend(core, live, listener, ids, keys, quotas, f.authorize, log)
+	apply, err := f.Prepare(settings)
 	if err != nil {
 		return nil, err
 	}
-	put()
+	apply()
 	return f, nil
 }
 
-// Prepare reads the files of new settings and gives what puts them in force, for the connections that come from then on;
-// certificates' grants hold for all from then on. After an error all is as it was.
-func (f *Frontend) Prepare(s *Settings) (put func(), err error) {
-	next := &reloadable{grants: newGrants(s.Clients)}
-	if s.TLS != nil {
-		if next.credentials, err = s.TLS.load(); err != nil {
+// Prepare reads the files that new settings name, and returns a function that puts them in force: grants for all connections,
+// certificates and CA for those that are accepted from then on. With an error nothing has changed.
+func (f *Frontend) Prepare(settings *Settings) (apply func(), err error) {
+	next := &reloadable{grants: newGrants(settings.Clients)}
+	if settings.TLS != nil {
+		if next.credentials, err = settings.TLS.load(); err != nil {
 			return nil, err
 		}
-		next.requiresClientCertificate = s.TLS.ClientCA != ""
+		next.requiresClientCertificate = settings.TLS.ClientCA != ""
 	}
 	if old := f.current.Load(); old != nil && (old.credentials == nil) != (next.credentials == nil) {
 		return nil, errTLSToggled
@@ -93,127 +85,117 @@
 	}, nil
 }
 
-// scheduleExpiryWarning warns once of a certificate's end, when it is near.
-func (f *Frontend) scheduleExpiryWarning(k *credentials) {
+// expiryWarningPeriod is how long before a certificate expires a warning is logged.
+const expiryWarningPeriod = 14 * 24 * time.Hour
+
+// scheduleExpiryWarning logs one warning when the certificate is about to expire. It replaces an earlier schedule.
+func (f *Frontend) scheduleExpiryWarning(credentials *credentials) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.expiryTimer != nil {
 		f.expiryTimer.Stop()
 		f.expiryTimer = nil
 	}
-	if k == nil {
+	if credentials == nil {
 		return
 	}
-	f.expiryTimer = time.AfterFunc(max(time.Until(k.expiresAt)-expiryWarningPeriod, 0), func() {
-		f.log.Warn("certificate ends", "front", "http2", "at", k.expiresAt.UTC().Format(time.RFC3339), "ended", time.Now().After(k.expiresAt))
+	expiresAt := credentials.expiresAt
+	f.expiryTimer = time.AfterFunc(max(time.Until(expiresAt)-expiryWarningPeriod, 0), func() {
+		f.log.Warn("certificate expires", "front", "http2", "expires_at", expiresAt.UTC().Format(time.RFC3339), "expired", time.Now().After(expiresAt))
 	})
 }
 
-// Server makes the front's server.
-func (f *Frontend) Server(s *Settings) *http.Server {
+const (
+	maxHeaderBytes      = 8 << 10   // of a request's header list
+	maxHeaderTableBytes = 4 << 10   // of the HPACK dynamic table, in each direction
+	maxReadFrameBytes   = 16 << 10  // of a frame's payload
+	streamWindowBytes   = 64 << 10  // flow control of a stream: a whole body
+	connWindowBytes     = 256 << 10 // flow control of a connection
+)
+
+// Server returns the frontend's server, which speaks cleartext HTTP/2 only: Listener has taken off TLS.
+func (f *Frontend) Server(settings *Settings) *http.Server {
 	server := transport.Server(f, f.log)
 	server.MaxHeaderBytes = maxHeaderBytes
 	server.Protocols = &http.Protocols{}
-	server.Protocols.SetUnencryptedHTTP2(true) // TLS, where there is any, has been taken off below
-	server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: s.Streams, MaxDecoderHeaderTableSize: 4 << 10, MaxEncoderHeaderTableSize: 4 << 10,
-		MaxReadFrameSize: 16 << 10, MaxReceiveBufferPerStream: streamWindowBytes, MaxReceiveBufferPerConnection: connWindowBytes}
-	return server
-}
-
-// Listener gives the gate's connections to the server, followed.
-func (f *Frontend) Listener() net.Listener { return frameListener{f.listener, f} }
-
-type frameListener struct {
-	*transport.Listener
-	frontend *Frontend
-}
-
-func (l frameListener) Accept() (net.Conn, error) {
-	accepted, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	var config *tls.Config
-	if k := l.frontend.current.Load().credentials; k != nil {
-		config = k.config
+	server.Protocols.SetUnencryptedHTTP2(true)
+	server.HTTP2 = &http.HTTP2Config{
+		MaxConcurrentStreams:          settings.Streams,
+		MaxDecoderHeaderTableSize:     maxHeaderTableBytes,
+		MaxEncoderHeaderTableSize:     maxHeaderTableBytes,
+		MaxReadFrameSize:              maxReadFrameBytes,
+		MaxReceiveBufferPerStream:     streamWindowBytes,
+		MaxReceiveBufferPerConnection: connWindowBytes,
 	}
-	c := newConn(l.frontend, accepted.(*transport.Conn), config)
-	l.frontend.mu.Lock()
-	l.frontend.conns[c] = struct{}{}
-	leaving := l.frontend.goingAway
-	l.frontend.mu.Unlock()
-	if leaving {
-		c.outbound.insertFrame(goAwayFrame(maxStreamID, errCodeNoError, "")) // goes out behind net/http's first frame
-	}
-	return c, nil
-}
-
-func (f *Frontend) removeConn(c *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.conns, c)
+	return server
 }
 
-// authorize tells whether a client may hand in a job.
+// authorize is the transport.Authorize of the frontend: it rejects with 403 a job whose account is not granted to the client's
+// certificate.
 func (f *Frontend) authorize(r *http.Request, job *protocol.Job) error {
-	now := f.current.Load()
-	if !now.requiresClientCertificate {
+	current := f.current.Load()
+	if !current.requiresClientCertificate {
 		return nil
 	}
-	if c, ok := transport.ConnOf(r).(*conn); ok && c.tls != nil && now.grants.permits(c.tls.ConnectionState(), job.Account) {
+	if c, ok := transport.ConnOf(r).(*conn); ok && c.tls != nil && current.grants.permits(c.tls.ConnectionState(), job.Account) {
 		return nil
 	}
 	f.mu.Lock()
 	f.forbiddenJobs++
 	f.mu.Unlock()
-	f.log.Debug("client may not hand in this account's jobs", "id", job.ID, "account", job.Account)
+	f.log.Debug("account not granted to client certificate", "id", job.ID, "account", job.Account)
 	return &protocol.RequestError{Status: http.StatusForbidden, Reason: "the certificate is not granted the account"}
 }
 
-// recordFloodClose notes a connection that was ended by its budgets.
-func (f *Frontend) recordFloodClose(why http2limits.CloseReason, c *transport.Conn) {
+// recordFloodClose counts and logs a connection that is terminated because its client exceeded a limit.
+func (f *Frontend) recordFloodClose(reason http2limits.CloseReason, clientConn *transport.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.floodCloses[why]++
-	f.log.Debug("connection ended", "front", "http2", "why", string(why), "client", c.RemoteAddr().String())
+	f.floodCloses[reason]++
+	f.log.Debug("client connection terminated", "front", "http2", "reason", string(reason), "client", clientConn.RemoteAddr().String())
 }
 
-// StartShutdown turns the ready page to 503 and tells all clients to come no more: what they have sent until they hear it is
-// still served.
+// StartShutdown makes the readiness page say 503, and sends GOAWAY to all clients: streams that they open before they read it
+// are still served.
 func (f *Frontend) StartShutdown() {
 	f.JobFrontend.StartShutdown()
 	f.announceGoAway(true)
 }
 
-// PassToSuccessor has clients go to a successor at the same address.
+// PassToSuccessor starts or stops sending clients to a successor at the same address.
 func (f *Frontend) PassToSuccessor(on bool) {
 	f.JobFrontend.PassToSuccessor(on)
 	f.announceGoAway(on)
 }
 
+// announceGoAway sends GOAWAY without an error to all clients, and to those that connect until it is called with false.
 func (f *Frontend) announceGoAway(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.goingAway = on
-	if on {
-		for c := range f.conns {
-			c.outbound.insertFrame(goAwayFrame(maxStreamID, errCodeNoError, ""))
-		}
+	if !on {
+		return
+	}
+	for c := range f.conns {
+		c.outbound.insertFrame(goAwayFrame(maxStreamID, errCodeNoError, ""))
 	}
 }
 
-// Metrics gives the front's numbers, a line each.
+// Metrics returns the metrics, one on a line.
 func (f *Frontend) Metrics() string {
 	var b strings.Builder
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fmt.Fprintf(&b, "front.http2.connections=%d\nfront.http2.streams=%d\nfront.http2.forbidden=%d\n", len(f.conns), f.listener.OpenStreams(), f.forbiddenJobs)
-	for _, why := range []http2limits.CloseReason{http2limits.TooManyTinyDataFrames, http2limits.HeaderTooLong, http2limits.IncompleteInTime, http2limits.TooManyPings, http2limits.TooManyPriorities,
-		http2limits.TooManyResets, http2limits.TooManySettings, http2limits.TooManyUnknownFrames, http2limits.TooManyWindowUpdates} {
-		fmt.Fprintf(&b, "front.http2.ended.%s=%d\n", why, f.floodCloses[why])
+	for _, reason := range []http2limits.CloseReason{
+		http2limits.TooManyTinyDataFrames, http2limits.HeaderTooLong, http2limits.IncompleteInTime,
+		http2limits.TooManyPings, http2limits.TooManyPriorities, http2limits.TooManyResets,
+		http2limits.TooManySettings, http2limits.TooManyUnknownFrames, http2limits.TooManyWindowUpdates,
+	} {
+		fmt.Fprintf(&b, "front.http2.ended.%s=%d\n", reason, f.floodCloses[reason])
 	}
-	if k := f.current.Load().credentials; k != nil {
-		fmt.Fprintf(&b, "front.http2.certificate_days=%d\n", int(time.Until(k.expiresAt).Hours()/24))
+	if credentials := f.current.Load().credentials; credentials != nil {
+		fmt.Fprintf(&b, "front.http2.certificate_days=%d\n", int(time.Until(credentials.expiresAt).Hours()/24))
 	}
 	return b.String()
 }
--- a/internal/transport/http2/frontend_test.go
+++ b/internal/transport/http2/frontend_test.go
@@ -19,18 +19,17 @@
 	"brassdale/scheduler"
 )
 
-// immediateCore is a core that answers each job as it comes.
-type immediateCore struct{ ledger routing.Counters }
+// immediateCore is a transport.Core that answers each job in Submit.
+type immediateCore struct{ counters routing.Counters }
 
 func (c *immediateCore) Submit(in routing.Request) scheduler.RequestID {
 	in.Client.Answered(routing.Answer{Verdict: routing.Served, Result: []byte("priced")})
 	return 1
 }
 func (c *immediateCore) ClientLeft(scheduler.RequestID) {}
-func (c *immediateCore) Counters() *routing.Counters    { return &c.ledger }
+func (c *immediateCore) Counters() *routing.Counters    { return &c.counters }
 
-// BenchmarkFronts tells what a job costs at each front, without the module and endpoints. The client costs nothing that
-// is counted.
+// BenchmarkFronts measures what a job costs at each frontend, without the scheduler and workers. The client allocates nothing.
 func BenchmarkFronts(b *testing.B) {
 	params := &protocol.LiveSettings{}
 	p := &protocol.Settings{}
@@ -136,7 +135,7 @@
 	})
 }
 
-// The follower finds the same frames however the bytes are cut.
+// The scanner finds the same frames however the bytes are cut.
 func FuzzFrameScanner(f *testing.F) {
 	f.Add([]byte("\x00\x00\x03\x00\x01\x00\x00\x00\x01abc\x00\x00\x00\x04\x00\x00\x00\x00\x00"), uint8(1))
 	f.Add([]byte("\x00\x00\x08\x07\x00\x00\x00\x00\x00\x00\x00"), uint8(3))
@@ -149,7 +148,7 @@
 				for len(piece) > 0 {
 					n, ev := in.step(piece)
 					if n == 0 {
-						t.Fatal("no way on")
+						t.Fatal("step took no bytes")
 					}
 					if piece = piece[n:]; ev == headRead {
 						found = append(found, in.frame())
--- a/internal/transport/requestframing.go
+++ b/internal/transport/requestframing.go
@@ -44,36 +44,36 @@
 // scan returns how many of the bytes may be passed on, at most up to the end of a request, and whether that end was reached.
 // If the head is rejected, it replaces the last byte that is passed on by one that no header may have; nextMalformedByte gives
 // the bytes that follow.
-func (f *requestFraming) scan(b []byte) (n int, complete bool) {
-	for i := 0; i < len(b); i++ {
+func (f *requestFraming) scan(data []byte) (n int, complete bool) {
+	for pos := 0; pos < len(data); pos++ {
 		switch f.position {
 		case inBody:
-			skip := min(f.bodyBytesLeft, int64(len(b)-i))
+			skip := min(f.bodyBytesLeft, int64(len(data)-pos))
 			f.bodyBytesLeft -= skip
-			i += int(skip) - 1
+			pos += int(skip) - 1
 			if f.bodyBytesLeft == 0 {
 				f.beginRequest()
-				return i + 1, true
+				return pos + 1, true
 			}
 		case inChunkedBody:
-			return len(b), false
+			return len(data), false
 		case inRejectedRequest:
-			return i, false
+			return pos, false
 		case inRequestLine:
-			if b[i] == '\n' {
+			if data[pos] == '\n' {
 				f.position = inHead
 			}
 		case inHead:
-			if !f.scanHeadByte(b[i]) {
-				b[i], f.position, f.malformedBytesLeft = 0, inRejectedRequest, len(malformedLineEnd)
-				return i + 1, false
+			if !f.scanHeadByte(data[pos]) {
+				data[pos], f.position, f.malformedBytesLeft = 0, inRejectedRequest, len(malformedLineEnd)
+				return pos + 1, false
 			}
 			if f.position == inRequestLine { // the request has no body
-				return i + 1, true
+				return pos + 1, true
 			}
 		}
 	}
-	return len(b), false
+	return len(data), false
 }
 
 // nextMalformedByte returns the next byte of malformedLineEnd. malformedBytesLeft must be above 0.
