--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"errors"
 	"io"
 	"net"
 	"sync/atomic"
@@ -10,10 +9,10 @@
 
 // Conn is a client's connection to a Listener.
 //
-// If the listener is not multiplexed, a connection carries one request at a time: Read gives net/http the bytes of one request, and
-// no more until it is answered. Bytes received meanwhile are read all the same and queued for the next request. So the
+// If the listener is not multiplexed, a connection carries one request at a time: Read returns to net/http the bytes of one request,
+// and no more until it is answered. Bytes received meanwhile are read all the same and queued for the next request. So the
 // client's leaving is noticed while its request is served, even if it left bytes unread. If the listener is multiplexed, Read
-// gives the bytes as received, and whoever speaks the protocol (transport/http2) follows them.
+// returns the bytes as received, and whoever speaks the protocol (transport/http2) follows them.
 //
 // One goroutine at a time reads. The fields under listener.mu say what the connection is at; they, and the atomic ones, may be
 // used from any goroutine, for example by the listener, which closes a connection to make room for another.
@@ -138,10 +137,11 @@
 	if err == nil {
 		return
 	}
-	if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
-		return
+	// net/http aborts its background read of each request by a deadline, and errors.As would allocate for each of them.
+	netErr, ok := err.(net.Error) //nolint:errorlint // hot path; errors of net.TCPConn are not wrapped
+	if !ok || !netErr.Timeout() {
+		c.clientGone.Store(true)
 	}
-	c.clientGone.Store(true)
 }
 
 // awaitingAnswer reports whether the present request is complete and unanswered, so that further bytes belong to a later one.
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -25,7 +25,7 @@
 	privateSocketPerms = 0o600
 )
 
-// errNoHandover says that the predecessor's first message lacks the handover, or that not all listeners came with it.
+// errNoHandover says that the predecessor's first message lacks the handover, or that not all listeners were received with it.
 var errNoHandover = errors.New("the first message of the predecessor is not a handover with its listeners")
 
 // ConnectToPredecessor connects to the process that listens at path, and takes over its listeners, in the order of Handover.Fronts,
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -41,7 +41,7 @@
 
 // newConn returns a connection that was accepted now; config is nil in cleartext.
 func newConn(frontend *Frontend, clientConn *transport.Conn, config *tls.Config) *conn {
-	c := &conn{
+	client := &conn{
 		Conn:       clientConn,
 		clientConn: clientConn,
 		frontend:   frontend,
@@ -50,21 +50,21 @@
 		inbound:    frameScanner{prefaceBytesLeft: len(preface)},
 	}
 	if config != nil {
-		c.tls = tls.Server(clientConn, config)
-		c.Conn = c.tls
-	}
-	c.outbound.start(c.Conn, clientConn.Close, c.frameSent)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.completionTimer = time.AfterFunc(http2limits.CompletionTimeout, c.checkCompletion)
-	return c
+		client.tls = tls.Server(clientConn, config)
+		client.Conn = client.tls
+	}
+	client.outbound.start(client.Conn, clientConn.Close, client.frameSent)
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.completionTimer = time.AfterFunc(http2limits.CompletionTimeout, client.checkCompletion)
+	return client
 }
 
 // ClientConn returns the connection as its listener knows it.
 func (c *conn) ClientConn() *transport.Conn { return c.clientConn }
 
-// Read gives net/http the received bytes, unless they exceed a limit. After terminate it reads on until the client ends the
-// connection or closeTimeout has passed, and gives nothing.
+// Read returns the received bytes to net/http, unless they exceed a limit. After terminate it reads on until the client ends the
+// connection or closeTimeout has passed, and returns none.
 func (c *conn) Read(buffer []byte) (int, error) {
 	if err := c.checkProtocol(); err != nil {
 		return 0, err
--- a/internal/transport/http2/frontend.go
+++ b/internal/transport/http2/frontend.go
@@ -183,19 +183,19 @@
 
 // Metrics returns the metrics, one on a line.
 func (f *Frontend) Metrics() string {
-	var b strings.Builder
+	var text strings.Builder
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fmt.Fprintf(&b, "front.http2.connections=%d\nfront.http2.streams=%d\nfront.http2.forbidden=%d\n", len(f.conns), f.listener.OpenStreams(), f.forbiddenJobs)
+	fmt.Fprintf(&text, "front.http2.connections=%d\nfront.http2.streams=%d\nfront.http2.forbidden=%d\n", len(f.conns), f.listener.OpenStreams(), f.forbiddenJobs)
 	for _, reason := range []http2limits.CloseReason{
 		http2limits.TooManyTinyDataFrames, http2limits.HeaderTooLong, http2limits.IncompleteInTime,
 		http2limits.TooManyPings, http2limits.TooManyPriorities, http2limits.TooManyResets,
 		http2limits.TooManySettings, http2limits.TooManyUnknownFrames, http2limits.TooManyWindowUpdates,
 	} {
-		fmt.Fprintf(&b, "front.http2.ended.%s=%d\n", reason, f.floodCloses[reason])
+		fmt.Fprintf(&text, "front.http2.ended.%s=%d\n", reason, f.floodCloses[reason])
 	}
 	if credentials := f.current.Load().credentials; credentials != nil {
-		fmt.Fprintf(&b, "front.http2.certificate_days=%d\n", int(time.Until(credentials.expiresAt).Hours()/24))
+		fmt.Fprintf(&text, "front.http2.certificate_days=%d\n", int(time.Until(credentials.expiresAt).Hours()/24))
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/transport/http2/frontend_test.go
+++ b/internal/transport/http2/frontend_test.go
@@ -50,10 +50,10 @@
 		b.Cleanup(func() { server.Close() })
 	}
 	b.Run("HTTP/1.1", func(b *testing.B) {
-		gate := transport.NewListener(listen(), log)
-		gate.SetLimits(100, math.MaxInt64)
-		serve(transport.Server(transport.NewJobFrontend(&immediateCore{}, params, gate, &transport.InFlightIDs{}, nil, nil, nil, log), log), gate)
-		conn, err := net.Dial("tcp", gate.Addr().String())
+		listener := transport.NewListener(listen(), log)
+		listener.SetLimits(100, math.MaxInt64)
+		serve(transport.Server(transport.NewJobFrontend(&immediateCore{}, params, listener, &transport.InFlightIDs{}, nil, nil, nil, log), log), listener)
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -80,16 +80,16 @@
 		}
 	})
 	b.Run("HTTP/2", func(b *testing.B) {
-		gate := transport.NewMultiplexedListener(listen(), log)
-		gate.SetLimits(100, math.MaxInt64)
-		gate.SetStreamLimit(1000)
+		listener := transport.NewMultiplexedListener(listen(), log)
+		listener.SetLimits(100, math.MaxInt64)
+		listener.SetStreamLimit(1000)
 		s := Default()
-		front, err := New(&s, &immediateCore{}, params, gate, &transport.InFlightIDs{}, nil, nil, log)
+		frontend, err := New(&s, &immediateCore{}, params, listener, &transport.InFlightIDs{}, nil, nil, log)
 		if err != nil {
 			b.Fatal(err)
 		}
-		serve(front.Server(&s), front.Listener())
-		conn, err := net.Dial("tcp", gate.Addr().String())
+		serve(frontend.Server(&s), frontend.Listener())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/transport/jobstream.go
+++ b/internal/transport/jobstream.go
@@ -167,7 +167,7 @@
 	s.changed = make(chan struct{})
 }
 
-// retain counts bytes that are kept until the job is forgotten.
+// retain counts bytes that are retained until the job is forgotten.
 func (s *jobStream) retain(size int64) {
 	s.retainedBytes.Add(size)
 	s.table.retainedBytes.Add(size)
--- a/internal/transport/peerprocess.go
+++ b/internal/transport/peerprocess.go
@@ -58,7 +58,7 @@
 	close(p.gone)
 }
 
-// deliverAnswer hands an answer to the Ask that waits for it. One that came too late is dropped.
+// deliverAnswer passes an answer to the Ask that waits for it. One that arrives after the Ask has ended is dropped.
 func (p *PeerProcess) deliverAnswer(answer protocol.HandoverMessage) {
 	p.mu.Lock()
 	pending := p.pendingQuestions[answer.AnswerTo]
--- a/internal/transport/requestframing.go
+++ b/internal/transport/requestframing.go
@@ -42,7 +42,7 @@
 )
 
 // scan returns how many of the bytes may be passed on, at most up to the end of a request, and whether that end was reached.
-// If the head is rejected, it replaces the last byte that is passed on by one that no header may have; nextMalformedByte gives
+// If the head is rejected, it replaces the last byte that is passed on by one that no header may have; nextMalformedByte returns
 // the bytes that follow.
 func (f *requestFraming) scan(data []byte) (n int, complete bool) {
 	for pos := 0; pos < len(data); pos++ {
