--- a/internal/transport/http2/frontend_test.go
+++ b/internal/transport/http2/frontend_test.go
@@ -19,18 +19,17 @@
 	"brassdale/scheduler"
 )
 
-// atOnce is a core that answers each job as it comes.
-type atOnce struct{ ledger routing.Counters }
+// immediateCore is a transport.Core that answers each job in Submit.
+type immediateCore struct{ counters routing.Counters }
 
-func (c *atOnce) Submit(in routing.Request) scheduler.RequestID {
+func (c *immediateCore) Submit(in routing.Request) scheduler.RequestID {
 	in.Client.Answered(routing.Answer{Verdict: routing.Served, Result: []byte("priced")})
 	return 1
 }
-func (c *atOnce) ClientLeft(scheduler.RequestID) {}
-func (c *atOnce) Counters() *routing.Counters    { return &c.ledger }
+func (c *immediateCore) ClientLeft(scheduler.RequestID) {}
+func (c *immediateCore) Counters() *routing.Counters    { return &c.counters }
 
-// BenchmarkFronts tells what a job costs at each front, without the module and endpoints. The client costs nothing that
-// is counted.
+// BenchmarkFronts measures what a job costs at each frontend, without the scheduler and workers. The client allocates nothing.
 func BenchmarkFronts(b *testing.B) {
 	params := &protocol.LiveSettings{}
 	p := &protocol.Settings{}
@@ -51,10 +50,10 @@
 		b.Cleanup(func() { server.Close() })
 	}
 	b.Run("HTTP/1.1", func(b *testing.B) {
-		gate := transport.NewListener(listen(), log)
-		gate.SetLimits(100, math.MaxInt64)
-		serve(transport.Server(transport.NewJobFrontend(&atOnce{}, params, gate, &transport.InFlightIDs{}, nil, nil, nil, log), log), gate)
-		conn, err := net.Dial("tcp", gate.Addr().String())
+		listener := transport.NewListener(listen(), log)
+		listener.SetLimits(100, math.MaxInt64)
+		serve(transport.Server(transport.NewJobFrontend(&immediateCore{}, params, listener, &transport.InFlightIDs{}, nil, nil, nil, log), log), listener)
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -81,16 +80,16 @@
 		}
 	})
 	b.Run("HTTP/2", func(b *testing.B) {
-		gate := transport.NewMultiplexedListener(listen(), log)
-		gate.SetLimits(100, math.MaxInt64)
-		gate.SetStreamLimit(1000)
+		listener := transport.NewMultiplexedListener(listen(), log)
+		listener.SetLimits(100, math.MaxInt64)
+		listener.SetStreamLimit(1000)
 		s := Default()
-		front, err := New(&s, &atOnce{}, params, gate, &transport.InFlightIDs{}, nil, nil, log)
+		frontend, err := New(&s, &immediateCore{}, params, listener, &transport.InFlightIDs{}, nil, nil, log)
 		if err != nil {
 			b.Fatal(err)
 		}
-		serve(front.Server(&s), front.Listener())
-		conn, err := net.Dial("tcp", gate.Addr().String())
+		serve(frontend.Server(&s), frontend.Listener())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -108,7 +107,7 @@
 		data := len(job) - 4
 		job = append(job, "drawing"...)
 		window := binary.BigEndian.AppendUint32([]byte{0, 0, 4, 8, 0, 0, 0, 0, 0}, 6)
-		in, head := bufio.NewReader(conn), make([]byte, frameHead)
+		in, head := bufio.NewReader(conn), make([]byte, frameHeadBytes)
 		stream := uint32(1)
 		b.ReportAllocs()
 		for b.Loop() {
@@ -136,27 +135,27 @@
 	})
 }
 
-// The follower finds the same frames however the bytes are cut.
-func FuzzFollower(f *testing.F) {
+// The scanner finds the same frames however the bytes are cut.
+func FuzzFrameScanner(f *testing.F) {
 	f.Add([]byte("\x00\x00\x03\x00\x01\x00\x00\x00\x01abc\x00\x00\x00\x04\x00\x00\x00\x00\x00"), uint8(1))
 	f.Add([]byte("\x00\x00\x08\x07\x00\x00\x00\x00\x00\x00\x00"), uint8(3))
 	f.Fuzz(func(t *testing.T, text []byte, cut uint8) {
 		frames := func(size int) (found []http2limits.Frame, between bool) {
-			var in follower
+			var in frameScanner
 			for rest := text; len(rest) > 0; {
 				piece := rest[:min(size, len(rest))]
 				rest = rest[len(piece):]
 				for len(piece) > 0 {
 					n, ev := in.step(piece)
 					if n == 0 {
-						t.Fatal("no way on")
+						t.Fatal("step took no bytes")
 					}
-					if piece = piece[n:]; ev == headed {
+					if piece = piece[n:]; ev == headRead {
 						found = append(found, in.frame())
 					}
 				}
 			}
-			return found, in.between()
+			return found, in.betweenFrames()
 		}
 		whole, end := frames(len(text) + 1)
 		pieces, endOfPieces := frames(int(cut) + 1)
