--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -29,8 +29,8 @@
 	Wide           float64 // share of the jobs that take two slots
 }
 
-// classes are the scenario's, one at least.
-func (t *Traffic) classes() []Class {
+// effectiveClasses are the scenario's, one at least.
+func (t *Traffic) effectiveClasses() []Class {
 	if len(t.Classes) > 0 {
 		return t.Classes
 	}
@@ -38,136 +38,136 @@
 		Effect: t.Effect, Scope: scheduler.ScopeCell, Window: t.Window}}
 }
 
-// virtual tells whether a scenario has any of it.
-func (s *Scenario) virtual() bool {
-	sized := slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Burst || f.Kind == HeavyTail })
-	return sized || len(s.Traffic.Classes) > 0 || s.Traffic.Hints || s.Traffic.Memory > 0 || s.Network.Handshake > 0 ||
+// needsVirtualTime tells whether a scenario has any of it.
+func (s *Scenario) needsVirtualTime() bool {
+	hasSizedFault := slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Burst || f.Kind == HeavyTail })
+	return hasSizedFault || len(s.Traffic.Classes) > 0 || s.Traffic.Hints || s.Traffic.Memory > 0 || s.Network.Handshake > 0 ||
 		s.LiveWeights || s.Queue > 0 || s.Pushed || s.Keeps || s.Reports.Answers
 }
 
-// dress gives a job its class and what follows from it.
-func (w *world) dress(j *job) {
-	t := &w.s.Traffic
-	if len(t.Classes) > 0 {
-		sum := 0.0
-		for _, c := range t.Classes {
-			sum += c.Share
+// drawClass gives a job its class and what follows from it.
+func (sim *simulation) drawClass(job *job) {
+	traffic := &sim.scenario.Traffic
+	if len(traffic.Classes) > 0 {
+		totalShare := 0.0
+		for _, class := range traffic.Classes {
+			totalShare += class.Share
 		}
-		pick := w.drawn.Float64() * sum
-		for i, c := range t.Classes {
+		pick := sim.classRandom.Float64() * totalShare
+		for i, c := range traffic.Classes {
 			if pick -= c.Share; pick < 0 {
-				j.class = i
+				job.class = i
 				break
 			}
 		}
-		c := &t.Classes[j.class]
-		j.work = c.Work * math.Exp(c.Spread*w.drawn.NormFloat64()-c.Spread*c.Spread/2)
-		if w.drawn.Float64() < c.Wide {
-			j.slots = 2
+		c := &traffic.Classes[job.class]
+		job.work = c.Work * math.Exp(c.Spread*sim.classRandom.NormFloat64()-c.Spread*c.Spread/2)
+		if sim.classRandom.Float64() < c.Wide {
+			job.slots = 2
 		}
 	}
-	if w.tail > 0 && w.drawn.Float64() < tailShare {
-		j.work *= w.tail
+	if sim.tailFactor > 0 && sim.classRandom.Float64() < heavyTailShare {
+		job.work *= sim.tailFactor
 	}
-	if t.Memory > 0 {
-		j.memory = float64(j.slots) * t.Memory * math.Exp(memorySpread*w.drawn.NormFloat64()-memorySpread*memorySpread/2)
+	if traffic.Memory > 0 {
+		job.memory = float64(job.slots) * traffic.Memory * math.Exp(memoryLogStdDev*sim.classRandom.NormFloat64()-memoryLogStdDev*memoryLogStdDev/2)
 	}
-	if t.Hints {
-		j.hint = time.Duration(j.work * math.Exp(hintSpread*w.drawn.NormFloat64()) * float64(time.Second))
+	if traffic.Hints {
+		job.workEstimate = time.Duration(job.work * math.Exp(estimateLogStdDev*sim.classRandom.NormFloat64()) * float64(time.Second))
 	}
 }
 
 const (
-	tailShare    = 0.02 // of the jobs are heavy while a heavy tail lasts
-	memorySpread = 0.4  // of the logarithm of a job's memory
-	hintSpread   = 0.15 // and of a guess at its work
+	heavyTailShare    = 0.02 // of the jobs are heavy while a heavy tail lasts
+	memoryLogStdDev   = 0.4  // of the logarithm of a job's memory
+	estimateLogStdDev = 0.15 // and of a guess at its work
 )
 
-// value is what a job is worth to its client, in time.
-func (w *world) value(j *job) float64 {
-	return w.class(j).PriorityWeight * j.work * float64(j.slots)
+// weightedWork is what a job is worth to its client, in time.
+func (sim *simulation) weightedWork(job *job) float64 {
+	return sim.classOf(job).PriorityWeight * job.work * float64(job.slots)
 }
 
-func (w *world) class(j *job) *Class { return &w.kinds[j.class] }
+func (sim *simulation) classOf(job *job) *Class { return &sim.classes[job.class] }
 
-// fits tells whether a box can begin a job now. It has a unit of memory for each slot.
-func (b *worker) fits(j *job) bool {
-	return b.busy+j.slots <= b.slots && b.memory+j.memory <= float64(b.slots)
+// canStart tells whether a box can begin a job now. It has a unit of memory for each slot.
+func (w *worker) canStart(job *job) bool {
+	return w.busySlots+job.slots <= w.slots && w.memoryInUse+job.memory <= float64(w.slots)
 }
 
-// full tells whether a box turns a job away: it could never run it, or too many wait.
-func (b *worker) full(j *job) bool {
-	most := b.w.s.Queue * float64(b.slots)
-	return j.slots > b.slots || j.memory > float64(b.slots) || most > 0 && float64(len(b.queue)) >= most && !b.fits(j)
+// rejects tells whether a box turns a job away: it could never run it, or too many wait.
+func (w *worker) rejects(job *job) bool {
+	maxQueued := w.sim.scenario.Queue * float64(w.slots)
+	return job.slots > w.slots || job.memory > float64(w.slots) || maxQueued > 0 && float64(len(w.queue)) >= maxQueued && !w.canStart(job)
 }
 
-// between is a way from a dispatcher's zone to a box or back.
-func (w *world) between(zone int, b *worker, chance *rand.Rand) time.Duration {
-	var way time.Duration
-	if zone == b.zone {
-		way = w.delay(chance)
+// oneWayDelay is a way from a dispatcher's zone to a box or back.
+func (sim *simulation) oneWayDelay(zone int, worker *worker, random *rand.Rand) time.Duration {
+	var delay time.Duration
+	if zone == worker.zone {
+		delay = sim.localDelay(random)
 	} else {
-		way = time.Duration(float64(w.s.Network.Cross) * (0.9 + 0.2*chance.Float64()))
+		delay = time.Duration(float64(sim.scenario.Network.Cross) * (0.9 + 0.2*random.Float64()))
 	}
-	if times := w.far[b.zone]; times > 0 {
-		way = time.Duration(float64(way) * times)
+	if factor := sim.delayFactor[worker.zone]; factor > 0 {
+		delay = time.Duration(float64(delay) * factor)
 	}
-	return way
+	return delay
 }
 
 // connect gives how much longer a job's way to a box is for want of a connection that stands idle; not ok where the box
 // takes no further one.
-func (d *dispatcher) connect(b *worker) (more time.Duration, ok bool) {
-	n := &d.w.s.Network
-	if n.Handshake <= 0 {
+func (d *dispatcher) connect(worker *worker) (handshake time.Duration, ok bool) {
+	network := &d.sim.scenario.Network
+	if network.Handshake <= 0 {
 		return 0, true
 	}
-	idle := d.idle[b.id]
+	idle := d.idleSince[worker.id]
 	for len(idle) > 0 {
 		since := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
-		d.idle[b.id] = idle
-		if d.w.now-since < n.Idle {
+		d.idleSince[worker.id] = idle
+		if d.sim.now-since < network.Idle {
 			return 0, true
 		}
-		b.conns--
+		worker.connections--
 	}
-	if n.Most > 0 && b.conns >= n.Most {
+	if network.Most > 0 && worker.connections >= network.Most {
 		return 0, false
 	}
-	b.conns++
-	return time.Duration(n.Handshake * float64(2*d.w.between(d.zone, b, d.chance))), true
+	worker.connections++
+	return time.Duration(network.Handshake * float64(2*d.sim.oneWayDelay(d.zone, worker, d.random))), true
 }
 
 // disconnect takes a connection back: idle behind an answer, closed behind all else.
-func (d *dispatcher) disconnect(b *worker, whole bool) {
+func (d *dispatcher) disconnect(worker *worker, reusable bool) {
 	switch {
-	case d.w.s.Network.Handshake <= 0:
-	case whole:
-		d.idle[b.id] = append(d.idle[b.id], d.w.now)
+	case d.sim.scenario.Network.Handshake <= 0:
+	case reusable:
+		d.idleSince[worker.id] = append(d.idleSince[worker.id], d.sim.now)
 	default:
-		b.conns--
+		worker.connections--
 	}
 }
 
-// weigh tells all dispatchers of a box's weight, now and then: its size, less the more it holds.
-func (w *world) weigh() {
-	for _, b := range w.workers {
-		if b.state == scheduler.Ready && !b.down {
-			w.changed(b)
+// publishWeights tells all dispatchers of a box's weight, now and then: its size, less the more it holds.
+func (sim *simulation) publishWeights() {
+	for _, worker := range sim.workers {
+		if worker.state == scheduler.Ready && !worker.down {
+			sim.publishWorker(worker)
 		}
 	}
-	w.after(weighEvery, w.weigh)
+	sim.after(weightInterval, sim.publishWeights)
 }
 
-const weighEvery = time.Second
+const weightInterval = time.Second
 
-// weight is what the list says of a box.
-func (b *worker) weight() float64 {
-	if !b.w.s.LiveWeights {
-		return float64(b.slots)
+// listedWeight is what the list says of a box.
+func (w *worker) listedWeight() float64 {
+	if !w.sim.scenario.LiveWeights {
+		return float64(w.slots)
 	}
-	return float64(b.slots) / (1 + float64(b.busy+len(b.queue))/float64(b.slots))
+	return float64(w.slots) / (1 + float64(w.busySlots+len(w.queue))/float64(w.slots))
 }
 
 // Merit is a result in one figure: the worth served in time, less what crossing cost, and the class served worst.
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -15,244 +15,244 @@
 
 // dispatcher carries a policy's actions out, as routing.Core does: it lets nothing through that the core would not.
 type dispatcher struct {
-	w          *world
-	n, zone    int
-	idle       map[scheduler.WorkerID][]time.Duration // connections, by since when they have been
-	policy     Policy
-	open       map[scheduler.RequestID]*open
-	notify     map[scheduler.WorkerID]time.Duration // of which start of a box
-	watcher    *failover.Recorder                   // nil where nobody plans
-	plan       *failover.Plan
-	listedAs   map[scheduler.WorkerID]scheduler.WorkerInfo
-	subscribed bool
-	chance     *rand.Rand
+	sim           *simulation
+	index, zone   int
+	idleSince     map[scheduler.WorkerID][]time.Duration // connections, by since when they have been
+	policy        Policy
+	requests      map[scheduler.RequestID]*openRequest
+	knownStarts   map[scheduler.WorkerID]time.Duration // of which start of a box
+	recorder      *failover.Recorder                   // nil where nobody plans
+	plan          *failover.Plan
+	endpointsByID map[scheduler.WorkerID]scheduler.WorkerInfo
+	subscribed    bool
+	random        *rand.Rand
 }
 
-type open struct {
-	job      *job
-	expires  time.Duration
-	answered bool
-	runs     []*run
-	inFlight []bool
-	left     int // attempts without an outcome
+type openRequest struct {
+	job        *job
+	expires    time.Duration
+	answered   bool
+	attempts   []*attemptRun
+	inFlight   []bool
+	unfinished int // attempts without an outcome
 }
 
-// feed tells the policy an event. Nothing in here feeds again: what an action brings about comes later.
-func (d *dispatcher) feed(ev scheduler.Event) {
-	for _, a := range d.policy.Handle(d.w.now, ev) {
+// handle tells the policy an event. Nothing in here feeds again: what an action brings about comes later.
+func (d *dispatcher) handle(ev scheduler.Event) {
+	for _, a := range d.policy.Handle(d.sim.now, ev) {
 		switch a := a.(type) {
 		case scheduler.Send:
 			d.send(a)
 		case scheduler.Cancel:
-			if o := d.open[a.ID]; o != nil && a.Attempt < len(o.runs) && o.inFlight[a.Attempt] {
-				r := o.runs[a.Attempt]
-				d.w.after(d.w.between(d.zone, d.w.workerOf(r), d.chance), func() { d.w.workerOf(r).cancel(r) })
-				d.w.after(0, func() { d.ended(a.ID, a.Attempt, scheduler.Cancelled) })
+			if request := d.requests[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.inFlight[a.Attempt] {
+				attempt := request.attempts[a.Attempt]
+				d.sim.after(d.sim.oneWayDelay(d.zone, d.sim.workerByAttempt(attempt), d.random), func() { d.sim.workerByAttempt(attempt).cancel(attempt) })
+				d.sim.after(0, func() { d.finishAttempt(a.ID, a.Attempt, scheduler.Cancelled) })
 			}
 		case scheduler.Reject:
-			d.answer(a.ID, refused, a.RetryAfter)
+			d.answer(a.ID, outcomeRejected, a.RetryAfter)
 		case scheduler.Fail:
-			d.answer(a.ID, failed, 0)
+			d.answer(a.ID, outcomeFailed, 0)
 		case scheduler.Probe:
 			d.probe(a.Worker)
 		case scheduler.Subscribe:
 			switch {
 			case d.subscribed:
-			case d.w.down+d.w.hung > 0:
-				d.refused()
+			case d.sim.discoveryDown+d.sim.discoveryHung > 0:
+				d.failPoll()
 			default:
 				d.subscribed = true
-				d.w.after(d.w.late(d.chance), func() {
+				d.sim.after(d.sim.updateDelay(d.random), func() {
 					if d.subscribed {
-						d.listed(scheduler.ListFull, d.w.list())
+						d.updateEndpoints(scheduler.ListFull, d.sim.endpoints())
 					}
 				})
 			}
 		case scheduler.SetTimer:
-			d.w.after(a.After, func() { d.feed(scheduler.TimerFired{Token: a.Token}) })
+			d.sim.after(a.After, func() { d.handle(scheduler.TimerFired{Token: a.Token}) })
 		case scheduler.Log:
-			d.w.note("%v dispatcher %d: %s", d.w.now-epoch, d.n, a.Text)
+			d.sim.addNote("%v dispatcher %d: %s", d.sim.now-clockStart, d.index, a.Text)
 		}
 	}
 }
 
-// refused has a call to discovery fail: at once where it is down, behind the caller's patience where it hangs.
-func (d *dispatcher) refused() {
-	clientPatience := d.w.delay(d.chance)
-	if d.w.down == 0 {
-		clientPatience = hungCall
+// failPoll has a call to discovery fail: at once where it is down, behind the caller's patience where it hangs.
+func (d *dispatcher) failPoll() {
+	delay := d.sim.localDelay(d.random)
+	if d.sim.discoveryDown == 0 {
+		delay = hungPollTimeout
 	}
-	d.w.after(clientPatience, func() { d.feed(scheduler.EndpointsUpdated{ListKind: scheduler.ListFailed}) })
+	d.sim.after(delay, func() { d.handle(scheduler.EndpointsUpdated{ListKind: scheduler.ListFailed}) })
 }
 
-// hungCall is how long a dispatcher waits for an answer of discovery.
-const hungCall = 750 * time.Millisecond
+// hungPollTimeout is how long a dispatcher waits for an answer of discovery.
+const hungPollTimeout = 750 * time.Millisecond
 
-// arrived takes a client's request.
-func (d *dispatcher) arrived(j *job, id scheduler.RequestID, expires time.Duration) {
-	d.open[id] = &open{job: j, expires: expires}
-	d.w.audit.requested(uint64(id), d.w.class(j))
-	d.w.after(expires-d.w.now, func() { d.expired(id) })
-	within, ok := d.guided(j)
+// requestArrived takes a client's request.
+func (d *dispatcher) requestArrived(job *job, id scheduler.RequestID, expires time.Duration) {
+	d.requests[id] = &openRequest{job: job, expires: expires}
+	d.sim.audit.requestArrived(uint64(id), d.sim.classOf(job))
+	d.sim.after(expires-d.sim.now, func() { d.requestExpired(id) })
+	zones, ok := d.permittedZones(job)
 	if !ok { // shed where it arrives
-		d.w.after(0, func() { d.answer(id, refused, time.Duration((0.5+d.chance.Float64())*float64(time.Second))) })
+		d.sim.after(0, func() { d.answer(id, outcomeRejected, time.Duration((0.5+d.random.Float64())*float64(time.Second))) })
 		return
 	}
-	d.feed(scheduler.RequestArrived{ID: id, Class: j.class, Slots: float64(j.slots), EstimatedWork: j.hint, AffinityKey: uint64(j.subject), Deadline: expires, AllowedZones: within})
+	d.handle(scheduler.RequestArrived{ID: id, Class: job.class, Slots: float64(job.slots), EstimatedWork: job.workEstimate, AffinityKey: uint64(job.subject), Deadline: expires, AllowedZones: zones})
 }
 
-// expired ends what is out when a client gives up.
-func (d *dispatcher) expired(id scheduler.RequestID) {
-	o := d.open[id]
-	if o == nil {
+// requestExpired ends what is out when a client gives up.
+func (d *dispatcher) requestExpired(id scheduler.RequestID) {
+	request := d.requests[id]
+	if request == nil {
 		return
 	}
-	for i := range o.runs {
-		if o.inFlight[i] {
-			r := o.runs[i]
-			d.w.after(d.w.between(d.zone, d.w.workerOf(r), d.chance), func() { d.w.workerOf(r).cancel(r) })
-			d.ended(id, i, scheduler.TimedOut)
+	for i := range request.attempts {
+		if request.inFlight[i] {
+			attempt := request.attempts[i]
+			d.sim.after(d.sim.oneWayDelay(d.zone, d.sim.workerByAttempt(attempt), d.random), func() { d.sim.workerByAttempt(attempt).cancel(attempt) })
+			d.finishAttempt(id, i, scheduler.TimedOut)
 		}
 	}
 }
 
-func (d *dispatcher) send(a scheduler.Send) {
-	o := d.open[a.ID]
-	if o == nil {
+func (d *dispatcher) send(action scheduler.Send) {
+	request := d.requests[action.ID]
+	if request == nil {
 		return
 	}
-	b := d.w.byID[a.Worker]
-	attempt := len(o.runs)
-	r := &run{job: o.job, attempt: attempt, from: d, work: o.job.work, zone: d.zone}
-	r.worker, r.sentAt = a.Worker, d.w.now
-	o.runs, o.inFlight = append(o.runs, r), append(o.inFlight, true)
-	o.left++
-	if o.answered || d.w.now >= o.expires || attempt >= d.w.s.Rules.MaxAttempts || b == nil {
-		d.w.after(0, func() { d.ended(a.ID, attempt, scheduler.NeverSent) })
+	worker := d.sim.byID[action.Worker]
+	index := len(request.attempts)
+	attempt := &attemptRun{job: request.job, index: index, source: d, work: request.job.work, zone: d.zone}
+	attempt.worker, attempt.sentAt = action.Worker, d.sim.now
+	request.attempts, request.inFlight = append(request.attempts, attempt), append(request.inFlight, true)
+	request.unfinished++
+	if request.answered || d.sim.now >= request.expires || index >= d.sim.scenario.Rules.MaxAttempts || worker == nil {
+		d.sim.after(0, func() { d.finishAttempt(action.ID, index, scheduler.NeverSent) })
 		return
 	}
-	r.id = a.ID
-	d.w.sends++
-	more, ok := d.connect(b)
+	attempt.id = action.ID
+	d.sim.attemptsSent++
+	handshake, ok := d.connect(worker)
 	if !ok {
-		d.w.after(d.w.between(d.zone, b, d.chance), func() { d.ended(a.ID, attempt, scheduler.NoConnect) })
+		d.sim.after(d.sim.oneWayDelay(d.zone, worker, d.random), func() { d.finishAttempt(action.ID, index, scheduler.NoConnect) })
 		return
 	}
-	r.connected = true
-	if b.zone != d.zone {
-		d.w.crossings++
+	attempt.hasConnection = true
+	if worker.zone != d.zone {
+		d.sim.crossings++
 	}
-	d.w.audit.sent(d.w.now, d.n, uint64(a.ID), b.id, b.bay, b.zone)
-	d.w.after(more+d.w.between(d.zone, b, d.chance), func() {
-		if !r.over && !d.cutOff(b) {
-			if b.cut == 0 && !b.down {
-				d.w.pushedAt(b, r.work)
+	d.sim.audit.attemptSent(d.sim.now, d.index, uint64(action.ID), worker.id, worker.cell, worker.zone)
+	d.sim.after(handshake+d.sim.oneWayDelay(d.zone, worker, d.random), func() {
+		if !attempt.over && !d.partitionedFrom(worker) {
+			if worker.partitioned == 0 && !worker.down {
+				d.sim.recordZoneWork(worker, attempt.work)
 			}
-			b.take(r)
+			worker.receive(attempt)
 		}
 	})
 }
 
-// ended ends an attempt, once.
-func (d *dispatcher) ended(id scheduler.RequestID, attempt int, inFlight scheduler.Outcome) {
-	o := d.open[id]
-	if o == nil || !o.inFlight[attempt] {
+// finishAttempt ends an attempt, once.
+func (d *dispatcher) finishAttempt(id scheduler.RequestID, index int, outcome scheduler.Outcome) {
+	request := d.requests[id]
+	if request == nil || !request.inFlight[index] {
 		return
 	}
-	o.inFlight[attempt] = false
-	o.left--
-	d.w.audit.ended(uint64(id), attempt, inFlight)
-	r := o.runs[attempt]
-	if r.connected {
-		d.disconnect(d.w.workerOf(r), inFlight == scheduler.Served || inFlight == scheduler.Full)
+	request.inFlight[index] = false
+	request.unfinished--
+	d.sim.audit.attemptEnded(uint64(id), index, outcome)
+	attempt := request.attempts[index]
+	if attempt.hasConnection {
+		d.disconnect(d.sim.workerByAttempt(attempt), outcome == scheduler.Served || outcome == scheduler.Full)
 	}
 	var report *scheduler.Report
-	if inFlight == scheduler.Served || inFlight == scheduler.Full {
-		report = r.report
+	if outcome == scheduler.Served || outcome == scheduler.Full {
+		report = attempt.report
 	}
-	d.saw(r, o, inFlight)
-	if inFlight == scheduler.Served {
-		d.answer(id, served, 0)
+	d.recordAttempt(attempt, request, outcome)
+	if outcome == scheduler.Served {
+		d.answer(id, outcomeServed, 0)
 	}
-	d.feed(scheduler.AttemptFinished{ID: id, Attempt: attempt, Worker: o.runs[attempt].worker, Outcome: inFlight, Final: o.answered, Report: report, ConnectionIdle: -1})
+	d.handle(scheduler.AttemptFinished{ID: id, Attempt: index, Worker: request.attempts[index].worker, Outcome: outcome, Final: request.answered, Report: report, ConnectionIdle: -1})
 	d.forget(id)
 }
 
-// started, over, knows and way make it an origin of attempts.
-func (d *dispatcher) started(r *run) {
-	if d.cutOff(d.w.workerOf(r)) {
+// attemptStarted, over, knows and way make it an origin of attempts.
+func (d *dispatcher) attemptStarted(attempt *attemptRun) {
+	if d.partitionedFrom(d.sim.workerByAttempt(attempt)) {
 		return
 	}
-	if o := d.open[r.id]; o != nil && o.inFlight[r.attempt] {
-		if r.beganAt = d.w.now; d.watcher != nil {
-			d.watcher.ResponseReceived(d.w.zoneName(d.w.workerOf(r).zone), d.w.now)
+	if request := d.requests[attempt.id]; request != nil && request.inFlight[attempt.index] {
+		if attempt.startHeardAt = d.sim.now; d.recorder != nil {
+			d.recorder.ResponseReceived(d.sim.zoneName(d.sim.workerByAttempt(attempt).zone), d.sim.now)
 		}
-		d.feed(scheduler.AttemptStarted{ID: r.id, Attempt: r.attempt, Worker: r.worker})
+		d.handle(scheduler.AttemptStarted{ID: attempt.id, Attempt: attempt.index, Worker: attempt.worker})
 	}
 }
 
-func (d *dispatcher) over(r *run, o scheduler.Outcome) {
-	if !d.cutOff(d.w.workerOf(r)) { // else nothing of it is heard before the client gives up
-		d.ended(r.id, r.attempt, o)
+func (d *dispatcher) attemptOver(attempt *attemptRun, outcome scheduler.Outcome) {
+	if !d.partitionedFrom(d.sim.workerByAttempt(attempt)) { // else nothing of it is heard before the client gives up
+		d.finishAttempt(attempt.id, attempt.index, outcome)
 	}
 }
-func (d *dispatcher) knows(id scheduler.WorkerID) time.Duration { return d.notify[id] }
-func (d *dispatcher) oneWayDelay() *rand.Rand                   { return d.chance }
+func (d *dispatcher) knownStart(id scheduler.WorkerID) time.Duration { return d.knownStarts[id] }
+func (d *dispatcher) delayRandom() *rand.Rand                        { return d.random }
 
 // answer gives the final answer. Whether there was one before is the auditor's to see.
-func (d *dispatcher) answer(id scheduler.RequestID, v verdict, after time.Duration) {
-	o := d.open[id]
-	if o == nil || o.answered && v == served { // a second result is dropped
+func (d *dispatcher) answer(id scheduler.RequestID, outcome clientOutcome, retryAfter time.Duration) {
+	request := d.requests[id]
+	if request == nil || request.answered && outcome == outcomeServed { // a second result is dropped
 		return
 	}
-	o.answered = true
-	d.w.audit.answered(d.w.now, uint64(id), v == refused)
-	d.w.answered(o.job, id, v, after)
-	d.w.after(0, func() { d.forget(id) })
+	request.answered = true
+	d.sim.audit.answered(d.sim.now, uint64(id), outcome == outcomeRejected)
+	d.sim.handleAnswer(request.job, id, outcome, retryAfter)
+	d.sim.after(0, func() { d.forget(id) })
 }
 
 func (d *dispatcher) forget(id scheduler.RequestID) {
-	if o := d.open[id]; o != nil && o.answered && o.left == 0 {
-		delete(d.open, id)
-		d.w.audit.forget(uint64(id))
+	if request := d.requests[id]; request != nil && request.answered && request.unfinished == 0 {
+		delete(d.requests, id)
+		d.sim.audit.forget(uint64(id))
 	}
 }
 
-// listed tells the policy of the list.
-func (d *dispatcher) listed(kind scheduler.ListKind, ws []scheduler.WorkerInfo) {
-	for _, w := range ws {
-		d.w.audit.notified(d.w.now, d.n, w.ID, w.State)
-		if d.listedAs != nil {
-			d.listedAs[w.ID] = w
+// updateEndpoints tells the policy of the list.
+func (d *dispatcher) updateEndpoints(kind scheduler.ListKind, endpoints []scheduler.WorkerInfo) {
+	for _, endpoint := range endpoints {
+		d.sim.audit.endpointNotified(d.sim.now, d.index, endpoint.ID, endpoint.State)
+		if d.endpointsByID != nil {
+			d.endpointsByID[endpoint.ID] = endpoint
 		}
-		d.notify[w.ID] = max(d.notify[w.ID], w.StartedAt)
+		d.knownStarts[endpoint.ID] = max(d.knownStarts[endpoint.ID], endpoint.StartedAt)
 	}
-	d.feed(scheduler.EndpointsUpdated{ListKind: kind, Workers: ws})
+	d.handle(scheduler.EndpointsUpdated{ListKind: kind, Workers: endpoints})
 }
 
 // probe asks a box, and takes its silence for an answer after a while.
 func (d *dispatcher) probe(id scheduler.WorkerID) {
-	b := d.w.byID[id]
-	d.w.probes++
-	over := false
-	answer := func(o scheduler.Outcome, r *scheduler.Report) {
-		if !over {
-			over = true
-			if d.watcher != nil {
-				if o == scheduler.Served {
-					d.watcher.ResponseReceived(d.w.zoneName(b.zone), d.w.now)
+	worker := d.sim.byID[id]
+	d.sim.probesSent++
+	answered := false
+	answer := func(outcome scheduler.Outcome, report *scheduler.Report) {
+		if !answered {
+			answered = true
+			if d.recorder != nil {
+				if outcome == scheduler.Served {
+					d.recorder.ResponseReceived(d.sim.zoneName(worker.zone), d.sim.now)
 				} else {
-					d.watcher.CallUnanswered(d.w.zoneName(b.zone), d.w.now)
+					d.recorder.CallUnanswered(d.sim.zoneName(worker.zone), d.sim.now)
 				}
 			}
-			d.feed(scheduler.ProbeCompleted{Worker: id, Outcome: o, Report: r})
+			d.handle(scheduler.ProbeCompleted{Worker: id, Outcome: outcome, Report: report})
 		}
 	}
-	d.w.after(probeWithin, func() { answer(scheduler.TimedOut, nil) })
-	d.w.after(d.w.between(d.zone, b, d.chance), func() {
-		b.probe(func(o scheduler.Outcome, r *scheduler.Report) {
-			d.w.after(d.w.between(d.zone, b, d.chance), func() {
-				if !d.cutOff(b) {
+	d.sim.after(probeTimeout, func() { answer(scheduler.TimedOut, nil) })
+	d.sim.after(d.sim.oneWayDelay(d.zone, worker, d.random), func() {
+		worker.answerProbe(func(o scheduler.Outcome, r *scheduler.Report) {
+			d.sim.after(d.sim.oneWayDelay(d.zone, worker, d.random), func() {
+				if !d.partitionedFrom(worker) {
 					answer(o, r)
 				}
 			})
@@ -260,4 +260,4 @@
 	})
 }
 
-const probeWithin = 300 * time.Millisecond
+const probeTimeout = 300 * time.Millisecond
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -20,267 +20,271 @@
 	Step     float64
 }
 
-// voterGroup is the planner with its clients.
-type voterGroup struct {
-	planner *failover.Planner
-	chance  *rand.Rand
-	changes int
-	moved   time.Duration // when a plan first had nothing in the first zone that was lost; 0 for never
-	back    time.Duration // and when it had as much there as before again
-	fault   *Fault
-	before  float64
+// zonePlanning is the planner with its clients.
+type zonePlanning struct {
+	planner       *failover.Planner
+	random        *rand.Rand
+	planChanges   int
+	movedAfter    time.Duration // when a plan first had nothing in the first zone that was lost; 0 for never
+	restoredAfter time.Duration // and when it had as much there as before again
+	zoneLoss      *Fault
+	shareBefore   float64
 }
 
-// zoneTally is what came to a zone's boxes, and what they could do, by second.
-type zoneTally struct{ pushed, able []float64 }
+// zoneLoad is what came to a zone's boxes, and what they could do, by second.
+type zoneLoad struct{ workReceived, workCapacity []float64 }
 
-func (w *world) zoneName(n int) string { return fmt.Sprint("z", n) }
+func (sim *simulation) zoneName(zone int) string { return fmt.Sprint("z", zone) }
 
-func (w *world) region(zone int) string {
-	n := max(w.s.Network.Regions, 1)
-	return fmt.Sprint("r", zone*n/max(w.s.Network.Zones, 1))
+func (sim *simulation) region(zone int) string {
+	regions := max(sim.scenario.Network.Regions, 1)
+	return fmt.Sprint("r", zone*regions/max(sim.scenario.Network.Zones, 1))
 }
 
-// plans sets up who decides, and counts what zones could do.
-func (w *world) plans() {
-	f := &w.s.Failover
-	w.after(0, w.able)
-	if f.Mode != "plan" {
+// startPlanning sets up who decides, and counts what zones could do.
+func (sim *simulation) startPlanning() {
+	settings := &sim.scenario.Failover
+	sim.after(0, sim.sampleZones)
+	if settings.Mode != "plan" {
 		return
 	}
 	regions := map[string]string{}
-	for z := range w.s.Network.Zones {
-		regions[w.zoneName(z)] = w.region(z)
+	for zone := range sim.scenario.Network.Zones {
+		regions[sim.zoneName(zone)] = sim.region(zone)
 	}
-	w.failover = &voterGroup{chance: w.source(4), planner: failover.NewPlanner(failover.Settings{Headroom: f.Headroom, RecoveryRamp: f.ReturnIn, DetectionTime: f.Detect, MaxShiftPerSecond: f.Step,
+	sim.planning = &zonePlanning{random: sim.randomSource(4), planner: failover.NewPlanner(failover.Settings{Headroom: settings.Headroom, RecoveryRamp: settings.ReturnIn, DetectionTime: settings.Detect, MaxShiftPerSecond: settings.Step,
 		Distance: func(from, to string) float64 {
 			if from == to {
 				return 0
 			}
 			return 1
-		}}, regions, nil, w.now)}
-	for i := range w.s.Faults {
-		if w.s.Faults[i].Kind == ZoneLost && w.failover.fault == nil {
-			w.failover.fault = &w.s.Faults[i]
+		}}, regions, nil, sim.now)}
+	for i := range sim.scenario.Faults {
+		if sim.scenario.Faults[i].Kind == ZoneLost && sim.planning.zoneLoss == nil {
+			sim.planning.zoneLoss = &sim.scenario.Faults[i]
 		}
 	}
-	for _, d := range w.dispatchers {
-		d.watcher, d.listedAs = failover.NewRecorder(fmt.Sprint("n", d.n), w.zoneName(d.zone), w.now), map[scheduler.WorkerID]scheduler.WorkerInfo{}
-		w.after(time.Duration(w.failover.chance.Float64()*float64(time.Second)), d.report)
+	for _, dispatcher := range sim.dispatchers {
+		dispatcher.recorder, dispatcher.endpointsByID = failover.NewRecorder(fmt.Sprint("n", dispatcher.index), sim.zoneName(dispatcher.zone), sim.now), map[scheduler.WorkerID]scheduler.WorkerInfo{}
+		sim.after(time.Duration(sim.planning.random.Float64()*float64(time.Second)), dispatcher.reportToPlanner)
 	}
-	w.after(time.Second, w.planNext)
+	sim.after(time.Second, sim.updatePlan)
 }
 
 const (
-	reportEvery = 500 * time.Millisecond // with each renewal of a lease of two seconds
-	planEvery   = 250 * time.Millisecond
-	reportLate  = 200 * time.Millisecond // at the most: a renewal that goes by a seat
+	plannerReportInterval = 500 * time.Millisecond // with each renewal of a lease of two seconds
+	planInterval          = 250 * time.Millisecond
+	maxReportDelay        = 200 * time.Millisecond // at the most: a renewal that goes by a seat
 )
 
-// planLate is how late a plan reaches the last dispatcher: 0.1 s at 50 processes, 0.7 s at 300, as measured.
-func (w *world) planLate() time.Duration {
-	return 100*time.Millisecond + time.Duration(w.s.Dispatchers)*2*time.Millisecond
+// maxPlanDelay is how late a plan reaches the last dispatcher: 0.1 s at 50 processes, 0.7 s at 300, as measured.
+func (sim *simulation) maxPlanDelay() time.Duration {
+	return 100*time.Millisecond + time.Duration(sim.scenario.Dispatchers)*2*time.Millisecond
 }
 
-// report tells the council.
-func (d *dispatcher) report() {
-	w := d.w
+// reportToPlanner tells the council.
+func (d *dispatcher) reportToPlanner() {
+	sim := d.sim
 	capacity := map[string]float64{}
-	for _, info := range d.listedAs {
+	for _, info := range d.endpointsByID {
 		if info.State == scheduler.Ready {
-			age := w.s.SlowStart.For
+			age := sim.scenario.SlowStart.For
 			if info.StartedAt > 0 {
-				age = w.now - info.StartedAt
+				age = sim.now - info.StartedAt
 			}
-			capacity[w.zoneName(info.Zone)] += failover.Capacity(info.Weight, w.s.SlowStart.Capacity, age, w.s.SlowStart.For)
+			capacity[sim.zoneName(info.Zone)] += failover.Capacity(info.Weight, sim.scenario.SlowStart.Capacity, age, sim.scenario.SlowStart.For)
 		}
 	}
-	for _, o := range d.open {
-		for i, r := range o.runs {
-			if o.inFlight[i] && !r.silent && r.beganAt == 0 && w.now-r.sentAt > failover.NoResponseAfter {
-				r.silent = true
-				d.watcher.CallUnanswered(w.zoneName(w.workerOf(r).zone), w.now)
+	for _, request := range d.requests {
+		for i, attempt := range request.attempts {
+			if request.inFlight[i] && !attempt.countedUnanswered && attempt.startHeardAt == 0 && sim.now-attempt.sentAt > failover.NoResponseAfter {
+				attempt.countedUnanswered = true
+				d.recorder.CallUnanswered(sim.zoneName(sim.workerByAttempt(attempt).zone), sim.now)
 			}
 		}
 	}
-	r := d.watcher.Report(w.now, capacity)
-	w.after(time.Duration(d.chance.Float64()*float64(reportLate)), func() { w.failover.planner.AddReport(r, w.now) })
-	w.after(reportEvery, d.report)
+	r := d.recorder.Report(sim.now, capacity)
+	sim.after(time.Duration(d.random.Float64()*float64(maxReportDelay)), func() { sim.planning.planner.AddReport(r, sim.now) })
+	sim.after(plannerReportInterval, d.reportToPlanner)
 }
 
-// planNext has a plan made, and gives it to all.
-func (w *world) planNext() {
-	f := w.failover
-	plan, made := f.planner.Next(w.now)
+// updatePlan has a plan made, and gives it to all.
+func (sim *simulation) updatePlan() {
+	planning := sim.planning
+	plan, made := planning.planner.Next(sim.now)
 	if made {
-		f.changes++
-		for _, d := range w.dispatchers {
-			w.after(time.Duration(f.chance.Float64()*float64(w.planLate())), func() { d.plan = plan })
+		planning.planChanges++
+		for _, dispatcher := range sim.dispatchers {
+			sim.after(time.Duration(planning.random.Float64()*float64(sim.maxPlanDelay())), func() { dispatcher.plan = plan })
 		}
 	}
-	if f.fault != nil && plan != nil {
-		at, zone := epoch+f.fault.At, w.zoneName(f.fault.Zone-1)
+	if planning.zoneLoss != nil && plan != nil {
+		at, zone := clockStart+planning.zoneLoss.At, sim.zoneName(planning.zoneLoss.Zone-1)
 		share := plan.Share(zone, className, zone)
 		switch {
-		case w.now < at:
-			f.before = share
-		case f.moved == 0 && share < 0.01:
-			f.moved = w.now + w.planLate() - at
-		case f.moved > 0 && f.back == 0 && w.now > at+f.fault.For && share >= f.before-0.02:
-			f.back = w.now - at - f.fault.For
+		case sim.now < at:
+			planning.shareBefore = share
+		case planning.movedAfter == 0 && share < 0.01:
+			planning.movedAfter = sim.now + sim.maxPlanDelay() - at
+		case planning.movedAfter > 0 && planning.restoredAfter == 0 && sim.now > at+planning.zoneLoss.For && share >= planning.shareBefore-0.02:
+			planning.restoredAfter = sim.now - at - planning.zoneLoss.For
 		}
 	}
-	w.after(planEvery, w.planNext)
+	sim.after(planInterval, sim.updatePlan)
 }
 
-// guided gives the zones that a job may go to; not ok where it is shed.
-func (d *dispatcher) guided(j *job) (within uint64, ok bool) {
-	w := d.w
-	class := w.className(j)
-	if d.watcher != nil {
-		d.watcher.JobArrived(class, w.kinds[j.class].PriorityWeight)
+// permittedZones gives the zones that a job may go to; not ok where it is shed.
+func (d *dispatcher) permittedZones(job *job) (zones uint64, ok bool) {
+	sim := d.sim
+	class := sim.classNameOf(job)
+	if d.recorder != nil {
+		d.recorder.JobArrived(class, sim.classes[job.class].PriorityWeight)
 	}
-	switch w.s.Failover.Mode {
+	switch sim.scenario.Failover.Mode {
 	case "near":
 		return 1 << d.zone, true
 	case "spread":
-		return 1 << d.chance.IntN(max(w.s.Network.Zones, 1)), true
+		return 1 << d.random.IntN(max(sim.scenario.Network.Zones, 1)), true
 	case "plan":
-		zone, ok := d.plan.Choose(w.zoneName(d.zone), class, d.chance.Float64())
-		for z := range w.s.Network.Zones {
-			if w.zoneName(z) == zone {
-				within = 1 << z
+		zone, ok := d.plan.Choose(sim.zoneName(d.zone), class, d.random.Float64())
+		for z := range sim.scenario.Network.Zones {
+			if sim.zoneName(z) == zone {
+				zones = 1 << z
 			}
 		}
-		return within, ok
+		return zones, ok
 	}
 	return 0, true
 }
 
-// saw counts a call's end.
-func (d *dispatcher) saw(r *run, o *open, inFlight scheduler.Outcome) {
-	w := d.w
-	to := w.zoneName(w.workerOf(r).zone)
+// recordAttempt counts a call's end.
+func (d *dispatcher) recordAttempt(attempt *attemptRun, o *openRequest, outcome scheduler.Outcome) {
+	sim := d.sim
+	zone := sim.zoneName(sim.workerByAttempt(attempt).zone)
 	switch {
-	case d.watcher == nil, inFlight == scheduler.NeverSent, inFlight == scheduler.Cancelled && (r.beganAt > 0 || w.now-r.sentAt < failover.NoResponseAfter/4), r.silent && inFlight == scheduler.TimedOut:
+	case d.recorder == nil, outcome == scheduler.NeverSent, outcome == scheduler.Cancelled && (attempt.startHeardAt > 0 || sim.now-attempt.sentAt < failover.NoResponseAfter/4), attempt.countedUnanswered && outcome == scheduler.TimedOut:
 		return
-	case inFlight == scheduler.Cancelled, inFlight == scheduler.TimedOut, inFlight == scheduler.NoConnect, inFlight == scheduler.Reset:
-		d.watcher.CallUnanswered(to, w.now)
+	case outcome == scheduler.Cancelled, outcome == scheduler.TimedOut, outcome == scheduler.NoConnect, outcome == scheduler.Reset:
+		d.recorder.CallUnanswered(zone, sim.now)
 		return
 	}
 	ran := time.Duration(0)
-	if inFlight == scheduler.Served && r.beganAt > 0 {
-		ran = time.Duration(float64(w.now-r.beganAt) * float64(r.job.slots))
+	if outcome == scheduler.Served && attempt.startHeardAt > 0 {
+		ran = time.Duration(float64(sim.now-attempt.startHeardAt) * float64(attempt.job.slots))
 	}
-	d.watcher.CallEnded(to, w.className(r.job), inFlight == scheduler.Full, inFlight == scheduler.Served && w.inTime(r.job, w.now-r.job.requestedAt), ran, w.now)
+	d.recorder.CallEnded(zone, sim.classNameOf(attempt.job), outcome == scheduler.Full, outcome == scheduler.Served && sim.withinObjective(attempt.job, sim.now-attempt.job.firstRequestedAt), ran, sim.now)
 }
 
-// className is a job's class by name.
-func (w *world) className(j *job) string { return cmp.Or(w.kinds[j.class].Name, className) }
+// classNameOf is a job's class by name.
+func (sim *simulation) classNameOf(job *job) string {
+	return cmp.Or(sim.classes[job.class].Name, className)
+}
 
-// cutOff tells whether nothing goes between the dispatcher and a box.
-func (d *dispatcher) cutOff(b *worker) bool { return d.w.apart[[2]int{d.zone, b.zone}] > 0 }
+// partitionedFrom tells whether nothing goes between the dispatcher and a box.
+func (d *dispatcher) partitionedFrom(worker *worker) bool {
+	return d.sim.partitions[[2]int{d.zone, worker.zone}] > 0
+}
 
 // applyZoneFault plays a zone's fault.
-func (w *world) applyZoneFault(f Fault) {
-	zone := f.Zone - 1
-	switch f.Kind {
+func (sim *simulation) applyZoneFault(fault Fault) {
+	zone := fault.Zone - 1
+	switch fault.Kind {
 	case Apart:
-		w.apart[[2]int{f.From - 1, zone}]++
-		w.after(f.For, func() { w.apart[[2]int{f.From - 1, zone}]-- })
+		sim.partitions[[2]int{fault.From - 1, zone}]++
+		sim.after(fault.For, func() { sim.partitions[[2]int{fault.From - 1, zone}]-- })
 	case Far:
-		w.far[zone] = f.Size
-		w.after(f.For, func() { w.far[zone] = 0 })
+		sim.delayFactor[zone] = fault.Size
+		sim.after(fault.For, func() { sim.delayFactor[zone] = 0 })
 	case ZoneLost:
-		for _, b := range w.workers {
-			if b.zone != zone {
+		for _, worker := range sim.workers {
+			if worker.zone != zone {
 				continue
 			}
-			b.cut++
-			w.after(f.For, func() {
-				b.recover(Partition)
-				b.started, b.pushed = w.now, nil
-				w.changed(b)
+			worker.partitioned++
+			sim.after(fault.For, func() {
+				worker.endFault(Partition)
+				worker.startedAt, worker.recentArrivals = sim.now, nil
+				sim.publishWorker(worker)
 			})
 		}
 	}
 }
 
-// able notes once a second what each zone's boxes can do.
-func (w *world) able() {
-	for z := range w.perZone {
-		sum := 0.0
-		for _, b := range w.workers {
-			if b.zone == z && !b.down && b.cut == 0 && b.state != scheduler.Gone {
-				sum += float64(b.slots) * b.speed * b.warmupFactor()
+// sampleZones notes once a second what each zone's boxes can do.
+func (sim *simulation) sampleZones() {
+	for zone := range sim.zoneLoads {
+		capacity := 0.0
+		for _, worker := range sim.workers {
+			if worker.zone == zone && !worker.down && worker.partitioned == 0 && worker.state != scheduler.Gone {
+				capacity += float64(worker.slots) * worker.speed * worker.warmupFactor()
 			}
 		}
-		w.perZone[z].able = append(w.perZone[z].able, sum)
-		w.perZone[z].pushed = append(w.perZone[z].pushed, 0)
+		sim.zoneLoads[zone].workCapacity = append(sim.zoneLoads[zone].workCapacity, capacity)
+		sim.zoneLoads[zone].workReceived = append(sim.zoneLoads[zone].workReceived, 0)
 	}
-	w.after(time.Second, w.able)
+	sim.after(time.Second, sim.sampleZones)
 }
 
-// pushedAt counts work that came to a zone's boxes.
-func (w *world) pushedAt(b *worker, work float64) {
-	if t := &w.perZone[b.zone]; len(t.pushed) > 0 {
-		t.pushed[len(t.pushed)-1] += work
+// recordZoneWork counts work that came to a zone's boxes.
+func (sim *simulation) recordZoneWork(worker *worker, work float64) {
+	if load := &sim.zoneLoads[worker.zone]; len(load.workReceived) > 0 {
+		load.workReceived[len(load.workReceived)-1] += work
 	}
 }
 
-// peakOver spans: work that comes is uneven from one second to the next.
-const peakOver = 5
+// peakWindowSeconds spans: work that comes is uneven from one second to the next.
+const peakWindowSeconds = 5
 
-// peak is the most that came to a zone's boxes, as a share of what they could do, while they could do anything.
-func (w *world) peak() (peak float64) {
-	for _, t := range w.perZone {
-		for i := peakOver; i < len(t.pushed); i++ {
-			pushed, able := 0.0, 0.0
-			for k := i - peakOver; k < i; k++ {
-				pushed += t.pushed[k]
-				able += t.able[k]
+// peakZoneLoad is the most that came to a zone's boxes, as a share of what they could do, while they could do anything.
+func (sim *simulation) peakZoneLoad() (peak float64) {
+	for _, load := range sim.zoneLoads {
+		for i := peakWindowSeconds; i < len(load.workReceived); i++ {
+			received, capacity := 0.0, 0.0
+			for k := i - peakWindowSeconds; k < i; k++ {
+				received += load.workReceived[k]
+				capacity += load.workCapacity[k]
 			}
-			whole := true // cold or warm, but there all the time
-			for k := i - peakOver; k < i; k++ {
-				whole = whole && t.able[k] > 0
+			available := true // cold or warm, but there all the time
+			for k := i - peakWindowSeconds; k < i; k++ {
+				available = available && load.workCapacity[k] > 0
 			}
-			if whole {
-				peak = max(peak, pushed/able)
+			if available {
+				peak = max(peak, received/capacity)
 			}
 		}
 	}
 	return peak
 }
 
-// second is what was asked for in one, and what of it was in time.
-type second struct{ requested, good float64 }
+// secondStats is what was asked for in one, and what of it was in time.
+type secondStats struct{ workRequested, workInTime float64 }
 
-// countAt enters a job's end where its client asked.
-func (w *world) countAt(j *job, v verdict) {
-	at := int((j.requestedAt - epoch - warmUp) / time.Second)
-	for len(w.seconds) <= at {
-		w.seconds = append(w.seconds, second{})
+// recordBySecond enters a job's end where its client asked.
+func (sim *simulation) recordBySecond(job *job, outcome clientOutcome) {
+	second := int((job.firstRequestedAt - clockStart - dispatcherLeadTime) / time.Second)
+	for len(sim.statsBySecond) <= second {
+		sim.statsBySecond = append(sim.statsBySecond, secondStats{})
 	}
-	if at < 0 {
+	if second < 0 {
 		return
 	}
-	w.seconds[at].requested += w.value(j)
-	if v == served && w.inTime(j, w.now-j.requestedAt) {
-		w.seconds[at].good += w.value(j)
+	sim.statsBySecond[second].workRequested += sim.weightedWork(job)
+	if outcome == outcomeServed && sim.withinObjective(job, sim.now-job.firstRequestedAt) {
+		sim.statsBySecond[second].workInTime += sim.weightedWork(job)
 	}
 }
 
 // Within is the share of worth in time of what was asked for between two times of the run.
 func (r *Result) Within(from, to time.Duration) float64 {
-	var sum second
+	var sum secondStats
 	for i, s := range r.Seconds {
 		if at := time.Duration(i) * time.Second; at >= from && at < to {
-			sum.requested += s.requested
-			sum.good += s.good
+			sum.workRequested += s.workRequested
+			sum.workInTime += s.workInTime
 		}
 	}
-	if sum.requested == 0 {
+	if sum.workRequested == 0 {
 		return 1
 	}
-	return sum.good / sum.requested
+	return sum.workInTime / sum.workRequested
 }
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -15,27 +15,27 @@
 // Now gives it, as of some moment soon.
 func (k *Cluster) Now() Status {
 	got := make(chan Status, 1)
-	k.w.post(func() {
-		s := Status{Since: k.w.now - epoch, Workers: len(k.w.workers), Sends: k.w.sends, Probes: k.w.probes, Breaches: append([]Breach(nil), k.w.audit.breach...)}
-		for _, b := range k.w.workers {
-			if b.down {
+	k.sim.post(func() {
+		status := Status{Since: k.sim.now - clockStart, Workers: len(k.sim.workers), Sends: k.sim.attemptsSent, Probes: k.sim.probesSent, Breaches: append([]Breach(nil), k.sim.audit.breaches...)}
+		for _, worker := range k.sim.workers {
+			if worker.down {
 				continue
 			}
-			s.Up++
-			s.Slots += b.slots
-			s.Busy += b.busy
-			for _, r := range b.queue {
-				s.Waiting += one(!r.over)
+			status.Up++
+			status.Slots += worker.slots
+			status.Busy += worker.busySlots
+			for _, attempt := range worker.queue {
+				status.Waiting += countIf(!attempt.over)
 			}
-			s.WarmingUp += one(b.warmupFactor() < 1)
-			s.Faulty += one(b.frozen+b.silent+b.slow+b.late+b.cut > 0)
+			status.WarmingUp += countIf(worker.warmupFactor() < 1)
+			status.Faulty += countIf(worker.frozen+worker.silent+worker.slow+worker.delayedReports+worker.partitioned > 0)
 		}
-		got <- s
+		got <- status
 	})
 	return <-got
 }
 
-func one(is bool) int {
+func countIf(is bool) int {
 	if is {
 		return 1
 	}
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -25,14 +25,14 @@
 
 // Node is a real dispatcher at a works' door.
 type Node struct {
-	Address string // where clients reach it
-	Admin   string // where operators do
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	mu      sync.Mutex
-	log     strings.Builder
-	ready   chan struct{}
-	once    sync.Once
+	Address   string // where clients reach it
+	Admin     string // where operators do
+	cmd       *exec.Cmd
+	ended     chan struct{}
+	mu        sync.Mutex
+	log       strings.Builder
+	ready     chan struct{}
+	readyOnce sync.Once
 }
 
 // Start starts a dispatcher's program at the n-th door, with a folder of its own for its files, and waits until it serves.
@@ -41,63 +41,63 @@
 }
 
 // StartWith does it with variables of the environment beside the usual.
-func (k *Cluster) StartWith(ctx context.Context, binary, dir string, n int, env []string, args ...string) (*Node, error) {
-	path, err := k.Write(dir, n)
+func (k *Cluster) StartWith(ctx context.Context, binary, dir string, dispatcher int, env []string, args ...string) (*Node, error) {
+	path, err := k.Write(dir, dispatcher)
 	if err != nil {
 		return nil, err
 	}
-	k.Present(n, true)
-	d := &Node{cmd: exec.Command(binary, args...), ended: make(chan struct{}), ready: make(chan struct{})}
-	d.cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_ADMIN=127.0.0.1:0", "TMPDIR="+filepath.Dir(path))
-	d.cmd.Env = append(d.cmd.Env, env...)
-	errs, err := d.cmd.StderrPipe()
+	k.Present(dispatcher, true)
+	node := &Node{cmd: exec.Command(binary, args...), ended: make(chan struct{}), ready: make(chan struct{})}
+	node.cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_ADMIN=127.0.0.1:0", "TMPDIR="+filepath.Dir(path))
+	node.cmd.Env = append(node.cmd.Env, env...)
+	stderr, err := node.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := d.cmd.Start(); err != nil {
+	if err := node.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go d.follow(errs)
+	go node.follow(stderr)
 	select {
-	case <-d.ready:
-		return d, nil
-	case <-d.ended:
-		return nil, fmt.Errorf("dispatcher %d ended before it was ready:\n%s", n, d.Log())
+	case <-node.ready:
+		return node, nil
+	case <-node.ended:
+		return nil, fmt.Errorf("dispatcher %d ended before it was ready:\n%s", dispatcher, node.Log())
 	case <-ctx.Done():
-		d.Kill()
+		node.Kill()
 		return nil, ctx.Err()
 	}
 }
 
 // Write writes the platform's file for the n-th dispatcher into a folder of its own, and gives its path.
-func (k *Cluster) Write(dir string, n int) (path string, err error) {
-	text, err := k.Config(n)
+func (k *Cluster) Write(dir string, dispatcher int) (path string, err error) {
+	config, err := k.Config(dispatcher)
 	if err != nil {
 		return "", err
 	}
-	path = filepath.Join(dir, fmt.Sprint(n), "config.json")
+	path = filepath.Join(dir, fmt.Sprint(dispatcher), "config.json")
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return "", err
 	}
-	return path, os.WriteFile(path, text, 0o600)
+	return path, os.WriteFile(path, config, 0o600)
 }
 
 // follow reads the log to its end.
-func (d *Node) follow(from io.Reader) {
+func (d *Node) follow(stderr io.Reader) {
 	defer close(d.ended)
-	lines := bufio.NewScanner(from)
+	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
-		text := lines.Text()
+		line := lines.Text()
 		d.mu.Lock()
-		d.log.WriteString(text + "\n")
-		for front, to := range map[string]*string{"front=inbound address=": &d.Address, "front=admin address=": &d.Admin} {
-			if _, address, ok := strings.Cut(text, front); ok {
-				*to = address
+		d.log.WriteString(line + "\n")
+		for prefix, target := range map[string]*string{"front=inbound address=": &d.Address, "front=admin address=": &d.Admin} {
+			if _, address, ok := strings.Cut(line, prefix); ok {
+				*target = address
 			}
 		}
 		d.mu.Unlock()
-		if strings.Contains(text, "msg=ready") {
-			d.once.Do(func() { close(d.ready) })
+		if strings.Contains(line, "msg=ready") {
+			d.readyOnce.Do(func() { close(d.ready) })
 		}
 	}
 	_ = d.cmd.Wait()
@@ -134,7 +134,7 @@
 // Breaches are the rules that were broken by now.
 func (k *Cluster) Breaches() (all []Breach) {
 	got := make(chan []Breach, 1)
-	k.w.post(func() { got <- append([]Breach(nil), k.w.audit.breach...) })
+	k.sim.post(func() { got <- append([]Breach(nil), k.sim.audit.breaches...) })
 	return <-got
 }
 
@@ -144,7 +144,9 @@
 // Spent gives it.
 func (k *Cluster) Spent() Costs {
 	got := make(chan Costs, 1)
-	k.w.post(func() { got <- Costs{slices.Clone(k.firsts), slices.Clone(k.furthers), slices.Clone(k.requestedAt)} })
+	k.sim.post(func() {
+		got <- Costs{slices.Clone(k.firstAttempts), slices.Clone(k.furtherAttempts), slices.Clone(k.probedAt)}
+	})
 	return <-got
 }
 
@@ -157,7 +159,7 @@
 // Load gives it.
 func (k *Cluster) Load() Load {
 	got := make(chan Load, 1)
-	k.w.post(func() { got <- Load{k.w.sends, k.w.crossings, k.w.peak()} })
+	k.sim.post(func() { got <- Load{k.sim.attemptsSent, k.sim.crossings, k.sim.peakZoneLoad()} })
 	return <-got
 }
 
@@ -169,8 +171,8 @@
 
 // Workers are the works' boxes.
 func (k *Cluster) Workers() (ids []scheduler.WorkerID) {
-	for _, b := range k.w.workers {
-		ids = append(ids, b.id)
+	for _, worker := range k.sim.workers {
+		ids = append(ids, worker.id)
 	}
 	return ids
 }
@@ -189,11 +191,11 @@
 
 // Mix is what the scenario's clients are, in the load generator's terms.
 func (s *Scenario) Mix() load.Mix {
-	m := load.Mix{}
-	for _, a := range s.Traffic.Accounts {
-		m.Accounts = append(m.Accounts, load.Account{Name: a.Name, Share: a.Share})
+	mix := load.Mix{}
+	for _, account := range s.Traffic.Accounts {
+		mix.Accounts = append(mix.Accounts, load.Account{Name: account.Name, Share: account.Share})
 	}
-	return m
+	return mix
 }
 
 // Terms are what they do and want.
@@ -202,18 +204,18 @@
 		Retry: load.Retry{Max: 1, Share: s.Traffic.Retries, Wait: 100 * time.Millisecond, Honour: true}}
 }
 
-// jobs gives a plan's jobs the keys that boxes know the work by.
-type jobs struct {
+// keyedJobs gives a plan's keyedJobs the keys that boxes know the work by.
+type keyedJobs struct {
 	load.Source
-	s *Scenario
-	n int
+	scenario *Scenario
+	count    int
 }
 
-func (j *jobs) Next() (load.Job, bool) {
+func (j *keyedJobs) Next() (load.Job, bool) {
 	next, ok := j.Source.Next()
-	j.n++
-	next.Key = j.s.jobKey(j.n)
-	if subject := j.s.jobOf(next.Key).subject; subject > 0 {
+	j.count++
+	next.Key = j.scenario.jobKey(j.count)
+	if subject := j.scenario.jobOf(next.Key).subject; subject > 0 {
 		next.Subject = fmt.Sprintf("%016x", subject)
 	}
 	return next, ok
@@ -221,74 +223,74 @@
 
 // Jobs gives the scenario's traffic as a plan.
 func (s *Scenario) Jobs() load.Source {
-	return &jobs{Source: load.Generated([]load.Phase{{Shape: load.Poisson, For: s.Span, Rate: s.Traffic.Rate}}, s.Mix(), s.Seed), s: s}
+	return &keyedJobs{Source: load.Generated([]load.Phase{{Shape: load.Poisson, For: s.Span, Rate: s.Traffic.Rate}}, s.Mix(), s.Seed), scenario: s}
 }
 
 // Play plays a scenario on loopback sockets, in real time, with a real dispatcher's program at each door. The result is
 // Run's, as seen by the clients and the boxes; it is of no use, and says so, if the generator fell behind.
-func Play(ctx context.Context, s Scenario, binary string) (r *Result, err error) {
-	k, err := Open(s)
+func Play(ctx context.Context, scenario Scenario, binary string) (result *Result, err error) {
+	cluster, err := Open(scenario)
 	if err != nil {
 		return nil, err
 	}
-	defer k.Close()
+	defer cluster.Close()
 	dir, err := os.MkdirTemp("", "works") // short: the dispatchers' sockets are in it
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	var targets []string
-	for n := range s.Dispatchers {
-		d, err := k.Start(ctx, binary, dir, n)
+	for dispatcher := range scenario.Dispatchers {
+		node, err := cluster.Start(ctx, binary, dir, dispatcher)
 		if err != nil {
 			return nil, err
 		}
-		defer d.Kill()
-		targets = append(targets, d.Address)
+		defer node.Kill()
+		targets = append(targets, node.Address)
 		go func() { // one that ends by itself has crashed: its clients' jobs tell; this names it
-			<-d.Ended()
-			k.w.post(func() { k.w.note("dispatcher %d ended", n) })
+			<-node.Ended()
+			cluster.sim.post(func() { cluster.sim.addNote("dispatcher %d ended", dispatcher) })
 		}()
 	}
-	c, err := load.NewClient(load.HTTP1, className, targets)
+	client, err := load.NewClient(load.HTTP1, className, targets)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	k.StartFaults()
-	o := load.Options{Terms: s.Terms(), Seed: s.Seed, Each: k.account}
-	g := load.Run(ctx, s.Jobs(), c, o)
-	if err := g.Usable(); err != nil {
+	defer client.Close()
+	cluster.StartFaults()
+	options := load.Options{Terms: scenario.Terms(), Seed: scenario.Seed, Each: cluster.recordJob}
+	generated := load.Run(ctx, scenario.Jobs(), client, options)
+	if err := generated.Usable(); err != nil {
 		return nil, err
 	}
-	if g.CutShort {
+	if generated.CutShort {
 		err = context.Canceled
 	}
 	got := make(chan *Result, 1)
-	k.w.post(func() { got <- k.w.result() })
+	cluster.sim.post(func() { got <- cluster.sim.result() })
 	return <-got, err
 }
 
-// account takes a job's end, as its client saw it.
-func (k *Cluster) account(j load.Job, o load.Outcome, latency time.Duration) {
-	job := k.w.s.jobOf(j.Key)
-	k.w.post(func() {
-		t := &k.w.tallies[0]
-		for i, a := range k.w.s.Traffic.Accounts {
-			if a.Name == j.Account {
-				t = &k.w.tallies[i]
+// recordJob takes a job's end, as its client saw it.
+func (k *Cluster) recordJob(planned load.Job, outcome load.Outcome, latency time.Duration) {
+	job := k.sim.scenario.jobOf(planned.Key)
+	k.sim.post(func() {
+		stats := &k.sim.statsByAccount[0]
+		for i, account := range k.sim.scenario.Traffic.Accounts {
+			if account.Name == planned.Account {
+				stats = &k.sim.statsByAccount[i]
 			}
 		}
-		t.countRequest(job.work)
-		v := failed
-		switch o {
+		stats.countRequest(job.work)
+		ended := outcomeFailed
+		switch outcome {
 		case load.Served, load.Late:
-			v = served
+			ended = outcomeServed
 		case load.Refused:
-			v = refused
+			ended = outcomeRejected
 		case load.Unanswered:
-			k.w.audit.addBreach(RuleAnswer, k.w.now, 0, "", "job %s: no answer in %v", j.Key, latency)
+			k.sim.audit.addBreach(RuleAnswer, k.sim.now, 0, "", "job %s: no answer in %v", planned.Key, latency)
 		}
-		k.w.count(t, v, job, latency)
+		k.sim.recordOutcome(stats, ended, job, latency)
 	})
 }
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -92,12 +92,12 @@
 	}
 	var file struct {
 		Discovery string
-		Known     list
+		Known     wireList
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
 		t.Fatal(err)
 	}
-	post := func(to member, id string) {
+	post := func(to wireMember, id string) {
 		t.Helper()
 		req, _ := http.NewRequest(http.MethodPost, "http://"+to.HostPort+"/"+className, strings.NewReader("{}"))
 		req.Header.Set("Req-Id", id)
@@ -124,7 +124,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var l list
+		var l wireList
 		if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -18,115 +18,115 @@
 }
 
 // New makes a policy by its name; nil where there is none of the name.
-func New(name string, s scheduler.Settings, seed uint64) *Plain {
-	p := &Plain{maximum: s.MaxAttempts, probes: s.MayProbe, rng: rand.New(rand.NewPCG(seed, 0)), workers: map[scheduler.WorkerID]*worker{}}
+func New(name string, settings scheduler.Settings, seed uint64) *Plain {
+	plain := &Plain{maxAttempts: settings.MaxAttempts, mayProbe: settings.MayProbe, rng: rand.New(rand.NewPCG(seed, 0)), workers: map[scheduler.WorkerID]*worker{}}
 	pick, ok := map[string]func(*Plain) *worker{
 		"random":            (*Plain).random,
-		"round-robin":       (*Plain).robin,
-		"least-outstanding": func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return float64(w.inFlight) }) },
-		"two-choices":       (*Plain).two,
-		"lu":                func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return w.notified }) },
-		"lud":               func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return w.value }) },
+		"round-robin":       (*Plain).roundRobin,
+		"least-outstanding": func(p *Plain) *worker { return p.least(func(w *worker) float64 { return float64(w.inFlight) }) },
+		"two-choices":       (*Plain).twoChoices,
+		"lu":                func(p *Plain) *worker { return p.least(func(w *worker) float64 { return w.reportedLoad }) },
+		"lud":               func(p *Plain) *worker { return p.least(func(w *worker) float64 { return w.estimatedLoad }) },
 	}[name]
 	if !ok {
 		return nil
 	}
-	p.pick = pick
-	return p
+	plain.pick = pick
+	return plain
 }
 
 // Plain is a policy.
 type Plain struct {
-	pick     func(*Plain) *worker
-	rng      *rand.Rand
-	workers  map[scheduler.WorkerID]*worker
-	ready    []*worker // by id
-	nextTurn int
-	polledAt bool
-	probes   bool
-	maximum  int // attempts for a request
+	pick        func(*Plain) *worker
+	rng         *rand.Rand
+	workers     map[scheduler.WorkerID]*worker
+	ready       []*worker // by id
+	nextIndex   int
+	subscribed  bool
+	mayProbe    bool
+	maxAttempts int // attempts for a request
 }
 
 type worker struct {
-	id       scheduler.WorkerID
-	size     float64
-	inFlight int
-	notified float64 // LU: the load that it told of last
-	value    float64 // LUD: the load that it told of last, and what was pushed since
+	id            scheduler.WorkerID
+	slots         float64
+	inFlight      int
+	reportedLoad  float64 // LU: the load that it told of last
+	estimatedLoad float64 // LUD: the load that it told of last, and what was pushed since
 }
 
-const probeEvery = 1e9 // of each worker, where reports come by probes
+const probeInterval = 1e9 // of each worker, where reports come by probes
 
 // Handle is the module's.
-func (p *Plain) Handle(_ scheduler.Clock, ev scheduler.Event) (acts []scheduler.Action) {
-	switch e := ev.(type) {
+func (p *Plain) Handle(_ scheduler.Clock, event scheduler.Event) (actions []scheduler.Action) {
+	switch event := event.(type) {
 	case scheduler.EndpointsUpdated:
-		p.listed(e)
-		if !p.polledAt {
-			p.polledAt = true
-			acts = append(acts, scheduler.Subscribe{}, scheduler.SetTimer{After: probeEvery})
+		p.updateEndpoints(event)
+		if !p.subscribed {
+			p.subscribed = true
+			actions = append(actions, scheduler.Subscribe{}, scheduler.SetTimer{After: probeInterval})
 		}
 	case scheduler.TimerFired:
-		if !p.probes {
+		if !p.mayProbe {
 			return nil
 		}
-		for _, w := range p.ready {
-			acts = append(acts, scheduler.Probe{Worker: w.id})
+		for _, worker := range p.ready {
+			actions = append(actions, scheduler.Probe{Worker: worker.id})
 		}
-		acts = append(acts, scheduler.SetTimer{After: probeEvery})
+		actions = append(actions, scheduler.SetTimer{After: probeInterval})
 	case scheduler.ProbeCompleted:
 		// Least Used with Degradation: a report sets the value, each push raises it by what one job takes.
-		if w := p.workers[e.Worker]; w != nil && e.Report != nil && e.Report.Busy >= 0 {
-			w.notified, w.value = e.Report.Busy, e.Report.Busy
+		if w := p.workers[event.Worker]; w != nil && event.Report != nil && event.Report.Busy >= 0 {
+			w.reportedLoad, w.estimatedLoad = event.Report.Busy, event.Report.Busy
 		}
 	case scheduler.RequestArrived:
 		if len(p.ready) == 0 {
-			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
+			return []scheduler.Action{scheduler.Reject{ID: event.ID}}
 		}
-		return p.send(e.ID)
+		return p.send(event.ID)
 	case scheduler.AttemptFinished:
-		if w := p.workers[e.Worker]; w != nil {
-			if w.inFlight--; e.Report != nil && e.Report.Busy >= 0 {
-				w.notified, w.value = e.Report.Busy, e.Report.Busy
+		if w := p.workers[event.Worker]; w != nil {
+			if w.inFlight--; event.Report != nil && event.Report.Busy >= 0 {
+				w.reportedLoad, w.estimatedLoad = event.Report.Busy, event.Report.Busy
 			}
 		}
 		switch {
-		case e.Final:
-		case e.Outcome == scheduler.Full && len(p.ready) > 0 && e.Attempt+1 < p.maximum: // turned away: on to the next
-			return p.send(e.ID)
-		case e.Outcome == scheduler.Full || e.Outcome == scheduler.NoConnect || e.Outcome == scheduler.NeverSent:
-			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
+		case event.Final:
+		case event.Outcome == scheduler.Full && len(p.ready) > 0 && event.Attempt+1 < p.maxAttempts: // turned away: on to the next
+			return p.send(event.ID)
+		case event.Outcome == scheduler.Full || event.Outcome == scheduler.NoConnect || event.Outcome == scheduler.NeverSent:
+			return []scheduler.Action{scheduler.Reject{ID: event.ID}}
 		default:
-			return []scheduler.Action{scheduler.Fail{ID: e.ID}}
+			return []scheduler.Action{scheduler.Fail{ID: event.ID}}
 		}
 	}
-	return acts
+	return actions
 }
 
 // send picks a worker and sends a request there.
 func (p *Plain) send(id scheduler.RequestID) []scheduler.Action {
-	w := p.pick(p)
-	w.inFlight++
-	w.value += 1 / max(w.size, 1)
-	return []scheduler.Action{scheduler.Send{ID: id, Worker: w.id}}
+	worker := p.pick(p)
+	worker.inFlight++
+	worker.estimatedLoad += 1 / max(worker.slots, 1)
+	return []scheduler.Action{scheduler.Send{ID: id, Worker: worker.id}}
 }
 
-func (p *Plain) listed(e scheduler.EndpointsUpdated) {
-	if e.ListKind == scheduler.ListFailed {
+func (p *Plain) updateEndpoints(update scheduler.EndpointsUpdated) {
+	if update.ListKind == scheduler.ListFailed {
 		return
 	}
-	if e.ListKind != scheduler.ListDelta {
+	if update.ListKind != scheduler.ListDelta {
 		p.ready = nil
 	}
-	for _, in := range e.Workers {
-		w := p.workers[in.ID]
-		if w == nil {
-			w = &worker{id: in.ID, size: in.Weight}
-			p.workers[in.ID] = w
+	for _, endpoint := range update.Workers {
+		known := p.workers[endpoint.ID]
+		if known == nil {
+			known = &worker{id: endpoint.ID, slots: endpoint.Weight}
+			p.workers[endpoint.ID] = known
 		}
-		p.ready = slices.DeleteFunc(p.ready, func(o *worker) bool { return o == w })
-		if in.State == scheduler.Ready {
-			p.ready = append(p.ready, w)
+		p.ready = slices.DeleteFunc(p.ready, func(other *worker) bool { return other == known })
+		if endpoint.State == scheduler.Ready {
+			p.ready = append(p.ready, known)
 		}
 	}
 	slices.SortFunc(p.ready, func(a, b *worker) int {
@@ -139,28 +139,28 @@
 
 func (p *Plain) random() *worker { return p.ready[p.rng.IntN(len(p.ready))] }
 
-func (p *Plain) robin() *worker {
-	p.nextTurn++
-	return p.ready[p.nextTurn%len(p.ready)]
+func (p *Plain) roundRobin() *worker {
+	p.nextIndex++
+	return p.ready[p.nextIndex%len(p.ready)]
 }
 
-// two is the better of two drawn at random (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
+// twoChoices is the better of twoChoices drawn at random (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
 // 1996).
-func (p *Plain) two() *worker {
-	a, b := p.random(), p.random()
-	if b.inFlight < a.inFlight {
-		return b
+func (p *Plain) twoChoices() *worker {
+	first, second := p.random(), p.random()
+	if second.inFlight < first.inFlight {
+		return second
 	}
-	return a
+	return first
 }
 
-// leastLoaded gives the worker of the leastLoaded value; ties go round robin.
-func (p *Plain) leastLoaded(value func(*worker) float64) *worker {
-	p.nextTurn++
-	best := p.ready[p.nextTurn%len(p.ready)]
+// least gives the worker of the least value; ties go round robin.
+func (p *Plain) least(value func(*worker) float64) *worker {
+	p.nextIndex++
+	best := p.ready[p.nextIndex%len(p.ready)]
 	for i := range p.ready {
-		if w := p.ready[(p.nextTurn+i)%len(p.ready)]; value(w) < value(best) {
-			best = w
+		if worker := p.ready[(p.nextIndex+i)%len(p.ready)]; value(worker) < value(best) {
+			best = worker
 		}
 	}
 	return best
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -21,36 +21,36 @@
 	ClientTimeout time.Duration // one that would wait longer is turned away then
 }
 
-// roundRobin are the calls of all doors.
-type roundRobin struct {
-	mu      sync.Mutex
-	next    time.Time
-	calls   []time.Time
-	refused int
+// pollQueue are the calls of all doors.
+type pollQueue struct {
+	mu       sync.Mutex
+	nextAt   time.Time
+	polledAt []time.Time
+	rejected int
 }
 
-// take waits for a call's turn, and tells whether it came.
-func (t *roundRobin) take(ctx context.Context, c *Calls) bool {
+// delay waits for a call's turn, and tells whether it came.
+func (t *pollQueue) delay(ctx context.Context, limits *Calls) bool {
 	now := time.Now()
 	t.mu.Lock()
-	t.calls = append(t.calls, now)
-	if t.next.Before(now) {
-		t.next = now
+	t.polledAt = append(t.polledAt, now)
+	if t.nextAt.Before(now) {
+		t.nextAt = now
 	}
-	wait := t.next.Sub(now)
-	late := c.Rate > 0 && wait > c.ClientTimeout
-	if late {
-		t.refused++
-		wait = c.ClientTimeout
-	} else if c.Rate > 0 {
-		t.next = t.next.Add(time.Duration(float64(time.Second) / c.Rate))
+	wait := t.nextAt.Sub(now)
+	rejected := limits.Rate > 0 && wait > limits.ClientTimeout
+	if rejected {
+		t.rejected++
+		wait = limits.ClientTimeout
+	} else if limits.Rate > 0 {
+		t.nextAt = t.nextAt.Add(time.Duration(float64(time.Second) / limits.Rate))
 	}
 	t.mu.Unlock()
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
-	return !late && ctx.Err() == nil
+	return !rejected && ctx.Err() == nil
 }
 
 // DiscoveryCalls is how discovery was asked.
@@ -61,40 +61,40 @@
 }
 
 // DiscoveryCalls gives it.
-func (k *Cluster) DiscoveryCalls() (a DiscoveryCalls) {
-	k.nextTurns.mu.Lock()
-	a.Calls, a.Refused = len(k.nextTurns.calls), k.nextTurns.refused
-	from := 0
-	for i, at := range k.nextTurns.calls {
-		for at.Sub(k.nextTurns.calls[from]) >= time.Second {
-			from++
+func (k *Cluster) DiscoveryCalls() (calls DiscoveryCalls) {
+	k.pollQueue.mu.Lock()
+	calls.Calls, calls.Refused = len(k.pollQueue.polledAt), k.pollQueue.rejected
+	oldest := 0
+	for i, at := range k.pollQueue.polledAt {
+		for at.Sub(k.pollQueue.polledAt[oldest]) >= time.Second {
+			oldest++
 		}
-		a.Max = max(a.Max, i-from+1)
+		calls.Max = max(calls.Max, i-oldest+1)
 	}
-	k.nextTurns.mu.Unlock()
-	for _, d := range k.doors {
-		d.mu.Lock()
-		a.Longest = max(a.Longest, d.longest)
-		d.mu.Unlock()
+	k.pollQueue.mu.Unlock()
+	for _, server := range k.discoveryServers {
+		server.mu.Lock()
+		calls.Longest = max(calls.Longest, server.longestIdle)
+		server.mu.Unlock()
 	}
-	return a
+	return calls
 }
 
 // Present tells that the n-th dispatcher is being started, or that it is ending: what it asks then, or does not, is no
 // part of a watch.
-func (k *Cluster) Present(n int, is bool) {
-	d := k.doors[n]
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.life++
-	d.absent, d.open, d.quiet = !is, 0, time.Time{}
+func (k *Cluster) Present(dispatcher int, present bool) {
+	server := k.discoveryServers[dispatcher]
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.incarnation++
+	server.absent, server.openPolls, server.idleSince = !present, 0, time.Time{}
 }
 
 // Move puts discovery at another address. At the old one nobody is any more.
 func (k *Cluster) Move() error {
-	for _, d := range k.doors {
-		old := d.server
-		if err := d.listens(); err != nil {
+	for _, server := range k.discoveryServers {
+		old := server.server
+		if err := server.startListening(); err != nil {
 			return err
 		}
 		_ = old.Close()
@@ -102,84 +102,84 @@
 	return nil
 }
 
-// listens opens an address for the door's discovery.
-func (d *DiscoveryServer) listens() error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startListening opens an address for the door's discovery.
+func (d *DiscoveryServer) startListening() error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	server := &http.Server{Handler: d}
 	d.mu.Lock()
-	d.listen, d.server = l, server
+	d.listener, d.server = listener, server
 	d.mu.Unlock()
-	go server.Serve(l)
+	go server.Serve(listener)
 	return nil
 }
 
-// begin counts a call, of the life that it gives.
-func (d *DiscoveryServer) begin() (life int) {
+// beginPoll counts a call, of the life that it gives.
+func (d *DiscoveryServer) beginPoll() (incarnation int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.absent {
 		return -1
 	}
-	if d.open++; d.open == 1 && !d.quiet.IsZero() {
-		d.longest = max(d.longest, time.Since(d.quiet))
-		d.quiet = time.Time{}
+	if d.openPolls++; d.openPolls == 1 && !d.idleSince.IsZero() {
+		d.longestIdle = max(d.longestIdle, time.Since(d.idleSince))
+		d.idleSince = time.Time{}
 	}
-	return d.life
+	return d.incarnation
 }
 
-// end is its end.
-func (d *DiscoveryServer) end(life int) {
+// endPoll is its endPoll.
+func (d *DiscoveryServer) endPoll(incarnation int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if life != d.life {
+	if incarnation != d.incarnation {
 		return
 	}
-	if d.open--; d.open == 0 {
-		d.quiet = time.Now()
+	if d.openPolls--; d.openPolls == 0 {
+		d.idleSince = time.Now()
 	}
 }
 
-// change takes a change of the list.
-func (d *DiscoveryServer) change(info scheduler.WorkerInfo) {
+// updateEndpoint takes a updateEndpoint of the list.
+func (d *DiscoveryServer) updateEndpoint(info scheduler.WorkerInfo) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
 	d.entries[info.ID] = entry{info, d.revision}
-	d.wake()
+	d.wakeWatchers()
 	// Told or not, so long after it was made it binds.
 	revision := d.revision
-	d.cluster.w.after(maxPollInterval, func() {
+	d.cluster.sim.after(maxPollInterval, func() {
 		d.mu.Lock()
-		newest := d.entries[info.ID].at == revision
+		newest := d.entries[info.ID].revision == revision
 		d.mu.Unlock()
 		if newest {
-			d.cluster.w.audit.notified(d.cluster.w.now, d.n, info.ID, info.State)
+			d.cluster.sim.audit.endpointNotified(d.cluster.sim.now, d.dispatcher, info.ID, info.State)
 		}
 	})
 }
 
-// fail begins or ends a fault of discovery: who watches hears of it.
-func (d *DiscoveryServer) fail(down, hung bool) {
+// setFaults begins or ends a fault of discovery: who watches hears of it.
+func (d *DiscoveryServer) setFaults(down, hung bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down, d.hung = down, hung
-	d.wake()
+	d.wakeWatchers()
 }
 
-// wake has all who watch look again. d.mu is held.
-func (d *DiscoveryServer) wake() {
+// wakeWatchers has all who watch look again. d.mu is held.
+func (d *DiscoveryServer) wakeWatchers() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 var phaseNames = map[scheduler.WorkerState]string{scheduler.Ready: "active", scheduler.Draining: "leaving", scheduler.Gone: "left"}
 
-// member and list are written by the protocol's page, beside the program's own types for reading them: a mistake that both
+// wireMember and list are written by the protocol's page, beside the program's own types for reading them: a mistake that both
 // shared would not show.
-type member struct {
+type wireMember struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
 	Locality  string  `json:"locality"`
@@ -190,29 +190,29 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-type list struct {
-	Revision int      `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []member `json:"members"`
+type wireList struct {
+	Revision int          `json:"revision"`
+	Complete bool         `json:"complete"`
+	Members  []wireMember `json:"members"`
 }
 
-// list gives the lines that changed since a revision; all that are not gone for a negative one. d.mu is held.
-func (d *DiscoveryServer) list(since int) (l list, notified []scheduler.WorkerInfo) {
-	l = list{Revision: d.revision, Complete: since < 0, Members: []member{}}
-	for _, id := range d.order {
-		e := d.entries[id]
-		if since >= 0 && e.at <= since || since < 0 && e.info.State == scheduler.Gone {
+// endpointsSince gives the lines that changed since a revision; all that are not gone for a negative one. d.mu is held.
+func (d *DiscoveryServer) endpointsSince(since int) (answer wireList, endpoints []scheduler.WorkerInfo) {
+	answer = wireList{Revision: d.revision, Complete: since < 0, Members: []wireMember{}}
+	for _, id := range d.workerIDs {
+		entry := d.entries[id]
+		if since >= 0 && entry.revision <= since || since < 0 && entry.info.State == scheduler.Gone {
 			continue
 		}
-		m := member{ID: string(id), HostPort: d.gates[id].address, Locality: d.cluster.zones()[e.info.Zone], Flavor: d.cluster.w.s.Kinds[e.info.MachineKind].Name,
-			Cell: e.info.Cell, Phase: phaseNames[e.info.State], Size: e.info.Weight}
-		if e.info.StartedAt > 0 {
-			m.UpSinceMS = d.cluster.begin.Add(e.info.StartedAt - epoch).UnixMilli()
+		entryOnWire := wireMember{ID: string(id), HostPort: d.workerServers[id].address, Locality: d.cluster.zoneNames()[entry.info.Zone], Flavor: d.cluster.sim.scenario.Kinds[entry.info.MachineKind].Name,
+			Cell: entry.info.Cell, Phase: phaseNames[entry.info.State], Size: entry.info.Weight}
+		if entry.info.StartedAt > 0 {
+			entryOnWire.UpSinceMS = d.cluster.startedAt.Add(entry.info.StartedAt - clockStart).UnixMilli()
 		}
-		l.Members = append(l.Members, m)
-		notified = append(notified, e.info)
+		answer.Members = append(answer.Members, entryOnWire)
+		endpoints = append(endpoints, entry.info)
 	}
-	return l, notified
+	return answer, endpoints
 }
 
 // ServeHTTP is discovery: the whole list, or a watch.
@@ -229,21 +229,21 @@
 			return
 		}
 	}
-	defer d.end(d.begin())
-	if !d.cluster.nextTurns.take(r.Context(), &d.cluster.w.s.Calls) {
+	defer d.endPoll(d.beginPoll())
+	if !d.cluster.pollQueue.delay(r.Context(), &d.cluster.sim.scenario.Calls) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	over := time.NewTimer(time.Duration(min(max(wait, 0), 60_000)) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(min(max(wait, 0), 60_000)) * time.Millisecond)
+	defer timeout.Stop()
 	d.mu.Lock()
 	for waiting := true; d.hung || !d.down && waiting && since >= d.revision; {
 		changed := d.changed
 		d.mu.Unlock()
 		select {
 		case <-changed:
-		case <-over.C: // once; one that hangs waits on
+		case <-timeout.C: // once; one that hangs waits on
 			waiting = false
 		case <-r.Context().Done():
 			return
@@ -255,15 +255,15 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	l, notified := d.list(since)
+	answer, endpoints := d.endpointsSince(since)
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	if json.NewEncoder(w).Encode(l) != nil {
+	if json.NewEncoder(w).Encode(answer) != nil {
 		return
 	}
-	d.cluster.w.post(func() {
-		for _, info := range notified {
-			d.cluster.w.audit.notified(d.cluster.w.now, d.n, info.ID, info.State)
+	d.cluster.sim.post(func() {
+		for _, info := range endpoints {
+			d.cluster.sim.audit.endpointNotified(d.cluster.sim.now, d.dispatcher, info.ID, info.State)
 			d.notifiedAt[info.ID] = max(d.notifiedAt[info.ID], info.StartedAt)
 		}
 	})
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -28,7 +28,7 @@
 	Breaches   []Breach
 	Notes      []string
 
-	Seconds     []second      // by when jobs were asked for
+	Seconds     []secondStats // by when jobs were asked for
 	ZonePeak    float64       // most work that came to a zone over some seconds, of what it could do
 	PlanChanges int           // where zones are planned
 	Moved, Back time.Duration // until nothing was planned into a lost zone, and until it had its share again
@@ -42,61 +42,61 @@
 	Refused int
 }
 
-func (w *world) result() *Result {
-	r := &Result{Breaches: w.audit.breach, Notes: w.notes, Worst: 1, WorstClass: 1}
-	for _, t := range w.byClass {
-		if t.requested > 0 {
-			r.WorstClass = min(r.WorstClass, t.good/t.requested)
+func (sim *simulation) result() *Result {
+	result := &Result{Breaches: sim.audit.breaches, Notes: sim.notes, Worst: 1, WorstClass: 1}
+	for _, t := range sim.statsByClass {
+		if t.workRequested > 0 {
+			result.WorstClass = min(result.WorstClass, t.workInTime/t.workRequested)
 		}
 	}
-	r.Seconds, r.ZonePeak = w.seconds, w.peak()
-	if f := w.failover; f != nil {
-		r.PlanChanges, r.Moved, r.Back = f.changes, f.moved, f.back
+	result.Seconds, result.ZonePeak = sim.statsBySecond, sim.peakZoneLoad()
+	if f := sim.planning; f != nil {
+		result.PlanChanges, result.Moved, result.Back = f.planChanges, f.movedAfter, f.restoredAfter
 	}
 	requested, good := 0.0, 0.0
-	for i, t := range w.tallies {
-		r.Jobs, r.Served, r.Late, r.Refused, r.Failed = r.Jobs+t.jobs, r.Served+t.served, r.Late+t.late, r.Refused+t.refused, r.Failed+t.failed
-		requested, good = requested+t.requested, good+t.good
-		a := AccountResult{Jobs: t.jobs, Refused: t.refused}
-		if i < len(w.s.Traffic.Accounts) {
-			a.Name = w.s.Traffic.Accounts[i].Name
+	for i, t := range sim.statsByAccount {
+		result.Jobs, result.Served, result.Late, result.Refused, result.Failed = result.Jobs+t.jobs, result.Served+t.served, result.Late+t.late, result.Refused+t.rejected, result.Failed+t.failed
+		requested, good = requested+t.workRequested, good+t.workInTime
+		a := AccountResult{Jobs: t.jobs, Refused: t.rejected}
+		if i < len(sim.scenario.Traffic.Accounts) {
+			a.Name = sim.scenario.Traffic.Accounts[i].Name
 		}
-		if t.requested > 0 {
-			a.Service = t.good / t.requested
-			r.Worst = min(r.Worst, a.Service)
+		if t.workRequested > 0 {
+			a.Service = t.workInTime / t.workRequested
+			result.Worst = min(result.Worst, a.Service)
 		}
-		r.Accounts = append(r.Accounts, a)
+		result.Accounts = append(result.Accounts, a)
 	}
 	if requested > 0 {
-		r.Service = good / requested
+		result.Service = good / requested
 	}
-	if r.Jobs > 0 {
-		r.Sends, r.Probes = float64(w.sends)/float64(r.Jobs), float64(w.probes)/float64(r.Jobs)
-		r.Crossings = float64(w.crossings) / float64(r.Jobs)
+	if result.Jobs > 0 {
+		result.Sends, result.Probes = float64(sim.attemptsSent)/float64(result.Jobs), float64(sim.probesSent)/float64(result.Jobs)
+		result.Crossings = float64(sim.crossings) / float64(result.Jobs)
 	}
-	if r.Served > 0 {
-		r.Speed = w.speed / float64(r.Served)
+	if result.Served > 0 {
+		result.Speed = sim.speedSum / float64(result.Served)
 	}
 	could := 0.0
-	for _, b := range w.workers {
+	for _, b := range sim.workers {
 		if could += b.speed; !b.sharing {
 			could += b.speed * float64(b.slots-1)
 		}
 	}
-	r.Used = w.worked / (could * w.s.Span.Seconds())
-	if w.worked > 0 {
-		r.Wasted = w.wasted / w.worked
+	result.Used = sim.workDone / (could * sim.scenario.Span.Seconds())
+	if sim.workDone > 0 {
+		result.Wasted = sim.workWasted / sim.workDone
 	}
-	slices.Sort(w.times)
+	slices.Sort(sim.responseTimes)
 	sum := 0.0
-	for _, t := range w.times {
+	for _, t := range sim.responseTimes {
 		sum += t
 	}
-	if n := len(w.times); n > 0 {
+	if n := len(sim.responseTimes); n > 0 {
 		at := func(p float64) time.Duration {
-			return time.Duration(w.times[min(int(p*float64(n)), n-1)] * float64(time.Second))
+			return time.Duration(sim.responseTimes[min(int(p*float64(n)), n-1)] * float64(time.Second))
 		}
-		r.Mean, r.P50, r.P99 = time.Duration(sum/float64(n)*float64(time.Second)), at(0.5), at(0.99)
+		result.Mean, result.P50, result.P99 = time.Duration(sum/float64(n)*float64(time.Second)), at(0.5), at(0.99)
 	}
-	return r
+	return result
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -176,25 +176,25 @@
 // Check tells what is wrong with a scenario.
 func (s *Scenario) Check() error {
 	workers := 0
-	for i, k := range s.Kinds {
-		if k.Count < 0 || k.Slots < 1 || k.SpeedMin <= 0 || k.SpeedMax < k.SpeedMin {
+	for i, kind := range s.Kinds {
+		if kind.Count < 0 || kind.Slots < 1 || kind.SpeedMin <= 0 || kind.SpeedMax < kind.SpeedMin {
 			return fmt.Errorf("kinds[%d]: needs slots, and speeds above 0 in order", i)
 		}
-		workers += k.Count
+		workers += kind.Count
 	}
-	for i, f := range s.Faults {
-		if sized := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == Far; sized && f.Size <= 0 {
+	for i, fault := range s.Faults {
+		if sized := fault.Kind == Burst || fault.Kind == HeavyTail || fault.Kind == Far; sized && fault.Size <= 0 {
 			return fmt.Errorf("faults[%d]: needs a size", i)
 		}
-		if zoned := f.Kind >= ZoneLost; zoned && (f.Zone < 1 || f.Zone > s.Network.Zones) {
+		if zoned := fault.Kind >= ZoneLost; zoned && (fault.Zone < 1 || fault.Zone > s.Network.Zones) {
 			return fmt.Errorf("faults[%d]: needs a zone that there is", i)
 		}
-		if f.At < 0 || f.For <= 0 || f.Share <= 0 || f.Share > 1 || f.Kind >= faultKinds {
+		if fault.At < 0 || fault.For <= 0 || fault.Share <= 0 || fault.Share > 1 || fault.Kind >= faultKinds {
 			return fmt.Errorf("faults[%d]: needs a time, a span and a share between 0 and 1", i)
 		}
 	}
-	for i, c := range s.Traffic.Classes {
-		if c.Share <= 0 || c.Work <= 0 || c.Aim <= 0 || c.GiveUp <= 0 || c.GiveUp > s.Traffic.GiveUp || c.PriorityWeight <= 0 {
+	for i, class := range s.Traffic.Classes {
+		if class.Share <= 0 || class.Work <= 0 || class.Aim <= 0 || class.GiveUp <= 0 || class.GiveUp > s.Traffic.GiveUp || class.PriorityWeight <= 0 {
 			return fmt.Errorf("classes[%d]: needs a share, work, an aim, a give-up within the traffic's and a worth", i)
 		}
 	}
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -9,99 +9,101 @@
 // A box of a kind that shares works on all its jobs at once, each at its part of the speed, and turns away what comes beyond
 // its slots: the paper's pool element, in place of slots with a queue.
 
-// settle brings the work that is left up to now.
-func (b *worker) settle() {
-	if n := len(b.pending); n > 0 {
-		part := (b.w.now - b.settled).Seconds() * b.pace() / float64(n)
-		for _, r := range b.pending {
-			r.left -= part
+// updateProgress brings the work that is left up to now.
+func (w *worker) updateProgress() {
+	if n := len(w.running); n > 0 {
+		progress := (w.sim.now - w.progressAt).Seconds() * w.currentSpeed() / float64(n)
+		for _, attempt := range w.running {
+			attempt.workLeft -= progress
 		}
 	}
-	b.settled = b.w.now
+	w.progressAt = w.sim.now
 }
 
-// share takes an attempt, or turns it away.
-func (b *worker) share(r *run) {
-	if len(b.pending) >= b.slots {
-		r.over = true
-		b.w.reply(r, scheduler.Full)
+// receiveShared takes an attempt, or turns it away.
+func (w *worker) receiveShared(attempt *attemptRun) {
+	if len(w.running) >= w.slots {
+		attempt.over = true
+		w.sim.reportOutcome(attempt, scheduler.Full)
 		return
 	}
-	b.settle()
-	r.left, r.began = r.work, true
-	b.pending = append(b.pending, r)
-	b.busy = len(b.pending)
-	b.w.began(r)
-	b.plan()
-	b.push()
+	w.updateProgress()
+	attempt.workLeft, attempt.running = attempt.work, true
+	w.running = append(w.running, attempt)
+	w.busySlots = len(w.running)
+	w.sim.reportStarted(attempt)
+	w.scheduleCompletion()
+	w.pushReport()
 }
 
-// plan sees to the next job's end, as it stands: any change before makes it void.
-func (b *worker) plan() {
-	b.turnNumber++
-	if len(b.pending) == 0 {
+// scheduleCompletion sees to the next job's end, as it stands: any change before makes it void.
+func (w *worker) scheduleCompletion() {
+	w.completionTimer++
+	if len(w.running) == 0 {
 		return
 	}
-	minimum := b.pending[0].left
-	for _, r := range b.pending {
-		minimum = min(minimum, r.left)
+	minimum := w.running[0].workLeft
+	for _, attempt := range w.running {
+		minimum = min(minimum, attempt.workLeft)
 	}
-	next, life := b.turnNumber, b.life
-	b.w.after(time.Duration(max(minimum, 0)*float64(len(b.pending))/b.pace()*float64(time.Second)), func() {
-		if next == b.turnNumber && life == b.life {
-			b.shared()
+	timer, incarnation := w.completionTimer, w.incarnation
+	w.sim.after(time.Duration(max(minimum, 0)*float64(len(w.running))/w.currentSpeed()*float64(time.Second)), func() {
+		if timer == w.completionTimer && incarnation == w.incarnation {
+			w.completeShared()
 		}
 	})
 }
 
-// shared ends the jobs that are done.
-func (b *worker) shared() {
-	b.settle()
-	going := b.pending[:0]
-	for _, r := range b.pending {
-		if r.left > 1e-9 && !r.over {
-			going = append(going, r)
+// completeShared ends the jobs that are done.
+func (w *worker) completeShared() {
+	w.updateProgress()
+	remaining := w.running[:0]
+	for _, attempt := range w.running {
+		if attempt.workLeft > 1e-9 && !attempt.over {
+			remaining = append(remaining, attempt)
 			continue
 		}
-		b.w.worked += r.work
-		if !r.over {
-			r.over = true
-			b.w.reply(r, scheduler.Served)
+		w.sim.workDone += attempt.work
+		if !attempt.over {
+			attempt.over = true
+			w.sim.reportOutcome(attempt, scheduler.Served)
 		}
 	}
-	clear(b.pending[len(going):])
-	b.pending = going
-	b.busy = len(going)
-	b.plan()
-	b.push()
+	clear(w.running[len(remaining):])
+	w.running = remaining
+	w.busySlots = len(remaining)
+	w.scheduleCompletion()
+	w.pushReport()
 }
 
-// push has all dispatchers told of the load, where boxes tell by themselves.
-func (b *worker) push() {
-	if !b.w.s.Reports.Push {
+// pushReport has all dispatchers told of the load, where boxes tell by themselves.
+func (w *worker) pushReport() {
+	if !w.sim.scenario.Reports.Push {
 		return
 	}
-	load := b.load()
-	for _, d := range b.w.dispatchers {
-		b.w.after(b.w.delay(d.chance), func() { d.feed(scheduler.ProbeCompleted{Worker: b.id, Outcome: scheduler.Served, Report: &load}) })
+	report := w.currentReport()
+	for _, dispatcher := range w.sim.dispatchers {
+		w.sim.after(w.sim.localDelay(dispatcher.random), func() {
+			dispatcher.handle(scheduler.ProbeCompleted{Worker: w.id, Outcome: scheduler.Served, Report: &report})
+		})
 	}
 }
 
-// enqueue has a job wait until its client has had its answers to those before: the paper's pool users, of whom each has one
+// enqueueForUser has a job wait until its client has had its answers to those before: the paper's pool users, of whom each has one
 // request handled at a time.
-func (w *world) enqueue(j *job) {
-	n := w.clients.IntN(w.s.Traffic.Users)
-	j.user = n
-	w.lines[n] = append(w.lines[n], j)
-	if len(w.lines[n]) == 1 {
-		w.try(j)
+func (sim *simulation) enqueueForUser(job *job) {
+	user := sim.clientRandom.IntN(sim.scenario.Traffic.Users)
+	job.user = user
+	sim.userQueues[user] = append(sim.userQueues[user], job)
+	if len(sim.userQueues[user]) == 1 {
+		sim.submit(job)
 	}
 }
 
-// nextOf has a client's next job begin.
-func (w *world) nextOf(j *job) {
-	line := w.lines[j.user][1:]
-	if w.lines[j.user] = line; len(line) > 0 {
-		w.try(line[0])
+// startNextOfUser has a client's next job begin.
+func (sim *simulation) startNextOfUser(job *job) {
+	queue := sim.userQueues[job.user][1:]
+	if sim.userQueues[job.user] = queue; len(queue) > 0 {
+		sim.submit(queue[0])
 	}
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -10,141 +10,141 @@
 	"brassdale/scheduler"
 )
 
-// world is a run of a scenario.
-type world struct {
+// simulation is a run of a scenario.
+type simulation struct {
 	engine
-	s           *Scenario
-	workers     []*worker
-	byID        map[scheduler.WorkerID]*worker
-	store       *queueOf
-	dispatchers []*dispatcher
-	lines       [][]*job                     // of the users
-	down, hung  int                          // faults of discovery
-	outages     []func()                     // hear of them
-	listeners   []func(scheduler.WorkerInfo) // hear of a change of the list, beside the dispatchers of the model
-	audit       *auditor
-	lastID      scheduler.RequestID
-	clients     *rand.Rand
-	drawn       *rand.Rand // what classes and memory are drawn from
-	kinds       []Class    // of jobs
-	byClass     []tally
-	burst, tail float64
-
-	failover *voterGroup
-	apart    map[[2]int]int // faults between a zone's dispatchers and another's boxes
-	far      map[int]float64
-	perZone  []zoneTally
-	seconds  []second
-
-	sends, probes, crossings int
-	worked, wasted           float64
-	speed                    float64 // sum over served jobs of work by time
-	tallies                  []tally // by account
-	times                    []float64
-	notes                    []string
+	scenario                     *Scenario
+	workers                      []*worker
+	byID                         map[scheduler.WorkerID]*worker
+	fetches                      *fetchQueue
+	dispatchers                  []*dispatcher
+	userQueues                   [][]*job                     // of the users
+	discoveryDown, discoveryHung int                          // faults of discovery
+	outageListeners              []func()                     // hear of them
+	workerListeners              []func(scheduler.WorkerInfo) // hear of a change of the list, beside the dispatchers of the model
+	audit                        *auditor
+	lastRequestID                scheduler.RequestID
+	clientRandom                 *rand.Rand
+	classRandom                  *rand.Rand // what classes and memory are drawn from
+	classes                      []Class    // of jobs
+	statsByClass                 []jobStats
+	rateFactor, tailFactor       float64
+
+	planning      *zonePlanning
+	partitions    map[[2]int]int // faults between a zone's dispatchers and another's boxes
+	delayFactor   map[int]float64
+	zoneLoads     []zoneLoad
+	statsBySecond []secondStats
+
+	attemptsSent, probesSent, crossings int
+	workDone, workWasted                float64
+	speedSum                            float64    // sum over served jobs of work by time
+	statsByAccount                      []jobStats // by account
+	responseTimes                       []float64
+	notes                               []string
 }
 
 // job is what a client wants, over its tries.
 type job struct {
-	account     int
-	work        float64
-	class       int
-	slots       int
-	memory      float64
-	hint        time.Duration
-	subject     int
-	user        int
-	requestedAt time.Duration
-	tries       int
-	done        bool
+	account          int
+	work             float64
+	class            int
+	slots            int
+	memory           float64
+	workEstimate     time.Duration
+	subject          int
+	user             int
+	firstRequestedAt time.Duration
+	requests         int
+	finished         bool
 }
 
-type verdict uint8
+type clientOutcome uint8
 
 const (
-	served verdict = iota
-	refused
-	failed
+	outcomeServed clientOutcome = iota
+	outcomeRejected
+	outcomeFailed
 )
 
-type tally struct {
-	jobs                          int
-	requested, good               float64 // work
-	served, late, refused, failed int
+type jobStats struct {
+	jobs                           int
+	workRequested, workInTime      float64 // work
+	served, late, rejected, failed int
 }
 
 // countRequest enters a job that its client wants done.
-func (t *tally) countRequest(work float64) {
+func (t *jobStats) countRequest(work float64) {
 	t.jobs++
-	t.requested += work
+	t.workRequested += work
 }
 
-// epoch is how long before the start clocks began.
-const epoch = time.Hour
+// clockStart is how long before the start clocks began.
+const clockStart = time.Hour
 
 // Run plays a scenario with a policy for each dispatcher. It ends when all is answered and every box is idle, or Settle
 // after the last job came.
-func Run(s Scenario, policy func(scheduler.Settings, uint64) Policy) (*Result, error) {
-	w, err := newWorld(&s)
+func Run(scenario Scenario, policy func(scheduler.Settings, uint64) Policy) (*Result, error) {
+	sim, err := newSimulation(&scenario)
 	if err != nil {
 		return nil, err
 	}
-	for n := range s.Dispatchers {
-		d := &dispatcher{w: w, n: n, zone: n % max(s.Network.Zones, 1), idle: map[scheduler.WorkerID][]time.Duration{}, subscribed: s.Pushed, open: map[scheduler.RequestID]*open{}, notify: map[scheduler.WorkerID]time.Duration{}, chance: w.source(uint64(100 + n))}
-		d.policy = policy(w.settings(n), d.chance.Uint64())
-		w.dispatchers = append(w.dispatchers, d)
-		w.after(0, func() { d.listed(scheduler.ListCached, w.list()) })
+	for index := range scenario.Dispatchers {
+		dispatcher := &dispatcher{sim: sim, index: index, zone: index % max(scenario.Network.Zones, 1), idleSince: map[scheduler.WorkerID][]time.Duration{}, subscribed: scenario.Pushed, requests: map[scheduler.RequestID]*openRequest{}, knownStarts: map[scheduler.WorkerID]time.Duration{}, random: sim.randomSource(uint64(100 + index))}
+		dispatcher.policy = policy(sim.schedulerSettings(index), dispatcher.random.Uint64())
+		sim.dispatchers = append(sim.dispatchers, dispatcher)
+		sim.after(0, func() { dispatcher.updateEndpoints(scheduler.ListCached, sim.endpoints()) })
 	}
-	w.faults()
-	w.plans()
-	w.after(warmUp, w.arrive)
-	if s.LiveWeights {
-		w.after(weighEvery, w.weigh)
+	sim.scheduleFaults()
+	sim.startPlanning()
+	sim.after(dispatcherLeadTime, sim.jobArrives)
+	if scenario.LiveWeights {
+		sim.after(weightInterval, sim.publishWeights)
 	}
-	w.run(epoch + warmUp + s.Span + s.Traffic.GiveUp + Settle)
-	return w.result(), nil
+	sim.run(clockStart + dispatcherLeadTime + scenario.Span + scenario.Traffic.GiveUp + Settle)
+	return sim.result(), nil
 }
 
-// newWorld makes a works with its boxes, at rest.
-func newWorld(s *Scenario) (*world, error) {
-	if err := s.Check(); err != nil {
+// newSimulation makes a works with its boxes, at rest.
+func newSimulation(scenario *Scenario) (*simulation, error) {
+	if err := scenario.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{s: s, byID: map[scheduler.WorkerID]*worker{}, tallies: make([]tally, max(len(s.Traffic.Accounts), 1))}
-	w.now = epoch
-	w.audit = newAuditor(s, epoch)
-	w.lines = make([][]*job, s.Traffic.Users)
-	w.clients, w.drawn, w.burst = w.source(1), w.source(3), 1
-	w.kinds = s.Traffic.classes()
-	w.apart, w.far, w.perZone = map[[2]int]int{}, map[int]float64{}, make([]zoneTally, max(s.Network.Zones, 1))
-	w.byClass = make([]tally, len(w.kinds))
-	w.store = &queueOf{w: w, slots: s.Store.Slots}
-	chance := w.source(2)
-	for kind, k := range s.Kinds {
-		for range k.Count {
-			n := len(w.workers)
-			b := &worker{w: w, id: scheduler.WorkerID(fmt.Sprintf("s-%06x", chance.Uint32()>>8)), kind: kind, bay: n % s.Bays, zone: n % max(s.Network.Zones, 1), slots: k.Slots, sharing: k.Sharing,
-				speed: k.SpeedMin + (k.SpeedMax-k.SpeedMin)*chance.Float64(), has: map[int]time.Duration{}, chance: w.source(uint64(1000 + n))}
-			for w.byID[b.id] != nil {
-				b.id += "x"
+	sim := &simulation{scenario: scenario, byID: map[scheduler.WorkerID]*worker{}, statsByAccount: make([]jobStats, max(len(scenario.Traffic.Accounts), 1))}
+	sim.now = clockStart
+	sim.audit = newAuditor(scenario, clockStart)
+	sim.userQueues = make([][]*job, scenario.Traffic.Users)
+	sim.clientRandom, sim.classRandom, sim.rateFactor = sim.randomSource(1), sim.randomSource(3), 1
+	sim.classes = scenario.Traffic.effectiveClasses()
+	sim.partitions, sim.delayFactor, sim.zoneLoads = map[[2]int]int{}, map[int]float64{}, make([]zoneLoad, max(scenario.Network.Zones, 1))
+	sim.statsByClass = make([]jobStats, len(sim.classes))
+	sim.fetches = &fetchQueue{sim: sim, maxActive: scenario.Store.Slots}
+	random := sim.randomSource(2)
+	for kindIndex, kind := range scenario.Kinds {
+		for range kind.Count {
+			index := len(sim.workers)
+			worker := &worker{sim: sim, id: scheduler.WorkerID(fmt.Sprintf("s-%06x", random.Uint32()>>8)), kind: kindIndex, cell: index % scenario.Bays, zone: index % max(scenario.Network.Zones, 1), slots: kind.Slots, sharing: kind.Sharing,
+				speed: kind.SpeedMin + (kind.SpeedMax-kind.SpeedMin)*random.Float64(), subjectUsedAt: map[int]time.Duration{}, random: sim.randomSource(uint64(1000 + index))}
+			for sim.byID[worker.id] != nil {
+				worker.id += "x"
 			}
-			w.workers = append(w.workers, b)
-			w.byID[b.id] = b
-			for i := range b.figures {
-				b.figures[i] = scheduler.Report{Requests: -1, FreeSlots: float64(b.slots)}
+			sim.workers = append(sim.workers, worker)
+			sim.byID[worker.id] = worker
+			for i := range worker.reports {
+				worker.reports[i] = scheduler.Report{Requests: -1, FreeSlots: float64(worker.slots)}
 			}
-			if s.Reports.Every > 0 {
-				b.refresh()
+			if scenario.Reports.Every > 0 {
+				worker.recordReport()
 			}
 		}
 	}
-	return w, nil
+	return sim, nil
 }
 
-// faults sees to the faults.
-func (w *world) faults() {
-	for i, f := range w.s.Faults {
-		w.after(f.At, func() { w.applyFault(f, w.source(uint64(10+i))) })
+// scheduleFaults sees to the scheduleFaults.
+func (sim *simulation) scheduleFaults() {
+	for i, fault := range sim.scenario.Faults {
+		sim.after(fault.At, func() { sim.applyFault(fault, sim.randomSource(uint64(10+i))) })
 	}
 }
 
@@ -152,307 +152,311 @@
 	// Settle is how long a run goes on behind the last client's give-up.
 	Settle = 2 * time.Second
 
-	warmUp = 100 * time.Millisecond // in which dispatchers hear of the boxes
+	dispatcherLeadTime = 100 * time.Millisecond // in which dispatchers hear of the boxes
 )
 
-// source gives a source of chance of its own to each thing that has any, so that one more draw of the one changes
+// randomSource gives a randomSource of chance of its own to each thing that has any, so that one more draw of the one changes
 // nothing for the others.
-func (w *world) source(of uint64) *rand.Rand { return rand.New(rand.NewPCG(w.s.Seed, of)) }
-
-// settings are what a dispatcher is told.
-func (w *world) settings(n int) scheduler.Settings {
-	t, r := &w.s.Traffic, &w.s.Rules
-	set := scheduler.Settings{DispatcherIndex: n, Dispatchers: w.s.Dispatchers, ListPolled: !w.s.Pushed, ReportsPulled: !w.s.Reports.Answers, ReportsStart: true, MayProbe: !w.s.Reports.Push,
-		MayCancel: r.MayCancel, MayHedge: r.MayCopy, MayAdviseRetry: true, MaxAttempts: r.MaxAttempts, MaxRetryAfter: 2 * time.Second,
-		AnswerSlack: r.Slack, MaxPollInterval: maxPollInterval, SlowStartDuration: w.s.SlowStart.For, SlowStartCapacity: w.s.SlowStart.Capacity, OverloadMultiple: w.s.SlowStart.Tip,
-		OverloadWindow: w.s.SlowStart.Fall, WeightByWork: true, Zone: n % max(w.s.Network.Zones, 1), CrossZoneCost: w.s.Network.CrossPrice}
-	for _, c := range t.classes() {
-		set.Classes = append(set.Classes, scheduler.Class{LatencyObjective: c.Aim, ObjectiveStretch: c.Stretch, Deadline: c.GiveUp, PriorityWeight: c.PriorityWeight, Idempotency: c.Effect,
-			DeduplicationScope: c.Scope, DeduplicationWindow: c.Window, MachineKind: -1})
-	}
-	return set
+func (sim *simulation) randomSource(of uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(sim.scenario.Seed, of))
 }
 
-// list is the list of boxes as it is now.
-func (w *world) list() (ws []scheduler.WorkerInfo) {
-	for _, b := range w.workers {
-		ws = append(ws, b.info())
+// schedulerSettings are what a dispatcher is told.
+func (sim *simulation) schedulerSettings(dispatcher int) scheduler.Settings {
+	traffic, rules := &sim.scenario.Traffic, &sim.scenario.Rules
+	settings := scheduler.Settings{DispatcherIndex: dispatcher, Dispatchers: sim.scenario.Dispatchers, ListPolled: !sim.scenario.Pushed, ReportsPulled: !sim.scenario.Reports.Answers, ReportsStart: true, MayProbe: !sim.scenario.Reports.Push,
+		MayCancel: rules.MayCancel, MayHedge: rules.MayCopy, MayAdviseRetry: true, MaxAttempts: rules.MaxAttempts, MaxRetryAfter: 2 * time.Second,
+		AnswerSlack: rules.Slack, MaxPollInterval: maxPollInterval, SlowStartDuration: sim.scenario.SlowStart.For, SlowStartCapacity: sim.scenario.SlowStart.Capacity, OverloadMultiple: sim.scenario.SlowStart.Tip,
+		OverloadWindow: sim.scenario.SlowStart.Fall, WeightByWork: true, Zone: dispatcher % max(sim.scenario.Network.Zones, 1), CrossZoneCost: sim.scenario.Network.CrossPrice}
+	for _, class := range traffic.effectiveClasses() {
+		settings.Classes = append(settings.Classes, scheduler.Class{LatencyObjective: class.Aim, ObjectiveStretch: class.Stretch, Deadline: class.GiveUp, PriorityWeight: class.PriorityWeight, Idempotency: class.Effect,
+			DeduplicationScope: class.Scope, DeduplicationWindow: class.Window, MachineKind: -1})
+	}
+	return settings
+}
+
+// endpoints is the endpoints of boxes as it is now.
+func (sim *simulation) endpoints() (endpoints []scheduler.WorkerInfo) {
+	for _, worker := range sim.workers {
+		endpoints = append(endpoints, worker.endpoint())
 	}
-	return ws
+	return endpoints
 }
 
-func (b *worker) info() scheduler.WorkerInfo {
-	return scheduler.WorkerInfo{ID: b.id, State: b.state, Cell: b.bay, Zone: b.zone, MachineKind: b.kind, Weight: b.weight(), StartedAt: b.started}
+func (w *worker) endpoint() scheduler.WorkerInfo {
+	return scheduler.WorkerInfo{ID: w.id, State: w.state, Cell: w.cell, Zone: w.zone, MachineKind: w.kind, Weight: w.listedWeight(), StartedAt: w.startedAt}
 }
 
-// unlisted begins a fault of discovery, or ends it. A dispatcher's watch ends at once where it is down; where it hangs, once
+// changeDiscoveryFaults begins a fault of discovery, or ends it. A dispatcher's watch ends at once where it is down; where it hangs, once
 // the dispatcher has waited for long enough. What changes meanwhile comes with the whole list, behind the next call.
-func (w *world) unlisted(t FaultKind, by int) {
-	if t == ListDown {
-		w.down += by
+func (sim *simulation) changeDiscoveryFaults(kind FaultKind, by int) {
+	if kind == ListDown {
+		sim.discoveryDown += by
 	} else {
-		w.hung += by
+		sim.discoveryHung += by
 	}
-	for _, d := range w.dispatchers {
-		if by > 0 && d.subscribed {
-			d.subscribed = false
-			d.refused()
+	for _, dispatcher := range sim.dispatchers {
+		if by > 0 && dispatcher.subscribed {
+			dispatcher.subscribed = false
+			dispatcher.failPoll()
 		}
 	}
-	for _, hear := range w.outages {
-		hear()
+	for _, notify := range sim.outageListeners {
+		notify()
 	}
 }
 
-// changed tells all dispatchers of a box, late.
-func (w *world) changed(b *worker) {
-	info := b.info()
-	for _, d := range w.dispatchers {
-		w.after(w.late(d.chance), func() {
-			if d.subscribed { // else it gets the whole list when it is again
-				d.listed(scheduler.ListDelta, []scheduler.WorkerInfo{info})
+// publishWorker tells all dispatchers of a box, late.
+func (sim *simulation) publishWorker(worker *worker) {
+	endpoint := worker.endpoint()
+	for _, dispatcher := range sim.dispatchers {
+		sim.after(sim.updateDelay(dispatcher.random), func() {
+			if dispatcher.subscribed { // else it gets the whole list when it is again
+				dispatcher.updateEndpoints(scheduler.ListDelta, []scheduler.WorkerInfo{endpoint})
 			}
 		})
 	}
-	for _, hear := range w.listeners {
-		hear(info)
+	for _, notify := range sim.workerListeners {
+		notify(endpoint)
 	}
 }
 
-// delay is a way through the network.
-func (w *world) delay(chance *rand.Rand) time.Duration {
-	half := float64(w.s.Network.Delay) / 2
-	return time.Duration(half + chance.ExpFloat64()*half)
+// localDelay is a way through the network.
+func (sim *simulation) localDelay(random *rand.Rand) time.Duration {
+	half := float64(sim.scenario.Network.Delay) / 2
+	return time.Duration(half + random.ExpFloat64()*half)
 }
 
-// late is how late the list tells something.
-func (w *world) late(chance *rand.Rand) time.Duration {
-	return time.Duration((0.5 + chance.Float64()) * float64(w.s.Discovery))
+// updateDelay is how updateDelay the list tells something.
+func (sim *simulation) updateDelay(random *rand.Rand) time.Duration {
+	return time.Duration((0.5 + random.Float64()) * float64(sim.scenario.Discovery))
 }
 
-func (w *world) workerOf(r *run) *worker { return w.byID[r.worker] }
+func (sim *simulation) workerByAttempt(attempt *attemptRun) *worker { return sim.byID[attempt.worker] }
 
-// reply tells a dispatcher how an attempt ended.
-func (w *world) reply(r *run, o scheduler.Outcome) {
-	b := w.workerOf(r)
-	if b.cut > 0 { // the other side hears of it once the box is back
-		b.unreported = append(b.unreported, r)
+// reportOutcome tells a dispatcher how an attempt ended.
+func (sim *simulation) reportOutcome(attempt *attemptRun, outcome scheduler.Outcome) {
+	worker := sim.workerByAttempt(attempt)
+	if worker.partitioned > 0 { // the other side hears of it once the box is back
+		worker.unreachedAttempts = append(worker.unreachedAttempts, attempt)
 		return
 	}
-	if w.s.Reports.Answers {
-		r.report = b.report()
+	if sim.scenario.Reports.Answers {
+		attempt.report = worker.reportedState()
 	}
-	w.after(w.between(r.zone, b, r.from.oneWayDelay()), func() { r.from.over(r, o) })
+	sim.after(sim.oneWayDelay(attempt.zone, worker, attempt.source.delayRandom()), func() { attempt.source.attemptOver(attempt, outcome) })
 }
 
-// began tells a dispatcher that a job has started.
-func (w *world) began(r *run) {
-	b := w.workerOf(r)
-	if b.cut > 0 {
+// reportStarted tells a dispatcher that a job has started.
+func (sim *simulation) reportStarted(attempt *attemptRun) {
+	worker := sim.workerByAttempt(attempt)
+	if worker.partitioned > 0 {
 		return
 	}
-	w.after(w.between(r.zone, b, r.from.oneWayDelay()), func() { r.from.started(r) })
+	sim.after(sim.oneWayDelay(attempt.zone, worker, attempt.source.delayRandom()), func() { attempt.source.attemptStarted(attempt) })
 }
 
-// job makes one of so many means of work, where that is exponentially distributed, and draws the rest.
-func (t *Traffic) job(means float64, chance *rand.Rand) *job {
-	j := &job{work: t.Work * means, slots: 1}
+// newJob makes one of so many means of work, where that is exponentially distributed, and draws the rest.
+func (t *Traffic) newJob(means float64, random *rand.Rand) *job {
+	job := &job{work: t.Work * means, slots: 1}
 	if t.Spread > 0 { // of the same mean
-		j.work = t.Work * math.Exp(t.Spread*chance.NormFloat64()-t.Spread*t.Spread/2)
+		job.work = t.Work * math.Exp(t.Spread*random.NormFloat64()-t.Spread*t.Spread/2)
 	}
 	if t.Subjects > 0 {
-		j.subject = 1 + chance.IntN(t.Subjects)
+		job.subject = 1 + random.IntN(t.Subjects)
 	}
-	return j
+	return job
 }
 
-// arrive brings a job and sees to the next.
-func (w *world) arrive() {
-	t := &w.s.Traffic
-	work := w.clients.ExpFloat64()
-	w.clients.Uint64() // was a key once; without it every seed of the kept results would play other traffic
-	j := t.job(work, w.clients)
-	j.requestedAt = w.now
-	pick, sum := w.clients.Float64(), 0.0
-	for _, a := range t.Accounts {
-		sum += a.Share
-	}
-	for i, a := range t.Accounts {
+// jobArrives brings a job and sees to the next.
+func (sim *simulation) jobArrives() {
+	traffic := &sim.scenario.Traffic
+	work := sim.clientRandom.ExpFloat64()
+	sim.clientRandom.Uint64() // was a key once; without it every seed of the kept results would play other traffic
+	job := traffic.newJob(work, sim.clientRandom)
+	job.firstRequestedAt = sim.now
+	pick, sum := sim.clientRandom.Float64(), 0.0
+	for _, account := range traffic.Accounts {
+		sum += account.Share
+	}
+	for i, a := range traffic.Accounts {
 		if pick -= a.Share / sum; pick < 0 {
-			j.account = i
+			job.account = i
 			break
 		}
 	}
-	w.dress(j)
-	w.tallies[j.account].countRequest(w.value(j))
-	w.byClass[j.class].countRequest(w.value(j))
-	if t.Users > 0 {
-		w.enqueue(j)
+	sim.drawClass(job)
+	sim.statsByAccount[job.account].countRequest(sim.weightedWork(job))
+	sim.statsByClass[job.class].countRequest(sim.weightedWork(job))
+	if traffic.Users > 0 {
+		sim.enqueueForUser(job)
 	} else {
-		w.try(j)
+		sim.submit(job)
 	}
-	if next := time.Duration(w.clients.ExpFloat64() / (t.Rate * w.burst) * float64(time.Second)); w.now+next < epoch+warmUp+w.s.Span {
-		w.after(next, w.arrive)
+	if next := time.Duration(sim.clientRandom.ExpFloat64() / (traffic.Rate * sim.rateFactor) * float64(time.Second)); sim.now+next < clockStart+dispatcherLeadTime+sim.scenario.Span {
+		sim.after(next, sim.jobArrives)
 	}
 }
 
-// try hands a job to some dispatcher.
-func (w *world) try(j *job) {
-	w.lastID++
-	giveUp := w.class(j).GiveUp
-	id, expires := w.lastID, w.now+giveUp
-	j.tries++
-	d := w.dispatchers[w.clients.IntN(len(w.dispatchers))]
-	w.after(giveUp+w.s.Rules.Slack, func() {
-		if o := d.open[id]; o != nil && !o.answered {
-			w.audit.gaveUp(w.now, uint64(id))
-			o.answered = true
-			w.done(j, failed)
-			d.feed(scheduler.ClientLeft{ID: id})
-			d.forget(id)
+// submit hands a job to some dispatcher.
+func (sim *simulation) submit(job *job) {
+	sim.lastRequestID++
+	giveUp := sim.classOf(job).GiveUp
+	id, expires := sim.lastRequestID, sim.now+giveUp
+	job.requests++
+	dispatcher := sim.dispatchers[sim.clientRandom.IntN(len(sim.dispatchers))]
+	sim.after(giveUp+sim.scenario.Rules.Slack, func() {
+		if request := dispatcher.requests[id]; request != nil && !request.answered {
+			sim.audit.clientGaveUp(sim.now, uint64(id))
+			request.answered = true
+			sim.finishJob(job, outcomeFailed)
+			dispatcher.handle(scheduler.ClientLeft{ID: id})
+			dispatcher.forget(id)
 		}
 	})
-	d.arrived(j, id, expires)
+	dispatcher.requestArrived(job, id, expires)
 }
 
-// answered takes a client's final answer to one try.
-func (w *world) answered(j *job, _ scheduler.RequestID, v verdict, after time.Duration) {
-	if v == refused && j.tries == 1 && w.clients.Float64() < w.s.Traffic.Retries {
-		w.after(max(after, 100*time.Millisecond), func() { w.try(j) })
+// handleAnswer takes a client's final answer to one try.
+func (sim *simulation) handleAnswer(job *job, _ scheduler.RequestID, outcome clientOutcome, retryAfter time.Duration) {
+	if outcome == outcomeRejected && job.requests == 1 && sim.clientRandom.Float64() < sim.scenario.Traffic.Retries {
+		sim.after(max(retryAfter, 100*time.Millisecond), func() { sim.submit(job) })
 		return
 	}
-	w.done(j, v)
+	sim.finishJob(job, outcome)
 }
 
-// done ends a job for its client.
-func (w *world) done(j *job, v verdict) {
-	if j.done {
+// finishJob ends a job for its client.
+func (sim *simulation) finishJob(job *job, outcome clientOutcome) {
+	if job.finished {
 		return
 	}
-	j.done = true
-	if w.s.Traffic.Users > 0 {
-		defer w.nextOf(j)
+	job.finished = true
+	if sim.scenario.Traffic.Users > 0 {
+		defer sim.startNextOfUser(job)
 	}
-	w.count(&w.tallies[j.account], v, j, w.now-j.requestedAt)
-	w.countAt(j, v)
-	if v == served && w.inTime(j, w.now-j.requestedAt) {
-		w.byClass[j.class].good += w.value(j)
+	sim.recordOutcome(&sim.statsByAccount[job.account], outcome, job, sim.now-job.firstRequestedAt)
+	sim.recordBySecond(job, outcome)
+	if outcome == outcomeServed && sim.withinObjective(job, sim.now-job.firstRequestedAt) {
+		sim.statsByClass[job.class].workInTime += sim.weightedWork(job)
 	}
 }
 
-// inTime tells whether an answer so long after the client asked counts.
-func (w *world) inTime(j *job, after time.Duration) bool {
-	c := w.class(j)
-	return after.Seconds() <= c.Aim.Seconds()+c.Stretch*j.work
+// withinObjective tells whether an answer so long after the client asked counts.
+func (sim *simulation) withinObjective(job *job, responseTime time.Duration) bool {
+	class := sim.classOf(job)
+	return responseTime.Seconds() <= class.Aim.Seconds()+class.Stretch*job.work
 }
 
-// count enters a job's end for its client into its account's tally.
-func (w *world) count(t *tally, v verdict, j *job, after time.Duration) {
-	switch v {
-	case served:
-		took := after.Seconds()
-		t.served++
-		w.times = append(w.times, took)
-		w.speed += j.work / max(took, 1e-9)
-		if w.inTime(j, after) {
-			t.good += w.value(j)
+// recordOutcome enters a job's end for its client into its account's tally.
+func (sim *simulation) recordOutcome(stats *jobStats, outcome clientOutcome, job *job, responseTime time.Duration) {
+	switch outcome {
+	case outcomeServed:
+		seconds := responseTime.Seconds()
+		stats.served++
+		sim.responseTimes = append(sim.responseTimes, seconds)
+		sim.speedSum += job.work / max(seconds, 1e-9)
+		if sim.withinObjective(job, responseTime) {
+			stats.workInTime += sim.weightedWork(job)
 		} else {
-			t.late++
+			stats.late++
 		}
-	case refused:
-		t.refused++
+	case outcomeRejected:
+		stats.rejected++
 	default:
-		t.failed++
+		stats.failed++
 	}
 }
 
 // applyFault has a fault come over some boxes, and go.
-func (w *world) applyFault(f Fault, chance *rand.Rand) {
-	switch f.Kind {
+func (sim *simulation) applyFault(fault Fault, random *rand.Rand) {
+	switch fault.Kind {
 	case Burst:
-		w.burst *= f.Size
-		w.after(f.For, func() { w.burst /= f.Size })
+		sim.rateFactor *= fault.Size
+		sim.after(fault.For, func() { sim.rateFactor /= fault.Size })
 		return
 	case HeavyTail:
-		w.tail = f.Size
-		w.after(f.For, func() { w.tail = 0 })
+		sim.tailFactor = fault.Size
+		sim.after(fault.For, func() { sim.tailFactor = 0 })
 		return
 	}
-	if f.Kind >= ZoneLost {
-		w.applyZoneFault(f)
+	if fault.Kind >= ZoneLost {
+		sim.applyZoneFault(fault)
 		return
 	}
-	if f.Kind == ListDown || f.Kind == ListHung {
-		w.unlisted(f.Kind, 1)
-		w.after(f.For, func() { w.unlisted(f.Kind, -1) })
+	if fault.Kind == ListDown || fault.Kind == ListHung {
+		sim.changeDiscoveryFaults(fault.Kind, 1)
+		sim.after(fault.For, func() { sim.changeDiscoveryFaults(fault.Kind, -1) })
 		return
 	}
-	some := slices.Clone(w.workers)
-	chance.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	for _, b := range some[:max(int(f.Share*float64(len(some))), 1)] {
-		b.applyFault(f.Kind)
-		w.after(f.For, func() { b.recover(f.Kind) })
+	affected := slices.Clone(sim.workers)
+	random.Shuffle(len(affected), func(i, j int) { affected[i], affected[j] = affected[j], affected[i] })
+	for _, worker := range affected[:max(int(fault.Share*float64(len(affected))), 1)] {
+		worker.beginFault(fault.Kind)
+		sim.after(fault.For, func() { worker.endFault(fault.Kind) })
 	}
 }
 
-func (b *worker) applyFault(t FaultKind) {
-	switch t {
+func (w *worker) beginFault(kind FaultKind) {
+	switch kind {
 	case Freeze:
-		b.frozen++
+		w.frozen++
 	case Silent:
-		b.silent++
+		w.silent++
 	case Slow:
-		b.slow++
+		w.slow++
 	case Unreported:
-		b.late++
+		w.delayedReports++
 	case Reset:
-		b.lose()
+		w.dropAll()
 	case Partition:
-		b.cut++
+		w.partitioned++
 	case Drain:
-		b.state = scheduler.Draining
-		b.w.changed(b)
+		w.state = scheduler.Draining
+		w.sim.publishWorker(w)
 	case Restart:
-		b.lose()
-		b.down = true
-		b.w.after(time.Second, func() {
-			b.down, b.started, b.pushed = false, b.w.now, nil
-			b.w.changed(b)
+		w.dropAll()
+		w.down = true
+		w.sim.after(time.Second, func() {
+			w.down, w.startedAt, w.recentArrivals = false, w.sim.now, nil
+			w.sim.publishWorker(w)
 		})
 	}
 }
 
-func (b *worker) recover(t FaultKind) {
-	switch t {
+func (w *worker) endFault(kind FaultKind) {
+	switch kind {
 	case Freeze:
-		if b.frozen--; b.frozen == 0 {
-			inFlight := b.inFlight
-			b.inFlight = nil
-			for _, say := range inFlight {
-				say()
+		if w.frozen--; w.frozen == 0 {
+			deferred := w.deferredFinishes
+			w.deferredFinishes = nil
+			for _, finish := range deferred {
+				finish()
 			}
 		}
 	case Silent:
-		b.silent--
+		w.silent--
 	case Slow:
-		b.slow--
+		w.slow--
 	case Unreported:
-		b.late--
+		w.delayedReports--
 	case Partition:
-		if b.cut--; b.cut == 0 {
-			for _, r := range b.unreported {
+		if w.partitioned--; w.partitioned == 0 {
+			for _, r := range w.unreachedAttempts {
 				r.over = true
-				b.w.reply(r, scheduler.Reset)
+				w.sim.reportOutcome(r, scheduler.Reset)
 			}
-			b.unreported = nil
-			b.lose()
+			w.unreachedAttempts = nil
+			w.dropAll()
 		}
 	case Drain: // it goes, whatever it still has
-		b.lose()
-		b.state, b.down = scheduler.Gone, true
-		b.w.changed(b)
+		w.dropAll()
+		w.state, w.down = scheduler.Gone, true
+		w.sim.publishWorker(w)
 	}
-	b.next()
+	w.startQueued()
 }
 
-func (w *world) note(format string, a ...any) { w.notes = append(w.notes, fmt.Sprintf(format, a...)) }
+func (sim *simulation) addNote(format string, a ...any) {
+	sim.notes = append(sim.notes, fmt.Sprintf(format, a...))
+}
