--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -7,7 +7,7 @@
 	"brassdale/scheduler"
 )
 
-// Breach is a rule that was broken.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule    string
 	Request uint64
@@ -16,6 +16,7 @@
 	Why     string
 }
 
+// String returns the violation in words.
 func (b Breach) String() string {
 	at := ""
 	if b.Worker != "" {
@@ -32,44 +33,49 @@
 	RuleSlowStart = "no cold box pushed over"
 )
 
-// auditor holds the rules over all that happens. It knows nothing of how anybody decides.
+// auditor checks the rules over the events of a run. It is given what happens, and nothing of how a policy decides.
 type auditor struct {
 	scenario      *Scenario
 	clockStart    time.Duration
 	breaches      []Breach
 	requests      map[uint64]*auditedRequest
-	drainingSince map[drainKey]time.Duration // when a dispatcher was told
+	drainingSince map[drainKey]time.Duration // when the dispatcher was notified that the worker drains or is gone
 }
 
+// drainKey is a dispatcher and a worker that drains.
 type drainKey struct {
 	dispatcher int
 	worker     scheduler.WorkerID
 }
 
-// auditedRequest is what was done for a request.
+// auditedRequest is a request's history.
 type auditedRequest struct {
 	answers  int
 	class    *Class // nil for the scenario's only one
 	attempts []auditedAttempt
 }
 
+// auditedAttempt is an attempt's history.
 type auditedAttempt struct {
 	sentAt        time.Duration
 	cell          int
 	zone          int
 	worker        scheduler.WorkerID
 	inFlight      bool
-	neverExecuted bool // it is known not to have run
+	neverExecuted bool // its outcome proves that it did not run
 }
 
+// newAuditor returns an auditor of the scenario's rules. Breaches are reported with their time since clockStart.
 func newAuditor(scenario *Scenario, clockStart time.Duration) *auditor {
 	return &auditor{scenario: scenario, clockStart: clockStart, requests: map[uint64]*auditedRequest{}, drainingSince: map[drainKey]time.Duration{}}
 }
 
+// addBreach records a violation. worker is empty where none is concerned.
 func (a *auditor) addBreach(rule string, now time.Duration, request uint64, worker scheduler.WorkerID, format string, args ...any) {
 	a.breaches = append(a.breaches, Breach{rule, request, worker, now - a.clockStart, fmt.Sprintf(format, args...)})
 }
 
+// auditOf returns the history of a request, a new one if there is none.
 func (a *auditor) auditOf(id uint64) *auditedRequest {
 	audited := a.requests[id]
 	if audited == nil {
@@ -79,10 +85,10 @@
 	return audited
 }
 
-// requestArrived takes a request of a class.
+// requestArrived sets a request's class.
 func (a *auditor) requestArrived(request uint64, class *Class) { a.auditOf(request).class = class }
 
-// classOf are those of a request's class.
+// classOf returns a request's class, or the scenario's only one.
 func (a *auditor) classOf(audited *auditedRequest) Class {
 	if audited.class != nil && len(a.scenario.Traffic.Classes) > 0 {
 		return *audited.class
@@ -90,10 +96,11 @@
 	return a.scenario.Traffic.effectiveClasses()[0]
 }
 
-// answered takes a final answer. A refusal says that a further try is harmless, which it is not where one may have run.
+// answered checks a final answer: it must be the only one, and a rejection, which tells the client that a retry is harmless,
+// is permitted only where no attempt may have executed or where the class makes repeats harmless.
 func (a *auditor) answered(now time.Duration, request uint64, rejected bool) {
 	audited := a.auditOf(request)
-	if class := a.classOf(audited); rejected && class.Effect != scheduler.Idempotent && !(class.Effect == scheduler.IdempotentWithKey && class.Scope == scheduler.ScopeAll) {
+	if class := a.classOf(audited); rejected && !class.repeatHarmless() {
 		for _, earlier := range audited.attempts {
 			if !earlier.neverExecuted {
 				a.addBreach(RuleRepeat, now, request, earlier.worker, "refused though it may have run there")
@@ -105,62 +112,78 @@
 	}
 }
 
-// clientGaveUp tells that a client waits no longer.
+// repeatHarmless reports whether a job of the class may run twice at any two workers without further effect.
+func (c *Class) repeatHarmless() bool {
+	return c.Effect == scheduler.Idempotent || c.Effect == scheduler.IdempotentWithKey && c.Scope == scheduler.ScopeAll
+}
+
+// clientGaveUp checks, once the client's deadline and the slack have passed, that the request was answered.
 func (a *auditor) clientGaveUp(now time.Duration, request uint64) {
 	if a.auditOf(request).answers == 0 {
 		a.addBreach(RuleAnswer, now, request, "", "none came")
 	}
 }
 
-// attemptSent takes an attempt, when its first byte leaves.
-func (a *auditor) attemptSent(now time.Duration, dispatcher int, request uint64, worker scheduler.WorkerID, bay, zone int) {
+// attemptSent checks an attempt when its first byte is sent: against the request's earlier attempts, and against the drain of
+// its worker.
+func (a *auditor) attemptSent(now time.Duration, dispatcher int, request uint64, worker scheduler.WorkerID, cell, zone int) {
 	audited := a.auditOf(request)
 	if len(audited.attempts) >= a.scenario.Rules.MaxAttempts {
 		a.addBreach(RuleRepeat, now, request, worker, "attempt number %d", len(audited.attempts)+1)
 	}
+	class := a.classOf(audited)
+	keyed := class.Effect == scheduler.IdempotentWithKey
 	for _, earlier := range audited.attempts {
-		switch class := a.classOf(audited); {
+		outsideScope := class.Scope == scheduler.ScopeCell && earlier.cell != cell || class.Scope == scheduler.ScopeZone && earlier.zone != zone
+		switch {
 		case earlier.neverExecuted:
 		case earlier.inFlight && !a.scenario.Rules.MayCopy:
 			a.addBreach(RuleRepeat, now, request, worker, "a copy while one is out at %s", earlier.worker)
 		case class.Effect == scheduler.NonIdempotent:
 			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s", earlier.worker)
-		case class.Effect == scheduler.IdempotentWithKey && (class.Scope == scheduler.ScopeCell && earlier.cell != bay || class.Scope == scheduler.ScopeZone && earlier.zone != zone):
+		case keyed && outsideScope:
 			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s of another bay or zone", earlier.worker)
-		case class.Effect == scheduler.IdempotentWithKey && now >= earlier.sentAt+class.Window:
+		case keyed && now >= earlier.sentAt+class.Window:
 			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s, and the window is over", earlier.worker)
 		}
 	}
-	audited.attempts = append(audited.attempts, auditedAttempt{sentAt: now, cell: bay, zone: zone, worker: worker, inFlight: true})
-	if notifiedAt, is := a.drainingSince[(drainKey{dispatcher, worker})]; is && now > notifiedAt+a.scenario.Rules.DrainGrace {
+	audited.attempts = append(audited.attempts, auditedAttempt{sentAt: now, cell: cell, zone: zone, worker: worker, inFlight: true})
+	if notifiedAt, ok := a.drainingSince[drainKey{dispatcher, worker}]; ok && now > notifiedAt+a.scenario.Rules.DrainGrace {
 		a.addBreach(RuleDrain, now, request, worker, "%v after it was told", now-notifiedAt)
 	}
 }
 
-// attemptEnded takes the outcome of an attempt.
+// attemptEnded records an attempt's outcome.
 func (a *auditor) attemptEnded(request uint64, index int, outcome scheduler.Outcome) {
 	if audited := a.auditOf(request); index < len(audited.attempts) {
-		audited.attempts[index].inFlight = false
-		audited.attempts[index].neverExecuted = outcome == scheduler.NeverSent || outcome == scheduler.NoConnect || outcome == scheduler.Full || outcome == scheduler.InvalidRequest
+		attempt := &audited.attempts[index]
+		attempt.inFlight = false
+		switch outcome {
+		case scheduler.NeverSent, scheduler.NoConnect, scheduler.Full, scheduler.InvalidRequest:
+			attempt.neverExecuted = true
+		default:
+			attempt.neverExecuted = false
+		}
 	}
 }
 
-// endpointNotified notes what a dispatcher was endpointNotified of a box.
+// endpointNotified records that a dispatcher was notified of a worker's state. The drain's grace period counts from the first
+// notification that the worker is not ready.
 func (a *auditor) endpointNotified(now time.Duration, dispatcher int, worker scheduler.WorkerID, state scheduler.WorkerState) {
 	key := drainKey{dispatcher, worker}
-	if _, is := a.drainingSince[key]; state == scheduler.Ready {
+	if state == scheduler.Ready {
 		delete(a.drainingSince, key)
-	} else if !is {
+	} else if _, ok := a.drainingSince[key]; !ok {
 		a.drainingSince[key] = now
 	}
 }
 
-// slowStartLoad takes how much a cold box was sent lately, as a multiple of what it can do.
+// slowStartLoad checks the work that a warming worker was sent within the overload window, as a multiple of what it can do.
 func (a *auditor) slowStartLoad(now time.Duration, worker scheduler.WorkerID, request uint64, load, maximum float64) {
 	if load > maximum {
 		a.addBreach(RuleSlowStart, now, request, worker, "sent %.2f times what it can do", load)
 	}
 }
 
-// forget drops what is known of a request that is over.
+// forget drops the history of a request that is over.
 func (a *auditor) forget(request uint64) { delete(a.requests, request) }
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -8,75 +8,96 @@
 	"brassdale/scheduler"
 )
 
-// Policy decides, as the module does: events in, actions out. The actions are read before the next call.
+// Policy decides as the scheduler does: it is given events and returns actions. The caller uses the actions before its next
+// call.
 type Policy interface {
 	Handle(now scheduler.Clock, ev scheduler.Event) []scheduler.Action
 }
 
-// dispatcher carries a policy's actions out, as routing.Core does: it lets nothing through that the core would not.
+// dispatcher carries out a policy's actions as routing.Core does, and drops those that the core would not carry out.
 type dispatcher struct {
 	sim           *simulation
 	index, zone   int
-	idleSince     map[scheduler.WorkerID][]time.Duration // connections, by since when they have been
+	idleSince     map[scheduler.WorkerID][]time.Duration // idle connections, by when they became idle
 	policy        Policy
 	requests      map[scheduler.RequestID]*openRequest
-	knownStarts   map[scheduler.WorkerID]time.Duration // of which start of a box
-	recorder      *failover.Recorder                   // nil where nobody plans
+	knownStarts   map[scheduler.WorkerID]time.Duration // latest start of each worker that it was notified of
+	recorder      *failover.Recorder                   // nil unless zones are planned
 	plan          *failover.Plan
-	endpointsByID map[scheduler.WorkerID]scheduler.WorkerInfo
+	endpointsByID map[scheduler.WorkerID]scheduler.WorkerInfo // nil unless zones are planned
 	subscribed    bool
 	random        *rand.Rand
 }
 
+// openRequest is a request without a final answer, or with attempts in flight.
 type openRequest struct {
 	job        *job
 	expires    time.Duration
 	answered   bool
 	attempts   []*attemptRun
-	inFlight   []bool
-	unfinished int // attempts without an outcome
+	inFlight   []bool // by attempt
+	unfinished int    // attempts in flight
 }
 
-// handle tells the policy an event. Nothing in here feeds again: what an action brings about comes later.
-func (d *dispatcher) handle(ev scheduler.Event) {
-	for _, a := range d.policy.Handle(d.sim.now, ev) {
-		switch a := a.(type) {
+// handle gives the policy an event and carries out its actions. No action calls handle again before handle returns.
+func (d *dispatcher) handle(event scheduler.Event) {
+	for _, action := range d.policy.Handle(d.sim.now, event) {
+		switch action := action.(type) {
 		case scheduler.Send:
-			d.send(a)
+			d.send(action)
 		case scheduler.Cancel:
-			if request := d.requests[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.inFlight[a.Attempt] {
-				attempt := request.attempts[a.Attempt]
-				d.sim.after(d.sim.oneWayDelay(d.zone, d.sim.workerByAttempt(attempt), d.random), func() { d.sim.workerByAttempt(attempt).cancel(attempt) })
-				d.sim.after(0, func() { d.finishAttempt(a.ID, a.Attempt, scheduler.Cancelled) })
-			}
+			d.cancel(action)
 		case scheduler.Reject:
-			d.answer(a.ID, outcomeRejected, a.RetryAfter)
+			d.answer(action.ID, outcomeRejected, action.RetryAfter)
 		case scheduler.Fail:
-			d.answer(a.ID, outcomeFailed, 0)
+			d.answer(action.ID, outcomeFailed, 0)
 		case scheduler.Probe:
-			d.probe(a.Worker)
+			d.probe(action.Worker)
 		case scheduler.Subscribe:
-			switch {
-			case d.subscribed:
-			case d.sim.discoveryDown+d.sim.discoveryHung > 0:
-				d.failPoll()
-			default:
-				d.subscribed = true
-				d.sim.after(d.sim.updateDelay(d.random), func() {
-					if d.subscribed {
-						d.updateEndpoints(scheduler.ListFull, d.sim.endpoints())
-					}
-				})
-			}
+			d.subscribe()
 		case scheduler.SetTimer:
-			d.sim.after(a.After, func() { d.handle(scheduler.TimerFired{Token: a.Token}) })
+			d.sim.after(action.After, func() { d.handle(scheduler.TimerFired{Token: action.Token}) })
 		case scheduler.Log:
-			d.sim.addNote("%v dispatcher %d: %s", d.sim.now-clockStart, d.index, a.Text)
+			d.sim.addNote("%v dispatcher %d: %s", d.sim.now-clockStart, d.index, action.Text)
 		}
 	}
 }
 
-// failPoll has a call to discovery fail: at once where it is down, behind the caller's patience where it hangs.
+// cancel cancels an attempt that is in flight: its outcome is Cancelled at once, and the worker is notified one network delay
+// later.
+func (d *dispatcher) cancel(action scheduler.Cancel) {
+	request := d.requests[action.ID]
+	if request == nil || action.Attempt >= len(request.attempts) || !request.inFlight[action.Attempt] {
+		return
+	}
+	d.cancelAtWorker(request.attempts[action.Attempt])
+	d.sim.after(0, func() { d.finishAttempt(action.ID, action.Attempt, scheduler.Cancelled) })
+}
+
+// cancelAtWorker notifies the attempt's worker, one network delay later, that the attempt is cancelled.
+func (d *dispatcher) cancelAtWorker(attempt *attemptRun) {
+	worker := d.sim.workerByAttempt(attempt)
+	d.sim.after(d.sim.oneWayDelay(d.zone, worker, d.random), func() { worker.cancel(attempt) })
+}
+
+// subscribe begins a watch of the endpoint list: the full list comes after discovery's delay. It fails during a fault of
+// discovery.
+func (d *dispatcher) subscribe() {
+	switch {
+	case d.subscribed:
+	case d.sim.discoveryDown+d.sim.discoveryHung > 0:
+		d.failPoll()
+	default:
+		d.subscribed = true
+		d.sim.after(d.sim.updateDelay(d.random), func() {
+			if d.subscribed {
+				d.updateEndpoints(scheduler.ListFull, d.sim.endpoints())
+			}
+		})
+	}
+}
+
+// failPoll has a poll of discovery fail: after a network delay where discovery is down, after hungPollTimeout where it hangs.
 func (d *dispatcher) failPoll() {
 	delay := d.sim.localDelay(d.random)
 	if d.sim.discoveryDown == 0 {
@@ -88,34 +109,39 @@
 // hungPollTimeout is how long a dispatcher waits for an answer of discovery.
 const hungPollTimeout = 750 * time.Millisecond
 
-// requestArrived takes a client's request.
+// requestArrived takes a client's request. It is rejected if the plan admits it to no zone.
 func (d *dispatcher) requestArrived(job *job, id scheduler.RequestID, expires time.Duration) {
 	d.requests[id] = &openRequest{job: job, expires: expires}
 	d.sim.audit.requestArrived(uint64(id), d.sim.classOf(job))
 	d.sim.after(expires-d.sim.now, func() { d.requestExpired(id) })
 	zones, ok := d.permittedZones(job)
-	if !ok { // shed where it arrives
-		d.sim.after(0, func() { d.answer(id, outcomeRejected, time.Duration((0.5+d.random.Float64())*float64(time.Second))) })
+	if !ok {
+		d.sim.after(0, func() {
+			retryAfter := time.Duration((0.5 + d.random.Float64()) * float64(time.Second))
+			d.answer(id, outcomeRejected, retryAfter)
+		})
 		return
 	}
-	d.handle(scheduler.RequestArrived{ID: id, Class: job.class, Slots: float64(job.slots), EstimatedWork: job.workEstimate, AffinityKey: uint64(job.subject), Deadline: expires, AllowedZones: zones})
+	d.handle(scheduler.RequestArrived{ID: id, Class: job.class, Slots: float64(job.slots), EstimatedWork: job.workEstimate,
+		AffinityKey: uint64(job.subject), Deadline: expires, AllowedZones: zones})
 }
 
-// requestExpired ends what is out when a client gives up.
+// requestExpired ends the attempts in flight of a request whose deadline has come.
 func (d *dispatcher) requestExpired(id scheduler.RequestID) {
 	request := d.requests[id]
 	if request == nil {
 		return
 	}
-	for i := range request.attempts {
+	for i, attempt := range request.attempts {
 		if request.inFlight[i] {
-			attempt := request.attempts[i]
-			d.sim.after(d.sim.oneWayDelay(d.zone, d.sim.workerByAttempt(attempt), d.random), func() { d.sim.workerByAttempt(attempt).cancel(attempt) })
+			d.cancelAtWorker(attempt)
 			d.finishAttempt(id, i, scheduler.TimedOut)
 		}
 	}
 }
 
+// send sends an attempt. Its outcome is NeverSent if the request has ended or has no attempt left, and NoConnect if the worker
+// accepts no further connection.
 func (d *dispatcher) send(action scheduler.Send) {
 	request := d.requests[action.ID]
 	if request == nil {
@@ -123,8 +149,7 @@
 	}
 	worker := d.sim.byID[action.Worker]
 	index := len(request.attempts)
-	attempt := &attemptRun{job: request.job, index: index, source: d, work: request.job.work, zone: d.zone}
-	attempt.worker, attempt.sentAt = action.Worker, d.sim.now
+	attempt := &attemptRun{job: request.job, index: index, worker: action.Worker, source: d, work: request.job.work, zone: d.zone, sentAt: d.sim.now}
 	request.attempts, request.inFlight = append(request.attempts, attempt), append(request.inFlight, true)
 	request.unfinished++
 	if request.answered || d.sim.now >= request.expires || index >= d.sim.scenario.Rules.MaxAttempts || worker == nil {
@@ -153,7 +178,7 @@
 	})
 }
 
-// finishAttempt ends an attempt, once.
+// finishAttempt gives the policy an attempt's outcome. Only the first call for an attempt counts.
 func (d *dispatcher) finishAttempt(id scheduler.RequestID, index int, outcome scheduler.Outcome) {
 	request := d.requests[id]
 	if request == nil || !request.inFlight[index] {
@@ -163,22 +188,23 @@
 	request.unfinished--
 	d.sim.audit.attemptEnded(uint64(id), index, outcome)
 	attempt := request.attempts[index]
+	responded := outcome == scheduler.Served || outcome == scheduler.Full
 	if attempt.hasConnection {
-		d.disconnect(d.sim.workerByAttempt(attempt), outcome == scheduler.Served || outcome == scheduler.Full)
+		d.disconnect(d.sim.workerByAttempt(attempt), responded)
 	}
 	var report *scheduler.Report
-	if outcome == scheduler.Served || outcome == scheduler.Full {
+	if responded {
 		report = attempt.report
 	}
-	d.recordAttempt(attempt, request, outcome)
+	d.recordAttempt(attempt, outcome)
 	if outcome == scheduler.Served {
 		d.answer(id, outcomeServed, 0)
 	}
-	d.handle(scheduler.AttemptFinished{ID: id, Attempt: index, Worker: request.attempts[index].worker, Outcome: outcome, Final: request.answered, Report: report, ConnectionIdle: -1})
+	d.handle(scheduler.AttemptFinished{ID: id, Attempt: index, Worker: attempt.worker, Outcome: outcome, Final: request.answered, Report: report, ConnectionIdle: -1})
 	d.forget(id)
 }
 
-// attemptStarted, over, knows and way make it an origin of attempts.
+// attemptStarted implements attemptSource. The dispatcher does not see it during a partition.
 func (d *dispatcher) attemptStarted(attempt *attemptRun) {
 	if d.partitionedFrom(d.sim.workerByAttempt(attempt)) {
 		return
@@ -191,26 +217,34 @@
 	}
 }
 
+// attemptOver implements attemptSource. The dispatcher does not see it during a partition: the request's deadline ends the
+// attempt.
 func (d *dispatcher) attemptOver(attempt *attemptRun, outcome scheduler.Outcome) {
 	if !d.partitionedFrom(d.sim.workerByAttempt(attempt)) { // else nothing of it is heard before the client gives up
 		d.finishAttempt(attempt.id, attempt.index, outcome)
 	}
 }
+
+// knownStart implements attemptSource.
 func (d *dispatcher) knownStart(id scheduler.WorkerID) time.Duration { return d.knownStarts[id] }
-func (d *dispatcher) delayRandom() *rand.Rand                        { return d.random }
 
-// answer gives the final answer. Whether there was one before is the auditor's to see.
+// delayRandom implements attemptSource.
+func (d *dispatcher) delayRandom() *rand.Rand { return d.random }
+
+// answer gives a request its final answer. A result after another answer is dropped; any other second answer reaches the
+// auditor, which reports it.
 func (d *dispatcher) answer(id scheduler.RequestID, outcome clientOutcome, retryAfter time.Duration) {
 	request := d.requests[id]
-	if request == nil || request.answered && outcome == outcomeServed { // a second result is dropped
+	if request == nil || request.answered && outcome == outcomeServed {
 		return
 	}
 	request.answered = true
 	d.sim.audit.answered(d.sim.now, uint64(id), outcome == outcomeRejected)
-	d.sim.handleAnswer(request.job, id, outcome, retryAfter)
+	d.sim.handleAnswer(request.job, outcome, retryAfter)
 	d.sim.after(0, func() { d.forget(id) })
 }
 
+// forget drops a request that is answered and has no attempt in flight.
 func (d *dispatcher) forget(id scheduler.RequestID) {
 	if request := d.requests[id]; request != nil && request.answered && request.unfinished == 0 {
 		delete(d.requests, id)
@@ -218,7 +252,7 @@
 	}
 }
 
-// updateEndpoints tells the policy of the list.
+// updateEndpoints gives the policy a full endpoint list or a change of it.
 func (d *dispatcher) updateEndpoints(kind scheduler.ListKind, endpoints []scheduler.WorkerInfo) {
 	for _, endpoint := range endpoints {
 		d.sim.audit.endpointNotified(d.sim.now, d.index, endpoint.ID, endpoint.State)
@@ -230,34 +264,29 @@
 	d.handle(scheduler.EndpointsUpdated{ListKind: kind, Workers: endpoints})
 }
 
-// probe asks a box, and takes its silence for an answer after a while.
+// probe sends a worker a probe and gives the policy the result, or TimedOut after probeTimeout.
 func (d *dispatcher) probe(id scheduler.WorkerID) {
 	worker := d.sim.byID[id]
 	d.sim.probesSent++
-	answered := false
-	answer := func(outcome scheduler.Outcome, report *scheduler.Report) {
-		if !answered {
-			answered = true
-			if d.recorder != nil {
-				if outcome == scheduler.Served {
-					d.recorder.ResponseReceived(d.sim.zoneName(worker.zone), d.sim.now)
-				} else {
-					d.recorder.CallUnanswered(d.sim.zoneName(worker.zone), d.sim.now)
-				}
-			}
+	completed := false
+	complete := func(outcome scheduler.Outcome, report *scheduler.Report) {
+		if !completed {
+			completed = true
+			d.recordProbe(worker, outcome)
 			d.handle(scheduler.ProbeCompleted{Worker: id, Outcome: outcome, Report: report})
 		}
 	}
-	d.sim.after(probeTimeout, func() { answer(scheduler.TimedOut, nil) })
+	d.sim.after(probeTimeout, func() { complete(scheduler.TimedOut, nil) })
 	d.sim.after(d.sim.oneWayDelay(d.zone, worker, d.random), func() {
-		worker.answerProbe(func(o scheduler.Outcome, r *scheduler.Report) {
+		worker.answerProbe(func(outcome scheduler.Outcome, report *scheduler.Report) {
 			d.sim.after(d.sim.oneWayDelay(d.zone, worker, d.random), func() {
 				if !d.partitionedFrom(worker) {
-					answer(o, r)
+					complete(outcome, report)
 				}
 			})
 		})
 	})
 }
 
+// probeTimeout is how long a dispatcher waits for the result of a probe.
 const probeTimeout = 300 * time.Millisecond
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// engine is virtual time: what is due next is done next, and what is due at one time in the order it was asked for.
-// Run live, it does what is due by a real clock, and what others post in between.
+// engine runs tasks in virtual time: in the order of their times, and those of one time in the order they were scheduled.
+// Run live, it runs tasks by the real clock, and the actions that other goroutines post between them.
 type engine struct {
 	now   time.Duration
 	seq   uint64
@@ -16,38 +16,46 @@
 
 	mu     sync.Mutex
 	posted []func()
-	wake   chan struct{} // room for one
+	wake   chan struct{} // of capacity one; signals that posted is not empty
 }
 
+// task is an action and when it is due. seq orders tasks of one time.
 type task struct {
 	at     time.Duration
 	seq    uint64
 	action func()
 }
 
+// taskQueue is a heap of tasks; it implements heap.Interface.
 type taskQueue []task
 
-func (a taskQueue) Len() int { return len(a) }
-func (a taskQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q taskQueue) Len() int { return len(q) }
+
+func (q taskQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a taskQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *taskQueue) Push(x any)   { *a = append(*a, x.(task)) }
-func (a *taskQueue) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	(*a)[last] = task{}
-	*a = (*a)[:last]
-	return x
+
+func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *taskQueue) Push(x any) { *q = append(*q, x.(task)) }
+
+// Pop implements heap.Interface.
+func (q *taskQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	(*q)[last] = task{} // releases the action
+	*q = (*q)[:last]
+	return popped
 }
 
-// after has something done after a span.
+// after schedules an action. A negative delay counts as none.
 func (e *engine) after(delay time.Duration, action func()) {
 	e.seq++
 	heap.Push(&e.tasks, task{e.now + max(delay, 0), e.seq, action})
 }
 
-// run goes on until nothing is left to do, or a time.
+// run runs tasks until none is left or the next is due after the given time, to which it then advances the clock.
 func (e *engine) run(until time.Duration) {
 	for len(e.tasks) > 0 && e.tasks[0].at <= until {
 		next := heap.Pop(&e.tasks).(task)
@@ -57,7 +65,7 @@
 	e.now = max(e.now, until)
 }
 
-// post has something done soon by a live engine. It may be called by anybody and does not block.
+// post has a live engine run an action soon. It may be called by any goroutine and does not block.
 func (e *engine) post(action func()) {
 	e.mu.Lock()
 	e.posted = append(e.posted, action)
@@ -68,8 +76,8 @@
 	}
 }
 
-// live does what is due by the real clock, which shows start at begin, until the context ends. behind is called after
-// each batch.
+// live runs tasks by the real clock, which shows clockStart at startedAt, until the context ends. It calls afterBatch after
+// each batch of tasks.
 func (e *engine) live(ctx context.Context, clockStart time.Duration, startedAt time.Time, afterBatch func()) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"cmp"
 	"fmt"
 	"math/rand/v2"
 	"time"
@@ -10,105 +9,131 @@
 	"brassdale/scheduler"
 )
 
-// Failover is who decides to which zone a job goes, in virtual time. A council is a planner that hears of each dispatcher
-// once a second, late, and whose plans come late too; that it agrees is not modelled here but by processes (internal/faults).
+// Failover is how a job's zone is chosen. In mode "plan" one planner receives each dispatcher's reports and sends its plans
+// back, both with a delay; the agreement among planners is not modelled here but tested with processes (internal/faults).
 type Failover struct {
-	Mode     string // "" each dispatcher by itself, "near" its own zone alone, "spread" all alike, "plan" in common
+	Mode     string // "" each dispatcher's policy, "near" its own zone, "spread" a random zone, "plan" by the planner
 	Headroom float64
-	ReturnIn time.Duration
+	ReturnIn time.Duration // ramp of a recovered zone's share
 	Detect   time.Duration
-	Step     float64
+	Step     float64 // most that a share changes in a second
 }
 
-// zonePlanning is the planner with its clients.
+// zonePlanning is the planner and what is measured of its plans.
 type zonePlanning struct {
 	planner       *failover.Planner
 	random        *rand.Rand
 	planChanges   int
-	movedAfter    time.Duration // when a plan first had nothing in the first zone that was lost; 0 for never
-	restoredAfter time.Duration // and when it had as much there as before again
-	zoneLoss      *Fault
-	shareBefore   float64
+	zoneLoss      *Fault        // the scenario's first loss of a zone; nil for none
+	shareBefore   float64       // of the lost zone's jobs, planned into it before the loss
+	movedAfter    time.Duration // from the loss until no job was planned into the zone; 0 for never
+	restoredAfter time.Duration // from the fault's end until the share was restored; 0 for never
 }
 
-// zoneLoad is what came to a zone's boxes, and what they could do, by second.
-type zoneLoad struct{ workReceived, workCapacity []float64 }
-
+// zoneName returns the name of the zone with the given index.
 func (sim *simulation) zoneName(zone int) string { return fmt.Sprint("z", zone) }
 
+// region returns the name of a zone's region.
 func (sim *simulation) region(zone int) string {
 	regions := max(sim.scenario.Network.Regions, 1)
 	return fmt.Sprint("r", zone*regions/max(sim.scenario.Network.Zones, 1))
 }
 
-// startPlanning sets up who decides, and counts what zones could do.
+// startPlanning starts the sampling of zone loads and, in mode "plan", the planner with its reports.
 func (sim *simulation) startPlanning() {
-	settings := &sim.scenario.Failover
 	sim.after(0, sim.sampleZones)
-	if settings.Mode != "plan" {
+	if sim.scenario.Failover.Mode != "plan" {
 		return
 	}
-	regions := map[string]string{}
-	for zone := range sim.scenario.Network.Zones {
-		regions[sim.zoneName(zone)] = sim.region(zone)
+	sim.planning = sim.newZonePlanning()
+	for _, dispatcher := range sim.dispatchers {
+		dispatcher.recorder = failover.NewRecorder(fmt.Sprint("n", dispatcher.index), sim.zoneName(dispatcher.zone), sim.now)
+		dispatcher.endpointsByID = map[scheduler.WorkerID]scheduler.WorkerInfo{}
+		sim.after(time.Duration(sim.planning.random.Float64()*float64(time.Second)), dispatcher.reportToPlanner)
 	}
-	sim.planning = &zonePlanning{random: sim.randomSource(4), planner: failover.NewPlanner(failover.Settings{Headroom: settings.Headroom, RecoveryRamp: settings.ReturnIn, DetectionTime: settings.Detect, MaxShiftPerSecond: settings.Step,
+	sim.after(time.Second, sim.updatePlan)
+}
+
+// newZonePlanning returns the planner for the scenario's zones and regions.
+func (sim *simulation) newZonePlanning() *zonePlanning {
+	configured := &sim.scenario.Failover
+	settings := failover.Settings{
+		Headroom:          configured.Headroom,
+		RecoveryRamp:      configured.ReturnIn,
+		DetectionTime:     configured.Detect,
+		MaxShiftPerSecond: configured.Step,
 		Distance: func(from, to string) float64 {
 			if from == to {
 				return 0
 			}
 			return 1
-		}}, regions, nil, sim.now)}
+		},
+	}
+	regions := map[string]string{}
+	for zone := range sim.scenario.Network.Zones {
+		regions[sim.zoneName(zone)] = sim.region(zone)
+	}
+	planning := &zonePlanning{random: sim.randomSource(plannerSource), planner: failover.NewPlanner(settings, regions, nil, sim.now)}
 	for i := range sim.scenario.Faults {
-		if sim.scenario.Faults[i].Kind == ZoneLost && sim.planning.zoneLoss == nil {
-			sim.planning.zoneLoss = &sim.scenario.Faults[i]
+		if sim.scenario.Faults[i].Kind == ZoneLost {
+			planning.zoneLoss = &sim.scenario.Faults[i]
+			break
 		}
 	}
-	for _, dispatcher := range sim.dispatchers {
-		dispatcher.recorder, dispatcher.endpointsByID = failover.NewRecorder(fmt.Sprint("n", dispatcher.index), sim.zoneName(dispatcher.zone), sim.now), map[scheduler.WorkerID]scheduler.WorkerInfo{}
-		sim.after(time.Duration(sim.planning.random.Float64()*float64(time.Second)), dispatcher.reportToPlanner)
-	}
-	sim.after(time.Second, sim.updatePlan)
+	return planning
 }
 
 const (
-	plannerReportInterval = 500 * time.Millisecond // with each renewal of a lease of two seconds
+	plannerReportInterval = 500 * time.Millisecond // as with each renewal of a lease of two seconds
 	planInterval          = 250 * time.Millisecond
-	maxReportDelay        = 200 * time.Millisecond // at the most: a renewal that goes by a seat
+	maxReportDelay        = 200 * time.Millisecond // of a renewal that a follower forwards
+
+	// Plans reach the last dispatcher 0.1 s late at 50 processes and 0.7 s at 300, as measured.
+	minPlanDelay           = 100 * time.Millisecond
+	planDelayPerDispatcher = 2 * time.Millisecond
+
+	movedShare       = 0.01 // planned share of a lost zone below which its jobs count as moved
+	restoredShareGap = 0.02 // of the share before, within which it counts as restored
 )
 
-// maxPlanDelay is how late a plan reaches the last dispatcher: 0.1 s at 50 processes, 0.7 s at 300, as measured.
+// maxPlanDelay returns how late a plan reaches the last dispatcher.
 func (sim *simulation) maxPlanDelay() time.Duration {
-	return 100*time.Millisecond + time.Duration(sim.scenario.Dispatchers)*2*time.Millisecond
+	return minPlanDelay + time.Duration(sim.scenario.Dispatchers)*planDelayPerDispatcher
 }
 
-// reportToPlanner tells the council.
+// reportToPlanner sends the planner the dispatcher's view of zone capacities and responses, and again after
+// plannerReportInterval.
 func (d *dispatcher) reportToPlanner() {
-	sim := d.sim
+	sim, slowStart := d.sim, &d.sim.scenario.SlowStart
 	capacity := map[string]float64{}
-	for _, info := range d.endpointsByID {
-		if info.State == scheduler.Ready {
-			age := sim.scenario.SlowStart.For
-			if info.StartedAt > 0 {
-				age = sim.now - info.StartedAt
+	for _, endpoint := range d.endpointsByID {
+		if endpoint.State == scheduler.Ready {
+			age := slowStart.For
+			if endpoint.StartedAt > 0 {
+				age = sim.now - endpoint.StartedAt
 			}
-			capacity[sim.zoneName(info.Zone)] += failover.Capacity(info.Weight, sim.scenario.SlowStart.Capacity, age, sim.scenario.SlowStart.For)
+			capacity[sim.zoneName(endpoint.Zone)] += failover.Capacity(endpoint.Weight, slowStart.Capacity, age, slowStart.For)
 		}
 	}
+	d.countUnanswered()
+	report := d.recorder.Report(sim.now, capacity)
+	sim.after(time.Duration(d.random.Float64()*float64(maxReportDelay)), func() { sim.planning.planner.AddReport(report, sim.now) })
+	sim.after(plannerReportInterval, d.reportToPlanner)
+}
+
+// countUnanswered records, once for each, the attempts in flight that have had no response for failover.NoResponseAfter.
+func (d *dispatcher) countUnanswered() {
 	for _, request := range d.requests {
 		for i, attempt := range request.attempts {
-			if request.inFlight[i] && !attempt.countedUnanswered && attempt.startHeardAt == 0 && sim.now-attempt.sentAt > failover.NoResponseAfter {
+			if request.inFlight[i] && !attempt.countedUnanswered && attempt.startHeardAt == 0 && d.sim.now-attempt.sentAt > failover.NoResponseAfter {
 				attempt.countedUnanswered = true
-				d.recorder.CallUnanswered(sim.zoneName(sim.workerByAttempt(attempt).zone), sim.now)
+				d.recorder.CallUnanswered(d.sim.zoneName(d.sim.workerByAttempt(attempt).zone), d.sim.now)
 			}
 		}
 	}
-	r := d.recorder.Report(sim.now, capacity)
-	sim.after(time.Duration(d.random.Float64()*float64(maxReportDelay)), func() { sim.planning.planner.AddReport(r, sim.now) })
-	sim.after(plannerReportInterval, d.reportToPlanner)
 }
 
-// updatePlan has a plan made, and gives it to all.
+// updatePlan has the planner make its next plan, sends it to all dispatchers, and repeats after planInterval.
 func (sim *simulation) updatePlan() {
 	planning := sim.planning
 	plan, made := planning.planner.Next(sim.now)
@@ -119,26 +144,32 @@
 		}
 	}
 	if planning.zoneLoss != nil && plan != nil {
-		at, zone := clockStart+planning.zoneLoss.At, sim.zoneName(planning.zoneLoss.Zone-1)
-		share := plan.Share(zone, className, zone)
-		switch {
-		case sim.now < at:
-			planning.shareBefore = share
-		case planning.movedAfter == 0 && share < 0.01:
-			planning.movedAfter = sim.now + sim.maxPlanDelay() - at
-		case planning.movedAfter > 0 && planning.restoredAfter == 0 && sim.now > at+planning.zoneLoss.For && share >= planning.shareBefore-0.02:
-			planning.restoredAfter = sim.now - at - planning.zoneLoss.For
-		}
+		sim.measurePlan(plan)
 	}
 	sim.after(planInterval, sim.updatePlan)
 }
 
-// permittedZones gives the zones that a job may go to; not ok where it is shed.
+// measurePlan measures when a plan moves the jobs out of the lost zone, and when it restores their share.
+func (sim *simulation) measurePlan(plan *failover.Plan) {
+	planning, loss := sim.planning, sim.planning.zoneLoss
+	lostAt, zone := clockStart+loss.At, sim.zoneName(loss.Zone-1)
+	share := plan.Share(zone, className, zone)
+	switch {
+	case sim.now < lostAt:
+		planning.shareBefore = share
+	case planning.movedAfter == 0 && share < movedShare:
+		planning.movedAfter = sim.now + sim.maxPlanDelay() - lostAt
+	case planning.movedAfter > 0 && planning.restoredAfter == 0 && sim.now > lostAt+loss.For && share >= planning.shareBefore-restoredShareGap:
+		planning.restoredAfter = sim.now - lostAt - loss.For
+	}
+}
+
+// permittedZones returns the zones that a job may go to, a bit for each, 0 for any; and false if the plan sheds the job.
 func (d *dispatcher) permittedZones(job *job) (zones uint64, ok bool) {
 	sim := d.sim
 	class := sim.classNameOf(job)
 	if d.recorder != nil {
-		d.recorder.JobArrived(class, sim.classes[job.class].PriorityWeight)
+		d.recorder.JobArrived(class, sim.classOf(job).PriorityWeight)
 	}
 	switch sim.scenario.Failover.Mode {
 	case "near":
@@ -146,10 +177,10 @@
 	case "spread":
 		return 1 << d.random.IntN(max(sim.scenario.Network.Zones, 1)), true
 	case "plan":
-		zone, ok := d.plan.Choose(sim.zoneName(d.zone), class, d.random.Float64())
-		for z := range sim.scenario.Network.Zones {
-			if sim.zoneName(z) == zone {
-				zones = 1 << z
+		chosen, ok := d.plan.Choose(sim.zoneName(d.zone), class, d.random.Float64())
+		for zone := range sim.scenario.Network.Zones {
+			if sim.zoneName(zone) == chosen {
+				zones = 1 << zone
 			}
 		}
 		return zones, ok
@@ -157,134 +188,38 @@
 	return 0, true
 }
 
-// recordAttempt counts a call's end.
-func (d *dispatcher) recordAttempt(attempt *attemptRun, o *openRequest, outcome scheduler.Outcome) {
-	sim := d.sim
+// recordAttempt records an attempt's outcome for the planner. Not counted are attempts that were not sent, those cancelled
+// after their start or too early to expect a response, and those already counted as unanswered.
+func (d *dispatcher) recordAttempt(attempt *attemptRun, outcome scheduler.Outcome) {
+	if d.recorder == nil || outcome == scheduler.NeverSent {
+		return
+	}
+	sim, job := d.sim, attempt.job
 	zone := sim.zoneName(sim.workerByAttempt(attempt).zone)
 	switch {
-	case d.recorder == nil, outcome == scheduler.NeverSent, outcome == scheduler.Cancelled && (attempt.startHeardAt > 0 || sim.now-attempt.sentAt < failover.NoResponseAfter/4), attempt.countedUnanswered && outcome == scheduler.TimedOut:
+	case outcome == scheduler.Cancelled && (attempt.startHeardAt > 0 || sim.now-attempt.sentAt < failover.NoResponseAfter/4):
+		return
+	case outcome == scheduler.TimedOut && attempt.countedUnanswered:
 		return
 	case outcome == scheduler.Cancelled, outcome == scheduler.TimedOut, outcome == scheduler.NoConnect, outcome == scheduler.Reset:
 		d.recorder.CallUnanswered(zone, sim.now)
 		return
 	}
-	ran := time.Duration(0)
+	slotTime := time.Duration(0)
 	if outcome == scheduler.Served && attempt.startHeardAt > 0 {
-		ran = time.Duration(float64(sim.now-attempt.startHeardAt) * float64(attempt.job.slots))
+		slotTime = time.Duration(float64(sim.now-attempt.startHeardAt) * float64(job.slots))
 	}
-	d.recorder.CallEnded(zone, sim.classNameOf(attempt.job), outcome == scheduler.Full, outcome == scheduler.Served && sim.withinObjective(attempt.job, sim.now-attempt.job.firstRequestedAt), ran, sim.now)
+	inTime := outcome == scheduler.Served && sim.withinObjective(job, sim.now-job.firstRequestedAt)
+	d.recorder.CallEnded(zone, sim.classNameOf(job), outcome == scheduler.Full, inTime, slotTime, sim.now)
 }
 
-// classNameOf is a job's class by name.
-func (sim *simulation) classNameOf(job *job) string {
-	return cmp.Or(sim.classes[job.class].Name, className)
-}
-
-// partitionedFrom tells whether nothing goes between the dispatcher and a box.
-func (d *dispatcher) partitionedFrom(worker *worker) bool {
-	return d.sim.partitions[[2]int{d.zone, worker.zone}] > 0
-}
-
-// applyZoneFault plays a zone's fault.
-func (sim *simulation) applyZoneFault(fault Fault) {
-	zone := fault.Zone - 1
-	switch fault.Kind {
-	case Apart:
-		sim.partitions[[2]int{fault.From - 1, zone}]++
-		sim.after(fault.For, func() { sim.partitions[[2]int{fault.From - 1, zone}]-- })
-	case Far:
-		sim.delayFactor[zone] = fault.Size
-		sim.after(fault.For, func() { sim.delayFactor[zone] = 0 })
-	case ZoneLost:
-		for _, worker := range sim.workers {
-			if worker.zone != zone {
-				continue
-			}
-			worker.partitioned++
-			sim.after(fault.For, func() {
-				worker.endFault(Partition)
-				worker.startedAt, worker.recentArrivals = sim.now, nil
-				sim.publishWorker(worker)
-			})
-		}
-	}
-}
-
-// sampleZones notes once a second what each zone's boxes can do.
-func (sim *simulation) sampleZones() {
-	for zone := range sim.zoneLoads {
-		capacity := 0.0
-		for _, worker := range sim.workers {
-			if worker.zone == zone && !worker.down && worker.partitioned == 0 && worker.state != scheduler.Gone {
-				capacity += float64(worker.slots) * worker.speed * worker.warmupFactor()
-			}
-		}
-		sim.zoneLoads[zone].workCapacity = append(sim.zoneLoads[zone].workCapacity, capacity)
-		sim.zoneLoads[zone].workReceived = append(sim.zoneLoads[zone].workReceived, 0)
-	}
-	sim.after(time.Second, sim.sampleZones)
-}
-
-// recordZoneWork counts work that came to a zone's boxes.
-func (sim *simulation) recordZoneWork(worker *worker, work float64) {
-	if load := &sim.zoneLoads[worker.zone]; len(load.workReceived) > 0 {
-		load.workReceived[len(load.workReceived)-1] += work
-	}
-}
-
-// peakWindowSeconds spans: work that comes is uneven from one second to the next.
-const peakWindowSeconds = 5
-
-// peakZoneLoad is the most that came to a zone's boxes, as a share of what they could do, while they could do anything.
-func (sim *simulation) peakZoneLoad() (peak float64) {
-	for _, load := range sim.zoneLoads {
-		for i := peakWindowSeconds; i < len(load.workReceived); i++ {
-			received, capacity := 0.0, 0.0
-			for k := i - peakWindowSeconds; k < i; k++ {
-				received += load.workReceived[k]
-				capacity += load.workCapacity[k]
-			}
-			available := true // cold or warm, but there all the time
-			for k := i - peakWindowSeconds; k < i; k++ {
-				available = available && load.workCapacity[k] > 0
-			}
-			if available {
-				peak = max(peak, received/capacity)
-			}
-		}
-	}
-	return peak
-}
-
-// secondStats is what was asked for in one, and what of it was in time.
-type secondStats struct{ workRequested, workInTime float64 }
-
-// recordBySecond enters a job's end where its client asked.
-func (sim *simulation) recordBySecond(job *job, outcome clientOutcome) {
-	second := int((job.firstRequestedAt - clockStart - dispatcherLeadTime) / time.Second)
-	for len(sim.statsBySecond) <= second {
-		sim.statsBySecond = append(sim.statsBySecond, secondStats{})
-	}
-	if second < 0 {
-		return
-	}
-	sim.statsBySecond[second].workRequested += sim.weightedWork(job)
-	if outcome == outcomeServed && sim.withinObjective(job, sim.now-job.firstRequestedAt) {
-		sim.statsBySecond[second].workInTime += sim.weightedWork(job)
-	}
-}
-
-// Within is the share of worth in time of what was asked for between two times of the run.
-func (r *Result) Within(from, to time.Duration) float64 {
-	var sum secondStats
-	for i, s := range r.Seconds {
-		if at := time.Duration(i) * time.Second; at >= from && at < to {
-			sum.workRequested += s.workRequested
-			sum.workInTime += s.workInTime
-		}
-	}
-	if sum.workRequested == 0 {
-		return 1
+// recordProbe records a probe's outcome for the planner.
+func (d *dispatcher) recordProbe(worker *worker, outcome scheduler.Outcome) {
+	switch {
+	case d.recorder == nil:
+	case outcome == scheduler.Served:
+		d.recorder.ResponseReceived(d.sim.zoneName(worker.zone), d.sim.now)
+	default:
+		d.recorder.CallUnanswered(d.sim.zoneName(worker.zone), d.sim.now)
 	}
-	return sum.workInTime / sum.workRequested
 }
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -7,8 +7,8 @@
 	"brassdale/scheduler"
 )
 
-// towns is a works of four zones in two regions at six tenths of what it can do, of which one is lost for 20 s.
-func towns(seed uint64, mode string) Scenario {
+// fourZones is a cluster of four zones in two regions at six tenths of its capacity; one zone is lost for 20 s.
+func fourZones(seed uint64, mode string) Scenario {
 	s := LlanelliWorks(seed)
 	s.Span, s.Dispatchers = 100*time.Second, 12
 	s.Kinds = []Kind{{"box", 24, 5, 0.9, 1.1, false}}
@@ -20,27 +20,26 @@
 	return s
 }
 
-// A zone is lost and comes back cold. Planned, no zone is pushed over what it can do, jobs cross for no longer than they
-// have to, nothing is planned into the lost zone after three seconds, and more is served than by the nearest zone alone or
-// by spreading; no rule is broken.
+// TestZoneLost: a zone is lost and comes back warming up. With a plan, no zone receives more than its capacity, nothing is planned
+// into the lost zone after four seconds, more is served than by the nearest zone alone or by spreading, and no rule is broken.
 func TestZoneLost(t *testing.T) {
-	got := map[string]*Result{}
+	results := map[string]*Result{}
 	for _, mode := range []string{"", "near", "spread", "plan"} {
-		r, err := Run(towns(3, mode), module)
+		r, err := Run(fourZones(3, mode), schedulerPolicy)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got[mode] = r
+		results[mode] = r
 		t.Logf("%-6q before %.3f, in the loss %.3f, behind it %.3f; crossings %.2f, zone's peak %.2f, p99 %v, plans %d, moved %v, back %v, breaches %d", mode,
 			r.Within(5*time.Second, 20*time.Second), r.Within(23*time.Second, 40*time.Second), r.Within(40*time.Second, 70*time.Second), r.Crossings, r.ZonePeak, r.P99, r.PlanChanges, r.Moved, r.Back, len(r.Breaches))
 	}
-	p := got["plan"]
-	if len(p.Breaches) > 0 || p.ZonePeak > 1.05 || p.Moved == 0 || p.Moved > 4*time.Second || p.Back < 20*time.Second {
-		t.Errorf("%+v %v", p.Breaches, p.Moved)
+	planned := results["plan"]
+	if len(planned.Breaches) > 0 || planned.ZonePeak > 1.05 || planned.Moved == 0 || planned.Moved > 4*time.Second || planned.Back < 20*time.Second {
+		t.Errorf("%+v %v", planned.Breaches, planned.Moved)
 	}
 	for _, mode := range []string{"near", "spread"} {
-		if p.Service < got[mode].Service {
-			t.Errorf("%s serves %v, the plan %v", mode, got[mode].Service, p.Service)
+		if planned.Service < results[mode].Service {
+			t.Errorf("%s serves %v, the plan %v", mode, results[mode].Service, planned.Service)
 		}
 	}
 }
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -15,8 +15,8 @@
 	"brassdale/internal/load"
 )
 
-// program builds the dispatcher's program for a test.
-func program(t testing.TB) string {
+// buildProgram builds the dispatcher and returns the path of its binary.
+func buildProgram(t testing.TB) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "brassdale")
 	if out, err := exec.Command("go", "build", "-o", path, "brassdale/cmd/brassdale").CombinedOutput(); err != nil {
@@ -25,7 +25,7 @@
 	return path
 }
 
-// Real dispatchers on sockets keep the rules through faults at the socket, and serve nearly all, as the model says.
+// TestOnSockets: real dispatchers keep the rules through faults, and serve nearly all jobs, as in virtual time.
 func TestOnSockets(t *testing.T) {
 	s := LlanelliWorks(3)
 	s.Span = 4 * time.Second
@@ -33,25 +33,25 @@
 	s.Faults = []Fault{{At: time.Second, For: time.Second, Kind: Reset, Share: 0.3}, {At: 1500 * time.Millisecond, For: time.Second, Kind: Partition, Share: 0.1},
 		{At: 2 * time.Second, For: time.Second, Kind: Restart, Share: 0.1}, {At: 2500 * time.Millisecond, For: time.Second, Kind: Drain, Share: 0.2},
 		{At: 500 * time.Millisecond, For: 1500 * time.Millisecond, Kind: ListDown, Share: 1}, {At: 2500 * time.Millisecond, For: 500 * time.Millisecond, Kind: ListHung, Share: 1}}
-	binary := program(t)
-	r, err := counted(t, func() (*Result, error) { return Play(t.Context(), s, binary) })
+	binary := buildProgram(t)
+	r, err := playUntilUsable(t, func() (*Result, error) { return Play(t.Context(), s, binary) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, b := range r.Breaches {
 		t.Error(b)
 	}
-	v := mustRun(t, s, module)
-	if r.Jobs < 150 || r.Service < v.Service-0.1 || r.Sends > v.Sends+0.3 {
-		t.Errorf("on sockets %+v, by the model %+v", r, v)
+	virtual := mustRun(t, s, schedulerPolicy)
+	if r.Jobs < 150 || r.Service < virtual.Service-0.1 || r.Sends > virtual.Sends+0.3 {
+		t.Errorf("on sockets %+v, by the model %+v", r, virtual)
 	}
 
-	// One that cannot start, and Ctrl-C in the middle: what was measured is given with the error.
+	// A program that cannot start, and a context that ends: the result until then comes with the error.
 	if _, err := Play(t.Context(), s, filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("a program that is not there played")
 	}
 	s.Span, s.Faults = time.Hour, nil
-	r, err = counted(t, func() (*Result, error) {
+	r, err = playUntilUsable(t, func() (*Result, error) {
 		ctx, stop := context.WithDeadline(t.Context(), time.Now().Add(2*time.Second))
 		defer stop()
 		return Play(ctx, s, binary)
@@ -61,9 +61,9 @@
 	}
 }
 
-// counted plays until the generator has kept to its plan, five times at the most: where it fell behind it was the machine that
-// was late, and the play tells nothing of the program.
-func counted(t *testing.T, play func() (*Result, error)) (r *Result, err error) {
+// playUntilUsable plays until the load generator has kept its plan, five times at most: where it fell behind, the machine was
+// late, and the result says nothing of the program.
+func playUntilUsable(t *testing.T, play func() (*Result, error)) (r *Result, err error) {
 	t.Helper()
 	for range 5 {
 		if r, err = play(); !errors.Is(err, load.ErrUnusable) {
@@ -74,19 +74,19 @@
 	return r, err
 }
 
-// The auditor sees on sockets what a client of the boxes does wrong: a job to a box long after its drain was told, and a
-// repeat in another bay.
+// TestAuditOnSockets: the auditor finds a job sent to a worker long after the notification of its drain, and a repeat in another
+// cell.
 func TestAuditOnSockets(t *testing.T) {
 	s := LlanelliWorks(1)
 	s.Discovery, s.Dispatchers = time.Millisecond, 1
 	s.Rules.DrainGrace = 0
 	s.Faults = []Fault{{At: 0, For: time.Hour, Kind: Drain, Share: 1}}
-	k, err := Open(s)
+	cluster, err := Open(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
-	text, err := k.Config(0)
+	defer cluster.Close()
+	text, err := cluster.Config(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,24 +117,24 @@
 	}
 	post(first, "one")
 	post(other, "one")
-	k.StartFaults()
+	cluster.StartFaults()
 	revision := file.Known.Revision
-	for told := 0; told < len(file.Known.Members); { // the watch tells that all drain
+	for told := 0; told < len(file.Known.Members); { // until the watch has notified of all drains
 		resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?index=%d&wait=5000", file.Discovery, revision))
 		if err != nil {
 			t.Fatal(err)
 		}
-		var l wireList
-		if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
+		var answer wireList
+		if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		revision, told = l.Revision, told+len(l.Members)
+		revision, told = answer.Revision, told+len(answer.Members)
 	}
-	time.Sleep(2 * socketSlack) // the grace itself
+	time.Sleep(2 * socketSlack) // past the grace period
 	post(first, "two")
 	rules := map[string]int{}
-	for _, b := range k.Now().Breaches {
+	for _, b := range cluster.Now().Breaches {
 		rules[b.Rule]++
 	}
 	if rules[RuleRepeat] != 1 || rules[RuleDrain] != 1 {
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -1,25 +1,24 @@
-// Package policy holds plain ways to pick a worker, to compare the module with. Each has the module's interface. Only the
-// emulator links them.
+// Package policy has textbook load balancing policies to compare the scheduler with. They implement emulator.Policy.
 //
-// They send each request once, to a worker that is listed as ready, and fail what does not come back; none looks at cold
-// workers, keys or silence. What they know is what a textbook lets them know.
+// They send each request to one worker that is listed as ready, send it to another only where a worker rejects it, and fail it
+// where the attempt fails. None of them considers slow start, affinity keys or missing responses.
 package policy
 
 import (
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"brassdale/scheduler"
 )
 
-// Names are the policies that there are.
+// Names returns the names of the policies.
 func Names() []string {
 	return []string{"random", "round-robin", "least-outstanding", "two-choices", "lu", "lud"}
 }
 
-// New makes a policy by its name; nil where there is none of the name.
+// New returns the policy of the given name, or nil if there is none. It draws from a random source with the given seed.
 func New(name string, settings scheduler.Settings, seed uint64) *Plain {
-	plain := &Plain{maxAttempts: settings.MaxAttempts, mayProbe: settings.MayProbe, rng: rand.New(rand.NewPCG(seed, 0)), workers: map[scheduler.WorkerID]*worker{}}
 	pick, ok := map[string]func(*Plain) *worker{
 		"random":            (*Plain).random,
 		"round-robin":       (*Plain).roundRobin,
@@ -31,79 +30,101 @@
 	if !ok {
 		return nil
 	}
-	plain.pick = pick
-	return plain
+	return &Plain{
+		pick:        pick,
+		rng:         rand.New(rand.NewPCG(seed, 0)),
+		workers:     map[scheduler.WorkerID]*worker{},
+		mayProbe:    settings.MayProbe,
+		maxAttempts: settings.MaxAttempts,
+	}
 }
 
-// Plain is a policy.
+// Plain is a policy that picks a worker by one rule. It is not safe for use by several goroutines.
 type Plain struct {
 	pick        func(*Plain) *worker
 	rng         *rand.Rand
 	workers     map[scheduler.WorkerID]*worker
 	ready       []*worker // by id
-	nextIndex   int
+	nextIndex   int       // in ready, for round robin
 	subscribed  bool
 	mayProbe    bool
-	maxAttempts int // attempts for a request
+	maxAttempts int // for a request
 }
 
+// worker is what a policy knows of a worker. Loads are shares of its slots that are busy.
 type worker struct {
 	id            scheduler.WorkerID
 	slots         float64
-	inFlight      int
-	reportedLoad  float64 // LU: the load that it told of last
-	estimatedLoad float64 // LUD: the load that it told of last, and what was pushed since
+	inFlight      int     // attempts
+	reportedLoad  float64 // of the latest report
+	estimatedLoad float64 // reportedLoad, and a slot for each attempt sent since
 }
 
-const probeInterval = 1e9 // of each worker, where reports come by probes
+// probeInterval is the time between probes of a worker, where probes are permitted.
+const probeInterval = time.Second
 
-// Handle is the module's.
-func (p *Plain) Handle(_ scheduler.Clock, event scheduler.Event) (actions []scheduler.Action) {
+// Handle implements emulator.Policy.
+func (p *Plain) Handle(_ scheduler.Clock, event scheduler.Event) []scheduler.Action {
 	switch event := event.(type) {
 	case scheduler.EndpointsUpdated:
 		p.updateEndpoints(event)
 		if !p.subscribed {
 			p.subscribed = true
-			actions = append(actions, scheduler.Subscribe{}, scheduler.SetTimer{After: probeInterval})
+			return []scheduler.Action{scheduler.Subscribe{}, scheduler.SetTimer{After: probeInterval}}
 		}
 	case scheduler.TimerFired:
-		if !p.mayProbe {
-			return nil
-		}
-		for _, worker := range p.ready {
-			actions = append(actions, scheduler.Probe{Worker: worker.id})
-		}
-		actions = append(actions, scheduler.SetTimer{After: probeInterval})
+		return p.probe()
 	case scheduler.ProbeCompleted:
-		// Least Used with Degradation: a report sets the value, each push raises it by what one job takes.
-		if w := p.workers[event.Worker]; w != nil && event.Report != nil && event.Report.Busy >= 0 {
-			w.reportedLoad, w.estimatedLoad = event.Report.Busy, event.Report.Busy
-		}
+		p.recordReport(p.workers[event.Worker], event.Report)
 	case scheduler.RequestArrived:
 		if len(p.ready) == 0 {
 			return []scheduler.Action{scheduler.Reject{ID: event.ID}}
 		}
 		return p.send(event.ID)
 	case scheduler.AttemptFinished:
-		if w := p.workers[event.Worker]; w != nil {
-			if w.inFlight--; event.Report != nil && event.Report.Busy >= 0 {
-				w.reportedLoad, w.estimatedLoad = event.Report.Busy, event.Report.Busy
-			}
-		}
-		switch {
-		case event.Final:
-		case event.Outcome == scheduler.Full && len(p.ready) > 0 && event.Attempt+1 < p.maxAttempts: // turned away: on to the next
-			return p.send(event.ID)
-		case event.Outcome == scheduler.Full || event.Outcome == scheduler.NoConnect || event.Outcome == scheduler.NeverSent:
-			return []scheduler.Action{scheduler.Reject{ID: event.ID}}
-		default:
-			return []scheduler.Action{scheduler.Fail{ID: event.ID}}
-		}
+		return p.finishAttempt(event)
+	}
+	return nil
+}
+
+// probe probes all ready workers and sets the timer for the next probes.
+func (p *Plain) probe() (actions []scheduler.Action) {
+	if !p.mayProbe {
+		return nil
+	}
+	for _, worker := range p.ready {
+		actions = append(actions, scheduler.Probe{Worker: worker.id})
+	}
+	return append(actions, scheduler.SetTimer{After: probeInterval})
+}
+
+// recordReport sets a worker's load from a report, if it has one.
+func (p *Plain) recordReport(worker *worker, report *scheduler.Report) {
+	if worker != nil && report != nil && report.Busy >= 0 {
+		worker.reportedLoad, worker.estimatedLoad = report.Busy, report.Busy
+	}
+}
+
+// finishAttempt ends a request that has no final answer, except that one rejected by a worker is sent again while it has
+// attempts left.
+func (p *Plain) finishAttempt(event scheduler.AttemptFinished) []scheduler.Action {
+	if worker := p.workers[event.Worker]; worker != nil {
+		worker.inFlight--
+		p.recordReport(worker, event.Report)
+	}
+	switch {
+	case event.Final:
+		return nil
+	case event.Outcome == scheduler.Full && len(p.ready) > 0 && event.Attempt+1 < p.maxAttempts:
+		return p.send(event.ID)
+	case event.Outcome == scheduler.Full || event.Outcome == scheduler.NoConnect || event.Outcome == scheduler.NeverSent:
+		return []scheduler.Action{scheduler.Reject{ID: event.ID}}
+	default:
+		return []scheduler.Action{scheduler.Fail{ID: event.ID}}
 	}
-	return actions
 }
 
-// send picks a worker and sends a request there.
+// send sends a request to the worker that the policy picks.
 func (p *Plain) send(id scheduler.RequestID) []scheduler.Action {
 	worker := p.pick(p)
 	worker.inFlight++
@@ -111,6 +132,7 @@
 	return []scheduler.Action{scheduler.Send{ID: id, Worker: worker.id}}
 }
 
+// updateEndpoints takes a full endpoint list or a change of it.
 func (p *Plain) updateEndpoints(update scheduler.EndpointsUpdated) {
 	if update.ListKind == scheduler.ListFailed {
 		return
@@ -137,15 +159,17 @@
 	})
 }
 
+// random picks a worker at random.
 func (p *Plain) random() *worker { return p.ready[p.rng.IntN(len(p.ready))] }
 
+// roundRobin picks the workers in turn.
 func (p *Plain) roundRobin() *worker {
 	p.nextIndex++
 	return p.ready[p.nextIndex%len(p.ready)]
 }
 
-// twoChoices is the better of twoChoices drawn at random (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
-// 1996).
+// twoChoices picks the worker with fewer attempts in flight of two picked at random (M. Mitzenmacher, "The Power of Two Choices
+// in Randomized Load Balancing", 1996).
 func (p *Plain) twoChoices() *worker {
 	first, second := p.random(), p.random()
 	if second.inFlight < first.inFlight {
@@ -154,7 +178,7 @@
 	return first
 }
 
-// least gives the worker of the least value; ties go round robin.
+// least picks the worker with the least value; ties are broken in turn.
 func (p *Plain) least(value func(*worker) float64) *worker {
 	p.nextIndex++
 	best := p.ready[p.nextIndex%len(p.ready)]
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Result is what came of a run.
+// Result is the outcome of a run. Shares of work are weighted by the classes' priority.
 type Result struct {
 	Jobs       int
-	Service    float64 // work answered in time, of the work asked for
+	Service    float64 // work answered in time, of the work requested
 	Worst      float64 // the same of the account served worst
-	WorstClass float64 // and of the class served worst
-	Crossings  float64 // attempts that crossed zones, a job
+	WorstClass float64 // the same of the class served worst
+	Crossings  float64 // attempts between zones, for each job
 	Served     int
 	Late       int
 	Refused    int
 	Failed     int
-	Mean       time.Duration // of what was served, from when it was asked for first
+	Mean       time.Duration // response time of served jobs, from the client's first request
 	P50        time.Duration
 	P99        time.Duration
-	Sends      float64 // a job
-	Probes     float64 // a job
-	Wasted     float64 // work done for nobody, of all that was done
-	Speed      float64 // mean of a served job's work by the time to its answer
-	Used       float64 // work done, of what the boxes could do while jobs came
+	Sends      float64 // attempts, for each job
+	Probes     float64 // for each job
+	Wasted     float64 // work done without use, of all work done
+	Speed      float64 // mean over served jobs of work by response time
+	Used       float64 // work done, of what the workers could do while jobs arrived
 	Accounts   []AccountResult
 	Breaches   []Breach
 	Notes      []string
 
-	Seconds     []secondStats // by when jobs were asked for
-	ZonePeak    float64       // most work that came to a zone over some seconds, of what it could do
+	Seconds     []secondStats // by the second in which jobs were requested
+	ZonePeak    float64       // most work received by a zone over some seconds, of what it could do
 	PlanChanges int           // where zones are planned
-	Moved, Back time.Duration // until nothing was planned into a lost zone, and until it had its share again
+	Moved       time.Duration // from a zone's loss until no job was planned into it
+	Back        time.Duration // from the loss's end until the zone had its share again
 }
 
-// AccountResult is what came of an account's jobs.
+// AccountResult is the outcome of an account's jobs.
 type AccountResult struct {
 	Name    string
 	Jobs    int
@@ -42,61 +43,123 @@
 	Refused int
 }
 
+// result returns the run's result as of now.
 func (sim *simulation) result() *Result {
-	result := &Result{Breaches: sim.audit.breaches, Notes: sim.notes, Worst: 1, WorstClass: 1}
-	for _, t := range sim.statsByClass {
-		if t.workRequested > 0 {
-			result.WorstClass = min(result.WorstClass, t.workInTime/t.workRequested)
+	result := &Result{Breaches: sim.audit.breaches, Notes: sim.notes, Worst: 1, WorstClass: 1, Seconds: sim.statsBySecond, ZonePeak: sim.peakZoneLoad()}
+	for _, stats := range sim.statsByClass {
+		if stats.workRequested > 0 {
+			result.WorstClass = min(result.WorstClass, stats.workInTime/stats.workRequested)
 		}
 	}
-	result.Seconds, result.ZonePeak = sim.statsBySecond, sim.peakZoneLoad()
-	if f := sim.planning; f != nil {
-		result.PlanChanges, result.Moved, result.Back = f.planChanges, f.movedAfter, f.restoredAfter
-	}
-	requested, good := 0.0, 0.0
-	for i, t := range sim.statsByAccount {
-		result.Jobs, result.Served, result.Late, result.Refused, result.Failed = result.Jobs+t.jobs, result.Served+t.served, result.Late+t.late, result.Refused+t.rejected, result.Failed+t.failed
-		requested, good = requested+t.workRequested, good+t.workInTime
-		a := AccountResult{Jobs: t.jobs, Refused: t.rejected}
-		if i < len(sim.scenario.Traffic.Accounts) {
-			a.Name = sim.scenario.Traffic.Accounts[i].Name
-		}
-		if t.workRequested > 0 {
-			a.Service = t.workInTime / t.workRequested
-			result.Worst = min(result.Worst, a.Service)
-		}
-		result.Accounts = append(result.Accounts, a)
-	}
-	if requested > 0 {
-		result.Service = good / requested
+	if planning := sim.planning; planning != nil {
+		result.PlanChanges, result.Moved, result.Back = planning.planChanges, planning.movedAfter, planning.restoredAfter
 	}
+	sim.addAccounts(result)
 	if result.Jobs > 0 {
-		result.Sends, result.Probes = float64(sim.attemptsSent)/float64(result.Jobs), float64(sim.probesSent)/float64(result.Jobs)
-		result.Crossings = float64(sim.crossings) / float64(result.Jobs)
+		jobs := float64(result.Jobs)
+		result.Sends, result.Probes, result.Crossings = float64(sim.attemptsSent)/jobs, float64(sim.probesSent)/jobs, float64(sim.crossings)/jobs
 	}
 	if result.Served > 0 {
 		result.Speed = sim.speedSum / float64(result.Served)
 	}
-	could := 0.0
-	for _, b := range sim.workers {
-		if could += b.speed; !b.sharing {
-			could += b.speed * float64(b.slots-1)
-		}
-	}
-	result.Used = sim.workDone / (could * sim.scenario.Span.Seconds())
+	result.Used = sim.workDone / (sim.fullSpeed() * sim.scenario.Span.Seconds())
 	if sim.workDone > 0 {
 		result.Wasted = sim.workWasted / sim.workDone
 	}
+	sim.addResponseTimes(result)
+	return result
+}
+
+// addAccounts adds the accounts' results and their totals.
+func (sim *simulation) addAccounts(result *Result) {
+	workRequested, workInTime := 0.0, 0.0
+	for i, stats := range sim.statsByAccount {
+		result.Jobs += stats.jobs
+		result.Served += stats.served
+		result.Late += stats.late
+		result.Refused += stats.rejected
+		result.Failed += stats.failed
+		workRequested += stats.workRequested
+		workInTime += stats.workInTime
+		account := AccountResult{Jobs: stats.jobs, Refused: stats.rejected}
+		if i < len(sim.scenario.Traffic.Accounts) {
+			account.Name = sim.scenario.Traffic.Accounts[i].Name
+		}
+		if stats.workRequested > 0 {
+			account.Service = stats.workInTime / stats.workRequested
+			result.Worst = min(result.Worst, account.Service)
+		}
+		result.Accounts = append(result.Accounts, account)
+	}
+	if workRequested > 0 {
+		result.Service = workInTime / workRequested
+	}
+}
+
+// fullSpeed returns the speed of all workers together when none is warming up.
+func (sim *simulation) fullSpeed() float64 {
+	speed := 0.0
+	for _, worker := range sim.workers {
+		if speed += worker.speed; !worker.sharing {
+			speed += worker.speed * float64(worker.slots-1)
+		}
+	}
+	return speed
+}
+
+// addResponseTimes adds the mean and the percentiles of the response times.
+func (sim *simulation) addResponseTimes(result *Result) {
+	count := len(sim.responseTimes)
+	if count == 0 {
+		return
+	}
 	slices.Sort(sim.responseTimes)
 	sum := 0.0
-	for _, t := range sim.responseTimes {
-		sum += t
+	for _, seconds := range sim.responseTimes {
+		sum += seconds
+	}
+	percentile := func(share float64) time.Duration {
+		return time.Duration(sim.responseTimes[min(int(share*float64(count)), count-1)] * float64(time.Second))
 	}
-	if n := len(sim.responseTimes); n > 0 {
-		at := func(p float64) time.Duration {
-			return time.Duration(sim.responseTimes[min(int(p*float64(n)), n-1)] * float64(time.Second))
+	result.Mean = time.Duration(sum / float64(count) * float64(time.Second))
+	result.P50, result.P99 = percentile(0.5), percentile(0.99)
+}
+
+// Merit returns the result as one figure: 0.6 of the share of work served in time and 0.4 of that of the class served worst,
+// less the price of crossing between zones.
+func (r *Result) Merit(crossing float64) float64 {
+	return 0.6*r.Service + 0.4*r.WorstClass - crossing*r.Crossings
+}
+
+// secondStats is the weighted work requested in a second of the run, and what of it was answered in time.
+type secondStats struct{ workRequested, workInTime float64 }
+
+// recordBySecond adds a job's end to the second in which its client first requested it.
+func (sim *simulation) recordBySecond(job *job, outcome clientOutcome) {
+	second := int((job.firstRequestedAt - clockStart - dispatcherLeadTime) / time.Second)
+	for len(sim.statsBySecond) <= second {
+		sim.statsBySecond = append(sim.statsBySecond, secondStats{})
+	}
+	if second < 0 {
+		return
+	}
+	sim.statsBySecond[second].workRequested += sim.weightedWork(job)
+	if outcome == outcomeServed && sim.withinObjective(job, sim.now-job.firstRequestedAt) {
+		sim.statsBySecond[second].workInTime += sim.weightedWork(job)
+	}
+}
+
+// Within returns the share of work answered in time, of the work requested between two times of the run; 1 if there was none.
+func (r *Result) Within(from, to time.Duration) float64 {
+	var sum secondStats
+	for i, s := range r.Seconds {
+		if at := time.Duration(i) * time.Second; at >= from && at < to {
+			sum.workRequested += s.workRequested
+			sum.workInTime += s.workInTime
 		}
-		result.Mean, result.P50, result.P99 = time.Duration(sum/float64(n)*float64(time.Second)), at(0.5), at(0.99)
 	}
-	return result
+	if sum.workRequested == 0 {
+		return 1
+	}
+	return sum.workInTime / sum.workRequested
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,168 +1,174 @@
-// Package emulator is a model of the systems that brassdale serves: boxes, discovery, clients, the network between, and
-// what goes wrong with them. It runs in virtual time, in one goroutine and with one source of chance for each thing that
-// has any: the same scenario gives the same events, byte for byte, on any machine.
+// Package emulator is a model of the systems around the dispatcher: workers, discovery, clients, the network between them,
+// and their faults. It runs in virtual time, in one goroutine, with a random source for each user of randomness: the same
+// scenario gives the same events on any machine. The same model of workers and discovery also runs on loopback sockets, by
+// the real clock, for real dispatchers.
 //
-// It is a model, not a measurement of real boxes. Each part says in its comment what it leaves out.
+// It is a model, not a measurement of real workers. Each part's comment says what it leaves out.
 package emulator
 
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"brassdale/scheduler"
 )
 
-// Scenario is a works, its traffic and its troubles.
+// Scenario is a cluster, its traffic and its faults.
 type Scenario struct {
 	Seed        uint64
-	Span        time.Duration // in which clients send; all is then run to its end
+	Span        time.Duration // in which jobs arrive; the run then goes on until all are answered
 	Dispatchers int
 	Traffic     Traffic
 	Kinds       []Kind
-	Bays        int // boxes are dealt out among them; one drops repeats of a key
+	Bays        int // cells, over which workers are spread; each deduplicates by key
 	Network     Network
-	Discovery   time.Duration // how late a change of the list is told, on average
-	Calls       Calls         // to discovery, on sockets
+	Discovery   time.Duration // mean delay of an endpoint update
+	Calls       Calls         // limits of polls, on sockets only
 	Reports     Reports
 	SlowStart   SlowStart
 	Store       Store
 	Faults      []Fault
 	Rules       Rules
 
-	Queue       float64 // jobs for each slot that wait at a box at most; 0 for any number
-	Keeps       bool    // boxes keep what waits when it is called off: it runs for nobody
-	LiveWeights bool    // the list's weights fall with the load
-	Pushed      bool    // lists are pushed: dispatchers need not ask
+	Queue       float64 // jobs that may wait at a worker, for each slot; 0 for no limit
+	Keeps       bool    // workers run queued jobs that were cancelled
+	LiveWeights bool    // the endpoint list's weights fall with the load
+	Pushed      bool    // endpoint updates are pushed: dispatchers need not poll
 	Failover    Failover
 }
 
 // Traffic is what clients send.
 type Traffic struct {
-	Rate     float64 // jobs a second of all clients together
-	Work     float64 // mean seconds of a job at a slot of speed 1
-	Spread   float64 // of the logarithm of a job's work; 0 for exponentially distributed work
+	Rate     float64 // jobs a second, over all clients
+	Work     float64 // mean, in seconds at a slot of speed 1
+	Spread   float64 // standard deviation of the logarithm of a job's work; 0 for exponentially distributed work
 	Aim      time.Duration
-	Stretch  float64 // an answer counts within Aim + Stretch x the job's work
+	Stretch  float64 // an answer is in time within Aim + Stretch x the job's work
 	GiveUp   time.Duration
 	Effect   scheduler.Idempotency
-	Window   time.Duration // for which a bay drops repeats of a key
-	Subjects int           // that jobs are about: a box keeps what it fetched for one; 0 for none
+	Window   time.Duration // in which a cell deduplicates by key
+	Subjects int           // that jobs are about and workers cache; 0 for none
 	Accounts []Account
-	Users    int     // clients, each with one job handled at a time; 0 for any number
+	Users    int     // clients, each with one job handled at a time; 0 for no limit
 	Classes  []Class // in place of Work, Spread, Aim, Stretch, Effect and Window; GiveUp is then the longest
-	Hints    bool    // clients give a good guess at the work
-	Memory   float64 // units that a job needs for each slot, on average; 0 for none
-	Retries  float64 // share of refused jobs whose client tries once more
+	Hints    bool    // clients send work estimates
+	Memory   float64 // mean units of memory that a job needs for each slot; 0 for none
+	Retries  float64 // share of rejected jobs whose client retries once
 }
 
 // Account is a customer.
 type Account struct {
 	Name  string
-	Share float64 // of the rate; shares count against each other
+	Share float64 // of the jobs, relative to the other accounts
 }
 
-// Kind is a kind of box.
+// Kind is a kind of worker.
 type Kind struct {
 	Name     string
 	Count    int
 	Slots    int
-	SpeedMin float64 // of a slot, drawn evenly for each box
+	SpeedMin float64 // of a slot; each worker's speed is drawn evenly from SpeedMin to SpeedMax
 	SpeedMax float64
-	Sharing  bool // SpeedMin to SpeedMax are of the box, which works on so many jobs at once and turns further ones away
+	Sharing  bool // the speeds are of the worker, which runs up to Slots jobs at once and rejects further ones
 }
 
-// Network is between dispatchers and boxes. Connections are not modelled: their cost is in Setup.
+// Network is the network between dispatchers and workers.
 type Network struct {
-	Delay time.Duration // one way, on average; exponentially distributed about half of it, and half fixed
-
-	Regions    int           // zones are dealt out among them in their order; 0 for one
-	Zones      int           // boxes and dispatchers are dealt out among them; 0 for one
-	Cross      time.Duration // one way between zones
-	CrossPrice float64       // of an attempt that crosses, in worth
-	Handshake  float64       // ways there and back that a new connection takes first; 0 for no connections
-	Idle       time.Duration // after which a connection is closed
-	Most       int           // connections that a box takes; 0 for any number
+	Delay time.Duration // mean one-way delay within a zone: half fixed, half exponentially distributed
+
+	Regions    int           // zones are spread over them in order; 0 for one
+	Zones      int           // workers and dispatchers are spread over them; 0 for one
+	Cross      time.Duration // mean one-way delay between zones
+	CrossPrice float64       // of an attempt between zones, in units of merit
+	Handshake  float64       // round trips that a new connection takes; 0 for no model of connections
+	Idle       time.Duration // after which an idle connection is closed
+	Most       int           // connections that a worker accepts; 0 for no limit
 }
 
-// Reports are what a probe brings.
+// Reports is how workers report their load.
 type Reports struct {
-	Every time.Duration // a box's figures are refreshed so often
-	Push  bool          // boxes that share tell their load by themselves, at each change
-	Cost  time.Duration // of a slot's time, for each probe
+	Every time.Duration // mean interval between a worker's reports
+	Push  bool          // workers that share push a report at each change
+	Cost  time.Duration // of a slot, for each probe
 
-	Answers bool          // reports come in answers, too
-	Delay   time.Duration // and are so old
+	Answers bool          // answers to attempts carry reports
+	Delay   time.Duration // age of a report when it is seen
 }
 
-// SlowStart is how a box starts.
+// SlowStart is how a worker warms up after its start.
 type SlowStart struct {
-	Capacity float64       // a box begins at this share of its speed
-	For      time.Duration // and is warm after so long
-	Tip      float64       // sent more than this multiple of what it can do ...
-	Fall     time.Duration // ... for so long, it falls over and stays down
+	Capacity float64       // share of its speed at the start
+	For      time.Duration // until it has its full speed
+	Tip      float64       // it goes down when sent more than this multiple of what it can do ...
+	Fall     time.Duration // ... in this window
 }
 
-// Store is where boxes fetch what a job is about.
+// Store is where workers fetch the subjects of jobs.
 type Store struct {
-	Fetch float64       // mean seconds; 0 for nothing to fetch
-	Slots int           // fetches at a time; 0 for any number
-	Keep  time.Duration // a box keeps it for so long since it used it last
+	Fetch float64       // mean duration in seconds, exponentially distributed; 0 for none
+	Slots int           // fetches at a time, over all workers; 0 for no limit
+	Keep  time.Duration // a worker caches a subject for this long after its last use
 }
 
 // FaultKind is a kind of fault.
 type FaultKind uint8
 
+// The kinds of faults. Share counts only for those of workers, Size and the zones only where they are mentioned.
 const (
-	Freeze     FaultKind = iota // takes jobs and probes, answers nothing; goes on afterwards where it stood
-	Silent                      // answers probes, starts no job
-	Slow                        // at a third of its speed
-	Restart                     // loses all it has, and comes back cold after one second
-	Drain                       // is listed as leaving, finishes what it has, and is gone at the end
-	Unreported                  // reports come late by three seconds
-	Reset                       // its connections break once, and what it had is lost; it goes on
-	Partition                   // nothing reaches it and nothing comes from it; what was under way is reset once it is back
-	ListDown                    // discovery ends its watches and turns all calls away; Share counts for nothing
-	ListHung                    // discovery takes calls and answers none; the same
-	Burst                       // the rate is Size times the usual; Share counts for nothing
-	HeavyTail                   // a few jobs are Size times as heavy; the same
-	ZoneLost                    // nothing reaches a zone's boxes, and they come back cold
-	Apart                       // nothing goes between the dispatchers of zone From and the boxes of Zone
-	Far                         // ways to and from a zone's boxes take Size times as long
+	Freeze     FaultKind = iota // accepts jobs and probes and answers nothing; continues afterwards
+	Silent                      // answers probes and starts no job
+	Slow                        // a third of the speed
+	Restart                     // loses its jobs and is back, warming up, after a second
+	Drain                       // is listed as draining, finishes jobs, and is gone when the fault ends
+	Unreported                  // reports are seen three seconds later
+	Reset                       // loses its connections and jobs once
+	Partition                   // no message arrives or leaves; attempts are reset when the fault ends
+	ListDown                    // discovery ends its watches and rejects polls
+	ListHung                    // discovery accepts polls and answers none
+	Burst                       // the arrival rate is multiplied by Size
+	HeavyTail                   // a few jobs' work is multiplied by Size
+	ZoneLost                    // all workers of Zone are partitioned, and warming up afterwards
+	Apart                       // no message passes between the dispatchers of zone From and the workers of Zone
+	Far                         // delays to and from the workers of Zone are multiplied by Size
 
 	faultKinds = iota
 )
 
-// Fault befalls some boxes for a while.
+// Fault is a fault of workers, discovery, traffic or a zone.
 type Fault struct {
-	At    time.Duration
+	At    time.Duration // since the start
 	For   time.Duration
 	Kind  FaultKind
-	Share float64 // of the boxes, at least one; counts for nothing with a zone
+	Share float64 // of the workers, at least one
 	Size  float64
 	Zone  int // counted from 1; 0 for none
-	From  int // likewise
+	From  int // counted from 1; 0 for none
 }
 
-// Rules are the limits that the dispatchers are told of and that the auditor holds.
+// Rules are limits that dispatchers are configured with and that the auditor checks.
 type Rules struct {
 	MaxAttempts int
-	Slack       time.Duration // an answer so long after its client gave up still counts
-	DrainGrace  time.Duration
-	MayCopy     bool
+	Slack       time.Duration // an answer this long after the client's deadline still counts
+	DrainGrace  time.Duration // attempts may still be sent this long after the notification of a drain
+	MayCopy     bool          // hedging is permitted
 	MayCancel   bool
 }
 
-// Usual gives the works that plays begin with which say nothing else.
+// Usual returns the scenario that experiments start from.
 func Usual(seed uint64) Scenario { return LlanelliWorks(seed) }
 
-// LlanelliWorks is a works like the one that brassdale was made for, on a calm day.
+// LlanelliWorks returns the reference scenario: thirteen workers of two kinds and two dispatchers, without faults.
 func LlanelliWorks(seed uint64) Scenario {
 	return Scenario{
 		Seed: seed, Span: time.Minute, Dispatchers: 2, Bays: 3,
 		Traffic: Traffic{Rate: 170, Work: 0.2, Spread: 0.7, Aim: 200 * time.Millisecond, Stretch: 2.5, GiveUp: 5 * time.Second,
 			Effect: scheduler.IdempotentWithKey, Window: 7500 * time.Millisecond, Subjects: 400, Retries: 0.5,
-			Accounts: []Account{{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18}, {"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08}}},
+			Accounts: []Account{
+				{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18},
+				{"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08},
+			}},
 		Kinds:     []Kind{{"new-box", 9, 5, 0.85, 1.1, false}, {"old-box", 4, 4, 0.64, 0.86, false}},
 		Network:   Network{Delay: 500 * time.Microsecond, Cross: 15 * time.Millisecond, Idle: 5 * time.Second},
 		Discovery: time.Second,
@@ -173,7 +179,7 @@
 	}
 }
 
-// Check tells what is wrong with a scenario.
+// Check returns an error that names the first setting with which the scenario cannot be run.
 func (s *Scenario) Check() error {
 	workers := 0
 	for i, kind := range s.Kinds {
@@ -183,17 +189,12 @@
 		workers += kind.Count
 	}
 	for i, fault := range s.Faults {
-		if sized := fault.Kind == Burst || fault.Kind == HeavyTail || fault.Kind == Far; sized && fault.Size <= 0 {
-			return fmt.Errorf("faults[%d]: needs a size", i)
-		}
-		if zoned := fault.Kind >= ZoneLost; zoned && (fault.Zone < 1 || fault.Zone > s.Network.Zones) {
-			return fmt.Errorf("faults[%d]: needs a zone that there is", i)
-		}
-		if fault.At < 0 || fault.For <= 0 || fault.Share <= 0 || fault.Share > 1 || fault.Kind >= faultKinds {
-			return fmt.Errorf("faults[%d]: needs a time, a span and a share between 0 and 1", i)
+		if err := fault.check(s.Network.Zones); err != nil {
+			return fmt.Errorf("faults[%d]: %w", i, err)
 		}
 	}
-	for i, class := range s.Traffic.Classes {
+	for i := range s.Traffic.Classes {
+		class := &s.Traffic.Classes[i]
 		if class.Share <= 0 || class.Work <= 0 || class.Aim <= 0 || class.GiveUp <= 0 || class.GiveUp > s.Traffic.GiveUp || class.PriorityWeight <= 0 {
 			return fmt.Errorf("classes[%d]: needs a share, work, an aim, a give-up within the traffic's and a worth", i)
 		}
@@ -212,3 +213,24 @@
 	}
 	return nil
 }
+
+// check returns an error that says what the fault lacks in a scenario with so many zones.
+func (f *Fault) check(zones int) error {
+	sized, zoned := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == Far, f.Kind >= ZoneLost
+	switch {
+	case sized && f.Size <= 0:
+		return errors.New("needs a size")
+	case zoned && (f.Zone < 1 || f.Zone > zones):
+		return errors.New("needs a zone that there is")
+	case f.At < 0 || f.For <= 0 || f.Share <= 0 || f.Share > 1 || f.Kind >= faultKinds:
+		return errors.New("needs a time, a span and a share between 0 and 1")
+	}
+	return nil
+}
+
+// needsVirtualTime reports whether the scenario uses what is modelled in virtual time only.
+func (s *Scenario) needsVirtualTime() bool {
+	hasTrafficFault := slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Burst || f.Kind == HeavyTail })
+	return hasTrafficFault || len(s.Traffic.Classes) > 0 || s.Traffic.Hints || s.Traffic.Memory > 0 || s.Network.Handshake > 0 ||
+		s.LiveWeights || s.Queue > 0 || s.Pushed || s.Keeps || s.Reports.Answers
+}
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -6,10 +6,10 @@
 	"brassdale/scheduler"
 )
 
-// A box of a kind that shares works on all its jobs at once, each at its part of the speed, and turns away what comes beyond
-// its slots: the paper's pool element, in place of slots with a queue.
+// A worker of a kind that shares runs all of its jobs at once, each at an equal part of its speed (processor sharing), and
+// rejects jobs beyond its slots: the pool element of the paper that scenarios/paper.hcl follows.
 
-// updateProgress brings the work that is left up to now.
+// updateProgress brings the running attempts' remaining work up to now.
 func (w *worker) updateProgress() {
 	if n := len(w.running); n > 0 {
 		progress := (w.sim.now - w.progressAt).Seconds() * w.currentSpeed() / float64(n)
@@ -20,7 +20,7 @@
 	w.progressAt = w.sim.now
 }
 
-// receiveShared takes an attempt, or turns it away.
+// receiveShared starts an attempt at once, or rejects it if all slots are taken.
 func (w *worker) receiveShared(attempt *attemptRun) {
 	if len(w.running) >= w.slots {
 		attempt.over = true
@@ -28,7 +28,7 @@
 		return
 	}
 	w.updateProgress()
-	attempt.workLeft, attempt.running = attempt.work, true
+	attempt.workLeft = attempt.work
 	w.running = append(w.running, attempt)
 	w.busySlots = len(w.running)
 	w.sim.reportStarted(attempt)
@@ -36,30 +36,30 @@
 	w.pushReport()
 }
 
-// scheduleCompletion sees to the next job's end, as it stands: any change before makes it void.
+// scheduleCompletion sets the timer for the next attempt's end. Each call voids the timer before it.
 func (w *worker) scheduleCompletion() {
 	w.completionTimer++
 	if len(w.running) == 0 {
 		return
 	}
-	minimum := w.running[0].workLeft
+	least := w.running[0].workLeft
 	for _, attempt := range w.running {
-		minimum = min(minimum, attempt.workLeft)
+		least = min(least, attempt.workLeft)
 	}
 	timer, incarnation := w.completionTimer, w.incarnation
-	w.sim.after(time.Duration(max(minimum, 0)*float64(len(w.running))/w.currentSpeed()*float64(time.Second)), func() {
+	w.sim.after(time.Duration(max(least, 0)*float64(len(w.running))/w.currentSpeed()*float64(time.Second)), func() {
 		if timer == w.completionTimer && incarnation == w.incarnation {
 			w.completeShared()
 		}
 	})
 }
 
-// completeShared ends the jobs that are done.
+// completeShared ends the attempts that have no work left, and those that were cancelled.
 func (w *worker) completeShared() {
 	w.updateProgress()
 	remaining := w.running[:0]
 	for _, attempt := range w.running {
-		if attempt.workLeft > 1e-9 && !attempt.over {
+		if attempt.workLeft > workTolerance && !attempt.over {
 			remaining = append(remaining, attempt)
 			continue
 		}
@@ -76,34 +76,5 @@
 	w.pushReport()
 }
 
-// pushReport has all dispatchers told of the load, where boxes tell by themselves.
-func (w *worker) pushReport() {
-	if !w.sim.scenario.Reports.Push {
-		return
-	}
-	report := w.currentReport()
-	for _, dispatcher := range w.sim.dispatchers {
-		w.sim.after(w.sim.localDelay(dispatcher.random), func() {
-			dispatcher.handle(scheduler.ProbeCompleted{Worker: w.id, Outcome: scheduler.Served, Report: &report})
-		})
-	}
-}
-
-// enqueueForUser has a job wait until its client has had its answers to those before: the paper's pool users, of whom each has one
-// request handled at a time.
-func (sim *simulation) enqueueForUser(job *job) {
-	user := sim.clientRandom.IntN(sim.scenario.Traffic.Users)
-	job.user = user
-	sim.userQueues[user] = append(sim.userQueues[user], job)
-	if len(sim.userQueues[user]) == 1 {
-		sim.submit(job)
-	}
-}
-
-// startNextOfUser has a client's next job begin.
-func (sim *simulation) startNextOfUser(job *job) {
-	queue := sim.userQueues[job.user][1:]
-	if sim.userQueues[job.user] = queue; len(queue) > 0 {
-		sim.submit(queue[0])
-	}
-}
+// workTolerance is the remaining work, in seconds, up to which an attempt counts as done: it covers rounding.
+const workTolerance = 1e-9
--- /dev/null
+++ b/internal/emulator/status.go
@@ -0,0 +1,96 @@
+package emulator
+
+import (
+	"slices"
+	"time"
+
+	"brassdale/scheduler"
+)
+
+// Status is the state of a cluster's workers, and the breaches until now.
+type Status struct {
+	Since                  time.Duration // time since the start
+	Workers, Up, WarmingUp int
+	Slots, Busy, Waiting   int // of workers that are up
+	Sends, Probes          int
+	Breaches               []Breach
+	Faulty                 int // workers with any fault in force
+}
+
+// Now returns the status as of a moment soon. Like the methods below, it waits for the engine and must not be called after
+// Close.
+func (c *Cluster) Now() Status { return ask(c.sim, c.sim.status) }
+
+// ask returns what get returns when the engine calls it.
+func ask[T any](sim *simulation, get func() T) T {
+	answer := make(chan T, 1)
+	sim.post(func() { answer <- get() })
+	return <-answer
+}
+
+// status returns the status as of now.
+func (sim *simulation) status() Status {
+	status := Status{
+		Since:    sim.now - clockStart,
+		Workers:  len(sim.workers),
+		Sends:    sim.attemptsSent,
+		Probes:   sim.probesSent,
+		Breaches: slices.Clone(sim.audit.breaches),
+	}
+	for _, worker := range sim.workers {
+		if worker.down {
+			continue
+		}
+		status.Up++
+		status.Slots += worker.slots
+		status.Busy += worker.busySlots
+		for _, attempt := range worker.queue {
+			status.Waiting += countIf(!attempt.over)
+		}
+		status.WarmingUp += countIf(worker.warmupFactor() < 1)
+		status.Faulty += countIf(worker.frozen+worker.silent+worker.slow+worker.delayedReports+worker.partitioned > 0)
+	}
+	return status
+}
+
+// countIf returns 1 if the condition holds, else 0.
+func countIf(condition bool) int {
+	if condition {
+		return 1
+	}
+	return 0
+}
+
+// Breaches returns the violations of rules until now.
+func (c *Cluster) Breaches() []Breach {
+	return ask(c.sim, func() []Breach { return slices.Clone(c.sim.audit.breaches) })
+}
+
+// Costs is when requests' first attempts, further attempts and probes were received, of all dispatchers, by the virtual clock.
+type Costs struct{ Firsts, Furthers, Probes []time.Duration }
+
+// Spent returns the costs until now.
+func (c *Cluster) Spent() Costs {
+	return ask(c.sim, func() Costs {
+		return Costs{slices.Clone(c.firstAttempts), slices.Clone(c.furtherAttempts), slices.Clone(c.probedAt)}
+	})
+}
+
+// Load is what the workers have received.
+type Load struct {
+	Sends, Crossings int
+	Peak             float64 // most work received by a zone over some seconds, of what it could do
+}
+
+// Load returns the load until now.
+func (c *Cluster) Load() Load {
+	return ask(c.sim, func() Load { return Load{c.sim.attemptsSent, c.sim.crossings, c.sim.peakZoneLoad()} })
+}
+
+// Workers returns the ids of the cluster's workers.
+func (c *Cluster) Workers() (ids []scheduler.WorkerID) {
+	for _, worker := range c.sim.workers {
+		ids = append(ids, worker.id)
+	}
+	return ids
+}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -2,83 +2,85 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"brassdale/scheduler"
 )
 
-// worker is a costing worker: slots that work jobs off in the order they came, each at the worker's speed. What it leaves out: the
-// backfilling, and that a new connection costs it work. That a bay saves a repeat's quote only once is not seen
-// here: a copy takes its slot and answers as the first does. Whether a copy was allowed is the auditor's matter.
+// worker is a model of a worker: slots that run jobs in the order of their arrival, each at the worker's speed. Not modelled:
+// backfilling, the cost of a new connection to the worker, and the deduplication of repeats within a cell (a repeat takes a
+// slot and is answered like the first). Whether a repeat was permitted is checked by the auditor.
 type worker struct {
 	sim         *simulation
 	id          scheduler.WorkerID
-	kind        int
+	kind        int // index in Scenario.Kinds
 	cell        int
 	zone        int
-	memoryInUse float64 // in use
-	connections int     // connections to it
+	memoryInUse float64 // in units, of which there is one for each slot
+	connections int     // open ones to it
 	slots       int
 	speed       float64
-	startedAt   time.Duration // 0 for long ago
+	startedAt   time.Duration // 0 for long ago: not warming up
 	state       scheduler.WorkerState
-	down        bool // it has fallen over, is starting or is gone
-	incarnation int  // a restart begins another: what was under way in the one before never ends
+	down        bool // overloaded, restarting or gone: connections are refused
+	incarnation int  // attempts of an earlier one never finish
 
-	frozen, silent, slow, delayedReports, partitioned int           // how many faults of the kind it has now
-	unreachedAttempts                                 []*attemptRun // attempts that did not reach it, while it was cut off
+	frozen, silent, slow, delayedReports, partitioned int           // number of faults of the kind in force
+	unreachedAttempts                                 []*attemptRun // sent or finished during a partition; reset after it
 
 	busySlots        int
 	queue            []*attemptRun
-	deferredFinishes []func()              // what would have been said while it is frozen
-	subjectUsedAt    map[int]time.Duration // what it keeps of a subject, and when that was used last
-	running          []*attemptRun         // started
-	reports          [8]scheduler.Report   // reports as they were, the newest last
-	reportedAt       [8]time.Duration      // and since when
-	recentArrivals   []recentArrival       // work sent to it lately, while cold
+	running          []*attemptRun
+	deferredFinishes []func()              // of attempts that finish while the worker is frozen
+	subjectUsedAt    map[int]time.Duration // last use of the subjects that are cached
+	reports          [8]scheduler.Report   // the newest last
+	reportedAt       [8]time.Duration
+	recentArrivals   []recentArrival // within the overload window, while warming up
 	random           *rand.Rand
 
-	sharing         bool          // works on all its jobs at once
-	progressAt      time.Duration // as of when their work is known
-	completionTimer int           // of the plan for the next end
+	// Of a worker whose jobs share its speed.
+	sharing         bool
+	progressAt      time.Duration // workLeft of the running attempts is as of this time
+	completionTimer int           // number of the newest timer; older ones are void
 }
 
+// recentArrival is work that a warming worker was sent.
 type recentArrival struct {
 	at         time.Duration
-	work       float64
-	startKnown bool // by a dispatcher that had been told of the box's start
+	work       float64 // seconds at speed 1
+	startKnown bool    // its dispatcher had been notified of the worker's start
 }
 
-// attemptSource is where attempts come from: a dispatcher of the model, or a real one behind a socket.
+// attemptSource sends attempts: a dispatcher of the model, or a real one behind a socket.
 type attemptSource interface {
-	attemptStarted(*attemptRun)                  // its job has
-	attemptOver(*attemptRun, scheduler.Outcome)  // it has ended
-	knownStart(scheduler.WorkerID) time.Duration // of which start of the box it was told
-	delayRandom() *rand.Rand                     // the chance in how long its way takes
+	attemptStarted(*attemptRun)                  // is called when the attempt's job has started
+	attemptOver(*attemptRun, scheduler.Outcome)  // is called when the attempt has ended
+	knownStart(scheduler.WorkerID) time.Duration // returns the latest start of a worker that it was notified of
+	delayRandom() *rand.Rand                     // returns the random source for network delays
 }
 
-// attemptRun is an attempt at a box.
+// attemptRun is an attempt at a worker.
 type attemptRun struct {
 	job         *job
 	id          scheduler.RequestID
-	index       int
+	index       int // among the request's attempts
 	worker      scheduler.WorkerID
 	source      attemptSource
-	incarnation int
+	incarnation int     // of the worker
 	work        float64 // seconds at speed 1
-	workLeft    float64 // of it, at a box that shares
-	running     bool
-	over        bool // ended, or called off
-	zone        int  // of the dispatcher
+	workLeft    float64 // the same, at a worker whose jobs share its speed
+	over        bool    // ended or cancelled
+	zone        int     // of the dispatcher
 	report      *scheduler.Report
 
-	startHeardAt      time.Duration // when its dispatcher heard so
+	startHeardAt      time.Duration // when the dispatcher was notified that the job started; 0 if it was not
 	sentAt            time.Duration
-	countedUnanswered bool // counted as one that nobody has answered
-	hasConnection     bool // it has a connection
+	countedUnanswered bool // the dispatcher's zone recorder has counted it as unanswered
+	hasConnection     bool
 }
 
-// warmupFactor is the share of its speed that the box has now.
+// warmupFactor returns the share of its full speed that the worker has now: below 1 during slow start.
 func (w *worker) warmupFactor() float64 {
 	slowStart := &w.sim.scenario.SlowStart
 	if w.startedAt == 0 || slowStart.For <= 0 {
@@ -88,7 +90,7 @@
 	return min(slowStart.Capacity+(1-slowStart.Capacity)*age, 1)
 }
 
-// receive takes an attempt. What is refused or dropped is said at once.
+// receive takes an attempt that has arrived; a rejection is reported at once.
 func (w *worker) receive(attempt *attemptRun) {
 	if w.partitioned > 0 {
 		w.unreachedAttempts = append(w.unreachedAttempts, attempt)
@@ -113,7 +115,20 @@
 	w.startQueued()
 }
 
-// chargeSlowStart counts what is sent to a cold box, and has it fall over if that was too much.
+// canStart reports whether the worker has the slots and the memory to start the job now.
+func (w *worker) canStart(job *job) bool {
+	return w.busySlots+job.slots <= w.slots && w.memoryInUse+job.memory <= float64(w.slots)
+}
+
+// rejects reports whether the worker rejects the job: it could never run it, or its queue is full.
+func (w *worker) rejects(job *job) bool {
+	maxQueued := w.sim.scenario.Queue * float64(w.slots)
+	return job.slots > w.slots || job.memory > float64(w.slots) || maxQueued > 0 && float64(len(w.queue)) >= maxQueued && !w.canStart(job)
+}
+
+// chargeSlowStart counts an attempt against a warming worker's overload limit. The worker goes down if the work it was sent
+// within the overload window exceeds OverloadMultiple times what it can do in the window. The auditor is notified only where
+// at least two thirds of the work came from dispatchers that knew of the start.
 func (w *worker) chargeSlowStart(attempt *attemptRun) {
 	slowStart := &w.sim.scenario.SlowStart
 	if w.startedAt == 0 || slowStart.Tip <= 0 || w.warmupFactor() >= 1 {
@@ -140,24 +155,29 @@
 	}
 }
 
-// startQueued starts what there are slots for.
+// startQueued starts queued attempts in order while the worker has capacity. Cancelled ones are dropped, unless the
+// scenario's workers keep them.
 func (w *worker) startQueued() {
-	for len(w.queue) > 0 && (w.canStart(w.queue[0].job) || w.queue[0].over && !w.sim.scenario.Keeps) && w.silent == 0 && w.frozen == 0 && !w.down {
+	keepsCancelled := w.sim.scenario.Keeps
+	for len(w.queue) > 0 && w.silent == 0 && w.frozen == 0 && !w.down {
 		attempt := w.queue[0]
+		dropped := attempt.over && !keepsCancelled
+		if !dropped && !w.canStart(attempt.job) {
+			return
+		}
 		w.queue = w.queue[1:]
-		if attempt.over && !w.sim.scenario.Keeps {
+		if dropped {
 			continue
 		}
 		w.busySlots += attempt.job.slots
 		w.memoryInUse += attempt.job.memory
-		attempt.running = true
 		w.running = append(w.running, attempt)
 		w.sim.reportStarted(attempt)
 		w.fetch(attempt.job.subject, func() { w.execute(attempt) })
 	}
 }
 
-// fetch gets what a job is about, if the box does not have it, and goes on.
+// fetch calls then once the job's subject is cached, after a fetch from the store if need be.
 func (w *worker) fetch(subject int, then func()) {
 	store := &w.sim.scenario.Store
 	if subject == 0 || store.Fetch <= 0 {
@@ -175,15 +195,15 @@
 	})
 }
 
-// execute runs a job to its end.
+// execute finishes the attempt after the time that its work takes at the current speed.
 func (w *worker) execute(attempt *attemptRun) {
 	w.sim.after(time.Duration(attempt.work/w.currentSpeed()*float64(time.Second)), func() { w.finish(attempt) })
 }
 
-// finish ends a job, or, while the box stands still, has that wait until it goes on.
+// finish ends a running attempt and frees its slots; while the worker is frozen this is deferred.
 func (w *worker) finish(attempt *attemptRun) {
 	if attempt.incarnation != w.incarnation {
-		return // of a life that is over
+		return
 	}
 	if w.frozen > 0 {
 		w.deferredFinishes = append(w.deferredFinishes, func() { w.finish(attempt) })
@@ -191,11 +211,8 @@
 	}
 	w.busySlots -= attempt.job.slots
 	w.memoryInUse = max(w.memoryInUse-attempt.job.memory, 0)
-	for i, other := range w.running {
-		if other == attempt {
-			w.running = append(w.running[:i], w.running[i+1:]...)
-			break
-		}
+	if i := slices.Index(w.running, attempt); i >= 0 {
+		w.running = append(w.running[:i], w.running[i+1:]...)
 	}
 	w.sim.workDone += attempt.work * float64(attempt.job.slots)
 	if !attempt.over {
@@ -207,10 +224,11 @@
 	w.startQueued()
 }
 
-// cancel calls an attempt off: one that waits is dropped, unless boxes keep it, one that runs goes on to its end for nobody.
+// cancel cancels an attempt. A queued one is dropped unless the scenario's workers keep it; a running one goes on, its
+// result unused.
 func (w *worker) cancel(attempt *attemptRun) { attempt.over = true }
 
-// dropAll loses all that the box has.
+// dropAll resets all attempts and clears the cache: a new incarnation begins.
 func (w *worker) dropAll() {
 	w.incarnation++
 	for _, attempt := range append(w.running, w.queue...) {
@@ -223,83 +241,11 @@
 	w.running, w.queue, w.deferredFinishes, w.busySlots, w.subjectUsedAt = nil, nil, nil, 0, map[int]time.Duration{}
 }
 
-// currentSpeed is the speed that a slot has now, or where jobs share, all of them together.
+// currentSpeed returns the speed of a slot now, or, where jobs share the speed, of all of them together.
 func (w *worker) currentSpeed() float64 {
 	speed := w.speed * w.warmupFactor()
 	if w.slow > 0 {
-		speed /= 3
+		speed /= slowFaultDivisor
 	}
 	return speed
 }
-
-// currentReport is what the box has to tell of itself.
-func (w *worker) currentReport() scheduler.Report {
-	return scheduler.Report{Busy: float64(w.busySlots) / float64(w.slots), Requests: -1, FreeSlots: float64(w.slots - w.busySlots),
-		Queue: float64(len(w.queue))}
-}
-
-// recordReport has the box's figures made anew, now and then.
-func (w *worker) recordReport() {
-	copy(w.reports[:], w.reports[1:])
-	copy(w.reportedAt[:], w.reportedAt[1:])
-	last := len(w.reportedAt) - 1
-	w.reports[last] = w.currentReport()
-	w.reportedAt[last] = w.sim.now
-	every := w.sim.scenario.Reports.Every
-	w.sim.after(every/2+time.Duration(w.random.Int64N(int64(every)+1)), w.recordReport)
-}
-
-// reportedState gives the figures as a probe finds them.
-func (w *worker) reportedState() *scheduler.Report {
-	newest := w.sim.now - w.sim.scenario.Reports.Delay
-	if w.delayedReports > 0 {
-		newest -= 3 * time.Second
-	}
-	for i := len(w.reportedAt) - 1; i >= 0; i-- {
-		if w.reportedAt[i] <= newest {
-			report := w.reports[i]
-			return &report
-		}
-	}
-	r := w.reports[0]
-	return &r
-}
-
-// answerProbe answers a answerProbe, as far as the box is there.
-func (w *worker) answerProbe(answer func(scheduler.Outcome, *scheduler.Report)) {
-	switch {
-	case w.down:
-		answer(scheduler.NoConnect, nil)
-	case w.frozen > 0 || w.partitioned > 0: // nobody hears anything: the dispatcher's own time runs out
-	default:
-		answer(scheduler.Served, w.reportedState())
-	}
-}
-
-// fetchQueue is a place where so many are served at a time, in the order they came.
-type fetchQueue struct {
-	sim       *simulation
-	maxActive int // 0 for any number
-	active    int
-	waiting   []func()
-}
-
-func (q *fetchQueue) enter(span time.Duration, then func()) {
-	start := func() {
-		q.active++
-		q.sim.after(span, func() {
-			q.active--
-			if len(q.waiting) > 0 {
-				next := q.waiting[0]
-				q.waiting = q.waiting[1:]
-				next()
-			}
-			then()
-		})
-	}
-	if q.maxActive > 0 && q.active >= q.maxActive {
-		q.waiting = append(q.waiting, start)
-		return
-	}
-	start()
-}
