--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -7,7 +7,7 @@
 	"brassdale/scheduler"
 )
 
-// Breach is a rule that was broken.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule    string
 	Request uint64
@@ -16,6 +16,7 @@
 	Why     string
 }
 
+// String returns the violation in words.
 func (b Breach) String() string {
 	at := ""
 	if b.Worker != "" {
@@ -32,135 +33,157 @@
 	RuleSlowStart = "no cold box pushed over"
 )
 
-// auditor holds the rules over all that happens. It knows nothing of how anybody decides.
+// auditor checks the rules over the events of a run. It is given what happens, and nothing of how a policy decides.
 type auditor struct {
-	s       *Scenario
-	base    time.Duration
-	breach  []Breach
-	tries   map[uint64]*tried
-	drained map[drainKey]time.Duration // when a dispatcher was told
+	scenario      *Scenario
+	clockStart    time.Duration
+	breaches      []Breach
+	requests      map[uint64]*auditedRequest
+	drainingSince map[drainKey]time.Duration // when the dispatcher was notified that the worker drains or is gone
 }
 
+// drainKey is a dispatcher and a worker that drains.
 type drainKey struct {
 	dispatcher int
 	worker     scheduler.WorkerID
 }
 
-// tried is what was done for a request.
-type tried struct {
-	answers int
-	class   *Class // nil for the scenario's only one
-	sends   []sending
+// auditedRequest is a request's history.
+type auditedRequest struct {
+	answers  int
+	class    *Class // nil for the scenario's only one
+	attempts []auditedAttempt
 }
 
-type sending struct {
-	at       time.Duration
-	bay      int
-	zone     int
-	worker   scheduler.WorkerID
-	inFlight bool
-	never    bool // it is known not to have run
+// auditedAttempt is an attempt's history.
+type auditedAttempt struct {
+	sentAt        time.Duration
+	cell          int
+	zone          int
+	worker        scheduler.WorkerID
+	inFlight      bool
+	neverExecuted bool // its outcome proves that it did not run
 }
 
-func newAuditor(s *Scenario, base time.Duration) *auditor {
-	return &auditor{s: s, base: base, tries: map[uint64]*tried{}, drained: map[drainKey]time.Duration{}}
+// newAuditor returns an auditor of the scenario's rules. Breaches are reported with their time since clockStart.
+func newAuditor(scenario *Scenario, clockStart time.Duration) *auditor {
+	return &auditor{scenario: scenario, clockStart: clockStart, requests: map[uint64]*auditedRequest{}, drainingSince: map[drainKey]time.Duration{}}
 }
 
+// addBreach records a violation. worker is empty where none is concerned.
 func (a *auditor) addBreach(rule string, now time.Duration, request uint64, worker scheduler.WorkerID, format string, args ...any) {
-	a.breach = append(a.breach, Breach{rule, request, worker, now - a.base, fmt.Sprintf(format, args...)})
+	a.breaches = append(a.breaches, Breach{rule, request, worker, now - a.clockStart, fmt.Sprintf(format, args...)})
 }
 
-func (a *auditor) of(request uint64) *tried {
-	t := a.tries[request]
-	if t == nil {
-		t = &tried{}
-		a.tries[request] = t
+// auditOf returns the history of a request, a new one if there is none.
+func (a *auditor) auditOf(id uint64) *auditedRequest {
+	audited := a.requests[id]
+	if audited == nil {
+		audited = &auditedRequest{}
+		a.requests[id] = audited
 	}
-	return t
+	return audited
 }
 
-// requested takes a request of a class.
-func (a *auditor) requested(request uint64, c *Class) { a.of(request).class = c }
+// requestArrived sets a request's class.
+func (a *auditor) requestArrived(request uint64, class *Class) { a.auditOf(request).class = class }
 
-// rules are those of a request's class.
-func (a *auditor) rules(t *tried) Class {
-	if t.class != nil && len(a.s.Traffic.Classes) > 0 {
-		return *t.class
+// classOf returns a request's class, or the scenario's only one.
+func (a *auditor) classOf(audited *auditedRequest) Class {
+	if audited.class != nil && len(a.scenario.Traffic.Classes) > 0 {
+		return *audited.class
 	}
-	return a.s.Traffic.classes()[0]
+	return a.scenario.Traffic.effectiveClasses()[0]
 }
 
-// answered takes a final answer. A refusal says that a further try is harmless, which it is not where one may have run.
-func (a *auditor) answered(now time.Duration, request uint64, refused bool) {
-	t := a.of(request)
-	if c := a.rules(t); refused && c.Effect != scheduler.Idempotent && !(c.Effect == scheduler.IdempotentWithKey && c.Scope == scheduler.ScopeAll) {
-		for _, was := range t.sends {
-			if !was.never {
-				a.addBreach(RuleRepeat, now, request, was.worker, "refused though it may have run there")
+// answered checks a final answer: it must be the only one, and a rejection, which tells the client that a retry is harmless,
+// is permitted only where no attempt may have executed or where the class makes repeats harmless.
+func (a *auditor) answered(now time.Duration, request uint64, rejected bool) {
+	audited := a.auditOf(request)
+	if class := a.classOf(audited); rejected && !class.repeatHarmless() {
+		for _, earlier := range audited.attempts {
+			if !earlier.neverExecuted {
+				a.addBreach(RuleRepeat, now, request, earlier.worker, "refused though it may have run there")
 			}
 		}
 	}
-	if t.answers++; t.answers > 1 {
-		a.addBreach(RuleAnswer, now, request, "", "answer number %d", t.answers)
+	if audited.answers++; audited.answers > 1 {
+		a.addBreach(RuleAnswer, now, request, "", "answer number %d", audited.answers)
 	}
 }
 
-// gaveUp tells that a client waits no longer.
-func (a *auditor) gaveUp(now time.Duration, request uint64) {
-	if a.of(request).answers == 0 {
+// repeatHarmless reports whether a job of the class may run twice at any two workers without further effect.
+func (c *Class) repeatHarmless() bool {
+	return c.Effect == scheduler.Idempotent || c.Effect == scheduler.IdempotentWithKey && c.Scope == scheduler.ScopeAll
+}
+
+// clientGaveUp checks, once the client's deadline and the slack have passed, that the request was answered.
+func (a *auditor) clientGaveUp(now time.Duration, request uint64) {
+	if a.auditOf(request).answers == 0 {
 		a.addBreach(RuleAnswer, now, request, "", "none came")
 	}
 }
 
-// sent takes an attempt, when its first byte leaves.
-func (a *auditor) sent(now time.Duration, dispatcher int, request uint64, worker scheduler.WorkerID, bay, zone int) {
-	t := a.of(request)
-	if len(t.sends) >= a.s.Rules.MaxAttempts {
-		a.addBreach(RuleRepeat, now, request, worker, "attempt number %d", len(t.sends)+1)
+// attemptSent checks an attempt when its first byte is sent: against the request's earlier attempts, and against the drain of
+// its worker.
+func (a *auditor) attemptSent(now time.Duration, dispatcher int, request uint64, worker scheduler.WorkerID, cell, zone int) {
+	audited := a.auditOf(request)
+	if len(audited.attempts) >= a.scenario.Rules.MaxAttempts {
+		a.addBreach(RuleRepeat, now, request, worker, "attempt number %d", len(audited.attempts)+1)
 	}
-	for _, was := range t.sends {
-		switch tr := a.rules(t); {
-		case was.never:
-		case was.inFlight && !a.s.Rules.MayCopy:
-			a.addBreach(RuleRepeat, now, request, worker, "a copy while one is out at %s", was.worker)
-		case tr.Effect == scheduler.NonIdempotent:
-			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s", was.worker)
-		case tr.Effect == scheduler.IdempotentWithKey && (tr.Scope == scheduler.ScopeCell && was.bay != bay || tr.Scope == scheduler.ScopeZone && was.zone != zone):
-			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s of another bay or zone", was.worker)
-		case tr.Effect == scheduler.IdempotentWithKey && now >= was.at+tr.Window:
-			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s, and the window is over", was.worker)
+	class := a.classOf(audited)
+	keyed := class.Effect == scheduler.IdempotentWithKey
+	for _, earlier := range audited.attempts {
+		outsideScope := class.Scope == scheduler.ScopeCell && earlier.cell != cell || class.Scope == scheduler.ScopeZone && earlier.zone != zone
+		switch {
+		case earlier.neverExecuted:
+		case earlier.inFlight && !a.scenario.Rules.MayCopy:
+			a.addBreach(RuleRepeat, now, request, worker, "a copy while one is out at %s", earlier.worker)
+		case class.Effect == scheduler.NonIdempotent:
+			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s", earlier.worker)
+		case keyed && outsideScope:
+			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s of another bay or zone", earlier.worker)
+		case keyed && now >= earlier.sentAt+class.Window:
+			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s, and the window is over", earlier.worker)
 		}
 	}
-	t.sends = append(t.sends, sending{at: now, bay: bay, zone: zone, worker: worker, inFlight: true})
-	if notified, is := a.drained[(drainKey{dispatcher, worker})]; is && now > notified+a.s.Rules.DrainGrace {
-		a.addBreach(RuleDrain, now, request, worker, "%v after it was told", now-notified)
+	audited.attempts = append(audited.attempts, auditedAttempt{sentAt: now, cell: cell, zone: zone, worker: worker, inFlight: true})
+	if notifiedAt, ok := a.drainingSince[drainKey{dispatcher, worker}]; ok && now > notifiedAt+a.scenario.Rules.DrainGrace {
+		a.addBreach(RuleDrain, now, request, worker, "%v after it was told", now-notifiedAt)
 	}
 }
 
-// ended takes the outcome of an attempt.
-func (a *auditor) ended(request uint64, attempt int, o scheduler.Outcome) {
-	if t := a.of(request); attempt < len(t.sends) {
-		t.sends[attempt].inFlight = false
-		t.sends[attempt].never = o == scheduler.NeverSent || o == scheduler.NoConnect || o == scheduler.Full || o == scheduler.InvalidRequest
+// attemptEnded records an attempt's outcome.
+func (a *auditor) attemptEnded(request uint64, index int, outcome scheduler.Outcome) {
+	if audited := a.auditOf(request); index < len(audited.attempts) {
+		attempt := &audited.attempts[index]
+		attempt.inFlight = false
+		switch outcome {
+		case scheduler.NeverSent, scheduler.NoConnect, scheduler.Full, scheduler.InvalidRequest:
+			attempt.neverExecuted = true
+		default:
+			attempt.neverExecuted = false
+		}
 	}
 }
 
-// notified notes what a dispatcher was notified of a box.
-func (a *auditor) notified(now time.Duration, dispatcher int, worker scheduler.WorkerID, s scheduler.WorkerState) {
+// endpointNotified records that a dispatcher was notified of a worker's state. The drain's grace period counts from the first
+// notification that the worker is not ready.
+func (a *auditor) endpointNotified(now time.Duration, dispatcher int, worker scheduler.WorkerID, state scheduler.WorkerState) {
 	key := drainKey{dispatcher, worker}
-	if _, is := a.drained[key]; s == scheduler.Ready {
-		delete(a.drained, key)
-	} else if !is {
-		a.drained[key] = now
+	if state == scheduler.Ready {
+		delete(a.drainingSince, key)
+	} else if _, ok := a.drainingSince[key]; !ok {
+		a.drainingSince[key] = now
 	}
 }
 
-// pushed takes how much a cold box was sent lately, as a multiple of what it can do.
-func (a *auditor) pushed(now time.Duration, worker scheduler.WorkerID, request uint64, load, maximum float64) {
+// slowStartLoad checks the work that a warming worker was sent within the overload window, as a multiple of what it can do.
+func (a *auditor) slowStartLoad(now time.Duration, worker scheduler.WorkerID, request uint64, load, maximum float64) {
 	if load > maximum {
 		a.addBreach(RuleSlowStart, now, request, worker, "sent %.2f times what it can do", load)
 	}
 }
 
-// forget drops what is known of a request that is over.
-func (a *auditor) forget(request uint64) { delete(a.tries, request) }
+// forget drops the history of a request that is over.
+func (a *auditor) forget(request uint64) { delete(a.requests, request) }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -7,60 +7,68 @@
 	"time"
 )
 
-// engine is virtual time: what is due next is done next, and what is due at one time in the order it was asked for.
-// Run live, it does what is due by a real clock, and what others post in between.
+// engine runs tasks in virtual time: in the order of their times, and those of one time in the order they were scheduled.
+// Run live, it runs tasks by the real clock, and the actions that other goroutines post between them.
 type engine struct {
-	now  time.Duration
-	seq  uint64
-	todo agenda
+	now   time.Duration
+	seq   uint64
+	tasks taskQueue
 
 	mu     sync.Mutex
 	posted []func()
-	wake   chan struct{} // room for one
+	wake   chan struct{} // of capacity one; signals that posted is not empty
 }
 
-type item struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+// task is an action and when it is due. seq orders tasks of one time.
+type task struct {
+	at     time.Duration
+	seq    uint64
+	action func()
 }
 
-type agenda []item
+// taskQueue is a heap of tasks; it implements heap.Interface.
+type taskQueue []task
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q taskQueue) Len() int { return len(q) }
+
+func (q taskQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(item)) }
-func (a *agenda) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	(*a)[last] = item{}
-	*a = (*a)[:last]
-	return x
+
+func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *taskQueue) Push(x any) { *q = append(*q, x.(task)) }
+
+// Pop implements heap.Interface.
+func (q *taskQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	(*q)[last] = task{} // releases the action
+	*q = (*q)[:last]
+	return popped
 }
 
-// after has something done after a span.
-func (e *engine) after(span time.Duration, do func()) {
+// after schedules an action. A negative delay counts as none.
+func (e *engine) after(delay time.Duration, action func()) {
 	e.seq++
-	heap.Push(&e.todo, item{e.now + max(span, 0), e.seq, do})
+	heap.Push(&e.tasks, task{e.now + max(delay, 0), e.seq, action})
 }
 
-// run goes on until nothing is left to do, or a time.
+// run runs tasks until none is left or the next is due after the given time, to which it then advances the clock.
 func (e *engine) run(until time.Duration) {
-	for len(e.todo) > 0 && e.todo[0].at <= until {
-		x := heap.Pop(&e.todo).(item)
-		e.now = x.at
-		x.do()
+	for len(e.tasks) > 0 && e.tasks[0].at <= until {
+		next := heap.Pop(&e.tasks).(task)
+		e.now = next.at
+		next.action()
 	}
 	e.now = max(e.now, until)
 }
 
-// post has something done soon by a live engine. It may be called by anybody and does not block.
-func (e *engine) post(do func()) {
+// post has a live engine run an action soon. It may be called by any goroutine and does not block.
+func (e *engine) post(action func()) {
 	e.mu.Lock()
-	e.posted = append(e.posted, do)
+	e.posted = append(e.posted, action)
 	e.mu.Unlock()
 	select {
 	case e.wake <- struct{}{}:
@@ -68,32 +76,32 @@
 	}
 }
 
-// live does what is due by the real clock, which shows start at begin, until the context ends. behind is called after
-// each batch.
-func (e *engine) live(ctx context.Context, start time.Duration, begin time.Time, behind func()) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+// live runs tasks by the real clock, which shows clockStart at startedAt, until the context ends. It calls afterBatch after
+// each batch of tasks.
+func (e *engine) live(ctx context.Context, clockStart time.Duration, startedAt time.Time, afterBatch func()) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-alarm.C:
+		case <-timer.C:
 		case <-e.wake:
 		}
-		e.now = max(e.now, start+time.Since(begin))
+		e.now = max(e.now, clockStart+time.Since(startedAt))
 		e.mu.Lock()
 		posted := e.posted
 		e.posted = nil
 		e.mu.Unlock()
-		for _, do := range posted {
-			do()
+		for _, action := range posted {
+			action()
 		}
-		for len(e.todo) > 0 && e.todo[0].at <= e.now {
-			heap.Pop(&e.todo).(item).do()
+		for len(e.tasks) > 0 && e.tasks[0].at <= e.now {
+			heap.Pop(&e.tasks).(task).action()
 		}
-		behind()
-		if len(e.todo) > 0 {
-			alarm.Reset(time.Until(begin.Add(e.todo[0].at - start)))
+		afterBatch()
+		if len(e.tasks) > 0 {
+			timer.Reset(time.Until(startedAt.Add(e.tasks[0].at - clockStart)))
 		}
 	}
 }
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -1,132 +1,154 @@
-// Package policy holds plain ways to pick a worker, to compare the module with. Each has the module's interface. Only the
-// emulator links them.
+// Package policy has textbook load balancing policies to compare the scheduler with. They implement emulator.Policy.
 //
-// They send each request once, to a worker that is listed as ready, and fail what does not come back; none looks at cold
-// workers, keys or silence. What they know is what a textbook lets them know.
+// They send each request to one worker that is listed as ready, send it to another only where a worker rejects it, and fail it
+// where the attempt fails. None of them considers slow start, affinity keys or missing responses.
 package policy
 
 import (
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"brassdale/scheduler"
 )
 
-// Names are the policies that there are.
+// Names returns the names of the policies.
 func Names() []string {
 	return []string{"random", "round-robin", "least-outstanding", "two-choices", "lu", "lud"}
 }
 
-// New makes a policy by its name; nil where there is none of the name.
-func New(name string, s scheduler.Settings, seed uint64) *Plain {
-	p := &Plain{maximum: s.MaxAttempts, probes: s.MayProbe, rng: rand.New(rand.NewPCG(seed, 0)), workers: map[scheduler.WorkerID]*worker{}}
+// New returns the policy of the given name, or nil if there is none. It draws from a random source with the given seed.
+func New(name string, settings scheduler.Settings, seed uint64) *Plain {
 	pick, ok := map[string]func(*Plain) *worker{
 		"random":            (*Plain).random,
-		"round-robin":       (*Plain).robin,
-		"least-outstanding": func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return float64(w.inFlight) }) },
-		"two-choices":       (*Plain).two,
-		"lu":                func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return w.notified }) },
-		"lud":               func(p *Plain) *worker { return p.leastLoaded(func(w *worker) float64 { return w.value }) },
+		"round-robin":       (*Plain).roundRobin,
+		"least-outstanding": func(p *Plain) *worker { return p.least(func(w *worker) float64 { return float64(w.inFlight) }) },
+		"two-choices":       (*Plain).twoChoices,
+		"lu":                func(p *Plain) *worker { return p.least(func(w *worker) float64 { return w.reportedLoad }) },
+		"lud":               func(p *Plain) *worker { return p.least(func(w *worker) float64 { return w.estimatedLoad }) },
 	}[name]
 	if !ok {
 		return nil
 	}
-	p.pick = pick
-	return p
+	return &Plain{
+		pick:        pick,
+		rng:         rand.New(rand.NewPCG(seed, 0)),
+		workers:     map[scheduler.WorkerID]*worker{},
+		mayProbe:    settings.MayProbe,
+		maxAttempts: settings.MaxAttempts,
+	}
 }
 
-// Plain is a policy.
+// Plain is a policy that picks a worker by one rule. It is not safe for use by several goroutines.
 type Plain struct {
-	pick     func(*Plain) *worker
-	rng      *rand.Rand
-	workers  map[scheduler.WorkerID]*worker
-	ready    []*worker // by id
-	nextTurn int
-	polledAt bool
-	probes   bool
-	maximum  int // attempts for a request
+	pick        func(*Plain) *worker
+	rng         *rand.Rand
+	workers     map[scheduler.WorkerID]*worker
+	ready       []*worker // by id
+	nextIndex   int       // in ready, for round robin
+	subscribed  bool
+	mayProbe    bool
+	maxAttempts int // for a request
 }
 
+// worker is what a policy knows of a worker. Loads are shares of its slots that are busy.
 type worker struct {
-	id       scheduler.WorkerID
-	size     float64
-	inFlight int
-	notified float64 // LU: the load that it told of last
-	value    float64 // LUD: the load that it told of last, and what was pushed since
+	id            scheduler.WorkerID
+	slots         float64
+	inFlight      int     // attempts
+	reportedLoad  float64 // of the latest report
+	estimatedLoad float64 // reportedLoad, and a slot for each attempt sent since
 }
 
-const probeEvery = 1e9 // of each worker, where reports come by probes
+// probeInterval is the time between probes of a worker, where probes are permitted.
+const probeInterval = time.Second
 
-// Handle is the module's.
-func (p *Plain) Handle(_ scheduler.Clock, ev scheduler.Event) (acts []scheduler.Action) {
-	switch e := ev.(type) {
+// Handle implements emulator.Policy.
+func (p *Plain) Handle(_ scheduler.Clock, event scheduler.Event) []scheduler.Action {
+	switch event := event.(type) {
 	case scheduler.EndpointsUpdated:
-		p.listed(e)
-		if !p.polledAt {
-			p.polledAt = true
-			acts = append(acts, scheduler.Subscribe{}, scheduler.SetTimer{After: probeEvery})
+		p.updateEndpoints(event)
+		if !p.subscribed {
+			p.subscribed = true
+			return []scheduler.Action{scheduler.Subscribe{}, scheduler.SetTimer{After: probeInterval}}
 		}
 	case scheduler.TimerFired:
-		if !p.probes {
-			return nil
-		}
-		for _, w := range p.ready {
-			acts = append(acts, scheduler.Probe{Worker: w.id})
-		}
-		acts = append(acts, scheduler.SetTimer{After: probeEvery})
+		return p.probe()
 	case scheduler.ProbeCompleted:
-		// Least Used with Degradation: a report sets the value, each push raises it by what one job takes.
-		if w := p.workers[e.Worker]; w != nil && e.Report != nil && e.Report.Busy >= 0 {
-			w.notified, w.value = e.Report.Busy, e.Report.Busy
-		}
+		p.recordReport(p.workers[event.Worker], event.Report)
 	case scheduler.RequestArrived:
 		if len(p.ready) == 0 {
-			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
+			return []scheduler.Action{scheduler.Reject{ID: event.ID}}
 		}
-		return p.send(e.ID)
+		return p.send(event.ID)
 	case scheduler.AttemptFinished:
-		if w := p.workers[e.Worker]; w != nil {
-			if w.inFlight--; e.Report != nil && e.Report.Busy >= 0 {
-				w.notified, w.value = e.Report.Busy, e.Report.Busy
-			}
-		}
-		switch {
-		case e.Final:
-		case e.Outcome == scheduler.Full && len(p.ready) > 0 && e.Attempt+1 < p.maximum: // turned away: on to the next
-			return p.send(e.ID)
-		case e.Outcome == scheduler.Full || e.Outcome == scheduler.NoConnect || e.Outcome == scheduler.NeverSent:
-			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
-		default:
-			return []scheduler.Action{scheduler.Fail{ID: e.ID}}
-		}
+		return p.finishAttempt(event)
+	}
+	return nil
+}
+
+// probe probes all ready workers and sets the timer for the next probes.
+func (p *Plain) probe() (actions []scheduler.Action) {
+	if !p.mayProbe {
+		return nil
+	}
+	for _, worker := range p.ready {
+		actions = append(actions, scheduler.Probe{Worker: worker.id})
+	}
+	return append(actions, scheduler.SetTimer{After: probeInterval})
+}
+
+// recordReport sets a worker's load from a report, if it has one.
+func (p *Plain) recordReport(worker *worker, report *scheduler.Report) {
+	if worker != nil && report != nil && report.Busy >= 0 {
+		worker.reportedLoad, worker.estimatedLoad = report.Busy, report.Busy
+	}
+}
+
+// finishAttempt ends a request that has no final answer, except that one rejected by a worker is sent again while it has
+// attempts left.
+func (p *Plain) finishAttempt(event scheduler.AttemptFinished) []scheduler.Action {
+	if worker := p.workers[event.Worker]; worker != nil {
+		worker.inFlight--
+		p.recordReport(worker, event.Report)
+	}
+	switch {
+	case event.Final:
+		return nil
+	case event.Outcome == scheduler.Full && len(p.ready) > 0 && event.Attempt+1 < p.maxAttempts:
+		return p.send(event.ID)
+	case event.Outcome == scheduler.Full || event.Outcome == scheduler.NoConnect || event.Outcome == scheduler.NeverSent:
+		return []scheduler.Action{scheduler.Reject{ID: event.ID}}
+	default:
+		return []scheduler.Action{scheduler.Fail{ID: event.ID}}
 	}
-	return acts
 }
 
-// send picks a worker and sends a request there.
+// send sends a request to the worker that the policy picks.
 func (p *Plain) send(id scheduler.RequestID) []scheduler.Action {
-	w := p.pick(p)
-	w.inFlight++
-	w.value += 1 / max(w.size, 1)
-	return []scheduler.Action{scheduler.Send{ID: id, Worker: w.id}}
+	worker := p.pick(p)
+	worker.inFlight++
+	worker.estimatedLoad += 1 / max(worker.slots, 1)
+	return []scheduler.Action{scheduler.Send{ID: id, Worker: worker.id}}
 }
 
-func (p *Plain) listed(e scheduler.EndpointsUpdated) {
-	if e.ListKind == scheduler.ListFailed {
+// updateEndpoints takes a full endpoint list or a change of it.
+func (p *Plain) updateEndpoints(update scheduler.EndpointsUpdated) {
+	if update.ListKind == scheduler.ListFailed {
 		return
 	}
-	if e.ListKind != scheduler.ListDelta {
+	if update.ListKind != scheduler.ListDelta {
 		p.ready = nil
 	}
-	for _, in := range e.Workers {
-		w := p.workers[in.ID]
-		if w == nil {
-			w = &worker{id: in.ID, size: in.Weight}
-			p.workers[in.ID] = w
+	for _, endpoint := range update.Workers {
+		known := p.workers[endpoint.ID]
+		if known == nil {
+			known = &worker{id: endpoint.ID, slots: endpoint.Weight}
+			p.workers[endpoint.ID] = known
 		}
-		p.ready = slices.DeleteFunc(p.ready, func(o *worker) bool { return o == w })
-		if in.State == scheduler.Ready {
-			p.ready = append(p.ready, w)
+		p.ready = slices.DeleteFunc(p.ready, func(other *worker) bool { return other == known })
+		if endpoint.State == scheduler.Ready {
+			p.ready = append(p.ready, known)
 		}
 	}
 	slices.SortFunc(p.ready, func(a, b *worker) int {
@@ -137,30 +159,32 @@
 	})
 }
 
+// random picks a worker at random.
 func (p *Plain) random() *worker { return p.ready[p.rng.IntN(len(p.ready))] }
 
-func (p *Plain) robin() *worker {
-	p.nextTurn++
-	return p.ready[p.nextTurn%len(p.ready)]
+// roundRobin picks the workers in turn.
+func (p *Plain) roundRobin() *worker {
+	p.nextIndex++
+	return p.ready[p.nextIndex%len(p.ready)]
 }
 
-// two is the better of two drawn at random (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
-// 1996).
-func (p *Plain) two() *worker {
-	a, b := p.random(), p.random()
-	if b.inFlight < a.inFlight {
-		return b
+// twoChoices picks the worker with fewer attempts in flight of two picked at random (M. Mitzenmacher, "The Power of Two Choices
+// in Randomized Load Balancing", 1996).
+func (p *Plain) twoChoices() *worker {
+	first, second := p.random(), p.random()
+	if second.inFlight < first.inFlight {
+		return second
 	}
-	return a
+	return first
 }
 
-// leastLoaded gives the worker of the leastLoaded value; ties go round robin.
-func (p *Plain) leastLoaded(value func(*worker) float64) *worker {
-	p.nextTurn++
-	best := p.ready[p.nextTurn%len(p.ready)]
+// least picks the worker with the least value; ties are broken in turn.
+func (p *Plain) least(value func(*worker) float64) *worker {
+	p.nextIndex++
+	best := p.ready[p.nextIndex%len(p.ready)]
 	for i := range p.ready {
-		if w := p.ready[(p.nextTurn+i)%len(p.ready)]; value(w) < value(best) {
-			best = w
+		if worker := p.ready[(p.nextIndex+i)%len(p.ready)]; value(worker) < value(best) {
+			best = worker
 		}
 	}
 	return best
