--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -45,7 +45,7 @@
 func (d *Discovery) Close() { d.client.CloseIdleConnections() }
 
 // errNotFullList says that discovery responded with changes where all endpoints were requested.
-var errNotFullList = errors.New("asked for the whole list, discovery gave changes")
+var errNotFullList = errors.New("discovery responded with changes to a request for the full list")
 
 // Call makes one call, for the changes since a revision or for routing.FullList. It blocks until the response, or until the
 // deadline of its kind, which is set in advance: a partitioned service may leave a connection open and silent, and its
--- a/internal/transport/idempotencytable.go
+++ b/internal/transport/idempotencytable.go
@@ -158,23 +158,3 @@
 		t.sweepTimer = time.AfterFunc(max(t.endedJobs[0].forgetAt.Sub(now), minSweepInterval), t.forgetExpired)
 	}
 }
-
-// endedJob is a job that has ended, with the time at which it is forgotten.
-type endedJob struct {
-	stream   *jobStream
-	forgetAt time.Time
-}
-
-// byForgetTime is a heap.Interface; the job that is forgotten next comes first.
-type byForgetTime []endedJob
-
-func (h byForgetTime) Len() int           { return len(h) }
-func (h byForgetTime) Less(i, j int) bool { return h[i].forgetAt.Before(h[j].forgetAt) }
-func (h byForgetTime) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *byForgetTime) Push(x any)        { *h = append(*h, x.(endedJob)) }
-func (h *byForgetTime) Pop() any {
-	last := (*h)[len(*h)-1]
-	(*h)[len(*h)-1] = endedJob{}
-	*h = (*h)[:len(*h)-1]
-	return last
-}
--- a/internal/transport/inflightids.go
+++ b/internal/transport/inflightids.go
@@ -73,8 +73,8 @@
 	if predecessor == nil {
 		return true
 	}
-	free, heard := predecessor.Ask(protocol.HandoverMessage{ReserveID: id}, time.Now().Add(peerAnswerTimeout))
-	if !heard {
+	free, answered := predecessor.Ask(protocol.HandoverMessage{ReserveID: id}, time.Now().Add(peerAnswerTimeout))
+	if !answered {
 		i.DelegateTo(nil)
 		return true
 	}
--- a/internal/transport/peerprocess.go
+++ b/internal/transport/peerprocess.go
@@ -92,9 +92,9 @@
 // Notify sends a message. It does not block, and does not report whether the message arrives.
 func (p *PeerProcess) Notify(message protocol.HandoverMessage) { p.mailbox.Post(message) }
 
-// Ask sends a question and waits for its answer, at most until a point in time or until the other process is gone. heard reports
+// Ask sends a question and waits for its answer, at most until a point in time or until the other process is gone. answered reports
 // whether there was an answer.
-func (p *PeerProcess) Ask(question protocol.HandoverMessage, until time.Time) (yes, heard bool) {
+func (p *PeerProcess) Ask(question protocol.HandoverMessage, until time.Time) (yes, answered bool) {
 	answer := make(chan bool, 1)
 	p.mu.Lock()
 	p.lastQuestionID++
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -77,7 +77,7 @@
 	case !peer.isPredecessor:
 		return peer
 	}
-	if yes, heard := peer.process.Ask(protocol.HandoverMessage{Key: key}, time.Now().Add(peerAnswerTimeout)); heard && yes {
+	if yes, answered := peer.process.Ask(protocol.HandoverMessage{Key: key}, time.Now().Add(peerAnswerTimeout)); answered && yes {
 		return peer
 	}
 	return nil
