--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -20,7 +20,7 @@
 	*net.TCPConn
 	listener *Listener
 
-	// Owned by the goroutine that reads.
+	// Owned by the goroutine that reads. net/http reports a connection idle, which resets requestComplete, while nobody reads.
 	framing            requestFraming
 	requestComplete    bool           // the present request was read to its end and is not answered
 	pending            readAheadQueue // bytes received after the present request
