--- a/internal/command/history.go
+++ b/internal/command/history.go
@@ -31,7 +31,7 @@
 	fmt.Fprint(out, "version\tretries\trepeat\tout\tshares\tby\twhy\tat\tended\n")
 	row := func(version configversions.Version, ended string) {
 		rules := version.Rules
-		fmt.Fprintf(out, "%d\t%g\t%t\t%v\t%v\t%s\t%s\t%s\t%s\n", version.Number, rules.RetryRatio, rules.RetriesAllowed, rules.DetachedWorkers, rules.Quotas,
+		fmt.Fprintf(out, "%d\t%g\t%t\t%v\t%v\t%s\t%s\t%s\t%s\n", version.Number, rules.RetryRatio, rules.RetriesAllowed, rules.DetachedWorkers, rules.QuotaCaps,
 			version.By, version.Reason, version.At.Format(time.RFC3339), ended)
 	}
 	for _, version := range record.History {
@@ -118,7 +118,7 @@
 			lines = append(lines, "out - "+id)
 		}
 	}
-	return append(lines, quotaDifferences(before.Quotas, after.Quotas)...)
+	return append(lines, quotaDifferences(before.QuotaCaps, after.QuotaCaps)...)
 }
 
 // quotaDifferences returns a line for each account whose quota differs.
--- a/internal/decisions/cachetrust/probing.go
+++ b/internal/decisions/cachetrust/probing.go
@@ -41,7 +41,7 @@
 		if worker.level > Absent || worker.nextProbeAt > now || worker.probing && now < worker.probedAt+ProbeTimeout {
 			continue
 		}
-		if !a.rules.MayProbe { // the times of its jobs must do
+		if !a.rules.MayProbe { // without probes, the runtimes of its jobs are all that confirms it
 			actions = append(actions, a.announce(worker, now))
 			continue
 		}
--- a/internal/decisions/canary/doc.go
+++ b/internal/decisions/canary/doc.go
@@ -1,6 +1,14 @@
 // Package canary decides which dispatchers act on a new version of the fleet's rules before the others do, and whether the failure
 // rates that they report let all others follow. It is pure: values in, verdicts out, with no I/O, no clock and no goroutine. Its
 // types are not safe for concurrent use.
+//
+// It guarantees:
+//
+//  1. Each dispatcher can tell by itself, from its name and the version's number, whether it is in the canary. Another version has
+//     another canary.
+//  2. A version passes only after MinDuration and minCanaryJobs ended jobs in the canary, and fails if the canary's failure rate exceeds the
+//     others' by more than FailureMargin and by more than chance explains.
+//  3. What the version permits in addition is not tried: the canary applies the stricter of the version and the one in force.
 package canary
 
 import "time"
--- a/internal/decisions/configversions/entry.go
+++ b/internal/decisions/configversions/entry.go
@@ -13,7 +13,7 @@
 // Plan and ZoneLimit is set.
 type Entry struct {
 	ID         string         `json:"id"`                 // chosen by the proposer, to recognise the entry in the log
-	Announce   *Version       `json:"announce,omitempty"` // a new version; its Number is that of the version in force
+	Announce   *Version       `json:"announce,omitempty"` // a new version; its Number is that of the version in force, on which it is based: Apply gives it the next
 	PutInForce uint64         `json:"force,omitempty"`    // number of the announced version, which becomes the one in force
 	Withdraw   uint64         `json:"withdraw,omitempty"` // number of the announced version, which is given up
 	EndCanary  uint64         `json:"widen,omitempty"`    // number of the announced version, which concerns all from now on
--- a/internal/decisions/configversions/rules.go
+++ b/internal/decisions/configversions/rules.go
@@ -15,9 +15,9 @@
 	RetriesAllowed bool `json:"repeat"`
 	// DetachedWorkers are the identifiers of workers that get no attempts.
 	DetachedWorkers []string `json:"out,omitempty"`
-	// Quotas are the maximum shares, from 0 to 1, that accounts may have of each dispatcher's capacity for open requests. An
-	// account that is not named has no quota.
-	Quotas map[string]float64 `json:"shares,omitempty"`
+	// QuotaCaps lower the quotas that the operator's file gives to accounts (package quotas), to these shares, from 0 to 1, of each
+	// dispatcher's capacity for open requests. An account that is not named keeps its quota.
+	QuotaCaps map[string]float64 `json:"shares,omitempty"`
 }
 
 const (
@@ -40,7 +40,7 @@
 
 // MinMessageFormat returns the oldest message format in which r can be sent.
 func (r Rules) MinMessageFormat() int {
-	if len(r.Quotas) > 0 {
+	if len(r.QuotaCaps) > 0 {
 		return quotasMessageFormat
 	}
 	return baseMessageFormat
@@ -53,13 +53,13 @@
 		return fmt.Errorf("retries must be at most %v", float64(MaxRetryRatio))
 	case len(r.DetachedWorkers) > maxDetachedWorkers:
 		return fmt.Errorf("out names more than %d boxes", maxDetachedWorkers)
-	case len(r.Quotas) > maxQuotas:
+	case len(r.QuotaCaps) > maxQuotas:
 		return fmt.Errorf("shares names more than %d accounts", maxQuotas)
 	}
 	if err := checkDetachedWorkers(r.DetachedWorkers); err != nil {
 		return err
 	}
-	for account, quota := range r.Quotas {
+	for account, quota := range r.QuotaCaps {
 		if !validName(account) || !(quota >= 0 && quota <= 1) {
 			return fmt.Errorf("shares[%q] must be from 0 to 1", account)
 		}
@@ -91,7 +91,7 @@
 		RetryRatio:      stricterRetryRatio(r.RetryRatio, other.RetryRatio),
 		RetriesAllowed:  r.RetriesAllowed && other.RetriesAllowed,
 		DetachedWorkers: sortedUnion(r.DetachedWorkers, other.DetachedWorkers),
-		Quotas:          stricterQuotas(r.Quotas, other.Quotas),
+		QuotaCaps:       stricterQuotas(r.QuotaCaps, other.QuotaCaps),
 	}
 }
 
--- a/internal/decisions/configversions/stored_test.go
+++ b/internal/decisions/configversions/stored_test.go
@@ -16,7 +16,7 @@
 	base := float64(number)
 	return Version{
 		Number: number, By: "by-1", Reason: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-		Rules:  Rules{RetryRatio: base + 0.1, RetriesAllowed: true, DetachedWorkers: []string{"worker-a", "worker-b"}, Quotas: map[string]float64{"account-1": 0.25}},
+		Rules:  Rules{RetryRatio: base + 0.1, RetriesAllowed: true, DetachedWorkers: []string{"worker-a", "worker-b"}, QuotaCaps: map[string]float64{"account-1": 0.25}},
 		Canary: &canary.Rollout{Share: 0.5, MinDuration: 7, FailureMargin: 0.75},
 	}
 }
--- a/internal/decisions/configversions/version.go
+++ b/internal/decisions/configversions/version.go
@@ -7,7 +7,8 @@
 )
 
 // Version is one version of the rules. Numbers increase, and an announced version gets one that no version has had. When it is
-// withdrawn, the version in force takes the number behind it.
+// withdrawn, the version in force takes the number after it with its rules unchanged: from 4 it becomes 6 if 5 was withdrawn. So
+// nobody takes a later version for the withdrawn one.
 type Version struct {
 	Number uint64    `json:"number"` // 0 before the fleet has agreed on a version
 	Rules  Rules     `json:"rules"`
--- a/internal/decisions/endpointstate/endpointstate.go
+++ b/internal/decisions/endpointstate/endpointstate.go
@@ -13,7 +13,7 @@
 //     genuine return is accepted within MaxStaleness and one call: for a response that is not accepted, Changes.PollAgainAt says
 //     when to poll again.
 //  2. A response whose revision is lower than one before of its service (Lagging) can only restrict a worker that is ready, and
-//     asks for the full list. A service that returns only lower revisions for MaxStaleness starts a new epoch of revisions, and
+//     asks for the full list. A service that returns only lower revisions for MaxStaleness starts a new sequence of revisions, and
 //     is Current from then on.
 //  3. A response of a lower revision to a call that was made before the last current response was received (Overtaken) changes
 //     nothing.
@@ -30,8 +30,8 @@
 
 import "time"
 
-// MaxStaleness is how long before its call a response may have been composed. The platform counts a dispatcher as notified of a
-// change after the same time.
+// MaxStaleness is how long before its call a response may have been composed. It is polling.NotificationDeadline: the platform counts
+// a dispatcher as notified of a change after that time, so an older response would be wrong anyway.
 const MaxStaleness = 6 * time.Second
 
 // UnknownRevision is the revision of a list whose revision cannot be compared with any other.
--- a/internal/decisions/endpointstate/freshness.go
+++ b/internal/decisions/endpointstate/freshness.go
@@ -5,7 +5,7 @@
 
 // The values of Freshness.
 const (
-	Current   Freshness = iota // its revision is not lower than any before, or the service has started a new epoch
+	Current   Freshness = iota // its revision is not lower than any before, or the service has started a new sequence
 	Overtaken                  // its revision is lower, and a current response was received after its call was made
 	Lagging                    // its revision is lower than one before
 )
--- a/internal/decisions/endpointstate/serviceprogress.go
+++ b/internal/decisions/endpointstate/serviceprogress.go
@@ -5,7 +5,7 @@
 // serviceProgress is the newest that a discovery service has returned.
 type serviceProgress struct {
 	revision      int64
-	epoch         int       // how often the service has started to count revisions anew
+	sequence      int       // how often the service has started to count revisions anew
 	lastCurrentAt time.Time // when the last current response was received
 	lowerSince    time.Time // since when the service has returned lower revisions only; zero while it does not
 }
@@ -22,7 +22,7 @@
 	case response.ReceivedAt.Sub(p.lowerSince) < MaxStaleness:
 		return Lagging
 	default:
-		p.epoch++
+		p.sequence++
 	}
 	p.revision, p.lastCurrentAt, p.lowerSince = response.Revision, response.ReceivedAt, time.Time{}
 	return Current
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -37,7 +37,7 @@
 
 // Record enters the state of one worker that is known otherwise than by a response, in place of what was known of it.
 func (t *Table) Record(endpoint Endpoint, service string, revision int64) {
-	entry := record{state: endpoint.State, start: endpoint.Start, service: service, epoch: t.serviceProgress(service).epoch, revision: revision}
+	entry := record{state: endpoint.State, start: endpoint.Start, service: service, epoch: t.serviceProgress(service).sequence, revision: revision}
 	if endpoint.State != scheduler.Ready {
 		entry.notifiedAt = endpoint.NotifiedAt
 	}
@@ -89,7 +89,7 @@
 
 // composedAfter reports whether a response was certainly composed after a record was learned.
 func (t *Table) composedAfter(response ListResponse, known record) bool {
-	sameSequence := known.service == response.Service && known.epoch == t.serviceProgress(response.Service).epoch && known.revision != UnknownRevision
+	sameSequence := known.service == response.Service && known.epoch == t.serviceProgress(response.Service).sequence && known.revision != UnknownRevision
 	return sameSequence && response.Revision > known.revision || !response.CalledAt.Before(known.learnedAt.Add(MaxStaleness))
 }
 
@@ -110,7 +110,7 @@
 // accept records a worker's state by a response, and adds it to the changes.
 func (t *Table) accept(response ListResponse, index int, endpoint Endpoint, before record, changes *Changes) {
 	after := record{state: endpoint.State, start: endpoint.Start, learnedAt: before.learnedAt, service: response.Service,
-		epoch: t.serviceProgress(response.Service).epoch, revision: response.Revision}
+		epoch: t.serviceProgress(response.Service).sequence, revision: response.Revision}
 	if after.state != before.state || after.start != before.start {
 		after.learnedAt = response.ReceivedAt
 	}
--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -20,7 +20,8 @@
 	"brassdale/scheduler"
 )
 
-// MaxListGap is the time since the last list up to which a start in the next one counts as one of just now.
+// MaxListGap is the time since the last list up to which a start in the next one counts as one of just now. It is as long as
+// polling.NotificationDeadline: until then the endpoint list is not overdue.
 const MaxListGap = 6 * time.Second
 
 // incarnation is one start of a worker.
--- a/internal/decisions/polling/busyservice_test.go
+++ b/internal/decisions/polling/busyservice_test.go
@@ -218,7 +218,7 @@
 func (c *fleet) restart(caller *dispatcher, at time.Time) {
 	c.openCalls = slices.DeleteFunc(c.openCalls, func(o *serviceCall) bool { return o.dispatcher == caller })
 	caller.schedule = NewSchedule(at)
-	caller.schedule.Start(at.Add(scheduler.FirstAsk(c.rules.Dispatchers, c.chance())))
+	caller.schedule.Start(at.Add(scheduler.FirstPollDelay(c.rules.Dispatchers, c.chance())))
 	caller.lastResponseAt, caller.updateAt = time.Time{}, time.Time{}
 }
 
--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -38,7 +38,7 @@
 func (s *Schedule) CallAnswered(now time.Time, number int, took time.Duration, changed, early bool, rules Rules, chance float64) {
 	watchOpen := s.newestIsWatch && s.newestCall != 0 && s.newestCall != number
 	wasWatch := s.newestIsWatch && s.newestCall == number
-	fullList := s.indexedCall != number
+	fullList := s.revisionCall != number
 	coveredUntil := now // a watch returns what has changed by its end
 	if !wasWatch {
 		coveredUntil = now.Add(-took)
@@ -50,8 +50,8 @@
 	s.callEnded(number)
 	switch {
 	case watchOpen:
-	case s.indexedCallOpen(now) && !rules.ListsPushed:
-		s.PollAt(s.indexedUntil)
+	case s.revisionCallOpen(now) && !rules.ListsPushed:
+		s.PollAt(s.revisionCallUntil)
 	case early && !changed && !rules.ListsPushed: // the service does not hold watches open
 		s.watchAt(now.Add(scaleJittered(s.recordUseless(now), chance)))
 	case fullList && s.ServiceBusy(now) && !rules.ListsPushed:
@@ -80,7 +80,7 @@
 
 // isNewest reports whether no newer call than this one is in flight, as far as the next call depends on it.
 func (s *Schedule) isNewest(number int) bool {
-	return number == s.newestCall || s.newestCall == 0 && number == s.indexedCall
+	return number == s.newestCall || s.newestCall == 0 && number == s.revisionCall
 }
 
 // recordUseless records a useless response, and returns how long to wait after it.
@@ -147,7 +147,7 @@
 	if due := now.Add(MoveNotificationDeadline); s.notificationDue.After(due) || !s.notificationDue.After(now) {
 		s.notificationDue = due
 	}
-	s.newestCall, s.indexedCall, s.unanswered = 0, 0, 0
+	s.newestCall, s.revisionCall, s.unanswered = 0, 0, 0
 	if s.nextCallAt.IsZero() {
 		return
 	}
--- a/internal/decisions/polling/failure.go
+++ b/internal/decisions/polling/failure.go
@@ -8,7 +8,7 @@
 // Failure is how a call ended that returned no list.
 type Failure uint8
 
-// The ways in which a call fails.
+// The failures of a call.
 const (
 	Broken   Failure = iota // there was no connection, or it broke, or no response was received
 	Rejected                // the service rejected the call at once, having too many
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -52,8 +52,8 @@
 	newestCalledAt time.Time // when the newest call was made
 	unanswered     int       // calls that were made since the last response
 
-	indexedCall  int       // number of the newest call with a revision; 0 once it has ended
-	indexedUntil time.Time // until when it may still be served
+	revisionCall      int       // number of the newest call with a revision; 0 once it has ended
+	revisionCallUntil time.Time // until when it may still be served
 
 	lastUselessAt time.Time // when a response was last useless: stale, or early without a change
 	uselessCount  int       // how many were, less than uselessResetAfter apart
@@ -106,7 +106,7 @@
 // FullList.
 func (s *Schedule) CallStarted(now time.Time, number int, revisionKnown bool, rules Rules, chance float64) Kind {
 	kind := s.nextKind
-	if !revisionKnown || kind == Poll && s.indexedCallOpen(now) && !rules.ListsPushed {
+	if !revisionKnown || kind == Poll && s.revisionCallOpen(now) && !rules.ListsPushed {
 		kind = FullList
 	}
 	s.newestCall, s.newestIsWatch = number, kind == Watch
@@ -115,15 +115,15 @@
 	s.recentCallTimes[s.callCount%maxBurstCalls] = now
 	s.callCount++
 	if kind != FullList {
-		s.indexedCall, s.indexedUntil = number, now.Add(rules.servedWithin(kind))
+		s.revisionCall, s.revisionCallUntil = number, now.Add(rules.servedWithin(kind))
 	}
 	s.PollAt(now.Add(s.overlapDelay(now, kind, rules, chance)))
 	return kind
 }
 
-// indexedCallOpen reports whether a call with a revision is in flight that may still be served.
-func (s *Schedule) indexedCallOpen(now time.Time) bool {
-	return s.indexedCall != 0 && now.Before(s.indexedUntil)
+// revisionCallOpen reports whether a call with a revision is in flight that may still be served.
+func (s *Schedule) revisionCallOpen(now time.Time) bool {
+	return s.revisionCall != 0 && now.Before(s.revisionCallUntil)
 }
 
 // overlapDelay returns how long after a call a further one is made beside it.
@@ -157,7 +157,7 @@
 	if s.newestCall == number {
 		s.newestCall = 0
 	}
-	if s.indexedCall == number {
-		s.indexedCall = 0
+	if s.revisionCall == number {
+		s.revisionCall = 0
 	}
 }
--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -112,3 +113,90 @@
 		}
 	}
 }
+
+// logLinePages are the pages with tables of log lines, whose first column has the header below.
+var logLinePages = []string{"on-call.md", "process-handover.md", "settings-reload.md", "connection-limits.md", "endpoint-cache.md"}
+
+const logLineHeader = "| line (`msg`) |"
+
+// TestDocs_logLinesExist checks that the code has each log line that the pages explain.
+func TestDocs_logLinesExist(t *testing.T) {
+	literals := stringLiterals(t)
+	for _, page := range logLinePages {
+		text, err := os.ReadFile(filepath.Join("..", "docs", page))
+		if err != nil {
+			t.Fatal(err)
+		}
+		found := 0
+		inTable := false
+		for line := range strings.Lines(string(text)) {
+			if !strings.HasPrefix(line, "|") {
+				inTable = false
+				continue
+			}
+			if strings.HasPrefix(line, logLineHeader) {
+				inTable = true
+				continue
+			}
+			if !inTable {
+				continue
+			}
+			firstCell, _, _ := strings.Cut(strings.TrimPrefix(line, "|"), "|")
+			for _, span := range codeSpan.FindAllStringSubmatch(firstCell, -1) {
+				message := logMessage(span[1])
+				if message == "" {
+					continue
+				}
+				found++
+				if !literals[message] {
+					t.Errorf("%s explains the log line %q, which the code does not have", page, message)
+				}
+			}
+		}
+		if found == 0 {
+			t.Errorf("%s has no table of log lines", page)
+		}
+	}
+}
+
+// logMessage returns the fixed part of a log line on a page: what stands before keys and dots. It is empty for a key alone, and for the
+// line that the program prints before it logs.
+func logMessage(span string) string {
+	message, _, _ := strings.Cut(span, " worker=")
+	message, _, _ = strings.Cut(message, " ...")
+	if strings.Contains(message, "=") || strings.HasPrefix(message, "brassdale: ") || !strings.Contains(message, " ") && message != "ready" && message != "listening" {
+		return ""
+	}
+	return message
+}
+
+// stringLiterals returns all string literals of the code, tests left out, and what stands before the first verb of a format.
+func stringLiterals(t *testing.T) map[string]bool {
+	t.Helper()
+	literals := map[string]bool{}
+	for _, root := range []string{".", "../scheduler"} {
+		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			ast.Inspect(file, func(node ast.Node) bool {
+				if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+					if text, err := strconv.Unquote(literal.Value); err == nil {
+						fixed, _, _ := strings.Cut(text, " worker=%")
+						literals[fixed] = true
+					}
+				}
+				return true
+			})
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return literals
+}
--- a/internal/faults/propose.go
+++ b/internal/faults/propose.go
@@ -27,7 +27,7 @@
 		}
 		rules := configversions.Rules{RetryRatio: float64(rng.IntN(10)) / 10, RetriesAllowed: rng.IntN(4) > 0}
 		if n++; f.Older > 0 && n%2 == 0 {
-			rules.Quotas = map[string]float64{"deeside-aero": 0.5}
+			rules.QuotaCaps = map[string]float64{"deeside-aero": 0.5}
 		}
 		f.propose(f.ats[rng.IntN(len(f.ats))], rules, nil)
 	}
--- a/internal/fleet/raftlog/stored_test.go
+++ b/internal/fleet/raftlog/stored_test.go
@@ -27,7 +27,7 @@
 	announce := func(id string, follows uint64) configversions.Entry {
 		return configversions.Entry{ID: id, Announce: &configversions.Version{Number: follows, By: "by-" + id, Reason: "why-" + id,
 			At:    time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, Quotas: map[string]float64{"account-1": 0.5}}}}
+			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, QuotaCaps: map[string]float64{"account-1": 0.5}}}}
 	}
 	return []configversions.Entry{
 		announce("entry-1", 0),
@@ -45,7 +45,7 @@
 func storedRecord() configversions.Record {
 	version := func(id string, number uint64) configversions.Version {
 		return configversions.Version{Number: number, By: "by-" + id, Reason: "why-" + id, At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, Quotas: map[string]float64{"account-1": 0.5}}}
+			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-" + id}, QuotaCaps: map[string]float64{"account-1": 0.5}}}
 	}
 	inForce, announced := version("entry-1", 3), version("entry-7", 4)
 	return configversions.Record{
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -31,7 +31,7 @@
 			RetryRatio:      file.RetryRatio,
 			RetriesAllowed:  file.RetriesAllowed,
 			DetachedWorkers: file.DetachedWorkers,
-			Quotas:          file.Quotas,
+			QuotaCaps:       file.Quotas,
 		}
 		if err := rules.Check(); err != nil {
 			diags = append(diags, hcldiag.At(body.MissingItemRange(), "Bad rules", "%v.", err))
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -22,7 +22,7 @@
 func storedRecord() configversions.Record {
 	return configversions.Record{Epoch: 11, Revision: 12, NextVoterID: 13,
 		InForce: configversions.Version{Number: 14, By: "by-1", Reason: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-a"}, Quotas: map[string]float64{"account-1": 0.5}}},
+			Rules: configversions.Rules{RetryRatio: 0.25, RetriesAllowed: true, DetachedWorkers: []string{"worker-a"}, QuotaCaps: map[string]float64{"account-1": 0.5}}},
 		Voters: []voters.Voter{{ID: 15, Address: "127.0.0.1:9001"}}}
 }
 
--- a/internal/program/fleetagent.go
+++ b/internal/program/fleetagent.go
@@ -164,7 +164,7 @@
 	a.fleetRetryRatio = effective.Rules.RetryRatio
 	a.applyRetryRatioLocked()
 	if quotas := a.dispatcher.quotas; quotas != nil {
-		quotas.CapQuotas(effective.Rules.Quotas)
+		quotas.CapQuotas(effective.Rules.QuotaCaps)
 	}
 	a.applyDetachedLocked(effective.Rules.DetachedWorkers)
 }
--- a/internal/scale/propose.go
+++ b/internal/scale/propose.go
@@ -41,9 +41,9 @@
 // once proposes rules again and again while nobody takes them, until then.
 func (p *proposer) once(end time.Time) bool {
 	f := p.f
-	rules := configversions.Rules{RetryRatio: float64(p.rng.IntN(10)) / 10, RetriesAllowed: p.rng.IntN(4) > 0, Quotas: map[string]float64{}}
+	rules := configversions.Rules{RetryRatio: float64(p.rng.IntN(10)) / 10, RetriesAllowed: p.rng.IntN(4) > 0, QuotaCaps: map[string]float64{}}
 	for i := range f.Teams { // the quotas that control carries today
-		rules.Quotas[teamName(i)] = float64(1+p.rng.IntN(20)) / 100
+		rules.QuotaCaps[teamName(i)] = float64(1+p.rng.IntN(20)) / 100
 	}
 	for n, at := 0, time.Now(); f.ctx.Err() == nil; n++ {
 		v := configversions.Version{Number: p.known, Rules: rules, By: fleetName, Reason: "a change of the plan's", At: at}
--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -73,7 +73,7 @@
 func (s *Scheduler) affinityWidth(key uint64) float64 {
 	earlier := s.recentKeys.counts[key] - 1 // without the request at hand
 	lowEstimate := earlier - math.Sqrt(max(earlier, 0))
-	width := affinityHeadroom * float64(s.listedCount) * lowEstimate / s.recentKeys.total
+	width := affinityHeadroom * float64(s.availableCount) * lowEstimate / s.recentKeys.total
 	if width <= 1 {
 		return 0
 	}
@@ -85,7 +85,7 @@
 func (s *Scheduler) isAffinityWorker(request *request, worker *worker) bool {
 	before, rank := 0, worker.affinityRank(request.affinityKey)
 	for _, other := range s.candidatesForKey(request.affinityKey) {
-		before += oneIf(other.listed && other.affinityRank(request.affinityKey) < rank)
+		before += oneIf(other.ready && other.affinityRank(request.affinityKey) < rank)
 	}
 	return before < affinityWorkersPerKey
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -8,6 +8,12 @@
 
 // Attempts: what follows when one is sent, starts, ends or is cancelled.
 
+// Connections that have been idle for four fifths of the shortest idle time after which one was lost are suspect.
+const (
+	suspectIdleNumerator   = 4
+	suspectIdleDenominator = 5
+)
+
 // attempt is one send of a request to a worker.
 type attempt struct {
 	worker          *worker
@@ -16,7 +22,7 @@
 	inFlight        bool          // sent, no outcome yet
 	mayHaveExecuted bool          // false once an outcome excludes it
 	cancelled       bool          // a Cancel was emitted
-	trial           bool          // sent because the worker's report is overdue
+	forReport       bool          // the attempt that brings the overdue load report of its worker
 	lost            bool          // taken for lost: it no longer counts as using slots (see detectSilence)
 	connectionIdle  time.Duration // how long its connection, or while that is unknown the worker, had been unused before
 }
@@ -63,10 +69,10 @@
 	worker.recordSend()
 	sent := attempt{
 		worker: worker, sentAt: s.now, inFlight: true, mayHaveExecuted: true, connectionIdle: idle,
-		trial: worker.ownSlots == request.slots && s.reportOverdue(worker),
+		forReport: worker.ownSlots == request.slots && s.reportOverdue(worker),
 	}
-	if sent.trial {
-		s.trialsInFlight++
+	if sent.forReport {
+		s.reportAttemptsInFlight++
 	}
 	sendBy := earlierBound(s.retrySendDeadline(request), s.freshUntil(worker)) // before this attempt is one of the request's
 	request.attempts = append(request.attempts, sent)
@@ -135,8 +141,8 @@
 // releaseAttempt ends what an attempt occupies at its worker.
 func (s *Scheduler) releaseAttempt(request *request, ended *attempt) {
 	ended.inFlight = false
-	if ended.trial {
-		s.trialsInFlight--
+	if ended.forReport {
+		s.reportAttemptsInFlight--
 	}
 	if !ended.lost {
 		s.addOwnSlots(ended.worker, -request.slots)
@@ -217,8 +223,8 @@
 func (s *Scheduler) closeSuspectConnections(worker *worker) time.Duration {
 	idle := s.now - cmp.Or(worker.lastUsed, s.now)
 	worker.lastUsed = s.now
-	if s.safeIdle > 0 && s.now < s.idleLossAt+idleLossRetention && (worker.ownSlots > 0 || idle*5 > s.safeIdle*4) {
-		s.emit(CloseIdleConnections{Worker: worker.ID, MinIdle: s.safeIdle * 4 / 5})
+	if s.safeIdle > 0 && s.now < s.idleLossAt+idleLossRetention && (worker.ownSlots > 0 || idle*suspectIdleDenominator > s.safeIdle*suspectIdleNumerator) {
+		s.emit(CloseIdleConnections{Worker: worker.ID, MinIdle: s.safeIdle * suspectIdleNumerator / suspectIdleDenominator})
 		return 0
 	}
 	return idle
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -12,8 +12,8 @@
 	// MaxListRetryDelay is the longest time between a failed poll of the endpoint list and the Subscribe that follows.
 	MaxListRetryDelay = 900 * time.Millisecond
 
-	// minPollDelay is the longest delay of a poll where there are few dispatchers.
-	minPollDelay = 100 * time.Millisecond
+	// basePollDelay is the longest random delay of a poll with one or two dispatchers.
+	basePollDelay = 100 * time.Millisecond
 
 	// pollDelayPerDispatcher is added to it for each dispatcher beyond dispatchersWithoutSpread.
 	pollDelayPerDispatcher = 400 * time.Millisecond
@@ -35,7 +35,7 @@
 	}
 	if event.ListKind == ListFull || event.ListKind == ListCached {
 		for _, worker := range s.workers {
-			worker.listed = false
+			worker.ready = false
 		}
 	}
 	for _, info := range event.Workers {
@@ -60,7 +60,7 @@
 	}
 	info.StartedAt = known.startTime(info)
 	known.WorkerInfo = info
-	known.listed = info.State == Ready
+	known.ready = info.State == Ready
 }
 
 // addWorker adds a worker that no list named before; the workers are ordered by id.
@@ -116,13 +116,13 @@
 func (s *Scheduler) schedulePoll(maxDelay time.Duration) {
 	if s.settings.ListPolled {
 		delay := pollDelay(s.settings.Dispatchers, maxDelay, s.random.Float64())
-		s.emit(SetTimer{Token: pollTimer, After: delay + 1})
+		s.emit(SetTimer{Token: pollTimer, After: delay + 1}) // never 0
 	}
 }
 
-// FirstAsk returns how long after its start a dispatcher polls the endpoint list, by the number of dispatchers that may start
+// FirstPollDelay returns how long after its start a dispatcher polls the endpoint list, by the number of dispatchers that may start
 // at the same time and by chance, a random number in [0, 1).
-func FirstAsk(dispatchers int, chance float64) time.Duration {
+func FirstPollDelay(dispatchers int, chance float64) time.Duration {
 	return pollDelay(dispatchers, maxFirstPollDelay, chance)
 }
 
@@ -130,6 +130,6 @@
 // second, and those of many dispatchers that start, or fail, at the same time would overrun it.
 func pollDelay(dispatchers int, maxDelay time.Duration, chance float64) time.Duration {
 	spread := pollDelayPerDispatcher * time.Duration(max(dispatchers-dispatchersWithoutSpread, 0))
-	delay := minPollDelay + min(spread, maxDelay-minPollDelay)
+	delay := basePollDelay + min(spread, maxDelay-basePollDelay)
 	return time.Duration(float64(delay) * (fixedPollDelayShare + (1-fixedPollDelayShare)*chance))
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -154,8 +154,9 @@
 // whose rules change becomes a new one. Open requests keep the settings that they arrived under.
 type SettingsChanged struct{ Settings Settings }
 
-// HandoverCompleted brings what the predecessor has learned to a scheduler that takes over from it. It comes after the first
-// endpoint list and before any request.
+// HandoverCompleted brings what an earlier process has learned: the predecessor that this one takes over from, after the first
+// endpoint list and before any request; or, without classes, the process that wrote the endpoint cache, as soon as discovery has
+// confirmed workers of it.
 type HandoverCompleted struct{ LearnedState LearnedState }
 
 // TimerFired answers a SetTimer.
--- a/scheduler/learnedstate.go
+++ b/scheduler/learnedstate.go
@@ -48,7 +48,7 @@
 }
 
 // onHandoverCompleted starts from what the predecessor has learned, of the workers that are listed and have not restarted since.
-// Learned state without classes covers workers alone, and the process does not count as a successor.
+// Learned state without classes is of a cached endpoint list: it covers workers alone, and the process does not count as a successor.
 func (s *Scheduler) onHandoverCompleted(event HandoverCompleted) {
 	learned := event.LearnedState
 	if len(learned.Classes) > 0 {
--- a/scheduler/loadvalue.go
+++ b/scheduler/loadvalue.go
@@ -144,7 +144,7 @@
 func (s *Scheduler) updateMeanOthersLoad() {
 	sum, count := 0.0, 0.0
 	for i := 0; s.loadsKnown && i < len(s.subset); i++ {
-		if worker := s.subset[i]; worker.listed && worker.reportedAt > s.now-maxReportAge {
+		if worker := s.subset[i]; worker.ready && worker.reportedAt > s.now-maxReportAge {
 			sum, count = sum+worker.othersLoad, count+1
 		}
 	}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -17,14 +17,14 @@
 	// failuresToEject is the number of failures of a class from which it is ejected; a success halves their count.
 	failuresToEject = 3
 
-	// ejectionBase is half the first ejection time; each further ejection in a row doubles it.
-	ejectionBase = 250 * time.Millisecond
+	// firstEjection is the first ejection time; each further ejection in a row doubles it.
+	firstEjection = 500 * time.Millisecond
 
-	// maxEjectionDoublings bounds the doublings.
-	maxEjectionDoublings = 4
+	// maxCountedEjections is the number of ejections in a row from which on the ejection time no longer grows: 4 s.
+	maxCountedEjections = 4
 
-	// unansweredEjections is the number of ejections in a row that a class counts at once if its jobs are left unanswered: a
-	// trial may cost such a job.
+	// unansweredEjections is the number of ejections in a row that a class counts at once if its jobs are left unanswered: 8 s,
+	// since a trial may cost such a job.
 	unansweredEjections = 5
 
 	// missedProgressPeriods is the number of progress intervals without a signal after which a worker counts as not responding.
@@ -71,10 +71,10 @@
 	return worker.permitsAttempt(s.now) && worker.classEjections[class].permitsAttempt(s.now)
 }
 
-// ejectionDuration returns the ejection time: twice ejectionBase for the first ejection, doubled by each further one, and up to
-// a quarter more by chance, so that dispatchers do not all try a worker at the same time.
+// ejectionDuration returns the ejection time of an ejected state: firstEjection, doubled by each further ejection in a row, and up
+// to a quarter more by chance, so that dispatchers do not all try a worker at the same time.
 func (s *Scheduler) ejectionDuration(state *ejectionState) time.Duration {
-	return time.Duration((1 + s.random.Float64()/4) * float64(ejectionBase<<state.consecutiveEjections))
+	return time.Duration((1 + s.random.Float64()/4) * float64(firstEjection<<(state.consecutiveEjections-1)))
 }
 
 // eject ejects the worker, or the class that the state belongs to, or prolongs its ejection. It counts at least minEjections in
@@ -83,7 +83,7 @@
 	if state.consecutiveEjections == 0 {
 		s.emit(Log{Text: fmt.Sprintf("worker ejected worker=%s reason=%s", worker.ID, reason)})
 	}
-	next := min(state.consecutiveEjections+1, maxEjectionDoublings)
+	next := min(state.consecutiveEjections+1, maxCountedEjections)
 	state.consecutiveEjections = max(state.consecutiveEjections, next, minEjections)
 	state.ejectedUntil = s.now + s.ejectionDuration(state)
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-// recordSignal notes a sign of life of the worker, which ends its ejection (not those of its classes).
+// recordSignal notes a sign of life of the worker, which ends its ejection (not those of its classes). The end is not logged.
 func (s *Scheduler) recordSignal(worker *worker) {
 	worker.lastSignal, worker.lastUsed = s.now, s.now
 	worker.consecutiveEjections, worker.failureCount = 0, 0
@@ -137,7 +137,7 @@
 	worker := attempt.worker
 	missed := time.Duration(missedProgressPeriods*float64(s.settings.ProgressInterval)) + progressSlack
 	if s.now-worker.lastSignal > max(missed, minSilence) && (s.settings.ProgressInterval > 0 || worker.runningSlots == 0) {
-		if s.healthy(worker, request.class) && worker.listed {
+		if s.healthy(worker, request.class) && worker.ready {
 			s.eject(worker, &worker.ejectionState, 0, "no_response")
 		}
 		return
@@ -171,8 +171,8 @@
 	return true
 }
 
-// CountAvoided returns the number of workers not known to be gone that get no attempts but trials: detached by the operator, or
-// ejected.
+// CountAvoided returns the number of workers not known to be gone that are detached by the operator, or ejected as a whole. A worker of
+// which only a class is ejected is not counted.
 func (s *Scheduler) CountAvoided() (count int) {
 	for _, worker := range s.workers {
 		count += oneIf(worker.State != Gone && (worker.detached || worker.consecutiveEjections > 0))
--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -62,9 +62,9 @@
 	if worker.ownSlots == 0 && s.warmupFactor(worker) < 1 && s.loadValue(worker) < 1 {
 		return true
 	}
-	trial := s.reportOverdue(worker) && (s.trialsInFlight == 0 || s.trialsInFlight*s.settings.Dispatchers < len(s.workers))
+	reportNeeded := s.reportOverdue(worker) && (s.reportAttemptsInFlight == 0 || s.reportAttemptsInFlight*s.settings.Dispatchers < len(s.workers))
 	idle := worker.ownSlots == 0 && s.slowdown(worker) == 1
-	if idle && (trial || s.overcommit >= 0 && s.loadValue(worker) < idleLoadValue) {
+	if idle && (reportNeeded || s.overcommit >= 0 && s.loadValue(worker) < idleLoadValue) {
 		return true
 	}
 	floor := -float64(min(worker.ownSlots, 1))
@@ -72,8 +72,8 @@
 	return load*s.slowdown(worker) <= 1+max(s.overcommit, floor)+tieTolerance
 }
 
-// reportOverdue reports whether nothing is known of a worker's load any more although reports come with outcomes: only an
-// attempt (a trial attempt) brings a report.
+// reportOverdue reports whether nothing is known of a worker's load any more although reports come with outcomes: only another
+// attempt brings a report.
 func (s *Scheduler) reportOverdue(worker *worker) bool {
 	return !s.settings.ReportsPulled && s.now-worker.reportedAt > minSilence
 }
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -29,7 +29,7 @@
 		if !s.settings.ReportsPulled || !s.settings.MayProbe {
 			continue
 		}
-		if worker.listed && !worker.detached && !worker.probeInFlight && s.now >= worker.nextProbeAt {
+		if worker.ready && !worker.detached && !worker.probeInFlight && s.now >= worker.nextProbeAt {
 			factor := minProbeIntervalFactor + s.random.Float64()*probeIntervalSpread
 			worker.nextProbeAt = s.now + time.Duration(factor*interval)
 			s.sendProbe(worker)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -53,25 +53,25 @@
 		s.affinityInUse = true
 		s.chooseSubset()
 	}
-	s.recentKeys.add(key, keysPerWorker*s.listedCount)
+	s.recentKeys.add(key, keysPerWorker*s.availableCount)
 }
 
 // newRequest returns the state of an arrived request. When its client first sent it is estimated from the time left to the
 // deadline: a client's retry has less than the longest time that its class ever had on arrival. One with less than half of that
-// is taken for an impatient client's first try.
+// is taken for the first request of a client with a shorter deadline.
 func (s *Scheduler) newRequest(event RequestArrived) *request {
 	class := &s.classes[event.Class]
 	timeLeft := event.Deadline - s.now
 	class.longestTimeLeft = max(class.longestTimeLeft, timeLeft)
-	firstAskedAt := s.now
+	clientStartedAt := s.now
 	if timeLeft > class.longestTimeLeft/2 {
-		firstAskedAt = min(s.now, event.Deadline-class.longestTimeLeft)
+		clientStartedAt = min(s.now, event.Deadline-class.longestTimeLeft)
 	}
 	s.lastSequence++
 	return &request{
 		id: event.ID, settings: s.settings, class: event.Class, sequence: s.lastSequence, slots: event.Slots,
 		affinityKey: event.AffinityKey, estimatedWork: max(event.EstimatedWork, 0), allowedZones: event.AllowedZones,
-		clientStartedAt: firstAskedAt, deadline: event.Deadline,
+		clientStartedAt: clientStartedAt, deadline: event.Deadline,
 	}
 }
 
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -15,7 +15,7 @@
 //   - a request with an idempotency key permits one only inside the deduplication scope (zone or cell) and window.
 func (s *Scheduler) permitted(request *request, worker *worker) bool {
 	class := &request.settings.Classes[request.class]
-	if !worker.listed || worker.detached || request.excludesZone(worker.Zone) {
+	if !worker.ready || worker.detached || request.excludesZone(worker.Zone) {
 		return false
 	}
 	if class.MachineKind >= 0 && class.MachineKind != worker.MachineKind {
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -26,8 +26,8 @@
 	shutdownTimer = 3
 )
 
-// queueReviewInterval returns the time between reviews while requests are queued. It is also the margin by which answers are
-// given before a deadline.
+// queueReviewInterval returns the time between reviews while requests are queued. It is also the margin that is left before a
+// request's deadline and a deduplication window: what is due before the next review has to be decided in this one.
 func (s *Scheduler) queueReviewInterval() time.Duration {
 	return min(maxQueueReviewInterval, max(s.settings.AnswerSlack/2, time.Millisecond))
 }
@@ -128,8 +128,8 @@
 //  1. Without an attempt in flight (it is queued) it is answered if its deadline is near or it is too late.
 //  2. Past its deadline it fails.
 //  3. If it is too late and no attempt has started it is given up, unless workers run cancelled jobs all the same.
-//  4. It is left alone if it is not idempotent, its latest attempt is cancelled, an attempt runs at a healthy worker, or only one
-//     more attempt is left, which a retry may need.
+//  4. It is left alone if it is not idempotent, its latest attempt is cancelled, one of its attempts has started and one in flight
+//     is at a healthy worker, or only one more attempt is left, which a retry may need.
 //  5. Otherwise it is hedged, where that is permitted, or its attempts at ejected workers are cancelled, so that it is retried.
 func (s *Scheduler) reviewRequest(request *request) {
 	var latest *attempt
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -71,13 +71,13 @@
 	actions  []Action // of the current event
 
 	// The workers.
-	workers        []*worker // all that a list ever named, by id
-	workersByID    map[WorkerID]*worker
-	detached       map[WorkerID]bool // by the operator, whether or not a list has named them
-	listAsOf       Clock             // the endpoint list includes all changes up to this time
-	listedCount    int               // of listed workers that are not detached
-	totalWeight    float64           // of the same
-	trialsInFlight int               // trial attempts at workers whose report is overdue
+	workers                []*worker // all that a list ever named, by id
+	workersByID            map[WorkerID]*worker
+	detached               map[WorkerID]bool // by the operator, whether or not a list has named them
+	listAsOf               Clock             // the endpoint list includes all changes up to this time
+	availableCount         int               // of listed workers that are not detached
+	totalWeight            float64           // of the same
+	reportAttemptsInFlight int               // trial attempts at workers whose report is overdue
 
 	// The candidates.
 	subset            []*worker // that requests are sent to, by id or in this dispatcher's order
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -50,7 +50,7 @@
 
 	MayProbe       bool
 	MayCancel      bool
-	MayHedge       bool          // a further attempt may be sent while one is in flight
+	MayHedge       bool          // a further attempt may be sent while one is in flight; hedging needs MayCancel too
 	MayAdviseRetry bool          // Reject may carry RetryAfter
 	MaxAttempts    int           // of one request; 0 for the default of 16
 	MaxRetryAfter  time.Duration // the advice that Reject carries
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -79,7 +79,7 @@
 // slowStartShare returns this dispatcher's share of the budget, in slot-seconds. The budget is distributed by whole jobs, one to a
 // dispatcher in turn, beginning at a place that follows from the worker's id: split evenly among hundreds it would be less than
 // a job for each. Dispatchers that estimate the budget or the jobs differently still have different turns, so that all together
-// send no more than the largest of their budgets.
+// send no more than the largest of their budgets. Of a budget of 7.5 jobs each of its 7 whole jobs stands for 7.5 / 7 jobs of work.
 func (s *Scheduler) slowStartShare(worker *worker) float64 {
 	dispatchers, job := uint64(s.settings.Dispatchers), s.cautiousMeanWork()
 	turn := float64((uint64(s.settings.DispatcherIndex) + worker.idHash%dispatchers) % dispatchers)
@@ -89,7 +89,8 @@
 }
 
 // cautiousMeanWork returns the mean work of a job in slot-seconds, raised by what a mean of so few jobs may be too low, and at
-// first by an assumption: short jobs end first.
+// first by an assumption, as short jobs end first. The assumption is the first class's for all classes: workers are shared by all,
+// and the mean is not kept by class.
 func (s *Scheduler) cautiousMeanWork() float64 {
 	known := float64(s.servedJobs)
 	prior := priorWorkJobs * priorWorkObjectives * cmp.Or(s.settings.Classes[0].LatencyObjective.Seconds(), 1)
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -52,7 +52,7 @@
 // classState is what a scheduler has learned of a class's requests.
 type classState struct {
 	workScale       float64 // mean runtime in seconds, or, with an estimate of the work, as a multiple of it
-	meanLogRuntime  float64 // mean logarithm of the same, which few long jobs do not sway
+	meanLogRuntime  float64 // mean logarithm of the same, which a few long jobs change little
 	jobs            int     // number of served jobs
 	longestTimeLeft time.Duration
 }
--- a/scheduler/subset.go
+++ b/scheduler/subset.go
@@ -46,8 +46,8 @@
 
 // chooseSubset chooses the workers that requests are sent to. All are chosen where requests have affinity keys, as the workers of
 // a key must be the same at every dispatcher, and where the fleet is small against the own arrival rate. Otherwise a few are,
-// as many of the own zone as of all others: all dispatchers order the workers of a zone in the same few ways and each begins at a place by
-// its number, so that every worker is in about as many subsets.
+// as many of the own zone as of all others. All dispatchers order the workers of a zone in one of a few common orders, and each takes them
+// from an offset that follows from its number, so that every worker is in about as many subsets.
 func (s *Scheduler) chooseSubset() {
 	s.subsetChosenAt, s.subset, s.totalWeight = s.now, s.subset[:0], 0
 	var ownZone, otherZones []*worker
@@ -62,8 +62,8 @@
 			otherZones = append(otherZones, candidate)
 		}
 	}
-	s.listedCount = len(ownZone) + len(otherZones)
-	all := float64(s.listedCount)
+	s.availableCount = len(ownZone) + len(otherZones)
+	all := float64(s.availableCount)
 	perDispatcher := dispatchersPerWorker * all / float64(s.settings.Dispatchers)
 	wanted := int(math.Ceil(max(minSubsetSize, subsetSeconds*s.arrivalRate, perDispatcher)))
 	s.loadsKnown = all <= max(wholeFleetSeconds*s.arrivalRate, float64(wanted))
--- a/scheduler/subset_test.go
+++ b/scheduler/subset_test.go
@@ -41,7 +41,7 @@
 		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(listed)})
 		on := 0
 		for _, w := range d.candidatesForKey(1) {
-			on += oneIf(w.listed)
+			on += oneIf(w.ready)
 		}
 		if on != want {
 			t.Errorf("%d listed: a key has %d candidates, want %d", listed, on, want)
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -6,7 +6,7 @@
 type worker struct {
 	WorkerInfo
 	idHash     uint64 // of the id, the same at every dispatcher
-	listed     bool   // ready by the endpoint list
+	ready      bool   // ready by the endpoint list
 	detached   bool   // by the operator
 	detachedAt Clock
 	reattached bool // by the operator, and no own attempt has started since
@@ -59,7 +59,7 @@
 }
 
 // available reports whether the worker is listed as ready and not detached.
-func (w *worker) available() bool { return w.listed && !w.detached }
+func (w *worker) available() bool { return w.ready && !w.detached }
 
 // weight returns the worker's registered weight, at least 0.001.
 func (w *worker) weight() float64 { return max(figureOrMissing(w.Weight), 1e-3) }
