--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -8,6 +8,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"sync"
 	"syscall"
@@ -19,6 +20,9 @@
 	"brassdale/scheduler"
 )
 
+// damagedLine is the log line about a damaged file of the endpoint cache, whose fault says so.
+var damagedLine = regexp.MustCompile(`msg="endpoint cache damaged" fault=.*damaged`)
+
 func savedBlock(dir string) string { return fmt.Sprintf("saved_list {\n  directory = %q\n}\n", dir) }
 
 // keep puts a list into a folder as a dispatcher would have left it, so long ago.
@@ -126,7 +130,7 @@
 			keep(t, dir, time.Hour, nil, a, b)
 			n := alone(t, dir, discovery)
 			n.served("first")
-			if !strings.Contains(n.log(), "starting from endpoint cache") || n.vars("list_source") != "saved" || n.figure("list_age_s") < 3600 {
+			if !strings.Contains(n.log(), "started from endpoint cache") || n.vars("list_source") != "saved" || n.figure("list_age_s") < 3600 {
 				t.Errorf("source %q, age %d", n.vars("list_source"), n.figure("list_age_s"))
 			}
 			n.waitFor("both to be heard", func() bool { return n.figure("boxes_heard")+n.figure("boxes_proven") == 2 })
@@ -255,7 +259,7 @@
 	}
 	o := alone(t, dir, nil)
 	o.served("third")
-	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(path))); err != nil || !strings.Contains(o.log(), "damaged") {
+	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(path))); err != nil || !damagedLine.MatchString(o.log()) {
 		t.Errorf("the damaged one: %v", err)
 	}
 	if code, out, _ := run(t, "saved", "prune", dir, "--keep", "1"); code != 0 || !strings.Contains(out, "files removed") {
@@ -276,7 +280,7 @@
 		t.Error("the age of a list from the future is known")
 	}
 	m := alone(t, old, nil)
-	m.waitFor("the line", func() bool { return strings.Contains(m.log(), "endpoint cache expired") })
+	m.waitFor("the line", func() bool { return strings.Contains(m.log(), "endpoint cache too old") })
 	if status, _, after := m.do(request(m.url, "k", "Req-Deadline-Ms", "300")); status != 503 || after == "" {
 		t.Errorf("with no list at all: %d, Retry-After %q", status, after)
 	}
@@ -294,7 +298,7 @@
 		t.Fatal(err)
 	}
 	n := start(t, savedBlock(useless), a)
-	if status, _, _ := n.do(request(n.url, "k")); status != 200 || !strings.Contains(n.log(), "endpoint cache not opened") {
+	if status, _, _ := n.do(request(n.url, "k")); status != 200 || !strings.Contains(n.log(), "endpoint cache disabled") {
 		t.Errorf("with a folder of no use: %d", status)
 	}
 	open := t.TempDir()
--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -14,279 +14,320 @@
 
 const day = 24 * time.Hour
 
-var rules = Rules{MaxAge: 72 * time.Hour, MinFirstListShare: 0.5, SlowStartDuration: 24 * time.Second, SlowStartCapacity: 0.14, MayProbe: true}
+var testRules = Rules{MaxAge: 72 * time.Hour, MinFirstListShare: 0.5, SlowStartDuration: 24 * time.Second, SlowStartCapacity: 0.14, MayProbe: true}
 
-func id(i int) scheduler.WorkerID { return scheduler.WorkerID(fmt.Sprint("w", i)) }
+func workerID(i int) scheduler.WorkerID { return scheduler.WorkerID(fmt.Sprint("w", i)) }
 
-// listOf is a list of so many workers that have been up for long.
-func listOf(made scheduler.Clock, n int) CachedList {
-	l := CachedList{ConfirmedAt: made, Revision: 7}
-	for i := range n {
-		l.Workers = append(l.Workers, CachedWorker{ID: id(i), LastSignal: made})
+// listOfWorkers returns a list of so many workers that started long ago.
+func listOfWorkers(confirmedAt scheduler.Clock, workers int) CachedList {
+	list := CachedList{ConfirmedAt: confirmedAt, Revision: 7}
+	for i := range workers {
+		list.Workers = append(list.Workers, CachedWorker{ID: workerID(i), LastSignal: confirmedAt})
 	}
-	return l
+	return list
 }
 
-// Promise 1.
-func TestAge(t *testing.T) {
-	for _, c := range []struct {
+// Promise 1: a list older than MaxAge is not used.
+func TestNew_maxAge(t *testing.T) {
+	for _, test := range []struct {
 		age    time.Duration
 		usable bool
 	}{{0, true}, {day, true}, {72 * time.Hour, true}, {72*time.Hour + 1, false}, {-day, true}} {
-		trust := New(10*day, listOf(10*day-c.age, 3), rules)
-		if age, ok := trust.Age(); trust.Usable() != c.usable || ok != (c.age >= 0) || ok && age != c.age {
-			t.Errorf("%v: usable %v, age %v, %v", c.age, trust.Usable(), age, ok)
+		assessor := New(10*day, listOfWorkers(10*day-test.age, 3), testRules)
+		if age, ok := assessor.Age(); assessor.Usable() != test.usable || ok != (test.age >= 0) || ok && age != test.age {
+			t.Errorf("%v: usable %v, age %v, %v", test.age, assessor.Usable(), age, ok)
 		}
-		if !c.usable && (!trust.Finished() || trust.Check(11*day) != nil) {
-			t.Errorf("%v: still decides", c.age)
+		if !test.usable && (!assessor.Finished() || assessor.Check(11*day) != nil) {
+			t.Errorf("%v: still decides", test.age)
 		}
 	}
 }
 
-// Promises 2 to 6, whatever comes in whatever order.
-func TestPromises(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		r := rules
-		r.MayProbe = rapid.Bool().Draw(t, "probing")
-		now := 10 * day
-		l := CachedList{ConfirmedAt: now - time.Duration(rapid.IntRange(-5, 60).Draw(t, "age"))*time.Hour, Revision: 7}
-		n := rapid.IntRange(1, 30).Draw(t, "workers")
-		for i := range n {
-			l.Workers = append(l.Workers, CachedWorker{ID: id(i), State: rapid.SampledFrom([]scheduler.WorkerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Gone}).Draw(t, "state"),
-				Detached: rapid.IntRange(0, 9).Draw(t, "out") == 0, StartedAt: l.ConfirmedAt - time.Duration(rapid.IntRange(0, 100).Draw(t, "since"))*time.Second})
+// promiseChecker checks each action of an Assessor against promises 2 to 6.
+type promiseChecker struct {
+	t                     *rapid.T
+	rules                 Rules
+	list                  CachedList
+	now                   scheduler.Clock
+	probedAt, announcedAt map[scheduler.WorkerID]scheduler.Clock
+	answered              map[scheduler.WorkerID]bool
+	probes                int
+}
+
+func (c *promiseChecker) check(actions []Action) {
+	for _, action := range actions {
+		if (action.Probe == "") == (action.Announce == nil) {
+			c.t.Fatalf("%+v does not have exactly one field set", action)
 		}
-		trust := New(now, l, r)
-		begun := now
-		out, answered, told, sure := map[scheduler.WorkerID]scheduler.Clock{}, map[scheduler.WorkerID]bool{}, map[scheduler.WorkerID]scheduler.Clock{}, map[scheduler.WorkerID]bool{}
-		probes := 0
-		take := func(vs []Action) {
-			for _, v := range vs {
-				if (v.Probe == "") == (v.Announce == nil) {
-					t.Fatalf("%+v is not one verdict", v)
-				}
-				if w := v.Probe; w != "" {
-					if at, is := out[w]; is && now < at+ProbeTimeout {
-						t.Fatalf("two probes out to %s", w)
-					}
-					if told[w] != 0 || !r.MayProbe {
-						t.Fatalf("probes %s", w)
-					}
-					out[w] = now
-					probes++
-					continue
-				}
-				w := slices.IndexFunc(l.Workers, func(w CachedWorker) bool { return w.ID == v.Announce.ID })
-				saved := l.Workers[w]
-				switch {
-				case saved.State != scheduler.Ready || saved.Detached:
-					t.Fatalf("told one that had left: %+v", saved)
-				case r.MayProbe && !answered[saved.ID]:
-					t.Fatalf("told one that never answered: %+v", saved)
-				case !v.Announce.StartConfirmed && v.Announce.StartedAt != now:
-					t.Fatalf("told as started at %v at %v", v.Announce.StartedAt, now)
-				case v.Announce.StartConfirmed && (told[saved.ID] == 0 || v.Announce.StartedAt != saved.StartedAt):
-					t.Fatalf("proven before it was told, or as another: %+v", v.Announce)
-				}
-				told[saved.ID] = now
-				sure[saved.ID] = sure[saved.ID] || v.Announce.StartConfirmed
-			}
+		if action.Probe != "" {
+			c.checkProbe(action.Probe)
+			continue
 		}
+		c.checkAnnouncement(action.Announce)
+	}
+}
+
+func (c *promiseChecker) checkProbe(id scheduler.WorkerID) {
+	if at, inFlight := c.probedAt[id]; inFlight && c.now < at+ProbeTimeout {
+		c.t.Fatalf("two probes of %s in flight", id)
+	}
+	if c.announcedAt[id] != 0 || !c.rules.MayProbe {
+		c.t.Fatalf("probes %s", id)
+	}
+	c.probedAt[id] = c.now
+	c.probes++
+}
+
+func (c *promiseChecker) checkAnnouncement(announced *ReadyWorker) {
+	index := slices.IndexFunc(c.list.Workers, func(w CachedWorker) bool { return w.ID == announced.ID })
+	cached := c.list.Workers[index]
+	switch {
+	case cached.State != scheduler.Ready || cached.Detached:
+		c.t.Fatalf("announces one that was not ready: %+v", cached)
+	case c.rules.MayProbe && !c.answered[cached.ID]:
+		c.t.Fatalf("announces one that never answered: %+v", cached)
+	case !announced.StartConfirmed && announced.StartedAt != c.now:
+		c.t.Fatalf("announced as started at %v at %v", announced.StartedAt, c.now)
+	case announced.StartConfirmed && (c.announcedAt[cached.ID] == 0 || announced.StartedAt != cached.StartedAt):
+		c.t.Fatalf("confirmed before it was announced, or with another start: %+v", announced)
+	}
+	c.announcedAt[cached.ID] = c.now
+}
+
+// Promises 2 to 6, for any events in any order.
+func TestAssessor_promises(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		rules := testRules
+		rules.MayProbe = rapid.Bool().Draw(t, "probing")
+		now := 10 * day
+		list := drawList(t, now)
+		workers := len(list.Workers)
+		assessor := New(now, list, rules)
+		startedAt := now
+		checker := &promiseChecker{t: t, rules: rules, list: list, probedAt: map[scheduler.WorkerID]scheduler.Clock{},
+			announcedAt: map[scheduler.WorkerID]scheduler.Clock{}, answered: map[scheduler.WorkerID]bool{}}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
-			w := id(rapid.IntRange(0, n-1).Draw(t, "worker"))
+			checker.now = now
+			id := workerID(rapid.IntRange(0, workers-1).Draw(t, "worker"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				take(trust.Check(now))
+				checker.check(assessor.Check(now))
 			case 2:
-				s := rapid.SampledFrom([]ProbeResult{Answered, Unrecognized, NoResponse}).Draw(t, "sign")
-				if _, is := out[w]; is && s == Answered {
-					answered[w] = true
+				result := rapid.SampledFrom([]ProbeResult{Answered, Unrecognized, NoResponse}).Draw(t, "result")
+				if _, inFlight := checker.probedAt[id]; inFlight && result == Answered {
+					checker.answered[id] = true
 				}
-				take(trust.ProbeCompleted(now, w, s))
-				delete(out, w)
+				checker.check(assessor.ProbeCompleted(now, id, result))
+				delete(checker.probedAt, id)
 			case 3:
-				take(trust.JobServed(now, w, rapid.Float64Range(-1, 4).Draw(t, "late")))
+				checker.check(assessor.JobServed(now, id, rapid.Float64Range(-1, 4).Draw(t, "log lateness")))
 			}
-			if most := n + int((now-begun)/MinProbeRetryDelay+2)*n; probes > most {
-				t.Fatalf("%d probes of %d workers in %v", probes, n, now-begun)
+			if maxProbes := workers + int((now-startedAt)/MinProbeRetryDelay+2)*workers; checker.probes > maxProbes {
+				t.Fatalf("%d probes of %d workers in %v", checker.probes, workers, now-startedAt)
 			}
-			if at, ok := trust.NextCheck(); ok && at <= now {
-				take(trust.Check(now))
-				if at, ok := trust.NextCheck(); ok && at <= now && r.MayProbe {
-					t.Fatalf("due at %v after a look at %v", at, now)
+			if at, ok := assessor.NextCheck(); ok && at <= now {
+				checker.check(assessor.Check(now))
+				if at, ok := assessor.NextCheck(); ok && at <= now && rules.MayProbe {
+					t.Fatalf("due at %v after a check at %v", at, now)
 				}
 			}
 		}
 		counted := 0
-		for _, k := range trust.CountByLevel() {
-			counted += k
+		for _, count := range assessor.CountByLevel() {
+			counted += count
 		}
-		if counted != n {
-			t.Fatalf("%d of %d workers counted", counted, n)
+		if counted != workers {
+			t.Fatalf("%d of %d workers counted", counted, workers)
 		}
 	})
 }
 
-// Promise 5: a worker that is cold is seldom taken for warm, one that is warm after a job or three.
-func TestProof(t *testing.T) {
+// drawList draws a cached list of up to 30 workers in any states.
+func drawList(t *rapid.T, now scheduler.Clock) CachedList {
+	states := []scheduler.WorkerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Gone}
+	list := CachedList{ConfirmedAt: now - time.Duration(rapid.IntRange(-5, 60).Draw(t, "age"))*time.Hour, Revision: 7}
+	for i := range rapid.IntRange(1, 30).Draw(t, "workers") {
+		list.Workers = append(list.Workers, CachedWorker{
+			ID:        workerID(i),
+			State:     rapid.SampledFrom(states).Draw(t, "state"),
+			Detached:  rapid.IntRange(0, 9).Draw(t, "detached") == 0,
+			StartedAt: list.ConfirmedAt - time.Duration(rapid.IntRange(0, 100).Draw(t, "since"))*time.Second,
+		})
+	}
+	return list
+}
+
+// Promise 5: a worker that is warming up is seldom taken for warm, and a warm one is confirmed after four jobs on average.
+func TestJobServed_sequentialTest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := time.Duration(rapid.IntRange(0, 48).Draw(t, "hours")) * time.Hour
 		seed := rapid.Uint64().Draw(t, "seed")
-		wrong, jobs := 0, 0
+		falseWarm, warmJobs := 0, 0
 		const workers = 300
-		x := seed
-		normal := func() (z float64) { // a sum of twelve even numbers is near enough
+		state := seed
+		normal := func() (sum float64) { // a sum of twelve uniform draws is close enough
 			for range 12 {
-				x = x*6364136223846793005 + 1442695040888963407
-				z += float64(x>>11) / (1 << 53)
+				state = state*6364136223846793005 + 1442695040888963407
+				sum += float64(state>>11) / (1 << 53)
 			}
-			return z - 6
+			return sum - 6
 		}
 		for i := range workers {
-			cold := i%2 == 0
+			warmingUp := i%2 == 0
 			now := 10 * day
-			trust := New(now, listOf(now-age, 1), rules)
-			trust.Check(now)
-			trust.ProbeCompleted(now, id(0), Answered)
+			assessor := New(now, listOfWorkers(now-age, 1), testRules)
+			assessor.Check(now)
+			assessor.ProbeCompleted(now, workerID(0), Answered)
 			for range 20 {
 				now += 300 * time.Millisecond
-				late := spread * normal()
-				if cold {
-					late += -math.Log(trust.warmth(now - 10*day))
+				logLateness := logRuntimeDeviation * normal()
+				if warmingUp {
+					logLateness += -math.Log(assessor.warmupFactor(now - 10*day))
 				} else {
-					jobs++
+					warmJobs++
 				}
-				if len(trust.JobServed(now, id(0), late)) > 0 {
-					if cold {
-						wrong++
+				if len(assessor.JobServed(now, workerID(0), logLateness)) > 0 {
+					if warmingUp {
+						falseWarm++
 					}
 					break
 				}
 			}
 		}
-		if wrong > workers/2/8 {
-			t.Fatalf("%d of %d cold workers taken for warm with a list of %v", wrong, workers/2, age)
+		if falseWarm > workers/2/8 {
+			t.Fatalf("%d of %d warming workers taken for warm with a list of %v", falseWarm, workers/2, age)
 		}
-		if jobs > 4*workers/2 {
-			t.Fatalf("%d jobs to prove %d warm workers with a list of %v", jobs, workers/2, age)
+		if warmJobs > 4*workers/2 {
+			t.Fatalf("%d jobs to confirm %d warm workers with a list of %v", warmJobs, workers/2, age)
 		}
 	})
 }
 
-// The older the list, the less a worker is trusted.
-func TestOlderIsTrustedLess(t *testing.T) {
+// Promise 5: the older the list, the less a worker is trusted.
+func TestWarmingUpPrior_growsWithAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := rapid.IntRange(0, 72).Draw(t, "a"), rapid.IntRange(0, 72).Draw(t, "b")
-		if a > b {
-			a, b = b, a
+		younger, older := rapid.IntRange(0, 72).Draw(t, "a"), rapid.IntRange(0, 72).Draw(t, "b")
+		if younger > older {
+			younger, older = older, younger
 		}
-		p := func(hours int) float64 {
-			trust := New(10*day, listOf(10*day-time.Duration(hours)*time.Hour, 1), rules)
-			return trust.prior(trust.order[0])
+		prior := func(hours int) float64 {
+			assessor := New(10*day, listOfWorkers(10*day-time.Duration(hours)*time.Hour, 1), testRules)
+			return assessor.warmingUpPrior(assessor.probeOrder[0])
 		}
-		if p(a) > p(b) {
-			t.Fatalf("after %d h %v, after %d h %v", a, p(a), b, p(b))
+		if prior(younger) > prior(older) {
+			t.Fatalf("after %d h %v, after %d h %v", younger, prior(younger), older, prior(older))
 		}
 	})
 }
 
-// Promise 6: the first probes are paced, and those heard last come first.
-func TestPace(t *testing.T) {
-	for _, n := range []int{3, 12, 50, 200, 20000} {
-		l := listOf(9*day, n)
-		for i := range l.Workers {
-			l.Workers[i].LastSignal = 9*day - time.Duration(i)*time.Second
+// Promise 6: the rate of first probes is bounded, and workers with the latest signal come first.
+func TestCheck_probeRate(t *testing.T) {
+	for _, workers := range []int{3, 12, 50, 200, 20000} {
+		list := listOfWorkers(9*day, workers)
+		for i := range list.Workers {
+			list.Workers[i].LastSignal = 9*day - time.Duration(i)*time.Second
 		}
-		trust := New(10*day, l, rules)
-		asked, most := 0, 0
+		assessor := New(10*day, list, testRules)
+		probes, inOneSecond := 0, 0
 		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
-			for _, v := range trust.Check(now) {
-				if v.Probe != id(asked) && asked < n {
-					t.Fatalf("%d workers: probe %d goes to %s", n, asked, v.Probe)
+			for _, action := range assessor.Check(now) {
+				if action.Probe != workerID(probes) && probes < workers {
+					t.Fatalf("%d workers: probe %d goes to %s", workers, probes, action.Probe)
 				}
-				if asked++; asked == n {
+				if probes++; probes == workers {
 					break
 				}
-				trust.ProbeCompleted(now, v.Probe, Answered)
+				assessor.ProbeCompleted(now, action.Probe, Answered)
 			}
-			most = max(most, asked)
+			inOneSecond = max(inOneSecond, probes)
 		}
-		if want := min(n, MaxProbesPerSecond+1); most > want || most < min(n, MinProbesPerSecond) {
-			t.Errorf("%d workers: %d probes in a second", n, most)
+		if want := min(workers, MaxProbesPerSecond+1); inOneSecond > want || inOneSecond < min(workers, MinProbesPerSecond) {
+			t.Errorf("%d workers: %d probes in a second", workers, inOneSecond)
 		}
 	}
 }
 
-// Promise 7.
-func TestHandover(t *testing.T) {
-	begin := func() *Assessor {
-		trust := New(10*day, listOf(10*day-time.Minute, 10), rules)
-		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
-			for _, v := range trust.Check(now) {
-				if i := slices.Index([]scheduler.WorkerID{id(8), id(9)}, v.Probe); i < 0 { // two never answer
-					trust.ProbeCompleted(now, v.Probe, Answered)
-				}
+// newAnsweredAssessor returns an Assessor of ten workers, of which all but two have answered.
+func newAnsweredAssessor() *Assessor {
+	assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), testRules)
+	silent := []scheduler.WorkerID{workerID(8), workerID(9)}
+	for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
+		for _, action := range assessor.Check(now) {
+			if !slices.Contains(silent, action.Probe) {
+				assessor.ProbeCompleted(now, action.Probe, Answered)
 			}
 		}
-		return trust
 	}
-	ids := func(n int) (ids []scheduler.WorkerID) {
-		for i := range n {
-			ids = append(ids, id(i))
-		}
-		return ids
+	return assessor
+}
+
+// firstIDs returns the IDs of the first so many workers.
+func firstIDs(count int) (ids []scheduler.WorkerID) {
+	for i := range count {
+		ids = append(ids, workerID(i))
 	}
+	return ids
+}
+
+// Promise 7: which first lists of discovery are in force at once, and how the others are confirmed.
+func TestAssessList_firstList(t *testing.T) {
 	now := 10*day + 2*time.Second
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		revision int64
 		ready    []scheduler.WorkerID
-		kept     int // -1: counts at once
+		retained int // -1: the list is in force at once
 	}{
-		{"all", 9, ids(10), -1}, {"half", 9, ids(5), -1}, {"below half", 9, ids(4), 4}, {"empty", 9, nil, 8},
-		{"older", 3, ids(7), 1}, {"older, all that answer", 3, ids(8), -1}, {"more", 9, ids(12), -1},
+		{"all", 9, firstIDs(10), -1},
+		{"half", 9, firstIDs(5), -1},
+		{"below half", 9, firstIDs(4), 4},
+		{"empty", 9, nil, 8},
+		{"lower revision", 3, firstIDs(7), 1},
+		{"lower revision, all that answer", 3, firstIDs(8), -1},
+		{"more", 9, firstIDs(12), -1},
 	} {
-		trust := begin()
-		j := trust.AssessList(now, c.revision, c.ready)
-		if c.kept < 0 {
-			if len(j.Retain) > 0 || j.RefetchAt != 0 || !trust.Finished() {
-				t.Errorf("%s: %+v", c.name, j)
+		assessor := newAnsweredAssessor()
+		decision := assessor.AssessList(now, test.revision, test.ready)
+		if test.retained < 0 {
+			if len(decision.Retain) > 0 || decision.RefetchAt != 0 || !assessor.Finished() {
+				t.Errorf("%s: %+v", test.name, decision)
 			}
 			continue
 		}
-		if len(j.Retain) != c.kept || j.RefetchAt != now+ConfirmationDelay || trust.Finished() {
-			t.Errorf("%s: %+v", c.name, j)
+		if len(decision.Retain) != test.retained || decision.RefetchAt != now+ConfirmationDelay || assessor.Finished() {
+			t.Errorf("%s: %+v", test.name, decision)
 		}
-		if j := trust.AssessList(now+ConfirmationDelay/2, c.revision, c.ready); j.RefetchAt != now+ConfirmationDelay || trust.Finished() {
-			t.Errorf("%s, told again too soon: %+v", c.name, j)
+		if decision := assessor.AssessList(now+ConfirmationDelay/2, test.revision, test.ready); decision.RefetchAt != now+ConfirmationDelay || assessor.Finished() {
+			t.Errorf("%s, received again too soon: %+v", test.name, decision)
 		}
-		if until, ok := trust.RetainedUntil(); !ok || until != now+MaxRetention || trust.ExpireRetained(until-1) != nil {
-			t.Errorf("%s: doubted until %v, %v", c.name, until, ok)
+		if until, ok := assessor.RetainedUntil(); !ok || until != now+MaxRetention || assessor.ExpireRetained(until-1) != nil {
+			t.Errorf("%s: retained until %v, %v", test.name, until, ok)
 		}
-		if j := trust.AssessList(now+ConfirmationDelay, c.revision, c.ready); (len(c.ready) > 0) != trust.Finished() {
-			t.Errorf("%s, told twice: %+v", c.name, j)
+		if decision := assessor.AssessList(now+ConfirmationDelay, test.revision, test.ready); (len(test.ready) > 0) != assessor.Finished() {
+			t.Errorf("%s, received twice: %+v", test.name, decision)
 		}
-		trust = begin()
-		trust.AssessList(now, c.revision, c.ready)
-		if gone := trust.ExpireRetained(now + MaxRetention); len(gone) != c.kept || !trust.Finished() {
-			t.Errorf("%s, never told again: %v", c.name, gone)
+		assessor = newAnsweredAssessor()
+		assessor.AssessList(now, test.revision, test.ready)
+		if gone := assessor.ExpireRetained(now + MaxRetention); len(gone) != test.retained || !assessor.Finished() {
+			t.Errorf("%s, never received again: %v", test.name, gone)
 		}
 	}
-	// Who names no share wants every list at once.
-	r := rules
-	r.MinFirstListShare = 0
-	trust := New(10*day, listOf(10*day-time.Minute, 10), r)
-	if j := trust.AssessList(now, 1, nil); j.RefetchAt != 0 || !trust.Finished() {
-		t.Errorf("without a share: %+v", j)
+	// Without a share, each list is in force at once.
+	rules := testRules
+	rules.MinFirstListShare = 0
+	assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), rules)
+	if decision := assessor.AssessList(now, 1, nil); decision.RefetchAt != 0 || !assessor.Finished() {
+		t.Errorf("without a share: %+v", decision)
 	}
 }
 
-// Promise 8.
-func TestSame(t *testing.T) {
-	l := listOf(10*day, 1)
-	l.Workers[0].StartedAt = 9 * day
-	trust := New(10*day, l, rules)
-	if !trust.SameIncarnation(id(0), 9*day) || trust.SameIncarnation(id(0), 9*day+1) || trust.SameIncarnation(id(1), 0) {
-		t.Error("a later start is the same life")
+// Promise 8: a later start is another incarnation.
+func TestSameIncarnation_laterStart(t *testing.T) {
+	list := listOfWorkers(10*day, 1)
+	list.Workers[0].StartedAt = 9 * day
+	assessor := New(10*day, list, testRules)
+	if !assessor.SameIncarnation(workerID(0), 9*day) || assessor.SameIncarnation(workerID(0), 9*day+1) || assessor.SameIncarnation(workerID(1), 0) {
+		t.Error("a later start is the same incarnation, or the same start is not, or an unknown worker has one")
 	}
 }
--- a/internal/decisions/idempotency/idempotency_test.go
+++ b/internal/decisions/idempotency/idempotency_test.go
@@ -6,75 +6,108 @@
 	"pgregory.net/rapid"
 )
 
-// A table driven by the verdicts, against what must be true of each key whatever comes.
-func TestPromises(t *testing.T) {
-	type job struct {
-		body    int
-		ended   bool
-		refused bool
-		readers int
-		kept    bool
+// modelJob is a job in the model.
+type modelJob struct {
+	body               int
+	ended              bool
+	rejected           bool
+	readers            int
+	runsWithoutReaders bool
+}
+
+// neverRan reports whether a job has ended by being rejected.
+func (j *modelJob) neverRan() bool { return j.ended && j.rejected }
+
+// model is a table of jobs by key that follows the decisions, and checks the promises.
+type model struct {
+	t        *rapid.T
+	jobs     map[string]*modelJob
+	capacity int
+	running  map[string]int
+}
+
+// request decides a request.
+func (m *model) request(key string, body int, resumed bool) {
+	current := m.jobs[key]
+	var remembered *RememberedJob
+	if current != nil {
+		remembered = &RememberedJob{Rejected: current.neverRan(), SameJob: current.body == body}
 	}
+	switch Decide(remembered, resumed, len(m.jobs) < m.capacity) {
+	case Start:
+		if resumed || current != nil && !current.neverRan() || len(m.jobs) >= m.capacity {
+			m.t.Fatalf("started with %+v remembered, resumed %v, %d of %d", current, resumed, len(m.jobs), m.capacity)
+		}
+		if m.running[key]++; m.running[key] > 1 {
+			m.t.Fatal("two jobs of a key run")
+		}
+		m.jobs[key] = &modelJob{body: body, readers: 1}
+	case Join:
+		if current == nil || current.body != body {
+			m.t.Fatalf("joined %+v", current)
+		}
+		current.readers++
+	case KeyMismatch:
+		if current == nil || current.body == body {
+			m.t.Fatalf("key mismatch with %+v", current)
+		}
+	case UnknownKey:
+		if !resumed || current != nil {
+			m.t.Fatalf("unknown key with %+v", current)
+		}
+	case TableFull:
+		if len(m.jobs) < m.capacity {
+			m.t.Fatal("table full below its capacity")
+		}
+	}
+}
+
+// end ends the job of a key, if it runs.
+func (m *model) end(key string) {
+	if current := m.jobs[key]; current != nil && !current.ended {
+		current.ended, current.rejected = true, rapid.Bool().Draw(m.t, "rejected")
+		m.running[key]--
+	}
+}
+
+// forget removes the job of a key, if it has ended.
+func (m *model) forget(key string) {
+	if current := m.jobs[key]; current != nil && current.ended {
+		delete(m.jobs, key)
+	}
+}
+
+// leave removes a reader of the job of a key, if there is one.
+func (m *model) leave(key string) {
+	current := m.jobs[key]
+	if current == nil || current.readers == 0 {
+		return
+	}
+	current.readers--
+	if !current.ended && AbandonWithoutReaders(current.readers, current.runsWithoutReaders) {
+		if current.readers > 0 || current.runsWithoutReaders {
+			m.t.Fatal("abandoned with a reader")
+		}
+		delete(m.jobs, key)
+		m.running[key]--
+	}
+}
+
+// Promises 1 to 5, for a table of jobs that is driven by the decisions on any sequence of requests.
+func TestDecide_promises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, most := map[string]*job{}, rapid.IntRange(1, 4).Draw(t, "most")
-		running := map[string]int{}
+		table := &model{t: t, jobs: map[string]*modelJob{}, capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), running: map[string]int{}}
 		for range 200 {
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "key")
-			j := table[key]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				body, again := rapid.IntRange(0, 1).Draw(t, "body"), rapid.IntRange(0, 5).Draw(t, "again") == 0
-				var known *RememberedJob
-				if j != nil {
-					known = &RememberedJob{Rejected: j.ended && j.refused, SameJob: j.body == body}
-				}
-				switch v := Decide(known, again, len(table) < most); v {
-				case Start:
-					if again || j != nil && !(j.ended && j.refused) || len(table) >= most {
-						t.Fatalf("begun with %+v remembered, again %v, %d of %d", j, again, len(table), most)
-					}
-					if running[key]++; running[key] > 1 {
-						t.Fatal("two jobs of a key run")
-					}
-					table[key] = &job{body: body, readers: 1}
-				case Join:
-					if j == nil || j.body != body {
-						t.Fatalf("joined %+v", j)
-					}
-					j.readers++
-				case KeyMismatch:
-					if j == nil || j.body == body {
-						t.Fatalf("another than %+v", j)
-					}
-				case UnknownKey:
-					if !again || j != nil {
-						t.Fatalf("unknown with %+v", j)
-					}
-				case TableFull:
-					if len(table) < most {
-						t.Fatal("full")
-					}
-				}
+				table.request(key, rapid.IntRange(0, 1).Draw(t, "body"), rapid.IntRange(0, 5).Draw(t, "resumed") == 0)
 			case 2:
-				if j != nil && !j.ended {
-					j.ended, j.refused = true, rapid.Bool().Draw(t, "refused")
-					running[key]--
-				}
+				table.end(key)
 			case 3:
-				if j != nil && j.ended {
-					delete(table, key)
-				}
+				table.forget(key)
 			case 4:
-				if j != nil && j.readers > 0 {
-					j.readers--
-					if !j.ended && AbandonWithoutReaders(j.readers, j.kept) {
-						if j.readers > 0 || j.kept {
-							t.Fatal("given up with a reader")
-						}
-						delete(table, key)
-						running[key]--
-					}
-				}
+				table.leave(key)
 			}
 		}
 	})
--- a/internal/program/build.go
+++ b/internal/program/build.go
@@ -58,7 +58,7 @@
 	if start != nil {
 		d.endpointList.StartFromCache(start)
 		age, ok := start.Assessor.Age()
-		d.log.Info("starting from endpoint cache", "endpoints", len(start.Endpoints), "age", age, "age_known", ok)
+		d.log.Info("started from endpoint cache", "workers", len(start.Endpoints), "age", age, "age_known", ok)
 	}
 	d.core.SetEndpoints(d.endpoints, d.endpointList.Subscribe)
 }
@@ -90,7 +90,7 @@
 	start := d.cache.start(clock)
 	if start != nil && !start.Assessor.Usable() {
 		age, _ := start.Assessor.Age() // 0 where it is not known
-		d.log.Warn("endpoint cache expired", "age", age)
+		d.log.Warn("endpoint cache too old", "age", age)
 		return nil
 	}
 	return start
--- a/internal/program/endpointcache.go
+++ b/internal/program/endpointcache.go
@@ -28,7 +28,7 @@
 func (d *dispatcher) openEndpointCache(settings *endpointcache.Settings, name string, current *protocol.Settings) *endpointCache {
 	files, err := endpointcache.OpenOrCreate(settings.Directory, name)
 	if err != nil {
-		d.log.Warn("endpoint cache not opened, continuing without", "err", err)
+		d.log.Warn("endpoint cache disabled", "err", err)
 		return nil
 	}
 	maxAge, _ := settings.ParseMaxAge() // checked when the operator's file was read
@@ -46,7 +46,7 @@
 	var faults []string
 	cache.loaded, faults = cache.store.Load()
 	for _, fault := range faults {
-		d.log.Warn("endpoint cache not read in full", "fault", fault)
+		d.log.Warn("endpoint cache damaged", "fault", fault)
 	}
 	return cache
 }
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -9,287 +9,289 @@
 	"time"
 )
 
-// Breach is a rule that was broken, with the request or the worker concerned.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule    string
-	Request string // its id; empty where none is concerned
-	Worker  int    // -1 where none is
+	Request string // id of the request concerned; empty for none
+	Worker  int    // number of the worker concerned; -1 for none
 	At      time.Time
-	Why     string
+	Detail  string
 }
 
-// The rules.
+// The rules of the protocol, by the names that the operators use.
 const (
-	RuleLost      = "lost"      // one final answer in time, and no attempt for a client that has gone
-	RuleDuplicate = "duplicate" // a repeat only as the class allows
-	RuleRefused   = "refused"   // a refusal promises that nothing ran
-	RuleDrain     = "drain"     // nothing new to a draining worker past the grace
-	RuleFailback  = "failback"  // no cold worker gets more than it can stand
-	RuleDeadline  = "deadline"  // what a worker is told is no more than the client has left
-	RuleReady     = "ready"     // a process that starts is ready in time
-	RuleCrash     = "crash"     // and does not end by itself
+	RuleLost      = "lost"      // one final answer in time, and no attempt for a client that has left
+	RuleDuplicate = "duplicate" // retries and hedged attempts only as the class allows
+	RuleRejected  = "refused"   // a rejection promises that nothing ran
+	RuleDrain     = "drain"     // nothing new to a draining worker after the grace period
+	RuleSlowStart = "failback"  // no overload of a warming worker
+	RuleDeadline  = "deadline"  // a worker's timeout is no longer than the client's remaining time
+	RuleReady     = "ready"     // a process is ready in time
+	RuleCrash     = "crash"     // a process does not end by itself
 )
 
-// RuleNames lists them in the order of tables.
-var RuleNames = []string{RuleLost, RuleDuplicate, RuleRefused, RuleDrain, RuleFailback, RuleDeadline, RuleReady, RuleCrash}
+// RuleNames lists the rules in the order of tables.
+var RuleNames = []string{RuleLost, RuleDuplicate, RuleRejected, RuleDrain, RuleSlowStart, RuleDeadline, RuleReady, RuleCrash}
 
 const (
-	answerSlack   = 500 * time.Millisecond // an answer may be so late and only earns nothing
-	goneSlack     = 100 * time.Millisecond
-	deadlineSlack = 150 * time.Millisecond
-	socketSlack   = 50 * time.Millisecond // of every time limit
-	toldWithin    = 6 * time.Second
-	readyWithin   = 10 * time.Second
-	unread        = "epoll_ctl"
-	earlyRequest  = 700 * time.Millisecond // behind SIGTERM: what came sooner may be found unanswered by SIGKILL
+	answerSlack           = 500 * time.Millisecond // an answer that is late by less is not lost
+	clientLeftSlack       = 100 * time.Millisecond
+	deadlineSlack         = 150 * time.Millisecond
+	socketSlack           = 50 * time.Millisecond // tolerance of every time limit
+	notificationDeadline  = 6 * time.Second
+	readyWithin           = 10 * time.Second
+	pollRegistration      = "epoll_ctl"
+	shutdownRequestWindow = 700 * time.Millisecond // after SIGTERM: a request that came sooner may be unanswered at SIGKILL
 )
 
-// auditor holds the rules over a record.
+// auditor checks the rules on a record.
 type auditor struct {
 	plan     Plan
 	record   *Record
-	attempts map[string][]*Attempt // by request, in order
+	attempts map[string][]*Attempt // by request, in order of their first byte
 	breaches []Breach
 }
 
-// Audit gives all breaches in a record.
-func Audit(p Plan, r *Record) []Breach {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	a := &auditor{plan: p, record: r, attempts: map[string][]*Attempt{}}
-	slices.SortFunc(r.Attempts, func(x, y *Attempt) int { return x.First.Compare(y.First) })
-	for _, t := range r.Attempts {
-		a.attempts[t.ID] = append(a.attempts[t.ID], t)
+// Audit returns all breaches in a record.
+func Audit(plan Plan, record *Record) []Breach {
+	record.mu.Lock()
+	defer record.mu.Unlock()
+	auditor := &auditor{plan: plan, record: record, attempts: map[string][]*Attempt{}}
+	slices.SortFunc(record.Attempts, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
+	for _, attempt := range record.Attempts {
+		auditor.attempts[attempt.ID] = append(auditor.attempts[attempt.ID], attempt)
 	}
-	for _, q := range r.Requests {
-		a.answered(q)
-		a.repeated(q)
-		a.refused(q)
-		a.gone(q)
-		a.deadlines(q)
+	for _, request := range record.Requests {
+		auditor.checkAnswered(request)
+		auditor.checkRepeats(request)
+		auditor.checkRejections(request)
+		auditor.checkClientLeft(request)
+		auditor.checkDeadlines(request)
 	}
-	a.drained()
-	a.coldWorkers()
-	a.lives()
-	return a.breaches
+	auditor.checkDrains()
+	auditor.checkSlowStart()
+	auditor.checkProcessRuns()
+	return auditor.breaches
 }
 
-func (a *auditor) broken(rule, request string, worker int, at time.Time, format string, args ...any) {
+// addBreach adds a breach. request is empty and worker -1 if none is concerned.
+func (a *auditor) addBreach(rule, request string, worker int, at time.Time, format string, args ...any) {
 	a.breaches = append(a.breaches, Breach{rule, request, worker, at, fmt.Sprintf(format, args...)})
 }
 
-// life finds the process that a request went to.
-func (a *auditor) life(q *Request) *Life {
-	for _, l := range a.record.Lives {
-		if l.Dispatcher == q.Dispatcher && l.Number == q.Life {
-			return l
+// processRunOf returns the process that a request was sent to; nil if it is unknown.
+func (a *auditor) processRunOf(request *Request) *ProcessRun {
+	for _, run := range a.record.ProcessRuns {
+		if run.Dispatcher == request.Dispatcher && run.Number == request.ProcessRun {
+			return run
 		}
 	}
 	return nil
 }
 
-// answered holds that a request that was taken gets one whole answer in time.
-func (a *auditor) answered(q *Request) {
-	if q.Written.IsZero() || !q.Left.IsZero() {
+// checkAnswered checks that a request gets one complete answer in time.
+func (a *auditor) checkAnswered(request *Request) {
+	if request.WrittenAt.IsZero() || !request.LeftAt.IsZero() {
 		return
 	}
-	due := q.Written.Add(q.Deadline + answerSlack)
-	if q.Status > 0 {
-		if q.Answered.After(due) {
-			a.broken(RuleLost, q.ID, -1, q.Answered, "answered %v behind its deadline", q.Answered.Sub(q.Written.Add(q.Deadline)))
+	due := request.WrittenAt.Add(request.Deadline + answerSlack)
+	if request.Status > 0 {
+		if request.AnsweredAt.After(due) {
+			a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "answered %v after its deadline", request.AnsweredAt.Sub(request.WrittenAt.Add(request.Deadline)))
 		}
-		made := func(t *Attempt) bool { return t.Result != "" && t.Result == q.Result }
-		if q.Status == 200 && !slices.ContainsFunc(a.attempts[q.ID], made) {
-			a.broken(RuleLost, q.ID, -1, q.Answered, "served with what no worker made: %q", q.Result)
+		madeResult := func(attempt *Attempt) bool { return attempt.Result != "" && attempt.Result == request.Result }
+		if request.Status == 200 && !slices.ContainsFunc(a.attempts[request.ID], madeResult) {
+			a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "served with a result that no worker made: %q", request.Result)
 		}
 		return
 	}
-	l := a.life(q)
+	run := a.processRunOf(request)
 	switch {
-	case l != nil && !l.Ended.IsZero() && l.Killed && !q.Answered.Before(l.Ended.Add(-socketSlack)):
-		if l.Term.IsZero() || q.Written.Before(l.Term.Add(earlyRequest)) {
-			return // what a kill finds open is not lost, but for what came late behind SIGTERM
+	case run != nil && !run.EndedAt.IsZero() && run.Killed && !request.AnsweredAt.Before(run.EndedAt.Add(-socketSlack)):
+		if run.SIGTERMAt.IsZero() || request.WrittenAt.Before(run.SIGTERMAt.Add(shutdownRequestWindow)) {
+			return // open at a SIGKILL, unless it came late after SIGTERM
 		}
-	case q.Reused && len(a.attempts[q.ID]) == 0 && q.Resent:
-		return // a connection may end between requests, and the client sends once more on another
-	case !q.Reused && len(a.attempts[q.ID]) == 0 && strings.Contains(a.plan.Failures, unread):
-		return // the system would not let it be polled: it was closed unread
+	case request.ConnectionReused && len(a.attempts[request.ID]) == 0 && request.Resent:
+		return // an idle connection may be closed; the client has sent the request again on another
+	case !request.ConnectionReused && len(a.attempts[request.ID]) == 0 && strings.Contains(a.plan.SystemCallFaults, pollRegistration):
+		return // the injected fault kept the connection from being polled: it was closed unread
 	}
-	a.broken(RuleLost, q.ID, -1, q.Answered, "no answer: %s", cmp.Or(q.Why, "nothing came"))
+	a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "no answer: %s", cmp.Or(request.Error, "nothing came"))
 }
 
-// repeated holds that an attempt behind another goes out only as the class allows.
-func (a *auditor) repeated(q *Request) {
+// checkRepeats checks that an attempt after one that may have run is sent only as the class allows.
+func (a *auditor) checkRepeats(request *Request) {
 	var first *Attempt
-	for _, t := range a.attempts[q.ID] {
+	for _, attempt := range a.attempts[request.ID] {
 		if first != nil {
-			switch a.plan.Effect {
-			case Unsafe:
-				a.broken(RuleDuplicate, q.ID, t.Worker, t.First, "of an unsafe class, behind an attempt at %d that may have run", first.Worker)
-			case Keyed:
-				if over := t.Last.Sub(first.Last) - a.plan.Window; over > socketSlack {
-					a.broken(RuleDuplicate, q.ID, t.Worker, t.First, "%v behind the window for repeats", over)
+			switch a.plan.Idempotency {
+			case NonIdempotent:
+				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "of a non-idempotent class, after an attempt at %d that may have run", first.Worker)
+			case IdempotentWithKey:
+				if excess := attempt.LastByteAt.Sub(first.LastByteAt) - a.plan.DeduplicationWindow; excess > socketSlack {
+					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "%v after the deduplication window", excess)
 				}
-				if t.Cell != first.Cell {
-					a.broken(RuleDuplicate, q.ID, t.Worker, t.First, "at another cell than the one that may have run it")
+				if attempt.Cell != first.Cell {
+					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "in another cell than the attempt that may have run")
 				}
 			}
 		}
-		for _, o := range a.attempts[q.ID] {
-			if !a.plan.Duplicates && o != t && o.First.Before(t.First) && t.Last.Before(o.Ended.Add(-socketSlack)) {
-				a.broken(RuleDuplicate, q.ID, t.Worker, t.First, "two attempts out, the other at %d", o.Worker)
+		for _, other := range a.attempts[request.ID] {
+			if !a.plan.MayHedge && other != attempt && other.FirstByteAt.Before(attempt.FirstByteAt) && attempt.LastByteAt.Before(other.EndedAt.Add(-socketSlack)) {
+				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "two attempts in flight, the other at %d", other.Worker)
 			}
 		}
-		if t.Ran && first == nil {
-			first = t
+		if attempt.MayHaveExecuted && first == nil {
+			first = attempt
 		}
 	}
 }
 
-// refused holds that a refusal is given only where nothing ran, unless the class is safe.
-func (a *auditor) refused(q *Request) {
-	if q.Status != 503 && q.Status != 429 || a.plan.Effect == Safe {
+// checkRejections checks that a request is rejected only if nothing ran, unless its class is idempotent.
+func (a *auditor) checkRejections(request *Request) {
+	if request.Status != 503 && request.Status != 429 || a.plan.Idempotency == Idempotent {
 		return
 	}
-	for _, t := range a.attempts[q.ID] {
-		if t.Ran {
-			a.broken(RuleRefused, q.ID, t.Worker, q.Answered, "refused with %d, though an attempt may have run", q.Status)
+	for _, attempt := range a.attempts[request.ID] {
+		if attempt.MayHaveExecuted {
+			a.addBreach(RuleRejected, request.ID, attempt.Worker, request.AnsweredAt, "rejected with %d, though an attempt may have run", request.Status)
 			return
 		}
 	}
 }
 
-// gone holds that nothing is begun for a client that has gone.
-func (a *auditor) gone(q *Request) {
-	if q.Left.IsZero() {
+// checkClientLeft checks that no attempt begins for a client that has left.
+func (a *auditor) checkClientLeft(request *Request) {
+	if request.LeftAt.IsZero() {
 		return
 	}
-	for _, t := range a.attempts[q.ID] {
-		if late := t.First.Sub(q.Left); late > goneSlack {
-			a.broken(RuleLost, q.ID, t.Worker, t.First, "an attempt began %v behind its client's leaving", late)
+	for _, attempt := range a.attempts[request.ID] {
+		if late := attempt.FirstByteAt.Sub(request.LeftAt); late > clientLeftSlack {
+			a.addBreach(RuleLost, request.ID, attempt.Worker, attempt.FirstByteAt, "an attempt began %v after its client left", late)
 		}
 	}
 }
 
-// deadlines holds that workers are told no more time than is left.
-func (a *auditor) deadlines(q *Request) {
-	if q.Written.IsZero() {
+// checkDeadlines checks that a worker's timeout is no longer than the client's remaining time.
+func (a *auditor) checkDeadlines(request *Request) {
+	if request.WrittenAt.IsZero() {
 		return
 	}
-	for _, t := range a.attempts[q.ID] {
-		if over := t.Last.Add(t.Told).Sub(q.Written.Add(q.Deadline)); over > deadlineSlack {
-			a.broken(RuleDeadline, q.ID, t.Worker, t.Last, "told %v more than was left", over)
+	for _, attempt := range a.attempts[request.ID] {
+		if excess := attempt.LastByteAt.Add(attempt.Timeout).Sub(request.WrittenAt.Add(request.Deadline)); excess > deadlineSlack {
+			a.addBreach(RuleDeadline, request.ID, attempt.Worker, attempt.LastByteAt, "timeout %v longer than the remaining time", excess)
 		}
 	}
 }
 
-// told gives when a change counts as told at a process of a dispatcher.
-func (a *auditor) told(c Change, l *Life) time.Time {
-	had := c.At
-	if l.Started.After(had) {
-		had = l.Started
+// notifiedAt returns from when on the platform counts a process as notified of a change.
+func (a *auditor) notifiedAt(change EndpointChange, run *ProcessRun) time.Time {
+	reachable := change.At
+	if run.StartedAt.After(reachable) {
+		reachable = run.StartedAt
 	}
-	for _, o := range a.record.Outages {
-		if !o.From.After(had.Add(a.heardWithin())) && o.To.After(had) {
-			had = o.To
+	for _, outage := range a.record.Outages {
+		if !outage.From.After(reachable.Add(a.outageReach())) && outage.To.After(reachable) {
+			reachable = outage.To
 		}
 	}
-	if a.plan.Pushed {
-		return had
+	if a.plan.ListsPushed {
+		return reachable
 	}
-	told := had.Add(toldWithin)
-	for _, w := range a.record.Answers {
-		if w.Dispatcher == l.Dispatcher && w.Revision >= c.Revision && w.At.After(l.Started) && w.At.Before(told) {
-			told = w.At
+	notified := reachable.Add(notificationDeadline)
+	for _, answer := range a.record.DiscoveryAnswers {
+		if answer.Dispatcher == run.Dispatcher && answer.Revision >= change.Revision && answer.At.After(run.StartedAt) && answer.At.Before(notified) {
+			notified = answer.At
 		}
 	}
-	return told
+	return notified
 }
 
-// heardWithin is how long behind a change an outage still keeps it from being heard.
-func (a *auditor) heardWithin() time.Duration {
-	if a.plan.Pushed {
+// outageReach is how long after a change an outage still delays its notification.
+func (a *auditor) outageReach() time.Duration {
+	if a.plan.ListsPushed {
 		return drainGrace
 	}
-	return toldWithin
+	return notificationDeadline
 }
 
-// drained holds that nothing new reaches a draining worker past the grace.
-func (a *auditor) drained() {
-	for _, c := range a.record.Changes {
-		if c.Phase == active {
+// checkDrains checks that no attempt reaches a draining worker after the grace period.
+func (a *auditor) checkDrains() {
+	for _, change := range a.record.EndpointChanges {
+		if change.Phase == phaseActive {
 			continue
 		}
-		until := a.nextChange(c)
-		for _, l := range a.record.Lives {
-			limit := a.told(c, l).Add(drainGrace + socketSlack)
-			for _, t := range a.record.Attempts {
-				if t.Worker == c.Worker && t.Dispatcher == l.Dispatcher && t.First.After(limit) && t.First.Before(until) && a.during(t.First, l) {
-					a.broken(RuleDrain, t.ID, t.Worker, t.First, "%v behind the grace, revision %d was told at %s", t.First.Sub(limit), c.Revision, a.clock(a.told(c, l)))
+		until := a.nextChange(change)
+		for _, run := range a.record.ProcessRuns {
+			limit := a.notifiedAt(change, run).Add(drainGrace + socketSlack)
+			for _, attempt := range a.record.Attempts {
+				if attempt.Worker == change.Worker && attempt.Dispatcher == run.Dispatcher && attempt.FirstByteAt.After(limit) && attempt.FirstByteAt.Before(until) && a.isRunning(attempt.FirstByteAt, run) {
+					a.addBreach(RuleDrain, attempt.ID, attempt.Worker, attempt.FirstByteAt, "%v after the grace period, notified of revision %d at %s", attempt.FirstByteAt.Sub(limit), change.Revision, a.timeText(a.notifiedAt(change, run)))
 				}
 			}
 		}
 	}
 }
 
-// nextChange gives when a worker changed again.
-func (a *auditor) nextChange(c Change) time.Time {
-	for _, d := range a.record.Changes {
-		if d.Worker == c.Worker && d.Revision > c.Revision {
-			return d.At
+// nextChange returns when the worker of a change changed again; a time after the run for never.
+func (a *auditor) nextChange(change EndpointChange) time.Time {
+	for _, later := range a.record.EndpointChanges {
+		if later.Worker == change.Worker && later.Revision > change.Revision {
+			return later.At
 		}
 	}
-	return a.record.Begun.Add(time.Hour)
+	return a.record.StartedAt.Add(time.Hour)
 }
 
-func (a *auditor) during(t time.Time, l *Life) bool {
-	return !t.Before(l.Started) && (l.Ended.IsZero() || t.Before(l.Ended.Add(socketSlack)))
+// isRunning reports whether a process was running at a time.
+func (a *auditor) isRunning(at time.Time, run *ProcessRun) bool {
+	return !at.Before(run.StartedAt) && (run.EndedAt.IsZero() || at.Before(run.EndedAt.Add(socketSlack)))
 }
 
-// warmth is the share of its capacity that a worker has at an age.
-func warmth(age time.Duration) float64 {
-	return min(startCapacity+(1-startCapacity)*float64(age)/float64(coldFor), 1)
+// warmupFactor returns the share of its capacity that a worker has at an age.
+func warmupFactor(age time.Duration) float64 {
+	return min(slowStartCapacity+(1-slowStartCapacity)*float64(age)/float64(slowStartDuration), 1)
 }
 
-// coldWorkers holds that a worker that has started gets no more than it can stand, unless over a third came from dispatchers that
-// had not been told of the start.
-func (a *auditor) coldWorkers() {
-	for _, c := range a.record.Changes {
-		if !c.Cold {
+// checkSlowStart checks that a warming worker gets no more requests in the overload window than it can take, unless a third of them or more
+// came from dispatchers that were not notified of its start.
+func (a *auditor) checkSlowStart() {
+	for _, change := range a.record.EndpointChanges {
+		if !change.Restarted {
 			continue
 		}
-		var came []*Attempt
-		for _, t := range a.record.Attempts {
-			if t.Worker == c.Worker && t.First.After(c.At) && t.First.Before(c.At.Add(coldFor)) {
-				came = append(came, t)
+		var attempts []*Attempt
+		for _, attempt := range a.record.Attempts {
+			if attempt.Worker == change.Worker && attempt.FirstByteAt.After(change.At) && attempt.FirstByteAt.Before(change.At.Add(slowStartDuration)) {
+				attempts = append(attempts, attempt)
 			}
 		}
-		slices.SortFunc(came, func(x, y *Attempt) int { return x.First.Compare(y.First) })
-		for i, last := range came {
-			n := tipMultiple * warmth(last.First.Sub(c.At)) * workerSlots * fallSpan.Seconds() / jobTime.Seconds()
-			budget := n + 2*math.Sqrt(n) + 2
-			if n < 30 {
-				budget = n + 3*math.Sqrt(n) + 3
+		slices.SortFunc(attempts, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
+		for i, last := range attempts {
+			meanCapacity := overloadMultiple * warmupFactor(last.FirstByteAt.Sub(change.At)) * workerSlots * overloadWindow.Seconds() / jobTime.Seconds()
+			budget := meanCapacity + 2*math.Sqrt(meanCapacity) + 2
+			if meanCapacity < 30 {
+				budget = meanCapacity + 3*math.Sqrt(meanCapacity) + 3
 			}
-			from := slices.IndexFunc(came, func(t *Attempt) bool { return t.First.After(last.First.Add(-fallSpan)) })
-			got := came[from : i+1]
-			if float64(len(got)) <= budget {
+			first := slices.IndexFunc(attempts, func(t *Attempt) bool { return t.FirstByteAt.After(last.FirstByteAt.Add(-overloadWindow)) })
+			inWindow := attempts[first : i+1]
+			if float64(len(inWindow)) <= budget {
 				continue
 			}
-			if knew := a.knew(c, got); knew*3 > 2*len(got) {
-				a.broken(RuleFailback, "", c.Worker, last.First, "%d requests in %v, %d of them by who knew, %.0f allowed %v behind its start",
-					len(got), fallSpan, knew, budget, last.First.Sub(c.At))
+			if notified := a.countNotified(change, inWindow); notified*3 > 2*len(inWindow) {
+				a.addBreach(RuleSlowStart, "", change.Worker, last.FirstByteAt, "%d requests in %v, %d of them by notified processes, %.0f allowed %v after its start",
+					len(inWindow), overloadWindow, notified, budget, last.FirstByteAt.Sub(change.At))
 			}
-			break // it has fallen
+			break // an overloaded worker is down from then on
 		}
 	}
 }
 
-// knew counts the attempts of dispatchers that had been told of a change.
-func (a *auditor) knew(c Change, attempts []*Attempt) (count int) {
-	for _, t := range attempts {
-		for _, l := range a.record.Lives {
-			if l.Dispatcher == t.Dispatcher && a.during(t.First, l) && !a.told(c, l).After(t.First) {
+// countNotified returns how many attempts came from processes that were notified of a change.
+func (a *auditor) countNotified(change EndpointChange, attempts []*Attempt) (count int) {
+	for _, attempt := range attempts {
+		for _, run := range a.record.ProcessRuns {
+			if run.Dispatcher == attempt.Dispatcher && a.isRunning(attempt.FirstByteAt, run) && !a.notifiedAt(change, run).After(attempt.FirstByteAt) {
 				count++
 				break
 			}
@@ -298,19 +300,19 @@
 	return count
 }
 
-// lives holds that processes become ready in time and end only when they are told to.
-func (a *auditor) lives() {
-	for _, l := range a.record.Lives {
-		if l.Crashed != "" {
-			a.broken(RuleCrash, "", -1, l.Ended, "dispatcher %d: %s", l.Dispatcher, l.Crashed)
+// checkProcessRuns checks that processes become ready in time, and end only when they are told to.
+func (a *auditor) checkProcessRuns() {
+	for _, run := range a.record.ProcessRuns {
+		if run.Crashed != "" {
+			a.addBreach(RuleCrash, "", -1, run.EndedAt, "dispatcher %d: %s", run.Dispatcher, run.Crashed)
 		}
-		if l.Ready.IsZero() && (l.Ended.IsZero() || l.Ended.Sub(l.Started) > readyWithin) || l.Ready.Sub(l.Started) > readyWithin {
-			a.broken(RuleReady, "", -1, l.Started, "dispatcher %d: not ready within %v", l.Dispatcher, readyWithin)
+		if run.ReadyAt.IsZero() && (run.EndedAt.IsZero() || run.EndedAt.Sub(run.StartedAt) > readyWithin) || run.ReadyAt.Sub(run.StartedAt) > readyWithin {
+			a.addBreach(RuleReady, "", -1, run.StartedAt, "dispatcher %d: not ready within %v", run.Dispatcher, readyWithin)
 		}
 	}
 }
 
-// clock words a time as the timelines do.
-func (a *auditor) clock(t time.Time) string {
-	return fmt.Sprintf("%.3f", t.Sub(a.record.Begun).Seconds())
+// timeText returns a time as timelines show it, in seconds since the run started.
+func (a *auditor) timeText(at time.Time) string {
+	return fmt.Sprintf("%.3f", at.Sub(a.record.StartedAt).Seconds())
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -12,239 +13,241 @@
 	"time"
 )
 
-// manner is how a client behaves with a request.
-type manner int
+// clientBehavior is how a client sends a request and takes its answer.
+type clientBehavior int
 
 const (
-	plain     manner = iota
-	fresh            // on a new connection
-	slow             // writes in pieces
-	pipelined        // writes two at once
-	leaver           // closes soon behind its request
-	halfLeave        // shuts its own side soon behind its request
-	stopper          // stops in the middle of a request and stays
-	noise            // sends what is no request
+	plainClient       clientBehavior = iota
+	freshConnection                  // on a new connection
+	slowWriter                       // writes in pieces
+	pipelinedRequests                // writes two at once
+	leavesEarly                      // closes soon after its request
+	halfCloses                       // closes its sending side soon after its request
+	stopsHalfway                     // stops in the middle of a request and stays
+	sendsGarbage                     // sends what is no request
 )
 
-// manners weighs them.
-var manners = []manner{plain, plain, plain, plain, plain, plain, plain, plain, fresh, fresh, slow, pipelined, leaver, halfLeave, stopper, noise}
+// clientBehaviors are drawn from with equal probability, so that a repeated one is more frequent.
+var clientBehaviors = []clientBehavior{plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, freshConnection, freshConnection, slowWriter, pipelinedRequests, leavesEarly, halfCloses, stopsHalfway, sendsGarbage}
 
 const (
-	stopperWithin = 3 * time.Second // a client that stops has its error or its end by then
-	patience      = 2 * time.Second // so much longer than its deadline a client reads on, to record what comes
+	badClientTimeout = 3 * time.Second // by then a client that stops halfway gets an error or a close
+	extraReadTime    = 2 * time.Second // for this long after its deadline a client goes on reading, to record what comes
 )
 
-// clients are those of one dispatcher.
-type clients struct {
-	d      *dispatcher
-	record *Record
-	plan   Plan
-	rng    *rand.Rand
-	wait   sync.WaitGroup
+// clientGroup is the clients of one dispatcher.
+type clientGroup struct {
+	dispatcher *dispatcherProcess
+	record     *Record
+	plan       Plan
+	rng        *rand.Rand
+	requests   sync.WaitGroup
 
-	mu      sync.Mutex
-	idle    []*clientConn
-	number  int
-	leaving time.Time // until then all clients leave soon
+	mu              sync.Mutex
+	idle            []*clientConn
+	lastNumber      int
+	leaveEarlyUntil time.Time // until then all clients leave early
 }
 
-// clientConn is a connection that may carry a further request.
+// clientConn is a client's connection, which may carry several requests.
 type clientConn struct {
 	net.Conn
-	in   *bufio.Reader
-	life int
-	used bool
+	reader     *bufio.Reader
+	processRun int
+	reused     bool
 }
 
-// run sends requests until the end.
-func (c *clients) run(end time.Time) {
+// run sends requests until the end, and waits for their answers.
+func (c *clientGroup) run(end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(time.Second) / c.plan.Rate))
-		life, up := c.d.current()
+		processRun, up := c.dispatcher.current()
 		if !up {
 			continue
 		}
-		how := manners[c.rng.IntN(len(manners))]
-		if c.leaveNow() && how == plain {
-			how = leaver
+		behavior := clientBehaviors[c.rng.IntN(len(clientBehaviors))]
+		if c.leavesEarlyNow() && behavior == plainClient {
+			behavior = leavesEarly
 		}
 		wait := time.Duration(c.rng.IntN(300)) * time.Millisecond
-		c.wait.Go(func() { c.send(how, life, wait) })
+		c.requests.Go(func() { c.send(behavior, processRun, wait) })
 	}
-	c.wait.Wait()
+	c.requests.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.idle {
-		conn.Close()
+		_ = conn.Close() // its outcome is recorded already
 	}
 }
 
-func (c *clients) leaveNow() bool {
+// leavesEarlyNow reports whether clients leave early now.
+func (c *clientGroup) leavesEarlyNow() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.leaving)
+	return time.Now().Before(c.leaveEarlyUntil)
 }
 
-// request makes a request's record and text.
-func (c *clients) request(life int) (*Request, []byte) {
+// newRequest returns the record and the text of a new request.
+func (c *clientGroup) newRequest(processRun int) (*Request, []byte) {
 	c.mu.Lock()
-	c.number++
-	id := fmt.Sprintf("%04x-%d-%d", c.plan.Seed, c.d.number, c.number)
+	c.lastNumber++
+	id := fmt.Sprintf("%04x-%d-%d", c.plan.Seed, c.dispatcher.number, c.lastNumber)
 	c.mu.Unlock()
 	key := ""
-	if c.plan.Effect == Keyed {
+	if c.plan.Idempotency == IdempotentWithKey {
 		key = "Idempotency-Key: k" + id + "\r\n"
 	}
 	text := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: api\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\nReq-Deadline-Ms: %d\r\n%sContent-Length: 7\r\n\r\ndrawing",
-		class, id, class, c.plan.Deadline.Milliseconds(), key)
-	return &Request{ID: id, Dispatcher: c.d.number, Life: life, Deadline: c.plan.Deadline}, []byte(text)
+		className, id, className, c.plan.Deadline.Milliseconds(), key)
+	return &Request{ID: id, Dispatcher: c.dispatcher.number, ProcessRun: processRun, Deadline: c.plan.Deadline}, []byte(text)
 }
 
-// take gives a connection that rests, or a new one; nil where none comes up.
-func (c *clients) take(life int, anew bool) *clientConn {
+// connection returns an idle connection, or a new one if there is none or fresh is set; nil if none comes up.
+func (c *clientGroup) connection(processRun int, fresh bool) *clientConn {
 	c.mu.Lock()
-	if n := len(c.idle); n > 0 && !anew {
-		conn := c.idle[n-1]
-		c.idle = c.idle[:n-1]
+	if idle := len(c.idle); idle > 0 && !fresh {
+		conn := c.idle[idle-1]
+		c.idle = c.idle[:idle-1]
 		c.mu.Unlock()
 		return conn
 	}
 	c.mu.Unlock()
-	conn, err := net.DialTimeout("tcp", c.d.listen, time.Second)
+	conn, err := net.DialTimeout("tcp", c.dispatcher.listen, time.Second)
 	if err != nil {
 		return nil
 	}
-	return &clientConn{Conn: conn, in: bufio.NewReader(conn), life: life}
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), processRun: processRun}
 }
 
-func (c *clients) rest(conn *clientConn) {
+// releaseConnection makes a connection idle.
+func (c *clientGroup) releaseConnection(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn.used = true
+	conn.reused = true
 	c.idle = append(c.idle, conn)
 }
 
-// send has a client send a request in its manner.
-func (c *clients) send(how manner, l *Life, wait time.Duration) {
-	conn := c.take(l.Number, how != plain && how != pipelined)
+// send sends a request with a behavior and records what comes of it.
+func (c *clientGroup) send(behavior clientBehavior, run *ProcessRun, wait time.Duration) {
+	conn := c.connection(run.Number, behavior != plainClient && behavior != pipelinedRequests)
 	if conn == nil {
 		return
 	}
-	q, text := c.request(conn.life)
-	q.Reused = conn.used
-	switch how {
-	case leaver, halfLeave:
-		c.leave(conn, q, text, how == halfLeave, wait)
-	case stopper, noise:
-		c.stop(conn, text, how == noise)
-	case pipelined:
-		second, more := c.request(conn.life)
-		second.Reused = true
-		c.write(conn, append(bytes.Clone(text), more...), q, second)
+	request, text := c.newRequest(conn.processRun)
+	request.ConnectionReused = conn.reused
+	switch behavior {
+	case leavesEarly, halfCloses:
+		c.writeAndLeave(conn, request, text, behavior == halfCloses, wait)
+	case stopsHalfway, sendsGarbage:
+		c.stopHalfway(conn, text, behavior == sendsGarbage)
+	case pipelinedRequests:
+		second, more := c.newRequest(conn.processRun)
+		second.ConnectionReused = true
+		c.write(conn, append(bytes.Clone(text), more...), request, second)
 		switch {
-		case !c.read(conn, q):
-			second.Answered, second.Why = time.Now(), "the connection ended behind the one before"
-			if q.Status == 0 && q.Reused {
-				c.again(l, q)
+		case !c.read(conn, request):
+			second.AnsweredAt, second.Error = time.Now(), "the connection ended after the request before"
+			if request.Status == 0 && request.ConnectionReused {
+				c.resend(run, request)
 			}
-			c.again(l, second)
+			c.resend(run, second)
 		case c.read(conn, second):
-			c.rest(conn)
+			c.releaseConnection(conn)
 		case second.Status == 0:
-			c.again(l, second)
+			c.resend(run, second)
 		}
-		c.record.request(second)
-	case slow:
+		c.record.addRequest(second)
+	case slowWriter:
 		for i := 0; i < len(text)-1; i += 40 {
 			if _, err := conn.Write(text[i:min(i+40, len(text)-1)]); err != nil {
-				conn.Close()
-				return // it was never whole
+				_ = conn.Close()
+				return // it was never complete
 			}
 			time.Sleep(wait / 3)
 		}
-		c.write(conn, text[len(text)-1:], q)
-		c.readOn(conn, q)
+		c.write(conn, text[len(text)-1:], request)
+		c.readAndRelease(conn, request)
 	default:
-		c.write(conn, text, q)
-		if !c.readOn(conn, q) && q.Reused && q.Status == 0 && len(q.Why) > 0 {
-			c.again(l, q)
+		c.write(conn, text, request)
+		if !c.readAndRelease(conn, request) && request.ConnectionReused && request.Status == 0 && len(request.Error) > 0 {
+			c.resend(run, request)
 		}
 	}
-	if how != stopper && how != noise {
-		c.record.request(q)
+	if behavior != stopsHalfway && behavior != sendsGarbage {
+		c.record.addRequest(request)
 	}
 }
 
-// again sends a request once more on a new connection, whose first one was ended before it.
-func (c *clients) again(l *Life, q *Request) {
-	q.Resent = true
-	if conn := c.take(l.Number, true); conn != nil {
-		next, text := c.request(conn.life)
+// resend sends a request again on a new connection, as its first one was closed before the request was read.
+func (c *clientGroup) resend(run *ProcessRun, request *Request) {
+	request.Resent = true
+	if conn := c.connection(run.Number, true); conn != nil {
+		next, text := c.newRequest(conn.processRun)
 		c.write(conn, text, next)
-		c.readOn(conn, next)
-		c.record.request(next)
+		c.readAndRelease(conn, next)
+		c.record.addRequest(next)
 	}
 }
 
-// write writes the last bytes of requests.
-func (c *clients) write(conn *clientConn, text []byte, requests ...*Request) {
+// write writes the last bytes of requests, and records when.
+func (c *clientGroup) write(conn *clientConn, text []byte, requests ...*Request) {
 	_ = conn.SetWriteDeadline(time.Now().Add(c.plan.Deadline))
 	_, err := conn.Write(text)
 	now := time.Now()
-	for _, q := range requests {
+	for _, request := range requests {
 		if err == nil {
-			q.Written = now
+			request.WrittenAt = now
 		}
 	}
 }
 
-// readOn reads an answer and keeps the connection if it may carry more.
-func (c *clients) readOn(conn *clientConn, q *Request) bool {
-	ok := c.read(conn, q)
+// readAndRelease reads an answer, and makes the connection idle if it may carry another request.
+func (c *clientGroup) readAndRelease(conn *clientConn, request *Request) bool {
+	ok := c.read(conn, request)
 	if ok {
-		c.rest(conn)
+		c.releaseConnection(conn)
 	}
 	return ok
 }
 
-// read reads an answer, and tells whether the connection may carry more.
-func (c *clients) read(conn *clientConn, q *Request) bool {
-	_ = conn.SetReadDeadline(q.Written.Add(c.plan.Deadline + patience))
-	resp, err := http.ReadResponse(conn.in, nil)
+// read reads and records an answer, and reports whether the connection may carry another request.
+func (c *clientGroup) read(conn *clientConn, request *Request) bool {
+	_ = conn.SetReadDeadline(request.WrittenAt.Add(c.plan.Deadline + extraReadTime))
+	resp, err := http.ReadResponse(conn.reader, nil)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(resp.Body)
 	}
-	q.Answered = time.Now()
+	request.AnsweredAt = time.Now()
 	if err != nil {
-		q.Why = err.Error()
-		conn.Close()
+		request.Error = err.Error()
+		_ = conn.Close() // its outcome is recorded already
 		return false
 	}
-	q.Status, q.Result = resp.StatusCode, string(body)
+	request.Status, request.Result = resp.StatusCode, string(body)
 	if resp.Close {
-		conn.Close()
+		_ = conn.Close() // its outcome is recorded already
 		return false
 	}
 	return true
 }
 
-// leave writes a request and goes.
-func (c *clients) leave(conn *clientConn, q *Request, text []byte, half bool, wait time.Duration) {
-	c.write(conn, text, q)
+// writeAndLeave writes a request and closes the connection after a while, at first only its sending side if half is set.
+func (c *clientGroup) writeAndLeave(conn *clientConn, request *Request, text []byte, half bool, wait time.Duration) {
+	c.write(conn, text, request)
 	time.Sleep(wait)
-	q.Left = time.Now()
-	if t, ok := conn.Conn.(*net.TCPConn); ok && half {
-		_ = t.CloseWrite()
+	request.LeftAt = time.Now()
+	if tcp, ok := conn.Conn.(*net.TCPConn); ok && half {
+		_ = tcp.CloseWrite()
 		_ = conn.SetReadDeadline(time.Now().Add(time.Second))
 		_, _ = io.Copy(io.Discard, conn)
 	}
-	conn.Close()
+	_ = conn.Close() // the client leaves
 }
 
-// stop sends half a request, or what is none, and stays. It is owed an error or an end.
-func (c *clients) stop(conn *clientConn, text []byte, noisy bool) {
-	defer conn.Close()
+// stopHalfway sends half a request, or garbage, and stays connected. It is owed an error or a close within badClientTimeout.
+func (c *clientGroup) stopHalfway(conn *clientConn, text []byte, noisy bool) {
+	defer func() { _ = conn.Close() }()
 	half := text[:len(text)/2]
 	if noisy {
 		half = []byte("\x16\x03\x01 no request\r\n\r\n")
@@ -253,31 +256,32 @@
 	if _, err := conn.Write(half); err != nil {
 		return
 	}
-	_ = conn.SetReadDeadline(begun.Add(stopperWithin + time.Second))
+	_ = conn.SetReadDeadline(begun.Add(badClientTimeout + time.Second))
 	_, err := io.Copy(io.Discard, conn)
-	l := conn.life
-	if late, ok := err.(net.Error); ok && late.Timeout() {
-		c.record.request(&Request{ID: fmt.Sprintf("stopper at n%d", c.d.number), Dispatcher: c.d.number, Life: l, Written: begun,
-			Deadline: stopperWithin - answerSlack, Answered: time.Now(), Why: "half a request got neither an error nor an end"})
+	run := conn.processRun
+	if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
+		c.record.addRequest(&Request{ID: fmt.Sprintf("stopper at n%d", c.dispatcher.number), Dispatcher: c.dispatcher.number, ProcessRun: run, WrittenAt: begun,
+			Deadline: badClientTimeout - answerSlack, AnsweredAt: time.Now(), Error: "half a request got neither an error nor an end"})
 	}
 }
 
-// crowd opens connections that say nothing for a while.
-func (c *clients) crowd(count int, until time.Time) {
+// openIdleConnections opens connections that send nothing, and closes them at a time.
+func (c *clientGroup) openIdleConnections(count int, until time.Time) {
 	var conns []net.Conn
 	for range count {
-		if conn, err := net.DialTimeout("tcp", c.d.listen, 200*time.Millisecond); err == nil {
+		if conn, err := net.DialTimeout("tcp", c.dispatcher.listen, 200*time.Millisecond); err == nil {
 			conns = append(conns, conn)
 		}
 	}
 	time.Sleep(time.Until(until))
 	for _, conn := range conns {
-		conn.Close()
+		_ = conn.Close() // its outcome is recorded already
 	}
 }
 
-func (c *clients) leaveUntil(t time.Time) {
+// setLeaveEarly makes all clients leave early until a time.
+func (c *clientGroup) setLeaveEarly(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = t
+	c.leaveEarlyUntil = until
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -5,101 +5,113 @@
 	"time"
 )
 
-// Request is what a client saw of a request.
+// Request is what a client recorded of a request.
 type Request struct {
-	ID         string
-	Dispatcher int
-	Life       int       // of the dispatcher's process
-	Written    time.Time // its last byte; zero while it is not whole
-	Deadline   time.Duration
-	Reused     bool      // its connection had carried another before
-	Left       time.Time // when its client closed or gave up; zero if it stayed
-	Status     int       // of the whole answer; 0 for none
-	Result     string
-	Answered   time.Time // when the answer was whole, or the connection ended
-	Why        string    // how the connection ended without an answer
-	Resent     bool      // it was sent again on a new connection, under another id
+	ID               string
+	Dispatcher       int
+	ProcessRun       int       // number of the dispatcher's process
+	WrittenAt        time.Time // its last byte; zero if it was never complete
+	Deadline         time.Duration
+	ConnectionReused bool      // its connection had carried another request before
+	LeftAt           time.Time // when its client closed the connection or gave up; zero if it stayed
+	Status           int       // of a complete answer; 0 for none
+	Result           string
+	AnsweredAt       time.Time // when the answer was complete, or the connection ended
+	Error            string    // how the connection ended, if there was no answer
+	Resent           bool      // it was sent again on a new connection, with another id
 }
 
-// Attempt is what a worker saw of an attempt.
+// Attempt is what a worker recorded of an attempt.
 type Attempt struct {
-	ID         string
-	Dispatcher int
-	Worker     int
-	Cell       int
-	First      time.Time // its first byte
-	Last       time.Time // its last byte
-	Told       time.Duration
-	Ran        bool // it may have run
-	Result     string
-	Ended      time.Time // when the worker was done with it, or saw it given up
+	ID              string
+	Dispatcher      int
+	Worker          int
+	Cell            int
+	FirstByteAt     time.Time     // its first byte
+	LastByteAt      time.Time     // its last byte
+	Timeout         time.Duration // that the dispatcher gave the worker
+	MayHaveExecuted bool          // false only if the worker surely did not run it
+	Result          string
+	EndedAt         time.Time // when the worker finished the job, or saw it cancelled
 }
 
-// Life is one process of a dispatcher.
-type Life struct {
+// ProcessRun is one process of a dispatcher, from its start to its end.
+type ProcessRun struct {
 	Dispatcher int
 	Number     int
-	Started    time.Time
-	Ready      time.Time
-	Term       time.Time // SIGTERM
-	Ended      time.Time
-	Killed     bool // by SIGKILL
-	Crashed    string
+	StartedAt  time.Time
+	ReadyAt    time.Time
+	SIGTERMAt  time.Time // zero if it got no SIGTERM
+	EndedAt    time.Time
+	Killed     bool   // by SIGKILL of the run
+	Crashed    string // how it ended though it was not killed; empty if it did not
 }
 
-// Answer is what discovery wrote to a dispatcher, whole.
-type Answer struct {
+// DiscoveryAnswer is a list that discovery wrote to a dispatcher to its last byte.
+type DiscoveryAnswer struct {
 	Dispatcher int
 	At         time.Time
 	Revision   int
 }
 
-// Change is a worker's change in discovery's list.
-type Change struct {
-	Revision int
-	At       time.Time
-	Worker   int
-	Phase    string
-	Cold     bool // it has started just then
+// EndpointChange is a change of a worker in discovery's list.
+type EndpointChange struct {
+	Revision  int
+	At        time.Time
+	Worker    int
+	Phase     string
+	Restarted bool // the worker has just started, and warms up
 }
 
-// Outage is a time in which discovery answered nobody.
-type Outage struct{ From, To time.Time }
+// DiscoveryOutage is a time in which discovery rejected all calls.
+type DiscoveryOutage struct{ From, To time.Time }
 
-// Record is all that the peers saw in a run.
+// Record is everything that the peers recorded in a run. Its methods may be called by any goroutine; the fields are read once the run
+// has ended, or within locked.
 type Record struct {
-	mu       sync.Mutex
-	Begun    time.Time
-	Requests []*Request
-	Attempts []*Attempt
-	Lives    []*Life
-	Answers  []Answer
-	Changes  []Change
-	Outages  []Outage
-	Events   []string // with their times, for timelines
+	mu               sync.Mutex
+	StartedAt        time.Time
+	Requests         []*Request
+	Attempts         []*Attempt
+	ProcessRuns      []*ProcessRun
+	DiscoveryAnswers []DiscoveryAnswer
+	EndpointChanges  []EndpointChange
+	Outages          []DiscoveryOutage
+	Events           []string // with their times
 }
 
-func (r *Record) add(do func()) {
+// locked calls do while no other goroutine changes the record.
+func (r *Record) locked(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do()
 }
 
-func (r *Record) request(q *Request) { r.add(func() { r.Requests = append(r.Requests, q) }) }
-func (r *Record) attempt(a *Attempt) { r.add(func() { r.Attempts = append(r.Attempts, a) }) }
-func (r *Record) answer(a Answer)    { r.add(func() { r.Answers = append(r.Answers, a) }) }
+func (r *Record) addRequest(request *Request) {
+	r.locked(func() { r.Requests = append(r.Requests, request) })
+}
+func (r *Record) addAttempt(attempt *Attempt) {
+	r.locked(func() { r.Attempts = append(r.Attempts, attempt) })
+}
+func (r *Record) addAnswer(answer DiscoveryAnswer) {
+	r.locked(func() { r.DiscoveryAnswers = append(r.DiscoveryAnswers, answer) })
+}
 
-// lastAnswer gives when discovery last told a dispatcher its list.
-func (r *Record) lastAnswer(dispatcher int) (at time.Time) {
-	r.add(func() {
-		for i := len(r.Answers) - 1; i >= 0 && at.IsZero(); i-- {
-			if r.Answers[i].Dispatcher == dispatcher {
-				at = r.Answers[i].At
+// lastAnswerAt returns when discovery last wrote a list to a dispatcher; zero for never.
+func (r *Record) lastAnswerAt(dispatcher int) (at time.Time) {
+	r.locked(func() {
+		for i := len(r.DiscoveryAnswers) - 1; i >= 0 && at.IsZero(); i-- {
+			if r.DiscoveryAnswers[i].Dispatcher == dispatcher {
+				at = r.DiscoveryAnswers[i].At
 			}
 		}
 	})
 	return at
 }
 
-func (r *Record) change(c Change) { r.add(func() { r.Changes = append(r.Changes, c) }) }
-func (r *Record) life(l *Life)    { r.add(func() { r.Lives = append(r.Lives, l) }) }
+func (r *Record) addChange(change EndpointChange) {
+	r.locked(func() { r.EndpointChanges = append(r.EndpointChanges, change) })
+}
+func (r *Record) addProcessRun(run *ProcessRun) {
+	r.locked(func() { r.ProcessRuns = append(r.ProcessRuns, run) })
+}
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// snapshot is the list as it was from a moment on.
+// snapshot is the endpoint list as it was from a time on.
 type snapshot struct {
 	at       time.Time
 	revision int
 	members  []member
 }
 
-// view is how one address of discovery shows the list: late, and answers after a while.
-type view struct {
+// replicaView is how one address of discovery shows the list: as it was a while ago, and with delayed answers.
+type replicaView struct {
 	mu    sync.Mutex
-	lag   time.Duration // the list is as it was so long ago
-	flaps bool          // at every other call only
-	delay time.Duration // an answer is held back for up to this
-	until time.Time     // of all that
+	lag   time.Duration // the list is this old
+	flaps bool          // only every other call shows the old list
+	delay time.Duration // answers are delayed by up to this
+	until time.Time     // when the fault ends
 	calls int
 }
 
-// trouble has the address show the list late, or answer late, for a while.
-func (v *view) trouble(lag, delay time.Duration, flaps bool, until time.Time) {
+// injectFault makes the address show an old list, or delay its answers, until a time.
+func (v *replicaView) injectFault(lag, delay time.Duration, flaps bool, until time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lag, v.delay, v.flaps, v.until = lag, delay, flaps, until
 }
 
-// call gives how late the list is that a call is shown, and for how long its answer is held back.
-func (v *view) call(now time.Time) (lag, delay time.Duration) {
+// nextCall counts a call, and returns how old its list is and by how much its answer is delayed.
+func (v *replicaView) nextCall(now time.Time) (lag, delay time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.calls++
@@ -49,59 +49,61 @@
 	return v.lag, delay
 }
 
-// keep notes the list as it is now; d.mu is held.
-func (d *discovery) keep() {
-	s := snapshot{at: time.Now(), revision: d.revision}
-	for _, m := range d.members {
-		s.members = append(s.members, *m)
+// recordSnapshot adds the list as it is now to the history. d.mu must be locked.
+func (d *discovery) recordSnapshot() {
+	current := snapshot{at: time.Now(), revision: d.revision}
+	for _, member := range d.members {
+		current.members = append(current.members, *member)
 	}
-	d.history = append(d.history, s)
+	d.history = append(d.history, current)
 }
 
-// asOf gives the list as it was; d.mu is held.
+// asOf returns the list as it was at a time. d.mu must be locked.
 func (d *discovery) asOf(at time.Time) snapshot {
 	shown := d.history[0]
-	for _, s := range d.history {
-		if !s.at.After(at) {
-			shown = s
+	for _, earlier := range d.history {
+		if !earlier.at.After(at) {
+			shown = earlier
 		}
 	}
 	return shown
 }
 
-// word words a list for a dispatcher.
-func (s snapshot) word(dispatcher int) string {
+// encode returns the list as JSON, with the addresses at which a dispatcher reaches the workers.
+func (s snapshot) encode(dispatcher int) string {
 	var lines []string
-	for _, m := range s.members {
+	for _, member := range s.members {
 		lines = append(lines, fmt.Sprintf(`{"id":"w%d","host_port":%q,"locality":"here","flavor":"new","cell":%d,"phase":%q,"size":1.0,"up_since_ms":%d}`,
-			m.worker.number, m.worker.address(dispatcher), m.worker.cell(), m.phase, m.since))
+			member.worker.number, member.worker.address(dispatcher), member.worker.cell(), member.phase, member.since))
 	}
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, s.revision, strings.Join(lines, ","))
 }
 
-// capacity is the one queue of a service that all dispatchers share. A call that has waited too long is given up, and its work is
-// done all the same.
-type capacity struct {
-	perCall, expires, limit time.Duration
+// serviceQueue is the queue of a service that serves one call at a time. A call that has waited too long gets no answer, and costs its
+// time all the same.
+type serviceQueue struct {
+	timePerCall time.Duration // that the service needs
+	maxWait     time.Duration // of a call
+	maxBacklog  time.Duration // of the queue; beyond it calls are rejected at once
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time // when the service has served all calls
 }
 
-// turn gives how long a call waits, and whether it is served then.
-func (c *capacity) turn(now time.Time) (wait time.Duration, served bool) {
+// enqueue adds a call, and returns how long the call waits and whether it is served then.
+func (c *serviceQueue) enqueue(now time.Time) (wait time.Duration, served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.free.Before(now) {
-		c.free = now
+	if c.freeAt.Before(now) {
+		c.freeAt = now
 	}
-	if c.free.Sub(now) > c.limit {
+	if c.freeAt.Sub(now) > c.maxBacklog {
 		return 0, false
 	}
-	c.free = c.free.Add(c.perCall)
-	wait = c.free.Sub(now)
-	if wait > c.expires {
-		return c.expires, false
+	c.freeAt = c.freeAt.Add(c.timePerCall)
+	wait = c.freeAt.Sub(now)
+	if wait > c.maxWait {
+		return c.maxWait, false
 	}
 	return wait, true
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -1,177 +1,225 @@
-// The life of attempts, and the final answers that follow from how they end.
-
 package scheduler
 
 import (
 	"cmp"
 	"slices"
+	"time"
 )
 
-func (d *Scheduler) send(r *request, w *worker) {
-	if w.own == 0 {
-		w.heard = d.now
-	}
-	for _, h := range []*health{&w.health, &w.classes[r.class]} {
-		if h.strikes > 0 { // a trial: the next one waits
-			h.until = d.now + d.ejectFor(h)
-		}
-	}
-	idle := d.now - cmp.Or(w.used, d.now)
-	if w.used = d.now; d.idleSafe > 0 && d.now < d.idleLost+idleMemory && (w.own > 0 || idle*5 > d.idleSafe*4) {
-		// What idle connections carry may be lost; a new one costs a little.
-		d.do(CloseIdleConnections{Worker: w.ID, MinIdle: d.idleSafe * 4 / 5})
-		idle = 0
-	}
-	if d.warmth(w) < 1 {
-		w.sent = append(w.sent, spend{d.now, d.cost(r)})
-	}
-	d.bump(w, r.slots)
-	w.turn += 1 / w.size()
-	w.recent.add(d.now, 1/w.size())
-	d.recent.add(d.now, 1)
-	if w.pushes++; w.pushes >= pushesToHalve {
-		w.increment, w.pushes = max(w.increment/2, leastIncrement), 0
-	}
-	by := earlier(d.repeatBy(r), d.sendBy(w))
-	a := attempt{w: w, sent: d.now, out: true, maybe: true, idle: idle, trial: w.own == r.slots && d.unheard(w)}
-	if a.trial {
-		d.trials++
-	}
-	r.attempts = append(r.attempts, a)
-	d.do(Send{ID: r.id, Worker: w.ID, SendBy: by})
+// Attempts: what follows when one is sent, starts, ends or is cancelled.
+
+// attempt is one send of a request to a worker.
+type attempt struct {
+	worker          *worker
+	sentAt          Clock
+	startedAt       Clock         // 0 until the worker reports the start
+	inFlight        bool          // sent, no outcome yet
+	mayHaveExecuted bool          // true until an outcome rules it out
+	cancelled       bool          // a Cancel was emitted
+	trial           bool          // sent because the worker's report is overdue
+	lost            bool          // taken for lost: it no longer counts as using slots (see detectSilence)
+	connectionIdle  time.Duration // how long its connection, or while that is unknown the worker, had been unused before
+}
+
+func isInFlight(a attempt) bool      { return a.inFlight }
+func mayHaveExecuted(a attempt) bool { return a.mayHaveExecuted }
+func awaitsStart(a attempt) bool     { return a.inFlight && a.startedAt == 0 && !a.lost }
+
+// anyAttempt reports whether the condition holds for one of the request's attempts.
+func (r *request) anyAttempt(condition func(attempt) bool) bool {
+	return slices.ContainsFunc(r.attempts, condition)
+}
+
+// hasTried reports whether the worker has had an attempt of the request.
+func (r *request) hasTried(candidate *worker) bool {
+	return r.anyAttempt(func(a attempt) bool { return a.worker == candidate })
+}
+
+// attemptInFlight returns a request and its attempt with the given number, or nil for both if there is no such attempt or its
+// outcome is known.
+func (s *Scheduler) attemptInFlight(id RequestID, number int) (*request, *attempt) {
+	request := s.requests[id]
+	if request == nil || number < 0 || number >= len(request.attempts) || !request.attempts[number].inFlight {
+		return nil, nil
+	}
+	return request, &request.attempts[number]
+}
+
+// send sends a further attempt of request to worker and accounts for it: slots and slow-start charge at the worker, the
+// rotation among ties, the next trial of an ejected worker.
+func (s *Scheduler) send(request *request, worker *worker) {
+	if worker.ownSlots == 0 {
+		worker.lastSignal = s.now // silence counts from here
+	}
+	s.postponeNextTrial(worker, request.class)
+	idle := s.closeSuspectConnections(worker)
+	if s.warmupFactor(worker) < 1 {
+		worker.slowStartCharges = append(worker.slowStartCharges, slowStartCharge{s.now, s.chargedWork(request)})
+	}
+	s.addOwnSlots(worker, request.slots)
+	worker.weightedSends += 1 / worker.weight()
+	worker.recentSends.add(s.now, 1/worker.weight())
+	s.recentSends.add(s.now, 1)
+	worker.recordSend()
+	sent := attempt{
+		worker: worker, sentAt: s.now, inFlight: true, mayHaveExecuted: true, connectionIdle: idle,
+		trial: worker.ownSlots == request.slots && s.reportOverdue(worker),
+	}
+	if sent.trial {
+		s.trialsInFlight++
+	}
+	sendBy := earlierBound(s.retrySendDeadline(request), s.freshUntil(worker)) // before this attempt is one of the request's
+	request.attempts = append(request.attempts, sent)
+	s.emit(Send{ID: request.id, Worker: worker.ID, SendBy: sendBy})
 }
 
-func (d *Scheduler) onBegan(e AttemptStarted) {
-	r, a := d.attempt(e.ID, e.Attempt)
-	if a == nil {
+// onAttemptStarted learns from the start of an attempt and cancels the request's other attempts that have not started.
+func (s *Scheduler) onAttemptStarted(event AttemptStarted) {
+	request, started := s.attemptInFlight(event.ID, event.Attempt)
+	if started == nil {
 		return
 	}
-	d.heard(a.w)
-	if a.began == 0 {
-		a.began, a.w.back = d.now, false
-		d.ways[a.w.Zone] = min(cmp.Or(d.ways[a.w.Zone], mostWay), d.now-a.sent)
-		d.learnWait(r, a)
-		if a.lost {
-			a.lost = false
-			d.bump(a.w, r.slots)
-		}
-		a.w.running += r.slots
-		if a.w.running > max(a.w.total, 1/a.w.increment) {
-			d.seen(a.w, a.w.running)
-		}
+	s.recordSignal(started.worker)
+	if started.startedAt == 0 {
+		s.recordAttemptStart(request, started)
 	}
-	r.streamed = r.streamed || e.Streamed
-	d.callOff(r, func(b *attempt) bool { return b != a && b.began == 0 })
+	request.streamed = request.streamed || event.Streamed
+	s.cancelAttempts(request, func(other *attempt) bool { return other != started && other.startedAt == 0 })
 }
 
-// learnWait moves the allowance: up while requests are held here though jobs start soon; down where they wait
-func (d *Scheduler) learnWait(r *request, a *attempt) {
-	if d.now == d.stalled {
-		return
-	}
-	wait := d.now - a.sent - d.ways[a.w.Zone]
-	d.waited(a.w, wait > waitGrace)
-	spare := d.slack(r) + d.now - r.born
-	step := d.allowBy()
-	switch {
-	case float64(wait) > waitShare*float64(spare):
-		d.allow = max(d.allow-step, leastAllow)
-	case d.slowdown(a.w) > 1: // kept short by its pace: that a job starts there soon tells nothing of the others
-	case len(d.held) > 0:
-		d.allow = min(d.allow+step, mostAllow)
-	case d.allow < firstAllow:
-		d.allow += step
+// recordAttemptStart takes in that an attempt runs. More running slots than a worker was thought to have are evidence of more
+// slots; a single running job on a worker of unknown size is none.
+func (s *Scheduler) recordAttemptStart(request *request, started *attempt) {
+	worker := started.worker
+	started.startedAt, worker.reattached = s.now, false
+	s.recordRoundTrip(worker.Zone, s.now-started.sentAt)
+	s.adjustOvercommit(request, started)
+	if started.lost {
+		started.lost = false
+		s.addOwnSlots(worker, request.slots)
+	}
+	worker.runningSlots += request.slots
+	if worker.runningSlots > max(worker.observedSlots, 1/worker.increment) {
+		s.recordSlots(worker, worker.runningSlots)
 	}
 }
 
-// allowBy is how far one job moves the allowance.
-func (d *Scheduler) allowBy() float64 {
-	if d.small {
-		return min(allowStep*float64(d.set.Dispatchers), mostStep)
+// onAttemptProgressed takes news of a running attempt as a signal of its worker.
+func (s *Scheduler) onAttemptProgressed(event AttemptProgressed) {
+	if _, running := s.attemptInFlight(event.ID, event.Attempt); running != nil {
+		s.recordSignal(running.worker)
 	}
-	return allowStep
 }
 
-func (d *Scheduler) onFinished(e AttemptFinished) {
-	r, a := d.attempt(e.ID, e.Attempt)
-	if a == nil {
+// onAttemptFinished takes in the outcome of an attempt: what it tells of the worker first, then what follows for the request.
+func (s *Scheduler) onAttemptFinished(event AttemptFinished) {
+	request, ended := s.attemptInFlight(event.ID, event.Attempt)
+	if ended == nil {
 		return
 	}
-	w := a.w
-	a.out = false
-	if e.ConnectionIdle >= 0 {
-		a.idle = e.ConnectionIdle
+	if event.ConnectionIdle >= 0 {
+		ended.connectionIdle = event.ConnectionIdle
 	}
-	if a.trial {
-		d.trials--
+	ended.mayHaveExecuted = mayExecute(event.Outcome)
+	s.releaseAttempt(request, ended)
+	s.learnFromOutcome(request, ended, event.Outcome)
+	s.applyReport(ended.worker, event.Report)
+	s.continueRequest(request, event)
+}
+
+// mayExecute reports whether the job of an attempt with this outcome may have run, or may run yet.
+func mayExecute(outcome Outcome) bool {
+	return outcome != Full && outcome != NoConnect && outcome != NeverSent && outcome != InvalidRequest
+}
+
+// releaseAttempt ends what an attempt occupies at its worker.
+func (s *Scheduler) releaseAttempt(request *request, ended *attempt) {
+	ended.inFlight = false
+	if ended.trial {
+		s.trialsInFlight--
 	}
-	a.maybe = e.Outcome != Full && e.Outcome != NoConnect && e.Outcome != NeverSent && e.Outcome != InvalidRequest
-	if !a.lost {
-		d.bump(w, -r.slots)
+	if !ended.lost {
+		s.addOwnSlots(ended.worker, -request.slots)
 	}
-	if a.began > 0 {
-		w.running = max(w.running-r.slots, 0)
+	if ended.startedAt > 0 {
+		ended.worker.runningSlots = max(ended.worker.runningSlots-request.slots, 0)
 	}
-	switch e.Outcome {
+}
+
+// learnFromOutcome updates what is known of the worker. An invalid request is the client's fault and only a signal; a timeout
+// is the worker's fault if the job never started; a cancelled attempt, or one that was never sent, says nothing.
+func (s *Scheduler) learnFromOutcome(request *request, ended *attempt, outcome Outcome) {
+	worker := ended.worker
+	switch outcome {
 	case Served:
-		w.back = false
-		w.classes[r.class].eased()
-		d.heard(w)
-		d.ran(r, a)
+		worker.reattached = false
+		worker.classEjections[request.class].recordSuccess()
+		s.recordSignal(worker)
+		s.recordRuntime(request, ended)
 	case Full:
-		d.heard(w)
-		w.full = d.now + max(seconds(d.stay), ownMemory) // the value is 1 until then
-		w.increment, w.pushes = min(2*w.increment, 1), 0
-	case InvalidRequest: // the client's fault: a bad client must not get workers shunned
-		d.heard(w)
+		s.recordSignal(worker)
+		s.recordFull(worker)
+	case InvalidRequest:
+		s.recordSignal(worker)
 	case NoConnect, Reset:
-		if e.Outcome == NoConnect || !d.idleLoss(a) {
-			d.lost(w)
+		if outcome == NoConnect || !s.recordIdleLoss(ended) {
+			s.recordConnectionLoss(worker)
 		}
 	case Errored, TimedOut:
-		if e.Outcome == Errored || a.began == 0 && !a.lost {
-			d.failed(w, r.class)
+		if outcome == Errored || ended.startedAt == 0 && !ended.lost {
+			s.recordFailure(worker, request.class)
 		}
 	}
-	d.applyReport(w, e.Report)
-	switch {
-	case e.Final || e.Outcome == Served:
-		d.finish(r)
-	case r.done:
-		d.forget(r)
-	case e.Outcome == InvalidRequest:
-		d.do(Fail{ID: r.id})
-		d.finish(r)
-	case r.has(out):
-	case r.expires-d.now <= d.tick() || !d.canGo(r):
-		d.answer(r)
-	default:
-		d.held = append(d.held, r)
+}
+
+// cancelAttempts cancels the request's attempts in flight that meet the condition, where the settings permit it.
+func (s *Scheduler) cancelAttempts(request *request, condition func(*attempt) bool) {
+	if !request.settings.MayCancel {
+		return
+	}
+	for number := range request.attempts {
+		candidate := &request.attempts[number]
+		if !candidate.inFlight || candidate.cancelled || !condition(candidate) {
+			continue
+		}
+		candidate.cancelled = true
+		s.recordCancellation(candidate, request.slots)
+		s.emit(Cancel{ID: request.id, Attempt: number})
 	}
 }
 
-// canGo tells whether some listed worker may take the request, now or later.
-func (d *Scheduler) canGo(r *request) bool {
-	if !r.has(maybe) {
-		return len(r.attempts) < r.set.MaxAttempts
+// everyAttempt is the condition of cancelAttempts that all attempts meet.
+func everyAttempt(*attempt) bool { return true }
+
+// recordCancellation notes at the worker what is cancelled before its start: the slots, and the wait if it was long enough for a
+// hedge.
+func (s *Scheduler) recordCancellation(cancelled *attempt, slots float64) {
+	worker := cancelled.worker
+	if cancelled.startedAt == 0 {
+		worker.cancelledSlots.window = max(durationOf(s.meanStay), reportLookback)
+		worker.cancelledSlots.add(s.now, slots)
+	}
+	if s.startOverdue(cancelled, hedgeDelay) {
+		worker.cancelledWaits.add(s.now, 1)
 	}
-	return slices.ContainsFunc(d.workers, func(w *worker) bool { return d.may(r, w) })
 }
 
-// answer gives the final answer: a refusal where a further try is harmless, else a failure.
-func (d *Scheduler) answer(r *request) {
-	c := &r.set.Classes[r.class]
-	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll || !r.has(maybe) {
-		d.do(Reject{ID: r.id, RetryAfter: r.set.MaxRetryAfter})
-	} else {
-		d.do(Fail{ID: r.id})
+// earlierBound returns the earlier of two bounds, of which 0 means none.
+func earlierBound(a, b Clock) Clock {
+	if a == 0 || b != 0 && b < a {
+		return b
 	}
-	d.finish(r)
+	return a
 }
 
-// finish ends what is owed and calls off what is still out.
-func (d *Scheduler) finish(r *request) {
-	r.done = true
-	d.callOff(r, func(*attempt) bool { return true })
-	d.forget(r)
+// closeSuspectConnections emits CloseIdleConnections if connections of the worker have been idle for long enough that an attempt
+// on one of them may be lost (see recordIdleLoss); a new connection costs little. It returns how long the worker was unused.
+func (s *Scheduler) closeSuspectConnections(worker *worker) time.Duration {
+	idle := s.now - cmp.Or(worker.lastUsed, s.now)
+	worker.lastUsed = s.now
+	if s.safeIdle > 0 && s.now < s.idleLossAt+idleLossRetention && (worker.ownSlots > 0 || idle*5 > s.safeIdle*4) {
+		s.emit(CloseIdleConnections{Worker: worker.ID, MinIdle: s.safeIdle * 4 / 5})
+		return 0
+	}
+	return idle
 }
--- /dev/null
+++ b/scheduler/scheduler_bench_test.go
@@ -0,0 +1,55 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// BenchmarkJob is one request from its arrival to its end, at one of eighty dispatchers, by the number of workers and with or
+// without affinity keys.
+func BenchmarkJob(b *testing.B) {
+	for _, keyed := range []bool{true, false} {
+		for _, n := range []int{12, 60, 200, 1000, 5000} {
+			b.Run(fmt.Sprintf("keys=%v/workers=%d", keyed, n), func(b *testing.B) {
+				s := baseSettings()
+				s.Dispatchers, s.ReportsPulled, s.MayProbe, s.MayHedge = 80, true, true, true
+				d, now := New(s, 1), start
+				d.Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: workers(n)})
+				id := RequestID(0)
+				for b.Loop() {
+					id++
+					now += 100 * time.Millisecond
+					ev := RequestArrived{ID: id, Slots: 1, Deadline: now + 5*time.Second}
+					if keyed {
+						ev.AffinityKey = uint64(id%500) + 1
+					}
+					to := firstSendWorker(d.Handle(now, ev))
+					d.Handle(now+time.Millisecond, AttemptStarted{ID: id, Worker: to})
+					d.Handle(now+50*time.Millisecond, TimerFired{Token: reviewTimer})
+					d.Handle(now+90*time.Millisecond, AttemptFinished{ID: id, Worker: to, Outcome: Served, Final: true})
+				}
+			})
+		}
+	}
+}
+
+// BenchmarkHandle is one request from its arrival to its end, by the number of workers.
+func BenchmarkHandle(b *testing.B) {
+	for _, n := range []int{20, 200} {
+		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
+			s := baseSettings()
+			s.Dispatchers = 300
+			d := New(s, 1)
+			d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(n, 2)})
+			b.ReportAllocs()
+			for i := 0; b.Loop(); i++ {
+				at, id := start+Clock(i)*200*ms, RequestID(i+1)
+				d.Handle(at, RequestArrived{ID: id, Class: i % 3, Slots: 1, Deadline: at + 2*time.Second})
+				d.Handle(at, AttemptStarted{ID: id})
+				d.Handle(at+100*ms, TimerFired{Token: reviewTimer})
+				d.Handle(at+150*ms, AttemptFinished{ID: id, Outcome: Served, Final: true, Report: loadReport(0.5, 2)})
+			}
+		})
+	}
+}
