--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -141,14 +141,15 @@
 	if !a.awaitRevision(ctx, own, got.Epoch, got.Revision) {
 		return response{Reason: "this seat is behind"}, http.StatusServiceUnavailable
 	}
-	lease := response{LeaseMS: got.LeaseMS, MessageFormat: got.MessageFormat}
+	lease := newUpdateResponse(own.updateSince(request.Epoch, request.Revision))
+	lease.LeaseMS = got.LeaseMS
+	lease.MessageFormat = got.MessageFormat
 	if suggestion := got.PeerSuggestions[request.Name]; suggestion != nil {
 		lease.PeerSuggestions = map[string]*gossippeers.PeerSuggestion{request.Name: suggestion}
 	}
 	if rates := got.BudgetRates[request.Name]; rates != nil {
 		lease.BudgetRates = map[string]json.RawMessage{request.Name: rates}
 	}
-	lease.Entries, lease.Record, lease.Epoch, lease.Revision = own.entriesSince(request.Epoch, request.Revision)
 	return lease, http.StatusOK
 }
 
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -215,24 +215,3 @@
 	defer l.mu.Unlock()
 	return slices.Clone(l.voterStatuses)
 }
-
-// EntriesSince returns what changed since a revision of the record, and the epoch and revision that this leads to: the
-// entries to apply to the record of that revision where they are still in memory, else the whole record. Both are nil where
-// nothing has changed. Revision 0 stands for a caller that has no record.
-func (l *Log) EntriesSince(epoch, revision uint64) (entries []configversions.Entry, whole *configversions.Record, toEpoch, toRevision uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	record := l.record
-	recent := uint64(len(l.recentEntries))
-	switch missing := record.Revision - revision; {
-	case revision == 0:
-		whole = &record
-	case epoch == record.Epoch && revision >= record.Revision:
-		return nil, nil, epoch, revision
-	case epoch == record.Epoch && missing <= recent:
-		entries = slices.Clone(l.recentEntries[recent-missing:])
-	default:
-		whole = &record
-	}
-	return entries, whole, record.Epoch, record.Revision
-}
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -359,13 +359,13 @@
 
 	// A follower gets the entries that it missed, or the whole record.
 	now := c.log(lead).Record()
-	entries, whole, _, _ := c.log(lead).EntriesSince(0, now.Revision-1)
+	update := c.log(lead).UpdateSince(0, now.Revision-1)
 	before := now
 	before.Revision, before.Announced = now.Revision-1, nil
-	if after, err := before.Apply(entries[0]); len(entries) != 1 || whole != nil || err != nil || text(after) != text(now) {
-		t.Errorf("%+v, %v", entries, whole)
+	if after, err := before.Apply(update.Entries[0]); len(update.Entries) != 1 || update.Record != nil || err != nil || text(after) != text(now) {
+		t.Errorf("%+v", update)
 	}
-	if _, whole, _, _ := c.log(lead).EntriesSince(9, now.Revision-1); whole == nil {
+	if c.log(lead).UpdateSince(9, now.Revision-1).Record == nil {
 		t.Error("entries of another epoch were returned")
 	}
 
--- a/internal/fleet/response.go
+++ b/internal/fleet/response.go
@@ -6,6 +6,7 @@
 
 	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/gossippeers"
+	"brassdale/internal/fleet/raftlog"
 )
 
 // response is the response to all calls between dispatchers. Each call sets the fields that it is about.
@@ -27,6 +28,16 @@
 	PeerSuggestions map[string]*gossippeers.PeerSuggestion `json:"neighbours,omitempty"` // by dispatcher whose digest differs
 }
 
+// newUpdateResponse returns a response with what changed of the record.
+func newUpdateResponse(update raftlog.Update) response {
+	return response{
+		Entries:  update.Entries,
+		Record:   update.Record,
+		Epoch:    update.Epoch,
+		Revision: update.Revision,
+	}
+}
+
 // Reasons that several calls are rejected with.
 const (
 	reasonNoLeader  = "nobody leads"
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -40,14 +40,14 @@
 	return v.log.VoterID()
 }
 
-// entriesSince is Log.EntriesSince for a dispatcher that acts on the record: a whole record has no history.
-func (v *ownVoter) entriesSince(epoch, revision uint64) (entries []configversions.Entry, whole *configversions.Record, toEpoch, toRevision uint64) {
-	entries, whole, toEpoch, toRevision = v.log.EntriesSince(epoch, revision)
-	if whole != nil {
-		brief := whole.WithoutHistory()
-		whole = &brief
+// updateSince is Log.UpdateSince for a dispatcher that acts on the record: a whole record has no history.
+func (v *ownVoter) updateSince(epoch, revision uint64) raftlog.Update {
+	update := v.log.UpdateSince(epoch, revision)
+	if update.Record != nil {
+		brief := update.Record.WithoutHistory()
+		update.Record = &brief
 	}
-	return entries, whole, toEpoch, toRevision
+	return update
 }
 
 // currentVoter returns this dispatcher's voter; nil for a follower.
--- a/internal/fleet/votercalls.go
+++ b/internal/fleet/votercalls.go
@@ -80,10 +80,9 @@
 			a.reply(w, http.StatusMisdirectedRequest, response{Reason: reasonNotVoter})
 			return
 		}
-		var got response
-		got.Entries, got.Record, got.Epoch, got.Revision = own.entriesSince(query.epoch, query.revision)
-		if got.Entries != nil || got.Record != nil || !waiting {
-			a.replyWithRecord(w, got)
+		update := own.updateSince(query.epoch, query.revision)
+		if !update.IsEmpty() || !waiting {
+			a.replyWithRecord(w, newUpdateResponse(update))
 			return
 		}
 		select {
