--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -38,7 +38,7 @@
 
 // FuzzCalls makes arbitrary calls to a dispatcher that leads nobody: it responds, and accepts nothing.
 func FuzzCalls(f *testing.F) {
-	a, err := New(options(f.TempDir()))
+	agent, err := New(options(f.TempDir()))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 			return
 		}
 		r.URL.Path = "/council/" + what
-		a.handler().ServeHTTP(w, r)
+		agent.handler().ServeHTTP(w, r)
 		if w.Code < 300 && what != "status" && what != "founder" {
 			t.Fatalf("%s %q: %d", what, body, w.Code)
 		}
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -31,26 +31,26 @@
 	}
 	m.stop()
 	<-m.ended
-	m.server.Close()
+	_ = m.server.Close() // the member has ended
 }
 
 // kill ends the member without a leave notice.
 func (m *testMember) kill() {
 	m.dead = true
-	m.server.Close()
+	_ = m.server.Close() // the member has ended
 	_ = m.transport.Shutdown()
 	_ = m.list.Shutdown()
 }
 
 // join starts a member that gossips with the whole fleet.
-func join(t *testing.T, name, zone, at string, seeds ...string) *testMember {
+func join(t *testing.T, name, zone string, seeds ...string) *testMember {
 	t.Helper()
-	return begin(t, Options{Self: Self{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds}, at)
+	return begin(t, Options{Self: Self{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds})
 }
 
-func begin(t *testing.T, o Options, at string) *testMember {
+func begin(t *testing.T, o Options) *testMember {
 	t.Helper()
-	l, err := net.Listen("tcp", at)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	m := &testMember{list, &http.Server{Handler: list}, stop, make(chan struct{}), false}
-	go m.server.Serve(l)
+	go func() { _ = m.server.Serve(l) }() // ends with Close
 	go func() { list.Run(ctx); close(m.ended) }()
 	t.Cleanup(m.leave)
 	return m
@@ -87,10 +87,10 @@
 // comes back under its name at another address; a change of what one says of itself reaches all.
 func TestRun_wholeFleet(t *testing.T) {
 	t.Parallel()
-	seed := join(t, "m0", "a", "127.0.0.1:0")
+	seed := join(t, "m0", "a")
 	all := []*testMember{seed}
 	for i := 1; i < 9; i++ {
-		all = append(all, join(t, fmt.Sprint("m", i), string("abc"[i%3]), "127.0.0.1:0", seed.self.Address))
+		all = append(all, join(t, fmt.Sprint("m", i), string("abc"[i%3]), seed.self.Address))
 	}
 	for _, m := range all {
 		m.awaitStates(t, "joined", map[State]int{Alive: 9})
@@ -100,7 +100,7 @@
 	for _, m := range all[:7] {
 		m.awaitStates(t, "one left, one died", map[State]int{Alive: 7, Left: 1, Gone: 1})
 	}
-	back := join(t, "m8", "b", "127.0.0.1:0", seed.self.Address)
+	back := join(t, "m8", "b", seed.self.Address)
 	back.awaitStates(t, "back", map[State]int{Alive: 8})
 	for _, m := range all[:7] {
 		m.awaitStates(t, "back", map[State]int{Alive: 8, Left: 1})
@@ -132,77 +132,77 @@
 func TestRun_zones(t *testing.T) {
 	t.Parallel()
 	near := func(name, zone string) *testMember {
-		return begin(t, Options{Self: Self{Name: name, Zone: zone}}, "127.0.0.1:0")
+		return begin(t, Options{Self: Self{Name: name, Zone: zone}})
 	}
-	var a, b []*testMember
+	var zoneA, zoneB []*testMember
 	for i := range 4 {
-		a, b = append(a, near(fmt.Sprint("a", i), "a")), append(b, near(fmt.Sprint("b", i), "b"))
+		zoneA, zoneB = append(zoneA, near(fmt.Sprint("a", i), "a")), append(zoneB, near(fmt.Sprint("b", i), "b"))
 	}
-	a[0].ExchangeWith(a[1].self.Address)
-	a[2].ExchangeWith(a[3].self.Address)
-	for _, m := range a {
+	zoneA[0].ExchangeWith(zoneA[1].self.Address)
+	zoneA[2].ExchangeWith(zoneA[3].self.Address)
+	for _, m := range zoneA {
 		m.awaitStates(t, "two parts", map[State]int{Alive: 2})
 	}
-	a[3].ExchangeWith(a[0].self.Address)
-	for _, m := range a {
+	zoneA[3].ExchangeWith(zoneA[0].self.Address)
+	for _, m := range zoneA {
 		m.awaitStates(t, "one part", map[State]int{Alive: 4})
 	}
-	for i, m := range b[1:] {
-		m.ExchangeWith(b[i].self.Address)
+	for i, m := range zoneB[1:] {
+		m.ExchangeWith(zoneB[i].self.Address)
 	}
-	for _, m := range b {
+	for _, m := range zoneB {
 		m.awaitStates(t, "the other zone", map[State]int{Alive: 4})
 	}
-	b[0].ExchangeWith(a[0].self.Address) // of another zone: changes nothing
-	older := join(t, "old", "a", "127.0.0.1:0", a[0].self.Address, b[0].self.Address)
+	zoneB[0].ExchangeWith(zoneA[0].self.Address) // of another zone: changes nothing
+	older := join(t, "old", "a", zoneA[0].self.Address, zoneB[0].self.Address)
 	older.awaitStates(t, "of an older build", map[State]int{Alive: 9})
-	for _, m := range a {
+	for _, m := range zoneA {
 		m.awaitStates(t, "with an older neighbour", map[State]int{Alive: 5})
 	}
-	a[3].kill()
-	for _, m := range a[:3] {
+	zoneA[3].kill()
+	for _, m := range zoneA[:3] {
 		m.awaitStates(t, "one died", map[State]int{Alive: 4, Gone: 1})
 	}
-	for _, m := range b {
+	for _, m := range zoneB {
 		m.awaitStates(t, "the other zone", map[State]int{Alive: 4})
 	}
-	if got, want := a[0].Digest(), a[1].Digest(); got != want || got.Count != 4 {
+	if got, want := zoneA[0].Digest(), zoneA[1].Digest(); got != want || got.Count != 4 {
 		t.Errorf("peers have the digests %+v and %+v", got, want)
 	}
 }
 
 // TestRun_many measures many members: BRASSDALE_MEMBERS=300 go test -run TestRun_many -v ./internal/fleet/gossip
 func TestRun_many(t *testing.T) {
-	n, _ := strconv.Atoi(os.Getenv("BRASSDALE_MEMBERS"))
-	if n == 0 {
+	count, _ := strconv.Atoi(os.Getenv("BRASSDALE_MEMBERS"))
+	if count == 0 {
 		t.Skip("BRASSDALE_MEMBERS sets the number of members")
 	}
 	begin := time.Now()
-	seed := join(t, "m0", "a", "127.0.0.1:0")
+	seed := join(t, "m0", "a")
 	all := []*testMember{seed}
-	for i := 1; i < n; i++ {
-		all = append(all, join(t, fmt.Sprint("m", i), string("abc"[i%3]), "127.0.0.1:0", seed.self.Address))
+	for i := 1; i < count; i++ {
+		all = append(all, join(t, fmt.Sprint("m", i), string("abc"[i%3]), seed.self.Address))
 	}
 	for _, m := range all {
-		m.awaitStates(t, "joined", map[State]int{Alive: n})
+		m.awaitStates(t, "joined", map[State]int{Alive: count})
 	}
 	joined := time.Since(begin)
 	begin = time.Now()
-	for _, m := range all[n-n/10:] {
+	for _, m := range all[count-count/10:] {
 		m.kill()
 	}
-	for _, m := range all[:n-n/10] {
-		m.awaitStates(t, "died", map[State]int{Alive: n - n/10, Gone: n / 10})
+	for _, m := range all[:count-count/10] {
+		m.awaitStates(t, "died", map[State]int{Alive: count - count/10, Gone: count / 10})
 	}
 	died, cpu := time.Since(begin), used()
 	time.Sleep(10 * time.Second)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	for _, m := range all[:n-n/10] {
+	for _, m := range all[:count-count/10] {
 		m.kill()
 	}
 	t.Logf("%d members: all see all after %v, and that a tenth is gone after %v; at rest %.1f ms of CPU a second and member, %.0f KiB of heap a member",
-		n, joined.Round(time.Millisecond), died.Round(time.Millisecond), float64((used()-cpu).Microseconds())/10/float64(n)/1000, float64(memory.HeapAlloc)/1024/float64(n))
+		count, joined.Round(time.Millisecond), died.Round(time.Millisecond), float64((used()-cpu).Microseconds())/10/float64(count)/1000, float64(memory.HeapAlloc)/1024/float64(count))
 }
 
 func used() time.Duration {
@@ -214,20 +214,20 @@
 // TestServeHTTP_notAMember checks that a caller that is no member is told to upgrade, and that packets that are none of
 // memberlist's change nothing.
 func TestServeHTTP_notAMember(t *testing.T) {
-	o := join(t, "m0", "a", "127.0.0.1:0")
-	resp, err := http.Get("http://" + o.self.Address)
+	member := join(t, "m0", "a")
+	resp, err := http.Get("http://" + member.self.Address)
 	if err != nil || resp.StatusCode != http.StatusUpgradeRequired {
 		t.Errorf("%v, %v", resp, err)
 	}
 	var wait sync.WaitGroup
 	for range 20 {
 		wait.Go(func() {
-			if c, err := net.Dial("udp", o.self.Address); err == nil {
+			if c, err := net.Dial("udp", member.self.Address); err == nil {
 				fmt.Fprint(c, "no packet of memberlist's")
-				c.Close()
+				_ = c.Close() // the packet is sent
 			}
 		})
 	}
 	wait.Wait()
-	o.awaitStates(t, "still there", map[State]int{Alive: 1})
+	member.awaitStates(t, "still there", map[State]int{Alive: 1})
 }
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -65,7 +65,7 @@
 	if id <= c.founders {
 		first = founders(c.founders)
 	}
-	l, err := Open(Options{VoterID: uint64(id), Founders: first, Directory: c.dirs[id], RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {},
+	log, err := Open(Options{VoterID: uint64(id), Founders: first, Directory: c.dirs[id], RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), SnapshotEvery: 30, Send: func(receiver uint64, m []byte) {
 			to := int(receiver)
 			c.mu.Lock()
@@ -87,9 +87,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	end := make(chan error, 1)
 	c.mu.Lock()
-	c.logs[id], c.stops[id], c.ends[id] = l, stop, end
+	c.logs[id], c.stops[id], c.ends[id] = log, stop, end
 	c.mu.Unlock()
-	go func() { end <- l.Run(ctx) }()
+	go func() { end <- log.Run(ctx) }()
 }
 
 // stop ends a voter.
@@ -187,53 +187,55 @@
 // TestPropose_leaderStopsBetweenTheSteps stops the leader between announcing a version and putting it in force, and starts it
 // again: the next leader continues, and all voters have the same record. Then all restart, one with an empty disk.
 func TestPropose_leaderStopsBetweenTheSteps(t *testing.T) {
-	c := newCluster(t, 3)
-	c.propose(announce(0))
-	old, _ := c.leader()
-	c.stop(old)
-	c.propose(configversions.Entry{ID: "f1", PutInForce: 1})
-	c.start(old)
-	c.awaitRevision(3, 1, 2, 3)
+	group := newCluster(t, 3)
+	group.propose(announce(0))
+	old, _ := group.leader()
+	group.stop(old)
+	group.propose(configversions.Entry{ID: "f1", PutInForce: 1})
+	group.start(old)
+	group.awaitRevision(3, 1, 2, 3)
 	for id := 1; id <= 3; id++ {
-		c.stop(id)
+		group.stop(id)
+	}
+	if err := os.Remove(Path(group.dirs[old], uint64(old))); err != nil {
+		t.Fatal(err)
 	}
-	os.Remove(Path(c.dirs[old], uint64(old)))
 	for id := 1; id <= 3; id++ {
-		c.start(id)
+		group.start(id)
 	}
-	c.propose(announce(1))
-	c.awaitRevision(4, 1, 2, 3)
+	group.propose(announce(1))
+	group.awaitRevision(4, 1, 2, 3)
 }
 
 // TestConfirm_partition cuts two of five voters off, the leader among them: it confirms nothing, and the other three go on.
 // Once the partition heals all voters have the same record.
 func TestConfirm_partition(t *testing.T) {
-	c := newCluster(t, 5)
-	c.propose(announce(0))
-	old, l := c.leader()
+	group := newCluster(t, 5)
+	group.propose(announce(0))
+	old, l := group.leader()
 	other := old%5 + 1
 	apart := func(id int) bool { return id == old || id == other }
-	c.dropMessages(func(from, to int) bool { return apart(from) != apart(to) })
+	group.dropMessages(func(from, to int) bool { return apart(from) != apart(to) })
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(700*time.Millisecond))
 	if err := l.Confirm(ctx); err == nil {
 		t.Error("a leader without a majority was confirmed")
 	}
 	stop()
-	c.propose(configversions.Entry{ID: "f1", PutInForce: 1})
-	c.dropMessages(func(int, int) bool { return false })
-	c.awaitRevision(3, 1, 2, 3, 4, 5)
+	group.propose(configversions.Entry{ID: "f1", PutInForce: 1})
+	group.dropMessages(func(int, int) bool { return false })
+	group.awaitRevision(3, 1, 2, 3, 4, 5)
 }
 
 // TestConfirm_manyCallersShareMessages has many callers confirm the leader at once: all are answered, by fewer messages to the
 // other voters than there are callers.
 func TestConfirm_manyCallersShareMessages(t *testing.T) {
-	c := newCluster(t, 3)
+	group := newCluster(t, 3)
 	const many = 300
 	for end := time.Now().Add(20 * time.Second); ; { // on a busy machine the leadership may move meanwhile: try again then
-		id, l := c.leader()
+		id, leader := group.leader()
 		var mu sync.Mutex
 		sent := 0
-		c.dropMessages(func(from, _ int) bool {
+		group.dropMessages(func(from, _ int) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			if from == id {
@@ -246,7 +248,7 @@
 			go func() {
 				ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(5*time.Second))
 				defer stop()
-				answers <- l.Confirm(ctx)
+				answers <- leader.Confirm(ctx)
 			}()
 		}
 		var failed error
@@ -269,116 +271,132 @@
 
 // TestLog_messageLoss drops a tenth of all messages, over a log long enough for snapshots: a voter that was down catches up.
 func TestLog_messageLoss(t *testing.T) {
-	c := newCluster(t, 3)
-	leader, _ := c.leader()
+	group := newCluster(t, 3)
+	leader, _ := group.leader()
 	behind := leader%3 + 1
-	c.stop(behind)
+	group.stop(behind)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(5, 5))
-	c.dropMessages(func(int, int) bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.1 })
+	group.dropMessages(func(int, int) bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.1 })
 	for n := range uint64(retainedEntries) {
-		c.propose(announce(n))
-		c.propose(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
+		group.propose(announce(n))
+		group.propose(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
 	}
-	c.start(behind)
-	c.awaitRevision(2*retainedEntries+1, 1, 2, 3)
-	if got := c.log(behind).Record(); got.InForce.Number != retainedEntries || len(got.History) == 0 {
+	group.start(behind)
+	group.awaitRevision(2*retainedEntries+1, 1, 2, 3)
+	if got := group.log(behind).Record(); got.InForce.Number != retainedEntries || len(got.History) == 0 {
 		t.Errorf("caught up to version %d with %d in its history", got.InForce.Number, len(got.History))
 	}
 }
 
 // TestLog_snapshotsLost drops the first snapshots to a voter that was down: it catches up under the same leader.
 func TestLog_snapshotsLost(t *testing.T) {
-	c := newCluster(t, 3)
-	leader, _ := c.leader()
+	group := newCluster(t, 3)
+	leader, _ := group.leader()
 	behind := leader%3 + 1
-	c.stop(behind)
+	group.stop(behind)
 	for n := range uint64(retainedEntries) {
-		c.propose(announce(n))
-		c.propose(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
-	}
-	c.mu.Lock()
-	c.dropSnapshots = 2
-	c.mu.Unlock()
-	c.start(behind)
-	c.awaitRevision(2*retainedEntries+1, 1, 2, 3)
+		group.propose(announce(n))
+		group.propose(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
+	}
+	group.mu.Lock()
+	group.dropSnapshots = 2
+	group.mu.Unlock()
+	group.start(behind)
+	group.awaitRevision(2*retainedEntries+1, 1, 2, 3)
 }
 
-// TestChangeVoters_replaceAndRecover replaces a voter that is gone for good by a learner, after which the group survives the
-// loss of another one; the replaced voter comes back and changes nothing. Then all but one are gone, and a group is recovered
-// from the file of that one.
-func TestChangeVoters_replaceAndRecover(t *testing.T) {
-	c := newCluster(t, 3)
-	c.propose(announce(0))
-	lead, _ := c.leader()
-	gone := lead%3 + 1
-	c.stop(gone)
-	const fresh = 4
-	move := func(m voters.Change, come func(configversions.Record) bool) {
-		t.Helper()
-		for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-			_, l := c.leader()
-			if come(l.Record()) {
-				return
-			}
-			ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
-			err := l.ChangeVoters(ctx, m)
-			stop()
-			if time.Now().After(end) {
-				t.Fatalf("%+v: %v, %+v", m, err, l.Record().Voters)
-			}
+// changeVoters has a change of the voters proposed until the record shows it, whichever voter leads.
+func (c *cluster) changeVoters(change voters.Change, done func(configversions.Record) bool) {
+	c.t.Helper()
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		_, leader := c.leader()
+		if done(leader.Record()) {
+			return
 		}
-	}
-	has := func(id uint64, learner bool) func(configversions.Record) bool {
-		return func(r configversions.Record) bool {
-			return slices.ContainsFunc(r.Voters, func(s voters.Voter) bool { return s.ID == id && s.Learner == learner })
+		ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
+		err := leader.ChangeVoters(ctx, change)
+		stop()
+		if time.Now().After(end) {
+			c.t.Fatalf("%+v: %v, %+v", change, err, leader.Record().Voters)
 		}
 	}
-	move(voters.Change{AddLearner: &voters.Voter{ID: fresh, Name: "n4", Address: "a4", Learner: true}}, has(fresh, true))
-	c.start(fresh)
-	c.propose(configversions.Entry{ID: "f1", PutInForce: 1})
-	c.awaitRevision(c.log(lead).Record().Revision, lead, fresh)
-	_, l := c.leader()
+}
+
+// has returns a condition: the record has a voter, or a learner, of that ID.
+func has(id uint64, learner bool) func(configversions.Record) bool {
+	return func(record configversions.Record) bool {
+		return slices.ContainsFunc(record.Voters, func(voter voters.Voter) bool { return voter.ID == id && voter.Learner == learner })
+	}
+}
+
+// awaitCaughtUp waits until the leader sees that the learner n4 has all entries, and that another voter is silent.
+func (c *cluster) awaitCaughtUp(learner, silent int) {
+	c.t.Helper()
+	_, leader := c.leader()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		statuses := l.VoterStatuses()
-		i := slices.IndexFunc(statuses, func(p voters.Status) bool { return p.ID == fresh })
-		g := slices.IndexFunc(statuses, func(p voters.Status) bool { return p.ID == uint64(gone) })
-		if i >= 0 && g >= 0 && statuses[i].Learner && statuses[i].Name == "n4" && statuses[i].EntriesBehind == 0 && statuses[i].SilentFor < time.Second && statuses[g].SilentFor > time.Second {
-			break
+		statuses := leader.VoterStatuses()
+		l := slices.IndexFunc(statuses, func(status voters.Status) bool { return status.ID == uint64(learner) })
+		s := slices.IndexFunc(statuses, func(status voters.Status) bool { return status.ID == uint64(silent) })
+		if l >= 0 && s >= 0 && statuses[l].Learner && statuses[l].Name == "n4" && statuses[l].EntriesBehind == 0 &&
+			statuses[l].SilentFor < time.Second && statuses[s].SilentFor > time.Second {
+			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%+v", statuses)
+			c.t.Fatalf("%+v", statuses)
 		}
 	}
-	move(voters.Change{Promote: fresh, Remove: uint64(gone)}, func(r configversions.Record) bool { return has(fresh, false)(r) && len(r.Voters) == 3 })
-	other := 6 - lead - gone
-	c.stop(other)
-	c.start(gone) // with the votes on its file
-	c.propose(announce(1))
-	c.awaitRevision(c.log(lead).Record().Revision, lead, fresh)
+}
 
-	// A follower gets the entries that it missed, or the whole record.
-	now := c.log(lead).Record()
-	update := c.log(lead).UpdateSince(0, now.Revision-1)
+// checkUpdateSince checks that a follower that lacks the last entry, an announcement, gets that entry, and one of another epoch
+// the whole record.
+func checkUpdateSince(t *testing.T, log *Log) {
+	t.Helper()
+	now := log.Record()
+	update := log.UpdateSince(0, now.Revision-1)
 	before := now
 	before.Revision, before.Announced = now.Revision-1, nil
 	if after, err := before.Apply(update.Entries[0]); len(update.Entries) != 1 || update.Record != nil || err != nil || text(after) != text(now) {
 		t.Errorf("%+v", update)
 	}
-	if c.log(lead).UpdateSince(9, now.Revision-1).Record == nil {
+	if log.UpdateSince(9, now.Revision-1).Record == nil {
 		t.Error("entries of another epoch were returned")
 	}
+}
 
+// TestChangeVoters_replaceAndRecover replaces a voter that is gone for good by a learner, after which the group survives the
+// loss of another one; the replaced voter comes back and changes nothing. Then all but one are gone, and a group is recovered
+// from the file of that one.
+func TestChangeVoters_replaceAndRecover(t *testing.T) {
+	group := newCluster(t, 3)
+	group.propose(announce(0))
+	lead, _ := group.leader()
+	gone := lead%3 + 1
+	group.stop(gone)
+	const fresh = 4
+	learner := &voters.Voter{ID: fresh, Name: "n4", Address: "a4", Learner: true}
+	group.changeVoters(voters.Change{AddLearner: learner}, has(fresh, true))
+	group.start(fresh)
+	group.propose(configversions.Entry{ID: "f1", PutInForce: 1})
+	group.awaitRevision(group.log(lead).Record().Revision, lead, fresh)
+	group.awaitCaughtUp(fresh, gone)
+	group.changeVoters(voters.Change{Promote: fresh, Remove: uint64(gone)}, func(r configversions.Record) bool { return has(fresh, false)(r) && len(r.Voters) == 3 })
+	other := 6 - lead - gone
+	group.stop(other)
+	group.start(gone) // with the votes on its file
+	group.propose(announce(1))
+	group.awaitRevision(group.log(lead).Record().Revision, lead, fresh)
+	checkUpdateSince(t, group.log(lead))
 	for _, id := range []int{gone, lead, fresh} {
-		c.stop(id)
+		group.stop(id)
 	}
-	r, err := Recover(c.dirs[fresh], fresh, "n4", "a4")
+	r, err := Recover(group.dirs[fresh], fresh, "n4", "a4")
 	if err != nil || r.Epoch != 1 || r.InForce.Number != 3 || r.Announced != nil || len(r.Withdrawn) != 1 || len(r.Voters) != 1 || r.NextVoterID != 5 {
 		t.Fatalf("%v, %+v", err, r)
 	}
-	c.start(fresh)
-	c.propose(announce(3))
-	if r := c.log(fresh).Record(); r.Epoch != 1 || r.Announced == nil {
+	group.start(fresh)
+	group.propose(announce(3))
+	if r := group.log(fresh).Record(); r.Epoch != 1 || r.Announced == nil {
 		t.Errorf("%+v", r)
 	}
 }
@@ -386,13 +404,15 @@
 // TestRun_diskFault checks that a voter whose disk fails stops rather than acknowledge anything; the others go on, and with its
 // file back it catches up. A truncated file is not opened, as the votes in it are unknown.
 func TestRun_diskFault(t *testing.T) {
-	c := newCluster(t, 3)
-	c.propose(announce(0))
-	lead, _ := c.leader()
-	c.mu.Lock()
-	l, end := c.logs[lead], c.ends[lead]
-	c.mu.Unlock()
-	l.store.db.Close() // like a disk that fails all writes
+	group := newCluster(t, 3)
+	group.propose(announce(0))
+	lead, _ := group.leader()
+	group.mu.Lock()
+	l, end := group.logs[lead], group.ends[lead]
+	group.mu.Unlock()
+	if err := l.store.close(); err != nil { // like a disk that fails all writes
+		t.Fatal(err)
+	}
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(10*time.Second))
 	defer stop()
 	if err := l.Propose(ctx, configversions.Entry{ID: "f1", PutInForce: 1}); err == nil {
@@ -401,23 +421,23 @@
 	if err := <-end; err == nil {
 		t.Error("Run ended without an error")
 	}
-	c.mu.Lock()
-	c.logs[lead] = nil
-	c.mu.Unlock()
-	c.propose(configversions.Entry{ID: "f1 again", PutInForce: 1})
-	c.start(lead)
-	c.propose(announce(1))
-	c.awaitRevision(4, 1, 2, 3)
+	group.mu.Lock()
+	group.logs[lead] = nil
+	group.mu.Unlock()
+	group.propose(configversions.Entry{ID: "f1 again", PutInForce: 1})
+	group.start(lead)
+	group.propose(announce(1))
+	group.awaitRevision(4, 1, 2, 3)
 
-	c.stop(lead)
-	path := Path(c.dirs[lead], uint64(lead))
+	group.stop(lead)
+	path := Path(group.dirs[lead], uint64(lead))
 	for _, left := range []int64{1, 4096, 9000} {
 		if err := os.Truncate(path, left); err != nil {
 			t.Fatal(err)
 		}
-		torn, err := Open(Options{VoterID: uint64(lead), Founders: founders(3), Directory: c.dirs[lead], Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		torn, err := Open(Options{VoterID: uint64(lead), Founders: founders(3), Directory: group.dirs[lead], Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err == nil {
-			torn.store.db.Close()
+			_ = torn.store.close() // the test has failed already
 			t.Errorf("a file of %d bytes was opened", left)
 		}
 		if err := os.Truncate(path, 32768); err != nil {
@@ -449,7 +469,7 @@
 	open := func(id, voters int) error {
 		l, err := Open(Options{VoterID: uint64(id), Founders: founders(voters), Directory: dir, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err == nil {
-			l.store.db.Close()
+			_ = l.store.close() // it was opened, and that is all that counts here
 		}
 		return err
 	}
--- a/internal/fleet/zonelimit_test.go
+++ b/internal/fleet/zonelimit_test.go
@@ -15,38 +15,48 @@
 	"brassdale/internal/decisions/failover"
 )
 
-// TestLimitZone has a raft group of one plan by a report. A limit of a zone for which the other zone lacks the capacity is
-// rejected with the figures, and applied where it is forced; once the limit is lifted the zone gets its jobs back.
-func TestLimitZone(t *testing.T) {
-	l, err := net.Listen("tcp", "127.99.7.1:0")
+// newPlanningAgent makes the agent of a raft group of one, which plans by one report, and returns its address: zone a has more
+// work than capacity, zone b has none.
+func newPlanningAgent(t *testing.T) (agent *Agent, address string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.99.7.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := l.Addr().String()
-	l.Close()
-	o := options(t.TempDir())
-	o.Settings.Listen, o.Settings.Voters, o.Settings.VoterID = at, []string{at}, 1
-	f := DefaultFailover()
-	f.Regions, f.RecoveryRamp = []Region{{"north", []string{"a", "b"}}}, "1s"
-	o.Failover, o.PlanChanged = &f, func(*failover.Plan, bool) {}
-	o.Report = func() *failover.Report {
+	address = listener.Addr().String()
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	configured := options(t.TempDir())
+	configured.Settings.Listen, configured.Settings.Voters, configured.Settings.VoterID = address, []string{address}, 1
+	planning := DefaultFailover()
+	planning.Regions, planning.RecoveryRamp = []Region{{"north", []string{"a", "b"}}}, "1s"
+	configured.Failover, configured.PlanChanged = &planning, func(*failover.Plan, bool) {}
+	configured.Report = func() *failover.Report {
 		heard := []failover.LastResponse{{To: "a"}, {To: "b"}}
 		return &failover.Report{Dispatcher: "n0", Zone: "a", LastResponses: heard, Capacity: map[string]float64{"a": 100, "b": 100}, Arrivals: []failover.Arrivals{{Class: "x", Work: 120, Weight: 1}}}
 	}
-	a, err := New(o)
+	agent, err = New(configured)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return agent, address
+}
+
+// TestLimitZone has a raft group of one plan by a report. A limit of a zone for which the other zone lacks the capacity is
+// rejected with the figures, and applied where it is forced; once the limit is lifted the zone gets its jobs back.
+func TestLimitZone(t *testing.T) {
+	agent, at := newPlanningAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
-	wait.Go(func() { a.Run(ctx) })
+	wait.Go(func() { agent.Run(ctx) })
 	defer wait.Wait()
 	defer stop()
 	until := func(what string, ok func(Status) bool) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); !ok(a.Status()); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); !ok(agent.Status()); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: %+v", what, a.Status().Record.Plan)
+				t.Fatalf("%s: %+v", what, agent.Status().Record.Plan)
 			}
 		}
 	}
@@ -72,7 +82,7 @@
 		t.Errorf("%d %s", status, text)
 	}
 	until("nothing in the drained zone", near(0, 0.01))
-	if s := a.Status(); len(s.Record.ZoneLimits) != 1 || !s.Record.ZoneLimits[0].Force || len(s.Zones) != 2 {
+	if s := agent.Status(); len(s.Record.ZoneLimits) != 1 || !s.Record.ZoneLimits[0].Force || len(s.Zones) != 2 {
 		t.Errorf("%+v", s.Record.ZoneLimits)
 	}
 	if status, _ := limit(1, false); status != http.StatusOK {
--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }() // its address is all that is wanted
 	return l.Addr().String()
 }
 
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -30,11 +29,11 @@
 		}
 		out, err := net.Dial("tcp", target)
 		if err != nil {
-			in.Close()
+			_ = in.Close() // nobody to relay to
 			continue
 		}
 		pass := func(from, to net.Conn, n *int) {
-			defer to.Close()
+			defer func() { _ = to.Close() }() // its other end is gone
 			buf := make([]byte, 4096)
 			for {
 				k, err := from.Read(buf)
@@ -51,65 +50,86 @@
 	}
 }
 
-// TestMeter_bothEndsCountAlike makes HTTP calls of several kinds over reused connections: each end counts every byte that a
-// relay between them sees, headers included, as of the same kind, and what one end sends the other receives.
-func TestMeter_bothEndsCountAlike(t *testing.T) {
-	var client, server Meter
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// seen returns the bytes that went to the server and back.
+func (r *relay) seen() (to, back uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return uint64(r.to), uint64(r.back)
+}
+
+// serve starts an HTTP server whose traffic a meter counts, as of the kind of the path.
+func serve(t *testing.T, meter *Meter, kinds map[string]Kind) (address string, server *http.Server) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := map[string]Kind{"/renew": Renewal, "/watch": Record}
-	s := &http.Server{ConnContext: Note, Handler: server.Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
-		fmt.Fprint(w, strings.Repeat("x", 3*len(text)+5000))
-	}), func(r *http.Request) Kind { return kinds[r.URL.Path] })}
-	go s.Serve(server.Listen(l))
-	defer s.Close()
-	between, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := &relay{Listener: between}
-	go r.run(l.Addr().String())
-	transport := &http.Transport{DialContext: client.Dial(&net.Dialer{})}
-	c := &http.Client{Transport: transport}
+		_, _ = io.WriteString(w, strings.Repeat("x", 3*len(text)+5000))
+	})
+	server = &http.Server{ConnContext: Note, Handler: meter.Handler(answer, func(r *http.Request) Kind { return kinds[r.URL.Path] })}
+	go func() { _ = server.Serve(meter.Listen(listener)) }() // ends with Close
+	t.Cleanup(func() { _ = server.Close() })                 // it is closed already where the test passes
+	return listener.Addr().String(), server
+}
+
+// call makes calls of several kinds, over reused connections that a meter counts.
+func call(t *testing.T, meter *Meter, kinds map[string]Kind, address string) {
+	t.Helper()
+	transport := &http.Transport{DialContext: meter.Dial(&net.Dialer{})}
+	defer transport.CloseIdleConnections()
+	client := &http.Client{Transport: transport}
 	for i := range 40 {
 		path := []string{"/renew", "/watch", "/other"}[i%3]
-		ctx := client.Call(context.Background(), kinds[path])
-		q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+between.Addr().String()+path, bytes.NewReader(make([]byte, 100*i)))
+		ctx := meter.Call(context.Background(), kinds[path])
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(make([]byte, 100*i)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, err := c.Do(q)
+		response, err := client.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
+		_, _ = io.Copy(io.Discard, response.Body)
+		_ = response.Body.Close() // it was read
+	}
+}
+
+// TestMeter_bothEndsCountAlike makes HTTP calls of several kinds over reused connections: each end counts every byte that a
+// relay between them sees, headers included, as of the same kind, and what one end sends the other receives.
+func TestMeter_bothEndsCountAlike(t *testing.T) {
+	var client, server Meter
+	kinds := map[string]Kind{"/renew": Renewal, "/watch": Record}
+	address, httpServer := serve(t, &server, kinds)
+	relayListener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	between := &relay{Listener: relayListener}
+	go between.run(address)
+	call(t, &client, kinds, relayListener.Addr().String())
+	_ = relayListener.Close() // the relay accepts nothing more
+	if err := httpServer.Close(); err != nil {
+		t.Fatal(err)
 	}
-	transport.CloseIdleConnections()
-	between.Close()
-	s.Close()
 	var clientCounts, serverCounts map[string]Count
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		clientCounts, serverCounts = client.Counts(), server.Counts()
-		r.mu.Lock()
-		done := uint64(r.to) == Total(clientCounts).Sent && uint64(r.to) == Total(serverCounts).Received && uint64(r.back) == Total(serverCounts).Sent && uint64(r.back) == Total(clientCounts).Received
-		r.mu.Unlock()
-		if done {
+		sent, received := between.seen()
+		if sent == Total(clientCounts).Sent && sent == Total(serverCounts).Received &&
+			received == Total(serverCounts).Sent && received == Total(clientCounts).Received {
 			break
 		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if Total(clientCounts).Sent != uint64(r.to) || Total(clientCounts).Received != uint64(r.back) {
-		t.Errorf("the client counts %+v, between them went %d and %d", Total(clientCounts), r.to, r.back)
+	sent, received := between.seen()
+	if Total(clientCounts).Sent != sent || Total(clientCounts).Received != received {
+		t.Errorf("the client counts %+v, between them went %d and %d", Total(clientCounts), sent, received)
 	}
-	for _, k := range []Kind{Renewal, Record, Other} {
-		m, o := clientCounts[k.String()], serverCounts[k.String()]
-		if m.Sent != o.Received || m.Received != o.Sent || m.Messages != o.Messages || m.Messages == 0 {
-			t.Errorf("%v: the client counts %+v, the server %+v", k, m, o)
+	for _, kind := range []Kind{Renewal, Record, Other} {
+		c, s := clientCounts[kind.String()], serverCounts[kind.String()]
+		if c.Sent != s.Received || c.Received != s.Sent || c.Messages != s.Messages || c.Messages == 0 {
+			t.Errorf("%v: the client counts %+v, the server %+v", kind, c, s)
 		}
 	}
 }
