--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"cmp"
 	"fmt"
 	"math/rand/v2"
 	"time"
@@ -10,277 +9,217 @@
 	"brassdale/scheduler"
 )
 
-// Failover is who decides to which zone a job goes, in virtual time. A council is a planner that hears of each dispatcher
-// once a second, late, and whose plans come late too; that it agrees is not modelled here but by processes (internal/faults).
+// Failover is how a job's zone is chosen. In mode "plan" one planner receives each dispatcher's reports and sends its plans
+// back, both with a delay; the agreement among planners is not modelled here but tested with processes (internal/faults).
 type Failover struct {
-	Mode     string // "" each dispatcher by itself, "near" its own zone alone, "spread" all alike, "plan" in common
+	Mode     string // "" each dispatcher's policy, "near" its own zone, "spread" a random zone, "plan" by the planner
 	Headroom float64
-	ReturnIn time.Duration
+	ReturnIn time.Duration // ramp of a recovered zone's share
 	Detect   time.Duration
-	Step     float64
+	Step     float64 // most that a share changes in a second
 }
 
-// voterGroup is the planner with its clients.
-type voterGroup struct {
-	planner *failover.Planner
-	chance  *rand.Rand
-	changes int
-	moved   time.Duration // when a plan first had nothing in the first zone that was lost; 0 for never
-	back    time.Duration // and when it had as much there as before again
-	fault   *Fault
-	before  float64
+// zonePlanning is the planner and what is measured of its plans.
+type zonePlanning struct {
+	planner       *failover.Planner
+	random        *rand.Rand
+	planChanges   int
+	zoneLoss      *Fault        // the scenario's first loss of a zone; nil for none
+	shareBefore   float64       // of the lost zone's jobs, planned into it before the loss
+	movedAfter    time.Duration // from the loss until no job was planned into the zone; 0 for never
+	restoredAfter time.Duration // from the fault's end until the share was restored; 0 for never
 }
 
-// zoneTally is what came to a zone's boxes, and what they could do, by second.
-type zoneTally struct{ pushed, able []float64 }
+// zoneName returns the name of the zone with the given index.
+func (sim *simulation) zoneName(zone int) string { return fmt.Sprint("z", zone) }
 
-func (w *world) zoneName(n int) string { return fmt.Sprint("z", n) }
-
-func (w *world) region(zone int) string {
-	n := max(w.s.Network.Regions, 1)
-	return fmt.Sprint("r", zone*n/max(w.s.Network.Zones, 1))
+// region returns the name of a zone's region.
+func (sim *simulation) region(zone int) string {
+	regions := max(sim.scenario.Network.Regions, 1)
+	return fmt.Sprint("r", zone*regions/max(sim.scenario.Network.Zones, 1))
 }
 
-// plans sets up who decides, and counts what zones could do.
-func (w *world) plans() {
-	f := &w.s.Failover
-	w.after(0, w.able)
-	if f.Mode != "plan" {
+// startPlanning starts the sampling of zone loads and, in mode "plan", the planner with its reports.
+func (sim *simulation) startPlanning() {
+	sim.after(0, sim.sampleZones)
+	if sim.scenario.Failover.Mode != "plan" {
 		return
 	}
-	regions := map[string]string{}
-	for z := range w.s.Network.Zones {
-		regions[w.zoneName(z)] = w.region(z)
+	sim.planning = sim.newZonePlanning()
+	for _, dispatcher := range sim.dispatchers {
+		dispatcher.recorder = failover.NewRecorder(fmt.Sprint("n", dispatcher.index), sim.zoneName(dispatcher.zone), sim.now)
+		dispatcher.endpointsByID = map[scheduler.WorkerID]scheduler.WorkerInfo{}
+		sim.after(time.Duration(sim.planning.random.Float64()*float64(time.Second)), dispatcher.reportToPlanner)
 	}
-	w.failover = &voterGroup{chance: w.source(4), planner: failover.NewPlanner(failover.Settings{Headroom: f.Headroom, RecoveryRamp: f.ReturnIn, DetectionTime: f.Detect, MaxShiftPerSecond: f.Step,
+	sim.after(time.Second, sim.updatePlan)
+}
+
+// newZonePlanning returns the planner for the scenario's zones and regions.
+func (sim *simulation) newZonePlanning() *zonePlanning {
+	configured := &sim.scenario.Failover
+	settings := failover.Settings{
+		Headroom:          configured.Headroom,
+		RecoveryRamp:      configured.ReturnIn,
+		DetectionTime:     configured.Detect,
+		MaxShiftPerSecond: configured.Step,
 		Distance: func(from, to string) float64 {
 			if from == to {
 				return 0
 			}
 			return 1
-		}}, regions, nil, w.now)}
-	for i := range w.s.Faults {
-		if w.s.Faults[i].Kind == ZoneLost && w.failover.fault == nil {
-			w.failover.fault = &w.s.Faults[i]
-		}
+		},
 	}
-	for _, d := range w.dispatchers {
-		d.watcher, d.listedAs = failover.NewRecorder(fmt.Sprint("n", d.n), w.zoneName(d.zone), w.now), map[scheduler.WorkerID]scheduler.WorkerInfo{}
-		w.after(time.Duration(w.failover.chance.Float64()*float64(time.Second)), d.report)
+	regions := map[string]string{}
+	for zone := range sim.scenario.Network.Zones {
+		regions[sim.zoneName(zone)] = sim.region(zone)
+	}
+	planning := &zonePlanning{random: sim.randomSource(plannerSource), planner: failover.NewPlanner(settings, regions, nil, sim.now)}
+	for i := range sim.scenario.Faults {
+		if sim.scenario.Faults[i].Kind == ZoneLost {
+			planning.zoneLoss = &sim.scenario.Faults[i]
+			break
+		}
 	}
-	w.after(time.Second, w.planNext)
+	return planning
 }
 
 const (
-	reportEvery = 500 * time.Millisecond // with each renewal of a lease of two seconds
-	planEvery   = 250 * time.Millisecond
-	reportLate  = 200 * time.Millisecond // at the most: a renewal that goes by a seat
+	plannerReportInterval = 500 * time.Millisecond // as with each renewal of a lease of two seconds
+	planInterval          = 250 * time.Millisecond
+	maxReportDelay        = 200 * time.Millisecond // of a renewal that a follower forwards
+
+	// Plans reach the last dispatcher 0.1 s late at 50 processes and 0.7 s at 300, as measured.
+	minPlanDelay           = 100 * time.Millisecond
+	planDelayPerDispatcher = 2 * time.Millisecond
+
+	movedShare       = 0.01 // planned share of a lost zone below which its jobs count as moved
+	restoredShareGap = 0.02 // of the share before, within which it counts as restored
 )
 
-// planLate is how late a plan reaches the last dispatcher: 0.1 s at 50 processes, 0.7 s at 300, as measured.
-func (w *world) planLate() time.Duration {
-	return 100*time.Millisecond + time.Duration(w.s.Dispatchers)*2*time.Millisecond
+// maxPlanDelay returns how late a plan reaches the last dispatcher.
+func (sim *simulation) maxPlanDelay() time.Duration {
+	return minPlanDelay + time.Duration(sim.scenario.Dispatchers)*planDelayPerDispatcher
 }
 
-// report tells the council.
-func (d *dispatcher) report() {
-	w := d.w
+// reportToPlanner sends the planner the dispatcher's view of zone capacities and responses, and again after
+// plannerReportInterval.
+func (d *dispatcher) reportToPlanner() {
+	sim, slowStart := d.sim, &d.sim.scenario.SlowStart
 	capacity := map[string]float64{}
-	for _, info := range d.listedAs {
-		if info.State == scheduler.Ready {
-			age := w.s.SlowStart.For
-			if info.StartedAt > 0 {
-				age = w.now - info.StartedAt
+	for _, endpoint := range d.endpointsByID {
+		if endpoint.State == scheduler.Ready {
+			age := slowStart.For
+			if endpoint.StartedAt > 0 {
+				age = sim.now - endpoint.StartedAt
 			}
-			capacity[w.zoneName(info.Zone)] += failover.Capacity(info.Weight, w.s.SlowStart.Capacity, age, w.s.SlowStart.For)
+			capacity[sim.zoneName(endpoint.Zone)] += failover.Capacity(endpoint.Weight, slowStart.Capacity, age, slowStart.For)
 		}
 	}
-	for _, o := range d.open {
-		for i, r := range o.runs {
-			if o.inFlight[i] && !r.silent && r.beganAt == 0 && w.now-r.sentAt > failover.NoResponseAfter {
-				r.silent = true
-				d.watcher.CallUnanswered(w.zoneName(w.workerOf(r).zone), w.now)
+	d.countUnanswered()
+	report := d.recorder.Report(sim.now, capacity)
+	sim.after(time.Duration(d.random.Float64()*float64(maxReportDelay)), func() { sim.planning.planner.AddReport(report, sim.now) })
+	sim.after(plannerReportInterval, d.reportToPlanner)
+}
+
+// countUnanswered records, once for each, the attempts in flight that have had no response for failover.NoResponseAfter.
+func (d *dispatcher) countUnanswered() {
+	for _, request := range d.requests {
+		for i, attempt := range request.attempts {
+			if request.inFlight[i] && !attempt.countedUnanswered && attempt.startHeardAt == 0 && d.sim.now-attempt.sentAt > failover.NoResponseAfter {
+				attempt.countedUnanswered = true
+				d.recorder.CallUnanswered(d.sim.zoneName(d.sim.workerByAttempt(attempt).zone), d.sim.now)
 			}
 		}
 	}
-	r := d.watcher.Report(w.now, capacity)
-	w.after(time.Duration(d.chance.Float64()*float64(reportLate)), func() { w.failover.planner.AddReport(r, w.now) })
-	w.after(reportEvery, d.report)
 }
 
-// planNext has a plan made, and gives it to all.
-func (w *world) planNext() {
-	f := w.failover
-	plan, made := f.planner.Next(w.now)
+// updatePlan has the planner make its next plan, sends it to all dispatchers, and repeats after planInterval.
+func (sim *simulation) updatePlan() {
+	planning := sim.planning
+	plan, made := planning.planner.Next(sim.now)
 	if made {
-		f.changes++
-		for _, d := range w.dispatchers {
-			w.after(time.Duration(f.chance.Float64()*float64(w.planLate())), func() { d.plan = plan })
+		planning.planChanges++
+		for _, dispatcher := range sim.dispatchers {
+			sim.after(time.Duration(planning.random.Float64()*float64(sim.maxPlanDelay())), func() { dispatcher.plan = plan })
 		}
 	}
-	if f.fault != nil && plan != nil {
-		at, zone := epoch+f.fault.At, w.zoneName(f.fault.Zone-1)
-		share := plan.Share(zone, className, zone)
-		switch {
-		case w.now < at:
-			f.before = share
-		case f.moved == 0 && share < 0.01:
-			f.moved = w.now + w.planLate() - at
-		case f.moved > 0 && f.back == 0 && w.now > at+f.fault.For && share >= f.before-0.02:
-			f.back = w.now - at - f.fault.For
-		}
+	if planning.zoneLoss != nil && plan != nil {
+		sim.measurePlan(plan)
 	}
-	w.after(planEvery, w.planNext)
+	sim.after(planInterval, sim.updatePlan)
 }
 
-// guided gives the zones that a job may go to; not ok where it is shed.
-func (d *dispatcher) guided(j *job) (within uint64, ok bool) {
-	w := d.w
-	class := w.className(j)
-	if d.watcher != nil {
-		d.watcher.JobArrived(class, w.kinds[j.class].PriorityWeight)
+// measurePlan measures when a plan moves the jobs out of the lost zone, and when it restores their share.
+func (sim *simulation) measurePlan(plan *failover.Plan) {
+	planning, loss := sim.planning, sim.planning.zoneLoss
+	lostAt, zone := clockStart+loss.At, sim.zoneName(loss.Zone-1)
+	share := plan.Share(zone, className, zone)
+	switch {
+	case sim.now < lostAt:
+		planning.shareBefore = share
+	case planning.movedAfter == 0 && share < movedShare:
+		planning.movedAfter = sim.now + sim.maxPlanDelay() - lostAt
+	case planning.movedAfter > 0 && planning.restoredAfter == 0 && sim.now > lostAt+loss.For && share >= planning.shareBefore-restoredShareGap:
+		planning.restoredAfter = sim.now - lostAt - loss.For
 	}
-	switch w.s.Failover.Mode {
+}
+
+// permittedZones returns the zones that a job may go to, a bit for each, 0 for any; and false if the plan sheds the job.
+func (d *dispatcher) permittedZones(job *job) (zones uint64, ok bool) {
+	sim := d.sim
+	class := sim.classNameOf(job)
+	if d.recorder != nil {
+		d.recorder.JobArrived(class, sim.classOf(job).PriorityWeight)
+	}
+	switch sim.scenario.Failover.Mode {
 	case "near":
 		return 1 << d.zone, true
 	case "spread":
-		return 1 << d.chance.IntN(max(w.s.Network.Zones, 1)), true
+		return 1 << d.random.IntN(max(sim.scenario.Network.Zones, 1)), true
 	case "plan":
-		zone, ok := d.plan.Choose(w.zoneName(d.zone), class, d.chance.Float64())
-		for z := range w.s.Network.Zones {
-			if w.zoneName(z) == zone {
-				within = 1 << z
+		chosen, ok := d.plan.Choose(sim.zoneName(d.zone), class, d.random.Float64())
+		for zone := range sim.scenario.Network.Zones {
+			if sim.zoneName(zone) == chosen {
+				zones = 1 << zone
 			}
 		}
-		return within, ok
+		return zones, ok
 	}
 	return 0, true
 }
 
-// saw counts a call's end.
-func (d *dispatcher) saw(r *run, o *open, inFlight scheduler.Outcome) {
-	w := d.w
-	to := w.zoneName(w.workerOf(r).zone)
+// recordAttempt records an attempt's outcome for the planner. Not counted are attempts that were not sent, those cancelled
+// after their start or too early to expect a response, and those already counted as unanswered.
+func (d *dispatcher) recordAttempt(attempt *attemptRun, outcome scheduler.Outcome) {
+	if d.recorder == nil || outcome == scheduler.NeverSent {
+		return
+	}
+	sim, job := d.sim, attempt.job
+	zone := sim.zoneName(sim.workerByAttempt(attempt).zone)
 	switch {
-	case d.watcher == nil, inFlight == scheduler.NeverSent, inFlight == scheduler.Cancelled && (r.beganAt > 0 || w.now-r.sentAt < failover.NoResponseAfter/4), r.silent && inFlight == scheduler.TimedOut:
+	case outcome == scheduler.Cancelled && (attempt.startHeardAt > 0 || sim.now-attempt.sentAt < failover.NoResponseAfter/4):
 		return
-	case inFlight == scheduler.Cancelled, inFlight == scheduler.TimedOut, inFlight == scheduler.NoConnect, inFlight == scheduler.Reset:
-		d.watcher.CallUnanswered(to, w.now)
+	case outcome == scheduler.TimedOut && attempt.countedUnanswered:
 		return
-	}
-	ran := time.Duration(0)
-	if inFlight == scheduler.Served && r.beganAt > 0 {
-		ran = time.Duration(float64(w.now-r.beganAt) * float64(r.job.slots))
-	}
-	d.watcher.CallEnded(to, w.className(r.job), inFlight == scheduler.Full, inFlight == scheduler.Served && w.inTime(r.job, w.now-r.job.requestedAt), ran, w.now)
-}
-
-// className is a job's class by name.
-func (w *world) className(j *job) string { return cmp.Or(w.kinds[j.class].Name, className) }
-
-// cutOff tells whether nothing goes between the dispatcher and a box.
-func (d *dispatcher) cutOff(b *worker) bool { return d.w.apart[[2]int{d.zone, b.zone}] > 0 }
-
-// applyZoneFault plays a zone's fault.
-func (w *world) applyZoneFault(f Fault) {
-	zone := f.Zone - 1
-	switch f.Kind {
-	case Apart:
-		w.apart[[2]int{f.From - 1, zone}]++
-		w.after(f.For, func() { w.apart[[2]int{f.From - 1, zone}]-- })
-	case Far:
-		w.far[zone] = f.Size
-		w.after(f.For, func() { w.far[zone] = 0 })
-	case ZoneLost:
-		for _, b := range w.workers {
-			if b.zone != zone {
-				continue
-			}
-			b.cut++
-			w.after(f.For, func() {
-				b.recover(Partition)
-				b.started, b.pushed = w.now, nil
-				w.changed(b)
-			})
-		}
-	}
-}
-
-// able notes once a second what each zone's boxes can do.
-func (w *world) able() {
-	for z := range w.perZone {
-		sum := 0.0
-		for _, b := range w.workers {
-			if b.zone == z && !b.down && b.cut == 0 && b.state != scheduler.Gone {
-				sum += float64(b.slots) * b.speed * b.warmupFactor()
-			}
-		}
-		w.perZone[z].able = append(w.perZone[z].able, sum)
-		w.perZone[z].pushed = append(w.perZone[z].pushed, 0)
-	}
-	w.after(time.Second, w.able)
-}
-
-// pushedAt counts work that came to a zone's boxes.
-func (w *world) pushedAt(b *worker, work float64) {
-	if t := &w.perZone[b.zone]; len(t.pushed) > 0 {
-		t.pushed[len(t.pushed)-1] += work
-	}
-}
-
-// peakOver spans: work that comes is uneven from one second to the next.
-const peakOver = 5
-
-// peak is the most that came to a zone's boxes, as a share of what they could do, while they could do anything.
-func (w *world) peak() (peak float64) {
-	for _, t := range w.perZone {
-		for i := peakOver; i < len(t.pushed); i++ {
-			pushed, able := 0.0, 0.0
-			for k := i - peakOver; k < i; k++ {
-				pushed += t.pushed[k]
-				able += t.able[k]
-			}
-			whole := true // cold or warm, but there all the time
-			for k := i - peakOver; k < i; k++ {
-				whole = whole && t.able[k] > 0
-			}
-			if whole {
-				peak = max(peak, pushed/able)
-			}
-		}
-	}
-	return peak
-}
-
-// second is what was asked for in one, and what of it was in time.
-type second struct{ requested, good float64 }
-
-// countAt enters a job's end where its client asked.
-func (w *world) countAt(j *job, v verdict) {
-	at := int((j.requestedAt - epoch - warmUp) / time.Second)
-	for len(w.seconds) <= at {
-		w.seconds = append(w.seconds, second{})
-	}
-	if at < 0 {
+	case outcome == scheduler.Cancelled, outcome == scheduler.TimedOut, outcome == scheduler.NoConnect, outcome == scheduler.Reset:
+		d.recorder.CallUnanswered(zone, sim.now)
 		return
 	}
-	w.seconds[at].requested += w.value(j)
-	if v == served && w.inTime(j, w.now-j.requestedAt) {
-		w.seconds[at].good += w.value(j)
+	slotTime := time.Duration(0)
+	if outcome == scheduler.Served && attempt.startHeardAt > 0 {
+		slotTime = time.Duration(float64(sim.now-attempt.startHeardAt) * float64(job.slots))
 	}
+	inTime := outcome == scheduler.Served && sim.withinObjective(job, sim.now-job.firstRequestedAt)
+	d.recorder.CallEnded(zone, sim.classNameOf(job), outcome == scheduler.Full, inTime, slotTime, sim.now)
 }
 
-// Within is the share of worth in time of what was asked for between two times of the run.
-func (r *Result) Within(from, to time.Duration) float64 {
-	var sum second
-	for i, s := range r.Seconds {
-		if at := time.Duration(i) * time.Second; at >= from && at < to {
-			sum.requested += s.requested
-			sum.good += s.good
-		}
-	}
-	if sum.requested == 0 {
-		return 1
+// recordProbe records a probe's outcome for the planner.
+func (d *dispatcher) recordProbe(worker *worker, outcome scheduler.Outcome) {
+	switch {
+	case d.recorder == nil:
+	case outcome == scheduler.Served:
+		d.recorder.ResponseReceived(d.sim.zoneName(worker.zone), d.sim.now)
+	default:
+		d.recorder.CallUnanswered(d.sim.zoneName(worker.zone), d.sim.now)
 	}
-	return sum.good / sum.requested
 }
--- a/internal/transport/idempotencytable.go
+++ b/internal/transport/idempotencytable.go
@@ -3,226 +3,178 @@
 import (
 	"container/heap"
 	"crypto/sha256"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"brassdale/internal/decisions/idempotency"
 	"brassdale/internal/protocol"
-	"brassdale/internal/routing"
 	"brassdale/scheduler"
 )
 
-// IdempotencySettings are the operator's, in a block keys.
+// IdempotencySettings is the block keys of the operator's file.
 type IdempotencySettings struct {
-	Jobs   int `hcl:"jobs,optional"`    // most jobs remembered at a time
-	KeepMB int `hcl:"keep_mb,optional"` // most memory for their answers
+	Jobs   int `hcl:"jobs,optional"`    // maximum number of jobs remembered at a time
+	KeepMB int `hcl:"keep_mb,optional"` // maximum size of their events and answers, in MiB
 }
 
-// DefaultIdempotency holds what an operator leaves out.
+// DefaultIdempotency returns the settings used for what the operator's file leaves out.
 func DefaultIdempotency() IdempotencySettings { return IdempotencySettings{Jobs: 8192, KeepMB: 24} }
 
-// IdempotencyTable remembers the job of each Idempotency-Key, at whichever front it came in: while it is open, and for the key's
-// window after its end, which ends later than the one in which endpoints drop a repeat. Who comes with the key joins
-// it; so no key is started twice while endpoints may remember it.
+// IdempotencyTable remembers the job of each Idempotency-Key, whichever frontend received it: while the job is open, and for
+// the deduplication window after its end. A request that repeats the key joins the job. Since the window counts from the
+// job's end, it ends later than the one in which workers drop a repeat, so no key is started a second time while a
+// worker may remember it.
+//
+// All methods may be called from any goroutine. mu is taken before the mu of a jobStream, and is never held while a
+// request waits for the other process.
 type IdempotencyTable struct {
-	set     *IdempotencySettings
-	ids     *InFlightIDs
-	streams bool         // a front streams jobs' events: they are kept too
-	bytes   atomic.Int64 // of the events and answers of all jobs
-
-	mu   sync.Mutex
-	jobs map[string]*watched // by key
-	peer *peer               // the other process while one replaces the other
-	old  []retired           // jobs that have ended, a heap by when they are forgotten
-	look *time.Timer         // nil while none has
+	settings      *IdempotencySettings
+	inFlightIDs   *InFlightIDs
+	recordEvents  bool         // a frontend streams events, so jobs record them; otherwise they record the final answer only
+	retainedBytes atomic.Int64 // events and answers of all jobs
+
+	mu         sync.Mutex
+	jobs       map[string]*jobStream // by idempotency key
+	peer       *peerTable            // table of the other process during a handover, else nil
+	endedJobs  []endedJob            // a heap by forgetAt
+	sweepTimer *time.Timer           // runs forgetExpired; nil while endedJobs is empty
 }
 
-// retired is a job that has ended and is forgotten at a time.
-type retired struct {
-	job *watched
-	at  time.Time
+// NewIdempotencyTable returns an empty table. recordEvents says that a frontend streams the events of jobs.
+func NewIdempotencyTable(settings *IdempotencySettings, inFlightIDs *InFlightIDs, recordEvents bool) *IdempotencyTable {
+	return &IdempotencyTable{settings: settings, inFlightIDs: inFlightIDs, recordEvents: recordEvents, jobs: map[string]*jobStream{}}
 }
 
-type byAge []retired
-
-func (o byAge) Len() int           { return len(o) }
-func (o byAge) Less(i, j int) bool { return o[i].at.Before(o[j].at) }
-func (o byAge) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
-func (o *byAge) Push(x any)        { *o = append(*o, x.(retired)) }
-func (o *byAge) Pop() any {
-	last := (*o)[len(*o)-1]
-	(*o)[len(*o)-1] = retired{}
-	*o = (*o)[:len(*o)-1]
-	return last
+// Has reports whether the job of a key is known here. A rejected job does not count: it may be started anew by any process.
+func (t *IdempotencyTable) Has(key string) bool {
+	t.mu.Lock()
+	stream := t.jobs[key]
+	t.mu.Unlock()
+	return stream != nil && !stream.rejected()
 }
 
-// forgetEvery is how much longer than its window a job may be remembered: a timer for each would cost more than the job.
-const forgetEvery = 100 * time.Millisecond
-
-// retire has a job forgotten behind its window, unless its key has a newer one by then.
-func (k *IdempotencyTable) retire(j *watched, window time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	heap.Push((*byAge)(&k.old), retired{j, time.Now().Add(window)})
-	if k.look == nil {
-		k.look = time.AfterFunc(window, k.sweep)
+// reserveJob decides what a request with an idempotency key, or with none, gets. With Start it returns a new stream, with
+// Join the known one, and adds the request to its readers. reserved is false if Start was decided but the request id is
+// that of an open request; the stream is then of no use. resumes says that the client has seen events of the job before.
+func (t *IdempotencyTable) reserveJob(job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, decision idempotency.Decision, reserved bool) {
+	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
+	hasKey := job.IdempotencyKey != ""
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var known *idempotency.RememberedJob
+	if hasKey {
+		stream = t.jobs[job.IdempotencyKey]
+	}
+	if stream != nil {
+		known = &idempotency.RememberedJob{Rejected: stream.rejected(), SameJob: stream.digest == digest}
+	}
+	decision = idempotency.Decide(known, resumes, t.hasCapacityLocked())
+	switch decision {
+	case idempotency.Start:
+		stream = t.newJobStream(job, digest)
+		// Only this process is asked here, under the lock; the caller asks the predecessor.
+		if !t.inFlightIDs.Reserve(job.ID, nil) {
+			return stream, decision, false
+		}
+		if hasKey {
+			t.jobs[job.IdempotencyKey] = stream
+		}
+	case idempotency.Join:
+	default:
+		return stream, decision, true
 	}
+	stream.readers++
+	stream.runsWithoutReaders = stream.runsWithoutReaders || runsWithoutReaders && hasKey
+	return stream, decision, true
 }
 
-// sweep forgets what is due.
-func (k *IdempotencyTable) sweep() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := time.Now()
-	for len(k.old) > 0 && !k.old[0].at.After(now) {
-		k.drop(heap.Pop((*byAge)(&k.old)).(retired).job)
-	}
-	k.look = nil
-	if len(k.old) > 0 {
-		k.look = time.AfterFunc(max(k.old[0].at.Sub(now), forgetEvery), k.sweep)
-	}
+// hasCapacityLocked reports whether one more job can be remembered. t.mu is held.
+func (t *IdempotencyTable) hasCapacityLocked() bool {
+	return len(t.jobs) < t.settings.Jobs && t.retainedBytes.Load() < t.maxRetainedBytes()
 }
 
-// NewIdempotencyTable makes the table. streams tells that there is a front that streams jobs' events.
-func NewIdempotencyTable(s *IdempotencySettings, ids *InFlightIDs, streams bool) *IdempotencyTable {
-	return &IdempotencyTable{set: s, ids: ids, streams: streams, jobs: map[string]*watched{}}
+func (t *IdempotencyTable) maxRetainedBytes() int64 { return int64(t.settings.KeepMB) << 20 }
+
+// setRequestID records the core's number of a job, once it was submitted.
+func (t *IdempotencyTable) setRequestID(stream *jobStream, id scheduler.RequestID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	stream.requestID = id
 }
 
-// errUnknown: the job is known to another dispatcher, or was to this one before a restart. It may run or have run
-// elsewhere, so a run from here could be one too many.
-var errUnknown = &protocol.RequestError{Status: http.StatusBadGateway, Reason: "the job of this Idempotency-Key is not known here; nothing was started"}
+// removeReader records that a reader left before the job's end. It reports whether the job, whose number at the core is
+// id, is to be abandoned; its key is free from then on.
+func (t *IdempotencyTable) removeReader(stream *jobStream) (id scheduler.RequestID, abandon bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	stream.readers--
+	abandon = !stream.hasEnded() && idempotency.AbandonWithoutReaders(stream.readers, stream.runsWithoutReaders)
+	if abandon && t.jobs[stream.key] == stream {
+		delete(t.jobs, stream.key)
+	}
+	return stream.requestID, abandon
+}
 
-var errAnother = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
+// remove forgets an abandoned job.
+func (t *IdempotencyTable) remove(stream *jobStream) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.removeLocked(stream)
+}
 
-// find gives the job of a request's key, the one that is known or a fresh one, with the request as one of its readers;
-// or it answers the request itself. kept tells that the job is to go on without readers.
-func (f *front) find(w http.ResponseWriter, r *http.Request, job *protocol.Job, again, kept bool) (j *watched, fresh, ok bool) {
-	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
-	k := f.keys
-	k.mu.Lock()
-	j = k.jobs[job.IdempotencyKey]
-	if job.IdempotencyKey == "" {
-		j = nil
-	}
-	var known *idempotency.RememberedJob
-	if j != nil {
-		known = &idempotency.RememberedJob{Rejected: j.refused(), SameJob: j.digest == digest}
+// removeLocked forgets a job and its bytes, unless its key belongs to a newer job by now. t.mu is held.
+func (t *IdempotencyTable) removeLocked(stream *jobStream) {
+	if t.jobs[stream.key] == stream {
+		delete(t.jobs, stream.key)
 	}
-	verdict := idempotency.Decide(known, again, len(k.jobs) < k.set.Jobs && k.bytes.Load() < int64(k.set.KeepMB)<<20)
-	if verdict == idempotency.Start {
-		j = &watched{keys: k, key: job.IdempotencyKey, id: job.ID, digest: digest, changed: make(chan struct{}),
-			window: job.DeduplicationWindow, release: sync.OnceFunc(func() { k.ids.free(job.ID) })}
-	}
-	taken := verdict != idempotency.Start || k.ids.Reserve(job.ID, nil) // the predecessor is asked when nothing is held up by it
-	if ok = taken && (verdict == idempotency.Start || verdict == idempotency.Join); ok {
-		j.readers++
-		j.kept = j.kept || kept && job.IdempotencyKey != ""
-		if verdict == idempotency.Start && job.IdempotencyKey != "" {
-			k.jobs[job.IdempotencyKey] = j
-		}
-	}
-	k.mu.Unlock()
-	if ok && verdict == idempotency.Start && !k.ids.confirm(job.ID) {
-		j.end(routing.Answer{Verdict: routing.Rejected}) // for who joined meanwhile: it never ran
-		taken, ok = false, false
-	}
-	switch {
-	case !taken:
-		f.rejectJob(w, r, errIDInUse)
-	case verdict == idempotency.TableFull:
-		f.refuse(w, r, job.ClassName, "out of remembered jobs")
-	case verdict == idempotency.UnknownKey:
-		f.rejectJob(w, r, errUnknown)
-	case verdict == idempotency.KeyMismatch:
-		f.rejectJob(w, r, errAnother)
-	}
-	return j, verdict == idempotency.Start, ok
+	t.retainedBytes.Add(-stream.retainedBytes.Swap(0))
 }
 
-// submitted notes a job's number at the core.
-func (k *IdempotencyTable) submitted(j *watched, id scheduler.RequestID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	j.request = id
-}
+// minSweepInterval is the minimum time between two sweeps, and so the most by which a job may be remembered beyond its
+// window. One timer serves all jobs, since a timer each would cost more than the rest of the job's bookkeeping.
+const minSweepInterval = 100 * time.Millisecond
 
-// abandon notes that a reader has left before the end. With the last one the job is given up, unless it is to go on.
-func (f *front) abandon(j *watched) {
-	f.keys.mu.Lock()
-	j.readers--
-	ended := j.ended()
-	over := !ended && idempotency.AbandonWithoutReaders(j.readers, j.kept)
-	if over && f.keys.jobs[j.key] == j {
-		delete(f.keys.jobs, j.key) // whoever comes now begins anew
-	}
-	id := j.request
-	f.keys.mu.Unlock()
-	if over {
-		f.core.ClientLeft(id)
-		f.keys.forget(j)
-		j.release()
+// forgetAfter has an ended job forgotten after its window.
+func (t *IdempotencyTable) forgetAfter(stream *jobStream, window time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	heap.Push((*byForgetTime)(&t.endedJobs), endedJob{stream, time.Now().Add(window)})
+	if t.sweepTimer == nil {
+		t.sweepTimer = time.AfterFunc(window, t.forgetExpired)
 	}
 }
 
-// whole answers a request with its key's job in one piece.
-func (f *front) whole(w http.ResponseWriter, r *http.Request, job *protocol.Job) {
-	if f.elsewhere(w, r, job, inOnePiece) {
-		return
-	}
-	j, fresh, ok := f.find(w, r, job, false, false)
-	if !ok {
-		return
-	}
-	if fresh {
-		f.keys.submitted(j, f.core.Submit(inboundOf(job, j)))
-	} else {
-		if !f.ids.take(job.ID) { // also where it is that of the job itself
-			f.abandon(j)
-			f.rejectJob(w, r, errIDInUse)
-			return
-		}
-		defer f.ids.free(job.ID)
-	}
-	// Only one that joined may have a deadline before the job's: the core answers all others in time.
-	var late <-chan time.Time
-	if !fresh {
-		timer := time.NewTimer(time.Until(job.Deadline))
-		defer timer.Stop()
-		late = timer.C
+// forgetExpired forgets the jobs whose window has ended, and starts the timer for the next one.
+func (t *IdempotencyTable) forgetExpired() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	for len(t.endedJobs) > 0 && !t.endedJobs[0].forgetAt.After(now) {
+		t.removeLocked(heap.Pop((*byForgetTime)(&t.endedJobs)).(endedJob).stream)
 	}
-	for {
-		_, final, changed, _ := j.after(0)
-		if final != nil {
-			f.write(w, r, *final)
-			return
-		}
-		select {
-		case <-changed:
-		case <-r.Context().Done():
-			f.abandon(j)
-			f.left(w, r)
-			return
-		case <-late:
-			f.abandon(j)
-			f.write(w, r, routing.Answer{Verdict: routing.Failed, DeadlinePassed: true})
-			return
-		}
+	t.sweepTimer = nil
+	if len(t.endedJobs) > 0 {
+		t.sweepTimer = time.AfterFunc(max(t.endedJobs[0].forgetAt.Sub(now), minSweepInterval), t.forgetExpired)
 	}
 }
 
-// forget drops a job that was given up.
-func (k *IdempotencyTable) forget(j *watched) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.drop(j)
+// endedJob is a job that has ended, with the time at which it is forgotten.
+type endedJob struct {
+	stream   *jobStream
+	forgetAt time.Time
 }
 
-// drop forgets a job; k.mu is held.
-func (k *IdempotencyTable) drop(j *watched) {
-	if k.jobs[j.key] == j {
-		delete(k.jobs, j.key)
-	}
-	k.bytes.Add(-j.bytes.Swap(0))
+// byForgetTime is a heap.Interface; the job that is forgotten next comes first.
+type byForgetTime []endedJob
+
+func (h byForgetTime) Len() int           { return len(h) }
+func (h byForgetTime) Less(i, j int) bool { return h[i].forgetAt.Before(h[j].forgetAt) }
+func (h byForgetTime) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *byForgetTime) Push(x any)        { *h = append(*h, x.(endedJob)) }
+func (h *byForgetTime) Pop() any {
+	last := (*h)[len(*h)-1]
+	(*h)[len(*h)-1] = endedJob{}
+	*h = (*h)[:len(*h)-1]
+	return last
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -8,7 +8,7 @@
 // Placement: which worker takes a request.
 //
 // Of the workers that the request may be sent to (permitted), that are neither ejected nor tried before (suitable), that have
-// room for it (hasCapacity, withinSlowStartBudget) and whose place on the endpoint list is recent enough (confirmedFresh), the
+// capacity for it (hasCapacity, withinSlowStartBudget) and whose place on the endpoint list is recent enough (confirmedFresh), the
 // one with the lowest score wins; round robin decides among ties.
 
 const (
@@ -29,7 +29,7 @@
 // scoreTerms are the parts of a score that are the same for all candidates of one request.
 type scoreTerms struct {
 	crossZoneLoad  float64         // added to a worker of another zone
-	slownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil where the loads tell it
+	slownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil where the loads show it
 	sharedRank     float64         // affinity ranks up to this one count alike
 }
 
@@ -37,8 +37,8 @@
 //
 // If the best worker is no longer confirmedFresh, it is probed, and the request waits up to healthCheckWait for the result:
 // the next worker in order usually costs more than this wait. After that the best of the fresh ones is taken.
-func (s *Scheduler) pickWorker(request *request, overcommit float64) *worker {
-	best := s.leastLoaded(request, overcommit, s.freshOrProbeable)
+func (s *Scheduler) pickWorker(request *request) *worker {
+	best := s.leastLoaded(request, s.freshOrProbeable)
 	if best == nil || s.confirmedFresh(best) {
 		return best
 	}
@@ -46,12 +46,12 @@
 	if s.now < best.probeSentAt+healthCheckWait {
 		return nil
 	}
-	return s.leastLoaded(request, overcommit, s.confirmedFresh)
+	return s.leastLoaded(request, s.confirmedFresh)
 }
 
 // leastLoaded returns the worker with the lowest score among the eligible ones that can take request now, or nil. Equal scores
 // go to the worker with the fewest sends by weight, then to the first one from the rotation cursor, which moves past the winner.
-func (s *Scheduler) leastLoaded(request *request, overcommit float64, eligible func(*worker) bool) *worker {
+func (s *Scheduler) leastLoaded(request *request, eligible func(*worker) bool) *worker {
 	candidates, acceptUnsuitable := s.candidates(request, eligible)
 	terms := s.scoreTerms(request)
 	var best *worker
@@ -62,7 +62,7 @@
 		if !eligible(candidate) || !s.permitted(request, candidate) || !acceptUnsuitable && !s.suitable(request, candidate) {
 			continue
 		}
-		if !s.hasCapacity(candidate, request.slots, overcommit) || !s.withinSlowStartBudget(candidate, request) {
+		if !s.hasCapacity(candidate, request.slots) || !s.withinSlowStartBudget(candidate, request) {
 			continue
 		}
 		score := s.score(request, candidate, &terms)
@@ -113,7 +113,7 @@
 // the worker, plus what the worker's slowness, its recent failures and another zone cost. Two rules change the order:
 //
 //   - A worker without own attempts that the operator has just reattached, or that warms up while many requests wait elsewhere,
-//     comes first (two affinityOffsets less): it gets work only if somebody sends it some.
+//     comes first (two affinityOffsets less): it would not get work by its load alone.
 //   - Workers with a free slot for a request with an affinity key come next, ordered by the key (affinityScore) instead of load.
 func (s *Scheduler) score(request *request, worker *worker, terms *scoreTerms) float64 {
 	score := s.loadValue(worker)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -12,7 +12,7 @@
 //
 // # Life of a request
 //
-// RequestArrived admits a request to the queue. Each event ends with a look at the queue: as far as workers
+// RequestArrived admits a request to the queue. After each event the queue is served: as far as workers
 // have capacity, requests leave it by Send, which starts an attempt. AttemptStarted says that the attempt
 // runs; the request's other attempts are then cancelled (Cancel). AttemptFinished brings its outcome:
 // served, and the client has its answer; or not, and the request queues again for a retry if its
@@ -35,21 +35,26 @@
 // # What the caller must do
 //
 // One goroutine at a time calls the methods of a Scheduler. It passes each event with the time, which never
-// goes back, and carries the returned actions out in order before the next call: the result of Handle is
+// goes back, and executes the returned actions in order before the next call: the result of Handle is
 // valid only until then. Each Send gets exactly one AttemptFinished, each Probe one ProbeCompleted, and
 // each SetTimer one TimerFired, late rather than early.
 //
 // # Where the rules are
 //
-//   - queue.go: admission, the order of the queue
-//   - placement.go, loadvalue.go, overcommit.go: which worker, its load value, when it has capacity
-//   - affinity.go, subset.go: workers for an affinity key, which workers are candidates at all
-//   - attempts.go, retries.go: the life of attempts, what permits a further one, final answers
-//   - review.go, hedging.go, deadlines.go: the regular review, hedges, giving up
-//   - slowstart.go, outlier.go: warming workers, ejection of outliers and their way back
-//   - endpoints.go, freshness.go, probing.go: the endpoint list, its age, probes
-//   - statistics.go, learnedstate.go: means and counts that the rules share, what a successor takes over
-//   - settings.go, events.go, actions.go: the interface; worker.go, request.go: the state
+//   - Which worker gets a request, and why: leastLoaded and score (placement.go), loadValue (loadvalue.go),
+//     hasCapacity (overcommit.go), affinityRank (affinity.go), chooseSubset (subset.go)
+//   - What waits, and in which order it is sent: onRequestArrived and compareQueued (queue.go)
+//   - When an attempt is retried: continueRequest and permitted (retries.go), after learnFromOutcome
+//     (attempts.go); when it is hedged: needsHedge (hedging.go)
+//   - What is rejected, failed or given up, and when: rejectOrFail (retries.go), reviewRequest (review.go),
+//     tooLate (deadlines.go)
+//   - How a starting worker is protected from overload: withinSlowStartBudget (slowstart.go)
+//   - When a worker is ejected and let back: eject, healthy and recordSignal (outlier.go)
+//   - What the age of the endpoint list changes: freshUntil (freshness.go), pickWorker (placement.go); list
+//     updates, detached workers and polls: endpoints.go
+//   - When workers are probed: probeSubset (probing.go), probeBeforeUse (freshness.go)
+//   - Means and counts that the rules share: statistics.go; what a successor takes over: learnedstate.go
+//   - The interface: settings.go, events.go, actions.go; the state: worker.go, request.go, Scheduler below
 package scheduler
 
 import (
@@ -141,8 +146,8 @@
 	}
 }
 
-// Handle takes in one event at the time now and returns the actions that follow, to be carried out in
-// order. A time before that of an earlier event counts as the earlier one. The result is valid until the
+// Handle processes one event at the time now and returns the actions that follow, to be executed in order.
+// A time before that of an earlier event counts as the earlier one. The result is valid until the
 // next call.
 func (s *Scheduler) Handle(now Clock, event Event) []Action {
 	s.now = max(s.now, now)
