--- a/internal/experiment/draw.go
+++ b/internal/experiment/draw.go
@@ -12,18 +12,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// write writes files into a folder.
-func write(dir string, files map[string]func(io.Writer) error) error {
+// writeFiles writes files into a folder.
+func writeFiles(dir string, files map[string]func(io.Writer) error) error {
 	for name, write := range files {
-		f, err := os.Create(filepath.Join(dir, name))
+		file, err := os.Create(filepath.Join(dir, name))
 		if err != nil {
 			return err
 		}
-		if err := write(f); err != nil {
-			f.Close()
+		if err := write(file); err != nil {
+			file.Close()
 			return err
 		}
-		if err := f.Close(); err != nil {
+		if err := file.Close(); err != nil {
 			return err
 		}
 	}
@@ -32,39 +32,39 @@
 
 // Draw writes the table, the CSV and a chart for each figure that differs at all.
 func Draw(dir, title string, rows []Row) error {
-	if err := write(dir, map[string]func(io.Writer) error{
+	if err := writeFiles(dir, map[string]func(io.Writer) error{
 		"rows.csv":  func(f io.Writer) error { return writeCSV(f, rows) },
 		"table.txt": func(f io.Writer) error { fmt.Fprintf(f, "%s\n\n", title); return Table(f, rows) },
 	}); err != nil {
 		return err
 	}
-	names, by := variants(rows)
-	for _, m := range measures {
-		if err := chart(filepath.Join(dir, m.name+".svg"), title, m.name, names, by, m.of); err != nil {
+	names, byVariant := rowsByVariant(rows)
+	for _, measure := range measures {
+		if err := drawMeasure(filepath.Join(dir, measure.name+".svg"), title, measure.name, names, byVariant, measure.of); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// chart draws each variant's mean with its 95% interval.
-func chart(path, title, measure string, names []string, by map[string][]Row, of func(Row) float64) error {
-	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = title, measure
+// drawMeasure draws each variant's mean with its 95% interval.
+func drawMeasure(path, title, measure string, names []string, byVariant map[string][]Row, figure func(Row) float64) error {
+	chart := plot.New()
+	chart.Title.Text, chart.Y.Label.Text = title, measure
 	points := struct {
 		plotter.XYs
 		plotter.YErrors
 	}{}
 	flat := true
 	for i, name := range names {
-		var x []float64
-		for _, r := range by[name] {
-			x = append(x, of(r))
-			flat = flat && of(r) == of(by[names[0]][0])
+		var figures []float64
+		for _, row := range byVariant[name] {
+			figures = append(figures, figure(row))
+			flat = flat && figure(row) == figure(byVariant[names[0]][0])
 		}
-		s := interval(x)
-		points.XYs = append(points.XYs, plotter.XY{X: float64(i), Y: s.Mean})
-		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{s.Half, s.Half})
+		summary := summarize(figures)
+		points.XYs = append(points.XYs, plotter.XY{X: float64(i), Y: summary.Mean})
+		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{summary.Half, summary.Half})
 	}
 	if flat { // nothing to see
 		_ = os.Remove(path)
@@ -79,8 +79,8 @@
 		return err
 	}
 	scatter.GlyphStyle.Shape, scatter.GlyphStyle.Color, scatter.GlyphStyle.Radius = plotutil.Shape(0), plotutil.Color(0), vg.Points(4)
-	p.Add(plotter.NewGrid(), bars, scatter)
-	p.NominalX(names...)
-	p.X.Padding = vg.Points(20)
-	return p.Save(vg.Points(max(360, 80*float64(len(names)))), vg.Points(260), path)
+	chart.Add(plotter.NewGrid(), bars, scatter)
+	chart.NominalX(names...)
+	chart.X.Padding = vg.Points(20)
+	return chart.Save(vg.Points(max(360, 80*float64(len(names)))), vg.Points(260), path)
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-const small = `title = "small"
+const smallExperiment = `title = "small"
 seeds = 4
 world {
   span = "3s"
@@ -23,29 +23,29 @@
 
 // The same file gives the same rows, whatever the order in which the cores take them; what is kept can be drawn again.
 func TestRun(t *testing.T) {
-	f, err := Parse([]byte(small), "small.hcl")
+	file, err := Parse([]byte(smallExperiment), "small.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	steps := 0
-	rows, err := Run(context.Background(), f, InVirtualTime, 4, "b", func() { steps++ })
+	rows, err := Run(context.Background(), file, InVirtualTime, 4, "b", func() { steps++ })
 	if err != nil || len(rows) != 8 || steps != 8 {
 		t.Fatalf("%d rows, %d steps, %v", len(rows), steps, err)
 	}
-	again, _ := Run(context.Background(), f, InVirtualTime, 4, "b", func() {})
+	again, _ := Run(context.Background(), file, InVirtualTime, 4, "b", func() {})
 	if fmt.Sprint(again) != fmt.Sprint(rows) {
 		t.Error("the same file gives other rows")
 	}
 	dir := t.TempDir()
-	if err := Save(dir, f.Title, rows); err != nil {
+	if err := Save(dir, file.Title, rows); err != nil {
 		t.Fatal(err)
 	}
-	title, kept, err := Read(dir)
-	if err != nil || title != "small" || fmt.Sprint(kept) != fmt.Sprint(rows) {
-		t.Errorf("kept %q, %v, %v", title, kept, err)
+	title, stored, err := Read(dir)
+	if err != nil || title != "small" || fmt.Sprint(stored) != fmt.Sprint(rows) {
+		t.Errorf("kept %q, %v, %v", title, stored, err)
 	}
 	before, _ := os.ReadFile(filepath.Join(dir, "table.txt"))
-	if err := Draw(dir, title, kept); err != nil {
+	if err := Draw(dir, title, stored); err != nil {
 		t.Fatal(err)
 	}
 	after, _ := os.ReadFile(filepath.Join(dir, "table.txt"))
@@ -59,13 +59,13 @@
 
 // Stopped on the way, what was played is given.
 func TestStopped(t *testing.T) {
-	f, err := Parse([]byte(strings.Replace(small, "seeds = 4", "seeds = 1000", 1)), "small.hcl")
+	file, err := Parse([]byte(strings.Replace(smallExperiment, "seeds = 4", "seeds = 1000", 1)), "small.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	played := 0
-	rows, err := Run(ctx, f, InVirtualTime, 4, "b", func() {
+	rows, err := Run(ctx, file, InVirtualTime, 4, "b", func() {
 		if played++; played == 6 {
 			stop()
 		}
@@ -76,7 +76,7 @@
 }
 
 func TestFaults(t *testing.T) {
-	for _, c := range []struct{ from, to, want string }{
+	for _, test := range []struct{ from, to, want string }{
 		{`seeds = 4`, `seeds = 0`, "x.hcl:2:9: Bad experiment: seeds"},
 		{`policy = "random"`, `policy = "luck"`, `x.hcl:8:1: Bad experiment: There is no policy "luck"`},
 		{`variant "random"`, `variant "module"`, `x.hcl:8:1: Bad experiment: There are two variants`},
@@ -84,9 +84,9 @@
 		{`rate = 60`, `speed = 1`, "x.hcl:5:3: Unsupported argument"},
 		{`span = "3s"`, `span = "long"`, "x.hcl:7:1: Bad experiment: span: time"},
 	} {
-		text := strings.Replace(small, c.from, c.to, 1)
-		if _, err := Parse([]byte(text), "x.hcl"); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", c.to, err, c.want)
+		text := strings.Replace(smallExperiment, test.from, test.to, 1)
+		if _, err := Parse([]byte(text), "x.hcl"); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %v, want %s", test.to, err, test.want)
 		}
 	}
 }
@@ -99,8 +99,8 @@
 		a, b, c = append(a, Row{Seed: seed, Service: x}), append(b, Row{Seed: seed, Service: x + float64(seed%2)/100 - 0.005}), append(c, Row{Seed: seed, Service: x + 0.1 + float64(seed%3)/100})
 	}
 	service := func(r Row) float64 { return r.Service }
-	if s, sure := Difference(a, b, service); sure {
-		t.Errorf("nothing: %+v", s)
+	if summary, sure := Difference(a, b, service); sure {
+		t.Errorf("nothing: %+v", summary)
 	}
 	if s, sure := Difference(a, c, service); !sure || s.Mean < 0.1 || s.N != 20 {
 		t.Errorf("0.11: %+v, %v", s, sure)
@@ -123,22 +123,22 @@
 // The paper's comparison keeps its shape: LUD before LU before round robin before random where the network is slow, LUD and
 // LU alike where it takes no time, and the target utilisation throughout.
 func TestPaper(t *testing.T) {
-	f, err := Load("../../scenarios/paper.hcl")
+	file, err := Load("../../scenarios/paper.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Seeds = 8
-	rows, err := Run(t.Context(), f, InVirtualTime, 4, "b", func() {})
+	file.Seeds = 8
+	rows, err := Run(t.Context(), file, InVirtualTime, 4, "b", func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, by := variants(rows)
+	_, byVariant := rowsByVariant(rows)
 	mean := func(variant string, of func(Row) float64) float64 {
 		var x []float64
-		for _, r := range by[variant] {
+		for _, r := range byVariant[variant] {
 			x = append(x, of(r))
 		}
-		return interval(x).Mean
+		return summarize(x).Mean
 	}
 	speed := func(variant string) float64 { return mean(variant, func(r Row) float64 { return r.Speed }) }
 	for _, delay := range []string{"250ms", "500ms", "1s"} {
@@ -149,7 +149,7 @@
 	if lud, lu := speed("LUD 0ms"), speed("LU 0ms"); math.Abs(lud-lu) > 0.01 {
 		t.Errorf("without a delay: LUD %.3f, LU %.3f", lud, lu)
 	}
-	for name := range by {
+	for name := range byVariant {
 		if used := mean(name, func(r Row) float64 { return r.Used }); used < 0.76 || used > 0.84 {
 			t.Errorf("%s: utilisation %.3f", name, used)
 		}
--- a/internal/experiment/failover.go
+++ b/internal/experiment/failover.go
@@ -70,7 +70,7 @@
 // ZoneModes are who decides, in the order of the tables.
 var ZoneModes = []string{"", "near", "spread", "plan"}
 
-var zoneNames = map[string]string{"": "each for itself", "near": "nearest only", "spread": "spread over all", "plan": "planned in common"}
+var zoneModeTitles = map[string]string{"": "each for itself", "near": "nearest only", "spread": "spread over all", "plan": "planned in common"}
 
 // ZoneRow is one run.
 type ZoneRow struct {
@@ -83,20 +83,20 @@
 }
 
 // Scenario gives the works of a case.
-func (t ZoneExperiment) Scenario(c ZoneCase, mode string, seed uint64) emulator.Scenario {
-	s := emulator.LlanelliWorks(seed)
-	s.Span, s.Dispatchers = zoneSpan, t.Dispatchers
-	s.Kinds = []emulator.Kind{{Name: "box", Count: t.Workers, Slots: zoneSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
-	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = 4, 2, 0.03, 10*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Effect = zoneWork, 0, scheduler.Idempotent
-	s.Traffic.Rate = c.Load * float64(t.Workers*zoneSlots) / zoneWork
-	s.Faults = slices.Clone(c.Faults)
-	s.Failover = emulator.Failover{Mode: mode, Headroom: 0.1, ReturnIn: 20 * time.Second, Detect: time.Second, Step: 0.1}
-	return s
+func (t ZoneExperiment) Scenario(zoneCase ZoneCase, mode string, seed uint64) emulator.Scenario {
+	scenario := emulator.LlanelliWorks(seed)
+	scenario.Span, scenario.Dispatchers = zoneSpan, t.Dispatchers
+	scenario.Kinds = []emulator.Kind{{Name: "box", Count: t.Workers, Slots: zoneSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
+	scenario.Network.Zones, scenario.Network.Regions, scenario.Network.CrossPrice, scenario.Network.Cross = 4, 2, 0.03, 10*time.Millisecond
+	scenario.Traffic.Work, scenario.Traffic.Subjects, scenario.Traffic.Effect = zoneWork, 0, scheduler.Idempotent
+	scenario.Traffic.Rate = zoneCase.Load * float64(t.Workers*zoneSlots) / zoneWork
+	scenario.Faults = slices.Clone(zoneCase.Faults)
+	scenario.Failover = emulator.Failover{Mode: mode, Headroom: 0.1, ReturnIn: 20 * time.Second, Detect: time.Second, Step: 0.1}
+	return scenario
 }
 
 // RunZones plays all cases in all modes over seeds, so many at a time. each is called behind every run.
-func RunZones(ctx context.Context, t ZoneExperiment, together int, each func()) (rows []ZoneRow, err error) {
+func RunZones(ctx context.Context, experiment ZoneExperiment, together int, each func()) (rows []ZoneRow, err error) {
 	type job struct {
 		c    ZoneCase
 		mode string
@@ -105,7 +105,7 @@
 	var jobs []job
 	for _, c := range ZoneCases() {
 		for _, mode := range ZoneModes {
-			for seed := range t.Seeds {
+			for seed := range experiment.Seeds {
 				jobs = append(jobs, job{c, mode, uint64(seed + 1)})
 			}
 		}
@@ -118,7 +118,7 @@
 		wait.Go(func() {
 			for i := range next {
 				j := jobs[i]
-				r, failed := emulator.Run(t.Scenario(j.c, j.mode, j.seed), func(s scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(s, seed) })
+				r, failed := emulator.Run(experiment.Scenario(j.c, j.mode, j.seed), func(s scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(s, seed) })
 				mu.Lock()
 				if failed != nil {
 					err = failed
@@ -151,85 +151,87 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	if err := write(dir, map[string]func(io.Writer) error{"rows.csv": func(w io.Writer) error { return zoneCSV(w, rows) }, "table.txt": func(w io.Writer) error { return ZoneTable(w, rows) }}); err != nil {
+	if err := writeFiles(dir, map[string]func(io.Writer) error{"rows.csv": func(w io.Writer) error { return writeZoneCSV(w, rows) }, "table.txt": func(w io.Writer) error { return ZoneTable(w, rows) }}); err != nil {
 		return err
 	}
 	for name, of := range map[string]func(ZoneRow) float64{"served": func(r ZoneRow) float64 { return r.Fault }, "peak": func(r ZoneRow) float64 { return r.Peak }} {
-		if err := zoneChart(filepath.Join(dir, name+".svg"), name, rows, of); err != nil {
+		if err := drawZoneChart(filepath.Join(dir, name+".svg"), name, rows, of); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func zoneCSV(out io.Writer, rows []ZoneRow) error {
-	w := csv.NewWriter(out)
-	_ = w.Write([]string{"case", "mode", "seed", "served_fault", "served_behind", "served_return", "served", "crossings", "zone_peak_over_capacity", "moved_s", "back_s", "plan_changes", "p99_s", "breaches"})
-	for _, r := range rows {
-		line := []string{r.Case, zoneNames[r.Mode], strconv.FormatUint(r.Seed, 10)}
-		for _, x := range []float64{r.Fault, r.Behind, r.Return, r.All, r.Crossings, r.Peak, r.Moved, r.Back, float64(r.Plans), r.P99, float64(r.Breaches)} {
+func writeZoneCSV(out io.Writer, rows []ZoneRow) error {
+	table := csv.NewWriter(out)
+	_ = table.Write([]string{"case", "mode", "seed", "served_fault", "served_behind", "served_return", "served", "crossings", "zone_peak_over_capacity", "moved_s", "back_s", "plan_changes", "p99_s", "breaches"})
+	for _, row := range rows {
+		line := []string{row.Case, zoneModeTitles[row.Mode], strconv.FormatUint(row.Seed, 10)}
+		for _, x := range []float64{row.Fault, row.Behind, row.Return, row.All, row.Crossings, row.Peak, row.Moved, row.Back, float64(row.Plans), row.P99, float64(row.Breaches)} {
 			line = append(line, strconv.FormatFloat(x, 'f', 4, 64))
 		}
-		_ = w.Write(line)
+		_ = table.Write(line)
 	}
-	w.Flush()
-	return w.Error()
+	table.Flush()
+	return table.Error()
 }
 
-// group gives a case's rows in a mode.
-func group(rows []ZoneRow, name, mode string, of func(ZoneRow) float64) (xs []float64) {
-	for _, r := range rows {
-		if r.Case == name && r.Mode == mode {
-			xs = append(xs, of(r))
+// zoneFigures gives a case's rows in a mode.
+func zoneFigures(rows []ZoneRow, name, mode string, figure func(ZoneRow) float64) (figures []float64) {
+	for _, row := range rows {
+		if row.Case == name && row.Mode == mode {
+			figures = append(figures, figure(row))
 		}
 	}
-	return xs
+	return figures
 }
 
 // ZoneTable sets the modes beside each other, case by case: means over seeds.
 func ZoneTable(out io.Writer, rows []ZoneRow) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprint(w, "case\tdecided by\tin the fault\t15 s behind\tthen\tcrossings\tpeak\tpeak, most\tp99 s\tmoved s\tback s\tplans\tbreaches\n")
-	for _, c := range ZoneCases() {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprint(table, "case\tdecided by\tin the fault\t15 s behind\tthen\tcrossings\tpeak\tpeak, most\tp99 s\tmoved s\tback s\tplans\tbreaches\n")
+	for _, zoneCase := range ZoneCases() {
 		for _, mode := range ZoneModes {
-			mean := func(of func(ZoneRow) float64) float64 { return stat.Mean(group(rows, c.Name, mode, of), nil) }
+			mean := func(of func(ZoneRow) float64) float64 {
+				return stat.Mean(zoneFigures(rows, zoneCase.Name, mode, of), nil)
+			}
 			breaches, most := 0.0, 0.0
-			for _, x := range group(rows, c.Name, mode, func(r ZoneRow) float64 { return float64(r.Breaches) }) {
+			for _, x := range zoneFigures(rows, zoneCase.Name, mode, func(r ZoneRow) float64 { return float64(r.Breaches) }) {
 				breaches += x
 			}
-			for _, x := range group(rows, c.Name, mode, func(r ZoneRow) float64 { return r.Peak }) {
+			for _, x := range zoneFigures(rows, zoneCase.Name, mode, func(r ZoneRow) float64 { return r.Peak }) {
 				most = max(most, x)
 			}
-			fmt.Fprintf(w, "%s at %.2f\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%.0f\n", c.Name, c.Load, zoneNames[mode], mean(func(r ZoneRow) float64 { return r.Fault }),
+			fmt.Fprintf(table, "%s at %.2f\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%.0f\n", zoneCase.Name, zoneCase.Load, zoneModeTitles[mode], mean(func(r ZoneRow) float64 { return r.Fault }),
 				mean(func(r ZoneRow) float64 { return r.Behind }), mean(func(r ZoneRow) float64 { return r.Return }), mean(func(r ZoneRow) float64 { return r.Crossings }),
 				mean(func(r ZoneRow) float64 { return r.Peak }), most, mean(func(r ZoneRow) float64 { return r.P99 }), mean(func(r ZoneRow) float64 { return r.Moved }),
 				mean(func(r ZoneRow) float64 { return r.Back }), mean(func(r ZoneRow) float64 { return float64(r.Plans) }), breaches)
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func zoneChart(path, title string, rows []ZoneRow, of func(ZoneRow) float64) error {
-	p := plot.New()
-	p.Title.Text = map[string]string{"served": "share of worth in time from 3 s into the fault", "peak": "most work that came to a zone over 5 s, of what it could do"}[title]
-	p.Legend.Top = true
+func drawZoneChart(path, title string, rows []ZoneRow, figure func(ZoneRow) float64) error {
+	chart := plot.New()
+	chart.Title.Text = map[string]string{"served": "share of worth in time from 3 s into the fault", "peak": "most work that came to a zone over 5 s, of what it could do"}[title]
+	chart.Legend.Top = true
 	var names []string
-	for _, c := range ZoneCases() {
-		names = append(names, c.Name)
+	for _, zoneCase := range ZoneCases() {
+		names = append(names, zoneCase.Name)
 	}
 	for i, mode := range ZoneModes {
 		var values plotter.Values
 		for _, c := range ZoneCases() {
-			values = append(values, stat.Mean(group(rows, c.Name, mode, of), nil))
+			values = append(values, stat.Mean(zoneFigures(rows, c.Name, mode, figure), nil))
 		}
-		b, err := plotter.NewBarChart(values, vg.Points(10))
+		bars, err := plotter.NewBarChart(values, vg.Points(10))
 		if err != nil {
 			return err
 		}
-		b.Color, b.Offset = plotutil.Color(i), vg.Points(float64(11*i-16))
-		p.Add(b)
-		p.Legend.Add(zoneNames[mode], b)
+		bars.Color, bars.Offset = plotutil.Color(i), vg.Points(float64(11*i-16))
+		chart.Add(bars)
+		chart.Legend.Add(zoneModeTitles[mode], bars)
 	}
-	p.NominalX(names...)
-	return p.Save(900, 360, path)
+	chart.NominalX(names...)
+	return chart.Save(900, 360, path)
 }
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -100,29 +100,29 @@
 	Wide           float64 `hcl:"wide,optional"`
 }
 
-// class gives it in the emulator's terms.
-func (c *Class) class() (emulator.Class, error) {
-	out := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, Spread: c.Spread, Stretch: c.Stretch, PriorityWeight: c.PriorityWeight, Wide: c.Wide}
+// parse gives it in the emulator's terms.
+func (c *Class) parse() (emulator.Class, error) {
+	class := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, Spread: c.Spread, Stretch: c.Stretch, PriorityWeight: c.PriorityWeight, Wide: c.Wide}
 	effect, ok := map[string]scheduler.Idempotency{"safe": scheduler.Idempotent, "keyed": scheduler.IdempotentWithKey, "unsafe": scheduler.NonIdempotent}[c.Effect]
 	if !ok {
-		return out, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Effect)
+		return class, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Effect)
 	}
 	scope, ok := map[string]scheduler.DeduplicationScope{"": scheduler.ScopeAll, "all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeCell}[c.Scope]
 	if !ok {
-		return out, fmt.Errorf("class %q: there is no scope %q", c.Name, c.Scope)
+		return class, fmt.Errorf("class %q: there is no scope %q", c.Name, c.Scope)
 	}
-	out.Effect, out.Scope = effect, scope
-	for _, d := range []struct {
+	class.Effect, class.Scope = effect, scope
+	for _, duration := range []struct {
 		to         *time.Duration
 		name, text string
-	}{{&out.Aim, "aim", c.Aim}, {&out.GiveUp, "give_up", c.GiveUp}, {&out.Window, "window", cmp.Or(c.Window, "0s")}} {
-		span, err := time.ParseDuration(d.text)
+	}{{&class.Aim, "aim", c.Aim}, {&class.GiveUp, "give_up", c.GiveUp}, {&class.Window, "window", cmp.Or(c.Window, "0s")}} {
+		span, err := time.ParseDuration(duration.text)
 		if err != nil {
-			return out, fmt.Errorf("class %q: %s: %w", c.Name, d.name, err)
+			return class, fmt.Errorf("class %q: %s: %w", c.Name, duration.name, err)
 		}
-		*d.to = span
+		*duration.to = span
 	}
-	return out, nil
+	return class, nil
 }
 
 // Variant is a way to play it.
@@ -133,7 +133,7 @@
 	Set    *World   `hcl:"set,block"`
 }
 
-var faultKinds = map[string]emulator.FaultKind{"freeze": emulator.Freeze, "silent": emulator.Silent, "slow": emulator.Slow,
+var faultKindNames = map[string]emulator.FaultKind{"freeze": emulator.Freeze, "silent": emulator.Silent, "slow": emulator.Slow,
 	"restart": emulator.Restart, "drain": emulator.Drain, "unheard": emulator.Unreported, "reset": emulator.Reset, "partition": emulator.Partition,
 	"burst": emulator.Burst, "heavy-tail": emulator.HeavyTail,
 	"list-down": emulator.ListDown, "list-hung": emulator.ListHung}
@@ -152,8 +152,8 @@
 
 // check finds what gohcl cannot: each variant must be a scenario that can be played.
 func (f *File) check(body *hclsyntax.Body) (diags hcl.Diagnostics) {
-	bad := func(at hcl.Range, format string, a ...any) {
-		diags = append(diags, hcldiag.At(at, "Bad experiment", format, a...))
+	bad := func(place hcl.Range, format string, a ...any) {
+		diags = append(diags, hcldiag.At(place, "Bad experiment", format, a...))
 	}
 	blocks := hcldiag.Blocks(body)
 	if f.Seeds < 1 {
@@ -163,16 +163,16 @@
 		bad(body.MissingItemRange(), "There is no variant.")
 	}
 	names := map[string]bool{}
-	for i, v := range f.Variants {
+	for i, variant := range f.Variants {
 		at := blocks["variant"][i].DefRange()
-		if names[v.Name] {
-			bad(at, "There are two variants %q.", v.Name)
+		if names[variant.Name] {
+			bad(at, "There are two variants %q.", variant.Name)
 		}
-		names[v.Name] = true
-		if v.Policy != "" && v.Policy != "module" && !slices.Contains(policy.Names(), v.Policy) {
-			bad(at, "There is no policy %q; there are module, %s.", v.Policy, strings.Join(policy.Names(), ", "))
+		names[variant.Name] = true
+		if variant.Policy != "" && variant.Policy != "module" && !slices.Contains(policy.Names(), variant.Policy) {
+			bad(at, "There is no policy %q; there are module, %s.", variant.Policy, strings.Join(policy.Names(), ", "))
 		}
-		if s, err := f.Scenario(v, 1); err != nil {
+		if s, err := f.Scenario(variant, 1); err != nil {
 			bad(at, "%v.", err)
 		} else if err := s.Check(); err != nil {
 			bad(at, "%v.", err)
@@ -182,101 +182,101 @@
 }
 
 // Scenario gives a variant's for a seed.
-func (f *File) Scenario(v Variant, seed uint64) (emulator.Scenario, error) {
-	s := emulator.LlanelliWorks(seed)
+func (f *File) Scenario(variant Variant, seed uint64) (emulator.Scenario, error) {
+	scenario := emulator.LlanelliWorks(seed)
 	if len(f.Kinds) > 0 {
-		s.Kinds = nil
+		scenario.Kinds = nil
 	}
-	for _, k := range f.Kinds {
-		if len(k.Speed) != 2 {
-			return s, fmt.Errorf("kind %q: speed must be [least, most]", k.Name)
+	for _, kind := range f.Kinds {
+		if len(kind.Speed) != 2 {
+			return scenario, fmt.Errorf("kind %q: speed must be [least, most]", kind.Name)
 		}
-		s.Kinds = append(s.Kinds, emulator.Kind{Name: k.Name, Count: k.Count, Slots: k.Slots, SpeedMin: k.Speed[0], SpeedMax: k.Speed[1], Sharing: k.Share})
+		scenario.Kinds = append(scenario.Kinds, emulator.Kind{Name: kind.Name, Count: kind.Count, Slots: kind.Slots, SpeedMin: kind.Speed[0], SpeedMax: kind.Speed[1], Sharing: kind.Share})
 	}
-	for _, in := range f.Classes {
-		c, err := in.class()
+	for _, configured := range f.Classes {
+		c, err := configured.parse()
 		if err != nil {
-			return s, err
+			return scenario, err
 		}
-		s.Traffic.Classes = append(s.Traffic.Classes, c)
-		s.Traffic.GiveUp = max(s.Traffic.GiveUp, c.GiveUp)
+		scenario.Traffic.Classes = append(scenario.Traffic.Classes, c)
+		scenario.Traffic.GiveUp = max(scenario.Traffic.GiveUp, c.GiveUp)
 	}
 	for _, in := range f.Faults {
-		kind, ok := faultKinds[in.Kind]
+		kind, ok := faultKindNames[in.Kind]
 		if !ok {
-			return s, fmt.Errorf("there is no fault %q", in.Kind)
+			return scenario, fmt.Errorf("there is no fault %q", in.Kind)
 		}
 		at, err := time.ParseDuration(in.At)
 		if err != nil {
-			return s, fmt.Errorf("fault %q: %w", in.Kind, err)
+			return scenario, fmt.Errorf("fault %q: %w", in.Kind, err)
 		}
 		span, err := time.ParseDuration(in.For)
 		if err != nil {
-			return s, fmt.Errorf("fault %q: %w", in.Kind, err)
+			return scenario, fmt.Errorf("fault %q: %w", in.Kind, err)
 		}
-		s.Faults = append(s.Faults, emulator.Fault{At: at, For: span, Kind: kind, Share: in.Share, Size: in.Size})
+		scenario.Faults = append(scenario.Faults, emulator.Fault{At: at, For: span, Kind: kind, Share: in.Share, Size: in.Size})
 	}
-	for _, w := range []*World{f.World, v.Set} {
-		if err := w.apply(&s); err != nil {
-			return s, err
+	for _, w := range []*World{f.World, variant.Set} {
+		if err := w.apply(&scenario); err != nil {
+			return scenario, err
 		}
 	}
-	if v.Scale != nil {
-		s.Traffic.Rate *= *v.Scale
-		s.Store.Slots = int(float64(s.Store.Slots) * *v.Scale)
-		for i := range s.Kinds {
-			s.Kinds[i].Count = int(float64(s.Kinds[i].Count)**v.Scale + 0.5)
+	if variant.Scale != nil {
+		scenario.Traffic.Rate *= *variant.Scale
+		scenario.Store.Slots = int(float64(scenario.Store.Slots) * *variant.Scale)
+		for i := range scenario.Kinds {
+			scenario.Kinds[i].Count = int(float64(scenario.Kinds[i].Count)**variant.Scale + 0.5)
 		}
 	}
-	return s, nil
+	return scenario, nil
 }
 
-// set sets what is given.
-func set[T any](to, from *T) {
+// setIfGiven sets what is given.
+func setIfGiven[T any](to, from *T) {
 	if from != nil {
 		*to = *from
 	}
 }
 
 // apply sets what is given.
-func (w *World) apply(s *emulator.Scenario) error {
+func (w *World) apply(scenario *emulator.Scenario) error {
 	if w == nil {
 		return nil
 	}
-	set(&s.Traffic.Rate, w.Rate)
-	set(&s.Traffic.Work, w.Work)
-	set(&s.Traffic.Spread, w.Spread)
-	set(&s.Traffic.Retries, w.Retries)
-	set(&s.Store.Fetch, w.Fetch)
-	set(&s.Dispatchers, w.Dispatchers)
-	set(&s.Bays, w.Bays)
-	set(&s.Traffic.Subjects, w.Subjects)
-	set(&s.Traffic.Users, w.Users)
-	set(&s.Rules.MaxAttempts, w.Attempts)
-	set(&s.Reports.Push, w.Push)
-	set(&s.Network.Zones, w.Zones)
-	set(&s.Network.CrossPrice, w.CrossPrice)
-	set(&s.Network.Handshake, w.Handshake)
-	set(&s.Network.Most, w.Connections)
-	set(&s.Traffic.Memory, w.Memory)
-	set(&s.Traffic.Hints, w.Hints)
-	set(&s.Queue, w.Queue)
-	set(&s.Keeps, w.Keeps)
-	set(&s.LiveWeights, w.LiveWeights)
-	set(&s.Pushed, w.Pushed)
-	set(&s.Reports.Answers, w.Answers)
-	if w.Greedy != nil && len(s.Traffic.Accounts) > 0 {
+	setIfGiven(&scenario.Traffic.Rate, w.Rate)
+	setIfGiven(&scenario.Traffic.Work, w.Work)
+	setIfGiven(&scenario.Traffic.Spread, w.Spread)
+	setIfGiven(&scenario.Traffic.Retries, w.Retries)
+	setIfGiven(&scenario.Store.Fetch, w.Fetch)
+	setIfGiven(&scenario.Dispatchers, w.Dispatchers)
+	setIfGiven(&scenario.Bays, w.Bays)
+	setIfGiven(&scenario.Traffic.Subjects, w.Subjects)
+	setIfGiven(&scenario.Traffic.Users, w.Users)
+	setIfGiven(&scenario.Rules.MaxAttempts, w.Attempts)
+	setIfGiven(&scenario.Reports.Push, w.Push)
+	setIfGiven(&scenario.Network.Zones, w.Zones)
+	setIfGiven(&scenario.Network.CrossPrice, w.CrossPrice)
+	setIfGiven(&scenario.Network.Handshake, w.Handshake)
+	setIfGiven(&scenario.Network.Most, w.Connections)
+	setIfGiven(&scenario.Traffic.Memory, w.Memory)
+	setIfGiven(&scenario.Traffic.Hints, w.Hints)
+	setIfGiven(&scenario.Queue, w.Queue)
+	setIfGiven(&scenario.Keeps, w.Keeps)
+	setIfGiven(&scenario.LiveWeights, w.LiveWeights)
+	setIfGiven(&scenario.Pushed, w.Pushed)
+	setIfGiven(&scenario.Reports.Answers, w.Answers)
+	if w.Greedy != nil && len(scenario.Traffic.Accounts) > 0 {
 		// The rate grows by what the first account sends beyond its share.
-		first := &s.Traffic.Accounts[0]
+		first := &scenario.Traffic.Accounts[0]
 		more := first.Share * (*w.Greedy - 1)
-		s.Traffic.Rate *= 1 + more
+		scenario.Traffic.Rate *= 1 + more
 		first.Share += more
 	}
 	for _, d := range []struct {
 		to   *time.Duration
 		from *string
 		name string
-	}{{&s.Span, w.Span, "span"}, {&s.Network.Cross, w.Cross, "cross"}, {&s.Reports.Delay, w.ReportDelay, "report_delay"}, {&s.Network.Delay, w.Delay, "delay"}, {&s.Discovery, w.Discovery, "discovery"}, {&s.Reports.Every, w.Reports, "reports"}, {&s.Traffic.GiveUp, w.GiveUp, "give_up"}} {
+	}{{&scenario.Span, w.Span, "span"}, {&scenario.Network.Cross, w.Cross, "cross"}, {&scenario.Reports.Delay, w.ReportDelay, "report_delay"}, {&scenario.Network.Delay, w.Delay, "delay"}, {&scenario.Discovery, w.Discovery, "discovery"}, {&scenario.Reports.Every, w.Reports, "reports"}, {&scenario.Traffic.GiveUp, w.GiveUp, "give_up"}} {
 		if d.from == nil {
 			continue
 		}
@@ -289,8 +289,8 @@
 	return nil
 }
 
-// decider gives what decides in a variant.
-func (v Variant) decider() func(scheduler.Settings, uint64) emulator.Policy {
+// newPolicy gives what decides in a variant.
+func (v Variant) newPolicy() func(scheduler.Settings, uint64) emulator.Policy {
 	if v.Policy == "" || v.Policy == "module" {
 		return func(s scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(s, seed) }
 	}
--- a/internal/experiment/overview.go
+++ b/internal/experiment/overview.go
@@ -41,46 +41,46 @@
 // Standings compares by merit. A work's first variant is the module.
 func Standings(deployments []Deployment) (all []Standing) {
 	merit := func(r Row) float64 { return r.Merit }
-	of := func(rows []Row) Summary {
+	meritOf := func(rows []Row) Summary {
 		var x []float64
 		for _, r := range rows {
 			x = append(x, r.Merit)
 		}
-		return interval(x)
+		return summarize(x)
 	}
-	for _, w := range deployments {
-		names, by := variants(w.Rows)
+	for _, deployment := range deployments {
+		names, byVariant := rowsByVariant(deployment.Rows)
 		if len(names) == 0 {
 			continue
 		}
-		s := Standing{Work: w.Name, Module: of(by[names[0]])}
-		for _, r := range by[names[0]] {
-			s.Broken += len(r.Breaches)
+		standing := Standing{Work: deployment.Name, Module: meritOf(byVariant[names[0]])}
+		for _, r := range byVariant[names[0]] {
+			standing.Broken += len(r.Breaches)
 		}
 		for _, name := range names[1:] {
-			if m := of(by[name]); s.Plain == "" || m.Mean > s.Best.Mean {
-				s.Plain, s.Best = name, m
-				s.Difference, _ = Difference(by[name], by[names[0]], merit)
+			if summary := meritOf(byVariant[name]); standing.Plain == "" || summary.Mean > standing.Best.Mean {
+				standing.Plain, standing.Best = name, summary
+				standing.Difference, _ = Difference(byVariant[name], byVariant[names[0]], merit)
 			}
 		}
-		all = append(all, s)
+		all = append(all, standing)
 	}
 	return all
 }
 
 // Overview writes a line for each work.
 func Overview(out io.Writer, all []Standing) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(w, "work\truns\tmodule\tbest plain\tpolicy\tdifference\tmargin\trules broken\t\t\n")
-	for _, s := range all {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "work\truns\tmodule\tbest plain\tpolicy\tdifference\tmargin\trules broken\t\t\n")
+	for _, standing := range all {
 		mark := ""
-		if s.Behind() {
+		if standing.Behind() {
 			mark = "behind"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%.3f ±%.3f\t%.3f ±%.3f\t%s\t%+.3f ±%.3f\t%.3f\t%d\t%s\t\n", s.Work, s.Module.N, s.Module.Mean, s.Module.Half,
-			s.Best.Mean, s.Best.Half, s.Plain, s.Difference.Mean, s.Difference.Half, s.Margin(), s.Broken, mark)
+		fmt.Fprintf(table, "%s\t%d\t%.3f ±%.3f\t%.3f ±%.3f\t%s\t%+.3f ±%.3f\t%.3f\t%d\t%s\t\n", standing.Work, standing.Module.N, standing.Module.Mean, standing.Module.Half,
+			standing.Best.Mean, standing.Best.Half, standing.Plain, standing.Difference.Mean, standing.Difference.Half, standing.Margin(), standing.Broken, mark)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 // Files gives the experiments in a folder, by name.
@@ -99,31 +99,31 @@
 		return err
 	}
 	var rows []Row
-	for _, w := range deployments {
-		for _, r := range w.Rows {
-			r.Variant = w.Name + "/" + r.Variant
-			rows = append(rows, r)
+	for _, deployment := range deployments {
+		for _, row := range deployment.Rows {
+			row.Variant = deployment.Name + "/" + row.Variant
+			rows = append(rows, row)
 		}
 	}
 	all := Standings(deployments)
-	if err := write(dir, map[string]func(io.Writer) error{
+	if err := writeFiles(dir, map[string]func(io.Writer) error{
 		"rows.csv":     func(f io.Writer) error { return writeCSV(f, rows) },
 		"overview.txt": func(f io.Writer) error { return Overview(f, all) },
 	}); err != nil {
 		return err
 	}
-	return bars(filepath.Join(dir, "overview.svg"), all)
+	return drawOverview(filepath.Join(dir, "overview.svg"), all)
 }
 
-// bars draws the module beside the best plain policy at each work.
-func bars(path string, all []Standing) error {
-	p := plot.New()
-	p.Title.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "module beside the best plain policy", "merit", 0, 1
+// drawOverview draws the module beside the best plain policy at each work.
+func drawOverview(path string, all []Standing) error {
+	chart := plot.New()
+	chart.Title.Text, chart.Y.Label.Text, chart.Y.Min, chart.Y.Max = "module beside the best plain policy", "merit", 0, 1
 	width := vg.Points(14)
 	for i, series := range []struct {
 		name string
 		of   func(Standing) float64
-	}{{"module", func(s Standing) float64 { return s.Module.Mean }}, {"best plain", func(s Standing) float64 { return s.Best.Mean }}} {
+	}{{"module", func(standing Standing) float64 { return standing.Module.Mean }}, {"best plain", func(s Standing) float64 { return s.Best.Mean }}} {
 		var values plotter.Values
 		for _, s := range all {
 			values = append(values, max(series.of(s), 0))
@@ -133,14 +133,14 @@
 			return err
 		}
 		b.Color, b.Offset, b.LineStyle.Width = plotutil.Color(i), (vg.Length(i)-0.5)*width, 0
-		p.Add(b)
-		p.Legend.Add(series.name, b)
+		chart.Add(b)
+		chart.Legend.Add(series.name, b)
 	}
 	var names []string
 	for _, s := range all {
 		names = append(names, strings.ReplaceAll(s.Work, "-", "\n"))
 	}
-	p.NominalX(names...)
-	p.Legend.Top = true
-	return p.Save(vg.Points(64*float64(max(len(all), 5))), vg.Points(300), path)
+	chart.NominalX(names...)
+	chart.Legend.Top = true
+	return chart.Save(vg.Points(64*float64(max(len(all), 5))), vg.Points(300), path)
 }
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -19,20 +19,20 @@
 	}
 	var works []Deployment
 	for _, path := range files {
-		f, err := Load(path)
+		file, err := Load(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Seeds = 2
-		rows, err := Run(context.Background(), f, InVirtualTime, runtime.GOMAXPROCS(0), "", func() {})
+		file.Seeds = 2
+		rows, err := Run(context.Background(), file, InVirtualTime, runtime.GOMAXPROCS(0), "", func() {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		module, _ := Breaches(rows, f)
+		module, _ := Breaches(rows, file)
 		for _, b := range module {
-			t.Errorf("%s: %s", f.Title, b)
+			t.Errorf("%s: %s", file.Title, b)
 		}
-		works = append(works, Deployment{f.Title, rows})
+		works = append(works, Deployment{file.Title, rows})
 	}
 	for _, s := range Standings(works) {
 		// Two seeds tell little of chance: the margin is that of the kept six-seed runs, 0.05 at the most.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -73,7 +73,7 @@
 
 // InVirtualTime plays by the model alone.
 func InVirtualTime(_ context.Context, v Variant, s emulator.Scenario) (*emulator.Result, error) {
-	return emulator.Run(s, v.decider())
+	return emulator.Run(s, v.newPolicy())
 }
 
 // OnSockets plays with a dispatcher's program on loopback, which decides by its own module whatever the variant says.
@@ -120,7 +120,7 @@
 				if err != nil {
 					failed = cmp.Or(failed, fmt.Errorf("variant %q, seed %d: %w", v.Name, seed, err))
 				} else {
-					row := rowOf(v.Name, seed, build, r)
+					row := newRow(v.Name, seed, build, r)
 					row.Class, row.Cross, row.Merit = r.WorstClass, r.Crossings, r.Merit(s.Network.CrossPrice)
 					rows = append(rows, row)
 				}
@@ -140,31 +140,31 @@
 	return rows, cmp.Or(failed, ctx.Err())
 }
 
-func rowOf(variant string, seed uint64, build string, r *emulator.Result) Row {
-	part := func(n int) float64 { return float64(n) / float64(max(r.Jobs, 1)) }
-	row := Row{Variant: variant, Seed: seed, Build: build, Jobs: r.Jobs, Service: r.Service, Worst: r.Worst, Late: part(r.Late), Refused: part(r.Refused),
-		Failed: part(r.Failed), P50MS: float64(r.P50.Microseconds()) / 1000, P99MS: float64(r.P99.Microseconds()) / 1000, Sends: r.Sends, Probes: r.Probes, Wasted: r.Wasted, Speed: r.Speed, Used: r.Used}
-	for _, b := range r.Breaches {
-		row.Breaches = append(row.Breaches, b.String())
+func newRow(variant string, seed uint64, build string, result *emulator.Result) Row {
+	share := func(n int) float64 { return float64(n) / float64(max(result.Jobs, 1)) }
+	row := Row{Variant: variant, Seed: seed, Build: build, Jobs: result.Jobs, Service: result.Service, Worst: result.Worst, Late: share(result.Late), Refused: share(result.Refused),
+		Failed: share(result.Failed), P50MS: float64(result.P50.Microseconds()) / 1000, P99MS: float64(result.P99.Microseconds()) / 1000, Sends: result.Sends, Probes: result.Probes, Wasted: result.Wasted, Speed: result.Speed, Used: result.Used}
+	for _, breach := range result.Breaches {
+		row.Breaches = append(row.Breaches, breach.String())
 	}
 	return row
 }
 
 // Breaches gives the rules that were broken, with the run that broke them: those of the module, and those of plain
 // policies, which hold no rules of themselves.
-func Breaches(rows []Row, f *File) (module, plain []string) {
+func Breaches(rows []Row, file *File) (module, plain []string) {
 	policies := map[string]string{}
-	if f != nil {
-		for _, v := range f.Variants {
-			policies[v.Name] = v.Policy
+	if file != nil {
+		for _, variant := range file.Variants {
+			policies[variant.Name] = variant.Policy
 		}
 	}
-	for _, r := range rows {
-		for _, b := range r.Breaches {
-			if p := policies[r.Variant]; p == "" || p == "module" {
-				module = append(module, fmt.Sprintf("variant %q (the module), seed %d: %s", r.Variant, r.Seed, b))
+	for _, row := range rows {
+		for _, breach := range row.Breaches {
+			if policy := policies[row.Variant]; policy == "" || policy == "module" {
+				module = append(module, fmt.Sprintf("variant %q (the module), seed %d: %s", row.Variant, row.Seed, breach))
 			} else {
-				plain = append(plain, fmt.Sprintf("variant %q (policy %s), seed %d: %s", r.Variant, p, r.Seed, b))
+				plain = append(plain, fmt.Sprintf("variant %q (policy %s), seed %d: %s", row.Variant, policy, row.Seed, breach))
 			}
 		}
 	}
@@ -177,88 +177,88 @@
 	N          int
 }
 
-// interval gives the mean of figures and how sure it is.
-func interval(x []float64) Summary {
-	s := Summary{N: len(x), Mean: stat.Mean(x, nil)}
-	if len(x) > 1 {
-		t := distuv.StudentsT{Sigma: 1, Nu: float64(len(x) - 1)}
-		s.Half = t.Quantile(0.975) * stat.StdDev(x, nil) / math.Sqrt(float64(len(x)))
+// summarize gives the mean of figures and how sure it is.
+func summarize(figures []float64) Summary {
+	summary := Summary{N: len(figures), Mean: stat.Mean(figures, nil)}
+	if len(figures) > 1 {
+		t := distuv.StudentsT{Sigma: 1, Nu: float64(len(figures) - 1)}
+		summary.Half = t.Quantile(0.975) * stat.StdDev(figures, nil) / math.Sqrt(float64(len(figures)))
 	}
-	return s
+	return summary
 }
 
-// variants gives the rows by variant, in their order.
-func variants(rows []Row) (names []string, by map[string][]Row) {
-	by = map[string][]Row{}
-	for _, r := range rows {
-		if by[r.Variant] == nil {
-			names = append(names, r.Variant)
+// rowsByVariant gives the rows by variant, in their order.
+func rowsByVariant(rows []Row) (names []string, byVariant map[string][]Row) {
+	byVariant = map[string][]Row{}
+	for _, row := range rows {
+		if byVariant[row.Variant] == nil {
+			names = append(names, row.Variant)
 		}
-		by[r.Variant] = append(by[r.Variant], r)
+		byVariant[row.Variant] = append(byVariant[row.Variant], row)
 	}
-	return names, by
+	return names, byVariant
 }
 
 // Table writes the means, and what differs from the first variant by more than chance: seeds are paired, since both
 // played the same traffic and faults.
 func Table(out io.Writer, rows []Row) error {
-	names, by := variants(rows)
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(w, "variant\truns\t")
-	for _, m := range measures {
-		fmt.Fprintf(w, "%s\t", m.name)
+	names, byVariant := rowsByVariant(rows)
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "variant\truns\t")
+	for _, measure := range measures {
+		fmt.Fprintf(table, "%s\t", measure.name)
 	}
-	fmt.Fprintln(w)
+	fmt.Fprintln(table)
 	for _, name := range names {
-		fmt.Fprintf(w, "%s\t%d\t", name, len(by[name]))
+		fmt.Fprintf(table, "%s\t%d\t", name, len(byVariant[name]))
 		for _, m := range measures {
-			var x []float64
-			for _, r := range by[name] {
-				x = append(x, m.of(r))
+			var figures []float64
+			for _, row := range byVariant[name] {
+				figures = append(figures, m.of(row))
 			}
-			s := interval(x)
-			fmt.Fprintf(w, "%.3f ±%.3f\t", s.Mean, s.Half)
+			s := summarize(figures)
+			fmt.Fprintf(table, "%.3f ±%.3f\t", s.Mean, s.Half)
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(table)
 	}
-	if err := w.Flush(); err != nil || len(names) < 2 {
+	if err := table.Flush(); err != nil || len(names) < 2 {
 		return err
 	}
 	fmt.Fprintf(out, "\nagainst %s, seed by seed (95%%); * is more than chance\n", names[0])
-	w = tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	table = tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	for _, name := range names[1:] {
-		fmt.Fprintf(w, "%s\t", name)
+		fmt.Fprintf(table, "%s\t", name)
 		for _, m := range measures {
-			s, sure := Difference(by[names[0]], by[name], m.of)
+			s, sure := Difference(byVariant[names[0]], byVariant[name], m.of)
 			mark := " "
 			if sure {
 				mark = "*"
 			}
-			fmt.Fprintf(w, "%s %+.3f ±%.3f%s\t", m.name, s.Mean, s.Half, mark)
+			fmt.Fprintf(table, "%s %+.3f ±%.3f%s\t", m.name, s.Mean, s.Half, mark)
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(table)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 // Difference gives by how much a figure of one variant is above another's, over the seeds that both played, and whether
 // that is more than chance.
-func Difference(first, second []Row, of func(Row) float64) (Summary, bool) {
-	was := map[uint64]float64{}
+func Difference(first, second []Row, figure func(Row) float64) (Summary, bool) {
+	firstFigures := map[uint64]float64{}
 	for _, r := range first {
-		was[r.Seed] = of(r)
+		firstFigures[r.Seed] = figure(r)
 	}
-	var x []float64
+	var differences []float64
 	for _, r := range second {
-		if y, ok := was[r.Seed]; ok {
-			x = append(x, of(r)-y)
+		if before, ok := firstFigures[r.Seed]; ok {
+			differences = append(differences, figure(r)-before)
 		}
 	}
-	if len(x) == 0 {
+	if len(differences) == 0 {
 		return Summary{}, false
 	}
-	s := interval(x)
-	return s, s.N > 1 && math.Abs(s.Mean) > s.Half
+	summary := summarize(differences)
+	return summary, summary.N > 1 && math.Abs(summary.Mean) > summary.Half
 }
 
 // Save keeps rows in a folder: as CSV, as JSON, as a table and as charts.
@@ -285,29 +285,29 @@
 	if err != nil {
 		return "", nil, err
 	}
-	var kept struct {
+	var stored struct {
 		Title string
 		Rows  []Row
 	}
-	err = json.Unmarshal(text, &kept)
-	return kept.Title, kept.Rows, err
+	err = json.Unmarshal(text, &stored)
+	return stored.Title, stored.Rows, err
 }
 
 // writeCSV writes a line for each run.
 func writeCSV(out io.Writer, rows []Row) error {
-	w := csv.NewWriter(out)
+	table := csv.NewWriter(out)
 	head := []string{"variant", "seed", "build", "jobs"}
-	for _, m := range measures {
-		head = append(head, m.name)
+	for _, measure := range measures {
+		head = append(head, measure.name)
 	}
-	_ = w.Write(append(head, "breaches"))
-	for _, r := range rows {
-		line := []string{r.Variant, strconv.FormatUint(r.Seed, 10), r.Build, strconv.Itoa(r.Jobs)}
+	_ = table.Write(append(head, "breaches"))
+	for _, row := range rows {
+		line := []string{row.Variant, strconv.FormatUint(row.Seed, 10), row.Build, strconv.Itoa(row.Jobs)}
 		for _, m := range measures {
-			line = append(line, strconv.FormatFloat(m.of(r), 'g', -1, 64))
+			line = append(line, strconv.FormatFloat(m.of(row), 'g', -1, 64))
 		}
-		_ = w.Write(append(line, strconv.Itoa(len(r.Breaches))))
+		_ = table.Write(append(line, strconv.Itoa(len(row.Breaches))))
 	}
-	w.Flush()
-	return w.Error()
+	table.Flush()
+	return table.Error()
 }
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -14,17 +14,17 @@
 
 // File is a plan as an operator writes it.
 type File struct {
-	Class    string       `hcl:"class"`
-	GiveUp   string       `hcl:"give_up"`
-	Aim      string       `hcl:"aim,optional"`
-	Wire     string       `hcl:"wire,optional"` // http1, if left out
-	Seed     int          `hcl:"seed,optional"`
-	MaxOpen  int          `hcl:"most_open,optional"`
-	Phases   []phaseBlock `hcl:"phase,block"`
-	Trace    *traceBlock  `hcl:"trace,block"`
-	Accounts []accountBlk `hcl:"account,block"`
-	Subjects *subjectsBlk `hcl:"subjects,block"`
-	Retry    *retryBlock  `hcl:"retry,block"`
+	Class    string         `hcl:"class"`
+	GiveUp   string         `hcl:"give_up"`
+	Aim      string         `hcl:"aim,optional"`
+	Wire     string         `hcl:"wire,optional"` // http1, if left out
+	Seed     int            `hcl:"seed,optional"`
+	MaxOpen  int            `hcl:"most_open,optional"`
+	Phases   []phaseBlock   `hcl:"phase,block"`
+	Trace    *traceBlock    `hcl:"trace,block"`
+	Accounts []accountBlock `hcl:"account,block"`
+	Subjects *subjectsBlock `hcl:"subjects,block"`
+	Retry    *retryBlock    `hcl:"retry,block"`
 
 	dir    string // relative paths are from here
 	phases []Phase
@@ -46,13 +46,13 @@
 	Format string `hcl:"format"`
 }
 
-type accountBlk struct {
+type accountBlock struct {
 	Name  string  `hcl:"name,label"`
 	Share float64 `hcl:"share"`
 	Times float64 `hcl:"times,optional"`
 }
 
-type subjectsBlk struct {
+type subjectsBlock struct {
 	Number int     `hcl:"number"`
 	Zipf   float64 `hcl:"zipf,optional"`
 }
@@ -110,7 +110,7 @@
 	}
 	for i, p := range f.Phases {
 		b := blocks["phase"][i]
-		shape, ok := shapes[p.Shape]
+		shape, ok := shapesByName[p.Shape]
 		if !ok {
 			bad(b.LabelRanges[0], "There is no shape %q; there are constant, poisson, ramp, burst, day.", p.Shape)
 			continue
@@ -140,25 +140,25 @@
 		}
 	}
 	if t := f.Trace; t != nil && !diags.HasErrors() {
-		if err := f.read(t); err != nil {
+		if err := f.readTrace(t); err != nil {
 			bad(hcldiag.Place(blocks["trace"][0].Body, "file"), "%s: %v.", t.File, err)
 		}
 	}
 	return diags
 }
 
-// read reads the trace.
-func (f *File) read(t *traceBlock) error {
-	path := t.File
+// readTrace reads the trace.
+func (f *File) readTrace(block *traceBlock) error {
+	path := block.File
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(f.dir, path)
 	}
-	in, err := os.Open(path)
+	input, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("cannot be read")
 	}
-	defer in.Close()
-	f.trace, err = ReadTrace(in, t.Format, f.mix().Accounts)
+	defer input.Close()
+	f.trace, err = ReadTrace(input, block.Format, f.mix().Accounts)
 	return err
 }
 
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -18,61 +18,61 @@
 	Span     time.Duration
 	CutShort bool // it was stopped before its plan was through
 
-	clients  int // that waited for their answers; 0 for an open loop
-	mu       sync.Mutex
-	planned  int // jobs that came due
-	unsent   int // of them, not sent for want of room in the generator
-	stopped  int // of them, open when the run was stopped
-	tries    int
-	counts   [outcomes]int
-	accounts map[string]*[outcomes]int
-	latency  *hdrhistogram.Histogram // of what was answered, from when it was due, in microseconds
-	service  *hdrhistogram.Histogram // the same from when its last try left
-	lag      *hdrhistogram.Histogram // how late jobs left
+	clients    int // that waited for their answers; 0 for an open loop
+	mu         sync.Mutex
+	planned    int // jobs that came due
+	unsent     int // of them, not sent for want of room in the generator
+	openAtStop int // of them, open when the run was stopped
+	attempts   int
+	counts     [outcomes]int
+	accounts   map[string]*[outcomes]int
+	latency    *hdrhistogram.Histogram // of what was answered, from when it was due, in microseconds
+	service    *hdrhistogram.Histogram // the same from when its last try left
+	lag        *hdrhistogram.Histogram // how late jobs left
 }
 
 func newResult(clients int) *Result {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, time.Hour.Microseconds(), 3) }
-	return &Result{clients: clients, accounts: map[string]*[outcomes]int{}, latency: h(), service: h(), lag: h()}
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, time.Hour.Microseconds(), 3) }
+	return &Result{clients: clients, accounts: map[string]*[outcomes]int{}, latency: newHistogram(), service: newHistogram(), lag: newHistogram()}
 }
 
-func enter(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds())) // always in range
+func recordDuration(histogram *hdrhistogram.Histogram, d time.Duration) {
+	_ = histogram.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds())) // always in range
 }
 
-func (r *Result) due(lag time.Duration) {
+func (r *Result) recordDue(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.planned++
-	enter(r.lag, lag)
+	recordDuration(r.lag, lag)
 }
 
-func (r *Result) shed() {
+func (r *Result) recordUnsent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unsent++
 }
 
-func (r *Result) cut() {
+func (r *Result) recordStopped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopped++
+	r.openAtStop++
 }
 
-func (r *Result) ended(j Job, e end) {
+func (r *Result) recordEnd(job Job, ended jobEnd) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tries += e.tries
-	r.counts[e.outcome]++
-	a := r.accounts[j.Account]
-	if a == nil {
-		a = &[outcomes]int{}
-		r.accounts[j.Account] = a
-	}
-	a[e.outcome]++
-	if e.answered {
-		enter(r.latency, e.latency)
-		enter(r.service, e.service)
+	r.attempts += ended.attempts
+	r.counts[ended.outcome]++
+	counts := r.accounts[job.Account]
+	if counts == nil {
+		counts = &[outcomes]int{}
+		r.accounts[job.Account] = counts
+	}
+	counts[ended.outcome]++
+	if ended.answered {
+		recordDuration(r.latency, ended.latency)
+		recordDuration(r.service, ended.service)
 	}
 }
 
@@ -86,8 +86,8 @@
 	if r.clients > 0 {
 		return nil // who waits is late by design: how late stands in the figures
 	}
-	if at := time.Duration(r.lag.ValueAtQuantile(lagShare*100)) * time.Microsecond; r.planned > 0 && at > MaxLag {
-		return fmt.Errorf("%w: one of 100 jobs left %v late or later, %v is allowed", ErrUnusable, at, MaxLag)
+	if lag := time.Duration(r.lag.ValueAtQuantile(lagQuantile*100)) * time.Microsecond; r.planned > 0 && lag > MaxLag {
+		return fmt.Errorf("%w: one of 100 jobs left %v late or later, %v is allowed", ErrUnusable, lag, MaxLag)
 	}
 	return nil
 }
@@ -115,9 +115,9 @@
 	Mean, P50, P90, P99, P999, Max float64
 }
 
-func quantiles(h *hdrhistogram.Histogram) Quantiles {
-	ms := func(v int64) float64 { return float64(v) / 1000 }
-	return Quantiles{h.Mean() / 1000, ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(90)), ms(h.ValueAtQuantile(99)), ms(h.ValueAtQuantile(99.9)), ms(h.Max())}
+func quantiles(histogram *hdrhistogram.Histogram) Quantiles {
+	milliseconds := func(v int64) float64 { return float64(v) / 1000 }
+	return Quantiles{histogram.Mean() / 1000, milliseconds(histogram.ValueAtQuantile(50)), milliseconds(histogram.ValueAtQuantile(90)), milliseconds(histogram.ValueAtQuantile(99)), milliseconds(histogram.ValueAtQuantile(99.9)), milliseconds(histogram.Max())}
 }
 
 // Figures gives them.
@@ -125,33 +125,33 @@
 	why := r.Usable()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := Figures{Usable: why == nil, CutShort: r.CutShort, Clients: r.clients, Seconds: r.Span.Seconds(), Planned: r.planned, Open: r.stopped, Tries: r.tries,
-		Outcomes: counted(r.counts), Accounts: map[string]map[string]int{}, Latency: quantiles(r.latency), Service: quantiles(r.service), Lag: quantiles(r.lag)}
+	figures := Figures{Usable: why == nil, CutShort: r.CutShort, Clients: r.clients, Seconds: r.Span.Seconds(), Planned: r.planned, Open: r.openAtStop, Tries: r.attempts,
+		Outcomes: countsByName(r.counts), Accounts: map[string]map[string]int{}, Latency: quantiles(r.latency), Service: quantiles(r.service), Lag: quantiles(r.lag)}
 	if why != nil {
-		f.Why = why.Error()
+		figures.Why = why.Error()
 	}
-	for name, c := range r.accounts {
-		f.Accounts[name] = counted(*c)
+	for name, counts := range r.accounts {
+		figures.Accounts[name] = countsByName(*counts)
 	}
-	if f.Seconds > 0 {
-		f.Rate = float64(f.Planned-r.unsent-r.stopped) / f.Seconds
+	if figures.Seconds > 0 {
+		figures.Rate = float64(figures.Planned-r.unsent-r.openAtStop) / figures.Seconds
 	}
-	return f
+	return figures
 }
 
-func counted(c [outcomes]int) map[string]int {
-	m := map[string]int{}
-	for o, n := range c {
-		m[Outcome(o).String()] = n
+func countsByName(counts [outcomes]int) map[string]int {
+	byName := map[string]int{}
+	for o, n := range counts {
+		byName[Outcome(o).String()] = n
 	}
-	return m
+	return byName
 }
 
 // JSON writes the figures.
 func (f Figures) JSON(out io.Writer) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", " ")
-	return e.Encode(f)
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", " ")
+	return encoder.Encode(f)
 }
 
 // Table writes them for people.
@@ -165,34 +165,34 @@
 	if f.Clients > 0 {
 		fmt.Fprintf(out, "closed loop: %d clients, each of which waited for its answer\n", f.Clients)
 	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(w, "account\t")
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "account\t")
 	for _, o := range outcomeNames {
-		fmt.Fprintf(w, "%s\t", o)
+		fmt.Fprintf(table, "%s\t", o)
 	}
-	fmt.Fprintln(w)
-	line := func(name string, c map[string]int) {
-		fmt.Fprintf(w, "%s\t", name)
+	fmt.Fprintln(table)
+	writeCounts := func(name string, c map[string]int) {
+		fmt.Fprintf(table, "%s\t", name)
 		for _, o := range outcomeNames {
-			fmt.Fprintf(w, "%d\t", c[o])
+			fmt.Fprintf(table, "%d\t", c[o])
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(table)
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Accounts)) {
-		line(name, f.Accounts[name])
+		writeCounts(name, f.Accounts[name])
 	}
-	line("all", f.Outcomes)
-	if err := w.Flush(); err != nil {
+	writeCounts("all", f.Outcomes)
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%d jobs in %.1f s, %d tries\n\n", f.Planned, f.Seconds, f.Tries)
-	w = tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "ms\tmean\tp50\tp90\tp99\tp99.9\tmax\t")
-	for _, q := range []struct {
+	table = tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "ms\tmean\tp50\tp90\tp99\tp99.9\tmax\t")
+	for _, row := range []struct {
 		name string
 		Quantiles
 	}{{"from when due", f.Latency}, {"from when sent", f.Service}, {"left late by", f.Lag}} {
-		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", q.name, q.Mean, q.P50, q.P90, q.P99, q.P999, q.Max)
+		fmt.Fprintf(table, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", row.name, row.Mean, row.P50, row.P90, row.P99, row.P999, row.Max)
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -13,11 +13,11 @@
 
 const (
 	// A result is of use if so large a part of the jobs left no later than MaxLag after they were due.
-	MaxLag   = 10 * time.Millisecond
-	lagShare = 0.99
+	MaxLag      = 10 * time.Millisecond
+	lagQuantile = 0.99
 
 	// The pacer sleeps to this much before a job is due and yields from there on: a sleep ends late by about as much.
-	sleepShort = 300 * time.Microsecond
+	maxOversleep = 300 * time.Microsecond
 )
 
 // Answer is what came of one try.
@@ -43,74 +43,74 @@
 
 // Run sends a plan's jobs to their times and waits for their ends. When the context ends, what was measured by then is
 // given, marked as cut short.
-func Run(ctx context.Context, source Source, to Sender, o Options) *Result {
-	if o.MaxOpen <= 0 {
-		o.MaxOpen = 100_000
+func Run(ctx context.Context, source Source, to Sender, options Options) *Result {
+	if options.MaxOpen <= 0 {
+		options.MaxOpen = 100_000
 	}
-	if o.Begin.IsZero() {
-		o.Begin = time.Now()
+	if options.Begin.IsZero() {
+		options.Begin = time.Now()
 	}
-	r := newResult(o.Clients)
+	result := newResult(options.Clients)
 	var wait sync.WaitGroup
 	var open atomic.Int64
-	var room chan struct{}
-	if o.Clients > 0 {
-		room = make(chan struct{}, o.Clients)
+	var clients chan struct{}
+	if options.Clients > 0 {
+		clients = make(chan struct{}, options.Clients)
 	}
-	chance := rand.New(rand.NewPCG(o.Seed, 4))
-	for j, ok := source.Next(); ok; j, ok = source.Next() {
-		due := o.Begin.Add(j.At)
-		if !until(ctx, due) || !arrive(ctx, room) {
-			r.CutShort = true
+	retryRandom := rand.New(rand.NewPCG(options.Seed, 4))
+	for job, ok := source.Next(); ok; job, ok = source.Next() {
+		due := options.Begin.Add(job.At)
+		if !waitUntil(ctx, due) || !acquire(ctx, clients) {
+			result.CutShort = true
 			break
 		}
-		if j.Key == "" {
-			j.Key = newKey()
+		if job.Key == "" {
+			job.Key = newKey()
 		}
-		r.due(time.Since(due))
-		if open.Load() >= int64(o.MaxOpen) {
-			r.shed()
-			leave(room)
+		result.recordDue(time.Since(due))
+		if open.Load() >= int64(options.MaxOpen) {
+			result.recordUnsent()
+			release(clients)
 			continue
 		}
 		open.Add(1)
-		again := chance.Float64() < o.Terms.Retry.Share // drawn here, so that it goes by the seed alone
+		retries := retryRandom.Float64() < options.Terms.Retry.Share // drawn here, so that it goes by the seed alone
 		wait.Go(func() {
-			defer leave(room)
+			defer release(clients)
 			defer open.Add(-1)
-			end := play(ctx, j, due, again, to, &o.Terms)
+			end := playJob(ctx, job, due, retries, to, &options.Terms)
 			if end.outcome == Unanswered && ctx.Err() != nil {
-				r.cut()
+				result.recordStopped()
 				return
 			}
-			r.ended(j, end)
-			if o.Each != nil {
-				o.Each(j, end.outcome, end.latency)
+			result.recordEnd(job, end)
+			if options.Each != nil {
+				options.Each(job, end.outcome, end.latency)
 			}
 		})
 	}
 	wait.Wait()
-	r.Span = time.Since(o.Begin)
-	return r
+	result.Span = time.Since(options.Begin)
+	return result
 }
 
-// arrive waits for a client that is free, where they are bounded, and tells whether there is one.
-func arrive(ctx context.Context, room chan struct{}) bool {
-	if room == nil {
+// acquire waits for a client that is free, where they are bounded, and tells whether there is one.
+func acquire(ctx context.Context, clients chan struct{}) bool {
+	if clients == nil {
 		return true
 	}
 	select {
-	case room <- struct{}{}:
+	case clients <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// leave gives a client free again.
-func leave(room chan struct{}) {
-	if room != nil {
-		<-room
+// release gives a client free again.
+func release(clients chan struct{}) {
+	if clients != nil {
+		<-clients
 	}
 }
 
@@ -121,8 +121,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// until waits for a time, and tells whether it came.
-func until(ctx context.Context, due time.Time) bool {
+// waitUntil waits for a time, and tells whether it came.
+func waitUntil(ctx context.Context, due time.Time) bool {
 	for {
 		left := time.Until(due)
 		switch {
@@ -130,12 +130,12 @@
 			return false
 		case left <= 0:
 			return true
-		case left > sleepShort:
-			t := time.NewTimer(left - sleepShort)
+		case left > maxOversleep:
+			timer := time.NewTimer(left - maxOversleep)
 			select {
-			case <-t.C:
+			case <-timer.C:
 			case <-ctx.Done():
-				t.Stop()
+				timer.Stop()
 				return false
 			}
 		default:
@@ -144,38 +144,38 @@
 	}
 }
 
-// end is how a job ended.
-type end struct {
+// jobEnd is how a job ended.
+type jobEnd struct {
 	outcome  Outcome
 	latency  time.Duration // from when it was due
 	service  time.Duration // from when its last try left: what a generator would see that waits for its answers
-	tries    int
+	attempts int
 	answered bool
 }
 
-// play makes a job's tries.
-func play(ctx context.Context, j Job, due time.Time, again bool, to Sender, t *Terms) end {
-	giveUp := due.Add(t.GiveUp)
-	e := end{}
+// playJob makes a job's tries.
+func playJob(ctx context.Context, job Job, due time.Time, retries bool, to Sender, terms *Terms) jobEnd {
+	giveUp := due.Add(terms.GiveUp)
+	ended := jobEnd{}
 	for {
-		left := time.Now()
-		a := to.Send(ctx, j, e.tries, giveUp)
+		sentAt := time.Now()
+		answer := to.Send(ctx, job, ended.attempts, giveUp)
 		now := time.Now()
-		e.tries++
-		e.outcome, e.latency, e.service, e.answered = a.Outcome, now.Sub(due), now.Sub(left), a.Outcome != Unanswered
-		if a.Outcome == Served && t.Aim > 0 && e.latency > t.Aim {
-			e.outcome = Late
+		ended.attempts++
+		ended.outcome, ended.latency, ended.service, ended.answered = answer.Outcome, now.Sub(due), now.Sub(sentAt), answer.Outcome != Unanswered
+		if answer.Outcome == Served && terms.Aim > 0 && ended.latency > terms.Aim {
+			ended.outcome = Late
 		}
-		if a.Outcome != Refused || !again || e.tries > t.Retry.Max {
-			return e
+		if answer.Outcome != Refused || !retries || ended.attempts > terms.Retry.Max {
+			return ended
 		}
-		pause := t.Retry.Wait
-		if t.Retry.Honour && a.RetryAfter > 0 {
-			pause = a.RetryAfter
+		pause := terms.Retry.Wait
+		if terms.Retry.Honour && answer.RetryAfter > 0 {
+			pause = answer.RetryAfter
 		}
 		next := now.Add(pause)
-		if !next.Before(giveUp) || !until(ctx, next) {
-			return e
+		if !next.Before(giveUp) || !waitUntil(ctx, next) {
+			return ended
 		}
 	}
 }
--- a/internal/load/shapes.go
+++ b/internal/load/shapes.go
@@ -18,7 +18,7 @@
 	Day                   // at chance, as a working day in small: up in the morning, a dip at noon, down in the evening
 )
 
-var shapes = map[string]Shape{"constant": Constant, "poisson": Poisson, "ramp": Ramp, "burst": Burst, "day": Day}
+var shapesByName = map[string]Shape{"constant": Constant, "poisson": Poisson, "ramp": Ramp, "burst": Burst, "day": Day}
 
 // Phase is a stretch of a plan.
 type Phase struct {
@@ -86,8 +86,8 @@
 	Zipf     float64 // of the subjects' popularity: 0 for all alike, else above 1
 }
 
-// extra is how far accounts that send several times their traffic raise the rate.
-func (m *Mix) extra() float64 {
+// rateFactor is how far accounts that send several times their traffic raise the rate.
+func (m *Mix) rateFactor() float64 {
 	usual, all := 0.0, 0.0
 	for _, a := range m.Accounts {
 		usual, all = usual+a.Share, all+a.weight()
@@ -101,73 +101,73 @@
 // Generated gives the jobs of phases, one after the other. The same seed gives the same jobs. Arrivals, accounts and
 // subjects have a source of chance each, so that a change of one leaves the others as they were.
 func Generated(phases []Phase, mix Mix, seed uint64) Source {
-	g := &generated{phases: phases, mix: mix, arrivals: rand.New(rand.NewPCG(seed, 1)), accounts: rand.New(rand.NewPCG(seed, 2))}
+	jobs := &generatedJobs{phases: phases, mix: mix, arrivals: rand.New(rand.NewPCG(seed, 1)), accounts: rand.New(rand.NewPCG(seed, 2))}
 	subjects := rand.New(rand.NewPCG(seed, 3))
-	g.subject = func() uint64 { return subjects.Uint64N(uint64(max(mix.Subjects, 1))) }
+	jobs.subject = func() uint64 { return subjects.Uint64N(uint64(max(mix.Subjects, 1))) }
 	if mix.Zipf > 1 && mix.Subjects > 0 {
-		g.subject = rand.NewZipf(subjects, mix.Zipf, 1, uint64(mix.Subjects-1)).Uint64
+		jobs.subject = rand.NewZipf(subjects, mix.Zipf, 1, uint64(mix.Subjects-1)).Uint64
 	}
-	for _, a := range mix.Accounts {
-		g.weights += a.weight()
+	for _, account := range mix.Accounts {
+		jobs.weights += account.weight()
 	}
-	return g
+	return jobs
 }
 
-type generated struct {
-	phases   []Phase
-	mix      Mix
-	arrivals *rand.Rand
-	accounts *rand.Rand
-	subject  func() uint64
-	weights  float64
-	began    time.Duration // of the phase
-	at       time.Duration // within it
-	evenly   int           // Constant: jobs so far
+type generatedJobs struct {
+	phases       []Phase
+	mix          Mix
+	arrivals     *rand.Rand
+	accounts     *rand.Rand
+	subject      func() uint64
+	weights      float64
+	phaseStart   time.Duration // of the phase
+	offset       time.Duration // within it
+	evenlySpaced int           // Constant: jobs so far
 }
 
-func (g *generated) Next() (Job, bool) {
+func (g *generatedJobs) Next() (Job, bool) {
 	for len(g.phases) > 0 {
-		p := &g.phases[0]
-		if g.step(p) {
-			return g.job(), true
+		phase := &g.phases[0]
+		if g.advance(phase) {
+			return g.newJob(), true
 		}
-		g.began += p.For
-		g.at, g.evenly, g.phases = 0, 0, g.phases[1:]
+		g.phaseStart += phase.For
+		g.offset, g.evenlySpaced, g.phases = 0, 0, g.phases[1:]
 	}
 	return Job{}, false
 }
 
-// step goes on to the phase's next job, if it has one. What comes at chance is drawn at the highest rate and thinned.
-func (g *generated) step(p *Phase) bool {
-	extra := g.mix.extra()
-	if p.Shape == Constant {
-		g.at = time.Duration(float64(g.evenly) / (p.Rate * extra) * float64(time.Second))
-		g.evenly++
-		return g.at < p.For
+// advance goes on to the phase's next job, if it has one. What comes at chance is drawn at the highest rate and thinned.
+func (g *generatedJobs) advance(phase *Phase) bool {
+	factor := g.mix.rateFactor()
+	if phase.Shape == Constant {
+		g.offset = time.Duration(float64(g.evenlySpaced) / (phase.Rate * factor) * float64(time.Second))
+		g.evenlySpaced++
+		return g.offset < phase.For
 	}
 	for {
-		gap := g.arrivals.ExpFloat64() / (p.maxRate() * extra) * float64(time.Second)
-		if gap >= float64(p.For-g.at) {
+		gap := g.arrivals.ExpFloat64() / (phase.maxRate() * factor) * float64(time.Second)
+		if gap >= float64(phase.For-g.offset) {
 			return false
 		}
-		g.at += time.Duration(gap)
-		if g.arrivals.Float64()*p.maxRate() < p.rate(g.at) {
+		g.offset += time.Duration(gap)
+		if g.arrivals.Float64()*phase.maxRate() < phase.rate(g.offset) {
 			return true
 		}
 	}
 }
 
-func (g *generated) job() Job {
-	j := Job{At: g.began + g.at}
+func (g *generatedJobs) newJob() Job {
+	job := Job{At: g.phaseStart + g.offset}
 	pick := g.accounts.Float64() * g.weights
 	for _, a := range g.mix.Accounts {
-		j.Account = a.Name
+		job.Account = a.Name
 		if pick -= a.weight(); pick < 0 {
 			break
 		}
 	}
 	if g.mix.Subjects > 0 {
-		j.Subject = fmt.Sprintf("%016x", g.subject())
+		job.Subject = fmt.Sprintf("%016x", g.subject())
 	}
-	return j
+	return job
 }
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -20,7 +20,7 @@
 //go:embed trace.schema.json
 var traceSchema []byte
 
-var schema = sync.OnceValues(func() (*jsonschema.Schema, error) {
+var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(traceSchema))
 	if err != nil {
 		return nil, err
@@ -32,11 +32,11 @@
 	return c.Compile("trace.schema.json")
 })
 
-// maxTrace bounds what is read of one line.
-const maxTrace = 1 << 20
+// maxTraceLineBytes bounds what is read of one line.
+const maxTraceLineBytes = 1 << 20
 
-// record is a line of a trace.
-type record struct {
+// traceRecord is a line of a trace.
+type traceRecord struct {
 	AtMS    float64 `json:"at_ms"`
 	Account string  `json:"account"`
 	Subject string  `json:"subject"`
@@ -52,15 +52,15 @@
 		known[a.Name] = true
 	}
 	var jobs []Job
-	add := func(line int, r record) error {
-		at := time.Duration(r.AtMS * float64(time.Millisecond))
+	add := func(line int, record traceRecord) error {
+		at := time.Duration(record.AtMS * float64(time.Millisecond))
 		if n := len(jobs); n > 0 && at < jobs[n-1].At {
-			return fmt.Errorf("line %d: at_ms %v is before the %v of the line before", line, r.AtMS, float64(jobs[n-1].At)/float64(time.Millisecond))
+			return fmt.Errorf("line %d: at_ms %v is before the %v of the line before", line, record.AtMS, float64(jobs[n-1].At)/float64(time.Millisecond))
 		}
-		if len(known) > 0 && !known[r.Account] {
-			return fmt.Errorf("line %d: unknown account %q", line, r.Account)
+		if len(known) > 0 && !known[record.Account] {
+			return fmt.Errorf("line %d: unknown account %q", line, record.Account)
 		}
-		jobs = append(jobs, Job{At: at, Account: r.Account, Subject: r.Subject, Key: r.Key, Work: r.Extra})
+		jobs = append(jobs, Job{At: at, Account: record.Account, Subject: record.Subject, Key: record.Key, Work: record.Extra})
 		return nil
 	}
 	var err error
@@ -68,7 +68,7 @@
 	case "csv":
 		err = readCSV(in, add)
 	case "jsonl":
-		err = readLines(in, add)
+		err = readJSONLines(in, add)
 	default:
 		return nil, fmt.Errorf("there is no trace format %q; there are csv and jsonl", format)
 	}
@@ -81,114 +81,114 @@
 	return jobs, nil
 }
 
-// check holds a record against the schema: the same for both formats.
-func check(doc any) error {
-	s, err := schema()
+// validate holds a record against the schema: the same for both formats.
+func validate(document any) error {
+	schema, err := compiledSchema()
 	if err != nil {
 		return err
 	}
-	err = s.Validate(doc)
-	var bad *jsonschema.ValidationError
-	if errors.As(err, &bad) {
-		for len(bad.Causes) > 0 {
-			bad = bad.Causes[0]
+	err = schema.Validate(document)
+	var invalid *jsonschema.ValidationError
+	if errors.As(err, &invalid) {
+		for len(invalid.Causes) > 0 {
+			invalid = invalid.Causes[0]
 		}
-		where := strings.Join(bad.InstanceLocation, ".")
-		if where != "" {
-			where += ": "
+		location := strings.Join(invalid.InstanceLocation, ".")
+		if location != "" {
+			location += ": "
 		}
-		_, why, _ := strings.Cut(bad.Error(), ": ")
-		if i := strings.LastIndexByte(why, '\n'); i >= 0 {
-			why = why[i+1:]
+		_, reason, _ := strings.Cut(invalid.Error(), ": ")
+		if i := strings.LastIndexByte(reason, '\n'); i >= 0 {
+			reason = reason[i+1:]
 		}
-		return errors.New(where + strings.TrimSpace(why))
+		return errors.New(location + strings.TrimSpace(reason))
 	}
 	return err
 }
 
-func readLines(in io.Reader, add func(int, record) error) error {
+func readJSONLines(in io.Reader, add func(int, traceRecord) error) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 0, 4096), maxTrace)
-	n := 0
+	lines.Buffer(make([]byte, 0, 4096), maxTraceLineBytes)
+	number := 0
 	for lines.Scan() {
-		n++
+		number++
 		text := bytes.TrimSpace(lines.Bytes())
 		if len(text) == 0 {
 			continue
 		}
-		doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
+		document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 		if err == nil {
-			err = check(doc)
+			err = validate(document)
 		}
-		var r record
+		var record traceRecord
 		if err == nil {
-			err = json.Unmarshal(text, &r)
+			err = json.Unmarshal(text, &record)
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
+			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if err := add(n, r); err != nil {
+		if err := add(number, record); err != nil {
 			return err
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return fmt.Errorf("line %d: %w", n+1, err)
+		return fmt.Errorf("line %d: %w", number+1, err)
 	}
 	return nil
 }
 
-func readCSV(in io.Reader, add func(int, record) error) error {
-	r := csv.NewReader(in)
-	r.ReuseRecord = true
-	head, err := r.Read()
+func readCSV(in io.Reader, add func(int, traceRecord) error) error {
+	reader := csv.NewReader(in)
+	reader.ReuseRecord = true
+	columns, err := reader.Read()
 	if err != nil {
 		return fmt.Errorf("line 1: %w", err)
 	}
-	head = append([]string(nil), head...)
+	columns = append([]string(nil), columns...)
 	for {
-		fields, err := r.Read()
+		fields, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		line, _ := r.FieldPos(0)
+		line, _ := reader.FieldPos(0)
 		if err != nil {
 			return err // it names the line itself
 		}
-		doc := map[string]any{}
-		for i, name := range head {
+		document := map[string]any{}
+		for i, name := range columns {
 			if fields[i] == "" {
 				continue
 			}
-			doc[name] = fields[i]
+			document[name] = fields[i]
 			if name == "at_ms" {
 				x, err := strconv.ParseFloat(fields[i], 64)
 				if err != nil {
 					return fmt.Errorf("line %d: at_ms: %q is no number", line, fields[i])
 				}
-				doc[name] = x
+				document[name] = x
 			}
 		}
-		if err := check(doc); err != nil {
+		if err := validate(document); err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
-		text := func(name string) string { s, _ := doc[name].(string); return s }
-		at, _ := doc["at_ms"].(float64)
-		if err := add(line, record{at, text("account"), text("subject"), text("key"), text("extra")}); err != nil {
+		text := func(name string) string { s, _ := document[name].(string); return s }
+		at, _ := document["at_ms"].(float64)
+		if err := add(line, traceRecord{at, text("account"), text("subject"), text("key"), text("extra")}); err != nil {
 			return err
 		}
 	}
 }
 
 // Recorded gives the jobs of a trace.
-func Recorded(jobs []Job) Source { return &recorded{jobs} }
+func Recorded(jobs []Job) Source { return &recordedJobs{jobs} }
 
-type recorded struct{ jobs []Job }
+type recordedJobs struct{ jobs []Job }
 
-func (r *recorded) Next() (Job, bool) {
+func (r *recordedJobs) Next() (Job, bool) {
 	if len(r.jobs) == 0 {
 		return Job{}, false
 	}
-	j := r.jobs[0]
+	job := r.jobs[0]
 	r.jobs = r.jobs[1:]
-	return j, true
+	return job, true
 }
