--- a/internal/experiment/draw.go
+++ b/internal/experiment/draw.go
@@ -1,53 +1,17 @@
 package experiment
 
 import (
-	"fmt"
-	"io"
 	"os"
-	"path/filepath"
+	"strings"
 
+	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 )
 
-// writeFiles writes files into a folder.
-func writeFiles(dir string, files map[string]func(io.Writer) error) error {
-	for name, write := range files {
-		file, err := os.Create(filepath.Join(dir, name))
-		if err != nil {
-			return err
-		}
-		if err := write(file); err != nil {
-			file.Close()
-			return err
-		}
-		if err := file.Close(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// Draw writes the table, the CSV and a chart for each figure that differs at all.
-func Draw(dir, title string, rows []Row) error {
-	if err := writeFiles(dir, map[string]func(io.Writer) error{
-		"rows.csv":  func(f io.Writer) error { return writeCSV(f, rows) },
-		"table.txt": func(f io.Writer) error { fmt.Fprintf(f, "%s\n\n", title); return Table(f, rows) },
-	}); err != nil {
-		return err
-	}
-	names, byVariant := rowsByVariant(rows)
-	for _, measure := range measures {
-		if err := drawMeasure(filepath.Join(dir, measure.name+".svg"), title, measure.name, names, byVariant, measure.of); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// drawMeasure draws each variant's mean with its 95% interval.
+// drawMeasure draws each variant's mean of a measure with its 95% interval. If all figures are the same, it removes the chart.
 func drawMeasure(path, title, measure string, names []string, byVariant map[string][]Row, figure func(Row) float64) error {
 	chart := plot.New()
 	chart.Title.Text, chart.Y.Label.Text = title, measure
@@ -55,32 +19,91 @@
 		plotter.XYs
 		plotter.YErrors
 	}{}
-	flat := true
+	allSame := true
 	for i, name := range names {
 		var figures []float64
 		for _, row := range byVariant[name] {
 			figures = append(figures, figure(row))
-			flat = flat && figure(row) == figure(byVariant[names[0]][0])
+			allSame = allSame && figure(row) == figure(byVariant[names[0]][0])
 		}
 		summary := summarize(figures)
 		points.XYs = append(points.XYs, plotter.XY{X: float64(i), Y: summary.Mean})
 		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{summary.Half, summary.Half})
 	}
-	if flat { // nothing to see
-		_ = os.Remove(path)
+	if allSame {
+		_ = os.Remove(path) // there is none as a rule
 		return nil
 	}
 	scatter, err := plotter.NewScatter(points.XYs)
 	if err != nil {
 		return err
 	}
-	bars, err := plotter.NewYErrorBars(points)
+	intervals, err := plotter.NewYErrorBars(points)
 	if err != nil {
 		return err
 	}
-	scatter.GlyphStyle.Shape, scatter.GlyphStyle.Color, scatter.GlyphStyle.Radius = plotutil.Shape(0), plotutil.Color(0), vg.Points(4)
-	chart.Add(plotter.NewGrid(), bars, scatter)
+	scatter.Shape, scatter.Color, scatter.Radius = plotutil.Shape(0), plotutil.Color(0), vg.Points(4)
+	chart.Add(plotter.NewGrid(), intervals, scatter)
 	chart.NominalX(names...)
 	chart.X.Padding = vg.Points(20)
 	return chart.Save(vg.Points(max(360, 80*float64(len(names)))), vg.Points(260), path)
 }
+
+// drawOverview draws the merit of the scheduler and of the best plain policy at each deployment.
+func drawOverview(path string, all []Standing) error {
+	chart := plot.New()
+	chart.Title.Text, chart.Y.Label.Text, chart.Y.Min, chart.Y.Max = "module beside the best plain policy", "merit", 0, 1
+	width := vg.Points(14)
+	for position, series := range []struct {
+		name  string
+		merit func(Standing) float64
+	}{
+		{"module", func(s Standing) float64 { return s.Module.Mean }},
+		{"best plain", func(s Standing) float64 { return s.Best.Mean }},
+	} {
+		var values plotter.Values
+		for _, standing := range all {
+			values = append(values, max(series.merit(standing), 0))
+		}
+		bars, err := plotter.NewBarChart(values, width)
+		if err != nil {
+			return err
+		}
+		bars.Color, bars.Offset, bars.LineStyle.Width = plotutil.Color(position), (vg.Length(position)-0.5)*width, 0
+		chart.Add(bars)
+		chart.Legend.Add(series.name, bars)
+	}
+	var names []string
+	for _, standing := range all {
+		names = append(names, strings.ReplaceAll(standing.Work, "-", "\n"))
+	}
+	chart.NominalX(names...)
+	chart.Legend.Top = true
+	return chart.Save(vg.Points(64*float64(max(len(all), 5))), vg.Points(300), path)
+}
+
+// drawZoneChart draws each mode's mean of a figure at each case.
+func drawZoneChart(path, title string, rows []ZoneRow, figure func(ZoneRow) float64) error {
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.Legend.Top = true
+	var names []string
+	for _, zoneCase := range ZoneCases() {
+		names = append(names, zoneCase.Name)
+	}
+	for i, mode := range ZoneModes {
+		var values plotter.Values
+		for _, zoneCase := range ZoneCases() {
+			values = append(values, stat.Mean(zoneFigures(rows, zoneCase.Name, mode, figure), nil))
+		}
+		bars, err := plotter.NewBarChart(values, vg.Points(10))
+		if err != nil {
+			return err
+		}
+		bars.Color, bars.Offset = plotutil.Color(i), vg.Points(float64(11*i-16))
+		chart.Add(bars)
+		chart.Legend.Add(zoneModeTitles[mode], bars)
+	}
+	chart.NominalX(names...)
+	return chart.Save(900, 360, path)
+}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -21,7 +21,7 @@
 variant "random" { policy = "random" }
 `
 
-// The same file gives the same rows, whatever the order in which the cores take them; what is kept can be drawn again.
+// TestRun: a file gives the same rows in whatever order the runs end, and stored rows can be drawn again.
 func TestRun(t *testing.T) {
 	file, err := Parse([]byte(smallExperiment), "small.hcl")
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Stopped on the way, what was played is given.
+// TestStopped: if the context ends, Run returns the rows until then.
 func TestStopped(t *testing.T) {
 	file, err := Parse([]byte(strings.Replace(smallExperiment, "seeds = 4", "seeds = 1000", 1)), "small.hcl")
 	if err != nil {
@@ -75,6 +75,7 @@
 	}
 }
 
+// TestFaults: mistakes in a file are reported with line and column.
 func TestFaults(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{`seeds = 4`, `seeds = 0`, "x.hcl:2:9: Bad experiment: seeds"},
@@ -91,7 +92,7 @@
 	}
 }
 
-// Two variants that are the same differ by no more than chance; a difference that is there is seen.
+// TestDifference: noise is not significant, a difference beyond the noise is.
 func TestDifference(t *testing.T) {
 	var a, b, c []Row
 	for seed := range uint64(20) {
@@ -107,7 +108,7 @@
 	}
 }
 
-// The files that come with the program can be played.
+// TestScenarios: the experiments in scenarios can be loaded.
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("../../scenarios/*.hcl")
 	if len(files) < 3 {
@@ -120,8 +121,8 @@
 	}
 }
 
-// The paper's comparison keeps its shape: LUD before LU before round robin before random where the network is slow, LUD and
-// LU alike where it takes no time, and the target utilisation throughout.
+// TestPaper: the paper's order of policies holds, LUD before LU before round robin before random where the network is slow; LUD and
+// LU are alike without network delay, and the utilisation is at its target throughout.
 func TestPaper(t *testing.T) {
 	file, err := Load("../../scenarios/paper.hcl")
 	if err != nil {
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -14,7 +14,7 @@
 // goldenSeeds is how many seeds of a scenario a golden file has.
 const goldenSeeds = 2
 
-// TestGoldenRows checks that the module decides as it did when the golden files were written: the emulator plays four
+// TestGoldenRows checks that the scheduler decides as it did when the golden files were written: the emulator plays four
 // scenarios on short spans in virtual time, and each row must be the same to the last digit.
 func TestGoldenRows(t *testing.T) {
 	for _, scenario := range []struct{ name, span string }{
@@ -48,7 +48,7 @@
 	}
 }
 
-// goldenRows plays the module's variant of a scenario on the span and returns its rows as JSON.
+// goldenRows runs the scheduler's variant of a scenario on the span and returns its rows as JSON.
 func goldenRows(t *testing.T, name, span string) []byte {
 	t.Helper()
 	file, err := Load(filepath.Join("..", "..", "scenarios", "deployments", name+".hcl"))
--- a/internal/experiment/overview.go
+++ b/internal/experiment/overview.go
@@ -6,61 +6,59 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"text/tabwriter"
-
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/plotutil"
-	"gonum.org/v1/plot/vg"
 )
 
-// Deployment is what came of one experiment among several.
+// Deployment is the rows of one experiment among several.
 type Deployment struct {
 	Name string
 	Rows []Row
 }
 
-// Standing is how the module stands at a work beside the plain policy that did best there.
+// Standing compares the scheduler with the plain policy that has the highest merit at a deployment.
 type Standing struct {
-	Work       string
-	Module     Summary // merit
-	Best       Summary
-	Plain      string  // the policy
-	Difference Summary // module less plain, seed by seed
-	Broken     int     // rules that the module broke
+	Work       string  // the deployment
+	Module     Summary // the scheduler's merit
+	Best       Summary // the plain policy's merit
+	Plain      string  // the plain policy's variant
+	Difference Summary // the scheduler's merit less the plain policy's, seed by seed
+	Broken     int     // rules that the scheduler broke
 }
 
-// Margin is how far behind the best plain policy the module may stand at a work and still count as level: chance over the
-// seeds, and 0.03 for what a policy gains that may ignore prices and rules.
-func (s Standing) Margin() float64 { return 0.03 + s.Difference.Half }
+// meritAllowance is how much a plain policy's merit may exceed the scheduler's for ignoring prices and rules.
+const meritAllowance = 0.03
+
+// Margin returns how far behind the best plain policy the scheduler counts as level: meritAllowance and half the width of the
+// difference's 95% interval.
+func (s Standing) Margin() float64 { return meritAllowance + s.Difference.Half }
 
-// Behind tells whether the module stands behind by more than the margin, or broke a rule.
+// Behind reports whether the scheduler is behind by more than the margin, or broke a rule.
 func (s Standing) Behind() bool { return s.Broken > 0 || s.Difference.Mean < -s.Margin() }
 
-// Standings compares by merit. A work's first variant is the module.
+// Standings compares by merit. A deployment's first variant is the scheduler, the others are plain policies.
 func Standings(deployments []Deployment) (all []Standing) {
-	merit := func(r Row) float64 { return r.Merit }
-	meritOf := func(rows []Row) Summary {
-		var x []float64
-		for _, r := range rows {
-			x = append(x, r.Merit)
+	merit := func(row Row) float64 { return row.Merit }
+	summarizeMerit := func(rows []Row) Summary {
+		var figures []float64
+		for _, row := range rows {
+			figures = append(figures, row.Merit)
 		}
-		return summarize(x)
+		return summarize(figures)
 	}
 	for _, deployment := range deployments {
 		names, byVariant := rowsByVariant(deployment.Rows)
 		if len(names) == 0 {
 			continue
 		}
-		standing := Standing{Work: deployment.Name, Module: meritOf(byVariant[names[0]])}
-		for _, r := range byVariant[names[0]] {
-			standing.Broken += len(r.Breaches)
+		module := byVariant[names[0]]
+		standing := Standing{Work: deployment.Name, Module: summarizeMerit(module)}
+		for _, row := range module {
+			standing.Broken += len(row.Breaches)
 		}
 		for _, name := range names[1:] {
-			if summary := meritOf(byVariant[name]); standing.Plain == "" || summary.Mean > standing.Best.Mean {
+			if summary := summarizeMerit(byVariant[name]); standing.Plain == "" || summary.Mean > standing.Best.Mean {
 				standing.Plain, standing.Best = name, summary
-				standing.Difference, _ = Difference(byVariant[name], byVariant[names[0]], merit)
+				standing.Difference, _ = Difference(byVariant[name], module, merit)
 			}
 		}
 		all = append(all, standing)
@@ -68,7 +66,7 @@
 	return all
 }
 
-// Overview writes a line for each work.
+// Overview writes a line for each deployment.
 func Overview(out io.Writer, all []Standing) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "work\truns\tmodule\tbest plain\tpolicy\tdifference\tmargin\trules broken\t\t\n")
@@ -83,7 +81,7 @@
 	return table.Flush()
 }
 
-// Files gives the experiments in a folder, by name.
+// Files returns the paths of the experiments in a directory, sorted.
 func Files(dir string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.hcl"))
 	slices.Sort(files)
@@ -93,7 +91,7 @@
 	return files, err
 }
 
-// SaveOverview keeps several experiments in a folder: the rows of all as CSV, the table and a chart.
+// SaveOverview writes several experiments to a directory: the rows of all as CSV, the overview and a chart.
 func SaveOverview(dir string, deployments []Deployment) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -114,33 +112,3 @@
 	}
 	return drawOverview(filepath.Join(dir, "overview.svg"), all)
 }
-
-// drawOverview draws the module beside the best plain policy at each work.
-func drawOverview(path string, all []Standing) error {
-	chart := plot.New()
-	chart.Title.Text, chart.Y.Label.Text, chart.Y.Min, chart.Y.Max = "module beside the best plain policy", "merit", 0, 1
-	width := vg.Points(14)
-	for i, series := range []struct {
-		name string
-		of   func(Standing) float64
-	}{{"module", func(standing Standing) float64 { return standing.Module.Mean }}, {"best plain", func(s Standing) float64 { return s.Best.Mean }}} {
-		var values plotter.Values
-		for _, s := range all {
-			values = append(values, max(series.of(s), 0))
-		}
-		b, err := plotter.NewBarChart(values, width)
-		if err != nil {
-			return err
-		}
-		b.Color, b.Offset, b.LineStyle.Width = plotutil.Color(i), (vg.Length(i)-0.5)*width, 0
-		chart.Add(b)
-		chart.Legend.Add(series.name, b)
-	}
-	var names []string
-	for _, s := range all {
-		names = append(names, strings.ReplaceAll(s.Work, "-", "\n"))
-	}
-	chart.NominalX(names...)
-	chart.Legend.Top = true
-	return chart.Save(vg.Points(64*float64(max(len(all), 5))), vg.Points(300), path)
-}
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// The module stands behind no plain policy at works of other kinds than the one it was made for, and breaks no rule there:
-// all of scenarios/deployments, in short. Of the module that served the first deployment alone 5 of 14 fell behind, by 0.05 to 0.35.
+// TestDeployments: the scheduler is behind no plain policy at any of scenarios/deployments, with two seeds each, and breaks no
+// rule.
 func TestDeployments(t *testing.T) {
 	files, err := Files("../../scenarios/deployments")
 	if err != nil || len(files) < 12 {
 		t.Fatalf("%d works, %v", len(files), err)
 	}
-	var works []Deployment
+	var deployments []Deployment
 	for _, path := range files {
 		file, err := Load(path)
 		if err != nil {
@@ -32,17 +32,17 @@
 		for _, b := range module {
 			t.Errorf("%s: %s", file.Title, b)
 		}
-		works = append(works, Deployment{file.Title, rows})
+		deployments = append(deployments, Deployment{file.Title, rows})
 	}
-	for _, s := range Standings(works) {
-		// Two seeds tell little of chance: the margin is that of the kept six-seed runs, 0.05 at the most.
-		if s.Difference.Mean < -0.05 {
-			t.Errorf("%s: %.3f, %s %.3f", s.Work, s.Module.Mean, s.Plain, s.Best.Mean)
+	for _, standing := range Standings(deployments) {
+		// Two seeds say little of the noise: the margin is that of the stored six-seed runs, at most 0.05.
+		if standing.Difference.Mean < -0.05 {
+			t.Errorf("%s: %.3f, %s %.3f", standing.Work, standing.Module.Mean, standing.Plain, standing.Best.Mean)
 		}
 	}
 }
 
-// A module that stands behind, or breaks a rule, is marked; the kept table and chart say the same.
+// TestOverview: a scheduler that is behind, or broke a rule, is marked so, in the saved table too.
 func TestOverview(t *testing.T) {
 	row := func(variant string, seed uint64, merit float64) Row {
 		return Row{Variant: variant, Seed: seed, Merit: merit}
--- /dev/null
+++ b/internal/experiment/scenario.go
@@ -0,0 +1,209 @@
+package experiment
+
+import (
+	"fmt"
+	"time"
+
+	"brassdale/internal/emulator"
+	"brassdale/scheduler"
+)
+
+// Words of the file.
+var (
+	faultKindNames = map[string]emulator.FaultKind{
+		"freeze":     emulator.Freeze,
+		"silent":     emulator.Silent,
+		"slow":       emulator.Slow,
+		"restart":    emulator.Restart,
+		"drain":      emulator.Drain,
+		"unheard":    emulator.Unreported,
+		"reset":      emulator.Reset,
+		"partition":  emulator.Partition,
+		"burst":      emulator.Burst,
+		"heavy-tail": emulator.HeavyTail,
+		"list-down":  emulator.ListDown,
+		"list-hung":  emulator.ListHung,
+	}
+	effects = map[string]scheduler.Idempotency{
+		"safe":   scheduler.Idempotent,
+		"keyed":  scheduler.IdempotentWithKey,
+		"unsafe": scheduler.NonIdempotent,
+	}
+	scopes = map[string]scheduler.DeduplicationScope{
+		"":     scheduler.ScopeAll,
+		"all":  scheduler.ScopeAll,
+		"zone": scheduler.ScopeZone,
+		"cell": scheduler.ScopeCell,
+	}
+)
+
+// Scenario returns a variant's scenario for a seed.
+func (f *File) Scenario(variant Variant, seed uint64) (emulator.Scenario, error) {
+	scenario := emulator.LlanelliWorks(seed)
+	if len(f.Kinds) > 0 {
+		scenario.Kinds = nil
+	}
+	for _, configured := range f.Kinds {
+		kind, err := configured.parse()
+		if err != nil {
+			return scenario, err
+		}
+		scenario.Kinds = append(scenario.Kinds, kind)
+	}
+	for _, configured := range f.Classes {
+		class, err := configured.parse()
+		if err != nil {
+			return scenario, err
+		}
+		scenario.Traffic.Classes = append(scenario.Traffic.Classes, class)
+		scenario.Traffic.GiveUp = max(scenario.Traffic.GiveUp, class.GiveUp)
+	}
+	for _, configured := range f.Faults {
+		fault, err := configured.parse()
+		if err != nil {
+			return scenario, err
+		}
+		scenario.Faults = append(scenario.Faults, fault)
+	}
+	for _, world := range []*World{f.World, variant.Set} {
+		if err := world.apply(&scenario); err != nil {
+			return scenario, err
+		}
+	}
+	if variant.Scale != nil {
+		scale(&scenario, *variant.Scale)
+	}
+	return scenario, nil
+}
+
+// scale multiplies the scenario's rate, workers and fetches at a time by a factor.
+func scale(scenario *emulator.Scenario, factor float64) {
+	scenario.Traffic.Rate *= factor
+	scenario.Store.Slots = int(float64(scenario.Store.Slots) * factor)
+	for i := range scenario.Kinds {
+		scenario.Kinds[i].Count = int(float64(scenario.Kinds[i].Count)*factor + 0.5)
+	}
+}
+
+// parse returns the kind in the emulator's terms.
+func (k *Kind) parse() (emulator.Kind, error) {
+	if len(k.Speed) != 2 {
+		return emulator.Kind{}, fmt.Errorf("kind %q: speed must be [least, most]", k.Name)
+	}
+	return emulator.Kind{Name: k.Name, Count: k.Count, Slots: k.Slots, SpeedMin: k.Speed[0], SpeedMax: k.Speed[1], Sharing: k.Share}, nil
+}
+
+// parse returns the fault in the emulator's terms.
+func (f *Fault) parse() (emulator.Fault, error) {
+	kind, ok := faultKindNames[f.Kind]
+	if !ok {
+		return emulator.Fault{}, fmt.Errorf("there is no fault %q", f.Kind)
+	}
+	at, err := time.ParseDuration(f.At)
+	if err != nil {
+		return emulator.Fault{}, fmt.Errorf("fault %q: %w", f.Kind, err)
+	}
+	duration, err := time.ParseDuration(f.For)
+	if err != nil {
+		return emulator.Fault{}, fmt.Errorf("fault %q: %w", f.Kind, err)
+	}
+	return emulator.Fault{At: at, For: duration, Kind: kind, Share: f.Share, Size: f.Size}, nil
+}
+
+// parse returns the class in the emulator's terms.
+func (c *Class) parse() (emulator.Class, error) {
+	class := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, Spread: c.Spread, Stretch: c.Stretch, PriorityWeight: c.PriorityWeight, Wide: c.Wide}
+	var ok bool
+	if class.Effect, ok = effects[c.Effect]; !ok {
+		return class, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Effect)
+	}
+	if class.Scope, ok = scopes[c.Scope]; !ok {
+		return class, fmt.Errorf("class %q: there is no scope %q", c.Name, c.Scope)
+	}
+	durations := []durationSetting{
+		{"aim", &c.Aim, &class.Aim},
+		{"give_up", &c.GiveUp, &class.GiveUp},
+	}
+	if c.Window != "" {
+		durations = append(durations, durationSetting{"window", &c.Window, &class.Window})
+	}
+	if err := parseDurations(durations); err != nil {
+		return class, fmt.Errorf("class %q: %w", c.Name, err)
+	}
+	return class, nil
+}
+
+// durationSetting is a duration to be parsed: its key, its text, nil if it is not given, and where it is stored.
+type durationSetting struct {
+	key  string
+	text *string
+	to   *time.Duration
+}
+
+// parseDurations parses and stores the durations that are given. The error names the first that cannot be parsed.
+func parseDurations(settings []durationSetting) error {
+	for _, setting := range settings {
+		if setting.text == nil {
+			continue
+		}
+		duration, err := time.ParseDuration(*setting.text)
+		if err != nil {
+			return fmt.Errorf("%s: %w", setting.key, err)
+		}
+		*setting.to = duration
+	}
+	return nil
+}
+
+// setIfGiven stores a setting that is given.
+func setIfGiven[T any](to, from *T) {
+	if from != nil {
+		*to = *from
+	}
+}
+
+// apply stores the settings that are given in a scenario.
+func (w *World) apply(scenario *emulator.Scenario) error {
+	if w == nil {
+		return nil
+	}
+	traffic, network, reports := &scenario.Traffic, &scenario.Network, &scenario.Reports
+	setIfGiven(&traffic.Rate, w.Rate)
+	setIfGiven(&traffic.Work, w.Work)
+	setIfGiven(&traffic.Spread, w.Spread)
+	setIfGiven(&traffic.Retries, w.Retries)
+	setIfGiven(&traffic.Subjects, w.Subjects)
+	setIfGiven(&traffic.Users, w.Users)
+	setIfGiven(&traffic.Memory, w.Memory)
+	setIfGiven(&traffic.Hints, w.Hints)
+	setIfGiven(&network.Zones, w.Zones)
+	setIfGiven(&network.CrossPrice, w.CrossPrice)
+	setIfGiven(&network.Handshake, w.Handshake)
+	setIfGiven(&network.Most, w.Connections)
+	setIfGiven(&reports.Push, w.Push)
+	setIfGiven(&reports.Answers, w.Answers)
+	setIfGiven(&scenario.Store.Fetch, w.Fetch)
+	setIfGiven(&scenario.Dispatchers, w.Dispatchers)
+	setIfGiven(&scenario.Bays, w.Bays)
+	setIfGiven(&scenario.Rules.MaxAttempts, w.Attempts)
+	setIfGiven(&scenario.Queue, w.Queue)
+	setIfGiven(&scenario.Keeps, w.Keeps)
+	setIfGiven(&scenario.LiveWeights, w.LiveWeights)
+	setIfGiven(&scenario.Pushed, w.Pushed)
+	if w.Greedy != nil && len(traffic.Accounts) > 0 {
+		// The rate grows by what the first account sends beyond its share.
+		first := &traffic.Accounts[0]
+		more := first.Share * (*w.Greedy - 1)
+		traffic.Rate *= 1 + more
+		first.Share += more
+	}
+	return parseDurations([]durationSetting{
+		{"span", w.Span, &scenario.Span},
+		{"cross", w.Cross, &network.Cross},
+		{"report_delay", w.ReportDelay, &reports.Delay},
+		{"delay", w.Delay, &network.Delay},
+		{"discovery", w.Discovery, &scenario.Discovery},
+		{"reports", w.Reports, &reports.Every},
+		{"give_up", w.GiveUp, &traffic.GiveUp},
+	})
+}
