--- a/internal/load/send.go
+++ b/internal/load/client.go
@@ -5,6 +5,7 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,51 +17,59 @@
 	"brassdale/internal/protocol"
 )
 
-// Wire is what a generator speaks to its targets.
+// Wire is the protocol between the generator and its targets.
 type Wire string
 
+// The wires.
 const (
 	HTTP1  Wire = "http1"  // the platform's protocol
-	HTTP2  Wire = "http2"  // the same over HTTP/2 in clear
-	Events Wire = "events" // the front for progress: a job ends with its stream's last event
+	HTTP2  Wire = "http2"  // the same over HTTP/2 without TLS
+	Events Wire = "events" // the listener for progress events: a job ends with its stream's last event
 )
 
+// check returns an error for an unknown wire.
+func (w Wire) check() error {
+	switch w {
+	case HTTP1, HTTP2, Events:
+		return nil
+	}
+	return fmt.Errorf("there is no wire %q; there are %s, %s, %s", w, HTTP1, HTTP2, Events)
+}
+
 const (
-	maxBodyBytes       = 1 << 20
-	maxIdleConnections = 4096 // connections kept for a target
+	maxBodyBytes       = 1 << 20 // read of a response
+	maxIdleConnections = 4096    // to a target
+	maxRetryAfter      = time.Hour
 )
 
-// Client sends jobs to dispatchers, each try to the next in turn, as a front deals them out.
+// Client is a Sender that sends attempts to dispatchers in turn.
 type Client struct {
 	wire       Wire
 	class      string
 	urls       []string
 	http       http.Client
 	nextTarget atomic.Uint64
-	idPrefix   string // of the ids: two generators at once must not use the same
+	idPrefix   string // of request ids, so that two generators at once do not use the same
 	ids        atomic.Uint64
 	body       []byte
 }
 
-// NewClient makes a client. targets are addresses (host:port).
+// NewClient returns a client for targets (host:port). The caller must close it.
 func NewClient(wire Wire, class string, targets []string) (*Client, error) {
 	if len(targets) == 0 {
-		return nil, fmt.Errorf("no target")
+		return nil, errors.New("no target")
 	}
-	var salt [5]byte
-	if _, err := rand.Read(salt[:]); err != nil {
+	if err := wire.check(); err != nil {
 		return nil, err
 	}
+	var salt [5]byte
+	_, _ = rand.Read(salt[:]) // never fails
 	client := &Client{wire: wire, class: class, idPrefix: hex.EncodeToString(salt[:]), body: []byte("{}")}
-	// No dial outlives its try: the try's context ends it.
+	// The dialer needs no timeout: the context of the attempt ends it.
 	transport := &http.Transport{DialContext: (&net.Dialer{KeepAlive: -1}).DialContext, MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
-	switch wire {
-	case HTTP1, Events:
-	case HTTP2:
+	if wire == HTTP2 {
 		transport.Protocols = new(http.Protocols)
 		transport.Protocols.SetUnencryptedHTTP2(true)
-	default:
-		return nil, fmt.Errorf("there is no wire %q; there are %s, %s, %s", wire, HTTP1, HTTP2, Events)
 	}
 	client.http.Transport = transport
 	for _, target := range targets {
@@ -72,21 +81,47 @@
 	return client, nil
 }
 
-// Close gives up the connections that stand idle.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Send makes one try. It is a Sender.
+// Send implements Sender.
 func (c *Client) Send(ctx context.Context, job Job, attempt int, deadline time.Time) Answer {
 	ctx, stop := context.WithDeadline(ctx, deadline)
 	defer stop()
-	url := c.urls[c.nextTarget.Add(1)%uint64(len(c.urls))]
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(c.body))
+	request, err := c.newRequest(ctx, job, attempt, deadline)
+	if err != nil {
+		return Answer{Outcome: Unanswered}
+	}
+	response, err := c.http.Do(request)
 	if err != nil {
 		return Answer{Outcome: Unanswered}
 	}
-	id := c.idPrefix + strconv.FormatUint(c.ids.Add(1), 16) // a new one for a retry too
-	header := req.Header
-	header.Set("Req-Id", id)
+	defer func() { _ = response.Body.Close() }() // what was read counts
+	if c.wire == Events && response.StatusCode == http.StatusOK {
+		return lastEvent(response.Body)
+	}
+	// An answer has been received when its last byte has.
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBodyBytes)); err != nil {
+		return Answer{Outcome: Unanswered}
+	}
+	switch response.StatusCode {
+	case http.StatusOK:
+		return Answer{Outcome: Served}
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return Answer{Outcome: Refused, RetryAfter: parseRetryAfter(response.Header.Get("Retry-After"))}
+	}
+	return Answer{Outcome: Failed}
+}
+
+// newRequest returns the request for an attempt, with an id of its own, to the next target.
+func (c *Client) newRequest(ctx context.Context, job Job, attempt int, deadline time.Time) (*http.Request, error) {
+	url := c.urls[c.nextTarget.Add(1)%uint64(len(c.urls))]
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(c.body))
+	if err != nil {
+		return nil, err
+	}
+	header := request.Header
+	header.Set("Req-Id", c.idPrefix+strconv.FormatUint(c.ids.Add(1), 16))
 	header.Set("Req-Kind", c.class)
 	header.Set("Req-Owner", job.Account)
 	header.Set("Req-Deadline-Ms", strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
@@ -100,28 +135,10 @@
 	if attempt > 0 {
 		header.Set("Req-Retry", "1")
 	}
-	resp, err := c.http.Do(req)
-	if err != nil {
-		return Answer{Outcome: Unanswered}
-	}
-	defer resp.Body.Close()
-	if c.wire == Events && resp.StatusCode == http.StatusOK {
-		return lastEvent(resp.Body)
-	}
-	// The time of an answer is that of its last byte.
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)); err != nil {
-		return Answer{Outcome: Unanswered}
-	}
-	switch resp.StatusCode {
-	case http.StatusOK:
-		return Answer{Outcome: Served}
-	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return Answer{Outcome: Refused, RetryAfter: parseRetryAfter(resp.Header.Get("Retry-After"))}
-	}
-	return Answer{Outcome: Failed}
+	return request, nil
 }
 
-// lastEvent follows a job's stream to its end.
+// lastEvent reads a job's events to the last one and returns it as an answer.
 func lastEvent(body io.Reader) Answer {
 	events := protocol.NewEventReader(body)
 	for {
@@ -139,10 +156,10 @@
 	}
 }
 
-// parseRetryAfter reads seconds, whole or decimal; 0 for none.
+// parseRetryAfter parses a Retry-After header of whole or decimal seconds. Anything else, and more than maxRetryAfter, is 0.
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || seconds < 0 || seconds > 3600 {
+	if err != nil || seconds < 0 || seconds > maxRetryAfter.Seconds() {
 		return 0
 	}
 	return time.Duration(seconds * float64(time.Second))
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -1,7 +1,7 @@
 package load
 
 import (
-	"fmt"
+	"errors"
 	"os"
 	"path/filepath"
 	"time"
@@ -12,12 +12,12 @@
 	"brassdale/internal/hcldiag"
 )
 
-// File is a plan as an operator writes it.
+// File is a plan's file.
 type File struct {
 	Class    string         `hcl:"class"`
 	GiveUp   string         `hcl:"give_up"`
 	Aim      string         `hcl:"aim,optional"`
-	Wire     string         `hcl:"wire,optional"` // http1, if left out
+	Wire     string         `hcl:"wire,optional"` // HTTP1 if left out
 	Seed     int            `hcl:"seed,optional"`
 	MaxOpen  int            `hcl:"most_open,optional"`
 	Phases   []phaseBlock   `hcl:"phase,block"`
@@ -26,7 +26,8 @@
 	Subjects *subjectsBlock `hcl:"subjects,block"`
 	Retry    *retryBlock    `hcl:"retry,block"`
 
-	dir    string // relative paths are from here
+	// Set by check.
+	dir    string // of the file: relative paths start here
 	phases []Phase
 	terms  Terms
 	trace  []Job
@@ -64,10 +65,11 @@
 	Honour bool    `hcl:"honour,optional"`
 }
 
-// Load reads and checks a plan, its trace too. An error names all faults with file, line and column.
+// Load reads and checks a plan and its trace. The error has all mistakes with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
-// Parse reads the text of a plan; path is its name in errors, and where its trace's path begins.
+// Parse parses and checks the text of a plan and its trace. path is its name in errors, and its directory is where a relative path
+// of a trace starts.
 func Parse(text []byte, path string) (*File, error) {
 	f := &File{Seed: 1, Wire: string(HTTP1), dir: filepath.Dir(path)}
 	if err := hcldiag.Decode(text, path, f, f.check); err != nil {
@@ -76,92 +78,140 @@
 	return f, nil
 }
 
-// check finds what gohcl cannot, and fills in what the plan means.
-func (f *File) check(body *hclsyntax.Body) (diags hcl.Diagnostics) {
-	bad := func(at hcl.Range, format string, a ...any) {
-		diags = append(diags, hcldiag.At(at, "Bad plan", format, a...))
-	}
-	blocks := hcldiag.Blocks(body)
-	span := func(b *hclsyntax.Body, name, text string) time.Duration {
-		if text == "" {
-			return 0
-		}
-		d, err := time.ParseDuration(text)
-		if err != nil || d < 0 {
-			bad(hcldiag.Place(b, name), "%s: %q is no time like \"2.5s\".", name, text)
+// checker collects the mistakes of a plan.
+type checker struct {
+	file   *File
+	body   *hclsyntax.Body
+	blocks map[string][]*hclsyntax.Block
+	diags  hcl.Diagnostics
+}
+
+// check returns the mistakes that gohcl does not find, and sets what the plan means.
+func (f *File) check(body *hclsyntax.Body) hcl.Diagnostics {
+	c := &checker{file: f, body: body, blocks: hcldiag.Blocks(body)}
+	c.checkAttributes()
+	c.checkPhases()
+	c.checkAccounts()
+	c.checkSubjects()
+	c.checkRetry()
+	if f.Trace != nil && !c.diags.HasErrors() {
+		if err := f.readTrace(f.Trace); err != nil {
+			c.add(hcldiag.Place(c.blocks["trace"][0].Body, "file"), "%s: %v.", f.Trace.File, err)
 		}
-		return d
 	}
-	f.terms = Terms{Class: f.Class, GiveUp: span(body, "give_up", f.GiveUp), Aim: span(body, "aim", f.Aim)}
-	if f.Class == "" {
-		bad(hcldiag.Place(body, "class"), "class is empty.")
+	return c.diags
+}
+
+// add adds a mistake.
+func (c *checker) add(place hcl.Range, format string, args ...any) {
+	c.diags = append(c.diags, hcldiag.At(place, "Bad plan", format, args...))
+}
+
+// duration parses the text of an attribute of a body; empty is 0.
+func (c *checker) duration(body *hclsyntax.Body, attribute, text string) time.Duration {
+	if text == "" {
+		return 0
+	}
+	duration, err := time.ParseDuration(text)
+	if err != nil || duration < 0 {
+		c.add(hcldiag.Place(body, attribute), "%s: %q is no time like \"2.5s\".", attribute, text)
+	}
+	return duration
+}
+
+// checkAttributes checks the plan's attributes and that it has either phases or a trace.
+func (c *checker) checkAttributes() {
+	file, body := c.file, c.body
+	file.terms = Terms{Class: file.Class, GiveUp: c.duration(body, "give_up", file.GiveUp), Aim: c.duration(body, "aim", file.Aim)}
+	if file.Class == "" {
+		c.add(hcldiag.Place(body, "class"), "class is empty.")
 	}
-	if f.terms.GiveUp <= 0 {
-		bad(hcldiag.Place(body, "give_up"), "give_up must be above 0.")
+	if file.terms.GiveUp <= 0 {
+		c.add(hcldiag.Place(body, "give_up"), "give_up must be above 0.")
 	}
-	if f.Seed < 0 {
-		bad(hcldiag.Place(body, "seed"), "seed must not be below 0.")
+	if file.Seed < 0 {
+		c.add(hcldiag.Place(body, "seed"), "seed must not be below 0.")
 	}
-	if _, err := NewClient(Wire(f.Wire), "x", []string{"h:1"}); err != nil {
-		bad(hcldiag.Place(body, "wire"), "%v.", err)
+	if err := Wire(file.Wire).check(); err != nil {
+		c.add(hcldiag.Place(body, "wire"), "%v.", err)
 	}
-	if (len(f.Phases) > 0) == (f.Trace != nil) {
-		bad(body.MissingItemRange(), "A plan has phases, or a trace.")
+	if (len(file.Phases) > 0) == (file.Trace != nil) {
+		c.add(body.MissingItemRange(), "A plan has phases, or a trace.")
 	}
-	for i, p := range f.Phases {
-		b := blocks["phase"][i]
-		shape, ok := shapesByName[p.Shape]
+}
+
+// checkPhases checks the phases and sets them in the generator's terms.
+func (c *checker) checkPhases() {
+	for i, configured := range c.file.Phases {
+		block := c.blocks["phase"][i]
+		shape, ok := shapesByName[configured.Shape]
 		if !ok {
-			bad(b.LabelRanges[0], "There is no shape %q; there are constant, poisson, ramp, burst, day.", p.Shape)
+			c.add(block.LabelRanges[0], "There is no shape %q; there are constant, poisson, ramp, burst, day.", configured.Shape)
 			continue
 		}
-		phase := Phase{Shape: shape, For: span(b.Body, "for", p.For), Rate: p.Rate, To: p.To, Every: span(b.Body, "every", p.Every), Last: span(b.Body, "last", p.Last)}
+		phase := Phase{
+			Shape: shape,
+			For:   c.duration(block.Body, "for", configured.For),
+			Rate:  configured.Rate,
+			To:    configured.To,
+			Every: c.duration(block.Body, "every", configured.Every),
+			Last:  c.duration(block.Body, "last", configured.Last),
+		}
 		if err := phase.check(); err != nil {
-			bad(b.DefRange(), "%v.", err)
+			c.add(block.DefRange(), "%v.", err)
 		}
-		f.phases = append(f.phases, phase)
+		c.file.phases = append(c.file.phases, phase)
 	}
+}
+
+// checkAccounts checks the accounts.
+func (c *checker) checkAccounts() {
 	names := map[string]bool{}
-	for i, a := range f.Accounts {
-		b := blocks["account"][i]
-		if a.Share <= 0 || a.Times < 0 || names[a.Name] {
-			bad(b.DefRange(), "An account has a name of its own, a share above 0, and times not below 0.")
+	for i, account := range c.file.Accounts {
+		if account.Share <= 0 || account.Times < 0 || names[account.Name] {
+			c.add(c.blocks["account"][i].DefRange(), "An account has a name of its own, a share above 0, and times not below 0.")
 		}
-		names[a.Name] = true
+		names[account.Name] = true
 	}
-	if s := f.Subjects; s != nil && (s.Number < 1 || s.Zipf != 0 && s.Zipf <= 1) {
-		bad(blocks["subjects"][0].DefRange(), "subjects needs a number above 0, and zipf above 1 or left out.")
+}
+
+// checkSubjects checks the subjects.
+func (c *checker) checkSubjects() {
+	subjects := c.file.Subjects
+	if subjects != nil && (subjects.Number < 1 || subjects.Zipf != 0 && subjects.Zipf <= 1) {
+		c.add(c.blocks["subjects"][0].DefRange(), "subjects needs a number above 0, and zipf above 1 or left out.")
 	}
-	if r := f.Retry; r != nil {
-		b := blocks["retry"][0]
-		f.terms.Retry = Retry{Max: r.Max, Share: r.Share, Wait: span(b.Body, "wait", r.Wait), Honour: r.Honour}
-		if r.Max < 0 || r.Share < 0 || r.Share > 1 {
-			bad(b.DefRange(), "retry needs most not below 0 and a share from 0 to 1.")
-		}
+}
+
+// checkRetry checks the retries and sets them in the generator's terms.
+func (c *checker) checkRetry() {
+	retry := c.file.Retry
+	if retry == nil {
+		return
 	}
-	if t := f.Trace; t != nil && !diags.HasErrors() {
-		if err := f.readTrace(t); err != nil {
-			bad(hcldiag.Place(blocks["trace"][0].Body, "file"), "%s: %v.", t.File, err)
-		}
+	block := c.blocks["retry"][0]
+	c.file.terms.Retry = Retry{Max: retry.Max, Share: retry.Share, Wait: c.duration(block.Body, "wait", retry.Wait), Honour: retry.Honour}
+	if retry.Max < 0 || retry.Share < 0 || retry.Share > 1 {
+		c.add(block.DefRange(), "retry needs most not below 0 and a share from 0 to 1.")
 	}
-	return diags
 }
 
-// readTrace reads the trace.
+// readTrace reads the plan's trace.
 func (f *File) readTrace(block *traceBlock) error {
 	path := block.File
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(f.dir, path)
 	}
-	input, err := os.Open(path)
+	in, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("cannot be read")
+		return errors.New("cannot be read")
 	}
-	defer input.Close()
-	f.trace, err = ReadTrace(input, block.Format, f.mix().Accounts)
+	defer func() { _ = in.Close() }() // it was only read
+	f.trace, err = ReadTrace(in, block.Format, f.mix().Accounts)
 	return err
 }
 
+// mix returns the plan's accounts and subjects in the generator's terms.
 func (f *File) mix() Mix {
 	m := Mix{}
 	for _, a := range f.Accounts {
@@ -173,7 +223,7 @@
 	return m
 }
 
-// Source gives the plan's jobs, from the first.
+// Source returns the plan's jobs, from the first.
 func (f *File) Source() Source {
 	if f.Trace != nil {
 		return Recorded(f.trace)
@@ -181,12 +231,12 @@
 	return Generated(f.phases, f.mix(), uint64(f.Seed))
 }
 
-// Options are those of a run of the plan.
+// Options returns the options for a run of the plan.
 func (f *File) Options() Options {
 	return Options{Terms: f.terms, Seed: uint64(f.Seed), MaxOpen: f.MaxOpen}
 }
 
-// Client gives what sends the plan's jobs to targets.
+// Client returns a client that sends the plan's jobs to targets (host:port).
 func (f *File) Client(targets []string) (*Client, error) {
 	return NewClient(Wire(f.Wire), f.Class, targets)
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,53 +1,57 @@
-// Package load is an open-loop load generator: jobs are sent when their plan says so, whatever became of those before, and
-// each latency counts from that intended time. So a target that stalls cannot hide its stall by holding its clients up. A
-// generator that falls behind its own plan says so, and its result is marked unusable.
+// Package load is an open-loop load generator: it sends each job at the time its plan says, whatever became of earlier jobs, and
+// counts latency from that time, so that a target that stalls cannot hide it by holding back its clients. A generator that falls
+// behind its own plan marks its result unusable.
 package load
 
-import "time"
+import (
+	"time"
+)
 
-// Job is one job of a plan, as its client means it.
+// Job is one job of a plan.
 type Job struct {
-	At      time.Duration // since the start, when it is to be sent
+	At      time.Duration // when it is due, since the start
 	Account string
-	Subject string // what it is about; empty for nothing
-	Key     string // idempotency key; empty for one of its own
-	Work    string // passed on as Req-Extra, as a trace has it; empty for none
+	Subject string // what it is about; empty for none
+	Key     string // idempotency key; empty for a new one
+	Work    string // value of the Req-Extra header, as in a trace; empty for none
 }
 
-// Source gives a plan's jobs in the order of their times.
+// Source returns a plan's jobs in the order of their times, and false after the last.
 type Source interface {
 	Next() (Job, bool)
 }
 
-// Outcome is how a job ended for its client, over its tries.
+// Outcome is how a job, over all its attempts, or one of them ended for its client.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Served     Outcome = iota
-	Late               // served, but later than wanted
-	Refused            // 429 or 503
-	Failed             // any other answer
-	Unanswered         // none by the give-up, or its connection broke
-	outcomes
+	Late               // served, but after the latency objective
+	Refused            // status 429 or 503
+	Failed             // any other status
+	Unanswered         // no answer by the deadline, or a broken connection
+
+	outcomes // their number
 )
 
 var outcomeNames = [outcomes]string{"served", "late", "refused", "failed", "unanswered"}
 
+// String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Terms are what clients do and want.
+// Terms are what clients want and how they retry.
 type Terms struct {
 	Class  string
-	GiveUp time.Duration
-	Aim    time.Duration // an answer after it is late; 0 for no such aim
+	GiveUp time.Duration // deadline of a job, from when it is due
+	Aim    time.Duration // latency objective; 0 for none
 	Retry  Retry
 }
 
-// Retry is how clients come back. A client does so after a refusal, which says that it is harmless, and after nothing else.
+// Retry is how clients retry. They do so only after a rejection, which says that a retry is harmless.
 type Retry struct {
-	Max    int           // times for a job; 0 for never
-	Share  float64       // of the refused jobs whose client does
-	Wait   time.Duration // where the refusal says nothing
-	Honour bool          // wait as the refusal says, else Wait always
+	Max    int           // retries of a job
+	Share  float64       // of the clients that retry
+	Wait   time.Duration // before a retry, unless Honour applies
+	Honour bool          // wait as the Retry-After of the rejection says, if it has one
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -17,15 +17,16 @@
 	"pgregory.net/rapid"
 )
 
-func drain(s Source) (jobs []Job) {
-	for j, ok := s.Next(); ok; j, ok = s.Next() {
-		jobs = append(jobs, j)
+// allJobs returns all jobs of a source.
+func allJobs(source Source) (jobs []Job) {
+	for job, ok := source.Next(); ok; job, ok = source.Next() {
+		jobs = append(jobs, job)
 	}
 	return jobs
 }
 
-// The same seed gives the same jobs, another gives others, times are in order and inside their phases, and who sends them
-// changes nothing of when they come.
+// TestPlansAreByTheirSeed: a seed gives the same jobs each time, and another seed others; times are in order and inside their phases,
+// and do not depend on the accounts.
 func TestPlansAreByTheirSeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		phase := Phase{Shape: Shape(rapid.IntRange(0, int(Day)).Draw(t, "shape")), For: time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond,
@@ -38,12 +39,12 @@
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
 		mix := Mix{Accounts: []Account{{"a", 0.7, 0}, {"b", 0.3, 0}}, Subjects: 50, Zipf: 1.2}
-		first := drain(Generated([]Phase{phase, phase}, mix, seed))
-		if again := drain(Generated([]Phase{phase, phase}, mix, seed)); !reflect.DeepEqual(first, again) {
+		first := allJobs(Generated([]Phase{phase, phase}, mix, seed))
+		if again := allJobs(Generated([]Phase{phase, phase}, mix, seed)); !reflect.DeepEqual(first, again) {
 			t.Fatal("the same seed gave other jobs")
 		}
 		mix.Accounts = []Account{{"c", 1, 0}}
-		other := drain(Generated([]Phase{phase, phase}, mix, seed))
+		other := allJobs(Generated([]Phase{phase, phase}, mix, seed))
 		for i, j := range first {
 			if j.At < 0 || j.At >= 2*phase.For || i > 0 && j.At < first[i-1].At {
 				t.Fatalf("job %d at %v", i, j.At)
@@ -53,15 +54,15 @@
 			}
 		}
 	})
-	if reflect.DeepEqual(drain(Generated([]Phase{{Shape: Poisson, For: time.Second, Rate: 100}}, Mix{}, 1)), drain(Generated([]Phase{{Shape: Poisson, For: time.Second, Rate: 100}}, Mix{}, 2))) {
+	if reflect.DeepEqual(allJobs(Generated([]Phase{{Shape: Poisson, For: time.Second, Rate: 100}}, Mix{}, 1)), allJobs(Generated([]Phase{{Shape: Poisson, For: time.Second, Rate: 100}}, Mix{}, 2))) {
 		t.Error("another seed gave the same jobs")
 	}
 }
 
-// As many jobs come as their shape says, within five deviations of chance, and an account at five times its traffic has
-// five times as many, on top of the others'.
+// TestShapesHaveTheirRates: each shape has as many jobs as it should, within five standard deviations, and an account with five times
+// its share sends five times as many, beside the others' jobs.
 func TestShapesHaveTheirRates(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		phase Phase
 		want  float64
 	}{
@@ -70,12 +71,12 @@
 		"ramp":     {Phase{Shape: Ramp, For: 10 * time.Second, Rate: 0, To: 1000}, 5000},
 		"burst":    {Phase{Shape: Burst, For: 10 * time.Second, Rate: 100, To: 900, Every: time.Second, Last: 500 * time.Millisecond}, 5000},
 	} {
-		if got := float64(len(drain(Generated([]Phase{c.phase}, Mix{}, 7)))); math.Abs(got-c.want) > 5*math.Sqrt(c.want) {
-			t.Errorf("%s: %v jobs, want about %v", name, got, c.want)
+		if got := float64(len(allJobs(Generated([]Phase{test.phase}, Mix{}, 7)))); math.Abs(got-test.want) > 5*math.Sqrt(test.want) {
+			t.Errorf("%s: %v jobs, want about %v", name, got, test.want)
 		}
 	}
 	count := map[string]float64{}
-	for _, j := range drain(Generated([]Phase{{Shape: Poisson, For: 10 * time.Second, Rate: 500}}, Mix{Accounts: []Account{{"a", 0.5, 5}, {"b", 0.5, 0}}}, 3)) {
+	for _, j := range allJobs(Generated([]Phase{{Shape: Poisson, For: 10 * time.Second, Rate: 500}}, Mix{Accounts: []Account{{"a", 0.5, 5}, {"b", 0.5, 0}}}, 3)) {
 		count[j.Account]++
 	}
 	if math.Abs(count["b"]-2500) > 250 || math.Abs(count["a"]-12500) > 600 {
@@ -83,10 +84,10 @@
 	}
 }
 
-// A trace is read whole or not at all, and its first fault is named with its line.
+// TestTraces: a trace is read whole or not at all, and the error names the line of its first mistake.
 func TestTraces(t *testing.T) {
 	accounts := []Account{{Name: "a"}, {Name: "b"}}
-	for name, c := range map[string]struct{ format, text, want string }{
+	for name, test := range map[string]struct{ format, text, want string }{
 		"csv":             {"csv", "at_ms,account,key\n0,a,k1\n5000,b,k2\n", ""}, // a gap of five seconds is as it was
 		"json lines":      {"jsonl", "{\"at_ms\":0,\"account\":\"a\",\"subject\":\"s\"}\n\n{\"at_ms\":1.5,\"account\":\"b\"}\n", ""},
 		"out of order":    {"jsonl", "{\"at_ms\":5,\"account\":\"a\"}\n{\"at_ms\":4,\"account\":\"a\"}\n", "line 2: at_ms 4 is before the 5 of the line before"},
@@ -102,13 +103,14 @@
 		"empty":           {"csv", "at_ms\n", "no job"},
 		"format":          {"xml", "", "no trace format"},
 	} {
-		jobs, err := ReadTrace(strings.NewReader(c.text), c.format, accounts)
-		if c.want == "" && (err != nil || len(jobs) != 2) || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || jobs != nil) {
-			t.Errorf("%s: %d jobs, error %v, want %q", name, len(jobs), err, c.want)
+		jobs, err := ReadTrace(strings.NewReader(test.text), test.format, accounts)
+		if test.want == "" && (err != nil || len(jobs) != 2) || test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want) || jobs != nil) {
+			t.Errorf("%s: %d jobs, error %v, want %q", name, len(jobs), err, test.want)
 		}
 	}
 }
 
+// FuzzReadTrace: any text gives either jobs, in order and without line breaks, or an error.
 func FuzzReadTrace(f *testing.F) {
 	f.Add("at_ms,account\n0,a\n", true)
 	f.Add("{\"at_ms\":0}\n", false)
@@ -129,50 +131,51 @@
 	})
 }
 
-// Faults of a plan are named with file, line and column, all of them.
+// TestPlanFaults: mistakes in a plan are reported with file, line and column.
 func TestPlanFaults(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "t.csv"), []byte("at_ms\nx\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	head := "class = \"c\"\ngive_up = \"5s\"\n"
-	for name, c := range map[string]struct{ text, want string }{
-		"good":       {head + "phase \"ramp\" {\n  for = \"1s\"\n  rate = 1\n  to = 9\n}\n", ""},
-		"no phase":   {head, "plan.hcl:"},
-		"shape":      {head + "phase \"cone\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:3:7: Bad plan: There is no shape \"cone\""},
+	header := "class = \"c\"\ngive_up = \"5s\"\n"
+	for name, test := range map[string]struct{ text, want string }{
+		"good":       {header + "phase \"ramp\" {\n  for = \"1s\"\n  rate = 1\n  to = 9\n}\n", ""},
+		"no phase":   {header, "plan.hcl:"},
+		"shape":      {header + "phase \"cone\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:3:7: Bad plan: There is no shape \"cone\""},
 		"time":       {"class = \"c\"\ngive_up = \"soon\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:2:11:"},
 		"two faults": {"class = \"\"\ngive_up = \"0s\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:2:11: Bad plan: give_up must be above 0."},
-		"wire":       {head + "wire = \"smoke\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:3:8:"},
-		"trace":      {head + "trace {\n  file = \"t.csv\"\n  format = \"csv\"\n}\n", "plan.hcl:4:10: Bad plan: t.csv: line 2: at_ms: \"x\" is no number"},
-		"unknown":    {head + "speed = 3\n", "plan.hcl:3:1:"},
+		"wire":       {header + "wire = \"smoke\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:3:8:"},
+		"trace":      {header + "trace {\n  file = \"t.csv\"\n  format = \"csv\"\n}\n", "plan.hcl:4:10: Bad plan: t.csv: line 2: at_ms: \"x\" is no number"},
+		"unknown":    {header + "speed = 3\n", "plan.hcl:3:1:"},
 	} {
-		_, err := Parse([]byte(c.text), filepath.Join(dir, "plan.hcl"))
-		if (c.want == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+		_, err := Parse([]byte(test.text), filepath.Join(dir, "plan.hcl"))
+		if (test.want == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %v, want %q", name, err, test.want)
 		}
 	}
 }
 
-type sender func(ctx context.Context, j Job, try int, deadline time.Time) Answer
+// senderFunc is a function as a Sender.
+type senderFunc func(ctx context.Context, j Job, try int, deadline time.Time) Answer
 
-func (s sender) Send(ctx context.Context, j Job, try int, deadline time.Time) Answer {
+func (s senderFunc) Send(ctx context.Context, j Job, try int, deadline time.Time) Answer {
 	return s(ctx, j, try, deadline)
 }
 
-// A target that stands still for 150 ms: the pause is in the percentiles from when jobs were due, whoever sends them. A
-// client that waits for its answers before it sends again sees it once, in one of all its answers.
+// TestPauseIsSeen: a target that stalls for 150 ms shows in the percentiles from when jobs were due, in an open and in a closed loop;
+// in those from when attempts were sent, a closed loop hides it.
 func TestPauseIsSeen(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	run := func(clients int) Figures {
 		begin := time.Now()
-		stands := sender(func(context.Context, Job, int, time.Time) Answer {
+		stalled := senderFunc(func(context.Context, Job, int, time.Time) Answer {
 			if at := time.Since(begin); at > pause && at < 2*pause {
 				time.Sleep(2*pause - at)
 			}
 			return Answer{}
 		})
-		o := Options{Terms: Terms{GiveUp: time.Minute}, Begin: begin, Clients: clients}
-		return Run(t.Context(), Generated([]Phase{{Shape: Constant, For: 3 * pause, Rate: 1000}}, Mix{}, 1), stands, o).Figures()
+		options := Options{Terms: Terms{GiveUp: time.Minute}, Begin: begin, Clients: clients}
+		return Run(t.Context(), Generated([]Phase{{Shape: Constant, For: 3 * pause, Rate: 1000}}, Mix{}, 1), stalled, options).Figures()
 	}
 	open, closed := run(0), run(1)
 	if open.Latency.P90 < 50 || open.Latency.Max < 140 {
@@ -186,49 +189,49 @@
 	}
 }
 
-// A generator that is starved, here by a plan that began before it, or that is out of room says that its result is of no
-// use; one that keeps its plan does not.
+// TestFellBehind: the result of a generator that is late, here as its plan began before it did, or that has too many jobs in flight,
+// is unusable.
 func TestFellBehind(t *testing.T) {
 	block := make(chan struct{})
 	plan := func() Source {
 		return Generated([]Phase{{Shape: Constant, For: 20 * time.Millisecond, Rate: 500}}, Mix{}, 1)
 	}
-	at := sender(func(context.Context, Job, int, time.Time) Answer { return Answer{} })
-	starved := Run(t.Context(), plan(), at, Options{Terms: Terms{GiveUp: time.Second}, Begin: time.Now().Add(-time.Second)})
+	instant := senderFunc(func(context.Context, Job, int, time.Time) Answer { return Answer{} })
+	starved := Run(t.Context(), plan(), instant, Options{Terms: Terms{GiveUp: time.Second}, Begin: time.Now().Add(-time.Second)})
 	if err := starved.Usable(); !errors.Is(err, ErrUnusable) || !strings.Contains(err.Error(), "late") || starved.Figures().Usable {
 		t.Errorf("starved: %v", err)
 	}
 	var once sync.Once
-	waits := sender(func(context.Context, Job, int, time.Time) Answer {
+	blocked := senderFunc(func(context.Context, Job, int, time.Time) Answer {
 		once.Do(func() { time.AfterFunc(100*time.Millisecond, func() { close(block) }) })
 		<-block
 		return Answer{}
 	})
-	full := Run(t.Context(), plan(), waits, Options{Terms: Terms{GiveUp: time.Second}, MaxOpen: 3})
+	full := Run(t.Context(), plan(), blocked, Options{Terms: Terms{GiveUp: time.Second}, MaxOpen: 3})
 	if err := full.Usable(); !errors.Is(err, ErrUnusable) || full.Figures().Outcomes["served"] != 3 {
 		t.Errorf("out of room: %v, %v", err, full.Figures().Outcomes)
 	}
 }
 
-// Stopped before its end, a run gives what was measured and says that it was stopped.
+// TestStopped: if the context ends, the result has what was measured and says that it was cut short.
 func TestStopped(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
-	n := 0
-	at := sender(func(context.Context, Job, int, time.Time) Answer {
-		if n++; n == 5 {
+	sent := 0
+	sender := senderFunc(func(context.Context, Job, int, time.Time) Answer {
+		if sent++; sent == 5 {
 			stop()
 		}
 		return Answer{}
 	})
-	f := Run(ctx, Generated([]Phase{{Shape: Constant, For: time.Hour, Rate: 100}}, Mix{}, 1), at, Options{Clients: 1, Terms: Terms{GiveUp: time.Second}}).Figures()
+	figures := Run(ctx, Generated([]Phase{{Shape: Constant, For: time.Hour, Rate: 100}}, Mix{}, 1), sender, Options{Clients: 1, Terms: Terms{GiveUp: time.Second}}).Figures()
 	var text strings.Builder
-	if err := f.Table(&text); err != nil || !f.CutShort || f.Outcomes["served"] < 5 || !strings.Contains(text.String(), "stopped after") {
-		t.Errorf("%+v\n%s", f, &text)
+	if err := figures.Table(&text); err != nil || !figures.CutShort || figures.Outcomes["served"] < 5 || !strings.Contains(text.String(), "stopped after") {
+		t.Errorf("%+v\n%s", figures, &text)
 	}
 }
 
-// A client comes back after a refusal, under the same key and a new id, after as long as it was told, and counts as one
-// job; it does not after a failure, nor past its give-up.
+// TestRetries: a client retries a rejection after its Retry-After, with the same key and a new id, and the job counts once; it does not
+// retry a failure, nor after its deadline.
 func TestRetries(t *testing.T) {
 	type seen struct {
 		id, key, retry string
@@ -249,19 +252,19 @@
 		w.WriteHeader(status)
 	}))
 	defer target.Close()
-	c, err := NewClient(HTTP1, "price-part", []string{target.Listener.Addr().String()})
+	client, err := NewClient(HTTP1, "price-part", []string{target.Listener.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer client.Close()
 	run := func(giveUp time.Duration) Figures {
 		got = nil
-		o := Options{Terms: Terms{GiveUp: giveUp, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, Honour: true}}}
-		return Run(t.Context(), Recorded([]Job{{Account: "a"}}), c, o).Figures()
+		options := Options{Terms: Terms{GiveUp: giveUp, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, Honour: true}}}
+		return Run(t.Context(), Recorded([]Job{{Account: "a"}}), client, options).Figures()
 	}
-	f := run(5 * time.Second)
-	if f.Outcomes["served"] != 1 || f.Tries != 2 || got[0].key != got[1].key || got[0].id == got[1].id || got[1].retry != "1" || got[1].at.Sub(got[0].at) < 100*time.Millisecond {
-		t.Errorf("%+v, seen %+v", f, got)
+	figures := run(5 * time.Second)
+	if figures.Outcomes["served"] != 1 || figures.Tries != 2 || got[0].key != got[1].key || got[0].id == got[1].id || got[1].retry != "1" || got[1].at.Sub(got[0].at) < 100*time.Millisecond {
+		t.Errorf("%+v, seen %+v", figures, got)
 	}
 	if f := run(50 * time.Millisecond); f.Outcomes["refused"] != 1 || len(got) != 1 {
 		t.Errorf("past its give-up: %+v, %d tries", f.Outcomes, len(got))
@@ -272,17 +275,17 @@
 	}
 }
 
-// BenchmarkPacing paces 20,000 jobs a second and reports how late they left.
+// BenchmarkPacing paces 20,000 jobs a second and reports how late they are sent.
 func BenchmarkPacing(b *testing.B) {
-	at := sender(func(context.Context, Job, int, time.Time) Answer { return Answer{} })
+	instant := senderFunc(func(context.Context, Job, int, time.Time) Answer { return Answer{} })
 	for b.Loop() {
-		f := Run(b.Context(), Generated([]Phase{{Shape: Poisson, For: 2 * time.Second, Rate: 20_000}}, Mix{}, 1), at, Options{Terms: Terms{GiveUp: time.Second}}).Figures()
-		b.ReportMetric(f.Rate, "jobs/s")
-		b.ReportMetric(f.Lag.P50, "lag-p50-ms")
-		b.ReportMetric(f.Lag.P99, "lag-p99-ms")
-		b.ReportMetric(f.Lag.Max, "lag-max-ms")
-		if !f.Usable {
-			b.Error(f.Why)
+		figures := Run(b.Context(), Generated([]Phase{{Shape: Poisson, For: 2 * time.Second, Rate: 20_000}}, Mix{}, 1), instant, Options{Terms: Terms{GiveUp: time.Second}}).Figures()
+		b.ReportMetric(figures.Rate, "jobs/s")
+		b.ReportMetric(figures.Lag.P50, "lag-p50-ms")
+		b.ReportMetric(figures.Lag.P99, "lag-p99-ms")
+		b.ReportMetric(figures.Lag.Max, "lag-max-ms")
+		if !figures.Usable {
+			b.Error(figures.Why)
 		}
 	}
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -1,45 +1,54 @@
 package load
 
 import (
-	"encoding/json"
+	"context"
 	"fmt"
-	"io"
-	"maps"
-	"slices"
 	"sync"
-	"text/tabwriter"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what came of a run.
+// Result is what a run measured. Its figures are safe for use by several goroutines.
 type Result struct {
 	Span     time.Duration
-	CutShort bool // it was stopped before its plan was through
+	CutShort bool // the context ended before the plan
 
-	clients    int // that waited for their answers; 0 for an open loop
+	clients    int // of a closed loop; 0 for an open loop
 	mu         sync.Mutex
-	planned    int // jobs that came due
-	unsent     int // of them, not sent for want of room in the generator
-	openAtStop int // of them, open when the run was stopped
+	planned    int // jobs that were due
+	unsent     int // of them, not sent as too many were in flight
+	openAtStop int // of them, in flight when the context ended
 	attempts   int
 	counts     [outcomes]int
 	accounts   map[string]*[outcomes]int
-	latency    *hdrhistogram.Histogram // of what was answered, from when it was due, in microseconds
-	service    *hdrhistogram.Histogram // the same from when its last try left
-	lag        *hdrhistogram.Histogram // how late jobs left
+	latency    *hdrhistogram.Histogram // of answered jobs, in microseconds from when they were due
+	service    *hdrhistogram.Histogram // of answered jobs, in microseconds from when their last attempt was sent
+	lag        *hdrhistogram.Histogram // how late jobs were sent, in microseconds
 }
 
+// Range and precision of the histograms.
+const (
+	minRecorded       = time.Microsecond
+	maxRecorded       = time.Hour
+	significantDigits = 3
+)
+
+// newResult returns an empty result.
 func newResult(clients int) *Result {
-	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, time.Hour.Microseconds(), 3) }
+	newHistogram := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(minRecorded.Microseconds(), maxRecorded.Microseconds(), significantDigits)
+	}
 	return &Result{clients: clients, accounts: map[string]*[outcomes]int{}, latency: newHistogram(), service: newHistogram(), lag: newHistogram()}
 }
 
+// recordDuration records a duration, or the nearest one in the histogram's range.
 func recordDuration(histogram *hdrhistogram.Histogram, d time.Duration) {
-	_ = histogram.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds())) // always in range
+	microseconds := min(max(d.Microseconds(), minRecorded.Microseconds()), maxRecorded.Microseconds())
+	_ = histogram.RecordValue(microseconds) // fails only outside the range
 }
 
+// recordDue counts a job that was due, and how late it is sent.
 func (r *Result) recordDue(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,18 +56,33 @@
 	recordDuration(r.lag, lag)
 }
 
+// recordUnsent counts a job that is not sent.
 func (r *Result) recordUnsent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unsent++
 }
 
+// recordStopped counts a job that was in flight when the context ended.
 func (r *Result) recordStopped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.openAtStop++
 }
 
+// recordJob records a job's end and calls each with it, unless the context's end cut the job short.
+func (r *Result) recordJob(ctx context.Context, job Job, ended jobEnd, each func(Job, Outcome, time.Duration)) {
+	if ended.outcome == Unanswered && ctx.Err() != nil {
+		r.recordStopped()
+		return
+	}
+	r.recordEnd(job, ended)
+	if each != nil {
+		each(job, ended.outcome, ended.latency)
+	}
+}
+
+// recordEnd counts a job's end.
 func (r *Result) recordEnd(job Job, ended jobEnd) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +100,8 @@
 	}
 }
 
-// Usable tells whether the generator kept its plan; if not, why.
+// Usable returns an error that wraps ErrUnusable and says why, if the generator did not keep its plan. Clients of a closed loop are
+// late by design: how late is in the figures.
 func (r *Result) Usable() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,115 +109,10 @@
 		return fmt.Errorf("%w: %d of %d jobs were not sent, too many were open", ErrUnusable, r.unsent, r.planned)
 	}
 	if r.clients > 0 {
-		return nil // who waits is late by design: how late stands in the figures
+		return nil
 	}
 	if lag := time.Duration(r.lag.ValueAtQuantile(lagQuantile*100)) * time.Microsecond; r.planned > 0 && lag > MaxLag {
 		return fmt.Errorf("%w: one of 100 jobs left %v late or later, %v is allowed", ErrUnusable, lag, MaxLag)
 	}
 	return nil
 }
-
-// Figures are a result as it is kept.
-type Figures struct {
-	Usable   bool                      `json:"usable"`
-	Why      string                    `json:"why,omitempty"` // it is not
-	CutShort bool                      `json:"cut_short"`
-	Clients  int                       `json:"clients,omitempty"` // that waited for their answers: a closed loop
-	Seconds  float64                   `json:"seconds"`
-	Planned  int                       `json:"planned"`
-	Open     int                       `json:"open_at_stop"`
-	Tries    int                       `json:"tries"`
-	Rate     float64                   `json:"rate"` // jobs a second that ended
-	Outcomes map[string]int            `json:"outcomes"`
-	Accounts map[string]map[string]int `json:"accounts"`
-	Latency  Quantiles                 `json:"latency_ms"` // from when a job was due
-	Service  Quantiles                 `json:"service_ms"` // from when its last try left: a stalled target hides in it
-	Lag      Quantiles                 `json:"lag_ms"`     // how late jobs left
-}
-
-// Quantiles of a histogram, in milliseconds.
-type Quantiles struct {
-	Mean, P50, P90, P99, P999, Max float64
-}
-
-func quantiles(histogram *hdrhistogram.Histogram) Quantiles {
-	milliseconds := func(v int64) float64 { return float64(v) / 1000 }
-	return Quantiles{histogram.Mean() / 1000, milliseconds(histogram.ValueAtQuantile(50)), milliseconds(histogram.ValueAtQuantile(90)), milliseconds(histogram.ValueAtQuantile(99)), milliseconds(histogram.ValueAtQuantile(99.9)), milliseconds(histogram.Max())}
-}
-
-// Figures gives them.
-func (r *Result) Figures() Figures {
-	why := r.Usable()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	figures := Figures{Usable: why == nil, CutShort: r.CutShort, Clients: r.clients, Seconds: r.Span.Seconds(), Planned: r.planned, Open: r.openAtStop, Tries: r.attempts,
-		Outcomes: countsByName(r.counts), Accounts: map[string]map[string]int{}, Latency: quantiles(r.latency), Service: quantiles(r.service), Lag: quantiles(r.lag)}
-	if why != nil {
-		figures.Why = why.Error()
-	}
-	for name, counts := range r.accounts {
-		figures.Accounts[name] = countsByName(*counts)
-	}
-	if figures.Seconds > 0 {
-		figures.Rate = float64(figures.Planned-r.unsent-r.openAtStop) / figures.Seconds
-	}
-	return figures
-}
-
-func countsByName(counts [outcomes]int) map[string]int {
-	byName := map[string]int{}
-	for o, n := range counts {
-		byName[Outcome(o).String()] = n
-	}
-	return byName
-}
-
-// JSON writes the figures.
-func (f Figures) JSON(out io.Writer) error {
-	encoder := json.NewEncoder(out)
-	encoder.SetIndent("", " ")
-	return encoder.Encode(f)
-}
-
-// Table writes them for people.
-func (f Figures) Table(out io.Writer) error {
-	if !f.Usable {
-		fmt.Fprintf(out, "UNUSABLE: %s\n", f.Why)
-	}
-	if f.CutShort {
-		fmt.Fprintf(out, "stopped after %.1f s; %d jobs were open then and are not counted\n", f.Seconds, f.Open)
-	}
-	if f.Clients > 0 {
-		fmt.Fprintf(out, "closed loop: %d clients, each of which waited for its answer\n", f.Clients)
-	}
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(table, "account\t")
-	for _, o := range outcomeNames {
-		fmt.Fprintf(table, "%s\t", o)
-	}
-	fmt.Fprintln(table)
-	writeCounts := func(name string, c map[string]int) {
-		fmt.Fprintf(table, "%s\t", name)
-		for _, o := range outcomeNames {
-			fmt.Fprintf(table, "%d\t", c[o])
-		}
-		fmt.Fprintln(table)
-	}
-	for _, name := range slices.Sorted(maps.Keys(f.Accounts)) {
-		writeCounts(name, f.Accounts[name])
-	}
-	writeCounts("all", f.Outcomes)
-	if err := table.Flush(); err != nil {
-		return err
-	}
-	fmt.Fprintf(out, "%d jobs in %.1f s, %d tries\n\n", f.Planned, f.Seconds, f.Tries)
-	table = tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "ms\tmean\tp50\tp90\tp99\tp99.9\tmax\t")
-	for _, row := range []struct {
-		name string
-		Quantiles
-	}{{"from when due", f.Latency}, {"from when sent", f.Service}, {"left late by", f.Lag}} {
-		fmt.Fprintf(table, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", row.name, row.Mean, row.P50, row.P90, row.P99, row.P999, row.Max)
-	}
-	return table.Flush()
-}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -11,56 +11,64 @@
 	"time"
 )
 
+// MaxLag is how late one of a hundred jobs may be sent in a usable result.
+const MaxLag = 10 * time.Millisecond
+
 const (
-	// A result is of use if so large a part of the jobs left no later than MaxLag after they were due.
-	MaxLag      = 10 * time.Millisecond
+	// lagQuantile is the share of the jobs that MaxLag bounds.
 	lagQuantile = 0.99
 
-	// The pacer sleeps to this much before a job is due and yields from there on: a sleep ends late by about as much.
+	// maxOversleep is how late a sleep ends at most, as a rule: the pacer sleeps until this long before a job is due, and then
+	// half of the rest at a time.
 	maxOversleep = 300 * time.Microsecond
+
+	// defaultMaxOpen is Options.MaxOpen where it is 0.
+	defaultMaxOpen = 100_000
+
+	// retrySource is the random source that decides which clients retry. Sources 1 to 3 belong to Generated.
+	retrySource = 4
 )
 
-// Answer is what came of one try.
+// Answer is the result of one attempt.
 type Answer struct {
 	Outcome    Outcome       // Served, Refused, Failed or Unanswered
-	RetryAfter time.Duration // Refused: as it says; 0 for nothing
+	RetryAfter time.Duration // of a rejection; 0 for none
 }
 
-// Sender makes one try and gives its answer by its deadline. Many are made at a time.
+// Sender sends one attempt, the first with number 0, and returns its answer by the deadline. It is called by many goroutines.
 type Sender interface {
-	Send(ctx context.Context, j Job, try int, deadline time.Time) Answer
+	Send(ctx context.Context, job Job, attempt int, deadline time.Time) Answer
 }
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Terms   Terms
 	Seed    uint64
-	Clients int // 0 for an open loop; else so many, each of which waits for its answer before it sends again
-	MaxOpen int // jobs in flight; those due beyond it are not sent, and the result is unusable. 0 for 100,000
-	Begin   time.Time
-	Each    func(Job, Outcome, time.Duration) // hears of each job, its end and its latency, from many goroutines; nil for nobody
+	Clients int       // 0 for an open loop, else the number of clients that wait for each answer before their next job
+	MaxOpen int       // jobs in flight: further ones are not sent, and the result is unusable; 0 for 100,000
+	Begin   time.Time // of the plan; zero for now
+
+	// Each is called with each job, its outcome and its latency, by many goroutines; nil for none.
+	Each func(Job, Outcome, time.Duration)
 }
 
-// Run sends a plan's jobs to their times and waits for their ends. When the context ends, what was measured by then is
-// given, marked as cut short.
-func Run(ctx context.Context, source Source, to Sender, options Options) *Result {
+// Run sends a plan's jobs when they are due and returns when all have ended. If the context ends, the result has what was measured
+// until then and is marked as cut short.
+func Run(ctx context.Context, source Source, sender Sender, options Options) *Result {
 	if options.MaxOpen <= 0 {
-		options.MaxOpen = 100_000
+		options.MaxOpen = defaultMaxOpen
 	}
 	if options.Begin.IsZero() {
 		options.Begin = time.Now()
 	}
 	result := newResult(options.Clients)
-	var wait sync.WaitGroup
+	clients := newClientLimit(options.Clients)
+	retryRandom := rand.New(rand.NewPCG(options.Seed, retrySource))
+	var jobs sync.WaitGroup
 	var open atomic.Int64
-	var clients chan struct{}
-	if options.Clients > 0 {
-		clients = make(chan struct{}, options.Clients)
-	}
-	retryRandom := rand.New(rand.NewPCG(options.Seed, 4))
 	for job, ok := source.Next(); ok; job, ok = source.Next() {
 		due := options.Begin.Add(job.At)
-		if !waitUntil(ctx, due) || !acquire(ctx, clients) {
+		if !waitUntil(ctx, due) || !clients.acquire(ctx) {
 			result.CutShort = true
 			break
 		}
@@ -70,58 +78,62 @@
 		result.recordDue(time.Since(due))
 		if open.Load() >= int64(options.MaxOpen) {
 			result.recordUnsent()
-			release(clients)
+			clients.release()
 			continue
 		}
 		open.Add(1)
-		retries := retryRandom.Float64() < options.Terms.Retry.Share // drawn here, so that it goes by the seed alone
-		wait.Go(func() {
-			defer release(clients)
+		retries := retryRandom.Float64() < options.Terms.Retry.Share // drawn in the order of the plan, so that it depends on the seed alone
+		jobs.Go(func() {
+			defer clients.release()
 			defer open.Add(-1)
-			end := playJob(ctx, job, due, retries, to, &options.Terms)
-			if end.outcome == Unanswered && ctx.Err() != nil {
-				result.recordStopped()
-				return
-			}
-			result.recordEnd(job, end)
-			if options.Each != nil {
-				options.Each(job, end.outcome, end.latency)
-			}
+			ended := playJob(ctx, job, due, retries, sender, &options.Terms)
+			result.recordJob(ctx, job, ended, options.Each)
 		})
 	}
-	wait.Wait()
+	jobs.Wait()
 	result.Span = time.Since(options.Begin)
 	return result
 }
 
-// acquire waits for a client that is free, where they are bounded, and tells whether there is one.
-func acquire(ctx context.Context, clients chan struct{}) bool {
-	if clients == nil {
+// clientLimit bounds the clients of a closed loop; nil for an open loop.
+type clientLimit chan struct{}
+
+// newClientLimit returns a limit for so many clients; 0 for an open loop.
+func newClientLimit(clients int) clientLimit {
+	if clients <= 0 {
+		return nil
+	}
+	return make(clientLimit, clients)
+}
+
+// acquire waits for a free client. It returns false if the context ends before there is one.
+func (l clientLimit) acquire(ctx context.Context) bool {
+	if l == nil {
 		return true
 	}
 	select {
-	case clients <- struct{}{}:
+	case l <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// release gives a client free again.
-func release(clients chan struct{}) {
-	if clients != nil {
-		<-clients
+// release frees a client.
+func (l clientLimit) release() {
+	if l != nil {
+		<-l
 	}
 }
 
-// newKey is a key that no other job has.
+// newKey returns an idempotency key that no other job has.
 func newKey() string {
 	var b [16]byte
 	_, _ = crand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
 }
 
-// waitUntil waits for a time, and tells whether it came.
+// waitUntil waits for a time. It returns false if the context ends before.
 func waitUntil(ctx context.Context, due time.Time) bool {
 	for {
 		left := time.Until(due)
@@ -148,18 +160,18 @@
 type jobEnd struct {
 	outcome  Outcome
 	latency  time.Duration // from when it was due
-	service  time.Duration // from when its last try left: what a generator would see that waits for its answers
+	service  time.Duration // from when its last attempt was sent: what a client measures that waits for its answers
 	attempts int
 	answered bool
 }
 
-// playJob makes a job's tries.
-func playJob(ctx context.Context, job Job, due time.Time, retries bool, to Sender, terms *Terms) jobEnd {
-	giveUp := due.Add(terms.GiveUp)
+// playJob sends a job's attempts. It retries a rejection, if the client retries, while the retry can be sent before the deadline.
+func playJob(ctx context.Context, job Job, due time.Time, retries bool, sender Sender, terms *Terms) jobEnd {
+	deadline := due.Add(terms.GiveUp)
 	ended := jobEnd{}
 	for {
 		sentAt := time.Now()
-		answer := to.Send(ctx, job, ended.attempts, giveUp)
+		answer := sender.Send(ctx, job, ended.attempts, deadline)
 		now := time.Now()
 		ended.attempts++
 		ended.outcome, ended.latency, ended.service, ended.answered = answer.Outcome, now.Sub(due), now.Sub(sentAt), answer.Outcome != Unanswered
@@ -174,11 +186,11 @@
 			pause = answer.RetryAfter
 		}
 		next := now.Add(pause)
-		if !next.Before(giveUp) || !waitUntil(ctx, next) {
+		if !next.Before(deadline) || !waitUntil(ctx, next) {
 			return ended
 		}
 	}
 }
 
-// ErrUnusable is of a result whose generator did not keep its plan.
+// ErrUnusable is the error of a result whose generator did not keep its plan.
 var ErrUnusable = errors.New("the generator fell behind its plan: the result is unusable")
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -9,6 +9,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -20,6 +21,7 @@
 //go:embed trace.schema.json
 var traceSchema []byte
 
+// compiledSchema returns the schema of a trace's records.
 var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(traceSchema))
 	if err != nil {
@@ -32,7 +34,7 @@
 	return c.Compile("trace.schema.json")
 })
 
-// maxTraceLineBytes bounds what is read of one line.
+// maxTraceLineBytes bounds a line of a trace of JSON lines.
 const maxTraceLineBytes = 1 << 20
 
 // traceRecord is a line of a trace.
@@ -44,18 +46,18 @@
 	Extra   string  `json:"extra"`
 }
 
-// ReadTrace reads a recorded trace, CSV with a head line or JSON lines, whole: a fault anywhere is found before anything is
-// sent, and named with its line. accounts are those that there are; none for any. Gaps are as they are in the trace.
+// ReadTrace reads a recorded trace, either "csv" with a line of column names or "jsonl", to its end: the error names the line of
+// the first mistake. Accounts must be among those given, if there are any. Gaps in time are kept.
 func ReadTrace(in io.Reader, format string, accounts []Account) ([]Job, error) {
 	known := map[string]bool{}
-	for _, a := range accounts {
-		known[a.Name] = true
+	for _, account := range accounts {
+		known[account.Name] = true
 	}
 	var jobs []Job
 	add := func(line int, record traceRecord) error {
 		at := time.Duration(record.AtMS * float64(time.Millisecond))
-		if n := len(jobs); n > 0 && at < jobs[n-1].At {
-			return fmt.Errorf("line %d: at_ms %v is before the %v of the line before", line, record.AtMS, float64(jobs[n-1].At)/float64(time.Millisecond))
+		if count := len(jobs); count > 0 && at < jobs[count-1].At {
+			return fmt.Errorf("line %d: at_ms %v is before the %v of the line before", line, record.AtMS, float64(jobs[count-1].At)/float64(time.Millisecond))
 		}
 		if len(known) > 0 && !known[record.Account] {
 			return fmt.Errorf("line %d: unknown account %q", line, record.Account)
@@ -81,7 +83,7 @@
 	return jobs, nil
 }
 
-// validate holds a record against the schema: the same for both formats.
+// validate checks a record, decoded from JSON or made from CSV, against the schema. The error has the first cause alone.
 func validate(document any) error {
 	schema, err := compiledSchema()
 	if err != nil {
@@ -89,23 +91,24 @@
 	}
 	err = schema.Validate(document)
 	var invalid *jsonschema.ValidationError
-	if errors.As(err, &invalid) {
-		for len(invalid.Causes) > 0 {
-			invalid = invalid.Causes[0]
-		}
-		location := strings.Join(invalid.InstanceLocation, ".")
-		if location != "" {
-			location += ": "
-		}
-		_, reason, _ := strings.Cut(invalid.Error(), ": ")
-		if i := strings.LastIndexByte(reason, '\n'); i >= 0 {
-			reason = reason[i+1:]
-		}
-		return errors.New(location + strings.TrimSpace(reason))
+	if !errors.As(err, &invalid) {
+		return err
+	}
+	for len(invalid.Causes) > 0 {
+		invalid = invalid.Causes[0]
 	}
-	return err
+	location := strings.Join(invalid.InstanceLocation, ".")
+	if location != "" {
+		location += ": "
+	}
+	_, reason, _ := strings.Cut(invalid.Error(), ": ")
+	if i := strings.LastIndexByte(reason, '\n'); i >= 0 {
+		reason = reason[i+1:]
+	}
+	return errors.New(location + strings.TrimSpace(reason))
 }
 
+// readJSONLines calls add with each line's number and record. Empty lines are skipped.
 func readJSONLines(in io.Reader, add func(int, traceRecord) error) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, 0, 4096), maxTraceLineBytes)
@@ -137,6 +140,7 @@
 	return nil
 }
 
+// readCSV calls add with each line's number and record, after the line of column names.
 func readCSV(in io.Reader, add func(int, traceRecord) error) error {
 	reader := csv.NewReader(in)
 	reader.ReuseRecord = true
@@ -144,7 +148,7 @@
 	if err != nil {
 		return fmt.Errorf("line 1: %w", err)
 	}
-	columns = append([]string(nil), columns...)
+	columns = slices.Clone(columns)
 	for {
 		fields, err := reader.Read()
 		if errors.Is(err, io.EOF) {
@@ -152,38 +156,52 @@
 		}
 		line, _ := reader.FieldPos(0)
 		if err != nil {
-			return err // it names the line itself
-		}
-		document := map[string]any{}
-		for i, name := range columns {
-			if fields[i] == "" {
-				continue
-			}
-			document[name] = fields[i]
-			if name == "at_ms" {
-				x, err := strconv.ParseFloat(fields[i], 64)
-				if err != nil {
-					return fmt.Errorf("line %d: at_ms: %q is no number", line, fields[i])
-				}
-				document[name] = x
-			}
+			return err // names the line itself
 		}
-		if err := validate(document); err != nil {
+		record, err := parseFields(columns, fields)
+		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
-		text := func(name string) string { s, _ := document[name].(string); return s }
-		at, _ := document["at_ms"].(float64)
-		if err := add(line, traceRecord{at, text("account"), text("subject"), text("key"), text("extra")}); err != nil {
+		if err := add(line, record); err != nil {
 			return err
 		}
 	}
 }
 
-// Recorded gives the jobs of a trace.
+// parseFields returns the record of a line's fields. Empty fields count as absent.
+func parseFields(columns, fields []string) (traceRecord, error) {
+	document := map[string]any{} // for the schema, as a JSON object
+	for i, column := range columns {
+		if fields[i] == "" {
+			continue
+		}
+		document[column] = fields[i]
+		if column == "at_ms" {
+			milliseconds, err := strconv.ParseFloat(fields[i], 64)
+			if err != nil {
+				return traceRecord{}, fmt.Errorf("at_ms: %q is no number", fields[i])
+			}
+			document[column] = milliseconds
+		}
+	}
+	if err := validate(document); err != nil {
+		return traceRecord{}, err
+	}
+	text := func(column string) string {
+		value, _ := document[column].(string) // empty where it is absent
+		return value
+	}
+	at, _ := document["at_ms"].(float64) // the schema requires it
+	return traceRecord{at, text("account"), text("subject"), text("key"), text("extra")}, nil
+}
+
+// Recorded returns the jobs of a trace.
 func Recorded(jobs []Job) Source { return &recordedJobs{jobs} }
 
+// recordedJobs is the source of a trace.
 type recordedJobs struct{ jobs []Job }
 
+// Next implements Source.
 func (r *recordedJobs) Next() (Job, bool) {
 	if len(r.jobs) == 0 {
 		return Job{}, false
