--- a/internal/transport/answer.go
+++ b/internal/transport/answer.go
@@ -13,16 +13,16 @@
 // empty 200 of net/http for an answer to its job. Over HTTP/2 the stream is reset already, and the connection has others.
 func (f *front) respondToDepartedClient(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoMajor < 2 {
-		closeBehind(w)
+		closeAfterAnswer(w)
 		f.respond(w, r, routing.Answer{Verdict: routing.Failed})
 	}
 }
 
 // respond writes an answer. It blocks while the client takes it, for a bounded time.
 func (f *front) respond(w http.ResponseWriter, r *http.Request, answer routing.Answer) {
-	defer boundReader(w, r)()
-	if f.gate.Closing() {
-		closeBehind(w)
+	defer withWriteTimeout(w, r)()
+	if f.listener.Closing() {
+		closeAfterAnswer(w)
 	}
 	writeAnswer(w, answer)
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -114,7 +114,7 @@
 func TestLingeringClose(t *testing.T) {
 	_, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
 		enterPhase(r, phaseServing)
-		closeBehind(w)
+		closeAfterAnswer(w)
 		fmt.Fprint(w, "answer")
 	})
 	for range 20 {
--- a/internal/transport/connphase.go
+++ b/internal/transport/connphase.go
@@ -39,7 +39,7 @@
 	if c.phase != phaseClosing {
 		c.phase, c.phaseSince, c.hasCarriedJob = next, time.Now(), c.hasCarriedJob || next == phaseServing
 	}
-	if next == phaseIdle && c.listener.dismissed && c.pendingBytes.Load() == 0 {
+	if next == phaseIdle && c.listener.closesIdle && c.pendingBytes.Load() == 0 {
 		c.phase = phaseClosing
 	}
 }
@@ -96,11 +96,11 @@
 		return false
 	}
 	if listener.multiplexed {
-		if !http2limits.WithinDynamicThreshold(listener.streams, listener.jobs, c.openJobs, surelyStreams) {
+		if !http2limits.WithinDynamicThreshold(listener.maxOpenJobs, listener.openJobs, c.openJobs, minStreamsPerConn) {
 			return false
 		}
 		c.openJobs++
-		listener.jobs++
+		listener.openJobs++
 	}
 	c.phase, c.phaseSince, c.hasCarriedJob = phaseServing, time.Now(), true
 	return true
@@ -115,7 +115,7 @@
 	if !listener.multiplexed {
 		return
 	}
-	listener.jobs--
+	listener.openJobs--
 	if c.openJobs--; c.openJobs == 0 {
 		c.phase, c.phaseSince = phaseIdle, time.Now()
 	}
--- a/internal/transport/eventstream.go
+++ b/internal/transport/eventstream.go
@@ -52,14 +52,14 @@
 }
 
 // send writes events, and before the first ones the head, and flushes them. It blocks until the client has taken them, for
-// readerWithin at most.
+// clientReadTimeout at most.
 func (o *eventWriter) send(events []protocol.Event) error {
 	if !o.begun {
 		o.begun = true
 		o.w.Header().Set("Content-Type", "text/event-stream")
 		o.w.Header().Set("Cache-Control", "no-store")
 	}
-	_ = o.controller.SetWriteDeadline(time.Now().Add(readerWithin)) // fails only on a closed connection, as the write does
+	_ = o.controller.SetWriteDeadline(time.Now().Add(clientReadTimeout)) // fails only on a closed connection, as the write does
 	for _, event := range events {
 		if _, err := o.w.Write(event.Encode()); err != nil {
 			return err
--- a/internal/transport/jobfrontend.go
+++ b/internal/transport/jobfrontend.go
@@ -15,7 +15,7 @@
 // NewJobFrontend returns the frontend behind a listener. keys, quotas and authorize may be nil: then each request is a job of its
 // own, accounts have no quotas, and every client may submit any job.
 func NewJobFrontend(core Core, settings *protocol.LiveSettings, listener *Listener, ids *InFlightIDs, keys *IdempotencyTable, quotas *AccountQuotas, authorize Authorize, log *slog.Logger) *JobFrontend {
-	return &JobFrontend{front{core: core, params: settings, gate: listener, ids: ids, keys: keys, shares: quotas, vet: authorize, log: log}}
+	return &JobFrontend{front{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: keys, quotas: quotas, authorize: authorize, log: log}}
 }
 
 const (
@@ -24,14 +24,14 @@
 )
 
 // Server returns the server for a frontend's handler. It closes a connection whose request head is too large, or not complete
-// within wholeWithin. Bodies are limited where they are read.
+// within requestReadTimeout. Bodies are limited where they are read.
 func Server(handler http.Handler, log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:                      handler,
 		ConnState:                    trackConnState,
 		ConnContext:                  withConn,
 		MaxHeaderBytes:               maxRequestHeaderBytes,
-		ReadHeaderTimeout:            wholeWithin,
+		ReadHeaderTimeout:            requestReadTimeout,
 		IdleTimeout:                  idleClientTimeout,
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(log.Handler(), slog.LevelDebug),
@@ -45,12 +45,12 @@
 	if job == nil {
 		return
 	}
-	if f.keys != nil && job.IdempotencyKey != "" {
+	if f.idempotencyTable != nil && job.IdempotencyKey != "" {
 		f.serveKeyedJob(w, r, job)
 		return
 	}
 	if !f.ids.reserveEverywhere(job.ID) {
-		f.rejectJob(w, r, errIDInUse)
+		f.respondInvalid(w, r, errIDInUse)
 		return
 	}
 	defer f.ids.releaseEverywhere(job.ID)
--- a/internal/transport/keyedjob.go
+++ b/internal/transport/keyedjob.go
@@ -20,20 +20,20 @@
 // new one, which the caller must submit (started). If it is not ok, the request has been answered.
 // resumes says that the client has seen events of the job; runsWithoutReaders, that the job goes on without readers.
 func (f *front) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, started, ok bool) {
-	stream, decision, reserved := f.keys.reserveJob(job, resumes, runsWithoutReaders)
-	if decision == idempotency.Start && reserved && !f.keys.inFlightIDs.confirmWithPredecessor(job.ID) {
+	stream, decision, reserved := f.idempotencyTable.reserveJob(job, resumes, runsWithoutReaders)
+	if decision == idempotency.Start && reserved && !f.idempotencyTable.inFlightIDs.confirmWithPredecessor(job.ID) {
 		stream.finish(routing.Answer{Verdict: routing.Rejected}) // for requests that joined meanwhile: the job never ran
 		reserved = false
 	}
 	switch {
 	case !reserved:
-		f.rejectJob(w, r, errIDInUse)
+		f.respondInvalid(w, r, errIDInUse)
 	case decision == idempotency.TableFull:
-		f.refuse(w, r, job.ClassName, "out of remembered jobs")
+		f.rejectAndClose(w, r, job.ClassName, "out of remembered jobs")
 	case decision == idempotency.UnknownKey:
-		f.rejectJob(w, r, errUnknownKey)
+		f.respondInvalid(w, r, errUnknownKey)
 	case decision == idempotency.KeyMismatch:
-		f.rejectJob(w, r, errKeyMismatch)
+		f.respondInvalid(w, r, errKeyMismatch)
 	default:
 		return stream, decision == idempotency.Start, true
 	}
@@ -42,12 +42,12 @@
 
 // abandonJob records that a reader left before the job's end, and cancels the job if it may not run without readers.
 func (f *front) abandonJob(stream *jobStream) {
-	id, abandon := f.keys.removeReader(stream)
+	id, abandon := f.idempotencyTable.removeReader(stream)
 	if !abandon {
 		return
 	}
 	f.core.ClientLeft(id)
-	f.keys.remove(stream)
+	f.idempotencyTable.remove(stream)
 	stream.releaseID()
 }
 
@@ -62,13 +62,13 @@
 		return
 	}
 	if started {
-		f.keys.setRequestID(stream, f.core.Submit(coreRequest(job, stream)))
+		f.idempotencyTable.setRequestID(stream, f.core.Submit(coreRequest(job, stream)))
 		f.respondWhenEnded(w, r, stream, nil) // the core answers by this request's deadline
 		return
 	}
 	if !f.ids.reserveEverywhere(job.ID) { // also if the id is that of the job itself
 		f.abandonJob(stream)
-		f.rejectJob(w, r, errIDInUse)
+		f.respondInvalid(w, r, errIDInUse)
 		return
 	}
 	defer f.ids.releaseEverywhere(job.ID)
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -20,16 +20,16 @@
 	// A request must be here whole so long after its connection was taken, or after its first byte on a connection that
 	// was used before. A client that means it may write for 2 s; one that never gets there is owed an error or a
 	// close within 3 s.
-	wholeWithin = 2600 * time.Millisecond
+	requestReadTimeout = 2600 * time.Millisecond
 
 	// A client that means it sends with its connecting: one that has said nothing for this long is the first to go
 	// for want of room, and a request that has not gone on for that long is more likely given up than slow.
-	youngAge   = 20 * time.Millisecond
-	stalledAge = 500 * time.Millisecond
+	newConnGrace      = 20 * time.Millisecond
+	stalledRequestAge = 500 * time.Millisecond
 
-	surelyStreams = 4 // a connection may have so many streams while there is any room
+	minStreamsPerConn = 4 // a connection may have so many streams while there is any room
 
-	reserveShare = 10 // of the connections, one in so many more to refuse on
+	rejectionReserveDivisor = 10 // of the connections, one in so many more to refuse on
 )
 
 // Listener is a front's listener and the table of its connections. It keeps them inside the front's part of the
@@ -39,25 +39,25 @@
 // job never. Where all carry jobs, the newcomer is served a refusal, up to a small reserve.
 type Listener struct {
 	*net.TCPListener
-	room   atomic.Int64 // for the bodies of all requests together, in bytes
-	bodies atomic.Int64 // that are being read, or held for their jobs
-	log    *slog.Logger
-	accept func() (*net.TCPConn, error) // AcceptTCP; tests put faults there
+	maxBodyBytes      atomic.Int64 // for the bodies of all requests together, in bytes
+	reservedBodyBytes atomic.Int64 // that are being read, or held for their jobs
+	log               *slog.Logger
+	accept            func() (*net.TCPConn, error) // AcceptTCP; tests put faults there
 
 	failures listen.Failures // of accept
 
 	multiplexed bool // a connection carries many requests at a time
 
-	mu         sync.Mutex
-	streams    int           // most jobs of all connections together, where they are multiplexed
-	jobs       int           // that are open now
-	most       int           // connections; a tenth more to refuse on
-	unanswered int           // connections ended here with nothing written
-	dismissed  bool          // connections end once they owe nothing
-	paused     chan struct{} // closed when connections are taken again; nil while they are
-	conns      map[*Conn]struct{}
-	evicted    int // since the last line of the log
-	said       time.Time
+	mu               sync.Mutex
+	maxOpenJobs      int           // most jobs of all connections together, where they are multiplexed
+	openJobs         int           // that are open now
+	maxConns         int           // connections; a tenth more to refuse on
+	unansweredConns  int           // connections ended here with nothing written
+	closesIdle       bool          // connections end once they owe nothing
+	resumed          chan struct{} // closed when connections are taken again; nil while they are
+	conns            map[*Conn]struct{}
+	evictedSinceLog  int // since the last line of the log
+	evictionLoggedAt time.Time
 }
 
 // Listen listens at a front's address. While a program is replaced, two processes may do so.
@@ -101,14 +101,14 @@
 func (g *Listener) SetStreamLimit(most int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.streams = most
+	g.maxOpenJobs = most
 }
 
 // OpenStreams is how many jobs the connections of a multiplexed gate have open.
 func (g *Listener) OpenStreams() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.jobs
+	return g.openJobs
 }
 
 // SetLimits sets how many connections the front may hold, a tenth more to refuse on, and how many bytes of bodies:
@@ -116,16 +116,16 @@
 func (g *Listener) SetLimits(most int, room int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.most = most
-	g.room.Store(room)
+	g.maxConns = most
+	g.maxBodyBytes.Store(room)
 }
 
 // Pause leaves new connections in the listener's queue, which a successor shares, until Resume.
 func (g *Listener) Pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.paused == nil {
-		g.paused = make(chan struct{})
+	if g.resumed == nil {
+		g.resumed = make(chan struct{})
 		_ = g.SetDeadline(time.Now()) // wakes Accept; fails only on a closed listener
 	}
 }
@@ -134,10 +134,10 @@
 func (g *Listener) Resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.paused != nil {
+	if g.resumed != nil {
 		_ = g.SetDeadline(time.Time{})
-		close(g.paused)
-		g.paused = nil
+		close(g.resumed)
+		g.resumed = nil
 	}
 }
 
@@ -148,11 +148,11 @@
 	return err
 }
 
-// pausing gives what to wait for while no connections are taken; nil while they are.
-func (g *Listener) pausing() <-chan struct{} {
+// resumedChan gives what to wait for while no connections are taken; nil while they are.
+func (g *Listener) resumedChan() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.paused
+	return g.resumed
 }
 
 // Accept gives the next connection and makes room for it. Only closing the gate ends it: whatever else accept fails with
@@ -161,7 +161,7 @@
 	for {
 		conn, err := listen.Next(g.accept, g.failures.Failed)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if paused := g.pausing(); paused != nil {
+			if paused := g.resumedChan(); paused != nil {
 				<-paused
 			}
 			continue
@@ -171,31 +171,31 @@
 		}
 		now := time.Now()
 		c := &Conn{TCPConn: conn, listener: g, phaseSince: now, requestBeganAt: now}
-		if g.admit(c) {
+		if g.admitConn(c) {
 			return c, nil
 		}
 		conn.Close()
 	}
 }
 
-// admit enters a connection and tells whether there was room even for a refusal.
-func (g *Listener) admit(c *Conn) bool {
+// admitConn enters a connection and tells whether there was room even for a refusal.
+func (g *Listener) admitConn(c *Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.conns) >= g.most {
-		if old := g.spare(c.phaseSince); old != nil {
+	if len(g.conns) >= g.maxConns {
+		if old := g.leastUseful(c.phaseSince); old != nil {
 			// The reading side of net/http notices and ends it; the descriptor is free at once.
-			g.ended(old)
+			g.removeConnLocked(old)
 			g.log.Debug("client's connection ended", "why", "room", "phase", old.phase.String(), "client", old.RemoteAddr())
 			old.phase = phaseClosing // what its reader has in hand is of no request any more
 			old.TCPConn.Close()
-			g.evicted++
-			if c.phaseSince.Sub(g.said) > time.Second {
-				g.log.Warn("clients' connections closed for want of room", "closed", g.evicted, "most", g.most)
-				g.said, g.evicted = c.phaseSince, 0
+			g.evictedSinceLog++
+			if c.phaseSince.Sub(g.evictionLoggedAt) > time.Second {
+				g.log.Warn("clients' connections closed for want of room", "closed", g.evictedSinceLog, "most", g.maxConns)
+				g.evictionLoggedAt, g.evictedSinceLog = c.phaseSince, 0
 			}
-		} else if len(g.conns) >= g.most+g.most/reserveShare {
-			g.unanswered++
+		} else if len(g.conns) >= g.maxConns+g.maxConns/rejectionReserveDivisor {
+			g.unansweredConns++
 			g.log.Debug("client's connection ended", "why", "no room for a refusal", "client", c.RemoteAddr())
 			return false
 		}
@@ -204,11 +204,11 @@
 	return true
 }
 
-// ended takes a connection out of the table; g is locked. One that ends with nothing written, though its client has not
+// removeConnLocked takes a connection out of the table; g is locked. One that ends with nothing written, though its client has not
 // gone, is counted.
-func (g *Listener) ended(c *Conn) {
+func (g *Listener) removeConnLocked(c *Conn) {
 	if _, held := g.conns[c]; held && !c.responseStarted.Load() && !c.clientGone.Load() {
-		g.unanswered++
+		g.unansweredConns++
 	}
 	delete(g.conns, c)
 }
@@ -217,20 +217,20 @@
 func (g *Listener) Unanswered() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.unanswered
+	return g.unansweredConns
 }
 
-// spare finds the connection that is missed least.
-func (g *Listener) spare(now time.Time) *Conn {
+// leastUseful finds the connection that is missed least.
+func (g *Listener) leastUseful(now time.Time) *Conn {
 	rank := func(c *Conn) int {
 		switch {
 		case c.phase == phaseClosing:
 			return 7
-		case c.phase == phaseNew && now.Sub(c.phaseSince) > youngAge:
+		case c.phase == phaseNew && now.Sub(c.phaseSince) > newConnGrace:
 			return 6
 		case c.phase == phaseIdle && !c.hasCarriedJob:
 			return 5
-		case c.phase == phaseReading && now.Sub(c.phaseSince) > stalledAge:
+		case c.phase == phaseReading && now.Sub(c.phaseSince) > stalledRequestAge:
 			return 4
 		case c.phase == phaseIdle: // while this process leaves, its client may have no other
 			return 3
@@ -255,8 +255,8 @@
 	}
 }
 
-// dismissYoung is how long a client that has just connected has for its request while connections are dismissed.
-const dismissYoung = 300 * time.Millisecond
+// firstRequestTimeout is how long a client that has just connected has for its request while connections are dismissed.
+const firstRequestTimeout = 300 * time.Millisecond
 
 // CloseIdle ends the connections that owe nothing: those that are idle, and those that have brought nothing for a while. From
 // then on each that comes to owe nothing ends too. A request that is half here is read on. Where connections are
@@ -268,9 +268,9 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dismissed = true
+	g.closesIdle = true
 	for c := range g.conns {
-		if c.phase == phaseIdle && c.pendingBytes.Load() == 0 || c.phase == phaseNew && now.Sub(c.phaseSince) > dismissYoung {
+		if c.phase == phaseIdle && c.pendingBytes.Load() == 0 || c.phase == phaseNew && now.Sub(c.phaseSince) > firstRequestTimeout {
 			g.log.Debug("client's connection ended", "why", "leaving", "phase", c.phase.String(), "client", c.RemoteAddr())
 			c.phase, c.phaseSince = phaseClosing, now
 			// Whoever waits there to read finds it over, and lingers. A byte that comes in this very moment finds it so too.
@@ -279,24 +279,24 @@
 	}
 }
 
-// refusal is the whole answer to a request that will not be read to its end.
-const refusal = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+// rejectionResponse is the whole answer to a request that will not be read to its end.
+const rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// refuseWithin is how long the answer may take that a refusal writes: it fits into any client's window.
-const refuseWithin = 10 * time.Millisecond
+// rejectionWriteTimeout is how long the answer may take that a refusal writes: it fits into any client's window.
+const rejectionWriteTimeout = 10 * time.Millisecond
 
 // RejectUnfinished answers the requests that are half here, and takes no further byte of them. The process is about to end: a
 // client that went on writing would find its connection closed with no answer. Where connections are multiplexed it does nothing.
 func (g *Listener) RejectUnfinished() {
-	for _, c := range g.unfinished() {
-		_ = c.SetWriteDeadline(time.Now().Add(refuseWithin)) // fails only on a closed connection, as does what follows
-		_, _ = c.Write([]byte(refusal))
+	for _, c := range g.closeUnfinished() {
+		_ = c.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout)) // fails only on a closed connection, as does what follows
+		_, _ = c.Write([]byte(rejectionResponse))
 		_ = c.CloseWrite()
 	}
 }
 
-// unfinished takes the connections that have brought a part of a request, and lets no more of it in.
-func (g *Listener) unfinished() (all []*Conn) {
+// closeUnfinished takes the connections that have brought a part of a request, and lets no more of it in.
+func (g *Listener) closeUnfinished() (all []*Conn) {
 	if g.multiplexed {
 		return nil
 	}
@@ -316,14 +316,14 @@
 func (g *Listener) Closing() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.dismissed
+	return g.closesIdle
 }
 
 // PendingAnswers is how many answers are owed.
 func (g *Listener) PendingAnswers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	owed := g.jobs
+	owed := g.openJobs
 	for c := range g.conns {
 		if !g.multiplexed && c.phase == phaseServing {
 			owed++
@@ -336,19 +336,19 @@
 func (g *Listener) Full() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.conns) > g.most
+	return len(g.conns) > g.maxConns
 }
 
-// hold sets room aside for a request's body and tells whether there was any; what it gave must be let go of.
-func (g *Listener) hold(n int64) bool {
-	if g.bodies.Add(n) > g.room.Load() {
-		g.bodies.Add(-n)
+// reserveBody sets room aside for a request's body and tells whether there was any; what it gave must be let go of.
+func (g *Listener) reserveBody(n int64) bool {
+	if g.reservedBodyBytes.Add(n) > g.maxBodyBytes.Load() {
+		g.reservedBodyBytes.Add(-n)
 		return false
 	}
 	return true
 }
 
-func (g *Listener) letGo(n int64) { g.bodies.Add(-n) }
+func (g *Listener) releaseBody(n int64) { g.reservedBodyBytes.Add(-n) }
 
 // Connections is how many connections clients hold.
 func (g *Listener) Connections() int {
@@ -357,8 +357,8 @@
 	return len(g.conns)
 }
 
-// spareShare is the part of the connections that is kept free while no new one can come.
-const spareShare = 16
+// freeConnsDivisor is the part of the connections that is kept free while no new one can come.
+const freeConnsDivisor = 16
 
 // NearlyFull tells whether one more job would take of the last connections that are free for a next request.
 func (g *Listener) NearlyFull() bool {
@@ -370,5 +370,5 @@
 			free++
 		}
 	}
-	return free < len(g.conns)/spareShare
+	return free < len(g.conns)/freeConnsDivisor
 }
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -11,7 +11,7 @@
 // What makes room, and in which order: a client that goes on with its request, or one that has only this idle
 // connection while a process leaves, is closed behind all that a crowd leaves standing. What waits unread is no
 // silence. Once idle connections went before requests that had stopped half way, and who had nothing else lost all.
-func TestWhoMakesRoom(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	asked, _ := add(phaseIdle, time.Second, false)
 	mute, _ := add(phaseNew, 100*time.Millisecond, false)
 	for i, want := range []*Conn{mute, asked, stalled, longer, idler, justCome, goesOn, unread, nil} {
-		got := g.spare(now)
+		got := g.leastUseful(now)
 		if got != want {
 			t.Fatalf("%d: phase %v", i, got)
 		}
--- a/internal/transport/progressfrontend.go
+++ b/internal/transport/progressfrontend.go
@@ -38,7 +38,7 @@
 // NewProgressFrontend returns the frontend behind a listener. quotas may be nil: then accounts have none.
 func NewProgressFrontend(core Core, settings *protocol.LiveSettings, progress *ProgressSettings, listener *Listener, ids *InFlightIDs, keys *IdempotencyTable, quotas *AccountQuotas, log *slog.Logger) *ProgressFrontend {
 	return &ProgressFrontend{
-		front:    front{core: core, params: settings, gate: listener, ids: ids, keys: keys, shares: quotas, log: log},
+		front:    front{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: keys, quotas: quotas, log: log},
 		settings: progress,
 	}
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	if started {
-		f.keys.setRequestID(stream, f.core.Submit(coreRequest(job, stream)))
+		f.idempotencyTable.setRequestID(stream, f.core.Submit(coreRequest(job, stream)))
 	}
 	ended, responded := streamEvents(r.Context(), w, stream, seen)
 	if ended {
--- a/internal/transport/requestconn.go
+++ b/internal/transport/requestconn.go
@@ -58,16 +58,16 @@
 	}
 }
 
-// requestReadDeadline returns when a request must have been received completely: wholeWithin after its first byte, or from now
+// requestReadDeadline returns when a request must have been received completely: requestReadTimeout after its first byte, or from now
 // if it is multiplexed, since its head is complete and had a time of its own.
 func requestReadDeadline(r *http.Request) time.Time {
 	conn := clientConnOf(r)
 	if conn == nil || conn.listener.multiplexed {
-		return time.Now().Add(wholeWithin)
+		return time.Now().Add(requestReadTimeout)
 	}
 	conn.listener.mu.Lock()
 	defer conn.listener.mu.Unlock()
-	return conn.requestBeganAt.Add(wholeWithin)
+	return conn.requestBeganAt.Add(requestReadTimeout)
 }
 
 // unreadDuration returns how long before now the last byte of a request had been received, 0 if it is not known.
