--- /dev/null
+++ b/internal/transport/attemptqueue.go
@@ -0,0 +1,174 @@
+package transport
+
+import (
+	"errors"
+	"net"
+	"slices"
+	"syscall"
+	"time"
+
+	"brassdale/scheduler"
+)
+
+// startExchange gives an exchange a connection: an idle one, or a new one if the pool allows one more. Otherwise the exchange
+// waits for capacity: at another worker the attempt would not find a connection either, and would be lost.
+func (e *endpoint) startExchange(exchange *workerExchange) {
+	now := time.Now()
+	if conn := e.takeIdle(now); conn != nil {
+		exchange.connIdle = now.Sub(conn.idleSince)
+		if !e.assign(exchange, conn) {
+			e.release(conn)
+		}
+		return
+	}
+	if exchange.mustNotStart(now) {
+		e.finishUnassigned(exchange, scheduler.NeverSent)
+		return
+	}
+	if !e.pool.reserveConn(e) {
+		e.waitForCapacity(exchange)
+		return
+	}
+	e.waitingForDial = append(e.waitingForDial, exchange)
+	e.dial(exchange)
+}
+
+// waitForCapacity queues an exchange until the pool allows one more connection or the exchange's deadline passes.
+func (e *endpoint) waitForCapacity(exchange *workerExchange) {
+	if len(e.waitingForCapacity) == 0 {
+		e.pool.log.Warn("connection limit reached, attempts wait", "worker", e.id, "limit", e.pool.connectionLimit())
+	}
+	e.waitingForCapacity = append(e.waitingForCapacity, exchange)
+	time.AfterFunc(time.Until(exchange.deadline), func() { e.mailbox.Post(capacityWaitTimedOut{}) })
+}
+
+// startWaiting starts the exchange that has waited longest for capacity. If none waits, another endpoint gets the capacity.
+func (e *endpoint) startWaiting() {
+	if len(e.waitingForCapacity) == 0 {
+		e.pool.passOnCapacity()
+		return
+	}
+	exchange := e.waitingForCapacity[0]
+	e.waitingForCapacity = e.waitingForCapacity[1:]
+	e.startExchange(exchange)
+}
+
+// finishTimedOut ends the exchanges that wait for capacity and whose deadline has passed.
+func (e *endpoint) finishTimedOut(now time.Time) {
+	e.waitingForCapacity = slices.DeleteFunc(e.waitingForCapacity, func(exchange *workerExchange) bool {
+		timedOut := !now.Before(exchange.deadline)
+		if timedOut {
+			e.finishUnassigned(exchange, scheduler.NeverSent)
+		}
+		return timedOut
+	})
+}
+
+// dial opens a connection in a goroutine of its own, for which the pool has reserved capacity. The goroutine ends with a
+// dialCompleted, at the connect timeout or the exchange's deadline at the latest.
+func (e *endpoint) dial(exchange *workerExchange) {
+	e.dialing++
+	address, deadline := e.listed.Address, time.Now().Add(e.pool.settings.Current().Limits.ConnectTimeout.Duration())
+	if exchange.deadline.Before(deadline) {
+		deadline = exchange.deadline
+	}
+	go func() {
+		conn, err := (&net.Dialer{Deadline: deadline, KeepAlive: -1}).Dial("tcp", address)
+		if err != nil {
+			e.pool.releaseConn()
+			e.mailbox.Post(dialCompleted{exchange: exchange, err: err})
+			return
+		}
+		e.mailbox.Post(dialCompleted{exchange: exchange, conn: newWorkerConn(conn, address)})
+	}()
+}
+
+// handleDialCompleted assigns a new connection to the exchange that has waited longest, which need not be the one it was opened
+// for. If the dial failed, or the worker has moved meanwhile, one waiting exchange ends or starts again.
+func (e *endpoint) handleDialCompleted(message dialCompleted) {
+	e.dialing--
+	connected := message.err == nil
+	if connected && message.conn.address == e.listed.Address {
+		e.release(message.conn)
+		return
+	}
+	exchange := e.takeWithoutDial(message.exchange)
+	if connected {
+		e.closeConn(message.conn)
+	}
+	switch {
+	case exchange == nil:
+	case connected:
+		e.startExchange(exchange)
+	default:
+		e.finishUnassigned(exchange, outcomeOfDialError(message.err))
+	}
+}
+
+// takeWithoutDial removes and returns the exchange that no dial in progress will serve, now that the dial for preferred has
+// failed: preferred, if it still waits, or else, if more wait than dials are in progress, the one that has waited longest.
+// It returns nil if there is none.
+func (e *endpoint) takeWithoutDial(preferred *workerExchange) *workerExchange {
+	i := slices.Index(e.waitingForDial, preferred)
+	if i < 0 && len(e.waitingForDial) > e.dialing {
+		i = 0
+	}
+	if i < 0 {
+		return nil
+	}
+	exchange := e.waitingForDial[i]
+	e.waitingForDial = slices.Delete(e.waitingForDial, i, i+1)
+	return exchange
+}
+
+// outcomeOfDialError returns the outcome of an attempt whose dial failed: NeverSent if this process lacks descriptors or ports,
+// NoConnect, which counts against the worker, otherwise.
+func outcomeOfDialError(err error) scheduler.Outcome {
+	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
+		return scheduler.NeverSent
+	}
+	return scheduler.NoConnect
+}
+
+// release assigns an unused connection to the first waiting exchange that may still be sent, or adds it to the idle ones.
+func (e *endpoint) release(conn *workerConn) {
+	for _, queue := range [...]*[]*workerExchange{&e.waitingForDial, &e.waitingForCapacity} {
+		for len(*queue) > 0 {
+			exchange := (*queue)[0]
+			*queue = (*queue)[1:]
+			if e.assign(exchange, conn) {
+				return
+			}
+		}
+	}
+	e.addIdle(conn)
+}
+
+// assign starts an exchange on a connection, and reports whether it may still be sent. If not, the exchange has ended and the
+// connection is unused.
+func (e *endpoint) assign(exchange *workerExchange, conn *workerConn) bool {
+	now := time.Now()
+	exchange.startBy = e.latestStart(exchange)
+	if reason := e.reasonNotToSend(exchange, now); reason != "" {
+		e.logNotSent(exchange, reason)
+		e.finishUnassigned(exchange, scheduler.NeverSent)
+		return false
+	}
+	e.logAssigned(exchange, now)
+	exchange.conn, conn.wasUsed = conn, true
+	go e.runExchange(exchange)
+	return true
+}
+
+// logAssigned logs an attempt that has got a connection.
+func (e *endpoint) logAssigned(exchange *workerExchange, now time.Time) {
+	if exchange.isProbe {
+		return
+	}
+	e.pool.log.Debug("attempt", "id", exchange.requestID(), "attempt", exchange.attempt.ID.Number, "worker", e.id,
+		"state", e.listed.State, "connection_idle", exchange.connIdle)
+	if notifiedAt := e.listed.NotifiedAt; !notifiedAt.IsZero() {
+		e.pool.log.Info("attempt to draining worker", "id", exchange.requestID(), "attempt", exchange.attempt.ID.Number, "worker", e.id,
+			"since_notified", now.Sub(notifiedAt))
+	}
+}
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -39,8 +39,8 @@
 	return e, ends, &workerConn{conn: here, readLimit: quota, reader: bufio.NewReader(quota)}, there
 }
 
-func newExchange(deadline time.Time) *exchange {
-	return &exchange{attempt: routing.Attempt{Job: &protocol.Job{ID: "1", Method: "POST", Target: "/", Deadline: deadline}}, deadline: deadline}
+func newExchange(deadline time.Time) *workerExchange {
+	return &workerExchange{attempt: routing.Attempt{Job: &protocol.Job{ID: "1", Method: "POST", Target: "/", Deadline: deadline}}, deadline: deadline}
 }
 
 // Two calls wait; the connection of the second comes first and carries the first call, then the first's
@@ -48,12 +48,12 @@
 func TestFailedDialOfAnother(t *testing.T) {
 	e, ends, w, there := newIdle(t, time.Time{})
 	first, second := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(time.Hour))
-	e.waitingForDial, e.dialing = []*exchange{first, second}, 2
-	e.handle(dialCompleted{owner: second, conn: w})
+	e.waitingForDial, e.dialing = []*workerExchange{first, second}, 2
+	e.handle(dialCompleted{exchange: second, conn: w})
 	if first.conn != w {
 		t.Fatal("the call that waited longest is not on the connection")
 	}
-	e.handle(dialCompleted{owner: first, err: io.EOF})
+	e.handle(dialCompleted{exchange: first, err: io.EOF})
 	if o := <-ends; o != scheduler.NoConnect || len(e.waitingForDial) != 0 {
 		t.Errorf("ended as %v, %d wait", o, len(e.waitingForDial))
 	}
@@ -92,8 +92,8 @@
 			if o := <-ends; o != scheduler.Reset && o != scheduler.NoConnect {
 				t.Errorf("%s: ended as %v", name, o)
 			}
-		} else if o := <-ends; o != scheduler.NeverSent || len(e.idle) != 1 || x.conn != nil {
-			t.Errorf("%s: ended as %v, %d idle connections", name, o, len(e.idle))
+		} else if o := <-ends; o != scheduler.NeverSent || len(e.idleConns) != 1 || x.conn != nil {
+			t.Errorf("%s: ended as %v, %d idle connections", name, o, len(e.idleConns))
 		}
 	}
 }
@@ -104,9 +104,9 @@
 	_, _, young, _ := newIdle(t, time.Time{})
 	now := time.Now()
 	old.idleSince, young.idleSince = now.Add(-time.Minute), now
-	e.idle = []*workerConn{old, young}
-	if e.handle(closeIdleConns{time.Second}); len(e.idle) != 1 || e.idle[0] != young {
-		t.Fatalf("%d connections left", len(e.idle))
+	e.idleConns = []*workerConn{old, young}
+	if e.handle(closeIdleConns{time.Second}); len(e.idleConns) != 1 || e.idleConns[0] != young {
+		t.Fatalf("%d connections left", len(e.idleConns))
 	}
 }
 
@@ -157,9 +157,9 @@
 			e.cancel(x.attempt.ID)
 		}
 		waits := newExchange(time.Now().Add(time.Hour))
-		e.waitingForDial, e.dialing = []*exchange{waits}, 1
-		if e.handle(exchangeEnded{x, true}); waits.conn != nil || cut != (len(e.idle) == 0) {
-			t.Errorf("called off %v: %d idle, carries who waits: %v", cut, len(e.idle), waits.conn != nil)
+		e.waitingForDial, e.dialing = []*workerExchange{waits}, 1
+		if e.handle(exchangeEnded{x, true}); waits.conn != nil || cut != (len(e.idleConns) == 0) {
+			t.Errorf("called off %v: %d idle, carries who waits: %v", cut, len(e.idleConns), waits.conn != nil)
 		}
 	}
 }
--- /dev/null
+++ b/internal/transport/sendchecks.go
@@ -0,0 +1,83 @@
+package transport
+
+import "time"
+
+// An attempt may have waited for its connection, so everything that forbids it is checked again before its first byte: when a
+// connection is assigned to it (reasonNotToSend), and in the exchange's own goroutine just before the write (mustNotStart
+// and workerExchange.startBy). An attempt that fails a check ends as scheduler.NeverSent, and nothing of it is written.
+
+// The reasons why an attempt is not sent, as logged.
+const (
+	notSentCancelled         = "cancelled"
+	notSentDeadlinePassed    = "deadline passed"
+	notSentClientGone        = "client gone"
+	notSentWindowOver        = "retry window over"
+	notSentWindowNearlyOver  = "retry window nearly over"
+	notSentRetriesNotAllowed = "retries not allowed"
+	notSentDrainGraceOver    = "worker draining or gone, grace period over"
+	notSentDetachedGraceOver = "worker detached, grace period over"
+	notSentDelayed           = "delayed between assignment and write"
+)
+
+// reasonNotToSend returns why an exchange must not be sent by now, empty if it may. Of a probe only the deadline is checked.
+func (e *endpoint) reasonNotToSend(exchange *workerExchange, now time.Time) string {
+	if exchange.mustNotStart(now) {
+		return exchange.mustNotStartReason(now)
+	}
+	if exchange.isProbe {
+		return ""
+	}
+	switch {
+	case exchange.attempt.ID.Number > 0 && e.pool.RetriesAllowed != nil && !e.pool.RetriesAllowed():
+		return notSentRetriesNotAllowed
+	case e.gracePeriodOver(e.listed.NotifiedAt, drainGraceMargin, now):
+		return notSentDrainGraceOver
+	case e.gracePeriodOver(e.detachedSince, writeMargin, now):
+		return notSentDetachedGraceOver
+	case now.After(exchange.startBy):
+		return notSentWindowNearlyOver
+	}
+	return ""
+}
+
+// latestStart returns until when an exchange may be started: its deadline, or earlier, by the margins of writemargins.go, the end of
+// its retry window or of a grace period of the worker.
+func (e *endpoint) latestStart(exchange *workerExchange) time.Time {
+	latest := exchange.deadline
+	if exchange.isProbe {
+		return latest
+	}
+	limit := func(t time.Time) {
+		if t.Before(latest) {
+			latest = t
+		}
+	}
+	if sendBy := exchange.attempt.SendBy; !sendBy.IsZero() {
+		limit(sendBy.Add(-writeMargin))
+	}
+	if notifiedAt := e.listed.NotifiedAt; !notifiedAt.IsZero() {
+		limit(e.graceEnd(notifiedAt, drainGraceMargin))
+	}
+	if !e.detachedSince.IsZero() {
+		limit(e.graceEnd(e.detachedSince, writeMargin))
+	}
+	return latest
+}
+
+// gracePeriodOver reports whether the grace period that began at since is over, or may be by the time of a write. A zero since
+// is no grace period.
+func (e *endpoint) gracePeriodOver(since time.Time, margin time.Duration, now time.Time) bool {
+	return !since.IsZero() && now.After(e.graceEnd(since, margin))
+}
+
+// graceEnd returns until when an exchange may be started with a worker that is draining, gone or detached since then.
+func (e *endpoint) graceEnd(since time.Time, margin time.Duration) time.Time {
+	return since.Add(e.pool.settings.Current().Rules.DrainGrace.Duration() - margin)
+}
+
+// logNotSent logs that an attempt is not sent.
+func (e *endpoint) logNotSent(exchange *workerExchange, reason string) {
+	if !exchange.isProbe {
+		e.pool.log.Debug("attempt not sent", "id", exchange.requestID(), "attempt", exchange.attempt.ID.Number, "worker", e.id, "reason", reason)
+	}
+}
