--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"context"
 	"slices"
 	"time"
 
@@ -44,8 +43,8 @@
 	}
 }
 
-// run handles messages and closes idle connections that expire, until the context ends.
-func (e *endpoint) run(ctx context.Context) {
+// run handles messages and closes idle connections that expire, until stopped is closed.
+func (e *endpoint) run(stopped <-chan struct{}) {
 	expiry := time.NewTimer(time.Hour)
 	defer expiry.Stop()
 	for {
@@ -53,7 +52,7 @@
 			expiry.Reset(time.Until(e.pool.idleExpiry(e.idleConns[0].idleSince)))
 		}
 		select {
-		case <-ctx.Done():
+		case <-stopped:
 			e.closeAllIdle()
 			return
 		case <-e.mailbox.Signal():
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -14,7 +14,7 @@
 	"brassdale/scheduler"
 )
 
-// sink takes the ends of calls.
+// sink is a Sink that receives the outcomes of attempts and probes.
 type sink chan scheduler.Outcome
 
 func (sink) AttemptStarted(routing.AttemptID)                                                {}
@@ -23,68 +23,67 @@
 func (s sink) AttemptFinished(_ routing.AttemptID, e routing.AttemptResult)                  { s <- e.Outcome }
 func (s sink) ProbeCompleted(_ scheduler.WorkerID, o scheduler.Outcome, _ *scheduler.Report) { s <- o }
 
-// newIdle makes an endpoint's actor that does not run, and a wire for it with its far end.
-func newIdle(t *testing.T, told time.Time) (*endpoint, sink, *workerConn, net.Conn) {
-	p := &protocol.Settings{}
-	p.Limits.ConnectTimeout = protocol.Micros(time.Minute / time.Microsecond)
-	p.Rules.DrainGrace = 500000
+// newIdle returns an endpoint whose actor does not run, and a connection for it with its far end.
+func newIdle(t *testing.T, notifiedAt time.Time) (*endpoint, sink, *workerConn, net.Conn) {
+	settings := &protocol.Settings{}
+	settings.Limits.ConnectTimeout = protocol.Micros(time.Minute / time.Microsecond)
+	settings.Rules.DrainGrace = 500000
 	ends := make(sink, 4)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	live := &protocol.LiveSettings{}
-	live.Replace(p, func(scheduler.Settings) {})
-	e := newEndpoint(NewEndpointPool(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: told})
+	live.Replace(settings, func(scheduler.Settings) {})
+	e := newEndpoint(NewEndpointPool(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: notifiedAt})
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
-	quota := &io.LimitedReader{R: here}
-	return e, ends, &workerConn{conn: here, readLimit: quota, reader: bufio.NewReader(quota)}, there
+	return e, ends, newWorkerConn(here, ""), there
 }
 
 func newExchange(deadline time.Time) *workerExchange {
 	return &workerExchange{attempt: routing.Attempt{Job: &protocol.Job{ID: "1", Method: "POST", Target: "/", Deadline: deadline}}, deadline: deadline}
 }
 
-// Two calls wait; the connection of the second comes first and carries the first call, then the first's
-// own fails. The second call has none to come: it once waited for ever, and was never ended.
+// Two attempts wait. The dial for the second completes first, and its connection is assigned to the first attempt; then the dial
+// for the first fails. No dial is in progress for the second attempt, so it must end.
 func TestFailedDialOfAnother(t *testing.T) {
-	e, ends, w, there := newIdle(t, time.Time{})
+	e, ends, conn, there := newIdle(t, time.Time{})
 	first, second := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(time.Hour))
 	e.waitingForDial, e.dialing = []*workerExchange{first, second}, 2
-	e.handle(dialCompleted{exchange: second, conn: w})
-	if first.conn != w {
-		t.Fatal("the call that waited longest is not on the connection")
+	e.handle(dialCompleted{exchange: second, conn: conn})
+	if first.conn != conn {
+		t.Fatal("the connection is not assigned to the attempt that waited longest")
 	}
 	e.handle(dialCompleted{exchange: first, err: io.EOF})
 	if o := <-ends; o != scheduler.NoConnect || len(e.waitingForDial) != 0 {
 		t.Errorf("ended as %v, %d wait", o, len(e.waitingForDial))
 	}
 	there.Close()
-	<-ends // the first call's, on a connection that broke
+	<-ends // the first attempt's, on a connection that broke
 }
 
-// A call that waited for its connection is looked at again before its first byte: what was called off,
-// overdue or drained meanwhile does not go out, and nothing of it is written.
+// An attempt that waited for its connection is checked again before its first byte: if it was cancelled, its deadline passed, its
+// client left, its retry window ended or the worker's grace period ended meanwhile, nothing of it is written.
 func TestChecksBeforeFirstByte(t *testing.T) {
 	now := time.Now()
-	for name, c := range map[string]struct {
-		told, deadline, by time.Time
-		cut, gone, sent    bool
+	for name, test := range map[string]struct {
+		notifiedAt, deadline, sendBy time.Time
+		cancelled, clientGone, sent  bool
 	}{
-		"may go":          {deadline: now.Add(time.Hour), sent: true},
-		"told just now":   {told: now, deadline: now.Add(time.Hour), sent: true},
-		"told 500 ms ago": {told: now.Add(-500 * time.Millisecond), deadline: now.Add(time.Hour)},
-		"overdue":         {deadline: now},
-		"called off":      {deadline: now.Add(time.Hour), cut: true},
-		"its client left": {deadline: now.Add(time.Hour), gone: true},
-		"window over":     {deadline: now.Add(time.Hour), by: now},
-		"window open":     {deadline: now.Add(time.Hour), by: now.Add(time.Hour), sent: true},
+		"may be sent":         {deadline: now.Add(time.Hour), sent: true},
+		"notified just now":   {notifiedAt: now, deadline: now.Add(time.Hour), sent: true},
+		"notified 500 ms ago": {notifiedAt: now.Add(-500 * time.Millisecond), deadline: now.Add(time.Hour)},
+		"deadline passed":     {deadline: now},
+		"cancelled":           {deadline: now.Add(time.Hour), cancelled: true},
+		"client gone":         {deadline: now.Add(time.Hour), clientGone: true},
+		"window over":         {deadline: now.Add(time.Hour), sendBy: now},
+		"window open":         {deadline: now.Add(time.Hour), sendBy: now.Add(time.Hour), sent: true},
 	} {
-		e, ends, w, there := newIdle(t, c.told)
-		x := newExchange(c.deadline)
-		x.cancelled.Store(c.cut)
-		x.attempt.SendBy, x.attempt.ClientGone = c.by, func() bool { return c.gone }
-		e.waitingForDial = append(e.waitingForDial, x)
-		e.release(w)
-		if c.sent {
+		e, ends, conn, there := newIdle(t, test.notifiedAt)
+		exchange := newExchange(test.deadline)
+		exchange.cancelled.Store(test.cancelled)
+		exchange.attempt.SendBy, exchange.attempt.ClientGone = test.sendBy, func() bool { return test.clientGone }
+		e.waitingForDial = append(e.waitingForDial, exchange)
+		e.release(conn)
+		if test.sent {
 			if _, err := bufio.NewReader(there).ReadByte(); err != nil {
 				t.Errorf("%s: nothing written: %v", name, err)
 			}
@@ -92,13 +91,13 @@
 			if o := <-ends; o != scheduler.Reset && o != scheduler.NoConnect {
 				t.Errorf("%s: ended as %v", name, o)
 			}
-		} else if o := <-ends; o != scheduler.NeverSent || len(e.idleConns) != 1 || x.conn != nil {
+		} else if o := <-ends; o != scheduler.NeverSent || len(e.idleConns) != 1 || exchange.conn != nil {
 			t.Errorf("%s: ended as %v, %d idle connections", name, o, len(e.idleConns))
 		}
 	}
 }
 
-// Of the idle connections those are dropped that stood idle too long.
+// CloseIdle closes those connections that have been idle for the given time.
 func TestCloseIdleByIdleTime(t *testing.T) {
 	e, _, old, _ := newIdle(t, time.Time{})
 	_, _, young, _ := newIdle(t, time.Time{})
@@ -110,56 +109,56 @@
 	}
 }
 
-// While all connections that may be open carry calls, a further call waits for one to end; it is not lost, nor an
-// attempt of its job. Idle connections elsewhere make room at once, and who waits too long ends unsent.
+// At the connection limit, a further attempt waits for a connection to be closed. Other endpoints close their idle connections
+// at once. An attempt that waits beyond its deadline ends as NeverSent.
 func TestWaitsForConnectionLimit(t *testing.T) {
 	e, ends, _, _ := newIdle(t, time.Time{})
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // a connection that never came up would be given back at any moment
+	ln, err := net.Listen("tcp", "127.0.0.1:0") // a failed dial would release its capacity at any moment
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	e.listed.Address = ln.Addr().String()
-	f := e.pool
-	f.endpoints["other"], f.endpoints["this"] = newEndpoint(f, routing.Endpoint{}), e
-	f.SetConnectionLimit(1)
-	if !f.reserveConn(e) {
-		t.Fatal("no room for the first")
+	pool := e.pool
+	pool.endpoints["other"], pool.endpoints["this"] = newEndpoint(pool, routing.Endpoint{}), e
+	pool.SetConnectionLimit(1)
+	if !pool.reserveConn(e) {
+		t.Fatal("no capacity for the first connection")
 	}
-	waits, late := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(-time.Hour))
-	e.startExchange(waits)
+	waiting, late := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(-time.Hour))
+	e.startExchange(waiting)
 	e.startExchange(late)
 	if o := <-ends; o != scheduler.NeverSent || len(e.waitingForCapacity) != 1 || len(ends) != 0 {
-		t.Errorf("the overdue call ended as %v; %d wait, %d more ends", o, len(e.waitingForCapacity), len(ends))
+		t.Errorf("the late attempt ended as %v; %d wait, %d more results", o, len(e.waitingForCapacity), len(ends))
 	}
-	if got := f.endpoints["other"].mailbox.Take(); len(got) != 1 || got[0] != any(closeIdleConns{0}) {
-		t.Errorf("the other endpoint was told %v", got)
+	if got := pool.endpoints["other"].mailbox.Take(); len(got) != 1 || got[0] != any(closeIdleConns{0}) {
+		t.Errorf("the other endpoint received %v", got)
 	}
 	e.mailbox.Take()
-	f.releaseConn()
+	pool.releaseConn()
 	for _, m := range e.mailbox.Take() {
 		e.handle(m)
 	}
-	if len(e.waitingForCapacity) != 0 || f.OpenConnections() != 1 || len(e.waitingForDial) != 1 {
-		t.Errorf("%d still wait with room, %d held", len(e.waitingForCapacity), f.OpenConnections())
+	if len(e.waitingForCapacity) != 0 || pool.OpenConnections() != 1 || len(e.waitingForDial) != 1 {
+		t.Errorf("%d still wait for capacity, %d connections", len(e.waitingForCapacity), pool.OpenConnections())
 	}
 }
 
-// A call is called off after its exchange has ended well and before the actor has its connection back: that is closed, and
-// must not stand idle, nor carry whoever waits. One that was not called off rests.
+// An attempt is cancelled after its exchange has ended well and before the actor has its connection back: the connection is closed,
+// and must not become idle or be assigned to a waiting attempt. If the attempt was not cancelled, the connection becomes idle.
 func TestCancelledAfterItsEnd(t *testing.T) {
-	for _, cut := range []bool{true, false} {
-		e, _, w, _ := newIdle(t, time.Time{})
-		x := newExchange(time.Now().Add(time.Hour))
-		x.conn = w
-		e.exchanges[x.attempt.ID] = x
-		if cut {
-			e.cancel(x.attempt.ID)
+	for _, cancelled := range []bool{true, false} {
+		e, _, conn, _ := newIdle(t, time.Time{})
+		exchange := newExchange(time.Now().Add(time.Hour))
+		exchange.conn = conn
+		e.exchanges[exchange.attempt.ID] = exchange
+		if cancelled {
+			e.cancel(exchange.attempt.ID)
 		}
-		waits := newExchange(time.Now().Add(time.Hour))
-		e.waitingForDial, e.dialing = []*workerExchange{waits}, 1
-		if e.handle(exchangeEnded{x, true}); waits.conn != nil || cut != (len(e.idleConns) == 0) {
-			t.Errorf("called off %v: %d idle, carries who waits: %v", cut, len(e.idleConns), waits.conn != nil)
+		waiting := newExchange(time.Now().Add(time.Hour))
+		e.waitingForDial, e.dialing = []*workerExchange{waiting}, 1
+		if e.handle(exchangeEnded{exchange, true}); waiting.conn != nil || cancelled != (len(e.idleConns) == 0) {
+			t.Errorf("cancelled %v: %d idle, assigned to the waiting attempt: %v", cancelled, len(e.idleConns), waiting.conn != nil)
 		}
 	}
 }
--- a/internal/transport/endpointpool.go
+++ b/internal/transport/endpointpool.go
@@ -1,5 +1,3 @@
-// Package transport holds the sockets: the server for inbound requests, the front for server-sent
-// events, the connections to endpoints and the calls to discovery.
 package transport
 
 import (
@@ -13,182 +11,209 @@
 	"brassdale/scheduler"
 )
 
-// RetrySettings are the operator's, in a block fleet.
-type RetrySettings struct {
-	RetryRatio float64 `hcl:"retry_budget"` // further calls for each first one, over sliding windows
-}
-
-// Sink takes what comes back from endpoints. No method blocks.
+// Sink receives what workers report. Its methods may be called from any goroutine and must not block. Each routing.Attempt gets
+// exactly one AttemptFinished, each probe one ProbeCompleted.
 type Sink interface {
-	AttemptStarted(routing.AttemptID)
-	AttemptProgressed(routing.AttemptID, float64)
-	AttemptFinished(routing.AttemptID, routing.AttemptResult)
-	ProbeCompleted(scheduler.WorkerID, scheduler.Outcome, *scheduler.Report)
-	AttemptSent() // a call was written to its last byte
-}
-
-// EndpointPool hands calls to the endpoints' actors. It is the core's routing.Endpoints. The actor of an endpoint
-// that is gone stays, idle: the module too remembers a worker for its life, and it may come back.
+	// AttemptSent says that the last byte of an attempt's request was written.
+	AttemptSent()
+	// AttemptStarted says that the worker has started an attempt.
+	AttemptStarted(attempt routing.AttemptID)
+	// AttemptProgressed reports the share of the job that is done, from 0 to 1.
+	AttemptProgressed(attempt routing.AttemptID, share float64)
+	// AttemptFinished reports the result of an attempt.
+	AttemptFinished(attempt routing.AttemptID, result routing.AttemptResult)
+	// ProbeCompleted reports the outcome of a probe, and the worker's load report if there was one.
+	ProbeCompleted(worker scheduler.WorkerID, outcome scheduler.Outcome, report *scheduler.Report)
+}
+
+// EndpointPool passes attempts and probes to the actors of their endpoints, and limits the connections that all of them have
+// open together. It is the routing.EndpointPool of the core. The actor of an endpoint that is gone stays: the worker may
+// come back, and the scheduler remembers it too.
+//
+// Its methods may be called from any goroutine. They hold mu for a few lines and do not block. mu may be held while a message is
+// posted to an actor, so an actor must not hold anything that the pool waits for.
+//
+// Invariant: connections, open or being opened, are counted in openConns by reserveConn and releaseConn. No more are opened
+// while openConns >= maxConns; if SetConnectionLimit lowers the limit, open ones stay until they end.
 type EndpointPool struct {
-	ctx              context.Context
-	settings         *protocol.LiveSettings
-	sink             Sink
-	log              *slog.Logger
-	mu               sync.Mutex
-	maxConns         int // connections that all endpoints together may have open
-	openConns        int // and how many are
-	endpoints        map[scheduler.WorkerID]*endpoint
-	detachedSince    map[scheduler.WorkerID]time.Time // put out by hand, listed or not
-	waitingEndpoints []*endpoint                      // wait for a connection that they may open
+	settings *protocol.LiveSettings
+	sink     Sink
+	log      *slog.Logger
+	stopped  <-chan struct{} // closed when the actors must end
 
-	// RetriesAllowed tells whether a call beyond a job's first may still leave; nil for always. It is set before the first call.
+	// RetriesAllowed reports whether attempts after a job's first may still be sent; nil if they always may. It is set before
+	// the first Send, called from the actors, and must not block.
 	RetriesAllowed func() bool
-}
 
-// NewEndpointPool makes an empty fleet. It opens no connection before Allow.
-func NewEndpointPool(ctx context.Context, p *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
-	return &EndpointPool{ctx: ctx, settings: p, sink: sink, log: log, endpoints: map[scheduler.WorkerID]*endpoint{},
-		detachedSince: map[scheduler.WorkerID]time.Time{}}
+	mu               sync.Mutex // guards all below
+	maxConns         int
+	openConns        int
+	endpoints        map[scheduler.WorkerID]*endpoint
+	detachedSince    map[scheduler.WorkerID]time.Time // of workers that the operator detached, listed or not
+	waitingEndpoints []*endpoint                      // that could not open a connection, once for each that they wanted, in order
+}
+
+// NewEndpointPool returns a pool without endpoints, whose actors end with the context. It opens no connection before
+// SetConnectionLimit.
+func NewEndpointPool(ctx context.Context, settings *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
+	return &EndpointPool{
+		settings:      settings,
+		sink:          sink,
+		log:           log,
+		stopped:       ctx.Done(),
+		endpoints:     map[scheduler.WorkerID]*endpoint{},
+		detachedSince: map[scheduler.WorkerID]time.Time{},
+	}
 }
 
 // SetConnectionLimit sets how many connections all endpoints together may have open.
-func (f *EndpointPool) SetConnectionLimit(most int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.maxConns = most
-	f.notifyWaiting()
-}
-
-func (f *EndpointPool) connectionLimit() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.maxConns
-}
-
-// reserveConn counts a connection that is to be opened, and tells whether it may be. If not, the endpoint hears of the next
-// that is closed, and all close what stands idle.
-func (f *EndpointPool) reserveConn(e *endpoint) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.openConns < f.maxConns {
-		f.openConns++
-		return true
+func (p *EndpointPool) SetConnectionLimit(limit int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.maxConns = limit
+	p.notifyWaitingLocked()
+}
+
+// OpenConnections returns how many connections all endpoints together have open, including those being opened.
+func (p *EndpointPool) OpenConnections() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.openConns
+}
+
+// Update passes on what the endpoint list says of an endpoint, and starts the actor of a new one.
+func (p *EndpointPool) Update(listed routing.Endpoint) {
+	p.mu.Lock()
+	e := p.endpoints[listed.ID]
+	if e == nil && listed.State != scheduler.Gone {
+		e = newEndpoint(p, listed)
+		e.detachedSince = p.detachedSince[listed.ID]
+		p.endpoints[listed.ID] = e
+		go e.run(p.stopped)
 	}
-	if len(f.waitingEndpoints) == 0 {
-		for _, o := range f.endpoints {
-			o.mailbox.Post(closeIdleConns{0})
-		}
+	p.mu.Unlock()
+	if e != nil {
+		e.mailbox.Post(listed)
 	}
-	f.waitingEndpoints = append(f.waitingEndpoints, e)
-	return false
-}
-
-// passOnCapacity gives on what an endpoint that once waited has no more use for.
-func (f *EndpointPool) passOnCapacity() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.notifyWaiting()
 }
 
-// releaseConn counts a connection that is closed.
-func (f *EndpointPool) releaseConn() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.openConns--
-	f.notifyWaiting()
-}
-
-// notifyWaiting tells those that wait as far as there is room; f.mu is held.
-func (f *EndpointPool) notifyWaiting() {
-	for n := f.maxConns - f.openConns; n > 0 && len(f.waitingEndpoints) > 0; n-- {
-		f.waitingEndpoints[0].mailbox.Post(capacityFreed{})
-		f.waitingEndpoints = f.waitingEndpoints[1:]
+// Send starts an attempt. If its endpoint was never listed, the attempt ends as NeverSent.
+func (p *EndpointPool) Send(attempt routing.Attempt) {
+	if e := p.endpoint(attempt.Endpoint); e != nil {
+		e.mailbox.Post(attempt)
+		return
 	}
+	p.sink.AttemptFinished(attempt.ID, routing.AttemptResult{Outcome: scheduler.NeverSent})
 }
 
-// OpenConnections is how many they have.
-func (f *EndpointPool) OpenConnections() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.openConns
+// Cancel cancels an attempt. Its result is reported as of any other.
+func (p *EndpointPool) Cancel(worker scheduler.WorkerID, attempt routing.AttemptID) {
+	if e := p.endpoint(worker); e != nil {
+		e.mailbox.Post(cancelAttempt{attempt})
+	}
 }
 
-// Update tells an endpoint's actor what the destination set says of it, and starts the actor of a new one.
-func (f *EndpointPool) Update(d routing.Endpoint) {
-	f.mu.Lock()
-	e := f.endpoints[d.ID]
-	if e == nil && d.State != scheduler.Gone {
-		e = newEndpoint(f, d)
-		e.detachedSince = f.detachedSince[d.ID]
-		f.endpoints[d.ID] = e
-		go e.run(f.ctx)
+// SetDetached says since when the operator has a worker detached; zero if it is attached again. It applies whatever the endpoint list
+// says of the worker, also to one that is listed later.
+func (p *EndpointPool) SetDetached(worker scheduler.WorkerID, since time.Time) {
+	p.mu.Lock()
+	if p.detachedSince[worker] = since; since.IsZero() {
+		delete(p.detachedSince, worker)
 	}
-	f.mu.Unlock()
-	if e != nil {
-		e.mailbox.Post(d)
+	p.mu.Unlock()
+	if e := p.endpoint(worker); e != nil {
+		e.mailbox.Post(setDetached{since})
 	}
 }
 
-func (f *EndpointPool) endpoint(id scheduler.WorkerID) *endpoint {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.endpoints[id]
+// CloseIdle closes a worker's connections that have been idle for at least minIdle.
+func (p *EndpointPool) CloseIdle(worker scheduler.WorkerID, minIdle time.Duration) {
+	if e := p.endpoint(worker); e != nil {
+		e.mailbox.Post(closeIdleConns{minIdle})
+	}
 }
 
-// Send starts a call.
-func (f *EndpointPool) Send(c routing.Attempt) {
-	if e := f.endpoint(c.Endpoint); e != nil {
-		e.mailbox.Post(c)
+// Probe sends a health check to a worker. If that was never listed, the probe ends as NeverSent.
+func (p *EndpointPool) Probe(worker scheduler.WorkerID) {
+	if e := p.endpoint(worker); e != nil {
+		e.mailbox.Post(startProbe{})
 		return
 	}
-	f.sink.AttemptFinished(c.ID, routing.AttemptResult{Outcome: scheduler.NeverSent})
+	p.sink.ProbeCompleted(worker, scheduler.NeverSent, nil)
 }
 
-// Cancel gives a call up.
-func (f *EndpointPool) Cancel(id scheduler.WorkerID, c routing.AttemptID) {
-	if e := f.endpoint(id); e != nil {
-		e.mailbox.Post(cancelAttempt{c})
-	}
+// endpoint returns a worker's actor, nil if it was never listed.
+func (p *EndpointPool) endpoint(worker scheduler.WorkerID) *endpoint {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.endpoints[worker]
 }
 
-// Bar puts an endpoint out by hand, or back. That stands beside what the destination set says of it.
-func (f *EndpointPool) SetDetached(id scheduler.WorkerID, since time.Time) {
-	f.mu.Lock()
-	if f.detachedSince[id] = since; since.IsZero() {
-		delete(f.detachedSince, id)
+// connectionLimit returns how many connections all endpoints together may have open.
+func (p *EndpointPool) connectionLimit() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.maxConns
+}
+
+// reserveConn counts a connection that is about to be opened, and reports whether it may be. If it may not, all endpoints close
+// their idle connections, and this one gets a capacityFreed when it is its turn.
+func (p *EndpointPool) reserveConn(e *endpoint) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.openConns < p.maxConns {
+		p.openConns++
+		return true
 	}
-	f.mu.Unlock()
-	if e := f.endpoint(id); e != nil {
-		e.mailbox.Post(setDetached{since})
+	if len(p.waitingEndpoints) == 0 {
+		for _, other := range p.endpoints {
+			other.mailbox.Post(closeIdleConns{minIdle: 0})
+		}
 	}
+	p.waitingEndpoints = append(p.waitingEndpoints, e)
+	return false
 }
 
-// Drop closes an endpoint's connections that have stood idle for so long.
-func (f *EndpointPool) CloseIdle(id scheduler.WorkerID, idle time.Duration) {
-	if e := f.endpoint(id); e != nil {
-		e.mailbox.Post(closeIdleConns{idle})
-	}
+// releaseConn counts a connection that is closed, or was not opened after reserveConn.
+func (p *EndpointPool) releaseConn() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.openConns--
+	p.notifyWaitingLocked()
 }
 
-// Probe asks an endpoint for a sign of life.
-func (f *EndpointPool) Probe(id scheduler.WorkerID) {
-	if e := f.endpoint(id); e != nil {
-		e.mailbox.Post(startProbe{})
-		return
+// passOnCapacity gives the next waiting endpoint the capacity that another one was notified of and does not need any more.
+func (p *EndpointPool) passOnCapacity() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.notifyWaitingLocked()
+}
+
+// notifyWaitingLocked notifies as many waiting endpoints as there may be further connections. mu is held. Nothing is reserved for them:
+// one that comes too late waits again.
+func (p *EndpointPool) notifyWaitingLocked() {
+	for free := p.maxConns - p.openConns; free > 0 && len(p.waitingEndpoints) > 0; free-- {
+		p.waitingEndpoints[0].mailbox.Post(capacityFreed{})
+		p.waitingEndpoints = p.waitingEndpoints[1:]
 	}
-	f.sink.ProbeCompleted(id, scheduler.NeverSent, nil)
 }
 
-// maxIdleConns is how many idle connections an endpoint may keep, so that all together stay within bounds.
-func (f *EndpointPool) maxIdleConns() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.waitingEndpoints) > 0 {
+// maxIdleConns returns how many idle connections an endpoint may have: 0 while others wait for capacity, and otherwise an equal
+// share of half the limit, at least 1.
+func (p *EndpointPool) maxIdleConns() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.waitingEndpoints) > 0 {
 		return 0
 	}
-	return max(f.maxConns/(2*max(len(f.endpoints), 1)), 1)
+	return max(p.maxConns/(2*max(len(p.endpoints), 1)), 1)
 }
 
-func (f *EndpointPool) idleExpiry(since time.Time) time.Time {
-	return since.Add(f.settings.Current().Limits.ConnIdle.Duration() * 85 / 100)
+// idleTimeoutPercent is the share of the workers' idle timeout (limits.connIdle) after which a connection is closed here, so that
+// the worker does not close it just as it is used.
+const idleTimeoutPercent = 85
+
+// idleExpiry returns when a connection that has been idle since then must be closed.
+func (p *EndpointPool) idleExpiry(since time.Time) time.Time {
+	return since.Add(p.settings.Current().Limits.ConnIdle.Duration() * idleTimeoutPercent / 100)
 }
