--- a/cmd/brassdale/inbound_test.go
+++ b/cmd/brassdale/inbound_test.go
@@ -345,7 +345,7 @@
 	n.waitFor("a refusal for the sake of the last free connections", func() bool {
 		resp = ask(i)
 		i++
-		return strings.Contains(n.log(), "the last free connections")
+		return strings.Contains(n.log(), "last free connections during shutdown")
 	})
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Close {
 		t.Errorf("answered %d, Retry-After %q, closes %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
--- a/cmd/brassdale/rude_test.go
+++ b/cmd/brassdale/rude_test.go
@@ -150,7 +150,7 @@
 		c := n.dial()
 		io.WriteString(c, asHead(fmt.Sprint("big-", i), "Content-Length: 65536\r\n")+strings.Repeat("x", 65535))
 	}
-	n.waitFor("a refusal", func() bool { return strings.Contains(n.log(), "out of room for bodies") })
+	n.waitFor("a refusal", func() bool { return strings.Contains(n.log(), "body memory limit") })
 	large := request(n.url, "k")
 	large.Body, large.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<16))), 1<<16
 	status, _, after := n.do(large)
--- /dev/null
+++ b/internal/transport/admission.go
@@ -0,0 +1,156 @@
+package transport
+
+import (
+	"net/http"
+	"time"
+
+	"brassdale/internal/protocol"
+	"brassdale/internal/routing"
+)
+
+// admission is what a request has reserved. The goroutine that serves the request owns it.
+type admission struct {
+	listener     *Listener
+	request      *http.Request
+	bodyBytes    int64  // reserved of the listener's memory for bodies
+	hasOpenJob   bool   // a job was recorded on the connection
+	releaseQuota func() // nil if no quota was taken
+}
+
+// release releases all that was reserved. It must be called once, after the answer was written.
+func (a *admission) release() {
+	if a.releaseQuota != nil {
+		a.releaseQuota()
+	}
+	if a.hasOpenJob {
+		releaseJob(a.request)
+	}
+	a.listener.releaseBody(a.bodyBytes)
+}
+
+// shrinkBody releases what was reserved beyond the body's size. It is needed where the size was not declared.
+func (a *admission) shrinkBody(size int64) {
+	if size < a.bodyBytes {
+		a.listener.releaseBody(a.bodyBytes - size)
+		a.bodyBytes = size
+	}
+}
+
+// admit reads a request and reserves what its job needs. If job is nil, the request has been answered: it is a health check or
+// not valid, or is rejected, since beyond the limits this process would run out of descriptors or memory and lose all jobs in
+// flight. done must be called when the request is answered. admit blocks until the request was read, up to requestReadTimeout.
+func (f *frontend) admit(w http.ResponseWriter, r *http.Request) (job *protocol.Job, done func()) {
+	settings := f.settings.Current() // the job keeps the settings that it began with
+	f.limitConnection(w, r, settings)
+	if isHealthCheck(r) {
+		f.serveHealth(w, r)
+		return nil, func() {}
+	}
+	size := maxBodySize(r)
+	if !f.listener.reserveBody(size) {
+		f.rejectAndClose(w, r, protocol.ClassOf(r), rejectedBodyMemory)
+		return nil, func() {}
+	}
+	reserved := &admission{listener: f.listener, request: r, bodyBytes: size}
+	job = f.readAuthorizedJob(w, r, settings)
+	if job == nil {
+		return nil, reserved.release
+	}
+	reserved.shrinkBody(int64(len(job.Body)))
+	if !f.reserveCapacity(w, r, job, reserved) {
+		return nil, reserved.release
+	}
+	return job, reserved.release
+}
+
+// limitConnection limits how long a connection may be used: for the answer to this request, and for further ones.
+func (f *frontend) limitConnection(w http.ResponseWriter, r *http.Request, settings *protocol.Settings) {
+	if !r.ProtoAtLeast(1, 1) || len(r.TransferEncoding) > 0 {
+		closeAfterAnswer(w) // requestFraming does not follow such a request, and only net/http knows where the next one begins
+	}
+	if r.ProtoMajor < 2 {
+		// A client that never reads its answer must not occupy a connection and a goroutine forever. Over HTTP/2 see withWriteTimeout.
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(settings.LongestDeadline() + clientReadTimeout)) // fails only on a closed connection
+	}
+	if f.successorServes.Load() || r.ProtoMajor >= 2 && f.shutdownStartedAt.Load() != nil {
+		closeAfterAnswer(w)
+	}
+}
+
+// maxBodySize returns how many bytes of a request's body may be read: the declared size, or protocol.MaxBodyBytes, where reading stops,
+// if that is less or no size is declared.
+func maxBodySize(r *http.Request) int64 {
+	if r.ContentLength < 0 || r.ContentLength > protocol.MaxBodyBytes {
+		return protocol.MaxBodyBytes
+	}
+	return r.ContentLength
+}
+
+// readAuthorizedJob reads a request and checks that its sender may submit the job. It returns nil if it has answered with an error.
+func (f *frontend) readAuthorizedJob(w http.ResponseWriter, r *http.Request, settings *protocol.Settings) *protocol.Job {
+	job, err := readJob(w, r, settings)
+	if err == nil && f.authorize != nil {
+		err = f.authorize(r, job)
+	}
+	if err == nil {
+		return job
+	}
+	f.respondInvalid(w, r, err)
+	if class := protocol.ClassOf(r); !settings.HasClass(class) {
+		f.core.Counters().CountAnsweredByFrontend(class, routing.Failed) // only counted if the class existed before a reload
+	}
+	return nil
+}
+
+// readJob reads and decodes a request, within requestReadTimeout. Over HTTP/1 it then lifts the read deadline, since the server goes on
+// reading to notice that the client leaves, and takes from the job's deadline the time that the request lay unread.
+func readJob(w http.ResponseWriter, r *http.Request, settings *protocol.Settings) (*protocol.Job, error) {
+	now := time.Now()
+	controller := http.NewResponseController(w)
+	if r.ProtoMajor >= 2 {
+		defer withTimeout(time.Until(requestReadDeadline(r)), controller.SetReadDeadline)()
+		return protocol.DecodeInbound(r, settings, now)
+	}
+	_ = controller.SetReadDeadline(requestReadDeadline(r)) // fails only on a closed connection, as the read does then
+	job, err := protocol.DecodeInbound(r, settings, now)
+	if err == nil {
+		_ = controller.SetReadDeadline(time.Time{})
+		job.Deadline = job.Deadline.Add(-unreadDuration(r, now))
+	}
+	return job, err
+}
+
+// reserveCapacity reserves what a job needs besides its body: a connection, one of the connection's streams and a part of the account's
+// quota. It returns false if it has rejected the request.
+func (f *frontend) reserveCapacity(w http.ResponseWriter, r *http.Request, job *protocol.Job, reserved *admission) bool {
+	if f.listener.Full() {
+		f.rejectAndClose(w, r, job.ClassName, rejectedConnectionLimit)
+		return false
+	}
+	if f.nearlyFullAtShutdown() {
+		f.reject(w, r, job.ClassName, rejectedAtShutdown)
+		return false
+	}
+	if !admitJob(r) {
+		f.reject(w, r, job.ClassName, rejectedStreamLimit)
+		return false
+	}
+	reserved.hasOpenJob = true
+	releaseQuota, ok := f.quotas.admit(job.Account)
+	if !ok {
+		f.reject(w, r, job.ClassName, rejectedAccountQuota)
+		return false
+	}
+	reserved.releaseQuota = releaseQuota
+	return true
+}
+
+// newConnectionGrace is how long after SIGTERM the platform goes on bringing new connections, at least.
+const newConnectionGrace = 250 * time.Millisecond
+
+// nearlyFullAtShutdown reports whether one more job would take one of the last connections on which a client can still reach this
+// process, when no new ones come any more. Without them clients would find nobody, though this process can still answer.
+func (f *frontend) nearlyFullAtShutdown() bool {
+	since := f.shutdownStartedAt.Load()
+	return since != nil && !f.successorServes.Load() && time.Since(*since) > newConnectionGrace && f.listener.NearlyFull()
+}
--- a/internal/transport/answer.go
+++ b/internal/transport/answer.go
@@ -11,7 +11,7 @@
 
 // respondToDepartedClient answers a client that has gone. One that has only shut its own side still reads, and would take the
 // empty 200 of net/http for an answer to its job. Over HTTP/2 the stream is reset already, and the connection has others.
-func (f *front) respondToDepartedClient(w http.ResponseWriter, r *http.Request) {
+func (f *frontend) respondToDepartedClient(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoMajor < 2 {
 		closeAfterAnswer(w)
 		f.respond(w, r, routing.Answer{Verdict: routing.Failed})
@@ -19,7 +19,7 @@
 }
 
 // respond writes an answer. It blocks while the client takes it, for a bounded time.
-func (f *front) respond(w http.ResponseWriter, r *http.Request, answer routing.Answer) {
+func (f *frontend) respond(w http.ResponseWriter, r *http.Request, answer routing.Answer) {
 	defer withWriteTimeout(w, r)()
 	if f.listener.Closing() {
 		closeAfterAnswer(w)
--- a/internal/transport/keyedjob.go
+++ b/internal/transport/keyedjob.go
@@ -19,7 +19,7 @@
 // joinOrStart returns the job of a request's idempotency key, with the request as one of its readers: the known job, or a
 // new one, which the caller must submit (started). If it is not ok, the request has been answered.
 // resumes says that the client has seen events of the job; runsWithoutReaders, that the job goes on without readers.
-func (f *front) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, started, ok bool) {
+func (f *frontend) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, started, ok bool) {
 	stream, decision, reserved := f.idempotencyTable.reserveJob(job, resumes, runsWithoutReaders)
 	if decision == idempotency.Start && reserved && !f.idempotencyTable.inFlightIDs.confirmWithPredecessor(job.ID) {
 		stream.finish(routing.Answer{Verdict: routing.Rejected}) // for requests that joined meanwhile: the job never ran
@@ -29,7 +29,7 @@
 	case !reserved:
 		f.respondInvalid(w, r, errIDInUse)
 	case decision == idempotency.TableFull:
-		f.rejectAndClose(w, r, job.ClassName, "out of remembered jobs")
+		f.rejectAndClose(w, r, job.ClassName, rejectedTableFull)
 	case decision == idempotency.UnknownKey:
 		f.respondInvalid(w, r, errUnknownKey)
 	case decision == idempotency.KeyMismatch:
@@ -41,7 +41,7 @@
 }
 
 // abandonJob records that a reader left before the job's end, and cancels the job if it may not run without readers.
-func (f *front) abandonJob(stream *jobStream) {
+func (f *frontend) abandonJob(stream *jobStream) {
 	id, abandon := f.idempotencyTable.removeReader(stream)
 	if !abandon {
 		return
@@ -53,7 +53,7 @@
 
 // serveKeyedJob answers a request that has an idempotency key with the final answer of the key's job, in one piece. It
 // returns when the request is answered or its client has left.
-func (f *front) serveKeyedJob(w http.ResponseWriter, r *http.Request, job *protocol.Job) {
+func (f *frontend) serveKeyedJob(w http.ResponseWriter, r *http.Request, job *protocol.Job) {
 	if f.relayToPeer(w, r, job, relayWhole) {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // respondWhenEnded waits for a job's end, the client's leaving or a receive from deadline (nil for none).
-func (f *front) respondWhenEnded(w http.ResponseWriter, r *http.Request, stream *jobStream, deadline <-chan time.Time) {
+func (f *frontend) respondWhenEnded(w http.ResponseWriter, r *http.Request, stream *jobStream, deadline <-chan time.Time) {
 	for {
 		_, answer, changed, _ := stream.eventsAfter(0)
 		if answer != nil {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -17,11 +17,6 @@
 )
 
 const (
-	// A request must be here whole so long after its connection was taken, or after its first byte on a connection that
-	// was used before. A client that means it may write for 2 s; one that never gets there is owed an error or a
-	// close within 3 s.
-	requestReadTimeout = 2600 * time.Millisecond
-
 	// A client that means it sends with its connecting: one that has said nothing for this long is the first to go
 	// for want of room, and a request that has not gone on for that long is more likely given up than slow.
 	newConnGrace      = 20 * time.Millisecond
--- a/internal/transport/progressfrontend.go
+++ b/internal/transport/progressfrontend.go
@@ -31,14 +31,14 @@
 // belong to a connection: it runs on until its deadline when its client's stream breaks off, and a request with the same
 // key and a Last-Event-ID resumes the stream.
 type ProgressFrontend struct {
-	front
+	frontend
 	settings *ProgressSettings
 }
 
 // NewProgressFrontend returns the frontend behind a listener. quotas may be nil: then accounts have none.
 func NewProgressFrontend(core Core, settings *protocol.LiveSettings, progress *ProgressSettings, listener *Listener, ids *InFlightIDs, keys *IdempotencyTable, quotas *AccountQuotas, log *slog.Logger) *ProgressFrontend {
 	return &ProgressFrontend{
-		front:    front{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: keys, quotas: quotas, log: log},
+		frontend: frontend{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: keys, quotas: quotas, log: log},
 		settings: progress,
 	}
 }
--- /dev/null
+++ b/internal/transport/rejection.go
@@ -0,0 +1,63 @@
+package transport
+
+import (
+	"errors"
+	"net/http"
+
+	"brassdale/internal/protocol"
+	"brassdale/internal/routing"
+)
+
+// The reasons why a frontend rejects a valid request, as logged. The client gets 503 and may submit the job again.
+const (
+	rejectedConnectionLimit = "connection limit"                      // jobs use all connections, this one is of the reserve
+	rejectedBodyMemory      = "body memory limit"                     // the bodies of all requests use their memory
+	rejectedTableFull       = "idempotency table full"                // it cannot take another key
+	rejectedStreamLimit     = "stream limit of the connection"        // it has its share of the listener's streams
+	rejectedAccountQuota    = "account quota"                         // the account has its share of the open jobs
+	rejectedAtShutdown      = "last free connections during shutdown" // they are kept open for clients that would find no other
+)
+
+// errIDInUse rejects a request whose id is that of another request in flight.
+var errIDInUse = &protocol.RequestError{Status: http.StatusConflict, Reason: "Req-Id is of a request that is open"}
+
+// closeAfterAnswer closes the connection after the present answer. Over HTTP/2 its other streams go on to their ends, and new
+// ones must come on another connection.
+func closeAfterAnswer(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
+
+// closeAfterInvalidRequest closes the connection after the answer to a request that is not read to its end. Over HTTP/2 it does
+// nothing, since other streams are not affected.
+func closeAfterInvalidRequest(w http.ResponseWriter, r *http.Request) {
+	if r.ProtoMajor < 2 {
+		closeAfterAnswer(w)
+	}
+}
+
+// rejectAndClose rejects a request as reject does, and frees its connection.
+func (f *frontend) rejectAndClose(w http.ResponseWriter, r *http.Request, class, reason string) {
+	closeAfterInvalidRequest(w, r)
+	f.reject(w, r, class, reason)
+}
+
+// reject answers a request with 503 before the core has seen it, so that its job has not run.
+func (f *frontend) reject(w http.ResponseWriter, r *http.Request, class, reason string) {
+	f.log.Warn("request rejected", "reason", reason, "id", r.Header.Get("Req-Id"))
+	f.core.Counters().CountAnsweredByFrontend(class, routing.Rejected)
+	defer withWriteTimeout(w, r)()
+	writeAnswer(w, routing.Answer{Verdict: routing.Rejected, RetryAfter: f.settings.Current().Limits.MaxRetryAfter.Duration()})
+}
+
+// respondInvalid answers a request that has no valid job with the status of a *protocol.RequestError, 400 for any other error.
+func (f *frontend) respondInvalid(w http.ResponseWriter, r *http.Request, err error) {
+	status := http.StatusBadRequest
+	if invalid := (*protocol.RequestError)(nil); errors.As(err, &invalid) {
+		status = invalid.Status
+	}
+	if status == http.StatusMethodNotAllowed {
+		w.Header().Set("Allow", http.MethodPost)
+	}
+	closeAfterInvalidRequest(w, r)
+	defer withWriteTimeout(w, r)()
+	f.log.Debug("invalid request", "status", status, "err", err, "id", r.Header.Get("Req-Id"))
+	http.Error(w, err.Error(), status)
+}
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -85,7 +85,7 @@
 
 // relayToPeer has the other process answer a request if the key's job is there, and reports whether it did. mode is the value
 // of relayModeHeader.
-func (f *front) relayToPeer(w http.ResponseWriter, r *http.Request, job *protocol.Job, mode string) bool {
+func (f *frontend) relayToPeer(w http.ResponseWriter, r *http.Request, job *protocol.Job, mode string) bool {
 	peer := f.idempotencyTable.peerWithJob(job.IdempotencyKey)
 	if peer == nil {
 		return false
