--- a/cmd/brassdale/crossings_test.go
+++ b/cmd/brassdale/crossings_test.go
@@ -299,7 +299,7 @@
 	for range 3 * sockets {
 		n.dial()
 	}
-	n.waitFor("clients closed for want of room", func() bool { return strings.Contains(n.log(), "closed for want of room") })
+	n.waitFor("evicted client connections", func() bool { return strings.Contains(n.log(), "client connections evicted") })
 	if got := n.figure("concurrent"); got != 1 {
 		t.Errorf("at the door: %d jobs open", got)
 	}
--- a/cmd/brassdale/rude_test.go
+++ b/cmd/brassdale/rude_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	all.Wait()
-	if !strings.Contains(n.log(), "closed for want of room") {
+	if !strings.Contains(n.log(), "client connections evicted") {
 		t.Error("there was room for all: the test is too small")
 	}
 }
@@ -208,7 +208,7 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Errorf("the slow client: %v, %v", resp, err)
 	}
-	if !strings.Contains(n.log(), "closed for want of room") {
+	if !strings.Contains(n.log(), "client connections evicted") {
 		t.Error("no crowd")
 	}
 }
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -111,7 +111,7 @@
 		return
 	}
 	if exchange.conn != nil {
-		exchange.conn.conn.Close()
+		_ = exchange.conn.conn.Close() // fails only if it is closed already
 		return
 	}
 	for _, queue := range [...]*[]*workerExchange{&e.waitingForDial, &e.waitingForCapacity} {
--- /dev/null
+++ b/internal/transport/eviction.go
@@ -0,0 +1,141 @@
+package transport
+
+import (
+	"time"
+)
+
+const (
+	// rejectionReserveDivisor is the reserve beyond Listener.maxConns, as a part of it: 1/10. Its connections get a rejection
+	// when all others carry jobs.
+	rejectionReserveDivisor = 10
+
+	// freeConnsDivisor is the part of the connections that NearlyFull wants to be free: 1/16.
+	freeConnsDivisor = 16
+
+	// minStreamsPerConn is how many jobs a multiplexed connection may have open while the listener has any capacity.
+	minStreamsPerConn = 4
+
+	// newConnGrace is how long a new connection without a request is not the first to be evicted. A client that has a request
+	// sends it as it connects.
+	newConnGrace = 20 * time.Millisecond
+
+	// stalledRequestAge is how long after its last bytes an incomplete request counts as given up rather than slow.
+	stalledRequestAge = 500 * time.Millisecond
+
+	// evictionLogInterval is the time between two log lines about evictions, at least.
+	evictionLogInterval = time.Second
+)
+
+// evictionRank orders connections by how little their clients lose if they are closed: the one of the highest rank is closed first,
+// and of those of one rank the one that has been in its phase longest.
+type evictionRank uint8
+
+const (
+	neverEvicted   evictionRank = iota // carries a job
+	evictReading                       // a request is being received
+	evictNew                           // has just connected
+	evictIdle                          // between jobs; while this process shuts down, its client may have no other connection
+	evictStalled                       // an incomplete request, nothing of it received for stalledRequestAge
+	evictNeverUsed                     // idle, and has never carried a job
+	evictSilent                        // has sent nothing for newConnGrace
+	evictClosing                       // takes no further request
+)
+
+// evictionRank returns the connection's rank. listener.mu is held.
+func (c *Conn) evictionRank(now time.Time) evictionRank {
+	switch {
+	case c.phase == phaseClosing:
+		return evictClosing
+	case c.phase == phaseNew && now.Sub(c.phaseSince) > newConnGrace:
+		return evictSilent
+	case c.phase == phaseIdle && !c.hasCarriedJob:
+		return evictNeverUsed
+	case c.phase == phaseReading && now.Sub(c.phaseSince) > stalledRequestAge:
+		return evictStalled
+	case c.phase == phaseIdle:
+		return evictIdle
+	case c.phase == phaseNew:
+		return evictNew
+	case c.phase == phaseReading:
+		return evictReading
+	}
+	return neverEvicted
+}
+
+// admitConn adds a connection to the table, and reports whether there is capacity, if only for a rejection. At the limit it evicts
+// the least useful connection; if all carry jobs, the new one is of the reserve for rejections.
+func (l *Listener) admitConn(conn *Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.conns) >= l.maxConns {
+		if victim := l.leastUseful(conn.phaseSince); victim != nil {
+			l.evictLocked(victim, conn.phaseSince)
+		} else if len(l.conns) >= l.maxConns+l.maxConns/rejectionReserveDivisor {
+			l.unansweredConns++
+			l.log.Debug("client connection rejected", "reason", "reserve for rejections used up", "client", conn.RemoteAddr())
+			return false
+		}
+	}
+	l.conns[conn] = struct{}{}
+	return true
+}
+
+// evictLocked closes a connection to free its descriptor at once. mu is held. The goroutine that reads it gets an error and ends.
+func (l *Listener) evictLocked(victim *Conn, now time.Time) {
+	l.removeConnLocked(victim)
+	l.log.Debug("client connection evicted", "reason", "connection limit", "phase", victim.phase.String(), "client", victim.RemoteAddr())
+	victim.phase = phaseClosing // bytes that its reader has just got are not served any more
+	_ = victim.TCPConn.Close() // nothing is written on it any more; fails only if it is closed already
+	l.evictedSinceLog++
+	if now.Sub(l.evictionLoggedAt) > evictionLogInterval {
+		l.log.Warn("client connections evicted", "evicted", l.evictedSinceLog, "limit", l.maxConns)
+		l.evictionLoggedAt, l.evictedSinceLog = now, 0
+	}
+}
+
+// leastUseful returns the connection to evict, nil if all carry jobs. mu is held. One that has unread bytes is not silent, only not
+// yet read: it counts as reading.
+func (l *Listener) leastUseful(now time.Time) *Conn {
+	for {
+		var least *Conn
+		for conn := range l.conns {
+			if rank := conn.evictionRank(now); rank > neverEvicted && (least == nil || rank > least.evictionRank(now) ||
+				rank == least.evictionRank(now) && conn.phaseSince.Before(least.phaseSince)) {
+				least = conn
+			}
+		}
+		if least == nil || least.phase == phaseReading || least.phase == phaseClosing || !least.hasUnreadBytes() {
+			return least
+		}
+		least.noteRequestBytesLocked(now)
+	}
+}
+
+// removeConnLocked removes a connection from the table, if it is there, and counts it for Unanswered. mu is held.
+func (l *Listener) removeConnLocked(conn *Conn) {
+	if _, present := l.conns[conn]; present && !conn.responseStarted.Load() && !conn.clientGone.Load() {
+		l.unansweredConns++
+	}
+	delete(l.conns, conn)
+}
+
+// Full reports whether connections of the reserve for rejections are in use: the next request must be rejected.
+func (l *Listener) Full() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns) > l.maxConns
+}
+
+// NearlyFull reports whether one more job, on the connection of the caller, would leave fewer than 1/freeConnsDivisor of the connections
+// free for further requests.
+func (l *Listener) NearlyFull() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	free := -1 // the caller's connection does not count
+	for conn := range l.conns {
+		if conn.phase != phaseServing && conn.phase != phaseClosing {
+			free++
+		}
+	}
+	return free < len(l.conns)/freeConnsDivisor
+}
--- /dev/null
+++ b/internal/transport/listenershutdown.go
@@ -0,0 +1,92 @@
+package transport
+
+import "time"
+
+// At a shutdown the listener is closed, then CloseIdle is called repeatedly until no connection is left, and RejectUnfinished shortly
+// before the process ends; PendingAnswers says how many clients then get no answer. On a multiplexed listener CloseIdle and
+// RejectUnfinished do nothing, since its protocol has a message of its own (GOAWAY).
+
+const (
+	// firstRequestTimeout is how long a new connection has to bring a request once idle connections are closed.
+	firstRequestTimeout = 300 * time.Millisecond
+
+	// rejectionWriteTimeout is how long writing rejectionResponse may take. It fits into any client's window.
+	rejectionWriteTimeout = 10 * time.Millisecond
+)
+
+// rejectionResponse is the answer to a request that is not read to its end. The client may submit the job again at once.
+const rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+
+// CloseIdle closes the connections on which no answer is pending: the idle ones, and new ones that have brought nothing for
+// firstRequestTimeout. From then on each connection is closed once it is idle. A request that is incomplete is read on.
+func (l *Listener) CloseIdle() {
+	if l.multiplexed {
+		return
+	}
+	now := time.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closesIdle = true
+	for conn := range l.conns {
+		if conn.owesNothing(now) {
+			l.log.Debug("client connection closing", "reason", "shutdown", "phase", conn.phase.String(), "client", conn.RemoteAddr())
+			conn.phase, conn.phaseSince = phaseClosing, now
+			// The goroutine that reads it gets an error and calls Conn.Close, even if a byte is received in this moment.
+			_ = conn.SetReadDeadline(now) // fails only on a closed connection
+		}
+	}
+}
+
+// owesNothing reports whether the connection is idle without pending bytes, or new for longer than firstRequestTimeout.
+// listener.mu is held.
+func (c *Conn) owesNothing(now time.Time) bool {
+	return c.phase == phaseIdle && c.pendingBytes.Load() == 0 || c.phase == phaseNew && now.Sub(c.phaseSince) > firstRequestTimeout
+}
+
+// RejectUnfinished answers incomplete requests with rejectionResponse and reads no further byte of them. It is for a process that is
+// about to end: a client that went on writing would find its connection closed without an answer.
+func (l *Listener) RejectUnfinished() {
+	for _, conn := range l.closeUnfinished() {
+		_ = conn.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout)) // fails only on a closed connection, as does what follows
+		_, _ = conn.Write([]byte(rejectionResponse))
+		_ = conn.CloseWrite()
+	}
+}
+
+// closeUnfinished returns the connections with an incomplete request, after marking them as closing: no further byte is read.
+func (l *Listener) closeUnfinished() []*Conn {
+	if l.multiplexed {
+		return nil
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var unfinished []*Conn
+	for conn := range l.conns {
+		if conn.phase == phaseReading && conn.requestArrivedAt.Load() == nil && !conn.responseStarted.Load() {
+			conn.phase, conn.closeStarted = phaseClosing, true
+			unfinished = append(unfinished, conn)
+			l.log.Debug("client connection closing", "reason", "shutdown, request incomplete", "client", conn.RemoteAddr())
+		}
+	}
+	return unfinished
+}
+
+// Closing reports whether connections are closed after their next answer, because CloseIdle was called.
+func (l *Listener) Closing() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closesIdle
+}
+
+// PendingAnswers returns how many admitted jobs have not been answered.
+func (l *Listener) PendingAnswers() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	pending := l.openJobs
+	for conn := range l.conns {
+		if !l.multiplexed && conn.phase == phaseServing {
+			pending++
+		}
+	}
+	return pending
+}
--- a/internal/transport/workerconn.go
+++ b/internal/transport/workerconn.go
@@ -82,7 +82,7 @@
 
 // closeConn closes a connection and returns its capacity to the pool.
 func (e *endpoint) closeConn(conn *workerConn) {
-	conn.conn.Close()
+	_ = conn.conn.Close() // nothing is written on it any more; fails only if cancel has closed it
 	e.pool.releaseConn()
 }
 
