--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Whatever accept fails with, a listener goes on until it is closed. ENOBUFS from accept once ended the process with all its
-// requests, as did a descriptor that could not be polled.
+// Accept returns no error of accept until the listener is closed, since net/http would end the server, and with it the process and
+// its requests, at errors such as ENOBUFS or a descriptor that cannot be polled (EPERM).
 func TestAcceptOutlivesErrors(t *testing.T) {
 	for _, fault := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EPERM, syscall.EPROTO, syscall.EMFILE, syscall.ENFILE,
 		syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EINTR, syscall.EHOSTUNREACH, syscall.ENETDOWN, errors.New("unknown")} {
-		l, err := Listen("127.0.0.1:0")
+		socket, err := Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		listener := NewListener(l, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		listener := NewListener(socket, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		listener.SetLimits(10, 1<<20)
 		failures := 3
 		accept := listener.accept
@@ -30,7 +30,7 @@
 			}
 			return accept()
 		}
-		client, err := net.Dial("tcp", l.Addr().String())
+		client, err := net.Dial("tcp", socket.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -32,10 +32,10 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	live := &protocol.LiveSettings{}
 	live.Replace(settings, func(scheduler.Settings) {})
-	e := newEndpoint(NewEndpointPool(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: notifiedAt})
+	actor := newEndpoint(NewEndpointPool(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: notifiedAt})
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
-	return e, ends, newWorkerConn(here, ""), there
+	return actor, ends, newWorkerConn(here, ""), there
 }
 
 func newExchange(deadline time.Time) *workerExchange {
@@ -45,16 +45,16 @@
 // Two attempts wait. The dial for the second completes first, and its connection is assigned to the first attempt; then the dial
 // for the first fails. No dial is in progress for the second attempt, so it must end.
 func TestFailedDialOfAnother(t *testing.T) {
-	e, ends, conn, there := newIdle(t, time.Time{})
+	actor, ends, conn, there := newIdle(t, time.Time{})
 	first, second := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(time.Hour))
-	e.waitingForDial, e.dialing = []*workerExchange{first, second}, 2
-	e.handle(dialCompleted{exchange: second, conn: conn})
+	actor.waitingForDial, actor.dialing = []*workerExchange{first, second}, 2
+	actor.handle(dialCompleted{exchange: second, conn: conn})
 	if first.conn != conn {
 		t.Fatal("the connection is not assigned to the attempt that waited longest")
 	}
-	e.handle(dialCompleted{exchange: first, err: io.EOF})
-	if o := <-ends; o != scheduler.NoConnect || len(e.waitingForDial) != 0 {
-		t.Errorf("ended as %v, %d wait", o, len(e.waitingForDial))
+	actor.handle(dialCompleted{exchange: first, err: io.EOF})
+	if o := <-ends; o != scheduler.NoConnect || len(actor.waitingForDial) != 0 {
+		t.Errorf("ended as %v, %d wait", o, len(actor.waitingForDial))
 	}
 	there.Close()
 	<-ends // the first attempt's, on a connection that broke
@@ -77,12 +77,12 @@
 		"window over":         {deadline: now.Add(time.Hour), sendBy: now},
 		"window open":         {deadline: now.Add(time.Hour), sendBy: now.Add(time.Hour), sent: true},
 	} {
-		e, ends, conn, there := newIdle(t, test.notifiedAt)
+		actor, ends, conn, there := newIdle(t, test.notifiedAt)
 		exchange := newExchange(test.deadline)
 		exchange.cancelled.Store(test.cancelled)
 		exchange.attempt.SendBy, exchange.attempt.ClientGone = test.sendBy, func() bool { return test.clientGone }
-		e.waitingForDial = append(e.waitingForDial, exchange)
-		e.release(conn)
+		actor.waitingForDial = append(actor.waitingForDial, exchange)
+		actor.release(conn)
 		if test.sent {
 			if _, err := bufio.NewReader(there).ReadByte(); err != nil {
 				t.Errorf("%s: nothing written: %v", name, err)
@@ -91,56 +91,56 @@
 			if o := <-ends; o != scheduler.Reset && o != scheduler.NoConnect {
 				t.Errorf("%s: ended as %v", name, o)
 			}
-		} else if o := <-ends; o != scheduler.NeverSent || len(e.idleConns) != 1 || exchange.conn != nil {
-			t.Errorf("%s: ended as %v, %d idle connections", name, o, len(e.idleConns))
+		} else if o := <-ends; o != scheduler.NeverSent || len(actor.idleConns) != 1 || exchange.conn != nil {
+			t.Errorf("%s: ended as %v, %d idle connections", name, o, len(actor.idleConns))
 		}
 	}
 }
 
 // CloseIdle closes those connections that have been idle for the given time.
 func TestCloseIdleByIdleTime(t *testing.T) {
-	e, _, old, _ := newIdle(t, time.Time{})
+	actor, _, old, _ := newIdle(t, time.Time{})
 	_, _, young, _ := newIdle(t, time.Time{})
 	now := time.Now()
 	old.idleSince, young.idleSince = now.Add(-time.Minute), now
-	e.idleConns = []*workerConn{old, young}
-	if e.handle(closeIdleConns{time.Second}); len(e.idleConns) != 1 || e.idleConns[0] != young {
-		t.Fatalf("%d connections left", len(e.idleConns))
+	actor.idleConns = []*workerConn{old, young}
+	if actor.handle(closeIdleConns{time.Second}); len(actor.idleConns) != 1 || actor.idleConns[0] != young {
+		t.Fatalf("%d connections left", len(actor.idleConns))
 	}
 }
 
 // At the connection limit, a further attempt waits for a connection to be closed. Other endpoints close their idle connections
 // at once. An attempt that waits beyond its deadline ends as NeverSent.
 func TestWaitsForConnectionLimit(t *testing.T) {
-	e, ends, _, _ := newIdle(t, time.Time{})
+	actor, ends, _, _ := newIdle(t, time.Time{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // a failed dial would release its capacity at any moment
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	e.listed.Address = ln.Addr().String()
-	pool := e.pool
-	pool.endpoints["other"], pool.endpoints["this"] = newEndpoint(pool, routing.Endpoint{}), e
+	actor.listed.Address = ln.Addr().String()
+	pool := actor.pool
+	pool.endpoints["other"], pool.endpoints["this"] = newEndpoint(pool, routing.Endpoint{}), actor
 	pool.SetConnectionLimit(1)
-	if !pool.reserveConn(e) {
+	if !pool.reserveConn(actor) {
 		t.Fatal("no capacity for the first connection")
 	}
 	waiting, late := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(-time.Hour))
-	e.startExchange(waiting)
-	e.startExchange(late)
-	if o := <-ends; o != scheduler.NeverSent || len(e.waitingForCapacity) != 1 || len(ends) != 0 {
-		t.Errorf("the late attempt ended as %v; %d wait, %d more results", o, len(e.waitingForCapacity), len(ends))
+	actor.startExchange(waiting)
+	actor.startExchange(late)
+	if o := <-ends; o != scheduler.NeverSent || len(actor.waitingForCapacity) != 1 || len(ends) != 0 {
+		t.Errorf("the late attempt ended as %v; %d wait, %d more results", o, len(actor.waitingForCapacity), len(ends))
 	}
 	if got := pool.endpoints["other"].mailbox.Take(); len(got) != 1 || got[0] != any(closeIdleConns{0}) {
 		t.Errorf("the other endpoint received %v", got)
 	}
-	e.mailbox.Take()
+	actor.mailbox.Take()
 	pool.releaseConn()
-	for _, m := range e.mailbox.Take() {
-		e.handle(m)
+	for _, m := range actor.mailbox.Take() {
+		actor.handle(m)
 	}
-	if len(e.waitingForCapacity) != 0 || pool.OpenConnections() != 1 || len(e.waitingForDial) != 1 {
-		t.Errorf("%d still wait for capacity, %d connections", len(e.waitingForCapacity), pool.OpenConnections())
+	if len(actor.waitingForCapacity) != 0 || pool.OpenConnections() != 1 || len(actor.waitingForDial) != 1 {
+		t.Errorf("%d still wait for capacity, %d connections", len(actor.waitingForCapacity), pool.OpenConnections())
 	}
 }
 
@@ -148,17 +148,17 @@
 // and must not become idle or be assigned to a waiting attempt. If the attempt was not cancelled, the connection becomes idle.
 func TestCancelledAfterItsEnd(t *testing.T) {
 	for _, cancelled := range []bool{true, false} {
-		e, _, conn, _ := newIdle(t, time.Time{})
+		actor, _, conn, _ := newIdle(t, time.Time{})
 		exchange := newExchange(time.Now().Add(time.Hour))
 		exchange.conn = conn
-		e.exchanges[exchange.attempt.ID] = exchange
+		actor.exchanges[exchange.attempt.ID] = exchange
 		if cancelled {
-			e.cancel(exchange.attempt.ID)
+			actor.cancel(exchange.attempt.ID)
 		}
 		waiting := newExchange(time.Now().Add(time.Hour))
-		e.waitingForDial, e.dialing = []*workerExchange{waiting}, 1
-		if e.handle(exchangeEnded{exchange, true}); waiting.conn != nil || cancelled != (len(e.idleConns) == 0) {
-			t.Errorf("cancelled %v: %d idle, assigned to the waiting attempt: %v", cancelled, len(e.idleConns), waiting.conn != nil)
+		actor.waitingForDial, actor.dialing = []*workerExchange{waiting}, 1
+		if actor.handle(exchangeEnded{exchange, true}); waiting.conn != nil || cancelled != (len(actor.idleConns) == 0) {
+			t.Errorf("cancelled %v: %d idle, assigned to the waiting attempt: %v", cancelled, len(actor.idleConns), waiting.conn != nil)
 		}
 	}
 }
