--- a/internal/transport/attemptqueue.go
+++ b/internal/transport/attemptqueue.go
@@ -43,6 +43,7 @@
 }
 
 // startWaiting starts the exchange that has waited longest for capacity. If none waits, another endpoint gets the capacity.
+// If that exchange needs no new connection, the capacity is not passed on before another connection is closed.
 func (e *endpoint) startWaiting() {
 	if len(e.waitingForCapacity) == 0 {
 		e.pool.passOnCapacity()
--- a/internal/transport/listenershutdown.go
+++ b/internal/transport/listenershutdown.go
@@ -44,7 +44,8 @@
 }
 
 // RejectUnfinished answers incomplete requests with rejectionResponse and reads no further byte of them. It is for a process that is
-// about to end: a client that went on writing would find its connection closed without an answer.
+// about to end: a client that went on writing would find its connection closed without an answer. It covers connections
+// on which nothing has ever been written; one that was answered before is closed without a rejection.
 func (l *Listener) RejectUnfinished() {
 	for _, conn := range l.closeUnfinished() {
 		_ = conn.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout)) // fails only on a closed connection, as does what follows
@@ -53,7 +54,7 @@
 	}
 }
 
-// closeUnfinished returns the connections with an incomplete request, after marking them as closing: no further byte is read.
+// closeUnfinished returns the connections whose first request is incomplete, after marking them as closing: no further byte is read.
 func (l *Listener) closeUnfinished() []*Conn {
 	if l.multiplexed {
 		return nil
