--- a/cmd/brassdale/rude_test.go
+++ b/cmd/brassdale/rude_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	all.Wait()
-	if !strings.Contains(n.log(), "closed for want of room") {
+	if !strings.Contains(n.log(), "client connections evicted") {
 		t.Error("there was room for all: the test is too small")
 	}
 }
@@ -150,7 +150,7 @@
 		c := n.dial()
 		io.WriteString(c, asHead(fmt.Sprint("big-", i), "Content-Length: 65536\r\n")+strings.Repeat("x", 65535))
 	}
-	n.waitFor("a refusal", func() bool { return strings.Contains(n.log(), "out of room for bodies") })
+	n.waitFor("a refusal", func() bool { return strings.Contains(n.log(), "body memory limit") })
 	large := request(n.url, "k")
 	large.Body, large.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<16))), 1<<16
 	status, _, after := n.do(large)
@@ -208,7 +208,7 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Errorf("the slow client: %v, %v", resp, err)
 	}
-	if !strings.Contains(n.log(), "closed for want of room") {
+	if !strings.Contains(n.log(), "client connections evicted") {
 		t.Error("no crowd")
 	}
 }
