--- a/cmd/brassdale/crossings_test.go
+++ b/cmd/brassdale/crossings_test.go
@@ -295,7 +295,7 @@
 	})
 	out := n.begin(b, "out")
 	n.registry.set(func() { n.registry.fail = true })
-	n.waitFor("a failed call", func() bool { return strings.Contains(n.log(), "discovery failed") })
+	n.waitFor("a failed call", func() bool { return strings.Contains(n.log(), "discovery call failed") })
 	for range 3 * sockets {
 		n.dial()
 	}
@@ -308,7 +308,7 @@
 	}
 	n.registry.set(func() { n.registry.fail = false })
 	begin := time.Now()
-	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "discovery answers again") })
+	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "discovery recovered") })
 	if took := time.Since(begin); took > 2*time.Second {
 		t.Errorf("the list was read %v behind discovery's return", took)
 	}
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -347,7 +347,7 @@
 	n.waitFor("discovery's list", func() bool { return n.vars("list_source") == "discovery" })
 	// The door may answer before the line written earlier has come through the pipe.
 	n.waitFor("what was learned", func() bool {
-		return strings.Contains(n.log(), "discovery's list is in force\" known=2 same=2")
+		return strings.Contains(n.log(), "discovery list in force\" known=2 same_incarnation=2")
 	})
 	n.served("k")
 }
@@ -437,7 +437,7 @@
 	back(60, a, b, c, d)
 	n.waitFor("discovery's list", func() bool { return n.vars("list_source") == "discovery" && n.figure("targets") == 4 })
 	serve("all listed")
-	if lines := strings.Count(n.log(), "lacks much of the saved one"); lines < 1 {
+	if lines := strings.Count(n.log(), "much shorter than cached list"); lines < 1 {
 		t.Errorf("%d lines of doubt", lines)
 	}
 }
@@ -463,7 +463,7 @@
 	a.since, b.id = time.Now().UnixMilli(), "b2"
 	back(50, a, b)
 	n.waitFor("discovery's list", func() bool { return n.vars("list_source") == "discovery" })
-	n.waitFor("nothing taken for what it was", func() bool { return strings.Contains(n.log(), "in force\" known=2 same=0") })
+	n.waitFor("nothing taken for what it was", func() bool { return strings.Contains(n.log(), "in force\" known=2 same_incarnation=0") })
 	n.served("k")
 }
 
--- a/cmd/brassdale/fleet_test.go
+++ b/cmd/brassdale/fleet_test.go
@@ -133,15 +133,15 @@
 					t.Fatalf("job %d: %d", i, status)
 				}
 			}
-			n.waitFor("the fault", func() bool { return strings.Contains(n.log(), "discovery failed") })
-			if times := strings.Count(n.log(), "discovery failed"); times != 1 {
+			n.waitFor("the fault", func() bool { return strings.Contains(n.log(), "discovery call failed") })
+			if times := strings.Count(n.log(), "discovery call failed"); times != 1 {
 				t.Errorf("logged %d times", times)
 			}
 			if _, jobs := b.count(); jobs > 0 {
 				t.Error("a job went to a member of the faulty list")
 			}
 			n.registry.set(func() { n.registry.broken = nil })
-			n.waitFor("the good list", func() bool { return strings.Contains(n.log(), "discovery answers again") })
+			n.waitFor("the good list", func() bool { return strings.Contains(n.log(), "discovery recovered") })
 			if status, _, _ := n.do(request(n.url, "after")); status != 200 {
 				t.Errorf("after the good list: %d", status)
 			}
--- a/cmd/brassdale/http2_test.go
+++ b/cmd/brassdale/http2_test.go
@@ -522,7 +522,7 @@
 	}
 	n.waitFor("jobs at both", func() bool { return jobsAt(a) > 0 && jobsAt(other) > 0 })
 	n.registry.set(func() { a.phase = "leaving" })
-	n.waitFor("the news", func() bool { return strings.Count(n.log(), "destination set") >= 1 })
+	n.waitFor("the news", func() bool { return strings.Count(n.log(), "endpoint list updated") >= 1 })
 	n.waitFor("the end of the grace", func() bool { return time.Since(n.told()) > 500*time.Millisecond })
 	had := jobsAt(a)
 	close(release)
@@ -540,10 +540,10 @@
 	})
 }
 
-// told is when the program last logged news of the destination set.
+// told returns when the program last logged an update of the endpoint list.
 func (n *node) told() time.Time {
 	text := n.log()
-	at := strings.LastIndex(text, "msg=\"destination set\"")
+	at := strings.LastIndex(text, "msg=\"endpoint list updated\"")
 	text = text[:at]
 	text = text[strings.LastIndex(text, "time=")+len("time="):]
 	when, _, _ := strings.Cut(text, " ")
--- a/cmd/brassdale/inbound_test.go
+++ b/cmd/brassdale/inbound_test.go
@@ -240,7 +240,7 @@
 		t.Errorf("%d jobs went to an endpoint that leaves", jobs-before)
 	}
 	g.set(func() { g.fail, a.phase = true, "active" })
-	n.waitFor("a failed call", func() bool { return strings.Contains(n.log(), "discovery failed") })
+	n.waitFor("a failed call", func() bool { return strings.Contains(n.log(), "discovery call failed") })
 	if status, _, _ := n.do(request(n.url, "x")); status != 200 {
 		t.Errorf("while discovery is down: %d", status)
 	}
--- a/cmd/brassdale/pushed_test.go
+++ b/cmd/brassdale/pushed_test.go
@@ -19,7 +19,7 @@
 	g.set(func() { b.phase, stays.phase, g.hang = "leaving", "active", false })
 	for _, m := range append(others, n) {
 		m.waitFor("what the agent has", func() bool {
-			return strings.Contains(m.log(), fmt.Sprintf("msg=\"destination set\" revision=%d ", g.revision))
+			return strings.Contains(m.log(), fmt.Sprintf("msg=\"endpoint list updated\" revision=%d ", g.revision))
 		})
 	}
 	_, before := b.count()
@@ -37,16 +37,16 @@
 func (n *node) hangs(g *registry) {
 	n.t.Helper()
 	g.set(func() { g.hang = true })
-	failed := strings.Count(n.log(), "discovery failed")
+	failed := strings.Count(n.log(), "discovery call failed")
 	n.waitFor("a call given up", func() bool {
 		// The same fault again is not logged: the calls tell.
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return strings.Count(n.log(), "discovery failed") > failed
+		return strings.Count(n.log(), "discovery call failed") > failed
 	})
 }
 
-// Where lists are pushed nobody but the destination set's actor asks the agent. It was read once, at the start: all that
+// Where lists are pushed nobody but the actor of the endpoint list asks the agent. It was read once, at the start: all that
 // drained later got jobs for good. It is watched from the start, through silence, a move at SIGHUP and a replacement.
 func TestPushedList(t *testing.T) {
 	a, b := newWorker(t, "a", works), newWorker(t, "b", works)
@@ -62,7 +62,7 @@
 	old, _, _ := strings.Cut(rest, `"`)
 	n.config = strings.Replace(n.config, old, to.Listener.Addr().String(), 1)
 	n.reload(n.config)
-	n.waitFor("the other agent's list", func() bool { return strings.Contains(n.log(), "msg=\"destination set\" revision=100 ") })
+	n.waitFor("the other agent's list", func() bool { return strings.Contains(n.log(), "msg=\"endpoint list updated\" revision=100 ") })
 	n.leaves(moved, a, b)
 
 	m := &node{t: t, registry: moved, tmp: n.tmp, exited: make(chan struct{})}
@@ -82,6 +82,6 @@
 	if status, _, _ := n.do(request(n.url, "first")); status != 200 {
 		t.Errorf("status %d", status)
 	}
-	n.waitFor("a call given up", func() bool { return strings.Contains(n.log(), "discovery failed") })
+	n.waitFor("a call given up", func() bool { return strings.Contains(n.log(), "discovery call failed") })
 	n.leaves(n.registry, a, b)
 }
--- a/cmd/brassdale/reload_test.go
+++ b/cmd/brassdale/reload_test.go
@@ -37,7 +37,7 @@
 	for range 3 {
 		n.reload(moved)
 	}
-	n.waitFor("the new list", func() bool { return strings.Contains(n.log(), "complete=true lines=2") })
+	n.waitFor("the new list", func() bool { return strings.Contains(n.log(), "complete=true endpoints=2") })
 	if status, _, _ := n.do(request(n.url, "next")); status != 200 {
 		t.Errorf("a job after the move: %d", status)
 	}
--- /dev/null
+++ b/internal/routing/actions.go
@@ -0,0 +1,109 @@
+package routing
+
+import (
+	"container/heap"
+
+	"brassdale/scheduler"
+)
+
+// handleEvent passes the scheduler an event and carries out the actions that it returns, in order. It must not be called while an
+// action is carried out: what an action causes is posted to the mailbox.
+func (c *Core) handleEvent(event scheduler.Event) {
+	for _, returned := range c.scheduler.Handle(c.now, event) {
+		switch action := returned.(type) {
+		case scheduler.Send:
+			c.sendAttempt(action)
+		case scheduler.Cancel:
+			c.cancelAttempt(AttemptID{action.ID, action.Attempt})
+		case scheduler.Reject:
+			c.closeRequest(action.ID, Answer{Verdict: Rejected, RetryAfter: action.RetryAfter})
+		case scheduler.Fail:
+			c.closeRequest(action.ID, Answer{Verdict: Failed})
+		case scheduler.CloseIdleConnections:
+			c.endpoints.CloseIdle(action.Worker, action.MinIdle)
+		case scheduler.Probe:
+			c.probe(action.Worker)
+		case scheduler.Subscribe:
+			c.subscribe()
+		case scheduler.SetTimer:
+			heap.Push(&c.timers, timer{at: c.now + action.After, token: action.Token})
+		case scheduler.Log:
+			c.log.Info(action.Text)
+		}
+	}
+}
+
+// cancelAttempt cancels an attempt that is in flight. Its outcome follows as usual.
+func (c *Core) cancelAttempt(id AttemptID) {
+	if _, found := c.findAttempt(id); found != nil {
+		c.endpoints.Cancel(found.endpoint, id)
+	}
+}
+
+// probe probes a worker, unless the fleet's budget does not allow it: then the probe completes as NeverSent.
+func (c *Core) probe(worker scheduler.WorkerID) {
+	if c.fleetBudget != nil && !c.fleetBudget.AllowProbe() {
+		c.ProbeCompleted(worker, scheduler.NeverSent, nil)
+		return
+	}
+	c.endpoints.Probe(worker)
+}
+
+// sendAttempt enters an attempt in the table and hands it to the endpoint pool. One that is not permitted ends as NeverSent, by
+// the mailbox.
+func (c *Core) sendAttempt(action scheduler.Send) {
+	request := c.requests[action.ID]
+	if request == nil {
+		c.log.Error("scheduler sent unknown request", "request", action.ID)
+		return
+	}
+	id := AttemptID{action.ID, len(request.attempts)}
+	request.attempts = append(request.attempts, attempt{endpoint: action.Worker, inFlight: true, sentAt: c.now})
+	request.inFlight++
+	outbound := Attempt{ID: id, Endpoint: action.Worker, Deadline: request.Deadline, Job: request.Job, ClientGone: request.ClientGone}
+	if action.SendBy > 0 {
+		outbound.SendBy = c.clock.Time(action.SendBy)
+	}
+	if !c.sendPermitted(request, &outbound) {
+		c.AttemptFinished(id, AttemptResult{Outcome: scheduler.NeverSent})
+		return
+	}
+	c.endpoints.Send(outbound)
+}
+
+// sendPermitted reports whether an attempt may be sent. It counts first attempts and charges retries to the budgets, so it must be
+// called once for each attempt.
+func (c *Core) sendPermitted(request *openRequest, outbound *Attempt) bool {
+	number := outbound.ID.Number
+	switch {
+	case request.answered || c.now >= request.expiresAt || outbound.MustNotSend(c.clock.Time(c.now)):
+		return false
+	case request.Limits.MaxAttempts > 0 && number >= request.Limits.MaxAttempts:
+		return false
+	case number > 0:
+		return c.retryPermitted(request)
+	}
+	c.firstAttempts.Add(1)
+	if c.retryBudget != nil {
+		c.retryBudget.CountFirstAttempt(c.now, request.ClassName, request.Account)
+	}
+	return true
+}
+
+// retryPermitted reports whether a retry may be sent: by the permission, the fleet's budget and the retry budget, in this order.
+// A budget is charged only where those before it allow the retry.
+func (c *Core) retryPermitted(request *openRequest) bool {
+	if c.retriesAllowed != nil && !c.retriesAllowed() {
+		c.counters.countFleetRetryDenied()
+		return false
+	}
+	if c.fleetBudget != nil && !c.fleetBudget.AllowRetry() {
+		c.counters.countFleetRetryDenied()
+		return false
+	}
+	if c.retryBudget != nil && !c.retryBudget.AllowRetry(c.now, request.ClassName, request.Account) {
+		c.counters.setRetriesDenied(c.retryBudget.Denied())
+		return false
+	}
+	return true
+}
--- a/internal/routing/cachedstart.go
+++ b/internal/routing/cachedstart.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"math"
 	"time"
 
 	"brassdale/internal/decisions/cachetrust"
@@ -10,251 +9,197 @@
 	"brassdale/scheduler"
 )
 
-// CachedStart is a start from a saved list, while discovery has told nothing newer. What is decided on it is decided by
-// the module savedlist; here its verdicts are carried out, and what comes back is told to it.
+// CachedStart is a start with a cached list, until a list of discovery is in force. Package cachetrust decides which endpoints are to
+// be probed and used; EndpointList carries that out. It belongs to EndpointList once it was passed to StartFromCache.
 type CachedStart struct {
 	Assessor       *cachetrust.Assessor
-	Endpoints      map[scheduler.WorkerID]Endpoint // as the list has them
-	MeanLogRuntime []float64                       // by class: the usual time of a job in seconds, as a logarithm; NaN where not known
-	LearnedState   scheduler.LearnedState          // classes are by number
-	ReportsPulled  bool                            // an answer to a probe that carries no report is not an endpoint's
+	Endpoints      map[scheduler.WorkerID]Endpoint // the cached list
+	MeanLogRuntime []float64                       // by class: the logarithm of the usual time of a job in seconds; NaN for unknown
+	LearnedState   scheduler.LearnedState          // classes by their number
+	ReportsPulled  bool                            // a probe response without a load report is not that of a worker
 }
 
-// EndpointStore hears what discovery says, to keep it. It does not block.
-type EndpointStore interface{ EndpointsUpdated(ListUpdate) }
+// errForeignList is the error of a list of which no endpoint is in a zone of this deployment, though the cached list had such.
+var errForeignList = errors.New("no listed endpoint is in a zone of this deployment")
 
-// ListSource tells where the list that is in force comes from.
-type ListSource struct {
-	Name                 string    // discovery, saved, known, predecessor or none
-	ConfirmedAt          time.Time // when it was last known to be true; zero where nobody knows
-	TrustLevels          [cachetrust.Excluded + 1]int
-	AwaitingConfirmation bool // a list of discovery's waits for a second that agrees
-}
-
-// errForeignList is a list of none but destinations that this installation does not name.
-var errForeignList = errors.New("the list is of another site")
-
-// endpointSignal is what came back from an endpoint.
-type endpointSignal struct {
-	id          scheduler.WorkerID
-	probe       bool
-	result      cachetrust.ProbeResult
-	logSlowness float64 // of a job that was served
-}
-
-// StartFromCache begins with a saved list. It must be called before Run, with no other list told.
-func (s *EndpointList) StartFromCache(f *CachedStart) {
-	s.cachedStart, s.calls.current.revision = f, FullList
-	for _, d := range f.Endpoints {
-		if d.State == scheduler.Ready {
-			s.pool.Update(d) // so that it can be probed; the module knows nothing of it
+// StartFromCache starts with a cached list. It is called before Run, on an EndpointList that was made with an empty list.
+func (l *EndpointList) StartFromCache(start *CachedStart) {
+	l.cachedStart, l.calls.current.revision = start, FullList
+	for _, endpoint := range start.Endpoints {
+		if endpoint.State == scheduler.Ready {
+			l.pool.Update(endpoint) // so that it can be probed; the scheduler does not know it yet
 		}
 	}
-	// How long jobs take and how far endpoints may be filled holds whichever endpoints are there.
-	learned := f.LearnedState
+	// What was learned of classes holds whichever workers there are.
+	learned := start.LearnedState
 	learned.Workers = nil
-	s.core.AdoptLearnedState(learned)
-	s.core.SetObserver(&cachedStartObserver{s.mailbox, f})
-	s.publishSource()
-}
-
-// SetStore has a keeper hear what discovery says. It must be called before Run.
-func (s *EndpointList) SetStore(k EndpointStore) { s.store = k }
-
-// Source tells where the list in force comes from.
-func (s *EndpointList) Source() ListSource {
-	if src := s.source.Load(); src != nil {
-		return *src
-	}
-	return ListSource{Name: "none"}
-}
-
-// SetSource says where the list came from that the actor was made with.
-func (s *EndpointList) SetSource(src ListSource) { s.source.Store(&src) }
-
-// cachedStartObserver hears of endpoints for the actor.
-type cachedStartObserver struct {
-	mailbox *Mailbox[any]
-	start   *CachedStart // of which it reads what never changes
-}
-
-// Probed takes the outcome of a probe.
-func (w *cachedStartObserver) ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome, report bool) {
-	answer := cachetrust.NoResponse
-	switch {
-	case o == scheduler.Served && (report || !w.start.ReportsPulled):
-		answer = cachetrust.Answered
-	case o == scheduler.Served, o == scheduler.Errored, o == scheduler.InvalidRequest, o == scheduler.Reset:
-		answer = cachetrust.Unrecognized
-	}
-	w.mailbox.Post(endpointSignal{id: id, probe: true, result: answer})
+	l.core.AdoptLearnedState(learned)
+	l.core.SetObserver(&cachedStartObserver{l.mailbox, start})
+	l.publishSource()
 }
 
-// Worked takes how long a job took.
-func (w *cachedStartObserver) JobServed(id scheduler.WorkerID, class int, took time.Duration) {
-	f := w.start
-	if class >= len(f.MeanLogRuntime) || math.IsNaN(f.MeanLogRuntime[class]) {
-		return
-	}
-	late := math.Log(max(took.Seconds(), 1e-6)) - f.MeanLogRuntime[class]
-	if was, ok := f.LearnedState.Workers[id]; ok && was.SlownessJobs > 0 {
-		late -= was.Slowness / was.SlownessJobs // it was slower than others before
-	}
-	w.mailbox.Post(endpointSignal{id: id, logSlowness: late})
-}
-
-// handleSignal tells the trust what came from an endpoint.
-func (s *EndpointList) handleSignal(m endpointSignal) {
-	s.runAssessor(func(now scheduler.Clock) []cachetrust.Action {
-		if m.probe {
-			return s.cachedStart.Assessor.ProbeCompleted(now, m.id, m.result)
+// handleSignal passes the assessor what an endpoint has responded.
+func (l *EndpointList) handleSignal(signal endpointSignal) {
+	l.runAssessor(func(now scheduler.Clock) []cachetrust.Action {
+		if signal.probe {
+			return l.cachedStart.Assessor.ProbeCompleted(now, signal.id, signal.result)
 		}
-		return s.cachedStart.Assessor.JobServed(now, m.id, m.logSlowness)
+		return l.cachedStart.Assessor.JobServed(now, signal.id, signal.logSlowness)
 	})
 }
 
-// runAssessor carries verdicts out.
-func (s *EndpointList) runAssessor(ask func(scheduler.Clock) []cachetrust.Action) {
-	if s.cachedStart == nil {
+// runAssessor calls the assessor of a cached start, if there is one, and carries out the actions that it returns.
+func (l *EndpointList) runAssessor(call func(now scheduler.Clock) []cachetrust.Action) {
+	if l.cachedStart == nil {
 		return
 	}
-	listed := scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta}
-	proven := scheduler.LearnedState{Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
-	for _, v := range ask(s.core.clock.Now()) {
-		if v.Announce == nil {
-			s.pool.Probe(v.Probe)
+	update := scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta}
+	learned := scheduler.LearnedState{Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
+	for _, action := range call(l.core.clock.Now()) {
+		if action.Announce == nil {
+			l.pool.Probe(action.Probe)
 			continue
 		}
-		d := s.cachedStart.Endpoints[v.Announce.ID]
-		s.known[d.ID] = d
-		s.states.Record(d.listedState(), "", endpointstate.UnknownRevision)
-		info := d.WorkerInfo
-		info.StartedAt, info.StartConfirmed = v.Announce.StartedAt, v.Announce.StartConfirmed
-		s.incarnations.Set(d.ID, d.StartedAt, info.StartedAt)
-		listed.Workers = append(listed.Workers, info)
-		if was, ok := s.cachedStart.LearnedState.Workers[d.ID]; ok && v.Announce.StartConfirmed {
-			proven.Workers[d.ID] = was
+		worker := l.announce(action.Announce)
+		update.Workers = append(update.Workers, worker)
+		if statistics, ok := l.cachedStart.LearnedState.Workers[worker.ID]; ok && worker.StartConfirmed {
+			learned.Workers[worker.ID] = statistics
 		}
 	}
-	if len(listed.Workers) > 0 {
-		s.core.counters.setListedEndpoints(len(s.known))
-		s.core.UpdateEndpoints(listed)
-		if len(proven.Workers) > 0 {
-			s.core.AdoptLearnedState(proven)
+	if len(update.Workers) > 0 {
+		l.core.counters.setListedEndpoints(len(l.known))
+		l.core.UpdateEndpoints(update)
+		if len(learned.Workers) > 0 {
+			l.core.AdoptLearnedState(learned)
 		}
 	}
-	s.publishSource()
+	l.publishSource()
+}
+
+// announce enters an endpoint of the cached list in the list and returns it for the scheduler.
+func (l *EndpointList) announce(ready *cachetrust.ReadyWorker) scheduler.WorkerInfo {
+	endpoint := l.cachedStart.Endpoints[ready.ID]
+	l.known[endpoint.ID] = endpoint
+	l.states.Record(endpoint.listedState(), "", endpointstate.UnknownRevision)
+	l.incarnations.Set(endpoint.ID, endpoint.StartedAt, ready.StartedAt)
+	worker := endpoint.WorkerInfo
+	worker.StartedAt, worker.StartConfirmed = ready.StartedAt, ready.StartConfirmed
+	return worker
 }
 
-// assessorDue tells when the trust has something to do if nothing comes.
-func (s *EndpointList) assessorDue() (at scheduler.Clock, ok bool) {
-	if s.cachedStart == nil {
+// assessorDue returns when the assessor is to be called if nothing is received.
+func (l *EndpointList) assessorDue() (at scheduler.Clock, ok bool) {
+	if l.cachedStart == nil {
 		return 0, false
 	}
-	at, ok = s.cachedStart.Assessor.NextCheck()
-	if until, doubted := s.cachedStart.Assessor.RetainedUntil(); doubted && (!ok || until < at) {
+	at, ok = l.cachedStart.Assessor.NextCheck()
+	if until, retains := l.cachedStart.Assessor.RetainedUntil(); retains && (!ok || until < at) {
 		at, ok = until, true
 	}
 	return at, ok
 }
 
-// assessList has the trust see a list of discovery's. Where it is doubted, it counts as changes for now, and the whole list is
-// to be asked for again at a time.
-func (s *EndpointList) assessList(u *ListUpdate) (again time.Time, doubted bool) {
-	if s.cachedStart == nil {
-		return again, false
+// assessList has the assessor compare a list of discovery with the cached one. A list that is doubted counts as a change for now, and
+// the full list is to be polled again at pollAt.
+func (l *EndpointList) assessList(update *ListUpdate) (pollAt time.Time, doubted bool) {
+	if l.cachedStart == nil {
+		return pollAt, false
 	}
+	assessor := l.cachedStart.Assessor
 	var ready []scheduler.WorkerID
-	for i := range u.Endpoints {
-		d := &u.Endpoints[i]
-		d.StartConfirmed = true // discovery knows when it started, whatever was supposed here
-		if d.State == scheduler.Ready {
-			ready = append(ready, d.ID)
+	for i := range update.Endpoints {
+		endpoint := &update.Endpoints[i]
+		endpoint.StartConfirmed = true // discovery knows when it started, whatever was assumed here
+		if endpoint.State == scheduler.Ready {
+			ready = append(ready, endpoint.ID)
 		} else {
-			s.cachedStart.Assessor.RemovedByDiscovery(d.ID)
+			assessor.RemovedByDiscovery(endpoint.ID)
 		}
 	}
-	if !u.Complete {
-		return again, false
+	if !update.Complete {
+		return pollAt, false
 	}
-	j := s.cachedStart.Assessor.AssessList(s.core.clock.Now(), u.Revision, ready)
-	if j.RefetchAt == 0 {
-		return again, false
+	decision := assessor.AssessList(l.core.clock.Now(), update.Revision, ready)
+	if decision.RefetchAt == 0 {
+		return pollAt, false
 	}
-	s.log.Warn("discovery's list lacks much of the saved one, asking again", "revision", u.Revision, "named", len(ready), "kept", len(j.Retain))
-	return s.core.clock.Time(j.RefetchAt), true
+	l.log.Warn("discovery list much shorter than cached list, polling again", "revision", update.Revision, "ready", len(ready),
+		"retained", len(decision.Retain))
+	return l.core.clock.Time(decision.RefetchAt), true
 }
 
-// completeCachedStart ends the start from a saved list, once discovery's is in force: what was learned holds for those that have not
-// started anew since.
-func (s *EndpointList) completeCachedStart() {
-	if s.cachedStart == nil || !s.cachedStart.Assessor.Finished() {
+// completeCachedStart ends the cached start once the assessor has finished, as a list of discovery is in force. The scheduler is passed
+// what was learned of those workers that have not restarted since.
+func (l *EndpointList) completeCachedStart() {
+	start := l.cachedStart
+	if start == nil || !start.Assessor.Finished() {
 		return
 	}
-	same := scheduler.LearnedState{Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
-	for id, was := range s.cachedStart.LearnedState.Workers {
-		if d, ok := s.known[id]; ok && s.cachedStart.Assessor.SameIncarnation(id, d.StartedAt) {
-			same.Workers[id] = was
+	learned := scheduler.LearnedState{Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
+	for id, statistics := range start.LearnedState.Workers {
+		if endpoint, ok := l.known[id]; ok && start.Assessor.SameIncarnation(id, endpoint.StartedAt) {
+			learned.Workers[id] = statistics
 		}
 	}
-	for id, d := range s.cachedStart.Endpoints {
-		if _, ok := s.known[id]; !ok {
-			d.State = scheduler.Gone
-			s.pool.Update(d)
+	for id, endpoint := range start.Endpoints {
+		if _, ok := l.known[id]; !ok {
+			endpoint.State = scheduler.Gone
+			l.pool.Update(endpoint)
 		}
 	}
-	if len(same.Workers) > 0 {
-		s.core.AdoptLearnedState(same)
+	if len(learned.Workers) > 0 {
+		l.core.AdoptLearnedState(learned)
 	}
-	s.core.SetObserver(nil)
-	s.log.Info("discovery's list is in force", "known", len(s.known), "same", len(same.Workers))
-	s.cachedStart = nil
+	l.core.SetObserver(nil)
+	l.log.Info("discovery list in force", "known", len(l.known), "same_incarnation", len(learned.Workers))
+	l.cachedStart = nil
 }
 
-// expireRetained ends a doubt that nobody resolved.
-func (s *EndpointList) expireRetained() {
-	if s.cachedStart == nil {
+// expireRetained removes endpoints that a doubted list of discovery lacked, when no second list has settled it in time.
+func (l *EndpointList) expireRetained() {
+	if l.cachedStart == nil {
 		return
 	}
-	gone := s.cachedStart.Assessor.ExpireRetained(s.core.clock.Now())
-	listed := scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta}
+	expired := l.cachedStart.Assessor.ExpireRetained(l.core.clock.Now())
+	update := scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta}
 	now := time.Now()
-	for _, id := range gone {
-		d := s.known[id]
-		d.State, d.NotifiedAt = scheduler.Gone, now
-		s.states.Record(d.listedState(), "", endpointstate.UnknownRevision)
-		s.updateEndpoint(d)
-		listed.Workers = append(listed.Workers, d.WorkerInfo)
+	for _, id := range expired {
+		endpoint := l.known[id]
+		endpoint.State, endpoint.NotifiedAt = scheduler.Gone, now
+		l.states.Record(endpoint.listedState(), "", endpointstate.UnknownRevision)
+		l.updateEndpoint(endpoint)
+		update.Workers = append(update.Workers, endpoint.WorkerInfo)
 	}
-	if len(gone) > 0 {
-		s.core.counters.setListedEndpoints(len(s.known))
-		s.core.UpdateEndpoints(listed)
-		s.completeCachedStart()
+	if len(expired) > 0 {
+		l.core.counters.setListedEndpoints(len(l.known))
+		l.core.UpdateEndpoints(update)
+		l.completeCachedStart()
 	}
 }
 
-// publishSource has the figures tell how far the trust goes.
-func (s *EndpointList) publishSource() {
-	src := ListSource{Name: "saved", TrustLevels: s.cachedStart.Assessor.CountByLevel(), AwaitingConfirmation: s.cachedStart.Assessor.AwaitingConfirmation()}
-	if age, ok := s.cachedStart.Assessor.Age(); ok {
-		src.ConfirmedAt = s.core.clock.Time(s.cachedStart.Assessor.StartedAt()).Add(-age)
+// publishSource stores where the list comes from and how far its endpoints are trusted.
+func (l *EndpointList) publishSource() {
+	assessor := l.cachedStart.Assessor
+	source := ListSource{Name: "saved", TrustLevels: assessor.CountByLevel(), AwaitingConfirmation: assessor.AwaitingConfirmation()}
+	if age, ok := assessor.Age(); ok {
+		source.ConfirmedAt = l.core.clock.Time(assessor.StartedAt()).Add(-age)
 	}
-	s.source.Store(&src)
+	l.source.Store(&source)
 }
 
-// isForeign tells whether a list names none but destinations of zones that this installation does not have, though the
-// saved one had others.
-func (f *CachedStart) isForeign(u ListUpdate) bool {
-	if f == nil || len(u.Endpoints) == 0 {
+// isForeign reports whether a list names only endpoints of zones that this deployment does not have, though the cached list had
+// others. It is false where there is no cached start.
+func (c *CachedStart) isForeign(update ListUpdate) bool {
+	if c == nil || len(update.Endpoints) == 0 {
 		return false
 	}
-	for _, d := range u.Endpoints {
-		if d.Zone >= 0 || d.State == scheduler.Gone {
+	for _, endpoint := range update.Endpoints {
+		if endpoint.Zone >= 0 || endpoint.State == scheduler.Gone {
 			return false
 		}
 	}
-	for _, d := range f.Endpoints {
-		if d.Zone >= 0 {
+	for _, endpoint := range c.Endpoints {
+		if endpoint.Zone >= 0 {
 			return true
 		}
 	}
--- a/internal/routing/callfailures.go
+++ b/internal/routing/callfailures.go
@@ -1,28 +1,26 @@
 package routing
 
 import (
-	"context"
-	"log/slog"
 	"time"
 
 	"brassdale/internal/decisions/polling"
 )
 
-// failureLogInterval is how often a row of failed calls to discovery is logged at the most.
+// failureLogInterval is the least time between log lines for consecutive failed calls to discovery.
 const failureLogInterval = time.Second
 
-// callFailures is a row of failed calls for the list.
+// callFailures counts consecutive failed calls for the list.
 type callFailures struct {
 	calls, rejected, expired int
-	lastError                string // what the last one failed with
-	overdueLogged            bool   // it has been logged that the list is overdue
+	lastError                string
+	overdueLogged            bool // it was logged that the list is overdue
 }
 
-// add adds a failed call.
-func (f *callFailures) add(err error, how polling.Failure) {
+// add counts a failed call.
+func (f *callFailures) add(err error, failure polling.Failure) {
 	f.calls++
 	f.lastError = err.Error()
-	switch how {
+	switch failure {
 	case polling.Rejected:
 		f.rejected++
 	case polling.Expired:
@@ -30,37 +28,38 @@
 	}
 }
 
-// recordRecovery notes that calls succeed again. It is called behind the list has come into force.
-func (s *EndpointList) recordRecovery() {
-	if s.failures.calls > 0 {
-		s.log.Info("discovery answers again", "failed_calls", s.failures.calls, "refused", s.failures.rejected, "expired", s.failures.expired)
+// recordRecovery ends a row of failures. It is called after the list is in force.
+func (l *EndpointList) recordRecovery() {
+	if l.failures.calls > 0 {
+		l.log.Info("discovery recovered", "failed_calls", l.failures.calls, "rejected", l.failures.rejected, "expired", l.failures.expired)
 	}
-	s.failures = callFailures{}
+	l.failures = callFailures{}
 }
 
-// recordFailure notes a recordFailure call. The same fault again is no news: a list that is wrong is wrong at every call.
-func (s *EndpointList) recordFailure(c *listCall, err error, now time.Time) {
-	took, how := now.Sub(c.startedAt), c.failure(err, now)
-	level := slog.LevelWarn
-	if s.failures.lastError == err.Error() {
-		level = slog.LevelDebug
+// recordFailure counts and logs a failed call of the current service. The list that is known stays in force. An error that is the same
+// as that of the call before is logged at debug level: a list with a fault has it at each call.
+func (l *EndpointList) recordFailure(call *listCall, err error, now time.Time) {
+	took, failure := now.Sub(call.startedAt), call.failure(err, now)
+	log := l.log.Warn
+	if l.failures.lastError == err.Error() {
+		log = l.log.Debug
 	}
-	s.failures.add(err, how)
-	s.core.counters.countDiscoveryFailure(how)
-	s.log.Log(context.Background(), level, "discovery failed, the old list holds", "call", c.number, "how", how.String(), "took", took.Round(time.Millisecond),
-		"revision", s.calls.current.revision, "list_age", s.listAge(), "err", err)
-	if s.failures.calls > 1 && now.Sub(s.failuresLoggedAt) >= failureLogInterval {
-		s.failuresLoggedAt = now
-		s.log.Info("discovery keeps failing", "failed_calls", s.failures.calls, "refused", s.failures.rejected, "expired", s.failures.expired,
-			"list_age", s.listAge(), "err", err)
+	l.failures.add(err, failure)
+	l.core.counters.countDiscoveryFailure(failure)
+	log("discovery call failed", "call", call.number, "failure", failure.String(), "took", took.Round(time.Millisecond),
+		"revision", l.calls.current.revision, "list_age", l.listAge(), "err", err)
+	if l.failures.calls > 1 && now.Sub(l.failuresLogAt) >= failureLogInterval {
+		l.failuresLogAt = now
+		l.log.Info("discovery calls keep failing", "failed_calls", l.failures.calls, "rejected", l.failures.rejected,
+			"expired", l.failures.expired, "list_age", l.listAge(), "err", err)
 	}
-	if age := now.Sub(s.answeredAt); age > polling.NotificationDeadline && !s.failures.overdueLogged {
-		s.failures.overdueLogged = true
-		s.log.Warn("the list is overdue: workers that drain may still get requests", "list_age", s.listAge(), "failed_calls", s.failures.calls)
+	if age := now.Sub(l.answeredAt); age > polling.NotificationDeadline && !l.failures.overdueLogged {
+		l.failures.overdueLogged = true
+		l.log.Warn("endpoint list overdue", "list_age", l.listAge(), "failed_calls", l.failures.calls)
 	}
 }
 
-// listAge is how long ago discovery last answered.
-func (s *EndpointList) listAge() time.Duration {
-	return time.Since(s.answeredAt).Round(time.Millisecond)
+// listAge returns the time since discovery last responded, for the log.
+func (l *EndpointList) listAge() time.Duration {
+	return time.Since(l.answeredAt).Round(time.Millisecond)
 }
--- a/internal/routing/clock.go
+++ b/internal/routing/clock.go
@@ -6,22 +6,23 @@
 	"brassdale/scheduler"
 )
 
-// Clock is the module's clock: it counts from Unix time's epoch, so that a worker's start can be set
-// against it, and runs on the monotonic clock, so that a correction of the system's time moves nothing.
+// Clock converts between time.Time and the scheduler's clock. The scheduler's clock counts from the Unix epoch, so that the start
+// time of a worker can be compared with it, and advances with the monotonic clock, so that an adjustment of the wall clock
+// does not change it.
 type Clock struct{ start time.Time }
 
-// NewClock anchors a clock to the present.
+// NewClock returns a clock that agrees with the wall clock now.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the present on this clock.
+// Now returns the present on the scheduler's clock.
 func (c Clock) Now() scheduler.Clock { return c.At(time.Now()) }
 
-// At gives a point in time on this clock.
+// At converts a time to the scheduler's clock.
 func (c Clock) At(t time.Time) scheduler.Clock {
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
 
-// Time gives a point on this clock as a time.
+// Time converts a point on the scheduler's clock to a time.
 func (c Clock) Time(at scheduler.Clock) time.Time {
 	return c.start.Add(at - time.Duration(c.start.UnixNano()))
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -8,139 +8,155 @@
 	"brassdale/internal/decisions/polling"
 )
 
-// Counters is the account of what became of the requests: each is entered once, where its one final answer is
-// decided. It is read beside the core, which a reader never holds up.
+// Counters counts what became of the requests and of the calls to discovery. Each request is counted once, where its final answer
+// is decided. Any goroutine may call its methods: the lock is held for a few assignments only.
 type Counters struct {
 	mu      sync.Mutex
 	metrics Metrics
 }
 
-// Metrics are a moment's numbers, counted from the start of the process.
+// Metrics are the values of the counters at one moment, counted since the process started.
 type Metrics struct {
-	Classes                           map[string]ClassCounts // by name; a class that is dropped keeps its own
-	AttemptsSent                      int                    // calls written to their last byte
-	OpenRequests                      int                    // requests taken and not ended
-	ListedEndpoints, AvoidedEndpoints int                    // endpoints in the list, and those of them that get nothing now
-	ReloadsApplied, ReloadsRejected   int
-	FailedUnsent                      int       // requests that failed and were never sent on, which the platform counts as refused
-	RetriesDenied                     int       // further calls that the budget did not allow
-	FleetRetriesDenied                int       // further calls that the fleet did not allow
-	DiscoveryCalls                    int       // calls made for the list
-	DiscoveryOverlaps                 int       // of these, made while another was open
-	DiscoveryFailures                 int       // those of them that brought no list
-	DiscoveryRejected                 int       // of these, refused at once
-	DiscoveryExpired                  int       // of these, refused behind a wait for their turn
-	ListReceivedAt                    time.Time // when discovery last answered; zero while it has not
+	Classes            map[string]ClassCounts // by name; a class that is dropped from the settings keeps its counts
+	AttemptsSent       int                    // attempts whose last byte was written
+	OpenRequests       int                    // requests submitted and not answered
+	ListedEndpoints    int                    // endpoints in the list
+	AvoidedEndpoints   int                    // of these, those that get no requests now
+	ReloadsApplied     int                    // versions of the platform's file that were applied
+	ReloadsRejected    int                    // versions of the platform's file that were rejected
+	FailedUnsent       int                    // requests that failed and were never sent, which the platform counts as rejected
+	RetriesDenied      int                    // retries that the retry budget did not allow
+	FleetRetriesDenied int                    // retries that the fleet did not allow
+	DiscoveryCalls     int                    // calls for the list
+	DiscoveryOverlaps  int                    // of these, made while another was in flight
+	DiscoveryFailures  int                    // of these, ended without a list
+	DiscoveryRejected  int                    // of the failures, rejected at once
+	DiscoveryExpired   int                    // of the failures, rejected after they had waited for their turn
+	ListReceivedAt     time.Time              // when discovery last responded; zero before
 }
 
-// ClassCounts is what became of the requests of a class.
+// ClassCounts are the final answers to the requests of a class.
 type ClassCounts struct{ Served, Rejected, Failed int }
 
-// Metrics gives a copy.
-func (l *Counters) Metrics() Metrics {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f := l.metrics
-	f.Classes = maps.Clone(f.Classes)
-	return f
+// countAnswer counts a final answer.
+func (m *Metrics) countAnswer(class string, verdict Verdict) {
+	counts := m.Classes[class]
+	switch verdict {
+	case Served:
+		counts.Served++
+	case Rejected:
+		counts.Rejected++
+	default:
+		counts.Failed++
+	}
+	m.Classes[class] = counts
 }
 
-func (l *Counters) update(change func(*Metrics)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.metrics.Classes == nil {
-		l.metrics.Classes = map[string]ClassCounts{}
-	}
-	change(&l.metrics)
+// Metrics returns a copy of the values.
+func (c *Counters) Metrics() Metrics {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	metrics := c.metrics
+	metrics.Classes = maps.Clone(metrics.Classes)
+	return metrics
 }
 
-func (f *Metrics) countAnswer(class string, v Verdict) {
-	t := f.Classes[class]
-	switch v {
-	case Served:
-		t.Served++
-	case Rejected:
-		t.Rejected++
-	default:
-		t.Failed++
+// update makes a change under the lock.
+func (c *Counters) update(change func(*Metrics)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.metrics.Classes == nil {
+		c.metrics.Classes = map[string]ClassCounts{}
 	}
-	f.Classes[class] = t
+	change(&c.metrics)
 }
 
-// AddClass has a class stand in the account before it has had a request.
-func (l *Counters) AddClass(name string) {
-	l.update(func(f *Metrics) {
-		if _, stands := f.Classes[name]; !stands {
-			f.Classes[name] = ClassCounts{}
+// AddClass adds a class with no answers, so that it is in the metrics before its first request.
+func (c *Counters) AddClass(name string) {
+	c.update(func(m *Metrics) {
+		if _, known := m.Classes[name]; !known {
+			m.Classes[name] = ClassCounts{}
 		}
 	})
 }
 
-// CountAnsweredByFrontend counts a request that a front answered itself, before the module heard of it. What names a class that there
-// never was is no job.
-func (l *Counters) CountAnsweredByFrontend(class string, v Verdict) {
-	l.update(func(f *Metrics) {
-		if _, had := f.Classes[class]; had {
-			f.countAnswer(class, v)
+// CountAnsweredByFrontend counts a request that a frontend answered itself, without the core. One that names no known class is not
+// counted.
+func (c *Counters) CountAnsweredByFrontend(class string, verdict Verdict) {
+	c.update(func(m *Metrics) {
+		if _, known := m.Classes[class]; known {
+			m.countAnswer(class, verdict)
 		}
 	})
 }
 
-// CountAttemptSent counts a call that was written to its last byte.
-func (l *Counters) CountAttemptSent() { l.update(func(f *Metrics) { f.AttemptsSent++ }) }
+// CountAttemptSent counts an attempt whose last byte was written.
+func (c *Counters) CountAttemptSent() { c.update(func(m *Metrics) { m.AttemptsSent++ }) }
 
-// CountReload counts a new version of the platform's file, taken or not.
-func (l *Counters) CountReload(taken bool) {
-	l.update(func(f *Metrics) {
-		if taken {
-			f.ReloadsApplied++
+// CountReload counts a new version of the platform's file.
+func (c *Counters) CountReload(applied bool) {
+	c.update(func(m *Metrics) {
+		if applied {
+			m.ReloadsApplied++
 		} else {
-			f.ReloadsRejected++
+			m.ReloadsRejected++
 		}
 	})
 }
 
-// countDiscoveryCall counts a call for the list, and whether it is made while another is open.
-func (l *Counters) countDiscoveryCall(beside bool) {
-	l.update(func(f *Metrics) {
-		f.DiscoveryCalls++
-		if beside {
-			f.DiscoveryOverlaps++
+// countSubmitted counts a request that was submitted.
+func (c *Counters) countSubmitted() { c.update(func(m *Metrics) { m.OpenRequests++ }) }
+
+// countClientLeft counts a request whose client left before it was answered.
+func (c *Counters) countClientLeft() { c.update(func(m *Metrics) { m.OpenRequests-- }) }
+
+// countAnswered counts the final answer to a submitted request. sent is whether an attempt of it was sent, or may have been.
+func (c *Counters) countAnswered(class string, verdict Verdict, sent bool) {
+	c.update(func(m *Metrics) {
+		m.countAnswer(class, verdict)
+		m.OpenRequests--
+		if verdict == Failed && !sent {
+			m.FailedUnsent++
 		}
 	})
 }
 
-// countDiscoveryFailure counts a call that brought no list.
-func (l *Counters) countDiscoveryFailure(how polling.Failure) {
-	l.update(func(f *Metrics) {
-		f.DiscoveryFailures++
-		switch how {
-		case polling.Rejected:
-			f.DiscoveryRejected++
-		case polling.Expired:
-			f.DiscoveryExpired++
+// setRetriesDenied sets how many retries the retry budget has denied.
+func (c *Counters) setRetriesDenied(n int) { c.update(func(m *Metrics) { m.RetriesDenied = n }) }
+
+// countFleetRetryDenied counts a retry that the fleet did not allow.
+func (c *Counters) countFleetRetryDenied() { c.update(func(m *Metrics) { m.FleetRetriesDenied++ }) }
+
+// setListedEndpoints sets how many endpoints the list has.
+func (c *Counters) setListedEndpoints(n int) { c.update(func(m *Metrics) { m.ListedEndpoints = n }) }
+
+// setAvoidedEndpoints sets how many listed endpoints get no requests now.
+func (c *Counters) setAvoidedEndpoints(n int) { c.update(func(m *Metrics) { m.AvoidedEndpoints = n }) }
+
+// countDiscoveryCall counts a call for the list, and whether it is made while another is in flight.
+func (c *Counters) countDiscoveryCall(overlaps bool) {
+	c.update(func(m *Metrics) {
+		m.DiscoveryCalls++
+		if overlaps {
+			m.DiscoveryOverlaps++
 		}
 	})
 }
 
-func (l *Counters) setListReceivedAt(at time.Time) {
-	l.update(func(f *Metrics) { f.ListReceivedAt = at })
-}
-
-func (l *Counters) countSubmitted()  { l.update(func(f *Metrics) { f.OpenRequests++ }) }
-func (l *Counters) countClientLeft() { l.update(func(f *Metrics) { f.OpenRequests-- }) }
-
-func (l *Counters) countAnswered(class string, v Verdict, sent bool) {
-	l.update(func(f *Metrics) {
-		f.countAnswer(class, v)
-		f.OpenRequests--
-		if v == Failed && !sent {
-			f.FailedUnsent++
+// countDiscoveryFailure counts a call that ended without a list.
+func (c *Counters) countDiscoveryFailure(failure polling.Failure) {
+	c.update(func(m *Metrics) {
+		m.DiscoveryFailures++
+		switch failure {
+		case polling.Rejected:
+			m.DiscoveryRejected++
+		case polling.Expired:
+			m.DiscoveryExpired++
 		}
 	})
 }
 
-func (l *Counters) setListedEndpoints(n int)  { l.update(func(f *Metrics) { f.ListedEndpoints = n }) }
-func (l *Counters) setRetriesDenied(n int)    { l.update(func(f *Metrics) { f.RetriesDenied = n }) }
-func (l *Counters) countFleetRetryDenied()    { l.update(func(f *Metrics) { f.FleetRetriesDenied++ }) }
-func (l *Counters) setAvoidedEndpoints(n int) { l.update(func(f *Metrics) { f.AvoidedEndpoints = n }) }
+// setListReceivedAt sets when discovery last responded with a list.
+func (c *Counters) setListReceivedAt(at time.Time) {
+	c.update(func(m *Metrics) { m.ListReceivedAt = at })
+}
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"sync/atomic"
 	"time"
@@ -14,195 +13,201 @@
 	"brassdale/scheduler"
 )
 
-// ListUpdate is an answer of discovery.
-type ListUpdate struct {
-	Revision        int64
-	Complete        bool      // the whole set; who is absent is gone
-	BeforeWaitEnded bool      // it came before the call's wait was over
-	ReceivedAt      time.Time // when it began to come; zero for now
-	Endpoints       []Endpoint
-}
-
-// Discovery is whoever knows the destination set. A call returns what is newer than the revision, for Whole the whole
-// set, by the deadline that it keeps itself, whatever discovery does.
-type Discovery interface {
-	Call(ctx context.Context, revision int64, kind polling.Kind) (ListUpdate, error)
-	// Service names the service: two of one name count revisions alike.
-	Service() string
-	// Close lets go of the connections that carry no call.
-	Close()
-}
-
-// ErrDiscoveryRejected is what a call ends with that discovery has refused, as it has too many.
-var ErrDiscoveryRejected = errors.New("refused")
-
-// ListNotificationDeadline is how long after discovery had it a change counts as told at the latest.
-const ListNotificationDeadline = polling.NotificationDeadline
-
-// FullList is no revision: who asks after it wants the whole set now.
-const FullList = -1
-
-// EndpointList is the destination set's actor. While subscribed it watches without a gap; each answer
-// goes to the endpoints first and then to the module, so the module never sends to one unknown here.
+// EndpointList is the actor that owns the list of endpoints. The goroutine of Run polls discovery, decides what of each response is
+// believed, and passes changes to the endpoint pool first and then to the Core: the scheduler never sends to an endpoint that
+// the pool does not know.
+//
+// NewEndpointList, StartFromCache, SetStore, SetPollRules and StartedAt are called before Run. Subscribe, ChangeDiscovery, Source,
+// SetSource and FirstCallDone may be called from any goroutine and do not block; Snapshot waits for Run. The endpoint pool and
+// the store must not block. Calls to discovery run in goroutines of their own, which end with the context of Run.
 type EndpointList struct {
-	core    *Core
-	pool    EndpointPool
-	log     *slog.Logger
-	mailbox *Mailbox[any]
+	// Set before Run.
+	core      *Core
+	pool      EndpointPool
+	log       *slog.Logger
+	store     EndpointStore        // nil for none
+	pollRules func() polling.Rules // of the settings in force
+
+	// Safe for concurrent use.
+	mailbox       *Mailbox[any]
+	source        atomic.Pointer[ListSource]
+	firstCallDone chan struct{} // closed when the first call has ended, however
 
 	// Owned by Run.
-	calls       *listCalls
-	states      endpointstate.Table
-	known       map[scheduler.WorkerID]Endpoint // as members has their states
-	cachedStart *CachedStart                    // nil unless this process started from a saved list and nobody told a newer one
-	store       EndpointStore                   // nil for none
-	source      atomic.Pointer[ListSource]
-
-	incarnations incarnations.Tracker // of the workers, on the core's clock; known has them as discovery stamps them
-	listReceived bool                 // a list of discovery's was taken in
-
-	pollRules        func() polling.Rules
-	answeredAt       time.Time     // when discovery last answered; before, when this process began
-	completeAsOf     time.Time     // all that discovery had then is known
-	firstCallDone    chan struct{} // closed when the first call has ended, however
-	failures         callFailures  // since a call succeeded
-	failuresLoggedAt time.Time     // when a row of failures was last logged
-	lagLoggedAt      time.Time     // when an answer with a lower revision was last logged
-	recheckAt        time.Time     // when the whole list is to be asked for, as something was not believed; zero for never
+	calls         *listCalls
+	states        endpointstate.Table
+	known         map[scheduler.WorkerID]Endpoint // the list, with the states that states has; start times as discovery stamps them
+	incarnations  incarnations.Tracker            // start times on the scheduler's clock
+	cachedStart   *CachedStart                    // nil unless the list is still the cached one that this process started with
+	listReceived  bool                            // a list of discovery was accepted
+	answeredAt    time.Time                       // when discovery last responded; before, when this process started
+	completeAsOf  time.Time                       // all changes that discovery had then are known
+	recheckAt     time.Time                       // when to ask for the full list, as something was not believed; zero for never
+	failures      callFailures                    // since the last call that succeeded
+	failuresLogAt time.Time                       // when consecutive failures were last logged
+	lagLoggedAt   time.Time                       // when a response with a lower revision was last logged as a warning
 }
 
-// startLookback is how long before the start of a process a change may have been made that counts as told in its time: the process
-// before it has just ended, or it was killed.
+// startLookback is how long before the start of this process a change may have been made that it counts as notified of: the process
+// before it has just ended, or was killed.
 const startLookback = 2 * time.Second
 
+// The messages in the mailbox of EndpointList, beside callEnded and endpointSignal.
 type (
 	subscribe       struct{}
 	changeDiscovery struct{ to Discovery }
-	snapshotQuery   struct{ reply chan<- ListUpdate }
+	snapshotQuery   struct{ reply chan<- ListUpdate } // buffered
 )
 
-// NewEndpointList makes the actor with the set as it was known last, and tells the module of that.
-func NewEndpointList(c *Core, e EndpointPool, d Discovery, saved ListUpdate, log *slog.Logger) *EndpointList {
+// NewEndpointList returns an EndpointList that begins with a known list, and passes that on. Discovery is not called before Run.
+func NewEndpointList(core *Core, pool EndpointPool, discovery Discovery, known ListUpdate, log *slog.Logger) *EndpointList {
 	now := time.Now()
-	s := &EndpointList{core: c, pool: e, log: log, mailbox: NewMailbox[any](), known: map[scheduler.WorkerID]Endpoint{},
-		pollRules: func() polling.Rules { return polling.Rules{Dispatchers: 1} }, answeredAt: now, firstCallDone: make(chan struct{})}
-	s.calls = &listCalls{schedule: polling.NewSchedule(now), pollRules: func() polling.Rules { return s.pollRules() },
-		current: &discoveryService{discovery: d}, onEnded: func(m callEnded) { s.mailbox.Post(m) }, counters: &c.counters, log: log}
-	s.completeAsOf = now.Add(-startLookback)
-	s.calls.current.revision = saved.Revision
-	s.restore(saved, now)
-	return s
+	list := &EndpointList{
+		core: core, pool: pool, log: log, mailbox: NewMailbox[any](), firstCallDone: make(chan struct{}),
+		pollRules: func() polling.Rules { return polling.Rules{Dispatchers: 1} },
+		known:     map[scheduler.WorkerID]Endpoint{}, answeredAt: now, completeAsOf: now.Add(-startLookback),
+	}
+	list.calls = &listCalls{
+		schedule:  polling.NewSchedule(now),
+		pollRules: func() polling.Rules { return list.pollRules() },
+		current:   &discoveryService{discovery: discovery, revision: known.Revision},
+		onEnded:   func(ended callEnded) { list.mailbox.Post(ended) },
+		counters:  &core.counters,
+		log:       log,
+	}
+	list.restore(known, now)
+	return list
 }
 
-// Subscribe asks for all changes from now on. It does not block.
-func (s *EndpointList) Subscribe() { s.mailbox.Post(subscribe{}) }
+// SetPollRules sets the function that returns the rules of polling, of the settings in force. It is called before Run. Where lists
+// are pushed to an agent, the agent is polled from the start of Run; elsewhere polling starts with Subscribe.
+func (l *EndpointList) SetPollRules(rules func() polling.Rules) { l.pollRules = rules }
 
-// ChangeDiscovery goes on with another discovery. It does not block.
-func (s *EndpointList) ChangeDiscovery(to Discovery) { s.mailbox.Post(changeDiscovery{to}) }
+// EndpointStore caches the list that discovery gives. EndpointsUpdated must not block.
+type EndpointStore interface{ EndpointsUpdated(ListUpdate) }
 
-// Snapshot gives the set as it is known, once the actor runs.
-func (s *EndpointList) Snapshot(ctx context.Context) (ListUpdate, error) {
-	answer := make(chan ListUpdate, 1)
-	s.mailbox.Post(snapshotQuery{answer})
-	return awaitReply(ctx, answer)
-}
+// SetStore sets the store that is passed the lists and changes of discovery. It is called before Run.
+func (l *EndpointList) SetStore(store EndpointStore) { l.store = store }
 
-// SetPollRules names who gives the rules that calls for the list go by, of the settings in force. Where lists are pushed to an agent
-// the module does not ask for changes: the actor calls the agent from its start.
-func (s *EndpointList) SetPollRules(rules func() polling.Rules) { s.pollRules = rules }
+// Subscribe starts polling for changes.
+func (l *EndpointList) Subscribe() { l.mailbox.Post(subscribe{}) }
 
-// FirstCallDone is closed when the first call has ended, however.
-func (s *EndpointList) FirstCallDone() <-chan struct{} { return s.firstCallDone }
+// ChangeDiscovery continues with another discovery service.
+func (l *EndpointList) ChangeDiscovery(to Discovery) { l.mailbox.Post(changeDiscovery{to}) }
 
-// Run is the actor's life.
-func (s *EndpointList) Run(ctx context.Context) {
+// Snapshot returns the list as it is known. It waits for Run or the end of the context.
+func (l *EndpointList) Snapshot(ctx context.Context) (ListUpdate, error) {
+	reply := make(chan ListUpdate, 1)
+	l.mailbox.Post(snapshotQuery{reply})
+	return awaitReply(ctx, reply)
+}
+
+// FirstCallDone returns a channel that is closed when the first call to discovery has ended, however.
+func (l *EndpointList) FirstCallDone() <-chan struct{} { return l.firstCallDone }
+
+// Run handles messages and polls discovery until the context is cancelled.
+func (l *EndpointList) Run(ctx context.Context) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
-	if s.pollRules().ListsPushed {
-		s.Subscribe()
+	if l.pollRules().ListsPushed {
+		l.Subscribe()
 	}
-	s.runAssessor(func(now scheduler.Clock) []cachetrust.Action { return s.cachedStart.Assessor.Check(now) })
+	l.checkCachedStart()
 	for {
-		if at, ok := s.nextWake(); ok {
+		if at, ok := l.nextWake(); ok {
 			alarm.Reset(time.Until(at))
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.mailbox.Signal():
+		case <-l.mailbox.Signal():
 		case <-alarm.C:
 		}
-		for _, m := range s.mailbox.Take() {
-			s.handleMessage(ctx, m)
+		for _, message := range l.mailbox.Take() {
+			l.handleMessage(ctx, message)
 		}
-		s.pollFullListIfDue(time.Now())
-		s.calls.callIfDue(ctx, time.Now())
-		s.runAssessor(func(now scheduler.Clock) []cachetrust.Action { return s.cachedStart.Assessor.Check(now) })
-		s.expireRetained()
+		l.pollFullListIfDue(time.Now())
+		l.calls.callIfDue(ctx, time.Now())
+		l.checkCachedStart()
+		l.expireRetained()
 	}
 }
 
-// nextWake gives when there is something to do if nothing comes.
-func (s *EndpointList) nextWake() (at time.Time, ok bool) {
-	at, ok = s.calls.nextCall()
-	if ok && !s.recheckAt.IsZero() && s.recheckAt.Before(at) {
-		at = s.recheckAt
+// checkCachedStart carries out what the assessor of a cached start wants done now.
+func (l *EndpointList) checkCachedStart() {
+	l.runAssessor(func(now scheduler.Clock) []cachetrust.Action { return l.cachedStart.Assessor.Check(now) })
+}
+
+// nextWake returns when there is something to do if no message is received.
+func (l *EndpointList) nextWake() (at time.Time, ok bool) {
+	at, ok = l.calls.nextCall()
+	if ok && !l.recheckAt.IsZero() && l.recheckAt.Before(at) {
+		at = l.recheckAt
 	}
-	if due, trusts := s.assessorDue(); trusts {
-		if t := s.core.clock.Time(due); !ok || t.Before(at) {
-			at, ok = t, true
+	if due, found := l.assessorDue(); found {
+		if dueAt := l.core.clock.Time(due); !ok || dueAt.Before(at) {
+			at, ok = dueAt, true
 		}
 	}
 	return at, ok
 }
 
-// pollFullListIfDue has the whole list asked for where something of an answer was not believed, and may be by now.
-func (s *EndpointList) pollFullListIfDue(now time.Time) {
-	if s.recheckAt.IsZero() || now.Before(s.recheckAt) {
+// pollFullListIfDue asks for the full list when something of a response that was not believed may be believed by now.
+func (l *EndpointList) pollFullListIfDue(now time.Time) {
+	if l.recheckAt.IsZero() || now.Before(l.recheckAt) {
 		return
 	}
-	s.recheckAt = time.Time{}
-	if !s.calls.current.fullListDue {
-		s.calls.current.fullListDue = true
-		s.calls.schedule.PollNow(now)
+	l.recheckAt = time.Time{}
+	if !l.calls.current.fullListDue {
+		l.calls.current.fullListDue = true
+		l.calls.schedule.PollNow(now)
 	}
 }
 
-// handleMessage takes a message.
-func (s *EndpointList) handleMessage(ctx context.Context, m any) {
-	switch m := m.(type) {
+// handleMessage carries out one message of the mailbox.
+func (l *EndpointList) handleMessage(ctx context.Context, message any) {
+	switch msg := message.(type) {
 	case subscribe:
-		s.calls.schedule.Start(time.Now())
+		l.calls.schedule.Start(time.Now())
 	case changeDiscovery:
-		// The new one is asked for its whole set: nobody says that both count revisions alike, and a change that the old
-		// one had under way must not be lost. Until the answer the list as known holds, and what the old one still brings.
-		s.log.Info("discovery moved", "open_calls", len(s.calls.open), "list_age", s.listAge())
-		now := time.Now()
-		s.calls.changeService(ctx, m.to, now)
-		s.serviceChanged(now)
+		l.changeService(ctx, msg.to)
 	case snapshotQuery:
-		m.reply <- s.snapshot() // has room
+		msg.reply <- l.snapshot()
 	case endpointSignal:
-		s.handleSignal(m)
+		l.handleSignal(msg)
 	case callEnded:
-		if c := s.calls.remove(m); c != nil {
-			s.handleCallEnded(ctx, c, m)
+		if call := l.calls.remove(msg); call != nil {
+			l.handleCallEnded(ctx, call, msg)
 		}
-		if m.number == 1 {
-			close(s.firstCallDone)
+		if msg.number == 1 {
+			close(l.firstCallDone)
 		}
 	}
 }
 
-// snapshot gives the set as it is known.
-func (s *EndpointList) snapshot() ListUpdate {
-	u := ListUpdate{Revision: s.calls.current.revision, Complete: true}
-	now := s.core.clock.Now()
-	for _, d := range s.known {
-		if at := s.incarnations.StartedAt(d.ID); at > 0 {
-			d.Age = now - at
+// changeService continues with another discovery service. It is asked for its full list: the revisions of the two may not be
+// comparable, and a change that the previous one was about to report must not be lost. Until it responds, the list as known is
+// in force, and what the previous one still reports.
+func (l *EndpointList) changeService(ctx context.Context, to Discovery) {
+	l.log.Info("discovery service changed", "open_calls", len(l.calls.open), "list_age", l.listAge())
+	now := time.Now()
+	l.calls.changeService(ctx, to, now)
+	// Behind a change of services a change of the list counts as notified after MoveNotificationDeadline already.
+	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(l.completeAsOf) {
+		l.completeAsOf = asOf
+	}
+	l.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: l.core.clock.At(l.completeAsOf)})
+}
+
+// snapshot returns the list as it is known, with the ages of endpoints whose start time is known.
+func (l *EndpointList) snapshot() ListUpdate {
+	list := ListUpdate{Revision: l.calls.current.revision, Complete: true}
+	now := l.core.clock.Now()
+	for _, endpoint := range l.known {
+		if startedAt := l.incarnations.StartedAt(endpoint.ID); startedAt > 0 {
+			endpoint.Age = now - startedAt
 		}
-		u.Endpoints = append(u.Endpoints, d)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	return u
+	return list
 }
--- a/internal/routing/listcalls_test.go
+++ b/internal/routing/listcalls_test.go
@@ -13,7 +13,7 @@
 	"brassdale/scheduler"
 )
 
-// scriptedDiscovery is a discovery whose calls the test answers.
+// scriptedDiscovery is a Discovery whose calls the test answers.
 type scriptedDiscovery struct {
 	calls  chan scriptedCall
 	mu     sync.Mutex
@@ -59,8 +59,9 @@
 	return s.closed
 }
 
-// startEndpointList starts a destination set's actor on a discovery.
-func startEndpointList(t *testing.T, d Discovery) (*EndpointList, *recordingPool) {
+// startEndpointList runs an EndpointList that polls a discovery, until the end of the test.
+func startEndpointList(t *testing.T, d Discovery) *EndpointList {
+	t.Helper()
 	c, f := startTestCore(t)
 	u := &recordingPool{fakePeers: f}
 	s := NewEndpointList(c, u, d, ListUpdate{}, c.log)
@@ -69,14 +70,14 @@
 	go func() { s.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
 	s.Subscribe()
-	return s, u
+	return s
 }
 
 func testEndpoint(id scheduler.WorkerID, state scheduler.WorkerState) Endpoint {
 	return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
 }
 
-// endpointState gives what the set knows of a worker.
+// endpointState returns the state of a worker in the list, and whether it is listed.
 func endpointState(t *testing.T, s *EndpointList, id scheduler.WorkerID) (scheduler.WorkerState, bool) {
 	t.Helper()
 	u, err := s.Snapshot(context.Background())
@@ -100,72 +101,72 @@
 	}
 }
 
-// Behind a move the watch at the service before goes on, and what it tells of a drain counts, until the new one has answered. Then
-// it is given up, and the connections to all services before are let go of, also of one that had no call open.
+// After a change of the discovery service the watch at the previous one continues, and a drain that it reports counts, until the new
+// one has responded. Then it is cancelled, and all previous services are closed, also one with no call in flight.
 func TestEndpointList_discoveryChanged_previousWatchContinues(t *testing.T) {
 	first, second, third := newScriptedDiscovery(), newScriptedDiscovery(), newScriptedDiscovery()
-	s, _ := startEndpointList(t, first)
+	list := startEndpointList(t, first)
 	(<-first.calls).response <- ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
 	watch := <-first.calls
 	if watch.kind != polling.Watch || watch.revision != 1 {
-		t.Fatalf("behind the list came %+v", watch)
+		t.Fatalf("after the list the call was %+v", watch)
 	}
-	s.ChangeDiscovery(second)
-	close((<-second.calls).response) // it fails, and nothing is open there
-	s.ChangeDiscovery(third)
-	whole := <-third.calls
+	list.ChangeDiscovery(second)
+	close((<-second.calls).response) // it fails, and no call is in flight there
+	list.ChangeDiscovery(third)
+	full := <-third.calls
 	watch.response <- ListUpdate{Revision: 2, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the drain that the service before told", func() bool { st, _ := endpointState(t, s, "a"); return st == scheduler.Draining })
+	eventually(t, "the drain that the previous service reported", func() bool { st, _ := endpointState(t, list, "a"); return st == scheduler.Draining })
 	again := <-first.calls
 	if again.kind != polling.Watch || again.revision != 2 {
-		t.Errorf("the watch went on as %+v", again)
+		t.Errorf("the watch continued as %+v", again)
 	}
 	if first.closes()+second.closes() != 0 {
-		t.Error("a service was let go of before the new one had answered")
+		t.Error("a service was closed before the new one had responded")
 	}
-	whole.response <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("b", scheduler.Ready)}}
-	eventually(t, "the new list", func() bool { _, known := endpointState(t, s, "a"); return !known })
+	full.response <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("b", scheduler.Ready)}}
+	eventually(t, "the new list", func() bool { _, known := endpointState(t, list, "a"); return !known })
 	select {
 	case <-again.cancelled:
 	case <-time.After(5 * time.Second):
-		t.Error("the watch at the service before goes on")
+		t.Error("the watch at the previous service continues")
 	}
-	eventually(t, "both services let go of", func() bool { return first.closes() == 1 && second.closes() == 1 })
+	eventually(t, "both previous services closed", func() bool { return first.closes() == 1 && second.closes() == 1 })
 }
 
-// An answer that was overtaken by that of a call beside it changes nothing.
+// A response that was overtaken by that of a concurrent call changes nothing.
 func TestEndpointList_overtakenResponse_ignored(t *testing.T) {
 	d := newScriptedDiscovery()
-	s, _ := startEndpointList(t, d)
+	list := startEndpointList(t, d)
 	late := <-d.calls
 	beside := <-d.calls // the first one is late
 	beside.response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the newer list", func() bool { st, known := endpointState(t, s, "a"); return known && st == scheduler.Draining })
+	eventually(t, "the newer list", func() bool { st, known := endpointState(t, list, "a"); return known && st == scheduler.Draining })
 	late.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 	next := <-d.calls
-	if st, _ := endpointState(t, s, "a"); st != scheduler.Draining || next.revision != 5 {
-		t.Errorf("the older answer counts: state %v, the next call is behind revision %d", st, next.revision)
+	if st, _ := endpointState(t, list, "a"); st != scheduler.Draining || next.revision != 5 {
+		t.Errorf("the older response counts: state %v, the next call has revision %d", st, next.revision)
 	}
 }
 
-// An answer with a lower revision, as of a replica that lags, takes no drain back, nor does a second one that agrees: both may be of
-// that replica. A service that gives nothing else for endpointstate.Settle counts anew, and is believed then.
+// A response with a lower revision, as of a replica that lags, does not revoke a drain, nor does a second one that agrees: both may be
+// of that replica. A service that responds with nothing else for endpointstate.MaxStaleness is believed then.
 func TestEndpointList_lowerRevision_believedAfterMaxStaleness(t *testing.T) {
 	t.Parallel()
 	d := newScriptedDiscovery()
-	s, _ := startEndpointList(t, d)
+	list := startEndpointList(t, d)
 	(<-d.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the drain", func() bool { st, known := endpointState(t, s, "a"); return known && st == scheduler.Draining })
+	eventually(t, "the drain", func() bool { st, known := endpointState(t, list, "a"); return known && st == scheduler.Draining })
 	begun := time.Now()
 	(<-d.calls).response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 	calls := 0
 	for {
-		if st, _ := endpointState(t, s, "a"); st == scheduler.Ready {
+		if st, _ := endpointState(t, list, "a"); st == scheduler.Ready {
 			break
 		}
 		again := <-d.calls
 		if again.revision != FullList {
-			t.Errorf("behind a lower revision the next call is behind revision %d", again.revision)
+			t.Errorf("after a lower revision the next call has revision %d", again.revision)
 		}
 		calls++
 		again.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
@@ -176,34 +177,34 @@
 	}
 }
 
-// A worker drained at the service before a move, and is active again at the new one, which says so once and then only that nothing
-// has changed. That is not believed at first, as the list may be older; behind endpointstate.Settle the whole list is asked for again.
+// A worker drains at the previous discovery service and is active at the new one, which reports it once and then no change. That is
+// not believed at first, as the list may be older; after endpointstate.MaxStaleness the full list is polled again.
 func TestEndpointList_workerReturnsAfterDiscoveryChanged(t *testing.T) {
 	t.Parallel()
 	first, second := newScriptedDiscovery(), newScriptedDiscovery()
-	s, _ := startEndpointList(t, first)
+	list := startEndpointList(t, first)
 	(<-first.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining), testEndpoint("b", scheduler.Ready)}}
-	eventually(t, "the drain", func() bool { st, known := endpointState(t, s, "a"); return known && st == scheduler.Draining })
+	eventually(t, "the drain", func() bool { st, known := endpointState(t, list, "a"); return known && st == scheduler.Draining })
 	known := time.Now()
-	s.ChangeDiscovery(second)
-	list := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
-	(<-second.calls).response <- list
+	list.ChangeDiscovery(second)
+	full := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
+	(<-second.calls).response <- full
 	for {
 		call := <-second.calls
 		if call.revision == FullList {
-			call.response <- list
+			call.response <- full
 			break
 		}
 		if time.Since(known) > endpointstate.MaxStaleness+time.Second {
-			t.Fatal("the whole list is not asked for again")
+			t.Fatal("the full list is not polled again")
 		}
 		time.Sleep(100 * time.Millisecond)
 		call.response <- ListUpdate{Revision: 70}
 	}
-	if st, _ := endpointState(t, s, "a"); time.Since(known) < endpointstate.MaxStaleness && st != scheduler.Draining {
-		t.Errorf("believed %v behind the drain", time.Since(known))
+	if st, _ := endpointState(t, list, "a"); time.Since(known) < endpointstate.MaxStaleness && st != scheduler.Draining {
+		t.Errorf("believed %v after the drain", time.Since(known))
 	}
-	eventually(t, "the return", func() bool { st, _ := endpointState(t, s, "a"); return st == scheduler.Ready })
+	eventually(t, "the return", func() bool { st, _ := endpointState(t, list, "a"); return st == scheduler.Ready })
 	if took := time.Since(known); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+2*time.Second {
 		t.Errorf("believed after %v", took)
 	}
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -1,8 +1,6 @@
 package routing
 
 import (
-	"context"
-	"log/slog"
 	"math"
 	"time"
 
@@ -11,149 +9,160 @@
 	"brassdale/scheduler"
 )
 
-// restore takes in the list as it was known before.
-func (s *EndpointList) restore(saved ListUpdate, now time.Time) {
-	members := make([]endpointstate.Endpoint, len(saved.Endpoints))
-	for i := range saved.Endpoints {
-		d := &saved.Endpoints[i]
-		if d.State != scheduler.Ready && d.NotifiedAt.IsZero() { // a predecessor may have been told before
-			d.NotifiedAt = s.notifiedFrom(now)
+// noListBefore is the time since the last list where there was none: longer than any process runs.
+const noListBefore = time.Duration(math.MaxInt64)
+
+// restore accepts the list as it was known before this process polled discovery.
+func (l *EndpointList) restore(known ListUpdate, now time.Time) {
+	states := make([]endpointstate.Endpoint, len(known.Endpoints))
+	for i := range known.Endpoints {
+		endpoint := &known.Endpoints[i]
+		if endpoint.State != scheduler.Ready && endpoint.NotifiedAt.IsZero() { // else a predecessor was notified before
+			endpoint.NotifiedAt = l.notifiedFrom(now)
 		}
-		members[i] = d.listedState()
+		states[i] = endpoint.listedState()
 	}
-	s.states.Restore(s.calls.current.discovery.Service(), saved.Revision, members)
-	s.publishChanges(saved, saved.Endpoints, nil, scheduler.ListCached)
+	l.states.Restore(l.calls.current.discovery.Service(), known.Revision, states)
+	l.publishChanges(known, known.Endpoints, nil, scheduler.ListCached)
 }
 
-// notifiedFrom gives from when a drain counts that came now. What an agent had counts as told: it may have had it since it last
-// answered.
-func (s *EndpointList) notifiedFrom(now time.Time) time.Time {
-	if s.pollRules().ListsPushed {
-		return s.answeredAt
+// notifiedFrom returns from when this dispatcher counts as notified of a drain that it received now. Where lists are pushed, what
+// the agent had counts as notified: it may have had it since it last responded.
+func (l *EndpointList) notifiedFrom(now time.Time) time.Time {
+	if l.pollRules().ListsPushed {
+		return l.answeredAt
 	}
 	return now
 }
 
-// apply puts in force what counts of an answer.
-func (s *EndpointList) apply(c *listCall, u ListUpdate, kind scheduler.ListKind, order endpointstate.Freshness) {
-	now := u.ReceivedAt
-	if now.IsZero() {
-		now = time.Now()
-	}
-	answer := c.response(u, now)
-	for i := range answer.Endpoints {
-		if m := &answer.Endpoints[i]; m.NotifiedAt.IsZero() {
-			m.NotifiedAt = s.notifiedFrom(now)
+// apply puts in force what is to be believed of a response.
+func (l *EndpointList) apply(response *listResponse, freshness endpointstate.Freshness) {
+	update, states := &response.update, &response.states
+	receivedAt := update.ReceivedAt
+	if receivedAt.IsZero() {
+		receivedAt = time.Now()
+	}
+	states.Complete, states.ReceivedAt = update.Complete, receivedAt
+	for i := range states.Endpoints {
+		if endpoint := &states.Endpoints[i]; endpoint.NotifiedAt.IsZero() {
+			endpoint.NotifiedAt = l.notifiedFrom(receivedAt)
 		}
 	}
-	verdict := s.states.Apply(answer, order)
-	if c.service == s.calls.current && (u.Complete || !verdict.PollAgainAt.IsZero()) { // a change says nothing of what was not believed
-		s.recheckAt = verdict.PollAgainAt
+	changes := l.states.Apply(*states, freshness)
+	// A change of the list says nothing of what was not believed of an earlier response.
+	if response.call.service == l.calls.current && (update.Complete || !changes.PollAgainAt.IsZero()) {
+		l.recheckAt = changes.PollAgainAt
 	}
-	var listed, ended []Endpoint
-	for _, a := range verdict.Accepted {
-		if a.Index == endpointstate.NotListed {
-			d := s.known[a.ID]
-			d.ID, d.State, d.NotifiedAt = a.ID, a.State, a.NotifiedAt
-			ended = append(ended, d)
+	listed, gone := l.acceptedEndpoints(update, changes.Accepted)
+	l.publishChanges(*update, listed, gone, update.listKind())
+}
+
+// acceptedEndpoints returns the endpoints of an update with the states that were accepted, and those that a full list does not name.
+func (l *EndpointList) acceptedEndpoints(update *ListUpdate, accepted []endpointstate.Accepted) (listed, gone []Endpoint) {
+	for _, state := range accepted {
+		if state.Index == endpointstate.NotListed {
+			endpoint := l.known[state.ID]
+			endpoint.ID, endpoint.State, endpoint.NotifiedAt = state.ID, state.State, state.NotifiedAt
+			gone = append(gone, endpoint)
 			continue
 		}
-		d := u.Endpoints[a.Index]
-		d.State, d.StartedAt, d.NotifiedAt = a.State, a.Start, a.NotifiedAt
-		listed = append(listed, d)
+		endpoint := update.Endpoints[state.Index]
+		endpoint.State, endpoint.StartedAt, endpoint.NotifiedAt = state.State, state.Start, state.NotifiedAt
+		listed = append(listed, endpoint)
 	}
-	s.publishChanges(u, listed, ended, kind)
+	return listed, gone
 }
 
-// publishChanges passes on what has changed: to the endpoints first, then to the module. The ended ones are those that a whole list does not
-// name: the module knows by that.
-func (s *EndpointList) publishChanges(u ListUpdate, listed, ended []Endpoint, kind scheduler.ListKind) {
-	level := slog.LevelDebug
-	if u.Complete {
-		level = slog.LevelInfo
-	}
-	for _, d := range listed {
-		if s.updateEndpoint(d) {
-			level = slog.LevelInfo
+// publishChanges passes on what has changed: to the endpoint pool first, then to the scheduler. The scheduler tells by the full list
+// which endpoints are gone.
+func (l *EndpointList) publishChanges(update ListUpdate, listed, gone []Endpoint, kind scheduler.ListKind) {
+	changed := update.Complete
+	for _, endpoint := range listed {
+		if l.updateEndpoint(endpoint) {
+			changed = true
 		}
 	}
-	news := scheduler.EndpointsUpdated{ListKind: kind, Workers: s.withStartTimes(listed), AsOf: s.core.clock.At(s.completeAsOf)}
-	s.listReceived = s.listReceived || kind != scheduler.ListCached
-	for _, d := range ended {
-		s.updateEndpoint(d)
+	event := scheduler.EndpointsUpdated{ListKind: kind, Workers: l.withStartTimes(listed), AsOf: l.core.clock.At(l.completeAsOf)}
+	l.listReceived = l.listReceived || kind != scheduler.ListCached
+	for _, endpoint := range gone {
+		l.updateEndpoint(endpoint)
 	}
-	s.core.counters.setListedEndpoints(len(s.known))
-	s.core.UpdateEndpoints(news)
-	if len(u.Endpoints) > 0 {
-		s.log.Log(context.Background(), level, "destination set", "revision", u.Revision, "complete", u.Complete, "lines", len(u.Endpoints),
-			"accepted", len(listed), "known", len(s.known))
+	l.core.counters.setListedEndpoints(len(l.known))
+	l.core.UpdateEndpoints(event)
+	if len(update.Endpoints) == 0 {
+		return
 	}
+	log := l.log.Debug
+	if changed {
+		log = l.log.Info
+	}
+	log("endpoint list updated", "revision", update.Revision, "complete", update.Complete, "endpoints", len(update.Endpoints),
+		"accepted", len(listed), "known", len(l.known))
 }
 
-// forever is longer than any process runs.
-const forever = time.Duration(math.MaxInt64)
-
-// withStartTimes gives the lines of a list with the starts of their workers on the core's clock.
-func (s *EndpointList) withStartTimes(lines []Endpoint) []scheduler.WorkerInfo {
+// withStartTimes returns the workers of a list with their start times on the scheduler's clock.
+func (l *EndpointList) withStartTimes(listed []Endpoint) []scheduler.WorkerInfo {
 	now := time.Now()
-	moment := incarnations.ListTime{Now: s.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(s.answeredAt)}
-	if !s.listReceived {
-		moment.SinceLastList = forever
-	}
-	stamped := make([]incarnations.WorkerStart, len(lines))
-	for i, d := range lines {
-		stamped[i] = incarnations.WorkerStart{ID: d.ID, Stamp: d.StartedAt}
-		if d.Age > 0 {
-			s.incarnations.Set(d.ID, d.StartedAt, moment.Now-d.Age)
+	listTime := incarnations.ListTime{Now: l.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(l.answeredAt)}
+	if !l.listReceived {
+		listTime.SinceLastList = noListBefore
+	}
+	stamped := make([]incarnations.WorkerStart, len(listed))
+	for i, endpoint := range listed {
+		stamped[i] = incarnations.WorkerStart{ID: endpoint.ID, Stamp: endpoint.StartedAt}
+		if endpoint.Age > 0 {
+			l.incarnations.Set(endpoint.ID, endpoint.StartedAt, listTime.Now-endpoint.Age)
 		}
 	}
-	infos := make([]scheduler.WorkerInfo, len(lines))
-	for i, at := range s.incarnations.Update(moment, stamped) {
-		infos[i] = lines[i].WorkerInfo
-		infos[i].StartedAt = at
+	workers := make([]scheduler.WorkerInfo, len(listed))
+	for i, startedAt := range l.incarnations.Update(listTime, stamped) {
+		workers[i] = listed[i].WorkerInfo
+		workers[i].StartedAt = startedAt
 	}
-	return infos
+	return workers
 }
 
-// StartedAt gives when a worker started, on the core's clock. It may be called before Run only.
-func (s *EndpointList) StartedAt(id scheduler.WorkerID) scheduler.Clock {
-	return s.incarnations.StartedAt(id)
+// StartedAt returns when a worker started, on the scheduler's clock; 0 for long ago or unknown. It may be called before Run only.
+func (l *EndpointList) StartedAt(id scheduler.WorkerID) scheduler.Clock {
+	return l.incarnations.StartedAt(id)
 }
 
-// updateEndpoint takes a line in and tells whether it is news: weights that fall with the load are not.
-func (s *EndpointList) updateEndpoint(d Endpoint) bool {
-	old := s.known[d.ID]
-	if d.Address == "" {
-		d.Address = old.Address
-	}
-	s.logStateChange(old, d)
-	d.Age = 0 // it grows
-	if d.State == scheduler.Gone {
-		delete(s.known, d.ID)
+// updateEndpoint enters an endpoint in the list, passes it to the endpoint pool, and reports whether anything but its weight has
+// changed: weights follow the load.
+func (l *EndpointList) updateEndpoint(endpoint Endpoint) bool {
+	before := l.known[endpoint.ID]
+	if endpoint.Address == "" {
+		endpoint.Address = before.Address
+	}
+	l.logStateChange(before, endpoint)
+	endpoint.Age = 0 // of the moment of the handover only
+	if endpoint.State == scheduler.Gone {
+		delete(l.known, endpoint.ID)
 	} else {
-		s.known[d.ID] = d
+		l.known[endpoint.ID] = endpoint
 	}
-	s.pool.Update(d)
-	old.Weight, old.NotifiedAt = d.Weight, d.NotifiedAt
-	return old != d
+	l.pool.Update(endpoint)
+	before.Weight, before.NotifiedAt = endpoint.Weight, endpoint.NotifiedAt
+	return before != endpoint
 }
 
-// listedState gives what a line says of a worker's state.
-func (d *Endpoint) listedState() endpointstate.Endpoint {
-	return endpointstate.Endpoint{ID: d.ID, State: d.State, Start: d.StartedAt, NotifiedAt: d.NotifiedAt}
+// listedState returns what a list says of the state of an endpoint.
+func (e *Endpoint) listedState() endpointstate.Endpoint {
+	return endpointstate.Endpoint{ID: e.ID, State: e.State, Start: e.StartedAt, NotifiedAt: e.NotifiedAt}
 }
 
-// logStateChange tells of a worker whose state has changed. That a worker is new is no change: a first list may have thousands.
-func (s *EndpointList) logStateChange(old, d Endpoint) {
-	if _, known := s.known[d.ID]; known && old.State != d.State {
-		s.log.Info("worker's state", "worker", d.ID, "from", old.State.String(), "to", d.State.String(), "told_ago", sinceNotified(d.NotifiedAt))
+// logStateChange logs that the state of a known endpoint has changed. New endpoints are not logged: a first list may have thousands.
+func (l *EndpointList) logStateChange(before, after Endpoint) {
+	if _, known := l.known[after.ID]; known && before.State != after.State {
+		l.log.Info("worker state changed", "worker", after.ID, "from", before.State.String(), "to", after.State.String(),
+			"since_notified", sinceNotified(after.NotifiedAt))
 	}
 }
 
-// sinceNotified is how long sinceNotified a time was; 0 for none.
-func sinceNotified(t time.Time) time.Duration {
-	if t.IsZero() {
+// sinceNotified returns the time since a notification; 0 for none.
+func sinceNotified(at time.Time) time.Duration {
+	if at.IsZero() {
 		return 0
 	}
-	return time.Since(t).Round(time.Millisecond)
+	return time.Since(at).Round(time.Millisecond)
 }
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -2,151 +2,160 @@
 
 import (
 	"context"
-	"log/slog"
 	"math/rand/v2"
 	"time"
 
 	"brassdale/internal/decisions/endpointstate"
 	"brassdale/internal/decisions/polling"
-	"brassdale/scheduler"
 )
 
-// lagLogInterval is how often an answer with a lower revision is logged so that it stands out.
-const lagLogInterval = 10 * time.Second
+const (
+	// lagLogInterval is the least time between warnings of responses with a lower revision. Others are logged at debug level.
+	lagLogInterval = 10 * time.Second
 
-// handleCallEnded takes in what a call brought.
-func (s *EndpointList) handleCallEnded(ctx context.Context, c *listCall, m callEnded) {
-	now, rules := time.Now(), s.pollRules()
-	if m.err == nil && s.cachedStart.isForeign(m.update) {
-		m.err = errForeignList
+	// maxReplicaLag is how far a replica of discovery may be behind the newest list. A response does not tell.
+	maxReplicaLag = 2500 * time.Millisecond
+)
+
+// listResponse is a list, or a change of it, that a call to discovery returned.
+type listResponse struct {
+	call    *listCall
+	update  ListUpdate
+	states  endpointstate.ListResponse // what update says of the states of endpoints
+	endedAt time.Time                  // when the call was found to have ended
+}
+
+// newListResponse returns the response of a call.
+func newListResponse(call *listCall, update ListUpdate, endedAt time.Time) *listResponse {
+	states := endpointstate.ListResponse{
+		Service: call.service.discovery.Service(), Revision: update.Revision, Complete: update.Complete,
+		CalledAt: call.startedAt, ReceivedAt: endedAt, Endpoints: make([]endpointstate.Endpoint, len(update.Endpoints)),
+	}
+	for i := range update.Endpoints {
+		states.Endpoints[i] = update.Endpoints[i].listedState()
 	}
-	current := c.service == s.calls.current
+	return &listResponse{call, update, states, endedAt}
+}
+
+// handleCallEnded handles the result of a call.
+func (l *EndpointList) handleCallEnded(ctx context.Context, call *listCall, ended callEnded) {
+	now, rules, err := time.Now(), l.pollRules(), ended.err
+	if err == nil && l.cachedStart.isForeign(ended.update) {
+		err = errForeignList
+	}
+	current := call.service == l.calls.current
 	switch {
-	case m.err != nil && !current: // it is asked no more
-	case m.err != nil:
+	case err != nil && !current: // it is not called again
+	case err != nil:
 		if ctx.Err() == nil {
-			s.recordFailure(c, m.err, now)
+			l.recordFailure(call, err, now)
 		}
-		s.calls.schedule.CallFailed(now, c.number, c.failure(m.err, now), rules, rand.Float64())
-	case current || !s.calls.current.answered:
-		s.handleResponse(ctx, c, m.update, now)
+		l.calls.schedule.CallFailed(now, call.number, call.failure(err, now), rules, rand.Float64())
+	case current || !l.calls.current.answered:
+		l.handleResponse(ctx, newListResponse(call, ended.update, now))
 	}
 }
 
-// handleResponse takes in what a service told, as far as it counts.
-func (s *EndpointList) handleResponse(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
-	order := s.states.Classify(c.response(u, now))
+// handleResponse accepts a response as far as it is to be believed.
+func (l *EndpointList) handleResponse(ctx context.Context, response *listResponse) {
+	call := response.call
+	freshness := l.states.Classify(response.states)
 	switch {
-	case order == endpointstate.Overtaken:
-		s.log.Info("discovery's answer was overtaken", "call", c.number, "revision", u.Revision, "known", c.service.revision)
-		s.markStale(now, c, c.service.fullListDue)
-	case order == endpointstate.Lagging:
-		s.log.Log(context.Background(), s.lagLevel(now), "discovery's revision went back, asking for the whole list", "call", c.number,
-			"revision", u.Revision, "known", c.service.revision)
-		u.Complete = false
-		s.apply(c, u, scheduler.ListDelta, order)
-		s.markStale(now, c, true)
-	case c.service != s.calls.current:
-		s.acceptPrevious(ctx, c, u, now)
+	case freshness == endpointstate.Overtaken:
+		l.log.Info("discovery response overtaken", "call", call.number, "revision", response.update.Revision,
+			"known", call.service.revision)
+		l.markStale(response, call.service.fullListDue)
+	case freshness == endpointstate.Lagging:
+		l.logLag(response)
+		response.update.Complete = false
+		l.apply(response, freshness)
+		l.markStale(response, true)
+	case call.service != l.calls.current:
+		l.acceptPrevious(ctx, response)
 	default:
-		s.acceptList(now, c, u)
-		s.recordRecovery() // behind the list's own line: who reads that discovery answers again finds its list in force
+		l.acceptList(response)
+		l.recordRecovery() // logged after the list is in force
 	}
 }
 
-// markStale notes an answer that told nothing new, and whether the whole list is to be asked for.
-func (s *EndpointList) markStale(now time.Time, c *listCall, recheck bool) {
-	if c.service == s.calls.current {
-		c.service.fullListDue = recheck
-		s.calls.schedule.CallStale(now, c.number, s.pollRules(), rand.Float64())
+// markStale notes that a response of the current service reported nothing new, and whether the full list is to be asked for.
+func (l *EndpointList) markStale(response *listResponse, fullListDue bool) {
+	call := response.call
+	if call.service == l.calls.current {
+		call.service.fullListDue = fullListDue
+		l.calls.schedule.CallStale(response.endedAt, call.number, l.pollRules(), rand.Float64())
 	}
 }
 
-// lagLevel is the level at which an answer with a lower revision is logged: of a row of them one in a while stands out.
-func (s *EndpointList) lagLevel(now time.Time) slog.Level {
-	if now.Sub(s.lagLoggedAt) < lagLogInterval {
-		return slog.LevelDebug
+// logLag logs a response with a lower revision: as a warning once in lagLogInterval.
+func (l *EndpointList) logLag(response *listResponse) {
+	log := l.log.Debug
+	if response.endedAt.Sub(l.lagLoggedAt) >= lagLogInterval {
+		l.lagLoggedAt = response.endedAt
+		log = l.log.Warn
 	}
-	s.lagLoggedAt = now
-	return slog.LevelWarn
+	log("discovery revision decreased, polling full list", "call", response.call.number,
+		"revision", response.update.Revision, "known", response.call.service.revision)
 }
 
-// acceptList takes in the list, or a change of it, of the service in force.
-func (s *EndpointList) acceptList(now time.Time, c *listCall, u ListUpdate) {
-	service := c.service
-	fresh := u.Revision != service.revision || len(u.Endpoints) > 0
+// acceptList accepts the list, or a change of it, of the current service.
+func (l *EndpointList) acceptList(response *listResponse) {
+	call, update, service, now := response.call, &response.update, response.call.service, response.endedAt
+	changed := update.Revision != service.revision || len(update.Endpoints) > 0
 	if !service.answered {
 		service.answered = true
-		s.calls.dropPrevious()
+		l.calls.dropPrevious()
 	}
-	service.heard = now
-	if again, doubted := s.assessList(&u); doubted {
-		u.Complete = false
-		s.apply(c, u, scheduler.ListDelta, endpointstate.Current)
+	if pollAt, doubted := l.assessList(update); doubted {
+		update.Complete = false
+		l.apply(response, endpointstate.Current)
 		service.revision = FullList
-		s.calls.schedule.PollAt(again)
+		l.calls.schedule.PollAt(pollAt)
 		return
 	}
-	if u.Complete {
+	if update.Complete {
 		service.fullListDue = false
 	}
-	kind := scheduler.ListDelta
-	if u.Complete {
-		kind = scheduler.ListFull
+	if asOf := l.completeAt(response, changed); asOf.After(l.completeAsOf) {
+		l.completeAsOf = asOf
 	}
-	s.completeAsOf = later(s.completeAsOf, s.completeAt(c, u, fresh, now))
-	s.apply(c, u, kind, endpointstate.Current)
-	service.revision = u.Revision
-	s.answeredAt = now
-	s.core.counters.setListReceivedAt(now)
-	s.completeCachedStart()
-	if s.store != nil {
-		s.store.EndpointsUpdated(u)
+	l.apply(response, endpointstate.Current)
+	service.revision = update.Revision
+	l.answeredAt = now
+	l.core.counters.setListReceivedAt(now)
+	l.completeCachedStart()
+	if l.store != nil {
+		l.store.EndpointsUpdated(*update)
 	}
-	s.source.Store(&ListSource{Name: "discovery", ConfirmedAt: now})
-	s.calls.schedule.CallAnswered(now, c.number, now.Sub(c.startedAt), fresh, u.BeforeWaitEnded, s.pollRules(), rand.Float64())
+	l.source.Store(&ListSource{Name: "discovery", ConfirmedAt: now})
+	l.calls.schedule.CallAnswered(now, call.number, now.Sub(call.startedAt), changed, update.BeforeWaitEnded, l.pollRules(), rand.Float64())
 }
 
-// maxReplicaLag is how far a replica of discovery may be behind. Nothing of an answer tells.
-const maxReplicaLag = 2500 * time.Millisecond
-
-// completeAt gives as of when an answer tells all that discovery had: for a watch when it came, else when its call was made. A busy
-// service may end a watch whose news has not had its turn: then it tells nothing of that.
-func (s *EndpointList) completeAt(c *listCall, u ListUpdate, fresh bool, now time.Time) time.Time {
-	switch {
-	case c.kind != polling.Watch:
-		return c.startedAt.Add(-maxReplicaLag)
-	case !fresh && s.calls.schedule.ServiceBusy(now):
-		return time.Time{}
-	case u.ReceivedAt.IsZero():
-		return now.Add(-maxReplicaLag)
+// acceptPrevious accepts the response of a previous service, while the current one has not responded. It counts for endpoints that
+// changed; which endpoints there are is for the current one to say. A watch at the previous service continues.
+func (l *EndpointList) acceptPrevious(ctx context.Context, response *listResponse) {
+	call, now := response.call, response.endedAt
+	response.update.Complete = false
+	l.apply(response, endpointstate.Current)
+	call.service.revision = response.update.Revision
+	l.calls.schedule.PreviousServiceAnswered(now)
+	if call.kind == polling.Watch {
+		l.calls.startCall(ctx, now, call.service, polling.Watch)
 	}
-	return u.ReceivedAt.Add(-maxReplicaLag)
 }
 
-// serviceChanged has what the list is known of end sooner: behind a move of discovery a change counts as told polling.Moved later.
-func (s *EndpointList) serviceChanged(now time.Time) {
-	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(s.completeAsOf) {
-		s.completeAsOf = asOf
-	}
-	s.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: s.core.clock.At(s.completeAsOf)})
-}
-
-func later(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
-// acceptPrevious takes in what a service brings that was asked before a move, while the new one has not answered. It tells of
-// workers that changed; which ones there are is the new one's word. A watch there goes on meanwhile.
-func (s *EndpointList) acceptPrevious(ctx context.Context, c *listCall, u ListUpdate, now time.Time) {
-	u.Complete = false
-	s.apply(c, u, scheduler.ListDelta, endpointstate.Current)
-	c.service.revision, c.service.heard = u.Revision, now
-	s.calls.schedule.PreviousServiceAnswered(now)
-	if c.kind == polling.Watch {
-		s.calls.startCall(ctx, now, c.service, polling.Watch)
+// completeAt returns as of when all changes that discovery had are known by a response: for a watch when it was received, else when
+// its call was made, less maxReplicaLag. A busy service may end a watch before the change that it waits for had its turn: then
+// the response does not tell, and the zero time is returned.
+func (l *EndpointList) completeAt(response *listResponse, changed bool) time.Time {
+	receivedAt := response.update.ReceivedAt
+	switch {
+	case response.call.kind != polling.Watch:
+		return response.call.startedAt.Add(-maxReplicaLag)
+	case !changed && l.calls.schedule.ServiceBusy(response.endedAt):
+		return time.Time{}
+	case receivedAt.IsZero():
+		return response.endedAt.Add(-maxReplicaLag)
 	}
+	return receivedAt.Add(-maxReplicaLag)
 }
--- a/internal/routing/mailbox.go
+++ b/internal/routing/mailbox.go
@@ -1,25 +1,24 @@
-// Package routing is the core of the dispatcher. It knows requests, outbound calls and outcomes, and no
-// wire: what a request holds passes through unread, and fronts and endpoints are interfaces here.
 package routing
 
 import "sync"
 
-// Mailbox is an actor's queue. Post never blocks, so no actor waits for another one and none can
-// deadlock. What it holds is bounded by the requests that the fronts let in.
+// Mailbox is the queue of messages of an actor. Any goroutine may call Post; one goroutine, the owner, receives from Signal and
+// calls Take. Post never blocks, so that actors that post to each other cannot deadlock. The queue is not bounded by itself: the
+// requests that the frontends admit bound it.
 type Mailbox[T any] struct {
 	mu     sync.Mutex
 	queue  []T
-	spare  []T
+	spare  []T // the slice that the last Take returned, for reuse
 	signal chan struct{}
 }
 
-// NewMailbox makes an empty mailbox.
+// NewMailbox returns an empty mailbox.
 func NewMailbox[T any]() *Mailbox[T] { return &Mailbox[T]{signal: make(chan struct{}, 1)} }
 
-// Post adds a message.
-func (m *Mailbox[T]) Post(v T) {
+// Post appends a message. It does not block.
+func (m *Mailbox[T]) Post(message T) {
 	m.mu.Lock()
-	m.queue = append(m.queue, v)
+	m.queue = append(m.queue, message)
 	m.mu.Unlock()
 	select {
 	case m.signal <- struct{}{}:
@@ -27,15 +26,15 @@
 	}
 }
 
-// Signal tells the owner that there may be messages.
+// Signal returns the channel on which the owner waits. A receive means that there may be messages.
 func (m *Mailbox[T]) Signal() <-chan struct{} { return m.signal }
 
-// Take gives all messages in order. They are valid until the next Take.
+// Take returns all messages in the order in which they were posted. The slice is valid until the next Take.
 func (m *Mailbox[T]) Take() []T {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	taken := m.queue
-	clear(m.spare) // hold on to nothing that was taken before
+	clear(m.spare) // so that messages taken before can be collected
 	m.queue, m.spare = m.spare[:0], taken
 	return taken
 }
--- /dev/null
+++ b/internal/routing/request.go
@@ -0,0 +1,33 @@
+package routing
+
+import "time"
+
+// Request is a request as a frontend submits it.
+type Request struct {
+	Class          int           // its number at the scheduler
+	ClassName      string        // for the counters, the retry budget and the zone router
+	Account        string        // the owner, for the retry budget
+	LogName        string        // the ID that the client gave the request, for the log
+	Slots          float64       // slots that it occupies at a worker
+	Limits         RequestLimits // of the settings in force when it arrived
+	EstimatedWork  time.Duration // an estimate of its work; 0 for unknown
+	AffinityKey    uint64        // requests of one key need the same data at a worker; 0 for none
+	IdempotencyKey string        // the key by which workers recognize a repeated request; empty for none
+	Deadline       time.Time
+	Job            any // what endpoints need to send it; not read here
+	Client         Client
+	ClientGone     func() bool // reports whether the client has left, before Core.ClientLeft is called; nil where only that tells
+}
+
+// RequestLimits are the limits that the core applies to a request.
+type RequestLimits struct {
+	MaxAttempts int           // further attempts are not sent; 0 for no limit
+	AnswerSlack time.Duration // how long after the deadline an answer still counts
+}
+
+// Client waits for the answer to a request. The goroutine of Core.Run calls it: its methods must not block.
+type Client interface {
+	AttemptStarted(attempt int)
+	AttemptProgressed(attempt int, share float64) // share of the job that is done, 0 to 1
+	Answered(Answer)                              // called once, unless the client leaves before
+}
--- /dev/null
+++ b/internal/routing/requests.go
@@ -0,0 +1,188 @@
+package routing
+
+import (
+	"cmp"
+	"container/heap"
+	"context"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"brassdale/scheduler"
+)
+
+// overdueMargin is how long after its deadline and answer slack a request stays with the scheduler before the Core fails it. The
+// timer by which the scheduler answers may itself be late on a busy machine.
+const overdueMargin = 20 * time.Millisecond
+
+// openRequest is a request in the table of the Core, from its submission until it is answered and no attempt is in flight.
+type openRequest struct {
+	Request
+	expiresAt   scheduler.Clock // the deadline
+	arrivedAt   scheduler.Clock // set where there is a zone router
+	answered    bool            // the final answer was given, or the client left: nothing is owed
+	timedOut    bool            // an attempt ended as TimedOut
+	attemptSent bool            // an attempt of it was sent, or may have been
+	attempts    []attempt       // by number
+	inFlight    int             // attempts without an outcome
+}
+
+// attempt is the state of one attempt of an open request.
+type attempt struct {
+	endpoint           scheduler.WorkerID
+	inFlight           bool
+	outcome            scheduler.Outcome // valid while it is not in flight
+	sentAt             scheduler.Clock   // when it was handed to the endpoint pool
+	startedAt          scheduler.Clock   // when its job was reported to have started; 0 before
+	unansweredReported bool              // the zone router was told that the endpoint gives no sign of it
+}
+
+// stateName returns the name of the outcome of an attempt for the log, "open" while it is in flight.
+func (a *attempt) stateName() string {
+	if a.inFlight {
+		return "open"
+	}
+	return a.outcome.String()
+}
+
+// acceptRequest enters a request in the table and passes it to the scheduler, unless the zone router rejects it.
+func (c *Core) acceptRequest(id scheduler.RequestID, submitted Request) {
+	request := &openRequest{Request: submitted, expiresAt: c.clock.At(submitted.Deadline)}
+	c.requests[id] = request
+	heap.Push(&c.timers, timer{at: request.expiresAt + request.Limits.AnswerSlack + overdueMargin, overdueRequest: id})
+	zones, ok := c.routeRequest(id, request)
+	if !ok {
+		return
+	}
+	c.handleEvent(scheduler.RequestArrived{
+		ID: id, Class: request.Class, Slots: request.Slots, EstimatedWork: request.EstimatedWork,
+		AffinityKey: request.AffinityKey, Deadline: request.expiresAt, AllowedZones: zones,
+	})
+}
+
+// abandonRequest closes a request whose client has left. The scheduler may cancel its attempts.
+func (c *Core) abandonRequest(id scheduler.RequestID) {
+	request := c.requests[id]
+	if request == nil || request.answered {
+		return
+	}
+	request.answered = true
+	c.counters.countClientLeft()
+	c.handleEvent(scheduler.ClientLeft{ID: id})
+	c.removeIfClosed(id, request)
+}
+
+// findAttempt returns an attempt that is in flight and its request; nil for one that has an outcome or never was.
+func (c *Core) findAttempt(id AttemptID) (*openRequest, *attempt) {
+	request := c.requests[id.Request]
+	if request == nil || id.Number < 0 || id.Number >= len(request.attempts) || !request.attempts[id.Number].inFlight {
+		return nil, nil
+	}
+	return request, &request.attempts[id.Number]
+}
+
+// startAttempt notes that the job of an attempt has started at its endpoint.
+func (c *Core) startAttempt(id AttemptID) {
+	request, started := c.findAttempt(id)
+	if started == nil {
+		return
+	}
+	started.startedAt = c.now
+	if c.zoneRouter != nil {
+		c.zoneRouter.AttemptStarted(c.now, started.endpoint)
+	}
+	if !request.answered {
+		request.Client.AttemptStarted(id.Number)
+	}
+	c.handleEvent(scheduler.AttemptStarted{ID: id.Request, Attempt: id.Number, Worker: started.endpoint})
+}
+
+// progressAttempt passes on how far the job of an attempt is.
+func (c *Core) progressAttempt(id AttemptID, share float64) {
+	request, running := c.findAttempt(id)
+	if running == nil {
+		return
+	}
+	if !request.answered {
+		request.Client.AttemptProgressed(id.Number, share)
+	}
+	c.handleEvent(scheduler.AttemptProgressed{ID: id.Request, Attempt: id.Number, Worker: running.endpoint, Share: share})
+}
+
+// finishAttempt ends an attempt and answers its request if it was served. A second outcome of one attempt is ignored.
+func (c *Core) finishAttempt(id AttemptID, result AttemptResult) {
+	request, ended := c.findAttempt(id)
+	if ended == nil {
+		return
+	}
+	outcome := result.Outcome
+	ended.inFlight, ended.outcome = false, outcome
+	request.inFlight--
+	request.timedOut = request.timedOut || outcome == scheduler.TimedOut
+	request.attemptSent = request.attemptSent || outcome != scheduler.NeverSent && outcome != scheduler.NoConnect
+	c.reportAttemptEnded(request, ended, outcome)
+	if outcome == scheduler.Served {
+		if observer := c.observer.Load(); observer != nil {
+			(*observer).JobServed(ended.endpoint, request.Class, c.now-cmp.Or(ended.startedAt, ended.sentAt))
+		}
+		c.answerRequest(request, Answer{Verdict: Served, Result: result.Result})
+	}
+	c.handleEvent(scheduler.AttemptFinished{
+		ID: id.Request, Attempt: id.Number, Worker: ended.endpoint, Outcome: outcome,
+		Final: request.answered, Report: result.Report, ConnectionIdle: result.ConnectionIdle,
+	})
+	c.removeIfClosed(id.Request, request)
+}
+
+// failOverdue fails a request that the scheduler has not answered in time: else it would stay open for ever. It finds one only
+// where the scheduler is at fault or this process was not run.
+func (c *Core) failOverdue(id scheduler.RequestID) {
+	request := c.requests[id]
+	if request == nil || request.answered {
+		return
+	}
+	c.log.Error("request overdue, failed", "request", id, "id", request.LogName)
+	c.answerRequest(request, Answer{Verdict: Failed})
+	c.handleEvent(scheduler.ClientLeft{ID: id})
+	c.removeIfClosed(id, request)
+}
+
+// closeRequest gives the final answer of an open request and removes it once no attempt is in flight.
+func (c *Core) closeRequest(id scheduler.RequestID, answer Answer) {
+	if request := c.requests[id]; request != nil {
+		c.answerRequest(request, answer)
+		c.removeIfClosed(id, request)
+	}
+}
+
+// answerRequest gives the final answer of a request. A second answer is dropped.
+func (c *Core) answerRequest(request *openRequest, answer Answer) {
+	if request.answered {
+		return
+	}
+	answer.DeadlinePassed = answer.Verdict != Served && (request.timedOut || c.now >= request.expiresAt-request.Limits.AnswerSlack)
+	request.answered = true
+	c.counters.countAnswered(request.ClassName, answer.Verdict, request.attemptSent || request.inFlight > 0)
+	c.logAnswer(request, answer)
+	request.Client.Answered(answer)
+}
+
+// logAnswer logs at debug level how a request was answered, and the state of each of its attempts at that time.
+func (c *Core) logAnswer(request *openRequest, answer Answer) {
+	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	var attempts []string
+	for i := range request.attempts {
+		attempts = append(attempts, fmt.Sprintf("%s %s", request.attempts[i].endpoint, request.attempts[i].stateName()))
+	}
+	c.log.Debug("request answered", "id", request.LogName, "verdict", answer.Verdict.String(),
+		"deadline_passed", answer.DeadlinePassed, "attempts", attempts)
+}
+
+// removeIfClosed removes a request from the table when nothing is owed to its client and no attempt is in flight.
+func (c *Core) removeIfClosed(id scheduler.RequestID, request *openRequest) {
+	if request.answered && request.inFlight == 0 {
+		delete(c.requests, id)
+	}
+}
--- a/internal/routing/zonerouting.go
+++ b/internal/routing/zonerouting.go
@@ -7,69 +7,86 @@
 	"brassdale/scheduler"
 )
 
-// ZoneRouter says to which zones jobs may go, and hears what becomes of their calls. No method blocks. Probed may be called by
-// anybody, the others by the core alone.
+// ZoneRouter decides to which zones requests may go, by what it is told of their attempts. No method blocks. ProbeCompleted may be
+// called from any goroutine, the others only from that of Core.Run.
 type ZoneRouter interface {
-	EndpointsUpdated(now scheduler.Clock, l scheduler.EndpointsUpdated)
-	// Arrived gives the zones, a bit for each number, 0 for all; not ok where the job is to be refused here, and for how long
-	// its client should stay away.
-	Route(now scheduler.Clock, class, repeat string) (within uint64, away time.Duration, ok bool)
+	EndpointsUpdated(now scheduler.Clock, update scheduler.EndpointsUpdated)
+
+	// Route returns the zones that a request may go to, a bit for each number; 0 for all. If ok is false, the request must be
+	// rejected, and its client should retry after retryAfter.
+	Route(now scheduler.Clock, class, idempotencyKey string) (zones uint64, retryAfter time.Duration, ok bool)
+
 	AttemptStarted(now scheduler.Clock, id scheduler.WorkerID)
-	AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID) // a call has been without any sign for failover.SilentAfter
-	// Ended tells how a call ended, how long ago its job came and for how long it ran; 0 where it has not begun.
+
+	// AttemptUnanswered is called once for an attempt that has had no response for failover.NoResponseAfter.
+	AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID)
+
+	// AttemptEnded is called with the outcome of an attempt, the time since its request arrived and the time since it started;
+	// ran is 0 where no start was reported.
 	AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, o scheduler.Outcome, took, ran time.Duration)
+
 	ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome)
 }
 
-// FleetBudget says whether there is room for one more in what all dispatchers together may do. No method blocks.
+// FleetBudget decides whether the budgets that all dispatchers of the fleet share allow one more retry or probe, and charges them
+// for it. No method blocks.
 type FleetBudget interface {
-	AllowRetry() bool // a further call of a job
+	AllowRetry() bool
 	AllowProbe() bool
 }
 
-// SetFleetBudget names who says so. It is set before Run.
-func (c *Core) SetFleetBudget(s FleetBudget) { c.fleetBudget = s }
+// SetFleetBudget sets the budgets of the fleet. It is called before Run.
+func (c *Core) SetFleetBudget(budget FleetBudget) { c.fleetBudget = budget }
 
-// FirstAttempts is how many first calls there were.
-func (c *Core) FirstAttempts() uint64 { return c.firstAttempts.Load() }
+// SetZoneRouter sets the zone router. It is called before Run.
+func (c *Core) SetZoneRouter(router ZoneRouter) { c.zoneRouter = router }
 
-// SetZoneRouter names the guide. It is set before Run.
-func (c *Core) SetZoneRouter(g ZoneRouter) { c.zoneRouter = g }
-
-// routeRequest asks the guide where a request may go. One that it has refused has its answer behind this.
-func (c *Core) routeRequest(id scheduler.RequestID, r *openRequest) (within uint64, ok bool) {
+// routeRequest returns the zones that a request may go to; 0 for all. If ok is false, the request has been rejected.
+func (c *Core) routeRequest(id scheduler.RequestID, request *openRequest) (zones uint64, ok bool) {
 	if c.zoneRouter == nil {
 		return 0, true
 	}
-	r.arrivedAt = c.now
-	within, away, ok := c.zoneRouter.Route(c.now, r.ClassName, r.IdempotencyKey)
+	request.arrivedAt = c.now
+	zones, retryAfter, ok := c.zoneRouter.Route(c.now, request.ClassName, request.IdempotencyKey)
 	if !ok {
-		c.closeRequest(id, Answer{Verdict: Rejected, RetryAfter: away})
+		c.closeRequest(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 	}
-	return within, ok
+	return zones, ok
 }
 
-// reportAttemptEnded tells the guide how a call ended.
-func (c *Core) reportAttemptEnded(r *openRequest, a *attempt, o scheduler.Outcome) {
-	if c.zoneRouter == nil {
+// reportAttemptEnded reports the outcome of an attempt to the zone router. Of an attempt that was reported as unanswered only a
+// response of the endpoint is reported.
+func (c *Core) reportAttemptEnded(request *openRequest, ended *attempt, outcome scheduler.Outcome) {
+	if c.zoneRouter == nil || ended.unansweredReported && !isResponse(outcome) {
 		return
 	}
 	ran := time.Duration(0)
-	if a.startedAt > 0 {
-		ran = c.now - a.startedAt
+	if ended.startedAt > 0 {
+		ran = c.now - ended.startedAt
 	}
-	if !a.unansweredReported || o == scheduler.Served || o == scheduler.Full || o == scheduler.Errored || o == scheduler.InvalidRequest {
-		c.zoneRouter.AttemptEnded(c.now, a.endpoint, r.ClassName, o, c.now-r.arrivedAt, ran)
+	c.zoneRouter.AttemptEnded(c.now, ended.endpoint, request.ClassName, outcome, c.now-request.arrivedAt, ran)
+}
+
+// isResponse reports whether an outcome is a response of the endpoint.
+func isResponse(outcome scheduler.Outcome) bool {
+	switch outcome {
+	case scheduler.Served, scheduler.Full, scheduler.Errored, scheduler.InvalidRequest:
+		return true
 	}
+	return false
 }
 
-// reportUnanswered looks for calls without any sign.
+// reportUnanswered reports attempts that have been in flight for failover.NoResponseAfter without a start to the zone router.
 func (c *Core) reportUnanswered() {
-	for _, r := range c.requests {
-		for i := range r.attempts {
-			if a := &r.attempts[i]; a.inFlight && !a.unansweredReported && a.startedAt == 0 && c.now-a.sentAt >= failover.NoResponseAfter {
-				a.unansweredReported = true
-				c.zoneRouter.AttemptUnanswered(c.now, a.endpoint)
+	for _, request := range c.requests {
+		for i := range request.attempts {
+			unanswered := &request.attempts[i]
+			if !unanswered.inFlight || unanswered.unansweredReported || unanswered.startedAt != 0 {
+				continue
+			}
+			if c.now-unanswered.sentAt >= failover.NoResponseAfter {
+				unanswered.unansweredReported = true
+				c.zoneRouter.AttemptUnanswered(c.now, unanswered.endpoint)
 			}
 		}
 	}
