--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -17,172 +17,225 @@
 // MaxBodyBytes is the most that a body of the platform's protocol holds.
 const MaxBodyBytes = 64 << 10
 
-// mostCost is the largest guess at a job's work that makes sense, in microseconds: an hour.
-const mostCost = 3600e6
+// maxEstimatedWork is the largest estimate of a request's work that is believed, in microseconds: an hour.
+const maxEstimatedWork = 3600e6
 
-// Job is an inbound request, decoded. It passes through the core unread, to whichever endpoint gets it.
+// maxHeaderValue is the longest header value that is passed on to workers, in bytes.
+const maxHeaderValue = 1024
+
+// requestHeadSize is the space reserved for the head of a request to a worker, in bytes.
+const requestHeadSize = 512
+
+// Job is a request of a client, decoded. It passes through the core unread, to the worker that gets it.
 type Job struct {
-	ID                  string
-	Class               int // its number in the module
-	ClassName           string
+	ID                  string // Req-Id
+	Class               int    // its number at the scheduler
+	ClassName           string // first part of the path
 	Limits              routing.RequestLimits
-	DeduplicationWindow time.Duration // how long repeats of the class are remembered
+	DeduplicationWindow time.Duration // how long workers remember idempotency keys of the class
 	IdempotencyKey      string        // Idempotency-Key
-	Account             string        // Req-Owner: whose job it is
+	Account             string        // Req-Owner
 	Method              string
 	Target              string // path and query, as the client wrote them
 	Body                []byte
-	Slots               float64
-	EstimatedWork       time.Duration // a guess at its work; 0 when not told
-	AffinityKey         uint64        // what the job is about: a number for the cookie's user, 0 without one
-	Deadline            time.Time
-	Events              bool        // endpoints are asked to answer in server-sent events
-	ForwardedHeaders    http.Header // further headers that go on to the endpoint
+	Slots               float64       // slots (width) of Req-Extra; 1 without it
+	EstimatedWork       time.Duration // Req-Cost, microseconds on the wire; 0 for unknown
+	AffinityKey         uint64        // a hash of the cookie user; 0 without one
+	Deadline            time.Time     // Req-Deadline-Ms after the request arrived, at most that of its class
+	Events              bool          // workers are asked to respond with server-sent events
+	ForwardedHeaders    http.Header   // further headers that are passed on to the worker
 }
 
-// RequestError says why an inbound request is no job, as the HTTP status to answer with.
+// RequestError is why a request is not accepted, with the HTTP status of the response. The client sees the reason.
 type RequestError struct {
 	Status int
 	Reason string
 }
 
-func (r *RequestError) Error() string { return r.Reason }
+func (e *RequestError) Error() string { return e.Reason }
 
-func reject(status int, format string, a ...any) error {
-	return &RequestError{status, fmt.Sprintf(format, a...)}
+func reject(status int, format string, values ...any) error {
+	return &RequestError{status, fmt.Sprintf(format, values...)}
 }
 
-// passed are the headers that go on to endpoints beside those that the protocol names.
-var passed = []string{"Req-Kind", "Req-Owner", "Req-Retry", "Req-Extra", "Req-Cost", "Cookie", "Content-Type"}
+// forwardedHeaders are the headers that are passed on to workers beside those that the protocol names.
+var forwardedHeaders = []string{"Req-Kind", "Req-Owner", "Req-Retry", "Req-Extra", "Req-Cost", "Cookie", "Content-Type"}
 
-// ClassOf gives the class that a request names, known or not.
+// ClassOf returns the name of the class that a request is for, known or not.
 func ClassOf(r *http.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return name
 }
 
-// DecodeInbound reads a whole request. Until its body is read to the end net/http does not look for the
-// client's leaving, so nothing may be handed on before.
-func DecodeInbound(r *http.Request, p *Settings, arrived time.Time) (*Job, error) {
+// DecodeInbound reads a whole request. It blocks until the body is read: before that net/http does not notice that the client
+// leaves, so the request must not be submitted earlier. An error is a *RequestError.
+func DecodeInbound(r *http.Request, settings *Settings, arrived time.Time) (*Job, error) {
 	if r.Method != http.MethodPost {
 		return nil, reject(http.StatusMethodNotAllowed, "jobs come by POST")
 	}
 	name := ClassOf(r)
-	class, ok := p.Class(name)
+	class, ok := settings.Class(name)
 	if !ok {
 		return nil, reject(http.StatusNotFound, "no class %q", name)
 	}
-	j := &Job{ID: r.Header.Get("Req-Id"), Class: p.numbers[class], ClassName: name, DeduplicationWindow: p.Classes[class].Window.Duration(),
-		Limits: routing.RequestLimits{MaxAttempts: p.Limits.MaxAttempts, AnswerSlack: p.Rules.AnswerSlack.Duration()}, IdempotencyKey: r.Header.Get("Idempotency-Key"),
-		Account: r.Header.Get("Req-Owner"),
-		Method:  r.Method, Target: r.URL.RequestURI(), Slots: 1, ForwardedHeaders: http.Header{}}
-	if kind := r.Header.Get("Req-Kind"); kind != "" && kind != name {
-		if !p.HasClass(kind) {
-			return nil, reject(http.StatusNotFound, "no class %q", kind)
-		}
-		return nil, reject(http.StatusBadRequest, "Req-Kind %q, path %q", kind, name)
+	if err := checkHeaders(r.Header, settings, class); err != nil {
+		return nil, err
 	}
-	if j.ID == "" {
-		return nil, reject(http.StatusBadRequest, "Req-Id is absent")
+	wait, err := clientWait(r.Header.Get("Req-Deadline-Ms"), settings.ClassDeadline(class))
+	if err != nil {
+		return nil, err
 	}
-	// What goes on must be of one meaning to whoever reads it next: an endpoint closes on what it cannot read,
-	// and that would look like the endpoint's fault.
-	for _, h := range [...]string{"Req-Id", "Idempotency-Key", "Req-Deadline-Ms", "Req-Kind", "Req-Owner", "Req-Extra"} {
-		if v := r.Header.Values(h); len(v) > 1 || len(v) == 1 && !plain(v[0]) {
-			return nil, reject(http.StatusBadRequest, "%s comes twice, is too long or not plain text", h)
-		}
+	slots, err := parseSlots(r.Header.Get("Req-Extra"))
+	if err != nil {
+		return nil, err
 	}
-	if j.IdempotencyKey == "" && p.Classes[class].Effect == "keyed" {
-		return nil, reject(http.StatusBadRequest, "Idempotency-Key is absent")
+	body, err := readBody(r)
+	if err != nil {
+		return nil, err
 	}
-	wait := p.ClassDeadline(class)
-	if text := r.Header.Get("Req-Deadline-Ms"); text != "" {
-		ms, err := strconv.ParseUint(text, 10, 63) // no sign
-		if err != nil {
-			return nil, reject(http.StatusBadRequest, "Req-Deadline-Ms is not a number of milliseconds")
+	return &Job{
+		ID: r.Header.Get("Req-Id"), Class: settings.numbers[class], ClassName: name, Account: r.Header.Get("Req-Owner"),
+		Limits:              routing.RequestLimits{MaxAttempts: settings.Limits.MaxAttempts, AnswerSlack: settings.Rules.AnswerSlack.Duration()},
+		DeduplicationWindow: settings.Classes[class].Window.Duration(), IdempotencyKey: r.Header.Get("Idempotency-Key"),
+		Method: r.Method, Target: r.URL.RequestURI(), Body: body,
+		Slots: slots, EstimatedWork: estimatedWork(r.Header.Get("Req-Cost")), AffinityKey: affinityKey(r),
+		Deadline: arrived.Add(wait), ForwardedHeaders: selectHeaders(r.Header),
+	}, nil
+}
+
+// checkHeaders returns an error where the headers of a request are not those of a request of the class.
+func checkHeaders(header http.Header, settings *Settings, class int) error {
+	name := settings.Classes[class].Name
+	if kind := header.Get("Req-Kind"); kind != "" && kind != name {
+		if !settings.HasClass(kind) {
+			return reject(http.StatusNotFound, "no class %q", kind)
 		}
-		if ms < uint64(wait.Milliseconds()) { // no class waits for longer than its own deadline
-			wait = time.Duration(ms) * time.Millisecond
+		return reject(http.StatusBadRequest, "Req-Kind %q, path %q", kind, name)
+	}
+	if header.Get("Req-Id") == "" {
+		return reject(http.StatusBadRequest, "Req-Id is absent")
+	}
+	// What is passed on must mean the same to whoever reads it next: a worker closes the connection on what it cannot read, and
+	// that would look like a fault of the worker.
+	for _, field := range [...]string{"Req-Id", "Idempotency-Key", "Req-Deadline-Ms", "Req-Kind", "Req-Owner", "Req-Extra"} {
+		if values := header.Values(field); len(values) > 1 || len(values) == 1 && !isPlain(values[0]) {
+			return reject(http.StatusBadRequest, "%s comes twice, is too long or not plain text", field)
 		}
 	}
-	j.Deadline = arrived.Add(wait)
-	if err := j.extras(r.Header.Get("Req-Extra")); err != nil {
-		return nil, err
+	if header.Get("Idempotency-Key") == "" && settings.Classes[class].Effect == effectKeyed {
+		return reject(http.StatusBadRequest, "Idempotency-Key is absent")
+	}
+	return nil
+}
+
+// clientWait returns how long a client waits by Req-Deadline-Ms, at most as long as its class allows; that where it is absent.
+func clientWait(text string, longest time.Duration) (time.Duration, error) {
+	if text == "" {
+		return longest, nil
+	}
+	milliseconds, err := strconv.ParseUint(text, 10, 63) // no sign
+	if err != nil {
+		return 0, reject(http.StatusBadRequest, "Req-Deadline-Ms is not a number of milliseconds")
 	}
-	if us, err := strconv.ParseFloat(r.Header.Get("Req-Cost"), 64); err == nil && us > 0 && us < mostCost {
-		j.EstimatedWork = time.Duration(us * float64(time.Microsecond)) // what makes no sense is no guess
+	if milliseconds < uint64(longest.Milliseconds()) {
+		return time.Duration(milliseconds) * time.Millisecond, nil
+	}
+	return longest, nil
+}
+
+// estimatedWork parses Req-Cost. What makes no sense is no estimate: 0.
+func estimatedWork(text string) time.Duration {
+	microseconds, err := strconv.ParseFloat(text, 64)
+	if err == nil && microseconds > 0 && microseconds < maxEstimatedWork {
+		return time.Duration(microseconds * float64(time.Microsecond))
 	}
+	return 0
+}
+
+// affinityKey returns a hash of the cookie user; 0 without one.
+func affinityKey(r *http.Request) uint64 {
 	if user, err := r.Cookie("user"); err == nil && user.Value != "" {
-		j.AffinityKey = hash(user.Value)
+		return hash(user.Value)
 	}
-	for _, h := range passed {
-		if v := r.Header.Values(h); len(v) > 0 && !slices.ContainsFunc(v, func(s string) bool { return !plain(s) }) {
-			j.ForwardedHeaders[h] = v
+	return 0
+}
+
+// selectHeaders returns the forwardedHeaders of a request. One with a value that is not plain is left out.
+func selectHeaders(header http.Header) http.Header {
+	selected := http.Header{}
+	for _, field := range forwardedHeaders {
+		if values := header.Values(field); len(values) > 0 && !slices.ContainsFunc(values, func(value string) bool { return !isPlain(value) }) {
+			selected[field] = values
 		}
 	}
+	return selected
+}
+
+// readBody reads the body of a request, up to MaxBodyBytes.
+func readBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength > MaxBodyBytes {
 		return nil, reject(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBodyBytes)
 	}
-	var whole bytes.Buffer
-	whole.Grow(int(max(r.ContentLength, 0)) + bytes.MinRead) // grown bit by bit, bodies cost thrice their memory
-	_, err := whole.ReadFrom(http.MaxBytesReader(nil, r.Body, MaxBodyBytes))
+	var body bytes.Buffer
+	body.Grow(int(max(r.ContentLength, 0)) + bytes.MinRead) // a buffer that grows step by step takes three times the memory
+	_, err := body.ReadFrom(http.MaxBytesReader(nil, r.Body, MaxBodyBytes))
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 		return nil, reject(http.StatusRequestEntityTooLarge, "the body is over %d bytes", MaxBodyBytes)
 	} else if err != nil {
 		return nil, reject(http.StatusBadRequest, "the body cannot be read: %v", err)
 	}
-	j.Body = whole.Bytes()
-	return j, nil
+	return body.Bytes(), nil
 }
 
-// plain tells whether a header's value is printable ASCII of a sane length.
-func plain(text string) bool {
-	return len(text) <= 1024 && strings.IndexFunc(text, func(c rune) bool { return c < ' ' || c > '~' }) < 0
+// isPlain reports whether a header value is printable ASCII of at most maxHeaderValue bytes.
+func isPlain(text string) bool {
+	return len(text) <= maxHeaderValue && strings.IndexFunc(text, func(c rune) bool { return c < ' ' || c > '~' }) < 0
 }
 
-// extras reads name=value,name=value. The module asks for the slots only.
-func (j *Job) extras(text string) error {
+// parseSlots parses Req-Extra, a list of name=value, and returns the slots that it names; 1 for none. Other names are ignored.
+func parseSlots(text string) (float64, error) {
+	slots := 1.0
 	for part := range strings.SplitSeq(text, ",") {
 		if strings.TrimSpace(part) == "" {
 			continue
 		}
 		name, value, ok := strings.Cut(part, "=")
-		x, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			return reject(http.StatusBadRequest, "Req-Extra: %q is not name=value", part)
+		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+		if !ok || err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+			return 0, reject(http.StatusBadRequest, "Req-Extra: %q is not name=value", part)
 		}
 		switch strings.TrimSpace(name) {
 		case "slots", "width":
-			if x > 0 {
-				j.Slots = x
+			if number > 0 {
+				slots = number
 			}
 		}
 	}
-	return nil
+	return slots, nil
 }
 
-// Encode writes the request for an endpoint, in one piece: it counts from its last byte, so how much of
-// it went out must be known. It tells the endpoint how long it has.
+// Encode returns the request to a worker, to be written at once: an attempt counts from its last byte, so the caller must know how
+// much of it was written. left is the time that the dispatcher will wait.
 func (j *Job) Encode(host string, left time.Duration) []byte {
-	var b bytes.Buffer
-	b.Grow(512 + len(j.Body))
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nReq-Id: %s\r\n", j.Method, j.Target, host, j.ID)
+	var text bytes.Buffer
+	text.Grow(requestHeadSize + len(j.Body))
+	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\nReq-Id: %s\r\n", j.Method, j.Target, host, j.ID)
 	if j.IdempotencyKey != "" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", j.IdempotencyKey)
+		fmt.Fprintf(&text, "Idempotency-Key: %s\r\n", j.IdempotencyKey)
 	}
 	if j.Events {
-		b.WriteString("Accept: text/event-stream\r\n")
+		text.WriteString("Accept: text/event-stream\r\n")
 	}
-	_ = j.ForwardedHeaders.Write(&b) // a bytes.Buffer takes all
-	fmt.Fprintf(&b, "Req-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n", max(left.Milliseconds(), 1), len(j.Body))
-	b.Write(j.Body)
-	return b.Bytes()
+	_ = j.ForwardedHeaders.Write(&text) // a bytes.Buffer returns no error
+	fmt.Fprintf(&text, "Req-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n", max(left.Milliseconds(), 1), len(j.Body))
+	text.Write(j.Body)
+	return text.Bytes()
 }
 
-// EncodeProbe writes a probe. Its answer carries a load report where the deployment has any.
-func EncodeProbe(host string, p *Settings) []byte {
+// EncodeProbe returns a probe: a request for the load report where workers have reports, else for their health.
+func EncodeProbe(host string, settings *Settings) []byte {
 	path := "/stats"
-	if p.LoadReport.Via == "silent" || p.LoadReport.Via == "" {
+	if settings.LoadReport.Via == reportsNever || settings.LoadReport.Via == "" {
 		path = "/health/live"
 	}
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, host)
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -9,132 +9,156 @@
 	"brassdale/scheduler"
 )
 
-// Micros is a time or a span on the wire.
+// Micros is a time or a duration on the wire, in microseconds.
 type Micros int64
 
-// Duration gives it as a duration.
+// Duration converts it.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Settings are the settings on the wire; unknown keys are skipped.
+// Values of the settings on the wire.
+const (
+	effectSafe  = "safe"  // Effect: scheduler.Idempotent
+	effectKeyed = "keyed" // Effect: scheduler.IdempotentWithKey; any other: scheduler.NonIdempotent
+
+	scopeZone = "zone" // DedupScope: scheduler.ScopeZone
+	scopeCell = "cell" // DedupScope: scheduler.ScopeCell; any other: scheduler.ScopeAll
+
+	listsPushed = "push" // Discovery: lists are pushed to an agent on this machine
+	listsPolled = "ask"  // Discovery: lists are polled only once that was asked for
+
+	reportsPulled = "pull"   // LoadReport.Via: in responses to probes only
+	reportsNever  = "silent" // LoadReport.Via: workers have no reports
+
+	countedByWork = "work" // CountedBy: the weight of a request grows with its work
+)
+
+// Settings are the settings on the wire. The names of its fields are the keys, but for the case of the first letter; their comments
+// say which term of the scheduler they are. Unknown keys are ignored.
 type Settings struct {
-	Classes []struct {
+	Classes []struct { // scheduler.Class
 		Name       string
-		Aim        Micros
-		Credit     float64
+		Aim        Micros  // LatencyObjective
+		Credit     float64 // PriorityWeight
 		Deadline   Micros
-		DedupScope string
-		Effect     string
-		LateWorth  float64
-		Stream     bool
-		Window     Micros
-		AimStretch float64
-	}
-	CountedBy  string
-	Discovery  string
-	Flavors    []string
-	Zones      []string
+		DedupScope string  // DeduplicationScope
+		Effect     string  // Idempotency
+		LateWorth  float64 // LateWeight
+		Stream     bool    // Streamed
+		Window     Micros  // DeduplicationWindow
+		AimStretch float64 // ObjectiveStretch; FamilyInfo.ClassStretch goes before it
+	}
+	CountedBy  string   // WeightByWork
+	Discovery  string   // ListPolled, and polling.Rules.ListsPushed
+	Flavors    []string // machine kinds, by number
+	Zones      []string // by number
 	FamilyInfo struct {
-		ClassKind    []int
-		ClassStretch []float64
-		Progress     Micros
-		TellsStart   bool
+		ClassKind    []int     // MachineKind, by class
+		ClassStretch []float64 // ObjectiveStretch, by class
+		Progress     Micros    // ProgressInterval
+		TellsStart   bool      // ReportsStart
 	}
 	Limits struct {
-		Cancel         bool
-		ConnIdle       Micros
-		ConnectTimeout Micros
+		Cancel         bool   // MayCancel
+		ConnIdle       Micros // idle connections to workers are closed by the worker after it
+		ConnectTimeout Micros // of connections to workers
 		MaxAttempts    int
 		MaxRetryAfter  Micros
-		MayDuplicate   bool
-		Probing        bool
-		RetryAfter     bool
+		MayDuplicate   bool // MayHedge
+		Probing        bool // MayProbe
+		RetryAfter     bool // MayAdviseRetry
 	}
 	LoadReport struct {
-		Columns []string
-		Via     string
+		Columns []string // fields of scheduler.Report, see setColumn
+		Via     string   // ReportsPulled
 	}
-	Locality     int
-	Ordinal      int
-	Prices       struct{ CrossZone float64 }
-	ReplicasOfMe int
+	Locality     int                         // Zone of this dispatcher
+	Ordinal      int                         // DispatcherIndex
+	Prices       struct{ CrossZone float64 } // CrossZoneCost
+	ReplicasOfMe int                         // Dispatchers
 	Rules        struct {
 		AnswerSlack   Micros
-		AskWithin     Micros
-		Cold          Micros
-		DrainGrace    Micros
-		Fall          Micros
-		StartCapacity float64
-		TipMultiple   float64
+		AskWithin     Micros  // MaxPollInterval
+		Cold          Micros  // SlowStartDuration
+		DrainGrace    Micros  // drain grace, from the notification of a drain
+		Fall          Micros  // OverloadWindow
+		StartCapacity float64 // SlowStartCapacity
+		TipMultiple   float64 // OverloadMultiple
 	}
 
-	numbers []int // of the classes, in the module
+	numbers []int // of the classes, at the scheduler
 }
 
-// ListsPushed tells whether lists are pushed: discovery's address is then that of an agent on this machine.
-func (p *Settings) ListsPushed() bool { return p.Discovery == "push" }
+// ListsPushed reports whether lists are pushed: the address of discovery is then that of an agent on this machine.
+func (p *Settings) ListsPushed() bool { return p.Discovery == listsPushed }
 
-// LiveSettings holds the settings in force. They are replaced as a whole: whoever begins something takes them once.
+// LiveSettings holds the settings in force. They are replaced as a whole: whoever begins something calls Current once. Current may be
+// called from any goroutine; Replace only from one at a time.
 type LiveSettings struct {
-	now atomic.Pointer[Settings]
+	current atomic.Pointer[Settings]
 
-	// Owned by whoever calls Put. A class keeps its number in the module for good, so that jobs keep the rules that
-	// they began with; one whose rules change gets a further number, and its old one if they change back.
+	// Owned by the caller of Replace. A class keeps its number at the scheduler for the life of the process, so that requests
+	// keep the rules that they began with. One whose rules change gets a further number, and its old one if they change back.
 	names   []string
 	classes []scheduler.Class
 }
 
-// Current gives the settings in force.
-func (l *LiveSettings) Current() *Settings { return l.now.Load() }
+// Current returns the settings in force, which must not be changed.
+func (l *LiveSettings) Current() *Settings { return l.current.Load() }
 
-// StatisticsByName gives an experience's classes by their names, as far as they are in force.
-func (l *LiveSettings) StatisticsByName(e scheduler.LearnedState) map[string]scheduler.ClassStatistics {
-	p, named := l.Current(), map[string]scheduler.ClassStatistics{}
-	for i, n := range p.numbers {
-		if n < len(e.Classes) {
-			named[p.Classes[i].Name] = e.Classes[n]
+// StatisticsByName returns the statistics of the classes in force by name, as another process can use them.
+func (l *LiveSettings) StatisticsByName(learned scheduler.LearnedState) map[string]scheduler.ClassStatistics {
+	settings, named := l.Current(), map[string]scheduler.ClassStatistics{}
+	for class, number := range settings.numbers {
+		if number < len(learned.Classes) {
+			named[settings.Classes[class].Name] = learned.Classes[number]
 		}
 	}
 	return named
 }
 
-// StatisticsByNumber puts classes that another process named into the numbers of this one.
+// StatisticsByNumber returns statistics that another process named by the class numbers of this one.
 func (l *LiveSettings) StatisticsByNumber(named map[string]scheduler.ClassStatistics) []scheduler.ClassStatistics {
-	p := l.Current()
-	classes := make([]scheduler.ClassStatistics, len(p.numbers))
-	for i, n := range p.numbers {
-		if n < len(classes) {
-			classes[n] = named[p.Classes[i].Name]
+	settings := l.Current()
+	statistics := make([]scheduler.ClassStatistics, len(settings.numbers))
+	for class, number := range settings.numbers {
+		if number < len(statistics) {
+			statistics[number] = named[settings.Classes[class].Name]
 		}
 	}
-	return classes
+	return statistics
 }
 
-// Replace numbers the classes, gives the settings in the module's terms to swap, and puts them in force. The module must
-// know them before the first job of a new class: it is told in between.
-func (l *LiveSettings) Replace(p *Settings, swap func(scheduler.Settings)) {
-	s := p.SchedulerSettings()
-	p.numbers = nil
-	for i, class := range s.Classes {
-		n := 0
-		for n < len(l.names) && (l.names[n] != p.Classes[i].Name || l.classes[n] != class) {
-			n++
-		}
-		if n == len(l.names) {
-			l.names, l.classes = append(l.names, p.Classes[i].Name), append(l.classes, class)
-		}
-		p.numbers = append(p.numbers, n)
+// Replace numbers the classes of new settings, passes the settings for the scheduler to apply, and puts them in force. The scheduler
+// must know a class before the first request of it, so apply is called before.
+func (l *LiveSettings) Replace(settings *Settings, apply func(scheduler.Settings)) {
+	converted := settings.SchedulerSettings()
+	settings.numbers = nil
+	for i, class := range converted.Classes {
+		settings.numbers = append(settings.numbers, l.classNumber(settings.Classes[i].Name, class))
+	}
+	converted.Classes = slices.Clone(l.classes)
+	apply(converted)
+	l.current.Store(settings)
+}
+
+// classNumber returns the number of a class with these rules, a new one where there is none.
+func (l *LiveSettings) classNumber(name string, class scheduler.Class) int {
+	number := 0
+	for number < len(l.names) && (l.names[number] != name || l.classes[number] != class) {
+		number++
+	}
+	if number == len(l.names) {
+		l.names, l.classes = append(l.names, name), append(l.classes, class)
 	}
-	s.Classes = slices.Clone(l.classes)
-	swap(s)
-	l.now.Store(p)
+	return number
 }
 
-// SchedulerSettings gives the settings in the module's terms.
+// SchedulerSettings converts the settings to the terms of the scheduler.
 func (p *Settings) SchedulerSettings() scheduler.Settings {
-	s := scheduler.Settings{
+	converted := scheduler.Settings{
 		DispatcherIndex: p.Ordinal, Dispatchers: p.ReplicasOfMe, Zone: p.Locality,
-		ListPolled:        p.Discovery == "ask",
-		ReportsPulled:     p.LoadReport.Via == "pull",
+		ListPolled:        p.Discovery == listsPolled,
+		ReportsPulled:     p.LoadReport.Via == reportsPulled,
 		ReportsStart:      p.FamilyInfo.TellsStart,
 		ProgressInterval:  p.FamilyInfo.Progress.Duration(),
 		MayProbe:          p.Limits.Probing,
@@ -151,69 +175,76 @@
 		OverloadWindow:    p.Rules.Fall.Duration(),
 
 		CrossZoneCost: p.Prices.CrossZone,
-		WeightByWork:  p.CountedBy == "work",
+		WeightByWork:  p.CountedBy == countedByWork,
 	}
-	if s.ListPolled {
-		s.ListValidity = routing.ListNotificationDeadline + p.Rules.DrainGrace.Duration()
+	if converted.ListPolled {
+		converted.ListValidity = routing.ListNotificationDeadline + p.Rules.DrainGrace.Duration()
 	}
-	for i, c := range p.Classes {
-		class := scheduler.Class{
-			LatencyObjective: c.Aim.Duration(), ObjectiveStretch: c.AimStretch, Deadline: c.Deadline.Duration(),
-			PriorityWeight: c.Credit, LateWeight: c.LateWorth, DeduplicationWindow: c.Window.Duration(), Streamed: c.Stream,
-			Idempotency: scheduler.NonIdempotent, DeduplicationScope: scheduler.ScopeAll, MachineKind: -1,
-		}
-		switch c.Effect {
-		case "safe":
-			class.Idempotency = scheduler.Idempotent
-		case "keyed":
-			class.Idempotency = scheduler.IdempotentWithKey
-		}
-		switch c.DedupScope {
-		case "zone":
-			class.DeduplicationScope = scheduler.ScopeZone
-		case "cell":
-			class.DeduplicationScope = scheduler.ScopeCell
-		}
-		if i < len(p.FamilyInfo.ClassKind) {
-			class.MachineKind = p.FamilyInfo.ClassKind[i]
-		}
-		if i < len(p.FamilyInfo.ClassStretch) {
-			class.ObjectiveStretch = p.FamilyInfo.ClassStretch[i]
-		}
-		s.Classes = append(s.Classes, class)
+	for i := range p.Classes {
+		converted.Classes = append(converted.Classes, p.schedulerClass(i))
+	}
+	return converted
+}
+
+// schedulerClass converts a class to the terms of the scheduler.
+func (p *Settings) schedulerClass(number int) scheduler.Class {
+	wire := &p.Classes[number]
+	class := scheduler.Class{
+		LatencyObjective: wire.Aim.Duration(), ObjectiveStretch: wire.AimStretch, Deadline: wire.Deadline.Duration(),
+		PriorityWeight: wire.Credit, LateWeight: wire.LateWorth, DeduplicationWindow: wire.Window.Duration(), Streamed: wire.Stream,
+		Idempotency: scheduler.NonIdempotent, DeduplicationScope: scheduler.ScopeAll, MachineKind: -1,
+	}
+	switch wire.Effect {
+	case effectSafe:
+		class.Idempotency = scheduler.Idempotent
+	case effectKeyed:
+		class.Idempotency = scheduler.IdempotentWithKey
+	}
+	switch wire.DedupScope {
+	case scopeZone:
+		class.DeduplicationScope = scheduler.ScopeZone
+	case scopeCell:
+		class.DeduplicationScope = scheduler.ScopeCell
+	}
+	if number < len(p.FamilyInfo.ClassKind) {
+		class.MachineKind = p.FamilyInfo.ClassKind[number]
+	}
+	if number < len(p.FamilyInfo.ClassStretch) {
+		class.ObjectiveStretch = p.FamilyInfo.ClassStretch[number]
 	}
-	return s
+	return class
 }
 
-// Report names the values of a load report by the columns of the settings.
+// Report converts a row of a load report, in the order of LoadReport.Columns; nil for no row.
 func (p *Settings) Report(row []float64) *scheduler.Report {
 	if row == nil {
 		return nil
 	}
-	r := noReport()
+	report := emptyReport()
 	for i, name := range p.LoadReport.Columns {
 		if i < len(row) {
-			setColumn(r, name, row[i])
+			setColumn(report, name, row[i])
 		}
 	}
-	return r
+	return report
 }
 
-func noReport() *scheduler.Report {
+// emptyReport returns a report in which each value counts as not reported.
+func emptyReport() *scheduler.Report {
 	return &scheduler.Report{Busy: -1, Requests: -1, FreeSlots: -1, Queue: -1}
 }
 
-// setColumn puts one figure into a report. Settings and simulator use other names than the sockets;
-// names that the module has no use for are skipped.
-func setColumn(r *scheduler.Report, name string, x float64) {
+// setColumn sets one value of a report. The settings and the simulator use other names than the sockets. Names that the scheduler has
+// no use for are ignored.
+func setColumn(report *scheduler.Report, name string, value float64) {
 	switch name {
 	case "cpu_share", "util":
-		r.Busy = x
+		report.Busy = value
 	case "busy_reqs", "inflight":
-		r.Requests = x
+		report.Requests = value
 	case "pending", "queue":
-		r.Queue = x
+		report.Queue = value
 	case "x0":
-		r.FreeSlots = x
+		report.FreeSlots = value
 	}
 }
--- a/internal/protocol/workerresponse.go
+++ b/internal/protocol/workerresponse.go
@@ -166,7 +166,7 @@
 }
 
 func loadOf(fields map[string]any) *scheduler.Report {
-	r, found := noReport(), false
+	r, found := emptyReport(), false
 	for name, v := range fields {
 		if x, ok := v.(float64); ok {
 			setColumn(r, name, x)
