--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -1,5 +1,6 @@
-// Package protocol holds the messages of both fronts, of endpoints and of discovery. Each is decoded
-// into a small typed value once and encoded once; nothing here opens a socket.
+// Package protocol has the messages that the dispatcher exchanges with clients, workers, discovery and the process that replaces it,
+// and the settings and the file of the platform. It is the one place where names of the wire are mapped to the terms of the
+// program: each message is decoded into a typed value, and encoded from one. Nothing here opens a socket.
 package protocol
 
 import (
@@ -17,29 +18,35 @@
 	"time"
 )
 
-// Config is what the platform tells a dispatcher at its start. Unknown keys are skipped.
+// Config is the platform's file. The names of its fields are the keys, but for the case of the first letter. Unknown keys are ignored.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // the door for operators; off where it is empty
-	Seed      string
+	Name      string // of this dispatcher
+	Listen    string // host:port for the requests of clients
+	Discovery string // host:port of the discovery service, or of its agent on this machine
+	Admin     string // host:port of the admin API; empty for none
+	Seed      string // of random numbers, hexadecimal
 	Limits    Limits
-	Known     *List
+	Known     *List // the endpoint list at the start; nil for none
 	Settings  Settings
 
-	raw map[string]any // the file as it is
+	raw map[string]any // the file as it was parsed
 }
 
-// Limits are what the platform gives a dispatcher; 0 stands for no limit told.
+// Limits are the resources that a dispatcher may use; 0 for unknown.
 type Limits struct {
 	Cores    float64
 	MemoryMB int `json:"memory_mb"`
-	Sockets  int
+	Sockets  int // file descriptors
 }
 
-// LoadConfig reads the platform's file. The variables that the platform sets beside it fill what the
-// file leaves out. An error names the field at fault: a dispatcher must not start half configured.
+// minSockets is the least number of file descriptors with which the program works.
+const minSockets = 64
+
+// defaultConnectTimeout is in force where the settings have none: without one no connection would be made.
+const defaultConnectTimeout = 200 * time.Millisecond
+
+// LoadConfig reads and checks the platform's file. What it leaves out is taken from environment variables, by env. An error names the
+// field at fault.
 func LoadConfig(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, fmt.Errorf("GW_CONFIG is not set")
@@ -48,27 +55,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	c := &Config{Name: env("GW_NAME"), Listen: env("GW_LISTEN"), Discovery: env("GW_DISCOVERY"), Admin: env("GW_ADMIN")}
-	if err := json.Unmarshal(text, c); err != nil {
+	config := &Config{Name: env("GW_NAME"), Listen: env("GW_LISTEN"), Discovery: env("GW_DISCOVERY"), Admin: env("GW_ADMIN")}
+	if err := json.Unmarshal(text, config); err != nil {
 		if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) && wrong.Field != "" {
 			return nil, fmt.Errorf("%s: %s: a %s is no %s", path, wireName(wrong.Field), wrong.Value, wrong.Type)
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := json.Unmarshal(text, &c.raw); err != nil {
+	if err := json.Unmarshal(text, &config.raw); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if l := &c.Settings.Limits; l.ConnectTimeout <= 0 {
-		l.ConnectTimeout = Micros(200 * time.Millisecond / time.Microsecond) // without one nothing would connect
+	if limits := &config.Settings.Limits; limits.ConnectTimeout <= 0 {
+		limits.ConnectTimeout = Micros(defaultConnectTimeout / time.Microsecond)
 	}
-	return c, c.check(path)
+	return config, config.check(path)
 }
 
+// check returns an error that names the first field with a value that cannot be used.
 func (c *Config) check(path string) error {
 	bad := badField(path)
-	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if err := CheckAddr(a.addr); err != nil {
-			return bad(a.field, err.Error())
+	for _, required := range []struct{ field, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
+		if err := CheckAddr(required.address); err != nil {
+			return bad(required.field, err.Error())
 		}
 	}
 	if c.Admin != "" {
@@ -79,13 +87,26 @@
 	switch {
 	case c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0:
 		return bad("limits", "negative")
-	case c.Limits.Sockets > 0 && c.Limits.Sockets < 64:
+	case c.Limits.Sockets > 0 && c.Limits.Sockets < minSockets:
 		return bad("limits.sockets", "fewer than 64")
 	case c.Settings.Limits.MaxAttempts < 0 || c.Settings.Limits.MaxAttempts == 0 && has(c.raw, "settings", "limits", "maxAttempts"):
 		return bad("settings.limits.maxAttempts", "must be above 0")
 	case len(c.Settings.Classes) == 0:
 		return bad("settings.classes", "no class of request")
 	}
+	if err := c.checkClasses(bad); err != nil {
+		return err
+	}
+	if c.Known != nil {
+		if err := c.Known.Check(); err != nil {
+			return bad("known", err.Error())
+		}
+	}
+	return nil
+}
+
+// checkClasses checks the classes of the settings.
+func (c *Config) checkClasses(bad func(field, reason string) error) error {
 	names := map[string]bool{}
 	for i, class := range c.Settings.Classes {
 		field := fmt.Sprintf("settings.classes[%d]", i)
@@ -97,39 +118,34 @@
 		}
 		names[class.Name] = true
 	}
-	if c.Known != nil {
-		if err := c.Known.Check(); err != nil {
-			return bad("known", err.Error())
-		}
-	}
 	return nil
 }
 
-// has tells whether there is such a key.
-func has(o map[string]any, path ...string) bool {
-	v, ok := o[path[0]]
+// has reports whether an object has the key at the end of a path.
+func has(object map[string]any, path ...string) bool {
+	value, ok := object[path[0]]
 	if len(path) == 1 || !ok {
 		return ok
 	}
-	inner, ok := v.(map[string]any)
+	inner, ok := value.(map[string]any)
 	return ok && has(inner, path[1:]...)
 }
 
-// Follows tells whether this file may take the place of another while the program runs. It must be whole: what the
-// other says and this one does not was lost on the way, and no default may stand in for it.
+// Follows returns an error if this file may not replace another while the program runs: it must have all keys that the other has.
+// One that is absent was lost, and no default may replace it.
 func (c *Config) Follows(old *Config) error {
-	was, is := maps.Clone(old.raw), c.raw
-	delete(was, "known") // counts at a start only
-	if err := missing("", was, is); err != nil {
+	before, after := maps.Clone(old.raw), c.raw
+	delete(before, "known") // used at a start only
+	if err := checkKeys("", before, after); err != nil {
 		return err
 	}
-	first, _ := was["settings"].(map[string]any)
-	next, _ := is["settings"].(map[string]any)
-	keys := classKeys(first["classes"])
-	for i, class := range classesOf(next["classes"]) {
+	settingsBefore, _ := before["settings"].(map[string]any)
+	settingsAfter, _ := after["settings"].(map[string]any)
+	keys := classKeys(settingsBefore["classes"])
+	for i, class := range classObjects(settingsAfter["classes"]) {
 		for _, key := range keys {
 			_, ok := class[key]
-			if forKeyed := key == "window" || key == "dedupScope"; !ok && (!forKeyed || class["effect"] == "keyed") {
+			if keyedOnly := key == "window" || key == "dedupScope"; !ok && (!keyedOnly || class["effect"] == effectKeyed) {
 				return fmt.Errorf("settings.classes[%d].%s: absent", i, key)
 			}
 		}
@@ -137,38 +153,41 @@
 	return nil
 }
 
-// missing names a key that one object has and another lacks.
-func missing(path string, was, is map[string]any) error {
-	for _, key := range slices.Sorted(maps.Keys(was)) {
-		v, ok := is[key]
-		if !ok || v == nil && was[key] != nil {
+// checkKeys returns an error that names a key which before has and after lacks.
+func checkKeys(path string, before, after map[string]any) error {
+	for _, key := range slices.Sorted(maps.Keys(before)) {
+		value, ok := after[key]
+		if !ok || value == nil && before[key] != nil {
 			return fmt.Errorf("%s%s: absent", path, key)
 		}
-		if inner, ok := was[key].(map[string]any); ok {
-			now, ok := v.(map[string]any)
-			if !ok {
-				return fmt.Errorf("%s%s: no object", path, key)
-			}
-			if err := missing(path+key+".", inner, now); err != nil {
-				return err
-			}
+		innerBefore, ok := before[key].(map[string]any)
+		if !ok {
+			continue
+		}
+		innerAfter, ok := value.(map[string]any)
+		if !ok {
+			return fmt.Errorf("%s%s: no object", path, key)
+		}
+		if err := checkKeys(path+key+".", innerBefore, innerAfter); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-func classesOf(v any) (classes []map[string]any) {
-	list, _ := v.([]any)
-	for _, c := range list {
-		o, _ := c.(map[string]any)
-		classes = append(classes, o)
+// classObjects returns the objects of an array; nil for an element that is none.
+func classObjects(array any) (objects []map[string]any) {
+	elements, _ := array.([]any)
+	for _, element := range elements {
+		object, _ := element.(map[string]any)
+		objects = append(objects, object)
 	}
-	return classes
+	return objects
 }
 
-// classKeys gives the keys that all classes have.
-func classKeys(v any) (keys []string) {
-	for i, class := range classesOf(v) {
+// classKeys returns the keys that all classes of an array have.
+func classKeys(array any) (keys []string) {
+	for i, class := range classObjects(array) {
 		if i == 0 {
 			keys = slices.Sorted(maps.Keys(class))
 		}
@@ -177,76 +196,47 @@
 	return keys
 }
 
-// badField words what is wrong with a field of a file.
-func badField(path string) func(field, why string) error {
-	return func(field, why string) error { return fmt.Errorf("%s: %s: %s", path, field, why) }
+// badField returns a function that makes the error for a field of a file.
+func badField(path string) func(field, reason string) error {
+	return func(field, reason string) error { return fmt.Errorf("%s: %s: %s", path, field, reason) }
 }
 
-// wireName turns a path of Go's field names into the file's own.
+// wireName converts a path of Go field names to the keys of the file.
 func wireName(path string) string {
 	parts := strings.Split(path, ".")
-	for i, p := range parts {
-		parts[i] = strings.ToLower(p[:1]) + p[1:]
+	for i, part := range parts {
+		parts[i] = strings.ToLower(part[:1]) + part[1:]
 	}
 	return strings.Join(parts, ".")
 }
 
-// CheckAddr tells whether an address is host:port with a usable port.
-func CheckAddr(addr string) error {
-	host, port, err := net.SplitHostPort(addr)
+// CheckAddr returns an error if an address is not host:port with a port that can be used.
+func CheckAddr(address string) error {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil {
-		return fmt.Errorf("%q is not host:port", addr)
+		return fmt.Errorf("%q is not host:port", address)
 	}
-	n, err := strconv.ParseUint(port, 10, 16)
-	if err != nil || host == "" && n == 0 {
-		return fmt.Errorf("%q is not host:port", addr)
+	number, err := strconv.ParseUint(port, 10, 16)
+	if err != nil || host == "" && number == 0 {
+		return fmt.Errorf("%q is not host:port", address)
 	}
-	if _, err := url.Parse("http://" + addr); err != nil { // such as a space: nothing could ever be asked there
-		return fmt.Errorf("%q is not host:port", addr)
+	if _, err := url.Parse("http://" + address); err != nil { // such as a space: no request could be made to it
+		return fmt.Errorf("%q is not host:port", address)
 	}
 	return nil
 }
 
-// SeedNumber gives the seed as a number; one that is not hexadecimal is hashed.
+// SeedNumber returns the seed as a number; one that is not hexadecimal is hashed.
 func (c *Config) SeedNumber() uint64 {
-	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
-		return n
+	if number, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
+		return number
 	}
 	return hash(c.Seed)
 }
 
-// hash makes a number of a text that has none of its own.
+// hash returns the 64-bit FNV-1a hash of a text.
 func hash(text string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(text))
-	return h.Sum64()
-}
-
-// Class gives the number of a class of request by its name.
-func (p *Settings) Class(name string) (int, bool) {
-	for i := range p.Classes {
-		if p.Classes[i].Name == name {
-			return i, true
-		}
-	}
-	return 0, false
-}
-
-// HasClass tells whether there is such a class.
-func (p *Settings) HasClass(name string) bool {
-	_, ok := p.Class(name)
-	return ok
-}
-
-// LongestDeadline is the longest that a client of any class waits.
-func (p *Settings) LongestDeadline() (longest time.Duration) {
-	for i := range p.Classes {
-		longest = max(longest, p.ClassDeadline(i))
-	}
-	return longest
-}
-
-// ClassDeadline is how long a client of the class waits at most.
-func (p *Settings) ClassDeadline(class int) time.Duration {
-	return p.Classes[class].Deadline.Duration()
+	sum := fnv.New64a()
+	sum.Write([]byte(text))
+	return sum.Sum64()
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -10,44 +10,45 @@
 	"brassdale/scheduler"
 )
 
-// List is what discovery answers: the whole destination set, or what changed in it.
+// List is a response of discovery: the endpoint list, or a change of it.
 type List struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"`
+	Complete bool     `json:"complete"` // it is the full list
 	Members  []Member `json:"members"`
 }
 
-// Member is a line of a list.
+// Member is an endpoint in a list of discovery.
 type Member struct {
 	ID        string  `json:"id"`
-	HostPort  string  `json:"host_port"`
-	Locality  string  `json:"locality"`
-	Flavor    string  `json:"flavor"`
+	HostPort  string  `json:"host_port"` // routing.Endpoint.Address
+	Locality  string  `json:"locality"`  // Zone, by name
+	Flavor    string  `json:"flavor"`    // MachineKind, by name
 	Cell      int     `json:"cell"`
-	Phase     string  `json:"phase"`
-	Size      float64 `json:"size"`
-	UpSinceMS int64   `json:"up_since_ms"`
+	Phase     string  `json:"phase"`       // State
+	Size      float64 `json:"size"`        // Weight
+	UpSinceMS int64   `json:"up_since_ms"` // StartedAt, Unix time in milliseconds; 0 for long ago
 }
 
-// Left is the phase of a member that is gone.
+// Left is the phase of an endpoint that is gone.
 const Left = "left"
 
+// phases are the states of endpoints by their names on the wire.
 var phases = map[string]scheduler.WorkerState{"active": scheduler.Ready, "leaving": scheduler.Draining, Left: scheduler.Gone}
 
-// ParseList decodes an answer of discovery.
+// ParseList decodes and checks a response of discovery. An error names the member at fault: a list is rejected as a whole.
 func ParseList(text []byte) (*List, error) {
-	l := &List{}
-	if err := json.Unmarshal(text, l); err != nil {
+	list := &List{}
+	if err := json.Unmarshal(text, list); err != nil {
 		return nil, err
 	}
-	if err := l.Check(); err != nil {
+	if err := list.Check(); err != nil {
 		return nil, err
 	}
-	return l, l.checkOnce()
+	return list, list.checkUnique()
 }
 
-// checkOnce refuses a whole list with two lines of one member; among changes the later line holds.
-func (l *List) checkOnce() error {
+// checkUnique returns an error if a full list has an endpoint twice. In a change the later entry counts.
+func (l *List) checkUnique() error {
 	first := make(map[string]int, len(l.Members))
 	for i, m := range l.Members {
 		if at, again := first[m.ID]; again && l.Complete {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// Check refuses a list as a whole: of one that is half understood nobody could say what was told.
+// Check returns an error for the first member that cannot be used.
 func (l *List) Check() error {
 	for i, m := range l.Members {
 		if _, ok := phases[m.Phase]; !ok {
@@ -67,27 +68,27 @@
 		if m.ID == "" {
 			return fmt.Errorf("members[%d].id: absent", i)
 		}
-		// One that is gone needs no address; any other without one could never be reached.
-		if err := CheckAddr(m.HostPort); err != nil && m.Phase != "left" {
+		// An endpoint that is gone needs no address.
+		if err := CheckAddr(m.HostPort); err != nil && m.Phase != Left {
 			return fmt.Errorf("members[%d].host_port: %w", i, err)
 		}
 	}
 	return nil
 }
 
-// Destinations gives the list in the core's terms. Zones and kinds are numbered as in the settings;
-// one that they do not name is -1.
+// Destinations converts the list to the terms of the core. Zones and machine kinds are numbered as in the settings; -1 for one that
+// they do not name.
 func (l *List) Destinations(p *Settings) []routing.Endpoint {
-	ds := make([]routing.Endpoint, 0, len(l.Members))
+	endpoints := make([]routing.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
-		d := routing.Endpoint{Address: m.HostPort, WorkerInfo: scheduler.WorkerInfo{
+		endpoint := routing.Endpoint{Address: m.HostPort, WorkerInfo: scheduler.WorkerInfo{
 			ID: scheduler.WorkerID(m.ID), State: phases[m.Phase], Cell: m.Cell, Weight: m.Size,
 			Zone: slices.Index(p.Zones, m.Locality), MachineKind: slices.Index(p.Flavors, m.Flavor),
 		}}
 		if m.UpSinceMS > 0 {
-			d.StartedAt = time.Duration(m.UpSinceMS) * time.Millisecond
+			endpoint.StartedAt = time.Duration(m.UpSinceMS) * time.Millisecond
 		}
-		ds = append(ds, d)
+		endpoints = append(endpoints, endpoint)
 	}
-	return ds
+	return endpoints
 }
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -91,6 +91,35 @@
 // ListsPushed reports whether lists are pushed: the address of discovery is then that of an agent on this machine.
 func (p *Settings) ListsPushed() bool { return p.Discovery == listsPushed }
 
+// Class returns the number of a class in the settings by its name.
+func (p *Settings) Class(name string) (int, bool) {
+	for i := range p.Classes {
+		if p.Classes[i].Name == name {
+			return i, true
+		}
+	}
+	return 0, false
+}
+
+// HasClass reports whether there is a class of this name.
+func (p *Settings) HasClass(name string) bool {
+	_, ok := p.Class(name)
+	return ok
+}
+
+// LongestDeadline returns the longest time that a client of any class waits.
+func (p *Settings) LongestDeadline() (longest time.Duration) {
+	for i := range p.Classes {
+		longest = max(longest, p.ClassDeadline(i))
+	}
+	return longest
+}
+
+// ClassDeadline returns the longest time that a client of a class waits. The class is given by its number in the settings.
+func (p *Settings) ClassDeadline(class int) time.Duration {
+	return p.Classes[class].Deadline.Duration()
+}
+
 // LiveSettings holds the settings in force. They are replaced as a whole: whoever begins something calls Current once. Current may be
 // called from any goroutine; Replace only from one at a time.
 type LiveSettings struct {
