--- a/internal/protocol/handover.go
+++ b/internal/protocol/handover.go
@@ -7,88 +7,88 @@
 	"brassdale/scheduler"
 )
 
-// HandoverMessage is a message between a process and the one that replaces it, a line of JSON. Each uses some fields.
+// HandoverMessage is a message between a process and its successor, one line of JSON. Each message sets some of the fields.
 type HandoverMessage struct {
-	Handover *Handover      `json:"handover,omitempty"` // the predecessor's first word
-	Usage    *HandoverUsage `json:"held,omitempty"`     // the predecessor: all that it still holds, and will hold no more of
+	Handover *Handover      `json:"handover,omitempty"` // of the predecessor, its first message
+	Usage    *HandoverUsage `json:"held,omitempty"`     // of the predecessor: the connections that it still has, and will not have more of
 
-	Serving bool `json:"serving,omitempty"` // the successor takes clients
+	Serving bool `json:"serving,omitempty"` // of the successor: it accepts clients
 
-	// A question has a number; its answer repeats it.
+	// A question has a number, above 0; its answer repeats it.
 	QuestionID uint64 `json:"ask,omitempty"`
 	AnswerTo   uint64 `json:"answer,omitempty"`
 	Yes        bool   `json:"yes,omitempty"`
 
-	ReserveID string `json:"take,omitempty"` // the successor asks for a Req-Id
-	ReleaseID string `json:"free,omitempty"` // and gives it back
+	ReserveID string `json:"take,omitempty"` // of the successor: a Req-Id that it asks to reserve
+	ReleaseID string `json:"free,omitempty"` // of the successor: a Req-Id that it releases
 
-	Last bool `json:"last,omitempty"` // the predecessor asks before its end whether all that it told was taken
+	Last bool `json:"last,omitempty"` // of the predecessor, a question before its end: whether all its messages were received
 
-	Worker   string `json:"worker,omitempty"` // put out by hand, or back
+	Worker   string `json:"worker,omitempty"` // detached by the operator, or reattached
 	Detached bool   `json:"out,omitempty"`
 
-	Key        string         `json:"key,omitempty"`        // the successor asks whether a job is known under it
-	Remembered *RememberedJob `json:"remembered,omitempty"` // the predecessor's jobs that have ended
-	Relay      string         `json:"relay,omitempty"`      // with Serving: where the front for progress takes the other's readers
+	Key        string         `json:"key,omitempty"`        // of the successor, a question: whether a job of this idempotency key is known
+	Remembered *RememberedJob `json:"remembered,omitempty"` // of the predecessor: a job that has ended
+	Relay      string         `json:"relay,omitempty"`      // with Serving: the socket at which the progress frontend accepts readers that the other process relays
 }
 
-// RememberedJob is an ended job of the front for progress.
+// RememberedJob is a job of an idempotency key that has ended.
 type RememberedJob struct {
 	Key      string         `json:"key"`
 	ID       string         `json:"id"`
 	Digest   []byte         `json:"digest"`
 	Events   []Event        `json:"events"`
 	Answer   routing.Answer `json:"answer"`
-	ForgetAt time.Time      `json:"forget"` // for builds that know no other; ForgetIn goes before it
+	ForgetAt time.Time      `json:"forget"` // for builds without ForgetIn, which goes before it
 
-	// ForgetIn is how much longer the job is remembered, from when this was sent: the wall clock may be set meanwhile.
+	// ForgetIn is how much longer the job is remembered, from when this was sent: the wall clock may be adjusted meanwhile.
 	ForgetIn time.Duration `json:"forget_in_ns,omitempty"`
 
 	Started bool `json:"started"`
 }
 
-// HandoverUsage counts connections.
+// HandoverUsage is what a process has in use.
 type HandoverUsage struct {
-	Inbound  []int `json:"inbound"` // by front
-	Outbound int   `json:"outbound"`
-	OpenJobs int   `json:"jobs"` // open ones, where accounts have shares of the room
+	Inbound  []int `json:"inbound"`  // connections, by frontend
+	Outbound int   `json:"outbound"` // connections to workers
+	OpenJobs int   `json:"jobs"`     // open jobs, where accounts have quotas of them
 }
 
-// Handover is what a successor begins with.
+// Handover is the state that a successor begins with.
 type Handover struct {
-	Fronts          []string      `json:"fronts"` // whose listeners come with it, in order
+	Fronts          []string      `json:"fronts"` // frontends whose listeners are passed with it, in this order
 	Discovery       string        `json:"discovery"`
 	Revision        int64         `json:"revision"`
 	Members         []KnownMember `json:"members"`
-	Detached        []string      `json:"out"` // workers that are out by hand
+	Detached        []string      `json:"out"` // workers that are detached by the operator
 	Relay           string        `json:"relay,omitempty"`
-	ListUnconfirmed bool          `json:"unsure,omitempty"` // the list is saved, and nobody told a newer one
+	ListUnconfirmed bool          `json:"unsure,omitempty"` // the list is a cached one that no discovery has confirmed
 
-	LearnedState scheduler.LearnedState               `json:"experience"` // classes are by name, beside it
+	LearnedState scheduler.LearnedState               `json:"experience"` // of workers; that of classes is in Classes, by name
 	Classes      map[string]scheduler.ClassStatistics `json:"classes"`
 }
 
-// KnownMember is a member as the predecessor knows it.
+// KnownMember is an endpoint as the predecessor knows it.
 type KnownMember struct {
 	Member
-	NotifiedAt time.Time `json:"told"` // that it drains; for builds that know no other, ToldAgo goes before it
+	NotifiedAt time.Time `json:"told"` // that it is draining; for builds without NotifiedAgo, which goes before it
 
-	// NotifiedAgo is how long ago it was told, from when this was sent: the wall clock may be set meanwhile.
+	// NotifiedAgo is the time since the notification, from when this was sent: the wall clock may be adjusted meanwhile.
 	NotifiedAgo time.Duration `json:"told_ago_ns,omitempty"`
 
-	// StartedAgo is how long ago it started, as far as the predecessor knew; 0 for long ago.
+	// StartedAgo is the time since it started, as far as the predecessor knew; 0 for long ago.
 	StartedAgo time.Duration `json:"started_ago_ns,omitempty"`
 }
 
-// told gives when the member was told to drain, on this process's clock; zero where it was not.
-func (k KnownMember) told(now time.Time) time.Time {
+// notifiedAt returns when this dispatcher was notified that the endpoint is draining, on the clock of this process; zero for never.
+func (k KnownMember) notifiedAt(now time.Time) time.Time {
 	if k.NotifiedAgo > 0 {
 		return now.Add(-k.NotifiedAgo)
 	}
 	return k.NotifiedAt
 }
 
-// ForgottenAt gives when the job is to be forgotten, on this process's clock.
+// ForgottenAt returns when the job is to be forgotten, on the clock of this process.
 func (r *RememberedJob) ForgottenAt(now time.Time) time.Time {
 	if r.ForgetIn > 0 {
 		return now.Add(r.ForgetIn)
@@ -96,57 +96,64 @@
 	return r.ForgetAt
 }
 
-// KnownMembers gives destinations in the words of discovery, whose numbers of zones and kinds are each process's own.
-func KnownMembers(ds []routing.Endpoint, p *Settings) (known []KnownMember) {
+// KnownMembers converts endpoints for the handover. Zones and machine kinds are named: their numbers are each process's own.
+func KnownMembers(endpoints []routing.Endpoint, settings *Settings) (known []KnownMember) {
 	now := time.Now()
-	for i, m := range Members(ds, p) {
-		k := KnownMember{Member: m, NotifiedAt: ds[i].NotifiedAt, StartedAgo: ds[i].Age}
-		if !k.NotifiedAt.IsZero() {
-			k.NotifiedAgo = max(now.Sub(k.NotifiedAt), time.Nanosecond)
+	for i, member := range Members(endpoints, settings) {
+		entry := KnownMember{Member: member, NotifiedAt: endpoints[i].NotifiedAt, StartedAgo: endpoints[i].Age}
+		if !entry.NotifiedAt.IsZero() {
+			entry.NotifiedAgo = max(now.Sub(entry.NotifiedAt), time.Nanosecond)
 		}
-		known = append(known, k)
+		known = append(known, entry)
 	}
 	return known
 }
 
-// Members gives destinations in the words of discovery.
-func Members(ds []routing.Endpoint, p *Settings) (members []Member) {
-	name := func(names []string, i int) string {
-		if i < 0 || i >= len(names) {
-			return ""
+// Members converts endpoints to members of a list of discovery.
+func Members(endpoints []routing.Endpoint, settings *Settings) (members []Member) {
+	for i := range endpoints {
+		endpoint := &endpoints[i]
+		member := Member{
+			ID: string(endpoint.ID), HostPort: endpoint.Address, Cell: endpoint.Cell, Size: endpoint.Weight,
+			Locality: nameOf(settings.Zones, endpoint.Zone), Flavor: nameOf(settings.Flavors, endpoint.MachineKind),
+			UpSinceMS: endpoint.StartedAt.Milliseconds(),
 		}
-		return names[i]
-	}
-	for _, d := range ds {
-		m := Member{ID: string(d.ID), HostPort: d.Address, Cell: d.Cell, Size: d.Weight,
-			Locality: name(p.Zones, d.Zone), Flavor: name(p.Flavors, d.MachineKind), UpSinceMS: d.StartedAt.Milliseconds()}
 		for phase, state := range phases {
-			if state == d.State {
-				m.Phase = phase
+			if state == endpoint.State {
+				member.Phase = phase
 			}
 		}
-		members = append(members, m)
+		members = append(members, member)
 	}
 	return members
 }
 
-// Update gives the predecessor's list in the core's terms. Its revision counts only where both ask the same discovery.
-func (s *Handover) Update(discovery string, p *Settings) (routing.ListUpdate, error) {
-	l := List{Revision: s.Revision, Complete: true}
-	for _, k := range s.Members {
-		l.Members = append(l.Members, k.Member)
+// nameOf returns the name of a number; empty for a number without one.
+func nameOf(names []string, number int) string {
+	if number < 0 || number >= len(names) {
+		return ""
+	}
+	return names[number]
+}
+
+// Update converts the predecessor's list to the terms of the core. Its revision counts only if both processes poll the same
+// discovery, whose address is given.
+func (h *Handover) Update(discovery string, settings *Settings) (routing.ListUpdate, error) {
+	list := List{Revision: h.Revision, Complete: true}
+	for _, known := range h.Members {
+		list.Members = append(list.Members, known.Member)
 	}
-	if err := l.Check(); err != nil {
+	if err := list.Check(); err != nil {
 		return routing.ListUpdate{}, err
 	}
-	u := routing.ListUpdate{Revision: s.Revision, Complete: true, Endpoints: l.Destinations(p)}
-	if s.Discovery != discovery {
-		u.Revision = routing.FullList
+	update := routing.ListUpdate{Revision: h.Revision, Complete: true, Endpoints: list.Destinations(settings)}
+	if h.Discovery != discovery {
+		update.Revision = routing.FullList
 	}
 	now := time.Now()
-	for i := range u.Endpoints {
-		u.Endpoints[i].NotifiedAt = s.Members[i].told(now)
-		u.Endpoints[i].Age = s.Members[i].StartedAgo
+	for i := range update.Endpoints {
+		update.Endpoints[i].NotifiedAt = h.Members[i].notifiedAt(now)
+		update.Endpoints[i].Age = h.Members[i].StartedAgo
 	}
-	return u, nil
+	return update, nil
 }
--- a/internal/protocol/sse.go
+++ b/internal/protocol/sse.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Event is one server-sent event.
+// Event is one server-sent event. It is stored and sent between processes under its field names.
 type Event struct {
 	ID    string
 	Name  string
@@ -18,42 +18,44 @@
 	Retry time.Duration // 0 for no advice
 }
 
-// Encode writes the event as a block.
+// Encode returns the event as a block of a stream.
 func (e Event) Encode() []byte {
-	var b bytes.Buffer
+	var block bytes.Buffer
 	if e.ID != "" {
-		fmt.Fprintf(&b, "id: %s\n", e.ID)
+		fmt.Fprintf(&block, "id: %s\n", e.ID)
 	}
 	if e.Name != "" {
-		fmt.Fprintf(&b, "event: %s\n", e.Name)
+		fmt.Fprintf(&block, "event: %s\n", e.Name)
 	}
 	if e.Retry > 0 {
-		fmt.Fprintf(&b, "retry: %d\n", e.Retry.Milliseconds())
+		fmt.Fprintf(&block, "retry: %d\n", e.Retry.Milliseconds())
 	}
 	for line := range strings.SplitSeq(strings.ReplaceAll(strings.ReplaceAll(e.Data, "\r\n", "\n"), "\r", "\n"), "\n") {
-		fmt.Fprintf(&b, "data: %s\n", line)
+		fmt.Fprintf(&block, "data: %s\n", line)
 	}
-	b.WriteByte('\n')
-	return b.Bytes()
+	block.WriteByte('\n')
+	return block.Bytes()
 }
 
-// EventReader parses a stream by the standard: lines end in CR, LF or CRLF, comments are skipped, several
-// data lines make one event, and an event that the stream's end cuts short is dropped.
+// EventReader parses a stream of server-sent events by the standard: lines end in CR, LF or CRLF, comments are skipped, several data
+// lines make one event, and an event that the end of the stream cuts short is dropped.
 type EventReader struct {
-	r     *bufio.Reader
-	begun bool
-	skip  bool // the last line ended in CR: an LF that follows belongs to it
-	last  string
+	reader *bufio.Reader
+	begun  bool   // a byte order mark was looked for
+	skipLF bool   // the last line ended in CR: an LF that follows belongs to it
+	lastID string // of events so far; it holds for those without an id
 }
 
-// NewEventReader parses the stream.
-func NewEventReader(r io.Reader) *EventReader { return &EventReader{r: bufio.NewReader(r)} }
+// NewEventReader returns a reader of a stream.
+func NewEventReader(stream io.Reader) *EventReader {
+	return &EventReader{reader: bufio.NewReader(stream)}
+}
 
-// Next gives the next event that has data.
+// Next returns the next event that has data. It blocks until the event is complete.
 func (e *EventReader) Next() (Event, error) {
-	var ev Event
+	var event Event
 	var data []byte
-	some := false
+	hasData := false
 	for size := 0; ; {
 		line, err := e.line()
 		if err != nil {
@@ -63,64 +65,64 @@
 			return Event{}, fmt.Errorf("%w: event too long", errMalformed)
 		}
 		if len(line) == 0 {
-			if some {
-				ev.ID, ev.Data = e.last, string(data)
-				return ev, nil
+			if hasData {
+				event.ID, event.Data = e.lastID, string(data)
+				return event, nil
 			}
-			ev = Event{}
+			event = Event{}
 			continue
 		}
 		field, value, _ := bytes.Cut(line, []byte(":"))
 		value = bytes.TrimPrefix(value, []byte(" "))
-		switch string(field) { // "" is a comment; any other name that is unknown is skipped
+		switch string(field) { // an empty field is a comment; unknown fields are ignored
 		case "data":
-			if some {
+			if hasData {
 				data = append(data, '\n')
 			}
-			data, some = append(data, value...), true
+			data, hasData = append(data, value...), true
 		case "event":
-			ev.Name = string(value)
+			event.Name = string(value)
 		case "id":
 			if !bytes.Contains(value, []byte{0}) {
-				e.last = string(value)
+				e.lastID = string(value)
 			}
 		case "retry":
-			if ms, err := strconv.ParseUint(string(value), 10, 31); err == nil {
-				ev.Retry = time.Duration(ms) * time.Millisecond
+			if milliseconds, err := strconv.ParseUint(string(value), 10, 31); err == nil {
+				event.Retry = time.Duration(milliseconds) * time.Millisecond
 			}
 		}
 	}
 }
 
-// line reads up to the next line end. After a CR it does not wait for an LF, which may never come: the
-// event that the CR ended would be held back.
+// line reads up to the next line end. After a CR it does not wait for an LF, which may never be received: the event that the CR
+// completed would be delayed.
 func (e *EventReader) line() ([]byte, error) {
 	if !e.begun {
 		e.begun = true
-		if bom, err := e.r.Peek(3); err == nil && string(bom) == "\xef\xbb\xbf" {
-			_, _ = e.r.Discard(3)
+		if mark, err := e.reader.Peek(3); err == nil && string(mark) == "\xef\xbb\xbf" {
+			_, _ = e.reader.Discard(3) // they were peeked at
 		}
 	}
 	var line []byte
 	for {
-		c, err := e.r.ReadByte()
+		char, err := e.reader.ReadByte()
 		if err != nil {
 			return nil, err
 		}
-		if e.skip {
-			e.skip = false
-			if c == '\n' {
+		if e.skipLF {
+			e.skipLF = false
+			if char == '\n' {
 				continue
 			}
 		}
-		switch c {
+		switch char {
 		case '\r':
-			e.skip = true
+			e.skipLF = true
 			return line, nil
 		case '\n':
 			return line, nil
 		}
-		if line = append(line, c); len(line) > maxLine {
+		if line = append(line, char); len(line) > maxLine {
 			return nil, fmt.Errorf("%w: line too long", errMalformed)
 		}
 	}
--- a/internal/protocol/workerresponse.go
+++ b/internal/protocol/workerresponse.go
@@ -17,61 +17,59 @@
 	"brassdale/scheduler"
 )
 
-// State is what one message of an endpoint says of a job.
+// State is what one message of a worker says of a job.
 type State uint8
 
-// The states: the job has started, it is under way, this is the last message.
 const (
+	// Started is the state of a job that has started: "started" on the wire.
 	Started State = iota
+	// Running is the state of a job of which a share is done: "running", in events also "progress".
 	Running
+	// Ended is the state of a job in the last message of a response.
 	Ended
 )
 
-// WorkerEvent is one message of an endpoint about a job.
+// WorkerEvent is one message of a worker about a job.
 type WorkerEvent struct {
 	State  State
-	Share  float64               // Running: the share that is done
-	Result routing.AttemptResult // Ended
+	Share  float64               // the share that is done, 0 to 1, where Running
+	Result routing.AttemptResult // where Ended
 }
 
-// maxLine bounds one message: a result, escaped at the worst, and its frame.
+// maxLine is the longest message of a worker, in bytes: a result in which each byte is escaped, and its frame.
 const maxLine = 6*MaxBodyBytes + 4096
 
-// errMalformed is a message that is not of the protocol. What the endpoint did is unknown then.
+// lineBufferSize is the size that the buffer for messages starts with, in bytes.
+const lineBufferSize = 1024
+
+// errMalformed is the error of a message that is not of the protocol. What the worker did is unknown then.
 var errMalformed = errors.New("malformed message")
 
-// WorkerResponse reads an endpoint's answer to a job.
+// WorkerResponse reads the response of a worker to a job. It is not safe for concurrent use.
 type WorkerResponse struct {
-	id    string
-	next  func() (text []byte, state string, err error)
-	early *WorkerEvent // an answer that ends the call by its status
+	id    string                                        // of the job
+	next  func() (text []byte, state string, err error) // returns the next message, and its state where the frame names one
+	early *WorkerEvent                                  // where the status of the response ends the attempt
 }
 
-// NewWorkerResponse reads an answer's head. Chunks of JSON lines and server-sent events bring the same news.
+// NewWorkerResponse returns a reader for a response whose head was read. Its body is lines of JSON or server-sent events.
 func NewWorkerResponse(id string, resp *http.Response) *WorkerResponse {
-	a := &WorkerResponse{id: id}
+	response := &WorkerResponse{id: id}
 	if resp.StatusCode != http.StatusOK {
-		end := routing.AttemptResult{Outcome: scheduler.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
-		declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
-		if declined && resp.Header.Get("Srv-Declined") == "1" {
-			end.Outcome = scheduler.Full
-		} else if resp.StatusCode >= 400 && resp.StatusCode < 500 {
-			end.Outcome = scheduler.InvalidRequest
-		}
-		a.early = &WorkerEvent{State: Ended, Result: end}
-		return a
+		response.early = &WorkerEvent{State: Ended, Result: resultOfStatus(resp)}
+		return response
 	}
 	if kind, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type")); kind == "text/event-stream" {
 		events := NewEventReader(resp.Body)
-		a.next = func() ([]byte, string, error) {
-			ev, err := events.Next()
-			return []byte(ev.Data), ev.Name, err
+		response.next = func() ([]byte, string, error) {
+			event, err := events.Next()
+			return []byte(event.Data), event.Name, err
 		}
-		return a
+		return response
 	}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, 1024), maxLine)
-	a.next = func() ([]byte, string, error) {
+	lines.Buffer(make([]byte, 0, lineBufferSize), maxLine)
+	response.next = func() ([]byte, string, error) {
 		if lines.Scan() {
 			return lines.Bytes(), "", nil
 		}
@@ -80,113 +78,138 @@
 		}
 		return nil, "", io.EOF
 	}
-	return a
+	return response
+}
+
+// resultOfStatus returns the result of an attempt that ended with a status other than 200. Only with Srv-Declined does a 503 or 504
+// promise that the job never ran.
+func resultOfStatus(resp *http.Response) routing.AttemptResult {
+	result := routing.AttemptResult{Outcome: scheduler.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
+	declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
+	if declined && resp.Header.Get("Srv-Declined") == "1" {
+		result.Outcome = scheduler.Full
+	} else if resp.StatusCode >= 400 && resp.StatusCode < 500 {
+		result.Outcome = scheduler.InvalidRequest
+	}
+	return result
 }
 
-// Next gives the next news. An error means that the answer ended, broke or made no sense before its last
-// message: the call's outcome is a reset then, or a time-out if nothing came until its deadline.
-func (a *WorkerResponse) Next() (WorkerEvent, error) {
-	if a.early != nil {
-		return *a.early, nil
+// Next returns the next message; it blocks until that is received. An error means that the response ended, broke or is malformed
+// before its last message: the attempt ends as Reset then, or as TimedOut where its deadline has passed.
+func (r *WorkerResponse) Next() (WorkerEvent, error) {
+	if r.early != nil {
+		return *r.early, nil
 	}
 	for {
-		text, state, err := a.next()
+		text, state, err := r.next()
 		if err != nil {
 			return WorkerEvent{}, err
 		}
 		if text = bytes.TrimSpace(text); len(text) == 0 {
 			continue
 		}
-		return a.decode(text, state)
+		return r.decode(text, state)
 	}
 }
 
-func (a *WorkerResponse) decode(text []byte, state string) (WorkerEvent, error) {
-	var m struct {
-		ID     string
-		State  string
-		Share  float64
-		Result json.RawMessage
-		Load   map[string]any
-	}
-	if err := json.Unmarshal(text, &m); err != nil {
-		return WorkerEvent{}, fmt.Errorf("%w: %v", errMalformed, err)
-	}
-	if m.ID != a.id && (m.ID != "" || state == "") {
-		return WorkerEvent{}, fmt.Errorf("%w: of job %q", errMalformed, m.ID)
+// workerMessage is a message of a worker on the wire.
+type workerMessage struct {
+	ID     string
+	State  string
+	Share  float64
+	Result json.RawMessage
+	Load   map[string]any // load report
+}
+
+// decode decodes a message. state is that of its frame, empty for none.
+func (r *WorkerResponse) decode(text []byte, state string) (WorkerEvent, error) {
+	var message workerMessage
+	if err := json.Unmarshal(text, &message); err != nil {
+		return WorkerEvent{}, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	if m.State == "" {
-		m.State = state
+	if message.ID != r.id && (message.ID != "" || state == "") {
+		return WorkerEvent{}, fmt.Errorf("%w: of job %q", errMalformed, message.ID)
 	}
-	ended := func(o scheduler.Outcome) (WorkerEvent, error) {
-		return WorkerEvent{State: Ended, Result: routing.AttemptResult{Outcome: o, Report: loadOf(m.Load)}}, nil
+	if message.State == "" {
+		message.State = state
 	}
-	switch m.State {
+	switch message.State {
 	case "started":
 		return WorkerEvent{State: Started}, nil
 	case "running", "progress":
-		return WorkerEvent{State: Running, Share: min(max(m.Share, 0), 1)}, nil
+		return WorkerEvent{State: Running, Share: min(max(message.Share, 0), 1)}, nil
 	case "done":
-		if len(m.Result) == 0 { // only a worker's result makes an answer
-			return WorkerEvent{}, fmt.Errorf("%w: done without a result", errMalformed)
-		}
-		n, err := ended(scheduler.Served)
-		n.Result.Result = m.Result
-		var plain string
-		if json.Unmarshal(m.Result, &plain) == nil {
-			n.Result.Result = []byte(plain)
-		}
-		return n, err
+		return message.served()
 	case "failed":
-		return ended(scheduler.Errored)
+		return message.ended(scheduler.Errored), nil
 	case "returned":
-		return ended(scheduler.Full)
+		return message.ended(scheduler.Full), nil
 	case "lost":
-		return ended(scheduler.Reset)
+		return message.ended(scheduler.Reset), nil
 	}
-	return WorkerEvent{}, fmt.Errorf("%w: state %q", errMalformed, m.State)
+	return WorkerEvent{}, fmt.Errorf("%w: state %q", errMalformed, message.State)
+}
+
+// ended returns the event of a last message.
+func (m *workerMessage) ended(outcome scheduler.Outcome) WorkerEvent {
+	return WorkerEvent{State: Ended, Result: routing.AttemptResult{Outcome: outcome, Report: loadReport(m.Load)}}
+}
+
+// served returns the event of a job that was done. Without a result it is malformed: only a result of a worker is an answer.
+func (m *workerMessage) served() (WorkerEvent, error) {
+	if len(m.Result) == 0 {
+		return WorkerEvent{}, fmt.Errorf("%w: done without a result", errMalformed)
+	}
+	event := m.ended(scheduler.Served)
+	event.Result.Result = m.Result
+	var plain string
+	if json.Unmarshal(m.Result, &plain) == nil {
+		event.Result.Result = []byte(plain)
+	}
+	return event, nil
 }
 
-// ParseProbe reads an endpoint's answer to a probe: a report in the body or in the header, if any.
+// ParseProbe returns the outcome of a probe and its load report, from the header or the body; nil for none.
 func ParseProbe(resp *http.Response, body []byte) (scheduler.Outcome, *scheduler.Report) {
 	if resp.StatusCode != http.StatusOK {
 		return scheduler.Errored, nil
 	}
-	if r := parseLoad(resp.Header.Get("Srv-Load")); r != nil {
-		return scheduler.Served, r
+	if report := parseLoad(resp.Header.Get("Srv-Load")); report != nil {
+		return scheduler.Served, report
 	}
 	var fields map[string]any
 	if json.Unmarshal(body, &fields) == nil {
 		if inner, ok := fields["load"].(map[string]any); ok {
 			fields = inner
 		}
-		return scheduler.Served, loadOf(fields)
+		return scheduler.Served, loadReport(fields)
 	}
 	return scheduler.Served, parseLoad(string(body))
 }
 
-func loadOf(fields map[string]any) *scheduler.Report {
-	r, found := emptyReport(), false
-	for name, v := range fields {
-		if x, ok := v.(float64); ok {
-			setColumn(r, name, x)
+// loadReport converts a load report; nil for one without numbers.
+func loadReport(fields map[string]any) *scheduler.Report {
+	report, found := emptyReport(), false
+	for name, field := range fields {
+		if value, ok := field.(float64); ok {
+			setColumn(report, name, value)
 			found = true
 		}
 	}
 	if !found {
 		return nil
 	}
-	return r
+	return report
 }
 
-// parseLoad reads name=value,name=value; what is no such pair is skipped.
+// parseLoad parses a load report of the form name=value,name=value. What is no such pair is ignored.
 func parseLoad(text string) *scheduler.Report {
 	fields := map[string]any{}
 	for _, part := range strings.FieldsFunc(text, func(c rune) bool { return c == ',' || c == '\n' || c == ' ' }) {
 		name, value, _ := strings.Cut(part, "=")
-		if x, err := strconv.ParseFloat(value, 64); err == nil && !math.IsNaN(x) && !math.IsInf(x, 0) {
-			fields[name] = x
+		if number, err := strconv.ParseFloat(value, 64); err == nil && !math.IsNaN(number) && !math.IsInf(number, 0) {
+			fields[name] = number
 		}
 	}
-	return loadOf(fields)
+	return loadReport(fields)
 }
