--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -114,7 +114,7 @@
 
 // repeatHarmless reports whether a job of the class may run twice at any two workers without further effect.
 func (c *Class) repeatHarmless() bool {
-	return c.Effect == scheduler.Idempotent || c.Effect == scheduler.IdempotentWithKey && c.Scope == scheduler.ScopeAll
+	return c.Idempotency == scheduler.Idempotent || c.Idempotency == scheduler.IdempotentWithKey && c.DeduplicationScope == scheduler.ScopeAll
 }
 
 // clientGaveUp checks, once the client's deadline and the slack have passed, that the request was answered.
@@ -132,18 +132,18 @@
 		a.addBreach(RuleRepeat, now, request, worker, "attempt number %d", len(audited.attempts)+1)
 	}
 	class := a.classOf(audited)
-	keyed := class.Effect == scheduler.IdempotentWithKey
+	keyed := class.Idempotency == scheduler.IdempotentWithKey
 	for _, earlier := range audited.attempts {
-		outsideScope := class.Scope == scheduler.ScopeCell && earlier.cell != cell || class.Scope == scheduler.ScopeZone && earlier.zone != zone
+		outsideScope := class.DeduplicationScope == scheduler.ScopeCell && earlier.cell != cell || class.DeduplicationScope == scheduler.ScopeZone && earlier.zone != zone
 		switch {
 		case earlier.neverExecuted:
-		case earlier.inFlight && !a.scenario.Rules.MayCopy:
+		case earlier.inFlight && !a.scenario.Rules.MayHedge:
 			a.addBreach(RuleRepeat, now, request, worker, "a copy while one is out at %s", earlier.worker)
-		case class.Effect == scheduler.NonIdempotent:
+		case class.Idempotency == scheduler.NonIdempotent:
 			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s", earlier.worker)
 		case keyed && outsideScope:
 			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s of another bay or zone", earlier.worker)
-		case keyed && now >= earlier.sentAt+class.Window:
+		case keyed && now >= earlier.sentAt+class.DeduplicationWindow:
 			a.addBreach(RuleRepeat, now, request, worker, "it may have run at %s, and the window is over", earlier.worker)
 		}
 	}
--- a/internal/emulator/class.go
+++ b/internal/emulator/class.go
@@ -10,18 +10,18 @@
 
 // Class is a class of jobs. A scenario without classes has one, taken from its Traffic.
 type Class struct {
-	Name           string
-	Share          float64 // of the jobs, relative to the other classes
-	Work           float64 // mean, in seconds at a slot of speed 1
-	Spread         float64 // standard deviation of the logarithm of a job's work
-	Aim            time.Duration
-	Stretch        float64 // an answer is in time within Aim + Stretch x the job's work
-	GiveUp         time.Duration
-	PriorityWeight float64 // of a second of work
-	Effect         scheduler.Idempotency
-	Scope          scheduler.DeduplicationScope // the group of workers that drops repeats of a key ...
-	Window         time.Duration                // ... for this long
-	Wide           float64                      // share of the jobs that take two slots
+	Name                string
+	Share               float64 // of the jobs, relative to the other classes
+	Work                float64 // mean, in seconds at a slot of speed 1
+	WorkLogStdDev       float64 // standard deviation of the logarithm of a job's work
+	LatencyObjective    time.Duration
+	ObjectiveStretch    float64 // an answer is in time within LatencyObjective + ObjectiveStretch x the job's work
+	Deadline            time.Duration
+	PriorityWeight      float64 // of a second of work
+	Idempotency         scheduler.Idempotency
+	DeduplicationScope  scheduler.DeduplicationScope // the group of workers that drops repeats of a key ...
+	DeduplicationWindow time.Duration                // ... for this long
+	TwoSlotShare        float64                      // share of the jobs that take two slots
 }
 
 // effectiveClasses returns the configured classes, or the one that the traffic's own settings describe.
@@ -29,8 +29,8 @@
 	if len(t.Classes) > 0 {
 		return t.Classes
 	}
-	return []Class{{Share: 1, Work: t.Work, Spread: t.Spread, Aim: t.Aim, Stretch: t.Stretch, GiveUp: t.GiveUp, PriorityWeight: 1,
-		Effect: t.Effect, Scope: scheduler.ScopeCell, Window: t.Window}}
+	return []Class{{Share: 1, Work: t.Work, WorkLogStdDev: t.WorkLogStdDev, LatencyObjective: t.LatencyObjective, ObjectiveStretch: t.ObjectiveStretch, Deadline: t.Deadline, PriorityWeight: 1,
+		Idempotency: t.Effect, DeduplicationScope: scheduler.ScopeCell, DeduplicationWindow: t.DeduplicationWindow}}
 }
 
 // drawClass draws a job's class, and the work, slots, memory and work estimate that follow from it.
@@ -49,8 +49,8 @@
 			}
 		}
 		class := &traffic.Classes[job.class]
-		job.work = class.Work * math.Exp(class.Spread*random.NormFloat64()-class.Spread*class.Spread/2)
-		if random.Float64() < class.Wide {
+		job.work = class.Work * math.Exp(class.WorkLogStdDev*random.NormFloat64()-class.WorkLogStdDev*class.WorkLogStdDev/2)
+		if random.Float64() < class.TwoSlotShare {
 			job.slots = 2
 		}
 	}
@@ -60,7 +60,7 @@
 	if traffic.Memory > 0 {
 		job.memory = float64(job.slots) * traffic.Memory * math.Exp(memoryLogStdDev*random.NormFloat64()-memoryLogStdDev*memoryLogStdDev/2)
 	}
-	if traffic.Hints {
+	if traffic.WorkEstimates {
 		job.workEstimate = time.Duration(job.work * math.Exp(estimateLogStdDev*random.NormFloat64()) * float64(time.Second))
 	}
 }
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -51,7 +51,7 @@
 	sim.wake = make(chan struct{}, 1)
 	audited := scenario
 	audited.Rules.DrainGrace += socketSlack
-	audited.Traffic.Window += socketSlack
+	audited.Traffic.DeduplicationWindow += socketSlack
 	sim.audit.scenario = &audited
 	ctx, stop := context.WithCancel(ctx)
 	cluster := &Cluster{sim: sim, startedAt: time.Now(), stop: stop, engineDone: make(chan struct{}), requests: map[string]*socketRequest{}}
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -210,7 +210,7 @@
 		return
 	}
 	if request := d.requests[attempt.id]; request != nil && request.inFlight[attempt.index] {
-		if attempt.startHeardAt = d.sim.now; d.recorder != nil {
+		if attempt.startNotifiedAt = d.sim.now; d.recorder != nil {
 			d.recorder.ResponseReceived(d.sim.zoneName(d.sim.workerByAttempt(attempt).zone), d.sim.now)
 		}
 		d.handle(scheduler.AttemptStarted{ID: attempt.id, Attempt: attempt.index, Worker: attempt.worker})
@@ -220,7 +220,7 @@
 // attemptOver implements attemptSource. The dispatcher does not see it during a partition: the request's deadline ends the
 // attempt.
 func (d *dispatcher) attemptOver(attempt *attemptRun, outcome scheduler.Outcome) {
-	if !d.partitionedFrom(d.sim.workerByAttempt(attempt)) { // else nothing of it is heard before the client gives up
+	if !d.partitionedFrom(d.sim.workerByAttempt(attempt)) {
 		d.finishAttempt(attempt.id, attempt.index, outcome)
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -67,7 +67,7 @@
 		for _, b := range result.Breaches {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		if result.Served+result.Late+result.Refused+result.Failed < result.Jobs {
+		if result.Served+result.Late+result.Rejected+result.Failed < result.Jobs {
 			t.Errorf("seed %d: %d jobs, %+v", seed, result.Jobs, result)
 		}
 	}
@@ -75,8 +75,8 @@
 
 // singleWorker is a queue: one dispatcher and one worker, nothing else modelled.
 func singleWorker(seed uint64, slots int, load float64) Scenario {
-	return Scenario{Seed: seed, Span: 1500 * time.Second, Dispatchers: 1, Bays: 1,
-		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, Aim: time.Hour, GiveUp: time.Hour, Effect: scheduler.Idempotent},
+	return Scenario{Seed: seed, Span: 1500 * time.Second, Dispatchers: 1, Cells: 1,
+		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, LatencyObjective: time.Hour, Deadline: time.Hour, Effect: scheduler.Idempotent},
 		Kinds:   []Kind{{"one", 1, slots, 1, 1, false}}, Discovery: time.Millisecond, Rules: Rules{MaxAttempts: 1}}
 }
 
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -29,12 +29,15 @@
 // taskQueue is a heap of tasks; it implements heap.Interface.
 type taskQueue []task
 
+// Len implements heap.Interface.
 func (q taskQueue) Len() int { return len(q) }
 
+// Less implements heap.Interface.
 func (q taskQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
+// Swap implements heap.Interface.
 func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -108,11 +108,11 @@
 	capacity := map[string]float64{}
 	for _, endpoint := range d.endpointsByID {
 		if endpoint.State == scheduler.Ready {
-			age := slowStart.For
+			age := slowStart.Duration
 			if endpoint.StartedAt > 0 {
 				age = sim.now - endpoint.StartedAt
 			}
-			capacity[sim.zoneName(endpoint.Zone)] += failover.Capacity(endpoint.Weight, slowStart.Capacity, age, slowStart.For)
+			capacity[sim.zoneName(endpoint.Zone)] += failover.Capacity(endpoint.Weight, slowStart.Capacity, age, slowStart.Duration)
 		}
 	}
 	d.countUnanswered()
@@ -125,7 +125,7 @@
 func (d *dispatcher) countUnanswered() {
 	for _, request := range d.requests {
 		for i, attempt := range request.attempts {
-			if request.inFlight[i] && !attempt.countedUnanswered && attempt.startHeardAt == 0 && d.sim.now-attempt.sentAt > failover.NoResponseAfter {
+			if request.inFlight[i] && !attempt.countedUnanswered && attempt.startNotifiedAt == 0 && d.sim.now-attempt.sentAt > failover.NoResponseAfter {
 				attempt.countedUnanswered = true
 				d.recorder.CallUnanswered(d.sim.zoneName(d.sim.workerByAttempt(attempt).zone), d.sim.now)
 			}
@@ -197,7 +197,7 @@
 	sim, job := d.sim, attempt.job
 	zone := sim.zoneName(sim.workerByAttempt(attempt).zone)
 	switch {
-	case outcome == scheduler.Cancelled && (attempt.startHeardAt > 0 || sim.now-attempt.sentAt < failover.NoResponseAfter/4):
+	case outcome == scheduler.Cancelled && (attempt.startNotifiedAt > 0 || sim.now-attempt.sentAt < failover.NoResponseAfter/4):
 		return
 	case outcome == scheduler.TimedOut && attempt.countedUnanswered:
 		return
@@ -206,8 +206,8 @@
 		return
 	}
 	slotTime := time.Duration(0)
-	if outcome == scheduler.Served && attempt.startHeardAt > 0 {
-		slotTime = time.Duration(float64(sim.now-attempt.startHeardAt) * float64(job.slots))
+	if outcome == scheduler.Served && attempt.startNotifiedAt > 0 {
+		slotTime = time.Duration(float64(sim.now-attempt.startNotifiedAt) * float64(job.slots))
 	}
 	inTime := outcome == scheduler.Served && sim.withinObjective(job, sim.now-job.firstRequestedAt)
 	d.recorder.CallEnded(zone, sim.classNameOf(job), outcome == scheduler.Full, inTime, slotTime, sim.now)
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -31,11 +31,11 @@
 		}
 		results[mode] = r
 		t.Logf("%-6q before %.3f, in the loss %.3f, behind it %.3f; crossings %.2f, zone's peak %.2f, p99 %v, plans %d, moved %v, back %v, breaches %d", mode,
-			r.Within(5*time.Second, 20*time.Second), r.Within(23*time.Second, 40*time.Second), r.Within(40*time.Second, 70*time.Second), r.Crossings, r.ZonePeak, r.P99, r.PlanChanges, r.Moved, r.Back, len(r.Breaches))
+			r.Within(5*time.Second, 20*time.Second), r.Within(23*time.Second, 40*time.Second), r.Within(40*time.Second, 70*time.Second), r.Crossings, r.ZonePeak, r.P99, r.PlanChanges, r.MovedAfter, r.RestoredAfter, len(r.Breaches))
 	}
 	planned := results["plan"]
-	if len(planned.Breaches) > 0 || planned.ZonePeak > 1.05 || planned.Moved == 0 || planned.Moved > 4*time.Second || planned.Back < 20*time.Second {
-		t.Errorf("%+v %v", planned.Breaches, planned.Moved)
+	if len(planned.Breaches) > 0 || planned.ZonePeak > 1.05 || planned.MovedAfter == 0 || planned.MovedAfter > 4*time.Second || planned.RestoredAfter < 20*time.Second {
+		t.Errorf("%+v %v", planned.Breaches, planned.MovedAfter)
 	}
 	for _, mode := range []string{"near", "spread"} {
 		if planned.Service < results[mode].Service {
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -44,7 +44,7 @@
 		}
 		worker.connections--
 	}
-	if network.Most > 0 && worker.connections >= network.Most {
+	if network.MaxConnections > 0 && worker.connections >= network.MaxConnections {
 		return 0, false
 	}
 	worker.connections++
@@ -78,7 +78,7 @@
 		worker.unreachedAttempts = append(worker.unreachedAttempts, attempt)
 		return
 	}
-	if sim.scenario.Reports.Answers {
+	if sim.scenario.Reports.InAnswers {
 		attempt.report = worker.reportedState()
 	}
 	delay := sim.oneWayDelay(attempt.zone, worker, attempt.source.delayRandom())
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -16,7 +16,7 @@
 // InTime reports whether an answer after the given time meets the latency objective. The answer's result is the job's work.
 func (s *Scenario) InTime(result string, after time.Duration) bool {
 	work, err := strconv.ParseFloat(result, 64)
-	return err == nil && after.Seconds() <= s.Traffic.Aim.Seconds()+s.Traffic.Stretch*work
+	return err == nil && after.Seconds() <= s.Traffic.LatencyObjective.Seconds()+s.Traffic.ObjectiveStretch*work
 }
 
 // Mix returns the scenario's accounts for the load generator.
@@ -30,8 +30,8 @@
 
 // Terms returns the clients' deadline and retries for the load generator.
 func (s *Scenario) Terms() load.Terms {
-	return load.Terms{Class: className, GiveUp: s.Traffic.GiveUp,
-		Retry: load.Retry{Max: 1, Share: s.Traffic.Retries, Wait: minClientRetryDelay, Honour: true}}
+	return load.Terms{Class: className, GiveUp: s.Traffic.Deadline,
+		Retry: load.Retry{Max: 1, Share: s.Traffic.Retries, Wait: minClientRetryDelay, HonourRetryAfter: true}}
 }
 
 // jobKey returns the idempotency key of the scenario's n-th job. Workers draw the job's work from the key, which is all that
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -7,52 +7,52 @@
 
 // Result is the outcome of a run. Shares of work are weighted by the classes' priority.
 type Result struct {
-	Jobs       int
-	Service    float64 // work answered in time, of the work requested
-	Worst      float64 // the same of the account served worst
-	WorstClass float64 // the same of the class served worst
-	Crossings  float64 // attempts between zones, for each job
-	Served     int
-	Late       int
-	Refused    int
-	Failed     int
-	Mean       time.Duration // response time of served jobs, from the client's first request
-	P50        time.Duration
-	P99        time.Duration
-	Sends      float64 // attempts, for each job
-	Probes     float64 // for each job
-	Wasted     float64 // work done without use, of all work done
-	Speed      float64 // mean over served jobs of work by response time
-	Used       float64 // work done, of what the workers could do while jobs arrived
-	Accounts   []AccountResult
-	Breaches   []Breach
-	Notes      []string
+	Jobs         int
+	Service      float64 // work answered in time, of the work requested
+	WorstAccount float64 // the same of the account served worst
+	WorstClass   float64 // the same of the class served worst
+	Crossings    float64 // attempts between zones, for each job
+	Served       int
+	Late         int
+	Rejected     int
+	Failed       int
+	Mean         time.Duration // response time of served jobs, from the client's first request
+	P50          time.Duration
+	P99          time.Duration
+	Sends        float64 // attempts, for each job
+	Probes       float64 // for each job
+	Wasted       float64 // work done without use, of all work done
+	Speed        float64 // mean over served jobs of work by response time
+	Used         float64 // work done, of what the workers could do while jobs arrived
+	Accounts     []AccountResult
+	Breaches     []Breach
+	Notes        []string
 
-	Seconds     []secondStats // by the second in which jobs were requested
-	ZonePeak    float64       // most work received by a zone over some seconds, of what it could do
-	PlanChanges int           // where zones are planned
-	Moved       time.Duration // from a zone's loss until no job was planned into it
-	Back        time.Duration // from the loss's end until the zone had its share again
+	Seconds       []secondStats // by the second in which jobs were requested
+	ZonePeak      float64       // most work received by a zone over some seconds, of what it could do
+	PlanChanges   int           // where zones are planned
+	MovedAfter    time.Duration // from a zone's loss until no job was planned into it
+	RestoredAfter time.Duration // from the loss's end until the zone had its share again
 }
 
 // AccountResult is the outcome of an account's jobs.
 type AccountResult struct {
-	Name    string
-	Jobs    int
-	Service float64
-	Refused int
+	Name     string
+	Jobs     int
+	Service  float64
+	Rejected int
 }
 
 // result returns the run's result as of now.
 func (sim *simulation) result() *Result {
-	result := &Result{Breaches: sim.audit.breaches, Notes: sim.notes, Worst: 1, WorstClass: 1, Seconds: sim.statsBySecond, ZonePeak: sim.peakZoneLoad()}
+	result := &Result{Breaches: sim.audit.breaches, Notes: sim.notes, WorstAccount: 1, WorstClass: 1, Seconds: sim.statsBySecond, ZonePeak: sim.peakZoneLoad()}
 	for _, stats := range sim.statsByClass {
 		if stats.workRequested > 0 {
 			result.WorstClass = min(result.WorstClass, stats.workInTime/stats.workRequested)
 		}
 	}
 	if planning := sim.planning; planning != nil {
-		result.PlanChanges, result.Moved, result.Back = planning.planChanges, planning.movedAfter, planning.restoredAfter
+		result.PlanChanges, result.MovedAfter, result.RestoredAfter = planning.planChanges, planning.movedAfter, planning.restoredAfter
 	}
 	sim.addAccounts(result)
 	if result.Jobs > 0 {
@@ -77,17 +77,17 @@
 		result.Jobs += stats.jobs
 		result.Served += stats.served
 		result.Late += stats.late
-		result.Refused += stats.rejected
+		result.Rejected += stats.rejected
 		result.Failed += stats.failed
 		workRequested += stats.workRequested
 		workInTime += stats.workInTime
-		account := AccountResult{Jobs: stats.jobs, Refused: stats.rejected}
+		account := AccountResult{Jobs: stats.jobs, Rejected: stats.rejected}
 		if i < len(sim.scenario.Traffic.Accounts) {
 			account.Name = sim.scenario.Traffic.Accounts[i].Name
 		}
 		if stats.workRequested > 0 {
 			account.Service = stats.workInTime / stats.workRequested
-			result.Worst = min(result.Worst, account.Service)
+			result.WorstAccount = min(result.WorstAccount, account.Service)
 		}
 		result.Accounts = append(result.Accounts, account)
 	}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -22,7 +22,7 @@
 	Dispatchers int
 	Traffic     Traffic
 	Kinds       []Kind
-	Bays        int // cells, over which workers are spread; each deduplicates by key
+	Cells       int // workers are spread over them; each deduplicates by key
 	Network     Network
 	Discovery   time.Duration // mean delay of an endpoint update
 	Calls       Calls         // limits of polls, on sockets only
@@ -32,30 +32,30 @@
 	Faults      []Fault
 	Rules       Rules
 
-	Queue       float64 // jobs that may wait at a worker, for each slot; 0 for no limit
-	Keeps       bool    // workers run queued jobs that were cancelled
-	LiveWeights bool    // the endpoint list's weights fall with the load
-	Pushed      bool    // endpoint updates are pushed: dispatchers need not poll
-	Failover    Failover
+	Queue          float64 // jobs that may wait at a worker, for each slot; 0 for no limit
+	KeepsCancelled bool    // workers run queued jobs that were cancelled
+	LiveWeights    bool    // the endpoint list's weights fall with the load
+	ListPushed     bool    // endpoint updates are pushed: dispatchers need not poll
+	Failover       Failover
 }
 
 // Traffic is what clients send.
 type Traffic struct {
-	Rate     float64 // jobs a second, over all clients
-	Work     float64 // mean, in seconds at a slot of speed 1
-	Spread   float64 // standard deviation of the logarithm of a job's work; 0 for exponentially distributed work
-	Aim      time.Duration
-	Stretch  float64 // an answer is in time within Aim + Stretch x the job's work
-	GiveUp   time.Duration
-	Effect   scheduler.Idempotency
-	Window   time.Duration // in which a cell deduplicates by key
-	Subjects int           // that jobs are about and workers cache; 0 for none
-	Accounts []Account
-	Users    int     // clients, each with one job handled at a time; 0 for no limit
-	Classes  []Class // in place of Work, Spread, Aim, Stretch, Effect and Window; GiveUp is then the longest
-	Hints    bool    // clients send work estimates
-	Memory   float64 // mean units of memory that a job needs for each slot; 0 for none
-	Retries  float64 // share of rejected jobs whose client retries once
+	Rate                float64 // jobs a second, over all clients
+	Work                float64 // mean, in seconds at a slot of speed 1
+	WorkLogStdDev       float64 // standard deviation of the logarithm of a job's work; 0 for exponentially distributed work
+	LatencyObjective    time.Duration
+	ObjectiveStretch    float64 // an answer is in time within LatencyObjective + ObjectiveStretch x the job's work
+	Deadline            time.Duration
+	Effect              scheduler.Idempotency
+	DeduplicationWindow time.Duration // in which a cell deduplicates by key
+	Subjects            int           // that jobs are about and workers cache; 0 for none
+	Accounts            []Account
+	Users               int     // clients, each with one job handled at a time; 0 for no limit
+	Classes             []Class // in place of the settings of a job's work, objective and idempotency; Deadline is then the longest
+	WorkEstimates       bool    // clients send work estimates
+	Memory              float64 // mean units of memory that a job needs for each slot; 0 for none
+	Retries             float64 // share of rejected jobs whose client retries once
 }
 
 // Account is a customer.
@@ -78,13 +78,13 @@
 type Network struct {
 	Delay time.Duration // mean one-way delay within a zone: half fixed, half exponentially distributed
 
-	Regions    int           // zones are spread over them in order; 0 for one
-	Zones      int           // workers and dispatchers are spread over them; 0 for one
-	Cross      time.Duration // mean one-way delay between zones
-	CrossPrice float64       // of an attempt between zones, in units of merit
-	Handshake  float64       // round trips that a new connection takes; 0 for no model of connections
-	Idle       time.Duration // after which an idle connection is closed
-	Most       int           // connections that a worker accepts; 0 for no limit
+	Regions        int           // zones are spread over them in order; 0 for one
+	Zones          int           // workers and dispatchers are spread over them; 0 for one
+	Cross          time.Duration // mean one-way delay between zones
+	CrossPrice     float64       // of an attempt between zones, in units of merit
+	Handshake      float64       // round trips that a new connection takes; 0 for no model of connections
+	Idle           time.Duration // after which an idle connection is closed
+	MaxConnections int           // connections that a worker accepts; 0 for no limit
 }
 
 // Reports is how workers report their load.
@@ -93,23 +93,23 @@
 	Push  bool          // workers that share push a report at each change
 	Cost  time.Duration // of a slot, for each probe
 
-	Answers bool          // answers to attempts carry reports
-	Delay   time.Duration // age of a report when it is seen
+	InAnswers bool          // answers to attempts carry reports
+	Delay     time.Duration // age of a report when it is seen
 }
 
 // SlowStart is how a worker warms up after its start.
 type SlowStart struct {
-	Capacity float64       // share of its speed at the start
-	For      time.Duration // until it has its full speed
-	Tip      float64       // it goes down when sent more than this multiple of what it can do ...
-	Fall     time.Duration // ... in this window
+	Capacity         float64       // share of its speed at the start
+	Duration         time.Duration // until it has its full speed
+	OverloadMultiple float64       // it goes down when sent more than this multiple of what it can do ...
+	OverloadWindow   time.Duration // ... in this window
 }
 
 // Store is where workers fetch the subjects of jobs.
 type Store struct {
-	Fetch float64       // mean duration in seconds, exponentially distributed; 0 for none
-	Slots int           // fetches at a time, over all workers; 0 for no limit
-	Keep  time.Duration // a worker caches a subject for this long after its last use
+	Fetch    float64       // mean duration in seconds, exponentially distributed; 0 for none
+	Slots    int           // fetches at a time, over all workers; 0 for no limit
+	CacheFor time.Duration // a worker caches a subject for this long after its last use
 }
 
 // FaultKind is a kind of fault.
@@ -150,9 +150,9 @@
 // Rules are limits that dispatchers are configured with and that the auditor checks.
 type Rules struct {
 	MaxAttempts int
-	Slack       time.Duration // an answer this long after the client's deadline still counts
+	AnswerSlack time.Duration // an answer this long after the client's deadline still counts
 	DrainGrace  time.Duration // attempts may still be sent this long after the notification of a drain
-	MayCopy     bool          // hedging is permitted
+	MayHedge    bool          // hedging is permitted
 	MayCancel   bool
 }
 
@@ -162,9 +162,9 @@
 // LlanelliWorks returns the reference scenario: thirteen workers of two kinds and two dispatchers, without faults.
 func LlanelliWorks(seed uint64) Scenario {
 	return Scenario{
-		Seed: seed, Span: time.Minute, Dispatchers: 2, Bays: 3,
-		Traffic: Traffic{Rate: 170, Work: 0.2, Spread: 0.7, Aim: 200 * time.Millisecond, Stretch: 2.5, GiveUp: 5 * time.Second,
-			Effect: scheduler.IdempotentWithKey, Window: 7500 * time.Millisecond, Subjects: 400, Retries: 0.5,
+		Seed: seed, Span: time.Minute, Dispatchers: 2, Cells: 3,
+		Traffic: Traffic{Rate: 170, Work: 0.2, WorkLogStdDev: 0.7, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2.5, Deadline: 5 * time.Second,
+			Effect: scheduler.IdempotentWithKey, DeduplicationWindow: 7500 * time.Millisecond, Subjects: 400, Retries: 0.5,
 			Accounts: []Account{
 				{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18},
 				{"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08},
@@ -173,9 +173,9 @@
 		Network:   Network{Delay: 500 * time.Microsecond, Cross: 15 * time.Millisecond, Idle: 5 * time.Second},
 		Discovery: time.Second,
 		Reports:   Reports{Every: 700 * time.Millisecond, Cost: time.Millisecond},
-		SlowStart: SlowStart{Capacity: 0.14, For: 24 * time.Second, Tip: 3, Fall: 1500 * time.Millisecond},
-		Store:     Store{Fetch: 0.05, Slots: 40, Keep: 30 * time.Second},
-		Rules:     Rules{MaxAttempts: 4, Slack: 8 * time.Millisecond, DrainGrace: 500 * time.Millisecond, MayCopy: true, MayCancel: true},
+		SlowStart: SlowStart{Capacity: 0.14, Duration: 24 * time.Second, OverloadMultiple: 3, OverloadWindow: 1500 * time.Millisecond},
+		Store:     Store{Fetch: 0.05, Slots: 40, CacheFor: 30 * time.Second},
+		Rules:     Rules{MaxAttempts: 4, AnswerSlack: 8 * time.Millisecond, DrainGrace: 500 * time.Millisecond, MayHedge: true, MayCancel: true},
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 	for i := range s.Traffic.Classes {
 		class := &s.Traffic.Classes[i]
-		if class.Share <= 0 || class.Work <= 0 || class.Aim <= 0 || class.GiveUp <= 0 || class.GiveUp > s.Traffic.GiveUp || class.PriorityWeight <= 0 {
+		if class.Share <= 0 || class.Work <= 0 || class.LatencyObjective <= 0 || class.Deadline <= 0 || class.Deadline > s.Traffic.Deadline || class.PriorityWeight <= 0 {
 			return fmt.Errorf("classes[%d]: needs a share, work, an aim, a give-up within the traffic's and a worth", i)
 		}
 	}
@@ -204,9 +204,9 @@
 		return errors.New("no box")
 	case s.Dispatchers < 1:
 		return errors.New("no dispatcher")
-	case s.Span <= 0 || s.Traffic.Rate <= 0 || s.Traffic.Work <= 0 || s.Traffic.GiveUp <= 0:
+	case s.Span <= 0 || s.Traffic.Rate <= 0 || s.Traffic.Work <= 0 || s.Traffic.Deadline <= 0:
 		return errors.New("span, rate, work and give-up must be above 0")
-	case s.Bays < 1:
+	case s.Cells < 1:
 		return errors.New("no bay")
 	case s.Rules.MaxAttempts < 1:
 		return errors.New("no attempt allowed")
@@ -231,6 +231,6 @@
 // needsVirtualTime reports whether the scenario uses what is modelled in virtual time only.
 func (s *Scenario) needsVirtualTime() bool {
 	hasTrafficFault := slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Burst || f.Kind == HeavyTail })
-	return hasTrafficFault || len(s.Traffic.Classes) > 0 || s.Traffic.Hints || s.Traffic.Memory > 0 || s.Network.Handshake > 0 ||
-		s.LiveWeights || s.Queue > 0 || s.Pushed || s.Keeps || s.Reports.Answers
+	return hasTrafficFault || len(s.Traffic.Classes) > 0 || s.Traffic.WorkEstimates || s.Traffic.Memory > 0 || s.Network.Handshake > 0 ||
+		s.LiveWeights || s.Queue > 0 || s.ListPushed || s.KeepsCancelled || s.Reports.InAnswers
 }
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -89,7 +89,7 @@
 	if scenario.LiveWeights {
 		sim.after(weightInterval, sim.publishWeights)
 	}
-	sim.run(clockStart + dispatcherLeadTime + scenario.Span + scenario.Traffic.GiveUp + Settle)
+	sim.run(clockStart + dispatcherLeadTime + scenario.Span + scenario.Traffic.Deadline + Settle)
 	return sim.result(), nil
 }
 
@@ -130,7 +130,7 @@
 		sim:           sim,
 		id:            scheduler.WorkerID(fmt.Sprintf("s-%06x", random.Uint32()>>8)),
 		kind:          kindIndex,
-		cell:          index % sim.scenario.Bays,
+		cell:          index % sim.scenario.Cells,
 		zone:          index % max(sim.scenario.Network.Zones, 1),
 		slots:         kind.Slots,
 		sharing:       kind.Sharing,
@@ -158,7 +158,7 @@
 		index:       index,
 		zone:        index % max(sim.scenario.Network.Zones, 1),
 		idleSince:   map[scheduler.WorkerID][]time.Duration{},
-		subscribed:  sim.scenario.Pushed,
+		subscribed:  sim.scenario.ListPushed,
 		requests:    map[scheduler.RequestID]*openRequest{},
 		knownStarts: map[scheduler.WorkerID]time.Duration{},
 		random:      sim.randomSource(uint64(firstDispatcherSource + index)),
@@ -175,34 +175,34 @@
 	settings := scheduler.Settings{
 		DispatcherIndex:   dispatcher,
 		Dispatchers:       scenario.Dispatchers,
-		ListPolled:        !scenario.Pushed,
-		ReportsPulled:     !scenario.Reports.Answers,
+		ListPolled:        !scenario.ListPushed,
+		ReportsPulled:     !scenario.Reports.InAnswers,
 		ReportsStart:      true,
 		MayProbe:          !scenario.Reports.Push,
 		MayCancel:         rules.MayCancel,
-		MayHedge:          rules.MayCopy,
+		MayHedge:          rules.MayHedge,
 		MayAdviseRetry:    true,
 		MaxAttempts:       rules.MaxAttempts,
 		MaxRetryAfter:     maxRetryAfter,
-		AnswerSlack:       rules.Slack,
+		AnswerSlack:       rules.AnswerSlack,
 		MaxPollInterval:   maxPollInterval,
-		SlowStartDuration: slowStart.For,
+		SlowStartDuration: slowStart.Duration,
 		SlowStartCapacity: slowStart.Capacity,
-		OverloadMultiple:  slowStart.Tip,
-		OverloadWindow:    slowStart.Fall,
+		OverloadMultiple:  slowStart.OverloadMultiple,
+		OverloadWindow:    slowStart.OverloadWindow,
 		WeightByWork:      true,
 		Zone:              dispatcher % max(scenario.Network.Zones, 1),
 		CrossZoneCost:     scenario.Network.CrossPrice,
 	}
 	for _, class := range scenario.Traffic.effectiveClasses() {
 		settings.Classes = append(settings.Classes, scheduler.Class{
-			LatencyObjective:    class.Aim,
-			ObjectiveStretch:    class.Stretch,
-			Deadline:            class.GiveUp,
+			LatencyObjective:    class.LatencyObjective,
+			ObjectiveStretch:    class.ObjectiveStretch,
+			Deadline:            class.Deadline,
 			PriorityWeight:      class.PriorityWeight,
-			Idempotency:         class.Effect,
-			DeduplicationScope:  class.Scope,
-			DeduplicationWindow: class.Window,
+			Idempotency:         class.Idempotency,
+			DeduplicationScope:  class.DeduplicationScope,
+			DeduplicationWindow: class.DeduplicationWindow,
 			MachineKind:         -1,
 		})
 	}
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -50,8 +50,8 @@
 // exponential distribution.
 func (t *Traffic) newJob(means float64, random *rand.Rand) *job {
 	job := &job{work: t.Work * means, slots: 1}
-	if t.Spread > 0 { // log-normal with mean t.Work
-		job.work = t.Work * math.Exp(t.Spread*random.NormFloat64()-t.Spread*t.Spread/2)
+	if t.WorkLogStdDev > 0 { // log-normal with mean t.Work
+		job.work = t.Work * math.Exp(t.WorkLogStdDev*random.NormFloat64()-t.WorkLogStdDev*t.WorkLogStdDev/2)
 	}
 	if t.Subjects > 0 {
 		job.subject = 1 + random.IntN(t.Subjects)
@@ -99,11 +99,11 @@
 // for answers have passed without a final answer.
 func (sim *simulation) submit(job *job) {
 	sim.lastRequestID++
-	giveUp := sim.classOf(job).GiveUp
+	giveUp := sim.classOf(job).Deadline
 	id, expires := sim.lastRequestID, sim.now+giveUp
 	job.requests++
 	dispatcher := sim.dispatchers[sim.clientRandom.IntN(len(sim.dispatchers))]
-	sim.after(giveUp+sim.scenario.Rules.Slack, func() {
+	sim.after(giveUp+sim.scenario.Rules.AnswerSlack, func() {
 		if request := dispatcher.requests[id]; request != nil && !request.answered {
 			sim.audit.clientGaveUp(sim.now, uint64(id))
 			request.answered = true
@@ -146,7 +146,7 @@
 // withinObjective reports whether an answer after responseTime meets the class's latency objective for the job's work.
 func (sim *simulation) withinObjective(job *job, responseTime time.Duration) bool {
 	class := sim.classOf(job)
-	return responseTime.Seconds() <= class.Aim.Seconds()+class.Stretch*job.work
+	return responseTime.Seconds() <= class.LatencyObjective.Seconds()+class.ObjectiveStretch*job.work
 }
 
 // recordOutcome adds a job's end, responseTime after its client's first request, to an account's counts.
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -74,7 +74,7 @@
 	zone        int     // of the dispatcher
 	report      *scheduler.Report
 
-	startHeardAt      time.Duration // when the dispatcher was notified that the job started; 0 if it was not
+	startNotifiedAt   time.Duration // when the dispatcher was notified that the job started; 0 if it was not
 	sentAt            time.Duration
 	countedUnanswered bool // the dispatcher's zone recorder has counted it as unanswered
 	hasConnection     bool
@@ -83,10 +83,10 @@
 // warmupFactor returns the share of its full speed that the worker has now: below 1 during slow start.
 func (w *worker) warmupFactor() float64 {
 	slowStart := &w.sim.scenario.SlowStart
-	if w.startedAt == 0 || slowStart.For <= 0 {
+	if w.startedAt == 0 || slowStart.Duration <= 0 {
 		return 1
 	}
-	age := float64(w.sim.now-w.startedAt) / float64(slowStart.For)
+	age := float64(w.sim.now-w.startedAt) / float64(slowStart.Duration)
 	return min(slowStart.Capacity+(1-slowStart.Capacity)*age, 1)
 }
 
@@ -131,11 +131,11 @@
 // at least two thirds of the work came from dispatchers that knew of the start.
 func (w *worker) chargeSlowStart(attempt *attemptRun) {
 	slowStart := &w.sim.scenario.SlowStart
-	if w.startedAt == 0 || slowStart.Tip <= 0 || w.warmupFactor() >= 1 {
+	if w.startedAt == 0 || slowStart.OverloadMultiple <= 0 || w.warmupFactor() >= 1 {
 		return
 	}
 	w.recentArrivals = append(w.recentArrivals, recentArrival{w.sim.now, attempt.work, attempt.source.knownStart(w.id) >= w.startedAt})
-	for len(w.recentArrivals) > 0 && w.recentArrivals[0].at < w.sim.now-slowStart.Fall {
+	for len(w.recentArrivals) > 0 && w.recentArrivals[0].at < w.sim.now-slowStart.OverloadWindow {
 		w.recentArrivals = w.recentArrivals[1:]
 	}
 	sum, startKnown := 0.0, 0.0
@@ -144,11 +144,11 @@
 			startKnown += arrival.work
 		}
 	}
-	load := sum / (float64(w.slots) * w.speed * w.warmupFactor() * slowStart.Fall.Seconds())
+	load := sum / (float64(w.slots) * w.speed * w.warmupFactor() * slowStart.OverloadWindow.Seconds())
 	if !w.down && startKnown >= sum*2/3 { // else nobody could know
-		w.sim.audit.slowStartLoad(w.sim.now, w.id, uint64(attempt.id), load, slowStart.Tip)
+		w.sim.audit.slowStartLoad(w.sim.now, w.id, uint64(attempt.id), load, slowStart.OverloadMultiple)
 	}
-	if load > slowStart.Tip && !w.down {
+	if load > slowStart.OverloadMultiple && !w.down {
 		w.sim.addNote("%v %s falls over at %.2f times what it can do", w.sim.now, w.id, load)
 		w.dropAll()
 		w.down = true
@@ -158,7 +158,7 @@
 // startQueued starts queued attempts in order while the worker has capacity. Cancelled ones are dropped, unless the
 // scenario's workers keep them.
 func (w *worker) startQueued() {
-	keepsCancelled := w.sim.scenario.Keeps
+	keepsCancelled := w.sim.scenario.KeepsCancelled
 	for len(w.queue) > 0 && w.silent == 0 && w.frozen == 0 && !w.down {
 		attempt := w.queue[0]
 		dropped := attempt.over && !keepsCancelled
@@ -184,7 +184,7 @@
 		then()
 		return
 	}
-	if usedAt, ok := w.subjectUsedAt[subject]; ok && w.sim.now-usedAt < store.Keep {
+	if usedAt, ok := w.subjectUsedAt[subject]; ok && w.sim.now-usedAt < store.CacheFor {
 		w.subjectUsedAt[subject] = w.sim.now
 		then()
 		return
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -26,48 +26,48 @@
 
 // World is what a scenario may set. Durations are as time.ParseDuration reads them.
 type World struct {
-	Rate        *float64 `hcl:"rate"` // jobs a second
-	Span        *string  `hcl:"span"`
-	Dispatchers *int     `hcl:"dispatchers"`
-	Bays        *int     `hcl:"bays"` // cells
-	Work        *float64 `hcl:"work"` // mean, in seconds
-	Spread      *float64 `hcl:"spread"`
-	Subjects    *int     `hcl:"subjects"`
-	Fetch       *float64 `hcl:"fetch"` // mean, in seconds
-	Retries     *float64 `hcl:"retries"`
-	Delay       *string  `hcl:"delay"`
-	Discovery   *string  `hcl:"discovery"`
-	Reports     *string  `hcl:"reports"`
-	Users       *int     `hcl:"users"`
-	Attempts    *int     `hcl:"attempts"`
-	GiveUp      *string  `hcl:"give_up"`
-	Push        *bool    `hcl:"push"` // workers that share push a report at each change
+	Rate           *float64 `hcl:"rate"` // jobs a second
+	Span           *string  `hcl:"span"`
+	Dispatchers    *int     `hcl:"dispatchers"`
+	Cells          *int     `hcl:"bays"`
+	Work           *float64 `hcl:"work"` // mean, in seconds
+	WorkLogStdDev  *float64 `hcl:"spread"`
+	Subjects       *int     `hcl:"subjects"`
+	Fetch          *float64 `hcl:"fetch"` // mean, in seconds
+	Retries        *float64 `hcl:"retries"`
+	Delay          *string  `hcl:"delay"`
+	Discovery      *string  `hcl:"discovery"`
+	ReportInterval *string  `hcl:"reports"`
+	Users          *int     `hcl:"users"`
+	MaxAttempts    *int     `hcl:"attempts"`
+	Deadline       *string  `hcl:"give_up"`
+	PushReports    *bool    `hcl:"push"` // workers that share push a report at each change
 
 	// In virtual time only.
-	Zones       *int     `hcl:"zones"`
-	Cross       *string  `hcl:"cross"`       // one-way delay between zones
-	CrossPrice  *float64 `hcl:"cross_price"` // of an attempt between zones
-	Memory      *float64 `hcl:"memory"`      // units for each slot of a job
-	Queue       *float64 `hcl:"queue"`       // jobs that may wait at a worker, for each slot
-	Keeps       *bool    `hcl:"keeps"`       // workers run queued jobs that were cancelled
-	Hints       *bool    `hcl:"hints"`       // clients send work estimates
-	LiveWeights *bool    `hcl:"live_weights"`
-	Pushed      *bool    `hcl:"pushed"`       // endpoint updates are pushed
-	Answers     *bool    `hcl:"answers"`      // answers carry reports
-	ReportDelay *string  `hcl:"report_delay"` // age of reports when they are seen
-	Handshake   *float64 `hcl:"handshake"`    // round trips that a new connection takes
-	Connections *int     `hcl:"connections"`  // that a worker accepts
+	Zones            *int     `hcl:"zones"`
+	Cross            *string  `hcl:"cross"`       // one-way delay between zones
+	CrossPrice       *float64 `hcl:"cross_price"` // of an attempt between zones
+	Memory           *float64 `hcl:"memory"`      // units for each slot of a job
+	Queue            *float64 `hcl:"queue"`       // jobs that may wait at a worker, for each slot
+	KeepsCancelled   *bool    `hcl:"keeps"`       // workers run queued jobs that were cancelled
+	WorkEstimates    *bool    `hcl:"hints"`       // clients send work estimates
+	LiveWeights      *bool    `hcl:"live_weights"`
+	ListPushed       *bool    `hcl:"pushed"`       // endpoint updates are pushed
+	ReportsInAnswers *bool    `hcl:"answers"`      // answers carry reports
+	ReportDelay      *string  `hcl:"report_delay"` // age of reports when they are seen
+	Handshake        *float64 `hcl:"handshake"`    // round trips that a new connection takes
+	MaxConnections   *int     `hcl:"connections"`  // that a worker accepts
 
 	Greedy *float64 `hcl:"greedy"` // the first account sends this multiple of its share
 }
 
 // Kind is a kind of worker.
 type Kind struct {
-	Name  string    `hcl:"name,label"`
-	Count int       `hcl:"count"`
-	Slots int       `hcl:"slots"`
-	Speed []float64 `hcl:"speed"` // minimum and maximum
-	Share bool      `hcl:"sharing,optional"`
+	Name    string    `hcl:"name,label"`
+	Count   int       `hcl:"count"`
+	Slots   int       `hcl:"slots"`
+	Speed   []float64 `hcl:"speed"` // minimum and maximum
+	Sharing bool      `hcl:"sharing,optional"`
 }
 
 // Fault is a fault. A file has none of zones.
@@ -81,18 +81,18 @@
 
 // Class is a class of jobs.
 type Class struct {
-	Name           string  `hcl:"name,label"`
-	Share          float64 `hcl:"share"`
-	Work           float64 `hcl:"work"`
-	Spread         float64 `hcl:"spread,optional"`
-	Aim            string  `hcl:"aim"`
-	Stretch        float64 `hcl:"stretch"`
-	GiveUp         string  `hcl:"give_up"`
-	PriorityWeight float64 `hcl:"worth"`
-	Effect         string  `hcl:"effect"`          // a key of effects
-	Scope          string  `hcl:"scope,optional"`  // a key of scopes, where the effect is keyed
-	Window         string  `hcl:"window,optional"` // where the effect is keyed
-	Wide           float64 `hcl:"wide,optional"`
+	Name                string  `hcl:"name,label"`
+	Share               float64 `hcl:"share"`
+	Work                float64 `hcl:"work"`
+	WorkLogStdDev       float64 `hcl:"spread,optional"`
+	LatencyObjective    string  `hcl:"aim"`
+	ObjectiveStretch    float64 `hcl:"stretch"`
+	Deadline            string  `hcl:"give_up"`
+	PriorityWeight      float64 `hcl:"worth"`
+	Idempotency         string  `hcl:"effect"`          // a key of effects
+	DeduplicationScope  string  `hcl:"scope,optional"`  // a key of scopes, where the effect is keyed
+	DeduplicationWindow string  `hcl:"window,optional"` // where the effect is keyed
+	TwoSlotShare        float64 `hcl:"wide,optional"`
 }
 
 // Variant is one way to run the experiment.
--- a/internal/experiment/row.go
+++ b/internal/experiment/row.go
@@ -9,26 +9,26 @@
 
 // Row is the result of one run: a variant with a seed.
 type Row struct {
-	Variant  string   `json:"variant"`
-	Seed     uint64   `json:"seed"`
-	Build    string   `json:"build"`
-	Jobs     int      `json:"jobs"`
-	Service  float64  `json:"service"` // share of the work answered in time
-	Worst    float64  `json:"worst_account"`
-	Late     float64  `json:"late"`    // share of the jobs
-	Refused  float64  `json:"refused"` // share of the jobs
-	Failed   float64  `json:"failed"`  // share of the jobs
-	P50MS    float64  `json:"p50_ms"`
-	P99MS    float64  `json:"p99_ms"`
-	Sends    float64  `json:"sends"`  // attempts, for each job
-	Probes   float64  `json:"probes"` // for each job
-	Wasted   float64  `json:"wasted"` // share of the work done
-	Speed    float64  `json:"speed"`  // mean over served jobs of work by response time
-	Used     float64  `json:"used"`   // work done, of what the workers could do
-	Class    float64  `json:"worst_class,omitempty"`
-	Cross    float64  `json:"crossings,omitempty"` // attempts between zones, for each job
-	Merit    float64  `json:"merit,omitempty"`     // see emulator.Result.Merit
-	Breaches []string `json:"breaches,omitempty"`
+	Variant      string   `json:"variant"`
+	Seed         uint64   `json:"seed"`
+	Build        string   `json:"build"`
+	Jobs         int      `json:"jobs"`
+	Service      float64  `json:"service"` // share of the work answered in time
+	WorstAccount float64  `json:"worst_account"`
+	Late         float64  `json:"late"`    // share of the jobs
+	Rejected     float64  `json:"refused"` // share of the jobs
+	Failed       float64  `json:"failed"`  // share of the jobs
+	P50MS        float64  `json:"p50_ms"`
+	P99MS        float64  `json:"p99_ms"`
+	Sends        float64  `json:"sends"`  // attempts, for each job
+	Probes       float64  `json:"probes"` // for each job
+	Wasted       float64  `json:"wasted"` // share of the work done
+	Speed        float64  `json:"speed"`  // mean over served jobs of work by response time
+	Used         float64  `json:"used"`   // work done, of what the workers could do
+	WorstClass   float64  `json:"worst_class,omitempty"`
+	Crossings    float64  `json:"crossings,omitempty"` // attempts between zones, for each job
+	Merit        float64  `json:"merit,omitempty"`     // see emulator.Result.Merit
+	Breaches     []string `json:"breaches,omitempty"`
 }
 
 // measures are the columns that are compared.
@@ -37,9 +37,9 @@
 	of   func(Row) float64
 }{
 	{"service", func(r Row) float64 { return r.Service }},
-	{"worst_account", func(r Row) float64 { return r.Worst }},
+	{"worst_account", func(r Row) float64 { return r.WorstAccount }},
 	{"late", func(r Row) float64 { return r.Late }},
-	{"refused", func(r Row) float64 { return r.Refused }},
+	{"refused", func(r Row) float64 { return r.Rejected }},
 	{"failed", func(r Row) float64 { return r.Failed }},
 	{"p50_ms", func(r Row) float64 { return r.P50MS }},
 	{"p99_ms", func(r Row) float64 { return r.P99MS }},
@@ -48,8 +48,8 @@
 	{"wasted", func(r Row) float64 { return r.Wasted }},
 	{"speed", func(r Row) float64 { return r.Speed }},
 	{"used", func(r Row) float64 { return r.Used }},
-	{"worst_class", func(r Row) float64 { return r.Class }},
-	{"crossings", func(r Row) float64 { return r.Cross }},
+	{"worst_class", func(r Row) float64 { return r.WorstClass }},
+	{"crossings", func(r Row) float64 { return r.Crossings }},
 	{"merit", func(r Row) float64 { return r.Merit }},
 }
 
@@ -58,25 +58,25 @@
 	share := func(jobs int) float64 { return float64(jobs) / float64(max(result.Jobs, 1)) }
 	milliseconds := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	row := Row{
-		Variant: variant,
-		Seed:    seed,
-		Build:   build,
-		Jobs:    result.Jobs,
-		Service: result.Service,
-		Worst:   result.Worst,
-		Late:    share(result.Late),
-		Refused: share(result.Refused),
-		Failed:  share(result.Failed),
-		P50MS:   milliseconds(result.P50),
-		P99MS:   milliseconds(result.P99),
-		Sends:   result.Sends,
-		Probes:  result.Probes,
-		Wasted:  result.Wasted,
-		Speed:   result.Speed,
-		Used:    result.Used,
-		Class:   result.WorstClass,
-		Cross:   result.Crossings,
-		Merit:   result.Merit(crossPrice),
+		Variant:      variant,
+		Seed:         seed,
+		Build:        build,
+		Jobs:         result.Jobs,
+		Service:      result.Service,
+		WorstAccount: result.WorstAccount,
+		Late:         share(result.Late),
+		Rejected:     share(result.Rejected),
+		Failed:       share(result.Failed),
+		P50MS:        milliseconds(result.P50),
+		P99MS:        milliseconds(result.P99),
+		Sends:        result.Sends,
+		Probes:       result.Probes,
+		Wasted:       result.Wasted,
+		Speed:        result.Speed,
+		Used:         result.Used,
+		WorstClass:   result.WorstClass,
+		Crossings:    result.Crossings,
+		Merit:        result.Merit(crossPrice),
 	}
 	for _, breach := range result.Breaches {
 		row.Breaches = append(row.Breaches, breach.String())
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -56,7 +56,7 @@
 			return scenario, err
 		}
 		scenario.Traffic.Classes = append(scenario.Traffic.Classes, class)
-		scenario.Traffic.GiveUp = max(scenario.Traffic.GiveUp, class.GiveUp)
+		scenario.Traffic.Deadline = max(scenario.Traffic.Deadline, class.Deadline)
 	}
 	for _, configured := range f.Faults {
 		fault, err := configured.parse()
@@ -90,7 +90,7 @@
 	if len(k.Speed) != 2 {
 		return emulator.Kind{}, fmt.Errorf("kind %q: speed must be [least, most]", k.Name)
 	}
-	return emulator.Kind{Name: k.Name, Count: k.Count, Slots: k.Slots, SpeedMin: k.Speed[0], SpeedMax: k.Speed[1], Sharing: k.Share}, nil
+	return emulator.Kind{Name: k.Name, Count: k.Count, Slots: k.Slots, SpeedMin: k.Speed[0], SpeedMax: k.Speed[1], Sharing: k.Sharing}, nil
 }
 
 // parse returns the fault in the emulator's terms.
@@ -112,20 +112,20 @@
 
 // parse returns the class in the emulator's terms.
 func (c *Class) parse() (emulator.Class, error) {
-	class := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, Spread: c.Spread, Stretch: c.Stretch, PriorityWeight: c.PriorityWeight, Wide: c.Wide}
+	class := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, WorkLogStdDev: c.WorkLogStdDev, ObjectiveStretch: c.ObjectiveStretch, PriorityWeight: c.PriorityWeight, TwoSlotShare: c.TwoSlotShare}
 	var ok bool
-	if class.Effect, ok = effects[c.Effect]; !ok {
-		return class, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Effect)
+	if class.Idempotency, ok = effects[c.Idempotency]; !ok {
+		return class, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Idempotency)
 	}
-	if class.Scope, ok = scopes[c.Scope]; !ok {
-		return class, fmt.Errorf("class %q: there is no scope %q", c.Name, c.Scope)
+	if class.DeduplicationScope, ok = scopes[c.DeduplicationScope]; !ok {
+		return class, fmt.Errorf("class %q: there is no scope %q", c.Name, c.DeduplicationScope)
 	}
 	durations := []durationSetting{
-		{"aim", &c.Aim, &class.Aim},
-		{"give_up", &c.GiveUp, &class.GiveUp},
+		{"aim", &c.LatencyObjective, &class.LatencyObjective},
+		{"give_up", &c.Deadline, &class.Deadline},
 	}
-	if c.Window != "" {
-		durations = append(durations, durationSetting{"window", &c.Window, &class.Window})
+	if c.DeduplicationWindow != "" {
+		durations = append(durations, durationSetting{"window", &c.DeduplicationWindow, &class.DeduplicationWindow})
 	}
 	if err := parseDurations(durations); err != nil {
 		return class, fmt.Errorf("class %q: %w", c.Name, err)
@@ -170,26 +170,26 @@
 	traffic, network, reports := &scenario.Traffic, &scenario.Network, &scenario.Reports
 	setIfGiven(&traffic.Rate, w.Rate)
 	setIfGiven(&traffic.Work, w.Work)
-	setIfGiven(&traffic.Spread, w.Spread)
+	setIfGiven(&traffic.WorkLogStdDev, w.WorkLogStdDev)
 	setIfGiven(&traffic.Retries, w.Retries)
 	setIfGiven(&traffic.Subjects, w.Subjects)
 	setIfGiven(&traffic.Users, w.Users)
 	setIfGiven(&traffic.Memory, w.Memory)
-	setIfGiven(&traffic.Hints, w.Hints)
+	setIfGiven(&traffic.WorkEstimates, w.WorkEstimates)
 	setIfGiven(&network.Zones, w.Zones)
 	setIfGiven(&network.CrossPrice, w.CrossPrice)
 	setIfGiven(&network.Handshake, w.Handshake)
-	setIfGiven(&network.Most, w.Connections)
-	setIfGiven(&reports.Push, w.Push)
-	setIfGiven(&reports.Answers, w.Answers)
+	setIfGiven(&network.MaxConnections, w.MaxConnections)
+	setIfGiven(&reports.Push, w.PushReports)
+	setIfGiven(&reports.InAnswers, w.ReportsInAnswers)
 	setIfGiven(&scenario.Store.Fetch, w.Fetch)
 	setIfGiven(&scenario.Dispatchers, w.Dispatchers)
-	setIfGiven(&scenario.Bays, w.Bays)
-	setIfGiven(&scenario.Rules.MaxAttempts, w.Attempts)
+	setIfGiven(&scenario.Cells, w.Cells)
+	setIfGiven(&scenario.Rules.MaxAttempts, w.MaxAttempts)
 	setIfGiven(&scenario.Queue, w.Queue)
-	setIfGiven(&scenario.Keeps, w.Keeps)
+	setIfGiven(&scenario.KeepsCancelled, w.KeepsCancelled)
 	setIfGiven(&scenario.LiveWeights, w.LiveWeights)
-	setIfGiven(&scenario.Pushed, w.Pushed)
+	setIfGiven(&scenario.ListPushed, w.ListPushed)
 	if w.Greedy != nil && len(traffic.Accounts) > 0 {
 		// The rate grows by what the first account sends beyond its share.
 		first := &traffic.Accounts[0]
@@ -203,7 +203,7 @@
 		{"report_delay", w.ReportDelay, &reports.Delay},
 		{"delay", w.Delay, &network.Delay},
 		{"discovery", w.Discovery, &scenario.Discovery},
-		{"reports", w.Reports, &reports.Every},
-		{"give_up", w.GiveUp, &traffic.GiveUp},
+		{"reports", w.ReportInterval, &reports.Every},
+		{"give_up", w.Deadline, &traffic.Deadline},
 	})
 }
--- a/internal/experiment/zonereport.go
+++ b/internal/experiment/zonereport.go
@@ -36,7 +36,7 @@
 		"zone_peak_over_capacity", "moved_s", "back_s", "plan_changes", "p99_s", "breaches"}}
 	for _, row := range rows {
 		line := []string{row.Case, zoneModeTitles[row.Mode], strconv.FormatUint(row.Seed, 10)}
-		for _, figure := range []float64{row.Fault, row.Behind, row.Return, row.All, row.Crossings, row.Peak, row.Moved, row.Back,
+		for _, figure := range []float64{row.Fault, row.Recovery, row.Later, row.All, row.Crossings, row.Peak, row.MovedAfter, row.RestoredAfter,
 			float64(row.Plans), row.P99, float64(row.Breaches)} {
 			line = append(line, strconv.FormatFloat(figure, 'f', 4, 64))
 		}
@@ -73,14 +73,14 @@
 			fmt.Fprintf(table, "%s at %.2f\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t%.0f\t%.0f\n",
 				zoneCase.Name, zoneCase.Load, zoneModeTitles[mode],
 				mean(func(r ZoneRow) float64 { return r.Fault }),
-				mean(func(r ZoneRow) float64 { return r.Behind }),
-				mean(func(r ZoneRow) float64 { return r.Return }),
+				mean(func(r ZoneRow) float64 { return r.Recovery }),
+				mean(func(r ZoneRow) float64 { return r.Later }),
 				mean(func(r ZoneRow) float64 { return r.Crossings }),
 				mean(func(r ZoneRow) float64 { return r.Peak }),
 				maxPeak,
 				mean(func(r ZoneRow) float64 { return r.P99 }),
-				mean(func(r ZoneRow) float64 { return r.Moved }),
-				mean(func(r ZoneRow) float64 { return r.Back }),
+				mean(func(r ZoneRow) float64 { return r.MovedAfter }),
+				mean(func(r ZoneRow) float64 { return r.RestoredAfter }),
 				mean(func(r ZoneRow) float64 { return float64(r.Plans) }),
 				breaches)
 		}
--- a/internal/experiment/zones.go
+++ b/internal/experiment/zones.go
@@ -69,15 +69,16 @@
 // zoneModeTitles are the modes' names in tables and charts.
 var zoneModeTitles = map[string]string{"": "each for itself", "near": "nearest only", "spread": "spread over all", "plan": "planned in common"}
 
-// ZoneRow is the result of one run. Fault, Behind, Return and All are shares of weighted work answered in time: of what was
-// requested in the fault, in the recovery time after it, then, and in all. Moved and Back are in seconds, as is P99.
+// ZoneRow is the result of one run. Fault, Recovery, Later and All are shares of weighted work answered in time: of what was
+// requested in the fault, in the recovery time after it, after that, and in all. MovedAfter, RestoredAfter and P99 are in
+// seconds.
 type ZoneRow struct {
-	Case, Mode                   string
-	Seed                         uint64
-	Fault, Behind, Return, All   float64
-	Crossings, Peak, Moved, Back float64
-	Plans, Breaches              int
-	P99                          float64
+	Case, Mode                                 string
+	Seed                                       uint64
+	Fault, Recovery, Later, All                float64
+	Crossings, Peak, MovedAfter, RestoredAfter float64
+	Plans, Breaches                            int
+	P99                                        float64
 }
 
 // Scenario returns a case's scenario.
@@ -157,19 +158,19 @@
 		return ZoneRow{}, err
 	}
 	return ZoneRow{
-		Case:      task.zoneCase.Name,
-		Mode:      task.mode,
-		Seed:      task.seed,
-		Fault:     result.Within(zoneFaultAt+zoneDetectionTime, zoneFaultEnd),
-		Behind:    result.Within(zoneFaultEnd, zoneFaultEnd+zoneRecoveryTime),
-		Return:    result.Within(zoneFaultEnd+zoneRecoveryTime, zoneSpan),
-		All:       result.Service,
-		Crossings: result.Crossings,
-		Peak:      result.ZonePeak,
-		Moved:     result.Moved.Seconds(),
-		Back:      result.Back.Seconds(),
-		Plans:     result.PlanChanges,
-		Breaches:  len(result.Breaches),
-		P99:       result.P99.Seconds(),
+		Case:          task.zoneCase.Name,
+		Mode:          task.mode,
+		Seed:          task.seed,
+		Fault:         result.Within(zoneFaultAt+zoneDetectionTime, zoneFaultEnd),
+		Recovery:      result.Within(zoneFaultEnd, zoneFaultEnd+zoneRecoveryTime),
+		Later:         result.Within(zoneFaultEnd+zoneRecoveryTime, zoneSpan),
+		All:           result.Service,
+		Crossings:     result.Crossings,
+		Peak:          result.ZonePeak,
+		MovedAfter:    result.MovedAfter.Seconds(),
+		RestoredAfter: result.RestoredAfter.Seconds(),
+		Plans:         result.PlanChanges,
+		Breaches:      len(result.Breaches),
+		P99:           result.P99.Seconds(),
 	}, nil
 }
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -122,7 +122,7 @@
 // checkAttributes checks the plan's attributes and that it has either phases or a trace.
 func (c *checker) checkAttributes() {
 	file, body := c.file, c.body
-	file.terms = Terms{Class: file.Class, GiveUp: c.duration(body, "give_up", file.GiveUp), Aim: c.duration(body, "aim", file.Aim)}
+	file.terms = Terms{Class: file.Class, GiveUp: c.duration(body, "give_up", file.GiveUp), LatencyObjective: c.duration(body, "aim", file.Aim)}
 	if file.Class == "" {
 		c.add(hcldiag.Place(body, "class"), "class is empty.")
 	}
@@ -190,7 +190,7 @@
 		return
 	}
 	block := c.blocks["retry"][0]
-	c.file.terms.Retry = Retry{Max: retry.Max, Share: retry.Share, Wait: c.duration(block.Body, "wait", retry.Wait), Honour: retry.Honour}
+	c.file.terms.Retry = Retry{Max: retry.Max, Share: retry.Share, Wait: c.duration(block.Body, "wait", retry.Wait), HonourRetryAfter: retry.Honour}
 	if retry.Max < 0 || retry.Share < 0 || retry.Share > 1 {
 		c.add(block.DefRange(), "retry needs most not below 0 and a share from 0 to 1.")
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -42,16 +42,16 @@
 
 // Terms are what clients want and how they retry.
 type Terms struct {
-	Class  string
-	GiveUp time.Duration // deadline of a job, from when it is due
-	Aim    time.Duration // latency objective; 0 for none
-	Retry  Retry
+	Class            string
+	GiveUp           time.Duration // deadline of a job, from when it is due
+	LatencyObjective time.Duration // latency objective; 0 for none
+	Retry            Retry
 }
 
 // Retry is how clients retry. They do so only after a rejection, which says that a retry is harmless.
 type Retry struct {
-	Max    int           // retries of a job
-	Share  float64       // of the clients that retry
-	Wait   time.Duration // before a retry, unless Honour applies
-	Honour bool          // wait as the Retry-After of the rejection says, if it has one
+	Max              int           // retries of a job
+	Share            float64       // of the clients that retry
+	Wait             time.Duration // before a retry, unless Honour applies
+	HonourRetryAfter bool          // wait as the Retry-After of the rejection says, if it has one
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -259,7 +259,7 @@
 	defer client.Close()
 	run := func(giveUp time.Duration) Figures {
 		got = nil
-		options := Options{Terms: Terms{GiveUp: giveUp, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, Honour: true}}}
+		options := Options{Terms: Terms{GiveUp: giveUp, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, HonourRetryAfter: true}}}
 		return Run(t.Context(), Recorded([]Job{{Account: "a"}}), client, options).Figures()
 	}
 	figures := run(5 * time.Second)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -175,14 +175,14 @@
 		now := time.Now()
 		ended.attempts++
 		ended.outcome, ended.latency, ended.service, ended.answered = answer.Outcome, now.Sub(due), now.Sub(sentAt), answer.Outcome != Unanswered
-		if answer.Outcome == Served && terms.Aim > 0 && ended.latency > terms.Aim {
+		if answer.Outcome == Served && terms.LatencyObjective > 0 && ended.latency > terms.LatencyObjective {
 			ended.outcome = Late
 		}
 		if answer.Outcome != Refused || !retries || ended.attempts > terms.Retry.Max {
 			return ended
 		}
 		pause := terms.Retry.Wait
-		if terms.Retry.Honour && answer.RetryAfter > 0 {
+		if terms.Retry.HonourRetryAfter && answer.RetryAfter > 0 {
 			pause = answer.RetryAfter
 		}
 		next := now.Add(pause)
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -47,7 +47,7 @@
 }
 
 // ReadTrace reads a recorded trace, either "csv" with a line of column names or "jsonl", to its end: the error names the line of
-// the first mistake. Accounts must be among those given, if there are any. Gaps in time are kept.
+// the first mistake. Accounts must be among those given, if there are any. Gaps in time stay.
 func ReadTrace(in io.Reader, format string, accounts []Account) ([]Job, error) {
 	known := map[string]bool{}
 	for _, account := range accounts {
