--- a/internal/endpointcache/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -243,7 +243,7 @@
 	if err := store.Append(&journalRecord{Revision: 2}); !errors.Is(err, files.failWith) {
 		t.Errorf("a full disk: %v", err)
 	}
-	if err := store.Append(&journalRecord{Revision: 3}); err != errNoGeneration { //nolint:errorlint // the very error, not one that wraps it
+	if err := store.Append(&journalRecord{Revision: 3}); err != errNoGeneration { // the very error, not one that wraps it
 		t.Errorf("after a torn record: %v", err)
 	}
 	if err := store.Snapshot(testList(4, "a")); !errors.Is(err, files.failWith) {
--- a/internal/hcldiag/hcldiag.go
+++ b/internal/hcldiag/hcldiag.go
@@ -11,11 +11,11 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Faults is an error that names all that is wrong with a file.
-type Faults hcl.Diagnostics
+// FileError is an error that names all that is wrong with a file.
+type FileError hcl.Diagnostics
 
 // Error returns a line for each fault: file, line, column and what is wrong.
-func (f Faults) Error() string {
+func (f FileError) Error() string {
 	var lines []string
 	for _, diagnostic := range f {
 		position := ""
@@ -49,7 +49,7 @@
 		diags = append(diags, check(parsed.Body.(*hclsyntax.Body))...)
 	}
 	if diags.HasErrors() {
-		return Faults(diags)
+		return FileError(diags)
 	}
 	return nil
 }
--- a/internal/inject/trace.go
+++ b/internal/inject/trace.go
@@ -88,23 +88,23 @@
 	if syscall.PtraceGetRegs(pid, &regs) != nil || t.Calm != nil && t.Calm() {
 		return
 	}
-	for _, r := range t.Rules {
-		if uint64(calls[r.Call]) != regs.Orig_rax || rng.IntN(r.OneIn) > 0 {
+	for _, rule := range t.Rules {
+		if uint64(calls[rule.Call]) != regs.Orig_rax || rng.IntN(rule.OneIn) > 0 {
 			continue
 		}
-		if r.Short {
+		if rule.Short {
 			if regs.Rdx <= wholeOnly {
 				return
 			}
 			regs.Rdx /= 2
 		} else {
 			regs.Orig_rax = ^uint64(0) // no such call: it is passed over, and gives what stands in rax
-			regs.Rax = uint64(-int64(r.Errno))
+			regs.Rax = uint64(-int64(rule.Errno))
 		}
 		if syscall.PtraceSetRegs(pid, &regs) == nil {
-			t.counts[r.Call]++
+			t.counts[rule.Call]++
 			if t.Failed != nil {
-				t.Failed(r.Call, t.counts[r.Call])
+				t.Failed(rule.Call, t.counts[rule.Call])
 			}
 		}
 		return
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -41,7 +41,7 @@
 	return f.Keys
 }
 
-// Load reads a file. If the file can be read, an error is a hcldiag.Faults with everything that is wrong with it.
+// Load reads a file. If the file can be read, an error is a hcldiag.FileError with everything that is wrong with it.
 func Load(path string) (*File, error) {
 	if strings.EqualFold(filepath.Ext(path), ".toml") {
 		return nil, fmt.Errorf("%s: operators' files are HCL now: put its settings into a block front \"progress\" { ... }, see deploy/operator.hcl", path)
@@ -50,7 +50,7 @@
 }
 
 // Parse reads the text of a file. path is its name in errors; relative paths in the file count from the path's directory. An
-// error is a hcldiag.Faults with everything that is wrong with the file.
+// error is a hcldiag.FileError with everything that is wrong with the file.
 func Parse(text []byte, path string) (*File, error) {
 	parsed, faults := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	file := &File{}
@@ -64,7 +64,7 @@
 		}
 	}
 	if faults.HasErrors() {
-		return nil, hcldiag.Faults(faults)
+		return nil, hcldiag.FileError(faults)
 	}
 	return file, nil
 }
--- a/internal/program/build.go
+++ b/internal/program/build.go
@@ -33,7 +33,7 @@
 		d.cache = d.openEndpointCache(in.operator.EndpointCache, in.config.Name, d.settings.Current())
 	}
 	discovery := transport.NewDiscovery(in.config.Discovery, d.settings, d.meter)
-	d.buildEndpointList(in, clock, discovery) //nolint:contextcheck // the list that it begins with is there already
+	d.buildEndpointList(in, clock, discovery)
 	d.reloader = newReloader(d, in, discovery)
 	if err := d.buildLimits(in); err != nil {
 		return err
--- a/internal/scale/fit/save.go
+++ b/internal/scale/fit/save.go
@@ -151,7 +151,7 @@
 		return err
 	}
 	if err := write(f); err != nil {
-		f.Close()
+		_ = f.Close() // the error of the write is returned
 		return err
 	}
 	return f.Close()
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -23,7 +23,7 @@
 	Failures    []string `hcl:"failures,optional"` // rules for internal/inject; a third of the runs uses one of them
 }
 
-// Load reads and checks a scenario file. An error is a hcldiag.Faults: every fault with file, line and column.
+// Load reads and checks a scenario file. An error is a hcldiag.FileError: every fault with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse reads and checks the text of a scenario. path is its name in errors.
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -59,7 +59,7 @@
 			began, left := make(chan struct{}), make(chan struct{})
 			_, dial := listenerFor(t, func(_ http.ResponseWriter, r *http.Request) {
 				is := clientGoneFunc(r)
-				enterPhase(r, phaseServing)
+				markServing(r)
 				close(began)
 				<-r.Context().Done()
 				if is() {
@@ -85,7 +85,7 @@
 	release := make(chan struct{})
 	served := 0
 	_, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
-		enterPhase(r, phaseServing)
+		markServing(r)
 		body, _ := io.ReadAll(r.Body)
 		if served++; served == 1 {
 			<-release
@@ -113,7 +113,7 @@
 // A connection that is closed with unread bytes is not reset: its client reads the answer and then EOF.
 func TestLingeringClose(t *testing.T) {
 	_, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
-		enterPhase(r, phaseServing)
+		markServing(r)
 		closeAfterAnswer(w)
 		fmt.Fprint(w, "answer")
 	})
@@ -144,7 +144,7 @@
 		var handled atomic.Int32
 		listener, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
 			handled.Add(1)
-			enterPhase(r, phaseServing)
+			markServing(r)
 			fmt.Fprint(w, "answer")
 		})
 		c := dial()
@@ -201,7 +201,7 @@
 	const behind = 200
 	release := make(chan struct{})
 	listener, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
-		enterPhase(r, phaseServing)
+		markServing(r)
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Path == "/0" {
 			<-release
--- a/internal/transport/requestconn.go
+++ b/internal/transport/requestconn.go
@@ -37,10 +37,10 @@
 	return func() bool { return ctx.Err() != nil || conn != nil && conn.clientHasLeft() }
 }
 
-// enterPhase changes the phase of a request's connection.
-func enterPhase(r *http.Request, next phase) {
+// markServing marks a request's connection as serving a job.
+func markServing(r *http.Request) {
 	if conn := clientConnOf(r); conn != nil {
-		conn.enterPhase(next)
+		conn.enterPhase(phaseServing)
 	}
 }
 
