--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -14,320 +14,394 @@
 	"brassdale/scheduler"
 )
 
-// probeTimeout is how long an endpoint has for the response to a probe.
-const probeTimeout = 300 * time.Millisecond
+const (
+	// probeWithin is how long an endpoint has for a probe, and drainWithin how long for the rest of an
+	// answer whose last message has come.
+	probeWithin = 300 * time.Millisecond
+	drainWithin = time.Second
 
-// endpoint is the actor of one endpoint. The goroutine of run alone owns the connections to it: each is idle here, or lent to the one
-// exchange that runs on it, in a goroutine of its own that ends with the attempt. Other goroutines post to the mailbox. run must not
-// block: connections are opened in goroutines, which post dialEnded.
+	// mostAnswer bounds all that one exchange reads: an endpoint that floods ends its own call only.
+	mostAnswer = 1 << 20
+
+	// A connection rests for so long behind an answer before it carries a further call: a second answer may come some
+	// milliseconds behind the first, and would be taken for that call's.
+	restFor = 20 * time.Millisecond
+)
+
+// endpoint is the actor of one endpoint. It alone owns the endpoint's connections: a connection is idle
+// here, or lent to the one exchange that runs on it.
 type endpoint struct {
-	pool    *EndpointPool
-	id      scheduler.WorkerID
-	mailbox *routing.Mailbox[any]
+	fleet *EndpointPool
+	id    scheduler.WorkerID
+	box   *routing.Mailbox[any]
 
 	// Owned by run.
-	listed           routing.Endpoint                // as the list has it
-	detachedSince    time.Time                       // since when it is detached by the operator; zero while it is not
-	idle             []*connection                   // the longest idle first
-	awaitingDial     []*exchange                     // for which a connection is being opened, the longest waiting first
-	awaitingCapacity []*exchange                     // for which no connection may be opened yet, the longest waiting first
-	dialing          int                             // connections that are being opened; at least len(awaitingDial)
-	attempts         map[routing.AttemptID]*exchange // without an outcome
+	dest    routing.Endpoint
+	barred  time.Time // since when it is out by hand; zero while it is not
+	idle    []*wire   // the longest idle first
+	waiting []*exchange
+	starved []*exchange                     // for which no connection may be opened yet
+	dialing int                             // connections that are being opened; never fewer than exchanges that wait
+	calls   map[routing.AttemptID]*exchange // calls without an outcome
+}
+
+// wire is a connection with what was read ahead of it.
+type wire struct {
+	conn  net.Conn
+	to    string            // the address it was opened to
+	quota *io.LimitedReader // of what in may read
+	in    *bufio.Reader
+	since time.Time // idle since
+	used  bool      // it has carried something
 }
 
-// The messages in the mailbox of an endpoint, beside routing.Endpoint and routing.Attempt.
+// heldBack logs that an attempt does not leave.
+func (e *endpoint) heldBack(x *exchange, why string) {
+	if !x.probe {
+		e.fleet.log.Debug("attempt held back", "id", x.name(), "attempt", x.call.ID.Number, "worker", e.id, "why", why)
+	}
+}
+
+// The messages of the actor, beside routing.Destination and routing.Call.
 type (
-	cancelAttempt        struct{ id routing.AttemptID }
-	closeIdleConnections struct{ minIdle time.Duration }
-	startProbe           struct{}
-	capacityFreed        struct{} // a connection may be opened, unless another endpoint was first
-	capacityWaitOverdue  struct{} // the deadline of an exchange that awaits capacity has passed
-	setDetached          struct{ since time.Time }
-	dialEnded            struct {
-		owner      *exchange // that it was opened for
-		connection *connection
-		err        error
-	}
-	exchangeEnded struct {
-		exchange *exchange
-		reuse    bool // its connection may carry another exchange
+	cancel  struct{ id routing.AttemptID }
+	drop    struct{ idle time.Duration }
+	probe   struct{}
+	room    struct{} // for a further connection, perhaps
+	overdue struct{} // a call that waits for room may be
+	bar     struct{ since time.Time }
+	dialed  struct {
+		owner *exchange
+		wire  *wire
+		err   error
+	}
+	ended struct {
+		x     *exchange
+		reuse bool
 	}
 )
 
-// newEndpoint returns the actor of an endpoint, which does not run yet.
-func newEndpoint(pool *EndpointPool, listed routing.Endpoint) *endpoint {
-	return &endpoint{
-		pool: pool, id: listed.ID, listed: listed, mailbox: routing.NewMailbox[any](),
-		attempts: map[routing.AttemptID]*exchange{},
-	}
+func newEndpoint(f *EndpointPool, d routing.Endpoint) *endpoint {
+	return &endpoint{fleet: f, id: d.ID, dest: d, box: routing.NewMailbox[any](), calls: map[routing.AttemptID]*exchange{}}
 }
 
-// run handles messages and closes idle connections until the context is cancelled. Exchanges that run then end by their deadlines.
 func (e *endpoint) run(ctx context.Context) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
 		if len(e.idle) > 0 {
-			alarm.Reset(time.Until(e.pool.idleDeadline(e.idle[0].idleSince)))
+			alarm.Reset(time.Until(e.fleet.idleUntil(e.idle[0].since)))
 		}
 		select {
 		case <-ctx.Done():
 			e.closeIdle(time.Time{})
 			return
-		case <-e.mailbox.Signal():
+		case <-e.box.Signal():
 		case now := <-alarm.C:
 			e.closeIdle(now)
 		}
-		for _, message := range e.mailbox.Take() {
-			e.handleMessage(message)
+		for _, m := range e.box.Take() {
+			e.take(m)
 		}
 	}
 }
 
-// handleMessage carries out one message of the mailbox.
-func (e *endpoint) handleMessage(message any) {
-	switch msg := message.(type) {
+func (e *endpoint) take(m any) {
+	switch m := m.(type) {
 	case routing.Endpoint:
-		e.updateListed(msg)
+		if m.Address != e.dest.Address || m.StartedAt != e.dest.StartedAt || m.State == scheduler.Gone {
+			e.closeIdle(time.Time{}) // they lead to a process that is no more
+		}
+		e.dest = m
 	case routing.Attempt:
-		started := &exchange{attempt: msg, deadline: msg.Deadline}
-		e.attempts[msg.ID] = started
-		e.startExchange(started)
-	case startProbe:
-		e.startExchange(&exchange{probe: true, deadline: time.Now().Add(probeTimeout)})
-	case capacityFreed:
-		e.useCapacity()
-	case capacityWaitOverdue:
-		e.endOverdue()
-	case setDetached:
-		e.detachedSince = msg.since
-		e.closeIdle(time.Time{}) // it is detached to be restarted
-	case cancelAttempt:
-		e.cancelAttempt(msg.id)
-	case closeIdleConnections:
+		x := &exchange{call: m, deadline: m.Deadline}
+		e.calls[m.ID] = x
+		e.start(x)
+	case probe:
+		e.start(&exchange{probe: true, deadline: time.Now().Add(probeWithin)})
+	case room:
+		if len(e.starved) == 0 {
+			e.fleet.pass()
+			return
+		}
+		x := e.starved[0]
+		e.starved = e.starved[1:]
+		e.start(x)
+	case overdue:
 		now := time.Now()
-		e.closeIdleWhere(func(c *connection) bool { return now.Sub(c.idleSince) >= msg.minIdle })
-	case dialEnded:
-		e.handleDialEnded(msg)
-	case exchangeEnded:
-		e.handleExchangeEnded(msg)
-	}
-}
-
-// updateListed notes what the list says of the endpoint. Connections to a process that has been replaced are closed.
-func (e *endpoint) updateListed(listed routing.Endpoint) {
-	if listed.Address != e.listed.Address || listed.StartedAt != e.listed.StartedAt || listed.State == scheduler.Gone {
-		e.closeIdle(time.Time{})
-	}
-	e.listed = listed
-}
-
-// useCapacity starts the exchange that has awaited capacity the longest.
-func (e *endpoint) useCapacity() {
-	if len(e.awaitingCapacity) == 0 {
-		e.pool.passOnCapacity()
-		return
-	}
-	next := e.awaitingCapacity[0]
-	e.awaitingCapacity = e.awaitingCapacity[1:]
-	e.startExchange(next)
-}
-
-// endOverdue ends the exchanges that await capacity whose deadline has passed.
-func (e *endpoint) endOverdue() {
-	now := time.Now()
-	e.awaitingCapacity = slices.DeleteFunc(e.awaitingCapacity, func(x *exchange) bool {
-		overdue := !now.Before(x.deadline)
-		if overdue {
-			e.endUnsent(x, scheduler.NeverSent)
+		e.starved = slices.DeleteFunc(e.starved, func(x *exchange) bool {
+			late := !now.Before(x.deadline)
+			if late {
+				e.end(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
+			}
+			return late
+		})
+	case bar:
+		e.barred = m.since
+		e.closeIdle(time.Time{}) // it is put out to be restarted
+	case cancel:
+		e.cancel(m.id)
+	case drop:
+		now := time.Now()
+		e.sweep(func(w *wire) bool { return now.Sub(w.since) >= m.idle })
+	case dialed:
+		e.dialed(m)
+	case ended:
+		if !m.x.probe {
+			delete(e.calls, m.x.call.ID)
 		}
-		return overdue
-	})
-}
-
-// startExchange begins an exchange on an idle connection, of those that may be reused the one last used, or opens one for it.
-func (e *endpoint) startExchange(pending *exchange) {
-	now := time.Now()
-	if e.reuseConnection(pending, now) {
-		return
-	}
-	if pending.mustNotSend(now) {
-		e.endUnsent(pending, scheduler.NeverSent)
-		return
-	}
-	if !e.pool.reserveConnection(e) {
-		// All connections carry attempts, and the next that ends soon makes way. At another endpoint the attempt would find no
-		// connection either, and the request would have lost an attempt.
-		if len(e.awaitingCapacity) == 0 {
-			e.pool.log.Warn("connection limit reached, attempts wait", "worker", e.id, "limit", e.pool.connectionLimit())
+		// One that was cut meanwhile is closed. To wait for this one's rest is no use to who waits for room.
+		if m.reuse && !m.x.cut.Load() && m.x.wire.in.Buffered() == 0 && m.x.wire.to == e.dest.Address && len(e.starved) == 0 {
+			e.rest(m.x.wire)
+		} else {
+			e.close(m.x.wire)
 		}
-		e.awaitingCapacity = append(e.awaitingCapacity, pending)
-		time.AfterFunc(time.Until(pending.deadline), func() { e.mailbox.Post(capacityWaitOverdue{}) })
-		return
 	}
-	e.awaitingDial = append(e.awaitingDial, pending)
-	e.dial(pending)
 }
 
-// reuseConnection begins an exchange on an idle connection and reports whether there was one. Those that have been idle for too long or
-// were closed by the endpoint are closed. An exchange that must not be sent any more ends.
-func (e *endpoint) reuseConnection(pending *exchange, now time.Time) bool {
+// start puts an exchange on an idle connection, of those that have rested the one last used first, or opens a new one
+// for it.
+func (e *endpoint) start(x *exchange) {
+	now := time.Now()
 	for i := len(e.idle) - 1; i >= 0; i-- {
-		candidate := e.idle[i]
-		if candidate.used && now.Sub(candidate.idleSince) < minIdleBeforeReuse {
+		w := e.idle[i]
+		if w.used && now.Sub(w.since) < restFor {
 			continue
 		}
 		e.idle = slices.Delete(e.idle, i, i+1)
-		if now.Before(e.pool.idleDeadline(candidate.idleSince)) && isAlive(candidate.conn) {
-			pending.connectionIdle = now.Sub(candidate.idleSince)
-			if !e.beginExchange(pending, candidate) {
-				e.assignConnection(candidate)
+		if now.Before(e.fleet.idleUntil(w.since)) && alive(w.conn) {
+			x.idle = now.Sub(w.since)
+			if !e.carry(x, w) {
+				e.free(w)
 			}
-			return true
+			return
 		}
-		e.closeConnection(candidate)
+		e.close(w)
 	}
-	return false
-}
-
-// dial opens a connection for an exchange, which was reserved. It returns at once; dialEnded is posted.
-func (e *endpoint) dial(owner *exchange) {
+	if x.void(now) {
+		e.end(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
+		return
+	}
+	if !e.fleet.take(e) {
+		// All carry calls. The next that ends gives its place up, which is soon; sent elsewhere, the call would find
+		// no connection either and have lost an attempt.
+		if len(e.starved) == 0 {
+			e.fleet.log.Warn("out of connections, calls wait", "endpoint", e.id, "most", e.fleet.allowed())
+		}
+		e.starved = append(e.starved, x)
+		time.AfterFunc(time.Until(x.deadline), func() { e.box.Post(overdue{}) })
+		return
+	}
+	e.waiting = append(e.waiting, x)
 	e.dialing++
-	address, until := e.listed.Address, time.Now().Add(e.pool.settings.Current().Limits.ConnectTimeout.Duration())
-	if owner.deadline.Before(until) {
-		until = owner.deadline
+	address, until := e.dest.Address, time.Now().Add(e.fleet.params.Current().Limits.ConnectTimeout.Duration())
+	if x.deadline.Before(until) {
+		until = x.deadline
 	}
 	go func() {
 		conn, err := (&net.Dialer{Deadline: until, KeepAlive: -1}).Dial("tcp", address)
 		if err != nil {
-			e.pool.releaseConnection()
-			e.mailbox.Post(dialEnded{owner: owner, err: err})
+			e.fleet.give()
+			e.box.Post(dialed{owner: x, err: err})
 			return
 		}
-		limit := &io.LimitedReader{R: conn}
-		e.mailbox.Post(dialEnded{owner: owner, connection: &connection{conn: conn, address: address, readLimit: limit, reader: bufio.NewReader(limit)}})
+		quota := &io.LimitedReader{R: conn}
+		e.box.Post(dialed{owner: x, wire: &wire{conn: conn, to: address, quota: quota, in: bufio.NewReader(quota)}})
 	}()
 }
 
-// handleDialEnded assigns a new connection to the exchange that has waited longest; that which it was opened for may have found
-// another one.
-func (e *endpoint) handleDialEnded(ended dialEnded) {
+// dialed gives a new connection to whoever has waited longest; the call that it was opened for may have
+// found another one.
+func (e *endpoint) dialed(m dialed) {
 	e.dialing--
-	if ended.err == nil && ended.connection.address == e.listed.Address {
-		e.assignConnection(ended.connection)
+	if m.err == nil && m.wire.to == e.dest.Address {
+		e.free(m.wire)
 		return
 	}
-	// One exchange is left without a connection to come: the owner or, where the owner is on the connection of another, the one
-	// that has waited longest.
-	index := slices.Index(e.awaitingDial, ended.owner)
-	if index < 0 && len(e.awaitingDial) > e.dialing {
-		index = 0
+	// Whoever is left without a connection to come: the owner, or, where another took the owner's place on
+	// the connection of a third, the one that has waited longest. It would wait for ever.
+	i := slices.Index(e.waiting, m.owner)
+	if i < 0 && len(e.waiting) > e.dialing {
+		i = 0
 	}
-	if ended.err == nil { // the address has changed meanwhile
-		e.closeConnection(ended.connection)
+	if m.err == nil { // the endpoint has moved meanwhile
+		e.close(m.wire)
 	}
-	if index < 0 {
+	if i < 0 {
 		return
 	}
-	left := e.awaitingDial[index]
-	e.awaitingDial = slices.Delete(e.awaitingDial, index, index+1)
-	if ended.err == nil {
-		e.startExchange(left)
+	x := e.waiting[i]
+	e.waiting = slices.Delete(e.waiting, i, i+1)
+	if m.err == nil {
+		e.start(x)
 		return
 	}
-	e.endUnsent(left, dialOutcome(ended.err))
-}
-
-// dialOutcome returns the outcome of an attempt whose connection could not be opened: NeverSent where this host is at fault.
-func dialOutcome(err error) scheduler.Outcome {
-	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-		return scheduler.NeverSent
+	out := scheduler.NoConnect
+	if errors.Is(m.err, syscall.EMFILE) || errors.Is(m.err, syscall.ENFILE) || errors.Is(m.err, syscall.EADDRNOTAVAIL) {
+		out = scheduler.NeverSent // this process's fault, not the endpoint's
 	}
-	return scheduler.NoConnect
+	e.end(x, routing.AttemptResult{Outcome: out})
 }
 
-// assignConnection begins the exchange that has waited longest on a connection, or keeps the connection idle.
-func (e *endpoint) assignConnection(free *connection) {
-	for _, queue := range [...]*[]*exchange{&e.awaitingDial, &e.awaitingCapacity} {
+// free takes a connection that carries nothing: it serves whoever waits, or stands idle.
+func (e *endpoint) free(w *wire) {
+	for _, queue := range [...]*[]*exchange{&e.waiting, &e.starved} {
 		for len(*queue) > 0 {
-			next := (*queue)[0]
+			x := (*queue)[0]
 			*queue = (*queue)[1:]
-			if e.beginExchange(next, free) {
+			if e.carry(x, w) {
 				return
 			}
 		}
 	}
-	e.keepIdle(free)
+	e.rest(w)
 }
 
-// beginExchange runs an exchange on a connection and reports whether it does. The attempt may have waited for the connection, so all
-// that forbids to send it is checked again; if it must not be sent, it ends.
-func (e *endpoint) beginExchange(pending *exchange, on *connection) bool {
+// rest lets a connection stand idle, if it may.
+func (e *endpoint) rest(w *wire) {
+	if len(e.idle) >= e.fleet.idleMost() || e.dest.State == scheduler.Gone {
+		e.close(w)
+		return
+	}
+	w.since = time.Now()
+	e.idle = append(e.idle, w)
+}
+
+// carry runs an exchange on a connection, if it may still go out; else the exchange ends unsent. Its call
+// may have waited for the connection, so all that forbids it is looked at again.
+func (e *endpoint) carry(x *exchange, w *wire) bool {
 	now := time.Now()
-	pending.sendDeadline = e.sendDeadline(pending)
-	if reason := e.forbiddenReason(pending, now); reason != "" {
-		e.logNotSent(pending, reason)
-		e.endUnsent(pending, scheduler.NeverSent)
+	x.latest = e.latest(x)
+	if why := e.forbidden(x, now); why != "" {
+		e.heldBack(x, why)
+		e.end(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
 		return false
 	}
-	if !pending.probe {
-		e.pool.log.Debug("sending attempt", "id", pending.requestID(), "attempt", pending.attempt.ID.Number, "worker", e.id,
-			"state", e.listed.State, "idle", pending.connectionIdle)
-		if !e.listed.NotifiedAt.IsZero() {
-			e.pool.log.Info("attempt to draining worker", "id", pending.requestID(), "attempt", pending.attempt.ID.Number, "worker", e.id,
-				"since_notified", now.Sub(e.listed.NotifiedAt))
+	if !x.probe {
+		e.fleet.log.Debug("attempt", "id", x.name(), "attempt", x.call.ID.Number, "worker", e.id, "state", e.dest.State, "idle", x.idle)
+		if !e.dest.NotifiedAt.IsZero() {
+			e.fleet.log.Info("attempt to a worker that drains", "id", x.name(), "attempt", x.call.ID.Number, "worker", e.id, "told", now.Sub(e.dest.NotifiedAt))
 		}
 	}
-	pending.connection, on.used = on, true
-	go e.runExchange(pending)
+	x.wire, w.used = w, true
+	go e.exchange(x)
 	return true
 }
 
-// handleExchangeEnded takes back the connection of an exchange. It is closed where the attempt was cancelled meanwhile, and where
-// exchanges await capacity: they cannot wait until it may be reused.
-func (e *endpoint) handleExchangeEnded(ended exchangeEnded) {
-	x := ended.exchange
-	if !x.probe {
-		delete(e.attempts, x.attempt.ID)
+// forbidden tells why an exchange must not be begun any more; empty if it may.
+func (e *endpoint) forbidden(x *exchange, now time.Time) string {
+	if x.void(now) {
+		return x.voidBecause(now)
+	}
+	if x.probe {
+		return ""
+	}
+	switch {
+	case x.call.ID.Number > 0 && e.fleet.RetriesAllowed != nil && !e.fleet.RetriesAllowed():
+		return "repeats are not allowed now"
+	case e.past(e.dest.NotifiedAt, drainMargin, now):
+		return "the worker drains or is gone"
+	case e.past(e.barred, writeMargin, now):
+		return "the worker is out by hand"
+	case now.After(x.latest):
+		return "the window for a repeat is nearly over"
+	}
+	return ""
+}
+
+// past tells whether the grace that began then is over, or may be before a write.
+func (e *endpoint) past(told time.Time, margin time.Duration, now time.Time) bool {
+	return !told.IsZero() && now.After(e.graceEnd(told, margin))
+}
+
+// graceEnd gives until when a call may be begun to an endpoint that was told then to drain, or is out by hand since then.
+func (e *endpoint) graceEnd(told time.Time, margin time.Duration) time.Time {
+	return told.Add(e.fleet.params.Current().Rules.DrainGrace.Duration() - margin)
+}
+
+// latest gives until when an exchange may be begun.
+func (e *endpoint) latest(x *exchange) time.Time {
+	latest := x.deadline
+	if x.probe {
+		return latest
+	}
+	earlier := func(t time.Time) {
+		if t.Before(latest) {
+			latest = t
+		}
+	}
+	if by := x.call.SendBy; !by.IsZero() {
+		earlier(by.Add(-writeMargin))
+	}
+	if told := e.dest.NotifiedAt; !told.IsZero() {
+		earlier(e.graceEnd(told, drainMargin))
 	}
-	returned := x.connection
-	if ended.reuse && !x.cancelled.Load() && returned.reader.Buffered() == 0 && returned.address == e.listed.Address && len(e.awaitingCapacity) == 0 {
-		e.keepIdle(returned)
-	} else {
-		e.closeConnection(returned)
+	if !e.barred.IsZero() {
+		earlier(e.graceEnd(e.barred, writeMargin))
 	}
+	return latest
 }
 
-// cancelAttempt cancels an attempt without an outcome: its connection is closed, or it ends unsent.
-func (e *endpoint) cancelAttempt(id routing.AttemptID) {
-	x := e.attempts[id]
-	if x == nil || x.cancelled.Swap(true) {
+func (e *endpoint) cancel(id routing.AttemptID) {
+	x := e.calls[id]
+	if x == nil || x.cut.Swap(true) {
 		return
 	}
-	if x.connection != nil {
-		_ = x.connection.conn.Close() // ends the reading of the exchange, which reports the outcome
+	if x.wire != nil {
+		x.wire.conn.Close() // ends the exchange's reading; how it ended is told there
 		return
 	}
-	for _, queue := range [...]*[]*exchange{&e.awaitingDial, &e.awaitingCapacity} {
+	for _, queue := range [...]*[]*exchange{&e.waiting, &e.starved} {
 		if i := slices.Index(*queue, x); i >= 0 {
 			*queue = slices.Delete(*queue, i, i+1)
-			e.endUnsent(x, scheduler.NeverSent)
+			e.end(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
 			return
 		}
 	}
 }
 
-// endUnsent ends an exchange that no connection carries.
-func (e *endpoint) endUnsent(pending *exchange, outcome scheduler.Outcome) {
-	if !pending.probe {
-		delete(e.attempts, pending.attempt.ID)
+// end ends an exchange that no connection carries.
+func (e *endpoint) end(x *exchange, end routing.AttemptResult) {
+	if !x.probe {
+		delete(e.calls, x.call.ID)
 	}
-	e.report(pending, routing.AttemptResult{Outcome: outcome})
+	e.tell(x, end)
 }
 
-// logNotSent logs at debug level why an attempt is not sent.
-func (e *endpoint) logNotSent(pending *exchange, reason string) {
-	if !pending.probe {
-		e.pool.log.Debug("attempt not sent", "id", pending.requestID(), "attempt", pending.attempt.ID.Number, "worker", e.id, "reason", reason)
+// closeIdle closes the idle connections whose time had come by then, or all for the zero time.
+func (e *endpoint) closeIdle(by time.Time) {
+	e.sweep(func(w *wire) bool { return by.IsZero() || !by.Before(e.fleet.idleUntil(w.since)) })
+}
+
+// sweep closes the idle connections that are too old.
+func (e *endpoint) sweep(old func(*wire) bool) {
+	e.idle = slices.DeleteFunc(e.idle, func(w *wire) bool {
+		if !old(w) {
+			return false
+		}
+		e.close(w)
+		return true
+	})
+}
+
+func (e *endpoint) close(w *wire) {
+	w.conn.Close()
+	e.fleet.give()
+}
+
+// alive looks, without waiting, whether a peer has closed a connection that was idle: what is written to
+// such a one would end as a reset that may have run.
+func alive(conn net.Conn) bool {
+	raw, err := conn.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		return false
 	}
+	ok := false
+	err = raw.Read(func(fd uintptr) bool {
+		var b [1]byte
+		_, err := syscall.Read(int(fd), b[:])
+		ok = errors.Is(err, syscall.EAGAIN)
+		return true
+	})
+	return err == nil && ok
 }
--- a/internal/transport/endpointpool.go
+++ b/internal/transport/endpointpool.go
@@ -1,5 +1,5 @@
-// Package transport has the sockets of the dispatcher: the listeners and frontends for clients, the connections to endpoints and the
-// calls to discovery, the admin API, and the socket between a process and its successor.
+// Package transport holds the sockets: the server for inbound requests, the front for server-sent
+// events, the connections to endpoints and the calls to discovery.
 package transport
 
 import (
@@ -13,196 +13,182 @@
 	"brassdale/scheduler"
 )
 
-// idleShare is the share of the settings' time, in percent, after which an idle connection is closed: before the endpoint closes it,
-// as what is written to a connection that was closed ends as a reset.
-const idleShare = 85
-
-// RetrySettings are the operator's limits on retries.
+// RetrySettings are the operator's, in a block fleet.
 type RetrySettings struct {
-	RetryRatio float64 `hcl:"retry_budget"` // retries for each first attempt, over sliding windows
+	RetryRatio float64 `hcl:"retry_budget"` // further calls for each first one, over sliding windows
 }
 
-// Sink receives what endpoints return. No method blocks. routing.Core is one.
+// Sink takes what comes back from endpoints. No method blocks.
 type Sink interface {
-	AttemptSent() // the last byte of an attempt was written
 	AttemptStarted(routing.AttemptID)
 	AttemptProgressed(routing.AttemptID, float64)
 	AttemptFinished(routing.AttemptID, routing.AttemptResult)
 	ProbeCompleted(scheduler.WorkerID, scheduler.Outcome, *scheduler.Report)
+	AttemptSent() // a call was written to its last byte
 }
 
-// EndpointPool is the routing.EndpointPool of the program. It passes attempts and probes to the actors of the endpoints, and owns the
-// number of connections that these may have open together. Its methods may be called from any goroutine and do not block. The actor
-// of an endpoint that is gone stays, idle: the endpoint may be listed again.
+// EndpointPool hands calls to the endpoints' actors. It is the core's routing.Endpoints. The actor of an endpoint
+// that is gone stays, idle: the module too remembers a worker for its life, and it may come back.
 type EndpointPool struct {
-	ctx      context.Context //nolint:containedctx // the life of the program: actors of endpoints start when these are listed and end with it
-	settings *protocol.LiveSettings
-	sink     Sink
-	log      *slog.Logger
-
-	// RetriesAllowed reports whether an attempt after a request's first may still be sent; nil for always. It is set before the
-	// first attempt.
+	ctx     context.Context
+	params  *protocol.LiveSettings
+	sink    Sink
+	log     *slog.Logger
+	mu      sync.Mutex
+	most    int // connections that all endpoints together may have open
+	open    int // and how many are
+	members map[scheduler.WorkerID]*endpoint
+	barred  map[scheduler.WorkerID]time.Time // put out by hand, listed or not
+	starved []*endpoint                      // wait for a connection that they may open
+
+	// RetriesAllowed tells whether a call beyond a job's first may still leave; nil for always. It is set before the first call.
 	RetriesAllowed func() bool
-
-	mu              sync.Mutex
-	maxConnections  int // that all endpoints together may have open
-	openConnections int // that they have open or are opening
-	endpoints       map[scheduler.WorkerID]*endpoint
-	detachedSince   map[scheduler.WorkerID]time.Time // of workers that are detached, listed or not
-	waiting         []*endpoint                      // an entry for each connection that an endpoint waits to open
 }
 
-// NewEndpointPool returns an empty pool. It opens no connection before SetConnectionLimit. Its actors end with the context.
-func NewEndpointPool(ctx context.Context, settings *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
-	return &EndpointPool{
-		ctx: ctx, settings: settings, sink: sink, log: log,
-		endpoints: map[scheduler.WorkerID]*endpoint{}, detachedSince: map[scheduler.WorkerID]time.Time{},
-	}
+// NewEndpointPool makes an empty fleet. It opens no connection before Allow.
+func NewEndpointPool(ctx context.Context, p *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
+	return &EndpointPool{ctx: ctx, params: p, sink: sink, log: log, members: map[scheduler.WorkerID]*endpoint{},
+		barred: map[scheduler.WorkerID]time.Time{}}
 }
 
 // SetConnectionLimit sets how many connections all endpoints together may have open.
-func (p *EndpointPool) SetConnectionLimit(limit int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.maxConnections = limit
-	p.notifyWaiting()
-}
-
-// connectionLimit returns how many connections all endpoints together may have open.
-func (p *EndpointPool) connectionLimit() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.maxConnections
-}
-
-// OpenConnections returns how many connections endpoints have open or are opening.
-func (p *EndpointPool) OpenConnections() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.openConnections
-}
-
-// reserveConnection counts a connection that is to be opened and reports whether it may be. If not, the endpoint is posted
-// capacityFreed when another is closed, and all endpoints close their idle connections.
-func (p *EndpointPool) reserveConnection(waiter *endpoint) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.openConnections < p.maxConnections {
-		p.openConnections++
+func (f *EndpointPool) SetConnectionLimit(most int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.most = most
+	f.feed()
+}
+
+func (f *EndpointPool) allowed() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.most
+}
+
+// take counts a connection that is to be opened, and tells whether it may be. If not, the endpoint hears of the next
+// that is closed, and all close what stands idle.
+func (f *EndpointPool) take(e *endpoint) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.open < f.most {
+		f.open++
 		return true
 	}
-	if len(p.waiting) == 0 {
-		for _, other := range p.endpoints {
-			other.mailbox.Post(closeIdleConnections{0})
+	if len(f.starved) == 0 {
+		for _, o := range f.members {
+			o.box.Post(drop{0})
 		}
 	}
-	p.waiting = append(p.waiting, waiter)
+	f.starved = append(f.starved, e)
 	return false
 }
 
-// releaseConnection counts a connection that was closed, or could not be opened.
-func (p *EndpointPool) releaseConnection() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.openConnections--
-	p.notifyWaiting()
+// pass gives on what an endpoint that once waited has no more use for.
+func (f *EndpointPool) pass() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.feed()
 }
 
-// passOnCapacity notifies the next endpoint that waits, where one that was notified has no use for a connection any more.
-func (p *EndpointPool) passOnCapacity() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.notifyWaiting()
+// give counts a connection that is closed.
+func (f *EndpointPool) give() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.open--
+	f.feed()
 }
 
-// notifyWaiting notifies as many endpoints that wait as connections may be opened, the longest waiting first. p.mu is held.
-func (p *EndpointPool) notifyWaiting() {
-	for free := p.maxConnections - p.openConnections; free > 0 && len(p.waiting) > 0; free-- {
-		p.waiting[0].mailbox.Post(capacityFreed{})
-		p.waiting = p.waiting[1:]
+// feed tells those that wait as far as there is room; f.mu is held.
+func (f *EndpointPool) feed() {
+	for n := f.most - f.open; n > 0 && len(f.starved) > 0; n-- {
+		f.starved[0].box.Post(room{})
+		f.starved = f.starved[1:]
 	}
 }
 
-// Update passes an endpoint's actor what the list says of it, and starts the actor of a new one.
-func (p *EndpointPool) Update(listed routing.Endpoint) {
-	p.mu.Lock()
-	found := p.endpoints[listed.ID]
-	if found == nil && listed.State != scheduler.Gone {
-		found = newEndpoint(p, listed)
-		found.detachedSince = p.detachedSince[listed.ID]
-		p.endpoints[listed.ID] = found
-		go found.run(p.ctx)
+// OpenConnections is how many they have.
+func (f *EndpointPool) OpenConnections() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.open
+}
+
+// Update tells an endpoint's actor what the destination set says of it, and starts the actor of a new one.
+func (f *EndpointPool) Update(d routing.Endpoint) {
+	f.mu.Lock()
+	e := f.members[d.ID]
+	if e == nil && d.State != scheduler.Gone {
+		e = newEndpoint(f, d)
+		e.barred = f.barred[d.ID]
+		f.members[d.ID] = e
+		go e.run(f.ctx)
 	}
-	p.mu.Unlock()
-	if found != nil {
-		found.mailbox.Post(listed)
+	f.mu.Unlock()
+	if e != nil {
+		e.box.Post(d)
 	}
 }
 
-// endpoint returns the actor of an endpoint; nil for one that was never listed.
-func (p *EndpointPool) endpoint(id scheduler.WorkerID) *endpoint {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.endpoints[id]
+func (f *EndpointPool) member(id scheduler.WorkerID) *endpoint {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.members[id]
 }
 
-// Send starts an attempt. To an endpoint that was never listed it ends as NeverSent.
-func (p *EndpointPool) Send(attempt routing.Attempt) {
-	if found := p.endpoint(attempt.Endpoint); found != nil {
-		found.mailbox.Post(attempt)
+// Send starts a call.
+func (f *EndpointPool) Send(c routing.Attempt) {
+	if e := f.member(c.Endpoint); e != nil {
+		e.box.Post(c)
 		return
 	}
-	p.sink.AttemptFinished(attempt.ID, routing.AttemptResult{Outcome: scheduler.NeverSent})
+	f.sink.AttemptFinished(c.ID, routing.AttemptResult{Outcome: scheduler.NeverSent})
 }
 
-// Cancel cancels an attempt. Its outcome follows.
-func (p *EndpointPool) Cancel(id scheduler.WorkerID, attempt routing.AttemptID) {
-	if found := p.endpoint(id); found != nil {
-		found.mailbox.Post(cancelAttempt{attempt})
+// Cancel gives a call up.
+func (f *EndpointPool) Cancel(id scheduler.WorkerID, c routing.AttemptID) {
+	if e := f.member(id); e != nil {
+		e.box.Post(cancel{c})
 	}
 }
 
-// SetDetached marks a worker as detached by the operator since then; the zero time reattaches it. The mark is independent of the
-// endpoint list.
-func (p *EndpointPool) SetDetached(id scheduler.WorkerID, since time.Time) {
-	p.mu.Lock()
-	if p.detachedSince[id] = since; since.IsZero() {
-		delete(p.detachedSince, id)
+// Bar puts an endpoint out by hand, or back. That stands beside what the destination set says of it.
+func (f *EndpointPool) SetDetached(id scheduler.WorkerID, since time.Time) {
+	f.mu.Lock()
+	if f.barred[id] = since; since.IsZero() {
+		delete(f.barred, id)
 	}
-	p.mu.Unlock()
-	if found := p.endpoint(id); found != nil {
-		found.mailbox.Post(setDetached{since})
+	f.mu.Unlock()
+	if e := f.member(id); e != nil {
+		e.box.Post(bar{since})
 	}
 }
 
-// CloseIdle closes the connections of an endpoint that have been idle for at least minIdle.
-func (p *EndpointPool) CloseIdle(id scheduler.WorkerID, minIdle time.Duration) {
-	if found := p.endpoint(id); found != nil {
-		found.mailbox.Post(closeIdleConnections{minIdle})
+// Drop closes an endpoint's connections that have stood idle for so long.
+func (f *EndpointPool) CloseIdle(id scheduler.WorkerID, idle time.Duration) {
+	if e := f.member(id); e != nil {
+		e.box.Post(drop{idle})
 	}
 }
 
-// Probe sends a probe to an endpoint. To one that was never listed it completes as NeverSent.
-func (p *EndpointPool) Probe(id scheduler.WorkerID) {
-	if found := p.endpoint(id); found != nil {
-		found.mailbox.Post(startProbe{})
+// Probe asks an endpoint for a sign of life.
+func (f *EndpointPool) Probe(id scheduler.WorkerID) {
+	if e := f.member(id); e != nil {
+		e.box.Post(probe{})
 		return
 	}
-	p.sink.ProbeCompleted(id, scheduler.NeverSent, nil)
+	f.sink.ProbeCompleted(id, scheduler.NeverSent, nil)
 }
 
-// maxIdleConnections returns how many idle connections an endpoint may have: half of all connections are divided among the endpoints.
-// It is 0 while an endpoint waits to open one.
-func (p *EndpointPool) maxIdleConnections() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.waiting) > 0 {
+// idleMost is how many idle connections an endpoint may keep, so that all together stay within bounds.
+func (f *EndpointPool) idleMost() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.starved) > 0 {
 		return 0
 	}
-	return max(p.maxConnections/(2*max(len(p.endpoints), 1)), 1)
+	return max(f.most/(2*max(len(f.members), 1)), 1)
 }
 
-// idleDeadline returns when a connection that is idle since then is to be closed.
-func (p *EndpointPool) idleDeadline(since time.Time) time.Time {
-	return since.Add(p.settings.Current().Limits.ConnIdle.Duration() * idleShare / 100)
+func (f *EndpointPool) idleUntil(since time.Time) time.Time {
+	return since.Add(f.params.Current().Limits.ConnIdle.Duration() * 85 / 100)
 }
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -13,181 +13,172 @@
 	"brassdale/scheduler"
 )
 
-const (
-	// responseDrainTimeout is how long an endpoint has for the rest of a response after its last message.
-	responseDrainTimeout = time.Second
-
-	// maxResponseBytes is the most that an exchange reads: an endpoint that sends more ends its own attempt.
-	maxResponseBytes = 1 << 20
-)
-
-// exchange is an attempt or a probe at an endpoint, from its start to its outcome. Its fields belong to the goroutine of endpoint.run
-// until that has started runExchange, and do not change after; cancelled may be set at any time.
+// exchange is a call or a probe, from its start here to its outcome.
 type exchange struct {
-	attempt        routing.Attempt // unless it is a probe
-	probe          bool
-	deadline       time.Time
-	cancelled      atomic.Bool
-	connection     *connection   // nil until one carries it
-	sendDeadline   time.Time     // it must not be begun later; set when a connection carries it
-	connectionIdle time.Duration // how long that had been idle
+	call     routing.Attempt
+	probe    bool
+	deadline time.Time
+	cut      atomic.Bool   // called off
+	wire     *wire         // once one carries it
+	latest   time.Time     // it must not be begun later; set once a connection carries it
+	idle     time.Duration // for so long that had stood idle
 }
 
-// mustNotSend reports whether an exchange that was not sent must not be sent any more.
-func (x *exchange) mustNotSend(now time.Time) bool {
-	return x.cancelled.Load() || !now.Before(x.deadline) || !x.probe && x.attempt.MustNotSend(now)
+// void tells whether an exchange must not leave any more, if it has not yet.
+func (x *exchange) void(now time.Time) bool {
+	return x.cut.Load() || !now.Before(x.deadline) || !x.probe && x.call.MustNotSend(now)
 }
 
-// mustNotSendReason returns why mustNotSend is true, for the log.
-func (x *exchange) mustNotSendReason(now time.Time) string {
+// voidBecause names what makes an exchange void.
+func (x *exchange) voidBecause(now time.Time) string {
 	switch {
-	case x.cancelled.Load():
-		return "cancelled"
+	case x.cut.Load():
+		return "called off"
 	case !now.Before(x.deadline):
-		return "deadline passed"
-	case x.attempt.ClientGone != nil && x.attempt.ClientGone():
-		return "client left"
+		return "its deadline has come"
+	case x.call.ClientGone != nil && x.call.ClientGone():
+		return "its client has gone"
 	}
-	return "deduplication window over"
+	return "the window for a repeat is over"
 }
 
-// requestID returns the ID that the client gave its request.
-func (x *exchange) requestID() string {
-	if job, ok := x.attempt.Job.(*protocol.Job); ok {
+// name is the id that the client gave its request.
+func (x *exchange) name() string {
+	if job, ok := x.call.Job.(*protocol.Job); ok {
 		return job.ID
 	}
 	return ""
 }
 
-// writeDeadline returns when the last byte of an exchange must have been written.
-func (x *exchange) writeDeadline() time.Time {
-	if by := x.attempt.SendBy; !by.IsZero() && by.Before(x.deadline) {
-		return by
+// tell gives an exchange's outcome, once for each. It touches nothing that the actor owns.
+func (e *endpoint) tell(x *exchange, end routing.AttemptResult) {
+	if x.probe {
+		e.fleet.sink.ProbeCompleted(e.id, end.Outcome, end.Report)
+	} else {
+		end.ConnectionIdle = x.idle
+		e.fleet.sink.AttemptFinished(x.call.ID, end)
 	}
-	return x.deadline
 }
 
-// report passes the sink the result of an exchange. It is called once for each, from any goroutine: it uses nothing that run owns.
-func (e *endpoint) report(ended *exchange, result routing.AttemptResult) {
-	if ended.probe {
-		e.pool.sink.ProbeCompleted(e.id, result.Outcome, result.Report)
-	} else {
-		result.ConnectionIdle = ended.connectionIdle
-		e.pool.sink.AttemptFinished(ended.attempt.ID, result)
+// writeBy is when the last byte of an exchange must have left.
+func (x *exchange) writeBy() time.Time {
+	if by := x.call.SendBy; !by.IsZero() && by.Before(x.deadline) {
+		return by
 	}
+	return x.deadline
 }
 
-// runExchange writes the request, reads the response, passes the sink what is received, and hands the connection back to run. It runs
-// in a goroutine of its own and ends at the deadline of the exchange at the latest, but for responseDrainTimeout.
-func (e *endpoint) runExchange(running *exchange) {
+// exchange runs beside the actor: it writes the request and reads the answer, tells the core of all that
+// comes, and hands the connection back. The connection's deadline is the call's.
+func (e *endpoint) exchange(x *exchange) {
 	reuse := false
-	defer func() { e.mailbox.Post(exchangeEnded{running, reuse}) }()
-	running.connection.readLimit.N = maxResponseBytes
-	text := e.requestText(running)
-	if now := time.Now(); running.mustNotSend(now) || now.After(running.sendDeadline) { // this goroutine may not have been run for a while
-		e.logNotSent(running, "delayed before write")
-		reuse = !running.cancelled.Load()
-		e.report(running, routing.AttemptResult{Outcome: scheduler.NeverSent})
+	defer func() { e.box.Post(ended{x, reuse}) }()
+	x.wire.quota.N = mostAnswer
+	text := e.word(x)
+	if now := time.Now(); x.void(now) || now.After(x.latest) { // this may have waited for its turn
+		e.heldBack(x, "it waited too long for its turn")
+		reuse = !x.cut.Load()
+		e.tell(x, routing.AttemptResult{Outcome: scheduler.NeverSent})
 		return
 	}
-	if outcome, ok := running.writeRequest(text); !ok {
-		e.report(running, routing.AttemptResult{Outcome: outcome})
+	if out, ok := x.write(text); !ok {
+		e.tell(x, routing.AttemptResult{Outcome: out})
 		return
 	}
-	if !running.probe {
-		e.pool.sink.AttemptSent()
+	if !x.probe {
+		e.fleet.sink.AttemptSent()
 	}
-	response, err := e.readResponse(running)
+	resp, err := e.read(x)
 	if err != nil {
-		e.report(running, routing.AttemptResult{Outcome: running.outcomeOfError(err)})
+		e.tell(x, routing.AttemptResult{Outcome: x.broken(err)})
 		return
 	}
-	reuse = running.drainResponse(response) && !running.cancelled.Load()
+	reuse = x.drain(resp) && !x.cut.Load()
 }
 
-// requestText returns the text of a request.
-func (e *endpoint) requestText(running *exchange) []byte {
-	host := running.connection.conn.RemoteAddr().String()
-	if running.probe {
-		return protocol.EncodeProbe(host, e.pool.settings.Current())
-	}
-	job, _ := running.attempt.Job.(*protocol.Job)
-	return job.Encode(host, forwardedWait(time.Until(job.Deadline)))
+// word gives the text of a request.
+func (e *endpoint) word(x *exchange) []byte {
+	host := x.wire.conn.RemoteAddr().String()
+	if x.probe {
+		return protocol.EncodeProbe(host, e.fleet.params.Current())
+	}
+	job, _ := x.call.Job.(*protocol.Job)
+	return job.Encode(host, passedOn(time.Until(job.Deadline)))
 }
 
-// writeRequest writes a request. If its last byte was not written, it returns the outcome and false: the endpoint begins a request
-// only when it has all of it.
-func (x *exchange) writeRequest(text []byte) (outcome scheduler.Outcome, ok bool) {
-	conn := x.connection.conn
-	_ = conn.SetReadDeadline(x.deadline) // fails only on a closed connection, as does the write
-	_ = conn.SetWriteDeadline(x.writeDeadline())
-	written, err := conn.Write(text)
+// write writes a request, and tells how the exchange ended if its last byte did not leave: the endpoint has not begun what it
+// has not got whole.
+func (x *exchange) write(text []byte) (out scheduler.Outcome, ok bool) {
+	conn := x.wire.conn
+	_ = conn.SetReadDeadline(x.deadline) // fails only on a closed connection, as does what follows
+	_ = conn.SetWriteDeadline(x.writeBy())
+	n, err := conn.Write(text)
 	switch {
-	case err == nil || written == len(text):
+	case err == nil || n == len(text):
 		return 0, true
-	case x.cancelled.Load():
+	case x.cut.Load():
 		return scheduler.NeverSent, false
 	}
 	return scheduler.NoConnect, false
 }
 
-// readResponse reads the response up to its last message and reports the result. On an error nothing has been reported.
-func (e *endpoint) readResponse(running *exchange) (*http.Response, error) {
-	response, err := http.ReadResponse(running.connection.reader, nil)
-	for err == nil && response.StatusCode < http.StatusOK { // an interim response is not the last one
-		response, err = http.ReadResponse(running.connection.reader, nil)
+// read reads the answer up to its last message, and tells the core of all that comes.
+func (e *endpoint) read(x *exchange) (*http.Response, error) {
+	resp, err := http.ReadResponse(x.wire.in, nil)
+	for err == nil && resp.StatusCode < http.StatusOK { // an interim answer ends nothing
+		resp, err = http.ReadResponse(x.wire.in, nil)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if !running.probe {
-		return response, e.followJob(running, protocol.NewWorkerResponse(running.requestID(), response))
+	if !x.probe {
+		return resp, e.follow(x, protocol.NewWorkerResponse(x.name(), resp))
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxBodyBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, protocol.MaxBodyBytes))
 	if err != nil {
 		return nil, err
 	}
-	outcome, report := protocol.ParseProbe(response, body)
-	e.report(running, routing.AttemptResult{Outcome: outcome, Report: report})
-	return response, nil
+	outcome, report := protocol.ParseProbe(resp, body)
+	e.tell(x, routing.AttemptResult{Outcome: outcome, Report: report})
+	return resp, nil
+}
+
+// broken gives the outcome of an exchange whose reading ended with an error.
+func (x *exchange) broken(err error) scheduler.Outcome {
+	switch {
+	case x.cut.Load():
+		return scheduler.Cancelled
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return scheduler.TimedOut
+	}
+	return scheduler.Reset
+}
+
+// drain reads the end of the framing, and tells whether the connection may carry a further request. A peer that holds it back
+// costs the connection only.
+func (x *exchange) drain(resp *http.Response) bool {
+	conn := x.wire.conn
+	_ = conn.SetDeadline(time.Now().Add(drainWithin))
+	rest, err := io.Copy(io.Discard, io.LimitReader(resp.Body, protocol.MaxBodyBytes))
+	_ = conn.SetDeadline(time.Time{})
+	return err == nil && rest < protocol.MaxBodyBytes && !resp.Close
 }
 
-// followJob passes the sink the messages of a worker about a job, up to the last one.
-func (e *endpoint) followJob(running *exchange, response *protocol.WorkerResponse) error {
+// follow passes a job's news on until its last message.
+func (e *endpoint) follow(x *exchange, a *protocol.WorkerResponse) error {
 	for {
-		event, err := response.Next()
+		news, err := a.Next()
 		if err != nil {
 			return err
 		}
-		switch event.State {
+		switch news.State {
 		case protocol.Started:
-			e.pool.sink.AttemptStarted(running.attempt.ID)
+			e.fleet.sink.AttemptStarted(x.call.ID)
 		case protocol.Running:
-			e.pool.sink.AttemptProgressed(running.attempt.ID, event.Share)
+			e.fleet.sink.AttemptProgressed(x.call.ID, news.Share)
 		case protocol.Ended:
-			e.report(running, event.Result)
+			e.tell(x, news.Result)
 			return nil
 		}
 	}
 }
-
-// outcomeOfError returns the outcome of an exchange whose response could not be read.
-func (x *exchange) outcomeOfError(err error) scheduler.Outcome {
-	switch {
-	case x.cancelled.Load():
-		return scheduler.Cancelled
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return scheduler.TimedOut
-	}
-	return scheduler.Reset
-}
-
-// drainResponse reads the rest of a response and reports whether the connection may carry another exchange. The result has been
-// reported before: an endpoint that does not end its response costs the connection only.
-func (x *exchange) drainResponse(response *http.Response) bool {
-	conn := x.connection.conn
-	_ = conn.SetDeadline(time.Now().Add(responseDrainTimeout)) // fails only on a closed connection, as does the read
-	rest, err := io.Copy(io.Discard, io.LimitReader(response.Body, protocol.MaxBodyBytes))
-	_ = conn.SetDeadline(time.Time{})
-	return err == nil && rest < protocol.MaxBodyBytes && !response.Close
-}
--- a/internal/transport/held_up_test.go
+++ b/internal/transport/held_up_test.go
@@ -29,8 +29,8 @@
 	} {
 		e, ends, w, there := newIdle(t, c.told)
 		x := newExchange(far)
-		x.attempt.SendBy = c.by
-		if carried := e.beginExchange(x, w); carried != c.sent {
+		x.call.SendBy = c.by
+		if carried := e.carry(x, w); carried != c.sent {
 			t.Errorf("%s: sent %v", name, carried)
 		}
 		if there.Close(); !c.sent {
--- a/internal/transport/margins.go
+++ b/internal/transport/margins.go
@@ -2,33 +2,31 @@
 
 import "time"
 
-// Margins before times after which something must not be sent. They follow from two rules of the operators: a process may not be run
-// for maxSuspension between reading its clock and writing, and time limits on sockets are 50 ms longer than the settings say, which is
-// left to the network and not used here.
+// The margins that are kept before moments behind which something must not be begun. They follow from two terms of the
+// operators: a dispatcher may be held up for mostHoldUp between reading its clock and writing, and time limits on sockets are
+// 50 ms longer than the settings give them, which is left for the way and not used up here.
 const (
-	// maxSuspension is how long a process may not be run between reading its clock and a write.
-	maxSuspension = 150 * time.Millisecond
+	// mostHoldUp is how long a process may be held up between a look at the clock and a write.
+	mostHoldUp = 150 * time.Millisecond
 
-	// maxProcessing is the time that the program itself needs from reading its clock to the write on a busy core: until a
-	// goroutine is run, and to encode the request.
-	maxProcessing = 50 * time.Millisecond
+	// ownDelay is for what the program itself takes from the look to the write on a busy core: a goroutine's turn, and the
+	// wording of the request.
+	ownDelay = 50 * time.Millisecond
 
-	// writeMargin is how long before such a time the clock must have been read for the last time: 200 ms.
-	writeMargin = maxSuspension + maxProcessing
+	// writeMargin is how long before such a moment the last look at the clock must be: mostHoldUp + ownDelay, 200 ms.
+	writeMargin = mostHoldUp + ownDelay
 
-	// drainMargin is the margin before the end of a drain grace, which counts from when discovery wrote the list: that may have
-	// been unread for maxSuspension, and the process may be suspended once more after reading the clock. 350 ms.
-	drainMargin = maxSuspension + writeMargin
+	// drainMargin is kept before the end of a drain's grace, which counts from when discovery wrote the list: it may have lain
+	// unread for mostHoldUp, and the process may be held up once more behind the look at the clock. 350 ms.
+	drainMargin = mostHoldUp + writeMargin
 
-	// deadlineMargin is subtracted from the time that a client still waits before it is passed on: the request may have been
-	// unread for that long. The answer slack of 150 ms covers maxSuspension.
-	deadlineMargin = maxProcessing
-
-	// deadlineDivisor bounds the margin of a short wait to a part of it.
-	deadlineDivisor = 8
+	// deadlineMargin is taken off what a client has left before it is passed on: the request may have waited unread for as
+	// long, while its client's time ran. The slack of 150 ms covers mostHoldUp. Of a short time it is deadlinePart only.
+	deadlineMargin = ownDelay
+	deadlinePart   = 8
 )
 
-// forwardedWait returns how long a worker is told that the dispatcher waits, of the time that the client still waits.
-func forwardedWait(left time.Duration) time.Duration {
-	return max(left-min(deadlineMargin, left/deadlineDivisor), 0)
+// passedOn gives how long an endpoint is told that it has, of what is left to the client.
+func passedOn(left time.Duration) time.Duration {
+	return max(left-min(deadlineMargin, left/deadlinePart), 0)
 }
