--- a/internal/protocol/handover_test.go
+++ b/internal/protocol/handover_test.go
@@ -10,28 +10,28 @@
 	"brassdale/scheduler"
 )
 
-// What a process hands to the one that replaces it holds though the wall clock is set in between: how long ago a drain was told,
-// how long a job is remembered. Setting the clock is played by another year in the words that cross.
-func TestHandoverOutlivesAStepOfTheClock(t *testing.T) {
+// The time of a notification survives a handover during which the wall clock is adjusted. The adjustment is simulated by another year in
+// the encoded handover.
+func TestHandover_clockAdjusted_notificationTimeKept(t *testing.T) {
 	now := time.Now()
-	p := &Settings{}
-	told := now.Add(-200 * time.Millisecond)
-	h := Handover{Discovery: "d", Members: KnownMembers([]routing.Endpoint{{Address: "127.0.0.1:1", NotifiedAt: told,
-		WorkerInfo: scheduler.WorkerInfo{ID: "a", State: scheduler.Draining}}}, p)}
-	text, err := json.Marshal(h)
+	settings := &Settings{}
+	notifiedAt := now.Add(-200 * time.Millisecond)
+	handover := Handover{Discovery: "d", Members: KnownMembers([]routing.Endpoint{{Address: "127.0.0.1:1", NotifiedAt: notifiedAt,
+		WorkerInfo: scheduler.WorkerInfo{ID: "a", State: scheduler.Draining}}}, settings)}
+	text, err := json.Marshal(handover)
 	if err != nil {
 		t.Fatal(err)
 	}
-	year := told.Format("2006-")
+	year := notifiedAt.Format("2006-")
 	var later Handover
 	if err := json.Unmarshal([]byte(strings.ReplaceAll(string(text), year, "2001-")), &later); err != nil {
 		t.Fatal(err)
 	}
-	u, err := later.Update("d", p)
+	update, err := later.Update("d", settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if off := u.Endpoints[0].NotifiedAt.Sub(told); off < -time.Second || off > time.Second {
-		t.Errorf("the drain was told %v off", off)
+	if off := update.Endpoints[0].NotifiedAt.Sub(notifiedAt); off < -time.Second || off > time.Second {
+		t.Errorf("the time of the notification is off by %v", off)
 	}
 }
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -13,8 +13,8 @@
 	"brassdale/scheduler"
 )
 
-// FuzzDecodeInbound feeds whole requests as they come: each is a job with a deadline within its class's and a body within
-// the bound, whose words can be passed on, or is turned away with a status of a client's fault.
+// FuzzDecodeInbound decodes whole requests: each is a job with a deadline within that of its class and a body within the bound, which
+// can be encoded for a worker, or is rejected with a 4xx status.
 func FuzzDecodeInbound(f *testing.F) {
 	head := "POST /price-part?sheet=7 HTTP/1.1\r\nHost: h\r\nReq-Id: a\r\nIdempotency-Key: k\r\n"
 	f.Add([]byte(head + "Req-Deadline-Ms: 300\r\nReq-Kind: price-part\r\nReq-Owner: o\r\nReq-Extra: slots=2,memory=1.5\r\nCookie: user=7\r\nContent-Length: 3\r\n\r\nabc"))
@@ -22,22 +22,22 @@
 	f.Add([]byte(head + "Req-Id: b\r\n\r\n"))
 	f.Add([]byte(head + "Req-Deadline-Ms: 99999999999999999999\r\n\r\n"))
 	f.Add([]byte("GET /none HTTP/1.1\r\nHost: h\r\n\r\n"))
-	p := &Settings{}
-	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000}],"limits":{"maxAttempts":4}}`), p); err != nil {
+	settings := &Settings{}
+	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000}],"limits":{"maxAttempts":4}}`), settings); err != nil {
 		f.Fatal(err)
 	}
-	(&LiveSettings{}).Replace(p, func(scheduler.Settings) {})
+	(&LiveSettings{}).Replace(settings, func(scheduler.Settings) {})
 	now := time.Unix(1e9, 0)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
 			return
 		}
-		job, err := DecodeInbound(r, p, now)
+		job, err := DecodeInbound(r, settings, now)
 		if err != nil {
-			why := (*RequestError)(nil)
-			if !errors.As(err, &why) || why.Status < 400 || why.Status > 499 {
-				t.Fatalf("turned away with %v", err)
+			rejected := (*RequestError)(nil)
+			if !errors.As(err, &rejected) || rejected.Status < 400 || rejected.Status > 499 {
+				t.Fatalf("rejected with %v", err)
 			}
 			return
 		}
@@ -46,22 +46,21 @@
 		}
 		again, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(job.Encode("endpoint:1", job.Deadline.Sub(now)))))
 		if err != nil {
-			t.Fatalf("cannot be passed on: %v", err)
+			t.Fatalf("cannot be forwarded: %v", err)
 		}
 		if again.Header.Get("Req-Id") != strings.TrimSpace(job.ID) || again.RequestURI != job.Target || again.ContentLength != int64(len(job.Body)) {
-			t.Fatalf("passed on as %v", again)
+			t.Fatalf("forwarded as %v", again)
 		}
 	})
 }
 
-// A client's guess at the work reaches the module, which without it took a job 29 times as heavy as its class for a like
-// one; what is no figure is no guess, and no reason to turn a job away.
-func TestCostHint(t *testing.T) {
-	p := &Settings{}
-	if err := json.Unmarshal([]byte(`{"classes":[{"name":"stock-check","effect":"safe","deadline":5000000}]}`), p); err != nil {
+// Req-Cost is the estimated work of a job. A value that is no positive number is ignored, and the job is not rejected.
+func TestDecodeInbound_estimatedWork(t *testing.T) {
+	settings := &Settings{}
+	if err := json.Unmarshal([]byte(`{"classes":[{"name":"stock-check","effect":"safe","deadline":5000000}]}`), settings); err != nil {
 		t.Fatal(err)
 	}
-	(&LiveSettings{}).Replace(p, func(scheduler.Settings) {})
+	(&LiveSettings{}).Replace(settings, func(scheduler.Settings) {})
 	for text, want := range map[string]time.Duration{"152000": 152 * time.Millisecond, "": 0, "-5": 0, "many": 0, "NaN": 0, "1e300": 0} {
 		r, err := http.NewRequest("POST", "/stock-check", strings.NewReader(""))
 		if err != nil {
@@ -69,7 +68,7 @@
 		}
 		r.Header.Set("Req-Id", "a")
 		r.Header.Set("Req-Cost", text)
-		if job, err := DecodeInbound(r, p, time.Now()); err != nil || job.EstimatedWork != want {
+		if job, err := DecodeInbound(r, settings, time.Now()); err != nil || job.EstimatedWork != want {
 			t.Errorf("Req-Cost %q: %+v, %v", text, job, err)
 		}
 	}
--- a/internal/protocol/sse_test.go
+++ b/internal/protocol/sse_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The stream is read by the standard, however its bytes are cut.
+// A stream is parsed by the standard, however its bytes are split among reads.
 func TestEventReader(t *testing.T) {
 	for text, want := range map[string]string{
 		"data: a\n\n":             "|a|",
@@ -16,7 +16,7 @@
 		"data:  a\r\r":            "| a|",
 		"\xef\xbb\xbfdata: a\n\n": "|a|",
 		": note\nevent: x\nid: 7\ndata: a\ndata\ndata: b\n\ndata: c\n\n": "7x|a\n\nb| 7|c|",
-		"event: x\n\ndata: a\n\n":                 "|a|", // no data: no event, and its name is gone
+		"event: x\n\ndata: a\n\n":                 "|a|", // without data there is no event, and its name is dropped
 		"retry: 250\nodd: 1\ndata: a\n\n":         "|a|250ms",
 		"retry: -1\nid: a\x00b\ndata: a\n\n":      "|a|",
 		"data: a\n\ndata: cut short":              "|a|",
@@ -42,9 +42,9 @@
 	}
 	ev := Event{ID: "3", Name: "refused", Data: "a\r\nb", Retry: 2 * time.Second}
 	if back, err := NewEventReader(strings.NewReader(string(ev.Encode()))).Next(); err != nil || back.Data != "a\nb" || back.Retry != ev.Retry || back.ID != "3" {
-		t.Errorf("written and read again: %+v %v", back, err)
+		t.Errorf("encoded and parsed: %+v %v", back, err)
 	}
 	if _, err := NewEventReader(strings.NewReader("data: " + strings.Repeat("x", maxLine+1))).Next(); err == nil {
-		t.Error("a line without end was read")
+		t.Error("a line over the limit was accepted")
 	}
 }
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -51,25 +51,25 @@
 
 // An attempt ends once and a request is answered once, however often endpoints report an outcome.
 func TestCore_duplicateOutcomes_oneAnswer(t *testing.T) {
-	c, f := startTestCore(t)
-	first := f.submit(c, time.Now().Add(5*time.Second))
+	core, f := startTestCore(t)
+	first := f.submit(core, time.Now().Add(5*time.Second))
 	for range 2 {
-		c.AttemptFinished(first.ID, AttemptResult{Outcome: scheduler.Served, Result: []byte("r")})
-		c.AttemptFinished(first.ID, AttemptResult{Outcome: scheduler.Reset})
+		core.AttemptFinished(first.ID, AttemptResult{Outcome: scheduler.Served, Result: []byte("r")})
+		core.AttemptFinished(first.ID, AttemptResult{Outcome: scheduler.Reset})
 	}
-	c.AttemptFinished(AttemptID{first.ID.Request, 7}, AttemptResult{})
-	c.AttemptStarted(first.ID)
+	core.AttemptFinished(AttemptID{first.ID.Request, 7}, AttemptResult{})
+	core.AttemptStarted(first.ID)
 	if a := <-f.answers; a.Verdict != Served || string(a.Result) != "r" {
 		t.Errorf("answered %+v", a)
 	}
 	// What was posted before a further request has been handled when that one is answered.
-	next := f.submit(c, time.Now().Add(5*time.Second))
-	c.AttemptFinished(next.ID, AttemptResult{Outcome: scheduler.Errored})
+	next := f.submit(core, time.Now().Add(5*time.Second))
+	core.AttemptFinished(next.ID, AttemptResult{Outcome: scheduler.Errored})
 	if a := <-f.answers; a.Verdict != Failed || a.DeadlinePassed || len(f.answers) > 0 || next.ID.Request == first.ID.Request {
 		t.Errorf("answered %+v, %d more answers", a, len(f.answers))
 	}
-	if c.OpenRequests() != 0 {
-		t.Errorf("%d open", c.OpenRequests())
+	if core.OpenRequests() != 0 {
+		t.Errorf("%d open", core.OpenRequests())
 	}
 }
 
--- a/internal/routing/listcalls_test.go
+++ b/internal/routing/listcalls_test.go
@@ -77,15 +77,15 @@
 	return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
 }
 
-// endpointState returns the state of a worker in the list, and whether it is listed.
-func endpointState(t *testing.T, s *EndpointList, id scheduler.WorkerID) (scheduler.WorkerState, bool) {
+// stateOfA returns the state of the worker a in the list, and whether it is listed.
+func stateOfA(t *testing.T, list *EndpointList) (scheduler.WorkerState, bool) {
 	t.Helper()
-	u, err := s.Snapshot(context.Background())
+	u, err := list.Snapshot(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, d := range u.Endpoints {
-		if d.ID == id {
+		if d.ID == "a" {
 			return d.State, true
 		}
 	}
@@ -116,7 +116,7 @@
 	list.ChangeDiscovery(third)
 	full := <-third.calls
 	watch.response <- ListUpdate{Revision: 2, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the drain that the previous service reported", func() bool { st, _ := endpointState(t, list, "a"); return st == scheduler.Draining })
+	eventually(t, "the drain that the previous service reported", func() bool { st, _ := stateOfA(t, list); return st == scheduler.Draining })
 	again := <-first.calls
 	if again.kind != polling.Watch || again.revision != 2 {
 		t.Errorf("the watch continued as %+v", again)
@@ -125,7 +125,7 @@
 		t.Error("a service was closed before the new one had responded")
 	}
 	full.response <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("b", scheduler.Ready)}}
-	eventually(t, "the new list", func() bool { _, known := endpointState(t, list, "a"); return !known })
+	eventually(t, "the new list", func() bool { _, known := stateOfA(t, list); return !known })
 	select {
 	case <-again.cancelled:
 	case <-time.After(5 * time.Second):
@@ -141,10 +141,10 @@
 	late := <-d.calls
 	beside := <-d.calls // the first one is late
 	beside.response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the newer list", func() bool { st, known := endpointState(t, list, "a"); return known && st == scheduler.Draining })
+	eventually(t, "the newer list", func() bool { st, known := stateOfA(t, list); return known && st == scheduler.Draining })
 	late.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 	next := <-d.calls
-	if st, _ := endpointState(t, list, "a"); st != scheduler.Draining || next.revision != 5 {
+	if st, _ := stateOfA(t, list); st != scheduler.Draining || next.revision != 5 {
 		t.Errorf("the older response counts: state %v, the next call has revision %d", st, next.revision)
 	}
 }
@@ -156,12 +156,12 @@
 	d := newScriptedDiscovery()
 	list := startEndpointList(t, d)
 	(<-d.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the drain", func() bool { st, known := endpointState(t, list, "a"); return known && st == scheduler.Draining })
+	eventually(t, "the drain", func() bool { st, known := stateOfA(t, list); return known && st == scheduler.Draining })
 	begun := time.Now()
 	(<-d.calls).response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 	calls := 0
 	for {
-		if st, _ := endpointState(t, list, "a"); st == scheduler.Ready {
+		if st, _ := stateOfA(t, list); st == scheduler.Ready {
 			break
 		}
 		again := <-d.calls
@@ -184,7 +184,7 @@
 	first, second := newScriptedDiscovery(), newScriptedDiscovery()
 	list := startEndpointList(t, first)
 	(<-first.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining), testEndpoint("b", scheduler.Ready)}}
-	eventually(t, "the drain", func() bool { st, known := endpointState(t, list, "a"); return known && st == scheduler.Draining })
+	eventually(t, "the drain", func() bool { st, known := stateOfA(t, list); return known && st == scheduler.Draining })
 	known := time.Now()
 	list.ChangeDiscovery(second)
 	full := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
@@ -201,10 +201,10 @@
 		time.Sleep(100 * time.Millisecond)
 		call.response <- ListUpdate{Revision: 70}
 	}
-	if st, _ := endpointState(t, list, "a"); time.Since(known) < endpointstate.MaxStaleness && st != scheduler.Draining {
+	if st, _ := stateOfA(t, list); time.Since(known) < endpointstate.MaxStaleness && st != scheduler.Draining {
 		t.Errorf("believed %v after the drain", time.Since(known))
 	}
-	eventually(t, "the return", func() bool { st, _ := endpointState(t, list, "a"); return st == scheduler.Ready })
+	eventually(t, "the return", func() bool { st, _ := stateOfA(t, list); return st == scheduler.Ready })
 	if took := time.Since(known); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+2*time.Second {
 		t.Errorf("believed after %v", took)
 	}
