--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// A process of hollow dispatchers that is kept from running tells of it, and the run does not count.
+// A process of simulated dispatchers that was stopped for longer than tickLate reports it, and the run does not count. The process starts
+// its ticker in a goroutine of its own: a stop before its first tick would count nothing, so that the test waits for two ticks first.
 func TestStarved(t *testing.T) {
 	f, err := Parse([]byte(sizesFile), "x.hcl")
 	all := points(t, f, err)
@@ -100,6 +101,7 @@
 		t.Errorf("%d dispatchers in a process of %d", len(before.control), len(x.groups[0]))
 	}
 	process := x.processes()[0].cmd.Process
+	time.Sleep(2 * tickEvery) // its ticker runs
 	for range ticksMayBeLate + 1 {
 		_ = process.Signal(syscall.SIGSTOP)
 		time.Sleep(tickEvery + 2*tickLate)
