--- a/cmd/brassdale/main.go
+++ b/cmd/brassdale/main.go
@@ -1,4 +1,4 @@
-// Brassdale is the dispatcher on real sockets. The platform's variables tell it all that it needs.
+// Command brassdale is the dispatcher process, which is configured by the platform's environment variables, and the operators' commands.
 package main
 
 import (
--- a/internal/decisions/failover/recorder.go
+++ b/internal/decisions/failover/recorder.go
@@ -75,9 +75,9 @@
 	arrivals.weight = weight
 }
 
-// CallEnded counts a call that the zone answered: whether it rejected the call for lack of capacity, whether the answer was in
+// AttemptEnded counts a call that the zone answered: whether it rejected the call for lack of capacity, whether the answer was in
 // time, and how long the job ran, over all its slots; 0 where that is not known.
-func (r *Recorder) CallEnded(to, class string, full, inTime bool, ran time.Duration, now Clock) {
+func (r *Recorder) AttemptEnded(to, class string, full, inTime bool, ran time.Duration, now Clock) {
 	observation := r.observationOf(to, class)
 	observation.Ended++
 	if full {
@@ -98,8 +98,8 @@
 // ResponseReceived records a sign of a zone: an answer to a call or to a probe, or that a job has started.
 func (r *Recorder) ResponseReceived(to string, now Clock) { r.lastSignals[to] = lastSignal{now, 0} }
 
-// CallUnanswered counts a call or a probe that had no answer, or no sign for NoResponseAfter.
-func (r *Recorder) CallUnanswered(to string, now Clock) {
+// AttemptUnanswered counts a call or a probe that had no answer, or no sign for NoResponseAfter.
+func (r *Recorder) AttemptUnanswered(to string, now Clock) {
 	signal, ok := r.lastSignals[to]
 	if !ok {
 		signal.at = now
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -127,7 +127,7 @@
 		for i, attempt := range request.attempts {
 			if request.inFlight[i] && !attempt.countedUnanswered && attempt.startNotifiedAt == 0 && d.sim.now-attempt.sentAt > failover.NoResponseAfter {
 				attempt.countedUnanswered = true
-				d.recorder.CallUnanswered(d.sim.zoneName(d.sim.workerByAttempt(attempt).zone), d.sim.now)
+				d.recorder.AttemptUnanswered(d.sim.zoneName(d.sim.workerByAttempt(attempt).zone), d.sim.now)
 			}
 		}
 	}
@@ -202,7 +202,7 @@
 	case outcome == scheduler.TimedOut && attempt.countedUnanswered:
 		return
 	case outcome == scheduler.Cancelled, outcome == scheduler.TimedOut, outcome == scheduler.NoConnect, outcome == scheduler.Reset:
-		d.recorder.CallUnanswered(zone, sim.now)
+		d.recorder.AttemptUnanswered(zone, sim.now)
 		return
 	}
 	slotTime := time.Duration(0)
@@ -210,7 +210,7 @@
 		slotTime = time.Duration(float64(sim.now-attempt.startNotifiedAt) * float64(job.slots))
 	}
 	inTime := outcome == scheduler.Served && sim.withinObjective(job, sim.now-job.firstRequestedAt)
-	d.recorder.CallEnded(zone, sim.classNameOf(job), outcome == scheduler.Full, inTime, slotTime, sim.now)
+	d.recorder.AttemptEnded(zone, sim.classNameOf(job), outcome == scheduler.Full, inTime, slotTime, sim.now)
 }
 
 // recordProbe records a probe's outcome for the planner.
@@ -220,6 +220,6 @@
 	case outcome == scheduler.Served:
 		d.recorder.ResponseReceived(d.sim.zoneName(worker.zone), d.sim.now)
 	default:
-		d.recorder.CallUnanswered(d.sim.zoneName(worker.zone), d.sim.now)
+		d.recorder.AttemptUnanswered(d.sim.zoneName(worker.zone), d.sim.now)
 	}
 }
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -32,26 +32,26 @@
 
 // Load returns the list of the newest generation whose snapshot is whole, or nil. It sets damaged generations aside. Each fault that it
 // found is described in notes.
-func (s *Store) Load() (list *CachedList, notes []string) {
+func (s *Store) Load() (list *CachedList, faults []string) {
 	found, err := s.Generations()
 	if err != nil {
 		return nil, []string{err.Error()}
 	}
 	for _, generation := range found {
 		if generation.Err != nil {
-			notes = append(notes, fmt.Sprintf("generation %d: %v", generation.Number, generation.Err))
+			faults = append(faults, fmt.Sprintf("generation %d: %v", generation.Number, generation.Err))
 		}
 		if generation.List == nil && errors.Is(generation.Err, ErrDamaged) {
 			s.setAside(generation.Number)
 		}
 		if generation.TornBytes > 0 {
-			notes = append(notes, fmt.Sprintf("generation %d: the journal ends in %d bytes that are no record", generation.Number, generation.TornBytes))
+			faults = append(faults, fmt.Sprintf("generation %d: the journal ends in %d bytes that are no record", generation.Number, generation.TornBytes))
 		}
 		if generation.List != nil && list == nil {
 			list = generation.List
 		}
 	}
-	return list, notes
+	return list, faults
 }
 
 // setAside renames a damaged generation, and removes the oldest of those that were set aside. Its errors are ignored: the files are for
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -126,8 +126,8 @@
 // ServeHTTP takes another member's stream.
 func (m *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.transport.ServeHTTP(w, r) }
 
-// Run takes part in the gossip until the context ends; then it tells the others that this member leaves, for which it takes
-// some leaveTimeout.
+// Run takes part in the gossip until the context ends; then it notifies the others that this member leaves, which takes up to
+// twice leaveTimeout.
 func (m *Membership) Run(ctx context.Context) {
 	defer m.leave()
 	isSelf := func(address string) bool { return address == m.options.Self.Address }
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	a.countServed()
+	a.countServed() // calls of which the body was read
 	if err := json.Unmarshal(text, to); err != nil {
 		return fmt.Errorf("body: %w", err)
 	}
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// checkRequest returns why the dispatcher of a request cannot be part of the fleet as it is.
+// checkRequest returns why the dispatcher of a request cannot be part of the fleet as it is. A request of a higher epoch also makes this
+// dispatcher leave its old raft group.
 func (a *Agent) checkRequest(request leaseRequest, record configversions.Record) error {
 	required := record.InForce.Rules.MinMessageFormat()
 	if announced := record.Announced; announced != nil {
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -209,8 +209,8 @@
 	wake(a.renewNow)
 }
 
-// leaveOldRaftGroup stops this dispatcher's voter because the fleet has a raft group of a higher epoch, recovered from one
-// voter. The callers may not block, so it does not wait for the voter's end.
+// leaveOldRaftGroup stops this dispatcher's voter, which removes its file, because the fleet has a raft group of a higher epoch, recovered
+// from one voter. The callers may not block, so it does not wait for the voter's end.
 func (a *Agent) leaveOldRaftGroup(epoch uint64) {
 	a.log.Warn("newer raft group found", "epoch", epoch)
 	go a.stopVoter(reasonNewerRaft)
--- a/internal/program/build.go
+++ b/internal/program/build.go
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// buildEndpointList makes the endpoint list, which begins with what is known before discovery answers.
+// buildEndpointList makes the endpoint list, which begins with what is known before discovery answers: the predecessor's confirmed list,
+// else the endpoint cache if it is usable, else the list in the platform's file.
 func (d *dispatcher) buildEndpointList(in *inputs, clock routing.Clock, discovery *transport.Discovery) {
 	known, source := d.knownList(in)
 	start := d.cachedStart(in.predecessor, clock)
@@ -54,7 +55,7 @@
 	}
 	d.endpointList = routing.NewEndpointList(d.core, d.endpoints, discovery, known, d.log)
 	d.endpointList.SetSource(source)
-	d.endpointList.SetPollRules(func() polling.Rules { return transport.PacingRules(d.settings.Current()) })
+	d.endpointList.SetPollRules(func() polling.Rules { return transport.PollRules(d.settings.Current()) })
 	if start != nil {
 		d.endpointList.StartFromCache(start)
 		age, ok := start.Assessor.Age()
--- a/internal/program/detachedworkers.go
+++ b/internal/program/detachedworkers.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// adopt begins with a list that is on file already.
+// adopt sets the list without writing it to the file; the next change writes it.
 func (w *detachedWorkers) adopt(ids []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/program/endpointcache.go
+++ b/internal/program/endpointcache.go
@@ -67,7 +67,7 @@
 	for _, class := range start.LearnedState.Classes {
 		start.MeanLogRuntime = append(start.MeanLogRuntime, meanLogRuntime(class))
 	}
-	endpoints := cached.List().Destinations(current)
+	endpoints := cached.List().Endpoints(current)
 	for _, endpoint := range endpoints {
 		start.Endpoints[endpoint.ID] = endpoint
 	}
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -37,7 +37,7 @@
 	text.WriteString(protocol.EncodeMetrics(counted))
 	unanswered := 0
 	for _, f := range dispatcher.frontends {
-		unanswered += f.listener.Unanswered()
+		unanswered += f.listener.ClosedWithoutResponse()
 	}
 	fmt.Fprintf(&text, "connections_unanswered=%d\n", unanswered)
 	if !counted.ListReceivedAt.IsZero() {
@@ -92,7 +92,8 @@
 }
 
 // setDetached detaches a worker, or attaches it again: in the peer process, if there is one, on file, and in the scheduler, in
-// this order, so that a success is true of all three. Errors for the caller are a transport.OperationError.
+// this order, so that a success is true of all three. A peer
+// that does not answer is passed over; after an error the peer may have applied the change. Errors for the caller are a transport.OperationError.
 func (o *operations) setDetached(ctx context.Context, id string, isDetached bool) error {
 	deadline := time.Now().Add(operationTimeout)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
--- a/internal/program/predecessor.go
+++ b/internal/program/predecessor.go
@@ -105,8 +105,8 @@
 	}()
 }
 
-// adoptLearnedState takes over what the predecessor has learned. It does so after the endpoint list was built, by which the
-// starts of workers are on this process's clock.
+// adoptLearnedState takes over what the predecessor has learned. It is called after the endpoint list was built, which
+// converts the start times of workers to this process's clock.
 func (d *dispatcher) adoptLearnedState(handover *protocol.Handover) {
 	learned := handover.LearnedState
 	learned.Classes = d.settings.StatisticsByNumber(handover.Classes)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -83,7 +83,7 @@
 		in.predecessor.peer.Notify(protocol.HandoverMessage{Serving: true, Relay: dispatcher.relayPath})
 	}
 	log.Info("ready", "name", in.config.Name)
-	go dispatcher.reloader.run(ctx, reloads) // until the end: requests that are open during the shutdown need the list, too
+	go dispatcher.reloader.run(ctx, reloads) // until the end: a SIGHUP during the shutdown may move discovery
 
 	select {
 	case err := <-failed:
@@ -136,7 +136,7 @@
 		return fmt.Errorf("admin: listen: %w", err)
 	}
 	listener := transport.NewListener(socket, d.log)
-	listener.SetLimits(transport.MostCallers, math.MaxInt64)
+	listener.SetLimits(transport.MaxAdminConnections, math.MaxInt64)
 	server := transport.AdminServer(transport.AdminHandler(d.operations, d.log), d.log)
 	go func() { failed <- server.Serve(listener) }()
 	d.log.Info("listening", "front", "admin", "address", listener.Addr().String())
--- a/internal/program/reloader.go
+++ b/internal/program/reloader.go
@@ -11,14 +11,14 @@
 	"brassdale/internal/transport"
 )
 
-// reloader applies new versions of the platform's file and the operator's, each whole or not at all. The goroutine of run owns
+// reloader applies new versions of the platform's file and the operator's, both or neither. The goroutine of run owns
 // all fields; mu is for the readers of config elsewhere.
 type reloader struct {
 	dispatcher   *dispatcher
 	env          func(string) string
 	discovery    *transport.Discovery
 	operatorPath string         // empty for none
-	operator     *operator.File // in force, as far as it can be without a restart
+	operator     *operator.File // last file accepted; what needs a restart may not be in force
 
 	mu     sync.Mutex
 	config *protocol.Config // in force; written with mu held
--- a/internal/program/resourcelimits.go
+++ b/internal/program/resourcelimits.go
@@ -25,8 +25,8 @@
 
 const (
 	ownDescriptors      = 24
-	reservedDescriptors = ownDescriptors + transport.MostCallers*11/10 // of each process
-	defaultDescriptors  = 1024                                         // where the platform states no limit
+	reservedDescriptors = ownDescriptors + transport.MaxAdminConnections*11/10 // of each process
+	defaultDescriptors  = 1024                                                 // where the platform states no limit
 
 	outboundPercent = 45
 	bodiesPart      = 10       // 1/bodiesPart of the memory is for request bodies at each frontend
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -28,7 +28,8 @@
 	go d.acceptSuccessors(ctx, socket)
 }
 
-// acceptSuccessors serves successors, one at a time.
+// acceptSuccessors serves one successor at a time, until one has taken the socket over. A further one that connects meanwhile is
+// disconnected, and starts as if it had no predecessor.
 func (d *dispatcher) acceptSuccessors(ctx context.Context, socket *net.UnixListener) {
 	defer func() { _ = socket.Close() }() // nobody connects to it any more
 	failures := listen.Failures{Log: d.log}
@@ -47,7 +48,7 @@
 	}
 }
 
-// serveSuccessor hands this process's state to a successor and serves its messages, until one of both ends. It reports whether
+// serveSuccessor hands this process's state to a successor and serves its messages until either process ends. It reports whether
 // the socket leads elsewhere now: to the successor, or, when that has ended first, to a new socket of this process.
 func (d *dispatcher) serveSuccessor(ctx context.Context, peer *transport.PeerProcess) (socketTaken bool) {
 	defer peer.Close()
@@ -111,7 +112,7 @@
 	}
 }
 
-// handOverClients leaves new clients to the successor, and reports what this process still uses until one of both ends.
+// handOverClients leaves new clients to the successor, and reports what this process still uses until either process ends.
 func (d *dispatcher) handOverClients(peer *transport.PeerProcess, relayPath string) {
 	d.handedOver.Store(true)
 	d.shareIdempotencyKeys(peer, relayPath, false)
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// Destinations converts the list to the terms of the core. Zones and machine kinds are numbered as in the settings; -1 for one that
+// Endpoints converts the list to the terms of the core. Zones and machine kinds are numbered as in the settings; -1 for one that
 // they do not name.
-func (l *List) Destinations(p *Settings) []routing.Endpoint {
+func (l *List) Endpoints(p *Settings) []routing.Endpoint {
 	endpoints := make([]routing.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
 		endpoint := routing.Endpoint{Address: m.HostPort, WorkerInfo: scheduler.WorkerInfo{
--- a/internal/protocol/handover.go
+++ b/internal/protocol/handover.go
@@ -39,7 +39,7 @@
 	Digest   []byte         `json:"digest"`
 	Events   []Event        `json:"events"`
 	Answer   routing.Answer `json:"answer"`
-	ForgetAt time.Time      `json:"forget"` // for builds without ForgetIn, which goes before it
+	ForgetAt time.Time      `json:"forget"` // for builds without ForgetIn, which takes precedence
 
 	// ForgetIn is how much longer the job is remembered, from when this was sent: the wall clock may be adjusted meanwhile.
 	ForgetIn time.Duration `json:"forget_in_ns,omitempty"`
@@ -146,7 +146,7 @@
 	if err := list.Check(); err != nil {
 		return routing.ListUpdate{}, err
 	}
-	update := routing.ListUpdate{Revision: h.Revision, Complete: true, Endpoints: list.Destinations(settings)}
+	update := routing.ListUpdate{Revision: h.Revision, Complete: true, Endpoints: list.Endpoints(settings)}
 	if h.Discovery != discovery {
 		update.Revision = routing.FullList
 	}
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -45,7 +45,7 @@
 		LateWorth  float64 // LateWeight
 		Stream     bool    // Streamed
 		Window     Micros  // DeduplicationWindow
-		AimStretch float64 // ObjectiveStretch; FamilyInfo.ClassStretch goes before it
+		AimStretch float64 // ObjectiveStretch; FamilyInfo.ClassStretch takes precedence
 	}
 	CountedBy  string   // WeightByWork
 	Discovery  string   // ListPolled, and polling.Rules.ListsPushed
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// turn handles all messages in the mailbox and fires the timers that are due. All of a turn has one time: the scheduler tells by it
-// that this process was not run for a while.
+// turn handles all messages in the mailbox and fires the timers that are due. All events of a turn have one time, by which the
+// scheduler notices that this process was paused.
 func (c *Core) turn() {
 	c.now = c.clock.Now()
 	for _, message := range c.mailbox.Take() {
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -40,16 +40,16 @@
 	incarnations  incarnations.Tracker            // start times on the scheduler's clock
 	cachedStart   *CachedStart                    // nil unless the list is still the cached one that this process started with
 	listReceived  bool                            // a list of discovery was accepted
-	answeredAt    time.Time                       // when discovery last responded; before, when this process started
-	completeAsOf  time.Time                       // all changes that discovery had then are known
+	answeredAt    time.Time                       // when the last list was accepted; the start of this process until then
+	completeAsOf  time.Time                       // the list includes all changes that discovery had at this time
 	recheckAt     time.Time                       // when to ask for the full list, as something was not believed; zero for never
 	failures      callFailures                    // since the last call that succeeded
 	failuresLogAt time.Time                       // when consecutive failures were last logged
 	lagLoggedAt   time.Time                       // when a response with a lower revision was last logged as a warning
 }
 
-// startLookback is how long before the start of this process a change may have been made that it counts as notified of: the process
-// before it has just ended, or was killed.
+// startLookback is a bound on the age of the list that this process starts with: that list is taken to include all changes made up to this
+// long before the start, because the previous process has just ended or was killed.
 const startLookback = 2 * time.Second
 
 // The messages in the mailbox of EndpointList, beside callEnded and endpointSignal.
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -13,7 +13,8 @@
 	// lagLogInterval is the least time between warnings of responses with a lower revision. Others are logged at debug level.
 	lagLogInterval = 10 * time.Second
 
-	// maxReplicaLag is how far a replica of discovery may be behind the newest list. A response does not tell.
+	// maxReplicaLag is how far a replica of discovery may be behind the newest list. A response does not
+	// say which replica sent it or how far behind that is.
 	maxReplicaLag = 2500 * time.Millisecond
 )
 
@@ -45,7 +46,7 @@
 	}
 	current := call.service == l.calls.current
 	switch {
-	case err != nil && !current: // it is not called again
+	case err != nil && !current: // a previous service is not called again after a failure
 	case err != nil:
 		if ctx.Err() == nil {
 			l.recordFailure(call, err, now)
--- a/internal/routing/zonerouting.go
+++ b/internal/routing/zonerouting.go
@@ -18,12 +18,13 @@
 
 	AttemptStarted(now scheduler.Clock, id scheduler.WorkerID)
 
-	// AttemptUnanswered is called once for an attempt that has had no response for failover.NoResponseAfter.
+	// AttemptUnanswered is called once for an attempt that has been in flight for failover.NoResponseAfter and was not reported to have
+	// started.
 	AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID)
 
 	// AttemptEnded is called with the outcome of an attempt, the time since its request arrived and the time since it started;
 	// ran is 0 where no start was reported.
-	AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, o scheduler.Outcome, took, ran time.Duration)
+	AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, o scheduler.Outcome, sinceArrival, ran time.Duration)
 
 	ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome)
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -250,7 +250,7 @@
 			if zone := zones[x.rng.IntN(len(zones))]; slices.Contains(hears, zone) {
 				x.watcher.ResponseReceived(zone, time.Since(x.begin))
 			} else {
-				x.watcher.CallUnanswered(zone, time.Since(x.begin))
+				x.watcher.AttemptUnanswered(zone, time.Since(x.begin))
 			}
 			x.mu.Unlock()
 		}
@@ -289,13 +289,13 @@
 	for x.said = now; due > 0 && x.rng.Float64() < due; due-- {
 		x.jobs++
 		x.watcher.JobArrived(class.Name, class.Credit)
-		x.watcher.CallEnded(spec.Zone, class.Name, false, true, time.Duration(x.rng.ExpFloat64()*float64(hollowWork)), at)
+		x.watcher.AttemptEnded(spec.Zone, class.Name, false, true, time.Duration(x.rng.ExpFloat64()*float64(hollowWork)), at)
 	}
 	r := x.watcher.Report(at, maps.Clone(spec.Capacity)) // it keeps the map, and rounds what is in it
 	return &r
 }
 
-// watch asks discovery as routing.Destinations does, and keeps nothing of what it tells.
+// watch calls discovery as routing.EndpointList does, and retains nothing of its responses.
 func (x *hollow) watch(ctx context.Context, params *protocol.LiveSettings) {
 	first := rand.Float64() * float64(params.Current().ReplicasOfMe) * firstEach.Seconds()
 	wait, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), polling.FullList
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -47,7 +47,7 @@
 		{"cores", reading{machine: machine{busy: 500, all: 1000}}, reading{machine: machine{busy: 1400, all: 2000}}, "90% of"},
 	} {
 		r := &Result{}
-		(&stage{}).fell(r, c.before, c.after)
+		(&stage{}).fellBehind(r, c.before, c.after)
 		if r.FellBehind != (c.want != "") || !strings.Contains(r.FellBehindWhy, c.want) {
 			t.Errorf("%s: %v %q", c.what, r.FellBehind, r.FellBehindWhy)
 		}
@@ -114,7 +114,7 @@
 	}
 	after.machine, before.machine = machine{}, machine{} // however busy it is
 	r := &Result{}
-	if x.fell(r, before, after); !r.FellBehind || !strings.Contains(r.FellBehindWhy, "late by more than") {
+	if x.fellBehind(r, before, after); !r.FellBehind || !strings.Contains(r.FellBehindWhy, "late by more than") {
 		t.Errorf("%v %q", r.FellBehind, r.FellBehindWhy)
 	}
 }
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -144,7 +144,7 @@
 	}
 	f.bytes(r, before, after)
 	f.usage(r, before, after)
-	f.fell(r, before, after)
+	f.fellBehind(r, before, after)
 	r.WorkerProbes = len(f.cluster.Spent().Probes)
 	if f.Fault == nil {
 		f.compareInterface(r, before, after)
@@ -291,8 +291,8 @@
 	}
 }
 
-// fell tells whether the machine was the limit.
-func (f *stage) fell(r *Result, before, after reading) {
+// fellBehind tells whether the machine was the limit.
+func (f *stage) fellBehind(r *Result, before, after reading) {
 	r.MachineBusy = (after.machine.busy - before.machine.busy) / max(after.machine.all-before.machine.all, 1)
 	late := len(after.late) - len(before.late)
 	switch {
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// MostCallers is the maximum number of connections to the admin API. For one more, the one that has been at its call for the
+// MaxAdminConnections is the maximum number of connections to the admin API. For one more, the one that has been at its call for the
 // longest is closed.
-const MostCallers = 12
+const MaxAdminConnections = 12
 
 const (
 	adminCallTimeout    = 2 * time.Second // for a whole call
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -51,7 +51,7 @@
 // deadline of its kind, which is set in advance: a partitioned service may leave a connection open and silent, and its
 // endpoints still count as notified then.
 func (d *Discovery) Call(ctx context.Context, revision int64, kind polling.Kind) (routing.ListUpdate, error) {
-	wait, responseTimeout := PacingRules(d.Params.Current()).Timeouts(kind)
+	wait, responseTimeout := PollRules(d.Params.Current()).Timeouts(kind)
 	deadline := time.Now().Add(wait + responseTimeout)
 	ctx, stop := context.WithDeadline(ctx, deadline)
 	defer stop()
@@ -106,12 +106,12 @@
 	return target == routing.ErrDiscoveryRejected && (e == http.StatusServiceUnavailable || e == http.StatusTooManyRequests)
 }
 
-// PacingRules returns the rules of polling that follow from the settings.
-func PacingRules(settings *protocol.Settings) polling.Rules {
+// PollRules returns the rules of polling that follow from the settings.
+func PollRules(settings *protocol.Settings) polling.Rules {
 	return polling.Rules{ListsPushed: settings.ListsPushed(), DrainGrace: settings.Rules.DrainGrace.Duration(), Dispatchers: settings.ReplicasOfMe}
 }
 
 // Update returns a list in the core's terms.
 func Update(list *protocol.List, settings *protocol.Settings) routing.ListUpdate {
-	return routing.ListUpdate{Revision: list.Revision, Complete: list.Complete, Endpoints: list.Destinations(settings)}
+	return routing.ListUpdate{Revision: list.Revision, Complete: list.Complete, Endpoints: list.Endpoints(settings)}
 }
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -61,7 +61,7 @@
 }
 
 // An attempt that waited for its connection is checked again before its first byte: if it was cancelled, its deadline passed, its
-// client left, its retry window ended or the worker's grace period ended meanwhile, nothing of it is written.
+// client left, its deduplication window ended or the worker's grace period ended meanwhile, nothing of it is written.
 func TestChecksBeforeFirstByte(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -119,8 +119,8 @@
 	return len(l.conns)
 }
 
-// Unanswered returns how many connections were closed here before anything was written to them, while their clients had not gone.
-func (l *Listener) Unanswered() int {
+// ClosedWithoutResponse returns how many connections were closed here before anything was written to them, while their clients had not gone.
+func (l *Listener) ClosedWithoutResponse() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.unansweredConns
--- a/internal/transport/sendchecks.go
+++ b/internal/transport/sendchecks.go
@@ -11,8 +11,8 @@
 	notSentCancelled         = "cancelled"
 	notSentDeadlinePassed    = "deadline passed"
 	notSentClientGone        = "client gone"
-	notSentWindowOver        = "retry window over"
-	notSentWindowNearlyOver  = "retry window nearly over"
+	notSentWindowOver        = "deduplication window over"
+	notSentWindowNearlyOver  = "deduplication window nearly over"
 	notSentRetriesNotAllowed = "retries not allowed"
 	notSentDrainGraceOver    = "worker draining or gone, grace period over"
 	notSentDetachedGraceOver = "worker detached, grace period over"
@@ -41,7 +41,7 @@
 }
 
 // latestStart returns until when an exchange may be started: its deadline, or earlier, by the margins of writemargins.go, the end of
-// its retry window or of a grace period of the worker.
+// its deduplication window or of a grace period of the worker.
 func (e *endpoint) latestStart(exchange *workerExchange) time.Time {
 	latest := exchange.deadline
 	if exchange.isProbe {
--- a/internal/transport/workerexchange.go
+++ b/internal/transport/workerexchange.go
@@ -38,7 +38,7 @@
 }
 
 // mustNotStart reports whether an exchange that has not been written must not be any more: it is cancelled, its deadline has passed,
-// its client has gone or its retry window is over. It may cost a system call.
+// its client has gone or its deduplication window is over. It may cost a system call.
 func (x *workerExchange) mustNotStart(now time.Time) bool {
 	return x.cancelled.Load() || !now.Before(x.deadline) || !x.isProbe && x.attempt.MustNotSend(now)
 }
--- a/internal/zonerouting/recording.go
+++ b/internal/zonerouting/recording.go
@@ -21,7 +21,7 @@
 
 // AttemptEnded records the outcome of an attempt. took is the time since the request arrived, and ran the time since the worker
 // started the job; 0 where it has not.
-func (r *Router) AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, outcome scheduler.Outcome, took, ran time.Duration) {
+func (r *Router) AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, outcome scheduler.Outcome, sinceArrival, ran time.Duration) {
 	settings := r.settings.Current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,33 +29,33 @@
 	switch outcome {
 	case scheduler.NeverSent:
 	case scheduler.Cancelled:
-		if ran == 0 && took >= minCancelledWait {
-			r.recorder.CallUnanswered(r.zoneOf(id), now)
+		if ran == 0 && sinceArrival >= minCancelledWait {
+			r.recorder.AttemptUnanswered(r.zoneOf(id), now)
 		}
 	case scheduler.TimedOut, scheduler.NoConnect, scheduler.Reset:
-		r.recorder.CallUnanswered(r.zoneOf(id), now)
+		r.recorder.AttemptUnanswered(r.zoneOf(id), now)
 	default:
-		inTime := outcome == scheduler.Served && withinObjective(settings, class, took, ran)
-		r.recorder.CallEnded(r.zoneOf(id), class, outcome == scheduler.Full, inTime, ran, now)
+		inTime := outcome == scheduler.Served && withinObjective(settings, class, sinceArrival, ran)
+		r.recorder.AttemptEnded(r.zoneOf(id), class, outcome == scheduler.Full, inTime, ran, now)
 	}
 }
 
 // withinObjective reports whether a request was served within the latency objective of its class, which is stretched by how long
 // the job ran. A class that the settings do not name has none.
-func withinObjective(settings *protocol.Settings, class string, took, ran time.Duration) bool {
+func withinObjective(settings *protocol.Settings, class string, sinceArrival, ran time.Duration) bool {
 	i, known := settings.Class(class)
 	if !known {
 		return true
 	}
 	objective := settings.Classes[i].Aim.Duration() + time.Duration(settings.Classes[i].AimStretch*float64(ran))
-	return took <= objective
+	return sinceArrival <= objective
 }
 
 // AttemptUnanswered records that an attempt has been without any sign for failover.NoResponseAfter.
 func (r *Router) AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.recorder.CallUnanswered(r.zoneOf(id), now)
+	r.recorder.AttemptUnanswered(r.zoneOf(id), now)
 }
 
 // ProbeCompleted records the outcome of a probe.
@@ -67,7 +67,7 @@
 		r.recorder.ResponseReceived(r.zoneOf(id), r.now)
 	case scheduler.NeverSent:
 	default:
-		r.recorder.CallUnanswered(r.zoneOf(id), r.now)
+		r.recorder.AttemptUnanswered(r.zoneOf(id), r.now)
 	}
 }
 
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -79,7 +79,7 @@
 	Errored                // ended with an error; may have executed
 	Full                   // rejected by the worker for want of capacity; never executed
 	TimedOut               // may have executed, or may yet
-	NoConnect              // never reached the worker
+	NoConnect              // no connection, or the request was not written whole; never executed
 	Reset                  // the connection broke; may have executed
 	Cancelled              // cancelled by the dispatcher; may have executed
 	NeverSent              // did not leave; never executed
