--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -96,7 +96,7 @@
 	return a.scenario.Traffic.effectiveClasses()[0]
 }
 
-// answered checks a final answer: it must be the only one, and a rejection, which tells the client that a retry is harmless,
+// answered checks a final answer: it must be the only one, and a rejection, which promises the client that a retry is harmless,
 // is permitted only where no attempt may have executed or where the class makes repeats harmless.
 func (a *auditor) answered(now time.Duration, request uint64, rejected bool) {
 	audited := a.auditOf(request)
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -120,7 +120,7 @@
 }
 
 // handOver sends a successor what it begins with. No worker is detached between the list of these and the moment from which the
-// successor is told of each.
+// successor is notified of each.
 func (o *operations) handOver(peer *transport.PeerProcess, handover *protocol.Handover, listeners []*transport.Listener) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -124,7 +124,7 @@
 	go d.reportUsage(peer)
 }
 
-// reportUsage tells the successor what this process uses of the limits of both, whenever that has changed. It returns when the
+// reportUsage reports to the successor what this process uses of the limits of both, whenever that has changed. It returns when the
 // successor ends.
 func (d *dispatcher) reportUsage(peer *transport.PeerProcess) {
 	ticker := time.NewTicker(usageReportInterval)
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -73,7 +73,7 @@
 	return listed, gone
 }
 
-// publishChanges passes on what has changed: to the endpoint pool first, then to the scheduler. The scheduler tells by the full list
+// publishChanges passes on what has changed: to the endpoint pool first, then to the scheduler. The scheduler learns from the full list
 // which endpoints are gone.
 func (l *EndpointList) publishChanges(update ListUpdate, listed, gone []Endpoint, kind scheduler.ListKind) {
 	changed := update.Complete
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -16,7 +16,7 @@
 	Deadline       time.Time
 	Job            any // what endpoints need to send it; not read here
 	Client         Client
-	ClientGone     func() bool // reports whether the client has left, before Core.ClientLeft is called; nil where only that tells
+	ClientGone     func() bool // reports whether the client has left, before Core.ClientLeft is called; nil where only that call reports it
 }
 
 // RequestLimits are the limits that the core applies to a request.
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -34,7 +34,7 @@
 	outcome            scheduler.Outcome // valid while it is not in flight
 	sentAt             scheduler.Clock   // when it was handed to the endpoint pool
 	startedAt          scheduler.Clock   // when its job was reported to have started; 0 before
-	unansweredReported bool              // the zone router was told that the endpoint gives no sign of it
+	unansweredReported bool              // AttemptUnanswered was called for it
 }
 
 // stateName returns the name of the outcome of an attempt for the log, "open" while it is in flight.
@@ -135,7 +135,7 @@
 }
 
 // failOverdue fails a request that the scheduler has not answered in time: else it would stay open for ever. It finds one only
-// where the scheduler is at fault or this process was not run.
+// where the scheduler is at fault or this process was paused.
 func (c *Core) failOverdue(id scheduler.RequestID) {
 	request := c.requests[id]
 	if request == nil || request.answered {
--- a/internal/routing/zonerouting.go
+++ b/internal/routing/zonerouting.go
@@ -7,7 +7,7 @@
 	"brassdale/scheduler"
 )
 
-// ZoneRouter decides to which zones requests may go, by what it is told of their attempts. No method blocks. ProbeCompleted may be
+// ZoneRouter decides to which zones requests may go, by the outcomes of their attempts. No method blocks. ProbeCompleted may be
 // called from any goroutine, the others only from that of Core.Run.
 type ZoneRouter interface {
 	EndpointsUpdated(now scheduler.Clock, update scheduler.EndpointsUpdated)
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -114,7 +114,7 @@
 	case request.ConnectionReused && len(a.attempts[request.ID]) == 0 && request.Resent:
 		return // an idle connection may be closed; the client has sent the request again on another
 	case !request.ConnectionReused && len(a.attempts[request.ID]) == 0 && strings.Contains(a.plan.SystemCallFaults, pollRegistration):
-		return // the injected fault kept the connection from being polled: it was closed unread
+		return // the injected fault prevented that the connection was polled: it was closed unread
 	}
 	a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "no answer: %s", cmp.Or(request.Error, "nothing came"))
 }
@@ -300,7 +300,7 @@
 	return count
 }
 
-// checkProcessRuns checks that processes become ready in time, and end only when they are told to.
+// checkProcessRuns checks that processes become ready in time, and end only at a signal.
 func (a *auditor) checkProcessRuns() {
 	for _, run := range a.record.ProcessRuns {
 		if run.Crashed != "" {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -90,7 +90,7 @@
 
 // cautiousMeanWork returns the mean work of a job in slot-seconds, raised by what a mean of so few jobs may be too low, and at
 // first by an assumption, as short jobs end first. The assumption is the first class's for all classes: workers are shared by all,
-// and the mean is not kept by class.
+// and the mean is not measured by class.
 func (s *Scheduler) cautiousMeanWork() float64 {
 	known := float64(s.servedJobs)
 	prior := priorWorkJobs * priorWorkObjectives * cmp.Or(s.settings.Classes[0].LatencyObjective.Seconds(), 1)
