--- a/internal/decisions/endpointstate/endpointstate.go
+++ b/internal/decisions/endpointstate/endpointstate.go
@@ -9,9 +9,9 @@
 // Table guarantees to its caller:
 //
 //  1. A worker known as draining or gone becomes ready again only by a response of the same service with a higher revision, by a
-//     later start of the worker, or by a response to a call made MaxStaleness or more after the restriction was learned. A
-//     genuine return is accepted within MaxStaleness and one call: for a response that is not accepted, Changes.PollAgainAt says
-//     when to poll again.
+//     later start of the worker if it was draining, or by a response to a call made MaxStaleness or more after the restriction was
+//     learned. A genuine return is accepted within MaxStaleness and one call: for a response that is not accepted,
+//     Changes.PollAgainAt says when to poll again.
 //  2. A response whose revision is lower than one before of its service (Lagging) can only restrict a worker that is ready, and
 //     asks for the full list. A service that returns only lower revisions for MaxStaleness starts a new sequence of revisions, and
 //     is Current from then on.
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// truths are the histories of the worker that are explored: a drain, an end, a return, a new start.
+// truths are the histories of the worker that are explored: a drain, an end, a return, a new start, an end soon after a new start.
 func truths() [][]fleetChange {
 	endpoint := func(state scheduler.WorkerState, start scheduler.Clock) Endpoint {
 		return Endpoint{ID: "w", State: state, Start: start}
@@ -126,6 +126,7 @@
 		history(ready, gone, restarted),
 		history(ready, draining, restarted),
 		history(ready, gone, ready),
+		history(ready, restarted, gone),
 	}
 }
 
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -74,7 +74,7 @@
 		return
 	}
 	newer := !known || freshness == Current && t.composedAfter(response, before)
-	if endpoint.State == scheduler.Ready && before.state != scheduler.Ready && !newer && endpoint.Start <= before.start {
+	if endpoint.State == scheduler.Ready && before.state != scheduler.Ready && !newer && !startedAfter(endpoint, before) {
 		changes.pollAgainBy(before.learnedAt.Add(MaxStaleness))
 		return
 	}
@@ -93,6 +93,12 @@
 	return sameSequence && response.Revision > known.revision || !response.CalledAt.Before(known.learnedAt.Add(MaxStaleness))
 }
 
+// startedAfter reports whether an endpoint is certainly a later start than the draining one that is known. Of a worker that is gone,
+// the last start is not known: it may have started once more and left before a list named that start.
+func startedAfter(endpoint Endpoint, known record) bool {
+	return known.state == scheduler.Draining && endpoint.Start > known.start
+}
+
 // applyUnlisted records the workers that a complete response does not name as gone, and forgets those that have been gone for
 // longer than goneRetention.
 func (t *Table) applyUnlisted(response ListResponse, listed map[scheduler.WorkerID]bool, changes *Changes) {
