--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -333,6 +333,25 @@
 	}
 }
 
+// A stale list of another service that confirms a restriction does not make that service's next revision newer than the restriction.
+func TestTable_withdrawalAfterConfirmationByOtherService(t *testing.T) {
+	var known Table
+	respond := func(service string, revision int64, state scheduler.WorkerState, calledAt time.Duration) Changes {
+		response := ListResponse{Service: service, Revision: revision, Complete: true, CalledAt: epoch.Add(calledAt),
+			ReceivedAt: epoch.Add(calledAt + 100*time.Millisecond), Endpoints: []Endpoint{{ID: "w", State: state}}}
+		return known.Apply(response, known.Classify(response))
+	}
+	respond("before", 4, scheduler.Draining, 0)
+	respond("after", 101, scheduler.Draining, time.Second) // of an earlier drain
+	learnedAt := epoch.Add(100 * time.Millisecond)
+	if changes := respond("after", 102, scheduler.Ready, 2*time.Second); len(changes.Accepted) != 0 || changes.PollAgainAt != learnedAt.Add(MaxStaleness) {
+		t.Errorf("a return too soon: %+v", changes)
+	}
+	if changes := respond("after", 103, scheduler.Ready, 100*time.Millisecond+MaxStaleness); len(changes.Accepted) != 1 || changes.Accepted[0].State != scheduler.Ready {
+		t.Errorf("a return after MaxStaleness: %+v", changes)
+	}
+}
+
 // Promise 1 after a restart: a drain that a predecessor process handed over is not withdrawn by the first list of another service,
 // whose call was made less than MaxStaleness after the drain was notified.
 func TestRestoredDrain_notWithdrawnByOtherService(t *testing.T) {
