--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -360,7 +360,22 @@
 	restored.Restore("before", 9, []Endpoint{drain})
 	ready := ListResponse{Service: "after", Revision: 3, Complete: true, CalledAt: epoch.Add(time.Second),
 		ReceivedAt: epoch.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
-	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 0 {
-		t.Errorf("accepted %+v", changes.Accepted)
+	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 0 || changes.PollAgainAt != epoch.Add(MaxStaleness) {
+		t.Errorf("too soon: %+v", changes)
+	}
+	ready.CalledAt, ready.ReceivedAt = epoch.Add(MaxStaleness), epoch.Add(MaxStaleness+time.Second)
+	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 1 {
+		t.Errorf("after MaxStaleness: %+v", changes)
+	}
+}
+
+// A drain that a predecessor process handed over is withdrawn at once by a higher revision of the service that it called.
+func TestRestoredDrain_withdrawnByHigherRevision(t *testing.T) {
+	var restored Table
+	restored.Restore("before", 9, []Endpoint{{ID: "w", State: scheduler.Draining, NotifiedAt: epoch}})
+	ready := ListResponse{Service: "before", Revision: 10, Complete: true, CalledAt: epoch.Add(time.Second),
+		ReceivedAt: epoch.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
+	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 1 || changes.Accepted[0].State != scheduler.Ready {
+		t.Errorf("%+v", changes)
 	}
 }
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -27,21 +27,29 @@
 }
 
 // Restore enters the list that was known before this process began, at a revision of a service. It is called before the first
-// Classify. When the list was learned is not known.
+// Classify. A worker that is not ready counts as learned at its NotifiedAt, which the caller sets; a ready one was learned long ago.
 func (t *Table) Restore(service string, revision int64, endpoints []Endpoint) {
 	t.serviceProgress(service).revision = revision
 	for _, endpoint := range endpoints {
-		t.Record(endpoint, service, revision)
+		entry := t.newRecord(endpoint, service, revision)
+		entry.learnedAt = entry.notifiedAt
+		t.set(endpoint.ID, entry)
 	}
 }
 
-// Record enters the state of one worker that is known otherwise than by a response, in place of what was known of it.
+// Record enters the state of one worker that is known otherwise than by a response, in place of what was known of it. It counts as
+// learned long ago.
 func (t *Table) Record(endpoint Endpoint, service string, revision int64) {
+	t.set(endpoint.ID, t.newRecord(endpoint, service, revision))
+}
+
+// newRecord returns the record of a worker that was learned long ago, at a revision of a service.
+func (t *Table) newRecord(endpoint Endpoint, service string, revision int64) record {
 	entry := record{state: endpoint.State, start: endpoint.Start, service: service, epoch: t.serviceProgress(service).sequence, revision: revision}
 	if endpoint.State != scheduler.Ready {
 		entry.notifiedAt = endpoint.NotifiedAt
 	}
-	t.set(endpoint.ID, entry)
+	return entry
 }
 
 // Classify compares a response with those before it of its service, and records it. It is called once for each response; unless
