--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test race lint fmt soak run demo sites
+.PHONY: build test properties race lint fmt soak run demo sites
 
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
@@ -9,6 +9,11 @@
 	go test -count=1 -p 1 ./...
 	BRASSDALE_ALONE=1 go test -count=1 -run TestInterface ./internal/scale
 
+# The property tests on other cases than those of every run: make properties SEED=7.
+SEED ?= 2
+properties:
+	go test -count=1 $$(go list -f '{{range .TestImports}}{{if eq . "brassdale/internal/testsupport/property"}}{{$$.ImportPath}} {{end}}{{end}}' ./...) -rapid.seed=$(SEED) -rapid.checks=10000
+
 race:
 	go test -count=1 -race ./cmd/... ./internal/...
 
--- a/internal/decisions/budgetleases/lessor_test.go
+++ b/internal/decisions/budgetleases/lessor_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 const leaseDuration = 2 * time.Second
@@ -74,7 +76,7 @@
 // TestLessor_neverExceedsBudget checks that leases and what dispatchers may use without one stay within the budget, whatever is
 // requested, lost, delayed or duplicated, whichever processes pause or restart, also the lessor's.
 func TestLessor_neverExceedsBudget(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		model := drawBudgetModel(t)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			lessee := rapid.IntRange(0, len(model.lessees)-1).Draw(t, "lessee")
--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -9,6 +9,7 @@
 
 	"pgregory.net/rapid"
 
+	"brassdale/internal/testsupport/property"
 	"brassdale/scheduler"
 )
 
@@ -96,7 +97,7 @@
 
 // Promises 2 to 6, for any events in any order.
 func TestAssessor_promises(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		rules := testRules
 		rules.MayProbe = rapid.Bool().Draw(t, "probing")
 		now := 10 * day
@@ -160,7 +161,7 @@
 
 // Promise 5: a worker that is warming up is seldom taken for warm, and a warm one is confirmed after four jobs on average.
 func TestJobServed_sequentialTest(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		age := time.Duration(rapid.IntRange(0, 48).Draw(t, "hours")) * time.Hour
 		seed := rapid.Uint64().Draw(t, "seed")
 		falseWarm, warmJobs := 0, 0
@@ -206,7 +207,7 @@
 
 // Promise 5: the older the list, the less a worker is trusted.
 func TestWarmingUpPrior_growsWithAge(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		younger, older := rapid.IntRange(0, 72).Draw(t, "a"), rapid.IntRange(0, 72).Draw(t, "b")
 		if younger > older {
 			younger, older = older, younger
--- a/internal/decisions/canary/evaluation_test.go
+++ b/internal/decisions/canary/evaluation_test.go
@@ -6,13 +6,15 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // TestEvaluation_judgesHarmAtAnyFailureRate checks that a canary whose failure rate is higher than the others' fails, that one
 // whose rate is the same passes, whatever the rate is, and that one without jobs fails.
 func TestEvaluation_judgesHarmAtAnyFailureRate(t *testing.T) {
 	rollout := testRollout()
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		failureRate := rapid.Float64Range(0, 0.5).Draw(t, "failure rate")
 		harm := rapid.SampledFrom([]float64{0, 0.4}).Draw(t, "harm")
 		jobs := rapid.SampledFrom([]int{0, 1000}).Draw(t, "jobs")
--- a/internal/decisions/configversions/leasemodel_test.go
+++ b/internal/decisions/configversions/leasemodel_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // fleetModel is a small model of a fleet: dispatchers that renew leases, pause and act; a raft group whose leader may change;
@@ -317,7 +319,7 @@
 func TestLeases_randomHistories(t *testing.T) {
 	actions := []action{advanceTime, advanceTime, sendRenewal, sendRenewal, answerRenewal, answerRenewal, deliverResponse, deliverResponse,
 		loseResponse, announceVersion, putVersionInForce, changeLeader, togglePause}
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		model := newFleetModel(rapid.IntRange(2, 5).Draw(t, "dispatchers"), noFault)
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
 			model.step(rapid.SampledFrom(actions).Draw(t, "action"), rapid.IntRange(0, 4).Draw(t, "target"))
--- a/internal/decisions/configversions/rules_test.go
+++ b/internal/decisions/configversions/rules_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // drawRules draws rules with up to three detached workers.
@@ -41,7 +43,7 @@
 
 // TestRulesStricter_permitsOnlyWhatBothPermit checks that Stricter is commutative and idempotent as well.
 func TestRulesStricter_permitsOnlyWhatBothPermit(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		a, b := drawRules(t, "a"), drawRules(t, "b")
 		stricter, reversed := a.Stricter(b), b.Stricter(a)
 		if !permitsNoMoreThan(stricter, a) || !permitsNoMoreThan(stricter, b) || fmt.Sprint(stricter) != fmt.Sprint(reversed) ||
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -7,6 +7,7 @@
 
 	"pgregory.net/rapid"
 
+	"brassdale/internal/testsupport/property"
 	"brassdale/scheduler"
 )
 
@@ -200,7 +201,7 @@
 
 // Long random histories hold the properties: responses of lagging replicas of two services that are delayed, repeated and overtaken.
 func TestTable_drawnHistories(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		truth := drawTruth(t)
 		model := &discoveryModel{table: &Table{}, acceptedState: scheduler.Gone, newestRestriction: -1, truth: truth}
 		received := time.Duration(0)
--- a/internal/decisions/failover/plan_test.go
+++ b/internal/decisions/failover/plan_test.go
@@ -5,12 +5,14 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // TestPlanChoose_followsShares checks that requests are distributed by the shares of a plan, that most keep their zone when shares
 // change little, and that two plans, mixed or interpolated, load the zones as MaxMixedLoad and Interpolate say.
 func TestPlanChoose_followsShares(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		zones, demands, reachable := drawInputs(t)
 		plan := newPlan(demands, zones, Solve(zones, demands, reachable, 0.15))
 		for i := range zones {
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -4,6 +4,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // TestPlanner_lossAndRecovery checks that everything is served near while nothing happens, that a fault of a second changes
@@ -111,7 +113,7 @@
 // TestPlanner_randomHistories checks, whatever happens to zones and routes, that no plan loads a zone above its capacity less the
 // headroom, unless the plan before did, that no plan uses an excluded route, and that the cheap class is shed before the dear one.
 func TestPlanner_randomHistories(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		model := newFleetModel(rapid.IntRange(1, 3).Draw(t, "dispatchers"))
 		model.run(3)
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
--- a/internal/decisions/failover/solve_test.go
+++ b/internal/decisions/failover/solve_test.go
@@ -8,6 +8,8 @@
 	"gonum.org/v1/gonum/mat"
 	"gonum.org/v1/gonum/optimize/convex/lp"
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // drawInputs draws up to four zones in two regions, with demands and routes that are cut.
@@ -89,7 +91,7 @@
 // TestSolve_matchesLinearProgramme checks that a flow keeps within capacities and routes, serves as much weight of work as the
 // linear programme, and crosses no more.
 func TestSolve_matchesLinearProgramme(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		zones, demands, reachable := drawInputs(t)
 		if len(demands) == 0 {
 			return
--- a/internal/decisions/gossippeers/digest_test.go
+++ b/internal/decisions/gossippeers/digest_test.go
@@ -5,11 +5,13 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // TestDigestOf checks that a digest does not depend on the order of the names, and differs for any two sets that are drawn.
 func TestDigestOf(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringN(1, 12, -1), 1, 30, rapid.ID[string]).Draw(t, "names")
 		other := slices.Clone(names)
 		slices.Reverse(other)
--- a/internal/decisions/gossippeers/peers_test.go
+++ b/internal/decisions/gossippeers/peers_test.go
@@ -7,6 +7,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // runRandomHistory draws joins, deaths, cuts of zones, pauses and lost messages, ends all faults, and returns the violation that
@@ -57,7 +59,7 @@
 // TestPeers_convergeAfterRandomHistories checks that after any history all dispatchers of a zone know each other and none else,
 // none begins an exchange any more, and none ever began two too soon after each other.
 func TestPeers_convergeAfterRandomHistories(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		if violation := runRandomHistory(t, newFleetModel()); violation != "" {
 			t.Fatal(violation)
 		}
--- a/internal/decisions/http2limits/http2limits_test.go
+++ b/internal/decisions/http2limits/http2limits_test.go
@@ -5,11 +5,13 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // Promise 1: a client whose streams are answered may send as many other frames as the credits allow, at any rate.
 func TestConn_answeredStreamsNeverClose(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
 		conn.PrefaceCompleted()
 		for range rapid.IntRange(1, 400).Draw(t, "streams") {
@@ -53,7 +55,7 @@
 
 // Promises 2 and 5: floods close the connection within their budgets, whatever is received in between, for one lasting reason.
 func TestConn_floodsClose(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
 		passed, answered := map[CloseReason]float64{}, 0.0
 		closedFor := CloseReason("")
@@ -106,7 +108,7 @@
 
 // Promises 3 and 4: what is not complete in time, and header blocks that are too long, close the connection.
 func TestConn_incompleteInTime(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
 		openSince := time.Duration(0) // since when something is incomplete
 		open := true
@@ -160,7 +162,7 @@
 
 // Promise 6: the dynamic threshold keeps the limit, serves users below the floor, and leaves capacity free.
 func TestWithinDynamicThreshold_fair(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		limit, floor := rapid.IntRange(1, 60).Draw(t, "limit"), rapid.IntRange(0, 4).Draw(t, "floor")
 		open, total := map[int]int{}, 0
 		for range 300 {
--- a/internal/decisions/idempotency/idempotency_test.go
+++ b/internal/decisions/idempotency/idempotency_test.go
@@ -4,6 +4,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // modelJob is a job in the model.
@@ -95,7 +97,7 @@
 
 // Promises 1 to 5, for a table of jobs that is driven by the decisions on any sequence of requests.
 func TestDecide_promises(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		table := &model{t: t, jobs: map[string]*modelJob{}, capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), running: map[string]int{}}
 		for range 200 {
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "key")
--- a/internal/decisions/incarnations/incarnations_test.go
+++ b/internal/decisions/incarnations/incarnations_test.go
@@ -6,12 +6,13 @@
 
 	"pgregory.net/rapid"
 
+	"brassdale/internal/testsupport/property"
 	"brassdale/scheduler"
 )
 
 // Promises 1 to 3: however the two wall clocks are stepped, no worker is taken to be older than it is.
 func TestTracker_neverOverestimatesAge(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		drawStep := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(-2*int64(time.Hour), 2*int64(time.Hour)).Draw(t, name))
 		}
--- a/internal/decisions/polling/callbound_test.go
+++ b/internal/decisions/polling/callbound_test.go
@@ -5,11 +5,13 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // Promise 5: however a service responds, and however soon, the number of calls is bounded.
 func TestSchedule_callsBounded(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		start := time.Unix(1e9, 0)
 		rules := Rules{Dispatchers: rapid.SampledFrom([]int{1, 5, 300}).Draw(t, "dispatchers")}
 		schedule, now, calls := NewSchedule(start), start, 0
--- a/internal/decisions/polling/polling_test.go
+++ b/internal/decisions/polling/polling_test.go
@@ -5,11 +5,13 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // Promises 3 and 5: the next call of a watch is made inside the gap, and not at once after a response without a change.
 func TestRewatchDelay_insideWatchGap(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		changed := rapid.Bool().Draw(t, "changed")
 		dispatchers := rapid.IntRange(-1, 1<<30).Draw(t, "dispatchers")
 		early := rapid.Bool().Draw(t, "early")
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // callFault is how discovery treats a call.
@@ -195,7 +197,7 @@
 // longer than guaranteed.
 func TestSchedule_threeFaultyCalls(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		rapid.Check(t, func(t *rapid.T) {
+		property.Check(t, func(t *rapid.T) {
 			sim := drawSimulation(t, pushed)
 			sim.schedule.Start(sim.now)
 			sim.runUntil(sim.now.Add(time.Duration(rapid.Int64Range(int64(time.Second), int64(10*time.Second)).Draw(t, "quiet"))))
@@ -220,7 +222,7 @@
 
 // Promise 1 after a move: the first three calls to the new service are faulty, whatever was in flight before.
 func TestSchedule_threeFaultyCallsAfterMove(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, false)
 		sim.schedule.Start(sim.now)
 		sim.runUntil(sim.now.Add(time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "quiet"))))
@@ -236,7 +238,7 @@
 
 // Promise 1 after the start of a process, whose first call may be 3 s late.
 func TestSchedule_threeFaultyCallsAfterStart(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, false)
 		sim.faults = drawFaults(t)
 		sim.change()
@@ -251,7 +253,7 @@
 
 // Promise 5: a service that fails each call is not called in a loop.
 func TestSchedule_noCallLoop(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, rapid.Bool().Draw(t, "pushed"))
 		kind := rapid.SampledFrom([]callFault{neverAnswers, breaksOff, connectionRefused, answers503}).Draw(t, "fault")
 		for range 2000 {
--- a/internal/decisions/quotas/quotas_test.go
+++ b/internal/decisions/quotas/quotas_test.go
@@ -4,11 +4,13 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // Promises 1 to 5, for any sequence of jobs and changes of the quotas.
 func TestTable_promises(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(8, 80).Draw(t, "capacity")
 		shares := map[string]float64{"a": 0.5, "b": 0.25, "c": 0.125}
 		table := New(capacity, shares)
--- a/internal/decisions/retrybudget/retrybudget_test.go
+++ b/internal/decisions/retrybudget/retrybudget_test.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // Promises 1 and 2: for any sequence of attempts, the further attempts in any window stay within the ratio of the first ones plus
@@ -16,7 +18,7 @@
 		further        bool
 		class, account string
 	}
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 2).Draw(t, "ratio")
 		budget := New(ratio)
 		var sent []attempt
--- a/internal/decisions/voters/founding_test.go
+++ b/internal/decisions/voters/founding_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // foundersModel are three founding voters, of which one may lose its storage after the group is founded.
@@ -34,7 +36,7 @@
 // with other storage than it founded the group with, whichever others it reaches. Only one voter loses its storage: what a
 // majority loses no one can know any more.
 func TestDecideFounding(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		model := foundersModel{incarnations: map[uint64]string{}, founded: map[uint64]map[uint64]string{}, lostVotes: map[uint64]bool{}}
 		for id := range uint64(foundingVoters) {
 			model.createStorage(id + 1)
--- a/internal/decisions/voters/planchange_test.go
+++ b/internal/decisions/voters/planchange_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 const testMaxSilence = 30 * time.Second
@@ -80,7 +82,7 @@
 // TestPlanChange_replacesAbsentVoters has one or two of five voters become silent. The group returns to five present voters
 // without ever having fewer present voters than before a change, and nothing changes while all are present.
 func TestPlanChange_replacesAbsentVoters(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		group := drawGroup(t)
 		if change, ok := group.plan(); ok {
 			t.Fatalf("all voters are present, and the plan is %+v", change)
@@ -134,7 +136,7 @@
 // place of the leader, while five vote at any time and the leader never removes itself; and that nothing changes afterwards.
 // A leader that serves jobs stays where no machine is dedicated, as none may replace it.
 func TestPlanChange_prefersDedicatedMachines(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		group := drawDedicatedGroup(t)
 		settled := false
 		for range 100 {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,6 +15,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // allJobs returns all jobs of a source.
@@ -28,7 +30,7 @@
 // TestPlansAreByTheirSeed: a seed gives the same jobs each time, and another seed others; times are in order and inside their phases,
 // and do not depend on the accounts.
 func TestPlansAreByTheirSeed(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		phase := Phase{Shape: Shape(rapid.IntRange(0, int(Day)).Draw(t, "shape")), For: time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond,
 			Rate: rapid.Float64Range(1, 2000).Draw(t, "rate"), Every: 200 * time.Millisecond, Last: 50 * time.Millisecond}
 		if phase.Shape == Ramp || phase.Shape == Burst {
--- /dev/null
+++ b/internal/testsupport/property/property_test.go
@@ -0,0 +1,20 @@
+package property
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Check draws the same cases each time.
+func TestCheck_repeatable(t *testing.T) {
+	draw := func() (drawn []int) {
+		Check(t, func(t *rapid.T) { drawn = append(drawn, rapid.Int().Draw(t, "number")) })
+		return drawn
+	}
+	first, second := draw(), draw()
+	if len(first) == 0 || !slices.Equal(first, second) {
+		t.Errorf("%d cases, then %d, and not the same ones", len(first), len(second))
+	}
+}
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // relay forwards the bytes of connections and counts them.
@@ -173,7 +175,7 @@
 
 // TestWithin_sumsUnchanged counts in any order: a part that is counted as another kind changes no sum.
 func TestWithin_sumsUnchanged(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		var m Meter
 		var sent, received uint64
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
--- a/scheduler/freshness_test.go
+++ b/scheduler/freshness_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // probingSettings returns settings where probes are permitted and the endpoint list is valid for 6.5 s.
@@ -65,7 +67,7 @@
 // Whatever comes, no request is sent to a worker whose state was confirmed longer ago than the list is valid, and none has a
 // later SendBy.
 func TestFreshness_noSendAfterValidity(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		settings := probingSettings()
 		d, now := New(settings, rapid.Uint64().Draw(t, "seed")), start
 		infos := workers(rapid.IntRange(1, 4).Draw(t, "workers"))
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"flag"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -10,6 +9,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"brassdale/internal/testsupport/property"
 )
 
 // warmingFleet is a random fleet around one worker that has just started.
@@ -121,11 +122,7 @@
 // state: within any overload window a warming worker gets no more than the N jobs that the settings allow it, and 2 x root of N
 // + 2 by chance.
 func TestSlowStartBudget_anyFleet(t *testing.T) {
-	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" { // the same cases every time; others with -rapid.seed
-		flag.Set(f.Name, "1")
-		defer flag.Set(f.Name, "0")
-	}
-	rapid.Check(t, func(t *rapid.T) {
+	property.Check(t, func(t *rapid.T) {
 		f := warmingFleet{dispatchers: rapid.IntRange(1, 30).Draw(t, "dispatchers"), slots: float64(rapid.IntRange(2, 8).Draw(t, "slots")),
 			work: rapid.Float64Range(0.1, 1).Draw(t, "work"), requestRate: rapid.Float64Range(20, 200).Draw(t, "rate"),
 			firstDispatcherFactor: rapid.Float64Range(0.2, 4).Draw(t, "uneven"), seed: rapid.Uint64().Draw(t, "seed"),
