--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -13,43 +13,111 @@
 	"testing"
 )
 
-// checkedPages are the pages whose names of code must exist.
-var checkedPages = []string{"architecture.md", "glossary.md", "on-call.md", "admin-api.md", "process-handover.md", "settings-reload.md", "connection-limits.md"}
+// checkedPages returns the pages whose names of code must exist: README.md and all pages of docs/ but those of docs/results, which name
+// the code as it was at the commits that they measured. The paths are relative to this directory.
+func checkedPages(t *testing.T) []string {
+	t.Helper()
+	pages := []string{filepath.Join("..", "README.md")}
+	err := filepath.WalkDir(filepath.Join("..", "docs"), func(path string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case entry.IsDir() && entry.Name() == "results":
+			return filepath.SkipDir
+		case strings.HasSuffix(path, ".md"):
+			pages = append(pages, path)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return pages
+}
 
 var (
+	wordPattern   = regexp.MustCompile(`\w+`)
+	testName      = regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]`)
 	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
 	qualifiedName = regexp.MustCompile(`^([A-Za-z0-9]+)\.([A-Za-z]\w*)$`)
-	sourcePath    = regexp.MustCompile(`^(internal|cmd|scheduler|deploy|docs|scenarios)(/[\w.-]+)+$`)
+	mixedCaseName = regexp.MustCompile(`^[A-Za-z]\w*[a-z0-9][A-Z]\w*$`)
+	sourcePath    = regexp.MustCompile(`^((internal|cmd|scheduler|deploy|docs|scenarios)(/[\w.-]+)+|[\w./-]+\.go)$`) // from the root of the repository
 )
 
-// TestDocs_nameWhatExists checks that each package.Name, Type.Member and path between backticks on the checked pages is in the code.
+// TestDocs_nameWhatExists checks that what stands between backticks on the checked pages exists: package.Name, Type.Member, paths of
+// code, and names in mixed case, of the code or of a setting.
 func TestDocs_nameWhatExists(t *testing.T) {
-	declared, qualifiers := declarations(t)
-	for _, page := range checkedPages {
-		text, err := os.ReadFile(filepath.Join("..", "docs", page))
+	names := namesOfCode(t)
+	for _, page := range checkedPages(t) {
+		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, span := range codeSpan.FindAllStringSubmatch(string(text), -1) {
-			name := span[1]
-			if sourcePath.MatchString(name) {
-				if _, err := os.Stat(filepath.Join("..", name)); err != nil {
-					t.Errorf("%s names %s, which does not exist", page, name)
-				}
-				continue
-			}
-			if parts := qualifiedName.FindStringSubmatch(name); parts != nil && qualifiers[parts[1]] && !declared[name] {
-				t.Errorf("%s names %s, which does not exist", page, name)
+			if names.lack(span[1]) {
+				t.Errorf("%s names %s, which does not exist", page, span[1])
 			}
 		}
 	}
 }
 
-// declarations returns every package.Name and Type.Member of the code, tests left out, and the packages and types as qualifiers.
-func declarations(t *testing.T) (declared, qualifiers map[string]bool) {
+// codeNames is what the code declares, tests left out.
+type codeNames struct {
+	declared   map[string]bool // package.Name and Type.Member
+	qualifiers map[string]bool // packages and types
+	words      map[string]bool // see wordsOfCode
+}
+
+// namesOfCode returns the names of the code.
+func namesOfCode(t *testing.T) *codeNames {
 	t.Helper()
-	declared, qualifiers = map[string]bool{}, map[string]bool{}
-	for _, root := range []string{".", "../scheduler", "../cmd"} {
+	declared, qualifiers := declarations(t)
+	return &codeNames{declared: declared, qualifiers: qualifiers, words: wordsOfCode(t)}
+}
+
+// lack reports whether a text between backticks is a name or a path of code that does not exist.
+func (n *codeNames) lack(span string) bool {
+	if sourcePath.MatchString(span) {
+		_, err := os.Stat(filepath.Join("..", span))
+		return err != nil
+	}
+	if parts := qualifiedName.FindStringSubmatch(span); parts != nil {
+		return n.qualifiers[parts[1]] && !n.declared[span]
+	}
+	if !mixedCaseName.MatchString(span) || testName.MatchString(span) {
+		return false
+	}
+	field := strings.ToUpper(span[:1]) + span[1:] // a key of JSON, where it is no tag, is the name of a field
+	return !n.words[span] && !n.words[field]
+}
+
+// wordsOfCode returns all identifiers of the code, tests left out, and all words in its strings, such as keys of JSON.
+func wordsOfCode(t *testing.T) map[string]bool {
+	t.Helper()
+	words := map[string]bool{}
+	forEachFile(t, codeRoots, func(file *ast.File) {
+		ast.Inspect(file, func(node ast.Node) bool {
+			switch node := node.(type) {
+			case *ast.Ident:
+				words[node.Name] = true
+			case *ast.BasicLit:
+				for _, word := range wordPattern.FindAllString(node.Value, -1) {
+					words[word] = true
+				}
+			}
+			return true
+		})
+	})
+	return words
+}
+
+// codeRoots are the directories of all code of the project.
+var codeRoots = []string{".", "../scheduler", "../cmd"}
+
+// forEachFile calls use with each file of code below the roots, tests left out.
+func forEachFile(t *testing.T, roots []string, use func(*ast.File)) {
+	t.Helper()
+	for _, root := range roots {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
@@ -58,19 +126,28 @@
 			if err != nil {
 				return err
 			}
-			add := func(qualifier, name string) {
-				qualifiers[qualifier] = true
-				declared[qualifier+"."+name] = true
-			}
-			for _, decl := range file.Decls {
-				addDeclaration(file.Name.Name, decl, add)
-			}
+			use(file)
 			return nil
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
+}
+
+// declarations returns every package.Name and Type.Member of the code, tests left out, and the packages and types as qualifiers.
+func declarations(t *testing.T) (declared, qualifiers map[string]bool) {
+	t.Helper()
+	declared, qualifiers = map[string]bool{}, map[string]bool{}
+	add := func(qualifier, name string) {
+		qualifiers[qualifier] = true
+		declared[qualifier+"."+name] = true
+	}
+	forEachFile(t, codeRoots, func(file *ast.File) {
+		for _, decl := range file.Decls {
+			addDeclaration(file.Name.Name, decl, add)
+		}
+	})
 	return declared, qualifiers
 }
 
@@ -174,29 +251,16 @@
 func stringLiterals(t *testing.T) map[string]bool {
 	t.Helper()
 	literals := map[string]bool{}
-	for _, root := range []string{".", "../scheduler"} {
-		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
-			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-				return err
-			}
-			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-			if err != nil {
-				return err
-			}
-			ast.Inspect(file, func(node ast.Node) bool {
-				if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
-					if text, err := strconv.Unquote(literal.Value); err == nil {
-						fixed, _, _ := strings.Cut(text, " worker=%")
-						literals[fixed] = true
-					}
+	forEachFile(t, []string{".", "../scheduler"}, func(file *ast.File) {
+		ast.Inspect(file, func(node ast.Node) bool {
+			if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+				if text, err := strconv.Unquote(literal.Value); err == nil {
+					fixed, _, _ := strings.Cut(text, " worker=%")
+					literals[fixed] = true
 				}
-				return true
-			})
-			return nil
+			}
+			return true
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
-	}
+	})
 	return literals
 }
