--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -73,31 +73,30 @@
 	return listed, gone
 }
 
-// publishChanges passes on what has changed: to the endpoint pool first, then to the scheduler. The scheduler learns from the full list
-// which endpoints are gone.
+// publishChanges passes on what has changed: to the endpoint pool first, then to the scheduler, so that the scheduler never sends to
+// an endpoint that the pool does not know. listed are the endpoints that the update names, gone those that a full list does not
+// name; the scheduler, which gets the full list too, finds them by itself.
 func (l *EndpointList) publishChanges(update ListUpdate, listed, gone []Endpoint, kind scheduler.ListKind) {
-	changed := update.Complete
-	for _, endpoint := range listed {
-		if l.updateEndpoint(endpoint) {
-			changed = true
-		}
-	}
-	event := scheduler.EndpointsUpdated{ListKind: kind, Workers: l.withStartTimes(listed), AsOf: l.core.clock.At(l.completeAsOf)}
+	changed := l.updateEndpoints(listed)
+	l.updateEndpoints(gone)
+	workers := l.withStartTimes(listed)
 	l.listReceived = l.listReceived || kind != scheduler.ListCached
-	for _, endpoint := range gone {
-		l.updateEndpoint(endpoint)
-	}
 	l.core.counters.setListedEndpoints(len(l.known))
-	l.core.UpdateEndpoints(event)
+	l.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: kind, Workers: workers, AsOf: l.core.clock.At(l.completeAsOf)})
+	l.logUpdate(&update, len(listed), changed)
+}
+
+// logUpdate logs an update that names endpoints: one that changed something, and each full list, at info level, others at debug level.
+func (l *EndpointList) logUpdate(update *ListUpdate, accepted int, changed bool) {
 	if len(update.Endpoints) == 0 {
 		return
 	}
 	log := l.log.Debug
-	if changed {
+	if changed || update.Complete {
 		log = l.log.Info
 	}
 	log("endpoint list updated", "revision", update.Revision, "complete", update.Complete, "endpoints", len(update.Endpoints),
-		"accepted", len(listed), "known", len(l.known))
+		"accepted", accepted, "known", len(l.known))
 }
 
 // withStartTimes returns the workers of a list with their start times on the scheduler's clock.
@@ -127,6 +126,16 @@
 	return l.incarnations.StartedAt(id)
 }
 
+// updateEndpoints enters endpoints in the list, passes them to the endpoint pool, and reports whether updateEndpoint found a change.
+func (l *EndpointList) updateEndpoints(endpoints []Endpoint) (changed bool) {
+	for _, endpoint := range endpoints {
+		if l.updateEndpoint(endpoint) {
+			changed = true
+		}
+	}
+	return changed
+}
+
 // updateEndpoint enters an endpoint in the list, passes it to the endpoint pool, and reports whether anything but its weight has
 // changed: weights follow the load.
 func (l *EndpointList) updateEndpoint(endpoint Endpoint) bool {
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -99,21 +99,33 @@
 		"revision", response.update.Revision, "known", response.call.service.revision)
 }
 
-// acceptList accepts the list, or a change of it, of the current service.
+// acceptList accepts the list, or a change of it, of the current service, unless the assessor of a cached start doubts it.
 func (l *EndpointList) acceptList(response *listResponse) {
-	call, update, service, now := response.call, &response.update, response.call.service, response.endedAt
-	changed := update.Revision != service.revision || len(update.Endpoints) > 0
+	service := response.call.service
 	if !service.answered {
 		service.answered = true
 		l.calls.dropPrevious()
 	}
-	if pollAt, doubted := l.assessList(update); doubted {
-		update.Complete = false
-		l.apply(response, endpointstate.Current)
-		service.revision = FullList
-		l.calls.schedule.PollAt(pollAt)
+	if pollAt, doubted := l.assessList(&response.update); doubted {
+		l.acceptDoubted(response, pollAt)
 		return
 	}
+	l.acceptConfirmed(response)
+}
+
+// acceptDoubted accepts what a doubted list says of the workers that it names: which workers there are is for the full list to say,
+// which is polled at a time.
+func (l *EndpointList) acceptDoubted(response *listResponse, pollAt time.Time) {
+	response.update.Complete = false
+	l.apply(response, endpointstate.Current)
+	response.call.service.revision = FullList
+	l.calls.schedule.PollAt(pollAt)
+}
+
+// acceptConfirmed puts a list, or a change of it, of the current service in force, in place of a cached list too.
+func (l *EndpointList) acceptConfirmed(response *listResponse) {
+	call, update, service, now := response.call, &response.update, response.call.service, response.endedAt
+	changed := update.Revision != service.revision || len(update.Endpoints) > 0
 	if update.Complete {
 		service.fullListDue = false
 	}
--- a/internal/transport/attemptqueue.go
+++ b/internal/transport/attemptqueue.go
@@ -10,6 +10,22 @@
 	"brassdale/scheduler"
 )
 
+// How an exchange gets its connection:
+//
+//	startExchange --- idle connection -------------------------> assign --- checks pass ---> runExchange
+//	   |                                                          ^  |
+//	   |-- must not start by now --> finishUnassigned (NeverSent) |  '--- a check fails ---> finishUnassigned (NeverSent)
+//	   |                                                          |
+//	   |-- capacity reserved --> waitingForDial ------------------+-- handleDialCompleted, or any other connection: release
+//	   |                           '-- dial failed --> finishUnassigned (outcomeOfDialError)
+//	   |                                                          |
+//	   '-- no capacity --> waitingForCapacity --------------------'
+//	                         |-- capacityFreed --> startWaiting --> startExchange
+//	                         '-- deadline --> finishTimedOut --> finishUnassigned (NeverSent)
+//
+// A cancelled exchange leaves its queue at once (cancel). Connections go to exchanges in the order in which those arrived, not to the
+// one that they were opened for.
+
 // startExchange gives an exchange a connection: an idle one, or a new one if the pool allows one more. Otherwise the exchange
 // waits for capacity: at another worker the attempt would not find a connection either, and would be lost.
 func (e *endpoint) startExchange(exchange *workerExchange) {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -15,7 +15,7 @@
 // returns the bytes as received, and whoever speaks the protocol (transport/http2) follows them.
 //
 // One goroutine at a time reads. The fields under listener.mu say what the connection is at; they, and the atomic ones, may be
-// used from any goroutine, for example by the listener, which closes a connection to make room for another.
+// used from any goroutine, for example by the listener, which closes a connection to free capacity for another.
 type Conn struct {
 	*net.TCPConn
 	listener *Listener
@@ -63,23 +63,29 @@
 			}
 			continue
 		}
-		n, err := c.readNext(buffer)
-		if n > 0 && !c.noteRequestBytes() {
-			return 0, io.EOF // closed since the check above: these bytes belong to no request that is served here
-		}
-		if c.listener.multiplexed {
+		if n, err := c.readRequest(buffer); n > 0 || err != nil {
 			return n, err
 		}
-		passed, complete := c.framing.scan(buffer[:n])
-		if complete {
-			c.completeRequest(buffer[passed:n])
-		}
-		if passed > 0 || err != nil {
-			return passed, err
-		}
 	}
 }
 
+// readRequest reads once, and returns how many of the bytes belong to the present request; 0 without an error if the framing
+// found the bytes malformed. On a multiplexed connection all bytes are returned.
+func (c *Conn) readRequest(buffer []byte) (int, error) {
+	n, err := c.readNext(buffer)
+	if n > 0 && !c.noteRequestBytes() {
+		return 0, io.EOF // closed since mayNotContinue was called: these bytes belong to no request that is served here
+	}
+	if c.listener.multiplexed {
+		return n, err
+	}
+	passed, complete := c.framing.scan(buffer[:n])
+	if complete {
+		c.completeRequest(buffer[passed:n])
+	}
+	return passed, err
+}
+
 // Write writes a part of an answer.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.responseStarted.Store(true)
--- a/internal/transport/idempotencytable.go
+++ b/internal/transport/idempotencytable.go
@@ -54,10 +54,11 @@
 	return stream != nil && !stream.rejected()
 }
 
-// reserveJob decides what a request with an idempotency key, or with none, gets. With Start it returns a new stream, with
-// Join the known one, and adds the request to its readers. reserved is false if Start was decided but the request id is
-// that of an open request; the stream is then of no use. resumes says that the client has seen events of the job before.
-func (t *IdempotencyTable) reserveJob(job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, decision idempotency.Decision, reserved bool) {
+// reserveJob decides what a request with an idempotency key, or with none, gets. With Start it returns a new stream, whose
+// request id is reserved in this process, with Join the known one; either way the request is one of its readers. With any other
+// decision there is no stream. resumes says that the client has seen events of the job before. The error is errIDInUse if
+// the job would start but its request id is that of an open request here.
+func (t *IdempotencyTable) reserveJob(job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, decision idempotency.Decision, err error) {
 	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
 	hasKey := job.IdempotencyKey != ""
 	t.mu.Lock()
@@ -75,18 +76,18 @@
 		stream = t.newJobStream(job, digest)
 		// Only this process is asked here, under the lock; the caller asks the predecessor.
 		if !t.inFlightIDs.Reserve(job.ID, nil) {
-			return stream, decision, false
+			return nil, decision, errIDInUse
 		}
 		if hasKey {
 			t.jobs[job.IdempotencyKey] = stream
 		}
 	case idempotency.Join:
 	default:
-		return stream, decision, true
+		return nil, decision, nil
 	}
 	stream.readers++
 	stream.runsWithoutReaders = stream.runsWithoutReaders || runsWithoutReaders && hasKey
-	return stream, decision, true
+	return stream, decision, nil
 }
 
 // hasCapacityLocked reports whether one more job can be remembered. t.mu is held.
--- a/internal/transport/keyedjob.go
+++ b/internal/transport/keyedjob.go
@@ -17,22 +17,25 @@
 var errKeyMismatch = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
 
 // joinOrStart returns the job of a request's idempotency key, with the request as one of its readers: the known job, or a
-// new one, which the caller must submit (started). If it is not ok, the request has been answered.
+// new one, which the caller must submit (started). If it is not ok, the request was rejected, and has its answer.
 // resumes says that the client has seen events of the job; runsWithoutReaders, that the job goes on without readers.
+// It blocks while a predecessor process is asked whether the request id is in use there.
 func (f *frontend) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, started, ok bool) {
-	stream, decision, reserved := f.idempotencyTable.reserveJob(job, resumes, runsWithoutReaders)
-	if decision == idempotency.Start && reserved && !f.idempotencyTable.inFlightIDs.confirmWithPredecessor(job.ID) {
+	stream, decision, err := f.idempotencyTable.reserveJob(job, resumes, runsWithoutReaders)
+	if err == nil && decision == idempotency.Start && !f.idempotencyTable.inFlightIDs.confirmWithPredecessor(job.ID) {
 		stream.finish(routing.Answer{Verdict: routing.Rejected}) // for requests that joined meanwhile: the job never ran
-		reserved = false
+		err = errIDInUse
 	}
-	switch {
-	case !reserved:
-		f.respondInvalid(w, r, errIDInUse)
-	case decision == idempotency.TableFull:
+	if err != nil {
+		f.respondInvalid(w, r, err)
+		return nil, false, false
+	}
+	switch decision {
+	case idempotency.TableFull:
 		f.rejectAndClose(w, r, job.ClassName, rejectedTableFull)
-	case decision == idempotency.UnknownKey:
+	case idempotency.UnknownKey:
 		f.respondInvalid(w, r, errUnknownKey)
-	case decision == idempotency.KeyMismatch:
+	case idempotency.KeyMismatch:
 		f.respondInvalid(w, r, errKeyMismatch)
 	default:
 		return stream, decision == idempotency.Start, true
