--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -38,7 +38,7 @@
 		return
 	}
 	meterRequests(a.options.Meter, false, request)
-	got, status := a.grantLease(r.Context(), request)
+	got, status := a.obtainLease(r.Context(), request)
 	a.options.Meter.Within(traffic.Renewal, traffic.Budget, len(got.BudgetRates[request.Name]), 0)
 	a.reply(w, status, got)
 }
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -119,9 +119,9 @@
 	return members
 }
 
-// grantLease gets a lease for one dispatcher, from this voter if it leads, else from the leader. It answers once this voter's
+// obtainLease gets a lease for one dispatcher, from this voter if it leads, else from the leader. It answers once this voter's
 // record is as new as the leader's, with what the dispatcher has to know of the record.
-func (a *Agent) grantLease(ctx context.Context, request leaseRequest) (response, int) {
+func (a *Agent) obtainLease(ctx context.Context, request leaseRequest) (response, int) {
 	own, lead := a.currentLeadership()
 	if own == nil {
 		return response{Reason: reasonNotVoter}, http.StatusMisdirectedRequest
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -89,7 +89,7 @@
 // requestLease requests a lease from a voter, which may be this dispatcher's own.
 func (a *Agent) requestLease(ctx context.Context, voter voters.Voter, request leaseRequest) (response, int, error) {
 	if voter.ID == request.VoterID {
-		got, status := a.grantLease(ctx, request)
+		got, status := a.obtainLease(ctx, request)
 		return got, status, nil
 	}
 	meterRequests(a.options.Meter, true, request)
--- a/internal/program/build.go
+++ b/internal/program/build.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"net"
-	"time"
 
 	"brassdale/internal/decisions/polling"
 	"brassdale/internal/operator"
@@ -15,9 +14,6 @@
 	"brassdale/scheduler"
 )
 
-// sourceCache is the name of the source of an endpoint list that was read from the endpoint cache.
-const sourceCache = "saved"
-
 // errNeedsFleet is returned for blocks that only a fleet can do something with.
 var errNeedsFleet = errors.New("blocks failover and overload need a block council")
 
@@ -45,58 +41,20 @@
 	return nil
 }
 
-// buildEndpointList makes the endpoint list, which begins with what is known before discovery answers: the predecessor's confirmed list,
-// else the endpoint cache if it is usable, else the list in the platform's file.
+// buildEndpointList makes the endpoint list, which begins with what is known before discovery answers.
 func (d *dispatcher) buildEndpointList(in *inputs, clock routing.Clock, discovery *transport.Discovery) {
-	known, source := d.knownList(in)
-	start := d.cachedStart(in.predecessor, clock)
-	if start != nil {
-		known = routing.ListUpdate{}
-	}
-	d.endpointList = routing.NewEndpointList(d.core, d.endpoints, discovery, known, d.log)
-	d.endpointList.SetSource(source)
+	first := d.chooseFirstList(in, clock)
+	d.endpointList = routing.NewEndpointList(d.core, d.endpoints, discovery, first.known, d.log)
+	d.endpointList.SetSource(first.source)
 	d.endpointList.SetPollRules(func() polling.Rules { return transport.PollRules(d.settings.Current()) })
-	if start != nil {
-		d.endpointList.StartFromCache(start)
-		age, ok := start.Assessor.Age()
-		d.log.Info("started from endpoint cache", "workers", len(start.Endpoints), "age", age, "age_known", ok)
+	if first.cached != nil {
+		d.endpointList.StartFromCache(first.cached)
+		age, ok := first.cached.Assessor.Age()
+		d.log.Info("started from endpoint cache", "workers", len(first.cached.Endpoints), "age", age, "age_known", ok)
 	}
 	d.core.SetEndpoints(d.endpoints, d.endpointList.Subscribe)
 }
 
-// knownList returns the predecessor's list, if it is confirmed, else that of the platform's file, and where it is from.
-func (d *dispatcher) knownList(in *inputs) (routing.ListUpdate, routing.ListSource) {
-	known := routing.ListUpdate{}
-	source := routing.ListSource{Name: "none"}
-	if in.config.Known != nil {
-		known = transport.Update(in.config.Known, d.settings.Current())
-		source.Name = "known"
-	}
-	if !in.predecessor.hasConfirmedList() {
-		return known, source
-	}
-	update, err := in.predecessor.handover.Update(in.config.Discovery, d.settings.Current())
-	if err != nil {
-		d.log.Warn("predecessor's endpoint list not usable", "err", err)
-		return known, source
-	}
-	return update, routing.ListSource{Name: "predecessor", ConfirmedAt: time.Now()}
-}
-
-// cachedStart returns a start from the endpoint cache; nil where there is a better one, or the cache is too old.
-func (d *dispatcher) cachedStart(pred *predecessor, clock routing.Clock) *routing.CachedStart {
-	if d.cache == nil || pred.hasConfirmedList() {
-		return nil
-	}
-	start := d.cache.start(clock)
-	if start != nil && !start.Assessor.Usable() {
-		age, _ := start.Assessor.Age() // 0 where it is not known
-		d.log.Warn("endpoint cache too old", "age", age)
-		return nil
-	}
-	return start
-}
-
 // buildLimits makes what bounds requests: idempotency, the retry budget, the fleet and quotas.
 func (d *dispatcher) buildLimits(in *inputs) error {
 	op := in.operator
--- a/internal/program/endpointcache.go
+++ b/internal/program/endpointcache.go
@@ -134,7 +134,7 @@
 	if !source.ConfirmedAt.IsZero() {
 		fmt.Fprintf(&text, "list_age_s=%d\n", int(time.Since(source.ConfirmedAt).Seconds()))
 	}
-	if source.Name == sourceCache {
+	if source.Name == routing.SourceCache {
 		fmt.Fprintf(&text, "list_doubted=%d\n", oneIf(source.AwaitingConfirmation))
 		for level, name := range trustLevelNames {
 			fmt.Fprintf(&text, "boxes_%s=%d\n", name, source.TrustLevels[level])
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -67,22 +67,10 @@
 		return err
 	}
 	dispatcher.takeOver(ctx, in)
-
-	failed := make(chan error, len(dispatcher.frontends)+1)
-	if err := dispatcher.serveAdmin(in.config.Admin, failed); err != nil {
+	failed, err := dispatcher.serve(ctx, in)
+	if err != nil {
 		return err
 	}
-	go dispatcher.core.Run(ctx)
-	go dispatcher.endpointList.Run(ctx)
-	dispatcher.awaitFirstList()
-	dispatcher.serveFrontends(failed)
-	dispatcher.fleet.run(ctx)
-	dispatcher.serving.Store(true)
-	dispatcher.publish(ctx)
-	if in.predecessor != nil {
-		in.predecessor.peer.Notify(protocol.HandoverMessage{Serving: true, Relay: dispatcher.relayPath})
-	}
-	log.Info("ready", "name", in.config.Name)
 	go dispatcher.reloader.run(ctx, reloads) // until the end: a SIGHUP during the shutdown may move discovery
 
 	select {
@@ -97,6 +85,28 @@
 	return nil
 }
 
+// serve starts all parts, and has the predecessor leave new clients to this process. The admin API is served first, so that a start that
+// waits for its list can be watched; clients are accepted only once the core and the endpoint list run. The channel gets the error
+// of each server that ends; in a shutdown all do.
+func (d *dispatcher) serve(ctx context.Context, in *inputs) (failed chan error, err error) {
+	failed = make(chan error, len(d.frontends)+1)
+	if err := d.serveAdmin(in.config.Admin, failed); err != nil {
+		return nil, err
+	}
+	go d.core.Run(ctx)
+	go d.endpointList.Run(ctx)
+	d.awaitFirstList()
+	d.serveFrontends(failed)
+	d.fleet.run(ctx)
+	d.serving.Store(true)
+	d.publish(ctx)
+	if in.predecessor != nil {
+		in.predecessor.peer.Notify(protocol.HandoverMessage{Serving: true, Relay: d.relayPath})
+	}
+	d.log.Info("ready", "name", in.config.Name)
+	return failed, nil
+}
+
 // takeOver begins to write the endpoint cache, restores which workers are detached, and takes over from the predecessor.
 func (d *dispatcher) takeOver(ctx context.Context, in *inputs) {
 	if d.cache != nil { // before anybody can detach a worker, here or at the predecessor
--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -38,7 +38,15 @@
 	running    sync.WaitGroup
 }
 
-// shutDown answers all requests that were accepted, and returns the time by which the process has to end.
+// shutDown answers all requests that were accepted, and returns the time by which the process has to end. It blocks until then at
+// the latest:
+//
+//	SIGTERM                not ready; frontends have clients go elsewhere (startFrontends), and listen on (awaitStopRequests)
+//	+ minListening         frontends may stop listening once they have no connections; multiplexed ones shut down
+//	end - stopRequests     listeners close; each connection is closed after its answer, idle ones at once (awaitConnections)
+//	end - answerMargin     the core answers every request that is still open
+//	end - exitMargin       requests that are still incomplete are rejected, and what is open is closed
+//	end                    the platform kills the process
 //
 // The load balancer soon brings no new clients, but clients go on using the connections that they have, and perhaps have nobody
 // else while another dispatcher restarts; and one connection that is refused makes the load balancer give up this dispatcher
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -8,6 +8,7 @@
 
 	"brassdale/internal/listen"
 	"brassdale/internal/protocol"
+	"brassdale/internal/routing"
 	"brassdale/internal/transport"
 )
 
@@ -42,20 +43,20 @@
 			peer.Close()
 			continue
 		}
-		if socketTaken := d.serveSuccessor(ctx, peer); socketTaken {
-			return
+		handover, err := d.newHandover(ctx)
+		if err != nil { // the context has ended
+			peer.Close()
+			continue
 		}
+		d.serveSuccessor(ctx, peer, handover)
+		return
 	}
 }
 
-// serveSuccessor hands this process's state to a successor and serves its messages until either process ends. It reports whether
-// the socket leads elsewhere now: to the successor, or, when that has ended first, to a new socket of this process.
-func (d *dispatcher) serveSuccessor(ctx context.Context, peer *transport.PeerProcess) (socketTaken bool) {
+// serveSuccessor hands this process's state to a successor and serves its messages until either process ends. From then on the path
+// of the socket leads elsewhere: to the successor, or, when that has ended first, to a new socket of this process.
+func (d *dispatcher) serveSuccessor(ctx context.Context, peer *transport.PeerProcess, handover *protocol.Handover) {
 	defer peer.Close()
-	handover, err := d.newHandover(ctx)
-	if err != nil {
-		return false
-	}
 	var listeners []*transport.Listener
 	for _, f := range d.frontends {
 		handover.Fronts = append(handover.Fronts, f.name)
@@ -67,14 +68,13 @@
 		d.log.Info("handover started")
 		peer.Run(func(message protocol.HandoverMessage) { d.handleSuccessorMessage(peer, message) })
 	}
-	if !d.serving.Load() { // shutting down
-		return true
+	if d.serving.Load() { // else this process is shutting down
+		d.resumeAlone(ctx, peer)
 	}
-	d.resumeAlone(ctx, peer)
-	return true
 }
 
-// newHandover returns what a successor begins with, without the frontends and detached workers.
+// newHandover returns what a successor begins with, without the frontends and detached workers. It waits for the actors that own the
+// state, and fails only when the context ends.
 func (d *dispatcher) newHandover(ctx context.Context) (*protocol.Handover, error) {
 	known, err := d.endpointList.Snapshot(ctx)
 	if err != nil {
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	return &protocol.Handover{
-		ListUnconfirmed: d.endpointList.Source().Name == sourceCache,
+		ListUnconfirmed: d.endpointList.Source().Name == routing.SourceCache,
 		Discovery:       d.reloader.discoveryAddress(),
 		Revision:        known.Revision,
 		Relay:           d.relayPath,
--- a/internal/routing/cachedstart.go
+++ b/internal/routing/cachedstart.go
@@ -180,7 +180,7 @@
 // publishSource stores where the list comes from and how far its endpoints are trusted.
 func (l *EndpointList) publishSource() {
 	assessor := l.cachedStart.Assessor
-	source := ListSource{Name: "saved", TrustLevels: assessor.CountByLevel(), AwaitingConfirmation: assessor.AwaitingConfirmation()}
+	source := ListSource{Name: SourceCache, TrustLevels: assessor.CountByLevel(), AwaitingConfirmation: assessor.AwaitingConfirmation()}
 	if age, ok := assessor.Age(); ok {
 		source.ConfirmedAt = l.core.clock.Time(assessor.StartedAt()).Add(-age)
 	}
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -140,7 +140,7 @@
 	if l.store != nil {
 		l.store.EndpointsUpdated(*update)
 	}
-	l.source.Store(&ListSource{Name: "discovery", ConfirmedAt: now})
+	l.source.Store(&ListSource{Name: SourceDiscovery, ConfirmedAt: now})
 	l.calls.schedule.CallAnswered(now, call.number, now.Sub(call.startedAt), changed, update.BeforeWaitEnded, l.pollRules(), rand.Float64())
 }
 
