--- a/cmd/brassdale-lab/scalefit.go
+++ b/cmd/brassdale-lab/scalefit.go
@@ -20,7 +20,7 @@
 			if err != nil {
 				return err
 			}
-			var rowsBefore []fit.Row
+			var rowsBefore []fit.Run
 			if len(before) > 0 {
 				if rowsBefore, err = fit.Read(before...); err != nil {
 					return err
--- a/internal/scale/fit/draw.go
+++ b/internal/scale/fit/draw.go
@@ -18,50 +18,50 @@
 
 // What the plan gives a dispatcher for control.
 const (
-	bytesLimit = 4000 // a second, both ways
-	cpuLimit   = 48   // ms/s
+	controlBytesLimit = 4000 // a second, both ways
+	controlCPULimit   = 48   // ms/s
 )
 
 // series is a figure in a chart.
 type series struct {
-	name, figure string
+	name, metric string
 }
 
-// draw writes the charts, over the runs in which the number of dispatchers alone varies. A chart without a figure is not
+// saveCharts writes the charts, over the runs in which the number of dispatchers alone varies. A chart without a figure is not
 // written, and an old one of its name goes.
-func draw(dir string, rows []Row) error {
-	along, constant := Along(rows, "dispatchers")
+func saveCharts(dir string, rows []Run) error {
+	along, constant := SelectSweep(rows, "dispatchers")
 	for _, c := range []struct {
 		file, title, unit string
 		limit, scale      float64
 		of                []series
 	}{
-		{"bytes.svg", "control at a dispatcher, both ways", "KB/s", bytesLimit, 1000,
+		{"bytes.svg", "control at a dispatcher, both ways", "KB/s", controlBytesLimit, 1000,
 			[]series{{"p50", "control_bytes_s_p50"}, {"p99", "control_bytes_s_p99"}, {"at rest", "rest.bytes_s"}}},
-		{"cpu.svg", "CPU for control", "ms/s", cpuLimit, 1,
+		{"cpu.svg", "CPU for control", "ms/s", controlCPULimit, 1,
 			[]series{{"dispatcher", "control_cpu_ms_s"}, {"hollow dispatcher", "hollow_cpu_ms_s"}, {"seat, most", "seat_cpu_ms_s_most"}, {"leader", "leader_cpu_ms_s"}}},
 		{"seats.svg", "control at seats, both ways", "KB/s", 0, 1000, []series{{"seat, most", "seat_bytes_s_most"}, {"leader", "leader_bytes_s"}}},
 	} {
-		p := chart(c.title, constant, c.unit)
+		p := newPlot(c.title, constant, c.unit)
 		some := false
 		for i, s := range c.of {
-			points, middle := points(along, s.figure, c.scale)
+			points, middle := scatterAndMedians(along, s.metric, c.scale)
 			if len(points) == 0 {
 				continue
 			}
 			some = true
-			if err := lines(p, s.name, i, points, middle); err != nil {
+			if err := addSeries(p, s.name, i, points, middle); err != nil {
 				return err
 			}
 		}
-		if err := save(p, filepath.Join(dir, c.file), some, along, c.limit/c.scale, c.unit); err != nil {
+		if err := savePlot(p, filepath.Join(dir, c.file), some, along, c.limit/c.scale, c.unit); err != nil {
 			return err
 		}
 	}
-	return stacked(filepath.Join(dir, "kinds.svg"), along, constant)
+	return saveBytesByKind(filepath.Join(dir, "kinds.svg"), along, constant)
 }
 
-func chart(title, constant, unit string) *plot.Plot {
+func newPlot(title, constant, unit string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "dispatchers", unit
 	if constant != "" {
@@ -72,8 +72,8 @@
 	return p
 }
 
-// save adds the limit and the grid, and writes the chart.
-func save(p *plot.Plot, path string, some bool, along []Row, limit float64, unit string) error {
+// savePlot adds the limit and the grid, and writes the chart.
+func savePlot(p *plot.Plot, path string, some bool, along []Run, limit float64, unit string) error {
 	if !some {
 		if err := os.Remove(path); !errors.Is(err, fs.ErrNotExist) {
 			return err
@@ -84,7 +84,7 @@
 	if limit > 0 {
 		maximum := 0.0
 		for _, r := range along {
-			maximum = max(maximum, r.Numbers["dispatchers"])
+			maximum = max(maximum, r.Values["dispatchers"])
 		}
 		l, err := plotter.NewLine(plotter.XYs{{X: 0, Y: limit}, {X: maximum, Y: limit}})
 		if err != nil {
@@ -92,18 +92,18 @@
 		}
 		l.Color, l.Dashes = color.Black, []vg.Length{4, 4}
 		p.Add(l)
-		p.Legend.Add("a dispatcher's limit, "+exact(limit)+" "+unit, l)
+		p.Legend.Add("a dispatcher's limit, "+formatExact(limit)+" "+unit, l)
 	}
 	p.Y.Max *= 1.3 // room for the legend
 	return p.Save(540, 320, path)
 }
 
-// points gives a figure of all runs, and its median at each number of dispatchers.
-func points(along []Row, figure string, scale float64) (all, middle plotter.XYs) {
+// scatterAndMedians gives a figure of all runs, and its median at each number of dispatchers.
+func scatterAndMedians(along []Run, figure string, scale float64) (all, middle plotter.XYs) {
 	by := map[float64][]float64{}
 	for _, r := range along {
-		if y, ok := r.Numbers[figure]; ok {
-			x := r.Numbers["dispatchers"]
+		if y, ok := r.Values[figure]; ok {
+			x := r.Values["dispatchers"]
 			all = append(all, plotter.XY{X: x, Y: y / scale})
 			if by[x] = append(by[x], y/scale); len(by[x]) == 1 {
 				middle = append(middle, plotter.XY{X: x})
@@ -116,8 +116,8 @@
 	return all, middle
 }
 
-// lines draws a figure: a point for each run, a line through the medians.
-func lines(p *plot.Plot, name string, i int, all, middle plotter.XYs) error {
+// addSeries draws a figure: a point for each run, a line through the medians.
+func addSeries(p *plot.Plot, name string, i int, all, middle plotter.XYs) error {
 	l, err := plotter.NewLine(middle)
 	if err != nil {
 		return err
@@ -133,31 +133,31 @@
 	return nil
 }
 
-// shade gives a colour to each of so many that the soft ones do not do.
-func shade(i int) color.Color {
+// bandColor gives a colour to each of so many that the soft ones do not do.
+func bandColor(i int) color.Color {
 	all := append(slices.Clone(plotutil.SoftColors), plotutil.DarkColors...)
 	return all[i%len(all)]
 }
 
-// stacked draws what a dispatcher's bytes are made of: a band for each kind, at the medians over seeds.
-func stacked(path string, along []Row, constant string) error {
+// saveBytesByKind draws what a dispatcher's bytes are made of: a band for each kind, at the medians over seeds.
+func saveBytesByKind(path string, along []Run, constant string) error {
 	const prefix = "bytes_by_kind."
-	p := chart("control at a dispatcher by kind, both ways", constant, "KB/s")
+	p := newPlot("control at a dispatcher by kind, both ways", constant, "KB/s")
 	var bands []*plotter.Line
 	var labels []string
 	sum := map[float64]float64{}
-	for _, figure := range names(along) {
+	for _, figure := range valueNames(along) {
 		if !strings.HasPrefix(figure, prefix) {
 			continue
 		}
-		_, middle := points(along, figure, 1000)
+		_, middle := scatterAndMedians(along, figure, 1000)
 		have := map[float64]float64{}
 		for _, xy := range middle {
 			have[xy.X] = xy.Y
 		}
 		var top plotter.XYs
 		for _, r := range along {
-			x := r.Numbers["dispatchers"]
+			x := r.Values["dispatchers"]
 			if len(top) == 0 || top[len(top)-1].X != x {
 				sum[x] += have[x]
 				top = append(top, plotter.XY{X: x, Y: sum[x]})
@@ -167,7 +167,7 @@
 		if err != nil {
 			return err
 		}
-		l.Color = shade(len(bands))
+		l.Color = bandColor(len(bands))
 		l.FillColor = l.Color
 		bands, labels = append(bands, l), append(labels, strings.TrimPrefix(figure, prefix))
 	}
@@ -175,5 +175,5 @@
 		p.Add(l)
 		p.Legend.Add(labels[i], l)
 	}
-	return save(p, path, len(bands) > 0, along, float64(bytesLimit)/1000, "KB/s")
+	return savePlot(p, path, len(bands) > 0, along, float64(controlBytesLimit)/1000, "KB/s")
 }
--- a/internal/scale/fit/files_test.go
+++ b/internal/scale/fit/files_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	first := bytesOf(t, dir)
-	bare := []Row{{From: "x", Numbers: map[string]float64{"dispatchers": 3}}}
+	bare := []Run{{Source: "x", Values: map[string]float64{"dispatchers": 3}}}
 	if err := Save(dir, bare); err != nil {
 		t.Fatal(err)
 	}
@@ -127,11 +127,11 @@
 
 // One size alone is drawn as points, and nothing is fitted; so many kinds as there are have a band each; figures that are all 0 do no harm.
 func TestOneSize(t *testing.T) {
-	var rows []Row
+	var rows []Run
 	for seed := range 3 {
-		r := Row{From: "x", Numbers: map[string]float64{"dispatchers": 300, "seed": float64(seed), "control_bytes_s_p50": 3000, "leader_bytes_s": 0}}
+		r := Run{Source: "x", Values: map[string]float64{"dispatchers": 300, "seed": float64(seed), "control_bytes_s_p50": 3000, "leader_bytes_s": 0}}
 		for _, kind := range []string{"other", "renewal", "record", "report", "budget", "gossip", "member_probe", "raft", "discovery"} {
-			r.Numbers["bytes_by_kind."+kind] = 100
+			r.Values["bytes_by_kind."+kind] = 100
 		}
 		rows = append(rows, r)
 	}
@@ -148,7 +148,7 @@
 	}
 	colours := map[string]bool{}
 	for i := range 9 {
-		colours[fmt.Sprint(shade(i))] = true
+		colours[fmt.Sprint(bandColor(i))] = true
 	}
 	if len(colours) != 9 {
 		t.Errorf("%d colours for nine kinds", len(colours))
@@ -175,12 +175,12 @@
 	}
 	var got []string
 	for _, r := range rows {
-		got = append(got, fmt.Sprintf("%s %v %v", r.From, r.Numbers["dispatchers"], r.FellBehind))
+		got = append(got, fmt.Sprintf("%s %v %v", r.Source, r.Values["dispatchers"], r.FellBehind))
 	}
 	if want := "all/c/results.json[1] 20 true|all/a/result.json 75 false|all/b/result.json 150 true|all/c/results.json[0] 300 false|one/result.json 800 false"; strings.Join(got, "|") != want {
 		t.Errorf("%q", got)
 	}
-	if b := rows[2]; b.Numbers["bytes_by_kind.raft"] != 2 || b.Commit != "abc" || b.Command != "x" || len(b.Numbers) != 2 {
+	if b := rows[2]; b.Values["bytes_by_kind.raft"] != 2 || b.Commit != "abc" || b.Command != "x" || len(b.Values) != 2 {
 		t.Errorf("%+v", b)
 	}
 	for _, bad := range []string{"none", "empty", "nowhere"} {
@@ -219,43 +219,43 @@
 
 // Runs are fitted along one size only.
 func TestAlong(t *testing.T) {
-	row := func(dispatchers, workers float64) Row {
-		return Row{Numbers: map[string]float64{"dispatchers": dispatchers, "workers": workers, "zones": 8}}
+	row := func(dispatchers, workers float64) Run {
+		return Run{Values: map[string]float64{"dispatchers": dispatchers, "workers": workers, "zones": 8}}
 	}
-	rows := []Row{row(75, 530), row(300, 530), row(800, 530), row(300, 530), row(300, 100), row(300, 1060), row(75, 100)}
+	rows := []Run{row(75, 530), row(300, 530), row(800, 530), row(300, 530), row(300, 100), row(300, 1060), row(75, 100)}
 	for by, want := range map[string]string{
 		"dispatchers": "75/530 300/530 300/530 800/530 at workers 530, zones 8", "workers": "300/100 300/530 300/530 300/1060 at dispatchers 300, zones 8",
 		"changes": " at ",
 	} {
-		along, held := Along(rows, by)
+		along, held := SelectSweep(rows, by)
 		var got []string
 		for _, r := range along {
-			got = append(got, fmt.Sprintf("%v/%v", r.Numbers["dispatchers"], r.Numbers["workers"]))
+			got = append(got, fmt.Sprintf("%v/%v", r.Values["dispatchers"], r.Values["workers"]))
 		}
 		if got := strings.Join(got, " ") + " at " + held; got != want {
 			t.Errorf("%s: %s, want %s", by, got, want)
 		}
 	}
-	for _, a := range Slopes(rows) {
-		if fitted := a.By == "dispatchers" || a.By == "workers"; (a.Why == "") != fitted {
-			t.Errorf("%s: %q", a.By, a.Why)
+	for _, a := range FitSweeps(rows) {
+		if fitted := a.Regressor == "dispatchers" || a.Regressor == "workers"; (a.Reason == "") != fitted {
+			t.Errorf("%s: %q", a.Regressor, a.Reason)
 		}
 	}
 }
 
 // Two builds are compared size by size and seed by seed; what cannot be is said.
 func TestCompare(t *testing.T) {
-	row := func(dispatchers, seed, bytes float64) Row {
-		return Row{From: "r", Numbers: map[string]float64{"dispatchers": dispatchers, "workers": 530, "zones": 8, "seed": seed, "control_bytes_s_p50": bytes}}
+	row := func(dispatchers, seed, bytes float64) Run {
+		return Run{Source: "r", Values: map[string]float64{"dispatchers": dispatchers, "workers": 530, "zones": 8, "seed": seed, "control_bytes_s_p50": bytes}}
 	}
 	behind := row(300, 3, 9e9)
 	behind.FellBehind = true
-	before := []Row{row(300, 1, 1000), row(300, 2, 2000), row(300, 4, 4000), row(300, 4, 2000), behind, row(75, 1, 100), row(800, 1, 0), row(600, 1, 5)}
-	after := []Row{row(300, 1, 500), row(300, 2, 500), row(300, 3, 1), row(300, 4, 2700), row(150, 1, 7), row(800, 1, 3), row(600, 2, 5)}
-	after[0].Numbers["leader_bytes_s"] = 12
+	before := []Run{row(300, 1, 1000), row(300, 2, 2000), row(300, 4, 4000), row(300, 4, 2000), behind, row(75, 1, 100), row(800, 1, 0), row(600, 1, 5)}
+	after := []Run{row(300, 1, 500), row(300, 2, 500), row(300, 3, 1), row(300, 4, 2700), row(150, 1, 7), row(800, 1, 3), row(600, 2, 5)}
+	after[0].Values["leader_bytes_s"] = 12
 	var got []string
 	for _, r := range Compare(before, after) {
-		got = append(got, fmt.Sprintf("%v %s: %d %v %v %v %v %v %s", r.Dispatchers, r.Figure, r.Seeds, r.Before, r.After, r.Median, r.Low, r.High, r.Why))
+		got = append(got, fmt.Sprintf("%v %s: %d %v %v %v %v %v %s", r.Dispatchers, r.Metric, r.Seeds, r.Before, r.After, r.Median, r.Low, r.High, r.Reason))
 	}
 	want := []string{
 		"75 control_bytes_s_p50: 0 0 0 0 0 0 not there after",
--- a/internal/scale/fit/fit_test.go
+++ b/internal/scale/fit/fit_test.go
@@ -10,10 +10,10 @@
 )
 
 // drawn makes a run of each size and seed, with a figure y.
-func drawn(sizes []float64, seeds int, y func(x float64) float64) (rows []Row) {
+func drawn(sizes []float64, seeds int, y func(x float64) float64) (rows []Run) {
 	for _, x := range sizes {
 		for seed := range seeds {
-			rows = append(rows, Row{Numbers: map[string]float64{"dispatchers": x, "seed": float64(seed + 1), "y": y(x)}})
+			rows = append(rows, Run{Values: map[string]float64{"dispatchers": x, "seed": float64(seed + 1), "y": y(x)}})
 		}
 	}
 	return rows
@@ -41,19 +41,19 @@
 func TestPublishedRegression(t *testing.T) {
 	x := []float64{10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5}
 	y := []float64{8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68}
-	var rows []Row
+	var rows []Run
 	for i := range x {
-		rows = append(rows, Row{Numbers: map[string]float64{"dispatchers": x[i], "y": y[i]}})
+		rows = append(rows, Run{Values: map[string]float64{"dispatchers": x[i], "y": y[i]}})
 	}
 	f := Fit(rows, "dispatchers", "y")
-	if f.N != 11 || f.Linear == nil || f.Linear.RSquared == nil {
+	if f.Observations != 11 || f.Linear == nil || f.Linear.RSquared == nil {
 		t.Fatalf("%+v", f)
 	}
 	for _, c := range []struct {
 		name            string
 		got, want, part float64
 	}{
-		{"slope", f.Linear.Slope, 0.5001, 2e-4}, {"intercept", f.Linear.Intercept, 3.0001, 2e-4}, {"residual", f.Linear.Residual, 1.237, 5e-4},
+		{"slope", f.Linear.Slope, 0.5001, 2e-4}, {"intercept", f.Linear.Intercept, 3.0001, 2e-4}, {"residual", f.Linear.ResidualStandardError, 1.237, 5e-4},
 		{"R squared", *f.Linear.RSquared, 0.6665, 2e-4}, {"low", f.Linear.Low, 0.5001 - 2.2622*0.1179, 2e-3}, {"high", f.Linear.High, 0.5001 + 2.2622*0.1179, 2e-3},
 	} {
 		if !near(c.got, c.want, c.part) {
@@ -74,20 +74,20 @@
 		for i := range x {
 			x[i], noise[i] = planned[i%len(planned)], sigma*from.NormFloat64()
 		}
-		taken, left := line(x, noise), 0.0
+		taken, left := fitModel(x, noise), 0.0
 		pure := make([]float64, n)
 		for i := range x {
 			pure[i] = noise[i] - taken.Intercept - taken.Slope*x[i]
 			left += pure[i] * pure[i]
 		}
-		rows := func(noise []float64) (rows []Row) {
+		rows := func(noise []float64) (rows []Run) {
 			for i := range x {
-				rows = append(rows, Row{Numbers: map[string]float64{"workers": x[i], "y": a + b*x[i] + noise[i]}})
+				rows = append(rows, Run{Values: map[string]float64{"workers": x[i], "y": a + b*x[i] + noise[i]}})
 			}
 			return rows
 		}
 		f := Fit(rows(pure), "workers", "y")
-		if l := f.Linear; f.N != n || math.Abs(l.Slope-b) > 1e-7 || math.Abs(l.Intercept-a) > 1e-5 || l.Low > b || l.High < b || !near(l.Residual, math.Sqrt(left/float64(n-2)), 1e-5) {
+		if l := f.Linear; f.Observations != n || math.Abs(l.Slope-b) > 1e-7 || math.Abs(l.Intercept-a) > 1e-5 || l.Low > b || l.High < b || !near(l.ResidualStandardError, math.Sqrt(left/float64(n-2)), 1e-5) {
 			t.Fatalf("%v + %v x with noise %v: %+v", a, b, sigma, l)
 		}
 		f = Fit(rows(noise), "workers", "y")
@@ -105,11 +105,11 @@
 		rows := drawn(planned, 2, func(x float64) float64 { return 1000 + 3*x + 100*from.NormFloat64() })
 		f := Fit(rows, "dispatchers", "y")
 		for _, r := range rows {
-			r.Numbers["y"] *= factor
+			r.Values["y"] *= factor
 		}
 		g := Fit(rows, "dispatchers", "y")
-		for _, c := range [][2]float64{{f.Linear.Slope, g.Linear.Slope}, {f.Linear.Low, g.Linear.Low}, {f.Linear.High, g.Linear.High}, {f.Linear.Residual, g.Linear.Residual},
-			{f.Log.Slope, g.Log.Slope}, {f.Log.Residual, g.Log.Residual}} {
+		for _, c := range [][2]float64{{f.Linear.Slope, g.Linear.Slope}, {f.Linear.Low, g.Linear.Low}, {f.Linear.High, g.Linear.High}, {f.Linear.ResidualStandardError, g.Linear.ResidualStandardError},
+			{f.Logarithmic.Slope, g.Logarithmic.Slope}, {f.Logarithmic.ResidualStandardError, g.Logarithmic.ResidualStandardError}} {
 			if !near(c[0]*factor, c[1], 1e-6) {
 				t.Fatalf("%v times %v gives %v", c[0], factor, c[1])
 			}
@@ -130,7 +130,7 @@
 		if l := Fit(drawn(planned, 2, func(x float64) float64 { return 900 + slope*x + 300*from.NormFloat64() }), "dispatchers", "y").Linear; l.Low <= slope && slope <= l.High {
 			held++
 		}
-		if l := Fit(drawn(planned, 2, func(x float64) float64 { return 900 + perDoubling*math.Log2(x) + 300*from.NormFloat64() }), "dispatchers", "y").Log; l.Low <= perDoubling && perDoubling <= l.High {
+		if l := Fit(drawn(planned, 2, func(x float64) float64 { return 900 + perDoubling*math.Log2(x) + 300*from.NormFloat64() }), "dispatchers", "y").Logarithmic; l.Low <= perDoubling && perDoubling <= l.High {
 			heldLog++
 		}
 	}
@@ -197,17 +197,17 @@
 		{"no point", nil, 1, func(x float64) float64 { return x }, Unclear, true},
 	} {
 		f := Fit(drawn(c.sizes, c.seeds, c.of), "dispatchers", "y")
-		if f.Verdict != c.want || (f.Linear == nil) != c.none || (f.Verdict == Unclear) != (f.Why != "") && c.name != "from 0" {
+		if f.Verdict != c.want || (f.Linear == nil) != c.none || (f.Verdict == Unclear) != (f.Reason != "") && c.name != "from 0" {
 			t.Errorf("%s: %+v", c.name, f)
 		}
-		if c.none && f.Log != nil {
+		if c.none && f.Logarithmic != nil {
 			t.Errorf("%s: a number was invented", c.name)
 		}
 	}
-	if f := Fit(drawn(planned, 2, func(float64) float64 { return 0.1 }), "dispatchers", "y"); *f.Linear != (Line{Intercept: 0.1}) {
+	if f := Fit(drawn(planned, 2, func(float64) float64 { return 0.1 }), "dispatchers", "y"); *f.Linear != (Model{Intercept: 0.1}) {
 		t.Errorf("a constant: %+v", f.Linear)
 	}
-	if f := Fit(drawn([]float64{0, 1, 2, 3}, 1, func(x float64) float64 { return x }), "dispatchers", "y"); f.Log != nil {
+	if f := Fit(drawn([]float64{0, 1, 2, 3}, 1, func(x float64) float64 { return x }), "dispatchers", "y"); f.Logarithmic != nil {
 		t.Error("a logarithm of 0")
 	}
 }
@@ -216,13 +216,13 @@
 func TestFellBehindIsLeftOut(t *testing.T) {
 	rows := drawn(planned, 1, func(x float64) float64 { return 2 * x })
 	without := Fit(rows, "dispatchers", "y")
-	rows = append(rows, Row{From: "x/result.json", FellBehind: true, Numbers: map[string]float64{"dispatchers": 1200, "seed": 4, "y": 1e6}},
-		Row{Numbers: map[string]float64{"dispatchers": 1200}}, Row{Numbers: map[string]float64{"y": 12}})
+	rows = append(rows, Run{Source: "x/result.json", FellBehind: true, Values: map[string]float64{"dispatchers": 1200, "seed": 4, "y": 1e6}},
+		Run{Values: map[string]float64{"dispatchers": 1200}}, Run{Values: map[string]float64{"y": 12}})
 	with := Fit(rows, "dispatchers", "y")
-	if with.N != 5 || *with.Linear.RSquared != *without.Linear.RSquared || with.Linear.Slope != without.Linear.Slope {
+	if with.Observations != 5 || *with.Linear.RSquared != *without.Linear.RSquared || with.Linear.Slope != without.Linear.Slope {
 		t.Errorf("%+v, without %+v", with, without)
 	}
-	if len(with.FellBehind) != 1 || with.FellBehind[0] != "x/result.json (dispatchers 1200, seed 4)" {
-		t.Errorf("left out: %q", with.FellBehind)
+	if len(with.Excluded) != 1 || with.Excluded[0] != "x/result.json (dispatchers 1200, seed 4)" {
+		t.Errorf("left out: %q", with.Excluded)
 	}
 }
--- a/internal/scale/fit/rows.go
+++ b/internal/scale/fit/rows.go
@@ -18,46 +18,46 @@
 	"strings"
 )
 
-// Row is one run.
-type Row struct {
-	From            string             // its file and its place there
-	Numbers         map[string]float64 // by name; those of an object within as "object.name"
+// Run is one run.
+type Run struct {
+	Source          string             // its file and its place there
+	Values          map[string]float64 // by name; those of an object within as "object.name"
 	FellBehind      bool               // the machine was the limit, so the run does not count
 	Commit, Command string
 }
 
-// sizes are what a run is played at. Runs that are fitted together differ in one of them.
-var sizes = []string{"dispatchers", "workers", "zones", "bound_ms"}
+// parameters are what a run is played at. Runs that are fitted together differ in one of them.
+var parameters = []string{"dispatchers", "workers", "zones", "bound_ms"}
 
 // Name tells a run from others.
-func (r Row) Name() string {
-	name := r.From + " ("
+func (r Run) Name() string {
+	name := r.Source + " ("
 	for _, n := range []string{"dispatchers", "workers", "zones", "seed"} {
-		if x, ok := r.Numbers[n]; ok {
-			name += n + " " + exact(x) + ", "
+		if x, ok := r.Values[n]; ok {
+			name += n + " " + formatExact(x) + ", "
 		}
 	}
 	return strings.TrimSuffix(name, ", ") + ")"
 }
 
-// exact writes a number as it was read.
-func exact(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
+// formatExact writes a number as it was read.
+func formatExact(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
-// sorted gives rows by their sizes and seeds, whatever order they came in.
-func sorted(rows []Row) []Row {
-	return slices.SortedStableFunc(slices.Values(rows), func(a, b Row) int {
-		for _, n := range append(slices.Clone(sizes), "seed") {
-			if c := cmp.Compare(a.Numbers[n], b.Numbers[n]); c != 0 {
+// sortRuns gives rows by their sizes and seeds, whatever order they came in.
+func sortRuns(rows []Run) []Run {
+	return slices.SortedStableFunc(slices.Values(rows), func(a, b Run) int {
+		for _, n := range append(slices.Clone(parameters), "seed") {
+			if c := cmp.Compare(a.Values[n], b.Values[n]); c != 0 {
 				return c
 			}
 		}
-		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Commit, b.Commit))
+		return cmp.Or(cmp.Compare(a.Source, b.Source), cmp.Compare(a.Commit, b.Commit))
 	})
 }
 
-// counted gives the runs that count, sorted, and the names of those that fell behind.
-func counted(rows []Row) (used []Row, behind []string) {
-	for _, r := range sorted(rows) {
+// excludeFellBehind gives the runs that count, sorted, and the names of those that fell behind.
+func excludeFellBehind(rows []Run) (used []Run, behind []string) {
+	for _, r := range sortRuns(rows) {
 		if r.FellBehind {
 			behind = append(behind, r.Name())
 		} else {
@@ -67,11 +67,11 @@
 	return used, behind
 }
 
-// names gives the names of all numbers that the rows have.
-func names(rows []Row) []string {
+// valueNames gives the valueNames of all numbers that the rows have.
+func valueNames(rows []Run) []string {
 	all := map[string]bool{}
 	for _, r := range rows {
-		for n := range r.Numbers {
+		for n := range r.Values {
 			all[n] = true
 		}
 	}
@@ -80,10 +80,10 @@
 
 // Read gives the runs of files and folders. Of a folder it reads results.json, or where there is none each result.json in it
 // and its folders. No file is read twice.
-func Read(paths ...string) (rows []Row, err error) {
+func Read(paths ...string) (rows []Run, err error) {
 	read := map[string]bool{}
 	for _, path := range paths {
-		files, err := find(path)
+		files, err := findFiles(path)
 		if err != nil {
 			return nil, err
 		}
@@ -100,18 +100,18 @@
 			if err != nil {
 				return nil, err
 			}
-			some, err := parse(text, file, named(path, file))
+			some, err := parseRuns(text, file, sourceName(path, file))
 			if err != nil {
 				return nil, err
 			}
 			rows = append(rows, some...)
 		}
 	}
-	return sorted(rows), nil
+	return sortRuns(rows), nil
 }
 
-// named is a file's name in rows: from the folder that was read, or its own, and without what is above.
-func named(path, file string) string {
+// sourceName is a file's name in rows: from the folder that was read, or its own, and without what is above.
+func sourceName(path, file string) string {
 	top := filepath.Dir(filepath.Clean(path))
 	if path == file {
 		top = filepath.Dir(top)
@@ -123,8 +123,8 @@
 	return filepath.ToSlash(name)
 }
 
-// find gives the files of results in a folder, or the file itself.
-func find(path string) (files []string, err error) {
+// findFiles gives the files of results in a folder, or the file itself.
+func findFiles(path string) (files []string, err error) {
 	if info, err := os.Stat(path); err != nil || !info.IsDir() {
 		return []string{path}, err
 	}
@@ -149,8 +149,8 @@
 	return files, err
 }
 
-// parse reads a file's text: a run, or an array of runs. path is its name in the error, from its name in rows.
-func parse(text []byte, path, from string) (rows []Row, err error) {
+// parseRuns reads a file's text: a run, or an array of runs. path is its name in the error, from its name in rows.
+func parseRuns(text []byte, path, from string) (rows []Run, err error) {
 	at := func(offset int64, what any) error {
 		before := text[:min(max(offset, 0), int64(len(text)))]
 		line, column := bytes.Count(before, []byte("\n"))+1, len(before)-bytes.LastIndexByte(before, '\n')
@@ -180,12 +180,12 @@
 			return nil, syntax(err)
 		}
 		begin := d.InputOffset() - int64(len(one))
-		r, err := row(one)
+		r, err := parseRun(one)
 		if err != nil {
 			return nil, at(begin, err)
 		}
-		if r.From = from; many {
-			r.From = fmt.Sprintf("%s[%d]", from, n)
+		if r.Source = from; many {
+			r.Source = fmt.Sprintf("%s[%d]", from, n)
 		}
 		rows = append(rows, r)
 		if !many {
@@ -198,9 +198,9 @@
 	return rows, nil
 }
 
-// row reads a run.
-func row(text []byte) (Row, error) {
-	r := Row{Numbers: map[string]float64{}}
+// parseRun reads a run.
+func parseRun(text []byte) (Run, error) {
+	r := Run{Values: map[string]float64{}}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	var values map[string]any
@@ -223,17 +223,17 @@
 			*to = x
 		}
 	}
-	if err := r.gather("", values); err != nil {
+	if err := r.addValues("", values); err != nil {
 		return r, err
 	}
-	if n, ok := r.Numbers["dispatchers"]; !ok || n < 1 {
+	if n, ok := r.Values["dispatchers"]; !ok || n < 1 {
 		return r, errors.New("dispatchers is missing or below 1")
 	}
 	return r, nil
 }
 
-// gather keeps all numbers of an object by their names. A figure of the tables must be a number where it is there.
-func (r *Row) gather(prefix string, values map[string]any) error {
+// addValues keeps all numbers of an object by their names. A figure of the tables must be a number where it is there.
+func (r *Run) addValues(prefix string, values map[string]any) error {
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		whole := prefix + name
 		switch x := values[name].(type) {
@@ -243,13 +243,13 @@
 			if err != nil {
 				return fmt.Errorf("%s: %s is no number that can be reckoned with", whole, x)
 			}
-			r.Numbers[whole] = n
+			r.Values[whole] = n
 		case map[string]any:
-			if err := r.gather(whole+".", x); err != nil {
+			if err := r.addValues(whole+".", x); err != nil {
 				return err
 			}
 		default:
-			if known(whole) {
+			if isShown(whole) {
 				return fmt.Errorf("%s is no number", whole)
 			}
 		}
--- a/internal/scale/fit/save.go
+++ b/internal/scale/fit/save.go
@@ -10,11 +10,11 @@
 	"strconv"
 )
 
-// CSV writes a line for each run, with all of its numbers.
-func CSV(out io.Writer, rows []Row) error {
-	rows = sorted(rows)
-	head := append(slices.Clone(sizes), "seed")
-	for _, n := range names(rows) {
+// writeRunsCSV writes a line for each run, with all of its numbers.
+func writeRunsCSV(out io.Writer, rows []Run) error {
+	rows = sortRuns(rows)
+	head := append(slices.Clone(parameters), "seed")
+	for _, n := range valueNames(rows) {
 		if !slices.Contains(head, n) {
 			head = append(head, n)
 		}
@@ -25,32 +25,32 @@
 		var line []string
 		for _, n := range head {
 			cell := ""
-			if x, ok := r.Numbers[n]; ok {
+			if x, ok := r.Values[n]; ok {
 				cell = strconv.FormatFloat(x, 'g', -1, 64)
 			}
 			line = append(line, cell)
 		}
-		_ = w.Write(append(line, strconv.FormatBool(r.FellBehind), r.From, r.Commit, r.Command))
+		_ = w.Write(append(line, strconv.FormatBool(r.FellBehind), r.Source, r.Commit, r.Command))
 	}
 	w.Flush()
 	return w.Error()
 }
 
-// number is a worked out number in JSON.
-type number float64
+// roundedNumber is a worked out roundedNumber in JSON.
+type roundedNumber float64
 
 // MarshalJSON writes six digits.
-func (n number) MarshalJSON() ([]byte, error) { return []byte(digits(float64(n))), nil }
+func (n roundedNumber) MarshalJSON() ([]byte, error) { return []byte(formatSixDigits(float64(n))), nil }
 
 // The names of what slopes.json has are kept. Slopes there are for one of the size.
 type (
-	axisJSON struct {
-		By       string      `json:"by"`
-		Constant string      `json:"held,omitempty"`
-		Runs     int         `json:"runs"`
-		Aside    int         `json:"runs_aside"`
-		Why      string      `json:"why,omitempty"`
-		Slopes   []slopeJSON `json:"slopes"`
+	sweepJSON struct {
+		By            string      `json:"by"`
+		Constant      string      `json:"held,omitempty"`
+		Runs          int         `json:"runs"`
+		RunsElsewhere int         `json:"runs_aside"`
+		Why           string      `json:"why,omitempty"`
+		Slopes        []slopeJSON `json:"slopes"`
 	}
 	slopeJSON struct {
 		Role    string    `json:"role"`
@@ -62,36 +62,36 @@
 		Why     string    `json:"why,omitempty"`
 	}
 	lineJSON struct {
-		Slope     number  `json:"slope"`
-		Low       number  `json:"slope_low"`
-		High      number  `json:"slope_high"`
-		Intercept number  `json:"intercept"`
-		Residual  number  `json:"residual_standard_error"`
-		RSquared  *number `json:"r_squared,omitempty"`
+		Slope     roundedNumber  `json:"slope"`
+		Low       roundedNumber  `json:"slope_low"`
+		High      roundedNumber  `json:"slope_high"`
+		Intercept roundedNumber  `json:"intercept"`
+		Residual  roundedNumber  `json:"residual_standard_error"`
+		RSquared  *roundedNumber `json:"r_squared,omitempty"`
 	}
 )
 
-func (l *Line) json() *lineJSON {
+func (l *Model) json() *lineJSON {
 	if l == nil {
 		return nil
 	}
-	return &lineJSON{number(l.Slope), number(l.Low), number(l.High), number(l.Intercept), number(l.Residual), (*number)(l.RSquared)}
+	return &lineJSON{roundedNumber(l.Slope), roundedNumber(l.Low), roundedNumber(l.High), roundedNumber(l.Intercept), roundedNumber(l.ResidualStandardError), (*roundedNumber)(l.RSquared)}
 }
 
-// slopesJSON writes the slopes with all that is known of them.
-func slopesJSON(out io.Writer, rows []Row) error {
-	all := []axisJSON{}
-	for _, a := range Slopes(rows) {
-		x := axisJSON{a.By, a.Constant, a.Runs, a.Aside, a.Why, []slopeJSON{}}
+// writeSlopesJSON writes the slopes with all that is known of them.
+func writeSlopesJSON(out io.Writer, rows []Run) error {
+	all := []sweepJSON{}
+	for _, a := range FitSweeps(rows) {
+		x := sweepJSON{a.Regressor, a.Constant, a.Runs, a.RunsElsewhere, a.Reason, []slopeJSON{}}
 		for _, s := range a.Slopes {
-			x.Slopes = append(x.Slopes, slopeJSON{s.Role, s.Figure, s.N, s.Linear.json(), s.Log.json(), s.Verdict, s.Why})
+			x.Slopes = append(x.Slopes, slopeJSON{s.Role, s.Metric, s.Observations, s.Linear.json(), s.Logarithmic.json(), s.Verdict, s.Reason})
 		}
 		all = append(all, x)
 	}
-	_, behind := counted(rows)
+	_, behind := excludeFellBehind(rows)
 	text, err := json.MarshalIndent(struct {
-		Against    []axisJSON `json:"against"`
-		FellBehind []string   `json:"fell_behind"`
+		Against    []sweepJSON `json:"against"`
+		FellBehind []string    `json:"fell_behind"`
 	}{all, append([]string{}, behind...)}, "", " ")
 	if err != nil {
 		return err
@@ -100,27 +100,27 @@
 	return err
 }
 
-// slopesCSV writes a line for each slope, for one of the size.
-func slopesCSV(out io.Writer, rows []Row) error {
+// writeSlopesCSV writes a line for each slope, for one of the size.
+func writeSlopesCSV(out io.Writer, rows []Run) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"by", "role", "figure", "points", "slope", "slope_low", "slope_high", "intercept", "residual_standard_error", "r_squared",
 		"log2_slope", "log2_slope_low", "log2_slope_high", "log2_intercept", "log2_residual_standard_error", "log2_r_squared", "verdict", "why", "held"})
-	for _, a := range Slopes(rows) {
+	for _, a := range FitSweeps(rows) {
 		for _, s := range a.Slopes {
-			cells := []string{a.By, s.Role, s.Figure, strconv.Itoa(s.N)}
-			for _, l := range []*Line{s.Linear, s.Log} {
+			cells := []string{a.Regressor, s.Role, s.Metric, strconv.Itoa(s.Observations)}
+			for _, l := range []*Model{s.Linear, s.Logarithmic} {
 				part := make([]string, 6)
 				if l != nil {
-					for i, x := range []float64{l.Slope, l.Low, l.High, l.Intercept, l.Residual} {
-						part[i] = digits(x)
+					for i, x := range []float64{l.Slope, l.Low, l.High, l.Intercept, l.ResidualStandardError} {
+						part[i] = formatSixDigits(x)
 					}
 					if l.RSquared != nil {
-						part[5] = digits(*l.RSquared)
+						part[5] = formatSixDigits(*l.RSquared)
 					}
 				}
 				cells = append(cells, part...)
 			}
-			_ = w.Write(append(cells, string(s.Verdict), s.Why, a.Constant))
+			_ = w.Write(append(cells, string(s.Verdict), s.Reason, a.Constant))
 		}
 	}
 	w.Flush()
@@ -129,23 +129,23 @@
 
 // Save keeps what is known of the rows in a folder: table.txt, points.csv, slopes.csv, slopes.json and charts. The same rows
 // give the same bytes.
-func Save(dir string, rows []Row) error {
+func Save(dir string, rows []Run) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	for _, f := range []struct {
 		name  string
-		write func(io.Writer, []Row) error
-	}{{"table.txt", Table}, {"points.csv", CSV}, {"slopes.csv", slopesCSV}, {"slopes.json", slopesJSON}} {
-		if err := keep(filepath.Join(dir, f.name), func(w io.Writer) error { return f.write(w, rows) }); err != nil {
+		write func(io.Writer, []Run) error
+	}{{"table.txt", Table}, {"points.csv", writeRunsCSV}, {"slopes.csv", writeSlopesCSV}, {"slopes.json", writeSlopesJSON}} {
+		if err := writeFile(filepath.Join(dir, f.name), func(w io.Writer) error { return f.write(w, rows) }); err != nil {
 			return err
 		}
 	}
-	return draw(dir, rows)
+	return saveCharts(dir, rows)
 }
 
-// keep writes a file.
-func keep(path string, write func(io.Writer) error) error {
+// writeFile writes a file.
+func writeFile(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/internal/scale/fit/slopes.go
+++ b/internal/scale/fit/slopes.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// figure is a number that tables show, and whose cost it is.
-type figure struct{ role, name string }
+// metric is a number that tables show, and whose cost it is.
+type metric struct{ role, name string }
 
-var figures = []figure{
+var metrics = []metric{
 	{"dispatcher", "control_bytes_s_p50"}, {"dispatcher", "control_bytes_s_p99"}, {"dispatcher", "control_bytes_s_mean"},
 	{"dispatcher", "control_messages_s"}, {"dispatcher", "control_cpu_ms_s"}, {"dispatcher", "hollow_cpu_ms_s"}, {"dispatcher", "control_memory_mb"},
 	{"dispatcher", "rest.bytes_s"}, {"dispatcher", "rest.messages_s"}, {"dispatcher", "change.bytes"},
@@ -19,31 +19,31 @@
 	{"fleet", "in_force_p99_ms"}, {"fleet", "in_force_p999_ms"},
 }
 
-// kinds are the objects that split a figure by kind of message.
-var kinds = []figure{
+// metricsByKind are the objects that split a figure by kind of message.
+var metricsByKind = []metric{
 	{"dispatcher", "bytes_by_kind"}, {"dispatcher", "messages_by_kind"}, {"dispatcher", "rest.bytes_by_kind"},
 	{"seat", "seat_bytes_by_kind"}, {"leader", "leader_bytes_by_kind"},
 }
 
-// known tells whether the tables show a number of this name.
-func known(name string) bool {
-	return slices.Contains(sizes, name) || slices.Contains([]string{"seed", "changes", "contradiction_max_ms", "rules_broken"}, name) ||
-		slices.ContainsFunc(figures, func(f figure) bool { return f.name == name }) ||
-		slices.ContainsFunc(kinds, func(f figure) bool { return f.name == name || strings.HasPrefix(name, f.name+".") })
+// isShown tells whether the tables show a number of this name.
+func isShown(name string) bool {
+	return slices.Contains(parameters, name) || slices.Contains([]string{"seed", "changes", "contradiction_max_ms", "rules_broken"}, name) ||
+		slices.ContainsFunc(metrics, func(f metric) bool { return f.name == name }) ||
+		slices.ContainsFunc(metricsByKind, func(f metric) bool { return f.name == name || strings.HasPrefix(name, f.name+".") })
 }
 
-// present gives the figures that rows have, those by kind behind the others.
-func present(rows []Row) (all []figure) {
-	have := names(rows)
-	for _, f := range figures {
+// presentMetrics gives the figures that rows have, those by kind behind the others.
+func presentMetrics(rows []Run) (all []metric) {
+	have := valueNames(rows)
+	for _, f := range metrics {
 		if slices.Contains(have, f.name) {
 			all = append(all, f)
 		}
 	}
-	for _, k := range kinds {
+	for _, k := range metricsByKind {
 		for _, n := range have {
 			if strings.HasPrefix(n, k.name+".") {
-				all = append(all, figure{k.role, n})
+				all = append(all, metric{k.role, n})
 			}
 		}
 	}
@@ -62,31 +62,31 @@
 	Regression
 }
 
-// Axis is all figures against one size, over runs that differ in no other.
-type Axis struct {
-	By       string
-	Per      float64 // of the size, for the table
-	Constant string  // the sizes that are the same in all of its runs
-	Runs     int
-	Aside    int    // runs of other sizes
-	Why      string // that nothing was fitted
-	Slopes   []Slope
+// Sweep is all figures against one size, over runs that differ in no other.
+type Sweep struct {
+	Regressor     string
+	SlopeUnit     float64 // of the size, for the table
+	Constant      string  // the sizes that are the same in all of its runs
+	Runs          int
+	RunsElsewhere int    // runs of other sizes
+	Reason        string // that nothing was fitted
+	Slopes        []Slope
 }
 
-// Along gives the runs in which a size varies and no other does. Of several such sets it takes the one with most values of
+// SelectSweep gives the runs in which a size varies and no other does. Of several such sets it takes the one with most values of
 // the size, then with most runs, then the first by its other sizes. held names those.
-func Along(rows []Row, by string) (along []Row, constant string) {
-	sets := map[string][]Row{}
+func SelectSweep(rows []Run, by string) (along []Run, constant string) {
+	sets := map[string][]Run{}
 	var order []string
-	used, _ := counted(rows)
+	used, _ := excludeFellBehind(rows)
 	for _, r := range used {
-		if _, ok := r.Numbers[by]; !ok {
+		if _, ok := r.Values[by]; !ok {
 			continue
 		}
 		var parts []string
-		for _, n := range sizes {
-			if x, ok := r.Numbers[n]; ok && n != by {
-				parts = append(parts, n+" "+exact(x))
+		for _, n := range parameters {
+			if x, ok := r.Values[n]; ok && n != by {
+				parts = append(parts, n+" "+formatExact(x))
 			}
 		}
 		key := strings.Join(parts, ", ")
@@ -97,37 +97,37 @@
 	}
 	maximum := 0
 	for _, key := range order {
-		if n := values(sets[key], by); n > maximum || n == maximum && len(sets[key]) > len(along) {
+		if n := countDistinct(sets[key], by); n > maximum || n == maximum && len(sets[key]) > len(along) {
 			along, constant, maximum = sets[key], key, n
 		}
 	}
 	return along, constant
 }
 
-// values counts the different values of a number.
-func values(rows []Row, name string) int {
+// countDistinct counts the different countDistinct of a number.
+func countDistinct(rows []Run, name string) int {
 	all := map[float64]bool{}
 	for _, r := range rows {
-		all[r.Numbers[name]] = true
+		all[r.Values[name]] = true
 	}
 	return len(slices.Collect(maps.Keys(all)))
 }
 
-// Slopes fits every figure of every role against every size.
-func Slopes(rows []Row) (all []Axis) {
-	used, _ := counted(rows)
+// FitSweeps fits every figure of every role against every size.
+func FitSweeps(rows []Run) (all []Sweep) {
+	used, _ := excludeFellBehind(rows)
 	for _, axis := range axes {
-		along, constant := Along(used, axis.by)
-		a := Axis{By: axis.by, Per: axis.per, Constant: constant, Runs: len(along), Aside: len(used) - len(along)}
+		along, constant := SelectSweep(used, axis.by)
+		a := Sweep{Regressor: axis.by, SlopeUnit: axis.per, Constant: constant, Runs: len(along), RunsElsewhere: len(used) - len(along)}
 		switch {
 		case len(along) == 0:
-			a.Why = "no run that counts names it"
-		case values(along, axis.by) == 1:
-			a.Why = "it does not vary while the other sizes are held"
-		case len(along) < fewest:
-			a.Why = fmt.Sprintf("%d points, %d are needed", len(along), fewest)
+			a.Reason = "no run that counts names it"
+		case countDistinct(along, axis.by) == 1:
+			a.Reason = "it does not vary while the other sizes are held"
+		case len(along) < minObservations:
+			a.Reason = fmt.Sprintf("%d points, %d are needed", len(along), minObservations)
 		default:
-			for _, f := range present(along) {
+			for _, f := range presentMetrics(along) {
 				a.Slopes = append(a.Slopes, Slope{f.role, Fit(along, axis.by, f.name)})
 			}
 		}
--- a/internal/scale/fit/table.go
+++ b/internal/scale/fit/table.go
@@ -10,14 +10,14 @@
 	"text/tabwriter"
 )
 
-// digits writes a worked out number: six digits, so that the rounding of sums does not show.
-func digits(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
+// formatSixDigits writes a worked out number: six formatSixDigits, so that the rounding of sums does not show.
+func formatSixDigits(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
 
-// short writes a number for people.
-func short(x float64) string {
+// formatShort writes a number for people.
+func formatShort(x float64) string {
 	switch a := max(x, -x); {
 	case x == math.Trunc(x) && a < 1e15:
-		return exact(x)
+		return formatExact(x)
 	case a >= 100:
 		return strconv.FormatFloat(x, 'f', 0, 64)
 	case a >= 10:
@@ -40,8 +40,8 @@
 }
 
 // Table writes a line for each run, then the slopes by role and by kind, and what was left out.
-func Table(out io.Writer, rows []Row) error {
-	rows = sorted(rows)
+func Table(out io.Writer, rows []Run) error {
+	rows = sortRuns(rows)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	for _, c := range columns {
 		fmt.Fprintf(w, "%s\t", c.head)
@@ -49,14 +49,14 @@
 	fmt.Fprint(w, "fell behind\t\n")
 	for _, r := range rows {
 		for i, c := range columns {
-			x, ok := r.Numbers[c.name]
+			x, ok := r.Values[c.name]
 			switch {
 			case !ok:
 				fmt.Fprint(w, "-\t")
 			case i < 4:
-				fmt.Fprintf(w, "%s\t", exact(x))
+				fmt.Fprintf(w, "%s\t", formatExact(x))
 			default:
-				fmt.Fprintf(w, "%s\t", short(x))
+				fmt.Fprintf(w, "%s\t", formatShort(x))
 			}
 		}
 		fmt.Fprintf(w, "%s\t\n", map[bool]string{true: "yes"}[r.FellBehind])
@@ -64,12 +64,12 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, a := range Slopes(rows) {
-		if err := a.table(out); err != nil {
+	for _, a := range FitSweeps(rows) {
+		if err := a.writeTable(out); err != nil {
 			return err
 		}
 	}
-	_, behind := counted(rows)
+	_, behind := excludeFellBehind(rows)
 	for _, name := range behind {
 		fmt.Fprintf(out, "\nleft out of the slopes, as it fell behind: %s", name)
 	}
@@ -91,34 +91,34 @@
 	return nil
 }
 
-// table writes an axis' slopes.
-func (a Axis) table(out io.Writer) error {
-	if a.Why != "" {
-		_, err := fmt.Fprintf(out, "\nagainst %s: nothing fitted, %s\n", a.By, a.Why)
+// writeTable writes an axis' slopes.
+func (a Sweep) writeTable(out io.Writer) error {
+	if a.Reason != "" {
+		_, err := fmt.Fprintf(out, "\nagainst %s: nothing fitted, %s\n", a.Regressor, a.Reason)
 		return err
 	}
-	fmt.Fprintf(out, "\nagainst %s: %d runs at %s", a.By, a.Runs, a.Constant)
-	if a.Aside > 0 {
-		fmt.Fprintf(out, " (%d at other sizes left aside)", a.Aside)
+	fmt.Fprintf(out, "\nagainst %s: %d runs at %s", a.Regressor, a.Runs, a.Constant)
+	if a.RunsElsewhere > 0 {
+		fmt.Fprintf(out, " (%d at other sizes left aside)", a.RunsElsewhere)
 	}
 	head := "slope"
-	if a.Per > 1 {
-		head += " per " + exact(a.Per)
+	if a.SlopeUnit > 1 {
+		head += " per " + formatExact(a.SlopeUnit)
 	}
 	fmt.Fprintln(out)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "role\tfigure\tpoints\t%s\t95%%\tintercept\tresidual\tR2\tper doubling\t95%%\tresidual\tverdict\n", head)
 	for _, s := range a.Slopes {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", s.Role, s.Figure, s.N, s.Linear.cells(a.Per, true), s.Log.cells(1, false), s.verdict())
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", s.Role, s.Metric, s.Observations, s.Linear.cells(a.SlopeUnit, true), s.Logarithmic.cells(1, false), s.verdictText())
 	}
 	return w.Flush()
 }
 
 // cells are a line's numbers in the table.
-func (l *Line) cells(per float64, whole bool) string {
+func (l *Model) cells(per float64, whole bool) string {
 	cells := []string{"-", "-", "-", "-", "-"}
 	if l != nil {
-		cells = []string{short(l.Slope * per), short(l.Low*per) + " to " + short(l.High*per), short(l.Intercept), short(l.Residual), "-"}
+		cells = []string{formatShort(l.Slope * per), formatShort(l.Low*per) + " to " + formatShort(l.High*per), formatShort(l.Intercept), formatShort(l.ResidualStandardError), "-"}
 		if l.RSquared != nil {
 			cells[4] = strconv.FormatFloat(*l.RSquared, 'f', 3, 64)
 		}
@@ -129,10 +129,10 @@
 	return strings.Join(cells, "\t")
 }
 
-// verdict is the word, and why where it is no plain one.
-func (f Regression) verdict() string {
-	if f.Why == "" {
+// verdictText is the word, and why where it is no plain one.
+func (f Regression) verdictText() string {
+	if f.Reason == "" {
 		return string(f.Verdict)
 	}
-	return fmt.Sprintf("%s (%s)", f.Verdict, f.Why)
+	return fmt.Sprintf("%s (%s)", f.Verdict, f.Reason)
 }
