--- a/internal/scale/fit/compare.go
+++ b/internal/scale/fit/compare.go
@@ -1,131 +1,98 @@
 package fit
 
-import (
-	"fmt"
-	"io"
-	"slices"
-	"strings"
-	"text/tabwriter"
-)
+import "slices"
 
-// Ratio is a figure after a change by what it was before, at one size.
+// Ratio is a metric after a change of the program divided by what it was before, at one size of the fleet.
 type Ratio struct {
 	Dispatchers, Workers, Zones float64
 	Role, Metric                string
-	Before, After               float64 // medians over the seeds
-	Seeds                       int     // that both played; 0 where nothing can be compared
-	Median, Low, High           float64 // of the ratios, seed by seed
-	Reason                      string  // that there is none
+	Before, After               float64 // medians over the seeds, in the metric's unit
+	Seeds                       int     // that both builds ran; 0 where nothing can be compared
+	Median, Low, High           float64 // of the ratios of all seeds
+	Reason                      string  // why there is no ratio
 }
 
-// median gives the middle value, between the two middle ones where their number is even. There must be one.
-func median(x []float64) float64 {
-	x = slices.Sorted(slices.Values(x))
-	return (x[(len(x)-1)/2] + x[len(x)/2]) / 2
-}
-
-// size is a size at which runs are compared.
-type size struct{ dispatchers, workers, zones float64 }
+// fleetSize is a size at which runs are compared.
+type fleetSize struct{ dispatchers, workers, zones float64 }
 
-// gathered gives each figure's values by size and seed. A seed that was played again counts by its median.
-func gathered(rows []Run, figure string) map[size]map[float64][]float64 {
-	all := map[size]map[float64][]float64{}
-	for _, r := range rows {
-		at := size{r.Values["dispatchers"], r.Values["workers"], r.Values["zones"]}
-		if all[at] == nil {
-			all[at] = map[float64][]float64{}
-		}
-		if x, ok := r.Values[figure]; ok {
-			seed := r.Values["seed"]
-			all[at][seed] = append(all[at][seed], x)
-		}
-	}
-	return all
+func (r Run) fleetSize() fleetSize {
+	return fleetSize{r.Values[paramDispatchers], r.Values[paramWorkers], r.Values[paramZones]}
 }
 
-// Compare pairs runs of two builds by their sizes and seeds, and gives the ratios of all figures that both have. Runs that
-// fell behind are left out; sizes and figures that only one build has are named.
-func Compare(before, after []Run) (all []Ratio) {
+// Compare pairs the runs of two builds by size and seed, and returns the ratios of all metrics that either build has. Runs that fell behind
+// are excluded; a metric or size that only one build has is listed without a ratio.
+func Compare(before, after []Run) []Ratio {
 	before, _ = excludeFellBehind(before)
 	after, _ = excludeFellBehind(after)
 	both := append(slices.Clone(before), after...)
-	var places []size
-	for _, r := range sortRuns(both) {
-		at := size{r.Values["dispatchers"], r.Values["workers"], r.Values["zones"]}
-		if !slices.Contains(places, at) {
-			places = append(places, at)
+	var sizes []fleetSize
+	for _, run := range sortRuns(both) {
+		if size := run.fleetSize(); !slices.Contains(sizes, size) {
+			sizes = append(sizes, size)
 		}
 	}
-	for _, at := range places {
-		for _, f := range presentMetrics(both) {
-			was, is := gathered(before, f.name)[at], gathered(after, f.name)[at]
-			if len(was) == 0 && len(is) == 0 {
-				continue
+	var ratios []Ratio
+	for _, size := range sizes {
+		for _, m := range presentMetrics(both) {
+			valuesBefore, valuesAfter := valuesBySeed(before, size, m.name), valuesBySeed(after, size, m.name)
+			if len(valuesBefore) > 0 || len(valuesAfter) > 0 {
+				ratios = append(ratios, compareMetric(size, m, valuesBefore, valuesAfter))
 			}
-			all = append(all, compareMetric(at, f, was, is))
 		}
 	}
-	return all
+	return ratios
 }
 
-// compareMetric compares a figure at one size, seed by seed.
-func compareMetric(at size, f metric, was, is map[float64][]float64) Ratio {
-	r := Ratio{Dispatchers: at.dispatchers, Workers: at.workers, Zones: at.zones, Role: f.role, Metric: f.name}
-	var first, second, ratios []float64
-	zero := 0
-	for seed, values := range was {
-		if is[seed] == nil {
+// seedValues are a metric's values by seed: several where a seed was run again.
+type seedValues map[float64][]float64
+
+// valuesBySeed returns a metric's values in the runs of one size.
+func valuesBySeed(runs []Run, size fleetSize, metric string) seedValues {
+	values := seedValues{}
+	for _, run := range runs {
+		if value, ok := run.Values[metric]; ok && run.fleetSize() == size {
+			seed := run.Values[paramSeed]
+			values[seed] = append(values[seed], value)
+		}
+	}
+	return values
+}
+
+// compareMetric compares a metric at one size, seed by seed. A seed that was run again counts by its median.
+func compareMetric(size fleetSize, m metric, before, after seedValues) Ratio {
+	ratio := Ratio{Dispatchers: size.dispatchers, Workers: size.workers, Zones: size.zones, Role: m.role, Metric: m.name}
+	var mediansBefore, mediansAfter, ratios []float64
+	zeros := 0
+	for seed := range before {
+		if after[seed] == nil {
 			continue
 		}
-		x, y := median(values), median(is[seed])
-		if x == 0 {
-			zero++
+		medianBefore, medianAfter := median(before[seed]), median(after[seed])
+		if medianBefore == 0 {
+			zeros++
 			continue
 		}
-		first, second, ratios = append(first, x), append(second, y), append(ratios, y/x)
+		mediansBefore, mediansAfter = append(mediansBefore, medianBefore), append(mediansAfter, medianAfter)
+		ratios = append(ratios, medianAfter/medianBefore)
 	}
 	switch {
-	case len(was) == 0:
-		r.Reason = "not there before"
-	case len(is) == 0:
-		r.Reason = "not there after"
-	case zero > 0 && len(ratios) == 0:
-		r.Reason = "0 before"
+	case len(before) == 0:
+		ratio.Reason = "not there before"
+	case len(after) == 0:
+		ratio.Reason = "not there after"
+	case zeros > 0 && len(ratios) == 0:
+		ratio.Reason = "0 before"
 	case len(ratios) == 0:
-		r.Reason = "no seed in common"
+		ratio.Reason = "no seed in common"
 	default:
-		r.Seeds, r.Before, r.After = len(ratios), median(first), median(second)
-		r.Median, r.Low, r.High = median(ratios), slices.Min(ratios), slices.Max(ratios)
-	}
-	return r
-}
-
-// CompareTable writes a line for each size and figure.
-func CompareTable(out io.Writer, before, after []Run) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprint(w, "dispatchers\tworkers\tzones\trole\tfigure\tseeds\tbefore\tafter\tratio\trange\t\n")
-	for _, r := range Compare(before, after) {
-		cells := []string{formatExact(r.Dispatchers), formatExact(r.Workers), formatExact(r.Zones), r.Role, r.Metric, fmt.Sprint(r.Seeds)}
-		if r.Reason != "" {
-			cells = append(cells, "-", "-", "-", "-", r.Reason)
-		} else {
-			cells = append(cells, formatShort(r.Before), formatShort(r.After), fmt.Sprintf("%.3f", r.Median), fmt.Sprintf("%.3f to %.3f", r.Low, r.High), "")
-		}
-		fmt.Fprintln(w, strings.Join(cells, "\t"))
-	}
-	if err := w.Flush(); err != nil {
-		return err
-	}
-	for i, rows := range [][]Run{before, after} {
-		_, behind := excludeFellBehind(rows)
-		for _, name := range behind {
-			fmt.Fprintf(out, "left out, as it fell behind (%s): %s\n", []string{"before", "after"}[i], name)
-		}
+		ratio.Seeds, ratio.Before, ratio.After = len(ratios), median(mediansBefore), median(mediansAfter)
+		ratio.Median, ratio.Low, ratio.High = median(ratios), slices.Min(ratios), slices.Max(ratios)
 	}
-	return nil
+	return ratio
 }
 
-// SaveCompared keeps the comparison in a file.
-func SaveCompared(path string, before, after []Run) error {
-	return writeFile(path, func(w io.Writer) error { return CompareTable(w, before, after) })
+// median returns the middle value, or the mean of the two middle ones. There must be a value.
+func median(values []float64) float64 {
+	ordered := slices.Sorted(slices.Values(values))
+	return (ordered[(len(ordered)-1)/2] + ordered[len(ordered)/2]) / 2
 }
--- /dev/null
+++ b/internal/scale/fit/run.go
@@ -0,0 +1,87 @@
+package fit
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Parameters of a run, as result files name them.
+const (
+	paramDispatchers = "dispatchers"
+	paramWorkers     = "workers"
+	paramZones       = "zones"
+	paramChanges     = "changes"  // of the fleet's rules during the run
+	paramBound       = "bound_ms" // by when a change must be in force, in milliseconds
+	paramSeed        = "seed"
+)
+
+// sweepParameters are what a run is made with, besides its seed. The runs of one sweep differ in one of them.
+var sweepParameters = []string{paramDispatchers, paramWorkers, paramZones, paramBound}
+
+// identifyingParameters are those by which tables and messages tell runs apart.
+var identifyingParameters = []string{paramDispatchers, paramWorkers, paramZones, paramSeed}
+
+// Run is the result of one scale run.
+type Run struct {
+	Source          string             // the result file, with the run's index where the file has several
+	Values          map[string]float64 // parameters and metrics by name; those of a nested object as "object.name"
+	FellBehind      bool               // the machine was the limit, so the run does not count
+	Commit, Command string             // of the build; that makes the run again
+}
+
+// Name returns the run's source and the parameters that tell it from other runs.
+func (r Run) Name() string {
+	var parameters []string
+	for _, name := range identifyingParameters {
+		if value, ok := r.Values[name]; ok {
+			parameters = append(parameters, name+" "+formatExact(value))
+		}
+	}
+	return r.Source + " (" + strings.Join(parameters, ", ") + ")"
+}
+
+// sortRuns returns the runs by their parameters and seeds, in an order that does not depend on the order they come in.
+func sortRuns(runs []Run) []Run {
+	return slices.SortedStableFunc(slices.Values(runs), func(a, b Run) int {
+		for _, name := range append(slices.Clone(sweepParameters), paramSeed) {
+			if order := cmp.Compare(a.Values[name], b.Values[name]); order != 0 {
+				return order
+			}
+		}
+		return cmp.Or(cmp.Compare(a.Source, b.Source), cmp.Compare(a.Commit, b.Commit))
+	})
+}
+
+// excludeFellBehind returns the runs that count, sorted, and the names of the others.
+func excludeFellBehind(runs []Run) (used []Run, excluded []string) {
+	for _, run := range sortRuns(runs) {
+		if run.FellBehind {
+			excluded = append(excluded, run.Name())
+		} else {
+			used = append(used, run)
+		}
+	}
+	return used, excluded
+}
+
+// valueNames returns the names of all parameters and metrics that at least one of the runs has, sorted.
+func valueNames(runs []Run) []string {
+	names := map[string]bool{}
+	for _, run := range runs {
+		for name := range run.Values {
+			names[name] = true
+		}
+	}
+	return slices.Sorted(maps.Keys(names))
+}
+
+// countDistinct returns how many different values of a parameter the runs have. A run without it counts as 0.
+func countDistinct(runs []Run, parameter string) int {
+	distinct := map[float64]bool{}
+	for _, run := range runs {
+		distinct[run.Values[parameter]] = true
+	}
+	return len(distinct)
+}
--- /dev/null
+++ b/internal/scale/fit/save_test.go
@@ -0,0 +1,144 @@
+package fit
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares a text with a file in testdata.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s is now\n%s", name, got)
+	}
+}
+
+// readAll returns all files of a directory by name.
+func readAll(t *testing.T, dir string) map[string]string {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string]string{}
+	for _, entry := range entries {
+		text, err := os.ReadFile(filepath.Join(dir, entry.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[entry.Name()] = string(text)
+	}
+	return files
+}
+
+// TestGolden checks the table, the slopes and the points of a set of runs against golden files, and the labels of the charts. One of the
+// runs fell behind, and three have another number of workers than the others.
+func TestGolden(t *testing.T) {
+	runs, err := Read("testdata/results.json")
+	if err != nil || len(runs) != 13 {
+		t.Fatalf("%d runs, %v", len(runs), err)
+	}
+	dir := t.TempDir()
+	if err := Save(dir, runs); err != nil {
+		t.Fatal(err)
+	}
+	files := readAll(t, dir)
+	if got := slices.Sorted(maps.Keys(files)); strings.Join(got, " ") != "bytes.svg cpu.svg kinds.svg points.csv seats.svg slopes.csv slopes.json table.txt" {
+		t.Errorf("saved: %s", got)
+	}
+	for _, name := range []string{"table.txt", "slopes.csv", "slopes.json", "points.csv"} {
+		checkGolden(t, name, []byte(files[name]))
+	}
+	for name, labels := range map[string][]string{
+		"bytes.svg": {"p50", "p99", "4 KB/s", "workers 530, zones 8"}, "cpu.svg": {"dispatcher", "seat, most", "leader", "48 ms/s"},
+		"seats.svg": {"seat, most", "leader"}, "kinds.svg": {"renewal", "record", "gossip", "raft", "discovery", "4 KB/s"},
+	} {
+		for _, label := range labels {
+			if !strings.Contains(files[name], label) {
+				t.Errorf("%s does not say %q", name, label)
+			}
+		}
+	}
+}
+
+// TestSameRunsSameBytes checks that the same runs give the same bytes, whatever order they come in, and in a directory that had other
+// results before.
+func TestSameRunsSameBytes(t *testing.T) {
+	runs, err := Read("testdata/results.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := Save(dir, runs); err != nil {
+		t.Fatal(err)
+	}
+	first := readAll(t, dir)
+	withoutMetrics := []Run{{Source: "x", Values: map[string]float64{"dispatchers": 3}}}
+	if err := Save(dir, withoutMetrics); err != nil {
+		t.Fatal(err)
+	}
+	if got := readAll(t, dir); len(got) != 4 {
+		t.Errorf("charts of other runs are left: %v", slices.Sorted(maps.Keys(got)))
+	}
+	slices.Reverse(runs)
+	if err := Save(dir, runs); err != nil {
+		t.Fatal(err)
+	}
+	if got := readAll(t, dir); !maps.Equal(got, first) {
+		for name := range first {
+			if got[name] != first[name] {
+				t.Errorf("%s differs", name)
+			}
+		}
+	}
+}
+
+// TestOneSize checks that a single number of dispatchers is drawn as points and nothing is fitted, that each kind of message has a band of its
+// own color, and that metrics which are all 0 do no harm.
+func TestOneSize(t *testing.T) {
+	var runs []Run
+	for seed := range 3 {
+		run := Run{Source: "x", Values: map[string]float64{"dispatchers": 300, "seed": float64(seed), "control_bytes_s_p50": 3000, "leader_bytes_s": 0}}
+		for _, kind := range []string{"other", "renewal", "record", "report", "budget", "gossip", "member_probe", "raft", "discovery"} {
+			run.Values["bytes_by_kind."+kind] = 100
+		}
+		runs = append(runs, run)
+	}
+	dir := t.TempDir()
+	if err := Save(dir, runs); err != nil {
+		t.Fatal(err)
+	}
+	files := readAll(t, dir)
+	if !strings.Contains(files["table.txt"], "against dispatchers: nothing fitted") || strings.Contains(files["slopes.json"], "intercept") || strings.Count(files["slopes.csv"], "\n") != 1 {
+		t.Errorf("a number was invented:\n%s", files["table.txt"])
+	}
+	if files["bytes.svg"] == "" || files["seats.svg"] == "" || files["kinds.svg"] == "" || files["cpu.svg"] != "" {
+		t.Errorf("charts: %v", slices.Sorted(maps.Keys(files)))
+	}
+	colors := map[string]bool{}
+	for i := range 9 {
+		colors[fmt.Sprint(bandColor(i))] = true
+	}
+	if len(colors) != 9 {
+		t.Errorf("%d colors for nine kinds", len(colors))
+	}
+}
--- a/internal/scale/fit/table.go
+++ b/internal/scale/fit/table.go
@@ -3,35 +3,17 @@
 import (
 	"fmt"
 	"io"
-	"math"
 	"slices"
 	"strconv"
 	"strings"
 	"text/tabwriter"
 )
 
-// formatSixDigits writes a worked out number: six formatSixDigits, so that the rounding of sums does not show.
-func formatSixDigits(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
+// absent stands in tables for a value that there is not.
+const absent = "-"
 
-// formatShort writes a number for people.
-func formatShort(x float64) string {
-	switch a := max(x, -x); {
-	case x == math.Trunc(x) && a < 1e15:
-		return formatExact(x)
-	case a >= 100:
-		return strconv.FormatFloat(x, 'f', 0, 64)
-	case a >= 10:
-		return strconv.FormatFloat(x, 'f', 1, 64)
-	case a >= 0.1:
-		return strconv.FormatFloat(x, 'f', 2, 64)
-	default:
-		return strconv.FormatFloat(x, 'g', 2, 64)
-	}
-}
-
-// columns are what the table shows of a run.
-var columns = []struct{ head, name string }{
-	{"dispatchers", "dispatchers"}, {"workers", "workers"}, {"zones", "zones"}, {"seed", "seed"},
+// metricColumns are what the table shows of a run behind its identifying parameters.
+var metricColumns = []struct{ header, name string }{
 	{"B/s p50", "control_bytes_s_p50"}, {"p99", "control_bytes_s_p99"}, {"messages/s", "control_messages_s"},
 	{"cpu ms/s", "control_cpu_ms_s"}, {"hollow", "hollow_cpu_ms_s"}, {"MB", "control_memory_mb"},
 	{"seat B/s", "seat_bytes_s_most"}, {"cpu ms/s", "seat_cpu_ms_s_most"}, {"MB", "seat_memory_mb_most"},
@@ -39,100 +21,131 @@
 	{"in force p99 ms", "in_force_p99_ms"}, {"p99.9", "in_force_p999_ms"}, {"contradiction ms", "contradiction_max_ms"}, {"rules broken", "rules_broken"},
 }
 
-// Table writes a line for each run, then the slopes by role and by kind, and what was left out.
-func Table(out io.Writer, rows []Run) error {
-	rows = sortRuns(rows)
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	for _, c := range columns {
-		fmt.Fprintf(w, "%s\t", c.head)
-	}
-	fmt.Fprint(w, "fell behind\t\n")
-	for _, r := range rows {
-		for i, c := range columns {
-			x, ok := r.Values[c.name]
-			switch {
-			case !ok:
-				fmt.Fprint(w, "-\t")
-			case i < 4:
-				fmt.Fprintf(w, "%s\t", formatExact(x))
-			default:
-				fmt.Fprintf(w, "%s\t", formatShort(x))
-			}
-		}
-		fmt.Fprintf(w, "%s\t\n", map[bool]string{true: "yes"}[r.FellBehind])
-	}
-	if err := w.Flush(); err != nil {
+// Table writes a line for each run, then the slopes by role and metric, the runs that were excluded, and the commits of the runs.
+func Table(out io.Writer, runs []Run) error {
+	runs = sortRuns(runs)
+	if err := writeRunTable(out, runs); err != nil {
 		return err
 	}
-	for _, a := range FitSweeps(rows) {
-		if err := a.writeTable(out); err != nil {
+	for _, sweep := range Sweeps(runs) {
+		if err := sweep.writeTable(out); err != nil {
 			return err
 		}
 	}
-	_, behind := excludeFellBehind(rows)
-	for _, name := range behind {
+	_, excluded := excludeFellBehind(runs)
+	for _, name := range excluded {
 		fmt.Fprintf(out, "\nleft out of the slopes, as it fell behind: %s", name)
 	}
-	if len(behind) > 0 {
+	if len(excluded) > 0 {
 		fmt.Fprintln(out)
 	}
-	var commits []string
-	for _, r := range rows {
-		if !slices.Contains(commits, r.Commit) && r.Commit != "" {
-			commits = append(commits, r.Commit)
+	writeCommits(out, runs)
+	return nil
+}
+
+// writeRunTable writes a line for each run.
+func writeRunTable(out io.Writer, runs []Run) error {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	for _, name := range identifyingParameters {
+		fmt.Fprintf(table, "%s\t", name)
+	}
+	for _, column := range metricColumns {
+		fmt.Fprintf(table, "%s\t", column.header)
+	}
+	fmt.Fprint(table, "fell behind\t\n")
+	for _, run := range runs {
+		for _, name := range identifyingParameters {
+			fmt.Fprintf(table, "%s\t", run.cell(name, formatExact))
 		}
+		for _, column := range metricColumns {
+			fmt.Fprintf(table, "%s\t", run.cell(column.name, formatShort))
+		}
+		fellBehind := ""
+		if run.FellBehind {
+			fellBehind = "yes"
+		}
+		fmt.Fprintf(table, "%s\t\n", fellBehind)
 	}
-	slices.Sort(commits)
-	if len(commits) > 1 {
-		fmt.Fprintf(out, "\nruns of %d commits together: %s\n", len(commits), strings.Join(commits, ", "))
-	} else if len(commits) == 1 {
-		fmt.Fprintf(out, "\ncommit %s\n", commits[0])
+	return table.Flush()
+}
+
+// cell returns a value as the table shows it.
+func (r Run) cell(name string, format func(float64) string) string {
+	value, ok := r.Values[name]
+	if !ok {
+		return absent
 	}
-	return nil
+	return format(value)
 }
 
-// writeTable writes an axis' slopes.
-func (a Sweep) writeTable(out io.Writer) error {
-	if a.Reason != "" {
-		_, err := fmt.Fprintf(out, "\nagainst %s: nothing fitted, %s\n", a.Regressor, a.Reason)
+// writeTable writes the slopes of a sweep, a line each.
+func (s Sweep) writeTable(out io.Writer) error {
+	if s.Reason != "" {
+		_, err := fmt.Fprintf(out, "\nagainst %s: nothing fitted, %s\n", s.Regressor, s.Reason)
 		return err
 	}
-	fmt.Fprintf(out, "\nagainst %s: %d runs at %s", a.Regressor, a.Runs, a.Constant)
-	if a.RunsElsewhere > 0 {
-		fmt.Fprintf(out, " (%d at other sizes left aside)", a.RunsElsewhere)
+	fmt.Fprintf(out, "\nagainst %s: %d runs at %s", s.Regressor, s.Runs, s.Constant)
+	if s.RunsElsewhere > 0 {
+		fmt.Fprintf(out, " (%d at other sizes left aside)", s.RunsElsewhere)
 	}
-	head := "slope"
-	if a.SlopeUnit > 1 {
-		head += " per " + formatExact(a.SlopeUnit)
+	slopeHeader := "slope"
+	if s.SlopeUnit > 1 {
+		slopeHeader += " per " + formatExact(s.SlopeUnit)
 	}
 	fmt.Fprintln(out)
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "role\tfigure\tpoints\t%s\t95%%\tintercept\tresidual\tR2\tper doubling\t95%%\tresidual\tverdict\n", head)
-	for _, s := range a.Slopes {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", s.Role, s.Metric, s.Observations, s.Linear.cells(a.SlopeUnit, true), s.Logarithmic.cells(1, false), s.verdictText())
-	}
-	return w.Flush()
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(table, "role\tfigure\tpoints\t%s\t95%%\tintercept\tresidual\tR2\tper doubling\t95%%\tresidual\tverdict\n", slopeHeader)
+	for _, slope := range s.Slopes {
+		linear, logarithmic := slope.Linear.cells(s.SlopeUnit), slope.Logarithmic.cells(1)
+		cells := []string{slope.Role, slope.Metric, strconv.Itoa(slope.Observations),
+			linear.slope, linear.interval, linear.intercept, linear.residual, linear.rSquared,
+			logarithmic.slope, logarithmic.interval, logarithmic.residual, slope.verdictText()}
+		fmt.Fprintln(table, strings.Join(cells, "\t"))
+	}
+	return table.Flush()
 }
 
-// cells are a line's numbers in the table.
-func (l *Model) cells(per float64, whole bool) string {
-	cells := []string{"-", "-", "-", "-", "-"}
-	if l != nil {
-		cells = []string{formatShort(l.Slope * per), formatShort(l.Low*per) + " to " + formatShort(l.High*per), formatShort(l.Intercept), formatShort(l.ResidualStandardError), "-"}
-		if l.RSquared != nil {
-			cells[4] = strconv.FormatFloat(*l.RSquared, 'f', 3, 64)
-		}
-	}
-	if !whole {
-		cells = []string{cells[0], cells[1], cells[3]}
+// modelCells are a model's numbers as the table shows them.
+type modelCells struct{ slope, interval, intercept, residual, rSquared string }
+
+// cells returns the model's numbers, the slope for slopeUnit of the regressor. The model may be nil.
+func (m *Model) cells(slopeUnit float64) modelCells {
+	if m == nil {
+		return modelCells{absent, absent, absent, absent, absent}
+	}
+	cells := modelCells{
+		slope:     formatShort(m.Slope * slopeUnit),
+		interval:  formatShort(m.SlopeInterval.Low*slopeUnit) + " to " + formatShort(m.SlopeInterval.High*slopeUnit),
+		intercept: formatShort(m.Intercept),
+		residual:  formatShort(m.ResidualStandardError),
+		rSquared:  absent,
+	}
+	if m.RSquared != nil {
+		cells.rSquared = strconv.FormatFloat(*m.RSquared, 'f', 3, 64)
+	}
+	return cells
+}
+
+// verdictText returns the verdict with its reason, if there is one.
+func (r Regression) verdictText() string {
+	if r.Reason == "" {
+		return string(r.Verdict)
 	}
-	return strings.Join(cells, "\t")
+	return fmt.Sprintf("%s (%s)", r.Verdict, r.Reason)
 }
 
-// verdictText is the word, and why where it is no plain one.
-func (f Regression) verdictText() string {
-	if f.Reason == "" {
-		return string(f.Verdict)
+// writeCommits writes the commits of the builds that the runs were made with.
+func writeCommits(out io.Writer, runs []Run) {
+	var commits []string
+	for _, run := range runs {
+		if run.Commit != "" && !slices.Contains(commits, run.Commit) {
+			commits = append(commits, run.Commit)
+		}
+	}
+	slices.Sort(commits)
+	if len(commits) > 1 {
+		fmt.Fprintf(out, "\nruns of %d commits together: %s\n", len(commits), strings.Join(commits, ", "))
+	} else if len(commits) == 1 {
+		fmt.Fprintf(out, "\ncommit %s\n", commits[0])
 	}
-	return fmt.Sprintf("%s (%s)", f.Verdict, f.Reason)
 }
