--- a/cmd/brassdale-lab/golden_test.go
+++ b/cmd/brassdale-lab/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"os/exec"
@@ -10,9 +9,9 @@
 	"regexp"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "rewrite the golden file")
+	"brassdale/internal/testsupport"
+)
 
 // argumentsVariable makes this test binary the program: its value is the program's arguments, separated by spaces.
 const argumentsVariable = "BRASSDALE_LAB_TEST_ARGUMENTS"
@@ -41,22 +40,7 @@
 	for _, name := range hiddenCommands {
 		writeHelp(t, &got, self, []string{name})
 	}
-	path := filepath.Join("testdata", "help.txt")
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("the help differs from %s:\n%s", path, got.Bytes())
-	}
+	testsupport.CheckGolden(t, "testdata/help.txt", got.Bytes())
 }
 
 // listed finds the sub-commands in a help text.
--- a/internal/endpointcache/stored_test.go
+++ b/internal/endpointcache/stored_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"brassdale/internal/protocol"
+	"brassdale/internal/testsupport"
 	"brassdale/scheduler"
 )
 
@@ -40,7 +41,7 @@
 // content is written as the same bytes under the same names.
 func TestStoredList(t *testing.T) {
 	const stored = "testdata/stored"
-	checkAllSet(t, "snapshot", reflect.ValueOf(storedSnapshot()))
+	testsupport.CheckAllSet(t, "snapshot", storedSnapshot())
 
 	read := t.TempDir()
 	if err := os.CopyFS(read, os.DirFS(stored)); err != nil {
@@ -96,30 +97,3 @@
 		}
 	}
 }
-
-// checkAllSet reports the exported fields below a value that are zero.
-func checkAllSet(t *testing.T, path string, value reflect.Value) {
-	t.Helper()
-	if value.IsZero() || (value.Kind() == reflect.Slice || value.Kind() == reflect.Map) && value.Len() == 0 {
-		t.Errorf("%s is not set", path)
-		return
-	}
-	switch value.Kind() {
-	case reflect.Pointer:
-		checkAllSet(t, path, value.Elem())
-	case reflect.Slice:
-		for i := range value.Len() {
-			checkAllSet(t, path+"[]", value.Index(i))
-		}
-	case reflect.Map:
-		for _, key := range value.MapKeys() {
-			checkAllSet(t, path+"[]", value.MapIndex(key))
-		}
-	case reflect.Struct:
-		for i := range value.NumField() {
-			if field := value.Type().Field(i); field.IsExported() {
-				checkAllSet(t, path+"."+field.Name, value.Field(i))
-			}
-		}
-	}
-}
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -3,13 +3,11 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
 	"path/filepath"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "rewrite the golden files")
+	"brassdale/internal/testsupport"
+)
 
 // goldenSeeds is how many seeds of a scenario a golden file has.
 const goldenSeeds = 2
@@ -28,22 +26,7 @@
 			if again := goldenRows(t, scenario.name, scenario.span); !bytes.Equal(got, again) {
 				t.Fatalf("two runs differ:\n%s\n%s", got, again)
 			}
-			path := filepath.Join("testdata", "golden", scenario.name+".json")
-			if *update {
-				if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-					t.Fatal(err)
-				}
-				if err := os.WriteFile(path, got, 0o644); err != nil {
-					t.Fatal(err)
-				}
-			}
-			want, err := os.ReadFile(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(got, want) {
-				t.Errorf("rows differ from %s:\n%s\nwant\n%s", path, got, want)
-			}
+			testsupport.CheckGolden(t, "testdata/golden/"+scenario.name+".json", got)
 		})
 	}
 }
--- a/internal/fleet/raftlog/stored_test.go
+++ b/internal/fleet/raftlog/stored_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
+	"fmt"
 	"io"
 	"log/slog"
 	"os"
@@ -13,6 +13,7 @@
 	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/voters"
+	"brassdale/internal/testsupport"
 )
 
 // storedFounders are the voters of the log in testdata/stored: the one that wrote it.
@@ -140,13 +141,7 @@
 		t.Fatalf("%d entries behind the snapshot, want %d", len(entries), len(proposed))
 	}
 	for i, e := range entries {
-		var entry configversions.Entry
-		if err := json.Unmarshal(e.GetData(), &entry); err != nil || !reflect.DeepEqual(entry, proposed[i]) {
-			t.Errorf("entry %d: %+v (error %v), want %+v", e.GetIndex(), entry, err, proposed[i])
-		}
-		if text, err := json.Marshal(proposed[i]); err != nil || string(text) != string(e.GetData()) {
-			t.Errorf("entry %d is written as %s (error %v), want %s", e.GetIndex(), text, err, e.GetData())
-		}
+		testsupport.CheckJSON(t, fmt.Sprintf("entry %d", e.GetIndex()), e.GetData(), proposed[i])
 	}
 
 	l := openStored(t, dir)
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -14,6 +14,7 @@
 	"brassdale/internal/decisions/gossippeers"
 	"brassdale/internal/decisions/voters"
 	"brassdale/internal/fleet/gossip"
+	"brassdale/internal/testsupport"
 	"brassdale/internal/traffic"
 )
 
@@ -62,20 +63,7 @@
 func TestStoredMessages(t *testing.T) {
 	for name, want := range storedMessages() {
 		t.Run(name, func(t *testing.T) {
-			stored, err := os.ReadFile("testdata/stored/" + name + ".json")
-			if err != nil {
-				t.Fatal(err)
-			}
-			read := reflect.New(reflect.TypeOf(want))
-			if err := json.Unmarshal(stored, read.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if got := read.Elem().Interface(); !reflect.DeepEqual(got, want) {
-				t.Errorf("read %+v, want %+v", got, want)
-			}
-			if text, err := json.Marshal(want); err != nil || string(text) != string(stored) {
-				t.Errorf("wrote (error %v)\n%s\nwant\n%s", err, text, stored)
-			}
+			testsupport.CheckStored(t, "testdata/stored/"+name+".json", want)
 		})
 	}
 }
@@ -84,12 +72,7 @@
 // and seats are partial here.
 func TestStoredMessagesAreWhole(t *testing.T) {
 	for name, want := range storedMessages() {
-		message := reflect.ValueOf(want)
-		for i := range message.NumField() {
-			if message.Field(i).IsZero() {
-				t.Errorf("%s: %s is not set", name, message.Type().Field(i).Name)
-			}
-		}
+		testsupport.CheckFieldsSet(t, name, want)
 	}
 }
 
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -76,6 +76,25 @@
 	}
 }
 
+// TestTestSupportIsForTestsOnly checks that no program imports the package that compares test results with files: its flag -update
+// is for test binaries.
+func TestTestSupportIsForTestsOnly(t *testing.T) {
+	for _, root := range []string{".", "../scheduler", "../cmd"} {
+		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || !entry.IsDir() {
+				return err
+			}
+			if paths, _ := imports(t, path); slices.Contains(paths, "brassdale/internal/testsupport") {
+				t.Errorf("%s imports it outside of its tests", path)
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // The core knows no wire, and what is below knows nothing of what is above.
 func TestLayers(t *testing.T) {
 	own := func(paths []string) (own []string) {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -2,17 +2,14 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
-)
 
-var update = flag.Bool("update", false, "rewrite the golden file")
+	"brassdale/internal/testsupport"
+)
 
 // TestGoldenKeys checks the JSON keys, with the kinds of their values, of the platform's file, of discovery's lists and of what
 // a process and its successor tell each other. The platform's file is only read, whatever the case of its keys: they
@@ -27,19 +24,7 @@
 	fmt.Fprintln(&got, "==== succession")
 	writeKeys(&got, reflect.TypeFor[HandoverMessage](), "", asIs)
 
-	path := filepath.Join("testdata", "keys.txt")
-	if *update {
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("the keys differ from %s:\n%s", path, &got)
-	}
+	testsupport.CheckGolden(t, "testdata/keys.txt", []byte(got.String()))
 }
 
 // writeKeys writes the path and kind of each value that encoding/json reads or writes of a type, in the order in which it
--- a/internal/protocol/stored_config_test.go
+++ b/internal/protocol/stored_config_test.go
@@ -3,6 +3,8 @@
 import (
 	"reflect"
 	"testing"
+
+	"brassdale/internal/testsupport"
 )
 
 // TestConfigKeys reads a file with all keys that the program of commit c2c1317 knew, each with a value of its own, and
@@ -12,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkAllSet(t, "config", reflect.ValueOf(*c))
+	testsupport.CheckAllSet(t, "config", *c)
 	s := c.Settings
 	class, family, limits, rules := s.Classes[0], s.FamilyInfo, s.Limits, s.Rules
 	for _, field := range []struct {
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -1,13 +1,11 @@
 package protocol
 
 import (
-	"encoding/json"
-	"os"
-	"reflect"
 	"testing"
 	"time"
 
 	"brassdale/internal/routing"
+	"brassdale/internal/testsupport"
 	"brassdale/scheduler"
 )
 
@@ -51,55 +49,10 @@
 	for name, want := range storedNotes {
 		t.Run(name, func(t *testing.T) {
 			if _, partial := want.(HandoverMessage); !partial {
-				checkAllSet(t, name, reflect.ValueOf(want))
-			}
-			stored, err := os.ReadFile("testdata/stored/" + name + ".json")
-			if err != nil {
-				t.Fatal(err)
-			}
-			read := reflect.New(reflect.TypeOf(want))
-			if err := json.Unmarshal(stored, read.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if got := read.Elem().Interface(); !reflect.DeepEqual(got, want) {
-				t.Errorf("read %+v, want %+v", got, want)
-			}
-			if text, err := json.Marshal(want); err != nil || string(text) != string(stored) {
-				t.Errorf("wrote (error %v)\n%s\nwant\n%s", err, text, stored)
+				testsupport.CheckAllSet(t, name, want)
 			}
+			testsupport.CheckStored(t, "testdata/stored/"+name+".json", want)
 		})
 	}
-	whole := reflect.ValueOf(storedNotes["note"])
-	for i := range whole.NumField() {
-		if whole.Field(i).IsZero() {
-			t.Errorf("note: %s is not set", whole.Type().Field(i).Name)
-		}
-	}
-}
-
-// checkAllSet reports the exported fields below a value that are zero.
-func checkAllSet(t *testing.T, path string, value reflect.Value) {
-	t.Helper()
-	if value.IsZero() || (value.Kind() == reflect.Slice || value.Kind() == reflect.Map) && value.Len() == 0 {
-		t.Errorf("%s is not set", path)
-		return
-	}
-	switch value.Kind() {
-	case reflect.Pointer:
-		checkAllSet(t, path, value.Elem())
-	case reflect.Slice:
-		for i := range value.Len() {
-			checkAllSet(t, path+"[]", value.Index(i))
-		}
-	case reflect.Map:
-		for _, key := range value.MapKeys() {
-			checkAllSet(t, path+"[]", value.MapIndex(key))
-		}
-	case reflect.Struct:
-		for i := range value.NumField() {
-			if field := value.Type().Field(i); field.IsExported() {
-				checkAllSet(t, path+"."+field.Name, value.Field(i))
-			}
-		}
-	}
+	testsupport.CheckFieldsSet(t, "note", storedNotes["note"])
 }
--- a/internal/scale/fit/save_test.go
+++ b/internal/scale/fit/save_test.go
@@ -1,8 +1,6 @@
 package fit
 
 import (
-	"bytes"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -10,27 +8,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares a text with a file in testdata.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s is now\n%s", name, got)
-	}
-}
+	"brassdale/internal/testsupport"
+)
 
 // readAll returns all files of a directory by name.
 func readAll(t *testing.T, dir string) map[string]string {
@@ -66,7 +46,7 @@
 		t.Errorf("saved: %s", got)
 	}
 	for _, name := range []string{"table.txt", "slopes.csv", "slopes.json", "points.csv"} {
-		checkGolden(t, name, []byte(files[name]))
+		testsupport.CheckGolden(t, filepath.Join("testdata", name), []byte(files[name]))
 	}
 	for name, labels := range map[string][]string{
 		"bytes.svg": {"p50", "p99", "4 KB/s", "workers 530, zones 8"}, "cpu.svg": {"dispatcher", "seat, most", "leader", "48 ms/s"},
