--- a/internal/transport/http2/framescanner.go
+++ b/internal/transport/http2/framescanner.go
@@ -32,29 +32,29 @@
 )
 
 // step takes bytes up to the next event, and returns how many. data must not be empty.
-func (s *frameScanner) step(data []byte) (n int, event scanEvent) {
+func (s *frameScanner) step(data []byte) (consumed int, event scanEvent) {
 	switch {
 	case s.prefaceBytesLeft > 0:
-		n = min(s.prefaceBytesLeft, len(data))
-		if s.prefaceBytesLeft -= n; s.prefaceBytesLeft == 0 {
+		consumed = min(s.prefaceBytesLeft, len(data))
+		if s.prefaceBytesLeft -= consumed; s.prefaceBytesLeft == 0 {
 			event = prefaceRead
 		}
 	case s.payloadBytesLeft > 0:
-		n = int(min(s.payloadBytesLeft, uint32(len(data))))
-		if s.payloadBytesLeft -= uint32(n); s.payloadBytesLeft == 0 {
+		consumed = int(min(s.payloadBytesLeft, uint32(len(data))))
+		if s.payloadBytesLeft -= uint32(consumed); s.payloadBytesLeft == 0 {
 			event = frameRead
 		}
 	case s.headBytes == 0:
-		s.head[0], s.headBytes, n, event = data[0], 1, 1, frameBegun
+		s.head[0], s.headBytes, consumed, event = data[0], 1, 1, frameBegun
 	default:
-		n = copy(s.head[s.headBytes:], data)
-		if s.headBytes += n; s.headBytes == frameHeadBytes {
+		consumed = copy(s.head[s.headBytes:], data)
+		if s.headBytes += consumed; s.headBytes == frameHeadBytes {
 			s.headBytes = 0
 			s.payloadBytesLeft = uint32(s.head[0])<<16 | uint32(s.head[1])<<8 | uint32(s.head[2])
 			event = headRead
 		}
 	}
-	return n, event
+	return consumed, event
 }
 
 // frame returns the frame whose head was read last. It must be called directly after headRead.
