--- a/internal/scale/fit/run.go
+++ b/internal/scale/fit/run.go
@@ -12,13 +12,13 @@
 	paramDispatchers = "dispatchers"
 	paramWorkers     = "workers"
 	paramZones       = "zones"
-	paramChanges     = "changes"  // of the fleet's rules during the run
-	paramBound       = "bound_ms" // by when a change must be in force, in milliseconds
+	paramChanges     = "changes"  // config versions proposed before the end of the measurement
+	paramLease       = "bound_ms" // the lease duration, in milliseconds
 	paramSeed        = "seed"
 )
 
 // sweepParameters are what a run is made with, besides its seed. The runs of one sweep differ in one of them.
-var sweepParameters = []string{paramDispatchers, paramWorkers, paramZones, paramBound}
+var sweepParameters = []string{paramDispatchers, paramWorkers, paramZones, paramLease}
 
 // identifyingParameters are those by which tables and messages tell runs apart.
 var identifyingParameters = []string{paramDispatchers, paramWorkers, paramZones, paramSeed}
