--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -13,11 +13,11 @@
 )
 
 // Callers that finish no call, more of them than the door holds, delay nobody; what is no call gets a no.
-func TestDoor(t *testing.T) {
+func TestAdminAPI_unfinishedAndInvalidCalls(t *testing.T) {
 	t.Parallel()
-	n := start(t, "", newWorker(t, "a", works))
+	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
 	for i := range 40 {
-		c, err := net.Dial("tcp", strings.TrimPrefix(n.admin, "http://"))
+		c, err := net.Dial("tcp", strings.TrimPrefix(n.adminURL, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,7 +25,7 @@
 		io.WriteString(c, []string{"", "GET /_ready HT", "POST /_workers/detach HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\na"}[i%3])
 		if i%5 == 0 {
 			begin := time.Now()
-			if status, _ := n.call("GET", "/_ready", ""); status != 200 || time.Since(begin) > time.Second {
+			if status, _ := n.callAdmin("GET", "/_ready", ""); status != 200 || time.Since(begin) > time.Second {
 				t.Errorf("among %d that finish no call: %d after %v", i, status, time.Since(begin))
 			}
 		}
@@ -39,39 +39,39 @@
 		{"POST", "/_workers/detach", "never-listed", 404}, {"POST", "/_workers/attach", "never-listed", 404},
 		{"POST", "/_workers/detach", "a\n", 200}, {"POST", "/_workers/detach", "a", 200}, {"POST", "/_workers/attach", "a", 200},
 	} {
-		if status, text := n.call(c.method, c.path, c.body); status != c.want {
+		if status, text := n.callAdmin(c.method, c.path, c.body); status != c.want {
 			t.Errorf("%s %s %.20q: %d %s, want %d", c.method, c.path, c.body, status, text, c.want)
 		}
 	}
-	if _, err := http.Get(n.url + "/_vars"); err != nil {
+	if _, err := http.Get(n.http1URL + "/_vars"); err != nil {
 		t.Error(err)
-	} else if status, _, _ := n.do(request(n.url, "k")); status != 200 {
+	} else if status, _, _ := n.send(newRequest(n.http1URL, "k")); status != 200 {
 		t.Errorf("a job: %d", status)
 	}
-	n.stop()
-	n.waitFor("a no after SIGTERM", func() bool { status, _ := n.call("GET", "/_ready", ""); return status == 503 })
+	n.terminate()
+	n.waitFor("a no after SIGTERM", func() bool { status, _ := n.callAdmin("GET", "/_ready", ""); return status == 503 })
 }
 
 // Every job is counted once, by how it ended, and a call when it is written; what was open is concurrent.
-func TestFigures(t *testing.T) {
+func TestMetrics_eachRequestCountedOnce(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newWorker(t, "a", func(b *worker, c net.Conn, r *http.Request) {
+	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
 		switch key := r.Header.Get("Idempotency-Key"); {
 		case strings.HasPrefix(key, "bad"):
-			raw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")(b, c, r)
+			respondRaw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")(b, c, r)
 		case strings.HasPrefix(key, "held"):
 			<-release
 			fallthrough
 		default:
-			works(b, c, r)
+			completeJob(b, c, r)
 		}
 	})
-	n := start(t, "", b)
+	n := startDispatcher(t, "", b)
 	expect := func(what string, want map[string]int) {
 		t.Helper()
 		for name, x := range want {
-			if got := n.figure(name); got != x {
+			if got := n.metric(name); got != x {
 				t.Errorf("%s: %s=%d, want %d", what, name, got, x)
 			}
 		}
@@ -79,80 +79,80 @@
 	expect("at the start", map[string]int{"replies.price-part.success": 0, "replies.price-part.overload": 0,
 		"replies.price-part.error": 0, "dispatches": 0, "concurrent": 0, "targets": 1, "targets_disabled": 0, "reload_success": 0, "reload_failure": 0})
 	for i := range 3 {
-		n.do(request(n.url, fmt.Sprint("good-", i)))
+		n.send(newRequest(n.http1URL, fmt.Sprint("good-", i)))
 	}
-	held := n.begin(b, "held")
+	held := n.sendInBackground(b, "held")
 	expect("with an open job", map[string]int{"concurrent": 1, "dispatches": 4, "replies.price-part.success": 3})
 	close(release)
 	if status := <-held; status != 200 {
 		t.Errorf("the held job: %d", status)
 	}
-	n.do(request(n.url, "x", "Req-Deadline-Ms", "soon")) // no job
-	failed, _, _ := n.do(request(n.url, "bad", "Req-Deadline-Ms", "300"))
+	n.send(newRequest(n.http1URL, "x", "Req-Deadline-Ms", "soon")) // no job
+	failed, _, _ := n.send(newRequest(n.http1URL, "bad", "Req-Deadline-Ms", "300"))
 	if failed != 502 && failed != 504 {
 		t.Errorf("the bad job: %d", failed)
 	}
 	expect("after a failure", map[string]int{"concurrent": 0, "replies.price-part.success": 4, "replies.price-part.error": 1, "replies.price-part.overload": 0})
-	if status, _ := n.call("POST", "/_workers/detach", "a"); status != 200 {
+	if status, _ := n.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
 		t.Errorf("detach: %d", status)
 	}
-	refused, _, _ := n.do(request(n.url, "nobody", "Req-Deadline-Ms", "300"))
+	refused, _, _ := n.send(newRequest(n.http1URL, "nobody", "Req-Deadline-Ms", "300"))
 	if refused != 503 {
 		t.Errorf("with nobody left: %d", refused)
 	}
 	expect("with nobody left", map[string]int{"replies.price-part.overload": 1, "targets": 1, "targets_disabled": 1})
 	n.reload("{")
-	n.waitFor("a file turned down", func() bool { return n.figure("reload_failure") == 1 })
+	n.waitFor("a file turned down", func() bool { return n.metric("reload_failure") == 1 })
 	n.reload(n.config)
-	n.waitFor("a file taken", func() bool { return n.figure("reload_success") == 1 })
+	n.waitFor("a file taken", func() bool { return n.metric("reload_success") == 1 })
 	expect("after reloads", map[string]int{"targets_disabled": 1, "replies.price-part.success": 4})
 }
 
 // A worker that is out by hand gets nothing, whatever discovery lists, in this process and in the one that replaces
 // it; put back, it works again at once though it is cold.
-func TestOutByHand(t *testing.T) {
+func TestDetachedWorker_getsNoRequests(t *testing.T) {
 	t.Parallel()
-	a, b := newWorker(t, "a", works), newWorker(t, "b", works)
-	n := start(t, "", a, b)
-	g := n.registry
-	some := func(n *node, name string) int {
+	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+	n := startDispatcher(t, "", a, b)
+	g := n.discovery
+	some := func(n *testDispatcher, name string) int {
 		t.Helper()
 		_, before := a.count()
 		for i := range 8 {
-			if status, _, _ := n.do(request(n.url, fmt.Sprint(name, i))); status != 200 {
+			if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(name, i))); status != 200 {
 				t.Errorf("%s %d: %d", name, i, status)
 			}
 		}
 		_, after := a.count()
 		return after - before
 	}
-	if status, _ := n.call("POST", "/_workers/detach", "a"); status != 200 {
+	if status, _ := n.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
 		t.Fatalf("detach: %d", status)
 	}
 	if jobs := some(n, "out"); jobs != 0 {
 		t.Errorf("%d jobs came to the worker that is out", jobs)
 	}
-	g.set(func() { a.phase = "leaving" })
+	g.update(func() { a.phase = "leaving" })
 	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "revision=2") })
-	g.set(func() { a.phase = "active" })
+	g.update(func() { a.phase = "active" })
 	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "revision=3") })
 	n.reload(n.config)
 	n.waitFor("the reload", func() bool { return strings.Contains(n.log(), "settings reloaded") })
 	if jobs := some(n, "listed"); jobs != 0 {
 		t.Errorf("%d jobs came to the worker that is out and listed anew", jobs)
 	}
-	m := n.successor("")
-	if jobs := some(m, "replaced"); jobs != 0 || m.figure("targets_disabled") != 1 {
-		t.Errorf("%d jobs came to the worker that is out, %d avoided in the new process", jobs, m.figure("targets_disabled"))
+	m := n.startSuccessor("")
+	if jobs := some(m, "replaced"); jobs != 0 || m.metric("targets_disabled") != 1 {
+		t.Errorf("%d jobs came to the worker that is out, %d avoided in the new process", jobs, m.metric("targets_disabled"))
 	}
 	// A call at either door counts for both processes.
-	if status, _ := m.call("POST", "/_workers/attach", "a"); status != 200 || n.figure("targets_disabled") != 0 {
-		t.Errorf("attach: %d, %d avoided in the old process", status, n.figure("targets_disabled"))
+	if status, _ := m.callAdmin("POST", "/_workers/attach", "a"); status != 200 || n.metric("targets_disabled") != 0 {
+		t.Errorf("attach: %d, %d avoided in the old process", status, n.metric("targets_disabled"))
 	}
-	if status, _ := n.call("POST", "/_workers/detach", "a"); status != 200 || m.figure("targets_disabled") != 1 {
-		t.Errorf("detach at the old door: %d, %d avoided in the new process", status, m.figure("targets_disabled"))
+	if status, _ := n.callAdmin("POST", "/_workers/detach", "a"); status != 200 || m.metric("targets_disabled") != 1 {
+		t.Errorf("detach at the old door: %d, %d avoided in the new process", status, m.metric("targets_disabled"))
 	}
-	if status, _ := m.call("POST", "/_workers/attach", "a"); status != 200 {
+	if status, _ := m.callAdmin("POST", "/_workers/attach", "a"); status != 200 {
 		t.Errorf("attach: %d", status)
 	}
 	jobs := 0
@@ -160,30 +160,30 @@
 }
 
 // Workers that are out are on file before the yes. A file that cannot be used is a line in the log and no more.
-func TestDetachedFile(t *testing.T) {
+func TestDetachedWorkers_restoredAfterKill(t *testing.T) {
 	t.Parallel()
-	n := start(t, "", newWorker(t, "a", works), newWorker(t, "b", works))
-	if status, _ := n.call("POST", "/_workers/detach", "a"); status != 200 {
+	n := startDispatcher(t, "", startWorker(t, "a", completeJob), startWorker(t, "b", completeJob))
+	if status, _ := n.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
 		t.Fatalf("detach: %d", status)
 	}
-	files, _ := filepath.Glob(filepath.Join(n.tmp, "*.detached"))
+	files, _ := filepath.Glob(filepath.Join(n.tempDir, "*.detached"))
 	if len(files) != 1 {
 		t.Fatalf("on file: %v", files)
 	}
-	n.cmd.Process.Kill()
+	n.command.Process.Kill()
 	<-n.exited
-	m := n.successor("") // finds leftovers only
-	if m.figure("targets_disabled") != 1 || !strings.Contains(m.log(), "starting alone") {
-		t.Errorf("after a kill %d are out", m.figure("targets_disabled"))
+	m := n.startSuccessor("") // finds leftovers only
+	if m.metric("targets_disabled") != 1 || !strings.Contains(m.log(), "starting alone") {
+		t.Errorf("after a kill %d are out", m.metric("targets_disabled"))
 	}
 	for _, text := range []string{"", "{", `{"name":"another","workers":["a"]}`} {
-		m.cmd.Process.Kill()
+		m.command.Process.Kill()
 		<-m.exited
 		if err := os.WriteFile(files[0], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		m = n.successor("")
-		if out := m.figure("targets_disabled"); out != 0 || strings.Count(m.log(), "detached workers not read") != 1 {
+		m = n.startSuccessor("")
+		if out := m.metric("targets_disabled"); out != 0 || strings.Count(m.log(), "detached workers not read") != 1 {
 			t.Errorf("file %q: %d out", text, out)
 		}
 	}
--- a/cmd/brassdale/command_test.go
+++ b/cmd/brassdale/command_test.go
@@ -10,7 +10,7 @@
 )
 
 // run runs the program to its end with these arguments.
-func run(t *testing.T, args ...string) (code int, out, errors string) {
+func runCommand(t *testing.T, args ...string) (code int, out, errors string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "BRASSDALE_CHILD=1")
@@ -22,7 +22,7 @@
 	return cmd.ProcessState.ExitCode(), o.String(), e.String()
 }
 
-func TestCommands(t *testing.T) {
+func TestCommand_exitCodes(t *testing.T) {
 	t.Parallel()
 	good, bad := filepath.Join(t.TempDir(), "good.hcl"), filepath.Join(t.TempDir(), "bad.hcl")
 	for path, text := range map[string]string{good: "front \"progress\" {\n  listen = \"127.0.0.1:0\"\n}\n", bad: "front \"progress\" {\n  jobs = 0\n  colour = 1\n}\n"} {
@@ -45,7 +45,7 @@
 		{[]string{"--operator", "old.toml"}, 1, "GW_CONFIG"},
 		{[]string{"dispatch"}, 1, "unknown command"},
 	} {
-		code, out, errors := run(t, c.args...)
+		code, out, errors := runCommand(t, c.args...)
 		if code != c.code || !strings.Contains(out+errors, c.want) {
 			t.Errorf("%v: exit code %d, %s%s", c.args, code, out, errors)
 		}
--- a/cmd/brassdale/council_bench_test.go
+++ b/cmd/brassdale/council_bench_test.go
@@ -11,20 +11,20 @@
 
 // By hand: BRASSDALE_BENCH=1 go test -run DispatchBesideCouncil -v ./cmd/brassdale. Requests a second and their 99th percentile
 // without a council, with one, and with one that has lost its majority, in turn, as ratios to the first.
-func TestDispatchBesideCouncil(t *testing.T) {
+func TestDispatch_besideRaftGroup(t *testing.T) {
 	if os.Getenv("BRASSDALE_BENCH") == "" {
 		t.Skip("a measurement by hand")
 	}
-	off := start(t, "", newWorker(t, "a", works), newWorker(t, "b", works))
-	on, lone := ally(t, 21, 3, 0), ally(t, 22, 3, 0)
+	off := startDispatcher(t, "", startWorker(t, "a", completeJob), startWorker(t, "b", completeJob))
+	on, lone := startFleet(t, 21, 3, 0), startFleet(t, 22, 3, 0)
 	on.propose("retries = 0.5\n", 0)
-	on.acts(1, 0, 1, 2)
+	on.waitForVersion(1, 0, 1, 2)
 	lone.propose("retries = 0.5\n", 0)
-	lone.acts(1, 0, 1, 2)
+	lone.waitForVersion(1, 0, 1, 2)
 	lone.kill(1, 2)
 	const rounds, jobs, together = 9, 3000, 16
 	round := 0
-	burst := func(n *node) (rate, p99 float64) {
+	burst := func(n *testDispatcher) (rate, p99 float64) {
 		round++
 		var mu sync.Mutex
 		var wait sync.WaitGroup
@@ -34,7 +34,7 @@
 			wait.Go(func() {
 				for i := range jobs / together {
 					at := time.Now()
-					if status, _, _ := n.do(request(n.url, fmt.Sprintf("b-%d-%d-%d", round, k, i))); status != 200 {
+					if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprintf("b-%d-%d-%d", round, k, i))); status != 200 {
 						t.Errorf("status %d", status)
 					}
 					mu.Lock()
@@ -47,7 +47,7 @@
 		slices.Sort(took)
 		return float64(len(took)) / time.Since(begin).Seconds(), took[len(took)*99/100].Seconds() * 1000
 	}
-	names, nodes := []string{"off", "on", "no majority"}, []*node{off, on.nodes[0], lone.nodes[0]}
+	names, nodes := []string{"off", "on", "no majority"}, []*testDispatcher{off, on.dispatchers[0], lone.dispatchers[0]}
 	rates, p99s := make([][]float64, 3), make([][]float64, 3)
 	for r := range rounds + 1 {
 		for i, n := range nodes {
--- a/cmd/brassdale/council_members_test.go
+++ b/cmd/brassdale/council_members_test.go
@@ -14,13 +14,13 @@
 )
 
 // known is what a dispatcher's 'members' says of another: what gossip has of it there, its lease, its seat.
-func (f *allied) known(at, of int) (gossip, lease string, seat uint64) {
+func (f *testFleet) memberStatus(at, of int) (gossip, lease string, seat uint64) {
 	var rows []struct {
 		Name          string
 		Gossip, Lease string
 		Seat          uint64
 	}
-	code, out, _ := run(f.t, "fleet", "members", "--json", "--address", f.at[at])
+	code, out, _ := runCommand(f.t, "fleet", "members", "--json", "--address", f.addresses[at])
 	if code != 0 || json.Unmarshal([]byte(out), &rows) != nil {
 		return "", "", 0
 	}
@@ -33,7 +33,7 @@
 }
 
 // gossips waits for what gossip tells: it asks one neighbour a second, and waits for seconds before it says that one is gone.
-func (f *allied) gossips(what string, ok func() bool) {
+func (f *testFleet) waitForGossip(what string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -45,17 +45,17 @@
 // Eight dispatchers in two zones: whoever is asked tells of all by their leases, and of its own zone by gossip too. One that is told
 // to end says that it leaves, to the leader and to its neighbours; one that is killed has not; both are told apart, and the
 // other zone gossips of neither. One that wakes behind a freeze is there again for all.
-func TestMembers(t *testing.T) {
+func TestFleet_memberStates(t *testing.T) {
 	t.Parallel()
 	zone := func(i int) string { return string("ab"[i%2]) }
-	f := allyWith(t, 24, 3, 5, func(i int) string { return fmt.Sprintf("zone = %q\n", zone(i)) })
+	f := startFleetWith(t, 24, 3, 5, func(i int) string { return fmt.Sprintf("zone = %q\n", zone(i)) })
 	f.propose("retries = 0.5\n", 0)
-	f.acts(1, f.all()...)
+	f.waitForVersion(1, f.indices()...)
 	see := func(what string, of int, lease string, gossip map[string]string) {
 		t.Helper()
-		for at := range f.nodes {
+		for at := range f.dispatchers {
 			select {
-			case <-f.nodes[at].exited:
+			case <-f.dispatchers[at].exited:
 				continue
 			default:
 			}
@@ -63,41 +63,41 @@
 			if zone(at) == zone(of) {
 				want = gossip[zone(of)]
 			}
-			f.gossips(fmt.Sprintf("%s: dispatcher %d at %d with %q and %q", what, of, at, want, lease), func() bool {
-				g, l, _ := f.known(at, of)
+			f.waitForGossip(fmt.Sprintf("%s: dispatcher %d at %d with %q and %q", what, of, at, want, lease), func() bool {
+				g, l, _ := f.memberStatus(at, of)
 				return g == want && strings.HasPrefix(l, lease)
 			})
 		}
 	}
-	for of := range f.nodes {
+	for of := range f.dispatchers {
 		see("all there", of, "acknowledged 1", map[string]string{zone(of): "alive"})
 	}
-	f.nodes[7].stop()
-	<-f.nodes[7].exited
+	f.dispatchers[7].terminate()
+	<-f.dispatchers[7].exited
 	see("told to end", 7, "left", map[string]string{"b": "left"})
 	f.kill(6)
 	see("killed", 6, "ran out", map[string]string{"a": "gone"})
-	f.nodes[5].cmd.Process.Signal(syscall.SIGSTOP)
-	f.gossips("the frozen one gone", func() bool { g, l, _ := f.known(3, 5); return g == "gone" && strings.HasPrefix(l, "ran out") })
-	f.away[5] = append(f.away[5], faults.Absence{From: time.Now()})
-	f.nodes[5].cmd.Process.Signal(syscall.SIGCONT)
+	f.dispatchers[5].command.Process.Signal(syscall.SIGSTOP)
+	f.waitForGossip("the frozen one gone", func() bool { g, l, _ := f.memberStatus(3, 5); return g == "gone" && strings.HasPrefix(l, "ran out") })
+	f.absences[5] = append(f.absences[5], faults.Absence{From: time.Now()})
+	f.dispatchers[5].command.Process.Signal(syscall.SIGCONT)
 	see("awake", 5, "acknowledged", map[string]string{"b": "alive"})
-	if apart := f.apart(); apart > 0 {
+	if apart := f.contradictionTime(); apart > 0 {
 		t.Errorf("contradiction for %v", apart)
 	}
 }
 
 // Machines that are set aside want no jobs, are ready for their operators, serve what comes all the same, and are given all seats, the
 // leader's too, while rules are proposed and never contradict; the fleet's bytes are at their doors by what they are for.
-func TestSetAside(t *testing.T) {
+func TestFleet_dedicatedDispatchers(t *testing.T) {
 	t.Parallel()
-	f := allyWith(t, 25, 3, 3, func(i int) string {
+	f := startFleetWith(t, 25, 3, 3, func(i int) string {
 		return fmt.Sprintf("replace = \"3s\"\nset_aside = %t\n", i > 2)
 	})
 	f.propose("retries = 0.5\n", 0)
-	f.acts(1, f.all()...)
+	f.waitForVersion(1, f.indices()...)
 	ready := func(i int) int {
-		resp, err := http.Get(f.nodes[i].url + "/health/ready")
+		resp, err := http.Get(f.dispatchers[i].http1URL + "/health/ready")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,27 +107,27 @@
 	if a, b := ready(1), ready(5); a != 200 || b != 503 {
 		t.Errorf("ready: %d, and set aside %d", a, b)
 	}
-	if status, _ := f.nodes[5].call("GET", "/_ready", ""); status != 200 {
+	if status, _ := f.dispatchers[5].callAdmin("GET", "/_ready", ""); status != 200 {
 		t.Errorf("at the door: %d", status)
 	}
-	if status, _, _ := f.nodes[5].do(request(f.nodes[5].url, "aside")); status != 200 {
+	if status, _, _ := f.dispatchers[5].send(newRequest(f.dispatchers[5].http1URL, "aside")); status != 200 {
 		t.Errorf("a job that came all the same: %d", status)
 	}
-	f.gossips("all seats on machines set aside", func() bool {
-		for i := range f.nodes {
-			if _, _, seat := f.known(0, i); i > 2 && seat <= 3 || i <= 2 && seat != 0 {
+	f.waitForGossip("all seats on machines set aside", func() bool {
+		for i := range f.dispatchers {
+			if _, _, seat := f.memberStatus(0, i); i > 2 && seat <= 3 || i <= 2 && seat != 0 {
 				return false
 			}
 		}
-		out := f.fleetSays(3, "council")
+		out := f.runFleetCommand(3, "council")
 		return strings.Count(out, "true") == 3 && strings.Count(out, "\n") == 4
 	})
 	f.propose("retries = 0.25\n", 1)
-	f.acts(2, f.all()...)
-	if apart := f.apart(); apart > 0 {
+	f.waitForVersion(2, f.indices()...)
+	if apart := f.contradictionTime(); apart > 0 {
 		t.Errorf("contradiction for %v", apart)
 	}
-	_, figures := f.nodes[5].call("GET", "/_vars", "")
+	_, figures := f.dispatchers[5].callAdmin("GET", "/_vars", "")
 	var missing []string
 	for _, kind := range []string{"renewal", "record", "gossip", "member_probe", "raft", "discovery"} {
 		if !strings.Contains(figures, "control_"+kind+"_received=") {
--- a/cmd/brassdale/deadline_test.go
+++ b/cmd/brassdale/deadline_test.go
@@ -15,12 +15,12 @@
 const deadlineSlack = 150 * time.Millisecond
 
 // toldDeadlines records how long workers were told that they have for a job, and when the job came.
-type toldDeadlines struct {
+type receivedDeadlines struct {
 	mu    sync.Mutex
 	until map[string]time.Time // by key: the latest moment that a worker was told
 }
 
-func (d *toldDeadlines) note(r *http.Request) {
+func (d *receivedDeadlines) record(r *http.Request) {
 	left, err := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
 	if err != nil {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-func (d *toldDeadlines) get(key string) time.Time {
+func (d *receivedDeadlines) latest(key string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.until[key]
@@ -41,19 +41,19 @@
 
 // sendTwo sends two requests at once on a connection, the second with so many milliseconds to its deadline, and reads both answers. It
 // gives when they were sent.
-func (n *node) sendTwo(deadline string) (sent time.Time) {
-	n.t.Helper()
-	c := n.dial()
+func (d *testDispatcher) sendPipelined(deadline string) (sent time.Time) {
+	d.t.Helper()
+	c := d.dial()
 	var both bytes.Buffer
-	request(n.url, "first").Write(&both)
-	request(n.url, "second", "Req-Deadline-Ms", deadline).Write(&both)
+	newRequest(d.http1URL, "first").Write(&both)
+	newRequest(d.http1URL, "second", "Req-Deadline-Ms", deadline).Write(&both)
 	sent = time.Now()
 	c.Write(both.Bytes())
 	in := bufio.NewReader(c)
 	for range 2 {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			n.t.Fatal(err)
+			d.t.Fatal(err)
 		}
 		resp.Body.Close()
 	}
@@ -62,36 +62,36 @@
 
 // A client sends two requests at once, and the second waits on its connection until the first is answered. Its time ran all the
 // while: the worker is told no more than what is left, and the answer comes in time.
-func TestDeadlineOfARequestThatWaitedBehindAnother(t *testing.T) {
+func TestPipelinedRequest_deadlineAtWorker(t *testing.T) {
 	t.Parallel()
-	told := toldDeadlines{until: map[string]time.Time{}}
-	b := newWorker(t, "a", func(b *worker, c net.Conn, r *http.Request) {
-		told.note(r)
+	told := receivedDeadlines{until: map[string]time.Time{}}
+	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
+		told.record(r)
 		if r.Header.Get("Idempotency-Key") == "first" {
 			time.Sleep(time.Second)
 		}
-		works(b, c, r)
+		completeJob(b, c, r)
 	})
-	n := start(t, "", b)
-	sent := n.sendTwo("1500")
-	if over := told.get("second").Sub(sent.Add(1500 * time.Millisecond)); over > deadlineSlack {
+	n := startDispatcher(t, "", b)
+	sent := n.sendPipelined("1500")
+	if over := told.latest("second").Sub(sent.Add(1500 * time.Millisecond)); over > deadlineSlack {
 		t.Errorf("the worker was told %v more than its client has left", over)
 	}
 }
 
 // The same where the second never has a worker that answers: its own answer comes by the deadline that its client counts.
-func TestAnswerOfARequestThatWaitedBehindAnother(t *testing.T) {
+func TestPipelinedRequest_answeredInTime(t *testing.T) {
 	t.Parallel()
-	b := newWorker(t, "a", func(b *worker, c net.Conn, r *http.Request) {
+	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
 		if r.Header.Get("Idempotency-Key") == "first" {
 			time.Sleep(700 * time.Millisecond)
-			works(b, c, r)
+			completeJob(b, c, r)
 			return
 		}
-		freezes(`"state":"started"`)(b, c, r)
+		respondThenStall(`"state":"started"`)(b, c, r)
 	})
-	n := start(t, "", b)
-	sent := n.sendTwo("1200")
+	n := startDispatcher(t, "", b)
+	sent := n.sendPipelined("1200")
 	if took := time.Since(sent); took > 1700*time.Millisecond { // half a second later it is lost
 		t.Errorf("answered %v behind its sending, 1.2 s were given", took)
 	}
--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -14,85 +14,85 @@
 )
 
 const (
-	modelJob   = 100 * time.Millisecond // at a warm worker
-	modelSlots = 5
-	modelCold  = 24 * time.Second
-	modelStart = 0.14
-	modelTip   = 3.0 // times what it can do ...
-	modelFall  = 1500 * time.Millisecond
+	modelJobDuration      = 100 * time.Millisecond // at a warm worker
+	modelSlots            = 5
+	modelSlowStart        = 24 * time.Second
+	modelStartCapacity    = 0.14
+	modelOverloadMultiple = 3.0 // times what it can do ...
+	modelOverloadWindow   = 1500 * time.Millisecond
 )
 
 // model is a worker that is cold after its start: its jobs take longer, and it notes how much it is sent.
-type model struct {
-	*worker
-	started time.Time // zero for long ago
+type slowStartWorker struct {
+	*testWorker
+	startedAt time.Time // zero for long ago
 
-	mu   sync.Mutex
-	sent []time.Time
-	most float64 // work of any modelFall, as a multiple of what it could do in it; above modelTip it would fall over
-	none bool    // it should get nothing: it is out of the list
-	jobs int     // that it got all the same
+	mu           sync.Mutex
+	receivedAt   []time.Time
+	peakOverload float64 // work of any modelFall, as a multiple of what it could do in it; above modelTip it would fall over
+	unlisted     bool    // it should get nothing: it is out of the list
+	received     int     // that it got all the same
 }
 
-func (m *model) warmth(now time.Time) float64 {
-	if m.started.IsZero() {
+func (w *slowStartWorker) capacityShare(now time.Time) float64 {
+	if w.startedAt.IsZero() {
 		return 1
 	}
-	return min(modelStart+(1-modelStart)*float64(now.Sub(m.started))/float64(modelCold), 1)
+	return min(modelStartCapacity+(1-modelStartCapacity)*float64(now.Sub(w.startedAt))/float64(modelSlowStart), 1)
 }
 
-func newModel(b *testing.B, id string) *model {
-	m := &model{}
+func newSlowStartWorker(b *testing.B, id string) *slowStartWorker {
+	m := &slowStartWorker{}
 	slots := make(chan struct{}, modelSlots)
-	m.worker = newWorker(b, id, func(x *worker, c net.Conn, r *http.Request) {
+	m.testWorker = startWorker(b, id, func(x *testWorker, c net.Conn, r *http.Request) {
 		now := time.Now()
 		m.mu.Lock()
-		m.jobs++
-		m.sent = append(m.sent, now)
-		for now.Sub(m.sent[0]) > modelFall {
-			m.sent = m.sent[1:]
+		m.received++
+		m.receivedAt = append(m.receivedAt, now)
+		for now.Sub(m.receivedAt[0]) > modelOverloadWindow {
+			m.receivedAt = m.receivedAt[1:]
 		}
-		w := m.warmth(now)
-		work := float64(len(m.sent)) * modelJob.Seconds()
-		m.most = max(m.most, work/(modelSlots*w*modelFall.Seconds()))
+		w := m.capacityShare(now)
+		work := float64(len(m.receivedAt)) * modelJobDuration.Seconds()
+		m.peakOverload = max(m.peakOverload, work/(modelSlots*w*modelOverloadWindow.Seconds()))
 		m.mu.Unlock()
 		slots <- struct{}{}
 		defer func() { <-slots }()
-		if gone(c) {
+		if connectionClosed(c) {
 			return
 		}
-		takes(time.Duration(float64(modelJob)/w))(x, c, r)
+		completeAfter(time.Duration(float64(modelJobDuration)/w))(x, c, r)
 	})
 	return m
 }
 
 // works is the site of the measurement: 12 workers on the saved list, of which 3 are missing, 2 silent, 1 drained and 1 has
 // been started anew a moment ago.
-type site struct {
-	workers []*model
-	listed  []*worker // what discovery would say
-	saved   []*worker
+type benchDeployment struct {
+	workers []*slowStartWorker
+	listed  []*testWorker // what discovery would say
+	cached  []*testWorker
 }
 
-func newSite(b *testing.B) *site {
-	s := &site{}
+func newBenchDeployment(b *testing.B) *benchDeployment {
+	s := &benchDeployment{}
 	for i := range 12 {
 		id := fmt.Sprint("worker-", i)
 		switch {
 		case i < 5:
-			m := newModel(b, id)
-			s.workers, s.listed, s.saved = append(s.workers, m), append(s.listed, m.worker), append(s.saved, m.worker)
+			m := newSlowStartWorker(b, id)
+			s.workers, s.listed, s.cached = append(s.workers, m), append(s.listed, m.testWorker), append(s.cached, m.testWorker)
 		case i == 5: // reused
-			m := newModel(b, id)
-			m.started = time.Now()
-			m.since = m.started.UnixMilli()
-			s.workers, s.listed = append(s.workers, m), append(s.listed, m.worker)
-			old := &worker{id: id, cell: "1", phase: "active", ln: m.ln}
-			s.saved = append(s.saved, old)
+			m := newSlowStartWorker(b, id)
+			m.startedAt = time.Now()
+			m.startedAtMS = m.startedAt.UnixMilli()
+			s.workers, s.listed = append(s.workers, m), append(s.listed, m.testWorker)
+			old := &testWorker{id: id, cell: "1", phase: "active", listener: m.listener}
+			s.cached = append(s.cached, old)
 		case i == 6: // drained since
-			m := newModel(b, id)
-			m.none = true
-			s.workers, s.saved = append(s.workers, m), append(s.saved, m.worker)
+			m := newSlowStartWorker(b, id)
+			m.unlisted = true
+			s.workers, s.cached = append(s.workers, m), append(s.cached, m.testWorker)
 		case i < 9: // silent: its process takes connections and no more
 			ln := must(net.Listen("tcp", "127.0.0.1:0"))
 			b.Cleanup(func() { ln.Close() })
@@ -103,12 +103,12 @@
 					}
 				}
 			}()
-			x := &worker{id: id, cell: "1", phase: "active", ln: ln}
-			s.listed, s.saved = append(s.listed, x), append(s.saved, x)
+			x := &testWorker{id: id, cell: "1", phase: "active", listener: ln}
+			s.listed, s.cached = append(s.listed, x), append(s.cached, x)
 		default: // missing
 			ln := must(net.Listen("tcp", "127.0.0.1:0"))
 			ln.Close()
-			s.saved = append(s.saved, &worker{id: id, cell: "1", phase: "active", ln: ln})
+			s.cached = append(s.cached, &testWorker{id: id, cell: "1", phase: "active", listener: ln})
 		}
 	}
 	return s
@@ -116,35 +116,35 @@
 
 // BenchmarkSavedList: a busy site whose discovery is down for the first 20 s, in four ways. What is a share is of all
 // jobs that were asked for in that time.
-func BenchmarkSavedList(b *testing.B) {
+func BenchmarkEndpointCache(b *testing.B) {
 	const (
 		down = 20 * time.Second
 		span = 30 * time.Second
 		rate = 150.0
 	)
 	for _, way := range []string{"discovery never failed", "saved list", "saved list, all trusted", "no list"} {
-		s := newSite(b)
-		g := &registry{revision: 1, fail: way != "discovery never failed", workers: s.listed, changed: make(chan struct{})}
+		s := newBenchDeployment(b)
+		g := &testDiscovery{revision: 1, failing: way != "discovery never failed", workers: s.listed, changed: make(chan struct{})}
 		discovery := httptest.NewServer(g)
-		n := &node{t: b, registry: g, exited: make(chan struct{})}
+		n := &testDispatcher{t: b, discovery: g, exited: make(chan struct{})}
 		operator, config := "", func(c string) string {
-			return strings.Replace(noKnown(c), discoveryOf(c), discovery.Listener.Addr().String(), 1)
+			return strings.Replace(withoutKnownList(c), discoveryAddress(c), discovery.Listener.Addr().String(), 1)
 		}
 		switch way {
 		case "saved list":
 			dir := b.TempDir()
-			keepFor(b, dir, 2*time.Hour, s.saved)
-			operator = savedBlock(dir)
+			writeModelList(b, dir, 2*time.Hour, s.cached)
+			operator = savedListBlock(dir)
 		case "saved list, all trusted":
-			known := (&registry{revision: 1, workers: s.saved}).list()
+			known := (&testDiscovery{revision: 1, workers: s.cached}).listJSON()
 			config = func(c string) string {
-				c = strings.Replace(noKnown(c), discoveryOf(c), discovery.Listener.Addr().String(), 1)
+				c = strings.Replace(withoutKnownList(c), discoveryAddress(c), discovery.Listener.Addr().String(), 1)
 				return strings.Replace(c, `"settings"`, `"known":`+known+`,"settings"`, 1)
 			}
 		}
-		n.startHere(operator, config)
+		n.start(operator, config)
 		begin := time.Now()
-		time.AfterFunc(down, func() { g.set(func() { g.fail = false }) })
+		time.AfterFunc(down, func() { g.update(func() { g.failing = false }) })
 		var mu sync.Mutex
 		var wait sync.WaitGroup
 		asked, good := map[int]int{}, map[int]int{} // by second
@@ -156,7 +156,7 @@
 			}
 			time.Sleep(time.Until(begin.Add(at)))
 			wait.Go(func() {
-				status, _, _ := ask(http.DefaultClient, request(n.url, fmt.Sprint(way, i)))
+				status, _, _ := trySend(http.DefaultClient, newRequest(n.http1URL, fmt.Sprint(way, i)))
 				took := time.Since(begin) - at
 				mu.Lock()
 				defer mu.Unlock()
@@ -165,7 +165,7 @@
 				if status == 200 && first == 0 {
 					first = time.Since(begin)
 				}
-				if status == 200 && took < goodWithin {
+				if status == 200 && took < inTimeLimit {
 					good[second]++
 				}
 			})
@@ -180,16 +180,16 @@
 		}
 		most, none := 0.0, 0
 		for _, m := range s.workers {
-			if !m.started.IsZero() {
-				most = max(most, m.most)
+			if !m.startedAt.IsZero() {
+				most = max(most, m.peakOverload)
 			}
-			if m.none {
-				none += m.jobs
+			if m.unlisted {
+				none += m.received
 			}
 		}
 		b.Logf("%-24s first answer after %8v; served in time: first 10 s %.3f, 5 to 20 s %.3f, 20 to 30 s %.3f; cold worker got %.2f times what it could (falls at %.0f); %d jobs to one that drained",
-			way, first.Round(time.Millisecond), part(0, 10), part(5, 20), part(20, 30), most, modelTip, none)
-		n.cmd.Process.Kill()
+			way, first.Round(time.Millisecond), part(0, 10), part(5, 20), part(20, 30), most, modelOverloadMultiple, none)
+		n.command.Process.Kill()
 		discovery.CloseClientConnections()
 	}
 }
@@ -198,28 +198,28 @@
 // from both together must stay below what it falls over at.
 func BenchmarkPowerLoss(b *testing.B) {
 	for _, way := range []string{"saved list", "saved list, all trusted"} {
-		var workers []*model
-		var saved []*worker
+		var workers []*slowStartWorker
+		var saved []*testWorker
 		for i := range 8 {
-			m := newModel(b, fmt.Sprint("worker-", i))
-			m.started = time.Now()
-			workers, saved = append(workers, m), append(saved, m.worker)
+			m := newSlowStartWorker(b, fmt.Sprint("worker-", i))
+			m.startedAt = time.Now()
+			workers, saved = append(workers, m), append(saved, m.testWorker)
 		}
-		var nodes []*node
+		var nodes []*testDispatcher
 		for i := range 2 {
-			n := &node{t: b, registry: &registry{revision: 1, workers: saved, changed: make(chan struct{})}, exited: make(chan struct{})}
+			n := &testDispatcher{t: b, discovery: &testDiscovery{revision: 1, workers: saved, changed: make(chan struct{})}, exited: make(chan struct{})}
 			operator := ""
 			dir := b.TempDir()
 			if way == "saved list" {
-				keepFor(b, dir, time.Minute, saved)
-				operator = savedBlock(dir)
+				writeModelList(b, dir, time.Minute, saved)
+				operator = savedListBlock(dir)
 			}
-			n.startHere(operator, func(c string) string {
+			n.start(operator, func(c string) string {
 				c = strings.Replace(c, `"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":2,"ordinal":%d`, i), 1)
 				if way == "saved list" {
-					c = noKnown(c)
+					c = withoutKnownList(c)
 				}
-				return strings.Replace(c, discoveryOf(c), "127.0.0.1:1", 1)
+				return strings.Replace(c, discoveryAddress(c), "127.0.0.1:1", 1)
 			})
 			nodes = append(nodes, n)
 		}
@@ -230,7 +230,7 @@
 		for i := 0; i < 100*12; i++ { // 100 jobs/s for 12 s
 			time.Sleep(time.Until(begin.Add(time.Duration(i) * 10 * time.Millisecond)))
 			wait.Go(func() {
-				if status, _, _ := ask(http.DefaultClient, request(nodes[i%2].url, fmt.Sprint(way, i))); status == 200 {
+				if status, _, _ := trySend(http.DefaultClient, newRequest(nodes[i%2].http1URL, fmt.Sprint(way, i))); status == 200 {
 					mu.Lock()
 					defer mu.Unlock()
 					served++
@@ -240,20 +240,20 @@
 		wait.Wait()
 		most := 0.0
 		for _, m := range workers {
-			most = max(most, m.most)
+			most = max(most, m.peakOverload)
 		}
-		b.Logf("%-24s %4d of 1200 served; the worker that got most got %.2f times what it could (falls at %.0f)", way, served, most, modelTip)
+		b.Logf("%-24s %4d of 1200 served; the worker that got most got %.2f times what it could (falls at %.0f)", way, served, most, modelOverloadMultiple)
 		for _, n := range nodes {
-			n.cmd.Process.Kill()
+			n.command.Process.Kill()
 		}
 	}
 }
 
 // keepFor keeps a list that tells how long jobs take at the model's workers.
-func keepFor(b *testing.B, dir string, ago time.Duration, workers []*worker) {
-	keep(b, dir, ago, func(s *endpointcache.CachedList) {
+func writeModelList(b *testing.B, dir string, ago time.Duration, workers []*testWorker) {
+	writeCachedList(b, dir, ago, func(s *endpointcache.CachedList) {
 		c := s.Classes["price-part"]
-		c.WorkScale, c.MeanLogRuntime = modelJob.Seconds(), -2.3
-		s.Classes["price-part"], s.MeanStay, s.MeanWork = c, modelJob.Seconds(), modelJob.Seconds()
+		c.WorkScale, c.MeanLogRuntime = modelJobDuration.Seconds(), -2.3
+		s.Classes["price-part"], s.MeanStay, s.MeanWork = c, modelJobDuration.Seconds(), modelJobDuration.Seconds()
 	}, workers...)
 }
--- a/cmd/brassdale/fleet_test.go
+++ b/cmd/brassdale/fleet_test.go
@@ -12,19 +12,19 @@
 )
 
 // ofMany has the program be one of 80 dispatchers.
-func ofMany(config string) string {
+func asOneOfEighty(config string) string {
 	return strings.Replace(config, `"replicasOfMe":1`, `"replicasOfMe":80,"ordinal":7`, 1)
 }
 
 // all asks for so many jobs, eight at a time, and gives how many were served.
-func (n *node) all(prefix string, jobs int) int {
+func (d *testDispatcher) sendMany(prefix string, jobs int) int {
 	var served atomic.Int32
 	var wait sync.WaitGroup
 	room := make(chan struct{}, 8)
 	for i := range jobs {
 		room <- struct{}{}
 		wait.Go(func() {
-			if status, _, _ := n.do(request(n.url, fmt.Sprint(prefix, "-", i))); status == 200 {
+			if status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(prefix, "-", i))); status == 200 {
 				served.Add(1)
 			}
 			<-room
@@ -36,58 +36,58 @@
 
 // Six in ten workers are replaced: new ids, and the old machines say nothing more on the connections that stay open.
 // Every job is served all the same, also those that the old ones hold, and once the list is told the old get none.
-func TestMostWorkersReplaced(t *testing.T) {
+func TestWorkers_mostReplaced(t *testing.T) {
 	t.Parallel()
 	var silent atomic.Bool
-	workers := make([]*worker, 10)
+	workers := make([]*testWorker, 10)
 	for i := range workers {
-		workers[i] = newWorker(t, fmt.Sprint("old-", i), func(b *worker, c net.Conn, r *http.Request) {
+		workers[i] = startWorker(t, fmt.Sprint("old-", i), func(b *testWorker, c net.Conn, r *http.Request) {
 			if i < 6 && silent.Load() {
-				freezes()(b, c, r)
+				respondThenStall()(b, c, r)
 				return
 			}
-			works(b, c, r)
+			completeJob(b, c, r)
 		})
-		workers[i].closed = make(chan string, 1000)
+		workers[i].abandoned = make(chan string, 1000)
 	}
-	n := startWith(t, "", ofMany, workers...)
-	if served := n.all("before", 100); served != 100 {
+	n := startDispatcherWith(t, "", asOneOfEighty, workers...)
+	if served := n.sendMany("before", 100); served != 100 {
 		t.Errorf("%d of 100 served before", served)
 	}
 	silent.Store(true) // the machines are cut off; nobody is told yet
-	if served := n.all("untold", 100); served != 100 {
+	if served := n.sendMany("untold", 100); served != 100 {
 		t.Errorf("%d of 100 served while nobody was told", served)
 	}
 	now := time.Now().UnixMilli()
-	replaced := append([]*worker(nil), workers[6:]...)
+	replaced := append([]*testWorker(nil), workers[6:]...)
 	for i := range 6 {
-		b := newWorker(t, fmt.Sprint("new-", i), works)
-		b.since = now
+		b := startWorker(t, fmt.Sprint("new-", i), completeJob)
+		b.startedAtMS = now
 		replaced = append(replaced, b)
 	}
-	n.registry.set(func() { n.registry.workers = replaced })
+	n.discovery.update(func() { n.discovery.workers = replaced })
 	n.waitFor("the new list", func() bool { return strings.Contains(n.log(), "revision=2") })
-	n.all("told", 1) // behind it the module knows
-	before := jobsAt(workers[:6]...)
-	if served := n.all("after", 100); served != 100 {
+	n.sendMany("told", 1) // behind it the module knows
+	before := totalJobs(workers[:6]...)
+	if served := n.sendMany("after", 100); served != 100 {
 		t.Errorf("%d of 100 served after", served)
 	}
-	if after := jobsAt(workers[:6]...); after != before {
+	if after := totalJobs(workers[:6]...); after != before {
 		t.Errorf("%d jobs at workers that are gone", after-before)
 	}
 }
 
 // A worker at which connections are refused, as one has only so many, costs no job, and is met less and less.
-func TestConnectionsRefused(t *testing.T) {
+func TestWorkers_connectionsRefused(t *testing.T) {
 	t.Parallel()
-	workers := make([]*worker, 6)
+	workers := make([]*testWorker, 6)
 	for i := range workers {
-		workers[i] = newWorker(t, fmt.Sprint("worker-", i), works)
+		workers[i] = startWorker(t, fmt.Sprint("worker-", i), completeJob)
 	}
-	workers[0].ln.Close()
-	workers[1].ln.Close()
-	n := startWith(t, "", ofMany, workers...)
-	if served := n.all("k", 200); served != 200 {
+	workers[0].listener.Close()
+	workers[1].listener.Close()
+	n := startDispatcherWith(t, "", asOneOfEighty, workers...)
+	if served := n.sendMany("k", 200); served != 200 {
 		t.Errorf("%d of 200 served", served)
 	}
 	if n := strings.Count(n.log(), "unreachable"); n == 0 || n > 20 {
@@ -97,7 +97,7 @@
 
 // A list with a fault is refused as a whole: the old one holds, at 60 lines and at 5,000, jobs go on, and the fault is
 // logged once however often it comes. A good list then is in force at once.
-func TestFaultyLists(t *testing.T) {
+func TestDiscovery_invalidLists(t *testing.T) {
 	t.Parallel()
 	line := func(i int, rest string) string {
 		return fmt.Sprintf(`{"id":"ghost-%d","host_port":"127.0.0.1:1","locality":"llanelli","flavor":"new-worker","cell":1,"size":1.0,"up_since_ms":0,%s}`, i, rest)
@@ -120,16 +120,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := newWorker(t, "a", works), newWorker(t, "b", works)
-			n := start(t, "", a)
-			n.registry.set(func() { n.registry.workers, n.registry.broken = []*worker{b}, broken })
+			a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+			n := startDispatcher(t, "", a)
+			n.discovery.update(func() { n.discovery.workers, n.discovery.corrupt = []*testWorker{b}, broken })
 			asked := func() int {
-				n.registry.mu.Lock()
-				defer n.registry.mu.Unlock()
-				return len(n.registry.asked)
+				n.discovery.mu.Lock()
+				defer n.discovery.mu.Unlock()
+				return len(n.discovery.polledRevisions)
 			}
 			for i, before := 0, asked(); asked() < before+3; i++ {
-				if status, _, _ := n.do(request(n.url, fmt.Sprint("k-", i))); status != 200 {
+				if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("k-", i))); status != 200 {
 					t.Fatalf("job %d: %d", i, status)
 				}
 			}
@@ -140,9 +140,9 @@
 			if _, jobs := b.count(); jobs > 0 {
 				t.Error("a job went to a member of the faulty list")
 			}
-			n.registry.set(func() { n.registry.broken = nil })
+			n.discovery.update(func() { n.discovery.corrupt = nil })
 			n.waitFor("the good list", func() bool { return strings.Contains(n.log(), "discovery recovered") })
-			if status, _, _ := n.do(request(n.url, "after")); status != 200 {
+			if status, _, _ := n.send(newRequest(n.http1URL, "after")); status != 200 {
 				t.Errorf("after the good list: %d", status)
 			}
 			if _, jobs := b.count(); jobs != 1 {
@@ -154,21 +154,21 @@
 
 // With a budget, endpoints that fail what they get are not sent every job several times: further calls stay within the
 // share of the first ones and the floor. Every job has its answer all the same, and SIGHUP changes the share.
-func TestRetryBudget(t *testing.T) {
+func TestRetryBudget_limitsAttempts(t *testing.T) {
 	t.Parallel()
 	const jobs, floor = 60, 10
-	run := func(operator string) (calls, denied int, n *node) {
-		var workers []*worker
+	run := func(operator string) (calls, denied int, n *testDispatcher) {
+		var workers []*testWorker
 		for i := range 6 { // each turns all jobs away unseen: a repeat is always allowed
-			workers = append(workers, newWorker(t, fmt.Sprint("worker-", i), raw("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")))
+			workers = append(workers, startWorker(t, fmt.Sprint("worker-", i), respondRaw("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")))
 		}
-		n = startWith(t, operator, lateIsWorthless, workers...)
+		n = startDispatcherWith(t, operator, withoutLateWeight, workers...)
 		for i := range jobs {
-			if status, _, _ := n.do(request(n.url, fmt.Sprint("k-", i))); status != 503 {
+			if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("k-", i))); status != 503 {
 				t.Errorf("job %d: %d", i, status)
 			}
 		}
-		return jobsAt(workers...), n.figure("retries_denied"), n
+		return totalJobs(workers...), n.metric("retries_denied"), n
 	}
 	free, none, _ := run("")
 	calls, denied, n := run("fleet {\n  retry_budget = 0.1\n}\n")
@@ -176,12 +176,12 @@
 		t.Errorf("%d calls for %d jobs, %d denied; %d without a budget", calls, jobs, denied, free)
 	}
 	t.Logf("%d jobs: %d calls without a budget, %d with one, %d denied", jobs, free, calls, denied)
-	n.write(n.operator, "fleet {\n  retry_budget = 10\n}\n")
+	n.writeFile(n.operatorPath, "fleet {\n  retry_budget = 10\n}\n")
 	n.reload(n.config)
-	n.waitFor("the file in force", func() bool { return n.figure("reload_success") == 1 })
-	before := n.figure("dispatches")
-	n.do(request(n.url, "after"))
-	if got := n.figure("dispatches") - before; got < 2 {
+	n.waitFor("the file in force", func() bool { return n.metric("reload_success") == 1 })
+	before := n.metric("dispatches")
+	n.send(newRequest(n.http1URL, "after"))
+	if got := n.metric("dispatches") - before; got < 2 {
 		t.Errorf("%d calls of a job with room for ten", got)
 	}
 }
--- a/cmd/brassdale/fleet_voters_test.go
+++ b/cmd/brassdale/fleet_voters_test.go
@@ -14,95 +14,95 @@
 )
 
 // allied are dispatchers of one fleet, each a process with workers' list and files of its own.
-type allied struct {
-	t       *testing.T
-	nodes   []*node
-	at      []string // their councils' addresses
-	files   []string
-	workers []*worker
-	away    map[int][]faults.Absence // when a process stood still or was gone
-	voters  int
-	more    func(i int) string // that a dispatcher's block says beside the usual
+type testFleet struct {
+	t             *testing.T
+	dispatchers   []*testDispatcher
+	addresses     []string // their councils' addresses
+	directories   []string
+	workers       []*testWorker
+	absences      map[int][]faults.Absence // when a process stood still or was gone
+	voters        int
+	extraSettings func(i int) string // that a dispatcher's block says beside the usual
 }
 
 // ally starts a fleet. Addresses are of this test alone: each voter has to know the others' before they listen.
-func ally(t *testing.T, net4, voters, followers int) *allied {
+func startFleet(t *testing.T, net4, voters, followers int) *testFleet {
 	t.Helper()
-	return allyWith(t, net4, voters, followers, func(int) string { return "" })
+	return startFleetWith(t, net4, voters, followers, func(int) string { return "" })
 }
 
-func allyWith(t *testing.T, net4, voters, followers int, more func(int) string) *allied {
+func startFleetWith(t *testing.T, net4, voters, followers int, more func(int) string) *testFleet {
 	t.Helper()
-	f := &allied{t: t, voters: voters, more: more, workers: []*worker{newWorker(t, "a", works), newWorker(t, "b", works)}, away: map[int][]faults.Absence{}}
+	f := &testFleet{t: t, voters: voters, extraSettings: more, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
 	for i := range voters + followers {
 		l := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", net4, i+1)))
-		f.at = append(f.at, l.Addr().String())
+		f.addresses = append(f.addresses, l.Addr().String())
 		l.Close()
-		f.files = append(f.files, t.TempDir())
+		f.directories = append(f.directories, t.TempDir())
 	}
-	for i := range f.at {
-		f.nodes = append(f.nodes, startWith(t, f.operator(i), func(c string) string {
+	for i := range f.addresses {
+		f.dispatchers = append(f.dispatchers, startDispatcherWith(t, f.operatorFile(i), func(c string) string {
 			return strings.Replace(c, `"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, i), 1)
 		}, f.workers...))
 	}
 	return f
 }
 
-func (f *allied) operator(i int) string {
+func (f *testFleet) operatorFile(i int) string {
 	seat := 0
 	if i < f.voters {
 		seat = i + 1
 	}
-	return fmt.Sprintf("council {\n fleet = \"t\"\n listen = %q\n voters = [\"%s\"]\n seat = %d\n directory = %q\n bound = \"1s\"\n%s}\n", f.at[i],
-		strings.Join(f.at[:f.voters], `", "`), seat, f.files[i], f.more(i))
+	return fmt.Sprintf("council {\n fleet = \"t\"\n listen = %q\n voters = [\"%s\"]\n seat = %d\n directory = %q\n bound = \"1s\"\n%s}\n", f.addresses[i],
+		strings.Join(f.addresses[:f.voters], `", "`), seat, f.directories[i], f.extraSettings(i))
 }
 
 // propose announces rules at some dispatcher, again where the leader is being changed.
-func (f *allied) propose(rules string, at int) {
+func (f *testFleet) propose(rules string, at int) {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "rules.hcl")
 	if err := os.WriteFile(path, []byte(rules), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	f.nodes[at].waitFor("a proposal taken", func() bool {
-		code, out, errs := run(f.t, "fleet", "propose", path, "--why", "test", "--address", f.at[at])
+	f.dispatchers[at].waitFor("a proposal taken", func() bool {
+		code, out, errs := runCommand(f.t, "fleet", "propose", path, "--why", "test", "--address", f.addresses[at])
 		return code == 0 && strings.Contains(out, "announced") || strings.Contains(errs, "under way")
 	})
 }
 
 // stands are what the process said that it acts on.
-func (f *allied) stands(i int) []faults.EffectiveState {
-	return faults.EffectiveStates(f.nodes[i].log(), time.Now(), f.away[i])
+func (f *testFleet) effectiveStates(i int) []faults.EffectiveState {
+	return faults.EffectiveStates(f.dispatchers[i].log(), time.Now(), f.absences[i])
 }
 
 // acts waits until the dispatchers act on a version alone, and hold leases.
-func (f *allied) acts(version int, which ...int) {
+func (f *testFleet) waitForVersion(version int, which ...int) {
 	f.t.Helper()
 	for _, i := range which {
-		f.nodes[i].waitFor(fmt.Sprintf("dispatcher %d acting on %d", i, version), func() bool {
-			all := f.stands(i)
+		f.dispatchers[i].waitFor(fmt.Sprintf("dispatcher %d acting on %d", i, version), func() bool {
+			all := f.effectiveStates(i)
 			return len(all) > 0 && fmt.Sprint(all[len(all)-1].Versions) == fmt.Sprint([]int{version}) && !all[len(all)-1].Lapsed
 		})
 	}
 }
 
 // apart gives how long any two dispatchers with leases acted on versions with nothing in common.
-func (f *allied) apart() time.Duration {
+func (f *testFleet) contradictionTime() time.Duration {
 	var all [][]faults.EffectiveState
-	for i := range f.nodes {
-		all = append(all, f.stands(i))
+	for i := range f.dispatchers {
+		all = append(all, f.effectiveStates(i))
 	}
 	contradiction, _ := faults.ContradictionTime(all)
 	return contradiction
 }
 
 // leader gives the dispatcher that leads.
-func (f *allied) leader() int {
+func (f *testFleet) leader() int {
 	f.t.Helper()
 	lead := -1
-	f.nodes[0].waitFor("a leader", func() bool {
+	f.dispatchers[0].waitFor("a leader", func() bool {
 		for i := range f.voters {
-			if code, out, _ := run(f.t, "fleet", "status", "--json", "--address", f.at[i]); code == 0 && strings.Contains(out, `"leads": true`) {
+			if code, out, _ := runCommand(f.t, "fleet", "status", "--json", "--address", f.addresses[i]); code == 0 && strings.Contains(out, `"leads": true`) {
 				lead = i
 				return true
 			}
@@ -112,8 +112,8 @@
 	return lead
 }
 
-func (f *allied) all() (which []int) {
-	for i := range f.nodes {
+func (f *testFleet) indices() (which []int) {
+	for i := range f.dispatchers {
 		which = append(which, i)
 	}
 	return which
@@ -130,78 +130,78 @@
 
 // Five processes agree: a worker that the rules put out gets nothing at any of them; the leader is killed between the steps, a
 // follower stands still over a change, and never do two with leases act on versions that have nothing in common.
-func TestCouncil(t *testing.T) {
+func TestFleet_agreesOnConfigVersions(t *testing.T) {
 	t.Parallel()
-	f := ally(t, 1, 3, 2)
+	f := startFleet(t, 1, 3, 2)
 	f.propose("retries = 0.5\nout = [\"a\"]\n", 4)
-	f.acts(1, f.all()...)
+	f.waitForVersion(1, f.indices()...)
 	_, before := f.workers[0].count()
-	for i, n := range f.nodes {
-		if status, _, _ := n.do(request(n.url, fmt.Sprint("out-", i))); status != 200 {
+	for i, n := range f.dispatchers {
+		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("out-", i))); status != 200 {
 			t.Errorf("dispatcher %d: %d", i, status)
 		}
 	}
 	if _, after := f.workers[0].count(); after != before {
 		t.Errorf("%d jobs at a worker that is out", after-before)
 	}
-	if status, text := f.nodes[3].call("POST", "/_workers/attach", "a"); status != 409 {
+	if status, text := f.dispatchers[3].callAdmin("POST", "/_workers/attach", "a"); status != 409 {
 		t.Errorf("put back by one dispatcher alone: %d %s", status, text)
 	}
 
 	lead := f.leader()
 	f.propose("retries = 0.1\n", lead)
-	f.nodes[lead].cmd.Process.Kill()
-	<-f.nodes[lead].exited
-	f.away[lead] = append(f.away[lead], faults.Absence{From: time.Now()})
-	rest := without(f.all(), lead)
-	f.acts(2, rest...)
+	f.dispatchers[lead].command.Process.Kill()
+	<-f.dispatchers[lead].exited
+	f.absences[lead] = append(f.absences[lead], faults.Absence{From: time.Now()})
+	rest := without(f.indices(), lead)
+	f.waitForVersion(2, rest...)
 
 	still := 4
-	f.nodes[still].cmd.Process.Signal(syscall.SIGSTOP)
-	f.away[still] = append(f.away[still], faults.Absence{From: time.Now()})
+	f.dispatchers[still].command.Process.Signal(syscall.SIGSTOP)
+	f.absences[still] = append(f.absences[still], faults.Absence{From: time.Now()})
 	f.propose("repeat = false\n", rest[0])
-	f.acts(3, without(rest, still)...) // the change waits for its lease, and no longer
-	f.nodes[still].cmd.Process.Signal(syscall.SIGCONT)
-	f.acts(3, still)
-	if longest := f.apart(); longest > 50*time.Millisecond { // the log's lines are written behind the fact
+	f.waitForVersion(3, without(rest, still)...) // the change waits for its lease, and no longer
+	f.dispatchers[still].command.Process.Signal(syscall.SIGCONT)
+	f.waitForVersion(3, still)
+	if longest := f.contradictionTime(); longest > 50*time.Millisecond { // the log's lines are written behind the fact
 		t.Errorf("versions apart for %v", longest)
 	}
-	if code, out, _ := run(t, "fleet", "history", "--address", f.at[rest[0]]); code != 0 || strings.Count(out, "test") != 3 {
+	if code, out, _ := runCommand(t, "fleet", "history", "--address", f.addresses[rest[0]]); code != 0 || strings.Count(out, "test") != 3 {
 		t.Errorf("history:\n%s", out)
 	}
 }
 
 // The council loses its majority: jobs go on, nothing is sent twice once the leases have run out; it is back with one voter,
 // and that with its disk, and goes on where it was. A change meanwhile is refused, not lost.
-func TestCouncilWithoutMajority(t *testing.T) {
+func TestFleet_majorityLost(t *testing.T) {
 	t.Parallel()
-	f := ally(t, 2, 3, 1)
+	f := startFleet(t, 2, 3, 1)
 	f.propose("retries = 0.5\n", 0)
-	f.acts(1, f.all()...)
+	f.waitForVersion(1, f.indices()...)
 	for _, i := range []int{0, 1} {
-		f.nodes[i].cmd.Process.Kill()
-		<-f.nodes[i].exited
+		f.dispatchers[i].command.Process.Kill()
+		<-f.dispatchers[i].exited
 	}
 	for _, i := range []int{2, 3} {
-		f.nodes[i].waitFor("the lease's end", func() bool {
-			all := f.stands(i)
+		f.dispatchers[i].waitFor("the lease's end", func() bool {
+			all := f.effectiveStates(i)
 			return all[len(all)-1].Lapsed && fmt.Sprint(all[len(all)-1].Versions) == "[1]"
 		})
-		if status, _, _ := f.nodes[i].do(request(f.nodes[i].url, fmt.Sprint("alone-", i))); status != 200 {
+		if status, _, _ := f.dispatchers[i].send(newRequest(f.dispatchers[i].http1URL, fmt.Sprint("alone-", i))); status != 200 {
 			t.Errorf("dispatcher %d without a council: %d", i, status)
 		}
 	}
-	if code, _, _ := run(t, "fleet", "rollback", "--why", "none", "--address", f.at[3]); code == 0 {
+	if code, _, _ := runCommand(t, "fleet", "rollback", "--why", "none", "--address", f.addresses[3]); code == 0 {
 		t.Error("a change went through without a majority")
 	}
-	f.again(0)
-	f.acts(1, 0, 2, 3)
+	f.restart(0)
+	f.waitForVersion(1, 0, 2, 3)
 	f.propose("retries = 0.2\n", 3)
-	f.acts(2, 0, 2, 3)
+	f.waitForVersion(2, 0, 2, 3)
 }
 
 // What is wrong with a block or a proposal is told with its place.
-func TestCouncilFaults(t *testing.T) {
+func TestFleet_invalidSettingsAndProposals(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -213,7 +213,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if code, _, errs := run(t, "check", path); code == 0 || !strings.Contains(errs, name+".hcl:") || !strings.Contains(errs, "Bad "+name) {
+		if code, _, errs := runCommand(t, "check", path); code == 0 || !strings.Contains(errs, name+".hcl:") || !strings.Contains(errs, "Bad "+name) {
 			t.Errorf("%s: %d %s", name, code, errs)
 		}
 	}
@@ -221,7 +221,7 @@
 	if err := os.WriteFile(path, []byte("retries = 99\nout = [\"a\"]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, errs := run(t, "fleet", "propose", path, "--why", "x", "--address", "127.0.0.1:1"); code == 0 || !strings.Contains(errs, "rules.hcl:") {
+	if code, _, errs := runCommand(t, "fleet", "propose", path, "--why", "x", "--address", "127.0.0.1:1"); code == 0 || !strings.Contains(errs, "rules.hcl:") {
 		t.Errorf("%d %s", code, errs)
 	}
 }
--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -15,40 +15,40 @@
 
 // changingList is a discovery that tells changes: each second one worker of a list drains, and one comes back.
 type changingList struct {
-	mu       sync.Mutex
-	workers  []*worker
-	changed  []int // by worker: the revision of its last change
-	phases   []string
-	revision int
-	bytes    atomic.Int64
-	news     chan struct{}
+	mu        sync.Mutex
+	workers   []*testWorker
+	changedAt []int // by worker: the revision of its last change
+	phases    []string
+	revision  int
+	bytes     atomic.Int64
+	updated   chan struct{}
 }
 
-func (c *changingList) line(i int) string {
+func (l *changingList) memberJSON(i int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"llanelli","flavor":"new-worker","cell":1,"phase":%q,"size":1.0,"up_since_ms":0}`,
-		c.workers[i].id, c.workers[i].ln.Addr(), c.phases[i])
+		l.workers[i].id, l.workers[i].listener.Addr(), l.phases[i])
 }
 
 // list words what is newer than a revision; c.mu is held.
-func (c *changingList) list(after int) string {
+func (l *changingList) listJSON(after int) string {
 	var lines []string
-	for i := range c.workers {
-		if after < 0 || c.changed[i] > after {
-			lines = append(lines, c.line(i))
+	for i := range l.workers {
+		if after < 0 || l.changedAt[i] > after {
+			lines = append(lines, l.memberJSON(i))
 		}
 	}
-	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, c.revision, after < 0, strings.Join(lines, ","))
+	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, l.revision, after < 0, strings.Join(lines, ","))
 }
 
-func (c *changingList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *changingList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.URL.Query().Get("index"))
 	if err != nil {
 		after = -1
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	c.mu.Lock()
-	newer, news := c.revision > after, c.news
-	c.mu.Unlock()
+	l.mu.Lock()
+	newer, news := l.revision > after, l.updated
+	l.mu.Unlock()
 	if !newer {
 		select {
 		case <-news:
@@ -57,24 +57,24 @@
 			return
 		}
 	}
-	c.mu.Lock()
-	text := c.list(after)
-	c.mu.Unlock()
-	c.bytes.Add(int64(len(text)))
+	l.mu.Lock()
+	text := l.listJSON(after)
+	l.mu.Unlock()
+	l.bytes.Add(int64(len(text)))
 	fmt.Fprint(w, text)
 }
 
 // change has the next worker drain and the one before come back.
-func (c *changingList) change() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.revision++
-	n := len(c.workers)
-	for i, phase := range map[int]string{c.revision % n: "leaving", (c.revision - 1) % n: "active"} {
-		c.phases[i], c.changed[i] = phase, c.revision
+func (l *changingList) drainNext() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.revision++
+	n := len(l.workers)
+	for i, phase := range map[int]string{l.revision % n: "leaving", (l.revision - 1) % n: "active"} {
+		l.phases[i], l.changedAt[i] = phase, l.revision
 	}
-	close(c.news)
-	c.news = make(chan struct{})
+	close(l.updated)
+	l.updated = make(chan struct{})
 }
 
 // BenchmarkGrowth gives what one dispatcher needs at 1, 4 and 16 times 200 workers, with the same traffic: CPU and peak memory of its
@@ -83,50 +83,50 @@
 	for _, size := range []struct{ workers, dispatchers int }{{200, 300}, {800, 900}, {3200, 900}} {
 		b.Run(fmt.Sprintf("workers-%d", size.workers), func(b *testing.B) {
 			for b.Loop() {
-				growth(b, size.workers, size.dispatchers)
+				measureGrowth(b, size.workers, size.dispatchers)
 			}
 		})
 	}
 }
 
 const (
-	growthSpan = 20 * time.Second
-	growthRate = 20 // requests a second
+	growthDuration          = 20 * time.Second
+	growthRequestsPerSecond = 20 // requests a second
 )
 
-func growth(b *testing.B, size, dispatchers int) {
-	c := &changingList{news: make(chan struct{}), changed: make([]int, size), phases: make([]string, size)}
+func measureGrowth(b *testing.B, size, dispatchers int) {
+	c := &changingList{updated: make(chan struct{}), changedAt: make([]int, size), phases: make([]string, size)}
 	for i := range size {
-		c.workers, c.phases[i] = append(c.workers, newWorker(b, fmt.Sprintf("w%04d", i), works)), "active"
+		c.workers, c.phases[i] = append(c.workers, startWorker(b, fmt.Sprintf("w%04d", i), completeJob)), "active"
 	}
 	find := httptest.NewServer(c)
 	defer find.Close()
 	defer find.CloseClientConnections()
 	c.mu.Lock()
-	known := c.list(-1)
+	known := c.listJSON(-1)
 	c.mu.Unlock()
-	n := &node{t: b, exited: make(chan struct{})}
-	n.launch(fmt.Sprintf(`{"name":"n7","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
-		find.Listener.Addr(), known, strings.Replace(settings, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":7,"replicasOfMe":%d`, dispatchers), 1)), "")
-	n.serves("")
+	n := &testDispatcher{t: b, exited: make(chan struct{})}
+	n.startProcess(fmt.Sprintf(`{"name":"n7","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
+		find.Listener.Addr(), known, strings.Replace(settingsJSON, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":7,"replicasOfMe":%d`, dispatchers), 1)), "")
+	n.waitUntilReady("")
 	served, most := atomic.Int64{}, 0
 	var wait sync.WaitGroup
-	for i, end := 0, time.Now().Add(growthSpan); time.Now().Before(end); i++ {
-		time.Sleep(time.Second / growthRate)
-		if i%growthRate == 0 {
-			c.change()
-			if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.cmd.Process.Pid)); err == nil {
+	for i, end := 0, time.Now().Add(growthDuration); time.Now().Before(end); i++ {
+		time.Sleep(time.Second / growthRequestsPerSecond)
+		if i%growthRequestsPerSecond == 0 {
+			c.drainNext()
+			if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.command.Process.Pid)); err == nil {
 				most = max(most, len(fds))
 			}
 		}
 		wait.Go(func() {
-			if status, _, _ := n.do(request(n.url, fmt.Sprintf("g%d", i), "Cookie", fmt.Sprintf("user=%016x", i%50))); status == 200 {
+			if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprintf("g%d", i), "Cookie", fmt.Sprintf("user=%016x", i%50))); status == 200 {
 				served.Add(1)
 			}
 		})
 	}
 	wait.Wait()
-	cpu, peak := processCost(n.cmd.Process.Pid)
+	cpu, peak := processCost(n.command.Process.Pid)
 	conns := 0
 	for _, w := range c.workers {
 		made, _ := w.count()
@@ -138,7 +138,7 @@
 	b.ReportMetric(float64(conns), "connections")
 	b.ReportMetric(float64(c.bytes.Load())/1024, "list-KB")
 	b.ReportMetric(float64(served.Load()), "served")
-	n.cmd.Process.Kill()
+	n.command.Process.Kill()
 	<-n.exited
 }
 
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -21,8 +21,8 @@
 }
 
 type publishedList struct {
-	at      time.Time
-	members string
+	publishedAt time.Time
+	members     string
 }
 
 func (d *replicatedDiscovery) publish(members string) time.Time {
@@ -34,11 +34,11 @@
 }
 
 // seen gives the newest revision that a replica has which lags by so much.
-func (d *replicatedDiscovery) seen(lag time.Duration) (revision int, members string) {
+func (d *replicatedDiscovery) listAt(lag time.Duration) (revision int, members string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, l := range d.lists {
-		if i == 0 || time.Since(l.at) >= lag {
+		if i == 0 || time.Since(l.publishedAt) >= lag {
 			revision, members = i+1, l.members
 		}
 	}
@@ -46,17 +46,17 @@
 }
 
 // replica serves the list as it was a while ago; how long, it is asked at each call.
-func (d *replicatedDiscovery) replica(t *testing.T, lag func() time.Duration) string {
+func (d *replicatedDiscovery) startReplica(t *testing.T, lag func() time.Duration) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls.Add(1)
 		behind := lag()
 		index, err := strconv.Atoi(r.URL.Query().Get("index"))
 		wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 		over := time.Now().Add(time.Duration(wait) * time.Millisecond)
-		revision, members := d.seen(behind)
+		revision, members := d.listAt(behind)
 		for err == nil && revision == index && time.Now().Before(over) && r.Context().Err() == nil {
 			time.Sleep(5 * time.Millisecond)
-			revision, members = d.seen(behind)
+			revision, members = d.listAt(behind)
 		}
 		if err == nil && revision == index {
 			fmt.Fprintf(w, `{"revision":%d,"complete":false,"members":[]}`, revision)
@@ -69,41 +69,41 @@
 	return server.Listener.Addr().String()
 }
 
-func always(lag time.Duration) func() time.Duration { return func() time.Duration { return lag } }
+func constantLag(lag time.Duration) func() time.Duration { return func() time.Duration { return lag } }
 
 // A worker had begun to drain, or had left, and the dispatcher knew it. A new configuration moved discovery to a replica that
 // was behind. Its first list had the worker as active, and was believed: 1,017 to 1,703 requests went to the worker behind
 // the grace, the last 2.5 s behind the drain. A list says nothing of when it was composed, and revisions of two services cannot
 // be compared. So a drain or an end that is known is taken back only by what must be newer.
-func TestDrainSurvivesAMoveToALaggingReplica(t *testing.T) {
+func TestDrain_moveToLaggingReplica(t *testing.T) {
 	t.Parallel()
 	for _, last := range []string{"leaving", "left"} {
 		t.Run(last, func(t *testing.T) {
 			t.Parallel()
 			var at arrivals
-			a, b := newWorker(t, "a", at.recorded(works)), newWorker(t, "b", works)
-			before, after := member(a, "active")+","+member(b, "active"), member(a, "leaving")+","+member(b, "active")
+			a, b := startWorker(t, "a", at.recording(completeJob)), startWorker(t, "b", completeJob)
+			before, after := memberJSON(a, "active")+","+memberJSON(b, "active"), memberJSON(a, "leaving")+","+memberJSON(b, "active")
 			if last == "left" {
-				after = member(b, "active")
+				after = memberJSON(b, "active")
 			}
 			var discovery replicatedDiscovery
 			discovery.publish(before)
-			n := &node{t: t, exited: make(chan struct{})}
-			n.launch(fleetConfig(0, 1, discovery.replica(t, always(0)), before), "")
-			n.serves("")
+			n := &testDispatcher{t: t, exited: make(chan struct{})}
+			n.startProcess(dispatcherConfig(0, 1, discovery.startReplica(t, constantLag(0)), before), "")
+			n.waitUntilReady("")
 			stop, wait := make(chan struct{}), sync.WaitGroup{}
 			n.sendSteadily("job", 5*time.Millisecond, stop, &wait)
 			time.Sleep(time.Second)
 			drained := discovery.publish(after)
 			time.Sleep(time.Second)
-			n.reload(movedTo(n.config, discovery.replica(t, always(4*time.Second))))
+			n.reload(withDiscoveryAddress(n.config, discovery.startReplica(t, constantLag(4*time.Second))))
 			time.Sleep(3 * time.Second)
 			close(stop)
 			wait.Wait()
 			if !strings.Contains(n.log(), "msg=\"settings reloaded\"") {
 				t.Error("discovery was not moved")
 			}
-			if last := at.lastSince(drained); last > time.Second+drainGraceOnSockets {
+			if last := at.lastSince(drained); last > time.Second+drainGraceAndSlack {
 				t.Errorf("a job came to the worker %v behind its end, %v behind the move", last, last-time.Second)
 			}
 		})
@@ -113,7 +113,7 @@
 // Every other answer of discovery was of a replica that lagged. Each answer with a lower revision had the whole list asked for
 // 0.1 s later, and an answer that told nothing new counted like a fresh one: 223 calls in 16 s, 20 a second at the end, where 8
 // to 12 do. With 300 dispatchers such a discovery is down, and stays so.
-func TestCallsAtReplicasThatLag(t *testing.T) {
+func TestDiscovery_callRateAtLaggingReplicas(t *testing.T) {
 	t.Parallel()
 	for name, lag := range map[string]func() func() time.Duration{
 		"every other answer": func() func() time.Duration {
@@ -127,14 +127,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := newWorker(t, "a", works), newWorker(t, "b", works)
+			a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
 			var discovery replicatedDiscovery
-			before := member(a, "active") + "," + member(b, "active")
+			before := memberJSON(a, "active") + "," + memberJSON(b, "active")
 			discovery.publish(before)
-			discovery.publish(member(a, "leaving") + "," + member(b, "active"))
-			n := &node{t: t, exited: make(chan struct{})}
-			n.launch(fleetConfig(0, 1, discovery.replica(t, lag()), before), "")
-			n.serves("")
+			discovery.publish(memberJSON(a, "leaving") + "," + memberJSON(b, "active"))
+			n := &testDispatcher{t: t, exited: make(chan struct{})}
+			n.startProcess(dispatcherConfig(0, 1, discovery.startReplica(t, lag()), before), "")
+			n.waitUntilReady("")
 			time.Sleep(12 * time.Second)
 			if calls := discovery.calls.Load(); calls > 30 {
 				t.Errorf("%d calls in 12 s", calls)
--- a/cmd/brassdale/load_test.go
+++ b/cmd/brassdale/load_test.go
@@ -10,11 +10,11 @@
 
 // The load generator over each wire against the program: every job that it counts served was run by the endpoint, and
 // what the program refuses is counted so.
-func TestLoadOverAllWires(t *testing.T) {
+func TestLoadGenerator_allProtocols(t *testing.T) {
 	t.Parallel()
-	a := newWorker(t, "a", works)
-	n := start(t, http2Block+operator("lines")+"", a)
-	for wire, address := range map[load.Wire]string{load.HTTP1: n.url, load.HTTP2: n.h2, load.Events: n.progress} {
+	a := startWorker(t, "a", completeJob)
+	n := startDispatcher(t, http2Frontend+progressFrontend("lines")+"", a)
+	for wire, address := range map[load.Wire]string{load.HTTP1: n.http1URL, load.HTTP2: n.http2URL, load.Events: n.progressURL} {
 		at, err := url.Parse(address)
 		if err != nil {
 			t.Fatal(err)
@@ -31,7 +31,7 @@
 			t.Errorf("%s: %v of %d jobs, %d at the endpoint", wire, f.Outcomes, f.Planned, after-before)
 		}
 	}
-	c, err := load.NewClient(load.HTTP1, "no-such-class", []string{n.url[len("http://"):]})
+	c, err := load.NewClient(load.HTTP1, "no-such-class", []string{n.http1URL[len("http://"):]})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/brassdale/mixed_bench_test.go
+++ b/cmd/brassdale/mixed_bench_test.go
@@ -14,47 +14,47 @@
 )
 
 // arrival is a job of a recorded stretch of traffic.
-type arrival struct {
+type recordedRequest struct {
 	at      time.Duration
 	account string
 }
 
 // customers have their shares of the works; the first sends five times its own.
-var customers = []struct {
+var benchAccounts = []struct {
 	name  string
 	share float64
 }{{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18}, {"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08}}
 
 // recorded is traffic of 400 jobs/s at the shares, and the greedy account's surplus.
-func recorded(span time.Duration) (trace []arrival) {
+func recordTraffic(span time.Duration) (trace []recordedRequest) {
 	random := rand.New(rand.NewPCG(7, 7))
-	for i, c := range customers {
+	for i, c := range benchAccounts {
 		rate := 400 * c.share
 		if i == 0 {
 			rate *= 5
 		}
 		for at := time.Duration(0); at < span; {
 			at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-			trace = append(trace, arrival{at, c.name})
+			trace = append(trace, recordedRequest{at, c.name})
 		}
 	}
-	slices.SortFunc(trace, func(a, b arrival) int { return int(a.at - b.at) })
+	slices.SortFunc(trace, func(a, b recordedRequest) int { return int(a.at - b.at) })
 	return trace
 }
 
 // gone tells whether the other side has closed a connection on which nothing is to come.
-func gone(c net.Conn) bool {
+func connectionClosed(c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
 	defer c.SetReadDeadline(time.Time{})
 	_, err := c.Read(make([]byte, 1))
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-const goodWithin = 400 * time.Millisecond
+const inTimeLimit = 400 * time.Millisecond
 
 // play hands the traffic in, each job at its time whatever became of those before, and gives the parts of each account's
 // jobs, and of all, that were served in time.
-func play(trace []arrival, send func(i int, account string) int) map[string]float64 {
+func replay(trace []recordedRequest, send func(i int, account string) int) map[string]float64 {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	asked, good := map[string]float64{}, map[string]float64{}
@@ -67,7 +67,7 @@
 			defer mu.Unlock()
 			for _, of := range []string{a.account, "all"} {
 				asked[of]++
-				if status == 200 && time.Since(begin) < a.at+goodWithin {
+				if status == 200 && time.Since(begin) < a.at+inTimeLimit {
 					good[of]++
 				}
 			}
@@ -82,38 +82,38 @@
 
 // BenchmarkMixed plays the same traffic over HTTP/1.1, over HTTP/2 and half and half, in turns: 12 endpoints of 5 slots
 // and 100 ms a job can do 600 jobs/s of the 770 that come, and what is too much is one account's.
-func BenchmarkMixed(b *testing.B) {
+func BenchmarkQuotas(b *testing.B) {
 	slots := sync.Map{}
-	workers := benchBoxesThat(b, 12, func(x *worker, c net.Conn, r *http.Request) {
+	workers := startBenchWorkersWith(b, 12, func(x *testWorker, c net.Conn, r *http.Request) {
 		free, _ := slots.LoadOrStore(x, make(chan struct{}, 5))
 		free.(chan struct{}) <- struct{}{}
 		defer func() { <-free.(chan struct{}) }()
-		if gone(c) { // a copy was called off while it waited: workers drop those
+		if connectionClosed(c) { // a copy was called off while it waited: workers drop those
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
-		quick(x, c, r)
+		completeAtOnce(x, c, r)
 	})
 	operator := "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n}\naccounts {\n  room = 90\n"
-	for _, c := range customers {
+	for _, c := range benchAccounts {
 		operator += fmt.Sprintf("  account %q { share = %v }\n", c.name, c.share)
 	}
-	n := benchNode(b, "", operator+"}\n", workers)
+	n := startBenchDispatcher(b, "", operator+"}\n", workers)
 	transport := &http.Transport{Protocols: &http.Protocols{}}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	clients := []*http.Client{{Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}, {Transport: transport}}
-	urls := []string{"http://" + n.inbound, "http://" + n.http2}
-	trace := recorded(4 * time.Second)
+	urls := []string{"http://" + n.http1Address, "http://" + n.http2Address}
+	trace := recordTraffic(4 * time.Second)
 	modes := []string{"HTTP/1.1", "HTTP/2", "half and half"}
 	parts := map[string][][]float64{} // by account, by mode, a figure for each round
 	for round := range 6 {
 		for mode := range modes {
-			good := play(trace, func(i int, account string) int {
+			good := replay(trace, func(i int, account string) int {
 				port := mode
 				if mode == 2 {
 					port = i % 2
 				}
-				status, _, _ := ask(clients[port], request(urls[port], fmt.Sprint("mixed-", round, mode, "-", i), "Req-Owner", account))
+				status, _, _ := trySend(clients[port], newRequest(urls[port], fmt.Sprint("mixed-", round, mode, "-", i), "Req-Owner", account))
 				return status
 			})
 			if round == 0 { // connections and the module's knowledge are new
--- a/cmd/brassdale/moved_discovery_test.go
+++ b/cmd/brassdale/moved_discovery_test.go
@@ -13,9 +13,9 @@
 
 const (
 	// What discovery has counts as told after this at the latest, where it can be reached.
-	toldAtTheLatest = 6 * time.Second
+	notificationLimit = 6 * time.Second
 	// Nothing new may reach a worker this long after its drain was told: the grace of the settings and the slack of the rules.
-	drainGraceOnSockets = 550 * time.Millisecond
+	drainGraceAndSlack = 550 * time.Millisecond
 )
 
 // arrivals records when jobs came to a worker.
@@ -25,8 +25,8 @@
 }
 
 // recorded has a worker note each job before it works on it.
-func (a *arrivals) recorded(script func(*worker, net.Conn, *http.Request)) func(*worker, net.Conn, *http.Request) {
-	return func(b *worker, c net.Conn, r *http.Request) {
+func (a *arrivals) recording(script func(*testWorker, net.Conn, *http.Request)) func(*testWorker, net.Conn, *http.Request) {
+	return func(b *testWorker, c net.Conn, r *http.Request) {
 		a.mu.Lock()
 		a.last = time.Now()
 		a.mu.Unlock()
@@ -41,7 +41,7 @@
 }
 
 // sendSteadily sends jobs, each on the next of the client's connections, until stop is closed.
-func (n *node) sendSteadily(name string, every time.Duration, stop <-chan struct{}, wait *sync.WaitGroup) {
+func (d *testDispatcher) sendSteadily(name string, every time.Duration, stop <-chan struct{}, wait *sync.WaitGroup) {
 	wait.Go(func() {
 		var jobs sync.WaitGroup
 		defer jobs.Wait()
@@ -52,7 +52,7 @@
 			case <-time.After(every):
 			}
 			jobs.Go(func() {
-				resp, err := http.DefaultClient.Do(request(n.url, fmt.Sprintf("%s-%d", name, i)))
+				resp, err := http.DefaultClient.Do(newRequest(d.http1URL, fmt.Sprintf("%s-%d", name, i)))
 				if err == nil {
 					resp.Body.Close()
 				}
@@ -62,7 +62,7 @@
 }
 
 // movedTo gives the program's file with another address of discovery.
-func movedTo(config, address string) string {
+func withDiscoveryAddress(config, address string) string {
 	_, rest, _ := strings.Cut(config, `"discovery":"`)
 	old, _, _ := strings.Cut(rest, `"`)
 	return strings.Replace(config, `"discovery":"`+old+`"`, `"discovery":"`+address+`"`, 1)
@@ -71,13 +71,17 @@
 // A worker drains while the watch is open, and the answer of the watch waits in discovery's queue. A new configuration moves
 // discovery, and the new address refuses all calls for longer than a change may stay unheard. The answer of the old watch must
 // still be heard: a call that may bring a change is not given up before another has brought the list (incident 36).
-func TestQueuedAnswerSurvivesAMove(t *testing.T) {
+func TestDrain_queuedAnswerAfterMove(t *testing.T) {
 	t.Parallel()
 	var at arrivals
-	a, b := newWorker(t, "a", at.recorded(works)), newWorker(t, "b", works)
-	n := start(t, "", a) // all jobs go to this one until the change is heard: it drains, the other joins
-	g := n.registry
-	n.waitFor("a watch", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.waits) > 0 && g.waits[len(g.waits)-1] > 0 })
+	a, b := startWorker(t, "a", at.recording(completeJob)), startWorker(t, "b", completeJob)
+	n := startDispatcher(t, "", a) // all jobs go to this one until the change is heard: it drains, the other joins
+	g := n.discovery
+	n.waitFor("a watch", func() bool {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		return len(g.pollWaits) > 0 && g.pollWaits[len(g.pollWaits)-1] > 0
+	})
 
 	refuses := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -87,14 +91,14 @@
 	n.sendSteadily("job", 20*time.Millisecond, stop, &wait)
 
 	drained := time.Now()
-	n.reload(movedTo(n.config, refuses.Listener.Addr().String()))
+	n.reload(withDiscoveryAddress(n.config, refuses.Listener.Addr().String()))
 	n.waitFor("the move", func() bool { return strings.Contains(n.log(), "msg=\"settings reloaded\"") })
 	time.Sleep(300 * time.Millisecond) // of waiting in discovery's queue
-	g.set(func() { a.phase = "leaving"; g.workers = append(g.workers, b) })
-	time.Sleep(time.Until(drained.Add(toldAtTheLatest + drainGraceOnSockets + 300*time.Millisecond)))
+	g.update(func() { a.phase = "leaving"; g.workers = append(g.workers, b) })
+	time.Sleep(time.Until(drained.Add(notificationLimit + drainGraceAndSlack + 300*time.Millisecond)))
 	close(stop)
 	wait.Wait()
-	if last := at.lastSince(drained); last > toldAtTheLatest+drainGraceOnSockets {
+	if last := at.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
 		t.Errorf("a job came to the drained worker %v after the drain", last)
 	}
 	t.Logf("the last job came to the drained worker %v after the drain", at.lastSince(drained))
@@ -102,28 +106,28 @@
 
 // Six dispatchers get four new configurations each within seconds, and each moves discovery, which serves a call in 0.42 s and
 // refuses those that would wait for over a second. Workers drain in the middle. This is the run of incident 36.
-func TestDrainUnderMovesAtACrowdedDiscovery(t *testing.T) {
+func TestDrain_movesAtQueueingDiscovery(t *testing.T) {
 	t.Parallel()
 	const dispatchers, moves = 6, 4
 	var at arrivals
-	a := newWorker(t, "a", at.recorded(works))
-	b := newWorker(t, "b", works)
-	before, after := member(a, "active"), member(a, "leaving")+","+member(b, "active")
-	discovery := newCrowdedDiscovery(before)
+	a := startWorker(t, "a", at.recording(completeJob))
+	b := startWorker(t, "b", completeJob)
+	before, after := memberJSON(a, "active"), memberJSON(a, "leaving")+","+memberJSON(b, "active")
+	discovery := newQueueingDiscovery(before)
 
 	stop, wait := make(chan struct{}), sync.WaitGroup{}
 	type dispatcher struct {
-		*node
+		*testDispatcher
 		addresses []string
 	}
 	var fleet []dispatcher
 	for i := range dispatchers {
-		addresses := discovery.addresses(t, fmt.Sprint(i), moves+1)
+		addresses := discovery.startServers(t, fmt.Sprint(i), moves+1)
 		config := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be96%d","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":0,"complete":true,"members":[%s]},"settings":%s}`,
-			i, addresses[0], i, before, strings.Replace(settings, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":%d,"replicasOfMe":%d`, i, dispatchers), 1))
-		n := &node{t: t, exited: make(chan struct{})}
-		n.launch(config, "")
-		n.serves("")
+			i, addresses[0], i, before, strings.Replace(settingsJSON, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":%d,"replicasOfMe":%d`, i, dispatchers), 1))
+		n := &testDispatcher{t: t, exited: make(chan struct{})}
+		n.startProcess(config, "")
+		n.waitUntilReady("")
 		n.sendSteadily(fmt.Sprint("n", i), 40*time.Millisecond, stop, &wait)
 		fleet = append(fleet, dispatcher{n, addresses})
 	}
@@ -136,7 +140,7 @@
 			time.Sleep(time.Duration(i) * 400 * time.Millisecond)
 			for k, pause := range []time.Duration{0, 300, 400, 900} {
 				time.Sleep(pause * time.Millisecond)
-				d.reload(movedTo(d.config, d.addresses[k+1]))
+				d.reload(withDiscoveryAddress(d.config, d.addresses[k+1]))
 			}
 		})
 	}
@@ -144,13 +148,13 @@
 	drained = time.Now()
 	discovery.publish(after)
 	moved.Wait()
-	time.Sleep(time.Until(drained.Add(toldAtTheLatest + drainGraceOnSockets + 1500*time.Millisecond)))
+	time.Sleep(time.Until(drained.Add(notificationLimit + drainGraceAndSlack + 1500*time.Millisecond)))
 	close(stop)
 	wait.Wait()
-	if last := at.lastSince(drained); last > toldAtTheLatest+drainGraceOnSockets {
+	if last := at.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
 		t.Errorf("a job came to the drained worker %v after the drain", last)
 	}
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
-	t.Logf("the last job came to the drained worker %v after the drain; %d calls, %d of them refused", at.lastSince(drained), discovery.calls, discovery.refused)
+	t.Logf("the last job came to the drained worker %v after the drain; %d calls, %d of them refused", at.lastSince(drained), discovery.calls, discovery.rejected)
 }
--- a/cmd/brassdale/overloaded_discovery_test.go
+++ b/cmd/brassdale/overloaded_discovery_test.go
@@ -10,10 +10,10 @@
 )
 
 // fleetConfig gives the file of one of several dispatchers that share a discovery.
-func fleetConfig(i, dispatchers int, discovery, known string) string {
+func dispatcherConfig(i, dispatchers int, discovery, known string) string {
 	ordinal := fmt.Sprintf(`"ordinal":%d,"replicasOfMe":%d`, i, dispatchers)
 	return fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be9%02x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":0,"complete":true,"members":[%s]},"settings":%s}`,
-		i, discovery, i, known, strings.Replace(settings, `"replicasOfMe":1`, ordinal, 1))
+		i, discovery, i, known, strings.Replace(settingsJSON, `"replicasOfMe":1`, ordinal, 1))
 }
 
 // Discovery came back after some seconds in which all calls had failed, and most dispatchers were killed and began again. They
@@ -21,78 +21,82 @@
 // which it lets a call wait; from then on it spent its time on calls that had expired, and served none: "discovery keeps failing
 // failed_calls=25 refused=16 expired=9 list_age=21.739s" at one dispatcher, "the list is overdue" at 27 of 40. Workers that had
 // begun to drain went on getting requests, first 6.6 s behind their drain, 82 in all.
-func TestDrainAtAnOverloadedDiscovery(t *testing.T) {
+func TestDrain_atOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	const dispatchers, killed = 12, 8
 	var at arrivals
-	a, b := newWorker(t, "a", at.recorded(works)), newWorker(t, "b", works)
-	before, after := member(a, "active"), member(a, "leaving")+","+member(b, "active")
-	discovery := newCrowdedDiscovery(before)
-	discovery.perCall, discovery.perNews = 280*time.Millisecond, 19*time.Millisecond
-	discovery.expires, discovery.mostWait = 2*time.Second, 3800*time.Millisecond
+	a, b := startWorker(t, "a", at.recording(completeJob)), startWorker(t, "b", completeJob)
+	before, after := memberJSON(a, "active"), memberJSON(a, "leaving")+","+memberJSON(b, "active")
+	discovery := newQueueingDiscovery(before)
+	discovery.perCall, discovery.perUpdate = 280*time.Millisecond, 19*time.Millisecond
+	discovery.queueTimeout, discovery.queueLimit = 2*time.Second, 3800*time.Millisecond
 	back := time.Now().Add(8 * time.Second)
-	discovery.down = back
+	discovery.downUntil = back
 
 	stop, wait := make(chan struct{}), sync.WaitGroup{}
-	begin := func(i int, config string) *node {
-		n := &node{t: t, exited: make(chan struct{})}
-		n.launch(config, "")
-		n.serves("")
+	begin := func(i int, config string) *testDispatcher {
+		n := &testDispatcher{t: t, exited: make(chan struct{})}
+		n.startProcess(config, "")
+		n.waitUntilReady("")
 		n.sendSteadily(fmt.Sprintf("n%d-%d", i, time.Now().UnixNano()), 40*time.Millisecond, stop, &wait)
 		return n
 	}
-	var fleet []*node
+	var fleet []*testDispatcher
 	for i := range dispatchers {
-		fleet = append(fleet, begin(i, fleetConfig(i, dispatchers, discovery.addresses(t, fmt.Sprint(i), 1)[0], before)))
+		fleet = append(fleet, begin(i, dispatcherConfig(i, dispatchers, discovery.startServers(t, fmt.Sprint(i), 1)[0], before)))
 	}
 	time.Sleep(time.Until(back.Add(time.Second)))
 	drained := time.Now()
 	discovery.publish(after)
-	a.unready.Store(true)
+	a.failsProbes.Store(true)
 	for _, n := range fleet[:killed] {
-		n.cmd.Process.Kill()
+		n.command.Process.Kill()
 		<-n.exited
 	}
 	time.Sleep(time.Until(drained.Add(time.Second)))
 	for i, n := range fleet[:killed] {
 		begin(i, n.config)
 	}
-	time.Sleep(time.Until(drained.Add(toldAtTheLatest + drainGraceOnSockets + 1500*time.Millisecond)))
+	time.Sleep(time.Until(drained.Add(notificationLimit + drainGraceAndSlack + 1500*time.Millisecond)))
 	close(stop)
 	wait.Wait()
-	if last := at.lastSince(drained); last > toldAtTheLatest+drainGraceOnSockets {
+	if last := at.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
 		t.Errorf("a job came to the drained worker %v after the drain", last)
 	}
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
 	t.Logf("the last job came to the drained worker %v after the drain; %d calls, %d of them refused, %d expired",
-		at.lastSince(drained), discovery.calls, discovery.refused, discovery.expired)
+		at.lastSince(drained), discovery.calls, discovery.rejected, discovery.expired)
 }
 
 // A dispatcher whose calls an overloaded discovery refuses for good does not learn from it that a worker drains. What drained
 // counts as told after six seconds all the same, and the log of such a dispatcher had "the list is overdue list_age=6.058s
 // failed_calls=12" and attempts to workers that were to end. The worker itself would have said so: a draining one answered 494 of
 // 494 probes with 503. Where the list is overdue, a worker gets requests only as long as it has answered a probe lately.
-func TestDrainWhereDiscoveryRefuses(t *testing.T) {
+func TestDrain_discoveryRejectsAllCalls(t *testing.T) {
 	t.Parallel()
 	var at arrivals
-	a, b := newWorker(t, "a", at.recorded(works)), newWorker(t, "b", works)
-	n := start(t, "", a, b)
-	g := n.registry
-	n.waitFor("a watch", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.waits) > 0 && g.waits[len(g.waits)-1] > 0 })
+	a, b := startWorker(t, "a", at.recording(completeJob)), startWorker(t, "b", completeJob)
+	n := startDispatcher(t, "", a, b)
+	g := n.discovery
+	n.waitFor("a watch", func() bool {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		return len(g.pollWaits) > 0 && g.pollWaits[len(g.pollWaits)-1] > 0
+	})
 	stop, wait := make(chan struct{}), sync.WaitGroup{}
 	n.sendSteadily("job", 10*time.Millisecond, stop, &wait)
 
-	g.set(func() { g.fail = true })
+	g.update(func() { g.failing = true })
 	drained := time.Now()
-	a.unready.Store(true)
-	time.Sleep(time.Until(drained.Add(toldAtTheLatest + drainGraceOnSockets + 3*time.Second)))
+	a.failsProbes.Store(true)
+	time.Sleep(time.Until(drained.Add(notificationLimit + drainGraceAndSlack + 3*time.Second)))
 	close(stop)
 	wait.Wait()
-	if last := at.lastSince(drained); last > toldAtTheLatest+drainGraceOnSockets {
+	if last := at.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
 		t.Errorf("a job came to the drained worker %v after the drain", last)
 	}
-	if status, _, _ := n.do(request(n.url, "last")); status != http.StatusOK {
+	if status, _, _ := n.send(newRequest(n.http1URL, "last")); status != http.StatusOK {
 		t.Errorf("a job is answered %d where one worker answers its probes", status)
 	}
 }
--- a/cmd/brassdale/ports_bench_test.go
+++ b/cmd/brassdale/ports_bench_test.go
@@ -25,41 +25,41 @@
 // The load of these benchmarks is closed: so many jobs open at a time, each followed by the next. Their ratios tell
 // something, as both sides run in turns beside each other; the absolute figures are this machine's.
 const (
-	openJobs    = 100
-	perRound    = 1200 * time.Millisecond
-	benchRounds = 7
+	benchOpenRequests  = 100
+	benchRoundDuration = 1200 * time.Millisecond
+	benchRounds        = 7
 )
 
 // round is what came of a stretch of load.
-type round struct {
-	jobs  int
-	times []time.Duration
-	took  time.Duration
+type loadRound struct {
+	jobs      int
+	latencies []time.Duration
+	duration  time.Duration
 }
 
-func (r *round) rate() float64 { return float64(r.jobs) / r.took.Seconds() }
+func (r *loadRound) rate() float64 { return float64(r.jobs) / r.duration.Seconds() }
 
-func (r *round) percentile(p float64) time.Duration {
-	if len(r.times) == 0 {
+func (r *loadRound) percentile(p float64) time.Duration {
+	if len(r.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(r.times)
-	return r.times[min(int(p*float64(len(r.times))), len(r.times)-1)]
+	slices.Sort(r.latencies)
+	return r.latencies[min(int(p*float64(len(r.latencies))), len(r.latencies)-1)]
 }
 
 var benchKeys atomic.Int64
 
 // quick answers a job in one piece.
-func quick(_ *worker, c net.Conn, r *http.Request) {
-	body := line(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`)
+func completeAtOnce(_ *testWorker, c net.Conn, r *http.Request) {
+	body := jobMessage(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`)
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // gather runs so many of one load side by side and adds up what came of them.
-func gather(b *testing.B, many int, load func() (*round, error)) *round {
+func runConcurrently(b *testing.B, many int, load func() (*loadRound, error)) *loadRound {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	all := &round{}
+	all := &loadRound{}
 	begin := time.Now()
 	for range many {
 		wait.Go(func() {
@@ -69,23 +69,23 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all.jobs += len(mine.times)
-			all.times = append(all.times, mine.times...)
+			all.jobs += len(mine.latencies)
+			all.latencies = append(all.latencies, mine.latencies...)
 		})
 	}
 	wait.Wait()
-	all.took = time.Since(begin)
+	all.duration = time.Since(begin)
 	return all
 }
 
 // over1 keeps jobs open over HTTP/1.1, one on each connection.
-func over1(b *testing.B, address string, until time.Time) *round {
-	return gather(b, openJobs, func() (*round, error) { return load1(address, until) })
+func loadHTTP1(b *testing.B, address string, until time.Time) *loadRound {
+	return runConcurrently(b, benchOpenRequests, func() (*loadRound, error) { return loadHTTP1Connection(address, until) })
 }
 
 // load1 sends one job after the other on a connection.
-func load1(address string, until time.Time) (*round, error) {
-	mine := &round{}
+func loadHTTP1Connection(address string, until time.Time) (*loadRound, error) {
+	mine := &loadRound{}
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return mine, err
@@ -96,16 +96,16 @@
 		key := strconv.FormatInt(benchKeys.Add(1), 16)
 		sent := time.Now()
 		fmt.Fprintf(conn, "POST /price-part HTTP/1.1\r\nHost: api.internal\r\nReq-Id: id-%s\r\nReq-Kind: price-part\r\nReq-Owner: taff-marine\r\nIdempotency-Key: %s\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 7\r\n\r\ndrawing", key, key)
-		if !answered1(in) {
+		if !readHTTP1Answer(in) {
 			return mine, errors.New("no 200")
 		}
-		mine.times = append(mine.times, time.Since(sent))
+		mine.latencies = append(mine.latencies, time.Since(sent))
 	}
 	return mine, nil
 }
 
 // answered1 reads an answer of a few bytes.
-func answered1(in *bufio.Reader) bool {
+func readHTTP1Answer(in *bufio.Reader) bool {
 	status, err := in.ReadSlice('\n')
 	if err != nil || !strings.Contains(string(status), " 200 ") {
 		return false
@@ -128,13 +128,13 @@
 }
 
 // over2 keeps jobs open over HTTP/2, as streams of so many connections.
-func over2(b *testing.B, address string, conns int, until time.Time) *round {
-	return gather(b, conns, func() (*round, error) { return load2(address, openJobs/conns, until) })
+func loadHTTP2(b *testing.B, address string, conns int, until time.Time) *loadRound {
+	return runConcurrently(b, conns, func() (*loadRound, error) { return loadHTTP2Connection(address, benchOpenRequests/conns, until) })
 }
 
 // load2 keeps streams open on one connection. Heads are literal fields, so that they cost this side nothing.
-func load2(address string, streams int, until time.Time) (*round, error) {
-	mine := &round{}
+func loadHTTP2Connection(address string, streams int, until time.Time) (*loadRound, error) {
+	mine := &loadRound{}
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return mine, err
@@ -201,7 +201,7 @@
 		case head[3] == 4 && head[4]&1 == 0:
 			out = append(out, 0, 0, 0, 4, 1, 0, 0, 0, 0)
 		case head[3] == 0 && head[4]&1 != 0 || head[3] == 1 && head[4]&1 != 0:
-			mine.times = append(mine.times, time.Since(sent[stream]))
+			mine.latencies = append(mine.latencies, time.Since(sent[stream]))
 			delete(sent, stream)
 			open--
 		case head[3] == 3 || head[3] == 7:
@@ -216,7 +216,7 @@
 }
 
 // report prints the medians of rounds that ran in turns, and of the ratios to the first within each turn.
-func report(b *testing.B, names []string, rounds [][]*round) {
+func reportRounds(b *testing.B, names []string, rounds [][]*loadRound) {
 	for i, name := range names {
 		var rates, ratios []float64
 		var p50, p99, p999 []time.Duration
@@ -238,67 +238,67 @@
 // BenchmarkPorts compares the ports of one program, and with BRASSDALE_BASE the platform's port of another binary
 // (then BRASSDALE_BINARY should name this one):
 // jobs that endpoints answer at once, on one core of the dispatcher's.
-func BenchmarkPorts(b *testing.B) {
+func BenchmarkFrontends(b *testing.B) {
 	debug.SetGCPercent(400) // of the load's own
-	workers := benchBoxes(b)
+	workers := startBenchWorkers(b)
 	binary := os.Getenv("BRASSDALE_BINARY") // as it is built for service; else the tests' own
-	with, without := benchNode(b, binary, http2Block+"keys {\n  jobs = 200000\n}\n", workers), benchNode(b, binary, "", workers)
+	with, without := startBenchDispatcher(b, binary, http2Frontend+"keys {\n  jobs = 200000\n}\n", workers), startBenchDispatcher(b, binary, "", workers)
 	names := []string{"HTTP/1.1, no operator's file", "HTTP/1.1", "HTTP/2, 1 connection", "HTTP/2, 4 connections"}
-	loads := []func(time.Time) *round{
-		func(u time.Time) *round { return over1(b, without.inbound, u) },
-		func(u time.Time) *round { return over1(b, with.inbound, u) },
-		func(u time.Time) *round { return over2(b, with.http2, 1, u) },
-		func(u time.Time) *round { return over2(b, with.http2, 4, u) },
+	loads := []func(time.Time) *loadRound{
+		func(u time.Time) *loadRound { return loadHTTP1(b, without.http1Address, u) },
+		func(u time.Time) *loadRound { return loadHTTP1(b, with.http1Address, u) },
+		func(u time.Time) *loadRound { return loadHTTP2(b, with.http2Address, 1, u) },
+		func(u time.Time) *loadRound { return loadHTTP2(b, with.http2Address, 4, u) },
 	}
 	if base := os.Getenv("BRASSDALE_BASE"); base != "" {
-		old := benchNode(b, base, "", workers)
+		old := startBenchDispatcher(b, base, "", workers)
 		names = append(names, "HTTP/1.1, binary before")
-		loads = append(loads, func(u time.Time) *round { return over1(b, old.inbound, u) })
+		loads = append(loads, func(u time.Time) *loadRound { return loadHTTP1(b, old.http1Address, u) })
 	}
-	var rounds [][]*round
+	var rounds [][]*loadRound
 	for i := range benchRounds + 1 {
-		var turn []*round
+		var turn []*loadRound
 		for _, load := range loads {
-			turn = append(turn, load(time.Now().Add(perRound)))
+			turn = append(turn, load(time.Now().Add(benchRoundDuration)))
 			time.Sleep(100 * time.Millisecond)
 		}
 		if i > 0 { // the first warms up
 			rounds = append(rounds, turn)
 		}
 	}
-	report(b, names, rounds)
-	b.Logf("resident: %d MB with an operator's file, %d MB without", with.resident(), without.resident())
+	reportRounds(b, names, rounds)
+	b.Logf("resident: %d MB with an operator's file, %d MB without", with.residentMB(), without.residentMB())
 }
 
 // BenchmarkStreams tells what open streams cost: a thousand jobs that wait for their endpoints.
-func BenchmarkStreams(b *testing.B) {
+func BenchmarkOpenStreams(b *testing.B) {
 	release := make(chan struct{})
-	workers := benchBoxesThat(b, 250, func(x *worker, c net.Conn, r *http.Request) { <-release; quick(x, c, r) })
-	n := benchNode(b, "", "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n  streams = 250\n}\n", workers)
-	before := n.resident()
+	workers := startBenchWorkersWith(b, 250, func(x *testWorker, c net.Conn, r *http.Request) { <-release; completeAtOnce(x, c, r) })
+	n := startBenchDispatcher(b, "", "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n  streams = 250\n}\n", workers)
+	before := n.residentMB()
 	until := time.Now().Add(2 * time.Second)
 	var wait sync.WaitGroup
 	for range 10 {
 		wait.Go(func() {
-			if _, err := load2(n.http2, 100, until); err != nil {
+			if _, err := loadHTTP2Connection(n.http2Address, 100, until); err != nil {
 				b.Error(err)
 			}
 		})
 	}
 	time.Sleep(time.Until(until))
-	b.Logf("resident: %d MB before, %d MB with 1,000 streams open", before, n.resident())
+	b.Logf("resident: %d MB before, %d MB with 1,000 streams open", before, n.residentMB())
 	close(release)
 	wait.Wait()
 }
 
 // benchProgram is a dispatcher under load.
 type benchProgram struct {
-	cmd            *exec.Cmd
-	inbound, http2 string
+	command                    *exec.Cmd
+	http1Address, http2Address string
 }
 
-func (p *benchProgram) resident() int {
-	return int(processMemory(p.cmd.Process.Pid, "VmRSS") >> 20)
+func (p *benchProgram) residentMB() int {
+	return int(processMemory(p.command.Process.Pid, "VmRSS") >> 20)
 }
 
 // processMemory gives a figure of a process's memory in bytes, by its name in /proc; 0 where there is none.
@@ -312,20 +312,22 @@
 	return kb << 10
 }
 
-func benchBoxes(b *testing.B) []*worker { return benchBoxesThat(b, 12, quick) }
+func startBenchWorkers(b *testing.B) []*testWorker {
+	return startBenchWorkersWith(b, 12, completeAtOnce)
+}
 
-func benchBoxesThat(b *testing.B, many int, script func(*worker, net.Conn, *http.Request)) (workers []*worker) {
+func startBenchWorkersWith(b *testing.B, many int, script func(*testWorker, net.Conn, *http.Request)) (workers []*testWorker) {
 	for i := range many {
-		workers = append(workers, newWorker(b, fmt.Sprint("worker-", i), script))
+		workers = append(workers, startWorker(b, fmt.Sprint("worker-", i), script))
 	}
 	return workers
 }
 
-func benchNode(b *testing.B, binary, operator string, workers []*worker) *benchProgram {
-	n := &node{t: b, binary: binary, registry: &registry{revision: 1, workers: workers, changed: make(chan struct{})}, exited: make(chan struct{})}
-	n.startHere(operator, func(config string) string {
+func startBenchDispatcher(b *testing.B, binary, operator string, workers []*testWorker) *benchProgram {
+	n := &testDispatcher{t: b, binary: binary, discovery: &testDiscovery{revision: 1, workers: workers, changed: make(chan struct{})}, exited: make(chan struct{})}
+	n.start(operator, func(config string) string {
 		// Slots enough that nothing waits: the ports are measured, not the module's care for endpoints.
 		return strings.Replace(config, `"probing":true`, `"probing":false`, 1)
 	})
-	return &benchProgram{cmd: n.cmd, inbound: strings.TrimPrefix(n.url, "http://"), http2: strings.TrimPrefix(n.h2, "http://")}
+	return &benchProgram{command: n.command, http1Address: strings.TrimPrefix(n.http1URL, "http://"), http2Address: strings.TrimPrefix(n.http2URL, "http://")}
 }
--- a/cmd/brassdale/reload_test.go
+++ b/cmd/brassdale/reload_test.go
@@ -14,15 +14,19 @@
 // SIGHUP once ended the program. It moves discovery: the new one is asked for its whole list at once, though
 // its revisions are its own, while the old one's watch is still open, and a job that is open goes on. A bad
 // file changes nothing, repeats do no harm, and SIGTERM still ends all in good order.
-func TestReload(t *testing.T) {
+func TestReload_movesDiscovery(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	a := newWorker(t, "a", func(b *worker, c net.Conn, r *http.Request) { <-release; works(b, c, r) })
-	b := newWorker(t, "b", works)
+	a := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })
+	b := startWorker(t, "b", completeJob)
 	b.cell = "2"
-	n := start(t, "", a)
-	n.waitFor("a watch", func() bool { n.registry.mu.Lock(); defer n.registry.mu.Unlock(); return len(n.registry.asked) > 0 })
-	answered := n.begin(a, "open")
+	n := startDispatcher(t, "", a)
+	n.waitFor("a watch", func() bool {
+		n.discovery.mu.Lock()
+		defer n.discovery.mu.Unlock()
+		return len(n.discovery.polledRevisions) > 0
+	})
+	answered := n.sendInBackground(a, "open")
 
 	n.reload(strings.Replace(n.config, `"discovery":"`, `"discovery":"nowhere `, 1))
 	n.waitFor("a refusal", func() bool {
@@ -30,7 +34,7 @@
 	})
 
 	a.phase = "leaving"
-	next := &registry{revision: 1, workers: []*worker{a, b}, changed: make(chan struct{})}
+	next := &testDiscovery{revision: 1, workers: []*testWorker{a, b}, changed: make(chan struct{})}
 	server := httptest.NewServer(next)
 	t.Cleanup(server.CloseClientConnections)
 	moved := strings.Replace(n.config, `"discovery":"`, `"discovery":"`+server.Listener.Addr().String()+`","was":"`, 1)
@@ -38,38 +42,38 @@
 		n.reload(moved)
 	}
 	n.waitFor("the new list", func() bool { return strings.Contains(n.log(), "complete=true endpoints=2") })
-	if status, _, _ := n.do(request(n.url, "next")); status != 200 {
+	if status, _, _ := n.send(newRequest(n.http1URL, "next")); status != 200 {
 		t.Errorf("a job after the move: %d", status)
 	}
 	if _, jobs := b.count(); jobs != 1 {
 		t.Errorf("%d jobs came to the endpoint that only the new discovery knows", jobs)
 	}
-	next.set(func() { a.phase = "active" })
+	next.update(func() { a.phase = "active" })
 	n.waitFor("a change at the new discovery", func() bool { return strings.Contains(n.log(), "revision=2") })
 	close(release)
 	if status := <-answered; status != 200 {
 		t.Errorf("the open job: %d", status)
 	}
-	n.stop()
+	n.terminate()
 	n.reload(moved)
-	n.ends(time.Now().Add(8 * time.Second))
+	n.waitForExit(time.Now().Add(8 * time.Second))
 }
 
 // A watch that hangs is given up soon enough: what discovery has to tell counts as told 2 s after the wait that was
 // asked for, and nothing may go to an endpoint that leaves 500 ms after that. It once took 2.6 s and longer.
-func TestHungDiscovery(t *testing.T) {
+func TestDiscovery_hangingWatch(t *testing.T) {
 	t.Parallel()
-	a, b := newWorker(t, "a", works), newWorker(t, "b", works)
-	n := start(t, "", a, b)
-	g := n.registry
-	asked := func() int { g.mu.Lock(); defer g.mu.Unlock(); return len(g.asked) }
+	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+	n := startDispatcher(t, "", a, b)
+	g := n.discovery
+	asked := func() int { g.mu.Lock(); defer g.mu.Unlock(); return len(g.polledRevisions) }
 	n.waitFor("a watch", func() bool { return asked() > 0 })
-	g.set(func() { g.hang = true })
+	g.update(func() { g.hanging = true })
 	calls := asked()
 	begin := time.Now() // the call that hangs was made before
-	g.set(func() { a.phase = "leaving" })
+	g.update(func() { a.phase = "leaving" })
 	n.waitFor("a further call", func() bool { return asked() > calls })
-	g.set(func() { g.hang = false })
+	g.update(func() { g.hanging = false })
 	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "revision=4") })
 	if took := time.Since(begin); took > 4500*time.Millisecond {
 		t.Errorf("the list came after %v", took)
@@ -78,7 +82,7 @@
 
 // Settings change while it serves: a class is dropped, one comes with another effect, attempts become fewer. Jobs that
 // are open keep the rules that they began with, retries included; what comes after has the new ones.
-func TestRetune(t *testing.T) {
+func TestReload_changedClasses(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	var mu sync.Mutex
@@ -89,7 +93,7 @@
 		runs[key]++
 		return runs[key]
 	}
-	once := func(b *worker, c net.Conn, r *http.Request) {
+	once := func(b *testWorker, c net.Conn, r *http.Request) {
 		key := r.Header.Get("Idempotency-Key")
 		if strings.HasPrefix(key, "held") {
 			<-release
@@ -98,13 +102,13 @@
 			c.Close()
 			return
 		}
-		works(b, c, r)
+		completeJob(b, c, r)
 	}
-	a, b := newWorker(t, "a", once), newWorker(t, "b", once)
-	n := start(t, "", a, b)
+	a, b := startWorker(t, "a", once), startWorker(t, "b", once)
+	n := startDispatcher(t, "", a, b)
 	held := make(chan int, 1)
 	go func() {
-		status, _, _ := n.do(request(n.url, "held-breaks"))
+		status, _, _ := n.send(newRequest(n.http1URL, "held-breaks"))
 		held <- status
 	}()
 	n.waitFor("the job at an endpoint", func() bool { _, x := a.count(); _, y := b.count(); return x+y == 1 })
@@ -113,15 +117,15 @@
 	retuned = strings.Replace(retuned, `"name":"price-part"`, `"name":"price-whole"`, 1)
 	retuned = strings.Replace(retuned, `"maxAttempts":4`, `"maxAttempts":1`, 1)
 	n.reload(retuned)
-	n.waitFor("the file in force", func() bool { return n.figure("reload_success") == 1 })
+	n.waitFor("the file in force", func() bool { return n.metric("reload_success") == 1 })
 	ask := func(class, key string) int {
 		t.Helper()
-		r := request(n.url, key, "Req-Kind", class)
+		r := newRequest(n.http1URL, key, "Req-Kind", class)
 		r.URL.Path = "/" + class
 		if class == "rush" {
 			r.Header.Del("Idempotency-Key")
 		}
-		status, _, _ := n.do(r)
+		status, _, _ := n.send(r)
 		return status
 	}
 	if status := ask("price-part", "dropped"); status != 404 {
@@ -139,21 +143,21 @@
 	}
 	for name, want := range map[string]int{"replies.price-part.success": 1, "replies.price-part.error": 1,
 		"replies.rush.success": 1, "replies.price-whole.error": 1} {
-		if got := n.figure(name); got != want {
+		if got := n.metric(name); got != want {
 			t.Errorf("%s=%d, want %d", name, got, want)
 		}
 	}
 	n.reload(n.config)
-	n.waitFor("the old file", func() bool { return n.figure("reload_success") == 2 })
+	n.waitFor("the old file", func() bool { return n.metric("reload_success") == 2 })
 	if status := ask("price-part", "again"); status != 200 {
 		t.Errorf("a class that came back: %d", status)
 	}
 }
 
 // Of a file that is broken in any way nothing is taken.
-func TestBrokenFiles(t *testing.T) {
+func TestReload_invalidFiles(t *testing.T) {
 	t.Parallel()
-	n := start(t, "", newWorker(t, "a", works))
+	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
 	good := strings.Replace(n.config, `"name":"price-part"`, `"name":"other"`, 1)
 	swap := func(old, new string) string {
 		if !strings.Contains(good, old) {
@@ -171,11 +175,11 @@
 		swap(`"settings":`, `"setting":`), swap(`"classes":`, `"class":`), swap(`"rules":`, `"rule":`),
 	} {
 		n.reload(text)
-		n.waitFor("a refusal", func() bool { return n.figure("reload_failure") == i+1 })
-		if status, _, _ := n.do(request(n.url, fmt.Sprint(i))); status != 200 || n.figure("reload_success") != 0 {
+		n.waitFor("a refusal", func() bool { return n.metric("reload_failure") == i+1 })
+		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(i))); status != 200 || n.metric("reload_success") != 0 {
 			t.Fatalf("after file %d, %.60q: %d", i, text, status)
 		}
 	}
 	n.reload(good)
-	n.waitFor("the good file", func() bool { return n.figure("reload_success") == 1 })
+	n.waitFor("the good file", func() bool { return n.metric("reload_success") == 1 })
 }
--- a/cmd/brassdale/replace_test.go
+++ b/cmd/brassdale/replace_test.go
@@ -14,19 +14,19 @@
 
 // The program is started again beside itself: clients find one dispatcher throughout. What waits at the listener is
 // the successor's, open jobs end where they are, kept connections end behind an answer, an id is open once.
-func TestReplace(t *testing.T) {
+func TestHandover_noRequestLost(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newWorker(t, "a", func(b *worker, c net.Conn, r *http.Request) {
+	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
 		if strings.HasPrefix(r.Header.Get("Idempotency-Key"), "held") {
 			<-release
 		}
-		works(b, c, r)
+		completeJob(b, c, r)
 	})
-	n := start(t, "", b)
+	n := startDispatcher(t, "", b)
 	kept := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	ask := func(key string) *http.Response {
-		resp, err := kept.Do(request(n.url, key))
+		resp, err := kept.Do(newRequest(n.http1URL, key))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 	if resp := ask("first"); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("before: %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	held := n.begin(b, "held")
+	held := n.sendInBackground(b, "held")
 
 	// Clients with a connection for each job, all the time.
 	stop, done := make(chan struct{}), make(chan int)
@@ -50,33 +50,33 @@
 				return
 			default:
 			}
-			if resp, err := each.Do(request(n.url, fmt.Sprint("each-", jobs))); err != nil {
+			if resp, err := each.Do(newRequest(n.http1URL, fmt.Sprint("each-", jobs))); err != nil {
 				t.Errorf("job %d: %v", jobs, err)
 			} else if resp.Body.Close(); resp.StatusCode != 200 {
 				t.Errorf("job %d: %d", jobs, resp.StatusCode)
 			}
 		}
 	}()
-	m := n.successor("")
-	if m.url != n.url {
-		t.Fatalf("serves at %s, not at %s", m.url, n.url)
+	m := n.startSuccessor("")
+	if m.http1URL != n.http1URL {
+		t.Fatalf("serves at %s, not at %s", m.http1URL, n.http1URL)
 	}
-	if status, _ := m.call("GET", "/_ready", ""); status != 200 {
+	if status, _ := m.callAdmin("GET", "/_ready", ""); status != 200 {
 		t.Errorf("ready: %d", status)
 	}
-	n.passesOn(1)
+	n.waitForHandovers(1)
 	if resp := ask("kept"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a kept connection: %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	n.stop()
+	n.terminate()
 	close(release)
 	if status := <-held; status != 200 {
 		t.Errorf("the open job: %d", status)
 	}
-	n.ends(time.Now().Add(5 * time.Second))
+	n.waitForExit(time.Now().Add(5 * time.Second))
 	m.waitFor("the end of the predecessor", func() bool { return strings.Contains(m.log(), "predecessor ended") })
-	before := m.figure("replies.price-part.success")
-	if resp := ask("last"); resp.StatusCode != 200 || m.figure("replies.price-part.success") <= before {
+	before := m.metric("replies.price-part.success")
+	if resp := ask("last"); resp.StatusCode != 200 || m.metric("replies.price-part.success") <= before {
 		t.Errorf("after: %d", resp.StatusCode)
 	}
 	close(stop)
@@ -86,87 +86,87 @@
 }
 
 // Both processes together have an id open once, whichever has it.
-func TestReplaceKeepsIDs(t *testing.T) {
+func TestHandover_requestIDsOpenOnce(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newWorker(t, "a", func(b *worker, c net.Conn, r *http.Request) { <-release; works(b, c, r) })
-	n := start(t, "", b)
+	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })
+	n := startDispatcher(t, "", b)
 	old := n.dial() // accepted there before the successor serves
-	if err := request(n.url, "old").Write(old); err != nil {
+	if err := newRequest(n.http1URL, "old").Write(old); err != nil {
 		t.Fatal(err)
 	}
 	n.waitFor("the job", func() bool { _, jobs := b.count(); return jobs == 1 })
-	m := n.successor("")
-	n.passesOn(1)
-	if status, _, _ := m.do(request(m.url, "old")); status != 409 {
+	m := n.startSuccessor("")
+	n.waitForHandovers(1)
+	if status, _, _ := m.send(newRequest(m.http1URL, "old")); status != 409 {
 		t.Errorf("an id that is open at the predecessor: %d", status)
 	}
-	next := m.begin(b, "next")
-	if status, _, _ := m.do(request(m.url, "other", "Req-Id", "id-next")); status != 409 {
+	next := m.sendInBackground(b, "next")
+	if status, _, _ := m.send(newRequest(m.http1URL, "other", "Req-Id", "id-next")); status != 409 {
 		t.Errorf("an id that is open here: %d", status)
 	}
 	close(release)
 	if status := <-next; status != 200 {
 		t.Errorf("the job: %d", status)
 	}
-	if status, _, _ := m.do(request(m.url, "again", "Req-Id", "id-next")); status != 200 {
+	if status, _, _ := m.send(newRequest(m.http1URL, "again", "Req-Id", "id-next")); status != 200 {
 		t.Errorf("an id that is free again: %d", status)
 	}
 }
 
 // A process that finds nobody, a dead one's leftovers, or one that hangs, starts alone; one whose successor dies
 // serves on and can be replaced again.
-func TestReplaceFails(t *testing.T) {
+func TestHandover_peerFailures(t *testing.T) {
 	t.Parallel()
-	n := start(t, "", newWorker(t, "a", works))
-	m := n.successor("")
-	n.passesOn(1)
-	m.cmd.Process.Kill()
+	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
+	m := n.startSuccessor("")
+	n.waitForHandovers(1)
+	m.command.Process.Kill()
 	<-m.exited
 	n.waitFor("the successor's end", func() bool { return strings.Contains(n.log(), "continuing alone") })
-	each := func(n *node, key string) {
+	each := func(n *testDispatcher, key string) {
 		t.Helper()
-		r := request(n.url, key)
+		r := newRequest(n.http1URL, key)
 		r.Close = true
-		if status, _, _ := n.do(r); status != 200 {
+		if status, _, _ := n.send(r); status != 200 {
 			t.Errorf("%s: %d", key, status)
 		}
 	}
 	each(n, "on")
-	if n.figure("replies.price-part.success") != 1 {
+	if n.metric("replies.price-part.success") != 1 {
 		t.Error("the job was not served by the process that is left")
 	}
 	n.waitFor("the name", func() bool {
-		files, _ := filepath.Glob(filepath.Join(n.tmp, "*.sock"))
+		files, _ := filepath.Glob(filepath.Join(n.tempDir, "*.sock"))
 		return len(files) == 1
 	})
-	k := n.successor("")
-	n.passesOn(2)
-	n.stop()
-	n.ends(time.Now().Add(5 * time.Second))
+	k := n.startSuccessor("")
+	n.waitForHandovers(2)
+	n.terminate()
+	n.waitForExit(time.Now().Add(5 * time.Second))
 	each(k, "second")
-	k.cmd.Process.Kill()
+	k.command.Process.Kill()
 	<-k.exited
 
-	files, _ := filepath.Glob(filepath.Join(n.tmp, "*.sock"))
+	files, _ := filepath.Glob(filepath.Join(n.tempDir, "*.sock"))
 	if len(files) != 1 {
 		t.Fatalf("leftovers: %v", files)
 	}
-	l := n.successor("")
+	l := n.startSuccessor("")
 	each(l, "alone")
-	l.cmd.Process.Kill()
+	l.command.Process.Kill()
 	<-l.exited
 
 	// It takes the connection and says nothing.
-	hung, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(n.tmp, "hung"), Net: "unix"})
+	hung, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(n.tempDir, "hung"), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer hung.Close()
-	if err := os.Rename(filepath.Join(n.tmp, "hung"), files[0]); err != nil {
+	if err := os.Rename(filepath.Join(n.tempDir, "hung"), files[0]); err != nil {
 		t.Fatal(err)
 	}
-	h := n.successor("")
+	h := n.startSuccessor("")
 	each(h, "beside a hung one")
 	if !strings.Contains(h.log(), "starting alone") {
 		t.Error("it did not notice")
@@ -174,16 +174,16 @@
 }
 
 // Where no Unix socket can be had the program starts and serves, and says once what it goes without.
-func TestWithoutUnixSockets(t *testing.T) {
+func TestHandover_withoutUnixSockets(t *testing.T) {
 	t.Parallel()
-	n := &node{t: t, registry: &registry{revision: 1, workers: []*worker{newWorker(t, "a", works)}, changed: make(chan struct{})}, exited: make(chan struct{})}
-	n.tmp = filepath.Join(t.TempDir(), strings.Repeat("far-", 30)) // past the 107 bytes of such a socket's path
-	if err := os.Mkdir(n.tmp, 0o700); err != nil {
+	n := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: []*testWorker{startWorker(t, "a", completeJob)}, changed: make(chan struct{})}, exited: make(chan struct{})}
+	n.tempDir = filepath.Join(t.TempDir(), strings.Repeat("far-", 30)) // past the 107 bytes of such a socket's path
+	if err := os.Mkdir(n.tempDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	n.startHere("", func(config string) string { return config })
+	n.start("", func(config string) string { return config })
 	for i := range 3 {
-		if status, _, _ := n.do(request(n.url, fmt.Sprint("k-", i))); status != 200 {
+		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("k-", i))); status != 200 {
 			t.Errorf("job %d: %d", i, status)
 		}
 	}
@@ -193,18 +193,18 @@
 }
 
 // A front that the successor has not is closed with the predecessor: clients would wait at its listener for nobody.
-func TestReplaceWithoutFront(t *testing.T) {
+func TestHandover_frontendRemoved(t *testing.T) {
 	t.Parallel()
-	n := start(t, operator("lines"), newWorker(t, "a", works))
-	m := n.successor("")
-	n.passesOn(1)
-	n.stop()
-	n.ends(time.Now().Add(5 * time.Second))
-	if c, err := net.Dial("tcp", strings.TrimPrefix(n.progress, "http://")); err == nil {
+	n := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", completeJob))
+	m := n.startSuccessor("")
+	n.waitForHandovers(1)
+	n.terminate()
+	n.waitForExit(time.Now().Add(5 * time.Second))
+	if c, err := net.Dial("tcp", strings.TrimPrefix(n.progressURL, "http://")); err == nil {
 		c.Close()
 		t.Error("the front that is off takes connections")
 	}
-	if status, _, _ := m.do(request(m.url, "k")); status != 200 {
+	if status, _, _ := m.send(newRequest(m.http1URL, "k")); status != 200 {
 		t.Errorf("the front that is on: %d", status)
 	}
 }
--- a/cmd/brassdale/rude_test.go
+++ b/cmd/brassdale/rude_test.go
@@ -12,42 +12,42 @@
 	"time"
 )
 
-func (n *node) dial() net.Conn {
-	n.t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
+func (d *testDispatcher) dial() net.Conn {
+	d.t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(d.http1URL, "http://"))
 	if err != nil {
-		n.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	n.t.Cleanup(func() { c.Close() })
+	d.t.Cleanup(func() { c.Close() })
 	return c
 }
 
 // asHead is a job's head with further lines.
-func asHead(id, lines string) string {
+func requestHead(id, lines string) string {
 	return "POST /price-part HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Kind: price-part\r\nIdempotency-Key: " + id + "\r\n" + lines + "\r\n"
 }
 
 // What has both lengths is refused, however its bytes come, and what stands in its body never runs; what was
 // asked before on that connection is answered. net/http alone would go by one length and say nothing.
-func TestTwoLengths(t *testing.T) {
+func TestHTTP1_conflictingLengths(t *testing.T) {
 	t.Parallel()
-	b := newWorker(t, "a", works)
-	n := start(t, "", b)
-	hidden := asHead("hidden", "Content-Length: 0\r\n")
-	good := asHead("ID", "Content-Length: 2\r\n") + "ok"
-	coded := asHead("ID", "Transfer-Encoding: chunked\r\n") + "2\r\nok\r\n0\r\n\r\n"
+	b := startWorker(t, "a", completeJob)
+	n := startDispatcher(t, "", b)
+	hidden := requestHead("hidden", "Content-Length: 0\r\n")
+	good := requestHead("ID", "Content-Length: 2\r\n") + "ok"
+	coded := requestHead("ID", "Transfer-Encoding: chunked\r\n") + "2\r\nok\r\n0\r\n\r\n"
 	for i, c := range []struct{ text, want string }{
-		{asHead("ID", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "400"},
-		{asHead("ID", "TRANSFER-encoding:chunked\r\ncontent-LENGTH:5\r\n") + "0\r\n\r\n" + hidden, "400"},
-		{strings.ReplaceAll(asHead("ID", "Transfer-Encoding: chunked\r\nX: y\r\nContent-Length: 5\r\n"), "\r\n", "\n") + "0\r\n\r\n" + hidden, "400"},
-		{strings.Replace(asHead("ID", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n"), "1.1", "1.0", 1) + hidden, "400"},
-		{asHead("ID", "Content-Length:\r\n 5\r\n") + hidden, "400"},
-		{asHead("ID", "Content-Length: 5x\r\n") + hidden, "400"},
+		{requestHead("ID", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "400"},
+		{requestHead("ID", "TRANSFER-encoding:chunked\r\ncontent-LENGTH:5\r\n") + "0\r\n\r\n" + hidden, "400"},
+		{strings.ReplaceAll(requestHead("ID", "Transfer-Encoding: chunked\r\nX: y\r\nContent-Length: 5\r\n"), "\r\n", "\n") + "0\r\n\r\n" + hidden, "400"},
+		{strings.Replace(requestHead("ID", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n"), "1.1", "1.0", 1) + hidden, "400"},
+		{requestHead("ID", "Content-Length:\r\n 5\r\n") + hidden, "400"},
+		{requestHead("ID", "Content-Length: 5x\r\n") + hidden, "400"},
 		// Seen in part only, it was taken for 0, and what its body feigned for a head hid the next one.
-		{asHead("ID", "Content-Length: "+strings.Repeat("0", 40)+"24\r\n") + "A\nContent-Length: 9999\n\n" +
-			asHead("ID-2", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "400"},
-		{asHead("ID", "Content-Length: 5\r\nContent-Length: 6\r\n") + "0\r\n\r\n" + hidden, "400"},
-		{good + asHead("ID-2", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "200 400"},
+		{requestHead("ID", "Content-Length: "+strings.Repeat("0", 40)+"24\r\n") + "A\nContent-Length: 9999\n\n" +
+			requestHead("ID-2", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "400"},
+		{requestHead("ID", "Content-Length: 5\r\nContent-Length: 6\r\n") + "0\r\n\r\n" + hidden, "400"},
+		{good + requestHead("ID-2", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "200 400"},
 		{good + good, "200 200"},
 		{coded + hidden, "200"}, // nothing is read behind it, so nothing of it can be misread
 		{strings.Replace(good, "1.1\r\n", "1.0\r\nConnection: keep-alive\r\n", 1) + hidden, "200"},
@@ -88,9 +88,9 @@
 
 // Clients that never finish a request, far more of them than there is room for: each gets an error or a close
 // inside 3 s, the descriptors hold out, and a client that means it is served on.
-func TestSilentClients(t *testing.T) {
+func TestHTTP1_silentClients(t *testing.T) {
 	t.Parallel()
-	n := start(t, "", newWorker(t, "a", works))
+	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
 	var all sync.WaitGroup
 	for i := range 800 {
 		c := n.dial()
@@ -99,7 +99,7 @@
 		case 1:
 			io.WriteString(c, "POST /price-part HTTP/1.1\r\nReq-")
 		case 2:
-			io.WriteString(c, asHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
+			io.WriteString(c, requestHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
 		case 3:
 			io.WriteString(c, "POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: 60000000\r\n\r\n")
 		}
@@ -111,7 +111,7 @@
 			}
 		})
 		if i%40 == 0 {
-			if status, _, _ := n.do(request(n.url, fmt.Sprint(i))); status != 200 {
+			if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(i))); status != 200 {
 				t.Errorf("among %d silent clients: %d", i, status)
 			}
 		}
@@ -123,46 +123,46 @@
 }
 
 // An id is of one open request: a second one under it is turned away, and the first is served.
-func TestIDOfAnother(t *testing.T) {
+func TestRequestID_alreadyOpen(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := newWorker(t, "a", func(b *worker, c net.Conn, r *http.Request) { <-release; works(b, c, r) })
-	n := start(t, "", b)
-	answered := n.begin(b, "k")
-	if status, _, _ := n.do(request(n.url, "other", "Req-Id", "id-k")); status != 409 {
+	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })
+	n := startDispatcher(t, "", b)
+	answered := n.sendInBackground(b, "k")
+	if status, _, _ := n.send(newRequest(n.http1URL, "other", "Req-Id", "id-k")); status != 409 {
 		t.Errorf("the id of an open request: %d", status)
 	}
 	close(release)
 	if status := <-answered; status != 200 {
 		t.Errorf("the request whose id it was: %d", status)
 	}
-	if status, _, _ := n.do(request(n.url, "later", "Req-Id", "id-k")); status != 200 {
+	if status, _, _ := n.send(newRequest(n.http1URL, "later", "Req-Id", "id-k")); status != 200 {
 		t.Errorf("the id of a request that is over: %d", status)
 	}
 }
 
 // Bodies are small one by one; one on every connection would be more than the memory. Past their part a request is
 // refused with advice, and once they are gone all is served again.
-func TestRoomForBodies(t *testing.T) {
+func TestHTTP1_bodyMemoryLimit(t *testing.T) {
 	t.Parallel()
-	n := start(t, "", newWorker(t, "a", works))
+	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
 	for i := range 400 { // 25 MB of 192: they send all but the last byte
 		c := n.dial()
-		io.WriteString(c, asHead(fmt.Sprint("big-", i), "Content-Length: 65536\r\n")+strings.Repeat("x", 65535))
+		io.WriteString(c, requestHead(fmt.Sprint("big-", i), "Content-Length: 65536\r\n")+strings.Repeat("x", 65535))
 	}
 	n.waitFor("a refusal", func() bool { return strings.Contains(n.log(), "body memory limit") })
-	large := request(n.url, "k")
+	large := newRequest(n.http1URL, "k")
 	large.Body, large.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<16))), 1<<16
-	status, _, after := n.do(large)
+	status, _, after := n.send(large)
 	if status != 503 || after == "" {
 		t.Errorf("past the room: %d, Retry-After %q", status, after)
 	}
 	i := 0
 	n.waitFor("room again", func() bool {
 		i++
-		again := request(n.url, fmt.Sprint("k-", i))
+		again := newRequest(n.http1URL, fmt.Sprint("k-", i))
 		again.Body, again.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<16))), 1<<16
-		status, _, _ := n.do(again)
+		status, _, _ := n.send(again)
 		return status == 200
 	})
 }
@@ -170,11 +170,11 @@
 // With few descriptors, a client that takes 1.9 s to write its job is served among crowds that connect and say
 // nothing, that ask once and stay, and that stop half way; so is one that has just come. A head once had 1.5 s, and
 // whoever had waited the longest went first, whether anything came of it or not.
-func TestSlowAmongCrowds(t *testing.T) {
+func TestHTTP1_slowClientAmongMany(t *testing.T) {
 	t.Parallel()
-	n := startWith(t, "", func(config string) string { return strings.Replace(config, `"sockets":1024`, `"sockets":128`, 1) },
-		newWorker(t, "a", works))
-	text := asHead("slow", "Content-Length: 4\r\n") + "slow"
+	n := startDispatcherWith(t, "", func(config string) string { return strings.Replace(config, `"sockets":1024`, `"sockets":128`, 1) },
+		startWorker(t, "a", completeJob))
+	text := requestHead("slow", "Content-Length: 4\r\n") + "slow"
 	slow, begin, sent, halves := n.dial(), time.Now(), 10, 0
 	io.WriteString(slow, text[:sent])
 	for i := 0; time.Since(begin) < 1900*time.Millisecond; i++ {
@@ -191,13 +191,13 @@
 		case 2:
 			if halves < 15 { // they hold their places until they are due
 				halves++
-				io.WriteString(c, asHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
+				io.WriteString(c, requestHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
 			}
 		}
 		if i%20 == 0 {
-			r := request(n.url, fmt.Sprint(i))
+			r := newRequest(n.http1URL, fmt.Sprint(i))
 			r.Close = true
-			if status, _, _ := n.do(r); status != 200 {
+			if status, _, _ := n.send(r); status != 200 {
 				t.Errorf("one that has just come: %d", status)
 			}
 		}
--- a/cmd/brassdale/sites_test.go
+++ b/cmd/brassdale/sites_test.go
@@ -12,7 +12,7 @@
 )
 
 // customer is what a deployment's file tells that reaches a dispatcher as settings. A range stands for a draw from it.
-type customer struct {
+type deploymentFile struct {
 	Name  string
 	Net   struct{ Zones []string }
 	Allow struct {
@@ -65,7 +65,7 @@
 	}
 }
 
-func readSite(t *testing.T, file string) (s customer) {
+func readDeployment(t *testing.T, file string) (s deploymentFile) {
 	t.Helper()
 	if _, err := toml.DecodeFile(file, &s); err != nil {
 		t.Fatal(err)
@@ -74,33 +74,33 @@
 }
 
 // settings gives them as the platform's file has them.
-func (s customer) settings(t *testing.T) string {
+func (f deploymentFile) settingsJSON(t *testing.T) string {
 	t.Helper()
 	type object = map[string]any
-	kind, tier := s.Tier[0].Kind[0], s.Tier[0]
+	kind, tier := f.Tier[0].Kind[0], f.Tier[0]
 	var classes, orgs []object
 	var stretch []float64
-	for i, c := range s.Class {
+	for i, c := range f.Class {
 		class := object{"name": c.Name, "effect": c.Effect, "aim": c.AimMS * 1000, "deadline": c.DeadlineMS * 1000,
 			"credit": c.Worth, "lateWorth": c.LateWorth, "stream": false}
 		if c.Effect == "keyed" {
 			class["dedupScope"], class["window"] = c.Group, c.WindowMS*1000
 		}
-		classes, stretch = append(classes, class), append(stretch, s.Fam.Class[min(i, len(s.Fam.Class)-1)].Stretch)
+		classes, stretch = append(classes, class), append(stretch, f.Fam.Class[min(i, len(f.Fam.Class)-1)].Stretch)
 	}
-	for _, o := range s.Tenant {
+	for _, o := range f.Tenant {
 		orgs = append(orgs, object{"name": o.Name, "fraction": o.Share, "quotaPerS": 100 * o.Share})
 	}
 	via := map[string]string{"answers": "piggyback", "probe": "pull"}[tier.Report.How]
-	text, err := json.Marshal(object{"classes": classes, "orgs": orgs, "discovery": s.Discovery.Mode, "flavors": []string{kind.Name},
-		"zones": s.Net.Zones, "layers": []string{tier.Name}, "replicasOfMe": 1, "ordinal": 0, "locality": 0,
-		"familyInfo": object{"classStretch": stretch, "tellsStart": s.Fam.TellsStart, "progress": s.Fam.ProgressS * 1e6},
-		"limits": object{"cancel": s.Allow.Cancel, "probing": s.Allow.Probes, "mayDuplicate": s.Allow.SecondCopies,
-			"retryAfter": s.Allow.RetryAfter, "maxAttempts": s.Allow.MaxAttempts, "maxRetryAfter": s.Clients.MaxRetryAfterMS * 1000,
+	text, err := json.Marshal(object{"classes": classes, "orgs": orgs, "discovery": f.Discovery.Mode, "flavors": []string{kind.Name},
+		"zones": f.Net.Zones, "layers": []string{tier.Name}, "replicasOfMe": 1, "ordinal": 0, "locality": 0,
+		"familyInfo": object{"classStretch": stretch, "tellsStart": f.Fam.TellsStart, "progress": f.Fam.ProgressS * 1e6},
+		"limits": object{"cancel": f.Allow.Cancel, "probing": f.Allow.Probes, "mayDuplicate": f.Allow.SecondCopies,
+			"retryAfter": f.Allow.RetryAfter, "maxAttempts": f.Allow.MaxAttempts, "maxRetryAfter": f.Clients.MaxRetryAfterMS * 1000,
 			"connIdle": tier.Conn.IdleS * 1e6, "connectTimeout": tier.Conn.ConnectTimeoutMS * 1000},
 		"loadReport": object{"columns": tier.Report.Fields, "via": via},
 		"rules": object{"answerSlack": 8000, "askWithin": 10000000, "cold": kind.ColdS[1] * 1e6, "startCapacity": kind.ColdFrom[0],
-			"drainGrace": s.Rules.DrainGraceMS * 1000, "fall": s.Rules.FallMS * 1000, "tipMultiple": s.Rules.FallMultiple}})
+			"drainGrace": f.Rules.DrainGraceMS * 1000, "fall": f.Rules.FallMS * 1000, "tipMultiple": f.Rules.FallMultiple}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 
 // The program serves customers whose settings have nothing of one another: names, classes, effects, limits, lists that are
 // pushed or asked for. Each class is served, under its own effect's rules; the classes of another customer are unknown.
-func TestOtherCustomers(t *testing.T) {
+func TestDeployments_served(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
@@ -117,20 +117,20 @@
 	}
 	modes := map[string]bool{}
 	for _, file := range files {
-		s := readSite(t, file)
+		s := readDeployment(t, file)
 		modes[s.Discovery.Mode] = true
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			of := s.settings(t)
-			b, c := newWorker(t, "a", works), newWorker(t, "b", works)
-			n := startWith(t, "", func(config string) string { return strings.Replace(config, settings, of, 1) }, b, c)
+			of := s.settingsJSON(t)
+			b, c := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+			n := startDispatcherWith(t, "", func(config string) string { return strings.Replace(config, settingsJSON, of, 1) }, b, c)
 			unsafe := 0
 			for i, class := range s.Class {
 				ask := func(id, key string) int {
-					r := request(n.url, id, "Req-Kind", class.Name, "Req-Owner", s.Tenant[i%len(s.Tenant)].Name, "Idempotency-Key", key,
+					r := newRequest(n.http1URL, id, "Req-Kind", class.Name, "Req-Owner", s.Tenant[i%len(s.Tenant)].Name, "Idempotency-Key", key,
 						"Req-Deadline-Ms", fmt.Sprint(class.DeadlineMS))
 					r.URL.Path = "/" + class.Name
-					status, body, _ := n.do(r)
+					status, body, _ := n.send(r)
 					if status == 200 && body != "priced" {
 						t.Errorf("%s: %q", class.Name, body)
 					}
@@ -152,7 +152,7 @@
 			if unsafe == 0 {
 				t.Error("no class that must not be repeated")
 			}
-			if status, _, _ := n.do(request(n.url, "foreign")); status != 404 {
+			if status, _, _ := n.send(newRequest(n.http1URL, "foreign")); status != 404 {
 				t.Errorf("a class of another customer: %d", status)
 			}
 		})
@@ -163,7 +163,7 @@
 }
 
 // What reaches the platform, program and deploy file, names no customer's classes, tenants, kinds or zones.
-func TestNoCustomerIsNamed(t *testing.T) {
+func TestSources_nameNoCustomer(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -171,7 +171,7 @@
 	names := []string{"price-part", "llanelli", "costing-workers", "deeside-aero", "credit-lookup", "statement-build", "payment-post",
 		"lakes-billing", "amman", "bulk-order", "stock-check"}
 	for _, file := range files {
-		s := readSite(t, file)
+		s := readDeployment(t, file)
 		names = append(names, s.Name, s.Tier[0].Name)
 		for _, c := range s.Class {
 			names = append(names, c.Name)
--- a/cmd/brassdale/tls_test.go
+++ b/cmd/brassdale/tls_test.go
@@ -21,38 +21,38 @@
 )
 
 // authority signs certificates for the tests.
-type authority struct {
-	t    *testing.T
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	pem  []byte
+type certificateAuthority struct {
+	t           *testing.T
+	certificate *x509.Certificate
+	key         *ecdsa.PrivateKey
+	pem         []byte
 }
 
-func newAuthority(t *testing.T) *authority {
-	a := &authority{t: t}
-	a.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "ca"}, IsCA: true, BasicConstraintsValid: true,
+func newCertificateAuthority(t *testing.T) *certificateAuthority {
+	a := &certificateAuthority{t: t}
+	a.certificate = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "ca"}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(1000 * time.Hour), KeyUsage: x509.KeyUsageCertSign}
 	a.key = must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
-	der := must(x509.CreateCertificate(rand.Reader, a.cert, a.cert, a.key.Public(), a.key))
-	a.cert = must(x509.ParseCertificate(der))
+	der := must(x509.CreateCertificate(rand.Reader, a.certificate, a.certificate, a.key.Public(), a.key))
+	a.certificate = must(x509.ParseCertificate(der))
 	a.pem = pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 	return a
 }
 
 // sign gives a certificate and its key for a name.
-func (a *authority) sign(name string, ends time.Duration) (cert, key []byte) {
+func (a *certificateAuthority) sign(name string, ends time.Duration) (cert, key []byte) {
 	k := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 	der := must(x509.CreateCertificate(rand.Reader, &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), DNSNames: []string{name},
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(ends),
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}, a.cert, k.Public(), a.key))
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}, a.certificate, k.Public(), a.key))
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
 		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: must(x509.MarshalECPrivateKey(k))})
 }
 
 // client gives a client with a certificate of its name; "" for none.
-func (a *authority) client(name string) *http.Client {
+func (a *certificateAuthority) newClient(name string) *http.Client {
 	config := &tls.Config{RootCAs: x509.NewCertPool()}
-	config.RootCAs.AddCert(a.cert)
+	config.RootCAs.AddCert(a.certificate)
 	if name != "" {
 		config.Certificates = []tls.Certificate{must(tls.X509KeyPair(a.sign(name, time.Hour)))}
 	}
@@ -62,16 +62,16 @@
 	return &http.Client{Transport: transport}
 }
 
-func (n *node) over(client *http.Client, key, account string) int {
-	url := strings.Replace(n.h2, "http://", "https://", 1)
-	status, _, _ := ask(client, request(url, key, "Req-Owner", account))
+func (d *testDispatcher) sendTLS(client *http.Client, key, account string) int {
+	url := strings.Replace(d.http2URL, "http://", "https://", 1)
+	status, _, _ := trySend(client, newRequest(url, key, "Req-Owner", account))
 	return status
 }
 
 // Clients show certificates, which stand for accounts; all files are replaced while the program runs, whole or not at all.
-func TestTLS(t *testing.T) {
+func TestTLS_clientCertificatesAndReload(t *testing.T) {
 	t.Parallel()
-	ca, dir := newAuthority(t), t.TempDir()
+	ca, dir := newCertificateAuthority(t), t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
 	write := func(name string, text []byte) {
 		if err := os.WriteFile(at(name), text, 0o600); err != nil {
@@ -97,38 +97,38 @@
 }
 `, at("server.pem"), at("server.key"), at("clients.pem"), accounts)
 	}
-	b := newWorker(t, "a", works)
-	n := start(t, block(`"gwent-pumps"`), b)
-	gwent := ca.client("gwent.example")
-	if status := n.over(gwent, "k", "gwent-pumps"); status != 200 {
+	b := startWorker(t, "a", completeJob)
+	n := startDispatcher(t, block(`"gwent-pumps"`), b)
+	gwent := ca.newClient("gwent.example")
+	if status := n.sendTLS(gwent, "k", "gwent-pumps"); status != 200 {
 		t.Errorf("a job of its own: %d", status)
 	}
-	if status := n.over(gwent, "foreign", "taff-marine"); status != 403 {
+	if status := n.sendTLS(gwent, "foreign", "taff-marine"); status != 403 {
 		t.Errorf("a job of another account: %d", status)
 	}
-	if status := n.over(ca.client("taff.example"), "unknown", "gwent-pumps"); status != 403 {
+	if status := n.sendTLS(ca.newClient("taff.example"), "unknown", "gwent-pumps"); status != 403 {
 		t.Errorf("a certificate that is granted nothing: %d", status)
 	}
-	if status := n.over(ca.client(""), "none", "gwent-pumps"); status != 0 {
+	if status := n.sendTLS(ca.newClient(""), "none", "gwent-pumps"); status != 0 {
 		t.Errorf("no certificate: %d", status)
 	}
-	if status := n.over(newAuthority(t).client("gwent.example"), "false", "gwent-pumps"); status != 0 {
+	if status := n.sendTLS(newCertificateAuthority(t).newClient("gwent.example"), "false", "gwent-pumps"); status != 0 {
 		t.Errorf("a certificate of nobody's: %d", status)
 	}
-	if b.ran("foreign")+b.ran("unknown")+b.ran("none")+b.ran("false") != 0 {
+	if b.runsOf("foreign")+b.runsOf("unknown")+b.runsOf("none")+b.runsOf("false") != 0 {
 		t.Error("a job that nobody may hand in was started")
 	}
-	if got := n.figure("front.http2.forbidden"); got != 2 {
+	if got := n.metric("front.http2.forbidden"); got != 2 {
 		t.Errorf("%d forbidden", got)
 	}
-	if days := n.figure("front.http2.certificate_days"); days != 29 {
+	if days := n.metric("front.http2.certificate_days"); days != 29 {
 		t.Errorf("the certificate ends in %d days", days)
 	}
 	// In clear, with another protocol, or with HTTP/1.1 over TLS: closed, not answered.
-	if status, _, _ := ask(h2Client(t), request(n.h2, "clear")); status != 0 {
+	if status, _, _ := trySend(newHTTP2Client(t), newRequest(n.http2URL, "clear")); status != 0 {
 		t.Errorf("in clear: %d", status)
 	}
-	if c, err := tls.Dial("tcp", strings.TrimPrefix(n.h2, "http://"), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"http/1.1"}}); err == nil {
+	if c, err := tls.Dial("tcp", strings.TrimPrefix(n.http2URL, "http://"), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"http/1.1"}}); err == nil {
 		if _, err := c.Read(make([]byte, 1)); err == nil {
 			t.Error("speaks HTTP/1.1")
 		}
@@ -137,14 +137,14 @@
 
 	reload := func(taken, refused int) {
 		t.Helper()
-		n.cmd.Process.Signal(syscall.SIGHUP)
+		n.command.Process.Signal(syscall.SIGHUP)
 		n.waitFor("the reload", func() bool {
-			return n.figure("reload_success") == taken && n.figure("reload_failure") == refused
+			return n.metric("reload_success") == taken && n.metric("reload_failure") == refused
 		})
 	}
 	// A broken certificate, and a key that others may read: all stays as it was, also what was good in the new file.
 	write("server.pem", []byte("broken"))
-	n.write(n.operator, block(`"taff-marine"`))
+	n.writeFile(n.operatorPath, block(`"taff-marine"`))
 	reload(0, 1)
 	write("server.pem", cert)
 	if err := os.Chmod(at("server.key"), 0o640); err != nil {
@@ -154,7 +154,7 @@
 	if !strings.Contains(n.log(), "operator.hcl:") || !strings.Contains(n.log(), "others may read it") {
 		t.Error("the log does not say what is wrong and where")
 	}
-	if status := n.over(ca.client("gwent.example"), "after", "gwent-pumps"); status != 200 {
+	if status := n.sendTLS(ca.newClient("gwent.example"), "after", "gwent-pumps"); status != 200 {
 		t.Errorf("after refused reloads: %d", status)
 	}
 	// A new one that ends soon, and a new grant.
@@ -167,13 +167,13 @@
 	write("server.key", key)
 	reload(1, 2)
 	n.waitFor("the warning", func() bool { return strings.Count(n.log(), "certificate expires") == 1 })
-	if days := n.figure("front.http2.certificate_days"); days != 2 {
+	if days := n.metric("front.http2.certificate_days"); days != 2 {
 		t.Errorf("the new certificate ends in %d days", days)
 	}
-	if status := n.over(gwent, "granted", "taff-marine"); status != 200 { // on its old connection too
+	if status := n.sendTLS(gwent, "granted", "taff-marine"); status != 200 { // on its old connection too
 		t.Errorf("a new grant: %d", status)
 	}
-	if status := n.over(gwent, "taken away", "gwent-pumps"); status != 403 {
+	if status := n.sendTLS(gwent, "taken away", "gwent-pumps"); status != 403 {
 		t.Errorf("an old grant: %d", status)
 	}
 }
--- a/cmd/brassdale/unfinished_test.go
+++ b/cmd/brassdale/unfinished_test.go
@@ -12,17 +12,17 @@
 // A process had been told to end. A client wrote its request in pieces, and wrote the last byte 76 ms behind the end of the process
 // ("shutdown complete" open_requests=0): its connection had been closed with no answer. A request that is half here when the
 // process ends is refused with a whole answer, so that its client knows that nothing ran, and the last byte is nobody's.
-func TestUnfinishedRequestIsRefusedAtTheEnd(t *testing.T) {
+func TestShutdown_rejectsUnfinishedRequests(t *testing.T) {
 	t.Parallel()
-	b := newWorker(t, "a", works)
-	n := startWith(t, "", func(config string) string {
+	b := startWorker(t, "a", completeJob)
+	n := startDispatcherWith(t, "", func(config string) string {
 		return strings.Replace(config, `"deadline":5000000`, `"deadline":600000`, 1)
 	}, b)
 	for _, part := range []int{10, -1} { // in its head, and before its last byte
 		c := n.dial()
 		defer c.Close()
 		var text bytes.Buffer
-		request(n.url, "half", "Req-Deadline-Ms", "600").Write(&text)
+		newRequest(n.http1URL, "half", "Req-Deadline-Ms", "600").Write(&text)
 		if part < 0 {
 			part += text.Len()
 		}
@@ -47,8 +47,8 @@
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
-	n.stop()
-	n.ends(time.Now().Add(1300 * time.Millisecond))
+	n.terminate()
+	n.waitForExit(time.Now().Add(1300 * time.Millisecond))
 	if _, jobs := b.count(); jobs != 0 {
 		t.Errorf("%d jobs reached the worker", jobs)
 	}
