--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -188,3 +188,18 @@
 		}
 	}
 }
+
+// What counts as refused at the platform without being a refusal is counted at the door: a job that failed and was never sent
+// on, and a connection that was closed with nothing written.
+func TestMetrics_unansweredConnections(t *testing.T) {
+	t.Parallel()
+	n := startDispatcherWith(t, "", func(c string) string { return strings.Replace(c, `"sockets":1024`, `"sockets":128`, 1) })
+	if got, also := n.metric("failed_unsent"), n.metric("connections_unanswered"); got != 0 || also != 0 {
+		t.Errorf("at first %d, %d", got, also)
+	}
+	n.dial().Close()
+	for range 100 { // more than may be held: some are closed again
+		n.dial()
+	}
+	n.waitFor("closed connections in the figures", func() bool { return n.metric("connections_unanswered") > 0 })
+}
--- a/cmd/brassdale/deadline_test.go
+++ b/cmd/brassdale/deadline_test.go
@@ -3,9 +3,11 @@
 import (
 	"bufio"
 	"bytes"
+	"io"
 	"net"
 	"net/http"
 	"strconv"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -96,3 +98,36 @@
 		t.Errorf("answered %v behind its sending, 1.2 s were given", took)
 	}
 }
+
+// An endpoint that takes a job and says nothing: the answer still comes inside deadline and slack.
+func TestDeadline_silentWorker(t *testing.T) {
+	t.Parallel()
+	n := startDispatcher(t, "", startWorker(t, "a", respondThenStall()))
+	begin := time.Now()
+	status, _, _ := n.send(newRequest(n.http1URL, "k", "Req-Deadline-Ms", "500"))
+	if took := time.Since(begin); status != 504 || took < 450*time.Millisecond || took > 1500*time.Millisecond {
+		t.Errorf("answered %d after %v", status, took)
+	}
+}
+
+// A job that no endpoint has begun is given up once its answer can be worth nothing, long before its deadline: it only
+// holds up others in its endpoint's queue, for which it is closed.
+func TestDeadline_lateAnswerWithoutWeight(t *testing.T) {
+	t.Parallel()
+	gone := make(chan struct{})
+	n := startDispatcherWith(t, "", withoutLateWeight, startWorker(t, "a", func(_ *testWorker, c net.Conn, _ *http.Request) {
+		io.Copy(io.Discard, c)
+		close(gone)
+	}))
+	begin := time.Now()
+	status, _, _ := n.send(newRequest(n.http1URL, "k"))
+	if took := time.Since(begin); status != 502 || took > 4*time.Second {
+		t.Errorf("answered %d after %v", status, took)
+	}
+	<-gone
+}
+
+// lateIsWorthless has a late answer count for nothing.
+func withoutLateWeight(config string) string {
+	return strings.Replace(config, `"lateWorth":0.1`, `"lateWorth":0`, 1)
+}
--- /dev/null
+++ b/cmd/brassdale/discovery_test.go
@@ -0,0 +1,192 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Nothing new goes to an endpoint that the watch told to be leaving; a failing discovery changes nothing.
+func TestDiscovery_drainAndFailedCalls(t *testing.T) {
+	t.Parallel()
+	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+	n := startDispatcher(t, "", a, b)
+	g := n.discovery
+	asked := func(revision int) func() bool {
+		return func() bool {
+			g.mu.Lock()
+			defer g.mu.Unlock()
+			return len(g.polledRevisions) > 0 && g.polledRevisions[len(g.polledRevisions)-1] == revision
+		}
+	}
+	n.waitFor("a watch", asked(1))
+	g.update(func() { a.phase = "leaving" })
+	n.waitFor("the next watch", asked(2))
+	_, before := a.count()
+	for i := range 6 {
+		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(i))); status != 200 {
+			t.Errorf("job %d: %d", i, status)
+		}
+	}
+	if _, jobs := a.count(); jobs != before {
+		t.Errorf("%d jobs went to an endpoint that leaves", jobs-before)
+	}
+	g.update(func() { g.failing, a.phase = true, "active" })
+	n.waitFor("a failed call", func() bool { return strings.Contains(n.log(), "discovery call failed") })
+	if status, _, _ := n.send(newRequest(n.http1URL, "x")); status != 200 {
+		t.Errorf("while discovery is down: %d", status)
+	}
+	g.update(func() { g.failing = false })
+	n.waitFor("the list after the failure", func() bool { return strings.Contains(n.log(), "revision=4") })
+}
+
+// A watch that hangs is given up soon enough: what discovery has to tell counts as told 2 s after the wait that was
+// asked for, and nothing may go to an endpoint that leaves 500 ms after that. It once took 2.6 s and longer.
+func TestDiscovery_hangingWatch(t *testing.T) {
+	t.Parallel()
+	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+	n := startDispatcher(t, "", a, b)
+	g := n.discovery
+	asked := func() int { g.mu.Lock(); defer g.mu.Unlock(); return len(g.polledRevisions) }
+	n.waitFor("a watch", func() bool { return asked() > 0 })
+	g.update(func() { g.hanging = true })
+	calls := asked()
+	begin := time.Now() // the call that hangs was made before
+	g.update(func() { a.phase = "leaving" })
+	n.waitFor("a further call", func() bool { return asked() > calls })
+	g.update(func() { g.hanging = false })
+	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "revision=4") })
+	if took := time.Since(begin); took > 4500*time.Millisecond {
+		t.Errorf("the list came after %v", took)
+	}
+}
+
+// A watch that has fallen silent from the first second on, as one of three hundred dispatchers sees it: what drains right
+// after it began is told within six seconds, whatever the chance drawn, and gets nothing later.
+func TestDiscovery_watchSilentFromStart(t *testing.T) {
+	t.Parallel()
+	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+	n := startDispatcherWith(t, "", func(c string) string {
+		return strings.Replace(c, `"replicasOfMe":1`, `"replicasOfMe":300`, 1)
+	}, a, b)
+	g := n.discovery
+	n.waitFor("a watch", func() bool {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		return len(g.pollWaits) > 0 && g.pollWaits[len(g.pollWaits)-1] > 0
+	})
+	g.mu.Lock()
+	g.silentCalls = len(g.polledRevisions) // all that are open hang for ever
+	g.mu.Unlock()
+	begin := time.Now()
+	g.update(func() { a.phase = "leaving" })
+	n.waitFor("the drain told", func() bool { return strings.Contains(n.log(), "revision=2") })
+	if took := time.Since(begin); took > 6*time.Second {
+		t.Errorf("told after %v", took)
+	}
+}
+
+// While discovery is down idle clients open more connections than there are descriptors. Room that is kept for discovery,
+// workers and the operators' door stays free: the door answers, a job that is out is not lost, further ones are served, and
+// when discovery is back its list is read.
+func TestDiscovery_downWhileDescriptorsAreExhausted(t *testing.T) {
+	t.Parallel()
+	const sockets = 128
+	release := make(chan struct{})
+	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
+		if r.Header.Get("Idempotency-Key") == "out" {
+			<-release
+		}
+		completeJob(b, c, r)
+	})
+	n := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: []*testWorker{b}, changed: make(chan struct{})}, exited: make(chan struct{}), descriptorLimit: sockets}
+	n.start("", func(c string) string {
+		return strings.Replace(c, `"sockets":1024`, fmt.Sprint(`"sockets":`, sockets), 1)
+	})
+	out := n.sendInBackground(b, "out")
+	n.discovery.update(func() { n.discovery.failing = true })
+	n.waitFor("a failed call", func() bool { return strings.Contains(n.log(), "discovery call failed") })
+	for range 3 * sockets {
+		n.dial()
+	}
+	n.waitFor("evicted client connections", func() bool { return strings.Contains(n.log(), "client connections evicted") })
+	if got := n.metric("concurrent"); got != 1 {
+		t.Errorf("at the door: %d jobs open", got)
+	}
+	if status, _, _ := n.send(newRequest(n.http1URL, "further")); status != 200 {
+		t.Errorf("a further job: %d", status)
+	}
+	n.discovery.update(func() { n.discovery.failing = false })
+	begin := time.Now()
+	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "discovery recovered") })
+	if took := time.Since(begin); took > 2*time.Second {
+		t.Errorf("the list was read %v behind discovery's return", took)
+	}
+	close(release)
+	if status := <-out; status != 200 {
+		t.Errorf("the job that was out: %d", status)
+	}
+	if strings.Contains(n.log(), "too many open files") {
+		t.Error("out of descriptors")
+	}
+}
+
+// A list with a fault is refused as a whole: the old one holds, at 60 lines and at 5,000, jobs go on, and the fault is
+// logged once however often it comes. A good list then is in force at once.
+func TestDiscovery_invalidLists(t *testing.T) {
+	t.Parallel()
+	line := func(i int, rest string) string {
+		return fmt.Sprintf(`{"id":"ghost-%d","host_port":"127.0.0.1:1","locality":"llanelli","flavor":"new-worker","cell":1,"size":1.0,"up_since_ms":0,%s}`, i, rest)
+	}
+	list := func(n int, last string) string {
+		var lines []string
+		for i := range n - 1 {
+			lines = append(lines, line(i, `"phase":"active"`))
+		}
+		return fmt.Sprintf(`{"revision":99,"complete":true,"members":[%s]}`, strings.Join(append(lines, last), ","))
+	}
+	for name, broken := range map[string]func(string) string{
+		"a phase that is none": func(string) string { return list(60, line(59, `"phase":"resting"`)) },
+		"no address":           func(string) string { return list(60, `{"id":"x","phase":"active"}`) },
+		"a member twice":       func(string) string { return list(60, line(7, `"phase":"active"`)) },
+		"twice in 5,000":       func(string) string { return list(5000, line(7, `"phase":"leaving"`)) },
+		"no number":            func(string) string { return list(5000, `{"id":"x","host_port":"h:1","phase":"active","size":"big"}`) },
+		"half a list":          func(good string) string { return good[:len(good)/2] },
+		"nothing":              func(string) string { return "" },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+			n := startDispatcher(t, "", a)
+			n.discovery.update(func() { n.discovery.workers, n.discovery.corrupt = []*testWorker{b}, broken })
+			asked := func() int {
+				n.discovery.mu.Lock()
+				defer n.discovery.mu.Unlock()
+				return len(n.discovery.polledRevisions)
+			}
+			for i, before := 0, asked(); asked() < before+3; i++ {
+				if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("k-", i))); status != 200 {
+					t.Fatalf("job %d: %d", i, status)
+				}
+			}
+			n.waitFor("the fault", func() bool { return strings.Contains(n.log(), "discovery call failed") })
+			if times := strings.Count(n.log(), "discovery call failed"); times != 1 {
+				t.Errorf("logged %d times", times)
+			}
+			if _, jobs := b.count(); jobs > 0 {
+				t.Error("a job went to a member of the faulty list")
+			}
+			n.discovery.update(func() { n.discovery.corrupt = nil })
+			n.waitFor("the good list", func() bool { return strings.Contains(n.log(), "discovery recovered") })
+			if status, _, _ := n.send(newRequest(n.http1URL, "after")); status != 200 {
+				t.Errorf("after the good list: %d", status)
+			}
+			if _, jobs := b.count(); jobs != 1 {
+				t.Errorf("%d jobs at the member of the good list", jobs)
+			}
+		})
+	}
+}
--- a/cmd/brassdale/fleet_voters_test.go
+++ b/cmd/brassdale/fleet_agreement_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -13,121 +12,6 @@
 	"brassdale/internal/faults"
 )
 
-// allied are dispatchers of one fleet, each a process with workers' list and files of its own.
-type testFleet struct {
-	t             *testing.T
-	dispatchers   []*testDispatcher
-	addresses     []string // their councils' addresses
-	directories   []string
-	workers       []*testWorker
-	absences      map[int][]faults.Absence // when a process stood still or was gone
-	voters        int
-	extraSettings func(i int) string // that a dispatcher's block says beside the usual
-}
-
-// ally starts a fleet. Addresses are of this test alone: each voter has to know the others' before they listen.
-func startFleet(t *testing.T, net4, voters, followers int) *testFleet {
-	t.Helper()
-	return startFleetWith(t, net4, voters, followers, func(int) string { return "" })
-}
-
-func startFleetWith(t *testing.T, net4, voters, followers int, more func(int) string) *testFleet {
-	t.Helper()
-	f := &testFleet{t: t, voters: voters, extraSettings: more, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
-	for i := range voters + followers {
-		l := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", net4, i+1)))
-		f.addresses = append(f.addresses, l.Addr().String())
-		l.Close()
-		f.directories = append(f.directories, t.TempDir())
-	}
-	for i := range f.addresses {
-		f.dispatchers = append(f.dispatchers, startDispatcherWith(t, f.operatorFile(i), func(c string) string {
-			return strings.Replace(c, `"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, i), 1)
-		}, f.workers...))
-	}
-	return f
-}
-
-func (f *testFleet) operatorFile(i int) string {
-	seat := 0
-	if i < f.voters {
-		seat = i + 1
-	}
-	return fmt.Sprintf("council {\n fleet = \"t\"\n listen = %q\n voters = [\"%s\"]\n seat = %d\n directory = %q\n bound = \"1s\"\n%s}\n", f.addresses[i],
-		strings.Join(f.addresses[:f.voters], `", "`), seat, f.directories[i], f.extraSettings(i))
-}
-
-// propose announces rules at some dispatcher, again where the leader is being changed.
-func (f *testFleet) propose(rules string, at int) {
-	f.t.Helper()
-	path := filepath.Join(f.t.TempDir(), "rules.hcl")
-	if err := os.WriteFile(path, []byte(rules), 0o600); err != nil {
-		f.t.Fatal(err)
-	}
-	f.dispatchers[at].waitFor("a proposal taken", func() bool {
-		code, out, errs := runCommand(f.t, "fleet", "propose", path, "--why", "test", "--address", f.addresses[at])
-		return code == 0 && strings.Contains(out, "announced") || strings.Contains(errs, "under way")
-	})
-}
-
-// stands are what the process said that it acts on.
-func (f *testFleet) effectiveStates(i int) []faults.EffectiveState {
-	return faults.EffectiveStates(f.dispatchers[i].log(), time.Now(), f.absences[i])
-}
-
-// acts waits until the dispatchers act on a version alone, and hold leases.
-func (f *testFleet) waitForVersion(version int, which ...int) {
-	f.t.Helper()
-	for _, i := range which {
-		f.dispatchers[i].waitFor(fmt.Sprintf("dispatcher %d acting on %d", i, version), func() bool {
-			all := f.effectiveStates(i)
-			return len(all) > 0 && fmt.Sprint(all[len(all)-1].Versions) == fmt.Sprint([]int{version}) && !all[len(all)-1].Lapsed
-		})
-	}
-}
-
-// apart gives how long any two dispatchers with leases acted on versions with nothing in common.
-func (f *testFleet) contradictionTime() time.Duration {
-	var all [][]faults.EffectiveState
-	for i := range f.dispatchers {
-		all = append(all, f.effectiveStates(i))
-	}
-	contradiction, _ := faults.ContradictionTime(all)
-	return contradiction
-}
-
-// leader gives the dispatcher that leads.
-func (f *testFleet) leader() int {
-	f.t.Helper()
-	lead := -1
-	f.dispatchers[0].waitFor("a leader", func() bool {
-		for i := range f.voters {
-			if code, out, _ := runCommand(f.t, "fleet", "status", "--json", "--address", f.addresses[i]); code == 0 && strings.Contains(out, `"leads": true`) {
-				lead = i
-				return true
-			}
-		}
-		return false
-	})
-	return lead
-}
-
-func (f *testFleet) indices() (which []int) {
-	for i := range f.dispatchers {
-		which = append(which, i)
-	}
-	return which
-}
-
-func without(which []int, gone int) (rest []int) {
-	for _, i := range which {
-		if i != gone {
-			rest = append(rest, i)
-		}
-	}
-	return rest
-}
-
 // Five processes agree: a worker that the rules put out gets nothing at any of them; the leader is killed between the steps, a
 // follower stands still over a change, and never do two with leases act on versions that have nothing in common.
 func TestFleet_agreesOnConfigVersions(t *testing.T) {
--- a/cmd/brassdale/council_life_test.go
+++ b/cmd/brassdale/fleet_lifecycle_test.go
@@ -7,35 +7,8 @@
 	"strings"
 	"syscall"
 	"testing"
-	"time"
-
-	"brassdale/internal/faults"
 )
 
-// again starts a dispatcher of the fleet anew behind its end, with the disk that it has.
-func (f *testFleet) restart(i int) {
-	f.t.Helper()
-	old := f.dispatchers[i]
-	n := &testDispatcher{t: f.t, discovery: old.discovery, tempDir: old.tempDir, exited: make(chan struct{})}
-	n.startProcess(old.config, f.operatorFile(i))
-	n.waitUntilReady("")
-	f.dispatchers[i] = n
-}
-
-func (f *testFleet) kill(which ...int) {
-	for _, i := range which {
-		f.dispatchers[i].command.Process.Kill()
-		<-f.dispatchers[i].exited
-		f.absences[i] = append(f.absences[i], faults.Absence{From: time.Now()})
-	}
-}
-
-// fleetSays runs a sub-command of 'fleet' at a dispatcher.
-func (f *testFleet) runFleetCommand(i int, args ...string) string {
-	_, out, errs := runCommand(f.t, append([]string{"fleet", "--address", f.addresses[i]}, args...)...)
-	return out + errs
-}
-
 // A second process under a name in use gets no lease until the first's has ended, and then goes on; the first, were it only
 // frozen, has none when it wakes.
 func TestFleet_nameInUse(t *testing.T) {
--- a/cmd/brassdale/council_members_test.go
+++ b/cmd/brassdale/fleet_members_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"slices"
@@ -13,35 +12,6 @@
 	"brassdale/internal/faults"
 )
 
-// known is what a dispatcher's 'members' says of another: what gossip has of it there, its lease, its seat.
-func (f *testFleet) memberStatus(at, of int) (gossip, lease string, seat uint64) {
-	var rows []struct {
-		Name          string
-		Gossip, Lease string
-		Seat          uint64
-	}
-	code, out, _ := runCommand(f.t, "fleet", "members", "--json", "--address", f.addresses[at])
-	if code != 0 || json.Unmarshal([]byte(out), &rows) != nil {
-		return "", "", 0
-	}
-	for _, r := range rows {
-		if r.Name == fmt.Sprint("n", of) {
-			return r.Gossip, r.Lease, r.Seat
-		}
-	}
-	return "", "", 0
-}
-
-// gossips waits for what gossip tells: it asks one neighbour a second, and waits for seconds before it says that one is gone.
-func (f *testFleet) waitForGossip(what string, ok func() bool) {
-	f.t.Helper()
-	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			f.t.Fatalf("never seen: %s", what)
-		}
-	}
-}
-
 // Eight dispatchers in two zones: whoever is asked tells of all by their leases, and of its own zone by gossip too. One that is told
 // to end says that it leaves, to the leader and to its neighbours; one that is killed has not; both are told apart, and the
 // other zone gossips of neither. One that wakes behind a freeze is there again for all.
--- a/cmd/brassdale/ports_bench_test.go
+++ b/cmd/brassdale/frontends_bench_test.go
@@ -49,12 +49,6 @@
 
 var benchKeys atomic.Int64
 
-// quick answers a job in one piece.
-func completeAtOnce(_ *testWorker, c net.Conn, r *http.Request) {
-	body := jobMessage(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`)
-	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-}
-
 // gather runs so many of one load side by side and adds up what came of them.
 func runConcurrently(b *testing.B, many int, load func() (*loadRound, error)) *loadRound {
 	var mu sync.Mutex
@@ -301,17 +295,6 @@
 	return int(processMemory(p.command.Process.Pid, "VmRSS") >> 20)
 }
 
-// processMemory gives a figure of a process's memory in bytes, by its name in /proc; 0 where there is none.
-func processMemory(pid int, figure string) int64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	_, rest, found := strings.Cut(string(text), figure+":")
-	if err != nil || !found {
-		return 0
-	}
-	kb, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
-	return kb << 10
-}
-
 func startBenchWorkers(b *testing.B) []*testWorker {
 	return startBenchWorkersWith(b, 12, completeAtOnce)
 }
--- a/cmd/brassdale/rude_test.go
+++ b/cmd/brassdale/http1_misuse_test.go
@@ -12,21 +12,6 @@
 	"time"
 )
 
-func (d *testDispatcher) dial() net.Conn {
-	d.t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(d.http1URL, "http://"))
-	if err != nil {
-		d.t.Fatal(err)
-	}
-	d.t.Cleanup(func() { c.Close() })
-	return c
-}
-
-// asHead is a job's head with further lines.
-func requestHead(id, lines string) string {
-	return "POST /price-part HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Kind: price-part\r\nIdempotency-Key: " + id + "\r\n" + lines + "\r\n"
-}
-
 // What has both lengths is refused, however its bytes come, and what stands in its body never runs; what was
 // asked before on that connection is answered. net/http alone would go by one length and say nothing.
 func TestHTTP1_conflictingLengths(t *testing.T) {
@@ -122,25 +107,6 @@
 	}
 }
 
-// An id is of one open request: a second one under it is turned away, and the first is served.
-func TestRequestID_alreadyOpen(t *testing.T) {
-	t.Parallel()
-	release := make(chan struct{})
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })
-	n := startDispatcher(t, "", b)
-	answered := n.sendInBackground(b, "k")
-	if status, _, _ := n.send(newRequest(n.http1URL, "other", "Req-Id", "id-k")); status != 409 {
-		t.Errorf("the id of an open request: %d", status)
-	}
-	close(release)
-	if status := <-answered; status != 200 {
-		t.Errorf("the request whose id it was: %d", status)
-	}
-	if status, _, _ := n.send(newRequest(n.http1URL, "later", "Req-Id", "id-k")); status != 200 {
-		t.Errorf("the id of a request that is over: %d", status)
-	}
-}
-
 // Bodies are small one by one; one on every connection would be more than the memory. Past their part a request is
 // refused with advice, and once they are gone all is served again.
 func TestHTTP1_bodyMemoryLimit(t *testing.T) {
--- a/cmd/brassdale/moved_discovery_test.go
+++ b/cmd/brassdale/moved_discovery_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -18,56 +17,6 @@
 	drainGraceAndSlack = 550 * time.Millisecond
 )
 
-// arrivals records when jobs came to a worker.
-type arrivals struct {
-	mu   sync.Mutex
-	last time.Time
-}
-
-// recorded has a worker note each job before it works on it.
-func (a *arrivals) recording(script func(*testWorker, net.Conn, *http.Request)) func(*testWorker, net.Conn, *http.Request) {
-	return func(b *testWorker, c net.Conn, r *http.Request) {
-		a.mu.Lock()
-		a.last = time.Now()
-		a.mu.Unlock()
-		script(b, c, r)
-	}
-}
-
-func (a *arrivals) lastSince(t time.Time) time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.last.Sub(t)
-}
-
-// sendSteadily sends jobs, each on the next of the client's connections, until stop is closed.
-func (d *testDispatcher) sendSteadily(name string, every time.Duration, stop <-chan struct{}, wait *sync.WaitGroup) {
-	wait.Go(func() {
-		var jobs sync.WaitGroup
-		defer jobs.Wait()
-		for i := 0; ; i++ {
-			select {
-			case <-stop:
-				return
-			case <-time.After(every):
-			}
-			jobs.Go(func() {
-				resp, err := http.DefaultClient.Do(newRequest(d.http1URL, fmt.Sprintf("%s-%d", name, i)))
-				if err == nil {
-					resp.Body.Close()
-				}
-			})
-		}
-	})
-}
-
-// movedTo gives the program's file with another address of discovery.
-func withDiscoveryAddress(config, address string) string {
-	_, rest, _ := strings.Cut(config, `"discovery":"`)
-	old, _, _ := strings.Cut(rest, `"`)
-	return strings.Replace(config, `"discovery":"`+old+`"`, `"discovery":"`+address+`"`, 1)
-}
-
 // A worker drains while the watch is open, and the answer of the watch waits in discovery's queue. A new configuration moves
 // discovery, and the new address refuses all calls for longer than a change may stay unheard. The answer of the old watch must
 // still be heard: a call that may bring a change is not given up before another has brought the list (incident 36).
--- a/cmd/brassdale/overloaded_discovery_test.go
+++ b/cmd/brassdale/overloaded_discovery_test.go
@@ -3,19 +3,11 @@
 import (
 	"fmt"
 	"net/http"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
-// fleetConfig gives the file of one of several dispatchers that share a discovery.
-func dispatcherConfig(i, dispatchers int, discovery, known string) string {
-	ordinal := fmt.Sprintf(`"ordinal":%d,"replicasOfMe":%d`, i, dispatchers)
-	return fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be9%02x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":0,"complete":true,"members":[%s]},"settings":%s}`,
-		i, discovery, i, known, strings.Replace(settingsJSON, `"replicasOfMe":1`, ordinal, 1))
-}
-
 // Discovery came back after some seconds in which all calls had failed, and most dispatchers were killed and began again. They
 // called it more often the longer they had heard nothing, and beside calls that still waited. Its queue grew beyond the time for
 // which it lets a call wait; from then on it spent its time on calls that had expired, and served none: "discovery keeps failing
--- a/cmd/brassdale/reload_test.go
+++ b/cmd/brassdale/reload_test.go
@@ -11,6 +11,27 @@
 	"time"
 )
 
+// A bad file stops the start with one line that names the field.
+func TestStart_invalidFiles(t *testing.T) {
+	t.Parallel()
+	good := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON + `}`
+	for _, c := range []struct{ config, operator, want string }{
+		{`{"listen":`, "", "config.json"},
+		{strings.Replace(good, `"127.0.0.1:0"`, `"here"`, 1), "", "listen"},
+		{strings.Replace(good, `"discovery":"127.0.0.1:1"`, `"discovery":7`, 1), "", "discovery"},
+		{strings.Replace(good, `"price-part"`, `""`, 1), "", "settings.classes[0].name"},
+		{strings.Replace(good, `"settings"`, `"known":{"members":[{"id":"a","phase":"odd"}]},"settings"`, 1), "", "known: members[0].phase"},
+		{good, "front \"progress\" {\n  listen = \"10.0.0.1:80\"\n}", "operator.hcl:2:12: Bad listen"},
+	} {
+		n := &testDispatcher{t: t, exited: make(chan struct{})}
+		n.startProcess(c.config, c.operator)
+		<-n.exited
+		if text := n.log(); n.command.ProcessState.ExitCode() != 1 || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.want) {
+			t.Errorf("%s %s: exit code %d, %q", c.config[:20], c.operator, n.command.ProcessState.ExitCode(), text)
+		}
+	}
+}
+
 // SIGHUP once ended the program. It moves discovery: the new one is asked for its whole list at once, though
 // its revisions are its own, while the old one's watch is still open, and a job that is open goes on. A bad
 // file changes nothing, repeats do no harm, and SIGTERM still ends all in good order.
@@ -59,27 +80,6 @@
 	n.waitForExit(time.Now().Add(8 * time.Second))
 }
 
-// A watch that hangs is given up soon enough: what discovery has to tell counts as told 2 s after the wait that was
-// asked for, and nothing may go to an endpoint that leaves 500 ms after that. It once took 2.6 s and longer.
-func TestDiscovery_hangingWatch(t *testing.T) {
-	t.Parallel()
-	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
-	n := startDispatcher(t, "", a, b)
-	g := n.discovery
-	asked := func() int { g.mu.Lock(); defer g.mu.Unlock(); return len(g.polledRevisions) }
-	n.waitFor("a watch", func() bool { return asked() > 0 })
-	g.update(func() { g.hanging = true })
-	calls := asked()
-	begin := time.Now() // the call that hangs was made before
-	g.update(func() { a.phase = "leaving" })
-	n.waitFor("a further call", func() bool { return asked() > calls })
-	g.update(func() { g.hanging = false })
-	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "revision=4") })
-	if took := time.Since(begin); took > 4500*time.Millisecond {
-		t.Errorf("the list came after %v", took)
-	}
-}
-
 // Settings change while it serves: a class is dropped, one comes with another effect, attempts become fewer. Jobs that
 // are open keep the rules that they began with, retries included; what comes after has the new ones.
 func TestReload_changedClasses(t *testing.T) {
--- a/cmd/brassdale/crowded_test.go
+++ b/cmd/brassdale/support_queueing_discovery_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -176,13 +175,3 @@
 		}
 	}
 }
-
-// member is a line of a list.
-func memberJSON(b *testWorker, phase string) string {
-	line, err := json.Marshal(map[string]any{"id": b.id, "host_port": b.listener.Addr().String(), "locality": "llanelli", "flavor": "new-worker",
-		"cell": 1, "phase": phase, "size": 1.0, "up_since_ms": 0})
-	if err != nil {
-		panic(err)
-	}
-	return string(line)
-}
