--- a/cmd/brassdale/command_test.go
+++ b/cmd/brassdale/command_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		want string // of output or errors
@@ -45,9 +45,9 @@
 		{[]string{"--operator", "old.toml"}, 1, "GW_CONFIG"},
 		{[]string{"dispatch"}, 1, "unknown command"},
 	} {
-		code, out, errors := runCommand(t, c.args...)
-		if code != c.code || !strings.Contains(out+errors, c.want) {
-			t.Errorf("%v: exit code %d, %s%s", c.args, code, out, errors)
+		code, out, errors := runCommand(t, test.args...)
+		if code != test.code || !strings.Contains(out+errors, test.want) {
+			t.Errorf("%v: exit code %d, %s%s", test.args, code, out, errors)
 		}
 	}
 }
--- a/cmd/brassdale/deadline_test.go
+++ b/cmd/brassdale/deadline_test.go
@@ -45,15 +45,15 @@
 // gives when they were sent.
 func (d *testDispatcher) sendPipelined(deadline string) (sent time.Time) {
 	d.t.Helper()
-	c := d.dial()
+	conn := d.dial()
 	var both bytes.Buffer
 	newRequest(d.http1URL, "first").Write(&both)
 	newRequest(d.http1URL, "second", "Req-Deadline-Ms", deadline).Write(&both)
 	sent = time.Now()
-	c.Write(both.Bytes())
-	in := bufio.NewReader(c)
+	conn.Write(both.Bytes())
+	reader := bufio.NewReader(conn)
 	for range 2 {
-		resp, err := http.ReadResponse(in, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			d.t.Fatal(err)
 		}
@@ -67,15 +67,15 @@
 func TestPipelinedRequest_deadlineAtWorker(t *testing.T) {
 	t.Parallel()
 	told := receivedDeadlines{until: map[string]time.Time{}}
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		told.record(r)
 		if r.Header.Get("Idempotency-Key") == "first" {
 			time.Sleep(time.Second)
 		}
-		completeJob(b, c, r)
+		completeJob(worker, conn, r)
 	})
-	n := startDispatcher(t, "", b)
-	sent := n.sendPipelined("1500")
+	dispatcher := startDispatcher(t, "", worker)
+	sent := dispatcher.sendPipelined("1500")
 	if over := told.latest("second").Sub(sent.Add(1500 * time.Millisecond)); over > deadlineSlack {
 		t.Errorf("the worker was told %v more than its client has left", over)
 	}
@@ -84,16 +84,16 @@
 // The same where the second never has a worker that answers: its own answer comes by the deadline that its client counts.
 func TestPipelinedRequest_answeredInTime(t *testing.T) {
 	t.Parallel()
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		if r.Header.Get("Idempotency-Key") == "first" {
 			time.Sleep(700 * time.Millisecond)
-			completeJob(b, c, r)
+			completeJob(worker, conn, r)
 			return
 		}
-		respondThenStall(`"state":"started"`)(b, c, r)
+		respondThenStall(`"state":"started"`)(worker, conn, r)
 	})
-	n := startDispatcher(t, "", b)
-	sent := n.sendPipelined("1200")
+	dispatcher := startDispatcher(t, "", worker)
+	sent := dispatcher.sendPipelined("1200")
 	if took := time.Since(sent); took > 1700*time.Millisecond { // half a second later it is lost
 		t.Errorf("answered %v behind its sending, 1.2 s were given", took)
 	}
@@ -102,9 +102,9 @@
 // An endpoint that takes a job and says nothing: the answer still comes inside deadline and slack.
 func TestDeadline_silentWorker(t *testing.T) {
 	t.Parallel()
-	n := startDispatcher(t, "", startWorker(t, "a", respondThenStall()))
+	dispatcher := startDispatcher(t, "", startWorker(t, "a", respondThenStall()))
 	begin := time.Now()
-	status, _, _ := n.send(newRequest(n.http1URL, "k", "Req-Deadline-Ms", "500"))
+	status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k", "Req-Deadline-Ms", "500"))
 	if took := time.Since(begin); status != 504 || took < 450*time.Millisecond || took > 1500*time.Millisecond {
 		t.Errorf("answered %d after %v", status, took)
 	}
@@ -115,12 +115,12 @@
 func TestDeadline_lateAnswerWithoutWeight(t *testing.T) {
 	t.Parallel()
 	gone := make(chan struct{})
-	n := startDispatcherWith(t, "", withoutLateWeight, startWorker(t, "a", func(_ *testWorker, c net.Conn, _ *http.Request) {
-		io.Copy(io.Discard, c)
+	dispatcher := startDispatcherWith(t, "", withoutLateWeight, startWorker(t, "a", func(worker *testWorker, conn net.Conn, _ *http.Request) {
+		io.Copy(io.Discard, conn)
 		close(gone)
 	}))
 	begin := time.Now()
-	status, _, _ := n.send(newRequest(n.http1URL, "k"))
+	status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k"))
 	if took := time.Since(begin); status != 502 || took > 4*time.Second {
 		t.Errorf("answered %d after %v", status, took)
 	}
--- a/cmd/brassdale/deployments_test.go
+++ b/cmd/brassdale/deployments_test.go
@@ -65,12 +65,12 @@
 	}
 }
 
-func readDeployment(t *testing.T, file string) (s deploymentFile) {
+func readDeployment(t *testing.T, file string) (deployment deploymentFile) {
 	t.Helper()
-	if _, err := toml.DecodeFile(file, &s); err != nil {
+	if _, err := toml.DecodeFile(file, &deployment); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return deployment
 }
 
 // settings gives them as the platform's file has them.
@@ -80,11 +80,11 @@
 	kind, tier := f.Tier[0].Kind[0], f.Tier[0]
 	var classes, orgs []object
 	var stretch []float64
-	for i, c := range f.Class {
-		class := object{"name": c.Name, "effect": c.Effect, "aim": c.AimMS * 1000, "deadline": c.DeadlineMS * 1000,
-			"credit": c.Worth, "lateWorth": c.LateWorth, "stream": false}
-		if c.Effect == "keyed" {
-			class["dedupScope"], class["window"] = c.Group, c.WindowMS*1000
+	for i, test := range f.Class {
+		class := object{"name": test.Name, "effect": test.Effect, "aim": test.AimMS * 1000, "deadline": test.DeadlineMS * 1000,
+			"credit": test.Worth, "lateWorth": test.LateWorth, "stream": false}
+		if test.Effect == "keyed" {
+			class["dedupScope"], class["window"] = test.Group, test.WindowMS*1000
 		}
 		classes, stretch = append(classes, class), append(stretch, f.Fam.Class[min(i, len(f.Fam.Class)-1)].Stretch)
 	}
@@ -117,20 +117,20 @@
 	}
 	modes := map[string]bool{}
 	for _, file := range files {
-		s := readDeployment(t, file)
-		modes[s.Discovery.Mode] = true
-		t.Run(s.Name, func(t *testing.T) {
+		deployment := readDeployment(t, file)
+		modes[deployment.Discovery.Mode] = true
+		t.Run(deployment.Name, func(t *testing.T) {
 			t.Parallel()
-			of := s.settingsJSON(t)
-			b, c := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
-			n := startDispatcherWith(t, "", func(config string) string { return strings.Replace(config, settingsJSON, of, 1) }, b, c)
+			of := deployment.settingsJSON(t)
+			workerB, workerC := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+			dispatcher := startDispatcherWith(t, "", func(config string) string { return strings.Replace(config, settingsJSON, of, 1) }, workerB, workerC)
 			unsafe := 0
-			for i, class := range s.Class {
+			for i, class := range deployment.Class {
 				ask := func(id, key string) int {
-					r := newRequest(n.http1URL, id, "Req-Kind", class.Name, "Req-Owner", s.Tenant[i%len(s.Tenant)].Name, "Idempotency-Key", key,
+					r := newRequest(dispatcher.http1URL, id, "Req-Kind", class.Name, "Req-Owner", deployment.Tenant[i%len(deployment.Tenant)].Name, "Idempotency-Key", key,
 						"Req-Deadline-Ms", fmt.Sprint(class.DeadlineMS))
 					r.URL.Path = "/" + class.Name
-					status, body, _ := n.send(r)
+					status, body, _ := dispatcher.send(r)
 					if status == 200 && body != "priced" {
 						t.Errorf("%s: %q", class.Name, body)
 					}
@@ -152,7 +152,7 @@
 			if unsafe == 0 {
 				t.Error("no class that must not be repeated")
 			}
-			if status, _, _ := n.send(newRequest(n.http1URL, "foreign")); status != 404 {
+			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "foreign")); status != 404 {
 				t.Errorf("a class of another customer: %d", status)
 			}
 		})
@@ -171,12 +171,12 @@
 	names := []string{"price-part", "llanelli", "costing-workers", "deeside-aero", "credit-lookup", "statement-build", "payment-post",
 		"lakes-billing", "amman", "bulk-order", "stock-check"}
 	for _, file := range files {
-		s := readDeployment(t, file)
-		names = append(names, s.Name, s.Tier[0].Name)
-		for _, c := range s.Class {
-			names = append(names, c.Name)
+		deployment := readDeployment(t, file)
+		names = append(names, deployment.Name, deployment.Tier[0].Name)
+		for _, test := range deployment.Class {
+			names = append(names, test.Name)
 		}
-		for _, o := range s.Tenant {
+		for _, o := range deployment.Tenant {
 			names = append(names, o.Name)
 		}
 	}
--- a/cmd/brassdale/discovery_test.go
+++ b/cmd/brassdale/discovery_test.go
@@ -12,53 +12,53 @@
 // Nothing new goes to an endpoint that the watch told to be leaving; a failing discovery changes nothing.
 func TestDiscovery_drainAndFailedCalls(t *testing.T) {
 	t.Parallel()
-	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
-	n := startDispatcher(t, "", a, b)
-	g := n.discovery
+	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+	dispatcher := startDispatcher(t, "", workerA, workerB)
+	discovery := dispatcher.discovery
 	asked := func(revision int) func() bool {
 		return func() bool {
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			return len(g.polledRevisions) > 0 && g.polledRevisions[len(g.polledRevisions)-1] == revision
+			discovery.mu.Lock()
+			defer discovery.mu.Unlock()
+			return len(discovery.polledRevisions) > 0 && discovery.polledRevisions[len(discovery.polledRevisions)-1] == revision
 		}
 	}
-	n.waitFor("a watch", asked(1))
-	g.update(func() { a.phase = "leaving" })
-	n.waitFor("the next watch", asked(2))
-	_, before := a.count()
+	dispatcher.waitFor("a watch", asked(1))
+	discovery.update(func() { workerA.phase = "leaving" })
+	dispatcher.waitFor("the next watch", asked(2))
+	_, before := workerA.count()
 	for i := range 6 {
-		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(i))); status != 200 {
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
 			t.Errorf("job %d: %d", i, status)
 		}
 	}
-	if _, jobs := a.count(); jobs != before {
+	if _, jobs := workerA.count(); jobs != before {
 		t.Errorf("%d jobs went to an endpoint that leaves", jobs-before)
 	}
-	g.update(func() { g.failing, a.phase = true, "active" })
-	n.waitFor("a failed call", func() bool { return strings.Contains(n.log(), "discovery call failed") })
-	if status, _, _ := n.send(newRequest(n.http1URL, "x")); status != 200 {
+	discovery.update(func() { discovery.failing, workerA.phase = true, "active" })
+	dispatcher.waitFor("a failed call", func() bool { return strings.Contains(dispatcher.log(), "discovery call failed") })
+	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "x")); status != 200 {
 		t.Errorf("while discovery is down: %d", status)
 	}
-	g.update(func() { g.failing = false })
-	n.waitFor("the list after the failure", func() bool { return strings.Contains(n.log(), "revision=4") })
+	discovery.update(func() { discovery.failing = false })
+	dispatcher.waitFor("the list after the failure", func() bool { return strings.Contains(dispatcher.log(), "revision=4") })
 }
 
 // A watch that hangs is given up soon enough: what discovery has to tell counts as told 2 s after the wait that was
 // asked for, and nothing may go to an endpoint that leaves 500 ms after that. It once took 2.6 s and longer.
 func TestDiscovery_hangingWatch(t *testing.T) {
 	t.Parallel()
-	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
-	n := startDispatcher(t, "", a, b)
-	g := n.discovery
-	asked := func() int { g.mu.Lock(); defer g.mu.Unlock(); return len(g.polledRevisions) }
-	n.waitFor("a watch", func() bool { return asked() > 0 })
-	g.update(func() { g.hanging = true })
+	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+	dispatcher := startDispatcher(t, "", workerA, workerB)
+	discovery := dispatcher.discovery
+	asked := func() int { discovery.mu.Lock(); defer discovery.mu.Unlock(); return len(discovery.polledRevisions) }
+	dispatcher.waitFor("a watch", func() bool { return asked() > 0 })
+	discovery.update(func() { discovery.hanging = true })
 	calls := asked()
 	begin := time.Now() // the call that hangs was made before
-	g.update(func() { a.phase = "leaving" })
-	n.waitFor("a further call", func() bool { return asked() > calls })
-	g.update(func() { g.hanging = false })
-	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "revision=4") })
+	discovery.update(func() { workerA.phase = "leaving" })
+	dispatcher.waitFor("a further call", func() bool { return asked() > calls })
+	discovery.update(func() { discovery.hanging = false })
+	dispatcher.waitFor("the list", func() bool { return strings.Contains(dispatcher.log(), "revision=4") })
 	if took := time.Since(begin); took > 4500*time.Millisecond {
 		t.Errorf("the list came after %v", took)
 	}
@@ -68,22 +68,22 @@
 // after it began is told within six seconds, whatever the chance drawn, and gets nothing later.
 func TestDiscovery_watchSilentFromStart(t *testing.T) {
 	t.Parallel()
-	a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
-	n := startDispatcherWith(t, "", func(c string) string {
-		return strings.Replace(c, `"replicasOfMe":1`, `"replicasOfMe":300`, 1)
-	}, a, b)
-	g := n.discovery
-	n.waitFor("a watch", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return len(g.pollWaits) > 0 && g.pollWaits[len(g.pollWaits)-1] > 0
+	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+	dispatcher := startDispatcherWith(t, "", func(config string) string {
+		return strings.Replace(config, `"replicasOfMe":1`, `"replicasOfMe":300`, 1)
+	}, workerA, workerB)
+	discovery := dispatcher.discovery
+	dispatcher.waitFor("a watch", func() bool {
+		discovery.mu.Lock()
+		defer discovery.mu.Unlock()
+		return len(discovery.pollWaits) > 0 && discovery.pollWaits[len(discovery.pollWaits)-1] > 0
 	})
-	g.mu.Lock()
-	g.silentCalls = len(g.polledRevisions) // all that are open hang for ever
-	g.mu.Unlock()
+	discovery.mu.Lock()
+	discovery.silentCalls = len(discovery.polledRevisions) // all that are open hang for ever
+	discovery.mu.Unlock()
 	begin := time.Now()
-	g.update(func() { a.phase = "leaving" })
-	n.waitFor("the drain told", func() bool { return strings.Contains(n.log(), "revision=2") })
+	discovery.update(func() { workerA.phase = "leaving" })
+	dispatcher.waitFor("the drain told", func() bool { return strings.Contains(dispatcher.log(), "revision=2") })
 	if took := time.Since(begin); took > 6*time.Second {
 		t.Errorf("told after %v", took)
 	}
@@ -96,32 +96,32 @@
 	t.Parallel()
 	const sockets = 128
 	release := make(chan struct{})
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		if r.Header.Get("Idempotency-Key") == "out" {
 			<-release
 		}
-		completeJob(b, c, r)
+		completeJob(worker, conn, r)
 	})
-	n := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: []*testWorker{b}, changed: make(chan struct{})}, exited: make(chan struct{}), descriptorLimit: sockets}
-	n.start("", func(c string) string {
-		return strings.Replace(c, `"sockets":1024`, fmt.Sprint(`"sockets":`, sockets), 1)
+	dispatcher := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: []*testWorker{worker}, changed: make(chan struct{})}, exited: make(chan struct{}), descriptorLimit: sockets}
+	dispatcher.start("", func(config string) string {
+		return strings.Replace(config, `"sockets":1024`, fmt.Sprint(`"sockets":`, sockets), 1)
 	})
-	out := n.sendInBackground(b, "out")
-	n.discovery.update(func() { n.discovery.failing = true })
-	n.waitFor("a failed call", func() bool { return strings.Contains(n.log(), "discovery call failed") })
+	out := dispatcher.sendInBackground(worker, "out")
+	dispatcher.discovery.update(func() { dispatcher.discovery.failing = true })
+	dispatcher.waitFor("a failed call", func() bool { return strings.Contains(dispatcher.log(), "discovery call failed") })
 	for range 3 * sockets {
-		n.dial()
+		dispatcher.dial()
 	}
-	n.waitFor("evicted client connections", func() bool { return strings.Contains(n.log(), "client connections evicted") })
-	if got := n.metric("concurrent"); got != 1 {
+	dispatcher.waitFor("evicted client connections", func() bool { return strings.Contains(dispatcher.log(), "client connections evicted") })
+	if got := dispatcher.metric("concurrent"); got != 1 {
 		t.Errorf("at the door: %d jobs open", got)
 	}
-	if status, _, _ := n.send(newRequest(n.http1URL, "further")); status != 200 {
+	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "further")); status != 200 {
 		t.Errorf("a further job: %d", status)
 	}
-	n.discovery.update(func() { n.discovery.failing = false })
+	dispatcher.discovery.update(func() { dispatcher.discovery.failing = false })
 	begin := time.Now()
-	n.waitFor("the list", func() bool { return strings.Contains(n.log(), "discovery recovered") })
+	dispatcher.waitFor("the list", func() bool { return strings.Contains(dispatcher.log(), "discovery recovered") })
 	if took := time.Since(begin); took > 2*time.Second {
 		t.Errorf("the list was read %v behind discovery's return", took)
 	}
@@ -129,7 +129,7 @@
 	if status := <-out; status != 200 {
 		t.Errorf("the job that was out: %d", status)
 	}
-	if strings.Contains(n.log(), "too many open files") {
+	if strings.Contains(dispatcher.log(), "too many open files") {
 		t.Error("out of descriptors")
 	}
 }
@@ -159,32 +159,32 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
-			n := startDispatcher(t, "", a)
-			n.discovery.update(func() { n.discovery.workers, n.discovery.corrupt = []*testWorker{b}, broken })
+			workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+			dispatcher := startDispatcher(t, "", workerA)
+			dispatcher.discovery.update(func() { dispatcher.discovery.workers, dispatcher.discovery.corrupt = []*testWorker{workerB}, broken })
 			asked := func() int {
-				n.discovery.mu.Lock()
-				defer n.discovery.mu.Unlock()
-				return len(n.discovery.polledRevisions)
+				dispatcher.discovery.mu.Lock()
+				defer dispatcher.discovery.mu.Unlock()
+				return len(dispatcher.discovery.polledRevisions)
 			}
 			for i, before := 0, asked(); asked() < before+3; i++ {
-				if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("k-", i))); status != 200 {
+				if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))); status != 200 {
 					t.Fatalf("job %d: %d", i, status)
 				}
 			}
-			n.waitFor("the fault", func() bool { return strings.Contains(n.log(), "discovery call failed") })
-			if times := strings.Count(n.log(), "discovery call failed"); times != 1 {
+			dispatcher.waitFor("the fault", func() bool { return strings.Contains(dispatcher.log(), "discovery call failed") })
+			if times := strings.Count(dispatcher.log(), "discovery call failed"); times != 1 {
 				t.Errorf("logged %d times", times)
 			}
-			if _, jobs := b.count(); jobs > 0 {
+			if _, jobs := workerB.count(); jobs > 0 {
 				t.Error("a job went to a member of the faulty list")
 			}
-			n.discovery.update(func() { n.discovery.corrupt = nil })
-			n.waitFor("the good list", func() bool { return strings.Contains(n.log(), "discovery recovered") })
-			if status, _, _ := n.send(newRequest(n.http1URL, "after")); status != 200 {
+			dispatcher.discovery.update(func() { dispatcher.discovery.corrupt = nil })
+			dispatcher.waitFor("the good list", func() bool { return strings.Contains(dispatcher.log(), "discovery recovered") })
+			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "after")); status != 200 {
 				t.Errorf("after the good list: %d", status)
 			}
-			if _, jobs := b.count(); jobs != 1 {
+			if _, jobs := workerB.count(); jobs != 1 {
 				t.Errorf("%d jobs at the member of the good list", jobs)
 			}
 		})
--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -23,7 +23,7 @@
 )
 
 // model is a worker that is cold after its start: its jobs take longer, and it notes how much it is sent.
-type slowStartWorker struct {
+type modelWorker struct {
 	*testWorker
 	startedAt time.Time // zero for long ago
 
@@ -34,84 +34,84 @@
 	received     int     // that it got all the same
 }
 
-func (w *slowStartWorker) capacityShare(now time.Time) float64 {
+func (w *modelWorker) capacityShare(now time.Time) float64 {
 	if w.startedAt.IsZero() {
 		return 1
 	}
 	return min(modelStartCapacity+(1-modelStartCapacity)*float64(now.Sub(w.startedAt))/float64(modelSlowStart), 1)
 }
 
-func newSlowStartWorker(b *testing.B, id string) *slowStartWorker {
-	m := &slowStartWorker{}
+func newModelWorker(b *testing.B, id string) *modelWorker {
+	model := &modelWorker{}
 	slots := make(chan struct{}, modelSlots)
-	m.testWorker = startWorker(b, id, func(x *testWorker, c net.Conn, r *http.Request) {
+	model.testWorker = startWorker(b, id, func(worker *testWorker, conn net.Conn, r *http.Request) {
 		now := time.Now()
-		m.mu.Lock()
-		m.received++
-		m.receivedAt = append(m.receivedAt, now)
-		for now.Sub(m.receivedAt[0]) > modelOverloadWindow {
-			m.receivedAt = m.receivedAt[1:]
+		model.mu.Lock()
+		model.received++
+		model.receivedAt = append(model.receivedAt, now)
+		for now.Sub(model.receivedAt[0]) > modelOverloadWindow {
+			model.receivedAt = model.receivedAt[1:]
 		}
-		w := m.capacityShare(now)
-		work := float64(len(m.receivedAt)) * modelJobDuration.Seconds()
-		m.peakOverload = max(m.peakOverload, work/(modelSlots*w*modelOverloadWindow.Seconds()))
-		m.mu.Unlock()
+		w := model.capacityShare(now)
+		work := float64(len(model.receivedAt)) * modelJobDuration.Seconds()
+		model.peakOverload = max(model.peakOverload, work/(modelSlots*w*modelOverloadWindow.Seconds()))
+		model.mu.Unlock()
 		slots <- struct{}{}
 		defer func() { <-slots }()
-		if connectionClosed(c) {
+		if connectionClosed(conn) {
 			return
 		}
-		completeAfter(time.Duration(float64(modelJobDuration)/w))(x, c, r)
+		completeAfter(time.Duration(float64(modelJobDuration)/w))(worker, conn, r)
 	})
-	return m
+	return model
 }
 
 // works is the site of the measurement: 12 workers on the saved list, of which 3 are missing, 2 silent, 1 drained and 1 has
 // been started anew a moment ago.
 type benchDeployment struct {
-	workers []*slowStartWorker
+	workers []*modelWorker
 	listed  []*testWorker // what discovery would say
 	cached  []*testWorker
 }
 
 func newBenchDeployment(b *testing.B) *benchDeployment {
-	s := &benchDeployment{}
+	deployment := &benchDeployment{}
 	for i := range 12 {
 		id := fmt.Sprint("worker-", i)
 		switch {
 		case i < 5:
-			m := newSlowStartWorker(b, id)
-			s.workers, s.listed, s.cached = append(s.workers, m), append(s.listed, m.testWorker), append(s.cached, m.testWorker)
+			model := newModelWorker(b, id)
+			deployment.workers, deployment.listed, deployment.cached = append(deployment.workers, model), append(deployment.listed, model.testWorker), append(deployment.cached, model.testWorker)
 		case i == 5: // reused
-			m := newSlowStartWorker(b, id)
-			m.startedAt = time.Now()
-			m.startedAtMS = m.startedAt.UnixMilli()
-			s.workers, s.listed = append(s.workers, m), append(s.listed, m.testWorker)
-			old := &testWorker{id: id, cell: "1", phase: "active", listener: m.listener}
-			s.cached = append(s.cached, old)
+			model := newModelWorker(b, id)
+			model.startedAt = time.Now()
+			model.startedAtMS = model.startedAt.UnixMilli()
+			deployment.workers, deployment.listed = append(deployment.workers, model), append(deployment.listed, model.testWorker)
+			old := &testWorker{id: id, cell: "1", phase: "active", listener: model.listener}
+			deployment.cached = append(deployment.cached, old)
 		case i == 6: // drained since
-			m := newSlowStartWorker(b, id)
-			m.unlisted = true
-			s.workers, s.cached = append(s.workers, m), append(s.cached, m.testWorker)
+			model := newModelWorker(b, id)
+			model.unlisted = true
+			deployment.workers, deployment.cached = append(deployment.workers, model), append(deployment.cached, model.testWorker)
 		case i < 9: // silent: its process takes connections and no more
-			ln := must(net.Listen("tcp", "127.0.0.1:0"))
-			b.Cleanup(func() { ln.Close() })
+			listener := must(net.Listen("tcp", "127.0.0.1:0"))
+			b.Cleanup(func() { listener.Close() })
 			go func() {
 				for {
-					if _, err := ln.Accept(); err != nil {
+					if _, err := listener.Accept(); err != nil {
 						return
 					}
 				}
 			}()
-			x := &testWorker{id: id, cell: "1", phase: "active", listener: ln}
-			s.listed, s.cached = append(s.listed, x), append(s.cached, x)
+			worker := &testWorker{id: id, cell: "1", phase: "active", listener: listener}
+			deployment.listed, deployment.cached = append(deployment.listed, worker), append(deployment.cached, worker)
 		default: // missing
-			ln := must(net.Listen("tcp", "127.0.0.1:0"))
-			ln.Close()
-			s.cached = append(s.cached, &testWorker{id: id, cell: "1", phase: "active", listener: ln})
+			listener := must(net.Listen("tcp", "127.0.0.1:0"))
+			listener.Close()
+			deployment.cached = append(deployment.cached, &testWorker{id: id, cell: "1", phase: "active", listener: listener})
 		}
 	}
-	return s
+	return deployment
 }
 
 // BenchmarkSavedList: a busy site whose discovery is down for the first 20 s, in four ways. What is a share is of all
@@ -123,28 +123,28 @@
 		rate = 150.0
 	)
 	for _, way := range []string{"discovery never failed", "saved list", "saved list, all trusted", "no list"} {
-		s := newBenchDeployment(b)
-		g := &testDiscovery{revision: 1, failing: way != "discovery never failed", workers: s.listed, changed: make(chan struct{})}
-		discovery := httptest.NewServer(g)
-		n := &testDispatcher{t: b, discovery: g, exited: make(chan struct{})}
-		operator, config := "", func(c string) string {
-			return strings.Replace(withoutKnownList(c), discoveryAddress(c), discovery.Listener.Addr().String(), 1)
+		deployment := newBenchDeployment(b)
+		discovery := &testDiscovery{revision: 1, failing: way != "discovery never failed", workers: deployment.listed, changed: make(chan struct{})}
+		server := httptest.NewServer(discovery)
+		dispatcher := &testDispatcher{t: b, discovery: discovery, exited: make(chan struct{})}
+		operator, config := "", func(config string) string {
+			return strings.Replace(withoutKnownList(config), discoveryAddress(config), server.Listener.Addr().String(), 1)
 		}
 		switch way {
 		case "saved list":
 			dir := b.TempDir()
-			writeModelList(b, dir, 2*time.Hour, s.cached)
+			writeModelList(b, dir, 2*time.Hour, deployment.cached)
 			operator = savedListBlock(dir)
 		case "saved list, all trusted":
-			known := (&testDiscovery{revision: 1, workers: s.cached}).listJSON()
-			config = func(c string) string {
-				c = strings.Replace(withoutKnownList(c), discoveryAddress(c), discovery.Listener.Addr().String(), 1)
-				return strings.Replace(c, `"settings"`, `"known":`+known+`,"settings"`, 1)
+			known := (&testDiscovery{revision: 1, workers: deployment.cached}).listJSON()
+			config = func(config string) string {
+				config = strings.Replace(withoutKnownList(config), discoveryAddress(config), server.Listener.Addr().String(), 1)
+				return strings.Replace(config, `"settings"`, `"known":`+known+`,"settings"`, 1)
 			}
 		}
-		n.start(operator, config)
+		dispatcher.start(operator, config)
 		begin := time.Now()
-		time.AfterFunc(down, func() { g.update(func() { g.failing = false }) })
+		time.AfterFunc(down, func() { discovery.update(func() { discovery.failing = false }) })
 		var mu sync.Mutex
 		var wait sync.WaitGroup
 		asked, good := map[int]int{}, map[int]int{} // by second
@@ -156,7 +156,7 @@
 			}
 			time.Sleep(time.Until(begin.Add(at)))
 			wait.Go(func() {
-				status, _, _ := trySend(http.DefaultClient, newRequest(n.http1URL, fmt.Sprint(way, i)))
+				status, _, _ := trySend(http.DefaultClient, newRequest(dispatcher.http1URL, fmt.Sprint(way, i)))
 				took := time.Since(begin) - at
 				mu.Lock()
 				defer mu.Unlock()
@@ -179,18 +179,18 @@
 			return float64(g) / float64(a)
 		}
 		most, none := 0.0, 0
-		for _, m := range s.workers {
-			if !m.startedAt.IsZero() {
-				most = max(most, m.peakOverload)
+		for _, model := range deployment.workers {
+			if !model.startedAt.IsZero() {
+				most = max(most, model.peakOverload)
 			}
-			if m.unlisted {
-				none += m.received
+			if model.unlisted {
+				none += model.received
 			}
 		}
 		b.Logf("%-24s first answer after %8v; served in time: first 10 s %.3f, 5 to 20 s %.3f, 20 to 30 s %.3f; cold worker got %.2f times what it could (falls at %.0f); %d jobs to one that drained",
 			way, first.Round(time.Millisecond), part(0, 10), part(5, 20), part(20, 30), most, modelOverloadMultiple, none)
-		n.command.Process.Kill()
-		discovery.CloseClientConnections()
+		dispatcher.command.Process.Kill()
+		server.CloseClientConnections()
 	}
 }
 
@@ -198,30 +198,30 @@
 // from both together must stay below what it falls over at.
 func BenchmarkPowerLoss(b *testing.B) {
 	for _, way := range []string{"saved list", "saved list, all trusted"} {
-		var workers []*slowStartWorker
+		var workers []*modelWorker
 		var saved []*testWorker
 		for i := range 8 {
-			m := newSlowStartWorker(b, fmt.Sprint("worker-", i))
-			m.startedAt = time.Now()
-			workers, saved = append(workers, m), append(saved, m.testWorker)
+			model := newModelWorker(b, fmt.Sprint("worker-", i))
+			model.startedAt = time.Now()
+			workers, saved = append(workers, model), append(saved, model.testWorker)
 		}
 		var nodes []*testDispatcher
 		for i := range 2 {
-			n := &testDispatcher{t: b, discovery: &testDiscovery{revision: 1, workers: saved, changed: make(chan struct{})}, exited: make(chan struct{})}
+			dispatcher := &testDispatcher{t: b, discovery: &testDiscovery{revision: 1, workers: saved, changed: make(chan struct{})}, exited: make(chan struct{})}
 			operator := ""
 			dir := b.TempDir()
 			if way == "saved list" {
 				writeModelList(b, dir, time.Minute, saved)
 				operator = savedListBlock(dir)
 			}
-			n.start(operator, func(c string) string {
-				c = strings.Replace(c, `"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":2,"ordinal":%d`, i), 1)
+			dispatcher.start(operator, func(config string) string {
+				config = strings.Replace(config, `"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":2,"ordinal":%d`, i), 1)
 				if way == "saved list" {
-					c = withoutKnownList(c)
+					config = withoutKnownList(config)
 				}
-				return strings.Replace(c, discoveryAddress(c), "127.0.0.1:1", 1)
+				return strings.Replace(config, discoveryAddress(config), "127.0.0.1:1", 1)
 			})
-			nodes = append(nodes, n)
+			nodes = append(nodes, dispatcher)
 		}
 		var wait sync.WaitGroup
 		var mu sync.Mutex
@@ -239,21 +239,21 @@
 		}
 		wait.Wait()
 		most := 0.0
-		for _, m := range workers {
-			most = max(most, m.peakOverload)
+		for _, model := range workers {
+			most = max(most, model.peakOverload)
 		}
 		b.Logf("%-24s %4d of 1200 served; the worker that got most got %.2f times what it could (falls at %.0f)", way, served, most, modelOverloadMultiple)
-		for _, n := range nodes {
-			n.command.Process.Kill()
+		for _, dispatcher := range nodes {
+			dispatcher.command.Process.Kill()
 		}
 	}
 }
 
 // keepFor keeps a list that tells how long jobs take at the model's workers.
 func writeModelList(b *testing.B, dir string, ago time.Duration, workers []*testWorker) {
-	writeCachedList(b, dir, ago, func(s *endpointcache.CachedList) {
-		c := s.Classes["price-part"]
-		c.WorkScale, c.MeanLogRuntime = modelJobDuration.Seconds(), -2.3
-		s.Classes["price-part"], s.MeanStay, s.MeanWork = c, modelJobDuration.Seconds(), modelJobDuration.Seconds()
+	writeCachedList(b, dir, ago, func(list *endpointcache.CachedList) {
+		class := list.Classes["price-part"]
+		class.WorkScale, class.MeanLogRuntime = modelJobDuration.Seconds(), -2.3
+		list.Classes["price-part"], list.MeanStay, list.MeanWork = class, modelJobDuration.Seconds(), modelJobDuration.Seconds()
 	}, workers...)
 }
--- a/cmd/brassdale/endpointcache_return_test.go
+++ b/cmd/brassdale/endpointcache_return_test.go
@@ -14,15 +14,15 @@
 func TestEndpointCache_discoveryReturns(t *testing.T) {
 	t.Parallel()
 	script := completeAfter(20 * time.Millisecond)
-	a, b := startWorker(t, "a", script), startWorker(t, "b", script)
-	n, back := startWhileDiscoveryFails(t, a, b)
-	back(50, a, b)
-	n.waitFor("discovery's list", func() bool { return n.metricText("list_source") == "discovery" })
+	workerA, workerB := startWorker(t, "a", script), startWorker(t, "b", script)
+	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB)
+	back(50, workerA, workerB)
+	dispatcher.waitFor("discovery's list", func() bool { return dispatcher.metricText("list_source") == "discovery" })
 	// The door may answer before the line written earlier has come through the pipe.
-	n.waitFor("what was learned", func() bool {
-		return strings.Contains(n.log(), "discovery list in force\" known=2 same_incarnation=2")
+	dispatcher.waitFor("what was learned", func() bool {
+		return strings.Contains(dispatcher.log(), "discovery list in force\" known=2 same_incarnation=2")
 	})
-	n.waitUntilServed("k")
+	dispatcher.waitUntilServed("k")
 }
 
 // A worker that the returned list does not name gets nothing new, and its running job ends where it is; one that is named
@@ -30,45 +30,45 @@
 func TestEndpointCache_returnedListLacksWorker(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	script := func(b *testWorker, c net.Conn, r *http.Request) {
+	script := func(worker *testWorker, conn net.Conn, r *http.Request) {
 		if r.Header.Get("Idempotency-Key") == "held" {
 			<-release
-			completeJob(b, c, r)
+			completeJob(worker, conn, r)
 			return
 		}
-		completeAfter(20*time.Millisecond)(b, c, r)
+		completeAfter(20*time.Millisecond)(worker, conn, r)
 	}
-	a, b, c, d := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script), startWorker(t, "d", script)
-	n, back := startWhileDiscoveryFails(t, a, b, c, d)
+	workerA, workerB, workerC, workerD := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script), startWorker(t, "d", script)
+	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB, workerC, workerD)
 	held := make(chan int, 1)
 	go func() {
-		status, _, _ := n.send(newRequest(n.http1URL, "held"))
+		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "held"))
 		held <- status
 	}()
 	var at *testWorker
-	n.waitFor("the job", func() bool {
-		for _, x := range []*testWorker{a, b, c, d} {
-			if x.runsOf("held") == 1 {
-				at = x
+	dispatcher.waitFor("the job", func() bool {
+		for _, worker := range []*testWorker{workerA, workerB, workerC, workerD} {
+			if worker.runsOf("held") == 1 {
+				at = worker
 				return true
 			}
 		}
 		return false
 	})
 	var rest []*testWorker
-	for _, x := range []*testWorker{a, b, c, d} {
-		if x != at {
-			rest = append(rest, x)
+	for _, worker := range []*testWorker{workerA, workerB, workerC, workerD} {
+		if worker != at {
+			rest = append(rest, worker)
 		}
 	}
 	rest[0].phase = "leaving"
 	back(50, rest...)
-	n.waitFor("discovery's list", func() bool { return n.metricText("list_source") == "discovery" })
-	n.waitFor("the end of the grace", func() bool { return time.Since(n.lastListUpdate()) > 500*time.Millisecond })
+	dispatcher.waitFor("discovery's list", func() bool { return dispatcher.metricText("list_source") == "discovery" })
+	dispatcher.waitFor("the end of the grace", func() bool { return time.Since(dispatcher.lastListUpdate()) > 500*time.Millisecond })
 	_, before := at.count()
 	_, leaving := rest[0].count()
 	for i := range 20 {
-		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("after-", i))); status != 200 {
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("after-", i))); status != 200 {
 			t.Errorf("job %d: %d", i, status)
 		}
 	}
@@ -89,28 +89,30 @@
 func TestEndpointCache_discoveryFlaps(t *testing.T) {
 	t.Parallel()
 	script := completeAfter(20 * time.Millisecond)
-	a, b, c, d := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script), startWorker(t, "d", script)
-	n, back := startWhileDiscoveryFails(t, a, b, c, d)
+	workerA, workerB, workerC, workerD := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script), startWorker(t, "d", script)
+	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB, workerC, workerD)
 	serve := func(what string) {
 		t.Helper()
 		for i := range 10 {
-			if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(what, "-", i))); status != 200 {
+			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(what, "-", i))); status != 200 {
 				t.Errorf("%s, job %d: %d", what, i, status)
 			}
 		}
 	}
 	back(50)
-	n.waitFor("the doubt", func() bool { return n.metric("list_doubted") == 1 })
+	dispatcher.waitFor("the doubt", func() bool { return dispatcher.metric("list_doubted") == 1 })
 	serve("nothing listed")
-	if n.metric("targets") != 4 {
-		t.Errorf("%d targets", n.metric("targets"))
+	if dispatcher.metric("targets") != 4 {
+		t.Errorf("%d targets", dispatcher.metric("targets"))
 	}
-	back(3, a) // below half of four, and older
+	back(3, workerA) // below half of four, and older
 	serve("a quarter listed")
-	back(60, a, b, c, d)
-	n.waitFor("discovery's list", func() bool { return n.metricText("list_source") == "discovery" && n.metric("targets") == 4 })
+	back(60, workerA, workerB, workerC, workerD)
+	dispatcher.waitFor("discovery's list", func() bool {
+		return dispatcher.metricText("list_source") == "discovery" && dispatcher.metric("targets") == 4
+	})
 	serve("all listed")
-	if lines := strings.Count(n.log(), "much shorter than cached list"); lines < 1 {
+	if lines := strings.Count(dispatcher.log(), "much shorter than cached list"); lines < 1 {
 		t.Errorf("%d lines of doubt", lines)
 	}
 }
@@ -119,44 +121,46 @@
 func TestEndpointCache_shortListConfirmed(t *testing.T) {
 	t.Parallel()
 	script := completeAfter(20 * time.Millisecond)
-	a, b, c := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script)
-	n, back := startWhileDiscoveryFails(t, a, b, c)
-	back(50, a)
-	n.waitFor("the doubt", func() bool { return n.metric("list_doubted") == 1 })
-	n.waitFor("discovery's list", func() bool { return n.metricText("list_source") == "discovery" && n.metric("targets") == 1 })
-	n.waitUntilServed("k")
+	workerA, workerB, workerC := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script)
+	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB, workerC)
+	back(50, workerA)
+	dispatcher.waitFor("the doubt", func() bool { return dispatcher.metric("list_doubted") == 1 })
+	dispatcher.waitFor("discovery's list", func() bool {
+		return dispatcher.metricText("list_source") == "discovery" && dispatcher.metric("targets") == 1
+	})
+	dispatcher.waitUntilServed("k")
 }
 
 // A worker that is named with a later start is new, and cold; one whose id and address are new too.
 func TestEndpointCache_restartedWorkers(t *testing.T) {
 	t.Parallel()
 	script := completeAfter(20 * time.Millisecond)
-	a, b := startWorker(t, "a", script), startWorker(t, "b", script)
-	n, back := startWhileDiscoveryFails(t, a, b)
-	a.startedAtMS, b.id = time.Now().UnixMilli(), "b2"
-	back(50, a, b)
-	n.waitFor("discovery's list", func() bool { return n.metricText("list_source") == "discovery" })
-	n.waitFor("nothing taken for what it was", func() bool { return strings.Contains(n.log(), "in force\" known=2 same_incarnation=0") })
-	n.waitUntilServed("k")
+	workerA, workerB := startWorker(t, "a", script), startWorker(t, "b", script)
+	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB)
+	workerA.startedAtMS, workerB.id = time.Now().UnixMilli(), "b2"
+	back(50, workerA, workerB)
+	dispatcher.waitFor("discovery's list", func() bool { return dispatcher.metricText("list_source") == "discovery" })
+	dispatcher.waitFor("nothing taken for what it was", func() bool { return strings.Contains(dispatcher.log(), "in force\" known=2 same_incarnation=0") })
+	dispatcher.waitUntilServed("k")
 }
 
 // While one process replaces another that still trusts its saved list, the successor begins from that too, and neither
 // tears the other's files.
 func TestEndpointCache_handover(t *testing.T) {
 	t.Parallel()
-	a := startWorker(t, "a", completeAfter(20*time.Millisecond))
+	worker := startWorker(t, "a", completeAfter(20*time.Millisecond))
 	dir := t.TempDir()
-	writeCachedList(t, dir, time.Hour, nil, a)
-	n := startFromCache(t, dir, nil)
-	n.waitUntilServed("first")
-	m := n.startSuccessor(savedListBlock(dir))
-	if m.metricText("list_source") != "saved" {
-		t.Errorf("source %q", m.metricText("list_source"))
+	writeCachedList(t, dir, time.Hour, nil, worker)
+	dispatcher := startFromCache(t, dir, nil)
+	dispatcher.waitUntilServed("first")
+	successor := dispatcher.startSuccessor(savedListBlock(dir))
+	if successor.metricText("list_source") != "saved" {
+		t.Errorf("source %q", successor.metricText("list_source"))
 	}
-	n.waitForHandovers(1)
-	n.command.Process.Signal(syscall.SIGTERM)
-	n.waitForExit(time.Now().Add(5 * time.Second))
-	m.waitUntilServed("second")
+	dispatcher.waitForHandovers(1)
+	dispatcher.command.Process.Signal(syscall.SIGTERM)
+	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
+	successor.waitUntilServed("second")
 	if code, out, _ := runCommand(t, "saved", "verify", dir); code != 0 {
 		t.Errorf("saved verify: %s", out)
 	}
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -30,16 +30,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := startWorker(t, "a", completeAfter(20*time.Millisecond)), startWorker(t, "b", completeAfter(20*time.Millisecond))
+			workerA, workerB := startWorker(t, "a", completeAfter(20*time.Millisecond)), startWorker(t, "b", completeAfter(20*time.Millisecond))
 			dir := t.TempDir()
-			writeCachedList(t, dir, time.Hour, nil, a, b)
-			n := startFromCache(t, dir, discovery)
-			n.waitUntilServed("first")
-			if !strings.Contains(n.log(), "started from endpoint cache") || n.metricText("list_source") != "saved" || n.metric("list_age_s") < 3600 {
-				t.Errorf("source %q, age %d", n.metricText("list_source"), n.metric("list_age_s"))
+			writeCachedList(t, dir, time.Hour, nil, workerA, workerB)
+			dispatcher := startFromCache(t, dir, discovery)
+			dispatcher.waitUntilServed("first")
+			if !strings.Contains(dispatcher.log(), "started from endpoint cache") || dispatcher.metricText("list_source") != "saved" || dispatcher.metric("list_age_s") < 3600 {
+				t.Errorf("source %q, age %d", dispatcher.metricText("list_source"), dispatcher.metric("list_age_s"))
 			}
-			n.waitFor("both to be heard", func() bool { return n.metric("boxes_heard")+n.metric("boxes_proven") == 2 })
-			n.warmUp(2)
+			dispatcher.waitFor("both to be heard", func() bool { return dispatcher.metric("boxes_heard")+dispatcher.metric("boxes_proven") == 2 })
+			dispatcher.warmUp(2)
 		})
 	}
 }
@@ -59,49 +59,49 @@
 	var mu sync.Mutex
 	jobs := 0
 	foreign := func(id string, answer func(net.Conn)) *testWorker {
-		ln := must(net.Listen("tcp", "127.0.0.1:0"))
-		t.Cleanup(func() { ln.Close() })
+		listener := must(net.Listen("tcp", "127.0.0.1:0"))
+		t.Cleanup(func() { listener.Close() })
 		go func() {
 			for {
-				c, err := ln.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
 				go func() {
 					buf := make([]byte, 4096)
-					n, _ := c.Read(buf)
+					n, _ := conn.Read(buf)
 					if strings.HasPrefix(string(buf[:n]), "POST") {
 						mu.Lock()
 						jobs++
 						mu.Unlock()
 					}
-					answer(c)
+					answer(conn)
 				}()
 			}
 		}()
-		return &testWorker{id: id, cell: "1", phase: "active", listener: ln}
+		return &testWorker{id: id, cell: "1", phase: "active", listener: listener}
 	}
-	page := foreign("page", func(c net.Conn) {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 6\r\n\r\n<html>")
+	page := foreign("page", func(conn net.Conn) {
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 6\r\n\r\n<html>")
 	})
-	missing := foreign("missing", func(c net.Conn) { io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n") })
-	other := foreign("other", func(c net.Conn) { io.WriteString(c, "220 mail ready\r\n"); c.Close() })
+	missing := foreign("missing", func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n") })
+	other := foreign("other", func(conn net.Conn) { io.WriteString(conn, "220 mail ready\r\n"); conn.Close() })
 	silent := foreign("silent", func(net.Conn) {})
 	dir := t.TempDir()
 	writeCachedList(t, dir, 48*time.Hour, nil, drained, page, missing, other, silent, off, good)
-	n := startFromCache(t, dir, nil)
+	dispatcher := startFromCache(t, dir, nil)
 	for i := range 30 {
-		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("k-", i))); status != 200 {
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))); status != 200 {
 			t.Errorf("job %d: %d", i, status)
 		}
 	}
-	n.waitFor("the foreign ones", func() bool { return n.metric("boxes_foreign") >= 3 && n.metric("boxes_barred") == 1 })
+	dispatcher.waitFor("the foreign ones", func() bool { return dispatcher.metric("boxes_foreign") >= 3 && dispatcher.metric("boxes_barred") == 1 })
 	mu.Lock()
 	defer mu.Unlock()
 	if _, reached := drained.count(); jobs != 0 || reached != 0 {
 		t.Errorf("%d jobs reached what is no worker now, %d one that drained", jobs, reached)
 	}
-	if got := n.metric("targets"); got != 1 {
+	if got := dispatcher.metric("targets"); got != 1 {
 		t.Errorf("%d workers told to the module", got)
 	}
 }
@@ -111,33 +111,33 @@
 func TestEndpointCache_survivesKill(t *testing.T) {
 	t.Parallel()
 	script := completeAfter(20 * time.Millisecond)
-	a, b, c := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script)
+	workerA, workerB, workerC := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script)
 	dir := t.TempDir()
-	n := startDispatcher(t, savedListBlock(dir), a, b, c)
-	n.waitFor("discovery's list", func() bool { return n.metricText("list_source") == "discovery" })
+	dispatcher := startDispatcher(t, savedListBlock(dir), workerA, workerB, workerC)
+	dispatcher.waitFor("discovery's list", func() bool { return dispatcher.metricText("list_source") == "discovery" })
 	for i := range 10 {
-		n.send(newRequest(n.http1URL, fmt.Sprint("k-", i)))
+		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)))
 	}
-	n.waitFor("a snapshot", func() bool { return n.metric("saved_snapshots") >= 1 })
-	if status, _ := n.callAdmin("POST", "/_workers/detach", "b"); status != 200 {
+	dispatcher.waitFor("a snapshot", func() bool { return dispatcher.metric("saved_snapshots") >= 1 })
+	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "b"); status != 200 {
 		t.Fatalf("detach: %d", status)
 	}
-	n.discovery.update(func() { a.phase = "leaving" })
-	n.waitFor("both on disk", func() bool { return n.metric("saved_records") >= 2 })
-	n.command.Process.Kill()
-	<-n.exited
-	_, before := a.count()
-	_, beforeB := b.count()
+	dispatcher.discovery.update(func() { workerA.phase = "leaving" })
+	dispatcher.waitFor("both on disk", func() bool { return dispatcher.metric("saved_records") >= 2 })
+	dispatcher.command.Process.Kill()
+	<-dispatcher.exited
+	_, before := workerA.count()
+	_, beforeB := workerB.count()
 
-	m := startFromCache(t, dir, nil)
-	m.waitUntilServed("after")
+	restarted := startFromCache(t, dir, nil)
+	restarted.waitUntilServed("after")
 	for i := range 20 {
-		m.send(newRequest(m.http1URL, fmt.Sprint("after-k-", i)))
+		restarted.send(newRequest(restarted.http1URL, fmt.Sprint("after-k-", i)))
 	}
-	if _, now := a.count(); now != before {
+	if _, now := workerA.count(); now != before {
 		t.Errorf("%d jobs at the one that drains", now-before)
 	}
-	if _, now := b.count(); now != beforeB {
+	if _, now := workerB.count(); now != beforeB {
 		t.Errorf("%d jobs at the one that is out by hand", now-beforeB)
 	}
 	code, out, _ := runCommand(t, "saved", "show", dir)
@@ -149,7 +149,7 @@
 	}
 	// A damaged generation is told by verify, kept aside by a start, and the one before it serves.
 	names, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
-	writeCachedList(t, dir, time.Minute, nil, c)
+	writeCachedList(t, dir, time.Minute, nil, workerC)
 	newest, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
 	path := newest[len(newest)-1]
 	if len(newest) != len(names)+1 {
@@ -162,9 +162,9 @@
 	if code, out, errors := runCommand(t, "saved", "verify", dir); code != 1 || !strings.Contains(out, "damaged") {
 		t.Errorf("saved verify: %d\n%s%s", code, out, errors)
 	}
-	o := startFromCache(t, dir, nil)
-	o.waitUntilServed("third")
-	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(path))); err != nil || !damagedLine.MatchString(o.log()) {
+	third := startFromCache(t, dir, nil)
+	third.waitUntilServed("third")
+	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(path))); err != nil || !damagedLine.MatchString(third.log()) {
 		t.Errorf("the damaged one: %v", err)
 	}
 	if code, out, _ := runCommand(t, "saved", "prune", dir, "--keep", "1"); code != 0 || !strings.Contains(out, "files removed") {
@@ -175,45 +175,45 @@
 // The machine's clock is a day behind the file's, or a list is too old: the first serves, the second begins as without.
 func TestEndpointCache_clockAndAge(t *testing.T) {
 	t.Parallel()
-	a := startWorker(t, "a", completeAfter(20*time.Millisecond))
+	worker := startWorker(t, "a", completeAfter(20*time.Millisecond))
 	future, old := t.TempDir(), t.TempDir()
-	writeCachedList(t, future, -24*time.Hour, nil, a)
-	writeCachedList(t, old, 73*time.Hour, nil, a)
-	n := startFromCache(t, future, nil)
-	n.waitUntilServed("k")
-	if !strings.Contains(n.log(), "age_known=false") {
+	writeCachedList(t, future, -24*time.Hour, nil, worker)
+	writeCachedList(t, old, 73*time.Hour, nil, worker)
+	withFutureList := startFromCache(t, future, nil)
+	withFutureList.waitUntilServed("k")
+	if !strings.Contains(withFutureList.log(), "age_known=false") {
 		t.Error("the age of a list from the future is known")
 	}
-	m := startFromCache(t, old, nil)
-	m.waitFor("the line", func() bool { return strings.Contains(m.log(), "endpoint cache too old") })
-	if status, _, after := m.send(newRequest(m.http1URL, "k", "Req-Deadline-Ms", "300")); status != 503 || after == "" {
+	withOldList := startFromCache(t, old, nil)
+	withOldList.waitFor("the line", func() bool { return strings.Contains(withOldList.log(), "endpoint cache too old") })
+	if status, _, after := withOldList.send(newRequest(withOldList.http1URL, "k", "Req-Deadline-Ms", "300")); status != 503 || after == "" {
 		t.Errorf("with no list at all: %d, Retry-After %q", status, after)
 	}
-	if m.metricText("list_source") != "none" {
-		t.Errorf("source %q", m.metricText("list_source"))
+	if withOldList.metricText("list_source") != "none" {
+		t.Errorf("source %q", withOldList.metricText("list_source"))
 	}
 }
 
 // A folder of no use stops no job; one that others may write stops the start, with its place.
 func TestEndpointCache_unusableDirectory(t *testing.T) {
 	t.Parallel()
-	a := startWorker(t, "a", completeJob)
+	worker := startWorker(t, "a", completeJob)
 	useless := t.TempDir()
 	if err := os.WriteFile(filepath.Join(useless, "n0"), nil, 0o600); err != nil { // where its own folder would be
 		t.Fatal(err)
 	}
-	n := startDispatcher(t, savedListBlock(useless), a)
-	if status, _, _ := n.send(newRequest(n.http1URL, "k")); status != 200 || !strings.Contains(n.log(), "endpoint cache disabled") {
+	dispatcher := startDispatcher(t, savedListBlock(useless), worker)
+	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k")); status != 200 || !strings.Contains(dispatcher.log(), "endpoint cache disabled") {
 		t.Errorf("with a folder of no use: %d", status)
 	}
 	open := t.TempDir()
 	if err := os.Chmod(open, 0o777); err != nil {
 		t.Fatal(err)
 	}
-	m := &testDispatcher{t: t, exited: make(chan struct{})}
-	m.startProcess(n.config, savedListBlock(open))
-	<-m.exited
-	if text := m.log(); m.command.ProcessState.ExitCode() != 1 || !strings.Contains(text, "operator.hcl:2:15: Bad directory") {
-		t.Errorf("exit code %d, %s", m.command.ProcessState.ExitCode(), text)
+	failed := &testDispatcher{t: t, exited: make(chan struct{})}
+	failed.startProcess(dispatcher.config, savedListBlock(open))
+	<-failed.exited
+	if text := failed.log(); failed.command.ProcessState.ExitCode() != 1 || !strings.Contains(text, "operator.hcl:2:15: Bad directory") {
+		t.Errorf("exit code %d, %s", failed.command.ProcessState.ExitCode(), text)
 	}
 }
--- a/cmd/brassdale/fleet_agreement_test.go
+++ b/cmd/brassdale/fleet_agreement_test.go
@@ -16,41 +16,41 @@
 // follower stands still over a change, and never do two with leases act on versions that have nothing in common.
 func TestFleet_agreesOnConfigVersions(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, 1, 3, 2)
-	f.propose("retries = 0.5\nout = [\"a\"]\n", 4)
-	f.waitForVersion(1, f.indices()...)
-	_, before := f.workers[0].count()
-	for i, n := range f.dispatchers {
-		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("out-", i))); status != 200 {
+	fleet := startFleet(t, 1, 3, 2)
+	fleet.propose("retries = 0.5\nout = [\"a\"]\n", 4)
+	fleet.waitForVersion(1, fleet.indices()...)
+	_, before := fleet.workers[0].count()
+	for i, dispatcher := range fleet.dispatchers {
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("out-", i))); status != 200 {
 			t.Errorf("dispatcher %d: %d", i, status)
 		}
 	}
-	if _, after := f.workers[0].count(); after != before {
+	if _, after := fleet.workers[0].count(); after != before {
 		t.Errorf("%d jobs at a worker that is out", after-before)
 	}
-	if status, text := f.dispatchers[3].callAdmin("POST", "/_workers/attach", "a"); status != 409 {
+	if status, text := fleet.dispatchers[3].callAdmin("POST", "/_workers/attach", "a"); status != 409 {
 		t.Errorf("put back by one dispatcher alone: %d %s", status, text)
 	}
 
-	lead := f.leader()
-	f.propose("retries = 0.1\n", lead)
-	f.dispatchers[lead].command.Process.Kill()
-	<-f.dispatchers[lead].exited
-	f.absences[lead] = append(f.absences[lead], faults.Absence{From: time.Now()})
-	rest := without(f.indices(), lead)
-	f.waitForVersion(2, rest...)
+	lead := fleet.leader()
+	fleet.propose("retries = 0.1\n", lead)
+	fleet.dispatchers[lead].command.Process.Kill()
+	<-fleet.dispatchers[lead].exited
+	fleet.absences[lead] = append(fleet.absences[lead], faults.Absence{From: time.Now()})
+	rest := without(fleet.indices(), lead)
+	fleet.waitForVersion(2, rest...)
 
 	still := 4
-	f.dispatchers[still].command.Process.Signal(syscall.SIGSTOP)
-	f.absences[still] = append(f.absences[still], faults.Absence{From: time.Now()})
-	f.propose("repeat = false\n", rest[0])
-	f.waitForVersion(3, without(rest, still)...) // the change waits for its lease, and no longer
-	f.dispatchers[still].command.Process.Signal(syscall.SIGCONT)
-	f.waitForVersion(3, still)
-	if longest := f.contradictionTime(); longest > 50*time.Millisecond { // the log's lines are written behind the fact
+	fleet.dispatchers[still].command.Process.Signal(syscall.SIGSTOP)
+	fleet.absences[still] = append(fleet.absences[still], faults.Absence{From: time.Now()})
+	fleet.propose("repeat = false\n", rest[0])
+	fleet.waitForVersion(3, without(rest, still)...) // the change waits for its lease, and no longer
+	fleet.dispatchers[still].command.Process.Signal(syscall.SIGCONT)
+	fleet.waitForVersion(3, still)
+	if longest := fleet.contradictionTime(); longest > 50*time.Millisecond { // the log's lines are written behind the fact
 		t.Errorf("versions apart for %v", longest)
 	}
-	if code, out, _ := runCommand(t, "fleet", "history", "--address", f.addresses[rest[0]]); code != 0 || strings.Count(out, "test") != 3 {
+	if code, out, _ := runCommand(t, "fleet", "history", "--address", fleet.addresses[rest[0]]); code != 0 || strings.Count(out, "test") != 3 {
 		t.Errorf("history:\n%s", out)
 	}
 }
@@ -59,29 +59,29 @@
 // and that with its disk, and goes on where it was. A change meanwhile is refused, not lost.
 func TestFleet_majorityLost(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, 2, 3, 1)
-	f.propose("retries = 0.5\n", 0)
-	f.waitForVersion(1, f.indices()...)
+	fleet := startFleet(t, 2, 3, 1)
+	fleet.propose("retries = 0.5\n", 0)
+	fleet.waitForVersion(1, fleet.indices()...)
 	for _, i := range []int{0, 1} {
-		f.dispatchers[i].command.Process.Kill()
-		<-f.dispatchers[i].exited
+		fleet.dispatchers[i].command.Process.Kill()
+		<-fleet.dispatchers[i].exited
 	}
 	for _, i := range []int{2, 3} {
-		f.dispatchers[i].waitFor("the lease's end", func() bool {
-			all := f.effectiveStates(i)
+		fleet.dispatchers[i].waitFor("the lease's end", func() bool {
+			all := fleet.effectiveStates(i)
 			return all[len(all)-1].Lapsed && fmt.Sprint(all[len(all)-1].Versions) == "[1]"
 		})
-		if status, _, _ := f.dispatchers[i].send(newRequest(f.dispatchers[i].http1URL, fmt.Sprint("alone-", i))); status != 200 {
+		if status, _, _ := fleet.dispatchers[i].send(newRequest(fleet.dispatchers[i].http1URL, fmt.Sprint("alone-", i))); status != 200 {
 			t.Errorf("dispatcher %d without a council: %d", i, status)
 		}
 	}
-	if code, _, _ := runCommand(t, "fleet", "rollback", "--why", "none", "--address", f.addresses[3]); code == 0 {
+	if code, _, _ := runCommand(t, "fleet", "rollback", "--why", "none", "--address", fleet.addresses[3]); code == 0 {
 		t.Error("a change went through without a majority")
 	}
-	f.restart(0)
-	f.waitForVersion(1, 0, 2, 3)
-	f.propose("retries = 0.2\n", 3)
-	f.waitForVersion(2, 0, 2, 3)
+	fleet.restart(0)
+	fleet.waitForVersion(1, 0, 2, 3)
+	fleet.propose("retries = 0.2\n", 3)
+	fleet.waitForVersion(2, 0, 2, 3)
 }
 
 // What is wrong with a block or a proposal is told with its place.
--- a/cmd/brassdale/fleet_bench_test.go
+++ b/cmd/brassdale/fleet_bench_test.go
@@ -24,7 +24,7 @@
 	lone.kill(1, 2)
 	const rounds, jobs, together = 9, 3000, 16
 	round := 0
-	burst := func(n *testDispatcher) (rate, p99 float64) {
+	burst := func(dispatcher *testDispatcher) (rate, p99 float64) {
 		round++
 		var mu sync.Mutex
 		var wait sync.WaitGroup
@@ -34,7 +34,7 @@
 			wait.Go(func() {
 				for i := range jobs / together {
 					at := time.Now()
-					if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprintf("b-%d-%d-%d", round, k, i))); status != 200 {
+					if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("b-%d-%d-%d", round, k, i))); status != 200 {
 						t.Errorf("status %d", status)
 					}
 					mu.Lock()
@@ -50,8 +50,8 @@
 	names, nodes := []string{"off", "on", "no majority"}, []*testDispatcher{off, on.dispatchers[0], lone.dispatchers[0]}
 	rates, p99s := make([][]float64, 3), make([][]float64, 3)
 	for r := range rounds + 1 {
-		for i, n := range nodes {
-			rate, p99 := burst(n)
+		for i, dispatcher := range nodes {
+			rate, p99 := burst(dispatcher)
 			if r > 0 {
 				rates[i], p99s[i] = append(rates[i], rate), append(p99s[i], p99)
 			}
--- a/cmd/brassdale/fleet_members_test.go
+++ b/cmd/brassdale/fleet_members_test.go
@@ -18,14 +18,14 @@
 func TestFleet_memberStates(t *testing.T) {
 	t.Parallel()
 	zone := func(i int) string { return string("ab"[i%2]) }
-	f := startFleetWith(t, 24, 3, 5, func(i int) string { return fmt.Sprintf("zone = %q\n", zone(i)) })
-	f.propose("retries = 0.5\n", 0)
-	f.waitForVersion(1, f.indices()...)
+	fleet := startFleetWith(t, 24, 3, 5, func(i int) string { return fmt.Sprintf("zone = %q\n", zone(i)) })
+	fleet.propose("retries = 0.5\n", 0)
+	fleet.waitForVersion(1, fleet.indices()...)
 	see := func(what string, of int, lease string, gossip map[string]string) {
 		t.Helper()
-		for at := range f.dispatchers {
+		for at := range fleet.dispatchers {
 			select {
-			case <-f.dispatchers[at].exited:
+			case <-fleet.dispatchers[at].exited:
 				continue
 			default:
 			}
@@ -33,26 +33,29 @@
 			if zone(at) == zone(of) {
 				want = gossip[zone(of)]
 			}
-			f.waitForGossip(fmt.Sprintf("%s: dispatcher %d at %d with %q and %q", what, of, at, want, lease), func() bool {
-				g, l, _ := f.memberStatus(at, of)
+			fleet.waitForGossip(fmt.Sprintf("%s: dispatcher %d at %d with %q and %q", what, of, at, want, lease), func() bool {
+				g, l, _ := fleet.memberStatus(at, of)
 				return g == want && strings.HasPrefix(l, lease)
 			})
 		}
 	}
-	for of := range f.dispatchers {
+	for of := range fleet.dispatchers {
 		see("all there", of, "acknowledged 1", map[string]string{zone(of): "alive"})
 	}
-	f.dispatchers[7].terminate()
-	<-f.dispatchers[7].exited
+	fleet.dispatchers[7].terminate()
+	<-fleet.dispatchers[7].exited
 	see("told to end", 7, "left", map[string]string{"b": "left"})
-	f.kill(6)
+	fleet.kill(6)
 	see("killed", 6, "ran out", map[string]string{"a": "gone"})
-	f.dispatchers[5].command.Process.Signal(syscall.SIGSTOP)
-	f.waitForGossip("the frozen one gone", func() bool { g, l, _ := f.memberStatus(3, 5); return g == "gone" && strings.HasPrefix(l, "ran out") })
-	f.absences[5] = append(f.absences[5], faults.Absence{From: time.Now()})
-	f.dispatchers[5].command.Process.Signal(syscall.SIGCONT)
+	fleet.dispatchers[5].command.Process.Signal(syscall.SIGSTOP)
+	fleet.waitForGossip("the frozen one gone", func() bool {
+		g, l, _ := fleet.memberStatus(3, 5)
+		return g == "gone" && strings.HasPrefix(l, "ran out")
+	})
+	fleet.absences[5] = append(fleet.absences[5], faults.Absence{From: time.Now()})
+	fleet.dispatchers[5].command.Process.Signal(syscall.SIGCONT)
 	see("awake", 5, "acknowledged", map[string]string{"b": "alive"})
-	if apart := f.contradictionTime(); apart > 0 {
+	if apart := fleet.contradictionTime(); apart > 0 {
 		t.Errorf("contradiction for %v", apart)
 	}
 }
@@ -61,13 +64,13 @@
 // leader's too, while rules are proposed and never contradict; the fleet's bytes are at their doors by what they are for.
 func TestFleet_dedicatedDispatchers(t *testing.T) {
 	t.Parallel()
-	f := startFleetWith(t, 25, 3, 3, func(i int) string {
+	fleet := startFleetWith(t, 25, 3, 3, func(i int) string {
 		return fmt.Sprintf("replace = \"3s\"\nset_aside = %t\n", i > 2)
 	})
-	f.propose("retries = 0.5\n", 0)
-	f.waitForVersion(1, f.indices()...)
+	fleet.propose("retries = 0.5\n", 0)
+	fleet.waitForVersion(1, fleet.indices()...)
 	ready := func(i int) int {
-		resp, err := http.Get(f.dispatchers[i].http1URL + "/health/ready")
+		resp, err := http.Get(fleet.dispatchers[i].http1URL + "/health/ready")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,27 +80,27 @@
 	if a, b := ready(1), ready(5); a != 200 || b != 503 {
 		t.Errorf("ready: %d, and set aside %d", a, b)
 	}
-	if status, _ := f.dispatchers[5].callAdmin("GET", "/_ready", ""); status != 200 {
+	if status, _ := fleet.dispatchers[5].callAdmin("GET", "/_ready", ""); status != 200 {
 		t.Errorf("at the door: %d", status)
 	}
-	if status, _, _ := f.dispatchers[5].send(newRequest(f.dispatchers[5].http1URL, "aside")); status != 200 {
+	if status, _, _ := fleet.dispatchers[5].send(newRequest(fleet.dispatchers[5].http1URL, "aside")); status != 200 {
 		t.Errorf("a job that came all the same: %d", status)
 	}
-	f.waitForGossip("all seats on machines set aside", func() bool {
-		for i := range f.dispatchers {
-			if _, _, seat := f.memberStatus(0, i); i > 2 && seat <= 3 || i <= 2 && seat != 0 {
+	fleet.waitForGossip("all seats on machines set aside", func() bool {
+		for i := range fleet.dispatchers {
+			if _, _, seat := fleet.memberStatus(0, i); i > 2 && seat <= 3 || i <= 2 && seat != 0 {
 				return false
 			}
 		}
-		out := f.runFleetCommand(3, "council")
+		out := fleet.runFleetCommand(3, "council")
 		return strings.Count(out, "true") == 3 && strings.Count(out, "\n") == 4
 	})
-	f.propose("retries = 0.25\n", 1)
-	f.waitForVersion(2, f.indices()...)
-	if apart := f.contradictionTime(); apart > 0 {
+	fleet.propose("retries = 0.25\n", 1)
+	fleet.waitForVersion(2, fleet.indices()...)
+	if apart := fleet.contradictionTime(); apart > 0 {
 		t.Errorf("contradiction for %v", apart)
 	}
-	_, figures := f.dispatchers[5].callAdmin("GET", "/_vars", "")
+	_, figures := fleet.dispatchers[5].callAdmin("GET", "/_vars", "")
 	var missing []string
 	for _, kind := range []string{"renewal", "record", "gossip", "member_probe", "raft", "discovery"} {
 		if !strings.Contains(figures, "control_"+kind+"_received=") {
--- a/cmd/brassdale/frontends_bench_test.go
+++ b/cmd/brassdale/frontends_bench_test.go
@@ -85,12 +85,12 @@
 		return mine, err
 	}
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for time.Now().Before(until) {
 		key := strconv.FormatInt(benchKeys.Add(1), 16)
 		sent := time.Now()
 		fmt.Fprintf(conn, "POST /price-part HTTP/1.1\r\nHost: api.internal\r\nReq-Id: id-%s\r\nReq-Kind: price-part\r\nReq-Owner: taff-marine\r\nIdempotency-Key: %s\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 7\r\n\r\ndrawing", key, key)
-		if !readHTTP1Answer(in) {
+		if !readHTTP1Answer(reader) {
 			return mine, errors.New("no 200")
 		}
 		mine.latencies = append(mine.latencies, time.Since(sent))
@@ -99,14 +99,14 @@
 }
 
 // answered1 reads an answer of a few bytes.
-func readHTTP1Answer(in *bufio.Reader) bool {
-	status, err := in.ReadSlice('\n')
+func readHTTP1Answer(reader *bufio.Reader) bool {
+	status, err := reader.ReadSlice('\n')
 	if err != nil || !strings.Contains(string(status), " 200 ") {
 		return false
 	}
 	length := 0
 	for {
-		field, err := in.ReadSlice('\n')
+		field, err := reader.ReadSlice('\n')
 		if err != nil {
 			return false
 		}
@@ -117,7 +117,7 @@
 			length, _ = strconv.Atoi(strings.TrimSpace(value))
 		}
 	}
-	_, err = in.Discard(length)
+	_, err = reader.Discard(length)
 	return err == nil
 }
 
@@ -159,14 +159,14 @@
 		next += 2
 		open++
 	}
-	in := bufio.NewReaderSize(conn, 64<<10)
+	reader := bufio.NewReaderSize(conn, 64<<10)
 	head := make([]byte, 9)
 	unread := 0
 	for {
 		for now := time.Now(); open < streams && now.Before(until); {
 			begin()
 		}
-		if len(out) > 0 && in.Buffered() == 0 {
+		if len(out) > 0 && reader.Buffered() == 0 {
 			if _, err := conn.Write(out); err != nil {
 				return mine, err
 			}
@@ -175,12 +175,12 @@
 		if open == 0 {
 			return mine, nil
 		}
-		if _, err := io.ReadFull(in, head); err != nil {
+		if _, err := io.ReadFull(reader, head); err != nil {
 			return mine, err
 		}
 		size, stream := int(head[0])<<16|int(head[1])<<8|int(head[2]), binary.BigEndian.Uint32(head[5:])
 		if head[3] == 1 { // the first byte of a head is its status, of the table that all know
-			if first, err := in.ReadByte(); err != nil || first != 0x88 {
+			if first, err := reader.ReadByte(); err != nil || first != 0x88 {
 				return mine, fmt.Errorf("stream %d: no 200 (%x, %v)", stream, first, err)
 			}
 			size--
@@ -188,7 +188,7 @@
 		if head[3] == 0 {
 			unread += size
 		}
-		if _, err := in.Discard(size); err != nil {
+		if _, err := reader.Discard(size); err != nil {
 			return mine, err
 		}
 		switch {
@@ -239,15 +239,15 @@
 	with, without := startBenchDispatcher(b, binary, http2Frontend+"keys {\n  jobs = 200000\n}\n", workers), startBenchDispatcher(b, binary, "", workers)
 	names := []string{"HTTP/1.1, no operator's file", "HTTP/1.1", "HTTP/2, 1 connection", "HTTP/2, 4 connections"}
 	loads := []func(time.Time) *loadRound{
-		func(u time.Time) *loadRound { return loadHTTP1(b, without.http1Address, u) },
-		func(u time.Time) *loadRound { return loadHTTP1(b, with.http1Address, u) },
-		func(u time.Time) *loadRound { return loadHTTP2(b, with.http2Address, 1, u) },
-		func(u time.Time) *loadRound { return loadHTTP2(b, with.http2Address, 4, u) },
+		func(until time.Time) *loadRound { return loadHTTP1(b, without.http1Address, until) },
+		func(until time.Time) *loadRound { return loadHTTP1(b, with.http1Address, until) },
+		func(until time.Time) *loadRound { return loadHTTP2(b, with.http2Address, 1, until) },
+		func(until time.Time) *loadRound { return loadHTTP2(b, with.http2Address, 4, until) },
 	}
 	if base := os.Getenv("BRASSDALE_BASE"); base != "" {
 		old := startBenchDispatcher(b, base, "", workers)
 		names = append(names, "HTTP/1.1, binary before")
-		loads = append(loads, func(u time.Time) *loadRound { return loadHTTP1(b, old.http1Address, u) })
+		loads = append(loads, func(until time.Time) *loadRound { return loadHTTP1(b, old.http1Address, until) })
 	}
 	var rounds [][]*loadRound
 	for i := range benchRounds + 1 {
@@ -267,20 +267,20 @@
 // BenchmarkStreams tells what open streams cost: a thousand jobs that wait for their endpoints.
 func BenchmarkOpenStreams(b *testing.B) {
 	release := make(chan struct{})
-	workers := startBenchWorkersWith(b, 250, func(x *testWorker, c net.Conn, r *http.Request) { <-release; completeAtOnce(x, c, r) })
-	n := startBenchDispatcher(b, "", "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n  streams = 250\n}\n", workers)
-	before := n.residentMB()
+	workers := startBenchWorkersWith(b, 250, func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeAtOnce(worker, conn, r) })
+	program := startBenchDispatcher(b, "", "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n  streams = 250\n}\n", workers)
+	before := program.residentMB()
 	until := time.Now().Add(2 * time.Second)
 	var wait sync.WaitGroup
 	for range 10 {
 		wait.Go(func() {
-			if _, err := loadHTTP2Connection(n.http2Address, 100, until); err != nil {
+			if _, err := loadHTTP2Connection(program.http2Address, 100, until); err != nil {
 				b.Error(err)
 			}
 		})
 	}
 	time.Sleep(time.Until(until))
-	b.Logf("resident: %d MB before, %d MB with 1,000 streams open", before, n.residentMB())
+	b.Logf("resident: %d MB before, %d MB with 1,000 streams open", before, program.residentMB())
 	close(release)
 	wait.Wait()
 }
@@ -307,10 +307,10 @@
 }
 
 func startBenchDispatcher(b *testing.B, binary, operator string, workers []*testWorker) *benchProgram {
-	n := &testDispatcher{t: b, binary: binary, discovery: &testDiscovery{revision: 1, workers: workers, changed: make(chan struct{})}, exited: make(chan struct{})}
-	n.start(operator, func(config string) string {
+	dispatcher := &testDispatcher{t: b, binary: binary, discovery: &testDiscovery{revision: 1, workers: workers, changed: make(chan struct{})}, exited: make(chan struct{})}
+	dispatcher.start(operator, func(config string) string {
 		// Slots enough that nothing waits: the ports are measured, not the module's care for endpoints.
 		return strings.Replace(config, `"probing":true`, `"probing":false`, 1)
 	})
-	return &benchProgram{command: n.command, http1Address: strings.TrimPrefix(n.http1URL, "http://"), http2Address: strings.TrimPrefix(n.http2URL, "http://")}
+	return &benchProgram{command: dispatcher.command, http1Address: strings.TrimPrefix(dispatcher.http1URL, "http://"), http2Address: strings.TrimPrefix(dispatcher.http2URL, "http://")}
 }
--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -105,31 +105,31 @@
 	c.mu.Lock()
 	known := c.listJSON(-1)
 	c.mu.Unlock()
-	n := &testDispatcher{t: b, exited: make(chan struct{})}
-	n.startProcess(fmt.Sprintf(`{"name":"n7","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
+	dispatcher := &testDispatcher{t: b, exited: make(chan struct{})}
+	dispatcher.startProcess(fmt.Sprintf(`{"name":"n7","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		find.Listener.Addr(), known, strings.Replace(settingsJSON, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":7,"replicasOfMe":%d`, dispatchers), 1)), "")
-	n.waitUntilReady("")
+	dispatcher.waitUntilReady("")
 	served, most := atomic.Int64{}, 0
 	var wait sync.WaitGroup
 	for i, end := 0, time.Now().Add(growthDuration); time.Now().Before(end); i++ {
 		time.Sleep(time.Second / growthRequestsPerSecond)
 		if i%growthRequestsPerSecond == 0 {
 			c.drainNext()
-			if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.command.Process.Pid)); err == nil {
+			if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", dispatcher.command.Process.Pid)); err == nil {
 				most = max(most, len(fds))
 			}
 		}
 		wait.Go(func() {
-			if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprintf("g%d", i), "Cookie", fmt.Sprintf("user=%016x", i%50))); status == 200 {
+			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("g%d", i), "Cookie", fmt.Sprintf("user=%016x", i%50))); status == 200 {
 				served.Add(1)
 			}
 		})
 	}
 	wait.Wait()
-	cpu, peak := processCost(n.command.Process.Pid)
+	cpu, peak := processCost(dispatcher.command.Process.Pid)
 	conns := 0
-	for _, w := range c.workers {
-		made, _ := w.count()
+	for _, worker := range c.workers {
+		made, _ := worker.count()
 		conns += made
 	}
 	b.ReportMetric(cpu.Seconds(), "cpu-s")
@@ -138,8 +138,8 @@
 	b.ReportMetric(float64(conns), "connections")
 	b.ReportMetric(float64(c.bytes.Load())/1024, "list-KB")
 	b.ReportMetric(float64(served.Load()), "served")
-	n.command.Process.Kill()
-	<-n.exited
+	dispatcher.command.Process.Kill()
+	<-dispatcher.exited
 }
 
 // processCost gives the processor time of a process so far and its peak memory in bytes.
--- a/cmd/brassdale/handover_test.go
+++ b/cmd/brassdale/handover_test.go
@@ -17,16 +17,16 @@
 func TestHandover_noRequestLost(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		if strings.HasPrefix(r.Header.Get("Idempotency-Key"), "held") {
 			<-release
 		}
-		completeJob(b, c, r)
+		completeJob(worker, conn, r)
 	})
-	n := startDispatcher(t, "", b)
+	dispatcher := startDispatcher(t, "", worker)
 	kept := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	ask := func(key string) *http.Response {
-		resp, err := kept.Do(newRequest(n.http1URL, key))
+		resp, err := kept.Do(newRequest(dispatcher.http1URL, key))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 	if resp := ask("first"); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("before: %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	held := n.sendInBackground(b, "held")
+	held := dispatcher.sendInBackground(worker, "held")
 
 	// Clients with a connection for each job, all the time.
 	stop, done := make(chan struct{}), make(chan int)
@@ -50,33 +50,33 @@
 				return
 			default:
 			}
-			if resp, err := each.Do(newRequest(n.http1URL, fmt.Sprint("each-", jobs))); err != nil {
+			if resp, err := each.Do(newRequest(dispatcher.http1URL, fmt.Sprint("each-", jobs))); err != nil {
 				t.Errorf("job %d: %v", jobs, err)
 			} else if resp.Body.Close(); resp.StatusCode != 200 {
 				t.Errorf("job %d: %d", jobs, resp.StatusCode)
 			}
 		}
 	}()
-	m := n.startSuccessor("")
-	if m.http1URL != n.http1URL {
-		t.Fatalf("serves at %s, not at %s", m.http1URL, n.http1URL)
+	successor := dispatcher.startSuccessor("")
+	if successor.http1URL != dispatcher.http1URL {
+		t.Fatalf("serves at %s, not at %s", successor.http1URL, dispatcher.http1URL)
 	}
-	if status, _ := m.callAdmin("GET", "/_ready", ""); status != 200 {
+	if status, _ := successor.callAdmin("GET", "/_ready", ""); status != 200 {
 		t.Errorf("ready: %d", status)
 	}
-	n.waitForHandovers(1)
+	dispatcher.waitForHandovers(1)
 	if resp := ask("kept"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a kept connection: %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	n.terminate()
+	dispatcher.terminate()
 	close(release)
 	if status := <-held; status != 200 {
 		t.Errorf("the open job: %d", status)
 	}
-	n.waitForExit(time.Now().Add(5 * time.Second))
-	m.waitFor("the end of the predecessor", func() bool { return strings.Contains(m.log(), "predecessor ended") })
-	before := m.metric("replies.price-part.success")
-	if resp := ask("last"); resp.StatusCode != 200 || m.metric("replies.price-part.success") <= before {
+	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
+	successor.waitFor("the end of the predecessor", func() bool { return strings.Contains(successor.log(), "predecessor ended") })
+	before := successor.metric("replies.price-part.success")
+	if resp := ask("last"); resp.StatusCode != 200 || successor.metric("replies.price-part.success") <= before {
 		t.Errorf("after: %d", resp.StatusCode)
 	}
 	close(stop)
@@ -89,27 +89,27 @@
 func TestHandover_requestIDsOpenOnce(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })
-	n := startDispatcher(t, "", b)
-	old := n.dial() // accepted there before the successor serves
-	if err := newRequest(n.http1URL, "old").Write(old); err != nil {
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	dispatcher := startDispatcher(t, "", worker)
+	old := dispatcher.dial() // accepted there before the successor serves
+	if err := newRequest(dispatcher.http1URL, "old").Write(old); err != nil {
 		t.Fatal(err)
 	}
-	n.waitFor("the job", func() bool { _, jobs := b.count(); return jobs == 1 })
-	m := n.startSuccessor("")
-	n.waitForHandovers(1)
-	if status, _, _ := m.send(newRequest(m.http1URL, "old")); status != 409 {
+	dispatcher.waitFor("the job", func() bool { _, jobs := worker.count(); return jobs == 1 })
+	successor := dispatcher.startSuccessor("")
+	dispatcher.waitForHandovers(1)
+	if status, _, _ := successor.send(newRequest(successor.http1URL, "old")); status != 409 {
 		t.Errorf("an id that is open at the predecessor: %d", status)
 	}
-	next := m.sendInBackground(b, "next")
-	if status, _, _ := m.send(newRequest(m.http1URL, "other", "Req-Id", "id-next")); status != 409 {
+	next := successor.sendInBackground(worker, "next")
+	if status, _, _ := successor.send(newRequest(successor.http1URL, "other", "Req-Id", "id-next")); status != 409 {
 		t.Errorf("an id that is open here: %d", status)
 	}
 	close(release)
 	if status := <-next; status != 200 {
 		t.Errorf("the job: %d", status)
 	}
-	if status, _, _ := m.send(newRequest(m.http1URL, "again", "Req-Id", "id-next")); status != 200 {
+	if status, _, _ := successor.send(newRequest(successor.http1URL, "again", "Req-Id", "id-next")); status != 200 {
 		t.Errorf("an id that is free again: %d", status)
 	}
 }
@@ -118,57 +118,57 @@
 // serves on and can be replaced again.
 func TestHandover_peerFailures(t *testing.T) {
 	t.Parallel()
-	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
-	m := n.startSuccessor("")
-	n.waitForHandovers(1)
-	m.command.Process.Kill()
-	<-m.exited
-	n.waitFor("the successor's end", func() bool { return strings.Contains(n.log(), "continuing alone") })
-	each := func(n *testDispatcher, key string) {
+	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
+	killed := dispatcher.startSuccessor("")
+	dispatcher.waitForHandovers(1)
+	killed.command.Process.Kill()
+	<-killed.exited
+	dispatcher.waitFor("the successor's end", func() bool { return strings.Contains(dispatcher.log(), "continuing alone") })
+	each := func(dispatcher *testDispatcher, key string) {
 		t.Helper()
-		r := newRequest(n.http1URL, key)
+		r := newRequest(dispatcher.http1URL, key)
 		r.Close = true
-		if status, _, _ := n.send(r); status != 200 {
+		if status, _, _ := dispatcher.send(r); status != 200 {
 			t.Errorf("%s: %d", key, status)
 		}
 	}
-	each(n, "on")
-	if n.metric("replies.price-part.success") != 1 {
+	each(dispatcher, "on")
+	if dispatcher.metric("replies.price-part.success") != 1 {
 		t.Error("the job was not served by the process that is left")
 	}
-	n.waitFor("the name", func() bool {
-		files, _ := filepath.Glob(filepath.Join(n.tempDir, "*.sock"))
+	dispatcher.waitFor("the name", func() bool {
+		files, _ := filepath.Glob(filepath.Join(dispatcher.tempDir, "*.sock"))
 		return len(files) == 1
 	})
-	k := n.startSuccessor("")
-	n.waitForHandovers(2)
-	n.terminate()
-	n.waitForExit(time.Now().Add(5 * time.Second))
-	each(k, "second")
-	k.command.Process.Kill()
-	<-k.exited
+	second := dispatcher.startSuccessor("")
+	dispatcher.waitForHandovers(2)
+	dispatcher.terminate()
+	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
+	each(second, "second")
+	second.command.Process.Kill()
+	<-second.exited
 
-	files, _ := filepath.Glob(filepath.Join(n.tempDir, "*.sock"))
+	files, _ := filepath.Glob(filepath.Join(dispatcher.tempDir, "*.sock"))
 	if len(files) != 1 {
 		t.Fatalf("leftovers: %v", files)
 	}
-	l := n.startSuccessor("")
-	each(l, "alone")
-	l.command.Process.Kill()
-	<-l.exited
+	afterKill := dispatcher.startSuccessor("")
+	each(afterKill, "alone")
+	afterKill.command.Process.Kill()
+	<-afterKill.exited
 
 	// It takes the connection and says nothing.
-	hung, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(n.tempDir, "hung"), Net: "unix"})
+	hung, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dispatcher.tempDir, "hung"), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer hung.Close()
-	if err := os.Rename(filepath.Join(n.tempDir, "hung"), files[0]); err != nil {
+	if err := os.Rename(filepath.Join(dispatcher.tempDir, "hung"), files[0]); err != nil {
 		t.Fatal(err)
 	}
-	h := n.startSuccessor("")
-	each(h, "beside a hung one")
-	if !strings.Contains(h.log(), "starting alone") {
+	besideHung := dispatcher.startSuccessor("")
+	each(besideHung, "beside a hung one")
+	if !strings.Contains(besideHung.log(), "starting alone") {
 		t.Error("it did not notice")
 	}
 }
@@ -176,18 +176,18 @@
 // Where no Unix socket can be had the program starts and serves, and says once what it goes without.
 func TestHandover_withoutUnixSockets(t *testing.T) {
 	t.Parallel()
-	n := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: []*testWorker{startWorker(t, "a", completeJob)}, changed: make(chan struct{})}, exited: make(chan struct{})}
-	n.tempDir = filepath.Join(t.TempDir(), strings.Repeat("far-", 30)) // past the 107 bytes of such a socket's path
-	if err := os.Mkdir(n.tempDir, 0o700); err != nil {
+	dispatcher := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: []*testWorker{startWorker(t, "a", completeJob)}, changed: make(chan struct{})}, exited: make(chan struct{})}
+	dispatcher.tempDir = filepath.Join(t.TempDir(), strings.Repeat("far-", 30)) // past the 107 bytes of such a socket's path
+	if err := os.Mkdir(dispatcher.tempDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	n.start("", func(config string) string { return config })
+	dispatcher.start("", func(config string) string { return config })
 	for i := range 3 {
-		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint("k-", i))); status != 200 {
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))); status != 200 {
 			t.Errorf("job %d: %d", i, status)
 		}
 	}
-	if times := strings.Count(n.log(), "handover socket not available"); times != 1 {
+	if times := strings.Count(dispatcher.log(), "handover socket not available"); times != 1 {
 		t.Errorf("said %d times", times)
 	}
 }
@@ -195,16 +195,16 @@
 // A front that the successor has not is closed with the predecessor: clients would wait at its listener for nobody.
 func TestHandover_frontendRemoved(t *testing.T) {
 	t.Parallel()
-	n := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", completeJob))
-	m := n.startSuccessor("")
-	n.waitForHandovers(1)
-	n.terminate()
-	n.waitForExit(time.Now().Add(5 * time.Second))
-	if c, err := net.Dial("tcp", strings.TrimPrefix(n.progressURL, "http://")); err == nil {
-		c.Close()
+	dispatcher := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", completeJob))
+	successor := dispatcher.startSuccessor("")
+	dispatcher.waitForHandovers(1)
+	dispatcher.terminate()
+	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
+	if conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.progressURL, "http://")); err == nil {
+		conn.Close()
 		t.Error("the front that is off takes connections")
 	}
-	if status, _, _ := m.send(newRequest(m.http1URL, "k")); status != 200 {
+	if status, _, _ := successor.send(newRequest(successor.http1URL, "k")); status != 200 {
 		t.Errorf("the front that is on: %d", status)
 	}
 }
--- a/cmd/brassdale/http1_misuse_test.go
+++ b/cmd/brassdale/http1_misuse_test.go
@@ -16,12 +16,12 @@
 // asked before on that connection is answered. net/http alone would go by one length and say nothing.
 func TestHTTP1_conflictingLengths(t *testing.T) {
 	t.Parallel()
-	b := startWorker(t, "a", completeJob)
-	n := startDispatcher(t, "", b)
+	worker := startWorker(t, "a", completeJob)
+	dispatcher := startDispatcher(t, "", worker)
 	hidden := requestHead("hidden", "Content-Length: 0\r\n")
 	good := requestHead("ID", "Content-Length: 2\r\n") + "ok"
 	coded := requestHead("ID", "Transfer-Encoding: chunked\r\n") + "2\r\nok\r\n0\r\n\r\n"
-	for i, c := range []struct{ text, want string }{
+	for i, test := range []struct{ text, want string }{
 		{requestHead("ID", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "400"},
 		{requestHead("ID", "TRANSFER-encoding:chunked\r\ncontent-LENGTH:5\r\n") + "0\r\n\r\n" + hidden, "400"},
 		{strings.ReplaceAll(requestHead("ID", "Transfer-Encoding: chunked\r\nX: y\r\nContent-Length: 5\r\n"), "\r\n", "\n") + "0\r\n\r\n" + hidden, "400"},
@@ -38,8 +38,8 @@
 		{strings.Replace(good, "1.1\r\n", "1.0\r\nConnection: keep-alive\r\n", 1) + hidden, "200"},
 	} {
 		for _, split := range []bool{false, true} {
-			conn := n.dial().(*net.TCPConn)
-			text := strings.ReplaceAll(c.text, "ID", fmt.Sprintf("id-%d-%v", i, split))
+			conn := dispatcher.dial().(*net.TCPConn)
+			text := strings.ReplaceAll(test.text, "ID", fmt.Sprintf("id-%d-%v", i, split))
 			for len(text) > 0 {
 				k := len(text)
 				if split {
@@ -51,23 +51,23 @@
 				text = text[k:]
 			}
 			var got []string
-			for in := bufio.NewReader(conn); len(got) < strings.Count(c.want, " ")+1; {
-				resp, err := http.ReadResponse(in, nil)
+			for reader := bufio.NewReader(conn); len(got) < strings.Count(test.want, " ")+1; {
+				resp, err := http.ReadResponse(reader, nil)
 				if err != nil {
 					t.Fatalf("%d split %v: %v after %v", i, split, err, got)
 				}
 				io.Copy(io.Discard, resp.Body)
 				got = append(got, fmt.Sprint(resp.StatusCode))
 			}
-			if strings.Join(got, " ") != c.want {
-				t.Errorf("%d split %v: answered %v, want %s", i, split, got, c.want)
+			if strings.Join(got, " ") != test.want {
+				t.Errorf("%d split %v: answered %v, want %s", i, split, got, test.want)
 			}
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.runs["hidden"] != 0 {
-		t.Errorf("%d hidden requests ran", b.runs["hidden"])
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	if worker.runs["hidden"] != 0 {
+		t.Errorf("%d hidden requests ran", worker.runs["hidden"])
 	}
 }
 
@@ -75,34 +75,34 @@
 // inside 3 s, the descriptors hold out, and a client that means it is served on.
 func TestHTTP1_silentClients(t *testing.T) {
 	t.Parallel()
-	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
+	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
 	var all sync.WaitGroup
 	for i := range 800 {
-		c := n.dial()
+		conn := dispatcher.dial()
 		begin := time.Now()
 		switch i % 4 {
 		case 1:
-			io.WriteString(c, "POST /price-part HTTP/1.1\r\nReq-")
+			io.WriteString(conn, "POST /price-part HTTP/1.1\r\nReq-")
 		case 2:
-			io.WriteString(c, requestHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
+			io.WriteString(conn, requestHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
 		case 3:
-			io.WriteString(c, "POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: 60000000\r\n\r\n")
+			io.WriteString(conn, "POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: 60000000\r\n\r\n")
 		}
 		all.Go(func() {
-			c.SetReadDeadline(begin.Add(3 * time.Second))
-			_, err := io.Copy(io.Discard, c)
+			conn.SetReadDeadline(begin.Add(3 * time.Second))
+			_, err := io.Copy(io.Discard, conn)
 			if wait, ok := err.(net.Error); ok && wait.Timeout() {
 				t.Errorf("connection %d got neither an error nor a close", i)
 			}
 		})
 		if i%40 == 0 {
-			if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(i))); status != 200 {
+			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
 				t.Errorf("among %d silent clients: %d", i, status)
 			}
 		}
 	}
 	all.Wait()
-	if !strings.Contains(n.log(), "client connections evicted") {
+	if !strings.Contains(dispatcher.log(), "client connections evicted") {
 		t.Error("there was room for all: the test is too small")
 	}
 }
@@ -111,24 +111,24 @@
 // refused with advice, and once they are gone all is served again.
 func TestHTTP1_bodyMemoryLimit(t *testing.T) {
 	t.Parallel()
-	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
+	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
 	for i := range 400 { // 25 MB of 192: they send all but the last byte
-		c := n.dial()
-		io.WriteString(c, requestHead(fmt.Sprint("big-", i), "Content-Length: 65536\r\n")+strings.Repeat("x", 65535))
+		conn := dispatcher.dial()
+		io.WriteString(conn, requestHead(fmt.Sprint("big-", i), "Content-Length: 65536\r\n")+strings.Repeat("x", 65535))
 	}
-	n.waitFor("a refusal", func() bool { return strings.Contains(n.log(), "body memory limit") })
-	large := newRequest(n.http1URL, "k")
+	dispatcher.waitFor("a refusal", func() bool { return strings.Contains(dispatcher.log(), "body memory limit") })
+	large := newRequest(dispatcher.http1URL, "k")
 	large.Body, large.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<16))), 1<<16
-	status, _, after := n.send(large)
+	status, _, after := dispatcher.send(large)
 	if status != 503 || after == "" {
 		t.Errorf("past the room: %d, Retry-After %q", status, after)
 	}
 	i := 0
-	n.waitFor("room again", func() bool {
+	dispatcher.waitFor("room again", func() bool {
 		i++
-		again := newRequest(n.http1URL, fmt.Sprint("k-", i))
+		again := newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))
 		again.Body, again.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<16))), 1<<16
-		status, _, _ := n.send(again)
+		status, _, _ := dispatcher.send(again)
 		return status == 200
 	})
 }
@@ -138,10 +138,10 @@
 // whoever had waited the longest went first, whether anything came of it or not.
 func TestHTTP1_slowClientAmongMany(t *testing.T) {
 	t.Parallel()
-	n := startDispatcherWith(t, "", func(config string) string { return strings.Replace(config, `"sockets":1024`, `"sockets":128`, 1) },
+	dispatcher := startDispatcherWith(t, "", func(config string) string { return strings.Replace(config, `"sockets":1024`, `"sockets":128`, 1) },
 		startWorker(t, "a", completeJob))
 	text := requestHead("slow", "Content-Length: 4\r\n") + "slow"
-	slow, begin, sent, halves := n.dial(), time.Now(), 10, 0
+	slow, begin, sent, halves := dispatcher.dial(), time.Now(), 10, 0
 	io.WriteString(slow, text[:sent])
 	for i := 0; time.Since(begin) < 1900*time.Millisecond; i++ {
 		if part := int(time.Since(begin)*12/(2*time.Second)) * len(text) / 12; part > sent {
@@ -150,20 +150,20 @@
 			}
 			sent = part
 		}
-		c := n.dial()
+		conn := dispatcher.dial()
 		switch i % 3 {
 		case 1:
-			io.WriteString(c, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
+			io.WriteString(conn, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
 		case 2:
 			if halves < 15 { // they hold their places until they are due
 				halves++
-				io.WriteString(c, requestHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
+				io.WriteString(conn, requestHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
 			}
 		}
 		if i%20 == 0 {
-			r := newRequest(n.http1URL, fmt.Sprint(i))
+			r := newRequest(dispatcher.http1URL, fmt.Sprint(i))
 			r.Close = true
-			if status, _, _ := n.send(r); status != 200 {
+			if status, _, _ := dispatcher.send(r); status != 200 {
 				t.Errorf("one that has just come: %d", status)
 			}
 		}
@@ -174,7 +174,7 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Errorf("the slow client: %v, %v", resp, err)
 	}
-	if !strings.Contains(n.log(), "client connections evicted") {
+	if !strings.Contains(dispatcher.log(), "client connections evicted") {
 		t.Error("no crowd")
 	}
 }
--- a/cmd/brassdale/http2_misuse_test.go
+++ b/cmd/brassdale/http2_misuse_test.go
@@ -15,116 +15,118 @@
 // connections do not notice.
 func TestHTTP2_misbehavingClients(t *testing.T) {
 	t.Parallel()
-	n := startDispatcher(t, http2Frontend, startWorker(t, "a", completeJob))
-	head := func(p *frameClient, stream uint32, more ...string) {
-		p.WriteHeaders(h2.HeadersFrameParam{StreamID: stream, BlockFragment: p.headerFields("k", more...), EndHeaders: true, EndStream: true})
+	dispatcher := startDispatcher(t, http2Frontend, startWorker(t, "a", completeJob))
+	head := func(client *frameClient, stream uint32, more ...string) {
+		client.WriteHeaders(h2.HeadersFrameParam{StreamID: stream, BlockFragment: client.headerFields("k", more...), EndHeaders: true, EndStream: true})
 	}
 	calm := "ENHANCE_YOUR_CALM"
-	for name, c := range map[string]struct {
-		do   func(p *frameClient)
+	for name, test := range map[string]struct {
+		do   func(client *frameClient)
 		want string // how a frame that comes begins; a GOAWAY's code; or a close
 	}{
-		"resets": {func(p *frameClient) {
+		"resets": {func(client *frameClient) {
 			for i := range uint32(20000) {
-				p.WriteHeaders(h2.HeadersFrameParam{StreamID: 2*i + 1, BlockFragment: p.headerFields(fmt.Sprint("r-", i)), EndHeaders: true})
-				if p.WriteRSTStream(2*i+1, h2.ErrCodeCancel) != nil {
+				client.WriteHeaders(h2.HeadersFrameParam{StreamID: 2*i + 1, BlockFragment: client.headerFields(fmt.Sprint("r-", i)), EndHeaders: true})
+				if client.WriteRSTStream(2*i+1, h2.ErrCodeCancel) != nil {
 					return
 				}
 			}
 		}, calm},
-		"pings":    {func(p *frameClient) { flood(func() error { return p.WritePing(false, [8]byte{}) }) }, calm},
-		"settings": {func(p *frameClient) { flood(func() error { return p.WriteSettings() }) }, calm},
-		"priority": {func(p *frameClient) {
-			flood(func() error { return p.WritePriority(1, h2.PriorityParam{StreamDep: 3, Weight: 7}) })
+		"pings":    {func(client *frameClient) { flood(func() error { return client.WritePing(false, [8]byte{}) }) }, calm},
+		"settings": {func(client *frameClient) { flood(func() error { return client.WriteSettings() }) }, calm},
+		"priority": {func(client *frameClient) {
+			flood(func() error { return client.WritePriority(1, h2.PriorityParam{StreamDep: 3, Weight: 7}) })
 		}, calm},
-		"windows": {func(p *frameClient) { flood(func() error { return p.WriteWindowUpdate(0, 1) }) }, calm},
-		"unknown": {func(p *frameClient) { flood(func() error { return p.WriteRawFrame(0x42, 0, 0, []byte("x")) }) }, calm},
-		"crumbs": {func(p *frameClient) {
-			p.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: p.headerFields("k"), EndHeaders: true})
-			flood(func() error { return p.WriteData(1, false, nil) })
+		"windows": {func(client *frameClient) { flood(func() error { return client.WriteWindowUpdate(0, 1) }) }, calm},
+		"unknown": {func(client *frameClient) {
+			flood(func() error { return client.WriteRawFrame(0x42, 0, 0, []byte("x")) })
 		}, calm},
-		"fragments": {func(p *frameClient) {
-			text := bytes.Clone(p.headerFields("k"))
-			p.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: text[:1]})
+		"crumbs": {func(client *frameClient) {
+			client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerFields("k"), EndHeaders: true})
+			flood(func() error { return client.WriteData(1, false, nil) })
+		}, calm},
+		"fragments": {func(client *frameClient) {
+			text := bytes.Clone(client.headerFields("k"))
+			client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: text[:1]})
 			for i := 1; i < len(text); i++ {
-				p.WriteContinuation(1, i == len(text)-1, text[i:i+1])
+				client.WriteContinuation(1, i == len(text)-1, text[i:i+1])
 			}
 		}, calm},
-		"half a head": {func(p *frameClient) {
-			p.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: p.headerFields("k")[:9]})
+		"half a head": {func(client *frameClient) {
+			client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerFields("k")[:9]})
 		}, calm},
-		"half a frame": {func(p *frameClient) { p.conn.Write([]byte{0, 0, 8, 6}) }, calm},
-		"large headers": {func(p *frameClient) {
+		"half a frame": {func(client *frameClient) { client.conn.Write([]byte{0, 0, 8, 6}) }, calm},
+		"large headers": {func(client *frameClient) {
 			var more []string
 			for i := range 12 {
 				more = append(more, fmt.Sprint("large-", i), strings.Repeat("x", 1000))
 			}
-			head(p, 1, more...)
+			head(client, 1, more...)
 		}, "HEADERS 1 431"},
-		"large header": {func(p *frameClient) { head(p, 1, "large", strings.Repeat("x", 12000)) }, "COMPRESSION_ERROR"},
-		"wrong length": {func(p *frameClient) {
-			p.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: p.headerFields("k", "content-length", "3"), EndHeaders: true})
-			p.WriteData(1, true, []byte("drawing"))
+		"large header": {func(client *frameClient) { head(client, 1, "large", strings.Repeat("x", 12000)) }, "COMPRESSION_ERROR"},
+		"wrong length": {func(client *frameClient) {
+			client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerFields("k", "content-length", "3"), EndHeaders: true})
+			client.WriteData(1, true, []byte("drawing"))
 		}, "RST_STREAM 1 PROTOCOL_ERROR"},
-		"short length": {func(p *frameClient) {
-			p.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: p.headerFields("k", "content-length", "30"), EndHeaders: true})
-			p.WriteData(1, true, []byte("drawing"))
+		"short length": {func(client *frameClient) {
+			client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerFields("k", "content-length", "30"), EndHeaders: true})
+			client.WriteData(1, true, []byte("drawing"))
 		}, "HEADERS 1 400"},
-		"half a body": {func(p *frameClient) {
-			p.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: p.headerFields("k", "content-length", "30"), EndHeaders: true})
-			p.WriteData(1, false, []byte("drawing"))
+		"half a body": {func(client *frameClient) {
+			client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerFields("k", "content-length", "30"), EndHeaders: true})
+			client.WriteData(1, false, []byte("drawing"))
 		}, "HEADERS 1 400"},
-		"connection":        {func(p *frameClient) { head(p, 1, "connection", "close") }, "HEADERS 1 400"},
-		"transfer-encoding": {func(p *frameClient) { head(p, 1, "transfer-encoding", "chunked") }, "HEADERS 1 400"},
-		"uppercase":         {func(p *frameClient) { head(p, 1, "Req-Odd", "x") }, "RST_STREAM 1 PROTOCOL_ERROR"},
-		"no class":          {func(p *frameClient) { head(p, 1, ":path", "/no-such") }, "HEADERS 1 404"},
-		"no path":           {func(p *frameClient) { head(p, 1, ":path", "no-slash") }, "RST_STREAM 1 PROTOCOL_ERROR"},
-		"trailers": {func(p *frameClient) {
-			p.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: p.headerFields("trailed"), EndHeaders: true})
-			p.WriteData(1, false, []byte("drawing"))
-			p.headerBlock.Reset()
-			p.encoder.WriteField(hpack.HeaderField{Name: "req-id", Value: "another"})
-			p.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: p.headerBlock.Bytes(), EndHeaders: true, EndStream: true})
+		"connection":        {func(client *frameClient) { head(client, 1, "connection", "close") }, "HEADERS 1 400"},
+		"transfer-encoding": {func(client *frameClient) { head(client, 1, "transfer-encoding", "chunked") }, "HEADERS 1 400"},
+		"uppercase":         {func(client *frameClient) { head(client, 1, "Req-Odd", "x") }, "RST_STREAM 1 PROTOCOL_ERROR"},
+		"no class":          {func(client *frameClient) { head(client, 1, ":path", "/no-such") }, "HEADERS 1 404"},
+		"no path":           {func(client *frameClient) { head(client, 1, ":path", "no-slash") }, "RST_STREAM 1 PROTOCOL_ERROR"},
+		"trailers": {func(client *frameClient) {
+			client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerFields("trailed"), EndHeaders: true})
+			client.WriteData(1, false, []byte("drawing"))
+			client.headerBlock.Reset()
+			client.encoder.WriteField(hpack.HeaderField{Name: "req-id", Value: "another"})
+			client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerBlock.Bytes(), EndHeaders: true, EndStream: true})
 		}, "HEADERS 1 200"},
-		"push":         {func(p *frameClient) { p.WriteRawFrame(h2.FramePushPromise, 4, 1, make([]byte, 8)) }, "PROTOCOL_ERROR"},
-		"many streams": {func(p *frameClient) { openStreams(p, 150) }, "RST_STREAM"},
+		"push":         {func(client *frameClient) { client.WriteRawFrame(h2.FramePushPromise, 4, 1, make([]byte, 8)) }, "PROTOCOL_ERROR"},
+		"many streams": {func(client *frameClient) { openStreams(client, 150) }, "RST_STREAM"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := n.connectHTTP2()
+			client := dispatcher.connectHTTP2()
 			good := newHTTP2Client(t)
 			begin := time.Now()
-			go c.do(p)
+			go test.do(client)
 			code := ""
 			defer func() {
 				if t.Failed() {
-					p.mu.Lock()
-					defer p.mu.Unlock()
-					t.Logf("the last frames: %v, error %v", p.frames[max(len(p.frames)-5, 0):], p.err)
+					client.mu.Lock()
+					defer client.mu.Unlock()
+					t.Logf("the last frames: %v, error %v", client.frames[max(len(client.frames)-5, 0):], client.err)
 				}
 			}()
-			n := &testDispatcher{t: t, http2URL: n.http2URL} // waits fail this test, not the one around it
-			n.waitFor(name, func() bool {
-				if status, body, _ := trySend(good, newRequest(n.http2URL, fmt.Sprint(name, time.Now().UnixNano()))); status != 200 {
+			dispatcher := &testDispatcher{t: t, http2URL: dispatcher.http2URL} // waits fail this test, not the one around it
+			dispatcher.waitFor(name, func() bool {
+				if status, body, _ := trySend(good, newRequest(dispatcher.http2URL, fmt.Sprint(name, time.Now().UnixNano()))); status != 200 {
 					t.Errorf("a good client: %d %s", status, body)
 				}
 				select {
-				case got := <-p.goAway:
+				case got := <-client.goAway:
 					code = got.String()
 				default:
 				}
-				return code != "" || p.received(c.want)
+				return code != "" || client.received(test.want)
 			})
 			if took := time.Since(begin); took > 3*time.Second {
 				t.Errorf("took %v", took)
 			}
 			if code != "" {
-				if code != c.want {
-					t.Errorf("ended with %s, want %s", code, c.want)
+				if code != test.want {
+					t.Errorf("ended with %s, want %s", code, test.want)
 				}
-				n.waitFor("the close", func() bool {
+				dispatcher.waitFor("the close", func() bool {
 					select {
-					case <-p.closed:
+					case <-client.closed:
 						return true
 					default:
 						return false
@@ -145,9 +147,9 @@
 }
 
 // manyStreams opens streams that never end by themselves.
-func openStreams(p *frameClient, many uint32) {
+func openStreams(client *frameClient, many uint32) {
 	for i := range many {
-		p.WriteHeaders(h2.HeadersFrameParam{StreamID: 2*i + 1, BlockFragment: p.headerFields(fmt.Sprint("m-", i)), EndHeaders: true})
+		client.WriteHeaders(h2.HeadersFrameParam{StreamID: 2*i + 1, BlockFragment: client.headerFields(fmt.Sprint("m-", i)), EndHeaders: true})
 	}
 }
 
@@ -156,18 +158,18 @@
 func TestHTTP2_closedFlowControlWindow(t *testing.T) {
 	t.Parallel()
 	big := strings.Repeat("x", 60000)
-	n := startDispatcher(t, http2Frontend, startWorker(t, "a", respondWith(`"state":"started"`, `"state":"done","result":"`+big+`"`)))
-	p := n.connectHTTP2(h2.Setting{ID: h2.SettingInitialWindowSize, Val: 0})
-	p.sendRequest(1, "shut")
-	p.WriteHeaders(h2.HeadersFrameParam{StreamID: 3, BlockFragment: p.headerFields("none", ":path", "/no-such"), EndHeaders: true, EndStream: true})
-	n.waitFor("the heads of the answers", func() bool { return p.received("HEADERS 1 200") && p.received("HEADERS 3 404") })
+	dispatcher := startDispatcher(t, http2Frontend, startWorker(t, "a", respondWith(`"state":"started"`, `"state":"done","result":"`+big+`"`)))
+	client := dispatcher.connectHTTP2(h2.Setting{ID: h2.SettingInitialWindowSize, Val: 0})
+	client.sendRequest(1, "shut")
+	client.WriteHeaders(h2.HeadersFrameParam{StreamID: 3, BlockFragment: client.headerFields("none", ":path", "/no-such"), EndHeaders: true, EndStream: true})
+	dispatcher.waitFor("the heads of the answers", func() bool { return client.received("HEADERS 1 200") && client.received("HEADERS 3 404") })
 	begin := time.Now()
-	n.waitFor("the streams' ends", func() bool { return p.received("RST_STREAM 1") && p.received("RST_STREAM 3") })
+	dispatcher.waitFor("the streams' ends", func() bool { return client.received("RST_STREAM 1") && client.received("RST_STREAM 3") })
 	if took := time.Since(begin); took > 3*time.Second {
 		t.Errorf("took %v", took)
 	}
-	if status, body, _ := trySend(newHTTP2Client(t), newRequest(n.http2URL, "good")); status != 200 || body != big {
+	if status, body, _ := trySend(newHTTP2Client(t), newRequest(dispatcher.http2URL, "good")); status != 200 || body != big {
 		t.Errorf("a client beside it: %d", status)
 	}
-	n.waitFor("no stream", func() bool { return n.metric("front.http2.streams") == 0 })
+	dispatcher.waitFor("no stream", func() bool { return dispatcher.metric("front.http2.streams") == 0 })
 }
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -80,30 +80,30 @@
 	for _, last := range []string{"leaving", "left"} {
 		t.Run(last, func(t *testing.T) {
 			t.Parallel()
-			var at arrivals
-			a, b := startWorker(t, "a", at.recording(completeJob)), startWorker(t, "b", completeJob)
-			before, after := memberJSON(a, "active")+","+memberJSON(b, "active"), memberJSON(a, "leaving")+","+memberJSON(b, "active")
+			var arrived arrivals
+			workerA, workerB := startWorker(t, "a", arrived.recording(completeJob)), startWorker(t, "b", completeJob)
+			before, after := memberJSON(workerA, "active")+","+memberJSON(workerB, "active"), memberJSON(workerA, "leaving")+","+memberJSON(workerB, "active")
 			if last == "left" {
-				after = memberJSON(b, "active")
+				after = memberJSON(workerB, "active")
 			}
 			var discovery replicatedDiscovery
 			discovery.publish(before)
-			n := &testDispatcher{t: t, exited: make(chan struct{})}
-			n.startProcess(dispatcherConfig(0, 1, discovery.startReplica(t, constantLag(0)), before), "")
-			n.waitUntilReady("")
+			dispatcher := &testDispatcher{t: t, exited: make(chan struct{})}
+			dispatcher.startProcess(dispatcherConfig(0, 1, discovery.startReplica(t, constantLag(0)), before), "")
+			dispatcher.waitUntilReady("")
 			stop, wait := make(chan struct{}), sync.WaitGroup{}
-			n.sendSteadily("job", 5*time.Millisecond, stop, &wait)
+			dispatcher.sendSteadily("job", 5*time.Millisecond, stop, &wait)
 			time.Sleep(time.Second)
 			drained := discovery.publish(after)
 			time.Sleep(time.Second)
-			n.reload(withDiscoveryAddress(n.config, discovery.startReplica(t, constantLag(4*time.Second))))
+			dispatcher.reload(withDiscoveryAddress(dispatcher.config, discovery.startReplica(t, constantLag(4*time.Second))))
 			time.Sleep(3 * time.Second)
 			close(stop)
 			wait.Wait()
-			if !strings.Contains(n.log(), "msg=\"settings reloaded\"") {
+			if !strings.Contains(dispatcher.log(), "msg=\"settings reloaded\"") {
 				t.Error("discovery was not moved")
 			}
-			if last := at.lastSince(drained); last > time.Second+drainGraceAndSlack {
+			if last := arrived.lastSince(drained); last > time.Second+drainGraceAndSlack {
 				t.Errorf("a job came to the worker %v behind its end, %v behind the move", last, last-time.Second)
 			}
 		})
@@ -127,14 +127,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
+			workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
 			var discovery replicatedDiscovery
-			before := memberJSON(a, "active") + "," + memberJSON(b, "active")
+			before := memberJSON(workerA, "active") + "," + memberJSON(workerB, "active")
 			discovery.publish(before)
-			discovery.publish(memberJSON(a, "leaving") + "," + memberJSON(b, "active"))
-			n := &testDispatcher{t: t, exited: make(chan struct{})}
-			n.startProcess(dispatcherConfig(0, 1, discovery.startReplica(t, lag()), before), "")
-			n.waitUntilReady("")
+			discovery.publish(memberJSON(workerA, "leaving") + "," + memberJSON(workerB, "active"))
+			dispatcher := &testDispatcher{t: t, exited: make(chan struct{})}
+			dispatcher.startProcess(dispatcherConfig(0, 1, discovery.startReplica(t, lag()), before), "")
+			dispatcher.waitUntilReady("")
 			time.Sleep(12 * time.Second)
 			if calls := discovery.calls.Load(); calls > 30 {
 				t.Errorf("%d calls in 12 s", calls)
--- a/cmd/brassdale/moved_discovery_test.go
+++ b/cmd/brassdale/moved_discovery_test.go
@@ -22,14 +22,14 @@
 // still be heard: a call that may bring a change is not given up before another has brought the list (incident 36).
 func TestDrain_queuedAnswerAfterMove(t *testing.T) {
 	t.Parallel()
-	var at arrivals
-	a, b := startWorker(t, "a", at.recording(completeJob)), startWorker(t, "b", completeJob)
-	n := startDispatcher(t, "", a) // all jobs go to this one until the change is heard: it drains, the other joins
-	g := n.discovery
-	n.waitFor("a watch", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return len(g.pollWaits) > 0 && g.pollWaits[len(g.pollWaits)-1] > 0
+	var arrived arrivals
+	workerA, workerB := startWorker(t, "a", arrived.recording(completeJob)), startWorker(t, "b", completeJob)
+	dispatcher := startDispatcher(t, "", workerA) // all jobs go to this one until the change is heard: it drains, the other joins
+	discovery := dispatcher.discovery
+	dispatcher.waitFor("a watch", func() bool {
+		discovery.mu.Lock()
+		defer discovery.mu.Unlock()
+		return len(discovery.pollWaits) > 0 && discovery.pollWaits[len(discovery.pollWaits)-1] > 0
 	})
 
 	refuses := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -37,20 +37,20 @@
 	}))
 	t.Cleanup(refuses.Close)
 	stop, wait := make(chan struct{}), sync.WaitGroup{}
-	n.sendSteadily("job", 20*time.Millisecond, stop, &wait)
+	dispatcher.sendSteadily("job", 20*time.Millisecond, stop, &wait)
 
 	drained := time.Now()
-	n.reload(withDiscoveryAddress(n.config, refuses.Listener.Addr().String()))
-	n.waitFor("the move", func() bool { return strings.Contains(n.log(), "msg=\"settings reloaded\"") })
+	dispatcher.reload(withDiscoveryAddress(dispatcher.config, refuses.Listener.Addr().String()))
+	dispatcher.waitFor("the move", func() bool { return strings.Contains(dispatcher.log(), "msg=\"settings reloaded\"") })
 	time.Sleep(300 * time.Millisecond) // of waiting in discovery's queue
-	g.update(func() { a.phase = "leaving"; g.workers = append(g.workers, b) })
+	discovery.update(func() { workerA.phase = "leaving"; discovery.workers = append(discovery.workers, workerB) })
 	time.Sleep(time.Until(drained.Add(notificationLimit + drainGraceAndSlack + 300*time.Millisecond)))
 	close(stop)
 	wait.Wait()
-	if last := at.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
+	if last := arrived.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
 		t.Errorf("a job came to the drained worker %v after the drain", last)
 	}
-	t.Logf("the last job came to the drained worker %v after the drain", at.lastSince(drained))
+	t.Logf("the last job came to the drained worker %v after the drain", arrived.lastSince(drained))
 }
 
 // Six dispatchers get four new configurations each within seconds, and each moves discovery, which serves a call in 0.42 s and
@@ -58,27 +58,27 @@
 func TestDrain_movesAtQueueingDiscovery(t *testing.T) {
 	t.Parallel()
 	const dispatchers, moves = 6, 4
-	var at arrivals
-	a := startWorker(t, "a", at.recording(completeJob))
-	b := startWorker(t, "b", completeJob)
-	before, after := memberJSON(a, "active"), memberJSON(a, "leaving")+","+memberJSON(b, "active")
+	var arrived arrivals
+	workerA := startWorker(t, "a", arrived.recording(completeJob))
+	workerB := startWorker(t, "b", completeJob)
+	before, after := memberJSON(workerA, "active"), memberJSON(workerA, "leaving")+","+memberJSON(workerB, "active")
 	discovery := newQueueingDiscovery(before)
 
 	stop, wait := make(chan struct{}), sync.WaitGroup{}
-	type dispatcher struct {
+	type movedDispatcher struct {
 		*testDispatcher
 		addresses []string
 	}
-	var fleet []dispatcher
+	var fleet []movedDispatcher
 	for i := range dispatchers {
 		addresses := discovery.startServers(t, fmt.Sprint(i), moves+1)
 		config := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be96%d","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":0,"complete":true,"members":[%s]},"settings":%s}`,
 			i, addresses[0], i, before, strings.Replace(settingsJSON, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":%d,"replicasOfMe":%d`, i, dispatchers), 1))
-		n := &testDispatcher{t: t, exited: make(chan struct{})}
-		n.startProcess(config, "")
-		n.waitUntilReady("")
-		n.sendSteadily(fmt.Sprint("n", i), 40*time.Millisecond, stop, &wait)
-		fleet = append(fleet, dispatcher{n, addresses})
+		dispatcher := &testDispatcher{t: t, exited: make(chan struct{})}
+		dispatcher.startProcess(config, "")
+		dispatcher.waitUntilReady("")
+		dispatcher.sendSteadily(fmt.Sprint("n", i), 40*time.Millisecond, stop, &wait)
+		fleet = append(fleet, movedDispatcher{dispatcher, addresses})
 	}
 	time.Sleep(7 * time.Second) // until all have a watch
 
@@ -100,10 +100,10 @@
 	time.Sleep(time.Until(drained.Add(notificationLimit + drainGraceAndSlack + 1500*time.Millisecond)))
 	close(stop)
 	wait.Wait()
-	if last := at.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
+	if last := arrived.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
 		t.Errorf("a job came to the drained worker %v after the drain", last)
 	}
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
-	t.Logf("the last job came to the drained worker %v after the drain; %d calls, %d of them refused", at.lastSince(drained), discovery.calls, discovery.rejected)
+	t.Logf("the last job came to the drained worker %v after the drain; %d calls, %d of them refused", arrived.lastSince(drained), discovery.calls, discovery.rejected)
 }
--- a/cmd/brassdale/overloaded_discovery_test.go
+++ b/cmd/brassdale/overloaded_discovery_test.go
@@ -16,9 +16,9 @@
 func TestDrain_atOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	const dispatchers, killed = 12, 8
-	var at arrivals
-	a, b := startWorker(t, "a", at.recording(completeJob)), startWorker(t, "b", completeJob)
-	before, after := memberJSON(a, "active"), memberJSON(a, "leaving")+","+memberJSON(b, "active")
+	var arrived arrivals
+	workerA, workerB := startWorker(t, "a", arrived.recording(completeJob)), startWorker(t, "b", completeJob)
+	before, after := memberJSON(workerA, "active"), memberJSON(workerA, "leaving")+","+memberJSON(workerB, "active")
 	discovery := newQueueingDiscovery(before)
 	discovery.perCall, discovery.perUpdate = 280*time.Millisecond, 19*time.Millisecond
 	discovery.queueTimeout, discovery.queueLimit = 2*time.Second, 3800*time.Millisecond
@@ -27,11 +27,11 @@
 
 	stop, wait := make(chan struct{}), sync.WaitGroup{}
 	begin := func(i int, config string) *testDispatcher {
-		n := &testDispatcher{t: t, exited: make(chan struct{})}
-		n.startProcess(config, "")
-		n.waitUntilReady("")
-		n.sendSteadily(fmt.Sprintf("n%d-%d", i, time.Now().UnixNano()), 40*time.Millisecond, stop, &wait)
-		return n
+		dispatcher := &testDispatcher{t: t, exited: make(chan struct{})}
+		dispatcher.startProcess(config, "")
+		dispatcher.waitUntilReady("")
+		dispatcher.sendSteadily(fmt.Sprintf("n%d-%d", i, time.Now().UnixNano()), 40*time.Millisecond, stop, &wait)
+		return dispatcher
 	}
 	var fleet []*testDispatcher
 	for i := range dispatchers {
@@ -40,25 +40,25 @@
 	time.Sleep(time.Until(back.Add(time.Second)))
 	drained := time.Now()
 	discovery.publish(after)
-	a.failsProbes.Store(true)
-	for _, n := range fleet[:killed] {
-		n.command.Process.Kill()
-		<-n.exited
+	workerA.failsProbes.Store(true)
+	for _, dispatcher := range fleet[:killed] {
+		dispatcher.command.Process.Kill()
+		<-dispatcher.exited
 	}
 	time.Sleep(time.Until(drained.Add(time.Second)))
-	for i, n := range fleet[:killed] {
-		begin(i, n.config)
+	for i, dispatcher := range fleet[:killed] {
+		begin(i, dispatcher.config)
 	}
 	time.Sleep(time.Until(drained.Add(notificationLimit + drainGraceAndSlack + 1500*time.Millisecond)))
 	close(stop)
 	wait.Wait()
-	if last := at.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
+	if last := arrived.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
 		t.Errorf("a job came to the drained worker %v after the drain", last)
 	}
 	discovery.mu.Lock()
 	defer discovery.mu.Unlock()
 	t.Logf("the last job came to the drained worker %v after the drain; %d calls, %d of them refused, %d expired",
-		at.lastSince(drained), discovery.calls, discovery.rejected, discovery.expired)
+		arrived.lastSince(drained), discovery.calls, discovery.rejected, discovery.expired)
 }
 
 // A dispatcher whose calls an overloaded discovery refuses for good does not learn from it that a worker drains. What drained
@@ -67,28 +67,28 @@
 // 494 probes with 503. Where the list is overdue, a worker gets requests only as long as it has answered a probe lately.
 func TestDrain_discoveryRejectsAllCalls(t *testing.T) {
 	t.Parallel()
-	var at arrivals
-	a, b := startWorker(t, "a", at.recording(completeJob)), startWorker(t, "b", completeJob)
-	n := startDispatcher(t, "", a, b)
-	g := n.discovery
-	n.waitFor("a watch", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return len(g.pollWaits) > 0 && g.pollWaits[len(g.pollWaits)-1] > 0
+	var arrived arrivals
+	workerA, workerB := startWorker(t, "a", arrived.recording(completeJob)), startWorker(t, "b", completeJob)
+	dispatcher := startDispatcher(t, "", workerA, workerB)
+	discovery := dispatcher.discovery
+	dispatcher.waitFor("a watch", func() bool {
+		discovery.mu.Lock()
+		defer discovery.mu.Unlock()
+		return len(discovery.pollWaits) > 0 && discovery.pollWaits[len(discovery.pollWaits)-1] > 0
 	})
 	stop, wait := make(chan struct{}), sync.WaitGroup{}
-	n.sendSteadily("job", 10*time.Millisecond, stop, &wait)
+	dispatcher.sendSteadily("job", 10*time.Millisecond, stop, &wait)
 
-	g.update(func() { g.failing = true })
+	discovery.update(func() { discovery.failing = true })
 	drained := time.Now()
-	a.failsProbes.Store(true)
+	workerA.failsProbes.Store(true)
 	time.Sleep(time.Until(drained.Add(notificationLimit + drainGraceAndSlack + 3*time.Second)))
 	close(stop)
 	wait.Wait()
-	if last := at.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
+	if last := arrived.lastSince(drained); last > notificationLimit+drainGraceAndSlack {
 		t.Errorf("a job came to the drained worker %v after the drain", last)
 	}
-	if status, _, _ := n.send(newRequest(n.http1URL, "last")); status != http.StatusOK {
+	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "last")); status != http.StatusOK {
 		t.Errorf("a job is answered %d where one worker answers its probes", status)
 	}
 }
--- a/cmd/brassdale/progress_test.go
+++ b/cmd/brassdale/progress_test.go
@@ -35,21 +35,21 @@
 // rest reads to the end of the stream and gives "id name" of each event.
 func (s *eventStream) remaining() (got []string) {
 	for {
-		ev, err := s.events.Next()
+		event, err := s.events.Next()
 		if err != nil {
 			return got
 		}
-		got = append(got, ev.ID+" "+ev.Name)
+		got = append(got, event.ID+" "+event.Name)
 	}
 }
 
 func (s *eventStream) next() protocol.Event {
 	s.t.Helper()
-	ev, err := s.events.Next()
+	event, err := s.events.Next()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return ev
+	return event
 }
 
 func checkEvents(t *testing.T, what string, got []string, want string) {
@@ -63,44 +63,44 @@
 // a line in two pieces and data in two lines.
 func TestProgress_eventStream(t *testing.T) {
 	t.Parallel()
-	events := func(_ *testWorker, c net.Conn, r *http.Request) {
+	events := func(worker *testWorker, conn net.Conn, r *http.Request) {
 		if r.Header.Get("Accept") != "text/event-stream" {
 			return
 		}
-		writeHead(c, "text/event-stream; charset=utf-8")
-		writeChunk(c, ": hello\r\nevent: started\r\ndata: {}\r\n\r\nevent: prog")
-		writeChunk(c, "ress\rdata: {\"share\":\rdata: 0.5}\r\r")
-		writeChunk(c, fmt.Sprintf("event: done\ndata: {\"id\":%q,\"result\":\"priced\"}\n\n", r.Header.Get("Req-Id")))
-		writeLastChunk(c)
+		writeHead(conn, "text/event-stream; charset=utf-8")
+		writeChunk(conn, ": hello\r\nevent: started\r\ndata: {}\r\n\r\nevent: prog")
+		writeChunk(conn, "ress\rdata: {\"share\":\rdata: 0.5}\r\r")
+		writeChunk(conn, fmt.Sprintf("event: done\ndata: {\"id\":%q,\"result\":\"priced\"}\n\n", r.Header.Get("Req-Id")))
+		writeLastChunk(conn)
 	}
 	for dialect, script := range map[string]func(*testWorker, net.Conn, *http.Request){"lines": completeJob, "events": events} {
-		b := startWorker(t, "a", script)
-		n := startDispatcher(t, progressFrontend(dialect), b)
-		s := n.openStream(newRequest(n.progressURL, "k"))
-		if kind := s.response.Header.Get("Content-Type"); s.response.StatusCode != 200 || kind != "text/event-stream" {
-			t.Fatalf("%s: %d %s", dialect, s.response.StatusCode, kind)
+		worker := startWorker(t, "a", script)
+		dispatcher := startDispatcher(t, progressFrontend(dialect), worker)
+		stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k"))
+		if kind := stream.response.Header.Get("Content-Type"); stream.response.StatusCode != 200 || kind != "text/event-stream" {
+			t.Fatalf("%s: %d %s", dialect, stream.response.StatusCode, kind)
 		}
-		first, second, third := s.next(), s.next(), s.next()
+		first, second, third := stream.next(), stream.next(), stream.next()
 		if first.Name != "started" || !strings.Contains(second.Data, `"share":0.5`) || third.Name != "done" || !strings.Contains(third.Data, `"result":"priced"`) {
 			t.Errorf("%s: %v %v %v", dialect, first, second, third)
 		}
-		checkEvents(t, dialect+", behind the end", s.remaining(), "")
+		checkEvents(t, dialect+", behind the end", stream.remaining(), "")
 		// A repeat gets the kept answer, or what it has not had of it; no second run.
-		checkEvents(t, dialect+", repeat", n.openStream(newRequest(n.progressURL, "k", "Req-Id", "r2")).remaining(), "1 started, 2 progress, 3 done")
-		checkEvents(t, dialect+", reconnect", n.openStream(newRequest(n.progressURL, "k", "Req-Id", "r3", "Last-Event-ID", "2")).remaining(), "3 done")
+		checkEvents(t, dialect+", repeat", dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "r2")).remaining(), "1 started, 2 progress, 3 done")
+		checkEvents(t, dialect+", reconnect", dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "r3", "Last-Event-ID", "2")).remaining(), "3 done")
 		for last, want := range map[string]int{"3": 204, "4": 502, "x": 400} {
-			if status, _, _ := n.send(newRequest(n.progressURL, "k", "Last-Event-ID", last)); status != want {
+			if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Last-Event-ID", last)); status != want {
 				t.Errorf("%s, Last-Event-ID %s: %d, want %d", dialect, last, status, want)
 			}
 		}
-		if status, _, _ := n.send(newRequest(n.progressURL, "k", "Req-Owner", "gwent-pumps")); status != 422 {
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Req-Owner", "gwent-pumps")); status != 422 {
 			t.Errorf("%s, another job with the key: %d", dialect, status)
 		}
 		// A key that this dispatcher never had: its job may run elsewhere.
-		if status, body, _ := n.send(newRequest(n.progressURL, "lost", "Last-Event-ID", "1")); status != 502 || !strings.Contains(body, "not known") {
+		if status, body, _ := dispatcher.send(newRequest(dispatcher.progressURL, "lost", "Last-Event-ID", "1")); status != 502 || !strings.Contains(body, "not known") {
 			t.Errorf("%s, unknown key: %d %q", dialect, status, body)
 		}
-		if _, jobs := b.count(); jobs != 1 {
+		if _, jobs := worker.count(); jobs != 1 {
 			t.Errorf("%s: %d runs", dialect, jobs)
 		}
 	}
@@ -109,7 +109,7 @@
 // Before the first event, refusals and failures are HTTP statuses; after it they are events.
 func TestProgress_failuresBeforeAndAfterFirstEvent(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		script func(*testWorker, net.Conn, *http.Request)
 		status int
 		events string
@@ -123,29 +123,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := startDispatcher(t, progressFrontend("events"), startWorker(t, "a", c.script))
-			s := n.openStream(newRequest(n.progressURL, "k", "Req-Deadline-Ms", "900"))
-			if s.response.StatusCode != c.status {
-				t.Errorf("status %d, want %d", s.response.StatusCode, c.status)
+			dispatcher := startDispatcher(t, progressFrontend("events"), startWorker(t, "a", test.script))
+			stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Deadline-Ms", "900"))
+			if stream.response.StatusCode != test.status {
+				t.Errorf("status %d, want %d", stream.response.StatusCode, test.status)
 			}
-			if (s.response.Header.Get("Retry-After") != "") != (c.status == 503) {
-				t.Errorf("Retry-After %q", s.response.Header.Get("Retry-After"))
+			if (stream.response.Header.Get("Retry-After") != "") != (test.status == 503) {
+				t.Errorf("Retry-After %q", stream.response.Header.Get("Retry-After"))
 			}
-			if c.events != "" {
-				checkEvents(t, "events", s.remaining(), c.events)
+			if test.events != "" {
+				checkEvents(t, "events", stream.remaining(), test.events)
 			}
 		})
 	}
 	// A job that was refused never ran: a new try of its key is a new run, a reconnect is told of the refusal.
-	b := startWorker(t, "a", respondWith(`"state":"returned"`))
-	n := startDispatcher(t, progressFrontend("lines"), b)
+	worker := startWorker(t, "a", respondWith(`"state":"returned"`))
+	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
 	for range 2 {
-		n.send(newRequest(n.progressURL, "k", "Req-Deadline-Ms", "300"))
+		dispatcher.send(newRequest(dispatcher.progressURL, "k", "Req-Deadline-Ms", "300"))
 	}
-	if _, jobs := b.count(); jobs < 2 {
+	if _, jobs := worker.count(); jobs < 2 {
 		t.Errorf("%d tries came to the worker, want one for each at least", jobs)
 	}
-	if status, _, _ := n.send(newRequest(n.progressURL, "k", "Last-Event-ID", "0")); status != 503 {
+	if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Last-Event-ID", "0")); status != 503 {
 		t.Errorf("reconnect to a refused job: %d", status)
 	}
 }
@@ -154,14 +154,14 @@
 // client gives up, no key run twice, and a job whose stream dropped keeps its deadline.
 func TestProgress_stalledAndBrokenStreams(t *testing.T) {
 	t.Parallel()
-	cut := func(_ *testWorker, c net.Conn, r *http.Request) {
-		writeHead(c, "application/json")
-		writeChunk(c, jobMessage(r.Header.Get("Req-Id"), `"state":"started"`))
-		c.Close()
+	cut := func(worker *testWorker, conn net.Conn, r *http.Request) {
+		writeHead(conn, "application/json")
+		writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), `"state":"started"`))
+		conn.Close()
 	}
 	frozen, cutting, sound := startWorker(t, "frozen", respondThenStall(`"state":"started"`)), startWorker(t, "cutting", cut), startWorker(t, "sound", completeJob)
 	frozen.cell, cutting.cell, sound.cell = "1", "2", "3" // no repeat may leave its group
-	n := startDispatcher(t, progressFrontend("lines"), frozen, cutting, sound)
+	dispatcher := startDispatcher(t, progressFrontend("lines"), frozen, cutting, sound)
 	const items = 6
 	type result struct {
 		key, last string
@@ -178,7 +178,7 @@
 				if seen != "" {
 					headers = append(headers, "Last-Event-ID", seen)
 				}
-				resp, err := http.DefaultClient.Do(newRequest(n.progressURL, res.key, headers...))
+				resp, err := http.DefaultClient.Do(newRequest(dispatcher.progressURL, res.key, headers...))
 				if err != nil {
 					break
 				}
@@ -186,12 +186,12 @@
 					res.finals, res.last = res.finals+1, resp.Status
 				}
 				for in := protocol.NewEventReader(resp.Body); resp.StatusCode == 200; {
-					ev, err := in.Next()
+					event, err := in.Next()
 					if err != nil {
 						break
 					}
-					if seen = ev.ID; ev.Name == "done" || ev.Name == "failed" || ev.Name == "refused" {
-						res.finals, res.last = res.finals+1, ev.Name
+					if seen = event.ID; event.Name == "done" || event.Name == "failed" || event.Name == "refused" {
+						res.finals, res.last = res.finals+1, event.Name
 					}
 					if try == 0 {
 						break
@@ -217,15 +217,15 @@
 	if ends["done"] == 0 || ends["failed"] == 0 {
 		t.Errorf("ends %v: want some of both", ends)
 	}
-	for _, b := range []*testWorker{frozen, sound} { // the one that cuts may be sent a job again: its group drops it
-		for key, runs := range b.runs {
+	for _, worker := range []*testWorker{frozen, sound} { // the one that cuts may be sent a job again: its group drops it
+		for key, runs := range worker.runs {
 			for _, other := range []*testWorker{frozen, cutting, sound} {
-				if other != b && other.runs[key] > 0 {
-					t.Errorf("%s ran at %s and at %s", key, b.id, other.id)
+				if other != worker && other.runs[key] > 0 {
+					t.Errorf("%s ran at %s and at %s", key, worker.id, other.id)
 				}
 			}
 			if runs != 1 {
-				t.Errorf("%s ran %d times at %s", key, runs, b.id)
+				t.Errorf("%s ran %d times at %s", key, runs, worker.id)
 			}
 		}
 	}
@@ -234,21 +234,21 @@
 // A job whose stream dropped is neither cancelled then nor given more time by the client that comes back.
 func TestProgress_droppedStreamKeepsDeadline(t *testing.T) {
 	t.Parallel()
-	b := startWorker(t, "a", respondThenStall(`"state":"started"`))
-	n := startDispatcher(t, progressFrontend("lines"), b)
+	worker := startWorker(t, "a", respondThenStall(`"state":"started"`))
+	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
 	begin := time.Now()
-	s := n.openStream(newRequest(n.progressURL, "k", "Req-Deadline-Ms", "1200"))
-	s.next()
-	s.response.Body.Close()
-	back := n.openStream(newRequest(n.progressURL, "k", "Req-Id", "again", "Req-Deadline-Ms", "5000", "Last-Event-ID", "1"))
-	if len(b.abandoned) > 0 {
+	stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Deadline-Ms", "1200"))
+	stream.next()
+	stream.response.Body.Close()
+	back := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "again", "Req-Deadline-Ms", "5000", "Last-Event-ID", "1"))
+	if len(worker.abandoned) > 0 {
 		t.Error("the call was given up when the stream dropped")
 	}
 	checkEvents(t, "reconnect", back.remaining(), "2 failed")
 	if took := time.Since(begin); took < time.Second || took > 3*time.Second {
 		t.Errorf("ended after %v, want its first deadline of 1.2 s", took)
 	}
-	if _, jobs := b.count(); jobs != 1 {
+	if _, jobs := worker.count(); jobs != 1 {
 		t.Errorf("%d runs", jobs)
 	}
 }
@@ -257,25 +257,25 @@
 func TestProgress_slowReader(t *testing.T) {
 	t.Parallel()
 	big := respondWith(`"state":"started"`, `"state":"done","result":"`+strings.Repeat("x", 60<<10)+`"`)
-	n := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", big))
+	dispatcher := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", big))
 	for i := range 3 {
-		c, err := net.Dial("tcp", strings.TrimPrefix(n.progressURL, "http://"))
+		conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.progressURL, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		c.(*net.TCPConn).SetReadBuffer(1024)
-		newRequest(n.progressURL, fmt.Sprint("slow", i)).Write(c)
+		defer conn.Close()
+		conn.(*net.TCPConn).SetReadBuffer(1024)
+		newRequest(dispatcher.progressURL, fmt.Sprint("slow", i)).Write(conn)
 	}
 	for i := range 4 {
 		begin := time.Now()
-		if got := n.openStream(newRequest(n.progressURL, fmt.Sprint(i))).remaining(); len(got) != 2 || time.Since(begin) > 2*time.Second {
+		if got := dispatcher.openStream(newRequest(dispatcher.progressURL, fmt.Sprint(i))).remaining(); len(got) != 2 || time.Since(begin) > 2*time.Second {
 			t.Errorf("job %d: %v after %v", i, got, time.Since(begin))
 		}
 	}
 	// The table is bounded: seven jobs are kept, an eighth goes in, a ninth is refused before it runs.
-	n.openStream(newRequest(n.progressURL, "eighth")).remaining()
-	if status, _, after := n.send(newRequest(n.progressURL, "ninth")); status != 503 || after == "" {
+	dispatcher.openStream(newRequest(dispatcher.progressURL, "eighth")).remaining()
+	if status, _, after := dispatcher.send(newRequest(dispatcher.progressURL, "ninth")); status != 503 || after == "" {
 		t.Errorf("past the bound: %d, Retry-After %q", status, after)
 	}
 }
@@ -285,43 +285,43 @@
 func TestProgress_handover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
-		writeHead(c, "application/json")
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
+		writeHead(conn, "application/json")
 		id := r.Header.Get("Req-Id")
-		writeChunk(c, jobMessage(id, `"state":"started"`))
+		writeChunk(conn, jobMessage(id, `"state":"started"`))
 		<-release
-		writeChunk(c, jobMessage(id, `"state":"done","result":"priced"`))
-		writeLastChunk(c)
+		writeChunk(conn, jobMessage(id, `"state":"done","result":"priced"`))
+		writeLastChunk(conn)
 	})
-	n := startDispatcher(t, progressFrontend("lines"), b)
-	first := n.openStream(newRequest(n.progressURL, "k"))
+	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
+	first := dispatcher.openStream(newRequest(dispatcher.progressURL, "k"))
 	checkEvents(t, "before", []string{first.next().Name}, "started")
-	m := n.startSuccessor(progressFrontend("lines"))
-	if m.progressURL != n.progressURL {
-		t.Fatalf("progress is served at %s, not at %s", m.progressURL, n.progressURL)
+	successor := dispatcher.startSuccessor(progressFrontend("lines"))
+	if successor.progressURL != dispatcher.progressURL {
+		t.Fatalf("progress is served at %s, not at %s", successor.progressURL, dispatcher.progressURL)
 	}
-	n.waitForHandovers(1)
+	dispatcher.waitForHandovers(1)
 	http.DefaultClient.CloseIdleConnections()
-	again := newRequest(m.progressURL, "k", "Req-Id", "again")
-	second := m.openStream(again)
+	again := newRequest(successor.progressURL, "k", "Req-Id", "again")
+	second := successor.openStream(again)
 	checkEvents(t, "at the successor", []string{second.next().Name}, "started")
-	other := m.openStream(newRequest(m.progressURL, "other"))
+	other := successor.openStream(newRequest(successor.progressURL, "other"))
 	checkEvents(t, "another job there", []string{other.next().Name}, "started")
-	n.terminate()
+	dispatcher.terminate()
 	close(release)
 	checkEvents(t, "the first stream", first.remaining(), "2 done")
 	checkEvents(t, "the second stream", second.remaining(), "2 done")
 	checkEvents(t, "the other stream", other.remaining(), "2 done")
-	n.waitForExit(time.Now().Add(5 * time.Second))
-	m.waitFor("the end of the predecessor", func() bool { return strings.Contains(m.log(), "predecessor ended") })
-	checkEvents(t, "what the successor remembers", m.openStream(newRequest(m.progressURL, "k", "Req-Id", "later")).remaining(), "1 started, 2 done")
-	checkEvents(t, "the rest of it", m.openStream(newRequest(m.progressURL, "k", "Req-Id", "rest", "Last-Event-ID", "1")).remaining(), "2 done")
-	if resp := m.openStream(newRequest(m.progressURL, "never", "Last-Event-ID", "1")); resp.response.StatusCode != 502 {
+	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
+	successor.waitFor("the end of the predecessor", func() bool { return strings.Contains(successor.log(), "predecessor ended") })
+	checkEvents(t, "what the successor remembers", successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "later")).remaining(), "1 started, 2 done")
+	checkEvents(t, "the rest of it", successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "rest", "Last-Event-ID", "1")).remaining(), "2 done")
+	if resp := successor.openStream(newRequest(successor.progressURL, "never", "Last-Event-ID", "1")); resp.response.StatusCode != 502 {
 		t.Errorf("a key that neither knows: %d", resp.response.StatusCode)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.runs["k"] != 1 || b.runs["other"] != 1 || b.runs["never"] != 0 {
-		t.Errorf("runs by key: %v", b.runs)
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	if worker.runs["k"] != 1 || worker.runs["other"] != 1 || worker.runs["never"] != 0 {
+		t.Errorf("runs by key: %v", worker.runs)
 	}
 }
--- a/cmd/brassdale/quotas_bench_test.go
+++ b/cmd/brassdale/quotas_bench_test.go
@@ -28,25 +28,25 @@
 // recorded is traffic of 400 jobs/s at the shares, and the greedy account's surplus.
 func recordTraffic(span time.Duration) (trace []recordedRequest) {
 	random := rand.New(rand.NewPCG(7, 7))
-	for i, c := range benchAccounts {
-		rate := 400 * c.share
+	for i, account := range benchAccounts {
+		rate := 400 * account.share
 		if i == 0 {
 			rate *= 5
 		}
 		for at := time.Duration(0); at < span; {
 			at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-			trace = append(trace, recordedRequest{at, c.name})
+			trace = append(trace, recordedRequest{at, account.name})
 		}
 	}
-	slices.SortFunc(trace, func(a, b recordedRequest) int { return int(a.at - b.at) })
+	slices.SortFunc(trace, func(request, b recordedRequest) int { return int(request.at - b.at) })
 	return trace
 }
 
 // gone tells whether the other side has closed a connection on which nothing is to come.
-func connectionClosed(c net.Conn) bool {
-	_ = c.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-	defer c.SetReadDeadline(time.Time{})
-	_, err := c.Read(make([]byte, 1))
+func connectionClosed(conn net.Conn) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
+	defer conn.SetReadDeadline(time.Time{})
+	_, err := conn.Read(make([]byte, 1))
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
@@ -59,15 +59,15 @@
 	var wait sync.WaitGroup
 	asked, good := map[string]float64{}, map[string]float64{}
 	begin := time.Now()
-	for i, a := range trace {
-		time.Sleep(time.Until(begin.Add(a.at)))
+	for i, request := range trace {
+		time.Sleep(time.Until(begin.Add(request.at)))
 		wait.Go(func() {
-			status := send(i, a.account)
+			status := send(i, request.account)
 			mu.Lock()
 			defer mu.Unlock()
-			for _, of := range []string{a.account, "all"} {
+			for _, of := range []string{request.account, "all"} {
 				asked[of]++
-				if status == 200 && time.Since(begin) < a.at+inTimeLimit {
+				if status == 200 && time.Since(begin) < request.at+inTimeLimit {
 					good[of]++
 				}
 			}
@@ -84,25 +84,25 @@
 // and 100 ms a job can do 600 jobs/s of the 770 that come, and what is too much is one account's.
 func BenchmarkQuotas(b *testing.B) {
 	slots := sync.Map{}
-	workers := startBenchWorkersWith(b, 12, func(x *testWorker, c net.Conn, r *http.Request) {
-		free, _ := slots.LoadOrStore(x, make(chan struct{}, 5))
+	workers := startBenchWorkersWith(b, 12, func(worker *testWorker, conn net.Conn, r *http.Request) {
+		free, _ := slots.LoadOrStore(worker, make(chan struct{}, 5))
 		free.(chan struct{}) <- struct{}{}
 		defer func() { <-free.(chan struct{}) }()
-		if connectionClosed(c) { // a copy was called off while it waited: workers drop those
+		if connectionClosed(conn) { // a copy was called off while it waited: workers drop those
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
-		completeAtOnce(x, c, r)
+		completeAtOnce(worker, conn, r)
 	})
 	operator := "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n}\naccounts {\n  room = 90\n"
-	for _, c := range benchAccounts {
-		operator += fmt.Sprintf("  account %q { share = %v }\n", c.name, c.share)
+	for _, account := range benchAccounts {
+		operator += fmt.Sprintf("  account %q { share = %v }\n", account.name, account.share)
 	}
-	n := startBenchDispatcher(b, "", operator+"}\n", workers)
+	program := startBenchDispatcher(b, "", operator+"}\n", workers)
 	transport := &http.Transport{Protocols: &http.Protocols{}}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	clients := []*http.Client{{Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}, {Transport: transport}}
-	urls := []string{"http://" + n.http1Address, "http://" + n.http2Address}
+	urls := []string{"http://" + program.http1Address, "http://" + program.http2Address}
 	trace := recordTraffic(4 * time.Second)
 	modes := []string{"HTTP/1.1", "HTTP/2", "half and half"}
 	parts := map[string][][]float64{} // by account, by mode, a figure for each round
--- a/cmd/brassdale/quotas_test.go
+++ b/cmd/brassdale/quotas_test.go
@@ -15,25 +15,25 @@
 	long := func(config string) string { // none ends by itself
 		return strings.Replace(config, `"deadline":5000000`, `"deadline":60000000`, 1)
 	}
-	n := startDispatcherWith(t, http2Frontend+`
+	dispatcher := startDispatcherWith(t, http2Frontend+`
 accounts {
   room = 20
   account "greedy" { share = 0.25 }
   account "second" { share = 0.25 }
   account "third" { share = 0.5 }
 }
-`, long, startWorkers(t, 10, func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })...)
+`, long, startWorkers(t, 10, func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })...)
 	second := newHTTP2Client(t)
 	open, refused := map[string]int{}, map[string]int{}
 	answers := make(chan string, 100)
 	// ask hands a job in, and returns when it is taken or refused.
 	hand := func(account string, i int) {
 		key := fmt.Sprint(account, "-", i)
-		url, client := n.http1URL, &http.Client{Transport: &http.Transport{}}
+		url, client := dispatcher.http1URL, &http.Client{Transport: &http.Transport{}}
 		if i%2 == 1 {
-			url, client = n.http2URL, second
+			url, client = dispatcher.http2URL, second
 		}
-		taken := n.metric("concurrent")
+		taken := dispatcher.metric("concurrent")
 		done := make(chan int, 1)
 		go func() {
 			status, _, header := trySend(client, newRequest(url, key, "Req-Owner", account, "Req-Deadline-Ms", "60000"))
@@ -43,7 +43,7 @@
 			done <- status
 			answers <- fmt.Sprint(account, " ", status)
 		}()
-		n.waitFor("the job's fate", func() bool {
+		dispatcher.waitFor("the job's fate", func() bool {
 			select {
 			case status := <-done:
 				if status != 503 {
@@ -53,9 +53,9 @@
 				return true
 			default:
 			}
-			return n.metric("concurrent") == taken+1
+			return dispatcher.metric("concurrent") == taken+1
 		})
-		if n.metric("concurrent") == taken+1 {
+		if dispatcher.metric("concurrent") == taken+1 {
 			open[account]++
 		}
 	}
@@ -90,7 +90,7 @@
 		return strings.Replace(config, `"deadline":5000000`, `"deadline":60000000`, 1)
 	}
 	operator := http2Frontend + "accounts {\n  room = 10\n  account \"a\" { share = 0.5 }\n  account \"b\" { share = 0.5 }\n}\n"
-	n := startDispatcherWith(t, operator, long, startWorkers(t, 6, func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })...)
+	dispatcher := startDispatcherWith(t, operator, long, startWorkers(t, 6, func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })...)
 	answers := make(chan int, 20)
 	hand := func(to *testDispatcher, account string, many int) {
 		t.Helper()
@@ -103,12 +103,12 @@
 		}
 		to.waitFor("the jobs", func() bool { return to.metric("concurrent") == before+many })
 	}
-	hand(n, "a", 5)
-	m := n.startSuccessor(operator)
-	n.waitForHandovers(1)
-	m.waitFor("word of the old one's jobs", func() bool { return m.metric("accounts_room") == 5 })
-	hand(m, "b", 3) // its share of five, and what is left free beside as much
-	status, _, after := n.send(newRequest(m.http1URL, "one-more", "Req-Owner", "b"))
+	hand(dispatcher, "a", 5)
+	successor := dispatcher.startSuccessor(operator)
+	dispatcher.waitForHandovers(1)
+	successor.waitFor("word of the old one's jobs", func() bool { return successor.metric("accounts_room") == 5 })
+	hand(successor, "b", 3) // its share of five, and what is left free beside as much
+	status, _, after := dispatcher.send(newRequest(successor.http1URL, "one-more", "Req-Owner", "b"))
 	if status != 503 || after == "" {
 		t.Errorf("past the room: %d", status)
 	}
--- a/cmd/brassdale/reload_test.go
+++ b/cmd/brassdale/reload_test.go
@@ -15,7 +15,7 @@
 func TestStart_invalidFiles(t *testing.T) {
 	t.Parallel()
 	good := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON + `}`
-	for _, c := range []struct{ config, operator, want string }{
+	for _, test := range []struct{ config, operator, want string }{
 		{`{"listen":`, "", "config.json"},
 		{strings.Replace(good, `"127.0.0.1:0"`, `"here"`, 1), "", "listen"},
 		{strings.Replace(good, `"discovery":"127.0.0.1:1"`, `"discovery":7`, 1), "", "discovery"},
@@ -23,11 +23,11 @@
 		{strings.Replace(good, `"settings"`, `"known":{"members":[{"id":"a","phase":"odd"}]},"settings"`, 1), "", "known: members[0].phase"},
 		{good, "front \"progress\" {\n  listen = \"10.0.0.1:80\"\n}", "operator.hcl:2:12: Bad listen"},
 	} {
-		n := &testDispatcher{t: t, exited: make(chan struct{})}
-		n.startProcess(c.config, c.operator)
-		<-n.exited
-		if text := n.log(); n.command.ProcessState.ExitCode() != 1 || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.want) {
-			t.Errorf("%s %s: exit code %d, %q", c.config[:20], c.operator, n.command.ProcessState.ExitCode(), text)
+		dispatcher := &testDispatcher{t: t, exited: make(chan struct{})}
+		dispatcher.startProcess(test.config, test.operator)
+		<-dispatcher.exited
+		if text := dispatcher.log(); dispatcher.command.ProcessState.ExitCode() != 1 || strings.Count(text, "\n") != 1 || !strings.Contains(text, test.want) {
+			t.Errorf("%s %s: exit code %d, %q", test.config[:20], test.operator, dispatcher.command.ProcessState.ExitCode(), text)
 		}
 	}
 }
@@ -38,46 +38,46 @@
 func TestReload_movesDiscovery(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	a := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })
-	b := startWorker(t, "b", completeJob)
-	b.cell = "2"
-	n := startDispatcher(t, "", a)
-	n.waitFor("a watch", func() bool {
-		n.discovery.mu.Lock()
-		defer n.discovery.mu.Unlock()
-		return len(n.discovery.polledRevisions) > 0
+	workerA := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	workerB := startWorker(t, "b", completeJob)
+	workerB.cell = "2"
+	dispatcher := startDispatcher(t, "", workerA)
+	dispatcher.waitFor("a watch", func() bool {
+		dispatcher.discovery.mu.Lock()
+		defer dispatcher.discovery.mu.Unlock()
+		return len(dispatcher.discovery.polledRevisions) > 0
 	})
-	answered := n.sendInBackground(a, "open")
+	answered := dispatcher.sendInBackground(workerA, "open")
 
-	n.reload(strings.Replace(n.config, `"discovery":"`, `"discovery":"nowhere `, 1))
-	n.waitFor("a refusal", func() bool {
-		return strings.Count(n.log(), "reload failed") == 1 && strings.Contains(n.log(), "discovery: ")
+	dispatcher.reload(strings.Replace(dispatcher.config, `"discovery":"`, `"discovery":"nowhere `, 1))
+	dispatcher.waitFor("a refusal", func() bool {
+		return strings.Count(dispatcher.log(), "reload failed") == 1 && strings.Contains(dispatcher.log(), "discovery: ")
 	})
 
-	a.phase = "leaving"
-	next := &testDiscovery{revision: 1, workers: []*testWorker{a, b}, changed: make(chan struct{})}
+	workerA.phase = "leaving"
+	next := &testDiscovery{revision: 1, workers: []*testWorker{workerA, workerB}, changed: make(chan struct{})}
 	server := httptest.NewServer(next)
 	t.Cleanup(server.CloseClientConnections)
-	moved := strings.Replace(n.config, `"discovery":"`, `"discovery":"`+server.Listener.Addr().String()+`","was":"`, 1)
+	moved := strings.Replace(dispatcher.config, `"discovery":"`, `"discovery":"`+server.Listener.Addr().String()+`","was":"`, 1)
 	for range 3 {
-		n.reload(moved)
+		dispatcher.reload(moved)
 	}
-	n.waitFor("the new list", func() bool { return strings.Contains(n.log(), "complete=true endpoints=2") })
-	if status, _, _ := n.send(newRequest(n.http1URL, "next")); status != 200 {
+	dispatcher.waitFor("the new list", func() bool { return strings.Contains(dispatcher.log(), "complete=true endpoints=2") })
+	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "next")); status != 200 {
 		t.Errorf("a job after the move: %d", status)
 	}
-	if _, jobs := b.count(); jobs != 1 {
+	if _, jobs := workerB.count(); jobs != 1 {
 		t.Errorf("%d jobs came to the endpoint that only the new discovery knows", jobs)
 	}
-	next.update(func() { a.phase = "active" })
-	n.waitFor("a change at the new discovery", func() bool { return strings.Contains(n.log(), "revision=2") })
+	next.update(func() { workerA.phase = "active" })
+	dispatcher.waitFor("a change at the new discovery", func() bool { return strings.Contains(dispatcher.log(), "revision=2") })
 	close(release)
 	if status := <-answered; status != 200 {
 		t.Errorf("the open job: %d", status)
 	}
-	n.terminate()
-	n.reload(moved)
-	n.waitForExit(time.Now().Add(8 * time.Second))
+	dispatcher.terminate()
+	dispatcher.reload(moved)
+	dispatcher.waitForExit(time.Now().Add(8 * time.Second))
 }
 
 // Settings change while it serves: a class is dropped, one comes with another effect, attempts become fewer. Jobs that
@@ -93,39 +93,39 @@
 		runs[key]++
 		return runs[key]
 	}
-	once := func(b *testWorker, c net.Conn, r *http.Request) {
+	once := func(worker *testWorker, conn net.Conn, r *http.Request) {
 		key := r.Header.Get("Idempotency-Key")
 		if strings.HasPrefix(key, "held") {
 			<-release
 		}
 		if n := attempts(key); strings.Contains(key, "breaks") && n == 1 {
-			c.Close()
+			conn.Close()
 			return
 		}
-		completeJob(b, c, r)
+		completeJob(worker, conn, r)
 	}
-	a, b := startWorker(t, "a", once), startWorker(t, "b", once)
-	n := startDispatcher(t, "", a, b)
+	workerA, workerB := startWorker(t, "a", once), startWorker(t, "b", once)
+	dispatcher := startDispatcher(t, "", workerA, workerB)
 	held := make(chan int, 1)
 	go func() {
-		status, _, _ := n.send(newRequest(n.http1URL, "held-breaks"))
+		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "held-breaks"))
 		held <- status
 	}()
-	n.waitFor("the job at an endpoint", func() bool { _, x := a.count(); _, y := b.count(); return x+y == 1 })
+	dispatcher.waitFor("the job at an endpoint", func() bool { _, x := workerA.count(); _, y := workerB.count(); return x+y == 1 })
 
-	retuned := strings.Replace(n.config, `"classes":[{`, `"classes":[{"aim":200000,"credit":1,"lateWorth":0.1,"deadline":4000000,"effect":"unsafe","name":"rush"},{`, 1)
+	retuned := strings.Replace(dispatcher.config, `"classes":[{`, `"classes":[{"aim":200000,"credit":1,"lateWorth":0.1,"deadline":4000000,"effect":"unsafe","name":"rush"},{`, 1)
 	retuned = strings.Replace(retuned, `"name":"price-part"`, `"name":"price-whole"`, 1)
 	retuned = strings.Replace(retuned, `"maxAttempts":4`, `"maxAttempts":1`, 1)
-	n.reload(retuned)
-	n.waitFor("the file in force", func() bool { return n.metric("reload_success") == 1 })
+	dispatcher.reload(retuned)
+	dispatcher.waitFor("the file in force", func() bool { return dispatcher.metric("reload_success") == 1 })
 	ask := func(class, key string) int {
 		t.Helper()
-		r := newRequest(n.http1URL, key, "Req-Kind", class)
+		r := newRequest(dispatcher.http1URL, key, "Req-Kind", class)
 		r.URL.Path = "/" + class
 		if class == "rush" {
 			r.Header.Del("Idempotency-Key")
 		}
-		status, _, _ := n.send(r)
+		status, _, _ := dispatcher.send(r)
 		return status
 	}
 	if status := ask("price-part", "dropped"); status != 404 {
@@ -143,12 +143,12 @@
 	}
 	for name, want := range map[string]int{"replies.price-part.success": 1, "replies.price-part.error": 1,
 		"replies.rush.success": 1, "replies.price-whole.error": 1} {
-		if got := n.metric(name); got != want {
+		if got := dispatcher.metric(name); got != want {
 			t.Errorf("%s=%d, want %d", name, got, want)
 		}
 	}
-	n.reload(n.config)
-	n.waitFor("the old file", func() bool { return n.metric("reload_success") == 2 })
+	dispatcher.reload(dispatcher.config)
+	dispatcher.waitFor("the old file", func() bool { return dispatcher.metric("reload_success") == 2 })
 	if status := ask("price-part", "again"); status != 200 {
 		t.Errorf("a class that came back: %d", status)
 	}
@@ -157,8 +157,8 @@
 // Of a file that is broken in any way nothing is taken.
 func TestReload_invalidFiles(t *testing.T) {
 	t.Parallel()
-	n := startDispatcher(t, "", startWorker(t, "a", completeJob))
-	good := strings.Replace(n.config, `"name":"price-part"`, `"name":"other"`, 1)
+	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
+	good := strings.Replace(dispatcher.config, `"name":"price-part"`, `"name":"other"`, 1)
 	swap := func(old, new string) string {
 		if !strings.Contains(good, old) {
 			t.Fatalf("no %s in the file", old)
@@ -174,12 +174,12 @@
 		swap(`"listen":`, `"listens":`), swap(`"discovery":"127`, `"discoveries":"127`), swap(`"limits":{"cores"`, `"limit":{"cores"`),
 		swap(`"settings":`, `"setting":`), swap(`"classes":`, `"class":`), swap(`"rules":`, `"rule":`),
 	} {
-		n.reload(text)
-		n.waitFor("a refusal", func() bool { return n.metric("reload_failure") == i+1 })
-		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(i))); status != 200 || n.metric("reload_success") != 0 {
+		dispatcher.reload(text)
+		dispatcher.waitFor("a refusal", func() bool { return dispatcher.metric("reload_failure") == i+1 })
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 || dispatcher.metric("reload_success") != 0 {
 			t.Fatalf("after file %d, %.60q: %d", i, text, status)
 		}
 	}
-	n.reload(good)
-	n.waitFor("the good file", func() bool { return n.metric("reload_success") == 1 })
+	dispatcher.reload(good)
+	dispatcher.waitFor("the good file", func() bool { return dispatcher.metric("reload_success") == 1 })
 }
--- a/cmd/brassdale/requests_test.go
+++ b/cmd/brassdale/requests_test.go
@@ -11,13 +11,13 @@
 func TestRequest_servedOrRejectedAsInvalid(t *testing.T) {
 	t.Parallel()
 	var got http.Header
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		got = r.Header
 		got.Set("Target", r.RequestURI)
-		completeJob(b, c, r)
+		completeJob(worker, conn, r)
 	})
-	n := startDispatcher(t, "", b)
-	if status, body, _ := n.send(newRequest(n.http1URL, "k1")); status != 200 || body != "priced" {
+	dispatcher := startDispatcher(t, "", worker)
+	if status, body, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k1")); status != 200 || body != "priced" {
 		t.Errorf("a job: %d %q", status, body)
 	}
 	for name, want := range map[string]string{"Req-Id": "id-k1", "Idempotency-Key": "k1", "Target": "/price-part?sheet=7", "Body": "drawing"} {
@@ -25,46 +25,46 @@
 			t.Errorf("%s came to the endpoint as %q", name, got.Get(name))
 		}
 	}
-	resp, err := http.Get(n.http1URL + "/price-part")
+	resp, err := http.Get(dispatcher.http1URL + "/price-part")
 	if err != nil || resp.StatusCode != 405 || resp.Header.Get("Allow") != "POST" {
 		t.Errorf("GET: %v %v", resp, err)
 	}
-	large := newRequest(n.http1URL, "k2")
+	large := newRequest(dispatcher.http1URL, "k2")
 	large.Body, large.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 64<<10+1))), -1
-	unknown := newRequest(n.http1URL, "k3")
+	unknown := newRequest(dispatcher.http1URL, "k3")
 	unknown.URL.Path = "/paint"
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		r      *http.Request
 		status int
 	}{
 		"too large":       {large, 413},
 		"unknown class":   {unknown, 404},
-		"unknown kind":    {newRequest(n.http1URL, "k", "Req-Kind", "paint"), 404},
-		"no id":           {newRequest(n.http1URL, "k", "Req-Id", ""), 400},
-		"no key":          {newRequest(n.http1URL, "k", "Idempotency-Key", ""), 400},
-		"deadline":        {newRequest(n.http1URL, "k", "Req-Deadline-Ms", "soon"), 400},
-		"negative":        {newRequest(n.http1URL, "k", "Req-Deadline-Ms", "-1"), 400},
-		"signed":          {newRequest(n.http1URL, "k", "Req-Deadline-Ms", "+5"), 400},
-		"id not plain":    {newRequest(n.http1URL, "k", "Req-Id", "\u00e9"), 400},
-		"extra":           {newRequest(n.http1URL, "k", "Req-Extra", "slots=many"), 400},
-		"extra and noise": {newRequest(n.http1URL, "k4", "Req-Extra", "slots=2,new=1"), 200},
+		"unknown kind":    {newRequest(dispatcher.http1URL, "k", "Req-Kind", "paint"), 404},
+		"no id":           {newRequest(dispatcher.http1URL, "k", "Req-Id", ""), 400},
+		"no key":          {newRequest(dispatcher.http1URL, "k", "Idempotency-Key", ""), 400},
+		"deadline":        {newRequest(dispatcher.http1URL, "k", "Req-Deadline-Ms", "soon"), 400},
+		"negative":        {newRequest(dispatcher.http1URL, "k", "Req-Deadline-Ms", "-1"), 400},
+		"signed":          {newRequest(dispatcher.http1URL, "k", "Req-Deadline-Ms", "+5"), 400},
+		"id not plain":    {newRequest(dispatcher.http1URL, "k", "Req-Id", "\u00e9"), 400},
+		"extra":           {newRequest(dispatcher.http1URL, "k", "Req-Extra", "slots=many"), 400},
+		"extra and noise": {newRequest(dispatcher.http1URL, "k4", "Req-Extra", "slots=2,new=1"), 200},
 	} {
-		if status, body, _ := n.send(c.r); status != c.status {
-			t.Errorf("%s: %d %q, want %d", name, status, body, c.status)
+		if status, body, _ := dispatcher.send(test.r); status != test.status {
+			t.Errorf("%s: %d %q, want %d", name, status, body, test.status)
 		}
 	}
 	for _, text := range []string{"POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: -4\r\n\r\n", "POST /price-part HTTP/1.1\r\nHost: h\r\nReq Id: 1\r\n\r\n"} {
-		c, err := net.Dial("tcp", strings.TrimPrefix(n.http1URL, "http://"))
+		conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.http1URL, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, text)
-		if answer, _ := io.ReadAll(c); !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") {
+		io.WriteString(conn, text)
+		if answer, _ := io.ReadAll(conn); !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") {
 			t.Errorf("%q: answered %q", text, answer)
 		}
-		c.Close()
+		conn.Close()
 	}
-	if _, jobs := b.count(); jobs != 2 {
+	if _, jobs := worker.count(); jobs != 2 {
 		t.Errorf("%d jobs came to the endpoint, want 2", jobs)
 	}
 }
@@ -73,17 +73,17 @@
 func TestRequestID_alreadyOpen(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })
-	n := startDispatcher(t, "", b)
-	answered := n.sendInBackground(b, "k")
-	if status, _, _ := n.send(newRequest(n.http1URL, "other", "Req-Id", "id-k")); status != 409 {
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	dispatcher := startDispatcher(t, "", worker)
+	answered := dispatcher.sendInBackground(worker, "k")
+	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "other", "Req-Id", "id-k")); status != 409 {
 		t.Errorf("the id of an open request: %d", status)
 	}
 	close(release)
 	if status := <-answered; status != 200 {
 		t.Errorf("the request whose id it was: %d", status)
 	}
-	if status, _, _ := n.send(newRequest(n.http1URL, "later", "Req-Id", "id-k")); status != 200 {
+	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "later", "Req-Id", "id-k")); status != 200 {
 		t.Errorf("the id of a request that is over: %d", status)
 	}
 }
--- a/cmd/brassdale/shutdown_test.go
+++ b/cmd/brassdale/shutdown_test.go
@@ -17,35 +17,35 @@
 func TestShutdown_answersOpenRequest(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) { <-release; completeJob(b, c, r) })
-	n := startDispatcher(t, "", b)
-	answered := n.sendInBackground(b, "k")
-	n.terminate()
-	n.waitFor("not ready", func() bool {
-		resp, err := http.Get(n.http1URL + "/health/ready")
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	dispatcher := startDispatcher(t, "", worker)
+	answered := dispatcher.sendInBackground(worker, "k")
+	dispatcher.terminate()
+	dispatcher.waitFor("not ready", func() bool {
+		resp, err := http.Get(dispatcher.http1URL + "/health/ready")
 		if err != nil {
 			t.Fatal("closed at once, though the front still brings clients:", err)
 		}
 		resp.Body.Close()
 		return resp.StatusCode == 503
 	})
-	n.waitFor("the listener closed", n.refusesConnections)
+	dispatcher.waitFor("the listener closed", dispatcher.refusesConnections)
 	close(release)
 	if status := <-answered; status != 200 {
 		t.Errorf("the open job: %d", status)
 	}
-	n.waitForExit(time.Now().Add(5 * time.Second))
+	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 }
 
 // After SIGTERM the platform kills 0.7 s after the longest deadline, of which it counts 3 s at most. Until
 // shortly before, clients are served on, also on new connections; then a job whose endpoint is silent gets its answer.
 func TestShutdown_servesUntilShortlyBeforeKill(t *testing.T) {
 	t.Parallel()
-	b := startWorker(t, "a", stallOnStuckKeys)
-	n := startDispatcher(t, "", b)
+	worker := startWorker(t, "a", stallOnStuckKeys)
+	dispatcher := startDispatcher(t, "", worker)
 	kept := &http.Client{Transport: &http.Transport{}}
 	ask := func(key string) int {
-		resp, err := kept.Do(newRequest(n.http1URL, key))
+		resp, err := kept.Do(newRequest(dispatcher.http1URL, key))
 		if err != nil {
 			t.Fatalf("%s: %v", key, err)
 		}
@@ -53,25 +53,25 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	answered := n.sendInBackground(b, "stuck")
+	answered := dispatcher.sendInBackground(worker, "stuck")
 	ask("before")
 	begin := time.Now()
-	n.terminate()
+	dispatcher.terminate()
 	for i := 0; time.Since(begin) < time.Second; i++ {
 		if status := ask(fmt.Sprint("kept-", i)); status != 200 {
 			t.Errorf("on a kept connection: %d", status)
 		}
-		if c := n.dial(); c != nil { // the front may have nobody else to bring a client to
-			c.Close()
+		if conn := dispatcher.dial(); conn != nil { // the front may have nobody else to bring a client to
+			conn.Close()
 		}
 	}
 	if status := <-answered; status != 502 && status != 504 {
 		t.Errorf("the stuck job: %d", status)
 	}
-	n.waitFor("the end", func() bool { return strings.Contains(n.log(), "msg=\"shutdown complete\"") })
+	dispatcher.waitFor("the end", func() bool { return strings.Contains(dispatcher.log(), "msg=\"shutdown complete\"") })
 	took := time.Since(begin) // the race detector holds up the exit itself by a second
-	if <-n.exited; took > 3700*time.Millisecond || n.command.ProcessState.ExitCode() != 0 {
-		t.Errorf("exit code %d after %v: it would have been killed", n.command.ProcessState.ExitCode(), took)
+	if <-dispatcher.exited; took > 3700*time.Millisecond || dispatcher.command.ProcessState.ExitCode() != 0 {
+		t.Errorf("exit code %d after %v: it would have been killed", dispatcher.command.ProcessState.ExitCode(), took)
 	}
 }
 
@@ -84,19 +84,19 @@
 	for i := range 12 {
 		workers = append(workers, startWorker(t, fmt.Sprint("worker-", i), stallOnStuckKeys))
 	}
-	n := startDispatcherWith(t, "", withoutLateWeight, workers...) // what waits here is refused soon
+	dispatcher := startDispatcherWith(t, "", withoutLateWeight, workers...) // what waits here is refused soon
 	for i := range 30 {
-		if err := newRequest(n.http1URL, fmt.Sprint("stuck-", i)).Write(n.dial()); err != nil {
+		if err := newRequest(dispatcher.http1URL, fmt.Sprint("stuck-", i)).Write(dispatcher.dial()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	free, other := n.dial(), n.dial()
-	in := bufio.NewReader(free)
+	free, other := dispatcher.dial(), dispatcher.dial()
+	reader := bufio.NewReader(free)
 	ask := func(i int) *http.Response {
-		if err := newRequest(n.http1URL, fmt.Sprint("k-", i)).Write(free); err != nil {
+		if err := newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)).Write(free); err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.ReadResponse(in, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatalf("request %d: %v", i, err)
 		}
@@ -104,13 +104,13 @@
 		return resp
 	}
 	io.WriteString(other, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n") // no job: it stays free
-	n.waitFor("all jobs at the endpoints", func() bool { return totalJobs(workers...) >= 30 })
-	n.terminate()
+	dispatcher.waitFor("all jobs at the endpoints", func() bool { return totalJobs(workers...) >= 30 })
+	dispatcher.terminate()
 	i, resp := 0, (*http.Response)(nil)
-	n.waitFor("a refusal for the sake of the last free connections", func() bool {
+	dispatcher.waitFor("a refusal for the sake of the last free connections", func() bool {
 		resp = ask(i)
 		i++
-		return strings.Contains(n.log(), "last free connections during shutdown")
+		return strings.Contains(dispatcher.log(), "last free connections during shutdown")
 	})
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Close {
 		t.Errorf("answered %d, Retry-After %q, closes %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
@@ -120,25 +120,25 @@
 // Where deadlines are short, the door stays open for a part of the time that is left, and all that comes is answered.
 func TestShutdown_shortDeadlines(t *testing.T) {
 	t.Parallel()
-	b := startWorker(t, "a", completeJob)
-	n := startDispatcherWith(t, "", func(c string) string {
-		return strings.Replace(c, `"deadline":5000000`, `"deadline":400000`, 1)
-	}, b)
-	n.send(newRequest(n.http1URL, "before"))
-	n.terminate()
+	worker := startWorker(t, "a", completeJob)
+	dispatcher := startDispatcherWith(t, "", func(config string) string {
+		return strings.Replace(config, `"deadline":5000000`, `"deadline":400000`, 1)
+	}, worker)
+	dispatcher.send(newRequest(dispatcher.http1URL, "before"))
+	dispatcher.terminate()
 	for i, begin := 0, time.Now(); time.Since(begin) < 400*time.Millisecond; i++ {
-		c, err := net.Dial("tcp", strings.TrimPrefix(n.http1URL, "http://"))
+		conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.http1URL, "http://"))
 		if err != nil {
 			t.Fatalf("%v behind SIGTERM: %v", time.Since(begin), err)
 		}
-		newRequest(n.http1URL, fmt.Sprint("k-", i)).Write(c)
-		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
+		newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)).Write(conn)
+		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v behind SIGTERM: %v", time.Since(begin), err)
 		}
-		c.Close()
+		conn.Close()
 		time.Sleep(20 * time.Millisecond)
 	}
-	n.waitForExit(time.Now().Add(3 * time.Second))
+	dispatcher.waitForExit(time.Now().Add(3 * time.Second))
 }
 
 // SIGTERM with a job out, one whose body is half here, one that waits behind another on its connection, and a client that
@@ -146,19 +146,19 @@
 // whole request that was read is answered, and no connection is reset.
 func TestShutdown_requestsInEachState(t *testing.T) {
 	t.Parallel()
-	b := startWorker(t, "a", stallOnStuckKeys)
-	n := startDispatcher(t, "", b)
-	hung, half, piped, rests := n.dial(), n.dial(), n.dial(), n.dial()
-	newRequest(n.http1URL, "stuck-1").Write(hung)
+	worker := startWorker(t, "a", stallOnStuckKeys)
+	dispatcher := startDispatcher(t, "", worker)
+	hung, half, piped, rests := dispatcher.dial(), dispatcher.dial(), dispatcher.dial(), dispatcher.dial()
+	newRequest(dispatcher.http1URL, "stuck-1").Write(hung)
 	var text bytes.Buffer
-	newRequest(n.http1URL, "half").Write(&text)
+	newRequest(dispatcher.http1URL, "half").Write(&text)
 	half.Write(text.Bytes()[:text.Len()-3])
-	newRequest(n.http1URL, "stuck-2").Write(piped)
-	newRequest(n.http1URL, "behind").Write(piped)
-	n.waitFor("the jobs at the worker", func() bool { _, jobs := b.count(); return jobs >= 2 })
+	newRequest(dispatcher.http1URL, "stuck-2").Write(piped)
+	newRequest(dispatcher.http1URL, "behind").Write(piped)
+	dispatcher.waitFor("the jobs at the worker", func() bool { _, jobs := worker.count(); return jobs >= 2 })
 	resting := bufio.NewReader(rests)
 	ask := func(i int) (*http.Response, error) {
-		newRequest(n.http1URL, fmt.Sprint("rests-", i)).Write(rests)
+		newRequest(dispatcher.http1URL, fmt.Sprint("rests-", i)).Write(rests)
 		resp, err := http.ReadResponse(resting, nil)
 		if err == nil {
 			io.Copy(io.Discard, resp.Body)
@@ -168,12 +168,12 @@
 	if resp, err := ask(0); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
-	n.terminate()
-	n.reload(n.config)
-	n.terminate()
+	dispatcher.terminate()
+	dispatcher.reload(dispatcher.config)
+	dispatcher.terminate()
 	half.Write(text.Bytes()[text.Len()-3:])
-	answer := func(name string, in *bufio.Reader) int {
-		resp, err := http.ReadResponse(in, nil)
+	answer := func(name string, reader *bufio.Reader) int {
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			return 0
@@ -195,12 +195,12 @@
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a resting connection ended with %v", err)
 	}
-	for name, c := range map[string]net.Conn{"hung": hung, "hung, one behind it": piped} {
-		if got := answer(name, bufio.NewReader(c)); got != 502 && got != 504 {
+	for name, conn := range map[string]net.Conn{"hung": hung, "hung, one behind it": piped} {
+		if got := answer(name, bufio.NewReader(conn)); got != 502 && got != 504 {
 			t.Errorf("%s: %d", name, got)
 		}
 	}
-	n.waitForExit(time.Now().Add(5 * time.Second))
+	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 }
 
 // A process had been told to end. A client wrote its request in pieces, and wrote the last byte 76 ms behind the end of the process
@@ -208,21 +208,21 @@
 // process ends is refused with a whole answer, so that its client knows that nothing ran, and the last byte is nobody's.
 func TestShutdown_rejectsUnfinishedRequests(t *testing.T) {
 	t.Parallel()
-	b := startWorker(t, "a", completeJob)
-	n := startDispatcherWith(t, "", func(config string) string {
+	worker := startWorker(t, "a", completeJob)
+	dispatcher := startDispatcherWith(t, "", func(config string) string {
 		return strings.Replace(config, `"deadline":5000000`, `"deadline":600000`, 1)
-	}, b)
+	}, worker)
 	for _, part := range []int{10, -1} { // in its head, and before its last byte
-		c := n.dial()
-		defer c.Close()
+		conn := dispatcher.dial()
+		defer conn.Close()
 		var text bytes.Buffer
-		newRequest(n.http1URL, "half", "Req-Deadline-Ms", "600").Write(&text)
+		newRequest(dispatcher.http1URL, "half", "Req-Deadline-Ms", "600").Write(&text)
 		if part < 0 {
 			part += text.Len()
 		}
 		answered := make(chan error, 1)
 		go func() {
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err == nil && resp.StatusCode != http.StatusServiceUnavailable {
 				t.Errorf("a request of %d bytes, %d of them sent, is answered %d", text.Len(), part, resp.StatusCode)
 			}
@@ -230,7 +230,7 @@
 		}()
 		go func() { // it goes on until shortly before the kill
 			for i, left := 0, text.Bytes()[:part]; i < part; i++ {
-				c.Write(left[i : i+1])
+				conn.Write(left[i : i+1])
 				time.Sleep(5 * time.Millisecond)
 			}
 		}()
@@ -241,9 +241,9 @@
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
-	n.terminate()
-	n.waitForExit(time.Now().Add(1300 * time.Millisecond))
-	if _, jobs := b.count(); jobs != 0 {
+	dispatcher.terminate()
+	dispatcher.waitForExit(time.Now().Add(1300 * time.Millisecond))
+	if _, jobs := worker.count(); jobs != 0 {
 		t.Errorf("%d jobs reached the worker", jobs)
 	}
 }
--- a/cmd/brassdale/support_discovery_test.go
+++ b/cmd/brassdale/support_discovery_test.go
@@ -36,9 +36,9 @@
 
 func (d *testDiscovery) listJSON() string {
 	var lines []string
-	for _, b := range d.workers {
+	for _, worker := range d.workers {
 		lines = append(lines, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"llanelli","flavor":"new-worker","cell":%s,"phase":%q,"size":1.0,"up_since_ms":%d}`,
-			b.id, b.listener.Addr(), b.cell, b.phase, b.startedAtMS))
+			worker.id, worker.listener.Addr(), worker.cell, worker.phase, worker.startedAtMS))
 	}
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, d.revision, strings.Join(lines, ","))
 }
@@ -86,8 +86,8 @@
 }
 
 // member is a line of a list.
-func memberJSON(b *testWorker, phase string) string {
-	line, err := json.Marshal(map[string]any{"id": b.id, "host_port": b.listener.Addr().String(), "locality": "llanelli", "flavor": "new-worker",
+func memberJSON(worker *testWorker, phase string) string {
+	line, err := json.Marshal(map[string]any{"id": worker.id, "host_port": worker.listener.Addr().String(), "locality": "llanelli", "flavor": "new-worker",
 		"cell": 1, "phase": phase, "size": 1.0, "up_since_ms": 0})
 	if err != nil {
 		panic(err)
--- a/cmd/brassdale/support_dispatcher_test.go
+++ b/cmd/brassdale/support_dispatcher_test.go
@@ -56,9 +56,9 @@
 // startWith starts the program with a file that is changed before.
 func startDispatcherWith(t *testing.T, operator string, change func(string) string, workers ...*testWorker) *testDispatcher {
 	t.Helper()
-	n := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: workers, changed: make(chan struct{})}, exited: make(chan struct{})}
-	n.start(operator, change)
-	return n
+	dispatcher := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: workers, changed: make(chan struct{})}, exited: make(chan struct{})}
+	dispatcher.start(operator, change)
+	return dispatcher
 }
 
 // startHere starts discovery and the program.
@@ -85,10 +85,10 @@
 // successor starts the program again beside itself, as the platform does.
 func (d *testDispatcher) startSuccessor(operator string) *testDispatcher {
 	d.t.Helper()
-	m := &testDispatcher{t: d.t, discovery: d.discovery, tempDir: d.tempDir, exited: make(chan struct{})}
-	m.startProcess(d.config, operator)
-	m.waitUntilReady(operator)
-	return m
+	successor := &testDispatcher{t: d.t, discovery: d.discovery, tempDir: d.tempDir, exited: make(chan struct{})}
+	successor.startProcess(d.config, operator)
+	successor.waitUntilReady(operator)
+	return successor
 }
 
 // passesOn waits until so many successors have told the program that they serve.
--- a/cmd/brassdale/support_endpointcache_test.go
+++ b/cmd/brassdale/support_endpointcache_test.go
@@ -30,18 +30,18 @@
 		t.Fatal(err)
 	}
 	made := time.Now().Add(-ago)
-	s := &endpointcache.CachedList{ConfirmedAtMS: made.UnixMilli(), Revision: 40, Overcommit: 0.5, MeanStay: 0.02, MeanWork: 0.02,
+	list := &endpointcache.CachedList{ConfirmedAtMS: made.UnixMilli(), Revision: 40, Overcommit: 0.5, MeanStay: 0.02, MeanWork: 0.02,
 		Classes: map[string]scheduler.ClassStatistics{"price-part": {WorkScale: 0.02, MeanLogRuntime: -3.9, Jobs: 500}}} // jobs of 20 ms
-	for _, b := range workers {
+	for _, worker := range workers {
 		cell := 1
-		fmt.Sscan(b.cell, &cell)
-		s.Members = append(s.Members, endpointcache.CachedMember{LastSignalMS: made.UnixMilli(), Member: protocol.Member{ID: b.id, HostPort: b.listener.Addr().String(),
-			Locality: "llanelli", Flavor: "new-worker", Cell: cell, Phase: b.phase, Size: 1}, Statistics: &scheduler.WorkerStatistics{Slots: 5, SlownessJobs: 50}})
+		fmt.Sscan(worker.cell, &cell)
+		list.Members = append(list.Members, endpointcache.CachedMember{LastSignalMS: made.UnixMilli(), Member: protocol.Member{ID: worker.id, HostPort: worker.listener.Addr().String(),
+			Locality: "llanelli", Flavor: "new-worker", Cell: cell, Phase: worker.phase, Size: 1}, Statistics: &scheduler.WorkerStatistics{Slots: 5, SlownessJobs: 50}})
 	}
 	if change != nil {
-		change(s)
+		change(list)
 	}
-	if err := endpointcache.NewStore(files, "n0").Snapshot(s); err != nil {
+	if err := endpointcache.NewStore(files, "n0").Snapshot(list); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -49,8 +49,8 @@
 // alone starts the program with no list but the saved one. discovery answers as the handler does; nil for nobody there.
 func startFromCache(t *testing.T, dir string, discovery http.Handler) *testDispatcher {
 	t.Helper()
-	n := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, changed: make(chan struct{})}, exited: make(chan struct{})}
-	n.start(savedListBlock(dir), func(config string) string {
+	dispatcher := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, changed: make(chan struct{})}, exited: make(chan struct{})}
+	dispatcher.start(savedListBlock(dir), func(config string) string {
 		config = withoutKnownList(config)
 		if discovery == nil {
 			return strings.Replace(config, discoveryAddress(config), "127.0.0.1:1", 1)
@@ -59,7 +59,7 @@
 		t.Cleanup(server.CloseClientConnections)
 		return strings.Replace(config, discoveryAddress(config), server.Listener.Addr().String(), 1)
 	})
-	return n
+	return dispatcher
 }
 
 // warm sends so many jobs at a time that each worker gets some, until all are proven.
@@ -78,14 +78,14 @@
 }
 
 // returning starts on a saved list with discovery down, has all workers proven, and gives what brings discovery back.
-func startWhileDiscoveryFails(t *testing.T, workers ...*testWorker) (n *testDispatcher, back func(revision int, listed ...*testWorker)) {
+func startWhileDiscoveryFails(t *testing.T, workers ...*testWorker) (dispatcher *testDispatcher, back func(revision int, listed ...*testWorker)) {
 	dir := t.TempDir()
 	writeCachedList(t, dir, time.Hour, nil, workers...)
-	g := &testDiscovery{revision: 1, failing: true, changed: make(chan struct{})}
-	n = startFromCache(t, dir, g)
-	n.discovery = g
-	n.warmUp(len(workers))
-	return n, func(revision int, listed ...*testWorker) {
-		g.update(func() { g.failing, g.workers, g.revision = false, listed, revision-1 })
+	discovery := &testDiscovery{revision: 1, failing: true, changed: make(chan struct{})}
+	dispatcher = startFromCache(t, dir, discovery)
+	dispatcher.discovery = discovery
+	dispatcher.warmUp(len(workers))
+	return dispatcher, func(revision int, listed ...*testWorker) {
+		discovery.update(func() { discovery.failing, discovery.workers, discovery.revision = false, listed, revision-1 })
 	}
 }
--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -33,29 +33,29 @@
 
 func startFleetWith(t *testing.T, net4, voters, followers int, more func(int) string) *testFleet {
 	t.Helper()
-	f := &testFleet{t: t, voters: voters, extraSettings: more, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
+	fleet := &testFleet{t: t, voters: voters, extraSettings: more, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
 	for i := range voters + followers {
 		l := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", net4, i+1)))
-		f.addresses = append(f.addresses, l.Addr().String())
+		fleet.addresses = append(fleet.addresses, l.Addr().String())
 		l.Close()
-		f.directories = append(f.directories, t.TempDir())
+		fleet.directories = append(fleet.directories, t.TempDir())
 	}
-	for i := range f.addresses {
-		f.dispatchers = append(f.dispatchers, startDispatcherWith(t, f.operatorFile(i), func(c string) string {
-			return strings.Replace(c, `"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, i), 1)
-		}, f.workers...))
+	for i := range fleet.addresses {
+		fleet.dispatchers = append(fleet.dispatchers, startDispatcherWith(t, fleet.operatorFile(i), func(config string) string {
+			return strings.Replace(config, `"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, i), 1)
+		}, fleet.workers...))
 	}
-	return f
+	return fleet
 }
 
 // again starts a dispatcher of the fleet anew behind its end, with the disk that it has.
 func (f *testFleet) restart(i int) {
 	f.t.Helper()
 	old := f.dispatchers[i]
-	n := &testDispatcher{t: f.t, discovery: old.discovery, tempDir: old.tempDir, exited: make(chan struct{})}
-	n.startProcess(old.config, f.operatorFile(i))
-	n.waitUntilReady("")
-	f.dispatchers[i] = n
+	dispatcher := &testDispatcher{t: f.t, discovery: old.discovery, tempDir: old.tempDir, exited: make(chan struct{})}
+	dispatcher.startProcess(old.config, f.operatorFile(i))
+	dispatcher.waitUntilReady("")
+	f.dispatchers[i] = dispatcher
 }
 
 func (f *testFleet) kill(which ...int) {
--- a/cmd/brassdale/support_http2_test.go
+++ b/cmd/brassdale/support_http2_test.go
@@ -47,14 +47,14 @@
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { conn.Close() })
-	p := &frameClient{t: d.t, conn: conn, Framer: h2.NewFramer(conn, conn), closed: make(chan struct{}), goAway: make(chan h2.ErrCode, 1)}
-	p.encoder = hpack.NewEncoder(&p.headerBlock)
-	p.AllowIllegalWrites = true
-	p.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	client := &frameClient{t: d.t, conn: conn, Framer: h2.NewFramer(conn, conn), closed: make(chan struct{}), goAway: make(chan h2.ErrCode, 1)}
+	client.encoder = hpack.NewEncoder(&client.headerBlock)
+	client.AllowIllegalWrites = true
+	client.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	io.WriteString(conn, h2.ClientPreface)
-	p.WriteSettings(settings...)
-	go p.read()
-	return p
+	client.WriteSettings(settings...)
+	go client.read()
+	return client
 }
 
 func (c *frameClient) read() {
--- a/cmd/brassdale/support_requests_test.go
+++ b/cmd/brassdale/support_requests_test.go
@@ -43,7 +43,7 @@
 }
 
 // begin sends a job and gives its status to come, once the job is at the endpoint; closed if there is none.
-func (d *testDispatcher) sendInBackground(b *testWorker, key string) <-chan int {
+func (d *testDispatcher) sendInBackground(worker *testWorker, key string) <-chan int {
 	d.t.Helper()
 	answered := make(chan int, 1)
 	go func() {
@@ -51,7 +51,7 @@
 		status, _, _ := d.send(newRequest(d.http1URL, key))
 		answered <- status
 	}()
-	d.waitFor("the job at the endpoint", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.runs[key] == 1 })
+	d.waitFor("the job at the endpoint", func() bool { worker.mu.Lock(); defer worker.mu.Unlock(); return worker.runs[key] == 1 })
 	return answered
 }
 
@@ -121,19 +121,19 @@
 
 func (d *testDispatcher) dial() net.Conn {
 	d.t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(d.http1URL, "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(d.http1URL, "http://"))
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { c.Close() })
-	return c
+	d.t.Cleanup(func() { conn.Close() })
+	return conn
 }
 
 // closed tells whether no new connection is taken.
 func (d *testDispatcher) refusesConnections() bool {
-	c, err := net.Dial("tcp", strings.TrimPrefix(d.http1URL, "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(d.http1URL, "http://"))
 	if err == nil {
-		c.Close()
+		conn.Close()
 	}
 	return err != nil
 }
--- a/cmd/brassdale/support_worker_test.go
+++ b/cmd/brassdale/support_worker_test.go
@@ -28,25 +28,25 @@
 }
 
 func startWorker(t testing.TB, id string, script func(*testWorker, net.Conn, *http.Request)) *testWorker {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &testWorker{id: id, cell: "1", phase: "active", listener: ln, handler: script, runs: map[string]int{}, abandoned: make(chan string, 64)}
-	t.Cleanup(func() { ln.Close() })
+	worker := &testWorker{id: id, cell: "1", phase: "active", listener: listener, handler: script, runs: map[string]int{}, abandoned: make(chan string, 64)}
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			b.mu.Lock()
-			b.connections++
-			b.mu.Unlock()
-			go b.serve(c)
+			worker.mu.Lock()
+			worker.connections++
+			worker.mu.Unlock()
+			go worker.serve(conn)
 		}
 	}()
-	return b
+	return worker
 }
 
 // runs counts the runs of a key at an endpoint.
@@ -56,11 +56,11 @@
 	return w.runs[key]
 }
 
-func (w *testWorker) serve(c net.Conn) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+func (w *testWorker) serve(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -69,11 +69,11 @@
 			return
 		}
 		if r.URL.Path == "/stats" && w.failsProbes.Load() {
-			fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+			fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
 		if r.URL.Path == "/stats" {
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\nutil=0.1,queue=0,x0=5,x1=5")
+			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\nutil=0.1,queue=0,x0=5,x1=5")
 			continue
 		}
 		r.Header.Set("Body", string(body))
@@ -81,7 +81,7 @@
 		w.jobs++
 		w.runs[r.Header.Get("Idempotency-Key")]++
 		w.mu.Unlock()
-		w.handler(w, c, r)
+		w.handler(w, conn, r)
 	}
 }
 
@@ -108,8 +108,8 @@
 
 // jobsAt is how many jobs came to some workers together.
 func totalJobs(workers ...*testWorker) (sum int) {
-	for _, b := range workers {
-		_, jobs := b.count()
+	for _, worker := range workers {
+		_, jobs := worker.count()
 		sum += jobs
 	}
 	return sum
@@ -121,70 +121,70 @@
 }
 
 // head starts a chunked answer, chunk goes on with it, last ends it.
-func writeHead(c net.Conn, kind string) {
-	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nTransfer-Encoding: chunked\r\n\r\n", kind)
+func writeHead(conn net.Conn, kind string) {
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nTransfer-Encoding: chunked\r\n\r\n", kind)
 }
 
-func writeChunk(c net.Conn, text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+func writeChunk(conn net.Conn, text string) { fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text) }
 
-func writeLastChunk(c net.Conn) { io.WriteString(c, "0\r\n\r\n") }
+func writeLastChunk(conn net.Conn) { io.WriteString(conn, "0\r\n\r\n") }
 
 // says answers a job with these messages.
 func respondWith(messages ...string) func(*testWorker, net.Conn, *http.Request) {
-	return func(_ *testWorker, c net.Conn, r *http.Request) {
-		writeHead(c, "application/json")
+	return func(worker *testWorker, conn net.Conn, r *http.Request) {
+		writeHead(conn, "application/json")
 		for _, m := range messages {
-			writeChunk(c, jobMessage(r.Header.Get("Req-Id"), m))
+			writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), m))
 		}
-		writeLastChunk(c)
+		writeLastChunk(conn)
 	}
 }
 
 // raw answers a job with this text, whatever it is, and ends the connection.
 func respondRaw(text string) func(*testWorker, net.Conn, *http.Request) {
-	return func(_ *testWorker, c net.Conn, _ *http.Request) {
-		io.WriteString(c, text)
-		c.Close()
+	return func(worker *testWorker, conn net.Conn, _ *http.Request) {
+		io.WriteString(conn, text)
+		conn.Close()
 	}
 }
 
 // freezes says these messages and then nothing until the dispatcher gives up.
 func respondThenStall(messages ...string) func(*testWorker, net.Conn, *http.Request) {
-	return func(b *testWorker, c net.Conn, r *http.Request) {
-		writeHead(c, "application/json")
+	return func(worker *testWorker, conn net.Conn, r *http.Request) {
+		writeHead(conn, "application/json")
 		for _, m := range messages {
-			writeChunk(c, jobMessage(r.Header.Get("Req-Id"), m))
+			writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), m))
 		}
-		io.Copy(io.Discard, c)
-		b.abandoned <- r.Header.Get("Req-Id")
+		io.Copy(io.Discard, conn)
+		worker.abandoned <- r.Header.Get("Req-Id")
 	}
 }
 
 // sticks freezes in jobs whose key begins with "stuck", once they have started, and works on all others.
-func stallOnStuckKeys(b *testWorker, c net.Conn, r *http.Request) {
+func stallOnStuckKeys(worker *testWorker, conn net.Conn, r *http.Request) {
 	if strings.HasPrefix(r.Header.Get("Idempotency-Key"), "stuck") {
-		respondThenStall(`"state":"started"`)(b, c, r)
+		respondThenStall(`"state":"started"`)(worker, conn, r)
 	}
-	completeJob(b, c, r)
+	completeJob(worker, conn, r)
 }
 
 var completeJob = respondWith(`"state":"started"`, `"state":"running","share":0.5`, `"state":"done","result":"priced"`)
 
 // takes is an endpoint whose jobs take so long.
 func completeAfter(d time.Duration) func(*testWorker, net.Conn, *http.Request) {
-	return func(b *testWorker, c net.Conn, r *http.Request) {
-		writeHead(c, "application/json")
-		writeChunk(c, jobMessage(r.Header.Get("Req-Id"), `"state":"started"`))
+	return func(worker *testWorker, conn net.Conn, r *http.Request) {
+		writeHead(conn, "application/json")
+		writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), `"state":"started"`))
 		time.Sleep(d)
-		writeChunk(c, jobMessage(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`))
-		writeLastChunk(c)
+		writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`))
+		writeLastChunk(conn)
 	}
 }
 
 // quick answers a job in one piece.
-func completeAtOnce(_ *testWorker, c net.Conn, r *http.Request) {
+func completeAtOnce(worker *testWorker, conn net.Conn, r *http.Request) {
 	body := jobMessage(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`)
-	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // arrivals records when jobs came to a worker.
@@ -195,11 +195,11 @@
 
 // recorded has a worker note each job before it works on it.
 func (a *arrivals) recording(script func(*testWorker, net.Conn, *http.Request)) func(*testWorker, net.Conn, *http.Request) {
-	return func(b *testWorker, c net.Conn, r *http.Request) {
+	return func(worker *testWorker, conn net.Conn, r *http.Request) {
 		a.mu.Lock()
 		a.last = time.Now()
 		a.mu.Unlock()
-		script(b, c, r)
+		script(worker, conn, r)
 	}
 }
 
--- a/cmd/brassdale/tls_test.go
+++ b/cmd/brassdale/tls_test.go
@@ -97,68 +97,68 @@
 }
 `, at("server.pem"), at("server.key"), at("clients.pem"), accounts)
 	}
-	b := startWorker(t, "a", completeJob)
-	n := startDispatcher(t, block(`"gwent-pumps"`), b)
+	worker := startWorker(t, "a", completeJob)
+	dispatcher := startDispatcher(t, block(`"gwent-pumps"`), worker)
 	gwent := ca.newClient("gwent.example")
-	if status := n.sendTLS(gwent, "k", "gwent-pumps"); status != 200 {
+	if status := dispatcher.sendTLS(gwent, "k", "gwent-pumps"); status != 200 {
 		t.Errorf("a job of its own: %d", status)
 	}
-	if status := n.sendTLS(gwent, "foreign", "taff-marine"); status != 403 {
+	if status := dispatcher.sendTLS(gwent, "foreign", "taff-marine"); status != 403 {
 		t.Errorf("a job of another account: %d", status)
 	}
-	if status := n.sendTLS(ca.newClient("taff.example"), "unknown", "gwent-pumps"); status != 403 {
+	if status := dispatcher.sendTLS(ca.newClient("taff.example"), "unknown", "gwent-pumps"); status != 403 {
 		t.Errorf("a certificate that is granted nothing: %d", status)
 	}
-	if status := n.sendTLS(ca.newClient(""), "none", "gwent-pumps"); status != 0 {
+	if status := dispatcher.sendTLS(ca.newClient(""), "none", "gwent-pumps"); status != 0 {
 		t.Errorf("no certificate: %d", status)
 	}
-	if status := n.sendTLS(newCertificateAuthority(t).newClient("gwent.example"), "false", "gwent-pumps"); status != 0 {
+	if status := dispatcher.sendTLS(newCertificateAuthority(t).newClient("gwent.example"), "false", "gwent-pumps"); status != 0 {
 		t.Errorf("a certificate of nobody's: %d", status)
 	}
-	if b.runsOf("foreign")+b.runsOf("unknown")+b.runsOf("none")+b.runsOf("false") != 0 {
+	if worker.runsOf("foreign")+worker.runsOf("unknown")+worker.runsOf("none")+worker.runsOf("false") != 0 {
 		t.Error("a job that nobody may hand in was started")
 	}
-	if got := n.metric("front.http2.forbidden"); got != 2 {
+	if got := dispatcher.metric("front.http2.forbidden"); got != 2 {
 		t.Errorf("%d forbidden", got)
 	}
-	if days := n.metric("front.http2.certificate_days"); days != 29 {
+	if days := dispatcher.metric("front.http2.certificate_days"); days != 29 {
 		t.Errorf("the certificate ends in %d days", days)
 	}
 	// In clear, with another protocol, or with HTTP/1.1 over TLS: closed, not answered.
-	if status, _, _ := trySend(newHTTP2Client(t), newRequest(n.http2URL, "clear")); status != 0 {
+	if status, _, _ := trySend(newHTTP2Client(t), newRequest(dispatcher.http2URL, "clear")); status != 0 {
 		t.Errorf("in clear: %d", status)
 	}
-	if c, err := tls.Dial("tcp", strings.TrimPrefix(n.http2URL, "http://"), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"http/1.1"}}); err == nil {
-		if _, err := c.Read(make([]byte, 1)); err == nil {
+	if conn, err := tls.Dial("tcp", strings.TrimPrefix(dispatcher.http2URL, "http://"), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"http/1.1"}}); err == nil {
+		if _, err := conn.Read(make([]byte, 1)); err == nil {
 			t.Error("speaks HTTP/1.1")
 		}
-		c.Close()
+		conn.Close()
 	}
 
 	reload := func(taken, refused int) {
 		t.Helper()
-		n.command.Process.Signal(syscall.SIGHUP)
-		n.waitFor("the reload", func() bool {
-			return n.metric("reload_success") == taken && n.metric("reload_failure") == refused
+		dispatcher.command.Process.Signal(syscall.SIGHUP)
+		dispatcher.waitFor("the reload", func() bool {
+			return dispatcher.metric("reload_success") == taken && dispatcher.metric("reload_failure") == refused
 		})
 	}
 	// A broken certificate, and a key that others may read: all stays as it was, also what was good in the new file.
 	write("server.pem", []byte("broken"))
-	n.writeFile(n.operatorPath, block(`"taff-marine"`))
+	dispatcher.writeFile(dispatcher.operatorPath, block(`"taff-marine"`))
 	reload(0, 1)
 	write("server.pem", cert)
 	if err := os.Chmod(at("server.key"), 0o640); err != nil {
 		t.Fatal(err)
 	}
 	reload(0, 2)
-	if !strings.Contains(n.log(), "operator.hcl:") || !strings.Contains(n.log(), "others may read it") {
+	if !strings.Contains(dispatcher.log(), "operator.hcl:") || !strings.Contains(dispatcher.log(), "others may read it") {
 		t.Error("the log does not say what is wrong and where")
 	}
-	if status := n.sendTLS(ca.newClient("gwent.example"), "after", "gwent-pumps"); status != 200 {
+	if status := dispatcher.sendTLS(ca.newClient("gwent.example"), "after", "gwent-pumps"); status != 200 {
 		t.Errorf("after refused reloads: %d", status)
 	}
 	// A new one that ends soon, and a new grant.
-	if strings.Contains(n.log(), "certificate expires") {
+	if strings.Contains(dispatcher.log(), "certificate expires") {
 		t.Error("warned too soon")
 	}
 	cert, key = ca.sign("dispatcher.example", 3*24*time.Hour)
@@ -166,14 +166,14 @@
 	os.Chmod(at("server.key"), 0o600)
 	write("server.key", key)
 	reload(1, 2)
-	n.waitFor("the warning", func() bool { return strings.Count(n.log(), "certificate expires") == 1 })
-	if days := n.metric("front.http2.certificate_days"); days != 2 {
+	dispatcher.waitFor("the warning", func() bool { return strings.Count(dispatcher.log(), "certificate expires") == 1 })
+	if days := dispatcher.metric("front.http2.certificate_days"); days != 2 {
 		t.Errorf("the new certificate ends in %d days", days)
 	}
-	if status := n.sendTLS(gwent, "granted", "taff-marine"); status != 200 { // on its old connection too
+	if status := dispatcher.sendTLS(gwent, "granted", "taff-marine"); status != 200 { // on its old connection too
 		t.Errorf("a new grant: %d", status)
 	}
-	if status := n.sendTLS(gwent, "taken away", "gwent-pumps"); status != 403 {
+	if status := dispatcher.sendTLS(gwent, "taken away", "gwent-pumps"); status != 403 {
 		t.Errorf("an old grant: %d", status)
 	}
 }
