--- a/cmd/brassdale/workerconnection_test.go
+++ b/cmd/brassdale/workerconnection_test.go
@@ -17,22 +17,22 @@
 	const rest = 20 * time.Millisecond
 	var mu sync.Mutex
 	answered := map[string]time.Time{} // by the connection's other end
-	b := startWorker(t, "a", func(b *testWorker, c net.Conn, r *http.Request) {
+	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		mu.Lock()
-		last, again := answered[c.RemoteAddr().String()]
+		last, again := answered[conn.RemoteAddr().String()]
 		mu.Unlock()
 		if again && time.Since(last) < rest { // the second answer of the job before
-			io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+			io.WriteString(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
 		mu.Lock()
-		answered[c.RemoteAddr().String()] = time.Now()
+		answered[conn.RemoteAddr().String()] = time.Now()
 		mu.Unlock()
-		completeJob(b, c, r)
+		completeJob(worker, conn, r)
 	})
-	n := startDispatcher(t, "", b)
+	dispatcher := startDispatcher(t, "", worker)
 	for i := range 20 {
-		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(i))); status != 200 {
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
 			t.Fatalf("job %d, right behind another's answer: %d", i, status)
 		}
 	}
@@ -42,19 +42,23 @@
 func TestWorkerConnection_reuse(t *testing.T) {
 	t.Parallel()
 	kept := startWorker(t, "a", completeJob)
-	n := startDispatcher(t, "", kept)
-	n.send(newRequest(n.http1URL, "first"))
+	dispatcher := startDispatcher(t, "", kept)
+	dispatcher.send(newRequest(dispatcher.http1URL, "first"))
 	for i := range 5 {
 		time.Sleep(40 * time.Millisecond) // the rest, which is part of what is tested
-		n.send(newRequest(n.http1URL, fmt.Sprint(i)))
+		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i)))
 	}
 	if conns, _ := kept.count(); conns > 2 { // one for jobs, perhaps one more for a probe at that moment
 		t.Errorf("%d connections for 6 jobs in turn", conns)
 	}
-	closing := startWorker(t, "b", func(b *testWorker, c net.Conn, r *http.Request) { completeJob(b, c, r); c.Close(); b.abandoned <- "" })
-	n = startDispatcher(t, "", closing)
+	closing := startWorker(t, "b", func(worker *testWorker, conn net.Conn, r *http.Request) {
+		completeJob(worker, conn, r)
+		conn.Close()
+		worker.abandoned <- ""
+	})
+	dispatcher = startDispatcher(t, "", closing)
 	for i := range 5 {
-		if status, _, _ := n.send(newRequest(n.http1URL, fmt.Sprint(i))); status != 200 {
+		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
 			t.Errorf("job %d behind a closed connection: %d", i, status)
 		}
 		<-closing.abandoned
--- a/cmd/brassdale/workers_test.go
+++ b/cmd/brassdale/workers_test.go
@@ -22,35 +22,35 @@
 	var silent atomic.Bool
 	workers := make([]*testWorker, 10)
 	for i := range workers {
-		workers[i] = startWorker(t, fmt.Sprint("old-", i), func(b *testWorker, c net.Conn, r *http.Request) {
+		workers[i] = startWorker(t, fmt.Sprint("old-", i), func(worker *testWorker, conn net.Conn, r *http.Request) {
 			if i < 6 && silent.Load() {
-				respondThenStall()(b, c, r)
+				respondThenStall()(worker, conn, r)
 				return
 			}
-			completeJob(b, c, r)
+			completeJob(worker, conn, r)
 		})
 		workers[i].abandoned = make(chan string, 1000)
 	}
-	n := startDispatcherWith(t, "", asOneOfEighty, workers...)
-	if served := n.sendMany("before", 100); served != 100 {
+	dispatcher := startDispatcherWith(t, "", asOneOfEighty, workers...)
+	if served := dispatcher.sendMany("before", 100); served != 100 {
 		t.Errorf("%d of 100 served before", served)
 	}
 	silent.Store(true) // the machines are cut off; nobody is told yet
-	if served := n.sendMany("untold", 100); served != 100 {
+	if served := dispatcher.sendMany("untold", 100); served != 100 {
 		t.Errorf("%d of 100 served while nobody was told", served)
 	}
 	now := time.Now().UnixMilli()
 	replaced := append([]*testWorker(nil), workers[6:]...)
 	for i := range 6 {
-		b := startWorker(t, fmt.Sprint("new-", i), completeJob)
-		b.startedAtMS = now
-		replaced = append(replaced, b)
+		worker := startWorker(t, fmt.Sprint("new-", i), completeJob)
+		worker.startedAtMS = now
+		replaced = append(replaced, worker)
 	}
-	n.discovery.update(func() { n.discovery.workers = replaced })
-	n.waitFor("the new list", func() bool { return strings.Contains(n.log(), "revision=2") })
-	n.sendMany("told", 1) // behind it the module knows
+	dispatcher.discovery.update(func() { dispatcher.discovery.workers = replaced })
+	dispatcher.waitFor("the new list", func() bool { return strings.Contains(dispatcher.log(), "revision=2") })
+	dispatcher.sendMany("told", 1) // behind it the module knows
 	before := totalJobs(workers[:6]...)
-	if served := n.sendMany("after", 100); served != 100 {
+	if served := dispatcher.sendMany("after", 100); served != 100 {
 		t.Errorf("%d of 100 served after", served)
 	}
 	if after := totalJobs(workers[:6]...); after != before {
@@ -67,11 +67,11 @@
 	}
 	workers[0].listener.Close()
 	workers[1].listener.Close()
-	n := startDispatcherWith(t, "", asOneOfEighty, workers...)
-	if served := n.sendMany("k", 200); served != 200 {
+	dispatcher := startDispatcherWith(t, "", asOneOfEighty, workers...)
+	if served := dispatcher.sendMany("k", 200); served != 200 {
 		t.Errorf("%d of 200 served", served)
 	}
-	if n := strings.Count(n.log(), "unreachable"); n == 0 || n > 20 {
+	if n := strings.Count(dispatcher.log(), "unreachable"); n == 0 || n > 20 {
 		t.Errorf("shunned %d times", n)
 	}
 }
@@ -79,10 +79,10 @@
 // What reached no endpoint never ran: it is refused, and its client told when to come back.
 func TestWorkers_noneListens(t *testing.T) {
 	t.Parallel()
-	b := startWorker(t, "a", completeJob)
-	b.listener.Close()
-	n := startDispatcher(t, "", b)
-	if status, _, after := n.send(newRequest(n.http1URL, "k")); status != 503 || after != "2" {
+	worker := startWorker(t, "a", completeJob)
+	worker.listener.Close()
+	dispatcher := startDispatcher(t, "", worker)
+	if status, _, after := dispatcher.send(newRequest(dispatcher.http1URL, "k")); status != 503 || after != "2" {
 		t.Errorf("answered %d, Retry-After %q", status, after)
 	}
 }
@@ -91,7 +91,7 @@
 func TestWorkerAnswers_mappedToStatus(t *testing.T) {
 	t.Parallel()
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		script func(*testWorker, net.Conn, *http.Request)
 		status int
 	}{
@@ -114,10 +114,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := startDispatcher(t, "", startWorker(t, "a", c.script))
-			status, body, after := n.send(newRequest(n.http1URL, "k"))
-			if status != c.status || (status == 503) != (after != "") {
-				t.Errorf("answered %d %q, Retry-After %q, want %d", status, body, after, c.status)
+			dispatcher := startDispatcher(t, "", startWorker(t, "a", test.script))
+			status, body, after := dispatcher.send(newRequest(dispatcher.http1URL, "k"))
+			if status != test.status || (status == 503) != (after != "") {
+				t.Errorf("answered %d %q, Retry-After %q, want %d", status, body, after, test.status)
 			}
 		})
 	}
@@ -127,13 +127,13 @@
 func TestAffinity_sameUserSameWorker(t *testing.T) {
 	t.Parallel()
 	workers := []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob), startWorker(t, "c", completeJob), startWorker(t, "d", completeJob)}
-	n := startDispatcher(t, "", workers...)
+	dispatcher := startDispatcher(t, "", workers...)
 	for i := range 3 {
-		n.send(newRequest(n.http1URL, fmt.Sprint(i), "Cookie", "theme=dark; user=7f3a9c21e0b4d655"))
+		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i), "Cookie", "theme=dark; user=7f3a9c21e0b4d655"))
 	}
-	for _, b := range workers {
-		if _, jobs := b.count(); jobs != 0 && jobs != 3 {
-			t.Errorf("%d of 3 jobs of one user went to %s", jobs, b.id)
+	for _, worker := range workers {
+		if _, jobs := worker.count(); jobs != 0 && jobs != 3 {
+			t.Errorf("%d of 3 jobs of one user went to %s", jobs, worker.id)
 		}
 	}
 }
