--- a/internal/decisions/budgetleases/doc.go
+++ b/internal/decisions/budgetleases/doc.go
@@ -13,7 +13,7 @@
 //  2. A lessee that needs less than its fair share gets what it needs; the rest is divided evenly among the others, after each
 //     has got its floor.
 //  3. The rate leased to a dispatcher that is gone is available again once its lease has expired, and demand that rises is met
-//     within two lease durations, as far as others leave room for it.
+//     within two lease durations, as far as others leave budget for it.
 package budgetleases
 
 import "time"
--- a/internal/decisions/budgetleases/lessor.go
+++ b/internal/decisions/budgetleases/lessor.go
@@ -83,7 +83,7 @@
 // uses a second.
 //
 // The rate is at least what the dispatcher may use without a lease, but 0 where Settings.MaxLessees others have leases: the
-// budget then has no room for it.
+// budget then has nothing left for it.
 func (l *Lessor) Grant(name string, demand, floor float64, now Clock) float64 {
 	unleased := l.settings.UnleasedRate()
 	if now < l.electedAt+l.leaseDuration() {
--- a/internal/decisions/canary/doc.go
+++ b/internal/decisions/canary/doc.go
@@ -4,7 +4,7 @@
 //
 // It guarantees:
 //
-//  1. Each dispatcher can tell by itself, from its name and the version's number, whether it is in the canary. Another version has
+//  1. Each dispatcher can determine by itself, from its name and the version's number, whether it is in the canary. Another version has
 //     another canary.
 //  2. A version passes only after MinDuration and minCanaryJobs ended jobs in the canary, and fails if the canary's failure rate exceeds the
 //     others' by more than FailureMargin and by more than chance explains.
--- a/internal/decisions/configversions/entry.go
+++ b/internal/decisions/configversions/entry.go
@@ -23,7 +23,7 @@
 	ZoneLimit  *ZoneLimit     `json:"hold,omitempty"`     // replaces the zone's limit
 }
 
-// The errors with which Apply rejects an entry, beside those of Rules.Check and canary.Rollout.Check.
+// The errors with which Apply rejects an entry, in addition to those of Rules.Check and canary.Rollout.Check.
 var (
 	ErrChangeInProgress = errors.New("another change is under way")
 	ErrNotNextVersion   = errors.New("it does not follow the version in force")
@@ -132,7 +132,7 @@
 	return r, nil
 }
 
-// withdraw gives the announced version up. The version in force takes the number behind it, so that no later version has the
+// withdraw gives the announced version up. The version in force takes the number after it, so that no later version has the
 // number of the withdrawn one, which dispatchers may have acknowledged.
 func (r Record) withdraw(reason string) Record {
 	r.Withdrawn = newest(append(slices.Clone(r.Withdrawn), Withdrawal{*r.Announced, reason}))
--- a/internal/decisions/failover/solve.go
+++ b/internal/decisions/failover/solve.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// The cost of a slot of work that leaves its zone but not its region, and of one that leaves its region, beside the distance. A
+// The cost of a slot of work that leaves its zone but not its region, and of one that leaves its region, in addition to the distance. A
 // crossing of zones outweighs any distance, and a crossing of regions any number of crossings within regions.
 const (
 	zoneCrossingCost   = 1e3
--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -20,7 +20,7 @@
 	// rapidMoveInterval is the time between two moves below which they are in quick succession.
 	rapidMoveInterval = time.Second
 
-	// minBackoff is the least limit on the delay after a failed call. The limit grows by backoffPerDispatcher for each dispatcher beside
+	// minBackoff is the least limit on the delay after a failed call. The limit grows by backoffPerDispatcher for each dispatcher besides
 	// this one, up to maxBackoff; minBackoffFraction of the delay is not random.
 	minBackoff           = 100 * time.Millisecond
 	backoffPerDispatcher = 300 * time.Millisecond
--- a/internal/decisions/polling/rules.go
+++ b/internal/decisions/polling/rules.go
@@ -13,7 +13,7 @@
 	// queuedCallTimeout is how long a service that queues calls may take over one: it rejects a call that was queued for 2 s.
 	queuedCallTimeout = 2700 * time.Millisecond
 
-	// watchResponseGrace is how long after its wait a watch may be answered before a call is made beside it.
+	// watchResponseGrace is how long after its wait a watch may be answered before a further call is made while it is open.
 	watchResponseGrace = 100 * time.Millisecond
 
 	// minAgentTimeout is the least time that a call to an agent may take, whatever the grace period.
@@ -25,7 +25,7 @@
 	// earlyRewatchDelay is the least delay after a response without a change that was received before the wait was over.
 	earlyRewatchDelay = 100 * time.Millisecond
 
-	// rewatchSpreadPerDispatcher is by how much each dispatcher beside this one widens the random spread of delays.
+	// rewatchSpreadPerDispatcher is by how much each further dispatcher widens the random spread of delays.
 	rewatchSpreadPerDispatcher = 4 * time.Millisecond
 )
 
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -13,11 +13,11 @@
 	// lastResponseTime is how long before that time the last of these calls is made.
 	lastResponseTime = 200 * time.Millisecond
 
-	// minPollGap and maxPollGap bound the time after which a further call is made beside one that does not wait.
+	// minPollGap and maxPollGap bound the time after which a further call is made while one that does not wait is open.
 	minPollGap = 300 * time.Millisecond
 	maxPollGap = 2100 * time.Millisecond
 
-	// overlapSpreadPerDispatcher is by how much each dispatcher beside this one widens the random spread of the calls beside a watch:
+	// overlapSpreadPerDispatcher is by how much each further dispatcher widens the random spread of the calls that overlap a watch:
 	// where discovery goes silent, it does so for all.
 	overlapSpreadPerDispatcher = 200 * time.Millisecond
 	maxOverlapSpread           = 1200 * time.Millisecond
@@ -30,7 +30,7 @@
 	busyResponseTime = QueuedThreshold
 	busyDuration     = 10 * time.Second
 
-	// busyRepollThreshold is how much of NotificationDeadline is left when a further call is made to a busy service beside one that it
+	// busyRepollThreshold is how much of NotificationDeadline is left when a further call is made to a busy service in addition to one that it
 	// may have queued.
 	busyRepollThreshold = 3800 * time.Millisecond
 )
@@ -126,7 +126,7 @@
 	return s.revisionCall != 0 && now.Before(s.revisionCallUntil)
 }
 
-// overlapDelay returns how long after a call a further one is made beside it.
+// overlapDelay returns how long after a call a further one is made while it is open.
 func (s *Schedule) overlapDelay(now time.Time, kind Kind, rules Rules, chance float64) time.Duration {
 	switch {
 	case rules.ListsPushed && kind == Watch:
--- a/internal/decisions/voters/founding.go
+++ b/internal/decisions/voters/founding.go
@@ -1,6 +1,6 @@
 package voters
 
-// Founder is what a founding voter tells the others before there is a raft log.
+// Founder is what a founding voter sends to the others before there is a raft log.
 type Founder struct {
 	Incarnation    string            `json:"incarnation"`    // drawn when its storage was created
 	FoundingVoters map[uint64]string `json:"roll,omitempty"` // incarnations, by voter ID, with which it founded the group; nil before
@@ -22,7 +22,7 @@
 // others are the founding voters that it has reached, by ID, and voters is the number of founding voters. With VoteToFound it
 // returns the incarnations of all founding voters, which the voter must store before it votes.
 //
-// The group is founded only when all founding voters are reached: afterwards a voter that is late could not be told from one
+// The group is founded only when all founding voters are reached: afterwards a voter that is late could not be distinguished from one
 // that has lost its storage, and with it the votes that it cast.
 func DecideFounding(id uint64, incarnation string, others map[uint64]Founder, voters int) (FoundingDecision, map[uint64]string) {
 	incarnations := map[uint64]string{id: incarnation}
--- a/internal/decisions/voters/planchange.go
+++ b/internal/decisions/voters/planchange.go
@@ -145,7 +145,7 @@
 	zoneVoters   int // other voters and learners in its zone
 }
 
-// rankOf returns the rank of a candidate beside the other voters and learners.
+// rankOf returns the rank of a candidate given the other voters and learners.
 func rankOf(candidate *Candidate, others []Status) candidateRank {
 	var rank candidateRank
 	if !candidate.DedicatedToControl {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -32,7 +32,7 @@
 	return c.StartWith(ctx, binary, dir, dispatcher, nil, args...)
 }
 
-// StartWith is Start with environment variables beside the usual ones.
+// StartWith is Start with environment variables in addition to the usual ones.
 func (c *Cluster) StartWith(ctx context.Context, binary, dir string, dispatcher int, env []string, args ...string) (*Node, error) {
 	path, err := c.Write(dir, dispatcher)
 	if err != nil {
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -72,7 +72,7 @@
 
 // Play plays a scenario on loopback sockets, in real time, with a process of the dispatcher's program for each dispatcher. The
 // result is as Run's, seen by the clients and the workers. The error is load.ErrUnusable if the load generator fell behind,
-// and context.Canceled, beside the result until then, if the context ended.
+// and context.Canceled, together with the result until then, if the context ended.
 func Play(ctx context.Context, scenario Scenario, binary string) (*Result, error) {
 	cluster, err := open(context.WithoutCancel(ctx), scenario) // the result is read after the context has ended
 	if err != nil {
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -34,7 +34,7 @@
 type Agent struct {
 	options       Options
 	settings      *Settings
-	instance      string // drawn at the start: tells this process from others of its name
+	instance      string // drawn at the start: distinguishes this process from others of its name
 	leaseDuration time.Duration
 	replaceAfter  time.Duration // after which a silent voter is replaced
 	maxPlanAge    time.Duration // for which a plan is trusted without a lease
@@ -140,7 +140,7 @@
 	return format
 }
 
-// Run takes part in the fleet until the context ends; then it drops the lease and tells the leader, so that a successor of the
+// Run takes part in the fleet until the context ends; then it drops the lease and notifies the leader, so that a successor of the
 // same name need not wait for the lease to run out. It returns when all of the agent's goroutines have ended.
 func (a *Agent) Run(ctx context.Context) {
 	if !a.awaitListener(ctx) {
--- a/internal/fleet/effective.go
+++ b/internal/fleet/effective.go
@@ -16,7 +16,7 @@
 	return a.lessee.Effective(a.now())
 }
 
-// watchLease applies what changes without a message: the end of the lease. It also has gossip tell the others what changed.
+// watchLease applies what changes without a message: the end of the lease. It also has gossip notify the others of what changed.
 func (a *Agent) watchLease(ctx context.Context) {
 	for {
 		a.applyState()
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -19,7 +19,7 @@
 // errOtherZone is how NotifyAlive rejects a member.
 var errOtherZone = errors.New("it is of another zone")
 
-// leaveNotice is the name of a member that leaves. memberlist tells the others that a member is gone, and not why.
+// leaveNotice is the name of a member that leaves. memberlist notifies the others that a member is gone, and not why.
 type leaveNotice string
 
 // Invalidates, Message and Finished make it a memberlist.Broadcast.
@@ -108,7 +108,7 @@
 	}
 }
 
-// NotifyAlive rejects members that are no peers: builds that gossip with the whole fleet tell of all.
+// NotifyAlive rejects members that are no peers: builds that gossip with the whole fleet name all.
 func (d *delegate) NotifyAlive(node *memberlist.Node) error {
 	var other Self
 	if err := json.Unmarshal(node.Meta, &other); err != nil {
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -22,8 +22,8 @@
 const (
 	joinInterval           = 2 * time.Second
 	fullSyncInterval       = 10 * time.Second       // between two exchanges of the whole state, where the whole fleet gossips
-	leaveTimeout           = 500 * time.Millisecond // for the others to hear that this dispatcher leaves
-	updateTimeout          = 500 * time.Millisecond // for one of them to hear of a change of Self
+	leaveTimeout           = 500 * time.Millisecond // for the others to be notified that this dispatcher leaves
+	updateTimeout          = 500 * time.Millisecond // for one of them to be notified of a change of Self
 	absentRetention        = time.Hour              // for which members that are gone are shown
 	leaveNoticeRetention   = 10 * time.Second       // for which a notice that a member leaves explains why it is gone
 	leaveNoticeRetransmits = 8                      // times the logarithm of the members: memberlist's own 4 loses some
@@ -141,7 +141,7 @@
 		case <-ctx.Done():
 			return
 		case <-m.selfChanged:
-			_ = m.list.UpdateNode(updateTimeout) // a timeout: the others hear of it later
+			_ = m.list.UpdateNode(updateTimeout) // a timeout: the others are notified later
 		case address := <-m.exchangeWith:
 			m.join(address)
 		case <-time.After(joinInterval):
@@ -156,7 +156,7 @@
 	}
 }
 
-// leave tells the others that this member leaves, and ends its part. The process ends, so errors change nothing.
+// leave notifies the others that this member leaves, and ends its part. The process ends, so errors change nothing.
 func (m *Membership) leave() {
 	m.leaveNotices.QueueBroadcast(leaveNotice(m.options.Self.Name))
 	time.Sleep(leaveTimeout) // a few rounds of gossip
@@ -164,7 +164,7 @@
 	_ = m.list.Shutdown()
 }
 
-// UpdateSelf has the others told what has changed of this member.
+// UpdateSelf has the others notified of what has changed of this member.
 func (m *Membership) UpdateSelf(self Self) {
 	m.mu.Lock()
 	same := m.self == self
--- a/internal/fleet/operatorcalls.go
+++ b/internal/fleet/operatorcalls.go
@@ -45,7 +45,7 @@
 }
 
 // announce appends the announcement of a version to the log. After an error of another kind than a conflict nobody knows
-// whether the version is announced; the status tells.
+// whether the version is announced; the status shows it.
 func announce(ctx context.Context, own *ownVoter, version configversions.Version) (response, int) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -23,7 +23,7 @@
 
 const (
 	tickInterval        = 50 * time.Millisecond
-	electionTicks       = 10      // without a word from the leader before a voter stands for election
+	electionTicks       = 10      // without a message of the leader before a voter starts an election
 	heartbeatTicks      = 2       // between two heartbeats of the leader
 	maxInflightMessages = 64      // appends that the leader sends to a voter before the first is acknowledged
 	maxMessageBytes     = 1 << 20 // of entries in one message
@@ -73,7 +73,7 @@
 	reads     readIndexes
 	proposals map[string]chan<- error // that wait until they are applied, by the ID of their entry
 
-	silentTicks   map[uint64]int // since a voter was last heard of, while this one leads
+	silentTicks   map[uint64]int // since a voter's last message, while this one leads
 	snapshotTicks map[uint64]int // for which a snapshot has been on its way to a voter
 }
 
@@ -105,7 +105,7 @@
 	return log, nil
 }
 
-// start restores the snapshot on file and makes the raft node, which goes on behind it.
+// start restores the snapshot on file and makes the raft node, which continues after it.
 func (l *Log) start() error {
 	snapshot, err := l.store.Snapshot()
 	if err != nil {
--- a/internal/fleet/raftlog/progress.go
+++ b/internal/fleet/raftlog/progress.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// retrySnapshots has a snapshot sent again of which nothing was heard for an election timeout. raft sends one, and then
-// nothing more to that voter until it is told how the transfer ended; nobody reports one that the network lost.
+// retrySnapshots has a snapshot sent again that was not acknowledged for an election timeout. raft sends one, and then
+// nothing more to that voter until it is notified how the transfer ended; nobody reports one that the network lost.
 func (l *Log) retrySnapshots() {
 	for id, ticks := range l.snapshotTicks {
 		if ticks < electionTicks {
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// releaseLease drops the lease and tells a voter, so that no change and no successor of the same name waits for its end. Only
+// releaseLease drops the lease and notifies a voter, so that no change and no successor of the same name waits for its end. Only
 // the goroutine of Run may call it.
 func (a *Agent) releaseLease(ctx context.Context) {
 	a.mu.Lock()
--- a/internal/inject/trace.go
+++ b/internal/inject/trace.go
@@ -19,7 +19,7 @@
 type Tracer struct {
 	Rules  []Rule
 	Seed   uint64
-	Calm   func() bool              // while it tells so nothing fails; nil for never
+	Calm   func() bool              // while it returns true nothing fails; nil for never
 	Began  func(pid int)            // the program runs under this number
 	Failed func(call string, n int) // so many calls of the kind have failed by now; nil for nobody
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// decide has the call that a thread stands before fail, or lets it pass.
+// decide has the call that a thread is about to make fail, or lets it pass.
 func (t *Tracer) decide(pid int, rng *rand.Rand) {
 	var regs syscall.PtraceRegs
 	if syscall.PtraceGetRegs(pid, &regs) != nil || t.Calm != nil && t.Calm() {
@@ -98,7 +98,7 @@
 			}
 			regs.Rdx /= 2
 		} else {
-			regs.Orig_rax = ^uint64(0) // no such call: it is passed over, and gives what stands in rax
+			regs.Orig_rax = ^uint64(0) // no such call: it is skipped, and returns what is in rax
 			regs.Rax = uint64(-int64(rule.Errno))
 		}
 		if syscall.PtraceSetRegs(pid, &regs) == nil {
--- a/internal/load/generated.go
+++ b/internal/load/generated.go
@@ -10,7 +10,7 @@
 type Account struct {
 	Name  string
 	Share float64 // of the jobs, relative to the other accounts
-	Times float64 // multiple of its share that it sends, beside the others' jobs; 0 for once
+	Times float64 // multiple of its share that it sends, in addition to the others' jobs; 0 for once
 }
 
 // weight returns the account's share times its multiple.
--- a/internal/operator/blocks.go
+++ b/internal/operator/blocks.go
@@ -1,5 +1,5 @@
 // Package operator reads the operator's file: HCL, with a block for each part of the program that the platform does not ask for. A
-// part without a block is off. Each part declares its settings as a struct with hcl tags, beside its code; this package has the
+// part without a block is off. Each part declares its settings as a struct with hcl tags, next to its code; this package has the
 // blocks' names, their defaults and the checks that gohcl cannot do.
 package operator
 
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -31,7 +31,7 @@
 	Overload      *fleet.Overload                // block overload
 }
 
-// IdempotencySettings returns the settings of the table of idempotency keys; nil if there is no table. A frontend beside the
+// IdempotencySettings returns the settings of the table of idempotency keys; nil if there is no table. A frontend in addition to the
 // platform's needs one, with default settings if the file has no block: the same key may come in at any of them.
 func (f *File) IdempotencySettings() *transport.IdempotencySettings {
 	if f.Keys == nil && (f.HTTP2 != nil || f.Progress != nil) {
--- a/internal/program/fleetagent.go
+++ b/internal/program/fleetagent.go
@@ -108,7 +108,7 @@
 	}()
 }
 
-// leave has the agent drop its lease and tell the fleet, as far as that can be done by a deadline: then neither a successor of
+// leave has the agent drop its lease and notify the fleet, as far as that can be done by a deadline: then neither a successor of
 // the same name nor a change waits for the end of the lease.
 func (a *fleetAgent) leave(deadline time.Time) {
 	if a == nil {
--- a/internal/program/peer.go
+++ b/internal/program/peer.go
@@ -9,14 +9,14 @@
 	"brassdale/internal/transport"
 )
 
-// peerProcess returns the predecessor or successor that runs beside this process; nil for none.
+// peerProcess returns the predecessor or successor that runs at the same time as this process; nil for none.
 func (d *dispatcher) peerProcess() *transport.PeerProcess {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.peer
 }
 
-// setPeer sets the process that runs beside this one, nil for none, and how many act as this dispatcher.
+// setPeer sets the process that runs at the same time as this one, nil for none, and how many act as this dispatcher.
 func (d *dispatcher) setPeer(peer *transport.PeerProcess) {
 	d.mu.Lock()
 	d.peer = peer
@@ -37,7 +37,7 @@
 	d.applyResourceLimits()
 }
 
-// shareIdempotencyKeys has the table of idempotency keys, if there is one, work beside that of a peer process; nil for none.
+// shareIdempotencyKeys has the table of idempotency keys, if there is one, work together with that of a peer process; nil for none.
 func (d *dispatcher) shareIdempotencyKeys(peer *transport.PeerProcess, relayPath string, peerIsOlder bool) {
 	if d.idempotencyTable != nil {
 		d.idempotencyTable.RunBeside(peer, relayPath, peerIsOlder)
--- a/internal/program/resourcelimits.go
+++ b/internal/program/resourcelimits.go
@@ -30,7 +30,7 @@
 
 	outboundPercent = 45
 	bodiesPart      = 10       // 1/bodiesPart of the memory is for request bodies at each frontend
-	streamsPart     = 6        // 1/streamsPart of the memory is for streams, beside their bodies
+	streamsPart     = 6        // 1/streamsPart of the memory is for streams, in addition to their bodies
 	streamBytes     = 24 << 10 // of memory for a stream
 	defaultStreams  = 8192     // where the platform states no limit
 )
--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -41,7 +41,7 @@
 // shutDown answers all requests that were accepted, and returns the time by which the process has to end. It blocks until then at
 // the latest:
 //
-//	SIGTERM                not ready; frontends have clients go elsewhere (startFrontends), and listen on (awaitStopRequests)
+//	SIGTERM                not ready; frontends direct clients elsewhere (startFrontends), and listen on (awaitStopRequests)
 //	+ minListening         frontends may stop listening once they have no connections; multiplexed ones shut down
 //	end - stopRequests     listeners close; each connection is closed after its answer, idle ones at once (awaitConnections)
 //	end - answerMargin     the core answers every request that is still open
@@ -51,7 +51,7 @@
 // The load balancer soon brings no new clients, but clients go on using the connections that they have, and perhaps have nobody
 // else while another dispatcher restarts; and one connection that is refused makes the load balancer give up this dispatcher
 // with all that it could still serve. So the listeners stay open for as long as responses can be in time. Then connections are
-// closed: each behind its response, those that owe none at once. No connection is closed over bytes of a client, who would see
+// closed: each after its response, those that owe none at once. No connection is closed over bytes of a client, who would see
 // it reset.
 func (d *dispatcher) shutDown() time.Time {
 	d.serving.Store(false)
@@ -73,7 +73,7 @@
 	return ending.end.Add(-exitMargin / 2)
 }
 
-// startFrontends has all frontends tell their clients to go elsewhere. Multiplexed ones shut down by themselves: clients hear
+// startFrontends has all frontends direct their clients elsewhere. Multiplexed ones shut down by themselves: clients are notified
 // up to which stream they are served. A client may keep a connection on which it is owed nothing, so they end with the context.
 func (s *shutdown) startFrontends(ctx context.Context) {
 	for _, f := range s.d.frontends {
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -58,7 +58,7 @@
 	return &RequestError{status, fmt.Sprintf(format, values...)}
 }
 
-// forwardedHeaders are the headers that are passed on to workers beside those that the protocol names.
+// forwardedHeaders are the headers that are passed on to workers in addition to those that the protocol names.
 var forwardedHeaders = []string{"Req-Kind", "Req-Owner", "Req-Retry", "Req-Extra", "Req-Cost", "Cookie", "Content-Type"}
 
 // ClassOf returns the name of the class that a request is for, known or not.
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -31,7 +31,7 @@
 	SetDetached(id scheduler.WorkerID, since time.Time)
 }
 
-// Observer is notified of what endpoints return, beside the scheduler. No method blocks.
+// Observer is notified of what endpoints return, as the scheduler is. No method blocks.
 type Observer interface {
 	// ProbeCompleted is called with the outcome of a probe and whether it carried a load report.
 	ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome, report bool)
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -52,7 +52,7 @@
 // long before the start, because the previous process has just ended or was killed.
 const startLookback = 2 * time.Second
 
-// The messages in the mailbox of EndpointList, beside callEnded and endpointSignal.
+// The messages in the mailbox of EndpointList, in addition to callEnded and endpointSignal.
 type (
 	subscribe       struct{}
 	changeDiscovery struct{ to Discovery }
@@ -192,7 +192,7 @@
 	l.log.Info("discovery service changed", "open_calls", len(l.calls.open), "list_age", l.listAge())
 	now := time.Now()
 	l.calls.changeService(ctx, to, now)
-	// Behind a change of services a change of the list counts as notified after MoveNotificationDeadline already.
+	// After a change of services a change of the list counts as notified after MoveNotificationDeadline already.
 	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(l.completeAsOf) {
 		l.completeAsOf = asOf
 	}
--- a/internal/routing/listcalls.go
+++ b/internal/routing/listcalls.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxOpenCalls bounds the calls for the list in flight: a watch, those made beside it, and those that a change of the
+	// maxOpenCalls bounds the calls for the list in flight: a watch, those made while it is open, and those that a change of the
 	// discovery service found in flight.
 	maxOpenCalls = 8
 
--- a/internal/routing/messages.go
+++ b/internal/routing/messages.go
@@ -7,7 +7,7 @@
 	"brassdale/scheduler"
 )
 
-// The messages in the mailbox of the Core, beside events of the scheduler, which are passed on as they are.
+// The messages in the mailbox of the Core, in addition to events of the scheduler, which are passed on as they are.
 type (
 	submitRequest struct {
 		id      scheduler.RequestID
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -143,7 +143,7 @@
 	}
 	c.log.Error("request overdue, failed", "request", id, "id", request.LogName)
 	c.answerRequest(request, Answer{Verdict: Failed})
-	c.handleEvent(scheduler.ClientLeft{ID: id}) // tells the scheduler that the request needs no answer any more
+	c.handleEvent(scheduler.ClientLeft{ID: id}) // the request needs no answer any more
 	c.removeIfClosed(id, request)
 }
 
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -84,7 +84,7 @@
 		http.Error(w, "the body must be a worker's id", http.StatusBadRequest)
 		return
 	}
-	markServing(r) // the listener does not close it to make room
+	markServing(r) // the listener does not close it to free capacity
 	if err := o.apply(r.Context(), id); err != nil {
 		status := http.StatusInternalServerError
 		if rejection := (*OperationError)(nil); errors.As(err, &rejection) {
--- a/internal/transport/endpointmessages.go
+++ b/internal/transport/endpointmessages.go
@@ -6,7 +6,7 @@
 	"brassdale/internal/routing"
 )
 
-// The messages to the actor of an endpoint, beside routing.Endpoint (an endpoint update) and routing.Attempt (to be sent).
+// The messages to the actor of an endpoint, in addition to routing.Endpoint (an endpoint update) and routing.Attempt (to be sent).
 type (
 	// startProbe asks for a health check.
 	startProbe struct{}
--- a/internal/transport/http2/framewriter.go
+++ b/internal/transport/http2/framewriter.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxIdleBufferBytes = 4 << 10                 // capacity of a buffer that is kept while nothing is written
+	maxIdleBufferBytes = 4 << 10                 // capacity of a buffer that is retained while nothing is written
 	maxQueuedBytes     = 64 << 10                // beyond this, write blocks
 	writeStallTimeout  = 2500 * time.Millisecond // a connection that takes not one byte for so long is closed
 )
--- a/internal/transport/http2/frontend.go
+++ b/internal/transport/http2/frontend.go
@@ -54,7 +54,7 @@
 	requiresClientCertificate bool
 }
 
-// New returns the frontend behind a multiplexed listener. It reads the files that the settings name; quotas may be nil.
+// New returns the frontend of a multiplexed listener. It reads the files that the settings name; quotas may be nil.
 func New(settings *Settings, core transport.Core, live *protocol.LiveSettings, listener *transport.Listener, ids *transport.InFlightIDs, keys *transport.IdempotencyTable, quotas *transport.AccountQuotas, log *slog.Logger) (*Frontend, error) {
 	f := &Frontend{log: log, listener: listener, conns: map[*conn]struct{}{}, floodCloses: map[http2limits.CloseReason]int{}}
 	f.JobFrontend = transport.NewJobFrontend(core, live, listener, ids, keys, quotas, f.authorize, log)
--- a/internal/transport/jobfrontend.go
+++ b/internal/transport/jobfrontend.go
@@ -12,7 +12,7 @@
 // JobFrontend is the frontend for the platform's protocol: POST /<class>, answered in one piece.
 type JobFrontend struct{ frontend }
 
-// NewJobFrontend returns the frontend behind a listener. keys, quotas and authorize may be nil: then each request is a job of its
+// NewJobFrontend returns the frontend of a listener. keys, quotas and authorize may be nil: then each request is a job of its
 // own, accounts have no quotas, and every client may submit any job.
 func NewJobFrontend(core Core, settings *protocol.LiveSettings, listener *Listener, ids *InFlightIDs, keys *IdempotencyTable, quotas *AccountQuotas, authorize Authorize, log *slog.Logger) *JobFrontend {
 	return &JobFrontend{frontend{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: keys, quotas: quotas, authorize: authorize, log: log}}
--- a/internal/transport/progressfrontend.go
+++ b/internal/transport/progressfrontend.go
@@ -35,7 +35,7 @@
 	settings *ProgressSettings
 }
 
-// NewProgressFrontend returns the frontend behind a listener. quotas may be nil: then accounts have none.
+// NewProgressFrontend returns the frontend of a listener. quotas may be nil: then accounts have none.
 func NewProgressFrontend(core Core, settings *protocol.LiveSettings, progress *ProgressSettings, listener *Listener, ids *InFlightIDs, keys *IdempotencyTable, quotas *AccountQuotas, log *slog.Logger) *ProgressFrontend {
 	return &ProgressFrontend{
 		frontend: frontend{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: keys, quotas: quotas, log: log},
--- a/internal/transport/rejection.go
+++ b/internal/transport/rejection.go
@@ -15,7 +15,7 @@
 	rejectedTableFull       = "idempotency table full"                // it cannot take another key
 	rejectedStreamLimit     = "stream limit of the connection"        // it has its share of the listener's streams
 	rejectedAccountQuota    = "account quota"                         // the account has its share of the open jobs
-	rejectedAtShutdown      = "last free connections during shutdown" // they are kept open for clients that would find no other
+	rejectedAtShutdown      = "last free connections during shutdown" // they are reserved for clients that would find no other
 )
 
 // errIDInUse rejects a request whose id is that of another request in flight.
--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -18,7 +18,7 @@
 	// affinityHeadroom is the number of workers that share a key, as a multiple of those that the key's requests fill.
 	affinityHeadroom = 1.5
 
-	// overusePriorJobs is the number of jobs, for each unit of weight and over all dispatchers, that are assumed beside those
+	// overusePriorJobs is the number of jobs, for each unit of weight and over all dispatchers, that are assumed in addition to those
 	// counted when the use of a worker is compared with its fair part: it damps chance.
 	overusePriorJobs = 20
 
--- a/scheduler/hedging.go
+++ b/scheduler/hedging.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Hedging: a further attempt beside one that has not started in time, at the next worker in order. The first to start cancels
+// Hedging: a further attempt while one has not started in time, at the next worker in order. The first to start cancels
 // the others (onAttemptStarted), so hedging is a search for a free slot.
 
 const (
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -38,7 +38,7 @@
 // If the best worker is no longer confirmedFresh, it is probed, and the request waits up to healthCheckWait for the result:
 // the next worker in order usually costs more than this wait. After that the best of the fresh ones is taken.
 //
-// Beside its result it may emit a Probe, and it moves the rotation cursor past the best worker even if the caller does not use it.
+// In addition to its result it may emit a Probe, and it moves the rotation cursor past the best worker even if the caller does not use it.
 func (s *Scheduler) pickWorker(request *request) *worker {
 	best := s.leastLoaded(request, s.freshOrProbeable)
 	if best == nil || s.confirmedFresh(best) {
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -19,7 +19,7 @@
 )
 
 // probeSubset probes the workers of the subset that are due. The first probe of a worker comes after a time by chance: many
-// dispatchers that start, or hear of the worker, at the same time would overrun it.
+// dispatchers that start, or learn of the worker, at the same time would overrun it.
 func (s *Scheduler) probeSubset() {
 	interval := s.meanProbeInterval()
 	for _, worker := range s.subset {
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// onTimerFired acts on a timer. That of an earlier review, replaced since, is ignored; behind a stall the review waits until
+// onTimerFired acts on a timer. That of an earlier review, replaced since, is ignored; after a stall the review waits until
 // what has come is read.
 func (s *Scheduler) onTimerFired(event TimerFired) {
 	switch {
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -18,14 +18,14 @@
 	// slownessRetention is the weight of the past in a worker's slowness: it covers about twenty jobs.
 	slownessRetention = 0.95
 
-	// slownessPriorJobs is the number of jobs of ordinary (or, in slow start, of the feared) pace that are assumed beside those
+	// slownessPriorJobs is the number of jobs of ordinary (or, in slow start, of the feared) pace that are assumed in addition to those
 	// seen.
 	slownessPriorJobs = 8
 
 	// slowdownThreshold is the factor up to which a slower worker counts as of ordinary pace: less is chance.
 	slowdownThreshold = 1.5
 
-	// failurePriorJobs is the number of served jobs assumed beside those seen, and the bound of the failures that count.
+	// failurePriorJobs is the number of served jobs assumed in addition to those seen, and the bound of the failures that count.
 	failurePriorJobs = 4
 
 	// toleratedFailureShare is the share of failures that is chance.
--- a/scheduler/subset.go
+++ b/scheduler/subset.go
@@ -9,7 +9,7 @@
 )
 
 // Subset: which workers requests are sent to at all. A dispatcher knows a worker's load by its own attempts there; of too many
-// workers it would hear too seldom. Where requests have affinity keys all workers are in the subset, and a key has its own
+// workers it would see each too seldom. Where requests have affinity keys all workers are in the subset, and a key has its own
 // part of them (candidatesForKey).
 
 const (
@@ -32,7 +32,7 @@
 	// subsetInterval is the time between choices of the subset.
 	subsetInterval = time.Second
 
-	// keyCandidates is the number of workers to choose from for a request with an affinity key, beside the warming ones of which
+	// keyCandidates is the number of workers to choose from for a request with an affinity key, in addition to the warming ones of which
 	// this dispatcher has a slow-start share, where more than maxFullScanWorkers are listed.
 	keyCandidates = 32
 
