--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -22,7 +22,7 @@
 // conversation is the state of one run with the simulator. It is used by one goroutine.
 type conversation struct {
 	out       *bufio.Writer
-	now       scheduler.Clock
+	now       scheduler.Instant
 	pages     map[uint64][]entry
 	instances map[int]*instance
 }
--- a/internal/decisions/budgetleases/doc.go
+++ b/internal/decisions/budgetleases/doc.go
@@ -18,8 +18,8 @@
 
 import "time"
 
-// Clock is a point in time of one process: the time since an epoch of its own, which never moves back.
-type Clock = time.Duration
+// Instant is a point in time of one process: the time since an epoch of its own, which never moves back.
+type Instant = time.Duration
 
 // MaxClockDrift is the share by which a lessee's clock may run slower than the lessor's.
 const MaxClockDrift = 0.01
--- a/internal/decisions/budgetleases/lessee.go
+++ b/internal/decisions/budgetleases/lessee.go
@@ -14,21 +14,21 @@
 type Lessee struct {
 	unleasedRate float64 // uses a second without a lease
 	rate         float64 // uses a second of the lease
-	expiry       Clock   // of the lease
+	expiry       Instant // of the lease
 	tokens       float64 // uses saved, as of filledAt
-	filledAt     Clock
+	filledAt     Instant
 	demand       float64 // smoothed TryUse calls a second, as of filledAt
 	denied       int
 }
 
 // NewLessee returns a lessee without a lease, which may make unleasedRate uses a second.
-func NewLessee(unleasedRate float64, now Clock) *Lessee {
+func NewLessee(unleasedRate float64, now Instant) *Lessee {
 	return &Lessee{unleasedRate: unleasedRate, filledAt: now}
 }
 
 // ApplyLease stores a lease of rate uses a second, which lasts from requestedAt, when the lessee sent the request. It is
 // ignored where it expires before the current one.
-func (l *Lessee) ApplyLease(rate float64, requestedAt Clock, lease time.Duration, now Clock) {
+func (l *Lessee) ApplyLease(rate float64, requestedAt Instant, lease time.Duration, now Instant) {
 	l.refill(now)
 	if expiry := requestedAt + lease; expiry >= l.expiry || now >= l.expiry {
 		l.rate, l.expiry = rate, expiry
@@ -36,7 +36,7 @@
 }
 
 // Rate returns the uses a second that the lessee may make now.
-func (l *Lessee) Rate(now Clock) float64 {
+func (l *Lessee) Rate(now Instant) float64 {
 	if now < l.expiry {
 		return l.rate
 	}
@@ -45,7 +45,7 @@
 
 // refill adds the tokens since filledAt, at the rates that applied. It saves no more than maxSavedUse at the current rate, or one
 // use: a process that was paused may not use what accrued meanwhile.
-func (l *Lessee) refill(now Clock) {
+func (l *Lessee) refill(now Instant) {
 	if now <= l.filledAt {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // TryUse reports whether the lessee may make one use now, and counts it.
-func (l *Lessee) TryUse(now Clock) bool {
+func (l *Lessee) TryUse(now Instant) bool {
 	l.refill(now)
 	l.demand += 1 / demandWindow.Seconds()
 	if l.tokens < 1 {
@@ -74,7 +74,7 @@
 }
 
 // Demand returns the smoothed number of TryUse calls a second.
-func (l *Lessee) Demand(now Clock) float64 {
+func (l *Lessee) Demand(now Instant) float64 {
 	l.refill(now)
 	return l.demand
 }
--- a/internal/decisions/budgetleases/lessee_test.go
+++ b/internal/decisions/budgetleases/lessee_test.go
@@ -10,7 +10,7 @@
 func TestLessee_usesItsLease(t *testing.T) {
 	lessee := NewLessee(1, 0)
 	lessee.ApplyLease(50, 0, leaseDuration, 0)
-	use := func(from, to Clock) (uses int) {
+	use := func(from, to Instant) (uses int) {
 		for now := from; now < to; now += time.Millisecond {
 			if lessee.TryUse(now) {
 				uses++
--- a/internal/decisions/budgetleases/lessor.go
+++ b/internal/decisions/budgetleases/lessor.go
@@ -20,11 +20,11 @@
 // Settings.UnleasedRate while leases of its predecessor may be valid.
 type Lessor struct {
 	settings  Settings
-	electedAt Clock
+	electedAt Instant
 	lessees   map[string]*lesseeState // by name
 
 	// The allocation, computed by allocate.
-	allocatedAt Clock
+	allocatedAt Instant
 	stale       bool    // it must be computed before the next grant
 	granted     float64 // uses a second that all lessees may make together; at least the sum of their maxValidGrant
 	floorScale  float64 // from 0 to 1: the share of the floors that fits into the budget
@@ -34,7 +34,7 @@
 // lesseeState is what the lessor knows of a lessee.
 type lesseeState struct {
 	demand, floor float64 // uses a second, as it last requested
-	requestedAt   Clock
+	requestedAt   Instant
 	grants        []grant // those that may be valid
 	granted       float64 // its part of Lessor.granted
 }
@@ -42,11 +42,11 @@
 // grant is a lease that was granted.
 type grant struct {
 	rate   float64 // uses a second
-	expiry Clock   // by the lessor's clock, lengthened by MaxClockDrift
+	expiry Instant // by the lessor's clock, lengthened by MaxClockDrift
 }
 
 // NewLessor returns the lessor of a leader that was elected at electedAt.
-func NewLessor(settings Settings, electedAt Clock) *Lessor {
+func NewLessor(settings Settings, electedAt Instant) *Lessor {
 	return &Lessor{settings: settings, electedAt: electedAt, lessees: map[string]*lesseeState{}, stale: true}
 }
 
@@ -63,7 +63,7 @@
 }
 
 // expire removes expired grants, and lessees that have none and have not requested one for a lease duration.
-func (l *Lessor) expire(now Clock) {
+func (l *Lessor) expire(now Instant) {
 	maps.DeleteFunc(l.lessees, func(_ string, lessee *lesseeState) bool {
 		lessee.grants = slices.DeleteFunc(lessee.grants, func(g grant) bool { return now >= g.expiry })
 		return len(lessee.grants) == 0 && now >= lessee.requestedAt+l.leaseDuration()
@@ -84,7 +84,7 @@
 //
 // The rate is at least what the dispatcher may use without a lease, but 0 where Settings.MaxLessees others have leases: the
 // budget then has nothing left for it.
-func (l *Lessor) Grant(name string, demand, floor float64, now Clock) float64 {
+func (l *Lessor) Grant(name string, demand, floor float64, now Instant) float64 {
 	unleased := l.settings.UnleasedRate()
 	if now < l.electedAt+l.leaseDuration() {
 		return unleased
@@ -132,7 +132,7 @@
 
 // allocate computes the allocation from all lessees' demands. A grant that expires before the next one counts until then, so that
 // granted is never too small.
-func (l *Lessor) allocate(now Clock) {
+func (l *Lessor) allocate(now Instant) {
 	l.expire(now)
 	l.allocatedAt, l.stale, l.granted = now, false, 0
 	unleased := l.settings.UnleasedRate()
@@ -171,7 +171,7 @@
 }
 
 // Outstanding returns the uses a second that all dispatchers together may make at most now, with and without leases.
-func (l *Lessor) Outstanding(now Clock) (rate float64) {
+func (l *Lessor) Outstanding(now Instant) (rate float64) {
 	l.expire(now)
 	for _, lessee := range l.lessees {
 		rate += max(lessee.maxValidGrant(), l.settings.UnleasedRate())
--- a/internal/decisions/budgetleases/lessor_test.go
+++ b/internal/decisions/budgetleases/lessor_test.go
@@ -17,9 +17,9 @@
 type budgetModel struct {
 	settings  Settings
 	lessor    *Lessor
-	now       Clock // the lessor's
+	now       Instant // the lessor's
 	lessees   []*Lessee
-	clocks    []Clock   // the lessees'
+	clocks    []Instant // the lessees'
 	paces     []float64 // of clocks, in seconds for each of the lessor's
 	responses []grantResponse
 }
@@ -28,7 +28,7 @@
 type grantResponse struct {
 	to          int
 	rate        float64
-	requestedAt Clock
+	requestedAt Instant
 }
 
 func drawBudgetModel(t *rapid.T) *budgetModel {
@@ -38,7 +38,7 @@
 		RatePerSecond: 100, UnleasedShare: rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "unleased share"),
 		MaxLessees: dispatchers, LeaseDuration: leaseDuration,
 	}
-	model := &budgetModel{settings: settings, lessor: NewLessor(settings, -time.Minute), clocks: make([]Clock, dispatchers)}
+	model := &budgetModel{settings: settings, lessor: NewLessor(settings, -time.Minute), clocks: make([]Instant, dispatchers)}
 	for range dispatchers {
 		model.lessees = append(model.lessees, NewLessee(settings.UnleasedRate(), 0))
 		model.paces = append(model.paces, rapid.Float64Range(1-MaxClockDrift/2, 1+MaxClockDrift/2).Draw(t, "pace"))
@@ -108,7 +108,7 @@
 func grantRepeatedly(settings Settings, demands, floors []float64) (rates []float64) {
 	lessor := NewLessor(settings, -time.Minute)
 	rates = make([]float64, len(demands))
-	for now := Clock(0); now < 10*leaseDuration; now += leaseDuration / 4 {
+	for now := Instant(0); now < 10*leaseDuration; now += leaseDuration / 4 {
 		for i := range demands {
 			rates[i] = lessor.Grant(fmt.Sprint(i), demands[i], floors[i], now)
 		}
@@ -137,7 +137,7 @@
 	const risesAt = 10 * time.Second
 	lessor := NewLessor(settings, -time.Minute)
 	rate, metAfter := 0.0, time.Duration(0)
-	for now := Clock(0); now < 20*time.Second; now += leaseDuration / 4 {
+	for now := Instant(0); now < 20*time.Second; now += leaseDuration / 4 {
 		demands := []float64{7, 7, 7, 7}
 		if now >= risesAt {
 			demands[0] = 70
--- a/internal/decisions/cachetrust/action.go
+++ b/internal/decisions/cachetrust/action.go
@@ -11,7 +11,7 @@
 // ReadyWorker is a worker that is announced to the scheduler as ready.
 type ReadyWorker struct {
 	ID             scheduler.WorkerID
-	StartedAt      scheduler.Clock
+	StartedAt      scheduler.Instant
 	StartConfirmed bool // StartedAt replaces the one announced before, although it is earlier
 }
 
--- a/internal/decisions/cachetrust/assessor.go
+++ b/internal/decisions/cachetrust/assessor.go
@@ -14,14 +14,14 @@
 	rules        Rules
 	list         CachedList
 	usable       bool
-	startedAt    scheduler.Clock
+	startedAt    scheduler.Instant
 	age          time.Duration // of the list at the start; below 0 where its time lies in the future
 	workers      map[scheduler.WorkerID]*assessedWorker
 	probeOrder   []*assessedWorker // without those that are excluded from the start
 	countByLevel [Excluded + 1]int
 	finished     bool // discovery's list is in force
 
-	doubtedAt scheduler.Clock // when a first list was doubted; 0 while none was
+	doubtedAt scheduler.Instant // when a first list was doubted; 0 while none was
 	retained  []scheduler.WorkerID
 }
 
@@ -29,17 +29,17 @@
 type assessedWorker struct {
 	CachedWorker
 	level              TrustLevel
-	probing            bool            // a probe is in flight
-	probedAt           scheduler.Clock // when the last probe was sent
-	nextProbeAt        scheduler.Clock // when the next one may be sent
+	probing            bool              // a probe is in flight
+	probedAt           scheduler.Instant // when the last probe was sent
+	nextProbeAt        scheduler.Instant // when the next one may be sent
 	failedProbes       int
 	logLikelihoodRatio float64 // of warm to warming up, by the run times of its jobs
-	announcedAt        scheduler.Clock
+	announcedAt        scheduler.Instant
 }
 
 // New returns an Assessor of a cached list that starts now. Usable reports whether the list may be used; if so, Check returns the first
 // actions.
-func New(now scheduler.Clock, list CachedList, rules Rules) *Assessor {
+func New(now scheduler.Instant, list CachedList, rules Rules) *Assessor {
 	assessor := &Assessor{rules: rules, list: list, workers: map[scheduler.WorkerID]*assessedWorker{}, startedAt: now, age: now - list.ConfirmedAt}
 	if list.ConfirmedAt > now {
 		assessor.age = -1
@@ -56,7 +56,7 @@
 }
 
 // add adds a worker of the list, unless one of its ID was added.
-func (a *Assessor) add(now scheduler.Clock, cached CachedWorker) {
+func (a *Assessor) add(now scheduler.Instant, cached CachedWorker) {
 	if a.workers[cached.ID] != nil {
 		return
 	}
@@ -77,7 +77,7 @@
 func (a *Assessor) Age() (age time.Duration, ok bool) { return max(a.age, 0), a.age >= 0 }
 
 // StartedAt returns when the assessment started.
-func (a *Assessor) StartedAt() scheduler.Clock { return a.startedAt }
+func (a *Assessor) StartedAt() scheduler.Instant { return a.startedAt }
 
 // Finished reports whether discovery's list is in force, so that nothing is decided here any more.
 func (a *Assessor) Finished() bool { return a.finished }
@@ -86,7 +86,7 @@
 func (a *Assessor) CountByLevel() [Excluded + 1]int { return a.countByLevel }
 
 // SameIncarnation reports whether a worker that discovery has with a start is the incarnation that was cached.
-func (a *Assessor) SameIncarnation(id scheduler.WorkerID, startedAt scheduler.Clock) bool {
+func (a *Assessor) SameIncarnation(id scheduler.WorkerID, startedAt scheduler.Instant) bool {
 	worker := a.workers[id]
 	return worker != nil && startedAt <= worker.StartedAt
 }
@@ -99,7 +99,7 @@
 }
 
 // announce returns the announcement of a worker that starts to warm up now.
-func (a *Assessor) announce(worker *assessedWorker, now scheduler.Clock) Action {
+func (a *Assessor) announce(worker *assessedWorker, now scheduler.Instant) Action {
 	a.setLevel(worker, Responsive)
 	worker.announcedAt = now
 	return Action{Announce: &ReadyWorker{ID: worker.ID, StartedAt: max(now, 1)}}
@@ -107,7 +107,7 @@
 
 // scheduleFirstProbes sets the times of the first probes. The workers that are most likely to answer come first: those with the latest
 // signal, and of these the ones with the earliest start.
-func (a *Assessor) scheduleFirstProbes(now scheduler.Clock) {
+func (a *Assessor) scheduleFirstProbes(now scheduler.Instant) {
 	slices.SortStableFunc(a.probeOrder, func(x, y *assessedWorker) int {
 		return cmp.Or(cmp.Compare(y.LastSignal, x.LastSignal), cmp.Compare(x.StartedAt, y.StartedAt))
 	})
--- a/internal/decisions/cachetrust/cachedlist.go
+++ b/internal/decisions/cachetrust/cachedlist.go
@@ -4,7 +4,7 @@
 
 // CachedList is an endpoint list as it was cached.
 type CachedList struct {
-	ConfirmedAt scheduler.Clock // when the list was last known to be in force
+	ConfirmedAt scheduler.Instant // when the list was last known to be in force
 	Revision    int64
 	Workers     []CachedWorker
 }
@@ -13,7 +13,7 @@
 type CachedWorker struct {
 	ID         scheduler.WorkerID
 	State      scheduler.WorkerState
-	Detached   bool            // by the operator
-	StartedAt  scheduler.Clock // 0 for long ago
-	LastSignal scheduler.Clock // when something was last received from it; 0 for never
+	Detached   bool              // by the operator
+	StartedAt  scheduler.Instant // 0 for long ago
+	LastSignal scheduler.Instant // when something was last received from it; 0 for never
 }
--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -20,7 +20,7 @@
 func workerID(i int) scheduler.WorkerID { return scheduler.WorkerID(fmt.Sprint("w", i)) }
 
 // listOfWorkers returns a list of so many workers that started long ago.
-func listOfWorkers(confirmedAt scheduler.Clock, workers int) CachedList {
+func listOfWorkers(confirmedAt scheduler.Instant, workers int) CachedList {
 	list := CachedList{ConfirmedAt: confirmedAt, Revision: 7}
 	for i := range workers {
 		list.Workers = append(list.Workers, CachedWorker{ID: workerID(i), LastSignal: confirmedAt})
@@ -49,8 +49,8 @@
 	t                     *rapid.T
 	rules                 Rules
 	list                  CachedList
-	now                   scheduler.Clock
-	probedAt, announcedAt map[scheduler.WorkerID]scheduler.Clock
+	now                   scheduler.Instant
+	probedAt, announcedAt map[scheduler.WorkerID]scheduler.Instant
 	answered              map[scheduler.WorkerID]bool
 	probes                int
 }
@@ -105,8 +105,8 @@
 		workers := len(list.Workers)
 		assessor := New(now, list, rules)
 		startedAt := now
-		checker := &promiseChecker{t: t, rules: rules, list: list, probedAt: map[scheduler.WorkerID]scheduler.Clock{},
-			announcedAt: map[scheduler.WorkerID]scheduler.Clock{}, answered: map[scheduler.WorkerID]bool{}}
+		checker := &promiseChecker{t: t, rules: rules, list: list, probedAt: map[scheduler.WorkerID]scheduler.Instant{},
+			announcedAt: map[scheduler.WorkerID]scheduler.Instant{}, answered: map[scheduler.WorkerID]bool{}}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			checker.now = now
@@ -145,7 +145,7 @@
 }
 
 // drawList draws a cached list of up to 30 workers in any states.
-func drawList(t *rapid.T, now scheduler.Clock) CachedList {
+func drawList(t *rapid.T, now scheduler.Instant) CachedList {
 	states := []scheduler.WorkerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Gone}
 	list := CachedList{ConfirmedAt: now - time.Duration(rapid.IntRange(-5, 60).Draw(t, "age"))*time.Hour, Revision: 7}
 	for i := range rapid.IntRange(1, 30).Draw(t, "workers") {
--- a/internal/decisions/cachetrust/listdecision.go
+++ b/internal/decisions/cachetrust/listdecision.go
@@ -17,11 +17,11 @@
 // ListDecision is how far a full list of discovery is in force.
 type ListDecision struct {
 	Retain    []scheduler.WorkerID // workers that the list does not name, and that stay as they are
-	RefetchAt scheduler.Clock      // when to call for the full list again; 0 where the list is in force
+	RefetchAt scheduler.Instant    // when to call for the full list again; 0 where the list is in force
 }
 
 // AssessList decides how far a full list of discovery is in force, by its revision and the workers that it has as ready.
-func (a *Assessor) AssessList(now scheduler.Clock, revision int64, ready []scheduler.WorkerID) ListDecision {
+func (a *Assessor) AssessList(now scheduler.Instant, revision int64, ready []scheduler.WorkerID) ListDecision {
 	if a.finished {
 		return ListDecision{}
 	}
@@ -65,12 +65,12 @@
 func (a *Assessor) AwaitingConfirmation() bool { return a.doubtedAt != 0 }
 
 // RetainedUntil returns until when workers are retained at most; it is not ok where none is.
-func (a *Assessor) RetainedUntil() (until scheduler.Clock, ok bool) {
+func (a *Assessor) RetainedUntil() (until scheduler.Instant, ok bool) {
 	return a.doubtedAt + MaxRetention, a.doubtedAt != 0 && !a.finished
 }
 
 // ExpireRetained returns the workers whose retention has ended, so that discovery's list is in force; none before RetainedUntil.
-func (a *Assessor) ExpireRetained(now scheduler.Clock) (gone []scheduler.WorkerID) {
+func (a *Assessor) ExpireRetained(now scheduler.Instant) (gone []scheduler.WorkerID) {
 	if a.doubtedAt == 0 || a.finished || now < a.doubtedAt+MaxRetention {
 		return nil
 	}
--- a/internal/decisions/cachetrust/probing.go
+++ b/internal/decisions/cachetrust/probing.go
@@ -33,7 +33,7 @@
 )
 
 // Check returns the actions that are due by now. It is called at the time that NextCheck returns.
-func (a *Assessor) Check(now scheduler.Clock) (actions []Action) {
+func (a *Assessor) Check(now scheduler.Instant) (actions []Action) {
 	if a.finished {
 		return nil
 	}
@@ -58,7 +58,7 @@
 }
 
 // NextCheck returns when Check has something to do if nothing happens before; it is not ok if it never has.
-func (a *Assessor) NextCheck() (at scheduler.Clock, ok bool) {
+func (a *Assessor) NextCheck() (at scheduler.Instant, ok bool) {
 	if a.finished {
 		return 0, false
 	}
@@ -78,7 +78,7 @@
 }
 
 // ProbeCompleted records the result of a probe that an Action asked for, and returns what follows.
-func (a *Assessor) ProbeCompleted(now scheduler.Clock, id scheduler.WorkerID, result ProbeResult) []Action {
+func (a *Assessor) ProbeCompleted(now scheduler.Instant, id scheduler.WorkerID, result ProbeResult) []Action {
 	worker := a.workers[id]
 	if a.finished || worker == nil || !worker.probing || worker.level > Absent {
 		return nil
@@ -95,7 +95,7 @@
 }
 
 // probeFailed records a probe without an answer of a worker, and schedules the next.
-func (a *Assessor) probeFailed(worker *assessedWorker, now scheduler.Clock) {
+func (a *Assessor) probeFailed(worker *assessedWorker, now scheduler.Instant) {
 	worker.probing = false
 	worker.nextProbeAt = now + min(MinProbeRetryDelay<<min(worker.failedProbes, maxProbeRetryDoublings), MaxProbeRetryDelay)
 	worker.failedProbes++
--- a/internal/decisions/cachetrust/sequentialtest.go
+++ b/internal/decisions/cachetrust/sequentialtest.go
@@ -36,7 +36,7 @@
 
 // JobServed records a job that a worker has served, and returns the announcement that the worker is warm if the evidence suffices.
 // logLateness is the natural logarithm of the job's run time divided by the usual one at this worker.
-func (a *Assessor) JobServed(now scheduler.Clock, id scheduler.WorkerID, logLateness float64) []Action {
+func (a *Assessor) JobServed(now scheduler.Instant, id scheduler.WorkerID, logLateness float64) []Action {
 	worker := a.workers[id]
 	if a.finished || worker == nil || worker.level != Responsive || math.IsNaN(logLateness) {
 		return nil
--- a/internal/decisions/canary/doc.go
+++ b/internal/decisions/canary/doc.go
@@ -13,5 +13,5 @@
 
 import "time"
 
-// Clock is a point in time of one process: the time since an epoch of its own, which never moves back.
-type Clock = time.Duration
+// Instant is a point in time of one process: the time since an epoch of its own, which never moves back.
+type Instant = time.Duration
--- a/internal/decisions/canary/evaluation.go
+++ b/internal/decisions/canary/evaluation.go
@@ -41,13 +41,13 @@
 // replicated: a new leader begins another one.
 type Evaluation struct {
 	version   uint64
-	beganAt   Clock
+	beganAt   Instant
 	baselines map[string]Sample // by name of the dispatcher: its first sample of this evaluation and of its process
 	latest    map[string]Sample // by name of the dispatcher
 }
 
 // NewEvaluation returns an evaluation of the canary of the given version that begins now.
-func NewEvaluation(version uint64, now Clock) *Evaluation {
+func NewEvaluation(version uint64, now Instant) *Evaluation {
 	return &Evaluation{version: version, beganAt: now, baselines: map[string]Sample{}, latest: map[string]Sample{}}
 }
 
@@ -64,7 +64,7 @@
 }
 
 // Judge returns the outcome so far, with the reason where it is Failed. The reason becomes that of the version's withdrawal.
-func (e *Evaluation) Judge(rollout *Rollout, now Clock) (outcome Outcome, reason string) {
+func (e *Evaluation) Judge(rollout *Rollout, now Instant) (outcome Outcome, reason string) {
 	canary, others := e.jobs(rollout)
 	elapsed := now - e.beganAt
 	if canary.ended < minCanaryJobs {
--- a/internal/decisions/configversions/dispatcher.go
+++ b/internal/decisions/configversions/dispatcher.go
@@ -24,5 +24,5 @@
 	Dispatcher
 	Left      bool          `json:"left,omitempty"` // it dropped its lease; otherwise the lease expired
 	AbsentFor time.Duration `json:"for"`
-	since     Clock
+	since     Instant
 }
--- a/internal/decisions/configversions/leasemodel_test.go
+++ b/internal/decisions/configversions/leasemodel_test.go
@@ -15,7 +15,7 @@
 // fleetModel is a small model of a fleet: dispatchers that renew leases, pause and act; a raft group whose leader may change;
 // messages that arrive late, in any order, or never.
 type fleetModel struct {
-	now           Clock
+	now           Instant
 	record        Record
 	leaseDuration time.Duration
 	leaseTable    *LeaseTable
@@ -29,7 +29,7 @@
 // renewal is a message in transit.
 type renewal struct {
 	from         int // index of the dispatcher
-	requestedAt  Clock
+	requestedAt  Instant
 	acknowledged uint64
 	record       Record // of the response
 }
--- a/internal/decisions/configversions/leasetable.go
+++ b/internal/decisions/configversions/leasetable.go
@@ -31,7 +31,7 @@
 // replicated. A new leader starts with an empty table and counts on leases that its predecessor may have granted.
 type LeaseTable struct {
 	leaseDuration time.Duration // lengthened by MaxClockDrift
-	electedAt     Clock
+	electedAt     Instant
 	leases        map[string]leaseRecord      // by name of the dispatcher
 	absent        map[string]AbsentDispatcher // by name of the dispatcher
 }
@@ -39,11 +39,11 @@
 // leaseRecord is the last renewal of a dispatcher.
 type leaseRecord struct {
 	Dispatcher
-	renewedAt Clock
+	renewedAt Instant
 }
 
 // NewLeaseTable returns the table of a leader that was elected at electedAt and grants leases of the given duration.
-func NewLeaseTable(lease time.Duration, electedAt Clock) *LeaseTable {
+func NewLeaseTable(lease time.Duration, electedAt Instant) *LeaseTable {
 	return &LeaseTable{
 		leaseDuration: lease + time.Duration(MaxClockDrift*float64(lease)),
 		electedAt:     electedAt,
@@ -57,7 +57,7 @@
 //
 // It returns ErrShutDown where the process has dropped its lease for good, and an error that wraps ErrNameInUse while another
 // process of the same name may hold a lease: the two may act on different versions.
-func (t *LeaseTable) Renew(dispatcher Dispatcher, now Clock) error {
+func (t *LeaseTable) Renew(dispatcher Dispatcher, now Instant) error {
 	if left, ok := t.absent[dispatcher.Name]; ok && left.Left && left.Instance == dispatcher.Instance {
 		return ErrShutDown // the renewal was overtaken by the word that the process shuts down
 	}
@@ -75,10 +75,10 @@
 }
 
 // expiry returns when the lease of a renewal expires, by the leader's clock.
-func (t *LeaseTable) expiry(lease leaseRecord) Clock { return lease.renewedAt + t.leaseDuration }
+func (t *LeaseTable) expiry(lease leaseRecord) Instant { return lease.renewedAt + t.leaseDuration }
 
 // LeaseDropped records that a process has dropped its lease for good. It is called after the process has dropped it.
-func (t *LeaseTable) LeaseDropped(name, instance string, now Clock) {
+func (t *LeaseTable) LeaseDropped(name, instance string, now Instant) {
 	if lease, ok := t.leases[name]; ok && lease.Instance == instance {
 		delete(t.leases, name)
 		t.absent[name] = AbsentDispatcher{Dispatcher: lease.Dispatcher, Left: true, since: now}
@@ -87,7 +87,7 @@
 
 // expire moves dispatchers whose leases have expired to the absent ones, and removes those that have been absent for
 // absentRetention. What an expired lease acknowledged no longer counts.
-func (t *LeaseTable) expire(now Clock) {
+func (t *LeaseTable) expire(now Instant) {
 	for name, lease := range t.leases {
 		if expiry := t.expiry(lease); now >= expiry {
 			delete(t.leases, name)
@@ -102,7 +102,7 @@
 }
 
 // AbsentDispatchers returns the dispatchers whose leases ended less than absentRetention ago, sorted by name.
-func (t *LeaseTable) AbsentDispatchers(now Clock) (all []AbsentDispatcher) {
+func (t *LeaseTable) AbsentDispatchers(now Instant) (all []AbsentDispatcher) {
 	t.expire(now)
 	for _, absent := range t.absent {
 		absent.AbsentFor = now - absent.since
@@ -114,7 +114,7 @@
 
 // MayPutInForce reports whether the version with the given number may be put in force now. If not, waitsFor names the
 // dispatchers that may hold a lease and have not acknowledged it, sorted, and then the predecessor's leases.
-func (t *LeaseTable) MayPutInForce(version uint64, now Clock) (may bool, waitsFor []string) {
+func (t *LeaseTable) MayPutInForce(version uint64, now Instant) (may bool, waitsFor []string) {
 	t.expire(now)
 	for name, lease := range t.leases {
 		if lease.AcknowledgedVersion < version {
@@ -129,7 +129,7 @@
 }
 
 // AllOnPlan reports whether every dispatcher that may hold a lease acts on the zone plan with the given number, or a newer one.
-func (t *LeaseTable) AllOnPlan(plan uint64, now Clock) bool {
+func (t *LeaseTable) AllOnPlan(plan uint64, now Instant) bool {
 	for _, lease := range t.leases {
 		if now < t.expiry(lease) && lease.Plan < plan {
 			return false
@@ -139,7 +139,7 @@
 }
 
 // LeaseHolders returns the dispatchers that may hold leases, sorted by name.
-func (t *LeaseTable) LeaseHolders(now Clock) (all []Dispatcher) {
+func (t *LeaseTable) LeaseHolders(now Instant) (all []Dispatcher) {
 	for _, lease := range t.leases {
 		if now < t.expiry(lease) {
 			all = append(all, lease.Dispatcher)
@@ -151,7 +151,7 @@
 
 // CannotRead returns the names of lease holders whose message format is too old for the rules. Dispatchers without a lease need
 // not be considered: a renewal in a format that is too old is rejected.
-func (t *LeaseTable) CannotRead(rules Rules, now Clock) (names []string) {
+func (t *LeaseTable) CannotRead(rules Rules, now Instant) (names []string) {
 	for _, dispatcher := range t.LeaseHolders(now) {
 		if dispatcher.MessageFormat < rules.MinMessageFormat() {
 			names = append(names, dispatcher.Name)
--- a/internal/decisions/configversions/lessee.go
+++ b/internal/decisions/configversions/lessee.go
@@ -7,7 +7,7 @@
 	name        string
 	record      Record
 	effective   Effective // what record has this dispatcher act on while it holds a lease; computed once for each record
-	leaseExpiry Clock     // meaningful once hadLease
+	leaseExpiry Instant   // meaningful once hadLease
 	hadLease    bool      // a lease was granted at any time
 }
 
@@ -34,7 +34,7 @@
 // ApplyLease stores the leader's response to a renewal: a record, and a lease that lasts from requestedAt, when this dispatcher
 // sent the renewal. A response with an older record than the known one was overtaken, or comes from a raft group that has been
 // replaced: it is ignored together with its lease.
-func (l *Lessee) ApplyLease(record Record, requestedAt Clock, lease time.Duration) {
+func (l *Lessee) ApplyLease(record Record, requestedAt Instant, lease time.Duration) {
 	if l.record.NewerThan(record) {
 		return
 	}
@@ -54,7 +54,7 @@
 }
 
 // DropLease ends the lease. A dispatcher that shuts down calls it before it notifies the leader.
-func (l *Lessee) DropLease(now Clock) {
+func (l *Lessee) DropLease(now Instant) {
 	if l.hadLease && l.leaseExpiry > now {
 		l.leaseExpiry = now
 	}
@@ -81,10 +81,10 @@
 }
 
 // LeaseExpiry returns when the lease expires or has expired; 0 where there never was one.
-func (l *Lessee) LeaseExpiry() Clock { return l.leaseExpiry }
+func (l *Lessee) LeaseExpiry() Instant { return l.leaseExpiry }
 
 // Effective returns what the dispatcher acts on now. The slices and the map in it must not be changed.
-func (l *Lessee) Effective(now Clock) Effective {
+func (l *Lessee) Effective(now Instant) Effective {
 	effective := l.effective
 	if effective.LeaseExpired = !l.hadLease || now >= l.leaseExpiry; effective.LeaseExpired {
 		effective.Rules.RetriesAllowed = false
--- a/internal/decisions/endpointstate/changes.go
+++ b/internal/decisions/endpointstate/changes.go
@@ -14,8 +14,8 @@
 	Index      int // into ListResponse.Endpoints, or NotListed
 	ID         scheduler.WorkerID
 	State      scheduler.WorkerState
-	Start      scheduler.Clock // by discovery's clock; 0 for long ago
-	NotifiedAt time.Time       // when the worker was first known to be draining or gone; zero while it is ready
+	Start      scheduler.Instant // by discovery's clock; 0 for long ago
+	NotifiedAt time.Time         // when the worker was first known to be draining or gone; zero while it is ready
 }
 
 // Changes is what a response changes.
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -108,7 +108,7 @@
 
 // truths are the histories of the worker that are explored: a drain, an end, a return, a new start, an end soon after a new start.
 func truths() [][]fleetChange {
-	endpoint := func(state scheduler.WorkerState, start scheduler.Clock) Endpoint {
+	endpoint := func(state scheduler.WorkerState, start scheduler.Instant) Endpoint {
 		return Endpoint{ID: "w", State: state, Start: start}
 	}
 	ready, draining, gone := endpoint(scheduler.Ready, 0), endpoint(scheduler.Draining, 0), endpoint(scheduler.Gone, 0)
--- a/internal/decisions/endpointstate/listresponse.go
+++ b/internal/decisions/endpointstate/listresponse.go
@@ -20,6 +20,6 @@
 type Endpoint struct {
 	ID         scheduler.WorkerID
 	State      scheduler.WorkerState
-	Start      scheduler.Clock // of the worker, by discovery's clock; 0 for long ago
-	NotifiedAt time.Time       // when a predecessor process learned that the worker is not ready; zero for now
+	Start      scheduler.Instant // of the worker, by discovery's clock; 0 for long ago
+	NotifiedAt time.Time         // when a predecessor process learned that the worker is not ready; zero for now
 }
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -12,10 +12,10 @@
 // record is what is known of one worker.
 type record struct {
 	state      scheduler.WorkerState
-	start      scheduler.Clock // by discovery's clock; 0 for long ago
-	notifiedAt time.Time       // since when the worker is known not to be ready; zero while it is ready
-	learnedAt  time.Time       // when its state or start became known to this process; zero for long ago
-	service    string          // the service, epoch and revision that last confirmed the state
+	start      scheduler.Instant // by discovery's clock; 0 for long ago
+	notifiedAt time.Time         // since when the worker is known not to be ready; zero while it is ready
+	learnedAt  time.Time         // when its state or start became known to this process; zero for long ago
+	service    string            // the service, epoch and revision that last confirmed the state
 	epoch      int
 	revision   int64
 }
--- a/internal/decisions/failover/doc.go
+++ b/internal/decisions/failover/doc.go
@@ -20,8 +20,8 @@
 
 import "time"
 
-// Clock is a point in time of the process that plans.
-type Clock = time.Duration
+// Instant is a point in time of the process that plans.
+type Instant = time.Duration
 
 // negligible is the amount of work or capacity, in slots, below which there counts to be none.
 const negligible = 1e-9
--- a/internal/decisions/failover/fleetmodel_test.go
+++ b/internal/decisions/failover/fleetmodel_test.go
@@ -10,7 +10,7 @@
 // requests are of two classes, "dear" of weight 6 and "cheap" of weight 1.
 type fleetModel struct {
 	planner            *Planner
-	now                Clock
+	now                Instant
 	zones              []string
 	dispatchersPerZone int
 	capacity           map[string]float64 // slots by zone
--- a/internal/decisions/failover/inputs.go
+++ b/internal/decisions/failover/inputs.go
@@ -11,7 +11,7 @@
 const arrivalsSmoothing = 0.4
 
 // inputs returns the zones, sorted by name, with the capacities that plans may use, and the demands, sorted by zone and class.
-func (p *Planner) inputs(now Clock) (zones []Zone, demands []Demand) {
+func (p *Planner) inputs(now Instant) (zones []Zone, demands []Demand) {
 	reported := map[string][]float64{}
 	for _, report := range p.reports {
 		for zone, capacity := range report.Capacity {
--- a/internal/decisions/failover/planner.go
+++ b/internal/decisions/failover/planner.go
@@ -43,18 +43,18 @@
 	capacityFactors map[string]float64     // by zone: the share of its capacity that its calls in time confirm
 	zoneLimits      map[string]float64     // by zone: the share of its capacity that the operator permits
 	plan            *Plan                  // the last one
-	plannedAt       Clock
-	nextCalledAt    Clock
+	plannedAt       Instant
+	nextCalledAt    Instant
 }
 
 // receivedReport is a report and when it was received.
 type receivedReport struct {
 	Report
-	receivedAt Clock
+	receivedAt Instant
 }
 
 // NewPlanner returns a planner for the zones of regions, which maps zones to their regions. plan is the one in force; nil for none.
-func NewPlanner(settings Settings, regions map[string]string, plan *Plan, now Clock) *Planner {
+func NewPlanner(settings Settings, regions map[string]string, plan *Plan, now Instant) *Planner {
 	return &Planner{
 		settings:        settings,
 		regions:         regions,
@@ -71,7 +71,7 @@
 }
 
 // AddReport stores a dispatcher's report in place of its last one.
-func (p *Planner) AddReport(report Report, now Clock) {
+func (p *Planner) AddReport(report Report, now Instant) {
 	p.reports[report.Dispatcher] = receivedReport{report, now}
 }
 
@@ -90,7 +90,7 @@
 
 // Next evaluates the reports and returns the next plan; ok is false, and the plan is the last one, where no other is called for. It
 // should be called about once a second, but not before all dispatchers that may act on an older plan act on the last one.
-func (p *Planner) Next(now Clock) (plan *Plan, ok bool) {
+func (p *Planner) Next(now Instant) (plan *Plan, ok bool) {
 	elapsed := min((now - p.nextCalledAt).Seconds(), maxElapsed.Seconds())
 	p.nextCalledAt = now
 	maps.DeleteFunc(p.reports, func(_ string, report receivedReport) bool { return now-report.receivedAt > maxReportAge })
@@ -135,7 +135,7 @@
 
 // stepTowards returns the plan that leads from the last one towards target, as far as shares may change; ok is false where none
 // should be made yet.
-func (p *Planner) stepTowards(target *Plan, zones []Zone, demands []Demand, now Clock) (next *Plan, ok bool) {
+func (p *Planner) stepTowards(target *Plan, zones []Zone, demands []Demand, now Instant) (next *Plan, ok bool) {
 	divergence := MaxDivergence(p.plan, target, demands)
 	if divergence < minShareChange || now-p.plannedAt < min(p.settings.DetectionTime, maxPlanPause) {
 		return nil, false
@@ -165,7 +165,7 @@
 
 // PredictShedding returns the slots of work that targets shed now, and with the capacity of a zone limited to a share of what it
 // is, from 0 to 1.
-func (p *Planner) PredictShedding(zone string, share float64, now Clock) (current, limited float64) {
+func (p *Planner) PredictShedding(zone string, share float64, now Instant) (current, limited float64) {
 	zones, demands := p.inputs(now)
 	current = p.shedding(zones, demands)
 	for i := range zones {
--- a/internal/decisions/failover/recorder.go
+++ b/internal/decisions/failover/recorder.go
@@ -20,13 +20,13 @@
 	arrivals        map[string]*classArrivals // by class
 	lastSignals     map[string]lastSignal     // by zone
 	reportedFailing map[string]bool           // by zone: the verdicts of the last report
-	reportedAt      Clock
+	reportedAt      Instant
 }
 
 // lastSignal is the last sign of a zone.
 type lastSignal struct {
-	at         Clock // of the first unanswered call where there was no sign yet
-	unanswered int   // calls and probes since then
+	at         Instant // of the first unanswered call where there was no sign yet
+	unanswered int     // calls and probes since then
 }
 
 // classArrivals is what clients ask for of one class.
@@ -37,7 +37,7 @@
 }
 
 // NewRecorder returns the recorder of the dispatcher with the given name in a zone. The first report covers the time from now.
-func NewRecorder(name, zone string, now Clock) *Recorder {
+func NewRecorder(name, zone string, now Instant) *Recorder {
 	return &Recorder{
 		name:            name,
 		zone:            zone,
@@ -77,7 +77,7 @@
 
 // AttemptEnded counts a call that the zone answered: whether it rejected the call for lack of capacity, whether the answer was in
 // time, and how long the job ran, over all its slots; 0 where that is not known.
-func (r *Recorder) AttemptEnded(to, class string, full, inTime bool, ran time.Duration, now Clock) {
+func (r *Recorder) AttemptEnded(to, class string, full, inTime bool, ran time.Duration, now Instant) {
 	observation := r.observationOf(to, class)
 	observation.Ended++
 	if full {
@@ -96,10 +96,10 @@
 }
 
 // ResponseReceived records a sign of a zone: an answer to a call or to a probe, or that a job has started.
-func (r *Recorder) ResponseReceived(to string, now Clock) { r.lastSignals[to] = lastSignal{now, 0} }
+func (r *Recorder) ResponseReceived(to string, now Instant) { r.lastSignals[to] = lastSignal{now, 0} }
 
 // AttemptUnanswered counts a call or a probe that had no answer, or no sign for NoResponseAfter.
-func (r *Recorder) AttemptUnanswered(to string, now Clock) {
+func (r *Recorder) AttemptUnanswered(to string, now Instant) {
 	signal, ok := r.lastSignals[to]
 	if !ok {
 		signal.at = now
@@ -109,7 +109,7 @@
 }
 
 // Report returns what was recorded since the last report. capacity is in slots, by zone, as Capacity returns it for each worker.
-func (r *Recorder) Report(now Clock, capacity map[string]float64) Report {
+func (r *Recorder) Report(now Instant, capacity map[string]float64) Report {
 	report := Report{Dispatcher: r.name, Zone: r.zone, Capacity: map[string]float64{}}
 	for key, observation := range r.observations {
 		if observation.Ended > 0 {
@@ -133,7 +133,7 @@
 
 // lastResponses returns the last signs of all zones but those that were not called since a sign that is too old to say anything. It
 // records the verdicts that they are.
-func (r *Recorder) lastResponses(now Clock) (responses []LastResponse) {
+func (r *Recorder) lastResponses(now Instant) (responses []LastResponse) {
 	clear(r.reportedFailing)
 	for to, signal := range r.lastSignals {
 		response := LastResponse{to, (now - signal.at).Round(time.Millisecond), signal.unanswered}
@@ -149,7 +149,7 @@
 
 // HasUrgentChange reports whether the verdict on a route differs from that of the last report, so that the next one should be sent
 // at once.
-func (r *Recorder) HasUrgentChange(now Clock) bool {
+func (r *Recorder) HasUrgentChange(now Instant) bool {
 	for to, signal := range r.lastSignals {
 		failing, known := (LastResponse{to, now - signal.at, signal.unanswered}).verdict()
 		if known && failing != r.reportedFailing[to] {
--- a/internal/decisions/failover/route.go
+++ b/internal/decisions/failover/route.go
@@ -17,16 +17,16 @@
 
 // routeState is the planner's state of a route that failed at any time.
 type routeState struct {
-	failing    bool  // by the last reports
-	since      Clock // when failing last changed
-	excluded   bool  // plans do not use the route
-	restoredAt Clock // when it was last excluded no longer
-	relapses   int   // how often it was excluded
+	failing    bool    // by the last reports
+	since      Instant // when failing last changed
+	excluded   bool    // plans do not use the route
+	restoredAt Instant // when it was last excluded no longer
+	relapses   int     // how often it was excluded
 }
 
 // updateRoute records whether a route fails now. It excludes the route once it has failed for Settings.DetectionTime, and restores it
 // once it has worked for as long, doubled with each relapse.
-func (p *Planner) updateRoute(key route, failing bool, now Clock) {
+func (p *Planner) updateRoute(key route, failing bool, now Instant) {
 	state := p.routes[key]
 	if state == nil {
 		if !failing {
--- a/internal/decisions/failover/verdicts.go
+++ b/internal/decisions/failover/verdicts.go
@@ -33,11 +33,11 @@
 // zoneLoss is the loss of a whole zone, now or before.
 type zoneLoss struct {
 	lost        bool
-	recoveredAt Clock // once it is not lost
+	recoveredAt Instant // once it is not lost
 }
 
 // updateVerdicts updates the states of routes and zones from all reports. elapsed is the time since the last update, in seconds.
-func (p *Planner) updateVerdicts(now Clock, elapsed float64) {
+func (p *Planner) updateVerdicts(now Instant, elapsed float64) {
 	for r, failing := range p.failingRoutes() {
 		p.updateRoute(r, failing, now)
 	}
@@ -105,7 +105,7 @@
 }
 
 // updateLoss updates whether a zone is lost, and since when it has not been.
-func (p *Planner) updateLoss(zone string, now Clock) {
+func (p *Planner) updateLoss(zone string, now Instant) {
 	switch loss := p.zoneLosses[zone]; {
 	case p.isLost(zone):
 		p.zoneLosses[zone] = &zoneLoss{lost: true}
@@ -118,7 +118,7 @@
 
 // updateClassRoutes updates the routes of all zones for a class in a zone. counts are the class's calls there, and total those of
 // all classes.
-func (p *Planner) updateClassRoutes(key zoneClass, counts, total callCounts, now Clock) {
+func (p *Planner) updateClassRoutes(key zoneClass, counts, total callCounts, now Instant) {
 	others := callCounts{total.inTime - counts.inTime, total.ended - counts.ended}
 	lost := counts.ended >= minEndedCalls && counts.inTime/counts.ended < lostClassInTime &&
 		others.ended >= minEndedCalls && others.inTime/others.ended > otherClassesInTime
@@ -146,7 +146,7 @@
 
 // recoveryShare returns the share of its capacity that a zone has: less than 1 while it recovers from a loss. A zone that some
 // others could not reach was there all the time, and does not recover.
-func (p *Planner) recoveryShare(zone string, now Clock) float64 {
+func (p *Planner) recoveryShare(zone string, now Instant) float64 {
 	loss := p.zoneLosses[zone]
 	if loss == nil || loss.lost || p.settings.RecoveryRamp <= 0 {
 		return 1
--- a/internal/decisions/failover/zoneview.go
+++ b/internal/decisions/failover/zoneview.go
@@ -14,7 +14,7 @@
 }
 
 // Views returns what the planner knows of all zones, sorted by name.
-func (p *Planner) Views(now Clock) (all []ZoneView) {
+func (p *Planner) Views(now Instant) (all []ZoneView) {
 	zones, demands := p.inputs(now)
 	load := p.plan.Load(demands)
 	for _, zone := range zones {
--- a/internal/decisions/gossippeers/directory.go
+++ b/internal/decisions/gossippeers/directory.go
@@ -18,7 +18,7 @@
 
 // Directory is the raft leader's directory of the dispatchers that hold leases, by zone, as of its last refresh.
 type Directory struct {
-	refreshedAt Clock
+	refreshedAt Instant
 	zones       map[zoneKey]*zoneMembers
 	suggestions uint64 // made so far
 }
@@ -46,10 +46,10 @@
 }
 
 // Due reports whether Refresh should be called before the next suggestion.
-func (d *Directory) Due(now Clock) bool { return now-d.refreshedAt >= refreshInterval }
+func (d *Directory) Due(now Instant) bool { return now-d.refreshedAt >= refreshInterval }
 
 // Refresh replaces the content with the dispatchers that hold leases now.
-func (d *Directory) Refresh(members []Member, now Clock) {
+func (d *Directory) Refresh(members []Member, now Instant) {
 	d.refreshedAt = now
 	clear(d.zones)
 	for _, member := range members {
--- a/internal/decisions/gossippeers/doc.go
+++ b/internal/decisions/gossippeers/doc.go
@@ -20,5 +20,5 @@
 
 import "time"
 
-// Clock is a point in time of one process: the time since an epoch of its own, which never moves back.
-type Clock = time.Duration
+// Instant is a point in time of one process: the time since an epoch of its own, which never moves back.
+type Instant = time.Duration
--- a/internal/decisions/gossippeers/exchanger.go
+++ b/internal/decisions/gossippeers/exchanger.go
@@ -21,18 +21,18 @@
 
 // Exchanger decides when a dispatcher begins an exchange with a suggested peer. Its zero value is ready for use.
 type Exchanger struct {
-	differs       bool   // the last renewal brought a suggestion
-	differsSince  Clock  // since when all have
-	nextAt        Clock  // when another exchange may begin
-	backoffFactor int    // by which the interval is lengthened
-	exchanged     bool   // an exchange has begun at any time
-	lastDigest    Digest // when it began
+	differs       bool    // the last renewal brought a suggestion
+	differsSince  Instant // since when all have
+	nextAt        Instant // when another exchange may begin
+	backoffFactor int     // by which the interval is lengthened
+	exchanged     bool    // an exchange has begun at any time
+	lastDigest    Digest  // when it began
 }
 
 // NextExchange returns the address of the peer with which to begin an exchange now; ok is false where none should begin. It is
 // called after each lease renewal, with the leader's suggestion, which is nil where the leader knows the same peers, and the
 // current digest of the dispatcher and the peers that it knows.
-func (e *Exchanger) NextExchange(suggestion *PeerSuggestion, known Digest, now Clock) (address string, ok bool) {
+func (e *Exchanger) NextExchange(suggestion *PeerSuggestion, known Digest, now Instant) (address string, ok bool) {
 	if suggestion == nil || len(suggestion.Addresses) == 0 {
 		e.differs, e.backoffFactor = false, 0
 		return "", false
--- a/internal/decisions/gossippeers/exchanger_test.go
+++ b/internal/decisions/gossippeers/exchanger_test.go
@@ -23,8 +23,8 @@
 		t.Error("one that knows half does not begin at once")
 	}
 	var exchanger Exchanger
-	known, begun := DigestOf(names), []Clock{}
-	for now := Clock(0); now < time.Hour; now += stepDuration {
+	known, begun := DigestOf(names), []Instant{}
+	for now := Instant(0); now < time.Hour; now += stepDuration {
 		if _, ok := exchanger.NextExchange(suggestion, known, now); ok {
 			begun = append(begun, now)
 		}
--- a/internal/decisions/gossippeers/fleetmodel_test.go
+++ b/internal/decisions/gossippeers/fleetmodel_test.go
@@ -17,8 +17,8 @@
 type fleetModel struct {
 	dispatchers     map[string]*dispatcherModel
 	directory       *Directory
-	now             Clock
-	leaseExpiries   map[string]Clock           // by dispatcher, as the leader knows them
+	now             Instant
+	leaseExpiries   map[string]Instant         // by dispatcher, as the leader knows them
 	cut             map[string]bool            // zones of which the two halves do not reach each other
 	dropMessage     func() bool                // reports whether the next message is lost
 	lastSuggestions map[string]*PeerSuggestion // by dispatcher; delivered again in place of one that is lost
@@ -35,7 +35,7 @@
 	knows       map[string]bool // itself and its peers
 	paused      bool
 	exchanger   Exchanger
-	exchangedAt []Clock
+	exchangedAt []Instant
 	half        int // of its zone: 0 or 1
 }
 
@@ -43,7 +43,7 @@
 	return &fleetModel{
 		dispatchers:     map[string]*dispatcherModel{},
 		directory:       NewDirectory(),
-		leaseExpiries:   map[string]Clock{},
+		leaseExpiries:   map[string]Instant{},
 		cut:             map[string]bool{},
 		dropMessage:     func() bool { return false },
 		lastSuggestions: map[string]*PeerSuggestion{},
@@ -170,7 +170,7 @@
 
 // violation describes what should not be though nothing has happened to the fleet for long: a dispatcher that does not know
 // exactly its peers, that has begun an exchange after since, or that ever began two too soon after each other.
-func (m *fleetModel) violation(since Clock) string {
+func (m *fleetModel) violation(since Instant) string {
 	for _, name := range slices.Sorted(maps.Keys(m.dispatchers)) {
 		dispatcher := m.dispatchers[name]
 		for _, other := range m.dispatchers {
--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -26,8 +26,8 @@
 
 // incarnation is one start of a worker.
 type incarnation struct {
-	stamp     scheduler.Clock // Unix time by discovery's clock
-	startedAt scheduler.Clock // by this process's monotonic clock
+	stamp     scheduler.Instant // Unix time by discovery's clock
+	startedAt scheduler.Instant // by this process's monotonic clock
 }
 
 // Tracker holds the last start of each worker. The zero value is an empty tracker. It is not safe for concurrent use.
@@ -38,24 +38,24 @@
 // WorkerStart is the start of a worker in a list.
 type WorkerStart struct {
 	ID    scheduler.WorkerID
-	Stamp scheduler.Clock // Unix time by discovery's clock; 0 for long ago
+	Stamp scheduler.Instant // Unix time by discovery's clock; 0 for long ago
 }
 
 // ListTime is when a list was received.
 type ListTime struct {
-	Now           scheduler.Clock // by this process's monotonic clock
-	Wall          scheduler.Clock // Unix time by the wall clock here, which may be wrong
-	SinceLastList time.Duration   // since the list before, or very long for the first
+	Now           scheduler.Instant // by this process's monotonic clock
+	Wall          scheduler.Instant // Unix time by the wall clock here, which may be wrong
+	SinceLastList time.Duration     // since the list before, or very long for the first
 }
 
 // Update records the starts in a list, or in a change of one, and returns when each of its workers started, by this process's
 // monotonic clock; 0 for long ago.
-func (t *Tracker) Update(received ListTime, starts []WorkerStart) []scheduler.Clock {
-	newest := scheduler.Clock(0)
+func (t *Tracker) Update(received ListTime, starts []WorkerStart) []scheduler.Instant {
+	newest := scheduler.Instant(0)
 	for _, start := range starts {
 		newest = max(newest, start.Stamp)
 	}
-	startedAt := make([]scheduler.Clock, len(starts))
+	startedAt := make([]scheduler.Instant, len(starts))
 	for i, start := range starts {
 		known, ok := t.incarnations[start.ID]
 		if start.Stamp > 0 && (!ok || known.stamp != start.Stamp) {
@@ -68,7 +68,7 @@
 
 // estimatedAge returns how long ago a worker with a stamp that is new here is taken to have started, where newest is the newest
 // stamp in the same list.
-func (l ListTime) estimatedAge(stamp, newest scheduler.Clock) time.Duration {
+func (l ListTime) estimatedAge(stamp, newest scheduler.Instant) time.Duration {
 	if l.SinceLastList < MaxListGap {
 		return 0
 	}
@@ -80,7 +80,7 @@
 }
 
 // Set records a start whose time is known otherwise, such as from a predecessor process.
-func (t *Tracker) Set(id scheduler.WorkerID, stamp, startedAt scheduler.Clock) {
+func (t *Tracker) Set(id scheduler.WorkerID, stamp, startedAt scheduler.Instant) {
 	if t.incarnations == nil {
 		t.incarnations = map[scheduler.WorkerID]incarnation{}
 	}
@@ -88,6 +88,6 @@
 }
 
 // StartedAt returns when a worker last started, by this process's monotonic clock; 0 for long ago or for a worker that is not known.
-func (t *Tracker) StartedAt(id scheduler.WorkerID) scheduler.Clock {
+func (t *Tracker) StartedAt(id scheduler.WorkerID) scheduler.Instant {
 	return t.incarnations[id].startedAt
 }
--- a/internal/decisions/incarnations/incarnations_test.go
+++ b/internal/decisions/incarnations/incarnations_test.go
@@ -16,10 +16,10 @@
 		drawStep := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(-2*int64(time.Hour), 2*int64(time.Hour)).Draw(t, name))
 		}
-		const epoch = scheduler.Clock(1e18)
-		ownWall, now := drawStep("own wall clock"), scheduler.Clock(0)
-		truth := map[scheduler.WorkerID]scheduler.Clock{}
-		stamps := map[scheduler.WorkerID]scheduler.Clock{}
+		const epoch = scheduler.Instant(1e18)
+		ownWall, now := drawStep("own wall clock"), scheduler.Instant(0)
+		truth := map[scheduler.WorkerID]scheduler.Instant{}
+		stamps := map[scheduler.WorkerID]scheduler.Instant{}
 		tracker := &Tracker{}
 		var first []WorkerStart
 		for _, id := range []scheduler.WorkerID{"a", "b", "c"} {
@@ -27,7 +27,7 @@
 			truth[id], stamps[id] = -age, epoch-age
 			first = append(first, WorkerStart{id, stamps[id]})
 		}
-		check := func(starts []WorkerStart, startedAt []scheduler.Clock) {
+		check := func(starts []WorkerStart, startedAt []scheduler.Instant) {
 			for i, start := range starts {
 				if startedAt[i] < truth[start.ID] {
 					t.Fatalf("%s is taken to be %v older than it is", start.ID, truth[start.ID]-startedAt[i])
@@ -37,7 +37,7 @@
 		check(first, tracker.Update(ListTime{Now: now, Wall: epoch + ownWall, SinceLastList: 1 << 62}, first))
 		stampOffset := time.Duration(0)
 		for range 20 {
-			now += scheduler.Clock(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "later"))
+			now += scheduler.Instant(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "later"))
 			if rapid.IntRange(0, 3).Draw(t, "a clock is set") == 0 {
 				ownWall, stampOffset = drawStep("own wall clock"), drawStep("clock that stamps")
 			}
@@ -61,7 +61,7 @@
 // Promise 2: where the clocks agree, a worker in the first list of a process has its age, less that of the newest one at most.
 func TestTracker_firstList(t *testing.T) {
 	tracker := &Tracker{}
-	const now, wall = scheduler.Clock(time.Hour), scheduler.Clock(1e18)
+	const now, wall = scheduler.Instant(time.Hour), scheduler.Instant(1e18)
 	startedAt := tracker.Update(ListTime{Now: now, Wall: wall, SinceLastList: 1 << 62},
 		[]WorkerStart{{"old", wall - 30*time.Second}, {"young", wall - 2*time.Second}, {"long ago", 0}})
 	if old, young := now-startedAt[0], now-startedAt[1]; old != 28*time.Second || young != 0 || startedAt[2] != 0 {
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -11,7 +11,7 @@
 // Policy decides as the scheduler does: it is given events and returns actions. The caller uses the actions before its next
 // call.
 type Policy interface {
-	Handle(now scheduler.Clock, ev scheduler.Event) []scheduler.Action
+	Handle(now scheduler.Instant, ev scheduler.Event) []scheduler.Action
 }
 
 // dispatcher carries out a policy's actions as routing.Core does, and drops those that the core would not carry out.
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -124,7 +124,7 @@
 	alter func(scheduler.Event, []scheduler.Action) []scheduler.Action
 }
 
-func (m alteredPolicy) Handle(now scheduler.Clock, ev scheduler.Event) []scheduler.Action {
+func (m alteredPolicy) Handle(now scheduler.Instant, ev scheduler.Event) []scheduler.Action {
 	return m.alter(ev, m.Policy.Handle(now, ev))
 }
 
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -64,7 +64,7 @@
 const probeInterval = time.Second
 
 // Handle implements emulator.Policy.
-func (p *Plain) Handle(_ scheduler.Clock, event scheduler.Event) []scheduler.Action {
+func (p *Plain) Handle(_ scheduler.Instant, event scheduler.Event) []scheduler.Action {
 	switch event := event.(type) {
 	case scheduler.EndpointsUpdated:
 		p.updateEndpoints(event)
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -51,15 +51,15 @@
 	renewNow        chan struct{} // wakes renewLeases
 	recordTransfers chan struct{} // a semaphore of maxRecordTransfers
 
-	exchanger  gossippeers.Exchanger // owned by the goroutine of Run
-	reportedAt configversions.Clock  // of the last report to the leader; owned by the goroutine of Run
+	exchanger  gossippeers.Exchanger  // owned by the goroutine of Run
+	reportedAt configversions.Instant // of the last report to the leader; owned by the goroutine of Run
 
 	mu             sync.Mutex
 	lessee         *configversions.Lessee
 	voter          *ownVoter       // nil for a follower
 	founder        *voters.Founder // what this dispatcher's file says; nil where it is no founder
 	leadership     *leadership     // nil while this dispatcher does not lead
-	nextPlanAt     configversions.Clock
+	nextPlanAt     configversions.Instant
 	failedVoters   int    // that were asked in vain, one after the other
 	recordComplete bool   // entries may follow the record: it is of the disk or of a response, not the empty one
 	appliedState   string // identifies what ApplyEffective was last called with
@@ -233,7 +233,7 @@
 }
 
 // now is the time since the agent's start. It is monotonic: setting the machine's clock does not change it.
-func (a *Agent) now() configversions.Clock {
+func (a *Agent) now() configversions.Instant {
 	return time.Duration(float64(time.Since(a.startedAt)) * a.clockRate)
 }
 
--- a/internal/fleet/budgetlessees.go
+++ b/internal/fleet/budgetlessees.go
@@ -14,15 +14,15 @@
 // from any goroutine and do not block.
 type budgetLessees struct {
 	overload *Overload // nil where there are no budgets
-	now      func() configversions.Clock
+	now      func() configversions.Instant
 
 	mu            sync.Mutex
 	lessees       map[string]*budgetleases.Lessee // by kind
 	firstAttempts uint64                          // as of countedAt
-	countedAt     configversions.Clock
+	countedAt     configversions.Instant
 }
 
-func newBudgetLessees(overload *Overload, maxDispatchers int, now func() configversions.Clock) *budgetLessees {
+func newBudgetLessees(overload *Overload, maxDispatchers int, now func() configversions.Instant) *budgetLessees {
 	start := now()
 	budgets := &budgetLessees{
 		overload:  overload,
@@ -78,7 +78,7 @@
 }
 
 // applyRates takes over the rates of a lease, encoded, by kind. Nil, or what cannot be read, changes nothing.
-func (b *budgetLessees) applyRates(encoded json.RawMessage, askedAt configversions.Clock, lease time.Duration) {
+func (b *budgetLessees) applyRates(encoded json.RawMessage, askedAt configversions.Instant, lease time.Duration) {
 	var rates map[string]float64
 	if encoded == nil || json.Unmarshal(encoded, &rates) != nil {
 		return
--- a/internal/fleet/budgetlessors.go
+++ b/internal/fleet/budgetlessors.go
@@ -18,13 +18,13 @@
 	lessors       map[string]*budgetleases.Lessor // by kind
 	rates         map[string]float64              // of the whole fleet, in uses per second, by kind
 	firstAttempts map[string]reportedRate         // by dispatcher
-	updatedAt     configversions.Clock
+	updatedAt     configversions.Instant
 }
 
 // reportedRate is a rate per second that a dispatcher reported.
 type reportedRate struct {
 	perSecond  float64
-	reportedAt configversions.Clock
+	reportedAt configversions.Instant
 }
 
 // newBudgetLessors begins without knowing of any lease.
@@ -73,7 +73,7 @@
 
 // updateBudgetsLocked adjusts the budgets to the first attempts of the whole fleet, where it is time for that. Dispatchers that
 // have not reported for two leases no longer count. a.mu is held.
-func (a *Agent) updateBudgetsLocked(budgets *budgetLessors, now configversions.Clock) {
+func (a *Agent) updateBudgetsLocked(budgets *budgetLessors, now configversions.Instant) {
 	if now < budgets.updatedAt+budgetUpdateInterval {
 		return
 	}
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -59,7 +59,7 @@
 }
 
 // renewOnce requests a lease and takes it over.
-func (a *Agent) renewOnce(ctx context.Context, askedAt configversions.Clock, deadline time.Time) error {
+func (a *Agent) renewOnce(ctx context.Context, askedAt configversions.Instant, deadline time.Time) error {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	request, base := a.newLeaseRequest()
@@ -104,7 +104,7 @@
 // isNew reports whether the record is newer than the one known before. Where the entries do not follow, the next request is
 // for the whole record.
 func (a *Agent) applyLease(
-	got response, base configversions.Record, askedAt configversions.Clock, lease time.Duration,
+	got response, base configversions.Record, askedAt configversions.Instant, lease time.Duration,
 ) (record configversions.Record, isNew bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/routing/cachedstart.go
+++ b/internal/routing/cachedstart.go
@@ -40,7 +40,7 @@
 
 // handleSignal passes the assessor what an endpoint has responded.
 func (l *EndpointList) handleSignal(signal endpointSignal) {
-	l.runAssessor(func(now scheduler.Clock) []cachetrust.Action {
+	l.runAssessor(func(now scheduler.Instant) []cachetrust.Action {
 		if signal.probe {
 			return l.cachedStart.Assessor.ProbeCompleted(now, signal.id, signal.result)
 		}
@@ -49,7 +49,7 @@
 }
 
 // runAssessor calls the assessor of a cached start, if there is one, and carries out the actions that it returns.
-func (l *EndpointList) runAssessor(call func(now scheduler.Clock) []cachetrust.Action) {
+func (l *EndpointList) runAssessor(call func(now scheduler.Instant) []cachetrust.Action) {
 	if l.cachedStart == nil {
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 // assessorDue returns when the assessor is to be called if nothing is received.
-func (l *EndpointList) assessorDue() (at scheduler.Clock, ok bool) {
+func (l *EndpointList) assessorDue() (at scheduler.Instant, ok bool) {
 	if l.cachedStart == nil {
 		return 0, false
 	}
--- a/internal/routing/clock.go
+++ b/internal/routing/clock.go
@@ -15,14 +15,14 @@
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now returns the present on the scheduler's clock.
-func (c Clock) Now() scheduler.Clock { return c.At(time.Now()) }
+func (c Clock) Now() scheduler.Instant { return c.At(time.Now()) }
 
 // At converts a time to the scheduler's clock.
-func (c Clock) At(t time.Time) scheduler.Clock {
+func (c Clock) At(t time.Time) scheduler.Instant {
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
 
 // Time converts a point on the scheduler's clock to a time.
-func (c Clock) Time(at scheduler.Clock) time.Time {
+func (c Clock) Time(at scheduler.Instant) time.Time {
 	return c.start.Add(at - time.Duration(c.start.UnixNano()))
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -36,7 +36,7 @@
 	observer      atomic.Pointer[Observer]
 
 	// Owned by Run.
-	now         scheduler.Clock // the time of the present turn
+	now         scheduler.Instant // the time of the present turn
 	requests    map[scheduler.RequestID]*openRequest
 	timers      timers
 	retryBudget *retrybudget.Budget // nil for no bound but the scheduler's
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -135,7 +135,7 @@
 
 // checkCachedStart carries out what the assessor of a cached start wants done now.
 func (l *EndpointList) checkCachedStart() {
-	l.runAssessor(func(now scheduler.Clock) []cachetrust.Action { return l.cachedStart.Assessor.Check(now) })
+	l.runAssessor(func(now scheduler.Instant) []cachetrust.Action { return l.cachedStart.Assessor.Check(now) })
 }
 
 // nextWake returns when there is something to do if no message is received.
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -122,7 +122,7 @@
 }
 
 // StartedAt returns when a worker started, on the scheduler's clock; 0 for long ago or unknown. It may be called before Run only.
-func (l *EndpointList) StartedAt(id scheduler.WorkerID) scheduler.Clock {
+func (l *EndpointList) StartedAt(id scheduler.WorkerID) scheduler.Instant {
 	return l.incarnations.StartedAt(id)
 }
 
--- a/internal/routing/listchanges_test.go
+++ b/internal/routing/listchanges_test.go
@@ -76,10 +76,10 @@
 			}
 			return c.clock.Now() - since
 		}
-		stamp := func(ago time.Duration) scheduler.Clock { // by a clock that this host's clock is ahead of
+		stamp := func(ago time.Duration) scheduler.Instant { // by a clock that this host's clock is ahead of
 			return time.Duration(time.Now().Add(-apart - ago).UnixNano())
 		}
-		line := func(id scheduler.WorkerID, since scheduler.Clock) Endpoint {
+		line := func(id scheduler.WorkerID, since scheduler.Instant) Endpoint {
 			return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, StartedAt: since, Weight: 1}, Address: "h:1"}
 		}
 		old, young := stamp(30*time.Second), stamp(2*time.Second)
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -18,13 +18,13 @@
 // openRequest is a request in the table of the Core, from its submission until it is answered and no attempt is in flight.
 type openRequest struct {
 	Request
-	expiresAt   scheduler.Clock // the deadline
-	arrivedAt   scheduler.Clock // set where there is a zone router
-	answered    bool            // the final answer was given, or the client left: nothing is owed
-	timedOut    bool            // an attempt ended as TimedOut
-	attemptSent bool            // an attempt of it was sent, or may have been
-	attempts    []attempt       // by number
-	inFlight    int             // attempts without an outcome
+	expiresAt   scheduler.Instant // the deadline
+	arrivedAt   scheduler.Instant // set where there is a zone router
+	answered    bool              // the final answer was given, or the client left: nothing is owed
+	timedOut    bool              // an attempt ended as TimedOut
+	attemptSent bool              // an attempt of it was sent, or may have been
+	attempts    []attempt         // by number
+	inFlight    int               // attempts without an outcome
 }
 
 // attempt is the state of one attempt of an open request.
@@ -32,8 +32,8 @@
 	endpoint           scheduler.WorkerID
 	inFlight           bool
 	outcome            scheduler.Outcome // valid while it is not in flight
-	sentAt             scheduler.Clock   // when it was handed to the endpoint pool
-	startedAt          scheduler.Clock   // when its job was reported to have started; 0 before
+	sentAt             scheduler.Instant // when it was handed to the endpoint pool
+	startedAt          scheduler.Instant // when its job was reported to have started; 0 before
 	unansweredReported bool              // AttemptUnanswered was called for it
 }
 
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -8,7 +8,7 @@
 
 // timer is a timer of the scheduler, or that after which an open request is overdue.
 type timer struct {
-	at             scheduler.Clock
+	at             scheduler.Instant
 	token          uint64              // of the scheduler's timer
 	overdueRequest scheduler.RequestID // 0 for a timer of the scheduler
 }
--- a/internal/routing/zonerouting.go
+++ b/internal/routing/zonerouting.go
@@ -10,21 +10,21 @@
 // ZoneRouter decides to which zones requests may go, by the outcomes of their attempts. No method blocks. ProbeCompleted may be
 // called from any goroutine, the others only from that of Core.Run.
 type ZoneRouter interface {
-	EndpointsUpdated(now scheduler.Clock, update scheduler.EndpointsUpdated)
+	EndpointsUpdated(now scheduler.Instant, update scheduler.EndpointsUpdated)
 
 	// Route returns the zones that a request may go to, a bit for each number; 0 for all. If ok is false, the request must be
 	// rejected, and its client should retry after retryAfter.
-	Route(now scheduler.Clock, class, idempotencyKey string) (zones uint64, retryAfter time.Duration, ok bool)
+	Route(now scheduler.Instant, class, idempotencyKey string) (zones uint64, retryAfter time.Duration, ok bool)
 
-	AttemptStarted(now scheduler.Clock, id scheduler.WorkerID)
+	AttemptStarted(now scheduler.Instant, id scheduler.WorkerID)
 
 	// AttemptUnanswered is called once for an attempt that has been in flight for failover.NoResponseAfter and was not reported to have
 	// started.
-	AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID)
+	AttemptUnanswered(now scheduler.Instant, id scheduler.WorkerID)
 
 	// AttemptEnded is called with the outcome of an attempt, the time since its request arrived and the time since it started;
 	// ran is 0 where no start was reported.
-	AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, o scheduler.Outcome, sinceArrival, ran time.Duration)
+	AttemptEnded(now scheduler.Instant, id scheduler.WorkerID, class string, o scheduler.Outcome, sinceArrival, ran time.Duration)
 
 	ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome)
 }
--- a/internal/zonerouting/keyzones.go
+++ b/internal/zonerouting/keyzones.go
@@ -12,17 +12,17 @@
 // keyZones are the zones to which requests of idempotency keys were sent, within the keys' deduplication windows.
 type keyZones struct {
 	zones   map[uint64]keyZone // by hash of the key
-	sweptAt scheduler.Clock
+	sweptAt scheduler.Instant
 }
 
 // keyZone is the zone of a key.
 type keyZone struct {
 	zone   string
-	expiry scheduler.Clock
+	expiry scheduler.Instant
 }
 
 // get returns the zone of a key by its hash. A hash of 0 stands for no key.
-func (k *keyZones) get(hash uint64, now scheduler.Clock) (zone string, ok bool) {
+func (k *keyZones) get(hash uint64, now scheduler.Instant) (zone string, ok bool) {
 	if hash == 0 {
 		return "", false
 	}
@@ -31,14 +31,14 @@
 }
 
 // add stores the zone of a key by its hash, which it does not for a hash of 0.
-func (k *keyZones) add(hash uint64, zone string, expiry scheduler.Clock) {
+func (k *keyZones) add(hash uint64, zone string, expiry scheduler.Instant) {
 	if hash != 0 {
 		k.zones[hash] = keyZone{zone, expiry}
 	}
 }
 
 // sweep removes expired keys, once in sweepInterval.
-func (k *keyZones) sweep(now scheduler.Clock) {
+func (k *keyZones) sweep(now scheduler.Instant) {
 	if now-k.sweptAt <= sweepInterval {
 		return
 	}
--- a/internal/zonerouting/recording.go
+++ b/internal/zonerouting/recording.go
@@ -12,7 +12,7 @@
 const minCancelledWait = failover.NoResponseAfter / 4
 
 // AttemptStarted records that a worker has started a job.
-func (r *Router) AttemptStarted(now scheduler.Clock, id scheduler.WorkerID) {
+func (r *Router) AttemptStarted(now scheduler.Instant, id scheduler.WorkerID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.now = now
@@ -21,7 +21,7 @@
 
 // AttemptEnded records the outcome of an attempt. took is the time since the request arrived, and ran the time since the worker
 // started the job; 0 where it has not.
-func (r *Router) AttemptEnded(now scheduler.Clock, id scheduler.WorkerID, class string, outcome scheduler.Outcome, sinceArrival, ran time.Duration) {
+func (r *Router) AttemptEnded(now scheduler.Instant, id scheduler.WorkerID, class string, outcome scheduler.Outcome, sinceArrival, ran time.Duration) {
 	settings := r.settings.Current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // AttemptUnanswered records that an attempt has been without any sign for failover.NoResponseAfter.
-func (r *Router) AttemptUnanswered(now scheduler.Clock, id scheduler.WorkerID) {
+func (r *Router) AttemptUnanswered(now scheduler.Instant, id scheduler.WorkerID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recorder.AttemptUnanswered(r.zoneOf(id), now)
--- a/internal/zonerouting/router.go
+++ b/internal/zonerouting/router.go
@@ -32,7 +32,7 @@
 	workers     map[scheduler.WorkerID]scheduler.WorkerInfo
 	plan        *failover.Plan // nil before the first one
 	planExpired bool           // the plan is not trusted any more
-	now         scheduler.Clock
+	now         scheduler.Instant
 	keyZones    keyZones
 	shedCount   int
 }
@@ -77,7 +77,7 @@
 }
 
 // EndpointsUpdated applies an update of the endpoint list.
-func (r *Router) EndpointsUpdated(now scheduler.Clock, update scheduler.EndpointsUpdated) {
+func (r *Router) EndpointsUpdated(now scheduler.Instant, update scheduler.EndpointsUpdated) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.now = now
@@ -92,7 +92,7 @@
 // Route returns the zones to which a request may be sent, as a bit for each index; 0 where it may go to any. ok is false where the
 // request is shed, and its client should wait for retryAfter. Requests of one idempotency key go to one zone for the class's
 // deduplication window.
-func (r *Router) Route(now scheduler.Clock, class, key string) (zones uint64, retryAfter time.Duration, ok bool) {
+func (r *Router) Route(now scheduler.Instant, class, key string) (zones uint64, retryAfter time.Duration, ok bool) {
 	settings := r.settings.Current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,7 +113,7 @@
 }
 
 // chooseZone returns the zone for a request by the plan; ok is false where the request is shed.
-func (r *Router) chooseZone(now scheduler.Clock, class, key string, window time.Duration) (zone string, ok bool) {
+func (r *Router) chooseZone(now scheduler.Instant, class, key string, window time.Duration) (zone string, ok bool) {
 	number, hash := rand.Float64(), uint64(0)
 	if key != "" {
 		hash = keyHash(key)
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -11,7 +11,7 @@
 type Send struct {
 	ID     RequestID
 	Worker WorkerID
-	SendBy Clock // 0 for no bound
+	SendBy Instant // 0 for no bound
 }
 
 // Cancel cancels an attempt; its outcome follows as usual.
--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -55,7 +55,7 @@
 	d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(200)})
 	at := map[WorkerID]bool{}
 	for id := RequestID(1); id <= 400; id++ {
-		to := firstSendWorker(d.Handle(start+Clock(id)*ms, RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: start + 5*time.Second}))
+		to := firstSendWorker(d.Handle(start+Instant(id)*ms, RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: start + 5*time.Second}))
 		if to == "" {
 			t.Fatalf("request %d queues, with %d of 200 workers in use", id, len(at))
 		}
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -17,8 +17,8 @@
 // attempt is one send of a request to a worker.
 type attempt struct {
 	worker          *worker
-	sentAt          Clock
-	startedAt       Clock         // 0 until the worker reports the start
+	sentAt          Instant
+	startedAt       Instant       // 0 until the worker reports the start
 	inFlight        bool          // sent, no outcome yet
 	mayHaveExecuted bool          // false once an outcome excludes it
 	cancelled       bool          // a Cancel was emitted
@@ -211,7 +211,7 @@
 }
 
 // earlierBound returns the earlier of two bounds, of which 0 means none.
-func earlierBound(a, b Clock) Clock {
+func earlierBound(a, b Instant) Instant {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -77,7 +77,7 @@
 
 // startTime returns when the worker started, by its entry in a list: the latest start known, as an older list must not make it
 // older, unless this start is confirmed and the operator has not just reattached the worker.
-func (w *worker) startTime(info WorkerInfo) Clock {
+func (w *worker) startTime(info WorkerInfo) Instant {
 	if info.StartConfirmed && !w.reattached {
 		return info.StartedAt
 	}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Clock is a point in time: the time since an epoch that the caller picks and never moves back.
-type Clock = time.Duration
+// Instant is a point in time: the time since an epoch that the caller picks and never moves back.
+type Instant = time.Duration
 
 // RequestID identifies one client request, a client's retry included. It is never reused within a scheduler's life.
 type RequestID uint64
@@ -48,7 +48,7 @@
 	Cell           int
 	MachineKind    int
 	Weight         float64 // relative size
-	StartedAt      Clock   // when it last started; 0 for long ago
+	StartedAt      Instant // when it last started; 0 for long ago
 	StartConfirmed bool    // StartedAt holds even where it is earlier than the one known before
 }
 
@@ -56,7 +56,7 @@
 type EndpointsUpdated struct {
 	ListKind ListKind
 	Workers  []WorkerInfo
-	AsOf     Clock // all changes up to this time are included by now; 0 if that is as before
+	AsOf     Instant // all changes up to this time are included by now; 0 if that is as before
 }
 
 // RequestArrived is a client's request. The scheduler owes it one final answer (Reject, Fail or a served attempt) by Deadline.
@@ -64,7 +64,7 @@
 	ID            RequestID
 	Class         int           // number in Settings.Classes; the first stands in for an unknown one
 	Slots         float64       // of a worker that its job takes; 0 or less, or not a number, counts as 1
-	Deadline      Clock         // when the client stops waiting
+	Deadline      Instant       // when the client stops waiting
 	EstimatedWork time.Duration // rough estimate of its runtime; 0 if unknown
 	AffinityKey   uint64        // requests with the same key should share workers; 0 for none
 	AllowedZones  uint64        // zones that it may be sent to, a bit for each number; 0 for all
@@ -139,7 +139,7 @@
 type ClientLeft struct{ ID RequestID }
 
 // ShutdownStarted says that this process ends at Deadline: open requests, and those that still arrive, are answered by then.
-type ShutdownStarted struct{ Deadline Clock }
+type ShutdownStarted struct{ Deadline Instant }
 
 // WorkerDetached says that the operator has detached a worker: it gets no requests, whatever the endpoint list says.
 type WorkerDetached struct{ Worker WorkerID }
--- a/scheduler/freshness.go
+++ b/scheduler/freshness.go
@@ -17,7 +17,7 @@
 // freshUntil returns until when a request for the worker may leave: ListValidity after its state was last confirmed, by the list
 // (EndpointsUpdated.AsOf) or by a passed probe, whichever is later. 0 means no bound: the settings give no validity, or do not
 // permit probes.
-func (s *Scheduler) freshUntil(worker *worker) Clock {
+func (s *Scheduler) freshUntil(worker *worker) Instant {
 	if s.settings.ListValidity <= 0 || !s.settings.MayProbe {
 		return 0
 	}
--- a/scheduler/freshness_test.go
+++ b/scheduler/freshness_test.go
@@ -71,8 +71,8 @@
 		settings := probingSettings()
 		d, now := New(settings, rapid.Uint64().Draw(t, "seed")), start
 		infos := workers(rapid.IntRange(1, 4).Draw(t, "workers"))
-		word := map[WorkerID]Clock{}
-		asked := map[WorkerID]Clock{}
+		word := map[WorkerID]Instant{}
+		asked := map[WorkerID]Instant{}
 		list := now
 		id := RequestID(0)
 		handle := func(ev Event) {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -58,7 +58,7 @@
 type driver struct {
 	t          *testing.T
 	scheduler  *Scheduler
-	now        Clock
+	now        Instant
 	actions    []Action // of the last event
 	allActions []Action
 }
--- a/scheduler/learnedstate.go
+++ b/scheduler/learnedstate.go
@@ -18,12 +18,12 @@
 
 // WorkerStatistics is what was learned of a worker's process that started at StartedAt.
 type WorkerStatistics struct {
-	StartedAt    Clock   `json:"Since"`
+	StartedAt    Instant `json:"Since"`
 	Slots        float64 `json:"Total"`     // the most slots seen; 0 if unknown
 	Increment    float64 `json:"Increment"` // load of one slot while the slots are unknown
 	Slowness     float64 `json:"Lag"`       // sum over jobs of the logarithm of their runtime as a multiple of the usual one
 	SlownessJobs float64 `json:"JobsOf"`    // their number, decayed like the sum
-	LastSignal   Clock   `json:"Heard"`     // last sign of life
+	LastSignal   Instant `json:"Heard"`     // last sign of life
 }
 
 // LearnedState returns what was learned so far.
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -51,7 +51,7 @@
 type ejectionState struct {
 	failureCount         float64 // failures, or connections lost, since the last signal
 	consecutiveEjections int     // 0 if not ejected
-	ejectedUntil         Clock   // time of the next trial while ejected
+	ejectedUntil         Instant // time of the next trial while ejected
 }
 
 // recordSuccess notes a served job. It halves the failures and ejections instead of clearing them, or a worker that
@@ -61,7 +61,7 @@
 }
 
 // permitsAttempt reports whether the state is not ejected, or due for a trial.
-func (e *ejectionState) permitsAttempt(now Clock) bool {
+func (e *ejectionState) permitsAttempt(now Instant) bool {
 	return e.consecutiveEjections == 0 || now >= e.ejectedUntil
 }
 
--- a/scheduler/probing_test.go
+++ b/scheduler/probing_test.go
@@ -38,7 +38,7 @@
 	w, first := driver.scheduler.workers[0], driver.now
 	for _, c := range []struct {
 		free float64
-		want Clock
+		want Instant
 	}{{3.5, first}, {3.5, first}, {3.4, first + 2*time.Second}} {
 		if driver.handle(ProbeCompleted{Worker: w.ID, Report: loadReport(0.5, c.free)}); w.reportedAt != c.want || w.lastSignal != driver.now {
 			t.Errorf("reported at %v, last signal at %v, want %v and now", w.reportedAt, w.lastSignal, c.want)
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -11,8 +11,8 @@
 	slots           float64
 	affinityKey     uint64        // 0 for none
 	estimatedWork   time.Duration // 0 if unknown
-	clientStartedAt Clock         // when its client first sent it, by estimate: before the arrival of a client's retry
-	deadline        Clock
+	clientStartedAt Instant       // when its client first sent it, by estimate: before the arrival of a client's retry
+	deadline        Instant
 	allowedZones    uint64 // a bit for each number; 0 for all
 	attempts        []attempt
 	finished        bool // the final answer is given, or nothing is owed
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -49,7 +49,7 @@
 // retrySendDeadline returns when the last byte of a further attempt must have left, or 0 for no bound: workers drop repeats of a
 // key for the deduplication window of its class, which counts from the first attempt that may have executed. One review interval is
 // left as a margin.
-func (s *Scheduler) retrySendDeadline(request *request) Clock {
+func (s *Scheduler) retrySendDeadline(request *request) Instant {
 	class := &request.settings.Classes[request.class]
 	first := slices.IndexFunc(request.attempts, mayHaveExecuted)
 	if first < 0 || class.Idempotency != IdempotentWithKey {
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -39,7 +39,7 @@
 	driver.listWorkers(workers(3)...)
 	for class, bound := range []bool{false, true} {
 		id, at := RequestID(1+class), driver.now
-		by := func(actions []Action) (by []Clock) {
+		by := func(actions []Action) (by []Instant) {
 			for _, a := range actions {
 				if s, ok := a.(Send); ok && s.ID == id {
 					by = append(by, s.SendBy)
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -14,14 +14,14 @@
 	settings     Settings
 	scheduler    *Scheduler
 	random       *rand.Rand
-	now          Clock
-	timers       map[uint64][]Clock
-	notifiedAt   map[WorkerID]Clock // since when a worker drains or is gone
+	now          Instant
+	timers       map[uint64][]Instant
+	notifiedAt   map[WorkerID]Instant // since when a worker drains or is gone
 	listed       map[WorkerID]WorkerInfo
 	requests     map[RequestID]*trackedRequest
 	ids          []RequestID
-	unfinished   []RequestID          // not answered, or with attempts in flight
-	warmingSends map[WorkerID][]Clock // sends in the last overload window
+	unfinished   []RequestID            // not answered, or with attempts in flight
+	warmingSends map[WorkerID][]Instant // sends in the last overload window
 	pendingPolls int
 	answers      int
 }
@@ -34,7 +34,7 @@
 
 type trackedAttempt struct {
 	worker                             WorkerInfo
-	sentAt                             Clock
+	sentAt                             Instant
 	inFlight, mayHaveExecuted, started bool
 }
 
@@ -43,8 +43,8 @@
 func newWorld(t *testing.T, s Settings, seed uint64) *randomWorld {
 	w := &randomWorld{
 		t: t, settings: s, scheduler: New(s, seed), random: rand.New(rand.NewPCG(seed, 7)), now: start,
-		timers: map[uint64][]Clock{}, notifiedAt: map[WorkerID]Clock{}, listed: map[WorkerID]WorkerInfo{},
-		requests: map[RequestID]*trackedRequest{}, warmingSends: map[WorkerID][]Clock{},
+		timers: map[uint64][]Instant{}, notifiedAt: map[WorkerID]Instant{}, listed: map[WorkerID]WorkerInfo{},
+		requests: map[RequestID]*trackedRequest{}, warmingSends: map[WorkerID][]Instant{},
 	}
 	var all []WorkerInfo
 	for i, in := range workers(6) {
@@ -130,7 +130,7 @@
 	}
 	q.attempts = append(q.attempts, &trackedAttempt{worker: in, sentAt: w.now, inFlight: true, mayHaveExecuted: true})
 	if age := w.now - in.StartedAt; in.StartedAt > 0 && age < w.settings.SlowStartDuration {
-		var recent []Clock
+		var recent []Instant
 		for _, at := range w.warmingSends[a.Worker] {
 			if at > w.now-w.settings.OverloadWindow {
 				recent = append(recent, at)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -67,21 +67,21 @@
 type Scheduler struct {
 	settings *Settings // in force; replaced as a whole
 	random   *rand.Rand
-	now      Clock    // time of the current event
+	now      Instant  // time of the current event
 	actions  []Action // of the current event
 
 	// The workers.
 	workers                []*worker // all that a list ever named, by id
 	workersByID            map[WorkerID]*worker
 	detached               map[WorkerID]bool // by the operator, whether or not a list has named them
-	listAsOf               Clock             // the endpoint list includes all changes up to this time
+	listAsOf               Instant           // the endpoint list includes all changes up to this time
 	availableCount         int               // of listed workers that are not detached
 	totalWeight            float64           // of the same
 	reportAttemptsInFlight int               // trial attempts at workers whose report is overdue
 
 	// The candidates.
 	subset            []*worker // that requests are sent to, by id or in this dispatcher's order
-	subsetChosenAt    Clock
+	subsetChosenAt    Instant
 	loadsKnown        bool // the fleet is so small that all loads are known
 	affinityInUse     bool // a request with an affinity key has arrived
 	rotationCursor    int  // round robin among ties: index of the first candidate
@@ -113,17 +113,17 @@
 	slotsByKind     map[int]float64       // the most slots seen at a worker of a machine kind
 	roundTripTimes  map[int]time.Duration // by zone: the least time from send to start
 	safeIdle        time.Duration         // connections idle for less were not lost; 0 if none was lost
-	idleLossAt      Clock                 // when an idle connection was last lost
-	firstEventAt    Clock
-	lastArrivalAt   Clock
-	resumedAt       Clock // the turn in which this process found that it had stood still
+	idleLossAt      Instant               // when an idle connection was last lost
+	firstEventAt    Instant
+	lastArrivalAt   Instant
+	resumedAt       Instant // the turn in which this process found that it had stood still
 	reviewScheduled bool
-	nextReviewAt    Clock
+	nextReviewAt    Instant
 
 	// The process.
-	processes        int   // that act as this dispatcher
-	tookOver         bool  // has the state of a predecessor, which sent a share of its own
-	shutdownDeadline Clock // when this process ends; 0 while unknown
+	processes        int     // that act as this dispatcher
+	tookOver         bool    // has the state of a predecessor, which sent a share of its own
+	shutdownDeadline Instant // when this process ends; 0 while unknown
 }
 
 // New makes a Scheduler. The seed decides the random draws.
@@ -149,7 +149,7 @@
 // Handle processes one event at the time now and returns the actions that follow, to be executed in order.
 // A time before that of an earlier event counts as the earlier one. The result is valid until the
 // next call.
-func (s *Scheduler) Handle(now Clock, event Event) []Action {
+func (s *Scheduler) Handle(now Instant, event Event) []Action {
 	s.now = max(s.now, now)
 	s.actions = s.actions[:0]
 	s.firstEventAt = cmp.Or(s.firstEventAt, s.now)
--- a/scheduler/scheduler_bench_test.go
+++ b/scheduler/scheduler_bench_test.go
@@ -44,7 +44,7 @@
 			d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(n, 2)})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				at, id := start+Clock(i)*200*ms, RequestID(i+1)
+				at, id := start+Instant(i)*200*ms, RequestID(i+1)
 				d.Handle(at, RequestArrived{ID: id, Class: i % 3, Slots: 1, Deadline: at + 2*time.Second})
 				d.Handle(at, AttemptStarted{ID: id})
 				d.Handle(at+100*ms, TimerFired{Token: reviewTimer})
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -31,7 +31,7 @@
 
 // slowStartCharge is the work of one attempt that was sent to a worker while it warmed up.
 type slowStartCharge struct {
-	at   Clock
+	at   Instant
 	work float64 // slot-seconds
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -21,33 +21,33 @@
 	work                  float64 // mean of a job, in seconds
 	requestRate           float64 // requests a second at all dispatchers together
 	firstDispatcherFactor float64 // the first dispatcher gets so many times its part of them
-	killedAt              Clock   // when seven in ten are killed and restarted; 0 for never
-	restartDuration       Clock   // how long a restart takes
+	killedAt              Instant // when seven in ten are killed and restarted; 0 for never
+	restartDuration       Instant // how long a restart takes
 	seed                  uint64
 }
 
 // arrivals simulates the fleet and returns when requests arrived at the warming worker. Their runtimes are random. A request that
 // is not sent there runs elsewhere, and its dispatcher learns its runtime; dispatchers share nothing.
-func (f *warmingFleet) arrivals() (at []Clock) {
+func (f *warmingFleet) arrivals() (at []Instant) {
 	random := rand.New(rand.NewPCG(f.seed, 1))
 	type job struct {
 		from *Scheduler
 		id   RequestID // 0 for one that ran elsewhere
 		took time.Duration
-		end  Clock
+		end  Instant
 		runs bool
 	}
 	var open []job
 	running := 0.0
 	list := []WorkerInfo{{ID: WorkerID(fmt.Sprint("cold-", f.seed)), StartedAt: start + 5*time.Second, Weight: 1}}
-	schedulers, down := make([]*Scheduler, f.dispatchers), make([]Clock, f.dispatchers)
-	restart := func(i int, now Clock) {
+	schedulers, down := make([]*Scheduler, f.dispatchers), make([]Instant, f.dispatchers)
+	restart := func(i int, now Instant) {
 		s := f.settings
 		s.DispatcherIndex, s.Dispatchers = i, f.dispatchers
 		schedulers[i] = New(s, random.Uint64())
 		schedulers[i].Handle(now, TimerFired{})
 	}
-	passList := func(i int, now Clock) {
+	passList := func(i int, now Instant) {
 		schedulers[i].Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: list})
 		if random.IntN(2) == 0 { // as a probe may show
 			schedulers[i].recordSlots(schedulers[i].workers[0], f.slots)
@@ -104,7 +104,7 @@
 					open = append(open, job{schedulers[i], 0, took, now + took, false})
 					continue
 				}
-				at = append(at, now+Clock(random.Int64N(int64(maxSendDelay)))) // after a connection came up
+				at = append(at, now+Instant(random.Int64N(int64(maxSendDelay)))) // after a connection came up
 				started := running < f.slots
 				if started { // otherwise it waits there
 					running++
@@ -231,7 +231,7 @@
 func TestSlowStartBudget_zoneReturns(t *testing.T) {
 	const dispatchers, n, warming, mean = 80, 60, 20, 0.25
 	type sentWork struct {
-		at   Clock
+		at   Instant
 		work float64
 	}
 	sent := map[WorkerID][]sentWork{}
@@ -335,7 +335,7 @@
 	work := 0.0
 	for i := range RequestID(20) {
 		for _, d := range schedulers {
-			at := start + 2*time.Second + Clock(i)*45*ms
+			at := start + 2*time.Second + Instant(i)*45*ms
 			if firstSendWorker(d.Handle(at, RequestArrived{ID: i, Slots: 1, Deadline: at + time.Second})) != "" {
 				work += 0.2
 				d.Handle(at, AttemptFinished{ID: i, Outcome: Served, Final: true})
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -35,19 +35,19 @@
 // decayingCounter is a sum whose past decays exponentially.
 type decayingCounter struct {
 	sum       float64
-	updatedAt Clock
+	updatedAt Instant
 	window    time.Duration // time constant; 0 for arrivalRateWindow
 }
 
 // value returns the sum as of now.
-func (c *decayingCounter) value(now Clock) float64 {
+func (c *decayingCounter) value(now Instant) float64 {
 	c.sum *= math.Exp(-float64(now-c.updatedAt) / float64(cmp.Or(c.window, arrivalRateWindow)))
 	c.updatedAt = now
 	return c.sum
 }
 
 // add adds an amount as of now.
-func (c *decayingCounter) add(now Clock, amount float64) { c.sum = c.value(now) + amount }
+func (c *decayingCounter) add(now Instant, amount float64) { c.sum = c.value(now) + amount }
 
 // classState is what a scheduler has learned of a class's requests.
 type classState struct {
@@ -120,7 +120,7 @@
 
 // excessFailureShare returns the share of its recent jobs that the worker failed, beyond toleratedFailureShare. The bound of the
 // failures lets one that has recovered get jobs to show it.
-func (w *worker) excessFailureShare(now Clock) float64 {
+func (w *worker) excessFailureShare(now Instant) float64 {
 	failures := min(w.recentFailures.value(now), failurePriorJobs)
 	share := failures / (failures + w.recentSuccesses.value(now) + failurePriorJobs)
 	return max(share-toleratedFailureShare, 0)
--- a/scheduler/subset_test.go
+++ b/scheduler/subset_test.go
@@ -130,7 +130,7 @@
 	d := New(baseSettings(), 1)
 	d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(20, 1)})
 	for i := range 60 { // 30 requests a second: all 20 report often enough
-		d.Handle(start+Clock(i)*33*ms, RequestArrived{ID: RequestID(i + 1), Slots: 1, Deadline: start + time.Hour})
+		d.Handle(start+Instant(i)*33*ms, RequestArrived{ID: RequestID(i + 1), Slots: 1, Deadline: start + time.Hour})
 	}
 	d.chooseSubset()
 	if !d.loadsKnown || len(d.subset) != 20 {
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -8,7 +8,7 @@
 	idHash     uint64 // of the id, the same at every dispatcher
 	ready      bool   // ready by the endpoint list
 	detached   bool   // by the operator
-	detachedAt Clock
+	detachedAt Instant
 	reattached bool // by the operator, and no own attempt has started since
 
 	ejectionState                   // of the worker as a whole
@@ -17,17 +17,17 @@
 	recentSuccesses decayingCounter // own jobs that were served
 
 	// The load by the last report, as a share of the worker.
-	reportedAt      Clock // 0 for never
+	reportedAt      Instant // 0 for never
 	reportedLoad    float64
 	othersLoad      float64 // of other dispatchers: the reported load less the own slots of that time
 	meanOthersLoad  float64 // over othersLoadWindow
 	lastProbeReport Report
-	fullUntil       Clock // it rejected an attempt as full; its load value is 1 at least until then
+	fullUntil       Instant // it rejected an attempt as full; its load value is 1 at least until then
 
 	// The own slots there.
 	ownSlots       float64 // of attempts in flight
 	meanOwnSlots   float64 // over reportLookback, as of meanOwnSlotsAt
-	meanOwnSlotsAt Clock
+	meanOwnSlotsAt Instant
 	runningSlots   float64         // of attempts that have started
 	cancelledSlots decayingCounter // of attempts that were cancelled before their start
 	cancelledWaits decayingCounter // attempts that were cancelled after they had waited for long enough to be hedged
@@ -49,13 +49,13 @@
 	runningSlownessSum  float64 // over jobs that run for longer than usual, as of the last review
 	runningSlownessJobs float64
 
-	lastSignal        Clock // last sign of life, or first send after none was in flight
-	lastUsed          Clock // last send or sign of life
-	nextProbeAt       Clock // of the regular probes; 0 for not yet chosen
+	lastSignal        Instant // last sign of life, or first send after none was in flight
+	lastUsed          Instant // last send or sign of life
+	nextProbeAt       Instant // of the regular probes; 0 for not yet chosen
 	probeInFlight     bool
-	probeSentAt       Clock
-	probePassedAt     Clock // when the last probe that passed was sent
-	nextHealthCheckAt Clock // no probe before use until then
+	probeSentAt       Instant
+	probePassedAt     Instant // when the last probe that passed was sent
+	nextHealthCheckAt Instant // no probe before use until then
 }
 
 // available reports whether the worker is listed as ready and not detached.
