--- a/internal/decisions/configversions/rules.go
+++ b/internal/decisions/configversions/rules.go
@@ -88,15 +88,15 @@
 // Stricter returns rules that permit only what both r and other permit.
 func (r Rules) Stricter(other Rules) Rules {
 	return Rules{
-		RetryRatio:      stricterRetryRatio(r.RetryRatio, other.RetryRatio),
+		RetryRatio:      StricterRetryRatio(r.RetryRatio, other.RetryRatio),
 		RetriesAllowed:  r.RetriesAllowed && other.RetriesAllowed,
 		DetachedWorkers: sortedUnion(r.DetachedWorkers, other.DetachedWorkers),
 		QuotaCaps:       stricterQuotas(r.QuotaCaps, other.QuotaCaps),
 	}
 }
 
-// stricterRetryRatio returns the smaller of two retry ratios, of which those below 0 are unlimited.
-func stricterRetryRatio(first, second float64) float64 {
+// StricterRetryRatio returns the smaller of two retry ratios, of which those below 0 are unlimited.
+func StricterRetryRatio(first, second float64) float64 {
 	if first < 0 || second >= 0 && second < first {
 		return second
 	}
--- a/internal/program/dispatcher.go
+++ b/internal/program/dispatcher.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// setRetryRatio applies the operator's own bound on further attempts for each first one.
+// setRetryRatio applies the operator's own limit of retries and hedged attempts for each first attempt.
 func (d *dispatcher) setRetryRatio(ratio float64) {
 	d.retryRatio = ratio
 	if d.fleet == nil {
--- a/internal/program/fleetagent.go
+++ b/internal/program/fleetagent.go
@@ -189,7 +189,7 @@
 	a.detached = detached
 }
 
-// setLocalRetryRatio sets the operator's own bound on further attempts for each first one.
+// setLocalRetryRatio sets the operator's own limit of retries and hedged attempts for each first attempt.
 func (a *fleetAgent) setLocalRetryRatio(ratio float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,13 +197,9 @@
 	a.applyRetryRatioLocked()
 }
 
-// applyRetryRatioLocked applies the smaller one of both bounds. a.mu is held.
+// applyRetryRatioLocked applies the stricter one of both bounds. a.mu is held.
 func (a *fleetAgent) applyRetryRatioLocked() {
-	ratio := a.localRetryRatio
-	if a.fleetRetryRatio >= 0 && (ratio < 0 || a.fleetRetryRatio < ratio) {
-		ratio = a.fleetRetryRatio
-	}
-	a.dispatcher.core.SetRetryRatio(ratio)
+	a.dispatcher.core.SetRetryRatio(configversions.StricterRetryRatio(a.localRetryRatio, a.fleetRetryRatio))
 }
 
 // hasDetached reports whether the fleet has a worker detached.
