--- a/cmd/brassdale-lab/hollow.go
+++ b/cmd/brassdale-lab/hollow.go
@@ -13,10 +13,10 @@
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow SPEC", Short: "Hold hollow dispatchers, for scale", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			spec, err := scale.LoadSpec(args[0])
+			spec, err := scale.LoadHollowSpec(args[0])
 			if err != nil {
 				return err
 			}
-			return scale.Serve(command.Context(), spec, os.Stdin, os.Stdout, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			return scale.ServeHollow(command.Context(), spec, os.Stdin, os.Stdout, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		}}
 }
--- a/cmd/brassdale-lab/scalecompare.go
+++ b/cmd/brassdale-lab/scalecompare.go
@@ -17,7 +17,7 @@
 func compareScale(command *cobra.Command, file *scale.File, options scale.Options, repeat, dir string, seed uint64, processes int) error {
 	plans := [2]scale.Plan{}
 	var err error
-	if plans[0], plans[1], err = file.Compared(seed, processes); err != nil {
+	if plans[0], plans[1], err = file.ComparisonPlans(seed, processes); err != nil {
 		return err
 	}
 	if options.Self, err = os.Executable(); err != nil {
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -13,11 +13,11 @@
 )
 
 // agreeWithin is how far hollow dispatchers may be from real ones in bytes, messages and CPU.
-const agreeWithin = 0.15
+const agreementTolerance = 0.15
 
 // Compared gives a file's size with all dispatchers real, and with all hollow; who has a seat is real in both. Bare ones of the
 // same kind stand beside them in either, for what control costs by difference.
-func (f *File) Compared(seed uint64, processes int) (real, hollow Plan, err error) {
+func (f *File) ComparisonPlans(seed uint64, processes int) (real, hollow Plan, err error) {
 	wrong := func(attribute, format string, a ...any) {
 		err = errors.Join(err, fmt.Errorf("%s: "+format, append([]any{attribute}, a...)...))
 	}
@@ -44,15 +44,15 @@
 
 // Figure is one of real dispatchers and of hollow ones, round by round, a dispatcher.
 type Figure struct {
-	Name     string    `json:"name"`
-	Unit     string    `json:"unit"`
-	Real     []float64 `json:"real"`
-	Hollow   []float64 `json:"hollow"`
-	OfReal   float64   `json:"real_mean"`
-	OfHollow float64   `json:"hollow_mean"`
-	Ratio    float64   `json:"ratio"`  // of hollow ones to real ones
-	Judged   bool      `json:"judged"` // kinds are not
-	Agrees   bool      `json:"agrees"`
+	Name       string    `json:"name"`
+	Unit       string    `json:"unit"`
+	Real       []float64 `json:"real"`
+	Hollow     []float64 `json:"hollow"`
+	RealMean   float64   `json:"real_mean"`
+	HollowMean float64   `json:"hollow_mean"`
+	Ratio      float64   `json:"ratio"`  // of hollow ones to real ones
+	Judged     bool      `json:"judged"` // kinds are not
+	Agrees     bool      `json:"agrees"`
 }
 
 // Comparison sets hollow dispatchers beside real ones, in runs that alternate.
@@ -77,7 +77,7 @@
 func Compare(real, hollow []*Result) *Comparison {
 	first, other := real[0], hollow[0]
 	c := &Comparison{Title: first.Title, Seed: first.Seed, At: first.At, SpanS: first.SpanS, Dispatchers: first.Dispatchers, Processes: other.Processes,
-		Workers: first.Workers, Zones: first.Zones, Rounds: len(real), Within: agreeWithin, Agrees: true}
+		Workers: first.Workers, Zones: first.Zones, Rounds: len(real), Within: agreementTolerance, Agrees: true}
 	add := func(name, unit string, judged bool, of func(*Result) float64) {
 		x := Figure{Name: name, Unit: unit, Judged: judged}
 		for i := range real {
@@ -86,10 +86,10 @@
 		if !judged && !slices.ContainsFunc(slices.Concat(x.Real, x.Hollow), func(n float64) bool { return n != 0 }) {
 			return // reports and budgets go within other messages
 		}
-		if x.OfReal, x.OfHollow = mean(x.Real), mean(x.Hollow); x.OfReal != 0 {
-			x.Ratio = x.OfHollow / x.OfReal
+		if x.RealMean, x.HollowMean = mean(x.Real), mean(x.Hollow); x.RealMean != 0 {
+			x.Ratio = x.HollowMean / x.RealMean
 		}
-		x.Agrees = math.Abs(x.Ratio-1) <= agreeWithin
+		x.Agrees = math.Abs(x.Ratio-1) <= agreementTolerance
 		c.Agrees = c.Agrees && (x.Agrees || !judged)
 		c.Figures = append(c.Figures, x)
 	}
@@ -125,12 +125,12 @@
 		if x.Judged && !x.Agrees {
 			verdict = " !"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.3f%s\t%s\t%s\t\n", x.Name, x.Unit, x.OfReal, x.OfHollow, x.Ratio, verdict, listed(x.Real), listed(x.Hollow))
+		fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.3f%s\t%s\t%s\t\n", x.Name, x.Unit, x.RealMean, x.HollowMean, x.Ratio, verdict, formatFigures(x.Real), formatFigures(x.Hollow))
 	}
 	return w.Flush()
 }
 
-func listed(all []float64) string {
+func formatFigures(all []float64) string {
 	var texts []string
 	for _, x := range all {
 		texts = append(texts, fmt.Sprintf("%.2f", x))
--- a/internal/scale/compare_test.go
+++ b/internal/scale/compare_test.go
@@ -12,11 +12,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	real, hollow, err := f.Compared(3, 0)
+	real, hollow, err := f.ComparisonPlans(3, 0)
 	if err != nil || real.Real() != 48 || real.Bare != 4 || real.HollowBare != 0 || hollow.Real() != 0 || hollow.Bare != 0 || hollow.HollowBare != 6 || real.Seed != 3 || hollow.Seed != 3 {
 		t.Errorf("%v\n%+v\n%+v", err, real, hollow)
 	}
-	if _, hollow, err := f.Compared(3, 12); err != nil || hollow.Processes != 12 || hollow.HollowBare != 4 {
+	if _, hollow, err := f.ComparisonPlans(3, 12); err != nil || hollow.Processes != 12 || hollow.HollowBare != 4 {
 		t.Errorf("%v: %+v", err, hollow)
 	}
 	for want, wrong := range map[string]func(*File){
@@ -26,7 +26,7 @@
 	} {
 		g := *f
 		wrong(&g)
-		if _, _, err := g.Compared(1, 0); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := g.ComparisonPlans(1, 0); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, not %q", err, want)
 		}
 	}
@@ -51,7 +51,7 @@
 		if err := x.Err(); (err == nil) != (c.want == "") || x.Agrees != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %v", c, err)
 		}
-		if len(x.Figures) != 5 || x.Figures[0].OfReal != 1000 || math.Abs(x.Figures[0].Ratio-c.bytes) > 1e-9 || x.Rounds != 2 {
+		if len(x.Figures) != 5 || x.Figures[0].RealMean != 1000 || math.Abs(x.Figures[0].Ratio-c.bytes) > 1e-9 || x.Rounds != 2 {
 			t.Errorf("%+v", x)
 		}
 		var out bytes.Buffer
--- a/internal/scale/failure_test.go
+++ b/internal/scale/failure_test.go
@@ -54,12 +54,12 @@
 func TestFailures(t *testing.T) {
 	f, err := Parse([]byte(failuresFile), "x.hcl")
 	all := points(t, f, err)
-	if len(all) != len(kinds) {
+	if len(all) != len(faultKinds) {
 		t.Fatalf("%+v", all)
 	}
 	// The first zone and region have a seat, the real dispatcher that serves and two hollow ones; the fleet has ten in all.
-	befell := map[Kind]int{VoterFault: 1, Zone: 4, Regions: 4, Replaced: 2, Together: 10}
-	returned := map[Kind]int{Zone: 4, Regions: 4, Replaced: 2, Together: 10}
+	befell := map[FaultKind]int{VoterLost: 1, ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
+	returned := map[FaultKind]int{ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
 	for _, p := range all {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
@@ -72,15 +72,15 @@
 				t.Fatalf("%+v", r)
 			}
 			x := r.Failures[0]
-			kind := Kind(p.Name)
+			kind := FaultKind(p.Name)
 			t.Logf("%+v", x)
-			if x.Kind != kind || x.Befell != befell[kind] || len(x.Returned) != returned[kind] {
-				t.Errorf("%d befallen, %d back: %+v", x.Befell, len(x.Returned), x)
+			if x.Kind != kind || x.Affected != befell[kind] || len(x.ReturnedInForceMS) != returned[kind] {
+				t.Errorf("%d befallen, %d back: %+v", x.Affected, len(x.ReturnedInForceMS), x)
 			}
-			if x.Changes == 0 || x.WholeAgainS == nil {
-				t.Errorf("%d changes, whole again after %v", x.Changes, x.WholeAgainS)
+			if x.Changes == 0 || x.RecoveredAfterS == nil {
+				t.Errorf("%d changes, whole again after %v", x.Changes, x.RecoveredAfterS)
 			}
-			if (kind == VoterFault || kind == Together) && !x.Led {
+			if (kind == VoterLost || kind == DispatchersRestarted) && !x.HitLeader {
 				t.Error("who led was not among them")
 			}
 			if x.AtS < (500 * time.Millisecond).Seconds() {
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -11,21 +11,21 @@
 )
 
 // Kind is what fails.
-type Kind string
+type FaultKind string
 
 // The kinds.
 const (
-	VoterFault Kind = "seat"     // the machine of the seat that leads
-	Zone       Kind = "zone"     // a zone's boxes, seats and dispatchers
-	Regions    Kind = "regions"  // a region and the others do not reach each other
-	Replaced   Kind = "replaced" // dispatchers are killed one by one, and others start in their place
-	Together   Kind = "together" // all dispatchers are killed, and start at once
+	VoterLost            FaultKind = "seat"     // the machine of the seat that leads
+	ZoneLost             FaultKind = "zone"     // a zone's boxes, seats and dispatchers
+	RegionPartitioned    FaultKind = "regions"  // a region and the others do not reach each other
+	DispatchersReplaced  FaultKind = "replaced" // dispatchers are killed one by one, and others start in their place
+	DispatchersRestarted FaultKind = "together" // all dispatchers are killed, and start at once
 )
 
-var kinds = []Kind{VoterFault, Zone, Regions, Replaced, Together}
+var faultKinds = []FaultKind{VoterLost, ZoneLost, RegionPartitioned, DispatchersReplaced, DispatchersRestarted}
 
 // FaultFile is one in a file. Each is played in a run of its own.
-type FaultFile struct {
+type faultBlock struct {
 	Kind   string `hcl:"kind,label"`
 	At     string `hcl:"at"`              // behind the begin of the measured span
 	For    string `hcl:"for,optional"`    // until it is over; left out: a seat or a zone does not come back
@@ -37,25 +37,25 @@
 
 // Fault is what befalls the fleet in a run.
 type Fault struct {
-	Kind           Kind
+	Kind           FaultKind
 	At, For, After time.Duration // For is 0 where what is gone stays so
 	Count          int
 	Zone, Region   int // from 0
 }
 
 // defaultAfter is measured behind a fault where the file says nothing.
-const defaultAfter = 30 * time.Second
+const defaultMeasuredAfter = 30 * time.Second
 
 // faults reads the file's. say tells of an attribute of the n-th.
 func (f *File) faults(say func(n int, attribute, format string, a ...any)) (all []Fault) {
 	for n, x := range f.Faults {
 		bad := func(attribute, format string, a ...any) { say(n, attribute, format, a...) }
-		fault := Fault{Kind: Kind(x.Kind), Count: x.Count, Zone: max(x.Zone-1, 0), Region: max(x.Region-1, 0), After: defaultAfter}
+		fault := Fault{Kind: FaultKind(x.Kind), Count: x.Count, Zone: max(x.Zone-1, 0), Region: max(x.Region-1, 0), After: defaultMeasuredAfter}
 		for _, d := range []struct {
 			to              *time.Duration
 			attribute, text string
 			optional        bool
-		}{{&fault.At, "at", x.At, false}, {&fault.For, "for", x.For, fault.Kind == VoterFault || fault.Kind == Zone}, {&fault.After, "after", x.After, true}} {
+		}{{&fault.At, "at", x.At, false}, {&fault.For, "for", x.For, fault.Kind == VoterLost || fault.Kind == ZoneLost}, {&fault.After, "after", x.After, true}} {
 			if d.text == "" && d.optional {
 				continue
 			}
@@ -65,17 +65,17 @@
 			}
 			*d.to = span
 		}
-		if slices.ContainsFunc(f.Faults[:n], func(o FaultFile) bool { return o.Kind == x.Kind }) {
+		if slices.ContainsFunc(f.Faults[:n], func(o faultBlock) bool { return o.Kind == x.Kind }) {
 			bad("kind", "There is a %q already.", x.Kind)
 		}
-		if x.Count != 0 && fault.Kind != Replaced {
-			bad("count", "It is for %q alone.", Replaced)
+		if x.Count != 0 && fault.Kind != DispatchersReplaced {
+			bad("count", "It is for %q alone.", DispatchersReplaced)
 		}
-		if x.Zone != 0 && fault.Kind != Zone || x.Zone < 0 || x.Zone > f.Zones {
-			bad("zone", "It is for %q alone, and from 1 to %d.", Zone, f.Zones)
+		if x.Zone != 0 && fault.Kind != ZoneLost || x.Zone < 0 || x.Zone > f.Zones {
+			bad("zone", "It is for %q alone, and from 1 to %d.", ZoneLost, f.Zones)
 		}
-		if x.Region != 0 && fault.Kind != Regions || x.Region < 0 || x.Region > f.Regions {
-			bad("region", "It is for %q alone, and from 1 to %d.", Regions, f.Regions)
+		if x.Region != 0 && fault.Kind != RegionPartitioned || x.Region < 0 || x.Region > f.Regions {
+			bad("region", "It is for %q alone, and from 1 to %d.", RegionPartitioned, f.Regions)
 		}
 		all = append(all, fault)
 	}
@@ -85,33 +85,33 @@
 // check tells what does not go together with the fleet that it befalls.
 func (x *Fault) check(p *Plan, say func(attribute, format string, a ...any)) {
 	switch x.Kind {
-	case VoterFault:
+	case VoterLost:
 		if p.SetAside < 1 || p.Voters < 3 {
 			say("kind", "It needs machines set aside, and 3 seats at least.")
 		}
-	case Zone:
+	case ZoneLost:
 		if p.Zones < 2 {
 			say("kind", "It needs 2 zones at least.")
 		}
-	case Regions:
+	case RegionPartitioned:
 		if p.Regions < 2 {
 			say("kind", "It needs 2 regions at least.")
 		}
-	case Replaced:
+	case DispatchersReplaced:
 		if x.Count < 1 || x.Count > p.Hollow {
 			say("count", "There must be 1 at least, and no more than hollow dispatchers.")
 		}
-	case Together:
+	case DispatchersRestarted:
 	default:
-		say("kind", "There is no kind %q; there are %v.", x.Kind, kinds)
+		say("kind", "There is no kind %q; there are %v.", x.Kind, faultKinds)
 	}
 }
 
 // span is how long a run with it is measured.
-func (x *Fault) span() time.Duration { return x.At + x.For + x.After }
+func (x *Fault) measuredSpan() time.Duration { return x.At + x.For + x.After }
 
 // placeOf is where a block's attribute stands, or its label, or where it is missing.
-func placeOf(b *hclsyntax.Block, attribute string) hcl.Range {
+func blockPlace(b *hclsyntax.Block, attribute string) hcl.Range {
 	if attribute == "kind" && len(b.LabelRanges) > 0 {
 		return b.LabelRanges[0]
 	}
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -16,61 +16,61 @@
 
 // File is a fleet's size as an operator writes it, or several.
 type File struct {
-	Title        string  `hcl:"title"`
-	Settle       string  `hcl:"settle,optional"` // behind the start, before anything is measured
-	Span         string  `hcl:"span"`            // that is measured
-	Rest         string  `hcl:"rest,optional"`   // of it, at its begin, without changes
-	Bound        string  `hcl:"bound,optional"`
-	Replace      string  `hcl:"replace,optional"` // a seat that is silent for so long is given away
-	Regions      int     `hcl:"regions"`
-	Zones        int     `hcl:"zones"`
-	Workers      int     `hcl:"workers"`
-	Accelerators int     `hcl:"accelerators,optional"` // among the workers, a slot for each; left out: one each
-	Teams        int     `hcl:"teams,optional"`
-	Dispatchers  int     `hcl:"dispatchers"` // that serve jobs
-	Voters       int     `hcl:"seats"`
-	SetAside     int     `hcl:"set_aside,optional"` // machines beside them for control alone: the first seats are there
-	Hollow       int     `hcl:"hollow,optional"`    // of the dispatchers
-	Processes    int     `hcl:"processes,optional"` // that hold the hollow ones; left out: one for each zone
-	Bare         int     `hcl:"bare,optional"`      // real dispatchers beside them that agree on nothing
-	Rate         float64 `hcl:"rate,optional"`      // jobs a second of all dispatchers; real and bare ones get their part
+	Title         string  `hcl:"title"`
+	Settle        string  `hcl:"settle,optional"` // behind the start, before anything is measured
+	Span          string  `hcl:"span"`            // that is measured
+	Rest          string  `hcl:"rest,optional"`   // of it, at its begin, without changes
+	LeaseDuration string  `hcl:"bound,optional"`
+	ReplaceAfter  string  `hcl:"replace,optional"` // a seat that is silent for so long is given away
+	Regions       int     `hcl:"regions"`
+	Zones         int     `hcl:"zones"`
+	Workers       int     `hcl:"workers"`
+	Accelerators  int     `hcl:"accelerators,optional"` // among the workers, a slot for each; left out: one each
+	Teams         int     `hcl:"teams,optional"`
+	Dispatchers   int     `hcl:"dispatchers"` // that serve jobs
+	Voters        int     `hcl:"seats"`
+	SetAside      int     `hcl:"set_aside,optional"` // machines beside them for control alone: the first seats are there
+	Hollow        int     `hcl:"hollow,optional"`    // of the dispatchers
+	Processes     int     `hcl:"processes,optional"` // that hold the hollow ones; left out: one for each zone
+	Bare          int     `hcl:"bare,optional"`      // real dispatchers beside them that agree on nothing
+	Rate          float64 `hcl:"rate,optional"`      // jobs a second of all dispatchers; real and bare ones get their part
 
 	Seeds int `hcl:"seeds,optional"` // that each run is played with; left out: one
 
-	Changes *ChangesFile `hcl:"changes,block"`
-	Faults  []FaultFile  `hcl:"fault,block"`
-	Slopes  []SlopeFile  `hcl:"slope,block"`
+	Changes *changesBlock `hcl:"changes,block"`
+	Faults  []faultBlock  `hcl:"fault,block"`
+	Slopes  []slopeBlock  `hcl:"slope,block"`
 }
 
 // ChangesFile is what changes, and how often.
-type ChangesFile struct {
+type changesBlock struct {
 	Every    string  `hcl:"every"`             // a proposal of rules
-	ADay     float64 `hcl:"a_day"`             // that the plan has: what Every is beside it is the packing
+	PerDay   float64 `hcl:"a_day"`             // that the plan has: what Every is beside it is the packing
 	Restarts string  `hcl:"restarts,optional"` // a worker starts anew so often
 	Drains   string  `hcl:"drains,optional"`   // a worker leaves for good so often
 }
 
 // Plan is one size, and what is done with it.
 type Plan struct {
-	Title                                 string
-	Seed                                  uint64
-	Settle, Span, Rest                    time.Duration
-	Bound, Replace                        time.Duration
-	Regions, Zones, Workers, Accelerators int
-	Teams, Dispatchers, Voters, SetAside  int
-	Hollow, Processes, Bare               int
-	Rate                                  float64
-	Every, Restarts, Drains               time.Duration // 0 for never
-	ADay                                  float64
-	Fault                                 *Fault // nil for none
+	Title                                          string
+	Seed                                           uint64
+	Settle, Span, Rest                             time.Duration
+	LeaseDuration, ReplaceAfter                    time.Duration
+	Regions, Zones, Workers, Accelerators          int
+	Teams, Dispatchers, Voters, SetAside           int
+	Hollow, Processes, Bare                        int
+	Rate                                           float64
+	ChangeInterval, RestartInterval, DrainInterval time.Duration // 0 for never
+	ChangesPerDay                                  float64
+	Fault                                          *Fault // nil for none
 
 	// Unprobed has real dispatchers probe no worker: a run without jobs then has nothing on the interface that is not counted,
 	// as probes and jobs are no part of control and go over connections of their own.
-	Unprobed bool
+	SkipWorkerProbes bool
 	// HollowBare are hollow dispatchers beside the others, in a process of their own, that agree on nothing.
 	HollowBare int
 	// Linked has calls to other regions' seats go over links that cut nothing, and what they carry counted.
-	Linked bool
+	CountLinks bool
 }
 
 // Real are the real dispatchers that serve jobs, and have their part in the fleet.
@@ -78,10 +78,10 @@
 
 // Packing is how much faster changes come than on a day of the plan.
 func (p *Plan) Packing() float64 {
-	if p.Every == 0 || p.ADay == 0 {
+	if p.ChangeInterval == 0 || p.ChangesPerDay == 0 {
 		return 0
 	}
-	return (24 * time.Hour).Seconds() / p.Every.Seconds() / p.ADay
+	return (24 * time.Hour).Seconds() / p.ChangeInterval.Seconds() / p.ChangesPerDay
 }
 
 // Load reads and checks a file. An error names all faults with file, line and column.
@@ -90,7 +90,7 @@
 // Parse reads the text of one.
 func Parse(text []byte, path string) (*File, error) {
 	s := fleet.Default()
-	f := &File{Settle: "20s", Bound: s.LeaseDuration, Replace: s.ReplaceAfter}
+	f := &File{Settle: "20s", LeaseDuration: s.LeaseDuration, ReplaceAfter: s.ReplaceAfter}
 	err := hcldiag.Decode(text, path, f, func(body *hclsyntax.Body) hcl.Diagnostics { _, diags := f.plan(body); return diags })
 	if err != nil {
 		return nil, err
@@ -133,14 +133,14 @@
 	span(&p.Settle, "settle", f.Settle, false)
 	span(&p.Span, "span", f.Span, false)
 	span(&p.Rest, "rest", f.Rest, true)
-	span(&p.Bound, "bound", f.Bound, false)
-	span(&p.Replace, "replace", f.Replace, false)
+	span(&p.LeaseDuration, "bound", f.LeaseDuration, false)
+	span(&p.ReplaceAfter, "replace", f.ReplaceAfter, false)
 	if c := f.Changes; c != nil {
-		p.ADay = c.ADay
-		span(&p.Every, "every", c.Every, false)
-		span(&p.Restarts, "restarts", c.Restarts, true)
-		span(&p.Drains, "drains", c.Drains, true)
-		if !(c.ADay > 0) {
+		p.ChangesPerDay = c.PerDay
+		span(&p.ChangeInterval, "every", c.Every, false)
+		span(&p.RestartInterval, "restarts", c.Restarts, true)
+		span(&p.DrainInterval, "drains", c.Drains, true)
+		if !(c.PerDay > 0) {
 			bad("a_day", "It must be above 0.")
 		}
 	}
@@ -157,7 +157,7 @@
 // checkRuns tells what is wrong with the file's faults and slopes.
 func (f *File) checkRuns(p *Plan, blocks map[string][]*hclsyntax.Block) (diags hcl.Diagnostics) {
 	bad := func(b *hclsyntax.Block, attribute, format string, a ...any) {
-		diags = append(diags, hcldiag.At(placeOf(b, attribute), "Bad "+attribute, format, a...))
+		diags = append(diags, hcldiag.At(blockPlace(b, attribute), "Bad "+attribute, format, a...))
 	}
 	all := f.faults(func(n int, attribute, format string, a ...any) { bad(blocks["fault"][n], attribute, format, a...) })
 	for n, x := range all {
@@ -165,11 +165,11 @@
 	}
 	for n, s := range f.Slopes {
 		b := blocks["slope"][n]
-		if len(s.Of) == 0 {
+		if len(s.Sizes) == 0 {
 			bad(b, "of", "It must name sizes.")
 		}
-		for _, size := range s.Of {
-			g, ok := f.sized(s.By, size)
+		for _, size := range s.Sizes {
+			g, ok := f.resized(s.By, size)
 			if !ok {
 				bad(b, "of", "%d %s: it must be above 0, and by dispatchers, workers, zones or changes, which need the block changes.", size, s.By)
 				break
@@ -188,10 +188,10 @@
 
 // check tells what does not go together.
 func (p *Plan) check(say func(attribute, format string, a ...any)) {
-	if p.Bound > 0 && p.Bound < fleet.MinLease {
+	if p.LeaseDuration > 0 && p.LeaseDuration < fleet.MinLease {
 		say("bound", "It must be %v at least.", fleet.MinLease)
 	}
-	if p.Replace > 0 && p.Replace < fleet.MinReplaceAfter {
+	if p.ReplaceAfter > 0 && p.ReplaceAfter < fleet.MinReplaceAfter {
 		say("replace", "It must be %v at least.", fleet.MinReplaceAfter)
 	}
 	if p.Regions < 1 || p.Regions > p.Zones {
--- a/internal/scale/file_test.go
+++ b/internal/scale/file_test.go
@@ -94,7 +94,7 @@
 	if err != nil || !slices.Equal(names, want) {
 		t.Fatalf("%v, not %v: %v", names, want, err)
 	}
-	if x := all[3].Plan; x.Seed != 8 || x.Fault.Kind != Zone || x.Fault.Zone != 1 || x.Span != 2*time.Second+defaultAfter || x.Accelerators != 20 {
+	if x := all[3].Plan; x.Seed != 8 || x.Fault.Kind != ZoneLost || x.Fault.Zone != 1 || x.Span != 2*time.Second+defaultMeasuredAfter || x.Accelerators != 20 {
 		t.Errorf("%+v", x)
 	}
 	if _, err := f.Points(1, 11, 0); err == nil {
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -23,72 +23,72 @@
 )
 
 // role is what a dispatcher of the fleet is there for.
-type role string
+type dispatcherRole string
 
 const (
-	serves role = "dispatcher"
-	aside  role = "set aside"
-	bare   role = "bare" // agrees on nothing
+	roleServing  dispatcherRole = "dispatcher"
+	roleSetAside dispatcherRole = "set aside"
+	roleBare     dispatcherRole = "bare" // agrees on nothing
 )
 
 // member is a dispatcher of the fleet, over its starts. What changes while it plays, the stage's mutex guards.
-type member struct {
-	name     string
-	role     role
-	hollow   bool
-	address  string // for the others
-	zone     int
-	voter    int // in the first council; 0 for none
-	listener int // of a real one
+type fleetDispatcher struct {
+	name         string
+	role         dispatcherRole
+	hollow       bool
+	fleetAddress string // for the others
+	zone         int
+	voterNumber  int // in the first council; 0 for none
+	listener     int // of a real one
 
 	node            *emulator.Node          // of a real one that is there
-	process         *process                // of a hollow one that is there
+	hollowProcess   *hollowProcess          // of a hollow one that is there
 	life            int                     // counted by its starts
-	logs            string                  // of a real one's earlier lives
-	past            []faults.EffectiveState // of a hollow one's earlier lives
+	earlierLogs     string                  // of a real one's earlier lives
+	earlierStates   []faults.EffectiveState // of a hollow one's earlier lives
 	effectiveStates []faults.EffectiveState // and of this one, as they were read last
 	absences        []faults.Absence        // when it was not there
-	cut             []faults.Absence        // when it was, and others did not reach it
+	partitions      []faults.Absence        // when it was, and others did not reach it
 }
 
 // stage is a fleet being played.
-type stage struct {
+type run struct {
 	Plan
 	Options
-	ctx      context.Context
-	cluster  *emulator.Cluster
-	dir      string
-	groups   [][]*member // hollow ones that begin in one process
-	voters   []string
-	links    map[[2]int]map[string]*faults.Link // between two regions, from the first on, by the address behind it
-	hops     []*hop                             // behind them, where what they carry is counted, ...
-	linked   traffic.Meter                      // ... here
-	failover *fleet.Failover
-	overload *fleet.Overload
-	contacts *client // of counts
-	orders   *client // of changes
-	late     ticker
-	begin    time.Time     // of the measured span
-	hurry    chan struct{} // a proposal is due at once
-
-	mu      sync.Mutex
-	members []*member
-	hollow  []*process // that are there
-	started int        // processes of hollow ones, since the begin
-	changes []change
-	jobs    tally
-	samples []reading
-	faulty  faulty
+	ctx            context.Context
+	cluster        *emulator.Cluster
+	dir            string
+	hollowGroups   [][]*fleetDispatcher // hollow ones that begin in one process
+	voterAddresses []string
+	links          map[[2]int]map[string]*faults.Link // between two regions, from the first on, by the address behind it
+	proxies        []*countingProxy                   // behind them, where what they carry is counted, ...
+	linkMeter      traffic.Meter                      // ... here
+	failover       *fleet.Failover
+	overload       *fleet.Overload
+	polls          *meteredClient // of counts
+	proposals      *meteredClient // of changes
+	stalls         stallDetector
+	beganAt        time.Time     // of the measured span
+	proposeNow     chan struct{} // a proposal is due at once
+
+	mu                     sync.Mutex
+	dispatchers            []*fleetDispatcher
+	hollowProcesses        []*hollowProcess // that are there
+	hollowProcessesStarted int              // processes of hollow ones, since the begin
+	changes                []acceptedChange
+	jobCounts              jobCounts
+	snapshots              []snapshot
+	faultRecord            faultRecord
 }
 
 // client is HTTP of the runner's own, counted, as it goes over the same interface.
-type client struct {
+type meteredClient struct {
 	http  *http.Client
 	meter traffic.Meter
 }
 
-func newClient() *client {
-	c := &client{}
+func newClient() *meteredClient {
+	c := &meteredClient{}
 	c.http = &http.Client{Transport: &http.Transport{DialContext: c.meter.Dial(&net.Dialer{}), MaxIdleConnsPerHost: 2}}
 	return c
 }
@@ -101,12 +101,12 @@
 func regionName(n int) string { return fmt.Sprint("r", n) }
 
 // addresses counts those that this process gave.
-var addresses atomic.Int64
+var addressesReserved atomic.Int64
 
 // address gives one that no other dispatcher of this process's runs has: a port that was free for a moment may be given to
 // somebody's connection, and to another run's dispatcher. Connections leave from 127.0.0.1.
-func address() (string, error) {
-	n := int(addresses.Add(1))
+func reserveAddress() (string, error) {
+	n := int(addressesReserved.Add(1))
 	l, err := net.Listen("tcp", fmt.Sprintf("127.88.%d.%d:0", (os.Getpid()+n/200)%250+1, n%200+1))
 	if err != nil {
 		return "", err
@@ -124,7 +124,7 @@
 	s.Kinds = []emulator.Kind{{Name: "box", Count: p.Workers - more, Slots: maximum, SpeedMin: 0.9, SpeedMax: 1.1},
 		{Name: "large-box", Count: more, Slots: maximum + 1, SpeedMin: 0.9, SpeedMax: 1.1}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = p.Zones, p.Regions, 0.03, 5*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Rate = hollowWork.Seconds(), 0, max(p.Rate, 1)
+	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Rate = claimedJobDuration.Seconds(), 0, max(p.Rate, 1)
 	s.Traffic.Accounts = nil
 	for i := range p.Teams {
 		s.Traffic.Accounts = append(s.Traffic.Accounts, emulator.Account{Name: teamName(i), Share: 1})
@@ -136,20 +136,20 @@
 		}
 	}
 	if p.Fault != nil {
-		s.Faults = append(s.Faults, p.Fault.workers(p)...)
+		s.Faults = append(s.Faults, p.Fault.workerFaults(p)...)
 	}
-	repeat(p.Restarts, emulator.Restart, time.Second)
-	repeat(p.Drains, emulator.Drain, drainFor)
+	repeat(p.RestartInterval, emulator.Restart, time.Second)
+	repeat(p.DrainInterval, emulator.Drain, drainDuration)
 	return s
 }
 
 // drainFor is how long a worker that leaves is there for what it has.
-const drainFor = 4 * time.Second
+const drainDuration = 4 * time.Second
 
 func teamName(n int) string { return fmt.Sprint("team-", n+1) }
 
 // capacity are the slots of each zone.
-func (p *Plan) capacity() map[string]float64 {
+func (p *Plan) zoneCapacity() map[string]float64 {
 	all := map[string]float64{}
 	for i := range p.Workers { // as the works deal them: the smaller ones first
 		slots := p.Accelerators / p.Workers
@@ -162,7 +162,7 @@
 }
 
 // place gives a free door, of a zone if there is one.
-func place(free *[]int, zone, zones int) int {
+func takeListener(free *[]int, zone, zones int) int {
 	i := max(slices.IndexFunc(*free, func(listener int) bool { return listener%zones == zone }), 0)
 	door := (*free)[i]
 	*free = slices.Delete(*free, i, i+1)
@@ -181,61 +181,61 @@
 }
 
 // add names a member, at an address of its own.
-func (f *stage) add(m *member) error {
-	at, err := address()
-	m.address = at
-	f.members = append(f.members, m)
+func (f *run) addDispatcher(m *fleetDispatcher) error {
+	at, err := reserveAddress()
+	m.fleetAddress = at
+	f.dispatchers = append(f.dispatchers, m)
 	return err
 }
 
 // build names who is there, and where.
-func (f *stage) build() error {
+func (f *run) layOut() error {
 	var free []int
 	for listener := range f.listeners() - 1 {
 		free = append(free, listener)
 	}
 	for i := range f.SetAside + f.Real() + f.Bare {
-		m := &member{name: fmt.Sprint("n", i), role: serves}
+		m := &fleetDispatcher{name: fmt.Sprint("n", i), role: roleServing}
 		zone := free[0] % f.Zones
 		if i < f.SetAside {
-			m.role = aside
+			m.role = roleSetAside
 		}
 		if i < f.Voters {
-			m.voter, zone = i+1, f.voterZone(i)
+			m.voterNumber, zone = i+1, f.voterZone(i)
 		}
 		if i >= f.SetAside+f.Real() {
-			m.role = bare
+			m.role = roleBare
 		}
-		m.listener = place(&free, zone, f.Zones)
+		m.listener = takeListener(&free, zone, f.Zones)
 		m.zone = m.listener % f.Zones
-		if err := f.add(m); err != nil {
+		if err := f.addDispatcher(m); err != nil {
 			return err
 		}
 	}
-	f.groups = make([][]*member, f.Processes)
+	f.hollowGroups = make([][]*fleetDispatcher, f.Processes)
 	for i := range f.Hollow {
 		group := i % f.Processes
-		m := &member{name: fmt.Sprint("h", i), role: serves, hollow: true, zone: group % f.Zones}
-		if x := f.Fault; x != nil && x.Kind == Replaced && i >= f.Hollow-x.Count { // one that is killed alone
-			f.groups = append(f.groups, []*member{m})
+		m := &fleetDispatcher{name: fmt.Sprint("h", i), role: roleServing, hollow: true, zone: group % f.Zones}
+		if x := f.Fault; x != nil && x.Kind == DispatchersReplaced && i >= f.Hollow-x.Count { // one that is killed alone
+			f.hollowGroups = append(f.hollowGroups, []*fleetDispatcher{m})
 		} else {
-			f.groups[group] = append(f.groups[group], m)
+			f.hollowGroups[group] = append(f.hollowGroups[group], m)
 		}
-		if err := f.add(m); err != nil {
+		if err := f.addDispatcher(m); err != nil {
 			return err
 		}
 	}
-	var apart []*member
+	var apart []*fleetDispatcher
 	for i := range f.HollowBare {
-		apart = append(apart, &member{name: fmt.Sprint("b", i), role: bare, hollow: true})
-		if err := f.add(apart[i]); err != nil {
+		apart = append(apart, &fleetDispatcher{name: fmt.Sprint("b", i), role: roleBare, hollow: true})
+		if err := f.addDispatcher(apart[i]); err != nil {
 			return err
 		}
 	}
-	f.groups = append(f.groups, apart)
-	f.groups = slices.DeleteFunc(f.groups, func(g []*member) bool { return len(g) == 0 })
-	for _, m := range f.members[:f.Voters] {
-		f.voters = append(f.voters, m.address)
+	f.hollowGroups = append(f.hollowGroups, apart)
+	f.hollowGroups = slices.DeleteFunc(f.hollowGroups, func(g []*fleetDispatcher) bool { return len(g) == 0 })
+	for _, m := range f.dispatchers[:f.Voters] {
+		f.voterAddresses = append(f.voterAddresses, m.fleetAddress)
 	}
 	zones := fleet.DefaultFailover()
 	for r := range f.Regions {
@@ -248,29 +248,29 @@
 		zones.Regions = append(zones.Regions, region)
 	}
 	f.failover, f.overload = &zones, &fleet.Overload{RetryRatio: 0.1, ProbesPerSecond: 40}
-	return f.link()
+	return f.openLinks()
 }
 
 // link lays links to the seats of other regions, where regions are to be cut off from each other or links are wanted anyway.
 // Gossip stays within a zone.
-func (f *stage) link() error {
-	if !f.Linked && (f.Fault == nil || f.Fault.Kind != Regions) {
+func (f *run) openLinks() error {
+	if !f.CountLinks && (f.Fault == nil || f.Fault.Kind != RegionPartitioned) {
 		return nil
 	}
 	f.links = map[[2]int]map[string]*faults.Link{}
 	for from := range f.Regions {
-		for n, m := range f.members[:f.Voters] {
+		for n, m := range f.dispatchers[:f.Voters] {
 			to := f.region(m.zone)
 			if to == from {
 				continue
 			}
-			behind := m.address
-			if f.Linked {
-				h, err := newHop(m.address, &f.linked)
+			behind := m.fleetAddress
+			if f.CountLinks {
+				h, err := newCountingProxy(m.fleetAddress, &f.linkMeter)
 				if err != nil {
 					return err
 				}
-				f.hops, behind = append(f.hops, h), h.listener.Addr().String()
+				f.proxies, behind = append(f.proxies, h), h.listener.Addr().String()
 			}
 			l, err := faults.NewLink(behind, f.Seed+uint64(100*from+n))
 			if err != nil {
@@ -279,14 +279,14 @@
 			if f.links[[2]int{from, to}] == nil {
 				f.links[[2]int{from, to}] = map[string]*faults.Link{}
 			}
-			f.links[[2]int{from, to}][m.address] = l
+			f.links[[2]int{from, to}][m.fleetAddress] = l
 		}
 	}
 	return nil
 }
 
 // reach gives where the others' addresses are reached from a region, if elsewhere.
-func (f *stage) reach(from int) map[string]string {
+func (f *run) addressOverrides(from int) map[string]string {
 	all := map[string]string{}
 	for ends, links := range f.links {
 		for address, l := range links {
@@ -301,15 +301,15 @@
 const fleetName = "rig"
 
 // operator is a real dispatcher's file.
-func (f *stage) operator(m *member) string {
+func (f *run) operatorFile(m *fleetDispatcher) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "council {\n fleet = %q\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n replace = %q\n region = %q\n zone = %q\n set_aside = %t\n voters = [",
-		fleetName, m.address, m.voter, filepath.Join(f.dir, "disk-"+m.name), f.Bound, f.Replace, regionName(f.region(m.zone)), zoneName(m.zone), m.role == aside)
-	for _, v := range f.voters {
+		fleetName, m.fleetAddress, m.voterNumber, filepath.Join(f.dir, "disk-"+m.name), f.LeaseDuration, f.ReplaceAfter, regionName(f.region(m.zone)), zoneName(m.zone), m.role == roleSetAside)
+	for _, v := range f.voterAddresses {
 		fmt.Fprintf(&b, "%q, ", v)
 	}
 	b.WriteString("]\n reach = {\n")
-	for address, to := range f.reach(f.region(m.zone)) {
+	for address, to := range f.addressOverrides(f.region(m.zone)) {
 		fmt.Fprintf(&b, "  %q = %q\n", address, to)
 	}
 	b.WriteString(" }\n}\nfailover {\n")
@@ -326,7 +326,7 @@
 }
 
 // config writes the platform's file of a door for somebody, with the number of dispatchers that the whole fleet has.
-func (f *stage) config(listener int, whose string) (path string, err error) {
+func (f *run) writeConfig(listener int, whose string) (path string, err error) {
 	text, err := f.cluster.Config(listener)
 	if err != nil {
 		return "", err
@@ -340,7 +340,7 @@
 		return "", errors.New("the works' file has no settings")
 	}
 	settings["replicasOfMe"] = f.Dispatchers
-	if limits, ok := settings["limits"].(map[string]any); ok && f.Unprobed {
+	if limits, ok := settings["limits"].(map[string]any); ok && f.SkipWorkerProbes {
 		limits["probing"] = false
 	}
 	if text, err = json.Marshal(all); err != nil {
@@ -351,15 +351,15 @@
 }
 
 // start starts a real dispatcher.
-func (f *stage) start(m *member) error {
-	config, err := f.config(m.listener, m.name)
+func (f *run) startDispatcher(m *fleetDispatcher) error {
+	config, err := f.writeConfig(m.listener, m.name)
 	if err != nil {
 		return err
 	}
 	args := []string{"serve"}
-	if m.role != bare {
+	if m.role != roleBare {
 		path := filepath.Join(f.dir, "operator-"+m.name+".hcl")
-		if err := os.WriteFile(path, []byte(f.operator(m)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(f.operatorFile(m)), 0o600); err != nil {
 			return err
 		}
 		args = append(args, "--operator", path)
@@ -375,7 +375,7 @@
 	return nil
 }
 
-func together(all []func() error) error {
+func inParallel(all []func() error) error {
 	errs := make([]error, len(all))
 	var wait sync.WaitGroup
 	for i, do := range all {
@@ -386,14 +386,14 @@
 }
 
 // get asks the runner's own questions.
-func (f *stage) get(url string, to any) error {
-	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(maxPollInterval))
+func (f *run) pollJSON(url string, to any) error {
+	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(pollTimeout))
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := f.contacts.http.Do(r)
+	resp, err := f.polls.http.Do(r)
 	if err != nil {
 		return err
 	}
@@ -409,4 +409,4 @@
 	return json.Unmarshal(text, to)
 }
 
-const maxPollInterval = 5 * time.Second
+const pollTimeout = 5 * time.Second
--- a/internal/scale/hop.go
+++ b/internal/scale/hop.go
@@ -9,9 +9,9 @@
 )
 
 // hop is behind a link, before whom it leads to, and counts what the link carries: a link itself does not.
-type hop struct {
+type countingProxy struct {
 	listener net.Listener
-	to       string
+	target   string
 	meter    *traffic.Meter // of the way from it on
 
 	mu    sync.Mutex
@@ -19,39 +19,39 @@
 }
 
 // hops is how often a byte that goes over a link with a hop is on the interface more often than without.
-const hops = 2
+const extraProxyTransits = 2
 
-func newHop(to string, meter *traffic.Meter) (*hop, error) {
+func newCountingProxy(to string, meter *traffic.Meter) (*countingProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	h := &hop{listener: l, to: to, meter: meter, conns: map[net.Conn]bool{}}
+	h := &countingProxy{listener: l, target: to, meter: meter, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go h.pass(c)
+			go h.forward(c)
 		}
 	}()
 	return h, nil
 }
 
 // pass carries a connection until either side ends it.
-func (h *hop) pass(in net.Conn) {
+func (h *countingProxy) forward(in net.Conn) {
 	defer in.Close()
-	to, err := net.Dial("tcp", h.to)
+	to, err := net.Dial("tcp", h.target)
 	if err != nil {
 		return
 	}
 	out := h.meter.Of(to, traffic.Other)
 	defer out.Close()
-	if !h.hold(in) {
+	if !h.track(in) {
 		return
 	}
-	defer h.drop(in)
+	defer h.untrack(in)
 	var wait sync.WaitGroup
 	for _, direction := range [][2]net.Conn{{in, out}, {out, in}} {
 		wait.Go(func() {
@@ -63,7 +63,7 @@
 	wait.Wait()
 }
 
-func (h *hop) hold(c net.Conn) bool {
+func (h *countingProxy) track(c net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.conns == nil {
@@ -73,14 +73,14 @@
 	return true
 }
 
-func (h *hop) drop(c net.Conn) {
+func (h *countingProxy) untrack(c net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.conns, c)
 }
 
 // Close ends it, and what it carries.
-func (h *hop) Close() error {
+func (h *countingProxy) Close() error {
 	err := h.listener.Close()
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scale/hop_test.go
+++ b/internal/scale/hop_test.go
@@ -29,7 +29,7 @@
 		}
 	}()
 	var meter traffic.Meter
-	h, err := newHop(l.Addr().String(), &meter)
+	h, err := newCountingProxy(l.Addr().String(), &meter)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/interface_test.go
+++ b/internal/scale/interface_test.go
@@ -36,13 +36,13 @@
 		t.Run(name, func(t *testing.T) {
 			f, err := Parse([]byte(aloneFile), "x.hcl")
 			p := points(t, f, err)[0].Plan
-			p.Unprobed, p.Linked = true, linked
-			before, err := machineNow()
+			p.SkipWorkerProbes, p.CountLinks = true, linked
+			before, err := readMachineCounters()
 			if err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
-			idle, err := machineNow()
+			idle, err := readMachineCounters()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -56,9 +56,9 @@
 			}
 			x := r.Interface
 			t.Logf("%+v", x)
-			if x.Counted == 0 || x.Ratio < 0.9 || x.Ratio > 1.1 {
+			if x.Counted == 0 || x.CountedShare < 0.9 || x.CountedShare > 1.1 {
 				t.Errorf("%.0f bytes a second were counted, %.0f were carried: %.3f of it; others had %.0f carried in the second before the start",
-					x.Counted, x.Bytes, x.Ratio, carried(before, idle))
+					x.Counted, x.Bytes, x.CountedShare, loopbackPayload(before, idle))
 			}
 			if carried := x.Links > 0; carried != linked {
 				t.Errorf("links carried %.0f bytes a second", x.Links)
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -14,56 +14,56 @@
 )
 
 const (
-	tickEvery      = 100 * time.Millisecond
-	tickLate       = 250 * time.Millisecond // by more the machine is the limit, ...
-	ticksMayBeLate = 3                      // ... if that is so more often
-	maxBusy        = 0.85                   // of all cores, over the measured span
+	tickInterval  = 100 * time.Millisecond
+	tickTolerance = 250 * time.Millisecond // by more the machine is the limit, ...
+	maxLateTicks  = 3                      // ... if that is so more often
+	maxBusyShare  = 0.85                   // of all cores, over the measured span
 
-	ticksPerSecond = 100 // of the kernel's clock in /proc
+	clockTicksPerSecond = 100 // of the kernel's clock in /proc
 )
 
 // Late is when a process was kept waiting for a tick.
-type Late struct{ Due, At time.Time }
+type lateTick struct{ Due, At time.Time }
 
 // ticker notes when a process was kept waiting.
-type ticker struct {
+type stallDetector struct {
 	mu   sync.Mutex
-	late []Late
+	late []lateTick
 }
 
-func (t *ticker) all() []Late {
+func (t *stallDetector) all() []lateTick {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.late)
 }
 
-func (t *ticker) run(ctx context.Context) {
+func (t *stallDetector) run(ctx context.Context) {
 	for {
-		due := time.Now().Add(tickEvery)
+		due := time.Now().Add(tickInterval)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(tickEvery):
+		case <-time.After(tickInterval):
 		}
 		t.ticked(due, time.Now())
 	}
 }
 
-func (t *ticker) ticked(due, at time.Time) {
-	if at.Sub(due) > tickLate {
+func (t *stallDetector) ticked(due, at time.Time) {
+	if at.Sub(due) > tickTolerance {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.late = append(t.late, Late{due, at})
+		t.late = append(t.late, lateTick{due, at})
 	}
 }
 
 // usage is what a process has used.
-type usage struct {
-	cpu    float64 // ms since its start
-	memory float64 // MB resident now
+type processUsage struct {
+	cpuMS    float64 // ms since its start
+	memoryMB float64 // MB resident now
 }
 
-func usageOf(pid int) (u usage, err error) {
+func readProcessUsage(pid int) (u processUsage, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
@@ -73,29 +73,29 @@
 	if len(fields) < 22 {
 		return u, fmt.Errorf("/proc/%d/stat is short", pid)
 	}
-	u.cpu = (number(fields[11]) + number(fields[12])) * 1000 / ticksPerSecond
-	u.memory = number(fields[21]) * float64(os.Getpagesize()) / (1 << 20)
+	u.cpuMS = (parseNumber(fields[11]) + parseNumber(fields[12])) * 1000 / clockTicksPerSecond
+	u.memoryMB = parseNumber(fields[21]) * float64(os.Getpagesize()) / (1 << 20)
 	return u, nil
 }
 
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	x, _ := strconv.ParseFloat(text, 64)
 	return x
 }
 
 // machine is what the whole machine has done since its start.
-type machine struct {
-	busy, all    float64 // of the cores, in ticks
-	bytes        float64 // over the loopback interface, heads included
-	packets, udp float64 // over it, and UDP's of them
+type machineCounters struct {
+	busyTicks, totalTicks       float64 // of the cores, in ticks
+	loopbackBytes               float64 // over the loopback interface, heads included
+	loopbackPackets, udpPackets float64 // over it, and UDP's of them
 }
 
 const (
-	tcpHead = 52 // bytes of a packet on the interface that are no bytes of the connection's
-	udpHead = 28
+	tcpHeaderBytes = 52 // bytes of a packet on the interface that are no bytes of the connection's
+	udpHeaderBytes = 28
 )
 
-func machineNow() (m machine, err error) {
+func readMachineCounters() (m machineCounters, err error) {
 	read := func(path string) []string {
 		text, e := os.ReadFile(path)
 		if err == nil {
@@ -105,15 +105,15 @@
 	}
 	for i, x := range strings.Fields(read("/proc/stat")[0])[1:] {
 		if i < 8 { // guests are in user time already
-			if m.all += number(x); i != 3 && i != 4 {
-				m.busy += number(x)
+			if m.totalTicks += parseNumber(x); i != 3 && i != 4 {
+				m.busyTicks += parseNumber(x)
 			}
 		}
 	}
 	for _, line := range read("/proc/net/dev") {
 		if name, rest, ok := strings.Cut(line, ":"); ok && strings.TrimSpace(name) == "lo" {
 			if f := strings.Fields(rest); len(f) > 1 {
-				m.bytes, m.packets = number(f[0]), number(f[1])
+				m.loopbackBytes, m.loopbackPackets = parseNumber(f[0]), parseNumber(f[1])
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 		for i, name := range names {
 			if name == "OutDatagrams" && i < len(f) {
-				m.udp = number(f[i])
+				m.udpPackets = parseNumber(f[i])
 			}
 		}
 	}
@@ -137,33 +137,33 @@
 }
 
 // carried are the bytes between two moments that the kernel did not add.
-func carried(before, after machine) float64 {
-	udp := after.udp - before.udp
-	return after.bytes - before.bytes - udp*udpHead - (after.packets-before.packets-udp)*tcpHead
+func loopbackPayload(before, after machineCounters) float64 {
+	udp := after.udpPackets - before.udpPackets
+	return after.loopbackBytes - before.loopbackBytes - udp*udpHeaderBytes - (after.loopbackPackets-before.loopbackPackets-udp)*tcpHeaderBytes
 }
 
 // control is what a dispatcher has counted, by kind.
-type control = map[string]traffic.Count
+type controlCounts = map[string]traffic.Count
 
 // reading is all that is read at one moment.
-type reading struct {
-	at      time.Time
-	control map[string]control // by dispatcher
-	pids    map[string]int     // and its process
-	sharing map[int]int        // how many dispatchers are in a process
-	seated  map[string]bool    // who has a seat
-	leads   string             // and who leads
-	used    map[int]usage      // by process
-	machine machine
-	late    []Late
-	own     traffic.Count // what the runner's questions cost
-	orders  traffic.Count // and its proposals
-	linked  traffic.Count // what links carried, where that is counted
+type snapshot struct {
+	at              time.Time
+	control         map[string]controlCounts // by dispatcher
+	pids            map[string]int           // and its process
+	processSizes    map[int]int              // how many dispatchers are in a process
+	voters          map[string]bool          // who has a seat
+	leader          string                   // and who leads
+	usage           map[int]processUsage     // by process
+	machine         machineCounters
+	lateTicks       []lateTick
+	pollTraffic     traffic.Count // what the runner's questions cost
+	proposalTraffic traffic.Count // and its proposals
+	linkTraffic     traffic.Count // what links carried, where that is counted
 }
 
 // less gives what was counted between two moments.
-func less(after, before control) control {
-	d := control{}
+func subtractCounts(after, before controlCounts) controlCounts {
+	d := controlCounts{}
 	for kind, a := range after {
 		b := before[kind]
 		d[kind] = traffic.Count{Sent: a.Sent - b.Sent, Received: a.Received - b.Received, Messages: a.Messages - b.Messages}
@@ -172,21 +172,21 @@
 }
 
 // spent gives what a dispatcher counted between two moments, where it is one and the same process at both.
-func spent(before, after reading, name string) (control, bool) {
+func controlBetween(before, after snapshot, name string) (controlCounts, bool) {
 	pid, there := after.pids[name]
 	if had, was := before.pids[name]; !there || !was || had != pid {
 		return nil, false
 	}
-	return less(after.control[name], before.control[name]), true
+	return subtractCounts(after.control[name], before.control[name]), true
 }
 
 // cpu gives the milliseconds that a dispatcher's process used between two moments, by dispatcher; 0 where it is not the same.
-func cpu(before, after reading, name string) float64 {
+func cpuBetween(before, after snapshot, name string) float64 {
 	pid := after.pids[name]
-	had, was := before.used[pid]
-	has, is := after.used[pid]
+	had, was := before.usage[pid]
+	has, is := after.usage[pid]
 	if !was || !is || before.pids[name] != pid {
 		return 0
 	}
-	return (has.cpu - had.cpu) / float64(max(after.sharing[pid], 1))
+	return (has.cpuMS - had.cpuMS) / float64(max(after.processSizes[pid], 1))
 }
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -12,15 +12,15 @@
 
 // A tick counts as late past the allowance alone.
 func TestTicker(t *testing.T) {
-	var x ticker
+	var x stallDetector
 	due := time.Now()
 	x.ticked(due, due)
-	x.ticked(due, due.Add(tickLate))
+	x.ticked(due, due.Add(tickTolerance))
 	if all := x.all(); len(all) != 0 {
 		t.Errorf("%+v", all)
 	}
-	x.ticked(due, due.Add(tickLate+time.Millisecond))
-	if all := x.all(); len(all) != 1 || all[0].Due != due || all[0].At != due.Add(tickLate+time.Millisecond) {
+	x.ticked(due, due.Add(tickTolerance+time.Millisecond))
+	if all := x.all(); len(all) != 1 || all[0].Due != due || all[0].At != due.Add(tickTolerance+time.Millisecond) {
 		t.Errorf("%+v", all)
 	}
 }
@@ -29,25 +29,25 @@
 // came late while a tick did.
 func TestFellBehind(t *testing.T) {
 	at := time.Now()
-	late := func(n int) (all []Late) {
+	late := func(n int) (all []lateTick) {
 		for range n {
-			all = append(all, Late{at, at.Add(time.Second)})
+			all = append(all, lateTick{at, at.Add(time.Second)})
 		}
 		return all
 	}
 	for _, c := range []struct {
 		what          string
-		before, after reading
+		before, after snapshot
 		want          string
 	}{
-		{"nothing", reading{}, reading{machine: machine{busy: maxBusy * 1000, all: 1000}}, ""},
-		{"a few ticks", reading{}, reading{late: late(ticksMayBeLate)}, ""},
-		{"ticks before", reading{late: late(9)}, reading{late: late(9 + ticksMayBeLate)}, ""},
-		{"ticks", reading{late: late(2)}, reading{late: late(2 + ticksMayBeLate + 1)}, "4 ticks"},
-		{"cores", reading{machine: machine{busy: 500, all: 1000}}, reading{machine: machine{busy: 1400, all: 2000}}, "90% of"},
+		{"nothing", snapshot{}, snapshot{machine: machineCounters{busyTicks: maxBusyShare * 1000, totalTicks: 1000}}, ""},
+		{"a few ticks", snapshot{}, snapshot{lateTicks: late(maxLateTicks)}, ""},
+		{"ticks before", snapshot{lateTicks: late(9)}, snapshot{lateTicks: late(9 + maxLateTicks)}, ""},
+		{"ticks", snapshot{lateTicks: late(2)}, snapshot{lateTicks: late(2 + maxLateTicks + 1)}, "4 ticks"},
+		{"cores", snapshot{machine: machineCounters{busyTicks: 500, totalTicks: 1000}}, snapshot{machine: machineCounters{busyTicks: 1400, totalTicks: 2000}}, "90% of"},
 	} {
 		r := &Result{}
-		(&stage{}).fellBehind(r, c.before, c.after)
+		(&run{}).checkMachine(r, c.before, c.after)
 		if r.FellBehind != (c.want != "") || !strings.Contains(r.FellBehindWhy, c.want) {
 			t.Errorf("%s: %v %q", c.what, r.FellBehind, r.FellBehindWhy)
 		}
@@ -55,21 +55,21 @@
 			t.Errorf("%s: %v", c.what, r.Err())
 		}
 	}
-	f := &stage{changes: []change{{version: 2, at: at}}}
+	f := &run{changes: []acceptedChange{{version: 2, at: at}}}
 	acted := func(after time.Duration) []*history {
-		return []*history{{member: &member{name: "h1"}, effectiveStates: []faults.EffectiveState{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
+		return []*history{{fleetDispatcher: &fleetDispatcher{name: "h1"}, effectiveStates: []faults.EffectiveState{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
 	}
 	for _, c := range []struct {
 		after, due, came time.Duration
 		want             bool
 	}{
-		{slow + time.Second, time.Second, 1500 * time.Millisecond, true},
-		{slow - time.Millisecond, 0, 500 * time.Millisecond, false},
-		{slow + time.Second, -2 * time.Second, -time.Second, false},
-		{slow + time.Second, 3 * time.Second, 4 * time.Second, false},
+		{slowChange + time.Second, time.Second, 1500 * time.Millisecond, true},
+		{slowChange - time.Millisecond, 0, 500 * time.Millisecond, false},
+		{slowChange + time.Second, -2 * time.Second, -time.Second, false},
+		{slowChange + time.Second, 3 * time.Second, 4 * time.Second, false},
 	} {
 		r := &Result{}
-		f.inForce(r, acted(c.after), []Late{{at.Add(c.due), at.Add(c.came)}})
+		f.addInForce(r, acted(c.after), []lateTick{{at.Add(c.due), at.Add(c.came)}})
 		if r.FellBehind != c.want || c.want && !strings.Contains(r.FellBehindWhy, "version 2 was in force at h1 after 2000 ms") {
 			t.Errorf("%+v: %v %q", c, r.FellBehind, r.FellBehindWhy)
 		}
@@ -81,40 +81,40 @@
 func TestStarved(t *testing.T) {
 	f, err := Parse([]byte(sizesFile), "x.hcl")
 	all := points(t, f, err)
-	x := &stage{Plan: all[0].Plan, Options: options(t), ctx: t.Context(), dir: t.TempDir(), contacts: newClient(), orders: newClient()}
+	x := &run{Plan: all[0].Plan, Options: options(t), ctx: t.Context(), dir: t.TempDir(), polls: newClient(), proposals: newClient()}
 	if x.cluster, err = emulator.Open(x.scenario()); err != nil {
 		t.Fatal(err)
 	}
 	defer x.cluster.Close()
 	defer x.closeAll()
-	if err := x.build(); err != nil {
+	if err := x.layOut(); err != nil {
 		t.Fatal(err)
 	}
-	if err := x.startHollow(x.groups[0]); err != nil {
+	if err := x.startHollowProcess(x.hollowGroups[0]); err != nil {
 		t.Fatal(err)
 	}
-	before, err := x.read()
+	before, err := x.takeSnapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(before.control) != len(x.groups[0]) {
-		t.Errorf("%d dispatchers in a process of %d", len(before.control), len(x.groups[0]))
+	if len(before.control) != len(x.hollowGroups[0]) {
+		t.Errorf("%d dispatchers in a process of %d", len(before.control), len(x.hollowGroups[0]))
 	}
-	process := x.processes()[0].cmd.Process
-	time.Sleep(2 * tickEvery) // its ticker runs
-	for range ticksMayBeLate + 1 {
+	process := x.runningHollowProcesses()[0].cmd.Process
+	time.Sleep(2 * tickInterval) // its ticker runs
+	for range maxLateTicks + 1 {
 		_ = process.Signal(syscall.SIGSTOP)
-		time.Sleep(tickEvery + 2*tickLate)
+		time.Sleep(tickInterval + 2*tickTolerance)
 		_ = process.Signal(syscall.SIGCONT)
-		time.Sleep(2 * tickEvery)
+		time.Sleep(2 * tickInterval)
 	}
-	after, err := x.read()
+	after, err := x.takeSnapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	after.machine, before.machine = machine{}, machine{} // however busy it is
+	after.machine, before.machine = machineCounters{}, machineCounters{} // however busy it is
 	r := &Result{}
-	if x.fellBehind(r, before, after); !r.FellBehind || !strings.Contains(r.FellBehindWhy, "late by more than") {
+	if x.checkMachine(r, before, after); !r.FellBehind || !strings.Contains(r.FellBehindWhy, "late by more than") {
 		t.Errorf("%v %q", r.FellBehind, r.FellBehindWhy)
 	}
 }
--- a/internal/scale/points.go
+++ b/internal/scale/points.go
@@ -7,9 +7,9 @@
 )
 
 // SlopeFile is a list of sizes that differ in one thing.
-type SlopeFile struct {
-	By string `hcl:"by,label"` // dispatchers, workers, zones or changes
-	Of []int  `hcl:"of"`       // changes are those within the measured span
+type slopeBlock struct {
+	By    string `hcl:"by,label"` // dispatchers, workers, zones or changes
+	Sizes []int  `hcl:"of"`       // changes are those within the measured span
 }
 
 // Point is one run of a file that has several.
@@ -19,7 +19,7 @@
 }
 
 // sized gives the file at another size. Real dispatchers stay as many, and accelerators as many a worker.
-func (f *File) sized(by string, n int) (*File, bool) {
+func (f *File) resized(by string, n int) (*File, bool) {
 	g := *f
 	switch by {
 	case "dispatchers":
@@ -79,25 +79,25 @@
 		}
 		for _, x := range g.faults(func(int, string, string, ...any) {}) {
 			p := with(&g)
-			p.Fault, p.Span = &x, max(p.Span, x.span())
-			add(named(string(x.Kind), f.Seeds, p.Seed), p)
+			p.Fault, p.Span = &x, max(p.Span, x.measuredSpan())
+			add(pointName(string(x.Kind), f.Seeds, p.Seed), p)
 		}
 		for _, s := range f.Slopes {
-			for _, size := range s.Of {
-				if h, ok := g.sized(s.By, size); ok {
+			for _, size := range s.Sizes {
+				if h, ok := g.resized(s.By, size); ok {
 					p := with(h)
-					add(named(fmt.Sprintf("d%d-w%d-z%d-c%d", p.Dispatchers, p.Workers, p.Zones, p.expected()), f.Seeds, p.Seed), p)
+					add(pointName(fmt.Sprintf("d%d-w%d-z%d-c%d", p.Dispatchers, p.Workers, p.Zones, p.plannedChanges()), f.Seeds, p.Seed), p)
 				}
 			}
 		}
 		if len(f.Faults)+len(f.Slopes) == 0 {
-			add(named("", f.Seeds, seed+n), with(&g))
+			add(pointName("", f.Seeds, seed+n), with(&g))
 		}
 	}
 	return all, first
 }
 
-func named(name string, seeds int, seed uint64) string {
+func pointName(name string, seeds int, seed uint64) string {
 	switch {
 	case seeds < 2:
 		return name
@@ -108,9 +108,9 @@
 }
 
 // expected is how many changes the measured span has room for.
-func (p *Plan) expected() int {
-	if p.Every == 0 {
+func (p *Plan) plannedChanges() int {
+	if p.ChangeInterval == 0 {
 		return 0
 	}
-	return int((p.Span - p.Rest + p.Every - 1) / p.Every)
+	return int((p.Span - p.Rest + p.ChangeInterval - 1) / p.ChangeInterval)
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -17,31 +17,31 @@
 )
 
 // process holds hollow dispatchers, all of one zone.
-type process struct {
-	members []*member
-	cmd     *exec.Cmd
-	pipe    io.Closer
-	log     string // its file
-	at      string // where it is asked
-	ended   chan struct{}
+type hollowProcess struct {
+	dispatchers []*fleetDispatcher
+	cmd         *exec.Cmd
+	stdin       io.Closer
+	logPath     string // its file
+	address     string // where it is asked
+	exited      chan struct{}
 }
 
 // startHollow starts a process of hollow dispatchers.
-func (f *stage) startHollow(group []*member) error {
+func (f *run) startHollowProcess(group []*fleetDispatcher) error {
 	f.mu.Lock()
-	n := f.started
-	f.started++
+	n := f.hollowProcessesStarted
+	f.hollowProcessesStarted++
 	f.mu.Unlock()
-	config, err := f.config(f.listeners()-1, fmt.Sprint("hollow-", n))
+	config, err := f.writeConfig(f.listeners()-1, fmt.Sprint("hollow-", n))
 	if err != nil {
 		return err
 	}
 	zone := group[0].zone
-	spec := Spec{Config: config, Directory: f.dir, Fleet: fleetName, Zone: zoneName(zone), Region: regionName(f.region(zone)),
-		Bound: f.Bound.String(), Replace: f.Replace.String(), Voters: f.voters, Among: f.Dispatchers, Capacity: f.capacity(), Workers: f.Workers,
-		Rate: f.Rate / float64(f.Dispatchers), Failover: f.failover, Overload: f.overload, Reach: f.reach(f.region(zone)), Seed: f.Seed*1000 + uint64(n), Bare: group[0].role == bare}
+	spec := HollowSpec{ConfigPath: config, Directory: f.dir, Fleet: fleetName, Zone: zoneName(zone), Region: regionName(f.region(zone)),
+		LeaseDuration: f.LeaseDuration.String(), ReplaceAfter: f.ReplaceAfter.String(), Voters: f.voterAddresses, FleetSize: f.Dispatchers, Capacity: f.zoneCapacity(), Workers: f.Workers,
+		Rate: f.Rate / float64(f.Dispatchers), Failover: f.failover, Overload: f.overload, AddressOverrides: f.addressOverrides(f.region(zone)), Seed: f.Seed*1000 + uint64(n), Bare: group[0].role == roleBare}
 	for _, m := range group {
-		spec.Each = append(spec.Each, HollowSpec{m.name, m.address})
+		spec.Dispatchers = append(spec.Dispatchers, HollowDispatcherSpec{m.name, m.fleetAddress})
 	}
 	path := filepath.Join(f.dir, fmt.Sprintf("hollow-%d.json", n))
 	text, err := json.Marshal(spec)
@@ -51,8 +51,8 @@
 	if err != nil {
 		return err
 	}
-	p := &process{members: group, log: filepath.Join(f.dir, fmt.Sprintf("hollow-%d.log", n)), ended: make(chan struct{})}
-	log, err := os.Create(p.log)
+	p := &hollowProcess{dispatchers: group, logPath: filepath.Join(f.dir, fmt.Sprintf("hollow-%d.log", n)), exited: make(chan struct{})}
+	log, err := os.Create(p.logPath)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	p.cmd = exec.Command(f.Self, append(slices.Clone(f.HollowArgs), path)...)
 	p.cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	p.cmd.Stderr = log
-	if p.pipe, err = p.cmd.StdinPipe(); err != nil {
+	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return err
 	}
 	out, err := p.cmd.StdoutPipe()
@@ -76,31 +76,31 @@
 		said <- strings.TrimSpace(line)
 		_, _ = io.Copy(io.Discard, out)
 		_ = p.cmd.Wait()
-		close(p.ended)
+		close(p.exited)
 	}()
-	if p.at = <-said; p.at == "" {
+	if p.address = <-said; p.address == "" {
 		p.kill()
-		text, _ := os.ReadFile(p.log)
+		text, _ := os.ReadFile(p.logPath)
 		return fmt.Errorf("hollow process %d ended before it was ready: %s", n, text)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hollow = append(f.hollow, p)
+	f.hollowProcesses = append(f.hollowProcesses, p)
 	for _, m := range group {
-		m.process = p
+		m.hollowProcess = p
 		m.life++
 	}
 	return nil
 }
 
 // kill ends a process at once.
-func (p *process) kill() {
+func (p *hollowProcess) kill() {
 	_ = p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
 
 // stood gives what a hollow dispatcher acted on, by its process's log.
-func stood(log, name string, end time.Time) []faults.EffectiveState {
+func statesFromLog(log, name string, end time.Time) []faults.EffectiveState {
 	var own strings.Builder
 	mark := " hollow=" + name + " "
 	for line := range strings.Lines(log) {
@@ -112,31 +112,31 @@
 }
 
 // startAll starts the seats, then all others at once.
-func (f *stage) startAll() error {
+func (f *run) startAll() error {
 	var seats, others []func() error
-	for _, m := range f.members {
+	for _, m := range f.dispatchers {
 		switch {
 		case m.hollow:
-		case m.voter > 0:
-			seats = append(seats, func() error { return f.start(m) })
+		case m.voterNumber > 0:
+			seats = append(seats, func() error { return f.startDispatcher(m) })
 		default:
-			others = append(others, func() error { return f.start(m) })
+			others = append(others, func() error { return f.startDispatcher(m) })
 		}
 	}
-	for _, g := range f.groups {
-		others = append(others, func() error { return f.startHollow(g) })
+	for _, g := range f.hollowGroups {
+		others = append(others, func() error { return f.startHollowProcess(g) })
 	}
-	return cmp.Or(together(seats), together(others))
+	return cmp.Or(inParallel(seats), inParallel(others))
 }
 
 // closeAll ends what was started.
-func (f *stage) closeAll() {
-	for _, m := range f.there() {
+func (f *run) closeAll() {
+	for _, m := range f.running() {
 		if m.node != nil {
 			m.node.Kill()
 		}
 	}
-	for _, p := range f.processes() {
+	for _, p := range f.runningHollowProcesses() {
 		p.kill()
 	}
 	for _, links := range f.links {
@@ -144,19 +144,19 @@
 			l.Close()
 		}
 	}
-	for _, h := range f.hops {
+	for _, h := range f.proxies {
 		h.Close()
 	}
-	f.contacts.http.CloseIdleConnections()
-	f.orders.http.CloseIdleConnections()
+	f.polls.http.CloseIdleConnections()
+	f.proposals.http.CloseIdleConnections()
 }
 
 // there are the members that are, as they are now.
-func (f *stage) there() (all []member) {
+func (f *run) running() (all []fleetDispatcher) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range f.members {
-		if m.node != nil || m.process != nil {
+	for _, m := range f.dispatchers {
+		if m.node != nil || m.hollowProcess != nil {
 			all = append(all, *m)
 		}
 	}
@@ -164,8 +164,8 @@
 }
 
 // processes are those of hollow dispatchers that are there.
-func (f *stage) processes() []*process {
+func (f *run) runningHollowProcesses() []*hollowProcess {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.hollow)
+	return slices.Clone(f.hollowProcesses)
 }
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -14,27 +14,27 @@
 
 // Result is what a plan came to. The names of its figures are kept.
 type Result struct {
-	Title        string    `json:"title"`
-	Commit       string    `json:"commit"` // of the build
-	Command      string    `json:"command"`
-	Seed         uint64    `json:"seed"`
-	At           time.Time `json:"at"`
-	SpanS        float64   `json:"span_s"`
-	BoundMS      float64   `json:"bound_ms"`
-	Packing      float64   `json:"packing"` // how much faster changes came than on a day of the plan
-	Dispatchers  int       `json:"dispatchers"`
-	Hollow       int       `json:"hollow"`
-	Processes    int       `json:"processes"`
-	Real         int       `json:"real"`
-	Bare         int       `json:"bare"`
-	Workers      int       `json:"workers"`
-	Accelerators int       `json:"accelerators"`
-	Zones        int       `json:"zones"`
-	Regions      int       `json:"regions"`
-	Teams        int       `json:"teams"`
-	Voters       int       `json:"seats"`
-	SetAside     int       `json:"set_aside"`
-	Changes      int       `json:"changes"`
+	Title           string    `json:"title"`
+	Commit          string    `json:"commit"` // of the build
+	Command         string    `json:"command"`
+	Seed            uint64    `json:"seed"`
+	At              time.Time `json:"at"`
+	SpanS           float64   `json:"span_s"`
+	LeaseDurationMS float64   `json:"bound_ms"`
+	Packing         float64   `json:"packing"` // how much faster changes came than on a day of the plan
+	Dispatchers     int       `json:"dispatchers"`
+	Hollow          int       `json:"hollow"`
+	Processes       int       `json:"processes"`
+	Real            int       `json:"real"`
+	Bare            int       `json:"bare"`
+	Workers         int       `json:"workers"`
+	Accelerators    int       `json:"accelerators"`
+	Zones           int       `json:"zones"`
+	Regions         int       `json:"regions"`
+	Teams           int       `json:"teams"`
+	Voters          int       `json:"seats"`
+	SetAside        int       `json:"set_aside"`
+	Changes         int       `json:"changes"`
 
 	BytesP50        float64 `json:"control_bytes_s_p50"` // both ways, over dispatchers that are not set aside
 	BytesP99        float64 `json:"control_bytes_s_p99"`
@@ -43,11 +43,11 @@
 	CPU             float64 `json:"control_cpu_ms_s"`  // of a real one, less a bare one's
 	Memory          float64 `json:"control_memory_mb"` // the same
 	HollowCPU       float64 `json:"hollow_cpu_ms_s"`
-	MaxVoterBytes   float64 `json:"seat_bytes_s_most"`
-	MaxVoterCPU     float64 `json:"seat_cpu_ms_s_most"`
+	VoterBytesMax   float64 `json:"seat_bytes_s_most"`
+	VoterCPUMax     float64 `json:"seat_cpu_ms_s_most"`
 	LeaderBytes     float64 `json:"leader_bytes_s"`
 	LeaderCPU       float64 `json:"leader_cpu_ms_s"`
-	MaxVoterMemory  float64 `json:"seat_memory_mb_most"`
+	VoterMemoryMax  float64 `json:"seat_memory_mb_most"`
 	RealCPU         float64 `json:"real_cpu_ms_s"` // whole, as that of the others
 	BareCPU         float64 `json:"bare_cpu_ms_s"`
 	HollowBareCPU   float64 `json:"hollow_bare_cpu_ms_s,omitempty"`
@@ -94,10 +94,10 @@
 // links carry is in it once, where that is counted. It is
 // empty in runs with a fault: dispatchers take their counts with them.
 type Interface struct {
-	Bytes   float64 `json:"bytes_s"`
-	Counted float64 `json:"counted_bytes_s"`
-	Ratio   float64 `json:"ratio"` // of the second to the first
-	Links   float64 `json:"links_bytes_s,omitempty"`
+	Bytes        float64 `json:"bytes_s"`
+	Counted      float64 `json:"counted_bytes_s"`
+	CountedShare float64 `json:"ratio"` // of the second to the first
+	Links        float64 `json:"links_bytes_s,omitempty"`
 }
 
 // Rest is a dispatcher's cost without any change.
@@ -114,7 +114,7 @@
 }
 
 // Bad tells whether a rule or the bound was broken.
-func (r *Result) Bad() bool {
+func (r *Result) Violated() bool {
 	return r.RulesBroken > 0 || r.ContradictionMS > 0 || r.AnsweredNever > 0 || r.InForceMissing > 0
 }
 
@@ -123,7 +123,7 @@
 	switch {
 	case r.FellBehind:
 		return fmt.Errorf("the machine fell behind, the run does not count: %s", r.FellBehindWhy)
-	case r.Bad():
+	case r.Violated():
 		return fmt.Errorf("%d rules broken, contradiction %.1f ms, %d jobs never answered, %d changes not acted on", r.RulesBroken, r.ContradictionMS, r.AnsweredNever, r.InForceMissing)
 	}
 	return nil
@@ -132,34 +132,34 @@
 func total(m *traffic.Meter) traffic.Count { return traffic.Total(m.Counts()) }
 
 // account draws the figures together.
-func (f *stage) account(before, rested, after reading) *Result {
-	r := &Result{Title: f.Title, Seed: f.Seed, At: f.begin.UTC(), BoundMS: float64(f.Bound.Milliseconds()), Packing: f.Packing(),
+func (f *run) result(before, rested, after snapshot) *Result {
+	r := &Result{Title: f.Title, Seed: f.Seed, At: f.beganAt.UTC(), LeaseDurationMS: float64(f.LeaseDuration.Milliseconds()), Packing: f.Packing(),
 		Dispatchers: f.Dispatchers, Hollow: f.Hollow, Processes: f.Processes, Real: f.Real(), Bare: f.Bare, Workers: f.Workers, Accelerators: f.Accelerators,
 		Zones: f.Zones, Regions: f.Regions, Teams: f.Teams, Voters: f.Voters, SetAside: f.SetAside,
-		Jobs: f.jobs.jobs, AnsweredOnce: f.jobs.once, AnsweredNever: f.jobs.never, LostWithProcess: f.jobs.lost, ReturnedInForceMS: []float64{}}
+		Jobs: f.jobCounts.sent, AnsweredOnce: f.jobCounts.answered, AnsweredNever: f.jobCounts.unanswered, LostWithProcess: f.jobCounts.lost, ReturnedInForceMS: []float64{}}
 	for _, c := range f.changes {
 		if c.at.Before(after.at) {
 			r.Changes++
 		}
 	}
-	f.bytes(r, before, after)
-	f.usage(r, before, after)
-	f.fellBehind(r, before, after)
+	f.addTraffic(r, before, after)
+	f.addUsage(r, before, after)
+	f.checkMachine(r, before, after)
 	r.WorkerProbes = len(f.cluster.Spent().Probes)
 	if f.Fault == nil {
-		f.compareInterface(r, before, after)
+		f.addInterface(r, before, after)
 	}
 	if !rested.at.IsZero() {
 		x := &Rest{SpanS: rested.at.Sub(before.at).Seconds()}
-		each := f.each(before, rested, f.serving(func(*member) bool { return true }))
+		each := f.ratesOf(before, rested, f.servingDispatchers(func(*fleetDispatcher) bool { return true }))
 		x.Bytes, x.Messages, x.BytesByKind = mean(each.bytes), mean(each.messages), each.bytesByKind
 		if r.Rest = x; r.Changes > 0 {
 			r.Change = &Change{(r.BytesMean - x.Bytes) * r.SpanS / float64(r.Changes)}
 		}
 	}
 	all := f.histories()
-	f.returns(r, all)
-	f.inForce(r, all, after.late)
+	f.addReturns(r, all)
+	f.addInForce(r, all, after.lateTicks)
 	var states [][]faults.EffectiveState
 	for _, h := range all {
 		states = append(states, h.effectiveStates)
@@ -177,9 +177,9 @@
 }
 
 // serving gives the dispatchers that are not set aside, as far as they are wanted.
-func (f *stage) serving(want func(*member) bool) (all []*member) {
-	for _, m := range f.members {
-		if m.role == serves && want(m) {
+func (f *run) servingDispatchers(want func(*fleetDispatcher) bool) (all []*fleetDispatcher) {
+	for _, m := range f.dispatchers {
+		if m.role == roleServing && want(m) {
 			all = append(all, m)
 		}
 	}
@@ -187,16 +187,16 @@
 }
 
 // costs are some dispatchers', a second.
-type costs struct {
+type controlRates struct {
 	bytes, messages             []float64 // each one's
 	bytesByKind, messagesByKind map[string]float64
 }
 
-func (f *stage) each(before, after reading, who []*member) costs {
-	c := costs{bytesByKind: map[string]float64{}, messagesByKind: map[string]float64{}}
+func (f *run) ratesOf(before, after snapshot, who []*fleetDispatcher) controlRates {
+	c := controlRates{bytesByKind: map[string]float64{}, messagesByKind: map[string]float64{}}
 	seconds := after.at.Sub(before.at).Seconds()
 	for _, m := range who {
-		spent, ok := spent(before, after, m.name)
+		spent, ok := controlBetween(before, after, m.name)
 		if !ok {
 			continue
 		}
@@ -231,32 +231,32 @@
 }
 
 // bytes are the counts' figures.
-func (f *stage) bytes(r *Result, before, after reading) {
+func (f *run) addTraffic(r *Result, before, after snapshot) {
 	r.SpanS = after.at.Sub(before.at).Seconds()
-	all := f.each(before, after, f.serving(func(*member) bool { return true }))
+	all := f.ratesOf(before, after, f.servingDispatchers(func(*fleetDispatcher) bool { return true }))
 	r.BytesP50, r.BytesP99, r.BytesMean = quantile(0.5, all.bytes), quantile(0.99, all.bytes), mean(all.bytes)
 	r.Messages, r.BytesByKind, r.MessagesByKind = mean(all.messages), all.bytesByKind, all.messagesByKind
-	hollow := f.each(before, after, f.serving(func(m *member) bool { return m.hollow }))
-	real := f.each(before, after, f.serving(func(m *member) bool { return !m.hollow && m.voter == 0 }))
+	hollow := f.ratesOf(before, after, f.servingDispatchers(func(m *fleetDispatcher) bool { return m.hollow }))
+	real := f.ratesOf(before, after, f.servingDispatchers(func(m *fleetDispatcher) bool { return !m.hollow && m.voterNumber == 0 }))
 	r.HollowBytesMean, r.RealBytesMean, r.HollowBytesByKind, r.RealBytesByKind = mean(hollow.bytes), mean(real.bytes), hollow.bytesByKind, real.bytesByKind
 	r.HollowMessages, r.RealMessages = mean(hollow.messages), mean(real.messages)
-	var seats, leads []*member
-	for _, m := range f.members {
+	var seats, leads []*fleetDispatcher
+	for _, m := range f.dispatchers {
 		switch {
-		case m.name == after.leads:
+		case m.name == after.leader:
 			leads = append(leads, m)
-		case after.seated[m.name]:
+		case after.voters[m.name]:
 			seats = append(seats, m)
 		}
 	}
 	for _, m := range append(slices.Clone(seats), leads...) {
-		r.MaxVoterBytes = max(r.MaxVoterBytes, mean(f.each(before, after, []*member{m}).bytes))
+		r.VoterBytesMax = max(r.VoterBytesMax, mean(f.ratesOf(before, after, []*fleetDispatcher{m}).bytes))
 	}
-	r.VoterBytesByKind = f.each(before, after, seats).bytesByKind
-	x := f.each(before, after, leads)
+	r.VoterBytesByKind = f.ratesOf(before, after, seats).bytesByKind
+	x := f.ratesOf(before, after, leads)
 	r.LeaderBytes, r.LeaderBytesByKind = mean(x.bytes), x.bytesByKind
 	for name := range after.control {
-		spent, _ := spent(before, after, name)
+		spent, _ := controlBetween(before, after, name)
 		d := spent[traffic.Discovery.String()]
 		r.DiscoveryCalls += float64(d.Messages) / r.SpanS
 		r.DiscoveryBytes += float64(d.Bytes()) / r.SpanS
@@ -264,62 +264,62 @@
 }
 
 // usage are the figures of processor and memory.
-func (f *stage) usage(r *Result, before, after reading) {
-	used := map[role][2][]float64{} // milliseconds a second, and MB
-	for _, m := range f.members {
-		ms, mb := cpu(before, after, m.name)/r.SpanS, after.used[after.pids[m.name]].memory
-		if after.seated[m.name] {
-			r.MaxVoterCPU, r.MaxVoterMemory = max(r.MaxVoterCPU, ms), max(r.MaxVoterMemory, mb)
+func (f *run) addUsage(r *Result, before, after snapshot) {
+	used := map[dispatcherRole][2][]float64{} // milliseconds a second, and MB
+	for _, m := range f.dispatchers {
+		ms, mb := cpuBetween(before, after, m.name)/r.SpanS, after.usage[after.pids[m.name]].memoryMB
+		if after.voters[m.name] {
+			r.VoterCPUMax, r.VoterMemoryMax = max(r.VoterCPUMax, ms), max(r.VoterMemoryMax, mb)
 		}
-		if m.name == after.leads {
+		if m.name == after.leader {
 			r.LeaderCPU = ms
 		}
 		kind := m.role
 		if m.hollow {
 			kind = "hollow " + m.role
 		}
-		if _, same := spent(before, after, m.name); same && !after.seated[m.name] {
+		if _, same := controlBetween(before, after, m.name); same && !after.voters[m.name] {
 			x := used[kind]
 			x[0], x[1] = append(x[0], ms), append(x[1], mb)
 			used[kind] = x
 		}
 	}
-	r.RealCPU, r.RealMemory, r.HollowCPU = mean(used[serves][0]), mean(used[serves][1]), mean(used["hollow "+serves][0])
-	r.HollowBareCPU = mean(used["hollow "+bare][0])
-	if r.BareCPU, r.BareMemory = mean(used[bare][0]), mean(used[bare][1]); f.Bare > 0 && len(used[serves][0]) > 0 {
+	r.RealCPU, r.RealMemory, r.HollowCPU = mean(used[roleServing][0]), mean(used[roleServing][1]), mean(used["hollow "+roleServing][0])
+	r.HollowBareCPU = mean(used["hollow "+roleBare][0])
+	if r.BareCPU, r.BareMemory = mean(used[roleBare][0]), mean(used[roleBare][1]); f.Bare > 0 && len(used[roleServing][0]) > 0 {
 		r.CPU, r.Memory = r.RealCPU-r.BareCPU, r.RealMemory-r.BareMemory
 	}
 }
 
 // fellBehind tells whether the machine was the limit.
-func (f *stage) fellBehind(r *Result, before, after reading) {
-	r.MachineBusy = (after.machine.busy - before.machine.busy) / max(after.machine.all-before.machine.all, 1)
-	late := len(after.late) - len(before.late)
+func (f *run) checkMachine(r *Result, before, after snapshot) {
+	r.MachineBusy = (after.machine.busyTicks - before.machine.busyTicks) / max(after.machine.totalTicks-before.machine.totalTicks, 1)
+	late := len(after.lateTicks) - len(before.lateTicks)
 	switch {
-	case late > ticksMayBeLate:
-		r.FellBehind, r.FellBehindWhy = true, fmt.Sprintf("%d ticks of %v were late by more than %v", late, tickEvery, tickLate)
-	case r.MachineBusy > maxBusy:
+	case late > maxLateTicks:
+		r.FellBehind, r.FellBehindWhy = true, fmt.Sprintf("%d ticks of %v were late by more than %v", late, tickInterval, tickTolerance)
+	case r.MachineBusy > maxBusyShare:
 		r.FellBehind, r.FellBehindWhy = true, fmt.Sprintf("%.0f%% of %d cores were busy", 100*r.MachineBusy, runtime.NumCPU())
 	}
 }
 
 // compareInterface sets what was counted beside what the interface carried. What one end alone counts, as discovery's
 // calls, is counted there both ways; all else where it is sent.
-func (f *stage) compareInterface(r *Result, before, after reading) {
-	links := after.linked.Bytes() - before.linked.Bytes()
-	own := after.own.Bytes() - before.own.Bytes() + hops*links
-	counted := float64(after.orders.Sent - before.orders.Sent)
+func (f *run) addInterface(r *Result, before, after snapshot) {
+	links := after.linkTraffic.Bytes() - before.linkTraffic.Bytes()
+	own := after.pollTraffic.Bytes() - before.pollTraffic.Bytes() + extraProxyTransits*links
+	counted := float64(after.proposalTraffic.Sent - before.proposalTraffic.Sent)
 	for name := range after.control {
-		all, _ := spent(before, after, name)
+		all, _ := controlBetween(before, after, name)
 		for kind, x := range all {
 			if counted += float64(x.Sent); kind == traffic.Discovery.String() {
 				counted += float64(x.Received)
 			}
 		}
 	}
-	x := Interface{Bytes: (carried(before.machine, after.machine) - float64(own)) / r.SpanS, Counted: counted / r.SpanS, Links: float64(links) / r.SpanS}
+	x := Interface{Bytes: (loopbackPayload(before.machine, after.machine) - float64(own)) / r.SpanS, Counted: counted / r.SpanS, Links: float64(links) / r.SpanS}
 	if x.Bytes > 0 {
-		x.Ratio = x.Counted / x.Bytes
+		x.CountedShare = x.Counted / x.Bytes
 	}
 	r.Interface = x
 }
@@ -332,25 +332,25 @@
 		"%d changes in force after %.0f ms p50, %.0f p99, %.0f p99.9; contradiction %.1f ms, %d rules broken; %d jobs, %d answered once, %d never, %d lost with their dispatcher\n"+
 		"machine %.0f%% busy; counted %.2f of what the interface carried",
 		r.Seed, r.Dispatchers, r.Hollow, r.Workers, r.Zones, r.BytesP50, r.BytesP99, r.Messages, r.CPU, r.HollowCPU, r.Memory,
-		r.MaxVoterBytes, r.MaxVoterCPU, r.MaxVoterMemory, r.LeaderBytes, r.LeaderCPU,
+		r.VoterBytesMax, r.VoterCPUMax, r.VoterMemoryMax, r.LeaderBytes, r.LeaderCPU,
 		r.Changes, r.InForceP50MS, r.InForceP99MS, r.InForceP999MS, r.ContradictionMS, r.RulesBroken, r.Jobs, r.AnsweredOnce, r.AnsweredNever, r.LostWithProcess,
-		100*r.MachineBusy, r.Interface.Ratio)
+		100*r.MachineBusy, r.Interface.CountedShare)
 	for _, x := range r.Failures {
 		whole := "never"
-		if x.WholeAgainS != nil {
-			whole = fmt.Sprintf("after %.1f s", *x.WholeAgainS)
+		if x.RecoveredAfterS != nil {
+			whole = fmt.Sprintf("after %.1f s", *x.RecoveredAfterS)
 		}
 		text += fmt.Sprintf("\n%s at %.0f s for %.0f s: %d befallen; whole again %s; %d changes in force after %.0f ms p50, %.0f p99.9; back in force after %.0f ms p50, %.0f most\n"+
 			"most over 10 s, before and from then on, B/s: %v, %v; ms/s: %v, %v",
-			x.Kind, x.AtS, x.ForS, x.Befell, whole, x.Changes, x.InForceP50MS, x.InForceP999MS, quantile(0.5, x.Returned), quantile(1, x.Returned),
+			x.Kind, x.AtS, x.ForS, x.Affected, whole, x.Changes, x.InForceP50MS, x.InForceP999MS, quantile(0.5, x.ReturnedInForceMS), quantile(1, x.ReturnedInForceMS),
 			rounded(x.UsualBytes), rounded(x.PeakBytes), rounded(x.UsualCPU), rounded(x.PeakCPU))
 	}
 	return text
 }
 
 // rounded gives figures by role, whole.
-func rounded(of map[role]float64) map[role]int {
-	all := map[role]int{}
+func rounded(of map[dispatcherRole]float64) map[dispatcherRole]int {
+	all := map[dispatcherRole]int{}
 	for r, x := range of {
 		all[r] = int(x + 0.5)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -29,13 +29,13 @@
 }
 
 // change is a proposal that was taken.
-type change struct {
+type acceptedChange struct {
 	version uint64
 	at      time.Time
 }
 
 // tally is what became of jobs.
-type tally struct{ jobs, once, never, lost int }
+type jobCounts struct{ sent, answered, unanswered, lost int }
 
 // Play plays a plan, and measures.
 func Play(ctx context.Context, p Plan, o Options) (*Result, error) {
@@ -46,68 +46,68 @@
 	defer os.RemoveAll(dir)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	f := &stage{Plan: p, Options: o, ctx: ctx, dir: dir, contacts: newClient(), orders: newClient(), hurry: make(chan struct{}, 1)}
+	f := &run{Plan: p, Options: o, ctx: ctx, dir: dir, polls: newClient(), proposals: newClient(), proposeNow: make(chan struct{}, 1)}
 	if f.cluster, err = emulator.Open(p.scenario()); err != nil {
 		return nil, err
 	}
 	defer f.cluster.Close()
 	defer f.closeAll()
-	if err := f.build(); err != nil {
+	if err := f.layOut(); err != nil {
 		return nil, err
 	}
-	go f.late.run(ctx)
+	go f.stalls.run(ctx)
 	r, err := f.play()
 	if err != nil && o.KeepLogs == "" {
 		return nil, err
 	}
 	if o.KeepLogs != "" {
-		err = cmp.Or(err, f.keepLogs())
+		err = cmp.Or(err, f.saveLogs())
 	}
 	return r, err
 }
 
 // play starts the fleet, lets it settle, and measures.
-func (f *stage) play() (*Result, error) {
+func (f *run) play() (*Result, error) {
 	started := time.Now()
 	if err := f.startAll(); err != nil {
 		return nil, err
 	}
-	if !f.waitLeased(started.Add(startWithin)) {
+	if !f.awaitLeases(started.Add(startTimeout)) {
 		return nil, errors.New("not all dispatchers had a lease in time")
 	}
 	leased := time.Now()
-	if !until(f.ctx, leased.Add(f.Settle)) {
+	if !sleepUntil(f.ctx, leased.Add(f.Settle)) {
 		return nil, f.ctx.Err()
 	}
 	f.cluster.StartFaults()
-	before, err := f.read()
+	before, err := f.takeSnapshot()
 	if err != nil {
 		return nil, err
 	}
-	f.begin = before.at
-	end := f.begin.Add(f.Span)
-	var rested reading
+	f.beganAt = before.at
+	end := f.beganAt.Add(f.Span)
+	var rested snapshot
 	var wait sync.WaitGroup
 	wait.Go(func() { f.sendJobs(end) })
-	if f.Rest > 0 || f.Every == 0 {
-		if !until(f.ctx, f.begin.Add(cmp.Or(f.Rest, f.Span))) {
+	if f.Rest > 0 || f.ChangeInterval == 0 {
+		if !sleepUntil(f.ctx, f.beganAt.Add(cmp.Or(f.Rest, f.Span))) {
 			return nil, f.ctx.Err()
 		}
-		if rested, err = f.read(); err != nil {
+		if rested, err = f.takeSnapshot(); err != nil {
 			return nil, err
 		}
 	}
 	proposer := f.newProposer()
-	if f.Every > 0 {
-		wait.Go(func() { proposer.propose(end) })
+	if f.ChangeInterval > 0 {
+		wait.Go(func() { proposer.proposeUntil(end) })
 	}
 	var failed error
 	if f.Fault != nil {
 		wait.Go(func() { failed = f.injectFault() })
-		f.sample(end)
+		f.takeSnapshots(end)
 	}
-	until(f.ctx, end)
-	after, err := f.read()
+	sleepUntil(f.ctx, end)
+	after, err := f.takeSnapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -115,22 +115,22 @@
 	if err := cmp.Or(f.ctx.Err(), failed); err != nil {
 		return nil, err
 	}
-	if f.Fault != nil && f.Every > 0 {
-		proposer.last(time.Now().Add(actWithin))
+	if f.Fault != nil && f.ChangeInterval > 0 {
+		proposer.proposeAfterFault(time.Now().Add(settleTimeout))
 	}
-	f.waitActed(time.Now().Add(actWithin))
-	if err := f.readEffectiveStates(); err != nil {
+	f.awaitNewestVersion(time.Now().Add(settleTimeout))
+	if err := f.fetchHollowStates(); err != nil {
 		return nil, err
 	}
-	return f.account(before, rested, after), nil
+	return f.result(before, rested, after), nil
 }
 
 const (
-	startWithin = 60 * time.Second
-	actWithin   = 12 * time.Second // behind the span, for the last change
+	startTimeout  = 60 * time.Second
+	settleTimeout = 12 * time.Second // behind the span, for the last change
 )
 
-func until(ctx context.Context, at time.Time) bool {
+func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -140,13 +140,13 @@
 }
 
 // effectiveStatesOf gives what a dispatcher has acted on by now; of hollow ones as they were read last.
-func (f *stage) effectiveStatesOf(m *member) []faults.EffectiveState {
+func (f *run) statesOf(m *fleetDispatcher) []faults.EffectiveState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.hollow {
-		return append(slices.Clone(m.past), m.effectiveStates...)
+		return append(slices.Clone(m.earlierStates), m.effectiveStates...)
 	}
-	log := m.logs
+	log := m.earlierLogs
 	if m.node != nil {
 		log += m.node.Log()
 	}
@@ -154,15 +154,15 @@
 }
 
 // readEffectiveStates asks the hollow dispatchers for theirs.
-func (f *stage) readEffectiveStates() error {
-	for _, p := range f.processes() {
+func (f *run) fetchHollowStates() error {
+	for _, p := range f.runningHollowProcesses() {
 		var all map[string][]faults.EffectiveState
-		if err := f.get("http://"+p.at+"/stands", &all); err != nil {
+		if err := f.pollJSON("http://"+p.address+"/stands", &all); err != nil {
 			return fmt.Errorf("hollow process: %w", err)
 		}
 		f.mu.Lock()
-		for _, m := range p.members {
-			if m.process != p {
+		for _, m := range p.dispatchers {
+			if m.hollowProcess != p {
 				continue
 			}
 			if m.effectiveStates = all[m.name]; len(m.effectiveStates) > 0 {
@@ -175,34 +175,34 @@
 }
 
 // waitLeased waits until all hold leases.
-func (f *stage) waitLeased(by time.Time) bool {
-	return f.waitAll(by, func(s faults.EffectiveState) bool { return !s.Lapsed })
+func (f *run) awaitLeases(by time.Time) bool {
+	return f.awaitAll(by, func(s faults.EffectiveState) bool { return !s.Lapsed })
 }
 
 // waitActed waits until all act on the newest version alone, with leases.
-func (f *stage) waitActed(by time.Time) bool {
+func (f *run) awaitNewestVersion(by time.Time) bool {
 	newest := uint64(0)
 	for _, c := range f.changes {
 		newest = max(newest, c.version)
 	}
-	return f.waitAll(by, func(s faults.EffectiveState) bool {
+	return f.awaitAll(by, func(s faults.EffectiveState) bool {
 		return !s.Lapsed && len(s.Versions) == 1 && s.Versions[0] >= newest
 	})
 }
 
-func (f *stage) waitAll(by time.Time, holds func(faults.EffectiveState) bool) bool {
+func (f *run) awaitAll(by time.Time, holds func(faults.EffectiveState) bool) bool {
 	for f.ctx.Err() == nil {
-		all := f.readEffectiveStates() == nil
-		for _, m := range f.members {
-			if m.role != bare && all && !m.gone() {
-				s := f.effectiveStatesOf(m)
+		all := f.fetchHollowStates() == nil
+		for _, m := range f.dispatchers {
+			if m.role != roleBare && all && !m.absent() {
+				s := f.statesOf(m)
 				all = len(s) > 0 && holds(s[len(s)-1])
 			}
 		}
 		if all {
 			return true
 		}
-		if !until(f.ctx, time.Now().Add(200*time.Millisecond)) || time.Now().After(by) {
+		if !sleepUntil(f.ctx, time.Now().Add(200*time.Millisecond)) || time.Now().After(by) {
 			return false
 		}
 	}
@@ -210,90 +210,92 @@
 }
 
 // gone tells whether a dispatcher was killed and has not come back.
-func (m *member) gone() bool { return len(m.absences) > 0 && m.absences[len(m.absences)-1].To.IsZero() }
+func (m *fleetDispatcher) absent() bool {
+	return len(m.absences) > 0 && m.absences[len(m.absences)-1].To.IsZero()
+}
 
 // read reads all that is counted. Real dispatchers are asked at their doors, which are no part of control. Those that do not
 // answer are named in the error, and left out.
-func (f *stage) read() (r reading, err error) {
-	r = reading{control: map[string]control{}, pids: map[string]int{}, sharing: map[int]int{}, seated: map[string]bool{}, used: map[int]usage{}, late: f.late.all()}
-	if r.machine, err = machineNow(); err != nil {
+func (f *run) takeSnapshot() (r snapshot, err error) {
+	r = snapshot{control: map[string]controlCounts{}, pids: map[string]int{}, processSizes: map[int]int{}, voters: map[string]bool{}, usage: map[int]processUsage{}, lateTicks: f.stalls.all()}
+	if r.machine, err = readMachineCounters(); err != nil {
 		return r, err
 	}
-	r.own, r.orders, r.linked = total(&f.contacts.meter), total(&f.orders.meter), total(&f.linked)
+	r.pollTraffic, r.proposalTraffic, r.linkTraffic = total(&f.polls.meter), total(&f.proposals.meter), total(&f.linkMeter)
 	r.at = time.Now()
 	var mu sync.Mutex
 	var all []func() error
 	var since time.Time
-	take := func(pid int, each map[string]control) error {
-		u, err := usageOf(pid)
+	take := func(pid int, each map[string]controlCounts) error {
+		u, err := readProcessUsage(pid)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		r.used[pid], r.sharing[pid] = u, len(each)
+		r.usage[pid], r.processSizes[pid] = u, len(each)
 		for name, x := range each {
 			r.control[name], r.pids[name] = x, pid
 		}
 		return nil
 	}
-	role := func(name string, is Role) { // mu is held
-		if is.Seated {
-			r.seated[name] = true
+	role := func(name string, is RaftRole) { // mu is held
+		if is.Voter {
+			r.voters[name] = true
 		}
-		if is.Leads.After(since) {
-			r.leads, since = name, is.Leads
+		if is.LeaderSince.After(since) {
+			r.leader, since = name, is.LeaderSince
 		}
 	}
-	for _, m := range f.there() {
+	for _, m := range f.running() {
 		if m.hollow {
 			continue
 		}
 		all = append(all, func() error {
 			var vars string
-			if err := f.get("http://"+m.node.Admin+"/_vars", &vars); err != nil {
+			if err := f.pollJSON("http://"+m.node.Admin+"/_vars", &vars); err != nil {
 				return fmt.Errorf("%s: %w", m.name, err)
 			}
 			mu.Lock()
-			role(m.name, roleOf(m.node.Log()))
+			role(m.name, raftRoleFromLog(m.node.Log()))
 			mu.Unlock()
-			return take(m.node.Pid(), map[string]control{m.name: parseVars(vars)})
+			return take(m.node.Pid(), map[string]controlCounts{m.name: parseVars(vars)})
 		})
 	}
-	for _, p := range f.processes() {
+	for _, p := range f.runningHollowProcesses() {
 		all = append(all, func() error {
-			var c Counts
-			if err := f.get("http://"+p.at+"/counts", &c); err != nil {
+			var c hollowCounts
+			if err := f.pollJSON("http://"+p.address+"/counts", &c); err != nil {
 				return fmt.Errorf("hollow process: %w", err)
 			}
 			mu.Lock()
-			r.late = append(r.late, c.Late...)
+			r.lateTicks = append(r.lateTicks, c.LateTicks...)
 			for name, is := range c.Roles {
 				role(name, is)
 			}
 			mu.Unlock()
-			return take(p.cmd.Process.Pid, c.Each)
+			return take(p.cmd.Process.Pid, c.Control)
 		})
 	}
-	return r, together(all)
+	return r, inParallel(all)
 }
 
 // sample reads each second until then.
-func (f *stage) sample(end time.Time) {
+func (f *run) takeSnapshots(end time.Time) {
 	for n := time.Duration(0); ; n++ {
-		at := f.begin.Add(n * time.Second)
-		if !at.Before(end) || !until(f.ctx, at) {
+		at := f.beganAt.Add(n * time.Second)
+		if !at.Before(end) || !sleepUntil(f.ctx, at) {
 			return
 		}
 		if time.Since(at) > time.Second { // the last one took long
 			continue
 		}
-		r, err := f.read()
-		if err != nil && len(r.used) == 0 {
+		r, err := f.takeSnapshot()
+		if err != nil && len(r.usage) == 0 {
 			continue // nobody is there
 		}
 		f.mu.Lock()
-		f.samples = append(f.samples, r)
+		f.snapshots = append(f.snapshots, r)
 		f.mu.Unlock()
 	}
 }
@@ -301,10 +303,10 @@
 var controlVar = regexp.MustCompile(`(?m)^control_(\w+)_(sent|received|messages)=(\d+)$`)
 
 // parseVars gives what a door's figures say of control.
-func parseVars(text string) control {
-	all := control{}
+func parseVars(text string) controlCounts {
+	all := controlCounts{}
 	for _, m := range controlVar.FindAllStringSubmatch(text, -1) {
-		c, n := all[m[1]], uint64(number(m[3]))
+		c, n := all[m[1]], uint64(parseNumber(m[3]))
 		switch m[2] {
 		case "sent":
 			c.Sent = n
@@ -319,43 +321,43 @@
 }
 
 // roleOf gives a real dispatcher's role in the council, by the log of its life.
-func roleOf(log string) (is Role) {
-	is.Seated = strings.LastIndex(log, `msg="became voter" `) > strings.LastIndex(log, `msg="no longer a voter" `)
+func raftRoleFromLog(log string) (is RaftRole) {
+	is.Voter = strings.LastIndex(log, `msg="became voter" `) > strings.LastIndex(log, `msg="no longer a voter" `)
 	i := strings.LastIndex(log, `msg="leadership changed" leads=`)
-	if i < 0 || !strings.HasPrefix(log[i:], `msg="leadership changed" leads=true`) || !is.Seated {
+	if i < 0 || !strings.HasPrefix(log[i:], `msg="leadership changed" leads=true`) || !is.Voter {
 		return is
 	}
 	at, _, _ := strings.Cut(log[strings.LastIndexByte(log[:i], '\n')+1:], " ")
-	is.Leads, _ = time.Parse(time.RFC3339Nano, strings.TrimPrefix(at, "time="))
+	is.LeaderSince, _ = time.Parse(time.RFC3339Nano, strings.TrimPrefix(at, "time="))
 	return is
 }
 
 // leader is who was elected last, by real dispatchers' logs and what hollow ones said last; empty where nobody was.
-func (f *stage) leader() (name string) {
+func (f *run) currentLeader() (name string) {
 	var since time.Time
-	for _, m := range f.there() {
-		if m.node == nil || m.role == bare {
+	for _, m := range f.running() {
+		if m.node == nil || m.role == roleBare {
 			continue
 		}
-		if is := roleOf(m.node.Log()); is.Leads.After(since) {
-			name, since = m.name, is.Leads
+		if is := raftRoleFromLog(m.node.Log()); is.LeaderSince.After(since) {
+			name, since = m.name, is.LeaderSince
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := len(f.samples); n > 0 {
-		last := f.samples[n-1]
-		i := slices.IndexFunc(f.members, func(m *member) bool { return m.name == last.leads })
-		if i >= 0 && f.members[i].hollow && f.members[i].process != nil {
-			return last.leads
+	if n := len(f.snapshots); n > 0 {
+		last := f.snapshots[n-1]
+		i := slices.IndexFunc(f.dispatchers, func(m *fleetDispatcher) bool { return m.name == last.leader })
+		if i >= 0 && f.dispatchers[i].hollow && f.dispatchers[i].hollowProcess != nil {
+			return last.leader
 		}
 	}
 	return name
 }
 
 // sendJobs sends each real dispatcher that serves its part of the jobs, open loop; bare ones the same.
-func (f *stage) sendJobs(end time.Time) {
-	targets := slices.DeleteFunc(f.there(), func(m member) bool { return m.hollow || m.role == aside })
+func (f *run) sendJobs(end time.Time) {
+	targets := slices.DeleteFunc(f.running(), func(m fleetDispatcher) bool { return m.hollow || m.role == roleSetAside })
 	rate := f.Rate / float64(f.Dispatchers) * float64(len(targets))
 	if rate <= 0 {
 		return
@@ -366,29 +368,29 @@
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for n, at := 0, time.Now(); at.Before(end); n++ {
-		if !until(f.ctx, at) {
+		if !sleepUntil(f.ctx, at) {
 			return
 		}
 		at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		team := teamName(rng.IntN(max(f.Teams, 1)))
-		there := slices.DeleteFunc(f.there(), func(m member) bool { return m.hollow || m.role == aside })
+		there := slices.DeleteFunc(f.running(), func(m fleetDispatcher) bool { return m.hollow || m.role == roleSetAside })
 		if len(there) > 0 {
-			wait.Go(func() { f.job(jobs, there[n%len(there)], n, team) })
+			wait.Go(func() { f.sendJob(jobs, there[n%len(there)], n, team) })
 		}
 	}
 }
 
 // jobWithin is how long a client waits.
-const jobWithin = 5 * time.Second
+const jobDeadline = 5 * time.Second
 
-func (f *stage) job(jobs *http.Client, m member, n int, team string) {
-	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(jobWithin+500*time.Millisecond))
+func (f *run) sendJob(jobs *http.Client, m fleetDispatcher, n int, team string) {
+	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(jobDeadline+500*time.Millisecond))
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s", m.node.Address, emulator.ClassName), strings.NewReader("drawing"))
 	if err == nil {
 		id := fmt.Sprintf("%016x%016x", f.Seed, n)
 		for name, v := range map[string]string{"Req-Id": id, "Req-Kind": emulator.ClassName, "Req-Owner": team, "Idempotency-Key": id,
-			"Req-Deadline-Ms": fmt.Sprint(jobWithin.Milliseconds())} {
+			"Req-Deadline-Ms": fmt.Sprint(jobDeadline.Milliseconds())} {
 			r.Header.Set(name, v)
 		}
 		var resp *http.Response
@@ -399,28 +401,28 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.jobs.jobs++
-	killed := slices.ContainsFunc(f.members, func(o *member) bool { return o.name == m.name && o.node != m.node })
+	f.jobCounts.sent++
+	killed := slices.ContainsFunc(f.dispatchers, func(o *fleetDispatcher) bool { return o.name == m.name && o.node != m.node })
 	switch {
 	case err == nil:
-		f.jobs.once++
+		f.jobCounts.answered++
 	case killed:
-		f.jobs.lost++
+		f.jobCounts.lost++
 	default:
-		f.jobs.never++
+		f.jobCounts.unanswered++
 	}
 }
 
 // keepLogs writes what all have logged.
-func (f *stage) keepLogs() error {
+func (f *run) saveLogs() error {
 	if err := os.MkdirAll(f.KeepLogs, 0o755); err != nil {
 		return err
 	}
-	for _, m := range f.members {
+	for _, m := range f.dispatchers {
 		if m.hollow {
 			continue
 		}
-		text := m.logs
+		text := m.earlierLogs
 		if m.node != nil {
 			text += m.node.Log()
 		}
@@ -428,7 +430,7 @@
 			return err
 		}
 	}
-	for i := range f.started {
+	for i := range f.hollowProcessesStarted {
 		name := fmt.Sprintf("hollow-%d.log", i)
 		text, err := os.ReadFile(filepath.Join(f.dir, name))
 		if err == nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -16,9 +16,9 @@
 // The tests hold hollow dispatchers in this program again, as a child that does only that.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "hollow" {
-		spec, err := LoadSpec(os.Args[2])
+		spec, err := LoadHollowSpec(os.Args[2])
 		if err == nil {
-			err = Serve(context.Background(), spec, os.Stdin, os.Stdout, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			err = ServeHollow(context.Background(), spec, os.Stdin, os.Stdout, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -72,7 +72,7 @@
 // sound tells of what no run may have, however busy the machine is.
 func sound(t *testing.T, r *Result) {
 	t.Helper()
-	if r.Bad() {
+	if r.Violated() {
 		t.Errorf("%v", r.Err())
 	}
 	for _, b := range r.Breaches {
