--- /dev/null
+++ b/internal/scale/checker.go
@@ -0,0 +1,86 @@
+package scale
+
+import (
+	"fmt"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/hclsyntax"
+
+	"brassdale/internal/hcldiag"
+)
+
+// checker collects the mistakes of a file that gohcl does not find.
+type checker struct {
+	file  *File
+	body  *hclsyntax.Body
+	diags hcl.Diagnostics
+}
+
+// check returns all mistakes.
+func (c *checker) check() hcl.Diagnostics {
+	plan := c.file.plan(c.report)
+	if c.file.Seeds < 0 {
+		c.report("seeds", "There must be 1 at least.")
+	}
+	plan.check(c.report)
+	blocks := hcldiag.Blocks(c.body)
+	c.checkFaults(&plan, blocks["fault"])
+	c.checkSlopes(blocks["slope"])
+	return c.diags
+}
+
+// report adds a mistake at an attribute of the file or of its block changes.
+func (c *checker) report(attribute, format string, args ...any) {
+	body := c.body
+	for _, block := range c.body.Blocks {
+		if block.Type == "changes" && block.Body.Attributes[attribute] != nil {
+			body = block.Body
+		}
+	}
+	c.add(hcldiag.Place(body, attribute), attribute, format, args...)
+}
+
+// reportIn adds a mistake at an attribute of a block, or at its label, which is called kind.
+func (c *checker) reportIn(block *hclsyntax.Block, attribute, format string, args ...any) {
+	place := hcldiag.Place(block.Body, attribute)
+	if attribute == "kind" && len(block.LabelRanges) > 0 {
+		place = block.LabelRanges[0]
+	}
+	c.add(place, attribute, format, args...)
+}
+
+// add adds a mistake at a place.
+func (c *checker) add(place hcl.Range, attribute, format string, args ...any) {
+	c.diags = append(c.diags, hcldiag.At(place, "Bad "+attribute, format, args...))
+}
+
+// checkFaults checks the faults, each in its run.
+func (c *checker) checkFaults(plan *Plan, blocks []*hclsyntax.Block) {
+	faults := c.file.faults(func(index int, attribute, format string, args ...any) {
+		c.reportIn(blocks[index], attribute, format, args...)
+	})
+	for i := range faults {
+		faults[i].check(plan, func(attribute, format string, args ...any) { c.reportIn(blocks[i], attribute, format, args...) })
+	}
+}
+
+// checkSlopes checks the sizes, each in its run.
+func (c *checker) checkSlopes(blocks []*hclsyntax.Block) {
+	for i, slope := range c.file.Slopes {
+		if len(slope.Sizes) == 0 {
+			c.reportIn(blocks[i], "of", "It must name sizes.")
+		}
+		for _, size := range slope.Sizes {
+			resized, ok := c.file.resized(slope.By, size)
+			if !ok {
+				c.reportIn(blocks[i], "of", "%d %s: it must be above 0, and by dispatchers, workers, zones or changes, which need the block changes.",
+					size, slope.By)
+				break
+			}
+			plan := resized.plan(ignoreMistake)
+			plan.check(func(attribute, format string, args ...any) {
+				c.reportIn(blocks[i], "of", "%d %s, %s: %s", size, slope.By, attribute, fmt.Sprintf(format, args...))
+			})
+		}
+	}
+}
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -12,50 +12,48 @@
 	"time"
 )
 
-// agreeWithin is how far hollow dispatchers may be from real ones in bytes, messages and CPU.
+// agreementTolerance is by how much hollow dispatchers may differ from real ones in bytes, messages and processor time.
 const agreementTolerance = 0.15
 
-// Compared gives a file's size with all dispatchers real, and with all hollow; who has a seat is real in both. Bare ones of the
-// same kind stand beside them in either, for what control costs by difference.
+// ComparisonPlans returns a file's plan with all dispatchers real, and with all of them hollow; voters are real in both. Both have bare ones of
+// the same sort. processes above 0 replaces what the file says. The error has all mistakes, as attributes.
 func (f *File) ComparisonPlans(seed uint64, processes int) (real, hollow Plan, err error) {
-	wrong := func(attribute, format string, a ...any) {
-		err = errors.Join(err, fmt.Errorf("%s: "+format, append([]any{attribute}, a...)...))
+	report := func(attribute, format string, args ...any) {
+		err = errors.Join(err, attributeError(attribute, format, args...))
 	}
 	if f.SetAside < f.Voters {
-		wrong("set_aside", "There must be a machine for each seat: no dispatcher that is compared has one.")
+		report("set_aside", "There must be a machine for each seat: no dispatcher that is compared has one.")
 	}
 	if f.Bare < 1 {
-		wrong("bare", "There must be 1 at least, for what control costs by difference.")
+		report("bare", "There must be 1 at least, for what control costs by difference.")
 	}
-	one, other := *f, *f
-	one.Hollow, one.Processes = 0, 0
-	other.Hollow, other.Bare = f.Dispatchers, 0
+	realFile, hollowFile := *f, *f
+	realFile.Hollow, realFile.Processes = 0, 0
+	hollowFile.Hollow, hollowFile.Bare = f.Dispatchers, 0
 	if processes > 0 {
-		other.Processes = processes
+		hollowFile.Processes = processes
 	}
-	real, _ = one.plan(nil)
-	hollow, _ = other.plan(nil)
-	real.Seed, hollow.Seed = seed, seed
-	hollow.HollowBare = (hollow.Hollow + hollow.Processes - 1) / max(hollow.Processes, 1) // as many as a process holds
-	real.check(wrong)
-	hollow.check(wrong)
+	real, hollow = realFile.seededPlan(seed), hollowFile.seededPlan(seed)
+	hollow.HollowBare = (hollow.Hollow + hollow.Processes - 1) / max(hollow.Processes, 1) // as many as a process has of the others
+	real.check(report)
+	hollow.check(report)
 	return real, hollow, err
 }
 
-// Figure is one of real dispatchers and of hollow ones, round by round, a dispatcher.
+// Figure is a figure of a real and of a hollow dispatcher.
 type Figure struct {
 	Name       string    `json:"name"`
 	Unit       string    `json:"unit"`
-	Real       []float64 `json:"real"`
-	Hollow     []float64 `json:"hollow"`
+	Real       []float64 `json:"real"`   // of each round
+	Hollow     []float64 `json:"hollow"` // of each round
 	RealMean   float64   `json:"real_mean"`
 	HollowMean float64   `json:"hollow_mean"`
-	Ratio      float64   `json:"ratio"`  // of hollow ones to real ones
-	Judged     bool      `json:"judged"` // kinds are not
+	Ratio      float64   `json:"ratio"`  // of HollowMean to RealMean
+	Judged     bool      `json:"judged"` // it must agree; figures of a single kind of control need not
 	Agrees     bool      `json:"agrees"`
 }
 
-// Comparison sets hollow dispatchers beside real ones, in runs that alternate.
+// Comparison compares hollow dispatchers with real ones, in runs that alternate.
 type Comparison struct {
 	Title       string    `json:"title"`
 	Commit      string    `json:"commit"`
@@ -64,86 +62,106 @@
 	At          time.Time `json:"at"`
 	SpanS       float64   `json:"span_s"`
 	Dispatchers int       `json:"dispatchers"`
-	Processes   int       `json:"processes"` // that held the hollow ones
+	Processes   int       `json:"processes"` // of the hollow dispatchers
 	Workers     int       `json:"workers"`
 	Zones       int       `json:"zones"`
 	Rounds      int       `json:"rounds"`
-	Within      float64   `json:"within"`
-	Agrees      bool      `json:"agrees"`
+	Within      float64   `json:"within"` // the tolerance
+	Agrees      bool      `json:"agrees"` // all judged figures do
 	Figures     []Figure  `json:"figures"`
 }
 
-// Compare draws runs together: as many with real dispatchers as with hollow ones.
+// Compare compares runs with real dispatchers and as many runs with hollow ones. There is one of each at least.
 func Compare(real, hollow []*Result) *Comparison {
-	first, other := real[0], hollow[0]
-	c := &Comparison{Title: first.Title, Seed: first.Seed, At: first.At, SpanS: first.SpanS, Dispatchers: first.Dispatchers, Processes: other.Processes,
-		Workers: first.Workers, Zones: first.Zones, Rounds: len(real), Within: agreementTolerance, Agrees: true}
-	add := func(name, unit string, judged bool, of func(*Result) float64) {
-		x := Figure{Name: name, Unit: unit, Judged: judged}
-		for i := range real {
-			x.Real, x.Hollow = append(x.Real, of(real[i])), append(x.Hollow, of(hollow[i]))
-		}
-		if !judged && !slices.ContainsFunc(slices.Concat(x.Real, x.Hollow), func(n float64) bool { return n != 0 }) {
-			return // reports and budgets go within other messages
-		}
-		if x.RealMean, x.HollowMean = mean(x.Real), mean(x.Hollow); x.RealMean != 0 {
-			x.Ratio = x.HollowMean / x.RealMean
-		}
-		x.Agrees = math.Abs(x.Ratio-1) <= agreementTolerance
-		c.Agrees = c.Agrees && (x.Agrees || !judged)
-		c.Figures = append(c.Figures, x)
+	first := real[0]
+	c := &Comparison{
+		Title: first.Title, Seed: first.Seed, At: first.At, SpanS: first.SpanS, Dispatchers: first.Dispatchers, Processes: hollow[0].Processes,
+		Workers: first.Workers, Zones: first.Zones, Rounds: len(real), Within: agreementTolerance, Agrees: true,
 	}
-	add("all", "B/s", true, func(r *Result) float64 { return r.BytesMean })
-	add("all", "messages/s", true, func(r *Result) float64 { return r.Messages })
-	add("control", "CPU ms/s", true, func(r *Result) float64 {
-		if r.Hollow > 0 {
-			return r.HollowCPU - r.HollowBareCPU
-		}
-		return r.CPU
-	})
+	c.addJudged(newFigure("all", "B/s", real, hollow, func(r *Result) float64 { return r.BytesMean }))
+	c.addJudged(newFigure("all", "messages/s", real, hollow, func(r *Result) float64 { return r.Messages }))
+	c.addJudged(newFigure("control", "CPU ms/s", real, hollow, controlCPU))
 	kinds := map[string]bool{}
-	for _, r := range slices.Concat(real, hollow) {
-		for kind := range r.BytesByKind {
+	for _, result := range slices.Concat(real, hollow) {
+		for kind := range result.BytesByKind {
 			kinds[kind] = true
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
-		add(kind, "B/s", false, func(r *Result) float64 { return r.BytesByKind[kind] })
-		add(kind, "messages/s", false, func(r *Result) float64 { return r.MessagesByKind[kind] })
+		c.addUnjudged(newFigure(kind, "B/s", real, hollow, func(r *Result) float64 { return r.BytesByKind[kind] }))
+		c.addUnjudged(newFigure(kind, "messages/s", real, hollow, func(r *Result) float64 { return r.MessagesByKind[kind] }))
 	}
 	return c
 }
 
+// controlCPU returns the processor time that control costs a dispatcher: the difference to a bare one.
+func controlCPU(r *Result) float64 {
+	if r.Hollow > 0 {
+		return r.HollowCPU - r.HollowBareCPU
+	}
+	return r.CPU
+}
+
+// newFigure returns a figure of runs.
+func newFigure(name, unit string, real, hollow []*Result, of func(*Result) float64) Figure {
+	figure := Figure{Name: name, Unit: unit}
+	for i := range real {
+		figure.Real, figure.Hollow = append(figure.Real, of(real[i])), append(figure.Hollow, of(hollow[i]))
+	}
+	figure.RealMean, figure.HollowMean = mean(figure.Real), mean(figure.Hollow)
+	if figure.RealMean != 0 {
+		figure.Ratio = figure.HollowMean / figure.RealMean
+	}
+	figure.Agrees = math.Abs(figure.Ratio-1) <= agreementTolerance
+	return figure
+}
+
+// addJudged adds a figure that must agree.
+func (c *Comparison) addJudged(figure Figure) {
+	figure.Judged = true
+	c.Agrees = c.Agrees && figure.Agrees
+	c.Figures = append(c.Figures, figure)
+}
+
+// addUnjudged adds a figure that need not agree, unless it is 0 in all runs: reports and budgets are parts of other messages.
+func (c *Comparison) addUnjudged(figure Figure) {
+	if slices.ContainsFunc(slices.Concat(figure.Real, figure.Hollow), func(value float64) bool { return value != 0 }) {
+		c.Figures = append(c.Figures, figure)
+	}
+}
+
 // Write writes the figures as a table.
 func (c *Comparison) Write(to io.Writer) error {
 	fmt.Fprintf(to, "%d dispatchers, real and hollow ones in %d processes; %d workers, %d zones, %d rounds of %.0f s\n",
 		c.Dispatchers, c.Processes, c.Workers, c.Zones, c.Rounds, c.SpanS)
-	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "a dispatcher\t\treal\thollow\tratio\trounds, real\thollow\t")
-	for _, x := range c.Figures {
+	table := tabwriter.NewWriter(to, 0, 4, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "a dispatcher\t\treal\thollow\tratio\trounds, real\thollow\t")
+	for _, figure := range c.Figures {
 		verdict := ""
-		if x.Judged && !x.Agrees {
+		if figure.Judged && !figure.Agrees {
 			verdict = " !"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.3f%s\t%s\t%s\t\n", x.Name, x.Unit, x.RealMean, x.HollowMean, x.Ratio, verdict, formatFigures(x.Real), formatFigures(x.Hollow))
+		fmt.Fprintf(table, "%s\t%s\t%.2f\t%.2f\t%.3f%s\t%s\t%s\t\n",
+			figure.Name, figure.Unit, figure.RealMean, figure.HollowMean, figure.Ratio, verdict, formatFigures(figure.Real), formatFigures(figure.Hollow))
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func formatFigures(all []float64) string {
+// formatFigures returns figures in a row.
+func formatFigures(figures []float64) string {
 	var texts []string
-	for _, x := range all {
-		texts = append(texts, fmt.Sprintf("%.2f", x))
+	for _, figure := range figures {
+		texts = append(texts, fmt.Sprintf("%.2f", figure))
 	}
 	return strings.Join(texts, " ")
 }
 
-// Err names what does not agree.
+// Err returns an error that names the judged figures that do not agree; nil if all do.
 func (c *Comparison) Err() error {
 	var errs []error
-	for _, x := range c.Figures {
-		if x.Judged && !x.Agrees {
-			errs = append(errs, fmt.Errorf("%s, %s: hollow ones have %.3f of real ones', which is not within %.0f%%", x.Name, x.Unit, x.Ratio, 100*c.Within))
+	for _, figure := range c.Figures {
+		if figure.Judged && !figure.Agrees {
+			errs = append(errs, fmt.Errorf("%s, %s: hollow ones have %.3f of real ones', which is not within %.0f%%", figure.Name, figure.Unit, figure.Ratio, 100*c.Within))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -10,7 +10,6 @@
 	"slices"
 	"time"
 
-	"brassdale/internal/emulator"
 	"brassdale/internal/faults"
 )
 
@@ -23,27 +22,6 @@
 	returned  []string  // that were gone or cut off, or are new, and are there again
 }
 
-// workers are the faults that the works' workers have with the fleet's.
-func (x *Fault) workerFaults(p *Plan) (all []emulator.Fault) {
-	switch x.Kind {
-	case ZoneLost:
-		lasts := x.For
-		if lasts == 0 {
-			lasts = p.Span
-		}
-		all = append(all, emulator.Fault{At: x.At, For: lasts, Kind: emulator.ZoneLost, Share: 1, Zone: x.Zone + 1})
-	case RegionPartitioned:
-		for from := range p.Zones {
-			for to := range p.Zones {
-				if a, b := p.region(from), p.region(to); a != b && (a == x.Region || b == x.Region) {
-					all = append(all, emulator.Fault{At: x.At, For: x.For, Kind: emulator.Apart, Share: 1, Zone: to + 1, From: from + 1})
-				}
-			}
-		}
-	}
-	return all
-}
-
 // injectFault plays the run's fault to its end.
 func (f *run) injectFault() error {
 	x, begin := f.Fault, f.beganAt.Add(f.Fault.At)
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -1,10 +1,7 @@
-// Package scale plays fleets of a size that one machine cannot hold as real dispatchers, and measures what control costs: a
-// few are real, the others hollow, which is the same agent on real loopback sockets with jobs and endpoints left out. Time is
-// packed: a day's changes come within minutes. Everything stays on loopback.
 package scale
 
 import (
-	"fmt"
+	"slices"
 	"time"
 
 	"github.com/hashicorp/hcl/v2"
@@ -14,226 +11,153 @@
 	"brassdale/internal/hcldiag"
 )
 
-// File is a fleet's size as an operator writes it, or several.
+// File is a scenario file: one run, or several that differ in a fault or in a size. Plan says what the attributes mean.
 type File struct {
 	Title         string  `hcl:"title"`
-	Settle        string  `hcl:"settle,optional"` // behind the start, before anything is measured
-	Span          string  `hcl:"span"`            // that is measured
-	Rest          string  `hcl:"rest,optional"`   // of it, at its begin, without changes
+	Settle        string  `hcl:"settle,optional"` // 20 s if left out
+	Span          string  `hcl:"span"`
+	Rest          string  `hcl:"rest,optional"`
 	LeaseDuration string  `hcl:"bound,optional"`
-	ReplaceAfter  string  `hcl:"replace,optional"` // a seat that is silent for so long is given away
+	ReplaceAfter  string  `hcl:"replace,optional"`
 	Regions       int     `hcl:"regions"`
 	Zones         int     `hcl:"zones"`
 	Workers       int     `hcl:"workers"`
-	Accelerators  int     `hcl:"accelerators,optional"` // among the workers, a slot for each; left out: one each
+	Accelerators  int     `hcl:"accelerators,optional"` // one for each worker if left out
 	Teams         int     `hcl:"teams,optional"`
-	Dispatchers   int     `hcl:"dispatchers"` // that serve jobs
+	Dispatchers   int     `hcl:"dispatchers"`
 	Voters        int     `hcl:"seats"`
-	SetAside      int     `hcl:"set_aside,optional"` // machines beside them for control alone: the first seats are there
-	Hollow        int     `hcl:"hollow,optional"`    // of the dispatchers
-	Processes     int     `hcl:"processes,optional"` // that hold the hollow ones; left out: one for each zone
-	Bare          int     `hcl:"bare,optional"`      // real dispatchers beside them that agree on nothing
-	Rate          float64 `hcl:"rate,optional"`      // jobs a second of all dispatchers; real and bare ones get their part
+	SetAside      int     `hcl:"set_aside,optional"`
+	Hollow        int     `hcl:"hollow,optional"`
+	Processes     int     `hcl:"processes,optional"` // one for each zone if left out
+	Bare          int     `hcl:"bare,optional"`
+	Rate          float64 `hcl:"rate,optional"`
 
-	Seeds int `hcl:"seeds,optional"` // that each run is played with; left out: one
+	Seeds int `hcl:"seeds,optional"` // that each run is played with; one if left out
 
 	Changes *changesBlock `hcl:"changes,block"`
 	Faults  []faultBlock  `hcl:"fault,block"`
 	Slopes  []slopeBlock  `hcl:"slope,block"`
 }
 
-// ChangesFile is what changes, and how often.
+// changesBlock is what changes during a run, and how often.
 type changesBlock struct {
-	Every    string  `hcl:"every"`             // a proposal of rules
-	PerDay   float64 `hcl:"a_day"`             // that the plan has: what Every is beside it is the packing
-	Restarts string  `hcl:"restarts,optional"` // a worker starts anew so often
-	Drains   string  `hcl:"drains,optional"`   // a worker leaves for good so often
+	Every    string  `hcl:"every"` // between proposals of config versions
+	PerDay   float64 `hcl:"a_day"`
+	Restarts string  `hcl:"restarts,optional"`
+	Drains   string  `hcl:"drains,optional"`
 }
 
-// Plan is one size, and what is done with it.
-type Plan struct {
-	Title                                          string
-	Seed                                           uint64
-	Settle, Span, Rest                             time.Duration
-	LeaseDuration, ReplaceAfter                    time.Duration
-	Regions, Zones, Workers, Accelerators          int
-	Teams, Dispatchers, Voters, SetAside           int
-	Hollow, Processes, Bare                        int
-	Rate                                           float64
-	ChangeInterval, RestartInterval, DrainInterval time.Duration // 0 for never
-	ChangesPerDay                                  float64
-	Fault                                          *Fault // nil for none
-
-	// Unprobed has real dispatchers probe no worker: a run without jobs then has nothing on the interface that is not counted,
-	// as probes and jobs are no part of control and go over connections of their own.
-	SkipWorkerProbes bool
-	// HollowBare are hollow dispatchers beside the others, in a process of their own, that agree on nothing.
-	HollowBare int
-	// Linked has calls to other regions' seats go over links that cut nothing, and what they carry counted.
-	CountLinks bool
+// faultBlock is a fault, which is injected in a run of its own.
+type faultBlock struct {
+	Kind   string `hcl:"kind,label"`
+	At     string `hcl:"at"`
+	For    string `hcl:"for,optional"` // may be left out for a voter and a zone, which then do not come back
+	After  string `hcl:"after,optional"`
+	Count  int    `hcl:"count,optional"`
+	Zone   int    `hcl:"zone,optional"`   // counted from 1; the first, which has a voter, if left out
+	Region int    `hcl:"region,optional"` // counted from 1; the first if left out
 }
 
-// Real are the real dispatchers that serve jobs, and have their part in the fleet.
-func (p *Plan) Real() int { return p.Dispatchers - p.Hollow }
-
-// Packing is how much faster changes come than on a day of the plan.
-func (p *Plan) Packing() float64 {
-	if p.ChangeInterval == 0 || p.ChangesPerDay == 0 {
-		return 0
-	}
-	return (24 * time.Hour).Seconds() / p.ChangeInterval.Seconds() / p.ChangesPerDay
+// slopeBlock is a list of sizes that differ in one thing. Each is a run of its own.
+type slopeBlock struct {
+	By    string `hcl:"by,label"` // dispatchers, workers, zones or changes
+	Sizes []int  `hcl:"of"`       // of changes: those within the measured span
 }
 
-// Load reads and checks a file. An error names all faults with file, line and column.
+// Load reads and checks a file. The error has all mistakes with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
-// Parse reads the text of one.
+// Parse parses and checks the text of a file. path is its name in errors.
 func Parse(text []byte, path string) (*File, error) {
-	s := fleet.Default()
-	f := &File{Settle: "20s", LeaseDuration: s.LeaseDuration, ReplaceAfter: s.ReplaceAfter}
-	err := hcldiag.Decode(text, path, f, func(body *hclsyntax.Body) hcl.Diagnostics { _, diags := f.plan(body); return diags })
-	if err != nil {
+	defaults := fleet.Default()
+	f := &File{Settle: "20s", LeaseDuration: defaults.LeaseDuration, ReplaceAfter: defaults.ReplaceAfter}
+	check := func(body *hclsyntax.Body) hcl.Diagnostics { return (&checker{file: f, body: body}).check() }
+	if err := hcldiag.Decode(text, path, f, check); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// plan gives the file's size; diags are told of where there is a body.
-func (f *File) plan(body *hclsyntax.Body) (p Plan, diags hcl.Diagnostics) {
-	bad := func(attribute, format string, a ...any) {
-		if body == nil {
-			return
-		}
-		at := body
-		for _, b := range body.Blocks {
-			if b.Type == "changes" && b.Body.Attributes[attribute] != nil {
-				at = b.Body
-			}
-		}
-		diags = append(diags, hcldiag.At(hcldiag.Place(at, attribute), "Bad "+attribute, format, a...))
-	}
-	p = Plan{Title: f.Title, Regions: f.Regions, Zones: f.Zones, Workers: f.Workers, Accelerators: f.Accelerators, Teams: f.Teams,
-		Dispatchers: f.Dispatchers, Voters: f.Voters, SetAside: f.SetAside, Hollow: f.Hollow, Processes: f.Processes, Bare: f.Bare, Rate: f.Rate}
-	if p.Accelerators == 0 {
-		p.Accelerators = p.Workers
-	}
-	if p.Processes == 0 && p.Hollow > 0 {
-		p.Processes = p.Zones
-	}
-	span := func(to *time.Duration, attribute, text string, optional bool) {
-		if text == "" && optional {
-			return
-		}
-		d, err := time.ParseDuration(text)
-		if err != nil || d <= 0 {
-			bad(attribute, "%q is no duration above 0.", text)
+// plan returns the file's run, without its faults and slopes, and reports durations and rates that cannot be used.
+func (f *File) plan(report reportFunc) Plan {
+	plan := Plan{
+		Title: f.Title, Regions: f.Regions, Zones: f.Zones, Workers: f.Workers, Accelerators: f.Accelerators, Teams: f.Teams,
+		Dispatchers: f.Dispatchers, Voters: f.Voters, SetAside: f.SetAside, Hollow: f.Hollow, Processes: f.Processes, Bare: f.Bare, Rate: f.Rate,
+	}
+	if plan.Accelerators == 0 {
+		plan.Accelerators = plan.Workers
+	}
+	if plan.Processes == 0 && plan.Hollow > 0 {
+		plan.Processes = plan.Zones
+	}
+	plan.Settle = requiredDuration(report, "settle", f.Settle)
+	plan.Span = requiredDuration(report, "span", f.Span)
+	plan.Rest = optionalDuration(report, "rest", f.Rest, 0)
+	plan.LeaseDuration = requiredDuration(report, "bound", f.LeaseDuration)
+	plan.ReplaceAfter = requiredDuration(report, "replace", f.ReplaceAfter)
+	if changes := f.Changes; changes != nil {
+		plan.ChangesPerDay = changes.PerDay
+		plan.ChangeInterval = requiredDuration(report, "every", changes.Every)
+		plan.RestartInterval = optionalDuration(report, "restarts", changes.Restarts, 0)
+		plan.DrainInterval = optionalDuration(report, "drains", changes.Drains, 0)
+		if !(changes.PerDay > 0) {
+			report("a_day", "It must be above 0.")
 		}
-		*to = d
 	}
-	span(&p.Settle, "settle", f.Settle, false)
-	span(&p.Span, "span", f.Span, false)
-	span(&p.Rest, "rest", f.Rest, true)
-	span(&p.LeaseDuration, "bound", f.LeaseDuration, false)
-	span(&p.ReplaceAfter, "replace", f.ReplaceAfter, false)
-	if c := f.Changes; c != nil {
-		p.ChangesPerDay = c.PerDay
-		span(&p.ChangeInterval, "every", c.Every, false)
-		span(&p.RestartInterval, "restarts", c.Restarts, true)
-		span(&p.DrainInterval, "drains", c.Drains, true)
-		if !(c.PerDay > 0) {
-			bad("a_day", "It must be above 0.")
-		}
-	}
-	if f.Seeds < 0 {
-		bad("seeds", "There must be 1 at least.")
-	}
-	if body != nil {
-		p.check(bad)
-		diags = append(diags, f.checkRuns(&p, hcldiag.Blocks(body))...)
-	}
-	return p, diags
+	return plan
 }
 
-// checkRuns tells what is wrong with the file's faults and slopes.
-func (f *File) checkRuns(p *Plan, blocks map[string][]*hclsyntax.Block) (diags hcl.Diagnostics) {
-	bad := func(b *hclsyntax.Block, attribute, format string, a ...any) {
-		diags = append(diags, hcldiag.At(blockPlace(b, attribute), "Bad "+attribute, format, a...))
-	}
-	all := f.faults(func(n int, attribute, format string, a ...any) { bad(blocks["fault"][n], attribute, format, a...) })
-	for n, x := range all {
-		x.check(p, func(attribute, format string, a ...any) { bad(blocks["fault"][n], attribute, format, a...) })
-	}
-	for n, s := range f.Slopes {
-		b := blocks["slope"][n]
-		if len(s.Sizes) == 0 {
-			bad(b, "of", "It must name sizes.")
-		}
-		for _, size := range s.Sizes {
-			g, ok := f.resized(s.By, size)
-			if !ok {
-				bad(b, "of", "%d %s: it must be above 0, and by dispatchers, workers, zones or changes, which need the block changes.", size, s.By)
-				break
-			}
-			q, _ := g.plan(nil)
-			q.check(func(attribute, format string, a ...any) {
-				bad(b, "of", "%d %s, %s: %s", size, s.By, attribute, fmt.Sprintf(format, a...))
-			})
-		}
+// ignoreMistake is the reportFunc for files that were checked before.
+func ignoreMistake(string, string, ...any) {}
+
+// requiredDuration parses the text of an attribute and reports what is no duration above 0.
+func requiredDuration(report reportFunc, attribute, text string) time.Duration {
+	duration, err := time.ParseDuration(text)
+	if err != nil || duration <= 0 {
+		report(attribute, "%q is no duration above 0.", text)
 	}
-	return diags
+	return duration
 }
 
-// maxListeners is how many real dispatchers a machine's ports and descriptors hold, by workers: each has a listener for each.
-func maxListeners(workers int) int { return 12_000 / max(workers, 1) }
-
-// check tells what does not go together.
-func (p *Plan) check(say func(attribute, format string, a ...any)) {
-	if p.LeaseDuration > 0 && p.LeaseDuration < fleet.MinLease {
-		say("bound", "It must be %v at least.", fleet.MinLease)
-	}
-	if p.ReplaceAfter > 0 && p.ReplaceAfter < fleet.MinReplaceAfter {
-		say("replace", "It must be %v at least.", fleet.MinReplaceAfter)
-	}
-	if p.Regions < 1 || p.Regions > p.Zones {
-		say("regions", "There must be 1 at least, and no more than zones.")
-	}
-	if p.Workers < p.Zones || p.Workers < 1 {
-		say("workers", "There must be one for each zone.")
-	}
-	if p.Accelerators < p.Workers {
-		say("accelerators", "There must be one for each worker.")
-	}
-	if p.Voters != 1 && p.Voters != 3 && p.Voters != 5 {
-		say("seats", "There must be 1, 3 or 5.")
-	}
-	if p.SetAside < 0 || p.Voters > p.SetAside+p.Real() {
-		say("set_aside", "Seats need machines set aside, or real dispatchers.")
+// optionalDuration is requiredDuration for an attribute that may be left out.
+func optionalDuration(report reportFunc, attribute, text string, fallback time.Duration) time.Duration {
+	if text == "" {
+		return fallback
 	}
-	if p.Hollow < 0 || p.Hollow > p.Dispatchers {
-		say("hollow", "There must be no more than dispatchers.")
-	}
-	if p.Hollow > 0 && (p.Processes < min(p.Zones, p.Hollow) || p.Processes > p.Hollow) {
-		say("processes", "There must be one for each zone at least, and no more than hollow dispatchers.")
-	}
-	if n := p.listeners(); n > maxListeners(p.Workers) {
-		say("dispatchers", "%d real ones are too many with %d workers, at most %d: more must be hollow.", n-1, p.Workers, maxListeners(p.Workers)-1)
+	return requiredDuration(report, attribute, text)
+}
+
+// faults returns the file's faults. report takes mistakes with the index of the fault's block.
+func (f *File) faults(report func(index int, attribute, format string, args ...any)) []Fault {
+	var faults []Fault
+	for i := range f.Faults {
+		faults = append(faults, f.fault(i, func(attribute, format string, args ...any) { report(i, attribute, format, args...) }))
 	}
-	if p.Rest > 0 && p.Rest >= p.Span {
-		say("rest", "It must be shorter than the span.")
+	return faults
+}
+
+// fault returns the fault of a block, by the block's index, and reports mistakes that do not depend on the plan.
+func (f *File) fault(index int, report reportFunc) Fault {
+	block := f.Faults[index]
+	fault := Fault{Kind: FaultKind(block.Kind), Count: block.Count, Zone: max(block.Zone-1, 0), Region: max(block.Region-1, 0)}
+	fault.At = requiredDuration(report, "at", block.At)
+	if fault.Kind == VoterLost || fault.Kind == ZoneLost {
+		fault.For = optionalDuration(report, "for", block.For, 0)
+	} else {
+		fault.For = requiredDuration(report, "for", block.For)
 	}
-	if p.Teams < 0 {
-		say("teams", "There must be 0 at least.")
+	fault.After = optionalDuration(report, "after", block.After, defaultMeasuredAfter)
+	if slices.ContainsFunc(f.Faults[:index], func(other faultBlock) bool { return other.Kind == block.Kind }) {
+		report("kind", "There is a %q already.", block.Kind)
 	}
-	if p.Bare < 0 {
-		say("bare", "There must be 0 at least.")
+	if block.Count != 0 && fault.Kind != DispatchersReplaced {
+		report("count", "It is for %q alone.", DispatchersReplaced)
 	}
-	if p.Rate < 0 {
-		say("rate", "It must be 0 at least.")
+	if block.Zone != 0 && fault.Kind != ZoneLost || block.Zone < 0 || block.Zone > f.Zones {
+		report("zone", "It is for %q alone, and from 1 to %d.", ZoneLost, f.Zones)
 	}
-	if p.Fault != nil {
-		p.Fault.check(p, say)
+	if block.Region != 0 && fault.Kind != RegionPartitioned || block.Region < 0 || block.Region > f.Regions {
+		report("region", "It is for %q alone, and from 1 to %d.", RegionPartitioned, f.Regions)
 	}
+	return fault
 }
-
-// listeners are the works' ends for real dispatchers, and the last for all hollow ones.
-func (p *Plan) listeners() int { return p.SetAside + p.Real() + p.Bare + 1 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -93,13 +93,6 @@
 	return c
 }
 
-func zoneName(n int) string { return fmt.Sprint("z", n) }
-
-// region gives a zone's, as the works deal them.
-func (p *Plan) region(zone int) int { return zone * p.Regions / p.Zones }
-
-func regionName(n int) string { return fmt.Sprint("r", n) }
-
 // addresses counts those that this process gave.
 var addressesReserved atomic.Int64
 
@@ -115,52 +108,6 @@
 	return l.Addr().String(), nil
 }
 
-// scenario is the works' part of a plan.
-func (p *Plan) scenario() emulator.Scenario {
-	s := emulator.Usual(p.Seed)
-	s.Dispatchers, s.Span = p.listeners(), p.Settle+p.Span
-	maximum := p.Accelerators / p.Workers
-	more := p.Accelerators - maximum*p.Workers
-	s.Kinds = []emulator.Kind{{Name: "box", Count: p.Workers - more, Slots: maximum, SpeedMin: 0.9, SpeedMax: 1.1},
-		{Name: "large-box", Count: more, Slots: maximum + 1, SpeedMin: 0.9, SpeedMax: 1.1}}
-	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice, s.Network.Cross = p.Zones, p.Regions, 0.03, 5*time.Millisecond
-	s.Traffic.Work, s.Traffic.Subjects, s.Traffic.Rate = claimedJobDuration.Seconds(), 0, max(p.Rate, 1)
-	s.Traffic.Accounts = nil
-	for i := range p.Teams {
-		s.Traffic.Accounts = append(s.Traffic.Accounts, emulator.Account{Name: teamName(i), Share: 1})
-	}
-	share := 1 / float64(p.Workers) // one at a time
-	repeat := func(every time.Duration, kind emulator.FaultKind, lasts time.Duration) {
-		for at := every; every > 0 && at+lasts < p.Span; at += every {
-			s.Faults = append(s.Faults, emulator.Fault{At: at, For: lasts, Kind: kind, Share: share})
-		}
-	}
-	if p.Fault != nil {
-		s.Faults = append(s.Faults, p.Fault.workerFaults(p)...)
-	}
-	repeat(p.RestartInterval, emulator.Restart, time.Second)
-	repeat(p.DrainInterval, emulator.Drain, drainDuration)
-	return s
-}
-
-// drainFor is how long a worker that leaves is there for what it has.
-const drainDuration = 4 * time.Second
-
-func teamName(n int) string { return fmt.Sprint("team-", n+1) }
-
-// capacity are the slots of each zone.
-func (p *Plan) zoneCapacity() map[string]float64 {
-	all := map[string]float64{}
-	for i := range p.Workers { // as the works deal them: the smaller ones first
-		slots := p.Accelerators / p.Workers
-		if i >= p.Workers-(p.Accelerators-slots*p.Workers) {
-			slots++
-		}
-		all[zoneName(i%p.Zones)] += float64(slots)
-	}
-	return all
-}
-
 // place gives a free door, of a zone if there is one.
 func takeListener(free *[]int, zone, zones int) int {
 	i := max(slices.IndexFunc(*free, func(listener int) bool { return listener%zones == zone }), 0)
@@ -169,17 +116,6 @@
 	return door
 }
 
-// voterZone gives where a seat of the first council is: regions have as many as can be, and zones one each.
-func (p *Plan) voterZone(n int) int {
-	var zones []int
-	for z := range p.Zones {
-		if p.region(z) == n%p.Regions {
-			zones = append(zones, z)
-		}
-	}
-	return zones[n/p.Regions%len(zones)]
-}
-
 // add names a member, at an address of its own.
 func (f *run) addDispatcher(m *fleetDispatcher) error {
 	at, err := reserveAddress()
--- /dev/null
+++ b/internal/scale/point.go
@@ -0,0 +1,124 @@
+package scale
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Point is one run of a file.
+type Point struct {
+	Name string // of its directory; empty if the file has one run alone
+	Plan Plan
+}
+
+// Points returns a file's runs, for as many seeds as it has from the given one on. hollow not below 0 and processes above 0 replace what the
+// file says. The error names the first mistake that these bring, as an attribute.
+func (f *File) Points(seed uint64, hollow, processes int) ([]Point, error) {
+	file := *f
+	if hollow >= 0 {
+		file.Hollow = hollow
+	}
+	if processes > 0 {
+		file.Processes = processes
+	}
+	list := &pointList{seeds: f.Seeds}
+	for n := range uint64(max(f.Seeds, 1)) {
+		file.addPoints(list, seed+n)
+	}
+	return list.points, list.err
+}
+
+// addPoints adds the runs with a seed.
+func (f *File) addPoints(list *pointList, seed uint64) {
+	for _, fault := range f.faults(func(int, string, string, ...any) {}) { // mistakes were reported when the file was read
+		plan := f.seededPlan(seed)
+		plan.Fault, plan.Span = &fault, max(plan.Span, fault.measuredSpan())
+		list.add(string(fault.Kind), plan)
+	}
+	for _, slope := range f.Slopes {
+		for _, size := range slope.Sizes {
+			if resized, ok := f.resized(slope.By, size); ok {
+				plan := resized.seededPlan(seed)
+				list.add(fmt.Sprintf("d%d-w%d-z%d-c%d", plan.Dispatchers, plan.Workers, plan.Zones, plan.plannedChanges()), plan)
+			}
+		}
+	}
+	if len(f.Faults)+len(f.Slopes) == 0 {
+		list.add("", f.seededPlan(seed))
+	}
+}
+
+// seededPlan returns the file's plan with a seed.
+func (f *File) seededPlan(seed uint64) Plan {
+	plan := f.plan(ignoreMistake)
+	plan.Seed = seed
+	return plan
+}
+
+// resized returns the file at another size, and false for one that cannot be. The number of real dispatchers and that of accelerators for
+// each worker stay.
+func (f *File) resized(by string, size int) (*File, bool) {
+	file := *f
+	switch by {
+	case "dispatchers":
+		file.Dispatchers, file.Hollow = size, size-(f.Dispatchers-f.Hollow)
+	case "workers":
+		file.Workers = size
+		if f.Accelerators > 0 {
+			file.Accelerators = f.Accelerators * size / max(f.Workers, 1)
+		}
+	case "zones":
+		file.Zones = size
+		if f.Processes > 0 && f.Hollow > 0 {
+			file.Processes = min(max(f.Processes, size), f.Hollow)
+		}
+	case "changes":
+		if f.Changes == nil {
+			return nil, false
+		}
+		plan := f.plan(ignoreMistake)
+		changes := *f.Changes
+		changes.Every = ((plan.Span - plan.Rest) / time.Duration(max(size, 1))).String()
+		file.Changes = &changes
+	default:
+		return nil, false
+	}
+	return &file, size > 0
+}
+
+// pointList collects points.
+type pointList struct {
+	points []Point
+	seeds  int
+	err    error // the first mistake
+}
+
+// add checks a plan and adds it, unless there is one of its name.
+func (l *pointList) add(name string, plan Plan) {
+	plan.check(func(attribute, format string, args ...any) {
+		if l.err == nil {
+			l.err = attributeError(attribute, format, args...)
+		}
+	})
+	name = pointName(name, l.seeds, plan.Seed)
+	if !slices.ContainsFunc(l.points, func(other Point) bool { return other.Name == name }) {
+		l.points = append(l.points, Point{name, plan})
+	}
+}
+
+// attributeError returns the error for a mistake at an attribute.
+func attributeError(attribute, format string, args ...any) error {
+	return fmt.Errorf("%s: %s", attribute, fmt.Sprintf(format, args...))
+}
+
+// pointName returns the name of a point, with its seed if the file has several.
+func pointName(name string, seeds int, seed uint64) string {
+	switch {
+	case seeds < 2:
+		return name
+	case name == "":
+		return fmt.Sprint("s", seed)
+	}
+	return fmt.Sprintf("%s-s%d", name, seed)
+}
