--- /dev/null
+++ b/internal/scale/hollowdispatcher.go
@@ -0,0 +1,235 @@
+package scale
+
+import (
+	"context"
+	"log/slog"
+	"maps"
+	"math/rand/v2"
+	"path/filepath"
+	"slices"
+	"sync"
+	"time"
+
+	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/decisions/failover"
+	"brassdale/internal/decisions/polling"
+	"brassdale/internal/faults"
+	"brassdale/internal/fleet"
+	"brassdale/internal/protocol"
+	"brassdale/internal/routing"
+	"brassdale/internal/traffic"
+	"brassdale/internal/transport"
+)
+
+// hollowDispatcher is a dispatcher without jobs and without connections to workers. It runs a real fleet agent and calls discovery as a real
+// dispatcher does. What its agent needs to know of jobs and workers, it makes up. A bare one only calls discovery.
+type hollowDispatcher struct {
+	name      string
+	agent     *fleet.Agent // nil for a bare one
+	meter     *traffic.Meter
+	discovery *transport.Discovery
+	startedAt time.Time
+
+	mu              sync.Mutex
+	effectiveStates []faults.EffectiveState
+	raftRole        raftRole
+	recorder        *failover.Recorder
+	random          *rand.Rand
+	reportedAt      time.Time // of the last report
+	claimedJobs     uint64    // reported since the start
+}
+
+// randomStream is the random stream of a process's first hollow dispatcher; the others have those after it.
+const randomStream = 1000
+
+// newDispatcher returns a dispatcher that does not run yet. index counts the dispatchers of the process.
+func (s *hollowServer) newDispatcher(spec HollowDispatcherSpec, index uint64, log *slog.Logger) (*hollowDispatcher, error) {
+	meter := &traffic.Meter{}
+	d := &hollowDispatcher{name: spec.Name, meter: meter, discovery: transport.NewDiscovery(s.discoveryAddress, s.settings, meter)}
+	if s.spec.Bare {
+		return d, nil
+	}
+	d.random = rand.New(rand.NewPCG(s.spec.Seed, randomStream+index))
+	d.startedAt = time.Now()
+	d.reportedAt = d.startedAt
+	d.recorder = failover.NewRecorder(spec.Name, s.spec.Zone, 0)
+	var err error
+	d.agent, err = fleet.New(s.agentOptions(d, spec.Address, log))
+	return d, err
+}
+
+// agentOptions returns the options of a dispatcher's agent.
+func (s *hollowServer) agentOptions(d *hollowDispatcher, address string, log *slog.Logger) fleet.Options {
+	settings := fleet.Default()
+	settings.Name, settings.Listen = s.spec.Fleet, address
+	settings.Voters, settings.AddressOverrides = s.spec.Voters, s.spec.AddressOverrides
+	settings.Directory = filepath.Join(s.spec.Directory, d.name)
+	settings.LeaseDuration, settings.ReplaceAfter = s.spec.LeaseDuration, s.spec.ReplaceAfter
+	settings.Region, settings.Zone = s.spec.Region, s.spec.Zone
+	options := fleet.Options{
+		Settings:       &settings,
+		Name:           d.name,
+		Zone:           s.spec.Zone,
+		ApplyEffective: d.applyEffective,
+		JobCounts:      d.jobCounts,
+		Meter:          d.meter,
+		Log:            slog.New(raftRoleHandler{log.With("hollow", d.name).Handler(), d}),
+	}
+	if s.spec.Failover != nil {
+		options.Failover = s.spec.Failover
+		options.PlanChanged = func(*failover.Plan, bool) {} // there are no jobs to plan for
+		options.Report = func() *failover.Report { return d.report(&s.spec, s.settings.Current()) }
+		options.HasUrgentChange = d.hasUrgentChange
+	}
+	if s.spec.Overload != nil {
+		options.Overload = s.spec.Overload
+		options.MaxDispatchers = func() int { return s.spec.FleetSize }
+		options.FirstAttempts = func() uint64 {
+			jobs, _ := d.jobCounts()
+			return jobs
+		}
+	}
+	return options
+}
+
+// run starts the dispatcher's goroutines, which end with the context.
+func (d *hollowDispatcher) run(ctx context.Context, server *hollowServer) {
+	go d.watchEndpoints(ctx, server.settings)
+	if d.agent != nil {
+		go d.agent.Run(ctx)
+		go d.probeWorkers(ctx, server)
+	}
+}
+
+// applyEffective records what the agent applies from now on.
+func (d *hollowDispatcher) applyEffective(effective configversions.Effective) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := time.UnixMilli(time.Now().UnixMilli()) // as real dispatchers log it: times that are rounded alike keep their order
+	if last := len(d.effectiveStates) - 1; last >= 0 {
+		d.effectiveStates[last].To = now
+	}
+	applied := faults.EffectiveState{From: now, Versions: slices.Clone(effective.Versions), Lapsed: effective.LeaseExpired}
+	d.effectiveStates = append(d.effectiveStates, applied)
+}
+
+// appliedStates returns what the agent has applied until now.
+func (d *hollowDispatcher) appliedStates() []faults.EffectiveState {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.effectiveStates)
+}
+
+// currentRaftRole returns the dispatcher's role in the raft group.
+func (d *hollowDispatcher) currentRaftRole() raftRole {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.raftRole
+}
+
+// jobCounts returns the jobs that were reported as ended; none of them as bad.
+func (d *hollowDispatcher) jobCounts() (ended, bad uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.claimedJobs, 0
+}
+
+// Probing as the module of package scheduler does: each worker gets one probe a second from each of probersPerWorker dispatchers. If there are
+// more workers than allProbedWorkers, a dispatcher probes maxProbedWorkers of them, once a second.
+const (
+	allProbedWorkers = 512
+	maxProbedWorkers = 32
+	probersPerWorker = 2
+	probeInterval    = 250 * time.Millisecond
+)
+
+// probesPerSecondOf returns how many probes a second a dispatcher of the spec would send.
+func probesPerSecondOf(spec *HollowSpec) float64 {
+	if spec.Workers <= allProbedWorkers {
+		return float64(spec.Workers) / max(float64(spec.FleetSize)/probersPerWorker, 1)
+	}
+	return float64(min(spec.Workers, maxProbedWorkers))
+}
+
+// probeWorkers takes as many probes as a real dispatcher would send from the fleet's budget, until the context ends. For each of them it records
+// whether a random zone has answered.
+func (d *hollowDispatcher) probeWorkers(ctx context.Context, server *hollowServer) {
+	rate := probesPerSecondOf(&server.spec)
+	zones := slices.Sorted(maps.Keys(server.spec.Capacity))
+	for due := 0.0; ; due += rate * probeInterval.Seconds() {
+		for ; due >= 1; due-- {
+			if d.agent.AllowUse(fleet.ProbeBudget) {
+				d.recordProbe(zones, server.observed())
+			}
+		}
+		if !sleepUntil(ctx, time.Now().Add(probeInterval)) {
+			return
+		}
+	}
+}
+
+// recordProbe records a probe of a random zone, which answers if it is observed.
+func (d *hollowDispatcher) recordProbe(zones, observed []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	zone := zones[d.random.IntN(len(zones))]
+	if slices.Contains(observed, zone) {
+		d.recorder.ResponseReceived(zone, time.Since(d.startedAt))
+	} else {
+		d.recorder.AttemptUnanswered(zone, time.Since(d.startedAt))
+	}
+}
+
+// hasUrgentChange reports whether the leader should get a report at once.
+func (d *hollowDispatcher) hasUrgentChange() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.recorder.HasUrgentChange(time.Since(d.startedAt))
+}
+
+// claimedJobDuration is the mean time that a reported job ran.
+const claimedJobDuration = 200 * time.Millisecond
+
+// report returns a report of the size that a real dispatcher's has: of the zones that it probed, and of made-up jobs in its own zone.
+func (d *hollowDispatcher) report(spec *HollowSpec, settings *protocol.Settings) *failover.Report {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := time.Now()
+	at := now.Sub(d.startedAt)
+	class := settings.Classes[0]
+	due := now.Sub(d.reportedAt).Seconds() * spec.Rate
+	for d.reportedAt = now; due > 0 && d.random.Float64() < due; due-- {
+		d.claimedJobs++
+		d.recorder.JobArrived(class.Name, class.Credit)
+		ran := time.Duration(d.random.ExpFloat64() * float64(claimedJobDuration))
+		d.recorder.AttemptEnded(spec.Zone, class.Name, false, true, ran, at)
+	}
+	report := d.recorder.Report(at, maps.Clone(spec.Capacity)) // the report has the map and rounds its values
+	return &report
+}
+
+// Delays of calls to discovery, as routing.EndpointList has them.
+const (
+	firstCallSpread   = 50 * time.Millisecond // for each dispatcher, of the time over which their first calls are spread
+	maxFirstCallDelay = 3 * time.Second
+	maxRetryDelay     = 900 * time.Millisecond // after a failed call
+)
+
+// watchEndpoints calls discovery as routing.EndpointList does until the context ends, and discards the endpoints.
+func (d *hollowDispatcher) watchEndpoints(ctx context.Context, settings *protocol.LiveSettings) {
+	first := rand.Float64() * float64(settings.Current().ReplicasOfMe) * firstCallSpread.Seconds()
+	delay, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), polling.FullList
+	for {
+		if !sleepUntil(ctx, time.Now().Add(min(delay, maxFirstCallDelay))) {
+			return
+		}
+		update, err := d.discovery.Call(ctx, revision, kind)
+		if err != nil { // a real dispatcher's schedule would set the delay
+			delay, kind = time.Duration(rand.Float64()*float64(maxRetryDelay)), polling.Poll
+			continue
+		}
+		changed := update.Revision != revision || len(update.Endpoints) > 0
+		revision, kind = update.Revision, polling.Watch
+		delay = polling.RewatchDelay(changed, update.BeforeWaitEnded, settings.Current().ReplicasOfMe, rand.Float64())
+	}
+}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -1,62 +1,20 @@
 package scale
 
 import (
-	"context"
 	"fmt"
 	"os"
-	"slices"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 
 	"brassdale/internal/traffic"
 )
 
 const (
-	tickInterval  = 100 * time.Millisecond
-	tickTolerance = 250 * time.Millisecond // by more the machine is the limit, ...
-	maxLateTicks  = 3                      // ... if that is so more often
-	maxBusyShare  = 0.85                   // of all cores, over the measured span
-
-	clockTicksPerSecond = 100 // of the kernel's clock in /proc
+	maxBusyShare        = 0.85 // of all cores, over the measured span
+	clockTicksPerSecond = 100  // of the kernel's clock in /proc
 )
 
-// Late is when a process was kept waiting for a tick.
-type lateTick struct{ Due, At time.Time }
-
-// ticker notes when a process was kept waiting.
-type stallDetector struct {
-	mu   sync.Mutex
-	late []lateTick
-}
-
-func (t *stallDetector) all() []lateTick {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.Clone(t.late)
-}
-
-func (t *stallDetector) run(ctx context.Context) {
-	for {
-		due := time.Now().Add(tickInterval)
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(tickInterval):
-		}
-		t.ticked(due, time.Now())
-	}
-}
-
-func (t *stallDetector) ticked(due, at time.Time) {
-	if at.Sub(due) > tickTolerance {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		t.late = append(t.late, lateTick{due, at})
-	}
-}
-
 // usage is what a process has used.
 type processUsage struct {
 	cpuMS    float64 // ms since its start
--- /dev/null
+++ b/internal/scale/raftrole.go
@@ -0,0 +1,94 @@
+package scale
+
+import (
+	"context"
+	"log/slog"
+	"strings"
+	"time"
+)
+
+// raftRole is a dispatcher's role in the raft group.
+type raftRole struct {
+	Voter       bool      `json:"seated,omitempty"`
+	LeaderSince time.Time `json:"leads,omitzero"` // zero for no leader
+}
+
+// The log lines of the fleet agent from which a role is learned.
+const (
+	becameVoterMessage       = "became voter"
+	noLongerVoterMessage     = "no longer a voter"
+	leadershipChangedMessage = "leadership changed"
+	leadsKey                 = "leads" // whether the dispatcher leads now
+)
+
+// raftRoleFromLog returns the role of a real dispatcher by the log of its process.
+func raftRoleFromLog(log string) raftRole {
+	role := raftRole{Voter: strings.LastIndex(log, `msg="`+becameVoterMessage+`" `) > strings.LastIndex(log, `msg="`+noLongerVoterMessage+`" `)}
+	leadershipChanged := `msg="` + leadershipChangedMessage + `" ` + leadsKey + "="
+	last := strings.LastIndex(log, leadershipChanged)
+	if last < 0 || !strings.HasPrefix(log[last:], leadershipChanged+"true") || !role.Voter {
+		return role
+	}
+	line := log[strings.LastIndexByte(log[:last], '\n')+1:]
+	timestamp, _, _ := strings.Cut(line, " ")
+	role.LeaderSince, _ = time.Parse(time.RFC3339Nano, strings.TrimPrefix(timestamp, "time=")) // zero, and so no leader, for any other text
+	return role
+}
+
+// raftRoleHandler is the log handler of a hollow dispatcher's agent. It records the role that the log lines tell.
+type raftRoleHandler struct {
+	slog.Handler
+	dispatcher *hollowDispatcher
+}
+
+// Handle implements slog.Handler.
+func (h raftRoleHandler) Handle(ctx context.Context, record slog.Record) error {
+	h.dispatcher.recordRaftRole(record)
+	return h.Handler.Handle(ctx, record)
+}
+
+// recordRaftRole changes the recorded role as a log line says.
+func (d *hollowDispatcher) recordRaftRole(record slog.Record) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	switch record.Message {
+	case becameVoterMessage:
+		d.raftRole.Voter = true
+	case noLongerVoterMessage:
+		d.raftRole = raftRole{}
+	case leadershipChangedMessage:
+		d.raftRole.LeaderSince = time.Time{}
+		record.Attrs(func(attr slog.Attr) bool {
+			if attr.Key == leadsKey && attr.Value.Bool() {
+				d.raftRole.LeaderSince = record.Time
+			}
+			return true
+		})
+	}
+}
+
+// currentLeader returns the name of the dispatcher that was elected last, by the logs of real ones and by the last snapshot of hollow ones;
+// empty if there is none.
+func (r *run) currentLeader() string {
+	leader, since := "", time.Time{}
+	for _, each := range r.running() {
+		if each.node == nil || each.role == roleBare {
+			continue
+		}
+		if role := raftRoleFromLog(each.node.Log()); role.LeaderSince.After(since) {
+			leader, since = each.name, role.LeaderSince
+		}
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.snapshots) == 0 {
+		return leader
+	}
+	last := r.snapshots[len(r.snapshots)-1]
+	for _, each := range r.dispatchers {
+		if each.name == last.leader && each.hollow && each.hollowProcess != nil {
+			return last.leader
+		}
+	}
+	return leader
+}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -239,7 +239,7 @@
 		}
 		return nil
 	}
-	role := func(name string, is RaftRole) { // mu is held
+	role := func(name string, is raftRole) { // mu is held
 		if is.Voter {
 			r.voters[name] = true
 		}
@@ -320,41 +320,6 @@
 	return all
 }
 
-// roleOf gives a real dispatcher's role in the council, by the log of its life.
-func raftRoleFromLog(log string) (is RaftRole) {
-	is.Voter = strings.LastIndex(log, `msg="became voter" `) > strings.LastIndex(log, `msg="no longer a voter" `)
-	i := strings.LastIndex(log, `msg="leadership changed" leads=`)
-	if i < 0 || !strings.HasPrefix(log[i:], `msg="leadership changed" leads=true`) || !is.Voter {
-		return is
-	}
-	at, _, _ := strings.Cut(log[strings.LastIndexByte(log[:i], '\n')+1:], " ")
-	is.LeaderSince, _ = time.Parse(time.RFC3339Nano, strings.TrimPrefix(at, "time="))
-	return is
-}
-
-// leader is who was elected last, by real dispatchers' logs and what hollow ones said last; empty where nobody was.
-func (f *run) currentLeader() (name string) {
-	var since time.Time
-	for _, m := range f.running() {
-		if m.node == nil || m.role == roleBare {
-			continue
-		}
-		if is := raftRoleFromLog(m.node.Log()); is.LeaderSince.After(since) {
-			name, since = m.name, is.LeaderSince
-		}
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if n := len(f.snapshots); n > 0 {
-		last := f.snapshots[n-1]
-		i := slices.IndexFunc(f.dispatchers, func(m *fleetDispatcher) bool { return m.name == last.leader })
-		if i >= 0 && f.dispatchers[i].hollow && f.dispatchers[i].hollowProcess != nil {
-			return last.leader
-		}
-	}
-	return name
-}
-
 // sendJobs sends each real dispatcher that serves its part of the jobs, open loop; bare ones the same.
 func (f *run) sendJobs(end time.Time) {
 	targets := slices.DeleteFunc(f.running(), func(m fleetDispatcher) bool { return m.hollow || m.role == roleSetAside })
