--- a/cmd/brassdale-lab/scale.go
+++ b/cmd/brassdale-lab/scale.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	if o.compare {
-		options := scale.Options{Binary: o.binary, HollowArgs: []string{"hollow"}}
+		options := scale.Options{DispatcherProgram: o.binary, HollowArgs: []string{"hollow"}}
 		repeat := fmt.Sprintf("brassdale-lab scale %s --compare --seed %d", path, o.seed)
 		return compareScale(command, file, options, repeat, resultDirectory(o.out), o.seed, o.processes)
 	}
@@ -108,9 +108,9 @@
 		return err
 	}
 	pointDir := filepath.Join(dir, point.Name)
-	options := scale.Options{Binary: o.binary, Self: self, HollowArgs: []string{"hollow"}}
+	options := scale.Options{DispatcherProgram: o.binary, HollowProgram: self, HollowArgs: []string{"hollow"}}
 	if o.keepLogs {
-		options.KeepLogs = filepath.Join(pointDir, "logs")
+		options.LogDir = filepath.Join(pointDir, "logs")
 	}
 	result, err := scale.Play(command.Context(), point.Plan, options)
 	if err = errors.Join(err, command.Context().Err()); err != nil {
--- a/cmd/brassdale-lab/scalecompare.go
+++ b/cmd/brassdale-lab/scalecompare.go
@@ -20,7 +20,7 @@
 	if plans[0], plans[1], err = file.ComparisonPlans(seed, processes); err != nil {
 		return err
 	}
-	if options.Self, err = os.Executable(); err != nil {
+	if options.HollowProgram, err = os.Executable(); err != nil {
 		return err
 	}
 	var results [2][]*scale.Result
--- /dev/null
+++ b/internal/scale/accounting.go
@@ -0,0 +1,233 @@
+package scale
+
+import (
+	"runtime"
+	"slices"
+	"time"
+
+	"brassdale/internal/faults"
+	"brassdale/internal/traffic"
+)
+
+const (
+	maxBusyShare = 0.85        // of all cores, over the measured span of a run that counts
+	slowChange   = time.Second // a change that took longer may have been delayed by the machine
+)
+
+// result computes the run's result. It is called when the measured span has ended and all dispatchers have settled.
+func (r *run) result(measured measurement) *Result {
+	result := r.newResult()
+	for _, change := range r.changes {
+		if change.at.Before(measured.after.at) {
+			result.Changes++
+		}
+	}
+	result.SpanS = measured.after.at.Sub(measured.before.at).Seconds()
+	r.addTraffic(result, measured.before, measured.after)
+	r.addUsage(result, measured.before, measured.after)
+	checkMachine(result, measured.before, measured.after)
+	result.WorkerProbes = len(r.cluster.Spent().Probes)
+	if r.plan.Fault == nil {
+		result.Interface = compareInterface(measured.before, measured.after)
+	}
+	if !measured.rested.at.IsZero() {
+		r.addRest(result, measured.before, measured.rested)
+	}
+	all := r.histories()
+	addReturns(result, all)
+	r.addInForce(result, all, measured.after.lateTicks)
+	var states [][]faults.EffectiveState
+	for _, h := range all {
+		states = append(states, h.effectiveStates)
+	}
+	contradiction, _ := faults.ContradictionTime(states)
+	result.ContradictionMS = milliseconds(contradiction)
+	if r.plan.Fault != nil {
+		result.Failures = []Failure{r.failure(all)}
+	}
+	for _, breach := range r.cluster.Breaches() {
+		result.RulesBroken++
+		result.Breaches = append(result.Breaches, breach.String())
+	}
+	return result
+}
+
+// newResult returns a result with the plan's sizes and the counts of jobs.
+func (r *run) newResult() *Result {
+	plan := &r.plan
+	return &Result{
+		Title: plan.Title, Seed: plan.Seed, At: r.beganAt.UTC(), LeaseDurationMS: float64(plan.LeaseDuration.Milliseconds()), Packing: plan.Packing(),
+		Dispatchers: plan.Dispatchers, Hollow: plan.Hollow, Processes: plan.Processes, Real: plan.Real(), Bare: plan.Bare,
+		Workers: plan.Workers, Accelerators: plan.Accelerators, Zones: plan.Zones, Regions: plan.Regions, Teams: plan.Teams,
+		Voters: plan.Voters, SetAside: plan.SetAside,
+		Jobs: r.jobCounts.sent, AnsweredOnce: r.jobCounts.answered, AnsweredNever: r.jobCounts.unanswered, LostWithProcess: r.jobCounts.lost,
+		ReturnedInForceMS: []float64{},
+	}
+}
+
+// addTraffic adds what dispatchers counted of control.
+func (r *run) addTraffic(result *Result, before, after snapshot) {
+	all := ratesOf(before, after, r.servingDispatchers(func(*dispatcher) bool { return true }))
+	result.BytesP50, result.BytesP99, result.BytesMean = quantile(0.5, all.bytes), quantile(0.99, all.bytes), mean(all.bytes)
+	result.Messages, result.BytesByKind, result.MessagesByKind = mean(all.messages), all.bytesByKind, all.messagesByKind
+	hollow := ratesOf(before, after, r.servingDispatchers(func(each *dispatcher) bool { return each.hollow }))
+	result.HollowBytesMean, result.HollowBytesByKind, result.HollowMessages = mean(hollow.bytes), hollow.bytesByKind, mean(hollow.messages)
+	real := ratesOf(before, after, r.servingDispatchers(func(each *dispatcher) bool { return !each.hollow && each.voterNumber == 0 }))
+	result.RealBytesMean, result.RealBytesByKind, result.RealMessages = mean(real.bytes), real.bytesByKind, mean(real.messages)
+	r.addVoterTraffic(result, before, after)
+	for name := range after.control {
+		counts, _ := controlBetween(before, after, name)
+		discovery := counts[traffic.Discovery.String()]
+		result.DiscoveryCalls += float64(discovery.Messages) / result.SpanS
+		result.DiscoveryBytes += float64(discovery.Bytes()) / result.SpanS
+	}
+}
+
+// addVoterTraffic adds the traffic of the leader and of the other voters.
+func (r *run) addVoterTraffic(result *Result, before, after snapshot) {
+	var voters, leaders []*dispatcher
+	for _, each := range r.dispatchers {
+		switch {
+		case each.name == after.leader:
+			leaders = append(leaders, each)
+		case after.voters[each.name]:
+			voters = append(voters, each)
+		}
+	}
+	for _, each := range slices.Concat(voters, leaders) {
+		result.VoterBytesMax = max(result.VoterBytesMax, mean(ratesOf(before, after, []*dispatcher{each}).bytes))
+	}
+	result.VoterBytesByKind = ratesOf(before, after, voters).bytesByKind
+	leader := ratesOf(before, after, leaders)
+	result.LeaderBytes, result.LeaderBytesByKind = mean(leader.bytes), leader.bytesByKind
+}
+
+// usageGroup is the dispatchers whose usage is a figure of its own.
+type usageGroup struct {
+	role   dispatcherRole
+	hollow bool
+}
+
+// addUsage adds processor time and memory. Voters are in their own figures only.
+func (r *run) addUsage(result *Result, before, after snapshot) {
+	cpuMS, memoryMB := map[usageGroup][]float64{}, map[usageGroup][]float64{}
+	for _, each := range r.dispatchers {
+		cpu, memory := cpuBetween(before, after, each.name)/result.SpanS, after.usage[after.pids[each.name]].memoryMB
+		if each.name == after.leader {
+			result.LeaderCPU = cpu
+		}
+		if after.voters[each.name] {
+			result.VoterCPUMax, result.VoterMemoryMax = max(result.VoterCPUMax, cpu), max(result.VoterMemoryMax, memory)
+			continue
+		}
+		if _, same := controlBetween(before, after, each.name); same {
+			group := usageGroup{each.role, each.hollow}
+			cpuMS[group], memoryMB[group] = append(cpuMS[group], cpu), append(memoryMB[group], memory)
+		}
+	}
+	real, bare := usageGroup{roleServing, false}, usageGroup{roleBare, false}
+	result.RealCPU, result.RealMemory = mean(cpuMS[real]), mean(memoryMB[real])
+	result.BareCPU, result.BareMemory = mean(cpuMS[bare]), mean(memoryMB[bare])
+	result.HollowCPU = mean(cpuMS[usageGroup{roleServing, true}])
+	result.HollowBareCPU = mean(cpuMS[usageGroup{roleBare, true}])
+	if r.plan.Bare > 0 && len(cpuMS[real]) > 0 {
+		result.CPU, result.Memory = result.RealCPU-result.BareCPU, result.RealMemory-result.BareMemory
+	}
+}
+
+// checkMachine records whether the machine was the limit.
+func checkMachine(result *Result, before, after snapshot) {
+	result.MachineBusy = (after.machine.busyTicks - before.machine.busyTicks) / max(after.machine.totalTicks-before.machine.totalTicks, 1)
+	late := len(after.lateTicks) - len(before.lateTicks)
+	switch {
+	case late > maxLateTicks:
+		result.setFellBehind("%d ticks of %v were late by more than %v", late, tickInterval, tickTolerance)
+	case result.MachineBusy > maxBusyShare:
+		result.setFellBehind("%.0f%% of %d cores were busy", 100*result.MachineBusy, runtime.NumCPU())
+	}
+}
+
+// compareInterface compares what was counted with what the loopback interface carried. What is counted at both ends counts where it is sent;
+// calls to discovery are counted at the dispatcher only, in both directions.
+func compareInterface(before, after snapshot) Interface {
+	seconds := after.at.Sub(before.at).Seconds()
+	links := after.linkTraffic.Bytes() - before.linkTraffic.Bytes()
+	uncounted := after.pollTraffic.Bytes() - before.pollTraffic.Bytes() + extraProxyTransits*links
+	counted := float64(after.proposalTraffic.Sent - before.proposalTraffic.Sent)
+	for name := range after.control {
+		counts, _ := controlBetween(before, after, name)
+		for kind, count := range counts {
+			counted += float64(count.Sent)
+			if kind == traffic.Discovery.String() {
+				counted += float64(count.Received)
+			}
+		}
+	}
+	compared := Interface{
+		Bytes:   (loopbackPayload(before.machine, after.machine) - float64(uncounted)) / seconds,
+		Counted: counted / seconds,
+		Links:   float64(links) / seconds,
+	}
+	if compared.Bytes > 0 {
+		compared.CountedShare = compared.Counted / compared.Bytes
+	}
+	return compared
+}
+
+// addRest adds what control costs without changes, and with it what a change costs.
+func (r *run) addRest(result *Result, before, rested snapshot) {
+	rates := ratesOf(before, rested, r.servingDispatchers(func(*dispatcher) bool { return true }))
+	result.Rest = &Rest{
+		SpanS:       rested.at.Sub(before.at).Seconds(),
+		Bytes:       mean(rates.bytes),
+		Messages:    mean(rates.messages),
+		BytesByKind: rates.bytesByKind,
+	}
+	if result.Changes > 0 {
+		result.Change = &Change{(result.BytesMean - result.Rest.Bytes) * result.SpanS / float64(result.Changes)}
+	}
+}
+
+// addReturns adds how long dispatchers that were killed or cut off took until they had applied the newest version.
+func addReturns(result *Result, all []*history) {
+	for _, h := range all {
+		result.ReturnedInForceMS = append(result.ReturnedInForceMS, h.returnTimesMS...)
+		result.InForceMissing += h.missed
+	}
+	slices.Sort(result.ReturnedInForceMS)
+}
+
+// addInForce adds how long it took until changes were in force at the dispatchers that they could reach. The machine was the limit if a change
+// was slow while a tick was late.
+func (r *run) addInForce(result *Result, all []*history, late []lateTick) {
+	var delays []float64
+	for _, history := range all {
+		for _, change := range r.changes {
+			at, ok, unreached := history.inForceAt(change)
+			if unreached {
+				continue
+			}
+			if !ok {
+				result.InForceMissing++
+				continue
+			}
+			delay := at.Sub(change.at)
+			delays = append(delays, milliseconds(delay))
+			if tick, wasLate := lateTickWithin(late, change.at, at); wasLate && delay > slowChange {
+				result.setFellBehind("version %d was in force at %s after %.0f ms, and a tick meanwhile was late by %v",
+					change.version, history.dispatcher.name, milliseconds(delay), tick.At.Sub(tick.Due).Round(time.Millisecond))
+			}
+		}
+	}
+	slices.Sort(delays)
+	result.InForceP50MS, result.InForceP99MS, result.InForceP999MS = quantile(0.5, delays), quantile(0.99, delays), quantile(0.999, delays)
+}
+
+// lateTickWithin returns the first late tick that was waited for at some moment between two times; false for none.
+func lateTickWithin(late []lateTick, from, to time.Time) (lateTick, bool) {
+	i := slices.IndexFunc(late, func(tick lateTick) bool { return tick.Due.Before(to) && tick.At.After(from) })
+	if i < 0 {
+		return lateTick{}, false
+	}
+	return late[i], true
+}
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -66,20 +66,21 @@
 
 // checkSlopes checks the sizes, each in its run.
 func (c *checker) checkSlopes(blocks []*hclsyntax.Block) {
-	for i, slope := range c.file.Slopes {
+	for index, slope := range c.file.Slopes {
+		block := blocks[index]
 		if len(slope.Sizes) == 0 {
-			c.reportIn(blocks[i], "of", "It must name sizes.")
+			c.reportIn(block, "of", "It must name sizes.")
 		}
 		for _, size := range slope.Sizes {
 			resized, ok := c.file.resized(slope.By, size)
 			if !ok {
-				c.reportIn(blocks[i], "of", "%d %s: it must be above 0, and by dispatchers, workers, zones or changes, which need the block changes.",
+				c.reportIn(block, "of", "%d %s: it must be above 0, and by dispatchers, workers, zones or changes, which need the block changes.",
 					size, slope.By)
 				break
 			}
 			plan := resized.plan(ignoreMistake)
 			plan.check(func(attribute, format string, args ...any) {
-				c.reportIn(blocks[i], "of", "%d %s, %s: %s", size, slope.By, attribute, fmt.Sprintf(format, args...))
+				c.reportIn(block, "of", "%d %s, %s: %s", size, slope.By, attribute, fmt.Sprintf(format, args...))
 			})
 		}
 	}
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -74,13 +74,13 @@
 // Compare compares runs with real dispatchers and as many runs with hollow ones. There is one of each at least.
 func Compare(real, hollow []*Result) *Comparison {
 	first := real[0]
-	c := &Comparison{
+	comparison := &Comparison{
 		Title: first.Title, Seed: first.Seed, At: first.At, SpanS: first.SpanS, Dispatchers: first.Dispatchers, Processes: hollow[0].Processes,
 		Workers: first.Workers, Zones: first.Zones, Rounds: len(real), Within: agreementTolerance, Agrees: true,
 	}
-	c.addJudged(newFigure("all", "B/s", real, hollow, func(r *Result) float64 { return r.BytesMean }))
-	c.addJudged(newFigure("all", "messages/s", real, hollow, func(r *Result) float64 { return r.Messages }))
-	c.addJudged(newFigure("control", "CPU ms/s", real, hollow, controlCPU))
+	comparison.addJudged(newFigure("all", "B/s", real, hollow, func(r *Result) float64 { return r.BytesMean }))
+	comparison.addJudged(newFigure("all", "messages/s", real, hollow, func(r *Result) float64 { return r.Messages }))
+	comparison.addJudged(newFigure("control", "CPU ms/s", real, hollow, controlCPU))
 	kinds := map[string]bool{}
 	for _, result := range slices.Concat(real, hollow) {
 		for kind := range result.BytesByKind {
@@ -88,10 +88,10 @@
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
-		c.addUnjudged(newFigure(kind, "B/s", real, hollow, func(r *Result) float64 { return r.BytesByKind[kind] }))
-		c.addUnjudged(newFigure(kind, "messages/s", real, hollow, func(r *Result) float64 { return r.MessagesByKind[kind] }))
+		comparison.addUnjudged(newFigure(kind, "B/s", real, hollow, func(r *Result) float64 { return r.BytesByKind[kind] }))
+		comparison.addUnjudged(newFigure(kind, "messages/s", real, hollow, func(r *Result) float64 { return r.MessagesByKind[kind] }))
 	}
-	return c
+	return comparison
 }
 
 // controlCPU returns the processor time that control costs a dispatcher: the difference to a bare one.
--- /dev/null
+++ b/internal/scale/dispatcher.go
@@ -0,0 +1,95 @@
+package scale
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"brassdale/internal/emulator"
+	"brassdale/internal/faults"
+)
+
+// dispatcherRole is what a dispatcher of a run is for. Results have its text as a key.
+type dispatcherRole string
+
+const (
+	roleServing  dispatcherRole = "dispatcher" // serves jobs
+	roleSetAside dispatcherRole = "set aside"  // for control alone
+	roleBare     dispatcherRole = "bare"       // has no fleet
+)
+
+// dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields after listener.
+type dispatcher struct {
+	name         string
+	role         dispatcherRole
+	hollow       bool
+	fleetAddress string // where other dispatchers reach it
+	zone         int
+	voterNumber  int // counted from 1, among the voters of the founded raft group; 0 for no voter
+	listener     int // of a real one: its index in the emulator
+
+	node            *emulator.Node          // of a real one that runs
+	hollowProcess   *hollowProcess          // of a hollow one that runs
+	earlierLogs     string                  // of a real one: of its ended processes
+	earlierStates   []faults.EffectiveState // of a hollow one: of its ended processes
+	effectiveStates []faults.EffectiveState // of a hollow one: of its process, as they were fetched last
+	absences        []faults.Absence        // while it was not running
+	partitions      []faults.Absence        // while it was running and cut off from other regions
+}
+
+// absent reports whether the dispatcher was killed and has not come back. It is called before and after the
+// measured span, when no fault is in progress.
+func (d *dispatcher) absent() bool {
+	return len(d.absences) > 0 && d.absences[len(d.absences)-1].To.IsZero()
+}
+
+// addressesReserved counts the addresses that reserveAddress returned.
+var addressesReserved atomic.Int64
+
+// The loopback addresses of reserveAddress are 127.88.1.1 to 127.88.250.200.
+const (
+	addressNetworks     = 250
+	addressesPerNetwork = 200
+)
+
+// reserveAddress returns an IP address and port that no other dispatcher of this process's runs has. A port alone would not do: one that was
+// free may go to another connection, which leaves from 127.0.0.1, or to another run's dispatcher.
+func reserveAddress() (string, error) {
+	n := int(addressesReserved.Add(1))
+	network, host := (os.Getpid()+n/addressesPerNetwork)%addressNetworks+1, n%addressesPerNetwork+1
+	listener, err := net.Listen("tcp", fmt.Sprintf("127.88.%d.%d:0", network, host))
+	if err != nil {
+		return "", err
+	}
+	return listener.Addr().String(), listener.Close()
+}
+
+// statesOf returns what a dispatcher has applied until now; of a hollow one, until the last fetchHollowStates.
+func (r *run) statesOf(d *dispatcher) []faults.EffectiveState {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if d.hollow {
+		return append(slices.Clone(d.earlierStates), d.effectiveStates...)
+	}
+	log := d.earlierLogs
+	if d.node != nil {
+		log += d.node.Log()
+	}
+	return faults.EffectiveStates(log, time.Now(), d.absences)
+}
+
+// running returns copies of the dispatchers that run, as they are now.
+func (r *run) running() []dispatcher {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var all []dispatcher
+	for _, each := range r.dispatchers {
+		if each.node != nil || each.hollowProcess != nil {
+			all = append(all, *each)
+		}
+	}
+	return all
+}
--- a/internal/scale/failure_test.go
+++ b/internal/scale/failure_test.go
@@ -58,7 +58,7 @@
 		t.Fatalf("%+v", all)
 	}
 	// The first zone and region have a seat, the real dispatcher that serves and two hollow ones; the fleet has ten in all.
-	befell := map[FaultKind]int{VoterLost: 1, ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
+	affected := map[FaultKind]int{VoterLost: 1, ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
 	returned := map[FaultKind]int{ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
 	for _, p := range all {
 		t.Run(p.Name, func(t *testing.T) {
@@ -74,8 +74,8 @@
 			x := r.Failures[0]
 			kind := FaultKind(p.Name)
 			t.Logf("%+v", x)
-			if x.Kind != kind || x.Affected != befell[kind] || len(x.ReturnedInForceMS) != returned[kind] {
-				t.Errorf("%d befallen, %d back: %+v", x.Affected, len(x.ReturnedInForceMS), x)
+			if x.Kind != kind || x.Affected != affected[kind] || len(x.ReturnedInForceMS) != returned[kind] {
+				t.Errorf("%d affected, %d back: %+v", x.Affected, len(x.ReturnedInForceMS), x)
 			}
 			if x.Changes == 0 || x.RecoveredAfterS == nil {
 				t.Errorf("%d changes, whole again after %v", x.Changes, x.RecoveredAfterS)
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -1,11 +1,8 @@
 package scale
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
-	"net/http"
 	"os"
 	"slices"
 	"time"
@@ -13,249 +10,250 @@
 	"brassdale/internal/faults"
 )
 
-// faulty is what a fault came to.
+// faultRecord is what is known of the run's fault. The run's mutex guards it.
 type faultRecord struct {
-	beganAt   time.Time // its begin
-	endedAt   time.Time // zero while it is not
-	hitLeader bool      // who led was gone or cut off
-	affected  int       // dispatchers, of all roles
-	returned  []string  // that were gone or cut off, or are new, and are there again
+	beganAt   time.Time
+	endedAt   time.Time // zero while it is in progress
+	hitLeader bool      // the leader was killed or cut off
+	affected  int       // dispatchers of all roles that were killed or cut off
+	returned  []string  // dispatchers that were killed or cut off and came back, and new ones
 }
 
-// injectFault plays the run's fault to its end.
-func (f *run) injectFault() error {
-	x, begin := f.Fault, f.beganAt.Add(f.Fault.At)
-	over := begin.Add(x.For)
-	if !sleepUntil(f.ctx, begin) {
+// injectFault injects the plan's fault at its time, and returns when it has ended.
+func (r *run) injectFault(ctx context.Context) error {
+	fault := r.plan.Fault
+	begin := r.beganAt.Add(fault.At)
+	if !sleepUntil(ctx, begin) {
 		return nil
 	}
-	leads, all := f.currentLeader(), f.running()
-	all = slices.DeleteFunc(all, func(m fleetDispatcher) bool { return m.role == roleBare })
-	var who []string
-	for _, m := range all {
-		struck := map[FaultKind]bool{VoterLost: m.name == leads, ZoneLost: m.zone == x.Zone, RegionPartitioned: f.region(m.zone) == x.Region, DispatchersRestarted: true}[x.Kind]
-		if x.Kind == VoterLost && !f.isSetAside(leads) { // nobody leads, or a dispatcher that was given a seat
-			struck = m.voterNumber == 1
-		}
-		if struck {
-			who = append(who, m.name)
-		}
-	}
-	if x.Kind == DispatchersReplaced {
-		for _, m := range all {
-			if m.hollow && len(m.hollowProcess.dispatchers) == 1 && len(who) < x.Count {
-				who = append(who, m.name)
-			}
-		}
+	names := r.beginFault()
+	defer r.endFault()
+	switch fault.Kind {
+	case RegionPartitioned:
+		r.partitionRegion(ctx, names, begin.Add(fault.For))
+		return nil
+	case DispatchersReplaced:
+		return r.replaceOneByOne(ctx, names, begin)
+	default:
+		return r.killAndRestart(ctx, names, begin.Add(fault.For))
 	}
-	f.mu.Lock()
-	f.faultRecord = faultRecord{beganAt: time.Now(), hitLeader: slices.Contains(who, leads), affected: len(who)}
-	f.mu.Unlock()
-	defer func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.faultRecord.endedAt = time.Now()
-	}()
+}
+
+// beginFault records that the fault begins, has a config version proposed at once, and returns the names of the dispatchers to be affected.
+func (r *run) beginFault() []string {
+	leader := r.currentLeader()
+	names := r.affectedBy(r.plan.Fault, leader)
+	r.mu.Lock()
+	r.faultRecord = faultRecord{beganAt: time.Now(), hitLeader: slices.Contains(names, leader), affected: len(names)}
+	r.mu.Unlock()
 	select {
-	case f.proposeNow <- struct{}{}:
-	default:
+	case r.proposeNow <- struct{}{}:
+	default: // one is to be made anyway
 	}
-	switch x.Kind {
-	case RegionPartitioned:
-		return f.partitionRegion(who, over)
-	case DispatchersReplaced:
-		return f.replaceOneByOne(who, begin)
+	return names
+}
+
+// endFault records that the fault has ended.
+func (r *run) endFault() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.faultRecord.endedAt = time.Now()
+}
+
+// affectedBy returns the names of the running dispatchers that a fault affects. Bare ones never are.
+func (r *run) affectedBy(fault *Fault, leader string) []string {
+	leaderSetAside := r.isSetAside(leader)
+	var names []string
+	for _, each := range r.running() {
+		affected := false
+		switch fault.Kind {
+		case VoterLost:
+			affected = each.name == leader
+			if !leaderSetAside { // there is no leader, or it's a dispatcher that serves jobs
+				affected = each.voterNumber == 1
+			}
+		case ZoneLost:
+			affected = each.zone == fault.Zone
+		case RegionPartitioned:
+			affected = r.plan.region(each.zone) == fault.Region
+		case DispatchersReplaced: // those with a process of their own
+			affected = each.hollow && len(each.hollowProcess.dispatchers) == 1 && len(names) < fault.Count
+		case DispatchersRestarted:
+			affected = true
+		}
+		if affected && each.role != roleBare {
+			names = append(names, each.name)
+		}
 	}
-	if x.Kind == ZoneLost {
-		f.setObservedZones(func(zone int) bool { return zone != x.Zone })
+	return names
+}
+
+// isSetAside reports whether a dispatcher is set aside.
+func (r *run) isSetAside(name string) bool {
+	return slices.ContainsFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == name && each.role == roleSetAside })
+}
+
+// killAndRestart kills dispatchers and restarts them at the end of the fault, unless it has none. Probes of a lost zone are unanswered in
+// between.
+func (r *run) killAndRestart(ctx context.Context, names []string, end time.Time) error {
+	fault := r.plan.Fault
+	if fault.Kind == ZoneLost {
+		r.setObservedZones(ctx, func(_, zone int) bool { return zone != fault.Zone })
 	}
-	f.kill(who)
-	if x.For == 0 || !sleepUntil(f.ctx, over) {
+	r.kill(names)
+	if fault.For == 0 || !sleepUntil(ctx, end) {
 		return nil
 	}
-	if x.Kind == ZoneLost {
-		f.setObservedZones(func(int) bool { return true })
+	if fault.Kind == ZoneLost {
+		r.setObservedZones(ctx, allZones)
 	}
-	return f.restart(who)
+	return r.restart(ctx, names)
 }
 
-func (f *run) isSetAside(name string) bool {
-	return slices.ContainsFunc(f.dispatchers, func(m *fleetDispatcher) bool { return m.name == name && m.role == roleSetAside })
-}
-
-// kill ends dispatchers at once. Those that share processes with others end with them.
-func (f *run) kill(who []string) {
+// kill kills dispatchers, and with them those that share a process with one, and returns when their processes have ended.
+func (r *run) kill(names []string) {
 	now := time.Now()
-	var all []func() error
-	f.mu.Lock()
-	for _, m := range f.dispatchers {
-		if !slices.Contains(who, m.name) || m.node == nil && m.hollowProcess == nil {
+	var kills []func() error
+	r.mu.Lock()
+	for _, each := range r.dispatchers {
+		if !slices.Contains(names, each.name) || each.node == nil && each.hollowProcess == nil {
 			continue
 		}
-		m.absences = append(m.absences, faults.Absence{From: now})
-		if node := m.node; node != nil {
-			m.node = nil
-			all = append(all, func() error {
+		each.absences = append(each.absences, faults.Absence{From: now})
+		if node := each.node; node != nil {
+			each.node = nil
+			kills = append(kills, func() error {
 				node.Kill()
-				f.mu.Lock()
-				defer f.mu.Unlock()
-				m.earlierLogs += node.Log()
+				r.mu.Lock()
+				defer r.mu.Unlock()
+				each.earlierLogs += node.Log()
 				return nil
 			})
 			continue
 		}
-		p := m.hollowProcess
-		m.hollowProcess = nil
-		if !slices.Contains(f.hollowProcesses, p) { // one before was in it too
-			continue
+		process := each.hollowProcess
+		each.hollowProcess = nil
+		if i := slices.Index(r.hollowProcesses, process); i >= 0 { // none if another dispatcher of the process came before
+			r.hollowProcesses = slices.Delete(r.hollowProcesses, i, i+1)
+			kills = append(kills, func() error { return r.killHollow(process, now) })
 		}
-		f.hollowProcesses = slices.DeleteFunc(f.hollowProcesses, func(o *hollowProcess) bool { return o == p })
-		all = append(all, func() error {
-			p.kill()
-			text, err := os.ReadFile(p.logPath)
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			for _, m := range p.dispatchers {
-				m.earlierStates, m.effectiveStates = append(m.earlierStates, statesFromLog(string(text), m.name, now)...), nil
-			}
-			return err
-		})
 	}
-	f.mu.Unlock()
-	_ = inParallel(all)
+	r.mu.Unlock()
+	_ = inParallel(kills) // a log that cannot be read leaves its dispatchers without states, which the result has as changes not applied
 }
 
-// revive starts dispatchers that were killed, all at once.
-func (f *run) restart(who []string) error {
-	var all []func() error
-	groups := map[int][]*fleetDispatcher{}
+// killHollow kills a hollow process, and takes the states of its dispatchers until then from its log.
+func (r *run) killHollow(process *hollowProcess, at time.Time) error {
+	process.kill()
+	log, err := os.ReadFile(process.logPath)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, each := range process.dispatchers {
+		each.earlierStates = append(each.earlierStates, statesFromLog(string(log), each.name, at)...)
+		each.effectiveStates = nil
+	}
+	return err
+}
+
+// restart starts dispatchers that were killed, all at once. Hollow ones share processes as before.
+func (r *run) restart(ctx context.Context, names []string) error {
+	var starts []func() error
+	groups := map[int][]*dispatcher{}
 	now := time.Now()
-	for _, m := range f.dispatchers {
-		if !slices.Contains(who, m.name) {
+	for _, each := range r.dispatchers {
+		if !slices.Contains(names, each.name) {
 			continue
 		}
-		f.mu.Lock()
-		m.absences[len(m.absences)-1].To = now
-		f.faultRecord.returned = append(f.faultRecord.returned, m.name)
-		f.mu.Unlock()
-		if !m.hollow {
-			all = append(all, func() error { return f.startDispatcher(m) })
+		r.mu.Lock()
+		each.absences[len(each.absences)-1].To = now
+		r.faultRecord.returned = append(r.faultRecord.returned, each.name)
+		r.mu.Unlock()
+		if !each.hollow {
+			starts = append(starts, func() error { return r.startDispatcher(ctx, each) })
 			continue
 		}
-		i := slices.IndexFunc(f.hollowGroups, func(g []*fleetDispatcher) bool { return slices.Contains(g, m) })
-		groups[i] = append(groups[i], m)
+		i := slices.IndexFunc(r.hollowGroups, func(group []*dispatcher) bool { return slices.Contains(group, each) })
+		groups[i] = append(groups[i], each)
 	}
-	for _, g := range groups {
-		all = append(all, func() error { return f.startHollowProcess(g) })
+	for _, group := range groups {
+		starts = append(starts, func() error { return r.startHollowProcess(group) })
 	}
-	return inParallel(all)
+	return inParallel(starts)
 }
 
-// replace kills dispatchers one by one, and starts others.
-func (f *run) replaceOneByOne(who []string, begin time.Time) error {
-	for i, name := range who {
-		if !sleepUntil(f.ctx, begin.Add(f.Fault.For*time.Duration(i)/time.Duration(len(who)))) {
+// replaceOneByOne kills hollow dispatchers one by one, evenly over the fault, and starts a new one in place of each.
+func (r *run) replaceOneByOne(ctx context.Context, names []string, begin time.Time) error {
+	for i, name := range names {
+		if !sleepUntil(ctx, begin.Add(r.plan.Fault.For*time.Duration(i)/time.Duration(len(names)))) {
 			return nil
 		}
-		f.kill([]string{name})
-		f.mu.Lock()
-		old := f.dispatchers[slices.IndexFunc(f.dispatchers, func(m *fleetDispatcher) bool { return m.name == name })]
-		m := &fleetDispatcher{name: fmt.Sprint("h", f.Hollow+i), role: roleServing, hollow: true, zone: old.zone}
-		err := f.addDispatcher(m)
-		m.absences = []faults.Absence{{To: time.Now()}} // the time before
-		f.faultRecord.returned = append(f.faultRecord.returned, m.name)
-		f.mu.Unlock()
+		r.kill([]string{name})
+		successor, err := r.addSuccessor(name, fmt.Sprint("h", r.plan.Hollow+i))
 		if err != nil {
 			return err
 		}
-		if err := f.startHollowProcess([]*fleetDispatcher{m}); err != nil {
+		if err := r.startHollowProcess([]*dispatcher{successor}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// apart cuts a region off, until then.
-func (f *run) partitionRegion(who []string, over time.Time) error {
-	set := func(s faults.State) {
-		for ends, links := range f.links {
-			if ends[0] != f.Fault.Region && ends[1] != f.Fault.Region {
-				continue
-			}
-			for _, l := range links {
-				l.Set(s)
-			}
-		}
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		for _, m := range f.dispatchers {
-			switch {
-			case !slices.Contains(who, m.name):
-			case s.CutTo:
-				m.partitions = append(m.partitions, faults.Absence{From: time.Now()})
-			default:
-				m.partitions[len(m.partitions)-1].To = time.Now()
-				f.faultRecord.returned = append(f.faultRecord.returned, m.name)
-			}
-		}
-	}
-	set(faults.State{CutTo: true, CutFrom: true})
-	defer set(faults.State{})
-	f.setObservedZonesBySide()
-	sleepUntil(f.ctx, over)
-	f.setObservedZones(func(int) bool { return true })
-	return nil
-}
-
-// hear has hollow dispatchers hear of some zones alone from now on, as real ones do.
-func (f *run) setObservedZones(of func(zone int) bool) {
-	f.postObservedZones(func(int) []string { return f.zoneNames(of) })
+// addSuccessor adds a new hollow dispatcher, which was absent until now, in the zone of another.
+func (r *run) addSuccessor(predecessor, name string) (*dispatcher, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	i := slices.IndexFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == predecessor })
+	successor := &dispatcher{name: name, role: roleServing, hollow: true, zone: r.dispatchers[i].zone}
+	successor.absences = []faults.Absence{{To: time.Now()}}
+	r.faultRecord.returned = append(r.faultRecord.returned, name)
+	return successor, r.addDispatcher(successor)
 }
 
-// hearWithin has those of the region that is cut off hear of its zones, and the others of the others'.
-func (f *run) setObservedZonesBySide() {
-	cut := f.Fault.Region
-	f.postObservedZones(func(own int) []string {
-		return f.zoneNames(func(zone int) bool { return (f.region(zone) == cut) == (f.region(own) == cut) })
-	})
+// partitionRegion cuts the fault's region off from the others until its end. Hollow dispatchers observe only the zones on their side.
+func (r *run) partitionRegion(ctx context.Context, names []string, end time.Time) {
+	region := r.plan.Fault.Region
+	r.links.setState(region, faults.State{CutTo: true, CutFrom: true})
+	r.recordPartition(names, true)
+	r.setObservedZones(ctx, func(own, zone int) bool { return (r.plan.region(zone) == region) == (r.plan.region(own) == region) })
+	sleepUntil(ctx, end)
+	r.setObservedZones(ctx, allZones)
+	r.links.setState(region, faults.State{})
+	r.recordPartition(names, false)
 }
 
-func (f *run) zoneNames(of func(zone int) bool) (names []string) {
-	for z := range f.Zones {
-		if of(z) {
-			names = append(names, zoneName(z))
+// recordPartition records that dispatchers are cut off from now on, or no longer.
+func (r *run) recordPartition(names []string, cut bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, each := range r.dispatchers {
+		switch {
+		case !slices.Contains(names, each.name):
+		case cut:
+			each.partitions = append(each.partitions, faults.Absence{From: time.Now()})
+		default:
+			each.partitions[len(each.partitions)-1].To = time.Now()
+			r.faultRecord.returned = append(r.faultRecord.returned, each.name)
 		}
 	}
-	return names
 }
 
-func (f *run) postObservedZones(of func(own int) []string) {
-	var all []func() error
-	for _, p := range f.runningHollowProcesses() {
-		all = append(all, func() error { return f.postJSON("http://"+p.address+"/hears", of(p.dispatchers[0].zone)) })
-	}
-	_ = inParallel(all) // one that is just ending hears nothing anyway
-}
+// allZones is for setObservedZones: all zones are observed.
+func allZones(_, _ int) bool { return true }
 
-// post tells a hollow process something.
-func (f *run) postJSON(url string, what any) error {
-	text, err := json.Marshal(what)
-	if err != nil {
-		return err
-	}
-	ctx, stop := context.WithDeadline(f.ctx, time.Now().Add(pollTimeout))
-	defer stop()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(text))
-	if err != nil {
-		return err
-	}
-	resp, err := f.polls.http.Do(r)
-	if err != nil {
-		return err
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("%s: %s", url, resp.Status)
+// setObservedZones has the hollow dispatchers of each zone, own, observe other zones from now on: probes of these are answered, as those of real
+// dispatchers are.
+func (r *run) setObservedZones(ctx context.Context, observed func(own, zone int) bool) {
+	var posts []func() error
+	for _, process := range r.runningHollowProcesses() {
+		own := process.dispatchers[0].zone
+		var names []string
+		for zone := range r.plan.Zones {
+			if observed(own, zone) {
+				names = append(names, zoneName(zone))
+			}
+		}
+		posts = append(posts, func() error { return r.polls.postJSON(ctx, process.url(observedZonesPath), names) })
 	}
-	return nil
+	_ = inParallel(posts) // a process that does not respond is just being killed
 }
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -59,33 +59,33 @@
 }
 
 // agentOptions returns the options of a dispatcher's agent.
-func (s *hollowServer) agentOptions(d *hollowDispatcher, address string, log *slog.Logger) fleet.Options {
+func (s *hollowServer) agentOptions(dispatcher *hollowDispatcher, address string, log *slog.Logger) fleet.Options {
 	settings := fleet.Default()
 	settings.Name, settings.Listen = s.spec.Fleet, address
 	settings.Voters, settings.AddressOverrides = s.spec.Voters, s.spec.AddressOverrides
-	settings.Directory = filepath.Join(s.spec.Directory, d.name)
+	settings.Directory = filepath.Join(s.spec.Directory, dispatcher.name)
 	settings.LeaseDuration, settings.ReplaceAfter = s.spec.LeaseDuration, s.spec.ReplaceAfter
 	settings.Region, settings.Zone = s.spec.Region, s.spec.Zone
 	options := fleet.Options{
 		Settings:       &settings,
-		Name:           d.name,
+		Name:           dispatcher.name,
 		Zone:           s.spec.Zone,
-		ApplyEffective: d.applyEffective,
-		JobCounts:      d.jobCounts,
-		Meter:          d.meter,
-		Log:            slog.New(raftRoleHandler{log.With("hollow", d.name).Handler(), d}),
+		ApplyEffective: dispatcher.applyEffective,
+		JobCounts:      dispatcher.jobCounts,
+		Meter:          dispatcher.meter,
+		Log:            slog.New(raftRoleHandler{log.With("hollow", dispatcher.name).Handler(), dispatcher}),
 	}
 	if s.spec.Failover != nil {
 		options.Failover = s.spec.Failover
 		options.PlanChanged = func(*failover.Plan, bool) {} // there are no jobs to plan for
-		options.Report = func() *failover.Report { return d.report(&s.spec, s.settings.Current()) }
-		options.HasUrgentChange = d.hasUrgentChange
+		options.Report = func() *failover.Report { return dispatcher.report(&s.spec, s.settings.Current()) }
+		options.HasUrgentChange = dispatcher.hasUrgentChange
 	}
 	if s.spec.Overload != nil {
 		options.Overload = s.spec.Overload
 		options.MaxDispatchers = func() int { return s.spec.FleetSize }
 		options.FirstAttempts = func() uint64 {
-			jobs, _ := d.jobCounts()
+			jobs, _ := dispatcher.jobCounts()
 			return jobs
 		}
 	}
--- a/internal/scale/hollowserver.go
+++ b/internal/scale/hollowserver.go
@@ -85,21 +85,21 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &hollowServer{
+	server := &hollowServer{
 		spec:             spec,
 		settings:         &protocol.LiveSettings{},
 		discoveryAddress: config.Discovery,
 		observedZones:    slices.Sorted(maps.Keys(spec.Capacity)),
 	}
-	s.settings.Replace(&config.Settings, func(scheduler.Settings) {})
+	server.settings.Replace(&config.Settings, func(scheduler.Settings) {})
 	for i, dispatcherSpec := range spec.Dispatchers {
-		dispatcher, err := s.newDispatcher(dispatcherSpec, uint64(i), log)
+		dispatcher, err := server.newDispatcher(dispatcherSpec, uint64(i), log)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", dispatcherSpec.Name, err)
 		}
-		s.dispatchers = append(s.dispatchers, dispatcher)
+		server.dispatchers = append(server.dispatchers, dispatcher)
 	}
-	return s, nil
+	return server, nil
 }
 
 // handler returns the handler of the HTTP server, by which the run polls the dispatchers.
--- /dev/null
+++ b/internal/scale/peaks.go
@@ -0,0 +1,54 @@
+package scale
+
+import "time"
+
+// peakWindow is the time over which peaks are means.
+const peakWindow = 10 * time.Second
+
+// minPeakWindow is how long snapshots must be apart to make a window: they may be taken late.
+const minPeakWindow = peakWindow - snapshotInterval/2
+
+// peaks returns the most bytes and milliseconds of processor time a second that a dispatcher of each role had over a window that ended between
+// two times.
+func (r *run) peaks(from, to time.Time) (bytes, cpuMS map[dispatcherRole]float64) {
+	bytes, cpuMS = map[dispatcherRole]float64{}, map[dispatcherRole]float64{}
+	first := 0
+	for last, end := range r.snapshots {
+		for first < last && end.at.Sub(r.snapshots[first+1].at) >= minPeakWindow {
+			first++
+		}
+		span := end.at.Sub(r.snapshots[first].at)
+		if span < minPeakWindow || !end.at.After(from) || end.at.After(to) {
+			continue
+		}
+		window := r.snapshots[first : last+1]
+		for _, each := range r.dispatchers {
+			if each.role == roleBare {
+				continue
+			}
+			role, usedBytes, usedMS := usageIn(window, each)
+			bytes[role] = max(bytes[role], usedBytes/span.Seconds())
+			if role != roleServing || each.hollow || r.plan.Hollow == 0 {
+				cpuMS[role] = max(cpuMS[role], usedMS/span.Seconds())
+			}
+		}
+	}
+	return bytes, cpuMS
+}
+
+// usageIn returns what a dispatcher used in a window, and its role: leader or voter if it was that at any time of the window.
+func usageIn(window []snapshot, each *dispatcher) (role dispatcherRole, bytes, cpuMS float64) {
+	role = each.role
+	for i, taken := range window {
+		if taken.leader == each.name {
+			role = roleLeader
+		} else if taken.voters[each.name] && role != roleLeader {
+			role = roleVoter
+		}
+		if i > 0 {
+			bytes += float64(controlBytesSince(window[i-1], taken, each.name))
+			cpuMS += cpuSince(window[i-1], taken, each.name)
+		}
+	}
+	return role, bytes, cpuMS
+}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-var programs string // a folder for the dispatcher's
+var programs string // directory of the dispatcher's program
 
-// The tests hold hollow dispatchers in this program again, as a child that does only that.
+// TestMain runs the tests. Called with the arguments of options, it is the program of hollow processes instead.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "hollow" {
 		spec, err := LoadHollowSpec(os.Args[2])
@@ -35,7 +35,8 @@
 	os.Exit(code)
 }
 
-var dispatcher = sync.OnceValues(func() (string, error) {
+// dispatcherProgram builds the dispatcher's program, once, and returns its path.
+var dispatcherProgram = sync.OnceValues(func() (string, error) {
 	binary := filepath.Join(programs, "brassdale")
 	if out, err := exec.Command("go", "build", "-o", binary, "brassdale/cmd/brassdale").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
@@ -45,7 +46,7 @@
 
 func options(t *testing.T) Options {
 	t.Helper()
-	binary, err := dispatcher()
+	program, err := dispatcherProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,10 +54,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Binary: binary, Self: self, HollowArgs: []string{"hollow"}}
+	return Options{DispatcherProgram: program, HollowProgram: self, HollowArgs: []string{"hollow"}}
 }
 
-// points gives a file's runs.
+// points returns a file's runs.
 func points(t *testing.T, f *File, err error) []Point {
 	t.Helper()
 	if err != nil {
@@ -69,7 +70,7 @@
 	return all
 }
 
-// sound tells of what no run may have, however busy the machine is.
+// sound checks what every run must satisfy, however busy the machine is.
 func sound(t *testing.T, r *Result) {
 	t.Helper()
 	if r.Violated() {
@@ -83,7 +84,7 @@
 	}
 }
 
-// What control costs a dispatcher does not grow with their number: judged by counts, at rest and with changes.
+// What control costs a dispatcher does not grow with their number, by counts, at rest and with changes.
 func TestSizes(t *testing.T) {
 	f, err := Load("../../scenarios/scale/small.hcl")
 	all := points(t, f, err)
--- /dev/null
+++ b/internal/scale/snapshot.go
@@ -0,0 +1,198 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"regexp"
+	"sync"
+	"time"
+
+	"brassdale/internal/traffic"
+)
+
+// controlCounts is what a dispatcher has counted of control, by the name of the kind.
+type controlCounts = map[string]traffic.Count
+
+// snapshot is all counters of a run at one moment.
+type snapshot struct {
+	at              time.Time
+	control         map[string]controlCounts // by dispatcher
+	pids            map[string]int           // of a dispatcher's process
+	processSizes    map[int]int              // dispatchers in a process
+	voters          map[string]bool          // dispatchers that are voters
+	leader          string                   // of the raft group; empty for none
+	usage           map[int]processUsage     // by process
+	machine         machineCounters
+	lateTicks       []lateTick    // of this process and hollow ones, since their start
+	pollTraffic     traffic.Count // of the run itself
+	proposalTraffic traffic.Count // of the run itself
+	linkTraffic     traffic.Count // if it is counted
+}
+
+// snapshotBuilder collects a snapshot from several goroutines.
+type snapshotBuilder struct {
+	mu          sync.Mutex
+	snapshot    snapshot
+	leaderSince time.Time
+}
+
+// takeSnapshot reads all counters. The error names the dispatchers and processes that did not respond; the snapshot is without these.
+func (r *run) takeSnapshot(ctx context.Context) (snapshot, error) {
+	builder := &snapshotBuilder{snapshot: snapshot{
+		control: map[string]controlCounts{}, pids: map[string]int{}, processSizes: map[int]int{}, voters: map[string]bool{},
+		usage: map[int]processUsage{}, lateTicks: r.stalls.all(),
+	}}
+	started := &builder.snapshot
+	var err error
+	if started.machine, err = readMachineCounters(); err != nil {
+		return *started, err
+	}
+	started.pollTraffic, started.proposalTraffic = r.polls.total(), r.proposals.total()
+	started.linkTraffic = traffic.Total(r.links.meter.Counts())
+	started.at = time.Now()
+	var polls []func() error
+	for _, each := range r.running() {
+		if !each.hollow {
+			polls = append(polls, func() error { return r.pollReal(ctx, builder, each) })
+		}
+	}
+	for _, process := range r.runningHollowProcesses() {
+		polls = append(polls, func() error { return r.pollHollow(ctx, builder, process) })
+	}
+	err = inParallel(polls)
+	return builder.snapshot, err
+}
+
+// pollReal adds a real dispatcher. It is polled at its admin API, whose traffic is no part of control.
+func (r *run) pollReal(ctx context.Context, builder *snapshotBuilder, polled dispatcher) error {
+	vars, err := r.polls.get(ctx, "http://"+polled.node.Admin+"/_vars")
+	if err != nil {
+		return fmt.Errorf("%s: %w", polled.name, err)
+	}
+	roles := map[string]raftRole{polled.name: raftRoleFromLog(polled.node.Log())}
+	return builder.addProcess(polled.node.Pid(), map[string]controlCounts{polled.name: parseVars(string(vars))}, roles, nil)
+}
+
+// pollHollow adds a hollow process.
+func (r *run) pollHollow(ctx context.Context, builder *snapshotBuilder, process *hollowProcess) error {
+	var counts hollowCounts
+	if err := r.polls.getJSON(ctx, process.url(countsPath), &counts); err != nil {
+		return fmt.Errorf("hollow process: %w", err)
+	}
+	return builder.addProcess(process.command.Process.Pid, counts.Control, counts.Roles, counts.LateTicks)
+}
+
+// addProcess adds the counts and roles of a process's dispatchers, and what the process has used.
+func (b *snapshotBuilder) addProcess(pid int, control map[string]controlCounts, roles map[string]raftRole, late []lateTick) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.snapshot.lateTicks = append(b.snapshot.lateTicks, late...)
+	for name, role := range roles {
+		if role.Voter {
+			b.snapshot.voters[name] = true
+		}
+		if role.LeaderSince.After(b.leaderSince) {
+			b.snapshot.leader, b.leaderSince = name, role.LeaderSince
+		}
+	}
+	usage, err := readProcessUsage(pid)
+	if err != nil {
+		return err
+	}
+	b.snapshot.usage[pid], b.snapshot.processSizes[pid] = usage, len(control)
+	maps.Copy(b.snapshot.control, control)
+	for name := range control {
+		b.snapshot.pids[name] = pid
+	}
+	return nil
+}
+
+// takeSnapshots takes a snapshot every second until the end of the span. It skips those that are due while one takes too long.
+func (r *run) takeSnapshots(ctx context.Context, end time.Time) {
+	for due := r.beganAt; due.Before(end); due = due.Add(snapshotInterval) {
+		if !sleepUntil(ctx, due) {
+			return
+		}
+		if time.Since(due) > snapshotInterval {
+			continue
+		}
+		taken, err := r.takeSnapshot(ctx)
+		if err != nil && len(taken.usage) == 0 { // some may be down, but all
+			continue
+		}
+		r.mu.Lock()
+		r.snapshots = append(r.snapshots, taken)
+		r.mu.Unlock()
+	}
+}
+
+// controlVar matches the counters of control in /_vars.
+var controlVar = regexp.MustCompile(`(?m)^control_(\w+)_(sent|received|messages)=(\d+)$`)
+
+// parseVars returns the counts of control in the text of /_vars.
+func parseVars(text string) controlCounts {
+	counts := controlCounts{}
+	for _, match := range controlVar.FindAllStringSubmatch(text, -1) {
+		kind, number := match[1], uint64(parseNumber(match[3]))
+		count := counts[kind]
+		switch match[2] {
+		case "sent":
+			count.Sent = number
+		case "received":
+			count.Received = number
+		default:
+			count.Messages = number
+		}
+		counts[kind] = count
+	}
+	return counts
+}
+
+// subtractCounts returns what was counted between two snapshots of a process.
+func subtractCounts(after, before controlCounts) controlCounts {
+	counts := controlCounts{}
+	for kind, a := range after {
+		b := before[kind]
+		counts[kind] = traffic.Count{Sent: a.Sent - b.Sent, Received: a.Received - b.Received, Messages: a.Messages - b.Messages}
+	}
+	return counts
+}
+
+// controlBetween returns what a dispatcher counted between two snapshots, and false if it was not in the same process at both.
+func controlBetween(before, after snapshot, name string) (controlCounts, bool) {
+	pid, runs := after.pids[name]
+	if earlier, ran := before.pids[name]; !runs || !ran || earlier != pid {
+		return nil, false
+	}
+	return subtractCounts(after.control[name], before.control[name]), true
+}
+
+// cpuBetween returns a dispatcher's part of the milliseconds that its process used between two snapshots; 0 if it was not in the same
+// process at both.
+func cpuBetween(before, after snapshot, name string) float64 {
+	pid := after.pids[name]
+	earlier, ran := before.usage[pid]
+	usage, runs := after.usage[pid]
+	if !ran || !runs || before.pids[name] != pid {
+		return 0
+	}
+	return (usage.cpuMS - earlier.cpuMS) / float64(max(after.processSizes[pid], 1))
+}
+
+// controlBytesSince returns the bytes that a dispatcher counted between two snapshots, or since its start if that was between them.
+func controlBytesSince(before, after snapshot, name string) uint64 {
+	if counts, same := controlBetween(before, after, name); same {
+		return traffic.Total(counts).Bytes()
+	}
+	return traffic.Total(after.control[name]).Bytes()
+}
+
+// cpuSince returns the milliseconds that a dispatcher used between two snapshots, or since its start if that was between them.
+func cpuSince(before, after snapshot, name string) float64 {
+	pid := after.pids[name]
+	if before.pids[name] == pid {
+		return cpuBetween(before, after, name)
+	}
+	return after.usage[pid].cpuMS / float64(max(after.processSizes[pid], 1))
+}
