--- a/internal/scale/compare_test.go
+++ b/internal/scale/compare_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-func TestCompared(t *testing.T) {
+// The plans that are compared have all dispatchers real, or all hollow, and bare ones of the same sort.
+func TestComparisonPlans(t *testing.T) {
 	f, err := Load("../../scenarios/scale/compare.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +33,8 @@
 	}
 }
 
-// Bytes, messages and CPU are judged, kinds are shown; CPU is by difference to bare ones of the same sort.
+// Bytes, messages and processor time must agree, those of single kinds need not. Processor time is the difference to bare dispatchers of the
+// same sort.
 func TestCompare(t *testing.T) {
 	run := func(hollow bool, bytes, messages, cpu float64) *Result {
 		r := &Result{Dispatchers: 8, BytesMean: bytes, Messages: messages, BytesByKind: map[string]float64{"renewal": bytes, "raft": 0}, MessagesByKind: map[string]float64{"renewal": messages}}
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -21,7 +21,7 @@
 	roleBare     dispatcherRole = "bare"       // has no fleet
 )
 
-// dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields after listener.
+// dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields from node on.
 type dispatcher struct {
 	name         string
 	role         dispatcherRole
@@ -40,8 +40,8 @@
 	partitions      []faults.Absence        // while it was running and cut off from other regions
 }
 
-// absent reports whether the dispatcher was killed and has not come back. It is called before and after the
-// measured span, when no fault is in progress.
+// absent reports whether the dispatcher was killed and has not come back. It is called before and after the measured
+// span, when no fault is in progress.
 func (d *dispatcher) absent() bool {
 	return len(d.absences) > 0 && d.absences[len(d.absences)-1].To.IsZero()
 }
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -11,7 +11,7 @@
 //     sockets, without jobs and without connections to workers. Many of them share a process (ServeHollow).
 //   - Bare dispatchers, real or hollow: the same without a fleet. What control costs in processor time and memory is the difference to them.
 //
-// Once all dispatchers have leases, the run takes a snapshot of every dispatcher's counts at the begin and at the end of the measured span.
+// Once all dispatchers have leases, the run takes a snapshot of every dispatcher's counts at the start and at the end of the measured span.
 // In between it sends jobs, proposes config versions, more of them than a day of the plan would bring in the same time (Plan.Packing), and
 // injects the plan's Fault, if it has one. Result has the figures and the rules that were broken. It also says whether the machine, and not
 // the fleet, was the limit: such a run does not count.
--- a/internal/scale/failure.go
+++ b/internal/scale/failure.go
@@ -8,7 +8,7 @@
 // Failure is what the run's fault cost.
 type Failure struct {
 	Kind            FaultKind `json:"kind"`
-	AtS             float64   `json:"at_s"`      // since the begin of the measured span
+	AtS             float64   `json:"at_s"`      // since the start of the measured span
 	ForS            float64   `json:"for_s"`     // 0 for one that did not end
 	Affected        int       `json:"befell"`    // dispatchers of all roles that were killed or cut off
 	HitLeader       bool      `json:"with_lead"` // the leader was one of them
--- a/internal/scale/failure_test.go
+++ b/internal/scale/failure_test.go
@@ -49,15 +49,15 @@
 }
 `
 
-// Each failure is forced once: nothing contradicts, every change comes to be in force at all that are there, and all are
-// whole again.
+// Each kind of fault is injected once: no dispatchers contradict each other, every change comes in force at all dispatchers that run, and the
+// fleet recovers.
 func TestFailures(t *testing.T) {
 	f, err := Parse([]byte(failuresFile), "x.hcl")
 	all := points(t, f, err)
 	if len(all) != len(faultKinds) {
 		t.Fatalf("%+v", all)
 	}
-	// The first zone and region have a seat, the real dispatcher that serves and two hollow ones; the fleet has ten in all.
+	// The first zone and region have a voter, the real dispatcher that serves and two hollow ones; the fleet has ten in all.
 	affected := map[FaultKind]int{VoterLost: 1, ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
 	returned := map[FaultKind]int{ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
 	for _, p := range all {
@@ -67,24 +67,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sound(t, r)
+			checkSound(t, r)
 			if len(r.Failures) != 1 {
 				t.Fatalf("%+v", r)
 			}
-			x := r.Failures[0]
+			failure := r.Failures[0]
 			kind := FaultKind(p.Name)
-			t.Logf("%+v", x)
-			if x.Kind != kind || x.Affected != affected[kind] || len(x.ReturnedInForceMS) != returned[kind] {
-				t.Errorf("%d affected, %d back: %+v", x.Affected, len(x.ReturnedInForceMS), x)
+			t.Logf("%+v", failure)
+			if failure.Kind != kind || failure.Affected != affected[kind] || len(failure.ReturnedInForceMS) != returned[kind] {
+				t.Errorf("%d affected, %d back: %+v", failure.Affected, len(failure.ReturnedInForceMS), failure)
 			}
-			if x.Changes == 0 || x.RecoveredAfterS == nil {
-				t.Errorf("%d changes, whole again after %v", x.Changes, x.RecoveredAfterS)
+			if failure.Changes == 0 || failure.RecoveredAfterS == nil {
+				t.Errorf("%d changes, recovered after %v", failure.Changes, failure.RecoveredAfterS)
 			}
-			if (kind == VoterLost || kind == DispatchersRestarted) && !x.HitLeader {
-				t.Error("who led was not among them")
+			if (kind == VoterLost || kind == DispatchersRestarted) && !failure.HitLeader {
+				t.Error("the leader was not affected")
 			}
-			if x.AtS < (500 * time.Millisecond).Seconds() {
-				t.Errorf("it began at %.2f s", x.AtS)
+			if failure.AtS < (500 * time.Millisecond).Seconds() {
+				t.Errorf("it began at %.2f s", failure.AtS)
 			}
 		})
 	}
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -19,7 +19,7 @@
 // Fault is a fault that is injected in a run.
 type Fault struct {
 	Kind   FaultKind
-	At     time.Duration // since the begin of the measured span
+	At     time.Duration // since the start of the measured span
 	For    time.Duration // 0 for one that does not end
 	After  time.Duration // that is measured after its end
 	Count  int           // of dispatchers that are replaced
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -16,7 +16,6 @@
 	endedAt   time.Time // zero while it is in progress
 	hitLeader bool      // the leader was killed or cut off
 	affected  int       // dispatchers of all roles that were killed or cut off
-	returned  []string  // dispatchers that were killed or cut off and came back, and new ones
 }
 
 // injectFault injects the plan's fault at its time, and returns when it has ended.
@@ -48,7 +47,7 @@
 	r.mu.Unlock()
 	select {
 	case r.proposeNow <- struct{}{}:
-	default: // one is to be made anyway
+	default: // one is due already
 	}
 	return names
 }
@@ -69,7 +68,7 @@
 		switch fault.Kind {
 		case VoterLost:
 			affected = each.name == leader
-			if !leaderSetAside { // there is no leader, or it's a dispatcher that serves jobs
+			if !leaderSetAside { // there is no leader, or it is a dispatcher that serves jobs
 				affected = each.voterNumber == 1
 			}
 		case ZoneLost:
@@ -133,7 +132,7 @@
 		}
 		process := each.hollowProcess
 		each.hollowProcess = nil
-		if i := slices.Index(r.hollowProcesses, process); i >= 0 { // none if another dispatcher of the process came before
+		if i := slices.Index(r.hollowProcesses, process); i >= 0 { // else it is killed for another of its dispatchers already
 			r.hollowProcesses = slices.Delete(r.hollowProcesses, i, i+1)
 			kills = append(kills, func() error { return r.killHollow(process, now) })
 		}
@@ -166,7 +165,6 @@
 		}
 		r.mu.Lock()
 		each.absences[len(each.absences)-1].To = now
-		r.faultRecord.returned = append(r.faultRecord.returned, each.name)
 		r.mu.Unlock()
 		if !each.hollow {
 			starts = append(starts, func() error { return r.startDispatcher(ctx, each) })
@@ -205,8 +203,7 @@
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == predecessor })
 	successor := &dispatcher{name: name, role: roleServing, hollow: true, zone: r.dispatchers[i].zone}
-	successor.absences = []faults.Absence{{To: time.Now()}}
-	r.faultRecord.returned = append(r.faultRecord.returned, name)
+	successor.absences = []faults.Absence{{To: time.Now()}} // from the start of the run
 	return successor, r.addDispatcher(successor)
 }
 
@@ -226,14 +223,14 @@
 func (r *run) recordPartition(names []string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
+	now := time.Now()
 	for _, each := range r.dispatchers {
 		switch {
 		case !slices.Contains(names, each.name):
 		case cut:
-			each.partitions = append(each.partitions, faults.Absence{From: time.Now()})
+			each.partitions = append(each.partitions, faults.Absence{From: now})
 		default:
-			each.partitions[len(each.partitions)-1].To = time.Now()
-			r.faultRecord.returned = append(r.faultRecord.returned, each.name)
+			each.partitions[len(each.partitions)-1].To = now
 		}
 	}
 }
@@ -241,8 +238,8 @@
 // allZones is for setObservedZones: all zones are observed.
 func allZones(_, _ int) bool { return true }
 
-// setObservedZones has the hollow dispatchers of each zone, own, observe other zones from now on: probes of these are answered, as those of real
-// dispatchers are.
+// setObservedZones sets, for the hollow dispatchers of each zone (own), from which zones their probes are answered from now on: from those of
+// which the function returns true. Probes of real dispatchers are answered, or not, by the emulator.
 func (r *run) setObservedZones(ctx context.Context, observed func(own, zone int) bool) {
 	var posts []func() error
 	for _, process := range r.runningHollowProcesses() {
--- a/internal/scale/file_test.go
+++ b/internal/scale/file_test.go
@@ -28,7 +28,7 @@
 slope "workers" { of = [20, 40] }
 `
 
-// Each fault of a file is named with file, line and column.
+// Each mistake in a file is named with file, line and column.
 func TestFileFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`seats = 3`, `seats = 4`, "x.hcl:7:9: Bad seats: There must be 1, 3 or 5."},
@@ -76,7 +76,7 @@
 	}
 }
 
-// A file's runs: each fault and each size once for each seed, with as many real dispatchers at all sizes.
+// A file's runs: each fault and each size once for each seed, with the same number of real dispatchers at all sizes.
 func TestPoints(t *testing.T) {
 	f, err := Parse([]byte("seeds = 2\n"+sizesFile), "x.hcl")
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// All files that come with it can be played.
+// All scenario files of the repository can be played.
 func TestScenarios(t *testing.T) {
 	paths, err := filepath.Glob("../../scenarios/scale/*.hcl")
 	if err != nil || len(paths) < 4 {
--- a/internal/scale/interface_test.go
+++ b/internal/scale/interface_test.go
@@ -25,9 +25,8 @@
 }
 `
 
-// What is counted agrees with what the loopback interface carried, less the packets' heads, with what links carry counted
-// once. Whatever else goes over the interface is in its figure, so this runs by itself: the Makefile has it follow the other
-// tests.
+// What is counted agrees with what the loopback interface carried, without the packets' headers, and with what links carry counted once. As
+// all other traffic of the interface would be in its figure, the test runs alone: the Makefile runs it after the other tests.
 func TestInterface(t *testing.T) {
 	if os.Getenv("BRASSDALE_ALONE") == "" {
 		t.Skip("it needs the loopback interface for itself: BRASSDALE_ALONE=1 says that it has it")
@@ -50,7 +49,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sound(t, r)
+			checkSound(t, r)
 			if r.WorkerProbes+r.Jobs > 0 {
 				t.Errorf("%d probes of workers and %d jobs are in the interface's figure", r.WorkerProbes, r.Jobs)
 			}
--- a/internal/scale/jobs.go
+++ b/internal/scale/jobs.go
@@ -29,7 +29,7 @@
 	jobStream        = 3                      // random stream of the jobs
 )
 
-// sendJobs sends jobs until the end of the span, each to the next real dispatcher that takes some, whatever became of earlier ones. Their
+// sendJobs sends jobs until the end of the span, to each of the dispatchers that take jobs in turn, whatever became of earlier ones. Their
 // rate is these dispatchers' part of the plan's. It returns when the last job has ended.
 func (r *run) sendJobs(ctx context.Context, end time.Time) {
 	rate := r.plan.Rate / float64(r.plan.Dispatchers) * float64(len(r.jobTargets()))
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// addDispatcher adds a dispatcher to the run, at an address of its own. The caller has locked the run's mutex, unless nothing runs
-// yet.
+// addDispatcher adds a dispatcher to the run, at an address of its own. The caller has locked the run's mutex, unless nothing
+// runs yet.
 func (r *run) addDispatcher(added *dispatcher) error {
 	address, err := reserveAddress()
 	added.fleetAddress = address
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -13,7 +13,7 @@
 
 	Settle time.Duration // from when all dispatchers have leases until the measured span begins
 	Span   time.Duration // that is measured
-	Rest   time.Duration // at the begin of the span, without changes; 0 for none
+	Rest   time.Duration // at the start of the span, without changes; 0 for none
 
 	LeaseDuration time.Duration
 	ReplaceAfter  time.Duration // a voter that is silent for this long is replaced
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -38,6 +38,7 @@
 	beganAt        time.Time     // of the measured span
 	proposeNow     chan struct{} // holds a value when a proposal is to be made at once
 
+	// mu guards the fields below while the measured span is played. Before and after it only one goroutine uses them.
 	mu                     sync.Mutex
 	dispatchers            []*dispatcher
 	hollowProcesses        []*hollowProcess // that run
@@ -123,7 +124,7 @@
 
 // measurement is the snapshots from which a result is computed.
 type measurement struct {
-	before snapshot // at the begin of the measured span
+	before snapshot // at the start of the measured span
 	rested snapshot // at the end of its part without changes; zero for none
 	after  snapshot // at its end
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -44,6 +44,7 @@
 	return binary, nil
 })
 
+// options returns the options of a run: the dispatcher's program, and this one for hollow processes.
 func options(t *testing.T) Options {
 	t.Helper()
 	program, err := dispatcherProgram()
@@ -70,8 +71,8 @@
 	return all
 }
 
-// sound checks what every run must satisfy, however busy the machine is.
-func sound(t *testing.T, r *Result) {
+// checkSound checks what every run must satisfy, however busy the machine is.
+func checkSound(t *testing.T, r *Result) {
 	t.Helper()
 	if r.Violated() {
 		t.Errorf("%v", r.Err())
@@ -108,7 +109,7 @@
 		return
 	}
 	for _, r := range results {
-		sound(t, r)
+		checkSound(t, r)
 		if r.Jobs == 0 || r.WorkerProbes == 0 {
 			t.Errorf("%d jobs, and %d probes of workers", r.Jobs, r.WorkerProbes)
 		}
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		taken, err := r.takeSnapshot(ctx)
-		if err != nil && len(taken.usage) == 0 { // some may be down, but all
+		if err != nil && len(taken.usage) == 0 { // a fault may have killed some, but not all
 			continue
 		}
 		r.mu.Lock()
--- a/internal/scale/stalldetector_test.go
+++ b/internal/scale/stalldetector_test.go
@@ -9,17 +9,17 @@
 	"brassdale/internal/emulator"
 )
 
-// A tick counts as late past the allowance alone.
-func TestTicker(t *testing.T) {
-	var x stallDetector
+// A tick counts as late only if it is late by more than tickTolerance.
+func TestStallDetector(t *testing.T) {
+	var stalls stallDetector
 	due := time.Now()
-	x.ticked(due, due)
-	x.ticked(due, due.Add(tickTolerance))
-	if all := x.all(); len(all) != 0 {
+	stalls.ticked(due, due)
+	stalls.ticked(due, due.Add(tickTolerance))
+	if all := stalls.all(); len(all) != 0 {
 		t.Errorf("%+v", all)
 	}
-	x.ticked(due, due.Add(tickTolerance+time.Millisecond))
-	if all := x.all(); len(all) != 1 || all[0].Due != due || all[0].At != due.Add(tickTolerance+time.Millisecond) {
+	stalls.ticked(due, due.Add(tickTolerance+time.Millisecond))
+	if all := stalls.all(); len(all) != 1 || all[0].Due != due || all[0].At != due.Add(tickTolerance+time.Millisecond) {
 		t.Errorf("%+v", all)
 	}
 }
