--- a/internal/scale/interface_test.go
+++ b/internal/scale/interface_test.go
@@ -25,9 +25,8 @@
 }
 `
 
-// What is counted agrees with what the loopback interface carried, less the packets' heads, with what links carry counted
-// once. Whatever else goes over the interface is in its figure, so this runs by itself: the Makefile has it follow the other
-// tests.
+// What is counted agrees with what the loopback interface carried, without the packets' headers, and with what links carry counted once. As
+// all other traffic of the interface would be in its figure, the test runs alone: the Makefile runs it after the other tests.
 func TestInterface(t *testing.T) {
 	if os.Getenv("BRASSDALE_ALONE") == "" {
 		t.Skip("it needs the loopback interface for itself: BRASSDALE_ALONE=1 says that it has it")
@@ -36,13 +35,13 @@
 		t.Run(name, func(t *testing.T) {
 			f, err := Parse([]byte(aloneFile), "x.hcl")
 			p := points(t, f, err)[0].Plan
-			p.Unprobed, p.Linked = true, linked
-			before, err := machineNow()
+			p.SkipWorkerProbes, p.CountLinks = true, linked
+			before, err := readMachineCounters()
 			if err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
-			idle, err := machineNow()
+			idle, err := readMachineCounters()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -50,15 +49,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sound(t, r)
+			checkSound(t, r)
 			if r.WorkerProbes+r.Jobs > 0 {
 				t.Errorf("%d probes of workers and %d jobs are in the interface's figure", r.WorkerProbes, r.Jobs)
 			}
 			x := r.Interface
 			t.Logf("%+v", x)
-			if x.Counted == 0 || x.Ratio < 0.9 || x.Ratio > 1.1 {
+			if x.Counted == 0 || x.CountedShare < 0.9 || x.CountedShare > 1.1 {
 				t.Errorf("%.0f bytes a second were counted, %.0f were carried: %.3f of it; others had %.0f carried in the second before the start",
-					x.Counted, x.Bytes, x.Ratio, carried(before, idle))
+					x.Counted, x.Bytes, x.CountedShare, loopbackPayload(before, idle))
 			}
 			if carried := x.Links > 0; carried != linked {
 				t.Errorf("links carried %.0f bytes a second", x.Links)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-var programs string // a folder for the dispatcher's
+var programs string // directory of the dispatcher's program
 
-// The tests hold hollow dispatchers in this program again, as a child that does only that.
+// TestMain runs the tests. Called with the arguments of options, it is the program of hollow processes instead.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "hollow" {
-		spec, err := LoadSpec(os.Args[2])
+		spec, err := LoadHollowSpec(os.Args[2])
 		if err == nil {
-			err = Serve(context.Background(), spec, os.Stdin, os.Stdout, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			err = ServeHollow(context.Background(), spec, os.Stdin, os.Stdout, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -35,7 +35,8 @@
 	os.Exit(code)
 }
 
-var dispatcher = sync.OnceValues(func() (string, error) {
+// dispatcherProgram builds the dispatcher's program, once, and returns its path.
+var dispatcherProgram = sync.OnceValues(func() (string, error) {
 	binary := filepath.Join(programs, "brassdale")
 	if out, err := exec.Command("go", "build", "-o", binary, "brassdale/cmd/brassdale").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
@@ -43,9 +44,10 @@
 	return binary, nil
 })
 
+// options returns the options of a run: the dispatcher's program, and this one for hollow processes.
 func options(t *testing.T) Options {
 	t.Helper()
-	binary, err := dispatcher()
+	program, err := dispatcherProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,10 +55,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Binary: binary, Self: self, HollowArgs: []string{"hollow"}}
+	return Options{DispatcherProgram: program, HollowProgram: self, HollowArgs: []string{"hollow"}}
 }
 
-// points gives a file's runs.
+// points returns a file's runs.
 func points(t *testing.T, f *File, err error) []Point {
 	t.Helper()
 	if err != nil {
@@ -69,10 +71,10 @@
 	return all
 }
 
-// sound tells of what no run may have, however busy the machine is.
-func sound(t *testing.T, r *Result) {
+// checkSound checks what every run must satisfy, however busy the machine is.
+func checkSound(t *testing.T, r *Result) {
 	t.Helper()
-	if r.Bad() {
+	if r.Violated() {
 		t.Errorf("%v", r.Err())
 	}
 	for _, b := range r.Breaches {
@@ -83,7 +85,7 @@
 	}
 }
 
-// What control costs a dispatcher does not grow with their number: judged by counts, at rest and with changes.
+// What control costs a dispatcher does not grow with their number, by counts, at rest and with changes.
 func TestSizes(t *testing.T) {
 	f, err := Load("../../scenarios/scale/small.hcl")
 	all := points(t, f, err)
@@ -107,7 +109,7 @@
 		return
 	}
 	for _, r := range results {
-		sound(t, r)
+		checkSound(t, r)
 		if r.Jobs == 0 || r.WorkerProbes == 0 {
 			t.Errorf("%d jobs, and %d probes of workers", r.Jobs, r.WorkerProbes)
 		}
