--- /dev/null
+++ b/internal/faults/agreement.go
@@ -0,0 +1,62 @@
+package faults
+
+import (
+	"context"
+	"syscall"
+	"time"
+)
+
+const (
+	agreementTimeout      = 20 * time.Second
+	agreementPollInterval = 10 * time.Millisecond
+)
+
+// awaitAgreement waits, after the last event, until all processes act on one version with leases, and records how long that took. If
+// they do not by the timeout, it records a broken rule and has the processes log their stacks and end.
+func (r *run) awaitAgreement(ctx context.Context) {
+	begin := time.Now()
+	for time.Since(begin) < agreementTimeout && ctx.Err() == nil {
+		if r.agreed() {
+			r.result.SettledMS = milliseconds(time.Since(begin))
+			return
+		}
+		time.Sleep(agreementPollInterval)
+	}
+	for _, process := range r.processes {
+		if !process.lost && process.node.Signal(syscall.SIGQUIT) == nil {
+			<-process.node.Ended()
+		}
+	}
+	r.result.addBreach("the fleet did not come to one version within 20 s of the last fault")
+}
+
+// agreed reports whether all processes that are not lost act on one and the same version with a lease.
+func (r *run) agreed() bool {
+	var agreedVersion uint64
+	found := false
+	for i, states := range r.effectiveStates() {
+		if r.processes[i].lost {
+			continue
+		}
+		if len(states) == 0 {
+			return false
+		}
+		version, ok := states[len(states)-1].inForce()
+		if !ok || found && version != agreedVersion {
+			return false
+		}
+		agreedVersion, found = version, true
+	}
+	return true
+}
+
+// effectiveStates returns what each process has acted on until now.
+func (r *run) effectiveStates() [][]EffectiveState {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var states [][]EffectiveState
+	for _, process := range r.processes {
+		states = append(states, EffectiveStates(process.log(), time.Now(), process.absences))
+	}
+	return states
+}
--- /dev/null
+++ b/internal/faults/faultinjection.go
@@ -0,0 +1,117 @@
+package faults
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"brassdale/internal/decisions/configversions"
+)
+
+// playEvent plays an event until it is over at the given time.
+func (r *run) playEvent(ctx context.Context, event Event, end time.Time) error {
+	index := event.Process
+	if index == Leader {
+		index = r.leader(ctx)
+	}
+	process := r.processes[index]
+	switch event.Kind {
+	case Split:
+		r.partition(event.Group)
+		waitUntil(ctx, end)
+		r.partition(nil)
+	case Flap:
+		r.flapLinks(ctx, process, end)
+	case Resets:
+		r.resetLinks(ctx, process, end)
+	case Freeze:
+		return r.freeze(ctx, process, end)
+	case Kill, Blank, Pace:
+		return r.killAndRestart(ctx, process, event, end)
+	case Gone:
+		r.killForGood(process)
+	case Anew:
+		return r.restartAll(ctx, process, end)
+	case Stage:
+		return r.proposeCanary(ctx)
+	case Double:
+		return r.proposeTwice(ctx)
+	default:
+		r.setLinks(process, event.linkState())
+		waitUntil(ctx, end)
+		r.setLinks(process, State{})
+	}
+	return nil
+}
+
+// freeze stops a process by SIGSTOP until a time.
+func (r *run) freeze(ctx context.Context, process *dispatcherProcess, end time.Time) error {
+	r.beginAbsence(process)
+	if err := process.node.Signal(syscall.SIGSTOP); err != nil {
+		return err
+	}
+	waitUntil(ctx, end)
+	r.endAbsence(process)
+	return process.node.Signal(syscall.SIGCONT)
+}
+
+// kill kills a process.
+func (r *run) kill(process *dispatcherProcess) {
+	r.beginAbsence(process)
+	process.node.Kill()
+	process.earlierLog += process.node.Log()
+}
+
+// killForGood kills a process that is not restarted.
+func (r *run) killForGood(process *dispatcherProcess) {
+	r.kill(process)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	process.lost = true
+}
+
+// killAndRestart kills a process and restarts it at the given time. Depending on the kind of the event its data is removed, or its clock
+// has another rate from then on.
+func (r *run) killAndRestart(ctx context.Context, process *dispatcherProcess, event Event, end time.Time) error {
+	r.kill(process)
+	switch event.Kind {
+	case Blank:
+		if err := os.RemoveAll(process.dir); err != nil {
+			return err
+		}
+	case Pace:
+		rate := 1 + configversions.MaxClockDrift/2
+		if event.Reverse {
+			rate = 1 - configversions.MaxClockDrift/2
+		}
+		process.env = []string{fmt.Sprintf("BRASSDALE_TEST_PACE=%g", rate)}
+	}
+	waitUntil(ctx, end)
+	r.endAbsence(process)
+	return r.startProcess(ctx, process)
+}
+
+// restartAll kills all processes, removes the data of one, and restarts all at the given time.
+func (r *run) restartAll(ctx context.Context, withoutData *dispatcherProcess, end time.Time) error {
+	for _, process := range r.processes {
+		r.kill(process)
+	}
+	if err := os.RemoveAll(withoutData.dir); err != nil {
+		return err
+	}
+	waitUntil(ctx, end)
+	var starting sync.WaitGroup
+	errs := make([]error, len(r.processes))
+	for i, process := range r.processes {
+		starting.Go(func() {
+			r.endAbsence(process)
+			errs[i] = r.startProcess(ctx, process)
+		})
+	}
+	starting.Wait()
+	return errors.Join(errs...)
+}
--- a/internal/faults/link.go
+++ b/internal/faults/link.go
@@ -1,5 +1,3 @@
-// Package faults plays faults between processes: links that lose, delay and reset what goes over them, and processes that
-// are stopped, killed and started anew, by a schedule drawn from a seed. Everything stays on loopback.
 package faults
 
 import (
@@ -10,255 +8,300 @@
 	"time"
 )
 
-// State is what a link does now.
+// State is what a link does to what goes over it. The zero value passes everything on.
 type State struct {
-	CutTo   bool          // nothing that the one who calls says arrives
-	CutFrom bool          // nothing that the one who is called says does
-	Delay   time.Duration // of each piece, one way
-	Spread  time.Duration // and up to so much more
-	Slow    bool          // a few bytes at a time
-	Reorder time.Duration // new connections are passed on after up to so long, so that later ones overtake
+	CutTo   bool          // nothing that the caller sends arrives
+	CutFrom bool          // nothing that the called process sends arrives
+	Delay   time.Duration // of each piece, in one direction
+	Spread  time.Duration // a random further delay up to this
+	Slow    bool          // passes slowPiece bytes every slowInterval
+	Reorder time.Duration // new connections are delayed at random up to this, so that later ones overtake them
 }
 
-// Link is a way from one process to another's listener, over TCP, and over UDP at the same ports: packets go one way there,
-// and answers by the other's own link. Bytes that meet a cut wait there; once it ends their connections are
-// reset, as those of a machine that was cut off.
+const (
+	slowPiece      = 64 // bytes
+	slowInterval   = 20 * time.Millisecond
+	maxPiece       = 32 << 10 // bytes of a connection that are passed on at a time
+	maxPacketBytes = 64 << 10
+	listenAttempts = 20 // to find a port that is free for TCP and UDP
+)
+
+// Link is a network link on loopback from one process to another's listener: for TCP in both directions, and, at the same port, for
+// UDP towards the listener. Answers over UDP go over the link of the opposite direction. Bytes that meet a cut wait; when it
+// ends, their connections are reset, as those of a machine that was unreachable. Packets that meet a cut are lost. Link is safe
+// for use by several goroutines.
 type Link struct {
 	listener net.Listener
 	packets  net.PacketConn
-	to       string
+	target   string // address of the listener at the other end
 
 	mu      sync.Mutex
 	state   State
-	delayed map[net.Conn]bool // connections on which something waits
-	conns   map[net.Conn]bool
+	conns   map[net.Conn]bool // open connections, at both sides of the link
+	waiting map[net.Conn]bool // those that carry bytes which wait at a cut
 	rng     *rand.Rand
-	over    bool
-	moved   chan struct{} // closed at each change
+	closed  bool
+	changed chan struct{} // closed and replaced at each change of state
+}
+
+// NewLink opens a link to a target address, on a loopback port that the system chooses. The seed decides the random delays. The caller
+// must close the link.
+func NewLink(target string, seed uint64) (*Link, error) {
+	listener, packets, err := listenBoth()
+	if err != nil {
+		return nil, err
+	}
+	link := &Link{
+		listener: listener,
+		packets:  packets,
+		target:   target,
+		conns:    map[net.Conn]bool{},
+		waiting:  map[net.Conn]bool{},
+		rng:      rand.New(rand.NewPCG(seed, linkSource)),
+		changed:  make(chan struct{}),
+	}
+	go link.serve()
+	go link.relayPackets()
+	return link, nil
 }
 
-// NewLink listens on a loopback port of the system's choice and passes on to an address.
-func NewLink(to string, seed uint64) (*Link, error) {
-	var l net.Listener
-	var packets net.PacketConn
-	var err error
-	for range 20 { // until a port is free for both
-		if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-			return nil, err
+// listenBoth listens at one port for TCP and UDP.
+func listenBoth() (net.Listener, net.PacketConn, error) {
+	var lastErr error
+	for range listenAttempts {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			return nil, nil, err
 		}
-		if packets, err = net.ListenPacket("udp", l.Addr().String()); err == nil {
-			break
+		packets, err := net.ListenPacket("udp", listener.Addr().String())
+		if err == nil {
+			return listener, packets, nil
 		}
-		l.Close()
+		_ = listener.Close() // it has no connections yet
+		lastErr = err
 	}
-	if err != nil {
-		return nil, err
+	return nil, nil, lastErr
+}
+
+// Address returns the address at which the caller reaches the link.
+func (l *Link) Address() string { return l.listener.Addr().String() }
+
+// Set changes what the link does from now on.
+func (l *Link) Set(state State) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	wasCut, isCut := l.state.CutTo || l.state.CutFrom, state.CutTo || state.CutFrom
+	if wasCut && !isCut {
+		for conn := range l.waiting {
+			reset(conn)
+		}
+		clear(l.waiting)
 	}
-	k := &Link{listener: l, packets: packets, to: to, delayed: map[net.Conn]bool{}, conns: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), moved: make(chan struct{})}
-	go k.serve()
-	go k.relay()
-	return k, nil
+	l.state = state
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// relay passes packets on. What meets a cut is lost; delays have later ones overtake.
-func (k *Link) relay() {
-	to, err := net.ResolveUDPAddr("udp", k.to)
+// Reset resets all connections that go over the link now.
+func (l *Link) Reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.conns {
+		reset(conn)
+	}
+}
+
+// Close closes the link and resets its connections. The goroutines of the link end soon.
+func (l *Link) Close() {
+	l.mu.Lock()
+	l.closed = true
+	l.mu.Unlock()
+	_ = l.listener.Close() // no connection is accepted after it, whatever it returns
+	_ = l.packets.Close()  // likewise
+	l.Reset()
+	l.Set(State{})
+}
+
+// reset closes a connection so that its peer sees it reset.
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a closed connection
+	}
+	_ = conn.Close() // what it has not sent is lost on purpose
+}
+
+// current returns the state, and a delay drawn for a piece that goes over the link in it.
+func (l *Link) current() (State, time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.state, l.state.Delay + l.randomDelay(l.state.Spread)
+}
+
+// randomDelay draws a delay below a limit; it is 0 if the limit is. The caller holds l.mu.
+func (l *Link) randomDelay(limit time.Duration) time.Duration {
+	if limit <= 0 {
+		return 0
+	}
+	return time.Duration(l.rng.Int64N(int64(limit)))
+}
+
+// relayPackets passes packets on until the link is closed. Random delays make later ones overtake earlier ones.
+func (l *Link) relayPackets() {
+	target, err := net.ResolveUDPAddr("udp", l.target)
 	if err != nil {
 		return
 	}
-	buf := make([]byte, 64<<10)
+	buffer := make([]byte, maxPacketBytes)
 	for {
-		n, _, err := k.packets.ReadFrom(buf)
+		size, _, err := l.packets.ReadFrom(buffer)
 		if err != nil {
-			k.mu.Lock()
-			over := k.over
-			k.mu.Unlock()
-			if over {
+			if l.isClosed() {
 				return
 			}
-			continue // nobody listens where one went
+			continue // an earlier packet found no listener
 		}
-		k.mu.Lock()
-		s := k.state
-		delay := k.delay(s)
-		k.mu.Unlock()
-		if s.CutTo {
+		state, delay := l.current()
+		if state.CutTo {
 			continue
 		}
-		text := append([]byte(nil), buf[:n]...)
+		packet := append([]byte(nil), buffer[:size]...)
+		send := func() { _, _ = l.packets.WriteTo(packet, target) } // a packet may be lost
 		if delay == 0 {
-			_, _ = k.packets.WriteTo(text, to)
+			send()
 		} else {
-			time.AfterFunc(delay, func() { _, _ = k.packets.WriteTo(text, to) })
+			time.AfterFunc(delay, send)
 		}
 	}
 }
 
-// delay draws a piece's; k.mu is held.
-func (k *Link) delay(s State) time.Duration {
-	delay := s.Delay
-	if s.Spread > 0 {
-		delay += time.Duration(k.rng.Int64N(int64(s.Spread)))
-	}
-	return delay
+// isClosed reports whether the link is closed.
+func (l *Link) isClosed() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closed
 }
 
-// Address is where the one who calls reaches it.
-func (k *Link) Address() string { return k.listener.Addr().String() }
-
-// Set changes what it does.
-func (k *Link) Set(s State) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if (k.state.CutTo || k.state.CutFrom) && !s.CutTo && !s.CutFrom {
-		for c := range k.delayed {
-			reset(c)
+// serve accepts connections until the link is closed.
+func (l *Link) serve() {
+	for {
+		conn, err := l.listener.Accept()
+		if err != nil {
+			return
 		}
-		k.delayed = map[net.Conn]bool{}
+		go l.connect(conn)
 	}
-	k.state = s
-	close(k.moved)
-	k.moved = make(chan struct{})
 }
 
-// Reset breaks all connections that go over it now.
-func (k *Link) Reset() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for c := range k.conns {
-		reset(c)
+// connect connects an accepted connection to the target and passes on what goes over them. It returns when both are closed.
+func (l *Link) connect(caller net.Conn) {
+	l.mu.Lock()
+	delay := l.randomDelay(l.state.Reorder)
+	l.mu.Unlock()
+	time.Sleep(delay)
+	called, err := net.Dial("tcp", l.target)
+	if err != nil {
+		reset(caller)
+		return
 	}
+	if !l.add(caller, called) {
+		reset(caller)
+		reset(called)
+		return
+	}
+	defer l.remove(caller, called)
+	var passing sync.WaitGroup
+	passing.Go(func() { l.pass(caller, called, func(state State) bool { return state.CutTo }) })
+	passing.Go(func() { l.pass(called, caller, func(state State) bool { return state.CutFrom }) })
+	passing.Wait()
 }
 
-// Close ends it.
-func (k *Link) Close() {
-	k.mu.Lock()
-	k.over = true
-	k.mu.Unlock()
-	k.listener.Close()
-	k.packets.Close()
-	k.Reset()
-	k.Set(State{})
-}
-
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+// add adds the two sides of a connection. It returns false if the link is closed.
+func (l *Link) add(caller, called net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		return false
 	}
-	c.Close()
+	l.conns[caller], l.conns[called] = true, true
+	return true
 }
 
-func (k *Link) serve() {
-	for {
-		in, err := k.listener.Accept()
-		if err != nil {
-			return
-		}
-		go func() {
-			k.mu.Lock()
-			overtaken := k.delay(State{Spread: k.state.Reorder})
-			k.mu.Unlock()
-			time.Sleep(overtaken)
-			out, err := net.Dial("tcp", k.to)
-			if err != nil {
-				reset(in)
-				return
-			}
-			k.mu.Lock()
-			k.conns[in], k.conns[out] = true, true
-			over := k.over
-			k.mu.Unlock()
-			if over {
-				reset(in)
-				reset(out)
-				return
-			}
-			var wait sync.WaitGroup
-			wait.Go(func() { k.pass(in, out, func(s State) bool { return s.CutTo }) })
-			wait.Go(func() { k.pass(out, in, func(s State) bool { return s.CutFrom }) })
-			wait.Wait()
-			k.mu.Lock()
-			for _, c := range []net.Conn{in, out} {
-				delete(k.conns, c)
-				delete(k.delayed, c)
-			}
-			k.mu.Unlock()
-		}()
+// remove removes the two sides of a connection.
+func (l *Link) remove(caller, called net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, conn := range []net.Conn{caller, called} {
+		delete(l.conns, conn)
+		delete(l.waiting, conn)
 	}
 }
 
-var errCut = errors.New("cut")
-
-// pass carries one direction, piece by piece.
-func (k *Link) pass(from, to net.Conn, cut func(State) bool) {
-	defer to.Close()
-	defer from.Close()
-	buf := make([]byte, 32<<10)
+// pass passes one direction of a connection on, piece by piece, and closes both sides when it ends. cut says whether a state cuts this
+// direction.
+func (l *Link) pass(from, to net.Conn, cut func(State) bool) {
+	defer func() {
+		_ = from.Close() // the bytes that it has not delivered are lost
+		_ = to.Close()   // likewise
+	}()
+	buffer := make([]byte, maxPiece)
 	for {
-		n, err := from.Read(buf)
-		if n > 0 {
-			if k.hold(from, to, cut) != nil {
+		size, readErr := from.Read(buffer)
+		if size > 0 {
+			if err := l.delayPiece(from, to, cut); err != nil {
 				return
 			}
-			if k.write(to, buf[:n]) != nil {
+			if err := l.write(to, buffer[:size]); err != nil {
 				return
 			}
 		}
-		if err != nil {
+		if readErr != nil {
 			return
 		}
 	}
 }
 
-// write writes a piece, a few bytes at a time where the link is slow.
-func (k *Link) write(to net.Conn, text []byte) error {
-	for len(text) > 0 {
-		k.mu.Lock()
-		slow := k.state.Slow && !k.over
-		k.mu.Unlock()
-		n := len(text)
-		if slow {
-			n = min(n, slowPiece)
-			time.Sleep(slowEvery)
-		}
-		if _, err := to.Write(text[:n]); err != nil {
-			return err
-		}
-		text = text[n:]
-	}
-	return nil
-}
-
-const (
-	slowPiece = 64 // bytes
-	slowEvery = 20 * time.Millisecond
-)
+// errCut is the error of a piece that met a cut: its connection is of no use anymore.
+var errCut = errors.New("cut")
 
-// hold waits out a piece's delay, and a cut; behind a cut its connection is of no use any more.
-func (k *Link) hold(from, to net.Conn, cut func(State) bool) error {
-	k.mu.Lock()
-	s := k.state
-	delay := k.delay(s)
-	k.mu.Unlock()
-	if delay > 0 {
-		time.Sleep(delay)
-	}
+// delayPiece waits for a piece's delay, and while its direction is cut. It returns errCut after a cut.
+func (l *Link) delayPiece(from, to net.Conn, cut func(State) bool) error {
+	_, delay := l.current()
+	time.Sleep(delay)
 	waited := false
 	for {
-		k.mu.Lock()
-		moved, stands := k.moved, cut(k.state) && !k.over
-		if stands {
-			k.delayed[from], k.delayed[to] = true, true
+		l.mu.Lock()
+		changed, isCut := l.changed, cut(l.state) && !l.closed
+		if isCut {
+			l.waiting[from], l.waiting[to] = true, true
 		}
-		k.mu.Unlock()
-		if !stands {
+		l.mu.Unlock()
+		if !isCut {
 			break
 		}
 		waited = true
-		<-moved
+		<-changed
 	}
 	if waited {
 		return errCut
 	}
 	return nil
 }
+
+// write writes a piece, a few bytes at a time while the link is slow.
+func (l *Link) write(to net.Conn, piece []byte) error {
+	for len(piece) > 0 {
+		l.mu.Lock()
+		slow := l.state.Slow && !l.closed
+		l.mu.Unlock()
+		size := len(piece)
+		if slow {
+			size = min(size, slowPiece)
+			time.Sleep(slowInterval)
+		}
+		if _, err := to.Write(piece[:size]); err != nil {
+			return err
+		}
+		piece = piece[size:]
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/faults/linkfaults.go
@@ -0,0 +1,99 @@
+package faults
+
+import (
+	"context"
+	"time"
+)
+
+// linkEnds are the processes at the ends of a link, by index: from calls to.
+type linkEnds struct{ from, to int }
+
+const (
+	flapInterval  = 50 * time.Millisecond  // between two changes of flapping links
+	resetInterval = 100 * time.Millisecond // between two resets of all connections
+)
+
+// openLinks opens a link from each process to each other, if the plan has faults between processes.
+func (r *run) openLinks() error {
+	if r.plan.Voters == 0 || len(r.plan.Kinds)+len(r.plan.Events) == 0 {
+		return nil
+	}
+	for from := range r.processes {
+		for to, called := range r.processes {
+			if from == to {
+				continue
+			}
+			link, err := NewLink(called.address, r.plan.Seed+uint64(100*from+to))
+			if err != nil {
+				return err
+			}
+			r.links[linkEnds{from, to}] = link
+		}
+	}
+	return nil
+}
+
+// setLinks sets the fault of a process's links. Faults of the processes at the other ends stay in force.
+func (r *run) setLinks(process *dispatcherProcess, state State) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	process.linkState = state
+	for ends, link := range r.links {
+		if ends.from == process.index || ends.to == process.index {
+			link.Set(r.linkState(ends))
+		}
+	}
+}
+
+// partition separates a group of processes from the rest; an empty group ends the partition.
+func (r *run) partition(group []int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.partitioned = map[int]bool{}
+	for _, index := range group {
+		r.partitioned[index] = true
+	}
+	for ends, link := range r.links {
+		link.Set(r.linkState(ends))
+	}
+}
+
+// linkState returns the state of a link under the faults of both of its ends. The caller holds r.mu.
+func (r *run) linkState(ends linkEnds) State {
+	from, to := r.processes[ends.from].linkState, r.processes[ends.to].linkState
+	partitioned := r.partitioned[ends.from] != r.partitioned[ends.to]
+	return State{
+		CutTo:   partitioned || from.CutTo || to.CutFrom,
+		CutFrom: partitioned || from.CutFrom || to.CutTo,
+		Delay:   max(from.Delay, to.Delay),
+		Spread:  max(from.Spread, to.Spread),
+		Slow:    from.Slow || to.Slow,
+		Reorder: max(from.Reorder, to.Reorder),
+	}
+}
+
+// flapLinks cuts and heals a process's links in turn until a time. If the context ends before, it leaves them as they are.
+func (r *run) flapLinks(ctx context.Context, process *dispatcherProcess, end time.Time) {
+	for cut := true; time.Now().Before(end); cut = !cut {
+		r.setLinks(process, State{CutTo: cut, CutFrom: cut})
+		if !waitUntil(ctx, time.Now().Add(flapInterval)) {
+			return
+		}
+	}
+	r.setLinks(process, State{})
+}
+
+// resetLinks resets the connections over a process's links repeatedly until a time.
+func (r *run) resetLinks(ctx context.Context, process *dispatcherProcess, end time.Time) {
+	for time.Now().Before(end) {
+		for ends, link := range r.links {
+			if ends.from == process.index || ends.to == process.index {
+				link.Reset()
+			}
+		}
+		if !waitUntil(ctx, time.Now().Add(resetInterval)) {
+			return
+		}
+	}
+	r.setLinks(process, State{})
+}
--- /dev/null
+++ b/internal/faults/operatorfile.go
@@ -0,0 +1,35 @@
+package faults
+
+import (
+	"fmt"
+	"strings"
+)
+
+// operatorFile returns the text of a process's operator file. It is empty without voters.
+func (r *run) operatorFile(process *dispatcherProcess) string {
+	if r.plan.Voters == 0 {
+		return ""
+	}
+	voterID := 0
+	if process.index < r.plan.Voters {
+		voterID = process.index + 1
+	}
+	var text strings.Builder
+	fmt.Fprintf(&text, "council {\n fleet = \"rig\"\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n region = \"r%d\"\n zone = \"z%d\"\n",
+		process.address, voterID, process.dir, r.plan.Bound, process.index%2, process.index%3)
+	if r.plan.Replace > 0 {
+		fmt.Fprintf(&text, " replace = %q\n", r.plan.Replace)
+	}
+	text.WriteString(" voters = [")
+	for _, voter := range r.voters() {
+		fmt.Fprintf(&text, "%q, ", voter.address)
+	}
+	text.WriteString("]\n reach = {\n")
+	for ends, link := range r.links {
+		if ends.from == process.index {
+			fmt.Fprintf(&text, "  %q = %q\n", r.processes[ends.to].address, link.Address())
+		}
+	}
+	text.WriteString(" }\n}\n" + r.plan.Zones.operatorBlock() + r.plan.Overload.operatorBlock())
+	return text.String()
+}
--- a/internal/faults/overload.go
+++ b/internal/faults/overload.go
@@ -7,29 +7,33 @@
 	"brassdale/internal/emulator"
 )
 
-// Overload is what all processes together may do, and what befalls boxes so that they would do more.
+// Overload is a fault of workers that makes dispatchers retry and probe more, and the budgets that all processes share for these.
 type Overload struct {
-	Retries, Probes float64 // as in the operator's block
-	Shared          bool    // else each process does as it likes
-	Frozen          float64 // share of the boxes that answer nothing ...
-	At, For         time.Duration
+	Retries float64       // further attempts for each first attempt, as in the operator file
+	Probes  float64       // probes a second, as in the operator file
+	Shared  bool          // the processes have the budgets; else each is bound by its own limits only
+	Frozen  float64       // share of the workers that are frozen
+	At      time.Duration // since the run began
+	For     time.Duration
 }
 
-// OverloadResult is what came of it. The names of its figures are kept.
+// OverloadResult is what was sent of attempts and probes. The JSON keys are those of result files and do not change.
 type OverloadResult struct {
-	BudgetOver map[string]float64 `json:"budget_over_max"` // by budget: most uses in five seconds, of what it allows
-	Further    int                `json:"further"`
+	BudgetOver map[string]float64 `json:"budget_over_max"` // by budget: the most uses in any overloadWindow, as a multiple of what it allows
+	Further    int                `json:"further"`         // attempts after the first of a job
 	Probes     int                `json:"probes"`
-	Firsts     int                `json:"firsts"`
+	Firsts     int                `json:"firsts"` // first attempts
 }
 
-func (o *Overload) cluster(s *emulator.Scenario) {
+// addTo adds the fault of the workers to a scenario.
+func (o *Overload) addTo(scenario *emulator.Scenario) {
 	if o.Frozen > 0 {
-		s.Faults = append(s.Faults, emulator.Fault{At: o.At, For: o.For, Kind: emulator.Freeze, Share: o.Frozen})
+		scenario.Faults = append(scenario.Faults, emulator.Fault{At: o.At, For: o.For, Kind: emulator.Freeze, Share: o.Frozen})
 	}
 }
 
-func (o *Overload) operator() string {
+// operatorBlock returns the block of the operator file for the budgets; empty for none.
+func (o *Overload) operatorBlock() string {
 	if o == nil || !o.Shared {
 		return ""
 	}
@@ -37,42 +41,43 @@
 }
 
 const (
-	overWindow = 5 * time.Second
-	minRetries = 1.0 // a second, of a fleet that has next to nothing to do
+	overloadWindow  = 5 * time.Second
+	minRetries      = 1.0 // a second: what the budget allows a fleet that has few jobs or none
+	leasesBack      = 2   // a lease goes by the first attempts of the lease before it
+	lookbacksALease = 4   // times at which the first attempts are counted
+	savedSeconds    = 1   // of a budget's rate may be saved for later
 )
 
-// within counts the times in a window that ends then.
-func within(all []time.Duration, end, span time.Duration) (n float64) {
-	for _, at := range all {
-		if at > end-span && at <= end {
-			n++
-		}
-	}
-	return n
-}
-
-// overload sets what was done beside what the budgets allow: their rate over the window, what may be saved of a second, and one
-// use for each process. A budget of further calls goes by the first calls of the lease before.
-func (f *play) overload() {
-	o := f.Overload
-	if o == nil {
-		return
+// measure compares the attempts and probes of all processes with what the budgets allow in a window: their rate over the window, what may
+// be saved, and one use for each process. bound is the duration of a lease.
+func (o *Overload) measure(spent emulator.Costs, processes int, bound time.Duration) *OverloadResult {
+	over := map[string]float64{}
+	seconds := overloadWindow.Seconds()
+	multiple := func(uses []time.Duration, at time.Duration, rate float64) float64 {
+		return countInWindow(uses, at) / (rate*(seconds+savedSeconds) + float64(processes))
 	}
-	spent := f.cluster.Spent()
-	r := &OverloadResult{BudgetOver: map[string]float64{}, Further: len(spent.Furthers), Probes: len(spent.Probes), Firsts: len(spent.Firsts)}
-	seconds, n := overWindow.Seconds(), float64(f.Processes)
 	for _, at := range spent.Furthers {
-		maximum := 0.0
-		for back := time.Duration(0); back <= 2*f.Bound; back += f.Bound / 4 {
-			maximum = max(maximum, within(spent.Firsts, at-back, overWindow)/seconds)
+		firstRate := 0.0
+		for back := time.Duration(0); back <= leasesBack*bound; back += bound / lookbacksALease {
+			firstRate = max(firstRate, countInWindow(spent.Firsts, at-back)/seconds)
 		}
-		rate := max(o.Retries*maximum, minRetries)
-		r.BudgetOver["retries"] = max(r.BudgetOver["retries"], within(spent.Furthers, at, overWindow)/(rate*(seconds+1)+n))
+		over["retries"] = max(over["retries"], multiple(spent.Furthers, at, max(o.Retries*firstRate, minRetries)))
 	}
 	for _, at := range spent.Probes {
 		if o.Probes > 0 {
-			r.BudgetOver["probes"] = max(r.BudgetOver["probes"], within(spent.Probes, at, overWindow)/(o.Probes*(seconds+1)+n))
+			over["probes"] = max(over["probes"], multiple(spent.Probes, at, o.Probes))
+		}
+	}
+	return &OverloadResult{BudgetOver: over, Further: len(spent.Furthers), Probes: len(spent.Probes), Firsts: len(spent.Firsts)}
+}
+
+// countInWindow returns how many of the times are in the overloadWindow that ends at the given time.
+func countInWindow(times []time.Duration, end time.Duration) float64 {
+	count := 0.0
+	for _, at := range times {
+		if at > end-overloadWindow && at <= end {
+			count++
 		}
 	}
-	f.r.Overload = r
+	return count
 }
--- /dev/null
+++ b/internal/faults/planreader.go
@@ -0,0 +1,183 @@
+package faults
+
+import (
+	"slices"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/hclsyntax"
+
+	"brassdale/internal/emulator"
+	"brassdale/internal/hcldiag"
+)
+
+// zoneFaults are the kinds of zone faults by their names in files.
+var zoneFaults = map[string]emulator.FaultKind{"lost": emulator.ZoneLost, "apart": emulator.Apart, "far": emulator.Far}
+
+// voterCounts are the numbers of voters that a fleet may have; 0 is for dispatchers without a fleet.
+var voterCounts = []int{0, 1, 3, 5}
+
+// planReader makes a plan from a file and collects the file's mistakes.
+type planReader struct {
+	file          *File
+	body          *hclsyntax.Body // nil if mistakes are not collected
+	diags         hcl.Diagnostics
+	durationDiags hcl.Diagnostics // reported after the mistakes of blocks
+}
+
+// plan returns the file's plan, without a seed, and the mistakes that gohcl does not find; body is nil to skip these.
+func (f *File) plan(body *hclsyntax.Body) (Plan, hcl.Diagnostics) {
+	reader := &planReader{file: f, body: body}
+	plan := Plan{Processes: f.Processes, Voters: f.Voters, Rate: f.Rate, Older: f.Older, Span: reader.duration("span", f.Span)}
+	if f.Voters > 0 {
+		plan.Bound, plan.Proposals = reader.duration("bound", f.Bound), reader.duration("proposals", f.Proposals)
+	}
+	drawn := f.Every != "" || len(f.Faults) > 0
+	if drawn {
+		plan.Every, plan.Longest = reader.duration("every", f.Every), reader.duration("longest", f.Longest)
+	}
+	plan.Release = reader.release()
+	plan.Replace = reader.optionalDuration("replace", f.Replace)
+	plan.Events = reader.events()
+	plan.Zones = reader.zones()
+	reader.diags = append(reader.diags, reader.durationDiags...)
+	if !slices.Contains(voterCounts, f.Voters) || f.Voters > f.Processes {
+		reader.add("voters", "There must be 0, 1, 3 or 5, and no more than processes.")
+	}
+	if f.Rate <= 0 && f.Zones == nil {
+		reader.add("rate", "It must be above 0.")
+	}
+	if drawn {
+		plan.Kinds = reader.kinds()
+	}
+	return plan, reader.diags
+}
+
+// mistake returns a mistake at an attribute, or at the body's end if the body has no such attribute.
+func (r *planReader) mistake(attribute, format string, args ...any) *hcl.Diagnostic {
+	return hcldiag.At(hcldiag.Place(r.body, attribute), "Bad "+attribute, format, args...)
+}
+
+// add adds a mistake.
+func (r *planReader) add(attribute, format string, args ...any) {
+	if r.body != nil {
+		r.diags = append(r.diags, r.mistake(attribute, format, args...))
+	}
+}
+
+// duration parses a duration, which must be above 0.
+func (r *planReader) duration(attribute, text string) time.Duration {
+	duration, err := time.ParseDuration(text)
+	if (err != nil || duration <= 0) && r.body != nil {
+		r.durationDiags = append(r.durationDiags, r.mistake(attribute, "%q is no duration above 0.", text))
+	}
+	return duration
+}
+
+// optionalDuration is duration, and 0 for an empty text.
+func (r *planReader) optionalDuration(attribute, text string) time.Duration {
+	if text == "" {
+		return 0
+	}
+	return r.duration(attribute, text)
+}
+
+// release returns the file's release, nil if it has none.
+func (r *planReader) release() *Release {
+	block := r.file.Release
+	if block == nil {
+		return nil
+	}
+	if block.Drained < 0 || block.Anew < 0 || block.Drained+block.Anew > 1 || block.Calls < 0 {
+		r.add("release", "Shares are from 0 to 1 together, calls not below 0.")
+	}
+	return &Release{
+		At:            r.duration("release", block.At),
+		Drained:       block.Drained,
+		Anew:          block.Anew,
+		Rolling:       r.optionalDuration("release", block.Rolling),
+		Moves:         r.optionalDuration("release", block.Moves),
+		NotifyAfter:   r.optionalDuration("release", block.NotifyAfter),
+		Calls:         block.Calls,
+		ClientTimeout: r.optionalDuration("release", block.ClientTimeout),
+	}
+}
+
+// events returns the file's events.
+func (r *planReader) events() []Event {
+	events := make([]Event, len(r.file.Events))
+	for i, block := range r.file.Events {
+		events[i] = Event{
+			At:      r.duration("event", block.At),
+			For:     r.optionalDuration("event", block.For),
+			Kind:    Kind(block.Kind),
+			Process: block.Process,
+			Group:   block.Group,
+			Reverse: block.Reverse,
+		}
+		known := slices.Contains(Kinds(), events[i].Kind) || slices.Contains(scriptedKinds, events[i].Kind)
+		if !known || block.Process < Leader || block.Process >= r.file.Processes {
+			r.add("event", "There is no kind %q, or no process %d.", block.Kind, block.Process)
+		}
+	}
+	return events
+}
+
+// zones returns the file's zones, nil if it has none.
+func (r *planReader) zones() *ZonePlan {
+	block := r.file.Zones
+	if block == nil {
+		return nil
+	}
+	plan := &ZonePlan{
+		Zones:    block.Zones,
+		Regions:  block.Regions,
+		Workers:  block.Workers,
+		Load:     block.Load,
+		Plans:    true,
+		Headroom: block.Headroom,
+		ReturnIn: r.duration("towns", block.ReturnIn),
+		Faults:   make([]emulator.Fault, len(block.Faults)),
+	}
+	for i, fault := range block.Faults {
+		plan.Faults[i] = r.zoneFault(fault)
+	}
+	countsValid := block.Zones >= 2 && block.Regions >= 1 && block.Regions <= block.Zones && block.Workers >= block.Zones
+	if !countsValid || !(block.Load > 0) || !(block.Headroom >= 0 && block.Headroom < 1) {
+		r.add("towns", "There must be zones in regions, a box for each, a load above 0 and a headroom from 0 to less than 1.")
+	}
+	return plan
+}
+
+// zoneFault returns a fault of a zone.
+func (r *planReader) zoneFault(block ZoneFault) emulator.Fault {
+	kind, known := zoneFaults[block.Kind]
+	zones := r.file.Zones.Zones
+	if !known || block.Zone < 1 || block.Zone > zones || block.From < 0 || block.From > zones {
+		r.add("towns", "There is no fault %q, or no zone %d or %d.", block.Kind, block.Zone, block.From)
+	}
+	return emulator.Fault{
+		At:    r.duration("towns", block.At),
+		For:   r.duration("towns", block.For),
+		Kind:  kind,
+		Share: 1,
+		Size:  block.Size,
+		Zone:  block.Zone,
+		From:  block.From,
+	}
+}
+
+// kinds returns the kinds of faults to draw from.
+func (r *planReader) kinds() []Kind {
+	if len(r.file.Faults) == 0 {
+		return Kinds()
+	}
+	var kinds []Kind
+	for _, name := range r.file.Faults {
+		if !slices.Contains(Kinds(), Kind(name)) {
+			r.add("faults", "There is no kind %q; there are %v.", name, Kinds())
+		}
+		kinds = append(kinds, Kind(name))
+	}
+	return kinds
+}
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -1,222 +1,114 @@
 package faults
 
 import (
-	"errors"
+	"context"
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
 
-	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/emulator"
 )
 
-// operator is a process's file.
-func (f *play) operator(i int) string {
-	if f.Voters == 0 {
-		return ""
-	}
-	voter := 0
-	if i < f.Voters {
-		voter = i + 1
-	}
-	text := fmt.Sprintf("council {\n fleet = \"rig\"\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n region = %q\n zone = %q\n",
-		f.ats[i], voter, f.all[i].dir, f.Bound, fmt.Sprint("r", i%2), fmt.Sprint("z", i%3))
-	if f.Replace > 0 {
-		text += fmt.Sprintf(" replace = %q\n", f.Replace)
-	}
-	text += " voters = ["
-	for _, v := range f.voters {
-		text += fmt.Sprintf("%q, ", v)
-	}
-	text += "]\n reach = {\n"
-	for ends, l := range f.links {
-		if ends[0] == i {
-			text += fmt.Sprintf("  %q = %q\n", f.ats[ends[1]], l.Address())
-		}
-	}
-	return text + " }\n}\n" + f.Zones.operator() + f.Overload.operator()
-}
+// dispatcherProcess is a dispatcher over all its starts.
+type dispatcherProcess struct {
+	index   int
+	address string // of its fleet listener
+	dir     string // of its fleet's data
 
-func (f *play) start(i int) error {
-	path := filepath.Join(f.dir, fmt.Sprintf("operator-%d.hcl", i))
-	if err := os.WriteFile(path, []byte(f.operator(i)), 0o600); err != nil {
-		return err
-	}
-	x := f.all[i]
-	x.files.Lock()
-	defer x.files.Unlock()
-	env := x.env
-	if i >= f.Processes-f.Older {
-		env = append(env, "BRASSDALE_TEST_FORM=1")
-	}
-	node, err := f.cluster.StartWith(f.ctx, f.binary, f.dir, i, env, "serve", "--operator", path)
-	if err != nil {
-		return err
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	x.node, x.gone = node, false
-	return nil
-}
+	files sync.Mutex // locked while the process is started or signalled about its files
 
-// applyFault plays one fault to its end.
-func (f *play) applyFault(e Event, end time.Time) error {
-	if e.Process == Leader {
-		e.Process = f.leader()
-	}
-	x := f.all[e.Process]
-	switch e.Kind {
-	case Cut:
-		f.link(e.Process, State{CutTo: true, CutFrom: true})
-	case OneWay:
-		f.link(e.Process, State{CutTo: !e.Reverse, CutFrom: e.Reverse})
-	case Delayed:
-		f.link(e.Process, State{Delay: 50 * time.Millisecond, Spread: 250 * time.Millisecond})
-	case Slow:
-		f.link(e.Process, State{Slow: true})
-	case Reorder:
-		f.link(e.Process, State{Reorder: 400 * time.Millisecond})
-	case Split:
-		f.divide(e.Group)
-		until(f.ctx, end)
-		f.divide(nil)
-		return nil
-	case Flap:
-		for on := true; time.Now().Before(end); on = !on {
-			f.link(e.Process, State{CutTo: on, CutFrom: on})
-			if !until(f.ctx, time.Now().Add(50*time.Millisecond)) {
-				return nil
-			}
-		}
-	case Resets:
-		for time.Now().Before(end) {
-			f.each(e.Process, func(l *Link, _ bool) { l.Reset() })
-			if !until(f.ctx, time.Now().Add(100*time.Millisecond)) {
-				return nil
-			}
-		}
-	case Freeze:
-		f.leave(x)
-		if err := x.node.Signal(syscall.SIGSTOP); err != nil {
-			return err
-		}
-		until(f.ctx, end)
-		f.back(x)
-		return x.node.Signal(syscall.SIGCONT)
-	case Kill, Blank, Pace, Gone:
-		return f.kill(e, end)
-	case Anew:
-		return f.anew(e.Process, end)
-	case Stage:
-		return f.stage()
-	case Double:
-		return f.twice()
-	}
-	until(f.ctx, end)
-	f.link(e.Process, State{})
-	return nil
+	// Guarded by run.mu. The event that is played on the process reads node without it, because no other changes it meanwhile.
+	node      *emulator.Node // its last start; nil before the first
+	absences  []Absence
+	absent    bool  // clients send it nothing
+	lost      bool  // it does not come back; its whole log is in earlierLog
+	linkState State // what its events do to its links; "to" is what it sends
+
+	// Used by the event that is played on the process, and after all events.
+	earlierLog string   // of the starts that have ended
+	env        []string // environment variables beside the usual ones
 }
 
-// kill kills a process, and starts it again when its fault is over.
-func (f *play) kill(e Event, end time.Time) error {
-	x := f.all[e.Process]
-	f.leave(x)
-	x.node.Kill()
-	x.logs += x.node.Log()
-	switch e.Kind {
-	case Gone:
-		f.mu.Lock()
-		x.lost = true
-		f.mu.Unlock()
-		return nil
-	case Blank:
-		if err := os.RemoveAll(x.dir); err != nil {
-			return err
-		}
-	case Pace:
-		x.env = []string{fmt.Sprintf("BRASSDALE_TEST_PACE=%g", map[bool]float64{false: 1 + configversions.MaxClockDrift/2, true: 1 - configversions.MaxClockDrift/2}[e.Reverse])}
-	}
-	until(f.ctx, end)
-	f.back(x)
-	return f.start(e.Process)
+// newDispatcherProcess returns a process that has not been started; its data is in a directory of its own in dir.
+func newDispatcherProcess(index int, address, dir string) *dispatcherProcess {
+	return &dispatcherProcess{index: index, address: address, dir: filepath.Join(dir, fmt.Sprintf("disk-%d", index))}
 }
 
-// anew kills all and starts all, one with its disk lost.
-func (f *play) anew(lost int, end time.Time) error {
-	for _, x := range f.all {
-		f.leave(x)
-		x.node.Kill()
-		x.logs += x.node.Log()
+// stop kills the process, also if it is stopped by a signal.
+func (p *dispatcherProcess) stop() {
+	if p.node == nil {
+		return
 	}
-	if err := os.RemoveAll(f.all[lost].dir); err != nil {
-		return err
-	}
-	until(f.ctx, end)
-	var wait sync.WaitGroup
-	errs := make([]error, len(f.all))
-	for i, x := range f.all {
-		wait.Go(func() {
-			f.back(x)
-			errs[i] = f.start(i)
-		})
-	}
-	wait.Wait()
-	return errors.Join(errs...)
+	_ = p.node.Signal(syscall.SIGCONT) // fails only if it has ended
+	p.node.Kill()
 }
 
-func (f *play) leave(x *process) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	x.gone = true
-	x.absences = append(x.absences, Absence{From: time.Now()})
+// log returns the process's log over all its starts.
+func (p *dispatcherProcess) log() string {
+	if p.lost {
+		return p.earlierLog
+	}
+	return p.earlierLog + p.node.Log()
 }
 
-func (f *play) back(x *process) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	x.absences[len(x.absences)-1].To, x.gone = time.Now(), false
+// wasAbsentAfter reports whether the process was or is absent at some time after the given one.
+func (p *dispatcherProcess) wasAbsentAfter(at time.Time) bool {
+	return slices.ContainsFunc(p.absences, func(absence Absence) bool { return absence.To.IsZero() || absence.To.After(at) })
 }
 
-// each goes through the links of a process; called tells that it is the one who is called.
-func (f *play) each(process int, do func(l *Link, called bool)) {
-	for ends, l := range f.links {
-		if ends[0] == process || ends[1] == process {
-			do(l, ends[1] == process)
-		}
+// startProcess writes the process's operator file and starts it. It returns when the process is ready.
+func (r *run) startProcess(ctx context.Context, process *dispatcherProcess) error {
+	path := filepath.Join(r.dir, fmt.Sprintf("operator-%d.hcl", process.index))
+	if err := os.WriteFile(path, []byte(r.operatorFile(process)), 0o600); err != nil {
+		return err
+	}
+	process.files.Lock()
+	defer process.files.Unlock()
+	env := slices.Clone(process.env)
+	if process.index >= r.plan.Processes-r.plan.Older {
+		env = append(env, "BRASSDALE_TEST_FORM=1")
+	}
+	node, err := r.cluster.StartWith(ctx, r.binary, r.dir, process.index, env, "serve", "--operator", path)
+	if err != nil {
+		return err
 	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	process.node, process.absent = node, false
+	return nil
 }
 
-// link puts what befalls a process's links in force, beside what befalls those at the other ends.
-func (f *play) link(process int, s State) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.all[process].state = s
-	for ends := range f.links {
-		if ends[0] == process || ends[1] == process {
-			f.put(ends)
+// voters returns the processes that are the raft group's first voters.
+func (r *run) voters() []*dispatcherProcess { return r.processes[:r.plan.Voters] }
+
+// presentProcesses returns the processes that clients send jobs to.
+func (r *run) presentProcesses() []*dispatcherProcess {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var present []*dispatcherProcess
+	for _, process := range r.processes {
+		if !process.absent {
+			present = append(present, process)
 		}
 	}
+	return present
 }
 
-// divide has a group and the rest not reach each other; none heals that.
-func (f *play) divide(group []int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.split = map[int]bool{}
-	for _, i := range group {
-		f.split[i] = true
-	}
-	for ends := range f.links {
-		f.put(ends)
-	}
+// beginAbsence records that a process stops or ends now.
+func (r *run) beginAbsence(process *dispatcherProcess) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	process.absent = true
+	process.absences = append(process.absences, Absence{From: time.Now()})
 }
 
-// put sets a link by what befalls both of its ends; f.mu is held.
-func (f *play) put(ends [2]int) {
-	from, to := f.all[ends[0]].state, f.all[ends[1]].state
-	apart := f.split[ends[0]] != f.split[ends[1]]
-	f.links[ends].Set(State{CutTo: apart || from.CutTo || to.CutFrom, CutFrom: apart || from.CutFrom || to.CutTo,
-		Delay: max(from.Delay, to.Delay), Spread: max(from.Spread, to.Spread), Reorder: max(from.Reorder, to.Reorder), Slow: from.Slow || to.Slow})
+// endAbsence records that a process continues or is restarted now.
+func (r *run) endAbsence(process *dispatcherProcess) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	process.absences[len(process.absences)-1].To, process.absent = time.Now(), false
 }
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -1,6 +1,7 @@
 package faults
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -11,62 +12,63 @@
 	"brassdale/internal/emulator"
 )
 
-// Release is a release of the works and of the dispatchers at once: boxes drain and start anew, discovery has more callers
-// than it can serve, a tenth of the dispatchers at a time is ended by SIGTERM and started anew, and in the middle of it
-// discovery moves, which the dispatchers are told of by SIGHUP.
+// Release is a release of workers and dispatchers at the same time: workers drain and restart, discovery may have more callers than
+// it can serve, the dispatchers are restarted in steps of a tenth by SIGTERM, and in the middle discovery moves, of which they are
+// notified by SIGHUP.
 type Release struct {
-	At            time.Duration // the boxes'
-	Drained       float64       // share of the boxes that leave
-	Anew          float64       // share that starts anew
-	Rolling       time.Duration // between two steps of the dispatchers' restart, which begins with the boxes'; 0 for none
-	Moves         time.Duration // when discovery does; 0 for never
-	NotifyAfter   time.Duration // so much later the dispatchers hear of it
-	Calls         float64       // that discovery works through a second; 0 for any number
-	ClientTimeout time.Duration
+	At            time.Duration // since the run began: when workers begin to drain and the first dispatchers are restarted
+	Drained       float64       // share of the workers that drain
+	Anew          float64       // share of the workers that restart
+	Rolling       time.Duration // between two steps of the dispatchers' restart; 0 for no restart
+	Moves         time.Duration // since the run began: when discovery moves; 0 for never
+	NotifyAfter   time.Duration // from the move until the dispatchers are notified
+	Calls         float64       // polls that discovery serves a second; 0 for any number
+	ClientTimeout time.Duration // of a poll of discovery
 }
 
-// drainFor is how long a box that leaves is there for what it has.
-const drainFor = 4 * time.Second
+const (
+	workerDrainTime   = 4 * time.Second // how long a draining worker stays up
+	workerRestartTime = time.Second
+	restartSteps      = 10                     // of the dispatchers' restart
+	clientNoticeDelay = 300 * time.Millisecond // how long clients send jobs to a dispatcher that got SIGTERM
+	shutdownTimeout   = 10 * time.Second       // of a dispatcher, from SIGTERM on
+)
 
-func (r *Release) cluster(s *emulator.Scenario) {
-	s.Calls = emulator.Calls{Rate: r.Calls, ClientTimeout: r.ClientTimeout}
+// addTo adds the release of the workers and the limits of discovery to a scenario.
+func (r *Release) addTo(scenario *emulator.Scenario) {
+	scenario.Calls = emulator.Calls{Rate: r.Calls, ClientTimeout: r.ClientTimeout}
 	if r.Drained > 0 {
-		s.Faults = append(s.Faults, emulator.Fault{At: r.At, For: drainFor, Kind: emulator.Drain, Share: r.Drained})
+		scenario.Faults = append(scenario.Faults, emulator.Fault{At: r.At, For: workerDrainTime, Kind: emulator.Drain, Share: r.Drained})
 	}
 	if r.Anew > 0 {
-		s.Faults = append(s.Faults, emulator.Fault{At: r.At + drainFor/2, For: time.Second, Kind: emulator.Restart, Share: r.Anew})
+		scenario.Faults = append(scenario.Faults, emulator.Fault{At: r.At + workerDrainTime/2, For: workerRestartTime, Kind: emulator.Restart, Share: r.Anew})
 	}
 }
 
-const (
-	frontNotices = 300 * time.Millisecond // behind SIGTERM the front brings clients for so long
-	endsWithin   = 10 * time.Second
-)
-
-// release plays the dispatchers' and discovery's part.
-func (f *play) release(begin time.Time) error {
-	r := f.Release
-	f.cluster.StartFaults()
-	var wait sync.WaitGroup
-	errs := make(chan error, f.Processes+1)
-	if r.Rolling > 0 {
-		step := max(f.Processes/10, 1)
-		for i := range f.Processes {
-			wait.Go(func() {
-				if until(f.ctx, begin.Add(r.At+time.Duration(i/step)*r.Rolling)) {
-					errs <- f.restart(i)
+// playRelease plays the release and returns when it is over.
+func (r *run) playRelease(ctx context.Context, begin time.Time) error {
+	release := r.plan.Release
+	r.cluster.StartFaults()
+	var activities sync.WaitGroup
+	errs := make(chan error, len(r.processes)+1)
+	if release.Rolling > 0 {
+		perStep := max(len(r.processes)/restartSteps, 1)
+		for i, process := range r.processes {
+			activities.Go(func() {
+				if waitUntil(ctx, begin.Add(release.At+time.Duration(i/perStep)*release.Rolling)) {
+					errs <- r.restartGracefully(ctx, process)
 				}
 			})
 		}
 	}
-	if r.Moves > 0 {
-		wait.Go(func() {
-			if until(f.ctx, begin.Add(r.Moves)) {
-				errs <- f.move()
+	if release.Moves > 0 {
+		activities.Go(func() {
+			if waitUntil(ctx, begin.Add(release.Moves)) {
+				errs <- r.moveDiscovery(ctx)
 			}
 		})
 	}
-	wait.Wait()
+	activities.Wait()
 	close(errs)
 	var all error
 	for err := range errs {
@@ -75,52 +77,56 @@
 	return all
 }
 
-// restart ends a process in good order, while clients go on for a while, and starts it anew.
-func (f *play) restart(i int) error {
-	x := f.all[i]
-	f.cluster.Present(i, false)
+// restartGracefully ends a process by SIGTERM, while clients still send it jobs for some time, and starts it again.
+func (r *run) restartGracefully(ctx context.Context, process *dispatcherProcess) error {
+	r.cluster.Present(process.index, false)
 	begin := time.Now()
-	x.files.Lock()
-	err := x.node.Signal(syscall.SIGTERM)
-	x.files.Unlock()
-	if err != nil || !until(f.ctx, begin.Add(frontNotices)) {
+	process.files.Lock()
+	err := process.node.Signal(syscall.SIGTERM)
+	process.files.Unlock()
+	if err != nil || !waitUntil(ctx, begin.Add(clientNoticeDelay)) {
 		return err
 	}
-	f.mu.Lock()
-	x.gone = true
-	f.mu.Unlock()
-	if err := x.node.Stop(begin.Add(endsWithin)); err != nil {
-		return fmt.Errorf("process %d: %w", i, err)
+	r.mu.Lock()
+	process.absent = true
+	r.mu.Unlock()
+	if err := process.node.Stop(begin.Add(shutdownTimeout)); err != nil {
+		return fmt.Errorf("process %d: %w", process.index, err)
 	}
-	x.logs += x.node.Log()
-	if err := f.start(i); err != nil {
+	process.earlierLog += process.node.Log()
+	if err := r.startProcess(ctx, process); err != nil {
 		return err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.r.Restarted++
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.Restarted++
 	return nil
 }
 
-// move puts discovery elsewhere, and tells those that are there.
-func (f *play) move() error {
-	if err := f.cluster.Move(); err != nil {
+// moveDiscovery gives discovery other addresses, and notifies the processes after the release's NotifyAfter.
+func (r *run) moveDiscovery(ctx context.Context) error {
+	if err := r.cluster.Move(); err != nil {
 		return err
 	}
-	until(f.ctx, time.Now().Add(f.Release.NotifyAfter))
-	for i, x := range f.all {
-		x.files.Lock()
-		_, err := f.cluster.Write(f.dir, i)
-		if err == nil {
-			err = x.node.Signal(syscall.SIGHUP)
-			if errors.Is(err, os.ErrProcessDone) {
-				err = nil // it is between its two lives, and the next reads the new file
-			}
-		}
-		x.files.Unlock()
-		if err != nil {
-			return fmt.Errorf("process %d: %w", i, err)
+	waitUntil(ctx, time.Now().Add(r.plan.Release.NotifyAfter))
+	for _, process := range r.processes {
+		if err := r.reload(process); err != nil {
+			return fmt.Errorf("process %d: %w", process.index, err)
 		}
 	}
 	return nil
 }
+
+// reload writes a process's configuration anew and has the process read it. A process that has ended meanwhile reads it at its next
+// start.
+func (r *run) reload(process *dispatcherProcess) error {
+	process.files.Lock()
+	defer process.files.Unlock()
+	if _, err := r.cluster.Write(r.dir, process.index); err != nil {
+		return err
+	}
+	if err := process.node.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) {
+		return err
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/faults/run.go
@@ -0,0 +1,170 @@
+package faults
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"brassdale/internal/emulator"
+)
+
+// run is a run in progress.
+type run struct {
+	plan      Plan
+	scenario  emulator.Scenario
+	cluster   *emulator.Cluster // the workers and discovery
+	binary    string            // path of the dispatcher's program
+	dir       string            // for configuration and the processes' data
+	client    *http.Client
+	processes []*dispatcherProcess
+	links     map[linkEnds]*Link
+
+	mu          sync.Mutex
+	partitioned map[int]bool // processes that a partition separates from the rest
+	announcedAt map[uint64]time.Time
+	endedJobs   endedJobs
+	result      *Result
+	err         error // the first error of the run itself
+}
+
+// idleConnectionsPerHost is how many idle connections the run's clients may have to a process.
+const idleConnectionsPerHost = 64
+
+// Play starts a plan's dispatchers with the program at binary and plays the plan in real time. It writes configuration and the
+// processes' data to dir, and ends all processes that it started. It returns an error if the plan could not be played to its end,
+// not if a rule was broken.
+func Play(ctx context.Context, plan Plan, binary, dir string) (*Result, error) {
+	scenario := plan.scenario()
+	plan.Rate = scenario.Traffic.Rate
+	cluster, err := emulator.Open(scenario) //nolint:contextcheck // it must run until Close, because queries wait for its engine
+	if err != nil {
+		return nil, err
+	}
+	defer cluster.Close()
+	current := &run{
+		plan:        plan,
+		scenario:    scenario,
+		cluster:     cluster,
+		binary:      binary,
+		dir:         dir,
+		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnectionsPerHost}},
+		links:       map[linkEnds]*Link{},
+		announcedAt: map[uint64]time.Time{},
+		result:      &Result{Seed: plan.Seed, Processes: plan.Processes, Faults: map[string]int{}, BoundMS: milliseconds(plan.Bound)},
+	}
+	defer current.client.CloseIdleConnections()
+	defer current.stop()
+	if err := current.start(ctx); err != nil {
+		return nil, err
+	}
+	return current.play(ctx)
+}
+
+// start opens the links and starts all processes.
+func (r *run) start(ctx context.Context) error {
+	for i := range r.plan.Processes {
+		address, err := freeAddress(i)
+		if err != nil {
+			return err
+		}
+		r.processes = append(r.processes, newDispatcherProcess(i, address, r.dir))
+	}
+	if err := r.openLinks(); err != nil {
+		return err
+	}
+	for _, process := range r.processes {
+		if err := r.startProcess(ctx, process); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// freeAddress returns an address for the fleet listener of a process. Each run has IP addresses of its own: otherwise the system
+// could give the port of a voter that was killed to a connection of another run before the voter is restarted.
+func freeAddress(process int) (string, error) {
+	const usable = 250 // numbers in a byte of an address
+	listener, err := net.Listen("tcp", fmt.Sprintf("127.88.%d.%d:0", os.Getpid()%usable+1, process%usable+1))
+	if err != nil {
+		return "", err
+	}
+	return listener.Addr().String(), listener.Close()
+}
+
+// stop closes the links and kills all processes.
+func (r *run) stop() {
+	for _, link := range r.links {
+		link.Close()
+	}
+	for _, process := range r.processes {
+		process.stop()
+	}
+}
+
+// play plays the plan with the started processes and returns the result.
+func (r *run) play(ctx context.Context) (*Result, error) {
+	result := r.result
+	result.Events = r.plan.events()
+	result.Begin = time.Now()
+	before := r.measureUsage(ctx)
+	if r.plan.Zones != nil || r.plan.Overload != nil {
+		r.cluster.StartFaults()
+	}
+	r.playActivities(ctx)
+	if err := cmp.Or(r.err, ctx.Err()); err != nil {
+		return nil, err
+	}
+	if r.plan.Voters > 0 {
+		r.awaitAgreement(ctx)
+	}
+	if len(result.Events) == 0 && r.plan.Release == nil {
+		result.Cost = r.measureUsage(ctx).costSince(before)
+	}
+	r.completeResult(ctx)
+	return result, nil
+}
+
+// playActivities plays the events, the jobs, the proposals and the release at the same time, and returns when all have ended.
+func (r *run) playActivities(ctx context.Context) {
+	begin := r.result.Begin
+	end := begin.Add(r.plan.Span)
+	var activities sync.WaitGroup
+	for _, event := range r.result.Events {
+		r.result.Faults[string(event.Kind)]++
+		activities.Go(func() {
+			if waitUntil(ctx, begin.Add(event.At)) {
+				r.addError(r.playEvent(ctx, event, begin.Add(event.At+event.For)))
+			}
+		})
+	}
+	activities.Go(func() { r.sendJobs(ctx, end) })
+	if r.plan.Voters > 0 {
+		activities.Go(func() { r.proposeRepeatedly(ctx, end) })
+	}
+	if r.plan.Release != nil {
+		activities.Go(func() { r.addError(r.playRelease(ctx, begin)) })
+	}
+	activities.Wait()
+}
+
+// addError adds an error of the run itself; nil is none.
+func (r *run) addError(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.err = cmp.Or(r.err, err)
+}
+
+// waitUntil waits for a time. It returns false if the context ends before.
+func waitUntil(ctx context.Context, at time.Time) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(time.Until(at)):
+		return true
+	}
+}
--- /dev/null
+++ b/internal/faults/zonesresult.go
@@ -0,0 +1,153 @@
+package faults
+
+import (
+	"regexp"
+	"strconv"
+	"time"
+
+	"brassdale/internal/emulator"
+	"brassdale/scheduler"
+)
+
+// ZonesResult is how a deployment with zones was served. The JSON keys are those of result files and do not change.
+type ZonesResult struct {
+	Served           float64 `json:"served_share"`                       // of the jobs, in time
+	ServedNoFailover float64 `json:"served_share_no_failover,omitempty"` // in the emulator's virtual time, where each process decides by itself
+	ServedFault      float64 `json:"served_share_fault"`                 // of those sent during the first fault, from faultDetectionTime after its begin on
+	ServedBehind     float64 `json:"served_share_behind"`                // of those sent within recoveryWindow after its end
+	Crossing         float64 `json:"crossing_share"`                     // of the attempts
+	MinCrossing      float64 `json:"crossing_least"`                     // share of the work that had to cross, as the zones' capacities are
+	Peak             float64 `json:"zone_peak_over_capacity"`
+	PlanChanges      uint64  `json:"plan_changes"`
+	DetectMS         float64 `json:"detect_ms"`                  // from the begin of the first fault to the first plan after it; -1 for none
+	MovedMS          float64 `json:"moved_ms"`                   // until the last process acted on such a plan; -1 for none
+	BackMS           float64 `json:"back_ms"`                    // from the end of the first fault to the last plan; -1 for none
+	ServedVirtual    float64 `json:"served_share_fault_virtual"` // ServedFault in the emulator's virtual time, with failover plans
+}
+
+const (
+	faultDetectionTime = 3 * time.Second
+	recoveryWindow     = 15 * time.Second
+)
+
+// endedJob is a job that has ended.
+type endedJob struct {
+	sentAt time.Time
+	inTime bool // answered in time
+}
+
+type endedJobs []endedJob
+
+// servedShare returns the share of the jobs sent in [from, to) that were answered in time.
+func (j endedJobs) servedShare(from, to time.Time) float64 {
+	inTime, all := 0, 0
+	for _, job := range j {
+		if job.sentAt.Before(from) || !job.sentAt.Before(to) {
+			continue
+		}
+		all++
+		if job.inTime {
+			inTime++
+		}
+	}
+	return float64(inTime) / float64(max(all, 1))
+}
+
+// measureZones returns how the zones were served.
+func (r *run) measureZones() *ZonesResult {
+	begin := r.result.Begin
+	load := r.cluster.Load()
+	result := &ZonesResult{
+		Served:   r.endedJobs.servedShare(begin, begin.Add(r.plan.Span)),
+		Crossing: float64(load.Crossings) / float64(max(load.Sends, 1)),
+		Peak:     load.Peak,
+	}
+	if len(r.plan.Zones.Faults) == 0 {
+		return result
+	}
+	first := r.plan.Zones.Faults[0]
+	from, to := begin.Add(first.At), begin.Add(first.At+first.For)
+	result.ServedFault = r.endedJobs.servedShare(from.Add(faultDetectionTime), to)
+	result.ServedBehind = r.endedJobs.servedShare(to, to.Add(recoveryWindow))
+	result.MinCrossing = r.plan.Zones.minCrossing(r.plan.Span)
+	if modelled, err := r.playInVirtualTime(""); err == nil {
+		result.ServedNoFailover = modelled.Service
+	}
+	if modelled, err := r.playInVirtualTime("plan"); err == nil {
+		result.ServedVirtual = modelled.Within(first.At+faultDetectionTime, first.At+first.For)
+	}
+	r.measurePlanChanges(result, from, to)
+	return result
+}
+
+const (
+	modelDetectTime   = time.Second // until the emulator's failover detects a fault
+	modelFailoverStep = 0.1
+)
+
+// playInVirtualTime plays the run's scenario, without the faults of processes, in the emulator's virtual time and with a failover mode of
+// the emulator.
+func (r *run) playInVirtualTime(mode string) (*emulator.Result, error) {
+	scenario := r.scenario
+	zones := r.plan.Zones
+	scenario.Failover = emulator.Failover{Mode: mode, Headroom: zones.Headroom, ReturnIn: zones.ReturnIn, Detect: modelDetectTime, Step: modelFailoverStep}
+	return emulator.Run(scenario, func(settings scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(settings, seed) })
+}
+
+// appliedPlan is a failover plan that a process applied.
+type appliedPlan struct {
+	number uint64
+	at     time.Time
+}
+
+// planApplied is the log line with which a dispatcher says that it applied a failover plan.
+var planApplied = regexp.MustCompile(`msg="failover plan applied" number=(\d+) expired=(true|false) at_ms=(\d+)`)
+
+// appliedPlans reads the plans that a process applied from its log.
+func appliedPlans(log string) []appliedPlan {
+	var plans []appliedPlan
+	for _, match := range planApplied.FindAllStringSubmatch(log, -1) {
+		number, _ := strconv.ParseUint(match[1], 10, 64) // the expression lets only digits through
+		ms, _ := strconv.ParseInt(match[3], 10, 64)      // likewise
+		plans = append(plans, appliedPlan{number, time.UnixMilli(ms)})
+	}
+	return plans
+}
+
+// measurePlanChanges sets the figures about the failover plans that the processes applied. The first fault lasted between two times.
+func (r *run) measurePlanChanges(result *ZonesResult, from, to time.Time) {
+	var detectedAt, movedAt, lastAt time.Time
+	for _, process := range r.processes {
+		reacted := false
+		for _, plan := range appliedPlans(process.log()) {
+			result.PlanChanges = max(result.PlanChanges, plan.number)
+			if plan.at.After(from) && !reacted {
+				reacted = true
+				if detectedAt.IsZero() || plan.at.Before(detectedAt) {
+					detectedAt = plan.at
+				}
+				movedAt = later(movedAt, plan.at)
+			}
+			if plan.at.After(to) {
+				lastAt = later(lastAt, plan.at)
+			}
+		}
+	}
+	result.DetectMS, result.MovedMS, result.BackMS = millisecondsAfter(from, detectedAt), millisecondsAfter(from, movedAt), millisecondsAfter(to, lastAt)
+}
+
+// later returns the later of two times.
+func later(a, b time.Time) time.Time {
+	if b.After(a) {
+		return b
+	}
+	return a
+}
+
+// millisecondsAfter returns the whole milliseconds from one time to another; -1 if that is zero.
+func millisecondsAfter(from, at time.Time) float64 {
+	if at.IsZero() {
+		return -1
+	}
+	return milliseconds(at.Sub(from))
+}
