--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -117,7 +117,7 @@
 	if generated.CutShort {
 		err = context.Canceled
 	}
-	return ask(c.sim, c.sim.result), err
+	return queryEngine(c.sim, c.sim.result), err
 }
 
 // recordJob counts a job's end as its client saw it.
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -19,10 +19,10 @@
 
 // Now returns the status as of a moment soon. Like the methods below, it waits for the engine and must not be called after
 // Close.
-func (c *Cluster) Now() Status { return ask(c.sim, c.sim.status) }
+func (c *Cluster) Now() Status { return queryEngine(c.sim, c.sim.status) }
 
-// ask returns what get returns when the engine calls it.
-func ask[T any](sim *simulation, get func() T) T {
+// queryEngine returns what get returns when the engine calls it.
+func queryEngine[T any](sim *simulation, get func() T) T {
 	answer := make(chan T, 1)
 	sim.post(func() { answer <- get() })
 	return <-answer
@@ -63,7 +63,7 @@
 
 // Breaches returns the violations of rules until now.
 func (c *Cluster) Breaches() []Breach {
-	return ask(c.sim, func() []Breach { return slices.Clone(c.sim.audit.breaches) })
+	return queryEngine(c.sim, func() []Breach { return slices.Clone(c.sim.audit.breaches) })
 }
 
 // Costs is when requests' first attempts, further attempts and probes were received, of all dispatchers, by the virtual clock.
@@ -71,7 +71,7 @@
 
 // Spent returns the costs until now.
 func (c *Cluster) Spent() Costs {
-	return ask(c.sim, func() Costs {
+	return queryEngine(c.sim, func() Costs {
 		return Costs{slices.Clone(c.firstAttempts), slices.Clone(c.furtherAttempts), slices.Clone(c.probedAt)}
 	})
 }
@@ -84,7 +84,7 @@
 
 // Load returns the load until now.
 func (c *Cluster) Load() Load {
-	return ask(c.sim, func() Load { return Load{c.sim.attemptsSent, c.sim.crossings, c.sim.peakZoneLoad()} })
+	return queryEngine(c.sim, func() Load { return Load{c.sim.attemptsSent, c.sim.crossings, c.sim.peakZoneLoad()} })
 }
 
 // Workers returns the ids of the cluster's workers.
