--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -160,6 +160,23 @@
 
 // playEvent plays an event until it is over.
 func (r *run) playEvent(event Event, until time.Time) error {
+	switch event.Kind {
+	case Drain, Join, Restart, WorkerHangs, WorkerResets, WorkerReadsLate:
+		return r.playWorkerEvent(event, until)
+	case FaultyCalls, SilentWatches, DiscoveryDown, ClockStep, ReplicaLag, DelayedAnswers:
+		r.playDiscoveryEvent(event, until)
+	case IdleClients:
+		r.clients[event.Target].openIdleConnections(idleClientCount, until)
+	case ClientsLeave:
+		r.clients[event.Target].setLeaveEarly(until)
+	default:
+		return r.playDispatcherEvent(event, until)
+	}
+	return nil
+}
+
+// playWorkerEvent plays an event of a worker.
+func (r *run) playWorkerEvent(event Event, until time.Time) error {
 	switch event.Kind {
 	case Drain:
 		r.drainWorker(event.Target)
@@ -175,36 +192,46 @@
 		r.discovery.setPhase(started, phaseActive, true)
 	case WorkerHangs, WorkerResets, WorkerReadsLate:
 		r.worker(event.Target).injectFault(event.Kind, until)
+	}
+	return nil
+}
+
+// playDiscoveryEvent plays an event of discovery.
+func (r *run) playDiscoveryEvent(event Event, until time.Time) {
+	switch event.Kind {
 	case FaultyCalls:
 		r.discovery.failCalls(r.plan.Dispatchers, event.Calls)
 	case SilentWatches:
 		r.discovery.silenceWatches()
 	case DiscoveryDown:
-		return r.stopDiscovery(until)
-	case DiscoveryMove:
-		return r.dispatchers[event.Target].moveDiscovery()
-	case Reload:
-		return r.dispatchers[event.Target].reload()
-	case ProcessPauses:
-		r.dispatchers[event.Target].pauseRepeatedly(until)
-	case Terminate:
-		return r.dispatchers[event.Target].terminateAndRestart()
-	case Kill:
-		return r.dispatchers[event.Target].killAndRestart(time.Until(until) / 4)
-	case IdleClients:
-		r.clients[event.Target].openIdleConnections(idleClientCount, until)
-	case ClientsLeave:
-		r.clients[event.Target].setLeaveEarly(until)
+		r.stopDiscovery(until)
 	case ClockStep:
 		r.discovery.stepClock(event.Step)
 	case ReplicaLag:
 		r.discovery.replicaView(event.Target).injectFault(event.Step, 0, event.Flaps, until)
 	case DelayedAnswers:
 		r.discovery.replicaView(event.Target).injectFault(0, event.Step, false, until)
+	}
+}
+
+// playDispatcherEvent plays an event of a dispatcher's process or configuration.
+func (r *run) playDispatcherEvent(event Event, until time.Time) error {
+	process := r.dispatchers[event.Target]
+	switch event.Kind {
+	case DiscoveryMove:
+		return process.moveDiscovery()
+	case Reload:
+		return process.reload()
+	case ProcessPauses:
+		process.pauseRepeatedly(until)
+	case Terminate:
+		return process.terminateAndRestart()
+	case Kill:
+		return process.killAndRestart(time.Until(until) / 4)
 	case MoveToLaggingReplica:
 		r.drainWorker(event.Worker)
 		time.Sleep(event.Duration / 4)
-		return r.dispatchers[event.Target].moveToReplica(event.Step, time.Now().Add(event.Duration))
+		return process.moveToReplica(event.Step, time.Now().Add(event.Duration))
 	case DiscoveryMoves:
 		return r.moveDiscoveryRepeatedly(event)
 	}
@@ -245,11 +272,10 @@
 }
 
 // stopDiscovery makes discovery reject all calls until a time.
-func (r *run) stopDiscovery(until time.Time) error {
+func (r *run) stopDiscovery(until time.Time) {
 	from := time.Now()
 	r.discovery.setDown(true)
 	time.Sleep(time.Until(until))
 	r.discovery.setDown(false)
 	r.record.locked(func() { r.record.Outages = append(r.record.Outages, DiscoveryOutage{from, time.Now()}) })
-	return nil
 }
