--- a/internal/faults/faultinjection.go
+++ b/internal/faults/faultinjection.go
@@ -20,25 +20,25 @@
 	}
 	process := r.processes[index]
 	switch event.Kind {
-	case Split:
+	case Partition:
 		r.partition(event.Group)
 		waitUntil(ctx, end)
 		r.partition(nil)
 	case Flap:
 		r.flapLinks(ctx, process, end)
-	case Resets:
+	case Reset:
 		r.resetLinks(ctx, process, end)
 	case Freeze:
 		return r.freeze(ctx, process, end)
-	case Kill, Blank, Pace:
+	case Kill, KillAndWipe, ClockDrift:
 		return r.killAndRestart(ctx, process, event, end)
-	case Gone:
+	case KillForGood:
 		r.killForGood(process)
-	case Anew:
+	case RestartAll:
 		return r.restartAll(ctx, process, end)
-	case Stage:
+	case ProposeCanary:
 		return r.proposeCanary(ctx)
-	case Double:
+	case ProposeTwice:
 		return r.proposeTwice(ctx)
 	default:
 		r.setLinks(process, event.linkState())
@@ -79,11 +79,11 @@
 func (r *run) killAndRestart(ctx context.Context, process *dispatcherProcess, event Event, end time.Time) error {
 	r.kill(process)
 	switch event.Kind {
-	case Blank:
+	case KillAndWipe:
 		if err := os.RemoveAll(process.dir); err != nil {
 			return err
 		}
-	case Pace:
+	case ClockDrift:
 		rate := 1 + configversions.MaxClockDrift/2
 		if event.Reverse {
 			rate = 1 - configversions.MaxClockDrift/2
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -94,7 +94,7 @@
 		}
 		until, lost := map[int]time.Duration{}, 0
 		for _, e := range a {
-			if e.Kind == Blank && e.Process < 5 {
+			if e.Kind == KillAndWipe && e.Process < 5 {
 				lost++
 			}
 			if e.At < until[e.Process] || e.At+e.For > span || lost > 1 {
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	p := f.Plan(3, 10)
-	p.Span, p.Release.At, p.Release.Moves, p.Release.Calls, p.Release.ClientTimeout = 10*time.Second, time.Second, 3*time.Second, 5, 200*time.Millisecond
+	p.Span, p.Release.At, p.Release.DiscoveryMovesAt, p.Release.DiscoveryCallRate, p.Release.ClientTimeout = 10*time.Second, time.Second, 3*time.Second, 5, 200*time.Millisecond
 	r, err := Play(t.Context(), p, build(t), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 	}
 	binary := build(t)
 	p := f.Plan(3, 5)
-	p.Voters, p.Span, p.Every, p.Longest, p.Bound, p.Proposals = 3, 6*time.Second, 500*time.Millisecond, 2*time.Second, time.Second, 500*time.Millisecond
+	p.Voters, p.Span, p.MeanInterval, p.MaxDuration, p.Bound, p.ProposalInterval = 3, 6*time.Second, 500*time.Millisecond, 2*time.Second, time.Second, 500*time.Millisecond
 	r, err := Play(t.Context(), p, binary, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faults/file.go
+++ b/internal/faults/file.go
@@ -59,14 +59,14 @@
 
 // ReleaseFile is the block of a File for a release.
 type ReleaseFile struct {
-	At            string  `hcl:"at"`
-	Drained       float64 `hcl:"drained,optional"`
-	Anew          float64 `hcl:"anew,optional"`
-	Rolling       string  `hcl:"rolling,optional"`
-	Moves         string  `hcl:"moves,optional"`
-	NotifyAfter   string  `hcl:"told,optional"`
-	Calls         float64 `hcl:"calls,optional"`
-	ClientTimeout string  `hcl:"patience,optional"`
+	At                string  `hcl:"at"`
+	Drained           float64 `hcl:"drained,optional"`
+	Restarted         float64 `hcl:"anew,optional"`
+	StepInterval      string  `hcl:"rolling,optional"`
+	DiscoveryMovesAt  string  `hcl:"moves,optional"`
+	NotifyAfter       string  `hcl:"told,optional"`
+	DiscoveryCallRate float64 `hcl:"calls,optional"`
+	ClientTimeout     string  `hcl:"patience,optional"`
 }
 
 // Load reads and checks a scenario. The error has all mistakes with file, line and column.
--- a/internal/faults/operatorfile.go
+++ b/internal/faults/operatorfile.go
@@ -17,8 +17,8 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "council {\n fleet = \"rig\"\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n region = \"r%d\"\n zone = \"z%d\"\n",
 		process.address, voterID, process.dir, r.plan.Bound, process.index%2, process.index%3)
-	if r.plan.Replace > 0 {
-		fmt.Fprintf(&text, " replace = %q\n", r.plan.Replace)
+	if r.plan.ReplaceVoterAfter > 0 {
+		fmt.Fprintf(&text, " replace = %q\n", r.plan.ReplaceVoterAfter)
 	}
 	text.WriteString(" voters = [")
 	for _, voter := range r.voters() {
--- a/internal/faults/plan.go
+++ b/internal/faults/plan.go
@@ -16,22 +16,22 @@
 
 // Plan is everything that a run does.
 type Plan struct {
-	Seed      uint64
-	Processes int           // dispatchers
-	Voters    int           // the first processes are the voters of the raft group; 0 for dispatchers without a fleet
-	Bound     time.Duration // the fleet's bound on how long two dispatchers may act on contradicting versions
-	Span      time.Duration // of the run, without the time until the fleet agrees at the end
-	Every     time.Duration // mean time between two drawn faults
-	Longest   time.Duration // longest duration of a drawn fault
-	Kinds     []Kind        // of faults to draw; empty to play Events
-	Rate      float64       // jobs a second; with Zones, their load decides
-	Proposals time.Duration // time between two proposals of rules
-	Release   *Release      // nil for none
-	Replace   time.Duration // how long a voter may be silent before it is replaced; 0 for the fleet's default
-	Events    []Event       // played if Kinds is empty
-	Zones     *ZonePlan     // nil for the zones of the reference scenario, without failover
-	Overload  *Overload     // nil for none
-	Older     int           // so many of the last processes are of an older build
+	Seed              uint64
+	Processes         int           // dispatchers
+	Voters            int           // the first processes are the voters of the raft group; 0 for dispatchers without a fleet
+	Bound             time.Duration // the fleet's bound on how long two dispatchers may act on contradicting versions
+	Span              time.Duration // of the run, without the time until the fleet agrees at the end
+	MeanInterval      time.Duration // mean time between two drawn faults
+	MaxDuration       time.Duration // longest duration of a drawn fault
+	Kinds             []Kind        // of faults to draw; empty to play Events
+	Rate              float64       // jobs a second; with Zones, their load decides
+	ProposalInterval  time.Duration // time between two proposals of rules
+	Release           *Release      // nil for none
+	ReplaceVoterAfter time.Duration // how long a voter may be silent before it is replaced; 0 for the fleet's default
+	Events            []Event       // played if Kinds is empty
+	Zones             *ZonePlan     // nil for the zones of the reference scenario, without failover
+	Overload          *Overload     // nil for none
+	OlderBuilds       int           // so many of the last processes are of an older build
 }
 
 // The random sources of a seed. Each user of randomness has its own, so that its choices do not depend on the others'.
@@ -61,7 +61,7 @@
 // events returns the events to play.
 func (p *Plan) events() []Event {
 	if len(p.Kinds) > 0 {
-		return Draw(p.Seed, p.Kinds, p.Processes, p.Voters, p.Span, p.Every, p.Longest)
+		return Draw(p.Seed, p.Kinds, p.Processes, p.Voters, p.Span, p.MeanInterval, p.MaxDuration)
 	}
 	return p.Events
 }
--- a/internal/faults/planreader.go
+++ b/internal/faults/planreader.go
@@ -28,16 +28,16 @@
 // plan returns the file's plan, without a seed, and the mistakes that gohcl does not find; body is nil to skip these.
 func (f *File) plan(body *hclsyntax.Body) (Plan, hcl.Diagnostics) {
 	reader := &planReader{file: f, body: body}
-	plan := Plan{Processes: f.Processes, Voters: f.Voters, Rate: f.Rate, Older: f.Older, Span: reader.duration("span", f.Span)}
+	plan := Plan{Processes: f.Processes, Voters: f.Voters, Rate: f.Rate, OlderBuilds: f.Older, Span: reader.duration("span", f.Span)}
 	if f.Voters > 0 {
-		plan.Bound, plan.Proposals = reader.duration("bound", f.Bound), reader.duration("proposals", f.Proposals)
+		plan.Bound, plan.ProposalInterval = reader.duration("bound", f.Bound), reader.duration("proposals", f.Proposals)
 	}
 	drawn := f.Every != "" || len(f.Faults) > 0
 	if drawn {
-		plan.Every, plan.Longest = reader.duration("every", f.Every), reader.duration("longest", f.Longest)
+		plan.MeanInterval, plan.MaxDuration = reader.duration("every", f.Every), reader.duration("longest", f.Longest)
 	}
 	plan.Release = reader.release()
-	plan.Replace = reader.optionalDuration("replace", f.Replace)
+	plan.ReplaceVoterAfter = reader.optionalDuration("replace", f.Replace)
 	plan.Events = reader.events()
 	plan.Zones = reader.zones()
 	reader.diags = append(reader.diags, reader.durationDiags...)
@@ -88,18 +88,18 @@
 	if block == nil {
 		return nil
 	}
-	if block.Drained < 0 || block.Anew < 0 || block.Drained+block.Anew > 1 || block.Calls < 0 {
+	if block.Drained < 0 || block.Restarted < 0 || block.Drained+block.Restarted > 1 || block.DiscoveryCallRate < 0 {
 		r.add("release", "Shares are from 0 to 1 together, calls not below 0.")
 	}
 	return &Release{
-		At:            r.duration("release", block.At),
-		Drained:       block.Drained,
-		Anew:          block.Anew,
-		Rolling:       r.optionalDuration("release", block.Rolling),
-		Moves:         r.optionalDuration("release", block.Moves),
-		NotifyAfter:   r.optionalDuration("release", block.NotifyAfter),
-		Calls:         block.Calls,
-		ClientTimeout: r.optionalDuration("release", block.ClientTimeout),
+		At:                r.duration("release", block.At),
+		DrainedWorkers:    block.Drained,
+		RestartedWorkers:  block.Restarted,
+		StepInterval:      r.optionalDuration("release", block.StepInterval),
+		DiscoveryMovesAt:  r.optionalDuration("release", block.DiscoveryMovesAt),
+		NotifyAfter:       r.optionalDuration("release", block.NotifyAfter),
+		DiscoveryCallRate: block.DiscoveryCallRate,
+		ClientTimeout:     r.optionalDuration("release", block.ClientTimeout),
 	}
 }
 
@@ -130,14 +130,14 @@
 		return nil
 	}
 	plan := &ZonePlan{
-		Zones:    block.Zones,
-		Regions:  block.Regions,
-		Workers:  block.Workers,
-		Load:     block.Load,
-		Plans:    true,
-		Headroom: block.Headroom,
-		ReturnIn: r.duration("towns", block.ReturnIn),
-		Faults:   make([]emulator.Fault, len(block.Faults)),
+		Zones:      block.Zones,
+		Regions:    block.Regions,
+		Workers:    block.Workers,
+		Load:       block.Load,
+		FleetPlans: true,
+		Headroom:   block.Headroom,
+		ReturnIn:   r.duration("towns", block.ReturnIn),
+		Faults:     make([]emulator.Fault, len(block.Faults)),
 	}
 	for i, fault := range block.Faults {
 		plan.Faults[i] = r.zoneFault(fault)
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -69,7 +69,7 @@
 	process.files.Lock()
 	defer process.files.Unlock()
 	env := slices.Clone(process.env)
-	if process.index >= r.plan.Processes-r.plan.Older {
+	if process.index >= r.plan.Processes-r.plan.OlderBuilds {
 		env = append(env, "BRASSDALE_TEST_FORM=1")
 	}
 	node, err := r.cluster.StartWith(ctx, r.binary, r.dir, process.index, env, "serve", "--operator", path)
--- a/internal/faults/proposals.go
+++ b/internal/faults/proposals.go
@@ -21,13 +21,13 @@
 func (r *run) proposeRepeatedly(ctx context.Context, end time.Time) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, proposalSource))
 	number := 0
-	for at := time.Now().Add(r.plan.Proposals); at.Before(end); at = at.Add(r.plan.Proposals) {
+	for at := time.Now().Add(r.plan.ProposalInterval); at.Before(end); at = at.Add(r.plan.ProposalInterval) {
 		if !waitUntil(ctx, at) {
 			return
 		}
 		rules := configversions.Rules{RetryRatio: float64(rng.IntN(10)) / 10, RetriesAllowed: rng.IntN(4) > 0}
 		number++
-		if r.plan.Older > 0 && number%2 == 0 {
+		if r.plan.OlderBuilds > 0 && number%2 == 0 {
 			rules.QuotaCaps = map[string]float64{jobAccount: 0.5}
 		}
 		r.propose(ctx, r.processes[rng.IntN(len(r.processes))], rules, nil)
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -16,14 +16,14 @@
 // it can serve, the dispatchers are restarted in steps of a tenth by SIGTERM, and in the middle discovery moves, of which they are
 // notified by SIGHUP.
 type Release struct {
-	At            time.Duration // since the run began: when workers begin to drain and the first dispatchers are restarted
-	Drained       float64       // share of the workers that drain
-	Anew          float64       // share of the workers that restart
-	Rolling       time.Duration // between two steps of the dispatchers' restart; 0 for no restart
-	Moves         time.Duration // since the run began: when discovery moves; 0 for never
-	NotifyAfter   time.Duration // from the move until the dispatchers are notified
-	Calls         float64       // polls that discovery serves a second; 0 for any number
-	ClientTimeout time.Duration // of a poll of discovery
+	At                time.Duration // since the run began: when workers begin to drain and the first dispatchers are restarted
+	DrainedWorkers    float64       // share of the workers that drain
+	RestartedWorkers  float64       // share of the workers that restart
+	StepInterval      time.Duration // between two steps of the dispatchers' restart; 0 for no restart
+	DiscoveryMovesAt  time.Duration // since the run began: when discovery moves; 0 for never
+	NotifyAfter       time.Duration // from the move until the dispatchers are notified
+	DiscoveryCallRate float64       // polls that discovery serves a second; 0 for any number
+	ClientTimeout     time.Duration // of a poll of discovery
 }
 
 const (
@@ -36,12 +36,12 @@
 
 // addTo adds the release of the workers and the limits of discovery to a scenario.
 func (r *Release) addTo(scenario *emulator.Scenario) {
-	scenario.Calls = emulator.Calls{Rate: r.Calls, ClientTimeout: r.ClientTimeout}
-	if r.Drained > 0 {
-		scenario.Faults = append(scenario.Faults, emulator.Fault{At: r.At, For: workerDrainTime, Kind: emulator.Drain, Share: r.Drained})
+	scenario.Calls = emulator.Calls{Rate: r.DiscoveryCallRate, ClientTimeout: r.ClientTimeout}
+	if r.DrainedWorkers > 0 {
+		scenario.Faults = append(scenario.Faults, emulator.Fault{At: r.At, For: workerDrainTime, Kind: emulator.Drain, Share: r.DrainedWorkers})
 	}
-	if r.Anew > 0 {
-		scenario.Faults = append(scenario.Faults, emulator.Fault{At: r.At + workerDrainTime/2, For: workerRestartTime, Kind: emulator.Restart, Share: r.Anew})
+	if r.RestartedWorkers > 0 {
+		scenario.Faults = append(scenario.Faults, emulator.Fault{At: r.At + workerDrainTime/2, For: workerRestartTime, Kind: emulator.Restart, Share: r.RestartedWorkers})
 	}
 }
 
@@ -51,19 +51,19 @@
 	r.cluster.StartFaults()
 	var activities sync.WaitGroup
 	errs := make(chan error, len(r.processes)+1)
-	if release.Rolling > 0 {
+	if release.StepInterval > 0 {
 		perStep := max(len(r.processes)/restartSteps, 1)
 		for i, process := range r.processes {
 			activities.Go(func() {
-				if waitUntil(ctx, begin.Add(release.At+time.Duration(i/perStep)*release.Rolling)) {
+				if waitUntil(ctx, begin.Add(release.At+time.Duration(i/perStep)*release.StepInterval)) {
 					errs <- r.restartGracefully(ctx, process)
 				}
 			})
 		}
 	}
-	if release.Moves > 0 {
+	if release.DiscoveryMovesAt > 0 {
 		activities.Go(func() {
-			if waitUntil(ctx, begin.Add(release.Moves)) {
+			if waitUntil(ctx, begin.Add(release.DiscoveryMovesAt)) {
 				errs <- r.moveDiscovery(ctx)
 			}
 		})
--- a/internal/faults/schedule.go
+++ b/internal/faults/schedule.go
@@ -22,7 +22,7 @@
 	for at := every; at < span; at += time.Duration(rng.ExpFloat64() * float64(every)) {
 		event := Event{At: at, Kind: kinds[rng.IntN(len(kinds))], Process: rng.IntN(processes), Reverse: rng.IntN(2) == 0}
 		event.For = time.Duration((minDurationShare + (1-minDurationShare)*rng.Float64()) * float64(longest))
-		if event.Kind == Blank && event.Process < voters {
+		if event.Kind == KillAndWipe && event.Process < voters {
 			mayWipe := !voterWiped && processes > voters && voters > 1
 			switch {
 			case mayWipe:
@@ -36,7 +36,7 @@
 			continue
 		}
 		busyUntil[event.Process] = at + event.For + recoveryTime
-		voterWiped = voterWiped || event.Kind == Blank && event.Process < voters
+		voterWiped = voterWiped || event.Kind == KillAndWipe && event.Process < voters
 		events = append(events, event)
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
--- a/internal/faults/topology_test.go
+++ b/internal/faults/topology_test.go
@@ -24,8 +24,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := Plan{Seed: 5, Processes: 7, Voters: 3, Bound: 2 * time.Second, Span: s(22), Proposals: s(30), Events: c.events,
-				Zones: &ZonePlan{Zones: 3, Regions: 1, Workers: 9, Load: 0.45, Plans: true, Headroom: 0.1, ReturnIn: s(5), Faults: []emulator.Fault{c.fault}}}
+			p := Plan{Seed: 5, Processes: 7, Voters: 3, Bound: 2 * time.Second, Span: s(22), ProposalInterval: s(30), Events: c.events,
+				Zones: &ZonePlan{Zones: 3, Regions: 1, Workers: 9, Load: 0.45, FleetPlans: true, Headroom: 0.1, ReturnIn: s(5), Faults: []emulator.Fault{c.fault}}}
 			r, err := Play(t.Context(), p, binary, t.TempDir())
 			if err != nil {
 				t.Fatal(err)
--- a/internal/faults/zones.go
+++ b/internal/faults/zones.go
@@ -13,14 +13,14 @@
 
 // ZonePlan is a deployment with zones in regions, faults of zones, and a failover plan that the fleet agrees on.
 type ZonePlan struct {
-	Zones    int
-	Regions  int
-	Workers  int     // of all zones
-	Load     float64 // as a share of what all workers can do
-	Plans    bool    // the fleet agrees on a failover plan; else each process decides by itself
-	Headroom float64 // share of a zone's capacity that a failover plan leaves free
-	ReturnIn time.Duration
-	Faults   []emulator.Fault
+	Zones      int
+	Regions    int
+	Workers    int           // of all zones
+	Load       float64       // as a share of what all workers can do
+	FleetPlans bool          // the fleet agrees on a failover plan; else each process decides by itself
+	Headroom   float64       // share of a zone's capacity that a failover plan leaves free
+	ReturnIn   time.Duration // ramp of a recovered zone's share
+	Faults     []emulator.Fault
 }
 
 const (
@@ -54,7 +54,7 @@
 
 // operatorBlock returns the block of the operator file for failover; empty for none.
 func (p *ZonePlan) operatorBlock() string {
-	if p == nil || !p.Plans {
+	if p == nil || !p.FleetPlans {
 		return ""
 	}
 	var text strings.Builder
