--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// Callers that finish no call, more of them than the door holds, delay nobody; what is no call gets a no.
+// TestAdminAPI_unfinishedAndInvalidCalls checks that calls which are never finished, more of them than the admin API accepts at a time,
+// delay no other call beyond 1 s, and that invalid calls are answered with the status for their fault.
 func TestAdminAPI_unfinishedAndInvalidCalls(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
@@ -26,7 +27,7 @@
 		if i%5 == 0 {
 			begin := time.Now()
 			if status, _ := dispatcher.callAdmin("GET", "/_ready", ""); status != 200 || time.Since(begin) > time.Second {
-				t.Errorf("among %d that finish no call: %d after %v", i, status, time.Since(begin))
+				t.Errorf("with %d unfinished calls: status %d after %v", i, status, time.Since(begin))
 			}
 		}
 	}
@@ -40,19 +41,22 @@
 		{"POST", "/_workers/detach", "a\n", 200}, {"POST", "/_workers/detach", "a", 200}, {"POST", "/_workers/attach", "a", 200},
 	} {
 		if status, text := dispatcher.callAdmin(test.method, test.path, test.body); status != test.want {
-			t.Errorf("%s %s %.20q: %d %s, want %d", test.method, test.path, test.body, status, text, test.want)
+			t.Errorf("%s %s %.20q: status %d %s, want %d", test.method, test.path, test.body, status, text, test.want)
 		}
 	}
 	if _, err := http.Get(dispatcher.http1URL + "/_vars"); err != nil {
 		t.Error(err)
 	} else if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k")); status != 200 {
-		t.Errorf("a job: %d", status)
+		t.Errorf("a request: status %d", status)
 	}
 	dispatcher.terminate()
-	dispatcher.waitFor("a no after SIGTERM", func() bool { status, _ := dispatcher.callAdmin("GET", "/_ready", ""); return status == 503 })
+	dispatcher.waitFor("no readiness after SIGTERM", func() bool {
+		status, _ := dispatcher.callAdmin("GET", "/_ready", "")
+		return status == 503
+	})
 }
 
-// Every job is counted once, by how it ended, and a call when it is written; what was open is concurrent.
+// TestMetrics_eachRequestCountedOnce checks the metrics of requests by their outcome, of attempts, of open requests and of reloads.
 func TestMetrics_eachRequestCountedOnce(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -60,7 +64,7 @@
 		switch key := r.Header.Get("Idempotency-Key"); {
 		case strings.HasPrefix(key, "bad"):
 			respondRaw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")(worker, conn, r)
-		case strings.HasPrefix(key, "held"):
+		case key == "waits":
 			<-release
 			fallthrough
 		default:
@@ -68,138 +72,134 @@
 		}
 	})
 	dispatcher := startDispatcher(t, "", worker)
-	expect := func(what string, want map[string]int) {
+	checkMetrics := func(what string, wanted map[string]int) {
 		t.Helper()
-		for name, x := range want {
-			if got := dispatcher.metric(name); got != x {
-				t.Errorf("%s: %s=%d, want %d", what, name, got, x)
+		for name, want := range wanted {
+			if got := dispatcher.metric(name); got != want {
+				t.Errorf("%s: %s=%d, want %d", what, name, got, want)
 			}
 		}
 	}
-	expect("at the start", map[string]int{"replies.price-part.success": 0, "replies.price-part.overload": 0,
+	checkMetrics("at the start", map[string]int{"replies.price-part.success": 0, "replies.price-part.overload": 0,
 		"replies.price-part.error": 0, "dispatches": 0, "concurrent": 0, "targets": 1, "targets_disabled": 0, "reload_success": 0, "reload_failure": 0})
 	for i := range 3 {
 		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("good-", i)))
 	}
-	held := dispatcher.sendInBackground(worker, "held")
-	expect("with an open job", map[string]int{"concurrent": 1, "dispatches": 4, "replies.price-part.success": 3})
+	waiting := dispatcher.sendInBackground(worker, "waits")
+	checkMetrics("with an open job", map[string]int{"concurrent": 1, "dispatches": 4, "replies.price-part.success": 3})
 	close(release)
-	if status := <-held; status != 200 {
-		t.Errorf("the held job: %d", status)
+	if status := <-waiting; status != 200 {
+		t.Errorf("the open request: status %d", status)
 	}
-	dispatcher.send(newRequest(dispatcher.http1URL, "x", "Req-Deadline-Ms", "soon")) // no job
+	dispatcher.send(newRequest(dispatcher.http1URL, "x", "Req-Deadline-Ms", "soon")) // invalid: not counted
 	failed, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "bad", "Req-Deadline-Ms", "300"))
 	if failed != 502 && failed != 504 {
-		t.Errorf("the bad job: %d", failed)
+		t.Errorf("a request that its worker fails: status %d", failed)
 	}
-	expect("after a failure", map[string]int{"concurrent": 0, "replies.price-part.success": 4, "replies.price-part.error": 1, "replies.price-part.overload": 0})
+	checkMetrics("after a failure", map[string]int{"concurrent": 0, "replies.price-part.success": 4, "replies.price-part.error": 1, "replies.price-part.overload": 0})
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
-		t.Errorf("detach: %d", status)
+		t.Errorf("detach: status %d", status)
 	}
-	refused, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "nobody", "Req-Deadline-Ms", "300"))
-	if refused != 503 {
-		t.Errorf("with nobody left: %d", refused)
+	rejected, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "nobody", "Req-Deadline-Ms", "300"))
+	if rejected != 503 {
+		t.Errorf("without a worker: status %d", rejected)
 	}
-	expect("with nobody left", map[string]int{"replies.price-part.overload": 1, "targets": 1, "targets_disabled": 1})
+	checkMetrics("without a worker", map[string]int{"replies.price-part.overload": 1, "targets": 1, "targets_disabled": 1})
 	dispatcher.reload("{")
-	dispatcher.waitFor("a file turned down", func() bool { return dispatcher.metric("reload_failure") == 1 })
+	dispatcher.waitForMetric("reload_failure", 1)
 	dispatcher.reload(dispatcher.config)
-	dispatcher.waitFor("a file taken", func() bool { return dispatcher.metric("reload_success") == 1 })
-	expect("after reloads", map[string]int{"targets_disabled": 1, "replies.price-part.success": 4})
+	dispatcher.waitForMetric("reload_success", 1)
+	checkMetrics("after reloads", map[string]int{"targets_disabled": 1, "replies.price-part.success": 4})
 }
 
-// A worker that is out by hand gets nothing, whatever discovery lists, in this process and in the one that replaces
-// it; put back, it works again at once though it is cold.
+// TestDetachedWorker_getsNoRequests checks that a detached worker gets no requests, whatever discovery lists, in this process and in
+// its successor. Reattached, it gets requests again at once, without a slow start. A call at either admin API counts for both processes.
 func TestDetachedWorker_getsNoRequests(t *testing.T) {
 	t.Parallel()
 	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
 	dispatcher := startDispatcher(t, "", workerA, workerB)
 	discovery := dispatcher.discovery
-	some := func(dispatcher *testDispatcher, name string) int {
+	sendEight := func(dispatcher *testDispatcher, keyPrefix string) (atDetached int) {
 		t.Helper()
-		_, before := workerA.count()
-		for i := range 8 {
-			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(name, i))); status != 200 {
-				t.Errorf("%s %d: %d", name, i, status)
-			}
-		}
-		_, after := workerA.count()
-		return after - before
+		before := workerA.jobCount()
+		dispatcher.checkServed(keyPrefix, 8)
+		return workerA.jobCount() - before
 	}
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
-		t.Fatalf("detach: %d", status)
+		t.Fatalf("detach: status %d", status)
 	}
-	if jobs := some(dispatcher, "out"); jobs != 0 {
-		t.Errorf("%d jobs came to the worker that is out", jobs)
+	if jobs := sendEight(dispatcher, "detached"); jobs != 0 {
+		t.Errorf("%d requests at the detached worker", jobs)
 	}
 	discovery.update(func() { workerA.phase = "leaving" })
-	dispatcher.waitFor("the list", func() bool { return strings.Contains(dispatcher.log(), "revision=2") })
+	dispatcher.waitForLog("revision=2")
 	discovery.update(func() { workerA.phase = "active" })
-	dispatcher.waitFor("the list", func() bool { return strings.Contains(dispatcher.log(), "revision=3") })
+	dispatcher.waitForLog("revision=3")
 	dispatcher.reload(dispatcher.config)
-	dispatcher.waitFor("the reload", func() bool { return strings.Contains(dispatcher.log(), "settings reloaded") })
-	if jobs := some(dispatcher, "listed"); jobs != 0 {
-		t.Errorf("%d jobs came to the worker that is out and listed anew", jobs)
+	dispatcher.waitForLog("settings reloaded")
+	if jobs := sendEight(dispatcher, "listed"); jobs != 0 {
+		t.Errorf("%d requests at the detached worker, which was listed as active again", jobs)
 	}
 	successor := dispatcher.startSuccessor("")
-	if jobs := some(successor, "replaced"); jobs != 0 || successor.metric("targets_disabled") != 1 {
-		t.Errorf("%d jobs came to the worker that is out, %d avoided in the new process", jobs, successor.metric("targets_disabled"))
+	if jobs := sendEight(successor, "successor"); jobs != 0 || successor.metric("targets_disabled") != 1 {
+		t.Errorf("successor: %d requests at the detached worker, targets_disabled=%d", jobs, successor.metric("targets_disabled"))
 	}
-	// A call at either door counts for both processes.
 	if status, _ := successor.callAdmin("POST", "/_workers/attach", "a"); status != 200 || dispatcher.metric("targets_disabled") != 0 {
-		t.Errorf("attach: %d, %d avoided in the old process", status, dispatcher.metric("targets_disabled"))
+		t.Errorf("attach at the successor: status %d, targets_disabled=%d at the predecessor", status, dispatcher.metric("targets_disabled"))
 	}
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 || successor.metric("targets_disabled") != 1 {
-		t.Errorf("detach at the old door: %d, %d avoided in the new process", status, successor.metric("targets_disabled"))
+		t.Errorf("detach at the predecessor: status %d, targets_disabled=%d at the successor", status, successor.metric("targets_disabled"))
 	}
 	if status, _ := successor.callAdmin("POST", "/_workers/attach", "a"); status != 200 {
-		t.Errorf("attach: %d", status)
+		t.Errorf("attach: status %d", status)
 	}
-	jobs := 0
-	successor.waitFor("a job at the worker that was put back", func() bool { jobs++; return some(successor, fmt.Sprint("back-", jobs, "-")) > 0 })
+	rounds := 0
+	successor.waitFor("a request at the reattached worker", func() bool {
+		rounds++
+		return sendEight(successor, fmt.Sprint("reattached-", rounds, "-")) > 0
+	})
 }
 
-// Workers that are out are on file before the yes. A file that cannot be used is a line in the log and no more.
+// TestDetachedWorkers_restoredAfterKill checks that the file of detached workers is written before the call is answered, and that a file
+// which cannot be used is logged and otherwise ignored.
 func TestDetachedWorkers_restoredAfterKill(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob), startWorker(t, "b", completeJob))
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
-		t.Fatalf("detach: %d", status)
+		t.Fatalf("detach: status %d", status)
 	}
 	files, _ := filepath.Glob(filepath.Join(dispatcher.tempDir, "*.detached"))
 	if len(files) != 1 {
-		t.Fatalf("on file: %v", files)
+		t.Fatalf("files of detached workers: %v, want one", files)
 	}
-	dispatcher.command.Process.Kill()
-	<-dispatcher.exited
-	restarted := dispatcher.startSuccessor("") // finds leftovers only
+	dispatcher.kill()
+	restarted := dispatcher.startSuccessor("") // finds the files of a killed process
 	if restarted.metric("targets_disabled") != 1 || !strings.Contains(restarted.log(), "starting alone") {
-		t.Errorf("after a kill %d are out", restarted.metric("targets_disabled"))
+		t.Errorf("after a kill: targets_disabled=%d", restarted.metric("targets_disabled"))
 	}
 	for _, text := range []string{"", "{", `{"name":"another","workers":["a"]}`} {
-		restarted.command.Process.Kill()
-		<-restarted.exited
+		restarted.kill()
 		if err := os.WriteFile(files[0], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		restarted = dispatcher.startSuccessor("")
-		if out := restarted.metric("targets_disabled"); out != 0 || strings.Count(restarted.log(), "detached workers not read") != 1 {
-			t.Errorf("file %q: %d out", text, out)
+		if detached := restarted.metric("targets_disabled"); detached != 0 || strings.Count(restarted.log(), "detached workers not read") != 1 {
+			t.Errorf("file %q: %d detached workers, or not logged once", text, detached)
 		}
 	}
 }
 
-// What counts as refused at the platform without being a refusal is counted at the door: a job that failed and was never sent
-// on, and a connection that was closed with nothing written.
+// TestMetrics_unansweredConnections checks that connections which are closed without an answer are counted, as the platform counts them
+// as rejections.
 func TestMetrics_unansweredConnections(t *testing.T) {
 	t.Parallel()
-	dispatcher := startDispatcherWith(t, "", func(config string) string { return strings.Replace(config, `"sockets":1024`, `"sockets":128`, 1) })
-	if got, also := dispatcher.metric("failed_unsent"), dispatcher.metric("connections_unanswered"); got != 0 || also != 0 {
-		t.Errorf("at first %d, %d", got, also)
+	dispatcher := startDispatcherWith(t, "", withSetting(`"sockets":1024`, `"sockets":128`))
+	if unsent, unanswered := dispatcher.metric("failed_unsent"), dispatcher.metric("connections_unanswered"); unsent != 0 || unanswered != 0 {
+		t.Errorf("at the start: failed_unsent=%d, connections_unanswered=%d", unsent, unanswered)
 	}
 	dispatcher.dial().Close()
-	for range 100 { // more than may be held: some are closed again
+	for range 100 { // more than are accepted: some are closed again
 		dispatcher.dial()
 	}
-	dispatcher.waitFor("closed connections in the figures", func() bool { return dispatcher.metric("connections_unanswered") > 0 })
+	dispatcher.waitFor("connections_unanswered > 0", func() bool { return dispatcher.metric("connections_unanswered") > 0 })
 }
--- a/cmd/brassdale/clientdisconnect_test.go
+++ b/cmd/brassdale/clientdisconnect_test.go
@@ -7,58 +7,59 @@
 	"io"
 	"net"
 	"net/http"
-	"strings"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// A request waits for its first attempt, and its client goes: closes, half-closes or resets, alone or in a burst, with bytes
-// behind the request or none. When a worker comes it gets none of them, and who still reads is served nothing.
+// TestClientDisconnect_beforeFirstAttempt checks requests that wait for their first attempt when their clients close, half-close or
+// reset the connections, with further bytes after the request or none. That is seen within 1 s, a worker that joins later gets none of
+// them, and a client that still reads is served nothing.
 func TestClientDisconnect_beforeFirstAttempt(t *testing.T) {
 	t.Parallel()
-	leave := map[string]func(*net.TCPConn){
+	disconnects := map[string]func(*net.TCPConn){
 		"closes":      func(conn *net.TCPConn) { conn.Close() },
 		"half-closes": func(conn *net.TCPConn) { conn.CloseWrite() },
 		"resets":      func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() },
 	}
-	for how, go_ := range leave {
-		for _, behind := range []string{"", "P", "POST /price-part HTTP/1.1\r\nHost: h\r\n\r\n"} {
-			t.Run(fmt.Sprint(how, len(behind)), func(t *testing.T) {
+	for how, disconnect := range disconnects {
+		for _, further := range []string{"", "P", "POST /price-part HTTP/1.1\r\nHost: h\r\n\r\n"} {
+			t.Run(fmt.Sprint(how, len(further)), func(t *testing.T) {
 				t.Parallel()
 				dispatcher := startDispatcher(t, "")
 				worker := startWorker(t, "late", completeJob)
-				const burst = 8
+				const clients = 8
 				var conns []*net.TCPConn
-				for i := range burst {
+				for i := range clients {
 					conn := dispatcher.dial().(*net.TCPConn)
 					newRequest(dispatcher.http1URL, fmt.Sprint("gone-", i)).Write(conn)
 					conns = append(conns, conn)
 				}
-				dispatcher.waitFor("all waiting", func() bool { return dispatcher.metric("concurrent") == burst })
+				dispatcher.waitForMetric("concurrent", clients)
 				for _, conn := range conns {
-					io.WriteString(conn, behind)
+					io.WriteString(conn, further)
 				}
 				for _, conn := range conns {
-					go_(conn)
+					disconnect(conn)
 				}
-				began := time.Now()
-				dispatcher.waitFor("nobody waiting", func() bool { return dispatcher.metric("concurrent") == 0 })
-				if took := time.Since(began); took > time.Second {
-					t.Errorf("clients that had gone were seen after %v", took)
+				disconnectedAt := time.Now()
+				dispatcher.waitForMetric("concurrent", 0)
+				if took := time.Since(disconnectedAt); took > time.Second {
+					t.Errorf("the disconnects were seen after %v, more than 1 s", took)
 				}
-				dispatcher.discovery.update(func() { dispatcher.discovery.workers = append(dispatcher.discovery.workers, worker) })
+				discovery := dispatcher.discovery
+				discovery.update(func() { discovery.workers = append(discovery.workers, worker) })
 				if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "stays")); status != 200 {
-					t.Errorf("a client that stays: %d", status)
+					t.Errorf("a client that stays: status %d", status)
 				}
-				if _, jobs := worker.count(); jobs != 1 {
-					t.Errorf("%d jobs of clients that had gone came to the worker: %v", jobs-1, worker.runsPerKey())
+				if jobs := worker.jobCount(); jobs != 1 {
+					t.Errorf("%d requests of disconnected clients at the worker: %v", jobs-1, worker.runsPerKey())
 				}
 				if how == "half-closes" {
 					for _, conn := range conns {
 						if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && resp.StatusCode == 200 {
-							t.Fatal("a client that shut its side was served what no worker made")
+							t.Fatal("a half-closed client was served an answer of no worker")
 						}
 					}
 				}
@@ -67,11 +68,12 @@
 	}
 }
 
-// A client goes while its call waits for a connection to come up: nothing is written when it does.
+// TestClientDisconnect_whileConnecting checks that nothing is written to a worker whose connection is established only after the client
+// has disconnected.
 func TestClientDisconnect_whileConnecting(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
-	var wrote bytes.Buffer
+	var received bytes.Buffer // by the worker
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -89,11 +91,11 @@
 				return
 			}
 			go func() {
-				var b [4096]byte
-				for n := 0; err == nil; {
-					n, err = conn.Read(b[:])
+				var buffer [4096]byte
+				for length := 0; err == nil; {
+					length, err = conn.Read(buffer[:])
 					mu.Lock()
-					wrote.Write(b[:n])
+					received.Write(buffer[:length])
 					mu.Unlock()
 				}
 			}()
@@ -102,24 +104,27 @@
 	worker := startWorker(t, "slow", completeJob)
 	worker.listener.Close()
 	worker.listener = listener
-	dispatcher := startDispatcherWith(t, "", func(config string) string {
-		return strings.Replace(config, `"connectTimeout":200000`, `"connectTimeout":5000000`, 1)
-	}, worker)
+	dispatcher := startDispatcherWith(t, "", withSetting(`"connectTimeout":200000`, `"connectTimeout":5000000`), worker)
 	conn := dispatcher.dial()
 	newRequest(dispatcher.http1URL, "gone").Write(conn)
-	dispatcher.waitFor("the job waiting", func() bool { return dispatcher.metric("concurrent") == 1 })
+	dispatcher.waitForMetric("concurrent", 1)
 	conn.Close()
-	dispatcher.waitFor("nobody waiting", func() bool { return dispatcher.metric("concurrent") == 0 })
+	dispatcher.waitForMetric("concurrent", 0)
 	close(release)
 	newRequest(dispatcher.http1URL, "stays").Write(dispatcher.dial())
-	has := func(id string) bool { mu.Lock(); defer mu.Unlock(); return bytes.Contains(wrote.Bytes(), []byte(id)) }
-	dispatcher.waitFor("a job behind it", func() bool { return has("id-stays") })
-	if has("id-gone") {
-		t.Error("the job of a client that had gone was written")
+	reached := func(id string) bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return bytes.Contains(received.Bytes(), []byte(id))
+	}
+	dispatcher.waitFor("a later request at the worker", func() bool { return reached("id-stays") })
+	if reached("id-gone") {
+		t.Error("the request of a disconnected client was sent to the worker")
 	}
 }
 
-// fillBacklog makes connections until the listener's queue takes no more, so that a further one does not come up.
+// fillBacklog connects until the listener's backlog is full, so that a further connection is not established. It returns false where
+// that cannot be had.
 func fillBacklog(t *testing.T, listener net.Listener) bool {
 	t.Helper()
 	raw, err := listener.(*net.TCPListener).SyscallConn()
@@ -140,23 +145,21 @@
 	return false
 }
 
-// The body is read whole before a job goes on, or the server would not notice that its client leaves.
+// TestClientDisconnect_afterStart checks that the attempt of a started job is cancelled within 3 s when its client closes the connection.
+// The server notices that only as it has read the complete body.
 func TestClientDisconnect_afterStart(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", respondThenStall(`"state":"started"`))
 	dispatcher := startDispatcher(t, "", worker)
-	conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.http1URL, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	conn := dispatcher.dial()
 	if err := newRequest(dispatcher.http1URL, "k").Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	dispatcher.waitFor("the job at the endpoint", func() bool { _, jobs := worker.count(); return jobs == 1 })
+	dispatcher.waitFor("1 jobs at the worker", func() bool { return worker.jobCount() == 1 })
 	conn.Close()
 	select {
 	case <-worker.abandoned:
 	case <-time.After(3 * time.Second):
-		t.Error("the call was not given up when its client left")
+		t.Error("the attempt was not cancelled within 3 s")
 	}
 }
--- a/cmd/brassdale/command_test.go
+++ b/cmd/brassdale/command_test.go
@@ -9,23 +9,27 @@
 	"testing"
 )
 
-// run runs the program to its end with these arguments.
-func runCommand(t *testing.T, args ...string) (code int, out, errors string) {
+// runCommand runs the program with these arguments to its end.
+func runCommand(t *testing.T, args ...string) (exitCode int, output, errorOutput string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "BRASSDALE_CHILD=1")
-	var o, e bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &o, &e
+	var stdout, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	if err := cmd.Run(); err != nil && cmd.ProcessState == nil {
 		t.Fatal(err)
 	}
-	return cmd.ProcessState.ExitCode(), o.String(), e.String()
+	return cmd.ProcessState.ExitCode(), stdout.String(), stderr.String()
 }
 
+// TestCommand_exitCodes checks the exit codes and parts of the output of commands that need no dispatcher.
 func TestCommand_exitCodes(t *testing.T) {
 	t.Parallel()
 	good, bad := filepath.Join(t.TempDir(), "good.hcl"), filepath.Join(t.TempDir(), "bad.hcl")
-	for path, text := range map[string]string{good: "front \"progress\" {\n  listen = \"127.0.0.1:0\"\n}\n", bad: "front \"progress\" {\n  jobs = 0\n  colour = 1\n}\n"} {
+	for path, text := range map[string]string{
+		good: "front \"progress\" {\n  listen = \"127.0.0.1:0\"\n}\n",
+		bad:  "front \"progress\" {\n  jobs = 0\n  colour = 1\n}\n",
+	} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +37,7 @@
 	for _, test := range []struct {
 		args []string
 		code int
-		want string // of output or errors
+		want string // in the output or the errors
 	}{
 		{[]string{"check", good}, 0, "keep_mb"},
 		{[]string{"check", bad}, 1, bad + ":3:3: Unsupported argument"},
--- a/cmd/brassdale/deadline_test.go
+++ b/cmd/brassdale/deadline_test.go
@@ -7,21 +7,21 @@
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
-// deadlineSlack is how much more than what its client has left a worker may be told.
+// deadlineSlack is how much later than its client's deadline the one that a worker receives may be.
 const deadlineSlack = 150 * time.Millisecond
 
-// toldDeadlines records how long workers were told that they have for a job, and when the job came.
+// receivedDeadlines records the deadlines of jobs as workers received them.
 type receivedDeadlines struct {
 	mu    sync.Mutex
-	until map[string]time.Time // by key: the latest moment that a worker was told
+	until map[string]time.Time // by key: the latest deadline
 }
 
+// record records the deadline of a job that has just been received.
 func (d *receivedDeadlines) record(r *http.Request) {
 	left, err := strconv.Atoi(r.Header.Get("Req-Deadline-Ms"))
 	if err != nil {
@@ -35,21 +35,22 @@
 	}
 }
 
+// latest returns the latest deadline of a key.
 func (d *receivedDeadlines) latest(key string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.until[key]
 }
 
-// sendTwo sends two requests at once on a connection, the second with so many milliseconds to its deadline, and reads both answers. It
-// gives when they were sent.
-func (d *testDispatcher) sendPipelined(deadline string) (sent time.Time) {
+// sendPipelined sends two requests at once on a connection, the second with a deadline in milliseconds, and reads both answers. It
+// returns when they were sent.
+func (d *testDispatcher) sendPipelined(deadlineMS string) (sentAt time.Time) {
 	d.t.Helper()
 	conn := d.dial()
 	var both bytes.Buffer
 	newRequest(d.http1URL, "first").Write(&both)
-	newRequest(d.http1URL, "second", "Req-Deadline-Ms", deadline).Write(&both)
-	sent = time.Now()
+	newRequest(d.http1URL, "second", "Req-Deadline-Ms", deadlineMS).Write(&both)
+	sentAt = time.Now()
 	conn.Write(both.Bytes())
 	reader := bufio.NewReader(conn)
 	for range 2 {
@@ -59,29 +60,30 @@
 		}
 		resp.Body.Close()
 	}
-	return sent
+	return sentAt
 }
 
-// A client sends two requests at once, and the second waits on its connection until the first is answered. Its time ran all the
-// while: the worker is told no more than what is left, and the answer comes in time.
+// TestPipelinedRequest_deadlineAtWorker checks that the deadline of a request counts from when it was sent, also while it waits on its
+// connection until the request before it is answered: the worker receives what is left of it.
 func TestPipelinedRequest_deadlineAtWorker(t *testing.T) {
 	t.Parallel()
-	told := receivedDeadlines{until: map[string]time.Time{}}
+	deadlines := receivedDeadlines{until: map[string]time.Time{}}
 	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
-		told.record(r)
+		deadlines.record(r)
 		if r.Header.Get("Idempotency-Key") == "first" {
 			time.Sleep(time.Second)
 		}
 		completeJob(worker, conn, r)
 	})
 	dispatcher := startDispatcher(t, "", worker)
-	sent := dispatcher.sendPipelined("1500")
-	if over := told.latest("second").Sub(sent.Add(1500 * time.Millisecond)); over > deadlineSlack {
-		t.Errorf("the worker was told %v more than its client has left", over)
+	sentAt := dispatcher.sendPipelined("1500")
+	if excess := deadlines.latest("second").Sub(sentAt.Add(1500 * time.Millisecond)); excess > deadlineSlack {
+		t.Errorf("the deadline at the worker is %v later than its client's, more than %v", excess, deadlineSlack)
 	}
 }
 
-// The same where the second never has a worker that answers: its own answer comes by the deadline that its client counts.
+// TestPipelinedRequest_answeredInTime checks that a pipelined request whose worker stalls is answered by the deadline that its client
+// counts, 1.2 s after it was sent, or at most 0.5 s later.
 func TestPipelinedRequest_answeredInTime(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
@@ -93,41 +95,40 @@
 		respondThenStall(`"state":"started"`)(worker, conn, r)
 	})
 	dispatcher := startDispatcher(t, "", worker)
-	sent := dispatcher.sendPipelined("1200")
-	if took := time.Since(sent); took > 1700*time.Millisecond { // half a second later it is lost
-		t.Errorf("answered %v behind its sending, 1.2 s were given", took)
+	sentAt := dispatcher.sendPipelined("1200")
+	if took := time.Since(sentAt); took > 1700*time.Millisecond {
+		t.Errorf("answered %v after it was sent, more than 1.7 s", took)
 	}
 }
 
-// An endpoint that takes a job and says nothing: the answer still comes inside deadline and slack.
+// TestDeadline_silentWorker checks that a request whose worker never answers is answered 504 at its deadline of 0.5 s, or at most 1 s
+// later.
 func TestDeadline_silentWorker(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", respondThenStall()))
-	begin := time.Now()
+	sentAt := time.Now()
 	status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k", "Req-Deadline-Ms", "500"))
-	if took := time.Since(begin); status != 504 || took < 450*time.Millisecond || took > 1500*time.Millisecond {
-		t.Errorf("answered %d after %v", status, took)
+	if took := time.Since(sentAt); status != 504 || took < 450*time.Millisecond || took > 1500*time.Millisecond {
+		t.Errorf("status %d after %v, want 504 after 0.45 s to 1.5 s", status, took)
 	}
 }
 
-// A job that no endpoint has begun is given up once its answer can be worth nothing, long before its deadline: it only
-// holds up others in its endpoint's queue, for which it is closed.
+// TestDeadline_lateAnswerWithoutWeight checks that a request whose job has not started is answered, and its attempt cancelled, once a late
+// answer has no weight: within 4 s of a deadline of 5 s. The job would only delay others in the worker's queue.
 func TestDeadline_lateAnswerWithoutWeight(t *testing.T) {
 	t.Parallel()
-	gone := make(chan struct{})
-	dispatcher := startDispatcherWith(t, "", withoutLateWeight, startWorker(t, "a", func(worker *testWorker, conn net.Conn, _ *http.Request) {
+	cancelled := make(chan struct{})
+	dispatcher := startDispatcherWith(t, "", withoutLateWeight, startWorker(t, "a", func(_ *testWorker, conn net.Conn, _ *http.Request) {
 		io.Copy(io.Discard, conn)
-		close(gone)
+		close(cancelled)
 	}))
-	begin := time.Now()
+	sentAt := time.Now()
 	status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k"))
-	if took := time.Since(begin); status != 502 || took > 4*time.Second {
-		t.Errorf("answered %d after %v", status, took)
+	if took := time.Since(sentAt); status != 502 || took > 4*time.Second {
+		t.Errorf("status %d after %v, want 502 within 4 s", status, took)
 	}
-	<-gone
+	<-cancelled
 }
 
-// lateIsWorthless has a late answer count for nothing.
-func withoutLateWeight(config string) string {
-	return strings.Replace(config, `"lateWorth":0.1`, `"lateWorth":0`, 1)
-}
+// withoutLateWeight is a change of the platform's file by which a late answer has no weight.
+var withoutLateWeight = withSetting(`"lateWorth":0.1`, `"lateWorth":0`)
--- a/cmd/brassdale/deployments_test.go
+++ b/cmd/brassdale/deployments_test.go
@@ -11,7 +11,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// customer is what a deployment's file tells that reaches a dispatcher as settings. A range stands for a draw from it.
+// deploymentFile is the part of a deployment's file that reaches a dispatcher as settings. The platform draws from a range.
 type deploymentFile struct {
 	Name  string
 	Net   struct{ Zones []string }
@@ -65,41 +65,42 @@
 	}
 }
 
-func readDeployment(t *testing.T, file string) (deployment deploymentFile) {
+// readDeployment reads a file of deploy/sites.
+func readDeployment(t *testing.T, path string) (deployment deploymentFile) {
 	t.Helper()
-	if _, err := toml.DecodeFile(file, &deployment); err != nil {
+	if _, err := toml.DecodeFile(path, &deployment); err != nil {
 		t.Fatal(err)
 	}
 	return deployment
 }
 
-// settings gives them as the platform's file has them.
+// settingsJSON returns the settings as the platform's file has them.
 func (f deploymentFile) settingsJSON(t *testing.T) string {
 	t.Helper()
 	type object = map[string]any
-	kind, tier := f.Tier[0].Kind[0], f.Tier[0]
-	var classes, orgs []object
-	var stretch []float64
-	for i, test := range f.Class {
-		class := object{"name": test.Name, "effect": test.Effect, "aim": test.AimMS * 1000, "deadline": test.DeadlineMS * 1000,
-			"credit": test.Worth, "lateWorth": test.LateWorth, "stream": false}
-		if test.Effect == "keyed" {
-			class["dedupScope"], class["window"] = test.Group, test.WindowMS*1000
+	machine, tier := f.Tier[0].Kind[0], f.Tier[0]
+	var classes, accounts []object
+	var stretches []float64
+	for i, class := range f.Class {
+		settings := object{"name": class.Name, "effect": class.Effect, "aim": class.AimMS * 1000, "deadline": class.DeadlineMS * 1000,
+			"credit": class.Worth, "lateWorth": class.LateWorth, "stream": false}
+		if class.Effect == "keyed" {
+			settings["dedupScope"], settings["window"] = class.Group, class.WindowMS*1000
 		}
-		classes, stretch = append(classes, class), append(stretch, f.Fam.Class[min(i, len(f.Fam.Class)-1)].Stretch)
+		classes, stretches = append(classes, settings), append(stretches, f.Fam.Class[min(i, len(f.Fam.Class)-1)].Stretch)
 	}
-	for _, o := range f.Tenant {
-		orgs = append(orgs, object{"name": o.Name, "fraction": o.Share, "quotaPerS": 100 * o.Share})
+	for _, tenant := range f.Tenant {
+		accounts = append(accounts, object{"name": tenant.Name, "fraction": tenant.Share, "quotaPerS": 100 * tenant.Share})
 	}
 	via := map[string]string{"answers": "piggyback", "probe": "pull"}[tier.Report.How]
-	text, err := json.Marshal(object{"classes": classes, "orgs": orgs, "discovery": f.Discovery.Mode, "flavors": []string{kind.Name},
+	text, err := json.Marshal(object{"classes": classes, "orgs": accounts, "discovery": f.Discovery.Mode, "flavors": []string{machine.Name},
 		"zones": f.Net.Zones, "layers": []string{tier.Name}, "replicasOfMe": 1, "ordinal": 0, "locality": 0,
-		"familyInfo": object{"classStretch": stretch, "tellsStart": f.Fam.TellsStart, "progress": f.Fam.ProgressS * 1e6},
+		"familyInfo": object{"classStretch": stretches, "tellsStart": f.Fam.TellsStart, "progress": f.Fam.ProgressS * 1e6},
 		"limits": object{"cancel": f.Allow.Cancel, "probing": f.Allow.Probes, "mayDuplicate": f.Allow.SecondCopies,
 			"retryAfter": f.Allow.RetryAfter, "maxAttempts": f.Allow.MaxAttempts, "maxRetryAfter": f.Clients.MaxRetryAfterMS * 1000,
 			"connIdle": tier.Conn.IdleS * 1e6, "connectTimeout": tier.Conn.ConnectTimeoutMS * 1000},
 		"loadReport": object{"columns": tier.Report.Fields, "via": via},
-		"rules": object{"answerSlack": 8000, "askWithin": 10000000, "cold": kind.ColdS[1] * 1e6, "startCapacity": kind.ColdFrom[0],
+		"rules": object{"answerSlack": 8000, "askWithin": 10000000, "cold": machine.ColdS[1] * 1e6, "startCapacity": machine.ColdFrom[0],
 			"drainGrace": f.Rules.DrainGraceMS * 1000, "fall": f.Rules.FallMS * 1000, "tipMultiple": f.Rules.FallMultiple}})
 	if err != nil {
 		t.Fatal(err)
@@ -107,8 +108,8 @@
 	return string(text)
 }
 
-// The program serves customers whose settings have nothing of one another: names, classes, effects, limits, lists that are
-// pushed or asked for. Each class is served, under its own effect's rules; the classes of another customer are unknown.
+// TestDeployments_served checks that each class of each deployment is served by the rules of its idempotency, and that the class of another
+// deployment is unknown. The deployments have different names, classes, idempotency and limits, and lists that are pushed or polled.
 func TestDeployments_served(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
@@ -121,48 +122,47 @@
 		modes[deployment.Discovery.Mode] = true
 		t.Run(deployment.Name, func(t *testing.T) {
 			t.Parallel()
-			of := deployment.settingsJSON(t)
-			workerB, workerC := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
-			dispatcher := startDispatcherWith(t, "", func(config string) string { return strings.Replace(config, settingsJSON, of, 1) }, workerB, workerC)
-			unsafe := 0
+			workers := startNamedWorkers(t, completeJob, "a", "b")
+			dispatcher := startDispatcherWith(t, "", withSetting(settingsJSON, deployment.settingsJSON(t)), workers...)
+			nonIdempotent := 0
 			for i, class := range deployment.Class {
-				ask := func(id, key string) int {
+				send := func(id, key string) int {
 					r := newRequest(dispatcher.http1URL, id, "Req-Kind", class.Name, "Req-Owner", deployment.Tenant[i%len(deployment.Tenant)].Name, "Idempotency-Key", key,
 						"Req-Deadline-Ms", fmt.Sprint(class.DeadlineMS))
 					r.URL.Path = "/" + class.Name
 					status, body, _ := dispatcher.send(r)
 					if status == 200 && body != "priced" {
-						t.Errorf("%s: %q", class.Name, body)
+						t.Errorf("%s: answered %q", class.Name, body)
 					}
 					return status
 				}
-				if got := ask(class.Name+"-1", class.Name+"-1"); got != 200 {
-					t.Errorf("%s: %d", class.Name, got)
+				if status := send(class.Name+"-1", class.Name+"-1"); status != 200 {
+					t.Errorf("%s: status %d", class.Name, status)
 				}
-				want := 200 // a key is a matter of keyed classes
+				want := 200 // only a class that is idempotent with key needs one
 				if class.Effect == "keyed" {
 					want = 400
 				} else if class.Effect == "unsafe" {
-					unsafe++
+					nonIdempotent++
 				}
-				if got := ask(class.Name+"-2", ""); got != want {
-					t.Errorf("%s, %s, without a key: %d, want %d", class.Name, class.Effect, got, want)
+				if status := send(class.Name+"-2", ""); status != want {
+					t.Errorf("%s, %s, without a key: status %d, want %d", class.Name, class.Effect, status, want)
 				}
 			}
-			if unsafe == 0 {
-				t.Error("no class that must not be repeated")
+			if nonIdempotent == 0 {
+				t.Error("no non-idempotent class")
 			}
 			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "foreign")); status != 404 {
-				t.Errorf("a class of another customer: %d", status)
+				t.Errorf("a class of another deployment: status %d", status)
 			}
 		})
 	}
 	if !modes["ask"] || !modes["push"] {
-		t.Errorf("lists come only as %v", modes)
+		t.Errorf("modes of discovery %v, want ask and push", modes)
 	}
 }
 
-// What reaches the platform, program and deploy file, names no customer's classes, tenants, kinds or zones.
+// TestSources_nameNoCustomer checks that the program's sources and its deploy file name no customer's classes, accounts, tiers or zones.
 func TestSources_nameNoCustomer(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil {
@@ -173,11 +173,11 @@
 	for _, file := range files {
 		deployment := readDeployment(t, file)
 		names = append(names, deployment.Name, deployment.Tier[0].Name)
-		for _, test := range deployment.Class {
-			names = append(names, test.Name)
+		for _, class := range deployment.Class {
+			names = append(names, class.Name)
 		}
-		for _, o := range deployment.Tenant {
-			names = append(names, o.Name)
+		for _, tenant := range deployment.Tenant {
+			names = append(names, tenant.Name)
 		}
 	}
 	sources := []string{"../../deploy/balancer.toml"}
@@ -190,7 +190,7 @@
 	}
 	for _, file := range sources {
 		if strings.HasSuffix(file, "_test.go") || strings.Contains(file, "/emulator/") || strings.Contains(file, "/faults/") || strings.Contains(file, "/load/") || strings.Contains(file, "/experiment/") {
-			continue // stand-ins have customers of their own
+			continue // emulations have deployments of their own
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -126,7 +126,7 @@
 		deployment := newBenchDeployment(b)
 		discovery := &testDiscovery{revision: 1, failing: way != "discovery never failed", workers: deployment.listed, changed: make(chan struct{})}
 		server := httptest.NewServer(discovery)
-		dispatcher := &testDispatcher{t: b, discovery: discovery, exited: make(chan struct{})}
+		dispatcher := newTestDispatcher(b, discovery)
 		operator, config := "", func(config string) string {
 			return strings.Replace(withoutKnownList(config), discoveryAddress(config), server.Listener.Addr().String(), 1)
 		}
@@ -189,7 +189,7 @@
 		}
 		b.Logf("%-24s first answer after %8v; served in time: first 10 s %.3f, 5 to 20 s %.3f, 20 to 30 s %.3f; cold worker got %.2f times what it could (falls at %.0f); %d jobs to one that drained",
 			way, first.Round(time.Millisecond), part(0, 10), part(5, 20), part(20, 30), most, modelOverloadMultiple, none)
-		dispatcher.command.Process.Kill()
+		dispatcher.kill()
 		server.CloseClientConnections()
 	}
 }
@@ -207,7 +207,7 @@
 		}
 		var nodes []*testDispatcher
 		for i := range 2 {
-			dispatcher := &testDispatcher{t: b, discovery: &testDiscovery{revision: 1, workers: saved, changed: make(chan struct{})}, exited: make(chan struct{})}
+			dispatcher := newTestDispatcher(b, newTestDiscovery(saved...))
 			operator := ""
 			dir := b.TempDir()
 			if way == "saved list" {
@@ -244,7 +244,7 @@
 		}
 		b.Logf("%-24s %4d of 1200 served; the worker that got most got %.2f times what it could (falls at %.0f)", way, served, most, modelOverloadMultiple)
 		for _, dispatcher := range nodes {
-			dispatcher.command.Process.Kill()
+			dispatcher.kill()
 		}
 	}
 }
--- a/cmd/brassdale/endpointcache_return_test.go
+++ b/cmd/brassdale/endpointcache_return_test.go
@@ -1,164 +1,144 @@
 package main
 
 import (
-	"fmt"
 	"net"
 	"net/http"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 )
 
-// Discovery returns with all: nothing is started over, and the module goes on with what it knew.
+// TestEndpointCache_discoveryReturns checks that workers which discovery's list names with the same start count as the same incarnations.
 func TestEndpointCache_discoveryReturns(t *testing.T) {
 	t.Parallel()
-	script := completeAfter(20 * time.Millisecond)
-	workerA, workerB := startWorker(t, "a", script), startWorker(t, "b", script)
-	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB)
-	back(50, workerA, workerB)
-	dispatcher.waitFor("discovery's list", func() bool { return dispatcher.metricText("list_source") == "discovery" })
-	// The door may answer before the line written earlier has come through the pipe.
-	dispatcher.waitFor("what was learned", func() bool {
-		return strings.Contains(dispatcher.log(), "discovery list in force\" known=2 same_incarnation=2")
-	})
+	workers := startNamedWorkers(t, completeCachedJob, "a", "b")
+	dispatcher, restore := startWhileDiscoveryFails(t, workers...)
+	restore(50, workers...)
+	dispatcher.waitForListSource("discovery")
+	dispatcher.waitForLog("discovery list in force\" known=2 same_incarnation=2") // the log may be read later than the metrics
 	dispatcher.waitUntilServed("k")
 }
 
-// A worker that the returned list does not name gets nothing new, and its running job ends where it is; one that is named
-// as leaving the same.
+// TestEndpointCache_returnedListLacksWorker checks that a worker which discovery's list lacks, or has as draining, gets no new requests,
+// and that the job which runs there is completed.
 func TestEndpointCache_returnedListLacksWorker(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	script := func(worker *testWorker, conn net.Conn, r *http.Request) {
-		if r.Header.Get("Idempotency-Key") == "held" {
+	handler := func(worker *testWorker, conn net.Conn, r *http.Request) {
+		if r.Header.Get("Idempotency-Key") == "waits" {
 			<-release
 			completeJob(worker, conn, r)
 			return
 		}
-		completeAfter(20*time.Millisecond)(worker, conn, r)
+		completeCachedJob(worker, conn, r)
 	}
-	workerA, workerB, workerC, workerD := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script), startWorker(t, "d", script)
-	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB, workerC, workerD)
-	held := make(chan int, 1)
+	workers := startNamedWorkers(t, handler, "a", "b", "c", "d")
+	dispatcher, restore := startWhileDiscoveryFails(t, workers...)
+	waiting := make(chan int, 1)
 	go func() {
-		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "held"))
-		held <- status
+		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "waits"))
+		waiting <- status
 	}()
-	var at *testWorker
-	dispatcher.waitFor("the job", func() bool {
-		for _, worker := range []*testWorker{workerA, workerB, workerC, workerD} {
-			if worker.runsOf("held") == 1 {
-				at = worker
+	var removed *testWorker
+	dispatcher.waitFor("the job at a worker", func() bool {
+		for _, worker := range workers {
+			if worker.runsOf("waits") == 1 {
+				removed = worker
 				return true
 			}
 		}
 		return false
 	})
-	var rest []*testWorker
-	for _, worker := range []*testWorker{workerA, workerB, workerC, workerD} {
-		if worker != at {
-			rest = append(rest, worker)
-		}
-	}
-	rest[0].phase = "leaving"
-	back(50, rest...)
-	dispatcher.waitFor("discovery's list", func() bool { return dispatcher.metricText("list_source") == "discovery" })
-	dispatcher.waitFor("the end of the grace", func() bool { return time.Since(dispatcher.lastListUpdate()) > 500*time.Millisecond })
-	_, before := at.count()
-	_, leaving := rest[0].count()
-	for i := range 20 {
-		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("after-", i))); status != 200 {
-			t.Errorf("job %d: %d", i, status)
+	var listed []*testWorker
+	for _, worker := range workers {
+		if worker != removed {
+			listed = append(listed, worker)
 		}
 	}
-	if _, now := at.count(); now != before {
-		t.Errorf("%d jobs at the one that is gone", now-before)
+	draining := listed[0]
+	draining.phase = "leaving"
+	restore(50, listed...)
+	dispatcher.waitForListSource("discovery")
+	dispatcher.waitFor("the end of the drain grace period", func() bool { return time.Since(dispatcher.lastListUpdate()) > 500*time.Millisecond })
+	atRemoved, atDraining := removed.jobCount(), draining.jobCount()
+	dispatcher.checkServed("after-", 20)
+	if jobs := removed.jobCount(); jobs != atRemoved {
+		t.Errorf("%d requests at the worker that is not listed", jobs-atRemoved)
 	}
-	if _, now := rest[0].count(); now != leaving {
-		t.Errorf("%d jobs at the one that leaves", now-leaving)
+	if jobs := draining.jobCount(); jobs != atDraining {
+		t.Errorf("%d requests at the draining worker", jobs-atDraining)
 	}
 	close(release)
-	if status := <-held; status != 200 {
-		t.Errorf("the running job: %d", status)
+	if status := <-waiting; status != 200 {
+		t.Errorf("the request whose job ran: status %d", status)
 	}
 }
 
-// Discovery comes back with nothing, then a third at a lower revision, then all: it flaps, and all jobs go on being served
-// by the workers that answer.
+// TestEndpointCache_discoveryFlaps checks that requests are served while discovery returns with an empty list, then with a quarter of the
+// workers at a lower revision, then with all.
 func TestEndpointCache_discoveryFlaps(t *testing.T) {
 	t.Parallel()
-	script := completeAfter(20 * time.Millisecond)
-	workerA, workerB, workerC, workerD := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script), startWorker(t, "d", script)
-	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB, workerC, workerD)
-	serve := func(what string) {
-		t.Helper()
-		for i := range 10 {
-			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(what, "-", i))); status != 200 {
-				t.Errorf("%s, job %d: %d", what, i, status)
-			}
-		}
-	}
-	back(50)
-	dispatcher.waitFor("the doubt", func() bool { return dispatcher.metric("list_doubted") == 1 })
-	serve("nothing listed")
-	if dispatcher.metric("targets") != 4 {
-		t.Errorf("%d targets", dispatcher.metric("targets"))
+	workers := startNamedWorkers(t, completeCachedJob, "a", "b", "c", "d")
+	dispatcher, restore := startWhileDiscoveryFails(t, workers...)
+	restore(50)
+	dispatcher.waitForMetric("list_doubted", 1)
+	dispatcher.checkServed("none-listed-", 10)
+	if targets := dispatcher.metric("targets"); targets != 4 {
+		t.Errorf("targets=%d, want 4", targets)
 	}
-	back(3, workerA) // below half of four, and older
-	serve("a quarter listed")
-	back(60, workerA, workerB, workerC, workerD)
+	restore(3, workers[0]) // less than half of the cached list, and an older revision
+	dispatcher.checkServed("quarter-listed-", 10)
+	restore(60, workers...)
 	dispatcher.waitFor("discovery's list", func() bool {
 		return dispatcher.metricText("list_source") == "discovery" && dispatcher.metric("targets") == 4
 	})
-	serve("all listed")
-	if lines := strings.Count(dispatcher.log(), "much shorter than cached list"); lines < 1 {
-		t.Errorf("%d lines of doubt", lines)
+	dispatcher.checkServed("all-listed-", 10)
+	if !strings.Contains(dispatcher.log(), "much shorter than cached list") {
+		t.Error("the short list was not logged")
 	}
 }
 
-// A short list that is told twice counts.
+// TestEndpointCache_shortListConfirmed checks that a list much shorter than the cached one is in force once discovery has repeated it.
 func TestEndpointCache_shortListConfirmed(t *testing.T) {
 	t.Parallel()
-	script := completeAfter(20 * time.Millisecond)
-	workerA, workerB, workerC := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script)
-	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB, workerC)
-	back(50, workerA)
-	dispatcher.waitFor("the doubt", func() bool { return dispatcher.metric("list_doubted") == 1 })
+	workers := startNamedWorkers(t, completeCachedJob, "a", "b", "c")
+	dispatcher, restore := startWhileDiscoveryFails(t, workers...)
+	restore(50, workers[0])
+	dispatcher.waitForMetric("list_doubted", 1)
 	dispatcher.waitFor("discovery's list", func() bool {
 		return dispatcher.metricText("list_source") == "discovery" && dispatcher.metric("targets") == 1
 	})
 	dispatcher.waitUntilServed("k")
 }
 
-// A worker that is named with a later start is new, and cold; one whose id and address are new too.
+// TestEndpointCache_restartedWorkers checks that a worker which discovery lists with a later start, and one with a new ID, do not count as
+// the same incarnations.
 func TestEndpointCache_restartedWorkers(t *testing.T) {
 	t.Parallel()
-	script := completeAfter(20 * time.Millisecond)
-	workerA, workerB := startWorker(t, "a", script), startWorker(t, "b", script)
-	dispatcher, back := startWhileDiscoveryFails(t, workerA, workerB)
-	workerA.startedAtMS, workerB.id = time.Now().UnixMilli(), "b2"
-	back(50, workerA, workerB)
-	dispatcher.waitFor("discovery's list", func() bool { return dispatcher.metricText("list_source") == "discovery" })
-	dispatcher.waitFor("nothing taken for what it was", func() bool { return strings.Contains(dispatcher.log(), "in force\" known=2 same_incarnation=0") })
+	workers := startNamedWorkers(t, completeCachedJob, "a", "b")
+	dispatcher, restore := startWhileDiscoveryFails(t, workers...)
+	workers[0].startedAtMS, workers[1].id = time.Now().UnixMilli(), "b2"
+	restore(50, workers...)
+	dispatcher.waitForListSource("discovery")
+	dispatcher.waitForLog("in force\" known=2 same_incarnation=0")
 	dispatcher.waitUntilServed("k")
 }
 
-// While one process replaces another that still trusts its saved list, the successor begins from that too, and neither
-// tears the other's files.
+// TestEndpointCache_handover checks a handover by a process that still uses its cached list: the successor starts from that too, and the
+// files of the cache stay valid.
 func TestEndpointCache_handover(t *testing.T) {
 	t.Parallel()
-	worker := startWorker(t, "a", completeAfter(20*time.Millisecond))
+	worker := startWorker(t, "a", completeCachedJob)
 	dir := t.TempDir()
 	writeCachedList(t, dir, time.Hour, nil, worker)
 	dispatcher := startFromCache(t, dir, nil)
 	dispatcher.waitUntilServed("first")
 	successor := dispatcher.startSuccessor(savedListBlock(dir))
-	if successor.metricText("list_source") != "saved" {
-		t.Errorf("source %q", successor.metricText("list_source"))
+	if source := successor.metricText("list_source"); source != "saved" {
+		t.Errorf("source %q, want saved", source)
 	}
 	dispatcher.waitForHandovers(1)
-	dispatcher.command.Process.Signal(syscall.SIGTERM)
+	dispatcher.terminate()
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 	successor.waitUntilServed("second")
 	if code, out, _ := runCommand(t, "saved", "verify", dir); code != 0 {
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -13,52 +13,53 @@
 	"time"
 )
 
-// Whatever becomes of discovery, a start on the saved list serves.
+// TestEndpointCache_startWithoutDiscovery checks that a start from the cached list serves whichever way discovery fails.
 func TestEndpointCache_startWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	answers := func(status int, body string) http.Handler {
-		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(status); io.WriteString(w, body) })
+		return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			w.WriteHeader(status)
+			io.WriteString(w, body)
+		})
 	}
 	for name, discovery := range map[string]http.Handler{
 		"refused":   nil,
-		"silent":    http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }),
+		"silent":    http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }),
 		"503":       answers(503, ""),
-		"cut":       answers(200, `{"revision":50,"complete":true,"members":[{"id":"a","host_p`),
+		"truncated": answers(200, `{"revision":50,"complete":true,"members":[{"id":"a","host_p`),
 		"empty":     answers(200, `{"revision":50,"complete":true,"members":[]}`),
 		"no list":   answers(200, `<html>`),
 		"elsewhere": answers(200, `{"revision":50,"complete":true,"members":[{"id":"x","host_port":"127.0.0.1:1","locality":"swansea","flavor":"new-worker","cell":1,"phase":"active","size":1}]}`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			workerA, workerB := startWorker(t, "a", completeAfter(20*time.Millisecond)), startWorker(t, "b", completeAfter(20*time.Millisecond))
+			workers := startNamedWorkers(t, completeCachedJob, "a", "b")
 			dir := t.TempDir()
-			writeCachedList(t, dir, time.Hour, nil, workerA, workerB)
+			writeCachedList(t, dir, time.Hour, nil, workers...)
 			dispatcher := startFromCache(t, dir, discovery)
 			dispatcher.waitUntilServed("first")
 			if !strings.Contains(dispatcher.log(), "started from endpoint cache") || dispatcher.metricText("list_source") != "saved" || dispatcher.metric("list_age_s") < 3600 {
-				t.Errorf("source %q, age %d", dispatcher.metricText("list_source"), dispatcher.metric("list_age_s"))
+				t.Errorf("not started from the cache: source %q, age %d s", dispatcher.metricText("list_source"), dispatcher.metric("list_age_s"))
 			}
-			dispatcher.waitFor("both to be heard", func() bool { return dispatcher.metric("boxes_heard")+dispatcher.metric("boxes_proven") == 2 })
-			dispatcher.warmUp(2)
+			dispatcher.waitFor("answers of both workers", func() bool { return dispatcher.metric("boxes_heard")+dispatcher.metric("boxes_proven") == 2 })
+			dispatcher.waitUntilProven(2)
 		})
 	}
 }
 
-// A list of two days ago: one worker drained, at one's address is another worker now, at one's a web page, at one's no HTTP at
-// all, one is off, one says nothing. No job reaches any of them, and all are served.
+// TestEndpointCache_reassignedAddresses checks a cached list of two days ago of which one worker drained, one is off, and the addresses of
+// the others but one belong to something else. No request reaches any of them, and all are served.
 func TestEndpointCache_reassignedAddresses(t *testing.T) {
 	t.Parallel()
-	script := completeAfter(20 * time.Millisecond)
-	good, drained, off := startWorker(t, "good", script), startWorker(t, "drained", script), startWorker(t, "off", script)
+	good, drained, off := startWorker(t, "good", completeCachedJob), startWorker(t, "drained", completeCachedJob), startWorker(t, "off", completeCachedJob)
 	drained.phase = "leaving"
-	// Where no other test listens: the port of a worker that is off was given to a worker of a test beside this one, which then
-	// answered for it.
+	// At an address where no other test listens: the port of a closed listener may be given to a worker of a parallel test.
 	off.listener.Close()
 	off.listener = must(net.Listen("tcp", "127.0.0.9:0"))
 	off.listener.Close()
 	var mu sync.Mutex
-	jobs := 0
-	foreign := func(id string, answer func(net.Conn)) *testWorker {
+	misdirected := 0
+	listenInstead := func(id string, answer func(net.Conn)) *testWorker {
 		listener := must(net.Listen("tcp", "127.0.0.1:0"))
 		t.Cleanup(func() { listener.Close() })
 		go func() {
@@ -68,11 +69,11 @@
 					return
 				}
 				go func() {
-					buf := make([]byte, 4096)
-					n, _ := conn.Read(buf)
-					if strings.HasPrefix(string(buf[:n]), "POST") {
+					buffer := make([]byte, 4096)
+					length, _ := conn.Read(buffer)
+					if strings.HasPrefix(string(buffer[:length]), "POST") {
 						mu.Lock()
-						jobs++
+						misdirected++
 						mu.Unlock()
 					}
 					answer(conn)
@@ -81,101 +82,104 @@
 		}()
 		return &testWorker{id: id, cell: "1", phase: "active", listener: listener}
 	}
-	page := foreign("page", func(conn net.Conn) {
+	page := listenInstead("page", func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 6\r\n\r\n<html>")
 	})
-	missing := foreign("missing", func(conn net.Conn) { io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n") })
-	other := foreign("other", func(conn net.Conn) { io.WriteString(conn, "220 mail ready\r\n"); conn.Close() })
-	silent := foreign("silent", func(net.Conn) {})
+	missing := listenInstead("missing", func(conn net.Conn) {
+		io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+	})
+	other := listenInstead("other", func(conn net.Conn) {
+		io.WriteString(conn, "220 mail ready\r\n")
+		conn.Close()
+	})
+	silent := listenInstead("silent", func(net.Conn) {})
 	dir := t.TempDir()
 	writeCachedList(t, dir, 48*time.Hour, nil, drained, page, missing, other, silent, off, good)
 	dispatcher := startFromCache(t, dir, nil)
-	for i := range 30 {
-		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))); status != 200 {
-			t.Errorf("job %d: %d", i, status)
-		}
-	}
-	dispatcher.waitFor("the foreign ones", func() bool { return dispatcher.metric("boxes_foreign") >= 3 && dispatcher.metric("boxes_barred") == 1 })
+	dispatcher.checkServed("k-", 30)
+	dispatcher.waitFor("boxes_foreign >= 3 and boxes_barred=1", func() bool {
+		return dispatcher.metric("boxes_foreign") >= 3 && dispatcher.metric("boxes_barred") == 1
+	})
 	mu.Lock()
 	defer mu.Unlock()
-	if _, reached := drained.count(); jobs != 0 || reached != 0 {
-		t.Errorf("%d jobs reached what is no worker now, %d one that drained", jobs, reached)
+	if atDrained := drained.jobCount(); misdirected != 0 || atDrained != 0 {
+		t.Errorf("%d requests at what is no worker, %d at a drained one", misdirected, atDrained)
 	}
-	if got := dispatcher.metric("targets"); got != 1 {
-		t.Errorf("%d workers told to the module", got)
+	if listed := dispatcher.metric("targets"); listed != 1 {
+		t.Errorf("targets=%d, want 1", listed)
 	}
 }
 
-// What the program itself keeps: a drain told a moment before it is killed, who is out by hand, and what it learned. The
-// next process has all of it, in another $TMPDIR.
+// TestEndpointCache_survivesKill checks that a process which is killed leaves a cache with the drain that it has just learned of, the
+// detached worker and the statistics, from which the next process starts with another $TMPDIR. A damaged snapshot is reported by
+// 'saved verify' and set aside by a start, which reads the one before.
 func TestEndpointCache_survivesKill(t *testing.T) {
 	t.Parallel()
-	script := completeAfter(20 * time.Millisecond)
-	workerA, workerB, workerC := startWorker(t, "a", script), startWorker(t, "b", script), startWorker(t, "c", script)
+	workers := startNamedWorkers(t, completeCachedJob, "a", "b", "c")
+	draining, detached := workers[0], workers[1]
 	dir := t.TempDir()
-	dispatcher := startDispatcher(t, savedListBlock(dir), workerA, workerB, workerC)
-	dispatcher.waitFor("discovery's list", func() bool { return dispatcher.metricText("list_source") == "discovery" })
+	dispatcher := startDispatcher(t, savedListBlock(dir), workers...)
+	dispatcher.waitForListSource("discovery")
 	for i := range 10 {
 		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)))
 	}
 	dispatcher.waitFor("a snapshot", func() bool { return dispatcher.metric("saved_snapshots") >= 1 })
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "b"); status != 200 {
-		t.Fatalf("detach: %d", status)
-	}
-	dispatcher.discovery.update(func() { workerA.phase = "leaving" })
-	dispatcher.waitFor("both on disk", func() bool { return dispatcher.metric("saved_records") >= 2 })
-	dispatcher.command.Process.Kill()
-	<-dispatcher.exited
-	_, before := workerA.count()
-	_, beforeB := workerB.count()
+		t.Fatalf("detach: status %d", status)
+	}
+	dispatcher.discovery.update(func() { draining.phase = "leaving" })
+	dispatcher.waitFor("two records on disk", func() bool { return dispatcher.metric("saved_records") >= 2 })
+	dispatcher.kill()
+	atDraining, atDetached := draining.jobCount(), detached.jobCount()
 
 	restarted := startFromCache(t, dir, nil)
 	restarted.waitUntilServed("after")
 	for i := range 20 {
 		restarted.send(newRequest(restarted.http1URL, fmt.Sprint("after-k-", i)))
 	}
-	if _, now := workerA.count(); now != before {
-		t.Errorf("%d jobs at the one that drains", now-before)
+	if jobs := draining.jobCount(); jobs != atDraining {
+		t.Errorf("%d requests at the draining worker", jobs-atDraining)
 	}
-	if _, now := workerB.count(); now != beforeB {
-		t.Errorf("%d jobs at the one that is out by hand", now-beforeB)
+	if jobs := detached.jobCount(); jobs != atDetached {
+		t.Errorf("%d requests at the detached worker", jobs-atDetached)
 	}
 	code, out, _ := runCommand(t, "saved", "show", dir)
 	if code != 0 || !strings.Contains(out, "leaving") || !strings.Contains(out, "out by hand") {
-		t.Errorf("saved show: %d\n%s", code, out)
+		t.Errorf("saved show: exit code %d\n%s", code, out)
 	}
 	if code, out, _ := runCommand(t, "saved", "verify", dir); code != 0 || !strings.Contains(out, "whole") {
-		t.Errorf("saved verify: %d\n%s", code, out)
-	}
-	// A damaged generation is told by verify, kept aside by a start, and the one before it serves.
-	names, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
-	writeCachedList(t, dir, time.Minute, nil, workerC)
-	newest, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
-	path := newest[len(newest)-1]
-	if len(newest) != len(names)+1 {
-		t.Fatalf("%v, then %v", names, newest)
-	}
-	text := must(os.ReadFile(path))
-	if err := os.WriteFile(path, text[:len(text)-9], 0o600); err != nil {
+		t.Errorf("saved verify: exit code %d\n%s", code, out)
+	}
+
+	snapshots, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
+	writeCachedList(t, dir, time.Minute, nil, workers[2])
+	withNewest, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
+	newest := withNewest[len(withNewest)-1]
+	if len(withNewest) != len(snapshots)+1 {
+		t.Fatalf("snapshots %v, then %v", snapshots, withNewest)
+	}
+	text := must(os.ReadFile(newest))
+	if err := os.WriteFile(newest, text[:len(text)-9], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if code, out, errors := runCommand(t, "saved", "verify", dir); code != 1 || !strings.Contains(out, "damaged") {
-		t.Errorf("saved verify: %d\n%s%s", code, out, errors)
+		t.Errorf("saved verify of a damaged snapshot: exit code %d\n%s%s", code, out, errors)
 	}
 	third := startFromCache(t, dir, nil)
 	third.waitUntilServed("third")
-	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(path))); err != nil || !damagedLine.MatchString(third.log()) {
-		t.Errorf("the damaged one: %v", err)
+	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(newest))); err != nil || !damagedLine.MatchString(third.log()) {
+		t.Errorf("the damaged snapshot was not set aside and logged: %v", err)
 	}
 	if code, out, _ := runCommand(t, "saved", "prune", dir, "--keep", "1"); code != 0 || !strings.Contains(out, "files removed") {
-		t.Errorf("saved prune: %d\n%s", code, out)
+		t.Errorf("saved prune: exit code %d\n%s", code, out)
 	}
 }
 
-// The machine's clock is a day behind the file's, or a list is too old: the first serves, the second begins as without.
+// TestEndpointCache_clockAndAge checks that a list from a day in the future serves, as the machine's clock may be wrong, and that a list of
+// 73 hours ago is not used.
 func TestEndpointCache_clockAndAge(t *testing.T) {
 	t.Parallel()
-	worker := startWorker(t, "a", completeAfter(20*time.Millisecond))
+	worker := startWorker(t, "a", completeCachedJob)
 	future, old := t.TempDir(), t.TempDir()
 	writeCachedList(t, future, -24*time.Hour, nil, worker)
 	writeCachedList(t, old, 73*time.Hour, nil, worker)
@@ -185,33 +189,34 @@
 		t.Error("the age of a list from the future is known")
 	}
 	withOldList := startFromCache(t, old, nil)
-	withOldList.waitFor("the line", func() bool { return strings.Contains(withOldList.log(), "endpoint cache too old") })
+	withOldList.waitForLog("endpoint cache too old")
 	if status, _, after := withOldList.send(newRequest(withOldList.http1URL, "k", "Req-Deadline-Ms", "300")); status != 503 || after == "" {
-		t.Errorf("with no list at all: %d, Retry-After %q", status, after)
+		t.Errorf("without a list: status %d, Retry-After %q", status, after)
 	}
-	if withOldList.metricText("list_source") != "none" {
-		t.Errorf("source %q", withOldList.metricText("list_source"))
+	if source := withOldList.metricText("list_source"); source != "none" {
+		t.Errorf("source %q, want none", source)
 	}
 }
 
-// A folder of no use stops no job; one that others may write stops the start, with its place.
+// TestEndpointCache_unusableDirectory checks that a dispatcher serves without a cache where its directory cannot be used, and does not
+// start with a directory that others may write, whose place in the operator's file it reports.
 func TestEndpointCache_unusableDirectory(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
-	useless := t.TempDir()
-	if err := os.WriteFile(filepath.Join(useless, "n0"), nil, 0o600); err != nil { // where its own folder would be
+	unusable := t.TempDir()
+	if err := os.WriteFile(filepath.Join(unusable, "n0"), nil, 0o600); err != nil { // a file where its own directory would be
 		t.Fatal(err)
 	}
-	dispatcher := startDispatcher(t, savedListBlock(useless), worker)
+	dispatcher := startDispatcher(t, savedListBlock(unusable), worker)
 	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k")); status != 200 || !strings.Contains(dispatcher.log(), "endpoint cache disabled") {
-		t.Errorf("with a folder of no use: %d", status)
+		t.Errorf("with an unusable directory: status %d, or not logged", status)
 	}
-	open := t.TempDir()
-	if err := os.Chmod(open, 0o777); err != nil {
+	writableByOthers := t.TempDir()
+	if err := os.Chmod(writableByOthers, 0o777); err != nil {
 		t.Fatal(err)
 	}
-	failed := &testDispatcher{t: t, exited: make(chan struct{})}
-	failed.startProcess(dispatcher.config, savedListBlock(open))
+	failed := newTestDispatcher(t, nil)
+	failed.startProcess(dispatcher.config, savedListBlock(writableByOthers))
 	<-failed.exited
 	if text := failed.log(); failed.command.ProcessState.ExitCode() != 1 || !strings.Contains(text, "operator.hcl:2:15: Bad directory") {
 		t.Errorf("exit code %d, %s", failed.command.ProcessState.ExitCode(), text)
--- a/cmd/brassdale/fleet_agreement_test.go
+++ b/cmd/brassdale/fleet_agreement_test.go
@@ -4,79 +4,75 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
-
-	"brassdale/internal/faults"
 )
 
-// Five processes agree: a worker that the rules put out gets nothing at any of them; the leader is killed between the steps, a
-// follower stands still over a change, and never do two with leases act on versions that have nothing in common.
+// TestFleet_agreesOnConfigVersions checks that five dispatchers apply each version: a worker that it detaches gets no requests from
+// any. The leader is killed after a proposal and a follower is stopped during another, and no two dispatchers with leases apply
+// versions with none in common for longer than 50 ms.
 func TestFleet_agreesOnConfigVersions(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 1, 3, 2)
 	fleet.propose("retries = 0.5\nout = [\"a\"]\n", 4)
 	fleet.waitForVersion(1, fleet.indices()...)
-	_, before := fleet.workers[0].count()
+	before := fleet.workers[0].jobCount()
 	for i, dispatcher := range fleet.dispatchers {
 		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("out-", i))); status != 200 {
-			t.Errorf("dispatcher %d: %d", i, status)
+			t.Errorf("dispatcher %d: status %d", i, status)
 		}
 	}
-	if _, after := fleet.workers[0].count(); after != before {
-		t.Errorf("%d jobs at a worker that is out", after-before)
+	if after := fleet.workers[0].jobCount(); after != before {
+		t.Errorf("%d requests at a detached worker", after-before)
 	}
 	if status, text := fleet.dispatchers[3].callAdmin("POST", "/_workers/attach", "a"); status != 409 {
-		t.Errorf("put back by one dispatcher alone: %d %s", status, text)
+		t.Errorf("reattached by one dispatcher alone: %d %s", status, text)
 	}
 
-	lead := fleet.leader()
-	fleet.propose("retries = 0.1\n", lead)
-	fleet.dispatchers[lead].command.Process.Kill()
-	<-fleet.dispatchers[lead].exited
-	fleet.absences[lead] = append(fleet.absences[lead], faults.Absence{From: time.Now()})
-	rest := without(fleet.indices(), lead)
+	leader := fleet.leader()
+	fleet.propose("retries = 0.1\n", leader)
+	fleet.kill(leader)
+	rest := without(fleet.indices(), leader)
 	fleet.waitForVersion(2, rest...)
 
-	still := 4
-	fleet.dispatchers[still].command.Process.Signal(syscall.SIGSTOP)
-	fleet.absences[still] = append(fleet.absences[still], faults.Absence{From: time.Now()})
+	stopped := 4
+	fleet.stopProcess(stopped)
+	fleet.recordAbsence(stopped)
 	fleet.propose("repeat = false\n", rest[0])
-	fleet.waitForVersion(3, without(rest, still)...) // the change waits for its lease, and no longer
-	fleet.dispatchers[still].command.Process.Signal(syscall.SIGCONT)
-	fleet.waitForVersion(3, still)
-	if longest := fleet.contradictionTime(); longest > 50*time.Millisecond { // the log's lines are written behind the fact
-		t.Errorf("versions apart for %v", longest)
+	fleet.waitForVersion(3, without(rest, stopped)...) // the change waits until its lease has lapsed, and no longer
+	fleet.resume(stopped)
+	fleet.waitForVersion(3, stopped)
+	if longest := fleet.contradictionTime(); longest > 50*time.Millisecond { // log lines are written after the fact
+		t.Errorf("versions with none in common for %v, more than 50 ms", longest)
 	}
 	if code, out, _ := runCommand(t, "fleet", "history", "--address", fleet.addresses[rest[0]]); code != 0 || strings.Count(out, "test") != 3 {
 		t.Errorf("history:\n%s", out)
 	}
 }
 
-// The council loses its majority: jobs go on, nothing is sent twice once the leases have run out; it is back with one voter,
-// and that with its disk, and goes on where it was. A change meanwhile is refused, not lost.
+// TestFleet_majorityLost checks that dispatchers serve requests by the last version when two of three voters are lost and the leases
+// have lapsed, and that a change is rejected. With one voter back, and its directory, the fleet continues from that version.
 func TestFleet_majorityLost(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 2, 3, 1)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	for _, i := range []int{0, 1} {
-		fleet.dispatchers[i].command.Process.Kill()
-		<-fleet.dispatchers[i].exited
+		fleet.dispatchers[i].kill()
 	}
 	for _, i := range []int{2, 3} {
-		fleet.dispatchers[i].waitFor("the lease's end", func() bool {
-			all := fleet.effectiveStates(i)
-			return all[len(all)-1].Lapsed && fmt.Sprint(all[len(all)-1].Versions) == "[1]"
+		fleet.dispatchers[i].waitFor("a lapsed lease with version 1", func() bool {
+			state := fleet.lastState(i)
+			return state.Lapsed && slices.Equal(state.Versions, []uint64{1})
 		})
 		if status, _, _ := fleet.dispatchers[i].send(newRequest(fleet.dispatchers[i].http1URL, fmt.Sprint("alone-", i))); status != 200 {
-			t.Errorf("dispatcher %d without a council: %d", i, status)
+			t.Errorf("dispatcher %d without a majority: status %d", i, status)
 		}
 	}
 	if code, _, _ := runCommand(t, "fleet", "rollback", "--why", "none", "--address", fleet.addresses[3]); code == 0 {
-		t.Error("a change went through without a majority")
+		t.Error("a change was accepted without a majority")
 	}
 	fleet.restart(0)
 	fleet.waitForVersion(1, 0, 2, 3)
@@ -84,7 +80,7 @@
 	fleet.waitForVersion(2, 0, 2, 3)
 }
 
-// What is wrong with a block or a proposal is told with its place.
+// TestFleet_invalidSettingsAndProposals checks that an invalid block or proposal is reported with its place in the file.
 func TestFleet_invalidSettingsAndProposals(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -98,7 +94,7 @@
 			t.Fatal(err)
 		}
 		if code, _, errs := runCommand(t, "check", path); code == 0 || !strings.Contains(errs, name+".hcl:") || !strings.Contains(errs, "Bad "+name) {
-			t.Errorf("%s: %d %s", name, code, errs)
+			t.Errorf("%s: exit code %d, %s", name, code, errs)
 		}
 	}
 	path := filepath.Join(dir, "rules.hcl")
@@ -106,6 +102,6 @@
 		t.Fatal(err)
 	}
 	if code, _, errs := runCommand(t, "fleet", "propose", path, "--why", "x", "--address", "127.0.0.1:1"); code == 0 || !strings.Contains(errs, "rules.hcl:") {
-		t.Errorf("%d %s", code, errs)
+		t.Errorf("invalid proposal: exit code %d, %s", code, errs)
 	}
 }
--- a/cmd/brassdale/fleet_bench_test.go
+++ b/cmd/brassdale/fleet_bench_test.go
@@ -9,50 +9,52 @@
 	"time"
 )
 
-// By hand: BRASSDALE_BENCH=1 go test -run DispatchBesideCouncil -v ./cmd/brassdale. Requests a second and their 99th percentile
-// without a council, with one, and with one that has lost its majority, in turn, as ratios to the first.
+// TestDispatch_besideRaftGroup measures requests per second and the 99th percentile of their latency without a raft group, with one,
+// and with one that has lost its majority, in turns, as ratios to the first. It runs on request only:
+// BRASSDALE_BENCH=1 go test -run TestDispatch_besideRaftGroup -v ./cmd/brassdale
 func TestDispatch_besideRaftGroup(t *testing.T) {
 	if os.Getenv("BRASSDALE_BENCH") == "" {
-		t.Skip("a measurement by hand")
+		t.Skip("a measurement, run with BRASSDALE_BENCH=1")
 	}
-	off := startDispatcher(t, "", startWorker(t, "a", completeJob), startWorker(t, "b", completeJob))
-	on, lone := startFleet(t, 21, 3, 0), startFleet(t, 22, 3, 0)
-	on.propose("retries = 0.5\n", 0)
-	on.waitForVersion(1, 0, 1, 2)
-	lone.propose("retries = 0.5\n", 0)
-	lone.waitForVersion(1, 0, 1, 2)
-	lone.kill(1, 2)
-	const rounds, jobs, together = 9, 3000, 16
+	withoutGroup := startDispatcher(t, "", startWorker(t, "a", completeJob), startWorker(t, "b", completeJob))
+	withGroup, withoutMajority := startFleet(t, 21, 3, 0), startFleet(t, 22, 3, 0)
+	for _, fleet := range []*testFleet{withGroup, withoutMajority} {
+		fleet.propose("retries = 0.5\n", 0)
+		fleet.waitForVersion(1, 0, 1, 2)
+	}
+	withoutMajority.kill(1, 2)
+	const rounds, requests, clients = 9, 3000, 16
 	round := 0
 	burst := func(dispatcher *testDispatcher) (rate, p99 float64) {
 		round++
 		var mu sync.Mutex
 		var wait sync.WaitGroup
-		var took []time.Duration
+		var latencies []time.Duration
 		begin := time.Now()
-		for k := range together {
+		for client := range clients {
 			wait.Go(func() {
-				for i := range jobs / together {
-					at := time.Now()
-					if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("b-%d-%d-%d", round, k, i))); status != 200 {
+				for i := range requests / clients {
+					sentAt := time.Now()
+					if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("b-%d-%d-%d", round, client, i))); status != 200 {
 						t.Errorf("status %d", status)
 					}
 					mu.Lock()
-					took = append(took, time.Since(at))
+					latencies = append(latencies, time.Since(sentAt))
 					mu.Unlock()
 				}
 			})
 		}
 		wait.Wait()
-		slices.Sort(took)
-		return float64(len(took)) / time.Since(begin).Seconds(), took[len(took)*99/100].Seconds() * 1000
+		slices.Sort(latencies)
+		return float64(len(latencies)) / time.Since(begin).Seconds(), latencies[len(latencies)*99/100].Seconds() * 1000
 	}
-	names, nodes := []string{"off", "on", "no majority"}, []*testDispatcher{off, on.dispatchers[0], lone.dispatchers[0]}
+	names := []string{"off", "on", "no majority"}
+	dispatchers := []*testDispatcher{withoutGroup, withGroup.dispatchers[0], withoutMajority.dispatchers[0]}
 	rates, p99s := make([][]float64, 3), make([][]float64, 3)
-	for r := range rounds + 1 {
-		for i, dispatcher := range nodes {
+	for measured := range rounds + 1 { // the first round warms up
+		for i, dispatcher := range dispatchers {
 			rate, p99 := burst(dispatcher)
-			if r > 0 {
+			if measured > 0 {
 				rates[i], p99s[i] = append(rates[i], rate), append(p99s[i], p99)
 			}
 		}
--- a/cmd/brassdale/fleet_lifecycle_test.go
+++ b/cmd/brassdale/fleet_lifecycle_test.go
@@ -5,60 +5,56 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"syscall"
 	"testing"
 )
 
-// A second process under a name in use gets no lease until the first's has ended, and then goes on; the first, were it only
-// frozen, has none when it wakes.
+// TestFleet_nameInUse checks that a second process under a name in use gets no lease until the first's has lapsed. A first process
+// that was only stopped has none when it continues, and gets it back once the second has left.
 func TestFleet_nameInUse(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 3, 3, 1)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	fleet.addresses, fleet.directories = append(fleet.addresses, strings.Replace(fleet.addresses[3], ".4:", ".5:", 1)), append(fleet.directories, t.TempDir())
-	fleet.dispatchers[3].command.Process.Signal(syscall.SIGSTOP)
-	twin := startDispatcherWith(t, fleet.operatorFile(4), func(config string) string { return strings.Replace(config, `"name":"n0"`, `"name":"n3"`, 1) }, fleet.workers...)
+	fleet.stopProcess(3)
+	twin := startDispatcherWith(t, fleet.operatorFile(4), withSetting(`"name":"n0"`, `"name":"n3"`), fleet.workers...)
 	fleet.dispatchers = append(fleet.dispatchers, twin)
-	fleet.waitForVersion(1, 4) // the first's lease has run out
-	fleet.dispatchers[3].command.Process.Signal(syscall.SIGCONT)
-	fleet.dispatchers[3].waitFor("the frozen one without a lease", func() bool {
-		all := fleet.effectiveStates(3)
-		return len(all) > 0 && all[len(all)-1].Lapsed
-	})
-	for range 5 { // and it does not get one while the other has it
-		fleet.dispatchers[3].waitFor("another question in vain", func() bool { return strings.Contains(fleet.runFleetCommand(3, "status"), "true") })
+	fleet.waitForVersion(1, 4) // the first's lease has lapsed
+	fleet.resume(3)
+	fleet.dispatchers[3].waitFor("no lease of the first process", func() bool { return fleet.lastState(3).Lapsed })
+	for range 5 { // it does not get one while the other has it
+		fleet.dispatchers[3].waitFor("a lapsed lease in the status", func() bool { return strings.Contains(fleet.runFleetCommand(3, "status"), "true") })
 	}
 	twin.terminate()
-	fleet.waitForVersion(1, 3) // who left said so
+	fleet.waitForVersion(1, 3) // a process that leaves gives its lease back
 }
 
-// A successor takes over the dispatcher's seat, on the same file, once the old process has ended: there is no second vote,
-// and the fleet goes on.
+// TestFleet_handoverOfVoter checks that the leader's successor votes in its place, with the same directory, once the old process has
+// ended: the raft group has the same three voters, and agrees on the next version.
 func TestFleet_handoverOfVoter(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 4, 3, 0)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
-	lead := fleet.leader()
-	old := fleet.dispatchers[lead]
-	next := old.startSuccessor(fleet.operatorFile(lead))
+	leader := fleet.leader()
+	old := fleet.dispatchers[leader]
+	successor := old.startSuccessor(fleet.operatorFile(leader))
 	old.waitForHandovers(1)
 	old.terminate()
-	fleet.dispatchers[lead] = next
+	fleet.dispatchers[leader] = successor
 	fleet.waitForVersion(1, fleet.indices()...)
-	fleet.propose("retries = 0.25\n", lead)
+	fleet.propose("retries = 0.25\n", leader)
 	fleet.waitForVersion(2, fleet.indices()...)
-	if out := fleet.runFleetCommand(lead, "council"); strings.Count(out, "true") != 3 || !strings.Contains(out, fleet.addresses[lead]) {
-		t.Errorf("council:\n%s", out)
+	if out := fleet.runFleetCommand(leader, "council"); strings.Count(out, "true") != 3 || !strings.Contains(out, fleet.addresses[leader]) {
+		t.Errorf("the raft group after the handover:\n%s", out)
 	}
-	if out := fleet.runFleetCommand(lead, "diff"); !strings.Contains(out, "retries 0.5 -> 0.25") {
-		t.Errorf("diff:\n%s", out)
+	if out := fleet.runFleetCommand(leader, "diff"); !strings.Contains(out, "retries 0.5 -> 0.25") {
+		t.Errorf("difference of the versions:\n%s", out)
 	}
 }
 
-// Two of three voters are lost for good. What the third has on file makes a new council, which the others join; an old voter
-// that is back after all has no say, and nobody who has heard of the new council goes back to the old one.
+// TestFleet_recoveryWithoutMajority checks that a new raft group is made from the directory of the one voter that is left of three,
+// unless another old voter still answers. The other dispatchers join it, also an old voter that returns later.
 func TestFleet_recoveryWithoutMajority(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 5, 3, 1)
@@ -71,7 +67,7 @@
 	}
 	fleet.restart(1)
 	if code, out := recover(); code == 0 || !strings.Contains(out, "still answers") {
-		t.Errorf("recovered beside an old voter: %s", out)
+		t.Errorf("recovered while an old voter answers: %s", out)
 	}
 	fleet.kill(1)
 	if code, out := recover(); code != 0 || !strings.Contains(out, "era 1") {
@@ -81,13 +77,14 @@
 	fleet.waitForVersion(1, 2, 3)
 	fleet.propose("retries = 0.25\n", 3)
 	fleet.waitForVersion(2, 2, 3)
-	fleet.restart(0) // with the old council's file: alone it leads nobody, and it finds the new one
+	fleet.restart(0) // with the old group's directory: alone it has no majority, and finds the new group
 	fleet.waitForVersion(2, 0, 2, 3)
-	fleet.dispatchers[0].waitFor("the old voter's part in the old council to end", func() bool { return strings.Contains(fleet.runFleetCommand(0, "status"), "era            1") })
+	fleet.dispatchers[0].waitFor("the new epoch at the old voter", func() bool { return strings.Contains(fleet.runFleetCommand(0, "status"), "era            1") })
 }
 
-// A proposal of 4 MB reaches all: 2,000 workers are out. SIGHUP at one dispatcher proposes the file that its council's block
-// names, and says so where it names none; the same file again proposes nothing; a bad one is refused with its place.
+// TestFleet_largeProposalAndReload checks that a proposal of 4 MB, which detaches 2,000 workers, reaches all dispatchers. SIGHUP
+// proposes the rules file that the dispatcher's settings name: nothing without such a file or with the rules in force, and an
+// invalid file is rejected with the place of the error.
 func TestFleet_largeProposalAndReload(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 6, 3, 2)
@@ -100,35 +97,34 @@
 	fleet.propose(large.String(), 4)
 	fleet.waitForVersion(1, fleet.indices()...)
 	if status, _, _ := fleet.dispatchers[3].send(newRequest(fleet.dispatchers[3].http1URL, "beside-4-MB")); status != 200 {
-		t.Errorf("a job beside 2,000 workers that are out: %d", status)
+		t.Errorf("with 2,000 detached workers: status %d", status)
 	}
 
 	fleet.dispatchers[0].reload(fleet.dispatchers[0].config)
-	fleet.dispatchers[0].waitFor("word that nothing is proposed", func() bool { return strings.Contains(fleet.dispatchers[0].log(), "no rules file to propose") })
+	fleet.dispatchers[0].waitForLog("no rules file to propose")
 	rules := filepath.Join(t.TempDir(), "rules.hcl")
-	put := func(text string) {
+	writeRules := func(text string) {
 		if err := os.WriteFile(rules, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put("retries = 0.25\n")
+	writeRules("retries = 0.25\n")
 	fleet.kill(3)
-	dispatcher := &testDispatcher{t: t, discovery: fleet.dispatchers[3].discovery, tempDir: fleet.dispatchers[3].tempDir, exited: make(chan struct{})}
-	dispatcher.startProcess(fleet.dispatchers[3].config, strings.Replace(fleet.operatorFile(3), " bound =", fmt.Sprintf(" rules = %q\n bound =", rules), 1))
-	dispatcher.waitUntilReady("")
+	operator := strings.Replace(fleet.operatorFile(3), " bound =", fmt.Sprintf(" rules = %q\n bound =", rules), 1)
+	dispatcher := fleet.dispatchers[3].startAgain(fleet.dispatchers[3].config, operator)
 	fleet.dispatchers[3] = dispatcher
 	fleet.waitForVersion(1, fleet.indices()...)
 	dispatcher.reload(dispatcher.config)
 	fleet.waitForVersion(2, fleet.indices()...)
 	dispatcher.reload(dispatcher.config)
-	dispatcher.waitFor("word that it is in force", func() bool { return strings.Contains(dispatcher.log(), "rules file already in force") })
-	put("retries = \"many\"\n")
+	dispatcher.waitForLog("rules file already in force")
+	writeRules("retries = \"many\"\n")
 	dispatcher.reload(dispatcher.config)
-	dispatcher.waitFor("the refusal", func() bool { return strings.Contains(dispatcher.log(), "rules.hcl:1") })
+	dispatcher.waitForLog("rules.hcl:1")
 }
 
-// A share that the fleet's rules cap is capped at each dispatcher, and a worker taken out of the fleet by one command gets
-// nothing at any.
+// TestFleet_quotaCapAndDetachedWorker checks that quotas and a worker that one command detaches are config versions of the whole
+// fleet: no dispatcher sends that worker a request, and the history names both.
 func TestFleet_quotaCapAndDetachedWorker(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 7, 1, 1)
@@ -138,14 +134,14 @@
 		t.Fatal(out)
 	}
 	fleet.waitForVersion(2, 0, 1)
-	_, before := fleet.workers[0].count()
+	before := fleet.workers[0].jobCount()
 	for i, dispatcher := range fleet.dispatchers {
 		for k := range 4 {
 			dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("d-", i, "-", k)))
 		}
 	}
-	if _, after := fleet.workers[0].count(); after != before {
-		t.Errorf("%d jobs at a worker that is out", after-before)
+	if after := fleet.workers[0].jobCount(); after != before {
+		t.Errorf("%d requests at a detached worker", after-before)
 	}
 	if out := fleet.runFleetCommand(0, "history"); !strings.Contains(out, "deeside-aero:0.1") || !strings.Contains(out, "rebuilt") {
 		t.Error(out)
--- a/cmd/brassdale/fleet_members_test.go
+++ b/cmd/brassdale/fleet_members_test.go
@@ -5,63 +5,60 @@
 	"net/http"
 	"slices"
 	"strings"
-	"syscall"
 	"testing"
-	"time"
-
-	"brassdale/internal/faults"
 )
 
-// Eight dispatchers in two zones: whoever is asked tells of all by their leases, and of its own zone by gossip too. One that is told
-// to end says that it leaves, to the leader and to its neighbours; one that is killed has not; both are told apart, and the
-// other zone gossips of neither. One that wakes behind a freeze is there again for all.
+// TestFleet_memberStates checks what each of eight dispatchers in two zones reports of the others: of all by their leases, and of its
+// own zone by gossip too. A dispatcher that shuts down is reported as left, a killed one as gone with a lapsed lease, and a stopped
+// one as alive again when it continues.
 func TestFleet_memberStates(t *testing.T) {
 	t.Parallel()
 	zone := func(i int) string { return string("ab"[i%2]) }
 	fleet := startFleetWith(t, 24, 3, 5, func(i int) string { return fmt.Sprintf("zone = %q\n", zone(i)) })
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
-	see := func(what string, of int, lease string, gossip map[string]string) {
+	waitForReports := func(what string, member int, wantLease, wantGossip string) {
 		t.Helper()
-		for at := range fleet.dispatchers {
+		for reporter := range fleet.dispatchers {
 			select {
-			case <-fleet.dispatchers[at].exited:
+			case <-fleet.dispatchers[reporter].exited:
 				continue
 			default:
 			}
 			want := "-"
-			if zone(at) == zone(of) {
-				want = gossip[zone(of)]
+			if zone(reporter) == zone(member) {
+				want = wantGossip
 			}
-			fleet.waitForGossip(fmt.Sprintf("%s: dispatcher %d at %d with %q and %q", what, of, at, want, lease), func() bool {
-				g, l, _ := fleet.memberStatus(at, of)
-				return g == want && strings.HasPrefix(l, lease)
+			fleet.waitForGossip(fmt.Sprintf("%s: dispatcher %d at %d with %q and %q", what, member, reporter, want, wantLease), func() bool {
+				gossip, lease, _ := fleet.memberStatus(reporter, member)
+				return gossip == want && strings.HasPrefix(lease, wantLease)
 			})
 		}
 	}
-	for of := range fleet.dispatchers {
-		see("all there", of, "acknowledged 1", map[string]string{zone(of): "alive"})
+	for member := range fleet.dispatchers {
+		waitForReports("all running", member, "acknowledged 1", "alive")
 	}
 	fleet.dispatchers[7].terminate()
 	<-fleet.dispatchers[7].exited
-	see("told to end", 7, "left", map[string]string{"b": "left"})
+	waitForReports("shut down", 7, "left", "left")
 	fleet.kill(6)
-	see("killed", 6, "ran out", map[string]string{"a": "gone"})
-	fleet.dispatchers[5].command.Process.Signal(syscall.SIGSTOP)
-	fleet.waitForGossip("the frozen one gone", func() bool {
-		g, l, _ := fleet.memberStatus(3, 5)
-		return g == "gone" && strings.HasPrefix(l, "ran out")
+	waitForReports("killed", 6, "ran out", "gone")
+	fleet.stopProcess(5)
+	fleet.waitForGossip("the stopped process gone", func() bool {
+		gossip, lease, _ := fleet.memberStatus(3, 5)
+		return gossip == "gone" && strings.HasPrefix(lease, "ran out")
 	})
-	fleet.absences[5] = append(fleet.absences[5], faults.Absence{From: time.Now()})
-	fleet.dispatchers[5].command.Process.Signal(syscall.SIGCONT)
-	see("awake", 5, "acknowledged", map[string]string{"b": "alive"})
-	if apart := fleet.contradictionTime(); apart > 0 {
-		t.Errorf("contradiction for %v", apart)
+	fleet.recordAbsence(5)
+	fleet.resume(5)
+	waitForReports("continued", 5, "acknowledged", "alive")
+	if duration := fleet.contradictionTime(); duration > 0 {
+		t.Errorf("versions with none in common for %v", duration)
 	}
 }
 
-// Machines that are set aside want no jobs, are ready for their operators, serve what comes all the same, and are given all seats, the
-// leader's too, while rules are proposed and never contradict; the fleet's bytes are at their doors by what they are for.
+// TestFleet_dedicatedDispatchers checks dispatchers that are dedicated to control: they are not ready for clients, but are for
+// operators, serve a request that comes nevertheless, and become all three voters. A version that is proposed then reaches all, and
+// the metrics count the bytes that each kind of message of the fleet has received.
 func TestFleet_dedicatedDispatchers(t *testing.T) {
 	t.Parallel()
 	fleet := startFleetWith(t, 25, 3, 3, func(i int) string {
@@ -77,18 +74,18 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	if a, b := ready(1), ready(5); a != 200 || b != 503 {
-		t.Errorf("ready: %d, and set aside %d", a, b)
+	if other, dedicated := ready(1), ready(5); other != 200 || dedicated != 503 {
+		t.Errorf("readiness: %d, and %d of a dedicated dispatcher", other, dedicated)
 	}
 	if status, _ := fleet.dispatchers[5].callAdmin("GET", "/_ready", ""); status != 200 {
-		t.Errorf("at the door: %d", status)
+		t.Errorf("readiness at the admin API: %d", status)
 	}
 	if status, _, _ := fleet.dispatchers[5].send(newRequest(fleet.dispatchers[5].http1URL, "aside")); status != 200 {
-		t.Errorf("a job that came all the same: %d", status)
+		t.Errorf("a request at a dedicated dispatcher: %d", status)
 	}
-	fleet.waitForGossip("all seats on machines set aside", func() bool {
+	fleet.waitForGossip("three dedicated voters", func() bool {
 		for i := range fleet.dispatchers {
-			if _, _, seat := fleet.memberStatus(0, i); i > 2 && seat <= 3 || i <= 2 && seat != 0 {
+			if _, _, voterID := fleet.memberStatus(0, i); i > 2 && voterID <= 3 || i <= 2 && voterID != 0 {
 				return false
 			}
 		}
@@ -97,17 +94,17 @@
 	})
 	fleet.propose("retries = 0.25\n", 1)
 	fleet.waitForVersion(2, fleet.indices()...)
-	if apart := fleet.contradictionTime(); apart > 0 {
-		t.Errorf("contradiction for %v", apart)
+	if duration := fleet.contradictionTime(); duration > 0 {
+		t.Errorf("versions with none in common for %v", duration)
 	}
-	_, figures := fleet.dispatchers[5].callAdmin("GET", "/_vars", "")
+	_, metrics := fleet.dispatchers[5].callAdmin("GET", "/_vars", "")
 	var missing []string
 	for _, kind := range []string{"renewal", "record", "gossip", "member_probe", "raft", "discovery"} {
-		if !strings.Contains(figures, "control_"+kind+"_received=") {
+		if !strings.Contains(metrics, "control_"+kind+"_received=") {
 			missing = append(missing, kind)
 		}
 	}
 	if slices.Sort(missing); len(missing) > 0 {
-		t.Errorf("nothing at the door of %v:\n%s", missing, figures)
+		t.Errorf("no metric of received bytes for %v:\n%s", missing, metrics)
 	}
 }
--- a/cmd/brassdale/frontends_bench_test.go
+++ b/cmd/brassdale/frontends_bench_test.go
@@ -299,7 +299,7 @@
 	return startBenchWorkersWith(b, 12, completeAtOnce)
 }
 
-func startBenchWorkersWith(b *testing.B, many int, script func(*testWorker, net.Conn, *http.Request)) (workers []*testWorker) {
+func startBenchWorkersWith(b *testing.B, many int, script jobHandler) (workers []*testWorker) {
 	for i := range many {
 		workers = append(workers, startWorker(b, fmt.Sprint("worker-", i), script))
 	}
@@ -307,7 +307,8 @@
 }
 
 func startBenchDispatcher(b *testing.B, binary, operator string, workers []*testWorker) *benchProgram {
-	dispatcher := &testDispatcher{t: b, binary: binary, discovery: &testDiscovery{revision: 1, workers: workers, changed: make(chan struct{})}, exited: make(chan struct{})}
+	dispatcher := newTestDispatcher(b, newTestDiscovery(workers...))
+	dispatcher.binary = binary
 	dispatcher.start(operator, func(config string) string {
 		// Slots enough that nothing waits: the ports are measured, not the module's care for endpoints.
 		return strings.Replace(config, `"probing":true`, `"probing":false`, 1)
--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -105,10 +105,8 @@
 	c.mu.Lock()
 	known := c.listJSON(-1)
 	c.mu.Unlock()
-	dispatcher := &testDispatcher{t: b, exited: make(chan struct{})}
-	dispatcher.startProcess(fmt.Sprintf(`{"name":"n7","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
-		find.Listener.Addr(), known, strings.Replace(settingsJSON, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":7,"replicasOfMe":%d`, dispatchers), 1)), "")
-	dispatcher.waitUntilReady("")
+	dispatcher := startWithConfig(b, fmt.Sprintf(`{"name":"n7","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
+		find.Listener.Addr(), known, strings.Replace(settingsJSON, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":7,"replicasOfMe":%d`, dispatchers), 1)))
 	served, most := atomic.Int64{}, 0
 	var wait sync.WaitGroup
 	for i, end := 0, time.Now().Add(growthDuration); time.Now().Before(end); i++ {
@@ -129,7 +127,7 @@
 	cpu, peak := processCost(dispatcher.command.Process.Pid)
 	conns := 0
 	for _, worker := range c.workers {
-		made, _ := worker.count()
+		made := worker.connectionCount()
 		conns += made
 	}
 	b.ReportMetric(cpu.Seconds(), "cpu-s")
@@ -138,8 +136,7 @@
 	b.ReportMetric(float64(conns), "connections")
 	b.ReportMetric(float64(c.bytes.Load())/1024, "list-KB")
 	b.ReportMetric(float64(served.Load()), "served")
-	dispatcher.command.Process.Kill()
-	<-dispatcher.exited
+	dispatcher.kill()
 }
 
 // processCost gives the processor time of a process so far and its peak memory in bytes.
--- a/cmd/brassdale/handover_test.go
+++ b/cmd/brassdale/handover_test.go
@@ -12,131 +12,129 @@
 	"time"
 )
 
-// The program is started again beside itself: clients find one dispatcher throughout. What waits at the listener is
-// the successor's, open jobs end where they are, kept connections end behind an answer, an id is open once.
+// TestHandover_noRequestLost checks that clients are served throughout a handover: new connections are the successor's, open requests end
+// at the predecessor, and its idle connections are closed after an answer.
 func TestHandover_noRequestLost(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
-		if strings.HasPrefix(r.Header.Get("Idempotency-Key"), "held") {
+		if r.Header.Get("Idempotency-Key") == "waits" {
 			<-release
 		}
 		completeJob(worker, conn, r)
 	})
 	dispatcher := startDispatcher(t, "", worker)
-	kept := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
-	ask := func(key string) *http.Response {
-		resp, err := kept.Do(newRequest(dispatcher.http1URL, key))
+	oneConnection := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
+	send := func(key string) *http.Response {
+		resp, err := oneConnection.Do(newRequest(dispatcher.http1URL, key))
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.Copy(io.Discard, resp.Body) // else its connection is not kept
+		io.Copy(io.Discard, resp.Body) // else its connection is not used again
 		resp.Body.Close()
 		return resp
 	}
-	if resp := ask("first"); resp.StatusCode != 200 || resp.Close {
-		t.Errorf("before: %d, closes %v", resp.StatusCode, resp.Close)
+	if resp := send("first"); resp.StatusCode != 200 || resp.Close {
+		t.Errorf("before the handover: status %d, connection closed: %v", resp.StatusCode, resp.Close)
 	}
-	held := dispatcher.sendInBackground(worker, "held")
+	waiting := dispatcher.sendInBackground(worker, "waits")
 
-	// Clients with a connection for each job, all the time.
 	stop, done := make(chan struct{}), make(chan int)
-	go func() {
-		jobs := 0
-		defer func() { done <- jobs }()
-		for each := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}); ; jobs++ {
+	go func() { // sends requests all the time, each on a new connection
+		requests := 0
+		defer func() { done <- requests }()
+		for client := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}); ; requests++ {
 			select {
 			case <-stop:
 				return
 			default:
 			}
-			if resp, err := each.Do(newRequest(dispatcher.http1URL, fmt.Sprint("each-", jobs))); err != nil {
-				t.Errorf("job %d: %v", jobs, err)
+			if resp, err := client.Do(newRequest(dispatcher.http1URL, fmt.Sprint("new-", requests))); err != nil {
+				t.Errorf("request %d on a new connection: %v", requests, err)
 			} else if resp.Body.Close(); resp.StatusCode != 200 {
-				t.Errorf("job %d: %d", jobs, resp.StatusCode)
+				t.Errorf("request %d on a new connection: status %d", requests, resp.StatusCode)
 			}
 		}
 	}()
 	successor := dispatcher.startSuccessor("")
 	if successor.http1URL != dispatcher.http1URL {
-		t.Fatalf("serves at %s, not at %s", successor.http1URL, dispatcher.http1URL)
+		t.Fatalf("the successor serves at %s, not at %s", successor.http1URL, dispatcher.http1URL)
 	}
 	if status, _ := successor.callAdmin("GET", "/_ready", ""); status != 200 {
-		t.Errorf("ready: %d", status)
+		t.Errorf("readiness of the successor: %d", status)
 	}
 	dispatcher.waitForHandovers(1)
-	if resp := ask("kept"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("on a kept connection: %d, closes %v", resp.StatusCode, resp.Close)
+	if resp := send("idle"); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("on an idle connection to the predecessor: status %d, connection closed: %v", resp.StatusCode, resp.Close)
 	}
 	dispatcher.terminate()
 	close(release)
-	if status := <-held; status != 200 {
-		t.Errorf("the open job: %d", status)
+	if status := <-waiting; status != 200 {
+		t.Errorf("the open request: status %d", status)
 	}
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
-	successor.waitFor("the end of the predecessor", func() bool { return strings.Contains(successor.log(), "predecessor ended") })
+	successor.waitForPredecessorEnd()
 	before := successor.metric("replies.price-part.success")
-	if resp := ask("last"); resp.StatusCode != 200 || successor.metric("replies.price-part.success") <= before {
-		t.Errorf("after: %d", resp.StatusCode)
+	if resp := send("last"); resp.StatusCode != 200 || successor.metric("replies.price-part.success") <= before {
+		t.Errorf("after the handover: status %d, or not served by the successor", resp.StatusCode)
 	}
 	close(stop)
-	if jobs := <-done; jobs < 10 {
-		t.Errorf("only %d jobs meanwhile", jobs)
+	if requests := <-done; requests < 10 {
+		t.Errorf("%d requests on new connections meanwhile, want 10 at least", requests)
 	}
 }
 
-// Both processes together have an id open once, whichever has it.
+// TestHandover_requestIDsOpenOnce checks that a request ID is open once at both processes together.
 func TestHandover_requestIDsOpenOnce(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	worker := startWorker(t, "a", completeWhenReleased(release))
 	dispatcher := startDispatcher(t, "", worker)
 	old := dispatcher.dial() // accepted there before the successor serves
 	if err := newRequest(dispatcher.http1URL, "old").Write(old); err != nil {
 		t.Fatal(err)
 	}
-	dispatcher.waitFor("the job", func() bool { _, jobs := worker.count(); return jobs == 1 })
+	dispatcher.waitFor("the job at the worker", func() bool { return worker.jobCount() == 1 })
 	successor := dispatcher.startSuccessor("")
 	dispatcher.waitForHandovers(1)
 	if status, _, _ := successor.send(newRequest(successor.http1URL, "old")); status != 409 {
-		t.Errorf("an id that is open at the predecessor: %d", status)
+		t.Errorf("an ID that is open at the predecessor: status %d", status)
 	}
 	next := successor.sendInBackground(worker, "next")
 	if status, _, _ := successor.send(newRequest(successor.http1URL, "other", "Req-Id", "id-next")); status != 409 {
-		t.Errorf("an id that is open here: %d", status)
+		t.Errorf("an ID that is open at the successor: status %d", status)
 	}
 	close(release)
 	if status := <-next; status != 200 {
-		t.Errorf("the job: %d", status)
+		t.Errorf("the open request: status %d", status)
 	}
 	if status, _, _ := successor.send(newRequest(successor.http1URL, "again", "Req-Id", "id-next")); status != 200 {
-		t.Errorf("an id that is free again: %d", status)
+		t.Errorf("the ID of an answered request: status %d", status)
 	}
 }
 
-// A process that finds nobody, a dead one's leftovers, or one that hangs, starts alone; one whose successor dies
-// serves on and can be replaced again.
+// TestHandover_peerFailures checks that a process whose successor is killed serves and can hand over again, and that a process which
+// finds the socket of a killed predecessor, or one that does not answer, starts alone.
 func TestHandover_peerFailures(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
 	killed := dispatcher.startSuccessor("")
 	dispatcher.waitForHandovers(1)
-	killed.command.Process.Kill()
-	<-killed.exited
-	dispatcher.waitFor("the successor's end", func() bool { return strings.Contains(dispatcher.log(), "continuing alone") })
-	each := func(dispatcher *testDispatcher, key string) {
+	killed.kill()
+	dispatcher.waitForLog("continuing alone")
+	checkServes := func(dispatcher *testDispatcher, key string) {
 		t.Helper()
 		r := newRequest(dispatcher.http1URL, key)
 		r.Close = true
 		if status, _, _ := dispatcher.send(r); status != 200 {
-			t.Errorf("%s: %d", key, status)
+			t.Errorf("%s: status %d", key, status)
 		}
 	}
-	each(dispatcher, "on")
+	checkServes(dispatcher, "successor killed")
 	if dispatcher.metric("replies.price-part.success") != 1 {
-		t.Error("the job was not served by the process that is left")
+		t.Error("the request was not served by the remaining process")
 	}
-	dispatcher.waitFor("the name", func() bool {
+	dispatcher.waitFor("one handover socket", func() bool {
 		files, _ := filepath.Glob(filepath.Join(dispatcher.tempDir, "*.sock"))
 		return len(files) == 1
 	})
@@ -144,20 +142,18 @@
 	dispatcher.waitForHandovers(2)
 	dispatcher.terminate()
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
-	each(second, "second")
-	second.command.Process.Kill()
-	<-second.exited
+	checkServes(second, "second successor")
+	second.kill()
 
 	files, _ := filepath.Glob(filepath.Join(dispatcher.tempDir, "*.sock"))
 	if len(files) != 1 {
-		t.Fatalf("leftovers: %v", files)
+		t.Fatalf("sockets of killed processes: %v, want one", files)
 	}
 	afterKill := dispatcher.startSuccessor("")
-	each(afterKill, "alone")
-	afterKill.command.Process.Kill()
-	<-afterKill.exited
+	checkServes(afterKill, "predecessor killed")
+	afterKill.kill()
 
-	// It takes the connection and says nothing.
+	// A socket whose connections are accepted and never answered.
 	hung, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dispatcher.tempDir, "hung"), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -167,32 +163,29 @@
 		t.Fatal(err)
 	}
 	besideHung := dispatcher.startSuccessor("")
-	each(besideHung, "beside a hung one")
+	checkServes(besideHung, "predecessor does not answer")
 	if !strings.Contains(besideHung.log(), "starting alone") {
-		t.Error("it did not notice")
+		t.Error("the log does not say that the process starts alone")
 	}
 }
 
-// Where no Unix socket can be had the program starts and serves, and says once what it goes without.
+// TestHandover_withoutUnixSockets checks that a process serves where it cannot make its Unix socket, and logs that once.
 func TestHandover_withoutUnixSockets(t *testing.T) {
 	t.Parallel()
-	dispatcher := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: []*testWorker{startWorker(t, "a", completeJob)}, changed: make(chan struct{})}, exited: make(chan struct{})}
-	dispatcher.tempDir = filepath.Join(t.TempDir(), strings.Repeat("far-", 30)) // past the 107 bytes of such a socket's path
+	dispatcher := newTestDispatcher(t, newTestDiscovery(startWorker(t, "a", completeJob)))
+	dispatcher.tempDir = filepath.Join(t.TempDir(), strings.Repeat("far-", 30)) // beyond the 107 bytes of a Unix socket's path
 	if err := os.Mkdir(dispatcher.tempDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	dispatcher.start("", func(config string) string { return config })
-	for i := range 3 {
-		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))); status != 200 {
-			t.Errorf("job %d: %d", i, status)
-		}
-	}
+	dispatcher.checkServed("k-", 3)
 	if times := strings.Count(dispatcher.log(), "handover socket not available"); times != 1 {
-		t.Errorf("said %d times", times)
+		t.Errorf("logged %d times, want once", times)
 	}
 }
 
-// A front that the successor has not is closed with the predecessor: clients would wait at its listener for nobody.
+// TestHandover_frontendRemoved checks that the listener of a frontend that the successor does not have is closed with the predecessor:
+// clients would wait there for nothing.
 func TestHandover_frontendRemoved(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", completeJob))
@@ -202,9 +195,9 @@
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 	if conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.progressURL, "http://")); err == nil {
 		conn.Close()
-		t.Error("the front that is off takes connections")
+		t.Error("the removed frontend accepts connections")
 	}
 	if status, _, _ := successor.send(newRequest(successor.http1URL, "k")); status != 200 {
-		t.Errorf("the front that is on: %d", status)
+		t.Errorf("the other frontend: status %d", status)
 	}
 }
--- a/cmd/brassdale/http2_test.go
+++ b/cmd/brassdale/http2_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -12,11 +11,12 @@
 	h2 "golang.org/x/net/http2"
 )
 
-// The same jobs get the same answers at both ports.
+// TestHTTP2_sameAnswersAsHTTP1 checks that valid and invalid requests get the same answers at both frontends, and that an invalid stream
+// does not end its connection.
 func TestHTTP2_sameAnswersAsHTTP1(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, http2Frontend, startWorker(t, "a", completeJob))
-	second := newHTTP2Client(t)
+	http2Client := newHTTP2Client(t)
 	for i, test := range []struct {
 		change func(*http.Request)
 		want   int
@@ -29,52 +29,50 @@
 		{func(r *http.Request) { r.Header.Set("Req-Extra", "slots") }, 400},
 		{func(r *http.Request) { r.URL.Path = "/no-such" }, 404},
 		{func(r *http.Request) { r.Method = "PUT" }, 405},
-		{func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 70000))), 70000
-		}, 413},
-		{func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(strings.NewReader("no length")), -1 }, 200},
+		{func(r *http.Request) { setBody(r, 70000, 70000) }, 413},
+		{func(r *http.Request) { setBody(r, len("no length"), -1) }, 200},
 		{func(r *http.Request) { r.Header.Set("Cookie", "user=7; other=8") }, 200},
 	} {
-		var got [2]string
-		for port, client := range []*http.Client{http.DefaultClient, second} {
-			r := newRequest([]string{dispatcher.http1URL, dispatcher.http2URL}[port], fmt.Sprint(port, "-", i))
+		var answers [2]string
+		for frontend, client := range []*http.Client{http.DefaultClient, http2Client} {
+			r := newRequest([]string{dispatcher.http1URL, dispatcher.http2URL}[frontend], fmt.Sprint(frontend, "-", i))
 			test.change(r)
 			status, body, header := trySend(client, r)
 			if status != test.want {
-				t.Errorf("case %d at port %d: %d %s, want %d", i, port, status, body, test.want)
+				t.Errorf("case %d at frontend %d: status %d %s, want %d", i, frontend, status, body, test.want)
 			}
-			got[port] = fmt.Sprint(body, header.Get("Retry-After"), header.Get("Content-Type"), header.Get("Allow"))
+			answers[frontend] = fmt.Sprint(body, header.Get("Retry-After"), header.Get("Content-Type"), header.Get("Allow"))
 		}
-		if got[0] != got[1] {
-			t.Errorf("case %d: %q and %q", i, got[0], got[1])
+		if answers[0] != answers[1] {
+			t.Errorf("case %d: %q over HTTP/1.1 and %q over HTTP/2", i, answers[0], answers[1])
 		}
 	}
-	if status, _, _ := trySend(second, must(http.NewRequest("GET", dispatcher.http2URL+"/health/ready", nil))); status != 200 {
-		t.Errorf("ready: %d", status)
+	if status, _, _ := trySend(http2Client, must(http.NewRequest("GET", dispatcher.http2URL+"/health/ready", nil))); status != 200 {
+		t.Errorf("readiness: status %d", status)
 	}
-	// All of it went over one connection, on which a bad stream hurt no other.
-	if got := dispatcher.metric("front.http2.connections"); got != 1 {
-		t.Errorf("%d connections", got)
+	if connections := dispatcher.metric("front.http2.connections"); connections != 1 {
+		t.Errorf("%d connections, want 1", connections)
 	}
 }
 
-// The id of an open job is taken at both ports.
+// TestHTTP2_requestIDOpenAtOtherFrontend checks that a request ID that is open at one frontend is answered 409 at the other.
 func TestHTTP2_requestIDOpenAtOtherFrontend(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	worker := startWorker(t, "a", completeWhenReleased(release))
 	dispatcher := startDispatcher(t, http2Frontend, worker)
 	first := dispatcher.sendInBackground(worker, "k")
 	if status, _, _ := trySend(newHTTP2Client(t), newRequest(dispatcher.http2URL, "other", "Req-Id", "id-k")); status != 409 {
-		t.Errorf("the id of a job that is open at the other port: %d", status)
+		t.Errorf("an ID that is open at the other frontend: status %d", status)
 	}
 	close(release)
 	if status := <-first; status != 200 {
-		t.Errorf("the first: %d", status)
+		t.Errorf("the first request: status %d", status)
 	}
 }
 
-// A client gives streams up at each stage of their jobs: one end each, and the other streams of the connection go on.
+// TestHTTP2_cancelledStreams checks streams that are cancelled at each stage of their requests: started attempts are cancelled, no key
+// runs twice, and the other streams of the connection are served.
 func TestHTTP2_cancelledStreams(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -94,18 +92,18 @@
 	dispatcher := startDispatcher(t, http2Frontend, worker)
 	client := dispatcher.connectHTTP2()
 	client.sendRequest(1, "other")
-	dispatcher.waitFor("the other stream's job", func() bool { worker.mu.Lock(); defer worker.mu.Unlock(); return worker.runs["other"] == 1 })
+	dispatcher.waitForRun(worker, "other")
 	stream := uint32(3)
 	for _, key := range []string{"silent", "started"} {
 		client.sendRequest(stream, key)
-		dispatcher.waitFor("the job at the endpoint", func() bool { worker.mu.Lock(); defer worker.mu.Unlock(); return worker.runs[key] == 1 })
+		dispatcher.waitForRun(worker, key)
 		client.WriteRSTStream(stream, h2.ErrCodeCancel)
-		if id := <-worker.abandoned; id != "id-"+key { // the settings allow a cancel, which is the end of the call's connection
+		if id := <-worker.abandoned; id != "id-"+key { // the settings allow to cancel, by closing the connection
 			t.Errorf("cancelled %s, not %s", id, key)
 		}
 		stream += 2
 	}
-	// Before its body is whole, and at once with it: each may have been taken or not.
+	// Before the body is complete, or right after it: each request may have been accepted or not.
 	for i := range 50 {
 		client.WriteHeaders(h2.HeadersFrameParam{StreamID: stream, BlockFragment: client.headerFields(fmt.Sprint("early-", i)), EndHeaders: true})
 		if i%2 == 1 {
@@ -114,60 +112,51 @@
 		client.WriteRSTStream(stream, h2.ErrCodeCancel)
 		stream += 2
 	}
-	// In the same instant as the end of the job.
+	// At the same time as the job ends.
 	for i := range 50 {
 		client.sendRequest(stream, fmt.Sprint("end-", i))
 		if i%2 == 0 {
-			dispatcher.waitFor("the job at the endpoint", func() bool {
-				worker.mu.Lock()
-				defer worker.mu.Unlock()
-				return worker.runs[fmt.Sprint("end-", i)] == 1
-			})
+			dispatcher.waitForRun(worker, fmt.Sprint("end-", i))
 		}
 		client.WriteRSTStream(stream, h2.ErrCodeCancel)
 		stream += 2
 	}
-	dispatcher.waitFor("the end of all but one", func() bool { return dispatcher.metric("concurrent") == 1 })
+	dispatcher.waitForMetric("concurrent", 1)
 	client.sendRequest(stream, "last")
-	dispatcher.waitFor("a further stream's answer", func() bool { return client.received(fmt.Sprint("HEADERS ", stream, " 200")) })
+	dispatcher.waitFor("the answer of a further stream", func() bool { return client.received(fmt.Sprint("HEADERS ", stream, " 200")) })
 	close(release)
-	dispatcher.waitFor("the other stream's answer", func() bool { return client.received("HEADERS 1 200") })
-	dispatcher.waitFor("nothing open", func() bool {
-		return dispatcher.metric("concurrent") == 0 && dispatcher.metric("front.http2.streams") == 0
-	})
-	worker.mu.Lock()
-	defer worker.mu.Unlock()
-	for key, runs := range worker.runs {
+	dispatcher.waitFor("the answer of the other stream", func() bool { return client.received("HEADERS 1 200") })
+	dispatcher.waitUntilIdle()
+	for key, runs := range worker.runsPerKey() {
 		if runs != 1 {
 			t.Errorf("%s ran %d times", key, runs)
 		}
 	}
 }
 
-// A drain that is told while streams wait for room: none of them goes to that endpoint, and all are answered.
+// TestHTTP2_drain checks that streams which wait for capacity when a worker drains are not sent to it once the drain grace period of 0.5 s
+// has passed, and that all are answered.
 func TestHTTP2_drain(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	holds := func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) }
-	worker, other := startWorker(t, "a", holds), startWorker(t, "b", holds)
-	dispatcher := startDispatcher(t, http2Frontend, worker, other)
+	workers := startNamedWorkers(t, completeWhenReleased(release), "a", "b")
+	draining, other := workers[0], workers[1]
+	dispatcher := startDispatcher(t, http2Frontend, workers...)
 	client := dispatcher.connectHTTP2()
 	for i := range uint32(40) {
 		client.sendRequest(2*i+1, fmt.Sprint("drain-", i))
 	}
-	dispatcher.waitFor("jobs at both", func() bool { return totalJobs(worker) > 0 && totalJobs(other) > 0 })
-	dispatcher.discovery.update(func() { worker.phase = "leaving" })
-	dispatcher.waitFor("the news", func() bool { return strings.Count(dispatcher.log(), "endpoint list updated") >= 1 })
-	dispatcher.waitFor("the end of the grace", func() bool { return time.Since(dispatcher.lastListUpdate()) > 500*time.Millisecond })
-	had := totalJobs(worker)
+	dispatcher.waitFor("jobs at both workers", func() bool { return draining.jobCount() > 0 && other.jobCount() > 0 })
+	dispatcher.discovery.update(func() { draining.phase = "leaving" })
+	dispatcher.waitForLog("endpoint list updated")
+	dispatcher.waitFor("the end of the drain grace period", func() bool { return time.Since(dispatcher.lastListUpdate()) > 500*time.Millisecond })
+	before := draining.jobCount()
 	close(release)
-	dispatcher.waitFor("all answers", func() bool {
-		return dispatcher.metric("concurrent") == 0 && dispatcher.metric("front.http2.streams") == 0
-	})
-	if now := totalJobs(worker); now != had {
-		t.Errorf("%d jobs reached the draining endpoint", now-had)
+	dispatcher.waitUntilIdle()
+	if after := draining.jobCount(); after != before {
+		t.Errorf("%d jobs at the draining worker", after-before)
 	}
-	dispatcher.waitFor("a head for each", func() bool {
+	dispatcher.waitFor("an answer of each stream", func() bool {
 		for i := range 40 {
 			if !client.received(fmt.Sprint("HEADERS ", 2*i+1, " ")) {
 				return false
@@ -177,46 +166,48 @@
 	})
 }
 
-// A class that is dropped at SIGHUP while streams of it are open: they end by the rules that they began with, and new
-// ones are answered 404 on the same connection.
+// TestHTTP2_removedClass checks a reload that removes a class while a stream of it is open: that one is served, and new ones are answered
+// 404 on the same connection.
 func TestHTTP2_removedClass(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	worker := startWorker(t, "a", completeWhenReleased(release))
 	dispatcher := startDispatcher(t, http2Frontend, worker)
 	client := dispatcher.connectHTTP2()
 	client.sendRequest(1, "open")
-	dispatcher.waitFor("the job", func() bool { return worker.runsOf("open") == 1 })
+	dispatcher.waitForRun(worker, "open")
 	dispatcher.reload(strings.Replace(dispatcher.config, `"name":"price-part"`, `"name":"price-all"`, 1))
-	dispatcher.waitFor("the reload", func() bool { return dispatcher.metric("reload_success") == 1 })
-	client.sendRequest(3, "dropped")
+	dispatcher.waitForMetric("reload_success", 1)
+	client.sendRequest(3, "removed")
 	client.sendRequest(5, "new", ":path", "/price-all", "req-kind", "price-all")
-	dispatcher.waitFor("404", func() bool { return client.received("HEADERS 3 404") })
+	dispatcher.waitFor("status 404", func() bool { return client.received("HEADERS 3 404") })
 	close(release)
 	dispatcher.waitFor("both answers", func() bool { return client.received("HEADERS 1 200") && client.received("HEADERS 5 200") })
 }
 
-// The room for streams is shared among connections: one that takes all it can get leaves room for the next.
+// TestHTTP2_streamLimitSharedAmongConnections checks that a connection which opens as many streams as it can gets half of the limit, so
+// that 40 streams of another connection are accepted.
 func TestHTTP2_streamLimitSharedAmongConnections(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	workers := startWorkers(t, 60, func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	workers := startWorkers(t, 60, completeWhenReleased(release))
 	dispatcher := startDispatcherWith(t, "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n  streams = 1000\n}\n", func(config string) string {
-		config = strings.Replace(config, `"deadline":5000000`, `"deadline":60000000`, 1) // none ends by itself
-		return strings.Replace(config, `"memory_mb":192`, `"memory_mb":40`, 1)           // a room of 284 streams
+		return withSetting(`"memory_mb":192`, `"memory_mb":40`)(withLongDeadline(config)) // a limit of 284 streams
 	}, workers...)
-	client, second := dispatcher.connectHTTP2(), dispatcher.connectHTTP2()
+	first, second := dispatcher.connectHTTP2(), dispatcher.connectHTTP2()
 	for i := range uint32(300) {
-		client.sendRequest(2*i+1, fmt.Sprint("p-", i), "req-deadline-ms", "60000")
+		first.sendRequest(2*i+1, fmt.Sprint("first-", i), "req-deadline-ms", "60000")
 	}
-	dispatcher.waitFor("a refusal on the first connection", func() bool { return client.received("HEADERS") && dispatcher.metric("front.http2.streams") >= 142 })
+	dispatcher.waitFor("a rejection on the first connection", func() bool {
+		return first.received("HEADERS") && dispatcher.metric("front.http2.streams") >= 142
+	})
 	for i := range uint32(40) {
-		second.sendRequest(2*i+1, fmt.Sprint("q-", i), "req-deadline-ms", "60000")
+		second.sendRequest(2*i+1, fmt.Sprint("second-", i), "req-deadline-ms", "60000")
 	}
-	dispatcher.waitFor("all of the second's", func() bool { return dispatcher.metric("front.http2.streams") == 142+40 })
+	dispatcher.waitForMetric("front.http2.streams", 142+40)
 	if second.received("HEADERS") {
-		t.Error("the second connection was refused something")
+		t.Error("a stream of the second connection was answered, so it was rejected")
 	}
 	close(release)
-	dispatcher.waitFor("the end", func() bool { return dispatcher.metric("front.http2.streams") == 0 })
+	dispatcher.waitForMetric("front.http2.streams", 0)
 }
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -13,18 +13,20 @@
 	"time"
 )
 
-// replicatedDiscovery is a discovery service whose list changes at once at some replicas and later at others.
+// replicatedDiscovery is a discovery service whose replicas have each list some time after it was published.
 type replicatedDiscovery struct {
 	mu    sync.Mutex
 	lists []publishedList // by revision
 	calls atomic.Int64
 }
 
+// publishedList is the lines of a list, and when it was published.
 type publishedList struct {
 	publishedAt time.Time
 	members     string
 }
 
+// publish makes a new revision, and returns when.
 func (d *replicatedDiscovery) publish(members string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -33,20 +35,21 @@
 	return now
 }
 
-// seen gives the newest revision that a replica has which lags by so much.
+// listAt returns the newest list of a replica that lags by so much.
 func (d *replicatedDiscovery) listAt(lag time.Duration) (revision int, members string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, l := range d.lists {
-		if i == 0 || time.Since(l.publishedAt) >= lag {
-			revision, members = i+1, l.members
+	for i, list := range d.lists {
+		if i == 0 || time.Since(list.publishedAt) >= lag {
+			revision, members = i+1, list.members
 		}
 	}
 	return revision, members
 }
 
-// replica serves the list as it was a while ago; how long, it is asked at each call.
+// startReplica starts a replica and returns its address. lag is called at each call to the replica.
 func (d *replicatedDiscovery) startReplica(t *testing.T, lag func() time.Duration) string {
+	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls.Add(1)
 		behind := lag()
@@ -69,50 +72,45 @@
 	return server.Listener.Addr().String()
 }
 
+// constantLag is the lag of a replica that lags by the same time at each call.
 func constantLag(lag time.Duration) func() time.Duration { return func() time.Duration { return lag } }
 
-// A worker had begun to drain, or had left, and the dispatcher knew it. A new configuration moved discovery to a replica that
-// was behind. Its first list had the worker as active, and was believed: 1,017 to 1,703 requests went to the worker behind
-// the grace, the last 2.5 s behind the drain. A list says nothing of when it was composed, and revisions of two services cannot
-// be compared. So a drain or an end that is known is taken back only by what must be newer.
+// TestDrain_moveToLaggingReplica checks that a known drain or removal of a worker is not withdrawn by the first list of a lagging
+// replica to which a reload moves discovery. A list does not say when it was composed, and revisions of two services cannot be
+// compared, so that only what must be newer counts.
 func TestDrain_moveToLaggingReplica(t *testing.T) {
 	t.Parallel()
-	for _, last := range []string{"leaving", "left"} {
-		t.Run(last, func(t *testing.T) {
+	for _, phase := range []string{"leaving", "left"} {
+		t.Run(phase, func(t *testing.T) {
 			t.Parallel()
-			var arrived arrivals
-			workerA, workerB := startWorker(t, "a", arrived.recording(completeJob)), startWorker(t, "b", completeJob)
-			before, after := memberJSON(workerA, "active")+","+memberJSON(workerB, "active"), memberJSON(workerA, "leaving")+","+memberJSON(workerB, "active")
-			if last == "left" {
-				after = memberJSON(workerB, "active")
+			var atDrained arrivals
+			drained, other := startWorker(t, "a", atDrained.recording(completeJob)), startWorker(t, "b", completeJob)
+			before, after := memberJSON(drained, "active")+","+memberJSON(other, "active"), memberJSON(drained, "leaving")+","+memberJSON(other, "active")
+			if phase == "left" {
+				after = memberJSON(other, "active")
 			}
 			var discovery replicatedDiscovery
 			discovery.publish(before)
-			dispatcher := &testDispatcher{t: t, exited: make(chan struct{})}
-			dispatcher.startProcess(dispatcherConfig(0, 1, discovery.startReplica(t, constantLag(0)), before), "")
-			dispatcher.waitUntilReady("")
-			stop, wait := make(chan struct{}), sync.WaitGroup{}
-			dispatcher.sendSteadily("job", 5*time.Millisecond, stop, &wait)
+			dispatcher := startWithConfig(t, dispatcherConfig(0, 1, 0, discovery.startReplica(t, constantLag(0)), before))
+			load := newSteadyLoad()
+			load.start(dispatcher, "job", 5*time.Millisecond)
 			time.Sleep(time.Second)
-			drained := discovery.publish(after)
+			drainedAt := discovery.publish(after)
 			time.Sleep(time.Second)
 			dispatcher.reload(withDiscoveryAddress(dispatcher.config, discovery.startReplica(t, constantLag(4*time.Second))))
 			time.Sleep(3 * time.Second)
-			close(stop)
-			wait.Wait()
+			load.end()
 			if !strings.Contains(dispatcher.log(), "msg=\"settings reloaded\"") {
 				t.Error("discovery was not moved")
 			}
-			if last := arrived.lastSince(drained); last > time.Second+drainGraceAndSlack {
-				t.Errorf("a job came to the worker %v behind its end, %v behind the move", last, last-time.Second)
-			}
+			atDrained.checkNoneAfter(t, drainedAt, time.Second+drainGraceAndSlack)
 		})
 	}
 }
 
-// Every other answer of discovery was of a replica that lagged. Each answer with a lower revision had the whole list asked for
-// 0.1 s later, and an answer that told nothing new counted like a fresh one: 223 calls in 16 s, 20 a second at the end, where 8
-// to 12 do. With 300 dispatchers such a discovery is down, and stays so.
+// TestDiscovery_callRateAtLaggingReplicas checks that a dispatcher makes at most 30 calls in 12 s where answers come from a lagging
+// replica. An answer with a lower revision has the complete list requested again, which must not happen so often that discovery
+// cannot serve many dispatchers.
 func TestDiscovery_callRateAtLaggingReplicas(t *testing.T) {
 	t.Parallel()
 	for name, lag := range map[string]func() func() time.Duration{
@@ -132,12 +130,10 @@
 			before := memberJSON(workerA, "active") + "," + memberJSON(workerB, "active")
 			discovery.publish(before)
 			discovery.publish(memberJSON(workerA, "leaving") + "," + memberJSON(workerB, "active"))
-			dispatcher := &testDispatcher{t: t, exited: make(chan struct{})}
-			dispatcher.startProcess(dispatcherConfig(0, 1, discovery.startReplica(t, lag()), before), "")
-			dispatcher.waitUntilReady("")
+			startWithConfig(t, dispatcherConfig(0, 1, 0, discovery.startReplica(t, lag()), before))
 			time.Sleep(12 * time.Second)
 			if calls := discovery.calls.Load(); calls > 30 {
-				t.Errorf("%d calls in 12 s", calls)
+				t.Errorf("%d calls in 12 s, more than 30", calls)
 			}
 		})
 	}
--- a/cmd/brassdale/progress_test.go
+++ b/cmd/brassdale/progress_test.go
@@ -11,17 +11,19 @@
 	"brassdale/internal/protocol"
 )
 
+// progressFrontend returns an operator's file with the progress frontend and up to eight jobs by key.
 func progressFrontend(upstream string) string {
 	return fmt.Sprintf("front \"progress\" {\n  listen = \"127.0.0.1:0\"\n  upstream = %q\n}\nkeys {\n  jobs = 8\n}\n", upstream)
 }
 
-// stream is a client's stream of one job.
+// eventStream is a client's stream of the events of one job.
 type eventStream struct {
 	t        testing.TB
 	response *http.Response
 	events   *protocol.EventReader
 }
 
+// openStream sends a request whose answer is a stream; it is closed at the end of the test.
 func (d *testDispatcher) openStream(r *http.Request) *eventStream {
 	d.t.Helper()
 	resp, err := http.DefaultClient.Do(r)
@@ -32,17 +34,18 @@
 	return &eventStream{d.t, resp, protocol.NewEventReader(resp.Body)}
 }
 
-// rest reads to the end of the stream and gives "id name" of each event.
-func (s *eventStream) remaining() (got []string) {
+// remaining reads to the end of the stream and returns "ID name" of each event.
+func (s *eventStream) remaining() (events []string) {
 	for {
 		event, err := s.events.Next()
 		if err != nil {
-			return got
+			return events
 		}
-		got = append(got, event.ID+" "+event.Name)
+		events = append(events, event.ID+" "+event.Name)
 	}
 }
 
+// next reads the next event.
 func (s *eventStream) next() protocol.Event {
 	s.t.Helper()
 	event, err := s.events.Next()
@@ -52,6 +55,7 @@
 	return event
 }
 
+// checkEvents compares events with those that are wanted, separated by ", ".
 func checkEvents(t *testing.T, what string, got []string, want string) {
 	t.Helper()
 	if text := strings.Join(got, ", "); text != want {
@@ -59,11 +63,11 @@
 	}
 }
 
-// A job's events in both of the dialects that endpoints speak; the stream is written with CRLF, comments,
-// a line in two pieces and data in two lines.
+// TestProgress_eventStream checks the events of a job in both formats of workers' answers; the event stream has CR, LF and CRLF, a
+// comment, a line in two pieces and data of two lines. A repeated or reconnecting client gets the cached events without another run.
 func TestProgress_eventStream(t *testing.T) {
 	t.Parallel()
-	events := func(worker *testWorker, conn net.Conn, r *http.Request) {
+	respondWithEvents := func(_ *testWorker, conn net.Conn, r *http.Request) {
 		if r.Header.Get("Accept") != "text/event-stream" {
 			return
 		}
@@ -73,57 +77,57 @@
 		writeChunk(conn, fmt.Sprintf("event: done\ndata: {\"id\":%q,\"result\":\"priced\"}\n\n", r.Header.Get("Req-Id")))
 		writeLastChunk(conn)
 	}
-	for dialect, script := range map[string]func(*testWorker, net.Conn, *http.Request){"lines": completeJob, "events": events} {
-		worker := startWorker(t, "a", script)
-		dispatcher := startDispatcher(t, progressFrontend(dialect), worker)
+	for format, handler := range map[string]jobHandler{"lines": completeJob, "events": respondWithEvents} {
+		worker := startWorker(t, "a", handler)
+		dispatcher := startDispatcher(t, progressFrontend(format), worker)
 		stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k"))
-		if kind := stream.response.Header.Get("Content-Type"); stream.response.StatusCode != 200 || kind != "text/event-stream" {
-			t.Fatalf("%s: %d %s", dialect, stream.response.StatusCode, kind)
+		if contentType := stream.response.Header.Get("Content-Type"); stream.response.StatusCode != 200 || contentType != "text/event-stream" {
+			t.Fatalf("%s: status %d, %s", format, stream.response.StatusCode, contentType)
 		}
 		first, second, third := stream.next(), stream.next(), stream.next()
 		if first.Name != "started" || !strings.Contains(second.Data, `"share":0.5`) || third.Name != "done" || !strings.Contains(third.Data, `"result":"priced"`) {
-			t.Errorf("%s: %v %v %v", dialect, first, second, third)
+			t.Errorf("%s: %v %v %v", format, first, second, third)
 		}
-		checkEvents(t, dialect+", behind the end", stream.remaining(), "")
-		// A repeat gets the kept answer, or what it has not had of it; no second run.
-		checkEvents(t, dialect+", repeat", dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "r2")).remaining(), "1 started, 2 progress, 3 done")
-		checkEvents(t, dialect+", reconnect", dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "r3", "Last-Event-ID", "2")).remaining(), "3 done")
+		checkEvents(t, format+", after the end", stream.remaining(), "")
+		checkEvents(t, format+", repeat", dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "r2")).remaining(), "1 started, 2 progress, 3 done")
+		checkEvents(t, format+", reconnect", dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "r3", "Last-Event-ID", "2")).remaining(), "3 done")
 		for last, want := range map[string]int{"3": 204, "4": 502, "x": 400} {
 			if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Last-Event-ID", last)); status != want {
-				t.Errorf("%s, Last-Event-ID %s: %d, want %d", dialect, last, status, want)
+				t.Errorf("%s, Last-Event-ID %s: status %d, want %d", format, last, status, want)
 			}
 		}
 		if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Req-Owner", "gwent-pumps")); status != 422 {
-			t.Errorf("%s, another job with the key: %d", dialect, status)
+			t.Errorf("%s, another request with the key: status %d", format, status)
 		}
-		// A key that this dispatcher never had: its job may run elsewhere.
+		// The job of a key that this dispatcher does not know may run elsewhere.
 		if status, body, _ := dispatcher.send(newRequest(dispatcher.progressURL, "lost", "Last-Event-ID", "1")); status != 502 || !strings.Contains(body, "not known") {
-			t.Errorf("%s, unknown key: %d %q", dialect, status, body)
+			t.Errorf("%s, unknown key: status %d %q", format, status, body)
 		}
-		if _, jobs := worker.count(); jobs != 1 {
-			t.Errorf("%s: %d runs", dialect, jobs)
+		if jobs := worker.jobCount(); jobs != 1 {
+			t.Errorf("%s: %d jobs at the worker, want 1", format, jobs)
 		}
 	}
 }
 
-// Before the first event, refusals and failures are HTTP statuses; after it they are events.
+// TestProgress_failuresBeforeAndAfterFirstEvent checks that rejections and failures are HTTP statuses before the first event, and events
+// after it.
 func TestProgress_failuresBeforeAndAfterFirstEvent(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
-		script func(*testWorker, net.Conn, *http.Request)
-		status int
-		events string
+		handler jobHandler
+		status  int
+		events  string
 	}{
-		"declined":          {respondRaw("HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), 503, ""},
-		"failed":            {respondWith(`"state":"failed"`), 502, ""},
-		"silent":            {respondThenStall(), 504, ""},
-		"failed when begun": {respondWith(`"state":"started"`, `"state":"failed"`), 200, "1 started, 2 failed"},
-		"frozen when begun": {respondThenStall(`"state":"started"`), 200, "1 started, 2 failed"},
-		"cut when begun":    {respondRaw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nevent: started\ndata: {}\n\nevent: done\ndata: {}"), 200, "1 started, 2 failed"},
+		"declined":            {respondRaw("HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), 503, ""},
+		"failed":              {respondWith(`"state":"failed"`), 502, ""},
+		"silent":              {respondThenStall(), 504, ""},
+		"failed after start":  {respondWith(`"state":"started"`, `"state":"failed"`), 200, "1 started, 2 failed"},
+		"stalled after start": {respondThenStall(`"state":"started"`), 200, "1 started, 2 failed"},
+		"closed after start":  {respondRaw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nevent: started\ndata: {}\n\nevent: done\ndata: {}"), 200, "1 started, 2 failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			dispatcher := startDispatcher(t, progressFrontend("events"), startWorker(t, "a", test.script))
+			dispatcher := startDispatcher(t, progressFrontend("events"), startWorker(t, "a", test.handler))
 			stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Deadline-Ms", "900"))
 			if stream.response.StatusCode != test.status {
 				t.Errorf("status %d, want %d", stream.response.StatusCode, test.status)
@@ -136,91 +140,97 @@
 			}
 		})
 	}
-	// A job that was refused never ran: a new try of its key is a new run, a reconnect is told of the refusal.
+	// A rejected request never ran: another one with its key is a new job, and a reconnect is answered with the rejection.
 	worker := startWorker(t, "a", respondWith(`"state":"returned"`))
 	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
 	for range 2 {
 		dispatcher.send(newRequest(dispatcher.progressURL, "k", "Req-Deadline-Ms", "300"))
 	}
-	if _, jobs := worker.count(); jobs < 2 {
-		t.Errorf("%d tries came to the worker, want one for each at least", jobs)
+	if jobs := worker.jobCount(); jobs < 2 {
+		t.Errorf("%d attempts at the worker, want one for each of 2 requests at least", jobs)
 	}
 	if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Last-Event-ID", "0")); status != 503 {
-		t.Errorf("reconnect to a refused job: %d", status)
+		t.Errorf("reconnect to a rejected request: status %d", status)
 	}
 }
 
-// Boxes that freeze and cut streams, clients that drop and come back: one final answer an item before its
-// client gives up, no key run twice, and a job whose stream dropped keeps its deadline.
+// reconnected is what a client received that drops its stream after the first event and reconnects.
+type reconnected struct {
+	key          string
+	finalAnswers int
+	last         string // the last final event, or the status that is not 200
+	took         time.Duration
+}
+
+// sendAndReconnect sends a request, drops the stream after its first event, and reads the rest on a second one.
+func (d *testDispatcher) sendAndReconnect(key string) reconnected {
+	result, sentAt := reconnected{key: key}, time.Now()
+	lastEventID := ""
+	for connection := range 2 {
+		headers := []string{"Req-Id", fmt.Sprintf("%s-%d", key, connection)}
+		if lastEventID != "" {
+			headers = append(headers, "Last-Event-ID", lastEventID)
+		}
+		resp, err := http.DefaultClient.Do(newRequest(d.progressURL, key, headers...))
+		if err != nil {
+			break
+		}
+		if resp.StatusCode != 200 {
+			result.finalAnswers, result.last = result.finalAnswers+1, resp.Status
+		}
+		for events := protocol.NewEventReader(resp.Body); resp.StatusCode == 200; {
+			event, err := events.Next()
+			if err != nil {
+				break
+			}
+			if lastEventID = event.ID; event.Name == "done" || event.Name == "failed" || event.Name == "refused" {
+				result.finalAnswers, result.last = result.finalAnswers+1, event.Name
+			}
+			if connection == 0 {
+				break
+			}
+		}
+		resp.Body.Close()
+		if result.finalAnswers > 0 {
+			break
+		}
+	}
+	result.took = time.Since(sentAt)
+	return result
+}
+
+// TestProgress_stalledAndBrokenStreams checks workers that stall and that close their streams, with clients that drop theirs and
+// reconnect: each request has one final answer before its client's limit of 5 s, and no key runs twice or at two workers.
 func TestProgress_stalledAndBrokenStreams(t *testing.T) {
 	t.Parallel()
-	cut := func(worker *testWorker, conn net.Conn, r *http.Request) {
+	closeAfterStart := func(_ *testWorker, conn net.Conn, r *http.Request) {
 		writeHead(conn, "application/json")
 		writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), `"state":"started"`))
 		conn.Close()
 	}
-	frozen, cutting, sound := startWorker(t, "frozen", respondThenStall(`"state":"started"`)), startWorker(t, "cutting", cut), startWorker(t, "sound", completeJob)
-	frozen.cell, cutting.cell, sound.cell = "1", "2", "3" // no repeat may leave its group
-	dispatcher := startDispatcher(t, progressFrontend("lines"), frozen, cutting, sound)
-	const items = 6
-	type result struct {
-		key, last string
-		finals    int
-		took      time.Duration
-	}
-	results := make(chan result, items)
-	for i := range items {
-		go func() {
-			res, begin := result{key: fmt.Sprint("k", i)}, time.Now()
-			seen := ""
-			for try := 0; try < 2; try++ { // the first stream is dropped behind its first event
-				headers := []string{"Req-Id", fmt.Sprintf("%s-%d", res.key, try)}
-				if seen != "" {
-					headers = append(headers, "Last-Event-ID", seen)
-				}
-				resp, err := http.DefaultClient.Do(newRequest(dispatcher.progressURL, res.key, headers...))
-				if err != nil {
-					break
-				}
-				if resp.StatusCode != 200 {
-					res.finals, res.last = res.finals+1, resp.Status
-				}
-				for in := protocol.NewEventReader(resp.Body); resp.StatusCode == 200; {
-					event, err := in.Next()
-					if err != nil {
-						break
-					}
-					if seen = event.ID; event.Name == "done" || event.Name == "failed" || event.Name == "refused" {
-						res.finals, res.last = res.finals+1, event.Name
-					}
-					if try == 0 {
-						break
-					}
-				}
-				resp.Body.Close()
-				if res.finals > 0 {
-					break
-				}
-			}
-			res.took = time.Since(begin)
-			results <- res
-		}()
+	stalling, closing, sound := startWorker(t, "stalling", respondThenStall(`"state":"started"`)), startWorker(t, "closing", closeAfterStart), startWorker(t, "sound", completeJob)
+	stalling.cell, closing.cell, sound.cell = "1", "2", "3" // a retry must not leave the cell
+	dispatcher := startDispatcher(t, progressFrontend("lines"), stalling, closing, sound)
+	const requests = 6
+	results := make(chan reconnected, requests)
+	for i := range requests {
+		go func() { results <- dispatcher.sendAndReconnect(fmt.Sprint("k", i)) }()
 	}
 	ends := map[string]int{}
-	for range items {
-		r := <-results
-		ends[r.last]++
-		if r.finals != 1 || r.took >= 5*time.Second {
-			t.Errorf("%s: %d final answers, %s after %v", r.key, r.finals, r.last, r.took)
+	for range requests {
+		result := <-results
+		ends[result.last]++
+		if result.finalAnswers != 1 || result.took >= 5*time.Second {
+			t.Errorf("%s: %d final answers, %s after %v", result.key, result.finalAnswers, result.last, result.took)
 		}
 	}
 	if ends["done"] == 0 || ends["failed"] == 0 {
-		t.Errorf("ends %v: want some of both", ends)
+		t.Errorf("final answers %v: want some of both kinds", ends)
 	}
-	for _, worker := range []*testWorker{frozen, sound} { // the one that cuts may be sent a job again: its group drops it
-		for key, runs := range worker.runs {
-			for _, other := range []*testWorker{frozen, cutting, sound} {
-				if other != worker && other.runs[key] > 0 {
+	for _, worker := range []*testWorker{stalling, sound} { // the closing one may get a job again: its cell deduplicates it
+		for key, runs := range worker.runsPerKey() {
+			for _, other := range []*testWorker{stalling, closing, sound} {
+				if other != worker && other.runsOf(key) > 0 {
 					t.Errorf("%s ran at %s and at %s", key, worker.id, other.id)
 				}
 			}
@@ -231,33 +241,35 @@
 	}
 }
 
-// A job whose stream dropped is neither cancelled then nor given more time by the client that comes back.
+// TestProgress_droppedStreamKeepsDeadline checks that a job whose stream is dropped is neither cancelled nor gets a later deadline from the
+// reconnect: it ends at its first deadline of 1.2 s.
 func TestProgress_droppedStreamKeepsDeadline(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", respondThenStall(`"state":"started"`))
 	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
-	begin := time.Now()
+	sentAt := time.Now()
 	stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Deadline-Ms", "1200"))
 	stream.next()
 	stream.response.Body.Close()
-	back := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "again", "Req-Deadline-Ms", "5000", "Last-Event-ID", "1"))
+	reconnect := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "again", "Req-Deadline-Ms", "5000", "Last-Event-ID", "1"))
 	if len(worker.abandoned) > 0 {
-		t.Error("the call was given up when the stream dropped")
+		t.Error("the attempt was cancelled when the stream was dropped")
 	}
-	checkEvents(t, "reconnect", back.remaining(), "2 failed")
-	if took := time.Since(begin); took < time.Second || took > 3*time.Second {
+	checkEvents(t, "reconnect", reconnect.remaining(), "2 failed")
+	if took := time.Since(sentAt); took < time.Second || took > 3*time.Second {
 		t.Errorf("ended after %v, want its first deadline of 1.2 s", took)
 	}
-	if _, jobs := worker.count(); jobs != 1 {
-		t.Errorf("%d runs", jobs)
+	if jobs := worker.jobCount(); jobs != 1 {
+		t.Errorf("%d jobs at the worker, want 1", jobs)
 	}
 }
 
-// A reader that takes nothing holds up nobody.
+// TestProgress_slowReader checks that clients which read nothing do not delay others beyond 2 s, and that a request beyond the limit of
+// eight jobs by key is rejected before it runs.
 func TestProgress_slowReader(t *testing.T) {
 	t.Parallel()
-	big := respondWith(`"state":"started"`, `"state":"done","result":"`+strings.Repeat("x", 60<<10)+`"`)
-	dispatcher := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", big))
+	respondLarge := respondWith(`"state":"started"`, `"state":"done","result":"`+strings.Repeat("x", 60<<10)+`"`)
+	dispatcher := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", respondLarge))
 	for i := range 3 {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.progressURL, "http://"))
 		if err != nil {
@@ -268,24 +280,24 @@
 		newRequest(dispatcher.progressURL, fmt.Sprint("slow", i)).Write(conn)
 	}
 	for i := range 4 {
-		begin := time.Now()
-		if got := dispatcher.openStream(newRequest(dispatcher.progressURL, fmt.Sprint(i))).remaining(); len(got) != 2 || time.Since(begin) > 2*time.Second {
-			t.Errorf("job %d: %v after %v", i, got, time.Since(begin))
+		sentAt := time.Now()
+		if events := dispatcher.openStream(newRequest(dispatcher.progressURL, fmt.Sprint(i))).remaining(); len(events) != 2 || time.Since(sentAt) > 2*time.Second {
+			t.Errorf("request %d: %v after %v", i, events, time.Since(sentAt))
 		}
 	}
-	// The table is bounded: seven jobs are kept, an eighth goes in, a ninth is refused before it runs.
+	// Seven jobs are in the table.
 	dispatcher.openStream(newRequest(dispatcher.progressURL, "eighth")).remaining()
 	if status, _, after := dispatcher.send(newRequest(dispatcher.progressURL, "ninth")); status != 503 || after == "" {
-		t.Errorf("past the bound: %d, Retry-After %q", status, after)
+		t.Errorf("beyond the limit: status %d, Retry-After %q", status, after)
 	}
 }
 
-// While the program is replaced, a key still has one job: who comes to either process for it attaches to it, and its
-// end is remembered by the successor when the predecessor is gone.
+// TestProgress_handover checks that a key has one job during a handover, to which clients of either process are attached, and that the
+// successor has its events when the predecessor has ended.
 func TestProgress_handover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
+	worker := startWorker(t, "a", func(_ *testWorker, conn net.Conn, r *http.Request) {
 		writeHead(conn, "application/json")
 		id := r.Header.Get("Req-Id")
 		writeChunk(conn, jobMessage(id, `"state":"started"`))
@@ -295,33 +307,30 @@
 	})
 	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
 	first := dispatcher.openStream(newRequest(dispatcher.progressURL, "k"))
-	checkEvents(t, "before", []string{first.next().Name}, "started")
+	checkEvents(t, "before the handover", []string{first.next().Name}, "started")
 	successor := dispatcher.startSuccessor(progressFrontend("lines"))
 	if successor.progressURL != dispatcher.progressURL {
-		t.Fatalf("progress is served at %s, not at %s", successor.progressURL, dispatcher.progressURL)
+		t.Fatalf("the successor serves progress at %s, not at %s", successor.progressURL, dispatcher.progressURL)
 	}
 	dispatcher.waitForHandovers(1)
 	http.DefaultClient.CloseIdleConnections()
-	again := newRequest(successor.progressURL, "k", "Req-Id", "again")
-	second := successor.openStream(again)
+	second := successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "again"))
 	checkEvents(t, "at the successor", []string{second.next().Name}, "started")
 	other := successor.openStream(newRequest(successor.progressURL, "other"))
-	checkEvents(t, "another job there", []string{other.next().Name}, "started")
+	checkEvents(t, "another job at the successor", []string{other.next().Name}, "started")
 	dispatcher.terminate()
 	close(release)
 	checkEvents(t, "the first stream", first.remaining(), "2 done")
 	checkEvents(t, "the second stream", second.remaining(), "2 done")
 	checkEvents(t, "the other stream", other.remaining(), "2 done")
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
-	successor.waitFor("the end of the predecessor", func() bool { return strings.Contains(successor.log(), "predecessor ended") })
-	checkEvents(t, "what the successor remembers", successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "later")).remaining(), "1 started, 2 done")
-	checkEvents(t, "the rest of it", successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "rest", "Last-Event-ID", "1")).remaining(), "2 done")
-	if resp := successor.openStream(newRequest(successor.progressURL, "never", "Last-Event-ID", "1")); resp.response.StatusCode != 502 {
-		t.Errorf("a key that neither knows: %d", resp.response.StatusCode)
+	successor.waitForPredecessorEnd()
+	checkEvents(t, "from the start, at the successor alone", successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "later")).remaining(), "1 started, 2 done")
+	checkEvents(t, "from the second event, at the successor alone", successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "rest", "Last-Event-ID", "1")).remaining(), "2 done")
+	if stream := successor.openStream(newRequest(successor.progressURL, "never", "Last-Event-ID", "1")); stream.response.StatusCode != 502 {
+		t.Errorf("a key that neither knows: status %d", stream.response.StatusCode)
 	}
-	worker.mu.Lock()
-	defer worker.mu.Unlock()
-	if worker.runs["k"] != 1 || worker.runs["other"] != 1 || worker.runs["never"] != 0 {
-		t.Errorf("runs by key: %v", worker.runs)
+	if runs := worker.runsPerKey(); runs["k"] != 1 || runs["other"] != 1 || runs["never"] != 0 {
+		t.Errorf("runs per key: %v, want one of k and of other", runs)
 	}
 }
--- a/cmd/brassdale/pushed_lists_test.go
+++ b/cmd/brassdale/pushed_lists_test.go
@@ -7,81 +7,66 @@
 	"testing"
 )
 
-// pushed has lists pushed: discovery's address is an agent's.
-func withPushedLists(config string) string {
-	return strings.Replace(config, `"discovery":"ask"`, `"discovery":"push"`, 1)
-}
+// withPushedLists is a change of the platform's file to lists that are pushed: discovery's address is an agent's.
+var withPushedLists = withSetting(`"discovery":"ask"`, `"discovery":"push"`)
 
-// leaves has the agent tell that a worker drains, waits until the program has heard it, and others that clients may still reach
-// at its address, and then looks that the worker gets no job while another does.
-func (d *testDispatcher) drainAndCheck(discovery *testDiscovery, worker, stays *testWorker, others ...*testDispatcher) {
+// drainAndCheck has the agent list one worker as draining and the other as active, waits until this process and the others that
+// listen at its address know that, and checks that ten requests are served without the draining worker.
+func (d *testDispatcher) drainAndCheck(agent *testDiscovery, draining, active *testWorker, others ...*testDispatcher) {
 	d.t.Helper()
-	discovery.update(func() { worker.phase, stays.phase, discovery.hanging = "leaving", "active", false })
-	for _, other := range append(others, d) {
-		other.waitFor("what the agent has", func() bool {
-			return strings.Contains(other.log(), fmt.Sprintf("msg=\"endpoint list updated\" revision=%d ", discovery.revision))
-		})
-	}
-	_, before := worker.count()
-	for i := range 10 {
-		if status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprintf("%s-%d-%d", worker.id, discovery.revision, i))); status != 200 {
-			d.t.Errorf("status %d", status)
-		}
+	agent.update(func() { draining.phase, active.phase, agent.hanging = "leaving", "active", false })
+	for _, dispatcher := range append(others, d) {
+		dispatcher.waitForLog(fmt.Sprintf("msg=\"endpoint list updated\" revision=%d ", agent.revision))
 	}
-	if _, after := worker.count(); after != before {
-		d.t.Errorf("%s drains and got %d jobs", worker.id, after-before)
+	before := draining.jobCount()
+	d.checkServed(fmt.Sprintf("%s-%d-", draining.id, agent.revision), 10)
+	if after := draining.jobCount(); after != before {
+		d.t.Errorf("%d requests at worker %s, which drains", after-before, draining.id)
 	}
 }
 
-// hangs has the agent fall silent until a call to it was given up.
-func (d *testDispatcher) stallDiscovery(discovery *testDiscovery) {
+// stallAgent has the agent leave calls unanswered until one has failed.
+func (d *testDispatcher) stallAgent(agent *testDiscovery) {
 	d.t.Helper()
-	discovery.update(func() { discovery.hanging = true })
+	agent.update(func() { agent.hanging = true })
 	failed := strings.Count(d.log(), "discovery call failed")
-	d.waitFor("a call given up", func() bool {
-		// The same fault again is not logged: the calls tell.
-		discovery.mu.Lock()
-		defer discovery.mu.Unlock()
-		return strings.Count(d.log(), "discovery call failed") > failed
-	})
+	d.waitFor("a failed call", func() bool { return strings.Count(d.log(), "discovery call failed") > failed })
 }
 
-// Where lists are pushed nobody but the actor of the endpoint list asks the agent. It was read once, at the start: all that
-// drained later got jobs for good. It is watched from the start, through silence, a move at SIGHUP and a replacement.
+// TestPushedLists_drains checks that drains of a pushed list are observed after the start, after the agent has left calls unanswered,
+// after a reload has moved discovery to another agent, and during a handover.
 func TestPushedLists_drains(t *testing.T) {
 	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
 	dispatcher := startDispatcherWith(t, "", withPushedLists, workerA, workerB)
 	dispatcher.drainAndCheck(dispatcher.discovery, workerA, workerB)
-	dispatcher.stallDiscovery(dispatcher.discovery)
-	dispatcher.drainAndCheck(dispatcher.discovery, workerB, workerA) // it drained while the agent was silent
+	dispatcher.stallAgent(dispatcher.discovery)
+	dispatcher.drainAndCheck(dispatcher.discovery, workerB, workerA) // it began to drain while the agent did not answer
 
-	moved := &testDiscovery{revision: 100, workers: []*testWorker{workerA, workerB}, changed: make(chan struct{})}
-	to := httptest.NewServer(moved)
-	t.Cleanup(to.CloseClientConnections)
-	_, rest, _ := strings.Cut(dispatcher.config, `"discovery":"`)
-	old, _, _ := strings.Cut(rest, `"`)
-	dispatcher.config = strings.Replace(dispatcher.config, old, to.Listener.Addr().String(), 1)
+	otherAgent := newTestDiscovery(workerA, workerB)
+	otherAgent.revision = 100
+	server := httptest.NewServer(otherAgent)
+	t.Cleanup(server.CloseClientConnections)
+	dispatcher.config = withDiscoveryAddress(dispatcher.config, server.Listener.Addr().String())
 	dispatcher.reload(dispatcher.config)
-	dispatcher.waitFor("the other agent's list", func() bool { return strings.Contains(dispatcher.log(), "msg=\"endpoint list updated\" revision=100 ") })
-	dispatcher.drainAndCheck(moved, workerA, workerB)
+	dispatcher.waitForLog("msg=\"endpoint list updated\" revision=100 ")
+	dispatcher.drainAndCheck(otherAgent, workerA, workerB)
 
-	successor := &testDispatcher{t: t, discovery: moved, tempDir: dispatcher.tempDir, exited: make(chan struct{})}
-	successor.startProcess(dispatcher.config, "")
-	successor.waitUntilReady("")
+	successor := dispatcher.startSuccessor("")
 	dispatcher.waitForHandovers(1)
-	successor.drainAndCheck(moved, workerB, workerA, dispatcher) // a connection that was kept leads to the process that is being replaced
+	successor.drainAndCheck(otherAgent, workerB, workerA, dispatcher) // an idle connection of the client may lead to the predecessor
 	dispatcher.terminate()
 }
 
-// A start while the agent is silent goes by the list that the program was given, and hears what drained as soon as the
-// agent speaks.
+// TestPushedLists_agentSilentAtStart checks that a dispatcher whose agent does not answer starts with the list of the platform's file,
+// and observes a drain as soon as the agent answers.
 func TestPushedLists_agentSilentAtStart(t *testing.T) {
 	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
-	dispatcher := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: []*testWorker{workerA, workerB}, changed: make(chan struct{}), hanging: true}, exited: make(chan struct{})}
+	dispatcher := newTestDispatcher(t, newTestDiscovery(workerA, workerB))
+	dispatcher.discovery.hanging = true
 	dispatcher.start("", withPushedLists)
 	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "first")); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("a request before the agent answers: status %d", status)
 	}
-	dispatcher.waitFor("a call given up", func() bool { return strings.Contains(dispatcher.log(), "discovery call failed") })
+	dispatcher.waitForLog("discovery call failed")
 	dispatcher.drainAndCheck(dispatcher.discovery, workerA, workerB)
 }
--- a/cmd/brassdale/quotas_test.go
+++ b/cmd/brassdale/quotas_test.go
@@ -2,19 +2,14 @@
 
 import (
 	"fmt"
-	"net"
-	"net/http"
-	"strings"
 	"testing"
 )
 
-// With one account at five times its share, the others get theirs, counted over both ports together.
+// TestQuotas_atBothFrontends checks that the accounts' shares of 20 open requests are counted over both frontends together: an account that
+// sends five times its share gets half of the capacity while it is alone, and the others still get their shares.
 func TestQuotas_atBothFrontends(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	long := func(config string) string { // none ends by itself
-		return strings.Replace(config, `"deadline":5000000`, `"deadline":60000000`, 1)
-	}
 	dispatcher := startDispatcherWith(t, http2Frontend+`
 accounts {
   room = 20
@@ -22,18 +17,17 @@
   account "second" { share = 0.25 }
   account "third" { share = 0.5 }
 }
-`, long, startWorkers(t, 10, func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })...)
-	second := newHTTP2Client(t)
-	open, refused := map[string]int{}, map[string]int{}
+`, withLongDeadline, startWorkers(t, 10, completeWhenReleased(release))...)
+	http2Client := newHTTP2Client(t)
+	open, rejected := map[string]int{}, map[string]int{}
 	answers := make(chan string, 100)
-	// ask hands a job in, and returns when it is taken or refused.
-	hand := func(account string, i int) {
-		key := fmt.Sprint(account, "-", i)
-		url, client := dispatcher.http1URL, &http.Client{Transport: &http.Transport{}}
-		if i%2 == 1 {
-			url, client = dispatcher.http2URL, second
+	send := func(account string, index int) { // returns when the request is accepted or rejected
+		key := fmt.Sprint(account, "-", index)
+		url, client := dispatcher.http1URL, newHTTP1Client()
+		if index%2 == 1 {
+			url, client = dispatcher.http2URL, http2Client
 		}
-		taken := dispatcher.metric("concurrent")
+		before := dispatcher.metric("concurrent")
 		done := make(chan int, 1)
 		go func() {
 			status, _, header := trySend(client, newRequest(url, key, "Req-Owner", account, "Req-Deadline-Ms", "60000"))
@@ -43,79 +37,76 @@
 			done <- status
 			answers <- fmt.Sprint(account, " ", status)
 		}()
-		dispatcher.waitFor("the job's fate", func() bool {
+		dispatcher.waitFor("an accepted or rejected request", func() bool {
 			select {
 			case status := <-done:
 				if status != 503 {
-					t.Errorf("%s: %d", key, status)
+					t.Errorf("%s: status %d, or 503 without Retry-After", key, status)
 				}
-				refused[account]++
+				rejected[account]++
 				return true
 			default:
 			}
-			return dispatcher.metric("concurrent") == taken+1
+			return dispatcher.metric("concurrent") == before+1
 		})
-		if dispatcher.metric("concurrent") == taken+1 {
+		if dispatcher.metric("concurrent") == before+1 {
 			open[account]++
 		}
 	}
-	for i := range 25 { // alone it gets half of the room, five times its share
-		hand("greedy", i)
+	for i := range 25 { // alone it gets half of the capacity, five times its share
+		send("greedy", i)
 	}
 	for i := range 5 {
-		hand("second", i)
+		send("second", i)
 	}
 	for i := range 4 {
-		hand("third", i)
+		send("third", i)
 	}
-	hand("greedy", 25)
-	if open["greedy"] != 10 || open["second"] != 5 || open["third"] != 4 || refused["greedy"] != 16 {
-		t.Errorf("open %v, refused %v", open, refused)
+	send("greedy", 25)
+	if open["greedy"] != 10 || open["second"] != 5 || open["third"] != 4 || rejected["greedy"] != 16 {
+		t.Errorf("open %v, rejected %v", open, rejected)
 	}
 	close(release)
-	served := map[string]int{}
+	counts := map[string]int{} // by account and status
 	for range 35 {
-		served[<-answers]++
+		counts[<-answers]++
 	}
-	if served["greedy 200"] != 10 || served["second 200"] != 5 || served["third 200"] != 4 || served["greedy 503"] != 16 {
-		t.Errorf("answers %v", served)
+	if counts["greedy 200"] != 10 || counts["second 200"] != 5 || counts["third 200"] != 4 || counts["greedy 503"] != 16 {
+		t.Errorf("answers %v", counts)
 	}
 }
 
-// While one process replaces the other, accounts share one room: what the old one has open is not given out again.
+// TestQuotas_handover checks that both processes of a handover share one capacity: what the predecessor has open is not granted again.
 func TestQuotas_handover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	long := func(config string) string {
-		return strings.Replace(config, `"deadline":5000000`, `"deadline":60000000`, 1)
-	}
 	operator := http2Frontend + "accounts {\n  room = 10\n  account \"a\" { share = 0.5 }\n  account \"b\" { share = 0.5 }\n}\n"
-	dispatcher := startDispatcherWith(t, operator, long, startWorkers(t, 6, func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })...)
+	dispatcher := startDispatcherWith(t, operator, withLongDeadline, startWorkers(t, 6, completeWhenReleased(release))...)
 	answers := make(chan int, 20)
-	hand := func(to *testDispatcher, account string, many int) {
+	open := func(at *testDispatcher, account string, count int) {
 		t.Helper()
-		before := to.metric("concurrent")
-		for i := range many {
+		before := at.metric("concurrent")
+		for i := range count {
 			go func() {
-				status, _, _ := trySend(&http.Client{Transport: &http.Transport{}}, newRequest(to.http1URL, fmt.Sprint(account, "-", i), "Req-Owner", account, "Req-Deadline-Ms", "60000"))
+				status, _, _ := trySend(newHTTP1Client(), newRequest(at.http1URL, fmt.Sprint(account, "-", i), "Req-Owner", account, "Req-Deadline-Ms", "60000"))
 				answers <- status
 			}()
 		}
-		to.waitFor("the jobs", func() bool { return to.metric("concurrent") == before+many })
+		at.waitForMetric("concurrent", before+count)
 	}
-	hand(dispatcher, "a", 5)
+	open(dispatcher, "a", 5)
 	successor := dispatcher.startSuccessor(operator)
 	dispatcher.waitForHandovers(1)
-	successor.waitFor("word of the old one's jobs", func() bool { return successor.metric("accounts_room") == 5 })
-	hand(successor, "b", 3) // its share of five, and what is left free beside as much
+	successor.waitForMetric("accounts_room", 5)
+	open(successor, "b", 3) // half of the five that are free, and what then remains beside the other share
 	status, _, after := dispatcher.send(newRequest(successor.http1URL, "one-more", "Req-Owner", "b"))
 	if status != 503 || after == "" {
-		t.Errorf("past the room: %d", status)
+		t.Errorf("beyond the capacity: status %d", status)
 	}
 	close(release)
 	for range 8 {
 		if status := <-answers; status != 200 {
-			t.Errorf("a job that was taken: %d", status)
+			t.Errorf("an accepted request: status %d", status)
 		}
 	}
 }
--- a/cmd/brassdale/requests_test.go
+++ b/cmd/brassdale/requests_test.go
@@ -8,6 +8,8 @@
 	"testing"
 )
 
+// TestRequest_servedOrRejectedAsInvalid checks what of a request reaches a worker, and with which status invalid requests are answered;
+// none of those reaches a worker.
 func TestRequest_servedOrRejectedAsInvalid(t *testing.T) {
 	t.Parallel()
 	var got http.Header
@@ -18,11 +20,11 @@
 	})
 	dispatcher := startDispatcher(t, "", worker)
 	if status, body, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k1")); status != 200 || body != "priced" {
-		t.Errorf("a job: %d %q", status, body)
+		t.Errorf("a valid request: status %d %q", status, body)
 	}
 	for name, want := range map[string]string{"Req-Id": "id-k1", "Idempotency-Key": "k1", "Target": "/price-part?sheet=7", "Body": "drawing"} {
 		if got.Get(name) != want {
-			t.Errorf("%s came to the endpoint as %q", name, got.Get(name))
+			t.Errorf("%s reached the worker as %q", name, got.Get(name))
 		}
 	}
 	resp, err := http.Get(dispatcher.http1URL + "/price-part")
@@ -30,12 +32,12 @@
 		t.Errorf("GET: %v %v", resp, err)
 	}
 	large := newRequest(dispatcher.http1URL, "k2")
-	large.Body, large.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 64<<10+1))), -1
+	setBody(large, 64<<10+1, -1)
 	unknown := newRequest(dispatcher.http1URL, "k3")
 	unknown.URL.Path = "/paint"
 	for name, test := range map[string]struct {
-		r      *http.Request
-		status int
+		request *http.Request
+		status  int
 	}{
 		"too large":       {large, 413},
 		"unknown class":   {unknown, 404},
@@ -49,41 +51,38 @@
 		"extra":           {newRequest(dispatcher.http1URL, "k", "Req-Extra", "slots=many"), 400},
 		"extra and noise": {newRequest(dispatcher.http1URL, "k4", "Req-Extra", "slots=2,new=1"), 200},
 	} {
-		if status, body, _ := dispatcher.send(test.r); status != test.status {
-			t.Errorf("%s: %d %q, want %d", name, status, body, test.status)
+		if status, body, _ := dispatcher.send(test.request); status != test.status {
+			t.Errorf("%s: status %d %q, want %d", name, status, body, test.status)
 		}
 	}
 	for _, text := range []string{"POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: -4\r\n\r\n", "POST /price-part HTTP/1.1\r\nHost: h\r\nReq Id: 1\r\n\r\n"} {
-		conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.http1URL, "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		conn := dispatcher.dial()
 		io.WriteString(conn, text)
 		if answer, _ := io.ReadAll(conn); !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") {
 			t.Errorf("%q: answered %q", text, answer)
 		}
 		conn.Close()
 	}
-	if _, jobs := worker.count(); jobs != 2 {
-		t.Errorf("%d jobs came to the endpoint, want 2", jobs)
+	if jobs := worker.jobCount(); jobs != 2 {
+		t.Errorf("%d jobs at the worker, want 2", jobs)
 	}
 }
 
-// An id is of one open request: a second one under it is turned away, and the first is served.
+// TestRequestID_alreadyOpen checks that a second request with the ID of an open one is answered 409, and the first is served.
 func TestRequestID_alreadyOpen(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	worker := startWorker(t, "a", completeWhenReleased(release))
 	dispatcher := startDispatcher(t, "", worker)
 	answered := dispatcher.sendInBackground(worker, "k")
 	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "other", "Req-Id", "id-k")); status != 409 {
-		t.Errorf("the id of an open request: %d", status)
+		t.Errorf("the ID of an open request: status %d", status)
 	}
 	close(release)
 	if status := <-answered; status != 200 {
-		t.Errorf("the request whose id it was: %d", status)
+		t.Errorf("the first request: status %d", status)
 	}
 	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "later", "Req-Id", "id-k")); status != 200 {
-		t.Errorf("the id of a request that is over: %d", status)
+		t.Errorf("the ID of an answered request: status %d", status)
 	}
 }
--- a/cmd/brassdale/shutdown_test.go
+++ b/cmd/brassdale/shutdown_test.go
@@ -13,39 +13,41 @@
 	"time"
 )
 
-// SIGTERM: not ready at once, all that is open answered, then the end, by itself.
+// TestShutdown_answersOpenRequest checks that a process is not ready after SIGTERM while its listener is still open, answers the open
+// request, and ends by itself.
 func TestShutdown_answersOpenRequest(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeJob(worker, conn, r) })
+	worker := startWorker(t, "a", completeWhenReleased(release))
 	dispatcher := startDispatcher(t, "", worker)
 	answered := dispatcher.sendInBackground(worker, "k")
 	dispatcher.terminate()
 	dispatcher.waitFor("not ready", func() bool {
 		resp, err := http.Get(dispatcher.http1URL + "/health/ready")
 		if err != nil {
-			t.Fatal("closed at once, though the front still brings clients:", err)
+			t.Fatal("the listener was closed at once, while clients still come:", err)
 		}
 		resp.Body.Close()
 		return resp.StatusCode == 503
 	})
-	dispatcher.waitFor("the listener closed", dispatcher.refusesConnections)
+	dispatcher.waitFor("a closed listener", dispatcher.refusesConnections)
 	close(release)
 	if status := <-answered; status != 200 {
-		t.Errorf("the open job: %d", status)
+		t.Errorf("the open request: status %d", status)
 	}
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 }
 
-// After SIGTERM the platform kills 0.7 s after the longest deadline, of which it counts 3 s at most. Until
-// shortly before, clients are served on, also on new connections; then a job whose endpoint is silent gets its answer.
+// TestShutdown_servesUntilShortlyBeforeKill checks that for 1 s after SIGTERM clients are served, also on new connections, and that a
+// request whose worker stalls is answered before the process ends within 3.7 s: the platform kills it 0.7 s after the longest deadline,
+// of which it counts 3 s at most.
 func TestShutdown_servesUntilShortlyBeforeKill(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", stallOnStuckKeys)
 	dispatcher := startDispatcher(t, "", worker)
-	kept := &http.Client{Transport: &http.Transport{}}
-	ask := func(key string) int {
-		resp, err := kept.Do(newRequest(dispatcher.http1URL, key))
+	client := newHTTP1Client() // with an idle connection of its own
+	send := func(key string) int {
+		resp, err := client.Do(newRequest(dispatcher.http1URL, key))
 		if err != nil {
 			t.Fatalf("%s: %v", key, err)
 		}
@@ -54,37 +56,32 @@
 		return resp.StatusCode
 	}
 	answered := dispatcher.sendInBackground(worker, "stuck")
-	ask("before")
-	begin := time.Now()
+	send("before")
+	terminatedAt := time.Now()
 	dispatcher.terminate()
-	for i := 0; time.Since(begin) < time.Second; i++ {
-		if status := ask(fmt.Sprint("kept-", i)); status != 200 {
-			t.Errorf("on a kept connection: %d", status)
-		}
-		if conn := dispatcher.dial(); conn != nil { // the front may have nobody else to bring a client to
-			conn.Close()
+	for i := 0; time.Since(terminatedAt) < time.Second; i++ {
+		if status := send(fmt.Sprint("idle-", i)); status != 200 {
+			t.Errorf("on an idle connection: status %d", status)
 		}
+		dispatcher.dial().Close() // there may be no other dispatcher for the client
 	}
 	if status := <-answered; status != 502 && status != 504 {
-		t.Errorf("the stuck job: %d", status)
+		t.Errorf("a request whose worker stalls: status %d", status)
 	}
-	dispatcher.waitFor("the end", func() bool { return strings.Contains(dispatcher.log(), "msg=\"shutdown complete\"") })
-	took := time.Since(begin) // the race detector holds up the exit itself by a second
+	dispatcher.waitForLog("msg=\"shutdown complete\"")
+	took := time.Since(terminatedAt) // the exit itself takes a second more under the race detector
 	if <-dispatcher.exited; took > 3700*time.Millisecond || dispatcher.command.ProcessState.ExitCode() != 0 {
-		t.Errorf("exit code %d after %v: it would have been killed", dispatcher.command.ProcessState.ExitCode(), took)
+		t.Errorf("exit code %d after %v, want 0 within 3.7 s", dispatcher.command.ProcessState.ExitCode(), took)
 	}
 }
 
-// While it leaves no new connection comes: when all are busy, the platform's front tells whoever wants one that
-// nobody is here, and sends no more requests on those that come free either. So the last free ones are kept free,
-// by a refusal that leaves the connection open.
+// TestShutdown_reservesFreeConnections checks that during a shutdown requests on the last free connections are rejected with advice to
+// retry, and the connections stay open. No new connections come then, and if all were busy, the platform's load balancer would count
+// the process as gone and send no more requests on those that become free either.
 func TestShutdown_reservesFreeConnections(t *testing.T) {
 	t.Parallel()
-	var workers []*testWorker // so many that all jobs are taken at once: one that the module refuses frees its connection
-	for i := range 12 {
-		workers = append(workers, startWorker(t, fmt.Sprint("worker-", i), stallOnStuckKeys))
-	}
-	dispatcher := startDispatcherWith(t, "", withoutLateWeight, workers...) // what waits here is refused soon
+	workers := startWorkers(t, 12, stallOnStuckKeys)                        // enough to accept all at once: a rejected request frees its connection
+	dispatcher := startDispatcherWith(t, "", withoutLateWeight, workers...) // what waits is rejected soon
 	for i := range 30 {
 		if err := newRequest(dispatcher.http1URL, fmt.Sprint("stuck-", i)).Write(dispatcher.dial()); err != nil {
 			t.Fatal(err)
@@ -92,7 +89,7 @@
 	}
 	free, other := dispatcher.dial(), dispatcher.dial()
 	reader := bufio.NewReader(free)
-	ask := func(i int) *http.Response {
+	send := func(i int) *http.Response {
 		if err := newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)).Write(free); err != nil {
 			t.Fatal(err)
 		}
@@ -103,37 +100,36 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp
 	}
-	io.WriteString(other, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n") // no job: it stays free
-	dispatcher.waitFor("all jobs at the endpoints", func() bool { return totalJobs(workers...) >= 30 })
+	io.WriteString(other, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n") // no request of a class: the connection stays free
+	dispatcher.waitFor("30 jobs at the workers", func() bool { return totalJobs(workers...) >= 30 })
 	dispatcher.terminate()
-	i, resp := 0, (*http.Response)(nil)
-	dispatcher.waitFor("a refusal for the sake of the last free connections", func() bool {
-		resp = ask(i)
-		i++
+	sent, resp := 0, (*http.Response)(nil)
+	dispatcher.waitFor("a rejection on the last free connections", func() bool {
+		resp = send(sent)
+		sent++
 		return strings.Contains(dispatcher.log(), "last free connections during shutdown")
 	})
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Close {
-		t.Errorf("answered %d, Retry-After %q, closes %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
+		t.Errorf("status %d, Retry-After %q, connection closed: %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
 	}
 }
 
-// Where deadlines are short, the door stays open for a part of the time that is left, and all that comes is answered.
+// TestShutdown_shortDeadlines checks that for 0.4 s after SIGTERM new connections are accepted and served, also where all deadlines are
+// as short.
 func TestShutdown_shortDeadlines(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
-	dispatcher := startDispatcherWith(t, "", func(config string) string {
-		return strings.Replace(config, `"deadline":5000000`, `"deadline":400000`, 1)
-	}, worker)
+	dispatcher := startDispatcherWith(t, "", withSetting(`"deadline":5000000`, `"deadline":400000`), worker)
 	dispatcher.send(newRequest(dispatcher.http1URL, "before"))
 	dispatcher.terminate()
-	for i, begin := 0, time.Now(); time.Since(begin) < 400*time.Millisecond; i++ {
+	for i, terminatedAt := 0, time.Now(); time.Since(terminatedAt) < 400*time.Millisecond; i++ {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.http1URL, "http://"))
 		if err != nil {
-			t.Fatalf("%v behind SIGTERM: %v", time.Since(begin), err)
+			t.Fatalf("no connection %v after SIGTERM: %v", time.Since(terminatedAt), err)
 		}
 		newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)).Write(conn)
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v behind SIGTERM: %v", time.Since(begin), err)
+			t.Fatalf("not served %v after SIGTERM: %v", time.Since(terminatedAt), err)
 		}
 		conn.Close()
 		time.Sleep(20 * time.Millisecond)
@@ -141,39 +137,39 @@
 	dispatcher.waitForExit(time.Now().Add(3 * time.Second))
 }
 
-// SIGTERM with a job out, one whose body is half here, one that waits behind another on its connection, and a client that
-// rests and sends on until its connection ends; with SIGHUP and a second SIGTERM in between, and a worker that hangs. Each
-// whole request that was read is answered, and no connection is reset.
+// TestShutdown_requestsInEachState checks a shutdown, with SIGHUP and a second SIGTERM in between, with a request whose worker stalls, one
+// whose body is half received, one that is pipelined behind another, and a client that sends requests until its connection ends. Each
+// complete request that was read is answered, and no connection is reset.
 func TestShutdown_requestsInEachState(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", stallOnStuckKeys)
 	dispatcher := startDispatcher(t, "", worker)
-	hung, half, piped, rests := dispatcher.dial(), dispatcher.dial(), dispatcher.dial(), dispatcher.dial()
-	newRequest(dispatcher.http1URL, "stuck-1").Write(hung)
+	stalled, half, pipelined, repeating := dispatcher.dial(), dispatcher.dial(), dispatcher.dial(), dispatcher.dial()
+	newRequest(dispatcher.http1URL, "stuck-1").Write(stalled)
 	var text bytes.Buffer
 	newRequest(dispatcher.http1URL, "half").Write(&text)
 	half.Write(text.Bytes()[:text.Len()-3])
-	newRequest(dispatcher.http1URL, "stuck-2").Write(piped)
-	newRequest(dispatcher.http1URL, "behind").Write(piped)
-	dispatcher.waitFor("the jobs at the worker", func() bool { _, jobs := worker.count(); return jobs >= 2 })
-	resting := bufio.NewReader(rests)
-	ask := func(i int) (*http.Response, error) {
-		newRequest(dispatcher.http1URL, fmt.Sprint("rests-", i)).Write(rests)
-		resp, err := http.ReadResponse(resting, nil)
+	newRequest(dispatcher.http1URL, "stuck-2").Write(pipelined)
+	newRequest(dispatcher.http1URL, "behind").Write(pipelined)
+	dispatcher.waitFor("2 jobs at the worker", func() bool { return worker.jobCount() >= 2 })
+	answers := bufio.NewReader(repeating)
+	repeat := func(i int) (*http.Response, error) {
+		newRequest(dispatcher.http1URL, fmt.Sprint("repeat-", i)).Write(repeating)
+		resp, err := http.ReadResponse(answers, nil)
 		if err == nil {
 			io.Copy(io.Discard, resp.Body)
 		}
 		return resp, err
 	}
-	if resp, err := ask(0); err != nil || resp.StatusCode != 200 {
+	if resp, err := repeat(0); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
 	dispatcher.terminate()
 	dispatcher.reload(dispatcher.config)
 	dispatcher.terminate()
 	half.Write(text.Bytes()[text.Len()-3:])
-	answer := func(name string, reader *bufio.Reader) int {
-		resp, err := http.ReadResponse(reader, nil)
+	readStatus := func(name string, conn net.Conn) int {
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			return 0
@@ -181,69 +177,66 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	if got := answer("half read at SIGTERM", bufio.NewReader(half)); got != 200 {
-		t.Errorf("half read at SIGTERM: %d", got)
+	if status := readStatus("half received at SIGTERM", half); status != 200 {
+		t.Errorf("half received at SIGTERM: status %d", status)
 	}
 	var err error
 	for i := 1; err == nil; i++ {
 		var resp *http.Response
-		if resp, err = ask(i); err == nil && resp.StatusCode != 200 && resp.StatusCode != 503 {
-			t.Errorf("on a resting connection: %d", resp.StatusCode)
+		if resp, err = repeat(i); err == nil && resp.StatusCode != 200 && resp.StatusCode != 503 {
+			t.Errorf("on an idle connection: status %d", resp.StatusCode)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a resting connection ended with %v", err)
+		t.Errorf("an idle connection ended with %v", err)
 	}
-	for name, conn := range map[string]net.Conn{"hung": hung, "hung, one behind it": piped} {
-		if got := answer(name, bufio.NewReader(conn)); got != 502 && got != 504 {
-			t.Errorf("%s: %d", name, got)
+	for name, conn := range map[string]net.Conn{"stalled": stalled, "stalled, with one pipelined behind": pipelined} {
+		if status := readStatus(name, conn); status != 502 && status != 504 {
+			t.Errorf("%s: status %d", name, status)
 		}
 	}
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 }
 
-// A process had been told to end. A client wrote its request in pieces, and wrote the last byte 76 ms behind the end of the process
-// ("shutdown complete" open_requests=0): its connection had been closed with no answer. A request that is half here when the
-// process ends is refused with a whole answer, so that its client knows that nothing ran, and the last byte is nobody's.
+// TestShutdown_rejectsUnfinishedRequests checks that requests which are not complete when the process ends are answered 503, so that
+// their clients know that nothing ran: one of 10 bytes and one without its last byte, each sent byte by byte.
 func TestShutdown_rejectsUnfinishedRequests(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
-	dispatcher := startDispatcherWith(t, "", func(config string) string {
-		return strings.Replace(config, `"deadline":5000000`, `"deadline":600000`, 1)
-	}, worker)
-	for _, part := range []int{10, -1} { // in its head, and before its last byte
+	dispatcher := startDispatcherWith(t, "", withSetting(`"deadline":5000000`, `"deadline":600000`), worker)
+	for _, size := range []int{10, -1} { // -1: all but the last byte
 		conn := dispatcher.dial()
 		defer conn.Close()
 		var text bytes.Buffer
 		newRequest(dispatcher.http1URL, "half", "Req-Deadline-Ms", "600").Write(&text)
-		if part < 0 {
-			part += text.Len()
+		if size < 0 {
+			size += text.Len()
 		}
 		answered := make(chan error, 1)
 		go func() {
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err == nil && resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("a request of %d bytes, %d of them sent, is answered %d", text.Len(), part, resp.StatusCode)
+				t.Errorf("%d of %d bytes sent: status %d", size, text.Len(), resp.StatusCode)
 			}
 			answered <- err
 		}()
-		go func() { // it goes on until shortly before the kill
-			for i, left := 0, text.Bytes()[:part]; i < part; i++ {
-				conn.Write(left[i : i+1])
+		go func() { // until shortly before the kill
+			for i := range size {
+				conn.Write(text.Bytes()[i : i+1])
 				time.Sleep(5 * time.Millisecond)
 			}
 		}()
 		defer func() {
 			if err := <-answered; err != nil {
-				t.Errorf("%d bytes sent: %v", part, err)
+				t.Errorf("%d bytes sent: %v", size, err)
 			}
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
 	dispatcher.terminate()
 	dispatcher.waitForExit(time.Now().Add(1300 * time.Millisecond))
-	if _, jobs := worker.count(); jobs != 0 {
-		t.Errorf("%d jobs reached the worker", jobs)
+	if jobs := worker.jobCount(); jobs != 0 {
+		t.Errorf("%d jobs at the worker", jobs)
 	}
 }
--- a/cmd/brassdale/support_discovery_test.go
+++ b/cmd/brassdale/support_discovery_test.go
@@ -11,20 +11,40 @@
 	"time"
 )
 
-// registry is discovery: it answers a watch when the list is newer, or fails it.
+// testDiscovery is a discovery service that answers a call when its list is newer than the caller's, or when the call's wait is over.
 type testDiscovery struct {
 	mu              sync.Mutex
 	revision        int
 	workers         []*testWorker
-	failing         bool
-	hanging         bool                     // calls are taken and never answered
-	corrupt         func(list string) string // what is sent in place of a list; nil for the list
-	polledRevisions []int                    // revisions that were asked after, ...
-	pollWaits       []int                    // ... and for how many milliseconds each call may wait
-	silentCalls     int                      // so many of the first calls say nothing more
-	changed         chan struct{}
+	failing         bool                     // calls are answered 503
+	hanging         bool                     // calls are accepted and not answered
+	corrupt         func(list string) string // returns what is sent in place of a list; nil for the list itself
+	polledRevisions []int                    // by call: the revision that the caller has
+	pollWaits       []int                    // by call: how many milliseconds it may wait
+	silentCalls     int                      // so many of the first calls are not answered
+	changed         chan struct{}            // closed and replaced at each update
 }
 
+// newTestDiscovery returns a service with a list of revision 1.
+func newTestDiscovery(workers ...*testWorker) *testDiscovery {
+	return &testDiscovery{revision: 1, workers: workers, changed: make(chan struct{})}
+}
+
+// callCount returns how many calls there were.
+func (d *testDiscovery) callCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.polledRevisions)
+}
+
+// watched reports whether the last call was a watch.
+func (d *testDiscovery) watched() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.pollWaits) > 0 && d.pollWaits[len(d.pollWaits)-1] > 0
+}
+
+// update makes a change and a new revision.
 func (d *testDiscovery) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,6 +54,7 @@
 	d.changed = make(chan struct{})
 }
 
+// listJSON returns the complete list. The caller holds d.mu, or the service does not run yet.
 func (d *testDiscovery) listJSON() string {
 	var lines []string
 	for _, worker := range d.workers {
@@ -43,6 +64,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, d.revision, strings.Join(lines, ","))
 }
 
+// ServeHTTP answers a call.
 func (d *testDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("index"))
 	d.mu.Lock()
@@ -65,7 +87,7 @@
 				return
 			}
 			over = nil
-			continue // with the lock
+			continue // with d.mu locked
 		case <-r.Context().Done():
 			return
 		}
@@ -80,12 +102,12 @@
 	if d.corrupt != nil {
 		whole := len(list)
 		list = d.corrupt(list)
-		w.Header().Set("Content-Length", strconv.Itoa(max(len(list), whole))) // half a list ends early
+		w.Header().Set("Content-Length", strconv.Itoa(max(len(list), whole))) // a truncated list ends early
 	}
 	io.WriteString(w, list)
 }
 
-// member is a line of a list.
+// memberJSON returns a worker's line of an endpoint list.
 func memberJSON(worker *testWorker, phase string) string {
 	line, err := json.Marshal(map[string]any{"id": worker.id, "host_port": worker.listener.Addr().String(), "locality": "llanelli", "flavor": "new-worker",
 		"cell": 1, "phase": phase, "size": 1.0, "up_since_ms": 0})
@@ -95,38 +117,37 @@
 	return string(line)
 }
 
-// fleetConfig gives the file of one of several dispatchers that share a discovery.
-func dispatcherConfig(i, dispatchers int, discovery, known string) string {
-	ordinal := fmt.Sprintf(`"ordinal":%d,"replicasOfMe":%d`, i, dispatchers)
+// dispatcherConfig returns the platform's file of one of several dispatchers that share a discovery service. The last byte of the
+// dispatcher's seed is given; known has the lines of the list that the file brings.
+func dispatcherConfig(index, dispatchers int, seed byte, discovery, known string) string {
+	ordinal := fmt.Sprintf(`"ordinal":%d,"replicasOfMe":%d`, index, dispatchers)
 	return fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be9%02x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":0,"complete":true,"members":[%s]},"settings":%s}`,
-		i, discovery, i, known, strings.Replace(settingsJSON, `"replicasOfMe":1`, ordinal, 1))
+		index, discovery, seed, known, strings.Replace(settingsJSON, `"replicasOfMe":1`, ordinal, 1))
 }
 
+// discoveryAddress returns the address of discovery that a platform's file has.
 func discoveryAddress(config string) string {
 	_, rest, _ := strings.Cut(config, `"discovery":"`)
 	address, _, _ := strings.Cut(rest, `"`)
 	return address
 }
 
-// movedTo gives the program's file with another address of discovery.
+// withDiscoveryAddress returns a platform's file with another address of discovery.
 func withDiscoveryAddress(config, address string) string {
-	_, rest, _ := strings.Cut(config, `"discovery":"`)
-	old, _, _ := strings.Cut(rest, `"`)
-	return strings.Replace(config, `"discovery":"`+old+`"`, `"discovery":"`+address+`"`, 1)
+	return strings.Replace(config, `"discovery":"`+discoveryAddress(config)+`"`, `"discovery":"`+address+`"`, 1)
 }
 
-// noKnown drops the list that the platform's file brings.
+// withoutKnownList returns a platform's file without the list that it brings.
 func withoutKnownList(config string) string {
 	before, rest, _ := strings.Cut(config, `"known":`)
 	_, after, _ := strings.Cut(rest, `,"settings"`)
 	return before + `"settings"` + after
 }
 
-// told returns when the program last logged an update of the endpoint list.
+// lastListUpdate returns when the process last logged an update of the endpoint list.
 func (d *testDispatcher) lastListUpdate() time.Time {
 	text := d.log()
-	at := strings.LastIndex(text, "msg=\"endpoint list updated\"")
-	text = text[:at]
+	text = text[:strings.LastIndex(text, "msg=\"endpoint list updated\"")]
 	text = text[strings.LastIndex(text, "time=")+len("time="):]
 	when, _, _ := strings.Cut(text, " ")
 	return must(time.Parse(time.RFC3339Nano, when))
