--- a/cmd/brassdale/support_dispatcher_test.go
+++ b/cmd/brassdale/support_dispatcher_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// The tests start the real program: this binary again, as the child that only runs main.
+// TestMain runs the tests, or the program itself where a test started this binary with BRASSDALE_CHILD: the tests start real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("BRASSDALE_CHILD") != "" {
 		main()
@@ -24,44 +24,53 @@
 	os.Exit(m.Run())
 }
 
+// settingsJSON is the block "settings" of the platform's file. Durations are in microseconds.
 const settingsJSON = `{"classes":[{"aim":200000,"credit":1,"deadline":5000000,"dedupScope":"cell","effect":"keyed","lateWorth":0.1,"name":"price-part","window":7500000}],
 "discovery":"ask","familyInfo":{"classKind":[-1],"classStretch":[2.5],"progress":2000000,"tellsStart":true},"flavors":["new-worker"],
 "limits":{"cancel":true,"connIdle":10000000,"connectTimeout":200000,"maxAttempts":4,"maxRetryAfter":2000000,"mayDuplicate":true,"probing":true,"retryAfter":true,"newKey":1},
 "loadReport":{"columns":["cpu_share","pending","x0","x1"],"via":"pull"},"replicasOfMe":1,
 "rules":{"answerSlack":8000,"askWithin":10000000,"cold":24000000,"drainGrace":500000,"fall":1500000,"startCapacity":0.14,"tipMultiple":3},"zones":["llanelli"]}`
 
-// node is the program under test.
+// testDispatcher is a process of the program under test. Its log is an error of the test if the test fails, or if the process
+// panics or has a data race.
 type testDispatcher struct {
-	t                     testing.TB
-	binary                string // the program's, empty for this one
-	command               *exec.Cmd
-	discovery             *testDiscovery
-	configPath, config    string // the platform's file, and its text at the start
-	operatorPath          string // the operator's file
-	descriptorLimit       int    // that the process may hold; 0 for as many as this one
-	tempDir               string // $TMPDIR
-	http1URL, progressURL string // of the fronts
-	http2URL              string
-	adminURL              string // of the door
-	mu                    sync.Mutex
-	logText               strings.Builder
-	exited                chan struct{}
+	t                  testing.TB
+	binary             string // path of the program; empty for the tests' own binary
+	command            *exec.Cmd
+	discovery          *testDiscovery
+	configPath, config string // path of the platform's file; its text at the start
+	operatorPath       string // path of the operator's file
+	descriptorLimit    int    // of the process; 0 for that of the tests
+	tempDir            string // $TMPDIR of the process
+
+	// Addresses that the log names, as URLs; empty where the frontend is off.
+	http1URL, http2URL, progressURL, adminURL string
+
+	mu      sync.Mutex
+	logText strings.Builder
+	exited  chan struct{} // closed when the process has ended
+}
+
+// newTestDispatcher returns a dispatcher whose process is not started yet.
+func newTestDispatcher(t testing.TB, discovery *testDiscovery) *testDispatcher {
+	return &testDispatcher{t: t, discovery: discovery, exited: make(chan struct{})}
 }
 
+// startDispatcher starts discovery with a list of workers, and a dispatcher with an operator's file; empty for none.
 func startDispatcher(t *testing.T, operator string, workers ...*testWorker) *testDispatcher {
 	t.Helper()
 	return startDispatcherWith(t, operator, func(config string) string { return config }, workers...)
 }
 
-// startWith starts the program with a file that is changed before.
+// startDispatcherWith is startDispatcher with a change of the platform's file before the start.
 func startDispatcherWith(t *testing.T, operator string, change func(string) string, workers ...*testWorker) *testDispatcher {
 	t.Helper()
-	dispatcher := &testDispatcher{t: t, discovery: &testDiscovery{revision: 1, workers: workers, changed: make(chan struct{})}, exited: make(chan struct{})}
+	dispatcher := newTestDispatcher(t, newTestDiscovery(workers...))
 	dispatcher.start(operator, change)
 	return dispatcher
 }
 
-// startHere starts discovery and the program.
+// start starts discovery and the process, and waits until it is ready.
 func (d *testDispatcher) start(operator string, change func(string) string) {
 	d.t.Helper()
 	discovery := httptest.NewServer(d.discovery)
@@ -69,34 +78,70 @@
 	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		discovery.Listener.Addr(), d.discovery.listJSON(), settingsJSON)
 	d.startProcess(change(config), operator)
-	d.waitUntilReady(operator)
+	d.waitUntilReady()
+}
+
+// withSetting returns a change of the platform's file: one text of it is replaced, which it must have.
+func withSetting(old, new string) func(config string) string {
+	return func(config string) string {
+		if !strings.Contains(config, old) {
+			panic(fmt.Sprintf("the platform's file has no %s", old))
+		}
+		return strings.Replace(config, old, new, 1)
+	}
+}
+
+// withLongDeadline is a change of the platform's file by which no request ends at its deadline within a test.
+var withLongDeadline = withSetting(`"deadline":5000000`, `"deadline":60000000`)
+
+// startWithConfig starts a dispatcher with this text as the platform's file, and waits until it is ready.
+func startWithConfig(t testing.TB, config string) *testDispatcher {
+	t.Helper()
+	dispatcher := newTestDispatcher(t, nil)
+	dispatcher.startProcess(config, "")
+	dispatcher.waitUntilReady()
+	return dispatcher
 }
 
-// serves waits until the program takes clients.
-func (d *testDispatcher) waitUntilReady(operator string) {
+// waitUntilReady waits until the process accepts clients, and sets the URLs.
+func (d *testDispatcher) waitUntilReady() {
 	d.t.Helper()
-	d.waitFor("both fronts", func() bool {
+	d.waitFor("readiness", func() bool {
 		d.http1URL, d.progressURL, d.adminURL = d.frontendURL("inbound"), d.frontendURL("progress"), d.frontendURL("admin")
 		d.http2URL = d.frontendURL("http2")
 		return d.http1URL != "" && strings.Contains(d.log(), "msg=ready")
 	})
 }
 
-// successor starts the program again beside itself, as the platform does.
+// startSuccessor starts another process beside this one, with the same file of the platform, as the platform does for a handover.
 func (d *testDispatcher) startSuccessor(operator string) *testDispatcher {
 	d.t.Helper()
-	successor := &testDispatcher{t: d.t, discovery: d.discovery, tempDir: d.tempDir, exited: make(chan struct{})}
-	successor.startProcess(d.config, operator)
-	successor.waitUntilReady(operator)
-	return successor
+	return d.startAgain(d.config, operator)
+}
+
+// startAgain starts another process with this one's discovery and $TMPDIR, and waits until it is ready.
+func (d *testDispatcher) startAgain(config, operator string) *testDispatcher {
+	d.t.Helper()
+	other := newTestDispatcher(d.t, d.discovery)
+	other.tempDir = d.tempDir
+	other.startProcess(config, operator)
+	other.waitUntilReady()
+	return other
+}
+
+// waitForHandovers waits until the process has handed over to so many successors in all.
+func (d *testDispatcher) waitForHandovers(count int) {
+	d.t.Helper()
+	d.waitFor(fmt.Sprint(count, " handovers"), func() bool { return strings.Count(d.log(), "handover complete") == count })
 }
 
-// passesOn waits until so many successors have told the program that they serve.
-func (d *testDispatcher) waitForHandovers(times int) {
+// waitForPredecessorEnd waits until this successor has seen its predecessor end.
+func (d *testDispatcher) waitForPredecessorEnd() {
 	d.t.Helper()
-	d.waitFor("the successor's word", func() bool { return strings.Count(d.log(), "handover complete") == times })
+	d.waitForLog("predecessor ended")
 }
 
+// startProcess writes the files and starts the process, which is killed at the end of the test.
 func (d *testDispatcher) startProcess(config, operator string) {
 	dir := d.t.TempDir()
 	d.configPath, d.config = filepath.Join(dir, "config.json"), config
@@ -125,72 +170,127 @@
 	}
 	go func() { d.command.Wait(); close(d.exited) }()
 	d.t.Cleanup(func() {
-		d.command.Process.Kill()
-		<-d.exited
+		d.kill()
 		if text := d.log(); strings.Contains(text, "DATA RACE") || strings.Contains(text, "panic") || d.t.Failed() {
 			d.t.Errorf("log of the program:\n%s", text)
 		}
 	})
 }
 
+// writeFile replaces a file that the process reads.
 func (d *testDispatcher) writeFile(path, text string) {
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
+// Write appends to the log; the process writes its standard error there.
 func (d *testDispatcher) Write(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.logText.Write(p)
 }
 
+// log returns what the process has logged so far.
 func (d *testDispatcher) log() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.logText.String()
 }
 
-func (d *testDispatcher) frontendURL(front string) string {
-	_, rest, ok := strings.Cut(d.log(), "front="+front+" address=")
-	address, _, whole := strings.Cut(rest, "\n")
-	if !ok || !whole {
+// frontendURL returns where a frontend listens according to the log; empty where it does not.
+func (d *testDispatcher) frontendURL(frontend string) string {
+	_, rest, found := strings.Cut(d.log(), "front="+frontend+" address=")
+	address, _, complete := strings.Cut(rest, "\n")
+	if !found || !complete {
 		return ""
 	}
 	return "http://" + address
 }
 
-func (d *testDispatcher) waitFor(what string, ok func() bool) {
+// waitFor waits for a condition, and fails the test if that takes longer than 10 s.
+func (d *testDispatcher) waitFor(what string, met func() bool) {
 	d.t.Helper()
-	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
+	waitWithin(d.t, 10*time.Second, 2*time.Millisecond, what, met)
+}
+
+// waitWithin checks a condition at an interval until it is met, and fails the test if it is not within the limit.
+func waitWithin(t testing.TB, limit, interval time.Duration, what string, met func() bool) {
+	t.Helper()
+	for end := time.Now().Add(limit); !met(); time.Sleep(interval) {
 		if time.Now().After(end) {
-			d.t.Fatalf("never seen: %s", what)
+			t.Fatalf("not seen within %v: %s", limit, what)
 		}
 	}
 }
 
-// reload replaces the platform's file and tells the program.
+// waitForLog waits until the log has a text.
+func (d *testDispatcher) waitForLog(text string) {
+	d.t.Helper()
+	d.waitFor(fmt.Sprintf("%q in the log", text), func() bool { return strings.Contains(d.log(), text) })
+}
+
+// waitForMetric waits until a metric has a value.
+func (d *testDispatcher) waitForMetric(name string, value int) {
+	d.t.Helper()
+	d.waitFor(fmt.Sprintf("%s=%d", name, value), func() bool { return d.metric(name) == value })
+}
+
+// waitForListSource waits until the endpoint list comes from this source.
+func (d *testDispatcher) waitForListSource(source string) {
+	d.t.Helper()
+	d.waitFor("list_source="+source, func() bool { return d.metricText("list_source") == source })
+}
+
+// waitUntilIdle waits until no request and no HTTP/2 stream is open.
+func (d *testDispatcher) waitUntilIdle() {
+	d.t.Helper()
+	d.waitFor("no open request or stream", func() bool {
+		return d.metric("concurrent") == 0 && d.metric("front.http2.streams") == 0
+	})
+}
+
+// waitForRun waits until a worker has received a key once.
+func (d *testDispatcher) waitForRun(worker *testWorker, key string) {
+	d.t.Helper()
+	d.waitFor(fmt.Sprintf("key %s at worker %s", key, worker.id), func() bool { return worker.runsOf(key) == 1 })
+}
+
+// waitForWatch waits until the last call to discovery is a watch.
+func (d *testDispatcher) waitForWatch() {
+	d.t.Helper()
+	d.waitFor("a watch", d.discovery.watched)
+}
+
+// reload replaces the platform's file and sends SIGHUP.
 func (d *testDispatcher) reload(config string) {
 	d.writeFile(d.configPath, config)
 	d.command.Process.Signal(syscall.SIGHUP)
 }
 
+// terminate sends SIGTERM.
 func (d *testDispatcher) terminate() { d.command.Process.Signal(syscall.SIGTERM) }
 
-// ends waits until the program has ended by itself, in good order.
+// kill ends the process with SIGKILL and waits for its end.
+func (d *testDispatcher) kill() {
+	d.command.Process.Kill()
+	<-d.exited
+}
+
+// waitForExit waits until the process has ended by itself, with exit code 0.
 func (d *testDispatcher) waitForExit(by time.Time) {
 	d.t.Helper()
 	select {
 	case <-d.exited:
 	case <-time.After(time.Until(by)):
-		d.t.Fatal("still runs")
+		d.t.Fatal("the process still runs")
 	}
 	if code := d.command.ProcessState.ExitCode(); code != 0 {
 		d.t.Errorf("exit code %d", code)
 	}
 }
 
-// call makes an operator's call at the door and gives the status and the body.
+// callAdmin calls the admin API and returns the status and the body.
 func (d *testDispatcher) callAdmin(method, path, body string) (int, string) {
 	d.t.Helper()
 	r, err := http.NewRequest(method, d.adminURL+path, strings.NewReader(body))
@@ -202,34 +302,32 @@
 	return status, text
 }
 
-// figure gives one of the figures; -1 where there is none of that name.
+// metric returns the value of a metric; -1 where there is no number of that name.
 func (d *testDispatcher) metric(name string) int {
 	d.t.Helper()
-	_, text := d.callAdmin("GET", "/_vars", "")
-	_, rest, ok := strings.Cut("\n"+text, "\n"+name+"=")
-	value, _, _ := strings.Cut(rest, "\n")
-	x, err := strconv.Atoi(value)
-	if !ok || err != nil {
+	value, err := strconv.Atoi(d.metricText(name))
+	if err != nil {
 		return -1
 	}
-	return x
+	return value
 }
 
-// text gives a figure that is no number.
+// metricText returns the text of a metric; empty where there is none of that name.
 func (d *testDispatcher) metricText(name string) string {
+	d.t.Helper()
 	_, text := d.callAdmin("GET", "/_vars", "")
 	_, rest, _ := strings.Cut("\n"+text, "\n"+name+"=")
 	value, _, _ := strings.Cut(rest, "\n")
 	return value
 }
 
-// processMemory gives a figure of a process's memory in bytes, by its name in /proc; 0 where there is none.
-func processMemory(pid int, figure string) int64 {
+// processMemory returns a field of /proc/PID/status in bytes, such as VmRSS; 0 where there is none.
+func processMemory(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	_, rest, found := strings.Cut(string(text), figure+":")
+	_, rest, found := strings.Cut(string(text), field+":")
 	if err != nil || !found {
 		return 0
 	}
-	kb, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
-	return kb << 10
+	kilobytes, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
+	return kilobytes << 10
 }
--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -6,140 +6,158 @@
 	"net"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
 	"brassdale/internal/faults"
 )
 
-// allied are dispatchers of one fleet, each a process with workers' list and files of its own.
+// testFleet is a fleet of dispatcher processes, the first of which are voters of the raft group. Each has a list of the same
+// workers and a directory of its own.
 type testFleet struct {
 	t             *testing.T
 	dispatchers   []*testDispatcher
-	addresses     []string // their councils' addresses
-	directories   []string
+	addresses     []string // by dispatcher: where it listens for the fleet
+	directories   []string // by dispatcher
 	workers       []*testWorker
-	absences      map[int][]faults.Absence // when a process stood still or was gone
+	absences      map[int][]faults.Absence // by dispatcher: when its process was stopped or had ended
 	voters        int
-	extraSettings func(i int) string // that a dispatcher's block says beside the usual
+	extraSettings func(index int) string // further lines of a dispatcher's block
 }
 
-// ally starts a fleet. Addresses are of this test alone: each voter has to know the others' before they listen.
-func startFleet(t *testing.T, net4, voters, followers int) *testFleet {
+// startFleet starts a fleet on the loopback addresses 127.77.subnet.*, which must be this test's alone: each voter has to know the
+// others' addresses before they listen.
+func startFleet(t *testing.T, subnet, voters, followers int) *testFleet {
 	t.Helper()
-	return startFleetWith(t, net4, voters, followers, func(int) string { return "" })
+	return startFleetWith(t, subnet, voters, followers, func(int) string { return "" })
 }
 
-func startFleetWith(t *testing.T, net4, voters, followers int, more func(int) string) *testFleet {
+// startFleetWith is startFleet with further lines of each dispatcher's block.
+func startFleetWith(t *testing.T, subnet, voters, followers int, extraSettings func(index int) string) *testFleet {
 	t.Helper()
-	fleet := &testFleet{t: t, voters: voters, extraSettings: more, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
+	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
 	for i := range voters + followers {
-		l := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", net4, i+1)))
-		fleet.addresses = append(fleet.addresses, l.Addr().String())
-		l.Close()
+		listener := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", subnet, i+1)))
+		fleet.addresses = append(fleet.addresses, listener.Addr().String())
+		listener.Close()
 		fleet.directories = append(fleet.directories, t.TempDir())
 	}
 	for i := range fleet.addresses {
-		fleet.dispatchers = append(fleet.dispatchers, startDispatcherWith(t, fleet.operatorFile(i), func(config string) string {
-			return strings.Replace(config, `"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, i), 1)
-		}, fleet.workers...))
+		fleet.dispatchers = append(fleet.dispatchers, startDispatcherWith(t, fleet.operatorFile(i), withSetting(`"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, i)), fleet.workers...))
 	}
 	return fleet
 }
 
-// again starts a dispatcher of the fleet anew behind its end, with the disk that it has.
-func (f *testFleet) restart(i int) {
+// restart starts a dispatcher that has ended again, with the directory that it has.
+func (f *testFleet) restart(index int) {
 	f.t.Helper()
-	old := f.dispatchers[i]
-	dispatcher := &testDispatcher{t: f.t, discovery: old.discovery, tempDir: old.tempDir, exited: make(chan struct{})}
-	dispatcher.startProcess(old.config, f.operatorFile(i))
-	dispatcher.waitUntilReady("")
-	f.dispatchers[i] = dispatcher
-}
-
-func (f *testFleet) kill(which ...int) {
-	for _, i := range which {
-		f.dispatchers[i].command.Process.Kill()
-		<-f.dispatchers[i].exited
-		f.absences[i] = append(f.absences[i], faults.Absence{From: time.Now()})
+	old := f.dispatchers[index]
+	f.dispatchers[index] = old.startAgain(old.config, f.operatorFile(index))
+}
+
+// kill ends dispatchers with SIGKILL.
+func (f *testFleet) kill(indices ...int) {
+	for _, i := range indices {
+		f.dispatchers[i].kill()
+		f.recordAbsence(i)
 	}
 }
 
-// fleetSays runs a sub-command of 'fleet' at a dispatcher.
-func (f *testFleet) runFleetCommand(i int, args ...string) string {
-	_, out, errs := runCommand(f.t, append([]string{"fleet", "--address", f.addresses[i]}, args...)...)
+// stopProcess stops a dispatcher's process with SIGSTOP; resume continues it.
+func (f *testFleet) stopProcess(index int) {
+	f.dispatchers[index].command.Process.Signal(syscall.SIGSTOP)
+}
+
+// resume continues a dispatcher's process with SIGCONT.
+func (f *testFleet) resume(index int) { f.dispatchers[index].command.Process.Signal(syscall.SIGCONT) }
+
+// recordAbsence records that from now on what a dispatcher's log says no longer holds.
+func (f *testFleet) recordAbsence(index int) {
+	f.absences[index] = append(f.absences[index], faults.Absence{From: time.Now()})
+}
+
+// runFleetCommand runs a sub-command of 'fleet' at a dispatcher and returns its output and errors.
+func (f *testFleet) runFleetCommand(index int, args ...string) string {
+	_, out, errs := runCommand(f.t, append([]string{"fleet", "--address", f.addresses[index]}, args...)...)
 	return out + errs
 }
 
-// known is what a dispatcher's 'members' says of another: what gossip has of it there, its lease, its seat.
-func (f *testFleet) memberStatus(at, of int) (gossip, lease string, seat uint64) {
+// memberStatus returns what one dispatcher's command 'members' reports of another; the zero values if it reports nothing.
+func (f *testFleet) memberStatus(reporter, member int) (gossip, lease string, voterID uint64) {
 	var rows []struct {
 		Name          string
 		Gossip, Lease string
 		Seat          uint64
 	}
-	code, out, _ := runCommand(f.t, "fleet", "members", "--json", "--address", f.addresses[at])
+	code, out, _ := runCommand(f.t, "fleet", "members", "--json", "--address", f.addresses[reporter])
 	if code != 0 || json.Unmarshal([]byte(out), &rows) != nil {
 		return "", "", 0
 	}
-	for _, r := range rows {
-		if r.Name == fmt.Sprint("n", of) {
-			return r.Gossip, r.Lease, r.Seat
+	for _, row := range rows {
+		if row.Name == fmt.Sprint("n", member) {
+			return row.Gossip, row.Lease, row.Seat
 		}
 	}
 	return "", "", 0
 }
 
-// gossips waits for what gossip tells: it asks one neighbour a second, and waits for seconds before it says that one is gone.
-func (f *testFleet) waitForGossip(what string, ok func() bool) {
+// waitForGossip waits up to 60 s for what gossip spreads: it probes one member per second, and takes seconds to report one as gone.
+func (f *testFleet) waitForGossip(what string, met func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			f.t.Fatalf("never seen: %s", what)
-		}
-	}
+	waitWithin(f.t, 60*time.Second, 20*time.Millisecond, what, met)
 }
 
-func (f *testFleet) operatorFile(i int) string {
-	seat := 0
-	if i < f.voters {
-		seat = i + 1
+// operatorFile returns the operator's file of a dispatcher.
+func (f *testFleet) operatorFile(index int) string {
+	voterID := 0
+	if index < f.voters {
+		voterID = index + 1
 	}
-	return fmt.Sprintf("council {\n fleet = \"t\"\n listen = %q\n voters = [\"%s\"]\n seat = %d\n directory = %q\n bound = \"1s\"\n%s}\n", f.addresses[i],
-		strings.Join(f.addresses[:f.voters], `", "`), seat, f.directories[i], f.extraSettings(i))
+	return fmt.Sprintf("council {\n fleet = \"t\"\n listen = %q\n voters = [\"%s\"]\n seat = %d\n directory = %q\n bound = \"1s\"\n%s}\n", f.addresses[index],
+		strings.Join(f.addresses[:f.voters], `", "`), voterID, f.directories[index], f.extraSettings(index))
 }
 
-// propose announces rules at some dispatcher, again where the leader is being changed.
+// propose proposes a file of rules at a dispatcher, again while the leader changes.
 func (f *testFleet) propose(rules string, at int) {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "rules.hcl")
 	if err := os.WriteFile(path, []byte(rules), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	f.dispatchers[at].waitFor("a proposal taken", func() bool {
+	f.dispatchers[at].waitFor("an accepted proposal", func() bool {
 		code, out, errs := runCommand(f.t, "fleet", "propose", path, "--why", "test", "--address", f.addresses[at])
 		return code == 0 && strings.Contains(out, "announced") || strings.Contains(errs, "under way")
 	})
 }
 
-// stands are what the process said that it acts on.
-func (f *testFleet) effectiveStates(i int) []faults.EffectiveState {
-	return faults.EffectiveStates(f.dispatchers[i].log(), time.Now(), f.absences[i])
+// effectiveStates returns which config versions a dispatcher has applied, by its log.
+func (f *testFleet) effectiveStates(index int) []faults.EffectiveState {
+	return faults.EffectiveStates(f.dispatchers[index].log(), time.Now(), f.absences[index])
+}
+
+// lastState returns which config versions a dispatcher applies and whether its lease has lapsed; the zero value before it applies any.
+func (f *testFleet) lastState(index int) (state faults.EffectiveState) {
+	if states := f.effectiveStates(index); len(states) > 0 {
+		state = states[len(states)-1]
+	}
+	return state
 }
 
-// acts waits until the dispatchers act on a version alone, and hold leases.
-func (f *testFleet) waitForVersion(version int, which ...int) {
+// waitForVersion waits until a version is the only one that the dispatchers apply, and they have leases.
+func (f *testFleet) waitForVersion(version uint64, indices ...int) {
 	f.t.Helper()
-	for _, i := range which {
-		f.dispatchers[i].waitFor(fmt.Sprintf("dispatcher %d acting on %d", i, version), func() bool {
-			all := f.effectiveStates(i)
-			return len(all) > 0 && fmt.Sprint(all[len(all)-1].Versions) == fmt.Sprint([]int{version}) && !all[len(all)-1].Lapsed
+	for _, i := range indices {
+		f.dispatchers[i].waitFor(fmt.Sprintf("dispatcher %d with a lease and version %d", i, version), func() bool {
+			state := f.lastState(i)
+			return slices.Equal(state.Versions, []uint64{version}) && !state.Lapsed
 		})
 	}
 }
 
-// apart gives how long any two dispatchers with leases acted on versions with nothing in common.
+// contradictionTime returns how long two dispatchers with leases applied versions with none in common.
 func (f *testFleet) contradictionTime() time.Duration {
 	var all [][]faults.EffectiveState
 	for i := range f.dispatchers {
@@ -149,32 +167,34 @@
 	return contradiction
 }
 
-// leader gives the dispatcher that leads.
+// leader returns the dispatcher that leads the raft group.
 func (f *testFleet) leader() int {
 	f.t.Helper()
-	lead := -1
+	leader := -1
 	f.dispatchers[0].waitFor("a leader", func() bool {
 		for i := range f.voters {
 			if code, out, _ := runCommand(f.t, "fleet", "status", "--json", "--address", f.addresses[i]); code == 0 && strings.Contains(out, `"leads": true`) {
-				lead = i
+				leader = i
 				return true
 			}
 		}
 		return false
 	})
-	return lead
+	return leader
 }
 
-func (f *testFleet) indices() (which []int) {
+// indices returns the indices of all dispatchers.
+func (f *testFleet) indices() (all []int) {
 	for i := range f.dispatchers {
-		which = append(which, i)
+		all = append(all, i)
 	}
-	return which
+	return all
 }
 
-func without(which []int, gone int) (rest []int) {
-	for _, i := range which {
-		if i != gone {
+// without returns the indices but one.
+func without(indices []int, excluded int) (rest []int) {
+	for _, i := range indices {
+		if i != excluded {
 			rest = append(rest, i)
 		}
 	}
--- a/cmd/brassdale/support_http2_test.go
+++ b/cmd/brassdale/support_http2_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -14,32 +15,33 @@
 	"golang.org/x/net/http2/hpack"
 )
 
+// http2Frontend is an operator's file with the HTTP/2 frontend and up to 100 streams for a connection.
 const http2Frontend = "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n  streams = 100\n}\n"
 
-// h2Client is a client that speaks HTTP/2 in clear, on one connection as long as it can.
+// newHTTP2Client returns a client of HTTP/2 without TLS, which uses one connection as long as it can.
 func newHTTP2Client(t *testing.T) *http.Client {
+	t.Helper()
 	transport := &http.Transport{Protocols: &http.Protocols{}}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-// peer is a client that writes HTTP/2 frame by frame.
+// frameClient is a client that writes HTTP/2 frame by frame, and records the frames that it receives.
 type frameClient struct {
-	t    testing.TB
 	conn net.Conn
 	*h2.Framer
 	encoder     *hpack.Encoder
 	headerBlock bytes.Buffer
 
 	mu     sync.Mutex
-	frames []string // frames from the other side
-	err    error    // that ended them
-	closed chan struct{}
-	goAway chan h2.ErrCode // of the first that ends the connection
+	frames []string        // received: the type, the stream, and the status or error code
+	err    error           // that ended reading
+	closed chan struct{}   // closed when reading has ended
+	goAway chan h2.ErrCode // the error code of a GOAWAY
 }
 
-// wire connects and says hello.
+// connectHTTP2 connects to the HTTP/2 frontend, and sends the preface and settings.
 func (d *testDispatcher) connectHTTP2(settings ...h2.Setting) *frameClient {
 	d.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(d.http2URL, "http://"))
@@ -47,7 +49,7 @@
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { conn.Close() })
-	client := &frameClient{t: d.t, conn: conn, Framer: h2.NewFramer(conn, conn), closed: make(chan struct{}), goAway: make(chan h2.ErrCode, 1)}
+	client := &frameClient{conn: conn, Framer: h2.NewFramer(conn, conn), closed: make(chan struct{}), goAway: make(chan h2.ErrCode, 1)}
 	client.encoder = hpack.NewEncoder(&client.headerBlock)
 	client.AllowIllegalWrites = true
 	client.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
@@ -57,26 +59,27 @@
 	return client
 }
 
+// read records frames until the connection ends.
 func (c *frameClient) read() {
 	defer close(c.closed)
 	for {
-		f, err := c.ReadFrame()
+		frame, err := c.ReadFrame()
 		if err != nil {
 			c.mu.Lock()
 			c.err = err
 			c.mu.Unlock()
 			return
 		}
-		text := fmt.Sprint(f.Header().Type, " ", f.Header().StreamID)
-		switch f := f.(type) {
+		text := fmt.Sprint(frame.Header().Type, " ", frame.Header().StreamID)
+		switch frame := frame.(type) {
 		case *h2.MetaHeadersFrame:
-			text += " " + f.PseudoValue("status")
+			text += " " + frame.PseudoValue("status")
 		case *h2.RSTStreamFrame:
-			text += " " + f.ErrCode.String()
+			text += " " + frame.ErrCode.String()
 		case *h2.GoAwayFrame:
-			text += fmt.Sprint(" ", f.LastStreamID, " ", f.ErrCode)
-			if f.ErrCode != h2.ErrCodeNo {
-				c.goAway <- f.ErrCode
+			text += fmt.Sprint(" ", frame.LastStreamID, " ", frame.ErrCode)
+			if frame.ErrCode != h2.ErrCodeNo {
+				c.goAway <- frame.ErrCode
 			}
 		}
 		c.mu.Lock()
@@ -85,19 +88,14 @@
 	}
 }
 
-// got tells whether a frame that begins so has come.
-func (c *frameClient) received(text string) bool {
+// received reports whether a recorded frame begins with this text.
+func (c *frameClient) received(prefix string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.frames {
-		if strings.HasPrefix(s, text) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(c.frames, func(frame string) bool { return strings.HasPrefix(frame, prefix) })
 }
 
-// fields encodes a job's head; further names and values replace the usual ones or come behind them.
+// headerFields encodes the headers of a request; further names and values replace the usual ones or come after them.
 func (c *frameClient) headerFields(key string, more ...string) []byte {
 	c.headerBlock.Reset()
 	pairs := []string{":method", "POST", ":scheme", "http", ":authority", "api.internal", ":path", "/price-part",
@@ -118,7 +116,7 @@
 	return c.headerBlock.Bytes()
 }
 
-// job opens a stream with a whole job.
+// sendRequest opens a stream with a complete request.
 func (c *frameClient) sendRequest(stream uint32, key string, more ...string) {
 	c.WriteHeaders(h2.HeadersFrameParam{StreamID: stream, BlockFragment: c.headerFields(key, append(more, "content-length", "7")...), EndHeaders: true})
 	c.WriteData(stream, true, []byte("drawing"))
--- a/cmd/brassdale/support_queueing_discovery_test.go
+++ b/cmd/brassdale/support_queueing_discovery_test.go
@@ -10,33 +10,38 @@
 	"time"
 )
 
-// crowdedDiscovery is a discovery service of little capacity that several dispatchers share. It serves calls one after the
-// other. A call that would wait for longer than its queue allows is answered 503 at once. A watch that goes on within 200 ms
-// of its last answer is not served in turn until there is something to tell; any other call is. It keeps one call with an index
-// for each dispatcher: where it refuses a further one, it ends the one before too.
+// queueingDiscovery is a discovery service of little capacity that several dispatchers share and that serves calls one after the
+// other. It is, in real time and over sockets, what queueingService of internal/decisions/polling is in virtual time. A call that has
+// been queued for longer than queueTimeout is answered 503, and its work is done all the same. A call is rejected at once if the
+// queued work takes longer than queueLimit; if it is a watch, the dispatcher's open watches end with it. A continued watch waits
+// outside the queue for a change, whose delivery is queued.
 type queueingDiscovery struct {
-	perCall          time.Duration // to serve one call
-	perUpdate        time.Duration // to tell one watch of a change
-	queueLimit       time.Duration // a call that would wait longer is refused
-	rejectionLatency time.Duration // how long a refusal takes
-	queueTimeout     time.Duration // a call that has waited so long is answered 503, and its work is done all the same; 0 for never
-	downUntil        time.Time     // until then each call is answered 503 behind that wait
+	perCall          time.Duration // work for a call
+	perUpdate        time.Duration // work to deliver a change to a watch
+	queueLimit       time.Duration
+	queueTimeout     time.Duration // 0 for none
+	rejectionLatency time.Duration // how long the service takes to reject a call
+	downUntil        time.Time     // until then all calls fail after queueTimeout
 
 	mu         sync.Mutex
-	idleAt     time.Time // when all that was accepted is served
+	idleAt     time.Time // when all queued work is done
 	revision   int
-	lists      []string // the whole list, by revision
+	lists      []string // by revision: the lines of the complete list
 	changed    chan struct{}
 	answeredAt map[string]time.Time     // by dispatcher: the last answer of a watch
-	endWatches map[string]chan struct{} // by dispatcher: closed when its calls with an index are ended
+	watchesEnd map[string]chan struct{} // by dispatcher: closed to end its open watches
 	calls      int
 	rejected   int
 	expired    int
 }
 
-func newQueueingDiscovery(first string) *queueingDiscovery {
+// continuationLimit is how long after its last answer a watch counts as continued.
+const continuationLimit = 200 * time.Millisecond
+
+// newQueueingDiscovery returns a service with the lines of its first list.
+func newQueueingDiscovery(members string) *queueingDiscovery {
 	return &queueingDiscovery{perCall: 420 * time.Millisecond, perUpdate: 12 * time.Millisecond, queueLimit: time.Second,
-		rejectionLatency: 30 * time.Millisecond, lists: []string{first}, changed: make(chan struct{}), answeredAt: map[string]time.Time{}, endWatches: map[string]chan struct{}{}}
+		rejectionLatency: 30 * time.Millisecond, lists: []string{members}, changed: make(chan struct{}), answeredAt: map[string]time.Time{}, watchesEnd: map[string]chan struct{}{}}
 }
 
 // publish makes a new revision of the list.
@@ -49,15 +54,15 @@
 	d.changed = make(chan struct{})
 }
 
-// enqueue gives the time at which a piece of work is served, or false if its turn would come too late.
-func (d *queueingDiscovery) enqueue(work time.Duration, mustWait bool) (time.Time, bool) {
+// enqueue returns when a piece of work is done, or false if the queue is too long for it and it need not be accepted.
+func (d *queueingDiscovery) enqueue(work time.Duration, mustAccept bool) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	if d.idleAt.Before(now) {
 		d.idleAt = now
 	}
-	if !mustWait && d.idleAt.Sub(now) > d.queueLimit {
+	if !mustAccept && d.idleAt.Sub(now) > d.queueLimit {
 		d.rejected++
 		return now, false
 	}
@@ -65,8 +70,9 @@
 	return d.idleAt, true
 }
 
-// addresses gives a dispatcher so many addresses at which it reaches the service.
+// startServers returns so many addresses at which a dispatcher reaches the service.
 func (d *queueingDiscovery) startServers(t testing.TB, dispatcher string, count int) []string {
+	t.Helper()
 	var addresses []string
 	for range count {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(dispatcher, w, r) }))
@@ -77,52 +83,22 @@
 	return addresses
 }
 
+// serve answers a call of a dispatcher.
 func (d *queueingDiscovery) serve(dispatcher string, w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	watch := query.Has("index")
 	index, _ := strconv.Atoi(query.Get("index"))
 	wait, _ := strconv.Atoi(query.Get("wait"))
 	over := time.After(time.Duration(wait) * time.Millisecond)
-
 	if time.Now().Before(d.downUntil) {
 		time.Sleep(d.queueTimeout)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	d.mu.Lock()
-	d.calls++
-	ended := d.endWatches[dispatcher]
-	if ended == nil {
-		ended = make(chan struct{})
-		d.endWatches[dispatcher] = ended
-	}
-	goesOn := watch && time.Since(d.answeredAt[dispatcher]) < 200*time.Millisecond
-	d.mu.Unlock()
-	if !goesOn {
-		turn, accepted := d.enqueue(d.perCall, false)
-		if !accepted {
-			d.endOpenWatches(dispatcher, watch)
-			time.Sleep(d.rejectionLatency)
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		if !watch {
-			ended = nil
-		}
-		if d.queueTimeout > 0 && time.Until(turn) > d.queueTimeout {
-			d.mu.Lock()
-			d.expired++
-			d.mu.Unlock()
-			time.Sleep(d.queueTimeout)
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		select {
-		case <-ended:
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		case <-time.After(time.Until(turn)):
-		}
+	ended, continued := d.begin(dispatcher, watch)
+	if !continued && !d.waitForTurn(dispatcher, watch, ended) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
 	}
 	if watch && !d.waitForUpdate(index, over, ended, r) {
 		if r.Context().Err() == nil {
@@ -142,18 +118,63 @@
 	fmt.Fprintf(w, `{"revision":%d,"complete":%t,"members":[%s]}`, d.revision, complete, members)
 }
 
-// endIndexed ends the open calls of a dispatcher that have an index, where a further one is refused.
-func (d *queueingDiscovery) endOpenWatches(dispatcher string, indexed bool) {
+// begin counts a call. It returns the channel that ends the dispatcher's watches, and whether the call continues a watch.
+func (d *queueingDiscovery) begin(dispatcher string, watch bool) (ended <-chan struct{}, continued bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if indexed {
-		close(d.endWatches[dispatcher])
-		delete(d.endWatches, dispatcher)
+	d.calls++
+	if d.watchesEnd[dispatcher] == nil {
+		d.watchesEnd[dispatcher] = make(chan struct{})
 	}
+	return d.watchesEnd[dispatcher], watch && time.Since(d.answeredAt[dispatcher]) < continuationLimit
+}
+
+// waitForTurn waits until a call has had its turn. It returns false if the call is to be answered 503: rejected, expired or ended.
+func (d *queueingDiscovery) waitForTurn(dispatcher string, watch bool, ended <-chan struct{}) bool {
+	turn, accepted := d.enqueue(d.perCall, false)
+	if !accepted {
+		if watch {
+			d.endOpenWatches(dispatcher)
+		}
+		time.Sleep(d.rejectionLatency)
+		return false
+	}
+	if d.queueTimeout > 0 && time.Until(turn) > d.queueTimeout {
+		d.mu.Lock()
+		d.expired++
+		d.mu.Unlock()
+		time.Sleep(d.queueTimeout)
+		return false
+	}
+	if !watch {
+		ended = nil
+	}
+	select {
+	case <-ended:
+		return false
+	case <-time.After(time.Until(turn)):
+		return true
+	}
+}
+
+// endOpenWatches ends the open watches of a dispatcher, of which a further one has been rejected.
+func (d *queueingDiscovery) endOpenWatches(dispatcher string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	close(d.watchesEnd[dispatcher])
+	delete(d.watchesEnd, dispatcher)
+}
+
+// logCalls logs how many calls there were.
+func (d *queueingDiscovery) logCalls(t *testing.T) {
+	t.Helper()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	t.Logf("%d calls, of which %d were rejected and %d expired", d.calls, d.rejected, d.expired)
 }
 
-// awaitNews waits until there is something newer than a revision and its turn to be told has come, or the wait is over. It
-// tells whether the caller is to be answered.
+// waitForUpdate waits until a list newer than a revision has been delivered, or the wait is over. It returns false if the watch has
+// ended without an answer.
 func (d *queueingDiscovery) waitForUpdate(index int, over <-chan time.Time, ended <-chan struct{}, r *http.Request) bool {
 	for {
 		d.mu.Lock()
--- a/cmd/brassdale/support_requests_test.go
+++ b/cmd/brassdale/support_requests_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// request makes a job; headers are name, value, name, value and replace the usual ones.
+// newRequest returns a request with the key as its idempotency key and part of its ID. Headers are name, value, name, value and
+// replace the usual ones; an empty value removes a header.
 func newRequest(url, key string, headers ...string) *http.Request {
 	r, err := http.NewRequest("POST", url+"/price-part?sheet=7", strings.NewReader("drawing"))
 	if err != nil {
@@ -27,22 +28,41 @@
 	return r
 }
 
-// do sends a request and gives the status, the body and the Retry-After.
-func (d *testDispatcher) send(r *http.Request) (int, string, string) {
+// setBody gives a request a body of so many bytes and a declared length; -1 for none.
+func setBody(r *http.Request, size int, length int64) {
+	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", size))), length
+}
+
+// newHTTP1Client returns a client of HTTP/1.1 with connections of its own.
+func newHTTP1Client() *http.Client { return &http.Client{Transport: &http.Transport{}} }
+
+// send sends a request and returns the answer; no answer fails the test.
+func (d *testDispatcher) send(r *http.Request) (status int, body, retryAfter string) {
 	d.t.Helper()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
+	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	return resp.StatusCode, string(body), resp.Header.Get("Retry-After")
+	return resp.StatusCode, string(text), resp.Header.Get("Retry-After")
+}
+
+// checkServed checks that so many requests are served, one after the other.
+func (d *testDispatcher) checkServed(keyPrefix string, count int) {
+	d.t.Helper()
+	for i := range count {
+		if status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(keyPrefix, i))); status != http.StatusOK {
+			d.t.Errorf("request %s%d: status %d", keyPrefix, i, status)
+		}
+	}
 }
 
-// begin sends a job and gives its status to come, once the job is at the endpoint; closed if there is none.
+// sendInBackground sends a request, waits until the worker has received it, and returns a channel for its status, which is closed
+// without one if there is no answer.
 func (d *testDispatcher) sendInBackground(worker *testWorker, key string) <-chan int {
 	d.t.Helper()
 	answered := make(chan int, 1)
@@ -51,13 +71,13 @@
 		status, _, _ := d.send(newRequest(d.http1URL, key))
 		answered <- status
 	}()
-	d.waitFor("the job at the endpoint", func() bool { worker.mu.Lock(); defer worker.mu.Unlock(); return worker.runs[key] == 1 })
+	d.waitForRun(worker, key)
 	return answered
 }
 
-// ask sends a request and gives status and body; 0 where there was no answer.
-func trySend(c *http.Client, r *http.Request) (status int, body string, header http.Header) {
-	resp, err := c.Do(r)
+// trySend sends a request and returns the answer; status 0 and the error as the body where there is none.
+func trySend(client *http.Client, r *http.Request) (status int, body string, header http.Header) {
+	resp, err := client.Do(r)
 	if err != nil {
 		return 0, err.Error(), nil
 	}
@@ -69,37 +89,45 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// all asks for so many jobs, eight at a time, and gives how many were served.
-func (d *testDispatcher) sendMany(prefix string, jobs int) int {
+// sendMany sends so many requests, eight at a time, and returns how many were served.
+func (d *testDispatcher) sendMany(keyPrefix string, requests int) int {
 	var served atomic.Int32
 	var wait sync.WaitGroup
-	room := make(chan struct{}, 8)
-	for i := range jobs {
-		room <- struct{}{}
+	inFlight := make(chan struct{}, 8)
+	for i := range requests {
+		inFlight <- struct{}{}
 		wait.Go(func() {
-			if status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(prefix, "-", i))); status == 200 {
+			if status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(keyPrefix, "-", i))); status == http.StatusOK {
 				served.Add(1)
 			}
-			<-room
+			<-inFlight
 		})
 	}
 	wait.Wait()
 	return int(served.Load())
 }
 
-// sendSteadily sends jobs, each on the next of the client's connections, until stop is closed.
-func (d *testDispatcher) sendSteadily(name string, every time.Duration, stop <-chan struct{}, wait *sync.WaitGroup) {
-	wait.Go(func() {
-		var jobs sync.WaitGroup
-		defer jobs.Wait()
+// steadyLoad sends requests to dispatchers at intervals, and ignores the answers.
+type steadyLoad struct {
+	stop    chan struct{}
+	running sync.WaitGroup
+}
+
+func newSteadyLoad() *steadyLoad { return &steadyLoad{stop: make(chan struct{})} }
+
+// start sends a dispatcher a request at each interval until the load ends.
+func (l *steadyLoad) start(dispatcher *testDispatcher, keyPrefix string, interval time.Duration) {
+	l.running.Go(func() {
+		var requests sync.WaitGroup
+		defer requests.Wait()
 		for i := 0; ; i++ {
 			select {
-			case <-stop:
+			case <-l.stop:
 				return
-			case <-time.After(every):
+			case <-time.After(interval):
 			}
-			jobs.Go(func() {
-				resp, err := http.DefaultClient.Do(newRequest(d.http1URL, fmt.Sprintf("%s-%d", name, i)))
+			requests.Go(func() {
+				resp, err := http.DefaultClient.Do(newRequest(dispatcher.http1URL, fmt.Sprintf("%s-%d", keyPrefix, i)))
 				if err == nil {
 					resp.Body.Close()
 				}
@@ -108,17 +136,24 @@
 	})
 }
 
-// serve sends jobs until one is served.
-func (d *testDispatcher) waitUntilServed(key string) {
+// end stops sending and waits for the answers.
+func (l *steadyLoad) end() {
+	close(l.stop)
+	l.running.Wait()
+}
+
+// waitUntilServed sends requests with a deadline of 1 s each until one is served.
+func (d *testDispatcher) waitUntilServed(keyPrefix string) {
 	d.t.Helper()
-	i := 0
-	d.waitFor("a job that is served", func() bool {
-		i++
-		status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(key, "-", i), "Req-Deadline-Ms", "1000"))
-		return status == 200
+	sent := 0
+	d.waitFor("a served request", func() bool {
+		sent++
+		status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(keyPrefix, "-", sent), "Req-Deadline-Ms", "1000"))
+		return status == http.StatusOK
 	})
 }
 
+// dial connects to the HTTP/1.1 frontend; the connection is closed at the end of the test.
 func (d *testDispatcher) dial() net.Conn {
 	d.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(d.http1URL, "http://"))
@@ -129,7 +164,7 @@
 	return conn
 }
 
-// closed tells whether no new connection is taken.
+// refusesConnections reports whether the HTTP/1.1 frontend accepts no new connection.
 func (d *testDispatcher) refusesConnections() bool {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(d.http1URL, "http://"))
 	if err == nil {
@@ -138,14 +173,15 @@
 	return err != nil
 }
 
-// asHead is a job's head with further lines.
+// requestHead returns the head of an HTTP/1.1 request with further header lines.
 func requestHead(id, lines string) string {
 	return "POST /price-part HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Kind: price-part\r\nIdempotency-Key: " + id + "\r\n" + lines + "\r\n"
 }
 
-func must[T any](x T, err error) T {
+// must returns a value whose error would be a mistake in the test.
+func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
 	}
-	return x
+	return value
 }
--- a/cmd/brassdale/support_worker_test.go
+++ b/cmd/brassdale/support_worker_test.go
@@ -14,25 +14,31 @@
 	"time"
 )
 
-// worker is an endpoint that does with each job what its script says.
+// jobHandler answers a job that has been read from the connection; the header "Body" is the body. It may close the connection.
+type jobHandler func(worker *testWorker, conn net.Conn, r *http.Request)
+
+// testWorker is a worker that answers jobs by its handler. It answers probes by itself.
 type testWorker struct {
-	id, cell, phase   string
-	listener          net.Listener
-	handler           func(b *testWorker, c net.Conn, r *http.Request)
+	id, cell, phase string // as its line of the endpoint list has them
+	startedAtMS     int64  // Unix time in milliseconds; 0 for long ago
+	listener        net.Listener
+	handler         jobHandler
+	abandoned       chan string // Req-Id of each job of respondThenStall whose connection the dispatcher has closed
+	failsProbes     atomic.Bool // probes are answered 503, as by a draining worker
+
 	mu                sync.Mutex
 	connections, jobs int
-	runs              map[string]int // by key
-	startedAtMS       int64          // when it started, in Unix time; 0 for long ago
-	abandoned         chan string    // Req-Id of each job whose connection the dispatcher closed
-	failsProbes       atomic.Bool    // it answers probes with 503, as a worker does that drains
+	runs              map[string]int // received jobs by key
 }
 
-func startWorker(t testing.TB, id string, script func(*testWorker, net.Conn, *http.Request)) *testWorker {
+// startWorker starts an active worker in cell 1.
+func startWorker(t testing.TB, id string, handler jobHandler) *testWorker {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	worker := &testWorker{id: id, cell: "1", phase: "active", listener: listener, handler: script, runs: map[string]int{}, abandoned: make(chan string, 64)}
+	worker := &testWorker{id: id, cell: "1", phase: "active", listener: listener, handler: handler, runs: map[string]int{}, abandoned: make(chan string, 64)}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -49,13 +55,14 @@
 	return worker
 }
 
-// runs counts the runs of a key at an endpoint.
+// runsOf returns how often the worker has received a key.
 func (w *testWorker) runsOf(key string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[key]
 }
 
+// serve answers what comes on a connection until it ends.
 func (w *testWorker) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -85,82 +92,103 @@
 	}
 }
 
-func (w *testWorker) count() (conns, jobs int) {
+// connectionCount returns how many connections the worker has accepted.
+func (w *testWorker) connectionCount() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.connections
+}
+
+// jobCount returns how many jobs the worker has received.
+func (w *testWorker) jobCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.connections, w.jobs
+	return w.jobs
 }
 
-// keys gives how often each job came, by its key.
+// runsPerKey returns how often the worker has received each key.
 func (w *testWorker) runsPerKey() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.runs)
 }
 
-// manyBoxes are enough that all jobs are taken at once.
-func startWorkers(t *testing.T, many int, script func(*testWorker, net.Conn, *http.Request)) (workers []*testWorker) {
-	for i := range many {
-		workers = append(workers, startWorker(t, fmt.Sprint("worker-", i), script))
+// startWorkers starts so many workers with one handler.
+func startWorkers(t testing.TB, count int, handler jobHandler) (workers []*testWorker) {
+	t.Helper()
+	for i := range count {
+		workers = append(workers, startWorker(t, fmt.Sprint("worker-", i), handler))
 	}
 	return workers
 }
 
-// jobsAt is how many jobs came to some workers together.
+// startNamedWorkers starts a worker for each ID, all with one handler.
+func startNamedWorkers(t testing.TB, handler jobHandler, ids ...string) (workers []*testWorker) {
+	t.Helper()
+	for _, id := range ids {
+		workers = append(workers, startWorker(t, id, handler))
+	}
+	return workers
+}
+
+// totalJobs returns how many jobs some workers have received together.
 func totalJobs(workers ...*testWorker) (sum int) {
 	for _, worker := range workers {
-		_, jobs := worker.count()
-		sum += jobs
+		sum += worker.jobCount()
 	}
 	return sum
 }
 
-// line is a message of an endpoint about a job.
-func jobMessage(id, rest string) string {
-	return fmt.Sprintf("{\"id\":%q,\"from\":\"s\",%s}\n", id, rest)
+// jobMessage returns a line of a worker's answer, with further JSON members.
+func jobMessage(id, members string) string {
+	return fmt.Sprintf("{\"id\":%q,\"from\":\"s\",%s}\n", id, members)
 }
 
-// head starts a chunked answer, chunk goes on with it, last ends it.
-func writeHead(conn net.Conn, kind string) {
-	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nTransfer-Encoding: chunked\r\n\r\n", kind)
+// writeHead starts a chunked answer.
+func writeHead(conn net.Conn, contentType string) {
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nTransfer-Encoding: chunked\r\n\r\n", contentType)
 }
 
+// writeChunk writes a chunk of a chunked answer.
 func writeChunk(conn net.Conn, text string) { fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text) }
 
+// writeLastChunk ends a chunked answer.
 func writeLastChunk(conn net.Conn) { io.WriteString(conn, "0\r\n\r\n") }
 
-// says answers a job with these messages.
-func respondWith(messages ...string) func(*testWorker, net.Conn, *http.Request) {
-	return func(worker *testWorker, conn net.Conn, r *http.Request) {
-		writeHead(conn, "application/json")
-		for _, m := range messages {
-			writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), m))
-		}
+// respondWith answers a job with these messages.
+func respondWith(messages ...string) jobHandler {
+	return func(_ *testWorker, conn net.Conn, r *http.Request) {
+		writeMessages(conn, r, messages)
 		writeLastChunk(conn)
 	}
 }
 
-// raw answers a job with this text, whatever it is, and ends the connection.
-func respondRaw(text string) func(*testWorker, net.Conn, *http.Request) {
-	return func(worker *testWorker, conn net.Conn, _ *http.Request) {
+// respondRaw answers a job with this text, which need not be HTTP, and closes the connection.
+func respondRaw(text string) jobHandler {
+	return func(_ *testWorker, conn net.Conn, _ *http.Request) {
 		io.WriteString(conn, text)
 		conn.Close()
 	}
 }
 
-// freezes says these messages and then nothing until the dispatcher gives up.
-func respondThenStall(messages ...string) func(*testWorker, net.Conn, *http.Request) {
+// respondThenStall answers a job with these messages and writes no more until the dispatcher closes the connection.
+func respondThenStall(messages ...string) jobHandler {
 	return func(worker *testWorker, conn net.Conn, r *http.Request) {
-		writeHead(conn, "application/json")
-		for _, m := range messages {
-			writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), m))
-		}
+		writeMessages(conn, r, messages)
 		io.Copy(io.Discard, conn)
 		worker.abandoned <- r.Header.Get("Req-Id")
 	}
 }
 
-// sticks freezes in jobs whose key begins with "stuck", once they have started, and works on all others.
+// writeMessages starts a chunked answer and writes these messages.
+func writeMessages(conn net.Conn, r *http.Request, messages []string) {
+	writeHead(conn, "application/json")
+	for _, message := range messages {
+		writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), message))
+	}
+}
+
+// stallOnStuckKeys starts jobs whose key begins with "stuck" and never finishes them; it completes all others.
 func stallOnStuckKeys(worker *testWorker, conn net.Conn, r *http.Request) {
 	if strings.HasPrefix(r.Header.Get("Idempotency-Key"), "stuck") {
 		respondThenStall(`"state":"started"`)(worker, conn, r)
@@ -168,43 +196,61 @@
 	completeJob(worker, conn, r)
 }
 
+// completeJob answers a job with a start, progress and a result.
 var completeJob = respondWith(`"state":"started"`, `"state":"running","share":0.5`, `"state":"done","result":"priced"`)
 
-// takes is an endpoint whose jobs take so long.
-func completeAfter(d time.Duration) func(*testWorker, net.Conn, *http.Request) {
+// completeWhenReleased completes a job once the channel is closed.
+func completeWhenReleased(release <-chan struct{}) jobHandler {
 	return func(worker *testWorker, conn net.Conn, r *http.Request) {
+		<-release
+		completeJob(worker, conn, r)
+	}
+}
+
+// completeAfter starts a job and answers with the result after so long.
+func completeAfter(runtime time.Duration) jobHandler {
+	return func(_ *testWorker, conn net.Conn, r *http.Request) {
 		writeHead(conn, "application/json")
 		writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), `"state":"started"`))
-		time.Sleep(d)
+		time.Sleep(runtime)
 		writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`))
 		writeLastChunk(conn)
 	}
 }
 
-// quick answers a job in one piece.
-func completeAtOnce(worker *testWorker, conn net.Conn, r *http.Request) {
+// completeAtOnce answers a job with the result alone, not chunked.
+func completeAtOnce(_ *testWorker, conn net.Conn, r *http.Request) {
 	body := jobMessage(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`)
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// arrivals records when jobs came to a worker.
+// arrivals records when a worker received its last job.
 type arrivals struct {
 	mu   sync.Mutex
 	last time.Time
 }
 
-// recorded has a worker note each job before it works on it.
-func (a *arrivals) recording(script func(*testWorker, net.Conn, *http.Request)) func(*testWorker, net.Conn, *http.Request) {
+// recording returns the handler with each job recorded before.
+func (a *arrivals) recording(handler jobHandler) jobHandler {
 	return func(worker *testWorker, conn net.Conn, r *http.Request) {
 		a.mu.Lock()
 		a.last = time.Now()
 		a.mu.Unlock()
-		script(worker, conn, r)
+		handler(worker, conn, r)
 	}
 }
 
-func (a *arrivals) lastSince(t time.Time) time.Duration {
+// lastSince returns how long after a moment the worker received its last job.
+func (a *arrivals) lastSince(moment time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.last.Sub(t)
+	return a.last.Sub(moment)
+}
+
+// checkNoneAfter checks that the drained worker received its last job at most so long after the drain.
+func (a *arrivals) checkNoneAfter(t *testing.T, drainedAt time.Time, limit time.Duration) {
+	t.Helper()
+	if last := a.lastSince(drainedAt); last > limit {
+		t.Errorf("the drained worker received a job %v after the drain, more than %v", last, limit)
+	}
 }
--- a/cmd/brassdale/tls_test.go
+++ b/cmd/brassdale/tls_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// authority signs certificates for the tests.
+// certificateAuthority signs certificates for the tests.
 type certificateAuthority struct {
 	t           *testing.T
 	certificate *x509.Certificate
@@ -28,6 +28,7 @@
 	pem         []byte
 }
 
+// newCertificateAuthority returns an authority with a new key.
 func newCertificateAuthority(t *testing.T) *certificateAuthority {
 	a := &certificateAuthority{t: t}
 	a.certificate = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "ca"}, IsCA: true, BasicConstraintsValid: true,
@@ -39,17 +40,17 @@
 	return a
 }
 
-// sign gives a certificate and its key for a name.
-func (a *certificateAuthority) sign(name string, ends time.Duration) (cert, key []byte) {
-	k := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
+// sign returns a certificate for a name and its key, both as PEM.
+func (a *certificateAuthority) sign(name string, validity time.Duration) (certificatePEM, keyPEM []byte) {
+	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 	der := must(x509.CreateCertificate(rand.Reader, &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), DNSNames: []string{name},
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(ends),
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}, a.certificate, k.Public(), a.key))
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(validity),
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}, a.certificate, key.Public(), a.key))
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
-		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: must(x509.MarshalECPrivateKey(k))})
+		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: must(x509.MarshalECPrivateKey(key))})
 }
 
-// client gives a client with a certificate of its name; "" for none.
+// newClient returns a client with a certificate for a name; an empty one for none.
 func (a *certificateAuthority) newClient(name string) *http.Client {
 	config := &tls.Config{RootCAs: x509.NewCertPool()}
 	config.RootCAs.AddCert(a.certificate)
@@ -62,27 +63,29 @@
 	return &http.Client{Transport: transport}
 }
 
+// sendTLS sends a request of an account over TLS and returns the status; 0 where there is no answer.
 func (d *testDispatcher) sendTLS(client *http.Client, key, account string) int {
 	url := strings.Replace(d.http2URL, "http://", "https://", 1)
 	status, _, _ := trySend(client, newRequest(url, key, "Req-Owner", account))
 	return status
 }
 
-// Clients show certificates, which stand for accounts; all files are replaced while the program runs, whole or not at all.
+// TestTLS_clientCertificatesAndReload checks that client certificates decide for which accounts requests are accepted, and that SIGHUP
+// applies new files of certificates and grants as a whole or not at all.
 func TestTLS_clientCertificatesAndReload(t *testing.T) {
 	t.Parallel()
-	ca, dir := newCertificateAuthority(t), t.TempDir()
-	at := func(name string) string { return filepath.Join(dir, name) }
+	authority, dir := newCertificateAuthority(t), t.TempDir()
+	path := func(name string) string { return filepath.Join(dir, name) }
 	write := func(name string, text []byte) {
-		if err := os.WriteFile(at(name), text, 0o600); err != nil {
+		if err := os.WriteFile(path(name), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	cert, key := ca.sign("dispatcher.example", 30*24*time.Hour)
-	write("server.pem", cert)
+	certificate, key := authority.sign("dispatcher.example", 30*24*time.Hour)
+	write("server.pem", certificate)
 	write("server.key", key)
-	write("clients.pem", ca.pem)
-	block := func(accounts string) string {
+	write("clients.pem", authority.pem)
+	operator := func(accounts string) string {
 		return fmt.Sprintf(`front "http2" {
   listen = "127.0.0.1:0"
   tls {
@@ -95,85 +98,85 @@
     accounts = [%s]
   }
 }
-`, at("server.pem"), at("server.key"), at("clients.pem"), accounts)
+`, path("server.pem"), path("server.key"), path("clients.pem"), accounts)
 	}
 	worker := startWorker(t, "a", completeJob)
-	dispatcher := startDispatcher(t, block(`"gwent-pumps"`), worker)
-	gwent := ca.newClient("gwent.example")
-	if status := dispatcher.sendTLS(gwent, "k", "gwent-pumps"); status != 200 {
-		t.Errorf("a job of its own: %d", status)
+	dispatcher := startDispatcher(t, operator(`"gwent-pumps"`), worker)
+	granted := authority.newClient("gwent.example")
+	if status := dispatcher.sendTLS(granted, "k", "gwent-pumps"); status != 200 {
+		t.Errorf("a granted account: status %d", status)
 	}
-	if status := dispatcher.sendTLS(gwent, "foreign", "taff-marine"); status != 403 {
-		t.Errorf("a job of another account: %d", status)
+	if status := dispatcher.sendTLS(granted, "foreign", "taff-marine"); status != 403 {
+		t.Errorf("an account that is not granted: status %d", status)
 	}
-	if status := dispatcher.sendTLS(ca.newClient("taff.example"), "unknown", "gwent-pumps"); status != 403 {
-		t.Errorf("a certificate that is granted nothing: %d", status)
+	if status := dispatcher.sendTLS(authority.newClient("taff.example"), "unknown", "gwent-pumps"); status != 403 {
+		t.Errorf("a certificate without grants: status %d", status)
 	}
-	if status := dispatcher.sendTLS(ca.newClient(""), "none", "gwent-pumps"); status != 0 {
-		t.Errorf("no certificate: %d", status)
+	if status := dispatcher.sendTLS(authority.newClient(""), "none", "gwent-pumps"); status != 0 {
+		t.Errorf("no certificate: status %d", status)
 	}
 	if status := dispatcher.sendTLS(newCertificateAuthority(t).newClient("gwent.example"), "false", "gwent-pumps"); status != 0 {
-		t.Errorf("a certificate of nobody's: %d", status)
+		t.Errorf("a certificate of an unknown authority: status %d", status)
 	}
 	if worker.runsOf("foreign")+worker.runsOf("unknown")+worker.runsOf("none")+worker.runsOf("false") != 0 {
-		t.Error("a job that nobody may hand in was started")
+		t.Error("a forbidden request reached the worker")
 	}
-	if got := dispatcher.metric("front.http2.forbidden"); got != 2 {
-		t.Errorf("%d forbidden", got)
+	if requests := dispatcher.metric("front.http2.forbidden"); requests != 2 {
+		t.Errorf("%d forbidden requests, want 2", requests)
 	}
 	if days := dispatcher.metric("front.http2.certificate_days"); days != 29 {
-		t.Errorf("the certificate ends in %d days", days)
+		t.Errorf("the certificate expires in %d days, want 29", days)
 	}
-	// In clear, with another protocol, or with HTTP/1.1 over TLS: closed, not answered.
+	// Without TLS, or with HTTP/1.1 over TLS, the connection is closed without an answer.
 	if status, _, _ := trySend(newHTTP2Client(t), newRequest(dispatcher.http2URL, "clear")); status != 0 {
-		t.Errorf("in clear: %d", status)
+		t.Errorf("without TLS: status %d", status)
 	}
 	if conn, err := tls.Dial("tcp", strings.TrimPrefix(dispatcher.http2URL, "http://"), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"http/1.1"}}); err == nil {
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Error("speaks HTTP/1.1")
+			t.Error("HTTP/1.1 over TLS was answered")
 		}
 		conn.Close()
 	}
 
-	reload := func(taken, refused int) {
+	reload := func(applied, rejected int) {
 		t.Helper()
 		dispatcher.command.Process.Signal(syscall.SIGHUP)
-		dispatcher.waitFor("the reload", func() bool {
-			return dispatcher.metric("reload_success") == taken && dispatcher.metric("reload_failure") == refused
+		dispatcher.waitFor(fmt.Sprintf("reload_success=%d and reload_failure=%d", applied, rejected), func() bool {
+			return dispatcher.metric("reload_success") == applied && dispatcher.metric("reload_failure") == rejected
 		})
 	}
-	// A broken certificate, and a key that others may read: all stays as it was, also what was good in the new file.
-	write("server.pem", []byte("broken"))
-	dispatcher.writeFile(dispatcher.operatorPath, block(`"taff-marine"`))
+	// With an invalid certificate, or a key that others may read, nothing is applied, also not what is valid in the new file.
+	write("server.pem", []byte("invalid"))
+	dispatcher.writeFile(dispatcher.operatorPath, operator(`"taff-marine"`))
 	reload(0, 1)
-	write("server.pem", cert)
-	if err := os.Chmod(at("server.key"), 0o640); err != nil {
+	write("server.pem", certificate)
+	if err := os.Chmod(path("server.key"), 0o640); err != nil {
 		t.Fatal(err)
 	}
 	reload(0, 2)
 	if !strings.Contains(dispatcher.log(), "operator.hcl:") || !strings.Contains(dispatcher.log(), "others may read it") {
-		t.Error("the log does not say what is wrong and where")
+		t.Error("the log does not name the error and its place")
 	}
-	if status := dispatcher.sendTLS(ca.newClient("gwent.example"), "after", "gwent-pumps"); status != 200 {
-		t.Errorf("after refused reloads: %d", status)
+	if status := dispatcher.sendTLS(authority.newClient("gwent.example"), "after", "gwent-pumps"); status != 200 {
+		t.Errorf("after rejected reloads: status %d", status)
 	}
-	// A new one that ends soon, and a new grant.
+	// A new certificate that expires soon, and a new grant.
 	if strings.Contains(dispatcher.log(), "certificate expires") {
-		t.Error("warned too soon")
+		t.Error("a warning of a certificate that is valid for 30 days")
 	}
-	cert, key = ca.sign("dispatcher.example", 3*24*time.Hour)
-	write("server.pem", cert)
-	os.Chmod(at("server.key"), 0o600)
+	certificate, key = authority.sign("dispatcher.example", 3*24*time.Hour)
+	write("server.pem", certificate)
+	os.Chmod(path("server.key"), 0o600)
 	write("server.key", key)
 	reload(1, 2)
-	dispatcher.waitFor("the warning", func() bool { return strings.Count(dispatcher.log(), "certificate expires") == 1 })
+	dispatcher.waitFor("one warning of the certificate's expiry", func() bool { return strings.Count(dispatcher.log(), "certificate expires") == 1 })
 	if days := dispatcher.metric("front.http2.certificate_days"); days != 2 {
-		t.Errorf("the new certificate ends in %d days", days)
+		t.Errorf("the new certificate expires in %d days, want 2", days)
 	}
-	if status := dispatcher.sendTLS(gwent, "granted", "taff-marine"); status != 200 { // on its old connection too
-		t.Errorf("a new grant: %d", status)
+	if status := dispatcher.sendTLS(granted, "granted", "taff-marine"); status != 200 { // also on its connection from before
+		t.Errorf("a new grant: status %d", status)
 	}
-	if status := dispatcher.sendTLS(gwent, "taken away", "gwent-pumps"); status != 403 {
-		t.Errorf("an old grant: %d", status)
+	if status := dispatcher.sendTLS(granted, "revoked", "gwent-pumps"); status != 403 {
+		t.Errorf("a revoked grant: status %d", status)
 	}
 }
--- a/cmd/brassdale/workerconnection_test.go
+++ b/cmd/brassdale/workerconnection_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// A connection rests behind an answer: a worker's second answer, some milliseconds late, is not taken for the next job's.
-// Here the worker says it in the very moment in which a job would come too early on the same connection.
+// TestWorkerConnection_secondAnswerDiscarded checks that a connection is not used again at once after an answer: a second answer, which
+// the worker sends when the next job comes within 20 ms, would be read as that job's.
 func TestWorkerConnection_secondAnswerDiscarded(t *testing.T) {
 	t.Parallel()
-	const rest = 20 * time.Millisecond
+	const quietPeriod = 20 * time.Millisecond
 	var mu sync.Mutex
-	answered := map[string]time.Time{} // by the connection's other end
+	answered := map[string]time.Time{} // by the connection's remote address
 	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		mu.Lock()
 		last, again := answered[conn.RemoteAddr().String()]
 		mu.Unlock()
-		if again && time.Since(last) < rest { // the second answer of the job before
+		if again && time.Since(last) < quietPeriod { // the second answer to the job before
 			io.WriteString(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
@@ -33,23 +33,23 @@
 	dispatcher := startDispatcher(t, "", worker)
 	for i := range 20 {
 		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
-			t.Fatalf("job %d, right behind another's answer: %d", i, status)
+			t.Fatalf("request %d, right after another's answer: status %d", i, status)
 		}
 	}
 }
 
-// Connections are used again once they have rested; one that its endpoint closed while it was idle carries nothing.
+// TestWorkerConnection_reuse checks that idle connections to a worker are used again, and that one that the worker has closed is not.
 func TestWorkerConnection_reuse(t *testing.T) {
 	t.Parallel()
-	kept := startWorker(t, "a", completeJob)
-	dispatcher := startDispatcher(t, "", kept)
+	keeping := startWorker(t, "a", completeJob)
+	dispatcher := startDispatcher(t, "", keeping)
 	dispatcher.send(newRequest(dispatcher.http1URL, "first"))
 	for i := range 5 {
-		time.Sleep(40 * time.Millisecond) // the rest, which is part of what is tested
+		time.Sleep(40 * time.Millisecond) // longer than a connection is unused after an answer
 		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i)))
 	}
-	if conns, _ := kept.count(); conns > 2 { // one for jobs, perhaps one more for a probe at that moment
-		t.Errorf("%d connections for 6 jobs in turn", conns)
+	if connections := keeping.connectionCount(); connections > 2 { // one for requests, perhaps one more for a probe
+		t.Errorf("%d connections for 6 requests in turn, more than 2", connections)
 	}
 	closing := startWorker(t, "b", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		completeJob(worker, conn, r)
@@ -59,11 +59,11 @@
 	dispatcher = startDispatcher(t, "", closing)
 	for i := range 5 {
 		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
-			t.Errorf("job %d behind a closed connection: %d", i, status)
+			t.Errorf("request %d, after a closed connection: status %d", i, status)
 		}
 		<-closing.abandoned
 	}
-	if _, jobs := closing.count(); jobs != 5 {
-		t.Errorf("%d jobs came, want 5", jobs)
+	if jobs := closing.jobCount(); jobs != 5 {
+		t.Errorf("%d jobs at the worker, want 5", jobs)
 	}
 }
--- a/cmd/brassdale/workers_test.go
+++ b/cmd/brassdale/workers_test.go
@@ -4,19 +4,18 @@
 	"fmt"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 )
 
-// ofMany has the program be one of 80 dispatchers.
-func asOneOfEighty(config string) string {
-	return strings.Replace(config, `"replicasOfMe":1`, `"replicasOfMe":80,"ordinal":7`, 1)
-}
+// asOneOfEighty is a change of the platform's file to one of 80 dispatchers.
+var asOneOfEighty = withSetting(`"replicasOfMe":1`, `"replicasOfMe":80,"ordinal":7`)
 
-// Six in ten workers are replaced: new ids, and the old machines say nothing more on the connections that stay open.
-// Every job is served all the same, also those that the old ones hold, and once the list is told the old get none.
+// TestWorkers_mostReplaced checks that all requests are served while six of ten workers are replaced: new ones have new IDs, and the old
+// ones answer nothing more on connections that stay open. Once the new list is known, the old ones get no requests.
 func TestWorkers_mostReplaced(t *testing.T) {
 	t.Parallel()
 	var silent atomic.Bool
@@ -33,67 +32,66 @@
 	}
 	dispatcher := startDispatcherWith(t, "", asOneOfEighty, workers...)
 	if served := dispatcher.sendMany("before", 100); served != 100 {
-		t.Errorf("%d of 100 served before", served)
+		t.Errorf("%d of 100 served before the replacement", served)
 	}
-	silent.Store(true) // the machines are cut off; nobody is told yet
-	if served := dispatcher.sendMany("untold", 100); served != 100 {
-		t.Errorf("%d of 100 served while nobody was told", served)
+	silent.Store(true) // the old workers cannot be reached, and the list does not say so yet
+	if served := dispatcher.sendMany("unlisted", 100); served != 100 {
+		t.Errorf("%d of 100 served before the new list", served)
 	}
-	now := time.Now().UnixMilli()
-	replaced := append([]*testWorker(nil), workers[6:]...)
+	startedAtMS := time.Now().UnixMilli()
+	replaced := slices.Clone(workers[6:])
 	for i := range 6 {
 		worker := startWorker(t, fmt.Sprint("new-", i), completeJob)
-		worker.startedAtMS = now
+		worker.startedAtMS = startedAtMS
 		replaced = append(replaced, worker)
 	}
 	dispatcher.discovery.update(func() { dispatcher.discovery.workers = replaced })
-	dispatcher.waitFor("the new list", func() bool { return strings.Contains(dispatcher.log(), "revision=2") })
-	dispatcher.sendMany("told", 1) // behind it the module knows
+	dispatcher.waitForLog("revision=2")
+	dispatcher.sendMany("listed", 1) // after it the scheduler has the list
 	before := totalJobs(workers[:6]...)
 	if served := dispatcher.sendMany("after", 100); served != 100 {
-		t.Errorf("%d of 100 served after", served)
+		t.Errorf("%d of 100 served after the new list", served)
 	}
 	if after := totalJobs(workers[:6]...); after != before {
-		t.Errorf("%d jobs at workers that are gone", after-before)
+		t.Errorf("%d requests at workers that are no longer listed", after-before)
 	}
 }
 
-// A worker at which connections are refused, as one has only so many, costs no job, and is met less and less.
+// TestWorkers_connectionsRefused checks that two of six workers that refuse connections cost no request, and are tried at most 20 times
+// during 200 requests.
 func TestWorkers_connectionsRefused(t *testing.T) {
 	t.Parallel()
-	workers := make([]*testWorker, 6)
-	for i := range workers {
-		workers[i] = startWorker(t, fmt.Sprint("worker-", i), completeJob)
-	}
+	workers := startWorkers(t, 6, completeJob)
 	workers[0].listener.Close()
 	workers[1].listener.Close()
 	dispatcher := startDispatcherWith(t, "", asOneOfEighty, workers...)
 	if served := dispatcher.sendMany("k", 200); served != 200 {
 		t.Errorf("%d of 200 served", served)
 	}
-	if n := strings.Count(dispatcher.log(), "unreachable"); n == 0 || n > 20 {
-		t.Errorf("shunned %d times", n)
+	if times := strings.Count(dispatcher.log(), "unreachable"); times == 0 || times > 20 {
+		t.Errorf("workers were logged as unreachable %d times, want 1 to 20", times)
 	}
 }
 
-// What reached no endpoint never ran: it is refused, and its client told when to come back.
+// TestWorkers_noneListens checks that a request which reached no worker is rejected with advice to retry after 2 s.
 func TestWorkers_noneListens(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
 	worker.listener.Close()
 	dispatcher := startDispatcher(t, "", worker)
 	if status, _, after := dispatcher.send(newRequest(dispatcher.http1URL, "k")); status != 503 || after != "2" {
-		t.Errorf("answered %d, Retry-After %q", status, after)
+		t.Errorf("status %d, Retry-After %q, want 503 and 2", status, after)
 	}
 }
 
-// Only a worker's result makes a 200, only what never ran makes a refusal.
+// TestWorkerAnswers_mappedToStatus checks the status and the advice to retry for each kind of answer of the only worker: 200 is for a
+// result only, and 503 with advice for a job that never ran.
 func TestWorkerAnswers_mappedToStatus(t *testing.T) {
 	t.Parallel()
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, test := range map[string]struct {
-		script func(*testWorker, net.Conn, *http.Request)
-		status int
+		handler jobHandler
+		status  int
 	}{
 		"failed":            {respondWith(`"state":"failed"`), 502},
 		"500":               {respondRaw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502},
@@ -114,26 +112,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			dispatcher := startDispatcher(t, "", startWorker(t, "a", test.script))
+			dispatcher := startDispatcher(t, "", startWorker(t, "a", test.handler))
 			status, body, after := dispatcher.send(newRequest(dispatcher.http1URL, "k"))
 			if status != test.status || (status == 503) != (after != "") {
-				t.Errorf("answered %d %q, Retry-After %q, want %d", status, body, after, test.status)
+				t.Errorf("status %d %q, Retry-After %q, want status %d", status, body, after, test.status)
 			}
 		})
 	}
 }
 
-// Jobs about one thing go to one endpoint: it has fetched what they need.
+// TestAffinity_sameUserSameWorker checks that one worker gets all three requests of a user, whose data it has then fetched.
 func TestAffinity_sameUserSameWorker(t *testing.T) {
 	t.Parallel()
-	workers := []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob), startWorker(t, "c", completeJob), startWorker(t, "d", completeJob)}
+	workers := startNamedWorkers(t, completeJob, "a", "b", "c", "d")
 	dispatcher := startDispatcher(t, "", workers...)
 	for i := range 3 {
 		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i), "Cookie", "theme=dark; user=7f3a9c21e0b4d655"))
 	}
 	for _, worker := range workers {
-		if _, jobs := worker.count(); jobs != 0 && jobs != 3 {
-			t.Errorf("%d of 3 jobs of one user went to %s", jobs, worker.id)
+		if jobs := worker.jobCount(); jobs != 0 && jobs != 3 {
+			t.Errorf("%d of 3 requests of one user at worker %s", jobs, worker.id)
 		}
 	}
 }
