--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -37,7 +37,7 @@
 
 var (
 	wordPattern   = regexp.MustCompile(`\w+`)
-	testName      = regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]`)
+	testName      = regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]\w*$`)
 	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
 	qualifiedName = regexp.MustCompile(`^([A-Za-z0-9]+)\.([A-Za-z]\w*)$`)
 	mixedCaseName = regexp.MustCompile(`^[A-Za-z]\w*[a-z0-9][A-Z]\w*$`)
@@ -45,7 +45,7 @@
 )
 
 // TestDocs_nameWhatExists checks that what stands between backticks on the checked pages exists: package.Name, Type.Member, paths of
-// code, and names in mixed case, of the code or of a setting.
+// code, names in mixed case, of the code or of a setting, and names of tests.
 func TestDocs_nameWhatExists(t *testing.T) {
 	names := namesOfCode(t)
 	for _, page := range checkedPages(t) {
@@ -61,18 +61,19 @@
 	}
 }
 
-// codeNames is what the code declares, tests left out.
+// codeNames is what the code declares. Only tests holds what test files declare.
 type codeNames struct {
 	declared   map[string]bool // package.Name and Type.Member
 	qualifiers map[string]bool // packages and types
 	words      map[string]bool // see wordsOfCode
+	tests      map[string]bool // tests, fuzz tests and benchmarks
 }
 
 // namesOfCode returns the names of the code.
 func namesOfCode(t *testing.T) *codeNames {
 	t.Helper()
 	declared, qualifiers := declarations(t)
-	return &codeNames{declared: declared, qualifiers: qualifiers, words: wordsOfCode(t)}
+	return &codeNames{declared: declared, qualifiers: qualifiers, words: wordsOfCode(t), tests: testsOfCode(t)}
 }
 
 // lack reports whether a text between backticks is a name or a path of code that does not exist.
@@ -84,7 +85,10 @@
 	if parts := qualifiedName.FindStringSubmatch(span); parts != nil {
 		return n.qualifiers[parts[1]] && !n.declared[span]
 	}
-	if !mixedCaseName.MatchString(span) || testName.MatchString(span) {
+	if testName.MatchString(span) {
+		return !n.tests[span]
+	}
+	if !mixedCaseName.MatchString(span) {
 		return false
 	}
 	field := strings.ToUpper(span[:1]) + span[1:] // a key of JSON, where it is no tag, is the name of a field
@@ -95,7 +99,7 @@
 func wordsOfCode(t *testing.T) map[string]bool {
 	t.Helper()
 	words := map[string]bool{}
-	forEachFile(t, codeRoots, func(file *ast.File) {
+	forEachFile(t, codeRoots, isCodeFile, func(file *ast.File) {
 		ast.Inspect(file, func(node ast.Node) bool {
 			switch node := node.(type) {
 			case *ast.Ident:
@@ -114,12 +118,30 @@
 // codeRoots are the directories of all code of the project.
 var codeRoots = []string{".", "../scheduler", "../cmd"}
 
-// forEachFile calls use with each file of code below the roots, tests left out.
-func forEachFile(t *testing.T, roots []string, use func(*ast.File)) {
+// isTestFile reports whether a path is that of a test file, isCodeFile whether it is that of any other file of Go.
+func isTestFile(path string) bool { return strings.HasSuffix(path, "_test.go") }
+func isCodeFile(path string) bool { return strings.HasSuffix(path, ".go") && !isTestFile(path) }
+
+// testsOfCode returns the names of all tests, fuzz tests and benchmarks.
+func testsOfCode(t *testing.T) map[string]bool {
+	t.Helper()
+	tests := map[string]bool{}
+	forEachFile(t, codeRoots, isTestFile, func(file *ast.File) {
+		for _, decl := range file.Decls {
+			if function, ok := decl.(*ast.FuncDecl); ok && function.Recv == nil && testName.MatchString(function.Name.Name) {
+				tests[function.Name.Name] = true
+			}
+		}
+	})
+	return tests
+}
+
+// forEachFile calls use with each file below the roots whose path is wanted.
+func forEachFile(t *testing.T, roots []string, wanted func(path string) bool, use func(*ast.File)) {
 	t.Helper()
 	for _, root := range roots {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
-			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			if err != nil || entry.IsDir() || !wanted(path) {
 				return err
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -143,7 +165,7 @@
 		qualifiers[qualifier] = true
 		declared[qualifier+"."+name] = true
 	}
-	forEachFile(t, codeRoots, func(file *ast.File) {
+	forEachFile(t, codeRoots, isCodeFile, func(file *ast.File) {
 		for _, decl := range file.Decls {
 			addDeclaration(file.Name.Name, decl, add)
 		}
@@ -251,7 +273,7 @@
 func stringLiterals(t *testing.T) map[string]bool {
 	t.Helper()
 	literals := map[string]bool{}
-	forEachFile(t, []string{".", "../scheduler"}, func(file *ast.File) {
+	forEachFile(t, []string{".", "../scheduler"}, isCodeFile, func(file *ast.File) {
 		ast.Inspect(file, func(node ast.Node) bool {
 			if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
 				if text, err := strconv.Unquote(literal.Value); err == nil {
