--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -26,8 +26,11 @@
 	exited      chan struct{}
 }
 
-// hollowProcessLimit is the GOMAXPROCS of hollow processes: their runtimes shall not compete for all cores.
-const hollowProcessLimit = "GOMAXPROCS=2"
+// hollowEnvironment bounds the cores of a hollow process: there are many processes beside it.
+const hollowEnvironment = "GOMAXPROCS=2"
+
+// hollowSeeds is by how much the seeds of hollow processes differ between runs whose seeds follow on each other.
+const hollowSeeds = 1000
 
 // hollowLogName returns the name of a hollow process's log file.
 func hollowLogName(number int) string { return fmt.Sprintf("hollow-%d.log", number) }
@@ -86,7 +89,7 @@
 		Failover:         r.failover,
 		Overload:         r.overload,
 		AddressOverrides: r.links.addressesFrom(region),
-		Seed:             r.plan.Seed*1000 + uint64(number),
+		Seed:             r.plan.Seed*hollowSeeds + uint64(number),
 		Bare:             group[0].role == roleBare,
 	}
 	for _, each := range group {
@@ -108,7 +111,7 @@
 		return err
 	}
 	defer func() { _ = log.Close() }() // only the child writes to it, by a descriptor of its own
-	p.command.Env = append(os.Environ(), hollowProcessLimit)
+	p.command.Env = append(os.Environ(), hollowEnvironment)
 	p.command.Stderr = log
 	if p.stdin, err = p.command.StdinPipe(); err != nil {
 		return err
--- a/internal/scale/regionlinks.go
+++ b/internal/scale/regionlinks.go
@@ -16,6 +16,9 @@
 	meter   traffic.Meter                          // of the proxies
 }
 
+// linkSeeds is by how much the seeds of the links differ between regions that follow on each other.
+const linkSeeds = 100
+
 // openLinks opens links from all regions to the voters of the others. closeAll closes them.
 func (r *run) openLinks() error {
 	for from := range r.plan.Regions {
@@ -24,7 +27,7 @@
 			if to == from {
 				continue
 			}
-			seed := r.plan.Seed + uint64(100*from+index)
+			seed := r.plan.Seed + uint64(linkSeeds*from+index)
 			if err := r.links.open(regionPair{from, to}, voter.fleetAddress, seed, r.plan.CountLinks); err != nil {
 				return err
 			}
