--- a/internal/faults/fleetclient.go
+++ b/internal/faults/fleetclient.go
@@ -32,6 +32,15 @@
 	Served float64 `json:"Served"`
 }
 
+// rejectedCallError is the error of a call that was answered with another status than 200.
+type rejectedCallError struct {
+	status int
+	reason string
+}
+
+// Error implements error.
+func (e *rejectedCallError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.reason) }
+
 // requestStatus requests the status of a process in the fleet.
 func (r *run) requestStatus(ctx context.Context, process *dispatcherProcess) (fleetStatus, error) {
 	var status fleetStatus
@@ -40,7 +49,7 @@
 }
 
 // callFleet calls a process's fleet listener and decodes the answer: by POST if there is a body, else by GET. It blocks up to
-// fleetCallTimeout.
+// fleetCallTimeout. A call that is rejected returns a *rejectedCallError.
 func (r *run) callFleet(ctx context.Context, process *dispatcherProcess, name string, body []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, fleetCallTimeout)
 	defer cancel()
@@ -60,7 +69,7 @@
 	if response.StatusCode != http.StatusOK {
 		var rejection struct{ Why string }
 		_ = json.NewDecoder(response.Body).Decode(&rejection) // without a reason the status says enough
-		return fmt.Errorf("status %d: %s", response.StatusCode, rejection.Why)
+		return &rejectedCallError{response.StatusCode, rejection.Why}
 	}
 	return json.NewDecoder(response.Body).Decode(answer)
 }
--- a/internal/faults/linkfaults.go
+++ b/internal/faults/linkfaults.go
@@ -40,7 +40,7 @@
 	process.linkState = state
 	for ends, link := range r.links {
 		if ends.from == process.index || ends.to == process.index {
-			link.Set(r.linkState(ends))
+			link.Set(r.combinedState(ends))
 		}
 	}
 }
@@ -54,12 +54,12 @@
 		r.partitioned[index] = true
 	}
 	for ends, link := range r.links {
-		link.Set(r.linkState(ends))
+		link.Set(r.combinedState(ends))
 	}
 }
 
-// linkState returns the state of a link under the faults of both of its ends. The caller holds r.mu.
-func (r *run) linkState(ends linkEnds) State {
+// combinedState returns the state of a link under the faults of both of its ends. The caller holds r.mu.
+func (r *run) combinedState(ends linkEnds) State {
 	from, to := r.processes[ends.from].linkState, r.processes[ends.to].linkState
 	partitioned := r.partitioned[ends.from] != r.partitioned[ends.to]
 	return State{
--- a/internal/faults/linkfaults_test.go
+++ b/internal/faults/linkfaults_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestLinkState: a link is under the faults of both of its ends, each in the direction of the process that has it, and under a partition
+// TestCombinedState: a link is under the faults of both of its ends, each in the direction of the process that has it, and under a partition
 // between them.
-func TestLinkState(t *testing.T) {
+func TestCombinedState(t *testing.T) {
 	for _, c := range []struct {
 		from, to State
 		group    []int
@@ -23,7 +23,7 @@
 	} {
 		r := &run{processes: []*dispatcherProcess{{index: 0, linkState: c.from}, {index: 1, linkState: c.to}}}
 		r.partition(c.group)
-		if got := r.linkState(linkEnds{0, 1}); got != c.want {
+		if got := r.combinedState(linkEnds{0, 1}); got != c.want {
 			t.Errorf("%+v: %+v", c, got)
 		}
 	}
--- a/internal/faults/operatorfile.go
+++ b/internal/faults/operatorfile.go
@@ -5,6 +5,12 @@
 	"strings"
 )
 
+// The processes' places, in turn by index, over which the raft group's voters are spread.
+const (
+	fleetRegions = 2
+	fleetZones   = 3
+)
+
 // operatorFile returns the text of a process's operator file. It is empty without voters.
 func (r *run) operatorFile(process *dispatcherProcess) string {
 	if r.plan.Voters == 0 {
@@ -15,8 +21,9 @@
 		voterID = process.index + 1
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "council {\n fleet = \"rig\"\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n region = \"r%d\"\n zone = \"z%d\"\n",
-		process.address, voterID, process.dir, r.plan.Bound, process.index%2, process.index%3)
+	region, zone := regionName(process.index%fleetRegions), zoneName(process.index%fleetZones)
+	fmt.Fprintf(&text, "council {\n fleet = \"rig\"\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n region = %q\n zone = %q\n",
+		process.address, voterID, process.dir, r.plan.Bound, region, zone)
 	if r.plan.ReplaceVoterAfter > 0 {
 		fmt.Fprintf(&text, " replace = %q\n", r.plan.ReplaceVoterAfter)
 	}
--- a/internal/faults/proposals.go
+++ b/internal/faults/proposals.go
@@ -55,7 +55,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err != nil && strings.Contains(err.Error(), olderBuildsReason) {
+	var rejected *rejectedCallError
+	if errors.As(err, &rejected) && strings.Contains(rejected.reason, olderBuildsReason) {
 		r.result.RefusedOlder++
 	}
 	if err != nil || response.Record.Announced == nil {
