--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -18,7 +18,7 @@
 type Release struct {
 	At                time.Duration // since the run began: when workers begin to drain and the first dispatchers are restarted
 	DrainedWorkers    float64       // share of the workers that drain
-	RestartedWorkers  float64       // share of the workers that restart
+	RestartedWorkers  float64       // share of the workers that restart, workerDrainTime/2 after At
 	StepInterval      time.Duration // between two steps of the dispatchers' restart; 0 for no restart
 	DiscoveryMovesAt  time.Duration // since the run began: when discovery moves; 0 for never
 	NotifyAfter       time.Duration // from the move until the dispatchers are notified
--- a/internal/faults/run.go
+++ b/internal/faults/run.go
@@ -13,7 +13,7 @@
 	"brassdale/internal/emulator"
 )
 
-// run is a run in progress.
+// run is a run in progress. The fields above mu are not changed after start, except what dispatcherProcess says of its own.
 type run struct {
 	plan      Plan
 	scenario  emulator.Scenario
@@ -25,8 +25,8 @@
 	links     map[linkEnds]*Link
 
 	mu          sync.Mutex
-	partitioned map[int]bool // processes that a partition separates from the rest
-	announcedAt map[uint64]time.Time
+	partitioned map[int]bool         // processes that a partition separates from the rest
+	announcedAt map[uint64]time.Time // by version: when it was announced
 	endedJobs   endedJobs
 	result      *Result
 	err         error // the first error of the run itself
