--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -29,7 +29,7 @@
 
 // allFaults is a scenario with every kind of fault that is not of a zone.
 func allFaults(seed uint64) Scenario {
-	s := LlanelliWorks(seed)
+	s := ReferenceScenario(seed)
 	s.Span = 36 * time.Second
 	for i := range ZoneLost { // the later ones are of zones
 		s.Faults = append(s.Faults, Fault{At: time.Duration(2+4*i) * time.Second, For: 3 * time.Second, Kind: i, Share: 0.1, Size: 2})
@@ -55,11 +55,11 @@
 
 // TestModule: the scheduler keeps the rules through all faults, and meets its objective without faults.
 func TestModule(t *testing.T) {
-	calm := mustRun(t, LlanelliWorks(3), schedulerPolicy)
+	calm := mustRun(t, ReferenceScenario(3), schedulerPolicy)
 	if calm.Service < 0.9 || calm.Jobs < 9000 || len(calm.Breaches) > 0 {
 		t.Errorf("calm: %+v", calm)
 	}
-	if bad := mustRun(t, LlanelliWorks(3), plainPolicy("random")); bad.Service >= calm.Service {
+	if bad := mustRun(t, ReferenceScenario(3), plainPolicy("random")); bad.Service >= calm.Service {
 		t.Errorf("random choice serves %.3f, the module %.3f", bad.Service, calm.Service)
 	}
 	for seed := range uint64(3) {
@@ -130,7 +130,7 @@
 
 // TestAuditor: the auditor finds a breach of each of the four rules, with the request, the worker and the time.
 func TestAuditor(t *testing.T) {
-	base := LlanelliWorks(1)
+	base := ReferenceScenario(1)
 	base.Span, base.Traffic.Rate = 8*time.Second, 40
 	all := func(s Scenario, meddle func(scheduler.Event, []scheduler.Action) []scheduler.Action) *Result {
 		return mustRun(t, s, func(set scheduler.Settings, seed uint64) Policy {
@@ -203,6 +203,6 @@
 // BenchmarkBusyDay runs a minute of 170 jobs/s, on one core.
 func BenchmarkBusyDay(b *testing.B) {
 	for b.Loop() {
-		mustRun(b, LlanelliWorks(1), schedulerPolicy)
+		mustRun(b, ReferenceScenario(1), schedulerPolicy)
 	}
 }
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -9,7 +9,7 @@
 
 // fourZones is a cluster of four zones in two regions at six tenths of its capacity; one zone is lost for 20 s.
 func fourZones(seed uint64, mode string) Scenario {
-	s := LlanelliWorks(seed)
+	s := ReferenceScenario(seed)
 	s.Span, s.Dispatchers = 100*time.Second, 12
 	s.Kinds = []Kind{{"box", 24, 5, 0.9, 1.1, false}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice = 4, 2, 0.03
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -27,7 +27,7 @@
 
 // TestOnSockets: real dispatchers keep the rules through faults, and serve nearly all jobs, as in virtual time.
 func TestOnSockets(t *testing.T) {
-	s := LlanelliWorks(3)
+	s := ReferenceScenario(3)
 	s.Span = 4 * time.Second
 	s.Traffic.Rate = 60
 	s.Faults = []Fault{{At: time.Second, For: time.Second, Kind: Reset, Share: 0.3}, {At: 1500 * time.Millisecond, For: time.Second, Kind: Partition, Share: 0.1},
@@ -77,7 +77,7 @@
 // TestAuditOnSockets: the auditor finds a job sent to a worker long after the notification of its drain, and a repeat in another
 // cell.
 func TestAuditOnSockets(t *testing.T) {
-	s := LlanelliWorks(1)
+	s := ReferenceScenario(1)
 	s.Discovery, s.Dispatchers = time.Millisecond, 1
 	s.Rules.DrainGrace = 0
 	s.Faults = []Fault{{At: 0, For: time.Hour, Kind: Drain, Share: 1}}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -156,11 +156,8 @@
 	MayCancel   bool
 }
 
-// Usual returns the scenario that experiments start from.
-func Usual(seed uint64) Scenario { return LlanelliWorks(seed) }
-
-// LlanelliWorks returns the reference scenario: thirteen workers of two kinds and two dispatchers, without faults.
-func LlanelliWorks(seed uint64) Scenario {
+// ReferenceScenario returns the scenario that experiments start from: thirteen workers of two kinds and two dispatchers, without faults.
+func ReferenceScenario(seed uint64) Scenario {
 	return Scenario{
 		Seed: seed, Span: time.Minute, Dispatchers: 2, Cells: 3,
 		Traffic: Traffic{Rate: 170, Work: 0.2, WorkLogStdDev: 0.7, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2.5, Deadline: 5 * time.Second,
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -12,7 +12,7 @@
 	"brassdale/internal/hcldiag"
 )
 
-// File is an experiment's file. What its world leaves out is as in emulator.LlanelliWorks.
+// File is an experiment's file. What its world leaves out is as in emulator.ReferenceScenario.
 type File struct {
 	Title    string    `hcl:"title"`
 	Seeds    int       `hcl:"seeds"`
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -39,7 +39,7 @@
 
 // Scenario returns a variant's scenario for a seed.
 func (f *File) Scenario(variant Variant, seed uint64) (emulator.Scenario, error) {
-	scenario := emulator.LlanelliWorks(seed)
+	scenario := emulator.ReferenceScenario(seed)
 	if len(f.Kinds) > 0 {
 		scenario.Kinds = nil
 	}
--- a/internal/faults/plan.go
+++ b/internal/faults/plan.go
@@ -44,7 +44,7 @@
 
 // scenario returns the scenario of the emulator that has the plan's workers, discovery and faults of these.
 func (p *Plan) scenario() emulator.Scenario {
-	scenario := emulator.LlanelliWorks(p.Seed)
+	scenario := emulator.ReferenceScenario(p.Seed)
 	scenario.Span, scenario.Dispatchers, scenario.Traffic.Rate = p.Span, p.Processes, p.Rate
 	if p.Release != nil {
 		p.Release.addTo(&scenario)
--- a/internal/program/peer.go
+++ b/internal/program/peer.go
@@ -63,7 +63,7 @@
 		return
 	}
 	jobs := transport.NewJobFrontend(d.core, d.settings, d.frontends[0].listener, d.inFlightIDs, d.idempotencyTable, nil, nil, d.log)
-	handler := transport.RelayHandler{Whole: jobs, Stream: d.progress}
+	handler := transport.RelayHandler{Jobs: jobs, Progress: d.progress}
 	server := transport.Server(handler, d.log)
 	d.relayPath = path
 	d.relayServer = server
--- a/internal/program/reloader.go
+++ b/internal/program/reloader.go
@@ -130,7 +130,7 @@
 	dispatcher.settings.Replace(&config.Settings, dispatcher.core.ApplySettings)
 	dispatcher.registerClasses(&config.Settings)
 	if discoveryChanged(old, config) {
-		r.discovery = transport.NewDiscovery(config.Discovery, r.discovery.Params, dispatcher.meter)
+		r.discovery = transport.NewDiscovery(config.Discovery, r.discovery.Settings, dispatcher.meter)
 		dispatcher.endpointList.ChangeDiscovery(r.discovery)
 	}
 	return old
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -89,12 +89,12 @@
 }
 
 // ListsPushed reports whether lists are pushed: the address of discovery is then that of an agent on this machine.
-func (p *Settings) ListsPushed() bool { return p.Discovery == listsPushed }
+func (s *Settings) ListsPushed() bool { return s.Discovery == listsPushed }
 
 // Class returns the number of a class in the settings by its name.
-func (p *Settings) Class(name string) (int, bool) {
-	for i := range p.Classes {
-		if p.Classes[i].Name == name {
+func (s *Settings) Class(name string) (int, bool) {
+	for i := range s.Classes {
+		if s.Classes[i].Name == name {
 			return i, true
 		}
 	}
@@ -102,22 +102,22 @@
 }
 
 // HasClass reports whether there is a class of this name.
-func (p *Settings) HasClass(name string) bool {
-	_, ok := p.Class(name)
+func (s *Settings) HasClass(name string) bool {
+	_, ok := s.Class(name)
 	return ok
 }
 
 // LongestDeadline returns the longest time that a client of any class waits.
-func (p *Settings) LongestDeadline() (longest time.Duration) {
-	for i := range p.Classes {
-		longest = max(longest, p.ClassDeadline(i))
+func (s *Settings) LongestDeadline() (longest time.Duration) {
+	for i := range s.Classes {
+		longest = max(longest, s.ClassDeadline(i))
 	}
 	return longest
 }
 
 // ClassDeadline returns the longest time that a client of a class waits. The class is given by its number in the settings.
-func (p *Settings) ClassDeadline(class int) time.Duration {
-	return p.Classes[class].Deadline.Duration()
+func (s *Settings) ClassDeadline(class int) time.Duration {
+	return s.Classes[class].Deadline.Duration()
 }
 
 // LiveSettings holds the settings in force. They are replaced as a whole: whoever begins something calls Current once. Current may be
@@ -183,41 +183,41 @@
 }
 
 // SchedulerSettings converts the settings to the terms of the scheduler.
-func (p *Settings) SchedulerSettings() scheduler.Settings {
+func (s *Settings) SchedulerSettings() scheduler.Settings {
 	converted := scheduler.Settings{
-		DispatcherIndex: p.Ordinal, Dispatchers: p.ReplicasOfMe, Zone: p.Locality,
-		ListPolled:        p.Discovery == listsPolled,
-		ReportsPulled:     p.LoadReport.Via == reportsPulled,
-		ReportsStart:      p.FamilyInfo.TellsStart,
-		ProgressInterval:  p.FamilyInfo.Progress.Duration(),
-		MayProbe:          p.Limits.Probing,
-		MayCancel:         p.Limits.Cancel,
-		MayHedge:          p.Limits.MayDuplicate,
-		MayAdviseRetry:    p.Limits.RetryAfter,
-		MaxAttempts:       p.Limits.MaxAttempts,
-		MaxRetryAfter:     p.Limits.MaxRetryAfter.Duration(),
-		AnswerSlack:       p.Rules.AnswerSlack.Duration(),
-		MaxPollInterval:   p.Rules.AskWithin.Duration(),
-		SlowStartDuration: p.Rules.Cold.Duration(),
-		SlowStartCapacity: p.Rules.StartCapacity,
-		OverloadMultiple:  p.Rules.TipMultiple,
-		OverloadWindow:    p.Rules.Fall.Duration(),
+		DispatcherIndex: s.Ordinal, Dispatchers: s.ReplicasOfMe, Zone: s.Locality,
+		ListPolled:        s.Discovery == listsPolled,
+		ReportsPulled:     s.LoadReport.Via == reportsPulled,
+		ReportsStart:      s.FamilyInfo.TellsStart,
+		ProgressInterval:  s.FamilyInfo.Progress.Duration(),
+		MayProbe:          s.Limits.Probing,
+		MayCancel:         s.Limits.Cancel,
+		MayHedge:          s.Limits.MayDuplicate,
+		MayAdviseRetry:    s.Limits.RetryAfter,
+		MaxAttempts:       s.Limits.MaxAttempts,
+		MaxRetryAfter:     s.Limits.MaxRetryAfter.Duration(),
+		AnswerSlack:       s.Rules.AnswerSlack.Duration(),
+		MaxPollInterval:   s.Rules.AskWithin.Duration(),
+		SlowStartDuration: s.Rules.Cold.Duration(),
+		SlowStartCapacity: s.Rules.StartCapacity,
+		OverloadMultiple:  s.Rules.TipMultiple,
+		OverloadWindow:    s.Rules.Fall.Duration(),
 
-		CrossZoneCost: p.Prices.CrossZone,
-		WeightByWork:  p.CountedBy == countedByWork,
+		CrossZoneCost: s.Prices.CrossZone,
+		WeightByWork:  s.CountedBy == countedByWork,
 	}
 	if converted.ListPolled {
-		converted.ListValidity = routing.ListNotificationDeadline + p.Rules.DrainGrace.Duration()
+		converted.ListValidity = routing.ListNotificationDeadline + s.Rules.DrainGrace.Duration()
 	}
-	for i := range p.Classes {
-		converted.Classes = append(converted.Classes, p.schedulerClass(i))
+	for i := range s.Classes {
+		converted.Classes = append(converted.Classes, s.schedulerClass(i))
 	}
 	return converted
 }
 
 // schedulerClass converts a class to the terms of the scheduler.
-func (p *Settings) schedulerClass(number int) scheduler.Class {
-	wire := &p.Classes[number]
+func (s *Settings) schedulerClass(number int) scheduler.Class {
+	wire := &s.Classes[number]
 	class := scheduler.Class{
 		LatencyObjective: wire.Aim.Duration(), ObjectiveStretch: wire.AimStretch, Deadline: wire.Deadline.Duration(),
 		PriorityWeight: wire.Credit, LateWeight: wire.LateWorth, DeduplicationWindow: wire.Window.Duration(), Streamed: wire.Stream,
@@ -235,22 +235,22 @@
 	case scopeCell:
 		class.DeduplicationScope = scheduler.ScopeCell
 	}
-	if number < len(p.FamilyInfo.ClassKind) {
-		class.MachineKind = p.FamilyInfo.ClassKind[number]
+	if number < len(s.FamilyInfo.ClassKind) {
+		class.MachineKind = s.FamilyInfo.ClassKind[number]
 	}
-	if number < len(p.FamilyInfo.ClassStretch) {
-		class.ObjectiveStretch = p.FamilyInfo.ClassStretch[number]
+	if number < len(s.FamilyInfo.ClassStretch) {
+		class.ObjectiveStretch = s.FamilyInfo.ClassStretch[number]
 	}
 	return class
 }
 
 // Report converts a row of a load report, in the order of LoadReport.Columns; nil for no row.
-func (p *Settings) Report(row []float64) *scheduler.Report {
+func (s *Settings) Report(row []float64) *scheduler.Report {
 	if row == nil {
 		return nil
 	}
 	report := emptyReport()
-	for i, name := range p.LoadReport.Columns {
+	for i, name := range s.LoadReport.Columns {
 		if i < len(row) {
 			setColumn(report, name, row[i])
 		}
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -24,10 +24,10 @@
 
 // Discovery is the client of a discovery service, and the core's routing.Discovery. It may be used from any goroutine.
 type Discovery struct {
-	Address string
-	Params  *protocol.LiveSettings
-	meter   *traffic.Meter
-	client  http.Client
+	Address  string
+	Settings *protocol.LiveSettings
+	meter    *traffic.Meter
+	client   http.Client
 }
 
 // NewDiscovery returns a client of the service at an address. It uses no proxy of the environment. The meter counts the bytes of its
@@ -35,7 +35,7 @@
 func NewDiscovery(address string, settings *protocol.LiveSettings, meter *traffic.Meter) *Discovery {
 	dialer := &net.Dialer{Timeout: discoveryDialTimeout}
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DialContext: meter.Dial(dialer)}
-	return &Discovery{Address: address, Params: settings, meter: meter, client: http.Client{Transport: transport}}
+	return &Discovery{Address: address, Settings: settings, meter: meter, client: http.Client{Transport: transport}}
 }
 
 // Service returns the address, as the name of the service.
@@ -51,7 +51,7 @@
 // deadline of its kind, which is set in advance: a partitioned service may leave a connection open and silent, and its
 // endpoints still count as notified then.
 func (d *Discovery) Call(ctx context.Context, revision int64, kind polling.Kind) (routing.ListUpdate, error) {
-	wait, responseTimeout := PollRules(d.Params.Current()).Timeouts(kind)
+	wait, responseTimeout := PollRules(d.Settings.Current()).Timeouts(kind)
 	deadline := time.Now().Add(wait + responseTimeout)
 	ctx, stop := context.WithDeadline(ctx, deadline)
 	defer stop()
@@ -62,7 +62,7 @@
 	if revision == routing.FullList && !list.Complete {
 		return routing.ListUpdate{}, errNotFullList
 	}
-	update := Update(list, d.Params.Current())
+	update := Update(list, d.Settings.Current())
 	update.ReceivedAt = receivedAt
 	update.BeforeWaitEnded = time.Until(deadline) > responseTimeout+wait/2
 	return update, nil
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -99,17 +99,17 @@
 
 // RelayHandler handles the requests that the other process relays.
 type RelayHandler struct {
-	Whole  *JobFrontend
-	Stream *ProgressFrontend // nil if that frontend is off
+	Jobs     *JobFrontend
+	Progress *ProgressFrontend // nil if that frontend is off
 }
 
 // ServeHTTP implements http.Handler.
 func (h RelayHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if h.Stream != nil && r.Header.Get(relayModeHeader) != relayWhole {
-		h.Stream.ServeHTTP(w, r)
+	if h.Progress != nil && r.Header.Get(relayModeHeader) != relayWhole {
+		h.Progress.ServeHTTP(w, r)
 		return
 	}
-	h.Whole.ServeHTTP(w, r)
+	h.Jobs.ServeHTTP(w, r)
 }
 
 // sendToSuccessor sends an ended job to the successor, if there is one. It does not block.
