--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -162,3 +162,33 @@
 		}
 	}
 }
+
+// An endpoint that is notified of free capacity and does not need it any more, as the attempt that waited must not start now, passes
+// it on: else another endpoint waits on while capacity is free, until some connection is closed.
+func TestFreedCapacity_passedOnIfNotNeeded(t *testing.T) {
+	actor, ends, _, _ := newIdle(t, time.Time{})
+	pool := actor.pool
+	other := newEndpoint(pool, routing.Endpoint{})
+	pool.endpoints["other"], pool.endpoints["this"] = other, actor
+	pool.SetConnectionLimit(1)
+	if !pool.reserveConn(actor) {
+		t.Fatal("no capacity for the first connection")
+	}
+	expired := newExchange(time.Now().Add(-time.Second)) // its capacityWaitTimedOut is not handled yet
+	actor.waitingForCapacity = []*workerExchange{expired}
+	if pool.reserveConn(actor) || pool.reserveConn(other) {
+		t.Fatal("capacity beyond the limit")
+	}
+	other.mailbox.Take()
+	actor.mailbox.Take()
+	pool.releaseConn()
+	for _, message := range actor.mailbox.Take() {
+		actor.handle(message)
+	}
+	if outcome := <-ends; outcome != scheduler.NeverSent {
+		t.Errorf("the expired attempt ended as %v", outcome)
+	}
+	if got := other.mailbox.Take(); len(got) != 1 || got[0] != any(capacityFreed{}) {
+		t.Errorf("the other endpoint waits, one connection of one is free, and it received %v", got)
+	}
+}
