--- a/internal/faults/event.go
+++ b/internal/faults/event.go
@@ -57,18 +57,18 @@
 )
 
 // linkState returns the state of the links of the event's process during the event, for kinds that do not change it meanwhile.
-func (e *Event) linkState() State {
+func (e *Event) linkState() LinkState {
 	switch e.Kind {
 	case Cut:
-		return State{CutTo: true, CutFrom: true}
+		return LinkState{CutTo: true, CutFrom: true}
 	case OneWayCut:
-		return State{CutTo: !e.Reverse, CutFrom: e.Reverse}
+		return LinkState{CutTo: !e.Reverse, CutFrom: e.Reverse}
 	case Delay:
-		return State{Delay: minDelay, Spread: delaySpread}
+		return LinkState{Delay: minDelay, Spread: delaySpread}
 	case Slow:
-		return State{Slow: true}
+		return LinkState{Slow: true}
 	case Reorder:
-		return State{Reorder: maxReorderDelay}
+		return LinkState{Reorder: maxReorderDelay}
 	}
-	return State{}
+	return LinkState{}
 }
--- a/internal/faults/faultinjection.go
+++ b/internal/faults/faultinjection.go
@@ -43,7 +43,7 @@
 	default:
 		r.setLinks(process, event.linkState())
 		waitUntil(ctx, end)
-		r.setLinks(process, State{})
+		r.setLinks(process, LinkState{})
 	}
 	return nil
 }
--- a/internal/faults/link.go
+++ b/internal/faults/link.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// State is what a link does to what goes over it. The zero value passes everything on.
-type State struct {
+// LinkState is what a link does to what goes over it. The zero value passes everything on.
+type LinkState struct {
 	CutTo   bool          // nothing that the caller sends arrives
 	CutFrom bool          // nothing that the called process sends arrives
 	Delay   time.Duration // of each piece, in one direction
@@ -36,7 +36,7 @@
 	target   string // address of the listener at the other end
 
 	mu      sync.Mutex
-	state   State
+	state   LinkState
 	conns   map[net.Conn]bool // open connections, at both sides of the link
 	waiting map[net.Conn]bool // those that carry bytes which wait at a cut
 	rng     *rand.Rand
@@ -87,7 +87,7 @@
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
 // Set changes what the link does from now on.
-func (l *Link) Set(state State) {
+func (l *Link) Set(state LinkState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wasCut, isCut := l.state.CutTo || l.state.CutFrom, state.CutTo || state.CutFrom
@@ -119,7 +119,7 @@
 	_ = l.listener.Close() // no connection is accepted after it, whatever it returns
 	_ = l.packets.Close()  // likewise
 	l.Reset()
-	l.Set(State{})
+	l.Set(LinkState{})
 }
 
 // reset closes a connection so that its peer sees it reset.
@@ -131,7 +131,7 @@
 }
 
 // current returns the state, and a delay drawn for a piece that goes over the link in it.
-func (l *Link) current() (State, time.Duration) {
+func (l *Link) current() (LinkState, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.state.Delay + l.randomDelay(l.state.Spread)
@@ -210,8 +210,8 @@
 	}
 	defer l.remove(caller, called)
 	var passing sync.WaitGroup
-	passing.Go(func() { l.pass(caller, called, func(state State) bool { return state.CutTo }) })
-	passing.Go(func() { l.pass(called, caller, func(state State) bool { return state.CutFrom }) })
+	passing.Go(func() { l.pass(caller, called, func(state LinkState) bool { return state.CutTo }) })
+	passing.Go(func() { l.pass(called, caller, func(state LinkState) bool { return state.CutFrom }) })
 	passing.Wait()
 }
 
@@ -238,7 +238,7 @@
 
 // pass passes one direction of a connection on, piece by piece, and closes both sides when it ends. cut says whether a state cuts this
 // direction.
-func (l *Link) pass(from, to net.Conn, cut func(State) bool) {
+func (l *Link) pass(from, to net.Conn, cut func(LinkState) bool) {
 	defer func() {
 		_ = from.Close() // the bytes that it has not delivered are lost
 		_ = to.Close()   // likewise
@@ -264,7 +264,7 @@
 var errCut = errors.New("cut")
 
 // delayPiece waits for a piece's delay, and while its direction is cut. It returns errCut after a cut.
-func (l *Link) delayPiece(from, to net.Conn, cut func(State) bool) error {
+func (l *Link) delayPiece(from, to net.Conn, cut func(LinkState) bool) error {
 	_, delay := l.current()
 	time.Sleep(delay)
 	waited := false
--- a/internal/faults/link_test.go
+++ b/internal/faults/link_test.go
@@ -51,7 +51,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	for _, cut := range []State{{CutTo: true}, {CutFrom: true}, {CutTo: true, CutFrom: true}} {
+	for _, cut := range []LinkState{{CutTo: true}, {CutFrom: true}, {CutTo: true, CutFrom: true}} {
 		c := dial()
 		if !passes(c) {
 			t.Fatal("nothing passes")
@@ -60,7 +60,7 @@
 		if passes(c) {
 			t.Errorf("%+v: it passes", cut)
 		}
-		link.Set(State{})
+		link.Set(LinkState{})
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 			t.Errorf("%+v: after it the connection is still open: %v", cut, err)
@@ -70,7 +70,7 @@
 		}
 	}
 	c := dial()
-	link.Set(State{Delay: 20 * time.Millisecond})
+	link.Set(LinkState{Delay: 20 * time.Millisecond})
 	if begin := time.Now(); !passes(c) || time.Since(begin) < 40*time.Millisecond {
 		t.Error("not delayed both ways")
 	}
--- a/internal/faults/linkfaults.go
+++ b/internal/faults/linkfaults.go
@@ -34,7 +34,7 @@
 }
 
 // setLinks sets the fault of a process's links. Faults of the processes at the other ends stay in force.
-func (r *run) setLinks(process *dispatcherProcess, state State) {
+func (r *run) setLinks(process *dispatcherProcess, state LinkState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	process.linkState = state
@@ -59,10 +59,10 @@
 }
 
 // combinedState returns the state of a link under the faults of both of its ends. The caller holds r.mu.
-func (r *run) combinedState(ends linkEnds) State {
+func (r *run) combinedState(ends linkEnds) LinkState {
 	from, to := r.processes[ends.from].linkState, r.processes[ends.to].linkState
 	partitioned := r.partitioned[ends.from] != r.partitioned[ends.to]
-	return State{
+	return LinkState{
 		CutTo:   partitioned || from.CutTo || to.CutFrom,
 		CutFrom: partitioned || from.CutFrom || to.CutTo,
 		Delay:   max(from.Delay, to.Delay),
@@ -75,12 +75,12 @@
 // flapLinks cuts and heals a process's links in turn until a time. If the context ends before, it leaves them as they are.
 func (r *run) flapLinks(ctx context.Context, process *dispatcherProcess, end time.Time) {
 	for cut := true; time.Now().Before(end); cut = !cut {
-		r.setLinks(process, State{CutTo: cut, CutFrom: cut})
+		r.setLinks(process, LinkState{CutTo: cut, CutFrom: cut})
 		if !waitUntil(ctx, time.Now().Add(flapInterval)) {
 			return
 		}
 	}
-	r.setLinks(process, State{})
+	r.setLinks(process, LinkState{})
 }
 
 // resetLinks resets the connections over a process's links repeatedly until a time.
@@ -95,5 +95,5 @@
 			return
 		}
 	}
-	r.setLinks(process, State{})
+	r.setLinks(process, LinkState{})
 }
--- a/internal/faults/linkfaults_test.go
+++ b/internal/faults/linkfaults_test.go
@@ -9,17 +9,17 @@
 // between them.
 func TestCombinedState(t *testing.T) {
 	for _, c := range []struct {
-		from, to State
+		from, to LinkState
 		group    []int
-		want     State
+		want     LinkState
 	}{
-		{State{}, State{}, nil, State{}},
-		{State{CutTo: true}, State{}, nil, State{CutTo: true}},
-		{State{}, State{CutTo: true}, nil, State{CutFrom: true}},
-		{State{CutFrom: true}, State{CutFrom: true}, nil, State{CutTo: true, CutFrom: true}},
-		{State{Delay: time.Second, Slow: true}, State{Spread: time.Second, Reorder: time.Second}, nil, State{Delay: time.Second, Spread: time.Second, Slow: true, Reorder: time.Second}},
-		{State{}, State{}, []int{1}, State{CutTo: true, CutFrom: true}},
-		{State{}, State{}, []int{0, 1}, State{}},
+		{LinkState{}, LinkState{}, nil, LinkState{}},
+		{LinkState{CutTo: true}, LinkState{}, nil, LinkState{CutTo: true}},
+		{LinkState{}, LinkState{CutTo: true}, nil, LinkState{CutFrom: true}},
+		{LinkState{CutFrom: true}, LinkState{CutFrom: true}, nil, LinkState{CutTo: true, CutFrom: true}},
+		{LinkState{Delay: time.Second, Slow: true}, LinkState{Spread: time.Second, Reorder: time.Second}, nil, LinkState{Delay: time.Second, Spread: time.Second, Slow: true, Reorder: time.Second}},
+		{LinkState{}, LinkState{}, []int{1}, LinkState{CutTo: true, CutFrom: true}},
+		{LinkState{}, LinkState{}, []int{0, 1}, LinkState{}},
 	} {
 		r := &run{processes: []*dispatcherProcess{{index: 0, linkState: c.from}, {index: 1, linkState: c.to}}}
 		r.partition(c.group)
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -24,9 +24,9 @@
 	// Guarded by run.mu. The event that is played on the process reads node without it, because no other changes it meanwhile.
 	node      *emulator.Node // its last start; nil before the first
 	absences  []Absence
-	absent    bool  // clients send it nothing
-	lost      bool  // it does not come back; its whole log is in earlierLog
-	linkState State // what its events do to its links; "to" is what it sends
+	absent    bool      // clients send it nothing
+	lost      bool      // it does not come back; its whole log is in earlierLog
+	linkState LinkState // what its events do to its links; "to" is what it sends
 
 	// Used by the event that is played on the process, and after all events.
 	earlierLog string   // of the starts that have ended
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -210,12 +210,12 @@
 // partitionRegion cuts the fault's region off from the others until its end. Hollow dispatchers observe only the zones on their side.
 func (r *run) partitionRegion(ctx context.Context, names []string, end time.Time) {
 	region := r.plan.Fault.Region
-	r.links.setState(region, faults.State{CutTo: true, CutFrom: true})
+	r.links.setState(region, faults.LinkState{CutTo: true, CutFrom: true})
 	r.recordPartition(names, true)
 	r.setObservedZones(ctx, func(own, zone int) bool { return (r.plan.region(zone) == region) == (r.plan.region(own) == region) })
 	sleepUntil(ctx, end)
 	r.setObservedZones(ctx, allZones)
-	r.links.setState(region, faults.State{})
+	r.links.setState(region, faults.LinkState{})
 	r.recordPartition(names, false)
 }
 
--- a/internal/scale/regionlinks.go
+++ b/internal/scale/regionlinks.go
@@ -75,7 +75,7 @@
 }
 
 // setState sets the state of all links from and to a region.
-func (l *regionLinks) setState(region int, state faults.State) {
+func (l *regionLinks) setState(region int, state faults.LinkState) {
 	for regions, links := range l.links {
 		if regions.from != region && regions.to != region {
 			continue
