--- a/internal/decisions/endpointstate/endpointstate.go
+++ b/internal/decisions/endpointstate/endpointstate.go
@@ -28,11 +28,11 @@
 // its own.
 package endpointstate
 
-import "time"
+import "brassdale/internal/decisions/polling"
 
 // MaxStaleness is how long before its call a response may have been composed. It is polling.NotificationDeadline: the platform counts
 // a dispatcher as notified of a change after that time, so an older response would be wrong anyway.
-const MaxStaleness = 6 * time.Second
+const MaxStaleness = polling.NotificationDeadline
 
 // UnknownRevision is the revision of a list whose revision cannot be compared with any other.
 const UnknownRevision = -1
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -16,7 +16,7 @@
 	notifiedAt time.Time         // since when the worker is known not to be ready; zero while it is ready
 	learnedAt  time.Time         // when its state or start became known to this process; zero for long ago
 	service    string            // the service, epoch and revision that last confirmed the state
-	epoch      int
+	sequence   int
 	revision   int64
 }
 
@@ -45,7 +45,7 @@
 
 // newRecord returns the record of a worker that was learned long ago, at a revision of a service.
 func (t *Table) newRecord(endpoint Endpoint, service string, revision int64) record {
-	entry := record{state: endpoint.State, start: endpoint.Start, service: service, epoch: t.serviceProgress(service).sequence, revision: revision}
+	entry := record{state: endpoint.State, start: endpoint.Start, service: service, sequence: t.serviceProgress(service).sequence, revision: revision}
 	if endpoint.State != scheduler.Ready {
 		entry.notifiedAt = endpoint.NotifiedAt
 	}
@@ -77,7 +77,7 @@
 
 // applyEndpoint records what a response says of one worker, as far as it is accepted.
 func (t *Table) applyEndpoint(response ListResponse, freshness Freshness, index int, endpoint Endpoint, changes *Changes) {
-	before, known := t.records[endpoint.ID]
+	before, known := t.records[endpoint.ID] // an unknown worker counts as ready before: it has the zero record
 	if freshness == Lagging && (!known || endpoint.State == scheduler.Ready || before.state != scheduler.Ready) {
 		return
 	}
@@ -97,7 +97,7 @@
 
 // composedAfter reports whether a response was certainly composed after a record was learned.
 func (t *Table) composedAfter(response ListResponse, known record) bool {
-	sameSequence := known.service == response.Service && known.epoch == t.serviceProgress(response.Service).sequence && known.revision != UnknownRevision
+	sameSequence := known.service == response.Service && known.sequence == t.serviceProgress(response.Service).sequence && known.revision != UnknownRevision
 	return sameSequence && response.Revision > known.revision || !response.CalledAt.Before(known.learnedAt.Add(MaxStaleness))
 }
 
@@ -124,7 +124,7 @@
 // accept records a worker's state by a response, and adds it to the changes.
 func (t *Table) accept(response ListResponse, index int, endpoint Endpoint, before record, changes *Changes) {
 	after := record{state: endpoint.State, start: endpoint.Start, learnedAt: before.learnedAt, service: response.Service,
-		epoch: t.serviceProgress(response.Service).sequence, revision: response.Revision}
+		sequence: t.serviceProgress(response.Service).sequence, revision: response.Revision}
 	if after.state != before.state || after.start != before.start {
 		after.learnedAt = response.ReceivedAt
 	}
--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -17,12 +17,13 @@
 import (
 	"time"
 
+	"brassdale/internal/decisions/polling"
 	"brassdale/scheduler"
 )
 
-// MaxListGap is the time since the last list up to which a start in the next one counts as one of just now. It is as long as
-// polling.NotificationDeadline: until then the endpoint list is not overdue.
-const MaxListGap = 6 * time.Second
+// MaxListGap is the time since the last list up to which a start in the next one counts as one of just now. Until then
+// the endpoint list is not overdue.
+const MaxListGap = polling.NotificationDeadline
 
 // incarnation is one start of a worker.
 type incarnation struct {
--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -119,7 +119,7 @@
 		return rules.agentTimeout() / 4
 	}
 	left := s.notificationDue.Sub(now)
-	if left <= lastResponseTime || failure == Expired {
+	if left <= finalCallLead || failure == Expired {
 		next := s.newestCalledAt.Add(overdueInterval(failure, rules.Dispatchers, chance))
 		return max(next.Sub(now), minBackoff)
 	}
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -10,8 +10,8 @@
 	// callsPerDeadline is how many calls are made until the platform counts a change as notified.
 	callsPerDeadline = 4
 
-	// lastResponseTime is how long before that time the last of these calls is made.
-	lastResponseTime = 200 * time.Millisecond
+	// finalCallLead is how long before that time the last of these calls is made.
+	finalCallLead = 200 * time.Millisecond
 
 	// minPollGap and maxPollGap bound the time after which a further call is made while one that does not wait is open.
 	minPollGap = 300 * time.Millisecond
@@ -140,7 +140,7 @@
 		return LongPollWait + watchResponseGrace + scale(spread, clamp(chance))
 	}
 	left := s.notificationDue.Sub(now)
-	if left <= lastResponseTime || s.ServiceBusy(now) && left > busyRepollThreshold {
+	if left <= finalCallLead || s.ServiceBusy(now) && left > busyRepollThreshold {
 		return queuedCallTimeout
 	}
 	return min(s.evenInterval(left), maxPollGap)
@@ -149,7 +149,7 @@
 // evenInterval divides the time that is left until a change may count as notified by the calls that are still to be made in it.
 // Making them earlier would fill the service's queue with calls for the same response.
 func (s *Schedule) evenInterval(left time.Duration) time.Duration {
-	return max((left-lastResponseTime)/time.Duration(max(callsPerDeadline-s.unanswered, 1)), minPollGap)
+	return max((left-finalCallLead)/time.Duration(max(callsPerDeadline-s.unanswered, 1)), minPollGap)
 }
 
 // callEnded records that a call is no longer in flight.
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -60,7 +60,7 @@
 	founder        *voters.Founder // what this dispatcher's file says; nil where it is no founder
 	leadership     *leadership     // nil while this dispatcher does not lead
 	nextPlanAt     configversions.Instant
-	failedVoters   int    // that were asked in vain, one after the other
+	voterCursor    int    // voters that were asked in vain since the start: whose turn it is in contactOrder
 	recordComplete bool   // entries may follow the record: it is of the disk or of a response, not the empty one
 	appliedState   string // identifies what ApplyEffective was last called with
 	appliedPlan    string // the same of PlanChanged
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -5,7 +5,7 @@
 type Overload struct {
 	// RetryRatio is the number of further attempts (retries and hedges) for each first attempt of the fleet.
 	RetryRatio float64 `hcl:"retries"`
-	// ProbesPerSecond are the health checks of all workers together; 0 for no bound.
+	// ProbesPerSecond are the probes of all workers together; 0 for no bound.
 	ProbesPerSecond float64 `hcl:"probes,optional"`
 }
 
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -55,7 +55,7 @@
 		return
 	}
 	a.counts.Rejected++
-	a.failedVoters++
+	a.voterCursor++
 }
 
 // renewOnce requests a lease and takes it over.
@@ -241,5 +241,5 @@
 	order := a.contactOrder()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return order[a.failedVoters%len(order)]
+	return order[a.voterCursor%len(order)]
 }
--- a/internal/program/dispatcher.go
+++ b/internal/program/dispatcher.go
@@ -63,7 +63,7 @@
 }
 
 // multiplexed reports whether a connection carries several requests at a time.
-func (f *frontend) multiplexed() bool { return f.served != f.listener }
+func (f *frontend) multiplexed() bool { return f.listener.Multiplexed() }
 
 func newDispatcher(in *inputs, log *slog.Logger) *dispatcher {
 	d := &dispatcher{
--- a/internal/program/reloader.go
+++ b/internal/program/reloader.go
@@ -60,7 +60,7 @@
 	counters := r.dispatcher.core.Counters()
 	config, op, applyOperator, err := r.load()
 	if err != nil {
-		r.dispatcher.log.Error("reload failed, settings unchanged", "err", err) // before the metric: who sees that finds the reason
+		r.dispatcher.log.Error("reload failed, settings unchanged", "err", err) // before the metric, so that whoever sees the metric finds the reason logged
 		counters.CountReload(false)
 		return
 	}
@@ -131,7 +131,7 @@
 	dispatcher.registerClasses(&config.Settings)
 	if discoveryChanged(old, config) {
 		r.discovery = transport.NewDiscovery(config.Discovery, r.discovery.Settings, dispatcher.meter)
-		dispatcher.endpointList.ChangeDiscovery(r.discovery)
+		dispatcher.endpointList.MoveDiscovery(r.discovery)
 	}
 	return old
 }
--- a/internal/program/resourcelimits.go
+++ b/internal/program/resourcelimits.go
@@ -83,7 +83,7 @@
 		f.listener.SetLimits(inbound, limits.bodies)
 		f.listener.SetStreamLimit(limits.streams)
 	}
-	d.endpoints.SetConnectionLimit(limits.outbound)
+	d.endpoints.SetWorkerConnLimit(limits.outbound)
 	if d.quotas != nil {
 		d.quotas.ReserveFor(openJobs)
 	}
--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -125,7 +125,7 @@
 func (s *shutdown) awaitConnections() {
 	for now := time.Now(); now.Before(s.end.Add(-exitMargin)); now = time.Now() {
 		for _, f := range s.exclusive {
-			f.listener.CloseIdle()
+			f.listener.CloseWhenIdle()
 		}
 		if !slices.ContainsFunc(s.exclusive, hasConnections) {
 			break
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -132,7 +132,7 @@
 	reported := protocol.HandoverUsage{}
 	for {
 		usage := d.usage()
-		d.endpoints.SetConnectionLimit(usage.Outbound)
+		d.endpoints.SetWorkerConnLimit(usage.Outbound)
 		if !sameUsage(usage, reported) {
 			peer.Notify(protocol.HandoverMessage{Usage: &usage})
 			reported = usage
--- a/internal/protocol/handover.go
+++ b/internal/protocol/handover.go
@@ -148,7 +148,7 @@
 	}
 	update := routing.ListUpdate{Revision: h.Revision, Complete: true, Endpoints: list.Endpoints(settings)}
 	if h.Discovery != discovery {
-		update.Revision = routing.FullList
+		update.Revision = routing.NoRevision
 	}
 	now := time.Now()
 	for i := range update.Endpoints {
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -76,7 +76,7 @@
 func (c *Core) sendPermitted(request *openRequest, outbound *Attempt) bool {
 	number := outbound.ID.Number
 	switch {
-	case request.answered || c.now >= request.expiresAt || outbound.MustNotSend(c.clock.Time(c.now)):
+	case request.settled || c.now >= request.expiresAt || outbound.MustNotSend(c.clock.Time(c.now)):
 		return false
 	case request.Limits.MaxAttempts > 0 && number >= request.Limits.MaxAttempts:
 		return false
--- a/internal/routing/cachedstart.go
+++ b/internal/routing/cachedstart.go
@@ -24,7 +24,7 @@
 
 // StartFromCache starts with a cached list. It is called before Run, on an EndpointList that was made with an empty list.
 func (l *EndpointList) StartFromCache(start *CachedStart) {
-	l.cachedStart, l.calls.current.revision = start, FullList
+	l.cachedStart, l.calls.current.revision = start, NoRevision
 	for _, endpoint := range start.Endpoints {
 		if endpoint.State == scheduler.Ready {
 			l.pool.Update(endpoint) // so that it can be probed; the scheduler does not know it yet
@@ -80,7 +80,7 @@
 func (l *EndpointList) announce(ready *cachetrust.ReadyWorker) scheduler.WorkerInfo {
 	endpoint := l.cachedStart.Endpoints[ready.ID]
 	l.known[endpoint.ID] = endpoint
-	l.states.Record(endpoint.listedState(), "", endpointstate.UnknownRevision)
+	l.stateTable.Record(endpoint.listedState(), "", endpointstate.UnknownRevision)
 	l.incarnations.Set(endpoint.ID, endpoint.StartedAt, ready.StartedAt)
 	worker := endpoint.WorkerInfo
 	worker.StartedAt, worker.StartConfirmed = ready.StartedAt, ready.StartConfirmed
@@ -128,9 +128,9 @@
 	return l.core.clock.Time(decision.RefetchAt), true
 }
 
-// completeCachedStart ends the cached start once the assessor has finished, as a list of discovery is in force. The scheduler is passed
+// endCachedStart ends the cached start once the assessor has finished, as a list of discovery is in force. The scheduler is passed
 // what was learned of those workers that have not restarted since.
-func (l *EndpointList) completeCachedStart() {
+func (l *EndpointList) endCachedStart() {
 	start := l.cachedStart
 	if start == nil || !start.Assessor.Finished() {
 		return
@@ -166,14 +166,14 @@
 	for _, id := range expired {
 		endpoint := l.known[id]
 		endpoint.State, endpoint.NotifiedAt = scheduler.Gone, now
-		l.states.Record(endpoint.listedState(), "", endpointstate.UnknownRevision)
+		l.stateTable.Record(endpoint.listedState(), "", endpointstate.UnknownRevision)
 		l.updateEndpoint(endpoint)
 		update.Workers = append(update.Workers, endpoint.WorkerInfo)
 	}
 	if len(expired) > 0 {
 		l.core.counters.setListedEndpoints(len(l.known))
 		l.core.UpdateEndpoints(update)
-		l.completeCachedStart()
+		l.endCachedStart()
 	}
 }
 
--- a/internal/routing/callfailures.go
+++ b/internal/routing/callfailures.go
@@ -53,7 +53,7 @@
 		l.log.Info("discovery calls keep failing", "failed_calls", l.failures.calls, "rejected", l.failures.rejected,
 			"expired", l.failures.expired, "list_age", l.listAge(), "err", err)
 	}
-	if age := now.Sub(l.answeredAt); age > polling.NotificationDeadline && !l.failures.overdueLogged {
+	if age := now.Sub(l.listAcceptedAt); age > polling.NotificationDeadline && !l.failures.overdueLogged {
 		l.failures.overdueLogged = true
 		l.log.Warn("endpoint list overdue", "list_age", l.listAge(), "failed_calls", l.failures.calls)
 	}
@@ -61,5 +61,5 @@
 
 // listAge returns the time since discovery last responded, for the log.
 func (l *EndpointList) listAge() time.Duration {
-	return time.Since(l.answeredAt).Round(time.Millisecond)
+	return time.Since(l.listAcceptedAt).Round(time.Millisecond)
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -181,7 +181,7 @@
 
 // AdoptLearnedState passes the scheduler what another process has learned.
 func (c *Core) AdoptLearnedState(learned scheduler.LearnedState) {
-	c.mailbox.Post(scheduler.HandoverCompleted{LearnedState: learned})
+	c.mailbox.Post(scheduler.LearnedStateReceived{LearnedState: learned})
 }
 
 // ApplySettings puts new settings in force for requests that are submitted from now on.
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -34,18 +34,18 @@
 	firstCallDone chan struct{} // closed when the first call has ended, however
 
 	// Owned by Run.
-	calls         *listCalls
-	states        endpointstate.Table
-	known         map[scheduler.WorkerID]Endpoint // the list, with the states that states has; start times as discovery stamps them
-	incarnations  incarnations.Tracker            // start times on the scheduler's clock
-	cachedStart   *CachedStart                    // nil unless the list is still the cached one that this process started with
-	listReceived  bool                            // a list of discovery was accepted
-	answeredAt    time.Time                       // when the last list was accepted; the start of this process until then
-	completeAsOf  time.Time                       // the list includes all changes that discovery had at this time
-	recheckAt     time.Time                       // when to ask for the full list, as something was not believed; zero for never
-	failures      callFailures                    // since the last call that succeeded
-	failuresLogAt time.Time                       // when consecutive failures were last logged
-	lagLoggedAt   time.Time                       // when a response with a lower revision was last logged as a warning
+	calls          *listCalls
+	stateTable     endpointstate.Table
+	known          map[scheduler.WorkerID]Endpoint // the list, with the states that states has; start times as discovery stamps them
+	incarnations   incarnations.Tracker            // start times on the scheduler's clock
+	cachedStart    *CachedStart                    // nil unless the list is still the cached one that this process started with
+	listReceived   bool                            // a list of discovery was accepted
+	listAcceptedAt time.Time                       // when the last list was accepted; the start of this process until then
+	includesUntil  time.Time                       // the list includes all changes that discovery had at this time
+	recheckAt      time.Time                       // when to ask for the full list, as something was not believed; zero for never
+	failures       callFailures                    // since the last call that succeeded
+	failuresLogAt  time.Time                       // when consecutive failures were last logged
+	lagLoggedAt    time.Time                       // when a response with a lower revision was last logged as a warning
 }
 
 // startLookback is a bound on the age of the list that this process starts with: that list is taken to include all changes made up to this
@@ -65,7 +65,7 @@
 	list := &EndpointList{
 		core: core, pool: pool, log: log, mailbox: NewMailbox[any](), firstCallDone: make(chan struct{}),
 		pollRules: func() polling.Rules { return polling.Rules{Dispatchers: 1} },
-		known:     map[scheduler.WorkerID]Endpoint{}, answeredAt: now, completeAsOf: now.Add(-startLookback),
+		known:     map[scheduler.WorkerID]Endpoint{}, listAcceptedAt: now, includesUntil: now.Add(-startLookback),
 	}
 	list.calls = &listCalls{
 		schedule:  polling.NewSchedule(now),
@@ -92,8 +92,8 @@
 // Subscribe starts polling for changes.
 func (l *EndpointList) Subscribe() { l.mailbox.Post(subscribe{}) }
 
-// ChangeDiscovery continues with another discovery service.
-func (l *EndpointList) ChangeDiscovery(to Discovery) { l.mailbox.Post(changeDiscovery{to}) }
+// MoveDiscovery continues with another discovery service.
+func (l *EndpointList) MoveDiscovery(to Discovery) { l.mailbox.Post(changeDiscovery{to}) }
 
 // Snapshot returns the list as it is known. It waits for Run or the end of the context.
 func (l *EndpointList) Snapshot(ctx context.Context) (ListUpdate, error) {
@@ -193,10 +193,10 @@
 	now := time.Now()
 	l.calls.changeService(ctx, to, now)
 	// After a change of services a change of the list counts as notified after MoveNotificationDeadline already.
-	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(l.completeAsOf) {
-		l.completeAsOf = asOf
+	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(l.includesUntil) {
+		l.includesUntil = asOf
 	}
-	l.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: l.core.clock.At(l.completeAsOf)})
+	l.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: l.core.clock.At(l.includesUntil)})
 }
 
 // snapshot returns the list as it is known, with the ages of endpoints whose start time is known.
--- a/internal/routing/listcalls.go
+++ b/internal/routing/listcalls.go
@@ -68,7 +68,7 @@
 	if !ok || now.Before(at) {
 		return
 	}
-	revisionKnown := l.current.revision != FullList && !l.current.fullListDue
+	revisionKnown := l.current.revision != NoRevision && !l.current.fullListDue
 	kind := l.schedule.CallStarted(now, l.lastNumber+1, revisionKnown, l.pollRules(), rand.Float64())
 	l.startCall(ctx, now, l.current, kind)
 }
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	call := &listCall{number: l.lastNumber, service: to, kind: kind, revision: to.revision, startedAt: now, cancel: cancel}
 	if kind == polling.FullList {
-		call.revision = FullList
+		call.revision = NoRevision
 	}
 	l.counters.countDiscoveryCall(len(l.open) > 0)
 	l.open = append(l.open, call)
@@ -130,7 +130,7 @@
 		l.dropService(l.previous[0])
 		l.previous = l.previous[1:]
 	}
-	l.current = &discoveryService{discovery: to, revision: FullList}
+	l.current = &discoveryService{discovery: to, revision: NoRevision}
 	l.schedule.ServiceMoved(now, rand.Float64())
 }
 
--- a/internal/routing/listcalls_test.go
+++ b/internal/routing/listcalls_test.go
@@ -111,9 +111,9 @@
 	if watch.kind != polling.Watch || watch.revision != 1 {
 		t.Fatalf("after the list the call was %+v", watch)
 	}
-	list.ChangeDiscovery(second)
+	list.MoveDiscovery(second)
 	close((<-second.calls).response) // it fails, and no call is in flight there
-	list.ChangeDiscovery(third)
+	list.MoveDiscovery(third)
 	full := <-third.calls
 	watch.response <- ListUpdate{Revision: 2, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
 	eventually(t, "the drain that the previous service reported", func() bool { st, _ := stateOfA(t, list); return st == scheduler.Draining })
@@ -165,7 +165,7 @@
 			break
 		}
 		again := <-d.calls
-		if again.revision != FullList {
+		if again.revision != NoRevision {
 			t.Errorf("after a lower revision the next call has revision %d", again.revision)
 		}
 		calls++
@@ -186,12 +186,12 @@
 	(<-first.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining), testEndpoint("b", scheduler.Ready)}}
 	eventually(t, "the drain", func() bool { st, known := stateOfA(t, list); return known && st == scheduler.Draining })
 	known := time.Now()
-	list.ChangeDiscovery(second)
+	list.MoveDiscovery(second)
 	full := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
 	(<-second.calls).response <- full
 	for {
 		call := <-second.calls
-		if call.revision == FullList {
+		if call.revision == NoRevision {
 			call.response <- full
 			break
 		}
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -22,7 +22,7 @@
 		}
 		states[i] = endpoint.listedState()
 	}
-	l.states.Restore(l.calls.current.discovery.Service(), known.Revision, states)
+	l.stateTable.Restore(l.calls.current.discovery.Service(), known.Revision, states)
 	l.publishChanges(known, known.Endpoints, nil, scheduler.ListCached)
 }
 
@@ -30,7 +30,7 @@
 // the agent had counts as notified: it may have had it since it last responded.
 func (l *EndpointList) notifiedFrom(now time.Time) time.Time {
 	if l.pollRules().ListsPushed {
-		return l.answeredAt
+		return l.listAcceptedAt
 	}
 	return now
 }
@@ -42,13 +42,13 @@
 	if receivedAt.IsZero() {
 		receivedAt = time.Now()
 	}
-	states.Complete, states.ReceivedAt = update.Complete, receivedAt
+	states.Complete, states.ReceivedAt = update.Complete, receivedAt // of the bytes, where Classify went by the end of the call
 	for i := range states.Endpoints {
 		if endpoint := &states.Endpoints[i]; endpoint.NotifiedAt.IsZero() {
 			endpoint.NotifiedAt = l.notifiedFrom(receivedAt)
 		}
 	}
-	changes := l.states.Apply(*states, freshness)
+	changes := l.stateTable.Apply(*states, freshness)
 	// A change of the list says nothing of what was not believed of an earlier response.
 	if response.call.service == l.calls.current && (update.Complete || !changes.PollAgainAt.IsZero()) {
 		l.recheckAt = changes.PollAgainAt
@@ -79,10 +79,10 @@
 func (l *EndpointList) publishChanges(update ListUpdate, listed, gone []Endpoint, kind scheduler.ListKind) {
 	changed := l.updateEndpoints(listed)
 	l.updateEndpoints(gone)
-	workers := l.withStartTimes(listed)
+	workers := l.recordStartTimes(listed)
 	l.listReceived = l.listReceived || kind != scheduler.ListCached
 	l.core.counters.setListedEndpoints(len(l.known))
-	l.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: kind, Workers: workers, AsOf: l.core.clock.At(l.completeAsOf)})
+	l.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: kind, Workers: workers, AsOf: l.core.clock.At(l.includesUntil)})
 	l.logUpdate(&update, len(listed), changed)
 }
 
@@ -99,10 +99,10 @@
 		"accepted", accepted, "known", len(l.known))
 }
 
-// withStartTimes returns the workers of a list with their start times on the scheduler's clock.
-func (l *EndpointList) withStartTimes(listed []Endpoint) []scheduler.WorkerInfo {
+// recordStartTimes enters the start times of listed workers in incarnations, and returns the workers with them on the scheduler's clock.
+func (l *EndpointList) recordStartTimes(listed []Endpoint) []scheduler.WorkerInfo {
 	now := time.Now()
-	listTime := incarnations.ListTime{Now: l.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(l.answeredAt)}
+	listTime := incarnations.ListTime{Now: l.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(l.listAcceptedAt)}
 	if !l.listReceived {
 		listTime.SinceLastList = noListBefore
 	}
--- a/internal/routing/listchanges_test.go
+++ b/internal/routing/listchanges_test.go
@@ -23,7 +23,7 @@
 func applyResponse(list *EndpointList, update ListUpdate) {
 	now := time.Now()
 	response := newListResponse(&listCall{service: list.calls.current, startedAt: now}, update, now)
-	list.apply(response, list.states.Classify(response.states))
+	list.apply(response, list.stateTable.Classify(response.states))
 }
 
 // An endpoint that drains and then is absent from a full list keeps its time of notification: the drain grace does not begin again.
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -60,7 +60,7 @@
 // handleResponse accepts a response as far as it is to be believed.
 func (l *EndpointList) handleResponse(ctx context.Context, response *listResponse) {
 	call := response.call
-	freshness := l.states.Classify(response.states)
+	freshness := l.stateTable.Classify(response.states)
 	switch {
 	case freshness == endpointstate.Overtaken:
 		l.log.Info("discovery response overtaken", "call", call.number, "revision", response.update.Revision,
@@ -118,7 +118,7 @@
 func (l *EndpointList) acceptDoubted(response *listResponse, pollAt time.Time) {
 	response.update.Complete = false
 	l.apply(response, endpointstate.Current)
-	response.call.service.revision = FullList
+	response.call.service.revision = NoRevision
 	l.calls.schedule.PollAt(pollAt)
 }
 
@@ -129,14 +129,14 @@
 	if update.Complete {
 		service.fullListDue = false
 	}
-	if asOf := l.completeAt(response, changed); asOf.After(l.completeAsOf) {
-		l.completeAsOf = asOf
+	if asOf := l.responseIncludesUntil(response, changed); asOf.After(l.includesUntil) {
+		l.includesUntil = asOf
 	}
 	l.apply(response, endpointstate.Current)
 	service.revision = update.Revision
-	l.answeredAt = now
+	l.listAcceptedAt = now // after apply, where start times are judged by the time since the list before
 	l.core.counters.setListReceivedAt(now)
-	l.completeCachedStart()
+	l.endCachedStart()
 	if l.store != nil {
 		l.store.EndpointsUpdated(*update)
 	}
@@ -157,10 +157,10 @@
 	}
 }
 
-// completeAt returns as of when all changes that discovery had are known by a response: for a watch when it was received, else when
+// responseIncludesUntil returns as of when all changes that discovery had are known by a response: for a watch when it was received, else when
 // its call was made, less maxReplicaLag. A busy service may end a watch before the change that it waits for had its turn: then
 // the response does not tell, and the zero time is returned.
-func (l *EndpointList) completeAt(response *listResponse, changed bool) time.Time {
+func (l *EndpointList) responseIncludesUntil(response *listResponse, changed bool) time.Time {
 	receivedAt := response.update.ReceivedAt
 	switch {
 	case response.call.kind != polling.Watch:
--- a/internal/routing/messages.go
+++ b/internal/routing/messages.go
@@ -51,7 +51,7 @@
 	case attemptFinished:
 		c.finishAttempt(msg.id, msg.result)
 	case setDetached:
-		c.detach(msg)
+		c.applyDetached(msg)
 	case setRetryRatio:
 		c.applyRetryRatio(msg.ratio)
 	case learnedStateQuery:
@@ -66,8 +66,8 @@
 	}
 }
 
-// detach marks a worker as detached or reattached, at the endpoint pool first: what the scheduler sends after it finds the mark.
-func (c *Core) detach(m setDetached) {
+// applyDetached marks a worker as detached or reattached, at the endpoint pool first: what the scheduler sends after it finds the mark.
+func (c *Core) applyDetached(m setDetached) {
 	if m.detached {
 		c.endpoints.SetDetached(m.id, time.Now())
 		c.handleEvent(scheduler.WorkerDetached{Worker: m.id})
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -21,7 +21,7 @@
 
 // RequestLimits are the limits that the core applies to a request.
 type RequestLimits struct {
-	MaxAttempts int           // further attempts are not sent; 0 for no limit
+	MaxAttempts int           // further attempts are not sent; 0 for no limit, unlike in scheduler.Settings
 	AnswerSlack time.Duration // how long after the deadline an answer still counts
 }
 
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -20,7 +20,7 @@
 	Request
 	expiresAt   scheduler.Instant // the deadline
 	arrivedAt   scheduler.Instant // set where there is a zone router
-	answered    bool              // the final answer was given, or the client left: nothing is owed
+	settled     bool              // the final answer was given, or the client left: nothing is owed
 	timedOut    bool              // an attempt ended as TimedOut
 	attemptSent bool              // an attempt of it was sent, or may have been
 	attempts    []attempt         // by number
@@ -63,10 +63,10 @@
 // abandonRequest closes a request whose client has left. The scheduler may cancel its attempts.
 func (c *Core) abandonRequest(id scheduler.RequestID) {
 	request := c.requests[id]
-	if request == nil || request.answered {
+	if request == nil || request.settled {
 		return
 	}
-	request.answered = true
+	request.settled = true
 	c.counters.countClientLeft()
 	c.handleEvent(scheduler.ClientLeft{ID: id})
 	c.removeIfClosed(id, request)
@@ -91,7 +91,7 @@
 	if c.zoneRouter != nil {
 		c.zoneRouter.AttemptStarted(c.now, started.endpoint)
 	}
-	if !request.answered {
+	if !request.settled {
 		request.Client.AttemptStarted(id.Number)
 	}
 	c.handleEvent(scheduler.AttemptStarted{ID: id.Request, Attempt: id.Number, Worker: started.endpoint})
@@ -103,7 +103,7 @@
 	if running == nil {
 		return
 	}
-	if !request.answered {
+	if !request.settled {
 		request.Client.AttemptProgressed(id.Number, share)
 	}
 	c.handleEvent(scheduler.AttemptProgressed{ID: id.Request, Attempt: id.Number, Worker: running.endpoint, Share: share})
@@ -129,7 +129,7 @@
 	}
 	c.handleEvent(scheduler.AttemptFinished{
 		ID: id.Request, Attempt: id.Number, Worker: ended.endpoint, Outcome: outcome,
-		Final: request.answered, Report: result.Report, ConnectionIdle: result.ConnectionIdle,
+		Final: request.settled, Report: result.Report, ConnectionIdle: result.ConnectionIdle,
 	})
 	c.removeIfClosed(id.Request, request)
 }
@@ -138,7 +138,7 @@
 // where the scheduler is at fault or this process was paused.
 func (c *Core) failOverdue(id scheduler.RequestID) {
 	request := c.requests[id]
-	if request == nil || request.answered {
+	if request == nil || request.settled {
 		return
 	}
 	c.log.Error("request overdue, failed", "request", id, "id", request.LogName)
@@ -157,11 +157,11 @@
 
 // answerRequest gives the final answer of a request. A second answer is dropped.
 func (c *Core) answerRequest(request *openRequest, answer Answer) {
-	if request.answered {
+	if request.settled {
 		return
 	}
 	answer.DeadlinePassed = answer.Verdict != Served && (request.timedOut || c.now >= request.expiresAt-request.Limits.AnswerSlack)
-	request.answered = true
+	request.settled = true
 	c.counters.countAnswered(request.ClassName, answer.Verdict, request.attemptSent || request.inFlight > 0)
 	c.logAnswer(request, answer)
 	request.Client.Answered(answer)
@@ -182,7 +182,7 @@
 
 // removeIfClosed removes a request from the table when nothing is owed to its client and no attempt is in flight.
 func (c *Core) removeIfClosed(id scheduler.RequestID, request *openRequest) {
-	if request.answered && request.inFlight == 0 {
+	if request.settled && request.inFlight == 0 {
 		delete(c.requests, id)
 	}
 }
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -218,7 +218,7 @@
 // watchEndpoints calls discovery as routing.EndpointList does until the context ends, and discards the endpoints.
 func (d *hollowDispatcher) watchEndpoints(ctx context.Context, settings *protocol.LiveSettings) {
 	first := rand.Float64() * float64(settings.Current().ReplicasOfMe) * firstCallSpread.Seconds()
-	delay, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), polling.FullList
+	delay, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.NoRevision), polling.FullList
 	for {
 		if !sleepUntil(ctx, time.Now().Add(min(delay, maxFirstCallDelay))) {
 			return
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -124,7 +124,7 @@
 // quota. It returns false if it has rejected the request.
 func (f *frontend) reserveCapacity(w http.ResponseWriter, r *http.Request, job *protocol.Job, reserved *admission) bool {
 	if f.listener.Full() {
-		f.rejectAndClose(w, r, job.ClassName, rejectedConnectionLimit)
+		f.rejectAndClose(w, r, job.ClassName, rejectedClientConnLimit)
 		return false
 	}
 	if f.nearlyFullAtShutdown() {
--- a/internal/transport/attemptqueue.go
+++ b/internal/transport/attemptqueue.go
@@ -24,7 +24,7 @@
 //	                         '-- deadline --> finishTimedOut --> finishUnassigned (NeverSent)
 //
 // A cancelled exchange leaves its queue at once (cancel). Connections go to exchanges in the order in which those arrived, not to the
-// one that they were opened for.
+// one that they were opened for. An exchange that is started when capacity was freed and finds it taken again waits at the end.
 
 // startExchange gives an exchange a connection: an idle one, or a new one if the pool allows one more. Otherwise the exchange
 // waits for capacity: at another worker the attempt would not find a connection either, and would be lost.
@@ -37,7 +37,7 @@
 		}
 		return
 	}
-	if exchange.mustNotStart(now) {
+	if exchange.mustNotWrite(now) {
 		e.finishUnassigned(exchange, scheduler.NeverSent)
 		return
 	}
@@ -58,9 +58,9 @@
 	time.AfterFunc(time.Until(exchange.deadline), func() { e.mailbox.Post(capacityWaitTimedOut{}) })
 }
 
-// startWaiting starts the exchange that has waited longest for capacity. If none waits, another endpoint gets the capacity.
+// startLongestWaiting starts the exchange that has waited longest for capacity. If none waits, another endpoint gets the capacity.
 // If that exchange needs no new connection, the capacity is not passed on before another connection is closed.
-func (e *endpoint) startWaiting() {
+func (e *endpoint) startLongestWaiting() {
 	if len(e.waitingForCapacity) == 0 {
 		e.pool.passOnCapacity()
 		return
@@ -70,8 +70,8 @@
 	e.startExchange(exchange)
 }
 
-// finishTimedOut ends the exchanges that wait for capacity and whose deadline has passed.
-func (e *endpoint) finishTimedOut(now time.Time) {
+// finishPastDeadline ends the exchanges that wait for capacity and whose deadline has passed.
+func (e *endpoint) finishPastDeadline(now time.Time) {
 	e.waitingForCapacity = slices.DeleteFunc(e.waitingForCapacity, func(exchange *workerExchange) bool {
 		timedOut := !now.Before(exchange.deadline)
 		if timedOut {
@@ -165,7 +165,7 @@
 // connection is unused.
 func (e *endpoint) assign(exchange *workerExchange, conn *workerConn) bool {
 	now := time.Now()
-	exchange.startBy = e.latestStart(exchange)
+	exchange.writeBy = e.latestWrite(exchange)
 	if reason := e.reasonNotToSend(exchange, now); reason != "" {
 		e.logNotSent(exchange, reason)
 		e.finishUnassigned(exchange, scheduler.NeverSent)
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -170,7 +170,7 @@
 		})
 		start := make(chan struct{})
 		done := make(chan struct{})
-		go func() { <-start; listener.CloseIdle(); close(done) }()
+		go func() { <-start; listener.CloseWhenIdle(); close(done) }()
 		if round%2 == 0 { // before the request, or at the same time
 			close(start)
 			<-done
--- a/internal/transport/connphase.go
+++ b/internal/transport/connphase.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Ready records that the preface of a multiplexed connection was read: it can carry requests from now on.
-func (c *Conn) Ready() { c.enterPhase(phaseIdle) }
+// PrefaceRead records that the preface of a multiplexed connection was read: it can carry requests from now on.
+func (c *Conn) PrefaceRead() { c.enterPhase(phaseIdle) }
 
 // noteRequestBytes records that bytes of a request were read, and reports whether they may still be served.
 func (c *Conn) noteRequestBytes() bool {
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -47,7 +47,7 @@
 // errNotFullList says that discovery responded with changes where all endpoints were requested.
 var errNotFullList = errors.New("discovery responded with changes to a request for the full list")
 
-// Call makes one call, for the changes since a revision or for routing.FullList. It blocks until the response, or until the
+// Call makes one call, for the changes since a revision or for routing.NoRevision. It blocks until the response, or until the
 // deadline of its kind, which is set in advance: a partitioned service may leave a connection open and silent, and its
 // endpoints still count as notified then.
 func (d *Discovery) Call(ctx context.Context, revision int64, kind polling.Kind) (routing.ListUpdate, error) {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return routing.ListUpdate{}, err
 	}
-	if revision == routing.FullList && !list.Complete {
+	if revision == routing.NoRevision && !list.Complete {
 		return routing.ListUpdate{}, errNotFullList
 	}
 	update := Update(list, d.Settings.Current())
@@ -72,7 +72,7 @@
 // counts from then.
 func (d *Discovery) fetch(ctx context.Context, revision int64, wait time.Duration) (list *protocol.List, receivedAt time.Time, err error) {
 	url := fmt.Sprintf("http://%s/registry/instances", d.Address)
-	if revision != routing.FullList {
+	if revision != routing.NoRevision {
 		url += fmt.Sprintf("?index=%d&wait=%d", revision, wait.Milliseconds())
 	}
 	request, err := http.NewRequestWithContext(d.meter.Call(ctx, traffic.Discovery), http.MethodGet, url, nil)
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -77,9 +77,9 @@
 	case startProbe:
 		e.startExchange(&workerExchange{isProbe: true, deadline: time.Now().Add(probeTimeout)})
 	case capacityFreed:
-		e.startWaiting()
+		e.startLongestWaiting()
 	case capacityWaitTimedOut:
-		e.finishTimedOut(time.Now())
+		e.finishPastDeadline(time.Now())
 	case setDetached:
 		e.detachedSince = message.since
 		e.closeAllIdle() // a worker is detached to be restarted
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -121,7 +121,7 @@
 	actor.listed.Address = ln.Addr().String()
 	pool := actor.pool
 	pool.endpoints["other"], pool.endpoints["this"] = newEndpoint(pool, routing.Endpoint{}), actor
-	pool.SetConnectionLimit(1)
+	pool.SetWorkerConnLimit(1)
 	if !pool.reserveConn(actor) {
 		t.Fatal("no capacity for the first connection")
 	}
@@ -170,7 +170,7 @@
 	pool := actor.pool
 	other := newEndpoint(pool, routing.Endpoint{})
 	pool.endpoints["other"], pool.endpoints["this"] = other, actor
-	pool.SetConnectionLimit(1)
+	pool.SetWorkerConnLimit(1)
 	if !pool.reserveConn(actor) {
 		t.Fatal("no capacity for the first connection")
 	}
--- a/internal/transport/endpointmessages.go
+++ b/internal/transport/endpointmessages.go
@@ -8,7 +8,7 @@
 
 // The messages to the actor of an endpoint, in addition to routing.Endpoint (an endpoint update) and routing.Attempt (to be sent).
 type (
-	// startProbe asks for a health check.
+	// startProbe asks for a probe.
 	startProbe struct{}
 
 	// cancelAttempt cancels an attempt. It has no effect on one that has ended.
--- a/internal/transport/endpointpool.go
+++ b/internal/transport/endpointpool.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// SetConnectionLimit sets how many connections all endpoints together may have open.
-func (p *EndpointPool) SetConnectionLimit(limit int) {
+// SetWorkerConnLimit sets how many connections all endpoints together may have open.
+func (p *EndpointPool) SetWorkerConnLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = limit
@@ -133,7 +133,7 @@
 	}
 }
 
-// Probe sends a health check to a worker. If that was never listed, the probe ends as NeverSent.
+// Probe probes a worker. If that was never listed, the probe ends as NeverSent.
 func (p *EndpointPool) Probe(worker scheduler.WorkerID) {
 	if e := p.endpoint(worker); e != nil {
 		e.mailbox.Post(startProbe{})
--- a/internal/transport/eviction.go
+++ b/internal/transport/eviction.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// removeConnLocked removes a connection from the table, if it is there, and counts it for Unanswered. mu is held.
+// removeConnLocked removes a connection from the table, if it is there, and counts it for ClosedWithoutResponse. mu is held.
 func (l *Listener) removeConnLocked(conn *Conn) {
 	if _, present := l.conns[conn]; present && !conn.responseStarted.Load() && !conn.clientGone.Load() {
 		l.unansweredConns++
--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -112,7 +112,7 @@
 		switch event {
 		case prefaceRead:
 			c.limits.PrefaceCompleted()
-			c.clientConn.Ready()
+			c.clientConn.PrefaceRead()
 		case frameBegun:
 			c.limits.FrameStarted(now)
 		case headRead:
--- a/internal/transport/http2/frontend.go
+++ b/internal/transport/http2/frontend.go
@@ -159,17 +159,17 @@
 // are still served.
 func (f *Frontend) StartShutdown() {
 	f.JobFrontend.StartShutdown()
-	f.announceGoAway(true)
+	f.setGoingAway(true)
 }
 
 // PassToSuccessor starts or stops sending clients to a successor at the same address.
 func (f *Frontend) PassToSuccessor(on bool) {
 	f.JobFrontend.PassToSuccessor(on)
-	f.announceGoAway(on)
+	f.setGoingAway(on)
 }
 
-// announceGoAway sends GOAWAY without an error to all clients, and to those that connect until it is called with false.
-func (f *Frontend) announceGoAway(on bool) {
+// setGoingAway sends GOAWAY without an error to all clients, and to those that connect until it is called with false.
+func (f *Frontend) setGoingAway(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.goingAway = on
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -40,7 +40,7 @@
 	maxOpenJobs      int        // of all connections together, if multiplexed
 	conns            map[*Conn]struct{}
 	openJobs         int           // of all connections together, if multiplexed
-	unansweredConns  int           // see Unanswered
+	unansweredConns  int           // see ClosedWithoutResponse
 	closesIdle       bool          // connections are closed once no answer is pending
 	resumed          chan struct{} // closed by Resume; nil while connections are accepted
 	evictedSinceLog  int           // connections evicted since evictionLoggedAt
@@ -98,6 +98,9 @@
 	l.maxBodyBytes.Store(maxBodyBytes)
 }
 
+// Multiplexed reports whether a connection carries many requests at a time.
+func (l *Listener) Multiplexed() bool { return l.multiplexed }
+
 // SetStreamLimit sets how many jobs all connections of a multiplexed listener together may have open.
 func (l *Listener) SetStreamLimit(maxOpenJobs int) {
 	l.mu.Lock()
--- a/internal/transport/listenershutdown.go
+++ b/internal/transport/listenershutdown.go
@@ -17,9 +17,9 @@
 // rejectionResponse is the answer to a request that is not read to its end. The client may submit the job again at once.
 const rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// CloseIdle closes the connections on which no answer is pending: the idle ones, and new ones that have brought nothing for
+// CloseWhenIdle closes the connections on which no answer is pending: the idle ones, and new ones that have brought nothing for
 // firstRequestTimeout. From then on each connection is closed once it is idle. A request that is incomplete is read on.
-func (l *Listener) CloseIdle() {
+func (l *Listener) CloseWhenIdle() {
 	if l.multiplexed {
 		return
 	}
--- a/internal/transport/rejection.go
+++ b/internal/transport/rejection.go
@@ -10,7 +10,7 @@
 
 // The reasons why a frontend rejects a valid request, as logged. The client gets 503 and may submit the job again.
 const (
-	rejectedConnectionLimit = "connection limit"                      // jobs use all connections, this one is of the reserve
+	rejectedClientConnLimit = "connection limit"                      // jobs use all connections, this one is of the reserve
 	rejectedBodyMemory      = "body memory limit"                     // the bodies of all requests use their memory
 	rejectedTableFull       = "idempotency table full"                // it cannot take another key
 	rejectedStreamLimit     = "stream limit of the connection"        // it has its share of the listener's streams
--- a/internal/transport/sendchecks.go
+++ b/internal/transport/sendchecks.go
@@ -6,23 +6,24 @@
 // connection is assigned to it (reasonNotToSend), and in the exchange's own goroutine just before the write (mustNotStart
 // and workerExchange.startBy). An attempt that fails a check ends as scheduler.NeverSent, and nothing of it is written.
 
-// The reasons why an attempt is not sent, as logged.
+// The reasons why an attempt is not sent, as logged. SendBy (notSentSendByPassed) is the earlier of the end of a retry's deduplication
+// window, which its text names, and the time at which the endpoint list is too old for an attempt.
 const (
-	notSentCancelled         = "cancelled"
-	notSentDeadlinePassed    = "deadline passed"
-	notSentClientGone        = "client gone"
-	notSentWindowOver        = "deduplication window over"
-	notSentWindowNearlyOver  = "deduplication window nearly over"
-	notSentRetriesNotAllowed = "retries not allowed"
-	notSentDrainGraceOver    = "worker draining or gone, grace period over"
-	notSentDetachedGraceOver = "worker detached, grace period over"
-	notSentDelayed           = "delayed between assignment and write"
+	notSentCancelled          = "cancelled"
+	notSentDeadlinePassed     = "deadline passed"
+	notSentClientGone         = "client gone"
+	notSentSendByPassed       = "deduplication window over"
+	notSentSendByNearlyPassed = "deduplication window nearly over"
+	notSentRetriesNotAllowed  = "retries not allowed"
+	notSentDrainGraceOver     = "worker draining or gone, grace period over"
+	notSentDetachedGraceOver  = "worker detached, grace period over"
+	notSentDelayed            = "delayed between assignment and write"
 )
 
 // reasonNotToSend returns why an exchange must not be sent by now, empty if it may. Of a probe only the deadline is checked.
 func (e *endpoint) reasonNotToSend(exchange *workerExchange, now time.Time) string {
-	if exchange.mustNotStart(now) {
-		return exchange.mustNotStartReason(now)
+	if exchange.mustNotWrite(now) {
+		return exchange.mustNotWriteReason(now)
 	}
 	if exchange.isProbe {
 		return ""
@@ -34,15 +35,15 @@
 		return notSentDrainGraceOver
 	case e.gracePeriodOver(e.detachedSince, writeMargin, now):
 		return notSentDetachedGraceOver
-	case now.After(exchange.startBy):
-		return notSentWindowNearlyOver
+	case now.After(exchange.writeBy):
+		return notSentSendByNearlyPassed
 	}
 	return ""
 }
 
-// latestStart returns until when an exchange may be started: its deadline, or earlier, by the margins of writemargins.go, the end of
-// its deduplication window or of a grace period of the worker.
-func (e *endpoint) latestStart(exchange *workerExchange) time.Time {
+// latestWrite returns until when an exchange may be started: its deadline, or earlier, by the margins of writemargins.go, its
+// SendBy or the end of a grace period of the worker.
+func (e *endpoint) latestWrite(exchange *workerExchange) time.Time {
 	latest := exchange.deadline
 	if exchange.isProbe {
 		return latest
--- a/internal/transport/workerexchange.go
+++ b/internal/transport/workerexchange.go
@@ -33,18 +33,18 @@
 	deadline  time.Time
 	cancelled atomic.Bool
 	conn      *workerConn   // nil until one is assigned
-	startBy   time.Time     // the request must not be written later; set before conn
+	writeBy   time.Time     // the request must not be written later; set before conn
 	connIdle  time.Duration // how long the connection had been idle
 }
 
-// mustNotStart reports whether an exchange that has not been written must not be any more: it is cancelled, its deadline has passed,
-// its client has gone or its deduplication window is over. It may cost a system call.
-func (x *workerExchange) mustNotStart(now time.Time) bool {
+// mustNotWrite reports whether an exchange that has not been written must not be any more: it is cancelled, its deadline has passed,
+// its client has gone or its SendBy has passed. It may cost a system call.
+func (x *workerExchange) mustNotWrite(now time.Time) bool {
 	return x.cancelled.Load() || !now.Before(x.deadline) || !x.isProbe && x.attempt.MustNotSend(now)
 }
 
-// mustNotStartReason returns the reason after mustNotStart has reported true.
-func (x *workerExchange) mustNotStartReason(now time.Time) string {
+// mustNotWriteReason returns the reason after mustNotStart has reported true.
+func (x *workerExchange) mustNotWriteReason(now time.Time) string {
 	switch {
 	case x.cancelled.Load():
 		return notSentCancelled
@@ -53,7 +53,7 @@
 	case x.attempt.ClientGone != nil && x.attempt.ClientGone():
 		return notSentClientGone
 	}
-	return notSentWindowOver
+	return notSentSendByPassed
 }
 
 // requestID returns the id that the client gave its request, empty for a probe.
@@ -91,7 +91,7 @@
 	defer func() { e.mailbox.Post(exchangeEnded{exchange, reusable}) }()
 	exchange.conn.readLimit.N = maxResponseBytes
 	request := e.encodeRequest(exchange)
-	if now := time.Now(); exchange.mustNotStart(now) || now.After(exchange.startBy) { // the goroutine may have been delayed
+	if now := time.Now(); exchange.mustNotWrite(now) || now.After(exchange.writeBy) { // the goroutine may have been delayed
 		e.logNotSent(exchange, notSentDelayed)
 		reusable = !exchange.cancelled.Load()
 		e.reportResult(exchange, routing.AttemptResult{Outcome: scheduler.NeverSent})
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -23,9 +23,9 @@
 	maxOwnMultiple = 4
 )
 
-// slack returns how long request can still wait for its start and be served in time: inside the latency objective, stretched by
+// spareWait returns how long request can still wait for its start and be served in time: inside the latency objective, stretched by
 // its own work, and before its deadline. It is negative for a request that is late already.
-func (s *Scheduler) slack(request *request) time.Duration {
+func (s *Scheduler) spareWait(request *request) time.Duration {
 	class := &request.settings.Classes[request.class]
 	runtime := durationOf(s.estimatedRuntime(request))
 	if request.estimatedWork <= 0 {
@@ -36,11 +36,16 @@
 	return min(request.clientStartedAt+wait, request.deadline-runtime) - s.now
 }
 
+// latestUsefulStart returns how long after its client first sent it a request may start and still be in time.
+func (s *Scheduler) latestUsefulStart(request *request) time.Duration {
+	return s.spareWait(request) + s.now - request.clientStartedAt
+}
+
 // maxStartWait returns how long after its client first sent it a request whose late answer has no value may wait for its
 // start: as long as it can be in time. Without an estimate of its own work it is less with congestion, down to half the latency
 // objective: where all wait for as long as they may, some of what starts is late nevertheless.
 func (s *Scheduler) maxStartWait(request *request) time.Duration {
-	longest := s.slack(request) + s.now - request.clientStartedAt
+	longest := s.latestUsefulStart(request)
 	if request.estimatedWork > 0 {
 		return longest
 	}
@@ -62,7 +67,7 @@
 }
 
 // onShutdownStarted bounds the deadlines of all requests by the time at which this process ends, and sets a timer for it: the
-// regular reviews are too seldom.
+// regular reviews would come too late.
 func (s *Scheduler) onShutdownStarted(event ShutdownStarted) {
 	s.shutdownDeadline = event.Deadline
 	for _, request := range s.requestsByArrival {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -154,25 +154,25 @@
 // whose rules change becomes a new one. Open requests keep the settings that they arrived under.
 type SettingsChanged struct{ Settings Settings }
 
-// HandoverCompleted brings what an earlier process has learned: the predecessor that this one takes over from, after the first
-// endpoint list and before any request; or, without classes, the process that wrote the endpoint cache, as soon as discovery has
-// confirmed workers of it.
-type HandoverCompleted struct{ LearnedState LearnedState }
+// LearnedStateReceived brings what an earlier process has learned: that of the predecessor that this one takes over from, after the
+// first endpoint list and before any request; or that in the endpoint cache, the classes at the start and the workers later, without
+// classes, once discovery has confirmed them. An event with classes makes this process a successor (Scheduler.tookOver).
+type LearnedStateReceived struct{ LearnedState LearnedState }
 
 // TimerFired answers a SetTimer.
 type TimerFired struct{ Token uint64 }
 
-func (EndpointsUpdated) event()    {}
-func (RequestArrived) event()      {}
-func (AttemptFinished) event()     {}
-func (ProbeCompleted) event()      {}
-func (AttemptStarted) event()      {}
-func (AttemptProgressed) event()   {}
-func (ClientLeft) event()          {}
-func (ShutdownStarted) event()     {}
-func (WorkerDetached) event()      {}
-func (WorkerReattached) event()    {}
-func (ProcessCountChanged) event() {}
-func (SettingsChanged) event()     {}
-func (HandoverCompleted) event()   {}
-func (TimerFired) event()          {}
+func (EndpointsUpdated) event()     {}
+func (RequestArrived) event()       {}
+func (AttemptFinished) event()      {}
+func (ProbeCompleted) event()       {}
+func (AttemptStarted) event()       {}
+func (AttemptProgressed) event()    {}
+func (ClientLeft) event()           {}
+func (ShutdownStarted) event()      {}
+func (WorkerDetached) event()       {}
+func (WorkerReattached) event()     {}
+func (ProcessCountChanged) event()  {}
+func (SettingsChanged) event()      {}
+func (LearnedStateReceived) event() {}
+func (TimerFired) event()           {}
--- a/scheduler/freshness.go
+++ b/scheduler/freshness.go
@@ -10,8 +10,8 @@
 	// failedProbeBackoff is how long after a failed probe a worker is not probed again before use.
 	failedProbeBackoff = 500 * time.Millisecond
 
-	// healthCheckWait is how long a request waits for the outcome of a probe before it goes to another worker.
-	healthCheckWait = 50 * time.Millisecond
+	// probeBeforeUseWait is how long a request waits for the outcome of a probe before it goes to another worker.
+	probeBeforeUseWait = 50 * time.Millisecond
 )
 
 // freshUntil returns until when a request for the worker may leave: ListValidity after its state was last confirmed, by the list
@@ -33,12 +33,12 @@
 
 // freshOrProbeable reports whether the worker is confirmed fresh, or may be probed to confirm it.
 func (s *Scheduler) freshOrProbeable(worker *worker) bool {
-	return s.confirmedFresh(worker) || s.now >= worker.nextHealthCheckAt
+	return s.confirmedFresh(worker) || s.now >= worker.nextProbeBeforeUseAt
 }
 
 // probeBeforeUse probes the worker unless a probe is in flight or one has just failed.
 func (s *Scheduler) probeBeforeUse(worker *worker) {
-	if !worker.probeInFlight && s.now >= worker.nextHealthCheckAt {
+	if !worker.probeInFlight && s.now >= worker.nextProbeBeforeUseAt {
 		s.sendProbe(worker)
 	}
 }
@@ -47,7 +47,7 @@
 func (s *Scheduler) recordProbeOutcome(worker *worker, outcome Outcome) {
 	worker.probeInFlight = false
 	if outcome != Served {
-		worker.nextHealthCheckAt = s.now + failedProbeBackoff
+		worker.nextProbeBeforeUseAt = s.now + failedProbeBackoff
 		return
 	}
 	worker.probePassedAt = max(worker.probePassedAt, worker.probeSentAt)
--- a/scheduler/hedging.go
+++ b/scheduler/hedging.go
@@ -32,7 +32,7 @@
 }
 
 // hedge sends a further attempt of request if the latest one in flight has no start for too long (needsHedge) or its worker is
-// ejected, and another worker can take it. A request that can no longer be in time is not hedged.
+// ejected, and another worker can take it. A request that is tooLate is not hedged.
 func (s *Scheduler) hedge(request *request, latest *attempt, late bool) {
 	needed := s.needsHedge(latest)
 	if late || !needed && s.healthy(latest.worker, request.class) {
--- a/scheduler/learnedstate.go
+++ b/scheduler/learnedstate.go
@@ -40,16 +40,16 @@
 		if worker.State != Gone {
 			learned.Workers[worker.ID] = WorkerStatistics{
 				StartedAt: worker.StartedAt, Slots: worker.observedSlots, Increment: worker.increment,
-				Slowness: worker.slownessSum, SlownessJobs: worker.slownessJobs, LastSignal: worker.lastSignal,
+				Slowness: worker.logSlownessSum, SlownessJobs: worker.slownessJobs, LastSignal: worker.lastSignal,
 			}
 		}
 	}
 	return learned
 }
 
-// onHandoverCompleted starts from what the predecessor has learned, of the workers that are listed and have not restarted since.
-// Learned state without classes is of a cached endpoint list: it covers workers alone, and the process does not count as a successor.
-func (s *Scheduler) onHandoverCompleted(event HandoverCompleted) {
+// onLearnedStateReceived starts from what an earlier process has learned, of the workers that are listed and have not restarted since.
+// Learned state without classes covers workers alone, and does not make this process a successor.
+func (s *Scheduler) onLearnedStateReceived(event LearnedStateReceived) {
 	learned := event.LearnedState
 	if len(learned.Classes) > 0 {
 		s.tookOver = true
@@ -66,7 +66,7 @@
 	for id, before := range learned.Workers {
 		if worker := s.workersByID[id]; worker != nil && worker.StartedAt <= before.StartedAt {
 			worker.StartedAt, worker.increment = before.StartedAt, before.Increment
-			worker.slownessSum, worker.slownessJobs = before.Slowness, before.SlownessJobs
+			worker.logSlownessSum, worker.slownessJobs = before.Slowness, before.SlownessJobs
 			s.recordSlots(worker, before.Slots)
 		}
 	}
--- a/scheduler/learnedstate_test.go
+++ b/scheduler/learnedstate_test.go
@@ -14,7 +14,7 @@
 	old := driver.scheduler
 	old.overcommit, old.classes[1] = -0.2, classState{workScale: 0.3, meanLogRuntime: -1.5, jobs: 40}
 	for _, w := range old.workers {
-		w.observedSlots, w.slownessSum, w.slownessJobs = 6, 12, 12
+		w.observedSlots, w.logSlownessSum, w.slownessJobs = 6, 12, 12
 	}
 	text, err := json.Marshal(old.LearnedState())
 	if err != nil {
@@ -28,12 +28,12 @@
 	infos := workers(2)
 	infos[1].StartedAt = next.now - time.Second
 	next.listWorkers(infos...)
-	next.handle(HandoverCompleted{LearnedState: e})
+	next.handle(LearnedStateReceived{LearnedState: e})
 	same, anew := next.scheduler.workersByID[infos[0].ID], next.scheduler.workersByID[infos[1].ID]
 	if next.scheduler.overcommit != old.overcommit || next.scheduler.classes[1] != old.classes[1] || next.scheduler.estimatedSlots(same) != 6 || next.scheduler.slowdown(same) != old.slowdown(old.workers[0]) {
 		t.Errorf("overcommit %v, class %+v, slots %v, slowdown %v", next.scheduler.overcommit, next.scheduler.classes[1], next.scheduler.estimatedSlots(same), next.scheduler.slowdown(same))
 	}
-	if anew.slownessJobs != 0 || anew.slownessSum != 0 {
+	if anew.slownessJobs != 0 || anew.logSlownessSum != 0 {
 		t.Errorf("of a worker that has restarted: %v jobs", anew.slownessJobs)
 	}
 }
--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -56,7 +56,7 @@
 //     would get no jobs, by which many warm up.
 //   - A worker of ordinary pace is tried if its report is overdue, by about one attempt of all dispatchers at a time, or if it
 //     looks half idle: a wide request must go somewhere, and without an attempt there may be no further report.
-//   - An overcommit below 0 counts as 0: to hold the request back would relieve nobody, and without a start nothing would raise
+//   - An overcommit below 0 counts as 0 where this dispatcher has no attempt: to make the request wait would relieve nobody, and without a start nothing would raise
 //     the overcommit again.
 func (s *Scheduler) hasCapacity(worker *worker, slots float64) bool {
 	if worker.ownSlots == 0 && s.warmupFactor(worker) < 1 && s.loadValue(worker) < 1 {
@@ -67,9 +67,9 @@
 	if idle && (reportNeeded || s.overcommit >= 0 && s.loadValue(worker) < idleLoadValue) {
 		return true
 	}
-	floor := -float64(min(worker.ownSlots, 1))
+	leastOvercommit := -float64(min(worker.ownSlots, 1)) // 0 without own attempts, lower as their first slot fills
 	load := s.loadValue(worker) + s.slotShare(worker, slots-toleratedSlots)
-	return load*s.slowdown(worker) <= 1+max(s.overcommit, floor)+tieTolerance
+	return load*s.slowdown(worker) <= 1+max(s.overcommit, leastOvercommit)+tieTolerance
 }
 
 // reportOverdue reports whether nothing is known of a worker's load any more although reports come with outcomes: only another
@@ -87,7 +87,7 @@
 	}
 	wait := s.now - attempt.sentAt - s.roundTripTimes[attempt.worker.Zone]
 	s.recordStart(attempt.worker, wait > delayedStartThreshold)
-	spare := s.slack(request) + s.now - request.clientStartedAt
+	spare := s.latestUsefulStart(request)
 	step := s.overcommitStep()
 	switch {
 	case float64(wait) > tolerableWaitShare*float64(spare):
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -28,9 +28,9 @@
 
 // scoreTerms are the parts of a score that are the same for all candidates of one request.
 type scoreTerms struct {
-	crossZoneLoad  float64         // added to a worker of another zone
-	slownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil where the loads show it
-	sharedRank     float64         // affinity ranks up to this one count alike
+	crossZoneLoad     float64         // added to a worker of another zone
+	logSlownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil where the loads show it
+	sharedRank        float64         // affinity ranks up to this one count alike
 }
 
 // pickWorker returns the worker that request is sent to now, or nil if there is none at the moment.
@@ -40,20 +40,20 @@
 //
 // In addition to its result it may emit a Probe, and it moves the rotation cursor past the best worker even if the caller does not use it.
 func (s *Scheduler) pickWorker(request *request) *worker {
-	best := s.leastLoaded(request, s.freshOrProbeable)
+	best := s.lowestScore(request, s.freshOrProbeable)
 	if best == nil || s.confirmedFresh(best) {
 		return best
 	}
 	s.probeBeforeUse(best)
-	if s.now < best.probeSentAt+healthCheckWait {
+	if s.now < best.probeSentAt+probeBeforeUseWait {
 		return nil
 	}
-	return s.leastLoaded(request, s.confirmedFresh)
+	return s.lowestScore(request, s.confirmedFresh)
 }
 
-// leastLoaded returns the worker with the lowest score among the eligible ones that can take request now, or nil. Equal scores
+// lowestScore returns the worker with the lowest score among the eligible ones that can take request now, or nil. Equal scores
 // go to the worker with the fewest sends by weight, then to the first one from the rotation cursor, which moves past the winner.
-func (s *Scheduler) leastLoaded(request *request, eligible func(*worker) bool) *worker {
+func (s *Scheduler) lowestScore(request *request, eligible func(*worker) bool) *worker {
 	candidates, acceptUnsuitable := s.candidates(request, eligible)
 	terms := s.scoreTerms(request)
 	var best *worker
@@ -101,12 +101,12 @@
 // scoreTerms returns what the scores of a request's candidates have in common.
 func (s *Scheduler) scoreTerms(request *request) scoreTerms {
 	terms := scoreTerms{
-		crossZoneLoad:  s.settings.CrossZoneCost * subsetCrossZoneWeight,
-		slownessByKind: s.slownessByKind,
-		sharedRank:     s.affinityWidth(request.affinityKey) / max(s.totalWeight, 1e-3),
+		crossZoneLoad:     s.settings.CrossZoneCost * subsetCrossZoneWeight,
+		logSlownessByKind: s.logSlownessByKind,
+		sharedRank:        s.affinityWidth(request.affinityKey) / max(s.totalWeight, 1e-3),
 	}
 	if s.loadsKnown { // the loads are known well, and show the pace of a machine kind too
-		terms.crossZoneLoad, terms.slownessByKind = s.settings.CrossZoneCost*crossZoneWeight, nil
+		terms.crossZoneLoad, terms.logSlownessByKind = s.settings.CrossZoneCost*crossZoneWeight, nil
 	}
 	return terms
 }
@@ -117,10 +117,12 @@
 //   - A worker without own attempts that the operator has just reattached, or that warms up while many requests wait elsewhere,
 //     comes first (two affinityOffsets less): it would not get work by its load alone.
 //   - Workers with a free slot for a request with an affinity key come next, ordered by the key (affinityScore) instead of load.
+//
+// So the scores are in three ranges, each below the next: about -2 affinityOffsets, between -affinityOffset and 0, and the loads from 0 up.
 func (s *Scheduler) score(request *request, worker *worker, terms *scoreTerms) float64 {
 	score := s.loadValue(worker)
-	pace := s.slowdown(worker) * math.Exp(terms.slownessByKind[worker.MachineKind])
-	score += (pace-1)*(score+s.slotShare(worker, request.slots)) + failureLoad*worker.excessFailureShare(s.now)
+	slowFactor := s.slowdown(worker) * math.Exp(terms.logSlownessByKind[worker.MachineKind])
+	score += (slowFactor-1)*(score+s.slotShare(worker, request.slots)) + failureLoad*worker.excessFailureShare(s.now)
 	if worker.Zone != s.settings.Zone {
 		score += terms.crossZoneLoad
 	}
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -81,7 +81,7 @@
 	if len(s.queued) == 0 {
 		return
 	}
-	s.queued = slices.DeleteFunc(s.queued, func(r *request) bool { return r.finished })
+	s.queued = slices.DeleteFunc(s.queued, func(r *request) bool { return r.settled })
 	if len(s.queued) > 1 {
 		slices.SortStableFunc(s.queued, s.compareQueued)
 	}
@@ -114,7 +114,7 @@
 // compareQueued orders queued requests: those that can still be in time first, then by priority for their work, then the
 // youngest. Under overload the oldest are nearly lost, and sent first they would make all others late.
 func (s *Scheduler) compareQueued(a, b *request) int {
-	slackA, slackB := s.slack(a), s.slack(b)
+	slackA, slackB := s.spareWait(a), s.spareWait(b)
 	late := cmp.Compare(min(slackB, 0), min(slackA, 0))
 	if slackA < 0 && slackB < 0 {
 		late = 0
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -15,7 +15,7 @@
 	deadline        Instant
 	allowedZones    uint64 // a bit for each number; 0 for all
 	attempts        []attempt
-	finished        bool // the final answer is given, or nothing is owed
+	settled         bool // the final answer is given, or nothing is owed
 	streamed        bool // its answer has begun to reach the client
 }
 
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -74,7 +74,7 @@
 	switch {
 	case event.Final || event.Outcome == Served:
 		s.finishRequest(request)
-	case request.finished:
+	case request.settled:
 		s.deleteUnlessInFlight(request)
 	case event.Outcome == InvalidRequest:
 		s.failRequest(request)
@@ -108,7 +108,7 @@
 
 // finishRequest marks that the client is owed nothing more and cancels the attempts in flight.
 func (s *Scheduler) finishRequest(request *request) {
-	request.finished = true
+	request.settled = true
 	s.cancelAttempts(request, everyAttempt)
 	s.deleteUnlessInFlight(request)
 }
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -83,7 +83,7 @@
 	s.requestsByArrival = slices.DeleteFunc(s.requestsByArrival, func(r *request) bool { return s.requests[r.id] != r })
 	s.reviewWorkers()
 	for _, request := range slices.Clone(s.requestsByArrival) {
-		if !request.finished && !request.streamed {
+		if !request.settled && !request.streamed {
 			s.reviewRequest(request)
 		}
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -97,28 +97,28 @@
 	lastSequence      int
 
 	// What was learned.
-	overcommit      float64 // share of its slots that a worker may be filled beyond them
-	congestion      float64 // share of the recent attempts whose start was delayed
-	arrivalRate     float64 // own requests a second
-	meanStay        float64 // seconds from send to outcome
-	meanWork        float64 // of a job, in slot-seconds
-	meanOthersLoad  float64 // of other dispatchers, as a share of a worker
-	servedJobs      int
-	classes         []classState
-	recentSends     decayingCounter
-	recentHedges    decayingCounter
-	recentKeys      keyCounter
-	cancellations   cancellationEstimate
-	slownessByKind  map[int]float64       // mean logSlowness of a machine kind
-	slotsByKind     map[int]float64       // the most slots seen at a worker of a machine kind
-	roundTripTimes  map[int]time.Duration // by zone: the least time from send to start
-	safeIdle        time.Duration         // connections idle for less were not lost; 0 if none was lost
-	idleLossAt      Instant               // when an idle connection was last lost
-	firstEventAt    Instant
-	lastArrivalAt   Instant
-	resumedAt       Instant // the turn in which this process found that it had stood still
-	reviewScheduled bool
-	nextReviewAt    Instant
+	overcommit        float64 // share of its slots that a worker may be filled beyond them
+	congestion        float64 // share of the recent attempts whose start was delayed
+	arrivalRate       float64 // own requests a second
+	meanStay          float64 // seconds from send to outcome
+	meanWork          float64 // of a job, in slot-seconds
+	meanOthersLoad    float64 // of other dispatchers, as a share of a worker
+	servedJobs        int
+	classes           []classState
+	recentSends       decayingCounter
+	recentHedges      decayingCounter
+	recentKeys        keyCounter
+	cancellations     cancellationEstimate
+	logSlownessByKind map[int]float64       // mean logSlowness of a machine kind
+	slotsByKind       map[int]float64       // the most slots seen at a worker of a machine kind
+	roundTripTimes    map[int]time.Duration // by zone: the least time from send to start
+	safeIdle          time.Duration         // connections idle for less were not lost; 0 if none was lost
+	idleLossAt        Instant               // when an idle connection was last lost
+	firstEventAt      Instant
+	lastArrivalAt     Instant
+	resumedAt         Instant // the turn in which this process found that it had stood still
+	reviewScheduled   bool
+	nextReviewAt      Instant
 
 	// The process.
 	processes        int     // that act as this dispatcher
@@ -130,19 +130,19 @@
 func New(settings Settings, seed uint64) *Scheduler {
 	normalized := settings.normalized()
 	return &Scheduler{
-		settings:       normalized,
-		random:         rand.New(rand.NewPCG(seed, uint64(normalized.DispatcherIndex))),
-		workersByID:    map[WorkerID]*worker{},
-		detached:       map[WorkerID]bool{},
-		rotationCursor: normalized.DispatcherIndex,
-		requests:       map[RequestID]*request{},
-		overcommit:     initialOvercommit,
-		classes:        make([]classState, len(normalized.Classes)),
-		recentKeys:     keyCounter{counts: map[uint64]float64{}},
-		slownessByKind: map[int]float64{},
-		slotsByKind:    map[int]float64{},
-		roundTripTimes: map[int]time.Duration{},
-		processes:      1,
+		settings:          normalized,
+		random:            rand.New(rand.NewPCG(seed, uint64(normalized.DispatcherIndex))),
+		workersByID:       map[WorkerID]*worker{},
+		detached:          map[WorkerID]bool{},
+		rotationCursor:    normalized.DispatcherIndex,
+		requests:          map[RequestID]*request{},
+		overcommit:        initialOvercommit,
+		classes:           make([]classState, len(normalized.Classes)),
+		recentKeys:        keyCounter{counts: map[uint64]float64{}},
+		logSlownessByKind: map[int]float64{},
+		slotsByKind:       map[int]float64{},
+		roundTripTimes:    map[int]time.Duration{},
+		processes:         1,
 	}
 }
 
@@ -183,8 +183,8 @@
 		s.setDetached(event.Worker, true)
 	case WorkerReattached:
 		s.setDetached(event.Worker, false)
-	case HandoverCompleted:
-		s.onHandoverCompleted(event)
+	case LearnedStateReceived:
+		s.onLearnedStateReceived(event)
 	case SettingsChanged:
 		s.onSettingsChanged(event)
 	case ProcessCountChanged:
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Idempotency says what a second execution of a request may do.
+// Idempotency says what a second execution of a request may do. The zero value is the most permissive one.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -22,7 +22,7 @@
 	ScopeCell
 )
 
-// Class describes one kind of request.
+// Class describes one kind of request. The zero value is idempotent and runs on machine kind 0 alone.
 type Class struct {
 	LatencyObjective    time.Duration // an answer within LatencyObjective + ObjectiveStretch x own work counts in full
 	ObjectiveStretch    float64
@@ -32,11 +32,12 @@
 	Idempotency         Idempotency
 	DeduplicationScope  DeduplicationScope // for IdempotentWithKey
 	DeduplicationWindow time.Duration      // how long workers remember a key
-	Streamed            bool               // the answer is streamed to the client
+	Streamed            bool               // the answer is streamed to the client; no rule reads it
 	MachineKind         int                // the only machine kind that runs it, or -1 for any
 }
 
-// Settings configure a Scheduler. The zero value is usable: what is absent is not permitted (hedges, probes, cancellation).
+// Settings configure a Scheduler. The zero value is usable: without its May field nothing is permitted that needs one (hedges, probes,
+// cancellation, retry advice).
 type Settings struct {
 	DispatcherIndex int // own number among the dispatchers, from 0
 	Dispatchers     int // number of dispatchers that share the workers; at least 1 is assumed
@@ -52,10 +53,10 @@
 	MayCancel      bool
 	MayHedge       bool          // a further attempt may be sent while one is in flight; hedging needs MayCancel too
 	MayAdviseRetry bool          // Reject may carry RetryAfter
-	MaxAttempts    int           // of one request; 0 for the default of 16
+	MaxAttempts    int           // of one request; 0 for defaultMaxAttempts. The core's own limit has none for 0: RequestLimits
 	MaxRetryAfter  time.Duration // the advice that Reject carries
 
-	MaxPollInterval   time.Duration // where ListPolled: without a call for so long the dispatcher counts as notified of all changes
+	MaxPollInterval   time.Duration // where ListPolled: without a call for so long the dispatcher counts as notified of all changes; no rule reads it
 	ListValidity      time.Duration // how long after its state was confirmed a worker may be sent requests; 0 for no bound
 	AnswerSlack       time.Duration // how long after its deadline a final answer still counts
 	SlowStartDuration time.Duration // age at which a started worker has its full capacity
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -158,7 +158,7 @@
 		driver.listWorkers(WorkerInfo{ID: "w", StartedAt: driver.now - ms})
 		driver.scheduler.recordSlots(driver.scheduler.workers[0], 4)
 		if successor {
-			driver.handle(HandoverCompleted{LearnedState: driver.scheduler.LearnedState()})
+			driver.handle(LearnedStateReceived{LearnedState: driver.scheduler.LearnedState()})
 		}
 		driver.now += 10 * ms
 		if to := driver.submit(1, 0); successor != (to != "") {
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -78,8 +78,8 @@
 	updateMean(&class.workScale, class.jobs, runtime/unit)
 	updateMean(&class.meanLogRuntime, class.jobs, math.Log(runtime/unit))
 	slowness := s.logSlowness(request, served)
-	s.slownessByKind[worker.MachineKind] += (1 - meanRetention) * (slowness - s.slownessByKind[worker.MachineKind])
-	worker.slownessSum = worker.slownessSum*slownessRetention + slowness
+	s.logSlownessByKind[worker.MachineKind] += (1 - meanRetention) * (slowness - s.logSlownessByKind[worker.MachineKind])
+	worker.logSlownessSum = worker.logSlownessSum*slownessRetention + slowness
 	worker.slownessJobs = worker.slownessJobs*slownessRetention + 1
 }
 
@@ -109,7 +109,7 @@
 // workers are better than it; otherwise a factor up to slowdownThreshold counts as 1.
 func (s *Scheduler) slowdown(worker *worker) float64 {
 	feared := -math.Log(s.warmupFactor(worker))
-	sum := worker.slownessSum + worker.runningSlownessSum + slownessPriorJobs*feared
+	sum := worker.logSlownessSum + worker.runningSlownessSum + slownessPriorJobs*feared
 	jobs := worker.slownessJobs + worker.runningSlownessJobs + slownessPriorJobs
 	factor := math.Exp(sum / jobs)
 	if feared == 0 && factor <= slowdownThreshold {
--- a/scheduler/statistics_test.go
+++ b/scheduler/statistics_test.go
@@ -64,11 +64,11 @@
 	if slowdown := driver.scheduler.slowdown(w); slowdown < feared*0.999 || slowdown > feared*1.001 {
 		t.Errorf("at first %v, want %v", slowdown, feared)
 	}
-	w.slownessJobs, w.slownessSum = 20, 0 // jobs took as long as elsewhere
+	w.slownessJobs, w.logSlownessSum = 20, 0 // jobs took as long as elsewhere
 	if slowdown := driver.scheduler.slowdown(w); slowdown > feared/2 || slowdown < 1 {
 		t.Errorf("after 20 ordinary jobs %v", slowdown)
 	}
-	w.slownessSum = 20 * 2 // and seven times as long
+	w.logSlownessSum = 20 * 2 // and seven times as long
 	if slowdown := driver.scheduler.slowdown(w); slowdown < feared {
 		t.Errorf("after 20 slow jobs %v", slowdown)
 	}
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -2,7 +2,8 @@
 
 import "hash/fnv"
 
-// worker is what a scheduler knows of one worker.
+// worker is what a scheduler knows of one worker. Its WorkerInfo, and so State, is that of the last list that named it: a full list
+// that does not name it clears ready alone.
 type worker struct {
 	WorkerInfo
 	idHash     uint64 // of the id, the same at every dispatcher
@@ -44,18 +45,18 @@
 	slowStartCharges []slowStartCharge
 
 	// Its pace: sums of logSlowness over jobs, and their numbers.
-	slownessSum         float64 // over served jobs, decaying
+	logSlownessSum      float64 // over served jobs, decaying
 	slownessJobs        float64
 	runningSlownessSum  float64 // over jobs that run for longer than usual, as of the last review
 	runningSlownessJobs float64
 
-	lastSignal        Instant // last sign of life, or first send after none was in flight
-	lastUsed          Instant // last send or sign of life
-	nextProbeAt       Instant // of the regular probes; 0 for not yet chosen
-	probeInFlight     bool
-	probeSentAt       Instant
-	probePassedAt     Instant // when the last probe that passed was sent
-	nextHealthCheckAt Instant // no probe before use until then
+	lastSignal           Instant // last sign of life, or first send after none was in flight
+	lastUsed             Instant // last send or sign of life
+	nextProbeAt          Instant // of the regular probes; 0 for not yet chosen
+	probeInFlight        bool
+	probeSentAt          Instant
+	probePassedAt        Instant // when the last probe that passed was sent
+	nextProbeBeforeUseAt Instant // no probe before use until then
 }
 
 // available reports whether the worker is listed as ready and not detached.
@@ -68,7 +69,7 @@
 func (s *Scheduler) resetStatistics(worker *worker) {
 	worker.reportedAt, worker.lastProbeReport, worker.fullUntil = 0, Report{}, 0
 	worker.othersLoad, worker.meanOthersLoad = 0, 0
-	worker.slownessSum, worker.slownessJobs = 0, 0
+	worker.logSlownessSum, worker.slownessJobs = 0, 0
 	worker.ejectionState, worker.classEjections = ejectionState{}, make([]ejectionState, len(s.classes))
 }
 
