--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// Accept returns no error of accept until the listener is closed, since net/http would end the server, and with it the process and
-// its requests, at errors such as ENOBUFS or a descriptor that cannot be polled (EPERM).
-func TestAcceptOutlivesErrors(t *testing.T) {
+// TestListenerAccept_continuesAfterErrors checks that Accept returns no error of the system call until the listener is closed: net/http
+// would end the server, and with it the process and its requests, at errors such as ENOBUFS or EPERM (a descriptor that cannot be
+// polled).
+func TestListenerAccept_continuesAfterErrors(t *testing.T) {
 	for _, fault := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EPERM, syscall.EPROTO, syscall.EMFILE, syscall.ENFILE,
 		syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EINTR, syscall.EHOSTUNREACH, syscall.ENETDOWN, errors.New("unknown")} {
 		socket, err := Listen("127.0.0.1:0")
@@ -36,14 +37,14 @@
 		}
 		conn, err := listener.Accept()
 		if err != nil {
-			t.Errorf("%v ends the listener: %v", fault, err)
+			t.Errorf("Accept after three errors %v: %v", fault, err)
 		} else {
 			conn.(*Conn).TCPConn.Close()
 		}
 		client.Close()
 		time.AfterFunc(20*time.Millisecond, func() { listener.Close() })
 		if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("Accept after Close: %v", err)
+			t.Errorf("Accept after Close: %v, want %v", err, net.ErrClosed)
 		}
 	}
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -13,78 +13,82 @@
 	"time"
 )
 
-// listenerFor serves a handler on a listener, and returns it with a function that connects to it.
-func listenerFor(t *testing.T, h http.HandlerFunc) (*Listener, func() net.Conn) {
+// startTestServer serves a handler on a loopback listener until the test ends. It returns the listener, and a function that connects to
+// it with a deadline of 10 s for all reads and writes.
+func startTestServer(t *testing.T, handler http.HandlerFunc) (*Listener, func() net.Conn) {
 	t.Helper()
-	l, err := Listen("127.0.0.1:0")
+	socket, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	listener := NewListener(l, log)
+	listener := NewListener(socket, log)
 	listener.SetLimits(100, 1<<20)
-	go Server(h, log).Serve(listener)
+	go Server(handler, log).Serve(listener)
 	t.Cleanup(func() { listener.Close() })
 	return listener, func() net.Conn {
-		c, err := net.Dial("tcp", l.Addr().String())
+		t.Helper()
+		client, err := net.Dial("tcp", socket.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-		return c
+		t.Cleanup(func() { client.Close() })
+		_ = client.SetDeadline(time.Now().Add(10 * time.Second)) // without it, a failing test only takes longer
+		return client
 	}
 }
 
-const get = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+const getRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// waitUntil waits for what another goroutine does.
-func waitUntil(t *testing.T, what string, ok func() bool) {
+// waitUntil polls a condition every millisecond, and fails the test if it does not hold within 10 s.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not seen within 10 s: %s", what)
+			t.Fatalf("not within 10 s: %s", what)
 		}
 	}
 }
 
-// A client's leaving is noticed while its request is served, whatever it sent after the request and however it leaves.
-func TestLeavingShowsBehindUnreadBytes(t *testing.T) {
-	for name, behind := range map[string]int{"nothing": 0, "a byte": 1, "a request": len(get), "more than is queued": 3 * maxReadAheadBytes} {
-		for how, leave := range map[string]func(*net.TCPConn){
+// TestConn_disconnectDetectedDespiteUnreadBytes checks that a client's disconnect is detected within 5 s while its request is served,
+// whatever the client sent after the request and however it disconnects.
+func TestConn_disconnectDetectedDespiteUnreadBytes(t *testing.T) {
+	for sent, extraBytes := range map[string]int{"nothing": 0, "a byte": 1, "a request": len(getRequest), "more than is queued": 3 * maxReadAheadBytes} {
+		for how, disconnect := range map[string]func(*net.TCPConn){
 			"closes":      func(c *net.TCPConn) { c.Close() },
 			"half-closes": func(c *net.TCPConn) { c.CloseWrite() },
 			"resets":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		} {
-			began, left := make(chan struct{}), make(chan struct{})
-			_, dial := listenerFor(t, func(_ http.ResponseWriter, r *http.Request) {
-				is := clientGoneFunc(r)
+			started, detected := make(chan struct{}), make(chan struct{})
+			_, dial := startTestServer(t, func(_ http.ResponseWriter, r *http.Request) {
+				clientGone := clientGoneFunc(r)
 				markServing(r)
-				close(began)
+				close(started)
 				<-r.Context().Done()
-				if is() {
-					close(left)
+				if clientGone() {
+					close(detected)
 				}
 			})
-			c := dial().(*net.TCPConn)
-			io.WriteString(c, get)
-			<-began
-			c.Write(make([]byte, behind))
-			leave(c)
+			client := dial().(*net.TCPConn)
+			io.WriteString(client, getRequest)
+			<-started
+			client.Write(make([]byte, extraBytes))
+			disconnect(client)
 			select {
-			case <-left:
+			case <-detected:
 			case <-time.After(5 * time.Second):
-				t.Errorf("a client that %s after sending %s is not noticed", how, name)
+				t.Errorf("a client that %s after sending %s is not detected within 5 s", how, sent)
 			}
 		}
 	}
 }
 
-// Bytes received after an unanswered request belong to the next one, which is served complete and in its turn.
-func TestWhatComesBehindIsKept(t *testing.T) {
+// TestConn_pipelinedRequestsServedInOrder checks that bytes received after an unanswered request belong to the next one, which is
+// served complete and after the first.
+func TestConn_pipelinedRequestsServedInOrder(t *testing.T) {
 	release := make(chan struct{})
 	served := 0
-	_, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
+	_, dial := startTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		markServing(r)
 		body, _ := io.ReadAll(r.Body)
 		if served++; served == 1 {
@@ -92,115 +96,116 @@
 		}
 		fmt.Fprint(w, served, string(body))
 	})
-	c := dial()
-	io.WriteString(c, get)
-	for _, part := range []string{"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\n\r\ndra", "wing", get} {
-		io.WriteString(c, part)
+	client := dial()
+	io.WriteString(client, getRequest)
+	for _, part := range []string{"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\n\r\ndra", "wing", getRequest} {
+		io.WriteString(client, part)
 	}
-	in := bufio.NewReader(c)
+	answers := bufio.NewReader(client)
 	close(release)
 	for _, want := range []string{"1", "2drawing", "3"} {
-		resp, err := http.ReadResponse(in, nil)
+		response, err := http.ReadResponse(answers, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, _ := io.ReadAll(resp.Body); string(body) != want {
-			t.Errorf("%q, want %q", body, want)
+		if body, _ := io.ReadAll(response.Body); string(body) != want {
+			t.Errorf("answered %q, want %q", body, want)
 		}
 	}
 }
 
-// A connection that is closed with unread bytes is not reset: its client reads the answer and then EOF.
-func TestLingeringClose(t *testing.T) {
-	_, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
+// TestConn_lingeringClose checks that a connection that is closed with unread bytes is not reset: its client reads the answer and then
+// EOF.
+func TestConn_lingeringClose(t *testing.T) {
+	_, dial := startTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		markServing(r)
 		closeAfterAnswer(w)
 		fmt.Fprint(w, "answer")
 	})
 	for range 20 {
-		c := dial()
-		io.WriteString(c, get+get+get)
-		c.Write(make([]byte, 2*maxReadAheadBytes))
-		in := bufio.NewReader(c)
-		resp, err := http.ReadResponse(in, nil)
+		client := dial()
+		io.WriteString(client, getRequest+getRequest+getRequest)
+		client.Write(make([]byte, 2*maxReadAheadBytes))
+		answers := bufio.NewReader(client)
+		response, err := http.ReadResponse(answers, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, err := io.ReadAll(resp.Body); string(body) != "answer" || err != nil {
-			t.Fatalf("%q, %v", body, err)
+		if body, err := io.ReadAll(response.Body); string(body) != "answer" || err != nil {
+			t.Fatalf("answered %q, %v", body, err)
 		}
-		c.Write([]byte("and more"))
-		if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Fatalf("after the answer: %v", err)
+		client.Write([]byte("and more"))
+		if _, err := answers.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Fatalf("read after the answer: %v, want EOF", err)
 		}
 	}
 }
 
-// A request that is received on an idle connection while CloseIdle closes it is answered, or it is not read and its client
-// sees EOF: none is handled and left without an answer, and no connection is reset.
-func TestRequestAsItsConnectionIsDismissed(t *testing.T) {
-	outcomes := [2]int{}
+// TestListenerCloseIdle_concurrentRequest checks that a request that is received on an idle connection while CloseIdle closes it is
+// either answered, or not read and its client sees EOF: none is handled without an answer, and no connection is reset.
+func TestListenerCloseIdle_concurrentRequest(t *testing.T) {
+	answeredRequests, unreadRequests := 0, 0
 	for round := range 200 {
 		var handled atomic.Int32
-		listener, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
+		listener, dial := startTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			handled.Add(1)
 			markServing(r)
 			fmt.Fprint(w, "answer")
 		})
-		c := dial()
-		in := bufio.NewReader(c)
+		client := dial()
+		answers := bufio.NewReader(client)
 		readAnswer := func() error {
-			resp, err := http.ReadResponse(in, nil)
+			response, err := http.ReadResponse(answers, nil)
 			if err == nil {
-				_, err = io.ReadAll(resp.Body)
+				_, err = io.ReadAll(response.Body)
 			}
 			return err
 		}
-		io.WriteString(c, get)
+		io.WriteString(client, getRequest)
 		if err := readAnswer(); err != nil {
 			t.Fatal(err)
 		}
 		waitUntil(t, "the connection idle", func() bool {
 			listener.mu.Lock()
 			defer listener.mu.Unlock()
-			for c := range listener.conns {
-				return c.phase == phaseIdle
+			for conn := range listener.conns {
+				return conn.phase == phaseIdle
 			}
 			return false
 		})
 		start := make(chan struct{})
 		done := make(chan struct{})
 		go func() { <-start; listener.CloseIdle(); close(done) }()
-		if round%2 == 0 { // before the request, or at the same time
+		if round%2 == 0 { // CloseIdle ends before the request, or runs at the same time
 			close(start)
 			<-done
-			io.WriteString(c, get)
+			io.WriteString(client, getRequest)
 		} else {
 			close(start)
-			io.WriteString(c, get)
+			io.WriteString(client, getRequest)
 		}
 		err := readAnswer()
 		answered := handled.Load() == 2
 		if answered != (err == nil) || err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) || round%2 == 0 && answered {
-			t.Fatalf("round %d: handled %v, its client saw %v", round, answered, err)
+			t.Fatalf("round %d: second request handled %v, its client received error %v", round, answered, err)
 		}
 		if answered {
-			outcomes[0]++
+			answeredRequests++
 		} else {
-			outcomes[1]++
+			unreadRequests++
 		}
-		c.Close()
+		client.Close()
 		listener.Close()
 	}
-	t.Logf("%d answered, %d not read", outcomes[0], outcomes[1])
+	t.Logf("%d answered, %d not read", answeredRequests, unreadRequests)
 }
 
-// Requests that fill more than one read of net/http, queued after an unanswered one, are served in order, each with its own body.
-// What was left of a read was once queued after what had been received later.
-func TestManyBehindKeepTheirOrder(t *testing.T) {
-	const behind = 200
+// TestConn_pipelinedRequestsBeyondOneRead checks that requests that fill more than one read of net/http, queued after an unanswered one,
+// are served in order, each with its own body: the rest of a read must precede bytes that were received later.
+func TestConn_pipelinedRequestsBeyondOneRead(t *testing.T) {
+	const pipelined = 200
 	release := make(chan struct{})
-	listener, dial := listenerFor(t, func(w http.ResponseWriter, r *http.Request) {
+	listener, dial := startTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		markServing(r)
 		body, _ := io.ReadAll(r.Body)
 		if r.URL.Path == "/0" {
@@ -208,36 +213,36 @@
 		}
 		fmt.Fprint(w, r.URL.Path, string(body))
 	})
-	c := dial()
-	send := func(i int) int {
-		n, _ := fmt.Fprintf(c, "POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\n%05d", i, i)
-		return n
+	client := dial()
+	send := func(i int) (bytes int) {
+		bytes, _ = fmt.Fprintf(client, "POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\n%05d", i, i)
+		return bytes
 	}
 	send(0)
-	sentAhead := 0
-	for i := 1; i <= behind; i++ {
-		sentAhead += send(i)
+	pipelinedBytes := 0
+	for i := 1; i <= pipelined; i++ {
+		pipelinedBytes += send(i)
 	}
-	if sentAhead < 2*4096 || sentAhead > maxReadAheadBytes {
-		t.Fatalf("%d bytes: too few for several reads, or too many to be queued", sentAhead)
+	if pipelinedBytes < 2*4096 || pipelinedBytes > maxReadAheadBytes {
+		t.Fatalf("%d bytes are pipelined: too few for several reads, or too many to be queued", pipelinedBytes)
 	}
 	waitUntil(t, "all bytes queued", func() bool {
 		listener.mu.Lock()
 		defer listener.mu.Unlock()
-		for c := range listener.conns {
-			return int(c.pendingBytes.Load()) == sentAhead
+		for conn := range listener.conns {
+			return int(conn.pendingBytes.Load()) == pipelinedBytes
 		}
 		return false
 	})
 	close(release)
-	in := bufio.NewReader(c)
-	for i := 0; i <= behind; i++ {
-		resp, err := http.ReadResponse(in, nil)
+	answers := bufio.NewReader(client)
+	for i := 0; i <= pipelined; i++ {
+		response, err := http.ReadResponse(answers, nil)
 		if err != nil {
 			t.Fatalf("request %d: %v", i, err)
 		}
-		if body, err := io.ReadAll(resp.Body); string(body) != fmt.Sprintf("/%d%05d", i, i) || err != nil {
-			t.Fatalf("request %d: %d %q, %v", i, resp.StatusCode, body, err)
+		if body, err := io.ReadAll(response.Body); string(body) != fmt.Sprintf("/%d%05d", i, i) || err != nil {
+			t.Fatalf("request %d: %d %q, %v", i, response.StatusCode, body, err)
 		}
 	}
 }
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -14,38 +14,47 @@
 	"brassdale/scheduler"
 )
 
-// sink is a Sink that receives the outcomes of attempts and probes.
-type sink chan scheduler.Outcome
+// outcomeSink is a Sink that receives the outcomes of attempts and probes.
+type outcomeSink chan scheduler.Outcome
 
-func (sink) AttemptStarted(routing.AttemptID)                                                {}
-func (sink) AttemptSent()                                                                    {}
-func (sink) AttemptProgressed(routing.AttemptID, float64)                                    {}
-func (s sink) AttemptFinished(_ routing.AttemptID, e routing.AttemptResult)                  { s <- e.Outcome }
-func (s sink) ProbeCompleted(_ scheduler.WorkerID, o scheduler.Outcome, _ *scheduler.Report) { s <- o }
+func (outcomeSink) AttemptStarted(routing.AttemptID)                               {}
+func (outcomeSink) AttemptSent()                                                   {}
+func (outcomeSink) AttemptProgressed(routing.AttemptID, float64)                   {}
+func (s outcomeSink) AttemptFinished(_ routing.AttemptID, e routing.AttemptResult) { s <- e.Outcome }
+func (s outcomeSink) ProbeCompleted(_ scheduler.WorkerID, o scheduler.Outcome, _ *scheduler.Report) {
+	s <- o
+}
+
+// testDrainGrace is the drain grace period of the endpoints of newIdleEndpoint.
+const testDrainGrace = 500 * time.Millisecond
 
-// newIdle returns an endpoint whose actor does not run, and a connection for it with its far end.
-func newIdle(t *testing.T, notifiedAt time.Time) (*endpoint, sink, *workerConn, net.Conn) {
+// newIdleEndpoint returns an endpoint whose actor does not run, the outcomes of its attempts, and a connection for it with the worker's
+// end of that connection. The drain grace period is testDrainGrace.
+func newIdleEndpoint(t *testing.T, notifiedAt time.Time) (actor *endpoint, outcomes outcomeSink, conn *workerConn, far net.Conn) {
+	t.Helper()
 	settings := &protocol.Settings{}
 	settings.Limits.ConnectTimeout = protocol.Micros(time.Minute / time.Microsecond)
-	settings.Rules.DrainGrace = 500000
-	ends := make(sink, 4)
+	settings.Rules.DrainGrace = protocol.Micros(testDrainGrace / time.Microsecond)
+	outcomes = make(outcomeSink, 4)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	live := &protocol.LiveSettings{}
 	live.Replace(settings, func(scheduler.Settings) {})
-	actor := newEndpoint(NewEndpointPool(context.Background(), live, ends, log), routing.Endpoint{NotifiedAt: notifiedAt})
-	here, there := net.Pipe()
-	t.Cleanup(func() { here.Close(); there.Close() })
-	return actor, ends, newWorkerConn(here, ""), there
+	actor = newEndpoint(NewEndpointPool(context.Background(), live, outcomes, log), routing.Endpoint{NotifiedAt: notifiedAt})
+	near, far := net.Pipe()
+	t.Cleanup(func() { near.Close(); far.Close() })
+	return actor, outcomes, newWorkerConn(near, ""), far
 }
 
+// newExchange returns the exchange of an attempt with a deadline.
 func newExchange(deadline time.Time) *workerExchange {
 	return &workerExchange{attempt: routing.Attempt{Job: &protocol.Job{ID: "1", Method: "POST", Target: "/", Deadline: deadline}}, deadline: deadline}
 }
 
-// Two attempts wait. The dial for the second completes first, and its connection is assigned to the first attempt; then the dial
-// for the first fails. No dial is in progress for the second attempt, so it must end.
-func TestFailedDialOfAnother(t *testing.T) {
-	actor, ends, conn, there := newIdle(t, time.Time{})
+// TestEndpoint_failedDialOfOtherAttempt has two attempts wait. The dial for the second completes first, and its
+// connection is assigned to the first attempt; then the dial for the first fails. No dial is in progress for the second attempt, so it
+// must end as NoConnect.
+func TestEndpoint_failedDialOfOtherAttempt(t *testing.T) {
+	actor, outcomes, conn, far := newIdleEndpoint(t, time.Time{})
 	first, second := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(time.Hour))
 	actor.waitingForDial, actor.dialing = []*workerExchange{first, second}, 2
 	actor.handle(dialCompleted{exchange: second, conn: conn})
@@ -53,16 +62,17 @@
 		t.Fatal("the connection is not assigned to the attempt that waited longest")
 	}
 	actor.handle(dialCompleted{exchange: first, err: io.EOF})
-	if o := <-ends; o != scheduler.NoConnect || len(actor.waitingForDial) != 0 {
-		t.Errorf("ended as %v, %d wait", o, len(actor.waitingForDial))
+	if outcome := <-outcomes; outcome != scheduler.NoConnect || len(actor.waitingForDial) != 0 {
+		t.Errorf("ended as %v, %d wait", outcome, len(actor.waitingForDial))
 	}
-	there.Close()
-	<-ends // the first attempt's, on a connection that broke
+	far.Close()
+	<-outcomes // the first attempt's, on a connection that broke
 }
 
-// An attempt that waited for its connection is checked again before its first byte: if it was cancelled, its deadline passed, its
-// client left, its deduplication window ended or the worker's grace period ended meanwhile, nothing of it is written.
-func TestChecksBeforeFirstByte(t *testing.T) {
+// TestEndpoint_checksBeforeFirstByte checks that an attempt that waited for its connection is checked again before its first byte: if it
+// was cancelled, its deadline passed, its client disconnected, its deduplication window ended or the worker's drain grace period ended
+// meanwhile, nothing of it is written.
+func TestEndpoint_checksBeforeFirstByte(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
 		notifiedAt, deadline, sendBy time.Time
@@ -77,30 +87,30 @@
 		"window over":         {deadline: now.Add(time.Hour), sendBy: now},
 		"window open":         {deadline: now.Add(time.Hour), sendBy: now.Add(time.Hour), sent: true},
 	} {
-		actor, ends, conn, there := newIdle(t, test.notifiedAt)
+		actor, outcomes, conn, far := newIdleEndpoint(t, test.notifiedAt)
 		exchange := newExchange(test.deadline)
 		exchange.cancelled.Store(test.cancelled)
 		exchange.attempt.SendBy, exchange.attempt.ClientGone = test.sendBy, func() bool { return test.clientGone }
 		actor.waitingForDial = append(actor.waitingForDial, exchange)
 		actor.release(conn)
 		if test.sent {
-			if _, err := bufio.NewReader(there).ReadByte(); err != nil {
+			if _, err := bufio.NewReader(far).ReadByte(); err != nil {
 				t.Errorf("%s: nothing written: %v", name, err)
 			}
-			there.Close()
-			if o := <-ends; o != scheduler.Reset && o != scheduler.NoConnect {
-				t.Errorf("%s: ended as %v", name, o)
+			far.Close()
+			if outcome := <-outcomes; outcome != scheduler.Reset && outcome != scheduler.NoConnect {
+				t.Errorf("%s: ended as %v", name, outcome)
 			}
-		} else if o := <-ends; o != scheduler.NeverSent || len(actor.idleConns) != 1 || exchange.conn != nil {
-			t.Errorf("%s: ended as %v, %d idle connections", name, o, len(actor.idleConns))
+		} else if outcome := <-outcomes; outcome != scheduler.NeverSent || len(actor.idleConns) != 1 || exchange.conn != nil {
+			t.Errorf("%s: ended as %v, %d idle connections", name, outcome, len(actor.idleConns))
 		}
 	}
 }
 
-// CloseIdle closes those connections that have been idle for the given time.
-func TestCloseIdleByIdleTime(t *testing.T) {
-	actor, _, old, _ := newIdle(t, time.Time{})
-	_, _, young, _ := newIdle(t, time.Time{})
+// TestEndpoint_closesIdleConnsByIdleTime checks that closeIdleConns closes only connections that have been idle for the given time.
+func TestEndpoint_closesIdleConnsByIdleTime(t *testing.T) {
+	actor, _, old, _ := newIdleEndpoint(t, time.Time{})
+	_, _, young, _ := newIdleEndpoint(t, time.Time{})
 	now := time.Now()
 	old.idleSince, young.idleSince = now.Add(-time.Minute), now
 	actor.idleConns = []*workerConn{old, young}
@@ -109,16 +119,16 @@
 	}
 }
 
-// At the connection limit, a further attempt waits for a connection to be closed. Other endpoints close their idle connections
-// at once. An attempt that waits beyond its deadline ends as NeverSent.
-func TestWaitsForConnectionLimit(t *testing.T) {
-	actor, ends, _, _ := newIdle(t, time.Time{})
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // a failed dial would release its capacity at any moment
+// TestEndpoint_waitsForConnectionLimit checks that at the connection limit a further attempt waits until a connection is closed, and that
+// other endpoints are notified to close their idle connections. An attempt that waits past its deadline ends as NeverSent.
+func TestEndpoint_waitsForConnectionLimit(t *testing.T) {
+	actor, outcomes, _, _ := newIdleEndpoint(t, time.Time{})
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // a failed dial would release its capacity at any moment
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	actor.listed.Address = ln.Addr().String()
+	defer listener.Close()
+	actor.listed.Address = listener.Addr().String()
 	pool := actor.pool
 	pool.endpoints["other"], pool.endpoints["this"] = newEndpoint(pool, routing.Endpoint{}), actor
 	pool.SetConnectionLimit(1)
@@ -128,27 +138,28 @@
 	waiting, late := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(-time.Hour))
 	actor.startExchange(waiting)
 	actor.startExchange(late)
-	if o := <-ends; o != scheduler.NeverSent || len(actor.waitingForCapacity) != 1 || len(ends) != 0 {
-		t.Errorf("the late attempt ended as %v; %d wait, %d more results", o, len(actor.waitingForCapacity), len(ends))
+	if outcome := <-outcomes; outcome != scheduler.NeverSent || len(actor.waitingForCapacity) != 1 || len(outcomes) != 0 {
+		t.Errorf("the late attempt ended as %v; %d wait, %d more outcomes", outcome, len(actor.waitingForCapacity), len(outcomes))
 	}
 	if got := pool.endpoints["other"].mailbox.Take(); len(got) != 1 || got[0] != any(closeIdleConns{0}) {
 		t.Errorf("the other endpoint received %v", got)
 	}
 	actor.mailbox.Take()
 	pool.releaseConn()
-	for _, m := range actor.mailbox.Take() {
-		actor.handle(m)
+	for _, message := range actor.mailbox.Take() {
+		actor.handle(message)
 	}
 	if len(actor.waitingForCapacity) != 0 || pool.OpenConnections() != 1 || len(actor.waitingForDial) != 1 {
 		t.Errorf("%d still wait for capacity, %d connections", len(actor.waitingForCapacity), pool.OpenConnections())
 	}
 }
 
-// An attempt is cancelled after its exchange has ended well and before the actor has its connection back: the connection is closed,
-// and must not become idle or be assigned to a waiting attempt. If the attempt was not cancelled, the connection becomes idle.
-func TestCancelledAfterItsEnd(t *testing.T) {
+// TestEndpoint_cancelledAfterExchangeEnded cancels an attempt after its exchange has succeeded and before the actor has handled its end:
+// the connection is closed, and must not become idle or be assigned to a waiting attempt. If the attempt was not cancelled, the
+// connection is not closed.
+func TestEndpoint_cancelledAfterExchangeEnded(t *testing.T) {
 	for _, cancelled := range []bool{true, false} {
-		actor, _, conn, _ := newIdle(t, time.Time{})
+		actor, _, conn, _ := newIdleEndpoint(t, time.Time{})
 		exchange := newExchange(time.Now().Add(time.Hour))
 		exchange.conn = conn
 		actor.exchanges[exchange.attempt.ID] = exchange
@@ -163,10 +174,10 @@
 	}
 }
 
-// An endpoint that is notified of free capacity and does not need it any more, as the attempt that waited must not start now, passes
-// it on: else another endpoint waits on while capacity is free, until some connection is closed.
+// TestFreedCapacity_passedOnIfNotNeeded checks that an endpoint that is notified of free capacity and does not need it any more, as its
+// waiting attempt has expired, passes the notification on: otherwise another endpoint waits until some connection is closed.
 func TestFreedCapacity_passedOnIfNotNeeded(t *testing.T) {
-	actor, ends, _, _ := newIdle(t, time.Time{})
+	actor, outcomes, _, _ := newIdleEndpoint(t, time.Time{})
 	pool := actor.pool
 	other := newEndpoint(pool, routing.Endpoint{})
 	pool.endpoints["other"], pool.endpoints["this"] = other, actor
@@ -185,7 +196,7 @@
 	for _, message := range actor.mailbox.Take() {
 		actor.handle(message)
 	}
-	if outcome := <-ends; outcome != scheduler.NeverSent {
+	if outcome := <-outcomes; outcome != scheduler.NeverSent {
 		t.Errorf("the expired attempt ended as %v", outcome)
 	}
 	if got := other.mailbox.Take(); len(got) != 1 || got[0] != any(capacityFreed{}) {
--- a/internal/transport/writemargins_test.go
+++ b/internal/transport/writemargins_test.go
@@ -7,35 +7,34 @@
 	"brassdale/scheduler"
 )
 
-// A process may be paused for 150 ms between reading the clock and writing. What must not be written after a point in time (the end
-// of a drain grace period, or of the window for a retry) is not begun later than that and 50 ms of processing before it. The
-// endpoint list that announced the drain may have lain unread for another 150 ms.
-func TestHeldUpBeforeTheWrite(t *testing.T) {
+// TestEndpointAssign_marginsForPauses checks the margins before the two points in time after which a request must not be written. A
+// process may be paused for 150 ms between reading the clock and writing, and processing takes up to 50 ms: no write starts less than
+// 200 ms before the end of the deduplication window. Before the end of a drain grace period it is 350 ms, as the endpoint list that
+// announced the drain may have been read another 150 ms late.
+func TestEndpointAssign_marginsForPauses(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	now := time.Now()
-	grace := 500 * time.Millisecond // of newIdle
-	far := now.Add(time.Hour)
-	for name, c := range map[string]struct {
-		told, by time.Time
-		sent     bool
+	for name, test := range map[string]struct {
+		notifiedAt, sendBy time.Time
+		sent               bool
 	}{
-		"drain, time to spare":          {told: now.Add(-grace + 2*pause + 100*time.Millisecond), sent: true},
-		"drain, over after a pause":     {told: now.Add(-grace + pause)},
-		"drain, over after a late read": {told: now.Add(-grace + 2*pause)},
-		"drain, no time for processing": {told: now.Add(-grace + 2*pause + 40*time.Millisecond)},
-		"retry, time to spare":          {by: now.Add(pause + 200*time.Millisecond), sent: true},
-		"retry, over after a pause":     {by: now.Add(pause)},
-		"retry, no time for processing": {by: now.Add(pause + 40*time.Millisecond)},
+		"drain, in time":                {notifiedAt: now.Add(-testDrainGrace + 2*pause + 100*time.Millisecond), sent: true},
+		"drain, over after a pause":     {notifiedAt: now.Add(-testDrainGrace + pause)},
+		"drain, over after a late read": {notifiedAt: now.Add(-testDrainGrace + 2*pause)},
+		"drain, no time for processing": {notifiedAt: now.Add(-testDrainGrace + 2*pause + 40*time.Millisecond)},
+		"retry, in time":                {sendBy: now.Add(pause + 200*time.Millisecond), sent: true},
+		"retry, over after a pause":     {sendBy: now.Add(pause)},
+		"retry, no time for processing": {sendBy: now.Add(pause + 40*time.Millisecond)},
 	} {
-		e, outcomes, w, there := newIdle(t, c.told)
-		x := newExchange(far)
-		x.attempt.SendBy = c.by
-		if carried := e.assign(x, w); carried != c.sent {
-			t.Errorf("%s: sent %v", name, carried)
+		actor, outcomes, conn, far := newIdleEndpoint(t, test.notifiedAt)
+		exchange := newExchange(now.Add(time.Hour))
+		exchange.attempt.SendBy = test.sendBy
+		if sent := actor.assign(exchange, conn); sent != test.sent {
+			t.Errorf("%s: sent %v, want %v", name, sent, test.sent)
 		}
-		if there.Close(); !c.sent {
-			if o := <-outcomes; o != scheduler.NeverSent {
-				t.Errorf("%s: ended as %v", name, o)
+		if far.Close(); !test.sent {
+			if outcome := <-outcomes; outcome != scheduler.NeverSent {
+				t.Errorf("%s: ended as %v, want %v", name, outcome, scheduler.NeverSent)
 			}
 		}
 	}
