--- a/internal/fleet/raftlog/cluster_test.go
+++ b/internal/fleet/raftlog/cluster_test.go
@@ -17,8 +17,7 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// cluster is a raft group in one process, with a network between its voters that drops what a test says. mu guards all fields
-// below it.
+// cluster is a raft group in one process, whose network drops the messages that a test selects. mu guards all fields below it.
 type cluster struct {
 	t             *testing.T
 	founders      int
@@ -26,13 +25,14 @@
 	mu            sync.Mutex
 	logs          []*Log // by voter ID; nil while the voter is down
 	stops         []context.CancelFunc
-	ends          []chan error
+	results       []chan error // of Run
 	drop          func(from, to int) bool
-	dropSnapshots int // the next ones, to any voter
+	dropSnapshots int // how many of the next snapshots are dropped, to any voter
 }
 
 const voterIDLimit = 8 // all voter IDs are below it
 
+// founders returns the first n voters, with IDs from 1.
 func founders(n int) (all []voters.Voter) {
 	for i := range n {
 		all = append(all, voters.Voter{ID: uint64(i + 1), Address: fmt.Sprint("a", i+1)})
@@ -40,8 +40,10 @@
 	return all
 }
 
+// newCluster starts a cluster of n founders, which the end of the test stops.
 func newCluster(t *testing.T, n int) *cluster {
-	c := &cluster{t: t, founders: n, logs: make([]*Log, voterIDLimit), stops: make([]context.CancelFunc, voterIDLimit), ends: make([]chan error, voterIDLimit),
+	t.Helper()
+	c := &cluster{t: t, founders: n, logs: make([]*Log, voterIDLimit), stops: make([]context.CancelFunc, voterIDLimit), results: make([]chan error, voterIDLimit),
 		dirs: make([]string, voterIDLimit), drop: func(int, int) bool { return false }}
 	for id := 1; id < voterIDLimit; id++ {
 		if c.dirs[id] = t.TempDir(); id <= n {
@@ -56,6 +58,7 @@
 	return c
 }
 
+// start opens and runs a voter with the file in its directory.
 func (c *cluster) start(id int) {
 	c.t.Helper()
 	var first []voters.Voter
@@ -82,77 +85,81 @@
 		c.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	end := make(chan error, 1)
+	result := make(chan error, 1)
 	c.mu.Lock()
-	c.logs[id], c.stops[id], c.ends[id] = log, stop, end
+	c.logs[id], c.stops[id], c.results[id] = log, stop, result
 	c.mu.Unlock()
-	go func() { end <- log.Run(ctx) }()
+	go func() { result <- log.Run(ctx) }()
 }
 
-// stop ends a voter.
+// stop stops a voter and waits for its end; it does nothing if the voter is down.
 func (c *cluster) stop(id int) {
+	c.t.Helper()
 	c.mu.Lock()
-	l, stop, end := c.logs[id], c.stops[id], c.ends[id]
+	log, stop, result := c.logs[id], c.stops[id], c.results[id]
 	c.logs[id] = nil
 	c.mu.Unlock()
-	if l == nil {
+	if log == nil {
 		return
 	}
 	stop()
-	if err := <-end; err != nil {
+	if err := <-result; err != nil {
 		c.t.Errorf("voter %d: %v", id, err)
 	}
 }
 
+// dropMessages sets which messages the network drops from now on.
 func (c *cluster) dropMessages(drop func(from, to int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drop = drop
 }
 
+// log returns the log of a voter, nil while that is down.
 func (c *cluster) log(id int) *Log {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.logs[id]
 }
 
-// leader waits until a majority confirms a leader, and returns it.
+// leader waits until a majority confirms a leader, 10 s at most, and returns its voter ID and its log.
 func (c *cluster) leader() (int, *Log) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for id := range c.logs {
-			if l := c.log(id); l != nil {
+			if log := c.log(id); log != nil {
 				ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(300*time.Millisecond))
-				err := l.Confirm(ctx)
+				err := log.Confirm(ctx)
 				stop()
 				if err == nil {
-					return id, l
+					return id, log
 				}
 			}
 		}
 	}
-	c.t.Fatal("no leader was confirmed")
+	c.t.Fatal("no leader was confirmed within 10 s")
 	return 0, nil
 }
 
-// propose has an entry applied, whichever voter leads.
-func (c *cluster) propose(e configversions.Entry) {
+// propose proposes an entry to the leader until it is applied, 10 s at most, whichever voter leads.
+func (c *cluster) propose(entry configversions.Entry) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-		_, l := c.leader()
+		_, leader := c.leader()
 		ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
-		err := l.Propose(ctx, e)
+		err := leader.Propose(ctx, entry)
 		stop()
 		if err == nil {
 			return
 		}
-		if _, again := l.Record().Apply(e); again != nil && l.Record().Revision > 0 {
+		if _, again := leader.Record().Apply(entry); again != nil && leader.Record().Revision > 0 {
 			return // it was applied, though the result was lost
 		}
 	}
-	c.t.Fatal("the entry was never applied")
+	c.t.Fatalf("entry %s was not applied within 10 s", entry.ID)
 }
 
+// awaitRevision waits until voters have applied a revision, 10 s at most, and checks that those at the same revision have the same record.
 func (c *cluster) awaitRevision(revision uint64, ids ...int) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -169,14 +176,16 @@
 			return
 		}
 	}
-	c.t.Fatalf("revision %d was never applied at all of the voters %v", revision, ids)
+	c.t.Fatalf("revision %d was not applied within 10 s at all of the voters %v", revision, ids)
 }
 
-func text(r configversions.Record) string {
-	text, _ := json.Marshal(r)
+// text returns a record as JSON, for comparison and failure messages.
+func text(record configversions.Record) string {
+	text, _ := json.Marshal(record) // a record can always be encoded
 	return string(text)
 }
 
+// announce returns an entry that announces the version after base.
 func announce(base uint64) configversions.Entry {
 	return configversions.Entry{ID: fmt.Sprint("a", base), Announce: &configversions.Version{Number: base, Rules: configversions.Rules{RetryRatio: 0.1, RetriesAllowed: true}}}
 }
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -14,9 +14,9 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// TestPropose_leaderStopsBetweenTheSteps stops the leader between announcing a version and putting it in force, and starts it
+// TestPropose_leaderStopsBeforePuttingInForce stops the leader between announcing a version and putting it in force, and starts it
 // again: the next leader continues, and all voters have the same record. Then all restart, one with an empty disk.
-func TestPropose_leaderStopsBetweenTheSteps(t *testing.T) {
+func TestPropose_leaderStopsBeforePuttingInForce(t *testing.T) {
 	group := newCluster(t, 3)
 	group.propose(announce(0))
 	old, _ := group.leader()
@@ -37,17 +37,17 @@
 	group.awaitRevision(4, 1, 2, 3)
 }
 
-// TestConfirm_partition cuts two of five voters off, the leader among them: it confirms nothing, and the other three go on.
-// Once the partition heals all voters have the same record.
+// TestConfirm_partition separates two of five voters, the leader among them: Confirm fails there, and the other three elect a leader
+// that applies an entry. Once the partition heals all voters have the same record.
 func TestConfirm_partition(t *testing.T) {
 	group := newCluster(t, 5)
 	group.propose(announce(0))
-	old, l := group.leader()
+	old, oldLeader := group.leader()
 	other := old%5 + 1
-	apart := func(id int) bool { return id == old || id == other }
-	group.dropMessages(func(from, to int) bool { return apart(from) != apart(to) })
+	separated := func(id int) bool { return id == old || id == other }
+	group.dropMessages(func(from, to int) bool { return separated(from) != separated(to) })
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(700*time.Millisecond))
-	if err := l.Confirm(ctx); err == nil {
+	if err := oldLeader.Confirm(ctx); err == nil {
 		t.Error("a leader without a majority was confirmed")
 	}
 	stop()
@@ -56,12 +56,12 @@
 	group.awaitRevision(3, 1, 2, 3, 4, 5)
 }
 
-// TestConfirm_manyCallersShareMessages has many callers confirm the leader at once: all are answered, by fewer messages to the
-// other voters than there are callers.
+// TestConfirm_manyCallersShareMessages has 300 callers confirm the leader at once: all succeed, and the leader sends no more than 300
+// messages to the two other voters.
 func TestConfirm_manyCallersShareMessages(t *testing.T) {
 	group := newCluster(t, 3)
-	const many = 300
-	for end := time.Now().Add(20 * time.Second); ; { // on a busy machine the leadership may move meanwhile: try again then
+	const callers = 300
+	for end := time.Now().Add(20 * time.Second); ; { // the leader may change meanwhile on a busy machine: 20 s of attempts
 		id, leader := group.leader()
 		var mu sync.Mutex
 		sent := 0
@@ -73,38 +73,39 @@
 			}
 			return false
 		})
-		answers := make(chan error, many)
-		for range many {
+		results := make(chan error, callers)
+		for range callers {
 			go func() {
 				ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(5*time.Second))
 				defer stop()
-				answers <- leader.Confirm(ctx)
+				results <- leader.Confirm(ctx)
 			}()
 		}
 		var failed error
-		for range many {
-			if err := <-answers; err != nil {
+		for range callers {
+			if err := <-results; err != nil {
 				failed = err
 			}
 		}
 		mu.Lock()
-		few := sent <= many
+		shared := sent <= callers
 		mu.Unlock()
-		if failed == nil && few {
+		if failed == nil && shared {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d messages of the leader for %d callers, error %v", sent, many, failed)
+			t.Fatalf("%d messages of the leader for %d callers, error %v", sent, callers, failed)
 		}
 	}
 }
 
-// TestLog_messageLoss drops a tenth of all messages, over a log long enough for snapshots: a voter that was down catches up.
+// TestLog_messageLoss drops a tenth of all messages while more entries are applied than the log retains: a voter that was down catches up
+// from a snapshot, with all versions.
 func TestLog_messageLoss(t *testing.T) {
 	group := newCluster(t, 3)
 	leader, _ := group.leader()
-	behind := leader%3 + 1
-	group.stop(behind)
+	lagging := leader%3 + 1
+	group.stop(lagging)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(5, 5))
 	group.dropMessages(func(int, int) bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < 0.1 })
@@ -112,19 +113,19 @@
 		group.propose(announce(n))
 		group.propose(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
 	}
-	group.start(behind)
+	group.start(lagging)
 	group.awaitRevision(2*retainedEntries+1, 1, 2, 3)
-	if got := group.log(behind).Record(); got.InForce.Number != retainedEntries || len(got.History) == 0 {
-		t.Errorf("caught up to version %d with %d in its history", got.InForce.Number, len(got.History))
+	if got := group.log(lagging).Record(); got.InForce.Number != retainedEntries || len(got.History) == 0 {
+		t.Errorf("caught up to version %d with %d versions in its history", got.InForce.Number, len(got.History))
 	}
 }
 
-// TestLog_snapshotsLost drops the first snapshots to a voter that was down: it catches up under the same leader.
+// TestLog_snapshotsLost drops the first two snapshots to a voter that was down: it catches up by a later one.
 func TestLog_snapshotsLost(t *testing.T) {
 	group := newCluster(t, 3)
 	leader, _ := group.leader()
-	behind := leader%3 + 1
-	group.stop(behind)
+	lagging := leader%3 + 1
+	group.stop(lagging)
 	for n := range uint64(retainedEntries) {
 		group.propose(announce(n))
 		group.propose(configversions.Entry{ID: fmt.Sprint("f", n+1), PutInForce: n + 1})
@@ -132,29 +133,29 @@
 	group.mu.Lock()
 	group.dropSnapshots = 2
 	group.mu.Unlock()
-	group.start(behind)
+	group.start(lagging)
 	group.awaitRevision(2*retainedEntries+1, 1, 2, 3)
 }
 
-// FuzzStep passes a voter bytes that no voter sends.
+// FuzzStep passes arbitrary bytes to a voter as a message: Run goes on, and ends without an error.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{8, 3, 16, 1, 24, 2, 32, 9})
 	f.Add([]byte("no message"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := Open(Options{VoterID: 1, Founders: founders(3), Directory: t.TempDir(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		log, err := Open(Options{VoterID: 1, Founders: founders(3), Directory: t.TempDir(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			Send: func(uint64, []byte) {}, RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		end := make(chan error, 1)
-		go func() { end <- l.Run(ctx) }()
-		l.Step(text)
-		asking, enough := context.WithDeadline(ctx, time.Now().Add(time.Second))
-		_ = l.Propose(asking, announce(0))
-		enough()
+		result := make(chan error, 1)
+		go func() { result <- log.Run(ctx) }()
+		log.Step(text)
+		proposal, cancelProposal := context.WithDeadline(ctx, time.Now().Add(time.Second))
+		_ = log.Propose(proposal, announce(0)) // alone of three, it cannot lead
+		cancelProposal()
 		stop()
-		if err := <-end; err != nil {
+		if err := <-result; err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/fleet/raftlog/stored_test.go
+++ b/internal/fleet/raftlog/stored_test.go
@@ -16,14 +16,14 @@
 	"brassdale/internal/testsupport"
 )
 
-// storedFounders are the voters of the log in testdata/stored: the one that wrote it.
+// storedFounders are the voters of the log in testdata/stored: only the one that wrote it.
 var storedFounders = []voters.Voter{{ID: 1, Address: "127.0.0.1:9001"}}
 
 // storedIncarnation was drawn when the file in testdata/stored was made.
 const storedIncarnation = "HPSB64GR6P3ZLFVK5MYBPGJJAT"
 
-// storedEntries were proposed to the log in testdata/stored, in this order. The snapshot was taken behind the first ones;
-// the last ones are entries of their own.
+// storedEntries were proposed to the log in testdata/stored, in this order. The snapshot includes the first ones;
+// the last ones follow it in the log.
 func storedEntries() []configversions.Entry {
 	announce := func(id string, follows uint64) configversions.Entry {
 		return configversions.Entry{ID: id, Announce: &configversions.Version{Number: follows, By: "by-" + id, Reason: "why-" + id,
@@ -42,7 +42,7 @@
 	}
 }
 
-// storedRecord is what the log in testdata/stored leads to.
+// storedRecord is the record after all entries of the log in testdata/stored.
 func storedRecord() configversions.Record {
 	version := func(id string, number uint64) configversions.Version {
 		return configversions.Version{Number: number, By: "by-" + id, Reason: "why-" + id, At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
@@ -61,38 +61,38 @@
 // openStored opens the log of a directory and runs it until the test ends.
 func openStored(t *testing.T, dir string) *Log {
 	t.Helper()
-	l, err := Open(Options{VoterID: 1, Founders: storedFounders, Directory: dir, SnapshotEvery: 5, Send: func(uint64, []byte) {},
+	log, err := Open(Options{VoterID: 1, Founders: storedFounders, Directory: dir, SnapshotEvery: 5, Send: func(uint64, []byte) {},
 		RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	end := make(chan error, 1)
-	go func() { end <- l.Run(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- log.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-end; err != nil {
+		if err := <-result; err != nil {
 			t.Error(err)
 		}
 	})
-	return l
+	return log
 }
 
-// await waits until a log that leads has applied all that was committed.
-func await(t *testing.T, l *Log) {
+// awaitApplied waits until the log of a leader has applied all committed entries, 10 s at most.
+func awaitApplied(t *testing.T, log *Log) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	for l.Confirm(ctx) != nil {
+	for log.Confirm(ctx) != nil {
 		if ctx.Err() != nil {
-			t.Fatal("the log never led")
+			t.Fatal("the log does not lead within 10 s")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// copyStored gives a directory with a copy of the file that the program of commit c2c1317 wrote: a snapshot, entries
-// behind it, the hard state, the number of voters and the roll of founders.
+// copyStored returns a directory with a copy of the file that the program of commit c2c1317 wrote: a snapshot, the entries after it,
+// the hard state, the number of voters and the founders.
 func copyStored(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -102,87 +102,88 @@
 	return dir
 }
 
-// TestStoredLog opens the stored file, reads snapshot, entries and hard state, and lets the log go on from there: it leads,
-// has the record field by field, and takes another entry.
+// TestStoredLog checks the snapshot, the entries and the hard state of the stored file, and that a log runs on from there: it leads, has
+// the same record field by field, and applies another entry.
 func TestStoredLog(t *testing.T) {
 	dir := copyStored(t)
-	s, err := openStore(Path(dir, 1), storedFounders)
+	store, err := openStore(Path(dir, 1), storedFounders)
 	if err != nil {
 		t.Fatal(err)
 	}
-	snapshot, err := s.Snapshot()
+	snapshot, err := store.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	hard, conf, err := s.InitialState()
+	hardState, confState, err := store.InitialState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	last, err := s.LastIndex()
+	last, err := store.LastIndex()
 	if err != nil {
 		t.Fatal(err)
 	}
-	entries, err := s.Entries(snapshot.GetMetadata().GetIndex()+1, last+1, 1<<20)
+	entries, err := store.Entries(snapshot.GetMetadata().GetIndex()+1, last+1, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.db.Close(); err != nil {
+	if err := store.db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	got := [...]uint64{snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetTerm(), last, hard.GetTerm(), hard.GetVote(), hard.GetCommit()}
+	got := [...]uint64{snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetTerm(), last, hardState.GetTerm(), hardState.GetVote(), hardState.GetCommit()}
 	if want := [...]uint64{6, 2, 9, 2, 1, 9}; got != want {
 		t.Errorf("snapshot's index and term, last index, term, vote, commit: %d, want %d", got, want)
 	}
-	if voters := conf.GetVoters(); !reflect.DeepEqual(voters, []uint64{1}) {
+	if voters := confState.GetVoters(); !reflect.DeepEqual(voters, []uint64{1}) {
 		t.Errorf("voters %d, want 1", voters)
 	}
 	proposed := storedEntries()[4:]
 	if len(entries) != len(proposed) {
-		t.Fatalf("%d entries behind the snapshot, want %d", len(entries), len(proposed))
+		t.Fatalf("%d entries after the snapshot, want %d", len(entries), len(proposed))
 	}
-	for i, e := range entries {
-		testsupport.CheckJSON(t, fmt.Sprintf("entry %d", e.GetIndex()), e.GetData(), proposed[i])
+	for i, entry := range entries {
+		testsupport.CheckJSON(t, fmt.Sprintf("entry %d", entry.GetIndex()), entry.GetData(), proposed[i])
 	}
 
-	l := openStored(t, dir)
-	await(t, l)
-	if record := l.Record(); !reflect.DeepEqual(record, storedRecord()) {
+	log := openStored(t, dir)
+	awaitApplied(t, log)
+	if record := log.Record(); !reflect.DeepEqual(record, storedRecord()) {
 		t.Errorf("record %+v, want %+v", record, storedRecord())
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	if err := l.Propose(ctx, configversions.Entry{ID: "entry-8", PutInForce: 4}); err != nil {
+	if err := log.Propose(ctx, configversions.Entry{ID: "entry-8", PutInForce: 4}); err != nil {
 		t.Error(err)
 	}
-	if number := l.Record().InForce.Number; number != 4 {
+	if number := log.Record().InForce.Number; number != 4 {
 		t.Errorf("version %d is in force, want 4", number)
 	}
 }
 
-// TestStoredRoll reads the roll of founders from the stored file. It names a second one: a file without a roll is taken for
-// one that its own seat founded alone.
-func TestStoredRoll(t *testing.T) {
-	f, err := OpenFounder(copyStored(t), 1, nil)
+// TestStoredFounder reads the founders from the stored file. They are two, as a file without founders would read like that of a voter
+// that founded its group alone.
+func TestStoredFounder(t *testing.T) {
+	got, err := OpenFounder(copyStored(t), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (voters.Founder{Incarnation: storedIncarnation, FoundingVoters: map[uint64]string{1: storedIncarnation, 2: "incarnation-2"}}); !reflect.DeepEqual(f, want) {
-		t.Errorf("read %+v, want %+v", f, want)
+	if want := (voters.Founder{Incarnation: storedIncarnation, FoundingVoters: map[uint64]string{1: storedIncarnation, 2: "incarnation-2"}}); !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
 	}
 }
 
-// TestStoredLogOfAnotherSize checks that the stored number of voters is read: a council of another size is refused.
-func TestStoredLogOfAnotherSize(t *testing.T) {
+// TestStoredLog_otherGroupSize checks that the stored number of voters is read: a group of another size is rejected.
+func TestStoredLog_otherGroupSize(t *testing.T) {
 	two := append(storedFounders[:1:1], voters.Voter{ID: 2, Address: "127.0.0.1:9002"})
-	s, err := openStore(Path(copyStored(t), 1), two)
+	store, err := openStore(Path(copyStored(t), 1), two)
 	if err == nil {
-		t.Error("a council of two was accepted, where one voter is stored")
-		_ = s.db.Close() // the test has failed already
+		t.Error("a group of two was opened, where one voter is stored")
+		_ = store.db.Close() // the test has failed already
 	}
 }
 
-// TestStoredLogRecovers makes a council of one out of the stored file: what was announced is withdrawn, all else stays.
-func TestStoredLogRecovers(t *testing.T) {
+// TestStoredLog_recovered recovers a group of one from the stored file: the announced version is withdrawn, the rest of the record is
+// unchanged.
+func TestStoredLog_recovered(t *testing.T) {
 	got, err := Recover(copyStored(t), 1, "dispatcher-1", "127.0.0.1:9002")
 	if err != nil {
 		t.Fatal(err)
