--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -15,28 +15,29 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// FuzzSplitBatch splits arbitrary bytes, which either fails or gives the same batch again, and batches of messages, which gives
-// the messages.
+// FuzzSplitBatch checks that splitBatch of arbitrary bytes either fails or returns messages that encode to the same bytes, and that
+// splitBatch of an encoded batch returns its messages.
 func FuzzSplitBatch(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 7}, []byte("m"))
 	f.Add([]byte{255, 255, 255, 255}, []byte{})
-	f.Fuzz(func(t *testing.T, text, m []byte) {
-		if all, err := splitBatch(text); err == nil {
+	f.Fuzz(func(t *testing.T, text, message []byte) {
+		if messages, err := splitBatch(text); err == nil {
 			var again []byte
-			for _, m := range all {
-				again = appendMessage(again, m)
+			for _, message := range messages {
+				again = appendMessage(again, message)
 			}
 			if !bytes.Equal(again, text) {
-				t.Fatalf("%v became %v", text, again)
+				t.Fatalf("%v is encoded again as %v", text, again)
 			}
 		}
-		if all, err := splitBatch(appendMessage(appendMessage(nil, m), text)); err != nil || len(all) != 2 || !bytes.Equal(all[0], m) || !bytes.Equal(all[1], text) {
-			t.Fatalf("%v, %v", all, err)
+		if messages, err := splitBatch(appendMessage(appendMessage(nil, message), text)); err != nil || len(messages) != 2 ||
+			!bytes.Equal(messages[0], message) || !bytes.Equal(messages[1], text) {
+			t.Fatalf("batch of %v and %v: %v, error %v", message, text, messages, err)
 		}
 	})
 }
 
-// FuzzCalls makes arbitrary calls to a dispatcher that leads nobody: it responds, and accepts nothing.
+// FuzzCalls makes arbitrary calls to a dispatcher that is no leader: it responds, and accepts none but reads of its status and founder.
 func FuzzCalls(f *testing.F) {
 	agent, err := New(options(f.TempDir()))
 	if err != nil {
@@ -50,8 +51,8 @@
 	f.Add("messages", "\x00\x00\x00\x01x")
 	f.Add("propose", `{"rules":{"retries":99}}`)
 	f.Add("status", "")
-	f.Fuzz(func(t *testing.T, what, body string) {
-		if strings.ContainsAny(what, " \r\n?#%/") || what == "" || what == "." || what == ".." {
+	f.Fuzz(func(t *testing.T, call, body string) {
+		if strings.ContainsAny(call, " \r\n?#%/") || call == "" || call == "." || call == ".." {
 			return
 		}
 		w := httptest.NewRecorder()
@@ -59,20 +60,22 @@
 		if err != nil {
 			return
 		}
-		r.URL.Path = "/council/" + what
+		r.URL.Path = "/council/" + call
 		agent.handler().ServeHTTP(w, r)
-		if w.Code < 300 && what != "status" && what != "founder" {
-			t.Fatalf("%s %q: %d", what, body, w.Code)
+		if w.Code < 300 && call != "status" && call != "founder" {
+			t.Fatalf("call %s %q: status %d", call, body, w.Code)
 		}
 	})
 }
 
+// options returns the options of an agent that is no voter; nothing listens at the address of the only one.
 func options(dir string) Options {
 	return Options{Settings: &Settings{Name: "t", Listen: "127.0.0.1:0", Voters: []string{"127.0.0.1:1"}, Directory: dir, LeaseDuration: "1s", ReplaceAfter: "30s"}, Name: "n0",
 		ApplyEffective: func(configversions.Effective) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
-// FuzzResponse applies arbitrary responses to a record: that fails, or leads to the record that follows.
+// FuzzResponse checks that an arbitrary response to a renewal either fails to apply to the empty record, or replaces it or raises its
+// revision by the number of entries.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte(`{"entries":[{"id":"a","announce":{"number":0,"rules":{"retries":0.1}}},{"id":"b","force":1}],"lease_ms":5}`))
 	f.Add([]byte(`{"record":{"revision":4,"in_force":{"number":2}}}`))
@@ -82,46 +85,46 @@
 		if json.Unmarshal(text, &got) != nil {
 			return
 		}
-		r, err := got.applyTo(configversions.Record{})
-		if err == nil && got.Record == nil && r.Revision != uint64(len(got.Entries)) {
-			t.Fatalf("%d entries make revision %d", len(got.Entries), r.Revision)
+		record, err := got.applyTo(configversions.Record{})
+		if err == nil && got.Record == nil && record.Revision != uint64(len(got.Entries)) {
+			t.Fatalf("revision %d after %d entries", record.Revision, len(got.Entries))
 		}
 	})
 }
 
-// TestResponseApplyTo_newerRecord applies entries to a record that has them already, as the subscription may bring between a
-// request and its response: that is an error. Counted twice they would make the dispatcher newer than its voters for good.
+// TestResponseApplyTo_newerRecord checks that entries are not applied to a record that has them already, as a watch response may arrive
+// between a request and its response: applied twice, they would give the dispatcher a higher revision than its voters have.
 func TestResponseApplyTo_newerRecord(t *testing.T) {
 	votersEntry := func(id uint64) configversions.Entry {
 		return configversions.Entry{Voters: []voters.Voter{{ID: id, Address: "x"}}}
 	}
-	asked, _ := configversions.Record{}.Apply(votersEntry(1))
+	requested, _ := configversions.Record{}.Apply(votersEntry(1))
 	got := response{Entries: []configversions.Entry{votersEntry(2)}, Revision: 2}
-	newer, err := got.applyTo(asked)
+	newer, err := got.applyTo(requested)
 	if err != nil || newer.Revision != 2 {
-		t.Fatalf("%+v, %v", newer, err)
+		t.Fatalf("applied once: %+v, error %v", newer, err)
 	}
 	if _, err := got.applyTo(newer); err == nil {
 		t.Error("entries were applied twice")
 	}
 }
 
-// TestNew_storedRecord checks that the record of the last process is effective in the next one, without a lease.
+// TestNew_storedRecord checks that the record that a process stored is effective in its successor, without a lease and so without retries.
 func TestNew_storedRecord(t *testing.T) {
-	o := options(t.TempDir())
+	configured := options(t.TempDir())
 	open := func() *Agent {
-		a, err := New(o)
+		t.Helper()
+		agent, err := New(configured)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return a
+		return agent
 	}
-	if st := open().Effective(); !st.LeaseExpired || st.Rules.RetriesAllowed || st.Rules.RetryRatio != -1 {
-		t.Errorf("at first %+v", st)
+	if effective := open().Effective(); !effective.LeaseExpired || effective.Rules.RetriesAllowed || effective.Rules.RetryRatio != -1 {
+		t.Errorf("without a stored record: %+v", effective)
 	}
-	a := open()
-	a.saveRecord(configversions.Record{Revision: 2, InForce: configversions.Version{Number: 1, Rules: configversions.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
-	if st := open().Effective(); !st.LeaseExpired || st.Versions[0] != 1 || st.Rules.RetriesAllowed || len(st.Rules.DetachedWorkers) != 1 {
-		t.Errorf("then %+v", st)
+	open().saveRecord(configversions.Record{Revision: 2, InForce: configversions.Version{Number: 1, Rules: configversions.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
+	if effective := open().Effective(); !effective.LeaseExpired || effective.Versions[0] != 1 || effective.Rules.RetriesAllowed || len(effective.Rules.DetachedWorkers) != 1 {
+		t.Errorf("with a stored record: %+v", effective)
 	}
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -16,17 +16,18 @@
 	"time"
 )
 
-// testMember is a member in this process.
+// testMember is a member of the gossip in this process, with its HTTP server.
 type testMember struct {
 	*Membership
 	server *http.Server
 	stop   context.CancelFunc
-	ended  chan struct{}
-	dead   bool
+	ended  chan struct{} // closed when Run has returned
+	killed bool
 }
 
+// leave ends the member with a leave notice, unless it was killed.
 func (m *testMember) leave() {
-	if m.dead {
+	if m.killed {
 		return
 	}
 	m.stop()
@@ -36,38 +37,40 @@
 
 // kill ends the member without a leave notice.
 func (m *testMember) kill() {
-	m.dead = true
+	m.killed = true
 	_ = m.server.Close() // the member has ended
 	_ = m.transport.Shutdown()
 	_ = m.list.Shutdown()
 }
 
-// join starts a member that gossips with the whole fleet.
-func join(t *testing.T, name, zone string, seeds ...string) *testMember {
+// startInFleet starts a member that gossips with the whole fleet.
+func startInFleet(t *testing.T, name, zone string, seeds ...string) *testMember {
 	t.Helper()
-	return begin(t, Options{Self: Self{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds})
+	return startMember(t, Options{Self: Self{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds})
 }
 
-func begin(t *testing.T, o Options) *testMember {
+// startMember starts a member, which the end of the test has leave.
+func startMember(t *testing.T, options Options) *testMember {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Self.Address, o.Self.Region, o.Self.MessageFormat, o.Log = l.Addr().String(), "r", 2, slog.New(slog.NewTextHandler(io.Discard, nil))
-	list, err := New(o)
+	options.Self.Address, options.Self.Region, options.Self.MessageFormat = listener.Addr().String(), "r", 2
+	options.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
+	membership, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	m := &testMember{list, &http.Server{Handler: list}, stop, make(chan struct{}), false}
-	go func() { _ = m.server.Serve(l) }() // ends with Close
-	go func() { list.Run(ctx); close(m.ended) }()
-	t.Cleanup(m.leave)
-	return m
+	member := &testMember{Membership: membership, server: &http.Server{Handler: membership}, stop: stop, ended: make(chan struct{})}
+	go func() { _ = member.server.Serve(listener) }() // ends with Close
+	go func() { membership.Run(ctx); close(member.ended) }()
+	t.Cleanup(member.leave)
+	return member
 }
 
-// awaitStates waits until a member sees so many members in each state.
+// awaitStates waits until a member lists the wanted number of members in each state, 60 s at most.
 func (m *testMember) awaitStates(t *testing.T, what string, want map[State]int) {
 	t.Helper()
 	var got map[State]int
@@ -80,17 +83,18 @@
 			return
 		}
 	}
-	t.Fatalf("%s: %s sees %v, not %v", what, m.self.Name, got, want)
+	t.Fatalf("%s: after 60 s %s lists %v, want %v", what, m.self.Name, got, want)
 }
 
-// TestRun_wholeFleet has nine members find each other by one seed, with what each says of itself; one leaves, one is killed and
-// comes back under its name at another address; a change of what one says of itself reaches all.
+// TestRun_wholeFleet checks that nine members find each other by one seed; that one that leaves and one that is killed are listed so by
+// all, and the killed one as alive after its restart under the same name at another address; and that a change of one member's own
+// data reaches all within 30 s.
 func TestRun_wholeFleet(t *testing.T) {
 	t.Parallel()
-	seed := join(t, "m0", "a")
+	seed := startInFleet(t, "m0", "a")
 	all := []*testMember{seed}
 	for i := 1; i < 9; i++ {
-		all = append(all, join(t, fmt.Sprint("m", i), string("abc"[i%3]), seed.self.Address))
+		all = append(all, startInFleet(t, fmt.Sprint("m", i), string("abc"[i%3]), seed.self.Address))
 	}
 	for _, m := range all {
 		m.awaitStates(t, "joined", map[State]int{Alive: 9})
@@ -98,12 +102,12 @@
 	all[7].leave()
 	all[8].kill()
 	for _, m := range all[:7] {
-		m.awaitStates(t, "one left, one died", map[State]int{Alive: 7, Left: 1, Gone: 1})
+		m.awaitStates(t, "one left, one killed", map[State]int{Alive: 7, Left: 1, Gone: 1})
 	}
-	back := join(t, "m8", "b", seed.self.Address)
-	back.awaitStates(t, "back", map[State]int{Alive: 8})
+	restarted := startInFleet(t, "m8", "b", seed.self.Address)
+	restarted.awaitStates(t, "restarted", map[State]int{Alive: 8})
 	for _, m := range all[:7] {
-		m.awaitStates(t, "back", map[State]int{Alive: 8, Left: 1})
+		m.awaitStates(t, "restarted", map[State]int{Alive: 8, Left: 1})
 	}
 	changed := all[3].self
 	changed.Epoch, changed.VoterID = 12, 4
@@ -111,8 +115,8 @@
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		informed := 0
 		for _, m := range all[:7] {
-			for _, o := range m.Members() {
-				if o.Self == changed {
+			for _, listed := range m.Members() {
+				if listed.Self == changed {
 					informed++
 				}
 			}
@@ -121,22 +125,23 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d of 7 members have the change", informed)
+			t.Fatalf("after 30 s %d of 7 members have the change", informed)
 		}
 	}
 }
 
-// TestRun_zones has members of two zones and one that gossips with the whole fleet: a member that exchanged with a peer knows all
-// peers of its zone and nobody else, one that exchanged with nobody knows nobody, two parts of a zone become one by one
-// exchange, and one that is killed is gone for its peers alone.
+// TestRun_zones has members of two zones and one that gossips with the whole fleet. It checks that a member that exchanged with a peer
+// lists all peers of its zone and no other member, that two parts of a zone become one by one exchange, and that a killed member is
+// listed as gone by its peers only.
 func TestRun_zones(t *testing.T) {
 	t.Parallel()
-	near := func(name, zone string) *testMember {
-		return begin(t, Options{Self: Self{Name: name, Zone: zone}})
+	startInZone := func(name, zone string) *testMember {
+		t.Helper()
+		return startMember(t, Options{Self: Self{Name: name, Zone: zone}})
 	}
 	var zoneA, zoneB []*testMember
 	for i := range 4 {
-		zoneA, zoneB = append(zoneA, near(fmt.Sprint("a", i), "a")), append(zoneB, near(fmt.Sprint("b", i), "b"))
+		zoneA, zoneB = append(zoneA, startInZone(fmt.Sprint("a", i), "a")), append(zoneB, startInZone(fmt.Sprint("b", i), "b"))
 	}
 	zoneA[0].ExchangeWith(zoneA[1].self.Address)
 	zoneA[2].ExchangeWith(zoneA[3].self.Address)
@@ -154,14 +159,14 @@
 		m.awaitStates(t, "the other zone", map[State]int{Alive: 4})
 	}
 	zoneB[0].ExchangeWith(zoneA[0].self.Address) // of another zone: changes nothing
-	older := join(t, "old", "a", zoneA[0].self.Address, zoneB[0].self.Address)
-	older.awaitStates(t, "of an older build", map[State]int{Alive: 9})
+	wholeFleetMember := startInFleet(t, "old", "a", zoneA[0].self.Address, zoneB[0].self.Address)
+	wholeFleetMember.awaitStates(t, "a member of the whole fleet", map[State]int{Alive: 9})
 	for _, m := range zoneA {
-		m.awaitStates(t, "with an older neighbour", map[State]int{Alive: 5})
+		m.awaitStates(t, "with a member of the whole fleet", map[State]int{Alive: 5})
 	}
 	zoneA[3].kill()
 	for _, m := range zoneA[:3] {
-		m.awaitStates(t, "one died", map[State]int{Alive: 4, Gone: 1})
+		m.awaitStates(t, "one killed", map[State]int{Alive: 4, Gone: 1})
 	}
 	for _, m := range zoneB {
 		m.awaitStates(t, "the other zone", map[State]int{Alive: 4})
@@ -171,17 +176,17 @@
 	}
 }
 
-// TestRun_many measures many members: BRASSDALE_MEMBERS=300 go test -run TestRun_many -v ./internal/fleet/gossip
-func TestRun_many(t *testing.T) {
+// TestRun_manyMembers measures many members: BRASSDALE_MEMBERS=300 go test -run TestRun_manyMembers -v ./internal/fleet/gossip
+func TestRun_manyMembers(t *testing.T) {
 	count, _ := strconv.Atoi(os.Getenv("BRASSDALE_MEMBERS"))
 	if count == 0 {
 		t.Skip("BRASSDALE_MEMBERS sets the number of members")
 	}
 	begin := time.Now()
-	seed := join(t, "m0", "a")
+	seed := startInFleet(t, "m0", "a")
 	all := []*testMember{seed}
 	for i := 1; i < count; i++ {
-		all = append(all, join(t, fmt.Sprint("m", i), string("abc"[i%3]), seed.self.Address))
+		all = append(all, startInFleet(t, fmt.Sprint("m", i), string("abc"[i%3]), seed.self.Address))
 	}
 	for _, m := range all {
 		m.awaitStates(t, "joined", map[State]int{Alive: count})
@@ -192,9 +197,9 @@
 		m.kill()
 	}
 	for _, m := range all[:count-count/10] {
-		m.awaitStates(t, "died", map[State]int{Alive: count - count/10, Gone: count / 10})
+		m.awaitStates(t, "killed", map[State]int{Alive: count - count/10, Gone: count / 10})
 	}
-	died, cpu := time.Since(begin), used()
+	detected, cpuTime := time.Since(begin), processCPUTime()
 	time.Sleep(10 * time.Second)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -202,32 +207,33 @@
 		m.kill()
 	}
 	t.Logf("%d members: all see all after %v, and that a tenth is gone after %v; at rest %.1f ms of CPU a second and member, %.0f KiB of heap a member",
-		count, joined.Round(time.Millisecond), died.Round(time.Millisecond), float64((used()-cpu).Microseconds())/10/float64(count)/1000, float64(memory.HeapAlloc)/1024/float64(count))
+		count, joined.Round(time.Millisecond), detected.Round(time.Millisecond), float64((processCPUTime()-cpuTime).Microseconds())/10/float64(count)/1000, float64(memory.HeapAlloc)/1024/float64(count))
 }
 
-func used() time.Duration {
-	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+// processCPUTime returns the CPU time that this process has used.
+func processCPUTime() time.Duration {
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // does not fail for RUSAGE_SELF
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestServeHTTP_notAMember checks that a caller that is no member is told to upgrade, and that packets that are none of
-// memberlist's change nothing.
+// TestServeHTTP_notAMember checks that a plain HTTP request is answered with 426 Upgrade Required, and that packets of another protocol
+// change nothing.
 func TestServeHTTP_notAMember(t *testing.T) {
-	member := join(t, "m0", "a")
-	resp, err := http.Get("http://" + member.self.Address)
-	if err != nil || resp.StatusCode != http.StatusUpgradeRequired {
-		t.Errorf("%v, %v", resp, err)
+	member := startInFleet(t, "m0", "a")
+	response, err := http.Get("http://" + member.self.Address)
+	if err != nil || response.StatusCode != http.StatusUpgradeRequired {
+		t.Errorf("plain request: %v, error %v", response, err)
 	}
-	var wait sync.WaitGroup
+	var senders sync.WaitGroup
 	for range 20 {
-		wait.Go(func() {
+		senders.Go(func() {
 			if c, err := net.Dial("udp", member.self.Address); err == nil {
 				fmt.Fprint(c, "no packet of memberlist's")
 				_ = c.Close() // the packet is sent
 			}
 		})
 	}
-	wait.Wait()
-	member.awaitStates(t, "still there", map[State]int{Alive: 1})
+	senders.Wait()
+	member.awaitStates(t, "after the packets", map[State]int{Alive: 1})
 }
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -18,8 +18,8 @@
 	"brassdale/internal/traffic"
 )
 
-// storedRecord is one without history, as it is stored for the next start; records have golden bytes of their own beside
-// their package.
+// storedRecord is a record without history, as it is stored for the next start. Golden files of whole records are in
+// internal/decisions/configversions.
 func storedRecord() configversions.Record {
 	return configversions.Record{Epoch: 11, Revision: 12, NextVoterID: 13,
 		InForce: configversions.Version{Number: 14, By: "by-1", Reason: "why-1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
@@ -27,7 +27,7 @@
 		Voters: []voters.Voter{{ID: 15, Address: "127.0.0.1:9001"}}}
 }
 
-// storedMessages are what dispatchers send each other, and what they tell operators, by golden file.
+// storedMessages are the messages between dispatchers and to operators, by golden file.
 func storedMessages() map[string]any {
 	record := storedRecord()
 	member := configversions.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestStoredMessagesAreWhole checks that no field of the messages is without a value, which would prove nothing. Records
-// and seats are partial here.
-func TestStoredMessagesAreWhole(t *testing.T) {
+// TestStoredMessages_fieldsSet checks that each field of the messages has a value, as TestStoredMessages checks nothing of a field
+// without one. Records and voters are exempt.
+func TestStoredMessages_fieldsSet(t *testing.T) {
 	for name, want := range storedMessages() {
 		testsupport.CheckFieldsSet(t, name, want)
 	}
@@ -87,14 +87,14 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a := &Agent{settings: &Settings{Directory: filepath.Dir(path)}, log: slog.New(slog.DiscardHandler)}
-	if got := a.loadRecord(); !reflect.DeepEqual(got, storedRecord()) {
+	agent := &Agent{settings: &Settings{Directory: filepath.Dir(path)}, log: slog.New(slog.DiscardHandler)}
+	if got := agent.loadRecord(); !reflect.DeepEqual(got, storedRecord()) {
 		t.Errorf("read %+v, want %+v", got, storedRecord())
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	a.saveRecord(storedRecord())
+	agent.saveRecord(storedRecord())
 	if text, err := os.ReadFile(path); err != nil || string(text) != string(stored) {
 		t.Errorf("wrote %s (error %v), want %s", text, err, stored)
 	}
--- a/internal/fleet/zonelimit_test.go
+++ b/internal/fleet/zonelimit_test.go
@@ -15,8 +15,8 @@
 	"brassdale/internal/decisions/failover"
 )
 
-// newPlanningAgent makes the agent of a raft group of one, which plans by one report, and returns its address: zone a has more
-// work than capacity, zone b has none.
+// newPlanningAgent returns the agent of a raft group of one, which plans from one report, and its address. By that report zone a has 120
+// of work and a capacity of 100, zone b the same capacity and no work.
 func newPlanningAgent(t *testing.T) (agent *Agent, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.99.7.1:0")
@@ -33,8 +33,8 @@
 	planning.Regions, planning.RecoveryRamp = []Region{{"north", []string{"a", "b"}}}, "1s"
 	configured.Failover, configured.PlanChanged = &planning, func(*failover.Plan, bool) {}
 	configured.Report = func() *failover.Report {
-		heard := []failover.LastResponse{{To: "a"}, {To: "b"}}
-		return &failover.Report{Dispatcher: "n0", Zone: "a", LastResponses: heard, Capacity: map[string]float64{"a": 100, "b": 100}, Arrivals: []failover.Arrivals{{Class: "x", Work: 120, Weight: 1}}}
+		responses := []failover.LastResponse{{To: "a"}, {To: "b"}}
+		return &failover.Report{Dispatcher: "n0", Zone: "a", LastResponses: responses, Capacity: map[string]float64{"a": 100, "b": 100}, Arrivals: []failover.Arrivals{{Class: "x", Work: 120, Weight: 1}}}
 	}
 	agent, err = New(configured)
 	if err != nil {
@@ -43,50 +43,50 @@
 	return agent, address
 }
 
-// TestLimitZone has a raft group of one plan by a report. A limit of a zone for which the other zone lacks the capacity is
-// rejected with the figures, and applied where it is forced; once the limit is lifted the zone gets its jobs back.
-func TestLimitZone(t *testing.T) {
-	agent, at := newPlanningAgent(t)
+// TestLimitZone_capacityElsewhere checks a limit on a zone of a raft group of one that plans from a report: where the other zone lacks
+// the capacity it is rejected with the reason, and applied if it is forced; once the limit is lifted the zone gets its requests back.
+func TestLimitZone_capacityElsewhere(t *testing.T) {
+	agent, address := newPlanningAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
-	var wait sync.WaitGroup
-	wait.Go(func() { agent.Run(ctx) })
-	defer wait.Wait()
+	var running sync.WaitGroup
+	running.Go(func() { agent.Run(ctx) })
+	defer running.Wait()
 	defer stop()
-	until := func(what string, ok func(Status) bool) {
+	awaitStatus := func(what string, condition func(Status) bool) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); !ok(agent.Status()); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); !condition(agent.Status()); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: %+v", what, agent.Status().Record.Plan)
+				t.Fatalf("not within 20 s: %s; plan %+v", what, agent.Status().Record.Plan)
 			}
 		}
 	}
-	near := func(least, most float64) func(Status) bool {
-		return func(s Status) bool {
-			share := s.Record.Plan.Share("a", "x", "a")
-			return s.Record.Plan != nil && share >= least && share <= most
+	shareBetween := func(least, most float64) func(Status) bool {
+		return func(status Status) bool {
+			share := status.Record.Plan.Share("a", "x", "a")
+			return status.Record.Plan != nil && share >= least && share <= most
 		}
 	}
-	until("a plan that uses both zones", near(0.69, 0.72)) // 85 of 120
+	awaitStatus("a plan that uses both zones", shareBetween(0.69, 0.72)) // 85 of 120
 	limit := func(share float64, force bool) (int, string) {
-		text, _ := json.Marshal(configversions.ZoneLimit{Zone: "a", Share: share, By: "t", Reason: "test", Force: force})
-		status, body, err := Call(t.Context(), http.DefaultClient, fmt.Sprintf("http://%s/council/hold", at), text, time.Now().Add(5*time.Second))
+		encoded, _ := json.Marshal(configversions.ZoneLimit{Zone: "a", Share: share, By: "t", Reason: "test", Force: force})
+		status, body, err := Call(t.Context(), http.DefaultClient, fmt.Sprintf("http://%s/council/hold", address), encoded, time.Now().Add(5*time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return status, string(body)
 	}
 	if status, text := limit(0, false); status != http.StatusConflict || !strings.Contains(text, "no room elsewhere") {
-		t.Errorf("%d %s", status, text)
+		t.Errorf("unforced limit: status %d, %s", status, text)
 	}
 	if status, text := limit(0, true); status != http.StatusOK {
-		t.Errorf("%d %s", status, text)
+		t.Errorf("forced limit: status %d, %s", status, text)
 	}
-	until("nothing in the drained zone", near(0, 0.01))
-	if s := agent.Status(); len(s.Record.ZoneLimits) != 1 || !s.Record.ZoneLimits[0].Force || len(s.Zones) != 2 {
-		t.Errorf("%+v", s.Record.ZoneLimits)
+	awaitStatus("nothing in the drained zone", shareBetween(0, 0.01))
+	if status := agent.Status(); len(status.Record.ZoneLimits) != 1 || !status.Record.ZoneLimits[0].Force || len(status.Zones) != 2 {
+		t.Errorf("limits %+v, %d zones", status.Record.ZoneLimits, len(status.Zones))
 	}
 	if status, _ := limit(1, false); status != http.StatusOK {
-		t.Errorf("%d", status)
+		t.Errorf("lifting the limit: status %d", status)
 	}
-	until("its jobs again", near(0.65, 0.72))
+	awaitStatus("requests in the zone again", shareBetween(0.65, 0.72))
 }
