--- a/internal/transport/sendchecks.go
+++ b/internal/transport/sendchecks.go
@@ -6,14 +6,14 @@
 // connection is assigned to it (reasonNotToSend), and in the exchange's own goroutine just before the write (mustNotStart
 // and workerExchange.startBy). An attempt that fails a check ends as scheduler.NeverSent, and nothing of it is written.
 
-// The reasons why an attempt is not sent, as logged. SendBy (notSentSendByPassed) is the earlier of the end of a retry's deduplication
-// window, which its text names, and the time at which the endpoint list is too old for an attempt.
+// The reasons why an attempt is not sent, as logged. SendBy is the earlier of the end of a retry's
+// deduplication window and the time at which the endpoint list is too old for an attempt.
 const (
 	notSentCancelled          = "cancelled"
 	notSentDeadlinePassed     = "deadline passed"
 	notSentClientGone         = "client gone"
-	notSentSendByPassed       = "deduplication window over"
-	notSentSendByNearlyPassed = "deduplication window nearly over"
+	notSentSendByPassed       = "send-by time passed"
+	notSentSendByNearlyPassed = "send-by time near"
 	notSentRetriesNotAllowed  = "retries not allowed"
 	notSentDrainGraceOver     = "worker draining or gone, grace period over"
 	notSentDetachedGraceOver  = "worker detached, grace period over"
