--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -52,6 +52,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *RequestError) Error() string { return e.Reason }
 
 func reject(status int, format string, values ...any) error {
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -16,10 +16,19 @@
 // timers is a heap (container/heap) of timers, the earliest first. The goroutine of Core.Run owns it.
 type timers []timer
 
-func (t timers) Len() int           { return len(t) }
+// Len implements heap.Interface.
+func (t timers) Len() int { return len(t) }
+
+// Less implements heap.Interface.
 func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
+
+// Swap implements heap.Interface.
+func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+
+// Push implements heap.Interface.
+func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+
+// Pop implements heap.Interface.
 func (t *timers) Pop() any {
 	old := *t
 	last := old[len(old)-1]
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -40,6 +40,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *OperationError) Error() string { return e.Reason }
 
 // workerOperation is an operation on a worker: POST /_workers/<name>, with the worker's id as body.
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -99,6 +99,7 @@
 // statusError is a response of discovery with a status other than 200.
 type statusError int
 
+// Error implements error.
 func (e statusError) Error() string { return fmt.Sprintf("discovery answered %d", int(e)) }
 
 // Is reports whether the target is routing.ErrDiscoveryRejected and the status says that the service is overloaded.
--- a/internal/transport/http2/credentials.go
+++ b/internal/transport/http2/credentials.go
@@ -22,6 +22,7 @@
 	Err   error
 }
 
+// Error implements error.
 func (e *FileError) Error() string { return e.Field + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
