--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -25,9 +25,9 @@
 		defer conn.Close()
 		io.WriteString(conn, []string{"", "GET /_ready HT", "POST /_workers/detach HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\na"}[i%3])
 		if i%5 == 0 {
-			begin := time.Now()
-			if status, _ := dispatcher.callAdmin("GET", "/_ready", ""); status != 200 || time.Since(begin) > time.Second {
-				t.Errorf("with %d unfinished calls: status %d after %v", i, status, time.Since(begin))
+			calledAt := time.Now()
+			if status, _ := dispatcher.callAdmin("GET", "/_ready", ""); status != 200 || time.Since(calledAt) > time.Second {
+				t.Errorf("with %d unfinished calls: status %d after %v", i, status, time.Since(calledAt))
 			}
 		}
 	}
@@ -72,21 +72,13 @@
 		}
 	})
 	dispatcher := startDispatcher(t, "", worker)
-	checkMetrics := func(what string, wanted map[string]int) {
-		t.Helper()
-		for name, want := range wanted {
-			if got := dispatcher.metric(name); got != want {
-				t.Errorf("%s: %s=%d, want %d", what, name, got, want)
-			}
-		}
-	}
-	checkMetrics("at the start", map[string]int{"replies.price-part.success": 0, "replies.price-part.overload": 0,
+	dispatcher.checkMetrics("at the start", map[string]int{"replies.price-part.success": 0, "replies.price-part.overload": 0,
 		"replies.price-part.error": 0, "dispatches": 0, "concurrent": 0, "targets": 1, "targets_disabled": 0, "reload_success": 0, "reload_failure": 0})
 	for i := range 3 {
 		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("good-", i)))
 	}
 	waiting := dispatcher.sendInBackground(worker, "waits")
-	checkMetrics("with an open job", map[string]int{"concurrent": 1, "dispatches": 4, "replies.price-part.success": 3})
+	dispatcher.checkMetrics("with an open job", map[string]int{"concurrent": 1, "dispatches": 4, "replies.price-part.success": 3})
 	close(release)
 	if status := <-waiting; status != 200 {
 		t.Errorf("the open request: status %d", status)
@@ -96,7 +88,7 @@
 	if failed != 502 && failed != 504 {
 		t.Errorf("a request that its worker fails: status %d", failed)
 	}
-	checkMetrics("after a failure", map[string]int{"concurrent": 0, "replies.price-part.success": 4, "replies.price-part.error": 1, "replies.price-part.overload": 0})
+	dispatcher.checkMetrics("after a failure", map[string]int{"concurrent": 0, "replies.price-part.success": 4, "replies.price-part.error": 1, "replies.price-part.overload": 0})
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
 		t.Errorf("detach: status %d", status)
 	}
@@ -104,12 +96,12 @@
 	if rejected != 503 {
 		t.Errorf("without a worker: status %d", rejected)
 	}
-	checkMetrics("without a worker", map[string]int{"replies.price-part.overload": 1, "targets": 1, "targets_disabled": 1})
+	dispatcher.checkMetrics("without a worker", map[string]int{"replies.price-part.overload": 1, "targets": 1, "targets_disabled": 1})
 	dispatcher.reload("{")
 	dispatcher.waitForMetric("reload_failure", 1)
 	dispatcher.reload(dispatcher.config)
 	dispatcher.waitForMetric("reload_success", 1)
-	checkMetrics("after reloads", map[string]int{"targets_disabled": 1, "replies.price-part.success": 4})
+	dispatcher.checkMetrics("after reloads", map[string]int{"targets_disabled": 1, "replies.price-part.success": 4})
 }
 
 // TestDetachedWorker_getsNoRequests checks that a detached worker gets no requests, whatever discovery lists, in this process and in
--- a/cmd/brassdale/clientdisconnect_test.go
+++ b/cmd/brassdale/clientdisconnect_test.go
@@ -68,12 +68,42 @@
 	}
 }
 
+// receivedBytes records what connections receive.
+type receivedBytes struct {
+	mu   sync.Mutex
+	data bytes.Buffer
+}
+
+// readAll reads from all connections of a listener until it is closed.
+func (b *receivedBytes) readAll(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			var buffer [4096]byte
+			for length := 0; err == nil; {
+				length, err = conn.Read(buffer[:])
+				b.mu.Lock()
+				b.data.Write(buffer[:length])
+				b.mu.Unlock()
+			}
+		}()
+	}
+}
+
+// has reports whether a text was received.
+func (b *receivedBytes) has(text string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return bytes.Contains(b.data.Bytes(), []byte(text))
+}
+
 // TestClientDisconnect_whileConnecting checks that nothing is written to a worker whose connection is established only after the client
 // has disconnected.
 func TestClientDisconnect_whileConnecting(t *testing.T) {
 	t.Parallel()
-	var mu sync.Mutex
-	var received bytes.Buffer // by the worker
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,23 +113,10 @@
 	if !full {
 		t.Skip("the backlog of this machine's listeners cannot be filled")
 	}
+	var atWorker receivedBytes
 	go func() {
 		<-release
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				var buffer [4096]byte
-				for length := 0; err == nil; {
-					length, err = conn.Read(buffer[:])
-					mu.Lock()
-					received.Write(buffer[:length])
-					mu.Unlock()
-				}
-			}()
-		}
+		atWorker.readAll(listener)
 	}()
 	worker := startWorker(t, "slow", completeJob)
 	worker.listener.Close()
@@ -112,13 +129,8 @@
 	dispatcher.waitForMetric("concurrent", 0)
 	close(release)
 	newRequest(dispatcher.http1URL, "stays").Write(dispatcher.dial())
-	reached := func(id string) bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return bytes.Contains(received.Bytes(), []byte(id))
-	}
-	dispatcher.waitFor("a later request at the worker", func() bool { return reached("id-stays") })
-	if reached("id-gone") {
+	dispatcher.waitFor("a later request at the worker", func() bool { return atWorker.has("id-stays") })
+	if atWorker.has("id-gone") {
 		t.Error("the request of a disconnected client was sent to the worker")
 	}
 }
--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -14,244 +14,279 @@
 )
 
 const (
-	modelJobDuration      = 100 * time.Millisecond // at a warm worker
+	modelJobDuration      = 100 * time.Millisecond // at a worker with its full capacity
 	modelSlots            = 5
 	modelSlowStart        = 24 * time.Second
 	modelStartCapacity    = 0.14
-	modelOverloadMultiple = 3.0 // times what it can do ...
+	modelOverloadMultiple = 3.0 // of its capacity in modelOverloadWindow, beyond which a warming worker is overloaded
 	modelOverloadWindow   = 1500 * time.Millisecond
 )
 
-// model is a worker that is cold after its start: its jobs take longer, and it notes how much it is sent.
+// modelWorker is a worker with a slow start: its jobs take longer at first, and it records how much work it receives.
 type modelWorker struct {
 	*testWorker
 	startedAt time.Time // zero for long ago
+	unlisted  bool      // it has left the list and should receive nothing
 
-	mu           sync.Mutex
-	receivedAt   []time.Time
-	peakOverload float64 // work of any modelFall, as a multiple of what it could do in it; above modelTip it would fall over
-	unlisted     bool    // it should get nothing: it is out of the list
-	received     int     // that it got all the same
-}
-
-func (w *modelWorker) capacityShare(now time.Time) float64 {
-	if w.startedAt.IsZero() {
-		return 1
-	}
-	return min(modelStartCapacity+(1-modelStartCapacity)*float64(now.Sub(w.startedAt))/float64(modelSlowStart), 1)
+	mu         sync.Mutex
+	receivedAt []time.Time // within the last modelOverloadWindow
+	peakLoad   float64     // the most work received in modelOverloadWindow, as a multiple of its capacity
+	received   int
 }
 
+// newModelWorker starts a worker; its slow start begins when startedAt is set.
 func newModelWorker(b *testing.B, id string) *modelWorker {
+	b.Helper()
 	model := &modelWorker{}
 	slots := make(chan struct{}, modelSlots)
 	model.testWorker = startWorker(b, id, func(worker *testWorker, conn net.Conn, r *http.Request) {
-		now := time.Now()
-		model.mu.Lock()
-		model.received++
-		model.receivedAt = append(model.receivedAt, now)
-		for now.Sub(model.receivedAt[0]) > modelOverloadWindow {
-			model.receivedAt = model.receivedAt[1:]
-		}
-		w := model.capacityShare(now)
-		work := float64(len(model.receivedAt)) * modelJobDuration.Seconds()
-		model.peakOverload = max(model.peakOverload, work/(modelSlots*w*modelOverloadWindow.Seconds()))
-		model.mu.Unlock()
+		capacity := model.record(time.Now())
 		slots <- struct{}{}
 		defer func() { <-slots }()
 		if connectionClosed(conn) {
 			return
 		}
-		completeAfter(time.Duration(float64(modelJobDuration)/w))(worker, conn, r)
+		completeAfter(time.Duration(float64(modelJobDuration)/capacity))(worker, conn, r)
 	})
 	return model
 }
 
-// works is the site of the measurement: 12 workers on the saved list, of which 3 are missing, 2 silent, 1 drained and 1 has
-// been started anew a moment ago.
+// record records a job and returns the share of its capacity that the worker has.
+func (w *modelWorker) record(now time.Time) (capacity float64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.received++
+	w.receivedAt = append(w.receivedAt, now)
+	for now.Sub(w.receivedAt[0]) > modelOverloadWindow {
+		w.receivedAt = w.receivedAt[1:]
+	}
+	capacity = 1
+	if !w.startedAt.IsZero() {
+		warmed := float64(now.Sub(w.startedAt)) / float64(modelSlowStart)
+		capacity = min(modelStartCapacity+(1-modelStartCapacity)*warmed, 1)
+	}
+	work := float64(len(w.receivedAt)) * modelJobDuration.Seconds()
+	w.peakLoad = max(w.peakLoad, work/(modelSlots*capacity*modelOverloadWindow.Seconds()))
+	return capacity
+}
+
+// benchDeployment is 12 workers of the cached list, of which 3 are gone, 2 silent, 1 has drained and 1 has just restarted.
 type benchDeployment struct {
 	workers []*modelWorker
-	listed  []*testWorker // what discovery would say
+	listed  []*testWorker // by discovery
 	cached  []*testWorker
 }
 
+// newBenchDeployment starts the workers that run.
 func newBenchDeployment(b *testing.B) *benchDeployment {
+	b.Helper()
 	deployment := &benchDeployment{}
 	for i := range 12 {
 		id := fmt.Sprint("worker-", i)
 		switch {
 		case i < 5:
-			model := newModelWorker(b, id)
-			deployment.workers, deployment.listed, deployment.cached = append(deployment.workers, model), append(deployment.listed, model.testWorker), append(deployment.cached, model.testWorker)
-		case i == 5: // reused
-			model := newModelWorker(b, id)
+			model := deployment.addWorker(b, id)
+			deployment.listed, deployment.cached = append(deployment.listed, model.testWorker), append(deployment.cached, model.testWorker)
+		case i == 5: // restarted
+			model := deployment.addWorker(b, id)
 			model.startedAt = time.Now()
 			model.startedAtMS = model.startedAt.UnixMilli()
-			deployment.workers, deployment.listed = append(deployment.workers, model), append(deployment.listed, model.testWorker)
-			old := &testWorker{id: id, cell: "1", phase: "active", listener: model.listener}
-			deployment.cached = append(deployment.cached, old)
-		case i == 6: // drained since
-			model := newModelWorker(b, id)
+			deployment.listed = append(deployment.listed, model.testWorker)
+			deployment.cached = append(deployment.cached, listedWorker(id, model.listener))
+		case i == 6: // drained
+			model := deployment.addWorker(b, id)
 			model.unlisted = true
-			deployment.workers, deployment.cached = append(deployment.workers, model), append(deployment.cached, model.testWorker)
-		case i < 9: // silent: its process takes connections and no more
+			deployment.cached = append(deployment.cached, model.testWorker)
+		case i < 9: // silent: connections are accepted and not answered
 			listener := must(net.Listen("tcp", "127.0.0.1:0"))
 			b.Cleanup(func() { listener.Close() })
-			go func() {
-				for {
-					if _, err := listener.Accept(); err != nil {
-						return
-					}
-				}
-			}()
-			worker := &testWorker{id: id, cell: "1", phase: "active", listener: listener}
-			deployment.listed, deployment.cached = append(deployment.listed, worker), append(deployment.cached, worker)
-		default: // missing
+			go acceptAll(listener)
+			silent := listedWorker(id, listener)
+			deployment.listed, deployment.cached = append(deployment.listed, silent), append(deployment.cached, silent)
+		default: // gone
 			listener := must(net.Listen("tcp", "127.0.0.1:0"))
 			listener.Close()
-			deployment.cached = append(deployment.cached, &testWorker{id: id, cell: "1", phase: "active", listener: listener})
+			deployment.cached = append(deployment.cached, listedWorker(id, listener))
 		}
 	}
 	return deployment
 }
 
-// BenchmarkSavedList: a busy site whose discovery is down for the first 20 s, in four ways. What is a share is of all
-// jobs that were asked for in that time.
-func BenchmarkEndpointCache(b *testing.B) {
-	const (
-		down = 20 * time.Second
-		span = 30 * time.Second
-		rate = 150.0
-	)
-	for _, way := range []string{"discovery never failed", "saved list", "saved list, all trusted", "no list"} {
-		deployment := newBenchDeployment(b)
-		discovery := &testDiscovery{revision: 1, failing: way != "discovery never failed", workers: deployment.listed, changed: make(chan struct{})}
-		server := httptest.NewServer(discovery)
-		dispatcher := newTestDispatcher(b, discovery)
-		operator, config := "", func(config string) string {
-			return strings.Replace(withoutKnownList(config), discoveryAddress(config), server.Listener.Addr().String(), 1)
+// addWorker starts a worker that records its load.
+func (d *benchDeployment) addWorker(b *testing.B, id string) *modelWorker {
+	b.Helper()
+	model := newModelWorker(b, id)
+	d.workers = append(d.workers, model)
+	return model
+}
+
+// loads returns the highest load of a warming worker, and how many jobs reached workers that are not listed.
+func (d *benchDeployment) loads() (peak float64, atUnlisted int) {
+	for _, model := range d.workers {
+		if !model.startedAt.IsZero() {
+			peak = max(peak, model.peakLoad)
 		}
-		switch way {
-		case "saved list":
-			dir := b.TempDir()
-			writeModelList(b, dir, 2*time.Hour, deployment.cached)
-			operator = savedListBlock(dir)
-		case "saved list, all trusted":
-			known := (&testDiscovery{revision: 1, workers: deployment.cached}).listJSON()
-			config = func(config string) string {
-				config = strings.Replace(withoutKnownList(config), discoveryAddress(config), server.Listener.Addr().String(), 1)
-				return strings.Replace(config, `"settings"`, `"known":`+known+`,"settings"`, 1)
-			}
+		if model.unlisted {
+			atUnlisted += model.received
 		}
-		dispatcher.start(operator, config)
-		begin := time.Now()
-		time.AfterFunc(down, func() { discovery.update(func() { discovery.failing = false }) })
-		var mu sync.Mutex
-		var wait sync.WaitGroup
-		asked, good := map[int]int{}, map[int]int{} // by second
-		first := time.Duration(0)
-		for i := 0; ; i++ {
-			at := time.Duration(float64(i) / rate * float64(time.Second))
-			if at > span {
-				break
-			}
-			time.Sleep(time.Until(begin.Add(at)))
-			wait.Go(func() {
-				status, _, _ := trySend(http.DefaultClient, newRequest(dispatcher.http1URL, fmt.Sprint(way, i)))
-				took := time.Since(begin) - at
-				mu.Lock()
-				defer mu.Unlock()
-				second := int(at / time.Second)
-				asked[second]++
-				if status == 200 && first == 0 {
-					first = time.Since(begin)
-				}
-				if status == 200 && took < inTimeLimit {
-					good[second]++
-				}
-			})
+	}
+	return peak, atUnlisted
+}
+
+// acceptAll accepts connections until the listener is closed.
+func acceptAll(listener net.Listener) {
+	for {
+		if _, err := listener.Accept(); err != nil {
+			return
 		}
-		wait.Wait()
-		part := func(from, to int) float64 {
-			a, g := 0, 0
-			for second := from; second < to; second++ {
-				a, g = a+asked[second], g+good[second]
-			}
-			return float64(g) / float64(a)
+	}
+}
+
+// servedBySecond counts requests by the second in which they were due.
+type servedBySecond struct {
+	mu           sync.Mutex
+	sent, inTime map[int]int
+	firstServed  time.Duration // after the start; 0 for none
+}
+
+// share returns the share of the requests of some seconds that were served in time.
+func (s *servedBySecond) share(from, to int) float64 {
+	sent, inTime := 0, 0
+	for second := from; second < to; second++ {
+		sent, inTime = sent+s.sent[second], inTime+s.inTime[second]
+	}
+	return float64(inTime) / float64(sent)
+}
+
+// BenchmarkEndpointCache measures a busy deployment whose discovery fails for the first 20 s, with the endpoint cache and without.
+func BenchmarkEndpointCache(b *testing.B) {
+	for _, way := range []string{"discovery never failed", "saved list", "saved list, all trusted", "no list"} {
+		measureOutage(b, way)
+	}
+}
+
+// measureOutage logs which share of requests is served in time, among all that were due.
+func measureOutage(b *testing.B, way string) {
+	b.Helper()
+	const (
+		outage   = 20 * time.Second
+		duration = 30 * time.Second
+		rate     = 150.0 // requests per second
+	)
+	deployment := newBenchDeployment(b)
+	dispatcher, server := startInOutage(b, way, deployment)
+	discovery := dispatcher.discovery
+	beganAt := time.Now()
+	time.AfterFunc(outage, func() { discovery.update(func() { discovery.failing = false }) })
+	var schedule []time.Duration
+	for due := time.Duration(0); due <= duration; due = time.Duration(float64(len(schedule)) / rate * float64(time.Second)) {
+		schedule = append(schedule, due)
+	}
+	counts := &servedBySecond{sent: map[int]int{}, inTime: map[int]int{}}
+	sendOnSchedule(schedule, func(index int, due time.Time) {
+		status, _, _ := trySend(http.DefaultClient, newRequest(dispatcher.http1URL, fmt.Sprint(way, index)))
+		took := time.Since(due)
+		counts.mu.Lock()
+		defer counts.mu.Unlock()
+		second := int(schedule[index] / time.Second)
+		counts.sent[second]++
+		if status == 200 && counts.firstServed == 0 {
+			counts.firstServed = time.Since(beganAt)
 		}
-		most, none := 0.0, 0
-		for _, model := range deployment.workers {
-			if !model.startedAt.IsZero() {
-				most = max(most, model.peakOverload)
-			}
-			if model.unlisted {
-				none += model.received
-			}
+		if status == 200 && took < inTimeLimit {
+			counts.inTime[second]++
 		}
-		b.Logf("%-24s first answer after %8v; served in time: first 10 s %.3f, 5 to 20 s %.3f, 20 to 30 s %.3f; cold worker got %.2f times what it could (falls at %.0f); %d jobs to one that drained",
-			way, first.Round(time.Millisecond), part(0, 10), part(5, 20), part(20, 30), most, modelOverloadMultiple, none)
-		dispatcher.kill()
-		server.CloseClientConnections()
+	})
+	peak, atUnlisted := deployment.loads()
+	b.Logf("%-24s first served after %8v; served in time: first 10 s %.3f, 5 to 20 s %.3f, 20 to 30 s %.3f; warming worker got %.2f times its capacity (overload at %.0f); %d jobs at a drained one",
+		way, counts.firstServed.Round(time.Millisecond), counts.share(0, 10), counts.share(5, 20), counts.share(20, 30), peak, modelOverloadMultiple, atUnlisted)
+	dispatcher.kill()
+	server.CloseClientConnections()
+}
+
+// startInOutage starts a dispatcher and its discovery, which fails unless the way says otherwise.
+func startInOutage(b *testing.B, way string, deployment *benchDeployment) (*testDispatcher, *httptest.Server) {
+	b.Helper()
+	discovery := newTestDiscovery(deployment.listed...)
+	discovery.failing = way != "discovery never failed"
+	server := httptest.NewServer(discovery)
+	dispatcher := newTestDispatcher(b, discovery)
+	operator, known := "", ""
+	switch way {
+	case "saved list":
+		dir := b.TempDir()
+		writeModelList(b, dir, 2*time.Hour, deployment.cached)
+		operator = savedListBlock(dir)
+	case "saved list, all trusted":
+		known = `"known":` + newTestDiscovery(deployment.cached...).listJSON() + `,`
 	}
+	dispatcher.start(operator, func(config string) string {
+		config = withDiscoveryAddress(withoutKnownList(config), server.Listener.Addr().String())
+		return strings.Replace(config, `"settings"`, known+`"settings"`, 1)
+	})
+	return dispatcher, server
 }
 
-// BenchmarkPowerLoss: all workers and two dispatchers start at once, with lists of a minute ago. The most that any worker gets
-// from both together must stay below what it falls over at.
+// BenchmarkPowerLoss measures how much work each worker gets where all workers and two dispatchers start at once, with lists of a
+// minute ago. The most that any worker gets from both together must stay below modelOverloadMultiple.
 func BenchmarkPowerLoss(b *testing.B) {
 	for _, way := range []string{"saved list", "saved list, all trusted"} {
-		var workers []*modelWorker
-		var saved []*testWorker
-		for i := range 8 {
-			model := newModelWorker(b, fmt.Sprint("worker-", i))
-			model.startedAt = time.Now()
-			workers, saved = append(workers, model), append(saved, model.testWorker)
-		}
-		var nodes []*testDispatcher
-		for i := range 2 {
-			dispatcher := newTestDispatcher(b, newTestDiscovery(saved...))
-			operator := ""
+		measurePowerLoss(b, way)
+	}
+}
+
+// measurePowerLoss logs the highest load of a worker, and how many requests were served.
+func measurePowerLoss(b *testing.B, way string) {
+	b.Helper()
+	var deployment benchDeployment
+	for i := range 8 {
+		model := deployment.addWorker(b, fmt.Sprint("worker-", i))
+		model.startedAt = time.Now()
+		deployment.cached = append(deployment.cached, model.testWorker)
+	}
+	var dispatchers []*testDispatcher
+	for i := range 2 {
+		dispatcher := newTestDispatcher(b, newTestDiscovery(deployment.cached...))
+		operator := ""
+		if way == "saved list" {
 			dir := b.TempDir()
+			writeModelList(b, dir, time.Minute, deployment.cached)
+			operator = savedListBlock(dir)
+		}
+		dispatcher.start(operator, func(config string) string {
+			config = withSetting(`"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":2,"ordinal":%d`, i))(config)
 			if way == "saved list" {
-				writeModelList(b, dir, time.Minute, saved)
-				operator = savedListBlock(dir)
+				config = withoutKnownList(config)
 			}
-			dispatcher.start(operator, func(config string) string {
-				config = strings.Replace(config, `"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":2,"ordinal":%d`, i), 1)
-				if way == "saved list" {
-					config = withoutKnownList(config)
-				}
-				return strings.Replace(config, discoveryAddress(config), "127.0.0.1:1", 1)
-			})
-			nodes = append(nodes, dispatcher)
-		}
-		var wait sync.WaitGroup
-		var mu sync.Mutex
-		served := 0
-		begin := time.Now()
-		for i := 0; i < 100*12; i++ { // 100 jobs/s for 12 s
-			time.Sleep(time.Until(begin.Add(time.Duration(i) * 10 * time.Millisecond)))
-			wait.Go(func() {
-				if status, _, _ := trySend(http.DefaultClient, newRequest(nodes[i%2].http1URL, fmt.Sprint(way, i))); status == 200 {
-					mu.Lock()
-					defer mu.Unlock()
-					served++
-				}
-			})
-		}
-		wait.Wait()
-		most := 0.0
-		for _, model := range workers {
-			most = max(most, model.peakOverload)
-		}
-		b.Logf("%-24s %4d of 1200 served; the worker that got most got %.2f times what it could (falls at %.0f)", way, served, most, modelOverloadMultiple)
-		for _, dispatcher := range nodes {
-			dispatcher.kill()
+			return withDiscoveryAddress(config, "127.0.0.1:1")
+		})
+		dispatchers = append(dispatchers, dispatcher)
+	}
+	const requests, interval = 1200, 10 * time.Millisecond
+	var schedule []time.Duration
+	for i := range requests {
+		schedule = append(schedule, time.Duration(i)*interval)
+	}
+	var mu sync.Mutex
+	served := 0
+	sendOnSchedule(schedule, func(index int, _ time.Time) {
+		if status, _, _ := trySend(http.DefaultClient, newRequest(dispatchers[index%2].http1URL, fmt.Sprint(way, index))); status == 200 {
+			mu.Lock()
+			defer mu.Unlock()
+			served++
 		}
+	})
+	peak, _ := deployment.loads()
+	b.Logf("%-24s %4d of %d served; the worker that got most got %.2f times its capacity (overload at %.0f)", way, served, requests, peak, modelOverloadMultiple)
+	for _, dispatcher := range dispatchers {
+		dispatcher.kill()
 	}
 }
 
-// keepFor keeps a list that tells how long jobs take at the model's workers.
-func writeModelList(b *testing.B, dir string, ago time.Duration, workers []*testWorker) {
-	writeCachedList(b, dir, ago, func(list *endpointcache.CachedList) {
+// writeModelList writes a cached list whose statistics say how long jobs take at model workers.
+func writeModelList(b *testing.B, dir string, age time.Duration, workers []*testWorker) {
+	b.Helper()
+	writeCachedList(b, dir, age, func(list *endpointcache.CachedList) {
 		class := list.Classes["price-part"]
 		class.WorkScale, class.MeanLogRuntime = modelJobDuration.Seconds(), -2.3
 		list.Classes["price-part"], list.MeanStay, list.MeanWork = class, modelJobDuration.Seconds(), modelJobDuration.Seconds()
--- a/cmd/brassdale/endpointcache_return_test.go
+++ b/cmd/brassdale/endpointcache_return_test.go
@@ -3,6 +3,7 @@
 import (
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -39,22 +40,12 @@
 		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "waits"))
 		waiting <- status
 	}()
-	var removed *testWorker
+	running := 0 // the index of the worker that the job runs at
 	dispatcher.waitFor("the job at a worker", func() bool {
-		for _, worker := range workers {
-			if worker.runsOf("waits") == 1 {
-				removed = worker
-				return true
-			}
-		}
-		return false
+		running = slices.IndexFunc(workers, func(worker *testWorker) bool { return worker.runsOf("waits") == 1 })
+		return running >= 0
 	})
-	var listed []*testWorker
-	for _, worker := range workers {
-		if worker != removed {
-			listed = append(listed, worker)
-		}
-	}
+	removed, listed := workers[running], slices.Delete(slices.Clone(workers), running, running+1)
 	draining := listed[0]
 	draining.phase = "leaving"
 	restore(50, listed...)
@@ -141,7 +132,5 @@
 	dispatcher.terminate()
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 	successor.waitUntilServed("second")
-	if code, out, _ := runCommand(t, "saved", "verify", dir); code != 0 {
-		t.Errorf("saved verify: %s", out)
-	}
+	checkSavedCommand(t, 0, nil, "verify", dir)
 }
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -47,6 +48,41 @@
 	}
 }
 
+// otherServices are services that are no workers, at addresses of a list.
+type otherServices struct {
+	mu          sync.Mutex
+	misdirected int // requests that were sent to them
+}
+
+// start starts a service and returns its line of the list.
+func (s *otherServices) start(t *testing.T, id string, answer func(net.Conn)) *testWorker {
+	t.Helper()
+	listener := must(net.Listen("tcp", "127.0.0.1:0"))
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go s.serve(conn, answer)
+		}
+	}()
+	return listedWorker(id, listener)
+}
+
+// serve reads once and answers.
+func (s *otherServices) serve(conn net.Conn, answer func(net.Conn)) {
+	buffer := make([]byte, 4096)
+	length, _ := conn.Read(buffer)
+	if strings.HasPrefix(string(buffer[:length]), "POST") {
+		s.mu.Lock()
+		s.misdirected++
+		s.mu.Unlock()
+	}
+	answer(conn)
+}
+
 // TestEndpointCache_reassignedAddresses checks a cached list of two days ago of which one worker drained, one is off, and the addresses of
 // the others but one belong to something else. No request reaches any of them, and all are served.
 func TestEndpointCache_reassignedAddresses(t *testing.T) {
@@ -57,42 +93,18 @@
 	off.listener.Close()
 	off.listener = must(net.Listen("tcp", "127.0.0.9:0"))
 	off.listener.Close()
-	var mu sync.Mutex
-	misdirected := 0
-	listenInstead := func(id string, answer func(net.Conn)) *testWorker {
-		listener := must(net.Listen("tcp", "127.0.0.1:0"))
-		t.Cleanup(func() { listener.Close() })
-		go func() {
-			for {
-				conn, err := listener.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					buffer := make([]byte, 4096)
-					length, _ := conn.Read(buffer)
-					if strings.HasPrefix(string(buffer[:length]), "POST") {
-						mu.Lock()
-						misdirected++
-						mu.Unlock()
-					}
-					answer(conn)
-				}()
-			}
-		}()
-		return &testWorker{id: id, cell: "1", phase: "active", listener: listener}
-	}
-	page := listenInstead("page", func(conn net.Conn) {
+	var services otherServices
+	page := services.start(t, "page", func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/html\r\nContent-Length: 6\r\n\r\n<html>")
 	})
-	missing := listenInstead("missing", func(conn net.Conn) {
+	missing := services.start(t, "missing", func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 	})
-	other := listenInstead("other", func(conn net.Conn) {
+	other := services.start(t, "other", func(conn net.Conn) {
 		io.WriteString(conn, "220 mail ready\r\n")
 		conn.Close()
 	})
-	silent := listenInstead("silent", func(net.Conn) {})
+	silent := services.start(t, "silent", func(net.Conn) {})
 	dir := t.TempDir()
 	writeCachedList(t, dir, 48*time.Hour, nil, drained, page, missing, other, silent, off, good)
 	dispatcher := startFromCache(t, dir, nil)
@@ -100,16 +112,26 @@
 	dispatcher.waitFor("boxes_foreign >= 3 and boxes_barred=1", func() bool {
 		return dispatcher.metric("boxes_foreign") >= 3 && dispatcher.metric("boxes_barred") == 1
 	})
-	mu.Lock()
-	defer mu.Unlock()
-	if atDrained := drained.jobCount(); misdirected != 0 || atDrained != 0 {
-		t.Errorf("%d requests at what is no worker, %d at a drained one", misdirected, atDrained)
+	services.mu.Lock()
+	defer services.mu.Unlock()
+	if atDrained := drained.jobCount(); services.misdirected != 0 || atDrained != 0 {
+		t.Errorf("%d requests at what is no worker, %d at a drained one", services.misdirected, atDrained)
 	}
 	if listed := dispatcher.metric("targets"); listed != 1 {
 		t.Errorf("targets=%d, want 1", listed)
 	}
 }
 
+// checkSavedCommand checks the exit code of a sub-command of 'saved', and that its output has these texts.
+func checkSavedCommand(t *testing.T, wantExitCode int, wantTexts []string, args ...string) {
+	t.Helper()
+	exitCode, output, errorOutput := runCommand(t, append([]string{"saved"}, args...)...)
+	lacks := func(text string) bool { return !strings.Contains(output, text) }
+	if exitCode != wantExitCode || slices.ContainsFunc(wantTexts, lacks) {
+		t.Errorf("saved %v: exit code %d, want %d and %q\n%s%s", args, exitCode, wantExitCode, wantTexts, output, errorOutput)
+	}
+}
+
 // TestEndpointCache_survivesKill checks that a process which is killed leaves a cache with the drain that it has just learned of, the
 // detached worker and the statistics, from which the next process starts with another $TMPDIR. A damaged snapshot is reported by
 // 'saved verify' and set aside by a start, which reads the one before.
@@ -143,16 +165,17 @@
 	if jobs := detached.jobCount(); jobs != atDetached {
 		t.Errorf("%d requests at the detached worker", jobs-atDetached)
 	}
-	code, out, _ := runCommand(t, "saved", "show", dir)
-	if code != 0 || !strings.Contains(out, "leaving") || !strings.Contains(out, "out by hand") {
-		t.Errorf("saved show: exit code %d\n%s", code, out)
-	}
-	if code, out, _ := runCommand(t, "saved", "verify", dir); code != 0 || !strings.Contains(out, "whole") {
-		t.Errorf("saved verify: exit code %d\n%s", code, out)
-	}
+	checkSavedCommand(t, 0, []string{"leaving", "out by hand"}, "show", dir)
+	checkSavedCommand(t, 0, []string{"whole"}, "verify", dir)
+	checkDamagedSnapshot(t, dir, workers[2])
+	checkSavedCommand(t, 0, []string{"files removed"}, "prune", dir, "--keep", "1")
+}
 
+// checkDamagedSnapshot damages the newest snapshot of a cache, and checks that a start sets it aside and serves from the one before.
+func checkDamagedSnapshot(t *testing.T, dir string, worker *testWorker) {
+	t.Helper()
 	snapshots, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
-	writeCachedList(t, dir, time.Minute, nil, workers[2])
+	writeCachedList(t, dir, time.Minute, nil, worker)
 	withNewest, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
 	newest := withNewest[len(withNewest)-1]
 	if len(withNewest) != len(snapshots)+1 {
@@ -162,17 +185,12 @@
 	if err := os.WriteFile(newest, text[:len(text)-9], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, out, errors := runCommand(t, "saved", "verify", dir); code != 1 || !strings.Contains(out, "damaged") {
-		t.Errorf("saved verify of a damaged snapshot: exit code %d\n%s%s", code, out, errors)
-	}
-	third := startFromCache(t, dir, nil)
-	third.waitUntilServed("third")
-	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(newest))); err != nil || !damagedLine.MatchString(third.log()) {
+	checkSavedCommand(t, 1, []string{"damaged"}, "verify", dir)
+	restarted := startFromCache(t, dir, nil)
+	restarted.waitUntilServed("third")
+	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(newest))); err != nil || !damagedLine.MatchString(restarted.log()) {
 		t.Errorf("the damaged snapshot was not set aside and logged: %v", err)
 	}
-	if code, out, _ := runCommand(t, "saved", "prune", dir, "--keep", "1"); code != 0 || !strings.Contains(out, "files removed") {
-		t.Errorf("saved prune: exit code %d\n%s", code, out)
-	}
 }
 
 // TestEndpointCache_clockAndAge checks that a list from a day in the future serves, as the machine's clock may be wrong, and that a list of
--- a/cmd/brassdale/fleet_bench_test.go
+++ b/cmd/brassdale/fleet_bench_test.go
@@ -9,6 +9,33 @@
 	"time"
 )
 
+// sendBurst sends 3,000 requests from 16 clients at once, and returns the requests per second and the 99th percentile of their latency
+// in milliseconds.
+func sendBurst(t *testing.T, dispatcher *testDispatcher, keyPrefix string) (rate, p99MS float64) {
+	t.Helper()
+	const requests, clients = 3000, 16
+	var mu sync.Mutex
+	var latencies []time.Duration
+	var running sync.WaitGroup
+	beganAt := time.Now()
+	for client := range clients {
+		running.Go(func() {
+			for i := range requests / clients {
+				sentAt := time.Now()
+				if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("%s-%d-%d", keyPrefix, client, i))); status != 200 {
+					t.Errorf("status %d", status)
+				}
+				mu.Lock()
+				latencies = append(latencies, time.Since(sentAt))
+				mu.Unlock()
+			}
+		})
+	}
+	running.Wait()
+	slices.Sort(latencies)
+	return float64(len(latencies)) / time.Since(beganAt).Seconds(), latencies[len(latencies)*99/100].Seconds() * 1000
+}
+
 // TestDispatch_besideRaftGroup measures requests per second and the 99th percentile of their latency without a raft group, with one,
 // and with one that has lost its majority, in turns, as ratios to the first. It runs on request only:
 // BRASSDALE_BENCH=1 go test -run TestDispatch_besideRaftGroup -v ./cmd/brassdale
@@ -23,37 +50,13 @@
 		fleet.waitForVersion(1, 0, 1, 2)
 	}
 	withoutMajority.kill(1, 2)
-	const rounds, requests, clients = 9, 3000, 16
-	round := 0
-	burst := func(dispatcher *testDispatcher) (rate, p99 float64) {
-		round++
-		var mu sync.Mutex
-		var wait sync.WaitGroup
-		var latencies []time.Duration
-		begin := time.Now()
-		for client := range clients {
-			wait.Go(func() {
-				for i := range requests / clients {
-					sentAt := time.Now()
-					if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("b-%d-%d-%d", round, client, i))); status != 200 {
-						t.Errorf("status %d", status)
-					}
-					mu.Lock()
-					latencies = append(latencies, time.Since(sentAt))
-					mu.Unlock()
-				}
-			})
-		}
-		wait.Wait()
-		slices.Sort(latencies)
-		return float64(len(latencies)) / time.Since(begin).Seconds(), latencies[len(latencies)*99/100].Seconds() * 1000
-	}
+	const rounds = 9
 	names := []string{"off", "on", "no majority"}
 	dispatchers := []*testDispatcher{withoutGroup, withGroup.dispatchers[0], withoutMajority.dispatchers[0]}
 	rates, p99s := make([][]float64, 3), make([][]float64, 3)
 	for measured := range rounds + 1 { // the first round warms up
 		for i, dispatcher := range dispatchers {
-			rate, p99 := burst(dispatcher)
+			rate, p99 := sendBurst(t, dispatcher, fmt.Sprint("b-", measured, "-", i))
 			if measured > 0 {
 				rates[i], p99s[i] = append(rates[i], rate), append(p99s[i], p99)
 			}
--- a/cmd/brassdale/frontends_bench_test.go
+++ b/cmd/brassdale/frontends_bench_test.go
@@ -22,84 +22,89 @@
 	h2 "golang.org/x/net/http2"
 )
 
-// The load of these benchmarks is closed: so many jobs open at a time, each followed by the next. Their ratios tell
-// something, as both sides run in turns beside each other; the absolute figures are this machine's.
+// The load of these benchmarks is closed: so many requests are open at a time, and each is followed by the next. Their ratios are
+// meaningful, as both sides run in turns beside each other; the absolute figures are the machine's.
 const (
 	benchOpenRequests  = 100
 	benchRoundDuration = 1200 * time.Millisecond
 	benchRounds        = 7
 )
 
-// round is what came of a stretch of load.
+// loadRound is the result of a load over benchRoundDuration.
 type loadRound struct {
-	jobs      int
-	latencies []time.Duration
+	latencies []time.Duration // of each request
 	duration  time.Duration
 }
 
-func (r *loadRound) rate() float64 { return float64(r.jobs) / r.duration.Seconds() }
+// rate returns requests per second.
+func (r *loadRound) rate() float64 { return float64(len(r.latencies)) / r.duration.Seconds() }
 
-func (r *loadRound) percentile(p float64) time.Duration {
+// percentile returns the latency below which this part of the requests was answered; 0 without requests.
+func (r *loadRound) percentile(part float64) time.Duration {
 	if len(r.latencies) == 0 {
 		return 0
 	}
 	slices.Sort(r.latencies)
-	return r.latencies[min(int(p*float64(len(r.latencies))), len(r.latencies)-1)]
+	return r.latencies[min(int(part*float64(len(r.latencies))), len(r.latencies)-1)]
 }
 
+// benchKeys numbers the keys of all requests.
 var benchKeys atomic.Int64
 
-// gather runs so many of one load side by side and adds up what came of them.
-func runConcurrently(b *testing.B, many int, load func() (*loadRound, error)) *loadRound {
+// nextBenchKey returns a key that no request has had.
+func nextBenchKey() string { return strconv.FormatInt(benchKeys.Add(1), 16) }
+
+// runConcurrently runs a load of one connection so many times at once, and returns the results together.
+func runConcurrently(b *testing.B, connections int, load func() ([]time.Duration, error)) *loadRound {
+	b.Helper()
 	var mu sync.Mutex
-	var wait sync.WaitGroup
+	var loads sync.WaitGroup
 	all := &loadRound{}
-	begin := time.Now()
-	for range many {
-		wait.Go(func() {
-			mine, err := load()
+	beganAt := time.Now()
+	for range connections {
+		loads.Go(func() {
+			latencies, err := load()
 			if err != nil {
 				b.Error(err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all.jobs += len(mine.latencies)
-			all.latencies = append(all.latencies, mine.latencies...)
+			all.latencies = append(all.latencies, latencies...)
 		})
 	}
-	wait.Wait()
-	all.duration = time.Since(begin)
+	loads.Wait()
+	all.duration = time.Since(beganAt)
 	return all
 }
 
-// over1 keeps jobs open over HTTP/1.1, one on each connection.
+// loadHTTP1 has benchOpenRequests open over HTTP/1.1, one on each connection.
 func loadHTTP1(b *testing.B, address string, until time.Time) *loadRound {
-	return runConcurrently(b, benchOpenRequests, func() (*loadRound, error) { return loadHTTP1Connection(address, until) })
+	b.Helper()
+	return runConcurrently(b, benchOpenRequests, func() ([]time.Duration, error) { return loadHTTP1Connection(address, until) })
 }
 
-// load1 sends one job after the other on a connection.
-func loadHTTP1Connection(address string, until time.Time) (*loadRound, error) {
-	mine := &loadRound{}
+// loadHTTP1Connection sends one request after the other on a connection.
+func loadHTTP1Connection(address string, until time.Time) (latencies []time.Duration, err error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		return mine, err
+		return nil, err
 	}
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for time.Now().Before(until) {
-		key := strconv.FormatInt(benchKeys.Add(1), 16)
-		sent := time.Now()
+		key := nextBenchKey()
+		sentAt := time.Now()
 		fmt.Fprintf(conn, "POST /price-part HTTP/1.1\r\nHost: api.internal\r\nReq-Id: id-%s\r\nReq-Kind: price-part\r\nReq-Owner: taff-marine\r\nIdempotency-Key: %s\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 7\r\n\r\ndrawing", key, key)
-		if !readHTTP1Answer(reader) {
-			return mine, errors.New("no 200")
+		if !readServedHTTP1(reader) {
+			return latencies, errors.New("no status 200")
 		}
-		mine.latencies = append(mine.latencies, time.Since(sent))
+		latencies = append(latencies, time.Since(sentAt))
 	}
-	return mine, nil
+	return latencies, nil
 }
 
-// answered1 reads an answer of a few bytes.
-func readHTTP1Answer(reader *bufio.Reader) bool {
+// readServedHTTP1 reads a short answer and reports whether its status is 200.
+func readServedHTTP1(reader *bufio.Reader) bool {
 	status, err := reader.ReadSlice('\n')
 	if err != nil || !strings.Contains(string(status), " 200 ") {
 		return false
@@ -121,96 +126,124 @@
 	return err == nil
 }
 
-// over2 keeps jobs open over HTTP/2, as streams of so many connections.
-func loadHTTP2(b *testing.B, address string, conns int, until time.Time) *loadRound {
-	return runConcurrently(b, conns, func() (*loadRound, error) { return loadHTTP2Connection(address, benchOpenRequests/conns, until) })
+// loadHTTP2 has benchOpenRequests open over HTTP/2, as streams of so many connections.
+func loadHTTP2(b *testing.B, address string, connections int, until time.Time) *loadRound {
+	b.Helper()
+	return runConcurrently(b, connections, func() ([]time.Duration, error) {
+		return loadHTTP2Connection(address, benchOpenRequests/connections, until)
+	})
 }
 
-// load2 keeps streams open on one connection. Heads are literal fields, so that they cost this side nothing.
-func loadHTTP2Connection(address string, streams int, until time.Time) (*loadRound, error) {
-	mine := &loadRound{}
+const (
+	frameHeaderSize  = 9
+	hpackMethodPOST  = 0x83 // indexed fields of HPACK's static table
+	hpackSchemeHTTP  = 0x86
+	hpackStatus200   = 0x88
+	windowUpdateSize = 16 << 10 // received bytes after which the connection's window is opened again
+)
+
+// http2Load is a load over one HTTP/2 connection. Its header fields are literals, so that they cost the client nothing.
+type http2Load struct {
+	out        []byte               // frames to write
+	nextStream uint32               // the next stream's ID
+	sentAt     map[uint32]time.Time // of the open streams
+	unread     int                  // received bytes of data for which the window is not opened yet
+	latencies  []time.Duration
+}
+
+// loadHTTP2Connection has so many streams open on a connection until a moment, and returns when all are answered.
+func loadHTTP2Connection(address string, streams int, until time.Time) ([]time.Duration, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		return mine, err
+		return nil, err
 	}
 	defer conn.Close()
+	load := &http2Load{nextStream: 1, sentAt: map[uint32]time.Time{}}
 	io.WriteString(conn, h2.ClientPreface)
-	conn.Write([]byte{0, 0, 0, 4, 0, 0, 0, 0, 0})
-	var out []byte
-	next, open := uint32(1), 0
-	sent := map[uint32]time.Time{}
-	begin := func() {
-		key := strconv.FormatInt(benchKeys.Add(1), 16)
-		at := len(out)
-		out = append(out, 0, 0, 0, 1, 4, 0, 0, 0, 0)
-		out = append(out, 0x83, 0x86) // POST, http
-		for _, f := range [...][2]string{{":path", "/price-part"}, {":authority", "api.internal"}, {"req-id", "id-" + key}, {"req-kind", "price-part"},
-			{"req-owner", "taff-marine"}, {"idempotency-key", key}, {"req-deadline-ms", "5000"}, {"content-length", "7"}} {
-			out = append(append(out, 0, byte(len(f[0]))), f[0]...)
-			out = append(append(out, byte(len(f[1]))), f[1]...)
-		}
-		n := len(out) - at - 9
-		out[at], out[at+1], out[at+2] = byte(n>>16), byte(n>>8), byte(n)
-		binary.BigEndian.PutUint32(out[at+5:], next)
-		out = append(out, 0, 0, 7, 0, 1)
-		out = binary.BigEndian.AppendUint32(out, next)
-		out = append(out, "drawing"...)
-		sent[next] = time.Now()
-		next += 2
-		open++
-	}
+	conn.Write(appendFrameHeader(nil, 0, h2.FrameSettings, 0, 0))
 	reader := bufio.NewReaderSize(conn, 64<<10)
-	head := make([]byte, 9)
-	unread := 0
 	for {
-		for now := time.Now(); open < streams && now.Before(until); {
-			begin()
+		for now := time.Now(); len(load.sentAt) < streams && now.Before(until); {
+			load.appendRequest()
 		}
-		if len(out) > 0 && reader.Buffered() == 0 {
-			if _, err := conn.Write(out); err != nil {
-				return mine, err
+		if len(load.out) > 0 && reader.Buffered() == 0 {
+			if _, err := conn.Write(load.out); err != nil {
+				return load.latencies, err
 			}
-			out = out[:0]
+			load.out = load.out[:0]
 		}
-		if open == 0 {
-			return mine, nil
+		if len(load.sentAt) == 0 {
+			return load.latencies, nil
 		}
-		if _, err := io.ReadFull(reader, head); err != nil {
-			return mine, err
+		if err := load.readFrame(reader); err != nil {
+			return load.latencies, err
 		}
-		size, stream := int(head[0])<<16|int(head[1])<<8|int(head[2]), binary.BigEndian.Uint32(head[5:])
-		if head[3] == 1 { // the first byte of a head is its status, of the table that all know
-			if first, err := reader.ReadByte(); err != nil || first != 0x88 {
-				return mine, fmt.Errorf("stream %d: no 200 (%x, %v)", stream, first, err)
-			}
-			size--
-		}
-		if head[3] == 0 {
-			unread += size
-		}
-		if _, err := reader.Discard(size); err != nil {
-			return mine, err
-		}
-		switch {
-		case head[3] == 4 && head[4]&1 == 0:
-			out = append(out, 0, 0, 0, 4, 1, 0, 0, 0, 0)
-		case head[3] == 0 && head[4]&1 != 0 || head[3] == 1 && head[4]&1 != 0:
-			mine.latencies = append(mine.latencies, time.Since(sent[stream]))
-			delete(sent, stream)
-			open--
-		case head[3] == 3 || head[3] == 7:
-			return mine, fmt.Errorf("stream %d: frame of kind %d", stream, head[3])
-		}
-		if unread > 16<<10 {
-			out = append(out, 0, 0, 4, 8, 0, 0, 0, 0, 0)
-			out = binary.BigEndian.AppendUint32(out, uint32(unread))
-			unread = 0
+	}
+}
+
+// appendFrameHeader appends the header of a frame.
+func appendFrameHeader(out []byte, size int, frame h2.FrameType, flags h2.Flags, stream uint32) []byte {
+	out = append(out, byte(size>>16), byte(size>>8), byte(size), byte(frame), byte(flags))
+	return binary.BigEndian.AppendUint32(out, stream)
+}
+
+// appendRequest opens a stream with a complete request.
+func (l *http2Load) appendRequest() {
+	key := nextBenchKey()
+	block := []byte{hpackMethodPOST, hpackSchemeHTTP}
+	for _, field := range [...][2]string{{":path", "/price-part"}, {":authority", "api.internal"}, {"req-id", "id-" + key}, {"req-kind", "price-part"},
+		{"req-owner", "taff-marine"}, {"idempotency-key", key}, {"req-deadline-ms", "5000"}, {"content-length", "7"}} {
+		block = append(append(block, 0, byte(len(field[0]))), field[0]...)
+		block = append(append(block, byte(len(field[1]))), field[1]...)
+	}
+	l.out = appendFrameHeader(l.out, len(block), h2.FrameHeaders, h2.FlagHeadersEndHeaders, l.nextStream)
+	l.out = append(l.out, block...)
+	l.out = appendFrameHeader(l.out, len("drawing"), h2.FrameData, h2.FlagDataEndStream, l.nextStream)
+	l.out = append(l.out, "drawing"...)
+	l.sentAt[l.nextStream] = time.Now()
+	l.nextStream += 2
+}
+
+// readFrame reads a frame and appends what it calls for.
+func (l *http2Load) readFrame(reader *bufio.Reader) error {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(reader, header[:]); err != nil {
+		return err
+	}
+	size, stream := int(header[0])<<16|int(header[1])<<8|int(header[2]), binary.BigEndian.Uint32(header[5:])
+	frame, flags := h2.FrameType(header[3]), h2.Flags(header[4])
+	switch frame {
+	case h2.FrameHeaders: // its first byte is the status
+		if first, err := reader.ReadByte(); err != nil || first != hpackStatus200 {
+			return fmt.Errorf("stream %d: no status 200 (%x, %v)", stream, first, err)
 		}
+		size--
+	case h2.FrameData:
+		l.unread += size
+	}
+	if _, err := reader.Discard(size); err != nil {
+		return err
+	}
+	switch {
+	case frame == h2.FrameSettings && !flags.Has(h2.FlagSettingsAck):
+		l.out = appendFrameHeader(l.out, 0, h2.FrameSettings, h2.FlagSettingsAck, 0)
+	case frame == h2.FrameData && flags.Has(h2.FlagDataEndStream), frame == h2.FrameHeaders && flags.Has(h2.FlagHeadersEndStream):
+		l.latencies = append(l.latencies, time.Since(l.sentAt[stream]))
+		delete(l.sentAt, stream)
+	case frame == h2.FrameRSTStream, frame == h2.FrameGoAway:
+		return fmt.Errorf("stream %d: frame %s", stream, frame)
+	}
+	if l.unread > windowUpdateSize {
+		l.out = appendFrameHeader(l.out, 4, h2.FrameWindowUpdate, 0, 0)
+		l.out = binary.BigEndian.AppendUint32(l.out, uint32(l.unread))
+		l.unread = 0
 	}
+	return nil
 }
 
-// report prints the medians of rounds that ran in turns, and of the ratios to the first within each turn.
+// reportRounds logs the medians of rounds that ran in turns, and of the ratios to the first load within each turn.
 func reportRounds(b *testing.B, names []string, rounds [][]*loadRound) {
+	b.Helper()
 	for i, name := range names {
 		var rates, ratios []float64
 		var p50, p99, p999 []time.Duration
@@ -223,19 +256,19 @@
 	}
 }
 
-func median[T int | float64 | time.Duration](x []T) T {
-	x = slices.Clone(x)
-	slices.Sort(x)
-	return x[len(x)/2]
+// median returns the middle value.
+func median[T int | float64 | time.Duration](values []T) T {
+	values = slices.Clone(values)
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// BenchmarkPorts compares the ports of one program, and with BRASSDALE_BASE the platform's port of another binary
-// (then BRASSDALE_BINARY should name this one):
-// jobs that endpoints answer at once, on one core of the dispatcher's.
+// BenchmarkFrontends compares the frontends of one program, and with BRASSDALE_BASE the HTTP/1.1 frontend of another binary (then
+// BRASSDALE_BINARY should name this one), by requests whose jobs are answered at once, on one core of the dispatcher's.
 func BenchmarkFrontends(b *testing.B) {
-	debug.SetGCPercent(400) // of the load's own
-	workers := startBenchWorkers(b)
-	binary := os.Getenv("BRASSDALE_BINARY") // as it is built for service; else the tests' own
+	debug.SetGCPercent(400) // of the load, not of the program
+	workers := startWorkers(b, 12, completeAtOnce)
+	binary := os.Getenv("BRASSDALE_BINARY") // as it is built for service; empty for the tests' own
 	with, without := startBenchDispatcher(b, binary, http2Frontend+"keys {\n  jobs = 200000\n}\n", workers), startBenchDispatcher(b, binary, "", workers)
 	names := []string{"HTTP/1.1, no operator's file", "HTTP/1.1", "HTTP/2, 1 connection", "HTTP/2, 4 connections"}
 	loads := []func(time.Time) *loadRound{
@@ -245,9 +278,9 @@
 		func(until time.Time) *loadRound { return loadHTTP2(b, with.http2Address, 4, until) },
 	}
 	if base := os.Getenv("BRASSDALE_BASE"); base != "" {
-		old := startBenchDispatcher(b, base, "", workers)
+		before := startBenchDispatcher(b, base, "", workers)
 		names = append(names, "HTTP/1.1, binary before")
-		loads = append(loads, func(until time.Time) *loadRound { return loadHTTP1(b, old.http1Address, until) })
+		loads = append(loads, func(until time.Time) *loadRound { return loadHTTP1(b, before.http1Address, until) })
 	}
 	var rounds [][]*loadRound
 	for i := range benchRounds + 1 {
@@ -264,16 +297,19 @@
 	b.Logf("resident: %d MB with an operator's file, %d MB without", with.residentMB(), without.residentMB())
 }
 
-// BenchmarkStreams tells what open streams cost: a thousand jobs that wait for their endpoints.
+// BenchmarkOpenStreams measures the memory of 1,000 open streams whose jobs wait at their workers.
 func BenchmarkOpenStreams(b *testing.B) {
 	release := make(chan struct{})
-	workers := startBenchWorkersWith(b, 250, func(worker *testWorker, conn net.Conn, r *http.Request) { <-release; completeAtOnce(worker, conn, r) })
+	workers := startWorkers(b, 250, func(worker *testWorker, conn net.Conn, r *http.Request) {
+		<-release
+		completeAtOnce(worker, conn, r)
+	})
 	program := startBenchDispatcher(b, "", "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n  streams = 250\n}\n", workers)
 	before := program.residentMB()
 	until := time.Now().Add(2 * time.Second)
-	var wait sync.WaitGroup
+	var loads sync.WaitGroup
 	for range 10 {
-		wait.Go(func() {
+		loads.Go(func() {
 			if _, err := loadHTTP2Connection(program.http2Address, 100, until); err != nil {
 				b.Error(err)
 			}
@@ -282,7 +318,7 @@
 	time.Sleep(time.Until(until))
 	b.Logf("resident: %d MB before, %d MB with 1,000 streams open", before, program.residentMB())
 	close(release)
-	wait.Wait()
+	loads.Wait()
 }
 
 // benchProgram is a dispatcher under load.
@@ -291,27 +327,20 @@
 	http1Address, http2Address string
 }
 
+// residentMB returns the resident memory of the process.
 func (p *benchProgram) residentMB() int {
 	return int(processMemory(p.command.Process.Pid, "VmRSS") >> 20)
 }
 
-func startBenchWorkers(b *testing.B) []*testWorker {
-	return startBenchWorkersWith(b, 12, completeAtOnce)
-}
-
-func startBenchWorkersWith(b *testing.B, many int, script jobHandler) (workers []*testWorker) {
-	for i := range many {
-		workers = append(workers, startWorker(b, fmt.Sprint("worker-", i), script))
-	}
-	return workers
-}
-
+// startBenchDispatcher starts a dispatcher from a binary; empty for the tests' own.
 func startBenchDispatcher(b *testing.B, binary, operator string, workers []*testWorker) *benchProgram {
 	dispatcher := newTestDispatcher(b, newTestDiscovery(workers...))
 	dispatcher.binary = binary
-	dispatcher.start(operator, func(config string) string {
-		// Slots enough that nothing waits: the ports are measured, not the module's care for endpoints.
-		return strings.Replace(config, `"probing":true`, `"probing":false`, 1)
-	})
-	return &benchProgram{command: dispatcher.command, http1Address: strings.TrimPrefix(dispatcher.http1URL, "http://"), http2Address: strings.TrimPrefix(dispatcher.http2URL, "http://")}
+	// Without probes nothing waits for capacity: the frontends are measured, not the placement of requests.
+	dispatcher.start(operator, withSetting(`"probing":true`, `"probing":false`))
+	return &benchProgram{
+		command:      dispatcher.command,
+		http1Address: strings.TrimPrefix(dispatcher.http1URL, "http://"),
+		http2Address: strings.TrimPrefix(dispatcher.http2URL, "http://"),
+	}
 }
--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -13,23 +13,24 @@
 	"time"
 )
 
-// changingList is a discovery that tells changes: each second one worker of a list drains, and one comes back.
+// changingList is a discovery service that answers with changes. At each change one worker drains, and the one before is active again.
 type changingList struct {
 	mu        sync.Mutex
 	workers   []*testWorker
 	changedAt []int // by worker: the revision of its last change
 	phases    []string
 	revision  int
-	bytes     atomic.Int64
-	updated   chan struct{}
+	bytes     atomic.Int64  // sent in answers
+	updated   chan struct{} // closed and replaced at each change
 }
 
-func (l *changingList) memberJSON(i int) string {
+// memberJSON returns a worker's line of the list. The caller holds l.mu.
+func (l *changingList) memberJSON(index int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"llanelli","flavor":"new-worker","cell":1,"phase":%q,"size":1.0,"up_since_ms":0}`,
-		l.workers[i].id, l.workers[i].listener.Addr(), l.phases[i])
+		l.workers[index].id, l.workers[index].listener.Addr(), l.phases[index])
 }
 
-// list words what is newer than a revision; c.mu is held.
+// listJSON returns what has changed after a revision; the complete list after -1. The caller holds l.mu.
 func (l *changingList) listJSON(after int) string {
 	var lines []string
 	for i := range l.workers {
@@ -40,6 +41,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, l.revision, after < 0, strings.Join(lines, ","))
 }
 
+// ServeHTTP answers a call when the list is newer than the caller's, or when the call's wait is over.
 func (l *changingList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.URL.Query().Get("index"))
 	if err != nil {
@@ -47,11 +49,11 @@
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	l.mu.Lock()
-	newer, news := l.revision > after, l.updated
+	newer, updated := l.revision > after, l.updated
 	l.mu.Unlock()
 	if !newer {
 		select {
-		case <-news:
+		case <-updated:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-r.Context().Done():
 			return
@@ -64,21 +66,21 @@
 	fmt.Fprint(w, text)
 }
 
-// change has the next worker drain and the one before come back.
+// drainNext has the next worker drain and the one before become active.
 func (l *changingList) drainNext() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision++
-	n := len(l.workers)
-	for i, phase := range map[int]string{l.revision % n: "leaving", (l.revision - 1) % n: "active"} {
+	count := len(l.workers)
+	for i, phase := range map[int]string{l.revision % count: "leaving", (l.revision - 1) % count: "active"} {
 		l.phases[i], l.changedAt[i] = phase, l.revision
 	}
 	close(l.updated)
 	l.updated = make(chan struct{})
 }
 
-// BenchmarkGrowth gives what one dispatcher needs at 1, 4 and 16 times 200 workers, with the same traffic: CPU and peak memory of its
-// process, descriptors, connections to workers, bytes of lists.
+// BenchmarkGrowth measures what one dispatcher needs at 200, 800 and 3,200 workers with the same traffic: processor time and peak memory
+// of its process, descriptors, connections to workers, and bytes of lists.
 func BenchmarkGrowth(b *testing.B) {
 	for _, size := range []struct{ workers, dispatchers int }{{200, 300}, {800, 900}, {3200, 900}} {
 		b.Run(fmt.Sprintf("workers-%d", size.workers), func(b *testing.B) {
@@ -91,63 +93,71 @@
 
 const (
 	growthDuration          = 20 * time.Second
-	growthRequestsPerSecond = 20 // requests a second
+	growthRequestsPerSecond = 20
 )
 
-func measureGrowth(b *testing.B, size, dispatchers int) {
-	c := &changingList{updated: make(chan struct{}), changedAt: make([]int, size), phases: make([]string, size)}
-	for i := range size {
-		c.workers, c.phases[i] = append(c.workers, startWorker(b, fmt.Sprintf("w%04d", i), completeJob)), "active"
+// startInLargeDeployment starts a dispatcher, one of so many, with its discovery.
+func startInLargeDeployment(b *testing.B, workers, dispatchers int) (*testDispatcher, *changingList) {
+	b.Helper()
+	list := &changingList{updated: make(chan struct{}), changedAt: make([]int, workers), phases: make([]string, workers)}
+	for i := range workers {
+		list.workers, list.phases[i] = append(list.workers, startWorker(b, fmt.Sprintf("w%04d", i), completeJob)), "active"
 	}
-	find := httptest.NewServer(c)
-	defer find.Close()
-	defer find.CloseClientConnections()
-	c.mu.Lock()
-	known := c.listJSON(-1)
-	c.mu.Unlock()
+	server := httptest.NewServer(list)
+	b.Cleanup(server.Close)
+	b.Cleanup(server.CloseClientConnections)
+	list.mu.Lock()
+	known := list.listJSON(-1)
+	list.mu.Unlock()
 	dispatcher := startWithConfig(b, fmt.Sprintf(`{"name":"n7","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
-		find.Listener.Addr(), known, strings.Replace(settingsJSON, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":7,"replicasOfMe":%d`, dispatchers), 1)))
-	served, most := atomic.Int64{}, 0
-	var wait sync.WaitGroup
+		server.Listener.Addr(), known, strings.Replace(settingsJSON, `"replicasOfMe":1`, fmt.Sprintf(`"ordinal":7,"replicasOfMe":%d`, dispatchers), 1)))
+	return dispatcher, list
+}
+
+// measureGrowth sends requests and changes the list once a second, and reports what the process needed.
+func measureGrowth(b *testing.B, workers, dispatchers int) {
+	b.Helper()
+	dispatcher, list := startInLargeDeployment(b, workers, dispatchers)
+	served, peakDescriptors := atomic.Int64{}, 0
+	var requests sync.WaitGroup
 	for i, end := 0, time.Now().Add(growthDuration); time.Now().Before(end); i++ {
 		time.Sleep(time.Second / growthRequestsPerSecond)
 		if i%growthRequestsPerSecond == 0 {
-			c.drainNext()
-			if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", dispatcher.command.Process.Pid)); err == nil {
-				most = max(most, len(fds))
+			list.drainNext()
+			if descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", dispatcher.command.Process.Pid)); err == nil {
+				peakDescriptors = max(peakDescriptors, len(descriptors))
 			}
 		}
-		wait.Go(func() {
+		requests.Go(func() {
 			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("g%d", i), "Cookie", fmt.Sprintf("user=%016x", i%50))); status == 200 {
 				served.Add(1)
 			}
 		})
 	}
-	wait.Wait()
-	cpu, peak := processCost(dispatcher.command.Process.Pid)
-	conns := 0
-	for _, worker := range c.workers {
-		made := worker.connectionCount()
-		conns += made
+	requests.Wait()
+	processorTime, peakMemory := processCost(dispatcher.command.Process.Pid)
+	connections := 0
+	for _, worker := range list.workers {
+		connections += worker.connectionCount()
 	}
-	b.ReportMetric(cpu.Seconds(), "cpu-s")
-	b.ReportMetric(float64(peak)/(1<<20), "peak-MB")
-	b.ReportMetric(float64(most), "descriptors")
-	b.ReportMetric(float64(conns), "connections")
-	b.ReportMetric(float64(c.bytes.Load())/1024, "list-KB")
+	b.ReportMetric(processorTime.Seconds(), "cpu-s")
+	b.ReportMetric(float64(peakMemory)/(1<<20), "peak-MB")
+	b.ReportMetric(float64(peakDescriptors), "descriptors")
+	b.ReportMetric(float64(connections), "connections")
+	b.ReportMetric(float64(list.bytes.Load())/1024, "list-KB")
 	b.ReportMetric(float64(served.Load()), "served")
 	dispatcher.kill()
 }
 
-// processCost gives the processor time of a process so far and its peak memory in bytes.
-func processCost(pid int) (cpu time.Duration, peak int64) {
+// processCost returns the processor time of a process so far, and its peak memory in bytes.
+func processCost(pid int) (processorTime time.Duration, peakMemory int64) {
 	const ticksPerSecond = 100
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		_, rest, _ := strings.Cut(string(text), ") ")
 		fields := strings.Fields(rest)
 		user, _ := strconv.Atoi(fields[11])
 		system, _ := strconv.Atoi(fields[12])
-		cpu = time.Duration(user+system) * time.Second / ticksPerSecond
+		processorTime = time.Duration(user+system) * time.Second / ticksPerSecond
 	}
-	return cpu, processMemory(pid, "VmHWM")
+	return processorTime, processMemory(pid, "VmHWM")
 }
--- a/cmd/brassdale/handover_test.go
+++ b/cmd/brassdale/handover_test.go
@@ -12,6 +12,30 @@
 	"time"
 )
 
+// sendOnNewConnections sends requests, each on a new connection, and checks that they are served, until stop is closed. It then sends how
+// many there were.
+func (d *testDispatcher) sendOnNewConnections() (stop chan<- struct{}, sent <-chan int) {
+	stopped, done := make(chan struct{}), make(chan int)
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	go func() {
+		requests := 0
+		defer func() { done <- requests }()
+		for ; ; requests++ {
+			select {
+			case <-stopped:
+				return
+			default:
+			}
+			if resp, err := client.Do(newRequest(d.http1URL, fmt.Sprint("new-", requests))); err != nil {
+				d.t.Errorf("request %d on a new connection: %v", requests, err)
+			} else if resp.Body.Close(); resp.StatusCode != 200 {
+				d.t.Errorf("request %d on a new connection: status %d", requests, resp.StatusCode)
+			}
+		}
+	}()
+	return stopped, done
+}
+
 // TestHandover_noRequestLost checks that clients are served throughout a handover: new connections are the successor's, open requests end
 // at the predecessor, and its idle connections are closed after an answer.
 func TestHandover_noRequestLost(t *testing.T) {
@@ -24,9 +48,9 @@
 		completeJob(worker, conn, r)
 	})
 	dispatcher := startDispatcher(t, "", worker)
-	oneConnection := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
+	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	send := func(key string) *http.Response {
-		resp, err := oneConnection.Do(newRequest(dispatcher.http1URL, key))
+		resp, err := client.Do(newRequest(dispatcher.http1URL, key))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,23 +63,7 @@
 	}
 	waiting := dispatcher.sendInBackground(worker, "waits")
 
-	stop, done := make(chan struct{}), make(chan int)
-	go func() { // sends requests all the time, each on a new connection
-		requests := 0
-		defer func() { done <- requests }()
-		for client := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}); ; requests++ {
-			select {
-			case <-stop:
-				return
-			default:
-			}
-			if resp, err := client.Do(newRequest(dispatcher.http1URL, fmt.Sprint("new-", requests))); err != nil {
-				t.Errorf("request %d on a new connection: %v", requests, err)
-			} else if resp.Body.Close(); resp.StatusCode != 200 {
-				t.Errorf("request %d on a new connection: status %d", requests, resp.StatusCode)
-			}
-		}
-	}()
+	stop, sent := dispatcher.sendOnNewConnections()
 	successor := dispatcher.startSuccessor("")
 	if successor.http1URL != dispatcher.http1URL {
 		t.Fatalf("the successor serves at %s, not at %s", successor.http1URL, dispatcher.http1URL)
@@ -79,7 +87,7 @@
 		t.Errorf("after the handover: status %d, or not served by the successor", resp.StatusCode)
 	}
 	close(stop)
-	if requests := <-done; requests < 10 {
+	if requests := <-sent; requests < 10 {
 		t.Errorf("%d requests on new connections meanwhile, want 10 at least", requests)
 	}
 }
@@ -113,6 +121,16 @@
 	}
 }
 
+// checkServesNewClient checks that a request on a new connection is served.
+func (d *testDispatcher) checkServesNewClient(key string) {
+	d.t.Helper()
+	r := newRequest(d.http1URL, key)
+	r.Close = true
+	if status, _, _ := d.send(r); status != 200 {
+		d.t.Errorf("%s: status %d", key, status)
+	}
+}
+
 // TestHandover_peerFailures checks that a process whose successor is killed serves and can hand over again, and that a process which
 // finds the socket of a killed predecessor, or one that does not answer, starts alone.
 func TestHandover_peerFailures(t *testing.T) {
@@ -122,15 +140,7 @@
 	dispatcher.waitForHandovers(1)
 	killed.kill()
 	dispatcher.waitForLog("continuing alone")
-	checkServes := func(dispatcher *testDispatcher, key string) {
-		t.Helper()
-		r := newRequest(dispatcher.http1URL, key)
-		r.Close = true
-		if status, _, _ := dispatcher.send(r); status != 200 {
-			t.Errorf("%s: status %d", key, status)
-		}
-	}
-	checkServes(dispatcher, "successor killed")
+	dispatcher.checkServesNewClient("successor killed")
 	if dispatcher.metric("replies.price-part.success") != 1 {
 		t.Error("the request was not served by the remaining process")
 	}
@@ -142,7 +152,7 @@
 	dispatcher.waitForHandovers(2)
 	dispatcher.terminate()
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
-	checkServes(second, "second successor")
+	second.checkServesNewClient("second successor")
 	second.kill()
 
 	files, _ := filepath.Glob(filepath.Join(dispatcher.tempDir, "*.sock"))
@@ -150,7 +160,7 @@
 		t.Fatalf("sockets of killed processes: %v, want one", files)
 	}
 	afterKill := dispatcher.startSuccessor("")
-	checkServes(afterKill, "predecessor killed")
+	afterKill.checkServesNewClient("predecessor killed")
 	afterKill.kill()
 
 	// A socket whose connections are accepted and never answered.
@@ -163,7 +173,7 @@
 		t.Fatal(err)
 	}
 	besideHung := dispatcher.startSuccessor("")
-	checkServes(besideHung, "predecessor does not answer")
+	besideHung.checkServesNewClient("predecessor does not answer")
 	if !strings.Contains(besideHung.log(), "starting alone") {
 		t.Error("the log does not say that the process starts alone")
 	}
--- a/cmd/brassdale/http1_misuse_test.go
+++ b/cmd/brassdale/http1_misuse_test.go
@@ -12,6 +12,19 @@
 	"time"
 )
 
+// sendText sends a text at once or byte by byte, and stops if the connection is closed.
+func sendText(conn net.Conn, text string, byteByByte bool) {
+	size := len(text)
+	if byteByByte {
+		size = 1
+	}
+	for ; len(text) > 0; text = text[size:] {
+		if _, err := io.WriteString(conn, text[:size]); err != nil {
+			return
+		}
+	}
+}
+
 // TestHTTP1_conflictingLengths checks that a request with two lengths is answered 400, whether its bytes come at once or one by one, and
 // that a request hidden in its body never runs. Requests before it on the connection are answered. net/http alone would silently read
 // it by one of its lengths.
@@ -38,30 +51,21 @@
 		{coded + hidden, "200"}, // nothing after it is read, so nothing can be misread
 		{strings.Replace(good, "1.1\r\n", "1.0\r\nConnection: keep-alive\r\n", 1) + hidden, "200"},
 	} {
-		for _, split := range []bool{false, true} {
-			conn := dispatcher.dial().(*net.TCPConn)
-			text := strings.ReplaceAll(test.text, "ID", fmt.Sprintf("id-%d-%v", i, split))
-			for len(text) > 0 {
-				size := len(text)
-				if split {
-					size = 1
-				}
-				if _, err := io.WriteString(conn, text[:size]); err != nil {
-					break // the connection was closed after the answer
-				}
-				text = text[size:]
-			}
-			var got []string
-			for reader := bufio.NewReader(conn); len(got) < strings.Count(test.want, " ")+1; {
+		for _, byteByByte := range []bool{false, true} {
+			conn := dispatcher.dial()
+			text := strings.ReplaceAll(test.text, "ID", fmt.Sprintf("id-%d-%v", i, byteByByte))
+			sendText(conn, text, byteByByte) // the connection may be closed after an answer
+			var statuses []string
+			for reader := bufio.NewReader(conn); len(statuses) < strings.Count(test.want, " ")+1; {
 				resp, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					t.Fatalf("case %d, byte by byte %v: %v after %v", i, split, err, got)
+					t.Fatalf("case %d, byte by byte %v: %v after %v", i, byteByByte, err, statuses)
 				}
 				io.Copy(io.Discard, resp.Body)
-				got = append(got, fmt.Sprint(resp.StatusCode))
+				statuses = append(statuses, fmt.Sprint(resp.StatusCode))
 			}
-			if strings.Join(got, " ") != test.want {
-				t.Errorf("case %d, byte by byte %v: answered %v, want %s", i, split, got, test.want)
+			if strings.Join(statuses, " ") != test.want {
+				t.Errorf("case %d, byte by byte %v: answered %v, want %s", i, byteByByte, statuses, test.want)
 			}
 		}
 	}
--- a/cmd/brassdale/http2_test.go
+++ b/cmd/brassdale/http2_test.go
@@ -71,24 +71,28 @@
 	}
 }
 
-// TestHTTP2_cancelledStreams checks streams that are cancelled at each stage of their requests: started attempts are cancelled, no key
-// runs twice, and the other streams of the connection are served.
-func TestHTTP2_cancelledStreams(t *testing.T) {
-	t.Parallel()
-	release := make(chan struct{})
-	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
-		switch key := r.Header.Get("Idempotency-Key"); {
-		case strings.HasPrefix(key, "started"):
+// stallByKey returns a handler that stalls for key "silent", and after the start for key "started"; key "other" waits for the release.
+func stallByKey(release <-chan struct{}) jobHandler {
+	return func(worker *testWorker, conn net.Conn, r *http.Request) {
+		switch r.Header.Get("Idempotency-Key") {
+		case "started":
 			respondThenStall(`"state":"started"`)(worker, conn, r)
-		case strings.HasPrefix(key, "silent"):
+		case "silent":
 			respondThenStall()(worker, conn, r)
-		case key == "other":
-			<-release
-			completeJob(worker, conn, r)
+		case "other":
+			completeWhenReleased(release)(worker, conn, r)
 		default:
 			completeJob(worker, conn, r)
 		}
-	})
+	}
+}
+
+// TestHTTP2_cancelledStreams checks streams that are cancelled at each stage of their requests: started attempts are cancelled, no key
+// runs twice, and the other streams of the connection are served.
+func TestHTTP2_cancelledStreams(t *testing.T) {
+	t.Parallel()
+	release := make(chan struct{})
+	worker := startWorker(t, "a", stallByKey(release))
 	dispatcher := startDispatcher(t, http2Frontend, worker)
 	client := dispatcher.connectHTTP2()
 	client.sendRequest(1, "other")
--- a/cmd/brassdale/idempotency_test.go
+++ b/cmd/brassdale/idempotency_test.go
@@ -11,69 +11,106 @@
 	h2 "golang.org/x/net/http2"
 )
 
-// TestIdempotencyKey_atBothFrontends checks that a key runs once whichever frontend its requests come to: at the same time, and until its
-// deduplication window has passed. A key for another account's request is rejected, and one whose request never ran may be used again.
-func TestIdempotencyKey_atBothFrontends(t *testing.T) {
-	t.Parallel()
-	release := make(chan struct{})
-	handler := func(worker *testWorker, conn net.Conn, r *http.Request) {
-		if strings.HasPrefix(r.Header.Get("Idempotency-Key"), "both") {
+// bothFrontends sends requests to the HTTP/1.1 frontend (0) and to the HTTP/2 frontend (1) of a dispatcher with two workers.
+type bothFrontends struct {
+	*testDispatcher
+	workers []*testWorker
+	urls    [2]string
+	clients [2]*http.Client
+}
+
+// sendTo sends a request to a frontend, and returns status 0 where there is no answer.
+func (f *bothFrontends) sendTo(frontend int, key string, headers ...string) (status int, body string) {
+	status, body, _ = trySend(f.clients[frontend], newRequest(f.urls[frontend], key, headers...))
+	return status, body
+}
+
+// runs returns how often a key has run.
+func (f *bothFrontends) runs(key string) int {
+	return f.workers[0].runsOf(key) + f.workers[1].runsOf(key)
+}
+
+// waitOrDeclineOnce returns a handler by which jobs of key "both" wait for the release, and the first job of key "declined" is declined.
+func waitOrDeclineOnce(release <-chan struct{}) jobHandler {
+	return func(worker *testWorker, conn net.Conn, r *http.Request) {
+		key := r.Header.Get("Idempotency-Key")
+		if key == "both" {
 			<-release
 		}
-		if r.Header.Get("Idempotency-Key") == "declined" && worker.runsOf("declined") < 2 {
+		if key == "declined" && worker.runsOf(key) < 2 {
 			respondRaw("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")(worker, conn, r)
 			return
 		}
 		completeJob(worker, conn, r)
 	}
+}
+
+// TestIdempotencyKey_atBothFrontends checks that a key runs once whichever frontend its requests come to: at the same time, and until its
+// deduplication window has passed. A key for another account's request is rejected, and one whose request never ran may be used again.
+func TestIdempotencyKey_atBothFrontends(t *testing.T) {
+	t.Parallel()
+	release := make(chan struct{})
 	// Workers in two cells do not know what the other runs.
-	workers := startNamedWorkers(t, handler, "a", "b")
+	workers := startNamedWorkers(t, waitOrDeclineOnce(release), "a", "b")
 	workers[1].cell = "2"
-	const window = time.Second
 	dispatcher := startDispatcherWith(t, http2Frontend, withSetting(`"window":7500000`, `"window":1000000`), workers...)
-	runs := func(key string) int { return workers[0].runsOf(key) + workers[1].runsOf(key) }
-	clients := []*http.Client{http.DefaultClient, newHTTP2Client(t)}
-	urls := []string{dispatcher.http1URL, dispatcher.http2URL}
+	frontends := &bothFrontends{
+		testDispatcher: dispatcher,
+		workers:        workers,
+		urls:           [2]string{dispatcher.http1URL, dispatcher.http2URL},
+		clients:        [2]*http.Client{http.DefaultClient, newHTTP2Client(t)},
+	}
 
-	// At the same time, twice at each frontend.
 	answers := make(chan string, 4)
-	for i := range 4 {
+	for i := range 4 { // at the same time, two at each frontend
 		go func() {
-			status, body, _ := trySend(clients[i%2], newRequest(urls[i%2], "both", "Req-Id", fmt.Sprint("both-", i)))
+			status, body := frontends.sendTo(i%2, "both", "Req-Id", fmt.Sprint("both-", i))
 			answers <- fmt.Sprint(status, " ", body)
 		}()
 	}
-	dispatcher.waitFor("two streams and one run", func() bool { return dispatcher.metric("front.http2.streams") == 2 && runs("both") == 1 })
+	dispatcher.waitFor("two streams and one run", func() bool {
+		return dispatcher.metric("front.http2.streams") == 2 && frontends.runs("both") == 1
+	})
 	close(release)
 	for range 4 {
 		if answer := <-answers; answer != "200 priced" {
 			t.Errorf("requests of one key at the same time: %s", answer)
 		}
 	}
-	ofAnotherAccount := newRequest(urls[1], "both", "Req-Id", "both-x", "Req-Owner", "another")
-	if status, _, _ := trySend(clients[1], ofAnotherAccount); status != 422 {
+	if status, _ := frontends.sendTo(1, "both", "Req-Id", "both-x", "Req-Owner", "another"); status != 422 {
 		t.Errorf("the key for another account's request: status %d", status)
 	}
-	// Until the window has passed the answer is the same at either frontend; then the key runs again.
-	beganAt := time.Now()
-	rounds := 0
-	dispatcher.waitFor("a second run", func() bool {
-		for i, url := range urls {
-			if status, body, _ := trySend(clients[i], newRequest(url, "both", "Req-Id", fmt.Sprint("again-", i, rounds))); status != 200 || body != "priced" {
+	frontends.checkWindow(t, "both", time.Second)
+	frontends.checkDeclinedKey(t, "declined")
+}
+
+// checkWindow checks that the answer of a key that has run once is the same at either frontend until its window has passed, and that the
+// key then runs again.
+func (f *bothFrontends) checkWindow(t *testing.T, key string, window time.Duration) {
+	t.Helper()
+	beganAt, rounds := time.Now(), 0
+	f.waitFor("a second run", func() bool {
+		for frontend := range f.clients {
+			status, body := f.sendTo(frontend, key, "Req-Id", fmt.Sprint("again-", frontend, rounds))
+			if status != 200 || body != "priced" {
 				t.Errorf("a repeated request: status %d %s", status, body)
 			}
 		}
 		rounds++
-		return runs("both") > 1
+		return f.runs(key) > 1
 	})
-	if took := time.Since(beganAt); runs("both") != 2 || rounds < 2 || took < window-500*time.Millisecond {
-		t.Errorf("%d runs, %d rounds of repeated requests in %v", runs("both"), rounds, took)
+	if took := time.Since(beganAt); f.runs(key) != 2 || rounds < 2 || took < window-500*time.Millisecond {
+		t.Errorf("%d runs, %d rounds of repeated requests in %v", f.runs(key), rounds, took)
 	}
-	// What was declined never ran: the key may be used again.
+}
+
+// checkDeclinedKey checks that a key whose first job is declined, so that it never ran, may be used again.
+func (f *bothFrontends) checkDeclinedKey(t *testing.T, key string) {
+	t.Helper()
 	for _, want := range []int{503, 200} {
 		status := 0
-		dispatcher.waitFor("status 503 or 200", func() bool {
-			status, _, _ = trySend(clients[1], newRequest(urls[1], "declined", "Req-Deadline-Ms", "300"))
+		f.waitFor("status 503 or 200", func() bool {
+			status, _ = f.sendTo(1, key, "Req-Deadline-Ms", "300")
 			return status == 503 || status == 200
 		})
 		if status == 200 {
--- a/cmd/brassdale/progress_test.go
+++ b/cmd/brassdale/progress_test.go
@@ -55,11 +55,11 @@
 	return event
 }
 
-// checkEvents compares events with those that are wanted, separated by ", ".
-func checkEvents(t *testing.T, what string, got []string, want string) {
+// checkEvents compares events with the wanted ones, which are separated by ", ".
+func checkEvents(t *testing.T, what string, events []string, want string) {
 	t.Helper()
-	if text := strings.Join(got, ", "); text != want {
-		t.Errorf("%s: got %s, want %s", what, text, want)
+	if got := strings.Join(events, ", "); got != want {
+		t.Errorf("%s: got %s, want %s", what, got, want)
 	}
 }
 
--- a/cmd/brassdale/quotas_bench_test.go
+++ b/cmd/brassdale/quotas_bench_test.go
@@ -13,36 +13,36 @@
 	"time"
 )
 
-// arrival is a job of a recorded stretch of traffic.
+// recordedRequest is a request of recorded traffic.
 type recordedRequest struct {
-	at      time.Duration
+	at      time.Duration // since the start
 	account string
 }
 
-// customers have their shares of the works; the first sends five times its own.
+// benchAccounts have their shares of the deployment; the first sends five times its own.
 var benchAccounts = []struct {
 	name  string
 	share float64
 }{{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18}, {"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08}}
 
-// recorded is traffic of 400 jobs/s at the shares, and the greedy account's surplus.
-func recordTraffic(span time.Duration) (trace []recordedRequest) {
+// recordTraffic returns traffic of 400 requests per second at the accounts' shares, and what the first account sends beyond its own.
+func recordTraffic(duration time.Duration) (trace []recordedRequest) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for i, account := range benchAccounts {
 		rate := 400 * account.share
 		if i == 0 {
 			rate *= 5
 		}
-		for at := time.Duration(0); at < span; {
+		for at := time.Duration(0); at < duration; {
 			at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 			trace = append(trace, recordedRequest{at, account.name})
 		}
 	}
-	slices.SortFunc(trace, func(request, b recordedRequest) int { return int(request.at - b.at) })
+	slices.SortFunc(trace, func(a, b recordedRequest) int { return int(a.at - b.at) })
 	return trace
 }
 
-// gone tells whether the other side has closed a connection on which nothing is to come.
+// connectionClosed reports whether the other side has closed a connection on which nothing more is to come.
 func connectionClosed(conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
 	defer conn.SetReadDeadline(time.Time{})
@@ -50,45 +50,56 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
+// inTimeLimit is how long after it was due a request may be answered to count as served in time.
 const inTimeLimit = 400 * time.Millisecond
 
-// play hands the traffic in, each job at its time whatever became of those before, and gives the parts of each account's
-// jobs, and of all, that were served in time.
-func replay(trace []recordedRequest, send func(i int, account string) int) map[string]float64 {
+// sendOnSchedule calls send for each request when it is due, whatever became of those before, and waits for all calls.
+func sendOnSchedule(schedule []time.Duration, send func(index int, due time.Time)) {
+	var calls sync.WaitGroup
+	beganAt := time.Now()
+	for i, at := range schedule {
+		due := beganAt.Add(at)
+		time.Sleep(time.Until(due))
+		calls.Go(func() { send(i, due) })
+	}
+	calls.Wait()
+}
+
+// replay sends recorded traffic and returns the share of requests that were served in time, by account and as "all".
+func replay(trace []recordedRequest, send func(index int, account string) (status int)) map[string]float64 {
+	var schedule []time.Duration
+	for _, request := range trace {
+		schedule = append(schedule, request.at)
+	}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	asked, good := map[string]float64{}, map[string]float64{}
-	begin := time.Now()
-	for i, request := range trace {
-		time.Sleep(time.Until(begin.Add(request.at)))
-		wait.Go(func() {
-			status := send(i, request.account)
-			mu.Lock()
-			defer mu.Unlock()
-			for _, of := range []string{request.account, "all"} {
-				asked[of]++
-				if status == 200 && time.Since(begin) < request.at+inTimeLimit {
-					good[of]++
-				}
+	sent, inTime := map[string]float64{}, map[string]float64{}
+	sendOnSchedule(schedule, func(index int, due time.Time) {
+		account := trace[index].account
+		status := send(index, account)
+		mu.Lock()
+		defer mu.Unlock()
+		for _, key := range []string{account, "all"} {
+			sent[key]++
+			if status == 200 && time.Since(due) < inTimeLimit {
+				inTime[key]++
 			}
-		})
-	}
-	wait.Wait()
-	for of := range asked {
-		good[of] /= asked[of]
+		}
+	})
+	for key := range sent {
+		inTime[key] /= sent[key]
 	}
-	return good
+	return inTime
 }
 
-// BenchmarkMixed plays the same traffic over HTTP/1.1, over HTTP/2 and half and half, in turns: 12 endpoints of 5 slots
-// and 100 ms a job can do 600 jobs/s of the 770 that come, and what is too much is one account's.
+// BenchmarkQuotas replays the same traffic over HTTP/1.1, over HTTP/2 and half over each, in turns: 12 workers of 5 slots and 100 ms a
+// job serve 600 of the 770 requests per second, and the surplus is one account's.
 func BenchmarkQuotas(b *testing.B) {
-	slots := sync.Map{}
-	workers := startBenchWorkersWith(b, 12, func(worker *testWorker, conn net.Conn, r *http.Request) {
+	slots := sync.Map{} // by worker
+	workers := startWorkers(b, 12, func(worker *testWorker, conn net.Conn, r *http.Request) {
 		free, _ := slots.LoadOrStore(worker, make(chan struct{}, 5))
 		free.(chan struct{}) <- struct{}{}
 		defer func() { <-free.(chan struct{}) }()
-		if connectionClosed(conn) { // a copy was called off while it waited: workers drop those
+		if connectionClosed(conn) { // the attempt was cancelled while it waited
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -105,33 +116,43 @@
 	urls := []string{"http://" + program.http1Address, "http://" + program.http2Address}
 	trace := recordTraffic(4 * time.Second)
 	modes := []string{"HTTP/1.1", "HTTP/2", "half and half"}
-	parts := map[string][][]float64{} // by account, by mode, a figure for each round
+	shares := map[string][][]float64{} // by account, by mode, for each round
 	for round := range 6 {
 		for mode := range modes {
-			good := replay(trace, func(i int, account string) int {
-				port := mode
+			inTime := replay(trace, func(index int, account string) int {
+				frontend := mode
 				if mode == 2 {
-					port = i % 2
+					frontend = index % 2
 				}
-				status, _, _ := trySend(clients[port], newRequest(urls[port], fmt.Sprint("mixed-", round, mode, "-", i), "Req-Owner", account))
+				status, _, _ := trySend(clients[frontend], newRequest(urls[frontend], fmt.Sprint("mixed-", round, mode, "-", index), "Req-Owner", account))
 				return status
 			})
-			if round == 0 { // connections and the module's knowledge are new
+			if round == 0 { // connections and statistics are new
 				continue
 			}
-			for of, part := range good {
-				if parts[of] == nil {
-					parts[of] = make([][]float64, len(modes))
+			for account, share := range inTime {
+				if shares[account] == nil {
+					shares[account] = make([][]float64, len(modes))
 				}
-				parts[of][mode] = append(parts[of][mode], part)
+				shares[account][mode] = append(shares[account][mode], share)
 			}
 		}
 	}
-	for _, of := range []string{"all", "deeside-aero", "gwent-pumps", "taff-marine", "cwm-trailers", "bryn-fixtures", "ogwen-tools"} {
-		text := fmt.Sprintf("%-14s", of)
-		for mode, name := range modes {
-			x := parts[of][mode]
-			text += fmt.Sprintf("  %s %.3f (%.3f to %.3f)", name, median(x), slices.Min(x), slices.Max(x))
+	logShares(b, modes, shares)
+}
+
+// logShares logs the median and the range of the shares that were served in time.
+func logShares(b *testing.B, modes []string, shares map[string][][]float64) {
+	b.Helper()
+	names := []string{"all"}
+	for _, account := range benchAccounts {
+		names = append(names, account.name)
+	}
+	for _, name := range names {
+		text := fmt.Sprintf("%-14s", name)
+		for mode, modeName := range modes {
+			rounds := shares[name][mode]
+			text += fmt.Sprintf("  %s %.3f (%.3f to %.3f)", modeName, median(rounds), slices.Min(rounds), slices.Max(rounds))
 		}
 		b.Log(text)
 	}
--- a/cmd/brassdale/reload_test.go
+++ b/cmd/brassdale/reload_test.go
@@ -76,20 +76,18 @@
 	dispatcher.waitForExit(time.Now().Add(8 * time.Second))
 }
 
-// TestReload_changedClasses checks a reload that removes a class, adds one with another idempotency, and allows fewer attempts: an open
-// request keeps the settings that it began with, retries included, and later requests have the new ones.
-func TestReload_changedClasses(t *testing.T) {
-	t.Parallel()
-	release := make(chan struct{})
+// breakFirstAttempts returns a handler for several workers. Jobs whose key begins with "waits" wait for the release; the first attempt
+// of a key that contains "breaks" ends with a closed connection, and all others are completed.
+func breakFirstAttempts(release <-chan struct{}) jobHandler {
 	var mu sync.Mutex
-	attempts := map[string]int{} // by key, at both workers together
+	attempts := map[string]int{} // by key
 	countAttempt := func(key string) int {
 		mu.Lock()
 		defer mu.Unlock()
 		attempts[key]++
 		return attempts[key]
 	}
-	breakFirstAttempt := func(worker *testWorker, conn net.Conn, r *http.Request) {
+	return func(worker *testWorker, conn net.Conn, r *http.Request) {
 		key := r.Header.Get("Idempotency-Key")
 		if strings.HasPrefix(key, "waits") {
 			<-release
@@ -100,14 +98,21 @@
 		}
 		completeJob(worker, conn, r)
 	}
-	workerA, workerB := startWorker(t, "a", breakFirstAttempt), startWorker(t, "b", breakFirstAttempt)
-	dispatcher := startDispatcher(t, "", workerA, workerB)
+}
+
+// TestReload_changedClasses checks a reload that removes a class, adds one with another idempotency, and allows fewer attempts: an open
+// request keeps the settings that it began with, retries included, and later requests have the new ones.
+func TestReload_changedClasses(t *testing.T) {
+	t.Parallel()
+	release := make(chan struct{})
+	workers := startNamedWorkers(t, breakFirstAttempts(release), "a", "b")
+	dispatcher := startDispatcher(t, "", workers...)
 	waiting := make(chan int, 1)
 	go func() {
 		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "waits-breaks"))
 		waiting <- status
 	}()
-	dispatcher.waitFor("the job at a worker", func() bool { return totalJobs(workerA, workerB) == 1 })
+	dispatcher.waitFor("the job at a worker", func() bool { return totalJobs(workers...) == 1 })
 
 	changed := strings.Replace(dispatcher.config, `"classes":[{`, `"classes":[{"aim":200000,"credit":1,"lateWorth":0.1,"deadline":4000000,"effect":"unsafe","name":"rush"},{`, 1)
 	changed = strings.Replace(changed, `"name":"price-part"`, `"name":"price-whole"`, 1)
@@ -137,12 +142,8 @@
 	if status := <-waiting; status != 200 {
 		t.Errorf("the open request, which has four attempts: status %d", status)
 	}
-	for name, want := range map[string]int{"replies.price-part.success": 1, "replies.price-part.error": 1,
-		"replies.rush.success": 1, "replies.price-whole.error": 1} {
-		if got := dispatcher.metric(name); got != want {
-			t.Errorf("%s=%d, want %d", name, got, want)
-		}
-	}
+	dispatcher.checkMetrics("after the reload", map[string]int{"replies.price-part.success": 1, "replies.price-part.error": 1,
+		"replies.rush.success": 1, "replies.price-whole.error": 1})
 	dispatcher.reload(dispatcher.config)
 	dispatcher.waitForMetric("reload_success", 2)
 	if status := send("price-part", "again"); status != 200 {
--- a/cmd/brassdale/requests_test.go
+++ b/cmd/brassdale/requests_test.go
@@ -12,10 +12,10 @@
 // none of those reaches a worker.
 func TestRequest_servedOrRejectedAsInvalid(t *testing.T) {
 	t.Parallel()
-	var got http.Header
+	var received http.Header
 	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
-		got = r.Header
-		got.Set("Target", r.RequestURI)
+		received = r.Header
+		received.Set("Target", r.RequestURI)
 		completeJob(worker, conn, r)
 	})
 	dispatcher := startDispatcher(t, "", worker)
@@ -23,10 +23,19 @@
 		t.Errorf("a valid request: status %d %q", status, body)
 	}
 	for name, want := range map[string]string{"Req-Id": "id-k1", "Idempotency-Key": "k1", "Target": "/price-part?sheet=7", "Body": "drawing"} {
-		if got.Get(name) != want {
-			t.Errorf("%s reached the worker as %q", name, got.Get(name))
+		if value := received.Get(name); value != want {
+			t.Errorf("%s reached the worker as %q, want %q", name, value, want)
 		}
 	}
+	checkInvalidRequests(t, dispatcher)
+	if jobs := worker.jobCount(); jobs != 2 { // one of them is the valid one of checkInvalidRequests
+		t.Errorf("%d jobs at the worker, want 2", jobs)
+	}
+}
+
+// checkInvalidRequests checks the answers to invalid requests, and to a valid one with an unknown extension.
+func checkInvalidRequests(t *testing.T, dispatcher *testDispatcher) {
+	t.Helper()
 	resp, err := http.Get(dispatcher.http1URL + "/price-part")
 	if err != nil || resp.StatusCode != 405 || resp.Header.Get("Allow") != "POST" {
 		t.Errorf("GET: %v %v", resp, err)
@@ -63,9 +72,6 @@
 		}
 		conn.Close()
 	}
-	if jobs := worker.jobCount(); jobs != 2 {
-		t.Errorf("%d jobs at the worker, want 2", jobs)
-	}
 }
 
 // TestRequestID_alreadyOpen checks that a second request with the ID of an open one is answered 409, and the first is served.
--- a/cmd/brassdale/shutdown_test.go
+++ b/cmd/brassdale/shutdown_test.go
@@ -137,6 +137,18 @@
 	dispatcher.waitForExit(time.Now().Add(3 * time.Second))
 }
 
+// readStatus reads an answer and returns its status; an error is one of the test.
+func readStatus(t *testing.T, name string, conn net.Conn) int {
+	t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		t.Errorf("%s: %v", name, err)
+		return 0
+	}
+	io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode
+}
+
 // TestShutdown_requestsInEachState checks a shutdown, with SIGHUP and a second SIGTERM in between, with a request whose worker stalls, one
 // whose body is half received, one that is pipelined behind another, and a client that sends requests until its connection ends. Each
 // complete request that was read is answered, and no connection is reset.
@@ -168,16 +180,7 @@
 	dispatcher.reload(dispatcher.config)
 	dispatcher.terminate()
 	half.Write(text.Bytes()[text.Len()-3:])
-	readStatus := func(name string, conn net.Conn) int {
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil {
-			t.Errorf("%s: %v", name, err)
-			return 0
-		}
-		io.Copy(io.Discard, resp.Body)
-		return resp.StatusCode
-	}
-	if status := readStatus("half received at SIGTERM", half); status != 200 {
+	if status := readStatus(t, "half received at SIGTERM", half); status != 200 {
 		t.Errorf("half received at SIGTERM: status %d", status)
 	}
 	var err error
@@ -192,7 +195,7 @@
 		t.Errorf("an idle connection ended with %v", err)
 	}
 	for name, conn := range map[string]net.Conn{"stalled": stalled, "stalled, with one pipelined behind": pipelined} {
-		if status := readStatus(name, conn); status != 502 && status != 504 {
+		if status := readStatus(t, name, conn); status != 502 && status != 504 {
 			t.Errorf("%s: status %d", name, status)
 		}
 	}
--- a/cmd/brassdale/support_dispatcher_test.go
+++ b/cmd/brassdale/support_dispatcher_test.go
@@ -321,6 +321,16 @@
 	return value
 }
 
+// checkMetrics checks the values of metrics.
+func (d *testDispatcher) checkMetrics(what string, wanted map[string]int) {
+	d.t.Helper()
+	for name, want := range wanted {
+		if got := d.metric(name); got != want {
+			d.t.Errorf("%s: %s=%d, want %d", what, name, got, want)
+		}
+	}
+}
+
 // processMemory returns a field of /proc/PID/status in bytes, such as VmRSS; 0 where there is none.
 func processMemory(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/brassdale/support_requests_test.go
+++ b/cmd/brassdale/support_requests_test.go
@@ -113,6 +113,7 @@
 	running sync.WaitGroup
 }
 
+// newSteadyLoad returns a load that sends nothing yet.
 func newSteadyLoad() *steadyLoad { return &steadyLoad{stop: make(chan struct{})} }
 
 // start sends a dispatcher a request at each interval until the load ends.
--- a/cmd/brassdale/support_worker_test.go
+++ b/cmd/brassdale/support_worker_test.go
@@ -113,6 +113,11 @@
 	return maps.Clone(w.runs)
 }
 
+// listedWorker returns a line of a list without a worker that answers.
+func listedWorker(id string, listener net.Listener) *testWorker {
+	return &testWorker{id: id, cell: "1", phase: "active", listener: listener}
+}
+
 // startWorkers starts so many workers with one handler.
 func startWorkers(t testing.TB, count int, handler jobHandler) (workers []*testWorker) {
 	t.Helper()
