--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -46,7 +46,7 @@
 	}
 	if _, err := http.Get(dispatcher.http1URL + "/_vars"); err != nil {
 		t.Error(err)
-	} else if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k")); status != 200 {
+	} else if status, _, _ := dispatcher.sendKey("k"); status != 200 {
 		t.Errorf("a request: status %d", status)
 	}
 	dispatcher.terminate()
@@ -75,7 +75,7 @@
 	dispatcher.checkMetrics("at the start", map[string]int{"replies.price-part.success": 0, "replies.price-part.overload": 0,
 		"replies.price-part.error": 0, "dispatches": 0, "concurrent": 0, "targets": 1, "targets_disabled": 0, "reload_success": 0, "reload_failure": 0})
 	for i := range 3 {
-		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("good-", i)))
+		dispatcher.sendKey(fmt.Sprint("good-", i))
 	}
 	waiting := dispatcher.sendInBackground(worker, "waits")
 	dispatcher.checkMetrics("with an open job", map[string]int{"concurrent": 1, "dispatches": 4, "replies.price-part.success": 3})
@@ -83,16 +83,17 @@
 	if status := <-waiting; status != 200 {
 		t.Errorf("the open request: status %d", status)
 	}
-	dispatcher.send(newRequest(dispatcher.http1URL, "x", "Req-Deadline-Ms", "soon")) // invalid: not counted
-	failed, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "bad", "Req-Deadline-Ms", "300"))
+	dispatcher.sendKey("x", "Req-Deadline-Ms", "soon") // invalid: not counted
+	failed, _, _ := dispatcher.sendKey("bad", "Req-Deadline-Ms", "300")
 	if failed != 502 && failed != 504 {
 		t.Errorf("a request that its worker fails: status %d", failed)
 	}
-	dispatcher.checkMetrics("after a failure", map[string]int{"concurrent": 0, "replies.price-part.success": 4, "replies.price-part.error": 1, "replies.price-part.overload": 0})
+	dispatcher.checkMetrics("after a failure", map[string]int{"concurrent": 0,
+		"replies.price-part.success": 4, "replies.price-part.error": 1, "replies.price-part.overload": 0})
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
 		t.Errorf("detach: status %d", status)
 	}
-	rejected, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "nobody", "Req-Deadline-Ms", "300"))
+	rejected, _, _ := dispatcher.sendKey("nobody", "Req-Deadline-Ms", "300")
 	if rejected != 503 {
 		t.Errorf("without a worker: status %d", rejected)
 	}
--- a/cmd/brassdale/clientdisconnect_test.go
+++ b/cmd/brassdale/clientdisconnect_test.go
@@ -50,7 +50,7 @@
 				}
 				discovery := dispatcher.discovery
 				discovery.update(func() { discovery.workers = append(discovery.workers, worker) })
-				if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "stays")); status != 200 {
+				if status, _, _ := dispatcher.sendKey("stays"); status != 200 {
 					t.Errorf("a client that stays: status %d", status)
 				}
 				if jobs := worker.jobCount(); jobs != 1 {
--- a/cmd/brassdale/deadline_test.go
+++ b/cmd/brassdale/deadline_test.go
@@ -107,7 +107,7 @@
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", respondThenStall()))
 	sentAt := time.Now()
-	status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k", "Req-Deadline-Ms", "500"))
+	status, _, _ := dispatcher.sendKey("k", "Req-Deadline-Ms", "500")
 	if took := time.Since(sentAt); status != 504 || took < 450*time.Millisecond || took > 1500*time.Millisecond {
 		t.Errorf("status %d after %v, want 504 after 0.45 s to 1.5 s", status, took)
 	}
@@ -123,7 +123,7 @@
 		close(cancelled)
 	}))
 	sentAt := time.Now()
-	status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k"))
+	status, _, _ := dispatcher.sendKey("k")
 	if took := time.Since(sentAt); status != 502 || took > 4*time.Second {
 		t.Errorf("status %d after %v, want 502 within 4 s", status, took)
 	}
--- a/cmd/brassdale/deployments_test.go
+++ b/cmd/brassdale/deployments_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -127,7 +128,8 @@
 			nonIdempotent := 0
 			for i, class := range deployment.Class {
 				send := func(id, key string) int {
-					r := newRequest(dispatcher.http1URL, id, "Req-Kind", class.Name, "Req-Owner", deployment.Tenant[i%len(deployment.Tenant)].Name, "Idempotency-Key", key,
+					account := deployment.Tenant[i%len(deployment.Tenant)].Name
+					r := newRequest(dispatcher.http1URL, id, "Req-Kind", class.Name, "Req-Owner", account, "Idempotency-Key", key,
 						"Req-Deadline-Ms", fmt.Sprint(class.DeadlineMS))
 					r.URL.Path = "/" + class.Name
 					status, body, _ := dispatcher.send(r)
@@ -152,7 +154,7 @@
 			if nonIdempotent == 0 {
 				t.Error("no non-idempotent class")
 			}
-			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "foreign")); status != 404 {
+			if status, _, _ := dispatcher.sendKey("foreign"); status != 404 {
 				t.Errorf("a class of another deployment: status %d", status)
 			}
 		})
@@ -180,6 +182,7 @@
 			names = append(names, tenant.Name)
 		}
 	}
+	emulations := []string{"/emulator/", "/faults/", "/load/", "/experiment/"} // they have deployments of their own
 	sources := []string{"../../deploy/balancer.toml"}
 	for _, glob := range []string{"../../scheduler/*.go", "../../internal/*/*.go", "../../internal/*/*/*.go", "*.go"} {
 		found, err := filepath.Glob(glob)
@@ -189,8 +192,8 @@
 		sources = append(sources, found...)
 	}
 	for _, file := range sources {
-		if strings.HasSuffix(file, "_test.go") || strings.Contains(file, "/emulator/") || strings.Contains(file, "/faults/") || strings.Contains(file, "/load/") || strings.Contains(file, "/experiment/") {
-			continue // emulations have deployments of their own
+		if strings.HasSuffix(file, "_test.go") || slices.ContainsFunc(emulations, func(dir string) bool { return strings.Contains(file, dir) }) {
+			continue
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
--- a/cmd/brassdale/discovery_test.go
+++ b/cmd/brassdale/discovery_test.go
@@ -33,7 +33,7 @@
 	}
 	discovery.update(func() { discovery.failing, workerA.phase = true, "active" })
 	dispatcher.waitForLog("discovery call failed")
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "x")); status != 200 {
+	if status, _, _ := dispatcher.sendKey("x"); status != 200 {
 		t.Errorf("while discovery fails: status %d", status)
 	}
 	discovery.update(func() { discovery.failing = false })
@@ -106,7 +106,7 @@
 	if requests := dispatcher.metric("concurrent"); requests != 1 {
 		t.Errorf("%d open requests, want 1", requests)
 	}
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "further")); status != 200 {
+	if status, _, _ := dispatcher.sendKey("further"); status != 200 {
 		t.Errorf("a further request: status %d", status)
 	}
 	discovery.update(func() { discovery.failing = false })
@@ -154,7 +154,7 @@
 			discovery := dispatcher.discovery
 			discovery.update(func() { discovery.workers, discovery.corrupt = []*testWorker{workerB}, corrupt })
 			for i, before := 0, discovery.callCount(); discovery.callCount() < before+3; i++ {
-				if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))); status != 200 {
+				if status, _, _ := dispatcher.sendKey(fmt.Sprint("k-", i)); status != 200 {
 					t.Fatalf("request %d: status %d", i, status)
 				}
 			}
@@ -167,7 +167,7 @@
 			}
 			discovery.update(func() { discovery.corrupt = nil })
 			dispatcher.waitForLog("discovery recovered")
-			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "after")); status != 200 {
+			if status, _, _ := dispatcher.sendKey("after"); status != 200 {
 				t.Errorf("after the valid list: status %d", status)
 			}
 			if jobs := workerB.jobCount(); jobs != 1 {
--- a/cmd/brassdale/endpointcache_return_test.go
+++ b/cmd/brassdale/endpointcache_return_test.go
@@ -37,7 +37,7 @@
 	dispatcher, restore := startWhileDiscoveryFails(t, workers...)
 	waiting := make(chan int, 1)
 	go func() {
-		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "waits"))
+		status, _, _ := dispatcher.sendKey("waits")
 		waiting <- status
 	}()
 	running := 0 // the index of the worker that the job runs at
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -39,8 +39,9 @@
 			writeCachedList(t, dir, time.Hour, nil, workers...)
 			dispatcher := startFromCache(t, dir, discovery)
 			dispatcher.waitUntilServed("first")
-			if !strings.Contains(dispatcher.log(), "started from endpoint cache") || dispatcher.metricText("list_source") != "saved" || dispatcher.metric("list_age_s") < 3600 {
-				t.Errorf("not started from the cache: source %q, age %d s", dispatcher.metricText("list_source"), dispatcher.metric("list_age_s"))
+			source, age := dispatcher.metricText("list_source"), dispatcher.metric("list_age_s")
+			if !strings.Contains(dispatcher.log(), "started from endpoint cache") || source != "saved" || age < 3600 {
+				t.Errorf("not started from the cache, or logged so: source %q, age %d s", source, age)
 			}
 			dispatcher.waitFor("answers of both workers", func() bool { return dispatcher.metric("boxes_heard")+dispatcher.metric("boxes_proven") == 2 })
 			dispatcher.waitUntilProven(2)
@@ -143,7 +144,7 @@
 	dispatcher := startDispatcher(t, savedListBlock(dir), workers...)
 	dispatcher.waitForListSource("discovery")
 	for i := range 10 {
-		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)))
+		dispatcher.sendKey(fmt.Sprint("k-", i))
 	}
 	dispatcher.waitFor("a snapshot", func() bool { return dispatcher.metric("saved_snapshots") >= 1 })
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "b"); status != 200 {
@@ -157,7 +158,7 @@
 	restarted := startFromCache(t, dir, nil)
 	restarted.waitUntilServed("after")
 	for i := range 20 {
-		restarted.send(newRequest(restarted.http1URL, fmt.Sprint("after-k-", i)))
+		restarted.sendKey(fmt.Sprint("after-k-", i))
 	}
 	if jobs := draining.jobCount(); jobs != atDraining {
 		t.Errorf("%d requests at the draining worker", jobs-atDraining)
@@ -208,7 +209,7 @@
 	}
 	withOldList := startFromCache(t, old, nil)
 	withOldList.waitForLog("endpoint cache too old")
-	if status, _, after := withOldList.send(newRequest(withOldList.http1URL, "k", "Req-Deadline-Ms", "300")); status != 503 || after == "" {
+	if status, _, after := withOldList.sendKey("k", "Req-Deadline-Ms", "300"); status != 503 || after == "" {
 		t.Errorf("without a list: status %d, Retry-After %q", status, after)
 	}
 	if source := withOldList.metricText("list_source"); source != "none" {
@@ -226,7 +227,7 @@
 		t.Fatal(err)
 	}
 	dispatcher := startDispatcher(t, savedListBlock(unusable), worker)
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k")); status != 200 || !strings.Contains(dispatcher.log(), "endpoint cache disabled") {
+	if status, _, _ := dispatcher.sendKey("k"); status != 200 || !strings.Contains(dispatcher.log(), "endpoint cache disabled") {
 		t.Errorf("with an unusable directory: status %d, or not logged", status)
 	}
 	writableByOthers := t.TempDir()
--- a/cmd/brassdale/fleet_agreement_test.go
+++ b/cmd/brassdale/fleet_agreement_test.go
@@ -20,7 +20,7 @@
 	fleet.waitForVersion(1, fleet.indices()...)
 	before := fleet.workers[0].jobCount()
 	for i, dispatcher := range fleet.dispatchers {
-		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("out-", i))); status != 200 {
+		if status, _, _ := dispatcher.sendKey(fmt.Sprint("out-", i)); status != 200 {
 			t.Errorf("dispatcher %d: status %d", i, status)
 		}
 	}
@@ -67,7 +67,7 @@
 			state := fleet.lastState(i)
 			return state.Lapsed && slices.Equal(state.Versions, []uint64{1})
 		})
-		if status, _, _ := fleet.dispatchers[i].send(newRequest(fleet.dispatchers[i].http1URL, fmt.Sprint("alone-", i))); status != 200 {
+		if status, _, _ := fleet.dispatchers[i].sendKey(fmt.Sprint("alone-", i)); status != 200 {
 			t.Errorf("dispatcher %d without a majority: status %d", i, status)
 		}
 	}
--- a/cmd/brassdale/fleet_bench_test.go
+++ b/cmd/brassdale/fleet_bench_test.go
@@ -22,7 +22,7 @@
 		running.Go(func() {
 			for i := range requests / clients {
 				sentAt := time.Now()
-				if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("%s-%d-%d", keyPrefix, client, i))); status != 200 {
+				if status, _, _ := dispatcher.sendKey(fmt.Sprintf("%s-%d-%d", keyPrefix, client, i)); status != 200 {
 					t.Errorf("status %d", status)
 				}
 				mu.Lock()
--- a/cmd/brassdale/fleet_lifecycle_test.go
+++ b/cmd/brassdale/fleet_lifecycle_test.go
@@ -62,7 +62,8 @@
 	fleet.waitForVersion(1, fleet.indices()...)
 	fleet.kill(0, 1, 2)
 	recover := func() (int, string) {
-		code, out, errs := runCommand(t, "fleet", "recover", fleet.directories[2], "--seat", "3", "--name", "n2", "--listen", fleet.addresses[2], "--old", fleet.addresses[0]+","+fleet.addresses[1]+","+fleet.addresses[2])
+		code, out, errs := runCommand(t, "fleet", "recover", fleet.directories[2], "--seat", "3", "--name", "n2",
+			"--listen", fleet.addresses[2], "--old", strings.Join(fleet.addresses[:3], ","))
 		return code, out + errs
 	}
 	fleet.restart(1)
@@ -79,7 +80,9 @@
 	fleet.waitForVersion(2, 2, 3)
 	fleet.restart(0) // with the old group's directory: alone it has no majority, and finds the new group
 	fleet.waitForVersion(2, 0, 2, 3)
-	fleet.dispatchers[0].waitFor("the new epoch at the old voter", func() bool { return strings.Contains(fleet.runFleetCommand(0, "status"), "era            1") })
+	fleet.dispatchers[0].waitFor("the new epoch at the old voter", func() bool {
+		return strings.Contains(fleet.runFleetCommand(0, "status"), "era            1")
+	})
 }
 
 // TestFleet_largeProposalAndReload checks that a proposal of 4 MB, which detaches 2,000 workers, reaches all dispatchers. SIGHUP
@@ -96,7 +99,7 @@
 	large.WriteString("]\n")
 	fleet.propose(large.String(), 4)
 	fleet.waitForVersion(1, fleet.indices()...)
-	if status, _, _ := fleet.dispatchers[3].send(newRequest(fleet.dispatchers[3].http1URL, "beside-4-MB")); status != 200 {
+	if status, _, _ := fleet.dispatchers[3].sendKey("beside-4-MB"); status != 200 {
 		t.Errorf("with 2,000 detached workers: status %d", status)
 	}
 
@@ -137,7 +140,7 @@
 	before := fleet.workers[0].jobCount()
 	for i, dispatcher := range fleet.dispatchers {
 		for k := range 4 {
-			dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("d-", i, "-", k)))
+			dispatcher.sendKey(fmt.Sprint("d-", i, "-", k))
 		}
 	}
 	if after := fleet.workers[0].jobCount(); after != before {
--- a/cmd/brassdale/fleet_members_test.go
+++ b/cmd/brassdale/fleet_members_test.go
@@ -80,7 +80,7 @@
 	if status, _ := fleet.dispatchers[5].callAdmin("GET", "/_ready", ""); status != 200 {
 		t.Errorf("readiness at the admin API: %d", status)
 	}
-	if status, _, _ := fleet.dispatchers[5].send(newRequest(fleet.dispatchers[5].http1URL, "aside")); status != 200 {
+	if status, _, _ := fleet.dispatchers[5].sendKey("aside"); status != 200 {
 		t.Errorf("a request at a dedicated dispatcher: %d", status)
 	}
 	fleet.waitForGossip("three dedicated voters", func() bool {
--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -129,7 +129,7 @@
 			}
 		}
 		requests.Go(func() {
-			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprintf("g%d", i), "Cookie", fmt.Sprintf("user=%016x", i%50))); status == 200 {
+			if status, _, _ := dispatcher.sendKey(fmt.Sprintf("g%d", i), "Cookie", fmt.Sprintf("user=%016x", i%50)); status == 200 {
 				served.Add(1)
 			}
 		})
--- a/cmd/brassdale/handover_test.go
+++ b/cmd/brassdale/handover_test.go
@@ -105,18 +105,18 @@
 	dispatcher.waitFor("the job at the worker", func() bool { return worker.jobCount() == 1 })
 	successor := dispatcher.startSuccessor("")
 	dispatcher.waitForHandovers(1)
-	if status, _, _ := successor.send(newRequest(successor.http1URL, "old")); status != 409 {
+	if status, _, _ := successor.sendKey("old"); status != 409 {
 		t.Errorf("an ID that is open at the predecessor: status %d", status)
 	}
 	next := successor.sendInBackground(worker, "next")
-	if status, _, _ := successor.send(newRequest(successor.http1URL, "other", "Req-Id", "id-next")); status != 409 {
+	if status, _, _ := successor.sendKey("other", "Req-Id", "id-next"); status != 409 {
 		t.Errorf("an ID that is open at the successor: status %d", status)
 	}
 	close(release)
 	if status := <-next; status != 200 {
 		t.Errorf("the open request: status %d", status)
 	}
-	if status, _, _ := successor.send(newRequest(successor.http1URL, "again", "Req-Id", "id-next")); status != 200 {
+	if status, _, _ := successor.sendKey("again", "Req-Id", "id-next"); status != 200 {
 		t.Errorf("the ID of an answered request: status %d", status)
 	}
 }
@@ -207,7 +207,7 @@
 		conn.Close()
 		t.Error("the removed frontend accepts connections")
 	}
-	if status, _, _ := successor.send(newRequest(successor.http1URL, "k")); status != 200 {
+	if status, _, _ := successor.sendKey("k"); status != 200 {
 		t.Errorf("the other frontend: status %d", status)
 	}
 }
--- a/cmd/brassdale/http1_misuse_test.go
+++ b/cmd/brassdale/http1_misuse_test.go
@@ -99,7 +99,7 @@
 			}
 		})
 		if i%40 == 0 {
-			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
+			if status, _, _ := dispatcher.sendKey(fmt.Sprint(i)); status != 200 {
 				t.Errorf("with %d silent clients: status %d", i, status)
 			}
 		}
--- a/cmd/brassdale/loadgenerator_test.go
+++ b/cmd/brassdale/loadgenerator_test.go
@@ -14,7 +14,8 @@
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
 	dispatcher := startDispatcher(t, http2Frontend+progressFrontend("lines"), worker)
-	for protocol, address := range map[load.Wire]string{load.HTTP1: dispatcher.http1URL, load.HTTP2: dispatcher.http2URL, load.Events: dispatcher.progressURL} {
+	addresses := map[load.Wire]string{load.HTTP1: dispatcher.http1URL, load.HTTP2: dispatcher.http2URL, load.Events: dispatcher.progressURL}
+	for protocol, address := range addresses {
 		parsed, err := url.Parse(address)
 		if err != nil {
 			t.Fatal(err)
@@ -24,7 +25,8 @@
 			t.Fatal(err)
 		}
 		before := worker.jobCount()
-		plan := load.Generated([]load.Phase{{Shape: load.Poisson, For: 100 * time.Millisecond, Rate: 40}}, load.Mix{Accounts: []load.Account{{Name: "acct", Share: 1}}, Subjects: 3}, 1)
+		phases := []load.Phase{{Shape: load.Poisson, For: 100 * time.Millisecond, Rate: 40}}
+		plan := load.Generated(phases, load.Mix{Accounts: []load.Account{{Name: "acct", Share: 1}}, Subjects: 3}, 1)
 		figures := load.Run(t.Context(), plan, client, load.Options{Terms: load.Terms{Class: "price-part", GiveUp: 5 * time.Second}}).Figures()
 		client.Close()
 		if after := worker.jobCount(); figures.Planned == 0 || figures.Outcomes["served"] != figures.Planned || after-before < figures.Planned {
@@ -36,7 +38,8 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	if figures := load.Run(t.Context(), load.Recorded([]load.Job{{}}), client, load.Options{Terms: load.Terms{GiveUp: 5 * time.Second}}).Figures(); figures.Outcomes["failed"] != 1 {
+	options := load.Options{Terms: load.Terms{GiveUp: 5 * time.Second}}
+	if figures := load.Run(t.Context(), load.Recorded([]load.Job{{}}), client, options).Figures(); figures.Outcomes["failed"] != 1 {
 		t.Errorf("an unknown class: %v", figures.Outcomes)
 	}
 }
--- a/cmd/brassdale/overloaded_discovery_test.go
+++ b/cmd/brassdale/overloaded_discovery_test.go
@@ -64,7 +64,7 @@
 	drainedAt := time.Now()
 	drained.failsProbes.Store(true)
 	checkDrainObserved(t, load, &atDrained, drainedAt, 3*time.Second)
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "last")); status != http.StatusOK {
+	if status, _, _ := dispatcher.sendKey("last"); status != http.StatusOK {
 		t.Errorf("status %d where one worker answers its probes", status)
 	}
 }
--- a/cmd/brassdale/progress_test.go
+++ b/cmd/brassdale/progress_test.go
@@ -23,10 +23,10 @@
 	events   *protocol.EventReader
 }
 
-// openStream sends a request whose answer is a stream; it is closed at the end of the test.
-func (d *testDispatcher) openStream(r *http.Request) *eventStream {
+// openStream sends a request of a key to the progress frontend; its stream is closed at the end of the test.
+func (d *testDispatcher) openStream(key string, headers ...string) *eventStream {
 	d.t.Helper()
-	resp, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(newRequest(d.progressURL, key, headers...))
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	for format, handler := range map[string]jobHandler{"lines": completeJob, "events": respondWithEvents} {
 		worker := startWorker(t, "a", handler)
 		dispatcher := startDispatcher(t, progressFrontend(format), worker)
-		stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k"))
+		stream := dispatcher.openStream("k")
 		if contentType := stream.response.Header.Get("Content-Type"); stream.response.StatusCode != 200 || contentType != "text/event-stream" {
 			t.Fatalf("%s: status %d, %s", format, stream.response.StatusCode, contentType)
 		}
@@ -89,8 +89,8 @@
 			t.Errorf("%s: %v %v %v", format, first, second, third)
 		}
 		checkEvents(t, format+", after the end", stream.remaining(), "")
-		checkEvents(t, format+", repeat", dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "r2")).remaining(), "1 started, 2 progress, 3 done")
-		checkEvents(t, format+", reconnect", dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "r3", "Last-Event-ID", "2")).remaining(), "3 done")
+		checkEvents(t, format+", repeat", dispatcher.openStream("k", "Req-Id", "r2").remaining(), "1 started, 2 progress, 3 done")
+		checkEvents(t, format+", reconnect", dispatcher.openStream("k", "Req-Id", "r3", "Last-Event-ID", "2").remaining(), "3 done")
 		for last, want := range map[string]int{"3": 204, "4": 502, "x": 400} {
 			if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Last-Event-ID", last)); status != want {
 				t.Errorf("%s, Last-Event-ID %s: status %d, want %d", format, last, status, want)
@@ -128,7 +128,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dispatcher := startDispatcher(t, progressFrontend("events"), startWorker(t, "a", test.handler))
-			stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Deadline-Ms", "900"))
+			stream := dispatcher.openStream("k", "Req-Deadline-Ms", "900")
 			if stream.response.StatusCode != test.status {
 				t.Errorf("status %d, want %d", stream.response.StatusCode, test.status)
 			}
@@ -208,7 +208,8 @@
 		writeChunk(conn, jobMessage(r.Header.Get("Req-Id"), `"state":"started"`))
 		conn.Close()
 	}
-	stalling, closing, sound := startWorker(t, "stalling", respondThenStall(`"state":"started"`)), startWorker(t, "closing", closeAfterStart), startWorker(t, "sound", completeJob)
+	stalling := startWorker(t, "stalling", respondThenStall(`"state":"started"`))
+	closing, sound := startWorker(t, "closing", closeAfterStart), startWorker(t, "sound", completeJob)
 	stalling.cell, closing.cell, sound.cell = "1", "2", "3" // a retry must not leave the cell
 	dispatcher := startDispatcher(t, progressFrontend("lines"), stalling, closing, sound)
 	const requests = 6
@@ -248,10 +249,10 @@
 	worker := startWorker(t, "a", respondThenStall(`"state":"started"`))
 	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
 	sentAt := time.Now()
-	stream := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Deadline-Ms", "1200"))
+	stream := dispatcher.openStream("k", "Req-Deadline-Ms", "1200")
 	stream.next()
 	stream.response.Body.Close()
-	reconnect := dispatcher.openStream(newRequest(dispatcher.progressURL, "k", "Req-Id", "again", "Req-Deadline-Ms", "5000", "Last-Event-ID", "1"))
+	reconnect := dispatcher.openStream("k", "Req-Id", "again", "Req-Deadline-Ms", "5000", "Last-Event-ID", "1")
 	if len(worker.abandoned) > 0 {
 		t.Error("the attempt was cancelled when the stream was dropped")
 	}
@@ -281,12 +282,12 @@
 	}
 	for i := range 4 {
 		sentAt := time.Now()
-		if events := dispatcher.openStream(newRequest(dispatcher.progressURL, fmt.Sprint(i))).remaining(); len(events) != 2 || time.Since(sentAt) > 2*time.Second {
+		if events := dispatcher.openStream(fmt.Sprint(i)).remaining(); len(events) != 2 || time.Since(sentAt) > 2*time.Second {
 			t.Errorf("request %d: %v after %v", i, events, time.Since(sentAt))
 		}
 	}
 	// Seven jobs are in the table.
-	dispatcher.openStream(newRequest(dispatcher.progressURL, "eighth")).remaining()
+	dispatcher.openStream("eighth").remaining()
 	if status, _, after := dispatcher.send(newRequest(dispatcher.progressURL, "ninth")); status != 503 || after == "" {
 		t.Errorf("beyond the limit: status %d, Retry-After %q", status, after)
 	}
@@ -306,7 +307,7 @@
 		writeLastChunk(conn)
 	})
 	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
-	first := dispatcher.openStream(newRequest(dispatcher.progressURL, "k"))
+	first := dispatcher.openStream("k")
 	checkEvents(t, "before the handover", []string{first.next().Name}, "started")
 	successor := dispatcher.startSuccessor(progressFrontend("lines"))
 	if successor.progressURL != dispatcher.progressURL {
@@ -314,9 +315,9 @@
 	}
 	dispatcher.waitForHandovers(1)
 	http.DefaultClient.CloseIdleConnections()
-	second := successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "again"))
+	second := successor.openStream("k", "Req-Id", "again")
 	checkEvents(t, "at the successor", []string{second.next().Name}, "started")
-	other := successor.openStream(newRequest(successor.progressURL, "other"))
+	other := successor.openStream("other")
 	checkEvents(t, "another job at the successor", []string{other.next().Name}, "started")
 	dispatcher.terminate()
 	close(release)
@@ -325,9 +326,9 @@
 	checkEvents(t, "the other stream", other.remaining(), "2 done")
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 	successor.waitForPredecessorEnd()
-	checkEvents(t, "from the start, at the successor alone", successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "later")).remaining(), "1 started, 2 done")
-	checkEvents(t, "from the second event, at the successor alone", successor.openStream(newRequest(successor.progressURL, "k", "Req-Id", "rest", "Last-Event-ID", "1")).remaining(), "2 done")
-	if stream := successor.openStream(newRequest(successor.progressURL, "never", "Last-Event-ID", "1")); stream.response.StatusCode != 502 {
+	checkEvents(t, "from the start, at the successor alone", successor.openStream("k", "Req-Id", "later").remaining(), "1 started, 2 done")
+	checkEvents(t, "from the second event, at the successor alone", successor.openStream("k", "Req-Id", "rest", "Last-Event-ID", "1").remaining(), "2 done")
+	if stream := successor.openStream("never", "Last-Event-ID", "1"); stream.response.StatusCode != 502 {
 		t.Errorf("a key that neither knows: status %d", stream.response.StatusCode)
 	}
 	if runs := worker.runsPerKey(); runs["k"] != 1 || runs["other"] != 1 || runs["never"] != 0 {
--- a/cmd/brassdale/pushed_lists_test.go
+++ b/cmd/brassdale/pushed_lists_test.go
@@ -64,7 +64,7 @@
 	dispatcher := newTestDispatcher(t, newTestDiscovery(workerA, workerB))
 	dispatcher.discovery.hanging = true
 	dispatcher.start("", withPushedLists)
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "first")); status != 200 {
+	if status, _, _ := dispatcher.sendKey("first"); status != 200 {
 		t.Errorf("a request before the agent answers: status %d", status)
 	}
 	dispatcher.waitForLog("discovery call failed")
--- a/cmd/brassdale/quotas_test.go
+++ b/cmd/brassdale/quotas_test.go
@@ -98,8 +98,8 @@
 	successor := dispatcher.startSuccessor(operator)
 	dispatcher.waitForHandovers(1)
 	successor.waitForMetric("accounts_room", 5)
-	open(successor, "b", 3) // half of the five that are free, and what then remains beside the other share
-	status, _, after := dispatcher.send(newRequest(successor.http1URL, "one-more", "Req-Owner", "b"))
+	open(successor, "b", 3) // its share of the five that are free, 2.5, and beyond it while enough is free
+	status, _, after := successor.sendKey("one-more", "Req-Owner", "b")
 	if status != 503 || after == "" {
 		t.Errorf("beyond the capacity: status %d", status)
 	}
--- a/cmd/brassdale/reload_test.go
+++ b/cmd/brassdale/reload_test.go
@@ -59,7 +59,7 @@
 		dispatcher.reload(moved)
 	}
 	dispatcher.waitForLog("complete=true endpoints=2")
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "next")); status != 200 {
+	if status, _, _ := dispatcher.sendKey("next"); status != 200 {
 		t.Errorf("a request after the move: status %d", status)
 	}
 	if jobs := workerB.jobCount(); jobs != 1 {
@@ -109,7 +109,7 @@
 	dispatcher := startDispatcher(t, "", workers...)
 	waiting := make(chan int, 1)
 	go func() {
-		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "waits-breaks"))
+		status, _, _ := dispatcher.sendKey("waits-breaks")
 		waiting <- status
 	}()
 	dispatcher.waitFor("the job at a worker", func() bool { return totalJobs(workers...) == 1 })
@@ -173,7 +173,7 @@
 	} {
 		dispatcher.reload(text)
 		dispatcher.waitForMetric("reload_failure", i+1)
-		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 || dispatcher.metric("reload_success") != 0 {
+		if status, _, _ := dispatcher.sendKey(fmt.Sprint(i)); status != 200 || dispatcher.metric("reload_success") != 0 {
 			t.Fatalf("after file %d, %.60q: status %d, or the file was applied", i, text, status)
 		}
 	}
--- a/cmd/brassdale/requests_test.go
+++ b/cmd/brassdale/requests_test.go
@@ -19,7 +19,7 @@
 		completeJob(worker, conn, r)
 	})
 	dispatcher := startDispatcher(t, "", worker)
-	if status, body, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k1")); status != 200 || body != "priced" {
+	if status, body, _ := dispatcher.sendKey("k1"); status != 200 || body != "priced" {
 		t.Errorf("a valid request: status %d %q", status, body)
 	}
 	for name, want := range map[string]string{"Req-Id": "id-k1", "Idempotency-Key": "k1", "Target": "/price-part?sheet=7", "Body": "drawing"} {
@@ -64,7 +64,10 @@
 			t.Errorf("%s: status %d %q, want %d", name, status, body, test.status)
 		}
 	}
-	for _, text := range []string{"POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: -4\r\n\r\n", "POST /price-part HTTP/1.1\r\nHost: h\r\nReq Id: 1\r\n\r\n"} {
+	for _, text := range []string{
+		"POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: -4\r\n\r\n",
+		"POST /price-part HTTP/1.1\r\nHost: h\r\nReq Id: 1\r\n\r\n",
+	} {
 		conn := dispatcher.dial()
 		io.WriteString(conn, text)
 		if answer, _ := io.ReadAll(conn); !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") {
@@ -81,14 +84,14 @@
 	worker := startWorker(t, "a", completeWhenReleased(release))
 	dispatcher := startDispatcher(t, "", worker)
 	answered := dispatcher.sendInBackground(worker, "k")
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "other", "Req-Id", "id-k")); status != 409 {
+	if status, _, _ := dispatcher.sendKey("other", "Req-Id", "id-k"); status != 409 {
 		t.Errorf("the ID of an open request: status %d", status)
 	}
 	close(release)
 	if status := <-answered; status != 200 {
 		t.Errorf("the first request: status %d", status)
 	}
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "later", "Req-Id", "id-k")); status != 200 {
+	if status, _, _ := dispatcher.sendKey("later", "Req-Id", "id-k"); status != 200 {
 		t.Errorf("the ID of an answered request: status %d", status)
 	}
 }
--- a/cmd/brassdale/retrybudget_test.go
+++ b/cmd/brassdale/retrybudget_test.go
@@ -15,7 +15,7 @@
 		workers := startWorkers(t, 6, respondRaw("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 		dispatcher = startDispatcherWith(t, operator, withoutLateWeight, workers...)
 		for i := range requests {
-			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))); status != 503 {
+			if status, _, _ := dispatcher.sendKey(fmt.Sprint("k-", i)); status != 503 {
 				t.Errorf("request %d: status %d", i, status)
 			}
 		}
@@ -31,7 +31,7 @@
 	dispatcher.reload(dispatcher.config)
 	dispatcher.waitForMetric("reload_success", 1)
 	before := dispatcher.metric("dispatches")
-	dispatcher.send(newRequest(dispatcher.http1URL, "after"))
+	dispatcher.sendKey("after")
 	if attempts := dispatcher.metric("dispatches") - before; attempts < 2 {
 		t.Errorf("%d attempts of a request with a budget for ten, want 2 at least", attempts)
 	}
--- a/cmd/brassdale/shutdown_test.go
+++ b/cmd/brassdale/shutdown_test.go
@@ -120,7 +120,7 @@
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
 	dispatcher := startDispatcherWith(t, "", withSetting(`"deadline":5000000`, `"deadline":400000`), worker)
-	dispatcher.send(newRequest(dispatcher.http1URL, "before"))
+	dispatcher.sendKey("before")
 	dispatcher.terminate()
 	for i, terminatedAt := 0, time.Now(); time.Since(terminatedAt) < 400*time.Millisecond; i++ {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.http1URL, "http://"))
--- a/cmd/brassdale/support_endpointcache_test.go
+++ b/cmd/brassdale/support_endpointcache_test.go
@@ -38,8 +38,12 @@
 	for _, worker := range workers {
 		cell := 1
 		fmt.Sscan(worker.cell, &cell)
-		list.Members = append(list.Members, endpointcache.CachedMember{LastSignalMS: confirmedAt.UnixMilli(), Member: protocol.Member{ID: worker.id, HostPort: worker.listener.Addr().String(),
-			Locality: "llanelli", Flavor: "new-worker", Cell: cell, Phase: worker.phase, Size: 1}, Statistics: &scheduler.WorkerStatistics{Slots: 5, SlownessJobs: 50}})
+		list.Members = append(list.Members, endpointcache.CachedMember{
+			LastSignalMS: confirmedAt.UnixMilli(),
+			Member: protocol.Member{ID: worker.id, HostPort: worker.listener.Addr().String(), Locality: "llanelli", Flavor: "new-worker",
+				Cell: cell, Phase: worker.phase, Size: 1},
+			Statistics: &scheduler.WorkerStatistics{Slots: 5, SlownessJobs: 50},
+		})
 	}
 	if change != nil {
 		change(list)
--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -38,7 +38,8 @@
 // startFleetWith is startFleet with further lines of each dispatcher's block.
 func startFleetWith(t *testing.T, subnet, voters, followers int, extraSettings func(index int) string) *testFleet {
 	t.Helper()
-	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
+	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, absences: map[int][]faults.Absence{}}
+	fleet.workers = startNamedWorkers(t, completeJob, "a", "b")
 	for i := range voters + followers {
 		listener := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", subnet, i+1)))
 		fleet.addresses = append(fleet.addresses, listener.Addr().String())
@@ -46,7 +47,8 @@
 		fleet.directories = append(fleet.directories, t.TempDir())
 	}
 	for i := range fleet.addresses {
-		fleet.dispatchers = append(fleet.dispatchers, startDispatcherWith(t, fleet.operatorFile(i), withSetting(`"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, i)), fleet.workers...))
+		withName := withSetting(`"name":"n0"`, fmt.Sprintf(`"name":"n%d"`, i))
+		fleet.dispatchers = append(fleet.dispatchers, startDispatcherWith(t, fleet.operatorFile(i), withName, fleet.workers...))
 	}
 	return fleet
 }
--- a/cmd/brassdale/support_queueing_discovery_test.go
+++ b/cmd/brassdale/support_queueing_discovery_test.go
@@ -40,8 +40,16 @@
 
 // newQueueingDiscovery returns a service with the lines of its first list.
 func newQueueingDiscovery(members string) *queueingDiscovery {
-	return &queueingDiscovery{perCall: 420 * time.Millisecond, perUpdate: 12 * time.Millisecond, queueLimit: time.Second,
-		rejectionLatency: 30 * time.Millisecond, lists: []string{members}, changed: make(chan struct{}), answeredAt: map[string]time.Time{}, watchesEnd: map[string]chan struct{}{}}
+	return &queueingDiscovery{
+		perCall:          420 * time.Millisecond,
+		perUpdate:        12 * time.Millisecond,
+		queueLimit:       time.Second,
+		rejectionLatency: 30 * time.Millisecond,
+		lists:            []string{members},
+		changed:          make(chan struct{}),
+		answeredAt:       map[string]time.Time{},
+		watchesEnd:       map[string]chan struct{}{},
+	}
 }
 
 // publish makes a new revision of the list.
--- a/cmd/brassdale/support_requests_test.go
+++ b/cmd/brassdale/support_requests_test.go
@@ -28,6 +28,12 @@
 	return r
 }
 
+// sendKey sends a request of a key to the HTTP/1.1 frontend, and returns the answer; no answer fails the test.
+func (d *testDispatcher) sendKey(key string, headers ...string) (status int, body, retryAfter string) {
+	d.t.Helper()
+	return d.send(newRequest(d.http1URL, key, headers...))
+}
+
 // setBody gives a request a body of so many bytes and a declared length; -1 for none.
 func setBody(r *http.Request, size int, length int64) {
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", size))), length
@@ -55,7 +61,7 @@
 func (d *testDispatcher) checkServed(keyPrefix string, count int) {
 	d.t.Helper()
 	for i := range count {
-		if status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(keyPrefix, i))); status != http.StatusOK {
+		if status, _, _ := d.sendKey(fmt.Sprint(keyPrefix, i)); status != http.StatusOK {
 			d.t.Errorf("request %s%d: status %d", keyPrefix, i, status)
 		}
 	}
@@ -68,7 +74,7 @@
 	answered := make(chan int, 1)
 	go func() {
 		defer close(answered)
-		status, _, _ := d.send(newRequest(d.http1URL, key))
+		status, _, _ := d.sendKey(key)
 		answered <- status
 	}()
 	d.waitForRun(worker, key)
@@ -97,7 +103,7 @@
 	for i := range requests {
 		inFlight <- struct{}{}
 		wait.Go(func() {
-			if status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(keyPrefix, "-", i))); status == http.StatusOK {
+			if status, _, _ := d.sendKey(fmt.Sprint(keyPrefix, "-", i)); status == http.StatusOK {
 				served.Add(1)
 			}
 			<-inFlight
@@ -149,7 +155,7 @@
 	sent := 0
 	d.waitFor("a served request", func() bool {
 		sent++
-		status, _, _ := d.send(newRequest(d.http1URL, fmt.Sprint(keyPrefix, "-", sent), "Req-Deadline-Ms", "1000"))
+		status, _, _ := d.sendKey(fmt.Sprint(keyPrefix, "-", sent), "Req-Deadline-Ms", "1000")
 		return status == http.StatusOK
 	})
 }
--- a/cmd/brassdale/tls_test.go
+++ b/cmd/brassdale/tls_test.go
@@ -131,7 +131,8 @@
 	if status, _, _ := trySend(newHTTP2Client(t), newRequest(dispatcher.http2URL, "clear")); status != 0 {
 		t.Errorf("without TLS: status %d", status)
 	}
-	if conn, err := tls.Dial("tcp", strings.TrimPrefix(dispatcher.http2URL, "http://"), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"http/1.1"}}); err == nil {
+	onlyHTTP1 := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"http/1.1"}}
+	if conn, err := tls.Dial("tcp", strings.TrimPrefix(dispatcher.http2URL, "http://"), onlyHTTP1); err == nil {
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
 			t.Error("HTTP/1.1 over TLS was answered")
 		}
--- a/cmd/brassdale/workerconnection_test.go
+++ b/cmd/brassdale/workerconnection_test.go
@@ -32,7 +32,7 @@
 	})
 	dispatcher := startDispatcher(t, "", worker)
 	for i := range 20 {
-		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
+		if status, _, _ := dispatcher.sendKey(fmt.Sprint(i)); status != 200 {
 			t.Fatalf("request %d, right after another's answer: status %d", i, status)
 		}
 	}
@@ -43,10 +43,10 @@
 	t.Parallel()
 	keeping := startWorker(t, "a", completeJob)
 	dispatcher := startDispatcher(t, "", keeping)
-	dispatcher.send(newRequest(dispatcher.http1URL, "first"))
+	dispatcher.sendKey("first")
 	for i := range 5 {
-		time.Sleep(40 * time.Millisecond) // longer than a connection is unused after an answer
-		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i)))
+		time.Sleep(40 * time.Millisecond) // longer than a connection must be idle after an answer before it is used again
+		dispatcher.sendKey(fmt.Sprint(i))
 	}
 	if connections := keeping.connectionCount(); connections > 2 { // one for requests, perhaps one more for a probe
 		t.Errorf("%d connections for 6 requests in turn, more than 2", connections)
@@ -58,7 +58,7 @@
 	})
 	dispatcher = startDispatcher(t, "", closing)
 	for i := range 5 {
-		if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i))); status != 200 {
+		if status, _, _ := dispatcher.sendKey(fmt.Sprint(i)); status != 200 {
 			t.Errorf("request %d, after a closed connection: status %d", i, status)
 		}
 		<-closing.abandoned
--- a/cmd/brassdale/workers_test.go
+++ b/cmd/brassdale/workers_test.go
@@ -79,7 +79,7 @@
 	worker := startWorker(t, "a", completeJob)
 	worker.listener.Close()
 	dispatcher := startDispatcher(t, "", worker)
-	if status, _, after := dispatcher.send(newRequest(dispatcher.http1URL, "k")); status != 503 || after != "2" {
+	if status, _, after := dispatcher.sendKey("k"); status != 503 || after != "2" {
 		t.Errorf("status %d, Retry-After %q, want 503 and 2", status, after)
 	}
 }
@@ -113,7 +113,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dispatcher := startDispatcher(t, "", startWorker(t, "a", test.handler))
-			status, body, after := dispatcher.send(newRequest(dispatcher.http1URL, "k"))
+			status, body, after := dispatcher.sendKey("k")
 			if status != test.status || (status == 503) != (after != "") {
 				t.Errorf("status %d %q, Retry-After %q, want status %d", status, body, after, test.status)
 			}
@@ -127,7 +127,7 @@
 	workers := startNamedWorkers(t, completeJob, "a", "b", "c", "d")
 	dispatcher := startDispatcher(t, "", workers...)
 	for i := range 3 {
-		dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint(i), "Cookie", "theme=dark; user=7f3a9c21e0b4d655"))
+		dispatcher.sendKey(fmt.Sprint(i), "Cookie", "theme=dark; user=7f3a9c21e0b4d655")
 	}
 	for _, worker := range workers {
 		if jobs := worker.jobCount(); jobs != 0 && jobs != 3 {
