--- a/cmd/brassdale/discovery_test.go
+++ b/cmd/brassdale/discovery_test.go
@@ -20,7 +20,7 @@
 		return func() bool {
 			discovery.mu.Lock()
 			defer discovery.mu.Unlock()
-			return len(discovery.polledRevisions) > 0 && discovery.polledRevisions[len(discovery.polledRevisions)-1] == revision
+			return len(discovery.calls) > 0 && discovery.calls[len(discovery.calls)-1].index == revision
 		}
 	}
 	dispatcher.waitFor("a call after revision 1", polledAfter(1))
@@ -69,7 +69,7 @@
 	discovery := dispatcher.discovery
 	dispatcher.waitForWatch()
 	discovery.mu.Lock()
-	discovery.silentCalls = len(discovery.polledRevisions) // none that is open is answered
+	discovery.silentCalls = len(discovery.calls) // none that is open is answered
 	discovery.mu.Unlock()
 	changedAt := time.Now()
 	discovery.update(func() { workerA.phase = "leaving" })
--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -38,23 +38,23 @@
 			lines = append(lines, l.memberJSON(i))
 		}
 	}
-	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, l.revision, after < 0, strings.Join(lines, ","))
+	return listAnswer(l.revision, after < 0, strings.Join(lines, ","))
 }
 
 // ServeHTTP answers a call when the list is newer than the caller's, or when the call's wait is over.
 func (l *changingList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	after, err := strconv.Atoi(r.URL.Query().Get("index"))
-	if err != nil {
+	call := readPoll(r)
+	after := call.index
+	if !call.watch {
 		after = -1
 	}
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	l.mu.Lock()
 	newer, updated := l.revision > after, l.updated
 	l.mu.Unlock()
 	if !newer {
 		select {
 		case <-updated:
-		case <-time.After(time.Duration(wait) * time.Millisecond):
+		case <-time.After(call.wait):
 		case <-r.Context().Done():
 			return
 		}
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -1,11 +1,9 @@
 package main
 
 import (
-	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -53,19 +51,18 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls.Add(1)
 		behind := lag()
-		index, err := strconv.Atoi(r.URL.Query().Get("index"))
-		wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-		over := time.Now().Add(time.Duration(wait) * time.Millisecond)
+		call := readPoll(r)
+		over := time.Now().Add(call.wait)
 		revision, members := d.listAt(behind)
-		for err == nil && revision == index && time.Now().Before(over) && r.Context().Err() == nil {
+		for call.watch && revision == call.index && time.Now().Before(over) && r.Context().Err() == nil {
 			time.Sleep(5 * time.Millisecond)
 			revision, members = d.listAt(behind)
 		}
-		if err == nil && revision == index {
-			fmt.Fprintf(w, `{"revision":%d,"complete":false,"members":[]}`, revision)
+		if call.watch && revision == call.index {
+			io.WriteString(w, listAnswer(revision, false, ""))
 			return
 		}
-		io.WriteString(w, fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, members))
+		io.WriteString(w, listAnswer(revision, true, members))
 	}))
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
--- a/cmd/brassdale/support_discovery_test.go
+++ b/cmd/brassdale/support_discovery_test.go
@@ -13,16 +13,15 @@
 
 // testDiscovery is a discovery service that answers a call when its list is newer than the caller's, or when the call's wait is over.
 type testDiscovery struct {
-	mu              sync.Mutex
-	revision        int
-	workers         []*testWorker
-	failing         bool                     // calls are answered 503
-	hanging         bool                     // calls are accepted and not answered
-	corrupt         func(list string) string // returns what is sent in place of a list; nil for the list itself
-	polledRevisions []int                    // by call: the revision that the caller has
-	pollWaits       []int                    // by call: how many milliseconds it may wait
-	silentCalls     int                      // so many of the first calls are not answered
-	changed         chan struct{}            // closed and replaced at each update
+	mu          sync.Mutex
+	revision    int
+	workers     []*testWorker
+	failing     bool                     // calls are answered 503
+	hanging     bool                     // calls are accepted and not answered
+	corrupt     func(list string) string // returns what is sent in place of a list; nil for the list itself
+	calls       []poll
+	silentCalls int           // so many of the first calls are not answered
+	changed     chan struct{} // closed and replaced at each update
 }
 
 // newTestDiscovery returns a service with a list of revision 1.
@@ -34,14 +33,14 @@
 func (d *testDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.polledRevisions)
+	return len(d.calls)
 }
 
-// watched reports whether the last call was a watch.
+// watched reports whether the last call may wait for a newer list.
 func (d *testDiscovery) watched() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.pollWaits) > 0 && d.pollWaits[len(d.pollWaits)-1] > 0
+	return len(d.calls) > 0 && d.calls[len(d.calls)-1].wait > 0
 }
 
 // update makes a change and a new revision.
@@ -61,29 +60,27 @@
 		lines = append(lines, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"llanelli","flavor":"new-worker","cell":%s,"phase":%q,"size":1.0,"up_since_ms":%d}`,
 			worker.id, worker.listener.Addr(), worker.cell, worker.phase, worker.startedAtMS))
 	}
-	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, d.revision, strings.Join(lines, ","))
+	return listAnswer(d.revision, true, strings.Join(lines, ","))
 }
 
 // ServeHTTP answers a call.
 func (d *testDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.Atoi(r.URL.Query().Get("index"))
+	call := readPoll(r)
 	d.mu.Lock()
-	d.polledRevisions = append(d.polledRevisions, after)
-	fail := d.failing
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	d.pollWaits = append(d.pollWaits, wait)
-	call := len(d.polledRevisions)
-	over := time.After(time.Duration(wait) * time.Millisecond)
-	for d.revision <= after && !d.failing || d.hanging || call <= d.silentCalls {
+	d.calls = append(d.calls, call)
+	number := len(d.calls)
+	failing := d.failing
+	over := time.After(call.wait)
+	for d.revision <= call.index && !d.failing || d.hanging || number <= d.silentCalls {
 		changed := d.changed
 		d.mu.Unlock()
 		select {
 		case <-changed:
 		case <-over:
 			d.mu.Lock()
-			if !d.hanging && call > d.silentCalls {
+			if !d.hanging && number > d.silentCalls {
 				defer d.mu.Unlock()
-				fmt.Fprintf(w, `{"revision":%d,"complete":false,"members":[]}`, d.revision)
+				io.WriteString(w, listAnswer(d.revision, false, ""))
 				return
 			}
 			over = nil
@@ -94,7 +91,7 @@
 		d.mu.Lock()
 	}
 	defer d.mu.Unlock()
-	if fail {
+	if failing {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -107,6 +104,28 @@
 	io.WriteString(w, list)
 }
 
+// poll is a call to a discovery service.
+type poll struct {
+	watch bool          // the caller has a list
+	index int           // its revision; 0 without a list
+	wait  time.Duration // how long the call may wait for a newer list
+}
+
+// readPoll returns the call that a request stands for.
+func readPoll(r *http.Request) (call poll) {
+	query := r.URL.Query()
+	call.watch = query.Has("index")
+	call.index, _ = strconv.Atoi(query.Get("index"))
+	waitMS, _ := strconv.Atoi(query.Get("wait"))
+	call.wait = time.Duration(waitMS) * time.Millisecond
+	return call
+}
+
+// listAnswer returns an answer of discovery with the lines of these members.
+func listAnswer(revision int, complete bool, members string) string {
+	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, members)
+}
+
 // memberJSON returns a worker's line of an endpoint list.
 func memberJSON(worker *testWorker, phase string) string {
 	line, err := json.Marshal(map[string]any{"id": worker.id, "host_port": worker.listener.Addr().String(), "locality": "llanelli", "flavor": "new-worker",
--- a/cmd/brassdale/support_queueing_discovery_test.go
+++ b/cmd/brassdale/support_queueing_discovery_test.go
@@ -1,10 +1,9 @@
 package main
 
 import (
-	"fmt"
+	"io"
 	"net/http"
 	"net/http/httptest"
-	"strconv"
 	"sync"
 	"testing"
 	"time"
@@ -93,22 +92,19 @@
 
 // serve answers a call of a dispatcher.
 func (d *queueingDiscovery) serve(dispatcher string, w http.ResponseWriter, r *http.Request) {
-	query := r.URL.Query()
-	watch := query.Has("index")
-	index, _ := strconv.Atoi(query.Get("index"))
-	wait, _ := strconv.Atoi(query.Get("wait"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	call := readPoll(r)
+	over := time.After(call.wait)
 	if time.Now().Before(d.downUntil) {
 		time.Sleep(d.queueTimeout)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	ended, continued := d.begin(dispatcher, watch)
-	if !continued && !d.waitForTurn(dispatcher, watch, ended) {
+	ended, continued := d.begin(dispatcher, call.watch)
+	if !continued && !d.waitForTurn(dispatcher, call.watch, ended) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if watch && !d.waitForUpdate(index, over, ended, r) {
+	if call.watch && !d.waitForUpdate(call.index, over, ended, r) {
 		if r.Context().Err() == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -116,14 +112,14 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if watch {
+	if call.watch {
 		d.answeredAt[dispatcher] = time.Now()
 	}
 	members, complete := d.lists[d.revision], true
-	if watch && index >= d.revision {
+	if call.watch && call.index >= d.revision {
 		members, complete = "", false
 	}
-	fmt.Fprintf(w, `{"revision":%d,"complete":%t,"members":[%s]}`, d.revision, complete, members)
+	io.WriteString(w, listAnswer(d.revision, complete, members))
 }
 
 // begin counts a call. It returns the channel that ends the dispatcher's watches, and whether the call continues a watch.
