--- a/cmd/brassdale/discovery_test.go
+++ b/cmd/brassdale/discovery_test.go
@@ -20,7 +20,7 @@
 		return func() bool {
 			discovery.mu.Lock()
 			defer discovery.mu.Unlock()
-			return len(discovery.polledRevisions) > 0 && discovery.polledRevisions[len(discovery.polledRevisions)-1] == revision
+			return len(discovery.calls) > 0 && discovery.calls[len(discovery.calls)-1].index == revision
 		}
 	}
 	dispatcher.waitFor("a call after revision 1", polledAfter(1))
@@ -33,7 +33,7 @@
 	}
 	discovery.update(func() { discovery.failing, workerA.phase = true, "active" })
 	dispatcher.waitForLog("discovery call failed")
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "x")); status != 200 {
+	if status, _, _ := dispatcher.sendKey("x"); status != 200 {
 		t.Errorf("while discovery fails: status %d", status)
 	}
 	discovery.update(func() { discovery.failing = false })
@@ -69,7 +69,7 @@
 	discovery := dispatcher.discovery
 	dispatcher.waitForWatch()
 	discovery.mu.Lock()
-	discovery.silentCalls = len(discovery.polledRevisions) // none that is open is answered
+	discovery.silentCalls = len(discovery.calls) // none that is open is answered
 	discovery.mu.Unlock()
 	changedAt := time.Now()
 	discovery.update(func() { workerA.phase = "leaving" })
@@ -106,7 +106,7 @@
 	if requests := dispatcher.metric("concurrent"); requests != 1 {
 		t.Errorf("%d open requests, want 1", requests)
 	}
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "further")); status != 200 {
+	if status, _, _ := dispatcher.sendKey("further"); status != 200 {
 		t.Errorf("a further request: status %d", status)
 	}
 	discovery.update(func() { discovery.failing = false })
@@ -154,7 +154,7 @@
 			discovery := dispatcher.discovery
 			discovery.update(func() { discovery.workers, discovery.corrupt = []*testWorker{workerB}, corrupt })
 			for i, before := 0, discovery.callCount(); discovery.callCount() < before+3; i++ {
-				if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("k-", i))); status != 200 {
+				if status, _, _ := dispatcher.sendKey(fmt.Sprint("k-", i)); status != 200 {
 					t.Fatalf("request %d: status %d", i, status)
 				}
 			}
@@ -167,7 +167,7 @@
 			}
 			discovery.update(func() { discovery.corrupt = nil })
 			dispatcher.waitForLog("discovery recovered")
-			if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "after")); status != 200 {
+			if status, _, _ := dispatcher.sendKey("after"); status != 200 {
 				t.Errorf("after the valid list: status %d", status)
 			}
 			if jobs := workerB.jobCount(); jobs != 1 {
--- a/cmd/brassdale/requests_test.go
+++ b/cmd/brassdale/requests_test.go
@@ -12,21 +12,30 @@
 // none of those reaches a worker.
 func TestRequest_servedOrRejectedAsInvalid(t *testing.T) {
 	t.Parallel()
-	var got http.Header
+	var received http.Header
 	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
-		got = r.Header
-		got.Set("Target", r.RequestURI)
+		received = r.Header
+		received.Set("Target", r.RequestURI)
 		completeJob(worker, conn, r)
 	})
 	dispatcher := startDispatcher(t, "", worker)
-	if status, body, _ := dispatcher.send(newRequest(dispatcher.http1URL, "k1")); status != 200 || body != "priced" {
+	if status, body, _ := dispatcher.sendKey("k1"); status != 200 || body != "priced" {
 		t.Errorf("a valid request: status %d %q", status, body)
 	}
 	for name, want := range map[string]string{"Req-Id": "id-k1", "Idempotency-Key": "k1", "Target": "/price-part?sheet=7", "Body": "drawing"} {
-		if got.Get(name) != want {
-			t.Errorf("%s reached the worker as %q", name, got.Get(name))
+		if value := received.Get(name); value != want {
+			t.Errorf("%s reached the worker as %q, want %q", name, value, want)
 		}
 	}
+	checkInvalidRequests(t, dispatcher)
+	if jobs := worker.jobCount(); jobs != 2 { // one of them is the valid one of checkInvalidRequests
+		t.Errorf("%d jobs at the worker, want 2", jobs)
+	}
+}
+
+// checkInvalidRequests checks the answers to invalid requests, and to a valid one with an unknown extension.
+func checkInvalidRequests(t *testing.T, dispatcher *testDispatcher) {
+	t.Helper()
 	resp, err := http.Get(dispatcher.http1URL + "/price-part")
 	if err != nil || resp.StatusCode != 405 || resp.Header.Get("Allow") != "POST" {
 		t.Errorf("GET: %v %v", resp, err)
@@ -55,7 +64,10 @@
 			t.Errorf("%s: status %d %q, want %d", name, status, body, test.status)
 		}
 	}
-	for _, text := range []string{"POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: -4\r\n\r\n", "POST /price-part HTTP/1.1\r\nHost: h\r\nReq Id: 1\r\n\r\n"} {
+	for _, text := range []string{
+		"POST /price-part HTTP/1.1\r\nHost: h\r\nContent-Length: -4\r\n\r\n",
+		"POST /price-part HTTP/1.1\r\nHost: h\r\nReq Id: 1\r\n\r\n",
+	} {
 		conn := dispatcher.dial()
 		io.WriteString(conn, text)
 		if answer, _ := io.ReadAll(conn); !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") {
@@ -63,9 +75,6 @@
 		}
 		conn.Close()
 	}
-	if jobs := worker.jobCount(); jobs != 2 {
-		t.Errorf("%d jobs at the worker, want 2", jobs)
-	}
 }
 
 // TestRequestID_alreadyOpen checks that a second request with the ID of an open one is answered 409, and the first is served.
@@ -75,14 +84,14 @@
 	worker := startWorker(t, "a", completeWhenReleased(release))
 	dispatcher := startDispatcher(t, "", worker)
 	answered := dispatcher.sendInBackground(worker, "k")
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "other", "Req-Id", "id-k")); status != 409 {
+	if status, _, _ := dispatcher.sendKey("other", "Req-Id", "id-k"); status != 409 {
 		t.Errorf("the ID of an open request: status %d", status)
 	}
 	close(release)
 	if status := <-answered; status != 200 {
 		t.Errorf("the first request: status %d", status)
 	}
-	if status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "later", "Req-Id", "id-k")); status != 200 {
+	if status, _, _ := dispatcher.sendKey("later", "Req-Id", "id-k"); status != 200 {
 		t.Errorf("the ID of an answered request: status %d", status)
 	}
 }
