--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -157,7 +157,8 @@
 // which cannot be used is logged and otherwise ignored.
 func TestDetachedWorkers_restoredAfterKill(t *testing.T) {
 	t.Parallel()
-	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob), startWorker(t, "b", completeJob))
+	detached := startWorker(t, "a", completeJob)
+	dispatcher := startDispatcher(t, "", detached, startWorker(t, "b", completeJob))
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
 		t.Fatalf("detach: status %d", status)
 	}
@@ -167,15 +168,18 @@
 	}
 	dispatcher.kill()
 	restarted := dispatcher.startSuccessor("") // finds the files of a killed process
-	if restarted.metric("targets_disabled") != 1 || !strings.Contains(restarted.log(), "starting alone") {
-		t.Errorf("after a kill: targets_disabled=%d", restarted.metric("targets_disabled"))
+	restarted.checkServed("after-kill-", 20) // from its first request on, whenever the metric follows
+	if jobs := detached.jobCount(); jobs != 0 || !strings.Contains(restarted.log(), "starting alone") {
+		t.Errorf("after a kill: %d jobs at the detached worker, or the start was not alone", jobs)
 	}
+	restarted.waitForMetric("targets_disabled", 1)
 	for _, text := range []string{"", "{", `{"name":"another","workers":["a"]}`} {
 		restarted.kill()
 		if err := os.WriteFile(files[0], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		restarted = dispatcher.startSuccessor("")
+		restarted.checkServed("invalid-file-", 20) // so that what the start has queued is done
 		if detached := restarted.metric("targets_disabled"); detached != 0 || strings.Count(restarted.log(), "detached workers not read") != 1 {
 			t.Errorf("file %q: %d detached workers, or not logged once", text, detached)
 		}
--- a/cmd/brassdale/http2_test.go
+++ b/cmd/brassdale/http2_test.go
@@ -152,7 +152,7 @@
 	}
 	dispatcher.waitFor("jobs at both workers", func() bool { return draining.jobCount() > 0 && other.jobCount() > 0 })
 	dispatcher.discovery.update(func() { draining.phase = "leaving" })
-	dispatcher.waitForLog("endpoint list updated")
+	dispatcher.waitForLog("msg=\"endpoint list updated\" revision=2 ") // revision 1 is logged at the start
 	dispatcher.waitFor("the end of the drain grace period", func() bool { return time.Since(dispatcher.lastListUpdate()) > 500*time.Millisecond })
 	before := draining.jobCount()
 	close(release)
