--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,19 +12,22 @@
 	"brassdale/scheduler"
 )
 
+// schedulerPolicy is the scheduler as a Policy.
 func schedulerPolicy(s scheduler.Settings, seed uint64) Policy { return scheduler.New(s, seed) }
 
+// plainPolicy returns a policy of internal/emulator/policy by its name.
 func plainPolicy(name string) func(scheduler.Settings, uint64) Policy {
 	return func(s scheduler.Settings, seed uint64) Policy { return policy.New(name, s, seed) }
 }
 
-func mustRun(t testing.TB, s Scenario, p func(scheduler.Settings, uint64) Policy) *Result {
+// mustRun runs a scenario in virtual time.
+func mustRun(t testing.TB, scenario Scenario, newPolicy func(scheduler.Settings, uint64) Policy) *Result {
 	t.Helper()
-	r, err := Run(s, p)
+	result, err := Run(scenario, newPolicy)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
 // allFaults is a scenario with every kind of fault that is not of a zone.
@@ -37,8 +40,8 @@
 	return s
 }
 
-// TestSameSeed: the same seed gives the same result on any number of cores, another seed another.
-func TestSameSeed(t *testing.T) {
+// TestRun_deterministic checks that the same seed gives the same result on any number of cores, and another seed another result.
+func TestRun_deterministic(t *testing.T) {
 	first := fmt.Sprintf("%+v", *mustRun(t, allFaults(7), schedulerPolicy))
 	for _, cores := range []int{1, 4} {
 		old := runtime.GOMAXPROCS(cores)
@@ -49,23 +52,24 @@
 		}
 	}
 	if other := fmt.Sprintf("%+v", *mustRun(t, allFaults(8), schedulerPolicy)); other == first {
-		t.Error("another seed gives the same")
+		t.Error("seeds 7 and 8 give the same result")
 	}
 }
 
-// TestModule: the scheduler keeps the rules through all faults, and meets its objective without faults.
-func TestModule(t *testing.T) {
-	calm := mustRun(t, ReferenceScenario(3), schedulerPolicy)
-	if calm.Service < 0.9 || calm.Jobs < 9000 || len(calm.Breaches) > 0 {
-		t.Errorf("calm: %+v", calm)
+// TestRun_schedulerMeetsObjective checks that the scheduler serves at least 0.9 without faults, and more than random choice, and that it
+// breaks no rule and answers all jobs under every kind of fault that is not of a zone.
+func TestRun_schedulerMeetsObjective(t *testing.T) {
+	faultless := mustRun(t, ReferenceScenario(3), schedulerPolicy)
+	if faultless.Service < 0.9 || faultless.Jobs < 9000 || len(faultless.Breaches) > 0 {
+		t.Errorf("without faults: %+v", faultless)
 	}
-	if bad := mustRun(t, ReferenceScenario(3), plainPolicy("random")); bad.Service >= calm.Service {
-		t.Errorf("random choice serves %.3f, the module %.3f", bad.Service, calm.Service)
+	if random := mustRun(t, ReferenceScenario(3), plainPolicy("random")); random.Service >= faultless.Service {
+		t.Errorf("random choice serves %.3f, the scheduler %.3f", random.Service, faultless.Service)
 	}
 	for seed := range uint64(3) {
 		result := mustRun(t, allFaults(seed), schedulerPolicy)
-		for _, b := range result.Breaches {
-			t.Errorf("seed %d: %s", seed, b)
+		for _, breach := range result.Breaches {
+			t.Errorf("seed %d: %s", seed, breach)
 		}
 		if result.Served+result.Late+result.Rejected+result.Failed < result.Jobs {
 			t.Errorf("seed %d: %d jobs, %+v", seed, result.Jobs, result)
@@ -73,7 +77,7 @@
 	}
 }
 
-// singleWorker is a queue: one dispatcher and one worker, nothing else modelled.
+// singleWorker is a queue: one dispatcher and one worker, without reports, faults or retries.
 func singleWorker(seed uint64, slots int, load float64) Scenario {
 	return Scenario{Seed: seed, Span: 1500 * time.Second, Dispatchers: 1, Cells: 1,
 		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, LatencyObjective: time.Hour, Deadline: time.Hour, Effect: scheduler.Idempotent},
@@ -91,8 +95,9 @@
 	return last / (sum + last)
 }
 
-// TestAgainstErlang compares mean response times with the closed form for M/M/1 and M/M/c, within the 99% interval of ten runs.
-func TestAgainstErlang(t *testing.T) {
+// TestRun_matchesErlangC checks that mean response times are those of the closed form for M/M/1 and M/M/c, within the 99% interval of ten
+// runs.
+func TestRun_matchesErlangC(t *testing.T) {
 	for _, test := range []struct {
 		slots int
 		load  float64
@@ -124,17 +129,18 @@
 	alter func(scheduler.Event, []scheduler.Action) []scheduler.Action
 }
 
-func (m alteredPolicy) Handle(now scheduler.Instant, ev scheduler.Event) []scheduler.Action {
-	return m.alter(ev, m.Policy.Handle(now, ev))
+// Handle returns the altered actions of the policy.
+func (p alteredPolicy) Handle(now scheduler.Instant, event scheduler.Event) []scheduler.Action {
+	return p.alter(event, p.Policy.Handle(now, event))
 }
 
-// TestAuditor: the auditor finds a breach of each of the four rules, with the request, the worker and the time.
-func TestAuditor(t *testing.T) {
+// TestAuditor_findsEachBreach checks that the auditor finds a breach of each of the four rules, with the request, the worker and the time.
+func TestAuditor_findsEachBreach(t *testing.T) {
 	base := ReferenceScenario(1)
 	base.Span, base.Traffic.Rate = 8*time.Second, 40
-	all := func(s Scenario, meddle func(scheduler.Event, []scheduler.Action) []scheduler.Action) *Result {
-		return mustRun(t, s, func(set scheduler.Settings, seed uint64) Policy {
-			return alteredPolicy{plainPolicy("round-robin")(set, seed), meddle}
+	runAltered := func(scenario Scenario, alter func(scheduler.Event, []scheduler.Action) []scheduler.Action) *Result {
+		return mustRun(t, scenario, func(settings scheduler.Settings, seed uint64) Policy {
+			return alteredPolicy{plainPolicy("round-robin")(settings, seed), alter}
 		})
 	}
 	drains := base
@@ -143,65 +149,65 @@
 	starts.Faults = []Fault{{At: time.Second, For: 1, Kind: Restart, Share: 0.01}}
 	starts.Traffic.Rate, starts.Discovery = 400, time.Millisecond
 	var listed []scheduler.WorkerID
-	recordList := func(ev scheduler.Event) {
-		if l, is := ev.(scheduler.EndpointsUpdated); is && l.ListKind == scheduler.ListCached {
+	recordList := func(event scheduler.Event) {
+		if update, is := event.(scheduler.EndpointsUpdated); is && update.ListKind == scheduler.ListCached {
 			listed = nil
-			for _, w := range l.Workers {
-				listed = append(listed, w.ID)
+			for _, worker := range update.Workers {
+				listed = append(listed, worker.ID)
 			}
 		}
 	}
-	for rule, r := range map[string]*Result{
-		RuleAnswer: all(base, func(_ scheduler.Event, acts []scheduler.Action) []scheduler.Action { // drops all attempts
+	for rule, result := range map[string]*Result{
+		RuleAnswer: runAltered(base, func(_ scheduler.Event, actions []scheduler.Action) []scheduler.Action { // drops all attempts
 			var remaining []scheduler.Action
-			for _, a := range acts {
-				if _, is := a.(scheduler.Send); !is {
-					remaining = append(remaining, a)
+			for _, action := range actions {
+				if _, is := action.(scheduler.Send); !is {
+					remaining = append(remaining, action)
 				}
 			}
 			return remaining
 		}),
-		RuleAnswer + ", twice": all(base, func(ev scheduler.Event, acts []scheduler.Action) []scheduler.Action {
-			if f, is := ev.(scheduler.AttemptFinished); is && f.Outcome == scheduler.Served {
-				acts = append(acts, scheduler.Fail{ID: f.ID})
+		RuleAnswer + ", twice": runAltered(base, func(event scheduler.Event, actions []scheduler.Action) []scheduler.Action {
+			if finished, is := event.(scheduler.AttemptFinished); is && finished.Outcome == scheduler.Served {
+				actions = append(actions, scheduler.Fail{ID: finished.ID})
 			}
-			return acts
+			return actions
 		}),
-		RuleRepeat: all(base, func(ev scheduler.Event, acts []scheduler.Action) []scheduler.Action { // sends each request twice
-			recordList(ev)
-			for i, a := range acts {
-				if s, is := a.(scheduler.Send); is {
-					acts = append(acts, scheduler.Send{ID: s.ID, Worker: listed[(i+int(s.ID))%len(listed)]})
+		RuleRepeat: runAltered(base, func(event scheduler.Event, actions []scheduler.Action) []scheduler.Action { // sends each request twice
+			recordList(event)
+			for i, action := range actions {
+				if send, is := action.(scheduler.Send); is {
+					actions = append(actions, scheduler.Send{ID: send.ID, Worker: listed[(i+int(send.ID))%len(listed)]})
 				}
 			}
-			return acts
+			return actions
 		}),
-		RuleDrain: all(drains, func(ev scheduler.Event, acts []scheduler.Action) []scheduler.Action { // ignores all lists but the first
-			recordList(ev)
-			for i, a := range acts {
-				if s, is := a.(scheduler.Send); is {
-					acts[i] = scheduler.Send{ID: s.ID, Worker: listed[int(s.ID)%len(listed)]}
+		RuleDrain: runAltered(drains, func(event scheduler.Event, actions []scheduler.Action) []scheduler.Action { // ignores all lists but the first
+			recordList(event)
+			for i, action := range actions {
+				if send, is := action.(scheduler.Send); is {
+					actions[i] = scheduler.Send{ID: send.ID, Worker: listed[int(send.ID)%len(listed)]}
 				}
 			}
-			return acts
+			return actions
 		}),
-		RuleSlowStart: all(starts, func(_ scheduler.Event, acts []scheduler.Action) []scheduler.Action { return acts }),
+		RuleSlowStart: runAltered(starts, func(_ scheduler.Event, actions []scheduler.Action) []scheduler.Action { return actions }),
 	} {
 		rule, _, _ = strings.Cut(rule, ",")
 		found := false
-		for _, b := range r.Breaches {
-			if b.Rule == rule && b.Request > 0 && b.At > 0 && (rule == RuleAnswer || b.Worker != "") {
+		for _, breach := range result.Breaches {
+			if breach.Rule == rule && breach.Request > 0 && breach.At > 0 && (rule == RuleAnswer || breach.Worker != "") {
 				found = true
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found among %d breaches", rule, len(r.Breaches))
+			t.Errorf("%s: not found among %d breaches", rule, len(result.Breaches))
 		}
 	}
 }
 
-// BenchmarkBusyDay runs a minute of 170 jobs/s, on one core.
-func BenchmarkBusyDay(b *testing.B) {
+// BenchmarkRun_referenceScenario runs a minute of 170 jobs/s on one core.
+func BenchmarkRun_referenceScenario(b *testing.B) {
 	for b.Loop() {
 		mustRun(b, ReferenceScenario(1), schedulerPolicy)
 	}
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -20,22 +20,24 @@
 	return s
 }
 
-// TestZoneLost: a zone is lost and comes back warming up. With a plan, no zone receives more than its capacity, nothing is planned
-// into the lost zone after four seconds, more is served than by the nearest zone alone or by spreading, and no rule is broken.
-func TestZoneLost(t *testing.T) {
+// TestFailover_zoneLost loses a zone for 20 s; its workers then warm up. With a plan, no zone receives more than 1.05 of its capacity,
+// nothing is planned into the lost zone after four seconds, the zone has its share again after 20 s at the earliest, more is served than
+// by the nearest zone alone or by spreading, and no rule is broken.
+func TestFailover_zoneLost(t *testing.T) {
 	results := map[string]*Result{}
 	for _, mode := range []string{"", "near", "spread", "plan"} {
-		r, err := Run(fourZones(3, mode), schedulerPolicy)
+		result, err := Run(fourZones(3, mode), schedulerPolicy)
 		if err != nil {
 			t.Fatal(err)
 		}
-		results[mode] = r
-		t.Logf("%-6q before %.3f, in the loss %.3f, behind it %.3f; crossings %.2f, zone's peak %.2f, p99 %v, plans %d, moved %v, back %v, breaches %d", mode,
-			r.Within(5*time.Second, 20*time.Second), r.Within(23*time.Second, 40*time.Second), r.Within(40*time.Second, 70*time.Second), r.Crossings, r.ZonePeak, r.P99, r.PlanChanges, r.MovedAfter, r.RestoredAfter, len(r.Breaches))
+		results[mode] = result
+		t.Logf("%-6q served before the loss %.3f, during it %.3f, after it %.3f; crossings %.2f, zone's peak %.2f, p99 %v, plans %d, moved after %v, restored after %v, breaches %d",
+			mode, result.Within(5*time.Second, 20*time.Second), result.Within(23*time.Second, 40*time.Second), result.Within(40*time.Second, 70*time.Second),
+			result.Crossings, result.ZonePeak, result.P99, result.PlanChanges, result.MovedAfter, result.RestoredAfter, len(result.Breaches))
 	}
 	planned := results["plan"]
 	if len(planned.Breaches) > 0 || planned.ZonePeak > 1.05 || planned.MovedAfter == 0 || planned.MovedAfter > 4*time.Second || planned.RestoredAfter < 20*time.Second {
-		t.Errorf("%+v %v", planned.Breaches, planned.MovedAfter)
+		t.Errorf("breaches %+v, zone's peak %.2f, moved after %v, restored after %v", planned.Breaches, planned.ZonePeak, planned.MovedAfter, planned.RestoredAfter)
 	}
 	for _, mode := range []string{"near", "spread"} {
 		if planned.Service < results[mode].Service {
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -25,8 +25,9 @@
 	return path
 }
 
-// TestOnSockets: real dispatchers keep the rules through faults, and serve nearly all jobs, as in virtual time.
-func TestOnSockets(t *testing.T) {
+// TestPlay_asInVirtualTime checks that real dispatchers break no rule under faults, and that they serve at most 0.1 less than the scheduler
+// in virtual time, with at most 0.3 more sends a job.
+func TestPlay_asInVirtualTime(t *testing.T) {
 	s := ReferenceScenario(3)
 	s.Span = 4 * time.Second
 	s.Traffic.Rate = 60
@@ -34,49 +35,49 @@
 		{At: 2 * time.Second, For: time.Second, Kind: Restart, Share: 0.1}, {At: 2500 * time.Millisecond, For: time.Second, Kind: Drain, Share: 0.2},
 		{At: 500 * time.Millisecond, For: 1500 * time.Millisecond, Kind: ListDown, Share: 1}, {At: 2500 * time.Millisecond, For: 500 * time.Millisecond, Kind: ListHung, Share: 1}}
 	binary := buildProgram(t)
-	r, err := playUntilUsable(t, func() (*Result, error) { return Play(t.Context(), s, binary) })
+	result, err := playUntilUsable(t, func() (*Result, error) { return Play(t.Context(), s, binary) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaches {
-		t.Error(b)
+	for _, breach := range result.Breaches {
+		t.Error(breach)
 	}
 	virtual := mustRun(t, s, schedulerPolicy)
-	if r.Jobs < 150 || r.Service < virtual.Service-0.1 || r.Sends > virtual.Sends+0.3 {
-		t.Errorf("on sockets %+v, by the model %+v", r, virtual)
+	if result.Jobs < 150 || result.Service < virtual.Service-0.1 || result.Sends > virtual.Sends+0.3 {
+		t.Errorf("on sockets %+v, in virtual time %+v", result, virtual)
 	}
 
-	// A program that cannot start, and a context that ends: the result until then comes with the error.
+	// A program that cannot start fails; a context that ends returns the result until then with the error.
 	if _, err := Play(t.Context(), s, filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a program that is not there played")
+		t.Error("Play succeeded without a program")
 	}
 	s.Span, s.Faults = time.Hour, nil
-	r, err = playUntilUsable(t, func() (*Result, error) {
+	result, err = playUntilUsable(t, func() (*Result, error) {
 		ctx, stop := context.WithDeadline(t.Context(), time.Now().Add(2*time.Second))
 		defer stop()
 		return Play(ctx, s, binary)
 	})
-	if !errors.Is(err, context.Canceled) || r == nil || r.Jobs == 0 {
-		t.Errorf("stopped: %v, %+v", err, r)
+	if !errors.Is(err, context.Canceled) || result == nil || result.Jobs == 0 {
+		t.Errorf("cancelled after 2 s: error %v, %+v", err, result)
 	}
 }
 
-// playUntilUsable plays until the load generator has kept its plan, five times at most: where it fell behind, the machine was
-// late, and the result says nothing of the program.
-func playUntilUsable(t *testing.T, play func() (*Result, error)) (r *Result, err error) {
+// playUntilUsable plays until the load generator has sent its jobs on time, five times at most: if it is late, the machine is overloaded,
+// and the result says nothing of the program.
+func playUntilUsable(t *testing.T, play func() (*Result, error)) (result *Result, err error) {
 	t.Helper()
 	for range 5 {
-		if r, err = play(); !errors.Is(err, load.ErrUnusable) {
-			return r, err
+		if result, err = play(); !errors.Is(err, load.ErrUnusable) {
+			return result, err
 		}
 		t.Logf("played again: %v", err)
 	}
-	return r, err
+	return result, err
 }
 
-// TestAuditOnSockets: the auditor finds a job sent to a worker long after the notification of its drain, and a repeat in another
-// cell.
-func TestAuditOnSockets(t *testing.T) {
+// TestAuditor_onSockets checks that the auditor finds a job that is sent to a worker after the grace period of its drain, and a repeat in
+// another cell.
+func TestAuditor_onSockets(t *testing.T) {
 	s := ReferenceScenario(1)
 	s.Discovery, s.Dispatchers = time.Millisecond, 1
 	s.Rules.DrainGrace = 0
@@ -99,45 +100,45 @@
 	}
 	post := func(to wireMember, id string) {
 		t.Helper()
-		req, _ := http.NewRequest(http.MethodPost, "http://"+to.HostPort+"/"+className, strings.NewReader("{}"))
-		req.Header.Set("Req-Id", id)
-		req.Header.Set("Idempotency-Key", "k-"+id)
-		resp, err := http.DefaultClient.Do(req)
+		request, _ := http.NewRequest(http.MethodPost, "http://"+to.HostPort+"/"+className, strings.NewReader("{}"))
+		request.Header.Set("Req-Id", id)
+		request.Header.Set("Idempotency-Key", "k-"+id)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
+		response.Body.Close()
 	}
 	first := file.Known.Members[0]
 	other := first
-	for _, m := range file.Known.Members {
-		if m.Cell != first.Cell {
-			other = m
+	for _, member := range file.Known.Members {
+		if member.Cell != first.Cell {
+			other = member
 		}
 	}
 	post(first, "one")
 	post(other, "one")
 	cluster.StartFaults()
 	revision := file.Known.Revision
-	for told := 0; told < len(file.Known.Members); { // until the watch has notified of all drains
-		resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?index=%d&wait=5000", file.Discovery, revision))
+	for notified := 0; notified < len(file.Known.Members); { // until the watch has notified of all drains
+		response, err := http.Get(fmt.Sprintf("http://%s/registry/instances?index=%d&wait=5000", file.Discovery, revision))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var answer wireList
-		if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
+		if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
-		revision, told = answer.Revision, told+len(answer.Members)
+		response.Body.Close()
+		revision, notified = answer.Revision, notified+len(answer.Members)
 	}
 	time.Sleep(2 * socketSlack) // past the grace period
 	post(first, "two")
-	rules := map[string]int{}
-	for _, b := range cluster.Now().Breaches {
-		rules[b.Rule]++
+	breaches := map[string]int{}
+	for _, breach := range cluster.Now().Breaches {
+		breaches[breach.Rule]++
 	}
-	if rules[RuleRepeat] != 1 || rules[RuleDrain] != 1 {
-		t.Errorf("found %v", rules)
+	if breaches[RuleRepeat] != 1 || breaches[RuleDrain] != 1 {
+		t.Errorf("found %v, want one %s and one %s", breaches, RuleRepeat, RuleDrain)
 	}
 }
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -8,9 +8,9 @@
 	"brassdale/scheduler"
 )
 
-// TestSharingAgainstClosedForm: the mean response time of a worker that shares its speed is that of M/M/1 with processor sharing:
-// mean work by spare speed (L. Kleinrock, 1967).
-func TestSharingAgainstClosedForm(t *testing.T) {
+// TestProcessorSharing_matchesClosedForm checks that the mean response time of a worker that shares its speed among its jobs is that of
+// M/M/1 with processor sharing, mean work divided by spare speed (L. Kleinrock, 1967), within a tenth over ten runs.
+func TestProcessorSharing_matchesClosedForm(t *testing.T) {
 	for _, load := range []float64{0.3, 0.5, 0.8} {
 		var mean float64
 		const runs = 10
@@ -25,18 +25,18 @@
 	}
 }
 
-// TestSharingTurnsAway: a worker without a free slot rejects a job at once, and another worker is sent it; a user has one job
-// handled at a time.
-func TestSharingTurnsAway(t *testing.T) {
+// TestProcessorSharing_rejectsWithoutSlot checks that a worker without a free slot rejects a job at once, and the job is sent to another
+// worker; a user has one job in flight at a time.
+func TestProcessorSharing_rejectsWithoutSlot(t *testing.T) {
 	s := singleWorker(1, 1, 0.9)
 	s.Span, s.Kinds = 100*time.Second, []Kind{{"some", 3, 1, 1, 1, true}}
 	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Effect = 20, 3, 100, scheduler.Idempotent
-	r := mustRun(t, s, plainPolicy("random"))
-	if r.Sends <= 1 || r.Served < r.Jobs*9/10 || len(r.Breaches) > 0 {
-		t.Errorf("%+v", r)
+	result := mustRun(t, s, plainPolicy("random"))
+	if result.Sends <= 1 || result.Served < result.Jobs*9/10 || len(result.Breaches) > 0 {
+		t.Errorf("three users: %+v", result)
 	}
-	s.Traffic.Users = 1 // nobody beside it: nothing is ever turned away
-	if r := mustRun(t, s, plainPolicy("least-outstanding")); r.Sends != 1 {
-		t.Errorf("one user: %.3f sends a job", r.Sends)
+	s.Traffic.Users = 1 // no other job is in flight: none is rejected
+	if result := mustRun(t, s, plainPolicy("least-outstanding")); result.Sends != 1 {
+		t.Errorf("one user: %.3f sends a job", result.Sends)
 	}
 }
