--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,6 +11,7 @@
 	"testing"
 )
 
+// smallExperiment has two variants and four seeds: eight runs.
 const smallExperiment = `title = "small"
 seeds = 4
 world {
@@ -21,8 +22,9 @@
 variant "random" { policy = "random" }
 `
 
-// TestRun: a file gives the same rows in whatever order the runs end, and stored rows can be drawn again.
-func TestRun(t *testing.T) {
+// TestRun_reproducible checks that a file gives the same rows in whatever order its runs end, and that saved rows can be read and drawn
+// again.
+func TestRun_reproducible(t *testing.T) {
 	file, err := Parse([]byte(smallExperiment), "small.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +36,7 @@
 	}
 	again, _ := Run(context.Background(), file, InVirtualTime, 4, "b", func() {})
 	if fmt.Sprint(again) != fmt.Sprint(rows) {
-		t.Error("the same file gives other rows")
+		t.Error("a second run of the file gives other rows")
 	}
 	dir := t.TempDir()
 	if err := Save(dir, file.Title, rows); err != nil {
@@ -42,31 +44,31 @@
 	}
 	title, stored, err := Read(dir)
 	if err != nil || title != "small" || fmt.Sprint(stored) != fmt.Sprint(rows) {
-		t.Errorf("kept %q, %v, %v", title, stored, err)
+		t.Errorf("read title %q, rows %v, error %v", title, stored, err)
 	}
-	before, _ := os.ReadFile(filepath.Join(dir, "table.txt"))
+	saved, _ := os.ReadFile(filepath.Join(dir, "table.txt"))
 	if err := Draw(dir, title, stored); err != nil {
 		t.Fatal(err)
 	}
-	after, _ := os.ReadFile(filepath.Join(dir, "table.txt"))
-	if !bytes.Equal(before, after) || !strings.Contains(string(after), "against module") {
-		t.Errorf("drawn again:\n%s", after)
+	redrawn, _ := os.ReadFile(filepath.Join(dir, "table.txt"))
+	if !bytes.Equal(saved, redrawn) || !strings.Contains(string(redrawn), "against module") {
+		t.Errorf("table drawn again:\n%s\nwant\n%s", redrawn, saved)
 	}
 	if chart, err := os.ReadFile(filepath.Join(dir, "p99_ms.svg")); err != nil || !strings.Contains(string(chart), "<svg") {
 		t.Errorf("no chart: %v", err)
 	}
 }
 
-// TestStopped: if the context ends, Run returns the rows until then.
-func TestStopped(t *testing.T) {
+// TestRun_cancelled checks that Run returns the rows until then if its context is cancelled, here after 6 of 2000 runs.
+func TestRun_cancelled(t *testing.T) {
 	file, err := Parse([]byte(strings.Replace(smallExperiment, "seeds = 4", "seeds = 1000", 1)), "small.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	played := 0
+	finished := 0
 	rows, err := Run(ctx, file, InVirtualTime, 4, "b", func() {
-		if played++; played == 6 {
+		if finished++; finished == 6 {
 			stop()
 		}
 	})
@@ -75,8 +77,8 @@
 	}
 }
 
-// TestFaults: mistakes in a file are reported with line and column.
-func TestFaults(t *testing.T) {
+// TestParse_invalidFile checks that a mistake in a file is reported with line and column.
+func TestParse_invalidFile(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{`seeds = 4`, `seeds = 0`, "x.hcl:2:9: Bad experiment: seeds"},
 		{`policy = "random"`, `policy = "luck"`, `x.hcl:8:1: Bad experiment: There is no policy "luck"`},
@@ -87,29 +89,31 @@
 	} {
 		text := strings.Replace(smallExperiment, test.from, test.to, 1)
 		if _, err := Parse([]byte(text), "x.hcl"); err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v, want %s", test.to, err, test.want)
+			t.Errorf("%s: error %v, want %s", test.to, err, test.want)
 		}
 	}
 }
 
-// TestDifference: noise is not significant, a difference beyond the noise is.
-func TestDifference(t *testing.T) {
-	var a, b, c []Row
+// TestDifference_significance checks that a difference within the noise is not significant, and one of 0.11 beyond it is.
+func TestDifference_significance(t *testing.T) {
+	var base, noisy, better []Row
 	for seed := range uint64(20) {
 		x := float64(seed%7) / 10
-		a, b, c = append(a, Row{Seed: seed, Service: x}), append(b, Row{Seed: seed, Service: x + float64(seed%2)/100 - 0.005}), append(c, Row{Seed: seed, Service: x + 0.1 + float64(seed%3)/100})
+		base = append(base, Row{Seed: seed, Service: x})
+		noisy = append(noisy, Row{Seed: seed, Service: x + float64(seed%2)/100 - 0.005})
+		better = append(better, Row{Seed: seed, Service: x + 0.1 + float64(seed%3)/100})
 	}
-	service := func(r Row) float64 { return r.Service }
-	if summary, sure := Difference(a, b, service); sure {
-		t.Errorf("nothing: %+v", summary)
+	service := func(row Row) float64 { return row.Service }
+	if summary, significant := Difference(base, noisy, service); significant {
+		t.Errorf("noise is significant: %+v", summary)
 	}
-	if s, sure := Difference(a, c, service); !sure || s.Mean < 0.1 || s.N != 20 {
-		t.Errorf("0.11: %+v, %v", s, sure)
+	if summary, significant := Difference(base, better, service); !significant || summary.Mean < 0.1 || summary.N != 20 {
+		t.Errorf("difference of 0.11: %+v, significant %v", summary, significant)
 	}
 }
 
-// TestScenarios: the experiments in scenarios can be loaded.
-func TestScenarios(t *testing.T) {
+// TestLoad_scenarios checks that the experiments in scenarios can be loaded.
+func TestLoad_scenarios(t *testing.T) {
 	files, _ := filepath.Glob("../../scenarios/*.hcl")
 	if len(files) < 3 {
 		t.Fatalf("found %v", files)
@@ -121,9 +125,10 @@
 	}
 }
 
-// TestPaper: the paper's order of policies holds, LUD before LU before round robin before random where the network is slow; LUD and
-// LU are alike without network delay, and the utilisation is at its target throughout.
-func TestPaper(t *testing.T) {
+// TestRun_paperPolicyOrder checks that the policies rank as in the paper: with network delays from 250 ms LUD is faster than LU by a
+// twentieth, LU faster than round robin, and that faster than random choice by a tenth. Without delay LUD and LU differ by 0.01 at most.
+// The utilisation is 0.8, within 0.04, throughout.
+func TestRun_paperPolicyOrder(t *testing.T) {
 	file, err := Load("../../scenarios/paper.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -135,24 +140,24 @@
 	}
 	_, byVariant := rowsByVariant(rows)
 	mean := func(variant string, of func(Row) float64) float64 {
-		var x []float64
-		for _, r := range byVariant[variant] {
-			x = append(x, of(r))
+		var values []float64
+		for _, row := range byVariant[variant] {
+			values = append(values, of(row))
 		}
-		return summarize(x).Mean
+		return summarize(values).Mean
 	}
-	speed := func(variant string) float64 { return mean(variant, func(r Row) float64 { return r.Speed }) }
+	speed := func(variant string) float64 { return mean(variant, func(row Row) float64 { return row.Speed }) }
 	for _, delay := range []string{"250ms", "500ms", "1s"} {
-		if lud, lu, rr, rand := speed("LUD "+delay), speed("LU "+delay), speed("RR "+delay), speed("RAND "+delay); !(lud > 1.05*lu && lu > rr && rr > 1.1*rand) {
-			t.Errorf("at %s: LUD %.3f, LU %.3f, RR %.3f, RAND %.3f", delay, lud, lu, rr, rand)
+		if lud, lu, roundRobin, random := speed("LUD "+delay), speed("LU "+delay), speed("RR "+delay), speed("RAND "+delay); !(lud > 1.05*lu && lu > roundRobin && roundRobin > 1.1*random) {
+			t.Errorf("at %s: LUD %.3f, LU %.3f, RR %.3f, RAND %.3f", delay, lud, lu, roundRobin, random)
 		}
 	}
 	if lud, lu := speed("LUD 0ms"), speed("LU 0ms"); math.Abs(lud-lu) > 0.01 {
 		t.Errorf("without a delay: LUD %.3f, LU %.3f", lud, lu)
 	}
 	for name := range byVariant {
-		if used := mean(name, func(r Row) float64 { return r.Used }); used < 0.76 || used > 0.84 {
-			t.Errorf("%s: utilisation %.3f", name, used)
+		if utilisation := mean(name, func(row Row) float64 { return row.Used }); utilisation < 0.76 || utilisation > 0.84 {
+			t.Errorf("%s: utilisation %.3f", name, utilisation)
 		}
 	}
 }
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// TestDeployments: the scheduler is behind no plain policy at any of scenarios/deployments, with two seeds each, and breaks no
-// rule.
-func TestDeployments(t *testing.T) {
+// TestStandings_scenariosDeployments checks that the scheduler breaks no rule at any of scenarios/deployments, with two seeds each, and
+// that its merit is at most 0.05 below that of the best plain policy.
+func TestStandings_scenariosDeployments(t *testing.T) {
 	files, err := Files("../../scenarios/deployments")
 	if err != nil || len(files) < 12 {
-		t.Fatalf("%d works, %v", len(files), err)
+		t.Fatalf("%d deployments, error %v", len(files), err)
 	}
 	var deployments []Deployment
 	for _, path := range files {
@@ -28,51 +28,52 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		module, _ := Breaches(rows, file)
-		for _, b := range module {
-			t.Errorf("%s: %s", file.Title, b)
+		schedulerBreaches, _ := Breaches(rows, file)
+		for _, breach := range schedulerBreaches {
+			t.Errorf("%s: %s", file.Title, breach)
 		}
 		deployments = append(deployments, Deployment{file.Title, rows})
 	}
 	for _, standing := range Standings(deployments) {
-		// Two seeds say little of the noise: the margin is that of the stored six-seed runs, at most 0.05.
+		// Two seeds are too few to estimate the noise: the margin is that of the stored runs with six seeds, 0.05 at most.
 		if standing.Difference.Mean < -0.05 {
-			t.Errorf("%s: %.3f, %s %.3f", standing.Work, standing.Module.Mean, standing.Plain, standing.Best.Mean)
+			t.Errorf("%s: scheduler %.3f, %s %.3f", standing.Work, standing.Module.Mean, standing.Plain, standing.Best.Mean)
 		}
 	}
 }
 
-// TestOverview: a scheduler that is behind, or broke a rule, is marked so, in the saved table too.
-func TestOverview(t *testing.T) {
+// TestOverview_marksBehind checks that a deployment where the scheduler is significantly worse than a plain policy, or broke a rule, is
+// marked as behind, in the saved table too.
+func TestOverview_marksBehind(t *testing.T) {
 	row := func(variant string, seed uint64, merit float64) Row {
 		return Row{Variant: variant, Seed: seed, Merit: merit}
 	}
-	work := func(name string, merit float64) Deployment {
+	deployment := func(name string, merit float64) Deployment {
 		return Deployment{name, []Row{row("module", 1, merit), row("module", 2, merit+0.01), row("random", 1, 0.2), row("random", 2, 0.2), row("lud", 1, 0.8), row("lud", 2, 0.81)}}
 	}
-	broken := work("broken", 0.9)
+	broken := deployment("broken", 0.9)
 	broken.Rows[0].Breaches = []string{"a rule"}
-	all := Standings([]Deployment{work("level", 0.79), work("behind", 0.7), broken})
+	standings := Standings([]Deployment{deployment("level", 0.79), deployment("behind", 0.7), broken})
 	for i, want := range []bool{false, true, true} {
-		if s := all[i]; s.Behind() != want || s.Plain != "lud" {
-			t.Errorf("%+v: behind %v", s, s.Behind())
+		if standing := standings[i]; standing.Behind() != want || standing.Plain != "lud" {
+			t.Errorf("%+v: behind %v, want %v", standing, standing.Behind(), want)
 		}
 	}
 	dir := t.TempDir()
-	if err := SaveOverview(dir, []Deployment{work("level", 0.79), work("behind", 0.7)}); err != nil {
+	if err := SaveOverview(dir, []Deployment{deployment("level", 0.79), deployment("behind", 0.7)}); err != nil {
 		t.Fatal(err)
 	}
 	table, _ := os.ReadFile(filepath.Join(dir, "overview.txt"))
 	if lines := strings.Split(string(table), "\n"); !strings.Contains(lines[2], "behind") || !strings.HasSuffix(strings.TrimSpace(lines[2]), "behind") || strings.HasSuffix(strings.TrimSpace(lines[1]), "behind") {
-		t.Errorf("kept:\n%s", table)
+		t.Errorf("saved table:\n%s", table)
 	}
 	if chart, err := os.ReadFile(filepath.Join(dir, "overview.svg")); err != nil || !strings.Contains(string(chart), "<svg") {
 		t.Errorf("no chart: %v", err)
 	}
-	if err := Overview(io.Discard, all); err != nil {
+	if err := Overview(io.Discard, standings); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Files(dir); err == nil {
-		t.Error("a folder without experiments was taken")
+		t.Error("a directory without experiments was accepted")
 	}
 }
