--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,9 +27,9 @@
 	return jobs
 }
 
-// TestPlansAreByTheirSeed: a seed gives the same jobs each time, and another seed others; times are in order and inside their phases,
-// and do not depend on the accounts.
-func TestPlansAreByTheirSeed(t *testing.T) {
+// TestGenerated_determinedBySeed checks that a seed gives the same jobs each time, and another seed others; that times are in order and
+// inside their phases, and do not depend on the accounts.
+func TestGenerated_determinedBySeed(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		phase := Phase{Shape: Shape(rapid.IntRange(0, int(Day)).Draw(t, "shape")), For: time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond,
 			Rate: rapid.Float64Range(1, 2000).Draw(t, "rate"), Every: 200 * time.Millisecond, Last: 50 * time.Millisecond}
@@ -47,23 +47,24 @@
 		}
 		mix.Accounts = []Account{{"c", 1, 0}}
 		other := allJobs(Generated([]Phase{phase, phase}, mix, seed))
-		for i, j := range first {
-			if j.At < 0 || j.At >= 2*phase.For || i > 0 && j.At < first[i-1].At {
-				t.Fatalf("job %d at %v", i, j.At)
+		for i, job := range first {
+			if job.At < 0 || job.At >= 2*phase.For || i > 0 && job.At < first[i-1].At {
+				t.Fatalf("job %d at %v", i, job.At)
 			}
-			if other[i].At != j.At || other[i].Subject != j.Subject {
-				t.Fatalf("another account moved job %d", i)
+			if other[i].At != job.At || other[i].Subject != job.Subject {
+				t.Fatalf("another account changed job %d: %+v, was %+v", i, other[i], job)
 			}
 		}
 	})
-	if reflect.DeepEqual(allJobs(Generated([]Phase{{Shape: Poisson, For: time.Second, Rate: 100}}, Mix{}, 1)), allJobs(Generated([]Phase{{Shape: Poisson, For: time.Second, Rate: 100}}, Mix{}, 2))) {
+	phases := []Phase{{Shape: Poisson, For: time.Second, Rate: 100}}
+	if reflect.DeepEqual(allJobs(Generated(phases, Mix{}, 1)), allJobs(Generated(phases, Mix{}, 2))) {
 		t.Error("another seed gave the same jobs")
 	}
 }
 
-// TestShapesHaveTheirRates: each shape has as many jobs as it should, within five standard deviations, and an account with five times
-// its share sends five times as many, beside the others' jobs.
-func TestShapesHaveTheirRates(t *testing.T) {
+// TestGenerated_rateOfShape checks that each shape gives the number of jobs that follows from its rate, within five standard deviations,
+// and that an account whose Times is five sends five times its share, in addition to the jobs of the other.
+func TestGenerated_rateOfShape(t *testing.T) {
 	for name, test := range map[string]struct {
 		phase Phase
 		want  float64
@@ -78,29 +79,29 @@
 		}
 	}
 	count := map[string]float64{}
-	for _, j := range allJobs(Generated([]Phase{{Shape: Poisson, For: 10 * time.Second, Rate: 500}}, Mix{Accounts: []Account{{"a", 0.5, 5}, {"b", 0.5, 0}}}, 3)) {
-		count[j.Account]++
+	for _, job := range allJobs(Generated([]Phase{{Shape: Poisson, For: 10 * time.Second, Rate: 500}}, Mix{Accounts: []Account{{"a", 0.5, 5}, {"b", 0.5, 0}}}, 3)) {
+		count[job.Account]++
 	}
 	if math.Abs(count["b"]-2500) > 250 || math.Abs(count["a"]-12500) > 600 {
 		t.Errorf("jobs by account: %v", count)
 	}
 }
 
-// TestTraces: a trace is read whole or not at all, and the error names the line of its first mistake.
-func TestTraces(t *testing.T) {
+// TestReadTrace checks that a trace is read completely or not at all, and that the error names the line of its first mistake.
+func TestReadTrace(t *testing.T) {
 	accounts := []Account{{Name: "a"}, {Name: "b"}}
 	for name, test := range map[string]struct{ format, text, want string }{
-		"csv":             {"csv", "at_ms,account,key\n0,a,k1\n5000,b,k2\n", ""}, // a gap of five seconds is as it was
+		"csv":             {"csv", "at_ms,account,key\n0,a,k1\n5000,b,k2\n", ""}, // a gap of five seconds is not shortened
 		"json lines":      {"jsonl", "{\"at_ms\":0,\"account\":\"a\",\"subject\":\"s\"}\n\n{\"at_ms\":1.5,\"account\":\"b\"}\n", ""},
 		"out of order":    {"jsonl", "{\"at_ms\":5,\"account\":\"a\"}\n{\"at_ms\":4,\"account\":\"a\"}\n", "line 2: at_ms 4 is before the 5 of the line before"},
 		"unknown account": {"csv", "at_ms,account\n0,a\n1,zebra\n", `line 3: unknown account "zebra"`},
 		"bad line":        {"jsonl", "{\"at_ms\":0,\"account\":\"a\"}\n{\"at_ms\":\n", "line 2:"},
 		"no number":       {"csv", "at_ms,account\nsoon,a\n", `line 2: at_ms: "soon" is no number`},
 		"no time":         {"jsonl", "{\"account\":\"a\"}\n", "line 1:"},
-		"below nothing":   {"csv", "at_ms,account\n-1,a\n", "line 2: at_ms:"},
+		"negative time":   {"csv", "at_ms,account\n-1,a\n", "line 2: at_ms:"},
 		"not a number":    {"csv", "at_ms,account\nNaN,a\n", "line 2:"},
 		"unknown column":  {"csv", "at_ms,account,colour\n0,a,red\n", "line 2:"},
-		"a head's end":    {"jsonl", "{\"at_ms\":0,\"account\":\"a\",\"key\":\"k\\r\\nHost: h\"}\n", "line 1: key:"},
+		"line break":      {"jsonl", "{\"at_ms\":0,\"account\":\"a\",\"key\":\"k\\r\\nHost: h\"}\n", "line 1: key:"},
 		"short line":      {"csv", "at_ms,account\n0\n", "line 2"},
 		"empty":           {"csv", "at_ms\n", "no job"},
 		"format":          {"xml", "", "no trace format"},
@@ -112,7 +113,7 @@
 	}
 }
 
-// FuzzReadTrace: any text gives either jobs, in order and without line breaks, or an error.
+// FuzzReadTrace checks that any text gives either jobs, in order and without line breaks, or an error.
 func FuzzReadTrace(f *testing.F) {
 	f.Add("at_ms,account\n0,a\n", true)
 	f.Add("{\"at_ms\":0}\n", false)
@@ -125,34 +126,34 @@
 		if (err == nil) != (len(jobs) > 0) {
 			t.Fatalf("%d jobs and error %v", len(jobs), err)
 		}
-		for i, j := range jobs {
-			if j.At < 0 || i > 0 && j.At < jobs[i-1].At || strings.ContainsAny(j.Key+j.Subject+j.Account+j.Work, "\r\n") {
-				t.Fatalf("job %d: %+v", i, j)
+		for i, job := range jobs {
+			if job.At < 0 || i > 0 && job.At < jobs[i-1].At || strings.ContainsAny(job.Key+job.Subject+job.Account+job.Work, "\r\n") {
+				t.Fatalf("job %d: %+v", i, job)
 			}
 		}
 	})
 }
 
-// TestPlanFaults: mistakes in a plan are reported with file, line and column.
-func TestPlanFaults(t *testing.T) {
+// TestParse_invalidPlan checks that a mistake in a plan is reported with file, line and column.
+func TestParse_invalidPlan(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "t.csv"), []byte("at_ms\nx\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	header := "class = \"c\"\ngive_up = \"5s\"\n"
 	for name, test := range map[string]struct{ text, want string }{
-		"good":       {header + "phase \"ramp\" {\n  for = \"1s\"\n  rate = 1\n  to = 9\n}\n", ""},
+		"valid":      {header + "phase \"ramp\" {\n  for = \"1s\"\n  rate = 1\n  to = 9\n}\n", ""},
 		"no phase":   {header, "plan.hcl:"},
 		"shape":      {header + "phase \"cone\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:3:7: Bad plan: There is no shape \"cone\""},
 		"time":       {"class = \"c\"\ngive_up = \"soon\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:2:11:"},
-		"two faults": {"class = \"\"\ngive_up = \"0s\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:2:11: Bad plan: give_up must be above 0."},
+		"two errors": {"class = \"\"\ngive_up = \"0s\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:2:11: Bad plan: give_up must be above 0."},
 		"wire":       {header + "wire = \"smoke\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:3:8:"},
 		"trace":      {header + "trace {\n  file = \"t.csv\"\n  format = \"csv\"\n}\n", "plan.hcl:4:10: Bad plan: t.csv: line 2: at_ms: \"x\" is no number"},
 		"unknown":    {header + "speed = 3\n", "plan.hcl:3:1:"},
 	} {
 		_, err := Parse([]byte(test.text), filepath.Join(dir, "plan.hcl"))
 		if (test.want == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v, want %q", name, err, test.want)
+			t.Errorf("%s: error %v, want %q", name, err, test.want)
 		}
 	}
 }
@@ -160,24 +161,25 @@
 // senderFunc is a function as a Sender.
 type senderFunc func(ctx context.Context, j Job, try int, deadline time.Time) Answer
 
+// Send calls the function.
 func (s senderFunc) Send(ctx context.Context, j Job, try int, deadline time.Time) Answer {
 	return s(ctx, j, try, deadline)
 }
 
-// TestPauseIsSeen: a target that stalls for 150 ms shows in the percentiles from when jobs were due, in an open and in a closed loop;
-// in those from when attempts were sent, a closed loop hides it.
-func TestPauseIsSeen(t *testing.T) {
-	const pause = 150 * time.Millisecond
+// TestRun_noCoordinatedOmission checks that a stall of the target for 150 ms shows in the latency percentiles, which count from when jobs
+// were due, in an open and in a closed loop. In those from when attempts were sent a closed loop hides it.
+func TestRun_noCoordinatedOmission(t *testing.T) {
+	const stall = 150 * time.Millisecond
 	run := func(clients int) Figures {
 		begin := time.Now()
 		stalled := senderFunc(func(context.Context, Job, int, time.Time) Answer {
-			if at := time.Since(begin); at > pause && at < 2*pause {
-				time.Sleep(2*pause - at)
+			if at := time.Since(begin); at > stall && at < 2*stall {
+				time.Sleep(2*stall - at)
 			}
 			return Answer{}
 		})
 		options := Options{Terms: Terms{GiveUp: time.Minute}, Begin: begin, Clients: clients}
-		return Run(t.Context(), Generated([]Phase{{Shape: Constant, For: 3 * pause, Rate: 1000}}, Mix{}, 1), stalled, options).Figures()
+		return Run(t.Context(), Generated([]Phase{{Shape: Constant, For: 3 * stall, Rate: 1000}}, Mix{}, 1), stalled, options).Figures()
 	}
 	open, closed := run(0), run(1)
 	if open.Latency.P90 < 50 || open.Latency.Max < 140 {
@@ -187,36 +189,36 @@
 		t.Errorf("closed loop, from when due: %+v", closed.Latency)
 	}
 	if closed.Service.P99 > 50 {
-		t.Errorf("closed loop, from when sent, should hide it: %+v", closed.Service)
+		t.Errorf("closed loop, from when sent, shows the stall: %+v", closed.Service)
 	}
 }
 
-// TestFellBehind: the result of a generator that is late, here as its plan began before it did, or that has too many jobs in flight,
-// is unusable.
-func TestFellBehind(t *testing.T) {
-	block := make(chan struct{})
+// TestRun_unusableIfLate checks that the result of a generator that is late, here as its plan started a second before it did, or that
+// reaches its limit of jobs in flight, is unusable.
+func TestRun_unusableIfLate(t *testing.T) {
+	release := make(chan struct{})
 	plan := func() Source {
 		return Generated([]Phase{{Shape: Constant, For: 20 * time.Millisecond, Rate: 500}}, Mix{}, 1)
 	}
 	instant := senderFunc(func(context.Context, Job, int, time.Time) Answer { return Answer{} })
-	starved := Run(t.Context(), plan(), instant, Options{Terms: Terms{GiveUp: time.Second}, Begin: time.Now().Add(-time.Second)})
-	if err := starved.Usable(); !errors.Is(err, ErrUnusable) || !strings.Contains(err.Error(), "late") || starved.Figures().Usable {
-		t.Errorf("starved: %v", err)
+	late := Run(t.Context(), plan(), instant, Options{Terms: Terms{GiveUp: time.Second}, Begin: time.Now().Add(-time.Second)})
+	if err := late.Usable(); !errors.Is(err, ErrUnusable) || !strings.Contains(err.Error(), "late") || late.Figures().Usable {
+		t.Errorf("late: %v", err)
 	}
 	var once sync.Once
 	blocked := senderFunc(func(context.Context, Job, int, time.Time) Answer {
-		once.Do(func() { time.AfterFunc(100*time.Millisecond, func() { close(block) }) })
-		<-block
+		once.Do(func() { time.AfterFunc(100*time.Millisecond, func() { close(release) }) })
+		<-release
 		return Answer{}
 	})
 	full := Run(t.Context(), plan(), blocked, Options{Terms: Terms{GiveUp: time.Second}, MaxOpen: 3})
 	if err := full.Usable(); !errors.Is(err, ErrUnusable) || full.Figures().Outcomes["served"] != 3 {
-		t.Errorf("out of room: %v, %v", err, full.Figures().Outcomes)
+		t.Errorf("at the limit of jobs in flight: error %v, outcomes %v", err, full.Figures().Outcomes)
 	}
 }
 
-// TestStopped: if the context ends, the result has what was measured and says that it was cut short.
-func TestStopped(t *testing.T) {
+// TestRun_cancelled checks that if the context is cancelled the result has what was measured and says that it was cut short.
+func TestRun_cancelled(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	sent := 0
 	sender := senderFunc(func(context.Context, Job, int, time.Time) Answer {
@@ -232,20 +234,20 @@
 	}
 }
 
-// TestRetries: a client retries a rejection after its Retry-After, with the same key and a new id, and the job counts once; it does not
-// retry a failure, nor after its deadline.
-func TestRetries(t *testing.T) {
-	type seen struct {
+// TestClient_retriesRejections checks that a client retries a rejection after its Retry-After, with the same key and a new ID, and that the
+// job counts once; that it retries neither a failure nor past its give-up time.
+func TestClient_retriesRejections(t *testing.T) {
+	type attempt struct {
 		id, key, retry string
-		at             time.Time
+		receivedAt     time.Time
 	}
 	var mu sync.Mutex
-	var got []seen
+	var got []attempt
 	status := http.StatusServiceUnavailable
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		got = append(got, seen{r.Header.Get("Req-Id"), r.Header.Get("Idempotency-Key"), r.Header.Get("Req-Retry"), time.Now()})
+		got = append(got, attempt{r.Header.Get("Req-Id"), r.Header.Get("Idempotency-Key"), r.Header.Get("Req-Retry"), time.Now()})
 		if len(got)%2 == 0 {
 			w.WriteHeader(http.StatusOK)
 			return
@@ -265,20 +267,20 @@
 		return Run(t.Context(), Recorded([]Job{{Account: "a"}}), client, options).Figures()
 	}
 	figures := run(5 * time.Second)
-	if figures.Outcomes["served"] != 1 || figures.Tries != 2 || got[0].key != got[1].key || got[0].id == got[1].id || got[1].retry != "1" || got[1].at.Sub(got[0].at) < 100*time.Millisecond {
-		t.Errorf("%+v, seen %+v", figures, got)
+	if figures.Outcomes["served"] != 1 || figures.Tries != 2 || got[0].key != got[1].key || got[0].id == got[1].id || got[1].retry != "1" || got[1].receivedAt.Sub(got[0].receivedAt) < 100*time.Millisecond {
+		t.Errorf("figures %+v, attempts %+v", figures, got)
 	}
-	if f := run(50 * time.Millisecond); f.Outcomes["refused"] != 1 || len(got) != 1 {
-		t.Errorf("past its give-up: %+v, %d tries", f.Outcomes, len(got))
+	if figures := run(50 * time.Millisecond); figures.Outcomes["refused"] != 1 || len(got) != 1 {
+		t.Errorf("give-up before Retry-After: outcomes %+v, %d attempts", figures.Outcomes, len(got))
 	}
 	status = http.StatusBadGateway
-	if f := run(5 * time.Second); f.Outcomes["failed"] != 1 || len(got) != 1 {
-		t.Errorf("after a failure: %+v, %d tries", f.Outcomes, len(got))
+	if figures := run(5 * time.Second); figures.Outcomes["failed"] != 1 || len(got) != 1 {
+		t.Errorf("after a failure: outcomes %+v, %d attempts", figures.Outcomes, len(got))
 	}
 }
 
-// BenchmarkPacing paces 20,000 jobs a second and reports how late they are sent.
-func BenchmarkPacing(b *testing.B) {
+// BenchmarkRun_pacing sends 20,000 jobs a second and reports how late they are sent.
+func BenchmarkRun_pacing(b *testing.B) {
 	instant := senderFunc(func(context.Context, Job, int, time.Time) Answer { return Answer{} })
 	for b.Loop() {
 		figures := Run(b.Context(), Generated([]Phase{{Shape: Poisson, For: 2 * time.Second, Rate: 20_000}}, Mix{}, 1), instant, Options{Terms: Terms{GiveUp: time.Second}}).Figures()
