--- a/internal/endpointcache/memoryfiles_test.go
+++ b/internal/endpointcache/memoryfiles_test.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// memoryFiles are files in memory that fail, or stop in a crash of the machine, as a test says.
+// memoryFiles is a Files in memory whose changes fail, or end in a simulated crash of the machine, as a test configures.
 type memoryFiles struct {
 	files     map[string][]byte
-	steps     int   // changes so far
-	crashAt   int   // the change at which the machine crashes, of which a part may be done; 0 for never
-	crashPart int   // which part of it is done
-	failWith  error // the error of each change; nil for none
+	steps     int   // how many changes were made
+	crashAt   int   // the change at which the machine crashes, counted from 1; 0 for never
+	crashPart int   // how much of that change is done, from 0 for nothing; see Replace and Append
+	failWith  error // the error of each change, which is not made; nil for none
 }
 
 var errCrashed = errors.New("the machine has crashed")
 
-// step counts a change, and returns the error that it ends in.
+// step counts a change, and returns its error.
 func (m *memoryFiles) step() error {
 	m.steps++
 	switch {
@@ -52,7 +52,7 @@
 			switch m.crashPart {
 			case 1: // after the rename
 				m.files[name] = content
-			case 2: // before it: a temporary file is left
+			case 2: // before the rename: a temporary file remains
 				m.files["."+name+"123"] = content[:len(content)/2]
 			}
 		}
@@ -94,5 +94,5 @@
 	return nil
 }
 
-// newMemoryFiles returns no files.
+// newMemoryFiles returns an empty directory.
 func newMemoryFiles() *memoryFiles { return &memoryFiles{files: map[string][]byte{}} }
--- a/internal/endpointcache/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -13,10 +13,12 @@
 	"brassdale/scheduler"
 )
 
+// testMember returns a worker in a phase.
 func testMember(id, phase string) protocol.Member {
 	return protocol.Member{ID: id, HostPort: "127.0.0.1:3000", Locality: "llanelli", Flavor: "new-box", Cell: 1, Phase: phase, Size: 1}
 }
 
+// testList returns a list of active workers.
 func testList(revision int64, ids ...string) *CachedList {
 	list := &CachedList{ConfirmedAtMS: 1000 * revision, Revision: revision, Discovery: "127.0.0.1:8500", Detached: []string{"detached"}}
 	for _, id := range ids {
@@ -25,7 +27,8 @@
 	return list
 }
 
-// Promises 2 and 5: if a byte of a snapshot is changed, or its end is cut off, the generation before it is used.
+// TestLoad_damagedSnapshot checks promises 2 and 5 at each byte: if a byte of a snapshot is changed, or the snapshot is truncated, the
+// generation before it is used.
 func TestLoad_damagedSnapshot(t *testing.T) {
 	original := newMemoryFiles()
 	store := NewStore(original, "n0")
@@ -35,33 +38,34 @@
 		}
 	}
 	newest := fileName(snapshotPrefix, 2)
-	whole := original.files[newest]
+	intact := original.files[newest]
 	check := func(what string, damaged []byte) {
 		t.Helper()
 		files := newMemoryFiles()
 		files.files[fileName(snapshotPrefix, 1)], files.files[newest] = original.files[fileName(snapshotPrefix, 1)], damaged
 		list, notes := NewStore(files, "n0").Load()
 		if list == nil || list.Revision != 1 || len(list.Members) != 2 || len(notes) != 1 {
-			t.Fatalf("%s: %+v, %v", what, list, notes)
+			t.Fatalf("%s: loaded %+v, notes %q", what, list, notes)
 		}
 		if _, isAside := files.files[damagedPrefix+newest]; !isAside {
-			if _, there := files.files[newest]; !there || !strings.Contains(notes[0], "version") {
-				t.Fatalf("%s: not set aside: %v", what, notes)
+			if _, remains := files.files[newest]; !remains || !strings.Contains(notes[0], "version") {
+				t.Fatalf("%s: not set aside, notes %q", what, notes)
 			}
 		}
 	}
-	for i := range whole {
-		check(fmt.Sprint("cut at ", i), whole[:i])
+	for i := range intact {
+		check(fmt.Sprint("truncated at ", i), intact[:i])
 		for _, flip := range []byte{1, 0x80, 0xff} {
-			damaged := slices.Clone(whole)
+			damaged := slices.Clone(intact)
 			damaged[i] ^= flip
 			check(fmt.Sprintf("byte %d ^ %x", i, flip), damaged)
 		}
 	}
-	check("longer", append(slices.Clone(whole), ' '))
+	check("longer", append(slices.Clone(intact), ' '))
 }
 
-// Promise 3: if the end of a journal is cut off or a byte is changed, the records before that are used and none after.
+// TestLoad_damagedJournal checks promise 3 at each byte: if a journal is truncated or a byte is changed, the records before that are used
+// and none after it.
 func TestLoad_damagedJournal(t *testing.T) {
 	original := newMemoryFiles()
 	store := NewStore(original, "n0")
@@ -76,44 +80,44 @@
 		}
 		ends = append(ends, len(original.files[journal]))
 	}
-	whole := original.files[journal]
+	intact := original.files[journal]
 	snapshot := original.files[fileName(snapshotPrefix, 1)]
 	loadLeaving := func(text []byte) (count int, torn bool) {
 		t.Helper()
 		return loadLeavingMembers(t, snapshot, text)
 	}
-	for offset := range whole {
+	for offset := range intact {
 		want := 0
 		for _, end := range ends {
 			if end <= offset {
 				want++
 			}
 		}
-		if count, torn := loadLeaving(whole[:offset]); count != want || torn == (offset == 0 || slices.Contains(ends, offset)) {
-			t.Fatalf("cut at %d: %d records, torn %v", offset, count, torn)
+		if count, torn := loadLeaving(intact[:offset]); count != want || torn == (offset == 0 || slices.Contains(ends, offset)) {
+			t.Fatalf("truncated at %d: %d records, torn %v", offset, count, torn)
 		}
-		damaged := slices.Clone(whole)
+		damaged := slices.Clone(intact)
 		damaged[offset] ^= 0x10
 		if count, _ := loadLeaving(damaged); count != want {
 			t.Fatalf("byte %d changed: %d records, want %d", offset, count, want)
 		}
 	}
-	// A record at the place of another is not used.
-	swapped := slices.Concat(whole[ends[0]:ends[1]], whole[:ends[0]])
+	// A record in the position of another is not used.
+	swapped := slices.Concat(intact[ends[0]:ends[1]], intact[:ends[0]])
 	if count, torn := loadLeaving(swapped); count != 0 || !torn {
-		t.Errorf("records in another order: %d", count)
+		t.Errorf("swapped records: %d used, torn %v", count, torn)
 	}
 }
 
-// loadLeavingMembers loads a snapshot of three workers with a journal in which they leave one after the other. It returns how many have
-// left by the records that were read, and whether the journal was found torn.
+// loadLeavingMembers loads a snapshot of three workers with a journal by which they leave one after the other. It returns how many leave
+// by the records that were read, and whether the journal was found torn.
 func loadLeavingMembers(t *testing.T, snapshot, journal []byte) (count int, torn bool) {
 	t.Helper()
 	files := newMemoryFiles()
 	files.files[fileName(snapshotPrefix, 1)], files.files[fileName(journalPrefix, 1)] = snapshot, journal
 	list, notes := NewStore(files, "n0").Load()
 	if list == nil || len(list.Members) != 3 {
-		t.Fatalf("%+v, %v", list, notes)
+		t.Fatalf("loaded %+v, notes %q", list, notes)
 	}
 	for i, member := range list.Members {
 		if member.Phase == "leaving" {
@@ -128,8 +132,8 @@
 	return count, len(notes) > 0
 }
 
-// Promise 1: if the machine crashes at any change of the files, all that was written without an error is read, and the next process
-// continues from it.
+// TestStore_crashAtAnyStep checks promise 1: if the machine crashes at any change of the files, all that was written without an error is
+// read, and the next process can write further lists.
 func TestStore_crashAtAnyStep(t *testing.T) {
 	for crashPart := range 3 {
 		for crashAt := 1; ; crashAt++ {
@@ -153,13 +157,13 @@
 			next := NewStore(files, "n0")
 			list, _ := next.Load()
 			if stored > 0 && (list == nil || list.Revision < stored) || list != nil && list.Revision > stored+1 {
-				t.Fatalf("step %d, part %d: %d was stored, %+v found", crashAt, crashPart, stored, list)
+				t.Fatalf("step %d, part %d: revision %d was stored, %+v loaded", crashAt, crashPart, stored, list)
 			}
 			if err := next.Snapshot(testList(20, "c")); err != nil {
 				t.Fatal(err)
 			}
 			if list, _ := NewStore(files, "n0").Load(); list == nil || list.Revision != 20 {
-				t.Fatalf("step %d, part %d: the next process's list is not found: %+v", crashAt, crashPart, list)
+				t.Fatalf("step %d, part %d: the next process's list is not loaded: %+v", crashAt, crashPart, list)
 			}
 			if !crashed {
 				break
@@ -168,7 +172,8 @@
 	}
 }
 
-// Promise 4: two processes of one name write at the same time, and neither changes what the other writes.
+// TestStore_twoProcesses checks promise 4: two processes of one name write in turn, and neither changes what the other wrote. Directories
+// and files are accessible to their owner only.
 func TestStore_twoProcesses(t *testing.T) {
 	dir := t.TempDir()
 	files, err := OpenOrCreate(dir, "n0/../x")
@@ -186,13 +191,13 @@
 			}
 		}
 	}
-	found, err := first.Generations()
-	if err != nil || len(found) != retainedGenerations {
-		t.Fatalf("%v, %v", found, err)
+	generations, err := first.Generations()
+	if err != nil || len(generations) != retainedGenerations {
+		t.Fatalf("generations %v, error %v", generations, err)
 	}
-	for _, generation := range found {
+	for _, generation := range generations {
 		if generation.Err != nil || generation.Records != 1 || generation.TornBytes != 0 || generation.List.Members[0].Phase != "leaving" {
-			t.Errorf("%+v", generation)
+			t.Errorf("generation %+v", generation)
 		}
 	}
 	// Each dispatcher has a directory of its own, whatever its name.
@@ -201,7 +206,7 @@
 		t.Fatal(err)
 	}
 	if list, _ := NewStore(other, "n1").Load(); list != nil {
-		t.Errorf("found %+v", list)
+		t.Errorf("another dispatcher loads %+v", list)
 	}
 	if names, _ := Dispatchers(dir); !slices.Equal(names, []string{"n0/../x", "n1"}) {
 		t.Errorf("dispatchers %q", names)
@@ -217,22 +222,22 @@
 	}
 }
 
-// A directory that others may write, a path that is no directory, and a full disk each lead to an error, and the list written before is
-// still read.
-func TestStore_badDirectories(t *testing.T) {
+// TestStore_unusableDirectory checks that a directory that others may write, a path that is no directory, and a full disk each lead to an
+// error, and that the list written before is still read.
+func TestStore_unusableDirectory(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Chmod(dir, 0o770); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenOrCreate(dir, "n0"); err == nil || !strings.Contains(err.Error(), "others may write") {
-		t.Errorf("others may write: %v", err)
+		t.Errorf("directory of mode 0770: error %v", err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenOrCreate(file, "n0"); err == nil {
-		t.Error("a file is taken for a directory")
+		t.Error("a file was opened as a directory")
 	}
 	files := newMemoryFiles()
 	store := NewStore(files, "n0")
@@ -241,37 +246,37 @@
 	}
 	files.failWith = errors.New("no space left on device")
 	if err := store.Append(&journalRecord{Revision: 2}); !errors.Is(err, files.failWith) {
-		t.Errorf("a full disk: %v", err)
+		t.Errorf("append to a full disk: %v", err)
 	}
-	if err := store.Append(&journalRecord{Revision: 3}); err != errNoGeneration { // the very error, not one that wraps it
-		t.Errorf("after a torn record: %v", err)
+	if err := store.Append(&journalRecord{Revision: 3}); err != errNoGeneration { // this error itself, not one that wraps it
+		t.Errorf("append after a torn record: %v", err)
 	}
 	if err := store.Snapshot(testList(4, "a")); !errors.Is(err, files.failWith) {
-		t.Errorf("a full disk: %v", err)
+		t.Errorf("snapshot on a full disk: %v", err)
 	}
 	if list, _ := store.Load(); list == nil || list.Revision != 1 {
-		t.Errorf("found %+v", list)
+		t.Errorf("after the failures: loaded %+v", list)
 	}
 }
 
-// A snapshot of format version 1 is read; one of a later program's version is left where it is.
-func TestVersions(t *testing.T) {
+// TestLoad_otherVersions checks that a snapshot of format version 1 is read, and that one of a later version is neither read nor set aside.
+func TestLoad_otherVersions(t *testing.T) {
 	files := newMemoryFiles()
 	files.files[fileName(snapshotPrefix, 1)] = encodeSnapshot(1, []byte(`{"dispatcher":"n0","made_ms":5000,"list":{"revision":4,"complete":true,"members":[{"id":"a","host_port":"127.0.0.1:3000","locality":"llanelli","flavor":"new-box","cell":2,"phase":"active","size":1,"up_since_ms":9}]}}`))
 	files.files[fileName(snapshotPrefix, 2)] = encodeSnapshot(99, []byte(`{}`))
 	list, notes := NewStore(files, "n0").Load()
 	if list == nil || list.Revision != 4 || list.ConfirmedAtMS != 5000 || list.Members[0].Cell != 2 || len(notes) != 1 || !strings.Contains(notes[0], "version 99") {
-		t.Errorf("%+v, %v", list, notes)
+		t.Errorf("loaded %+v, notes %q", list, notes)
 	}
 	if files.files[fileName(snapshotPrefix, 2)] == nil {
-		t.Error("a newer program's list was set aside")
+		t.Error("a snapshot of a later version was set aside")
 	}
 }
 
-// FuzzDecode: whatever is on disk, only what is whole is read, and it can be written again.
+// FuzzDecode checks that of arbitrary files only intact snapshots and records are decoded, and that they can be encoded again.
 func FuzzDecode(f *testing.F) {
-	whole, _ := encodeList(testList(3, "a", "b"))
-	f.Add(whole)
+	snapshot, _ := encodeList(testList(3, "a", "b"))
+	f.Add(snapshot)
 	f.Add(encodeSnapshot(1, []byte(`{"list":{}}`)))
 	record, _ := encodeRecord(0, &journalRecord{Revision: 3, Members: []protocol.Member{testMember("a", "left")}})
 	f.Add(record)
@@ -281,14 +286,14 @@
 				t.Fatal(err)
 			}
 		}
-		if records, wholeBytes := decodeJournal(text); wholeBytes > len(text) || len(records) > 0 && wholeBytes == 0 {
-			t.Fatalf("%d records in %d of %d bytes", len(records), wholeBytes, len(text))
+		if records, intactBytes := decodeJournal(text); intactBytes > len(text) || len(records) > 0 && intactBytes == 0 {
+			t.Fatalf("%d records in %d of %d bytes", len(records), intactBytes, len(text))
 		}
 	})
 }
 
-// BenchmarkSnapshot measures a snapshot and a load, by the number of workers.
-func BenchmarkSnapshot(b *testing.B) {
+// BenchmarkStore measures a snapshot and a load, by the number of workers.
+func BenchmarkStore(b *testing.B) {
 	for _, workers := range []int{20, 1000, 20000} {
 		var ids []string
 		for i := range workers {
@@ -312,14 +317,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			s := NewStore(files, "n0")
-			if err := s.Snapshot(testList(1, ids...)); err != nil {
+			store := NewStore(files, "n0")
+			if err := store.Snapshot(testList(1, ids...)); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if list, _ := s.Load(); list == nil {
-					b.Fatal("nothing found")
+				if list, _ := store.Load(); list == nil {
+					b.Fatal("no list loaded")
 				}
 			}
 		})
--- a/internal/endpointcache/stored_test.go
+++ b/internal/endpointcache/stored_test.go
@@ -11,9 +11,9 @@
 	"brassdale/scheduler"
 )
 
-const storedDispatcher = "dispatcher 1" // with a blank, which is escaped in the name of its folder
+const storedDispatcher = "dispatcher 1" // with a space, which is escaped in the name of its directory
 
-// storedSnapshot is what the snapshot in testdata/stored holds; each field has a value of its own.
+// storedSnapshot is the content of the snapshot in testdata/stored; each field has a different value.
 func storedSnapshot() *CachedList {
 	return &CachedList{
 		Dispatcher: storedDispatcher, ConfirmedAtMS: 1001, Revision: 11, Discovery: "127.0.0.1:8500", Detached: []string{"worker-z"},
@@ -28,7 +28,7 @@
 	}
 }
 
-// storedChanges are what the journal in testdata/stored holds.
+// storedChanges are the records of the journal in testdata/stored.
 func storedChanges() []*journalRecord {
 	return []*journalRecord{
 		{AtMS: 1002, Revision: 12, Members: []protocol.Member{{ID: "worker-b", HostPort: "127.0.0.1:3002", Locality: "zone-2",
@@ -47,7 +47,7 @@
 	if err := os.CopyFS(read, os.DirFS(stored)); err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range []string{read, filepath.Join(read, "dispatcher%201")} { // a clone has wider permissions
+	for _, path := range []string{read, filepath.Join(read, "dispatcher%201")} { // a checkout has wider permissions
 		if err := os.Chmod(path, 0o700); err != nil {
 			t.Fatal(err)
 		}
@@ -65,7 +65,7 @@
 	}
 
 	written := t.TempDir()
-	if err := os.Chmod(written, 0o700); err != nil { // as wide as the umask lets it be
+	if err := os.Chmod(written, 0o700); err != nil { // TempDir has the permissions of the umask
 		t.Fatal(err)
 	}
 	writeStored(t, written)
@@ -91,8 +91,8 @@
 	if err := store.Snapshot(storedSnapshot()); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range storedChanges() {
-		if err := store.Append(c); err != nil {
+	for _, record := range storedChanges() {
+		if err := store.Append(record); err != nil {
 			t.Fatal(err)
 		}
 	}
