--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -12,10 +12,11 @@
 	"testing"
 )
 
-// TestNext survives errors, but not the owner's closing of the listener nor its deadline.
-func TestNext(t *testing.T) {
+// TestNext_retriesAccept checks that Next accepts again after other errors, and ends with success, if the listener is closed, or if its
+// deadline has passed.
+func TestNext_retriesAccept(t *testing.T) {
 	for _, last := range []error{nil, net.ErrClosed, os.ErrDeadlineExceeded} {
-		results := []error{syscall.ENOBUFS, errors.New("unheard of"), syscall.EMFILE, last}
+		results := []error{syscall.ENOBUFS, errors.New("unknown"), syscall.EMFILE, last}
 		failures := 0
 		_, err := Next(func() (int, error) {
 			next := results[0]
@@ -23,30 +24,32 @@
 			return 0, next
 		}, func(error) { failures++ })
 		if !errors.Is(err, last) || failures != 3 {
-			t.Errorf("%v: ended with %v behind %d failures", last, err, failures)
+			t.Errorf("%v: ended with %v after %d failures, want 3", last, err, failures)
 		}
 	}
 }
 
-// TestFailures_oneLogLineASecond logs many errors as one line.
+// TestFailures_oneLogLineASecond checks that 100 errors within a second are logged as one line.
 func TestFailures_oneLogLineASecond(t *testing.T) {
 	var mu sync.Mutex
 	var text strings.Builder
-	f := Failures{Log: slog.New(slog.NewTextHandler(writer(func(p []byte) {
+	failures := Failures{Log: slog.New(slog.NewTextHandler(writer(func(p []byte) {
 		mu.Lock()
 		defer mu.Unlock()
 		text.Write(p)
 	}), nil))}
 	for range 100 {
-		f.Failed(syscall.ENOBUFS)
+		failures.Failed(syscall.ENOBUFS)
 	}
 	if lines := strings.Count(text.String(), "accept failed"); lines != 1 {
-		t.Errorf("%d lines", lines)
+		t.Errorf("%d lines, want 1", lines)
 	}
 }
 
+// writer is a function as an io.Writer.
 type writer func([]byte)
 
+// Write calls the function.
 func (w writer) Write(p []byte) (int, error) { w(p); return len(p), nil }
 
 var _ io.Writer = writer(nil)
