--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Each fault is reported with its place, and all of them at once.
-func TestFaults(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
+// TestParse_invalidFile checks that each mistake in a file is reported with line and column, and all of them at once.
+func TestParse_invalidFile(t *testing.T) {
+	for _, test := range []struct{ text, want string }{
 		{"front \"progress\" {\n  listen = \"here\"\n}\nkeys {\n  jobs = 0\n}", "f.hcl:2:12: Bad listen|f.hcl:5:10: Bad jobs"},
 		{"front \"progress\" {\n  listen = \"10.0.0.1:80\"\n}", "f.hcl:2:12: Bad listen: \"10.0.0.1:80\" is not a loopback address"},
 		{"front \"progress\" {\n  listen = \"127.0.0.1:0\"\n  upstream = \"soap\"\n}", "f.hcl:3:14: Bad upstream"},
@@ -21,42 +21,42 @@
 		{"fleet {\n  retry_budget = -1\n}", "f.hcl:2:18: Bad retry_budget"},
 		{"front \"progress\" {", "f.hcl:1:18: Unclosed configuration block"},
 	} {
-		_, err := Parse([]byte(c.text), "f.hcl")
-		for want := range strings.SplitSeq(c.want, "|") {
+		_, err := Parse([]byte(test.text), "f.hcl")
+		for want := range strings.SplitSeq(test.want, "|") {
 			if err == nil || !strings.Contains("\n"+err.Error(), "\n"+want) {
-				t.Errorf("%s:\n%v\nwant %s", c.text, err, want)
+				t.Errorf("%s:\nerror %v\nwant %s", test.text, err, want)
 			}
 		}
 	}
 	if _, err := Load("progress.toml"); err == nil || !strings.Contains(err.Error(), `front "progress"`) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a file of the old form: %v", err)
+		t.Errorf("a file in the former TOML form: error %v", err)
 	}
 }
 
-// File.String writes a file with the same settings.
-func TestInForce(t *testing.T) {
-	f, err := Load("../../deploy/operator.hcl")
+// TestFileString_roundTrip checks that File.String returns a file with the same settings.
+func TestFileString_roundTrip(t *testing.T) {
+	file, err := Load("../../deploy/operator.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := filepath.Join(t.TempDir(), "again.hcl")
-	if err := os.WriteFile(again, []byte(f.String()), 0o600); err != nil {
+	path := filepath.Join(t.TempDir(), "again.hcl")
+	if err := os.WriteFile(path, []byte(file.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g, err := Load(again)
-	if err != nil || g.String() != f.String() {
-		t.Errorf("%v\n%s\nread again:\n%s", err, f, g)
+	again, err := Load(path)
+	if err != nil || again.String() != file.String() {
+		t.Errorf("error %v\n%s\nread again:\n%s", err, file, again)
 	}
 }
 
-// Whatever the text, an error is a list of faults.
+// FuzzParse checks that a file that Parse accepts is written by String as a file that Parse accepts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("front \"progress\" {\n  listen = \"127.0.0.1:0\"\n  jobs = 7\n}"))
 	f.Add([]byte("front \"progress\" {\n  listen = [1]\n  tls {\n}\n}\nfront {}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if file, err := Parse(text, "f.hcl"); err == nil {
 			if _, err := Parse([]byte(file.String()), "f.hcl"); err != nil {
-				t.Errorf("what is in force is no file: %v", err)
+				t.Errorf("the written file is rejected: %v", err)
 			}
 		}
 	})
