--- a/internal/program/detachedworkers_test.go
+++ b/internal/program/detachedworkers_test.go
@@ -9,8 +9,8 @@
 	"brassdale/internal/protocol"
 )
 
-// TestStoredDetachedWorkers reads the file of detached workers as the program of commit c2c1317 wrote it, and checks that
-// the same workers are written as the same bytes today.
+// TestStoredDetachedWorkers checks that the file of detached workers that the program of commit c2c1317 wrote is read, that the same
+// workers are written as the same bytes, and that the file of another dispatcher is rejected.
 func TestStoredDetachedWorkers(t *testing.T) {
 	const stored = `{"name":"dispatcher-1","workers":["worker-a","worker-b"]}`
 	dir := t.TempDir()
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if want := []string{"worker-a", "worker-b"}; file.fileMissing || !reflect.DeepEqual(file.list(), want) {
-		t.Errorf("read %q (no file: %v), want %q", file.list(), file.fileMissing, want)
+		t.Errorf("read %q (file missing: %v), want %q", file.list(), file.fileMissing, want)
 	}
 
 	written := &detachedWorkers{path: filepath.Join(t.TempDir(), "detached.json"), dispatcher: "dispatcher-1"}
--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -39,12 +39,12 @@
 	goldenList = `{"revision":1,"complete":true,"members":[{"id":"a","host_port":"127.0.0.1:1","locality":"llanelli","flavor":"new-worker","cell":1,"phase":"active","size":1,"up_since_ms":0}]}`
 	noChange   = `{"revision":1,"complete":false,"members":[]}`
 
-	kindsOfControl = 9 // that traffic counts
+	controlKinds = 9 // the kinds of control traffic that are counted
 )
 
-// TestGoldenFigures checks the names of all figures of the admin endpoint: of a bare program, of one with every block of an
-// operator's file, and of one that started from its saved list.
-func TestGoldenFigures(t *testing.T) {
+// TestGoldenMetrics checks the names of all metrics of the admin API: of a program without an operator's file, of one whose file has every
+// block, and of one that started from its endpoint cache.
+func TestGoldenMetrics(t *testing.T) {
 	done := make(chan struct{})
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("index") == "" {
@@ -59,7 +59,7 @@
 	}))
 	defer discovery.Close()
 	defer close(done)
-	answering, refusing := discovery.Listener.Addr().String(), freeAddress(t)
+	reachable, unreachable := discovery.Listener.Addr().String(), freeAddress(t)
 	directory := t.TempDir()
 
 	path := filepath.Join("testdata", "figures.txt")
@@ -72,23 +72,23 @@
 		name, discovery string
 		blocks          bool
 	}{
-		{"bare", answering, false},
-		{"all blocks", answering, true},
-		{"from the saved list", refusing, true},
+		{"bare", reachable, false},
+		{"all blocks", reachable, true},
+		{"from the saved list", unreachable, true},
 	} {
 		operator := ""
 		if run.blocks {
 			operator = allBlocks(t, directory)
 		}
-		names := figureNames(t, run.discovery, operator, golden[run.name])
+		names := metricNames(t, run.discovery, operator, golden[run.name])
 		if !*update && names != golden[run.name] {
-			t.Errorf("%s: the figures are\n%swant\n%s", run.name, names, golden[run.name])
+			t.Errorf("%s: the metrics are\n%swant\n%s", run.name, names, golden[run.name])
 		}
 		fmt.Fprintf(&got, "==== %s\n%s", run.name, names)
 	}
-	kinds := controlNames(t)
+	kinds := controlKindNames(t)
 	if !*update && kinds != golden["kinds of control"] {
-		t.Errorf("the kinds of control are\n%swant\n%s", kinds, golden["kinds of control"])
+		t.Errorf("the kinds of control traffic are\n%swant\n%s", kinds, golden["kinds of control"])
 	}
 	fmt.Fprintf(&got, "==== kinds of control\n%s", kinds)
 	if *update {
@@ -101,7 +101,7 @@
 	}
 }
 
-// readSections reads the golden file: a text for each headline.
+// readSections returns the sections of the golden file by their headings.
 func readSections(t *testing.T, path string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -117,21 +117,21 @@
 	return sections
 }
 
-// freeAddress returns an address on loopback at which nobody listens.
+// freeAddress returns a loopback address at which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // its address is all that is wanted
-	return l.Addr().String()
+	defer func() { _ = listener.Close() }() // only its address is used
+	return listener.Addr().String()
 }
 
-// allBlocks returns the path of an operator's file that has every block.
-func allBlocks(t *testing.T, saved string) string {
+// allBlocks returns the path of an operator's file that has every block; the endpoint cache is in cacheDirectory.
+func allBlocks(t *testing.T, cacheDirectory string) string {
 	t.Helper()
-	dir, council := t.TempDir(), freeAddress(t)
+	dir, raftAddress := t.TempDir(), freeAddress(t)
 	writeCertificate(t, dir)
 	path := filepath.Join(dir, "operator.hcl")
 	text := fmt.Sprintf(`front "http2" {
@@ -173,14 +173,14 @@
 saved_list {
   directory = %[2]q
 }
-`, council, saved)
+`, raftAddress, cacheDirectory)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// writeCertificate writes a certificate and its key.
+// writeCertificate writes a self-signed certificate and its key into a directory.
 func writeCertificate(t *testing.T, dir string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -206,10 +206,10 @@
 	}
 }
 
-// figureNames runs the program in this process and returns the names of its figures, in order, a line each: as soon as they
-// are those that are wanted and stay so, or after five seconds whatever they are. Which kinds of control were counted yet is
-// left open.
-func figureNames(t *testing.T, discovery, operator, want string) string {
+// metricNames runs the program in this process and returns the names of its metrics, in order, a line each: as soon as they
+// are the wanted ones in five successive polls, or after five seconds whatever they are. Names of kinds of control traffic are
+// replaced by one placeholder, as it depends on time which were counted.
+func metricNames(t *testing.T, discovery, operator, want string) string {
 	t.Helper()
 	dir, admin := t.TempDir(), freeAddress(t)
 	config := filepath.Join(dir, "config.json")
@@ -225,11 +225,11 @@
 	defer func() {
 		signals <- syscall.SIGTERM
 		if err := <-ended; err != nil {
-			t.Errorf("the program's end: %v", err)
+			t.Errorf("Run: %v", err)
 		}
 	}()
-	names, same := "", 0
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && same < 5; time.Sleep(50 * time.Millisecond) {
+	names, matches := "", 0
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && matches < 5; time.Sleep(50 * time.Millisecond) {
 		response, err := http.Get("http://" + admin + "/_vars")
 		if err != nil {
 			continue // not listening yet
@@ -240,28 +240,28 @@
 			t.Fatalf("GET /_vars: %d, %v", response.StatusCode, err)
 		}
 		if names = namesOf(t, string(body)); names == want {
-			same++
+			matches++
 		} else {
-			same = 0
+			matches = 0
 		}
 	}
 	return names
 }
 
-// control finds the figures of a kind of control.
-var control = regexp.MustCompile(`^control_[a-z_]+_(sent|received|messages)$`)
+// controlMetric matches the metrics of a kind of control traffic.
+var controlMetric = regexp.MustCompile(`^control_[a-z_]+_(sent|received|messages)$`)
 
-// namesOf returns the names of figures in order, each once.
+// namesOf returns the names of metrics in order, each once.
 func namesOf(t *testing.T, text string) string {
 	t.Helper()
 	var names []string
 	for line := range strings.Lines(text) {
 		name, value, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "=")
 		if !ok || name == "" || value == "" {
-			t.Fatalf("the line %q is no figure", line)
+			t.Fatalf("line %q is no metric", line)
 		}
-		if m := control.FindStringSubmatch(name); m != nil {
-			name = "control_KIND_" + m[1]
+		if match := controlMetric.FindStringSubmatch(name); match != nil {
+			name = "control_KIND_" + match[1]
 		}
 		if name == "list_source" {
 			name += "=" + value
@@ -273,16 +273,16 @@
 	return strings.Join(names, "\n") + "\n"
 }
 
-// controlNames returns the names of all kinds of control, and what is counted of each.
-func controlNames(t *testing.T) string {
+// controlKindNames returns the names of all kinds of control traffic, and the keys of what is counted of each.
+func controlKindNames(t *testing.T) string {
 	t.Helper()
 	meter := &traffic.Meter{}
-	for kind := range traffic.Kind(kindsOfControl) {
+	for kind := range traffic.Kind(controlKinds) {
 		meter.Sent(kind, 1)
 	}
 	counts := meter.Counts()
-	if len(counts) != kindsOfControl {
-		t.Errorf("%d kinds of control, want %d", len(counts), kindsOfControl)
+	if len(counts) != controlKinds {
+		t.Errorf("%d kinds of control traffic, want %d", len(counts), controlKinds)
 	}
 	text, err := json.Marshal(traffic.Count{})
 	if err != nil {
