--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -11,9 +11,8 @@
 	"brassdale/internal/testsupport"
 )
 
-// TestGoldenKeys checks the JSON keys, with the kinds of their values, of the platform's file, of discovery's lists and of what
-// a process and its successor tell each other. The platform's file is only read, whatever the case of its keys: they
-// are in lower case here.
+// TestGoldenKeys checks the JSON keys, with the kinds of their values, of the platform's file, of endpoint lists and of the messages of a
+// handover. The platform's file is only read, whatever the case of its keys: they are in lower case in the golden file.
 func TestGoldenKeys(t *testing.T) {
 	var got strings.Builder
 	fmt.Fprintln(&got, "==== configuration")
--- a/internal/protocol/handover_test.go
+++ b/internal/protocol/handover_test.go
@@ -10,9 +10,9 @@
 	"brassdale/scheduler"
 )
 
-// The time of a notification survives a handover during which the wall clock is adjusted. The adjustment is simulated by another year in
-// the encoded handover.
-func TestHandover_clockAdjusted_notificationTimeKept(t *testing.T) {
+// TestHandover_clockAdjusted checks that the time of a notification is the same within a second after a handover during which the wall
+// clock is adjusted. The adjustment is simulated by another year in the encoded handover.
+func TestHandover_clockAdjusted(t *testing.T) {
 	now := time.Now()
 	settings := &Settings{}
 	notifiedAt := now.Add(-200 * time.Millisecond)
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -13,8 +13,8 @@
 	"brassdale/scheduler"
 )
 
-// FuzzDecodeInbound decodes whole requests: each is a job with a deadline within that of its class and a body within the bound, which
-// can be encoded for a worker, or is rejected with a 4xx status.
+// FuzzDecodeInbound checks that an arbitrary request either is rejected with a 4xx status, or is a job with a deadline within that of its
+// class and a body of at most MaxBodyBytes, which can be encoded for a worker with the same ID, target and length.
 func FuzzDecodeInbound(f *testing.F) {
 	head := "POST /price-part?sheet=7 HTTP/1.1\r\nHost: h\r\nReq-Id: a\r\nIdempotency-Key: k\r\n"
 	f.Add([]byte(head + "Req-Deadline-Ms: 300\r\nReq-Kind: price-part\r\nReq-Owner: o\r\nReq-Extra: slots=2,memory=1.5\r\nCookie: user=7\r\nContent-Length: 3\r\n\r\nabc"))
@@ -42,7 +42,7 @@
 			return
 		}
 		if job.Deadline.Before(now) || job.Deadline.After(now.Add(5*time.Second)) || len(job.Body) > MaxBodyBytes || job.ID == "" || job.Slots <= 0 || job.EstimatedWork < 0 {
-			t.Fatalf("%+v", job)
+			t.Fatalf("decoded %+v", job)
 		}
 		again, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(job.Encode("endpoint:1", job.Deadline.Sub(now)))))
 		if err != nil {
@@ -54,7 +54,8 @@
 	})
 }
 
-// Req-Cost is the estimated work of a job. A value that is no positive number is ignored, and the job is not rejected.
+// TestDecodeInbound_estimatedWork checks that Req-Cost, in microseconds, is the estimated work of a job, and that a value that is not a
+// positive number of a sensible size is ignored: the job is not rejected.
 func TestDecodeInbound_estimatedWork(t *testing.T) {
 	settings := &Settings{}
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"stock-check","effect":"safe","deadline":5000000}]}`), settings); err != nil {
@@ -69,7 +70,7 @@
 		r.Header.Set("Req-Id", "a")
 		r.Header.Set("Req-Cost", text)
 		if job, err := DecodeInbound(r, settings, time.Now()); err != nil || job.EstimatedWork != want {
-			t.Errorf("Req-Cost %q: %+v, %v", text, job, err)
+			t.Errorf("Req-Cost %q: job %+v, error %v, want estimated work %v", text, job, err, want)
 		}
 	}
 }
--- a/internal/protocol/sse_test.go
+++ b/internal/protocol/sse_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A stream is parsed by the standard, however its bytes are split among reads.
-func TestEventReader(t *testing.T) {
+// TestEventReader_standardSyntax checks that a stream is parsed as the standard says, one byte a read; that an encoded event is parsed
+// again, and that a line beyond maxLine is rejected.
+func TestEventReader_standardSyntax(t *testing.T) {
 	for text, want := range map[string]string{
 		"data: a\n\n":             "|a|",
 		"data:a\r\n\r\n":          "|a|",
@@ -23,26 +24,26 @@
 		"data: a\n\ndata: no end\n":               "|a|",
 		"data: {\"x\":\r\ndata: 1}\r\n\r\n: \r\n": "|{\"x\":\n1}|",
 	} {
-		r := NewEventReader(iotest.OneByteReader(strings.NewReader(text)))
+		reader := NewEventReader(iotest.OneByteReader(strings.NewReader(text)))
 		var got []string
 		for {
-			ev, err := r.Next()
+			event, err := reader.Next()
 			if err != nil {
 				break
 			}
 			retry := ""
-			if ev.Retry > 0 {
-				retry = ev.Retry.String()
+			if event.Retry > 0 {
+				retry = event.Retry.String()
 			}
-			got = append(got, fmt.Sprintf("%s%s|%s|%s", ev.ID, ev.Name, ev.Data, retry))
+			got = append(got, fmt.Sprintf("%s%s|%s|%s", event.ID, event.Name, event.Data, retry))
 		}
 		if strings.Join(got, " ") != want {
 			t.Errorf("%q: got %q, want %q", text, got, want)
 		}
 	}
-	ev := Event{ID: "3", Name: "refused", Data: "a\r\nb", Retry: 2 * time.Second}
-	if back, err := NewEventReader(strings.NewReader(string(ev.Encode()))).Next(); err != nil || back.Data != "a\nb" || back.Retry != ev.Retry || back.ID != "3" {
-		t.Errorf("encoded and parsed: %+v %v", back, err)
+	event := Event{ID: "3", Name: "refused", Data: "a\r\nb", Retry: 2 * time.Second}
+	if parsed, err := NewEventReader(strings.NewReader(string(event.Encode()))).Next(); err != nil || parsed.Data != "a\nb" || parsed.Retry != event.Retry || parsed.ID != "3" {
+		t.Errorf("encoded and parsed: %+v, error %v", parsed, err)
 	}
 	if _, err := NewEventReader(strings.NewReader("data: " + strings.Repeat("x", maxLine+1))).Next(); err == nil {
 		t.Error("a line over the limit was accepted")
--- a/internal/protocol/stored_config_test.go
+++ b/internal/protocol/stored_config_test.go
@@ -7,27 +7,27 @@
 	"brassdale/internal/testsupport"
 )
 
-// TestConfigKeys reads a file with all keys that the program of commit c2c1317 knew, each with a value of its own, and
-// checks that each value comes to its field. The file was written by hand: the program reads such files and writes none.
-func TestConfigKeys(t *testing.T) {
-	c, err := LoadConfig("testdata/config/config.json", func(string) string { return "" })
+// TestLoadConfig_allKeys reads a file with all keys that the program of commit c2c1317 knew, each with a different value, and checks that
+// each value is in its field. The file was not written by the program, which only reads such files.
+func TestLoadConfig_allKeys(t *testing.T) {
+	config, err := LoadConfig("testdata/config/config.json", func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	testsupport.CheckAllSet(t, "config", *c)
-	s := c.Settings
-	class, family, limits, rules := s.Classes[0], s.FamilyInfo, s.Limits, s.Rules
+	testsupport.CheckAllSet(t, "config", *config)
+	settings := config.Settings
+	class, family, limits, rules := settings.Classes[0], settings.FamilyInfo, settings.Limits, settings.Rules
 	for _, field := range []struct {
 		key       string
 		got, want any
 	}{
-		{"name", c.Name, "dispatcher-1"},
-		{"listen", c.Listen, "127.0.0.1:8001"},
-		{"discovery", c.Discovery, "127.0.0.1:8002"},
-		{"admin", c.Admin, "127.0.0.1:8003"},
-		{"seed", c.Seed, "5eed"},
-		{"limits", c.Limits, Limits{Cores: 1.5, MemoryMB: 1002, Sockets: 1003}},
-		{"known", *c.Known, List{Revision: 11, Complete: true, Members: []Member{{ID: "worker-a", HostPort: "127.0.0.1:3001",
+		{"name", config.Name, "dispatcher-1"},
+		{"listen", config.Listen, "127.0.0.1:8001"},
+		{"discovery", config.Discovery, "127.0.0.1:8002"},
+		{"admin", config.Admin, "127.0.0.1:8003"},
+		{"seed", config.Seed, "5eed"},
+		{"limits", config.Limits, Limits{Cores: 1.5, MemoryMB: 1002, Sockets: 1003}},
+		{"known", *config.Known, List{Revision: 11, Complete: true, Members: []Member{{ID: "worker-a", HostPort: "127.0.0.1:3001",
 			Locality: "zone-1", Flavor: "flavor-1", Cell: 12, Phase: "leaving", Size: 13.5, UpSinceMS: 14}}}},
 		{"classes.name", class.Name, "class-1"},
 		{"classes.aim", class.Aim, Micros(21)},
@@ -39,10 +39,10 @@
 		{"classes.stream", class.Stream, true},
 		{"classes.window", class.Window, Micros(25)},
 		{"classes.aimStretch", class.AimStretch, 26.5},
-		{"countedBy", s.CountedBy, "counted-1"},
-		{"settings.discovery", s.Discovery, "push"},
-		{"flavors", s.Flavors, []string{"flavor-1"}},
-		{"zones", s.Zones, []string{"zone-1"}},
+		{"countedBy", settings.CountedBy, "counted-1"},
+		{"settings.discovery", settings.Discovery, "push"},
+		{"flavors", settings.Flavors, []string{"flavor-1"}},
+		{"zones", settings.Zones, []string{"zone-1"}},
 		{"familyInfo.classKind", family.ClassKind, []int{31}},
 		{"familyInfo.classStretch", family.ClassStretch, []float64{32.5}},
 		{"familyInfo.progress", family.Progress, Micros(33)},
@@ -55,12 +55,12 @@
 		{"limits.mayDuplicate", limits.MayDuplicate, true},
 		{"limits.probing", limits.Probing, true},
 		{"limits.retryAfter", limits.RetryAfter, true},
-		{"loadReport.columns", s.LoadReport.Columns, []string{"column-1"}},
-		{"loadReport.via", s.LoadReport.Via, "via-1"},
-		{"locality", s.Locality, 51},
-		{"ordinal", s.Ordinal, 52},
-		{"prices.crossZone", s.Prices.CrossZone, 53.5},
-		{"replicasOfMe", s.ReplicasOfMe, 54},
+		{"loadReport.columns", settings.LoadReport.Columns, []string{"column-1"}},
+		{"loadReport.via", settings.LoadReport.Via, "via-1"},
+		{"locality", settings.Locality, 51},
+		{"ordinal", settings.Ordinal, 52},
+		{"prices.crossZone", settings.Prices.CrossZone, 53.5},
+		{"replicasOfMe", settings.ReplicasOfMe, 54},
 		{"rules.answerSlack", rules.AnswerSlack, Micros(61)},
 		{"rules.askWithin", rules.AskWithin, Micros(62)},
 		{"rules.cold", rules.Cold, Micros(63)},
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -9,8 +9,8 @@
 	"brassdale/scheduler"
 )
 
-// storedNotes are the messages of a handover between processes, by golden file; each field has a value of its own.
-var storedNotes = map[string]any{
+// storedMessages are the messages of a handover between processes, by golden file; each field has a different value.
+var storedMessages = map[string]any{
 	"handover": Handover{
 		Fronts: []string{"front-1", "front-2"}, Discovery: "127.0.0.1:8500", Revision: 11,
 		Members: []KnownMember{{
@@ -43,10 +43,10 @@
 	"note-worker":  HandoverMessage{Worker: "worker-c", Detached: true},
 }
 
-// TestStoredNotes reads the messages as the program of commit c2c1317 wrote them, field by field, and checks that the
-// same messages are written as the same bytes.
-func TestStoredNotes(t *testing.T) {
-	for name, want := range storedNotes {
+// TestStoredMessages checks that the messages that the program of commit c2c1317 wrote are read, field by field, and that the same messages
+// are written as the same bytes.
+func TestStoredMessages(t *testing.T) {
+	for name, want := range storedMessages {
 		t.Run(name, func(t *testing.T) {
 			if _, partial := want.(HandoverMessage); !partial {
 				testsupport.CheckAllSet(t, name, want)
@@ -54,5 +54,5 @@
 			testsupport.CheckStored(t, "testdata/stored/"+name+".json", want)
 		})
 	}
-	testsupport.CheckFieldsSet(t, "note", storedNotes["note"])
+	testsupport.CheckFieldsSet(t, "note", storedMessages["note"])
 }
