--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Where there are many dispatchers with few requests each, a key still has the same workers at all of them.
+// TestAffinity_manyDispatchersAgree checks that with 80 dispatchers of few requests each a key still has the same worker at all of them,
+// for nine requests in ten.
 func TestAffinity_manyDispatchersAgree(t *testing.T) {
 	drivers := newDispatchers(t, 80, 60)
 	for _, driver := range drivers {
@@ -33,7 +34,8 @@
 	}
 }
 
-// A key with a large share of the requests has more workers: the requests of one dispatcher are few, but a sample.
+// TestAffinity_frequentKeySpreads checks that a key with a large share of the requests gets at least four workers, although one
+// dispatcher sees only a small sample of them.
 func TestAffinity_frequentKeySpreads(t *testing.T) {
 	driver := newDispatchers(t, 80, 60)[0]
 	to := map[WorkerID]int{}
@@ -47,7 +49,7 @@
 	}
 }
 
-// Requests of one key do not queue while most of 200 workers are free.
+// TestAffinity_frequentKeyReachesFleet checks that requests of one key do not queue while most of 200 workers are free.
 func TestAffinity_frequentKeyReachesFleet(t *testing.T) {
 	settings := baseSettings()
 	settings.Dispatchers = 300
@@ -66,8 +68,9 @@
 	}
 }
 
-// A key with an eighth of the requests spreads over as many workers as it needs at every dispatcher, and a rare key does not.
-func TestAffinity_frequentKeySpreadAlike(t *testing.T) {
+// TestAffinity_frequentKeyAtAllDispatchers checks a key with an eighth of the requests at four dispatchers: its requests go to 15 to 60
+// of 185 workers, at most a tenth of them to one. Those of a key with a hundredth of the requests go to at most two workers.
+func TestAffinity_frequentKeyAtAllDispatchers(t *testing.T) {
 	at, hot, first := map[WorkerID]int{}, 0, map[WorkerID]int{}
 	for index := range 4 {
 		settings := baseSettings()
@@ -105,7 +108,8 @@
 	}
 }
 
-// Requests of one key go to the same worker from every dispatcher while it has a free slot, and keys spread over the workers.
+// TestAffinity_sameWorkerFromAllDispatchers checks that requests of one key go to the same worker from every dispatcher while it has a
+// free slot, and that keys are spread over the workers.
 func TestAffinity_sameWorkerFromAllDispatchers(t *testing.T) {
 	first, moved := map[WorkerID]int{}, 0
 	for key := uint64(1); key <= 40; key++ {
@@ -139,7 +143,8 @@
 	}
 }
 
-// Without a free slot at a key's first workers the load decides, as for requests without a key.
+// TestAffinity_busyWorkerIsPassedOver checks that without a free slot at the first workers of a key the load decides, as for requests
+// without a key.
 func TestAffinity_busyWorkerIsPassedOver(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(4)...)
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Reports show whether workers drop cancelled jobs, although the jobs of other dispatchers are in them and cancellations go
-// with long queues. Few reports, or those of a fleet of many dispatchers, show nothing.
-func TestCancellationEstimate(t *testing.T) {
+// TestCancellationEstimate_undroppedShare checks that reports show whether workers drop cancelled jobs, although they include the jobs of
+// other dispatchers and cancellations are correlated with long queues. Few reports, or those of a fleet of many dispatchers, show
+// nothing.
+func TestCancellationEstimate_undroppedShare(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct {
 		kept, others float64
@@ -36,7 +37,8 @@
 	}
 }
 
-// A request with an estimate of its work may wait for as long as that leaves, whatever the congestion.
+// TestMaxStartWait_byEstimatedWork checks that a request with an estimate of its work may wait for as long as its latency objective and
+// its work permit, whatever the congestion.
 func TestMaxStartWait_byEstimatedWork(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
@@ -55,8 +57,8 @@
 	}
 }
 
-// A job 29 times as heavy as its class, with a wrong estimate or none: one answer in time, no second attempt of a request that
-// is not idempotent, and the class's usual runtime does not move.
+// TestDeadline_heavyJobWithAnyEstimate checks a job 29 times as heavy as its class, with a wrong estimate or none: it has one answer in
+// time, there is no second attempt as it is not idempotent, and the logarithm of its class's usual runtime changes by at most 0.1.
 func TestDeadline_heavyJobWithAnyEstimate(t *testing.T) {
 	for _, hint := range []time.Duration{0, 100 * ms, 2900 * ms} {
 		driver := newDriver(t, baseSettings())
@@ -83,7 +85,8 @@
 	}
 }
 
-// An attempt that waits at a worker and cannot be in time is cancelled, and its request rejected.
+// TestGiveUp_attemptPastLatencyObjective checks that an attempt that waits at a worker and cannot meet its latency objective is
+// cancelled, and its request rejected.
 func TestGiveUp_attemptPastLatencyObjective(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(1, 1)...)
@@ -94,8 +97,8 @@
 	}
 }
 
-// With congestion, a request without an estimate of its work is given up sooner: where all wait for as long as they may, some
-// of what starts is late.
+// TestMaxStartWait_shrinksWithCongestion checks that a request without an estimate of its work is given up sooner with congestion: if all
+// requests waited for their maximum, some of those that start would be late.
 func TestMaxStartWait_shrinksWithCongestion(t *testing.T) {
 	for congestion, want := range map[float64]time.Duration{0: 350 * ms, 0.5: 225 * ms, 1: 100 * ms} {
 		driver := newDriver(t, baseSettings())
@@ -114,8 +117,8 @@
 	}
 }
 
-// A request that has not started when a late answer is worth nothing is given up: its attempt is cancelled, so that it no
-// longer delays others in the worker's queue, and the client gets its answer.
+// TestGiveUp_lateAttemptThatHasNotStarted checks that a request that has not started once a late answer has no weight is given up: its
+// attempt is cancelled, so that it does not delay others in the worker's queue, and the request fails.
 func TestGiveUp_lateAttemptThatHasNotStarted(t *testing.T) {
 	for _, c := range []struct {
 		class   int
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -20,9 +20,9 @@
 	return to
 }
 
-// A detached worker gets nothing, whatever lists say, and its ejection is another matter. Reattached it warms up, is healthy
-// and gets the first request.
-func TestDetach(t *testing.T) {
+// TestDetachedWorker_untilReattached checks that a detached worker gets no request, whatever lists say, and that its ejection is
+// independent of that. Once reattached it is in slow start, is healthy and gets the first request.
+func TestDetachedWorker_untilReattached(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.scheduler.settings.SlowStartDuration, driver.scheduler.settings.SlowStartCapacity, driver.scheduler.settings.OverloadMultiple, driver.scheduler.settings.OverloadWindow = 20*time.Second, 0.2, 3, 1500*ms
 	driver.listWorkers(workers(3)...)
@@ -58,7 +58,8 @@
 	}
 }
 
-// Dispatchers that start together do not poll the endpoint list at the same time, and all do within maxFirstPollDelay.
+// TestPoll_firstCallsAreSpread checks that 2000 dispatchers that start together spread their first polls over at least 2 s, and that all
+// poll within 3 s.
 func TestPoll_firstCallsAreSpread(t *testing.T) {
 	settings := baseSettings()
 	settings.ListPolled, settings.MaxPollInterval = true, 10*time.Second
@@ -76,8 +77,8 @@
 	}
 }
 
-// After a failed poll, and each further one, no dispatcher waits for longer than MaxListRetryDelay, whatever the size of the
-// fleet, nor do all poll at the same time.
+// TestPoll_retryDelayIsBounded checks that after each failed poll no dispatcher of 300 waits for longer than MaxListRetryDelay, and that
+// their polls are spread over at least half of it.
 func TestPoll_retryDelayIsBounded(t *testing.T) {
 	var first, last time.Duration = time.Hour, 0
 	for i := range 300 {
@@ -98,8 +99,8 @@
 	}
 }
 
-// Eighty dispatchers that start together do not overrun a discovery service that serves twenty calls a second and rejects those
-// that have waited for two seconds. The calls of two dispatchers are not spread.
+// TestPoll_restartDoesNotOverrunDiscovery checks that 80 dispatchers that start together do not overload a discovery service that serves
+// 20 calls a second and rejects those that have waited for 2 s. The calls of two dispatchers are not spread.
 func TestPoll_restartDoesNotOverrunDiscovery(t *testing.T) {
 	for dispatchers, most := range map[int]time.Duration{2: 250 * ms, 80: 3*time.Second + ms} {
 		var at []time.Duration
--- a/scheduler/freshness_test.go
+++ b/scheduler/freshness_test.go
@@ -16,8 +16,9 @@
 	return settings
 }
 
-// Where the endpoint list is older than its validity, a worker is probed before it gets a request: a draining one answers with
-// an error. A request waits for the probe, goes to the next worker if it fails, and carries the new bound for its send.
+// TestFreshness_probeBeforeUse checks that a worker is probed before it gets a request if the endpoint list is older than its validity: a
+// draining worker answers a probe with an error. A request waits for the probe, goes to the next worker if that fails, and has the new
+// bound in SendBy.
 func TestFreshness_probeBeforeUse(t *testing.T) {
 	driver := newDriver(t, probingSettings())
 	driver.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: driver.now})
@@ -50,7 +51,8 @@
 	}
 }
 
-// Where probes are not permitted, or the list has no bound, an old list stays in force.
+// TestFreshness_noBoundWithoutProbesOrValidity checks that an old list stays in force if probes are not permitted or the list has no
+// validity.
 func TestFreshness_noBoundWithoutProbesOrValidity(t *testing.T) {
 	for _, change := range []func(*Settings){func(s *Settings) { s.MayProbe = false }, func(s *Settings) { s.ListValidity = 0 }} {
 		s := probingSettings()
@@ -64,8 +66,8 @@
 	}
 }
 
-// Whatever comes, no request is sent to a worker whose state was confirmed longer ago than the list is valid, and none has a
-// later SendBy.
+// TestFreshness_noSendAfterValidity checks that in any history no request is sent to a worker whose state was confirmed longer ago than
+// ListValidity, and that none has a later SendBy.
 func TestFreshness_noSendAfterValidity(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		settings := probingSettings()
--- a/scheduler/hedging_test.go
+++ b/scheduler/hedging_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where all loads are known and workers run cancelled jobs all the same, an attempt that waits at a worker is neither hedged
-// nor given up.
+// TestHedging_noneWhereLoadsKnown checks that an attempt that waits at a worker is neither hedged nor given up if all loads are known and
+// workers execute cancelled jobs.
 func TestHedging_noneWhereLoadsKnown(t *testing.T) {
 	for class := range 3 {
 		settings := baseSettings()
@@ -21,9 +21,9 @@
 	}
 }
 
-// The round-trip time to another zone is no wait at the worker: it moves neither the overcommit nor the congestion, and is
-// added to the hedge delay.
-func TestRoundTripTime_isNoDelay(t *testing.T) {
+// TestRoundTripTime_notCountedAsWait checks that the round-trip time to another zone does not count as a wait at the worker: it changes
+// neither the overcommit nor the congestion, and is added to the hedge delay.
+func TestRoundTripTime_notCountedAsWait(t *testing.T) {
 	driver := newPartialViewDriver(t)
 	driver.scheduler.roundTripTimes[0] = 40 * ms
 	driver.submit(1, 0)
@@ -91,8 +91,8 @@
 	return float64(toHung) / float64(all)
 }
 
-// Workers that take jobs and start none are found by each dispatcher from the few requests that it sends there, and get less
-// than their share of the first attempts.
+// TestHedging_hungWorkersAreFound checks that workers that accept jobs and start none are found by each dispatcher from the few requests
+// that it sends there: they get at most 0.65 of their share of the first attempts.
 func TestHedging_hungWorkersAreFound(t *testing.T) {
 	const hung, n = 5, 30
 	if got := hungWorkerShare(t, 8, n, hung, 1600, 20*ms); got > 0.65*hung/n {
@@ -112,8 +112,8 @@
 	return driver
 }
 
-// Where loads are known roughly, an attempt that does not start soon is hedged, and the first to start cancels the other. A
-// request that is not idempotent is not hedged.
+// TestHedging_attemptWithoutStart checks that where loads are known roughly an attempt that does not start within hedgeDelay is hedged,
+// and that the first to start cancels the other. A request that is not idempotent is not hedged.
 func TestHedging_attemptWithoutStart(t *testing.T) {
 	for class, want := range map[int]int{0: 1, 1: 1, 2: 0} {
 		driver := newPartialViewDriver(t)
@@ -127,8 +127,8 @@
 	}
 }
 
-// Where requests go to a subset, hedges are few, and none with congestion: hedges whose cancelled jobs run all the same fill
-// the queues.
+// TestHedging_fewerWithCongestionInSubset checks that of 100 requests to a subset at most 50 are hedged without congestion, and none with
+// it: hedges whose cancelled jobs are executed nevertheless would fill the queues.
 func TestHedging_fewerWithCongestionInSubset(t *testing.T) {
 	hedges := func(congestion float64) (sent int) {
 		settings := baseSettings()
@@ -159,7 +159,7 @@
 	}
 }
 
-// The more starts are delayed, the later an attempt is hedged.
+// TestHedging_laterWithCongestion checks that an attempt is hedged the later, the more starts are delayed.
 func TestHedging_laterWithCongestion(t *testing.T) {
 	for congestion, want := range map[float64]time.Duration{0: hedgeDelay, 0.5: hedgeDelay + congestionHedgeDelay/2} {
 		driver := newPartialViewDriver(t)
--- a/scheduler/learnedstate_test.go
+++ b/scheduler/learnedstate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A successor begins with what its predecessor learned, also after a round trip through JSON; of a worker that has restarted
-// since, with nothing.
+// TestHandover_learnedState checks that a successor starts with what its predecessor learned, also after a round trip through JSON, but
+// with nothing learned of a worker that has restarted since.
 func TestHandover_learnedState(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
--- a/scheduler/loadvalue_test.go
+++ b/scheduler/loadvalue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A worker with free slots rejects a job as full, for want of memory: the job is retried elsewhere, and the next go elsewhere
-// for a mean stay.
+// TestFull_withFreeSlots checks that if a worker with free slots rejects a job as full, for lack of memory, the job is retried elsewhere,
+// and the next ones go elsewhere for a mean stay.
 func TestFull_withFreeSlots(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -30,7 +30,8 @@
 	}
 }
 
-// The uncertainty of a load follows the jobs that others have sent since the report, not the number of dispatchers alone.
+// TestLoadUncertainty_followsArrivalRate checks that the uncertainty of a load follows from the jobs that others have sent since the
+// report, not from the number of dispatchers alone.
 func TestLoadUncertainty_followsArrivalRate(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers, workers int
@@ -52,7 +53,8 @@
 	}
 }
 
-// On a large fleet the value of an old report moves to the worker's own mean, which shows small and slow workers.
+// TestLoadValue_oldReportMovesToOwnMeanOnLargeFleets checks that on a large fleet the load value of an old report moves to the worker's
+// own mean, which shows small and slow workers.
 func TestLoadValue_oldReportMovesToOwnMeanOnLargeFleets(t *testing.T) {
 	d := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[0]
 	busy, idle := d.subset[0], d.subset[1]
@@ -67,9 +69,9 @@
 	}
 }
 
-// The increment of a slot is 25% at first, doubles with a 'full' outcome, halves after sendsToHalveIncrement sends without one,
-// and gives way to the slots that a report shows.
-func TestIncrement(t *testing.T) {
+// TestIncrement_followsOutcomes checks that the increment of a slot is initialIncrement at first, doubles with the outcome Full, halves
+// after sendsToHalveIncrement sends without that outcome, and is replaced by the slots that a report shows.
+func TestIncrement_followsOutcomes(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
 	w := driver.scheduler.workers[0]
@@ -96,7 +98,7 @@
 	}
 }
 
-// One running job is no evidence that a worker has one slot.
+// TestSlots_notFromOneRunningJob checks that one running job is no evidence that a worker has only one slot.
 func TestSlots_notFromOneRunningJob(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
@@ -107,7 +109,7 @@
 	}
 }
 
-// Reports with missing, negative or infinite figures leave the load value a number of at least 0.
+// TestReport_invalidFigures checks that after reports with missing, negative or infinite figures the load value is finite and at least 0.
 func TestReport_invalidFigures(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
@@ -124,8 +126,8 @@
 	}
 }
 
-// The value of an old report moves to the fleet's mean: otherwise all dispatchers would send to the worker that was idle when
-// it reported.
+// TestLoadValue_oldReportMovesToFleetMean checks that the load value of an old report moves to the fleet's mean: otherwise all
+// dispatchers would send to the worker that was idle when it reported.
 func TestLoadValue_oldReportMovesToFleetMean(t *testing.T) {
 	settings := baseSettings()
 	settings.Dispatchers = 1
@@ -146,8 +148,8 @@
 	}
 }
 
-// With many dispatchers, loads that differ by less than a job are ties: otherwise each report would draw all dispatchers to the
-// same few workers.
+// TestLoadValue_differencesWithinUncertaintyAreTies checks that with many dispatchers loads that differ by less than a job are ties:
+// otherwise each report would draw the requests of all dispatchers to the same few workers.
 func TestLoadValue_differencesWithinUncertaintyAreTies(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(4)...)
@@ -166,7 +168,8 @@
 	}
 }
 
-// Workers without a recent report are no part of the fleet's mean load: neither those beyond a network partition nor new ones.
+// TestMeanOthersLoad_onlyRecentReports checks that workers without a recent report, as new ones and those beyond a network partition, are
+// not part of the fleet's mean load.
 func TestMeanOthersLoad_onlyRecentReports(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -187,7 +190,8 @@
 	}
 }
 
-// Workers that are always busy show few free slots; others of their machine kind show how many they have.
+// TestSlots_byMachineKind checks that the slots of a worker that is always busy, and so reports few free ones, are taken from others of
+// its machine kind.
 func TestSlots_byMachineKind(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A worker that reports no progress runs a job of 10 s: its silence says nothing. With progress reports it is ejected.
+// TestSilence_withoutProgressReports checks that a worker that does not report progress is not ejected during a job of 10 s, and that one
+// that should report progress is.
 func TestSilence_withoutProgressReports(t *testing.T) {
 	for _, progress := range []time.Duration{0, time.Second} {
 		settings := baseSettings()
@@ -22,8 +23,8 @@
 	}
 }
 
-// A worker that fails three jobs in five at once, so that it looks idle, gets few jobs. After its recovery it gets its share
-// again.
+// TestPlacement_workerThatOftenFails checks that a worker that fails three of five jobs at once, so that it looks idle, gets at most a
+// tenth of 300 jobs. After its recovery it gets at least 20 of the last 100, its share being 33.
 func TestPlacement_workerThatOftenFails(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
@@ -56,7 +57,8 @@
 	}
 }
 
-// A worker that leaves one class unanswered and serves the others is ejected for that class alone.
+// TestSilence_oneClassUnanswered checks that a worker that leaves one class unanswered and serves the others is ejected only for that
+// class.
 func TestSilence_oneClassUnanswered(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(1, 1)...)
@@ -77,7 +79,7 @@
 	}
 }
 
-// A worker that fails one class is ejected for that class alone.
+// TestEjection_ofOneClass checks that a worker that fails one class is ejected only for that class.
 func TestEjection_ofOneClass(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(1, 1)...)
@@ -92,8 +94,8 @@
 	}
 }
 
-// After an attempt was lost with an idle connection, connections that were idle for as long are closed before use, and the
-// worker is not ejected.
+// TestIdleLoss_closesOlderConnections checks that after an attempt was lost with an idle connection, connections that have been idle for
+// as long are closed before use, and that the worker is not ejected.
 func TestIdleLoss_closesOlderConnections(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(1, 1)...)
@@ -117,7 +119,8 @@
 	}
 }
 
-// One connection that breaks is chance; two without a signal between them mean that the worker cannot be reached.
+// TestEjection_byConnectionLosses checks that a worker is ejected after two lost connections without a signal between them, not after
+// one.
 func TestEjection_byConnectionLosses(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
@@ -135,8 +138,9 @@
 	}
 }
 
-// What was lost with an idle connection has connections closed that were idle for as long, not all: the idle time of the
-// connection counts, not that of the worker. An attempt that had started was not lost that way.
+// TestIdleLoss_byConnectionIdleTime checks that after a loss with an idle connection those connections are closed that have been idle for
+// at least 4/5 as long: the idle time of the connection counts, not that of the worker. An attempt that had started was not lost that
+// way.
 func TestIdleLoss_byConnectionIdleTime(t *testing.T) {
 	for _, c := range []struct {
 		idle    time.Duration
@@ -169,7 +173,8 @@
 	}
 }
 
-// A worker that does not respond gets no more requests; when all are ejected, requests are sent nevertheless.
+// TestSilence_workerIsEjected checks that a worker that does not respond gets no more requests, and that requests are sent nevertheless
+// if all workers are ejected.
 func TestSilence_workerIsEjected(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
--- a/scheduler/overcommit_test.go
+++ b/scheduler/overcommit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A worker with a free slot and without own attempts takes one whatever the overcommit: a queued request would relieve nobody,
-// and nothing would raise the overcommit again.
+// TestCapacity_idleWorkerWithNegativeOvercommit checks that a worker with a free slot and without own attempts takes one whatever the
+// overcommit: a queued request would relieve no worker, and nothing would raise the overcommit again.
 func TestCapacity_idleWorkerWithNegativeOvercommit(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
@@ -25,7 +25,8 @@
 	}
 }
 
-// A warming worker is filled less, so jobs start soon there: this does not raise the overcommit. A wait there lowers it.
+// TestOvercommit_notRaisedByWarmingWorkers checks that the overcommit is not raised by the early starts at a warming worker, which is
+// filled less, and that it is lowered by a wait there.
 func TestOvercommit_notRaisedByWarmingWorkers(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	infos := workers(2)
@@ -47,7 +48,8 @@
 	}
 }
 
-// The overcommit falls below 0 where jobs wait for their start at the workers, and returns once they start soon.
+// TestOvercommit_followsWaits checks that the overcommit falls to 0 or below while jobs wait for their start at the workers, and returns
+// to its initial value once they start soon.
 func TestOvercommit_followsWaits(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -72,7 +74,8 @@
 	}
 }
 
-// A worker that was full in an old report gets a trial attempt: without an attempt no outcome would bring a newer report.
+// TestCapacity_trialWhenReportOverdue checks that a worker that was full by an old report gets a trial attempt: without an attempt no
+// outcome would bring a newer report.
 func TestCapacity_trialWhenReportOverdue(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A worker whose load grows over time gets fewer requests long before it is full.
+// TestPlacement_ageingWorkerGetsLess checks that a worker whose load grows over time gets less than its share of the requests.
 func TestPlacement_ageingWorkerGetsLess(t *testing.T) {
 	d := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[0]
 	ageing := d.subset[0]
@@ -27,7 +27,8 @@
 	}
 }
 
-// Requests go round robin among workers of equal load, then to the lowest reported load.
+// TestPlacement_leastLoadedRoundRobin checks that requests go round robin among workers of equal load, then to the worker of the lowest
+// reported load.
 func TestPlacement_leastLoadedRoundRobin(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
@@ -42,7 +43,7 @@
 	}
 }
 
-// Each dispatcher begins the rotation at its own index.
+// TestPlacement_rotationStartsAtDispatcherIndex checks that each dispatcher starts the rotation at its own index.
 func TestPlacement_rotationStartsAtDispatcherIndex(t *testing.T) {
 	settings := baseSettings()
 	settings.DispatcherIndex = 2
--- a/scheduler/probing_test.go
+++ b/scheduler/probing_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A worker gets one to two and a half probes a second, however many dispatchers there are.
+// TestProbe_rateByDispatchers checks that a worker gets 1 to 2.5 probes a second, however many dispatchers there are.
 func TestProbe_rateByDispatchers(t *testing.T) {
 	for _, dispatchers := range []int{2, 10, 80} {
 		t.Run(fmt.Sprint(dispatchers), func(t *testing.T) {
@@ -31,7 +31,8 @@
 	}
 }
 
-// A probe with the figures of the one before brings no newer report: the worker has not refreshed them.
+// TestProbe_repeatedReportIsNotFresh checks that a probe with the same figures as the one before is no newer report, as the worker has
+// not refreshed them.
 func TestProbe_repeatedReportIsNotFresh(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A client that comes with little time left is not taken for an old retry.
-func TestArrival_impatientClientIsNoRetry(t *testing.T) {
+// TestArrival_shortDeadlineIsNoRetry checks that a request with little time left is not treated as the retry of an old one.
+func TestArrival_shortDeadlineIsNoRetry(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(2, 1)...)
 	driver.submit(1, 0)
@@ -18,7 +18,7 @@
 	}
 }
 
-// A request past its deadline is rejected at once.
+// TestArrival_pastDeadlineIsRejected checks that a request past its deadline is rejected at once.
 func TestArrival_pastDeadlineIsRejected(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
@@ -28,7 +28,7 @@
 	}
 }
 
-// Without a worker to send to, the client gets its rejection in time.
+// TestQueue_requestsWithoutWorkerAreRejected checks that without a worker to send to a request is rejected by its deadline.
 func TestQueue_requestsWithoutWorkerAreRejected(t *testing.T) {
 	draining := WorkerInfo{ID: "w", State: Draining}
 	for name, c := range map[string]struct {
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A request with an idempotency key that may have executed is retried in its zone and inside its deduplication window alone.
+// TestRetry_withKeyInZoneAndWindow checks that a request with an idempotency key that may have executed is retried only in its zone and
+// inside its deduplication window.
 func TestRetry_withKeyInZoneAndWindow(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -30,8 +31,9 @@
 	}
 }
 
-// A retry with an idempotency key must have left inside the deduplication window of the first attempt that may have executed. A
-// first attempt, or one of an idempotent class, has no such bound.
+// TestRetry_sendByInsideDeduplicationWindow checks that the SendBy of a retry with an idempotency key is inside the deduplication window
+// of the first attempt that may have executed, and at most 100 ms before its end. A first attempt, or one of an idempotent class, has no
+// such bound.
 func TestRetry_sendByInsideDeduplicationWindow(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].DeduplicationWindow = 700 * ms
@@ -64,8 +66,9 @@
 	}
 }
 
-// An invalid request fails at once, is not retried, and does not count against its worker.
-func TestInvalidRequest_isNotTheWorkersFault(t *testing.T) {
+// TestInvalidRequest_notCountedAgainstWorker checks that an invalid request fails at once, is not retried, and does not count against its
+// worker.
+func TestInvalidRequest_notCountedAgainstWorker(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
 	for id := RequestID(1); id <= 4; id++ {
@@ -81,7 +84,8 @@
 	}
 }
 
-// What follows each outcome of a first attempt, by idempotency: a retry at another worker, or a failure.
+// TestRetry_byOutcomeAndIdempotency checks what follows each outcome of a first attempt, by idempotency: a retry at another worker, or a
+// failure.
 func TestRetry_byOutcomeAndIdempotency(t *testing.T) {
 	const idempotent, withKey, nonIdempotent = 0, 1, 2
 	for _, c := range []struct {
@@ -105,7 +109,7 @@
 	}
 }
 
-// A request with an idempotency key that may have executed is not retried in another zone.
+// TestRetry_withKeyStaysInZone checks that a request with an idempotency key that may have executed is not retried in another zone.
 func TestRetry_withKeyStaysInZone(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	infos := workers(2)
--- a/scheduler/review_test.go
+++ b/scheduler/review_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A process that stood still does not take its workers for silent.
-func TestStall_isNoSilence(t *testing.T) {
+// TestReview_afterStall checks that a process that was stalled for 5 s does not treat its workers as silent.
+func TestReview_afterStall(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(3, 1)...)
 	driver.submit(1, 2)
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -248,7 +248,7 @@
 	w.handle(EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{in}})
 }
 
-// The rules hold over long random event sequences.
+// TestRules_randomEvents checks that the rules hold over long random event sequences, and that each request has its answer.
 func TestRules_randomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 32; seed++ {
 		settings := baseSettings()
@@ -280,8 +280,8 @@
 	}
 }
 
-// The same events give the same actions.
-func TestDeterminism(t *testing.T) {
+// TestHandle_deterministic checks that the same events give the same actions.
+func TestHandle_deterministic(t *testing.T) {
 	play := func() int {
 		w := newWorld(t, baseSettings(), 5)
 		for range 3000 {
@@ -294,7 +294,7 @@
 	}
 }
 
-// The rules hold, without a panic, over event sequences drawn from the fuzzer's bytes.
+// FuzzRules checks that the rules hold, without a panic, over event sequences drawn from the fuzzer's values.
 func FuzzRules(f *testing.F) {
 	for _, c := range []struct {
 		seed              uint64
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// scheduler.go stays short, and its lines do too.
-func TestModuleLimits(t *testing.T) {
+// TestSchedulerFile_sizeLimits checks the size limits of scheduler.go: 950 lines that are not blank, and 110 characters a line.
+func TestSchedulerFile_sizeLimits(t *testing.T) {
 	f, err := os.Open("scheduler.go")
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,8 @@
 	}
 }
 
-// Events that make no sense are ignored, or answered in time; none causes a panic or an action against the rules.
+// TestHandle_invalidEvents checks that invalid events are ignored, or answered in time: none causes a panic or an action against the
+// rules.
 func TestHandle_invalidEvents(t *testing.T) {
 	for name, s := range map[string]Settings{"absent settings": {}, "plain": baseSettings()} {
 		t.Run(name, func(t *testing.T) {
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Settings and lists that make no sense do no harm.
+// TestNew_invalidSettings checks that requests are sent under invalid settings and lists.
 func TestNew_invalidSettings(t *testing.T) {
 	for _, s := range []Settings{
 		{DispatcherIndex: -4, Dispatchers: -1}, {DispatcherIndex: 9, Dispatchers: 3}, {DispatcherIndex: math.MaxInt, Dispatchers: 2},
@@ -25,9 +25,9 @@
 	}
 }
 
-// New settings hold for later requests: an open request keeps its number of attempts and its class's idempotency, an added
-// class has its own, and classes keep their numbers.
-func TestSettingsChanged_openRequestsKeepTheirs(t *testing.T) {
+// TestSettingsChanged_openRequestsUnchanged checks that new settings apply to later requests: an open request retains its maximum of
+// attempts and its class's idempotency, an added class has its own, and classes retain their numbers.
+func TestSettingsChanged_openRequestsUnchanged(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
 	arrive := func(id RequestID, class int) {
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -118,9 +118,9 @@
 	return at
 }
 
-// Whatever fleet is drawn, of up to thirty dispatchers, with uneven load, seven in ten killed and started again without learned
-// state: within any overload window a warming worker gets no more than the N jobs that the settings allow it, and 2 x root of N
-// + 2 by chance.
+// TestSlowStartBudget_anyFleet draws fleets of up to thirty dispatchers with uneven load, of which seven in ten are killed and restarted
+// without learned state at times. It checks that within any overload window a warming worker gets at most the N jobs that the settings
+// allow it, and 2 x root of N + 2 more by chance.
 func TestSlowStartBudget_anyFleet(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		f := warmingFleet{dispatchers: rapid.IntRange(1, 30).Draw(t, "dispatchers"), slots: float64(rapid.IntRange(2, 8).Draw(t, "slots")),
@@ -150,9 +150,10 @@
 	})
 }
 
-// A process that starts after a crash sends nothing for one overload window to a warming worker that was there before it. One
-// that took over from a predecessor does at once: both had half their shares while there were two.
-func TestSlowStartBudget_successorNeedNotWait(t *testing.T) {
+// TestSlowStartBudget_successorSendsAtOnce checks that a process that starts after a crash sends nothing for one overload window to a
+// warming worker that was listed before it. A successor in a handover sends at once: both processes had half their shares while there
+// were two.
+func TestSlowStartBudget_successorSendsAtOnce(t *testing.T) {
 	for _, successor := range []bool{false, true} {
 		driver := newDriver(t, baseSettings())
 		driver.listWorkers(WorkerInfo{ID: "w", StartedAt: driver.now - ms})
@@ -171,7 +172,8 @@
 	}
 }
 
-// Dispatchers that have seen few jobs use a good part of the budget of warming workers, and no more than all of it.
+// TestSlowStartBudget_fromFewJobs checks that dispatchers that have seen few jobs use at least half of the budget of warming workers, and
+// no more than all of it.
 func TestSlowStartBudget_fromFewJobs(t *testing.T) {
 	const dispatchers, n, jobs = 80, 60, 8
 	sent := 0
@@ -196,8 +198,8 @@
 	}
 }
 
-// Where attempts wait for their start at the warm workers, a warming worker within its budget comes first, whatever the
-// affinity keys.
+// TestPlacement_warmingWorkerFirstInCongestion checks that while attempts wait for their start at the warm workers a warming worker
+// within its budget comes first, whatever the affinity keys.
 func TestPlacement_warmingWorkerFirstInCongestion(t *testing.T) {
 	for _, wait := range []time.Duration{10 * ms, 300 * ms} {
 		settings := baseSettings()
@@ -226,8 +228,8 @@
 	}
 }
 
-// A third of the workers returns warming up while requests wait at the others: together the dispatchers send each no more than
-// its budget within any window, and yet a good part of it.
+// TestSlowStartBudget_zoneReturns restarts a third of the workers while requests wait at the others. It checks that the dispatchers
+// together send each of them no more than its budget within any window, and at least a third of what they could.
 func TestSlowStartBudget_zoneReturns(t *testing.T) {
 	const dispatchers, n, warming, mean = 80, 60, 20, 0.25
 	type sentWork struct {
@@ -282,7 +284,8 @@
 	}
 }
 
-// Dispatchers that start while half of the workers warm up, and have no mean job yet, have a share of few of them.
+// TestSlowStartShare_beforeFirstJob checks that dispatchers that start while half of the workers warm up, and have no mean job yet, have
+// a share of at most 30 of 90 warming workers.
 func TestSlowStartShare_beforeFirstJob(t *testing.T) {
 	for me := range 30 {
 		settings := baseSettings()
@@ -304,7 +307,8 @@
 	}
 }
 
-// Each of two processes that act as one dispatcher sends a warming worker half.
+// TestSlowStartBudget_twoProcesses checks that each of two processes that act as one dispatcher sends a warming worker half of its
+// budget.
 func TestSlowStartBudget_twoProcesses(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.scheduler.settings.SlowStartDuration, driver.scheduler.settings.SlowStartCapacity, driver.scheduler.settings.OverloadMultiple, driver.scheduler.settings.OverloadWindow = 20*time.Second, 0.2, 3, 1500*ms
@@ -321,8 +325,8 @@
 	}
 }
 
-// All of 300 dispatchers together send a warming worker some work, and no more than its budget. Split evenly each share would
-// be less than a job.
+// TestSlowStartBudget_allDispatchers checks that 300 dispatchers together send a warming worker some work, and no more than its budget.
+// With an even split each share would be less than a job.
 func TestSlowStartBudget_allDispatchers(t *testing.T) {
 	settings := baseSettings()
 	settings.SlowStartDuration = 20 * time.Second
@@ -348,8 +352,8 @@
 	}
 }
 
-// A warming worker, alone in the list and asked for far more than it can do, gets no more than this dispatcher's share of its
-// budget within the overload window.
+// TestSlowStartBudget_oneDispatcher checks that a warming worker, alone in the list and under far more load than its capacity, gets no
+// more than this dispatcher's share of its budget within the overload window.
 func TestSlowStartBudget_oneDispatcher(t *testing.T) {
 	settings := baseSettings()
 	driver := newSettledDriver(t, settings)
@@ -370,8 +374,8 @@
 	}
 }
 
-// A warming worker without own attempts takes a first one within its budget, whatever the overcommit and its slowdown: many
-// warm up by working.
+// TestCapacity_unusedWarmingWorker checks that a warming worker without own attempts takes a first one within its budget, whatever the
+// overcommit and its slowdown: many workers warm up only by executing jobs.
 func TestCapacity_unusedWarmingWorker(t *testing.T) {
 	driver := newSettledDriver(t, baseSettings())
 	driver.listWorkers(WorkerInfo{ID: "w", StartedAt: driver.now - 2*time.Second})
--- a/scheduler/statistics_test.go
+++ b/scheduler/statistics_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// When requests take longer than before, the estimate follows within some dozen jobs.
+// TestEstimatedRuntime_followsShift checks that after 60 jobs of 0.3 s, and 60 shorter ones before, the estimate is between 0.2 s and
+// 0.35 s.
 func TestEstimatedRuntime_followsShift(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(4, 1)...)
@@ -26,7 +27,8 @@
 	}
 }
 
-// A worker that has become slow shows it by jobs that run for longer than usual, before any of them ends.
+// TestSlowdown_byRunningJobs checks that a worker that has become slow is recognized by jobs that run for longer than usual, before any
+// of them ends.
 func TestSlowdown_byRunningJobs(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -54,7 +56,8 @@
 	}
 }
 
-// In slow start the settings' worst case is the first slowdown; the worker's own jobs replace it.
+// TestSlowdown_inSlowStartFollowsJobs checks that the slowdown in slow start is the settings' worst case at first, and then follows from
+// the worker's own jobs.
 func TestSlowdown_inSlowStartFollowsJobs(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
@@ -74,7 +77,7 @@
 	}
 }
 
-// A few long jobs among the first do not make their worker slow.
+// TestSlowdown_notFromFewLongJobs checks that a few long jobs among the first give their worker no slowdown.
 func TestSlowdown_notFromFewLongJobs(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
--- a/scheduler/subset_test.go
+++ b/scheduler/subset_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Where many workers are listed, a key's candidates are a part of them: the same at every dispatcher, whatever the order in
-// which it heard of the workers; a worker that joins moves few keys, and no worker has far more keys than another.
-func TestCandidatesForKey(t *testing.T) {
+// TestCandidatesForKey_stableAndBalanced checks that where many workers are listed a key's candidates are a part of them: the same at
+// every dispatcher, whatever the order of its list; that a worker that joins moves at most a hundredth of the keys, and that no worker
+// has more than six times the mean number of keys.
+func TestCandidatesForKey_stableAndBalanced(t *testing.T) {
 	const n, keys = 1000, 4000
 	make := func(n int, turned bool) *Scheduler {
 		settings := baseSettings()
@@ -80,8 +81,8 @@
 	return m
 }
 
-// On a large fleet each dispatcher has a small subset, each worker is in about as many subsets, and a worker that leaves
-// changes few of them.
+// TestSubset_smallBalancedStable checks that on a large fleet each dispatcher has a small subset, that each worker is in 0.5 to 1.6 times
+// the mean number of subsets, and that a worker that leaves changes at most a fifth of the places.
 func TestSubset_smallBalancedStable(t *testing.T) {
 	infos := zonedWorkers(180, 2)
 	schedulers := newSchedulers(baseSettings(), 300, 2, infos)
@@ -120,7 +121,7 @@
 	}
 }
 
-// A fleet that is small against the own arrival rate is in the subset as a whole.
+// TestSubset_wholeSmallFleet checks that a fleet that is small relative to the dispatcher's arrival rate is completely in its subset.
 func TestSubset_wholeSmallFleet(t *testing.T) {
 	for _, d := range newSchedulers(baseSettings(), 3, 1, zonedWorkers(4, 1)) {
 		if !d.loadsKnown || len(d.subset) != 4 {
@@ -138,8 +139,8 @@
 	}
 }
 
-// A subset whose workers are ejected goes on with the next ones in order.
-func TestSubset_goesPastEjectedWorkers(t *testing.T) {
+// TestSubset_replacesEjectedWorkers checks that a subset whose workers are ejected is extended by the next ones in order.
+func TestSubset_replacesEjectedWorkers(t *testing.T) {
 	d := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[7]
 	first := slices.Clone(d.subset)
 	for _, w := range first {
