--- a/internal/decisions/budgetleases/lessor_test.go
+++ b/internal/decisions/budgetleases/lessor_test.go
@@ -24,13 +24,14 @@
 	responses []grantResponse
 }
 
-// grantResponse is a lease on its way to a lessee.
+// grantResponse is a response that is in flight to a lessee.
 type grantResponse struct {
 	to          int
 	rate        float64
 	requestedAt Instant
 }
 
+// drawBudgetModel draws the numbers of a model: one to six lessees, the unleased share, and the paces of clocks.
 func drawBudgetModel(t *rapid.T) *budgetModel {
 	t.Helper()
 	dispatchers := rapid.IntRange(1, 6).Draw(t, "dispatchers")
@@ -46,7 +47,7 @@
 	return model
 }
 
-// advance has time pass, at paused lessees too.
+// advance advances all clocks, those of paused lessees too.
 func (m *budgetModel) advance(elapsed time.Duration) {
 	m.now += elapsed
 	for i := range m.clocks {
@@ -54,13 +55,13 @@
 	}
 }
 
-// request has a lessee ask for a lease. The response is delivered later, or never.
+// request requests a lease for a lessee. The response is delivered later, or never.
 func (m *budgetModel) request(lessee int, demand, floor float64) {
 	rate := m.lessor.Grant(fmt.Sprint(lessee), demand, floor, m.now)
 	m.responses = append(m.responses, grantResponse{lessee, rate, m.clocks[lessee]})
 }
 
-// deliver delivers a response, which stays deliverable.
+// deliver delivers a response, which may be delivered again.
 func (m *budgetModel) deliver(response grantResponse) {
 	m.lessees[response.to].ApplyLease(response.rate, response.requestedAt, leaseDuration, m.clocks[response.to])
 }
@@ -95,7 +96,7 @@
 				model.lessor = NewLessor(model.settings, model.now)
 			}
 			if usable := model.usableRate(); usable > model.settings.RatePerSecond+1e-6 {
-				t.Fatalf("%v of %v", usable, model.settings.RatePerSecond)
+				t.Fatalf("%v uses a second are permitted, of %v", usable, model.settings.RatePerSecond)
 			}
 			if outstanding := model.lessor.Outstanding(model.now); outstanding > model.settings.RatePerSecond+1e-6 {
 				t.Fatalf("outstanding %v of %v", outstanding, model.settings.RatePerSecond)
