--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -17,9 +17,10 @@
 
 var testRules = Rules{MaxAge: 72 * time.Hour, MinFirstListShare: 0.5, SlowStartDuration: 24 * time.Second, SlowStartCapacity: 0.14, MayProbe: true}
 
+// workerID returns the ID of a worker of a test list.
 func workerID(i int) scheduler.WorkerID { return scheduler.WorkerID(fmt.Sprint("w", i)) }
 
-// listOfWorkers returns a list of so many workers that started long ago.
+// listOfWorkers returns a list of a number of workers, which started long ago.
 func listOfWorkers(confirmedAt scheduler.Instant, workers int) CachedList {
 	list := CachedList{ConfirmedAt: confirmedAt, Revision: 7}
 	for i := range workers {
@@ -28,7 +29,7 @@
 	return list
 }
 
-// Promise 1: a list older than MaxAge is not used.
+// TestNew_maxAge checks promise 1: a list older than MaxAge is not used.
 func TestNew_maxAge(t *testing.T) {
 	for _, test := range []struct {
 		age    time.Duration
@@ -39,7 +40,7 @@
 			t.Errorf("%v: usable %v, age %v, %v", test.age, assessor.Usable(), age, ok)
 		}
 		if !test.usable && (!assessor.Finished() || assessor.Check(11*day) != nil) {
-			t.Errorf("%v: still decides", test.age)
+			t.Errorf("%v: an unusable list still leads to actions", test.age)
 		}
 	}
 }
@@ -55,6 +56,7 @@
 	probes                int
 }
 
+// check checks the actions of one call.
 func (c *promiseChecker) check(actions []Action) {
 	for _, action := range actions {
 		if (action.Probe == "") == (action.Announce == nil) {
@@ -68,25 +70,27 @@
 	}
 }
 
+// checkProbe checks that a probe is permitted, and that no other of the worker is in flight.
 func (c *promiseChecker) checkProbe(id scheduler.WorkerID) {
 	if at, inFlight := c.probedAt[id]; inFlight && c.now < at+ProbeTimeout {
 		c.t.Fatalf("two probes of %s in flight", id)
 	}
 	if c.announcedAt[id] != 0 || !c.rules.MayProbe {
-		c.t.Fatalf("probes %s", id)
+		c.t.Fatalf("probes %s, which is announced, or without permission to probe", id)
 	}
 	c.probedAt[id] = c.now
 	c.probes++
 }
 
+// checkAnnouncement checks that an announced worker was ready in the list and has answered, and that its start is the safe one.
 func (c *promiseChecker) checkAnnouncement(announced *ReadyWorker) {
 	index := slices.IndexFunc(c.list.Workers, func(w CachedWorker) bool { return w.ID == announced.ID })
 	cached := c.list.Workers[index]
 	switch {
 	case cached.State != scheduler.Ready || cached.Detached:
-		c.t.Fatalf("announces one that was not ready: %+v", cached)
+		c.t.Fatalf("announces a worker that was not ready: %+v", cached)
 	case c.rules.MayProbe && !c.answered[cached.ID]:
-		c.t.Fatalf("announces one that never answered: %+v", cached)
+		c.t.Fatalf("announces a worker that never answered: %+v", cached)
 	case !announced.StartConfirmed && announced.StartedAt != c.now:
 		c.t.Fatalf("announced as started at %v at %v", announced.StartedAt, c.now)
 	case announced.StartConfirmed && (c.announcedAt[cached.ID] == 0 || announced.StartedAt != cached.StartedAt):
@@ -95,7 +99,7 @@
 	c.announcedAt[cached.ID] = c.now
 }
 
-// Promises 2 to 6, for any events in any order.
+// TestAssessor_promises checks promises 2 to 6 for any events in any order.
 func TestAssessor_promises(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		rules := testRules
@@ -159,7 +163,8 @@
 	return list
 }
 
-// Promise 5: a worker that is warming up is seldom taken for warm, and a warm one is confirmed after four jobs on average.
+// TestJobServed_sequentialTest checks promise 5: at most an eighth of 150 warming workers are taken for warm, and a warm one is confirmed
+// after at most four jobs on average.
 func TestJobServed_sequentialTest(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		age := time.Duration(rapid.IntRange(0, 48).Draw(t, "hours")) * time.Hour
@@ -205,7 +210,7 @@
 	})
 }
 
-// Promise 5: the older the list, the less a worker is trusted.
+// TestWarmingUpPrior_growsWithAge checks promise 5: the older the list, the less a worker is trusted.
 func TestWarmingUpPrior_growsWithAge(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		younger, older := rapid.IntRange(0, 72).Draw(t, "a"), rapid.IntRange(0, 72).Draw(t, "b")
@@ -222,7 +227,8 @@
 	})
 }
 
-// Promise 6: the rate of first probes is bounded, and workers with the latest signal come first.
+// TestCheck_probeRate checks promise 6: there are MinProbesPerSecond to MaxProbesPerSecond first probes a second, and workers with the
+// latest signal come first.
 func TestCheck_probeRate(t *testing.T) {
 	for _, workers := range []int{3, 12, 50, 200, 20000} {
 		list := listOfWorkers(9*day, workers)
@@ -263,7 +269,7 @@
 	return assessor
 }
 
-// firstIDs returns the IDs of the first so many workers.
+// firstIDs returns the IDs of the first workers, count of them.
 func firstIDs(count int) (ids []scheduler.WorkerID) {
 	for i := range count {
 		ids = append(ids, workerID(i))
@@ -271,7 +277,7 @@
 	return ids
 }
 
-// Promise 7: which first lists of discovery are in force at once, and how the others are confirmed.
+// TestAssessList_firstList checks promise 7: which first lists of discovery are in force at once, and how the others are confirmed.
 func TestAssessList_firstList(t *testing.T) {
 	now := 10*day + 2*time.Second
 	for _, test := range []struct {
@@ -314,16 +320,16 @@
 			t.Errorf("%s, never received again: %v", test.name, gone)
 		}
 	}
-	// Without a share, each list is in force at once.
+	// With a minimum share of 0, each list is in force at once.
 	rules := testRules
 	rules.MinFirstListShare = 0
 	assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), rules)
 	if decision := assessor.AssessList(now, 1, nil); decision.RefetchAt != 0 || !assessor.Finished() {
-		t.Errorf("without a share: %+v", decision)
+		t.Errorf("minimum share of 0: %+v", decision)
 	}
 }
 
-// Promise 8: a later start is another incarnation.
+// TestSameIncarnation_laterStart checks promise 8: a later start is another incarnation.
 func TestSameIncarnation_laterStart(t *testing.T) {
 	list := listOfWorkers(10*day, 1)
 	list.Workers[0].StartedAt = 9 * day
