--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -33,6 +33,7 @@
 
 var epoch = time.Unix(1e9, 0)
 
+// at returns the time at an offset from the start of the model.
 func (m *discoveryModel) at(offset time.Duration) time.Time { return epoch.Add(offset) }
 
 // changeInForce returns the index of the change that is in force at a time.
@@ -58,6 +59,7 @@
 	called, composed, received time.Duration
 }
 
+// String returns the response for failure messages.
 func (r modelResponse) String() string {
 	return fmt.Sprintf("[%s called at %v composed at %v received at %v]", r.service.name, r.called, r.composed, r.received)
 }
@@ -137,14 +139,14 @@
 // testServices are the services before and after a move of discovery.
 func testServices() []modelService { return []modelService{{"before", 1}, {"after", 100}} }
 
-// explore plays all sequences of a number of responses of two services, each composed up to maxLag before its call or any time until
+// explore runs all sequences of a number of responses of two services, each composed up to maxLag before its call or any time until
 // it was received, and returns the first violation of a property.
 func explore(newTable func() table, truth []fleetChange, responses int) error {
 	var sequence []modelResponse
 	var explorePrefix func(depth int, from time.Duration) error
 	explorePrefix = func(depth int, from time.Duration) error {
 		if depth == 0 {
-			return play(newTable(), truth, sequence)
+			return runSequence(newTable(), truth, sequence)
 		}
 		for _, response := range responsesFrom(from) {
 			sequence = append(sequence, response)
@@ -176,8 +178,8 @@
 	return responses
 }
 
-// play passes a sequence of responses to a table, and returns the first violation of a property.
-func play(subject table, truth []fleetChange, sequence []modelResponse) error {
+// runSequence passes a sequence of responses to a table, and returns the first violation of a property.
+func runSequence(subject table, truth []fleetChange, sequence []modelResponse) error {
 	model := &discoveryModel{truth: truth, table: subject, acceptedState: scheduler.Gone, newestRestriction: -1}
 	for _, response := range sequence {
 		if err := model.respond(response); err != nil {
@@ -190,7 +192,7 @@
 	return nil
 }
 
-// All sequences of three responses of two services over each history hold the properties.
+// TestTable_everySmallHistory checks the properties for all sequences of three responses of two services over each history.
 func TestTable_everySmallHistory(t *testing.T) {
 	for i, truth := range truths() {
 		if err := explore(func() table { return &Table{} }, truth, 3); err != nil {
@@ -199,8 +201,9 @@
 	}
 }
 
-// Long random histories hold the properties: responses of lagging replicas of two services that are delayed, repeated and overtaken.
-func TestTable_drawnHistories(t *testing.T) {
+// TestTable_randomHistories checks the properties for long random histories: responses of lagging replicas of two services that are
+// delayed, repeated and overtaken.
+func TestTable_randomHistories(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		truth := drawTruth(t)
 		model := &discoveryModel{table: &Table{}, acceptedState: scheduler.Gone, newestRestriction: -1, truth: truth}
@@ -237,21 +240,21 @@
 	return truth
 }
 
-// believesEverything accepts each response as it is.
-type believesEverything struct {
+// acceptsEverything accepts each response as it is.
+type acceptsEverything struct {
 	Table
 	state scheduler.WorkerState
 }
 
-func (b *believesEverything) Apply(response ListResponse, _ Freshness) (changes Changes) {
+func (a *acceptsEverything) Apply(response ListResponse, _ Freshness) (changes Changes) {
 	endpoint := Endpoint{ID: "w", State: scheduler.Gone}
 	if len(response.Endpoints) > 0 {
 		endpoint = response.Endpoints[0]
 	}
-	if b.state != endpoint.State {
+	if a.state != endpoint.State {
 		changes.Accepted = []Accepted{{ID: "w", State: endpoint.State, NotifiedAt: response.ReceivedAt}}
 	}
-	b.state = endpoint.State
+	a.state = endpoint.State
 	return changes
 }
 
@@ -272,7 +275,7 @@
 	return changes
 }
 
-// forgetsGone retains nothing of a worker that is gone.
+// forgetsGone deletes the record of a worker that is gone.
 type forgetsGone struct{ Table }
 
 func (f *forgetsGone) Apply(response ListResponse, freshness Freshness) Changes {
@@ -296,10 +299,10 @@
 	return changes
 }
 
-// Each deliberate fault violates a property in some small history.
+// TestExplore_findsBrokenTables checks that each table with a deliberate fault violates a property in some small history.
 func TestExplore_findsBrokenTables(t *testing.T) {
 	for name, newTable := range map[string]func() table{
-		"accepts each response as it is": func() table { return &believesEverything{} },
+		"accepts each response as it is": func() table { return &acceptsEverything{} },
 		"never accepts a return":         func() table { return &neverReattaches{} },
 		"forgets gone workers":           func() table { return &forgetsGone{} },
 		"dates a drain too late":         func() table { return &countsDrainLate{} },
@@ -309,12 +312,12 @@
 			found = found || explore(newTable, truth, 3) != nil
 		}
 		if !found {
-			t.Errorf("a table that %s is not found", name)
+			t.Errorf("a table that %s violates no property", name)
 		}
 	}
 }
 
-// A response that is not accepted says when to poll again.
+// TestTable_pollAgainAt checks that PollAgainAt says when to poll again after a response that is not accepted.
 func TestTable_pollAgainAt(t *testing.T) {
 	var known Table
 	apply := func(response ListResponse) Changes { return known.Apply(response, known.Classify(response)) }
@@ -334,7 +337,8 @@
 	}
 }
 
-// A stale list of another service that confirms a restriction does not make that service's next revision newer than the restriction.
+// TestTable_withdrawalAfterConfirmationByOtherService checks that a stale list of another service that confirms a restriction does not
+// make that service's next revision newer than the restriction.
 func TestTable_withdrawalAfterConfirmationByOtherService(t *testing.T) {
 	var known Table
 	respond := func(service string, revision int64, state scheduler.WorkerState, calledAt time.Duration) Changes {
@@ -353,8 +357,8 @@
 	}
 }
 
-// Promise 1 after a restart: a drain that a predecessor process handed over is not withdrawn by the first list of another service,
-// whose call was made less than MaxStaleness after the drain was notified.
+// TestRestoredDrain_notWithdrawnByOtherService checks promise 1 after a restart: a drain that a predecessor process handed over is not
+// withdrawn by the first list of another service, whose call was made less than MaxStaleness after the drain was notified.
 func TestRestoredDrain_notWithdrawnByOtherService(t *testing.T) {
 	var restored Table
 	drain := Endpoint{ID: "w", State: scheduler.Draining, NotifiedAt: epoch}
@@ -362,21 +366,22 @@
 	ready := ListResponse{Service: "after", Revision: 3, Complete: true, CalledAt: epoch.Add(time.Second),
 		ReceivedAt: epoch.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
 	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 0 || changes.PollAgainAt != epoch.Add(MaxStaleness) {
-		t.Errorf("too soon: %+v", changes)
+		t.Errorf("a return too soon: %+v", changes)
 	}
 	ready.CalledAt, ready.ReceivedAt = epoch.Add(MaxStaleness), epoch.Add(MaxStaleness+time.Second)
 	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 1 {
-		t.Errorf("after MaxStaleness: %+v", changes)
+		t.Errorf("a return after MaxStaleness: %+v", changes)
 	}
 }
 
-// A drain that a predecessor process handed over is withdrawn at once by a higher revision of the service that it called.
+// TestRestoredDrain_withdrawnByHigherRevision checks that a drain that a predecessor process handed over is withdrawn at once by a higher
+// revision of the service that it called.
 func TestRestoredDrain_withdrawnByHigherRevision(t *testing.T) {
 	var restored Table
 	restored.Restore("before", 9, []Endpoint{{ID: "w", State: scheduler.Draining, NotifiedAt: epoch}})
 	ready := ListResponse{Service: "before", Revision: 10, Complete: true, CalledAt: epoch.Add(time.Second),
 		ReceivedAt: epoch.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
 	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 1 || changes.Accepted[0].State != scheduler.Ready {
-		t.Errorf("%+v", changes)
+		t.Errorf("a return at a higher revision: %+v", changes)
 	}
 }
