--- a/internal/decisions/http2limits/http2limits_test.go
+++ b/internal/decisions/http2limits/http2limits_test.go
@@ -9,7 +9,8 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// Promise 1: a client whose streams are answered may send as many other frames as the credits allow, at any rate.
+// TestConn_answeredStreamsNeverClose checks promise 1: a client whose streams are answered may send as many other frames as the credits
+// allow, at any rate.
 func TestConn_answeredStreamsNeverClose(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
@@ -53,7 +54,8 @@
 	{Frame{Kind: 0x42}, TooManyUnknownFrames},
 }
 
-// Promises 2 and 5: floods close the connection within their budgets, whatever is received in between, for one lasting reason.
+// TestConn_floodsClose checks promises 2 and 5: floods close the connection within their budgets, whatever is received in between, and
+// the reason does not change.
 func TestConn_floodsClose(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
@@ -75,13 +77,13 @@
 			}
 			budget := frameBudgets[flood.reason]
 			if limit := budget.burst + budget.rate*now.Seconds() + budget.answerCredit*answered; passed[flood.reason] > limit {
-				t.Fatalf("%s: %v passed, %v at most", flood.reason, passed[flood.reason], limit)
+				t.Fatalf("%s: %v frames passed, %v at most", flood.reason, passed[flood.reason], limit)
 			}
 		}
 	})
 }
 
-// Promise 2: each flood by itself closes the connection for its own reason, at its burst.
+// TestConn_eachFloodClosesAtItsBurst checks promise 2: each flood by itself closes the connection for its own reason, at its burst.
 func TestConn_eachFloodClosesAtItsBurst(t *testing.T) {
 	for _, flood := range floodFrames {
 		conn := New(0)
@@ -98,15 +100,16 @@
 	for i := range 1000 {
 		if reason := conn.FrameSent(0, Frame{Kind: Reset}); reason != "" {
 			if i != int(frameBudgets[TooManyResets].burst) {
-				t.Errorf("resets of this side closed it after %d", i)
+				t.Errorf("the connection was closed after %d resets of this side", i)
 			}
 			return
 		}
 	}
-	t.Error("a client may make this side reset any number of streams")
+	t.Error("1000 resets of this side do not close the connection")
 }
 
-// Promises 3 and 4: what is not complete in time, and header blocks that are too long, close the connection.
+// TestConn_incompleteInTime checks promises 3 and 4: what is not complete within CompletionTimeout, and header blocks that are too long,
+// close the connection.
 func TestConn_incompleteInTime(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
@@ -160,37 +163,38 @@
 	}
 }
 
-// Promise 6: the dynamic threshold keeps the limit, serves users below the floor, and leaves capacity free.
+// TestWithinDynamicThreshold_fair checks promise 6: the dynamic threshold does not exceed the limit, serves users below the floor, and
+// leaves capacity free.
 func TestWithinDynamicThreshold_fair(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		limit, floor := rapid.IntRange(1, 60).Draw(t, "limit"), rapid.IntRange(0, 4).Draw(t, "floor")
 		open, total := map[int]int{}, 0
 		for range 300 {
-			holder := rapid.IntRange(0, 5).Draw(t, "who")
-			if rapid.IntRange(0, 2).Draw(t, "what") == 0 && open[holder] > 0 {
-				open[holder]--
+			user := rapid.IntRange(0, 5).Draw(t, "who")
+			if rapid.IntRange(0, 2).Draw(t, "what") == 0 && open[user] > 0 {
+				open[user]--
 				total--
 				continue
 			}
-			ok := WithinDynamicThreshold(limit, total, open[holder], floor)
-			if open[holder] < floor && total < limit && !ok {
+			ok := WithinDynamicThreshold(limit, total, open[user], floor)
+			if open[user] < floor && total < limit && !ok {
 				t.Fatal("rejected below the floor")
 			}
 			if !ok {
 				continue
 			}
-			open[holder]++
+			open[user]++
 			if total++; total > limit {
 				t.Fatal("more than the limit")
 			}
-			if open[holder] > floor && limit-total < open[holder]-1 {
-				t.Fatalf("%d in use, %d free", open[holder], limit-total)
+			if open[user] > floor && limit-total < open[user]-1 {
+				t.Fatalf("%d in use, %d free", open[user], limit-total)
 			}
 		}
 	})
 }
 
-// FuzzConn records any frames in any order: budgets, deadlines and the reason to close stay consistent.
+// FuzzConn checks that budgets, deadlines and the reason to close are consistent after any frames in any order.
 func FuzzConn(f *testing.F) {
 	f.Add([]byte{1, 4, 0, 3, 0, 9, 1, 0, 0, 9, 0, 0})
 	f.Add([]byte{3, 0, 1, 3, 0, 1, 6, 0, 2, 8, 0, 255})
