--- a/internal/decisions/idempotency/idempotency_test.go
+++ b/internal/decisions/idempotency/idempotency_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// Promises 1 to 5, for a table of jobs that is driven by the decisions on any sequence of requests.
+// TestDecide_promises checks promises 1 to 5 for a table of jobs that follows the decisions on any sequence of requests.
 func TestDecide_promises(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		table := &model{t: t, jobs: map[string]*modelJob{}, capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), running: map[string]int{}}
