--- a/internal/decisions/incarnations/incarnations_test.go
+++ b/internal/decisions/incarnations/incarnations_test.go
@@ -10,7 +10,8 @@
 	"brassdale/scheduler"
 )
 
-// Promises 1 to 3: however the two wall clocks are stepped, no worker is taken to be older than it is.
+// TestTracker_neverOverestimatesAge checks promises 1 to 3: however the two wall clocks are stepped, no worker is taken to be older than
+// it is.
 func TestTracker_neverOverestimatesAge(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		drawStep := func(name string) time.Duration {
@@ -44,7 +45,7 @@
 			id := rapid.SampledFrom([]scheduler.WorkerID{"a", "b", "c", "d", "e"}).Draw(t, "id")
 			if rapid.Bool().Draw(t, "starts") {
 				stamp := epoch + now + stampOffset
-				if stamp == stamps[id] { // a clock set back to the very nanosecond: the two starts cannot be told apart
+				if stamp == stamps[id] { // a clock set back to the same nanosecond: the two starts cannot be distinguished
 					stamp++
 				}
 				truth[id], stamps[id] = now, stamp
@@ -58,7 +59,8 @@
 	})
 }
 
-// Promise 2: where the clocks agree, a worker in the first list of a process has its age, less that of the newest one at most.
+// TestTracker_firstList checks promise 2: if the clocks agree, a worker in the first list of a process has its age, less that of the
+// newest one at most.
 func TestTracker_firstList(t *testing.T) {
 	tracker := &Tracker{}
 	const now, wall = scheduler.Instant(time.Hour), scheduler.Instant(1e18)
