--- a/internal/decisions/polling/busyservice_test.go
+++ b/internal/decisions/polling/busyservice_test.go
@@ -10,9 +10,9 @@
 )
 
 // queueingService is a discovery service of little capacity that serves calls one after the other. A call that has been queued for
-// longer than queueTimeout is answered 503, and its work is done all the same. A call is rejected at once if the queued work takes
+// longer than queueTimeout is answered 503, and its work is done nevertheless. A call is rejected at once if the queued work takes
 // longer than queueLimit. A continued watch waits outside the queue for a change, whose delivery is queued; if the wait ends before,
-// it is answered without a change, and the next call of the watch keeps the place in the queue.
+// it is answered without a change, and the next call of the watch retains its place in the queue.
 type queueingService struct {
 	perCall, perUpdate       time.Duration // work for a call; work to deliver a change to a watch
 	queueTimeout, queueLimit time.Duration
@@ -42,7 +42,7 @@
 	revision       int       // known; below 0 for none
 	lastResponseAt time.Time // when its last response was received
 	updateAt       time.Time // when the change that is queued for its watch is delivered
-	heardAt        time.Time // when it first had the awaited revision; zero while it has not
+	receivedAt     time.Time // when it first had the awaited revision; zero while it has not
 }
 
 // fleet runs many dispatchers against one service in virtual time.
@@ -59,6 +59,7 @@
 	calls, rejected, expired int
 }
 
+// chance returns a random number in [0,1).
 func (c *fleet) chance() float64 { return c.random.Float64() }
 
 // enqueue returns when work is done that is queued now.
@@ -159,8 +160,8 @@
 	if call.returnsList {
 		caller.revision = c.service.revision
 	}
-	if caller.heardAt.IsZero() && c.awaitedRevision > 0 && caller.revision >= c.awaitedRevision {
-		caller.heardAt = c.now
+	if caller.receivedAt.IsZero() && c.awaitedRevision > 0 && caller.revision >= c.awaitedRevision {
+		caller.receivedAt = c.now
 	}
 	early := call.kind == Watch && call.returnsList
 	caller.schedule.CallAnswered(c.now, call.number, c.now.Sub(call.calledAt), call.returnsList, early, c.rules, c.chance())
@@ -177,8 +178,8 @@
 	changeInterval         time.Duration
 }
 
-// play returns how long after a change at the time of the kill each dispatcher received it.
-func (h massRestart) play(seed uint64, until time.Duration) (*fleet, []time.Duration) {
+// run returns how long after a change at the time of the kill each dispatcher received it.
+func (h massRestart) run(seed uint64, until time.Duration) (*fleet, []time.Duration) {
 	start := time.Unix(1e9, 0)
 	model := &fleet{rules: Rules{Dispatchers: h.dispatchers}, random: rand.New(rand.NewPCG(seed, 1)), service: h.service, now: start}
 	model.service.downUntil = start.Add(h.outage)
@@ -206,8 +207,8 @@
 func (c *fleet) delaysSince(changed time.Time, until time.Duration) (delays []time.Duration) {
 	for _, caller := range c.dispatchers {
 		took := until
-		if !caller.heardAt.IsZero() {
-			took = caller.heardAt.Sub(changed)
+		if !caller.receivedAt.IsZero() {
+			took = caller.receivedAt.Sub(changed)
 		}
 		delays = append(delays, took)
 	}
@@ -236,15 +237,16 @@
 // maxDelay is how late a dispatcher may receive a change: the grace period of a drain begins at NotificationDeadline.
 const maxDelay = NotificationDeadline + 300*time.Millisecond
 
-// Promise 9. Discovery returns after 8 s, and 28 of 40 dispatchers are killed and restart: if all call within 2 s and again beside
-// queued calls, the queue grows beyond the 2 s after which a call expires, and the service spends its time on expired calls. A
-// service that can serve each dispatcher in under 6 s must not be called faster than it serves.
+// TestSchedule_massRestartAtBusyService checks promise 9. Discovery returns after 8 s, and seven in ten dispatchers are killed and
+// restart: if all call within 2 s and again beside queued calls, the queue grows beyond the 2 s after which a call expires, and the
+// service spends its time on expired calls. A service that can serve each dispatcher in under 6 s must not be called faster than it
+// serves: all receive a change within maxDelay.
 func TestSchedule_massRestartAtBusyService(t *testing.T) {
 	for _, dispatchers := range []int{6, 16, 40, 100, 300} {
 		for seed := range uint64(40) {
 			restart := massRestart{dispatchers: dispatchers, restarted: dispatchers * 7 / 10, service: newQueueingService(dispatchers), outage: 8 * time.Second,
 				recoveryBeforeRestart: 1800 * time.Millisecond, restartDelay: time.Second, changeInterval: 600 * time.Millisecond}
-			model, delays := restart.play(seed, 10*time.Second)
+			model, delays := restart.run(seed, 10*time.Second)
 			if worst := slices.Max(delays); worst > maxDelay {
 				late := slices.DeleteFunc(delays, func(d time.Duration) bool { return d <= maxDelay })
 				t.Errorf("seed %d: %d of %d dispatchers received the drain after more than %v, the last after %v; %d calls, %d rejected, %d expired",
@@ -254,7 +256,8 @@
 	}
 }
 
-// allWatchesSilent makes all watches go silent at once, after which the list changes.
+// allWatchesSilent runs a fleet whose watches become silent at once, after which the list changes. It returns how long after the change
+// each dispatcher received it.
 func allWatchesSilent(seed uint64, dispatchers int, service queueingService, until time.Duration) (*fleet, []time.Duration) {
 	start := time.Unix(1e9, 0)
 	model := &fleet{rules: Rules{Dispatchers: dispatchers}, random: rand.New(rand.NewPCG(seed, 1)), service: service, now: start}
@@ -275,7 +278,8 @@
 	return model, model.delaysSince(silent, until)
 }
 
-// Promise 9: all watches go silent at once, and all dispatchers notice it at about the same time.
+// TestSchedule_silentWatchesAtBusyService checks promise 9: all watches become silent at once, so that all dispatchers detect it at about
+// the same time, and all receive a change within maxDelay.
 func TestSchedule_silentWatchesAtBusyService(t *testing.T) {
 	for _, dispatchers := range []int{6, 16, 40, 100, 300} {
 		for seed := range uint64(40) {
--- a/internal/decisions/polling/callbound_test.go
+++ b/internal/decisions/polling/callbound_test.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// Promise 5: however a service responds, and however soon, the number of calls is bounded.
+// TestSchedule_callsBounded checks promise 5: however a service responds, and however soon, the number of calls in 30 s is bounded.
 func TestSchedule_callsBounded(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		start := time.Unix(1e9, 0)
@@ -53,7 +53,8 @@
 	})
 }
 
-// A response to a call that does not wait may be as old as the call, so NotificationDeadline runs from the call.
+// TestSchedule_deadlineFromCall checks that NotificationDeadline runs from the call, as a response to a call that does not wait may be as
+// old as the call.
 func TestSchedule_deadlineFromCall(t *testing.T) {
 	start, rules := time.Unix(1e9, 0), Rules{Dispatchers: 1}
 	schedule := NewSchedule(start)
--- a/internal/decisions/polling/polling_test.go
+++ b/internal/decisions/polling/polling_test.go
@@ -9,7 +9,8 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// Promises 3 and 5: the next call of a watch is made inside the gap, and not at once after a response without a change.
+// TestRewatchDelay_insideWatchGap checks promises 3 and 5: the next call of a watch is made inside the gap, and not at once after a
+// response without a change.
 func TestRewatchDelay_insideWatchGap(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		changed := rapid.Bool().Draw(t, "changed")
@@ -22,7 +23,8 @@
 	})
 }
 
-// Promise 4: the calls of 80 dispatchers that received a change at once are spread over 100 ms or more, those of two over 5 ms.
+// TestRewatchDelay_spread checks promise 4: the calls of 80 dispatchers that received a change at once are spread over 100 ms or more,
+// those of two over 5 ms.
 func TestRewatchDelay_spread(t *testing.T) {
 	for dispatchers, want := range map[int][2]time.Duration{1: {0, 0}, 2: {1, 5 * time.Millisecond}, 80: {100 * time.Millisecond, WatchGap}} {
 		if got := RewatchDelay(true, false, dispatchers, 1) - RewatchDelay(true, false, dispatchers, 0); got < want[0] || got > want[1] {
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -189,12 +189,13 @@
 	return sim
 }
 
+// drawFaults draws the faults of three calls.
 func drawFaults(t *rapid.T) []callFault {
 	return rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(faultKinds)-1), func(i int) callFault { return callFault(i) }), 3, 3).Draw(t, "faults")
 }
 
-// Promises 1, 2 and 6: three faulty calls of any kind, the first of which is in flight when the list changes, delay the change no
-// longer than guaranteed.
+// TestSchedule_threeFaultyCalls checks promises 1, 2 and 6: three faulty calls of any kind, the first of which is in flight when the list
+// changes, delay the change no longer than guaranteed.
 func TestSchedule_threeFaultyCalls(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		property.Check(t, func(t *rapid.T) {
@@ -220,7 +221,8 @@
 	}
 }
 
-// Promise 1 after a move: the first three calls to the new service are faulty, whatever was in flight before.
+// TestSchedule_threeFaultyCallsAfterMove checks promise 1 after a move: the first three calls to the new service are faulty, whatever was
+// in flight before.
 func TestSchedule_threeFaultyCallsAfterMove(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, false)
@@ -236,7 +238,7 @@
 	})
 }
 
-// Promise 1 after the start of a process, whose first call may be 3 s late.
+// TestSchedule_threeFaultyCallsAfterStart checks promise 1 after the start of a process, whose first call may be 3 s late.
 func TestSchedule_threeFaultyCallsAfterStart(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, false)
@@ -251,7 +253,8 @@
 	})
 }
 
-// Promise 5: a service that fails each call is not called in a loop.
+// TestSchedule_noCallLoop checks promise 5: a service that fails each call is not called in a loop, but at most 400 times in 10 s, and
+// 100 times by one of 300 dispatchers.
 func TestSchedule_noCallLoop(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, rapid.Bool().Draw(t, "pushed"))
@@ -269,8 +272,8 @@
 	})
 }
 
-// Promise 8: of two dispatchers that a busy service rejects, the one without a response for 4 s calls at least twice as often as the one
-// that has just received one.
+// TestSchedule_longestWithoutResponseFirst checks promise 8: of two dispatchers that a busy service rejects, the one without a response
+// for 4 s calls at least twice as often as the one that has just received one.
 func TestSchedule_longestWithoutResponseFirst(t *testing.T) {
 	rules := Rules{Dispatchers: 6}
 	start := time.Unix(1e9, 0)
