--- a/internal/decisions/quotas/quotas_test.go
+++ b/internal/decisions/quotas/quotas_test.go
@@ -8,7 +8,7 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// Promises 1 to 5, for any sequence of jobs and changes of the quotas.
+// TestTable_promises checks promises 1 to 5 for any sequence of jobs and changes of the quotas.
 func TestTable_promises(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(8, 80).Draw(t, "capacity")
@@ -58,15 +58,15 @@
 	})
 }
 
-// Promises 2 and 3: beside an account that asks for five times its share, the others get their guaranteed numbers, whatever the greedy one
-// had open first.
+// TestAdmit_greedyAccount checks promises 2 and 3: while one account requests five times its share, the others get their guaranteed
+// numbers, whatever the greedy one had open before.
 func TestAdmit_greedyAccount(t *testing.T) {
 	table := New(100, map[string]float64{"greedy": 0.2, "b": 0.4, "c": 0.4})
 	for range 500 {
 		table.Admit("greedy")
 	}
 	if open, _ := table.Usage("greedy"); open != 50 {
-		t.Errorf("alone it has %d open", open)
+		t.Errorf("alone the greedy account has %d open, want 50", open)
 	}
 	for i := range 400 { // all jobs run for the same time
 		table.Release("greedy")
@@ -80,11 +80,11 @@
 		}
 	}
 	if open, guaranteed := table.Usage("greedy"); open > guaranteed {
-		t.Errorf("the greedy one has %d, it is guaranteed %d", open, guaranteed)
+		t.Errorf("the greedy account has %d open, its guarantee is %d", open, guaranteed)
 	}
-	for _, pot := range []string{"b", "c"} {
-		if open, guaranteed := table.Usage(pot); open != guaranteed {
-			t.Errorf("%s has %d, it is guaranteed %d", pot, open, guaranteed)
+	for _, quota := range []string{"b", "c"} {
+		if open, guaranteed := table.Usage(quota); open != guaranteed {
+			t.Errorf("%s has %d open, its guarantee is %d", quota, open, guaranteed)
 		}
 	}
 }
