--- a/internal/decisions/retrybudget/retrybudget_test.go
+++ b/internal/decisions/retrybudget/retrybudget_test.go
@@ -10,9 +10,9 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// Promises 1 and 2: for any sequence of attempts, the further attempts in any window stay within the ratio of the first ones plus
-// MinRetries, for all together, each class and each account.
-func TestBudget_holdsInAnyWindow(t *testing.T) {
+// TestBudget_withinRatioInAnyWindow checks promises 1 and 2: for any sequence of attempts, the further attempts in any window stay within
+// the ratio of the first ones plus MinRetries, for all together, each class and each account.
+func TestBudget_withinRatioInAnyWindow(t *testing.T) {
 	type attempt struct {
 		at             time.Duration
 		further        bool
@@ -62,9 +62,9 @@
 	})
 }
 
-// Promises 1 and 3: an idle dispatcher may retry MinRetries times, a busy one by the ratio, and after a window without attempts it is idle
-// again; the number of accounts is bounded.
-func TestBudget_byExample(t *testing.T) {
+// TestBudget_idleAndBusy checks promises 1 and 3: an idle dispatcher may retry MinRetries times, a busy one by the ratio, and after a
+// window without attempts it is idle again; the number of accounts is bounded.
+func TestBudget_idleAndBusy(t *testing.T) {
 	budget := New(0.2)
 	allowed := func(now time.Duration, retries int) (got int) {
 		for range retries {
@@ -75,21 +75,21 @@
 		return got
 	}
 	if got := allowed(0, 100); got != MinRetries {
-		t.Errorf("idle: %d", got)
+		t.Errorf("idle: %d retries allowed", got)
 	}
 	for range 1000 {
 		budget.CountFirstAttempt(time.Second, "c", "a")
 	}
 	if got := allowed(2*time.Second, 1000); got != 200 {
-		t.Errorf("busy: %d more", got)
+		t.Errorf("busy: %d retries allowed, want 200", got)
 	}
 	if got := allowed(Window+3*time.Second, 100); got != MinRetries || budget.Denied() == 0 {
-		t.Errorf("a window later: %d, %d denied", got, budget.Denied())
+		t.Errorf("a window later: %d retries allowed, %d denied", got, budget.Denied())
 	}
 	for i := range 2 * MaxAccounts {
 		budget.CountFirstAttempt(time.Hour, "c", fmt.Sprint(i))
 	}
 	if len(budget.accounts) > MaxAccounts {
-		t.Errorf("%d accounts", len(budget.accounts))
+		t.Errorf("%d accounts are counted", len(budget.accounts))
 	}
 }
