--- a/internal/decisions/canary/evaluation_test.go
+++ b/internal/decisions/canary/evaluation_test.go
@@ -10,8 +10,8 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// TestEvaluation_judgesHarmAtAnyFailureRate checks that a canary whose failure rate is higher than the others' fails, that one
-// whose rate is the same passes, whatever the rate is, and that one without jobs fails.
+// TestEvaluation_judgesHarmAtAnyFailureRate checks that a canary whose failure rate is 0.4 higher than that of the others fails, that one
+// with the same rate passes, whatever the rate is, and that one without jobs fails.
 func TestEvaluation_judgesHarmAtAnyFailureRate(t *testing.T) {
 	rollout := testRollout()
 	property.Check(t, func(t *rapid.T) {
@@ -41,10 +41,10 @@
 			want = Failed
 		}
 		if outcome, reason := evaluation.Judge(rollout, 30*time.Second); outcome != want {
-			t.Fatalf("%v, %s", outcome, reason)
+			t.Fatalf("after 30 s: %v (%s), want %v", outcome, reason, want)
 		}
 		if outcome, _ := evaluation.Judge(rollout, time.Second); outcome == Passed || harm > 0 && jobs > 0 && outcome != Failed {
-			t.Fatalf("early: %v", outcome)
+			t.Fatalf("after 1 s: %v", outcome)
 		}
 	})
 }
--- a/internal/decisions/canary/rollout_test.go
+++ b/internal/decisions/canary/rollout_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// testRollout is that of the tests.
+// testRollout returns a canary of 0.3 of the dispatchers.
 func testRollout() *Rollout {
 	return &Rollout{Share: 0.3, MinDuration: 10 * time.Second, FailureMargin: 0.02}
 }
 
-// TestRolloutIncludes_share checks that a canary includes about its share of the dispatchers.
+// TestRolloutIncludes_share checks that a canary of 0.3 includes 250 to 350 of 1000 dispatchers.
 func TestRolloutIncludes_share(t *testing.T) {
 	included := 0
 	rollout := testRollout()
@@ -21,6 +21,6 @@
 		}
 	}
 	if included < 250 || included > 350 {
-		t.Errorf("the canary includes %d of 1000", included)
+		t.Errorf("the canary includes %d of 1000 dispatchers", included)
 	}
 }
