--- a/internal/decisions/configversions/leasemodel_test.go
+++ b/internal/decisions/configversions/leasemodel_test.go
@@ -67,6 +67,7 @@
 
 const timeStep = time.Second
 
+// newFleetModel returns a model whose dispatchers have no leases.
 func newFleetModel(dispatchers int, fault fault) *fleetModel {
 	m := &fleetModel{leaseDuration: 2 * timeStep, fault: fault, paused: make([]bool, dispatchers)}
 	m.leaseTable = NewLeaseTable(m.leaseDuration, -100*timeStep)
@@ -187,6 +188,7 @@
 	return ""
 }
 
+// clone returns a copy of the model that shares no state that changes.
 func (m *fleetModel) clone() *fleetModel {
 	c := *m
 	c.leaseTable = &LeaseTable{m.leaseTable.leaseDuration, m.leaseTable.electedAt, map[string]leaseRecord{}, map[string]AbsentDispatcher{}}
@@ -254,7 +256,7 @@
 }
 
 // search performs every sequence of at most depth actions, each action at most limits[action] times. It returns the actions that
-// lead to the first contradiction, with its description behind them; nil where there is none.
+// lead to the first contradiction, followed by its description; nil where there is none.
 func search(model *fleetModel, depth int, limits [actionCount]int, seen map[string]int, path []string) []string {
 	if found := model.contradiction(); found != "" {
 		return append(path, found)
--- a/internal/decisions/configversions/leasetable_test.go
+++ b/internal/decisions/configversions/leasetable_test.go
@@ -17,17 +17,17 @@
 		t.Fatal(err)
 	}
 	if err := table.Renew(second, 3*timeStep); !errors.Is(err, ErrNameInUse) {
-		t.Errorf("within the first one's lease: %v", err)
+		t.Errorf("renewal within the lease of the first process: %v", err)
 	}
 	if err := table.Renew(second, timeStep+2*timeStep+timeStep/10); err != nil {
 		t.Error(err)
 	}
 	if may, waitsFor := table.MayPutInForce(7, 3*timeStep+timeStep/10); may || fmt.Sprint(waitsFor) != "[n]" {
-		t.Errorf("what the first acknowledged counts for the second: %v %v", may, waitsFor)
+		t.Errorf("versions that the first process acknowledged count for the second: %v %v", may, waitsFor)
 	}
 	table.LeaseDropped("n", "1", 0)
 	if table.Renew(first, 4*timeStep) == nil {
-		t.Error("the first one's end was taken for the second one's")
+		t.Error("the first process renews a lease that the second one has")
 	}
 	table.LeaseDropped("n", "2", 0)
 	if err := table.Renew(first, 4*timeStep); err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestLeaseTable_rejectsRenewalAfterLeaseDropped delivers a renewal after the word that its process shuts down. The process must
-// stay absent, and another process of its name must get a lease at once.
+// TestLeaseTable_rejectsRenewalAfterLeaseDropped delivers a renewal after the notice that its process shuts down. The process must stay
+// absent, and another process of its name must get a lease at once.
 func TestLeaseTable_rejectsRenewalAfterLeaseDropped(t *testing.T) {
 	table := NewLeaseTable(time.Second, 0)
 	dispatcher := Dispatcher{Name: "n7", Instance: "process"}
@@ -45,12 +45,12 @@
 	}
 	table.LeaseDropped(dispatcher.Name, dispatcher.Instance, 2)
 	if err := table.Renew(dispatcher, 3); err == nil {
-		t.Error("a process that has dropped its lease renews it")
+		t.Error("a process renewed a lease that it had dropped")
 	}
 	if absent := table.AbsentDispatchers(4); len(table.LeaseHolders(4)) != 0 || len(absent) != 1 || !absent[0].Left {
 		t.Errorf("lease holders %v, absent %v", table.LeaseHolders(4), absent)
 	}
 	if err := table.Renew(Dispatcher{Name: "n7", Instance: "its successor"}, 5); err != nil {
-		t.Errorf("its successor: %v", err)
+		t.Errorf("renewal by its successor: %v", err)
 	}
 }
--- a/internal/decisions/configversions/stored_test.go
+++ b/internal/decisions/configversions/stored_test.go
@@ -10,6 +10,7 @@
 	"brassdale/internal/testsupport"
 )
 
+// storedVersion returns a version with a value in each field.
 func storedVersion(number uint64) Version {
 	base := float64(number)
 	return Version{
@@ -28,7 +29,7 @@
 		Region: "region-2", Zone: "zone-4", VoterID: 44, JobsEnded: 45, JobsFailed: 46, Plan: 47, DedicatedToControl: true}
 )
 
-// storedValues are what dispatchers store and exchange, by golden file; each field has a value of its own.
+// storedValues are the values that dispatchers store and exchange, by golden file; each field has a different value.
 func storedValues() map[string]any {
 	announced := storedVersion(2)
 	return map[string]any{
@@ -46,9 +47,9 @@
 	}
 }
 
-// TestStoredAgreement reads the values as the program of commit c2c1317 wrote them, field by field, and checks that the
-// same values are written as the same bytes.
-func TestStoredAgreement(t *testing.T) {
+// TestStoredValues checks that the values that the program of commit c2c1317 wrote are read, field by field, and that the same values are
+// written as the same bytes.
+func TestStoredValues(t *testing.T) {
 	for name, want := range storedValues() {
 		t.Run(name, func(t *testing.T) {
 			testsupport.CheckAllSet(t, name, want)
