--- a/internal/decisions/failover/fleetmodel_test.go
+++ b/internal/decisions/failover/fleetmodel_test.go
@@ -23,6 +23,7 @@
 	plansMade          int
 }
 
+// newFleetModel returns a model of four zones in two regions, half loaded and without faults.
 func newFleetModel(dispatchersPerZone int) *fleetModel {
 	model := &fleetModel{
 		zones:              []string{"a", "b", "c", "d"},
--- a/internal/decisions/failover/plan_test.go
+++ b/internal/decisions/failover/plan_test.go
@@ -9,8 +9,8 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// TestPlanChoose_followsShares checks that requests are distributed by the shares of a plan, that most keep their zone when shares
-// change little, and that two plans, mixed or interpolated, load the zones as MaxMixedLoad and Interpolate say.
+// TestPlanChoose_followsShares checks that requests are distributed by the shares of a plan within 0.002, that few change their zone when
+// shares change little, and that two plans, mixed or interpolated, load the zones at most as MaxMixedLoad and Interpolate say.
 func TestPlanChoose_followsShares(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		zones, demands, reachable := drawInputs(t)
@@ -26,19 +26,19 @@
 		}
 		for zone, mixed := range MaxMixedLoad(plan, next, demands) {
 			if mixed < plan.Load(demands)[zone]-1e-6 || mixed < next.Load(demands)[zone]-1e-6 {
-				t.Fatalf("mixed %v in %s", mixed, zone)
+				t.Fatalf("mixed load %v in %s is below that of a plan", mixed, zone)
 			}
 		}
 		half := Interpolate(plan, next, demands, 0.5)
 		for zone, load := range half.Load(demands) {
 			if load > max(plan.Load(demands)[zone], next.Load(demands)[zone])+1e-6 {
-				t.Fatalf("between two plans %v in %s", load, zone)
+				t.Fatalf("interpolated load %v in %s exceeds both plans", load, zone)
 			}
 		}
 	})
 }
 
-// checkChoices has both plans choose zones for many requests of a demand.
+// checkChoices checks the zones that two plans choose for 2000 requests of a demand.
 func checkChoices(t *rapid.T, demand Demand, zones []Zone, plan, next *Plan, divergence float64) {
 	t.Helper()
 	const requests = 2000
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -8,9 +8,9 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// TestPlanner_lossAndRecovery checks that everything is served near while nothing happens, that a fault of a second changes
-// nothing, that a lost zone is left within three seconds, for its region first and within the capacities, that its capacity
-// returns over a minute, and that flapping makes few plans.
+// TestPlanner_lossAndRecovery checks that all work is served in its zone without faults; that a fault of a second changes nothing; that a
+// lost zone gets no work after three seconds, which goes to its region first and stays within the capacities; that its capacity returns
+// over a minute; and that flapping for a minute makes at most twelve plans.
 func TestPlanner_lossAndRecovery(t *testing.T) {
 	model := newFleetModel(3)
 	model.run(10)
@@ -35,7 +35,7 @@
 	}
 	for zone, load := range model.load() {
 		if load > 85.1 {
-			t.Errorf("%v planned in %s", load, zone)
+			t.Errorf("%v of work planned in %s", load, zone)
 		}
 	}
 	leavesRegion := plan.Share("a", "cheap", "c") + plan.Share("a", "cheap", "d") + plan.Share("b", "cheap", "c") + plan.Share("b", "cheap", "d")
@@ -45,11 +45,11 @@
 	model.lost["a"] = false
 	model.run(15)
 	if share := model.planner.Plan().Share("a", "cheap", "a"); share > 0.75 {
-		t.Errorf("%v back after 15 s", share)
+		t.Errorf("share %v restored after 15 s", share)
 	}
 	model.run(90)
 	if share := model.planner.Plan().Share("a", "cheap", "a"); share < 0.99 {
-		t.Errorf("%v back after 105 s: %+v", share, model.planner.Plan())
+		t.Errorf("share %v restored after 105 s: %+v", share, model.planner.Plan())
 	}
 	plansBefore = model.plansMade
 	for range 20 { // three seconds present, three lost
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestPlanner_partialFaults checks faults that not everybody observes.
+// TestPlanner_partialFaults checks faults that only a part of the dispatchers observes.
 func TestPlanner_partialFaults(t *testing.T) {
-	t.Run("a route that is cut in one direction is left by its own zone alone", func(t *testing.T) {
+	t.Run("a route that is cut in one direction is avoided only by its own zone", func(t *testing.T) {
 		model := newFleetModel(3)
 		model.work["a"] = 120 // so that a uses b
 		model.run(30)
