--- a/internal/decisions/gossippeers/digest_test.go
+++ b/internal/decisions/gossippeers/digest_test.go
@@ -16,14 +16,14 @@
 		other := slices.Clone(names)
 		slices.Reverse(other)
 		if DigestOf(names) != DigestOf(other) {
-			t.Fatal("the order counts")
+			t.Fatal("the digest depends on the order")
 		}
 		if DigestOf(names) == DigestOf(names[1:]) {
-			t.Fatal("one less is the same")
+			t.Fatal("the digest without one name is the same")
 		}
 		other[0] += "x"
 		if !slices.Contains(names, other[0]) && DigestOf(names) == DigestOf(other) {
-			t.Fatal("another name is the same")
+			t.Fatal("the digest with another name is the same")
 		}
 	})
 }
--- a/internal/decisions/gossippeers/fleetmodel_test.go
+++ b/internal/decisions/gossippeers/fleetmodel_test.go
@@ -39,6 +39,7 @@
 	half        int // of its zone: 0 or 1
 }
 
+// newFleetModel returns a model without dispatchers, faults or mistakes.
 func newFleetModel() *fleetModel {
 	return &fleetModel{
 		dispatchers:     map[string]*dispatcherModel{},
@@ -58,6 +59,7 @@
 	m.dispatchers[name] = &dispatcherModel{Member: Member{name, "at-" + name, "r", zone}, knows: map[string]bool{name: true}, half: half}
 }
 
+// byAddress returns the dispatcher at an address, nil if there is none.
 func (m *fleetModel) byAddress(address string) *dispatcherModel {
 	for _, dispatcher := range m.dispatchers {
 		if dispatcher.Address == address {
@@ -72,13 +74,14 @@
 	return b != nil && !a.paused && !b.paused && (a.Zone != b.Zone || !m.cut[a.Zone] || a.half == b.half)
 }
 
-// introduce has one dispatcher know another, if they are peers.
+// introduce makes a dispatcher known to another, if they are peers.
 func (m *fleetModel) introduce(to, dispatcher *dispatcherModel) {
 	if !m.filtersPeers || ArePeers(to.Region, to.Zone, dispatcher.Region, dispatcher.Zone) {
 		to.knows[dispatcher.Name] = true
 	}
 }
 
+// step advances the model by stepDuration: each dispatcher gossips and renews its lease.
 func (m *fleetModel) step() {
 	m.now += stepDuration
 	names := slices.Sorted(maps.Keys(m.dispatchers))
@@ -90,7 +93,7 @@
 	}
 }
 
-// gossip has a dispatcher tell the peers that it knows whom it knows, and remove those that it does not reach.
+// gossip passes all that a dispatcher knows to its known peers, and removes those that it does not reach.
 func (m *fleetModel) gossip(dispatcher *dispatcherModel) {
 	for _, name := range slices.Sorted(maps.Keys(dispatcher.knows)) {
 		if name == dispatcher.Name {
@@ -113,7 +116,7 @@
 	}
 }
 
-// renew has a dispatcher renew its lease, and begin an exchange with a suggested peer if it is time.
+// renew renews the lease of a dispatcher, which starts an exchange with a suggested peer if it is time.
 func (m *fleetModel) renew(dispatcher *dispatcherModel) {
 	if dispatcher.paused || m.dropMessage() {
 		return
@@ -150,7 +153,7 @@
 	m.directory.Refresh(present, m.now)
 }
 
-// exchange has a dispatcher exchange all that it knows with the one at an address, if it reaches it.
+// exchange exchanges all that a dispatcher and the one at an address know, if they reach each other.
 func (m *fleetModel) exchange(dispatcher *dispatcherModel, address string) {
 	dispatcher.exchangedAt = append(dispatcher.exchangedAt, m.now)
 	peer := m.byAddress(address)
@@ -166,10 +169,11 @@
 	}
 }
 
+// digest returns the digest of all that the dispatcher knows.
 func (d *dispatcherModel) digest() Digest { return DigestOf(slices.Collect(maps.Keys(d.knows))) }
 
-// violation describes what should not be though nothing has happened to the fleet for long: a dispatcher that does not know
-// exactly its peers, that has begun an exchange after since, or that ever began two too soon after each other.
+// violation describes what must not be if nothing has happened to the fleet for long: a dispatcher that does not know exactly its peers,
+// that has started an exchange after since, or that ever started two within minExchangePause. It returns "" if there is none.
 func (m *fleetModel) violation(since Instant) string {
 	for _, name := range slices.Sorted(maps.Keys(m.dispatchers)) {
 		dispatcher := m.dispatchers[name]
@@ -179,34 +183,34 @@
 			}
 		}
 		if n := len(dispatcher.exchangedAt); n > 0 && dispatcher.exchangedAt[n-1] > since {
-			return fmt.Sprintf("%s began an exchange at %v, though all know the same", name, dispatcher.exchangedAt[n-1])
+			return fmt.Sprintf("%s started an exchange at %v, though all know the same", name, dispatcher.exchangedAt[n-1])
 		}
 	}
 	return m.tooFrequentExchange()
 }
 
-// tooFrequentExchange describes two exchanges that a dispatcher began within minExchangePause.
+// tooFrequentExchange describes two exchanges that a dispatcher started within minExchangePause.
 func (m *fleetModel) tooFrequentExchange() string {
 	for name, dispatcher := range m.dispatchers {
 		for i := 1; i < len(dispatcher.exchangedAt); i++ {
 			if dispatcher.exchangedAt[i]-dispatcher.exchangedAt[i-1] < minExchangePause {
-				return fmt.Sprintf("%s began exchanges at %v and %v", name, dispatcher.exchangedAt[i-1], dispatcher.exchangedAt[i])
+				return fmt.Sprintf("%s started exchanges at %v and %v", name, dispatcher.exchangedAt[i-1], dispatcher.exchangedAt[i])
 			}
 		}
 	}
 	return ""
 }
 
-// settle goes on until there was no violation for a minute, or until the longest interval between exchanges has passed several
-// times. It returns the last violation, and nothing where there was none for a minute.
+// settle advances the model until there was no violation for a minute, or until the longest interval between exchanges has passed several
+// times. It returns the last violation, "" if there was none for a minute.
 func (m *fleetModel) settle() string {
-	begin, last := m.now, ""
-	for fineSince := m.now; m.now < begin+8*time.Minute; {
+	start, last := m.now, ""
+	for validSince := m.now; m.now < start+8*time.Minute; {
 		m.step()
 		if violation := m.violation(m.now - stepDuration); violation != "" {
-			fineSince, last = m.now, violation
+			validSince, last = m.now, violation
 		}
-		if m.now >= fineSince+time.Minute {
+		if m.now >= validSince+time.Minute {
 			return ""
 		}
 	}
--- a/internal/decisions/gossippeers/peers_test.go
+++ b/internal/decisions/gossippeers/peers_test.go
@@ -37,7 +37,7 @@
 			model.join(fmt.Sprint("later", event), zones[rapid.IntRange(0, 2).Draw(t, "its zone")], event%2)
 		case 2: // its zone is cut in two, or no longer
 			model.cut[dispatcher.Zone] = !model.cut[dispatcher.Zone]
-		case 3: // it pauses or goes on
+		case 3: // it pauses or resumes
 			dispatcher.paused = !dispatcher.paused
 		case 4: // it restarts
 			model.join(dispatcher.Name, dispatcher.Zone, dispatcher.half)
@@ -56,8 +56,8 @@
 	return model.settle()
 }
 
-// TestPeers_convergeAfterRandomHistories checks that after any history all dispatchers of a zone know each other and none else,
-// none begins an exchange any more, and none ever began two too soon after each other.
+// TestPeers_convergeAfterRandomHistories checks that after any history all dispatchers of a zone know each other and no others, that none
+// starts an exchange any more, and that none ever started two within minExchangePause.
 func TestPeers_convergeAfterRandomHistories(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		if violation := runRandomHistory(t, newFleetModel()); violation != "" {
@@ -66,7 +66,7 @@
 	})
 }
 
-// runCutHistory has two zones cut in two for long, and one dispatcher restart. It returns the violation that remains.
+// runCutHistory cuts two zones in two for 100 steps, then restarts one dispatcher. It returns the violation that remains.
 func runCutHistory(model *fleetModel) string {
 	for i := range 8 {
 		model.join(fmt.Sprint("n", i), string("ab"[i%2]), i/2%2)
@@ -129,7 +129,7 @@
 		model := newFleetModel()
 		breakModel(model)
 		if runCutHistory(model) == "" {
-			t.Errorf("%s: nothing was found", name)
+			t.Errorf("%s: no violation was found", name)
 		}
 	}
 }
