--- a/internal/decisions/voters/founding_test.go
+++ b/internal/decisions/voters/founding_test.go
@@ -9,12 +9,12 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// foundersModel are three founding voters, of which one may lose its storage after the group is founded.
+// foundersModel is three founding voters, of which one may lose its storage after the group is founded.
 type foundersModel struct {
 	incarnations map[uint64]string            // of each voter's storage
 	founded      map[uint64]map[uint64]string // with which incarnations each voter founded the group
-	lostVotes    map[uint64]bool              // voters that voted beside others, with storage that is lost
-	created      int                          // storages so far
+	lostVotes    map[uint64]bool              // voters that voted together with others, with storage that is lost
+	created      int                          // how many storages were created
 }
 
 const foundingVoters = 3
@@ -33,8 +33,8 @@
 }
 
 // TestDecideFounding checks that a group is founded once, by founding voters that are all present, and that a voter does not vote
-// with other storage than it founded the group with, whichever others it reaches. Only one voter loses its storage: what a
-// majority loses no one can know any more.
+// with other storage than it founded the group with, whichever others it reaches. Only one voter loses its storage, as
+// what a majority loses cannot be recovered.
 func TestDecideFounding(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		model := foundersModel{incarnations: map[uint64]string{}, founded: map[uint64]map[uint64]string{}, lostVotes: map[uint64]bool{}}
@@ -66,7 +66,7 @@
 				founded = true
 			case WaitForFounders:
 				if len(others) == foundingVoters-1 {
-					t.Fatal("all are present, and it waits")
+					t.Fatalf("voter %d waits though all founding voters are present", id)
 				}
 			}
 		}
