--- a/internal/routing/listcalls_test.go
+++ b/internal/routing/listcalls_test.go
@@ -20,6 +20,7 @@
 	closed int
 }
 
+// scriptedCall is a call that the test answers.
 type scriptedCall struct {
 	kind      polling.Kind
 	revision  int64
@@ -27,32 +28,37 @@
 	cancelled <-chan struct{}
 }
 
+// newScriptedDiscovery returns a discovery that blocks each call until the test answers it.
 func newScriptedDiscovery() *scriptedDiscovery {
 	return &scriptedDiscovery{calls: make(chan scriptedCall, 64)}
 }
 
+// Call passes the call to the test and blocks until it is answered or cancelled.
 func (s *scriptedDiscovery) Call(ctx context.Context, revision int64, kind polling.Kind) (ListUpdate, error) {
-	c := scriptedCall{kind, revision, make(chan ListUpdate, 1), ctx.Done()}
-	s.calls <- c
+	call := scriptedCall{kind, revision, make(chan ListUpdate, 1), ctx.Done()}
+	s.calls <- call
 	select {
-	case u, ok := <-c.response:
+	case update, ok := <-call.response:
 		if !ok {
-			return u, errors.New("failed")
+			return update, errors.New("failed")
 		}
-		return u, nil
+		return update, nil
 	case <-ctx.Done():
 		return ListUpdate{}, ctx.Err()
 	}
 }
 
+// Service returns a different name for each discovery.
 func (s *scriptedDiscovery) Service() string { return fmt.Sprintf("%p", s) }
 
+// Close counts the calls of Close.
 func (s *scriptedDiscovery) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed++
 }
 
+// closes returns how often Close was called.
 func (s *scriptedDiscovery) closes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,19 +66,20 @@
 }
 
 // startEndpointList runs an EndpointList that polls a discovery, until the end of the test.
-func startEndpointList(t *testing.T, d Discovery) *EndpointList {
+func startEndpointList(t *testing.T, discovery Discovery) *EndpointList {
 	t.Helper()
-	c, f := startTestCore(t)
-	u := &recordingPool{fakePeers: f}
-	s := NewEndpointList(c, u, d, ListUpdate{}, c.log)
+	core, peers := startTestCore(t)
+	pool := &recordingPool{fakePeers: peers}
+	list := NewEndpointList(core, pool, discovery, ListUpdate{}, core.log)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { s.Run(ctx); close(done) }()
+	go func() { list.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	s.Subscribe()
-	return s
+	list.Subscribe()
+	return list
 }
 
+// testEndpoint returns an endpoint in a state.
 func testEndpoint(id scheduler.WorkerID, state scheduler.WorkerState) Endpoint {
 	return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
 }
@@ -80,29 +87,31 @@
 // stateOfA returns the state of the worker a in the list, and whether it is listed.
 func stateOfA(t *testing.T, list *EndpointList) (scheduler.WorkerState, bool) {
 	t.Helper()
-	u, err := list.Snapshot(context.Background())
+	snapshot, err := list.Snapshot(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, d := range u.Endpoints {
-		if d.ID == "a" {
-			return d.State, true
+	for _, endpoint := range snapshot.Endpoints {
+		if endpoint.ID == "a" {
+			return endpoint.State, true
 		}
 	}
 	return 0, false
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+// eventually polls a condition every millisecond, and fails the test if it does not hold within 5 s.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never seen: %s", what)
+			t.Fatalf("not within 5 s: %s", what)
 		}
 	}
 }
 
-// After a change of the discovery service the watch at the previous one continues, and a drain that it reports counts, until the new
-// one has responded. Then it is cancelled, and all previous services are closed, also one with no call in flight.
+// TestEndpointList_discoveryChanged_previousWatchContinues checks that after a change of the discovery service the watch at the previous
+// one continues, and that a drain that it reports counts, until the new one has responded. Then the watch is cancelled, and all previous
+// services are closed, also one with no call in flight.
 func TestEndpointList_discoveryChanged_previousWatchContinues(t *testing.T) {
 	first, second, third := newScriptedDiscovery(), newScriptedDiscovery(), newScriptedDiscovery()
 	list := startEndpointList(t, first)
@@ -112,11 +121,11 @@
 		t.Fatalf("after the list the call was %+v", watch)
 	}
 	list.ChangeDiscovery(second)
-	close((<-second.calls).response) // it fails, and no call is in flight there
+	close((<-second.calls).response) // the call fails, and no other is in flight there
 	list.ChangeDiscovery(third)
 	full := <-third.calls
 	watch.response <- ListUpdate{Revision: 2, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the drain that the previous service reported", func() bool { st, _ := stateOfA(t, list); return st == scheduler.Draining })
+	eventually(t, "the drain that the previous service reported", func() bool { state, _ := stateOfA(t, list); return state == scheduler.Draining })
 	again := <-first.calls
 	if again.kind != polling.Watch || again.revision != 2 {
 		t.Errorf("the watch continued as %+v", again)
@@ -134,37 +143,38 @@
 	eventually(t, "both previous services closed", func() bool { return first.closes() == 1 && second.closes() == 1 })
 }
 
-// A response that was overtaken by that of a concurrent call changes nothing.
+// TestEndpointList_overtakenResponse_ignored checks that a response that was overtaken by that of a concurrent call changes nothing.
 func TestEndpointList_overtakenResponse_ignored(t *testing.T) {
-	d := newScriptedDiscovery()
-	list := startEndpointList(t, d)
-	late := <-d.calls
-	beside := <-d.calls // the first one is late
-	beside.response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the newer list", func() bool { st, known := stateOfA(t, list); return known && st == scheduler.Draining })
+	discovery := newScriptedDiscovery()
+	list := startEndpointList(t, discovery)
+	late := <-discovery.calls
+	concurrent := <-discovery.calls // made as the first one is late
+	concurrent.response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
+	eventually(t, "the newer list", func() bool { state, known := stateOfA(t, list); return known && state == scheduler.Draining })
 	late.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
-	next := <-d.calls
-	if st, _ := stateOfA(t, list); st != scheduler.Draining || next.revision != 5 {
-		t.Errorf("the older response counts: state %v, the next call has revision %d", st, next.revision)
+	next := <-discovery.calls
+	if state, _ := stateOfA(t, list); state != scheduler.Draining || next.revision != 5 {
+		t.Errorf("the older response counts: state %v, the next call has revision %d", state, next.revision)
 	}
 }
 
-// A response with a lower revision, as of a replica that lags, does not revoke a drain, nor does a second one that agrees: both may be
-// of that replica. A service that responds with nothing else for endpointstate.MaxStaleness is believed then.
-func TestEndpointList_lowerRevision_believedAfterMaxStaleness(t *testing.T) {
+// TestEndpointList_lowerRevision_acceptedAfterMaxStaleness checks that a response with a lower revision, as of a replica that lags, does
+// not revoke a drain, nor does a second one that agrees: both may be of that replica. If a service responds with nothing else, its list
+// is accepted after endpointstate.MaxStaleness, at most 4 s later and after at most 12 calls.
+func TestEndpointList_lowerRevision_acceptedAfterMaxStaleness(t *testing.T) {
 	t.Parallel()
-	d := newScriptedDiscovery()
-	list := startEndpointList(t, d)
-	(<-d.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
-	eventually(t, "the drain", func() bool { st, known := stateOfA(t, list); return known && st == scheduler.Draining })
-	begun := time.Now()
-	(<-d.calls).response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
+	discovery := newScriptedDiscovery()
+	list := startEndpointList(t, discovery)
+	(<-discovery.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
+	eventually(t, "the drain", func() bool { state, known := stateOfA(t, list); return known && state == scheduler.Draining })
+	startedAt := time.Now()
+	(<-discovery.calls).response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 	calls := 0
 	for {
-		if st, _ := stateOfA(t, list); st == scheduler.Ready {
+		if state, _ := stateOfA(t, list); state == scheduler.Ready {
 			break
 		}
-		again := <-d.calls
+		again := <-discovery.calls
 		if again.revision != FullList {
 			t.Errorf("after a lower revision the next call has revision %d", again.revision)
 		}
@@ -172,20 +182,21 @@
 		again.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if took := time.Since(begun); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+4*time.Second || calls > 12 {
-		t.Errorf("believed after %v and %d calls", took, calls)
+	if took := time.Since(startedAt); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+4*time.Second || calls > 12 {
+		t.Errorf("accepted after %v and %d calls", took, calls)
 	}
 }
 
-// A worker drains at the previous discovery service and is active at the new one, which reports it once and then no change. That is
-// not believed at first, as the list may be older; after endpointstate.MaxStaleness the full list is polled again.
+// TestEndpointList_workerReturnsAfterDiscoveryChanged checks a worker that drains at the previous discovery service and is active at the
+// new one, which reports it once and then no change. That is not accepted at first, as the list may be older; after
+// endpointstate.MaxStaleness the full list is polled again.
 func TestEndpointList_workerReturnsAfterDiscoveryChanged(t *testing.T) {
 	t.Parallel()
 	first, second := newScriptedDiscovery(), newScriptedDiscovery()
 	list := startEndpointList(t, first)
 	(<-first.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining), testEndpoint("b", scheduler.Ready)}}
-	eventually(t, "the drain", func() bool { st, known := stateOfA(t, list); return known && st == scheduler.Draining })
-	known := time.Now()
+	eventually(t, "the drain", func() bool { state, known := stateOfA(t, list); return known && state == scheduler.Draining })
+	drainKnownAt := time.Now()
 	list.ChangeDiscovery(second)
 	full := ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
 	(<-second.calls).response <- full
@@ -195,17 +206,17 @@
 			call.response <- full
 			break
 		}
-		if time.Since(known) > endpointstate.MaxStaleness+time.Second {
+		if time.Since(drainKnownAt) > endpointstate.MaxStaleness+time.Second {
 			t.Fatal("the full list is not polled again")
 		}
 		time.Sleep(100 * time.Millisecond)
 		call.response <- ListUpdate{Revision: 70}
 	}
-	if st, _ := stateOfA(t, list); time.Since(known) < endpointstate.MaxStaleness && st != scheduler.Draining {
-		t.Errorf("believed %v after the drain", time.Since(known))
+	if state, _ := stateOfA(t, list); time.Since(drainKnownAt) < endpointstate.MaxStaleness && state != scheduler.Draining {
+		t.Errorf("accepted %v after the drain", time.Since(drainKnownAt))
 	}
-	eventually(t, "the return", func() bool { st, _ := stateOfA(t, list); return st == scheduler.Ready })
-	if took := time.Since(known); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+2*time.Second {
-		t.Errorf("believed after %v", took)
+	eventually(t, "the return", func() bool { state, _ := stateOfA(t, list); return state == scheduler.Ready })
+	if took := time.Since(drainKnownAt); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+2*time.Second {
+		t.Errorf("accepted after %v", took)
 	}
 }
