--- a/internal/zonerouting/router_test.go
+++ b/internal/zonerouting/router_test.go
@@ -51,6 +51,8 @@
 	return &failover.Plan{Number: 1, Shares: map[string]map[string][]failover.ZoneShare{"b": {"bulk": shares}}}
 }
 
+// TestRouterRoute_byPlan checks the zones of a request by the plan, the count of requests that are shed, and that only those get a
+// Retry-After, within its bounds.
 func TestRouterRoute_byPlan(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -82,30 +84,34 @@
 				t.Errorf("%d shed, want %d", shed, wantShed)
 			}
 			if inRange := retryAfter >= minRetryAfter && retryAfter <= minRetryAfter+maxRetryAfterSpread; inRange == ok {
-				t.Errorf("retry after %v, %t", retryAfter, ok)
+				t.Errorf("Retry-After %v, routed %t", retryAfter, ok)
 			}
 		})
 	}
 }
 
-func TestRouterRoute_keyKeepsItsZoneForTheWindow(t *testing.T) {
+// TestRouterRoute_sameZoneForKeyWithinWindow checks that requests of a key are routed to the zone of the first one, whatever the plan,
+// until its deduplication window of 2 s ends.
+func TestRouterRoute_sameZoneForKeyWithinWindow(t *testing.T) {
 	router := newTestRouter(t)
 	router.ApplyPlan(planOf(failover.ZoneShare{Zone: "a", Share: 1}), false)
 	if zones, _, _ := router.Route(0, "bulk", "key"); zones != zoneBitA {
-		t.Errorf("zones %b at first", zones)
+		t.Errorf("first request of the key: zones %b", zones)
 	}
 	router.ApplyPlan(planOf(failover.ZoneShare{Zone: "c", Share: 1}), false)
 	if zones, _, _ := router.Route(2*time.Second-1, "bulk", "key"); zones != zoneBitA {
-		t.Errorf("zones %b within the window", zones)
+		t.Errorf("within the window: zones %b", zones)
 	}
 	if zones, _, _ := router.Route(2*time.Second-1, "bulk", "other key"); zones != zoneBitC {
-		t.Errorf("zones %b of another key", zones)
+		t.Errorf("another key: zones %b", zones)
 	}
 	if zones, _, _ := router.Route(2*time.Second, "bulk", "key"); zones != zoneBitC {
-		t.Errorf("zones %b after the window", zones)
+		t.Errorf("after the window: zones %b", zones)
 	}
 }
 
+// TestKeyZones_sweepRemovesExpired checks that sweep removes the keys whose time is over, and that the others still have their zone until
+// then.
 func TestKeyZones_sweepRemovesExpired(t *testing.T) {
 	keys := keyZones{zones: map[uint64]keyZone{}}
 	keys.add(0, "a", time.Minute)
@@ -113,23 +119,25 @@
 	keys.add(2, "b", 3*time.Second)
 	keys.sweep(2 * time.Second)
 	if len(keys.zones) != 1 {
-		t.Errorf("%v", keys.zones)
+		t.Errorf("keys after sweep: %v", keys.zones)
 	}
 	if zone, ok := keys.get(2, 2*time.Second); !ok || zone != "b" {
-		t.Errorf("%q, %t", zone, ok)
+		t.Errorf("key that has not expired: zone %q, %t", zone, ok)
 	}
 	if _, ok := keys.get(2, 3*time.Second); ok {
 		t.Error("an expired key has a zone")
 	}
 }
 
+// TestRouterAttemptEnded_counts checks what the end of an attempt counts as in the report, by outcome and time: ended, in time, full,
+// unanswered, or nothing.
 func TestRouterAttemptEnded_counts(t *testing.T) {
 	const objective = 100 * time.Millisecond
 	for _, test := range []struct {
 		outcome                 scheduler.Outcome
 		took, ran               time.Duration
 		ended, inTime, full     float64
-		unanswered, nothingSeen bool
+		unanswered, notReported bool
 	}{
 		{outcome: scheduler.Served, took: objective, ended: 1, inTime: 1},
 		{outcome: scheduler.Served, took: objective + time.Millisecond, ended: 1},
@@ -140,9 +148,9 @@
 		{outcome: scheduler.NoConnect, unanswered: true},
 		{outcome: scheduler.Reset, unanswered: true},
 		{outcome: scheduler.Cancelled, took: minCancelledWait, unanswered: true},
-		{outcome: scheduler.Cancelled, took: minCancelledWait - 1, nothingSeen: true},
-		{outcome: scheduler.Cancelled, took: minCancelledWait, ran: 1, nothingSeen: true},
-		{outcome: scheduler.NeverSent, took: minCancelledWait, nothingSeen: true},
+		{outcome: scheduler.Cancelled, took: minCancelledWait - 1, notReported: true},
+		{outcome: scheduler.Cancelled, took: minCancelledWait, ran: 1, notReported: true},
+		{outcome: scheduler.NeverSent, took: minCancelledWait, notReported: true},
 	} {
 		t.Run(fmt.Sprint(test.outcome, " after ", test.took, " ran ", test.ran), func(t *testing.T) {
 			router := newTestRouter(t)
@@ -153,21 +161,23 @@
 				got = report.Observations[0]
 			}
 			if got.Ended != test.ended || got.InTime != test.inTime || got.Full != test.full {
-				t.Errorf("%+v", got)
+				t.Errorf("observation %+v", got)
 			}
 			if len(report.LastResponses) != 1 {
-				if !test.nothingSeen {
-					t.Errorf("%+v", report.LastResponses)
+				if !test.notReported {
+					t.Errorf("last responses %+v, want one", report.LastResponses)
 				}
 				return
 			}
-			if response := report.LastResponses[0]; test.nothingSeen || response.To != "a" || (response.Unanswered == 1) != test.unanswered {
-				t.Errorf("%+v", response)
+			if response := report.LastResponses[0]; test.notReported || response.To != "a" || (response.Unanswered == 1) != test.unanswered {
+				t.Errorf("last response %+v", response)
 			}
 		})
 	}
 }
 
+// TestRouterReport_capacityOfReadyWorkers checks that the reported capacity of a zone is that of its ready workers, less for one in slow
+// start.
 func TestRouterReport_capacityOfReadyWorkers(t *testing.T) {
 	router := newTestRouter(t)
 	router.EndpointsUpdated(time.Second, scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, Workers: []scheduler.WorkerInfo{
@@ -175,6 +185,6 @@
 	}})
 	capacity := router.Report().Capacity
 	if want := map[string]float64{"a": 4.2, "b": 8}; len(capacity) != len(want) || capacity["a"] != want["a"] || capacity["b"] != want["b"] {
-		t.Errorf("%v, want %v", capacity, want)
+		t.Errorf("capacity %v, want %v", capacity, want)
 	}
 }
