--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -23,6 +23,7 @@
 	to, back int
 }
 
+// run accepts connections until the listener is closed, and relays each to the target.
 func (r *relay) run(target string) {
 	for {
 		in, err := r.Accept()
@@ -31,18 +32,18 @@
 		}
 		out, err := net.Dial("tcp", target)
 		if err != nil {
-			_ = in.Close() // nobody to relay to
+			_ = in.Close() // there is no target to relay to
 			continue
 		}
-		pass := func(from, to net.Conn, n *int) {
+		pass := func(from, to net.Conn, count *int) {
 			defer func() { _ = to.Close() }() // its other end is gone
 			buf := make([]byte, 4096)
 			for {
-				k, err := from.Read(buf)
+				n, err := from.Read(buf)
 				r.mu.Lock()
-				*n += k
+				*count += n
 				r.mu.Unlock()
-				if _, werr := to.Write(buf[:k]); err != nil || werr != nil {
+				if _, werr := to.Write(buf[:n]); err != nil || werr != nil {
 					return
 				}
 			}
@@ -52,14 +53,14 @@
 	}
 }
 
-// seen returns the bytes that went to the server and back.
-func (r *relay) seen() (to, back uint64) {
+// counts returns the bytes that were relayed to the server and back.
+func (r *relay) counts() (to, back uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return uint64(r.to), uint64(r.back)
 }
 
-// serve starts an HTTP server whose traffic a meter counts, as of the kind of the path.
+// serve starts an HTTP server whose traffic a meter counts, by the kind of the path.
 func serve(t *testing.T, meter *Meter, kinds map[string]Kind) (address string, server *http.Server) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +73,7 @@
 	})
 	server = &http.Server{ConnContext: Note, Handler: meter.Handler(answer, func(r *http.Request) Kind { return kinds[r.URL.Path] })}
 	go func() { _ = server.Serve(meter.Listen(listener)) }() // ends with Close
-	t.Cleanup(func() { _ = server.Close() })                 // it is closed already where the test passes
+	t.Cleanup(func() { _ = server.Close() })                 // the test may have closed it
 	return listener.Addr().String(), server
 }
 
@@ -98,8 +99,8 @@
 	}
 }
 
-// TestMeter_bothEndsCountAlike makes HTTP calls of several kinds over reused connections: each end counts every byte that a
-// relay between them sees, headers included, as of the same kind, and what one end sends the other receives.
+// TestMeter_bothEndsCountAlike makes HTTP calls of several kinds over reused connections. It checks that each end counts every byte that a
+// relay between them forwards, headers included, as of the same kind, and that one end receives what the other sends.
 func TestMeter_bothEndsCountAlike(t *testing.T) {
 	var client, server Meter
 	kinds := map[string]Kind{"/renew": Renewal, "/watch": Record}
@@ -118,77 +119,77 @@
 	var clientCounts, serverCounts map[string]Count
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		clientCounts, serverCounts = client.Counts(), server.Counts()
-		sent, received := between.seen()
+		sent, received := between.counts()
 		if sent == Total(clientCounts).Sent && sent == Total(serverCounts).Received &&
 			received == Total(serverCounts).Sent && received == Total(clientCounts).Received {
 			break
 		}
 	}
-	sent, received := between.seen()
+	sent, received := between.counts()
 	if Total(clientCounts).Sent != sent || Total(clientCounts).Received != received {
-		t.Errorf("the client counts %+v, between them went %d and %d", Total(clientCounts), sent, received)
+		t.Errorf("the client counts %+v, the relay forwarded %d and %d", Total(clientCounts), sent, received)
 	}
 	for _, kind := range []Kind{Renewal, Record, Other} {
-		c, s := clientCounts[kind.String()], serverCounts[kind.String()]
-		if c.Sent != s.Received || c.Received != s.Sent || c.Messages != s.Messages || c.Messages == 0 {
-			t.Errorf("%v: the client counts %+v, the server %+v", kind, c, s)
+		atClient, atServer := clientCounts[kind.String()], serverCounts[kind.String()]
+		if atClient.Sent != atServer.Received || atClient.Received != atServer.Sent || atClient.Messages != atServer.Messages || atClient.Messages == 0 {
+			t.Errorf("%v: the client counts %+v, the server %+v", kind, atClient, atServer)
 		}
 	}
 }
 
-// TestOfMembers finds the kind of packets that are a single message, a compound one, or one with a checksum.
-func TestOfMembers(t *testing.T) {
-	ping, news := append([]byte{memberPing}, "ping........"...), append([]byte{4}, "alive......"...)
-	compound := func(all ...[]byte) []byte {
-		b := []byte{memberCompound, byte(len(all))}
-		for _, m := range all {
-			b = append(b, byte(len(m)>>8), byte(len(m)))
+// TestOfMembers_kindOfPacket checks the kind of packets of memberlist that are a single message, a compound one, or one with a checksum.
+func TestOfMembers_kindOfPacket(t *testing.T) {
+	ping, alive := append([]byte{memberPing}, "ping........"...), append([]byte{4}, "alive......"...)
+	compound := func(messages ...[]byte) []byte {
+		packet := []byte{memberCompound, byte(len(messages))}
+		for _, message := range messages {
+			packet = append(packet, byte(len(message)>>8), byte(len(message)))
 		}
-		return append(b, bytes.Join(all, nil)...)
+		return append(packet, bytes.Join(messages, nil)...)
 	}
-	summed := func(b []byte) []byte { return append([]byte{memberChecksum, 1, 2, 3, 4}, b...) }
-	for _, x := range []struct {
-		what   string
+	withChecksum := func(packet []byte) []byte { return append([]byte{memberChecksum, 1, 2, 3, 4}, packet...) }
+	for _, test := range []struct {
+		name   string
 		packet []byte
 		kind   Kind
 	}{
-		{"ping", ping, Probe}, {"news", news, Gossip}, {"summed ping", summed(ping), Probe}, {"summed news", summed(news), Gossip},
-		{"ping with news", summed(compound(ping, news, news)), Probe}, {"much news", summed(compound(news, news)), Gossip},
-		{"ack", []byte{memberAck, 0}, Probe}, {"nothing", nil, Gossip}, {"cut short", []byte{memberCompound, 9, 0}, Gossip},
+		{"ping", ping, Probe}, {"alive", alive, Gossip}, {"ping with checksum", withChecksum(ping), Probe}, {"alive with checksum", withChecksum(alive), Gossip},
+		{"ping in compound", withChecksum(compound(ping, alive, alive)), Probe}, {"compound", withChecksum(compound(alive, alive)), Gossip},
+		{"ack", []byte{memberAck, 0}, Probe}, {"empty", nil, Gossip}, {"truncated", []byte{memberCompound, 9, 0}, Gossip},
 	} {
-		if k := OfMembers(x.packet); k != x.kind {
-			t.Errorf("%s is counted as %v", x.what, k)
+		if kind := OfMembers(test.packet); kind != test.kind {
+			t.Errorf("%s is counted as %v, want %v", test.name, kind, test.kind)
 		}
 	}
 }
 
-// FuzzOfMembers passes arbitrary bytes.
+// FuzzOfMembers checks that arbitrary bytes count as gossip or as a probe.
 func FuzzOfMembers(f *testing.F) {
 	f.Add([]byte{memberCompound, 2, 0, 1, 0, 200, 0, 4})
 	f.Add([]byte{memberChecksum, 0, 0, 0, 0, memberCompound, 255})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if k := OfMembers(b); k != Gossip && k != Probe {
-			t.Fatalf("%v is counted as %v", b, k)
+	f.Fuzz(func(t *testing.T, packet []byte) {
+		if kind := OfMembers(packet); kind != Gossip && kind != Probe {
+			t.Fatalf("%v is counted as %v", packet, kind)
 		}
 	})
 }
 
-// TestWithin_sumsUnchanged counts in any order: a part that is counted as another kind changes no sum.
+// TestWithin_sumsUnchanged checks that a part that is counted as another kind changes no sum, whatever the order of counts.
 func TestWithin_sumsUnchanged(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		var m Meter
+		var meter Meter
 		var sent, received uint64
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
-			k, n := Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), rapid.IntRange(0, 1000).Draw(t, "bytes")
-			m.Sent(k, n)
-			m.Received(k, 2*n)
-			m.Message(k)
-			sent, received = sent+uint64(n), received+uint64(2*n)
-			part := rapid.IntRange(0, n).Draw(t, "part")
-			m.Within(k, Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "as")), part, 2*part)
+			kind, size := Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), rapid.IntRange(0, 1000).Draw(t, "bytes")
+			meter.Sent(kind, size)
+			meter.Received(kind, 2*size)
+			meter.Message(kind)
+			sent, received = sent+uint64(size), received+uint64(2*size)
+			part := rapid.IntRange(0, size).Draw(t, "part")
+			meter.Within(kind, Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "as")), part, 2*part)
 		}
-		if all := Total(m.Counts()); all.Sent != sent || all.Received != received {
-			t.Fatalf("%+v, not %d and %d", all, sent, received)
+		if total := Total(meter.Counts()); total.Sent != sent || total.Received != received {
+			t.Fatalf("counted %+v, want %d sent and %d received", total, sent, received)
 		}
 	})
 	var none *Meter
