--- a/internal/transport/http2/frontend_test.go
+++ b/internal/transport/http2/frontend_test.go
@@ -22,51 +22,57 @@
 // immediateCore is a transport.Core that answers each job in Submit.
 type immediateCore struct{ counters routing.Counters }
 
-func (c *immediateCore) Submit(in routing.Request) scheduler.RequestID {
-	in.Client.Answered(routing.Answer{Verdict: routing.Served, Result: []byte("priced")})
+// Submit answers the request.
+func (c *immediateCore) Submit(request routing.Request) scheduler.RequestID {
+	request.Client.Answered(routing.Answer{Verdict: routing.Served, Result: []byte("priced")})
 	return 1
 }
+
+// ClientLeft does nothing: the request is answered.
 func (c *immediateCore) ClientLeft(scheduler.RequestID) {}
-func (c *immediateCore) Counters() *routing.Counters    { return &c.counters }
 
-// BenchmarkFronts measures what a job costs at each frontend, without the scheduler and workers. The client allocates nothing.
-func BenchmarkFronts(b *testing.B) {
-	params := &protocol.LiveSettings{}
-	p := &protocol.Settings{}
-	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000,"window":1000}],"limits":{"maxAttempts":4}}`), p); err != nil {
+// Counters returns the counters of the frontend.
+func (c *immediateCore) Counters() *routing.Counters { return &c.counters }
+
+// BenchmarkFrontends measures what a job costs at each frontend, without the scheduler and workers. The client allocates nothing.
+func BenchmarkFrontends(b *testing.B) {
+	live := &protocol.LiveSettings{}
+	settings := &protocol.Settings{}
+	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000,"window":1000}],"limits":{"maxAttempts":4}}`), settings); err != nil {
 		b.Fatal(err)
 	}
-	params.Replace(p, func(scheduler.Settings) {})
+	live.Replace(settings, func(scheduler.Settings) {})
 	log := slog.New(slog.DiscardHandler)
 	listen := func() *net.TCPListener {
-		l, err := transport.Listen("127.0.0.1:0")
+		b.Helper()
+		socket, err := transport.Listen("127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
-		return l
+		return socket
 	}
-	serve := func(server *http.Server, l net.Listener) {
-		go func() { _ = server.Serve(l) }()
+	serve := func(server *http.Server, listener net.Listener) {
+		go func() { _ = server.Serve(listener) }() // ends with Close
 		b.Cleanup(func() { server.Close() })
 	}
 	b.Run("HTTP/1.1", func(b *testing.B) {
 		listener := transport.NewListener(listen(), log)
 		listener.SetLimits(100, math.MaxInt64)
-		serve(transport.Server(transport.NewJobFrontend(&immediateCore{}, params, listener, &transport.InFlightIDs{}, nil, nil, nil, log), log), listener)
+		serve(transport.Server(transport.NewJobFrontend(&immediateCore{}, live, listener, &transport.InFlightIDs{}, nil, nil, nil, log), log), listener)
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer conn.Close()
 		job := []byte("POST /price-part HTTP/1.1\r\nHost: api.internal\r\nReq-Id: a\r\nReq-Kind: price-part\r\nReq-Owner: o\r\nIdempotency-Key: k\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 7\r\n\r\ndrawing")
-		in := bufio.NewReader(conn)
+		answers := bufio.NewReader(conn)
 		b.ReportAllocs()
 		for b.Loop() {
 			if _, err := conn.Write(job); err != nil {
 				b.Fatal(err)
 			}
 			for {
-				line, err := in.ReadSlice('\n')
+				line, err := answers.ReadSlice('\n')
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -74,7 +80,7 @@
 					break
 				}
 			}
-			if _, err := in.Discard(len("priced")); err != nil {
+			if _, err := answers.Discard(len("priced")); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -83,12 +89,12 @@
 		listener := transport.NewMultiplexedListener(listen(), log)
 		listener.SetLimits(100, math.MaxInt64)
 		listener.SetStreamLimit(1000)
-		s := Default()
-		frontend, err := New(&s, &immediateCore{}, params, listener, &transport.InFlightIDs{}, nil, nil, log)
+		settings := Default()
+		frontend, err := New(&settings, &immediateCore{}, live, listener, &transport.InFlightIDs{}, nil, nil, log)
 		if err != nil {
 			b.Fatal(err)
 		}
-		serve(frontend.Server(&s), frontend.Listener())
+		serve(frontend.Server(&settings), frontend.Listener())
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			b.Fatal(err)
@@ -97,17 +103,17 @@
 		fmt.Fprintf(conn, "%s\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x00\x04\x01\x00\x00\x00\x00", preface)
 		var block []byte
 		block = append(block, 0x83, 0x86)
-		for _, f := range [...][2]string{{":path", "/price-part"}, {":authority", "api.internal"}, {"req-id", "a"}, {"req-kind", "price-part"}, {"req-owner", "o"},
+		for _, header := range [...][2]string{{":path", "/price-part"}, {":authority", "api.internal"}, {"req-id", "a"}, {"req-kind", "price-part"}, {"req-owner", "o"},
 			{"idempotency-key", "k"}, {"req-deadline-ms", "5000"}, {"content-length", "7"}} {
-			block = append(append(block, 0, byte(len(f[0]))), f[0]...)
-			block = append(append(block, byte(len(f[1]))), f[1]...)
+			block = append(append(block, 0, byte(len(header[0]))), header[0]...)
+			block = append(append(block, byte(len(header[1]))), header[1]...)
 		}
 		job := []byte{0, 0, byte(len(block)), 1, 4, 0, 0, 0, 0}
 		job = append(append(job, block...), 0, 0, 7, 0, 1, 0, 0, 0, 0)
 		data := len(job) - 4
 		job = append(job, "drawing"...)
 		window := binary.BigEndian.AppendUint32([]byte{0, 0, 4, 8, 0, 0, 0, 0, 0}, 6)
-		in, head := bufio.NewReader(conn), make([]byte, frameHeadBytes)
+		answers, head := bufio.NewReader(conn), make([]byte, frameHeadBytes)
 		stream := uint32(1)
 		b.ReportAllocs()
 		for b.Loop() {
@@ -117,10 +123,10 @@
 				b.Fatal(err)
 			}
 			for {
-				if _, err := io.ReadFull(in, head); err != nil {
+				if _, err := io.ReadFull(answers, head); err != nil {
 					b.Fatal(err)
 				}
-				if _, err := in.Discard(int(head[1])<<8 | int(head[2])); err != nil {
+				if _, err := answers.Discard(int(head[1])<<8 | int(head[2])); err != nil {
 					b.Fatal(err)
 				}
 				if head[3] == byte(http2limits.Data) && head[4]&http2limits.EndStream != 0 {
@@ -135,32 +141,32 @@
 	})
 }
 
-// The scanner finds the same frames however the bytes are cut.
+// FuzzFrameScanner checks that the scanner finds the same frames however the bytes are split.
 func FuzzFrameScanner(f *testing.F) {
 	f.Add([]byte("\x00\x00\x03\x00\x01\x00\x00\x00\x01abc\x00\x00\x00\x04\x00\x00\x00\x00\x00"), uint8(1))
 	f.Add([]byte("\x00\x00\x08\x07\x00\x00\x00\x00\x00\x00\x00"), uint8(3))
-	f.Fuzz(func(t *testing.T, text []byte, cut uint8) {
+	f.Fuzz(func(t *testing.T, text []byte, split uint8) {
 		frames := func(size int) (found []http2limits.Frame, between bool) {
-			var in frameScanner
+			var scanner frameScanner
 			for rest := text; len(rest) > 0; {
 				piece := rest[:min(size, len(rest))]
 				rest = rest[len(piece):]
 				for len(piece) > 0 {
-					n, ev := in.step(piece)
+					n, event := scanner.step(piece)
 					if n == 0 {
-						t.Fatal("step took no bytes")
+						t.Fatal("step consumed no bytes")
 					}
-					if piece = piece[n:]; ev == headRead {
-						found = append(found, in.frame())
+					if piece = piece[n:]; event == headRead {
+						found = append(found, scanner.frame())
 					}
 				}
 			}
-			return found, in.betweenFrames()
+			return found, scanner.betweenFrames()
 		}
-		whole, end := frames(len(text) + 1)
-		pieces, endOfPieces := frames(int(cut) + 1)
-		if fmt.Sprint(whole, end) != fmt.Sprint(pieces, endOfPieces) {
-			t.Fatalf("%v %v, in pieces of %d %v %v", whole, end, cut, pieces, endOfPieces)
+		atOnce, end := frames(len(text) + 1)
+		inPieces, endOfPieces := frames(int(split) + 1)
+		if fmt.Sprint(atOnce, end) != fmt.Sprint(inPieces, endOfPieces) {
+			t.Fatalf("at once %v, between frames %v; in pieces of %d %v, %v", atOnce, end, int(split)+1, inPieces, endOfPieces)
 		}
 	})
 }
