--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -26,131 +26,139 @@
 	answers      int
 }
 
+// trackedRequest is a request as the rules see it.
 type trackedRequest struct {
 	RequestArrived
 	attempts []*trackedAttempt
-	closed   bool
+	closed   bool // answered, or its client has left
 }
 
+// trackedAttempt is an attempt as the rules see it.
 type trackedAttempt struct {
 	worker                             WorkerInfo
 	sentAt                             Instant
 	inFlight, mayHaveExecuted, started bool
 }
 
+// drainGrace is how long after a notification a random world permits sends to a draining worker.
 const drainGrace = 500 * ms
 
-func newWorld(t *testing.T, s Settings, seed uint64) *randomWorld {
+// newRandomWorld returns a world of six workers in two zones and three cells, which the scheduler knows.
+func newRandomWorld(t *testing.T, settings Settings, seed uint64) *randomWorld {
+	t.Helper()
 	w := &randomWorld{
-		t: t, settings: s, scheduler: New(s, seed), random: rand.New(rand.NewPCG(seed, 7)), now: start,
+		t: t, settings: settings, scheduler: New(settings, seed), random: rand.New(rand.NewPCG(seed, 7)), now: start,
 		timers: map[uint64][]Instant{}, notifiedAt: map[WorkerID]Instant{}, listed: map[WorkerID]WorkerInfo{},
 		requests: map[RequestID]*trackedRequest{}, warmingSends: map[WorkerID][]Instant{},
 	}
-	var all []WorkerInfo
-	for i, in := range workers(6) {
-		in.Zone, in.Cell = i%2, i%3
-		w.listed[in.ID] = in
-		all = append(all, in)
+	var infos []WorkerInfo
+	for i, info := range workers(6) {
+		info.Zone, info.Cell = i%2, i%3
+		w.listed[info.ID] = info
+		infos = append(infos, info)
 	}
-	w.handle(EndpointsUpdated{ListKind: ListCached, Workers: all})
+	w.handle(EndpointsUpdated{ListKind: ListCached, Workers: infos})
 	return w
 }
 
-func (w *randomWorld) handle(ev Event) {
-	for _, a := range w.scheduler.Handle(w.now, ev) {
-		w.check(a)
+// handle passes an event to the scheduler and checks its actions.
+func (w *randomWorld) handle(event Event) {
+	for _, action := range w.scheduler.Handle(w.now, event) {
+		w.check(action)
 	}
 }
 
 // check applies the rules to one action.
-func (w *randomWorld) check(a Action) {
+func (w *randomWorld) check(action Action) {
 	w.t.Helper()
-	switch a := a.(type) {
+	switch action := action.(type) {
 	case SetTimer:
-		w.timers[a.Token] = append(w.timers[a.Token], w.now+a.After)
+		w.timers[action.Token] = append(w.timers[action.Token], w.now+action.After)
 	case Subscribe:
 		w.pendingPolls++
 	case Send:
-		w.checkSend(a)
+		w.checkSend(action)
 	case Reject:
-		q := w.mustBeOwed(a.ID, "rejects")
-		for _, s := range q.attempts {
-			c := w.settings.Classes[q.Class]
-			if s.mayHaveExecuted && (c.Idempotency == NonIdempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope != ScopeAll) {
-				w.t.Fatalf("%v: rejects %d, which may have executed", w.now, a.ID)
+		request := w.mustBeOpen(action.ID, "rejects")
+		for _, previous := range request.attempts {
+			class := w.settings.Classes[request.Class]
+			if previous.mayHaveExecuted && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentWithKey && class.DeduplicationScope != ScopeAll) {
+				w.t.Fatalf("%v: rejects %d, which may have executed", w.now, action.ID)
 			}
 		}
-		q.closed = true
+		request.closed = true
 	case Fail:
-		w.mustBeOwed(a.ID, "fails").closed = true
+		w.mustBeOpen(action.ID, "fails").closed = true
 	case Cancel:
-		q := w.requests[a.ID]
-		if !w.settings.MayCancel || q == nil || a.Attempt < 0 || a.Attempt >= len(q.attempts) {
-			w.t.Fatalf("%v: cancels attempt %d of %d, which was never made", w.now, a.Attempt, a.ID)
+		request := w.requests[action.ID]
+		if !w.settings.MayCancel || request == nil || action.Attempt < 0 || action.Attempt >= len(request.attempts) {
+			w.t.Fatalf("%v: cancels attempt %d of %d, which was never made", w.now, action.Attempt, action.ID)
 		}
 	}
 }
 
-func (w *randomWorld) mustBeOwed(id RequestID, does string) *trackedRequest {
+// mustBeOpen returns a request that must not have been answered, and counts an answer.
+func (w *randomWorld) mustBeOpen(id RequestID, does string) *trackedRequest {
 	w.t.Helper()
-	q := w.requests[id]
-	if q == nil || q.closed {
-		w.t.Fatalf("%v: %s request %d, which is over or unknown", w.now, does, id)
+	request := w.requests[id]
+	if request == nil || request.closed {
+		w.t.Fatalf("%v: %s request %d, which is answered or unknown", w.now, does, id)
 	}
 	w.answers++
-	return q
+	return request
 }
 
-func (w *randomWorld) checkSend(a Send) {
+// checkSend applies the rules to an attempt: the list, the drain grace period, the number of attempts, idempotency and slow start.
+func (w *randomWorld) checkSend(send Send) {
 	w.t.Helper()
-	q := w.mustBeOwed(a.ID, "sends")
+	request := w.mustBeOpen(send.ID, "sends")
 	w.answers--
-	in, known := w.listed[a.Worker]
+	worker, known := w.listed[send.Worker]
 	if !known {
-		w.t.Fatalf("%v: sends to %s, which no list named", w.now, a.Worker)
+		w.t.Fatalf("%v: sends to %s, which no list named", w.now, send.Worker)
 	}
-	if at, gone := w.notifiedAt[a.Worker]; gone && w.now > at+drainGrace {
-		w.t.Fatalf("%v: sends to %s, drained since %v", w.now, a.Worker, at)
+	if at, gone := w.notifiedAt[send.Worker]; gone && w.now > at+drainGrace {
+		w.t.Fatalf("%v: sends to %s, drained since %v", w.now, send.Worker, at)
 	}
-	if len(q.attempts) >= w.settings.MaxAttempts {
-		w.t.Fatalf("%v: attempt %d of %d", w.now, len(q.attempts), a.ID)
+	if len(request.attempts) >= w.settings.MaxAttempts {
+		w.t.Fatalf("%v: attempt %d of %d", w.now, len(request.attempts), send.ID)
 	}
-	c := w.settings.Classes[q.Class]
-	for _, s := range q.attempts {
+	class := w.settings.Classes[request.Class]
+	for _, previous := range request.attempts {
 		switch {
-		case s.inFlight && !w.settings.MayHedge:
-			w.t.Fatalf("%v: second attempt of %d at once", w.now, a.ID)
-		case !s.mayHaveExecuted || c.Idempotency == Idempotent:
-		case c.Idempotency == NonIdempotent:
-			w.t.Fatalf("%v: non-idempotent %d sent again", w.now, a.ID)
-		case w.now > s.sentAt+c.DeduplicationWindow, c.DeduplicationScope == ScopeZone && s.worker.Zone != in.Zone,
-			c.DeduplicationScope == ScopeCell && s.worker.Cell != in.Cell:
-			w.t.Fatalf("%v: %d sent again out of its deduplication scope or window", w.now, a.ID)
+		case previous.inFlight && !w.settings.MayHedge:
+			w.t.Fatalf("%v: second attempt of %d at once", w.now, send.ID)
+		case !previous.mayHaveExecuted || class.Idempotency == Idempotent:
+		case class.Idempotency == NonIdempotent:
+			w.t.Fatalf("%v: non-idempotent %d sent again", w.now, send.ID)
+		case w.now > previous.sentAt+class.DeduplicationWindow, class.DeduplicationScope == ScopeZone && previous.worker.Zone != worker.Zone,
+			class.DeduplicationScope == ScopeCell && previous.worker.Cell != worker.Cell:
+			w.t.Fatalf("%v: %d sent again out of its deduplication scope or window", w.now, send.ID)
 		}
 	}
-	q.attempts = append(q.attempts, &trackedAttempt{worker: in, sentAt: w.now, inFlight: true, mayHaveExecuted: true})
-	if age := w.now - in.StartedAt; in.StartedAt > 0 && age < w.settings.SlowStartDuration {
+	request.attempts = append(request.attempts, &trackedAttempt{worker: worker, sentAt: w.now, inFlight: true, mayHaveExecuted: true})
+	if age := w.now - worker.StartedAt; worker.StartedAt > 0 && age < w.settings.SlowStartDuration {
 		var recent []Instant
-		for _, at := range w.warmingSends[a.Worker] {
+		for _, at := range w.warmingSends[send.Worker] {
 			if at > w.now-w.settings.OverloadWindow {
 				recent = append(recent, at)
 			}
 		}
-		w.warmingSends[a.Worker] = append(recent, w.now)
+		w.warmingSends[send.Worker] = append(recent, w.now)
 		// Each job here takes at least 20 ms of a slot.
 		warmth := w.settings.SlowStartCapacity + (1-w.settings.SlowStartCapacity)*float64(age)/float64(w.settings.SlowStartDuration)
 		budget := w.settings.OverloadMultiple * warmth * 4 * w.settings.OverloadWindow.Seconds() / min(float64(w.settings.Dispatchers), 2)
-		if work := 0.02 * float64(len(w.warmingSends[a.Worker])); work > budget+0.02 {
+		if work := 0.02 * float64(len(w.warmingSends[send.Worker])); work > budget+0.02 {
 			w.t.Fatalf("%v: %d jobs in %v to %s, %v old: %.2f of %.2f slot-seconds",
-				w.now, len(w.warmingSends[a.Worker]), w.settings.OverloadWindow, a.Worker, age, work, budget)
+				w.now, len(w.warmingSends[send.Worker]), w.settings.OverloadWindow, send.Worker, age, work, budget)
 		}
 	}
 }
 
-// step lets one to five milliseconds pass and draws what happens.
+// step advances the time by one to five milliseconds and draws what happens.
 func (w *randomWorld) step(load float64) {
 	w.now += time.Duration(1+w.random.IntN(5)) * ms
-	if w.settings.Dispatchers > 2 && w.random.IntN(500) == 0 { // this process stalls, while nothing is due
+	if w.settings.Dispatchers > 2 && w.random.IntN(500) == 0 { // this process stalls, while no deadline is near
 		if !slices.ContainsFunc(w.unfinished, func(id RequestID) bool { return w.requests[id].Deadline < w.now+2100*ms }) {
 			w.now += 2 * time.Second
 		}
@@ -173,86 +181,87 @@
 	}
 	if w.random.Float64() < load {
 		id := RequestID(len(w.ids) + 1)
-		c := w.random.IntN(len(w.settings.Classes))
-		q := &trackedRequest{RequestArrived: RequestArrived{ID: id, Class: c, Slots: 1, Deadline: w.now + w.settings.Classes[c].Deadline}}
-		w.ids, w.unfinished, w.requests[id] = append(w.ids, id), append(w.unfinished, id), q
-		w.handle(q.RequestArrived)
+		class := w.random.IntN(len(w.settings.Classes))
+		request := &trackedRequest{RequestArrived: RequestArrived{ID: id, Class: class, Slots: 1, Deadline: w.now + w.settings.Classes[class].Deadline}}
+		w.ids, w.unfinished, w.requests[id] = append(w.ids, id), append(w.unfinished, id), request
+		w.handle(request.RequestArrived)
 	}
 	if w.random.IntN(400) == 0 {
 		w.changeList()
 	}
 	w.unfinished = slices.DeleteFunc(w.unfinished, func(id RequestID) bool {
-		q := w.requests[id]
-		if !q.closed && w.now > q.Deadline+w.settings.AnswerSlack {
-			w.t.Fatalf("%v: no answer for %d, due %v", w.now, id, q.Deadline)
+		request := w.requests[id]
+		if !request.closed && w.now > request.Deadline+w.settings.AnswerSlack {
+			w.t.Fatalf("%v: no answer for %d, due %v", w.now, id, request.Deadline)
 		}
-		return q.closed && !slices.ContainsFunc(q.attempts, func(s *trackedAttempt) bool { return s.inFlight })
+		return request.closed && !slices.ContainsFunc(request.attempts, func(attempt *trackedAttempt) bool { return attempt.inFlight })
 	})
 	for _, id := range slices.Clone(w.unfinished) {
-		for n, s := range w.requests[id].attempts {
-			if s.inFlight {
-				w.attempt(id, n, s)
+		for n, attempt := range w.requests[id].attempts {
+			if attempt.inFlight {
+				w.advanceAttempt(id, n, attempt)
 			}
 		}
 	}
 }
 
-// attempt lets something happen to an attempt in flight.
-func (w *randomWorld) attempt(id RequestID, n int, s *trackedAttempt) {
-	q := w.requests[id]
-	end := func(o Outcome) {
-		s.inFlight, s.mayHaveExecuted = false, o != Full && o != NoConnect && o != NeverSent
-		final := q.closed || o == Served
-		if final && !q.closed {
-			q.closed = true
+// advanceAttempt draws what happens to an attempt in flight.
+func (w *randomWorld) advanceAttempt(id RequestID, n int, attempt *trackedAttempt) {
+	request := w.requests[id]
+	end := func(outcome Outcome) {
+		attempt.inFlight, attempt.mayHaveExecuted = false, outcome != Full && outcome != NoConnect && outcome != NeverSent
+		final := request.closed || outcome == Served
+		if final && !request.closed {
+			request.closed = true
 			w.answers++
 		}
-		r := Report{Busy: w.random.Float64(), Requests: -1, FreeSlots: float64(w.random.IntN(5))}
-		w.handle(AttemptFinished{ID: id, Attempt: n, Worker: s.worker.ID, Outcome: o, Final: final, Report: &r})
+		report := Report{Busy: w.random.Float64(), Requests: -1, FreeSlots: float64(w.random.IntN(5))}
+		w.handle(AttemptFinished{ID: id, Attempt: n, Worker: attempt.worker.ID, Outcome: outcome, Final: final, Report: &report})
 	}
-	switch x := w.random.IntN(1000); {
-	case w.now >= q.Deadline:
+	switch draw := w.random.IntN(1000); {
+	case w.now >= request.Deadline:
 		end(TimedOut)
-	case w.now < s.sentAt+20*ms:
-	case x < 20 && !s.started:
-		s.started = true
-		w.handle(AttemptStarted{ID: id, Attempt: n, Worker: s.worker.ID})
-	case x < 25:
-		w.handle(AttemptProgressed{ID: id, Attempt: n, Worker: s.worker.ID, Share: w.random.Float64()})
-	case x < 40 && s.started:
+	case w.now < attempt.sentAt+20*ms:
+	case draw < 20 && !attempt.started:
+		attempt.started = true
+		w.handle(AttemptStarted{ID: id, Attempt: n, Worker: attempt.worker.ID})
+	case draw < 25:
+		w.handle(AttemptProgressed{ID: id, Attempt: n, Worker: attempt.worker.ID, Share: w.random.Float64()})
+	case draw < 40 && attempt.started:
 		end(Served)
-	case x >= 40 && x < 46:
-		end([]Outcome{Errored, Full, TimedOut, NoConnect, Reset, NeverSent}[x-40])
-	case x == 46 && !q.closed && w.random.IntN(4) == 0:
-		q.closed = true
+	case draw >= 40 && draw < 46:
+		end([]Outcome{Errored, Full, TimedOut, NoConnect, Reset, NeverSent}[draw-40])
+	case draw == 46 && !request.closed && w.random.IntN(4) == 0:
+		request.closed = true
 		w.handle(ClientLeft{ID: id})
 	}
 }
 
+// changeList draws a change of one of four workers: it drains, is gone, or is ready after a restart.
 func (w *randomWorld) changeList() {
-	in := w.listed[WorkerID([]string{"w00", "w01", "w02", "w03"}[w.random.IntN(4)])]
+	worker := w.listed[WorkerID([]string{"w00", "w01", "w02", "w03"}[w.random.IntN(4)])]
 	switch w.random.IntN(3) {
 	case 0:
-		in.State = Draining
+		worker.State = Draining
 	case 1:
-		in.State = Gone
+		worker.State = Gone
 	case 2:
-		in.State, in.StartedAt = Ready, w.now-time.Duration(w.random.IntN(2000))*ms
+		worker.State, worker.StartedAt = Ready, w.now-time.Duration(w.random.IntN(2000))*ms
 	}
-	w.listed[in.ID] = in
-	if in.State == Ready {
-		delete(w.notifiedAt, in.ID)
-	} else if _, was := w.notifiedAt[in.ID]; !was {
-		w.notifiedAt[in.ID] = w.now
+	w.listed[worker.ID] = worker
+	if worker.State == Ready {
+		delete(w.notifiedAt, worker.ID)
+	} else if _, was := w.notifiedAt[worker.ID]; !was {
+		w.notifiedAt[worker.ID] = w.now
 	}
-	w.handle(EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{in}})
+	w.handle(EndpointsUpdated{ListKind: ListDelta, Workers: []WorkerInfo{worker}})
 }
 
 // TestRules_randomEvents checks that the rules hold over long random event sequences, and that each request has its answer.
 func TestRules_randomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 32; seed++ {
 		settings := baseSettings()
-		if seed > 24 { // few of hundreds have a share of a warming worker; this is one of them at times
+		if seed > 24 { // few of 300 dispatchers have a share of a warming worker, this one at times
 			settings.DispatcherIndex, settings.Dispatchers = int(seed)*37%300, 300
 		}
 		settings.MayHedge = seed%2 == 0
@@ -261,36 +270,36 @@
 		settings.Classes = append(settings.Classes, settings.Classes[1])
 		settings.Classes[1].DeduplicationScope = []DeduplicationScope{ScopeAll, ScopeZone, ScopeCell}[seed%3]
 		settings.Classes[3].LateWeight = 0.3
-		w := newWorld(t, settings, seed)
+		world := newRandomWorld(t, settings, seed)
 		load := 0.1 + 0.2*float64(seed%4)
 		for range 6000 {
-			w.step(load)
+			world.step(load)
 		}
 		for range 2000 { // no more arrivals: all must be answered
-			w.step(0)
+			world.step(0)
 		}
-		for _, id := range w.ids {
-			if !w.requests[id].closed {
+		for _, id := range world.ids {
+			if !world.requests[id].closed {
 				t.Fatalf("seed %d: request %d has no answer at the end", seed, id)
 			}
 		}
-		if len(w.ids) < 300 || w.answers < 100 {
-			t.Fatalf("seed %d: only %d requests, %d answers: too few to mean anything", seed, len(w.ids), w.answers)
+		if len(world.ids) < 300 || world.answers < 100 {
+			t.Fatalf("seed %d: only %d requests, %d answers: too few for a verdict", seed, len(world.ids), world.answers)
 		}
 	}
 }
 
 // TestHandle_deterministic checks that the same events give the same actions.
 func TestHandle_deterministic(t *testing.T) {
-	play := func() int {
-		w := newWorld(t, baseSettings(), 5)
+	run := func() int {
+		world := newRandomWorld(t, baseSettings(), 5)
 		for range 3000 {
-			w.step(0.4)
+			world.step(0.4)
 		}
-		return w.answers*1000003 + len(w.ids)
+		return world.answers*1000003 + len(world.ids)
 	}
-	if a, b := play(), play(); a != b {
-		t.Errorf("two plays of the same events differ: %d and %d", a, b)
+	if first, second := run(), run(); first != second {
+		t.Errorf("two runs of the same events differ: %d and %d", first, second)
 	}
 }
 
@@ -309,15 +318,15 @@
 		settings.MayHedge, settings.MayCancel, settings.ListPolled = bits&1 > 0, bits&2 > 0, bits&4 > 0
 		settings.MayProbe, settings.ReportsPulled, settings.ReportsStart = bits&8 > 0, bits&8 > 0, bits&16 == 0
 		settings.Classes[1].DeduplicationScope = DeduplicationScope(bits >> 5 % 3)
-		w := newWorld(t, settings, seed)
+		world := newRandomWorld(t, settings, seed)
 		for range 1500 {
-			w.step(float64(load) / 256)
+			world.step(float64(load) / 256)
 		}
 		for range 1200 { // no more arrivals: all must be answered
-			w.step(0)
+			world.step(0)
 		}
-		for _, id := range w.ids {
-			if !w.requests[id].closed {
+		for _, id := range world.ids {
+			if !world.requests[id].closed {
 				t.Fatalf("request %d has no answer at the end", id)
 			}
 		}
