--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -15,7 +15,7 @@
 		driver.now += 2 * subsetInterval
 		driver.advance(subsetInterval)
 	}
-	away := 0
+	elsewhere := 0
 	for key := uint64(2); key < 22; key++ {
 		byWorker := map[WorkerID]int{}
 		for _, driver := range drivers {
@@ -27,10 +27,10 @@
 		for _, n := range byWorker {
 			most = max(most, n)
 		}
-		away += len(drivers) - most
+		elsewhere += len(drivers) - most
 	}
-	if away > 20*len(drivers)/10 {
-		t.Errorf("%d of %d requests went elsewhere than most of their key", away, 20*len(drivers))
+	if elsewhere > 20*len(drivers)/10 {
+		t.Errorf("%d of %d requests were sent elsewhere than most of their key", elsewhere, 20*len(drivers))
 	}
 }
 
@@ -45,7 +45,7 @@
 		driver.now += 300 * ms
 	}
 	if len(to) < 4 {
-		t.Errorf("all requests of the only key went to %v", to)
+		t.Errorf("all requests of the only key were sent to %v", to)
 	}
 }
 
@@ -71,14 +71,14 @@
 // TestAffinity_frequentKeyAtAllDispatchers checks a key with an eighth of the requests at four dispatchers: its requests go to 15 to 60
 // of 185 workers, at most a tenth of them to one. Those of a key with a hundredth of the requests go to at most two workers.
 func TestAffinity_frequentKeyAtAllDispatchers(t *testing.T) {
-	at, hot, first := map[WorkerID]int{}, 0, map[WorkerID]int{}
+	frequentAt, frequent, rareAt := map[WorkerID]int{}, 0, map[WorkerID]int{}
 	for index := range 4 {
 		settings := baseSettings()
 		settings.DispatcherIndex, settings.Dispatchers = 70*index, 300
 		driver := newDriver(t, settings)
 		driver.listWorkers(workers(185)...)
 		for id := RequestID(1); id <= 600; id++ {
-			key := uint64(id) << 20 // of one request alone
+			key := uint64(id) << 20 // a key of this request only
 			if id%8 == 0 {
 				key = 7
 			} else if id%100 == 1 {
@@ -89,22 +89,22 @@
 			driver.now += 150 * ms
 			driver.finishServed(id, nil)
 			if key == 7 && id > 200 {
-				at[to]++
-				hot++
+				frequentAt[to]++
+				frequent++
 			} else if key == 11 {
-				first[to]++
+				rareAt[to]++
 			}
 		}
 	}
 	most := 0
-	for _, n := range at {
+	for _, n := range frequentAt {
 		most = max(most, n)
 	}
-	if most > hot/10 || len(at) < 15 || len(at) > 60 {
-		t.Errorf("%d requests of a frequent key went to %d workers, %d of them to one", hot, len(at), most)
+	if most > frequent/10 || len(frequentAt) < 15 || len(frequentAt) > 60 {
+		t.Errorf("%d requests of a frequent key went to %d workers, %d of them to one", frequent, len(frequentAt), most)
 	}
-	if len(first) > 2 {
-		t.Errorf("a key with a hundredth of the requests went to %d workers: %v", len(first), first)
+	if len(rareAt) > 2 {
+		t.Errorf("a key with a hundredth of the requests went to %d workers: %v", len(rareAt), rareAt)
 	}
 }
 
@@ -134,7 +134,7 @@
 		first[expected]++
 	}
 	if moved > 12 { // of 240: where two ranks are nearly equal, the request before may decide
-		t.Errorf("%d requests left the first worker of their key without need", moved)
+		t.Errorf("%d requests were not sent to the first worker of their key, which was idle", moved)
 	}
 	for _, w := range workers(4) {
 		if first[w.ID] < 2 || first[w.ID] > 20 {
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -11,20 +11,20 @@
 // other dispatchers and cancellations are correlated with long queues. Few reports, or those of a fleet of many dispatchers, show
 // nothing.
 func TestCancellationEstimate_undroppedShare(t *testing.T) {
-	rng := rand.New(rand.NewPCG(1, 2))
-	for _, c := range []struct {
-		kept, others float64
-		reports      int
-		want         bool
+	random := rand.New(rand.NewPCG(1, 2))
+	for _, test := range []struct {
+		undropped, others float64 // share of cancelled jobs that are executed; jobs of others, relative to own ones
+		reports           int
+		want              bool
 	}{{0, 1, 400, false}, {1, 1, 400, true}, {1, 1, 4, false}, {1, 20, 400, false}, {0, 20, 400, false}} {
-		var seen cancellationEstimate
-		for range c.reports {
-			own := 2 * rng.Float64()
-			off := max(own-1, 0) * rng.Float64()
-			seen.observe(own+c.others*(0.5+rng.Float64())*own+c.others*rng.Float64()/2+c.kept*(1+c.others)*off, own, off)
+		var estimate cancellationEstimate
+		for range test.reports {
+			own := 2 * random.Float64()
+			cancelled := max(own-1, 0) * random.Float64()
+			estimate.observe(own+test.others*(0.5+random.Float64())*own+test.others*random.Float64()/2+test.undropped*(1+test.others)*cancelled, own, cancelled)
 		}
-		if got := seen.undroppedShare() >= maxUndroppedShare; got != c.want {
-			t.Errorf("%+v: undropped share %v", c, seen.undroppedShare())
+		if got := estimate.undroppedShare() >= maxUndroppedShare; got != test.want {
+			t.Errorf("%+v: undropped share %v", test, estimate.undroppedShare())
 		}
 	}
 	driver := newDriver(t, baseSettings()) // a cancelled job shows in the next report
@@ -43,16 +43,16 @@
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
 	driver.scheduler.congestion = 1
-	r := &request{settings: driver.scheduler.settings, clientStartedAt: driver.now, deadline: driver.now + 2*time.Second, estimatedWork: 400 * ms}
-	if got := driver.scheduler.maxStartWait(r); got != 600*ms { // the latency objective, and twice its work less the work itself
+	waiting := &request{settings: driver.scheduler.settings, clientStartedAt: driver.now, deadline: driver.now + 2*time.Second, estimatedWork: 400 * ms}
+	if got := driver.scheduler.maxStartWait(waiting); got != 600*ms { // the latency objective, and twice its work less the work itself
 		t.Errorf("maximum start wait %v", got)
 	}
-	r.estimatedWork = 29 * 400 * ms // it can no longer be done by the deadline
-	if got := driver.scheduler.maxStartWait(r); got > 0 {
+	waiting.estimatedWork = 29 * 400 * ms // it can no longer be done by the deadline
+	if got := driver.scheduler.maxStartWait(waiting); got > 0 {
 		t.Errorf("maximum start wait of what cannot be done in time: %v", got)
 	}
-	r.estimatedWork = 0
-	if got := driver.scheduler.maxStartWait(r); got != 100*ms {
+	waiting.estimatedWork = 0
+	if got := driver.scheduler.maxStartWait(waiting); got != 100*ms {
 		t.Errorf("maximum start wait without an estimate: %v", got)
 	}
 }
@@ -120,23 +120,23 @@
 // TestGiveUp_lateAttemptThatHasNotStarted checks that a request that has not started once a late answer has no weight is given up: its
 // attempt is cancelled, so that it does not delay others in the worker's queue, and the request fails.
 func TestGiveUp_lateAttemptThatHasNotStarted(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class   int
-		worth   float64
+		weight  float64 // of a late answer
 		started bool
 		want    bool
 	}{{1, 0, false, true}, {2, 0, false, true}, {1, 0.5, false, false}, {1, 0, true, false}} {
 		settings := baseSettings()
-		settings.Classes[c.class].LateWeight = c.worth
+		settings.Classes[test.class].LateWeight = test.weight
 		driver := newDriver(t, settings)
 		driver.listWorkers(workers(1)...)
-		driver.submit(1, c.class)
-		if c.started {
+		driver.submit(1, test.class)
+		if test.started {
 			driver.handle(AttemptStarted{ID: 1})
 		}
 		actions := driver.advance(time.Second) // of two; its latency objective is 0.2 s
-		if got := countActions[Cancel](actions) == 1 && countActions[Fail](actions) == 1; got != c.want {
-			t.Errorf("%+v: cancelled %d, failed %d", c, countActions[Cancel](actions), countActions[Fail](actions))
+		if got := countActions[Cancel](actions) == 1 && countActions[Fail](actions) == 1; got != test.want {
+			t.Errorf("%+v: cancelled %d, failed %d", test, countActions[Cancel](actions), countActions[Fail](actions))
 		}
 	}
 }
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// sends gives the workers that submitJobs go to, one after the other.
+// submitJobs submits n requests one after the other, each served at once, and returns the workers that they were sent to.
 func (d *driver) submitJobs(from RequestID, n int) (to []WorkerID) {
 	for id := from; id < from+RequestID(n); id++ {
-		for _, a := range d.handle(RequestArrived{ID: id, Slots: 1, Deadline: d.now + d.scheduler.settings.Classes[0].Deadline}) {
-			if s, ok := a.(Send); ok {
-				to = append(to, s.Worker)
+		for _, action := range d.handle(RequestArrived{ID: id, Slots: 1, Deadline: d.now + d.scheduler.settings.Classes[0].Deadline}) {
+			if send, ok := action.(Send); ok {
+				to = append(to, send.Worker)
 			}
 		}
 		d.finishServed(id, nil)
@@ -26,34 +26,34 @@
 	driver := newDriver(t, baseSettings())
 	driver.scheduler.settings.SlowStartDuration, driver.scheduler.settings.SlowStartCapacity, driver.scheduler.settings.OverloadMultiple, driver.scheduler.settings.OverloadWindow = 20*time.Second, 0.2, 3, 1500*ms
 	driver.listWorkers(workers(3)...)
-	w := driver.scheduler.workers[1]
-	w.observedSlots = 4
-	w.consecutiveEjections, w.ejectedUntil = 3, driver.now+time.Hour
-	driver.handle(WorkerDetached{Worker: w.ID})
+	worker := driver.scheduler.workers[1]
+	worker.observedSlots = 4
+	worker.consecutiveEjections, worker.ejectedUntil = 3, driver.now+time.Hour
+	driver.handle(WorkerDetached{Worker: worker.ID})
 	driver.listWorkers(workers(3)...)
-	w.consecutiveEjections = 0
+	worker.consecutiveEjections = 0
 	for _, to := range driver.submitJobs(1, 12) {
-		if to == w.ID {
-			t.Fatal("a request went to the detached worker")
+		if to == worker.ID {
+			t.Fatal("a request was sent to the detached worker")
 		}
 	}
-	if driver.scheduler.CountAvoided() != 1 || !driver.scheduler.KnowsWorker(w.ID) || driver.scheduler.KnowsWorker("never") {
-		t.Errorf("%d avoided", driver.scheduler.CountAvoided())
+	if driver.scheduler.CountAvoided() != 1 || !driver.scheduler.KnowsWorker(worker.ID) || driver.scheduler.KnowsWorker("never") {
+		t.Errorf("%d workers avoided, or unknown ones known", driver.scheduler.CountAvoided())
 	}
-	w.consecutiveEjections, w.ejectedUntil = 3, driver.now+time.Hour
-	driver.handle(WorkerReattached{Worker: w.ID})
-	if driver.scheduler.warmupFactor(w) > 0.21 || driver.scheduler.CountAvoided() != 0 {
-		t.Errorf("reattached: warmup factor %v, %d avoided", driver.scheduler.warmupFactor(w), driver.scheduler.CountAvoided())
+	worker.consecutiveEjections, worker.ejectedUntil = 3, driver.now+time.Hour
+	driver.handle(WorkerReattached{Worker: worker.ID})
+	if driver.scheduler.warmupFactor(worker) > 0.21 || driver.scheduler.CountAvoided() != 0 {
+		t.Errorf("reattached: warmup factor %v, %d avoided", driver.scheduler.warmupFactor(worker), driver.scheduler.CountAvoided())
 	}
-	if to := driver.submitJobs(100, 1); len(to) != 1 || to[0] != w.ID {
-		t.Errorf("the first request went to %v", to)
+	if to := driver.submitJobs(100, 1); len(to) != 1 || to[0] != worker.ID {
+		t.Errorf("the first request after the reattachment was sent to %v", to)
 	}
 	// Detached before it was ever listed, as a successor is notified.
 	driver.handle(WorkerDetached{Worker: "later"})
 	driver.listWorkers(append(workers(3), WorkerInfo{ID: "later", Weight: 1})...)
 	for _, to := range driver.submitJobs(200, 12) {
 		if to == "later" {
-			t.Fatal("a request went to the worker that was detached before it was listed")
+			t.Fatal("a request was sent to the worker that was detached before it was listed")
 		}
 	}
 }
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -7,7 +7,7 @@
 	"brassdale/scheduler"
 )
 
-// From settings through list, request, report and outcome to the actions.
+// Example shows the actions from settings through list, request, report and outcome.
 func Example() {
 	d := scheduler.New(scheduler.Settings{
 		Dispatchers: 1,
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -63,6 +63,7 @@
 	allActions []Action
 }
 
+// newDriver returns a driver whose scheduler has handled no event.
 func newDriver(t *testing.T, s Settings) *driver {
 	t.Helper()
 	return &driver{t: t, scheduler: New(s, 1), now: start}
@@ -84,7 +85,7 @@
 	return d.actions
 }
 
-// advance lets time pass in steps of 10 ms, each with a review.
+// advance advances the time in steps of 10 ms, each with a review.
 func (d *driver) advance(span time.Duration) (actions []Action) {
 	for end := d.now + span; d.now < end; {
 		d.now += 10 * ms
@@ -93,6 +94,7 @@
 	return actions
 }
 
+// listWorkers passes a full list.
 func (d *driver) listWorkers(workers ...WorkerInfo) {
 	d.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers})
 }
@@ -102,11 +104,12 @@
 	return firstSendWorker(d.handle(RequestArrived{ID: id, Class: c, Slots: 1, Deadline: d.now + 2*time.Second}))
 }
 
-// finishServed passes the outcome served for attempt 0 of a request.
+// finishServed passes the outcome Served for attempt 0 of a request.
 func (d *driver) finishServed(id RequestID, r *Report) []Action {
 	return d.handle(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: r})
 }
 
+// firstSendWorker returns the worker of the first Send, "" without one.
 func firstSendWorker(actions []Action) WorkerID {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
@@ -126,6 +129,7 @@
 	return n
 }
 
+// workers returns n workers of one zone.
 func workers(n int) (infos []WorkerInfo) {
 	for i := range n {
 		infos = append(infos, WorkerInfo{ID: WorkerID(fmt.Sprintf("w%02d", i)), Weight: 1})
@@ -146,6 +150,7 @@
 	}
 }
 
+// loadReport returns a report of the busy share and the free slots.
 func loadReport(busy, free float64) *Report {
 	return &Report{Busy: busy, Requests: -1, FreeSlots: free}
 }
--- a/scheduler/learnedstate_test.go
+++ b/scheduler/learnedstate_test.go
@@ -20,20 +20,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var e LearnedState
-	if err := json.Unmarshal(text, &e); err != nil {
+	var learned LearnedState
+	if err := json.Unmarshal(text, &learned); err != nil {
 		t.Fatal(err)
 	}
 	next := newDriver(t, baseSettings())
 	infos := workers(2)
 	infos[1].StartedAt = next.now - time.Second
 	next.listWorkers(infos...)
-	next.handle(HandoverCompleted{LearnedState: e})
-	same, anew := next.scheduler.workersByID[infos[0].ID], next.scheduler.workersByID[infos[1].ID]
+	next.handle(HandoverCompleted{LearnedState: learned})
+	same, restarted := next.scheduler.workersByID[infos[0].ID], next.scheduler.workersByID[infos[1].ID]
 	if next.scheduler.overcommit != old.overcommit || next.scheduler.classes[1] != old.classes[1] || next.scheduler.estimatedSlots(same) != 6 || next.scheduler.slowdown(same) != old.slowdown(old.workers[0]) {
 		t.Errorf("overcommit %v, class %+v, slots %v, slowdown %v", next.scheduler.overcommit, next.scheduler.classes[1], next.scheduler.estimatedSlots(same), next.scheduler.slowdown(same))
 	}
-	if anew.slownessJobs != 0 || anew.slownessSum != 0 {
-		t.Errorf("of a worker that has restarted: %v jobs", anew.slownessJobs)
+	if restarted.slownessJobs != 0 || restarted.slownessSum != 0 {
+		t.Errorf("slowness of a worker that has restarted: %v jobs", restarted.slownessJobs)
 	}
 }
--- a/scheduler/loadvalue_test.go
+++ b/scheduler/loadvalue_test.go
@@ -21,34 +21,34 @@
 	}
 	for id := RequestID(2); id <= 4; id++ {
 		if w := driver.submit(id, 2); w == first {
-			t.Errorf("job %d went to the worker that is full", id)
+			t.Errorf("request %d was sent to the worker that is full", id)
 		}
 	}
 	driver.now += 2 * time.Second
 	if w := driver.submit(5, 2); w != first {
-		t.Errorf("2 s later a request went to %s, which has the more attempts", w)
+		t.Errorf("2 s later a request was sent to %s, which has more attempts", w)
 	}
 }
 
 // TestLoadUncertainty_followsArrivalRate checks that the uncertainty of a load follows from the jobs that others have sent since the
 // report, not from the number of dispatchers alone.
 func TestLoadUncertainty_followsArrivalRate(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		dispatchers, workers int
 		rate, most           float64
 	}{{1, 10, 10, 0}, {16, 28, 11, math.Sqrt(15)}, {300, 180, 1, 2}, {300, 180, 6, 4}} {
 		settings := baseSettings()
-		settings.Dispatchers = c.dispatchers
-		d := New(settings, 1)
-		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(c.workers, 1)})
-		d.arrivalRate, d.meanStay = c.rate, 1
-		w := d.workers[0]
-		w.reportedAt = d.now
-		fresh := d.loadUncertainty(w)
-		d.now += time.Second
-		if old := d.loadUncertainty(w); old > c.most+1e-9 || old < fresh {
+		settings.Dispatchers = test.dispatchers
+		scheduler := New(settings, 1)
+		scheduler.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(test.workers, 1)})
+		scheduler.arrivalRate, scheduler.meanStay = test.rate, 1
+		worker := scheduler.workers[0]
+		worker.reportedAt = scheduler.now
+		fresh := scheduler.loadUncertainty(worker)
+		scheduler.now += time.Second
+		if old := scheduler.loadUncertainty(worker); old > test.most+1e-9 || old < fresh {
 			t.Errorf("%d dispatchers, %d workers, %v requests/s: uncertainty %v at once, %v after a second, want at most %v",
-				c.dispatchers, c.workers, c.rate, fresh, old, c.most)
+				test.dispatchers, test.workers, test.rate, fresh, old, test.most)
 		}
 	}
 }
@@ -56,15 +56,15 @@
 // TestLoadValue_oldReportMovesToOwnMeanOnLargeFleets checks that on a large fleet the load value of an old report moves to the worker's
 // own mean, which shows small and slow workers.
 func TestLoadValue_oldReportMovesToOwnMeanOnLargeFleets(t *testing.T) {
-	d := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[0]
-	busy, idle := d.subset[0], d.subset[1]
+	scheduler := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[0]
+	busy, idle := scheduler.subset[0], scheduler.subset[1]
 	for i := range 10 {
-		d.now += time.Duration(i) * 100 * ms
-		d.applyReport(busy, loadReport(0.9, 0.4))
-		d.applyReport(idle, loadReport(0.1, 4))
+		scheduler.now += time.Duration(i) * 100 * ms
+		scheduler.applyReport(busy, loadReport(0.9, 0.4))
+		scheduler.applyReport(idle, loadReport(0.1, 4))
 	}
-	d.now += time.Minute
-	if a, b := d.loadValue(busy), d.loadValue(idle); a < 0.8 || b > 0.2 {
+	scheduler.now += time.Minute
+	if a, b := scheduler.loadValue(busy), scheduler.loadValue(idle); a < 0.8 || b > 0.2 {
 		t.Errorf("a minute later the values are %v and %v", a, b)
 	}
 }
@@ -74,27 +74,27 @@
 func TestIncrement_followsOutcomes(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
-	w := driver.scheduler.workers[0]
-	if got := driver.scheduler.slotShare(w, 1); got != initialIncrement {
-		t.Errorf("without figures a slot counts %v", got)
+	worker := driver.scheduler.workers[0]
+	if got := driver.scheduler.slotShare(worker, 1); got != initialIncrement {
+		t.Errorf("without a report the increment is %v", got)
 	}
 	driver.submit(1, 0)
 	driver.handle(AttemptFinished{ID: 1, Outcome: Full})
-	if got := driver.scheduler.slotShare(w, 1); got != 2*initialIncrement || driver.scheduler.loadValue(w) < 1-1e-9 {
-		t.Errorf("after a 'full' a slot counts %v, the value is %v", got, driver.scheduler.loadValue(w))
+	if got := driver.scheduler.slotShare(worker, 1); got != 2*initialIncrement || driver.scheduler.loadValue(worker) < 1-1e-9 {
+		t.Errorf("after an outcome Full the increment is %v, the load value %v", got, driver.scheduler.loadValue(worker))
 	}
 	for id := RequestID(10); id < 10+sendsToHalveIncrement; id++ {
 		driver.now += 2 * time.Second
 		driver.submit(id, 0)
 		driver.finishServed(id, nil)
 	}
-	if got := driver.scheduler.slotShare(w, 1); got > initialIncrement {
-		t.Errorf("after %d sends without a 'full' a slot counts %v", sendsToHalveIncrement, got)
+	if got := driver.scheduler.slotShare(worker, 1); got > initialIncrement {
+		t.Errorf("after %d sends without the outcome Full the increment is %v", sendsToHalveIncrement, got)
 	}
 	driver.submit(100, 0)
 	driver.finishServed(100, loadReport(0.2, 8))
-	if got := driver.scheduler.slotShare(w, 1); got != 1.0/8 {
-		t.Errorf("with 8 free slots seen a slot counts %v", got)
+	if got := driver.scheduler.slotShare(worker, 1); got != 1.0/8 {
+		t.Errorf("after a report of 8 free slots the increment is %v", got)
 	}
 }
 
@@ -105,7 +105,7 @@
 	driver.submit(1, 0)
 	driver.handle(AttemptStarted{ID: 1})
 	if w := driver.submit(2, 0); w == "" {
-		t.Error("queued a request beside one running job on a worker of unknown size")
+		t.Error("a request was queued although the worker, of unknown size, has only one running job")
 	}
 }
 
@@ -113,15 +113,15 @@
 func TestReport_invalidFigures(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
-	w := driver.scheduler.workers[0]
-	for i, r := range []*Report{
+	worker := driver.scheduler.workers[0]
+	for i, report := range []*Report{
 		nil, {}, loadReport(math.NaN(), math.Inf(1)), loadReport(-1, -5), {Busy: math.Inf(1), Requests: math.NaN(), FreeSlots: -1},
 	} {
 		id := RequestID(i + 1)
 		driver.submit(id, 0)
-		driver.finishServed(id, r)
-		if x := driver.scheduler.loadValue(w); math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-			t.Errorf("report %d made the value %v", i, x)
+		driver.finishServed(id, report)
+		if value := driver.scheduler.loadValue(worker); math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
+			t.Errorf("after report %d the load value is %v", i, value)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	driver.now += 5 * time.Second
 	driver.handle(TimerFired{})
 	if a, b := driver.scheduler.loadValue(idle), driver.scheduler.loadValue(busy); math.Abs(a-b) > 0.05 {
-		t.Errorf("old reports still tell workers apart: %v and %v", a, b)
+		t.Errorf("old reports still distinguish the workers: %v and %v", a, b)
 	}
 }
 
@@ -164,7 +164,7 @@
 		got[driver.submit(id, 0)] = true
 	}
 	if len(got) != 4 {
-		t.Errorf("four jobs went to %d of 4 workers that differ by less than a job", len(got))
+		t.Errorf("four jobs were sent to %d of 4 workers that differ by less than a job", len(got))
 	}
 }
 
@@ -181,7 +181,7 @@
 	driver.now += 4 * time.Second
 	driver.listWorkers(append(workers(2), WorkerInfo{ID: "w99"})...)
 	if x := driver.scheduler.loadValue(driver.scheduler.workersByID["w99"]); x != 0 {
-		t.Errorf("a newcomer's value is %v", x)
+		t.Errorf("the load value of a new worker is %v", x)
 	}
 	driver.handle(RequestArrived{ID: 2, Slots: 1, Deadline: driver.now + time.Second})
 	driver.handle(AttemptFinished{ID: 2, Outcome: Served, Final: true, Report: loadReport(0, 4)})
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -14,10 +14,10 @@
 		settings.Classes[2].Deadline = 20 * time.Second
 		driver := newDriver(t, settings)
 		driver.listWorkers(workers(2)...)
-		w := driver.scheduler.workersByID[firstSendWorker(driver.handle(RequestArrived{ID: 1, Class: 2, Slots: 1, Deadline: driver.now + 15*time.Second}))]
+		worker := driver.scheduler.workersByID[firstSendWorker(driver.handle(RequestArrived{ID: 1, Class: 2, Slots: 1, Deadline: driver.now + 15*time.Second}))]
 		driver.handle(AttemptStarted{ID: 1})
 		driver.advance(10 * time.Second)
-		if healthy := driver.scheduler.healthy(w, 2); healthy != (progress == 0) {
+		if healthy := driver.scheduler.healthy(worker, 2); healthy != (progress == 0) {
 			t.Errorf("progress every %v: the worker counts as healthy: %v", progress, healthy)
 		}
 	}
@@ -42,7 +42,7 @@
 		driver.finishServed(id, nil)
 	}
 	if bad > jobs/10 {
-		t.Errorf("%d of %d jobs went to the worker that fails", bad, jobs)
+		t.Errorf("%d of %d jobs were sent to the worker that fails", bad, jobs)
 	}
 	before := bad
 	for i := range jobs { // it has recovered: after a trial it gets its share
@@ -53,7 +53,7 @@
 		driver.finishServed(id, nil)
 	}
 	if got := bad - before; got < jobs/3/5 {
-		t.Errorf("after its recovery %d of %d", got, jobs/3)
+		t.Errorf("after its recovery the worker got %d of %d jobs", got, jobs/3)
 	}
 }
 
@@ -110,7 +110,7 @@
 	driver.now += 3 * time.Second
 	actions := driver.handle(RequestArrived{ID: 3, Class: 2, Slots: 1, Deadline: driver.now + 2*time.Second})
 	if countActions[CloseIdleConnections](actions) != 1 || countActions[Send](actions) != 1 {
-		t.Errorf("after 3 idle seconds it did %v", actions)
+		t.Errorf("after 3 idle seconds: %v", actions)
 	}
 	driver.handle(AttemptFinished{ID: 3, Outcome: Served, Final: true})
 	driver.now += minLossIdle / 2
@@ -124,15 +124,15 @@
 func TestEjection_byConnectionLosses(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
-	w := driver.scheduler.workers[0]
-	for i, c := range []struct {
+	worker := driver.scheduler.workers[0]
+	for i, test := range []struct {
 		outcome   Outcome
 		ejections int
 	}{{Reset, 0}, {Served, 0}, {NoConnect, 0}, {Reset, 1}, {Served, 0}, {Reset, 0}} {
 		id := RequestID(i + 1)
 		driver.handle(RequestArrived{ID: id, Slots: 1, Deadline: driver.now + driver.scheduler.settings.Classes[0].Deadline})
-		if driver.handle(AttemptFinished{ID: id, Outcome: c.outcome, Final: true}); w.consecutiveEjections != c.ejections {
-			t.Errorf("after outcome %d of request %d: %d ejections in a row, want %d", c.outcome, i, w.consecutiveEjections, c.ejections)
+		if driver.handle(AttemptFinished{ID: id, Outcome: test.outcome, Final: true}); worker.consecutiveEjections != test.ejections {
+			t.Errorf("after outcome %d of request %d: %d ejections in a row, want %d", test.outcome, i, worker.consecutiveEjections, test.ejections)
 		}
 		driver.now += ms
 	}
@@ -142,10 +142,10 @@
 // at least 4/5 as long: the idle time of the connection counts, not that of the worker. An attempt that had started was not lost that
 // way.
 func TestIdleLoss_byConnectionIdleTime(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		idle    time.Duration
 		started bool
-		drops   int
+		closed  int // how often connections are closed
 	}{{time.Second, false, 1}, {0, false, 0}, {time.Second, true, 0}} {
 		driver := newDriver(t, baseSettings())
 		driver.listWorkers(workers(1)...)
@@ -154,21 +154,21 @@
 		}
 		job(1)
 		driver.finishServed(1, nil)
-		driver.now += 5 * time.Second // longer than any of its connections: probes and other requests came between
+		driver.now += 5 * time.Second // longer than any of its connections: probes and other requests used them meanwhile
 		job(2)
-		if c.started {
+		if test.started {
 			driver.handle(AttemptStarted{ID: 2})
 		}
-		driver.handle(AttemptFinished{ID: 2, Outcome: Reset, Final: true, ConnectionIdle: c.idle})
+		driver.handle(AttemptFinished{ID: 2, Outcome: Reset, Final: true, ConnectionIdle: test.idle})
 		driver.now += time.Second
 		actions := job(3)
-		for _, a := range actions {
-			if d, ok := a.(CloseIdleConnections); ok && d.MinIdle != c.idle*4/5 {
-				t.Errorf("%+v: closes what was idle for %v", c, d.MinIdle)
+		for _, action := range actions {
+			if d, ok := action.(CloseIdleConnections); ok && d.MinIdle != test.idle*4/5 {
+				t.Errorf("%+v: closes what was idle for %v", test, d.MinIdle)
 			}
 		}
-		if n := countActions[CloseIdleConnections](actions); n != c.drops {
-			t.Errorf("%+v: %d closed", c, n)
+		if n := countActions[CloseIdleConnections](actions); n != test.closed {
+			t.Errorf("%+v: connections closed %d times", test, n)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	driver.advance(1900 * ms)
 	for id := RequestID(2); id < 6; id++ {
 		if w := driver.submit(id, 0); w == silent {
-			t.Errorf("request %d went to the silent worker", id)
+			t.Errorf("request %d was sent to the silent worker", id)
 		}
 		driver.handle(AttemptFinished{ID: id, Outcome: Served, Final: true})
 	}
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -8,22 +8,22 @@
 
 // TestPlacement_ageingWorkerGetsLess checks that a worker whose load grows over time gets less than its share of the requests.
 func TestPlacement_ageingWorkerGetsLess(t *testing.T) {
-	d := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[0]
-	ageing := d.subset[0]
+	scheduler := newSchedulers(baseSettings(), 300, 1, zonedWorkers(100, 1))[0]
+	ageing := scheduler.subset[0]
 	got, id := map[bool]int{}, RequestID(0)
 	for i := range 60 {
-		d.now += 200 * ms
-		d.applyReport(ageing, loadReport(min(1, 0.3+0.02*float64(i)), 1))
-		for _, w := range d.subset[1:] {
-			d.applyReport(w, loadReport(0.3, 3))
+		scheduler.now += 200 * ms
+		scheduler.applyReport(ageing, loadReport(min(1, 0.3+0.02*float64(i)), 1))
+		for _, w := range scheduler.subset[1:] {
+			scheduler.applyReport(w, loadReport(0.3, 3))
 		}
 		id++
-		to := firstSendWorker(d.Handle(d.now, RequestArrived{ID: id, Slots: 1, Deadline: d.now + time.Second}))
+		to := firstSendWorker(scheduler.Handle(scheduler.now, RequestArrived{ID: id, Slots: 1, Deadline: scheduler.now + time.Second}))
 		got[to == ageing.ID]++
-		d.Handle(d.now, AttemptFinished{ID: id, Outcome: Served, Final: true})
+		scheduler.Handle(scheduler.now, AttemptFinished{ID: id, Outcome: Served, Final: true})
 	}
-	if got[true] >= 60/len(d.subset) {
-		t.Errorf("the ageing one of %d workers got %d of 60 jobs", len(d.subset), got[true])
+	if got[true] >= 60/len(scheduler.subset) {
+		t.Errorf("the ageing one of %d workers got %d of 60 requests", len(scheduler.subset), got[true])
 	}
 }
 
@@ -34,7 +34,7 @@
 	driver.listWorkers(workers(3)...)
 	got := fmt.Sprint(driver.submit(1, 0), driver.submit(2, 0), driver.submit(3, 0), driver.submit(4, 0))
 	if got != "w00w01w02w00" {
-		t.Errorf("round robin among ties went to %s", got)
+		t.Errorf("requests among ties were sent to %s", got)
 	}
 	driver.finishServed(2, loadReport(0.9, 1))
 	driver.finishServed(3, loadReport(0, 4))
@@ -50,6 +50,6 @@
 	driver := newDriver(t, settings)
 	driver.listWorkers(workers(3)...)
 	if w := driver.submit(1, 0); w != "w02" {
-		t.Errorf("dispatcher 2 began at %s", w)
+		t.Errorf("dispatcher 2 started at %s", w)
 	}
 }
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -8,7 +8,7 @@
 // TestRetry_withKeyInZoneAndWindow checks that a request with an idempotency key that may have executed is retried only in its zone and
 // inside its deduplication window.
 func TestRetry_withKeyInZoneAndWindow(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		after time.Duration
 		local bool // another worker of the zone is listed; otherwise the same one again
 		want  WorkerID
@@ -16,7 +16,7 @@
 		driver := newDriver(t, baseSettings())
 		infos := workers(3)
 		infos[2].Zone = 1
-		if !c.local {
+		if !test.local {
 			infos = []WorkerInfo{infos[0], infos[2]}
 		}
 		driver.listWorkers(infos...)
@@ -24,9 +24,9 @@
 			t.Fatalf("sent to %s", w)
 		}
 		driver.handle(AttemptStarted{ID: 1})
-		driver.now += c.after // the deduplication window is a second
-		if w := firstSendWorker(driver.handle(AttemptFinished{ID: 1, Worker: "w00", Outcome: Reset, ConnectionIdle: -1})); w != c.want {
-			t.Errorf("%+v: retried at %q", c, w)
+		driver.now += test.after // the deduplication window is a second
+		if w := firstSendWorker(driver.handle(AttemptFinished{ID: 1, Worker: "w00", Outcome: Reset, ConnectionIdle: -1})); w != test.want {
+			t.Errorf("%+v: retried at %q", test, w)
 		}
 	}
 }
@@ -35,27 +35,27 @@
 // of the first attempt that may have executed, and at most 100 ms before its end. A first attempt, or one of an idempotent class, has no
 // such bound.
 func TestRetry_sendByInsideDeduplicationWindow(t *testing.T) {
-	s := baseSettings()
-	s.Classes[1].DeduplicationWindow = 700 * ms
-	driver := newDriver(t, s)
+	settings := baseSettings()
+	settings.Classes[1].DeduplicationWindow = 700 * ms
+	driver := newDriver(t, settings)
 	driver.listWorkers(workers(3)...)
 	for class, bound := range []bool{false, true} {
 		id, at := RequestID(1+class), driver.now
-		by := func(actions []Action) (by []Instant) {
+		sendByOf := func(actions []Action) (sendBy []Instant) {
 			for _, a := range actions {
-				if s, ok := a.(Send); ok && s.ID == id {
-					by = append(by, s.SendBy)
+				if send, ok := a.(Send); ok && send.ID == id {
+					sendBy = append(sendBy, send.SendBy)
 				}
 			}
-			return by
+			return sendBy
 		}
-		if got := by(driver.handle(RequestArrived{ID: id, Class: class, Slots: 1, Deadline: driver.now + 5*time.Second})); len(got) != 1 || got[0] != 0 {
+		if got := sendByOf(driver.handle(RequestArrived{ID: id, Class: class, Slots: 1, Deadline: driver.now + 5*time.Second})); len(got) != 1 || got[0] != 0 {
 			t.Fatalf("class %d, the first attempt: %v", class, got)
 		}
 		driver.now += 100 * ms
-		got := by(driver.handle(AttemptFinished{ID: id, Outcome: Reset}))
+		got := sendByOf(driver.handle(AttemptFinished{ID: id, Outcome: Reset}))
 		if len(got) != 1 || bound != (got[0] > 0) || bound && (got[0] > at+700*ms || got[0] < at+600*ms) {
-			t.Errorf("class %d, a further attempt 100 ms later: by %v, the first was at %v", class, got, at)
+			t.Errorf("class %d, a retry 100 ms later: SendBy %v, the first attempt was at %v", class, got, at)
 		}
 		driver.handle(ClientLeft{ID: id})
 	}
@@ -72,14 +72,14 @@
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
 	for id := RequestID(1); id <= 4; id++ {
-		w := driver.submit(id, 0)
-		if actions := driver.handle(AttemptFinished{ID: id, Worker: w, Outcome: InvalidRequest}); countActions[Fail](actions) != 1 || countActions[Send](actions) != 0 {
-			t.Errorf("did %v", actions)
+		worker := driver.submit(id, 0)
+		if actions := driver.handle(AttemptFinished{ID: id, Worker: worker, Outcome: InvalidRequest}); countActions[Fail](actions) != 1 || countActions[Send](actions) != 0 {
+			t.Errorf("request %d: %v", id, actions)
 		}
 	}
-	for _, w := range driver.scheduler.workers {
-		if !driver.scheduler.healthy(w, 0) || w.ownSlots != 0 || w.classEjections[0].failureCount != 0 {
-			t.Errorf("%s: healthy %v, %v own slots, %v failures", w.ID, driver.scheduler.healthy(w, 0), w.ownSlots, w.classEjections[0].failureCount)
+	for _, worker := range driver.scheduler.workers {
+		if !driver.scheduler.healthy(worker, 0) || worker.ownSlots != 0 || worker.classEjections[0].failureCount != 0 {
+			t.Errorf("%s: healthy %v, %v own slots, %v failures", worker.ID, driver.scheduler.healthy(worker, 0), worker.ownSlots, worker.classEjections[0].failureCount)
 		}
 	}
 }
@@ -88,10 +88,10 @@
 // failure.
 func TestRetry_byOutcomeAndIdempotency(t *testing.T) {
 	const idempotent, withKey, nonIdempotent = 0, 1, 2
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class   int
 		outcome Outcome
-		again   bool
+		retried bool
 	}{
 		{idempotent, Errored, true}, {idempotent, Reset, true}, {idempotent, Full, true}, {idempotent, NoConnect, true}, {idempotent, NeverSent, true},
 		{withKey, Errored, true}, {withKey, Reset, true}, {withKey, Full, true}, {withKey, NoConnect, true},
@@ -100,11 +100,11 @@
 	} {
 		driver := newDriver(t, baseSettings())
 		driver.listWorkers(workers(3)...)
-		first := driver.submit(1, c.class)
-		actions := driver.handle(AttemptFinished{ID: 1, Worker: first, Outcome: c.outcome})
+		first := driver.submit(1, test.class)
+		actions := driver.handle(AttemptFinished{ID: 1, Worker: first, Outcome: test.outcome})
 		next := firstSendWorker(actions)
-		if (next != "") != c.again || next == first || countActions[Fail](actions) == 1 == c.again {
-			t.Errorf("class %d, outcome %d: %v, want again %v", c.class, c.outcome, actions, c.again)
+		if (next != "") != test.retried || next == first || countActions[Fail](actions) == 1 == test.retried {
+			t.Errorf("class %d, outcome %d: %v, want a retry: %v", test.class, test.outcome, actions, test.retried)
 		}
 	}
 }
--- a/scheduler/scheduler_bench_test.go
+++ b/scheduler/scheduler_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkJob is one request from its arrival to its end, at one of eighty dispatchers, by the number of workers and with or
+// BenchmarkJob measures one request from its arrival to its end, at one of eighty dispatchers, by the number of workers and with or
 // without affinity keys.
 func BenchmarkJob(b *testing.B) {
 	for _, withKeys := range []bool{true, false} {
@@ -14,41 +14,41 @@
 			b.Run(fmt.Sprintf("keys=%v/workers=%d", withKeys, n), func(b *testing.B) {
 				settings := baseSettings()
 				settings.Dispatchers, settings.ReportsPulled, settings.MayProbe, settings.MayHedge = 80, true, true, true
-				d, now := New(settings, 1), start
-				d.Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: workers(n)})
+				scheduler, now := New(settings, 1), start
+				scheduler.Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: workers(n)})
 				id := RequestID(0)
 				for b.Loop() {
 					id++
 					now += 100 * time.Millisecond
-					ev := RequestArrived{ID: id, Slots: 1, Deadline: now + 5*time.Second}
+					arrival := RequestArrived{ID: id, Slots: 1, Deadline: now + 5*time.Second}
 					if withKeys {
-						ev.AffinityKey = uint64(id%500) + 1
+						arrival.AffinityKey = uint64(id%500) + 1
 					}
-					to := firstSendWorker(d.Handle(now, ev))
-					d.Handle(now+time.Millisecond, AttemptStarted{ID: id, Worker: to})
-					d.Handle(now+50*time.Millisecond, TimerFired{Token: reviewTimer})
-					d.Handle(now+90*time.Millisecond, AttemptFinished{ID: id, Worker: to, Outcome: Served, Final: true})
+					to := firstSendWorker(scheduler.Handle(now, arrival))
+					scheduler.Handle(now+time.Millisecond, AttemptStarted{ID: id, Worker: to})
+					scheduler.Handle(now+50*time.Millisecond, TimerFired{Token: reviewTimer})
+					scheduler.Handle(now+90*time.Millisecond, AttemptFinished{ID: id, Worker: to, Outcome: Served, Final: true})
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkHandle is one request from its arrival to its end, by the number of workers.
+// BenchmarkHandle measures one request from its arrival to its end, by the number of workers.
 func BenchmarkHandle(b *testing.B) {
 	for _, n := range []int{20, 200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
 			settings := baseSettings()
 			settings.Dispatchers = 300
-			d := New(settings, 1)
-			d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(n, 2)})
+			scheduler := New(settings, 1)
+			scheduler.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(n, 2)})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				at, id := start+Instant(i)*200*ms, RequestID(i+1)
-				d.Handle(at, RequestArrived{ID: id, Class: i % 3, Slots: 1, Deadline: at + 2*time.Second})
-				d.Handle(at, AttemptStarted{ID: id})
-				d.Handle(at+100*ms, TimerFired{Token: reviewTimer})
-				d.Handle(at+150*ms, AttemptFinished{ID: id, Outcome: Served, Final: true, Report: loadReport(0.5, 2)})
+				scheduler.Handle(at, RequestArrived{ID: id, Class: i % 3, Slots: 1, Deadline: at + 2*time.Second})
+				scheduler.Handle(at, AttemptStarted{ID: id})
+				scheduler.Handle(at+100*ms, TimerFired{Token: reviewTimer})
+				scheduler.Handle(at+150*ms, AttemptFinished{ID: id, Outcome: Served, Final: true, Report: loadReport(0.5, 2)})
 			}
 		})
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -9,23 +9,23 @@
 
 // TestSchedulerFile_sizeLimits checks the size limits of scheduler.go: 950 lines that are not blank, and 110 characters a line.
 func TestSchedulerFile_sizeLimits(t *testing.T) {
-	f, err := os.Open("scheduler.go")
+	file, err := os.Open("scheduler.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	lines, n := 0, 0
-	for sc := bufio.NewScanner(f); sc.Scan(); {
-		n++
-		if strings.TrimSpace(sc.Text()) != "" {
-			lines++
+	defer file.Close()
+	nonBlank, number := 0, 0
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
+		number++
+		if strings.TrimSpace(scanner.Text()) != "" {
+			nonBlank++
 		}
-		if len([]rune(sc.Text())) > 110 {
-			t.Errorf("scheduler.go:%d is longer than 110 characters", n)
+		if len([]rune(scanner.Text())) > 110 {
+			t.Errorf("scheduler.go:%d is longer than 110 characters", number)
 		}
 	}
-	if lines > 950 || lines == 0 {
-		t.Errorf("scheduler.go has %d non-blank lines, want at most 950", lines)
+	if nonBlank > 950 || nonBlank == 0 {
+		t.Errorf("scheduler.go has %d non-blank lines, want at most 950", nonBlank)
 	}
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -41,57 +41,57 @@
 	running := 0.0
 	list := []WorkerInfo{{ID: WorkerID(fmt.Sprint("cold-", f.seed)), StartedAt: start + 5*time.Second, Weight: 1}}
 	schedulers, down := make([]*Scheduler, f.dispatchers), make([]Instant, f.dispatchers)
-	restart := func(i int, now Instant) {
-		s := f.settings
-		s.DispatcherIndex, s.Dispatchers = i, f.dispatchers
-		schedulers[i] = New(s, random.Uint64())
-		schedulers[i].Handle(now, TimerFired{})
+	restart := func(dispatcher int, now Instant) {
+		settings := f.settings
+		settings.DispatcherIndex, settings.Dispatchers = dispatcher, f.dispatchers
+		schedulers[dispatcher] = New(settings, random.Uint64())
+		schedulers[dispatcher].Handle(now, TimerFired{})
 	}
-	passList := func(i int, now Instant) {
-		schedulers[i].Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: list})
+	passList := func(dispatcher int, now Instant) {
+		schedulers[dispatcher].Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: list})
 		if random.IntN(2) == 0 { // as a probe may show
-			schedulers[i].recordSlots(schedulers[i].workers[0], f.slots)
+			schedulers[dispatcher].recordSlots(schedulers[dispatcher].workers[0], f.slots)
 		}
 	}
-	for i := range schedulers {
-		restart(i, start)
+	for dispatcher := range schedulers {
+		restart(dispatcher, start)
 	}
 	id := RequestID(0)
 	const step = 10 * ms
 	for now := start; now < start+9*time.Second; now += step {
-		open = slices.DeleteFunc(open, func(j job) bool {
-			if now < j.end {
+		open = slices.DeleteFunc(open, func(ended job) bool {
+			if now < ended.end {
 				return false
 			}
-			if j.runs {
+			if ended.runs {
 				running--
 			}
-			if d := j.from; j.id > 0 {
-				d.Handle(now, AttemptFinished{ID: j.id, Outcome: Served, Final: true})
+			if scheduler := ended.from; ended.id > 0 {
+				scheduler.Handle(now, AttemptFinished{ID: ended.id, Outcome: Served, Final: true})
 			} else { // as recordRuntime does
-				c := &d.classes[0]
-				d.servedJobs, c.jobs = d.servedJobs+1, c.jobs+1
-				updateMean(&d.meanWork, d.servedJobs, j.took.Seconds())
-				updateMean(&c.workScale, c.jobs, j.took.Seconds())
+				class := &scheduler.classes[0]
+				scheduler.servedJobs, class.jobs = scheduler.servedJobs+1, class.jobs+1
+				updateMean(&scheduler.meanWork, scheduler.servedJobs, ended.took.Seconds())
+				updateMean(&class.workScale, class.jobs, ended.took.Seconds())
 			}
 			return true
 		})
-		for i := range schedulers {
-			if f.killedAt > 0 && now >= f.killedAt && now < f.killedAt+step && i%10 < 7 {
-				down[i] = now + f.restartDuration
+		for dispatcher := range schedulers {
+			if f.killedAt > 0 && now >= f.killedAt && now < f.killedAt+step && dispatcher%10 < 7 {
+				down[dispatcher] = now + f.restartDuration
 			}
-			if now < down[i] {
+			if now < down[dispatcher] {
 				continue
 			}
-			if down[i] > 0 {
-				down[i] = 0
-				restart(i, now)
+			if down[dispatcher] > 0 {
+				down[dispatcher] = 0
+				restart(dispatcher, now)
 			}
-			if now >= start+5*time.Second && len(schedulers[i].workers) == 0 {
-				passList(i, now)
+			if now >= start+5*time.Second && len(schedulers[dispatcher].workers) == 0 {
+				passList(dispatcher, now)
 			}
 			part := f.requestRate / float64(f.dispatchers)
-			if i == 0 {
+			if dispatcher == 0 {
 				part *= f.firstDispatcherFactor
 			}
 			jobs := int(part * step.Seconds())
@@ -99,18 +99,18 @@
 			for range jobs {
 				id++
 				took := durationOf(f.work * random.ExpFloat64())
-				if countActions[Send](schedulers[i].Handle(now, RequestArrived{ID: id, Slots: 1, Deadline: now + 2*time.Second})) == 0 {
-					schedulers[i].Handle(now, ClientLeft{ID: id}) // it runs elsewhere
-					open = append(open, job{schedulers[i], 0, took, now + took, false})
+				if countActions[Send](schedulers[dispatcher].Handle(now, RequestArrived{ID: id, Slots: 1, Deadline: now + 2*time.Second})) == 0 {
+					schedulers[dispatcher].Handle(now, ClientLeft{ID: id}) // it runs elsewhere
+					open = append(open, job{schedulers[dispatcher], 0, took, now + took, false})
 					continue
 				}
 				at = append(at, now+Instant(random.Int64N(int64(maxSendDelay)))) // after a connection came up
 				started := running < f.slots
 				if started { // otherwise it waits there
 					running++
-					schedulers[i].Handle(now, AttemptStarted{ID: id})
+					schedulers[dispatcher].Handle(now, AttemptStarted{ID: id})
 				}
-				open = append(open, job{schedulers[i], id, took, now + took, started})
+				open = append(open, job{schedulers[dispatcher], id, took, now + took, started})
 			}
 		}
 	}
@@ -123,28 +123,28 @@
 // allow it, and 2 x root of N + 2 more by chance.
 func TestSlowStartBudget_anyFleet(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		f := warmingFleet{dispatchers: rapid.IntRange(1, 30).Draw(t, "dispatchers"), slots: float64(rapid.IntRange(2, 8).Draw(t, "slots")),
+		fleet := warmingFleet{dispatchers: rapid.IntRange(1, 30).Draw(t, "dispatchers"), slots: float64(rapid.IntRange(2, 8).Draw(t, "slots")),
 			work: rapid.Float64Range(0.1, 1).Draw(t, "work"), requestRate: rapid.Float64Range(20, 200).Draw(t, "rate"),
 			firstDispatcherFactor: rapid.Float64Range(0.2, 4).Draw(t, "uneven"), seed: rapid.Uint64().Draw(t, "seed"),
 			restartDuration: time.Duration(rapid.IntRange(10, 1500).Draw(t, "again")) * ms}
 		if rapid.Bool().Draw(t, "kill") {
-			f.killedAt = start + 5*time.Second + time.Duration(rapid.IntRange(100, 2500).Draw(t, "killed"))*ms
+			fleet.killedAt = start + 5*time.Second + time.Duration(rapid.IntRange(100, 2500).Draw(t, "killed"))*ms
 		}
-		f.settings = Settings{Classes: []Class{{LatencyObjective: durationOf(f.work * rapid.Float64Range(0.25, 1.5).Draw(t, "aim")), Deadline: 5 * time.Second,
+		fleet.settings = Settings{Classes: []Class{{LatencyObjective: durationOf(fleet.work * rapid.Float64Range(0.25, 1.5).Draw(t, "aim")), Deadline: 5 * time.Second,
 			LateWeight: 0.5, Idempotency: Idempotent, MachineKind: -1}}, MayCancel: true, MaxAttempts: 4,
 			SlowStartDuration: time.Duration(rapid.IntRange(4, 24).Draw(t, "cold")) * time.Second, SlowStartCapacity: rapid.Float64Range(0.12, 0.6).Draw(t, "from"),
 			OverloadMultiple: rapid.Float64Range(2, 3).Draw(t, "multiple"), OverloadWindow: time.Duration(rapid.IntRange(1000, 3000).Draw(t, "fall")) * ms}
-		at := f.arrivals()
-		for i, end := range at {
-			from, _ := slices.BinarySearch(at, end-f.settings.OverloadWindow)
+		arrivedAt := fleet.arrivals()
+		for i, end := range arrivedAt {
+			from, _ := slices.BinarySearch(arrivedAt, end-fleet.settings.OverloadWindow)
 			got := float64(i - from + 1)
-			warm := f.settings.SlowStartCapacity + (1-f.settings.SlowStartCapacity)*min(float64(end-start-5*time.Second)/float64(f.settings.SlowStartDuration), 1)
-			n := f.settings.OverloadMultiple * warm * f.slots * f.settings.OverloadWindow.Seconds() / f.work
-			if most := n + 2*math.Sqrt(n) + 2; got > most {
-				t.Fatalf("%.0f jobs within %v, %.1f allowed and %.1f with chance, at %v", got, f.settings.OverloadWindow, n, most, end-start)
+			capacityShare := fleet.settings.SlowStartCapacity + (1-fleet.settings.SlowStartCapacity)*min(float64(end-start-5*time.Second)/float64(fleet.settings.SlowStartDuration), 1)
+			allowed := fleet.settings.OverloadMultiple * capacityShare * fleet.slots * fleet.settings.OverloadWindow.Seconds() / fleet.work
+			if allowedByChance := allowed + 2*math.Sqrt(allowed) + 2; got > allowedByChance {
+				t.Fatalf("%.0f jobs within %v, %.1f allowed and %.1f with chance, at %v", got, fleet.settings.OverloadWindow, allowed, allowedByChance, end-start)
 			}
 		}
-		if len(at) == 0 && f.killedAt == 0 && f.requestRate > 100 {
+		if len(arrivedAt) == 0 && fleet.killedAt == 0 && fleet.requestRate > 100 {
 			t.Fatal("nothing is sent to a warming worker")
 		}
 	})
@@ -185,8 +185,8 @@
 		}
 		driver.listWorkers(warming...) // all of them are replaced
 		for i := range n {
-			for _, a := range driver.handle(RequestArrived{ID: RequestID(100 + i), Slots: 1, AffinityKey: uint64(i), Deadline: driver.now + 4*time.Second}) {
-				if s, ok := a.(Send); ok && s.ID >= 100 {
+			for _, action := range driver.handle(RequestArrived{ID: RequestID(100 + i), Slots: 1, AffinityKey: uint64(i), Deadline: driver.now + 4*time.Second}) {
+				if send, ok := action.(Send); ok && send.ID >= 100 {
 					sent++
 				}
 			}
@@ -237,10 +237,10 @@
 		work float64
 	}
 	sent := map[WorkerID][]sentWork{}
-	var set *Settings
+	var settings *Settings
 	for _, driver := range newDispatchers(t, dispatchers, n) {
 		driver.now = start
-		set = driver.scheduler.settings
+		settings = driver.scheduler.settings
 		driver.learnRuntimes(8, mean*1000*ms)
 		driver.now = start + 10*time.Second
 		infos := workers(n)
@@ -251,9 +251,9 @@
 		for i := range 16 { // four requests a second
 			driver.scheduler.congestion = 1
 			id := RequestID(100 + i)
-			for _, a := range driver.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i + driver.scheduler.settings.DispatcherIndex*100 + 1), Deadline: driver.now + 4*time.Second}) {
-				if s, ok := a.(Send); ok && s.ID == id {
-					sent[s.Worker] = append(sent[s.Worker], sentWork{driver.now, mean})
+			for _, action := range driver.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i + driver.scheduler.settings.DispatcherIndex*100 + 1), Deadline: driver.now + 4*time.Second}) {
+				if send, ok := action.(Send); ok && send.ID == id {
+					sent[send.Worker] = append(sent[send.Worker], sentWork{driver.now, mean})
 				}
 			}
 			driver.handle(AttemptStarted{ID: id})
@@ -262,22 +262,22 @@
 		}
 	}
 	used, could := 0.0, 0.0
-	for _, w := range workers(n)[:warming] {
-		ps := sent[w.ID]
-		for _, p := range ps {
+	for _, worker := range workers(n)[:warming] {
+		attempts := sent[worker.ID]
+		for _, attempt := range attempts {
 			sum := 0.0
-			for _, q := range ps {
-				if q.at >= p.at && q.at < p.at+set.OverloadWindow {
-					sum += q.work
+			for _, other := range attempts {
+				if other.at >= attempt.at && other.at < attempt.at+settings.OverloadWindow {
+					sum += other.work
 				}
 			}
-			used += p.work
-			age := float64(p.at-start-10*time.Second) / float64(set.SlowStartDuration)
-			if warm := set.SlowStartCapacity + (1-set.SlowStartCapacity)*age; sum > set.OverloadMultiple*warm*set.OverloadWindow.Seconds() {
-				t.Fatalf("%s: %.2f s of work within %v at an age of %.2f", w.ID, sum, set.OverloadWindow, age)
+			used += attempt.work
+			age := float64(attempt.at-start-10*time.Second) / float64(settings.SlowStartDuration)
+			if warm := settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*age; sum > settings.OverloadMultiple*warm*settings.OverloadWindow.Seconds() {
+				t.Fatalf("%s: %.2f s of work within %v at an age of %.2f", worker.ID, sum, settings.OverloadWindow, age)
 			}
 		}
-		could += usedBudgetShare * set.OverloadMultiple * 0.36 * 4 // the mean share of capacity over the 4 s
+		could += usedBudgetShare * settings.OverloadMultiple * 0.36 * 4 // the mean share of capacity over the 4 s
 	}
 	if used < could/3 {
 		t.Errorf("%.1f s of work sent to warming workers, of %.1f that they could be sent", used, could)
@@ -298,8 +298,8 @@
 		}
 		driver.listWorkers(infos...)
 		own := 0
-		for _, w := range driver.scheduler.workers {
-			own += oneIf(driver.scheduler.warmupFactor(w) < 1 && driver.scheduler.slowStartShare(w) > 0)
+		for _, worker := range driver.scheduler.workers {
+			own += oneIf(driver.scheduler.warmupFactor(worker) < 1 && driver.scheduler.slowStartShare(worker) > 0)
 		}
 		if own > 30 {
 			t.Errorf("dispatcher %d has a share of %d of 90 warming workers before its first job", me, own)
@@ -313,14 +313,14 @@
 	driver := newDriver(t, baseSettings())
 	driver.scheduler.settings.SlowStartDuration, driver.scheduler.settings.SlowStartCapacity, driver.scheduler.settings.OverloadMultiple, driver.scheduler.settings.OverloadWindow = 20*time.Second, 0.2, 3, 1500*ms
 	driver.listWorkers(workers(1)...)
-	w := driver.scheduler.workers[0]
-	w.StartedAt, w.observedSlots = driver.now, 4
-	alone := driver.scheduler.slowStartBudget(w)
+	worker := driver.scheduler.workers[0]
+	worker.StartedAt, worker.observedSlots = driver.now, 4
+	alone := driver.scheduler.slowStartBudget(worker)
 	driver.handle(ProcessCountChanged{Processes: 2})
-	if both := driver.scheduler.slowStartBudget(w); both != alone/2 {
+	if both := driver.scheduler.slowStartBudget(worker); both != alone/2 {
 		t.Errorf("budget of one of two processes %v, alone %v", both, alone)
 	}
-	if driver.handle(ProcessCountChanged{Processes: 1}); driver.scheduler.slowStartBudget(w) != alone {
+	if driver.handle(ProcessCountChanged{Processes: 1}); driver.scheduler.slowStartBudget(worker) != alone {
 		t.Error("the budget stays reduced after the handover")
 	}
 }
@@ -331,18 +331,18 @@
 	settings := baseSettings()
 	settings.SlowStartDuration = 20 * time.Second
 	schedulers := newSchedulers(settings, 300, 1, []WorkerInfo{{ID: "cold", StartedAt: start + ms}}) // it started when all dispatchers ran
-	for _, d := range schedulers {
-		d.recordSlots(d.workers[0], 4)
-		d.classes[0] = classState{workScale: 0.2, meanLogRuntime: math.Log(0.2), jobs: 100}
-		d.meanWork, d.servedJobs = 0.2, 100
+	for _, scheduler := range schedulers {
+		scheduler.recordSlots(scheduler.workers[0], 4)
+		scheduler.classes[0] = classState{workScale: 0.2, meanLogRuntime: math.Log(0.2), jobs: 100}
+		scheduler.meanWork, scheduler.servedJobs = 0.2, 100
 	}
 	work := 0.0
 	for i := range RequestID(20) {
-		for _, d := range schedulers {
+		for _, scheduler := range schedulers {
 			at := start + 2*time.Second + Instant(i)*45*ms
-			if firstSendWorker(d.Handle(at, RequestArrived{ID: i, Slots: 1, Deadline: at + time.Second})) != "" {
+			if firstSendWorker(scheduler.Handle(at, RequestArrived{ID: i, Slots: 1, Deadline: at + time.Second})) != "" {
 				work += 0.2
-				d.Handle(at, AttemptFinished{ID: i, Outcome: Served, Final: true})
+				scheduler.Handle(at, AttemptFinished{ID: i, Outcome: Served, Final: true})
 			}
 		}
 	}
--- a/scheduler/statistics_test.go
+++ b/scheduler/statistics_test.go
@@ -32,23 +32,23 @@
 func TestSlowdown_byRunningJobs(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
-	w := driver.scheduler.workers[0]
+	slow := driver.scheduler.workers[0]
 	driver.scheduler.classes[0] = classState{workScale: 0.1, meanLogRuntime: -2.3, jobs: 100}
 	deadline := driver.scheduler.settings.Classes[0].Deadline
 	for id := RequestID(1); id <= 12; id++ {
-		r := &request{id: id, settings: driver.scheduler.settings, slots: 1, clientStartedAt: driver.now, deadline: driver.now + deadline,
-			attempts: []attempt{{worker: w, sentAt: driver.now, startedAt: driver.now, inFlight: true, mayHaveExecuted: true}}}
-		driver.scheduler.requests[id] = r
-		driver.scheduler.requestsByArrival = append(driver.scheduler.requestsByArrival, r)
+		running := &request{id: id, settings: driver.scheduler.settings, slots: 1, clientStartedAt: driver.now, deadline: driver.now + deadline,
+			attempts: []attempt{{worker: slow, sentAt: driver.now, startedAt: driver.now, inFlight: true, mayHaveExecuted: true}}}
+		driver.scheduler.requests[id] = running
+		driver.scheduler.requestsByArrival = append(driver.scheduler.requestsByArrival, running)
 	}
 	driver.scheduler.review()
-	if slowdown := driver.scheduler.slowdown(w); slowdown != 1 {
-		t.Errorf("slowdown %v while they have only started", slowdown)
+	if slowdown := driver.scheduler.slowdown(slow); slowdown != 1 {
+		t.Errorf("slowdown %v when the jobs have just started", slowdown)
 	}
 	driver.now += time.Second
 	driver.scheduler.now = driver.now
 	driver.scheduler.review()
-	if slowdown := driver.scheduler.slowdown(w); slowdown < slowdownThreshold {
+	if slowdown := driver.scheduler.slowdown(slow); slowdown < slowdownThreshold {
 		t.Errorf("slowdown %v after a second of jobs that take a tenth", slowdown)
 	}
 	if slowdown := driver.scheduler.slowdown(driver.scheduler.workers[1]); slowdown != 1 {
@@ -61,19 +61,19 @@
 func TestSlowdown_inSlowStartFollowsJobs(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
-	w := driver.scheduler.workers[0]
-	w.StartedAt = driver.now - time.Second
-	feared := 1 / driver.scheduler.warmupFactor(w)
-	if slowdown := driver.scheduler.slowdown(w); slowdown < feared*0.999 || slowdown > feared*1.001 {
-		t.Errorf("at first %v, want %v", slowdown, feared)
+	worker := driver.scheduler.workers[0]
+	worker.StartedAt = driver.now - time.Second
+	worstCase := 1 / driver.scheduler.warmupFactor(worker)
+	if slowdown := driver.scheduler.slowdown(worker); slowdown < worstCase*0.999 || slowdown > worstCase*1.001 {
+		t.Errorf("slowdown at first %v, want %v", slowdown, worstCase)
 	}
-	w.slownessJobs, w.slownessSum = 20, 0 // jobs took as long as elsewhere
-	if slowdown := driver.scheduler.slowdown(w); slowdown > feared/2 || slowdown < 1 {
-		t.Errorf("after 20 ordinary jobs %v", slowdown)
+	worker.slownessJobs, worker.slownessSum = 20, 0 // jobs took as long as elsewhere
+	if slowdown := driver.scheduler.slowdown(worker); slowdown > worstCase/2 || slowdown < 1 {
+		t.Errorf("slowdown after 20 ordinary jobs: %v", slowdown)
 	}
-	w.slownessSum = 20 * 2 // and seven times as long
-	if slowdown := driver.scheduler.slowdown(w); slowdown < feared {
-		t.Errorf("after 20 slow jobs %v", slowdown)
+	worker.slownessSum = 20 * 2 // and seven times as long
+	if slowdown := driver.scheduler.slowdown(worker); slowdown < worstCase {
+		t.Errorf("slowdown after 20 slow jobs: %v", slowdown)
 	}
 }
 
@@ -92,8 +92,8 @@
 	run(3, 5*ms)
 	run(4, 100*ms)
 	for _, w := range driver.scheduler.workers {
-		if f := driver.scheduler.slowdown(w); f != 1 {
-			t.Errorf("%s has a slowdown of %v after two jobs", w.ID, f)
+		if slowdown := driver.scheduler.slowdown(w); slowdown != 1 {
+			t.Errorf("%s has a slowdown of %v after two jobs", w.ID, slowdown)
 		}
 	}
 }
--- a/scheduler/subset_test.go
+++ b/scheduler/subset_test.go
@@ -13,7 +13,7 @@
 // has more than six times the mean number of keys.
 func TestCandidatesForKey_stableAndBalanced(t *testing.T) {
 	const n, keys = 1000, 4000
-	make := func(n int, turned bool) *Scheduler {
+	newScheduler := func(n int, reversed bool) *Scheduler {
 		settings := baseSettings()
 		settings.Dispatchers = 80
 		d := New(settings, 1)
@@ -21,7 +21,7 @@
 		for i := range infos {
 			infos[i].ID = WorkerID(fmt.Sprintf("10.1.%d.%d:3000", i/250, i%250))
 		}
-		if turned {
+		if reversed {
 			slices.Reverse(infos)
 		}
 		d.Handle(start, RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: start + time.Second})
@@ -38,17 +38,17 @@
 		return best
 	}
 	for listed, want := range map[int]int{100: 100, 200: 200, maxFullScanWorkers: maxFullScanWorkers, maxFullScanWorkers + 1: keyCandidates} {
-		d := make(2*maxFullScanWorkers, false) // workers that are gone do not count
+		d := newScheduler(2*maxFullScanWorkers, false) // workers that are gone are not counted
 		d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(listed)})
-		on := 0
+		ready := 0
 		for _, w := range d.candidatesForKey(1) {
-			on += oneIf(w.ready)
+			ready += oneIf(w.ready)
 		}
-		if on != want {
-			t.Errorf("%d listed: a key has %d candidates, want %d", listed, on, want)
+		if ready != want {
+			t.Errorf("%d listed: a key has %d candidates, want %d", listed, ready, want)
 		}
 	}
-	a, b, more := make(n, false), make(n, true), make(n+1, false)
+	a, b, more := newScheduler(n, false), newScheduler(n, true), newScheduler(n+1, false)
 	at, moved := map[WorkerID]int{}, 0
 	for key := uint64(1); key <= keys; key++ {
 		if got := len(a.candidatesForKey(key)); got != keyCandidates {
@@ -61,7 +61,7 @@
 		moved += oneIf(h != firstWorker(more, key))
 		at[h]++
 	}
-	if moved > keys/100 { // a thousandth go to the new one; as many again lost the last of their candidates
+	if moved > keys/100 { // a thousandth move to the new worker; as many others lose the last of their candidates
 		t.Errorf("%d of %d keys moved when one of %d workers joined", moved, keys, n)
 	}
 	most := 0
@@ -73,6 +73,7 @@
 	}
 }
 
+// subsetIDs returns the IDs of the workers in a subset.
 func subsetIDs(d *Scheduler) map[WorkerID]bool {
 	m := map[WorkerID]bool{}
 	for _, w := range d.subset {
@@ -117,7 +118,7 @@
 		}
 	}
 	if all := 300 * 2 * minSubsetSize; moved == 0 || moved > all/5 {
-		t.Errorf("one worker left and %d of %d places moved", moved, all)
+		t.Errorf("after one worker left, %d of %d places changed", moved, all)
 	}
 }
 
