--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -7,7 +7,7 @@
 	"crypto/x509"
 	"encoding/json"
 	"encoding/pem"
-	"flag"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -25,11 +25,10 @@
 	"testing"
 	"time"
 
+	"brassdale/internal/testsupport"
 	"brassdale/internal/traffic"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden file")
-
 const (
 	goldenSettings = `{"classes":[{"aim":200000,"credit":1,"deadline":500000,"dedupScope":"cell","effect":"keyed","lateWorth":0.1,"name":"price-part","window":7500000}],
 "discovery":"ask","familyInfo":{"classKind":[-1],"classStretch":[2.5],"progress":2000000,"tellsStart":true},"flavors":["new-worker"],
@@ -63,10 +62,7 @@
 	directory := t.TempDir()
 
 	path := filepath.Join("testdata", "figures.txt")
-	golden := map[string]string{}
-	if !*update {
-		golden = readSections(t, path)
-	}
+	golden := readSections(t, path)
 	var got strings.Builder
 	for _, run := range []struct {
 		name, discovery string
@@ -80,32 +76,18 @@
 		if run.blocks {
 			operator = allBlocks(t, directory)
 		}
-		names := figureNames(t, run.discovery, operator, golden[run.name])
-		if !*update && names != golden[run.name] {
-			t.Errorf("%s: the figures are\n%swant\n%s", run.name, names, golden[run.name])
-		}
-		fmt.Fprintf(&got, "==== %s\n%s", run.name, names)
-	}
-	kinds := controlNames(t)
-	if !*update && kinds != golden["kinds of control"] {
-		t.Errorf("the kinds of control are\n%swant\n%s", kinds, golden["kinds of control"])
-	}
-	fmt.Fprintf(&got, "==== kinds of control\n%s", kinds)
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
+		fmt.Fprintf(&got, "==== %s\n%s", run.name, figureNames(t, run.discovery, operator, golden[run.name]))
 	}
+	fmt.Fprintf(&got, "==== kinds of control\n%s", controlNames(t))
+	testsupport.CheckGolden(t, path, []byte(got.String()))
 }
 
-// readSections reads the golden file: a text for each headline.
+// readSections reads the golden file: a text for each headline. It returns none if there is no file, which is then to be written with
+// -update.
 func readSections(t *testing.T, path string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(path)
-	if err != nil {
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		t.Fatal(err)
 	}
 	sections := map[string]string{}
