--- a/cmd/brassdale/fleet_agreement_test.go
+++ b/cmd/brassdale/fleet_agreement_test.go
@@ -15,7 +15,7 @@
 // versions with none in common for longer than 50 ms.
 func TestFleet_agreesOnConfigVersions(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 1, 3, 2)
+	fleet := startFleet(t, 3, 2)
 	fleet.propose("retries = 0.5\nout = [\"a\"]\n", 4)
 	fleet.waitForVersion(1, fleet.indices()...)
 	before := fleet.workers[0].jobCount()
@@ -56,7 +56,7 @@
 // have lapsed, and that a change is rejected. With one voter back, and its directory, the fleet continues from that version.
 func TestFleet_majorityLost(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 2, 3, 1)
+	fleet := startFleet(t, 3, 1)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	for _, i := range []int{0, 1} {
--- a/cmd/brassdale/fleet_bench_test.go
+++ b/cmd/brassdale/fleet_bench_test.go
@@ -17,7 +17,7 @@
 		t.Skip("a measurement, run with BRASSDALE_BENCH=1")
 	}
 	withoutGroup := startDispatcher(t, "", startWorker(t, "a", completeJob), startWorker(t, "b", completeJob))
-	withGroup, withoutMajority := startFleet(t, 21, 3, 0), startFleet(t, 22, 3, 0)
+	withGroup, withoutMajority := startFleet(t, 3, 0), startFleet(t, 3, 0)
 	for _, fleet := range []*testFleet{withGroup, withoutMajority} {
 		fleet.propose("retries = 0.5\n", 0)
 		fleet.waitForVersion(1, 0, 1, 2)
--- a/cmd/brassdale/fleet_lifecycle_test.go
+++ b/cmd/brassdale/fleet_lifecycle_test.go
@@ -12,7 +12,7 @@
 // that was only stopped has none when it continues, and gets it back once the second has left.
 func TestFleet_nameInUse(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 3, 3, 1)
+	fleet := startFleet(t, 3, 1)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	fleet.addresses, fleet.directories = append(fleet.addresses, strings.Replace(fleet.addresses[3], ".4:", ".5:", 1)), append(fleet.directories, t.TempDir())
@@ -33,7 +33,7 @@
 // ended: the raft group has the same three voters, and agrees on the next version.
 func TestFleet_handoverOfVoter(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 4, 3, 0)
+	fleet := startFleet(t, 3, 0)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	leader := fleet.leader()
@@ -57,7 +57,7 @@
 // unless another old voter still answers. The other dispatchers join it, also an old voter that returns later.
 func TestFleet_recoveryWithoutMajority(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 5, 3, 1)
+	fleet := startFleet(t, 3, 1)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	fleet.kill(0, 1, 2)
@@ -87,7 +87,7 @@
 // invalid file is rejected with the place of the error.
 func TestFleet_largeProposalAndReload(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 6, 3, 2)
+	fleet := startFleet(t, 3, 2)
 	var large strings.Builder
 	large.WriteString("out = [\n")
 	for i := range 2000 {
@@ -127,7 +127,7 @@
 // fleet: no dispatcher sends that worker a request, and the history names both.
 func TestFleet_quotaCapAndDetachedWorker(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 7, 1, 1)
+	fleet := startFleet(t, 1, 1)
 	fleet.propose("shares = { deeside-aero = 0.1 }\n", 1)
 	fleet.waitForVersion(1, 0, 1)
 	if out := fleet.runFleetCommand(1, "detach", "a", "--why", "rebuilt"); !strings.Contains(out, "version 2") {
--- a/cmd/brassdale/fleet_members_test.go
+++ b/cmd/brassdale/fleet_members_test.go
@@ -14,7 +14,7 @@
 func TestFleet_memberStates(t *testing.T) {
 	t.Parallel()
 	zone := func(i int) string { return string("ab"[i%2]) }
-	fleet := startFleetWith(t, 24, 3, 5, func(i int) string { return fmt.Sprintf("zone = %q\n", zone(i)) })
+	fleet := startFleetWith(t, 3, 5, func(i int) string { return fmt.Sprintf("zone = %q\n", zone(i)) })
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	waitForReports := func(what string, member int, wantLease, wantGossip string) {
@@ -61,7 +61,7 @@
 // the metrics count the bytes that each kind of message of the fleet has received.
 func TestFleet_dedicatedDispatchers(t *testing.T) {
 	t.Parallel()
-	fleet := startFleetWith(t, 25, 3, 3, func(i int) string {
+	fleet := startFleetWith(t, 3, 3, func(i int) string {
 		return fmt.Sprintf("replace = \"3s\"\nset_aside = %t\n", i > 2)
 	})
 	fleet.propose("retries = 0.5\n", 0)
--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -8,6 +8,7 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -28,16 +29,26 @@
 	extraSettings func(index int) string // further lines of a dispatcher's block
 }
 
-// startFleet starts a fleet on the loopback addresses 127.77.subnet.*, which must be this test's alone: each voter has to know the
-// others' addresses before they listen.
-func startFleet(t *testing.T, subnet, voters, followers int) *testFleet {
+// fleetSubnets counts the fleets that were started, for nextFleetSubnet.
+var fleetSubnets atomic.Uint32
+
+// nextFleetSubnet returns the number of a loopback subnet that no running fleet of these tests has.
+func nextFleetSubnet() uint32 {
+	const usable = 250 // numbers in a byte of an address; far fewer fleets run at the same time
+	return (fleetSubnets.Add(1)-1)%usable + 1
+}
+
+// startFleet starts a fleet on loopback addresses of its own. Each voter has to know the others' addresses before they listen, so their
+// ports are chosen first; on a shared address the system could give such a port to a connection of another test meanwhile.
+func startFleet(t *testing.T, voters, followers int) *testFleet {
 	t.Helper()
-	return startFleetWith(t, subnet, voters, followers, func(int) string { return "" })
+	return startFleetWith(t, voters, followers, func(int) string { return "" })
 }
 
 // startFleetWith is startFleet with further lines of each dispatcher's block.
-func startFleetWith(t *testing.T, subnet, voters, followers int, extraSettings func(index int) string) *testFleet {
+func startFleetWith(t *testing.T, voters, followers int, extraSettings func(index int) string) *testFleet {
 	t.Helper()
+	subnet := nextFleetSubnet()
 	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
 	for i := range voters + followers {
 		listener := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", subnet, i+1)))
