--- a/cmd/brassdale/support_dispatcher_test.go
+++ b/cmd/brassdale/support_dispatcher_test.go
@@ -1,3 +1,35 @@
+// The tests of this directory start the program as real processes on loopback, beside stand-ins for workers and discovery that each test
+// scripts. A test of a process is:
+//
+//	func TestRequest_whatItShows(t *testing.T) {
+//		t.Parallel()
+//		worker := startWorker(t, "a", completeJob)   // or another jobHandler
+//		dispatcher := startDispatcher(t, "", worker) // the process is ready
+//		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "key-1"))
+//		if status != http.StatusOK || worker.runsOf("key-1") != 1 {
+//			t.Errorf("status %d after %d runs", status, worker.runsOf("key-1"))
+//		}
+//		dispatcher.waitForLog("msg=ready") // waits up to 10 s; never sleep for a fixed time instead
+//	}
+//
+// Which start for what:
+//
+//   - startDispatcher: the usual one. Discovery lists the workers, the operator's file may be empty.
+//   - startDispatcherWith: the same with a change of the platform's file, such as withSetting or withLongDeadline.
+//   - newTestDispatcher, then start: where discovery, descriptorLimit, tempDir or binary has to be set before the start.
+//   - startWithConfig: the test has its own discovery and writes the whole of the platform's file.
+//   - newTestDispatcher, then startProcess: the process is expected to end, or not to get ready. It waits for nothing.
+//   - startSuccessor: a second process with the same files of the platform beside a running one, for a handover.
+//   - startAgain: a process with this one's discovery and $TMPDIR but another file, or after this one has ended.
+//   - startFromCache, startWhileDiscoveryFails: the first endpoint list comes from the endpoint cache.
+//   - startFleet, startFleetWith: several dispatchers with a raft group, each with a directory of its own.
+//   - startBenchDispatcher: in benchmarks; the program may be another build.
+//
+// Cleanup of a test, which all of these register: each process gets SIGKILL and is waited for, so a test that wants a shutdown calls
+// terminate and waitForExit itself. The log is then reported as an error of the test if the test has failed, or if it has "panic" or
+// "DATA RACE" in it: a test need not look for these. Workers stop listening, connections to discovery are closed, and directories are
+// removed.
+
 package main
 
 import (
