--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -214,7 +214,7 @@
 }
 
 // logLinePages are the pages with tables of log lines, whose first column has the header below.
-var logLinePages = []string{"on-call.md", "process-handover.md", "settings-reload.md", "connection-limits.md", "endpoint-cache.md"}
+var logLinePages = []string{"on-call.md", "process-handover.md", "settings-reload.md", "connection-limits.md", "endpoint-cache.md", "lab.md"}
 
 const logLineHeader = "| line (`msg`) |"
 
