--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -38,8 +38,9 @@
 	return (fleetSubnets.Add(1)-1)%usable + 1
 }
 
-// startFleet starts a fleet on loopback addresses of its own. Each voter has to know the others' addresses before they listen, so their
-// ports are chosen first; on a shared address the system could give such a port to a connection of another test meanwhile.
+// startFleet starts a fleet on the IP addresses 127.77.SUBNET.1, .2 and so on, of a subnet that is its own. Each voter has to know the others'
+// addresses before they listen, so their ports are chosen first; at a shared IP address the system could give such a port to a connection of
+// another test meanwhile.
 func startFleet(t *testing.T, voters, followers int) *testFleet {
 	t.Helper()
 	return startFleetWith(t, voters, followers, func(int) string { return "" })
@@ -47,8 +48,8 @@
 
 // startFleetWith is startFleet with further lines of each dispatcher's block.
 func startFleetWith(t *testing.T, voters, followers int, extraSettings func(index int) string) *testFleet {
-	t.Helper()
 	subnet := nextFleetSubnet()
+	t.Helper()
 	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
 	for i := range voters + followers {
 		listener := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", subnet, i+1)))
