--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -141,52 +141,59 @@
 	}
 }
 
+// requestDuringCloseIdle sends a second request on a connection while CloseIdle closes the listener's idle connections, or after that if
+// closedFirst. It returns whether the request was handled, and with which error its answer was read.
+func requestDuringCloseIdle(t *testing.T, closedFirst bool) (answered bool, readErr error) {
+	t.Helper()
+	var handled atomic.Int32
+	listener, dial := startTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+		handled.Add(1)
+		markServing(r)
+		fmt.Fprint(w, "answer")
+	})
+	defer listener.Close()
+	client := dial()
+	defer client.Close()
+	answers := bufio.NewReader(client)
+	readAnswer := func() error {
+		response, err := http.ReadResponse(answers, nil)
+		if err == nil {
+			_, err = io.ReadAll(response.Body)
+		}
+		return err
+	}
+	io.WriteString(client, getRequest)
+	if err := readAnswer(); err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, "the connection idle", func() bool {
+		listener.mu.Lock()
+		defer listener.mu.Unlock()
+		for conn := range listener.conns {
+			return conn.phase == phaseIdle
+		}
+		return false
+	})
+	start := make(chan struct{})
+	done := make(chan struct{})
+	go func() { <-start; listener.CloseIdle(); close(done) }()
+	close(start)
+	if closedFirst {
+		<-done
+	}
+	io.WriteString(client, getRequest)
+	readErr = readAnswer()
+	return handled.Load() == 2, readErr
+}
+
 // TestListenerCloseIdle_concurrentRequest checks that a request that is received on an idle connection while CloseIdle closes it is
 // either answered, or not read and its client sees EOF: none is handled without an answer, and no connection is reset.
 func TestListenerCloseIdle_concurrentRequest(t *testing.T) {
 	answeredRequests, unreadRequests := 0, 0
 	for round := range 200 {
-		var handled atomic.Int32
-		listener, dial := startTestServer(t, func(w http.ResponseWriter, r *http.Request) {
-			handled.Add(1)
-			markServing(r)
-			fmt.Fprint(w, "answer")
-		})
-		client := dial()
-		answers := bufio.NewReader(client)
-		readAnswer := func() error {
-			response, err := http.ReadResponse(answers, nil)
-			if err == nil {
-				_, err = io.ReadAll(response.Body)
-			}
-			return err
-		}
-		io.WriteString(client, getRequest)
-		if err := readAnswer(); err != nil {
-			t.Fatal(err)
-		}
-		waitUntil(t, "the connection idle", func() bool {
-			listener.mu.Lock()
-			defer listener.mu.Unlock()
-			for conn := range listener.conns {
-				return conn.phase == phaseIdle
-			}
-			return false
-		})
-		start := make(chan struct{})
-		done := make(chan struct{})
-		go func() { <-start; listener.CloseIdle(); close(done) }()
-		if round%2 == 0 { // CloseIdle ends before the request, or runs at the same time
-			close(start)
-			<-done
-			io.WriteString(client, getRequest)
-		} else {
-			close(start)
-			io.WriteString(client, getRequest)
-		}
-		err := readAnswer()
-		answered := handled.Load() == 2
-		if answered != (err == nil) || err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) || round%2 == 0 && answered {
+		closedFirst := round%2 == 0
+		answered, err := requestDuringCloseIdle(t, closedFirst)
+		if answered != (err == nil) || err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) || closedFirst && answered {
 			t.Fatalf("round %d: second request handled %v, its client received error %v", round, answered, err)
 		}
 		if answered {
@@ -194,8 +201,6 @@
 		} else {
 			unreadRequests++
 		}
-		client.Close()
-		listener.Close()
 	}
 	t.Logf("%d answered, %d not read", answeredRequests, unreadRequests)
 }
--- a/internal/transport/http2/frontend_test.go
+++ b/internal/transport/http2/frontend_test.go
@@ -34,111 +34,135 @@
 // Counters returns the counters of the frontend.
 func (c *immediateCore) Counters() *routing.Counters { return &c.counters }
 
-// BenchmarkFrontends measures what a job costs at each frontend, without the scheduler and workers. The client allocates nothing.
-func BenchmarkFrontends(b *testing.B) {
+// benchmarkSettings returns settings with one class.
+func benchmarkSettings(b *testing.B) *protocol.LiveSettings {
+	b.Helper()
 	live := &protocol.LiveSettings{}
 	settings := &protocol.Settings{}
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"price-part","effect":"keyed","deadline":5000000,"window":1000}],"limits":{"maxAttempts":4}}`), settings); err != nil {
 		b.Fatal(err)
 	}
 	live.Replace(settings, func(scheduler.Settings) {})
-	log := slog.New(slog.DiscardHandler)
-	listen := func() *net.TCPListener {
-		b.Helper()
-		socket, err := transport.Listen("127.0.0.1:0")
-		if err != nil {
-			b.Fatal(err)
-		}
-		return socket
+	return live
+}
+
+// listenLoopback returns a socket on loopback.
+func listenLoopback(b *testing.B) *net.TCPListener {
+	b.Helper()
+	socket, err := transport.Listen("127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
 	}
-	serve := func(server *http.Server, listener net.Listener) {
-		go func() { _ = server.Serve(listener) }() // ends with Close
-		b.Cleanup(func() { server.Close() })
+	return socket
+}
+
+// serve serves a listener until the end of the benchmark.
+func serve(b *testing.B, server *http.Server, listener net.Listener) {
+	b.Helper()
+	go func() { _ = server.Serve(listener) }() // ends with Close
+	b.Cleanup(func() { server.Close() })
+}
+
+// encodeHTTP2Job returns the HEADERS and DATA frames of a job, without stream IDs, and the offset of the stream ID of the DATA frame.
+func encodeHTTP2Job() (job []byte, data int) {
+	var block []byte
+	block = append(block, 0x83, 0x86)
+	for _, header := range [...][2]string{{":path", "/price-part"}, {":authority", "api.internal"}, {"req-id", "a"}, {"req-kind", "price-part"}, {"req-owner", "o"},
+		{"idempotency-key", "k"}, {"req-deadline-ms", "5000"}, {"content-length", "7"}} {
+		block = append(append(block, 0, byte(len(header[0]))), header[0]...)
+		block = append(append(block, byte(len(header[1]))), header[1]...)
 	}
-	b.Run("HTTP/1.1", func(b *testing.B) {
-		listener := transport.NewListener(listen(), log)
-		listener.SetLimits(100, math.MaxInt64)
-		serve(transport.Server(transport.NewJobFrontend(&immediateCore{}, live, listener, &transport.InFlightIDs{}, nil, nil, nil, log), log), listener)
-		conn, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
+	job = []byte{0, 0, byte(len(block)), 1, 4, 0, 0, 0, 0}
+	job = append(append(job, block...), 0, 0, 7, 0, 1, 0, 0, 0, 0)
+	data = len(job) - 4
+	job = append(job, "drawing"...)
+	return job, data
+}
+
+// BenchmarkFrontends measures what a job costs at each frontend, without the scheduler and workers. The client allocates nothing.
+func BenchmarkFrontends(b *testing.B) {
+	b.Run("HTTP/1.1", benchmarkHTTP1)
+	b.Run("HTTP/2", benchmarkHTTP2)
+}
+
+// benchmarkHTTP1 sends jobs one after the other on one connection.
+func benchmarkHTTP1(b *testing.B) {
+	live, log := benchmarkSettings(b), slog.New(slog.DiscardHandler)
+	listener := transport.NewListener(listenLoopback(b), log)
+	listener.SetLimits(100, math.MaxInt64)
+	serve(b, transport.Server(transport.NewJobFrontend(&immediateCore{}, live, listener, &transport.InFlightIDs{}, nil, nil, nil, log), log), listener)
+	conn, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer conn.Close()
+	job := []byte("POST /price-part HTTP/1.1\r\nHost: api.internal\r\nReq-Id: a\r\nReq-Kind: price-part\r\nReq-Owner: o\r\nIdempotency-Key: k\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 7\r\n\r\ndrawing")
+	answers := bufio.NewReader(conn)
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := conn.Write(job); err != nil {
 			b.Fatal(err)
 		}
-		defer conn.Close()
-		job := []byte("POST /price-part HTTP/1.1\r\nHost: api.internal\r\nReq-Id: a\r\nReq-Kind: price-part\r\nReq-Owner: o\r\nIdempotency-Key: k\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 7\r\n\r\ndrawing")
-		answers := bufio.NewReader(conn)
-		b.ReportAllocs()
-		for b.Loop() {
-			if _, err := conn.Write(job); err != nil {
+		for {
+			line, err := answers.ReadSlice('\n')
+			if err != nil {
 				b.Fatal(err)
 			}
-			for {
-				line, err := answers.ReadSlice('\n')
-				if err != nil {
-					b.Fatal(err)
-				}
-				if len(line) == 2 {
-					break
-				}
-			}
-			if _, err := answers.Discard(len("priced")); err != nil {
-				b.Fatal(err)
+			if len(line) == 2 {
+				break
 			}
 		}
-	})
-	b.Run("HTTP/2", func(b *testing.B) {
-		listener := transport.NewMultiplexedListener(listen(), log)
-		listener.SetLimits(100, math.MaxInt64)
-		listener.SetStreamLimit(1000)
-		settings := Default()
-		frontend, err := New(&settings, &immediateCore{}, live, listener, &transport.InFlightIDs{}, nil, nil, log)
-		if err != nil {
+		if _, err := answers.Discard(len("priced")); err != nil {
 			b.Fatal(err)
 		}
-		serve(frontend.Server(&settings), frontend.Listener())
-		conn, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
+	}
+}
+
+// benchmarkHTTP2 sends jobs one after the other on one connection, each on a stream of its own.
+func benchmarkHTTP2(b *testing.B) {
+	live, log := benchmarkSettings(b), slog.New(slog.DiscardHandler)
+	listener := transport.NewMultiplexedListener(listenLoopback(b), log)
+	listener.SetLimits(100, math.MaxInt64)
+	listener.SetStreamLimit(1000)
+	settings := Default()
+	frontend, err := New(&settings, &immediateCore{}, live, listener, &transport.InFlightIDs{}, nil, nil, log)
+	if err != nil {
+		b.Fatal(err)
+	}
+	serve(b, frontend.Server(&settings), frontend.Listener())
+	conn, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer conn.Close()
+	fmt.Fprintf(conn, "%s\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x00\x04\x01\x00\x00\x00\x00", preface)
+	job, data := encodeHTTP2Job()
+	window := binary.BigEndian.AppendUint32([]byte{0, 0, 4, 8, 0, 0, 0, 0, 0}, 6)
+	answers, head := bufio.NewReader(conn), make([]byte, frameHeadBytes)
+	stream := uint32(1)
+	b.ReportAllocs()
+	for b.Loop() {
+		binary.BigEndian.PutUint32(job[5:], stream)
+		binary.BigEndian.PutUint32(job[data:], stream)
+		if _, err := conn.Write(job); err != nil {
 			b.Fatal(err)
 		}
-		defer conn.Close()
-		fmt.Fprintf(conn, "%s\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x00\x04\x01\x00\x00\x00\x00", preface)
-		var block []byte
-		block = append(block, 0x83, 0x86)
-		for _, header := range [...][2]string{{":path", "/price-part"}, {":authority", "api.internal"}, {"req-id", "a"}, {"req-kind", "price-part"}, {"req-owner", "o"},
-			{"idempotency-key", "k"}, {"req-deadline-ms", "5000"}, {"content-length", "7"}} {
-			block = append(append(block, 0, byte(len(header[0]))), header[0]...)
-			block = append(append(block, byte(len(header[1]))), header[1]...)
-		}
-		job := []byte{0, 0, byte(len(block)), 1, 4, 0, 0, 0, 0}
-		job = append(append(job, block...), 0, 0, 7, 0, 1, 0, 0, 0, 0)
-		data := len(job) - 4
-		job = append(job, "drawing"...)
-		window := binary.BigEndian.AppendUint32([]byte{0, 0, 4, 8, 0, 0, 0, 0, 0}, 6)
-		answers, head := bufio.NewReader(conn), make([]byte, frameHeadBytes)
-		stream := uint32(1)
-		b.ReportAllocs()
-		for b.Loop() {
-			binary.BigEndian.PutUint32(job[5:], stream)
-			binary.BigEndian.PutUint32(job[data:], stream)
-			if _, err := conn.Write(job); err != nil {
+		for {
+			if _, err := io.ReadFull(answers, head); err != nil {
 				b.Fatal(err)
 			}
-			for {
-				if _, err := io.ReadFull(answers, head); err != nil {
-					b.Fatal(err)
-				}
-				if _, err := answers.Discard(int(head[1])<<8 | int(head[2])); err != nil {
-					b.Fatal(err)
-				}
-				if head[3] == byte(http2limits.Data) && head[4]&http2limits.EndStream != 0 {
-					break
-				}
-			}
-			if _, err := conn.Write(window); err != nil {
+			if _, err := answers.Discard(int(head[1])<<8 | int(head[2])); err != nil {
 				b.Fatal(err)
 			}
-			stream += 2
+			if head[3] == byte(http2limits.Data) && head[4]&http2limits.EndStream != 0 {
+				break
+			}
 		}
-	})
+		if _, err := conn.Write(window); err != nil {
+			b.Fatal(err)
+		}
+		stream += 2
+	}
 }
 
 // FuzzFrameScanner checks that the scanner finds the same frames however the bytes are split.
