--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"math"
 	"runtime"
-	"strings"
 	"testing"
 	"time"
 
@@ -126,7 +125,7 @@
 // alteredPolicy is a policy whose actions are altered to break a rule.
 type alteredPolicy struct {
 	Policy
-	alter func(scheduler.Event, []scheduler.Action) []scheduler.Action
+	alter alteration
 }
 
 // Handle returns the altered actions of the policy.
@@ -134,74 +133,92 @@
 	return p.alter(event, p.Policy.Handle(now, event))
 }
 
+// alteration alters the actions of a policy after an event.
+type alteration func(scheduler.Event, []scheduler.Action) []scheduler.Action
+
+// dropAttempts drops all attempts.
+func dropAttempts(_ scheduler.Event, actions []scheduler.Action) (remaining []scheduler.Action) {
+	for _, action := range actions {
+		if _, is := action.(scheduler.Send); !is {
+			remaining = append(remaining, action)
+		}
+	}
+	return remaining
+}
+
+// failServed fails requests that were served.
+func failServed(event scheduler.Event, actions []scheduler.Action) []scheduler.Action {
+	if finished, is := event.(scheduler.AttemptFinished); is && finished.Outcome == scheduler.Served {
+		actions = append(actions, scheduler.Fail{ID: finished.ID})
+	}
+	return actions
+}
+
+// firstList records the workers of the cached list that a policy gets at its start.
+type firstList struct{ workers []scheduler.WorkerID }
+
+func (l *firstList) record(event scheduler.Event) {
+	if update, is := event.(scheduler.EndpointsUpdated); is && update.ListKind == scheduler.ListCached {
+		l.workers = nil
+		for _, worker := range update.Workers {
+			l.workers = append(l.workers, worker.ID)
+		}
+	}
+}
+
+// sendTwice sends each request to a further worker.
+func (l *firstList) sendTwice(event scheduler.Event, actions []scheduler.Action) []scheduler.Action {
+	l.record(event)
+	for i, action := range actions {
+		if send, is := action.(scheduler.Send); is {
+			actions = append(actions, scheduler.Send{ID: send.ID, Worker: l.workers[(i+int(send.ID))%len(l.workers)]})
+		}
+	}
+	return actions
+}
+
+// ignoreLaterLists sends requests to any worker of the first list.
+func (l *firstList) ignoreLaterLists(event scheduler.Event, actions []scheduler.Action) []scheduler.Action {
+	l.record(event)
+	for i, action := range actions {
+		if send, is := action.(scheduler.Send); is {
+			actions[i] = scheduler.Send{ID: send.ID, Worker: l.workers[int(send.ID)%len(l.workers)]}
+		}
+	}
+	return actions
+}
+
 // TestAuditor_findsEachBreach checks that the auditor finds a breach of each of the four rules, with the request, the worker and the time.
 func TestAuditor_findsEachBreach(t *testing.T) {
 	base := ReferenceScenario(1)
 	base.Span, base.Traffic.Rate = 8*time.Second, 40
-	runAltered := func(scenario Scenario, alter func(scheduler.Event, []scheduler.Action) []scheduler.Action) *Result {
-		return mustRun(t, scenario, func(settings scheduler.Settings, seed uint64) Policy {
-			return alteredPolicy{plainPolicy("round-robin")(settings, seed), alter}
-		})
-	}
 	drains := base
 	drains.Faults = []Fault{{At: time.Second, For: 6 * time.Second, Kind: Drain, Share: 0.2}}
 	starts := base
 	starts.Faults = []Fault{{At: time.Second, For: 1, Kind: Restart, Share: 0.01}}
 	starts.Traffic.Rate, starts.Discovery = 400, time.Millisecond
-	var listed []scheduler.WorkerID
-	recordList := func(event scheduler.Event) {
-		if update, is := event.(scheduler.EndpointsUpdated); is && update.ListKind == scheduler.ListCached {
-			listed = nil
-			for _, worker := range update.Workers {
-				listed = append(listed, worker.ID)
-			}
-		}
-	}
-	for rule, result := range map[string]*Result{
-		RuleAnswer: runAltered(base, func(_ scheduler.Event, actions []scheduler.Action) []scheduler.Action { // drops all attempts
-			var remaining []scheduler.Action
-			for _, action := range actions {
-				if _, is := action.(scheduler.Send); !is {
-					remaining = append(remaining, action)
-				}
-			}
-			return remaining
-		}),
-		RuleAnswer + ", twice": runAltered(base, func(event scheduler.Event, actions []scheduler.Action) []scheduler.Action {
-			if finished, is := event.(scheduler.AttemptFinished); is && finished.Outcome == scheduler.Served {
-				actions = append(actions, scheduler.Fail{ID: finished.ID})
-			}
-			return actions
-		}),
-		RuleRepeat: runAltered(base, func(event scheduler.Event, actions []scheduler.Action) []scheduler.Action { // sends each request twice
-			recordList(event)
-			for i, action := range actions {
-				if send, is := action.(scheduler.Send); is {
-					actions = append(actions, scheduler.Send{ID: send.ID, Worker: listed[(i+int(send.ID))%len(listed)]})
-				}
-			}
-			return actions
-		}),
-		RuleDrain: runAltered(drains, func(event scheduler.Event, actions []scheduler.Action) []scheduler.Action { // ignores all lists but the first
-			recordList(event)
-			for i, action := range actions {
-				if send, is := action.(scheduler.Send); is {
-					actions[i] = scheduler.Send{ID: send.ID, Worker: listed[int(send.ID)%len(listed)]}
-				}
-			}
-			return actions
-		}),
-		RuleSlowStart: runAltered(starts, func(_ scheduler.Event, actions []scheduler.Action) []scheduler.Action { return actions }),
+	for _, test := range []struct {
+		rule     string
+		scenario Scenario
+		alter    alteration
+	}{
+		{RuleAnswer, base, dropAttempts},
+		{RuleAnswer, base, failServed}, // answered twice
+		{RuleRepeat, base, (&firstList{}).sendTwice},
+		{RuleDrain, drains, (&firstList{}).ignoreLaterLists},
+		{RuleSlowStart, starts, func(_ scheduler.Event, actions []scheduler.Action) []scheduler.Action { return actions }},
 	} {
-		rule, _, _ = strings.Cut(rule, ",")
+		result := mustRun(t, test.scenario, func(settings scheduler.Settings, seed uint64) Policy {
+			return alteredPolicy{plainPolicy("round-robin")(settings, seed), test.alter}
+		})
 		found := false
 		for _, breach := range result.Breaches {
-			if breach.Rule == rule && breach.Request > 0 && breach.At > 0 && (rule == RuleAnswer || breach.Worker != "") {
+			if breach.Rule == test.rule && breach.Request > 0 && breach.At > 0 && (test.rule == RuleAnswer || breach.Worker != "") {
 				found = true
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found among %d breaches", rule, len(result.Breaches))
+			t.Errorf("%s: not found among %d breaches", test.rule, len(result.Breaches))
 		}
 	}
 }
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -28,34 +28,34 @@
 // TestPlay_asInVirtualTime checks that real dispatchers break no rule under faults, and that they serve at most 0.1 less than the scheduler
 // in virtual time, with at most 0.3 more sends a job.
 func TestPlay_asInVirtualTime(t *testing.T) {
-	s := ReferenceScenario(3)
-	s.Span = 4 * time.Second
-	s.Traffic.Rate = 60
-	s.Faults = []Fault{{At: time.Second, For: time.Second, Kind: Reset, Share: 0.3}, {At: 1500 * time.Millisecond, For: time.Second, Kind: Partition, Share: 0.1},
+	scenario := ReferenceScenario(3)
+	scenario.Span = 4 * time.Second
+	scenario.Traffic.Rate = 60
+	scenario.Faults = []Fault{{At: time.Second, For: time.Second, Kind: Reset, Share: 0.3}, {At: 1500 * time.Millisecond, For: time.Second, Kind: Partition, Share: 0.1},
 		{At: 2 * time.Second, For: time.Second, Kind: Restart, Share: 0.1}, {At: 2500 * time.Millisecond, For: time.Second, Kind: Drain, Share: 0.2},
 		{At: 500 * time.Millisecond, For: 1500 * time.Millisecond, Kind: ListDown, Share: 1}, {At: 2500 * time.Millisecond, For: 500 * time.Millisecond, Kind: ListHung, Share: 1}}
 	binary := buildProgram(t)
-	result, err := playUntilUsable(t, func() (*Result, error) { return Play(t.Context(), s, binary) })
+	result, err := playUntilUsable(t, func() (*Result, error) { return Play(t.Context(), scenario, binary) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, breach := range result.Breaches {
 		t.Error(breach)
 	}
-	virtual := mustRun(t, s, schedulerPolicy)
+	virtual := mustRun(t, scenario, schedulerPolicy)
 	if result.Jobs < 150 || result.Service < virtual.Service-0.1 || result.Sends > virtual.Sends+0.3 {
 		t.Errorf("on sockets %+v, in virtual time %+v", result, virtual)
 	}
 
 	// A program that cannot start fails; a context that ends returns the result until then with the error.
-	if _, err := Play(t.Context(), s, filepath.Join(t.TempDir(), "none")); err == nil {
+	if _, err := Play(t.Context(), scenario, filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("Play succeeded without a program")
 	}
-	s.Span, s.Faults = time.Hour, nil
+	scenario.Span, scenario.Faults = time.Hour, nil
 	result, err = playUntilUsable(t, func() (*Result, error) {
 		ctx, stop := context.WithDeadline(t.Context(), time.Now().Add(2*time.Second))
 		defer stop()
-		return Play(ctx, s, binary)
+		return Play(ctx, scenario, binary)
 	})
 	if !errors.Is(err, context.Canceled) || result == nil || result.Jobs == 0 {
 		t.Errorf("cancelled after 2 s: error %v, %+v", err, result)
@@ -75,14 +75,44 @@
 	return result, err
 }
 
+// postJob sends a job with an idempotency key to a worker, as a dispatcher does.
+func postJob(t *testing.T, to wireMember, id string) {
+	t.Helper()
+	request, _ := http.NewRequest(http.MethodPost, "http://"+to.HostPort+"/"+className, strings.NewReader("{}"))
+	request.Header.Set("Req-Id", id)
+	request.Header.Set("Idempotency-Key", "k-"+id)
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response.Body.Close()
+}
+
+// awaitChanges watches the list from a revision until discovery has reported a number of changed members.
+func awaitChanges(t *testing.T, discovery string, revision, members int) {
+	t.Helper()
+	for notified := 0; notified < members; {
+		response, err := http.Get(fmt.Sprintf("http://%s/registry/instances?index=%d&wait=5000", discovery, revision))
+		if err != nil {
+			t.Fatal(err)
+		}
+		var answer wireList
+		if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
+			t.Fatal(err)
+		}
+		response.Body.Close()
+		revision, notified = answer.Revision, notified+len(answer.Members)
+	}
+}
+
 // TestAuditor_onSockets checks that the auditor finds a job that is sent to a worker after the grace period of its drain, and a repeat in
 // another cell.
 func TestAuditor_onSockets(t *testing.T) {
-	s := ReferenceScenario(1)
-	s.Discovery, s.Dispatchers = time.Millisecond, 1
-	s.Rules.DrainGrace = 0
-	s.Faults = []Fault{{At: 0, For: time.Hour, Kind: Drain, Share: 1}}
-	cluster, err := Open(s)
+	scenario := ReferenceScenario(1)
+	scenario.Discovery, scenario.Dispatchers = time.Millisecond, 1
+	scenario.Rules.DrainGrace = 0
+	scenario.Faults = []Fault{{At: 0, For: time.Hour, Kind: Drain, Share: 1}}
+	cluster, err := Open(scenario)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,17 +128,6 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		t.Fatal(err)
 	}
-	post := func(to wireMember, id string) {
-		t.Helper()
-		request, _ := http.NewRequest(http.MethodPost, "http://"+to.HostPort+"/"+className, strings.NewReader("{}"))
-		request.Header.Set("Req-Id", id)
-		request.Header.Set("Idempotency-Key", "k-"+id)
-		response, err := http.DefaultClient.Do(request)
-		if err != nil {
-			t.Fatal(err)
-		}
-		response.Body.Close()
-	}
 	first := file.Known.Members[0]
 	other := first
 	for _, member := range file.Known.Members {
@@ -116,24 +135,12 @@
 			other = member
 		}
 	}
-	post(first, "one")
-	post(other, "one")
+	postJob(t, first, "one")
+	postJob(t, other, "one")
 	cluster.StartFaults()
-	revision := file.Known.Revision
-	for notified := 0; notified < len(file.Known.Members); { // until the watch has notified of all drains
-		response, err := http.Get(fmt.Sprintf("http://%s/registry/instances?index=%d&wait=5000", file.Discovery, revision))
-		if err != nil {
-			t.Fatal(err)
-		}
-		var answer wireList
-		if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
-			t.Fatal(err)
-		}
-		response.Body.Close()
-		revision, notified = answer.Revision, notified+len(answer.Members)
-	}
-	time.Sleep(2 * socketSlack) // past the grace period
-	post(first, "two")
+	awaitChanges(t, file.Discovery, file.Known.Revision, len(file.Known.Members)) // all drain
+	time.Sleep(2 * socketSlack)                                                   // past the grace period
+	postJob(t, first, "two")
 	breaches := map[string]int{}
 	for _, breach := range cluster.Now().Breaches {
 		breaches[breach.Rule]++
