--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -13,111 +12,6 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// warmingFleet is a random fleet around one worker that has just started.
-type warmingFleet struct {
-	settings              Settings
-	dispatchers           int
-	slots                 float64
-	work                  float64 // mean of a job, in seconds
-	requestRate           float64 // requests a second at all dispatchers together
-	firstDispatcherFactor float64 // the first dispatcher gets so many times its part of them
-	killedAt              Instant // when seven in ten are killed and restarted; 0 for never
-	restartDuration       Instant // how long a restart takes
-	seed                  uint64
-}
-
-// arrivals simulates the fleet and returns when requests arrived at the warming worker. Their runtimes are random. A request that
-// is not sent there runs elsewhere, and its dispatcher learns its runtime; dispatchers share nothing.
-func (f *warmingFleet) arrivals() (at []Instant) {
-	random := rand.New(rand.NewPCG(f.seed, 1))
-	type job struct {
-		from *Scheduler
-		id   RequestID // 0 for one that ran elsewhere
-		took time.Duration
-		end  Instant
-		runs bool
-	}
-	var open []job
-	running := 0.0
-	list := []WorkerInfo{{ID: WorkerID(fmt.Sprint("cold-", f.seed)), StartedAt: start + 5*time.Second, Weight: 1}}
-	schedulers, down := make([]*Scheduler, f.dispatchers), make([]Instant, f.dispatchers)
-	restart := func(dispatcher int, now Instant) {
-		settings := f.settings
-		settings.DispatcherIndex, settings.Dispatchers = dispatcher, f.dispatchers
-		schedulers[dispatcher] = New(settings, random.Uint64())
-		schedulers[dispatcher].Handle(now, TimerFired{})
-	}
-	passList := func(dispatcher int, now Instant) {
-		schedulers[dispatcher].Handle(now, EndpointsUpdated{ListKind: ListFull, Workers: list})
-		if random.IntN(2) == 0 { // as a probe may show
-			schedulers[dispatcher].recordSlots(schedulers[dispatcher].workers[0], f.slots)
-		}
-	}
-	for dispatcher := range schedulers {
-		restart(dispatcher, start)
-	}
-	id := RequestID(0)
-	const step = 10 * ms
-	for now := start; now < start+9*time.Second; now += step {
-		open = slices.DeleteFunc(open, func(ended job) bool {
-			if now < ended.end {
-				return false
-			}
-			if ended.runs {
-				running--
-			}
-			if scheduler := ended.from; ended.id > 0 {
-				scheduler.Handle(now, AttemptFinished{ID: ended.id, Outcome: Served, Final: true})
-			} else { // as recordRuntime does
-				class := &scheduler.classes[0]
-				scheduler.servedJobs, class.jobs = scheduler.servedJobs+1, class.jobs+1
-				updateMean(&scheduler.meanWork, scheduler.servedJobs, ended.took.Seconds())
-				updateMean(&class.workScale, class.jobs, ended.took.Seconds())
-			}
-			return true
-		})
-		for dispatcher := range schedulers {
-			if f.killedAt > 0 && now >= f.killedAt && now < f.killedAt+step && dispatcher%10 < 7 {
-				down[dispatcher] = now + f.restartDuration
-			}
-			if now < down[dispatcher] {
-				continue
-			}
-			if down[dispatcher] > 0 {
-				down[dispatcher] = 0
-				restart(dispatcher, now)
-			}
-			if now >= start+5*time.Second && len(schedulers[dispatcher].workers) == 0 {
-				passList(dispatcher, now)
-			}
-			part := f.requestRate / float64(f.dispatchers)
-			if dispatcher == 0 {
-				part *= f.firstDispatcherFactor
-			}
-			jobs := int(part * step.Seconds())
-			jobs += oneIf(random.Float64() < part*step.Seconds()-float64(jobs))
-			for range jobs {
-				id++
-				took := durationOf(f.work * random.ExpFloat64())
-				if countActions[Send](schedulers[dispatcher].Handle(now, RequestArrived{ID: id, Slots: 1, Deadline: now + 2*time.Second})) == 0 {
-					schedulers[dispatcher].Handle(now, ClientLeft{ID: id}) // it runs elsewhere
-					open = append(open, job{schedulers[dispatcher], 0, took, now + took, false})
-					continue
-				}
-				at = append(at, now+Instant(random.Int64N(int64(maxSendDelay)))) // after a connection came up
-				started := running < f.slots
-				if started { // otherwise it waits there
-					running++
-					schedulers[dispatcher].Handle(now, AttemptStarted{ID: id})
-				}
-				open = append(open, job{schedulers[dispatcher], id, took, now + took, started})
-			}
-		}
-	}
-	slices.Sort(at)
-	return at
-}
-
 // TestSlowStartBudget_anyFleet draws fleets of up to thirty dispatchers with uneven load, of which seven in ten are killed and restarted
 // without learned state at times. It checks that within any overload window a warming worker gets at most the N jobs that the settings
 // allow it, and 2 x root of N + 2 more by chance.
