--- a/internal/decisions/configversions/leasemodel_test.go
+++ b/internal/decisions/configversions/leasemodel_test.go
@@ -308,7 +308,7 @@
 				seen := map[string]int{}
 				found := search(model, test.depth, test.limits, seen, nil)
 				if (found != nil) != (fault != noFault) {
-					t.Errorf("%v", found)
+					t.Errorf("contradiction found: %v", found)
 				}
 				t.Logf("%d states", len(seen))
 			})
@@ -317,7 +317,7 @@
 }
 
 // TestLeases_randomHistories draws long histories of up to five dispatchers and many changes. No two dispatchers contradict each
-// other; once nobody renews any more, the leader waits for no more than a lease, and no dispatcher acts as if it held one.
+// other; once no dispatcher renews any more, the leader waits for at most a lease duration, and no dispatcher acts as if it had one.
 func TestLeases_randomHistories(t *testing.T) {
 	actions := []action{advanceTime, advanceTime, sendRenewal, sendRenewal, answerRenewal, answerRenewal, deliverResponse, deliverResponse,
 		loseResponse, announceVersion, putVersionInForce, changeLeader, togglePause}
@@ -332,12 +332,12 @@
 		if announced := model.record.Announced; announced != nil {
 			expired := model.now + model.leaseDuration + model.leaseDuration/50
 			if may, waitsFor := model.leaseTable.MayPutInForce(announced.Number, expired); !may {
-				t.Fatalf("still waits for %v", waitsFor)
+				t.Fatalf("waits for %v although all leases have expired", waitsFor)
 			}
 		}
 		for _, lessee := range model.lessees {
 			if effective := lessee.Effective(model.now + model.leaseDuration); !effective.LeaseExpired || effective.Rules.RetriesAllowed {
-				t.Fatalf("%+v a lease after the last renewal", effective)
+				t.Fatalf("a lease duration after the last renewal: %+v", effective)
 			}
 		}
 	})
--- a/internal/decisions/configversions/record_test.go
+++ b/internal/decisions/configversions/record_test.go
@@ -9,8 +9,8 @@
 	"brassdale/internal/decisions/canary"
 )
 
-// TestRecordApply applies entries one after the other: an entry that is rejected leaves the record as it was, any other one
-// raises its revision by one.
+// TestRecordApply checks that an entry that is rejected leaves the record unchanged, that any other one raises its revision by one, and that
+// invalid rules are rejected.
 func TestRecordApply(t *testing.T) {
 	announce := func(base uint64, rules Rules) Entry {
 		return Entry{Announce: &Version{Number: base, Rules: rules}}
@@ -40,7 +40,7 @@
 		record = next
 	}
 	if record.InForce.Number != 4 || !record.InForce.Rules.RetriesAllowed || len(record.History) != 2 {
-		t.Errorf("%+v", record)
+		t.Errorf("record after all steps: %+v", record)
 	}
 	for _, invalid := range []Rules{{RetryRatio: math.NaN()}, {RetryRatio: 17}, {DetachedWorkers: []string{"a", "a"}}, {DetachedWorkers: []string{""}}} {
 		if _, err := record.Apply(announce(4, invalid)); err == nil {
--- a/internal/decisions/configversions/rules_test.go
+++ b/internal/decisions/configversions/rules_test.go
@@ -41,14 +41,15 @@
 	return true
 }
 
-// TestRulesStricter_permitsOnlyWhatBothPermit checks that Stricter is commutative and idempotent as well.
+// TestRulesStricter_permitsOnlyWhatBothPermit checks that stricter rules permit only what both rules permit, and that Stricter is
+// commutative and idempotent.
 func TestRulesStricter_permitsOnlyWhatBothPermit(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		a, b := drawRules(t, "a"), drawRules(t, "b")
 		stricter, reversed := a.Stricter(b), b.Stricter(a)
 		if !permitsNoMoreThan(stricter, a) || !permitsNoMoreThan(stricter, b) || fmt.Sprint(stricter) != fmt.Sprint(reversed) ||
 			fmt.Sprint(stricter.Stricter(stricter)) != fmt.Sprint(stricter) {
-			t.Fatalf("%+v and %+v: %+v, %+v", a, b, stricter, reversed)
+			t.Fatalf("%+v and %+v: stricter %+v, reversed %+v", a, b, stricter, reversed)
 		}
 	})
 }
