--- a/internal/decisions/failover/fleetmodel_test.go
+++ b/internal/decisions/failover/fleetmodel_test.go
@@ -15,11 +15,11 @@
 	dispatchersPerZone int
 	capacity           map[string]float64 // slots by zone
 	work               map[string]float64 // slots of work that arrive in each zone: a quarter dear, the rest cheap
-	lost               map[string]bool    // zones that answer nobody
+	lost               map[string]bool    // zones that answer no dispatcher
 	cut                map[route]bool     // routes without responses; of no class
 	late               map[string]bool    // zones whose responses all miss the latency objective
 	lostClasses        map[zoneClass]bool // classes whose responses from a zone do
-	wrongDispatcher    string             // reports the contrary of what is, and ten times the capacity
+	wrongDispatcher    string             // reports the contrary of what it observes, and ten times the capacity
 	plansMade          int
 }
 
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -31,7 +31,7 @@
 	model.run(3)
 	plan := model.planner.Plan()
 	if plan.Share("a", "dear", "a") > 0 || plan.Share("a", "dear", "b") < 0.99 || plan.Share("c", "dear", "c") < 0.99 || plan.Reasons["a"] == "" {
-		t.Fatalf("after three seconds %+v", plan)
+		t.Fatalf("three seconds after the loss: %+v", plan)
 	}
 	for zone, load := range model.load() {
 		if load > 85.1 {
@@ -82,21 +82,21 @@
 		model.wrongDispatcher = "a1"
 		model.run(20)
 		if model.planner.Plan().Share("a", "dear", "a") < 0.99 || model.plansMade > 2 {
-			t.Errorf("by one dispatcher's wrong reports %+v", model.planner.Plan())
+			t.Errorf("changed by the wrong reports of one dispatcher: %+v", model.planner.Plan())
 		}
 		model.lost["c"] = true
 		model.run(4)
 		if model.planner.Plan().Share("c", "dear", "c") > 0 {
-			t.Errorf("in spite of the loss, by one dispatcher's wrong reports %+v", model.planner.Plan())
+			t.Errorf("unchanged after a loss, with wrong reports of one dispatcher: %+v", model.planner.Plan())
 		}
 	})
-	t.Run("a late zone gets less", func(t *testing.T) {
+	t.Run("a zone whose responses are late gets less", func(t *testing.T) {
 		model := newFleetModel(2)
 		model.run(5)
 		model.late["b"] = true
 		model.run(20)
 		if model.planner.Plan().Share("b", "cheap", "b") > 0.7 {
-			t.Errorf("late for 20 s %+v", model.planner.Plan())
+			t.Errorf("responses late for 20 s: %+v", model.planner.Plan())
 		}
 	})
 	t.Run("a zone that loses a class gets none of it", func(t *testing.T) {
@@ -105,7 +105,7 @@
 		model.lostClasses[zoneClass{"b", "dear"}] = true
 		model.run(6)
 		if plan := model.planner.Plan(); plan.Share("b", "dear", "b") > 0 || plan.Share("b", "cheap", "b") < 0.99 || plan.Share("b", "dear", "a") < 0.99 {
-			t.Errorf("b answers nothing dear: %+v", plan)
+			t.Errorf("b answers nothing of class dear: %+v", plan)
 		}
 	})
 }
@@ -117,19 +117,19 @@
 		model := newFleetModel(rapid.IntRange(1, 3).Draw(t, "dispatchers"))
 		model.run(3)
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
-			a, b := rapid.SampledFrom(model.zones).Draw(t, "a"), rapid.SampledFrom(model.zones).Draw(t, "b")
+			zone, other := rapid.SampledFrom(model.zones).Draw(t, "a"), rapid.SampledFrom(model.zones).Draw(t, "b")
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				model.lost[a] = !model.lost[a]
+				model.lost[zone] = !model.lost[zone]
 			case 1:
-				key := route{from: a, to: b}
+				key := route{from: zone, to: other}
 				model.cut[key] = !model.cut[key]
 			case 2:
-				model.work[a] = float64(rapid.IntRange(0, 200).Draw(t, "work"))
+				model.work[zone] = float64(rapid.IntRange(0, 200).Draw(t, "work"))
 			case 3:
-				model.capacity[a] = float64(rapid.IntRange(10, 150).Draw(t, "capacity"))
+				model.capacity[zone] = float64(rapid.IntRange(10, 150).Draw(t, "capacity"))
 			case 4:
-				model.late[a] = !model.late[a]
+				model.late[zone] = !model.late[zone]
 			}
 			for range rapid.IntRange(1, 8).Draw(t, "seconds") {
 				before := model.planner.Plan()
@@ -141,7 +141,7 @@
 	})
 }
 
-// checkPlan checks the last plan, which may be the one before.
+// checkPlan checks the shares of the last plan, and its loads and routes if it is a new one.
 func checkPlan(t *rapid.T, model *fleetModel, before *Plan) {
 	t.Helper()
 	plan := model.planner.Plan()
@@ -151,11 +151,11 @@
 		for _, share := range plan.shares(demand.Zone, demand.Class) {
 			sum += share.Share
 			if share.Share < 0 || share.Share > 1+1e-9 {
-				t.Fatalf("share %v", share)
+				t.Fatalf("share %v is not within 0 and 1", share)
 			}
 		}
 		if sum > 1+1e-6 {
-			t.Fatalf("%v of %s in %s", sum, demand.Class, demand.Zone)
+			t.Fatalf("the shares of %s in %s sum up to %v", demand.Class, demand.Zone, sum)
 		}
 	}
 	if plan == before || before == nil {
@@ -163,11 +163,11 @@
 	}
 	for _, zone := range zones {
 		if load := plan.Load(demands)[zone.Name]; load > max(zone.Capacity*0.85, before.Load(demands)[zone.Name])+1e-6 {
-			t.Fatalf("%v in %+v", load, zone)
+			t.Fatalf("%v of work planned in %+v", load, zone)
 		}
 	}
 	if model.planner.planUsesExcludedRoute(demands) {
-		t.Fatalf("requests go where they may not: %+v", plan)
+		t.Fatalf("the plan uses an excluded route: %+v", plan)
 	}
 }
 
--- a/internal/decisions/failover/solve_test.go
+++ b/internal/decisions/failover/solve_test.go
@@ -88,8 +88,8 @@
 	return weight, crossings
 }
 
-// TestSolve_matchesLinearProgramme checks that a flow keeps within capacities and routes, serves as much weight of work as the
-// linear programme, and crosses no more.
+// TestSolve_matchesLinearProgramme checks that a flow stays within capacities and routes, serves as much weight of work as the solution of
+// the linear programme within 1e-4, and has no more crossings.
 func TestSolve_matchesLinearProgramme(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		zones, demands, reachable := drawInputs(t)
@@ -105,7 +105,7 @@
 			for j, zone := range zones {
 				served := flow.Served[i][j]
 				if _, ok := reachable(demand.Zone, zone.Name, demand.Class); served < -1e-6 || served > 1e-6 && !ok {
-					t.Fatalf("%v of %v in %v", served, demand, zone)
+					t.Fatalf("%v of %v served in %v, which it cannot reach or below 0", served, demand, zone)
 				}
 				sum += served
 				load[j] += served
@@ -113,12 +113,12 @@
 				crossings += crossingPrice(zones, demand.Zone, zone) * served
 			}
 			if math.Abs(sum-demand.Work) > 1e-6 {
-				t.Fatalf("%v of %v is accounted for", sum, demand)
+				t.Fatalf("%v of %v is served or shed", sum, demand)
 			}
 		}
 		for j, zone := range zones {
 			if load[j] > zone.Capacity*(1-headroom)+1e-6 {
-				t.Fatalf("%v planned in %+v", load[j], zone)
+				t.Fatalf("%v of work planned in %+v", load[j], zone)
 			}
 		}
 		mostWeight, leastCrossings := solveAsLinearProgramme(zones, demands, reachable, headroom)
