--- a/internal/decisions/polling/busyservice_test.go
+++ b/internal/decisions/polling/busyservice_test.go
@@ -234,11 +234,11 @@
 	return queueingService{perCall: perCall, perUpdate: perCall / 15, queueTimeout: 2 * time.Second, queueLimit: 3800 * time.Millisecond}
 }
 
-// maxDelay is how late a dispatcher may receive a change: the grace period of a drain begins at NotificationDeadline.
+// maxDelay is how late a dispatcher may receive a change: the grace period of a drain starts at NotificationDeadline.
 const maxDelay = NotificationDeadline + 300*time.Millisecond
 
 // TestSchedule_massRestartAtBusyService checks promise 9. Discovery returns after 8 s, and seven in ten dispatchers are killed and
-// restart: if all call within 2 s and again beside queued calls, the queue grows beyond the 2 s after which a call expires, and the
+// restart: if all call within 2 s and again while calls are queued, the queue grows beyond the 2 s after which a call expires, and the
 // service spends its time on expired calls. A service that can serve each dispatcher in under 6 s must not be called faster than it
 // serves: all receive a change within maxDelay.
 func TestSchedule_massRestartAtBusyService(t *testing.T) {
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -215,7 +215,7 @@
 				t.Fatalf("received after %v, %v allowed", took, within)
 			}
 			if sim.maxOpen > 7 || sim.concurrentIndexed > 0 {
-				t.Fatalf("%d calls in flight at a time, %d of them with a revision beside another", sim.maxOpen, sim.concurrentIndexed)
+				t.Fatalf("%d calls in flight at a time, %d of them with a revision at the same time as another", sim.maxOpen, sim.concurrentIndexed)
 			}
 		})
 	}
