--- a/internal/decisions/voters/planchange_test.go
+++ b/internal/decisions/voters/planchange_test.go
@@ -79,13 +79,13 @@
 	return group
 }
 
-// TestPlanChange_replacesAbsentVoters has one or two of five voters become silent. The group returns to five present voters
-// without ever having fewer present voters than before a change, and nothing changes while all are present.
+// TestPlanChange_replacesAbsentVoters silences one or two of five voters. It checks that the group returns to five present voters, that no
+// change reduces their number, and that nothing changes while all are present.
 func TestPlanChange_replacesAbsentVoters(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		group := drawGroup(t)
 		if change, ok := group.plan(); ok {
-			t.Fatalf("all voters are present, and the plan is %+v", change)
+			t.Fatalf("all voters are present, and the change is %+v", change)
 		}
 		for n := rapid.IntRange(1, 2).Draw(t, "absent"); n > 0; n-- {
 			i := rapid.IntRange(1, 4).Draw(t, "voter")
@@ -111,7 +111,7 @@
 			addresses[status.Address] = true
 		}
 		if present() != 5 || len(group.statuses) != 5 || len(addresses) != 5 {
-			t.Fatalf("%+v", group.statuses)
+			t.Fatalf("after 20 changes: %+v", group.statuses)
 		}
 	})
 }
@@ -134,7 +134,7 @@
 
 // TestPlanChange_prefersDedicatedMachines checks that as many machines dedicated to control as there are become voters, also in
 // place of the leader, while five vote at any time and the leader never removes itself; and that nothing changes afterwards.
-// A leader that serves jobs stays where no machine is dedicated, as none may replace it.
+// A leader that serves jobs is not replaced if no machine is dedicated.
 func TestPlanChange_prefersDedicatedMachines(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		group := drawDedicatedGroup(t)
@@ -155,7 +155,7 @@
 			}
 			group.apply(change, 0)
 			if voters := group.count(func(status Status) bool { return !status.Learner }); voters != 5 {
-				t.Fatalf("%d vote after %+v", voters, change)
+				t.Fatalf("%d voters after %+v", voters, change)
 			}
 		}
 		dedicated, dedicatedVoters := 0, 0
@@ -182,13 +182,13 @@
 		nextID:   3,
 	}
 	if change, ok := group.plan(); !ok || change.AddLearner == nil || change.AddLearner.Name != "b" || change.AddLearner.ID != 3 {
-		t.Errorf("%+v", change)
+		t.Errorf("storage lost: change %+v, want learner b with ID 3", change)
 	}
 	group.statuses = append(group.statuses, Status{Voter: Voter{ID: 3, Address: "b", Learner: true}})
 	group.statuses[1].SilentFor = 0
 	group.members[1].VoterID = 3
 	group.nextID = 4
 	if change, ok := group.plan(); !ok || change.Remove != 3 || change.Promote != 0 {
-		t.Errorf("%+v", change)
+		t.Errorf("voter is back: change %+v, want the learner removed", change)
 	}
 }
