--- a/internal/fleet/raftlog/cluster_test.go
+++ b/internal/fleet/raftlog/cluster_test.go
@@ -66,19 +66,19 @@
 		first = founders(c.founders)
 	}
 	log, err := Open(Options{VoterID: uint64(id), Founders: first, Directory: c.dirs[id], RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {},
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), SnapshotEvery: 30, Send: func(receiver uint64, m []byte) {
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), SnapshotEvery: 30, Send: func(receiver uint64, message []byte) {
 			to := int(receiver)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.dropSnapshots > 0 {
 				var sent raftpb.Message
-				if proto.Unmarshal(m, &sent) == nil && sent.GetType() == raftpb.MsgSnap {
+				if proto.Unmarshal(message, &sent) == nil && sent.GetType() == raftpb.MsgSnap {
 					c.dropSnapshots--
 					return
 				}
 			}
 			if to < len(c.logs) && c.logs[to] != nil && c.logs[id] != nil && !c.drop(id, to) {
-				c.logs[to].Step(m)
+				c.logs[to].Step(message)
 			}
 		}})
 	if err != nil {
