--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,8 +1,5 @@
 // Package soak runs real dispatcher processes on loopback against stand-ins for clients, workers and discovery, injects faults drawn
 // from a seed, and checks the rules of the protocol on what these peers recorded. It knows nothing of how a dispatcher decides.
-//
-// The stand-ins are not those of package emulator, a model of how workers and discovery behave: these here record when each request's
-// bytes came, and misbehave on the wire, by half answers, resets, replicas with old lists, pushed lists and clocks that are off.
 package soak
 
 import (
