--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Where there are many dispatchers with few requests each, a key still has the same workers at all of them.
+// TestAffinity_manyDispatchersAgree checks that with 80 dispatchers of few requests each a key still has the same worker at all of them,
+// for nine requests in ten.
 func TestAffinity_manyDispatchersAgree(t *testing.T) {
 	drivers := newDispatchers(t, 80, 60)
 	for _, driver := range drivers {
@@ -14,7 +15,7 @@
 		driver.now += 2 * subsetInterval
 		driver.advance(subsetInterval)
 	}
-	away := 0
+	elsewhere := 0
 	for key := uint64(2); key < 22; key++ {
 		byWorker := map[WorkerID]int{}
 		for _, driver := range drivers {
@@ -26,14 +27,15 @@
 		for _, n := range byWorker {
 			most = max(most, n)
 		}
-		away += len(drivers) - most
+		elsewhere += len(drivers) - most
 	}
-	if away > 20*len(drivers)/10 {
-		t.Errorf("%d of %d requests went elsewhere than most of their key", away, 20*len(drivers))
+	if elsewhere > 20*len(drivers)/10 {
+		t.Errorf("%d of %d requests were sent elsewhere than most of their key", elsewhere, 20*len(drivers))
 	}
 }
 
-// A key with a large share of the requests has more workers: the requests of one dispatcher are few, but a sample.
+// TestAffinity_frequentKeySpreads checks that a key with a large share of the requests gets at least four workers, although one
+// dispatcher sees only a small sample of them.
 func TestAffinity_frequentKeySpreads(t *testing.T) {
 	driver := newDispatchers(t, 80, 60)[0]
 	to := map[WorkerID]int{}
@@ -43,11 +45,11 @@
 		driver.now += 300 * ms
 	}
 	if len(to) < 4 {
-		t.Errorf("all requests of the only key went to %v", to)
+		t.Errorf("all requests of the only key were sent to %v", to)
 	}
 }
 
-// Requests of one key do not queue while most of 200 workers are free.
+// TestAffinity_frequentKeyReachesFleet checks that requests of one key do not queue while most of 200 workers are free.
 func TestAffinity_frequentKeyReachesFleet(t *testing.T) {
 	settings := baseSettings()
 	settings.Dispatchers = 300
@@ -66,16 +68,17 @@
 	}
 }
 
-// A key with an eighth of the requests spreads over as many workers as it needs at every dispatcher, and a rare key does not.
-func TestAffinity_frequentKeySpreadAlike(t *testing.T) {
-	at, hot, first := map[WorkerID]int{}, 0, map[WorkerID]int{}
+// TestAffinity_frequentKeyAtAllDispatchers checks a key with an eighth of the requests at four dispatchers: its requests go to 15 to 60
+// of 185 workers, at most a tenth of them to one. Those of a key with a hundredth of the requests go to at most two workers.
+func TestAffinity_frequentKeyAtAllDispatchers(t *testing.T) {
+	frequentAt, frequent, rareAt := map[WorkerID]int{}, 0, map[WorkerID]int{}
 	for index := range 4 {
 		settings := baseSettings()
 		settings.DispatcherIndex, settings.Dispatchers = 70*index, 300
 		driver := newDriver(t, settings)
 		driver.listWorkers(workers(185)...)
 		for id := RequestID(1); id <= 600; id++ {
-			key := uint64(id) << 20 // of one request alone
+			key := uint64(id) << 20 // a key of this request only
 			if id%8 == 0 {
 				key = 7
 			} else if id%100 == 1 {
@@ -86,26 +89,27 @@
 			driver.now += 150 * ms
 			driver.finishServed(id, nil)
 			if key == 7 && id > 200 {
-				at[to]++
-				hot++
+				frequentAt[to]++
+				frequent++
 			} else if key == 11 {
-				first[to]++
+				rareAt[to]++
 			}
 		}
 	}
 	most := 0
-	for _, n := range at {
+	for _, n := range frequentAt {
 		most = max(most, n)
 	}
-	if most > hot/10 || len(at) < 15 || len(at) > 60 {
-		t.Errorf("%d requests of a frequent key went to %d workers, %d of them to one", hot, len(at), most)
+	if most > frequent/10 || len(frequentAt) < 15 || len(frequentAt) > 60 {
+		t.Errorf("%d requests of a frequent key went to %d workers, %d of them to one", frequent, len(frequentAt), most)
 	}
-	if len(first) > 2 {
-		t.Errorf("a key with a hundredth of the requests went to %d workers: %v", len(first), first)
+	if len(rareAt) > 2 {
+		t.Errorf("a key with a hundredth of the requests went to %d workers: %v", len(rareAt), rareAt)
 	}
 }
 
-// Requests of one key go to the same worker from every dispatcher while it has a free slot, and keys spread over the workers.
+// TestAffinity_sameWorkerFromAllDispatchers checks that requests of one key go to the same worker from every dispatcher while it has a
+// free slot, and that keys are spread over the workers.
 func TestAffinity_sameWorkerFromAllDispatchers(t *testing.T) {
 	first, moved := map[WorkerID]int{}, 0
 	for key := uint64(1); key <= 40; key++ {
@@ -130,7 +134,7 @@
 		first[expected]++
 	}
 	if moved > 12 { // of 240: where two ranks are nearly equal, the request before may decide
-		t.Errorf("%d requests left the first worker of their key without need", moved)
+		t.Errorf("%d requests were not sent to the first worker of their key, which was idle", moved)
 	}
 	for _, w := range workers(4) {
 		if first[w.ID] < 2 || first[w.ID] > 20 {
@@ -139,7 +143,8 @@
 	}
 }
 
-// Without a free slot at a key's first workers the load decides, as for requests without a key.
+// TestAffinity_busyWorkerIsPassedOver checks that without a free slot at the first workers of a key the load decides, as for requests
+// without a key.
 func TestAffinity_busyWorkerIsPassedOver(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(4)...)
