--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -82,7 +82,8 @@
 	testsupport.CheckGolden(t, path, []byte(got.String()))
 }
 
-// readSections returns the sections of the golden file by their headings; none if there is no file, which is then to be written with -update.
+// readSections reads the golden file: a text for each headline. It returns none if there is no file, which is then to be written with
+// -update.
 func readSections(t *testing.T, path string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(path)
