--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -77,7 +77,7 @@
 func singleWorker(seed uint64, slots int, load float64) Scenario {
 	return Scenario{Seed: seed, Span: 1500 * time.Second, Dispatchers: 1, Cells: 1,
 		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, LatencyObjective: time.Hour, Deadline: time.Hour, Effect: scheduler.Idempotent},
-		Kinds:   []Kind{{"one", 1, slots, 1, 1, false}}, Discovery: time.Millisecond, Rules: Rules{MaxAttempts: 1}}
+		Kinds:   []WorkerKind{{"one", 1, slots, 1, 1, false}}, Discovery: time.Millisecond, Rules: Rules{MaxAttempts: 1}}
 }
 
 // erlangC is the probability that a job has to wait, with so many slots and so much offered load (A. K. Erlang, 1917).
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -11,7 +11,7 @@
 func fourZones(seed uint64, mode string) Scenario {
 	s := ReferenceScenario(seed)
 	s.Span, s.Dispatchers = 100*time.Second, 12
-	s.Kinds = []Kind{{"box", 24, 5, 0.9, 1.1, false}}
+	s.Kinds = []WorkerKind{{"box", 24, 5, 0.9, 1.1, false}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice = 4, 2, 0.03
 	s.Traffic.Rate, s.Traffic.Subjects, s.Traffic.Effect = 0.55*24*5/0.2, 0, scheduler.Idempotent
 	s.Reports.Every = 500 * time.Millisecond
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -21,7 +21,7 @@
 	Span        time.Duration // in which jobs arrive; the run then goes on until all are answered
 	Dispatchers int
 	Traffic     Traffic
-	Kinds       []Kind
+	Kinds       []WorkerKind
 	Cells       int // workers are spread over them; each deduplicates by key
 	Network     Network
 	Discovery   time.Duration // mean delay of an endpoint update
@@ -64,8 +64,8 @@
 	Share float64 // of the jobs, relative to the other accounts
 }
 
-// Kind is a kind of worker.
-type Kind struct {
+// WorkerKind is a kind of worker.
+type WorkerKind struct {
 	Name     string
 	Count    int
 	Slots    int
@@ -166,7 +166,7 @@
 				{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18},
 				{"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08},
 			}},
-		Kinds:     []Kind{{"new-box", 9, 5, 0.85, 1.1, false}, {"old-box", 4, 4, 0.64, 0.86, false}},
+		Kinds:     []WorkerKind{{"new-box", 9, 5, 0.85, 1.1, false}, {"old-box", 4, 4, 0.64, 0.86, false}},
 		Network:   Network{Delay: 500 * time.Microsecond, Cross: 15 * time.Millisecond, Idle: 5 * time.Second},
 		Discovery: time.Second,
 		Reports:   Reports{Every: 700 * time.Millisecond, Cost: time.Millisecond},
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -16,7 +16,7 @@
 		const runs = 10
 		for seed := range uint64(runs) {
 			s := singleWorker(seed, 1, load)
-			s.Kinds = []Kind{{"one", 1, 1 << 20, 1, 1, true}}
+			s.Kinds = []WorkerKind{{"one", 1, 1 << 20, 1, 1, true}}
 			mean += mustRun(t, s, plainPolicy("random")).Mean.Seconds() / runs
 		}
 		if want := 0.1 / (1 - load); math.Abs(mean-want) > 0.1*want {
@@ -29,7 +29,7 @@
 // handled at a time.
 func TestSharingTurnsAway(t *testing.T) {
 	s := singleWorker(1, 1, 0.9)
-	s.Span, s.Kinds = 100*time.Second, []Kind{{"some", 3, 1, 1, 1, true}}
+	s.Span, s.Kinds = 100*time.Second, []WorkerKind{{"some", 3, 1, 1, 1, true}}
 	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Effect = 20, 3, 100, scheduler.Idempotent
 	r := mustRun(t, s, plainPolicy("random"))
 	if r.Sends <= 1 || r.Served < r.Jobs*9/10 || len(r.Breaches) > 0 {
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -124,7 +124,7 @@
 }
 
 // addWorker adds a worker of a kind; its id and speed are drawn from random, in this order.
-func (sim *simulation) addWorker(kindIndex int, kind *Kind, random *rand.Rand) {
+func (sim *simulation) addWorker(kindIndex int, kind *WorkerKind, random *rand.Rand) {
 	index := len(sim.workers)
 	worker := &worker{
 		sim:           sim,
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -14,14 +14,14 @@
 
 // File is an experiment's file. What its world leaves out is as in emulator.ReferenceScenario.
 type File struct {
-	Title    string    `hcl:"title"`
-	Seeds    int       `hcl:"seeds"`
-	First    int       `hcl:"first_seed,optional"`
-	World    *World    `hcl:"world,block"`
-	Kinds    []Kind    `hcl:"kind,block"`
-	Classes  []Class   `hcl:"class,block"`
-	Faults   []Fault   `hcl:"fault,block"`
-	Variants []Variant `hcl:"variant,block"`
+	Title    string       `hcl:"title"`
+	Seeds    int          `hcl:"seeds"`
+	First    int          `hcl:"first_seed,optional"`
+	World    *World       `hcl:"world,block"`
+	Kinds    []WorkerKind `hcl:"kind,block"`
+	Classes  []Class      `hcl:"class,block"`
+	Faults   []Fault      `hcl:"fault,block"`
+	Variants []Variant    `hcl:"variant,block"`
 }
 
 // World is what a scenario may set. Durations are as time.ParseDuration reads them.
@@ -61,8 +61,8 @@
 	Greedy *float64 `hcl:"greedy"` // the first account sends this multiple of its share
 }
 
-// Kind is a kind of worker.
-type Kind struct {
+// WorkerKind is a kind of worker.
+type WorkerKind struct {
 	Name    string    `hcl:"name,label"`
 	Count   int       `hcl:"count"`
 	Slots   int       `hcl:"slots"`
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -86,11 +86,11 @@
 }
 
 // parse returns the kind in the emulator's terms.
-func (k *Kind) parse() (emulator.Kind, error) {
+func (k *WorkerKind) parse() (emulator.WorkerKind, error) {
 	if len(k.Speed) != 2 {
-		return emulator.Kind{}, fmt.Errorf("kind %q: speed must be [least, most]", k.Name)
+		return emulator.WorkerKind{}, fmt.Errorf("kind %q: speed must be [least, most]", k.Name)
 	}
-	return emulator.Kind{Name: k.Name, Count: k.Count, Slots: k.Slots, SpeedMin: k.Speed[0], SpeedMax: k.Speed[1], Sharing: k.Sharing}, nil
+	return emulator.WorkerKind{Name: k.Name, Count: k.Count, Slots: k.Slots, SpeedMin: k.Speed[0], SpeedMax: k.Speed[1], Sharing: k.Sharing}, nil
 }
 
 // parse returns the fault in the emulator's terms.
--- a/internal/experiment/zones.go
+++ b/internal/experiment/zones.go
@@ -85,7 +85,7 @@
 func (e ZoneExperiment) Scenario(zoneCase ZoneCase, mode string, seed uint64) emulator.Scenario {
 	scenario := emulator.ReferenceScenario(seed)
 	scenario.Span, scenario.Dispatchers = zoneSpan, e.Dispatchers
-	scenario.Kinds = []emulator.Kind{{Name: "box", Count: e.Workers, Slots: zoneSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
+	scenario.Kinds = []emulator.WorkerKind{{Name: "box", Count: e.Workers, Slots: zoneSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	scenario.Network.Zones, scenario.Network.Regions, scenario.Network.CrossPrice, scenario.Network.Cross = 4, 2, 0.03, 10*time.Millisecond
 	scenario.Traffic.Work, scenario.Traffic.Subjects, scenario.Traffic.Effect = zoneWork, 0, scheduler.Idempotent
 	scenario.Traffic.Rate = zoneCase.Load * float64(e.Workers*zoneSlots) / zoneWork
--- a/internal/faults/plan.go
+++ b/internal/faults/plan.go
@@ -23,7 +23,7 @@
 	Span              time.Duration // of the run, without the time until the fleet agrees at the end
 	MeanInterval      time.Duration // mean time between two drawn faults
 	MaxDuration       time.Duration // longest duration of a drawn fault
-	Kinds             []Kind        // of faults to draw; empty to play Events
+	Kinds             []EventKind   // of faults to draw; empty to play Events
 	Rate              float64       // jobs a second; with Zones, their load decides
 	ProposalInterval  time.Duration // time between two proposals of rules
 	Release           *Release      // nil for none
--- a/internal/faults/planreader.go
+++ b/internal/faults/planreader.go
@@ -110,12 +110,12 @@
 		events[i] = Event{
 			At:      r.duration("event", block.At),
 			For:     r.optionalDuration("event", block.For),
-			Kind:    Kind(block.Kind),
+			Kind:    EventKind(block.Kind),
 			Process: block.Process,
 			Group:   block.Group,
 			Reverse: block.Reverse,
 		}
-		known := slices.Contains(Kinds(), events[i].Kind) || slices.Contains(scriptedKinds, events[i].Kind)
+		known := slices.Contains(DrawnEventKinds(), events[i].Kind) || slices.Contains(scriptedKinds, events[i].Kind)
 		if !known || block.Process < Leader || block.Process >= r.file.Processes {
 			r.add("event", "There is no kind %q, or no process %d.", block.Kind, block.Process)
 		}
@@ -168,16 +168,16 @@
 }
 
 // kinds returns the kinds of faults to draw from.
-func (r *planReader) kinds() []Kind {
+func (r *planReader) kinds() []EventKind {
 	if len(r.file.Faults) == 0 {
-		return Kinds()
+		return DrawnEventKinds()
 	}
-	var kinds []Kind
+	var kinds []EventKind
 	for _, name := range r.file.Faults {
-		if !slices.Contains(Kinds(), Kind(name)) {
-			r.add("faults", "There is no kind %q; there are %v.", name, Kinds())
+		if !slices.Contains(DrawnEventKinds(), EventKind(name)) {
+			r.add("faults", "There is no kind %q; there are %v.", name, DrawnEventKinds())
 		}
-		kinds = append(kinds, Kind(name))
+		kinds = append(kinds, EventKind(name))
 	}
 	return kinds
 }
--- a/internal/faults/schedule.go
+++ b/internal/faults/schedule.go
@@ -14,7 +14,7 @@
 // Draw returns the events of a seed, in the order of their times: one of the given kinds every so often on average, of one process
 // each. The voters are the first processes. All events end within the span, a process has one at a time, and at most one voter
 // loses its data, once: what a majority of the voters has lost cannot be recovered.
-func Draw(seed uint64, kinds []Kind, processes, voters int, span, every, longest time.Duration) []Event {
+func Draw(seed uint64, kinds []EventKind, processes, voters int, span, every, longest time.Duration) []Event {
 	rng := rand.New(rand.NewPCG(seed, scheduleSource))
 	var events []Event
 	busyUntil := make([]time.Duration, processes)
--- a/internal/faults/schedule_test.go
+++ b/internal/faults/schedule_test.go
@@ -11,7 +11,7 @@
 func TestDraw(t *testing.T) {
 	span := time.Minute
 	for seed := range uint64(20) {
-		a, b := Draw(seed, Kinds(), 9, 5, span, 300*time.Millisecond, 5*time.Second), Draw(seed, Kinds(), 9, 5, span, 300*time.Millisecond, 5*time.Second)
+		a, b := Draw(seed, DrawnEventKinds(), 9, 5, span, 300*time.Millisecond, 5*time.Second), Draw(seed, DrawnEventKinds(), 9, 5, span, 300*time.Millisecond, 5*time.Second)
 		if fmt.Sprint(a) != fmt.Sprint(b) || len(a) < 30 {
 			t.Fatalf("seed %d: %d and %d events", seed, len(a), len(b))
 		}
--- a/internal/faults/zones.go
+++ b/internal/faults/zones.go
@@ -43,7 +43,7 @@
 
 // addTo sets the scenario's workers, zones and traffic and adds the faults of zones.
 func (p *ZonePlan) addTo(scenario *emulator.Scenario) {
-	scenario.Kinds = []emulator.Kind{{Name: "box", Count: p.Workers, Slots: workerSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
+	scenario.Kinds = []emulator.WorkerKind{{Name: "box", Count: p.Workers, Slots: workerSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	network := &scenario.Network
 	network.Zones, network.Regions, network.CrossPrice, network.Cross = p.Zones, p.Regions, crossZoneCost, crossZoneDelay
 	traffic := &scenario.Traffic
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -25,7 +25,7 @@
 	scenario.Dispatchers, scenario.Span = p.listeners(), p.Settle+p.Span
 	slots := p.Accelerators / p.Workers
 	larger := p.Accelerators - slots*p.Workers // workers that have a slot more
-	scenario.Kinds = []emulator.Kind{
+	scenario.Kinds = []emulator.WorkerKind{
 		{Name: smallKindName, Count: p.Workers - larger, Slots: slots, SpeedMin: workerSpeedMin, SpeedMax: workerSpeedMax},
 		{Name: largeKindName, Count: larger, Slots: slots + 1, SpeedMin: workerSpeedMin, SpeedMax: workerSpeedMax},
 	}
--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := map[Kind]bool{}
+	kinds := map[EventKind]bool{}
 	for seed := range uint64(50) {
 		p, again := f.Draw(seed), f.Draw(seed)
 		if len(p.Events) != len(again.Events) || p.SystemCallFaults != again.SystemCallFaults {
@@ -132,7 +132,7 @@
 			kinds[e.Kind] = true
 		}
 	}
-	if len(kinds) != len(Kinds) {
-		t.Errorf("50 seeds draw %d of %d kinds", len(kinds), len(Kinds))
+	if len(kinds) != len(EventKinds) {
+		t.Errorf("50 seeds draw %d of %d kinds", len(kinds), len(EventKinds))
 	}
 }
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -55,7 +55,7 @@
 		addFault("rate", "It is over 0 and 1000 at the most.")
 	}
 	for _, event := range f.Events {
-		if !slices.Contains(Kinds, Kind(event)) {
+		if !slices.Contains(EventKinds, EventKind(event)) {
 			addFault("events", "There are no events %q.", event)
 		}
 	}
@@ -74,13 +74,13 @@
 func (f *File) every() time.Duration { d, _ := time.ParseDuration(f.Every); return d }
 
 // kinds returns the kinds of events that are drawn; all if the file names none.
-func (f *File) kinds() []Kind {
+func (f *File) kinds() []EventKind {
 	if len(f.Events) == 0 {
-		return Kinds
+		return EventKinds
 	}
-	kinds := make([]Kind, len(f.Events))
+	kinds := make([]EventKind, len(f.Events))
 	for i, event := range f.Events {
-		kinds[i] = Kind(event)
+		kinds[i] = EventKind(event)
 	}
 	return kinds
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// Kind is the kind of an event, as scenario files name it.
-type Kind string
+// EventKind is the kind of an event, as scenario files name it.
+type EventKind string
 
 // The kinds of events.
 const (
-	Drain                Kind = "drain"          // a worker starts draining and stays up
-	Join                 Kind = "join"           // a worker joins and warms up
-	Restart              Kind = "restart"        // a worker ends, comes back and warms up
-	WorkerHangs          Kind = "worker-hangs"   // a worker takes jobs and sends nothing
-	WorkerResets         Kind = "worker-resets"  // a worker resets connections that carry jobs
-	WorkerReadsLate      Kind = "worker-late"    // a worker reads late from new connections
-	FaultyCalls          Kind = "faulty-calls"   // the next three calls of each dispatcher to discovery fail, each in its own way
-	SilentWatches        Kind = "silent-watches" // open watches fall silent
-	DiscoveryDown        Kind = "discovery-down" // discovery rejects all calls
-	DiscoveryMove        Kind = "move"           // a new configuration names another address of discovery
-	Reload               Kind = "reload"         // a new configuration changes nothing
-	ProcessPauses        Kind = "hold-ups"       // a dispatcher is stopped for 0.15 s, repeatedly
-	Terminate            Kind = "term"           // a dispatcher gets SIGTERM, SIGKILL as early as is allowed, and is restarted
-	Kill                 Kind = "kill"           // a dispatcher gets SIGKILL and is restarted
-	IdleClients          Kind = "crowd"          // many connections that send nothing
-	ClientsLeave         Kind = "clients-leave"  // clients close their connections soon after their requests
-	ClockStep            Kind = "clock-step"     // discovery's clock, which stamps starts, is set forward or back
-	ReplicaLag           Kind = "lag"            // a replica of discovery shows an old list, at each call or at every other
-	MoveToLaggingReplica Kind = "lagging-move"   // a worker starts draining, and a new configuration names a replica that lags
-	DelayedAnswers       Kind = "slow-answers"   // answers of discovery are delayed, each by another time, so that they overtake each other
-	DiscoveryMoves       Kind = "moves"          // several new configurations in a row, and a worker starts draining between them
+	Drain                EventKind = "drain"          // a worker starts draining and stays up
+	Join                 EventKind = "join"           // a worker joins and warms up
+	Restart              EventKind = "restart"        // a worker ends, comes back and warms up
+	WorkerHangs          EventKind = "worker-hangs"   // a worker takes jobs and sends nothing
+	WorkerResets         EventKind = "worker-resets"  // a worker resets connections that carry jobs
+	WorkerReadsLate      EventKind = "worker-late"    // a worker reads late from new connections
+	FaultyCalls          EventKind = "faulty-calls"   // the next three calls of each dispatcher to discovery fail, each in its own way
+	SilentWatches        EventKind = "silent-watches" // open watches fall silent
+	DiscoveryDown        EventKind = "discovery-down" // discovery rejects all calls
+	DiscoveryMove        EventKind = "move"           // a new configuration names another address of discovery
+	Reload               EventKind = "reload"         // a new configuration changes nothing
+	ProcessPauses        EventKind = "hold-ups"       // a dispatcher is stopped for 0.15 s, repeatedly
+	Terminate            EventKind = "term"           // a dispatcher gets SIGTERM, SIGKILL as early as is allowed, and is restarted
+	Kill                 EventKind = "kill"           // a dispatcher gets SIGKILL and is restarted
+	IdleClients          EventKind = "crowd"          // many connections that send nothing
+	ClientsLeave         EventKind = "clients-leave"  // clients close their connections soon after their requests
+	ClockStep            EventKind = "clock-step"     // discovery's clock, which stamps starts, is set forward or back
+	ReplicaLag           EventKind = "lag"            // a replica of discovery shows an old list, at each call or at every other
+	MoveToLaggingReplica EventKind = "lagging-move"   // a worker starts draining, and a new configuration names a replica that lags
+	DelayedAnswers       EventKind = "slow-answers"   // answers of discovery are delayed, each by another time, so that they overtake each other
+	DiscoveryMoves       EventKind = "moves"          // several new configurations in a row, and a worker starts draining between them
 )
 
-// Kinds lists all kinds.
-var Kinds = []Kind{Drain, Join, Restart, WorkerHangs, WorkerResets, WorkerReadsLate, FaultyCalls, SilentWatches, DiscoveryDown, DiscoveryMove, Reload,
+// EventKinds lists all kinds.
+var EventKinds = []EventKind{Drain, Join, Restart, WorkerHangs, WorkerResets, WorkerReadsLate, FaultyCalls, SilentWatches, DiscoveryDown, DiscoveryMove, Reload,
 	ProcessPauses, Terminate, Kill, IdleClients, ClientsLeave, ClockStep, ReplicaLag, MoveToLaggingReplica, DelayedAnswers, DiscoveryMoves}
 
 // CallFault is what discovery does with a call in place of answering it.
@@ -59,7 +59,7 @@
 type Event struct {
 	At       time.Duration // since the run started
 	Duration time.Duration // of the fault
-	Kind     Kind
+	Kind     EventKind
 	Target   int           // the worker or dispatcher concerned, by its number
 	Calls    []CallFault   // for FaultyCalls: the next three
 	Step     time.Duration // for ClockStep; how old the list is for ReplicaLag and MoveToLaggingReplica; the longest delay for DelayedAnswers
@@ -171,7 +171,7 @@
 
 // needsDiscoveryReplicas reports whether a kind of event makes sense only where lists are polled. After a move to another agent the
 // platform counts its list later, which the audit does not know.
-func needsDiscoveryReplicas(kind Kind) bool {
+func needsDiscoveryReplicas(kind EventKind) bool {
 	switch kind {
 	case ReplicaLag, MoveToLaggingReplica, DiscoveryMoves, DelayedAnswers, DiscoveryMove:
 		return true
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -90,7 +90,7 @@
 }
 
 // injectFault makes the worker show a fault until a time.
-func (w *worker) injectFault(kind Kind, until time.Time) {
+func (w *worker) injectFault(kind EventKind, until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch kind {
