--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -43,7 +43,7 @@
 	contradiction, _ := faults.ContradictionTime(states)
 	result.ContradictionMS = milliseconds(contradiction)
 	if r.plan.Fault != nil {
-		result.Failures = []Failure{r.failure(all)}
+		result.FaultCosts = []FaultCost{r.faultCost(all)}
 	}
 	for _, breach := range r.cluster.Breaches() {
 		result.RulesBroken++
@@ -59,7 +59,7 @@
 		Title: plan.Title, Seed: plan.Seed, At: r.beganAt.UTC(), LeaseDurationMS: float64(plan.LeaseDuration.Milliseconds()), Packing: plan.Packing(),
 		Dispatchers: plan.Dispatchers, Hollow: plan.Hollow, Processes: plan.Processes, Real: plan.Real(), Bare: plan.Bare,
 		Workers: plan.Workers, Accelerators: plan.Accelerators, Zones: plan.Zones, Regions: plan.Regions, Teams: plan.Teams,
-		Voters: plan.Voters, SetAside: plan.SetAside,
+		Voters: plan.Voters, Dedicated: plan.Dedicated,
 		Jobs: r.jobCounts.sent, AnsweredOnce: r.jobCounts.answered, AnsweredNever: r.jobCounts.unanswered, LostWithProcess: r.jobCounts.lost,
 		ReturnedInForceMS: []float64{},
 	}
@@ -104,7 +104,7 @@
 
 // usageGroup is the dispatchers whose usage is a figure of its own.
 type usageGroup struct {
-	role   dispatcherRole
+	role   costRole
 	hollow bool
 }
 
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -25,7 +25,7 @@
 	plan.check(c.report)
 	blocks := hcldiag.Blocks(c.body)
 	c.checkFaults(&plan, blocks["fault"])
-	c.checkSlopes(blocks["slope"])
+	c.checkSweeps(blocks["slope"])
 	return c.diags
 }
 
@@ -64,23 +64,23 @@
 	}
 }
 
-// checkSlopes checks the sizes, each in its run.
-func (c *checker) checkSlopes(blocks []*hclsyntax.Block) {
-	for index, slope := range c.file.Slopes {
+// checkSweeps checks the sizes, each in its run.
+func (c *checker) checkSweeps(blocks []*hclsyntax.Block) {
+	for index, sweep := range c.file.Sweeps {
 		block := blocks[index]
-		if len(slope.Sizes) == 0 {
+		if len(sweep.Sizes) == 0 {
 			c.reportIn(block, "of", "It must name sizes.")
 		}
-		for _, size := range slope.Sizes {
-			resized, ok := c.file.resized(slope.By, size)
+		for _, size := range sweep.Sizes {
+			resized, ok := c.file.resized(sweep.By, size)
 			if !ok {
 				c.reportIn(block, "of", "%d %s: it must be above 0, and by dispatchers, workers, zones or changes, which need the block changes.",
-					size, slope.By)
+					size, sweep.By)
 				break
 			}
 			plan := resized.plan(ignoreMistake)
 			plan.check(func(attribute, format string, args ...any) {
-				c.reportIn(block, "of", "%d %s, %s: %s", size, slope.By, attribute, fmt.Sprintf(format, args...))
+				c.reportIn(block, "of", "%d %s, %s: %s", size, sweep.By, attribute, fmt.Sprintf(format, args...))
 			})
 		}
 	}
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -21,7 +21,7 @@
 	report := func(attribute, format string, args ...any) {
 		err = errors.Join(err, attributeError(attribute, format, args...))
 	}
-	if f.SetAside < f.Voters {
+	if f.Dedicated < f.Voters {
 		report("set_aside", "There must be a machine for each seat: no dispatcher that is compared has one.")
 	}
 	if f.Bare < 1 {
--- a/internal/scale/compare_test.go
+++ b/internal/scale/compare_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("%v: %+v", err, hollow)
 	}
 	for want, wrong := range map[string]func(*File){
-		"set_aside: ": func(f *File) { f.SetAside = 4 },
+		"set_aside: ": func(f *File) { f.Dedicated = 4 },
 		"bare: ":      func(f *File) { f.Bare = 0 },
 		"dispatchers: 356 real ones are too many": func(f *File) { f.Dispatchers, f.Workers = 347, 60 },
 	} {
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -12,19 +12,23 @@
 	"brassdale/internal/faults"
 )
 
-// dispatcherRole is what a dispatcher of a run is for. Results have its text as a key.
-type dispatcherRole string
+// costRole is a role of a dispatcher by which results list what control costs. Results have its text as a key.
+type costRole string
 
+// The first three are what a dispatcher is for, which does not change during a run. The others are what it is in the raft group for some
+// time, and take the place of the first three in FaultCost.
 const (
-	roleServing  dispatcherRole = "dispatcher" // serves jobs
-	roleSetAside dispatcherRole = "set aside"  // for control alone
-	roleBare     dispatcherRole = "bare"       // has no fleet
+	roleServing   costRole = "dispatcher" // serves jobs
+	roleDedicated costRole = "set aside"  // its machine serves no jobs: it is for control alone
+	roleBare      costRole = "bare"       // has no fleet
+	roleVoter     costRole = "seat"       // a voter that does not lead
+	roleLeader    costRole = "leader"
 )
 
 // dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields from node on.
 type dispatcher struct {
 	name         string
-	role         dispatcherRole
+	role         costRole // roleServing, roleDedicated or roleBare
 	hollow       bool
 	fleetAddress string // where other dispatchers reach it
 	zone         int
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -7,7 +7,7 @@
 
 // The kinds of faults.
 const (
-	VoterLost            FaultKind = "seat"     // the machine of the leader is lost, or that of the first voter if no machine set aside leads
+	VoterLost            FaultKind = "seat"     // the machine of the leader is lost, or that of the first voter if no dedicated dispatcher leads
 	ZoneLost             FaultKind = "zone"     // a zone's workers, voters and dispatchers are lost
 	RegionPartitioned    FaultKind = "regions"  // a region and the others do not reach each other
 	DispatchersReplaced  FaultKind = "replaced" // dispatchers are killed one by one, and new ones start in their place
@@ -34,7 +34,7 @@
 func (f *Fault) check(plan *Plan, report reportFunc) {
 	switch f.Kind {
 	case VoterLost:
-		if plan.SetAside < 1 || plan.Voters < 3 {
+		if plan.Dedicated < 1 || plan.Voters < 3 {
 			report("kind", "It needs machines set aside, and 3 seats at least.")
 		}
 	case ZoneLost:
--- a/internal/scale/failure.go
+++ b/internal/scale/faultcost.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Failure is what the run's fault cost.
-type Failure struct {
+// FaultCost is what the run's fault cost.
+type FaultCost struct {
 	Kind            FaultKind `json:"kind"`
 	AtS             float64   `json:"at_s"`      // since the start of the measured span
 	ForS            float64   `json:"for_s"`     // 0 for one that did not end
@@ -18,10 +18,10 @@
 
 	// Most of any dispatcher of a role over 10 s, each second, before the fault and since it began. Processor time is in milliseconds and, of
 	// dispatchers that serve jobs, that of hollow ones if there are any.
-	UsualBytes map[dispatcherRole]float64 `json:"usual_bytes_10s"`
-	PeakBytes  map[dispatcherRole]float64 `json:"peak_bytes_10s"`
-	UsualCPU   map[dispatcherRole]float64 `json:"usual_cpu_10s"`
-	PeakCPU    map[dispatcherRole]float64 `json:"peak_cpu_10s"`
+	UsualBytes map[costRole]float64 `json:"usual_bytes_10s"`
+	PeakBytes  map[costRole]float64 `json:"peak_bytes_10s"`
+	UsualCPU   map[costRole]float64 `json:"usual_cpu_10s"`
+	PeakCPU    map[costRole]float64 `json:"peak_cpu_10s"`
 
 	// RecoveredAfterS is how long it took until all dispatchers that should run had leases on a version that was accepted after the fault
 	// began; nil for never.
@@ -31,45 +31,39 @@
 	ReturnedInForceMS []float64 `json:"returned_in_force_ms"`
 }
 
-// The roles of peaks that a dispatcher has by the raft group.
-const (
-	roleVoter  dispatcherRole = "seat"
-	roleLeader dispatcherRole = "leader"
-)
-
-// failure computes what the run's fault cost.
-func (r *run) failure(all []*history) Failure {
+// faultCost computes what the run's fault cost.
+func (r *run) faultCost(all []*history) FaultCost {
 	fault, record := r.plan.Fault, r.faultRecord
-	failure := Failure{
+	cost := FaultCost{
 		Kind: fault.Kind, AtS: record.beganAt.Sub(r.beganAt).Seconds(), Affected: record.affected, HitLeader: record.hitLeader,
 		ReturnedInForceMS: []float64{},
 	}
 	if fault.For > 0 {
-		failure.ForS = record.endedAt.Sub(record.beganAt).Seconds()
+		cost.ForS = record.endedAt.Sub(record.beganAt).Seconds()
 	}
-	failure.UsualBytes, failure.UsualCPU = r.peaks(time.Time{}, record.beganAt)
-	failure.PeakBytes, failure.PeakCPU = r.peaks(record.beganAt, time.Now())
+	cost.UsualBytes, cost.UsualCPU = r.peaks(time.Time{}, record.beganAt)
+	cost.PeakBytes, cost.PeakCPU = r.peaks(record.beganAt, time.Now())
 	first := uint64(0) // version that was accepted since the fault began
 	for _, change := range r.changes {
 		if change.at.Before(record.beganAt) {
 			continue
 		}
-		if failure.Changes++; failure.Changes == 1 {
-			first, failure.AcceptedAfterMS = change.version, milliseconds(change.at.Sub(record.beganAt))
+		if cost.Changes++; cost.Changes == 1 {
+			first, cost.AcceptedAfterMS = change.version, milliseconds(change.at.Sub(record.beganAt))
 		}
 	}
 	delays := r.delaysSince(record.beganAt, all)
-	failure.InForceP50MS, failure.InForceP999MS = quantile(0.5, delays), quantile(0.999, delays)
+	cost.InForceP50MS, cost.InForceP999MS = quantile(0.5, delays), quantile(0.999, delays)
 	for _, h := range all {
-		failure.ReturnedInForceMS = append(failure.ReturnedInForceMS, h.returnTimesMS...)
+		cost.ReturnedInForceMS = append(cost.ReturnedInForceMS, h.returnTimesMS...)
 	}
-	slices.Sort(failure.ReturnedInForceMS)
-	failure.VoterReplaced = r.voterReplaced()
+	slices.Sort(cost.ReturnedInForceMS)
+	cost.VoterReplaced = r.voterReplaced()
 	if at, ok := r.recoveredAt(all, first); ok {
 		after := at.Sub(record.beganAt).Seconds()
-		failure.RecoveredAfterS = &after
+		cost.RecoveredAfterS = &after
 	}
-	return failure
+	return cost
 }
 
 // delaysSince returns, sorted and in milliseconds, how long it took until changes were in force at dispatchers that they could reach, of those
--- a/internal/scale/failure_test.go
+++ b/internal/scale/faultcost_test.go
@@ -68,23 +68,23 @@
 				t.Fatal(err)
 			}
 			checkSound(t, r)
-			if len(r.Failures) != 1 {
+			if len(r.FaultCosts) != 1 {
 				t.Fatalf("%+v", r)
 			}
-			failure := r.Failures[0]
+			cost := r.FaultCosts[0]
 			kind := FaultKind(p.Name)
-			t.Logf("%+v", failure)
-			if failure.Kind != kind || failure.Affected != affected[kind] || len(failure.ReturnedInForceMS) != returned[kind] {
-				t.Errorf("%d affected, %d back: %+v", failure.Affected, len(failure.ReturnedInForceMS), failure)
+			t.Logf("%+v", cost)
+			if cost.Kind != kind || cost.Affected != affected[kind] || len(cost.ReturnedInForceMS) != returned[kind] {
+				t.Errorf("%d affected, %d back: %+v", cost.Affected, len(cost.ReturnedInForceMS), cost)
 			}
-			if failure.Changes == 0 || failure.RecoveredAfterS == nil {
-				t.Errorf("%d changes, recovered after %v", failure.Changes, failure.RecoveredAfterS)
+			if cost.Changes == 0 || cost.RecoveredAfterS == nil {
+				t.Errorf("%d changes, recovered after %v", cost.Changes, cost.RecoveredAfterS)
 			}
-			if (kind == VoterLost || kind == DispatchersRestarted) && !failure.HitLeader {
+			if (kind == VoterLost || kind == DispatchersRestarted) && !cost.HitLeader {
 				t.Error("the leader was not affected")
 			}
-			if failure.AtS < (500 * time.Millisecond).Seconds() {
-				t.Errorf("it began at %.2f s", failure.AtS)
+			if cost.AtS < (500 * time.Millisecond).Seconds() {
+				t.Errorf("it began at %.2f s", cost.AtS)
 			}
 		})
 	}
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -61,14 +61,14 @@
 
 // affectedBy returns the names of the running dispatchers that a fault affects. Bare ones never are.
 func (r *run) affectedBy(fault *Fault, leader string) []string {
-	leaderSetAside := r.isSetAside(leader)
+	leaderDedicated := r.isDedicated(leader)
 	var names []string
 	for _, each := range r.running() {
 		affected := false
 		switch fault.Kind {
 		case VoterLost:
 			affected = each.name == leader
-			if !leaderSetAside { // there is no leader, or it is a dispatcher that serves jobs
+			if !leaderDedicated { // there is no leader, or it is a dispatcher that serves jobs
 				affected = each.voterNumber == 1
 			}
 		case ZoneLost:
@@ -87,9 +87,9 @@
 	return names
 }
 
-// isSetAside reports whether a dispatcher is set aside.
-func (r *run) isSetAside(name string) bool {
-	return slices.ContainsFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == name && each.role == roleSetAside })
+// isDedicated reports whether a dispatcher is dedicated to control.
+func (r *run) isDedicated(name string) bool {
+	return slices.ContainsFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == name && each.role == roleDedicated })
 }
 
 // killAndRestart kills dispatchers and restarts them at the end of the fault, unless it has none. Probes of a lost zone are unanswered in
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -26,7 +26,7 @@
 	Teams         int     `hcl:"teams,optional"`
 	Dispatchers   int     `hcl:"dispatchers"`
 	Voters        int     `hcl:"seats"`
-	SetAside      int     `hcl:"set_aside,optional"`
+	Dedicated     int     `hcl:"set_aside,optional"`
 	Hollow        int     `hcl:"hollow,optional"`
 	Processes     int     `hcl:"processes,optional"` // one for each zone if left out
 	Bare          int     `hcl:"bare,optional"`
@@ -36,7 +36,7 @@
 
 	Changes *changesBlock `hcl:"changes,block"`
 	Faults  []faultBlock  `hcl:"fault,block"`
-	Slopes  []slopeBlock  `hcl:"slope,block"`
+	Sweeps  []sweepBlock  `hcl:"slope,block"`
 }
 
 // changesBlock is what changes during a run, and how often.
@@ -58,8 +58,8 @@
 	Region int    `hcl:"region,optional"` // counted from 1; the first if left out
 }
 
-// slopeBlock is a list of sizes that differ in one thing. Each is a run of its own.
-type slopeBlock struct {
+// sweepBlock is a list of sizes that differ in one thing. Each size is a run of its own; package fit calls the runs a sweep.
+type sweepBlock struct {
 	By    string `hcl:"by,label"` // dispatchers, workers, zones or changes
 	Sizes []int  `hcl:"of"`       // of changes: those within the measured span
 }
@@ -78,11 +78,11 @@
 	return f, nil
 }
 
-// plan returns the file's run, without its faults and slopes, and reports durations and rates that cannot be used.
+// plan returns the file's run, without its faults and sweeps, and reports durations and rates that cannot be used.
 func (f *File) plan(report reportFunc) Plan {
 	plan := Plan{
 		Title: f.Title, Regions: f.Regions, Zones: f.Zones, Workers: f.Workers, Accelerators: f.Accelerators, Teams: f.Teams,
-		Dispatchers: f.Dispatchers, Voters: f.Voters, SetAside: f.SetAside, Hollow: f.Hollow, Processes: f.Processes, Bare: f.Bare, Rate: f.Rate,
+		Dispatchers: f.Dispatchers, Voters: f.Voters, Dedicated: f.Dedicated, Hollow: f.Hollow, Processes: f.Processes, Bare: f.Bare, Rate: f.Rate,
 	}
 	if plan.Accelerators == 0 {
 		plan.Accelerators = plan.Workers
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -32,7 +32,7 @@
 
 	mu              sync.Mutex
 	effectiveStates []faults.EffectiveState
-	raftRole        raftRole
+	raftState       raftState
 	recorder        *failover.Recorder
 	random          *rand.Rand
 	reportedAt      time.Time // of the last report
@@ -73,7 +73,7 @@
 		ApplyEffective: dispatcher.applyEffective,
 		JobCounts:      dispatcher.jobCounts,
 		Meter:          dispatcher.meter,
-		Log:            slog.New(raftRoleHandler{log.With("hollow", dispatcher.name).Handler(), dispatcher}),
+		Log:            slog.New(raftStateHandler{log.With("hollow", dispatcher.name).Handler(), dispatcher}),
 	}
 	if s.spec.Failover != nil {
 		options.Failover = s.spec.Failover
@@ -120,11 +120,11 @@
 	return slices.Clone(d.effectiveStates)
 }
 
-// currentRaftRole returns the dispatcher's role in the raft group.
-func (d *hollowDispatcher) currentRaftRole() raftRole {
+// currentRaftState returns the dispatcher's state in the raft group.
+func (d *hollowDispatcher) currentRaftState() raftState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.raftRole
+	return d.raftState
 }
 
 // jobCounts returns the jobs that were reported as ended; none of them as bad.
--- a/internal/scale/hollowserver.go
+++ b/internal/scale/hollowserver.go
@@ -27,9 +27,9 @@
 
 // hollowCounts is what a process of hollow dispatchers has counted.
 type hollowCounts struct {
-	LateTicks []lateTick               `json:"late"`
-	Control   map[string]controlCounts `json:"each"`  // by dispatcher
-	Roles     map[string]raftRole      `json:"roles"` // by dispatcher; only of those that are voters
+	LateTicks  []lateTick               `json:"late"`
+	Control    map[string]controlCounts `json:"each"`  // by dispatcher
+	RaftStates map[string]raftState     `json:"roles"` // by dispatcher; only of those that are voters
 }
 
 // hollowServer runs the hollow dispatchers of a process.
@@ -118,11 +118,11 @@
 
 // counts returns what has been counted until now.
 func (s *hollowServer) counts() hollowCounts {
-	counts := hollowCounts{LateTicks: s.stalls.all(), Control: map[string]controlCounts{}, Roles: map[string]raftRole{}}
+	counts := hollowCounts{LateTicks: s.stalls.all(), Control: map[string]controlCounts{}, RaftStates: map[string]raftState{}}
 	for _, dispatcher := range s.dispatchers {
 		counts.Control[dispatcher.name] = dispatcher.meter.Counts()
-		if role := dispatcher.currentRaftRole(); role != (raftRole{}) {
-			counts.Roles[dispatcher.name] = role
+		if state := dispatcher.currentRaftState(); state != (raftState{}) {
+			counts.RaftStates[dispatcher.name] = state
 		}
 	}
 	return counts
--- a/internal/scale/jobs.go
+++ b/internal/scale/jobs.go
@@ -55,7 +55,7 @@
 
 // jobTargets returns the dispatchers that take jobs and run now.
 func (r *run) jobTargets() []dispatcher {
-	return slices.DeleteFunc(r.running(), func(each dispatcher) bool { return each.hollow || each.role == roleSetAside })
+	return slices.DeleteFunc(r.running(), func(each dispatcher) bool { return each.hollow || each.role == roleDedicated })
 }
 
 // sendJob sends a job and counts what becomes of it.
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -32,21 +32,21 @@
 	return nil
 }
 
-// layOutReal creates the real dispatchers: those set aside, then those that serve jobs, then the bare ones. The first of them are the
+// layOutReal creates the real dispatchers: those dedicated to control, then those that serve jobs, then the bare ones. The first of them are the
 // voters, which get the zones that the plan has for these.
 func (r *run) layOutReal() error {
 	var free []int
 	for listener := range r.plan.listeners() - 1 {
 		free = append(free, listener)
 	}
-	firstServing, firstBare := r.plan.SetAside, r.plan.SetAside+r.plan.Real()
+	firstServing, firstBare := r.plan.Dedicated, r.plan.Dedicated+r.plan.Real()
 	for i := range firstBare + r.plan.Bare {
 		added := &dispatcher{name: fmt.Sprint("n", i), role: roleServing}
 		switch {
 		case i >= firstBare:
 			added.role = roleBare
 		case i < firstServing:
-			added.role = roleSetAside
+			added.role = roleDedicated
 		}
 		zone := free[0] % r.plan.Zones
 		if i < r.plan.Voters {
--- a/internal/scale/peaks.go
+++ b/internal/scale/peaks.go
@@ -10,8 +10,8 @@
 
 // peaks returns the most bytes and milliseconds of processor time a second that a dispatcher of each role had over a window that ended between
 // two times.
-func (r *run) peaks(from, to time.Time) (bytes, cpuMS map[dispatcherRole]float64) {
-	bytes, cpuMS = map[dispatcherRole]float64{}, map[dispatcherRole]float64{}
+func (r *run) peaks(from, to time.Time) (bytes, cpuMS map[costRole]float64) {
+	bytes, cpuMS = map[costRole]float64{}, map[costRole]float64{}
 	first := 0
 	for last, end := range r.snapshots {
 		for first < last && end.at.Sub(r.snapshots[first+1].at) >= minPeakWindow {
@@ -37,7 +37,7 @@
 }
 
 // usageIn returns what a dispatcher used in a window, and its role: leader or voter if it was that at any time of the window.
-func usageIn(window []snapshot, each *dispatcher) (role dispatcherRole, bytes, cpuMS float64) {
+func usageIn(window []snapshot, each *dispatcher) (role costRole, bytes, cpuMS float64) {
 	role = each.role
 	for i, taken := range window {
 		if taken.leader == each.name {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -25,14 +25,14 @@
 	Teams        int     // accounts with quotas
 	Dispatchers  int     // that serve jobs, real and hollow
 	Voters       int     // of the raft group as it is founded
-	SetAside     int     // real dispatchers beside Dispatchers, for control alone; they are the first voters
+	Dedicated    int     // real dispatchers beside Dispatchers that are dedicated to control; they are the first voters
 	Hollow       int     // of Dispatchers
 	Processes    int     // of the hollow dispatchers
 	Bare         int     // real dispatchers beside Dispatchers that have no fleet
 	Rate         float64 // jobs a second, of all Dispatchers; a real or bare one gets its part, a hollow one reports it
 
 	ChangeInterval  time.Duration // between proposals of config versions; 0 for none
-	ChangesPerDay   float64       // that a day of the plan has
+	ChangesPerDay   float64       // that a day has in the operators' capacity plan
 	RestartInterval time.Duration // between restarts of a worker; 0 for none
 	DrainInterval   time.Duration // between drains of a worker, which then leaves for good; 0 for none
 	Fault           *Fault        // nil for none
@@ -49,7 +49,7 @@
 // Real returns the number of real dispatchers that serve jobs and belong to the fleet.
 func (p *Plan) Real() int { return p.Dispatchers - p.Hollow }
 
-// Packing returns how many times as often changes come as on a day of the plan; 0 without changes.
+// Packing returns how many times as often changes come as on a day of the operators' capacity plan; 0 without changes.
 func (p *Plan) Packing() float64 {
 	if p.ChangeInterval == 0 || p.ChangesPerDay == 0 {
 		return 0
@@ -67,7 +67,7 @@
 
 // listeners returns the number of dispatchers that the emulator plays workers and discovery for: one for each real dispatcher, and the last
 // one for all hollow ones.
-func (p *Plan) listeners() int { return p.SetAside + p.Real() + p.Bare + 1 }
+func (p *Plan) listeners() int { return p.Dedicated + p.Real() + p.Bare + 1 }
 
 // region returns the region of a zone, as the emulator assigns them.
 func (p *Plan) region(zone int) int { return zone * p.Regions / p.Zones }
@@ -146,7 +146,7 @@
 	if p.Voters != 1 && p.Voters != 3 && p.Voters != 5 {
 		report("seats", "There must be 1, 3 or 5.")
 	}
-	if p.SetAside < 0 || p.Voters > p.SetAside+p.Real() {
+	if p.Dedicated < 0 || p.Voters > p.Dedicated+p.Real() {
 		report("set_aside", "Seats need machines set aside, or real dispatchers.")
 	}
 	if p.Hollow < 0 || p.Hollow > p.Dispatchers {
--- a/internal/scale/point.go
+++ b/internal/scale/point.go
@@ -36,15 +36,15 @@
 		plan.Fault, plan.Span = &fault, max(plan.Span, fault.measuredSpan())
 		list.add(string(fault.Kind), plan)
 	}
-	for _, slope := range f.Slopes {
-		for _, size := range slope.Sizes {
-			if resized, ok := f.resized(slope.By, size); ok {
+	for _, sweep := range f.Sweeps {
+		for _, size := range sweep.Sizes {
+			if resized, ok := f.resized(sweep.By, size); ok {
 				plan := resized.seededPlan(seed)
 				list.add(fmt.Sprintf("d%d-w%d-z%d-c%d", plan.Dispatchers, plan.Workers, plan.Zones, plan.plannedChanges()), plan)
 			}
 		}
 	}
-	if len(f.Faults)+len(f.Slopes) == 0 {
+	if len(f.Faults)+len(f.Sweeps) == 0 {
 		list.add("", f.seededPlan(seed))
 	}
 }
--- a/internal/scale/raftrole.go
+++ b/internal/scale/raftstate.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// raftRole is a dispatcher's role in the raft group.
-type raftRole struct {
+// raftState is whether a dispatcher is a voter of the raft group, and leads it.
+type raftState struct {
 	Voter       bool      `json:"seated,omitempty"`
 	LeaderSince time.Time `json:"leads,omitzero"` // zero for no leader
 }
 
-// The log lines of the fleet agent from which a role is learned.
+// The log lines of the fleet agent from which a raftState is learned.
 const (
 	becameVoterMessage       = "became voter"
 	noLongerVoterMessage     = "no longer a voter"
@@ -21,46 +21,46 @@
 	leadsKey                 = "leads" // whether the dispatcher leads now
 )
 
-// raftRoleFromLog returns the role of a real dispatcher by the log of its process.
-func raftRoleFromLog(log string) raftRole {
-	role := raftRole{Voter: strings.LastIndex(log, `msg="`+becameVoterMessage+`" `) > strings.LastIndex(log, `msg="`+noLongerVoterMessage+`" `)}
+// raftStateFromLog returns the state of a real dispatcher by the log of its process.
+func raftStateFromLog(log string) raftState {
+	state := raftState{Voter: strings.LastIndex(log, `msg="`+becameVoterMessage+`" `) > strings.LastIndex(log, `msg="`+noLongerVoterMessage+`" `)}
 	leadershipChanged := `msg="` + leadershipChangedMessage + `" ` + leadsKey + "="
 	last := strings.LastIndex(log, leadershipChanged)
-	if last < 0 || !strings.HasPrefix(log[last:], leadershipChanged+"true") || !role.Voter {
-		return role
+	if last < 0 || !strings.HasPrefix(log[last:], leadershipChanged+"true") || !state.Voter {
+		return state
 	}
 	line := log[strings.LastIndexByte(log[:last], '\n')+1:]
 	timestamp, _, _ := strings.Cut(line, " ")
-	role.LeaderSince, _ = time.Parse(time.RFC3339Nano, strings.TrimPrefix(timestamp, "time=")) // zero, and so no leader, for any other text
-	return role
+	state.LeaderSince, _ = time.Parse(time.RFC3339Nano, strings.TrimPrefix(timestamp, "time=")) // zero, and so no leader, for any other text
+	return state
 }
 
-// raftRoleHandler is the log handler of a hollow dispatcher's agent. It records the role that the log lines tell.
-type raftRoleHandler struct {
+// raftStateHandler is the log handler of a hollow dispatcher's agent. It records the state that the log lines show.
+type raftStateHandler struct {
 	slog.Handler
 	dispatcher *hollowDispatcher
 }
 
 // Handle implements slog.Handler.
-func (h raftRoleHandler) Handle(ctx context.Context, record slog.Record) error {
-	h.dispatcher.recordRaftRole(record)
+func (h raftStateHandler) Handle(ctx context.Context, record slog.Record) error {
+	h.dispatcher.recordRaftState(record)
 	return h.Handler.Handle(ctx, record)
 }
 
-// recordRaftRole changes the recorded role as a log line says.
-func (d *hollowDispatcher) recordRaftRole(record slog.Record) {
+// recordRaftState changes the recorded state as a log line says.
+func (d *hollowDispatcher) recordRaftState(record slog.Record) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch record.Message {
 	case becameVoterMessage:
-		d.raftRole.Voter = true
+		d.raftState.Voter = true
 	case noLongerVoterMessage:
-		d.raftRole = raftRole{}
+		d.raftState = raftState{}
 	case leadershipChangedMessage:
-		d.raftRole.LeaderSince = time.Time{}
+		d.raftState.LeaderSince = time.Time{}
 		record.Attrs(func(attr slog.Attr) bool {
 			if attr.Key == leadsKey && attr.Value.Bool() {
-				d.raftRole.LeaderSince = record.Time
+				d.raftState.LeaderSince = record.Time
 			}
 			return true
 		})
@@ -75,8 +75,8 @@
 		if each.node == nil || each.role == roleBare {
 			continue
 		}
-		if role := raftRoleFromLog(each.node.Log()); role.LeaderSince.After(since) {
-			leader, since = each.name, role.LeaderSince
+		if state := raftStateFromLog(each.node.Log()); state.LeaderSince.After(since) {
+			leader, since = each.name, state.LeaderSince
 		}
 	}
 	r.mu.Lock()
--- a/internal/scale/realdispatcher.go
+++ b/internal/scale/realdispatcher.go
@@ -44,7 +44,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "council {\n fleet = %q\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n replace = %q\n region = %q\n zone = %q\n set_aside = %t\n voters = [",
 		fleetName, of.fleetAddress, of.voterNumber, filepath.Join(r.directory, "disk-"+of.name), r.plan.LeaseDuration, r.plan.ReplaceAfter,
-		regionName(region), zoneName(of.zone), of.role == roleSetAside)
+		regionName(region), zoneName(of.zone), of.role == roleDedicated)
 	for _, address := range r.voterAddresses {
 		fmt.Fprintf(&text, "%q, ", address)
 	}
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -26,7 +26,7 @@
 	Regions         int       `json:"regions"`
 	Teams           int       `json:"teams"`
 	Voters          int       `json:"seats"`
-	SetAside        int       `json:"set_aside"`
+	Dedicated       int       `json:"set_aside"`
 	Changes         int       `json:"changes"`
 
 	// Of control, each second: bytes of both directions, messages, milliseconds of processor time, and MiB of resident memory. Figures of
@@ -76,13 +76,13 @@
 	AnsweredNever     int       `json:"answered_never"`
 	LostWithProcess   int       `json:"lost_with_process"` // their dispatcher was killed
 
-	FellBehind    bool      `json:"fell_behind"` // the machine, and not the fleet, was the limit: the run does not count
-	FellBehindWhy string    `json:"fell_behind_why,omitempty"`
-	MachineBusy   float64   `json:"machine_busy"` // share of all cores' time
-	Interface     Interface `json:"interface"`
-	Rest          *Rest     `json:"rest,omitempty"`
-	Change        *Change   `json:"change,omitempty"`
-	Failures      []Failure `json:"failures,omitempty"`
+	FellBehind    bool        `json:"fell_behind"` // the machine, and not the fleet, was the limit: the run does not count
+	FellBehindWhy string      `json:"fell_behind_why,omitempty"`
+	MachineBusy   float64     `json:"machine_busy"` // share of all cores' time
+	Interface     Interface   `json:"interface"`
+	Rest          *Rest       `json:"rest,omitempty"`
+	Change        *Change     `json:"change,omitempty"`
+	FaultCosts    []FaultCost `json:"failures,omitempty"`
 }
 
 // Interface compares the bytes that the loopback interface carried with those that were counted. Headers of packets and the run's own polls
--- a/internal/scale/resulttext.go
+++ b/internal/scale/resulttext.go
@@ -13,14 +13,14 @@
 		r.VoterBytesMax, r.VoterCPUMax, r.VoterMemoryMax, r.LeaderBytes, r.LeaderCPU,
 		r.Changes, r.InForceP50MS, r.InForceP99MS, r.InForceP999MS, r.ContradictionMS, r.RulesBroken, r.Jobs, r.AnsweredOnce, r.AnsweredNever, r.LostWithProcess,
 		100*r.MachineBusy, r.Interface.CountedShare)
-	for i := range r.Failures {
-		text += "\n" + r.Failures[i].String()
+	for i := range r.FaultCosts {
+		text += "\n" + r.FaultCosts[i].String()
 	}
 	return text
 }
 
 // String returns the most important figures in two lines, as the lab prints them.
-func (f *Failure) String() string {
+func (f *FaultCost) String() string {
 	recovered := "never"
 	if f.RecoveredAfterS != nil {
 		recovered = fmt.Sprintf("after %.1f s", *f.RecoveredAfterS)
@@ -32,8 +32,8 @@
 }
 
 // rounded returns figures by role, rounded.
-func rounded(figures map[dispatcherRole]float64) map[dispatcherRole]int {
-	all := map[dispatcherRole]int{}
+func rounded(figures map[costRole]float64) map[costRole]int {
+	all := map[costRole]int{}
 	for role, figure := range figures {
 		all[role] = int(figure + 0.5)
 	}
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -70,8 +70,8 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", polled.name, err)
 	}
-	roles := map[string]raftRole{polled.name: raftRoleFromLog(polled.node.Log())}
-	return builder.addProcess(polled.node.Pid(), map[string]controlCounts{polled.name: parseVars(string(vars))}, roles, nil)
+	states := map[string]raftState{polled.name: raftStateFromLog(polled.node.Log())}
+	return builder.addProcess(polled.node.Pid(), map[string]controlCounts{polled.name: parseVars(string(vars))}, states, nil)
 }
 
 // pollHollow adds a hollow process.
@@ -80,20 +80,20 @@
 	if err := r.polls.getJSON(ctx, process.url(countsPath), &counts); err != nil {
 		return fmt.Errorf("hollow process: %w", err)
 	}
-	return builder.addProcess(process.command.Process.Pid, counts.Control, counts.Roles, counts.LateTicks)
+	return builder.addProcess(process.command.Process.Pid, counts.Control, counts.RaftStates, counts.LateTicks)
 }
 
-// addProcess adds the counts and roles of a process's dispatchers, and what the process has used.
-func (b *snapshotBuilder) addProcess(pid int, control map[string]controlCounts, roles map[string]raftRole, late []lateTick) error {
+// addProcess adds the counts and raft states of a process's dispatchers, and what the process has used.
+func (b *snapshotBuilder) addProcess(pid int, control map[string]controlCounts, states map[string]raftState, late []lateTick) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.snapshot.lateTicks = append(b.snapshot.lateTicks, late...)
-	for name, role := range roles {
-		if role.Voter {
+	for name, state := range states {
+		if state.Voter {
 			b.snapshot.voters[name] = true
 		}
-		if role.LeaderSince.After(b.leaderSince) {
-			b.snapshot.leader, b.leaderSince = name, role.LeaderSince
+		if state.LeaderSince.After(b.leaderSince) {
+			b.snapshot.leader, b.leaderSince = name, state.LeaderSince
 		}
 	}
 	usage, err := readProcessUsage(pid)
