--- a/cmd/brassdale-lab/demo.go
+++ b/cmd/brassdale-lab/demo.go
@@ -71,16 +71,16 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	var nodes []*emulator.Node
+	var processes []*emulator.DispatcherProcess
 	var targets []string
 	for number := range scenario.Dispatchers {
-		node, err := cluster.Start(ctx, binary, dir, number)
+		process, err := cluster.Start(ctx, binary, dir, number)
 		if err != nil {
 			return err
 		}
-		defer node.Kill()
-		nodes, targets = append(nodes, node), append(targets, node.Address)
-		fmt.Fprintf(out, "dispatcher %d: clients at %s, operators at http://%s/_vars\n", number, node.Address, node.Admin)
+		defer process.Kill()
+		processes, targets = append(processes, process), append(targets, process.Address)
+		fmt.Fprintf(out, "dispatcher %d: clients at %s, operators at http://%s/_vars\n", number, process.Address, process.Admin)
 	}
 	client, err := load.NewClient(load.HTTP1, scenario.Terms().Class, targets)
 	if err != nil {
@@ -98,9 +98,9 @@
 		select {
 		case result := <-ended:
 			fmt.Fprintln(out)
-			return endDemo(out, cluster, nodes, result)
+			return endDemo(out, cluster, processes, result)
 		case <-tick.C:
-			showLine(out, recent.line(cluster.Now()))
+			showLine(out, recent.line(cluster.Status()))
 		}
 	}
 }
@@ -118,16 +118,16 @@
 const stopWithin = 6 * time.Second
 
 // endDemo prints the figures of the load and stops the dispatchers. It is an error if one does not stop, or a rule was broken.
-func endDemo(out io.Writer, cluster *emulator.Cluster, nodes []*emulator.Node, result *load.Result) error {
+func endDemo(out io.Writer, cluster *emulator.Cluster, processes []*emulator.DispatcherProcess, result *load.Result) error {
 	if err := result.Figures().Table(out); err != nil {
 		return err
 	}
-	for number, node := range nodes {
-		if err := node.Stop(time.Now().Add(stopWithin)); err != nil {
-			return fmt.Errorf("dispatcher %d: %w\n%s", number, err, node.Log())
+	for number, process := range processes {
+		if err := process.Stop(time.Now().Add(stopWithin)); err != nil {
+			return fmt.Errorf("dispatcher %d: %w\n%s", number, err, process.Log())
 		}
 	}
-	return errors.Join(result.Usable(), reportStatus(out, cluster.Now()))
+	return errors.Join(result.Usable(), reportStatus(out, cluster.Status()))
 }
 
 // recentJobs collects the jobs that ended since the last line was made.
--- a/cmd/brassdale-lab/emulate.go
+++ b/cmd/brassdale-lab/emulate.go
@@ -69,9 +69,9 @@
 				fmt.Fprintf(out, "dispatcher %d: GW_CONFIG=%s bin/brassdale\n", number, path)
 			}
 			cluster.StartFaults()
-			fmt.Fprintf(out, "%d boxes, %d faults to come; Ctrl-C ends it\n", cluster.Now().Workers, len(scenario.Faults))
+			fmt.Fprintf(out, "%d boxes, %d faults to come; Ctrl-C ends it\n", cluster.Status().Workers, len(scenario.Faults))
 			<-command.Context().Done()
-			return reportStatus(out, cluster.Now())
+			return reportStatus(out, cluster.Status())
 		}}
 	command.Flags().StringVar(&dir, "dir", "works", "a folder for the dispatchers' files")
 	command.Flags().StringVar(&variant, "variant", "", "the variant to play (the first if left out)")
--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -23,7 +23,7 @@
 	addresses     []string // by dispatcher: where it listens for the fleet
 	directories   []string // by dispatcher
 	workers       []*testWorker
-	absences      map[int][]faults.Absence // by dispatcher: when its process was stopped or had ended
+	absences      map[int][]faults.Period // by dispatcher: when its process was stopped or had ended
 	voters        int
 	extraSettings func(index int) string // further lines of a dispatcher's block
 }
@@ -38,7 +38,7 @@
 // startFleetWith is startFleet with further lines of each dispatcher's block.
 func startFleetWith(t *testing.T, subnet, voters, followers int, extraSettings func(index int) string) *testFleet {
 	t.Helper()
-	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Absence{}}
+	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Period{}}
 	for i := range voters + followers {
 		listener := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", subnet, i+1)))
 		fleet.addresses = append(fleet.addresses, listener.Addr().String())
@@ -76,7 +76,7 @@
 
 // recordAbsence records that from now on what a dispatcher's log says no longer holds.
 func (f *testFleet) recordAbsence(index int) {
-	f.absences[index] = append(f.absences[index], faults.Absence{From: time.Now()})
+	f.absences[index] = append(f.absences[index], faults.Period{From: time.Now()})
 }
 
 // runFleetCommand runs a sub-command of 'fleet' at a dispatcher and returns its output and errors.
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -62,31 +62,31 @@
 	return delay, false
 }
 
-// DiscoveryCalls counts the polls of all dispatchers.
-type DiscoveryCalls struct {
+// PollCounts is how often all dispatchers polled discovery.
+type PollCounts struct {
 	Calls, Refused int
 	Max            int           // polls in any second
 	Longest        time.Duration // longest time in which a dispatcher had no poll open
 }
 
-// DiscoveryCalls returns the polls until now.
-func (c *Cluster) DiscoveryCalls() (calls DiscoveryCalls) {
+// PollCounts returns the counts until now.
+func (c *Cluster) PollCounts() (counts PollCounts) {
 	c.pollQueue.mu.Lock()
-	calls.Calls, calls.Refused = len(c.pollQueue.polledAt), c.pollQueue.rejected
+	counts.Calls, counts.Refused = len(c.pollQueue.polledAt), c.pollQueue.rejected
 	oldest := 0
 	for i, at := range c.pollQueue.polledAt {
 		for at.Sub(c.pollQueue.polledAt[oldest]) >= time.Second {
 			oldest++
 		}
-		calls.Max = max(calls.Max, i-oldest+1)
+		counts.Max = max(counts.Max, i-oldest+1)
 	}
 	c.pollQueue.mu.Unlock()
 	for _, server := range c.discoveryServers {
 		server.mu.Lock()
-		calls.Longest = max(calls.Longest, server.longestIdle)
+		counts.Longest = max(counts.Longest, server.longestIdle)
 		server.mu.Unlock()
 	}
-	return calls
+	return counts
 }
 
 // DiscoveryServer is discovery as one dispatcher reaches it.
@@ -149,9 +149,9 @@
 	return discovery, nil
 }
 
-// Present says that a dispatcher, by index, is being started or is ending. Polls of its earlier incarnations no longer count
+// SetPresent says that a dispatcher, by index, is being started or is ending. Polls of its earlier incarnations no longer count
 // towards the time without an open poll.
-func (c *Cluster) Present(dispatcher int, present bool) {
+func (c *Cluster) SetPresent(dispatcher int, present bool) {
 	server := c.discoveryServers[dispatcher]
 	server.mu.Lock()
 	defer server.mu.Unlock()
--- a/internal/emulator/dispatcherconfig.go
+++ b/internal/emulator/dispatcherconfig.go
@@ -76,8 +76,8 @@
 	return names
 }
 
-// Write writes a dispatcher's configuration file into a directory of its own in dir and returns the file's path.
-func (c *Cluster) Write(dir string, dispatcher int) (path string, err error) {
+// WriteConfig writes a dispatcher's configuration file into a directory of its own in dir and returns the file's path.
+func (c *Cluster) WriteConfig(dir string, dispatcher int) (path string, err error) {
 	config, err := c.Config(dispatcher)
 	if err != nil {
 		return "", err
--- a/internal/emulator/node.go
+++ b/internal/emulator/dispatcherprocess.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Node is a dispatcher's process.
-type Node struct {
+// DispatcherProcess is one start of a dispatcher's program. It is used after StartWith has returned it, when the addresses no longer change.
+type DispatcherProcess struct {
 	Address   string // of its listener for clients
 	Admin     string // of its admin API
 	cmd       *exec.Cmd
@@ -28,94 +28,94 @@
 }
 
 // Start starts the program of a dispatcher, by index, with a directory of its own in dir, and returns when it is ready.
-func (c *Cluster) Start(ctx context.Context, binary, dir string, dispatcher int, args ...string) (*Node, error) {
+func (c *Cluster) Start(ctx context.Context, binary, dir string, dispatcher int, args ...string) (*DispatcherProcess, error) {
 	return c.StartWith(ctx, binary, dir, dispatcher, nil, args...)
 }
 
 // StartWith is Start with environment variables in addition to the usual ones.
-func (c *Cluster) StartWith(ctx context.Context, binary, dir string, dispatcher int, env []string, args ...string) (*Node, error) {
-	path, err := c.Write(dir, dispatcher)
+func (c *Cluster) StartWith(ctx context.Context, binary, dir string, dispatcher int, env []string, args ...string) (*DispatcherProcess, error) {
+	path, err := c.WriteConfig(dir, dispatcher)
 	if err != nil {
 		return nil, err
 	}
-	c.Present(dispatcher, true)
-	node := &Node{cmd: exec.Command(binary, args...), ended: make(chan struct{}), ready: make(chan struct{})}
-	node.cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_ADMIN=127.0.0.1:0", "TMPDIR="+filepath.Dir(path))
-	node.cmd.Env = append(node.cmd.Env, env...)
-	stderr, err := node.cmd.StderrPipe()
+	c.SetPresent(dispatcher, true)
+	process := &DispatcherProcess{cmd: exec.Command(binary, args...), ended: make(chan struct{}), ready: make(chan struct{})}
+	process.cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_ADMIN=127.0.0.1:0", "TMPDIR="+filepath.Dir(path))
+	process.cmd.Env = append(process.cmd.Env, env...)
+	stderr, err := process.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := node.cmd.Start(); err != nil {
+	if err := process.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go node.follow(stderr)
+	go process.follow(stderr)
 	select {
-	case <-node.ready:
-		return node, nil
-	case <-node.ended:
-		return nil, fmt.Errorf("dispatcher %d ended before it was ready:\n%s", dispatcher, node.Log())
+	case <-process.ready:
+		return process, nil
+	case <-process.ended:
+		return nil, fmt.Errorf("dispatcher %d ended before it was ready:\n%s", dispatcher, process.Log())
 	case <-ctx.Done():
-		node.Kill()
+		process.Kill()
 		return nil, ctx.Err()
 	}
 }
 
 // follow reads the process's log to its end, and then waits for the process.
-func (n *Node) follow(stderr io.Reader) {
-	defer close(n.ended)
+func (p *DispatcherProcess) follow(stderr io.Reader) {
+	defer close(p.ended)
 	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
 		line := lines.Text()
-		n.mu.Lock()
-		n.log.WriteString(line + "\n")
-		for prefix, target := range map[string]*string{"front=inbound address=": &n.Address, "front=admin address=": &n.Admin} {
+		p.mu.Lock()
+		p.log.WriteString(line + "\n")
+		for prefix, target := range map[string]*string{"front=inbound address=": &p.Address, "front=admin address=": &p.Admin} {
 			if _, address, ok := strings.Cut(line, prefix); ok {
 				*target = address
 			}
 		}
-		n.mu.Unlock()
+		p.mu.Unlock()
 		if strings.Contains(line, "msg=ready") {
-			n.readyOnce.Do(func() { close(n.ready) })
+			p.readyOnce.Do(func() { close(p.ready) })
 		}
 	}
-	_ = n.cmd.Wait() // how it ended is in ProcessState
+	_ = p.cmd.Wait() // how it ended is in ProcessState
 }
 
 // Pid returns the process's id.
-func (n *Node) Pid() int { return n.cmd.Process.Pid }
+func (p *DispatcherProcess) Pid() int { return p.cmd.Process.Pid }
 
 // Log returns what the process has logged.
-func (n *Node) Log() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.log.String()
+func (p *DispatcherProcess) Log() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.log.String()
 }
 
 // Stop has the process shut down gracefully. It returns an error if the process has to be killed at the given time, or if its
 // exit code is not 0.
-func (n *Node) Stop(by time.Time) error {
-	_ = n.cmd.Process.Signal(syscall.SIGTERM) // fails only if it has ended
+func (p *DispatcherProcess) Stop(by time.Time) error {
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails only if it has ended
 	select {
-	case <-n.ended:
+	case <-p.ended:
 	case <-time.After(time.Until(by)):
-		n.Kill()
+		p.Kill()
 		return errors.New("it did not end")
 	}
-	if code := n.cmd.ProcessState.ExitCode(); code != 0 {
+	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
 		return fmt.Errorf("exit code %d", code)
 	}
 	return nil
 }
 
 // Signal sends the process a signal.
-func (n *Node) Signal(s os.Signal) error { return n.cmd.Process.Signal(s) }
+func (p *DispatcherProcess) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
 // Kill kills the process and waits for its end.
-func (n *Node) Kill() {
-	_ = n.cmd.Process.Kill() // fails only if it has ended
-	<-n.ended
+func (p *DispatcherProcess) Kill() {
+	_ = p.cmd.Process.Kill() // fails only if it has ended
+	<-p.ended
 }
 
 // Ended returns a channel that is closed when the process has ended.
-func (n *Node) Ended() <-chan struct{} { return n.ended }
+func (p *DispatcherProcess) Ended() <-chan struct{} { return p.ended }
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -86,14 +86,14 @@
 	defer func() { _ = os.RemoveAll(dir) }() // what cannot be removed is left to the system's cleaning
 	var targets []string
 	for dispatcher := range scenario.Dispatchers {
-		node, err := cluster.Start(ctx, binary, dir, dispatcher)
+		process, err := cluster.Start(ctx, binary, dir, dispatcher)
 		if err != nil {
 			return nil, err
 		}
-		defer node.Kill()
-		targets = append(targets, node.Address)
+		defer process.Kill()
+		targets = append(targets, process.Address)
 		go func() { // names a process that crashes; its jobs fail at the clients
-			<-node.Ended()
+			<-process.Ended()
 			cluster.sim.post(func() { cluster.sim.addNote("dispatcher %d ended", dispatcher) })
 		}()
 	}
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -134,7 +134,7 @@
 	time.Sleep(2 * socketSlack) // past the grace period
 	post(first, "two")
 	rules := map[string]int{}
-	for _, b := range cluster.Now().Breaches {
+	for _, b := range cluster.Status().Breaches {
 		rules[b.Rule]++
 	}
 	if rules[RuleRepeat] != 1 || rules[RuleDrain] != 1 {
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -17,9 +17,9 @@
 	Faulty                 int // workers with any fault in force
 }
 
-// Now returns the status as of a moment soon. Like the methods below, it waits for the engine and must not be called after
+// Status returns the status as of a moment soon. Like the methods below, it waits for the engine and must not be called after
 // Close.
-func (c *Cluster) Now() Status { return queryEngine(c.sim, c.sim.status) }
+func (c *Cluster) Status() Status { return queryEngine(c.sim, c.sim.status) }
 
 // queryEngine returns what get returns when the engine calls it.
 func queryEngine[T any](sim *simulation, get func() T) T {
@@ -66,13 +66,13 @@
 	return queryEngine(c.sim, func() []Breach { return slices.Clone(c.sim.audit.breaches) })
 }
 
-// Costs is when requests' first attempts, further attempts and probes were received, of all dispatchers, by the virtual clock.
-type Costs struct{ Firsts, Furthers, Probes []time.Duration }
+// ReceivedTimes is when requests' first attempts, further attempts and probes were received, of all dispatchers, by the simulation's clock.
+type ReceivedTimes struct{ Firsts, Furthers, Probes []time.Duration }
 
-// Spent returns the costs until now.
-func (c *Cluster) Spent() Costs {
-	return queryEngine(c.sim, func() Costs {
-		return Costs{slices.Clone(c.firstAttempts), slices.Clone(c.furtherAttempts), slices.Clone(c.probedAt)}
+// ReceivedTimes returns the times until now.
+func (c *Cluster) ReceivedTimes() ReceivedTimes {
+	return queryEngine(c.sim, func() ReceivedTimes {
+		return ReceivedTimes{slices.Clone(c.firstAttempts), slices.Clone(c.furtherAttempts), slices.Clone(c.probedAt)}
 	})
 }
 
--- a/internal/faults/agreement.go
+++ b/internal/faults/agreement.go
@@ -23,8 +23,8 @@
 		time.Sleep(agreementPollInterval)
 	}
 	for _, process := range r.processes {
-		if !process.lost && process.node.Signal(syscall.SIGQUIT) == nil {
-			<-process.node.Ended()
+		if !process.lost && process.lastStart.Signal(syscall.SIGQUIT) == nil {
+			<-process.lastStart.Ended()
 		}
 	}
 	r.result.addBreach("the fleet did not come to one version within 20 s of the last fault")
--- a/internal/faults/clients.go
+++ b/internal/faults/clients.go
@@ -73,9 +73,9 @@
 	ctx, cancel := context.WithDeadline(ctx, sentAt.Add(jobDeadline+answerSlack))
 	defer cancel()
 	r.mu.Lock()
-	node := process.node
+	target := process.lastStart
 	r.mu.Unlock()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s", node.Address, emulator.ClassName), strings.NewReader("drawing"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s", target.Address, emulator.ClassName), strings.NewReader("drawing"))
 	if err != nil {
 		return jobAnswer{}, err
 	}
--- a/internal/faults/cost.go
+++ b/internal/faults/cost.go
@@ -54,7 +54,7 @@
 		if r.plan.Voters > 0 {
 			status, _ = r.requestStatus(ctx, process) // the figures are 0 then
 		}
-		cpuMS, memoryMB := processStat(process.node.Pid())
+		cpuMS, memoryMB := processStat(process.lastStart.Pid())
 		total.processes = append(total.processes, processUsage{status.Counts.Calls, status.Counts.Served, cpuMS, status.ControlTraffic})
 		total.memoryMB += memoryMB / float64(len(r.processes))
 	}
--- a/internal/faults/effectivestate.go
+++ b/internal/faults/effectivestate.go
@@ -41,15 +41,16 @@
 	return !slices.ContainsFunc(s.Versions, func(version uint64) bool { return slices.Contains(other.Versions, version) })
 }
 
-// Absence is a time in which a process was stopped or did not run. To is zero while it lasts.
-type Absence struct{ From, To time.Time }
+// Period is a time in which a process was stopped, did not run or was cut off from others. From is zero if it has lasted since the start
+// of the run, To while it lasts.
+type Period struct{ From, To time.Time }
 
 // appliedVersions is the log line with which a dispatcher says what it acts on from now on.
 var appliedVersions = regexp.MustCompile(`msg="config version applied" versions="?\[([0-9 ]*)\]"? lease_expired=(true|false) at_ms=(\d+)`)
 
 // EffectiveStates reads what a process acted on from its log, which ends at the given time. A state ends early where an absence
 // begins; after the absence, the process acts on what it logs first.
-func EffectiveStates(log string, end time.Time, absences []Absence) []EffectiveState {
+func EffectiveStates(log string, end time.Time, absences []Period) []EffectiveState {
 	var states []EffectiveState
 	for _, match := range appliedVersions.FindAllStringSubmatch(log, -1) {
 		ms, err := strconv.ParseInt(match[3], 10, 64)
--- a/internal/faults/effectivestate_test.go
+++ b/internal/faults/effectivestate_test.go
@@ -15,13 +15,13 @@
 	a := line(0, "[1]", false) + line(500, "\"[1 2]\"", false) + line(900, "[2]", false)
 	for _, c := range []struct {
 		log                   string
-		absences              []Absence
+		absences              []Period
 		contradiction, lapsed int
 	}{
 		{line(0, "[1]", false), nil, 1100, 0},
 		{line(0, "[1]", false) + line(850, "\"[1 2]\"", false), nil, 0, 0},
 		{line(0, "[1]", false) + line(950, "[1]", true), nil, 50, 1050},
-		{line(0, "[1]", false) + line(1500, "[2]", false), []Absence{{at.Add(600 * time.Millisecond), at.Add(1500 * time.Millisecond)}}, 0, 0},
+		{line(0, "[1]", false) + line(1500, "[2]", false), []Period{{at.Add(600 * time.Millisecond), at.Add(1500 * time.Millisecond)}}, 0, 0},
 	} {
 		end := at.Add(2 * time.Second)
 		contradiction, lapsed := ContradictionTime([][]EffectiveState{EffectiveStates(a, end, nil), EffectiveStates(c.log, end, c.absences)})
--- a/internal/faults/event.go
+++ b/internal/faults/event.go
@@ -56,8 +56,8 @@
 	maxReorderDelay = 400 * time.Millisecond // of Reorder
 )
 
-// linkState returns the state of the links of the event's process during the event, for kinds that do not change it meanwhile.
-func (e *Event) linkState() LinkState {
+// duringEvent returns the state of the links of the event's process during the event, for kinds that do not change it meanwhile.
+func (e *Event) duringEvent() LinkState {
 	switch e.Kind {
 	case Cut:
 		return LinkState{CutTo: true, CutFrom: true}
--- a/internal/faults/faultinjection.go
+++ b/internal/faults/faultinjection.go
@@ -41,7 +41,7 @@
 	case ProposeTwice:
 		return r.proposeTwice(ctx)
 	default:
-		r.setLinks(process, event.linkState())
+		r.setLinks(process, event.duringEvent())
 		waitUntil(ctx, end)
 		r.setLinks(process, LinkState{})
 	}
@@ -51,19 +51,19 @@
 // freeze stops a process by SIGSTOP until a time.
 func (r *run) freeze(ctx context.Context, process *dispatcherProcess, end time.Time) error {
 	r.beginAbsence(process)
-	if err := process.node.Signal(syscall.SIGSTOP); err != nil {
+	if err := process.lastStart.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	waitUntil(ctx, end)
 	r.endAbsence(process)
-	return process.node.Signal(syscall.SIGCONT)
+	return process.lastStart.Signal(syscall.SIGCONT)
 }
 
 // kill kills a process.
 func (r *run) kill(process *dispatcherProcess) {
 	r.beginAbsence(process)
-	process.node.Kill()
-	process.earlierLog += process.node.Log()
+	process.lastStart.Kill()
+	process.earlierLog += process.lastStart.Log()
 }
 
 // killForGood kills a process that is not restarted.
--- a/internal/faults/link.go
+++ b/internal/faults/link.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// LinkState is what a link does to what goes over it. The zero value passes everything on.
+// LinkState is what a link does to what goes over it: TCP connections and UDP packets. Slow and Reorder are for TCP only. The zero value
+// passes everything on.
 type LinkState struct {
 	CutTo   bool          // nothing that the caller sends arrives
 	CutFrom bool          // nothing that the called process sends arrives
--- a/internal/faults/linkfaults.go
+++ b/internal/faults/linkfaults.go
@@ -37,7 +37,7 @@
 func (r *run) setLinks(process *dispatcherProcess, state LinkState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	process.linkState = state
+	process.ownLinkState = state
 	for ends, link := range r.links {
 		if ends.from == process.index || ends.to == process.index {
 			link.Set(r.combinedState(ends))
@@ -60,7 +60,7 @@
 
 // combinedState returns the state of a link under the faults of both of its ends. The caller holds r.mu.
 func (r *run) combinedState(ends linkEnds) LinkState {
-	from, to := r.processes[ends.from].linkState, r.processes[ends.to].linkState
+	from, to := r.processes[ends.from].ownLinkState, r.processes[ends.to].ownLinkState
 	partitioned := r.partitioned[ends.from] != r.partitioned[ends.to]
 	return LinkState{
 		CutTo:   partitioned || from.CutTo || to.CutFrom,
--- a/internal/faults/linkfaults_test.go
+++ b/internal/faults/linkfaults_test.go
@@ -21,7 +21,7 @@
 		{LinkState{}, LinkState{}, []int{1}, LinkState{CutTo: true, CutFrom: true}},
 		{LinkState{}, LinkState{}, []int{0, 1}, LinkState{}},
 	} {
-		r := &run{processes: []*dispatcherProcess{{index: 0, linkState: c.from}, {index: 1, linkState: c.to}}}
+		r := &run{processes: []*dispatcherProcess{{index: 0, ownLinkState: c.from}, {index: 1, ownLinkState: c.to}}}
 		r.partition(c.group)
 		if got := r.combinedState(linkEnds{0, 1}); got != c.want {
 			t.Errorf("%+v: %+v", c, got)
--- a/internal/faults/measurement.go
+++ b/internal/faults/measurement.go
@@ -11,7 +11,7 @@
 	result.EffectiveStates = r.effectiveStates()
 	for _, process := range r.processes {
 		result.Absences = append(result.Absences, process.absences)
-		result.Logs = append(result.Logs, process.earlierLog+process.node.Log()) // has the last log of a lost process twice
+		result.Logs = append(result.Logs, process.earlierLog+process.lastStart.Log()) // has the last log of a lost process twice
 	}
 	if r.plan.Voters > 0 {
 		r.addFleetRecord(ctx)
@@ -20,11 +20,11 @@
 		result.Zones = r.measureZones()
 	}
 	if r.plan.Overload != nil {
-		result.Overload = r.plan.Overload.measure(r.cluster.Spent(), r.plan.Processes, r.plan.Bound)
+		result.Overload = r.plan.Overload.measure(r.cluster.ReceivedTimes(), r.plan.Processes, r.plan.Bound)
 	}
 	contradiction, lapsed := ContradictionTime(result.EffectiveStates)
 	result.ContradictionMS, result.LapsedApartMS = milliseconds(contradiction), milliseconds(lapsed)
-	polls := r.cluster.DiscoveryCalls()
+	polls := r.cluster.PollCounts()
 	result.ListCalls, result.MaxListCalls, result.ListRefused, result.WatchGapMS = polls.Calls, polls.Max, polls.Refused, milliseconds(polls.Longest)
 	for _, breach := range r.cluster.Breaches() {
 		result.addBreach(breach.String())
--- a/internal/faults/overload.go
+++ b/internal/faults/overload.go
@@ -50,25 +50,25 @@
 
 // measure compares the attempts and probes of all processes with what the budgets allow in a window: their rate over the window, what may
 // be saved, and one use for each process. bound is the duration of a lease.
-func (o *Overload) measure(spent emulator.Costs, processes int, bound time.Duration) *OverloadResult {
+func (o *Overload) measure(received emulator.ReceivedTimes, processes int, bound time.Duration) *OverloadResult {
 	over := map[string]float64{}
 	seconds := overloadWindow.Seconds()
 	multiple := func(uses []time.Duration, at time.Duration, rate float64) float64 {
 		return countInWindow(uses, at) / (rate*(seconds+savedSeconds) + float64(processes))
 	}
-	for _, at := range spent.Furthers {
+	for _, at := range received.Furthers {
 		firstRate := 0.0
 		for back := time.Duration(0); back <= leasesBack*bound; back += bound / lookbacksALease {
-			firstRate = max(firstRate, countInWindow(spent.Firsts, at-back)/seconds)
+			firstRate = max(firstRate, countInWindow(received.Firsts, at-back)/seconds)
 		}
-		over["retries"] = max(over["retries"], multiple(spent.Furthers, at, max(o.Retries*firstRate, minRetries)))
+		over["retries"] = max(over["retries"], multiple(received.Furthers, at, max(o.Retries*firstRate, minRetries)))
 	}
-	for _, at := range spent.Probes {
+	for _, at := range received.Probes {
 		if o.Probes > 0 {
-			over["probes"] = max(over["probes"], multiple(spent.Probes, at, o.Probes))
+			over["probes"] = max(over["probes"], multiple(received.Probes, at, o.Probes))
 		}
 	}
-	return &OverloadResult{BudgetOver: over, Further: len(spent.Furthers), Probes: len(spent.Probes), Firsts: len(spent.Firsts)}
+	return &OverloadResult{BudgetOver: over, Further: len(received.Furthers), Probes: len(received.Probes), Firsts: len(received.Firsts)}
 }
 
 // countInWindow returns how many of the times are in the overloadWindow that ends at the given time.
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -21,12 +21,12 @@
 
 	files sync.Mutex // locked while the process is started or signalled about its files
 
-	// Guarded by run.mu. The event that is played on the process reads node without it, because no other changes it meanwhile.
-	node      *emulator.Node // its last start; nil before the first
-	absences  []Absence
-	absent    bool      // clients send it nothing
-	lost      bool      // it does not come back; its whole log is in earlierLog
-	linkState LinkState // what its events do to its links; "to" is what it sends
+	// Guarded by run.mu. The event that is played on the process reads lastStart without it, because no other changes it meanwhile.
+	lastStart    *emulator.DispatcherProcess // its last start; nil before the first
+	absences     []Period
+	absent       bool      // clients send it nothing
+	lost         bool      // it does not come back; its whole log is in earlierLog
+	ownLinkState LinkState // what its own events do to its links; "to" is what it sends
 
 	// Used by the event that is played on the process, and after all events.
 	earlierLog string   // of the starts that have ended
@@ -38,13 +38,13 @@
 	return &dispatcherProcess{index: index, address: address, dir: filepath.Join(dir, fmt.Sprintf("disk-%d", index))}
 }
 
-// stop kills the process, also if it is stopped by a signal.
-func (p *dispatcherProcess) stop() {
-	if p.node == nil {
+// killIfStarted kills the process, also if it is stopped by a signal.
+func (p *dispatcherProcess) killIfStarted() {
+	if p.lastStart == nil {
 		return
 	}
-	_ = p.node.Signal(syscall.SIGCONT) // fails only if it has ended
-	p.node.Kill()
+	_ = p.lastStart.Signal(syscall.SIGCONT) // fails only if it has ended
+	p.lastStart.Kill()
 }
 
 // log returns the process's log over all its starts.
@@ -52,12 +52,12 @@
 	if p.lost {
 		return p.earlierLog
 	}
-	return p.earlierLog + p.node.Log()
+	return p.earlierLog + p.lastStart.Log()
 }
 
 // wasAbsentAfter reports whether the process was or is absent at some time after the given one.
 func (p *dispatcherProcess) wasAbsentAfter(at time.Time) bool {
-	return slices.ContainsFunc(p.absences, func(absence Absence) bool { return absence.To.IsZero() || absence.To.After(at) })
+	return slices.ContainsFunc(p.absences, func(absence Period) bool { return absence.To.IsZero() || absence.To.After(at) })
 }
 
 // startProcess writes the process's operator file and starts it. It returns when the process is ready.
@@ -72,13 +72,13 @@
 	if process.index >= r.plan.Processes-r.plan.OlderBuilds {
 		env = append(env, "BRASSDALE_TEST_FORM=1")
 	}
-	node, err := r.cluster.StartWith(ctx, r.binary, r.dir, process.index, env, "serve", "--operator", path)
+	started, err := r.cluster.StartWith(ctx, r.binary, r.dir, process.index, env, "serve", "--operator", path)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	process.node, process.absent = node, false
+	process.lastStart, process.absent = started, false
 	return nil
 }
 
@@ -103,7 +103,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	process.absent = true
-	process.absences = append(process.absences, Absence{From: time.Now()})
+	process.absences = append(process.absences, Period{From: time.Now()})
 }
 
 // endAbsence records that a process continues or is restarted now.
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -79,10 +79,10 @@
 
 // restartGracefully ends a process by SIGTERM, while clients still send it jobs for some time, and starts it again.
 func (r *run) restartGracefully(ctx context.Context, process *dispatcherProcess) error {
-	r.cluster.Present(process.index, false)
+	r.cluster.SetPresent(process.index, false)
 	begin := time.Now()
 	process.files.Lock()
-	err := process.node.Signal(syscall.SIGTERM)
+	err := process.lastStart.Signal(syscall.SIGTERM)
 	process.files.Unlock()
 	if err != nil || !waitUntil(ctx, begin.Add(clientNoticeDelay)) {
 		return err
@@ -90,10 +90,10 @@
 	r.mu.Lock()
 	process.absent = true
 	r.mu.Unlock()
-	if err := process.node.Stop(begin.Add(shutdownTimeout)); err != nil {
+	if err := process.lastStart.Stop(begin.Add(shutdownTimeout)); err != nil {
 		return fmt.Errorf("process %d: %w", process.index, err)
 	}
-	process.earlierLog += process.node.Log()
+	process.earlierLog += process.lastStart.Log()
 	if err := r.startProcess(ctx, process); err != nil {
 		return err
 	}
@@ -122,10 +122,10 @@
 func (r *run) reload(process *dispatcherProcess) error {
 	process.files.Lock()
 	defer process.files.Unlock()
-	if _, err := r.cluster.Write(r.dir, process.index); err != nil {
+	if _, err := r.cluster.WriteConfig(r.dir, process.index); err != nil {
 		return err
 	}
-	if err := process.node.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) {
+	if err := process.lastStart.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
 	return nil
--- a/internal/faults/result.go
+++ b/internal/faults/result.go
@@ -38,7 +38,7 @@
 	WatchGapMS      float64         `json:"watch_gap_max_ms,omitempty"` // longest time in which a process that was present had no poll open
 
 	EffectiveStates [][]EffectiveState `json:"-"` // by process
-	Absences        [][]Absence        `json:"-"` // by process
+	Absences        [][]Period         `json:"-"` // by process
 	Events          []Event            `json:"-"` // that were played
 	Begin           time.Time          `json:"-"` // when the run began; times of events count from here
 	Logs            []string           `json:"-"` // by process, over all its starts
--- a/internal/faults/run.go
+++ b/internal/faults/run.go
@@ -102,7 +102,7 @@
 		link.Close()
 	}
 	for _, process := range r.processes {
-		process.stop()
+		process.killIfStarted()
 	}
 }
 
--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -26,7 +26,7 @@
 	r.addTraffic(result, measured.before, measured.after)
 	r.addUsage(result, measured.before, measured.after)
 	checkMachine(result, measured.before, measured.after)
-	result.WorkerProbes = len(r.cluster.Spent().Probes)
+	result.WorkerProbes = len(r.cluster.ReceivedTimes().Probes)
 	if r.plan.Fault == nil {
 		result.Interface = compareInterface(measured.before, measured.after)
 	}
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -25,7 +25,7 @@
 	roleLeader    costRole = "leader"
 )
 
-// dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields from node on.
+// dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields from process on.
 type dispatcher struct {
 	name         string
 	role         costRole // roleServing, roleDedicated or roleBare
@@ -35,13 +35,13 @@
 	voterNumber  int // counted from 1, among the voters of the founded raft group; 0 for no voter
 	listener     int // of a real one: its index in the emulator
 
-	node            *emulator.Node          // of a real one that runs
-	hollowProcess   *hollowProcess          // of a hollow one that runs
-	earlierLogs     string                  // of a real one: of its ended processes
-	earlierStates   []faults.EffectiveState // of a hollow one: of its ended processes
-	effectiveStates []faults.EffectiveState // of a hollow one: of its process, as they were fetched last
-	absences        []faults.Absence        // while it was not running
-	partitions      []faults.Absence        // while it was running and cut off from other regions
+	process         *emulator.DispatcherProcess // of a real one that runs
+	hollowProcess   *hollowProcess              // of a hollow one that runs
+	earlierLogs     string                      // of a real one: of its ended processes
+	earlierStates   []faults.EffectiveState     // of a hollow one: of its ended processes
+	effectiveStates []faults.EffectiveState     // of a hollow one: of its process, as they were fetched last
+	absences        []faults.Period             // while it was not running; a successor's first has no From
+	partitions      []faults.Period             // while it was running and cut off from other regions
 }
 
 // absent reports whether the dispatcher was killed and has not come back. It is called before and after the measured
@@ -79,8 +79,8 @@
 		return append(slices.Clone(d.earlierStates), d.effectiveStates...)
 	}
 	log := d.earlierLogs
-	if d.node != nil {
-		log += d.node.Log()
+	if d.process != nil {
+		log += d.process.Log()
 	}
 	return faults.EffectiveStates(log, time.Now(), d.absences)
 }
@@ -91,7 +91,7 @@
 	defer r.mu.Unlock()
 	var all []dispatcher
 	for _, each := range r.dispatchers {
-		if each.node != nil || each.hollowProcess != nil {
+		if each.process != nil || each.hollowProcess != nil {
 			all = append(all, *each)
 		}
 	}
--- a/internal/scale/faultcost.go
+++ b/internal/scale/faultcost.go
@@ -120,6 +120,8 @@
 func (r *run) recoveredFrom(h *history, version uint64, from time.Time) (time.Time, bool) {
 	next, ok := h.leasedOn(version, from)
 	for _, absence := range h.dispatcher.absences {
+		// A successor is absent since the start of the run (From is zero) until it starts in place of another. It is to run from then on, as
+		// is a dispatcher that DispatchersRestarted kills. In any other absence a dispatcher is not to run: its machine is lost.
 		shouldRun := absence.From.IsZero() || r.plan.Fault.Kind == DispatchersRestarted
 		if shouldRun || !absence.To.IsZero() && !absence.To.After(from) {
 			continue
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -115,17 +115,17 @@
 	var kills []func() error
 	r.mu.Lock()
 	for _, each := range r.dispatchers {
-		if !slices.Contains(names, each.name) || each.node == nil && each.hollowProcess == nil {
+		if !slices.Contains(names, each.name) || each.process == nil && each.hollowProcess == nil {
 			continue
 		}
-		each.absences = append(each.absences, faults.Absence{From: now})
-		if node := each.node; node != nil {
-			each.node = nil
+		each.absences = append(each.absences, faults.Period{From: now})
+		if process := each.process; process != nil {
+			each.process = nil
 			kills = append(kills, func() error {
-				node.Kill()
+				process.Kill()
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				each.earlierLogs += node.Log()
+				each.earlierLogs += process.Log()
 				return nil
 			})
 			continue
@@ -203,7 +203,7 @@
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == predecessor })
 	successor := &dispatcher{name: name, role: roleServing, hollow: true, zone: r.dispatchers[i].zone}
-	successor.absences = []faults.Absence{{To: time.Now()}} // from the start of the run
+	successor.absences = []faults.Period{{To: time.Now()}} // from the start of the run
 	return successor, r.addDispatcher(successor)
 }
 
@@ -228,7 +228,7 @@
 		switch {
 		case !slices.Contains(names, each.name):
 		case cut:
-			each.partitions = append(each.partitions, faults.Absence{From: now})
+			each.partitions = append(each.partitions, faults.Period{From: now})
 		default:
 			each.partitions[len(each.partitions)-1].To = now
 		}
--- a/internal/scale/history.go
+++ b/internal/scale/history.go
@@ -11,9 +11,9 @@
 type history struct {
 	dispatcher      *dispatcher
 	effectiveStates []faults.EffectiveState
-	unreached       []faults.Absence // absences and partitions, until it had applied the newest version again
-	returnTimesMS   []float64        // from the end of an absence or partition until it had applied the newest version
-	missed          int              // absences and partitions after which it did not
+	unreached       []faults.Period // absences and partitions, until it had applied the newest version again
+	returnTimesMS   []float64       // from the end of an absence or partition until it had applied the newest version
+	missed          int             // absences and partitions after which it did not
 }
 
 // histories returns the histories of all dispatchers but bare ones. It is called after the run.
@@ -24,8 +24,8 @@
 			continue
 		}
 		h := &history{dispatcher: each, effectiveStates: r.statesOf(each)}
-		for _, absence := range slices.Concat(each.absences, each.partitions) {
-			h.addAbsence(absence, r.newestVersionAt(absence.To))
+		for _, period := range slices.Concat(each.absences, each.partitions) {
+			h.addUnreached(period, r.newestVersionAt(period.To))
 		}
 		all = append(all, h)
 	}
@@ -43,18 +43,18 @@
 	return newest
 }
 
-// addAbsence adds an absence or partition. newest is the newest version at its end.
-func (h *history) addAbsence(absence faults.Absence, newest uint64) {
-	if !absence.To.IsZero() {
-		appliedAt, ok := h.leasedOn(newest, absence.To)
+// addUnreached adds an absence or partition. newest is the newest version at its end.
+func (h *history) addUnreached(period faults.Period, newest uint64) {
+	if !period.To.IsZero() {
+		appliedAt, ok := h.leasedOn(newest, period.To)
 		if ok {
-			h.returnTimesMS = append(h.returnTimesMS, milliseconds(appliedAt.Sub(absence.To)))
+			h.returnTimesMS = append(h.returnTimesMS, milliseconds(appliedAt.Sub(period.To)))
 		} else {
 			h.missed++
 		}
-		absence.To = appliedAt
+		period.To = appliedAt
 	}
-	h.unreached = append(h.unreached, absence)
+	h.unreached = append(h.unreached, period)
 }
 
 // leasedOn returns when the dispatcher first had a lease and applied a version, or a newer one, alone, counted from a time; zero and false for
@@ -85,8 +85,8 @@
 // part of the time until then.
 func (h *history) inForceAt(change acceptedChange) (at time.Time, ok, unreached bool) {
 	at, ok = h.firstAppliedAt(change)
-	unreached = slices.ContainsFunc(h.unreached, func(absence faults.Absence) bool {
-		return (absence.To.IsZero() || absence.To.After(change.at)) && (!ok || absence.From.Before(at))
+	unreached = slices.ContainsFunc(h.unreached, func(period faults.Period) bool {
+		return (period.To.IsZero() || period.To.After(change.at)) && (!ok || period.From.Before(at))
 	})
 	return at, ok, unreached
 }
--- a/internal/scale/jobs.go
+++ b/internal/scale/jobs.go
@@ -60,11 +60,11 @@
 
 // sendJob sends a job and counts what becomes of it.
 func (r *run) sendJob(ctx context.Context, client *http.Client, target dispatcher, number int, team string) {
-	err := r.requestJob(ctx, client, target.node.Address, number, team)
+	err := r.requestJob(ctx, client, target.process.Address, number, team)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobCounts.sent++
-	restarted := slices.ContainsFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == target.name && each.node != target.node })
+	restarted := slices.ContainsFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == target.name && each.process != target.process })
 	switch {
 	case err == nil:
 		r.jobCounts.answered++
--- a/internal/scale/raftstate.go
+++ b/internal/scale/raftstate.go
@@ -72,10 +72,10 @@
 func (r *run) currentLeader() string {
 	leader, since := "", time.Time{}
 	for _, each := range r.running() {
-		if each.node == nil || each.role == roleBare {
+		if each.process == nil || each.role == roleBare {
 			continue
 		}
-		if state := raftStateFromLog(each.node.Log()); state.LeaderSince.After(since) {
+		if state := raftStateFromLog(each.process.Log()); state.LeaderSince.After(since) {
 			leader, since = each.name, state.LeaderSince
 		}
 	}
--- a/internal/scale/realdispatcher.go
+++ b/internal/scale/realdispatcher.go
@@ -28,13 +28,13 @@
 		args = append(args, "--operator", path)
 	}
 	environment := []string{"GW_CONFIG=" + config}
-	node, err := r.cluster.StartWith(ctx, r.options.DispatcherProgram, r.directory, started.listener, environment, args...)
+	process, err := r.cluster.StartWith(ctx, r.options.DispatcherProgram, r.directory, started.listener, environment, args...)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	started.node = node
+	started.process = process
 	return nil
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -197,8 +197,8 @@
 // closeAll ends all processes and links, and idle connections.
 func (r *run) closeAll() {
 	for _, each := range r.running() {
-		if each.node != nil {
-			each.node.Kill()
+		if each.process != nil {
+			each.process.Kill()
 		}
 	}
 	for _, process := range r.runningHollowProcesses() {
@@ -219,8 +219,8 @@
 			continue
 		}
 		text := each.earlierLogs
-		if each.node != nil {
-			text += each.node.Log()
+		if each.process != nil {
+			text += each.process.Log()
 		}
 		if err := os.WriteFile(filepath.Join(r.options.LogDir, each.name+".log"), []byte(text), 0o644); err != nil {
 			return err
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -66,12 +66,12 @@
 
 // pollReal adds a real dispatcher. It is polled at its admin API, whose traffic is no part of control.
 func (r *run) pollReal(ctx context.Context, builder *snapshotBuilder, polled dispatcher) error {
-	vars, err := r.polls.get(ctx, "http://"+polled.node.Admin+"/_vars")
+	vars, err := r.polls.get(ctx, "http://"+polled.process.Admin+"/_vars")
 	if err != nil {
 		return fmt.Errorf("%s: %w", polled.name, err)
 	}
-	states := map[string]raftState{polled.name: raftStateFromLog(polled.node.Log())}
-	return builder.addProcess(polled.node.Pid(), map[string]controlCounts{polled.name: parseVars(string(vars))}, states, nil)
+	states := map[string]raftState{polled.name: raftStateFromLog(polled.process.Log())}
+	return builder.addProcess(polled.process.Pid(), map[string]controlCounts{polled.name: parseVars(string(vars))}, states, nil)
 }
 
 // pollHollow adds a hollow process.
