--- a/internal/experiment/draw.go
+++ b/internal/experiment/draw.go
@@ -58,7 +58,7 @@
 		name  string
 		merit func(Standing) float64
 	}{
-		{"module", func(s Standing) float64 { return s.Module.Mean }},
+		{"module", func(s Standing) float64 { return s.Scheduler.Mean }},
 		{"best plain", func(s Standing) float64 { return s.Best.Mean }},
 	} {
 		var values plotter.Values
@@ -75,7 +75,7 @@
 	}
 	var names []string
 	for _, standing := range all {
-		names = append(names, strings.ReplaceAll(standing.Work, "-", "\n"))
+		names = append(names, strings.ReplaceAll(standing.Deployment, "-", "\n"))
 	}
 	chart.NominalX(names...)
 	chart.Legend.Top = true
--- a/internal/experiment/overview.go
+++ b/internal/experiment/overview.go
@@ -17,8 +17,8 @@
 
 // Standing compares the scheduler with the plain policy that has the highest merit at a deployment.
 type Standing struct {
-	Work       string  // the deployment
-	Module     Summary // the scheduler's merit
+	Deployment string  // the deployment
+	Scheduler  Summary // the scheduler's merit
 	Best       Summary // the plain policy's merit
 	Plain      string  // the plain policy's variant
 	Difference Summary // the scheduler's merit less the plain policy's, seed by seed
@@ -50,15 +50,15 @@
 		if len(names) == 0 {
 			continue
 		}
-		module := byVariant[names[0]]
-		standing := Standing{Work: deployment.Name, Module: summarizeMerit(module)}
-		for _, row := range module {
+		scheduled := byVariant[names[0]]
+		standing := Standing{Deployment: deployment.Name, Scheduler: summarizeMerit(scheduled)}
+		for _, row := range scheduled {
 			standing.Broken += len(row.Breaches)
 		}
 		for _, name := range names[1:] {
 			if summary := summarizeMerit(byVariant[name]); standing.Plain == "" || summary.Mean > standing.Best.Mean {
 				standing.Plain, standing.Best = name, summary
-				standing.Difference, _ = Difference(byVariant[name], module, merit)
+				standing.Difference, _ = Difference(byVariant[name], scheduled, merit)
 			}
 		}
 		all = append(all, standing)
@@ -75,7 +75,7 @@
 		if standing.Behind() {
 			mark = "behind"
 		}
-		fmt.Fprintf(table, "%s\t%d\t%.3f ±%.3f\t%.3f ±%.3f\t%s\t%+.3f ±%.3f\t%.3f\t%d\t%s\t\n", standing.Work, standing.Module.N, standing.Module.Mean, standing.Module.Half,
+		fmt.Fprintf(table, "%s\t%d\t%.3f ±%.3f\t%.3f ±%.3f\t%s\t%+.3f ±%.3f\t%.3f\t%d\t%s\t\n", standing.Deployment, standing.Scheduler.N, standing.Scheduler.Mean, standing.Scheduler.Half,
 			standing.Best.Mean, standing.Best.Half, standing.Plain, standing.Difference.Mean, standing.Difference.Half, standing.Margin(), standing.Broken, mark)
 	}
 	return table.Flush()
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -37,7 +37,7 @@
 	for _, standing := range Standings(deployments) {
 		// Two seeds say little of the noise: the margin is that of the stored six-seed runs, at most 0.05.
 		if standing.Difference.Mean < -0.05 {
-			t.Errorf("%s: %.3f, %s %.3f", standing.Work, standing.Module.Mean, standing.Plain, standing.Best.Mean)
+			t.Errorf("%s: %.3f, %s %.3f", standing.Deployment, standing.Scheduler.Mean, standing.Plain, standing.Best.Mean)
 		}
 	}
 }
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -87,6 +87,8 @@
 	if err != nil || !waitUntil(ctx, begin.Add(clientNoticeDelay)) {
 		return err
 	}
+	// This is no beginAbsence: clients send no further jobs, but a process that shuts down answers those that it has, and a missing answer
+	// must count.
 	r.mu.Lock()
 	process.absent = true
 	r.mu.Unlock()
--- a/internal/fleet/effective.go
+++ b/internal/fleet/effective.go
@@ -51,6 +51,7 @@
 	state := fmt.Sprint(a.lessee.Record().Epoch, effective.Versions, effective.LeaseExpired)
 	if state != a.appliedState {
 		a.appliedState = state
+		// internal/faults reads this line (effectivestate.go), with its keys in this order, and so does internal/scale.
 		a.log.Info("config version applied", "versions", fmt.Sprint(effective.Versions), "lease_expired", effective.LeaseExpired,
 			"at_ms", time.Now().UnixMilli())
 		a.options.ApplyEffective(effective)
@@ -70,6 +71,7 @@
 		return
 	}
 	a.appliedPlan = state
+	// internal/faults reads this line (zonesresult.go), with its keys in this order.
 	a.log.Info("failover plan applied", "number", number, "expired", expired, "at_ms", time.Now().UnixMilli())
 	a.options.PlanChanged(plan, expired)
 }
--- a/internal/fleet/leadership.go
+++ b/internal/fleet/leadership.go
@@ -25,6 +25,7 @@
 		a.leadership = a.newLeadershipLocked()
 	}
 	a.mu.Unlock()
+	// internal/scale reads this line (raftstate.go), with leads as its first key.
 	a.log.Info("leadership changed", "leads", leads)
 	wake(a.stateChanged)
 }
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -164,6 +164,7 @@
 	a.mu.Lock()
 	a.voter = own
 	a.mu.Unlock()
+	// internal/scale reads this line (raftstate.go).
 	a.log.Info("became voter", "voter_id", id)
 	go a.relayRequests(ctx, own)
 	go func() {
@@ -191,6 +192,7 @@
 	if reason == reasonShutdown {
 		return
 	}
+	// internal/scale reads this line (raftstate.go).
 	a.log.Info("no longer a voter", "voter_id", own.id(), "reason", reason)
 	if err := os.Remove(raftlog.Path(a.settings.Directory, own.id())); err != nil {
 		a.log.Warn("voter file not removed", "err", err)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -103,6 +103,7 @@
 	if in.predecessor != nil {
 		in.predecessor.peer.Notify(protocol.HandoverMessage{Serving: true, Relay: d.relayPath})
 	}
+	// internal/emulator reads this line and the two of "listening" (dispatcherprocess.go), with address after front.
 	d.log.Info("ready", "name", in.config.Name)
 	return failed, nil
 }
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -134,13 +134,14 @@
 	return d.claimedJobs, 0
 }
 
-// Probing as the module of package scheduler does: each worker gets one probe a second from each of probersPerWorker dispatchers. If there are
-// more workers than allProbedWorkers, a dispatcher probes maxProbedWorkers of them, once a second.
+// How often a hollow dispatcher probes, about as package scheduler does: each worker gets one probe a second from each of probersPerWorker
+// dispatchers (maxProbers and probeInterval there). If there are more workers than allProbedWorkers, a dispatcher probes maxProbedWorkers of
+// them, once a second: a real one's subset depends on its jobs (chooseSubset), which a hollow one does not have.
 const (
-	allProbedWorkers = 512
-	maxProbedWorkers = 32
-	probersPerWorker = 2
-	probeInterval    = 250 * time.Millisecond
+	allProbedWorkers   = 512
+	maxProbedWorkers   = 32
+	probersPerWorker   = 2
+	budgetPollInterval = 250 * time.Millisecond // between two times at which due probes are taken from the budget
 )
 
 // probesPerSecondOf returns how many probes a second a dispatcher of the spec would send.
@@ -156,13 +157,13 @@
 func (d *hollowDispatcher) probeWorkers(ctx context.Context, server *hollowServer) {
 	rate := probesPerSecondOf(&server.spec)
 	zones := slices.Sorted(maps.Keys(server.spec.Capacity))
-	for due := 0.0; ; due += rate * probeInterval.Seconds() {
+	for due := 0.0; ; due += rate * budgetPollInterval.Seconds() {
 		for ; due >= 1; due-- {
 			if d.agent.AllowUse(fleet.ProbeBudget) {
 				d.recordProbe(zones, server.observed())
 			}
 		}
-		if !sleepUntil(ctx, time.Now().Add(probeInterval)) {
+		if !sleepUntil(ctx, time.Now().Add(budgetPollInterval)) {
 			return
 		}
 	}
@@ -208,14 +209,17 @@
 	return &report
 }
 
-// Delays of calls to discovery, as routing.EndpointList has them.
+// Delays of calls to discovery. They are simpler than a real dispatcher's, whose calls package polling schedules (polling.Schedule) and whose
+// scheduler decides when the list is polled anew (pollDelay in package scheduler); maxFirstCallDelay and maxRetryDelay are equal to its
+// maxFirstPollDelay and MaxListRetryDelay.
 const (
 	firstCallSpread   = 50 * time.Millisecond // for each dispatcher, of the time over which their first calls are spread
 	maxFirstCallDelay = 3 * time.Second
 	maxRetryDelay     = 900 * time.Millisecond // after a failed call
 )
 
-// watchEndpoints calls discovery as routing.EndpointList does until the context ends, and discards the endpoints.
+// watchEndpoints calls discovery until the context ends, and discards the endpoints. Between calls that succeed it waits as a real dispatcher
+// does (polling.RewatchDelay).
 func (d *hollowDispatcher) watchEndpoints(ctx context.Context, settings *protocol.LiveSettings) {
 	first := rand.Float64() * float64(settings.Current().ReplicasOfMe) * firstCallSpread.Seconds()
 	delay, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), polling.FullList
--- a/internal/scale/realdispatcher.go
+++ b/internal/scale/realdispatcher.go
@@ -27,7 +27,7 @@
 		}
 		args = append(args, "--operator", path)
 	}
-	environment := []string{"GW_CONFIG=" + config}
+	environment := []string{"GW_CONFIG=" + config} // replaces StartWith's own: of two values of a variable the last counts
 	process, err := r.cluster.StartWith(ctx, r.options.DispatcherProgram, r.directory, started.listener, environment, args...)
 	if err != nil {
 		return err
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -38,7 +38,8 @@
 	beganAt        time.Time     // of the measured span
 	proposeNow     chan struct{} // holds a value when a proposal is to be made at once
 
-	// mu guards the fields below while the measured span is played. Before and after it only one goroutine uses them.
+	// mu guards the fields below from startAll, which starts dispatchers in parallel, to the end of the measured span. Before and after, only
+	// one goroutine uses them. The goroutine of injectFault reads dispatchers without it, as no other adds to them.
 	mu                     sync.Mutex
 	dispatchers            []*dispatcher
 	hollowProcesses        []*hollowProcess // that run
@@ -51,7 +52,7 @@
 
 const (
 	startTimeout      = 60 * time.Second       // until all dispatchers have leases
-	settleTimeout     = 12 * time.Second       // after the measured span, until all have applied the last change
+	applyTimeout      = 12 * time.Second       // after the measured span, until all have applied the newest version
 	statePollInterval = 200 * time.Millisecond // while awaiting a state of all dispatchers
 	snapshotInterval  = time.Second            // in runs with a fault
 )
@@ -100,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.awaitNewestVersion(ctx, time.Now().Add(settleTimeout)) // the result has the changes that were not applied
+	r.awaitNewestVersion(ctx, time.Now().Add(applyTimeout)) // the result has the changes that were not applied
 	if err := r.fetchHollowStates(ctx); err != nil {
 		return nil, err
 	}
@@ -168,7 +169,7 @@
 		return measured, err
 	}
 	if r.plan.Fault != nil && r.plan.ChangeInterval > 0 {
-		proposer.proposeAfterFault(ctx, time.Now().Add(settleTimeout))
+		proposer.proposeAfterFault(ctx, time.Now().Add(applyTimeout))
 	}
 	return measured, nil
 }
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -269,6 +269,8 @@
 		slices.SortFunc(attempts, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
 		for i, last := range attempts {
 			meanCapacity := overloadMultiple * warmupFactor(last.FirstByteAt.Sub(change.At)) * workerSlots * overloadWindow.Seconds() / jobTime.Seconds()
+			// The requests in a window vary by chance, with a standard deviation of about the square root of their mean. Two of these, and two
+			// requests, are allowed for it, and three of each where the mean is small, as the distribution is skewed there.
 			budget := meanCapacity + 2*math.Sqrt(meanCapacity) + 2
 			if meanCapacity < 30 {
 				budget = meanCapacity + 3*math.Sqrt(meanCapacity) + 3
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -34,12 +34,12 @@
 	ReplicaLag           EventKind = "lag"            // a replica of discovery shows an old list, at each call or at every other
 	MoveToLaggingReplica EventKind = "lagging-move"   // a worker starts draining, and a new configuration names a replica that lags
 	DelayedAnswers       EventKind = "slow-answers"   // answers of discovery are delayed, each by another time, so that they overtake each other
-	DiscoveryMoves       EventKind = "moves"          // several new configurations in a row, and a worker starts draining between them
+	DiscoveryMoveSeries  EventKind = "moves"          // several new configurations in a row, and a worker starts draining between them
 )
 
 // EventKinds lists all kinds.
 var EventKinds = []EventKind{Drain, Join, Restart, WorkerHangs, WorkerResets, WorkerReadsLate, FaultyCalls, SilentWatches, DiscoveryDown, DiscoveryMove, Reload,
-	ProcessPauses, Terminate, Kill, IdleClients, ClientsLeave, ClockStep, ReplicaLag, MoveToLaggingReplica, DelayedAnswers, DiscoveryMoves}
+	ProcessPauses, Terminate, Kill, IdleClients, ClientsLeave, ClockStep, ReplicaLag, MoveToLaggingReplica, DelayedAnswers, DiscoveryMoveSeries}
 
 // CallFault is what discovery does with a call in place of answering it.
 type CallFault string
@@ -64,7 +64,7 @@
 	Calls    []CallFault   // for FaultyCalls: the next three
 	Step     time.Duration // for ClockStep; how old the list is for ReplicaLag and MoveToLaggingReplica; the longest delay for DelayedAnswers
 	Flaps    bool          // for ReplicaLag: only every other call shows the old list
-	Worker   int           // that starts draining, for MoveToLaggingReplica and DiscoveryMoves
+	Worker   int           // that starts draining, for MoveToLaggingReplica and DiscoveryMoveSeries
 }
 
 // String returns the event as a timeline shows it.
@@ -136,8 +136,8 @@
 // drawEvent draws what an event of a kind needs, and adds the event to the plan.
 func (p *Plan) drawEvent(rng *rand.Rand, event Event) {
 	kind := event.Kind
-	if p.ListsPushed && needsDiscoveryReplicas(kind) {
-		event.Kind = Reload
+	if p.ListsPushed && needsPolledLists(kind) {
+		event.Kind = Reload // what its kind needs is drawn all the same, so that later draws do not depend on ListsPushed
 	}
 	switch kind {
 	case Join:
@@ -156,7 +156,7 @@
 		event.Target = rng.IntN(p.Dispatchers)
 		event.Step = time.Duration(1+rng.IntN(maxReplicaLagMS)) * time.Millisecond
 		event.Flaps = rng.IntN(2) == 0
-	case MoveToLaggingReplica, DiscoveryMoves:
+	case MoveToLaggingReplica, DiscoveryMoveSeries:
 		event.Target = rng.IntN(p.Dispatchers)
 		event.Worker = rng.IntN(p.Workers)
 		event.Step = time.Duration(1+rng.IntN(maxReplicaLagMS)) * time.Millisecond
@@ -169,11 +169,11 @@
 	p.Events = append(p.Events, event)
 }
 
-// needsDiscoveryReplicas reports whether a kind of event makes sense only where lists are polled. After a move to another agent the
+// needsPolledLists reports whether a kind of event makes sense only where lists are polled. After a move to another agent the
 // platform counts its list later, which the audit does not know.
-func needsDiscoveryReplicas(kind EventKind) bool {
+func needsPolledLists(kind EventKind) bool {
 	switch kind {
-	case ReplicaLag, MoveToLaggingReplica, DiscoveryMoves, DelayedAnswers, DiscoveryMove:
+	case ReplicaLag, MoveToLaggingReplica, DiscoveryMoveSeries, DelayedAnswers, DiscoveryMove:
 		return true
 	}
 	return false
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -155,7 +155,7 @@
 const (
 	idleClientCount   = 800 // connections of IdleClients
 	workerRestartTime = 300 * time.Millisecond
-	minReadyShare     = 2 // one of so many workers must stay ready
+	minReadyDivisor   = 2 // at least the plan's workers divided by this must stay ready
 )
 
 // playEvent plays an event until it is over.
@@ -232,7 +232,7 @@
 		r.drainWorker(event.Worker)
 		time.Sleep(event.Duration / 4)
 		return process.moveToReplica(event.Step, time.Now().Add(event.Duration))
-	case DiscoveryMoves:
+	case DiscoveryMoveSeries:
 		return r.moveDiscoveryRepeatedly(event)
 	}
 	return nil
@@ -248,25 +248,25 @@
 		}
 	}
 	r.discovery.mu.Unlock()
-	if ready > max(r.plan.Workers/minReadyShare, 1) {
+	if ready > max(r.plan.Workers/minReadyDivisor, 1) {
 		r.discovery.setPhase(r.worker(number), phaseLeaving, false)
 	}
 }
 
-// movesInARow is how many new configurations DiscoveryMoves brings.
-const movesInARow = 4
+// movesInSeries is how many new configurations DiscoveryMoveSeries brings.
+const movesInSeries = 4
 
 // moveDiscoveryRepeatedly brings several new configurations, each with another address of discovery; a worker starts draining in the
 // middle.
 func (r *run) moveDiscoveryRepeatedly(event Event) error {
-	for i := range movesInARow {
-		if i == movesInARow/2 {
+	for i := range movesInSeries {
+		if i == movesInSeries/2 {
 			r.drainWorker(event.Worker)
 		}
 		if err := r.dispatchers[event.Target].moveDiscovery(); err != nil {
 			return err
 		}
-		time.Sleep(event.Duration / movesInARow)
+		time.Sleep(event.Duration / movesInSeries)
 	}
 	return nil
 }
