--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -130,7 +130,8 @@
 	after  snapshot // at its end
 }
 
-// measure plays the measured span: jobs, changes and the fault.
+// measure plays the measured span: jobs from its start, then the part without changes (measureRest), then the changes and the fault. In a
+// plan with neither changes nor Rest, the part without changes is the whole span, so that a fault begins only after it.
 func (r *run) measure(ctx context.Context) (measured measurement, err error) {
 	r.cluster.StartFaults()
 	if measured.before, err = r.takeSnapshot(ctx); err != nil {
@@ -143,13 +144,8 @@
 	defer background.Wait()
 	defer stop()
 	background.Go(func() { r.sendJobs(spanCtx, end) })
-	if r.plan.Rest > 0 || r.plan.ChangeInterval == 0 {
-		if !sleepUntil(ctx, r.beganAt.Add(cmp.Or(r.plan.Rest, r.plan.Span))) {
-			return measured, ctx.Err()
-		}
-		if measured.rested, err = r.takeSnapshot(ctx); err != nil {
-			return measured, err
-		}
+	if measured.rested, err = r.measureRest(ctx); err != nil {
+		return measured, err
 	}
 	proposer := newProposer(r)
 	if r.plan.ChangeInterval > 0 {
@@ -174,6 +170,18 @@
 	return measured, nil
 }
 
+// measureRest waits until the part without changes is over, and returns the snapshot at its end. That part is the plan's Rest at the start of
+// the span; without changes, it is the whole span if Rest is 0. If there is no such part, measureRest returns a zero snapshot at once.
+func (r *run) measureRest(ctx context.Context) (snapshot, error) {
+	if r.plan.Rest == 0 && r.plan.ChangeInterval > 0 {
+		return snapshot{}, nil
+	}
+	if !sleepUntil(ctx, r.beganAt.Add(cmp.Or(r.plan.Rest, r.plan.Span))) {
+		return snapshot{}, ctx.Err()
+	}
+	return r.takeSnapshot(ctx)
+}
+
 // sleepUntil sleeps until a time, and returns false if the context ends before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
