--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -15,7 +15,8 @@
 )
 
 // maxPollInterval is the age that a dispatcher's endpoint list may reach while it has no watch open: an older change counts as
-// notified.
+// notified. It is the value of askWithin in the configuration that the emulator writes. The platform counts a dispatcher as notified after
+// 6 s (polling.NotificationDeadline), which package soak audits; the emulator's audit allows 4 s more.
 const maxPollInterval = 10 * time.Second
 
 // Calls limits the polls of all dispatchers together, on sockets.
--- a/internal/emulator/faultinjection.go
+++ b/internal/emulator/faultinjection.go
@@ -11,7 +11,7 @@
 // scheduleFaults schedules the scenario's faults, from now.
 func (sim *simulation) scheduleFaults() {
 	for i, fault := range sim.scenario.Faults {
-		sim.after(fault.At, func() { sim.applyFault(fault, sim.randomSource(uint64(10+i))) })
+		sim.after(fault.At, func() { sim.applyFault(fault, sim.randomSource(uint64(firstFaultSource+i))) })
 	}
 }
 
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -9,12 +9,13 @@
 
 // Status is the state of a cluster's workers, and the breaches until now.
 type Status struct {
-	Since                  time.Duration // time since the start
-	Workers, Up, WarmingUp int
-	Slots, Busy, Waiting   int // of workers that are up
-	Sends, Probes          int
-	Breaches               []Breach
-	Faulty                 int // workers with any fault in force
+	Since                time.Duration // time since the start
+	Workers              int           // of the scenario, also those that are down or have left
+	Up, WarmingUp        int           // workers; those that warm up are up
+	Slots, Busy, Waiting int           // of workers that are up
+	Sends, Probes        int
+	Breaches             []Breach
+	Faulty               int // workers with any fault in force
 }
 
 // Status returns the status as of a moment soon. Like the methods below, it waits for the engine and must not be called after
--- a/internal/faults/operatorfile.go
+++ b/internal/faults/operatorfile.go
@@ -5,7 +5,9 @@
 	"strings"
 )
 
-// The processes' places, in turn by index, over which the raft group's voters are spread.
+// The processes' places for the raft group, which spreads its voters over regions and zones. Processes get a region and a zone in turn by
+// index, each for itself: neither number divides the other, so that neighbours differ in both and six processes have six places. They are
+// not the zones of a ZonePlan, which are the emulator's.
 const (
 	fleetRegions = 2
 	fleetZones   = 3
--- a/internal/faults/result.go
+++ b/internal/faults/result.go
@@ -16,7 +16,7 @@
 	Jobs            int             `json:"jobs"`
 	AnsweredOnce    int             `json:"answered_once"`
 	AnsweredNever   int             `json:"answered_never"`
-	AnsweredTwice   int             `json:"answered_twice"`
+	AnsweredTwice   int             `json:"answered_twice"`    // always 0: a client reads one answer, and the field is for readers of result files
 	LostWithProcess int             `json:"lost_with_process"` // without an answer because their process was absent meanwhile
 	Refused         int             `json:"refused"`           // of those answered once
 	RulesBroken     int             `json:"rules_broken"`
@@ -44,7 +44,7 @@
 	Logs            []string           `json:"-"` // by process, over all its starts
 }
 
-// Bad reports whether a rule or the bound was broken, or a job was not answered exactly once.
+// Bad reports whether a rule or the bound was broken, or a job was not answered.
 func (r *Result) Bad() bool {
 	return r.RulesBroken > 0 || r.ContradictionMS > r.BoundMS || r.AnsweredNever > 0 || r.AnsweredTwice > 0
 }
--- a/internal/faults/run.go
+++ b/internal/faults/run.go
@@ -85,8 +85,9 @@
 	return nil
 }
 
-// freeAddress returns an address for the fleet listener of a process. Each run has IP addresses of its own: otherwise the system
-// could give the port of a voter that was killed to a connection of another run before the voter is restarted.
+// freeAddress returns an address for the fleet listener of a process. The IP addresses follow from the process ID of the program that plays
+// the run, so that other programs' runs rarely share them: otherwise the system could give the port of a voter that was killed to a
+// connection of another run before the voter is restarted. Runs that one program plays at the same time do share them.
 func freeAddress(process int) (string, error) {
 	const usable = 250 // numbers in a byte of an address
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.88.%d.%d:0", os.Getpid()%usable+1, process%usable+1))
--- a/internal/hcldiag/hcldiag.go
+++ b/internal/hcldiag/hcldiag.go
@@ -14,7 +14,7 @@
 // FileError is an error that names all that is wrong with a file.
 type FileError hcl.Diagnostics
 
-// Error returns a line for each fault: file, line, column and what is wrong.
+// Error returns a line for each mistake: file, line, column and what is wrong.
 func (f FileError) Error() string {
 	var lines []string
 	for _, diagnostic := range f {
@@ -28,7 +28,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// At returns a fault at a place. The detail is formatted as by fmt.Sprintf.
+// At returns a mistake at a place. The detail is formatted as by fmt.Sprintf.
 func At(place hcl.Range, summary, format string, args ...any) *hcl.Diagnostic {
 	return &hcl.Diagnostic{
 		Severity: hcl.DiagError,
@@ -39,7 +39,7 @@
 }
 
 // Decode decodes the text of a file into a struct with hcl tags, and calls check, where it could be decoded, for what gohcl
-// cannot find. path is the file's name in the error, which is Faults.
+// cannot find. path is the file's name in the error, which is a FileError.
 func Decode(text []byte, path string, into any, check func(*hclsyntax.Body) hcl.Diagnostics) error {
 	parsed, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	if !diags.HasErrors() {
--- a/internal/inject/trace.go
+++ b/internal/inject/trace.go
@@ -20,7 +20,7 @@
 	Rules  []Rule
 	Seed   uint64
 	Calm   func() bool              // while it returns true nothing fails; nil for never
-	Began  func(pid int)            // the program runs under this number
+	Began  func(pid int)            // called when the program runs under this process ID; must not be nil
 	Failed func(call string, n int) // so many calls of the kind have failed by now; nil for nobody
 
 	counts map[string]int
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -129,8 +129,8 @@
 	if job.Subject != "" {
 		header.Set("Cookie", "user="+job.Subject)
 	}
-	if job.Work != "" {
-		header.Set("Req-Extra", job.Work)
+	if job.Extra != "" {
+		header.Set("Req-Extra", job.Extra)
 	}
 	if attempt > 0 {
 		header.Set("Req-Retry", "1")
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -13,7 +13,7 @@
 	Account string
 	Subject string // what it is about; empty for none
 	Key     string // idempotency key; empty for a new one
-	Work    string // value of the Req-Extra header, as in a trace; empty for none
+	Extra   string // value of the Req-Extra header, as in a trace; empty for none
 }
 
 // Source returns a plan's jobs in the order of their times, and false after the last.
@@ -52,6 +52,6 @@
 type Retry struct {
 	Max              int           // retries of a job
 	Share            float64       // of the clients that retry
-	Wait             time.Duration // before a retry, unless Honour applies
+	Wait             time.Duration // before a retry, unless HonourRetryAfter applies
 	HonourRetryAfter bool          // wait as the Retry-After of the rejection says, if it has one
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -126,7 +126,7 @@
 			t.Fatalf("%d jobs and error %v", len(jobs), err)
 		}
 		for i, j := range jobs {
-			if j.At < 0 || i > 0 && j.At < jobs[i-1].At || strings.ContainsAny(j.Key+j.Subject+j.Account+j.Work, "\r\n") {
+			if j.At < 0 || i > 0 && j.At < jobs[i-1].At || strings.ContainsAny(j.Key+j.Subject+j.Account+j.Extra, "\r\n") {
 				t.Fatalf("job %d: %+v", i, j)
 			}
 		}
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -62,7 +62,7 @@
 		if len(known) > 0 && !known[record.Account] {
 			return fmt.Errorf("line %d: unknown account %q", line, record.Account)
 		}
-		jobs = append(jobs, Job{At: at, Account: record.Account, Subject: record.Subject, Key: record.Key, Work: record.Extra})
+		jobs = append(jobs, Job{At: at, Account: record.Account, Subject: record.Subject, Key: record.Key, Extra: record.Extra})
 		return nil
 	}
 	var err error
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -23,7 +23,7 @@
 	Failures    []string `hcl:"failures,optional"` // rules for internal/inject; a third of the runs uses one of them
 }
 
-// Load reads and checks a scenario file. An error is a hcldiag.FileError: every fault with file, line and column.
+// Load reads and checks a scenario file. An error is a hcldiag.FileError: every mistake with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse reads and checks the text of a scenario. path is its name in errors.
@@ -35,33 +35,33 @@
 	return f, nil
 }
 
-// check returns the faults that the HCL decoder does not find.
+// check returns the mistakes that the HCL decoder does not find.
 func (f *File) check(body *hclsyntax.Body) (diags hcl.Diagnostics) {
-	addFault := func(attribute, format string, a ...any) {
+	addMistake := func(attribute, format string, a ...any) {
 		diags = append(diags, hcldiag.At(hcldiag.Place(body, attribute), "Bad "+attribute, format, a...))
 	}
 	for name, limits := range map[string][]int{"dispatchers": f.Dispatchers, "workers": f.Workers} {
 		if len(limits) != 2 || limits[0] < 1 || limits[1] < limits[0] || limits[1] > 16 {
-			addFault(name, "It is [least, most], from 1 to 16.")
+			addMistake(name, "It is [least, most], from 1 to 16.")
 		}
 	}
 	if span, err := time.ParseDuration(f.Span); err != nil || span < quietStart+quietEnd+time.Second || span > time.Hour {
-		addFault("span", "It is a time of %v to an hour.", quietStart+quietEnd+time.Second)
+		addMistake("span", "It is a time of %v to an hour.", quietStart+quietEnd+time.Second)
 	}
 	if every, err := time.ParseDuration(f.Every); err != nil || every < 50*time.Millisecond {
-		addFault("every", "It is a time of 50ms or more.")
+		addMistake("every", "It is a time of 50ms or more.")
 	}
 	if !(f.Rate > 0) || f.Rate > 1000 {
-		addFault("rate", "It is over 0 and 1000 at the most.")
+		addMistake("rate", "It is over 0 and 1000 at the most.")
 	}
 	for _, event := range f.Events {
 		if !slices.Contains(EventKinds, EventKind(event)) {
-			addFault("events", "There are no events %q.", event)
+			addMistake("events", "There are no events %q.", event)
 		}
 	}
 	for _, rules := range f.Failures {
 		if _, err := inject.ParseRules(rules); err != nil {
-			addFault("failures", "%v.", err)
+			addMistake("failures", "%v.", err)
 		}
 	}
 	return diags
