--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -115,7 +115,13 @@
 // FaultKind is a kind of fault.
 type FaultKind uint8
 
-// The kinds of faults. Share counts only for those of workers, Size and the zones only where they are mentioned.
+// The kinds of faults. Share counts only for those of workers, Size and the zones only where they are mentioned. To add one:
+//   - A fault of workers: beginFault and endFault in faultinjection.go, and Faulty of Status. Without a case nothing happens, and nothing
+//     reports that: applyFault takes each kind that it does not name for a fault of workers.
+//   - Any other: applyFault; isZoneFault and applyZoneFault for zones; check if it needs a Size; needsVirtualTime if sockets do not model it.
+//   - Its name in files: faultKindNames of package experiment, zoneFaults of package faults.
+//
+// What a fault draws depends on its index in the scenario alone, so a further kind changes no draw.
 const (
 	Freeze     FaultKind = iota // accepts jobs and probes and answers nothing; continues afterwards
 	Silent                      // answers probes and starts no job
@@ -213,7 +219,7 @@
 
 // check returns an error that says what the fault lacks in a scenario with so many zones.
 func (f *Fault) check(zones int) error {
-	sized, zoned := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == Far, f.Kind >= ZoneLost
+	sized, zoned := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == Far, isZoneFault(f.Kind)
 	switch {
 	case sized && f.Size <= 0:
 		return errors.New("needs a size")
@@ -225,6 +231,9 @@
 	return nil
 }
 
+// isZoneFault reports whether a kind is a fault of a zone.
+func isZoneFault(kind FaultKind) bool { return kind == ZoneLost || kind == Apart || kind == Far }
+
 // needsVirtualTime reports whether the scenario uses what is modelled in virtual time only.
 func (s *Scenario) needsVirtualTime() bool {
 	hasTrafficFault := slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Burst || f.Kind == HeavyTail })
--- a/internal/faults/event.go
+++ b/internal/faults/event.go
@@ -5,7 +5,11 @@
 // EventKind is the kind of an event, as scenario files name it.
 type EventKind string
 
-// The kinds that are drawn. Each is a fault of one process.
+// The kinds that are drawn. Each is a fault of one process. To add one:
+//   - Append it to DrawnEventKinds. A file without faults draws from all of these, so that each of its seeds then has other events.
+//   - playEvent in faultinjection.go: what happens; or duringEvent, if it only changes the state of links. Without either nothing happens,
+//     and nothing reports that.
+//   - Draw, if voters are to be spared.
 const (
 	Cut         EventKind = "cut"      // its links to all others are cut in both directions
 	OneWayCut   EventKind = "one-way"  // nothing that it sends arrives; reversed: nothing arrives at it
@@ -20,7 +24,7 @@
 	ClockDrift  EventKind = "pace"     // it is killed, and restarted with a clock that is as fast as the fleet tolerates; reversed: as slow
 )
 
-// The kinds that are played only as a scenario's events.
+// The kinds that are played only as a scenario's events. One more goes into scriptedKinds and playEvent.
 const (
 	Partition     EventKind = "split"   // a group of processes and the rest cannot reach each other
 	KillForGood   EventKind = "gone"    // a process gets SIGKILL and is not restarted
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -5,7 +5,12 @@
 // FaultKind is what fails in a run. Its text is its name in files and results.
 type FaultKind string
 
-// The kinds of faults.
+// The kinds of faults. To add one:
+//   - faultKinds and check; fault in file.go for the attributes that its block may have.
+//   - affectedBy and injectFault in faultinjection.go: which dispatchers it affects, and what happens to them. Without a case in affectedBy
+//     it affects none; without one in injectFault its dispatchers are killed and restarted.
+//   - workerFaults in scenario.go: the emulator's part.
+//   - recoveredFrom in faultcost.go: whether dispatchers that it kills are to run again.
 const (
 	VoterLost            FaultKind = "seat"     // the machine of the leader is lost, or that of the first voter if no dedicated dispatcher leads
 	ZoneLost             FaultKind = "zone"     // a zone's workers, voters and dispatchers are lost
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -12,7 +12,13 @@
 // EventKind is the kind of an event, as scenario files name it.
 type EventKind string
 
-// The kinds of events.
+// The kinds of events. To add one:
+//   - Append it to EventKinds. A file without events draws from all of these, so that each of its seeds then has other events.
+//   - drawEvent: what is drawn for it. Without a case it gets a dispatcher as its target.
+//   - needsPolledLists: whether it makes sense only where lists are polled.
+//   - playEvent, and playWorkerEvent, playDiscoveryEvent or playDispatcherEvent in run.go: what happens. Without a case nothing does, and
+//     nothing reports that.
+//   - Audit, if it changes what the rules allow.
 const (
 	Drain                EventKind = "drain"          // a worker starts draining and stays up
 	Join                 EventKind = "join"           // a worker joins and warms up
