--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -3,7 +3,8 @@
 // scenario gives the same events on any machine. The same model of workers and discovery also runs on loopback sockets, by
 // the real clock, for real dispatchers.
 //
-// It is a model, not a measurement of real workers. Each part's comment says what it leaves out.
+// It is a model, not a measurement of real workers. Each part's comment says what it leaves out. Package soak, which breaks connections and
+// answers on purpose, and the tests of cmd/brassdale, which decide each answer, have stand-ins for workers and discovery of their own.
 package emulator
 
 import (
--- a/internal/faults/plan.go
+++ b/internal/faults/plan.go
@@ -30,7 +30,7 @@
 	ReplaceVoterAfter time.Duration // how long a voter may be silent before it is replaced; 0 for the fleet's default
 	Events            []Event       // played if Kinds is empty
 	Zones             *ZonePlan     // nil for the zones of the reference scenario, without failover
-	Overload          *Overload     // nil for none
+	Overload          *Overload     // nil for none; tests set it, files cannot
 	OlderBuilds       int           // so many of the last processes are of an older build
 }
 
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -38,11 +38,11 @@
 	Fault           *Fault        // nil for none
 
 	// SkipWorkerProbes has real dispatchers probe no worker: a run without jobs then has nothing on the loopback interface that is not
-	// counted, as probes and jobs are no part of control and go over connections of their own.
+	// counted, as probes and jobs are no part of control and go over connections of their own. Tests set it; files cannot.
 	SkipWorkerProbes bool
-	// HollowBare is the number of hollow dispatchers that have no fleet. They share a process of their own.
+	// HollowBare is the number of hollow dispatchers that have no fleet. They share a process of their own. Only ComparisonPlans sets it.
 	HollowBare int
-	// CountLinks has calls to voters of other regions go over links without faults, and counts what these carry.
+	// CountLinks has calls to voters of other regions go over links without faults, and counts what these carry. Tests set it; files cannot.
 	CountLinks bool
 }
 
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,5 +1,10 @@
 // Package soak runs real dispatcher processes on loopback against stand-ins for clients, workers and discovery, injects faults drawn
 // from a seed, and checks the rules of the protocol on what these peers recorded. It knows nothing of how a dispatcher decides.
+//
+// Its stand-ins are not those of package emulator, which model the time that workers need and answer each call as the protocol says. These
+// break the protocol's connections and answers on purpose, byte by byte: halves of answers, resets, replicas with old lists, calls that
+// overtake each other. They also record each request by its bytes, for the audit. The tests of cmd/brassdale have a third kind, by which a
+// test decides each answer.
 package soak
 
 import (
