--- a/internal/faults/cost.go
+++ b/internal/faults/cost.go
@@ -2,12 +2,9 @@
 
 import (
 	"context"
-	"fmt"
-	"os"
-	"strconv"
-	"strings"
 	"time"
 
+	"brassdale/internal/labsupport"
 	"brassdale/internal/traffic"
 )
 
@@ -41,56 +38,22 @@
 	control map[string]traffic.Count // by kind
 }
 
-const (
-	ticksPerSecond = 100 // of the kernel's clock in /proc
-	bytesPerMB     = 1 << 20
-)
-
 // measureUsage returns what the processes have used until now. A figure that cannot be read is 0.
 func (r *run) measureUsage(ctx context.Context) *usage {
-	total := &usage{at: time.Now(), interfaceBytes: loopbackBytes()}
+	loopback, _ := labsupport.ReadLoopbackUsage() // 0 then
+	total := &usage{at: time.Now(), interfaceBytes: loopback.Bytes}
 	for _, process := range r.processes {
 		var status fleetStatus
 		if r.plan.Voters > 0 {
 			status, _ = r.requestStatus(ctx, process) // the figures are 0 then
 		}
-		cpuMS, memoryMB := processStat(process.lastStart.Pid())
-		total.processes = append(total.processes, processUsage{status.Counts.Calls, status.Counts.Served, cpuMS, status.ControlTraffic})
-		total.memoryMB += memoryMB / float64(len(r.processes))
+		used, _ := labsupport.ReadProcessUsage(process.lastStart.Pid()) // likewise
+		total.processes = append(total.processes, processUsage{status.Counts.Calls, status.Counts.Served, used.CPUMS, status.ControlTraffic})
+		total.memoryMB += used.MemoryMB / float64(len(r.processes))
 	}
 	return total
 }
 
-// processStat returns the CPU time and the resident memory of a process by its process ID; 0 if the system does not say.
-func processStat(pid int) (cpuMS, memoryMB float64) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	if err != nil {
-		return 0, 0
-	}
-	// The indexes count from the third field of proc(5), behind the program's name: utime, stime and rss.
-	_, rest, _ := strings.Cut(string(text), ") ")
-	fields := strings.Fields(rest)
-	user, system, pages := parseNumber(fields[11]), parseNumber(fields[12]), parseNumber(fields[21])
-	return (user + system) * 1000 / ticksPerSecond, pages * float64(os.Getpagesize()) / bytesPerMB
-}
-
-// loopbackBytes returns the bytes that the loopback interface has received; 0 if the system does not say.
-func loopbackBytes() float64 {
-	text, _ := os.ReadFile("/proc/net/dev") // empty then
-	for line := range strings.Lines(string(text)) {
-		if name, rest, ok := strings.Cut(line, ":"); ok && strings.TrimSpace(name) == "lo" {
-			return parseNumber(strings.Fields(rest)[0])
-		}
-	}
-	return 0
-}
-
-// parseNumber returns a number of a file in /proc; 0 for any other text.
-func parseNumber(text string) float64 {
-	number, _ := strconv.ParseFloat(text, 64) // 0 then
-	return number
-}
-
 // costSince returns the cost between an earlier measurement and this one, of the same starts of the same processes.
 func (u *usage) costSince(before *usage) *Cost {
 	seconds, processes := u.at.Sub(before.at).Seconds(), float64(len(u.processes))
--- a/internal/faults/faultinjection.go
+++ b/internal/faults/faultinjection.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/labsupport"
 )
 
 // playEvent plays an event until it is over at the given time.
@@ -22,7 +23,7 @@
 	switch event.Kind {
 	case Partition:
 		r.partition(event.Group)
-		waitUntil(ctx, end)
+		labsupport.WaitUntil(ctx, end)
 		r.partition(nil)
 	case Flap:
 		r.flapLinks(ctx, process, end)
@@ -42,7 +43,7 @@
 		return r.proposeTwice(ctx)
 	default:
 		r.setLinks(process, event.duringEvent())
-		waitUntil(ctx, end)
+		labsupport.WaitUntil(ctx, end)
 		r.setLinks(process, LinkState{})
 	}
 	return nil
@@ -54,7 +55,7 @@
 	if err := process.lastStart.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	waitUntil(ctx, end)
+	labsupport.WaitUntil(ctx, end)
 	r.endAbsence(process)
 	return process.lastStart.Signal(syscall.SIGCONT)
 }
@@ -90,7 +91,7 @@
 		}
 		process.env = []string{fmt.Sprintf("BRASSDALE_TEST_PACE=%g", rate)}
 	}
-	waitUntil(ctx, end)
+	labsupport.WaitUntil(ctx, end)
 	r.endAbsence(process)
 	return r.startProcess(ctx, process)
 }
@@ -103,7 +104,7 @@
 	if err := os.RemoveAll(withoutData.dir); err != nil {
 		return err
 	}
-	waitUntil(ctx, end)
+	labsupport.WaitUntil(ctx, end)
 	var starting sync.WaitGroup
 	errs := make([]error, len(r.processes))
 	for i, process := range r.processes {
--- a/internal/faults/fleetclient.go
+++ b/internal/faults/fleetclient.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/labsupport"
 	"brassdale/internal/traffic"
 )
 
@@ -82,7 +83,7 @@
 				return process.index
 			}
 		}
-		if !waitUntil(ctx, time.Now().Add(leaderPollInterval)) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(leaderPollInterval)) {
 			break
 		}
 	}
--- a/internal/faults/linkfaults.go
+++ b/internal/faults/linkfaults.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"brassdale/internal/labsupport"
 )
 
 // linkEnds are the processes at the ends of a link, by index: from calls to.
@@ -76,7 +78,7 @@
 func (r *run) flapLinks(ctx context.Context, process *dispatcherProcess, end time.Time) {
 	for cut := true; time.Now().Before(end); cut = !cut {
 		r.setLinks(process, LinkState{CutTo: cut, CutFrom: cut})
-		if !waitUntil(ctx, time.Now().Add(flapInterval)) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(flapInterval)) {
 			return
 		}
 	}
@@ -91,7 +93,7 @@
 				link.Reset()
 			}
 		}
-		if !waitUntil(ctx, time.Now().Add(resetInterval)) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(resetInterval)) {
 			return
 		}
 	}
--- a/internal/faults/proposals.go
+++ b/internal/faults/proposals.go
@@ -11,6 +11,7 @@
 
 	"brassdale/internal/decisions/canary"
 	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/labsupport"
 )
 
 // olderBuildsReason is in the reason of a rejection because processes of older builds could not read the proposal.
@@ -22,7 +23,7 @@
 	rng := rand.New(rand.NewPCG(r.plan.Seed, proposalSource))
 	number := 0
 	for at := time.Now().Add(r.plan.ProposalInterval); at.Before(end); at = at.Add(r.plan.ProposalInterval) {
-		if !waitUntil(ctx, at) {
+		if !labsupport.WaitUntil(ctx, at) {
 			return
 		}
 		rules := configversions.Rules{RetryRatio: float64(rng.IntN(10)) / 10, RetriesAllowed: rng.IntN(4) > 0}
@@ -82,7 +83,7 @@
 	}
 	rollout := &canary.Rollout{Share: canaryShare, MinDuration: canaryMinDuration, FailureMargin: canaryFailureMargin}
 	for !r.propose(ctx, r.voters()[0], rules, rollout) {
-		if !waitUntil(ctx, time.Now().Add(canaryRetryInterval)) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(canaryRetryInterval)) {
 			return ctx.Err()
 		}
 	}
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"brassdale/internal/emulator"
+	"brassdale/internal/labsupport"
 )
 
 // Release is a release of workers and dispatchers at the same time: workers drain and restart, discovery may have more callers than
@@ -55,7 +56,7 @@
 		perStep := max(len(r.processes)/restartSteps, 1)
 		for i, process := range r.processes {
 			activities.Go(func() {
-				if waitUntil(ctx, begin.Add(release.At+time.Duration(i/perStep)*release.StepInterval)) {
+				if labsupport.WaitUntil(ctx, begin.Add(release.At+time.Duration(i/perStep)*release.StepInterval)) {
 					errs <- r.restartGracefully(ctx, process)
 				}
 			})
@@ -63,7 +64,7 @@
 	}
 	if release.DiscoveryMovesAt > 0 {
 		activities.Go(func() {
-			if waitUntil(ctx, begin.Add(release.DiscoveryMovesAt)) {
+			if labsupport.WaitUntil(ctx, begin.Add(release.DiscoveryMovesAt)) {
 				errs <- r.moveDiscovery(ctx)
 			}
 		})
@@ -84,7 +85,7 @@
 	process.files.Lock()
 	err := process.lastStart.Signal(syscall.SIGTERM)
 	process.files.Unlock()
-	if err != nil || !waitUntil(ctx, begin.Add(clientNoticeDelay)) {
+	if err != nil || !labsupport.WaitUntil(ctx, begin.Add(clientNoticeDelay)) {
 		return err
 	}
 	// This is no beginAbsence: clients send no further jobs, but a process that shuts down answers those that it has, and a missing answer
@@ -110,7 +111,7 @@
 	if err := r.cluster.Move(); err != nil {
 		return err
 	}
-	waitUntil(ctx, time.Now().Add(r.plan.Release.NotifyAfter))
+	labsupport.WaitUntil(ctx, time.Now().Add(r.plan.Release.NotifyAfter))
 	for _, process := range r.processes {
 		if err := r.reload(process); err != nil {
 			return fmt.Errorf("process %d: %w", process.index, err)
--- a/internal/faults/run.go
+++ b/internal/faults/run.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"brassdale/internal/emulator"
+	"brassdale/internal/labsupport"
 )
 
 // run is a run in progress. The fields above mu are not changed after start, except what dispatcherProcess says of its own.
@@ -138,7 +139,7 @@
 	for _, event := range r.result.Events {
 		r.result.Faults[string(event.Kind)]++
 		activities.Go(func() {
-			if waitUntil(ctx, begin.Add(event.At)) {
+			if labsupport.WaitUntil(ctx, begin.Add(event.At)) {
 				r.addError(r.playEvent(ctx, event, begin.Add(event.At+event.For)))
 			}
 		})
@@ -159,13 +160,3 @@
 	defer r.mu.Unlock()
 	r.err = cmp.Or(r.err, err)
 }
-
-// waitUntil waits for a time. It returns false if the context ends before.
-func waitUntil(ctx context.Context, at time.Time) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(time.Until(at)):
-		return true
-	}
-}
--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -112,7 +112,7 @@
 func (r *run) addUsage(result *Result, before, after snapshot) {
 	cpuMS, memoryMB := map[usageGroup][]float64{}, map[usageGroup][]float64{}
 	for _, each := range r.dispatchers {
-		cpu, memory := cpuBetween(before, after, each.name)/result.SpanS, after.usage[after.pids[each.name]].memoryMB
+		cpu, memory := cpuBetween(before, after, each.name)/result.SpanS, after.usage[after.pids[each.name]].MemoryMB
 		if each.name == after.leader {
 			result.LeaderCPU = cpu
 		}
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"brassdale/internal/faults"
+	"brassdale/internal/labsupport"
 )
 
 // faultRecord is what is known of the run's fault. The run's mutex guards it.
@@ -22,7 +23,7 @@
 func (r *run) injectFault(ctx context.Context) error {
 	fault := r.plan.Fault
 	begin := r.beganAt.Add(fault.At)
-	if !sleepUntil(ctx, begin) {
+	if !labsupport.WaitUntil(ctx, begin) {
 		return nil
 	}
 	names := r.beginFault()
@@ -100,7 +101,7 @@
 		r.setObservedZones(ctx, func(_, zone int) bool { return zone != fault.Zone })
 	}
 	r.kill(names)
-	if fault.For == 0 || !sleepUntil(ctx, end) {
+	if fault.For == 0 || !labsupport.WaitUntil(ctx, end) {
 		return nil
 	}
 	if fault.Kind == ZoneLost {
@@ -182,7 +183,7 @@
 // replaceOneByOne kills hollow dispatchers one by one, evenly over the fault, and starts a new one in place of each.
 func (r *run) replaceOneByOne(ctx context.Context, names []string, begin time.Time) error {
 	for i, name := range names {
-		if !sleepUntil(ctx, begin.Add(r.plan.Fault.For*time.Duration(i)/time.Duration(len(names)))) {
+		if !labsupport.WaitUntil(ctx, begin.Add(r.plan.Fault.For*time.Duration(i)/time.Duration(len(names)))) {
 			return nil
 		}
 		r.kill([]string{name})
@@ -213,7 +214,7 @@
 	r.links.setState(region, faults.LinkState{CutTo: true, CutFrom: true})
 	r.recordPartition(names, true)
 	r.setObservedZones(ctx, func(own, zone int) bool { return (r.plan.region(zone) == region) == (r.plan.region(own) == region) })
-	sleepUntil(ctx, end)
+	labsupport.WaitUntil(ctx, end)
 	r.setObservedZones(ctx, allZones)
 	r.links.setState(region, faults.LinkState{})
 	r.recordPartition(names, false)
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -15,6 +15,7 @@
 	"brassdale/internal/decisions/polling"
 	"brassdale/internal/faults"
 	"brassdale/internal/fleet"
+	"brassdale/internal/labsupport"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
 	"brassdale/internal/traffic"
@@ -163,7 +164,7 @@
 				d.recordProbe(zones, server.observed())
 			}
 		}
-		if !sleepUntil(ctx, time.Now().Add(budgetPollInterval)) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(budgetPollInterval)) {
 			return
 		}
 	}
@@ -224,7 +225,7 @@
 	first := rand.Float64() * float64(settings.Current().ReplicasOfMe) * firstCallSpread.Seconds()
 	delay, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), polling.FullList
 	for {
-		if !sleepUntil(ctx, time.Now().Add(min(delay, maxFirstCallDelay))) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(min(delay, maxFirstCallDelay))) {
 			return
 		}
 		update, err := d.discovery.Call(ctx, revision, kind)
--- a/internal/scale/jobs.go
+++ b/internal/scale/jobs.go
@@ -2,17 +2,14 @@
 
 import (
 	"context"
-	"fmt"
-	"io"
 	"math/rand/v2"
 	"net/http"
 	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"brassdale/internal/emulator"
+	"brassdale/internal/labsupport"
 )
 
 // jobCounts are the jobs of a run by what became of them.
@@ -23,11 +20,8 @@
 	lost       int // unanswered, as their dispatcher was killed
 }
 
-const (
-	jobDeadline      = 5 * time.Second
-	jobDeadlineSlack = 500 * time.Millisecond // for which a client still reads an answer after the deadline
-	jobStream        = 3                      // random stream of the jobs
-)
+// jobStream is the random stream of the jobs.
+const jobStream = 3
 
 // sendJobs sends jobs until the end of the span, to each of the dispatchers that take jobs in turn, whatever became of earlier ones. Their
 // rate is these dispatchers' part of the plan's. It returns when the last job has ended.
@@ -42,7 +36,7 @@
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	for number, at := 0, time.Now(); at.Before(end); number++ {
-		if !sleepUntil(ctx, at) {
+		if !labsupport.WaitUntil(ctx, at) {
 			return
 		}
 		at = at.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
@@ -60,7 +54,8 @@
 
 // sendJob sends a job and counts what becomes of it.
 func (r *run) sendJob(ctx context.Context, client *http.Client, target dispatcher, number int, team string) {
-	err := r.requestJob(ctx, client, target.process.Address, number, team)
+	job := labsupport.Job{Seed: r.plan.Seed, Number: number, Class: emulator.ClassName, Account: team}
+	_, err := job.Post(ctx, client, target.process.Address)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobCounts.sent++
@@ -74,27 +69,3 @@
 		r.jobCounts.unanswered++
 	}
 }
-
-// requestJob sends a job and reads its answer. It returns an error if there is no complete one.
-func (r *run) requestJob(ctx context.Context, client *http.Client, address string, number int, team string) error {
-	ctx, stop := context.WithTimeout(ctx, jobDeadline+jobDeadlineSlack)
-	defer stop()
-	url := fmt.Sprintf("http://%s/%s", address, emulator.ClassName)
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("drawing"))
-	if err != nil {
-		return err
-	}
-	id := fmt.Sprintf("%016x%016x", r.plan.Seed, number)
-	request.Header.Set("Req-Id", id)
-	request.Header.Set("Req-Kind", emulator.ClassName)
-	request.Header.Set("Req-Owner", team)
-	request.Header.Set("Idempotency-Key", id)
-	request.Header.Set("Req-Deadline-Ms", strconv.FormatInt(jobDeadline.Milliseconds(), 10))
-	resp, err := client.Do(request)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end, or failed
-	_, err = io.Copy(io.Discard, resp.Body)
-	return err
-}
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -1,58 +1,18 @@
 package scale
 
 import (
-	"fmt"
 	"os"
-	"strconv"
 	"strings"
-)
-
-// clockTicksPerSecond is the unit of processor time in /proc.
-const clockTicksPerSecond = 100
 
-// The fields of /proc/PID/stat after the command's name, counted from 0.
-const (
-	statUserTime   = 11
-	statSystemTime = 12
-	statResident   = 21 // in pages
+	"brassdale/internal/labsupport"
 )
 
-// processUsage is what a process has used.
-type processUsage struct {
-	cpuMS    float64 // milliseconds of processor time since its start
-	memoryMB float64 // MiB that are resident now
-}
-
-// readProcessUsage reads what a process has used until now.
-func readProcessUsage(pid int) (processUsage, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	if err != nil {
-		return processUsage{}, err
-	}
-	_, rest, _ := strings.Cut(string(text), ") ")
-	fields := strings.Fields(rest)
-	if len(fields) <= statResident {
-		return processUsage{}, fmt.Errorf("/proc/%d/stat is short", pid)
-	}
-	return processUsage{
-		cpuMS:    (parseNumber(fields[statUserTime]) + parseNumber(fields[statSystemTime])) * 1000 / clockTicksPerSecond,
-		memoryMB: parseNumber(fields[statResident]) * float64(os.Getpagesize()) / (1 << 20),
-	}, nil
-}
-
-// parseNumber parses a number that the kernel or a dispatcher wrote; 0 for any other text.
-func parseNumber(text string) float64 {
-	number, _ := strconv.ParseFloat(text, 64)
-	return number
-}
-
 // machineCounters is what the whole machine has done since its start.
 type machineCounters struct {
-	busyTicks       float64 // of all cores
-	totalTicks      float64 // of all cores, idle ones included
-	loopbackBytes   float64 // headers included
-	loopbackPackets float64
-	udpPackets      float64 // sent; they are loopback packets here
+	busyTicks  float64 // of all cores
+	totalTicks float64 // of all cores, idle ones included
+	loopback   labsupport.LoopbackUsage
+	udpPackets float64 // sent; they are loopback packets here
 }
 
 const (
@@ -78,22 +38,14 @@
 		if i >= statGuest {
 			break
 		}
-		counters.totalTicks += parseNumber(field)
+		counters.totalTicks += labsupport.ParseNumber(field)
 		if i != statIdle && i != statIOWait {
-			counters.busyTicks += parseNumber(field)
+			counters.busyTicks += labsupport.ParseNumber(field)
 		}
 	}
-	interfaces, err := readLines("/proc/net/dev")
-	if err != nil {
+	if counters.loopback, err = labsupport.ReadLoopbackUsage(); err != nil {
 		return counters, err
 	}
-	for _, line := range interfaces {
-		if name, rest, ok := strings.Cut(line, ":"); ok && strings.TrimSpace(name) == "lo" {
-			if fields := strings.Fields(rest); len(fields) > 1 {
-				counters.loopbackBytes, counters.loopbackPackets = parseNumber(fields[0]), parseNumber(fields[1])
-			}
-		}
-	}
 	protocols, err := readLines("/proc/net/snmp")
 	if err != nil {
 		return counters, err
@@ -122,7 +74,7 @@
 		}
 		for i, name := range names {
 			if name == counter && i < len(fields) {
-				return parseNumber(fields[i])
+				return labsupport.ParseNumber(fields[i])
 			}
 		}
 	}
@@ -132,6 +84,6 @@
 // loopbackPayload returns the bytes that the loopback interface carried between two readings, without the packets' headers.
 func loopbackPayload(before, after machineCounters) float64 {
 	udpPackets := after.udpPackets - before.udpPackets
-	tcpPackets := after.loopbackPackets - before.loopbackPackets - udpPackets
-	return after.loopbackBytes - before.loopbackBytes - udpPackets*udpHeaderBytes - tcpPackets*tcpHeaderBytes
+	tcpPackets := after.loopback.Packets - before.loopback.Packets - udpPackets
+	return after.loopback.Bytes - before.loopback.Bytes - udpPackets*udpHeaderBytes - tcpPackets*tcpHeaderBytes
 }
--- a/internal/scale/proposer.go
+++ b/internal/scale/proposer.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/labsupport"
 )
 
 // acceptedChange is a config version that was proposed and accepted.
@@ -65,7 +66,7 @@
 			p.run.changes = append(p.run.changes, acceptedChange{record.Announced.Number, at})
 			return true
 		}
-		if at = time.Now().Add(proposalRetryInterval); !sleepUntil(ctx, at) || !at.Before(end) {
+		if at = time.Now().Add(proposalRetryInterval); !labsupport.WaitUntil(ctx, at) || !at.Before(end) {
 			return false
 		}
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,6 +11,7 @@
 
 	"brassdale/internal/emulator"
 	"brassdale/internal/fleet"
+	"brassdale/internal/labsupport"
 )
 
 // Options are the programs and directories of a run.
@@ -117,7 +118,7 @@
 	if !r.awaitLeases(ctx, deadline) {
 		return errors.New("not all dispatchers had a lease in time")
 	}
-	if !sleepUntil(ctx, time.Now().Add(r.plan.Settle)) {
+	if !labsupport.WaitUntil(ctx, time.Now().Add(r.plan.Settle)) {
 		return ctx.Err()
 	}
 	return nil
@@ -156,7 +157,7 @@
 		background.Go(func() { faultErr = r.injectFault(spanCtx) })
 		r.takeSnapshots(ctx, end)
 	}
-	sleepUntil(ctx, end) // a context that has ended fails the snapshot
+	labsupport.WaitUntil(ctx, end) // a context that has ended fails the snapshot
 	if measured.after, err = r.takeSnapshot(ctx); err != nil {
 		return measured, err
 	}
@@ -176,22 +177,12 @@
 	if r.plan.Rest == 0 && r.plan.ChangeInterval > 0 {
 		return snapshot{}, nil
 	}
-	if !sleepUntil(ctx, r.beganAt.Add(cmp.Or(r.plan.Rest, r.plan.Span))) {
+	if !labsupport.WaitUntil(ctx, r.beganAt.Add(cmp.Or(r.plan.Rest, r.plan.Span))) {
 		return snapshot{}, ctx.Err()
 	}
 	return r.takeSnapshot(ctx)
 }
 
-// sleepUntil sleeps until a time, and returns false if the context ends before.
-func sleepUntil(ctx context.Context, at time.Time) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(time.Until(at)):
-		return true
-	}
-}
-
 // inParallel calls functions at once, waits for all and returns their errors joined.
 func inParallel(calls []func() error) error {
 	errs := make([]error, len(calls))
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"brassdale/internal/labsupport"
 	"brassdale/internal/traffic"
 )
 
@@ -17,12 +18,12 @@
 // snapshot is all counters of a run at one moment.
 type snapshot struct {
 	at              time.Time
-	control         map[string]controlCounts // by dispatcher
-	pids            map[string]int           // of a dispatcher's process
-	processSizes    map[int]int              // dispatchers in a process
-	voters          map[string]bool          // dispatchers that are voters
-	leader          string                   // of the raft group; empty for none
-	usage           map[int]processUsage     // by process
+	control         map[string]controlCounts        // by dispatcher
+	pids            map[string]int                  // of a dispatcher's process
+	processSizes    map[int]int                     // dispatchers in a process
+	voters          map[string]bool                 // dispatchers that are voters
+	leader          string                          // of the raft group; empty for none
+	usage           map[int]labsupport.ProcessUsage // by process
 	machine         machineCounters
 	lateTicks       []lateTick    // of this process and hollow ones, since their start
 	pollTraffic     traffic.Count // of the run itself
@@ -41,7 +42,7 @@
 func (r *run) takeSnapshot(ctx context.Context) (snapshot, error) {
 	builder := &snapshotBuilder{snapshot: snapshot{
 		control: map[string]controlCounts{}, pids: map[string]int{}, processSizes: map[int]int{}, voters: map[string]bool{},
-		usage: map[int]processUsage{}, lateTicks: r.stalls.all(),
+		usage: map[int]labsupport.ProcessUsage{}, lateTicks: r.stalls.all(),
 	}}
 	started := &builder.snapshot
 	var err error
@@ -96,7 +97,7 @@
 			b.snapshot.leader, b.leaderSince = name, state.LeaderSince
 		}
 	}
-	usage, err := readProcessUsage(pid)
+	usage, err := labsupport.ReadProcessUsage(pid)
 	if err != nil {
 		return err
 	}
@@ -111,7 +112,7 @@
 // takeSnapshots takes a snapshot every second until the end of the span. It skips those that are due while one takes too long.
 func (r *run) takeSnapshots(ctx context.Context, end time.Time) {
 	for due := r.beganAt; due.Before(end); due = due.Add(snapshotInterval) {
-		if !sleepUntil(ctx, due) {
+		if !labsupport.WaitUntil(ctx, due) {
 			return
 		}
 		if time.Since(due) > snapshotInterval {
@@ -134,7 +135,7 @@
 func parseVars(text string) controlCounts {
 	counts := controlCounts{}
 	for _, match := range controlVar.FindAllStringSubmatch(text, -1) {
-		kind, number := match[1], uint64(parseNumber(match[3]))
+		kind, number := match[1], uint64(labsupport.ParseNumber(match[3]))
 		count := counts[kind]
 		switch match[2] {
 		case "sent":
@@ -177,7 +178,7 @@
 	if !ran || !runs || before.pids[name] != pid {
 		return 0
 	}
-	return (usage.cpuMS - earlier.cpuMS) / float64(max(after.processSizes[pid], 1))
+	return (usage.CPUMS - earlier.CPUMS) / float64(max(after.processSizes[pid], 1))
 }
 
 // controlBytesSince returns the bytes that a dispatcher counted between two snapshots, or since its start if that was between them.
@@ -194,5 +195,5 @@
 	if before.pids[name] == pid {
 		return cpuBetween(before, after, name)
 	}
-	return after.usage[pid].cpuMS / float64(max(after.processSizes[pid], 1))
+	return after.usage[pid].CPUMS / float64(max(after.processSizes[pid], 1))
 }
--- a/internal/scale/stalldetector.go
+++ b/internal/scale/stalldetector.go
@@ -5,6 +5,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"brassdale/internal/labsupport"
 )
 
 const (
@@ -33,7 +35,7 @@
 func (s *stallDetector) run(ctx context.Context) {
 	for {
 		due := time.Now().Add(tickInterval)
-		if !sleepUntil(ctx, due) {
+		if !labsupport.WaitUntil(ctx, due) {
 			return
 		}
 		s.ticked(due, time.Now())
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"brassdale/internal/faults"
+	"brassdale/internal/labsupport"
 )
 
 // startAll starts all dispatchers: first the voters, then all others at once.
@@ -75,7 +76,7 @@
 		if r.fetchHollowStates(ctx) == nil && r.allSatisfy(satisfied) {
 			return true
 		}
-		if !sleepUntil(ctx, time.Now().Add(statePollInterval)) || time.Now().After(deadline) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(statePollInterval)) || time.Now().After(deadline) {
 			return false
 		}
 	}
