--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 )
 
 // testFleet is a fleet of dispatcher processes, the first of which are voters of the raft group. Each has a list of the same
@@ -23,7 +23,7 @@
 	addresses     []string // by dispatcher: where it listens for the fleet
 	directories   []string // by dispatcher
 	workers       []*testWorker
-	absences      map[int][]faults.Period // by dispatcher: when its process was stopped or had ended
+	absences      map[int][]effectivestate.Period // by dispatcher: when its process was stopped or had ended
 	voters        int
 	extraSettings func(index int) string // further lines of a dispatcher's block
 }
@@ -38,7 +38,7 @@
 // startFleetWith is startFleet with further lines of each dispatcher's block.
 func startFleetWith(t *testing.T, subnet, voters, followers int, extraSettings func(index int) string) *testFleet {
 	t.Helper()
-	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]faults.Period{}}
+	fleet := &testFleet{t: t, voters: voters, extraSettings: extraSettings, workers: []*testWorker{startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)}, absences: map[int][]effectivestate.Period{}}
 	for i := range voters + followers {
 		listener := must(net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", subnet, i+1)))
 		fleet.addresses = append(fleet.addresses, listener.Addr().String())
@@ -76,7 +76,7 @@
 
 // recordAbsence records that from now on what a dispatcher's log says no longer holds.
 func (f *testFleet) recordAbsence(index int) {
-	f.absences[index] = append(f.absences[index], faults.Period{From: time.Now()})
+	f.absences[index] = append(f.absences[index], effectivestate.Period{From: time.Now()})
 }
 
 // runFleetCommand runs a sub-command of 'fleet' at a dispatcher and returns its output and errors.
@@ -134,12 +134,12 @@
 }
 
 // effectiveStates returns which config versions a dispatcher has applied, by its log.
-func (f *testFleet) effectiveStates(index int) []faults.EffectiveState {
-	return faults.EffectiveStates(f.dispatchers[index].log(), time.Now(), f.absences[index])
+func (f *testFleet) effectiveStates(index int) []effectivestate.State {
+	return effectivestate.FromLog(f.dispatchers[index].log(), time.Now(), f.absences[index])
 }
 
 // lastState returns which config versions a dispatcher applies and whether its lease has lapsed; the zero value before it applies any.
-func (f *testFleet) lastState(index int) (state faults.EffectiveState) {
+func (f *testFleet) lastState(index int) (state effectivestate.State) {
 	if states := f.effectiveStates(index); len(states) > 0 {
 		state = states[len(states)-1]
 	}
@@ -159,11 +159,11 @@
 
 // contradictionTime returns how long two dispatchers with leases applied versions with none in common.
 func (f *testFleet) contradictionTime() time.Duration {
-	var all [][]faults.EffectiveState
+	var all [][]effectivestate.State
 	for i := range f.dispatchers {
 		all = append(all, f.effectiveStates(i))
 	}
-	contradiction, _ := faults.ContradictionTime(all)
+	contradiction, _ := effectivestate.ContradictionTime(all)
 	return contradiction
 }
 
--- a/internal/faults/effectivestate.go
+++ b/internal/effectivestate/effectivestate.go
@@ -1,4 +1,6 @@
-package faults
+// Package effectivestate reads from the logs of dispatchers which config versions they acted on, and says for how long two of them
+// contradicted each other. Packages faults and scale and the tests of the dispatcher's program use it.
+package effectivestate
 
 import (
 	"regexp"
@@ -8,16 +10,16 @@
 	"time"
 )
 
-// EffectiveState is the config versions that a process acted on for some time.
-type EffectiveState struct {
+// State is the config versions that a process acted on for some time.
+type State struct {
 	From     time.Time `json:"From"`
 	To       time.Time `json:"To"`
 	Versions []uint64  `json:"Versions"` // two while the process complies with an old and a new one
 	Lapsed   bool      `json:"Lapsed"`   // without a lease
 }
 
-// inForce returns the only version of the state, and false if it has several or no lease.
-func (s *EffectiveState) inForce() (version uint64, ok bool) {
+// InForce returns the only version of the state, and false if it has several or no lease.
+func (s *State) InForce() (version uint64, ok bool) {
 	if s.Lapsed || len(s.Versions) != 1 {
 		return 0, false
 	}
@@ -25,7 +27,7 @@
 }
 
 // overlap returns how long two states were in force at the same time; it is not above 0 if they were not.
-func (s *EffectiveState) overlap(other *EffectiveState) time.Duration {
+func (s *State) overlap(other *State) time.Duration {
 	from, to := s.From, s.To
 	if other.From.After(from) {
 		from = other.From
@@ -37,7 +39,7 @@
 }
 
 // contradicts reports whether two states have no version in common.
-func (s *EffectiveState) contradicts(other *EffectiveState) bool {
+func (s *State) contradicts(other *State) bool {
 	return !slices.ContainsFunc(s.Versions, func(version uint64) bool { return slices.Contains(other.Versions, version) })
 }
 
@@ -48,16 +50,16 @@
 // appliedVersions is the log line with which a dispatcher says what it acts on from now on.
 var appliedVersions = regexp.MustCompile(`msg="config version applied" versions="?\[([0-9 ]*)\]"? lease_expired=(true|false) at_ms=(\d+)`)
 
-// EffectiveStates reads what a process acted on from its log, which ends at the given time. A state ends early where an absence
+// FromLog reads what a process acted on from its log, which ends at the given time. A state ends early where an absence
 // begins; after the absence, the process acts on what it logs first.
-func EffectiveStates(log string, end time.Time, absences []Period) []EffectiveState {
-	var states []EffectiveState
+func FromLog(log string, end time.Time, absences []Period) []State {
+	var states []State
 	for _, match := range appliedVersions.FindAllStringSubmatch(log, -1) {
 		ms, err := strconv.ParseInt(match[3], 10, 64)
 		if err != nil {
 			continue
 		}
-		state := EffectiveState{From: time.UnixMilli(ms), To: end, Lapsed: match[2] == "true"}
+		state := State{From: time.UnixMilli(ms), To: end, Lapsed: match[2] == "true"}
 		for _, text := range strings.Fields(match[1]) {
 			version, _ := strconv.ParseUint(text, 10, 64) // the expression lets only digits through
 			state.Versions = append(state.Versions, version)
@@ -80,7 +82,7 @@
 
 // ContradictionTime returns the longest time in which two processes acted on versions with nothing in common: while both had leases,
 // and while at least one had none.
-func ContradictionTime(processes [][]EffectiveState) (contradiction, lapsed time.Duration) {
+func ContradictionTime(processes [][]State) (contradiction, lapsed time.Duration) {
 	for i, states := range processes {
 		for _, others := range processes[:i] {
 			both, one := contradictionOf(states, others)
@@ -91,7 +93,7 @@
 }
 
 // contradictionOf is ContradictionTime of two processes.
-func contradictionOf(states, others []EffectiveState) (contradiction, lapsed time.Duration) {
+func contradictionOf(states, others []State) (contradiction, lapsed time.Duration) {
 	for i := range states {
 		for j := range others {
 			state, other := &states[i], &others[j]
--- a/internal/faults/effectivestate_test.go
+++ b/internal/effectivestate/effectivestate_test.go
@@ -1,4 +1,4 @@
-package faults
+package effectivestate
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 		{line(0, "[1]", false) + line(1500, "[2]", false), []Period{{at.Add(600 * time.Millisecond), at.Add(1500 * time.Millisecond)}}, 0, 0},
 	} {
 		end := at.Add(2 * time.Second)
-		contradiction, lapsed := ContradictionTime([][]EffectiveState{EffectiveStates(a, end, nil), EffectiveStates(c.log, end, c.absences)})
+		contradiction, lapsed := ContradictionTime([][]State{FromLog(a, end, nil), FromLog(c.log, end, c.absences)})
 		if contradiction != time.Duration(c.contradiction)*time.Millisecond || lapsed != time.Duration(c.lapsed)*time.Millisecond {
 			t.Errorf("%q: contradiction for %v, without a lease %v", c.log, contradiction, lapsed)
 		}
--- a/internal/faults/link.go
+++ b/internal/faultlink/link.go
@@ -1,4 +1,5 @@
-package faults
+// Package faultlink has network links on loopback that cut, delay and reset what goes over them. Packages faults and scale use it.
+package faultlink
 
 import (
 	"errors"
@@ -8,9 +9,9 @@
 	"time"
 )
 
-// LinkState is what a link does to what goes over it: TCP connections and UDP packets. Slow and Reorder are for TCP only. The zero value
+// State is what a link does to what goes over it: TCP connections and UDP packets. Slow and Reorder are for TCP only. The zero value
 // passes everything on.
-type LinkState struct {
+type State struct {
 	CutTo   bool          // nothing that the caller sends arrives
 	CutFrom bool          // nothing that the called process sends arrives
 	Delay   time.Duration // of each piece, in one direction
@@ -19,6 +20,9 @@
 	Reorder time.Duration // new connections are delayed at random up to this, so that later ones overtake them
 }
 
+// randomSource is the random source of a seed for delays. Package faults uses others with the same seed.
+const randomSource = 1
+
 const (
 	slowPiece      = 64 // bytes
 	slowInterval   = 20 * time.Millisecond
@@ -37,7 +41,7 @@
 	target   string // address of the listener at the other end
 
 	mu      sync.Mutex
-	state   LinkState
+	state   State
 	conns   map[net.Conn]bool // open connections, at both sides of the link
 	waiting map[net.Conn]bool // those that carry bytes which wait at a cut
 	rng     *rand.Rand
@@ -45,9 +49,9 @@
 	changed chan struct{} // closed and replaced at each change of state
 }
 
-// NewLink opens a link to a target address, on a loopback port that the system chooses. The seed decides the random delays. The caller
+// New opens a link to a target address, on a loopback port that the system chooses. The seed decides the random delays. The caller
 // must close the link.
-func NewLink(target string, seed uint64) (*Link, error) {
+func New(target string, seed uint64) (*Link, error) {
 	listener, packets, err := listenBoth()
 	if err != nil {
 		return nil, err
@@ -58,7 +62,7 @@
 		target:   target,
 		conns:    map[net.Conn]bool{},
 		waiting:  map[net.Conn]bool{},
-		rng:      rand.New(rand.NewPCG(seed, linkSource)),
+		rng:      rand.New(rand.NewPCG(seed, randomSource)),
 		changed:  make(chan struct{}),
 	}
 	go link.serve()
@@ -88,7 +92,7 @@
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
 // Set changes what the link does from now on.
-func (l *Link) Set(state LinkState) {
+func (l *Link) Set(state State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wasCut, isCut := l.state.CutTo || l.state.CutFrom, state.CutTo || state.CutFrom
@@ -120,7 +124,7 @@
 	_ = l.listener.Close() // no connection is accepted after it, whatever it returns
 	_ = l.packets.Close()  // likewise
 	l.Reset()
-	l.Set(LinkState{})
+	l.Set(State{})
 }
 
 // reset closes a connection so that its peer sees it reset.
@@ -132,7 +136,7 @@
 }
 
 // current returns the state, and a delay drawn for a piece that goes over the link in it.
-func (l *Link) current() (LinkState, time.Duration) {
+func (l *Link) current() (State, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.state.Delay + l.randomDelay(l.state.Spread)
@@ -211,8 +215,8 @@
 	}
 	defer l.remove(caller, called)
 	var passing sync.WaitGroup
-	passing.Go(func() { l.pass(caller, called, func(state LinkState) bool { return state.CutTo }) })
-	passing.Go(func() { l.pass(called, caller, func(state LinkState) bool { return state.CutFrom }) })
+	passing.Go(func() { l.pass(caller, called, func(state State) bool { return state.CutTo }) })
+	passing.Go(func() { l.pass(called, caller, func(state State) bool { return state.CutFrom }) })
 	passing.Wait()
 }
 
@@ -239,7 +243,7 @@
 
 // pass passes one direction of a connection on, piece by piece, and closes both sides when it ends. cut says whether a state cuts this
 // direction.
-func (l *Link) pass(from, to net.Conn, cut func(LinkState) bool) {
+func (l *Link) pass(from, to net.Conn, cut func(State) bool) {
 	defer func() {
 		_ = from.Close() // the bytes that it has not delivered are lost
 		_ = to.Close()   // likewise
@@ -265,7 +269,7 @@
 var errCut = errors.New("cut")
 
 // delayPiece waits for a piece's delay, and while its direction is cut. It returns errCut after a cut.
-func (l *Link) delayPiece(from, to net.Conn, cut func(LinkState) bool) error {
+func (l *Link) delayPiece(from, to net.Conn, cut func(State) bool) error {
 	_, delay := l.current()
 	time.Sleep(delay)
 	waited := false
--- a/internal/faults/link_test.go
+++ b/internal/faultlink/link_test.go
@@ -1,4 +1,4 @@
-package faults
+package faultlink
 
 import (
 	"io"
@@ -30,7 +30,7 @@
 // TestLink: a link passes bytes on; those that meet a cut of any direction wait, and their connections are reset when it ends; a
 // delay is at least as long as set.
 func TestLink(t *testing.T) {
-	link, err := NewLink(startEchoServer(t), 1)
+	link, err := New(startEchoServer(t), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	for _, cut := range []LinkState{{CutTo: true}, {CutFrom: true}, {CutTo: true, CutFrom: true}} {
+	for _, cut := range []State{{CutTo: true}, {CutFrom: true}, {CutTo: true, CutFrom: true}} {
 		c := dial()
 		if !passes(c) {
 			t.Fatal("nothing passes")
@@ -60,7 +60,7 @@
 		if passes(c) {
 			t.Errorf("%+v: it passes", cut)
 		}
-		link.Set(LinkState{})
+		link.Set(State{})
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 			t.Errorf("%+v: after it the connection is still open: %v", cut, err)
@@ -70,7 +70,7 @@
 		}
 	}
 	c := dial()
-	link.Set(LinkState{Delay: 20 * time.Millisecond})
+	link.Set(State{Delay: 20 * time.Millisecond})
 	if begin := time.Now(); !passes(c) || time.Since(begin) < 40*time.Millisecond {
 		t.Error("not delayed both ways")
 	}
--- a/internal/faults/agreement.go
+++ b/internal/faults/agreement.go
@@ -4,6 +4,8 @@
 	"context"
 	"syscall"
 	"time"
+
+	"brassdale/internal/effectivestate"
 )
 
 const (
@@ -41,7 +43,7 @@
 		if len(states) == 0 {
 			return false
 		}
-		version, ok := states[len(states)-1].inForce()
+		version, ok := states[len(states)-1].InForce()
 		if !ok || found && version != agreedVersion {
 			return false
 		}
@@ -51,12 +53,12 @@
 }
 
 // effectiveStates returns what each process has acted on until now.
-func (r *run) effectiveStates() [][]EffectiveState {
+func (r *run) effectiveStates() [][]effectivestate.State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var states [][]EffectiveState
+	var states [][]effectivestate.State
 	for _, process := range r.processes {
-		states = append(states, EffectiveStates(process.log(), time.Now(), process.absences))
+		states = append(states, effectivestate.FromLog(process.log(), time.Now(), process.absences))
 	}
 	return states
 }
--- a/internal/faults/event.go
+++ b/internal/faults/event.go
@@ -1,6 +1,10 @@
 package faults
 
-import "time"
+import (
+	"time"
+
+	"brassdale/internal/faultlink"
+)
 
 // EventKind is the kind of an event, as scenario files name it.
 type EventKind string
@@ -61,18 +65,18 @@
 )
 
 // duringEvent returns the state of the links of the event's process during the event, for kinds that do not change it meanwhile.
-func (e *Event) duringEvent() LinkState {
+func (e *Event) duringEvent() faultlink.State {
 	switch e.Kind {
 	case Cut:
-		return LinkState{CutTo: true, CutFrom: true}
+		return faultlink.State{CutTo: true, CutFrom: true}
 	case OneWayCut:
-		return LinkState{CutTo: !e.Reverse, CutFrom: e.Reverse}
+		return faultlink.State{CutTo: !e.Reverse, CutFrom: e.Reverse}
 	case Delay:
-		return LinkState{Delay: minDelay, Spread: delaySpread}
+		return faultlink.State{Delay: minDelay, Spread: delaySpread}
 	case Slow:
-		return LinkState{Slow: true}
+		return faultlink.State{Slow: true}
 	case Reorder:
-		return LinkState{Reorder: maxReorderDelay}
+		return faultlink.State{Reorder: maxReorderDelay}
 	}
-	return LinkState{}
+	return faultlink.State{}
 }
--- a/internal/faults/faultinjection.go
+++ b/internal/faults/faultinjection.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/faultlink"
 	"brassdale/internal/labsupport"
 )
 
@@ -44,7 +45,7 @@
 	default:
 		r.setLinks(process, event.duringEvent())
 		labsupport.WaitUntil(ctx, end)
-		r.setLinks(process, LinkState{})
+		r.setLinks(process, faultlink.State{})
 	}
 	return nil
 }
--- a/internal/faults/linkfaults.go
+++ b/internal/faults/linkfaults.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"brassdale/internal/faultlink"
 	"brassdale/internal/labsupport"
 )
 
@@ -25,7 +26,7 @@
 			if from == to {
 				continue
 			}
-			link, err := NewLink(called.address, r.plan.Seed+uint64(100*from+to))
+			link, err := faultlink.New(called.address, r.plan.Seed+uint64(100*from+to))
 			if err != nil {
 				return err
 			}
@@ -36,7 +37,7 @@
 }
 
 // setLinks sets the fault of a process's links. Faults of the processes at the other ends stay in force.
-func (r *run) setLinks(process *dispatcherProcess, state LinkState) {
+func (r *run) setLinks(process *dispatcherProcess, state faultlink.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	process.ownLinkState = state
@@ -61,10 +62,10 @@
 }
 
 // combinedState returns the state of a link under the faults of both of its ends. The caller holds r.mu.
-func (r *run) combinedState(ends linkEnds) LinkState {
+func (r *run) combinedState(ends linkEnds) faultlink.State {
 	from, to := r.processes[ends.from].ownLinkState, r.processes[ends.to].ownLinkState
 	partitioned := r.partitioned[ends.from] != r.partitioned[ends.to]
-	return LinkState{
+	return faultlink.State{
 		CutTo:   partitioned || from.CutTo || to.CutFrom,
 		CutFrom: partitioned || from.CutFrom || to.CutTo,
 		Delay:   max(from.Delay, to.Delay),
@@ -77,12 +78,12 @@
 // flapLinks cuts and heals a process's links in turn until a time. If the context ends before, it leaves them as they are.
 func (r *run) flapLinks(ctx context.Context, process *dispatcherProcess, end time.Time) {
 	for cut := true; time.Now().Before(end); cut = !cut {
-		r.setLinks(process, LinkState{CutTo: cut, CutFrom: cut})
+		r.setLinks(process, faultlink.State{CutTo: cut, CutFrom: cut})
 		if !labsupport.WaitUntil(ctx, time.Now().Add(flapInterval)) {
 			return
 		}
 	}
-	r.setLinks(process, LinkState{})
+	r.setLinks(process, faultlink.State{})
 }
 
 // resetLinks resets the connections over a process's links repeatedly until a time.
@@ -97,5 +98,5 @@
 			return
 		}
 	}
-	r.setLinks(process, LinkState{})
+	r.setLinks(process, faultlink.State{})
 }
--- a/internal/faults/linkfaults_test.go
+++ b/internal/faults/linkfaults_test.go
@@ -3,23 +3,25 @@
 import (
 	"testing"
 	"time"
+
+	"brassdale/internal/faultlink"
 )
 
 // TestCombinedState: a link is under the faults of both of its ends, each in the direction of the process that has it, and under a partition
 // between them.
 func TestCombinedState(t *testing.T) {
 	for _, c := range []struct {
-		from, to LinkState
+		from, to faultlink.State
 		group    []int
-		want     LinkState
+		want     faultlink.State
 	}{
-		{LinkState{}, LinkState{}, nil, LinkState{}},
-		{LinkState{CutTo: true}, LinkState{}, nil, LinkState{CutTo: true}},
-		{LinkState{}, LinkState{CutTo: true}, nil, LinkState{CutFrom: true}},
-		{LinkState{CutFrom: true}, LinkState{CutFrom: true}, nil, LinkState{CutTo: true, CutFrom: true}},
-		{LinkState{Delay: time.Second, Slow: true}, LinkState{Spread: time.Second, Reorder: time.Second}, nil, LinkState{Delay: time.Second, Spread: time.Second, Slow: true, Reorder: time.Second}},
-		{LinkState{}, LinkState{}, []int{1}, LinkState{CutTo: true, CutFrom: true}},
-		{LinkState{}, LinkState{}, []int{0, 1}, LinkState{}},
+		{faultlink.State{}, faultlink.State{}, nil, faultlink.State{}},
+		{faultlink.State{CutTo: true}, faultlink.State{}, nil, faultlink.State{CutTo: true}},
+		{faultlink.State{}, faultlink.State{CutTo: true}, nil, faultlink.State{CutFrom: true}},
+		{faultlink.State{CutFrom: true}, faultlink.State{CutFrom: true}, nil, faultlink.State{CutTo: true, CutFrom: true}},
+		{faultlink.State{Delay: time.Second, Slow: true}, faultlink.State{Spread: time.Second, Reorder: time.Second}, nil, faultlink.State{Delay: time.Second, Spread: time.Second, Slow: true, Reorder: time.Second}},
+		{faultlink.State{}, faultlink.State{}, []int{1}, faultlink.State{CutTo: true, CutFrom: true}},
+		{faultlink.State{}, faultlink.State{}, []int{0, 1}, faultlink.State{}},
 	} {
 		r := &run{processes: []*dispatcherProcess{{index: 0, ownLinkState: c.from}, {index: 1, ownLinkState: c.to}}}
 		r.partition(c.group)
--- a/internal/faults/measurement.go
+++ b/internal/faults/measurement.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"brassdale/internal/effectivestate"
 )
 
 // completeResult sets the figures that are known at the end of the run.
@@ -22,7 +24,7 @@
 	if r.plan.Overload != nil {
 		result.Overload = r.plan.Overload.measure(r.cluster.ReceivedTimes(), r.plan.Processes, r.plan.Bound)
 	}
-	contradiction, lapsed := ContradictionTime(result.EffectiveStates)
+	contradiction, lapsed := effectivestate.ContradictionTime(result.EffectiveStates)
 	result.ContradictionMS, result.LapsedApartMS = milliseconds(contradiction), milliseconds(lapsed)
 	polls := r.cluster.PollCounts()
 	result.ListCalls, result.MaxListCalls, result.ListRefused, result.WatchGapMS = polls.Calls, polls.Max, polls.Refused, milliseconds(polls.Longest)
@@ -55,11 +57,11 @@
 }
 
 // firstInForce returns by version when a process first acted on it alone, with a lease.
-func firstInForce(processes [][]EffectiveState) map[uint64]time.Time {
+func firstInForce(processes [][]effectivestate.State) map[uint64]time.Time {
 	first := map[uint64]time.Time{}
 	for _, states := range processes {
 		for _, state := range states {
-			version, ok := state.inForce()
+			version, ok := state.InForce()
 			if !ok {
 				continue
 			}
--- a/internal/faults/plan.go
+++ b/internal/faults/plan.go
@@ -4,8 +4,8 @@
 //
 // A fault scenario is an HCL file (File; scenarios/fleet has examples). With a seed it gives a Plan, which Play plays in real time
 // and returns as a Result. The faults are events: they are listed in the scenario or drawn from the seed (Draw), and the same seed
-// gives the same events. 'brassdale-lab fleet' plays scenarios from the command line; package scale and the tests of the dispatcher's
-// program use the links (Link) and the comparison of effective versions (EffectiveStates, ContradictionTime) by themselves.
+// gives the same events. 'brassdale-lab fleet' plays scenarios from the command line. The links between processes are those of package
+// faultlink; what processes acted on is read from their logs by package effectivestate.
 package faults
 
 import (
@@ -34,9 +34,9 @@
 	OlderBuilds       int           // so many of the last processes are of an older build
 }
 
-// The random sources of a seed. Each user of randomness has its own, so that its choices do not depend on the others'.
+// The random sources of a seed. Each user of randomness has its own, so that its choices do not depend on the others'. Package faultlink has
+// source 1.
 const (
-	linkSource     = 1
 	scheduleSource = 2
 	jobSource      = 3
 	proposalSource = 4
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -10,7 +10,9 @@
 	"syscall"
 	"time"
 
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/emulator"
+	"brassdale/internal/faultlink"
 )
 
 // dispatcherProcess is a dispatcher over all its starts.
@@ -23,10 +25,10 @@
 
 	// Guarded by run.mu. The event that is played on the process reads lastStart without it, because no other changes it meanwhile.
 	lastStart    *emulator.DispatcherProcess // its last start; nil before the first
-	absences     []Period
-	absent       bool      // clients send it nothing
-	lost         bool      // it does not come back; its whole log is in earlierLog
-	ownLinkState LinkState // what its own events do to its links; "to" is what it sends
+	absences     []effectivestate.Period
+	absent       bool            // clients send it nothing
+	lost         bool            // it does not come back; its whole log is in earlierLog
+	ownLinkState faultlink.State // what its own events do to its links; "to" is what it sends
 
 	// Used by the event that is played on the process, and after all events.
 	earlierLog string   // of the starts that have ended
@@ -57,7 +59,7 @@
 
 // wasAbsentAfter reports whether the process was or is absent at some time after the given one.
 func (p *dispatcherProcess) wasAbsentAfter(at time.Time) bool {
-	return slices.ContainsFunc(p.absences, func(absence Period) bool { return absence.To.IsZero() || absence.To.After(at) })
+	return slices.ContainsFunc(p.absences, func(absence effectivestate.Period) bool { return absence.To.IsZero() || absence.To.After(at) })
 }
 
 // startProcess writes the process's operator file and starts it. It returns when the process is ready.
@@ -103,7 +105,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	process.absent = true
-	process.absences = append(process.absences, Period{From: time.Now()})
+	process.absences = append(process.absences, effectivestate.Period{From: time.Now()})
 }
 
 // endAbsence records that a process continues or is restarted now.
--- a/internal/faults/result.go
+++ b/internal/faults/result.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"brassdale/internal/effectivestate"
 )
 
 // Result is what a run measured. The JSON keys are those of result files and do not change.
@@ -37,11 +39,11 @@
 	ListRefused     int             `json:"list_refused,omitempty"`
 	WatchGapMS      float64         `json:"watch_gap_max_ms,omitempty"` // longest time in which a process that was present had no poll open
 
-	EffectiveStates [][]EffectiveState `json:"-"` // by process
-	Absences        [][]Period         `json:"-"` // by process
-	Events          []Event            `json:"-"` // that were played
-	Begin           time.Time          `json:"-"` // when the run began; times of events count from here
-	Logs            []string           `json:"-"` // by process, over all its starts
+	EffectiveStates [][]effectivestate.State  `json:"-"` // by process
+	Absences        [][]effectivestate.Period `json:"-"` // by process
+	Events          []Event                   `json:"-"` // that were played
+	Begin           time.Time                 `json:"-"` // when the run began; times of events count from here
+	Logs            []string                  `json:"-"` // by process, over all its starts
 }
 
 // Bad reports whether a rule or the bound was broken, or a job was not answered.
--- a/internal/faults/run.go
+++ b/internal/faults/run.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"brassdale/internal/emulator"
+	"brassdale/internal/faultlink"
 	"brassdale/internal/labsupport"
 )
 
@@ -23,7 +24,7 @@
 	dir       string            // for configuration and the processes' data
 	client    *http.Client
 	processes []*dispatcherProcess
-	links     map[linkEnds]*Link
+	links     map[linkEnds]*faultlink.Link
 
 	mu          sync.Mutex
 	partitioned map[int]bool         // processes that a partition separates from the rest
@@ -54,7 +55,7 @@
 		binary:      binary,
 		dir:         dir,
 		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnectionsPerHost}},
-		links:       map[linkEnds]*Link{},
+		links:       map[linkEnds]*faultlink.Link{},
 		announcedAt: map[uint64]time.Time{},
 		result:      &Result{Seed: plan.Seed, Processes: plan.Processes, Faults: map[string]int{}, BoundMS: milliseconds(plan.Bound)},
 	}
--- a/internal/fleet/effective.go
+++ b/internal/fleet/effective.go
@@ -51,7 +51,7 @@
 	state := fmt.Sprint(a.lessee.Record().Epoch, effective.Versions, effective.LeaseExpired)
 	if state != a.appliedState {
 		a.appliedState = state
-		// internal/faults reads this line (effectivestate.go), with its keys in this order, and so does internal/scale.
+		// internal/effectivestate reads this line, with its keys in this order.
 		a.log.Info("config version applied", "versions", fmt.Sprint(effective.Versions), "lease_expired", effective.LeaseExpired,
 			"at_ms", time.Now().UnixMilli())
 		a.options.ApplyEffective(effective)
--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/traffic"
 )
 
@@ -36,11 +36,11 @@
 	all := r.histories()
 	addReturns(result, all)
 	r.addInForce(result, all, measured.after.lateTicks)
-	var states [][]faults.EffectiveState
+	var states [][]effectivestate.State
 	for _, h := range all {
 		states = append(states, h.effectiveStates)
 	}
-	contradiction, _ := faults.ContradictionTime(states)
+	contradiction, _ := effectivestate.ContradictionTime(states)
 	result.ContradictionMS = milliseconds(contradiction)
 	if r.plan.Fault != nil {
 		result.FaultCosts = []FaultCost{r.faultCost(all)}
--- a/internal/scale/accounting_test.go
+++ b/internal/scale/accounting_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 )
 
 // A run does not count if the machine was the limit: too many late ticks within the span, too busy cores, or a change that
@@ -40,7 +40,7 @@
 	}
 	r := &run{changes: []acceptedChange{{version: 2, at: at}}}
 	acted := func(after time.Duration) []*history {
-		return []*history{{dispatcher: &dispatcher{name: "h1"}, effectiveStates: []faults.EffectiveState{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
+		return []*history{{dispatcher: &dispatcher{name: "h1"}, effectiveStates: []effectivestate.State{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
 	}
 	for _, c := range []struct {
 		after, due, came time.Duration
--- a/internal/scale/countingproxy_test.go
+++ b/internal/scale/countingproxy_test.go
@@ -6,7 +6,7 @@
 	"net"
 	"testing"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/faultlink"
 	"brassdale/internal/traffic"
 )
 
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	defer proxy.close()
-	link, err := faults.NewLink(proxy.address(), 1)
+	link, err := faultlink.New(proxy.address(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/emulator"
-	"brassdale/internal/faults"
 )
 
 // costRole is a role of a dispatcher by which results list what control costs. Results have its text as a key.
@@ -38,10 +38,10 @@
 	process         *emulator.DispatcherProcess // of a real one that runs
 	hollowProcess   *hollowProcess              // of a hollow one that runs
 	earlierLogs     string                      // of a real one: of its ended processes
-	earlierStates   []faults.EffectiveState     // of a hollow one: of its ended processes
-	effectiveStates []faults.EffectiveState     // of a hollow one: of its process, as they were fetched last
-	absences        []faults.Period             // while it was not running; a successor's first has no From
-	partitions      []faults.Period             // while it was running and cut off from other regions
+	earlierStates   []effectivestate.State      // of a hollow one: of its ended processes
+	effectiveStates []effectivestate.State      // of a hollow one: of its process, as they were fetched last
+	absences        []effectivestate.Period     // while it was not running; a successor's first has no From
+	partitions      []effectivestate.Period     // while it was running and cut off from other regions
 }
 
 // absent reports whether the dispatcher was killed and has not come back. It is called before and after the measured
@@ -72,7 +72,7 @@
 }
 
 // statesOf returns what a dispatcher has applied until now; of a hollow one, until the last fetchHollowStates.
-func (r *run) statesOf(d *dispatcher) []faults.EffectiveState {
+func (r *run) statesOf(d *dispatcher) []effectivestate.State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if d.hollow {
@@ -82,7 +82,7 @@
 	if d.process != nil {
 		log += d.process.Log()
 	}
-	return faults.EffectiveStates(log, time.Now(), d.absences)
+	return effectivestate.FromLog(log, time.Now(), d.absences)
 }
 
 // running returns copies of the dispatchers that run, as they are now.
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -7,7 +7,8 @@
 	"slices"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
+	"brassdale/internal/faultlink"
 	"brassdale/internal/labsupport"
 )
 
@@ -119,7 +120,7 @@
 		if !slices.Contains(names, each.name) || each.process == nil && each.hollowProcess == nil {
 			continue
 		}
-		each.absences = append(each.absences, faults.Period{From: now})
+		each.absences = append(each.absences, effectivestate.Period{From: now})
 		if process := each.process; process != nil {
 			each.process = nil
 			kills = append(kills, func() error {
@@ -204,19 +205,19 @@
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == predecessor })
 	successor := &dispatcher{name: name, role: roleServing, hollow: true, zone: r.dispatchers[i].zone}
-	successor.absences = []faults.Period{{To: time.Now()}} // from the start of the run
+	successor.absences = []effectivestate.Period{{To: time.Now()}} // from the start of the run
 	return successor, r.addDispatcher(successor)
 }
 
 // partitionRegion cuts the fault's region off from the others until its end. Hollow dispatchers observe only the zones on their side.
 func (r *run) partitionRegion(ctx context.Context, names []string, end time.Time) {
 	region := r.plan.Fault.Region
-	r.links.setState(region, faults.LinkState{CutTo: true, CutFrom: true})
+	r.links.setState(region, faultlink.State{CutTo: true, CutFrom: true})
 	r.recordPartition(names, true)
 	r.setObservedZones(ctx, func(own, zone int) bool { return (r.plan.region(zone) == region) == (r.plan.region(own) == region) })
 	labsupport.WaitUntil(ctx, end)
 	r.setObservedZones(ctx, allZones)
-	r.links.setState(region, faults.LinkState{})
+	r.links.setState(region, faultlink.State{})
 	r.recordPartition(names, false)
 }
 
@@ -229,7 +230,7 @@
 		switch {
 		case !slices.Contains(names, each.name):
 		case cut:
-			each.partitions = append(each.partitions, faults.Period{From: now})
+			each.partitions = append(each.partitions, effectivestate.Period{From: now})
 		default:
 			each.partitions[len(each.partitions)-1].To = now
 		}
--- a/internal/scale/history.go
+++ b/internal/scale/history.go
@@ -4,16 +4,16 @@
 	"slices"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 )
 
 // history is what a dispatcher applied during the run, and when changes could not reach it.
 type history struct {
 	dispatcher      *dispatcher
-	effectiveStates []faults.EffectiveState
-	unreached       []faults.Period // absences and partitions, until it had applied the newest version again
-	returnTimesMS   []float64       // from the end of an absence or partition until it had applied the newest version
-	missed          int             // absences and partitions after which it did not
+	effectiveStates []effectivestate.State
+	unreached       []effectivestate.Period // absences and partitions, until it had applied the newest version again
+	returnTimesMS   []float64               // from the end of an absence or partition until it had applied the newest version
+	missed          int                     // absences and partitions after which it did not
 }
 
 // histories returns the histories of all dispatchers but bare ones. It is called after the run.
@@ -44,7 +44,7 @@
 }
 
 // addUnreached adds an absence or partition. newest is the newest version at its end.
-func (h *history) addUnreached(period faults.Period, newest uint64) {
+func (h *history) addUnreached(period effectivestate.Period, newest uint64) {
 	if !period.To.IsZero() {
 		appliedAt, ok := h.leasedOn(newest, period.To)
 		if ok {
@@ -85,7 +85,7 @@
 // part of the time until then.
 func (h *history) inForceAt(change acceptedChange) (at time.Time, ok, unreached bool) {
 	at, ok = h.firstAppliedAt(change)
-	unreached = slices.ContainsFunc(h.unreached, func(period faults.Period) bool {
+	unreached = slices.ContainsFunc(h.unreached, func(period effectivestate.Period) bool {
 		return (period.To.IsZero() || period.To.After(change.at)) && (!ok || period.From.Before(at))
 	})
 	return at, ok, unreached
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -13,7 +13,7 @@
 	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/polling"
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/fleet"
 	"brassdale/internal/labsupport"
 	"brassdale/internal/protocol"
@@ -32,7 +32,7 @@
 	startedAt time.Time
 
 	mu              sync.Mutex
-	effectiveStates []faults.EffectiveState
+	effectiveStates []effectivestate.State
 	raftState       raftState
 	recorder        *failover.Recorder
 	random          *rand.Rand
@@ -110,12 +110,12 @@
 	if last := len(d.effectiveStates) - 1; last >= 0 {
 		d.effectiveStates[last].To = now
 	}
-	applied := faults.EffectiveState{From: now, Versions: slices.Clone(effective.Versions), Lapsed: effective.LeaseExpired}
+	applied := effectivestate.State{From: now, Versions: slices.Clone(effective.Versions), Lapsed: effective.LeaseExpired}
 	d.effectiveStates = append(d.effectiveStates, applied)
 }
 
 // appliedStates returns what the agent has applied until now.
-func (d *hollowDispatcher) appliedStates() []faults.EffectiveState {
+func (d *hollowDispatcher) appliedStates() []effectivestate.State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.effectiveStates)
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 )
 
 // hollowProcess is a child process that runs hollow dispatchers, all of one zone.
@@ -159,7 +159,7 @@
 }
 
 // statesFromLog returns what a hollow dispatcher applied until a time, by the log of its process.
-func statesFromLog(log, name string, end time.Time) []faults.EffectiveState {
+func statesFromLog(log, name string, end time.Time) []effectivestate.State {
 	var own strings.Builder
 	mark := " hollow=" + name + " "
 	for line := range strings.Lines(log) {
@@ -167,5 +167,5 @@
 			own.WriteString(before + " " + after)
 		}
 	}
-	return faults.EffectiveStates(own.String(), end, nil)
+	return effectivestate.FromLog(own.String(), end, nil)
 }
--- a/internal/scale/hollowserver.go
+++ b/internal/scale/hollowserver.go
@@ -13,7 +13,7 @@
 	"slices"
 	"sync"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/protocol"
 	"brassdale/scheduler"
 )
@@ -129,8 +129,8 @@
 }
 
 // effectiveStates returns what the dispatchers have applied until now, by their names.
-func (s *hollowServer) effectiveStates() map[string][]faults.EffectiveState {
-	states := map[string][]faults.EffectiveState{}
+func (s *hollowServer) effectiveStates() map[string][]effectivestate.State {
+	states := map[string][]effectivestate.State{}
 	for _, dispatcher := range s.dispatchers {
 		states[dispatcher.name] = dispatcher.appliedStates()
 	}
--- a/internal/scale/regionlinks.go
+++ b/internal/scale/regionlinks.go
@@ -1,7 +1,7 @@
 package scale
 
 import (
-	"brassdale/internal/faults"
+	"brassdale/internal/faultlink"
 	"brassdale/internal/traffic"
 )
 
@@ -11,9 +11,9 @@
 // regionLinks are the links by which the dispatchers of each region call the voters of the others. Other calls, and gossip, stay within a
 // region and need none.
 type regionLinks struct {
-	links   map[regionPair]map[string]*faults.Link // by the voter's address
-	proxies []*countingProxy                       // behind the links, if what these carry is counted
-	meter   traffic.Meter                          // of the proxies
+	links   map[regionPair]map[string]*faultlink.Link // by the voter's address
+	proxies []*countingProxy                          // behind the links, if what these carry is counted
+	meter   traffic.Meter                             // of the proxies
 }
 
 // linkSeeds is by how much the seeds of the links differ between regions that follow on each other.
@@ -46,15 +46,15 @@
 		}
 		l.proxies, target = append(l.proxies, proxy), proxy.address()
 	}
-	link, err := faults.NewLink(target, seed)
+	link, err := faultlink.New(target, seed)
 	if err != nil {
 		return err
 	}
 	if l.links == nil {
-		l.links = map[regionPair]map[string]*faults.Link{}
+		l.links = map[regionPair]map[string]*faultlink.Link{}
 	}
 	if l.links[regions] == nil {
-		l.links[regions] = map[string]*faults.Link{}
+		l.links[regions] = map[string]*faultlink.Link{}
 	}
 	l.links[regions][voterAddress] = link
 	return nil
@@ -75,7 +75,7 @@
 }
 
 // setState sets the state of all links from and to a region.
-func (l *regionLinks) setState(region int, state faults.LinkState) {
+func (l *regionLinks) setState(region int, state faultlink.State) {
 	for regions, links := range l.links {
 		if regions.from != region && regions.to != region {
 			continue
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/labsupport"
 )
 
@@ -34,7 +34,7 @@
 // fetchHollowStates fetches what all hollow dispatchers have applied.
 func (r *run) fetchHollowStates(ctx context.Context) error {
 	for _, process := range r.runningHollowProcesses() {
-		var states map[string][]faults.EffectiveState
+		var states map[string][]effectivestate.State
 		if err := r.polls.getJSON(ctx, process.url(statesPath), &states); err != nil {
 			return fmt.Errorf("hollow process: %w", err)
 		}
@@ -55,7 +55,7 @@
 
 // awaitLeases waits until all dispatchers have leases, and returns false if they do not by the deadline.
 func (r *run) awaitLeases(ctx context.Context, deadline time.Time) bool {
-	return r.awaitAll(ctx, deadline, func(state faults.EffectiveState) bool { return !state.Lapsed })
+	return r.awaitAll(ctx, deadline, func(state effectivestate.State) bool { return !state.Lapsed })
 }
 
 // awaitNewestVersion waits until all dispatchers have leases and apply the newest version alone, and returns false if they do not by the
@@ -65,13 +65,13 @@
 	for _, change := range r.changes {
 		newest = max(newest, change.version)
 	}
-	return r.awaitAll(ctx, deadline, func(state faults.EffectiveState) bool {
+	return r.awaitAll(ctx, deadline, func(state effectivestate.State) bool {
 		return !state.Lapsed && len(state.Versions) == 1 && state.Versions[0] >= newest
 	})
 }
 
 // awaitAll waits until the states of all dispatchers that are not absent satisfy a condition.
-func (r *run) awaitAll(ctx context.Context, deadline time.Time, satisfied func(faults.EffectiveState) bool) bool {
+func (r *run) awaitAll(ctx context.Context, deadline time.Time, satisfied func(effectivestate.State) bool) bool {
 	for ctx.Err() == nil {
 		if r.fetchHollowStates(ctx) == nil && r.allSatisfy(satisfied) {
 			return true
@@ -84,7 +84,7 @@
 }
 
 // allSatisfy reports whether the states of all dispatchers that are not absent satisfy a condition. Bare ones have none.
-func (r *run) allSatisfy(satisfied func(faults.EffectiveState) bool) bool {
+func (r *run) allSatisfy(satisfied func(effectivestate.State) bool) bool {
 	for _, each := range r.dispatchers {
 		if each.role == roleBare || each.absent() {
 			continue
