--- a/internal/experiment/zones.go
+++ b/internal/experiment/zones.go
@@ -31,6 +31,7 @@
 	zoneFaultEnd      = zoneFaultAt + zoneFaultDuration
 	zoneSpan          = 75 * time.Second
 
+	// Package faults counts by the same two times (zonesresult.go).
 	zoneDetectionTime = 3 * time.Second  // in which a plan may react to a fault: not counted as in the fault
 	zoneRecoveryTime  = 15 * time.Second // after a fault's end
 
--- a/internal/faults/zonesresult.go
+++ b/internal/faults/zonesresult.go
@@ -25,6 +25,7 @@
 	ServedVirtual    float64 `json:"served_share_fault_virtual"`         // ServedFault in the emulator's virtual time, with failover plans
 }
 
+// The times are zoneDetectionTime and zoneRecoveryTime of package experiment, so that runs in real and in virtual time compare.
 const (
 	faultDetectionTime = 3 * time.Second
 	recoveryWindow     = 15 * time.Second
