--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -142,7 +142,7 @@
 	time.Sleep(2 * socketSlack)                                                   // past the grace period
 	postJob(t, first, "two")
 	breaches := map[string]int{}
-	for _, breach := range cluster.Now().Breaches {
+	for _, breach := range cluster.Status().Breaches {
 		breaches[breach.Rule]++
 	}
 	if breaches[RuleRepeat] != 1 || breaches[RuleDrain] != 1 {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -3,7 +3,8 @@
 // scenario gives the same events on any machine. The same model of workers and discovery also runs on loopback sockets, by
 // the real clock, for real dispatchers.
 //
-// It is a model, not a measurement of real workers. Each part's comment says what it leaves out.
+// It is a model, not a measurement of real workers. Each part's comment says what it leaves out. Package soak, which breaks connections and
+// answers on purpose, and the tests of cmd/brassdale, which decide each answer, have stand-ins for workers and discovery of their own.
 package emulator
 
 import (
@@ -21,7 +22,7 @@
 	Span        time.Duration // in which jobs arrive; the run then goes on until all are answered
 	Dispatchers int
 	Traffic     Traffic
-	Kinds       []Kind
+	Kinds       []WorkerKind
 	Cells       int // workers are spread over them; each deduplicates by key
 	Network     Network
 	Discovery   time.Duration // mean delay of an endpoint update
@@ -64,8 +65,8 @@
 	Share float64 // of the jobs, relative to the other accounts
 }
 
-// Kind is a kind of worker.
-type Kind struct {
+// WorkerKind is a kind of worker.
+type WorkerKind struct {
 	Name     string
 	Count    int
 	Slots    int
@@ -115,7 +116,13 @@
 // FaultKind is a kind of fault.
 type FaultKind uint8
 
-// The kinds of faults. Share counts only for those of workers, Size and the zones only where they are mentioned.
+// The kinds of faults. Share counts only for those of workers, Size and the zones only where they are mentioned. To add one:
+//   - A fault of workers: beginFault and endFault in faultinjection.go, and Faulty of Status. Without a case nothing happens, and nothing
+//     reports that: applyFault takes each kind that it does not name for a fault of workers.
+//   - Any other: applyFault; isZoneFault and applyZoneFault for zones; check if it needs a Size; needsVirtualTime if sockets do not model it.
+//   - Its name in files: faultKindNames of package experiment, zoneFaults of package faults.
+//
+// What a fault draws depends on its index in the scenario alone, so a further kind changes no draw.
 const (
 	Freeze     FaultKind = iota // accepts jobs and probes and answers nothing; continues afterwards
 	Silent                      // answers probes and starts no job
@@ -166,7 +173,7 @@
 				{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18},
 				{"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08},
 			}},
-		Kinds:     []Kind{{"new-box", 9, 5, 0.85, 1.1, false}, {"old-box", 4, 4, 0.64, 0.86, false}},
+		Kinds:     []WorkerKind{{"new-box", 9, 5, 0.85, 1.1, false}, {"old-box", 4, 4, 0.64, 0.86, false}},
 		Network:   Network{Delay: 500 * time.Microsecond, Cross: 15 * time.Millisecond, Idle: 5 * time.Second},
 		Discovery: time.Second,
 		Reports:   Reports{Every: 700 * time.Millisecond, Cost: time.Millisecond},
@@ -213,7 +220,7 @@
 
 // check returns an error that says what the fault lacks in a scenario with so many zones.
 func (f *Fault) check(zones int) error {
-	sized, zoned := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == Far, f.Kind >= ZoneLost
+	sized, zoned := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == Far, isZoneFault(f.Kind)
 	switch {
 	case sized && f.Size <= 0:
 		return errors.New("needs a size")
@@ -225,6 +232,9 @@
 	return nil
 }
 
+// isZoneFault reports whether a kind is a fault of a zone.
+func isZoneFault(kind FaultKind) bool { return kind == ZoneLost || kind == Apart || kind == Far }
+
 // needsVirtualTime reports whether the scenario uses what is modelled in virtual time only.
 func (s *Scenario) needsVirtualTime() bool {
 	hasTrafficFault := slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Burst || f.Kind == HeavyTail })
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -16,7 +16,7 @@
 		const runs = 10
 		for seed := range uint64(runs) {
 			s := singleWorker(seed, 1, load)
-			s.Kinds = []Kind{{"one", 1, 1 << 20, 1, 1, true}}
+			s.Kinds = []WorkerKind{{"one", 1, 1 << 20, 1, 1, true}}
 			mean += mustRun(t, s, plainPolicy("random")).Mean.Seconds() / runs
 		}
 		if want := 0.1 / (1 - load); math.Abs(mean-want) > 0.1*want {
@@ -29,7 +29,7 @@
 // worker; a user has one job in flight at a time.
 func TestProcessorSharing_rejectsWithoutSlot(t *testing.T) {
 	s := singleWorker(1, 1, 0.9)
-	s.Span, s.Kinds = 100*time.Second, []Kind{{"some", 3, 1, 1, 1, true}}
+	s.Span, s.Kinds = 100*time.Second, []WorkerKind{{"some", 3, 1, 1, 1, true}}
 	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Effect = 20, 3, 100, scheduler.Idempotent
 	result := mustRun(t, s, plainPolicy("random"))
 	if result.Sends <= 1 || result.Served < result.Jobs*9/10 || len(result.Breaches) > 0 {
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -37,7 +37,7 @@
 	for _, standing := range Standings(deployments) {
 		// Two seeds are too few to estimate the noise: the margin is that of the stored runs with six seeds, 0.05 at most.
 		if standing.Difference.Mean < -0.05 {
-			t.Errorf("%s: scheduler %.3f, %s %.3f", standing.Work, standing.Module.Mean, standing.Plain, standing.Best.Mean)
+			t.Errorf("%s: scheduler %.3f, %s %.3f", standing.Deployment, standing.Scheduler.Mean, standing.Plain, standing.Best.Mean)
 		}
 	}
 }
--- a/internal/faults/faultinjection.go
+++ b/internal/faults/faultinjection.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"brassdale/internal/decisions/configversions"
+	"brassdale/internal/faultlink"
+	"brassdale/internal/labsupport"
 )
 
 // playEvent plays an event until it is over at the given time.
@@ -22,7 +24,7 @@
 	switch event.Kind {
 	case Partition:
 		r.partition(event.Group)
-		waitUntil(ctx, end)
+		labsupport.WaitUntil(ctx, end)
 		r.partition(nil)
 	case Flap:
 		r.flapLinks(ctx, process, end)
@@ -41,9 +43,9 @@
 	case ProposeTwice:
 		return r.proposeTwice(ctx)
 	default:
-		r.setLinks(process, event.linkState())
-		waitUntil(ctx, end)
-		r.setLinks(process, LinkState{})
+		r.setLinks(process, event.duringEvent())
+		labsupport.WaitUntil(ctx, end)
+		r.setLinks(process, faultlink.State{})
 	}
 	return nil
 }
@@ -51,19 +53,19 @@
 // freeze stops a process by SIGSTOP until a time.
 func (r *run) freeze(ctx context.Context, process *dispatcherProcess, end time.Time) error {
 	r.beginAbsence(process)
-	if err := process.node.Signal(syscall.SIGSTOP); err != nil {
+	if err := process.lastStart.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	waitUntil(ctx, end)
+	labsupport.WaitUntil(ctx, end)
 	r.endAbsence(process)
-	return process.node.Signal(syscall.SIGCONT)
+	return process.lastStart.Signal(syscall.SIGCONT)
 }
 
 // kill kills a process.
 func (r *run) kill(process *dispatcherProcess) {
 	r.beginAbsence(process)
-	process.node.Kill()
-	process.earlierLog += process.node.Log()
+	process.lastStart.Kill()
+	process.earlierLog += process.lastStart.Log()
 }
 
 // killForGood kills a process that is not restarted.
@@ -90,7 +92,7 @@
 		}
 		process.env = []string{fmt.Sprintf("BRASSDALE_TEST_PACE=%g", rate)}
 	}
-	waitUntil(ctx, end)
+	labsupport.WaitUntil(ctx, end)
 	r.endAbsence(process)
 	return r.startProcess(ctx, process)
 }
@@ -103,7 +105,7 @@
 	if err := os.RemoveAll(withoutData.dir); err != nil {
 		return err
 	}
-	waitUntil(ctx, end)
+	labsupport.WaitUntil(ctx, end)
 	var starting sync.WaitGroup
 	errs := make([]error, len(r.processes))
 	for i, process := range r.processes {
--- a/internal/faults/linkfaults.go
+++ b/internal/faults/linkfaults.go
@@ -3,6 +3,9 @@
 import (
 	"context"
 	"time"
+
+	"brassdale/internal/faultlink"
+	"brassdale/internal/labsupport"
 )
 
 // linkEnds are the processes at the ends of a link, by index: from calls to.
@@ -23,7 +26,7 @@
 			if from == to {
 				continue
 			}
-			link, err := NewLink(called.address, r.plan.Seed+uint64(100*from+to))
+			link, err := faultlink.New(called.address, r.plan.Seed+uint64(100*from+to))
 			if err != nil {
 				return err
 			}
@@ -34,10 +37,10 @@
 }
 
 // setLinks sets the fault of a process's links. Faults of the processes at the other ends stay in force.
-func (r *run) setLinks(process *dispatcherProcess, state LinkState) {
+func (r *run) setLinks(process *dispatcherProcess, state faultlink.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	process.linkState = state
+	process.ownLinkState = state
 	for ends, link := range r.links {
 		if ends.from == process.index || ends.to == process.index {
 			link.Set(r.combinedState(ends))
@@ -59,10 +62,10 @@
 }
 
 // combinedState returns the state of a link under the faults of both of its ends. The caller holds r.mu.
-func (r *run) combinedState(ends linkEnds) LinkState {
-	from, to := r.processes[ends.from].linkState, r.processes[ends.to].linkState
+func (r *run) combinedState(ends linkEnds) faultlink.State {
+	from, to := r.processes[ends.from].ownLinkState, r.processes[ends.to].ownLinkState
 	partitioned := r.partitioned[ends.from] != r.partitioned[ends.to]
-	return LinkState{
+	return faultlink.State{
 		CutTo:   partitioned || from.CutTo || to.CutFrom,
 		CutFrom: partitioned || from.CutFrom || to.CutTo,
 		Delay:   max(from.Delay, to.Delay),
@@ -75,12 +78,12 @@
 // flapLinks cuts and heals a process's links in turn until a time. If the context ends before, it leaves them as they are.
 func (r *run) flapLinks(ctx context.Context, process *dispatcherProcess, end time.Time) {
 	for cut := true; time.Now().Before(end); cut = !cut {
-		r.setLinks(process, LinkState{CutTo: cut, CutFrom: cut})
-		if !waitUntil(ctx, time.Now().Add(flapInterval)) {
+		r.setLinks(process, faultlink.State{CutTo: cut, CutFrom: cut})
+		if !labsupport.WaitUntil(ctx, time.Now().Add(flapInterval)) {
 			return
 		}
 	}
-	r.setLinks(process, LinkState{})
+	r.setLinks(process, faultlink.State{})
 }
 
 // resetLinks resets the connections over a process's links repeatedly until a time.
@@ -91,9 +94,9 @@
 				link.Reset()
 			}
 		}
-		if !waitUntil(ctx, time.Now().Add(resetInterval)) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(resetInterval)) {
 			return
 		}
 	}
-	r.setLinks(process, LinkState{})
+	r.setLinks(process, faultlink.State{})
 }
--- a/internal/faults/result.go
+++ b/internal/faults/result.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"brassdale/internal/effectivestate"
 )
 
 // Result is what a run measured. The JSON keys are those of result files and do not change.
@@ -16,7 +18,7 @@
 	Jobs            int             `json:"jobs"`
 	AnsweredOnce    int             `json:"answered_once"`
 	AnsweredNever   int             `json:"answered_never"`
-	AnsweredTwice   int             `json:"answered_twice"`
+	AnsweredTwice   int             `json:"answered_twice"`    // always 0: a client reads one answer, and the field is for readers of result files
 	LostWithProcess int             `json:"lost_with_process"` // without an answer because their process was absent meanwhile
 	Refused         int             `json:"refused"`           // of those answered once
 	RulesBroken     int             `json:"rules_broken"`
@@ -37,14 +39,14 @@
 	ListRefused     int             `json:"list_refused,omitempty"`
 	WatchGapMS      float64         `json:"watch_gap_max_ms,omitempty"` // longest time in which a process that was present had no poll open
 
-	EffectiveStates [][]EffectiveState `json:"-"` // by process
-	Absences        [][]Absence        `json:"-"` // by process
-	Events          []Event            `json:"-"` // that were played
-	Begin           time.Time          `json:"-"` // when the run began; times of events count from here
-	Logs            []string           `json:"-"` // by process, over all its starts
+	EffectiveStates [][]effectivestate.State  `json:"-"` // by process
+	Absences        [][]effectivestate.Period `json:"-"` // by process
+	Events          []Event                   `json:"-"` // that were played
+	Begin           time.Time                 `json:"-"` // when the run began; times of events count from here
+	Logs            []string                  `json:"-"` // by process, over all its starts
 }
 
-// Bad reports whether a rule or the bound was broken, or a job was not answered exactly once.
+// Bad reports whether a rule or the bound was broken, or a job was not answered.
 func (r *Result) Bad() bool {
 	return r.RulesBroken > 0 || r.ContradictionMS > r.BoundMS || r.AnsweredNever > 0 || r.AnsweredTwice > 0
 }
--- a/internal/faults/run.go
+++ b/internal/faults/run.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"brassdale/internal/emulator"
+	"brassdale/internal/faultlink"
+	"brassdale/internal/labsupport"
 )
 
 // run is a run in progress. The fields above mu are not changed after start, except what dispatcherProcess says of its own.
@@ -22,7 +24,7 @@
 	dir       string            // for configuration and the processes' data
 	client    *http.Client
 	processes []*dispatcherProcess
-	links     map[linkEnds]*Link
+	links     map[linkEnds]*faultlink.Link
 
 	mu          sync.Mutex
 	partitioned map[int]bool         // processes that a partition separates from the rest
@@ -53,7 +55,7 @@
 		binary:      binary,
 		dir:         dir,
 		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnectionsPerHost}},
-		links:       map[linkEnds]*Link{},
+		links:       map[linkEnds]*faultlink.Link{},
 		announcedAt: map[uint64]time.Time{},
 		result:      &Result{Seed: plan.Seed, Processes: plan.Processes, Faults: map[string]int{}, BoundMS: milliseconds(plan.Bound)},
 	}
@@ -85,8 +87,9 @@
 	return nil
 }
 
-// freeAddress returns an address for the fleet listener of a process. Each run has IP addresses of its own: otherwise the system
-// could give the port of a voter that was killed to a connection of another run before the voter is restarted.
+// freeAddress returns an address for the fleet listener of a process. The IP addresses follow from the process ID of the program that plays
+// the run, so that other programs' runs rarely share them: otherwise the system could give the port of a voter that was killed to a
+// connection of another run before the voter is restarted. Runs that one program plays at the same time do share them.
 func freeAddress(process int) (string, error) {
 	const usable = 250 // numbers in a byte of an address
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.88.%d.%d:0", os.Getpid()%usable+1, process%usable+1))
@@ -102,7 +105,7 @@
 		link.Close()
 	}
 	for _, process := range r.processes {
-		process.stop()
+		process.killIfStarted()
 	}
 }
 
@@ -137,7 +140,7 @@
 	for _, event := range r.result.Events {
 		r.result.Faults[string(event.Kind)]++
 		activities.Go(func() {
-			if waitUntil(ctx, begin.Add(event.At)) {
+			if labsupport.WaitUntil(ctx, begin.Add(event.At)) {
 				r.addError(r.playEvent(ctx, event, begin.Add(event.At+event.For)))
 			}
 		})
@@ -158,13 +161,3 @@
 	defer r.mu.Unlock()
 	r.err = cmp.Or(r.err, err)
 }
-
-// waitUntil waits for a time. It returns false if the context ends before.
-func waitUntil(ctx context.Context, at time.Time) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(time.Until(at)):
-		return true
-	}
-}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -127,7 +127,7 @@
 			t.Fatalf("%d jobs and error %v", len(jobs), err)
 		}
 		for i, job := range jobs {
-			if job.At < 0 || i > 0 && job.At < jobs[i-1].At || strings.ContainsAny(job.Key+job.Subject+job.Account+job.Work, "\r\n") {
+			if job.At < 0 || i > 0 && job.At < jobs[i-1].At || strings.ContainsAny(job.Key+job.Subject+job.Account+job.Extra, "\r\n") {
 				t.Fatalf("job %d: %+v", i, job)
 			}
 		}
--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/traffic"
 )
 
@@ -26,7 +26,7 @@
 	r.addTraffic(result, measured.before, measured.after)
 	r.addUsage(result, measured.before, measured.after)
 	checkMachine(result, measured.before, measured.after)
-	result.WorkerProbes = len(r.cluster.Spent().Probes)
+	result.WorkerProbes = len(r.cluster.ReceivedTimes().Probes)
 	if r.plan.Fault == nil {
 		result.Interface = compareInterface(measured.before, measured.after)
 	}
@@ -36,14 +36,14 @@
 	all := r.histories()
 	addReturns(result, all)
 	r.addInForce(result, all, measured.after.lateTicks)
-	var states [][]faults.EffectiveState
+	var states [][]effectivestate.State
 	for _, h := range all {
 		states = append(states, h.effectiveStates)
 	}
-	contradiction, _ := faults.ContradictionTime(states)
+	contradiction, _ := effectivestate.ContradictionTime(states)
 	result.ContradictionMS = milliseconds(contradiction)
 	if r.plan.Fault != nil {
-		result.Failures = []Failure{r.failure(all)}
+		result.FaultCosts = []FaultCost{r.faultCost(all)}
 	}
 	for _, breach := range r.cluster.Breaches() {
 		result.RulesBroken++
@@ -59,7 +59,7 @@
 		Title: plan.Title, Seed: plan.Seed, At: r.beganAt.UTC(), LeaseDurationMS: float64(plan.LeaseDuration.Milliseconds()), Packing: plan.Packing(),
 		Dispatchers: plan.Dispatchers, Hollow: plan.Hollow, Processes: plan.Processes, Real: plan.Real(), Bare: plan.Bare,
 		Workers: plan.Workers, Accelerators: plan.Accelerators, Zones: plan.Zones, Regions: plan.Regions, Teams: plan.Teams,
-		Voters: plan.Voters, SetAside: plan.SetAside,
+		Voters: plan.Voters, Dedicated: plan.Dedicated,
 		Jobs: r.jobCounts.sent, AnsweredOnce: r.jobCounts.answered, AnsweredNever: r.jobCounts.unanswered, LostWithProcess: r.jobCounts.lost,
 		ReturnedInForceMS: []float64{},
 	}
@@ -104,7 +104,7 @@
 
 // usageGroup is the dispatchers whose usage is a figure of its own.
 type usageGroup struct {
-	role   dispatcherRole
+	role   costRole
 	hollow bool
 }
 
@@ -112,7 +112,7 @@
 func (r *run) addUsage(result *Result, before, after snapshot) {
 	cpuMS, memoryMB := map[usageGroup][]float64{}, map[usageGroup][]float64{}
 	for _, each := range r.dispatchers {
-		cpu, memory := cpuBetween(before, after, each.name)/result.SpanS, after.usage[after.pids[each.name]].memoryMB
+		cpu, memory := cpuBetween(before, after, each.name)/result.SpanS, after.usage[after.pids[each.name]].MemoryMB
 		if each.name == after.leader {
 			result.LeaderCPU = cpu
 		}
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -8,36 +8,40 @@
 	"sync/atomic"
 	"time"
 
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/emulator"
-	"brassdale/internal/faults"
 )
 
-// dispatcherRole is what a dispatcher of a run is for. Results have its text as a key.
-type dispatcherRole string
+// costRole is a role of a dispatcher by which results list what control costs. Results have its text as a key.
+type costRole string
 
+// The first three are what a dispatcher is for, which does not change during a run. The others are what it is in the raft group for some
+// time, and take the place of the first three in FaultCost.
 const (
-	roleServing  dispatcherRole = "dispatcher" // serves jobs
-	roleSetAside dispatcherRole = "set aside"  // for control alone
-	roleBare     dispatcherRole = "bare"       // has no fleet
+	roleServing   costRole = "dispatcher" // serves jobs
+	roleDedicated costRole = "set aside"  // its machine serves no jobs: it is for control alone
+	roleBare      costRole = "bare"       // has no fleet
+	roleVoter     costRole = "seat"       // a voter that does not lead
+	roleLeader    costRole = "leader"
 )
 
-// dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields from node on.
+// dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields from process on.
 type dispatcher struct {
 	name         string
-	role         dispatcherRole
+	role         costRole // roleServing, roleDedicated or roleBare
 	hollow       bool
 	fleetAddress string // where other dispatchers reach it
 	zone         int
 	voterNumber  int // counted from 1, among the voters of the founded raft group; 0 for no voter
 	listener     int // of a real one: its index in the emulator
 
-	node            *emulator.Node          // of a real one that runs
-	hollowProcess   *hollowProcess          // of a hollow one that runs
-	earlierLogs     string                  // of a real one: of its ended processes
-	earlierStates   []faults.EffectiveState // of a hollow one: of its ended processes
-	effectiveStates []faults.EffectiveState // of a hollow one: of its process, as they were fetched last
-	absences        []faults.Absence        // while it was not running
-	partitions      []faults.Absence        // while it was running and cut off from other regions
+	process         *emulator.DispatcherProcess // of a real one that runs
+	hollowProcess   *hollowProcess              // of a hollow one that runs
+	earlierLogs     string                      // of a real one: of its ended processes
+	earlierStates   []effectivestate.State      // of a hollow one: of its ended processes
+	effectiveStates []effectivestate.State      // of a hollow one: of its process, as they were fetched last
+	absences        []effectivestate.Period     // while it was not running; a successor's first has no From
+	partitions      []effectivestate.Period     // while it was running and cut off from other regions
 }
 
 // absent reports whether the dispatcher was killed and has not come back. It is called before and after the measured
@@ -68,17 +72,17 @@
 }
 
 // statesOf returns what a dispatcher has applied until now; of a hollow one, until the last fetchHollowStates.
-func (r *run) statesOf(d *dispatcher) []faults.EffectiveState {
+func (r *run) statesOf(d *dispatcher) []effectivestate.State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if d.hollow {
 		return append(slices.Clone(d.earlierStates), d.effectiveStates...)
 	}
 	log := d.earlierLogs
-	if d.node != nil {
-		log += d.node.Log()
+	if d.process != nil {
+		log += d.process.Log()
 	}
-	return faults.EffectiveStates(log, time.Now(), d.absences)
+	return effectivestate.FromLog(log, time.Now(), d.absences)
 }
 
 // running returns copies of the dispatchers that run, as they are now.
@@ -87,7 +91,7 @@
 	defer r.mu.Unlock()
 	var all []dispatcher
 	for _, each := range r.dispatchers {
-		if each.node != nil || each.hollowProcess != nil {
+		if each.process != nil || each.hollowProcess != nil {
 			all = append(all, *each)
 		}
 	}
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -7,7 +7,9 @@
 	"slices"
 	"time"
 
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
+	"brassdale/internal/faultlink"
+	"brassdale/internal/labsupport"
 )
 
 // faultRecord is what is known of the run's fault. The run's mutex guards it.
@@ -22,7 +24,7 @@
 func (r *run) injectFault(ctx context.Context) error {
 	fault := r.plan.Fault
 	begin := r.beganAt.Add(fault.At)
-	if !sleepUntil(ctx, begin) {
+	if !labsupport.WaitUntil(ctx, begin) {
 		return nil
 	}
 	names := r.beginFault()
@@ -61,14 +63,14 @@
 
 // affectedBy returns the names of the running dispatchers that a fault affects. Bare ones never are.
 func (r *run) affectedBy(fault *Fault, leader string) []string {
-	leaderSetAside := r.isSetAside(leader)
+	leaderDedicated := r.isDedicated(leader)
 	var names []string
 	for _, each := range r.running() {
 		affected := false
 		switch fault.Kind {
 		case VoterLost:
 			affected = each.name == leader
-			if !leaderSetAside { // there is no leader, or it is a dispatcher that serves jobs
+			if !leaderDedicated { // there is no leader, or it is a dispatcher that serves jobs
 				affected = each.voterNumber == 1
 			}
 		case ZoneLost:
@@ -87,9 +89,9 @@
 	return names
 }
 
-// isSetAside reports whether a dispatcher is set aside.
-func (r *run) isSetAside(name string) bool {
-	return slices.ContainsFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == name && each.role == roleSetAside })
+// isDedicated reports whether a dispatcher is dedicated to control.
+func (r *run) isDedicated(name string) bool {
+	return slices.ContainsFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == name && each.role == roleDedicated })
 }
 
 // killAndRestart kills dispatchers and restarts them at the end of the fault, unless it has none. Probes of a lost zone are unanswered in
@@ -100,7 +102,7 @@
 		r.setObservedZones(ctx, func(_, zone int) bool { return zone != fault.Zone })
 	}
 	r.kill(names)
-	if fault.For == 0 || !sleepUntil(ctx, end) {
+	if fault.For == 0 || !labsupport.WaitUntil(ctx, end) {
 		return nil
 	}
 	if fault.Kind == ZoneLost {
@@ -115,17 +117,17 @@
 	var kills []func() error
 	r.mu.Lock()
 	for _, each := range r.dispatchers {
-		if !slices.Contains(names, each.name) || each.node == nil && each.hollowProcess == nil {
+		if !slices.Contains(names, each.name) || each.process == nil && each.hollowProcess == nil {
 			continue
 		}
-		each.absences = append(each.absences, faults.Absence{From: now})
-		if node := each.node; node != nil {
-			each.node = nil
+		each.absences = append(each.absences, effectivestate.Period{From: now})
+		if process := each.process; process != nil {
+			each.process = nil
 			kills = append(kills, func() error {
-				node.Kill()
+				process.Kill()
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				each.earlierLogs += node.Log()
+				each.earlierLogs += process.Log()
 				return nil
 			})
 			continue
@@ -182,7 +184,7 @@
 // replaceOneByOne kills hollow dispatchers one by one, evenly over the fault, and starts a new one in place of each.
 func (r *run) replaceOneByOne(ctx context.Context, names []string, begin time.Time) error {
 	for i, name := range names {
-		if !sleepUntil(ctx, begin.Add(r.plan.Fault.For*time.Duration(i)/time.Duration(len(names)))) {
+		if !labsupport.WaitUntil(ctx, begin.Add(r.plan.Fault.For*time.Duration(i)/time.Duration(len(names)))) {
 			return nil
 		}
 		r.kill([]string{name})
@@ -203,19 +205,19 @@
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == predecessor })
 	successor := &dispatcher{name: name, role: roleServing, hollow: true, zone: r.dispatchers[i].zone}
-	successor.absences = []faults.Absence{{To: time.Now()}} // from the start of the run
+	successor.absences = []effectivestate.Period{{To: time.Now()}} // from the start of the run
 	return successor, r.addDispatcher(successor)
 }
 
 // partitionRegion cuts the fault's region off from the others until its end. Hollow dispatchers observe only the zones on their side.
 func (r *run) partitionRegion(ctx context.Context, names []string, end time.Time) {
 	region := r.plan.Fault.Region
-	r.links.setState(region, faults.LinkState{CutTo: true, CutFrom: true})
+	r.links.setState(region, faultlink.State{CutTo: true, CutFrom: true})
 	r.recordPartition(names, true)
 	r.setObservedZones(ctx, func(own, zone int) bool { return (r.plan.region(zone) == region) == (r.plan.region(own) == region) })
-	sleepUntil(ctx, end)
+	labsupport.WaitUntil(ctx, end)
 	r.setObservedZones(ctx, allZones)
-	r.links.setState(region, faults.LinkState{})
+	r.links.setState(region, faultlink.State{})
 	r.recordPartition(names, false)
 }
 
@@ -228,7 +230,7 @@
 		switch {
 		case !slices.Contains(names, each.name):
 		case cut:
-			each.partitions = append(each.partitions, faults.Absence{From: now})
+			each.partitions = append(each.partitions, effectivestate.Period{From: now})
 		default:
 			each.partitions[len(each.partitions)-1].To = now
 		}
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -13,8 +13,9 @@
 	"brassdale/internal/decisions/configversions"
 	"brassdale/internal/decisions/failover"
 	"brassdale/internal/decisions/polling"
-	"brassdale/internal/faults"
+	"brassdale/internal/effectivestate"
 	"brassdale/internal/fleet"
+	"brassdale/internal/labsupport"
 	"brassdale/internal/protocol"
 	"brassdale/internal/routing"
 	"brassdale/internal/traffic"
@@ -31,8 +32,8 @@
 	startedAt time.Time
 
 	mu              sync.Mutex
-	effectiveStates []faults.EffectiveState
-	raftRole        raftRole
+	effectiveStates []effectivestate.State
+	raftState       raftState
 	recorder        *failover.Recorder
 	random          *rand.Rand
 	reportedAt      time.Time // of the last report
@@ -73,7 +74,7 @@
 		ApplyEffective: dispatcher.applyEffective,
 		JobCounts:      dispatcher.jobCounts,
 		Meter:          dispatcher.meter,
-		Log:            slog.New(raftRoleHandler{log.With("hollow", dispatcher.name).Handler(), dispatcher}),
+		Log:            slog.New(raftStateHandler{log.With("hollow", dispatcher.name).Handler(), dispatcher}),
 	}
 	if s.spec.Failover != nil {
 		options.Failover = s.spec.Failover
@@ -109,22 +110,22 @@
 	if last := len(d.effectiveStates) - 1; last >= 0 {
 		d.effectiveStates[last].To = now
 	}
-	applied := faults.EffectiveState{From: now, Versions: slices.Clone(effective.Versions), Lapsed: effective.LeaseExpired}
+	applied := effectivestate.State{From: now, Versions: slices.Clone(effective.Versions), Lapsed: effective.LeaseExpired}
 	d.effectiveStates = append(d.effectiveStates, applied)
 }
 
 // appliedStates returns what the agent has applied until now.
-func (d *hollowDispatcher) appliedStates() []faults.EffectiveState {
+func (d *hollowDispatcher) appliedStates() []effectivestate.State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.effectiveStates)
 }
 
-// currentRaftRole returns the dispatcher's role in the raft group.
-func (d *hollowDispatcher) currentRaftRole() raftRole {
+// currentRaftState returns the dispatcher's state in the raft group.
+func (d *hollowDispatcher) currentRaftState() raftState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.raftRole
+	return d.raftState
 }
 
 // jobCounts returns the jobs that were reported as ended; none of them as bad.
@@ -134,13 +135,14 @@
 	return d.claimedJobs, 0
 }
 
-// Probing as the module of package scheduler does: each worker gets one probe a second from each of probersPerWorker dispatchers. If there are
-// more workers than allProbedWorkers, a dispatcher probes maxProbedWorkers of them, once a second.
+// How often a hollow dispatcher probes, about as package scheduler does: each worker gets one probe a second from each of probersPerWorker
+// dispatchers (maxProbers and probeInterval there). If there are more workers than allProbedWorkers, a dispatcher probes maxProbedWorkers of
+// them, once a second: a real one's subset depends on its jobs (chooseSubset), which a hollow one does not have.
 const (
-	allProbedWorkers = 512
-	maxProbedWorkers = 32
-	probersPerWorker = 2
-	probeInterval    = 250 * time.Millisecond
+	allProbedWorkers   = 512
+	maxProbedWorkers   = 32
+	probersPerWorker   = 2
+	budgetPollInterval = 250 * time.Millisecond // between two times at which due probes are taken from the budget
 )
 
 // probesPerSecondOf returns how many probes a second a dispatcher of the spec would send.
@@ -156,13 +158,13 @@
 func (d *hollowDispatcher) probeWorkers(ctx context.Context, server *hollowServer) {
 	rate := probesPerSecondOf(&server.spec)
 	zones := slices.Sorted(maps.Keys(server.spec.Capacity))
-	for due := 0.0; ; due += rate * probeInterval.Seconds() {
+	for due := 0.0; ; due += rate * budgetPollInterval.Seconds() {
 		for ; due >= 1; due-- {
 			if d.agent.AllowUse(fleet.ProbeBudget) {
 				d.recordProbe(zones, server.observed())
 			}
 		}
-		if !sleepUntil(ctx, time.Now().Add(probeInterval)) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(budgetPollInterval)) {
 			return
 		}
 	}
@@ -208,19 +210,22 @@
 	return &report
 }
 
-// Delays of calls to discovery, as routing.EndpointList has them.
+// Delays of calls to discovery. They are simpler than a real dispatcher's, whose calls package polling schedules (polling.Schedule) and whose
+// scheduler decides when the list is polled anew (pollDelay in package scheduler); maxFirstCallDelay and maxRetryDelay are equal to its
+// maxFirstPollDelay and MaxListRetryDelay.
 const (
 	firstCallSpread   = 50 * time.Millisecond // for each dispatcher, of the time over which their first calls are spread
 	maxFirstCallDelay = 3 * time.Second
 	maxRetryDelay     = 900 * time.Millisecond // after a failed call
 )
 
-// watchEndpoints calls discovery as routing.EndpointList does until the context ends, and discards the endpoints.
+// watchEndpoints calls discovery until the context ends, and discards the endpoints. Between calls that succeed it waits as a real dispatcher
+// does (polling.RewatchDelay).
 func (d *hollowDispatcher) watchEndpoints(ctx context.Context, settings *protocol.LiveSettings) {
 	first := rand.Float64() * float64(settings.Current().ReplicasOfMe) * firstCallSpread.Seconds()
 	delay, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.NoRevision), polling.FullList
 	for {
-		if !sleepUntil(ctx, time.Now().Add(min(delay, maxFirstCallDelay))) {
+		if !labsupport.WaitUntil(ctx, time.Now().Add(min(delay, maxFirstCallDelay))) {
 			return
 		}
 		update, err := d.discovery.Call(ctx, revision, kind)
--- a/internal/scale/realdispatcher.go
+++ b/internal/scale/realdispatcher.go
@@ -27,14 +27,14 @@
 		}
 		args = append(args, "--operator", path)
 	}
-	environment := []string{"GW_CONFIG=" + config}
-	node, err := r.cluster.StartWith(ctx, r.options.DispatcherProgram, r.directory, started.listener, environment, args...)
+	environment := []string{"GW_CONFIG=" + config} // replaces StartWith's own: of two values of a variable the last counts
+	process, err := r.cluster.StartWith(ctx, r.options.DispatcherProgram, r.directory, started.listener, environment, args...)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	started.node = node
+	started.process = process
 	return nil
 }
 
@@ -44,7 +44,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "council {\n fleet = %q\n listen = %q\n seat = %d\n directory = %q\n bound = %q\n replace = %q\n region = %q\n zone = %q\n set_aside = %t\n voters = [",
 		fleetName, of.fleetAddress, of.voterNumber, filepath.Join(r.directory, "disk-"+of.name), r.plan.LeaseDuration, r.plan.ReplaceAfter,
-		regionName(region), zoneName(of.zone), of.role == roleSetAside)
+		regionName(region), zoneName(of.zone), of.role == roleDedicated)
 	for _, address := range r.voterAddresses {
 		fmt.Fprintf(&text, "%q, ", address)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,6 +11,7 @@
 
 	"brassdale/internal/emulator"
 	"brassdale/internal/fleet"
+	"brassdale/internal/labsupport"
 )
 
 // Options are the programs and directories of a run.
@@ -38,7 +39,8 @@
 	beganAt        time.Time     // of the measured span
 	proposeNow     chan struct{} // holds a value when a proposal is to be made at once
 
-	// mu guards the fields below while the measured span is played. Before and after it only one goroutine uses them.
+	// mu guards the fields below from startAll, which starts dispatchers in parallel, to the end of the measured span. Before and after, only
+	// one goroutine uses them. The goroutine of injectFault reads dispatchers without it, as no other adds to them.
 	mu                     sync.Mutex
 	dispatchers            []*dispatcher
 	hollowProcesses        []*hollowProcess // that run
@@ -51,7 +53,7 @@
 
 const (
 	startTimeout      = 60 * time.Second       // until all dispatchers have leases
-	settleTimeout     = 12 * time.Second       // after the measured span, until all have applied the last change
+	applyTimeout      = 12 * time.Second       // after the measured span, until all have applied the newest version
 	statePollInterval = 200 * time.Millisecond // while awaiting a state of all dispatchers
 	snapshotInterval  = time.Second            // in runs with a fault
 )
@@ -100,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.awaitNewestVersion(ctx, time.Now().Add(settleTimeout)) // the result has the changes that were not applied
+	r.awaitNewestVersion(ctx, time.Now().Add(applyTimeout)) // the result has the changes that were not applied
 	if err := r.fetchHollowStates(ctx); err != nil {
 		return nil, err
 	}
@@ -116,7 +118,7 @@
 	if !r.awaitLeases(ctx, deadline) {
 		return errors.New("not all dispatchers had a lease in time")
 	}
-	if !sleepUntil(ctx, time.Now().Add(r.plan.Settle)) {
+	if !labsupport.WaitUntil(ctx, time.Now().Add(r.plan.Settle)) {
 		return ctx.Err()
 	}
 	return nil
@@ -129,7 +131,8 @@
 	after  snapshot // at its end
 }
 
-// measure plays the measured span: jobs, changes and the fault.
+// measure plays the measured span: jobs from its start, then the part without changes (measureRest), then the changes and the fault. In a
+// plan with neither changes nor Rest, the part without changes is the whole span, so that a fault begins only after it.
 func (r *run) measure(ctx context.Context) (measured measurement, err error) {
 	r.cluster.StartFaults()
 	if measured.before, err = r.takeSnapshot(ctx); err != nil {
@@ -142,13 +145,8 @@
 	defer background.Wait()
 	defer stop()
 	background.Go(func() { r.sendJobs(spanCtx, end) })
-	if r.plan.Rest > 0 || r.plan.ChangeInterval == 0 {
-		if !sleepUntil(ctx, r.beganAt.Add(cmp.Or(r.plan.Rest, r.plan.Span))) {
-			return measured, ctx.Err()
-		}
-		if measured.rested, err = r.takeSnapshot(ctx); err != nil {
-			return measured, err
-		}
+	if measured.rested, err = r.measureRest(ctx); err != nil {
+		return measured, err
 	}
 	proposer := newProposer(r)
 	if r.plan.ChangeInterval > 0 {
@@ -159,7 +157,7 @@
 		background.Go(func() { faultErr = r.injectFault(spanCtx) })
 		r.takeSnapshots(ctx, end)
 	}
-	sleepUntil(ctx, end) // a context that has ended fails the snapshot
+	labsupport.WaitUntil(ctx, end) // a context that has ended fails the snapshot
 	if measured.after, err = r.takeSnapshot(ctx); err != nil {
 		return measured, err
 	}
@@ -168,19 +166,21 @@
 		return measured, err
 	}
 	if r.plan.Fault != nil && r.plan.ChangeInterval > 0 {
-		proposer.proposeAfterFault(ctx, time.Now().Add(settleTimeout))
+		proposer.proposeAfterFault(ctx, time.Now().Add(applyTimeout))
 	}
 	return measured, nil
 }
 
-// sleepUntil sleeps until a time, and returns false if the context ends before.
-func sleepUntil(ctx context.Context, at time.Time) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(time.Until(at)):
-		return true
+// measureRest waits until the part without changes is over, and returns the snapshot at its end. That part is the plan's Rest at the start of
+// the span; without changes, it is the whole span if Rest is 0. If there is no such part, measureRest returns a zero snapshot at once.
+func (r *run) measureRest(ctx context.Context) (snapshot, error) {
+	if r.plan.Rest == 0 && r.plan.ChangeInterval > 0 {
+		return snapshot{}, nil
+	}
+	if !labsupport.WaitUntil(ctx, r.beganAt.Add(cmp.Or(r.plan.Rest, r.plan.Span))) {
+		return snapshot{}, ctx.Err()
 	}
+	return r.takeSnapshot(ctx)
 }
 
 // inParallel calls functions at once, waits for all and returns their errors joined.
@@ -197,8 +197,8 @@
 // closeAll ends all processes and links, and idle connections.
 func (r *run) closeAll() {
 	for _, each := range r.running() {
-		if each.node != nil {
-			each.node.Kill()
+		if each.process != nil {
+			each.process.Kill()
 		}
 	}
 	for _, process := range r.runningHollowProcesses() {
@@ -219,8 +219,8 @@
 			continue
 		}
 		text := each.earlierLogs
-		if each.node != nil {
-			text += each.node.Log()
+		if each.process != nil {
+			text += each.process.Log()
 		}
 		if err := os.WriteFile(filepath.Join(r.options.LogDir, each.name+".log"), []byte(text), 0o644); err != nil {
 			return err
