--- a/internal/decisions/budgetleases/lessor.go
+++ b/internal/decisions/budgetleases/lessor.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// leaseDuration returns how long a lease may be valid by the lessor's clock.
-func (l *Lessor) leaseDuration() time.Duration {
+// assumedLeaseDuration returns how long a lease may be valid by the lessor's clock.
+func (l *Lessor) assumedLeaseDuration() time.Duration {
 	return l.settings.LeaseDuration + time.Duration(MaxClockDrift*float64(l.settings.LeaseDuration))
 }
 
@@ -66,7 +66,7 @@
 func (l *Lessor) expire(now Instant) {
 	maps.DeleteFunc(l.lessees, func(_ string, lessee *lesseeState) bool {
 		lessee.grants = slices.DeleteFunc(lessee.grants, func(g grant) bool { return now >= g.expiry })
-		return len(lessee.grants) == 0 && now >= lessee.requestedAt+l.leaseDuration()
+		return len(lessee.grants) == 0 && now >= lessee.requestedAt+l.assumedLeaseDuration()
 	})
 }
 
@@ -80,13 +80,13 @@
 
 // Grant returns the uses a second that the dispatcher with the given name may make, as a lease that begins when it sent the
 // request. demand is what it needs now, and floor is the part of it that it gets before others get more than their floors; both are
-// uses a second.
+// uses a second. The fleet passes a floor of 0: its least rate is UnleasedRate.
 //
 // The rate is at least what the dispatcher may use without a lease, but 0 where Settings.MaxLessees others have leases: the
 // budget then has nothing left for it.
 func (l *Lessor) Grant(name string, demand, floor float64, now Instant) float64 {
 	unleased := l.settings.UnleasedRate()
-	if now < l.electedAt+l.leaseDuration() {
+	if now < l.electedAt+l.assumedLeaseDuration() {
 		return unleased
 	}
 	lessee := l.lessees[name]
@@ -103,7 +103,7 @@
 	}
 	others := l.granted - lessee.granted + l.unleasedReserve()
 	rate := max(min(l.fairRate(lessee), l.settings.RatePerSecond-others), unleased)
-	lessee.grants = append(lessee.grants, grant{rate, now + l.leaseDuration()})
+	lessee.grants = append(lessee.grants, grant{rate, now + l.assumedLeaseDuration()})
 	l.granted -= lessee.granted
 	lessee.granted = max(lessee.maxValidGrant(), unleased)
 	l.granted += lessee.granted
@@ -120,14 +120,14 @@
 	return max(min(lessee.floor, lessee.demand), l.settings.UnleasedRate())
 }
 
-// unassured returns the rate that a lessee needs beyond its assured one, with demandHeadroom.
-func (l *Lessor) unassured(lessee *lesseeState) float64 {
+// needBeyondAssured returns the rate that a lessee needs beyond its assured one, with demandHeadroom.
+func (l *Lessor) needBeyondAssured(lessee *lesseeState) float64 {
 	return max(demandHeadroom*lessee.demand-l.assured(lessee), 0)
 }
 
 // fairRate returns a lessee's share of the budget in the current allocation.
 func (l *Lessor) fairRate(lessee *lesseeState) float64 {
-	return l.assured(lessee)*l.floorScale + min(l.unassured(lessee), max(l.level, 0))
+	return l.assured(lessee)*l.floorScale + min(l.needBeyondAssured(lessee), max(l.level, 0))
 }
 
 // allocate computes the allocation from all lessees' demands. A grant that expires before the next one counts until then, so that
@@ -150,7 +150,7 @@
 	left -= floors * l.floorScale
 	needs := make([]float64, 0, len(l.lessees))
 	for _, lessee := range l.lessees {
-		needs = append(needs, l.unassured(lessee))
+		needs = append(needs, l.needBeyondAssured(lessee))
 	}
 	l.level = fillLevel(needs, left)
 }
--- a/internal/decisions/cachetrust/sequentialtest.go
+++ b/internal/decisions/cachetrust/sequentialtest.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxFalseWarmRate is the share of the workers that are warming up which may be taken for warm ones.
+	// maxFalseWarmRate is the share of warming workers that may be taken for warm.
 	maxFalseWarmRate = 0.05
 
 	// logRuntimeDeviation is the standard deviation of the logarithm of how much longer than usual a job takes at a warm worker.
@@ -43,6 +43,7 @@
 	}
 	logLateness = min(max(logLateness, -maxLogLateness), maxLogLateness)
 	expected := -math.Log(a.warmupFactor(now - worker.announcedAt)) // of a worker that started when it was announced
+	// The log-likelihood ratio of two normal distributions with the same deviation: mean 0 (warm) to mean expected (warming up).
 	worker.logLikelihoodRatio += (expected*expected - 2*logLateness*expected) / (2 * logRuntimeDeviation * logRuntimeDeviation)
 	if worker.logLikelihoodRatio < a.requiredEvidence(worker) {
 		return nil
--- a/internal/decisions/configversions/dispatcher.go
+++ b/internal/decisions/configversions/dispatcher.go
@@ -15,7 +15,7 @@
 	VoterID             uint64 `json:"seat,omitempty"`      // of the voter or learner that it is; 0 for none
 	JobsEnded           uint64 `json:"ended,omitempty"`     // requests answered since the process started
 	JobsFailed          uint64 `json:"bad,omitempty"`       // of JobsEnded: rejected or failed
-	Plan                uint64 `json:"plan,omitempty"`      // number of the zone plan that it acts on
+	PlanNumber          uint64 `json:"plan,omitempty"`      // number of the zone plan that it acts on
 	DedicatedToControl  bool   `json:"set_aside,omitempty"` // its machine serves no jobs, and is preferred as a voter
 }
 
--- a/internal/decisions/configversions/entry.go
+++ b/internal/decisions/configversions/entry.go
@@ -16,7 +16,7 @@
 	Announce   *Version       `json:"announce,omitempty"` // a new version; its Number is that of the version in force, on which it is based: Apply gives it the next
 	PutInForce uint64         `json:"force,omitempty"`    // number of the announced version, which becomes the one in force
 	Withdraw   uint64         `json:"withdraw,omitempty"` // number of the announced version, which is given up
-	EndCanary  uint64         `json:"widen,omitempty"`    // number of the announced version, which concerns all from now on
+	EndCanary  uint64         `json:"widen,omitempty"`    // number of the announced version, which applies to all dispatchers from now on
 	Reason     string         `json:"why,omitempty"`      // of a withdrawal
 	Voters     []voters.Voter `json:"council,omitempty"`  // all voters and learners from now on
 	Plan       *failover.Plan `json:"plan,omitempty"`     // the next zone plan
@@ -54,7 +54,7 @@
 		return r.limitZone(*entry.ZoneLimit)
 	case entry.Voters != nil:
 		return r.replaceVoters(entry.Voters), nil
-	case r.Announced == nil || r.Announced.Number != max(entry.PutInForce, entry.Withdraw, entry.EndCanary):
+	case r.Announced == nil || r.Announced.Number != entry.announcedNumber():
 		return r, ErrNotAnnounced
 	case entry.EndCanary > 0:
 		return r.endCanary()
@@ -65,6 +65,9 @@
 	}
 }
 
+// announcedNumber returns the number of the announced version that the entry is about: exactly one of the three is set.
+func (e Entry) announcedNumber() uint64 { return max(e.PutInForce, e.Withdraw, e.EndCanary) }
+
 // announce makes version, with the next number, the announced one.
 func (r Record) announce(version Version) (Record, error) {
 	if r.Announced != nil {
--- a/internal/decisions/configversions/leasemodel_test.go
+++ b/internal/decisions/configversions/leasemodel_test.go
@@ -191,7 +191,7 @@
 // clone returns a copy of the model that shares no state that changes.
 func (m *fleetModel) clone() *fleetModel {
 	c := *m
-	c.leaseTable = &LeaseTable{m.leaseTable.leaseDuration, m.leaseTable.electedAt, map[string]leaseRecord{}, map[string]AbsentDispatcher{}}
+	c.leaseTable = &LeaseTable{m.leaseTable.assumedLeaseDuration, m.leaseTable.electedAt, map[string]leaseRecord{}, map[string]AbsentDispatcher{}}
 	for k, v := range m.leaseTable.leases {
 		c.leaseTable.leases[k] = v
 	}
--- a/internal/decisions/configversions/leasetable.go
+++ b/internal/decisions/configversions/leasetable.go
@@ -30,10 +30,10 @@
 // LeaseTable is the raft leader's side of the agreement: who may hold a lease, and what each has acknowledged. It is not
 // replicated. A new leader starts with an empty table and counts on leases that its predecessor may have granted.
 type LeaseTable struct {
-	leaseDuration time.Duration // lengthened by MaxClockDrift
-	electedAt     Instant
-	leases        map[string]leaseRecord      // by name of the dispatcher
-	absent        map[string]AbsentDispatcher // by name of the dispatcher
+	assumedLeaseDuration time.Duration // lengthened by MaxClockDrift
+	electedAt            Instant
+	leases               map[string]leaseRecord      // by name of the dispatcher
+	absent               map[string]AbsentDispatcher // by name of the dispatcher
 }
 
 // leaseRecord is the last renewal of a dispatcher.
@@ -45,15 +45,15 @@
 // NewLeaseTable returns the table of a leader that was elected at electedAt and grants leases of the given duration.
 func NewLeaseTable(lease time.Duration, electedAt Instant) *LeaseTable {
 	return &LeaseTable{
-		leaseDuration: lease + time.Duration(MaxClockDrift*float64(lease)),
-		electedAt:     electedAt,
-		leases:        map[string]leaseRecord{},
-		absent:        map[string]AbsentDispatcher{},
+		assumedLeaseDuration: lease + time.Duration(MaxClockDrift*float64(lease)),
+		electedAt:            electedAt,
+		leases:               map[string]leaseRecord{},
+		absent:               map[string]AbsentDispatcher{},
 	}
 }
 
-// Renew records that a dispatcher asks for a lease. It must be called before the lease is granted, which it is only where Renew
-// returns nil.
+// Renew records that a dispatcher asks for a lease. It is called before a lease is granted; none is where it returns an
+// error.
 //
 // It returns ErrShutDown where the process has dropped its lease for good, and an error that wraps ErrNameInUse while another
 // process of the same name may hold a lease: the two may act on different versions.
@@ -75,7 +75,9 @@
 }
 
 // expiry returns when the lease of a renewal expires, by the leader's clock.
-func (t *LeaseTable) expiry(lease leaseRecord) Instant { return lease.renewedAt + t.leaseDuration }
+func (t *LeaseTable) expiry(lease leaseRecord) Instant {
+	return lease.renewedAt + t.assumedLeaseDuration
+}
 
 // LeaseDropped records that a process has dropped its lease for good. It is called after the process has dropped it.
 func (t *LeaseTable) LeaseDropped(name, instance string, now Instant) {
@@ -122,7 +124,7 @@
 		}
 	}
 	slices.Sort(waitsFor)
-	if now < t.electedAt+t.leaseDuration {
+	if now < t.electedAt+t.assumedLeaseDuration {
 		waitsFor = append(waitsFor, predecessorLeases)
 	}
 	return len(waitsFor) == 0, waitsFor
@@ -131,7 +133,7 @@
 // AllOnPlan reports whether every dispatcher that may hold a lease acts on the zone plan with the given number, or a newer one.
 func (t *LeaseTable) AllOnPlan(plan uint64, now Instant) bool {
 	for _, lease := range t.leases {
-		if now < t.expiry(lease) && lease.Plan < plan {
+		if now < t.expiry(lease) && lease.PlanNumber < plan {
 			return false
 		}
 	}
--- a/internal/decisions/configversions/lessee.go
+++ b/internal/decisions/configversions/lessee.go
@@ -6,7 +6,7 @@
 type Lessee struct {
 	name        string
 	record      Record
-	effective   Effective // what record has this dispatcher act on while it holds a lease; computed once for each record
+	effective   Effective // what this dispatcher acts on by record while it holds a lease; computed once for each record
 	leaseExpiry Instant   // meaningful once hadLease
 	hadLease    bool      // a lease was granted at any time
 }
--- a/internal/decisions/configversions/rules.go
+++ b/internal/decisions/configversions/rules.go
@@ -32,7 +32,7 @@
 // Message formats are numbered; a dispatcher that reads one reads all smaller ones.
 const (
 	baseMessageFormat   = 1
-	quotasMessageFormat = 2 // the first one with Rules.Quotas
+	quotasMessageFormat = 2 // the first one with Rules.QuotaCaps
 )
 
 // unrestrictedRules are in effect before the fleet has agreed on a version.
--- a/internal/decisions/configversions/stored_test.go
+++ b/internal/decisions/configversions/stored_test.go
@@ -26,7 +26,7 @@
 	storedPlan      = failover.Plan{Number: 31, Reasons: map[string]string{"zone-1": "why-3"},
 		Shares: map[string]map[string][]failover.ZoneShare{"zone-1": {"class-1": {{Zone: "zone-3", Share: 0.625}}}}}
 	storedDispatcher = Dispatcher{Name: "dispatcher-2", Instance: "instance-1", AcknowledgedVersion: 41, MessageFormat: 42, Epoch: 43, Address: "127.0.0.1:9002",
-		Region: "region-2", Zone: "zone-4", VoterID: 44, JobsEnded: 45, JobsFailed: 46, Plan: 47, DedicatedToControl: true}
+		Region: "region-2", Zone: "zone-4", VoterID: 44, JobsEnded: 45, JobsFailed: 46, PlanNumber: 47, DedicatedToControl: true}
 )
 
 // storedValues are the values that dispatchers store and exchange, by golden file; each field has a different value.
--- a/internal/decisions/configversions/version.go
+++ b/internal/decisions/configversions/version.go
@@ -15,7 +15,7 @@
 	By     string    `json:"by"`  // who proposed it
 	Reason string    `json:"why"` // as the proposer gave it
 	At     time.Time `json:"at"`  // when it was proposed, by the proposer's clock; informative, no decision uses it
-	// Canary limits the version to a share of the dispatchers for a time; nil where the version concerns all.
+	// Canary limits the version to a share of the dispatchers for a time; nil where the version applies to all.
 	Canary *canary.Rollout `json:"trial,omitempty"`
 }
 
--- a/internal/decisions/endpointstate/changes.go
+++ b/internal/decisions/endpointstate/changes.go
@@ -24,7 +24,7 @@
 	PollAgainAt time.Time // when to poll for the full list, as a part of the response was not accepted; zero for no poll
 }
 
-// pollAgainBy moves PollAgainAt forward to at, unless it is earlier already.
+// pollAgainBy sets PollAgainAt to at, unless it is earlier already.
 func (c *Changes) pollAgainBy(at time.Time) {
 	if c.PollAgainAt.IsZero() || at.Before(c.PollAgainAt) {
 		c.PollAgainAt = at
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -13,8 +13,8 @@
 
 // table is the subject of the properties: Table, or a version of it with a deliberate fault.
 type table interface {
-	Classify(ListResponse) Freshness
-	Apply(ListResponse, Freshness) Changes
+	Classify(ListResponse) ResponseOrder
+	Apply(ListResponse, ResponseOrder) Changes
 }
 
 // fleetChange is a change of the true state of the worker "w" at a time after the start of the model.
@@ -246,7 +246,7 @@
 	state scheduler.WorkerState
 }
 
-func (a *acceptsEverything) Apply(response ListResponse, _ Freshness) (changes Changes) {
+func (a *acceptsEverything) Apply(response ListResponse, _ ResponseOrder) (changes Changes) {
 	endpoint := Endpoint{ID: "w", State: scheduler.Gone}
 	if len(response.Endpoints) > 0 {
 		endpoint = response.Endpoints[0]
@@ -264,7 +264,7 @@
 	restricted bool
 }
 
-func (n *neverReattaches) Apply(response ListResponse, freshness Freshness) (changes Changes) {
+func (n *neverReattaches) Apply(response ListResponse, freshness ResponseOrder) (changes Changes) {
 	for _, accepted := range n.Table.Apply(response, freshness).Accepted {
 		if accepted.State == scheduler.Ready && n.restricted {
 			continue
@@ -278,7 +278,7 @@
 // forgetsGone deletes the record of a worker that is gone.
 type forgetsGone struct{ Table }
 
-func (f *forgetsGone) Apply(response ListResponse, freshness Freshness) Changes {
+func (f *forgetsGone) Apply(response ListResponse, freshness ResponseOrder) Changes {
 	changes := f.Table.Apply(response, freshness)
 	if f.records["w"].state == scheduler.Gone {
 		delete(f.records, "w")
@@ -289,7 +289,7 @@
 // countsDrainLate dates a drain after the last response that named it.
 type countsDrainLate struct{ Table }
 
-func (c *countsDrainLate) Apply(response ListResponse, freshness Freshness) Changes {
+func (c *countsDrainLate) Apply(response ListResponse, freshness ResponseOrder) Changes {
 	changes := c.Table.Apply(response, freshness)
 	for i := range changes.Accepted {
 		if changes.Accepted[i].State != scheduler.Ready {
--- a/internal/decisions/endpointstate/freshness.go
+++ b/internal/decisions/endpointstate/freshness.go
@@ -1,11 +1,11 @@
 package endpointstate
 
-// Freshness is how a response compares with the responses before it of the same service.
-type Freshness uint8
+// ResponseOrder is how a response compares with the responses before it of the same service.
+type ResponseOrder uint8
 
 // The values of Freshness.
 const (
-	Current   Freshness = iota // its revision is not lower than any before, or the service has started a new sequence
-	Overtaken                  // its revision is lower, and a current response was received after its call was made
-	Lagging                    // its revision is lower than one before
+	Current   ResponseOrder = iota // its revision is not lower than any before, or the service has started a new sequence
+	Overtaken                      // its revision is lower, and a current response was received after its call was made
+	Lagging                        // its revision is lower than one before
 )
--- a/internal/decisions/endpointstate/serviceprogress.go
+++ b/internal/decisions/endpointstate/serviceprogress.go
@@ -11,7 +11,7 @@
 }
 
 // classify compares a response with those before it, and records it.
-func (p *serviceProgress) classify(response ListResponse) Freshness {
+func (p *serviceProgress) classify(response ListResponse) ResponseOrder {
 	switch {
 	case response.Revision >= p.revision:
 	case response.CalledAt.Before(p.lastCurrentAt):
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -15,7 +15,7 @@
 	start      scheduler.Instant // by discovery's clock; 0 for long ago
 	notifiedAt time.Time         // since when the worker is known not to be ready; zero while it is ready
 	learnedAt  time.Time         // when its state or start became known to this process; zero for long ago
-	service    string            // the service, epoch and revision that last confirmed the state
+	service    string            // the service, its sequence of revisions and the revision that last confirmed the state
 	sequence   int
 	revision   int64
 }
@@ -54,12 +54,12 @@
 
 // Classify compares a response with those before it of its service, and records it. It is called once for each response; unless
 // the result is Overtaken, Apply follows with the result.
-func (t *Table) Classify(response ListResponse) Freshness {
+func (t *Table) Classify(response ListResponse) ResponseOrder {
 	return t.serviceProgress(response.Service).classify(response)
 }
 
 // Apply records a response that Classify found Current or Lagging, and returns what it changes.
-func (t *Table) Apply(response ListResponse, freshness Freshness) Changes {
+func (t *Table) Apply(response ListResponse, freshness ResponseOrder) Changes {
 	var changes Changes
 	if freshness == Lagging {
 		changes.PollAgainAt = response.ReceivedAt
@@ -76,8 +76,9 @@
 }
 
 // applyEndpoint records what a response says of one worker, as far as it is accepted.
-func (t *Table) applyEndpoint(response ListResponse, freshness Freshness, index int, endpoint Endpoint, changes *Changes) {
+func (t *Table) applyEndpoint(response ListResponse, freshness ResponseOrder, index int, endpoint Endpoint, changes *Changes) {
 	before, known := t.records[endpoint.ID] // an unknown worker counts as ready before: it has the zero record
+	// A lagging response only restricts a worker that is ready.
 	if freshness == Lagging && (!known || endpoint.State == scheduler.Ready || before.state != scheduler.Ready) {
 		return
 	}
--- a/internal/decisions/failover/doc.go
+++ b/internal/decisions/failover/doc.go
@@ -2,7 +2,7 @@
 // not, and how many are shed where all zones together lack the capacity. It is pure: values in, verdicts out, with no I/O, no clock
 // and no goroutine. Its types are not safe for concurrent use.
 //
-// Dispatchers record what they observe (Recorder) and report it. The raft leader makes plans of the reports (Planner). A Plan is a
+// Dispatchers record what they observe (Recorder) and report it. The raft leader makes plans from the reports (Planner). A Plan is a
 // table from zone of arrival and class to zones of service, with the share of each. The package guarantees:
 //
 //  1. Safety: no plan gives a zone more work than its capacity less Settings.Headroom, unless the plan before gave it as much.
@@ -23,5 +23,5 @@
 // Instant is a point in time of the process that plans.
 type Instant = time.Duration
 
-// negligible is the amount of work or capacity, in slots, below which there counts to be none.
+// negligible is the amount of work or capacity, in slots, below which an amount counts as none.
 const negligible = 1e-9
--- a/internal/decisions/failover/inputs.go
+++ b/internal/decisions/failover/inputs.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// arrivalsSmoothing is the weight of the newest reports in the smoothed arrivals.
+// arrivalsSmoothing is the weight of the newest reports in the smoothed arrivals, for each call of Planner.Next.
 const arrivalsSmoothing = 0.4
 
 // inputs returns the zones, sorted by name, with the capacities that plans may use, and the demands, sorted by zone and class.
--- a/internal/decisions/failover/planner.go
+++ b/internal/decisions/failover/planner.go
@@ -25,8 +25,8 @@
 	// overloadTolerance times its capacity is the load of a zone from which another plan is urgent.
 	overloadTolerance = 1.02
 
-	// minInterpolation is the fraction below which a plan is not brought any closer to the last one to keep the mixed load of both
-	// within the capacities. It begins at maxInterpolation, and halves.
+	// Where the mixed load of both plans exceeds the capacities, the next plan is moved towards the last one by fractions that halve
+	// from maxInterpolation, as long as they exceed minInterpolation.
 	maxInterpolation = 0.5
 	minInterpolation = 0.05
 )
@@ -89,7 +89,7 @@
 func (p *Planner) Plan() *Plan { return p.plan }
 
 // Next evaluates the reports and returns the next plan; ok is false, and the plan is the last one, where no other is called for. It
-// should be called about once a second, but not before all dispatchers that may act on an older plan act on the last one.
+// is called every 250 ms (planInterval in package fleet), but not before all dispatchers that may act on an older plan act on the last one.
 func (p *Planner) Next(now Instant) (plan *Plan, ok bool) {
 	elapsed := min((now - p.nextCalledAt).Seconds(), maxElapsed.Seconds())
 	p.nextCalledAt = now
--- a/internal/decisions/failover/reasons.go
+++ b/internal/decisions/failover/reasons.go
@@ -35,7 +35,7 @@
 	for _, class := range p.lostClasses(zone) {
 		reasons = append(reasons, "answers no "+class)
 	}
-	if p.capacityFactors[zone] < lateCapacityFactor {
+	if p.capacityFactors[zone] < lateCapacityFactor { // updateVerdicts has set a factor for every zone
 		reasons = append(reasons, "late")
 	}
 	if loss := p.zoneLosses[zone]; loss != nil && !loss.lost {
--- a/internal/decisions/failover/recorder.go
+++ b/internal/decisions/failover/recorder.go
@@ -76,7 +76,7 @@
 }
 
 // AttemptEnded counts a call that the zone answered: whether it rejected the call for lack of capacity, whether the answer was in
-// time, and how long the job ran, over all its slots; 0 where that is not known.
+// time, and how long the job ran; 0 where that is not known. The emulator multiplies that by the job's slots, the dispatcher does not.
 func (r *Recorder) AttemptEnded(to, class string, full, inTime bool, ran time.Duration, now Instant) {
 	observation := r.observationOf(to, class)
 	observation.Ended++
@@ -117,7 +117,7 @@
 		}
 		delete(r.observations, key)
 	}
-	report.LastResponses = r.lastResponses(now)
+	report.LastResponses = r.takeLastResponses(now)
 	seconds := max((now - r.reportedAt).Seconds(), minReportSpan)
 	for class, arrivals := range r.arrivals {
 		work := arrivals.jobs / seconds * arrivals.meanWork
@@ -131,9 +131,9 @@
 	return report
 }
 
-// lastResponses returns the last signs of all zones but those that were not called since a sign that is too old to say anything. It
-// records the verdicts that they are.
-func (r *Recorder) lastResponses(now Instant) (responses []LastResponse) {
+// takeLastResponses returns the last signs of all zones but those that were not called since a sign that is too old to say anything. It
+// notes their verdicts in reportedFailing.
+func (r *Recorder) takeLastResponses(now Instant) (responses []LastResponse) {
 	clear(r.reportedFailing)
 	for to, signal := range r.lastSignals {
 		response := LastResponse{to, (now - signal.at).Round(time.Millisecond), signal.unanswered}
--- a/internal/decisions/failover/report.go
+++ b/internal/decisions/failover/report.go
@@ -33,7 +33,7 @@
 // LastResponse says when a dispatcher last had a sign of a zone, of a call or of a probe.
 type LastResponse struct {
 	To         string        `json:"to"`
-	Since      time.Duration `json:"since"`      // the time since then
+	Since      time.Duration `json:"since"`      // a duration: the time since then, or since the first unanswered call where there was no response
 	Unanswered int           `json:"unanswered"` // calls and probes since then
 }
 
--- a/internal/decisions/gossippeers/directory.go
+++ b/internal/decisions/gossippeers/directory.go
@@ -31,7 +31,7 @@
 // zoneMembers are the lease holders of a zone.
 type zoneMembers struct {
 	digest  Digest
-	members []Member // sorted by name
+	members []LeaseHolder // sorted by name
 }
 
 // PeerSuggestion is the leader's response to a dispatcher whose digest differs from that of the lease holders of its zone.
@@ -49,7 +49,7 @@
 func (d *Directory) Due(now Instant) bool { return now-d.refreshedAt >= refreshInterval }
 
 // Refresh replaces the content with the dispatchers that hold leases now.
-func (d *Directory) Refresh(members []Member, now Instant) {
+func (d *Directory) Refresh(members []LeaseHolder, now Instant) {
 	d.refreshedAt = now
 	clear(d.zones)
 	for _, member := range members {
@@ -62,7 +62,7 @@
 		zone.members = append(zone.members, member)
 	}
 	for _, zone := range d.zones {
-		slices.SortFunc(zone.members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(zone.members, func(a, b LeaseHolder) int { return strings.Compare(a.Name, b.Name) })
 		names := make([]string, len(zone.members))
 		for i, member := range zone.members {
 			names[i] = member.Name
@@ -74,7 +74,7 @@
 // Suggest returns peers for a dispatcher whose digest of itself and its peers is known; nil where it equals that of the zone's lease
 // holders, or where both are the dispatcher alone. Each call begins at another lease holder, so that a dispatcher that asks again and
 // again is suggested every one.
-func (d *Directory) Suggest(dispatcher Member, known Digest) *PeerSuggestion {
+func (d *Directory) Suggest(dispatcher LeaseHolder, known Digest) *PeerSuggestion {
 	zone := d.zones[zoneKey{dispatcher.Region, dispatcher.Zone}]
 	if zone == nil || zone.digest == known || len(zone.members) < 2 && known.Count < 2 {
 		return nil
--- a/internal/decisions/gossippeers/exchanger.go
+++ b/internal/decisions/gossippeers/exchanger.go
@@ -22,7 +22,7 @@
 // Exchanger decides when a dispatcher begins an exchange with a suggested peer. Its zero value is ready for use.
 type Exchanger struct {
 	differs       bool    // the last renewal brought a suggestion
-	differsSince  Instant // since when all have
+	differsSince  Instant // when the unbroken run of suggestions began
 	nextAt        Instant // when another exchange may begin
 	backoffFactor int     // by which the interval is lengthened
 	exchanged     bool    // an exchange has begun at any time
--- a/internal/decisions/gossippeers/fleetmodel_test.go
+++ b/internal/decisions/gossippeers/fleetmodel_test.go
@@ -24,14 +24,14 @@
 	lastSuggestions map[string]*PeerSuggestion // by dispatcher; delivered again in place of one that is lost
 
 	// What a test may break deliberately.
-	suggest        func(directory *Directory, dispatcher Member, known Digest) *PeerSuggestion
+	suggest        func(directory *Directory, dispatcher LeaseHolder, known Digest) *PeerSuggestion
 	respectsPauses bool
 	filtersPeers   bool
 }
 
 // dispatcherModel is a dispatcher of a fleetModel.
 type dispatcherModel struct {
-	Member
+	LeaseHolder
 	knows       map[string]bool // itself and its peers
 	paused      bool
 	exchanger   Exchanger
@@ -56,7 +56,7 @@
 
 // join starts a dispatcher that knows no peers, in place of one of the same name.
 func (m *fleetModel) join(name, zone string, half int) {
-	m.dispatchers[name] = &dispatcherModel{Member: Member{name, "at-" + name, "r", zone}, knows: map[string]bool{name: true}, half: half}
+	m.dispatchers[name] = &dispatcherModel{LeaseHolder: LeaseHolder{name, "at-" + name, "r", zone}, knows: map[string]bool{name: true}, half: half}
 }
 
 // byAddress returns the dispatcher at an address, nil if there is none.
@@ -123,7 +123,7 @@
 	}
 	m.leaseExpiries[dispatcher.Name] = m.now + leaseDuration
 	m.refreshDirectory()
-	suggestion := m.suggest(m.directory, dispatcher.Member, dispatcher.digest())
+	suggestion := m.suggest(m.directory, dispatcher.LeaseHolder, dispatcher.digest())
 	if m.dropMessage() { // an older suggestion is received in its place, or none
 		if suggestion = m.lastSuggestions[dispatcher.Name]; suggestion == nil {
 			return
@@ -144,10 +144,10 @@
 	if !m.directory.Due(m.now) {
 		return
 	}
-	var present []Member
+	var present []LeaseHolder
 	for name, expiry := range m.leaseExpiries {
 		if dispatcher := m.dispatchers[name]; dispatcher != nil && m.now < expiry {
-			present = append(present, dispatcher.Member)
+			present = append(present, dispatcher.LeaseHolder)
 		}
 	}
 	m.directory.Refresh(present, m.now)
--- a/internal/decisions/gossippeers/member.go
+++ b/internal/decisions/gossippeers/member.go
@@ -1,7 +1,7 @@
 package gossippeers
 
-// Member is a dispatcher that holds a lease.
-type Member struct {
+// LeaseHolder is a dispatcher that holds a lease.
+type LeaseHolder struct {
 	Name, Address, Region, Zone string
 }
 
--- a/internal/decisions/gossippeers/peers_test.go
+++ b/internal/decisions/gossippeers/peers_test.go
@@ -86,29 +86,29 @@
 // deliberateMistakes break a model, each in one way.
 var deliberateMistakes = map[string]func(*fleetModel){
 	"the leader suggests nobody": func(model *fleetModel) {
-		model.suggest = func(*Directory, Member, Digest) *PeerSuggestion { return nil }
+		model.suggest = func(*Directory, LeaseHolder, Digest) *PeerSuggestion { return nil }
 	},
 	"the leader suggests peers that know the same": func(model *fleetModel) {
-		model.suggest = func(directory *Directory, dispatcher Member, _ Digest) *PeerSuggestion {
+		model.suggest = func(directory *Directory, dispatcher LeaseHolder, _ Digest) *PeerSuggestion {
 			directory.suggestions = 0
 			return directory.Suggest(dispatcher, Digest{})
 		}
 	},
 	"the leader suggests the dispatcher itself": func(model *fleetModel) {
-		model.suggest = func(_ *Directory, dispatcher Member, _ Digest) *PeerSuggestion {
+		model.suggest = func(_ *Directory, dispatcher LeaseHolder, _ Digest) *PeerSuggestion {
 			return &PeerSuggestion{9, []string{dispatcher.Address}}
 		}
 	},
 	"the leader suggests others' peers, and they are not filtered": func(model *fleetModel) {
 		model.filtersPeers = false
-		model.suggest = func(directory *Directory, dispatcher Member, known Digest) *PeerSuggestion {
+		model.suggest = func(directory *Directory, dispatcher LeaseHolder, known Digest) *PeerSuggestion {
 			dispatcher.Zone = map[string]string{"a": "b", "b": "a"}[dispatcher.Zone]
 			return directory.Suggest(dispatcher, known)
 		}
 	},
 	"exchanges without pauses": func(model *fleetModel) { model.respectsPauses = false },
 	"the leader suggests the same peer each time": func(model *fleetModel) {
-		model.suggest = func(directory *Directory, dispatcher Member, known Digest) *PeerSuggestion {
+		model.suggest = func(directory *Directory, dispatcher LeaseHolder, known Digest) *PeerSuggestion {
 			directory.suggestions = 0
 			suggestion := directory.Suggest(dispatcher, known)
 			if suggestion != nil && len(suggestion.Addresses) > 0 &&
--- a/internal/decisions/http2limits/conn.go
+++ b/internal/decisions/http2limits/conn.go
@@ -104,7 +104,7 @@
 // CheckDeadline returns the reason to close the connection, if any, at a time.
 func (c *Conn) CheckDeadline(now time.Duration) CloseReason {
 	if at, ok := c.Deadline(); ok && now >= at {
-		c.close(IncompleteInTime)
+		c.setCloseReason(IncompleteInTime)
 	}
 	return c.closeReason
 }
@@ -114,7 +114,7 @@
 	c.headerFrames++
 	c.headerBytes += min(frame.Length, MaxHeaderBytes+1)
 	if c.headerFrames > MaxHeaderFrames || c.headerBytes > MaxHeaderBytes {
-		c.close(HeaderTooLong)
+		c.setCloseReason(HeaderTooLong)
 	}
 	if frame.Flags&EndHeaders != 0 {
 		c.headerOpen = false
@@ -132,12 +132,12 @@
 		c.spentAt, c.answeredStreams = max(now, c.spentAt), 0
 	}
 	if c.spent[reason]++; c.spent[reason] > frameBudgets[reason].burst {
-		c.close(reason)
+		c.setCloseReason(reason)
 	}
 }
 
-// close sets the reason to close the connection, unless there is one already.
-func (c *Conn) close(reason CloseReason) {
+// setCloseReason sets the reason to setCloseReason the connection, unless there is one already.
+func (c *Conn) setCloseReason(reason CloseReason) {
 	if c.closeReason == "" {
 		c.closeReason = reason
 	}
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -29,23 +29,27 @@
 // dispatcher is a voter, runs the voter and, where that leads, does the leader's work.
 //
 // Run owns the agent's goroutines. The fields above mu do not change once Run listens, except where a comment names an owner;
-// mu guards those below it. mu is never held during I/O, but for log lines. AllowUse, Effective, ProposeFile and Status may be
+// mu guards those below it. mu is never held during I/O, but for log lines. listener and members are set by listen; until Run
+// listens, only its goroutine may read them. AllowUse, Effective, ProposeFile and Status may be
 // called from any goroutine once New has returned; only ProposeFile does I/O.
+//
+// Lock order: mu comes before the locks of budgets, members, the voter's log and what the callbacks lock; none of them is held when
+// mu is taken. stopVoter waits for Log.Run, whose callbacks take mu, so it must not be called with mu held.
 type Agent struct {
-	options       Options
-	settings      *Settings
-	instance      string // drawn at the start: distinguishes this process from others of its name
-	leaseDuration time.Duration
-	replaceAfter  time.Duration // after which a silent voter is replaced
-	maxPlanAge    time.Duration // for which a plan is trusted without a lease
-	startedAt     time.Time     // where the agent's clock begins
-	clockRate     float64       // of the agent's clock; 1 but in tests
-	messageFormat int           // of this build; lower in tests that stand for an older one
-	log           *slog.Logger
-	client        *http.Client
-	listener      net.Listener
-	members       *gossip.Membership
-	budgets       *budgetLessees
+	options               Options
+	settings              *Settings
+	instance              string // drawn at the start: distinguishes this process from others of its name
+	leaseDuration         time.Duration
+	replaceAfter          time.Duration // after which a silent voter is replaced
+	planTrustWithoutLease time.Duration // for which a plan is trusted without a lease
+	startedAt             time.Time     // where the agent's clock begins
+	clockRate             float64       // of the agent's clock; 1 but in tests
+	messageFormat         int           // of this build; lower in tests that stand for an older one
+	log                   *slog.Logger
+	client                *http.Client
+	listener              net.Listener
+	members               *gossip.Membership
+	budgets               *budgetLessees
 
 	stateChanged    chan struct{} // wakes watchLease
 	renewNow        chan struct{} // wakes renewLeases
@@ -56,16 +60,16 @@
 
 	mu             sync.Mutex
 	lessee         *configversions.Lessee
-	voter          *ownVoter       // nil for a follower
-	founder        *voters.Founder // what this dispatcher's file says; nil where it is no founder
-	leadership     *leadership     // nil while this dispatcher does not lead
-	nextPlanAt     configversions.Instant
-	voterCursor    int    // voters that were asked in vain since the start: whose turn it is in contactOrder
-	recordComplete bool   // entries may follow the record: it is of the disk or of a response, not the empty one
-	appliedState   string // identifies what ApplyEffective was last called with
-	appliedPlan    string // the same of PlanChanged
-	lastWarning    string // that warnOnce logged
-	recordChanged  chan struct{}
+	voter          *ownVoter              // nil for a follower
+	founder        *voters.Founder        // what this dispatcher's file says; nil where it is no founder
+	leadership     *leadership            // nil while this dispatcher does not lead
+	nextPlanAt     configversions.Instant // when the leader next calls Planner.Next
+	voterCursor    int                    // voters that were asked in vain since the start: whose turn it is in contactOrder
+	recordComplete bool                   // entries may follow the record: it is of the disk or of a response, not the empty one
+	appliedState   string                 // identifies what ApplyEffective was last called with
+	appliedPlan    string                 // the same of PlanChanged
+	lastWarning    string                 // that warnOnce logged
+	recordChanged  chan struct{}          // closed and replaced by logApplied; wakes awaitRevision and serveWatch (not raftlog's callback of that name)
 	counts         Counts
 }
 
@@ -114,7 +118,7 @@
 		recordChanged:   make(chan struct{}),
 	}
 	if options.Failover != nil {
-		agent.maxPlanAge = checkedDuration(options.Failover.MaxPlanAge)
+		agent.planTrustWithoutLease = checkedDuration(options.Failover.MaxTimeWithoutLease)
 	}
 	agent.lessee = configversions.NewLessee(options.Name, agent.loadRecord())
 	agent.recordComplete = agent.lessee.Record().Revision > 0
@@ -122,7 +126,7 @@
 	return agent, nil
 }
 
-// testClockRate lets tests give a process a clock that runs faster or slower, within configversions.Drift.
+// testClockRate lets tests give a process a clock that runs faster or slower, within configversions.MaxClockDrift.
 func testClockRate() float64 {
 	rate, err := strconv.ParseFloat(os.Getenv("BRASSDALE_TEST_PACE"), 64)
 	if err != nil || rate <= 0 {
--- a/internal/fleet/budgetlessees.go
+++ b/internal/fleet/budgetlessees.go
@@ -51,9 +51,9 @@
 	return lessee == nil || lessee.TryUse(b.now())
 }
 
-// demand returns what this dispatcher demands of each budget, in uses per second by kind, encoded, and its first attempts per
+// takeDemand returns what this dispatcher demands of each budget, in uses per second by kind, encoded, and its first attempts per
 // second since the last call. firstAttempts counts them since the start; nil for none.
-func (b *budgetLessees) demand(firstAttempts func() uint64) (demand json.RawMessage, firstAttemptsPerSecond float64) {
+func (b *budgetLessees) takeDemand(firstAttempts func() uint64) (demand json.RawMessage, firstAttemptsPerSecond float64) {
 	if b.overload == nil {
 		return nil, 0
 	}
@@ -78,7 +78,7 @@
 }
 
 // applyRates takes over the rates of a lease, encoded, by kind. Nil, or what cannot be read, changes nothing.
-func (b *budgetLessees) applyRates(encoded json.RawMessage, askedAt configversions.Instant, lease time.Duration) {
+func (b *budgetLessees) applyRates(encoded json.RawMessage, requestedAt configversions.Instant, lease time.Duration) {
 	var rates map[string]float64
 	if encoded == nil || json.Unmarshal(encoded, &rates) != nil {
 		return
@@ -87,7 +87,7 @@
 	defer b.mu.Unlock()
 	for kind, rate := range rates {
 		if lessee := b.lessees[kind]; lessee != nil {
-			lessee.ApplyLease(rate, askedAt, lease, b.now())
+			lessee.ApplyLease(rate, requestedAt, lease, b.now())
 		}
 	}
 }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -5,6 +5,10 @@
 // it (package decisions/configversions). A dispatcher whose lease runs out keeps to all versions that it knows and retries
 // nothing until it has another one. The leader also leases out the fleet's budgets and plans the failover between zones.
 //
+// A lease: renewOnce, requestLease, obtainLease (at a voter), leaderRelay and requestFromLeader, grantLeases (at the leader),
+// LeaseTable.Renew; back through applyLease to Lessee.ApplyLease. A change of the record: Log.Propose, Record.Apply, logApplied,
+// serveWatch, followRecord, learn.
+//
 // The package is off unless the operator's file has a block council. The block, the calls between dispatchers and the stored
 // files keep names that are older than the code: a seat is a voter, an era an epoch, a hold a zone limit.
 package fleet
--- a/internal/fleet/effective.go
+++ b/internal/fleet/effective.go
@@ -78,5 +78,5 @@
 
 // planExpiredLocked reports whether the lease has been gone for longer than a plan is trusted without one. a.mu is held.
 func (a *Agent) planExpiredLocked(leaseExpired bool) bool {
-	return leaseExpired && a.now() >= a.lessee.LeaseExpiry()+a.maxPlanAge
+	return leaseExpired && a.now() >= a.lessee.LeaseExpiry()+a.planTrustWithoutLease
 }
--- a/internal/fleet/failoversettings.go
+++ b/internal/fleet/failoversettings.go
@@ -16,8 +16,8 @@
 	Headroom float64 `hcl:"headroom,optional"`
 	// RecoveryRamp is the shortest time over which a zone that recovered gets its traffic back.
 	RecoveryRamp string `hcl:"return_in,optional"`
-	// MaxPlanAge is how long a dispatcher without a lease may act on the last plan.
-	MaxPlanAge string `hcl:"alone,optional"`
+	// MaxTimeWithoutLease is how long a dispatcher without a lease may act on the last plan.
+	MaxTimeWithoutLease string `hcl:"alone,optional"`
 	// DetectionTime is the duration below which a fault changes nothing.
 	DetectionTime string `hcl:"detect,optional"`
 }
@@ -30,15 +30,15 @@
 
 // DefaultFailover returns what applies where the block says nothing.
 func DefaultFailover() Failover {
-	return Failover{Headroom: 0.15, RecoveryRamp: "60s", MaxPlanAge: "10s", DetectionTime: "1s"}
+	return Failover{Headroom: 0.15, RecoveryRamp: "60s", MaxTimeWithoutLease: "10s", DetectionTime: "1s"}
 }
 
 // maxShiftPerSecond is by how much a share of a plan may change in a second while no zone has failed.
 const maxShiftPerSecond = 0.1
 
-// planner returns the settings in the planner's terms, and the region of each zone. The distance of two zones is that of
+// plannerSettings returns the settings in the plannerSettings's terms, and the region of each zone. The distance of two zones is that of
 // their places in the list of all zones.
-func (f *Failover) planner() (settings failover.Settings, regions map[string]string) {
+func (f *Failover) plannerSettings() (settings failover.Settings, regions map[string]string) {
 	regions = map[string]string{}
 	positions := map[string]int{}
 	for _, region := range f.Regions {
--- a/internal/fleet/founding.go
+++ b/internal/fleet/founding.go
@@ -11,10 +11,10 @@
 	"brassdale/internal/traffic"
 )
 
-// startFounder runs this dispatcher's voter as a founder, once all founders have met. Until then it returns nil and is to be
-// called again.
+// startFounder runs this dispatcher's voter as a founder, once all founders have met. It returns nil without
+// starting the voter while founders are missing; manageVoter then calls it again.
 func (a *Agent) startFounder(ctx context.Context, id uint64) error {
-	founder, err := raftlog.OpenFounder(a.settings.Directory, id, nil)
+	founder, err := raftlog.EnsureFounder(a.settings.Directory, id, nil)
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 		a.warnOnce("voter file is not the one of the founding, continuing as follower")
 		return false, nil
 	}
-	founder, err = raftlog.OpenFounder(a.settings.Directory, id, foundingVoters)
+	founder, err = raftlog.EnsureFounder(a.settings.Directory, id, foundingVoters)
 	if err != nil {
 		return false, err
 	}
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -62,13 +62,13 @@
 
 // noteLeaving notes that a member leaves, and passes the notice on once.
 func (d *delegate) noteLeaving(name string) {
-	if d.isNewNotice(name) {
+	if d.addNotice(name) {
 		d.leaveNotices.QueueBroadcast(leaveNotice(name))
 	}
 }
 
-// isNewNotice notes a leave notice, and reports whether it is the first one of a known member.
-func (d *delegate) isNewNotice(name string) bool {
+// addNotice notes a leave notice, and reports whether it is the first one of a known member.
+func (d *delegate) addNotice(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	member, known := d.members[name]
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,6 +1,6 @@
 // Package gossip knows which dispatchers of the same zone are there, by hashicorp/memberlist. What it knows is late and at
-// times wrong; nothing depends on it but what operators are shown. With whom a dispatcher exchanges its whole state, and when,
-// package decisions/gossippeers decides.
+// times wrong; nothing depends on it but what operators are shown. Package
+// decisions/gossippeers decides with whom and when a dispatcher exchanges its whole state.
 package gossip
 
 import (
@@ -200,7 +200,7 @@
 	return gossippeers.DigestOf(names)
 }
 
-// Members returns all known members by name, this one and those that are gone for less than absentRetention among them.
+// Members returns all known members by name, this one and those that have been gone for less than absentRetention among them.
 func (m *Membership) Members() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/leadership.go
+++ b/internal/fleet/leadership.go
@@ -40,7 +40,7 @@
 		started.budgets = a.newBudgetLessors()
 	}
 	if a.planningEnabled() {
-		settings, regions := a.options.Failover.planner()
+		settings, regions := a.options.Failover.plannerSettings()
 		started.planner = failover.NewPlanner(settings, regions, a.lessee.Record().Plan, a.now())
 	}
 	return started
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -47,7 +47,7 @@
 // a.mu is held.
 func (a *Agent) noteRequestsLocked(record configversions.Record, lead *leadership, requests []leaseRequest, granted response) {
 	if lead.directory.Due(a.now()) {
-		lead.directory.Refresh(gossipMembers(lead.leases.LeaseHolders(a.now())), a.now())
+		lead.directory.Refresh(toLeaseHolders(lead.leases.LeaseHolders(a.now())), a.now())
 	}
 	for _, request := range requests {
 		err := a.checkRequest(request, record)
@@ -62,7 +62,7 @@
 			granted.BudgetRates[request.Name] = rates
 		}
 		if request.Digest != nil {
-			if suggestion := lead.directory.Suggest(gossipMember(request.Dispatcher), *request.Digest); suggestion != nil {
+			if suggestion := lead.directory.Suggest(toLeaseHolder(request.Dispatcher), *request.Digest); suggestion != nil {
 				granted.PeerSuggestions[request.Name] = suggestion
 			}
 		}
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// gossipMember returns a dispatcher in the terms of gossip.
-func gossipMember(dispatcher configversions.Dispatcher) gossippeers.Member {
-	return gossippeers.Member{
+// toLeaseHolder returns a dispatcher in the terms of gossip.
+func toLeaseHolder(dispatcher configversions.Dispatcher) gossippeers.LeaseHolder {
+	return gossippeers.LeaseHolder{
 		Name:    dispatcher.Name,
 		Address: dispatcher.Address,
 		Region:  dispatcher.Region,
@@ -112,9 +112,9 @@
 	}
 }
 
-func gossipMembers(dispatchers []configversions.Dispatcher) (members []gossippeers.Member) {
+func toLeaseHolders(dispatchers []configversions.Dispatcher) (members []gossippeers.LeaseHolder) {
 	for _, dispatcher := range dispatchers {
-		members = append(members, gossipMember(dispatcher))
+		members = append(members, toLeaseHolder(dispatcher))
 	}
 	return members
 }
--- a/internal/fleet/raftlog/founder.go
+++ b/internal/fleet/raftlog/founder.go
@@ -10,10 +10,10 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// OpenFounder reads what the file of a founding voter says of the founding, and creates the file, with an incarnation of its
+// EnsureFounder reads what the file of a founding voter says of the founding, and creates the file, with an incarnation of its
 // own, where there is none. foundingVoters, where not nil, are the incarnations with which the raft group is founded; they
 // are on file from then on.
-func OpenFounder(directory string, voterID uint64, foundingVoters map[uint64]string) (founder voters.Founder, err error) {
+func EnsureFounder(directory string, voterID uint64, foundingVoters map[uint64]string) (founder voters.Founder, err error) {
 	db, err := openFile(Path(directory, voterID))
 	if err != nil {
 		return founder, err
@@ -24,7 +24,7 @@
 		if err != nil {
 			return err
 		}
-		if founder.Incarnation, err = incarnation(meta); err != nil {
+		if founder.Incarnation, err = ensureIncarnation(meta); err != nil {
 			return err
 		}
 		if foundingVoters != nil {
@@ -38,9 +38,9 @@
 	return founder, err
 }
 
-// incarnation returns the name that a file was given when it was created, and gives it one where it has none. A voter that
-// lost its file comes back with another incarnation.
-func incarnation(meta *bolt.Bucket) (string, error) {
+// ensureIncarnation returns the name that a file was given when it was created, and gives it one where it has none. A voter that
+// lost its file comes back with another ensureIncarnation.
+func ensureIncarnation(meta *bolt.Bucket) (string, error) {
 	if stored := meta.Get(incarnationKey); stored != nil {
 		return string(stored), nil
 	}
--- a/internal/fleet/raftlog/load.go
+++ b/internal/fleet/raftlog/load.go
@@ -45,11 +45,11 @@
 		if err := readMessage(meta, hardStateKey, hard); err != nil {
 			return err
 		}
-		behind, err := readEntries(entries, snapshot.GetMetadata().GetIndex())
+		following, err := readEntries(entries, snapshot.GetMetadata().GetIndex())
 		if err != nil {
 			return err
 		}
-		return s.fill(snapshot, behind, hard)
+		return s.fill(snapshot, following, hard)
 	})
 }
 
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -34,9 +34,9 @@
 
 // Errors of Propose, Confirm and ChangeVoters.
 var (
-	ErrNotLeader        = errors.New("this voter does not lead")
-	ErrStopped          = errors.New("the log has stopped")
-	ErrChangeInProgress = errors.New("the council is being changed already")
+	ErrNotLeader             = errors.New("this voter does not lead")
+	ErrStopped               = errors.New("the log has stopped")
+	ErrVoterChangeInProgress = errors.New("the council is being changed already")
 )
 
 // Log is one voter: its part of the raft group, its file and the record that the committed entries lead to.
@@ -99,14 +99,14 @@
 			snapshotTicks: map[uint64]int{},
 		},
 	}
-	if err := log.start(); err != nil {
+	if err := log.restoreAndCreateNode(); err != nil {
 		return nil, errors.Join(err, store.close())
 	}
 	return log, nil
 }
 
-// start restores the snapshot on file and makes the raft node, which continues after it.
-func (l *Log) start() error {
+// restoreAndCreateNode restores the snapshot on file and makes the raft node, which continues after it.
+func (l *Log) restoreAndCreateNode() error {
 	snapshot, err := l.store.Snapshot()
 	if err != nil {
 		return err
--- a/internal/fleet/raftlog/store_test.go
+++ b/internal/fleet/raftlog/store_test.go
@@ -59,15 +59,15 @@
 // TestOpenFounder_opensAgain checks that a founder's file retains its incarnation and the founding voters.
 func TestOpenFounder_opensAgain(t *testing.T) {
 	dir := t.TempDir()
-	created, err := OpenFounder(dir, 1, nil)
+	created, err := EnsureFounder(dir, 1, nil)
 	if err != nil || created.Incarnation == "" || created.FoundingVoters != nil {
 		t.Fatalf("created %+v, error %v", created, err)
 	}
 	foundingVoters := map[uint64]string{1: created.Incarnation, 2: "x", 3: "y"}
-	if _, err := OpenFounder(dir, 1, foundingVoters); err != nil {
+	if _, err := EnsureFounder(dir, 1, foundingVoters); err != nil {
 		t.Fatal(err)
 	}
-	if opened, err := OpenFounder(dir, 1, nil); err != nil || opened.Incarnation != created.Incarnation || len(opened.FoundingVoters) != 3 {
+	if opened, err := EnsureFounder(dir, 1, nil); err != nil || opened.Incarnation != created.Incarnation || len(opened.FoundingVoters) != 3 {
 		t.Errorf("opened %+v, error %v; created %+v", opened, err, created)
 	}
 }
--- a/internal/fleet/raftlog/stored_test.go
+++ b/internal/fleet/raftlog/stored_test.go
@@ -162,7 +162,7 @@
 // TestStoredFounder reads the founders from the stored file. They are two, as a file without founders would read like that of a voter
 // that founded its group alone.
 func TestStoredFounder(t *testing.T) {
-	got, err := OpenFounder(copyStored(t), 1, nil)
+	got, err := EnsureFounder(copyStored(t), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/raftlog/voters.go
+++ b/internal/fleet/raftlog/voters.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	if l.inJointConfiguration() {
-		return ErrChangeInProgress
+		return ErrVoterChangeInProgress
 	}
 	confChange, err := newConfChange(change)
 	if err != nil {
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -29,9 +29,9 @@
 func (a *Agent) renewLeases(ctx context.Context) {
 	interval := a.renewInterval()
 	for ctx.Err() == nil {
-		askedAt := a.now() // the lease counts from here, which is before the leader's clock for it starts
+		requestedAt := a.now() // the lease counts from here, which is before the leader's clock for it starts
 		begin := time.Now()
-		err := a.renewOnce(ctx, askedAt, begin.Add(a.leaseCallTimeout()))
+		err := a.renewOnce(ctx, requestedAt, begin.Add(a.leaseCallTimeout()))
 		a.noteRenewal(err == nil)
 		wait := time.Until(begin.Add(interval))
 		if err != nil {
@@ -59,7 +59,7 @@
 }
 
 // renewOnce requests a lease and takes it over.
-func (a *Agent) renewOnce(ctx context.Context, askedAt configversions.Instant, deadline time.Time) error {
+func (a *Agent) renewOnce(ctx context.Context, requestedAt configversions.Instant, deadline time.Time) error {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	request, base := a.newLeaseRequest()
@@ -72,12 +72,12 @@
 		return fmt.Errorf("voter %d: %d %s", voter.ID, status, got.Reason)
 	}
 	lease := time.Duration(got.LeaseMS) * time.Millisecond
-	record, isNew, err := a.applyLease(got, base, askedAt, lease)
+	record, isNew, err := a.applyLease(got, base, requestedAt, lease)
 	if err != nil {
 		return err
 	}
 	a.exchangeWithPeer(got)
-	a.budgets.applyRates(got.BudgetRates[a.options.Name], askedAt, lease)
+	a.budgets.applyRates(got.BudgetRates[a.options.Name], requestedAt, lease)
 	if isNew {
 		a.saveRecord(record)
 		wake(a.renewNow) // acknowledges it
@@ -104,7 +104,7 @@
 // isNew reports whether the record is newer than the one known before. Where the entries do not follow, the next request is
 // for the whole record.
 func (a *Agent) applyLease(
-	got response, base configversions.Record, askedAt configversions.Instant, lease time.Duration,
+	got response, base configversions.Record, requestedAt configversions.Instant, lease time.Duration,
 ) (record configversions.Record, isNew bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,7 +114,7 @@
 		return record, false, err
 	}
 	isNew = record.NewerThan(a.lessee.Record())
-	a.lessee.ApplyLease(record, askedAt, lease)
+	a.lessee.ApplyLease(record, requestedAt, lease)
 	a.applyStateLocked()
 	a.recordComplete = a.recordComplete || got.Record != nil
 	return record, isNew, nil
@@ -127,7 +127,7 @@
 	if a.options.JobCounts != nil {
 		ended, failed = a.options.JobCounts()
 	}
-	demand, firstAttemptsPerSecond := a.budgets.demand(a.options.FirstAttempts)
+	demand, firstAttemptsPerSecond := a.budgets.takeDemand(a.options.FirstAttempts)
 	report := a.dueReport()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,7 +146,7 @@
 			VoterID:             a.voter.id(),
 			JobsEnded:           ended,
 			JobsFailed:          failed,
-			Plan:                plan,
+			PlanNumber:          plan,
 			DedicatedToControl:  a.settings.DedicatedToControl,
 		},
 		Revision:               record.Revision,
--- a/internal/fleet/response.go
+++ b/internal/fleet/response.go
@@ -12,7 +12,7 @@
 // response is the response to all calls between dispatchers. Each call sets the fields that it is about.
 type response struct {
 	Record      *configversions.Record     `json:"record,omitempty"`  // whole, or else
-	Entries     []configversions.Entry     `json:"entries,omitempty"` // those behind the revision of the request
+	Entries     []configversions.Entry     `json:"entries,omitempty"` // those after the revision of the request
 	LeaseMS     int64                      `json:"lease_ms,omitempty"`
 	Epoch       uint64                     `json:"era,omitempty"`
 	Revision    uint64                     `json:"revision,omitempty"` // of the leader's record
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -13,7 +13,7 @@
 	RetryRatio      float64            `hcl:"retries,optional"`
 	RetriesAllowed  bool               `hcl:"repeat,optional"`
 	DetachedWorkers []string           `hcl:"out,optional"`
-	Quotas          map[string]float64 `hcl:"shares,optional"`
+	QuotaCaps       map[string]float64 `hcl:"shares,optional"`
 }
 
 // noRetryBound is the retry ratio of rules that do not bound it.
@@ -31,7 +31,7 @@
 			RetryRatio:      file.RetryRatio,
 			RetriesAllowed:  file.RetriesAllowed,
 			DetachedWorkers: file.DetachedWorkers,
-			QuotaCaps:       file.Quotas,
+			QuotaCaps:       file.QuotaCaps,
 		}
 		if err := rules.Check(); err != nil {
 			diags = append(diags, hcldiag.At(body.MissingItemRange(), "Bad rules", "%v.", err))
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -31,7 +31,7 @@
 func storedMessages() map[string]any {
 	record := storedRecord()
 	member := configversions.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
-		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, Plan: 27, DedicatedToControl: true}
+		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, PlanNumber: 27, DedicatedToControl: true}
 	self := gossip.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
 	return map[string]any{
 		"question": leaseRequest{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -80,7 +80,7 @@
 }
 
 // replaced reports whether a voter is no longer one: by the record that its dispatcher knows, where that is newer than the
-// voter's own log, or by the log itself, which has it where the voter was there when it was removed.
+// voter's own log, or by the log itself, if this voter was still running when its removal was committed.
 func replaced(own *ownVoter, record configversions.Record) bool {
 	logged := own.log.Record()
 	_, inRecord := record.Voter(own.id())
@@ -212,7 +212,7 @@
 }
 
 // leaveOldRaftGroup stops this dispatcher's voter, which removes its file, because the fleet has a raft group of a higher epoch, recovered
-// from one voter. The callers may not block, so it does not wait for the voter's end.
+// from one voter. checkRequest calls it with a.mu held, which stopVoter takes, so it does not wait for the voter's end.
 func (a *Agent) leaveOldRaftGroup(epoch uint64) {
 	a.log.Warn("newer raft group found", "epoch", epoch)
 	go a.stopVoter(reasonNewerRaft)
--- a/internal/fleet/votercalls.go
+++ b/internal/fleet/votercalls.go
@@ -31,7 +31,7 @@
 		a.reply(w, http.StatusGone, response{Reason: configversions.ErrOldEpoch.Error(), Epoch: known})
 	case own == nil:
 		a.reply(w, http.StatusMisdirectedRequest, response{Reason: reasonNotVoter})
-	case epoch > own.log.Record().Epoch && own.log.Record().Revision > 0:
+	case epoch > own.log.Record().Epoch && own.log.Record().Revision > 0: // else it has just joined: an empty log of epoch 0
 		a.leaveOldRaftGroup(epoch)
 		a.reply(w, http.StatusMisdirectedRequest, response{Reason: "of a newer council"})
 	default:
--- a/internal/operator/fleetblocks.go
+++ b/internal/operator/fleetblocks.go
@@ -95,7 +95,7 @@
 	if !(settings.Headroom >= 0 && settings.Headroom < 1) {
 		reader.addFault("headroom", "It must be from 0 to less than 1.")
 	}
-	for name, text := range map[string]string{"return_in": settings.RecoveryRamp, "alone": settings.MaxPlanAge, "detect": settings.DetectionTime} {
+	for name, text := range map[string]string{"return_in": settings.RecoveryRamp, "alone": settings.MaxTimeWithoutLease, "detect": settings.DetectionTime} {
 		if d, err := time.ParseDuration(text); err != nil || d <= 0 {
 			reader.addFault(name, `%q is no duration above 0, such as "10s".`, text)
 		}
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -36,7 +36,7 @@
 }
 
 // apply puts in force what is to be believed of a response.
-func (l *EndpointList) apply(response *listResponse, freshness endpointstate.Freshness) {
+func (l *EndpointList) apply(response *listResponse, freshness endpointstate.ResponseOrder) {
 	update, states := &response.update, &response.states
 	receivedAt := update.ReceivedAt
 	if receivedAt.IsZero() {
--- a/internal/scale/realdispatcher.go
+++ b/internal/scale/realdispatcher.go
@@ -61,7 +61,7 @@
 		text.WriteString("]\n }\n")
 	}
 	fmt.Fprintf(&text, " headroom = %g\n return_in = %q\n alone = %q\n detect = %q\n}\noverload {\n retries = %g\n probes = %g\n}\n",
-		r.failover.Headroom, r.failover.RecoveryRamp, r.failover.MaxPlanAge, r.failover.DetectionTime, r.overload.RetryRatio, r.overload.ProbesPerSecond)
+		r.failover.Headroom, r.failover.RecoveryRamp, r.failover.MaxTimeWithoutLease, r.failover.DetectionTime, r.overload.RetryRatio, r.overload.ProbesPerSecond)
 	return text.String()
 }
 
--- a/internal/zonerouting/recording.go
+++ b/internal/zonerouting/recording.go
@@ -19,8 +19,8 @@
 	r.recorder.ResponseReceived(r.zoneOf(id), now)
 }
 
-// AttemptEnded records the outcome of an attempt. took is the time since the request arrived, and ran the time since the worker
-// started the job; 0 where it has not.
+// AttemptEnded records the outcome of an attempt. sinceArrival is the time since the request arrived, ran the time since the worker
+// started the job; 0 where it has not started.
 func (r *Router) AttemptEnded(now scheduler.Instant, id scheduler.WorkerID, class string, outcome scheduler.Outcome, sinceArrival, ran time.Duration) {
 	settings := r.settings.Current()
 	r.mu.Lock()
--- a/internal/zonerouting/router.go
+++ b/internal/zonerouting/router.go
@@ -30,9 +30,9 @@
 	mu          sync.Mutex // guards the fields below
 	recorder    *failover.Recorder
 	workers     map[scheduler.WorkerID]scheduler.WorkerInfo
-	plan        *failover.Plan // nil before the first one
-	planExpired bool           // the plan is not trusted any more
-	now         scheduler.Instant
+	plan        *failover.Plan    // nil before the first one
+	planExpired bool              // the plan is not trusted any more
+	now         scheduler.Instant // of the last event of the core but AttemptUnanswered, for the methods that are given no time
 	keyZones    keyZones
 	shedCount   int
 }
@@ -139,7 +139,8 @@
 	return hash.Sum64() * keyHashSpread
 }
 
-// zoneBit returns the bit of the zone with a name; 0 where the settings do not name it.
+// zoneBit returns the bit of the zone with a name; 0, which permits any zone, where the settings do not name it. Zones 64 apart share
+// a bit.
 func zoneBit(settings *protocol.Settings, name string) uint64 {
 	for i, zone := range settings.Zones {
 		if zone == name {
--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -68,7 +68,7 @@
 
 // affinityWidth returns how many of a key's first workers count alike for it, as a number of workers; 0 for a key that fills no
 // more than one. It follows from the key's share of the recent own requests, less one standard deviation of such a count. All
-// dispatchers see samples of the same requests, so they agree about: a frequent key spreads at once instead of queueing at its
+// dispatchers see samples of the same requests, so they roughly agree: a frequent key spreads at once instead of queueing at its
 // first worker, and a rare key is not fetched where it is not cached.
 func (s *Scheduler) affinityWidth(key uint64) float64 {
 	earlier := s.recentKeys.counts[key] - 1 // without the request at hand
@@ -95,5 +95,5 @@
 func (s *Scheduler) overuse(worker *worker) float64 {
 	prior := max(overusePriorJobs/float64(max(s.settings.Dispatchers, 2)), minOverusePriorJobs)
 	fair := s.recentSends.value(s.now) / max(s.totalWeight, 1e-3)
-	return max((worker.recentSends.value(s.now)+prior)/(fair+prior), 1)
+	return max((worker.recentWeightedSends.value(s.now)+prior)/(fair+prior), 1)
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -64,7 +64,7 @@
 	}
 	s.addOwnSlots(worker, request.slots)
 	worker.weightedSends += 1 / worker.weight()
-	worker.recentSends.add(s.now, 1/worker.weight())
+	worker.recentWeightedSends.add(s.now, 1/worker.weight())
 	s.recentSends.add(s.now, 1)
 	worker.recordSend()
 	sent := attempt{
@@ -168,7 +168,7 @@
 	case InvalidRequest:
 		s.recordSignal(worker)
 	case NoConnect, Reset:
-		if outcome == NoConnect || !s.recordIdleLoss(ended) {
+		if outcome == NoConnect || !s.recordIfIdleLoss(ended) {
 			s.recordConnectionLoss(worker)
 		}
 	case Errored, TimedOut:
@@ -223,8 +223,8 @@
 func (s *Scheduler) closeSuspectConnections(worker *worker) time.Duration {
 	idle := s.now - cmp.Or(worker.lastUsed, s.now)
 	worker.lastUsed = s.now
-	if s.safeIdle > 0 && s.now < s.idleLossAt+idleLossRetention && (worker.ownSlots > 0 || idle*suspectIdleDenominator > s.safeIdle*suspectIdleNumerator) {
-		s.emit(CloseIdleConnections{Worker: worker.ID, MinIdle: s.safeIdle * suspectIdleNumerator / suspectIdleDenominator})
+	if s.shortestIdleLoss > 0 && s.now < s.idleLossAt+idleLossRetention && (worker.ownSlots > 0 || idle*suspectIdleDenominator > s.shortestIdleLoss*suspectIdleNumerator) {
+		s.emit(CloseIdleConnections{Worker: worker.ID, MinIdle: s.shortestIdleLoss * suspectIdleNumerator / suspectIdleDenominator})
 		return 0
 	}
 	return idle
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -36,8 +36,8 @@
 	return min(request.clientStartedAt+wait, request.deadline-runtime) - s.now
 }
 
-// latestUsefulStart returns how long after its client first sent it a request may start and still be in time.
-func (s *Scheduler) latestUsefulStart(request *request) time.Duration {
+// maxUsefulWait returns how long after its client first sent it a request may start and still be in time.
+func (s *Scheduler) maxUsefulWait(request *request) time.Duration {
 	return s.spareWait(request) + s.now - request.clientStartedAt
 }
 
@@ -45,7 +45,7 @@
 // start: as long as it can be in time. Without an estimate of its own work it is less with congestion, down to half the latency
 // objective: where all wait for as long as they may, some of what starts is late nevertheless.
 func (s *Scheduler) maxStartWait(request *request) time.Duration {
-	longest := s.latestUsefulStart(request)
+	longest := s.maxUsefulWait(request)
 	if request.estimatedWork > 0 {
 		return longest
 	}
@@ -61,7 +61,7 @@
 
 // giveUp answers a request that is too late and has not started at the worker. The wait counts as a delayed start.
 func (s *Scheduler) giveUp(request *request, worker *worker) {
-	s.recordStart(worker, true)
+	s.updateCongestion(worker, true)
 	s.overcommit = max(s.overcommit-s.overcommitStep(), minOvercommit)
 	s.rejectOrFail(request)
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Instant is a point in time: the time since an epoch that the caller picks and never moves back.
+// Instant is a point in time: the time since an epoch that the caller picks (package routing: the Unix epoch) and never moves back.
 type Instant = time.Duration
 
 // RequestID identifies one client request, a client's retry included. It is never reused within a scheduler's life.
@@ -83,7 +83,7 @@
 	Reset                  // the connection broke; may have executed
 	Cancelled              // cancelled by the dispatcher; may have executed
 	NeverSent              // did not leave; never executed
-	InvalidRequest         // rejected for what the request is; never executed, and would be nowhere
+	InvalidRequest         // the request itself is invalid; never executed, and no worker would
 )
 
 var outcomeNames = [...]string{Served: "served", Errored: "errored", Full: "full", TimedOut: "timed out", NoConnect: "no connection",
@@ -144,7 +144,7 @@
 // WorkerDetached says that the operator has detached a worker: it gets no requests, whatever the endpoint list says.
 type WorkerDetached struct{ Worker WorkerID }
 
-// WorkerReattached ends that. The worker was most likely restarted, so what was learned of it is void.
+// WorkerReattached ends a detachment. The worker was most likely restarted, so what was learned of it is void.
 type WorkerReattached struct{ Worker WorkerID }
 
 // ProcessCountChanged brings the number of processes that act as this one dispatcher: two during a handover.
--- a/scheduler/hedging.go
+++ b/scheduler/hedging.go
@@ -56,7 +56,7 @@
 	if s.loadsKnown {
 		return s.startOverdue(latest, durationOf(cmp.Or(s.meanStay, 1))) && latest.worker.lastSignal <= latest.sentAt
 	}
-	if len(s.subset) < len(s.workers) {
+	if s.usesSubset() {
 		return overdue && s.recentHedges.value(s.now) < (maxCongestion-s.congestion)*s.recentSends.value(s.now)
 	}
 	return overdue
--- a/scheduler/loadvalue.go
+++ b/scheduler/loadvalue.go
@@ -29,7 +29,7 @@
 	maxReportAge = 2 * minSilence
 )
 
-// slotShare returns the share of the worker that so many slots take: by its number of slots, or by its increment while that is
+// slotShare returns the share of the worker that the given number of slots takes: by its number of slots, or by its increment while that is
 // unknown.
 func (s *Scheduler) slotShare(worker *worker, slots float64) float64 {
 	if total := s.estimatedSlots(worker); total > 0 {
@@ -43,7 +43,7 @@
 	return max(worker.observedSlots, s.slotsByKind[worker.MachineKind])
 }
 
-// recordSlots notes that the worker was seen to have at least so many slots.
+// recordSlots notes that the worker was seen to have at least the given number of slots.
 func (s *Scheduler) recordSlots(worker *worker, slots float64) {
 	worker.observedSlots = max(worker.observedSlots, slots)
 	s.slotsByKind[worker.MachineKind] = max(s.slotsByKind[worker.MachineKind], worker.observedSlots)
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -135,37 +135,47 @@
 		return
 	}
 	worker := attempt.worker
-	missed := time.Duration(missedProgressPeriods*float64(s.settings.ProgressInterval)) + progressSlack
-	if s.now-worker.lastSignal > max(missed, minSilence) && (s.settings.ProgressInterval > 0 || worker.runningSlots == 0) {
+	if s.notResponding(worker) {
 		if s.healthy(worker, request.class) && worker.ready {
 			s.eject(worker, &worker.ejectionState, 0, "no_response")
 		}
 		return
 	}
-	reportedSince := worker.reportedAt > attempt.sentAt+minSilence
-	if !reportedSince || !s.startOverdue(attempt, minSilence+reportLookback) {
-		return
-	}
-	if worker.reportedLoad >= 1-s.slotShare(worker, freeShareOfLostAttempt) {
+	if !s.reportShowsLost(attempt) {
 		return
 	}
 	attempt.lost = true
 	s.addOwnSlots(worker, -request.slots)
-	if !s.recordIdleLoss(attempt) {
+	if !s.recordIfIdleLoss(attempt) {
 		state := &worker.classEjections[request.class]
 		s.eject(worker, state, unansweredEjections, fmt.Sprintf("unanswered class=%d", request.class))
 	}
 }
 
-// recordIdleLoss reports whether a lost attempt was lost with a connection that had been idle, and notes for how long: for
+// notResponding reports whether a worker has given no signal for longer than its progress reports may take.
+func (s *Scheduler) notResponding(worker *worker) bool {
+	missed := time.Duration(missedProgressPeriods*float64(s.settings.ProgressInterval)) + progressSlack
+	return s.now-worker.lastSignal > max(missed, minSilence) && (s.settings.ProgressInterval > 0 || worker.runningSlots == 0)
+}
+
+// reportShowsLost reports whether an attempt has not started in time, although a later report of its worker shows a free slot.
+func (s *Scheduler) reportShowsLost(attempt *attempt) bool {
+	reportedSince := attempt.worker.reportedAt > attempt.sentAt+minSilence
+	return reportedSince && s.startOverdue(attempt, minSilence+reportLookback) &&
+		attempt.worker.reportedLoad < 1-s.slotShare(attempt.worker, freeShareOfLostAttempt)
+}
+
+// recordIfIdleLoss reports whether a lost attempt was lost with a connection that had been idle, and notes for how long: for
 // idleLossRetention, connections that have been idle for nearly as long are closed before use (closeSuspectConnections). An
 // attempt that had started was not lost that way.
-func (s *Scheduler) recordIdleLoss(attempt *attempt) bool {
+func (s *Scheduler) recordIfIdleLoss(attempt *attempt) bool {
 	if attempt.connectionIdle < minLossIdle || attempt.startedAt > 0 {
 		return false
 	}
-	if s.safeIdle = min(s.safeIdle, attempt.connectionIdle); s.safeIdle == 0 || s.now > s.idleLossAt+idleLossRetention {
-		s.safeIdle = attempt.connectionIdle
+	if s.shortestIdleLoss == 0 || s.now > s.idleLossAt+idleLossRetention {
+		s.shortestIdleLoss = attempt.connectionIdle
+	} else {
+		s.shortestIdleLoss = min(s.shortestIdleLoss, attempt.connectionIdle)
 	}
 	s.idleLossAt = s.now
 	return true
--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -49,7 +49,7 @@
 	maxCongestion = 0.3
 )
 
-// hasCapacity reports whether the worker can take so many slots more: whether its load with them, stretched by its slowdown,
+// hasCapacity reports whether the worker can take the given number of slots more: whether its load with them, stretched by its slowdown,
 // stays within 1 + overcommit. Without own attempts there, three rules let one in beyond that:
 //
 //   - A worker that warms up and is not full is limited by withinSlowStartBudget alone. Limited by its slowdown as well it
@@ -86,8 +86,8 @@
 		return
 	}
 	wait := s.now - attempt.sentAt - s.roundTripTimes[attempt.worker.Zone]
-	s.recordStart(attempt.worker, wait > delayedStartThreshold)
-	spare := s.latestUsefulStart(request)
+	s.updateCongestion(attempt.worker, wait > delayedStartThreshold)
+	spare := s.maxUsefulWait(request)
 	step := s.overcommitStep()
 	switch {
 	case float64(wait) > tolerableWaitShare*float64(spare):
@@ -109,9 +109,9 @@
 	return overcommitPerJob
 }
 
-// recordStart notes whether the start of a job at the worker was delayed, which moves the congestion. A start without delay
+// updateCongestion notes whether the start of a job at the worker was delayed, which moves the congestion. A start without delay
 // halves the worker's count of cancelled waits.
-func (s *Scheduler) recordStart(worker *worker, delayed bool) {
+func (s *Scheduler) updateCongestion(worker *worker, delayed bool) {
 	if s.congestion += (float64(oneIf(delayed)) - s.congestion) / congestionJobs; !delayed {
 		worker.cancelledWaits.sum /= 2
 	}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -35,7 +35,7 @@
 
 // pickWorker returns the worker that request is sent to now, or nil if there is none at the moment.
 //
-// If the best worker is no longer confirmedFresh, it is probed, and the request waits up to healthCheckWait for the result:
+// If the best worker is no longer confirmedFresh, it is probed, and the request waits up to probeBeforeUseWait for the result:
 // the next worker in order usually costs more than this wait. After that the best of the fresh ones is taken.
 //
 // In addition to its result it may emit a Probe, and it moves the rotation cursor past the best worker even if the caller does not use it.
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -40,7 +40,7 @@
 // meanProbeInterval returns the mean time between two probes of a worker, in nanoseconds. Where each dispatcher has a subset of
 // the workers, few probe the same one.
 func (s *Scheduler) meanProbeInterval() float64 {
-	if len(s.subset) < len(s.workers) {
+	if s.usesSubset() {
 		return float64(probeInterval)
 	}
 	return float64(probeInterval) * max(float64(s.settings.Dispatchers)/maxProbers, 1)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -114,11 +114,7 @@
 // compareQueued orders queued requests: those that can still be in time first, then by priority for their work, then the
 // youngest. Under overload the oldest are nearly lost, and sent first they would make all others late.
 func (s *Scheduler) compareQueued(a, b *request) int {
-	slackA, slackB := s.spareWait(a), s.spareWait(b)
-	late := cmp.Compare(min(slackB, 0), min(slackA, 0))
-	if slackA < 0 && slackB < 0 {
-		late = 0
-	}
+	late := oneIf(s.spareWait(a) < 0) - oneIf(s.spareWait(b) < 0)
 	return cmp.Or(late, cmp.Compare(s.priorityDensity(b), s.priorityDensity(a)), cmp.Compare(b.sequence, a.sequence))
 }
 
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -73,7 +73,7 @@
 func (s *Scheduler) continueRequest(request *request, event AttemptFinished) {
 	switch {
 	case event.Final || event.Outcome == Served:
-		s.finishRequest(request)
+		s.settleRequest(request)
 	case request.settled:
 		s.deleteUnlessInFlight(request)
 	case event.Outcome == InvalidRequest:
@@ -97,17 +97,17 @@
 		return
 	}
 	s.emit(Reject{ID: request.id, RetryAfter: request.settings.MaxRetryAfter})
-	s.finishRequest(request)
+	s.settleRequest(request)
 }
 
 // failRequest gives the final answer Fail, which does not permit the client to repeat the request.
 func (s *Scheduler) failRequest(request *request) {
 	s.emit(Fail{ID: request.id})
-	s.finishRequest(request)
+	s.settleRequest(request)
 }
 
-// finishRequest marks that the client is owed nothing more and cancels the attempts in flight.
-func (s *Scheduler) finishRequest(request *request) {
+// settleRequest marks that the client is owed nothing more and cancels the attempts in flight.
+func (s *Scheduler) settleRequest(request *request) {
 	request.settled = true
 	s.cancelAttempts(request, everyAttempt)
 	s.deleteUnlessInFlight(request)
@@ -123,6 +123,6 @@
 // onClientLeft ends a request whose client has gone.
 func (s *Scheduler) onClientLeft(event ClientLeft) {
 	if request := s.requests[event.ID]; request != nil {
-		s.finishRequest(request)
+		s.settleRequest(request)
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -71,16 +71,16 @@
 	actions  []Action // of the current event
 
 	// The workers.
-	workers                []*worker // all that a list ever named, by id
+	workers                []*worker // all that a list ever named, by id; never shortened
 	workersByID            map[WorkerID]*worker
 	detached               map[WorkerID]bool // by the operator, whether or not a list has named them
 	listAsOf               Instant           // the endpoint list includes all changes up to this time
 	availableCount         int               // of listed workers that are not detached
 	totalWeight            float64           // of the same
-	reportAttemptsInFlight int               // trial attempts at workers whose report is overdue
+	reportAttemptsInFlight int               // in flight, to bring an overdue report (attempt.forReport)
 
 	// The candidates.
-	subset            []*worker // that requests are sent to, by id or in this dispatcher's order
+	subset            []*worker // that requests are sent to, by id or in this dispatcher's order; see usesSubset
 	subsetChosenAt    Instant
 	loadsKnown        bool // the fleet is so small that all loads are known
 	affinityInUse     bool // a request with an affinity key has arrived
@@ -112,7 +112,7 @@
 	logSlownessByKind map[int]float64       // mean logSlowness of a machine kind
 	slotsByKind       map[int]float64       // the most slots seen at a worker of a machine kind
 	roundTripTimes    map[int]time.Duration // by zone: the least time from send to start
-	safeIdle          time.Duration         // connections idle for less were not lost; 0 if none was lost
+	shortestIdleLoss  time.Duration         // after which a connection was lost lately; 0 if none was
 	idleLossAt        Instant               // when an idle connection was last lost
 	firstEventAt      Instant
 	lastArrivalAt     Instant
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -86,7 +86,7 @@
 	return &s
 }
 
-// onSettingsChanged puts new settings in force. Open requests keep those that they arrived under.
+// onSettingsChanged puts new settings in force. Open requests keep those that they arrived under (request.settings).
 func (s *Scheduler) onSettingsChanged(event SettingsChanged) {
 	s.settings = event.Settings.normalized()
 	added := max(len(s.settings.Classes)-len(s.classes), 0)
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -97,7 +97,7 @@
 	return (s.meanWork*known + prior) / (known + priorWorkJobs) * meanErrorFactor(s.servedJobs)
 }
 
-// meanErrorFactor returns about how many times larger than the mean of so many jobs the true mean may be.
+// meanErrorFactor returns by about what factor the true mean may exceed the mean of the given number of jobs.
 func meanErrorFactor(jobs int) float64 {
 	return 1 + 1/math.Sqrt(1+min(float64(jobs), 1/(1-meanRetention)))
 }
--- a/scheduler/subset.go
+++ b/scheduler/subset.go
@@ -26,8 +26,8 @@
 	// dispatchersPerWorker is the least number of dispatchers that have a worker in their subsets.
 	dispatchersPerWorker = 2
 
-	// subsetRings is the number of orders in which workers are assigned to dispatchers.
-	subsetRings = 4
+	// subsetOrders is the number of orders in which workers are assigned to dispatchers.
+	subsetOrders = 4
 
 	// subsetInterval is the time between choices of the subset.
 	subsetInterval = time.Second
@@ -47,7 +47,8 @@
 // chooseSubset chooses the workers that requests are sent to. All are chosen where requests have affinity keys, as the workers of
 // a key must be the same at every dispatcher, and where the fleet is small against the own arrival rate. Otherwise a few are,
 // as many of the own zone as of all others. All dispatchers order the workers of a zone in one of a few common orders, and each takes them
-// from an offset that follows from its number, so that every worker is in about as many subsets.
+// from an offset that follows from its number, so that every worker is in about as many subsets. It also updates
+// availableCount, totalWeight and loadsKnown.
 func (s *Scheduler) chooseSubset() {
 	s.subsetChosenAt, s.subset, s.totalWeight = s.now, s.subset[:0], 0
 	var ownZone, otherZones []*worker
@@ -78,14 +79,18 @@
 	s.rotationCursor = 0
 }
 
-// addToSubset adds workers in this dispatcher's order until so many healthy, warm ones are in the subset, and of the warming
+// usesSubset reports whether chooseSubset chose some workers. Otherwise the subset has all of workers, those that are gone or detached
+// too; a chosen one lacks what is not available.
+func (s *Scheduler) usesSubset() bool { return len(s.subset) < len(s.workers) }
+
+// addToSubset adds workers in this dispatcher's order until the wanted number of healthy, warm ones is in the subset, and of the warming
 // ones those of which it has a slow-start share.
 func (s *Scheduler) addToSubset(workers []*worker, wanted int) {
-	rotation := s.settings.DispatcherIndex % subsetRings * 64 / subsetRings // of the hash, in bits: each gives another order
+	rotation := s.settings.DispatcherIndex % subsetOrders * 64 / subsetOrders // of the hash, in bits: each gives another order
 	slices.SortFunc(workers, func(a, b *worker) int {
 		return cmp.Compare(bits.RotateLeft64(a.idHash, rotation), bits.RotateLeft64(b.idHash, rotation))
 	})
-	place := float64(bits.Reverse64(uint64(s.settings.DispatcherIndex / subsetRings)))
+	place := float64(bits.Reverse64(uint64(s.settings.DispatcherIndex / subsetOrders)))
 	first := int(float64(len(workers)) * place / (1 << 64))
 	for i := range workers {
 		candidate := workers[(first+i)%len(workers)]
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -40,9 +40,9 @@
 	sendsSinceFull int
 
 	// The sends to it.
-	weightedSends    float64         // by 1/weight: ties go round robin, to a worker of twice the weight twice as often
-	recentSends      decayingCounter // the same, decaying
-	slowStartCharges []slowStartCharge
+	weightedSends       float64         // by 1/weight: ties go round robin, to a worker of twice the weight twice as often
+	recentWeightedSends decayingCounter // the same, decaying
+	slowStartCharges    []slowStartCharge
 
 	// Its pace: sums of logSlowness over jobs, and their numbers.
 	logSlownessSum      float64 // over served jobs, decaying
