--- a/cmd/brassdale/fleet_lifecycle_test.go
+++ b/cmd/brassdale/fleet_lifecycle_test.go
@@ -12,7 +12,7 @@
 // that was only stopped has none when it continues, and gets it back once the second has left.
 func TestFleet_nameInUse(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 3, 3, 1)
+	fleet := startFleet(t, 3, 1)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	fleet.addresses, fleet.directories = append(fleet.addresses, strings.Replace(fleet.addresses[3], ".4:", ".5:", 1)), append(fleet.directories, t.TempDir())
@@ -33,7 +33,7 @@
 // ended: the raft group has the same three voters, and agrees on the next version.
 func TestFleet_handoverOfVoter(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 4, 3, 0)
+	fleet := startFleet(t, 3, 0)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	leader := fleet.leader()
@@ -57,12 +57,13 @@
 // unless another old voter still answers. The other dispatchers join it, also an old voter that returns later.
 func TestFleet_recoveryWithoutMajority(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 5, 3, 1)
+	fleet := startFleet(t, 3, 1)
 	fleet.propose("retries = 0.5\n", 0)
 	fleet.waitForVersion(1, fleet.indices()...)
 	fleet.kill(0, 1, 2)
 	recover := func() (int, string) {
-		code, out, errs := runCommand(t, "fleet", "recover", fleet.directories[2], "--seat", "3", "--name", "n2", "--listen", fleet.addresses[2], "--old", fleet.addresses[0]+","+fleet.addresses[1]+","+fleet.addresses[2])
+		code, out, errs := runCommand(t, "fleet", "recover", fleet.directories[2], "--seat", "3", "--name", "n2",
+			"--listen", fleet.addresses[2], "--old", strings.Join(fleet.addresses[:3], ","))
 		return code, out + errs
 	}
 	fleet.restart(1)
@@ -79,7 +80,9 @@
 	fleet.waitForVersion(2, 2, 3)
 	fleet.restart(0) // with the old group's directory: alone it has no majority, and finds the new group
 	fleet.waitForVersion(2, 0, 2, 3)
-	fleet.dispatchers[0].waitFor("the new epoch at the old voter", func() bool { return strings.Contains(fleet.runFleetCommand(0, "status"), "era            1") })
+	fleet.dispatchers[0].waitFor("the new epoch at the old voter", func() bool {
+		return strings.Contains(fleet.runFleetCommand(0, "status"), "era            1")
+	})
 }
 
 // TestFleet_largeProposalAndReload checks that a proposal of 4 MB, which detaches 2,000 workers, reaches all dispatchers. SIGHUP
@@ -87,7 +90,7 @@
 // invalid file is rejected with the place of the error.
 func TestFleet_largeProposalAndReload(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 6, 3, 2)
+	fleet := startFleet(t, 3, 2)
 	var large strings.Builder
 	large.WriteString("out = [\n")
 	for i := range 2000 {
@@ -96,7 +99,7 @@
 	large.WriteString("]\n")
 	fleet.propose(large.String(), 4)
 	fleet.waitForVersion(1, fleet.indices()...)
-	if status, _, _ := fleet.dispatchers[3].send(newRequest(fleet.dispatchers[3].http1URL, "beside-4-MB")); status != 200 {
+	if status, _, _ := fleet.dispatchers[3].sendKey("beside-4-MB"); status != 200 {
 		t.Errorf("with 2,000 detached workers: status %d", status)
 	}
 
@@ -127,7 +130,7 @@
 // fleet: no dispatcher sends that worker a request, and the history names both.
 func TestFleet_quotaCapAndDetachedWorker(t *testing.T) {
 	t.Parallel()
-	fleet := startFleet(t, 7, 1, 1)
+	fleet := startFleet(t, 1, 1)
 	fleet.propose("shares = { deeside-aero = 0.1 }\n", 1)
 	fleet.waitForVersion(1, 0, 1)
 	if out := fleet.runFleetCommand(1, "detach", "a", "--why", "rebuilt"); !strings.Contains(out, "version 2") {
@@ -137,7 +140,7 @@
 	before := fleet.workers[0].jobCount()
 	for i, dispatcher := range fleet.dispatchers {
 		for k := range 4 {
-			dispatcher.send(newRequest(dispatcher.http1URL, fmt.Sprint("d-", i, "-", k)))
+			dispatcher.sendKey(fmt.Sprint("d-", i, "-", k))
 		}
 	}
 	if after := fleet.workers[0].jobCount(); after != before {
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -223,7 +223,7 @@
 // does (polling.RewatchDelay).
 func (d *hollowDispatcher) watchEndpoints(ctx context.Context, settings *protocol.LiveSettings) {
 	first := rand.Float64() * float64(settings.Current().ReplicasOfMe) * firstCallSpread.Seconds()
-	delay, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.FullList), polling.FullList
+	delay, revision, kind := time.Duration(first*float64(time.Second)), int64(routing.NoRevision), polling.FullList
 	for {
 		if !labsupport.WaitUntil(ctx, time.Now().Add(min(delay, maxFirstCallDelay))) {
 			return
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A worker that reports no progress runs a job of 10 s: its silence says nothing. With progress reports it is ejected.
+// TestSilence_withoutProgressReports checks that a worker that does not report progress is not ejected during a job of 10 s, and that one
+// that should report progress is.
 func TestSilence_withoutProgressReports(t *testing.T) {
 	for _, progress := range []time.Duration{0, time.Second} {
 		settings := baseSettings()
@@ -13,17 +14,17 @@
 		settings.Classes[2].Deadline = 20 * time.Second
 		driver := newDriver(t, settings)
 		driver.listWorkers(workers(2)...)
-		w := driver.scheduler.workersByID[firstSendWorker(driver.handle(RequestArrived{ID: 1, Class: 2, Slots: 1, Deadline: driver.now + 15*time.Second}))]
+		worker := driver.scheduler.workersByID[firstSendWorker(driver.handle(RequestArrived{ID: 1, Class: 2, Slots: 1, Deadline: driver.now + 15*time.Second}))]
 		driver.handle(AttemptStarted{ID: 1})
 		driver.advance(10 * time.Second)
-		if healthy := driver.scheduler.healthy(w, 2); healthy != (progress == 0) {
+		if healthy := driver.scheduler.healthy(worker, 2); healthy != (progress == 0) {
 			t.Errorf("progress every %v: the worker counts as healthy: %v", progress, healthy)
 		}
 	}
 }
 
-// A worker that fails three jobs in five at once, so that it looks idle, gets few jobs. After its recovery it gets its share
-// again.
+// TestPlacement_workerThatOftenFails checks that a worker that fails three of five jobs at once, so that it looks idle, gets at most a
+// tenth of 300 jobs. After its recovery it gets at least 20 of the last 100, its share being 33.
 func TestPlacement_workerThatOftenFails(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
@@ -41,7 +42,7 @@
 		driver.finishServed(id, nil)
 	}
 	if bad > jobs/10 {
-		t.Errorf("%d of %d jobs went to the worker that fails", bad, jobs)
+		t.Errorf("%d of %d jobs were sent to the worker that fails", bad, jobs)
 	}
 	before := bad
 	for i := range jobs { // it has recovered: after a trial it gets its share
@@ -52,11 +53,12 @@
 		driver.finishServed(id, nil)
 	}
 	if got := bad - before; got < jobs/3/5 {
-		t.Errorf("after its recovery %d of %d", got, jobs/3)
+		t.Errorf("after its recovery the worker got %d of %d jobs", got, jobs/3)
 	}
 }
 
-// A worker that leaves one class unanswered and serves the others is ejected for that class alone.
+// TestSilence_oneClassUnanswered checks that a worker that leaves one class unanswered and serves the others is ejected only for that
+// class.
 func TestSilence_oneClassUnanswered(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(1, 1)...)
@@ -77,7 +79,7 @@
 	}
 }
 
-// A worker that fails one class is ejected for that class alone.
+// TestEjection_ofOneClass checks that a worker that fails one class is ejected only for that class.
 func TestEjection_ofOneClass(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(1, 1)...)
@@ -92,8 +94,8 @@
 	}
 }
 
-// After an attempt was lost with an idle connection, connections that were idle for as long are closed before use, and the
-// worker is not ejected.
+// TestIdleLoss_closesOlderConnections checks that after an attempt was lost with an idle connection, connections that have been idle for
+// as long are closed before use, and that the worker is not ejected.
 func TestIdleLoss_closesOlderConnections(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(1, 1)...)
@@ -108,7 +110,7 @@
 	driver.now += 3 * time.Second
 	actions := driver.handle(RequestArrived{ID: 3, Class: 2, Slots: 1, Deadline: driver.now + 2*time.Second})
 	if countActions[CloseIdleConnections](actions) != 1 || countActions[Send](actions) != 1 {
-		t.Errorf("after 3 idle seconds it did %v", actions)
+		t.Errorf("after 3 idle seconds: %v", actions)
 	}
 	driver.handle(AttemptFinished{ID: 3, Outcome: Served, Final: true})
 	driver.now += minLossIdle / 2
@@ -117,31 +119,33 @@
 	}
 }
 
-// One connection that breaks is chance; two without a signal between them mean that the worker cannot be reached.
+// TestEjection_byConnectionLosses checks that a worker is ejected after two lost connections without a signal between them, not after
+// one.
 func TestEjection_byConnectionLosses(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
-	w := driver.scheduler.workers[0]
-	for i, c := range []struct {
+	worker := driver.scheduler.workers[0]
+	for i, test := range []struct {
 		outcome   Outcome
 		ejections int
 	}{{Reset, 0}, {Served, 0}, {NoConnect, 0}, {Reset, 1}, {Served, 0}, {Reset, 0}} {
 		id := RequestID(i + 1)
 		driver.handle(RequestArrived{ID: id, Slots: 1, Deadline: driver.now + driver.scheduler.settings.Classes[0].Deadline})
-		if driver.handle(AttemptFinished{ID: id, Outcome: c.outcome, Final: true}); w.consecutiveEjections != c.ejections {
-			t.Errorf("after outcome %d of request %d: %d ejections in a row, want %d", c.outcome, i, w.consecutiveEjections, c.ejections)
+		if driver.handle(AttemptFinished{ID: id, Outcome: test.outcome, Final: true}); worker.consecutiveEjections != test.ejections {
+			t.Errorf("after outcome %d of request %d: %d ejections in a row, want %d", test.outcome, i, worker.consecutiveEjections, test.ejections)
 		}
 		driver.now += ms
 	}
 }
 
-// What was lost with an idle connection has connections closed that were idle for as long, not all: the idle time of the
-// connection counts, not that of the worker. An attempt that had started was not lost that way.
+// TestIdleLoss_byConnectionIdleTime checks that after a loss with an idle connection those connections are closed that have been idle for
+// at least 4/5 as long: the idle time of the connection counts, not that of the worker. An attempt that had started was not lost that
+// way.
 func TestIdleLoss_byConnectionIdleTime(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		idle    time.Duration
 		started bool
-		drops   int
+		closed  int // how often connections are closed
 	}{{time.Second, false, 1}, {0, false, 0}, {time.Second, true, 0}} {
 		driver := newDriver(t, baseSettings())
 		driver.listWorkers(workers(1)...)
@@ -150,26 +154,27 @@
 		}
 		job(1)
 		driver.finishServed(1, nil)
-		driver.now += 5 * time.Second // longer than any of its connections: probes and other requests came between
+		driver.now += 5 * time.Second // longer than any of its connections: probes and other requests used them meanwhile
 		job(2)
-		if c.started {
+		if test.started {
 			driver.handle(AttemptStarted{ID: 2})
 		}
-		driver.handle(AttemptFinished{ID: 2, Outcome: Reset, Final: true, ConnectionIdle: c.idle})
+		driver.handle(AttemptFinished{ID: 2, Outcome: Reset, Final: true, ConnectionIdle: test.idle})
 		driver.now += time.Second
 		actions := job(3)
-		for _, a := range actions {
-			if d, ok := a.(CloseIdleConnections); ok && d.MinIdle != c.idle*4/5 {
-				t.Errorf("%+v: closes what was idle for %v", c, d.MinIdle)
+		for _, action := range actions {
+			if d, ok := action.(CloseIdleConnections); ok && d.MinIdle != test.idle*4/5 {
+				t.Errorf("%+v: closes what was idle for %v", test, d.MinIdle)
 			}
 		}
-		if n := countActions[CloseIdleConnections](actions); n != c.drops {
-			t.Errorf("%+v: %d closed", c, n)
+		if n := countActions[CloseIdleConnections](actions); n != test.closed {
+			t.Errorf("%+v: connections closed %d times", test, n)
 		}
 	}
 }
 
-// A worker that does not respond gets no more requests; when all are ejected, requests are sent nevertheless.
+// TestSilence_workerIsEjected checks that a worker that does not respond gets no more requests, and that requests are sent nevertheless
+// if all workers are ejected.
 func TestSilence_workerIsEjected(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -177,7 +182,7 @@
 	driver.advance(1900 * ms)
 	for id := RequestID(2); id < 6; id++ {
 		if w := driver.submit(id, 0); w == silent {
-			t.Errorf("request %d went to the silent worker", id)
+			t.Errorf("request %d was sent to the silent worker", id)
 		}
 		driver.handle(AttemptFinished{ID: id, Outcome: Served, Final: true})
 	}
--- a/scheduler/review_test.go
+++ b/scheduler/review_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A process that stood still does not take its workers for silent.
-func TestStall_isNoSilence(t *testing.T) {
+// TestReview_afterStall checks that a process that was stalled for 5 s does not treat its workers as silent.
+func TestReview_afterStall(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(3, 1)...)
 	driver.submit(1, 2)
@@ -16,6 +16,6 @@
 	driver.now += 30 * ms
 	actions = append(actions, driver.handle(TimerFired{Token: reviewTimer})...)
 	if countActions[Log](actions) != 0 || driver.scheduler.overcommit != initialOvercommit {
-		t.Errorf("after a stall of its own it did %v, overcommit %v", actions, driver.scheduler.overcommit)
+		t.Errorf("after a stall of the process: %v, overcommit %v", actions, driver.scheduler.overcommit)
 	}
 }
