--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// StartFaults schedules the scenario's faults, from now.
+// StartFaults schedules the scenario's faults, from now. A second call schedules them once more.
 func (c *Cluster) StartFaults() { c.sim.post(c.sim.scheduleFaults) }
 
 // syncListeners opens the listeners of workers that came up and closes those of workers that went down, so that connections to
--- a/internal/faults/chart.go
+++ b/internal/faults/chart.go
@@ -26,7 +26,7 @@
 var chartFaultColor = color.Gray{Y: 200}
 
 // Chart draws the versions that each process acted on over time to a file, whose extension decides the format. A version has a
-// color, and a thin line while its process had no lease; events are gray bands.
+// color, and a thin line while its process had no lease. Events are gray bands; those of Leader are at row -1, not at the process that led.
 func (r *Result) Chart(path string) error {
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("versions by process, seed %d: contradiction %.0f ms of %.0f ms", r.Seed, r.ContradictionMS, r.BoundMS)
--- a/internal/faults/proposals.go
+++ b/internal/faults/proposals.go
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// proposeTwice makes two proposals at two voters at the same time. It returns an error if both were announced as one version.
+// proposeTwice makes two proposals at two voters at the same time. It returns an error if both were announced, but the run has fewer than two
+// announced versions in all: with a version that was announced before, one version for both goes undetected.
 func (r *run) proposeTwice(ctx context.Context) error {
 	announced := make([]bool, 2)
 	var proposing sync.WaitGroup
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -75,7 +75,8 @@
 	return &Result{Plan: plan, Record: record, Breaches: Audit(plan, record), LogDir: dir}, nil
 }
 
-// playEvents runs the clients and the events to the end of the plan, and then kills the dispatchers.
+// playEvents runs the clients and the events to the end of the plan, and then kills the dispatchers. If the context ends, events that have
+// not begun are dropped; the others and the clients go on to their ends.
 func (r *run) playEvents(ctx context.Context) {
 	end := r.record.StartedAt.Add(r.plan.Span)
 	var sending, happening sync.WaitGroup
