--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -168,7 +168,7 @@
 	}
 	dispatcher.kill()
 	restarted := dispatcher.startSuccessor("") // finds the files of a killed process
-	restarted.checkServed("after-kill-", 20) // from its first request on, whenever the metric follows
+	restarted.checkServed("after-kill-", 20)   // from its first request on, whenever the metric follows
 	if jobs := detached.jobCount(); jobs != 0 || !strings.Contains(restarted.log(), "starting alone") {
 		t.Errorf("after a kill: %d jobs at the detached worker, or the start was not alone", jobs)
 	}
