--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -45,7 +45,7 @@
 func (l *changingList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call := readPoll(r)
 	after := call.index
-	if !call.watch {
+	if !call.hasList {
 		after = -1
 	}
 	l.mu.Lock()
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -54,11 +54,11 @@
 		call := readPoll(r)
 		over := time.Now().Add(call.wait)
 		revision, members := d.listAt(behind)
-		for call.watch && revision == call.index && time.Now().Before(over) && r.Context().Err() == nil {
+		for call.hasList && revision == call.index && time.Now().Before(over) && r.Context().Err() == nil {
 			time.Sleep(5 * time.Millisecond)
 			revision, members = d.listAt(behind)
 		}
-		if call.watch && revision == call.index {
+		if call.hasList && revision == call.index {
 			io.WriteString(w, listAnswer(revision, false, ""))
 			return
 		}
--- a/cmd/brassdale/support_discovery_test.go
+++ b/cmd/brassdale/support_discovery_test.go
@@ -36,7 +36,7 @@
 	return len(d.calls)
 }
 
-// watched reports whether the last call may wait for a newer list.
+// watched reports whether the last call was a watch: one that may wait for a newer list.
 func (d *testDiscovery) watched() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,15 +106,15 @@
 
 // poll is a call to a discovery service.
 type poll struct {
-	watch bool          // the caller has a list
-	index int           // its revision; 0 without a list
-	wait  time.Duration // how long the call may wait for a newer list
+	hasList bool          // the caller has a list
+	index   int           // its revision; 0 without a list
+	wait    time.Duration // how long the call may wait for a newer list
 }
 
 // readPoll returns the call that a request stands for.
 func readPoll(r *http.Request) (call poll) {
 	query := r.URL.Query()
-	call.watch = query.Has("index")
+	call.hasList = query.Has("index")
 	call.index, _ = strconv.Atoi(query.Get("index"))
 	waitMS, _ := strconv.Atoi(query.Get("wait"))
 	call.wait = time.Duration(waitMS) * time.Millisecond
--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -24,7 +24,7 @@
 	addresses     []string // by dispatcher: where it listens for the fleet
 	directories   []string // by dispatcher
 	workers       []*testWorker
-	absences      map[int][]effectivestate.Period // by dispatcher: when its process was stopped or had ended
+	absences      map[int][]effectivestate.Period // by dispatcher: from when on its log no longer counts; see recordAbsence
 	voters        int
 	extraSettings func(index int) string // further lines of a dispatcher's block
 }
@@ -80,7 +80,8 @@
 	}
 }
 
-// stopProcess stops a dispatcher's process with SIGSTOP; resume continues it.
+// stopProcess stops a dispatcher's process with SIGSTOP; resume continues it. Unlike kill it records no absence: a test that uses
+// effectiveStates calls recordAbsence if the log is to count no longer.
 func (f *testFleet) stopProcess(index int) {
 	f.dispatchers[index].command.Process.Signal(syscall.SIGSTOP)
 }
@@ -134,7 +135,7 @@
 		strings.Join(f.addresses[:f.voters], `", "`), voterID, f.directories[index], f.extraSettings(index))
 }
 
-// propose proposes a file of rules at a dispatcher, again while the leader changes.
+// propose proposes a file of rules at a dispatcher, and repeats it until it is announced, or rejected because a version is under way.
 func (f *testFleet) propose(rules string, at int) {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "rules.hcl")
--- a/cmd/brassdale/support_queueing_discovery_test.go
+++ b/cmd/brassdale/support_queueing_discovery_test.go
@@ -99,12 +99,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	ended, continued := d.begin(dispatcher, call.watch)
-	if !continued && !d.waitForTurn(dispatcher, call.watch, ended) {
+	ended, continued := d.begin(dispatcher, call.hasList)
+	if !continued && !d.waitForTurn(dispatcher, call.hasList, ended) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if call.watch && !d.waitForUpdate(call.index, over, ended, r) {
+	if call.hasList && !d.waitForUpdate(call.index, over, ended, r) {
 		if r.Context().Err() == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -112,11 +112,11 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if call.watch {
+	if call.hasList {
 		d.answeredAt[dispatcher] = time.Now()
 	}
 	members, complete := d.lists[d.revision], true
-	if call.watch && call.index >= d.revision {
+	if call.hasList && call.index >= d.revision {
 		members, complete = "", false
 	}
 	io.WriteString(w, listAnswer(d.revision, complete, members))
--- a/cmd/brassdale/support_worker_test.go
+++ b/cmd/brassdale/support_worker_test.go
@@ -113,7 +113,7 @@
 	return maps.Clone(w.runs)
 }
 
-// listedWorker returns a line of a list without a worker that answers.
+// listedWorker returns a worker for endpoint lists, at a listener that the caller serves, or nobody does.
 func listedWorker(id string, listener net.Listener) *testWorker {
 	return &testWorker{id: id, cell: "1", phase: "active", listener: listener}
 }
--- a/internal/decisions/endpointstate/endpointstate.go
+++ b/internal/decisions/endpointstate/endpointstate.go
@@ -18,7 +18,8 @@
 //  3. A response of a lower revision to a call that was made before the last current response was received (Overtaken) changes
 //     nothing.
 //  4. Accepted.NotifiedAt of a worker that is draining or gone is the time at which this process, or its predecessor, first
-//     learned that it is not ready, and stays until the worker is ready again.
+//     learned that it is not ready, or an earlier one that the response's NotifiedAt gives (where lists are pushed), and stays until
+//     the worker is ready again.
 //  5. An earlier start of a worker is accepted under the conditions of 1 only.
 //
 // The service of a list: (a) revisions are compared within one service; (b) the services before and after a move of discovery
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -72,11 +72,11 @@
 	if endpoint := m.truth[shown].endpoint; endpoint.State != scheduler.Gone {
 		response.Endpoints = []Endpoint{endpoint}
 	}
-	freshness := m.table.Classify(response)
-	if freshness == Overtaken {
+	order := m.table.Classify(response)
+	if order == Overtaken {
 		return nil
 	}
-	for _, accepted := range m.table.Apply(response, freshness).Accepted {
+	for _, accepted := range m.table.Apply(response, order).Accepted {
 		before := m.acceptedState
 		m.acceptedState = accepted.State
 		switch {
@@ -264,8 +264,8 @@
 	restricted bool
 }
 
-func (n *neverReattaches) Apply(response ListResponse, freshness ResponseOrder) (changes Changes) {
-	for _, accepted := range n.Table.Apply(response, freshness).Accepted {
+func (n *neverReattaches) Apply(response ListResponse, order ResponseOrder) (changes Changes) {
+	for _, accepted := range n.Table.Apply(response, order).Accepted {
 		if accepted.State == scheduler.Ready && n.restricted {
 			continue
 		}
@@ -278,8 +278,8 @@
 // forgetsGone deletes the record of a worker that is gone.
 type forgetsGone struct{ Table }
 
-func (f *forgetsGone) Apply(response ListResponse, freshness ResponseOrder) Changes {
-	changes := f.Table.Apply(response, freshness)
+func (f *forgetsGone) Apply(response ListResponse, order ResponseOrder) Changes {
+	changes := f.Table.Apply(response, order)
 	if f.records["w"].state == scheduler.Gone {
 		delete(f.records, "w")
 	}
@@ -289,8 +289,8 @@
 // countsDrainLate dates a drain after the last response that named it.
 type countsDrainLate struct{ Table }
 
-func (c *countsDrainLate) Apply(response ListResponse, freshness ResponseOrder) Changes {
-	changes := c.Table.Apply(response, freshness)
+func (c *countsDrainLate) Apply(response ListResponse, order ResponseOrder) Changes {
+	changes := c.Table.Apply(response, order)
 	for i := range changes.Accepted {
 		if changes.Accepted[i].State != scheduler.Ready {
 			changes.Accepted[i].NotifiedAt = response.ReceivedAt.Add(time.Second)
--- a/internal/decisions/endpointstate/listresponse.go
+++ b/internal/decisions/endpointstate/listresponse.go
@@ -21,5 +21,5 @@
 	ID         scheduler.WorkerID
 	State      scheduler.WorkerState
 	Start      scheduler.Instant // of the worker, by discovery's clock; 0 for long ago
-	NotifiedAt time.Time         // when a predecessor process learned that the worker is not ready; zero for now
+	NotifiedAt time.Time         // from when on the worker, if it is not ready, counts as known not to be; zero for when the response was received
 }
--- a/internal/decisions/endpointstate/freshness.go
+++ b/internal/decisions/endpointstate/responseorder.go
@@ -3,7 +3,7 @@
 // ResponseOrder is how a response compares with the responses before it of the same service.
 type ResponseOrder uint8
 
-// The values of Freshness.
+// The orders of a response.
 const (
 	Current   ResponseOrder = iota // its revision is not lower than any before, or the service has started a new sequence
 	Overtaken                      // its revision is lower, and a current response was received after its call was made
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -59,30 +59,30 @@
 }
 
 // Apply records a response that Classify found Current or Lagging, and returns what it changes.
-func (t *Table) Apply(response ListResponse, freshness ResponseOrder) Changes {
+func (t *Table) Apply(response ListResponse, order ResponseOrder) Changes {
 	var changes Changes
-	if freshness == Lagging {
+	if order == Lagging {
 		changes.PollAgainAt = response.ReceivedAt
 	}
 	listed := make(map[scheduler.WorkerID]bool, len(response.Endpoints))
 	for i, endpoint := range response.Endpoints {
 		listed[endpoint.ID] = true
-		t.applyEndpoint(response, freshness, i, endpoint, &changes)
+		t.applyEndpoint(response, order, i, endpoint, &changes)
 	}
-	if response.Complete && freshness == Current {
+	if response.Complete && order == Current {
 		t.applyUnlisted(response, listed, &changes)
 	}
 	return changes
 }
 
 // applyEndpoint records what a response says of one worker, as far as it is accepted.
-func (t *Table) applyEndpoint(response ListResponse, freshness ResponseOrder, index int, endpoint Endpoint, changes *Changes) {
+func (t *Table) applyEndpoint(response ListResponse, order ResponseOrder, index int, endpoint Endpoint, changes *Changes) {
 	before, known := t.records[endpoint.ID] // an unknown worker counts as ready before: it has the zero record
 	// A lagging response only restricts a worker that is ready.
-	if freshness == Lagging && (!known || endpoint.State == scheduler.Ready || before.state != scheduler.Ready) {
+	if order == Lagging && (!known || endpoint.State == scheduler.Ready || before.state != scheduler.Ready) {
 		return
 	}
-	newer := !known || freshness == Current && t.composedAfter(response, before)
+	newer := !known || order == Current && t.composedAfter(response, before)
 	if endpoint.State == scheduler.Ready && before.state != scheduler.Ready && !newer && !startedAfter(endpoint, before) {
 		changes.pollAgainBy(before.learnedAt.Add(MaxStaleness))
 		return
--- a/internal/decisions/polling/polling.go
+++ b/internal/decisions/polling/polling.go
@@ -10,7 +10,7 @@
 //
 //  1. After a response, any three calls that hang, break off, are rejected, or are answered 2 s late delay a change by
 //     NotificationDeadline at most; after a move of discovery by MoveNotificationDeadline. Up to callsPerDeadline calls are made
-//     in that time, spread evenly over it but for lastResponseTime, which is left for the last one. The longest sequences where
+//     in that time, spread evenly over it but for finalCallLead, which is left for the last one. The longest sequences where
 //     dispatchers poll: a watch goes silent as it begins, and the next call is made LongPollWait + watchResponseGrace +
 //     maxOverlapSpread later (2.8 s); or a new process makes its first call 3 s after its start. The fourth call is made after
 //     5.8 s at the latest.
--- a/internal/effectivestate/effectivestate.go
+++ b/internal/effectivestate/effectivestate.go
@@ -26,7 +26,7 @@
 	return s.Versions[0], true
 }
 
-// overlap returns how long two states were in force at the same time; it is not above 0 if they were not.
+// overlap returns for how long two states lasted at the same time; it is not above 0 if they did not.
 func (s *State) overlap(other *State) time.Duration {
 	from, to := s.From, s.To
 	if other.From.After(from) {
--- a/internal/faultlink/link.go
+++ b/internal/faultlink/link.go
@@ -14,7 +14,7 @@
 type State struct {
 	CutTo   bool          // nothing that the caller sends arrives
 	CutFrom bool          // nothing that the called process sends arrives
-	Delay   time.Duration // of each piece, in one direction
+	Delay   time.Duration // of each piece, in either direction: a round trip takes twice as long
 	Spread  time.Duration // a random further delay up to this
 	Slow    bool          // passes slowPiece bytes every slowInterval
 	Reorder time.Duration // new connections are delayed at random up to this, so that later ones overtake them
--- a/internal/faults/event.go
+++ b/internal/faults/event.go
@@ -13,6 +13,7 @@
 //   - Append it to DrawnEventKinds. A file without faults draws from all of these, so that each of its seeds then has other events.
 //   - playEvent in faultinjection.go: what happens; or duringEvent, if it only changes the state of links. Without either nothing happens,
 //     and nothing reports that.
+//   - beginAbsence and endAbsence, if the process is stopped or ends: else the audit takes it for running.
 //   - Draw, if voters are to be spared.
 const (
 	Cut         EventKind = "cut"      // its links to all others are cut in both directions
--- a/internal/faults/file.go
+++ b/internal/faults/file.go
@@ -21,7 +21,7 @@
 	Faults    []string     `hcl:"faults,optional"`    // kinds to draw from; all if left out
 	Replace   string       `hcl:"replace,optional"`   // how long a voter may be silent before it is replaced
 	Older     int          `hcl:"older,optional"`     // number of processes of an older build
-	Events    []EventFile  `hcl:"event,block"`        // played in place of drawn faults
+	Events    []EventFile  `hcl:"event,block"`        // played if neither every nor faults is set; else ignored
 	Release   *ReleaseFile `hcl:"release,block"`
 	Zones     *ZonesFile   `hcl:"towns,block"`
 }
--- a/internal/faults/schedule.go
+++ b/internal/faults/schedule.go
@@ -11,9 +11,9 @@
 	recoveryTime     = time.Second // between two events of a process
 )
 
-// Draw returns the events of a seed, in the order of their times: one of the given kinds every so often on average, of one process
-// each. The voters are the first processes. All events end within the span, a process has one at a time, and at most one voter
-// loses its data, once: what a majority of the voters has lost cannot be recovered.
+// Draw returns the events of a seed, in the order of their times, each of one of the given kinds at one process. The mean time between
+// them is every, without those that are dropped because their process is busy or they would outlast the span. The voters are the first
+// processes. At most one voter loses its data, once, and only if there are several voters and a process beside them: what a majority of the voters has lost cannot be recovered.
 func Draw(seed uint64, kinds []EventKind, processes, voters int, span, every, longest time.Duration) []Event {
 	rng := rand.New(rand.NewPCG(seed, scheduleSource))
 	var events []Event
--- a/internal/faults/zonesresult.go
+++ b/internal/faults/zonesresult.go
@@ -13,13 +13,13 @@
 type ZonesResult struct {
 	Served           float64 `json:"served_share"`                       // of the jobs, in time
 	ServedNoFailover float64 `json:"served_share_no_failover,omitempty"` // in the emulator's virtual time, where each process decides by itself
-	ServedFault      float64 `json:"served_share_fault"`                 // of those sent during the first fault, from faultDetectionTime after its begin on
+	ServedFault      float64 `json:"served_share_fault"`                 // of those sent during the first fault, from faultDetectionTime after its start on
 	ServedBehind     float64 `json:"served_share_behind"`                // of those sent within recoveryWindow after its end
 	Crossing         float64 `json:"crossing_share"`                     // of the attempts
 	MinCrossing      float64 `json:"crossing_least"`                     // share of the work that had to cross, as the zones' capacities are
 	Peak             float64 `json:"zone_peak_over_capacity"`            // most work that a zone received over some seconds, of what it could do
 	PlanChanges      uint64  `json:"plan_changes"`                       // number of the last failover plan
-	DetectMS         float64 `json:"detect_ms"`                          // from the begin of the first fault to the first plan after it; -1 for none
+	DetectMS         float64 `json:"detect_ms"`                          // from the start of the first fault to the first plan after it; -1 for none
 	MovedMS          float64 `json:"moved_ms"`                           // until the last process acted on such a plan; -1 for none
 	BackMS           float64 `json:"back_ms"`                            // from the end of the first fault to the last plan; -1 for none
 	ServedVirtual    float64 `json:"served_share_fault_virtual"`         // ServedFault in the emulator's virtual time, with failover plans
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -40,8 +40,8 @@
 		unanswered += f.listener.ClosedWithoutResponse()
 	}
 	fmt.Fprintf(&text, "connections_unanswered=%d\n", unanswered)
-	if !counted.ListReceivedAt.IsZero() {
-		fmt.Fprintf(&text, "list_age_ms=%d\n", time.Since(counted.ListReceivedAt).Milliseconds())
+	if !counted.ListAcceptedAt.IsZero() {
+		fmt.Fprintf(&text, "list_age_ms=%d\n", time.Since(counted.ListAcceptedAt).Milliseconds())
 	}
 	if dispatcher.http2 != nil {
 		text.WriteString(dispatcher.http2.Metrics())
--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -61,7 +61,7 @@
 	ending.handedOver = d.handedOver.Load()
 	ctx, cancel := context.WithDeadline(context.Background(), ending.end.Add(-exitMargin))
 	defer cancel()
-	ending.startFrontends(ctx)
+	ending.startFrontendShutdown(ctx)
 	ending.awaitStopRequests()
 	ending.closeListeners(ctx)
 	ending.awaitConnections()
@@ -73,9 +73,9 @@
 	return ending.end.Add(-exitMargin / 2)
 }
 
-// startFrontends has all frontends direct their clients elsewhere. Multiplexed ones shut down by themselves: clients are notified
+// startFrontendShutdown has all frontends direct their clients elsewhere. Multiplexed ones shut down by themselves: clients are notified
 // up to which stream they are served. A client may keep a connection on which it is owed nothing, so they end with the context.
-func (s *shutdown) startFrontends(ctx context.Context) {
+func (s *shutdown) startFrontendShutdown(ctx context.Context) {
 	for _, f := range s.d.frontends {
 		f.handler.StartShutdown()
 		if s.handedOver { // the successor has the same listener, with the clients that wait at it
--- a/internal/routing/callfailures.go
+++ b/internal/routing/callfailures.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// listAge returns the time since discovery last responded, for the log.
+// listAge returns the time since a list was last accepted, or since the start of this process, for the log.
 func (l *EndpointList) listAge() time.Duration {
 	return time.Since(l.listAcceptedAt).Round(time.Millisecond)
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -32,7 +32,7 @@
 	DiscoveryFailures  int                    // of these, ended without a list
 	DiscoveryRejected  int                    // of the failures, rejected at once
 	DiscoveryExpired   int                    // of the failures, rejected after they had waited for their turn
-	ListReceivedAt     time.Time              // when discovery last responded; zero before
+	ListAcceptedAt     time.Time              // when a list or "no change" was last accepted; zero before
 }
 
 // ClassCounts are the final answers to the requests of a class.
@@ -156,7 +156,7 @@
 	})
 }
 
-// setListReceivedAt sets when discovery last responded with a list.
-func (c *Counters) setListReceivedAt(at time.Time) {
-	c.update(func(m *Metrics) { m.ListReceivedAt = at })
+// setListAcceptedAt sets when a list or "no change" of discovery was last accepted.
+func (c *Counters) setListAcceptedAt(at time.Time) {
+	c.update(func(m *Metrics) { m.ListAcceptedAt = at })
 }
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -5,8 +5,8 @@
 // # A request
 //
 //  1. A frontend calls Core.Submit. The request gets an ID and is posted to the mailbox of the Core.
-//  2. The goroutine of Core.Run enters it in the table of open requests, sets the timer for its deadline, asks the ZoneRouter
-//     for the zones that it may go to and passes it to the scheduler as scheduler.RequestArrived.
+//  2. The goroutine of Core.Run enters it in the table of open requests, sets the timer after which it is overdue (failOverdue),
+//     asks the ZoneRouter for the zones that it may go to and passes it to the scheduler as scheduler.RequestArrived.
 //  3. The scheduler returns actions, which are carried out in order. A scheduler.Send becomes an Attempt that is handed to
 //     the EndpointPool, unless it may no longer leave or a retry is not allowed: then it ends as scheduler.NeverSent.
 //  4. The endpoint calls Core.AttemptStarted and Core.AttemptProgressed, and once Core.AttemptFinished. Each is posted to the
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -17,7 +17,7 @@
 // believed, and passes changes to the endpoint pool first and then to the Core: the scheduler never sends to an endpoint that
 // the pool does not know.
 //
-// NewEndpointList, StartFromCache, SetStore, SetPollRules and StartedAt are called before Run. Subscribe, ChangeDiscovery, Source,
+// NewEndpointList, StartFromCache, SetStore, SetPollRules and StartedAt are called before Run. Subscribe, MoveDiscovery, Source,
 // SetSource and FirstCallDone may be called from any goroutine and do not block; Snapshot waits for Run. The endpoint pool and
 // the store must not block. Calls to discovery run in goroutines of their own, which end with the context of Run.
 type EndpointList struct {
@@ -36,7 +36,7 @@
 	// Owned by Run.
 	calls          *listCalls
 	stateTable     endpointstate.Table
-	known          map[scheduler.WorkerID]Endpoint // the list, with the states that states has; start times as discovery stamps them
+	known          map[scheduler.WorkerID]Endpoint // the list, with the states that stateTable has; start times as discovery stamps them
 	incarnations   incarnations.Tracker            // start times on the scheduler's clock
 	cachedStart    *CachedStart                    // nil unless the list is still the cached one that this process started with
 	listReceived   bool                            // a list of discovery was accepted
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -36,7 +36,7 @@
 }
 
 // apply puts in force what is to be believed of a response.
-func (l *EndpointList) apply(response *listResponse, freshness endpointstate.ResponseOrder) {
+func (l *EndpointList) apply(response *listResponse, order endpointstate.ResponseOrder) {
 	update, states := &response.update, &response.states
 	receivedAt := update.ReceivedAt
 	if receivedAt.IsZero() {
@@ -48,7 +48,7 @@
 			endpoint.NotifiedAt = l.notifiedFrom(receivedAt)
 		}
 	}
-	changes := l.stateTable.Apply(*states, freshness)
+	changes := l.stateTable.Apply(*states, order)
 	// A change of the list says nothing of what was not believed of an earlier response.
 	if response.call.service == l.calls.current && (update.Complete || !changes.PollAgainAt.IsZero()) {
 		l.recheckAt = changes.PollAgainAt
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -60,16 +60,16 @@
 // handleResponse accepts a response as far as it is to be believed.
 func (l *EndpointList) handleResponse(ctx context.Context, response *listResponse) {
 	call := response.call
-	freshness := l.stateTable.Classify(response.states)
+	order := l.stateTable.Classify(response.states)
 	switch {
-	case freshness == endpointstate.Overtaken:
+	case order == endpointstate.Overtaken:
 		l.log.Info("discovery response overtaken", "call", call.number, "revision", response.update.Revision,
 			"known", call.service.revision)
 		l.markStale(response, call.service.fullListDue)
-	case freshness == endpointstate.Lagging:
+	case order == endpointstate.Lagging:
 		l.logLag(response)
 		response.update.Complete = false
-		l.apply(response, freshness)
+		l.apply(response, order)
 		l.markStale(response, true)
 	case call.service != l.calls.current:
 		l.acceptPrevious(ctx, response)
@@ -135,7 +135,7 @@
 	l.apply(response, endpointstate.Current)
 	service.revision = update.Revision
 	l.listAcceptedAt = now // after apply, where start times are judged by the time since the list before
-	l.core.counters.setListReceivedAt(now)
+	l.core.counters.setListAcceptedAt(now)
 	l.endCachedStart()
 	if l.store != nil {
 		l.store.EndpointsUpdated(*update)
--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -203,7 +203,7 @@
 	var delays []float64
 	for _, history := range all {
 		for _, change := range r.changes {
-			at, ok, unreached := history.inForceAt(change)
+			at, ok, unreached := history.appliedAt(change)
 			if unreached {
 				continue
 			}
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -27,13 +27,13 @@
 
 // dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields from process on.
 type dispatcher struct {
-	name         string
-	role         costRole // roleServing, roleDedicated or roleBare
-	hollow       bool
-	fleetAddress string // where other dispatchers reach it
-	zone         int
-	voterNumber  int // counted from 1, among the voters of the founded raft group; 0 for no voter
-	listener     int // of a real one: its index in the emulator
+	name          string
+	role          costRole // roleServing, roleDedicated or roleBare
+	hollow        bool
+	fleetAddress  string // where other dispatchers reach it
+	zone          int
+	voterNumber   int // counted from 1, among the voters of the founded raft group; 0 for no voter
+	emulatorIndex int // of a real one: its index in the emulator
 
 	process         *emulator.DispatcherProcess // of a real one that runs
 	hollowProcess   *hollowProcess              // of a hollow one that runs
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,5 +1,5 @@
 // Package scale is the test rig of 'brassdale-lab scale': it runs fleets that are larger than one machine can run as real dispatchers, and
-// measures what control costs them. Control is all by which dispatchers learn of workers and agree on config versions; jobs and probes of
+// measures what control costs them. Control is everything by which dispatchers learn of workers and agree on config versions; jobs and probes of
 // workers are no part of it.
 //
 // A scale run plays one Plan in real time, with everything on loopback. Play starts these parts and ends them:
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -10,6 +10,7 @@
 //   - affectedBy and injectFault in faultinjection.go: which dispatchers it affects, and what happens to them. Without a case in affectedBy
 //     it affects none; without one in injectFault its dispatchers are killed and restarted.
 //   - workerFaults in scenario.go: the emulator's part.
+//   - layOut and layOutHollow in layout.go: whether it needs links between regions, or dispatchers with a process each.
 //   - recoveredFrom in faultcost.go: whether dispatchers that it kills are to run again.
 const (
 	VoterLost            FaultKind = "seat"     // the machine of the leader is lost, or that of the first voter if no dedicated dispatcher leads
--- a/internal/scale/faultcost.go
+++ b/internal/scale/faultcost.go
@@ -12,8 +12,8 @@
 	ForS            float64   `json:"for_s"`     // 0 for one that did not end
 	Affected        int       `json:"befell"`    // dispatchers of all roles that were killed or cut off
 	HitLeader       bool      `json:"with_lead"` // the leader was one of them
-	Changes         int       `json:"changes"`   // accepted since it began
-	AcceptedAfterMS float64   `json:"taken_ms"`  // until the first of them was
+	Changes         int       `json:"changes"`   // proposed since it began, and accepted
+	AcceptedAfterMS float64   `json:"taken_ms"`  // until the attempt that proposed the first of them was made; earlier attempts were not accepted
 	VoterReplaced   bool      `json:"reseated"`
 
 	// Most of any dispatcher of a role over 10 s, each second, before the fault and since it began. Processor time is in milliseconds and, of
@@ -72,7 +72,7 @@
 	var delays []float64
 	for _, change := range r.changes {
 		for _, h := range all {
-			if at, ok, unreached := h.inForceAt(change); ok && !unreached && at.After(from) {
+			if at, ok, unreached := h.appliedAt(change); ok && !unreached && at.After(from) {
 				delays = append(delays, milliseconds(at.Sub(change.at)))
 			}
 		}
--- a/internal/scale/fit/run.go
+++ b/internal/scale/fit/run.go
@@ -12,12 +12,13 @@
 	paramDispatchers = "dispatchers"
 	paramWorkers     = "workers"
 	paramZones       = "zones"
-	paramChanges     = "changes"  // config versions proposed before the end of the measurement
+	paramChanges     = "changes"  // config versions proposed and accepted before the end of the measurement
 	paramLease       = "bound_ms" // the lease duration, in milliseconds
 	paramSeed        = "seed"
 )
 
-// sweepParameters are what a run is made with, besides its seed. The runs of one sweep differ in one of them.
+// sweepParameters are the parameters that, all but the regressor, must be equal in the runs of one sweep. Changes, voters, regions and
+// teams are not compared.
 var sweepParameters = []string{paramDispatchers, paramWorkers, paramZones, paramLease}
 
 // identifyingParameters are those by which tables and messages tell runs apart.
--- a/internal/scale/fit/sweep.go
+++ b/internal/scale/fit/sweep.go
@@ -17,7 +17,7 @@
 	Regression
 }
 
-// Sweep is the regressions of all metrics on one regressor, over runs that differ in no other parameter.
+// Sweep is the regressions of all metrics on one regressor, over runs that are equal in all other sweepParameters.
 type Sweep struct {
 	Regressor     string
 	SlopeUnit     float64 // how many of the regressor the table's slopes are for
--- a/internal/scale/history.go
+++ b/internal/scale/history.go
@@ -81,9 +81,9 @@
 	return time.Time{}, false
 }
 
-// inForceAt returns when the dispatcher first applied a change, and whether it did. unreached says that the change could not reach it for a
+// appliedAt returns when the dispatcher first applied a change, or a newer one, alone, with or without a lease, and whether it did. unreached says that the change could not reach it for a
 // part of the time until then.
-func (h *history) inForceAt(change acceptedChange) (at time.Time, ok, unreached bool) {
+func (h *history) appliedAt(change acceptedChange) (at time.Time, ok, unreached bool) {
 	at, ok = h.firstAppliedAt(change)
 	unreached = slices.ContainsFunc(h.unreached, func(period effectivestate.Period) bool {
 		return (period.To.IsZero() || period.To.After(change.at)) && (!ok || period.From.Before(at))
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -67,7 +67,7 @@
 
 // writeHollowSpec writes what a hollow process is to run, and returns the file's path.
 func (r *run) writeHollowSpec(group []*dispatcher, number int) (path string, err error) {
-	config, err := r.writeConfig(r.plan.listeners()-1, fmt.Sprint("hollow-", number))
+	config, err := r.writeConfig(r.plan.emulatorDispatchers()-1, fmt.Sprint("hollow-", number))
 	if err != nil {
 		return "", err
 	}
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -36,7 +36,7 @@
 // voters, which get the zones that the plan has for these.
 func (r *run) layOutReal() error {
 	var free []int
-	for listener := range r.plan.listeners() - 1 {
+	for listener := range r.plan.emulatorDispatchers() - 1 {
 		free = append(free, listener)
 	}
 	firstServing, firstBare := r.plan.Dedicated, r.plan.Dedicated+r.plan.Real()
@@ -52,8 +52,8 @@
 		if i < r.plan.Voters {
 			added.voterNumber, zone = i+1, r.plan.voterZone(i)
 		}
-		added.listener, free = takeListener(free, zone, r.plan.Zones)
-		added.zone = added.listener % r.plan.Zones
+		added.emulatorIndex, free = takeEmulatorIndex(free, zone, r.plan.Zones)
+		added.zone = added.emulatorIndex % r.plan.Zones
 		if err := r.addDispatcher(added); err != nil {
 			return err
 		}
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// takeListener takes the first listener of a zone, or the first of all if the zone has none, and returns the others with it.
-func takeListener(free []int, zone, zones int) (listener int, rest []int) {
+// takeEmulatorIndex takes the first listener of a zone, or the first of all if the zone has none, and returns the others with it.
+func takeEmulatorIndex(free []int, zone, zones int) (listener int, rest []int) {
 	i := max(slices.IndexFunc(free, func(listener int) bool { return listener%zones == zone }), 0)
 	listener = free[i]
 	return listener, slices.Delete(free, i, i+1)
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -65,9 +65,9 @@
 	return int((p.Span - p.Rest + p.ChangeInterval - 1) / p.ChangeInterval)
 }
 
-// listeners returns the number of dispatchers that the emulator plays workers and discovery for: one for each real dispatcher, and the last
+// emulatorDispatchers returns the number of dispatchers that the emulator plays workers and discovery for: one for each real dispatcher, and the last
 // one for all hollow ones.
-func (p *Plan) listeners() int { return p.Dedicated + p.Real() + p.Bare + 1 }
+func (p *Plan) emulatorDispatchers() int { return p.Dedicated + p.Real() + p.Bare + 1 }
 
 // region returns the region of a zone, as the emulator assigns them.
 func (p *Plan) region(zone int) int { return zone * p.Regions / p.Zones }
@@ -100,11 +100,11 @@
 // reportFunc takes a mistake at an attribute of a file. The detail is formatted as by fmt.Sprintf.
 type reportFunc func(attribute, format string, args ...any)
 
-// maxSockets is how many listeners of workers a run may have: a machine's ports and descriptors suffice for so many.
+// maxSockets is how many listening sockets the workers of a run may have: a machine's ports and descriptors suffice for so many.
 const maxSockets = 12_000
 
-// maxListeners returns how many dispatchers the emulator can play workers for: each of these has a listener for each worker.
-func maxListeners(workers int) int { return maxSockets / max(workers, 1) }
+// maxEmulatorDispatchers returns how many dispatchers the emulator can play workers for: each of these has a listener for each worker.
+func maxEmulatorDispatchers(workers int) int { return maxSockets / max(workers, 1) }
 
 // check reports what makes the plan unplayable, by the attributes of its file.
 func (p *Plan) check(report reportFunc) {
@@ -155,7 +155,7 @@
 	if p.Hollow > 0 && (p.Processes < min(p.Zones, p.Hollow) || p.Processes > p.Hollow) {
 		report("processes", "There must be one for each zone at least, and no more than hollow dispatchers.")
 	}
-	if listeners := p.listeners(); listeners > maxListeners(p.Workers) {
-		report("dispatchers", "%d real ones are too many with %d workers, at most %d: more must be hollow.", listeners-1, p.Workers, maxListeners(p.Workers)-1)
+	if listeners := p.emulatorDispatchers(); listeners > maxEmulatorDispatchers(p.Workers) {
+		report("dispatchers", "%d real ones are too many with %d workers, at most %d: more must be hollow.", listeners-1, p.Workers, maxEmulatorDispatchers(p.Workers)-1)
 	}
 }
--- a/internal/scale/proposer.go
+++ b/internal/scale/proposer.go
@@ -15,7 +15,7 @@
 // acceptedChange is a config version that was proposed and accepted.
 type acceptedChange struct {
 	version uint64
-	at      time.Time // when it was proposed
+	at      time.Time // when the attempt that was accepted was made
 }
 
 // proposer proposes config versions, each based on the one before. It is used by one goroutine at a time.
--- a/internal/scale/realdispatcher.go
+++ b/internal/scale/realdispatcher.go
@@ -15,7 +15,7 @@
 
 // startDispatcher starts the process of a real dispatcher, and returns when it is ready.
 func (r *run) startDispatcher(ctx context.Context, started *dispatcher) error {
-	config, err := r.writeConfig(started.listener, started.name)
+	config, err := r.writeConfig(started.emulatorIndex, started.name)
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 		args = append(args, "--operator", path)
 	}
 	environment := []string{"GW_CONFIG=" + config} // replaces StartWith's own: of two values of a variable the last counts
-	process, err := r.cluster.StartWith(ctx, r.options.DispatcherProgram, r.directory, started.listener, environment, args...)
+	process, err := r.cluster.StartWith(ctx, r.options.DispatcherProgram, r.directory, started.emulatorIndex, environment, args...)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -29,8 +29,9 @@
 	Dedicated       int       `json:"set_aside"`
 	Changes         int       `json:"changes"`
 
-	// Of control, each second: bytes of both directions, messages, milliseconds of processor time, and MiB of resident memory. Figures of
-	// dispatchers are over those that serve jobs.
+	// A second: bytes of control in both directions, messages of control, milliseconds of processor time; and MiB of resident memory. Only
+	// CPU and Memory are of control alone, as differences; all other figures of processor time and memory are of the whole process (of a
+	// hollow dispatcher: its part of its process). Figures of dispatchers are over those that serve jobs.
 	BytesP50        float64 `json:"control_bytes_s_p50"`
 	BytesP99        float64 `json:"control_bytes_s_p99"`
 	BytesMean       float64 `json:"control_bytes_s_mean"`
@@ -43,29 +44,29 @@
 	LeaderBytes     float64 `json:"leader_bytes_s"`
 	LeaderCPU       float64 `json:"leader_cpu_ms_s"`
 	VoterMemoryMax  float64 `json:"seat_memory_mb_most"`
-	RealCPU         float64 `json:"real_cpu_ms_s"` // from here on of the whole process
+	RealCPU         float64 `json:"real_cpu_ms_s"`
 	BareCPU         float64 `json:"bare_cpu_ms_s"`
 	HollowBareCPU   float64 `json:"hollow_bare_cpu_ms_s,omitempty"`
 	RealMemory      float64 `json:"real_memory_mb"`
 	BareMemory      float64 `json:"bare_memory_mb"`
 	HollowBytesMean float64 `json:"hollow_bytes_s_mean"`
-	RealBytesMean   float64 `json:"real_bytes_s_mean"`
+	RealBytesMean   float64 `json:"real_bytes_s_mean"` // of real dispatchers that were no voters at the start
 	HollowMessages  float64 `json:"hollow_messages_s"`
-	RealMessages    float64 `json:"real_messages_s"`
+	RealMessages    float64 `json:"real_messages_s"` // of the same
 
 	BytesByKind       map[string]float64 `json:"bytes_by_kind"` // of a dispatcher, each second
 	MessagesByKind    map[string]float64 `json:"messages_by_kind"`
 	LeaderBytesByKind map[string]float64 `json:"leader_bytes_by_kind"`
 	VoterBytesByKind  map[string]float64 `json:"seat_bytes_by_kind"` // mean of the voters that do not lead
 	HollowBytesByKind map[string]float64 `json:"hollow_bytes_by_kind"`
-	RealBytesByKind   map[string]float64 `json:"real_bytes_by_kind"`
-	DiscoveryCalls    float64            `json:"discovery_calls_s"` // of all dispatchers together
+	RealBytesByKind   map[string]float64 `json:"real_bytes_by_kind"` // of real dispatchers that were no voters at the start
+	DiscoveryCalls    float64            `json:"discovery_calls_s"`  // of all dispatchers together
 	DiscoveryBytes    float64            `json:"discovery_bytes_s"`
 
 	InForceP50MS      float64   `json:"in_force_p50_ms"` // over all changes, at all dispatchers that they could reach
 	InForceP99MS      float64   `json:"in_force_p99_ms"`
 	InForceP999MS     float64   `json:"in_force_p999_ms"`
-	InForceMissing    int       `json:"in_force_missing"`     // changes that a dispatcher that ran never applied
+	InForceMissing    int       `json:"in_force_missing"`     // changes that a dispatcher that ran never applied, and returns after which one did not apply the newest version
 	ReturnedInForceMS []float64 `json:"returned_in_force_ms"` // from a dispatcher's return until it had applied the newest version
 	ContradictionMS   float64   `json:"contradiction_max_ms"`
 	RulesBroken       int       `json:"rules_broken"`
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -22,7 +22,7 @@
 // scenario returns what the emulator plays of the plan: workers, discovery and their faults.
 func (p *Plan) scenario() emulator.Scenario {
 	scenario := emulator.ReferenceScenario(p.Seed)
-	scenario.Dispatchers, scenario.Span = p.listeners(), p.Settle+p.Span
+	scenario.Dispatchers, scenario.Span = p.emulatorDispatchers(), p.Settle+p.Span
 	slots := p.Accelerators / p.Workers
 	larger := p.Accelerators - slots*p.Workers // workers that have a slot more
 	scenario.Kinds = []emulator.WorkerKind{
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -37,7 +37,7 @@
 	answerSlack           = 500 * time.Millisecond // an answer that is late by less is not lost
 	clientLeftSlack       = 100 * time.Millisecond
 	deadlineSlack         = 150 * time.Millisecond
-	socketSlack           = 50 * time.Millisecond // tolerance of every time limit
+	socketSlack           = 50 * time.Millisecond // tolerance of the other time limits, but for readyWithin
 	notificationDeadline  = 6 * time.Second
 	readyWithin           = 10 * time.Second
 	pollRegistration      = "epoll_ctl"
@@ -119,19 +119,20 @@
 	a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "no answer: %s", cmp.Or(request.Error, "nothing came"))
 }
 
-// checkRepeats checks that an attempt after one that may have run is sent only as the class allows.
+// checkRepeats checks that an attempt after the first that may have run is sent only as the class allows, and that two are in flight only
+// if the plan allows hedging.
 func (a *auditor) checkRepeats(request *Request) {
-	var first *Attempt
+	var mayHaveRun *Attempt
 	for _, attempt := range a.attempts[request.ID] {
-		if first != nil {
+		if mayHaveRun != nil {
 			switch a.plan.Idempotency {
 			case NonIdempotent:
-				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "of a non-idempotent class, after an attempt at %d that may have run", first.Worker)
+				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "of a non-idempotent class, after an attempt at %d that may have run", mayHaveRun.Worker)
 			case IdempotentWithKey:
-				if excess := attempt.LastByteAt.Sub(first.LastByteAt) - a.plan.DeduplicationWindow; excess > socketSlack {
+				if excess := attempt.LastByteAt.Sub(mayHaveRun.LastByteAt) - a.plan.DeduplicationWindow; excess > socketSlack {
 					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "%v after the deduplication window", excess)
 				}
-				if attempt.Cell != first.Cell {
+				if attempt.Cell != mayHaveRun.Cell {
 					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "in another cell than the attempt that may have run")
 				}
 			}
@@ -141,8 +142,8 @@
 				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "two attempts in flight, the other at %d", other.Worker)
 			}
 		}
-		if attempt.MayHaveExecuted && first == nil {
-			first = attempt
+		if attempt.MayHaveExecuted && mayHaveRun == nil {
+			mayHaveRun = attempt
 		}
 	}
 }
@@ -257,7 +258,7 @@
 // came from dispatchers that were not notified of its start.
 func (a *auditor) checkSlowStart() {
 	for _, change := range a.record.EndpointChanges {
-		if !change.Restarted {
+		if !change.JustStarted {
 			continue
 		}
 		var attempts []*Attempt
--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -13,7 +13,7 @@
 	p := Plan{Dispatchers: 1, Workers: 2, Idempotency: IdempotentWithKey, Deadline: time.Second, DeduplicationWindow: 2 * time.Second}
 	r := &Record{StartedAt: begun,
 		ProcessRuns:      []*ProcessRun{{StartedAt: at(0), ReadyAt: at(0.1), EndedAt: at(60), Killed: true}},
-		EndpointChanges:  []EndpointChange{{Revision: 1, At: at(0), Worker: 0, Phase: phaseActive}, {Revision: 2, At: at(10), Worker: 0, Phase: phaseLeaving}, {Revision: 3, At: at(20), Worker: 1, Phase: phaseActive, Restarted: true}},
+		EndpointChanges:  []EndpointChange{{Revision: 1, At: at(0), Worker: 0, Phase: phaseActive}, {Revision: 2, At: at(10), Worker: 0, Phase: phaseLeaving}, {Revision: 3, At: at(20), Worker: 1, Phase: phaseActive, JustStarted: true}},
 		DiscoveryAnswers: []DiscoveryAnswer{{At: at(0.2), Revision: 1}, {At: at(10.1), Revision: 2}, {At: at(20.1), Revision: 3}},
 		Requests:         []*Request{{ID: "a", WrittenAt: at(1), Deadline: p.Deadline, Status: 200, Result: "a", AnsweredAt: at(1.2)}},
 		Attempts:         []*Attempt{{ID: "a", Worker: 0, Cell: 0, FirstByteAt: at(1.01), LastByteAt: at(1.02), Timeout: 900 * time.Millisecond, MayHaveExecuted: true, Result: "a", EndedAt: at(1.19)}},
@@ -105,10 +105,10 @@
 	}
 }
 
-// openAtKill has a request open when its process is killed behind SIGTERM, written so many seconds behind that.
-func openAtKill(r *Record, behind float64) {
+// openAtKill has a request open when its process gets SIGKILL after SIGTERM; it was written that many seconds after SIGTERM.
+func openAtKill(r *Record, secondsAfter float64) {
 	q, l := r.Requests[0], r.ProcessRuns[0]
-	l.SIGTERMAt = q.WrittenAt.Add(-time.Duration(behind * float64(time.Second)))
+	l.SIGTERMAt = q.WrittenAt.Add(-time.Duration(secondsAfter * float64(time.Second)))
 	l.EndedAt = q.AnsweredAt
 	q.Status, q.Result = 0, ""
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -178,7 +178,8 @@
 	}
 }
 
-// resend sends a request again on a new connection, as its first one was closed before the request was read.
+// resend sends a request again, with another id and on a new connection, as it got no answer on a connection that may have been closed
+// before the request was read.
 func (c *clientGroup) resend(run *ProcessRun, request *Request) {
 	request.Resent = true
 	if conn := c.connection(run.Number, true); conn != nil {
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// setPhase lists a worker in a phase, and records the change if there is one; restarted stamps a start.
-func (d *discovery) setPhase(worker *worker, phase string, restarted bool) {
+// setPhase lists a worker in a phase, and records the change if there is one; justStarted stamps its start, so that it warms up.
+func (d *discovery) setPhase(worker *worker, phase string, justStarted bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var entry *member
@@ -100,17 +100,17 @@
 		entry = &member{worker: worker}
 		d.members = append(d.members, entry)
 	}
-	if entry.phase == phase && !restarted {
+	if entry.phase == phase && !justStarted {
 		return
 	}
 	entry.phase = phase
-	if restarted {
+	if justStarted {
 		entry.since = time.Now().Add(d.clockOffset).UnixMilli()
 	}
 	d.revision++
 	worker.unready.Store(phase != phaseActive)
 	d.recordSnapshot()
-	d.record.addChange(EndpointChange{Revision: d.revision, At: time.Now(), Worker: worker.number, Phase: phase, Restarted: restarted})
+	d.record.addChange(EndpointChange{Revision: d.revision, At: time.Now(), Worker: worker.number, Phase: phase, JustStarted: justStarted})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -56,11 +56,11 @@
 
 // EndpointChange is a change of a worker in discovery's list.
 type EndpointChange struct {
-	Revision  int
-	At        time.Time
-	Worker    int
-	Phase     string
-	Restarted bool // the worker has just started, and warms up
+	Revision    int
+	At          time.Time
+	Worker      int
+	Phase       string
+	JustStarted bool // the worker has just started, and warms up
 }
 
 // DiscoveryOutage is a time in which discovery rejected all calls.
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -79,8 +79,8 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, s.revision, strings.Join(lines, ","))
 }
 
-// serviceQueue is the queue of a service that serves one call at a time. A call that has waited too long gets no answer, and costs its
-// time all the same.
+// serviceQueue is the queue of a service that serves one call at a time. A call that would wait for longer than maxWait
+// is answered 503 after maxWait, and takes the service's time all the same.
 type serviceQueue struct {
 	timePerCall time.Duration // that the service needs
 	maxWait     time.Duration // of a call
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// startWorker starts a worker and lists it as active; restarted makes it warm up.
-func (r *run) startWorker(number int, restarted bool) error {
+// startWorker starts a worker and lists it as active; justStarted stamps its start, so that it warms up.
+func (r *run) startWorker(number int, justStarted bool) error {
 	started, err := newWorker(number, r.plan.Dispatchers, r.record)
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 	r.mu.Lock()
 	r.workers[number] = started
 	r.mu.Unlock()
-	r.discovery.setPhase(started, phaseActive, restarted)
+	r.discovery.setPhase(started, phaseActive, justStarted)
 	return nil
 }
 
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -43,7 +43,7 @@
 	}
 	for _, change := range record.EndpointChanges {
 		if breach.Worker >= 0 && change.Worker == breach.Worker {
-			note(change.At, "discovery: revision %d, w%d %s, restarted %t", change.Revision, change.Worker, change.Phase, change.Restarted)
+			note(change.At, "discovery: revision %d, w%d %s, restarted %t", change.Revision, change.Worker, change.Phase, change.JustStarted)
 		}
 	}
 	if breach.Rule == RuleDrain {
--- a/internal/transport/attemptqueue.go
+++ b/internal/transport/attemptqueue.go
@@ -20,8 +20,8 @@
 //	   |                           '-- dial failed --> finishUnassigned (outcomeOfDialError)
 //	   |                                                          |
 //	   '-- no capacity --> waitingForCapacity --------------------'
-//	                         |-- capacityFreed --> startWaiting --> startExchange
-//	                         '-- deadline --> finishTimedOut --> finishUnassigned (NeverSent)
+//	                         |-- capacityFreed --> startLongestWaiting --> startExchange
+//	                         '-- deadline --> finishPastDeadline --> finishUnassigned (NeverSent)
 //
 // A cancelled exchange leaves its queue at once (cancel). Connections go to exchanges in the order in which those arrived, not to the
 // one that they were opened for. An exchange that is started when capacity was freed and finds it taken again waits at the end.
--- a/internal/transport/connphase.go
+++ b/internal/transport/connphase.go
@@ -11,7 +11,7 @@
 //	new -> reading -> serving -> idle -> reading -> ...
 //
 // without serving if the request is rejected, and from any phase to closing, which it never leaves. A multiplexed one is new
-// or reading until its preface was read (Conn.Ready); then it is serving while it has jobs, and idle otherwise.
+// or reading until its preface was read (Conn.PrefaceRead); then it is serving while it has jobs, and idle otherwise.
 type phase uint8
 
 const (
@@ -28,7 +28,7 @@
 }
 
 // enterPhase changes the phase, unless the connection is closing. Once the listener closes idle connections
-// (Listener.CloseIdle), one that becomes idle without pending bytes is closing at once, and its next Read returns io.EOF.
+// (Listener.CloseWhenIdle), one that becomes idle without pending bytes is closing at once, and its next Read returns io.EOF.
 func (c *Conn) enterPhase(next phase) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/transport/endpointpool.go
+++ b/internal/transport/endpointpool.go
@@ -34,7 +34,7 @@
 // posted to an actor, so an actor must not hold anything that the pool waits for.
 //
 // Invariant: connections, open or being opened, are counted in openConns by reserveConn and releaseConn. No more are opened
-// while openConns >= maxConns; if SetConnectionLimit lowers the limit, open ones stay until they end.
+// while openConns >= maxConns; if SetWorkerConnLimit lowers the limit, open ones stay until they end.
 type EndpointPool struct {
 	settings *protocol.LiveSettings
 	sink     Sink
@@ -54,7 +54,7 @@
 }
 
 // NewEndpointPool returns a pool without endpoints, whose actors end with the context. It opens no connection before
-// SetConnectionLimit.
+// SetWorkerConnLimit.
 func NewEndpointPool(ctx context.Context, settings *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
 	return &EndpointPool{
 		settings:      settings,
--- a/internal/transport/frontend.go
+++ b/internal/transport/frontend.go
@@ -42,7 +42,7 @@
 	successorServes   atomic.Bool               // a successor listens at the same address, and clients should go there
 }
 
-// StartShutdown makes the readiness page say 503. The frontend goes on serving.
+// StartShutdown makes the readiness page say 503, unless a successor serves at the same address. The frontend goes on serving.
 func (f *frontend) StartShutdown() {
 	now := time.Now()
 	f.shutdownStartedAt.Store(&now)
--- a/internal/transport/listenershutdown.go
+++ b/internal/transport/listenershutdown.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// At a shutdown the listener is closed, then CloseIdle is called repeatedly until no connection is left, and RejectUnfinished shortly
-// before the process ends; PendingAnswers says how many clients then get no answer. On a multiplexed listener CloseIdle and
+// At a shutdown the listener is closed, then CloseWhenIdle is called repeatedly until no connection is left, and RejectUnfinished shortly
+// before the process ends; PendingAnswers says how many clients then get no answer. On a multiplexed listener CloseWhenIdle and
 // RejectUnfinished do nothing, since its protocol has a message of its own (GOAWAY).
 
 const (
@@ -72,7 +72,7 @@
 	return unfinished
 }
 
-// Closing reports whether connections are closed after their next answer, because CloseIdle was called.
+// Closing reports whether connections are closed after their next answer, because CloseWhenIdle was called.
 func (l *Listener) Closing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/sendchecks.go
+++ b/internal/transport/sendchecks.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// An attempt may have waited for its connection, so everything that forbids it is checked again before its first byte: when a
-// connection is assigned to it (reasonNotToSend), and in the exchange's own goroutine just before the write (mustNotStart
-// and workerExchange.startBy). An attempt that fails a check ends as scheduler.NeverSent, and nothing of it is written.
+// An attempt may have waited for its connection, so everything that forbids it is checked when a connection is assigned to it
+// (reasonNotToSend). In the exchange's own goroutine, just before the write, the cancellation, the client and the points in time of that
+// check are looked at once more (mustNotWrite and workerExchange.writeBy). An attempt that fails a check ends as scheduler.NeverSent,
+// and nothing of it is written.
 
 // The reasons why an attempt is not sent, as logged. SendBy is the earlier of the end of a retry's
 // deduplication window and the time at which the endpoint list is too old for an attempt.
--- a/internal/transport/workerexchange.go
+++ b/internal/transport/workerexchange.go
@@ -43,7 +43,7 @@
 	return x.cancelled.Load() || !now.Before(x.deadline) || !x.isProbe && x.attempt.MustNotSend(now)
 }
 
-// mustNotWriteReason returns the reason after mustNotStart has reported true.
+// mustNotWriteReason returns the reason after mustNotWrite has reported true.
 func (x *workerExchange) mustNotWriteReason(now time.Time) string {
 	switch {
 	case x.cancelled.Load():
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -7,7 +7,7 @@
 
 // Send starts an attempt. A request's attempts are numbered 0, 1, 2 and so on as they are sent. An attempt lasts until its
 // outcome, or until the client stops waiting. One whose last byte has not left by SendBy must not leave: its outcome is
-// NeverSent.
+// NeverSent, or NoConnect if its write had begun.
 type Send struct {
 	ID     RequestID
 	Worker WorkerID
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -219,7 +219,7 @@
 }
 
 // closeSuspectConnections emits CloseIdleConnections if connections of the worker have been idle for long enough that an attempt
-// on one of them may be lost (see recordIdleLoss); a new connection costs little. It returns how long the worker was unused.
+// on one of them may be lost (see recordIfIdleLoss); a new connection costs little. It returns how long the worker was unused.
 func (s *Scheduler) closeSuspectConnections(worker *worker) time.Duration {
 	idle := s.now - cmp.Or(worker.lastUsed, s.now)
 	worker.lastUsed = s.now
--- a/scheduler/loadvalue.go
+++ b/scheduler/loadvalue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The load value of a worker (Least Used with Degradation): its last reported load plus an increment for each own attempt in
-// flight. 0 is idle and 1 full.
+// The load value of a worker (Least Used with Degradation): the load of other dispatchers by its last report, plus a share of the
+// worker for each own slot in flight. 0 is idle and 1 full.
 
 const (
 	// initialIncrement is the load that one slot adds while a worker's number of slots is unknown: 25%, as in the paper for four
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -5,7 +5,7 @@
 // request is an open client request: one that is owed a final answer or has attempts in flight.
 type request struct {
 	id              RequestID
-	settings        *Settings // in force when it arrived: its class, MaxAttempts, MayHedge, MayCancel, RetryAfter, AnswerSlack; else Scheduler.settings
+	settings        *Settings // in force when it arrived: its class, MaxAttempts, MayHedge, MayCancel, MaxRetryAfter, AnswerSlack; else Scheduler.settings
 	class           int
 	sequence        int // number in the order of arrival
 	slots           float64
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -14,8 +14,9 @@
 //
 // RequestArrived admits a request to the queue. After each event the queue is served: as far as workers
 // have capacity, requests leave it by Send, which starts an attempt. AttemptStarted says that the attempt
-// runs; the request's other attempts are then cancelled (Cancel). AttemptFinished brings its outcome:
-// served, and the client has its answer; or not, and the request queues again for a retry if its
+// runs; those of the request's other attempts that have not started are then cancelled (Cancel), where
+// MayCancel is set. AttemptFinished brings its outcome: served, and the client has its answer; or not, and
+// the request queues again for a retry if its
 // idempotency permits one. A review, by a timer (SetTimer, TimerFired), hedges what has not started in time
 // and gives up what is too late. A request ends with a served attempt, Reject (sending it again is
 // harmless) or Fail, or when its client has gone (ClientLeft).
@@ -41,8 +42,8 @@
 //
 // # Where the rules are
 //
-//   - Which worker gets a request, and why: leastLoaded and score (placement.go), loadValue (loadvalue.go),
-//     hasCapacity (overcommit.go), affinityRank (affinity.go), chooseSubset (subset.go)
+//   - Which worker gets a request, and why: pickWorker, lowestScore and score (placement.go), loadValue
+//     (loadvalue.go), hasCapacity (overcommit.go), affinityRank (affinity.go), chooseSubset (subset.go)
 //   - What waits, and in which order it is sent: onRequestArrived and compareQueued (queue.go)
 //   - When an attempt is retried: continueRequest and permitted (retries.go), after learnFromOutcome
 //     (attempts.go); when it is hedged: needsHedge (hedging.go)
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -53,7 +53,7 @@
 	MayCancel      bool
 	MayHedge       bool          // a further attempt may be sent while one is in flight; hedging needs MayCancel too
 	MayAdviseRetry bool          // Reject may carry RetryAfter
-	MaxAttempts    int           // of one request; 0 for defaultMaxAttempts. The core's own limit has none for 0: RequestLimits
+	MaxAttempts    int           // of one request; 0 for defaultMaxAttempts, unlike in routing.RequestLimits, where 0 means no limit
 	MaxRetryAfter  time.Duration // the advice that Reject carries
 
 	MaxPollInterval   time.Duration // where ListPolled: without a call for so long the dispatcher counts as notified of all changes; no rule reads it
