--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -16,10 +16,9 @@
 // have capacity, requests leave it by Send, which starts an attempt. AttemptStarted says that the attempt
 // runs; those of the request's other attempts that have not started are then cancelled (Cancel), where
 // MayCancel is set. AttemptFinished brings its outcome: served, and the client has its answer; or not, and
-// the request queues again for a retry if its
-// idempotency permits one. A review, by a timer (SetTimer, TimerFired), hedges what has not started in time
-// and gives up what is too late. A request ends with a served attempt, Reject (sending it again is
-// harmless) or Fail, or when its client has gone (ClientLeft).
+// the request queues again for a retry if its idempotency permits one. A review, by a timer (SetTimer,
+// TimerFired), hedges what has not started in time and gives up what is too late. A request ends with a
+// served attempt, Reject (sending it again is harmless) or Fail, or when its client has gone (ClientLeft).
 //
 // # Invariants
 //
