--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -6,8 +6,8 @@
 	"brassdale/scheduler"
 )
 
-// handleEvent passes the scheduler an event and carries out the actions that it returns, in order. It must not be called while an
-// action is carried out: what an action causes is posted to the mailbox.
+// handleEvent passes an event to the scheduler and carries out the returned actions in order. It must not be called while an action
+// is carried out: events that an action causes are posted to the mailbox.
 func (c *Core) handleEvent(event scheduler.Event) {
 	for _, returned := range c.scheduler.Handle(c.now, event) {
 		switch action := returned.(type) {
@@ -33,14 +33,14 @@
 	}
 }
 
-// cancelAttempt cancels an attempt that is in flight. Its outcome follows as usual.
+// cancelAttempt has the endpoint pool cancel an attempt that is in flight. The pool still reports the outcome.
 func (c *Core) cancelAttempt(id AttemptID) {
 	if _, found := c.findAttempt(id); found != nil {
 		c.endpoints.Cancel(found.endpoint, id)
 	}
 }
 
-// probe probes a worker, unless the fleet's budget does not allow it: then the probe completes as NeverSent.
+// probe probes a worker. If the fleet's budget does not allow the probe, it completes as NeverSent.
 func (c *Core) probe(worker scheduler.WorkerID) {
 	if c.fleetBudget != nil && !c.fleetBudget.AllowProbe() {
 		c.ProbeCompleted(worker, scheduler.NeverSent, nil)
@@ -49,8 +49,8 @@
 	c.endpoints.Probe(worker)
 }
 
-// sendAttempt enters an attempt in the table and hands it to the endpoint pool. One that is not permitted ends as NeverSent, by
-// the mailbox.
+// sendAttempt adds an attempt to its request and passes it to the endpoint pool. If the attempt is not permitted, it ends as
+// NeverSent through the mailbox.
 func (c *Core) sendAttempt(action scheduler.Send) {
 	request := c.requests[action.ID]
 	if request == nil {
@@ -90,8 +90,8 @@
 	return true
 }
 
-// retryPermitted reports whether a retry may be sent: by the permission, the fleet's budget and the retry budget, in this order.
-// A budget is charged only where those before it allow the retry.
+// retryPermitted reports whether a retry may be sent. It checks the retry permission, the fleet's budget and the retry budget, in
+// this order. A budget is charged only if the earlier checks allowed the retry.
 func (c *Core) retryPermitted(request *openRequest) bool {
 	if c.retriesAllowed != nil && !c.retriesAllowed() {
 		c.counters.countFleetRetryDenied()
--- a/internal/routing/answer.go
+++ b/internal/routing/answer.go
@@ -6,11 +6,11 @@
 type Verdict uint8
 
 const (
-	// Served is the result of an endpoint.
+	// Served means that an endpoint returned a result.
 	Served Verdict = iota
-	// Rejected promises that the request never ran, or that repeating it is harmless.
+	// Rejected guarantees that the request never ran, or that repeating it is harmless.
 	Rejected
-	// Failed promises nothing: the request may have run.
+	// Failed guarantees nothing: the request may have run.
 	Failed
 )
 
@@ -19,21 +19,21 @@
 	return [...]string{Served: "served", Rejected: "rejected", Failed: "failed"}[v]
 }
 
-// The reasons of answers that the scheduler does not give, as logged.
+// The logged reasons of answers that the Core gives without the scheduler.
 const (
 	reasonOverdue  = "overdue"
 	reasonZonePlan = "zone plan"
 )
 
-// Answer is the one final answer to a request. The names in its tags cross to another process of this dispatcher.
+// Answer is the final answer to a request. The names in its tags are part of the handover protocol between processes of a dispatcher.
 type Answer struct {
 	Verdict    Verdict       `json:"Verdict"`
-	Result     []byte        `json:"Result"`     // of the endpoint, where Served
-	RetryAfter time.Duration `json:"RetryAfter"` // when the client should retry, where Rejected; 0 for no advice
+	Result     []byte        `json:"Result"`     // of the endpoint, if Served
+	RetryAfter time.Duration `json:"RetryAfter"` // how long the client should wait before a retry, if Rejected; 0 for no advice
 
-	// DeadlinePassed is set where the deadline had passed or was nearer than the answer slack, or an attempt had timed out. Served
-	// answers never have it.
+	// DeadlinePassed is set if an attempt had timed out, or if the deadline had passed or was at most the answer slack away. It is
+	// never set if Served.
 	DeadlinePassed bool `json:"Expired"`
 
-	reason string // for the log: why it is rejected or failed; empty where it is served
+	reason string // why the request was rejected or failed, for the log; empty if Served
 }
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -12,18 +12,18 @@
 	Number  int
 }
 
-// Attempt is one attempt to have a request served by one endpoint.
+// Attempt is an attempt to serve a request at one endpoint.
 type Attempt struct {
 	ID         AttemptID
 	Endpoint   scheduler.WorkerID
-	Deadline   time.Time   // it is given up then
-	SendBy     time.Time   // its last byte must be sent by then; zero for no bound but the deadline
+	Deadline   time.Time   // when the attempt is abandoned
+	SendBy     time.Time   // when its last byte must have been sent; zero for no limit but Deadline
 	ClientGone func() bool // see Request.ClientGone
 	Job        any         // see Request.Job
 }
 
-// MustNotSend reports whether an attempt that has not been sent must not be sent any more: the time to send it is over or its
-// client has left. The caller compares with the deadline and with the state of the endpoint.
+// MustNotSend reports whether an attempt that has not been sent must no longer be sent, because SendBy has passed or its client has
+// left. The caller checks the deadline and the state of the endpoint.
 func (a *Attempt) MustNotSend(now time.Time) bool {
 	return !a.SendBy.IsZero() && !now.Before(a.SendBy) || a.ClientGone != nil && a.ClientGone()
 }
@@ -31,7 +31,7 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Outcome        scheduler.Outcome
-	Result         []byte            // where Served
+	Result         []byte            // if Served
 	Report         *scheduler.Report // nil for none
-	ConnectionIdle time.Duration     // how long its connection had been idle before
+	ConnectionIdle time.Duration     // how long its connection had been idle before the attempt
 }
--- a/internal/routing/cachedstart.go
+++ b/internal/routing/cachedstart.go
@@ -9,20 +9,21 @@
 	"brassdale/scheduler"
 )
 
-// CachedStart is a start with a cached list, until a list of discovery is in force. Package cachetrust decides which endpoints are to
-// be probed and used; EndpointList carries that out. It belongs to EndpointList once it was passed to StartFromCache.
+// CachedStart is the state of a process that started with a cached list, until a list of discovery is in force. Package cachetrust
+// decides which cached endpoints to probe and to use, and EndpointList carries that out. StartFromCache passes ownership to
+// EndpointList.
 type CachedStart struct {
 	Assessor       *cachetrust.Assessor
 	Endpoints      map[scheduler.WorkerID]Endpoint // the cached list
-	MeanLogRuntime []float64                       // by class: the logarithm of the usual time of a job in seconds; NaN for unknown
-	LearnedState   scheduler.LearnedState          // classes by their number
-	ReportsPulled  bool                            // a probe response without a load report is not that of a worker
+	MeanLogRuntime []float64                       // by class: mean logarithm of the run time of a job in seconds; NaN for unknown
+	LearnedState   scheduler.LearnedState          // classes by their index
+	ReportsPulled  bool                            // load reports come with probes: a probe response without one is not from a worker
 }
 
-// errForeignList is the error of a list of which no endpoint is in a zone of this deployment, though the cached list had such.
+// errForeignList rejects a list without endpoints in the zones of this deployment if the cached list has such endpoints.
 var errForeignList = errors.New("no listed endpoint is in a zone of this deployment")
 
-// StartFromCache starts with a cached list. It is called before Run, on an EndpointList that was made with an empty list.
+// StartFromCache makes the EndpointList start with a cached list. It is called before Run, on an EndpointList created with an empty list.
 func (l *EndpointList) StartFromCache(start *CachedStart) {
 	l.cachedStart, l.calls.current.revision = start, NoRevision
 	for _, endpoint := range start.Endpoints {
@@ -30,7 +31,7 @@
 			l.pool.Update(endpoint) // so that it can be probed; the scheduler does not know it yet
 		}
 	}
-	// What was learned of classes holds whichever workers there are.
+	// Statistics of classes are valid regardless of which workers are listed.
 	learned := start.LearnedState
 	learned.Workers = nil
 	l.core.adoptCachedState(learned)
@@ -38,7 +39,7 @@
 	l.publishSource()
 }
 
-// handleSignal passes the assessor what an endpoint has responded.
+// handleSignal passes the assessor the result of a probe or the slowness of a served job.
 func (l *EndpointList) handleSignal(signal endpointSignal) {
 	l.runAssessor(func(now scheduler.Instant) []cachetrust.Action {
 		if signal.probe {
@@ -76,7 +77,7 @@
 	l.publishSource()
 }
 
-// announce enters an endpoint of the cached list in the list and returns it for the scheduler.
+// announce adds an endpoint of the cached list to the known list and returns its worker for the scheduler.
 func (l *EndpointList) announce(ready *cachetrust.ReadyWorker) scheduler.WorkerInfo {
 	endpoint := l.cachedStart.Endpoints[ready.ID]
 	l.known[endpoint.ID] = endpoint
@@ -87,7 +88,7 @@
 	return worker
 }
 
-// assessorDue returns when the assessor is to be called if nothing is received.
+// assessorDue returns when the assessor must be called if no message arrives before.
 func (l *EndpointList) assessorDue() (at scheduler.Instant, ok bool) {
 	if l.cachedStart == nil {
 		return 0, false
@@ -99,8 +100,8 @@
 	return at, ok
 }
 
-// assessList has the assessor compare a list of discovery with the cached one. A list that is doubted counts as a change for now, and
-// the full list is to be polled again at pollAt.
+// assessList has the assessor compare a list of discovery with the cached list. If the list is doubted, it must be applied as a delta
+// only, and the full list polled again at pollAt.
 func (l *EndpointList) assessList(update *ListUpdate) (pollAt time.Time, doubted bool) {
 	if l.cachedStart == nil {
 		return pollAt, false
@@ -109,7 +110,7 @@
 	var ready []scheduler.WorkerID
 	for i := range update.Endpoints {
 		endpoint := &update.Endpoints[i]
-		endpoint.StartConfirmed = true // discovery knows when it started, whatever was assumed here
+		endpoint.StartConfirmed = true // discovery knows the start time, so no assumed one is needed
 		if endpoint.State == scheduler.Ready {
 			ready = append(ready, endpoint.ID)
 		} else {
@@ -128,8 +129,8 @@
 	return l.core.clock.Time(decision.RefetchAt), true
 }
 
-// endCachedStart ends the cached start once the assessor has finished, as a list of discovery is in force. The scheduler is passed
-// what was learned of those workers that have not restarted since.
+// endCachedStart ends the cached start once the assessor has finished, because a list of discovery is then in force. It passes the
+// scheduler the cached statistics of workers that have not restarted since.
 func (l *EndpointList) endCachedStart() {
 	start := l.cachedStart
 	if start == nil || !start.Assessor.Finished() {
@@ -155,7 +156,7 @@
 	l.cachedStart = nil
 }
 
-// expireRetained removes endpoints that a doubted list of discovery lacked, when no second list has settled it in time.
+// expireRetained removes endpoints that were missing from a doubted list of discovery if no second list decided about them in time.
 func (l *EndpointList) expireRetained() {
 	if l.cachedStart == nil {
 		return
@@ -177,7 +178,7 @@
 	}
 }
 
-// publishSource stores where the list comes from and how far its endpoints are trusted.
+// publishSource stores the source of the list and the trust levels of its endpoints.
 func (l *EndpointList) publishSource() {
 	assessor := l.cachedStart.Assessor
 	source := ListSource{Name: SourceCache, TrustLevels: assessor.CountByLevel(), AwaitingConfirmation: assessor.AwaitingConfirmation()}
@@ -187,8 +188,8 @@
 	l.source.Store(&source)
 }
 
-// isForeign reports whether a list names only endpoints of zones that this deployment does not have, though the cached list had
-// others. It is false where there is no cached start.
+// isForeign reports whether a list names only endpoints outside the zones of this deployment, although the cached list has endpoints
+// in them. It is false without a cached start.
 func (c *CachedStart) isForeign(update ListUpdate) bool {
 	if c == nil || len(update.Endpoints) == 0 {
 		return false
--- a/internal/routing/cachedstartobserver.go
+++ b/internal/routing/cachedstartobserver.go
@@ -8,21 +8,21 @@
 	"brassdale/scheduler"
 )
 
-// minJobTime is the least time that a job is taken to have run for, in seconds, as its logarithm is compared.
-const minJobTime = 1e-6
+// minJobSeconds is the lower bound on a job's run time, in seconds, before its logarithm is taken.
+const minJobSeconds = 1e-6
 
-// endpointSignal is the message that an endpoint of a cached list has responded, or has not.
+// endpointSignal is the message with the result of a probe, or the slowness of a served job, at an endpoint of a cached list.
 type endpointSignal struct {
 	id          scheduler.WorkerID
-	probe       bool                   // else a job was served
+	probe       bool                   // a probe completed; otherwise a job was served
 	result      cachetrust.ProbeResult // of the probe
-	logSlowness float64                // of the job: the logarithm of the time it took over the usual time
+	logSlowness float64                // of the job: logarithm of its run time divided by the usual run time
 }
 
-// cachedStartObserver is the Observer of a cached start. It posts what it is notified of to the mailbox of EndpointList.
+// cachedStartObserver is the Observer of a cached start. It posts its notifications to the mailbox of EndpointList.
 type cachedStartObserver struct {
 	mailbox *Mailbox[any]
-	start   *CachedStart // of which it reads what never changes
+	start   *CachedStart // only its constant fields are read
 }
 
 // ProbeCompleted posts the result of a probe.
@@ -37,14 +37,14 @@
 	o.mailbox.Post(endpointSignal{id: id, probe: true, result: result})
 }
 
-// JobServed posts how slow a job was, where the usual time of its class is known. The slowness of the worker when the list was
-// cached is subtracted.
+// JobServed posts the slowness of a job if the usual run time of its class is known. The worker's slowness at the time when the list
+// was cached is subtracted.
 func (o *cachedStartObserver) JobServed(id scheduler.WorkerID, class int, took time.Duration) {
-	usual := o.start.MeanLogRuntime
-	if class >= len(usual) || math.IsNaN(usual[class]) {
+	meanLogRuntime := o.start.MeanLogRuntime
+	if class >= len(meanLogRuntime) || math.IsNaN(meanLogRuntime[class]) {
 		return
 	}
-	slowness := math.Log(max(took.Seconds(), minJobTime)) - usual[class]
+	slowness := math.Log(max(took.Seconds(), minJobSeconds)) - meanLogRuntime[class]
 	if statistics, ok := o.start.LearnedState.Workers[id]; ok && statistics.SlownessJobs > 0 {
 		slowness -= statistics.Slowness / statistics.SlownessJobs
 	}
--- a/internal/routing/callfailures.go
+++ b/internal/routing/callfailures.go
@@ -6,14 +6,14 @@
 	"brassdale/internal/decisions/polling"
 )
 
-// failureLogInterval is the least time between log lines for consecutive failed calls to discovery.
+// failureLogInterval is the minimum time between log lines for consecutive failed calls to discovery.
 const failureLogInterval = time.Second
 
 // callFailures counts consecutive failed calls for the list.
 type callFailures struct {
 	calls, rejected, expired int
 	lastError                string
-	overdueLogged            bool // it was logged that the list is overdue
+	overdueLogged            bool // the warning of an overdue list was logged
 }
 
 // add counts a failed call.
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordRecovery ends a row of failures. It is called after the list is in force.
+// recordRecovery ends a series of consecutive failures. It is called after the list is in force.
 func (l *EndpointList) recordRecovery() {
 	if l.failures.calls > 0 {
 		l.log.Info("discovery recovered", "failed_calls", l.failures.calls, "rejected", l.failures.rejected, "expired", l.failures.expired)
@@ -36,8 +36,8 @@
 	l.failures = callFailures{}
 }
 
-// recordFailure counts and logs a failed call of the current service. The list that is known stays in force. An error that is the same
-// as that of the call before is logged at debug level: a list with a fault has it at each call.
+// recordFailure counts and logs a failed call to the current service. The known list stays in force. An error that repeats the error
+// of the previous call is logged at debug level, because each call for a faulty list returns the same error.
 func (l *EndpointList) recordFailure(call *listCall, err error, now time.Time) {
 	took, failure := now.Sub(call.startedAt), call.failure(err, now)
 	log := l.log.Warn
--- a/internal/routing/clock.go
+++ b/internal/routing/clock.go
@@ -11,10 +11,10 @@
 // does not change it.
 type Clock struct{ start time.Time }
 
-// NewClock returns a clock that agrees with the wall clock now.
+// NewClock returns a clock that is set to the current wall clock time.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now returns the present on the scheduler's clock.
+// Now returns the current time on the scheduler's clock.
 func (c Clock) Now() scheduler.Instant { return c.At(time.Now()) }
 
 // At converts a time to the scheduler's clock.
@@ -22,7 +22,7 @@
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
 
-// Time converts a point on the scheduler's clock to a time.
+// Time converts an instant of the scheduler's clock to a time.
 func (c Clock) Time(at scheduler.Instant) time.Time {
 	return c.start.Add(at - time.Duration(c.start.UnixNano()))
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -11,12 +11,12 @@
 	"brassdale/scheduler"
 )
 
-// Core is the actor around the scheduler. The goroutine of Run owns the scheduler, its timers and the table of open requests:
-// it alone calls the scheduler, and carries out its actions in their order.
+// Core is the actor that runs the scheduler. The goroutine of Run owns the scheduler, its timers and the table of open requests.
+// Only that goroutine calls the scheduler, and it carries out the returned actions in order.
 //
 // NewCore, SetEndpoints, SetRetryPermission, SetFleetBudget and SetZoneRouter are called before Run. All other methods may be
-// called from any goroutine and do not block, but for KnowsWorker and LearnedState, which wait for Run. What Run calls must not
-// block: the clients, the endpoint pool, the observer, the zone router and the fleet budget.
+// called from any goroutine and do not block, except KnowsWorker and LearnedState, which wait for Run. Run calls the clients, the
+// endpoint pool, the observer, the zone router and the fleet budget, which must not block.
 type Core struct {
 	// Set before Run.
 	scheduler      *scheduler.Scheduler
@@ -25,8 +25,8 @@
 	subscribe      func() // asks for changes of the endpoint list
 	log            *slog.Logger
 	retriesAllowed func() bool // reports whether retries may be sent now; nil for always
-	fleetBudget    FleetBudget // nil where the fleet has no budgets
-	zoneRouter     ZoneRouter  // nil where requests may go to all zones
+	fleetBudget    FleetBudget // nil if the fleet has no budgets
+	zoneRouter     ZoneRouter  // nil if requests may go to all zones
 
 	// Safe for concurrent use.
 	mailbox       *Mailbox[any]
@@ -36,10 +36,10 @@
 	observer      atomic.Pointer[Observer]
 
 	// Owned by Run.
-	now         scheduler.Instant // the time of the present turn
+	now         scheduler.Instant // the time of the current iteration
 	requests    map[scheduler.RequestID]*openRequest
 	timers      timers
-	retryBudget *retrybudget.Budget // nil for no bound but the scheduler's
+	retryBudget *retrybudget.Budget // nil if only the scheduler limits retries
 }
 
 // NewCore returns a Core. SetEndpoints must be called before Run.
@@ -68,10 +68,10 @@
 	c.observer.Store(&observer)
 }
 
-// Run handles messages and timers until the context is cancelled. Requests that are open then get no answer.
+// Run handles messages and timers until the context is cancelled. Requests that are still open then get no answer.
 func (c *Core) Run(ctx context.Context) {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	wakeTimer := time.NewTimer(time.Hour)
+	defer wakeTimer.Stop()
 	var checkUnanswered <-chan time.Time
 	if c.zoneRouter != nil {
 		ticker := time.NewTicker(failover.NoResponseAfter / 4)
@@ -80,22 +80,22 @@
 	}
 	for {
 		if len(c.timers) > 0 {
-			alarm.Reset(time.Until(c.clock.Time(c.timers[0].at)))
+			wakeTimer.Reset(time.Until(c.clock.Time(c.timers[0].at)))
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.mailbox.Signal():
-		case <-alarm.C:
+		case <-wakeTimer.C:
 		case <-checkUnanswered:
 		}
-		c.turn() //nolint:contextcheck // nothing in a turn waits; the context that logging takes carries nothing
+		c.runIteration() //nolint:contextcheck // an iteration does not block, and its logging needs no context
 	}
 }
 
-// turn handles all messages in the mailbox and fires the timers that are due. All events of a turn have one time, by which the
-// scheduler notices that this process was paused.
-func (c *Core) turn() {
+// runIteration handles all messages in the mailbox and fires the timers that are due. All events of an iteration have the same time,
+// from which the scheduler detects that this process was paused.
+func (c *Core) runIteration() {
 	c.now = c.clock.Now()
 	for _, message := range c.mailbox.Take() {
 		c.handleMessage(message)
@@ -107,8 +107,8 @@
 	c.counters.setAvoidedEndpoints(c.scheduler.CountAvoided())
 }
 
-// Submit accepts a request and returns its ID, which counts the requests of this process. Its client gets exactly one answer,
-// unless ClientLeft is called before.
+// Submit accepts a request and returns its ID, its sequence number in this process. The client gets exactly one answer, unless
+// ClientLeft is called before.
 func (c *Core) Submit(request Request) scheduler.RequestID {
 	id := scheduler.RequestID(c.lastRequestID.Add(1))
 	c.counters.countSubmitted()
@@ -116,10 +116,11 @@
 	return id
 }
 
-// ClientLeft notifies the core that the client of a request has left: it gets no answer.
+// ClientLeft notifies the core that the client of a request has left and gets no answer.
 func (c *Core) ClientLeft(id scheduler.RequestID) { c.mailbox.Post(clientLeft{id}) }
 
-// AttemptWaits notifies the core that an attempt waits for a connection, as this process may open no more, or waits no more.
+// AttemptWaits notifies the core that an attempt has begun or ended its wait for a connection. Attempts wait when this process may
+// open no further connections.
 func (c *Core) AttemptWaits(id AttemptID, waits bool) { c.mailbox.Post(attemptWaits{id, waits}) }
 
 // AttemptSent counts an attempt whose last byte was written.
@@ -128,17 +129,17 @@
 // AttemptStarted notifies the core that the job of an attempt has started at its endpoint.
 func (c *Core) AttemptStarted(id AttemptID) { c.mailbox.Post(attemptStarted{id}) }
 
-// AttemptProgressed notifies the core which share of an attempt's job is done, 0 to 1.
+// AttemptProgressed notifies the core of the share of an attempt's job that is done, 0 to 1.
 func (c *Core) AttemptProgressed(id AttemptID, share float64) {
 	c.mailbox.Post(attemptProgressed{id, share})
 }
 
-// AttemptFinished notifies the core how an attempt ended. Of several calls for one attempt the first counts.
+// AttemptFinished notifies the core how an attempt ended. Only the first call for an attempt counts.
 func (c *Core) AttemptFinished(id AttemptID, result AttemptResult) {
 	c.mailbox.Post(attemptFinished{id, result})
 }
 
-// ProbeCompleted notifies the core, its observer and the zone router of the outcome of a probe. The report is nil for none.
+// ProbeCompleted notifies the core, its observer and the zone router of the outcome of a probe. The report is nil if there is none.
 func (c *Core) ProbeCompleted(id scheduler.WorkerID, outcome scheduler.Outcome, report *scheduler.Report) {
 	if observer := c.observer.Load(); observer != nil {
 		(*observer).ProbeCompleted(id, outcome, report != nil)
@@ -164,14 +165,14 @@
 	return awaitReply(ctx, reply)
 }
 
-// LearnedState returns what the scheduler has learned of workers and classes. It waits for Run or the end of the context.
+// LearnedState returns what the scheduler has learned about workers and classes. It waits for Run or the end of the context.
 func (c *Core) LearnedState(ctx context.Context) (scheduler.LearnedState, error) {
 	reply := make(chan scheduler.LearnedState, 1)
 	c.mailbox.Post(learnedStateQuery{reply})
 	return awaitReply(ctx, reply)
 }
 
-// awaitReply waits for the reply of an actor or the end of the context, whose error it returns.
+// awaitReply waits for the reply of an actor. If the context ends first, it returns the error of the context.
 func awaitReply[T any](ctx context.Context, reply <-chan T) (T, error) {
 	select {
 	case value := <-reply:
@@ -182,12 +183,12 @@
 	}
 }
 
-// AdoptLearnedState passes the scheduler what the predecessor process has learned, which handed over.
+// AdoptLearnedState passes the scheduler the learned state that the predecessor process handed over.
 func (c *Core) AdoptLearnedState(learned scheduler.LearnedState) {
 	c.mailbox.Post(scheduler.LearnedStateReceived{LearnedState: learned})
 }
 
-// adoptCachedState passes the scheduler what the endpoint cache has of what an earlier process has learned.
+// adoptCachedState passes the scheduler learned state of an earlier process from the endpoint cache.
 func (c *Core) adoptCachedState(learned scheduler.LearnedState) {
 	c.mailbox.Post(scheduler.LearnedStateReceived{LearnedState: learned, FromCache: true})
 }
@@ -197,15 +198,15 @@
 	c.mailbox.Post(scheduler.SettingsChanged{Settings: settings})
 }
 
-// SetRetryRatio sets the retry budget, in retries for each first attempt; below 0 for no budget.
+// SetRetryRatio sets the retry budget, in retries per first attempt. A ratio below 0 removes the budget.
 func (c *Core) SetRetryRatio(ratio float64) { c.mailbox.Post(setRetryRatio{ratio}) }
 
-// SetProcessCount sets how many processes act as this dispatcher: two during a handover.
+// SetProcessCount sets the number of processes that run as this dispatcher: two during a handover.
 func (c *Core) SetProcessCount(processes int) {
 	c.mailbox.Post(scheduler.ProcessCountChanged{Processes: processes})
 }
 
-// StartShutdown notifies the scheduler that this process is to end: by the deadline all requests must have their answers.
+// StartShutdown notifies the scheduler that this process is shutting down and must answer all requests by the deadline.
 func (c *Core) StartShutdown(deadline time.Time) {
 	c.mailbox.Post(scheduler.ShutdownStarted{Deadline: c.clock.At(deadline)})
 }
@@ -216,5 +217,5 @@
 // FirstAttempts returns the number of first attempts that were sent.
 func (c *Core) FirstAttempts() uint64 { return c.firstAttempts.Load() }
 
-// Counters returns the counters of the core, which the frontends count in as well.
+// Counters returns the counters of the core, which the frontends also update.
 func (c *Core) Counters() *Counters { return &c.counters }
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -49,8 +49,8 @@
 	return core, peers
 }
 
-// TestCore_duplicateOutcomes_oneAnswer checks that an attempt ends once and a request is answered once, however often endpoints report an
-// outcome.
+// TestCore_duplicateOutcomes_oneAnswer checks that an attempt ends once and a request is answered once, regardless of how often endpoints
+// report an outcome.
 func TestCore_duplicateOutcomes_oneAnswer(t *testing.T) {
 	core, peers := startTestCore(t)
 	first := peers.submit(core, time.Now().Add(5*time.Second))
@@ -61,28 +61,28 @@
 	core.AttemptFinished(AttemptID{first.ID.Request, 7}, AttemptResult{})
 	core.AttemptStarted(first.ID)
 	if answer := <-peers.answers; answer.Verdict != Served || string(answer.Result) != "r" {
-		t.Errorf("answered %+v", answer)
+		t.Errorf("answer %+v, want Served with result r", answer)
 	}
 	// Events posted before a further request have been handled when that request is answered.
 	next := peers.submit(core, time.Now().Add(5*time.Second))
 	core.AttemptFinished(next.ID, AttemptResult{Outcome: scheduler.Errored})
 	if answer := <-peers.answers; answer.Verdict != Failed || answer.DeadlinePassed || len(peers.answers) > 0 || next.ID.Request == first.ID.Request {
-		t.Errorf("answered %+v, %d more answers", answer, len(peers.answers))
+		t.Errorf("answer %+v and %d more, want only Failed without DeadlinePassed, for a new request", answer, len(peers.answers))
 	}
 	if core.OpenRequests() != 0 {
-		t.Errorf("%d open requests", core.OpenRequests())
+		t.Errorf("%d open requests, want none", core.OpenRequests())
 	}
 }
 
-// TestCore_attemptNeverEnds_failedInTime checks that a request whose endpoint reports no outcome, not even after the deadline, is failed
-// in time, once.
+// TestCore_attemptNeverEnds_failedInTime checks that a request is failed soon after its deadline, and only once, if its endpoint reports
+// no outcome until then.
 func TestCore_attemptNeverEnds_failedInTime(t *testing.T) {
 	core, peers := startTestCore(t)
 	deadline := time.Now().Add(300 * time.Millisecond)
 	first := peers.submit(core, deadline)
 	core.AttemptStarted(first.ID)
 	if answer := <-peers.answers; answer.Verdict != Failed || !answer.DeadlinePassed || time.Now().Before(deadline) {
-		t.Errorf("answered %+v, %v after the deadline", answer, time.Since(deadline))
+		t.Errorf("answer %+v, %v after the deadline, want Failed with DeadlinePassed, not before the deadline", answer, time.Since(deadline))
 	}
 	core.AttemptFinished(first.ID, AttemptResult{Outcome: scheduler.Served})
 	if peers.submitAndFail(core); len(peers.answers) > 0 {
@@ -107,12 +107,12 @@
 	}
 	core.AttemptFinished(first.ID, AttemptResult{Outcome: scheduler.Cancelled})
 	if peers.submitAndFail(core); len(peers.answers) > 0 || core.OpenRequests() != 0 {
-		t.Errorf("%d answers, %d open requests", len(peers.answers), core.OpenRequests())
+		t.Errorf("%d answers, %d open requests, want none", len(peers.answers), core.OpenRequests())
 	}
 }
 
 // TestCore_failedUnsent checks that a failure is counted as unsent if no attempt of the request was sent: none was made, or each ended
-// before its last byte.
+// before its last byte was sent.
 func TestCore_failedUnsent(t *testing.T) {
 	for _, test := range []struct {
 		outcomes []scheduler.Outcome
@@ -136,7 +136,7 @@
 		}
 		request.inFlight = test.inFlight
 		if core.answerRequest(request, Answer{Verdict: Failed}); core.counters.Metrics().FailedUnsent != test.want {
-			t.Errorf("%v, %d in flight: counted %d times", test.outcomes, test.inFlight, core.counters.Metrics().FailedUnsent)
+			t.Errorf("attempts %v, %d in flight: counted %d times as unsent", test.outcomes, test.inFlight, core.counters.Metrics().FailedUnsent)
 		}
 	}
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -8,34 +8,34 @@
 	"brassdale/internal/decisions/polling"
 )
 
-// Counters counts what became of the requests and of the calls to discovery. Each request is counted once, where its final answer
-// is decided. Any goroutine may call its methods: the lock is held for a few assignments only.
+// Counters counts the outcomes of requests and of calls to discovery. Each request is counted once, when its final answer is decided.
+// Any goroutine may call its methods: the lock is held for a few assignments only.
 type Counters struct {
 	mu      sync.Mutex
 	metrics Metrics
 }
 
-// Metrics are the values of the counters at one moment, counted since the process started.
+// Metrics is a snapshot of the counters, which count from the start of the process.
 type Metrics struct {
 	Classes            map[string]ClassCounts // by name; a class that is dropped from the settings keeps its counts
 	AttemptsSent       int                    // attempts whose last byte was written
 	OpenRequests       int                    // requests submitted and not answered
 	ListedEndpoints    int                    // endpoints in the list
-	AvoidedEndpoints   int                    // of these, those that get no requests now
-	ReloadsApplied     int                    // versions of the platform's file that were applied
-	ReloadsRejected    int                    // versions of the platform's file that were rejected
+	AvoidedEndpoints   int                    // listed endpoints that currently get no requests
+	ReloadsApplied     int                    // versions of the platform's config file that were applied
+	ReloadsRejected    int                    // versions of the platform's config file that were rejected
 	FailedUnsent       int                    // requests that failed and were never sent, which the platform counts as rejected
 	RetriesDenied      int                    // retries that the retry budget did not allow
 	FleetRetriesDenied int                    // retries that the fleet did not allow
-	DiscoveryCalls     int                    // calls for the list
-	DiscoveryOverlaps  int                    // of these, made while another was in flight
-	DiscoveryFailures  int                    // of these, ended without a list
-	DiscoveryRejected  int                    // of the failures, rejected at once
-	DiscoveryExpired   int                    // of the failures, rejected after they had waited for their turn
-	ListAcceptedAt     time.Time              // when a list or "no change" was last accepted; zero before
+	DiscoveryCalls     int                    // calls for the endpoint list
+	DiscoveryOverlaps  int                    // calls that were made while another was in flight
+	DiscoveryFailures  int                    // calls that ended without a list
+	DiscoveryRejected  int                    // failed calls that were rejected at once
+	DiscoveryExpired   int                    // failed calls that discovery queued and then rejected
+	ListAcceptedAt     time.Time              // when a list or "no change" was last accepted; zero for never
 }
 
-// ClassCounts are the final answers to the requests of a class.
+// ClassCounts are the numbers of final answers to the requests of a class.
 type ClassCounts struct{ Served, Rejected, Failed int }
 
 // countAnswer counts a final answer.
@@ -80,7 +80,7 @@
 	})
 }
 
-// CountAnsweredByFrontend counts a request that a frontend answered itself, without the core. One that names no known class is not
+// CountAnsweredByFrontend counts a request that a frontend answered itself, without the core. A request of an unknown class is not
 // counted.
 func (c *Counters) CountAnsweredByFrontend(class string, verdict Verdict) {
 	c.update(func(m *Metrics) {
@@ -93,7 +93,7 @@
 // CountAttemptSent counts an attempt whose last byte was written.
 func (c *Counters) CountAttemptSent() { c.update(func(m *Metrics) { m.AttemptsSent++ }) }
 
-// CountReload counts a new version of the platform's file.
+// CountReload counts a new version of the platform's config file.
 func (c *Counters) CountReload(applied bool) {
 	c.update(func(m *Metrics) {
 		if applied {
@@ -110,7 +110,7 @@
 // countClientLeft counts a request whose client left before it was answered.
 func (c *Counters) countClientLeft() { c.update(func(m *Metrics) { m.OpenRequests-- }) }
 
-// countAnswered counts the final answer to a submitted request. sent is whether an attempt of it was sent, or may have been.
+// countAnswered counts the final answer to a submitted request. sent is true if an attempt of it was sent or may have been sent.
 func (c *Counters) countAnswered(class string, verdict Verdict, sent bool) {
 	c.update(func(m *Metrics) {
 		m.countAnswer(class, verdict)
@@ -130,7 +130,7 @@
 // setListedEndpoints sets how many endpoints the list has.
 func (c *Counters) setListedEndpoints(n int) { c.update(func(m *Metrics) { m.ListedEndpoints = n }) }
 
-// setAvoidedEndpoints sets how many listed endpoints get no requests now.
+// setAvoidedEndpoints sets how many listed endpoints currently get no requests.
 func (c *Counters) setAvoidedEndpoints(n int) { c.update(func(m *Metrics) { m.AvoidedEndpoints = n }) }
 
 // countDiscoveryCall counts a call for the list, and whether it is made while another is in flight.
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -13,9 +13,9 @@
 	"brassdale/scheduler"
 )
 
-// EndpointList is the actor that owns the list of endpoints. The goroutine of Run polls discovery, decides what of each response is
-// believed, and passes changes to the endpoint pool first and then to the Core: the scheduler never sends to an endpoint that
-// the pool does not know.
+// EndpointList is the actor that owns the list of endpoints. The goroutine of Run polls discovery, decides which parts of each
+// response to accept, and passes changes to the endpoint pool first and then to the Core, so that the scheduler never sends to an
+// endpoint that the pool does not know.
 //
 // NewEndpointList, StartFromCache, SetStore, SetPollRules and StartedAt are called before Run. Subscribe, MoveDiscovery, Source,
 // SetSource and FirstCallDone may be called from any goroutine and do not block; Snapshot waits for Run. The endpoint pool and
@@ -31,25 +31,25 @@
 	// Safe for concurrent use.
 	mailbox       *Mailbox[any]
 	source        atomic.Pointer[ListSource]
-	firstCallDone chan struct{} // closed when the first call has ended, however
+	firstCallDone chan struct{} // closed when the first call has succeeded or failed
 
 	// Owned by Run.
 	calls          *listCalls
 	stateTable     endpointstate.Table
-	known          map[scheduler.WorkerID]Endpoint // the list, with the states that stateTable has; start times as discovery stamps them
+	known          map[scheduler.WorkerID]Endpoint // the list, with states as in stateTable and start times as stamped by discovery
 	incarnations   incarnations.Tracker            // start times on the scheduler's clock
-	cachedStart    *CachedStart                    // nil unless the list is still the cached one that this process started with
-	listReceived   bool                            // a list of discovery was accepted
-	listAcceptedAt time.Time                       // when the last list was accepted; the start of this process until then
-	includesUntil  time.Time                       // the list includes all changes that discovery had at this time
-	recheckAt      time.Time                       // when to ask for the full list, as something was not believed; zero for never
+	cachedStart    *CachedStart                    // nil unless the cached list that this process started with is still in force
+	listReceived   bool                            // whether a list of discovery was accepted
+	listAcceptedAt time.Time                       // when the last list was accepted; the start of this process before the first
+	includesUntil  time.Time                       // the list includes all changes that discovery had by this time
+	recheckAt      time.Time                       // when to request the full list, because a part of a response was not accepted; zero for never
 	failures       callFailures                    // since the last call that succeeded
 	failuresLogAt  time.Time                       // when consecutive failures were last logged
 	lagLoggedAt    time.Time                       // when a response with a lower revision was last logged as a warning
 }
 
-// startLookback is a bound on the age of the list that this process starts with: that list is taken to include all changes made up to this
-// long before the start, because the previous process has just ended or was killed.
+// startLookback bounds the age of the list that this process starts with. The previous process has just ended or was killed, so the
+// list is assumed to include all changes made until startLookback before the start.
 const startLookback = 2 * time.Second
 
 // The messages in the mailbox of EndpointList, in addition to callEnded and endpointSignal.
@@ -59,7 +59,7 @@
 	snapshotQuery   struct{ reply chan<- ListUpdate } // buffered
 )
 
-// NewEndpointList returns an EndpointList that begins with a known list, and passes that on. Discovery is not called before Run.
+// NewEndpointList returns an EndpointList that starts with a known list, which it passes on. Discovery is not called before Run.
 func NewEndpointList(core *Core, pool EndpointPool, discovery Discovery, known ListUpdate, log *slog.Logger) *EndpointList {
 	now := time.Now()
 	list := &EndpointList{
@@ -79,11 +79,11 @@
 	return list
 }
 
-// SetPollRules sets the function that returns the rules of polling, of the settings in force. It is called before Run. Where lists
-// are pushed to an agent, the agent is polled from the start of Run; elsewhere polling starts with Subscribe.
+// SetPollRules sets the function that returns the polling rules of the settings in force. It is called before Run. If lists are
+// pushed to an agent, the agent is polled from the start of Run. Otherwise polling starts with Subscribe.
 func (l *EndpointList) SetPollRules(rules func() polling.Rules) { l.pollRules = rules }
 
-// EndpointStore caches the list that discovery gives. EndpointsUpdated must not block.
+// EndpointStore caches the lists and changes of discovery. EndpointsUpdated must not block.
 type EndpointStore interface{ EndpointsUpdated(ListUpdate) }
 
 // SetStore sets the store that is passed the lists and changes of discovery. It is called before Run.
@@ -92,36 +92,36 @@
 // Subscribe starts polling for changes.
 func (l *EndpointList) Subscribe() { l.mailbox.Post(subscribe{}) }
 
-// MoveDiscovery continues with another discovery service.
+// MoveDiscovery switches to another discovery service.
 func (l *EndpointList) MoveDiscovery(to Discovery) { l.mailbox.Post(changeDiscovery{to}) }
 
-// Snapshot returns the list as it is known. It waits for Run or the end of the context.
+// Snapshot returns the known list. It waits for Run or the end of the context.
 func (l *EndpointList) Snapshot(ctx context.Context) (ListUpdate, error) {
 	reply := make(chan ListUpdate, 1)
 	l.mailbox.Post(snapshotQuery{reply})
 	return awaitReply(ctx, reply)
 }
 
-// FirstCallDone returns a channel that is closed when the first call to discovery has ended, however.
+// FirstCallDone returns a channel that is closed when the first call to discovery has succeeded or failed.
 func (l *EndpointList) FirstCallDone() <-chan struct{} { return l.firstCallDone }
 
 // Run handles messages and polls discovery until the context is cancelled.
 func (l *EndpointList) Run(ctx context.Context) {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	wakeTimer := time.NewTimer(time.Hour)
+	defer wakeTimer.Stop()
 	if l.pollRules().ListsPushed {
 		l.Subscribe()
 	}
 	l.checkCachedStart()
 	for {
 		if at, ok := l.nextWake(); ok {
-			alarm.Reset(time.Until(at))
+			wakeTimer.Reset(time.Until(at))
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.mailbox.Signal():
-		case <-alarm.C:
+		case <-wakeTimer.C:
 		}
 		for _, message := range l.mailbox.Take() {
 			l.handleMessage(ctx, message)
@@ -133,12 +133,12 @@
 	}
 }
 
-// checkCachedStart carries out what the assessor of a cached start wants done now.
+// checkCachedStart carries out the actions of the assessor of a cached start that are due now.
 func (l *EndpointList) checkCachedStart() {
 	l.runAssessor(func(now scheduler.Instant) []cachetrust.Action { return l.cachedStart.Assessor.Check(now) })
 }
 
-// nextWake returns when there is something to do if no message is received.
+// nextWake returns when Run must wake up if no message arrives before.
 func (l *EndpointList) nextWake() (at time.Time, ok bool) {
 	at, ok = l.calls.nextCall()
 	if ok && !l.recheckAt.IsZero() && l.recheckAt.Before(at) {
@@ -152,7 +152,7 @@
 	return at, ok
 }
 
-// pollFullListIfDue asks for the full list when something of a response that was not believed may be believed by now.
+// pollFullListIfDue requests the full list at recheckAt, when a part of a response that was not accepted may be accepted.
 func (l *EndpointList) pollFullListIfDue(now time.Time) {
 	if l.recheckAt.IsZero() || now.Before(l.recheckAt) {
 		return
@@ -185,22 +185,22 @@
 	}
 }
 
-// changeService continues with another discovery service. It is asked for its full list: the revisions of the two may not be
-// comparable, and a change that the previous one was about to report must not be lost. Until it responds, the list as known is
-// in force, and what the previous one still reports.
+// changeService switches to another discovery service and requests its full list, because the revisions of the two may not be
+// comparable, and a change that the previous service was about to report must not be lost. Until the new service responds, the
+// known list stays in force, and changes that the previous service still reports are accepted.
 func (l *EndpointList) changeService(ctx context.Context, to Discovery) {
 	l.log.Info("discovery service changed", "open_calls", len(l.calls.open), "list_age", l.listAge())
 	now := time.Now()
 	l.calls.changeService(ctx, to, now)
-	// After a change of services a change of the list counts as notified after MoveNotificationDeadline already.
+	// After a change of services, list changes count as notified after MoveNotificationDeadline, not the longer NotificationDeadline.
 	if asOf := now.Add(polling.MoveNotificationDeadline - polling.NotificationDeadline); asOf.Before(l.includesUntil) {
 		l.includesUntil = asOf
 	}
 	l.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: l.core.clock.At(l.includesUntil)})
 }
 
-// snapshot returns the list as it is known, with the ages of endpoints whose start time is known, and when another
-// service than the current one last showed their states.
+// snapshot returns the known list, with the ages of endpoints whose start time is known and the times when their states were last
+// received from a service whose revisions cannot be compared with the current one's.
 func (l *EndpointList) snapshot() ListUpdate {
 	list := ListUpdate{Revision: l.calls.current.revision, Complete: true}
 	now, service := l.core.clock.Now(), l.calls.current.discovery.Service()
--- a/internal/routing/listcalls.go
+++ b/internal/routing/listcalls.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxOpenCalls bounds the calls for the list in flight: a watch, those made while it is open, and those that a change of the
-	// discovery service found in flight.
+	// maxOpenCalls bounds the calls for the list in flight: a watch, the calls made while it is open, and the calls that were in
+	// flight when the discovery service changed.
 	maxOpenCalls = 8
 
 	// maxPreviousServices bounds the previous discovery services whose responses still count.
@@ -25,12 +25,12 @@
 	number    int // counted from 1
 	service   *discoveryService
 	kind      polling.Kind
-	revision  int64 // that it was made with
+	revision  int64 // sent with the call
 	startedAt time.Time
 	cancel    context.CancelFunc
 }
 
-// failure classifies how a call failed, as far as that says something of the load of the service.
+// failure classifies a failed call by what the failure shows about the load of the service.
 func (c *listCall) failure(err error, now time.Time) polling.Failure {
 	return polling.ClassifyFailure(errors.Is(err, ErrDiscoveryRejected), now.Sub(c.startedAt))
 }
@@ -42,16 +42,16 @@
 	err    error
 }
 
-// listCalls makes the calls for the list when the schedule says so. They are in flight concurrently, each on a connection of its
-// own, and each lasts until it ends by itself: one that is late may still be the first to report a change. After a change of the
-// discovery service the calls to the previous one continue until the new one has responded.
+// listCalls makes the calls for the list according to the schedule. Calls are in flight concurrently, each on its own connection.
+// A late call is not cancelled, because it may still be the first to report a change. After a change of the discovery service the
+// calls to the previous service continue until the new one has responded.
 //
 // It is part of EndpointList: the goroutine of EndpointList.Run owns it. onEnded is called from the goroutine of each call.
 type listCalls struct {
 	schedule   *polling.Schedule
 	pollRules  func() polling.Rules
 	current    *discoveryService
-	previous   []*discoveryService // while the current one has not responded; the oldest first
+	previous   []*discoveryService // services before the current one, until that has responded; the oldest first
 	open       []*listCall         // the oldest first
 	lastNumber int                 // of the last call
 	onEnded    func(callEnded)
@@ -59,7 +59,7 @@
 	log        *slog.Logger
 }
 
-// nextCall returns the time of the next call; ok is false where none is to be made.
+// nextCall returns the time of the next call; ok is false if none is scheduled.
 func (l *listCalls) nextCall() (at time.Time, ok bool) { return l.schedule.Next() }
 
 // callIfDue makes the next call if its time has come.
@@ -73,7 +73,7 @@
 	l.startCall(ctx, now, l.current, kind)
 }
 
-// startCall makes a call, under the next number. The oldest call in flight is cancelled where there are too many.
+// startCall starts a call with the next number. If maxOpenCalls are in flight, it first cancels the oldest one.
 func (l *listCalls) startCall(ctx context.Context, now time.Time, to *discoveryService, kind polling.Kind) {
 	if len(l.open) >= maxOpenCalls {
 		l.cancel(l.open[0], "too many open calls")
@@ -92,7 +92,7 @@
 	}()
 }
 
-// remove removes a call that has ended and returns it; nil where it was cancelled before.
+// remove removes a call that has ended and returns it; nil if it was cancelled before.
 func (l *listCalls) remove(ended callEnded) *listCall {
 	for i, call := range l.open {
 		if call.number == ended.number {
@@ -112,15 +112,15 @@
 		"complete", ended.update.Complete, "endpoints", len(ended.update.Endpoints), "open_calls", len(l.open), "err", ended.err)
 }
 
-// cancel ends a call that is in flight. What it returns does not count.
+// cancel cancels a call that is in flight. Its result is ignored.
 func (l *listCalls) cancel(call *listCall, reason string) {
 	l.log.Debug("discovery call cancelled", "call", call.number, "kind", call.kind.String(), "took", time.Since(call.startedAt),
 		"reason", reason)
 	l.remove(callEnded{number: call.number, err: context.Canceled})
 }
 
-// changeService continues with another service. The calls to the previous ones stay in flight until it has responded, and a watch
-// that is between two calls continues.
+// changeService switches to another service. The calls to previous services stay in flight until the new one has responded. If a
+// watch at the current service is between two calls, its next call is made now.
 func (l *listCalls) changeService(ctx context.Context, to Discovery, now time.Time) {
 	if l.current.answered && l.schedule.BetweenWatches() {
 		l.startCall(ctx, now, l.current, polling.Watch)
--- a/internal/routing/listcalls_test.go
+++ b/internal/routing/listcalls_test.go
@@ -79,7 +79,7 @@
 	return list
 }
 
-// testEndpoint returns an endpoint in a state.
+// testEndpoint returns an endpoint in the given state.
 func testEndpoint(id scheduler.WorkerID, state scheduler.WorkerState) Endpoint {
 	return Endpoint{WorkerInfo: scheduler.WorkerInfo{ID: id, State: state, Weight: 1}, Address: "h:1"}
 }
@@ -111,14 +111,14 @@
 
 // TestEndpointList_discoveryChanged_previousWatchContinues checks that after a change of the discovery service the watch at the previous
 // one continues, and that a drain that it reports counts, until the new one has responded. Then the watch is cancelled, and all previous
-// services are closed, also one with no call in flight.
+// services are closed, including one without a call in flight.
 func TestEndpointList_discoveryChanged_previousWatchContinues(t *testing.T) {
 	first, second, third := newScriptedDiscovery(), newScriptedDiscovery(), newScriptedDiscovery()
 	list := startEndpointList(t, first)
 	(<-first.calls).response <- ListUpdate{Revision: 1, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready), testEndpoint("b", scheduler.Ready)}}
 	watch := <-first.calls
 	if watch.kind != polling.Watch || watch.revision != 1 {
-		t.Fatalf("after the list the call was %+v", watch)
+		t.Fatalf("call after the list: %+v, want a watch with revision 1", watch)
 	}
 	list.MoveDiscovery(second)
 	close((<-second.calls).response) // the call fails, and no other is in flight there
@@ -126,9 +126,9 @@
 	full := <-third.calls
 	watch.response <- ListUpdate{Revision: 2, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
 	eventually(t, "the drain that the previous service reported", func() bool { state, _ := stateOfA(t, list); return state == scheduler.Draining })
-	again := <-first.calls
-	if again.kind != polling.Watch || again.revision != 2 {
-		t.Errorf("the watch continued as %+v", again)
+	nextWatch := <-first.calls
+	if nextWatch.kind != polling.Watch || nextWatch.revision != 2 {
+		t.Errorf("next call at the previous service: %+v, want a watch with revision 2", nextWatch)
 	}
 	if first.closes()+second.closes() != 0 {
 		t.Error("a service was closed before the new one had responded")
@@ -136,14 +136,14 @@
 	full.response <- ListUpdate{Revision: 70, Complete: true, Endpoints: []Endpoint{testEndpoint("b", scheduler.Ready)}}
 	eventually(t, "the new list", func() bool { _, known := stateOfA(t, list); return !known })
 	select {
-	case <-again.cancelled:
+	case <-nextWatch.cancelled:
 	case <-time.After(5 * time.Second):
-		t.Error("the watch at the previous service continues")
+		t.Error("the watch at the previous service was not cancelled within 5 s")
 	}
 	eventually(t, "both previous services closed", func() bool { return first.closes() == 1 && second.closes() == 1 })
 }
 
-// TestEndpointList_overtakenResponse_ignored checks that a response that was overtaken by that of a concurrent call changes nothing.
+// TestEndpointList_overtakenResponse_ignored checks that a response changes nothing if the response of a concurrent call overtook it.
 func TestEndpointList_overtakenResponse_ignored(t *testing.T) {
 	discovery := newScriptedDiscovery()
 	list := startEndpointList(t, discovery)
@@ -154,13 +154,13 @@
 	late.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 	next := <-discovery.calls
 	if state, _ := stateOfA(t, list); state != scheduler.Draining || next.revision != 5 {
-		t.Errorf("the older response counts: state %v, the next call has revision %d", state, next.revision)
+		t.Errorf("after the older response: state %v, next call with revision %d, want draining and revision 5", state, next.revision)
 	}
 }
 
-// TestEndpointList_lowerRevision_acceptedAfterMaxStaleness checks that a response with a lower revision, as of a replica that lags, does
-// not revoke a drain, nor does a second one that agrees: both may be of that replica. If a service responds with nothing else, its list
-// is accepted after endpointstate.MaxStaleness, at most 4 s later and after at most 12 calls.
+// TestEndpointList_lowerRevision_acceptedAfterMaxStaleness checks that a response with a lower revision, such as a lagging replica's, does
+// not revoke a drain. A second such response does not either: both may come from that replica. If the service returns nothing else, its
+// list is accepted after endpointstate.MaxStaleness, at most 4 s later and after at most 12 calls.
 func TestEndpointList_lowerRevision_acceptedAfterMaxStaleness(t *testing.T) {
 	t.Parallel()
 	discovery := newScriptedDiscovery()
@@ -174,27 +174,27 @@
 		if state, _ := stateOfA(t, list); state == scheduler.Ready {
 			break
 		}
-		again := <-discovery.calls
-		if again.revision != NoRevision {
-			t.Errorf("after a lower revision the next call has revision %d", again.revision)
+		nextCall := <-discovery.calls
+		if nextCall.revision != NoRevision {
+			t.Errorf("next call after a lower revision: revision %d, want a call for the full list", nextCall.revision)
 		}
 		calls++
-		again.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
+		nextCall.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
 		time.Sleep(20 * time.Millisecond)
 	}
 	if took := time.Since(startedAt); took < endpointstate.MaxStaleness || took > endpointstate.MaxStaleness+4*time.Second || calls > 12 {
-		t.Errorf("accepted after %v and %d calls", took, calls)
+		t.Errorf("list accepted after %v and %d calls, want MaxStaleness to MaxStaleness+4s and at most 12 calls", took, calls)
 	}
 }
 
 // TestEndpointList_workerReturnsAfterDiscoveryChanged checks a worker that drains at the previous discovery service and is active at the
-// new one, which reports it once and then no change. That is not accepted at first, as the list may be older; after
-// endpointstate.MaxStaleness the full list is polled again.
+// new one, which reports it once and then no change. The return is not accepted at first, because the list may be older than the drain.
+// After endpointstate.MaxStaleness the full list is polled again.
 func TestEndpointList_workerReturnsAfterDiscoveryChanged(t *testing.T) {
 	t.Parallel()
 	first, second := newScriptedDiscovery(), newScriptedDiscovery()
 	list := startEndpointList(t, first)
-	notKnownYet := time.Now()
+	beforeDrain := time.Now()
 	(<-first.calls).response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining), testEndpoint("b", scheduler.Ready)}}
 	eventually(t, "the drain", func() bool { state, known := stateOfA(t, list); return known && state == scheduler.Draining })
 	drainKnownAt := time.Now()
@@ -208,22 +208,22 @@
 			break
 		}
 		if time.Since(drainKnownAt) > endpointstate.MaxStaleness+time.Second {
-			t.Fatal("the full list is not polled again")
+			t.Fatal("full list not polled again within MaxStaleness+1s of the drain")
 		}
 		time.Sleep(100 * time.Millisecond)
 		call.response <- ListUpdate{Revision: 70}
 	}
-	if state, _ := stateOfA(t, list); time.Since(notKnownYet) < endpointstate.MaxStaleness && state != scheduler.Draining {
-		t.Errorf("accepted %v after the drain", time.Since(notKnownYet))
+	if state, _ := stateOfA(t, list); time.Since(beforeDrain) < endpointstate.MaxStaleness && state != scheduler.Draining {
+		t.Errorf("return accepted at most %v after the drain, want at least MaxStaleness", time.Since(beforeDrain))
 	}
 	eventually(t, "the return", func() bool { state, _ := stateOfA(t, list); return state == scheduler.Ready })
-	if least, most := time.Since(drainKnownAt), time.Since(notKnownYet); most < endpointstate.MaxStaleness || least > endpointstate.MaxStaleness+2*time.Second {
-		t.Errorf("accepted %v to %v after the drain was known", least, most)
+	if minElapsed, maxElapsed := time.Since(drainKnownAt), time.Since(beforeDrain); maxElapsed < endpointstate.MaxStaleness || minElapsed > endpointstate.MaxStaleness+2*time.Second {
+		t.Errorf("return accepted %v to %v after the drain was known, want MaxStaleness to MaxStaleness+2s", minElapsed, maxElapsed)
 	}
 }
 
 // TestEndpointList_discoveryChanged_previousServiceNamesNoWorker guards against attempts at a worker that a full list of the previous discovery
-// service no longer names, as the new service does not respond: this dispatcher was notified that the worker is gone.
+// service no longer names while the new service does not respond: this dispatcher was notified that the worker is gone.
 func TestEndpointList_discoveryChanged_previousServiceNamesNoWorker(t *testing.T) {
 	first, second := newScriptedDiscovery(), newScriptedDiscovery()
 	list := startEndpointList(t, first)
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -9,15 +9,15 @@
 	"brassdale/scheduler"
 )
 
-// noListBefore is the time since the last list where there was none: longer than any process runs.
-const noListBefore = time.Duration(math.MaxInt64)
+// noPreviousList is the time since the last list if there was none: longer than any process runs.
+const noPreviousList = time.Duration(math.MaxInt64)
 
-// restore accepts the list as it was known before this process polled discovery.
+// restore accepts the list that was known before this process polled discovery.
 func (l *EndpointList) restore(known ListUpdate, now time.Time) {
 	states := make([]endpointstate.Endpoint, len(known.Endpoints))
 	for i := range known.Endpoints {
 		endpoint := &known.Endpoints[i]
-		if endpoint.State != scheduler.Ready && endpoint.NotifiedAt.IsZero() { // else a predecessor was notified before
+		if endpoint.State != scheduler.Ready && endpoint.NotifiedAt.IsZero() { // if set, a predecessor process was notified earlier
 			endpoint.NotifiedAt = l.notifiedFrom(now)
 		}
 		states[i] = endpoint.listedState()
@@ -26,8 +26,8 @@
 	l.publishChanges(known, known.Endpoints, nil, scheduler.ListCached)
 }
 
-// notifiedFrom returns from when this dispatcher counts as notified of a drain that it received now. Where lists are pushed, what
-// the agent had counts as notified: it may have had it since it last responded.
+// notifiedFrom returns from when this dispatcher counts as notified of a drain that it received now. If lists are pushed to an agent,
+// the dispatcher counts as notified of what the agent has, and the agent may have had the drain since its last response.
 func (l *EndpointList) notifiedFrom(now time.Time) time.Time {
 	if l.pollRules().ListsPushed {
 		return l.listAcceptedAt
@@ -35,21 +35,21 @@
 	return now
 }
 
-// apply puts in force what is to be believed of a response.
+// apply puts the accepted parts of a response in force.
 func (l *EndpointList) apply(response *listResponse, order endpointstate.ResponseOrder) {
 	update, states := &response.update, &response.states
 	receivedAt := update.ReceivedAt
 	if receivedAt.IsZero() {
 		receivedAt = time.Now()
 	}
-	states.Complete, states.ReceivedAt = update.Complete, receivedAt // of the bytes, where Classify went by the end of the call
+	states.Complete, states.ReceivedAt = update.Complete, receivedAt // when the response began to arrive; Classify used the end of the call
 	for i := range states.Endpoints {
 		if endpoint := &states.Endpoints[i]; endpoint.NotifiedAt.IsZero() {
 			endpoint.NotifiedAt = l.notifiedFrom(receivedAt)
 		}
 	}
 	changes := l.stateTable.Apply(*states, order)
-	// A change of the list says nothing of what was not believed of an earlier response.
+	// A delta does not show whether parts of an earlier response that were not accepted are still pending.
 	if response.call.service == l.calls.current && (update.Complete || !changes.PollAgainAt.IsZero()) {
 		l.recheckAt = changes.PollAgainAt
 	}
@@ -58,7 +58,7 @@
 	l.publishChanges(*update, listed, gone, update.listKind())
 }
 
-// acceptedEndpoints returns the endpoints of an update with the states that were accepted, and those that a full list does not name.
+// acceptedEndpoints returns the endpoints of an update with their accepted states, and the endpoints that a full list does not name.
 func (l *EndpointList) acceptedEndpoints(update *ListUpdate, accepted []endpointstate.Accepted) (listed, gone []Endpoint) {
 	for _, state := range accepted {
 		if state.Index == endpointstate.NotListed {
@@ -83,9 +83,9 @@
 	return listed
 }
 
-// publishChanges passes on what has changed: to the endpoint pool first, then to the scheduler, so that the scheduler never sends to
-// an endpoint that the pool does not know. listed are the endpoints that the update names, gone those that a full list does not
-// name; the scheduler, which gets the full list too, finds them by itself.
+// publishChanges passes changes to the endpoint pool first, then to the scheduler, so that the scheduler never sends to an endpoint
+// that the pool does not know. listed are the endpoints that the update names, gone the endpoints that a full list does not name.
+// The scheduler is not passed gone: it finds them in the full list itself.
 func (l *EndpointList) publishChanges(update ListUpdate, listed, gone []Endpoint, kind scheduler.ListKind) {
 	changed := l.updateEndpoints(listed)
 	l.updateEndpoints(gone)
@@ -96,7 +96,7 @@
 	l.logUpdate(&update, len(listed), changed)
 }
 
-// logUpdate logs an update that names endpoints: one that changed something, and each full list, at info level, others at debug level.
+// logUpdate logs an update that names endpoints: at info level if it changed something or is a full list, else at debug level.
 func (l *EndpointList) logUpdate(update *ListUpdate, accepted int, changed bool) {
 	if len(update.Endpoints) == 0 {
 		return
@@ -109,12 +109,13 @@
 		"accepted", accepted, "known", len(l.known))
 }
 
-// recordStartTimes enters the start times of listed workers in incarnations, and returns the workers with them on the scheduler's clock.
+// recordStartTimes records the start times of listed workers in incarnations, and returns the workers with start times on the
+// scheduler's clock.
 func (l *EndpointList) recordStartTimes(listed []Endpoint) []scheduler.WorkerInfo {
 	now := time.Now()
 	listTime := incarnations.ListTime{Now: l.core.clock.At(now), Wall: time.Duration(now.UnixNano()), SinceLastList: now.Sub(l.listAcceptedAt)}
 	if !l.listReceived {
-		listTime.SinceLastList = noListBefore
+		listTime.SinceLastList = noPreviousList
 	}
 	stamped := make([]incarnations.WorkerStart, len(listed))
 	for i, endpoint := range listed {
@@ -136,7 +137,7 @@
 	return l.incarnations.StartedAt(id)
 }
 
-// updateEndpoints enters endpoints in the list, passes them to the endpoint pool, and reports whether updateEndpoint found a change.
+// updateEndpoints calls updateEndpoint for each endpoint and reports whether any of them changed.
 func (l *EndpointList) updateEndpoints(endpoints []Endpoint) (changed bool) {
 	for _, endpoint := range endpoints {
 		if l.updateEndpoint(endpoint) {
@@ -146,15 +147,15 @@
 	return changed
 }
 
-// updateEndpoint enters an endpoint in the list, passes it to the endpoint pool, and reports whether anything but its weight has
-// changed: weights follow the load.
+// updateEndpoint stores an endpoint in the list, or removes it if it is Gone, and passes it to the endpoint pool. It reports whether
+// the endpoint has changed, apart from the time of notification and the weight, which follows the load.
 func (l *EndpointList) updateEndpoint(endpoint Endpoint) bool {
 	before := l.known[endpoint.ID]
 	if endpoint.Address == "" {
 		endpoint.Address = before.Address
 	}
 	l.logStateChange(before, endpoint)
-	endpoint.Age, endpoint.OtherServiceAt = 0, time.Time{} // of the moment of the handover only
+	endpoint.Age, endpoint.OtherServiceAt = 0, time.Time{} // valid only at the time of the handover
 	if endpoint.State == scheduler.Gone {
 		delete(l.known, endpoint.ID)
 	} else {
@@ -165,13 +166,13 @@
 	return before != endpoint
 }
 
-// listedState returns what a list says of the state of an endpoint.
+// listedState returns the state of an endpoint as the list reports it.
 func (e *Endpoint) listedState() endpointstate.Endpoint {
 	return endpointstate.Endpoint{ID: e.ID, State: e.State, Start: e.StartedAt, NotifiedAt: e.NotifiedAt, OtherServiceAt: e.OtherServiceAt}
 }
 
-// logStateChange logs that the state of a known endpoint has changed, or that its return is unconfirmed now. New endpoints are not logged:
-// a first list may have thousands.
+// logStateChange logs that the state of a known endpoint has changed, or that its return has become unconfirmed. New endpoints are not
+// logged: a first list may have thousands.
 func (l *EndpointList) logStateChange(before, after Endpoint) {
 	if after.ReturnUnconfirmed && !before.ReturnUnconfirmed {
 		l.log.Info("worker return unconfirmed", "worker", after.ID, "since_notified", sinceNotified(after.NotifiedAt))
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// lagLogInterval is the least time between warnings of responses with a lower revision. Others are logged at debug level.
+	// lagLogInterval is the minimum time between warnings of responses with a lower revision. Others are logged at debug level.
 	lagLogInterval = 10 * time.Second
 
-	// maxReplicaLag is how far a replica of discovery may be behind the newest list. A response does not
-	// say which replica sent it or how far behind that is.
+	// maxReplicaLag is the maximum lag of a replica of discovery. A response does not say which replica sent it or how much that
+	// replica lags.
 	maxReplicaLag = 2500 * time.Millisecond
 )
 
@@ -22,8 +22,8 @@
 type listResponse struct {
 	call    *listCall
 	update  ListUpdate
-	states  endpointstate.ListResponse // what update says of the states of endpoints
-	endedAt time.Time                  // when the call was found to have ended
+	states  endpointstate.ListResponse // the states of endpoints in update
+	endedAt time.Time                  // when the end of the call was handled
 }
 
 // newListResponse returns the response of a call.
@@ -57,7 +57,7 @@
 	}
 }
 
-// handleResponse accepts a response as far as it is to be believed.
+// handleResponse accepts a response, or parts of it, according to its order among the responses of its service.
 func (l *EndpointList) handleResponse(ctx context.Context, response *listResponse) {
 	call := response.call
 	order := l.stateTable.Classify(response.states)
@@ -79,7 +79,7 @@
 	}
 }
 
-// markStale notes that a response of the current service reported nothing new, and whether the full list is to be asked for.
+// markStale records that a response of the current service reported nothing new, and whether the next call must request the full list.
 func (l *EndpointList) markStale(response *listResponse, fullListDue bool) {
 	call := response.call
 	if call.service == l.calls.current {
@@ -88,7 +88,7 @@
 	}
 }
 
-// logLag logs a response with a lower revision: as a warning once in lagLogInterval.
+// logLag logs a response with a lower revision, as a warning at most once per lagLogInterval.
 func (l *EndpointList) logLag(response *listResponse) {
 	log := l.log.Debug
 	if response.endedAt.Sub(l.lagLoggedAt) >= lagLogInterval {
@@ -99,7 +99,7 @@
 		"revision", response.update.Revision, "known", response.call.service.revision)
 }
 
-// acceptList accepts the list, or a change of it, of the current service, unless the assessor of a cached start doubts it.
+// acceptList accepts a list or a change of it from the current service, only in part if the assessor of a cached start doubts it.
 func (l *EndpointList) acceptList(response *listResponse) {
 	service := response.call.service
 	if !service.answered {
@@ -113,8 +113,8 @@
 	l.acceptConfirmed(response)
 }
 
-// acceptDoubted accepts what a doubted list says of the workers that it names: which workers there are is for the full list to say,
-// which is polled at a time.
+// acceptDoubted accepts the states of the workers that a doubted list names, but removes no worker that it lacks. The full list is
+// polled again at pollAt and decides which workers exist.
 func (l *EndpointList) acceptDoubted(response *listResponse, pollAt time.Time) {
 	response.update.Complete = false
 	l.apply(response, endpointstate.Current)
@@ -122,7 +122,7 @@
 	l.calls.schedule.PollAt(pollAt)
 }
 
-// acceptConfirmed puts a list, or a change of it, of the current service in force, in place of a cached list too.
+// acceptConfirmed puts a list or a change of it from the current service in force. It also replaces a cached list.
 func (l *EndpointList) acceptConfirmed(response *listResponse) {
 	call, update, service, now := response.call, &response.update, response.call.service, response.endedAt
 	changed := update.Revision != service.revision || len(update.Endpoints) > 0
@@ -134,7 +134,7 @@
 	}
 	l.apply(response, endpointstate.Current)
 	service.revision = update.Revision
-	l.listAcceptedAt = now // after apply, where start times are judged by the time since the list before
+	l.listAcceptedAt = now // after apply, which judges start times by the time since the previous list
 	l.core.counters.setListAcceptedAt(now)
 	l.endCachedStart()
 	if l.store != nil {
@@ -144,9 +144,9 @@
 	l.calls.schedule.CallAnswered(now, call.number, now.Sub(call.startedAt), changed, update.BeforeWaitEnded, l.pollRules(), rand.Float64())
 }
 
-// acceptPrevious accepts the response of a previous service, while the current one has not responded: this dispatcher counts as notified of it.
-// Of a cached list it counts for endpoints that changed only; which endpoints there are is for the current service to say. A watch at the
-// previous service continues.
+// acceptPrevious accepts the response of a previous service while the current one has not responded, because this dispatcher counts as
+// notified of it. During a cached start the response is applied as a delta: only the current service decides which endpoints exist. A
+// watch at the previous service continues.
 func (l *EndpointList) acceptPrevious(ctx context.Context, response *listResponse) {
 	call, now := response.call, response.endedAt
 	response.update.Complete = response.update.Complete && l.cachedStart == nil
@@ -158,9 +158,9 @@
 	}
 }
 
-// responseIncludesUntil returns as of when all changes that discovery had are known by a response: for a watch when it was received, else when
-// its call was made, less maxReplicaLag. A busy service may end a watch before the change that it waits for had its turn: then
-// the response does not tell, and the zero time is returned.
+// responseIncludesUntil returns the time up to which a response includes all changes of discovery: when a watch's response was received,
+// otherwise when the call was made, less maxReplicaLag. A busy service may end a watch before it has processed the change that the
+// watch waits for. A response without a change then proves nothing, and the zero time is returned.
 func (l *EndpointList) responseIncludesUntil(response *listResponse, changed bool) time.Time {
 	receivedAt := response.update.ReceivedAt
 	switch {
--- a/internal/routing/listsource.go
+++ b/internal/routing/listsource.go
@@ -6,27 +6,27 @@
 	"brassdale/internal/decisions/cachetrust"
 )
 
-// SourceName names where a list comes from, as the admin API shows it.
+// SourceName is the name of the source of a list, as the admin API shows it.
 type SourceName string
 
 // The names of the sources.
 const (
 	SourceNone        SourceName = "none"
-	SourceFile        SourceName = "known" // the platform's file
+	SourceFile        SourceName = "known" // the platform's config file
 	SourceCache       SourceName = "saved" // the endpoint cache
 	SourcePredecessor SourceName = "predecessor"
 	SourceDiscovery   SourceName = "discovery"
 )
 
-// ListSource says where the list that is in force comes from.
+// ListSource describes the source of the list in force.
 type ListSource struct {
 	Name                 SourceName
-	ConfirmedAt          time.Time                    // when it was last known to be true; zero for unknown
-	TrustLevels          [cachetrust.Excluded + 1]int // endpoints of a cached list by their trust level
-	AwaitingConfirmation bool                         // a list of discovery is doubted until a second one agrees
+	ConfirmedAt          time.Time                    // when the list was last known to be correct; zero for unknown
+	TrustLevels          [cachetrust.Excluded + 1]int // number of endpoints of a cached list by trust level
+	AwaitingConfirmation bool                         // a list of discovery is doubted until a second one confirms it
 }
 
-// Source returns where the list in force comes from.
+// Source returns the source of the list in force.
 func (l *EndpointList) Source() ListSource {
 	if source := l.source.Load(); source != nil {
 		return *source
@@ -34,5 +34,5 @@
 	return ListSource{Name: SourceNone}
 }
 
-// SetSource sets where the list comes from that the actor was made with.
+// SetSource sets the source of the list that the EndpointList was created with.
 func (l *EndpointList) SetSource(source ListSource) { l.source.Store(&source) }
--- a/internal/routing/mailbox.go
+++ b/internal/routing/mailbox.go
@@ -3,8 +3,8 @@
 import "sync"
 
 // Mailbox is the queue of messages of an actor. Any goroutine may call Post; one goroutine, the owner, receives from Signal and
-// calls Take. Post never blocks, so that actors that post to each other cannot deadlock. The queue is not bounded by itself: the
-// requests that the frontends admit bound it.
+// calls Take. Post never blocks, so that actors that post to each other cannot deadlock. The queue has no bound of its own: the
+// frontends bound it by limiting the requests that they admit.
 type Mailbox[T any] struct {
 	mu     sync.Mutex
 	queue  []T
@@ -34,7 +34,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	taken := m.queue
-	clear(m.spare) // so that messages taken before can be collected
+	clear(m.spare) // so that messages taken before can be garbage-collected
 	m.queue, m.spare = m.spare[:0], taken
 	return taken
 }
--- a/internal/routing/messages.go
+++ b/internal/routing/messages.go
@@ -49,11 +49,11 @@
 	case clientLeft:
 		c.abandonRequest(msg.id)
 	case attemptWaits:
-		c.noteAttemptWaits(msg.id, msg.waits)
+		c.handleAttemptWaits(msg.id, msg.waits)
 	case attemptStarted:
-		c.startAttempt(msg.id)
+		c.handleAttemptStarted(msg.id)
 	case attemptProgressed:
-		c.progressAttempt(msg.id, msg.share)
+		c.handleAttemptProgressed(msg.id, msg.share)
 	case attemptFinished:
 		c.finishAttempt(msg.id, msg.result)
 	case setDetached:
@@ -72,7 +72,8 @@
 	}
 }
 
-// applyDetached marks a worker as detached or reattached, at the endpoint pool first: what the scheduler sends after it finds the mark.
+// applyDetached detaches or reattaches a worker, at the endpoint pool first, so that the change applies to all attempts that the
+// scheduler sends afterwards.
 func (c *Core) applyDetached(m setDetached) {
 	if m.detached {
 		c.endpoints.SetDetached(m.id, time.Now())
@@ -83,8 +84,8 @@
 	c.handleEvent(scheduler.WorkerReattached{Worker: m.id})
 }
 
-// applyRetryRatio puts a retry budget in force, or drops it for a ratio below 0. What the budget has counted stays when the ratio
-// changes.
+// applyRetryRatio sets the ratio of the retry budget, or removes the budget for a ratio below 0. A change of the ratio keeps the
+// budget's counts.
 func (c *Core) applyRetryRatio(ratio float64) {
 	if ratio < 0 {
 		c.retryBudget = nil
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -4,19 +4,19 @@
 
 // Request is a request as a frontend submits it.
 type Request struct {
-	Class          int           // its number at the scheduler
+	Class          int           // index in scheduler.Settings.Classes
 	ClassName      string        // for the counters, the retry budget and the zone router
 	Account        string        // the owner, for the retry budget
 	LogName        string        // the ID that the client gave the request, for the log
 	Slots          float64       // slots that it occupies at a worker
 	Limits         RequestLimits // of the settings in force when it arrived
-	EstimatedWork  time.Duration // an estimate of its work; 0 for unknown
-	AffinityKey    uint64        // requests of one key need the same data at a worker; 0 for none
+	EstimatedWork  time.Duration // estimated run time; 0 for unknown
+	AffinityKey    uint64        // requests with the same key need the same data at a worker; 0 for none
 	IdempotencyKey string        // the key by which workers recognize a repeated request; empty for none
 	Deadline       time.Time
-	Job            any // what endpoints need to send it; not read here
+	Job            any // the data that endpoints need to send the request; not read here
 	Client         Client
-	ClientGone     func() bool // reports whether the client has left, before Core.ClientLeft is called; nil where only that call reports it
+	ClientGone     func() bool // reports whether the client has left, possibly before Core.ClientLeft is called; nil if only that call reports it
 }
 
 // RequestLimits are the limits that the core applies to a request.
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -11,18 +11,18 @@
 	"brassdale/scheduler"
 )
 
-// overdueMargin is how long after its deadline and answer slack a request stays with the scheduler before the Core fails it. The
-// timer by which the scheduler answers may itself be late on a busy machine.
+// overdueMargin is the time after the deadline and answer slack of a request when the Core fails it. Until then the scheduler may
+// still answer, because its own timer may be late on a busy machine.
 const overdueMargin = 20 * time.Millisecond
 
 // openRequest is a request in the table of the Core, from its submission until it is answered and no attempt is in flight.
 type openRequest struct {
 	Request
 	expiresAt   scheduler.Instant // the deadline
-	arrivedAt   scheduler.Instant // set where there is a zone router
-	settled     bool              // the final answer was given, or the client left: nothing is owed
+	arrivedAt   scheduler.Instant // set only with a zone router
+	settled     bool              // the final answer was given, or the client left: no answer is needed
 	timedOut    bool              // an attempt ended as TimedOut
-	attemptSent bool              // an attempt of it was sent, or may have been
+	attemptSent bool              // an attempt was sent, or may have been
 	attempts    []attempt         // by number
 	inFlight    int               // attempts without an outcome
 }
@@ -45,7 +45,7 @@
 	return a.outcome.String()
 }
 
-// acceptRequest enters a request in the table and passes it to the scheduler, unless the zone router rejects it.
+// acceptRequest adds a request to the table and passes it to the scheduler, unless the zone router rejects it.
 func (c *Core) acceptRequest(id scheduler.RequestID, submitted Request) {
 	request := &openRequest{Request: submitted, expiresAt: c.clock.At(submitted.Deadline)}
 	c.requests[id] = request
@@ -72,7 +72,7 @@
 	c.removeIfClosed(id, request)
 }
 
-// findAttempt returns an attempt that is in flight and its request; nil for one that has an outcome or never was.
+// findAttempt returns an attempt that is in flight and its request; nil if the attempt has ended or never existed.
 func (c *Core) findAttempt(id AttemptID) (*openRequest, *attempt) {
 	request := c.requests[id.Request]
 	if request == nil || id.Number < 0 || id.Number >= len(request.attempts) || !request.attempts[id.Number].inFlight {
@@ -81,15 +81,15 @@
 	return request, &request.attempts[id.Number]
 }
 
-// noteAttemptWaits notes that an attempt waits for a connection here, or waits no more.
-func (c *Core) noteAttemptWaits(id AttemptID, waits bool) {
+// handleAttemptWaits notifies the scheduler that an attempt has begun or ended its wait for a connection of this process.
+func (c *Core) handleAttemptWaits(id AttemptID, waits bool) {
 	if _, waiting := c.findAttempt(id); waiting != nil {
 		c.handleEvent(scheduler.AttemptWaits{ID: id.Request, Attempt: id.Number, Worker: waiting.endpoint, Waits: waits})
 	}
 }
 
-// startAttempt notes that the job of an attempt has started at its endpoint.
-func (c *Core) startAttempt(id AttemptID) {
+// handleAttemptStarted records that the job of an attempt has started at its endpoint, and notifies the client and the scheduler.
+func (c *Core) handleAttemptStarted(id AttemptID) {
 	request, started := c.findAttempt(id)
 	if started == nil {
 		return
@@ -104,8 +104,8 @@
 	c.handleEvent(scheduler.AttemptStarted{ID: id.Request, Attempt: id.Number, Worker: started.endpoint})
 }
 
-// progressAttempt passes on how far the job of an attempt is.
-func (c *Core) progressAttempt(id AttemptID, share float64) {
+// handleAttemptProgressed passes the progress of an attempt's job to the client and the scheduler.
+func (c *Core) handleAttemptProgressed(id AttemptID, share float64) {
 	request, running := c.findAttempt(id)
 	if running == nil {
 		return
@@ -116,7 +116,7 @@
 	c.handleEvent(scheduler.AttemptProgressed{ID: id.Request, Attempt: id.Number, Worker: running.endpoint, Share: share})
 }
 
-// finishAttempt ends an attempt and answers its request if it was served. A second outcome of one attempt is ignored.
+// finishAttempt ends an attempt and answers its request if the attempt was served. A second outcome of the same attempt is ignored.
 func (c *Core) finishAttempt(id AttemptID, result AttemptResult) {
 	request, ended := c.findAttempt(id)
 	if ended == nil {
@@ -141,8 +141,8 @@
 	c.removeIfClosed(id.Request, request)
 }
 
-// failOverdue fails a request that the scheduler has not answered in time: else it would stay open for ever. It finds one only
-// where the scheduler is at fault or this process was paused.
+// failOverdue fails a request that the scheduler has not answered in time and that would otherwise stay open for ever. This happens
+// only if the scheduler is at fault or this process was paused.
 func (c *Core) failOverdue(id scheduler.RequestID) {
 	request := c.requests[id]
 	if request == nil || request.settled {
@@ -154,7 +154,7 @@
 	c.removeIfClosed(id, request)
 }
 
-// closeRequest gives the final answer of an open request and removes it once no attempt is in flight.
+// closeRequest gives the final answer to an open request, and removes the request if no attempt is in flight.
 func (c *Core) closeRequest(id scheduler.RequestID, answer Answer) {
 	if request := c.requests[id]; request != nil {
 		c.answerRequest(request, answer)
@@ -162,7 +162,7 @@
 	}
 }
 
-// answerRequest gives the final answer of a request. A second answer is dropped.
+// answerRequest gives the final answer to a request. A second answer is dropped.
 func (c *Core) answerRequest(request *openRequest, answer Answer) {
 	if request.settled {
 		return
@@ -187,7 +187,7 @@
 		"deadline_passed", answer.DeadlinePassed, "attempts", attempts)
 }
 
-// removeIfClosed removes a request from the table when nothing is owed to its client and no attempt is in flight.
+// removeIfClosed removes a request from the table if its client needs no answer any more and no attempt is in flight.
 func (c *Core) removeIfClosed(id scheduler.RequestID, request *openRequest) {
 	if request.settled && request.inFlight == 0 {
 		delete(c.requests, id)
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -6,7 +6,7 @@
 	"brassdale/scheduler"
 )
 
-// timer is a timer of the scheduler, or that after which an open request is overdue.
+// timer is a timer of the scheduler, or the timer after which an open request is overdue.
 type timer struct {
 	at             scheduler.Instant
 	token          uint64              // of the scheduler's timer
--- a/internal/routing/zonerouting.go
+++ b/internal/routing/zonerouting.go
@@ -7,29 +7,28 @@
 	"brassdale/scheduler"
 )
 
-// ZoneRouter decides to which zones requests may go, by the outcomes of their attempts. No method blocks. ProbeCompleted may be
-// called from any goroutine, the others only from that of Core.Run.
+// ZoneRouter decides to which zones requests may go, and is notified of the outcomes of attempts and probes. No method blocks.
+// ProbeCompleted may be called from any goroutine, the other methods only from the goroutine of Core.Run.
 type ZoneRouter interface {
 	EndpointsUpdated(now scheduler.Instant, update scheduler.EndpointsUpdated)
 
-	// Route returns the zones that a request may go to, a bit for each number; 0 for all. If ok is false, the request must be
+	// Route returns the zones that a request may go to, as a bit for each zone index; 0 for all. If ok is false, the request must be
 	// rejected, and its client should retry after retryAfter.
 	Route(now scheduler.Instant, class, idempotencyKey string) (zones uint64, retryAfter time.Duration, ok bool)
 
 	AttemptStarted(now scheduler.Instant, id scheduler.WorkerID)
 
-	// AttemptUnanswered is called once for an attempt that has been in flight for failover.NoResponseAfter and was not reported to have
-	// started.
+	// AttemptUnanswered is called once for an attempt that has been in flight for failover.NoResponseAfter without a reported start.
 	AttemptUnanswered(now scheduler.Instant, id scheduler.WorkerID)
 
 	// AttemptEnded is called with the outcome of an attempt, the time since its request arrived and the time since it started;
-	// ran is 0 where no start was reported.
+	// ran is 0 if no start was reported.
 	AttemptEnded(now scheduler.Instant, id scheduler.WorkerID, class string, o scheduler.Outcome, sinceArrival, ran time.Duration)
 
 	ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome)
 }
 
-// FleetBudget decides whether the budgets that all dispatchers of the fleet share allow one more retry or probe, and charges them
+// FleetBudget reports whether the budgets that all dispatchers of the fleet share allow one more retry or probe, and charges them
 // for it. No method blocks.
 type FleetBudget interface {
 	AllowRetry() bool
@@ -55,7 +54,7 @@
 	return zones, ok
 }
 
-// reportAttemptEnded reports the outcome of an attempt to the zone router. Of an attempt that was reported as unanswered only a
+// reportAttemptEnded reports the outcome of an attempt to the zone router. If the attempt was reported as unanswered before, only a
 // response of the endpoint is reported.
 func (c *Core) reportAttemptEnded(request *openRequest, ended *attempt, outcome scheduler.Outcome) {
 	if c.zoneRouter == nil || ended.unansweredReported && !isResponse(outcome) {
@@ -77,7 +76,7 @@
 	return false
 }
 
-// reportUnanswered reports attempts that have been in flight for failover.NoResponseAfter without a start to the zone router.
+// reportUnanswered reports attempts to the zone router that have been in flight for failover.NoResponseAfter without a reported start.
 func (c *Core) reportUnanswered() {
 	for _, request := range c.requests {
 		for i := range request.attempts {
