--- a/internal/zonerouting/doc.go
+++ b/internal/zonerouting/doc.go
@@ -1,3 +1,3 @@
-// Package zonerouting has a dispatcher act on the fleet's zone plan: it chooses the zone in which a request may be served, records
-// what becomes of attempts, and reports it to the raft leader. How plans are made is decided in internal/decisions/failover.
+// Package zonerouting applies the fleet's zone plan in a dispatcher: it chooses the zone in which a request may be served, records
+// the outcomes of attempts, and reports them to the raft leader. Package internal/decisions/failover computes the plans.
 package zonerouting
--- a/internal/zonerouting/recording.go
+++ b/internal/zonerouting/recording.go
@@ -8,7 +8,7 @@
 	"brassdale/scheduler"
 )
 
-// minCancelledWait is the time from which an attempt that was cancelled before its job started counts as unanswered.
+// minCancelledWait is the time since its request arrived from which an attempt that is cancelled before its job starts counts as unanswered.
 const minCancelledWait = failover.NoResponseAfter / 4
 
 // AttemptStarted records that a worker has started a job.
@@ -20,7 +20,7 @@
 }
 
 // AttemptEnded records the outcome of an attempt. sinceArrival is the time since the request arrived, ran the time since the worker
-// started the job; 0 where it has not started.
+// started the job; 0 if it has not started.
 func (r *Router) AttemptEnded(now scheduler.Instant, id scheduler.WorkerID, class string, outcome scheduler.Outcome, sinceArrival, ran time.Duration) {
 	settings := r.settings.Current()
 	r.mu.Lock()
@@ -40,8 +40,8 @@
 	}
 }
 
-// withinObjective reports whether a request was served within the latency objective of its class, which is stretched by how long
-// the job ran. A class that the settings do not name has none.
+// withinObjective reports whether a request was served within the latency objective of its class, which grows with the time that
+// the job ran. A class that the settings do not name has no objective.
 func withinObjective(settings *protocol.Settings, class string, sinceArrival, ran time.Duration) bool {
 	i, known := settings.Class(class)
 	if !known {
@@ -51,7 +51,7 @@
 	return sinceArrival <= objective
 }
 
-// AttemptUnanswered records that an attempt has been without any sign for failover.NoResponseAfter.
+// AttemptUnanswered records that an attempt has had no response for failover.NoResponseAfter.
 func (r *Router) AttemptUnanswered(now scheduler.Instant, id scheduler.WorkerID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,19 +71,19 @@
 	}
 }
 
-// zoneOf returns the name of a worker's zone. r.mu is held.
+// zoneOf returns the name of a worker's zone. The caller holds r.mu.
 func (r *Router) zoneOf(id scheduler.WorkerID) string {
 	return zoneName(r.settings.Current(), r.workers[id].Zone)
 }
 
-// HasUrgentChange reports whether the leader should get a report at once, because a route has begun to fail or to work again.
+// HasUrgentChange reports whether the leader should get a report at once, because a route has begun to fail or has recovered.
 func (r *Router) HasUrgentChange() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.recorder.HasUrgentChange(r.now)
 }
 
-// Report returns what was recorded since the last report. It takes the weights of the endpoint list for slots.
+// Report returns what was recorded since the last report. The weights in the endpoint list count as slots.
 func (r *Router) Report() *failover.Report {
 	settings := r.settings.Current()
 	warmup, startCapacity := settings.Rules.Cold.Duration(), settings.Rules.StartCapacity
--- a/internal/zonerouting/router.go
+++ b/internal/zonerouting/router.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// minRetryAfter is the minimum Retry-After of a request that is shed. Up to maxRetryAfterSpread is drawn in addition, so that
-	// clients do not retry together.
+	// minRetryAfter is the minimum Retry-After of a request that is shed. A random time up to maxRetryAfterSpread is added, so that
+	// clients do not retry at the same time.
 	minRetryAfter       = 500 * time.Millisecond
 	maxRetryAfterSpread = 3 * minRetryAfter
 
-	// keyHashSpread is 2^64 divided by the golden ratio. Multiplied by it, hashes of similar keys are far apart.
-	keyHashSpread = 0x9e3779b97f4a7c15
+	// keyHashMultiplier is 2^64 divided by the golden ratio. Multiplication by it spreads the hashes of similar keys.
+	keyHashMultiplier = 0x9e3779b97f4a7c15
 )
 
 // Router routes requests by the zone plan. It implements routing.ZoneRouter and is safe for concurrent use; no method blocks.
 type Router struct {
 	settings *protocol.LiveSettings
-	zone     string // of the dispatcher; empty where it has none
+	zone     string // of the dispatcher; empty if it has none
 
 	mu          sync.Mutex // guards the fields below
 	recorder    *failover.Recorder
 	workers     map[scheduler.WorkerID]scheduler.WorkerInfo
 	plan        *failover.Plan    // nil before the first one
-	planExpired bool              // the plan is not trusted any more
-	now         scheduler.Instant // of the last event of the core but AttemptUnanswered, for the methods that are given no time
+	planExpired bool              // the plan is no longer trusted
+	now         scheduler.Instant // of the last event of the core except AttemptUnanswered, for methods without a time argument
 	keyZones    keyZones
 	shedCount   int
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// zoneName returns the name of the zone with an index; empty where there is none.
+// zoneName returns the name of the zone with the given index; empty if there is none.
 func zoneName(settings *protocol.Settings, index int) string {
 	if index >= 0 && index < len(settings.Zones) {
 		return settings.Zones[index]
@@ -61,8 +61,8 @@
 	return ""
 }
 
-// ApplyPlan has a plan acted on from now on. With expired, the dispatcher has been without a lease for too long to trust the plan,
-// and serves all requests in its own zone.
+// ApplyPlan puts a plan in force. If expired is true, the dispatcher has been without a lease for too long to trust the plan, and
+// serves all requests in its own zone.
 func (r *Router) ApplyPlan(plan *failover.Plan, expired bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,9 +89,9 @@
 	}
 }
 
-// Route returns the zones to which a request may be sent, as a bit for each index; 0 where it may go to any. ok is false where the
-// request is shed, and its client should wait for retryAfter. Requests of one idempotency key go to one zone for the class's
-// deduplication window.
+// Route returns the zones to which a request may be sent, as a bit for each zone index; 0 for any zone. If ok is false, the request
+// is shed, and its client should retry after retryAfter. Requests with the same idempotency key go to the same zone within the
+// class's deduplication window.
 func (r *Router) Route(now scheduler.Instant, class, key string) (zones uint64, retryAfter time.Duration, ok bool) {
 	settings := r.settings.Current()
 	r.mu.Lock()
@@ -112,7 +112,7 @@
 	return zoneBit(settings, zone), 0, true
 }
 
-// chooseZone returns the zone for a request by the plan; ok is false where the request is shed.
+// chooseZone returns the zone for a request according to the plan; ok is false if the request is shed.
 func (r *Router) chooseZone(now scheduler.Instant, class, key string, window time.Duration) (zone string, ok bool) {
 	number, hash := rand.Float64(), uint64(0)
 	if key != "" {
@@ -136,11 +136,11 @@
 func keyHash(key string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(key)) // a hash accepts any bytes
-	return hash.Sum64() * keyHashSpread
+	return hash.Sum64() * keyHashMultiplier
 }
 
-// zoneBit returns the bit of the zone with a name; 0, which permits any zone, where the settings do not name it. Zones 64 apart share
-// a bit.
+// zoneBit returns the bit of the zone with the given name; 0, which permits any zone, if the settings do not name it. Zones whose
+// indices differ by 64 share a bit.
 func zoneBit(settings *protocol.Settings, name string) uint64 {
 	for i, zone := range settings.Zones {
 		if zone == name {
--- a/internal/zonerouting/router_test.go
+++ b/internal/zonerouting/router_test.go
@@ -11,7 +11,7 @@
 	"brassdale/scheduler"
 )
 
-// testSettings has three zones, of which the dispatcher is in the second one, "b", and two classes. Requests of class "bulk" are
+// testSettings has three zones and two classes. The dispatcher is in the second zone, "b". Requests of class "bulk" are
 // deduplicated for 2 s. Times are in microseconds, as on the wire.
 const testSettings = `{
 	"classes": [
@@ -51,8 +51,8 @@
 	return &failover.Plan{Number: 1, Shares: map[string]map[string][]failover.ZoneShare{"b": {"bulk": shares}}}
 }
 
-// TestRouterRoute_byPlan checks the zones of a request by the plan, the count of requests that are shed, and that only those get a
-// Retry-After, within its bounds.
+// TestRouterRoute_byPlan checks the zones of a request according to the plan, the count of shed requests, and that only shed requests
+// get a Retry-After, within its bounds.
 func TestRouterRoute_byPlan(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -90,28 +90,27 @@
 	}
 }
 
-// TestRouterRoute_sameZoneForKeyWithinWindow checks that requests of a key are routed to the zone of the first one, whatever the plan,
-// until its deduplication window of 2 s ends.
+// TestRouterRoute_sameZoneForKeyWithinWindow checks that requests of a key are routed to the zone of its first request, regardless of the
+// plan, until the deduplication window of 2 s ends.
 func TestRouterRoute_sameZoneForKeyWithinWindow(t *testing.T) {
 	router := newTestRouter(t)
 	router.ApplyPlan(planOf(failover.ZoneShare{Zone: "a", Share: 1}), false)
 	if zones, _, _ := router.Route(0, "bulk", "key"); zones != zoneBitA {
-		t.Errorf("first request of the key: zones %b", zones)
+		t.Errorf("first request of the key: zones %b, want zone a", zones)
 	}
 	router.ApplyPlan(planOf(failover.ZoneShare{Zone: "c", Share: 1}), false)
 	if zones, _, _ := router.Route(2*time.Second-1, "bulk", "key"); zones != zoneBitA {
-		t.Errorf("within the window: zones %b", zones)
+		t.Errorf("within the window: zones %b, want zone a", zones)
 	}
 	if zones, _, _ := router.Route(2*time.Second-1, "bulk", "other key"); zones != zoneBitC {
-		t.Errorf("another key: zones %b", zones)
+		t.Errorf("another key: zones %b, want zone c", zones)
 	}
 	if zones, _, _ := router.Route(2*time.Second, "bulk", "key"); zones != zoneBitC {
-		t.Errorf("after the window: zones %b", zones)
+		t.Errorf("after the window: zones %b, want zone c", zones)
 	}
 }
 
-// TestKeyZones_sweepRemovesExpired checks that sweep removes the keys whose time is over, and that the others still have their zone until
-// then.
+// TestKeyZones_sweepRemovesExpired checks that sweep removes expired keys, and that the other keys keep their zone until they expire.
 func TestKeyZones_sweepRemovesExpired(t *testing.T) {
 	keys := keyZones{zones: map[uint64]keyZone{}}
 	keys.add(0, "a", time.Minute)
@@ -119,18 +118,18 @@
 	keys.add(2, "b", 3*time.Second)
 	keys.sweep(2 * time.Second)
 	if len(keys.zones) != 1 {
-		t.Errorf("keys after sweep: %v", keys.zones)
+		t.Errorf("keys after sweep: %v, want one", keys.zones)
 	}
 	if zone, ok := keys.get(2, 2*time.Second); !ok || zone != "b" {
-		t.Errorf("key that has not expired: zone %q, %t", zone, ok)
+		t.Errorf("key that has not expired: zone %q, %t, want b", zone, ok)
 	}
 	if _, ok := keys.get(2, 3*time.Second); ok {
 		t.Error("an expired key has a zone")
 	}
 }
 
-// TestRouterAttemptEnded_counts checks what the end of an attempt counts as in the report, by outcome and time: ended, in time, full,
-// unanswered, or nothing.
+// TestRouterAttemptEnded_counts checks how the report counts an ended attempt, depending on its outcome and times: ended, in time, full,
+// unanswered, or not at all.
 func TestRouterAttemptEnded_counts(t *testing.T) {
 	const objective = 100 * time.Millisecond
 	for _, test := range []struct {
@@ -176,8 +175,8 @@
 	}
 }
 
-// TestRouterReport_capacityOfReadyWorkers checks that the reported capacity of a zone is that of its ready workers, less for one in slow
-// start.
+// TestRouterReport_capacityOfReadyWorkers checks that the reported capacity of a zone is the sum over its ready workers, reduced for a
+// worker in slow start.
 func TestRouterReport_capacityOfReadyWorkers(t *testing.T) {
 	router := newTestRouter(t)
 	router.EndpointsUpdated(time.Second, scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, Workers: []scheduler.WorkerInfo{
