--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Attempts: what follows when one is sent, starts, ends or is cancelled.
+// Attempts: how the state changes when an attempt is sent, starts, ends or is cancelled.
 
-// Connections that have been idle for four fifths of the shortest idle time after which one was lost are suspect.
+// A connection is suspect if it has been idle for four fifths of Scheduler.shortestIdleLoss, or longer.
 const (
 	suspectIdleNumerator   = 4
 	suspectIdleDenominator = 5
@@ -16,29 +16,29 @@
 
 // attempt is one send of a request to a worker.
 type attempt struct {
-	worker          *worker
-	sentAt          Instant
-	waits           bool          // for a connection, as this process has as many open as it may
-	waitedUntil     Instant       // when it last ceased to wait; 0 for never
-	startedAt       Instant       // 0 until the worker reports the start
-	inFlight        bool          // sent, no outcome yet
-	mayHaveExecuted bool          // false once an outcome excludes it
-	cancelled       bool          // a Cancel was emitted
-	forReport       bool          // the attempt that brings the overdue load report of its worker
-	lost            bool          // taken for lost: it no longer counts as using slots (see detectSilence)
-	connectionIdle  time.Duration // how long its connection, or while that is unknown the worker, had been unused before
+	worker           *worker
+	sentAt           Instant
+	waits            bool          // for a connection, as this process has reached its connection limit
+	waitedUntil      Instant       // end of the last wait for a connection; 0 if there was none
+	startedAt        Instant       // 0 until the worker reports the start
+	inFlight         bool          // sent, no outcome yet
+	mayHaveExecuted  bool          // false once its outcome rules this out
+	cancelled        bool          // a Cancel was emitted
+	forOverdueReport bool          // sent while its worker's load report was overdue, to obtain one
+	lost             bool          // considered lost: it no longer counts as using slots (see detectSilence)
+	connectionIdle   time.Duration // how long its connection was idle before the send; while unknown, how long the worker was unused
 }
 
 func isInFlight(a attempt) bool      { return a.inFlight }
 func mayHaveExecuted(a attempt) bool { return a.mayHaveExecuted }
 func awaitsStart(a attempt) bool     { return a.inFlight && a.startedAt == 0 && !a.lost }
 
-// anyAttempt reports whether the condition holds for one of the request's attempts.
+// anyAttempt reports whether the condition holds for any of the request's attempts.
 func (r *request) anyAttempt(condition func(attempt) bool) bool {
 	return slices.ContainsFunc(r.attempts, condition)
 }
 
-// hasTried reports whether the worker has had an attempt of the request.
+// hasTried reports whether an attempt of the request has been sent to the worker.
 func (r *request) hasTried(candidate *worker) bool {
 	return r.anyAttempt(func(a attempt) bool { return a.worker == candidate })
 }
@@ -53,11 +53,11 @@
 	return request, &request.attempts[number]
 }
 
-// send sends a further attempt of request to worker and accounts for it: slots and slow-start charge at the worker, the
-// rotation among ties, the next trial of an ejected worker.
+// send sends the next attempt of request to worker and updates the state that depends on sends: the worker's own slots,
+// slow-start charges and weighted sends, and, if it is ejected, the time of its next trial.
 func (s *Scheduler) send(request *request, worker *worker) {
 	if worker.ownSlots == 0 {
-		worker.lastSignal = s.now // silence counts from here
+		worker.lastSignal = s.now // nothing was in flight: silence is measured from here
 	}
 	s.postponeNextTrial(worker, request.class)
 	idle := s.closeSuspectConnections(worker)
@@ -71,27 +71,28 @@
 	worker.recordSend()
 	sent := attempt{
 		worker: worker, sentAt: s.now, inFlight: true, mayHaveExecuted: true, connectionIdle: idle,
-		forReport: worker.ownSlots == request.slots && s.reportOverdue(worker),
+		forOverdueReport: worker.ownSlots == request.slots && s.reportOverdue(worker),
 	}
-	if sent.forReport {
+	if sent.forOverdueReport {
 		s.reportAttemptsInFlight++
 	}
-	sendBy := earlierBound(s.retrySendDeadline(request), s.freshUntil(worker)) // before this attempt is one of the request's
+	sendBy := earlierBound(s.retrySendDeadline(request), s.freshUntil(worker)) // before the append: it depends on the earlier attempts only
 	request.attempts = append(request.attempts, sent)
 	s.emit(Send{ID: request.id, Worker: worker.ID, SendBy: sendBy})
 }
 
-// onAttemptWaits notes that an attempt waits for a connection here, or waits no more: the worker owes nothing for that time.
+// onAttemptWaits records that an attempt waits for a connection in this process, or that the wait has ended. The wait counts
+// neither as silence of the worker (notResponding) nor as an overdue start (startOverdue).
 func (s *Scheduler) onAttemptWaits(event AttemptWaits) {
 	if _, attempt := s.attemptInFlight(event.ID, event.Attempt); attempt != nil {
 		attempt.waits, attempt.waitedUntil = event.Waits, s.now
 	}
 }
 
-// askedAt returns when the attempt was given to its worker, for one that does not wait.
-func (a *attempt) askedAt() Instant { return max(a.sentAt, a.waitedUntil) }
+// effectiveSentAt returns when an attempt that does not wait was sent, or, if it has waited, when the wait ended.
+func (a *attempt) effectiveSentAt() Instant { return max(a.sentAt, a.waitedUntil) }
 
-// onAttemptStarted learns from the start of an attempt and cancels the request's other attempts that have not started.
+// onAttemptStarted records the start of an attempt and cancels the request's other attempts that have not started.
 func (s *Scheduler) onAttemptStarted(event AttemptStarted) {
 	request, started := s.attemptInFlight(event.ID, event.Attempt)
 	if started == nil {
@@ -105,8 +106,8 @@
 	s.cancelAttempts(request, func(other *attempt) bool { return other != started && other.startedAt == 0 })
 }
 
-// recordAttemptStart takes in that an attempt runs. More running slots than a worker was thought to have are evidence of more
-// slots; a single running job on a worker of unknown size is none.
+// recordAttemptStart updates the state for an attempt that has started. If more slots run at the worker than it was known to
+// have, its number of slots is raised. While that is unknown, 1/increment slots are assumed, so a single job raises nothing.
 func (s *Scheduler) recordAttemptStart(request *request, started *attempt) {
 	worker := started.worker
 	started.startedAt, worker.reattached = s.now, false
@@ -129,7 +130,7 @@
 	}
 }
 
-// onAttemptFinished handles the outcome of an attempt: first what it shows of the worker, then what follows for the request.
+// onAttemptFinished handles the outcome of an attempt: it first updates the worker's state, then decides how the request continues.
 func (s *Scheduler) onAttemptFinished(event AttemptFinished) {
 	request, ended := s.attemptInFlight(event.ID, event.Attempt)
 	if ended == nil {
@@ -145,15 +146,15 @@
 	s.continueRequest(request, event)
 }
 
-// mayExecute reports whether the job of an attempt with this outcome may have run, or may run yet.
+// mayExecute reports whether the job of an attempt with this outcome may have run or may still run.
 func mayExecute(outcome Outcome) bool {
 	return outcome != Full && outcome != NoConnect && outcome != NeverSent && outcome != InvalidRequest
 }
 
-// releaseAttempt ends what an attempt occupies at its worker.
+// releaseAttempt releases the slots that an ended attempt occupied at its worker.
 func (s *Scheduler) releaseAttempt(request *request, ended *attempt) {
 	ended.inFlight = false
-	if ended.forReport {
+	if ended.forOverdueReport {
 		s.reportAttemptsInFlight--
 	}
 	if !ended.lost {
@@ -164,8 +165,9 @@
 	}
 }
 
-// learnFromOutcome updates what is known of the worker. An invalid request is the client's fault and only a signal; a timeout
-// is the worker's fault if the job never started; a cancelled attempt, or one that was never sent, shows nothing.
+// learnFromOutcome updates the worker's state by the outcome of an attempt. An invalid request is the client's fault and counts
+// only as a signal. A timeout is the worker's fault only if the job never started. An attempt that was cancelled or never sent
+// changes nothing.
 func (s *Scheduler) learnFromOutcome(request *request, ended *attempt, outcome Outcome) {
 	worker := ended.worker
 	switch outcome {
@@ -206,11 +208,11 @@
 	}
 }
 
-// everyAttempt is the condition of cancelAttempts that all attempts meet.
+// everyAttempt is a condition for cancelAttempts that every attempt meets.
 func everyAttempt(*attempt) bool { return true }
 
-// recordCancellation notes at the worker what is cancelled before its start: the slots, and the wait if it was long enough for a
-// hedge.
+// recordCancellation counts at the worker the slots of an attempt that is cancelled before its start, and the attempt itself if
+// it has waited long enough to be hedged.
 func (s *Scheduler) recordCancellation(cancelled *attempt, slots float64) {
 	worker := cancelled.worker
 	if cancelled.startedAt == 0 {
@@ -222,7 +224,7 @@
 	}
 }
 
-// earlierBound returns the earlier of two bounds, of which 0 means none.
+// earlierBound returns the earlier of two bounds; 0 means no bound.
 func earlierBound(a, b Instant) Instant {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -230,8 +232,9 @@
 	return a
 }
 
-// closeSuspectConnections emits CloseIdleConnections if connections of the worker have been idle for long enough that an attempt
-// on one of them may be lost (see recordIfIdleLoss); a new connection costs little. It returns how long the worker was unused.
+// closeSuspectConnections emits CloseIdleConnections if connections to the worker may have been idle for so long that an attempt
+// on one of them may be lost (see recordIfIdleLoss); a new connection costs little. It returns how long the worker was unused, or
+// 0 if it closes connections.
 func (s *Scheduler) closeSuspectConnections(worker *worker) time.Duration {
 	idle := s.now - cmp.Or(worker.lastUsed, s.now)
 	worker.lastUsed = s.now
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Deadlines: how long a request can wait, and when it is given up.
+// Deadlines: how long a request can wait for its start, and when it is given up.
 
 const (
-	// typicalRuntimeShare is the runtime of most jobs as a share of their class's mean, which a few long ones raise.
+	// typicalRuntimeShare is the runtime of a typical job as a share of its class's mean, which a few long jobs raise.
 	typicalRuntimeShare = 0.5
 
-	// maxUndroppedShare is the share of cancelled jobs that workers run all the same, from which on late requests are no longer
-	// given up: they would occupy their slots anyway, and their clients would come again.
-	maxUndroppedShare = 0.5
+	// maxExecutedShare is the share of cancelled jobs that workers execute nevertheless from which on late requests are no longer
+	// given up: their jobs would occupy the slots anyway, and their clients would retry.
+	maxExecutedShare = 0.5
 
-	// undroppedPrior is the undropped share that is assumed before any report.
-	undroppedPrior = 0.25
+	// executedSharePrior is the share that is assumed before any report.
+	executedSharePrior = 0.25
 
-	// undroppedPriorReports is the number of reports that undroppedPrior counts for.
-	undroppedPriorReports = 20
+	// executedSharePriorReports is the weight of executedSharePrior, as a number of reports.
+	executedSharePriorReports = 20
 
-	// maxOwnMultiple bounds the jobs at a worker as a multiple of the own ones there: beyond it the own jobs are too small a
-	// part to show what becomes of them.
-	maxOwnMultiple = 4
+	// maxJobsPerOwnJob is the largest ratio of all jobs at the workers to this dispatcher's own jobs for which the estimate is used.
+	// Above it, the own jobs are too few to show how many of them are executed after their cancellation.
+	maxJobsPerOwnJob = 4
 )
 
-// spareWait returns how long request can still wait for its start and be served in time: inside the latency objective, stretched by
-// its own work, and before its deadline. It is negative for a request that is late already.
-func (s *Scheduler) spareWait(request *request) time.Duration {
+// startSlack returns how long request can still wait for its start and be served in time: within its latency objective, which
+// its own work extends, and before its deadline. It is negative if the request is already late.
+func (s *Scheduler) startSlack(request *request) time.Duration {
 	class := &request.settings.Classes[request.class]
 	runtime := durationOf(s.estimatedRuntime(request))
 	if request.estimatedWork <= 0 {
@@ -36,14 +36,14 @@
 	return min(request.clientStartedAt+wait, request.deadline-runtime) - s.now
 }
 
-// maxUsefulWait returns how long after its client first sent it a request may start and still be in time.
+// maxUsefulWait returns how long request may wait for its start and still be in time, counted from when its client first sent it.
 func (s *Scheduler) maxUsefulWait(request *request) time.Duration {
-	return s.spareWait(request) + s.now - request.clientStartedAt
+	return s.startSlack(request) + s.now - request.clientStartedAt
 }
 
-// maxStartWait returns how long after its client first sent it a request whose late answer has no value may wait for its
-// start: as long as it can be in time. Without an estimate of its own work it is less with congestion, down to half the latency
-// objective: where all wait for as long as they may, some of what starts is late nevertheless.
+// maxStartWait returns how long a request whose late answer has no value may wait for its start, counted from when its client
+// first sent it. With an estimate of its work this is maxUsefulWait. Without one it shrinks with congestion, down to half the
+// latency objective: if all requests waited for their maximum, some of those that start would be late nevertheless.
 func (s *Scheduler) maxStartWait(request *request) time.Duration {
 	longest := s.maxUsefulWait(request)
 	if request.estimatedWork > 0 {
@@ -53,21 +53,21 @@
 	return longest + durationOf(s.congestion*(shortest-longest).Seconds())
 }
 
-// tooLate reports whether a late answer to request has no value and its start has been delayed beyond maxStartWait.
+// tooLate reports whether a late answer to request has no value and request has waited longer than maxStartWait.
 func (s *Scheduler) tooLate(request *request) bool {
 	class := &request.settings.Classes[request.class]
 	return class.LateWeight <= 0 && s.now-request.clientStartedAt > s.maxStartWait(request)
 }
 
-// giveUp answers a request that is too late and has not started at the worker. The wait counts as a delayed start.
+// giveUp gives the final answer to a request that is too late and has not started at the worker. Its wait counts as a delayed start.
 func (s *Scheduler) giveUp(request *request, worker *worker) {
 	s.updateCongestion(worker, true)
 	s.overcommit = max(s.overcommit-s.overcommitStep(), minOvercommit)
 	s.rejectOrFail(request, TooLate)
 }
 
-// onShutdownStarted bounds the deadlines of all requests by the time at which this process ends, and sets a timer for it: the
-// regular reviews would come too late.
+// onShutdownStarted moves all deadlines after the end of this process to that time, and sets a timer for it: the regular reviews
+// would be too late.
 func (s *Scheduler) onShutdownStarted(event ShutdownStarted) {
 	s.shutdownDeadline = event.Deadline
 	for _, request := range s.requestsByArrival {
@@ -76,10 +76,14 @@
 	s.emit(SetTimer{Token: shutdownTimer, After: s.shutdownDeadline - s.now + s.settings.AnswerSlack/2})
 }
 
-// cancellationEstimate estimates from load reports which share of the jobs that are cancelled before their start workers keep
-// and run, which the settings do not say. The jobs at a worker are fitted, by least squares, as a multiple of the own ones in flight
-// there (other dispatchers send as many each) plus a multiple of the own ones cancelled lately: where workers drop cancelled
-// jobs, the second factor is 0. The fields are the sums of products that the fit needs.
+// cancellationEstimate estimates, from load reports, the share of the jobs cancelled before their start that workers execute
+// nevertheless; the settings do not say. It fits this model of the slots at a worker by least squares:
+//
+//	occupied = a x own + b x cancelled
+//
+// Own slots are in flight from this dispatcher, cancelled ones were recently cancelled by it. The factor a covers the other
+// dispatchers, which are assumed to send as many jobs each. If workers drop cancelled jobs, b is 0; if they execute all, b is a.
+// The fields are the sums of products that the fit needs.
 type cancellationEstimate struct {
 	ownSquared             float64
 	ownTimesCancelled      float64
@@ -88,7 +92,7 @@
 	occupiedTimesCancelled float64
 }
 
-// observe adds one report: the slots occupied and queued at the worker, and the own slots in flight and lately cancelled there.
+// observe adds one report: the slots occupied or queued for at the worker, and the own slots in flight and recently cancelled there.
 func (e *cancellationEstimate) observe(occupied, own, cancelled float64) {
 	e.ownSquared += own * own
 	e.ownTimesCancelled += own * cancelled
@@ -97,14 +101,14 @@
 	e.occupiedTimesCancelled += occupied * cancelled
 }
 
-// undroppedShare returns the share, from 0 to 1, of cancelled jobs that workers do not drop.
-func (e *cancellationEstimate) undroppedShare() float64 {
+// executedShare returns the estimated share, from 0 to 1, of cancelled jobs that workers execute nevertheless.
+func (e *cancellationEstimate) executedShare() float64 {
 	determinant := e.ownSquared*e.cancelledSquared - e.ownTimesCancelled*e.ownTimesCancelled
 	own := (e.occupiedTimesOwn*e.cancelledSquared - e.occupiedTimesCancelled*e.ownTimesCancelled) / determinant
 	cancelled := (e.occupiedTimesCancelled*e.ownSquared - e.occupiedTimesOwn*e.ownTimesCancelled) / determinant
-	if determinant <= 0 || own <= 0 || own > maxOwnMultiple {
-		return undroppedPrior
+	if determinant <= 0 || own <= 0 || own > maxJobsPerOwnJob {
+		return executedSharePrior
 	}
 	share := min(max(cancelled/own, 0), 1)
-	return (share*e.cancelledSquared + undroppedPrior*undroppedPriorReports) / (e.cancelledSquared + undroppedPriorReports)
+	return (share*e.cancelledSquared + executedSharePrior*executedSharePriorReports) / (e.cancelledSquared + executedSharePriorReports)
 }
--- a/scheduler/hedging.go
+++ b/scheduler/hedging.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// Hedging: a further attempt while one has not started in time, at the next worker in order. The first to start cancels
-// the others (onAttemptStarted), so hedging is a search for a free slot.
+// Hedging: if an attempt has not started in time, the request is also sent to another worker. The first attempt to start cancels
+// the others (onAttemptStarted), so a hedge is a search for a free slot.
 
 const (
-	// hedgeDelay is how long after its send, beyond the round trips of a new connection, an attempt without a start is hedged.
-	// Sooner, hedges would fetch more data for affinity keys than they save waiting.
+	// hedgeDelay is the time after its send, plus the round trips of a new connection, after which an attempt that has not started
+	// is hedged. With less, fetching the data of affinity keys at more workers would cost more than the waiting that hedges save.
 	hedgeDelay = 50 * time.Millisecond
 
-	// congestionHedgeDelay is added in proportion to congestion: where all queues are long a hedge only makes them longer.
+	// congestionHedgeDelay, times the congestion, is added to hedgeDelay: if all queues are long, a hedge only makes them longer.
 	congestionHedgeDelay = 200 * time.Millisecond
 
-	// startGracePeriod is how long after its send, beyond the round trips of a new connection, an attempt that is sent to a free
-	// slot has started. A worker with one that has not counts as full.
+	// startGracePeriod is the time after its send, plus the round trips of a new connection, by which an attempt at a free slot has
+	// started. If an attempt has not started by then, its worker counts as full.
 	startGracePeriod = 150 * time.Millisecond
 
-	// connectionRoundTrips is the number of round trips before a start, with those that a new connection takes.
+	// connectionRoundTrips is the number of round trips before a start, including those of a new connection.
 	connectionRoundTrips = 3
 )
 
-// startOverdue reports whether an attempt in flight should have started by now: whether, at a worker that reports starts, more
-// than the grace period and the round trips of a new connection have passed since the worker was asked.
+// startOverdue reports whether an attempt in flight has not started although more than the grace period and the round trips of a
+// new connection have passed since effectiveSentAt. It is false while the attempt waits for a connection, and always if workers
+// do not report starts.
 func (s *Scheduler) startOverdue(attempt *attempt, grace time.Duration) bool {
 	return attempt.inFlight && !attempt.waits && attempt.startedAt == 0 && s.settings.ReportsStart &&
-		s.now-attempt.askedAt() > grace+connectionRoundTrips*s.roundTripTimes[attempt.worker.Zone]
+		s.now-attempt.effectiveSentAt() > grace+connectionRoundTrips*s.roundTripTimes[attempt.worker.Zone]
 }
 
-// hedge sends a further attempt of request if the latest one in flight has no start for too long (needsHedge) or its worker is
-// ejected, and another worker can take it. A request that is tooLate is not hedged.
+// hedge sends a further attempt of request if the latest one in flight has waited too long for its start (needsHedge) or its
+// worker is ejected, and if another worker can take it. A request that is late (tooLate) is not hedged.
 func (s *Scheduler) hedge(request *request, latest *attempt, late bool) {
 	needed := s.needsHedge(latest)
 	if late || !needed && s.healthy(latest.worker, request.class) {
@@ -44,13 +45,13 @@
 	}
 }
 
-// needsHedge reports whether an attempt has gone without a start for too long. How long that is depends on what is known:
+// needsHedge reports whether an attempt has waited too long for its start. The limit depends on how well loads are known:
 //
-//   - Loads known roughly (all workers are candidates): hedgeDelay, and more with congestion.
-//   - A subset of the workers: the same, but the share of hedges among recent sends stays below maxCongestion less the
-//     congestion. What other dispatchers send there is unknown, and cancelled jobs may still run.
-//   - All loads known: a mean stay, and only without a signal of the worker since the send. There is no free slot to be
-//     found elsewhere, so a hedge would only add to the queues.
+//   - If all loads are known: meanStay (the mean time from send to outcome), and only without a signal of the worker since the
+//     send. A free slot elsewhere would be known, so a hedge would only lengthen the queues.
+//   - Otherwise: hedgeDelay + congestion x congestionHedgeDelay.
+//   - If requests go to a subset, in addition: recent hedges < (maxCongestion - congestion) x recent sends. The load that other
+//     dispatchers put on those workers is unknown, and cancelled jobs may still run.
 func (s *Scheduler) needsHedge(latest *attempt) bool {
 	overdue := s.startOverdue(latest, hedgeDelay+durationOf(s.congestion*congestionHedgeDelay.Seconds()))
 	if s.loadsKnown {
--- a/scheduler/hedging_test.go
+++ b/scheduler/hedging_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestHedging_noneWhereLoadsKnown checks that an attempt that waits at a worker is neither hedged nor given up if all loads are known and
+// TestHedging_noneWhereLoadsKnown checks that an attempt that waits at a worker is neither hedged nor cancelled if all loads are known and
 // workers execute cancelled jobs.
 func TestHedging_noneWhereLoadsKnown(t *testing.T) {
 	for class := range 3 {
@@ -16,22 +16,22 @@
 		driver.listWorkers(workers(3)...)
 		driver.submit(1, class)
 		if actions := driver.advance(800 * ms); countActions[Send](actions) != 0 || countActions[Cancel](actions) != 0 {
-			t.Errorf("class %d: attempts that wait got %v", class, actions)
+			t.Errorf("class %d: expected no Send and no Cancel while the attempt waits, got %v", class, actions)
 		}
 	}
 }
 
-// TestRoundTripTime_notCountedAsWait checks that the round-trip time to another zone does not count as a wait at the worker: it changes
-// neither the overcommit nor the congestion, and is added to the hedge delay.
+// TestRoundTripTime_notCountedAsWait checks that the round-trip time to a zone does not count as a wait at the worker: it changes
+// neither the overcommit nor the congestion, and delays hedges.
 func TestRoundTripTime_notCountedAsWait(t *testing.T) {
 	driver := newPartialViewDriver(t)
 	driver.scheduler.roundTripTimes[0] = 40 * ms
 	driver.submit(1, 0)
 	if actions := driver.advance(hedgeDelay + 100*ms); countActions[Send](actions) != 0 {
-		t.Errorf("hedged within four round trips: %v", actions)
+		t.Errorf("hedged before hedgeDelay and the round trips have passed: %v", actions)
 	}
 	if actions := driver.advance(100 * ms); countActions[Send](actions) == 0 {
-		t.Error("not hedged after them")
+		t.Error("not hedged after hedgeDelay and the round trips")
 	}
 	driver = newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -42,14 +42,13 @@
 		driver.finishServed(id, nil)
 	}
 	if driver.scheduler.congestion > 0 || driver.scheduler.overcommit < initialOvercommit || driver.scheduler.roundTripTimes[0] != 40*ms {
-		t.Errorf("starts after the round trip: congestion %v, overcommit %v, round-trip time %v", driver.scheduler.congestion, driver.scheduler.overcommit, driver.scheduler.roundTripTimes[0])
+		t.Errorf("all starts after one round trip of 40 ms: got congestion %v, overcommit %v, round-trip time %v", driver.scheduler.congestion, driver.scheduler.overcommit, driver.scheduler.roundTripTimes[0])
 	}
 }
 
-// hungWorkerShare simulates many dispatchers and n workers, of which the first ones take jobs and start none. Each request arrives
-// at one dispatcher in turn. It returns the share of the first attempts, in the last third of the requests, that went to the hung
-// workers.
-func hungWorkerShare(t *testing.T, dispatchers, n, hung, jobs int, every time.Duration) float64 {
+// hungWorkerShare simulates many dispatchers and n workers. The first hung workers accept jobs and start none. Requests arrive at
+// the dispatchers in turn. It returns the share of the first attempts, in the last third of the requests, that go to hung workers.
+func hungWorkerShare(t *testing.T, dispatchers, n, hung, jobs int, interval time.Duration) float64 {
 	t.Helper()
 	drivers := newDispatchers(t, dispatchers, n)
 	var toHung, all int
@@ -63,7 +62,7 @@
 	for i := range jobs {
 		driver := drivers[i%dispatchers]
 		id, hedges := RequestID(i+1), 0
-		driver.now = max(driver.now, start+time.Duration(i)*every)
+		driver.now = max(driver.now, start+time.Duration(i)*interval)
 		actions := driver.handle(RequestArrived{ID: id, Slots: 1, AffinityKey: uint64(i*7 + 1), Deadline: driver.now + 5*time.Second})
 		to := firstSendWorker(actions)
 		if i > 2*jobs/3 {
@@ -91,16 +90,16 @@
 	return float64(toHung) / float64(all)
 }
 
-// TestHedging_hungWorkersAreFound checks that workers that accept jobs and start none are found by each dispatcher from the few requests
-// that it sends there: they get at most 0.65 of their share of the first attempts.
+// TestHedging_hungWorkersAreFound checks that each dispatcher detects workers that accept jobs and start none, from the few requests
+// that it sends there: they get at most 0.65 of the first attempts that their number would give them.
 func TestHedging_hungWorkersAreFound(t *testing.T) {
 	const hung, n = 5, 30
 	if got := hungWorkerShare(t, 8, n, hung, 1600, 20*ms); got > 0.65*hung/n {
-		t.Errorf("%.3f of the first attempts go to them, %.3f of the workers are hung", got, float64(hung)/n)
+		t.Errorf("%.3f of the first attempts go to hung workers, %.3f of the workers are hung", got, float64(hung)/n)
 	}
 }
 
-// newPartialViewDriver returns the driver of one of many dispatchers that knows the loads of its workers roughly: all are
+// newPartialViewDriver returns the driver of one of 20 dispatchers that knows the loads of its workers only roughly. All workers are
 // candidates, as affinity is in use.
 func newPartialViewDriver(t *testing.T) *driver {
 	t.Helper()
@@ -112,8 +111,8 @@
 	return driver
 }
 
-// TestHedging_attemptWithoutStart checks that where loads are known roughly an attempt that does not start within hedgeDelay is hedged,
-// and that the first to start cancels the other. A request that is not idempotent is not hedged.
+// TestHedging_attemptWithoutStart checks that, if loads are known only roughly, an attempt that does not start within hedgeDelay is
+// hedged, and that the first attempt to start cancels the other. A request that is not idempotent is not hedged.
 func TestHedging_attemptWithoutStart(t *testing.T) {
 	for class, want := range map[int]int{0: 1, 1: 1, 2: 0} {
 		driver := newPartialViewDriver(t)
@@ -128,7 +127,7 @@
 }
 
 // TestHedging_fewerWithCongestionInSubset checks that of 100 requests to a subset at most 50 are hedged without congestion, and none with
-// it: hedges whose cancelled jobs are executed nevertheless would fill the queues.
+// maxCongestion: if workers execute the cancelled jobs of hedges nevertheless, these fill the queues.
 func TestHedging_fewerWithCongestionInSubset(t *testing.T) {
 	hedges := func(congestion float64) (sent int) {
 		settings := baseSettings()
@@ -140,7 +139,7 @@
 			driver.submit(id, 1)
 			driver.scheduler.congestion = congestion
 			for _, w := range driver.scheduler.workers {
-				driver.scheduler.recordSignal(w) // they respond
+				driver.scheduler.recordSignal(w) // so that none counts as silent
 			}
 			sent += countActions[Send](driver.advance(200 * ms))
 			driver.handle(ClientLeft{ID: id})
@@ -155,21 +154,21 @@
 		return sent
 	}
 	if few, none := hedges(0), hedges(maxCongestion); few == 0 || few > 50 || none > 0 {
-		t.Errorf("of 100 attempts that wait %d were hedged without congestion, and %d with it", few, none)
+		t.Errorf("of 100 attempts that wait, %d were hedged without congestion and %d with maxCongestion", few, none)
 	}
 }
 
-// TestHedging_laterWithCongestion checks that an attempt is hedged the later, the more starts are delayed.
+// TestHedging_laterWithCongestion checks that an attempt is hedged later if more starts are delayed.
 func TestHedging_laterWithCongestion(t *testing.T) {
 	for congestion, want := range map[float64]time.Duration{0: hedgeDelay, 0.5: hedgeDelay + congestionHedgeDelay/2} {
 		driver := newPartialViewDriver(t)
 		driver.scheduler.congestion, driver.scheduler.classes[1].workScale = congestion, 0.3 // otherwise there is no time for a hedge
 		driver.submit(1, 1)
 		if got := countActions[Send](driver.advance(want - 10*ms)); got != 0 {
-			t.Errorf("congestion %v: hedged before %v", congestion, want)
+			t.Errorf("congestion %v: hedged earlier than %v after the send", congestion, want)
 		}
 		if got := countActions[Send](driver.advance(hedgeDelay + 20*ms)); got != 1 {
-			t.Errorf("congestion %v: %d hedges after %v", congestion, got, want)
+			t.Errorf("congestion %v: got %d hedges after %v, want 1", congestion, got, want)
 		}
 	}
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -162,7 +162,7 @@
 
 // reportShowsLost reports whether an attempt has not started in time, although a later report of its worker shows a free slot.
 func (s *Scheduler) reportShowsLost(attempt *attempt) bool {
-	reportedSince := attempt.worker.reportedAt > attempt.askedAt()+minSilence
+	reportedSince := attempt.worker.reportedAt > attempt.effectiveSentAt()+minSilence
 	return reportedSince && s.startOverdue(attempt, minSilence+reportLookback) &&
 		attempt.worker.reportedLoad < 1-s.slotShare(attempt.worker, freeShareOfLostAttempt)
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Admission and the queue: what an arriving request gets, and the order in which queued requests are sent.
+// Admission and the queue: whether an arriving request is queued or rejected, and the order in which queued requests are sent.
 
-// onRequestArrived admits a request: it queues, unless its deadline is so near that only a rejection is in time. A second one
-// with the same id is ignored.
+// onRequestArrived queues a request. If its deadline is at most one review interval away, only a rejection can still be in
+// time, and it is rejected. A second request with the same id is ignored.
 func (s *Scheduler) onRequestArrived(event RequestArrived) {
 	if s.requests[event.ID] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(s.settings.Classes) {
-		event.Class = 0 // unknown: the first class stands in
+		event.Class = 0 // unknown: use the first class
 	}
 	if figureOrMissing(event.Slots) <= 0 {
 		event.Slots = 1
@@ -24,7 +24,7 @@
 	s.recordArrival()
 	s.recordKey(event.AffinityKey)
 	arrived := s.newRequest(event)
-	if s.shutdownDeadline > 0 { // not before: the time that this process leaves says nothing of how long the client has waited
+	if s.shutdownDeadline > 0 { // only now: newRequest estimates the client's wait from the client's own deadline
 		arrived.deadline = min(arrived.deadline, s.shutdownDeadline)
 	}
 	s.requests[event.ID] = arrived
@@ -36,7 +36,7 @@
 	s.queued = append(s.queued, arrived)
 }
 
-// recordArrival updates the own arrival rate, in requests a second.
+// recordArrival updates this dispatcher's arrival rate, in requests a second.
 func (s *Scheduler) recordArrival() {
 	window := min(max(s.now-s.firstEventAt, time.Second), arrivalRateWindow)
 	decay := math.Exp(-float64(s.now-s.lastArrivalAt) / float64(window))
@@ -44,7 +44,7 @@
 	s.lastArrivalAt = s.now
 }
 
-// recordKey counts a request's affinity key, if it has one. The first one ever makes all workers candidates (chooseSubset).
+// recordKey counts a request's affinity key, if it has one. The first key ever seen makes all workers candidates (chooseSubset).
 func (s *Scheduler) recordKey(key uint64) {
 	if key == 0 {
 		return
@@ -56,9 +56,9 @@
 	s.recentKeys.add(key, keysPerWorker*s.availableCount)
 }
 
-// newRequest returns the state of an arrived request. When its client first sent it is estimated from the time left to the
-// deadline: a client's retry has less than the longest time that its class ever had on arrival. One with less than half of that
-// is taken for the first request of a client with a shorter deadline.
+// newRequest returns the state of an arrived request. It estimates when the client first sent the request from the time left to
+// the deadline: a client's retry arrives with less time left than the longest ever seen in its class. If at most half of that
+// time is left, the request counts as the first one of a client with a shorter deadline.
 func (s *Scheduler) newRequest(event RequestArrived) *request {
 	class := &s.classes[event.Class]
 	timeLeft := event.Deadline - s.now
@@ -75,8 +75,8 @@
 	}
 }
 
-// sendQueued sends the queued requests, in the order of compareQueued, as far as workers have capacity. Requests whose affinity
-// worker takes them go first, since a free slot there serves them fastest.
+// sendQueued sends queued requests in the order of compareQueued, as far as workers have capacity. Requests that one of their
+// affinity workers can take go first: a free slot there serves them fastest.
 func (s *Scheduler) sendQueued() {
 	if len(s.queued) == 0 {
 		return
@@ -89,8 +89,9 @@
 	s.sendQueuedTo(false)
 }
 
-// sendQueuedTo sends what can be sent: to affinity workers alone, or to any. Once no worker takes a first attempt, no other first
-// attempt is tried. Retries always are, and one without a worker says nothing of the others: it may go to fewer workers.
+// sendQueuedTo sends the queued requests that a worker can take now; with affinityWorkersOnly only those that go to one of their
+// affinity workers. If no worker can take a first attempt, the other first attempts are skipped. A retry is always tried, and if
+// no worker can take it the others are tried nevertheless: it may go to fewer workers than they.
 func (s *Scheduler) sendQueuedTo(affinityWorkersOnly bool) {
 	full := false
 	s.queued = slices.DeleteFunc(s.queued, func(request *request) bool {
@@ -111,15 +112,15 @@
 	})
 }
 
-// compareQueued orders queued requests: those that can still be in time first, then by priority for their work, then the
-// youngest. Under overload the oldest are nearly lost, and sent first they would make all others late.
+// compareQueued orders queued requests: first those that can still be in time, then by descending priorityDensity, then the
+// latest arrivals first. Under overload the oldest requests are almost late; if they were sent first, all others would be late.
 func (s *Scheduler) compareQueued(a, b *request) int {
-	late := oneIf(s.spareWait(a) < 0) - oneIf(s.spareWait(b) < 0)
+	late := oneIf(s.startSlack(a) < 0) - oneIf(s.startSlack(b) < 0)
 	return cmp.Or(late, cmp.Compare(s.priorityDensity(b), s.priorityDensity(a)), cmp.Compare(b.sequence, a.sequence))
 }
 
-// priorityDensity returns the priority weight of request for each unit of its class's mean work, or, where weights are already
-// meant for a unit of work (WeightByWork), the weight alone.
+// priorityDensity returns the priority weight of request per unit of its class's mean work. If the weights are already per unit
+// of work (WeightByWork), it returns the weight itself.
 func (s *Scheduler) priorityDensity(request *request) float64 {
 	weight := request.settings.Classes[request.class].PriorityWeight
 	if s.settings.WeightByWork {
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -4,17 +4,18 @@
 	"slices"
 )
 
-// Retries and final answers: what permits a further attempt, and what the client gets if there is none.
+// Retries and final answers: when a further attempt is permitted, and what the client gets if none is.
 
-// permitted reports whether the rules let request go to worker at all, whatever the load: the worker is listed as ready, or its
-// return is unconfirmed and no other is, and it is not detached; its zone and machine kind are allowed, the request has attempts left, and
-// earlier attempts that may have executed do not forbid it. Of these
+// permitted reports whether request may be sent to worker, regardless of the load. All of these must hold:
 //
-//   - a non-idempotent request permits no further attempt,
-//   - an attempt still in flight permits one only where hedging is allowed,
-//   - a request with an idempotency key permits one only inside the deduplication scope (zone or cell) and window.
+//   - The worker is listed as ready and not detached. If no such worker can run the request, one whose return is unconfirmed will do.
+//   - The worker is of the machine kind of the request's class and in an allowed zone.
+//   - The request has attempts left.
+//   - If an earlier attempt may have executed, the request is idempotent or has an idempotency key. With a key the worker must be
+//     in the deduplication scope (zone or cell) of that attempt, and the deduplication window must not have ended.
+//   - If an earlier attempt is still in flight, MayHedge is set.
 func (s *Scheduler) permitted(request *request, worker *worker) bool {
-	if !worker.ready && !worker.ReturnUnconfirmed || worker.detached || !worker.runs(request) {
+	if !worker.ready && !worker.ReturnUnconfirmed || worker.detached || !worker.canRun(request) {
 		return false
 	}
 	if worker.ReturnUnconfirmed && s.anyAvailable(request) {
@@ -31,7 +32,7 @@
 
 // anyAvailable reports whether any worker that may run the request is listed as ready and not detached.
 func (s *Scheduler) anyAvailable(request *request) bool {
-	return slices.ContainsFunc(s.workers, func(w *worker) bool { return w.available() && w.runs(request) })
+	return slices.ContainsFunc(s.workers, func(w *worker) bool { return w.available() && w.canRun(request) })
 }
 
 // permittedAfter reports whether an earlier attempt that may have executed permits a further one at worker.
@@ -50,9 +51,9 @@
 	return true
 }
 
-// retrySendDeadline returns when the last byte of a further attempt must have left, or 0 for no bound: workers drop repeats of a
-// key for the deduplication window of its class, which counts from the first attempt that may have executed. One review interval is
-// left as a margin.
+// retrySendDeadline returns the time by which the last byte of a further attempt must have been sent, or 0 for no bound. Workers
+// drop repeats of a key only within the deduplication window of its class, which begins at the first attempt that may have executed.
+// The bound is one review interval before the end of the window.
 func (s *Scheduler) retrySendDeadline(request *request) Instant {
 	class := &request.settings.Classes[request.class]
 	first := slices.IndexFunc(request.attempts, mayHaveExecuted)
@@ -62,8 +63,8 @@
 	return request.attempts[first].sentAt + class.DeduplicationWindow - s.queueReviewInterval()
 }
 
-// retryPossible reports whether a further attempt is permitted now or, where none may have executed, as soon as a worker for it
-// is listed.
+// retryPossible reports whether a further attempt is permitted at some worker now. If no attempt may have executed, attempts left
+// are enough: a worker for the request may be listed later.
 func (s *Scheduler) retryPossible(request *request) bool {
 	if !request.anyAttempt(mayHaveExecuted) {
 		return len(request.attempts) < request.settings.MaxAttempts
@@ -71,9 +72,9 @@
 	return slices.ContainsFunc(s.workers, func(w *worker) bool { return s.permitted(request, w) })
 }
 
-// continueRequest decides what follows for a request when one of its attempts has ended: nothing if the client has its answer;
-// a failure for an invalid request; nothing while another attempt is in flight; otherwise a retry, for which the request queues,
-// or, if none is possible or the deadline is too near, a final answer.
+// continueRequest decides how a request continues after one of its attempts has ended. If the client has its answer, the request
+// is settled. An invalid request fails. While another attempt is in flight, nothing happens. Otherwise the request is queued for a
+// retry; if no retry is possible or the deadline is too near, it gets its final answer.
 func (s *Scheduler) continueRequest(request *request, event AttemptFinished) {
 	switch {
 	case event.Final || event.Outcome == Served:
@@ -92,8 +93,9 @@
 	}
 }
 
-// rejectOrFail gives the final answer of a request that is not served: Reject if the client may send it again without harm,
-// which holds if it is idempotent, if all workers drop repeats of its key, or if no attempt may have executed; otherwise Fail.
+// rejectOrFail gives the final answer to a request that is not served. It is Reject if the client may send the request again
+// without harm: if the request is idempotent, if all workers drop repeats of its key, or if no attempt may have executed.
+// Otherwise it is Fail.
 func (s *Scheduler) rejectOrFail(request *request, reason Reason) {
 	class := &request.settings.Classes[request.class]
 	repeatable := class.Idempotency == Idempotent ||
@@ -106,27 +108,27 @@
 	s.settleRequest(request)
 }
 
-// failRequest gives the final answer Fail, which does not permit the client to repeat the request.
+// failRequest gives the final answer Fail, which does not promise that repeating the request is harmless.
 func (s *Scheduler) failRequest(request *request, reason Reason) {
 	s.emit(Fail{ID: request.id, Reason: reason})
 	s.settleRequest(request)
 }
 
-// settleRequest marks that the client is owed nothing more and cancels the attempts in flight.
+// settleRequest marks that the request needs no further answer and cancels its attempts in flight.
 func (s *Scheduler) settleRequest(request *request) {
 	request.settled = true
 	s.cancelAttempts(request, everyAttempt)
 	s.deleteUnlessInFlight(request)
 }
 
-// deleteUnlessInFlight forgets a finished request once none of its attempts is in flight.
+// deleteUnlessInFlight removes a settled request unless one of its attempts is in flight.
 func (s *Scheduler) deleteUnlessInFlight(request *request) {
 	if !request.anyAttempt(isInFlight) {
 		delete(s.requests, request.id)
 	}
 }
 
-// onClientLeft ends a request whose client has gone.
+// onClientLeft settles a request whose client has left.
 func (s *Scheduler) onClientLeft(event ClientLeft) {
 	if request := s.requests[event.ID]; request != nil {
 		s.settleRequest(request)
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRetry_withKeyInZoneAndWindow checks that a request with an idempotency key that may have executed is retried only in its zone and
-// inside its deduplication window.
+// TestRetry_withKeyInZoneAndWindow checks that a request with an idempotency key that may have executed is retried only in its
+// deduplication zone and window.
 func TestRetry_withKeyInZoneAndWindow(t *testing.T) {
 	for _, test := range []struct {
 		after time.Duration
@@ -21,19 +21,19 @@
 		}
 		driver.listWorkers(infos...)
 		if w := driver.submit(1, 1); w != "w00" {
-			t.Fatalf("sent to %s", w)
+			t.Fatalf("expected the first attempt at w00, got %s", w)
 		}
 		driver.handle(AttemptStarted{ID: 1})
 		driver.now += test.after // the deduplication window is a second
 		if w := firstSendWorker(driver.handle(AttemptFinished{ID: 1, Worker: "w00", Outcome: Reset, ConnectionIdle: -1})); w != test.want {
-			t.Errorf("%+v: retried at %q", test, w)
+			t.Errorf("%+v: got a retry at %q", test, w)
 		}
 	}
 }
 
 // TestRetry_sendByInsideDeduplicationWindow checks that the SendBy of a retry with an idempotency key is inside the deduplication window
-// of the first attempt that may have executed, and at most 100 ms before its end. A first attempt, or one of an idempotent class, has no
-// such bound.
+// of the first attempt that may have executed, and at most 100 ms before the window's end. A first attempt and an attempt of an
+// idempotent class have no SendBy.
 func TestRetry_sendByInsideDeduplicationWindow(t *testing.T) {
 	settings := baseSettings()
 	settings.Classes[1].DeduplicationWindow = 700 * ms
@@ -50,19 +50,19 @@
 			return sendBy
 		}
 		if got := sendByOf(driver.handle(RequestArrived{ID: id, Class: class, Slots: 1, Deadline: driver.now + 5*time.Second})); len(got) != 1 || got[0] != 0 {
-			t.Fatalf("class %d, the first attempt: %v", class, got)
+			t.Fatalf("class %d, first attempt: expected one Send with SendBy 0, got SendBy %v", class, got)
 		}
 		driver.now += 100 * ms
 		got := sendByOf(driver.handle(AttemptFinished{ID: id, Outcome: Reset}))
 		if len(got) != 1 || bound != (got[0] > 0) || bound && (got[0] > at+700*ms || got[0] < at+600*ms) {
-			t.Errorf("class %d, a retry 100 ms later: SendBy %v, the first attempt was at %v", class, got, at)
+			t.Errorf("class %d: got a retry after 100 ms with SendBy %v, the first attempt was at %v", class, got, at)
 		}
 		driver.handle(ClientLeft{ID: id})
 	}
 	driver.handle(RequestArrived{ID: 9, Class: 1, Slots: 1, Deadline: driver.now + 5*time.Second})
 	driver.now += 700 * ms
 	if actions := driver.handle(AttemptFinished{ID: 9, Outcome: Reset}); countActions[Send](actions) != 0 {
-		t.Errorf("after the window: %v", actions)
+		t.Errorf("after the deduplication window: expected no Send, got %v", actions)
 	}
 }
 
@@ -74,18 +74,18 @@
 	for id := RequestID(1); id <= 4; id++ {
 		worker := driver.submit(id, 0)
 		if actions := driver.handle(AttemptFinished{ID: id, Worker: worker, Outcome: InvalidRequest}); countActions[Fail](actions) != 1 || countActions[Send](actions) != 0 {
-			t.Errorf("request %d: %v", id, actions)
+			t.Errorf("invalid request %d: expected one Fail and no Send, got %v", id, actions)
 		}
 	}
 	for _, worker := range driver.scheduler.workers {
 		if !driver.scheduler.healthy(worker, 0) || worker.ownSlots != 0 || worker.classEjections[0].failureCount != 0 {
-			t.Errorf("%s: healthy %v, %v own slots, %v failures", worker.ID, driver.scheduler.healthy(worker, 0), worker.ownSlots, worker.classEjections[0].failureCount)
+			t.Errorf("%s: expected healthy, 0 own slots and 0 failures, got healthy %v, %v own slots, %v failures", worker.ID, driver.scheduler.healthy(worker, 0), worker.ownSlots, worker.classEjections[0].failureCount)
 		}
 	}
 }
 
-// TestRetry_byOutcomeAndIdempotency checks what follows each outcome of a first attempt, by idempotency: a retry at another worker, or a
-// failure.
+// TestRetry_byOutcomeAndIdempotency checks, for each idempotency and outcome of a first attempt, whether the request is retried at
+// another worker or fails.
 func TestRetry_byOutcomeAndIdempotency(t *testing.T) {
 	const idempotent, withKey, nonIdempotent = 0, 1, 2
 	for _, test := range []struct {
@@ -104,7 +104,7 @@
 		actions := driver.handle(AttemptFinished{ID: 1, Worker: first, Outcome: test.outcome})
 		next := firstSendWorker(actions)
 		if (next != "") != test.retried || next == first || countActions[Fail](actions) == 1 == test.retried {
-			t.Errorf("class %d, outcome %d: %v, want a retry: %v", test.class, test.outcome, actions, test.retried)
+			t.Errorf("class %d, outcome %d: got %v, want a retry: %v", test.class, test.outcome, actions, test.retried)
 		}
 	}
 }
@@ -117,6 +117,6 @@
 	driver.listWorkers(infos...)
 	first := driver.submit(1, 1)
 	if actions := driver.handle(AttemptFinished{ID: 1, Worker: first, Outcome: Reset}); firstSendWorker(actions) != "" && firstSendWorker(actions) != first {
-		t.Errorf("retried in another zone: %v", actions)
+		t.Errorf("expected no retry in another zone, got %v", actions)
 	}
 }
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Review: the regular round over all open requests, driven by a timer. It detects silent workers and delayed starts, gives up
-// what is too late, hedges, renews the subset and sends the regular probes.
+// Review: the periodic check of all open requests, triggered by a timer. It detects silent workers and delayed starts, gives up
+// requests that are too late, hedges attempts, renews the subset and sends the regular probes.
 
 const (
 	// maxQueueReviewInterval bounds the time between reviews while requests are queued.
@@ -15,7 +15,7 @@
 	// idleReviewInterval is the time between reviews while no attempt awaits its start.
 	idleReviewInterval = 200 * time.Millisecond
 
-	// minStall is how late the timer of a review must be to show that this process, or its machine, stood still.
+	// minStall is how late the timer of a review must fire for this process, or its machine, to count as stalled.
 	minStall = 100 * time.Millisecond
 )
 
@@ -26,8 +26,8 @@
 	shutdownTimer = 3
 )
 
-// queueReviewInterval returns the time between reviews while requests are queued. It is also the margin that is left before a
-// request's deadline and a deduplication window: what is due before the next review has to be decided in this one.
+// queueReviewInterval returns the time between reviews while requests are queued. It is also the margin before a request's
+// deadline and before the end of a deduplication window: what is due before the next review has to be decided in this one.
 func (s *Scheduler) queueReviewInterval() time.Duration {
 	return min(maxQueueReviewInterval, max(s.settings.AnswerSlack/2, time.Millisecond))
 }
@@ -50,8 +50,8 @@
 	}
 }
 
-// detectStall notes when the timer of a review comes late: this process stood still, and all that came meanwhile is found at
-// once. No worker was silent then, and times measured in this turn are wrong.
+// detectStall detects that this process was stalled: the timer of a review is late. The events that occurred meanwhile are handled
+// at once now, so the stall does not count as silence of the workers, and times measured at this instant (resumedAt) are wrong.
 func (s *Scheduler) detectStall() {
 	if !s.reviewScheduled || s.now <= s.nextReviewAt+minStall || s.now == s.resumedAt {
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-// onTimerFired acts on a timer. That of an earlier review, replaced since, is ignored; after a stall the review waits until
-// what has come is read.
+// onTimerFired handles a timer. A review timer that fires before nextReviewAt belongs to a replaced review and is ignored. After a
+// stall the review is left to the next timer, so that the events that have arrived meanwhile are handled first.
 func (s *Scheduler) onTimerFired(event TimerFired) {
 	switch {
 	case event.Token == pollTimer:
@@ -78,7 +78,7 @@
 	}
 }
 
-// review is one round.
+// review checks all workers and open requests once.
 func (s *Scheduler) review() {
 	s.requestsByArrival = slices.DeleteFunc(s.requestsByArrival, func(r *request) bool { return s.requests[r.id] != r })
 	s.reviewWorkers()
@@ -94,7 +94,7 @@
 }
 
 // reviewWorkers counts, for each worker, the own attempts that have not started in time, and those that run for longer than
-// usual: they show a slow worker before they end. It also detects silence.
+// usual: they show a slow worker before they end. It also detects silent workers.
 func (s *Scheduler) reviewWorkers() {
 	for _, worker := range s.workers {
 		worker.delayedStarts, worker.runningSlownessSum, worker.runningSlownessJobs = 0, 0, 0
@@ -108,7 +108,7 @@
 	}
 }
 
-// countDelays adds an attempt to its worker's counts of delayed starts and of slow jobs that run now.
+// countDelays adds an attempt to its worker's counts of delayed starts and of slow running jobs.
 func (s *Scheduler) countDelays(request *request, attempt *attempt) {
 	worker := attempt.worker
 	if s.startOverdue(attempt, startGracePeriod) && !attempt.lost {
@@ -123,14 +123,16 @@
 	}
 }
 
-// reviewRequest decides, for a request that is owed an answer, in this order:
+// reviewRequest decides how a request without a final answer continues. The first rule that applies counts:
 //
-//  1. Without an attempt in flight (it is queued) it is answered if its deadline is near or it is too late.
-//  2. Past its deadline it fails.
-//  3. If it is too late and no attempt has started it is given up, unless workers run cancelled jobs all the same.
-//  4. It is left alone if it is not idempotent, its latest attempt is cancelled, one of its attempts has started and one in flight
-//     is at a healthy worker, or only one more attempt is left, which a retry may need.
-//  5. Otherwise it is hedged, where that is permitted, or its attempts at ejected workers are cancelled, so that it is retried.
+//  1. If no attempt is in flight (the request is queued), it gets its final answer if its deadline is near or it is too late.
+//  2. If half of AnswerSlack has passed since its deadline, it fails.
+//  3. If it is too late and no attempt in flight has started, it is given up, provided that workers report starts and drop enough cancelled
+//     jobs (maxExecutedShare).
+//  4. Nothing is done if it is not idempotent, if its latest attempt is cancelled, if an attempt in flight has started and one is
+//     at a healthy worker, or if only one more attempt is left, which a retry may need.
+//  5. If hedging is permitted, it is hedged. Otherwise, if all its attempts in flight are at ejected workers, they are cancelled,
+//     so that it is retried.
 func (s *Scheduler) reviewRequest(request *request) {
 	var latest *attempt
 	started, atHealthyWorker := false, false
@@ -149,7 +151,7 @@
 	case latest == nil:
 	case s.now >= request.deadline+settings.AnswerSlack/2:
 		s.failRequest(request, DeadlinePassed)
-	case late && !started && s.settings.ReportsStart && s.cancellations.undroppedShare() < maxUndroppedShare:
+	case late && !started && s.settings.ReportsStart && s.cancellations.executedShare() < maxExecutedShare:
 		s.giveUp(request, latest.worker)
 	case settings.Classes[request.class].Idempotency == NonIdempotent, latest.cancelled, started && atHealthyWorker,
 		len(request.attempts)+1 >= settings.MaxAttempts:
--- a/scheduler/review_test.go
+++ b/scheduler/review_test.go
@@ -16,6 +16,6 @@
 	driver.now += 30 * ms
 	actions = append(actions, driver.handle(TimerFired{Token: reviewTimer})...)
 	if countActions[Log](actions) != 0 || driver.scheduler.overcommit != initialOvercommit {
-		t.Errorf("after a stall of the process: %v, overcommit %v", actions, driver.scheduler.overcommit)
+		t.Errorf("after a stall of the process: expected no Log and the initial overcommit, got %v, overcommit %v", actions, driver.scheduler.overcommit)
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -12,13 +12,13 @@
 //
 // # Life of a request
 //
-// RequestArrived admits a request to the queue. After each event the queue is served: as far as workers
-// have capacity, requests leave it by Send, which starts an attempt. AttemptStarted says that the attempt
-// runs; those of the request's other attempts that have not started are then cancelled (Cancel), where
-// MayCancel is set. AttemptFinished brings its outcome: served, and the client has its answer; or not, and
-// the request queues again for a retry if its idempotency permits one. A review, by a timer (SetTimer,
-// TimerFired), hedges what has not started in time and gives up what is too late. A request ends with a
-// served attempt, Reject (sending it again is harmless) or Fail, or when its client has gone (ClientLeft).
+// RequestArrived admits a request to the queue. After each event, queued requests are sent as far as workers
+// have capacity; each Send starts an attempt. AttemptStarted says that the attempt runs. If MayCancel is set,
+// the request's other attempts that have not started are then cancelled (Cancel). AttemptFinished brings the
+// outcome. If the attempt was served, the client has its answer. Otherwise the request queues again for a
+// retry, if its idempotency permits one. A periodic review (SetTimer, TimerFired) hedges attempts that have
+// not started in time and gives up requests that are too late. A request ends with a served attempt, Reject
+// (sending it again is harmless) or Fail, or when its client has left (ClientLeft).
 //
 // # Invariants
 //
@@ -28,29 +28,29 @@
 //     is sent again only inside its deduplication scope and window. No request has more than MaxAttempts
 //     attempts.
 //   - Reject is given only if repeating the request is harmless.
-//   - No request is sent to a worker that the operator has detached, or that is not listed as ready. Where
-//     none that may run it is, it is sent to one whose return is unconfirmed.
+//   - No request is sent to a worker that the operator has detached, or that is not listed as ready. Only if
+//     no ready worker may run the request, it may go to one whose return is unconfirmed.
 //   - A warming worker gets no more than this dispatcher's share of its slow-start budget, or one request.
 //   - The same settings, seed and events give the same actions.
 //
 // # What the caller must do
 //
-// One goroutine at a time calls the methods of a Scheduler. It passes each event with the time, which never
-// goes back, and executes the returned actions in order before the next call: the result of Handle is
+// Only one goroutine at a time calls the methods of a Scheduler. It passes each event with the time, which
+// never goes back, and executes the returned actions in order before the next call: the result of Handle is
 // valid only until then. Each Send gets exactly one AttemptFinished, each Probe one ProbeCompleted, and
-// each SetTimer one TimerFired, late rather than early.
+// each SetTimer one TimerFired, which may be late but not early.
 //
 // # Where the rules are
 //
 //   - Which worker gets a request, and why: pickWorker, lowestScore and score (placement.go), loadValue
 //     (loadvalue.go), hasCapacity (overcommit.go), affinityRank (affinity.go), chooseSubset (subset.go)
-//   - What waits, and in which order it is sent: onRequestArrived and compareQueued (queue.go)
+//   - Which requests queue, and in which order they are sent: onRequestArrived, compareQueued (queue.go)
 //   - When an attempt is retried: continueRequest and permitted (retries.go), after learnFromOutcome
 //     (attempts.go); when it is hedged: needsHedge (hedging.go)
 //   - What is rejected, failed or given up, and when: rejectOrFail (retries.go), reviewRequest (review.go),
 //     tooLate (deadlines.go)
 //   - How a starting worker is protected from overload: withinSlowStartBudget (slowstart.go)
-//   - When a worker is ejected and let back: eject, healthy and recordSignal (outlier.go)
+//   - When a worker is ejected and readmitted: eject, healthy and recordSignal (outlier.go)
 //   - What the age of the endpoint list changes: freshUntil (freshness.go), pickWorker (placement.go); list
 //     updates, detached workers and polls: endpoints.go
 //   - When workers are probed: probeSubset (probing.go), probeBeforeUse (freshness.go)
@@ -72,35 +72,35 @@
 	actions  []Action // of the current event
 
 	// The workers.
-	workers                []*worker // all that a list ever named, by id; never shortened
+	workers                []*worker // all that a list ever named, by id; none is removed
 	workersByID            map[WorkerID]*worker
 	detached               map[WorkerID]bool // by the operator, whether or not a list has named them
 	listAsOf               Instant           // the endpoint list includes all changes up to this time
-	availableCount         int               // of listed workers that are not detached
-	totalWeight            float64           // of the same
-	reportAttemptsInFlight int               // in flight, to bring an overdue report (attempt.forReport)
+	availableCount         int               // number of ready workers that are not detached
+	totalWeight            float64           // of these workers
+	reportAttemptsInFlight int               // number of attempts in flight with forOverdueReport
 
 	// The candidates.
-	subset            []*worker // that requests are sent to, by id or in this dispatcher's order; see usesSubset
+	subset            []*worker // workers to send to, by id or in this dispatcher's order; see usesSubset
 	subsetChosenAt    Instant
 	loadsKnown        bool // the fleet is so small that all loads are known
 	affinityInUse     bool // a request with an affinity key has arrived
 	rotationCursor    int  // round robin among ties: index of the first candidate
 	hashRing          []*worker
-	hashRingSum       uint64    // of the hashes of its members
+	hashRingSum       uint64    // sum of the hashes of its members
 	warmingCandidates []*worker // warming workers of which this dispatcher has a slow-start share
 	candidateBuffer   []*worker // reused by candidatesForKey
 
 	// The requests.
 	requests          map[RequestID]*request
 	requestsByArrival []*request
-	queued            []*request // those that wait here for a worker
+	queued            []*request // those that wait for a worker
 	lastSequence      int
 
 	// What was learned.
-	overcommit        float64 // share of its slots that a worker may be filled beyond them
+	overcommit        float64 // how far a worker may be filled beyond its slots, as a share of them
 	congestion        float64 // share of the recent attempts whose start was delayed
-	arrivalRate       float64 // own requests a second
+	arrivalRate       float64 // requests a second that arrive here
 	meanStay          float64 // seconds from send to outcome
 	meanWork          float64 // of a job, in slot-seconds
 	meanOthersLoad    float64 // of other dispatchers, as a share of a worker
@@ -113,17 +113,17 @@
 	logSlownessByKind map[int]float64       // mean logSlowness of a machine kind
 	slotsByKind       map[int]float64       // the most slots seen at a worker of a machine kind
 	roundTripTimes    map[int]time.Duration // by zone: the least time from send to start
-	shortestIdleLoss  time.Duration         // after which a connection was lost lately; 0 if none was
+	shortestIdleLoss  time.Duration         // after which a connection was lost recently; 0 for none
 	idleLossAt        Instant               // when an idle connection was last lost
 	firstEventAt      Instant
 	lastArrivalAt     Instant
-	resumedAt         Instant // the turn in which this process found that it had stood still
+	resumedAt         Instant // the event time at which the last stall of this process was detected
 	reviewScheduled   bool
 	nextReviewAt      Instant
 
 	// The process.
-	processes        int     // that act as this dispatcher
-	tookOver         bool    // has the state of a predecessor, which sent a share of its own
+	processes        int     // number that act as this dispatcher
+	tookOver         bool    // has the learned state of a predecessor, which had its own slow-start share
 	shutdownDeadline Instant // when this process ends; 0 while unknown
 }
 
@@ -148,7 +148,7 @@
 }
 
 // Handle processes one event at the time now and returns the actions that follow, to be executed in order.
-// A time before that of an earlier event counts as the earlier one. The result is valid until the
+// If now is before the time of an earlier event, that time is used instead. The result is valid until the
 // next call.
 func (s *Scheduler) Handle(now Instant, event Event) []Action {
 	s.now = max(s.now, now)
