--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Action is something that a scheduler wants done. The actions are the structs below; the caller executes them in order.
+// Action is what a scheduler tells its caller to do. The actions are the structs below; the caller executes them in order.
 type Action interface{ action() }
 
 // Send starts an attempt. A request's attempts are numbered 0, 1, 2 and so on as they are sent. An attempt lasts until its
-// outcome, or until the client stops waiting. One whose last byte has not left by SendBy must not leave: its outcome is
-// NeverSent, or NoConnect if its write had begun.
+// outcome, or until the client stops waiting. If its last byte has not been sent by SendBy, it must not be sent any more: its
+// outcome is NeverSent, or NoConnect if its write had begun.
 type Send struct {
 	ID     RequestID
 	Worker WorkerID
@@ -23,11 +23,11 @@
 // Reject is a final answer: the client may send the request again without harm.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // advice when; 0 for none
+	RetryAfter time.Duration // advice to the client; 0 for none
 	Reason     Reason
 }
 
-// Fail is a final answer that promises nothing: the request may have executed.
+// Fail is a final answer that does not promise that sending the request again is harmless: it may have executed.
 type Fail struct {
 	ID     RequestID
 	Reason Reason
@@ -39,7 +39,7 @@
 // The reasons.
 const (
 	ReasonUnknown  Reason = iota
-	DeadlineNear          // the deadline is too near for an attempt, or for waiting on
+	DeadlineNear          // the deadline is too near for an attempt, or for waiting any longer
 	DeadlinePassed        // the deadline has passed, with an attempt in flight
 	TooLate               // a late answer has no value, and the request could not start in time
 	NoRetryLeft           // an attempt has ended, and no further one is permitted
@@ -62,10 +62,10 @@
 // Probe asks a worker whether it takes requests, and for its load report; a ProbeCompleted follows.
 type Probe struct{ Worker WorkerID }
 
-// Subscribe asks for the changes of the endpoint list from now on, those that were missed first.
+// Subscribe asks for the changes of the endpoint list: first those that were missed, then further ones as they occur.
 type Subscribe struct{}
 
-// SetTimer asks for a TimerFired event with the token, After from now.
+// SetTimer asks for a TimerFired event with the token once After has passed.
 type SetTimer struct {
 	Token uint64
 	After time.Duration
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Instant is a point in time: the time since an epoch that the caller picks (package routing: the Unix epoch) and never moves back.
+// Instant is a point in time, as the time since an epoch that the caller chooses (package routing: the Unix epoch). The caller's time
+// never goes back.
 type Instant = time.Duration
 
-// RequestID identifies one client request, a client's retry included. It is never reused within a scheduler's life.
+// RequestID identifies one arrival of a request: a client's retry gets another one. It is never reused within a scheduler's life.
 type RequestID uint64
 
-// WorkerID is the stable name of a worker. Nothing else follows from it.
+// WorkerID is the stable name of a worker. It carries no other information.
 type WorkerID string
 
 // Event is something that happened to a dispatcher. The events are the structs below.
 type Event interface{ event() }
 
-// ListKind says how an EndpointsUpdated event relates to the endpoint list before it.
+// ListKind says how an EndpointsUpdated event relates to the previous endpoint list.
 type ListKind uint8
 
 // The kinds of endpoint updates.
 const (
 	ListDelta  ListKind = iota // only the workers that changed
 	ListFull                   // all workers; absent ones are gone
-	ListCached                 // all workers as once known, perhaps long ago
-	ListFailed                 // the call failed or the watch broke; the list before stays in force
+	ListCached                 // all workers from a cached list, which may be old
+	ListFailed                 // the call failed or the watch broke; the previous list stays in force
 )
 
-// WorkerState is a worker's state by the endpoint list.
+// WorkerState is a worker's state in the endpoint list.
 type WorkerState uint8
 
-// The states: it takes requests, it finishes those that it has, it is no longer listed.
+// The states of a worker: it takes requests; it only finishes the requests it has; it is no longer listed.
 const (
 	Ready WorkerState = iota
 	Draining
@@ -49,10 +50,10 @@
 	MachineKind    int
 	Weight         float64 // relative size
 	StartedAt      Instant // when it last started; 0 for long ago
-	StartConfirmed bool    // StartedAt holds even where it is earlier than the one known before
+	StartConfirmed bool    // StartedAt replaces the known start even if it is earlier
 
-	// ReturnUnconfirmed is set for a worker that is Draining by what is known and ready by a list that may be older. It gets requests
-	// only where no other worker may run them.
+	// ReturnUnconfirmed is set for a worker that is known as Draining and is ready in a list that may be older than this knowledge.
+	// It gets a request only if no other worker may run it.
 	ReturnUnconfirmed bool
 }
 
@@ -60,18 +61,18 @@
 type EndpointsUpdated struct {
 	ListKind ListKind
 	Workers  []WorkerInfo
-	AsOf     Instant // all changes up to this time are included by now; 0 if that is as before
+	AsOf     Instant // the list now includes all changes up to this time; 0 if this has not changed
 }
 
-// RequestArrived is a client's request. The scheduler owes it one final answer (Reject, Fail or a served attempt) by Deadline.
+// RequestArrived is a client's request. It gets one final answer (Reject, Fail or a served attempt) by Deadline.
 type RequestArrived struct {
 	ID            RequestID
-	Class         int           // number in Settings.Classes; the first stands in for an unknown one
-	Slots         float64       // of a worker that its job takes; 0 or less, or not a number, counts as 1
+	Class         int           // number in Settings.Classes; an unknown one counts as 0
+	Slots         float64       // number of a worker's slots that its job takes; 0 or less, or not a number, counts as 1
 	Deadline      Instant       // when the client stops waiting
 	EstimatedWork time.Duration // rough estimate of its runtime; 0 if unknown
 	AffinityKey   uint64        // requests with the same key should share workers; 0 for none
-	AllowedZones  uint64        // zones that it may be sent to, a bit for each number; 0 for all
+	AllowedZones  uint64        // zones that it may be sent to, a bit for each zone number; 0 for all
 }
 
 // Outcome is how an attempt or a probe ended.
@@ -81,13 +82,13 @@
 const (
 	Served         Outcome = iota
 	Errored                // ended with an error; may have executed
-	Full                   // rejected by the worker for want of capacity; never executed
-	TimedOut               // may have executed, or may yet
-	NoConnect              // no connection, or the request was not written whole; never executed
+	Full                   // rejected by the worker for lack of capacity; never executed
+	TimedOut               // may have executed, or may still execute
+	NoConnect              // no connection, or the request was not written completely; never executed
 	Reset                  // the connection broke; may have executed
 	Cancelled              // cancelled by the dispatcher; may have executed
-	NeverSent              // did not leave; never executed
-	InvalidRequest         // the request itself is invalid; never executed, and no worker would
+	NeverSent              // its write did not begin; never executed
+	InvalidRequest         // the request itself is invalid; never executed, and no other worker would execute it
 )
 
 var outcomeNames = [...]string{Served: "served", Errored: "errored", Full: "full", TimedOut: "timed out", NoConnect: "no connection",
@@ -107,10 +108,10 @@
 // AttemptFinished brings the outcome of an attempt; each Send gets exactly one.
 type AttemptFinished struct {
 	ID             RequestID
-	Attempt        int // number, as in Send
+	Attempt        int // number of the attempt, as in Send
 	Worker         WorkerID
 	Outcome        Outcome
-	Final          bool          // the client has its answer, or the request was over before
+	Final          bool          // the client has its answer, or the request had ended before
 	Report         *Report       // nil for none
 	ConnectionIdle time.Duration // how long the connection had been idle before the attempt; below 0 if unknown
 }
@@ -118,12 +119,12 @@
 // ProbeCompleted brings the outcome of a Probe.
 type ProbeCompleted struct {
 	Worker  WorkerID
-	Outcome Outcome // Served if the worker answered that it takes requests
+	Outcome Outcome // Served if the worker has answered that it takes requests
 	Report  *Report // nil for none
 }
 
-// AttemptWaits says that an attempt waits for a connection, as this process has as many open as it may, or that it waits no more. Until then
-// the worker has been asked nothing. An attempt of which nothing is said does not wait.
+// AttemptWaits says that an attempt waits for a connection, as this process has reached its connection limit, or that the wait has
+// ended. While the attempt waits, nothing is sent to the worker. An attempt without such an event does not wait.
 type AttemptWaits struct {
 	ID      RequestID
 	Attempt int
@@ -148,31 +149,34 @@
 	Share   float64
 }
 
-// ClientLeft says that the client has gone: nothing is owed for the request any more.
+// ClientLeft says that the client has left: the request needs no answer any more.
 type ClientLeft struct{ ID RequestID }
 
 // ShutdownStarted says that this process ends at Deadline: open requests, and those that still arrive, are answered by then.
 type ShutdownStarted struct{ Deadline Instant }
 
-// WorkerDetached says that the operator has detached a worker: it gets no requests, whatever the endpoint list says.
+// WorkerDetached says that the operator has detached a worker: it gets no requests, regardless of the endpoint list.
 type WorkerDetached struct{ Worker WorkerID }
 
-// WorkerReattached ends a detachment. The worker was most likely restarted, so what was learned of it is void.
+// WorkerReattached ends a detachment. The worker was most likely restarted, so its statistics are reset.
 type WorkerReattached struct{ Worker WorkerID }
 
-// ProcessCountChanged brings the number of processes that act as this one dispatcher: two during a handover.
+// ProcessCountChanged brings the number of processes that act as this dispatcher: two during a handover.
 type ProcessCountChanged struct{ Processes int }
 
 // SettingsChanged brings new settings. A class keeps its number for the scheduler's life: new classes are appended, and a class
 // whose rules change becomes a new one. Open requests keep the settings that they arrived under.
 type SettingsChanged struct{ Settings Settings }
 
-// LearnedStateReceived brings what an earlier process has learned: that of the predecessor that this one takes over from, after the
-// first endpoint list and before any request; or that in the endpoint cache, the classes at the start and the workers later, without
-// classes, once discovery has confirmed them. An event with classes that is not FromCache makes this process a successor (Scheduler.tookOver).
+// LearnedStateReceived brings what an earlier process has learned. It comes from one of two sources:
+//
+//   - The predecessor from which this process takes over: after the first endpoint list and before any request.
+//   - The endpoint cache (FromCache): the classes at the start; later the workers, without classes, once discovery has confirmed them.
+//
+// An event with classes that is not FromCache makes this process a successor (Scheduler.tookOver).
 type LearnedStateReceived struct {
 	LearnedState LearnedState
-	FromCache    bool // the process that learned it may have been killed a moment ago
+	FromCache    bool // from the endpoint cache: the process that learned it may have been killed a moment ago
 }
 
 // TimerFired answers a SetTimer.
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -7,9 +7,9 @@
 	"brassdale/scheduler"
 )
 
-// Example shows the actions from settings through list, request, report and outcome.
+// Example passes an endpoint list, a request and the outcomes of its two attempts to a scheduler and prints the actions.
 func Example() {
-	d := scheduler.New(scheduler.Settings{
+	dispatcher := scheduler.New(scheduler.Settings{
 		Dispatchers: 1,
 		Classes: []scheduler.Class{{
 			LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second, PriorityWeight: 1,
@@ -18,7 +18,7 @@
 		ReportsStart: true, MaxAttempts: 3, AnswerSlack: 20 * time.Millisecond,
 	}, 42)
 	show := func(now time.Duration, ev scheduler.Event) {
-		for _, a := range d.Handle(now, ev) {
+		for _, a := range dispatcher.Handle(now, ev) {
 			fmt.Printf("%T%+v\n", a, a)
 		}
 	}
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// newDispatchers returns the drivers of many dispatchers with one list of n workers.
+// newDispatchers returns one driver for each dispatcher, all with the same list of n workers.
 func newDispatchers(t *testing.T, dispatchers, n int) (drivers []*driver) {
 	t.Helper()
-	for me := range dispatchers {
+	for index := range dispatchers {
 		settings := baseSettings()
-		settings.DispatcherIndex, settings.Dispatchers, settings.ReportsPulled, settings.MayProbe = me, dispatchers, true, true
+		settings.DispatcherIndex, settings.Dispatchers, settings.ReportsPulled, settings.MayProbe = index, dispatchers, true, true
 		driver := newDriver(t, settings)
 		driver.listWorkers(workers(n)...)
 		drivers = append(drivers, driver)
@@ -19,17 +19,17 @@
 	return drivers
 }
 
-// learnRuntimes serves requests one after the other, each with the same runtime.
-func (d *driver) learnRuntimes(jobs RequestID, run time.Duration) {
+// learnRuntimes serves requests one after the other, all with the same runtime.
+func (d *driver) learnRuntimes(jobs RequestID, runtime time.Duration) {
 	for id := RequestID(1); id <= jobs; id++ {
 		d.submit(id, 0)
 		d.handle(AttemptStarted{ID: id})
-		d.advance(run)
+		d.advance(runtime)
 		d.finishServed(id, nil)
 	}
 }
 
-// zonedWorkers returns n workers spread over zones.
+// zonedWorkers returns n workers spread evenly over the zones.
 func zonedWorkers(n, zones int) []WorkerInfo {
 	infos := make([]WorkerInfo, n)
 	for i := range infos {
@@ -38,7 +38,7 @@
 	return infos
 }
 
-// newSchedulers returns the schedulers of n dispatchers, each with the list.
+// newSchedulers returns the schedulers of n dispatchers, each with the same endpoint list.
 func newSchedulers(s Settings, n, zones int, infos []WorkerInfo) []*Scheduler {
 	schedulers := make([]*Scheduler, n)
 	for i := range schedulers {
@@ -69,7 +69,8 @@
 	return &driver{t: t, scheduler: New(s, 1), now: start}
 }
 
-// newSettledDriver returns a driver whose scheduler has run for longer than the sends of a predecessor count.
+// newSettledDriver returns a driver whose scheduler has run for long enough that the sends of a predecessor no longer use up its
+// slow-start share.
 func newSettledDriver(t *testing.T, s Settings) *driver {
 	t.Helper()
 	driver := newDriver(t, s)
@@ -99,9 +100,9 @@
 	d.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers})
 }
 
-// submit passes a request of class c with two seconds left and returns the worker it was sent to, or "".
-func (d *driver) submit(id RequestID, c int) WorkerID {
-	return firstSendWorker(d.handle(RequestArrived{ID: id, Class: c, Slots: 1, Deadline: d.now + 2*time.Second}))
+// submit passes a request of the class with two seconds left and returns the worker it was sent to, or "".
+func (d *driver) submit(id RequestID, class int) WorkerID {
+	return firstSendWorker(d.handle(RequestArrived{ID: id, Class: class, Slots: 1, Deadline: d.now + 2*time.Second}))
 }
 
 // finishServed passes the outcome Served for attempt 0 of a request.
@@ -109,7 +110,7 @@
 	return d.handle(AttemptFinished{ID: id, Outcome: Served, Final: true, Report: r})
 }
 
-// firstSendWorker returns the worker of the first Send, "" without one.
+// firstSendWorker returns the worker of the first Send, or "" if there is none.
 func firstSendWorker(actions []Action) WorkerID {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
@@ -137,14 +138,14 @@
 	return infos
 }
 
-// baseSettings returns settings with an idempotent class, one with idempotency keys and one that is not idempotent.
+// baseSettings returns settings with three classes: 0 idempotent, 1 with idempotency keys, 2 not idempotent.
 func baseSettings() Settings {
-	c := Class{LatencyObjective: 200 * ms, ObjectiveStretch: 2, Deadline: 2 * time.Second, PriorityWeight: 1, MachineKind: -1, DeduplicationWindow: time.Second}
-	withKey, nonIdempotent := c, c
+	class := Class{LatencyObjective: 200 * ms, ObjectiveStretch: 2, Deadline: 2 * time.Second, PriorityWeight: 1, MachineKind: -1, DeduplicationWindow: time.Second}
+	withKey, nonIdempotent := class, class
 	withKey.Idempotency, withKey.DeduplicationScope = IdempotentWithKey, ScopeZone
 	nonIdempotent.Idempotency = NonIdempotent
 	return Settings{
-		Dispatchers: 2, Classes: []Class{c, withKey, nonIdempotent}, ReportsStart: true, ProgressInterval: time.Second,
+		Dispatchers: 2, Classes: []Class{class, withKey, nonIdempotent}, ReportsStart: true, ProgressInterval: time.Second,
 		MayCancel: true, MaxAttempts: 4, AnswerSlack: 20 * ms,
 		SlowStartDuration: 10 * time.Second, SlowStartCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -5,40 +5,42 @@
 	"slices"
 )
 
-// Placement: which worker takes a request.
+// Placement: which worker gets a request. It is the one with the lowest score, round robin among ties, of the workers that meet
+// all of these conditions:
 //
-// Of the workers that the request may be sent to (permitted), that are neither ejected nor tried before (suitable), that have
-// capacity for it (hasCapacity, withinSlowStartBudget) and whose place on the endpoint list is recent enough (confirmedFresh), the
-// one with the lowest score wins; round robin decides among ties.
+//   - The request may be sent to the worker (permitted).
+//   - The worker is neither ejected nor tried before (suitable).
+//   - It has capacity for the request (hasCapacity, withinSlowStartBudget).
+//   - Its state was confirmed recently enough (confirmedFresh).
 
 const (
-	// crossZoneWeight is the load difference, as a share of a worker, that makes up for sending across zones, for each unit of
-	// Settings.CrossZoneCost, where the loads of all workers are known.
+	// crossZoneWeight is the load, as a share of a worker and per unit of Settings.CrossZoneCost, that is added to the score of a
+	// worker in another zone if the loads of all workers are known.
 	crossZoneWeight = 15
 
-	// subsetCrossZoneWeight replaces crossZoneWeight where requests go to a subset, whose loads are known roughly.
+	// subsetCrossZoneWeight replaces crossZoneWeight if loads are known only roughly, as in a subset.
 	subsetCrossZoneWeight = 3
 
-	// failureLoad is the load that is added to a worker's value for a failure share of 1, as a multiple of its capacity.
+	// failureLoad is the load, as a multiple of a worker's capacity, that is added to its score for a failure share of 1.
 	failureLoad = 2
 
-	// tieTolerance is the difference below which two scores are equal.
+	// tieTolerance is the difference below which two scores count as equal.
 	tieTolerance = 1e-9
 )
 
 // scoreTerms are the parts of a score that are the same for all candidates of one request.
 type scoreTerms struct {
 	crossZoneLoad     float64         // added to a worker of another zone
-	logSlownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil where the loads show it
-	sharedRank        float64         // affinity ranks up to this one count alike
+	logSlownessByKind map[int]float64 // mean logarithm of the slowness of a machine kind; nil if the loads reflect it
+	sharedRank        float64         // affinity ranks up to this one count as equal
 }
 
-// pickWorker returns the worker that request is sent to now, or nil if there is none at the moment.
+// pickWorker returns the worker to which request should be sent now, or nil if there is none at the moment.
 //
 // If the best worker is no longer confirmedFresh, it is probed, and the request waits up to probeBeforeUseWait for the result:
-// the next worker in order usually costs more than this wait. After that the best of the fresh ones is taken.
+// the second best usually costs more than this wait. After that the best confirmedFresh worker is taken.
 //
-// In addition to its result it may emit a Probe, and it moves the rotation cursor past the best worker even if the caller does not use it.
+// Side effects: it may emit a Probe, and it moves the rotation cursor past the best worker even if the caller does not use it.
 func (s *Scheduler) pickWorker(request *request) *worker {
 	best := s.lowestScore(request, s.freshOrProbeable)
 	if best == nil || s.confirmedFresh(best) {
@@ -52,7 +54,7 @@
 }
 
 // lowestScore returns the worker with the lowest score among the eligible ones that can take request now, or nil. Equal scores
-// go to the worker with the fewest sends by weight, then to the first one from the rotation cursor, which moves past the winner.
+// go to the worker with the lowest weightedSends, then to the first one from the rotation cursor, which moves past the winner.
 func (s *Scheduler) lowestScore(request *request, eligible func(*worker) bool) *worker {
 	candidates, acceptUnsuitable := s.candidates(request, eligible)
 	terms := s.scoreTerms(request)
@@ -80,8 +82,8 @@
 }
 
 // candidates returns the workers to choose from: the subset (for a request with an affinity key, the key's part of it), or all
-// workers if none of the subset is permitted and suitable. If none at all is, acceptUnsuitable is set: an ejected worker, or one
-// that was tried before, is better than none.
+// workers if none of the subset is eligible, permitted and suitable. If no worker at all is, acceptUnsuitable is set: an ejected
+// worker, or one that was tried before, is better than none.
 func (s *Scheduler) candidates(request *request, eligible func(*worker) bool) (candidates []*worker, acceptUnsuitable bool) {
 	usable := func(candidate *worker) bool {
 		return eligible(candidate) && s.permitted(request, candidate) && s.suitable(request, candidate)
@@ -98,27 +100,27 @@
 	return s.healthy(worker, request.class) && !request.hasTried(worker)
 }
 
-// scoreTerms returns what the scores of a request's candidates have in common.
+// scoreTerms returns the parts that are the same in the scores of all candidates of a request.
 func (s *Scheduler) scoreTerms(request *request) scoreTerms {
 	terms := scoreTerms{
 		crossZoneLoad:     s.settings.CrossZoneCost * subsetCrossZoneWeight,
 		logSlownessByKind: s.logSlownessByKind,
 		sharedRank:        s.affinityWidth(request.affinityKey) / max(s.totalWeight, 1e-3),
 	}
-	if s.loadsKnown { // the loads are known well, and show the pace of a machine kind too
+	if s.loadsKnown { // the loads already reflect the speed of a machine kind
 		terms.crossZoneLoad, terms.logSlownessByKind = s.settings.CrossZoneCost*crossZoneWeight, nil
 	}
 	return terms
 }
 
-// score returns the order of a worker among the candidates of a request: the lowest wins. It is the load value, as a share of
-// the worker, plus what the worker's slowness, its recent failures and another zone cost. Two rules change the order:
+// score returns the score of a worker for a request: the candidate with the lowest score is chosen. The score is the load value,
+// as a share of the worker, plus additions for its slowness, its recent failures and another zone. Two rules change it:
 //
 //   - A worker without own attempts that the operator has just reattached, or that warms up while many requests wait elsewhere,
-//     comes first (two affinityOffsets less): it would not get work by its load alone.
-//   - Workers with a free slot for a request with an affinity key come next, ordered by the key (affinityScore) instead of load.
+//     comes first (2 x affinityOffset less): by its load alone it would not get work.
+//   - For a request with an affinity key, workers with a free slot come next, ordered by the key (affinityScore) instead of load.
 //
-// So the scores are in three ranges, each below the next: about -2 affinityOffsets, between -affinityOffset and 0, and the loads from 0 up.
+// So there are three ranges of scores: about -2 x affinityOffset, between -affinityOffset and 0, and the loads from 0 up.
 func (s *Scheduler) score(request *request, worker *worker, terms *scoreTerms) float64 {
 	score := s.loadValue(worker)
 	slowFactor := s.slowdown(worker) * math.Exp(terms.logSlownessByKind[worker.MachineKind])
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// request is an open client request: one that is owed a final answer or has attempts in flight.
+// request is an open client request: it has no final answer yet, or still has attempts in flight.
 type request struct {
-	id              RequestID
-	settings        *Settings // in force when it arrived: its class, MaxAttempts, MayHedge, MayCancel, MaxRetryAfter, AnswerSlack; else Scheduler.settings
+	id RequestID
+	// settings are those in force when the request arrived. Only its class, MaxAttempts, MayHedge, MayCancel, MaxRetryAfter and
+	// AnswerSlack are read from them, everything else from Scheduler.settings.
+	settings        *Settings
 	class           int
 	sequence        int // number in the order of arrival
 	slots           float64
 	affinityKey     uint64        // 0 for none
 	estimatedWork   time.Duration // 0 if unknown
-	clientStartedAt Instant       // when its client first sent it, by estimate: before the arrival of a client's retry
+	clientStartedAt Instant       // estimate of when its client first sent it; before its arrival if it is a client's retry
 	deadline        Instant
-	allowedZones    uint64 // a bit for each number; 0 for all
+	allowedZones    uint64 // a bit for each zone number; 0 for all
 	attempts        []attempt
-	settled         bool // the final answer is given, or nothing is owed
+	settled         bool // it has its final answer, or its client has left
 	streamed        bool // its answer has begun to reach the client
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -101,7 +101,7 @@
 	overcommit        float64 // how far a worker may be filled beyond its slots, as a share of them
 	congestion        float64 // share of the recent attempts whose start was delayed
 	arrivalRate       float64 // requests a second that arrive here
-	meanStay          float64 // seconds from send to outcome
+	meanStay          float64 // mean seconds from an attempt's send to its outcome
 	meanWork          float64 // of a job, in slot-seconds
 	meanOthersLoad    float64 // of other dispatchers, as a share of a worker
 	servedJobs        int
--- a/scheduler/scheduler_bench_test.go
+++ b/scheduler/scheduler_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkJob measures one request from its arrival to its end, at one of eighty dispatchers, by the number of workers and with or
-// without affinity keys.
+// BenchmarkJob measures the handling of one request from its arrival to its end, at one of 80 dispatchers, by the number of workers
+// and with or without affinity keys.
 func BenchmarkJob(b *testing.B) {
 	for _, withKeys := range []bool{true, false} {
 		for _, n := range []int{12, 60, 200, 1000, 5000} {
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkHandle measures one request from its arrival to its end, by the number of workers.
+// BenchmarkHandle measures the handling of one request from its arrival to its end, at one of 300 dispatchers, by the number of workers.
 func BenchmarkHandle(b *testing.B) {
 	for _, n := range []int{20, 200} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestSchedulerFile_sizeLimits checks the size limits of scheduler.go: 950 lines that are not blank, and 110 characters a line.
+// TestSchedulerFile_sizeLimits checks the size limits of scheduler.go: 950 non-blank lines, and 110 characters per line.
 func TestSchedulerFile_sizeLimits(t *testing.T) {
 	file, err := os.Open("scheduler.go")
 	if err != nil {
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestHandle_invalidEvents checks that invalid events are ignored, or answered in time: none causes a panic or an action against the
-// rules.
+// TestHandle_invalidEvents checks that invalid events are ignored: none causes a panic, an action on a request that does not exist or a
+// second final answer.
 func TestHandle_invalidEvents(t *testing.T) {
 	for name, s := range map[string]Settings{"absent settings": {}, "plain": baseSettings()} {
 		t.Run(name, func(t *testing.T) {
@@ -43,14 +43,14 @@
 				driver.handle(ev)
 			}
 			if n := countActions[Send](driver.allActions) + countActions[Reject](driver.allActions) + countActions[Fail](driver.allActions) + countActions[Cancel](driver.allActions); n > 0 {
-				t.Errorf("%d actions on requests that do not exist", n)
+				t.Errorf("expected no action on requests that do not exist, got %d", n)
 			}
 			driver.listWorkers(workers(2)...)
 			id := driver.submit(1, 77)
 			driver.handle(AttemptFinished{ID: 1, Attempt: 9, Worker: id, Outcome: Served, Final: true})
 			driver.handle(AttemptFinished{ID: 1, Worker: id, Outcome: Served, Final: true})
 			if actions := driver.handle(AttemptFinished{ID: 1, Worker: id, Outcome: Errored}); countActions[Fail](actions)+countActions[Reject](actions) > 0 {
-				t.Error("a duplicate outcome was answered again")
+				t.Error("a duplicate outcome caused a second final answer")
 			}
 		})
 	}
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Idempotency says what a second execution of a request may do. The zero value is the most permissive one.
+// Idempotency says whether a request may execute more than once. The zero value is the most permissive one.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent        Idempotency = iota // may be repeated and rejected at will
+	Idempotent        Idempotency = iota // may execute any number of times, so it may always be repeated or rejected
 	IdempotentWithKey                    // carries a key; workers of one scope drop repeats for Class.DeduplicationWindow
 	NonIdempotent                        // must never execute twice
 )
 
-// DeduplicationScope is the group of workers that drops the repeats of a request with an idempotency key.
+// DeduplicationScope is the group of workers within which repeats of a request with an idempotency key are dropped.
 type DeduplicationScope uint8
 
 // The scopes: all workers, those of one zone, those of one cell.
@@ -22,7 +22,7 @@
 	ScopeCell
 )
 
-// Class describes one kind of request. The zero value is idempotent and runs on machine kind 0 alone.
+// Class describes one kind of request. The zero value is idempotent and runs on machine kind 0 only.
 type Class struct {
 	LatencyObjective    time.Duration // an answer within LatencyObjective + ObjectiveStretch x own work counts in full
 	ObjectiveStretch    float64
@@ -36,18 +36,18 @@
 	MachineKind         int                // the only machine kind that runs it, or -1 for any
 }
 
-// Settings configure a Scheduler. The zero value is usable: without its May field nothing is permitted that needs one (hedges, probes,
-// cancellation, retry advice).
+// Settings configure a Scheduler. The zero value is usable; probes, cancellation, hedges and retry advice are permitted only if their
+// May field is set.
 type Settings struct {
 	DispatcherIndex int // own number among the dispatchers, from 0
 	Dispatchers     int // number of dispatchers that share the workers; at least 1 is assumed
 	Zone            int // own zone
 	Classes         []Class
 
-	ListPolled       bool          // the endpoint list comes only when Subscribe asks for it
+	ListPolled       bool          // the endpoint list is sent only when Subscribe asks for it
 	ReportsPulled    bool          // load reports come with probes only
 	ReportsStart     bool          // workers report when a job starts
-	ProgressInterval time.Duration // time between progress reports of a running job; 0 for none
+	ProgressInterval time.Duration // time between progress reports of a running job; 0 for no reports
 
 	MayProbe       bool
 	MayCancel      bool
@@ -56,19 +56,19 @@
 	MaxAttempts    int           // of one request; 0 for defaultMaxAttempts, unlike in routing.RequestLimits, where 0 means no limit
 	MaxRetryAfter  time.Duration // the advice that Reject carries
 
-	MaxPollInterval   time.Duration // where ListPolled: without a call for so long the dispatcher counts as notified of all changes; no rule reads it
+	MaxPollInterval   time.Duration // with ListPolled: after this time without a poll the dispatcher counts as notified of all changes; no rule reads it
 	ListValidity      time.Duration // how long after its state was confirmed a worker may be sent requests; 0 for no bound
 	AnswerSlack       time.Duration // how long after its deadline a final answer still counts
 	SlowStartDuration time.Duration // age at which a started worker has its full capacity
 	SlowStartCapacity float64       // capacity of a worker that has just started, as a share of its full one
-	OverloadMultiple  float64       // a warming worker that is sent more than this multiple of its capacity ...
-	OverloadWindow    time.Duration // ... for this long fails
+	OverloadMultiple  float64       // a warming worker fails if it is sent more than this multiple of its capacity for OverloadWindow
+	OverloadWindow    time.Duration // see OverloadMultiple
 
 	CrossZoneCost float64 // cost of sending across zones, as a share of a request's priority weight
-	WeightByWork  bool    // priority weights are meant for each unit of a request's work
+	WeightByWork  bool    // priority weights are per unit of a request's work
 }
 
-// defaultMaxAttempts applies where the settings say nothing.
+// defaultMaxAttempts applies if Settings.MaxAttempts is 0 or negative.
 const defaultMaxAttempts = 16
 
 // normalized returns the settings with defaults for absent and invalid values.
@@ -86,7 +86,7 @@
 	return &s
 }
 
-// onSettingsChanged puts new settings in force. Open requests keep those that they arrived under (request.settings).
+// onSettingsChanged puts new settings in force. Open requests keep the settings that they arrived under (request.settings).
 func (s *Scheduler) onSettingsChanged(event SettingsChanged) {
 	s.settings = event.Settings.normalized()
 	added := max(len(s.settings.Classes)-len(s.classes), 0)
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestNew_invalidSettings checks that requests are sent under invalid settings and lists.
+// TestNew_invalidSettings checks that requests are sent despite invalid settings and endpoint lists.
 func TestNew_invalidSettings(t *testing.T) {
 	for _, s := range []Settings{
 		{DispatcherIndex: -4, Dispatchers: -1}, {DispatcherIndex: 9, Dispatchers: 3}, {DispatcherIndex: math.MaxInt, Dispatchers: 2},
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestSettingsChanged_openRequestsUnchanged checks that new settings apply to later requests: an open request retains its maximum of
-// attempts and its class's idempotency, an added class has its own, and classes retain their numbers.
+// TestSettingsChanged_openRequestsUnchanged checks that new settings apply only to later requests: an open request keeps its maximum
+// of attempts and its class's idempotency, an added class has its own, and classes keep their numbers.
 func TestSettingsChanged_openRequestsUnchanged(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
@@ -43,7 +43,7 @@
 	arrive(3, 3)
 	for id, want := range map[RequestID]int{1: 1, 2: 0, 3: 0} {
 		if n := countActions[Send](driver.handle(AttemptFinished{ID: id, Outcome: Reset})); n != want {
-			t.Errorf("request %d: sent %d times more, want %d", id, n, want)
+			t.Errorf("request %d: got %d further sends, want %d", id, n, want)
 		}
 	}
 }
