--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -15,10 +15,10 @@
 	// basePollDelay is the longest random delay of a poll with one or two dispatchers.
 	basePollDelay = 100 * time.Millisecond
 
-	// pollDelayPerDispatcher is added to it for each dispatcher beyond dispatchersWithoutSpread.
+	// pollDelayPerDispatcher is added to basePollDelay for each dispatcher beyond dispatchersWithoutSpread.
 	pollDelayPerDispatcher = 400 * time.Millisecond
 
-	// dispatchersWithoutSpread is the number of dispatchers whose polls need not be spread.
+	// dispatchersWithoutSpread is the number of dispatchers up to which polls need not be spread.
 	dispatchersWithoutSpread = 2
 
 	// maxFirstPollDelay bounds the delay of the first poll after a start.
@@ -50,7 +50,7 @@
 	}
 }
 
-// updateWorker applies one entry of the endpoint list. What was learned of a worker is void once it has restarted.
+// updateWorker applies one entry of the endpoint list. If the worker has restarted, what was learned about it is discarded.
 func (s *Scheduler) updateWorker(info WorkerInfo) {
 	known := s.workersByID[info.ID]
 	if known == nil {
@@ -64,20 +64,20 @@
 	known.ready = info.State == Ready
 }
 
-// addWorker adds a worker that no list named before; the workers are ordered by id.
+// addWorker adds a worker that no list has named before. The workers stay sorted by id.
 func (s *Scheduler) addWorker(id WorkerID) *worker {
 	added := &worker{
 		increment: initialIncrement, idHash: hashWorkerID(id), detached: s.detached[id],
 		classEjections: make([]ejectionState, len(s.classes)),
 	}
 	s.workersByID[id] = added
-	place, _ := slices.BinarySearchFunc(s.workers, id, func(w *worker, id WorkerID) int { return cmp.Compare(w.ID, id) })
-	s.workers = slices.Insert(s.workers, place, added)
+	index, _ := slices.BinarySearchFunc(s.workers, id, func(w *worker, id WorkerID) int { return cmp.Compare(w.ID, id) })
+	s.workers = slices.Insert(s.workers, index, added)
 	return added
 }
 
-// startTime returns when the worker started, by its entry in a list: the latest start known, as an older list must not make it
-// older, unless this start is confirmed and the operator has not just reattached the worker.
+// startTime returns when the worker started, given its entry in a list. It is the latest known start, so that an older list does
+// not make the worker older. A confirmed start replaces it, unless the operator has just reattached the worker.
 func (w *worker) startTime(info WorkerInfo) Instant {
 	if info.StartConfirmed && !w.reattached {
 		return info.StartedAt
@@ -85,8 +85,8 @@
 	return max(info.StartedAt, w.StartedAt)
 }
 
-// setDetached detaches a worker, or reattaches it. A reattached worker is in slow start, since it was most likely restarted: from
-// its start by the list or, if the list shows none since it was detached, from now on.
+// setDetached detaches or reattaches a worker. A reattached worker is in slow start, because it was most likely restarted. Slow
+// start begins with the start in the list or, if the list shows no start since the worker was detached, now.
 func (s *Scheduler) setDetached(id WorkerID, detached bool) {
 	if detached {
 		s.detached[id] = true
@@ -110,10 +110,10 @@
 	s.chooseSubset()
 }
 
-// KnowsWorker reports whether a list ever named the worker, or the operator has detached it.
+// KnowsWorker reports whether any list has named the worker, or the operator has detached it.
 func (s *Scheduler) KnowsWorker(id WorkerID) bool { return s.workersByID[id] != nil || s.detached[id] }
 
-// schedulePoll sets the timer of the next poll, where the list is polled, after a random delay of at most maxDelay.
+// schedulePoll sets the timer of the next poll after a random delay of at most maxDelay, if the list is polled.
 func (s *Scheduler) schedulePoll(maxDelay time.Duration) {
 	if s.settings.ListPolled {
 		delay := pollDelay(s.settings.Dispatchers, maxDelay, s.random.Float64())
@@ -121,14 +121,14 @@
 	}
 }
 
-// FirstPollDelay returns how long after its start a dispatcher polls the endpoint list, by the number of dispatchers that may start
-// at the same time and by chance, a random number in [0, 1).
+// FirstPollDelay returns the time from the start of a dispatcher to its first poll of the endpoint list. It grows with the number
+// of dispatchers that may start at the same time. chance is a random number in [0, 1).
 func FirstPollDelay(dispatchers int, chance float64) time.Duration {
 	return pollDelay(dispatchers, maxFirstPollDelay, chance)
 }
 
-// pollDelay returns the delay of a poll, at most maxDelay. It grows with the number of dispatchers: discovery serves few calls a
-// second, and those of many dispatchers that start, or fail, at the same time would overrun it.
+// pollDelay returns the delay of a poll, at most maxDelay. It grows with the number of dispatchers: discovery serves few calls
+// per second, and would be overloaded by the calls of many dispatchers that start, or whose polls fail, at the same time.
 func pollDelay(dispatchers int, maxDelay time.Duration, chance float64) time.Duration {
 	spread := pollDelayPerDispatcher * time.Duration(max(dispatchers-dispatchersWithoutSpread, 0))
 	delay := basePollDelay + min(spread, maxDelay-basePollDelay)
--- a/scheduler/freshness.go
+++ b/scheduler/freshness.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Freshness: how old a reading of the endpoint list may be. A worker may have begun to drain since the list was read, and must
-// not get requests for longer than ListValidity after that. Once the list is older, a worker is probed before use: a draining
-// one answers a probe with an error.
+// Freshness: how old the endpoint list may be. A worker may have begun to drain after the list was read, and must get no requests
+// later than ListValidity after that. Once the list is older, a worker is probed before use: a draining worker answers a probe
+// with an error.
 
 const (
-	// failedProbeBackoff is how long after a failed probe a worker is not probed again before use.
+	// failedProbeBackoff is the time after a failed probe in which the worker is not probed again before use.
 	failedProbeBackoff = 500 * time.Millisecond
 
 	// probeBeforeUseWait is how long a request waits for the outcome of a probe before it goes to another worker.
 	probeBeforeUseWait = 50 * time.Millisecond
 )
 
-// freshUntil returns until when a request for the worker may leave: ListValidity after its state was last confirmed, by the list
-// (EndpointsUpdated.AsOf) or by a passed probe, whichever is later. 0 means no bound: the settings give no validity, or do not
-// permit probes.
+// freshUntil returns the time by which a request for the worker must leave: ListValidity after the worker's state was last
+// confirmed, by the list (EndpointsUpdated.AsOf) or by a passed probe, whichever is later. 0 means no bound: the settings give no
+// validity, or do not permit probes.
 func (s *Scheduler) freshUntil(worker *worker) Instant {
 	if s.settings.ListValidity <= 0 || !s.settings.MayProbe {
 		return 0
@@ -43,7 +43,7 @@
 	}
 }
 
-// recordProbeOutcome notes that the worker is ready as of when the probe was sent, or that the probe failed.
+// recordProbeOutcome records that the worker was ready when the probe was sent, or that the probe failed.
 func (s *Scheduler) recordProbeOutcome(worker *worker, outcome Outcome) {
 	worker.probeInFlight = false
 	if outcome != Served {
--- a/scheduler/learnedstate.go
+++ b/scheduler/learnedstate.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// LearnedState is what a scheduler has learned that also holds for a process that takes over from it.
+// LearnedState is what a scheduler has learned that also holds for its successor process.
 type LearnedState struct {
 	Overcommit float64                       `json:"Allow"`   // share of a worker's slots
 	MeanStay   float64                       `json:"Stay"`    // seconds from send to outcome
@@ -12,17 +12,17 @@
 // ClassStatistics says how long jobs of a class run.
 type ClassStatistics struct {
 	WorkScale      float64 `json:"Scale"` // mean runtime in seconds, or as a multiple of the estimated work
-	MeanLogRuntime float64 `json:"Usual"` // mean logarithm of the same
+	MeanLogRuntime float64 `json:"Usual"` // mean logarithm of the same value
 	Jobs           int     `json:"Jobs"`  // number of served jobs
 }
 
-// WorkerStatistics is what was learned of a worker's process that started at StartedAt.
+// WorkerStatistics is what was learned about the process of a worker that started at StartedAt.
 type WorkerStatistics struct {
 	StartedAt    Instant `json:"Since"`
 	Slots        float64 `json:"Total"`     // the most slots seen; 0 if unknown
 	Increment    float64 `json:"Increment"` // load of one slot while the slots are unknown
-	Slowness     float64 `json:"Lag"`       // sum over jobs of the logarithm of their runtime as a multiple of the usual one
-	SlownessJobs float64 `json:"JobsOf"`    // their number, decayed like the sum
+	Slowness     float64 `json:"Lag"`       // sum over jobs of log(runtime / usual runtime), decaying
+	SlownessJobs float64 `json:"JobsOf"`    // number of these jobs, decaying like the sum
 	LastSignal   Instant `json:"Heard"`     // last sign of life
 }
 
@@ -47,8 +47,9 @@
 	return learned
 }
 
-// onLearnedStateReceived starts from what an earlier process has learned, of the workers that are listed and have not restarted since.
-// Learned state without classes covers workers alone, and does not make this process a successor.
+// onLearnedStateReceived adopts what an earlier process has learned. What it learned about a worker is adopted if the worker is
+// listed and has not restarted since. Learned state without classes covers only workers, and does not make this process a
+// successor.
 func (s *Scheduler) onLearnedStateReceived(event LearnedStateReceived) {
 	learned := event.LearnedState
 	if len(learned.Classes) > 0 {
@@ -63,11 +64,11 @@
 			}
 		}
 	}
-	for id, before := range learned.Workers {
-		if worker := s.workersByID[id]; worker != nil && worker.StartedAt <= before.StartedAt {
-			worker.StartedAt, worker.increment = before.StartedAt, before.Increment
-			worker.logSlownessSum, worker.slownessJobs = before.Slowness, before.SlownessJobs
-			s.recordSlots(worker, before.Slots)
+	for id, statistics := range learned.Workers {
+		if worker := s.workersByID[id]; worker != nil && worker.StartedAt <= statistics.StartedAt {
+			worker.StartedAt, worker.increment = statistics.StartedAt, statistics.Increment
+			worker.logSlownessSum, worker.slownessJobs = statistics.Slowness, statistics.SlownessJobs
+			s.recordSlots(worker, statistics.Slots)
 		}
 	}
 }
--- a/scheduler/loadvalue.go
+++ b/scheduler/loadvalue.go
@@ -5,32 +5,34 @@
 	"time"
 )
 
-// The load value of a worker (Least Used with Degradation): the load of other dispatchers by its last report, plus a share of the
-// worker for each own slot in flight. 0 is idle and 1 full.
+// The load value of a worker (Least Used with Degradation): the load of other dispatchers according to its last report, plus a
+// share of the worker for each slot that this dispatcher's own attempts in flight take. 0 is idle, 1 is full.
 
 const (
-	// initialIncrement is the load that one slot adds while a worker's number of slots is unknown: 25%, as in the paper for four
-	// requests a server. It halves after sendsToHalveIncrement sends without a 'full' outcome and doubles with each of these.
+	// initialIncrement is the load that one slot adds while a worker's number of slots is unknown: 25%, as for four requests per
+	// server in the paper on Least Used with Degradation. The increment halves after sendsToHalveIncrement sends without an
+	// outcome Full and doubles with each outcome Full.
 	initialIncrement = 0.25
 
-	// minIncrement is the least increment for a slot.
+	// minIncrement is the lower bound of the increment.
 	minIncrement = 1.0 / 16
 
-	// sendsToHalveIncrement is the number of sends without a 'full' outcome after which the increment is halved.
+	// sendsToHalveIncrement is the number of sends without an outcome Full after which the increment is halved.
 	sendsToHalveIncrement = 50
 
-	// reportLookback is about how old the load in a report is when it arrives: one refresh at the worker and its delay.
+	// reportLookback is about the age of the load in a report when it arrives: one refresh interval of the worker plus the delay
+	// of the report.
 	reportLookback = 500 * time.Millisecond
 
 	// othersLoadWindow is the time constant of the mean load that other dispatchers put on a worker.
 	othersLoadWindow = 20 * time.Second
 
-	// maxReportAge is the age up to which a report counts for the mean over all workers.
+	// maxReportAge is the age up to which a report counts in the mean over all workers.
 	maxReportAge = 2 * minSilence
 )
 
-// slotShare returns the share of the worker that the given number of slots takes: by its number of slots, or by its increment while that is
-// unknown.
+// slotShare returns the share of the worker that the given slots take: slots / number of its slots, or slots x increment while
+// that number is unknown.
 func (s *Scheduler) slotShare(worker *worker, slots float64) float64 {
 	if total := s.estimatedSlots(worker); total > 0 {
 		return slots / total
@@ -38,30 +40,30 @@
 	return slots * worker.increment
 }
 
-// estimatedSlots returns the most slots ever seen at the worker or at another one of its machine kind; 0 while unknown.
+// estimatedSlots returns the most slots seen so far at the worker or at another worker of its machine kind; 0 while unknown.
 func (s *Scheduler) estimatedSlots(worker *worker) float64 {
 	return max(worker.observedSlots, s.slotsByKind[worker.MachineKind])
 }
 
-// recordSlots notes that the worker was seen to have at least the given number of slots.
+// recordSlots records that the worker has at least the given number of slots.
 func (s *Scheduler) recordSlots(worker *worker, slots float64) {
 	worker.observedSlots = max(worker.observedSlots, slots)
 	s.slotsByKind[worker.MachineKind] = max(s.slotsByKind[worker.MachineKind], worker.observedSlots)
 }
 
-// loadValue returns the worker's load as a share of its slots: the load of other dispatchers by the last report, and a share
-// for each own slot in flight. In three points it departs from the paper:
+// loadValue returns the worker's load as a share of its slots: the load of other dispatchers according to the last report, plus
+// the share of each own slot in flight. It differs from the paper in three points:
 //
-//   - An outcome takes its increment back at once instead of at the next report.
-//   - The reported load of others moves to a mean as their jobs end, with the time constant of a mean stay: otherwise all
-//     dispatchers would send to the worker that was idle in the last report. The mean is that of the fleet if all loads are
-//     known, and otherwise the worker's own, which shows small and slow workers.
-//   - A difference from the mean within loadUncertainty counts as none, for the same reason.
+//   - When an attempt ends, its increment is subtracted at once instead of at the next report.
+//   - The reported load of others decays to a mean as their jobs end, with a mean stay as the time constant. Otherwise all
+//     dispatchers would send to the worker that was idle in the last report. If all loads are known, the mean is the fleet's.
+//     Otherwise it is the worker's own mean, which shows small and slow workers.
+//   - A difference from the mean within loadUncertainty counts as 0, for the same reason.
 //
-// A worker that rejected an attempt as full, or where own attempts wait for their start, counts as full at least.
+// If the worker rejected an attempt as full, or the start of own attempts there is overdue, its load value is at least 1.
 func (s *Scheduler) loadValue(worker *worker) float64 {
 	mean, weight := worker.meanOthersLoad, 0.0
-	if worker.reportedAt > 0 { // without a report a worker is no part of the fleet's mean yet
+	if worker.reportedAt > 0 { // the fleet's mean says nothing about a worker without a report
 		if s.loadsKnown {
 			mean = s.meanOthersLoad
 		}
@@ -77,38 +79,39 @@
 	return value
 }
 
-// loadUncertainty returns the standard deviation, in jobs, of what other dispatchers have sent to the worker since its report:
-// the root of the expected number, by the own arrival rate, where each other dispatcher counts for one job at most.
+// loadUncertainty returns the standard deviation of the number of jobs that other dispatchers have sent to the worker since its
+// report. It is the square root of the expected number, which is estimated from the own arrival rate. Each other dispatcher
+// counts for at most one job.
 func (s *Scheduler) loadUncertainty(worker *worker) float64 {
 	others := float64(s.settings.Dispatchers - 1)
-	since := min(s.now-worker.reportedAt, max(durationOf(s.meanStay), reportLookback)) + reportLookback
-	return math.Sqrt(min(others, others*s.arrivalRate*since.Seconds()/float64(max(len(s.workers), 1))))
+	elapsed := min(s.now-worker.reportedAt, max(durationOf(s.meanStay), reportLookback)) + reportLookback
+	return math.Sqrt(min(others, others*s.arrivalRate*elapsed.Seconds()/float64(max(len(s.workers), 1))))
 }
 
-// addOwnSlots counts slots of own attempts at the worker: positive when one is sent, negative when one ends, 0 to bring the
-// mean over reportLookback up to date.
+// addOwnSlots changes the slots of own attempts at the worker: slots is positive when an attempt is sent, negative when it ends,
+// and 0 to update only the mean over reportLookback.
 func (s *Scheduler) addOwnSlots(worker *worker, slots float64) {
 	keep := math.Exp(-float64(s.now-worker.meanOwnSlotsAt) / float64(reportLookback))
 	worker.meanOwnSlots, worker.meanOwnSlotsAt = worker.meanOwnSlots*keep+worker.ownSlots*(1-keep), s.now
 	worker.ownSlots = max(worker.ownSlots+slots, 0)
 }
 
-// recordSend adjusts the increment: it halves after sendsToHalveIncrement sends without a 'full' outcome.
+// recordSend counts a send. After sendsToHalveIncrement sends without an outcome Full the increment halves.
 func (w *worker) recordSend() {
 	if w.sendsSinceFull++; w.sendsSinceFull >= sendsToHalveIncrement {
 		w.increment, w.sendsSinceFull = max(w.increment/2, minIncrement), 0
 	}
 }
 
-// recordFull notes that the worker rejected an attempt as full: for a mean stay its load value is 1 at least, unless a report
-// comes before, and its increment doubles.
+// recordFull records that the worker rejected an attempt as full. Its increment doubles. Its load value is at least 1 for a mean
+// stay, or until a report comes.
 func (s *Scheduler) recordFull(worker *worker) {
 	worker.fullUntil = s.now + max(durationOf(s.meanStay), reportLookback)
 	worker.increment, worker.sendsSinceFull = min(2*worker.increment, 1), 0
 }
 
-// applyReport applies a worker's load report; nil and reports without a usable figure change nothing. The load of others is
-// the reported load less the own slots in flight at about the time that the report describes.
+// applyReport applies a worker's load report; nil and reports without a usable value change nothing. The load of others is the
+// reported load minus the own slots that were in flight at about the time that the report describes.
 func (s *Scheduler) applyReport(worker *worker, report *Report) {
 	if report == nil {
 		return
@@ -120,7 +123,7 @@
 	total := s.estimatedSlots(worker)
 	load := figureOrMissing(report.Busy)
 	switch {
-	case requests >= 0 && total > 0: // these include the queue, whereas utilisation ends at 1
+	case requests >= 0 && total > 0: // requests include the queue, whereas Busy is at most 1
 		load = requests / total
 	case load < 0 && free >= 0 && total > 0:
 		load = 1 - free/total
@@ -139,8 +142,9 @@
 	s.updateMeanOthersLoad()
 }
 
-// updateMeanOthersLoad takes the mean of the others' load over the listed workers with a report of the last maxReportAge: after
-// a network partition older ones would hold the mean where it was. It is used, and computed, only if all loads are known.
+// updateMeanOthersLoad computes the mean load of others over the ready workers whose report is less than maxReportAge old: in a
+// network partition, older reports would keep the mean from changing. The mean is used, and computed, only if all loads are
+// known.
 func (s *Scheduler) updateMeanOthersLoad() {
 	sum, count := 0.0, 0.0
 	for i := 0; s.loadsKnown && i < len(s.subset); i++ {
@@ -151,7 +155,7 @@
 	s.meanOthersLoad = sum / max(count, 1)
 }
 
-// figureOrMissing returns a reported figure, or -1 if it is negative or not a finite number, which counts as not reported.
+// figureOrMissing returns a reported value, or -1 for "not reported" if it is negative or not a finite number.
 func figureOrMissing(figure float64) float64 {
 	if math.IsNaN(figure) || math.IsInf(figure, 0) || figure < 0 {
 		return -1
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Probing: regular probes bring the load reports where workers send none with their outcomes (ReportsPulled).
+// Probing: regular probes fetch the load reports if workers send none with their outcomes (ReportsPulled).
 
 const (
-	// probeInterval is the mean time between the probes of a worker by one dispatcher, where up to maxProbers probe it.
+	// probeInterval is the mean time between the probes of a worker by one dispatcher if at most maxProbers probe it.
 	probeInterval = time.Second
 
-	// maxProbers is the number of dispatchers from which on each probes less often, so that a worker's probes do not grow with
+	// maxProbers is the number of dispatchers above which each probes less often, so that the probes at a worker do not grow with
 	// the number of dispatchers.
 	maxProbers = 2
 
-	// minProbeIntervalFactor and probeIntervalSpread say by which factors an interval varies by chance: 0.75 to 1.25, so that
-	// neither all workers are known equally late nor all dispatchers probe at the same time.
+	// minProbeIntervalFactor and probeIntervalSpread give the random factor of an interval, 0.75 to 1.25. Without it, the reports
+	// of all workers would be equally old, and all dispatchers would probe at the same time.
 	minProbeIntervalFactor = 0.75
 	probeIntervalSpread    = 0.5
 )
 
-// probeSubset probes the workers of the subset that are due. The first probe of a worker comes after a time by chance: many
-// dispatchers that start, or learn of the worker, at the same time would overrun it.
+// probeSubset probes the workers of the subset that are due. The first probe of a worker comes after a random delay: otherwise
+// many dispatchers that start, or learn of the worker, at the same time would overload it.
 func (s *Scheduler) probeSubset() {
 	interval := s.meanProbeInterval()
 	for _, worker := range s.subset {
@@ -37,8 +37,8 @@
 	}
 }
 
-// meanProbeInterval returns the mean time between two probes of a worker, in nanoseconds. Where each dispatcher has a subset of
-// the workers, few probe the same one.
+// meanProbeInterval returns the mean time between two probes of a worker, in nanoseconds. If each dispatcher has a subset of the
+// workers, few dispatchers probe the same worker, so the interval does not grow with their number.
 func (s *Scheduler) meanProbeInterval() float64 {
 	if s.usesSubset() {
 		return float64(probeInterval)
@@ -52,8 +52,8 @@
 	s.emit(Probe{Worker: worker.ID})
 }
 
-// onProbeCompleted handles the outcome of a probe. A report with the same figures as the one before counts as not refreshed: it
-// is as old as that one.
+// onProbeCompleted handles the outcome of a probe. A report with the same values as the previous one was not refreshed by the
+// worker: it is as old as the previous one and is ignored.
 func (s *Scheduler) onProbeCompleted(event ProbeCompleted) {
 	worker := s.workersByID[event.Worker]
 	if worker == nil {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -7,25 +7,27 @@
 	"time"
 )
 
-// Slow start: how a worker that has just started is protected from overload. The settings say what it can do at first
-// (SlowStartCapacity), when it is warm (SlowStartDuration), and that it fails if all dispatchers together send it more than
-// OverloadMultiple times its capacity for one OverloadWindow. The work of one window, in slot-seconds, is its budget; each
-// dispatcher sends no more than its share of it.
+// Slow start: protects a worker that has just started from overload. The settings give its capacity at the start
+// (SlowStartCapacity) and the age at which it has its full capacity (SlowStartDuration). A warming worker fails if all
+// dispatchers together send it more than OverloadMultiple times its capacity for one OverloadWindow. Its budget is the work, in
+// slot-seconds, that it may be sent in one window: usedBudgetShare of the work at which it fails. Each dispatcher sends no more
+// than its share of the budget.
 
 const (
-	// usedBudgetShare is the part of the budget that is used: the work of a request is known by a mean only.
+	// usedBudgetShare is the budget as a share of the work at which a warming worker fails: only the mean work of a request is
+	// known.
 	usedBudgetShare = 0.6
 
-	// priorWorkObjectives is the work that is assumed for a job before any was served, as a multiple of its latency objective.
-	priorWorkObjectives = 4
+	// priorWorkPerObjective is the assumed work of a job before any was served, as a multiple of its latency objective.
+	priorWorkPerObjective = 4
 
-	// priorWorkJobs is the number of jobs that this assumption counts for.
+	// priorWorkJobs is the weight of this assumption, in jobs.
 	priorWorkJobs = 4
 
-	// maxSendDelay is about how long after its Send an attempt may leave: a connection must come up.
+	// maxSendDelay is about the longest time from a Send until the request leaves: a connection may have to be established.
 	maxSendDelay = 200 * time.Millisecond
 
-	// minWarmupFactor bounds the share of its capacity that a worker starts with.
+	// minWarmupFactor is the lower bound of the share of its full capacity that a worker starts with.
 	minWarmupFactor = 0.01
 )
 
@@ -35,8 +37,8 @@
 	work float64 // slot-seconds
 }
 
-// warmupFactor returns the share of its full capacity, from minWarmupFactor to 1, that a worker has at its age: it grows linearly
-// from SlowStartCapacity to 1 over SlowStartDuration.
+// warmupFactor returns the worker's current share of its full capacity, from minWarmupFactor to 1. It grows linearly with the
+// age, from SlowStartCapacity to 1 over SlowStartDuration.
 func (s *Scheduler) warmupFactor(worker *worker) float64 {
 	age := s.now - worker.StartedAt
 	if worker.StartedAt <= 0 || s.settings.SlowStartDuration <= 0 || age >= s.settings.SlowStartDuration {
@@ -47,9 +49,9 @@
 }
 
 // withinSlowStartBudget reports whether sending request to a warming worker stays inside this dispatcher's share of the worker's
-// slow-start budget, in slot-seconds over the overload window. The first request of a share is let in whatever its work. A
-// process that did not take over its predecessor's state assumes that the predecessor has spent the share at the workers that
-// were there before it, and waits for one window.
+// slow-start budget, in slot-seconds over the overload window. If the share is not 0, the first request in a window is permitted
+// regardless of its work. A process without the state of its predecessor assumes that the predecessor has used up the share at
+// each worker that started before this process, and sends those workers nothing for one window.
 func (s *Scheduler) withinSlowStartBudget(worker *worker, request *request) bool {
 	if s.warmupFactor(worker) == 1 || s.settings.OverloadMultiple <= 0 || s.settings.OverloadWindow <= 0 {
 		return true
@@ -69,35 +71,37 @@
 	return work <= share || len(worker.slowStartCharges) == 0 && share > 0
 }
 
-// slowStartBudget returns the work, in slot-seconds, that all dispatchers together send to a warming worker within any overload
-// window. While two processes act as one dispatcher each takes half.
+// slowStartBudget returns the work, in slot-seconds, that all dispatchers together may send to a warming worker within any
+// overload window: usedBudgetShare x OverloadMultiple x its capacity in slots x OverloadWindow. While two processes act as one
+// dispatcher, each uses half.
 func (s *Scheduler) slowStartBudget(worker *worker) float64 {
 	work := s.warmupFactor(worker) * max(s.estimatedSlots(worker), 1) * s.settings.OverloadWindow.Seconds()
 	return usedBudgetShare / float64(s.processes) * s.settings.OverloadMultiple * work
 }
 
-// slowStartShare returns this dispatcher's share of the budget, in slot-seconds. The budget is distributed by whole jobs, one to a
-// dispatcher in turn, beginning at a place that follows from the worker's id: split evenly among hundreds it would be less than
-// a job for each. Dispatchers that estimate the budget or the jobs differently still have different turns, so that all together
-// send no more than the largest of their budgets. Of a budget of 7.5 jobs each of its 7 whole jobs stands for 7.5 / 7 jobs of work.
+// slowStartShare returns this dispatcher's share of the budget, in slot-seconds. The budget is distributed in whole jobs, one to
+// each dispatcher in turn, starting at a dispatcher that follows from the worker's id. Split evenly among hundreds of
+// dispatchers, it would be less than a job for each. The turns do not depend on the estimates. So if dispatchers estimate the
+// budget or the jobs differently, they still send no more in total than the largest of their budgets. The fraction of a job is
+// divided among the whole jobs: of a budget of 7.5 jobs, each of the 7 whole jobs counts as 7.5 / 7 jobs of work.
 func (s *Scheduler) slowStartShare(worker *worker) float64 {
-	dispatchers, job := uint64(s.settings.Dispatchers), s.cautiousMeanWork()
+	dispatchers, jobWork := uint64(s.settings.Dispatchers), s.cautiousMeanWork()
 	turn := float64((uint64(s.settings.DispatcherIndex) + worker.idHash%dispatchers) % dispatchers)
-	jobs := max(s.slowStartBudget(worker)/job, 1)
-	own := max(math.Ceil((math.Floor(jobs)-turn)/float64(dispatchers)), 0)
-	return job * own * jobs / math.Floor(jobs)
+	jobs := max(s.slowStartBudget(worker)/jobWork, 1)
+	ownJobs := max(math.Ceil((math.Floor(jobs)-turn)/float64(dispatchers)), 0)
+	return jobWork * ownJobs * jobs / math.Floor(jobs)
 }
 
-// cautiousMeanWork returns the mean work of a job in slot-seconds, raised by what a mean of so few jobs may be too low, and at
-// first by an assumption, as short jobs end first. The assumption is the first class's for all classes: workers are shared by all,
-// and the mean is not measured by class.
+// cautiousMeanWork returns an upper estimate of the mean work of a job, in slot-seconds: the mean with a prior, times
+// meanErrorFactor. The prior is needed because short jobs end first, so that the first means are too low. It follows from the
+// first class for jobs of all classes: all classes share the workers, and the mean is not measured by class.
 func (s *Scheduler) cautiousMeanWork() float64 {
-	known := float64(s.servedJobs)
-	prior := priorWorkJobs * priorWorkObjectives * cmp.Or(s.settings.Classes[0].LatencyObjective.Seconds(), 1)
-	return (s.meanWork*known + prior) / (known + priorWorkJobs) * meanErrorFactor(s.servedJobs)
+	served := float64(s.servedJobs)
+	prior := priorWorkJobs * priorWorkPerObjective * cmp.Or(s.settings.Classes[0].LatencyObjective.Seconds(), 1)
+	return (s.meanWork*served + prior) / (served + priorWorkJobs) * meanErrorFactor(s.servedJobs)
 }
 
-// meanErrorFactor returns by about what factor the true mean may exceed the mean of the given number of jobs.
+// meanErrorFactor returns about the largest factor by which the true mean may exceed the mean of the given number of jobs.
 func meanErrorFactor(jobs int) float64 {
 	return 1 + 1/math.Sqrt(1+min(float64(jobs), 1/(1-meanRetention)))
 }
@@ -105,6 +109,6 @@
 // chargedWork returns the work, in slot-seconds, that request is charged for at a warming worker.
 func (s *Scheduler) chargedWork(request *request) float64 {
 	class := &request.settings.Classes[request.class]
-	runtime := cmp.Or(s.estimatedRuntime(request), priorWorkObjectives*class.LatencyObjective.Seconds())
+	runtime := cmp.Or(s.estimatedRuntime(request), priorWorkPerObjective*class.LatencyObjective.Seconds())
 	return runtime * request.slots * meanErrorFactor(s.classes[request.class].jobs)
 }
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -6,29 +6,31 @@
 	"time"
 )
 
-// Statistics that the rules share: means of runtimes and stays, decaying counts, the slowness of workers.
+// Statistics that the rules share: means of runtimes and stays (from send to outcome), decaying counts, the slowness of workers.
 
 const (
-	// arrivalRateWindow is the time constant of the own arrival rate, and of decayingCounter unless it has its own.
+	// arrivalRateWindow is the time constant of the own arrival rate, and the default time constant of decayingCounter.
 	arrivalRateWindow = 10 * time.Second
 
-	// meanRetention is the weight of the past when a mean of the class or the dispatcher moves: it covers about thirty jobs.
+	// meanRetention is the weight of the past when a mean of a class or of the dispatcher is updated: the mean covers about
+	// thirty jobs.
 	meanRetention = 0.97
 
-	// slownessRetention is the weight of the past in a worker's slowness: it covers about twenty jobs.
+	// slownessRetention is the weight of the past when a worker's slowness is updated: the slowness covers about twenty jobs.
 	slownessRetention = 0.95
 
-	// slownessPriorJobs is the number of jobs of ordinary (or, in slow start, of the feared) pace that are assumed in addition to those
-	// seen.
+	// slownessPriorJobs is the number of assumed jobs that are added to the observed ones. Their pace is ordinary or, in slow
+	// start, the settings' worst case.
 	slownessPriorJobs = 8
 
-	// slowdownThreshold is the factor up to which a slower worker counts as of ordinary pace: less is chance.
+	// slowdownThreshold is the slowdown up to which a worker counts as of ordinary pace: smaller differences are chance.
 	slowdownThreshold = 1.5
 
-	// failurePriorJobs is the number of served jobs assumed in addition to those seen, and the bound of the failures that count.
+	// failurePriorJobs is the number of assumed served jobs that are added to the observed ones. It is also the largest number of
+	// failures that counts.
 	failurePriorJobs = 4
 
-	// toleratedFailureShare is the share of failures that is chance.
+	// toleratedFailureShare is the share of failures that counts as chance.
 	toleratedFailureShare = 0.1
 )
 
@@ -49,21 +51,21 @@
 // add adds an amount as of now.
 func (c *decayingCounter) add(now Instant, amount float64) { c.sum = c.value(now) + amount }
 
-// classState is what a scheduler has learned of a class's requests.
+// classState is what a scheduler has learned about a class's requests.
 type classState struct {
 	workScale       float64 // mean runtime in seconds, or, with an estimate of the work, as a multiple of it
-	meanLogRuntime  float64 // mean logarithm of the same, which a few long jobs change little
+	meanLogRuntime  float64 // mean logarithm of the same value; a few long jobs change it little
 	jobs            int     // number of served jobs
 	longestTimeLeft time.Duration
 }
 
-// updateMean moves a mean by its n-th value: the first values weigh alike, later ones by 1 - meanRetention.
+// updateMean updates a mean with its n-th value: the first values have equal weights, later ones the weight 1 - meanRetention.
 func updateMean(mean *float64, n int, value float64) {
 	*mean += max(1/float64(n), 1-meanRetention) * (value - *mean)
 }
 
-// recordRuntime learns from a served attempt what its class takes and how fast its worker is. After a stall of this process the
-// times are wrong and nothing is learned.
+// recordRuntime updates the runtime of the class and the slowness of the worker with a served attempt. After a stall of this
+// process the times are wrong, and nothing changes.
 func (s *Scheduler) recordRuntime(request *request, served *attempt) {
 	class, unit := &s.classes[request.class], cmp.Or(request.estimatedWork.Seconds(), 1)
 	runtime := (s.now - cmp.Or(served.startedAt, served.sentAt)).Seconds()
@@ -83,8 +85,8 @@
 	worker.slownessJobs = worker.slownessJobs*slownessRetention + 1
 }
 
-// logSlowness returns the logarithm of an attempt's runtime so far as a multiple of the usual one of its class; 0 while the
-// class is unknown.
+// logSlowness returns log(runtime so far / usual runtime of the class) of an attempt; 0 while no job of the class has been
+// served.
 func (s *Scheduler) logSlowness(request *request, attempt *attempt) float64 {
 	class := &s.classes[request.class]
 	if class.jobs == 0 {
@@ -104,22 +106,23 @@
 	return scale
 }
 
-// slowdown returns how many times longer than elsewhere a job occupies a slot of the worker, at least 1: by the jobs that ended
-// there and those that run for longer than usual. In slow start the settings' worst case stands for the first jobs, as most
-// workers are better than it; otherwise a factor up to slowdownThreshold counts as 1.
+// slowdown returns the factor, at least 1, by which a job occupies a slot of the worker for longer than elsewhere. It follows
+// from the jobs that ended there and from running jobs that take longer than usual. In slow start the settings' worst case counts
+// as slownessPriorJobs jobs, not as a fixed factor, because most workers are better than it. Otherwise a factor up to
+// slowdownThreshold counts as 1.
 func (s *Scheduler) slowdown(worker *worker) float64 {
-	feared := -math.Log(s.warmupFactor(worker))
-	sum := worker.logSlownessSum + worker.runningSlownessSum + slownessPriorJobs*feared
+	worstLogSlowness := -math.Log(s.warmupFactor(worker))
+	sum := worker.logSlownessSum + worker.runningSlownessSum + slownessPriorJobs*worstLogSlowness
 	jobs := worker.slownessJobs + worker.runningSlownessJobs + slownessPriorJobs
 	factor := math.Exp(sum / jobs)
-	if feared == 0 && factor <= slowdownThreshold {
+	if worstLogSlowness == 0 && factor <= slowdownThreshold {
 		return 1
 	}
 	return max(factor, 1)
 }
 
-// excessFailureShare returns the share of its recent jobs that the worker failed, beyond toleratedFailureShare. The bound of the
-// failures lets one that has recovered get jobs to show it.
+// excessFailureShare returns the share of its recent jobs that the worker failed, minus toleratedFailureShare, at least 0. The
+// number of failures is bounded, so that a worker that has recovered gets jobs again and can show its recovery.
 func (w *worker) excessFailureShare(now Instant) float64 {
 	failures := min(w.recentFailures.value(now), failurePriorJobs)
 	share := failures / (failures + w.recentSuccesses.value(now) + failurePriorJobs)
--- a/scheduler/subset.go
+++ b/scheduler/subset.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// Subset: which workers requests are sent to at all. A dispatcher knows a worker's load by its own attempts there; of too many
-// workers it would see each too seldom. Where requests have affinity keys all workers are in the subset, and a key has its own
-// part of them (candidatesForKey).
+// Subset: the workers that a dispatcher sends requests to. A dispatcher learns a worker's load from its own attempts there; with
+// too many workers, it would see each of them too rarely. If requests have affinity keys, all workers are in the subset, and each
+// key has its own candidates among them (candidatesForKey).
 
 const (
-	// wholeFleetSeconds is the mean time, in seconds, in which each listed worker gets an own request, up to which all workers
-	// are in the subset and their loads count as known.
+	// wholeFleetSeconds is the longest mean time, in seconds, between own requests to each listed worker at which all workers are
+	// in the subset and their loads count as known.
 	wholeFleetSeconds = 3
 
-	// minSubsetSize is the least number of workers of a subset, for the own zone and for all others.
+	// minSubsetSize is the minimum number of workers in a subset from the own zone, and from all other zones together.
 	minSubsetSize = 4
 
 	// subsetSeconds is the time, in seconds, in which as many own requests arrive as there are workers in the subset.
 	subsetSeconds = 0.5
 
-	// dispatchersPerWorker is the least number of dispatchers that have a worker in their subsets.
+	// dispatchersPerWorker is the minimum number of dispatchers that have a worker in their subsets, on average.
 	dispatchersPerWorker = 2
 
-	// subsetOrders is the number of orders in which workers are assigned to dispatchers.
+	// subsetOrders is the number of different orders of the workers; each dispatcher uses one of them.
 	subsetOrders = 4
 
-	// subsetInterval is the time between choices of the subset.
+	// subsetInterval is the time after which the subset is chosen again.
 	subsetInterval = time.Second
 
-	// keyCandidates is the number of workers to choose from for a request with an affinity key, in addition to the warming ones of which
-	// this dispatcher has a slow-start share, where more than maxFullScanWorkers are listed.
+	// keyCandidates is the number of candidates for an affinity key if more than maxFullScanWorkers workers are listed. The
+	// warming workers of which this dispatcher has a slow-start share are candidates in addition.
 	keyCandidates = 32
 
 	// maxFullScanWorkers is the number of listed workers up to which all of them are candidates for each key: a frequent key may
-	// need a third of them. Looking at all 512 costs about 0.3 ms a request.
+	// need a third of them. A scan of 512 workers costs about 0.3 ms per request.
 	maxFullScanWorkers = 512
 
-	// hashRingSalt makes a key's place on the hash ring independent of its affinity ranks.
+	// hashRingSalt makes a key's position on the hash ring independent of its affinity ranks.
 	hashRingSalt = 0x5bd1e995
 )
 
-// chooseSubset chooses the workers that requests are sent to. All are chosen where requests have affinity keys, as the workers of
-// a key must be the same at every dispatcher, and where the fleet is small against the own arrival rate. Otherwise a few are,
-// as many of the own zone as of all others. All dispatchers order the workers of a zone in one of a few common orders, and each takes them
-// from an offset that follows from its number, so that every worker is in about as many subsets. It also updates
-// availableCount, totalWeight and loadsKnown.
+// chooseSubset chooses the workers that requests are sent to. It chooses all workers if requests have affinity keys, because the
+// workers of a key must be the same at every dispatcher, or if the fleet is small relative to the own arrival rate. Otherwise it
+// chooses a few: as many from the own zone as from all other zones together. Each dispatcher sorts the workers in one of
+// subsetOrders common orders and takes them from an offset that follows from its index, so that all workers are in about the same
+// number of subsets. It also updates availableCount, totalWeight and loadsKnown.
 func (s *Scheduler) chooseSubset() {
 	s.subsetChosenAt, s.subset, s.totalWeight = s.now, s.subset[:0], 0
 	var ownZone, otherZones []*worker
@@ -79,19 +79,19 @@
 	s.rotationCursor = 0
 }
 
-// usesSubset reports whether chooseSubset chose some workers. Otherwise the subset has all of workers, those that are gone or detached
-// too; a chosen one lacks what is not available.
+// usesSubset reports whether chooseSubset chose only some of the workers. A subset of all workers includes those that are gone or
+// detached; a subset of some has only available workers.
 func (s *Scheduler) usesSubset() bool { return len(s.subset) < len(s.workers) }
 
-// addToSubset adds workers in this dispatcher's order until the wanted number of healthy, warm ones is in the subset, and of the warming
-// ones those of which it has a slow-start share.
+// addToSubset adds workers in the order of this dispatcher: warm workers until the wanted number of healthy ones is in the
+// subset, and all warming workers of which this dispatcher has a slow-start share.
 func (s *Scheduler) addToSubset(workers []*worker, wanted int) {
-	rotation := s.settings.DispatcherIndex % subsetOrders * 64 / subsetOrders // of the hash, in bits: each gives another order
+	rotation := s.settings.DispatcherIndex % subsetOrders * 64 / subsetOrders // of the hash, in bits; each rotation gives a different order
 	slices.SortFunc(workers, func(a, b *worker) int {
 		return cmp.Compare(bits.RotateLeft64(a.idHash, rotation), bits.RotateLeft64(b.idHash, rotation))
 	})
-	place := float64(bits.Reverse64(uint64(s.settings.DispatcherIndex / subsetOrders)))
-	first := int(float64(len(workers)) * place / (1 << 64))
+	reversedIndex := float64(bits.Reverse64(uint64(s.settings.DispatcherIndex / subsetOrders)))
+	first := int(float64(len(workers)) * reversedIndex / (1 << 64))
 	for i := range workers {
 		candidate := workers[(first+i)%len(workers)]
 		warming := s.warmupFactor(candidate) < 1
@@ -104,9 +104,9 @@
 	}
 }
 
-// rebuildHashRing brings the hash ring up to date: the available workers of the subset by their hashes, with the first
-// keyCandidates once more at the end, so that each part of the ring is one slice. It is empty where all workers are candidates
-// for each key. The sum of the members' hashes shows whether it has changed.
+// rebuildHashRing updates the hash ring: the available workers of the subset, sorted by hash. The first keyCandidates workers are
+// repeated at the end, so that the candidates of each key are one slice. The ring is empty if all workers are candidates for each
+// key. The sum of the members' hashes shows whether the members have changed.
 func (s *Scheduler) rebuildHashRing() {
 	count, sum := 0, uint64(0)
 	s.warmingCandidates = s.warmingCandidates[:0]
@@ -136,18 +136,18 @@
 	s.hashRing = append(s.hashRing, s.hashRing[:keyCandidates]...)
 }
 
-// candidatesForKey returns the workers to choose from for an affinity key: the subset, or, where the hash ring is in use, the
-// keyCandidates workers from the key's place on it and the warming ones. They are the same at every dispatcher; a worker that
-// joins or leaves changes one worker of few keys. The result is valid until the next call.
+// candidatesForKey returns the candidates for an affinity key: the subset or, if the hash ring is in use, the keyCandidates
+// workers from the key's position on the ring and the warmingCandidates. The workers from the ring are the same at every
+// dispatcher. If a worker joins or leaves, one candidate of a few keys changes. The result is valid until the next call.
 func (s *Scheduler) candidatesForKey(key uint64) []*worker {
 	if key == 0 || len(s.hashRing) == 0 {
 		return s.subset
 	}
 	members := s.hashRing[:len(s.hashRing)-keyCandidates]
-	place, _ := slices.BinarySearchFunc(members, mixBits(key^hashRingSalt), func(w *worker, hash uint64) int {
+	position, _ := slices.BinarySearchFunc(members, mixBits(key^hashRingSalt), func(w *worker, hash uint64) int {
 		return cmp.Compare(w.idHash, hash)
 	})
-	part := s.hashRing[place%len(members):][:keyCandidates]
+	part := s.hashRing[position%len(members):][:keyCandidates]
 	s.candidateBuffer = append(append(s.candidateBuffer[:0], part...), s.warmingCandidates...)
 	return s.candidateBuffer
 }
