--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestAffinity_manyDispatchersAgree checks that with 80 dispatchers of few requests each a key still has the same worker at all of them,
-// for nine requests in ten.
+// TestAffinity_manyDispatchersAgree checks that 80 dispatchers with few requests each send nine in ten requests of a key to the
+// same worker.
 func TestAffinity_manyDispatchersAgree(t *testing.T) {
 	drivers := newDispatchers(t, 80, 60)
 	for _, driver := range drivers {
-		driver.handle(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: driver.now + 4*time.Second}) // from now on affinity is in use
+		driver.handle(RequestArrived{ID: 1, Slots: 1, AffinityKey: 1, Deadline: driver.now + 4*time.Second}) // affinity is in use from now on
 		driver.finishServed(1, nil)
 		driver.now += 2 * subsetInterval
 		driver.advance(subsetInterval)
@@ -30,7 +30,7 @@
 		elsewhere += len(drivers) - most
 	}
 	if elsewhere > 20*len(drivers)/10 {
-		t.Errorf("%d of %d requests were sent elsewhere than most of their key", elsewhere, 20*len(drivers))
+		t.Errorf("%d of %d requests were sent to another worker than most requests of their key", elsewhere, 20*len(drivers))
 	}
 }
 
@@ -45,7 +45,7 @@
 		driver.now += 300 * ms
 	}
 	if len(to) < 4 {
-		t.Errorf("all requests of the only key were sent to %v", to)
+		t.Errorf("requests of the only key were sent to %v, want at least 4 workers", to)
 	}
 }
 
@@ -55,21 +55,22 @@
 	settings.Dispatchers = 300
 	d := New(settings, 1)
 	d.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: workers(200)})
-	at := map[WorkerID]bool{}
+	used := map[WorkerID]bool{}
 	for id := RequestID(1); id <= 400; id++ {
 		to := firstSendWorker(d.Handle(start+Instant(id)*ms, RequestArrived{ID: id, Slots: 1, AffinityKey: 7, Deadline: start + 5*time.Second}))
 		if to == "" {
-			t.Fatalf("request %d queues, with %d of 200 workers in use", id, len(at))
+			t.Fatalf("request %d queues, with %d of 200 workers in use", id, len(used))
 		}
-		at[to] = true
+		used[to] = true
 	}
-	if len(at) < 100 {
-		t.Errorf("400 requests of one key went to %d of 200 workers", len(at))
+	if len(used) < 100 {
+		t.Errorf("400 requests of one key went to %d of 200 workers, want at least 100", len(used))
 	}
 }
 
-// TestAffinity_frequentKeyAtAllDispatchers checks a key with an eighth of the requests at four dispatchers: its requests go to 15 to 60
-// of 185 workers, at most a tenth of them to one. Those of a key with a hundredth of the requests go to at most two workers.
+// TestAffinity_frequentKeyAtAllDispatchers checks a key with an eighth of the requests at four dispatchers: its requests go to 15
+// to 60 of 185 workers, at most a tenth of them to one. Requests of a key with a hundredth of the requests go to at most two
+// workers.
 func TestAffinity_frequentKeyAtAllDispatchers(t *testing.T) {
 	frequentAt, frequent, rareAt := map[WorkerID]int{}, 0, map[WorkerID]int{}
 	for index := range 4 {
@@ -101,7 +102,7 @@
 		most = max(most, n)
 	}
 	if most > frequent/10 || len(frequentAt) < 15 || len(frequentAt) > 60 {
-		t.Errorf("%d requests of a frequent key went to %d workers, %d of them to one", frequent, len(frequentAt), most)
+		t.Errorf("%d requests of a frequent key went to %d workers, at most %d of them to the same one", frequent, len(frequentAt), most)
 	}
 	if len(rareAt) > 2 {
 		t.Errorf("a key with a hundredth of the requests went to %d workers: %v", len(rareAt), rareAt)
@@ -133,7 +134,7 @@
 		}
 		first[expected]++
 	}
-	if moved > 12 { // of 240: where two ranks are nearly equal, the request before may decide
+	if moved > 12 { // of 240: if two ranks are nearly equal, the previous request may decide
 		t.Errorf("%d requests were not sent to the first worker of their key, which was idle", moved)
 	}
 	for _, w := range workers(4) {
@@ -143,8 +144,8 @@
 	}
 }
 
-// TestAffinity_busyWorkerIsPassedOver checks that without a free slot at the first workers of a key the load decides, as for requests
-// without a key.
+// TestAffinity_busyWorkerIsPassedOver checks that if the first workers of a key have no free slot, the load decides, as for
+// requests without a key.
 func TestAffinity_busyWorkerIsPassedOver(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(4)...)
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -20,8 +20,8 @@
 	return to
 }
 
-// TestDetachedWorker_untilReattached checks that a detached worker gets no request, whatever lists say, and that its ejection is
-// independent of that. Once reattached it is in slow start, is healthy and gets the first request.
+// TestDetachedWorker_untilReattached checks that a detached worker gets no request, regardless of the lists, and that its
+// ejection is independent of that. Once reattached, it is in slow start, is healthy and gets the first request.
 func TestDetachedWorker_untilReattached(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.scheduler.settings.SlowStartDuration, driver.scheduler.settings.SlowStartCapacity, driver.scheduler.settings.OverloadMultiple, driver.scheduler.settings.OverloadWindow = 20*time.Second, 0.2, 3, 1500*ms
@@ -38,17 +38,17 @@
 		}
 	}
 	if driver.scheduler.CountAvoided() != 1 || !driver.scheduler.KnowsWorker(worker.ID) || driver.scheduler.KnowsWorker("never") {
-		t.Errorf("%d workers avoided, or unknown ones known", driver.scheduler.CountAvoided())
+		t.Errorf("got %d avoided workers, want 1, or KnowsWorker is wrong about the detached or an unknown worker", driver.scheduler.CountAvoided())
 	}
 	worker.consecutiveEjections, worker.ejectedUntil = 3, driver.now+time.Hour
 	driver.handle(WorkerReattached{Worker: worker.ID})
 	if driver.scheduler.warmupFactor(worker) > 0.21 || driver.scheduler.CountAvoided() != 0 {
-		t.Errorf("reattached: warmup factor %v, %d avoided", driver.scheduler.warmupFactor(worker), driver.scheduler.CountAvoided())
+		t.Errorf("reattached: got warmup factor %v, want at most 0.21, and %d avoided workers, want 0", driver.scheduler.warmupFactor(worker), driver.scheduler.CountAvoided())
 	}
 	if to := driver.submitJobs(100, 1); len(to) != 1 || to[0] != worker.ID {
 		t.Errorf("the first request after the reattachment was sent to %v", to)
 	}
-	// Detached before it was ever listed, as a successor is notified.
+	// A successor may be notified of a detached worker before any list names it.
 	driver.handle(WorkerDetached{Worker: "later"})
 	driver.listWorkers(append(workers(3), WorkerInfo{ID: "later", Weight: 1})...)
 	for _, to := range driver.submitJobs(200, 12) {
@@ -73,7 +73,7 @@
 		}
 	}
 	if last-first < 2*time.Second || last > 3*time.Second+ms { // so that even a late response is received within 6 s
-		t.Errorf("2000 dispatchers poll between %v and %v after their start", first, last)
+		t.Errorf("2000 dispatchers poll between %v and %v after their start, want a spread of at least 2 s and at most 3 s after the start", first, last)
 	}
 }
 
@@ -95,7 +95,7 @@
 		}
 	}
 	if last > MaxListRetryDelay+ms || last-first < MaxListRetryDelay/2 {
-		t.Errorf("300 dispatchers poll again between %v and %v", first, last)
+		t.Errorf("300 dispatchers poll again between %v and %v, want at most MaxListRetryDelay and a spread of half of it", first, last)
 	}
 }
 
@@ -114,13 +114,13 @@
 			}
 		}
 		slices.Sort(at)
-		free, rejected := time.Duration(0), 0 // the service serves calls in turn, each in 50 ms
+		freeAt, rejected := time.Duration(0), 0 // the service serves one call after the other, each in 50 ms
 		for _, t := range at {
-			if free = max(free, t); free-t > 2*time.Second {
+			if freeAt = max(freeAt, t); freeAt-t > 2*time.Second {
 				rejected++
 				continue
 			}
-			free += 50 * ms
+			freeAt += 50 * ms
 		}
 		if rejected > 0 || len(at) != dispatchers || at[len(at)-1] > most {
 			t.Errorf("%d dispatchers: %d calls, the last after %v, %d rejected", dispatchers, len(at), at[len(at)-1], rejected)
@@ -128,8 +128,9 @@
 	}
 }
 
-// TestUnconfirmedReturn_onlyWithoutOtherWorkers guards against requests to a draining worker that a list which may be older shows as ready: it
-// gets none while another worker that may run them is ready, and is used where they would be rejected otherwise.
+// TestUnconfirmedReturn_onlyWithoutOtherWorkers guards against requests to a draining worker that a possibly outdated list shows
+// as ready. The worker gets none while another worker that may run them is ready. If they would be rejected otherwise, it is
+// used.
 func TestUnconfirmedReturn_onlyWithoutOtherWorkers(t *testing.T) {
 	settings := baseSettings()
 	settings.Classes[0].MachineKind = 1
--- a/scheduler/freshness_test.go
+++ b/scheduler/freshness_test.go
@@ -16,43 +16,43 @@
 	return settings
 }
 
-// TestFreshness_probeBeforeUse checks that a worker is probed before it gets a request if the endpoint list is older than its validity: a
-// draining worker answers a probe with an error. A request waits for the probe, goes to the next worker if that fails, and has the new
-// bound in SendBy.
+// TestFreshness_probeBeforeUse checks that a worker is probed before it gets a request if the endpoint list is older than its
+// validity: a draining worker answers a probe with an error. A request waits for the probe. If the probe fails, the request goes
+// to the next worker. Its SendBy is the new bound.
 func TestFreshness_probeBeforeUse(t *testing.T) {
 	driver := newDriver(t, probingSettings())
 	driver.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: driver.now})
 	if to := driver.submit(1, 0); to == "" || countActions[Probe](driver.actions) != 0 {
-		t.Fatalf("with a fresh list: %v", driver.actions)
+		t.Fatalf("with a fresh list: expected a Send without a Probe, got %v", driver.actions)
 	}
 	driver.finishServed(1, nil)
 	driver.now += driver.scheduler.settings.ListValidity - maxSendDelay
 	if to := driver.submit(2, 0); to != "" || countActions[Probe](driver.actions) != 1 {
-		t.Fatalf("with an overdue list: %v", driver.actions)
+		t.Fatalf("with an outdated list: expected a Probe without a Send, got %v", driver.actions)
 	}
 	first := driver.actions[0].(Probe).Worker
 	driver.handle(ProbeCompleted{Worker: first, Outcome: Errored})
 	if countActions[Send](driver.actions) != 0 || countActions[Probe](driver.actions) != 1 || driver.actions[0].(Probe).Worker == first {
-		t.Fatalf("after a failed probe: %v", driver.actions)
+		t.Fatalf("after a failed probe: expected a Probe of the other worker, got %v", driver.actions)
 	}
 	second := driver.actions[0].(Probe).Worker
 	if driver.handle(ProbeCompleted{Worker: second, Outcome: Served}); firstSendWorker(driver.actions) != second {
-		t.Fatalf("after a successful probe: %v", driver.actions)
+		t.Fatalf("after a passed probe: expected a Send to its worker, got %v", driver.actions)
 	}
 	for _, a := range driver.actions {
 		if s, ok := a.(Send); ok && s.SendBy != driver.now+driver.scheduler.settings.ListValidity {
-			t.Errorf("SendBy must be %v, got %v", driver.now+driver.scheduler.settings.ListValidity, s.SendBy)
+			t.Errorf("expected SendBy %v, got %v", driver.now+driver.scheduler.settings.ListValidity, s.SendBy)
 		}
 	}
 	driver.finishServed(2, nil)
 	driver.handle(EndpointsUpdated{ListKind: ListDelta, AsOf: driver.now})
 	if to := driver.submit(3, 0); to == "" || countActions[Probe](driver.actions) != 0 {
-		t.Errorf("with a fresh list again: %v", driver.actions)
+		t.Errorf("with a fresh list again: expected a Send without a Probe, got %v", driver.actions)
 	}
 }
 
-// TestFreshness_noBoundWithoutProbesOrValidity checks that an old list stays in force if probes are not permitted or the list has no
-// validity.
+// TestFreshness_noBoundWithoutProbesOrValidity checks that an old list is still used if probes are not permitted or the list has
+// no validity.
 func TestFreshness_noBoundWithoutProbesOrValidity(t *testing.T) {
 	for _, change := range []func(*Settings){func(settings *Settings) { settings.MayProbe = false }, func(settings *Settings) { settings.ListValidity = 0 }} {
 		settings := probingSettings()
@@ -61,13 +61,13 @@
 		driver.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: driver.now})
 		driver.now += time.Hour
 		if to := driver.submit(1, 0); to == "" {
-			t.Errorf("not sent: %v", driver.actions)
+			t.Errorf("expected a Send, got %v", driver.actions)
 		}
 	}
 }
 
-// TestFreshness_noSendAfterValidity checks that in any history no request is sent to a worker whose state was confirmed longer ago than
-// ListValidity, and that none has a later SendBy.
+// TestFreshness_noSendAfterValidity checks for random histories that no request is sent to a worker whose state was confirmed
+// longer ago than ListValidity, and that no SendBy is later than that.
 func TestFreshness_noSendAfterValidity(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		settings := probingSettings()
--- a/scheduler/learnedstate_test.go
+++ b/scheduler/learnedstate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestHandover_learnedState checks that a successor starts with what its predecessor learned, also after a round trip through JSON, but
-// with nothing learned of a worker that has restarted since.
+// TestHandover_learnedState checks that a successor starts with what its predecessor learned, also after a round trip through
+// JSON. It must not adopt what was learned about a worker that has restarted since.
 func TestHandover_learnedState(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -31,9 +31,9 @@
 	next.handle(LearnedStateReceived{LearnedState: learned})
 	same, restarted := next.scheduler.workersByID[infos[0].ID], next.scheduler.workersByID[infos[1].ID]
 	if next.scheduler.overcommit != old.overcommit || next.scheduler.classes[1] != old.classes[1] || next.scheduler.estimatedSlots(same) != 6 || next.scheduler.slowdown(same) != old.slowdown(old.workers[0]) {
-		t.Errorf("overcommit %v, class %+v, slots %v, slowdown %v", next.scheduler.overcommit, next.scheduler.classes[1], next.scheduler.estimatedSlots(same), next.scheduler.slowdown(same))
+		t.Errorf("expected the predecessor's values, got overcommit %v, class %+v, slots %v, slowdown %v", next.scheduler.overcommit, next.scheduler.classes[1], next.scheduler.estimatedSlots(same), next.scheduler.slowdown(same))
 	}
 	if restarted.slownessJobs != 0 || restarted.logSlownessSum != 0 {
-		t.Errorf("slowness of a worker that has restarted: %v jobs", restarted.slownessJobs)
+		t.Errorf("expected no slowness of a worker that has restarted, got that of %v jobs", restarted.slownessJobs)
 	}
 }
--- a/scheduler/loadvalue_test.go
+++ b/scheduler/loadvalue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFull_withFreeSlots checks that if a worker with free slots rejects a job as full, for lack of memory, the job is retried elsewhere,
-// and the next ones go elsewhere for a mean stay.
+// TestFull_withFreeSlots checks that if a worker with free slots rejects a job as full, for lack of memory, the job is retried at
+// another worker, and the next jobs go to other workers for a mean stay.
 func TestFull_withFreeSlots(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -21,17 +21,17 @@
 	}
 	for id := RequestID(2); id <= 4; id++ {
 		if w := driver.submit(id, 2); w == first {
-			t.Errorf("request %d was sent to the worker that is full", id)
+			t.Errorf("request %d was sent to the worker that had rejected a job as full", id)
 		}
 	}
 	driver.now += 2 * time.Second
 	if w := driver.submit(5, 2); w != first {
-		t.Errorf("2 s later a request was sent to %s, which has more attempts", w)
+		t.Errorf("2 s later a request was sent to %s, which has more attempts in flight", w)
 	}
 }
 
-// TestLoadUncertainty_followsArrivalRate checks that the uncertainty of a load follows from the jobs that others have sent since the
-// report, not from the number of dispatchers alone.
+// TestLoadUncertainty_followsArrivalRate checks that the uncertainty of a load follows from the number of jobs that other
+// dispatchers have sent since the report, not only from the number of dispatchers.
 func TestLoadUncertainty_followsArrivalRate(t *testing.T) {
 	for _, test := range []struct {
 		dispatchers, workers int
@@ -65,7 +65,7 @@
 	}
 	scheduler.now += time.Minute
 	if a, b := scheduler.loadValue(busy), scheduler.loadValue(idle); a < 0.8 || b > 0.2 {
-		t.Errorf("a minute later the values are %v and %v", a, b)
+		t.Errorf("a minute later the load values are %v at the busy worker and %v at the idle one", a, b)
 	}
 }
 
@@ -139,7 +139,7 @@
 	driver.finishServed(2, loadReport(1, 0))
 	idle, busy := driver.scheduler.workers[0], driver.scheduler.workers[1]
 	if a, b := driver.scheduler.loadValue(idle), driver.scheduler.loadValue(busy); a > 0.01 || b < 0.9 {
-		t.Errorf("fresh reports of 0 and 1 give values %v and %v", a, b)
+		t.Errorf("fresh reports of 0 and 1 give load values of %v and %v", a, b)
 	}
 	driver.now += 5 * time.Second
 	driver.handle(TimerFired{})
@@ -168,15 +168,15 @@
 	}
 }
 
-// TestMeanOthersLoad_onlyRecentReports checks that workers without a recent report, as new ones and those beyond a network partition, are
-// not part of the fleet's mean load.
+// TestMeanOthersLoad_onlyRecentReports checks that workers without a recent report, such as new workers and workers cut off by a
+// network partition, are not part of the fleet's mean load.
 func TestMeanOthersLoad_onlyRecentReports(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
 	driver.submit(1, 0)
 	driver.finishServed(1, loadReport(0.9, 0.4))
 	if driver.scheduler.meanOthersLoad == 0 {
-		t.Fatal("a fresh report does not count")
+		t.Fatal("expected a fresh report to count in the mean")
 	}
 	driver.now += 4 * time.Second
 	driver.listWorkers(append(workers(2), WorkerInfo{ID: "w99"})...)
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestSlots_byMachineKind checks that the slots of a worker that is always busy, and so reports few free ones, are taken from others of
-// its machine kind.
+// TestSlots_byMachineKind checks that the slots of a worker that is always busy, and so reports few free slots, are estimated
+// from other workers of its machine kind.
 func TestSlots_byMachineKind(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -200,6 +200,6 @@
 	driver.finishServed(1, loadReport(0.8, 1))
 	driver.finishServed(2, loadReport(0, 5))
 	if got := driver.scheduler.estimatedSlots(driver.scheduler.workers[0]); got != 5 {
-		t.Errorf("a busy worker of a kind with 5 slots counts as %v", got)
+		t.Errorf("estimated slots of a busy worker of a kind with 5 slots: %v", got)
 	}
 }
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSilence_withoutProgressReports checks that a worker that does not report progress is not ejected during a job of 10 s, and that one
-// that should report progress is.
+// TestSilence_withoutProgressReports checks that a worker without progress reports is not ejected during a job of 10 s, and that
+// a worker that should report progress but does not is ejected.
 func TestSilence_withoutProgressReports(t *testing.T) {
 	for _, progress := range []time.Duration{0, time.Second} {
 		settings := baseSettings()
@@ -23,16 +23,16 @@
 	}
 }
 
-// TestPlacement_workerThatOftenFails checks that a worker that fails three of five jobs at once, so that it looks idle, gets at most a
-// tenth of 300 jobs. After its recovery it gets at least 20 of the last 100, its share being 33.
+// TestPlacement_workerThatOftenFails checks that a worker that fails three of five jobs at once, so that it looks idle, gets at
+// most a tenth of 300 jobs. After its recovery it must get at least 20 of the last 100 jobs; an even share would be 33.
 func TestPlacement_workerThatOftenFails(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
-	bad, jobs := 0, 300
+	sentToFailing, jobs := 0, 300
 	for i := range jobs {
 		id := RequestID(i + 1)
 		if driver.submit(id, i%3) == "w00" {
-			if bad++; bad%5 < 3 {
+			if sentToFailing++; sentToFailing%5 < 3 {
 				driver.handle(AttemptFinished{ID: id, Worker: "w00", Outcome: Errored, Final: true})
 				driver.now += 100 * ms
 				continue
@@ -41,19 +41,19 @@
 		driver.advance(100 * ms)
 		driver.finishServed(id, nil)
 	}
-	if bad > jobs/10 {
-		t.Errorf("%d of %d jobs were sent to the worker that fails", bad, jobs)
+	if sentToFailing > jobs/10 {
+		t.Errorf("%d of %d jobs were sent to the failing worker, want at most a tenth", sentToFailing, jobs)
 	}
-	before := bad
-	for i := range jobs { // it has recovered: after a trial it gets its share
+	before := sentToFailing
+	for i := range jobs { // the worker has recovered: after a trial it gets its share
 		id := RequestID(jobs + i + 1)
-		at := driver.submit(id, i%3)
-		bad += oneIf(at == "w00" && i >= 2*jobs/3) // its failures are forgotten after some 20 s
+		to := driver.submit(id, i%3)
+		sentToFailing += oneIf(to == "w00" && i >= 2*jobs/3) // its failures are forgotten after some 20 s
 		driver.advance(100 * ms)
 		driver.finishServed(id, nil)
 	}
-	if got := bad - before; got < jobs/3/5 {
-		t.Errorf("after its recovery the worker got %d of %d jobs", got, jobs/3)
+	if got := sentToFailing - before; got < jobs/3/5 {
+		t.Errorf("after its recovery the worker got %d of %d jobs, want at least a fifth", got, jobs/3)
 	}
 }
 
@@ -72,10 +72,10 @@
 	driver.advance(300 * ms)
 	w := driver.scheduler.workers[0]
 	if driver.scheduler.healthy(w, 2) || !driver.scheduler.healthy(w, 0) {
-		t.Errorf("class 2 is healthy: %v; class 0: %v", driver.scheduler.healthy(w, 2), driver.scheduler.healthy(w, 0))
+		t.Errorf("healthy: class 2 %v, want false; class 0 %v, want true", driver.scheduler.healthy(w, 2), driver.scheduler.healthy(w, 0))
 	}
 	if w.ownSlots != 0 {
-		t.Errorf("the lost attempt still uses %v slots", w.ownSlots)
+		t.Errorf("the lost attempt still counts as %v slots, want 0", w.ownSlots)
 	}
 }
 
@@ -90,12 +90,12 @@
 		driver.finishServed(id+1, nil)
 	}
 	if w := driver.scheduler.workers[0]; driver.scheduler.healthy(w, 2) || !driver.scheduler.healthy(w, 0) {
-		t.Errorf("class 2 is healthy: %v; class 0: %v", driver.scheduler.healthy(w, 2), driver.scheduler.healthy(w, 0))
+		t.Errorf("healthy: class 2 %v, want false; class 0 %v, want true", driver.scheduler.healthy(w, 2), driver.scheduler.healthy(w, 0))
 	}
 }
 
-// TestIdleLoss_closesOlderConnections checks that after an attempt was lost with an idle connection, connections that have been idle for
-// as long are closed before use, and that the worker is not ejected.
+// TestIdleLoss_closesOlderConnections checks that after an attempt was lost with an idle connection, connections that have been
+// idle for as long are closed before use, and that the worker is not ejected.
 func TestIdleLoss_closesOlderConnections(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(1, 1)...)
@@ -105,17 +105,17 @@
 	driver.submit(2, 2)
 	driver.handle(AttemptFinished{ID: 2, Outcome: Reset, ConnectionIdle: -1})
 	if !driver.scheduler.healthy(driver.scheduler.workers[0], 0) {
-		t.Error("the worker is ejected for its lost connection")
+		t.Error("the worker was ejected for one lost connection")
 	}
 	driver.now += 3 * time.Second
 	actions := driver.handle(RequestArrived{ID: 3, Class: 2, Slots: 1, Deadline: driver.now + 2*time.Second})
 	if countActions[CloseIdleConnections](actions) != 1 || countActions[Send](actions) != 1 {
-		t.Errorf("after 3 idle seconds: %v", actions)
+		t.Errorf("after 3 idle seconds: expected CloseIdleConnections and Send, got %v", actions)
 	}
 	driver.handle(AttemptFinished{ID: 3, Outcome: Served, Final: true})
 	driver.now += minLossIdle / 2
 	if actions := driver.handle(RequestArrived{ID: 4, Class: 2, Slots: 1, Deadline: driver.now + 2*time.Second}); countActions[CloseIdleConnections](actions) != 0 {
-		t.Errorf("a connection just used is closed: %v", actions)
+		t.Errorf("expected a connection that was just used to stay open, got %v", actions)
 	}
 }
 
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestIdleLoss_byConnectionIdleTime checks that after a loss with an idle connection those connections are closed that have been idle for
-// at least 4/5 as long: the idle time of the connection counts, not that of the worker. An attempt that had started was not lost that
-// way.
+// TestIdleLoss_byConnectionIdleTime checks that after a loss with an idle connection, connections that have been idle for at
+// least 4/5 as long are closed. The idle time of the connection counts, not that of the worker. An attempt that had started was
+// not lost that way.
 func TestIdleLoss_byConnectionIdleTime(t *testing.T) {
 	for _, test := range []struct {
 		idle    time.Duration
@@ -154,7 +154,7 @@
 		}
 		job(1)
 		driver.finishServed(1, nil)
-		driver.now += 5 * time.Second // longer than any of its connections: probes and other requests used them meanwhile
+		driver.now += 5 * time.Second // the worker's idle time; probes and other requests have used its connections meanwhile
 		job(2)
 		if test.started {
 			driver.handle(AttemptStarted{ID: 2})
@@ -164,11 +164,11 @@
 		actions := job(3)
 		for _, action := range actions {
 			if d, ok := action.(CloseIdleConnections); ok && d.MinIdle != test.idle*4/5 {
-				t.Errorf("%+v: closes what was idle for %v", test, d.MinIdle)
+				t.Errorf("%+v: got MinIdle %v, expected 4/5 of the idle time", test, d.MinIdle)
 			}
 		}
 		if n := countActions[CloseIdleConnections](actions); n != test.closed {
-			t.Errorf("%+v: connections closed %d times", test, n)
+			t.Errorf("%+v: connections were closed %d times", test, n)
 		}
 	}
 }
@@ -190,11 +190,11 @@
 		driver.scheduler.eject(w, &w.ejectionState, 0, "test")
 	}
 	if w := driver.submit(9, 0); w == "" {
-		t.Error("nothing is sent when all are ejected")
+		t.Error("expected a send while all workers are ejected, got none")
 	}
 }
 
-// TestCountAvoided_workerNotListed guards against a count of workers that a full list no longer names: they are no workers to avoid.
+// TestCountAvoided_workerNotListed guards against counting workers that the latest full list no longer names.
 func TestCountAvoided_workerNotListed(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
@@ -202,14 +202,14 @@
 	ejected.consecutiveEjections, ejected.ejectedUntil = 1, driver.now+time.Hour
 	driver.handle(WorkerDetached{Worker: detached.ID})
 	if count := driver.scheduler.CountAvoided(); count != 2 {
-		t.Fatalf("%d workers avoided, want the ejected one and the detached one", count)
+		t.Fatalf("got %d avoided workers, want 2: the ejected one and the detached one", count)
 	}
 	driver.listWorkers(workers(3)[2:]...)
 	if count := driver.scheduler.CountAvoided(); count != 0 {
-		t.Errorf("%d workers avoided that are not listed", count)
+		t.Errorf("got %d avoided workers that are not listed, want 0", count)
 	}
 	driver.listWorkers(workers(3)...)
 	if count := driver.scheduler.CountAvoided(); count != 2 {
-		t.Errorf("listed again: %d workers avoided, want 2", count)
+		t.Errorf("listed again: got %d avoided workers, want 2", count)
 	}
 }
--- a/scheduler/overcommit_test.go
+++ b/scheduler/overcommit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestCapacity_idleWorkerWithNegativeOvercommit checks that a worker with a free slot and without own attempts takes one whatever the
-// overcommit: a queued request would relieve no worker, and nothing would raise the overcommit again.
+// TestCapacity_idleWorkerWithNegativeOvercommit checks that a worker with a free slot and without own attempts takes one
+// regardless of the overcommit: a queued request would relieve no worker, and nothing would raise the overcommit again.
 func TestCapacity_idleWorkerWithNegativeOvercommit(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(3)...)
@@ -17,11 +17,11 @@
 	driver.scheduler.overcommit, driver.scheduler.meanOthersLoad = minOvercommit, 0.7
 	for id := RequestID(1); id <= 3; id++ {
 		if driver.submit(id, 0) == "" {
-			t.Errorf("request %d is queued while a worker with a free slot has none", id)
+			t.Errorf("request %d is queued while a worker with a free slot has no attempt", id)
 		}
 	}
 	if w := driver.submit(4, 0); w != "" {
-		t.Errorf("a second request went to %s", w)
+		t.Errorf("expected request 4 to be queued, got a send to %s, which has an attempt", w)
 	}
 }
 
@@ -37,14 +37,14 @@
 	driver.scheduler.queued = []*request{r}
 	before := driver.scheduler.overcommit
 	if driver.scheduler.adjustOvercommit(r, &attempt{worker: warming, sentAt: driver.scheduler.now}); driver.scheduler.overcommit != before {
-		t.Errorf("a job that started soon at a warming worker: %v, was %v", driver.scheduler.overcommit, before)
+		t.Errorf("overcommit %v after an early start at a warming worker, want %v as before", driver.scheduler.overcommit, before)
 	}
 	if driver.scheduler.adjustOvercommit(r, &attempt{worker: warm, sentAt: driver.scheduler.now}); driver.scheduler.overcommit <= before {
-		t.Errorf("at a warm one: %v, was %v", driver.scheduler.overcommit, before)
+		t.Errorf("overcommit %v after an early start at a warm worker, want more than %v", driver.scheduler.overcommit, before)
 	}
 	driver.scheduler.overcommit = before
 	if driver.scheduler.adjustOvercommit(r, &attempt{worker: warming, sentAt: driver.scheduler.now - time.Second}); driver.scheduler.overcommit >= before {
-		t.Errorf("a job that waited at a warming one: %v, was %v", driver.scheduler.overcommit, before)
+		t.Errorf("overcommit %v after a wait at a warming worker, want less than %v", driver.scheduler.overcommit, before)
 	}
 }
 
@@ -64,13 +64,13 @@
 		job(id, 150*ms)
 	}
 	if driver.scheduler.overcommit > 0 {
-		t.Errorf("after long waits the overcommit is still %v", driver.scheduler.overcommit)
+		t.Errorf("overcommit %v after long waits, want at most 0", driver.scheduler.overcommit)
 	}
 	for id := RequestID(100); id < 150; id++ {
 		job(id, ms)
 	}
 	if driver.scheduler.overcommit < initialOvercommit {
-		t.Errorf("after short waits the overcommit is only %v", driver.scheduler.overcommit)
+		t.Errorf("overcommit %v after short waits, want at least initialOvercommit", driver.scheduler.overcommit)
 	}
 }
 
@@ -89,6 +89,6 @@
 	driver.scheduler.meanOthersLoad = 3
 	driver.now += 3 * time.Second
 	if w := driver.submit(3, 0); w == "" {
-		t.Error("queued a request though no worker has reported for 3 s")
+		t.Error("expected a send, as no worker has reported for 3 s, got none")
 	}
 }
--- a/scheduler/probing_test.go
+++ b/scheduler/probing_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestProbe_rateByDispatchers checks that a worker gets 1 to 2.5 probes a second, however many dispatchers there are.
+// TestProbe_rateByDispatchers checks that a worker gets 1 to 2.5 probes a second, regardless of the number of dispatchers.
 func TestProbe_rateByDispatchers(t *testing.T) {
 	for _, dispatchers := range []int{2, 10, 80} {
 		t.Run(fmt.Sprint(dispatchers), func(t *testing.T) {
@@ -25,14 +25,14 @@
 			}
 			each := float64(probes*dispatchers) / n / span.Seconds()
 			if each < 1 || each > 2.5 {
-				t.Errorf("%.1f probes a second at each worker", each)
+				t.Errorf("got %.1f probes a second at each worker, want 1 to 2.5", each)
 			}
 		})
 	}
 }
 
-// TestProbe_repeatedReportIsNotFresh checks that a probe with the same figures as the one before is no newer report, as the worker has
-// not refreshed them.
+// TestProbe_repeatedReportIsNotFresh checks that a report with the same values as the previous one does not count as newer,
+// because the worker has not refreshed it.
 func TestProbe_repeatedReportIsNotFresh(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(1)...)
@@ -42,7 +42,7 @@
 		want Instant
 	}{{3.5, first}, {3.5, first}, {3.4, first + 2*time.Second}} {
 		if driver.handle(ProbeCompleted{Worker: w.ID, Report: loadReport(0.5, c.free)}); w.reportedAt != c.want || w.lastSignal != driver.now {
-			t.Errorf("reported at %v, last signal at %v, want %v and now", w.reportedAt, w.lastSignal, c.want)
+			t.Errorf("got a report at %v and the last signal at %v, want %v and now", w.reportedAt, w.lastSignal, c.want)
 		}
 		driver.now += time.Second
 	}
--- a/scheduler/statistics_test.go
+++ b/scheduler/statistics_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// TestEstimatedRuntime_followsShift checks that after 60 jobs of 0.3 s, and 60 shorter ones before, the estimate is between 0.2 s and
-// 0.35 s.
+// TestEstimatedRuntime_followsShift checks that after 60 jobs of 0.3 s, which follow 60 shorter ones, the estimate is between 0.2
+// s and 0.35 s.
 func TestEstimatedRuntime_followsShift(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(zonedWorkers(4, 1)...)
 	id := RequestID(0)
-	run := func(jobs int, took time.Duration) {
+	run := func(jobs int, runtime time.Duration) {
 		for range jobs {
 			id++
 			driver.submit(id, 0)
 			driver.handle(AttemptStarted{ID: id})
-			driver.advance(took)
+			driver.advance(runtime)
 			driver.finishServed(id, loadReport(0.2, 3))
 		}
 	}
 	run(60, 50*ms)
 	run(60, 300*ms)
 	if got := driver.scheduler.estimatedRuntime(&request{}); got < 0.2 || got > 0.35 {
-		t.Errorf("after 60 jobs of 0.3 s the mean work is %.3f s", got)
+		t.Errorf("after 60 jobs of 0.3 s the estimated runtime is %.3f s, want 0.2 s to 0.35 s", got)
 	}
 }
 
-// TestSlowdown_byRunningJobs checks that a worker that has become slow is recognized by jobs that run for longer than usual, before any
-// of them ends.
+// TestSlowdown_byRunningJobs checks that a worker that has become slow is detected by jobs that run for longer than usual, before
+// any of them ends.
 func TestSlowdown_byRunningJobs(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -49,7 +49,7 @@
 	driver.scheduler.now = driver.now
 	driver.scheduler.review()
 	if slowdown := driver.scheduler.slowdown(slow); slowdown < slowdownThreshold {
-		t.Errorf("slowdown %v after a second of jobs that take a tenth", slowdown)
+		t.Errorf("slowdown %v after jobs that usually take 0.1 s have run for 1 s", slowdown)
 	}
 	if slowdown := driver.scheduler.slowdown(driver.scheduler.workers[1]); slowdown != 1 {
 		t.Errorf("slowdown %v of the other worker", slowdown)
@@ -71,7 +71,7 @@
 	if slowdown := driver.scheduler.slowdown(worker); slowdown > worstCase/2 || slowdown < 1 {
 		t.Errorf("slowdown after 20 ordinary jobs: %v", slowdown)
 	}
-	worker.logSlownessSum = 20 * 2 // and seven times as long
+	worker.logSlownessSum = 20 * 2 // jobs took about seven times as long
 	if slowdown := driver.scheduler.slowdown(worker); slowdown < worstCase {
 		t.Errorf("slowdown after 20 slow jobs: %v", slowdown)
 	}
@@ -81,10 +81,10 @@
 func TestSlowdown_notFromFewLongJobs(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
-	run := func(id RequestID, took time.Duration) {
+	run := func(id RequestID, runtime time.Duration) {
 		driver.submit(id, 0)
 		driver.handle(AttemptStarted{ID: id})
-		driver.now += took
+		driver.now += runtime
 		driver.finishServed(id, nil)
 	}
 	run(1, 5*ms)
--- a/scheduler/subset_test.go
+++ b/scheduler/subset_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestCandidatesForKey_stableAndBalanced checks that where many workers are listed a key's candidates are a part of them: the same at
-// every dispatcher, whatever the order of its list; that a worker that joins moves at most a hundredth of the keys, and that no worker
-// has more than six times the mean number of keys.
+// TestCandidatesForKey_stableAndBalanced checks that if many workers are listed, a key's candidates are a part of them, the same
+// at every dispatcher regardless of the order of its list. A worker that joins moves at most a hundredth of the keys, and no
+// worker has more than six times the mean number of keys.
 func TestCandidatesForKey_stableAndBalanced(t *testing.T) {
 	const n, keys = 1000, 4000
 	newScheduler := func(n int, reversed bool) *Scheduler {
@@ -49,27 +49,27 @@
 		}
 	}
 	a, b, more := newScheduler(n, false), newScheduler(n, true), newScheduler(n+1, false)
-	at, moved := map[WorkerID]int{}, 0
+	keysByWorker, moved := map[WorkerID]int{}, 0
 	for key := uint64(1); key <= keys; key++ {
 		if got := len(a.candidatesForKey(key)); got != keyCandidates {
-			t.Fatalf("key %d: %d workers", key, got)
+			t.Fatalf("key %d: got %d candidates", key, got)
 		}
-		h := firstWorker(a, key)
-		if h != firstWorker(b, key) {
+		first := firstWorker(a, key)
+		if first != firstWorker(b, key) {
 			t.Fatalf("key %d has another first worker at another dispatcher", key)
 		}
-		moved += oneIf(h != firstWorker(more, key))
-		at[h]++
+		moved += oneIf(first != firstWorker(more, key))
+		keysByWorker[first]++
 	}
-	if moved > keys/100 { // a thousandth move to the new worker; as many others lose the last of their candidates
+	if moved > keys/100 { // a thousandth of them moves to the new worker; as many others lose their last candidate
 		t.Errorf("%d of %d keys moved when one of %d workers joined", moved, keys, n)
 	}
 	most := 0
-	for _, got := range at {
+	for _, got := range keysByWorker {
 		most = max(most, got)
 	}
-	if mean := float64(keys) / n; float64(most) > 6*mean || len(at) < n*8/10 {
-		t.Errorf("%d workers have keys, the most %d, %.0f in the mean", len(at), most, mean)
+	if mean := float64(keys) / n; float64(most) > 6*mean || len(keysByWorker) < n*8/10 {
+		t.Errorf("%d workers have keys; the largest number of keys is %d, the mean %.0f", len(keysByWorker), most, mean)
 	}
 }
 
@@ -82,15 +82,15 @@
 	return m
 }
 
-// TestSubset_smallBalancedStable checks that on a large fleet each dispatcher has a small subset, that each worker is in 0.5 to 1.6 times
-// the mean number of subsets, and that a worker that leaves changes at most a fifth of the places.
+// TestSubset_smallBalancedStable checks that on a large fleet each dispatcher has a small subset, that each worker is in 0.5 to
+// 1.6 times the mean number of subsets, and that a worker that leaves changes at most a fifth of the members of all subsets.
 func TestSubset_smallBalancedStable(t *testing.T) {
 	infos := zonedWorkers(180, 2)
 	schedulers := newSchedulers(baseSettings(), 300, 2, infos)
 	own := map[WorkerID]int{}
 	for _, d := range schedulers {
 		if len(d.subset) != 2*minSubsetSize {
-			t.Fatalf("dispatcher %d has a subset of %d workers, want %d of each zone group", d.settings.DispatcherIndex, len(d.subset), minSubsetSize)
+			t.Fatalf("dispatcher %d has a subset of %d workers, want %d of its own zone and as many of the others", d.settings.DispatcherIndex, len(d.subset), minSubsetSize)
 		}
 		for _, w := range d.subset {
 			if w.Zone == d.settings.Zone {
@@ -118,11 +118,12 @@
 		}
 	}
 	if all := 300 * 2 * minSubsetSize; moved == 0 || moved > all/5 {
-		t.Errorf("after one worker left, %d of %d places changed", moved, all)
+		t.Errorf("after one worker left, %d of %d members of subsets changed", moved, all)
 	}
 }
 
-// TestSubset_wholeSmallFleet checks that a fleet that is small relative to the dispatcher's arrival rate is completely in its subset.
+// TestSubset_wholeSmallFleet checks that a dispatcher's subset contains the whole fleet if the fleet is small relative to its
+// arrival rate.
 func TestSubset_wholeSmallFleet(t *testing.T) {
 	for _, d := range newSchedulers(baseSettings(), 3, 1, zonedWorkers(4, 1)) {
 		if !d.loadsKnown || len(d.subset) != 4 {
--- a/scheduler/warmingfleet_test.go
+++ b/scheduler/warmingfleet_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// warmingFleet is a random fleet around one worker that has just started.
+// warmingFleet describes a random fleet with one worker that has just started.
 type warmingFleet struct {
 	settings              Settings
 	dispatchers           int
 	slots                 float64
-	work                  float64 // mean of a job, in seconds
+	work                  float64 // mean work of a job, in seconds
 	requestRate           float64 // requests a second at all dispatchers together
-	firstDispatcherFactor float64 // the first dispatcher gets so many times its part of them
-	killedAt              Instant // when seven in ten are killed and restarted; 0 for never
+	firstDispatcherFactor float64 // requests at the first dispatcher, as a multiple of an even share
+	killedAt              Instant // when seven in ten dispatchers are killed and restarted; 0 for never
 	restartDuration       Instant // how long a restart takes
 	seed                  uint64
 }
@@ -33,7 +33,7 @@
 	now         Instant
 	list        []WorkerInfo
 	schedulers  []*Scheduler
-	restartsAt  []Instant // of dispatchers that are down; 0 for the others
+	restartsAt  []Instant // by dispatcher, for those that are down; 0 for the others
 	jobs        []fleetJob
 	lastID      RequestID
 	runningJobs float64   // at the warming worker
@@ -43,14 +43,15 @@
 // fleetJob is a job in progress.
 type fleetJob struct {
 	from    *Scheduler
-	id      RequestID // 0 for one that runs elsewhere
-	took    time.Duration
+	id      RequestID // 0 for a job that runs at another worker
+	runtime time.Duration
 	endsAt  Instant
 	started bool // at the warming worker
 }
 
-// arrivals simulates the fleet and returns when requests arrived at the warming worker, in order. Their runtimes are random. A request
-// that is not sent there runs elsewhere, and its dispatcher learns its runtime; dispatchers share nothing.
+// arrivals simulates the fleet and returns when requests arrived at the warming worker, in order. The runtimes are random. A
+// request that is not sent to the warming worker runs at another one, and its dispatcher learns its runtime. Dispatchers share
+// nothing.
 func (f *warmingFleet) arrivals() []Instant {
 	run := &warmingFleetRun{
 		warmingFleet: f, random: rand.New(rand.NewPCG(f.seed, 1)), now: start,
@@ -80,7 +81,7 @@
 	r.schedulers[dispatcher].Handle(r.now, TimerFired{})
 }
 
-// endJobs ends the jobs whose time is over. A dispatcher learns the runtimes of those that ran elsewhere, too.
+// endJobs ends the jobs whose runtime is over. A dispatcher also learns the runtimes of the jobs that ran at other workers.
 func (r *warmingFleetRun) endJobs() {
 	r.jobs = slices.DeleteFunc(r.jobs, func(job fleetJob) bool {
 		if r.now < job.endsAt {
@@ -94,15 +95,15 @@
 		} else { // as recordRuntime does
 			class := &scheduler.classes[0]
 			scheduler.servedJobs, class.jobs = scheduler.servedJobs+1, class.jobs+1
-			updateMean(&scheduler.meanWork, scheduler.servedJobs, job.took.Seconds())
-			updateMean(&class.workScale, class.jobs, job.took.Seconds())
+			updateMean(&scheduler.meanWork, scheduler.servedJobs, job.runtime.Seconds())
+			updateMean(&class.workScale, class.jobs, job.runtime.Seconds())
 		}
 		return true
 	})
 }
 
-// updateDispatcher kills or restarts a dispatcher, or passes it its first list, where that is due. It reports whether the dispatcher is
-// up.
+// updateDispatcher kills or restarts a dispatcher, or passes it its first list, if that is due. It reports whether the dispatcher
+// is up.
 func (r *warmingFleetRun) updateDispatcher(dispatcher int) bool {
 	if r.killedAt > 0 && r.now >= r.killedAt && r.now < r.killedAt+fleetStep && dispatcher%10 < 7 {
 		r.restartsAt[dispatcher] = r.now + r.restartDuration
@@ -116,7 +117,7 @@
 	}
 	if scheduler := r.schedulers[dispatcher]; r.now >= workerStartedAt && len(scheduler.workers) == 0 {
 		scheduler.Handle(r.now, EndpointsUpdated{ListKind: ListFull, Workers: r.list})
-		if r.random.IntN(2) == 0 { // as a probe may show
+		if r.random.IntN(2) == 0 { // as a report of a probe may do
 			scheduler.recordSlots(scheduler.workers[0], r.slots)
 		}
 	}
@@ -139,17 +140,17 @@
 // submitJob submits a request, whose job runs at the warming worker if the request is sent there.
 func (r *warmingFleetRun) submitJob(scheduler *Scheduler) {
 	r.lastID++
-	id, took := r.lastID, durationOf(r.work*r.random.ExpFloat64())
+	id, runtime := r.lastID, durationOf(r.work*r.random.ExpFloat64())
 	if countActions[Send](scheduler.Handle(r.now, RequestArrived{ID: id, Slots: 1, Deadline: r.now + 2*time.Second})) == 0 {
-		scheduler.Handle(r.now, ClientLeft{ID: id}) // it runs elsewhere
-		r.jobs = append(r.jobs, fleetJob{from: scheduler, took: took, endsAt: r.now + took})
+		scheduler.Handle(r.now, ClientLeft{ID: id}) // it runs at another worker
+		r.jobs = append(r.jobs, fleetJob{from: scheduler, runtime: runtime, endsAt: r.now + runtime})
 		return
 	}
 	r.arrivedAt = append(r.arrivedAt, r.now+Instant(r.random.Int64N(int64(maxSendDelay)))) // after the connection is established
 	started := r.runningJobs < r.slots
-	if started { // otherwise it waits there
+	if started { // otherwise the job waits at the worker
 		r.runningJobs++
 		scheduler.Handle(r.now, AttemptStarted{ID: id})
 	}
-	r.jobs = append(r.jobs, fleetJob{from: scheduler, id: id, took: took, endsAt: r.now + took, started: started})
+	r.jobs = append(r.jobs, fleetJob{from: scheduler, id: id, runtime: runtime, endsAt: r.now + runtime, started: started})
 }
