--- a/internal/decisions/endpointstate/changes.go
+++ b/internal/decisions/endpointstate/changes.go
@@ -6,7 +6,7 @@
 	"brassdale/scheduler"
 )
 
-// NotListed is the index of a worker that a complete response does not name.
+// NotListed is the index of a worker that a complete response does not list.
 const NotListed = -1
 
 // Accepted is the state of one worker that is in force after a response.
@@ -22,18 +22,18 @@
 type Changes struct {
 	Accepted []Accepted
 
-	// UnconfirmedReturns are workers that stay draining, though the service of the response lists them as ready and did list them as draining
-	// before: their drain is known from another service too, whose list may be later. Whoever has no other worker may use them. They
-	// are named with each response that shows this; one that is Accepted is unconfirmed no more.
+	// UnconfirmedReturns are workers that stay draining, although the service of the response listed them as draining and now lists them
+	// as ready: another service has shown the drain too, and its list may be newer. A caller without any other worker may use them.
+	// Each response that shows such a return lists it again; once a worker is in Accepted, its return is confirmed.
 	UnconfirmedReturns []Accepted
 
-	PollAgainAt time.Time // when to poll for the full list, as a part of the response was not accepted; zero for no poll
+	PollAgainAt time.Time // when to poll for the full list because a part of the response was not accepted; zero for no poll
 }
 
-// rejectReturn records that a worker is listed as ready and stays as known, as the response is not certainly later.
+// rejectReturn records that a worker which is listed as ready keeps its known state, as the response is not certainly newer.
 func (c *Changes) rejectReturn(response ListResponse, index int, id scheduler.WorkerID, known *record, seen observation) {
 	c.pollAgainBy(known.staleUntil(seen, response.CalledAt))
-	if known.state == scheduler.Draining && known.shownBefore(seen) {
+	if known.state == scheduler.Draining && known.shownBySameService(seen) {
 		c.UnconfirmedReturns = append(c.UnconfirmedReturns,
 			Accepted{Index: index, ID: id, State: known.state, Start: known.start, NotifiedAt: known.notifiedAt})
 	}
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -11,25 +11,25 @@
 	"brassdale/scheduler"
 )
 
-// table is the subject of the properties: Table, or a version of it with a deliberate fault.
+// table is what the properties are checked on: Table, or a version of it with a deliberate fault.
 type table interface {
 	Classify(ListResponse) ResponseOrder
 	Apply(ListResponse, ResponseOrder) Changes
 }
 
-// fleetChange is a change of the true state of the worker "w" at a time after the start of the model.
-type fleetChange struct {
-	at       time.Duration
-	endpoint Endpoint // with state Gone for a worker that is not listed
+// workerChange is a change of the true state of the worker "w".
+type workerChange struct {
+	at       time.Duration // since the start of the model
+	endpoint Endpoint      // with state Gone if the worker is not listed
 }
 
-// discoveryModel is the truth over time, and services that show it late.
+// discoveryModel passes responses that show the true state of the worker late to a table, and checks the table's changes.
 type discoveryModel struct {
-	truth             []fleetChange
+	truth             []workerChange
 	table             table
-	acceptedState     scheduler.WorkerState // by the table's changes
-	newestRestriction int                   // the newest change whose restriction was accepted; -1 for none
-	countConfirmed    bool                  // a drain that a list shows counts as accepted also while the worker is not ready
+	acceptedState     scheduler.WorkerState // of the last accepted change
+	newestRestriction int                   // index of the newest change whose restriction was accepted; -1 for none
+	countConfirmed    bool                  // a drain that a list shows counts as accepted also if the worker was not ready before
 }
 
 var epoch = time.Unix(1e9, 0)
@@ -48,24 +48,24 @@
 	return index
 }
 
-// modelService is a service that shows the truth late, and counts revisions from a number of its own.
+// modelService is a discovery service that counts revisions from a number of its own.
 type modelService struct {
 	name          string
 	firstRevision int64
 }
 
-// modelResponse is when a response of a service was called for, composed and received.
+// modelResponse is a response of a service, with the times of the call, the composition and the receipt.
 type modelResponse struct {
 	service                    modelService
 	called, composed, received time.Duration
 }
 
-// String returns the response for failure messages.
+// String formats the response for failure messages.
 func (r modelResponse) String() string {
 	return fmt.Sprintf("[%s called at %v composed at %v received at %v]", r.service.name, r.called, r.composed, r.received)
 }
 
-// respond passes a response to the table, and returns the property that its changes violate.
+// respond passes a response to the table, and returns an error if its changes violate a property.
 func (m *discoveryModel) respond(planned modelResponse) error {
 	shown := m.changeInForce(planned.composed)
 	response := ListResponse{Service: planned.service.name, Revision: planned.service.firstRevision + int64(shown), Complete: true,
@@ -86,10 +86,10 @@
 				m.newestRestriction = max(m.newestRestriction, shown)
 			}
 			if accepted.NotifiedAt.After(response.ReceivedAt) || accepted.NotifiedAt.IsZero() {
-				return fmt.Errorf("notified at %v, after the response of %v", accepted.NotifiedAt, response.ReceivedAt)
+				return fmt.Errorf("NotifiedAt is %v, expected a time up to the receipt of the response at %v", accepted.NotifiedAt, response.ReceivedAt)
 			}
 		case before != scheduler.Ready && shown <= m.newestRestriction:
-			return fmt.Errorf("a list of change %d, composed at %v, withdraws the restriction of change %d", shown, planned.composed, m.newestRestriction)
+			return fmt.Errorf("a list that shows change %d, composed at %v, withdraws the restriction of change %d", shown, planned.composed, m.newestRestriction)
 		}
 	}
 	if m.countConfirmed && m.truth[shown].endpoint.State == scheduler.Draining {
@@ -98,7 +98,8 @@
 	return nil
 }
 
-// converges returns an error unless responses that are received from now on bring the table to the truth within its time.
+// converges passes current responses to the table for MaxStaleness and one second, and returns an error if it does not have the true
+// state then.
 func (m *discoveryModel) converges(service modelService, from time.Duration) error {
 	last := len(m.truth) - 1
 	for at := from; at <= from+MaxStaleness+time.Second; at += time.Second {
@@ -107,25 +108,25 @@
 		}
 	}
 	if truth := m.truth[last].endpoint.State; truth != m.acceptedState {
-		return fmt.Errorf("the worker is %v, the table has %v", truth, m.acceptedState)
+		return fmt.Errorf("the worker is %v, but the table has %v", truth, m.acceptedState)
 	}
 	return nil
 }
 
-// truths are the histories of the worker that are explored: a drain, an end, a return, a new start, an end soon after a new start.
-func truths() [][]fleetChange {
+// workerHistories are the histories of the worker that are explored: a drain, an end, a return, a new start, an end soon after a new start.
+func workerHistories() [][]workerChange {
 	endpoint := func(state scheduler.WorkerState, start scheduler.Instant) Endpoint {
 		return Endpoint{ID: "w", State: state, Start: start}
 	}
 	ready, draining, gone := endpoint(scheduler.Ready, 0), endpoint(scheduler.Draining, 0), endpoint(scheduler.Gone, 0)
 	restarted := endpoint(scheduler.Ready, 7)
-	history := func(endpoints ...Endpoint) (truth []fleetChange) {
+	history := func(endpoints ...Endpoint) (truth []workerChange) {
 		for i, e := range endpoints {
-			truth = append(truth, fleetChange{time.Duration(i) * 4 * time.Second, e})
+			truth = append(truth, workerChange{time.Duration(i) * 4 * time.Second, e})
 		}
 		return truth
 	}
-	return [][]fleetChange{
+	return [][]workerChange{
 		history(ready, draining),
 		history(ready, gone),
 		history(ready, draining, gone),
@@ -137,15 +138,15 @@
 	}
 }
 
-// maxLag is how long before its call a response of the model may have been composed.
+// maxLag is the longest time before its call at which a response of the model is composed.
 const maxLag = MaxStaleness - time.Second
 
 // testServices are the services before and after a move of discovery.
 func testServices() []modelService { return []modelService{{"before", 1}, {"after", 100}} }
 
-// explore runs all sequences of a number of responses of two services, each composed up to maxLag before its call or any time until
-// it was received, and returns the first violation of a property.
-func explore(newTable func() table, truth []fleetChange, responses int) error {
+// explore runs all sequences of a number of responses of two services, and returns the first violation of a property. Each response is
+// composed maxLag before its call, at its call, or when it is received.
+func explore(newTable func() table, truth []workerChange, responses int) error {
 	var sequence []modelResponse
 	var explorePrefix func(depth int, from time.Duration) error
 	explorePrefix = func(depth int, from time.Duration) error {
@@ -165,7 +166,7 @@
 	return explorePrefix(responses, 0)
 }
 
-// responsesFrom returns the responses that may be received from a time on.
+// responsesFrom returns the responses that are received at a time or later.
 func responsesFrom(from time.Duration) (responses []modelResponse) {
 	for _, received := range []time.Duration{time.Second, 5 * time.Second, 9 * time.Second, 13 * time.Second} {
 		if received < from {
@@ -183,7 +184,7 @@
 }
 
 // runSequence passes a sequence of responses to a table, and returns the first violation of a property.
-func runSequence(subject table, truth []fleetChange, sequence []modelResponse) error {
+func runSequence(subject table, truth []workerChange, sequence []modelResponse) error {
 	model := &discoveryModel{truth: truth, table: subject, acceptedState: scheduler.Gone, newestRestriction: -1}
 	for _, response := range sequence {
 		if err := model.respond(response); err != nil {
@@ -198,24 +199,24 @@
 
 // TestTable_everySmallHistory checks the properties for all sequences of three responses of two services over each history.
 func TestTable_everySmallHistory(t *testing.T) {
-	for i, truth := range truths() {
+	for i, truth := range workerHistories() {
 		if err := explore(func() table { return &Table{} }, truth, 3); err != nil {
 			t.Errorf("history %d: %v", i, err)
 		}
 	}
 }
 
-// TestTable_randomHistories checks the properties for long random histories: responses of lagging replicas of two services that are
-// delayed, repeated and overtaken.
+// TestTable_randomHistories checks the properties for long random histories: the responses come from lagging replicas of two services,
+// and are delayed, repeated and overtaken.
 func TestTable_randomHistories(t *testing.T) { checkRandomHistories(t, false) }
 
-// TestTable_randomHistories_confirmedDrains guards against the withdrawal of a drain that a list showed while the worker was not ready
-// already, by a list that may be older.
+// TestTable_randomHistories_confirmedDrains guards against this failure: a list shows a drain while the worker already is not ready, and a
+// list that may be older withdraws the drain.
 func TestTable_randomHistories_confirmedDrains(t *testing.T) { checkRandomHistories(t, true) }
 
 func checkRandomHistories(t *testing.T, countConfirmed bool) {
 	property.Check(t, func(t *rapid.T) {
-		truth := drawTruth(t)
+		truth := drawHistory(t)
 		model := &discoveryModel{table: &Table{}, acceptedState: scheduler.Gone, newestRestriction: -1, truth: truth, countConfirmed: countConfirmed}
 		received := time.Duration(0)
 		for range rapid.IntRange(0, 30).Draw(t, "responses") {
@@ -234,9 +235,9 @@
 	})
 }
 
-// drawTruth draws a history of the worker.
-func drawTruth(t *rapid.T) []fleetChange {
-	truth := []fleetChange{{0, Endpoint{ID: "w"}}}
+// drawHistory draws a history of the worker.
+func drawHistory(t *rapid.T) []workerChange {
+	truth := []workerChange{{0, Endpoint{ID: "w"}}}
 	at := time.Duration(0)
 	for range rapid.IntRange(1, 6).Draw(t, "changes") {
 		at += time.Duration(rapid.Int64Range(int64(100*time.Millisecond), int64(8*time.Second)).Draw(t, "pause"))
@@ -245,7 +246,7 @@
 		if endpoint.State == scheduler.Ready && rapid.Bool().Draw(t, "a new start") {
 			endpoint.Start += time.Second
 		}
-		truth = append(truth, fleetChange{at, endpoint})
+		truth = append(truth, workerChange{at, endpoint})
 	}
 	return truth
 }
@@ -268,13 +269,13 @@
 	return changes
 }
 
-// neverReattaches never accepts that a worker has returned.
-type neverReattaches struct {
+// neverAcceptsReturn never accepts that a worker has returned.
+type neverAcceptsReturn struct {
 	Table
 	restricted bool
 }
 
-func (n *neverReattaches) Apply(response ListResponse, order ResponseOrder) (changes Changes) {
+func (n *neverAcceptsReturn) Apply(response ListResponse, order ResponseOrder) (changes Changes) {
 	for _, accepted := range n.Table.Apply(response, order).Accepted {
 		if accepted.State == scheduler.Ready && n.restricted {
 			continue
@@ -296,10 +297,10 @@
 	return changes
 }
 
-// countsDrainLate dates a drain after the last response that named it.
-type countsDrainLate struct{ Table }
+// datesDrainLate sets NotifiedAt to 1 s after the response was received.
+type datesDrainLate struct{ Table }
 
-func (c *countsDrainLate) Apply(response ListResponse, order ResponseOrder) Changes {
+func (c *datesDrainLate) Apply(response ListResponse, order ResponseOrder) Changes {
 	changes := c.Table.Apply(response, order)
 	for i := range changes.Accepted {
 		if changes.Accepted[i].State != scheduler.Ready {
@@ -313,42 +314,42 @@
 func TestExplore_findsBrokenTables(t *testing.T) {
 	for name, newTable := range map[string]func() table{
 		"accepts each response as it is": func() table { return &acceptsEverything{} },
-		"never accepts a return":         func() table { return &neverReattaches{} },
+		"never accepts a return":         func() table { return &neverAcceptsReturn{} },
 		"forgets gone workers":           func() table { return &forgetsGone{} },
-		"dates a drain too late":         func() table { return &countsDrainLate{} },
+		"dates a drain too late":         func() table { return &datesDrainLate{} },
 	} {
 		found := false
-		for _, truth := range truths() {
+		for _, truth := range workerHistories() {
 			found = found || explore(newTable, truth, 3) != nil
 		}
 		if !found {
-			t.Errorf("a table that %s violates no property", name)
+			t.Errorf("no violation was found for a table that %s", name)
 		}
 	}
 }
 
-// TestTable_pollAgainAt checks that PollAgainAt says when to poll again after a response that is not accepted.
+// TestTable_pollAgainAt checks that a return is rejected until MaxStaleness after the drain was received, and that PollAgainAt is that time.
 func TestTable_pollAgainAt(t *testing.T) {
 	var known Table
 	apply := func(response ListResponse) Changes { return known.Apply(response, known.Classify(response)) }
 	drain := ListResponse{Service: "before", Revision: 9, CalledAt: epoch, ReceivedAt: epoch.Add(time.Second),
 		Endpoints: []Endpoint{{ID: "w", State: scheduler.Draining}}}
 	if changes := apply(drain); len(changes.Accepted) != 1 || changes.Accepted[0].NotifiedAt != drain.ReceivedAt || !changes.PollAgainAt.IsZero() {
-		t.Fatalf("a drain: %+v", changes)
+		t.Fatalf("a drain: want it accepted with its time of receipt and no poll, got %+v", changes)
 	}
 	ready := ListResponse{Service: "after", Revision: 3, Complete: true, CalledAt: drain.ReceivedAt.Add(time.Second),
 		ReceivedAt: drain.ReceivedAt.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
 	if changes := apply(ready); len(changes.Accepted) != 0 || changes.PollAgainAt != drain.ReceivedAt.Add(MaxStaleness) {
-		t.Fatalf("a return too soon: %+v", changes)
+		t.Fatalf("a return before MaxStaleness: want it rejected and a poll at MaxStaleness, got %+v", changes)
 	}
 	ready.CalledAt, ready.ReceivedAt = drain.ReceivedAt.Add(MaxStaleness), drain.ReceivedAt.Add(MaxStaleness+time.Second)
 	if changes := apply(ready); len(changes.Accepted) != 1 || changes.Accepted[0].State != scheduler.Ready || !changes.Accepted[0].NotifiedAt.IsZero() {
-		t.Fatalf("a return after MaxStaleness: %+v", changes)
+		t.Fatalf("a return after MaxStaleness was not accepted: %+v", changes)
 	}
 }
 
-// TestTable_withdrawalAfterConfirmationByOtherService checks that a stale list of another service that confirms a restriction does not
-// make that service's next revision newer than the restriction.
+// TestTable_withdrawalAfterConfirmationByOtherService guards against this failure: a stale list of another service confirms a restriction,
+// and the next revision of that service then counts as newer than the restriction.
 func TestTable_withdrawalAfterConfirmationByOtherService(t *testing.T) {
 	var known Table
 	respond := func(service string, revision int64, state scheduler.WorkerState, calledAt time.Duration) Changes {
@@ -357,18 +358,18 @@
 		return known.Apply(response, known.Classify(response))
 	}
 	respond("before", 4, scheduler.Draining, 0)
-	respond("after", 101, scheduler.Draining, time.Second) // of an earlier drain
+	respond("after", 101, scheduler.Draining, time.Second) // shows an earlier drain
 	learnedAt := epoch.Add(100 * time.Millisecond)
 	if changes := respond("after", 102, scheduler.Ready, 2*time.Second); len(changes.Accepted) != 0 || changes.PollAgainAt != learnedAt.Add(MaxStaleness) {
-		t.Errorf("a return too soon: %+v", changes)
+		t.Errorf("a return before MaxStaleness: want it rejected and a poll at MaxStaleness, got %+v", changes)
 	}
 	if changes := respond("after", 103, scheduler.Ready, 100*time.Millisecond+MaxStaleness); len(changes.Accepted) != 1 || changes.Accepted[0].State != scheduler.Ready {
-		t.Errorf("a return after MaxStaleness: %+v", changes)
+		t.Errorf("a return after MaxStaleness was not accepted: %+v", changes)
 	}
 }
 
-// TestTable_withdrawalAfterEndByOtherService guards against the withdrawal of a drain by the second stale list of another service, the
-// first of which does not name the worker.
+// TestTable_withdrawalAfterEndByOtherService guards against this failure: a first stale list of another service does not name a draining
+// worker, and a second one withdraws the drain.
 func TestTable_withdrawalAfterEndByOtherService(t *testing.T) {
 	var known Table
 	respond := func(service string, revision int64, calledAt time.Duration, endpoints ...Endpoint) Changes {
@@ -377,17 +378,17 @@
 		return known.Apply(response, known.Classify(response))
 	}
 	respond("before", 4, 0, Endpoint{ID: "w", State: scheduler.Draining})
-	respond("after", 101, time.Second) // of an earlier end
+	respond("after", 101, time.Second) // shows an earlier end
 	if changes := respond("after", 102, 2*time.Second, Endpoint{ID: "w"}); len(changes.Accepted) != 0 || changes.PollAgainAt != epoch.Add(100*time.Millisecond+MaxStaleness) {
-		t.Errorf("a return too soon: %+v", changes)
+		t.Errorf("a return before MaxStaleness: want it rejected and a poll at MaxStaleness, got %+v", changes)
 	}
 	if changes := respond("after", 103, 3*time.Second, Endpoint{ID: "w", Start: 7}); len(changes.Accepted) != 1 {
-		t.Errorf("a later start than the one that drains: %+v", changes)
+		t.Errorf("a start later than the draining one was not accepted: %+v", changes)
 	}
 }
 
-// TestTable_earlierStartAfterOtherService guards against an earlier start of a worker that is taken from the second stale list of another
-// service: a worker that has just started would count as warm.
+// TestTable_earlierStartAfterOtherService guards against this failure: an earlier start of a worker is accepted from the second stale list
+// of another service, so that a worker that has just started counts as warm.
 func TestTable_earlierStartAfterOtherService(t *testing.T) {
 	var known Table
 	respond := func(service string, revision int64, start scheduler.Instant, calledAt time.Duration) scheduler.Instant {
@@ -398,16 +399,16 @@
 	respond("before", 4, 7, 0)
 	for _, revision := range []int64{101, 102} {
 		if start := respond("after", revision, 1, time.Second); start != 7 {
-			t.Errorf("revision %d: start %v, 7 ns is known", revision, start)
+			t.Errorf("revision %d: got start %v, want the known 7 ns", revision, start)
 		}
 	}
 	if start := respond("after", 103, 1, 200*time.Millisecond+MaxStaleness+time.Second); start != 1 {
-		t.Errorf("MaxStaleness after the start before: start %v", start)
+		t.Errorf("MaxStaleness after the known start was received: got start %v, want 1 ns", start)
 	}
 }
 
-// TestRestoredDrain_notWithdrawnByOtherService checks promise 1 after a restart: a drain that a predecessor process handed over is not
-// withdrawn by the first list of another service, whose call was made less than MaxStaleness after the drain was notified.
+// TestRestoredDrain_notWithdrawnByOtherService checks guarantee 1 after a restart: the first list of another service does not withdraw a
+// drain that a predecessor process handed over, if its call was made less than MaxStaleness after the NotifiedAt of the drain.
 func TestRestoredDrain_notWithdrawnByOtherService(t *testing.T) {
 	var restored Table
 	drain := Endpoint{ID: "w", State: scheduler.Draining, NotifiedAt: epoch}
@@ -415,23 +416,23 @@
 	ready := ListResponse{Service: "after", Revision: 3, Complete: true, CalledAt: epoch.Add(time.Second),
 		ReceivedAt: epoch.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
 	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 0 || changes.PollAgainAt != epoch.Add(MaxStaleness) {
-		t.Errorf("a return too soon: %+v", changes)
+		t.Errorf("a return before MaxStaleness: want it rejected and a poll at MaxStaleness, got %+v", changes)
 	}
 	ready.CalledAt, ready.ReceivedAt = epoch.Add(MaxStaleness), epoch.Add(MaxStaleness+time.Second)
 	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 1 {
-		t.Errorf("a return after MaxStaleness: %+v", changes)
+		t.Errorf("a return after MaxStaleness was not accepted: %+v", changes)
 	}
 }
 
-// TestRestoredDrain_withdrawnByHigherRevision checks that a drain that a predecessor process handed over is withdrawn at once by a higher
-// revision of the service that it called.
+// TestRestoredDrain_withdrawnByHigherRevision checks that a higher revision of the service that a predecessor process called withdraws at
+// once a drain that the predecessor handed over.
 func TestRestoredDrain_withdrawnByHigherRevision(t *testing.T) {
 	var restored Table
 	restored.Restore("before", 9, []Endpoint{{ID: "w", State: scheduler.Draining, NotifiedAt: epoch}})
 	ready := ListResponse{Service: "before", Revision: 10, Complete: true, CalledAt: epoch.Add(time.Second),
 		ReceivedAt: epoch.Add(2 * time.Second), Endpoints: []Endpoint{{ID: "w"}}}
 	if changes := restored.Apply(ready, restored.Classify(ready)); len(changes.Accepted) != 1 || changes.Accepted[0].State != scheduler.Ready {
-		t.Errorf("a return at a higher revision: %+v", changes)
+		t.Errorf("a return at a higher revision was not accepted: %+v", changes)
 	}
 }
 
--- a/internal/decisions/endpointstate/listresponse.go
+++ b/internal/decisions/endpointstate/listresponse.go
@@ -10,20 +10,20 @@
 type ListResponse struct {
 	Service    string // responses with the same name share one sequence of revisions
 	Revision   int64
-	Complete   bool      // the full list: workers that it does not name are gone
+	Complete   bool      // the full list: workers that it does not list are gone
 	CalledAt   time.Time // when the call was sent
 	ReceivedAt time.Time // when the response was received; not before CalledAt
 	Endpoints  []Endpoint
 }
 
-// Endpoint is what a response says of one worker.
+// Endpoint is one worker in a response.
 type Endpoint struct {
 	ID         scheduler.WorkerID
 	State      scheduler.WorkerState
 	Start      scheduler.Instant // of the worker, by discovery's clock; 0 for long ago
-	NotifiedAt time.Time         // from when on the worker, if it is not ready, counts as known not to be; zero for when the response was received
+	NotifiedAt time.Time         // from when on a worker that is not ready counts as known not to be ready; zero for when the response was received
 
-	// OtherServiceAt is for Restore: when the state was last received from a service whose revisions cannot be compared with those of the
-	// restored list; zero for never.
+	// OtherServiceAt is for Restore: when the state was last received from a service whose revisions cannot be compared with the revision
+	// of the restored list; zero for never.
 	OtherServiceAt time.Time
 }
--- a/internal/decisions/endpointstate/serviceprogress.go
+++ b/internal/decisions/endpointstate/serviceprogress.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// serviceProgress is the newest that a discovery service has returned.
+// serviceProgress tracks the revisions that a discovery service has returned.
 type serviceProgress struct {
-	revision      int64
-	sequence      int       // how often the service has started to count revisions anew
+	revision      int64     // the highest of the current sequence
+	sequence      int       // how many times the service has started a new sequence of revisions
 	lastCurrentAt time.Time // when the last current response was received
-	lowerSince    time.Time // since when the service has returned lower revisions only; zero while it does not
+	lowerSince    time.Time // since when the service has returned only lower revisions; zero while it does not
 }
 
-// classify compares a response with those before it, and records it.
+// classify compares a response with the earlier ones, and records it.
 func (p *serviceProgress) classify(response ListResponse) ResponseOrder {
 	switch {
 	case response.Revision >= p.revision:
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -9,24 +9,24 @@
 // goneRetention is how long a worker that is gone is remembered, so that a stale response does not bring it back.
 const goneRetention = 10 * MaxStaleness
 
-// record is what is known of one worker.
+// record is the known state of one worker.
 type record struct {
 	state      scheduler.WorkerState
 	start      scheduler.Instant // by discovery's clock; 0 for long ago
-	notifiedAt time.Time         // since when the worker is known not to be ready; zero while it is ready
+	notifiedAt time.Time         // from when on the worker counts as known not to be ready; zero while it is ready
 	latest     observation       // the last list that showed the state
-	others     []observation     // the last lists of other services that showed it, as far as they may be later than latest
+	others     []observation     // the last lists of other services that showed the state, if they may be newer than latest
 }
 
-// Table is what is known of all workers. The zero value is an empty table. It is not safe for concurrent use.
+// Table holds the known state of all workers. The zero value is an empty table. It is not safe for concurrent use.
 type Table struct {
 	records  map[scheduler.WorkerID]record
 	services map[string]*serviceProgress
 }
 
-// Restore enters the list that was known before this process began, at a revision of a service. It is called before the first
-// Classify. A worker that is not ready counts as learned at its NotifiedAt, which the caller sets; a ready one was learned long ago. Where
-// OtherServiceAt is set, another service has shown the state too.
+// Restore enters the list that was known before this process started, at a revision of a service. It is called before the first
+// Classify. The caller sets the NotifiedAt of each worker that is not ready: the list counts as received then. A ready worker counts
+// as learned long ago. If OtherServiceAt is set, another service has shown the state too.
 func (t *Table) Restore(service string, revision int64, endpoints []Endpoint) {
 	t.serviceProgress(service).revision = revision
 	for _, endpoint := range endpoints {
@@ -40,8 +40,8 @@
 	}
 }
 
-// OtherServiceAt returns when the state of a worker was last received in a list whose revision cannot be compared with those of a service;
-// zero if all can.
+// OtherServiceAt returns when the state of a worker was last received in a list whose revision cannot be compared with the revisions of
+// a service; zero if there is no such list.
 func (t *Table) OtherServiceAt(id scheduler.WorkerID, service string) (at time.Time) {
 	known, ok := t.records[id]
 	if !ok {
@@ -56,24 +56,23 @@
 	return at
 }
 
-// Record enters the state of one worker that is known otherwise than by a response, in place of what was known of it. It counts as
-// learned long ago.
+// Record replaces the record of one worker by a state that does not come from a response. The state counts as learned long ago.
 func (t *Table) Record(endpoint Endpoint, service string, revision int64) {
 	t.set(endpoint.ID, t.newRecord(endpoint, service, revision))
 }
 
-// newRecord returns the record of a worker that was learned long ago, at a revision of a service.
+// newRecord returns the record of a worker whose state was learned long ago, at a revision of a service.
 func (t *Table) newRecord(endpoint Endpoint, service string, revision int64) record {
 	entry := record{state: endpoint.State, start: endpoint.Start}
-	entry.latest = t.observe(ListResponse{Service: service, Revision: revision}, endpoint)
+	entry.latest = t.observationOf(ListResponse{Service: service, Revision: revision}, endpoint)
 	if endpoint.State != scheduler.Ready {
 		entry.notifiedAt = endpoint.NotifiedAt
 	}
 	return entry
 }
 
-// Classify compares a response with those before it of its service, and records it. It is called once for each response; unless
-// the result is Overtaken, Apply follows with the result.
+// Classify compares a response with the earlier responses of its service, and records it. It is called once for each response. Unless
+// it returns Overtaken, Apply is called next, with the result.
 func (t *Table) Classify(response ListResponse) ResponseOrder {
 	return t.serviceProgress(response.Service).classify(response)
 }
@@ -95,13 +94,13 @@
 	return changes
 }
 
-// applyEndpoint records what a response says of one worker, as far as it is accepted.
+// applyEndpoint records the state of one worker in a response if it is accepted.
 func (t *Table) applyEndpoint(response ListResponse, order ResponseOrder, index int, endpoint Endpoint, changes *Changes) {
-	before, known := t.records[endpoint.ID] // an unknown worker counts as ready before: it has the zero record
+	before, known := t.records[endpoint.ID] // an unknown worker has the zero record, in which it is ready
 	if order == Lagging && endpoint.State == scheduler.Ready {
 		return // a lagging response only restricts a worker
 	}
-	seen := t.observe(response, endpoint)
+	seen := t.observationOf(response, endpoint)
 	newer := !known || order == Current && before.composedAfter(seen, response.CalledAt)
 	switch {
 	case newer || before.state == scheduler.Ready:
@@ -119,8 +118,8 @@
 	t.accept(response, index, endpoint, before, changes)
 }
 
-// applyUnlisted records the workers that a complete response does not name as gone, and forgets those that have been gone for
-// longer than goneRetention.
+// applyUnlisted records as gone the workers that a complete response does not list, and deletes the records of workers that have been
+// gone for longer than goneRetention.
 func (t *Table) applyUnlisted(response ListResponse, listed map[scheduler.WorkerID]bool, changes *Changes) {
 	for id, known := range t.records {
 		switch {
@@ -133,9 +132,9 @@
 	}
 }
 
-// accept records a worker's state by a response, and adds it to the changes.
+// accept records the state of a worker in a response, and adds it to the changes.
 func (t *Table) accept(response ListResponse, index int, endpoint Endpoint, before record, changes *Changes) {
-	after, seen := before, t.observe(response, endpoint)
+	after, seen := before, t.observationOf(response, endpoint)
 	after.state, after.start, after.notifiedAt = endpoint.State, endpoint.Start, time.Time{}
 	if (before.state == scheduler.Ready) == (after.state == scheduler.Ready) && t.isKnown(endpoint.ID) {
 		after.confirm(seen, response.CalledAt)
@@ -180,7 +179,7 @@
 	return progress
 }
 
-// earlierNonZero returns the earlier of two times, of which the first may be zero for none.
+// earlierNonZero returns the earlier of two times, or other if optional is zero.
 func earlierNonZero(optional, other time.Time) time.Time {
 	if optional.IsZero() || other.Before(optional) {
 		return other
