--- a/internal/decisions/polling/busyservice_test.go
+++ b/internal/decisions/polling/busyservice_test.go
@@ -10,13 +10,13 @@
 )
 
 // queueingService is a discovery service of little capacity that serves calls one after the other. A call that has been queued for
-// longer than queueTimeout is answered 503, and its work is done nevertheless. A call is rejected at once if the queued work takes
-// longer than queueLimit. A continued watch waits outside the queue for a change, whose delivery is queued; if the wait ends before,
-// it is answered without a change, and the next call of the watch retains its place in the queue.
+// longer than queueTimeout is answered 503, but the service still does its work. A call is rejected at once if the queued work takes
+// longer than queueLimit. A continued watch waits outside the queue for a change, whose delivery is queued. If the wait ends before
+// the delivery, the watch is answered without a change, and the delivery keeps its place in the queue for the next call of the watch.
 type queueingService struct {
 	perCall, perUpdate       time.Duration // work for a call; work to deliver a change to a watch
 	queueTimeout, queueLimit time.Duration
-	downUntil                time.Time // until then all calls fail after queueTimeout
+	downUntil                time.Time // before it, all calls fail after queueTimeout
 	idleAt                   time.Time // when all queued work is done
 	revision                 int
 }
@@ -39,10 +39,10 @@
 type dispatcher struct {
 	schedule       *Schedule
 	calls          int
-	revision       int       // known; below 0 for none
+	revision       int       // last received; below 0 for none
 	lastResponseAt time.Time // when its last response was received
 	updateAt       time.Time // when the change that is queued for its watch is delivered
-	receivedAt     time.Time // when it first had the awaited revision; zero while it has not
+	receivedAt     time.Time // when it first had the awaited revision; zero before
 }
 
 // fleet runs many dispatchers against one service in virtual time.
@@ -62,7 +62,7 @@
 // chance returns a random number in [0,1).
 func (c *fleet) chance() float64 { return c.random.Float64() }
 
-// enqueue returns when work is done that is queued now.
+// enqueue queues work now, and returns when it will be done.
 func (c *fleet) enqueue(work time.Duration) time.Time {
 	if c.service.idleAt.Before(c.now) {
 		c.service.idleAt = c.now
@@ -203,7 +203,7 @@
 	return model, model.delaysSince(restartsFrom, until)
 }
 
-// delaysSince returns how long after a change each dispatcher received it; until for one that did not.
+// delaysSince returns how long after a change each dispatcher received it, or until if it did not.
 func (c *fleet) delaysSince(changed time.Time, until time.Duration) (delays []time.Duration) {
 	for _, caller := range c.dispatchers {
 		took := until
@@ -237,10 +237,10 @@
 // maxDelay is how late a dispatcher may receive a change: the grace period of a drain starts at NotificationDeadline.
 const maxDelay = NotificationDeadline + 300*time.Millisecond
 
-// TestSchedule_massRestartAtBusyService checks promise 9. Discovery returns after 8 s, and seven in ten dispatchers are killed and
-// restart: if all call within 2 s and again while calls are queued, the queue grows beyond the 2 s after which a call expires, and the
+// TestSchedule_massRestartAtBusyService checks guarantee 9. Discovery returns after 8 s, and seven in ten dispatchers are killed and
+// restart. If all call within 2 s, and again while calls are queued, the queue grows beyond the 2 s after which a call expires, and the
 // service spends its time on expired calls. A service that can serve each dispatcher in under 6 s must not be called faster than it
-// serves: all receive a change within maxDelay.
+// serves: all dispatchers receive a change within maxDelay.
 func TestSchedule_massRestartAtBusyService(t *testing.T) {
 	for _, dispatchers := range []int{6, 16, 40, 100, 300} {
 		for seed := range uint64(40) {
@@ -278,14 +278,14 @@
 	return model, model.delaysSince(silent, until)
 }
 
-// TestSchedule_silentWatchesAtBusyService checks promise 9: all watches become silent at once, so that all dispatchers detect it at about
+// TestSchedule_silentWatchesAtBusyService checks guarantee 9: all watches become silent at once, so that all dispatchers detect it at about
 // the same time, and all receive a change within maxDelay.
 func TestSchedule_silentWatchesAtBusyService(t *testing.T) {
 	for _, dispatchers := range []int{6, 16, 40, 100, 300} {
 		for seed := range uint64(40) {
 			_, delays := allWatchesSilent(seed, dispatchers, newQueueingService(dispatchers), 10*time.Second)
 			if worst := slices.Max(delays); worst > maxDelay {
-				t.Errorf("seed %d: %d dispatchers, the last received the drain after %v", seed, dispatchers, worst)
+				t.Errorf("seed %d: the last of %d dispatchers received the drain after %v", seed, dispatchers, worst)
 			}
 		}
 	}
--- a/internal/decisions/polling/callbound_test.go
+++ b/internal/decisions/polling/callbound_test.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// TestSchedule_callsBounded checks promise 5: however a service responds, and however soon, the number of calls in 30 s is bounded.
+// TestSchedule_callsBounded checks guarantee 5: the number of calls in 30 s is bounded for any responses, even if all are received at once.
 func TestSchedule_callsBounded(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		start := time.Unix(1e9, 0)
@@ -53,7 +53,7 @@
 	})
 }
 
-// TestSchedule_deadlineFromCall checks that NotificationDeadline runs from the call, as a response to a call that does not wait may be as
+// TestSchedule_deadlineFromCall checks that NotificationDeadline starts at the call, as a response to a call that does not wait may be as
 // old as the call.
 func TestSchedule_deadlineFromCall(t *testing.T) {
 	start, rules := time.Unix(1e9, 0), Rules{Dispatchers: 1}
@@ -62,6 +62,6 @@
 	schedule.CallStarted(start, 1, true, rules, 0)
 	schedule.CallAnswered(start.Add(2*time.Second), 1, 2*time.Second, true, false, rules, 0)
 	if schedule.notificationDue != start.Add(NotificationDeadline) {
-		t.Errorf("a change counts as notified %v after the call", schedule.notificationDue.Sub(start))
+		t.Errorf("a change counts as notified %v after the call, expected NotificationDeadline", schedule.notificationDue.Sub(start))
 	}
 }
--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -3,43 +3,44 @@
 import "time"
 
 const (
-	// minUselessDelay is the delay after a useless response. It doubles with each further one, up to maxUselessDelay, until there
-	// has been none for uselessResetAfter.
+	// minUselessDelay is the delay after a useless response, which is stale, or early and without a change. It doubles with each
+	// further one, up to maxUselessDelay, until there has been none for uselessResetAfter.
 	minUselessDelay     = 200 * time.Millisecond
 	maxUselessDelay     = 3200 * time.Millisecond
 	maxUselessDoublings = 6
 	uselessResetAfter   = 10 * time.Second
 
-	// maxBusyDelay is how much later a dispatcher with a recent list begins a new watch at a busy service. A call after a move waits for
-	// up to a half of it.
+	// maxBusyDelay is how much later, at most, a dispatcher with a recent list begins a new watch at a busy service. A call after a move
+	// is delayed by up to a half of it.
 	maxBusyDelay = time.Second
 
 	// freshListAge is the age up to which a list counts as recent after a move.
 	freshListAge = 2 * time.Second
 
-	// rapidMoveInterval is the time between two moves below which they are in quick succession.
+	// rapidMoveInterval is the time between two moves below which they count as in quick succession.
 	rapidMoveInterval = time.Second
 
-	// minBackoff is the least limit on the delay after a failed call. The limit grows by backoffPerDispatcher for each dispatcher besides
-	// this one, up to maxBackoff; minBackoffFraction of the delay is not random.
+	// minBackoff is the limit on the delay after a failed call if there is one dispatcher. The limit grows by backoffPerDispatcher for
+	// each further dispatcher, up to maxBackoff; minBackoffFraction of the delay is not random.
 	minBackoff           = 100 * time.Millisecond
 	backoffPerDispatcher = 300 * time.Millisecond
 	maxBackoff           = 2 * time.Second
 	minBackoffFraction   = 0.4
 
-	// overdueIntervalPerDispatcher times the number of dispatchers, maxOverdueInterval at most, is the time between the beginnings of
+	// overdueIntervalPerDispatcher times the number of dispatchers, at most maxOverdueInterval, is the time between the beginnings of
 	// calls once a change may count as notified.
 	overdueIntervalPerDispatcher = 800 * time.Millisecond
 	maxOverdueInterval           = 5 * time.Second
 )
 
-// CallAnswered records that a call returned a list, and schedules a watch unless a call in flight may become one. It is passed how
-// long the call took, whether the list has changed, and whether the response was received early (before the wait was over).
+// CallAnswered records that a call returned a list, and schedules a watch, unless a watch or another call with a revision is in flight.
+// took is how long the call took. changed says whether the list has changed, early whether the response was received before the wait
+// was over.
 func (s *Schedule) CallAnswered(now time.Time, number int, took time.Duration, changed, early bool, rules Rules, chance float64) {
 	watchOpen := s.newestIsWatch && s.newestCall != 0 && s.newestCall != number
 	wasWatch := s.newestIsWatch && s.newestCall == number
 	fullList := s.revisionCall != number
-	coveredUntil := now // a watch returns what has changed by its end
+	coveredUntil := now // a watch returns all changes up to its end
 	if !wasWatch {
 		coveredUntil = now.Add(-took)
 	}
@@ -52,7 +53,7 @@
 	case watchOpen:
 	case s.revisionCallOpen(now) && !rules.ListsPushed:
 		s.PollAt(s.revisionCallUntil)
-	case early && !changed && !rules.ListsPushed: // the service does not hold watches open
+	case early && !changed && !rules.ListsPushed: // the service answers watches without waiting
 		s.watchAt(now.Add(scaleJittered(s.recordUseless(now), chance)))
 	case fullList && s.ServiceBusy(now) && !rules.ListsPushed:
 		s.watchAt(now.Add(scaleJittered(maxBusyDelay, chance)))
@@ -78,7 +79,7 @@
 	}
 }
 
-// isNewest reports whether no newer call than this one is in flight, as far as the next call depends on it.
+// isNewest reports whether a call is the newest one or, if that has ended, the newest one with a revision.
 func (s *Schedule) isNewest(number int) bool {
 	return number == s.newestCall || s.newestCall == 0 && number == s.revisionCall
 }
@@ -110,7 +111,7 @@
 	}
 }
 
-// backoffDelay returns how long after a failed call the next is made.
+// backoffDelay returns how long after a failed call the next one is made.
 func (s *Schedule) backoffDelay(now time.Time, failure Failure, rules Rules, chance float64) time.Duration {
 	if rules.ListsPushed {
 		if s.unanswered > maxPromptAgentCalls {
@@ -128,8 +129,8 @@
 }
 
 // overdueInterval returns how long after the beginning of a failed call the next one begins, once a change may count as notified or a
-// call has expired in the service's queue. All dispatchers together then call no faster than a service can serve that needs some
-// seconds for a call of each. A call that was rejected at once has cost the service nothing, and halves the interval.
+// call has expired in the service's queue. All dispatchers together then call no faster than is bearable for a service that needs some
+// seconds to serve one call of each. A call that was rejected at once has cost the service nothing, and halves the interval.
 func overdueInterval(failure Failure, dispatchers int, chance float64) time.Duration {
 	interval := min(overdueIntervalPerDispatcher*time.Duration(dispatchers), maxOverdueInterval)
 	if failure == Rejected {
@@ -138,11 +139,11 @@
 	return scaleJittered(interval, chance)
 }
 
-// PreviousServiceAnswered records that a service before a move returned its list.
+// PreviousServiceAnswered records that a service that was used before a move returned its list.
 func (s *Schedule) PreviousServiceAnswered(now time.Time) { s.lastListAt = now }
 
 // ServiceMoved records that calls go to another service from now on, and makes a poll due. Moves in quick succession lead to one
-// call, as a call to a service that is left at once is wasted.
+// call, because a call to a service that is replaced at once is wasted.
 func (s *Schedule) ServiceMoved(now time.Time, chance float64) {
 	if due := now.Add(MoveNotificationDeadline); s.notificationDue.After(due) || !s.notificationDue.After(now) {
 		s.notificationDue = due
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// maxBurstCalls is how many calls are made within burstWindow at most, whatever the service returns.
+	// maxBurstCalls is the maximum number of calls within burstWindow, regardless of what the service returns.
 	maxBurstCalls = 10
 	burstWindow   = 2 * time.Second
 
@@ -13,42 +13,42 @@
 	// finalCallLead is how long before that time the last of these calls is made.
 	finalCallLead = 200 * time.Millisecond
 
-	// minPollGap and maxPollGap bound the time after which a further call is made while one that does not wait is open.
+	// minPollGap and maxPollGap bound the time after which a further call is made while a call that does not wait is in flight.
 	minPollGap = 300 * time.Millisecond
 	maxPollGap = 2100 * time.Millisecond
 
 	// overlapSpreadPerDispatcher is by how much each further dispatcher widens the random spread of the calls that overlap a watch:
-	// where discovery goes silent, it does so for all.
+	// if discovery goes silent, it goes silent for all dispatchers at once.
 	overlapSpreadPerDispatcher = 200 * time.Millisecond
 	maxOverlapSpread           = 1200 * time.Millisecond
 
-	// maxPromptAgentCalls is how many calls without a response are made to an agent before they are made agentRetryDelay apart.
+	// maxPromptAgentCalls is how many calls without a response are made to an agent before further ones are made agentRetryDelay apart.
 	maxPromptAgentCalls = 4
 	agentRetryDelay     = 100 * time.Millisecond
 
-	// busyResponseTime is the response time over which a service counts as busy, for busyDuration.
+	// busyResponseTime is the response time above which a service counts as busy, for busyDuration.
 	busyResponseTime = QueuedThreshold
 	busyDuration     = 10 * time.Second
 
-	// busyRepollThreshold is how much of NotificationDeadline is left when a further call is made to a busy service in addition to one that it
-	// may have queued.
+	// busyRepollThreshold is the time left until notificationDue above which a busy service, which may have queued the last call, gets
+	// no parallel one.
 	busyRepollThreshold = 3800 * time.Millisecond
 )
 
-// Schedule decides when the next call is made, and of which kind. It knows calls to the current service only, by the numbers that
+// Schedule decides when the next call is made, and of which kind. It tracks only calls to the current service, by the numbers that
 // the caller gives them (from 1). Times that are passed to its methods must not go back; each chance is a random draw from 0 to 1.
 // It is not safe for concurrent use. Its owner calls Start once, CallStarted at the time that Next returns, and one of CallAnswered,
 // CallStale and CallFailed when a call to the current service ends.
 type Schedule struct {
-	notificationDue time.Time // when a change that is not here may count as notified
-	lastListAt      time.Time // when a list was last received, from the current service or one before a move
+	notificationDue time.Time // when a change that has not been received may count as notified
+	lastListAt      time.Time // when a list was last received, from the current service or one that was used before a move
 	lastMoveAt      time.Time // when discovery last moved; zero for never
 
 	nextCallAt time.Time // zero until Start
 	nextKind   Kind
 
 	newestCall     int       // number of the newest call; 0 once it has ended
-	newestIsWatch  bool      // holds for the newest call, also once it has ended
+	newestIsWatch  bool      // the newest call is, or was, a watch
 	newestCalledAt time.Time // when the newest call was made
 	unanswered     int       // calls that were made since the last response
 
@@ -56,11 +56,11 @@
 	revisionCallUntil time.Time // until when it may still be served
 
 	lastUselessAt time.Time // when a response was last useless: stale, or early without a change
-	uselessCount  int       // how many were, less than uselessResetAfter apart
+	uselessCount  int       // useless responses that were at most uselessResetAfter apart; at most maxUselessDoublings
 
 	recentCallTimes [maxBurstCalls]time.Time // ring of the times of the last calls
 	callCount       int                      // calls made
-	listsPushed     bool                     // the last call was made to an agent, which serves this dispatcher alone
+	listsPushed     bool                     // the last call was made to an agent, which serves only this dispatcher
 
 	busyUntil time.Time // until when the service counts as busy
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// Next returns when the next call is to be made if nothing happens before; it is not ok before Start.
+// Next returns when the next call is to be made if nothing happens before; ok is false before Start.
 func (s *Schedule) Next() (at time.Time, ok bool) {
 	at = s.nextCallAt
 	if earliest := s.recentCallTimes[s.callCount%maxBurstCalls].Add(burstWindow); !s.listsPushed && s.callCount >= maxBurstCalls && at.Before(earliest) {
@@ -99,11 +99,10 @@
 // BetweenWatches reports whether the next call continues a watch whose last call was answered.
 func (s *Schedule) BetweenWatches() bool { return !s.nextCallAt.IsZero() && s.nextKind == Watch }
 
-// ServiceBusy reports whether the service counts as busy: it has rejected a call lately, or taken long to answer one.
+// ServiceBusy reports whether the service counts as busy: it has recently rejected a call, or taken long to answer one.
 func (s *Schedule) ServiceBusy(now time.Time) bool { return now.Before(s.busyUntil) }
 
-// CallStarted records that the next call is made now under a number, and returns its kind. Where no revision is known it is
-// FullList.
+// CallStarted records that the next call is made now under a number, and returns its kind, which is FullList if no revision is known.
 func (s *Schedule) CallStarted(now time.Time, number int, revisionKnown bool, rules Rules, chance float64) Kind {
 	kind := s.nextKind
 	if !revisionKnown || kind == Poll && s.revisionCallOpen(now) && !rules.ListsPushed {
@@ -126,7 +125,7 @@
 	return s.revisionCall != 0 && now.Before(s.revisionCallUntil)
 }
 
-// overlapDelay returns how long after a call a further one is made while it is open.
+// overlapDelay returns how long after a call the next one is made if the call is still in flight.
 func (s *Schedule) overlapDelay(now time.Time, kind Kind, rules Rules, chance float64) time.Duration {
 	switch {
 	case rules.ListsPushed && kind == Watch:
@@ -146,8 +145,8 @@
 	return min(s.evenInterval(left), maxPollGap)
 }
 
-// evenInterval divides the time that is left until a change may count as notified by the calls that are still to be made in it.
-// Making them earlier would fill the service's queue with calls for the same response.
+// evenInterval divides the time that is left until a change may count as notified by the number of calls that are still to be made in
+// it. Making the calls earlier would fill the service's queue with calls for the same response.
 func (s *Schedule) evenInterval(left time.Duration) time.Duration {
 	return max((left-finalCallLead)/time.Duration(max(callsPerDeadline-s.unanswered, 1)), minPollGap)
 }
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// callFault is how discovery treats a call.
+// callFault is how discovery handles a call.
 type callFault int
 
 const (
@@ -18,7 +18,7 @@
 	breaksOff                   // the response never ends, or the connection breaks
 	connectionRefused           // there is no connection
 	answers503
-	answersLate // lateBy later than it could
+	answersLate // lateBy later than in time
 	faultKinds
 )
 
@@ -37,7 +37,7 @@
 	fails    bool
 }
 
-// simulation runs a schedule against a discovery in virtual time.
+// simulation runs a schedule against a discovery service in virtual time.
 type simulation struct {
 	schedule      *Schedule
 	rules         Rules
@@ -51,7 +51,7 @@
 	maxOpen       int // most calls in flight at a time
 	revisionKnown bool
 
-	concurrentIndexed int // calls with a revision that were made while another one might still be served
+	concurrentRevisionCalls int // calls with a revision that were made while another one might still be served
 }
 
 // outcome returns when and how a call ends if the list does not change.
@@ -90,7 +90,7 @@
 	kind := s.schedule.CallStarted(s.now, s.callCount, s.revisionKnown, s.rules, s.chance())
 	for _, other := range s.openCalls {
 		if kind != FullList && other.kind == Poll && other.calledAt.Add(queuedCallTimeout).After(s.now) && !s.rules.ListsPushed {
-			s.concurrentIndexed++
+			s.concurrentRevisionCalls++
 		}
 	}
 	call := simCall{number: s.callCount, kind: kind, calledAt: s.now}
@@ -105,7 +105,7 @@
 	s.maxOpen = max(s.maxOpen, len(s.openCalls))
 }
 
-// changeReportedAt returns when a watch in flight returns a change of now.
+// changeReportedAt returns when a watch in flight returns a change that is made now.
 func (s *simulation) changeReportedAt(call simCall) time.Time {
 	at := s.now.Add(s.latency())
 	if call.fault == answersLate {
@@ -194,7 +194,7 @@
 	return rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(faultKinds)-1), func(i int) callFault { return callFault(i) }), 3, 3).Draw(t, "faults")
 }
 
-// TestSchedule_threeFaultyCalls checks promises 1, 2 and 6: three faulty calls of any kind, the first of which is in flight when the list
+// TestSchedule_threeFaultyCalls checks guarantees 1, 2 and 6: three faulty calls of any kind, the first of which is in flight when the list
 // changes, delay the change no longer than guaranteed.
 func TestSchedule_threeFaultyCalls(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
@@ -214,15 +214,15 @@
 			if took := sim.notifiedAt.Sub(sim.changedAt); sim.notifiedAt.IsZero() || took > within {
 				t.Fatalf("received after %v, %v allowed", took, within)
 			}
-			if sim.maxOpen > 7 || sim.concurrentIndexed > 0 {
-				t.Fatalf("%d calls in flight at a time, %d of them with a revision at the same time as another", sim.maxOpen, sim.concurrentIndexed)
+			if sim.maxOpen > 7 || sim.concurrentRevisionCalls > 0 {
+				t.Fatalf("%d calls in flight at a time, %d of them with a revision at the same time as another", sim.maxOpen, sim.concurrentRevisionCalls)
 			}
 		})
 	}
 }
 
-// TestSchedule_threeFaultyCallsAfterMove checks promise 1 after a move: the first three calls to the new service are faulty, whatever was
-// in flight before.
+// TestSchedule_threeFaultyCallsAfterMove checks guarantee 1 after a move: the first three calls to the new service are faulty, regardless of
+// the calls that were in flight before.
 func TestSchedule_threeFaultyCallsAfterMove(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, false)
@@ -238,7 +238,7 @@
 	})
 }
 
-// TestSchedule_threeFaultyCallsAfterStart checks promise 1 after the start of a process, whose first call may be 3 s late.
+// TestSchedule_threeFaultyCallsAfterStart checks guarantee 1 after the start of a process, whose first call may be 3 s late.
 func TestSchedule_threeFaultyCallsAfterStart(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, false)
@@ -253,8 +253,8 @@
 	})
 }
 
-// TestSchedule_noCallLoop checks promise 5: a service that fails each call is not called in a loop, but at most 400 times in 10 s, and
-// 100 times by one of 300 dispatchers.
+// TestSchedule_noCallLoop checks guarantee 5: a service that fails each call is not called in a loop, but at most 400 times in 10 s, and
+// at most 100 times by one of 300 dispatchers.
 func TestSchedule_noCallLoop(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		sim := drawSimulation(t, rapid.Bool().Draw(t, "pushed"))
@@ -272,7 +272,7 @@
 	})
 }
 
-// TestSchedule_longestWithoutResponseFirst checks promise 8: of two dispatchers that a busy service rejects, the one without a response
+// TestSchedule_longestWithoutResponseFirst checks guarantee 8: of two dispatchers that a busy service rejects, the one without a response
 // for 4 s calls at least twice as often as the one that has just received one.
 func TestSchedule_longestWithoutResponseFirst(t *testing.T) {
 	rules := Rules{Dispatchers: 6}
@@ -292,6 +292,6 @@
 		t.Errorf("called again after %v with a fresh list, after %v with a stale one", fresh, stale)
 	}
 	if stale, down := delayAfter(5*time.Second), delayAfter(20*time.Second); down < stale {
-		t.Errorf("a service that is down is called again after %v", down)
+		t.Errorf("20 s after the last response the next call is made after %v, sooner than 5 s after it", down)
 	}
 }
