--- a/internal/decisions/cachetrust/action.go
+++ b/internal/decisions/cachetrust/action.go
@@ -12,7 +12,7 @@
 type ReadyWorker struct {
 	ID             scheduler.WorkerID
 	StartedAt      scheduler.Instant
-	StartConfirmed bool // StartedAt replaces the one announced before, although it is earlier
+	StartConfirmed bool // StartedAt replaces the start announced before, although it is earlier
 }
 
 // ProbeResult is how a probe of a worker ended.
@@ -20,7 +20,7 @@
 
 // The results of a probe.
 const (
-	Answered     ProbeResult = iota // with an answer such as workers give
+	Answered     ProbeResult = iota // with an answer of a worker
 	Unrecognized                    // with another answer
 	NoResponse                      // without an answer, or without a connection
 )
--- a/internal/decisions/cachetrust/assessor.go
+++ b/internal/decisions/cachetrust/assessor.go
@@ -15,17 +15,17 @@
 	list         CachedList
 	usable       bool
 	startedAt    scheduler.Instant
-	age          time.Duration // of the list at the start; below 0 where its time lies in the future
+	age          time.Duration // of the list at startedAt; below 0 if the list's time lies in the future
 	workers      map[scheduler.WorkerID]*assessedWorker
-	probeOrder   []*assessedWorker // without those that are excluded from the start
+	probeOrder   []*assessedWorker // in the order of the first probes; without workers that were Excluded at startedAt
 	countByLevel [Excluded + 1]int
 	finished     bool // discovery's list is in force
 
-	doubtedAt scheduler.Instant // when a first list was doubted; 0 while none was
-	retained  []scheduler.WorkerID
+	awaitingConfirmationSince scheduler.Instant // when a first list that must be confirmed was received; 0 for none
+	retained                  []scheduler.WorkerID
 }
 
-// assessedWorker is what is known of a cached worker.
+// assessedWorker is a cached worker and what was learned of it since the start.
 type assessedWorker struct {
 	CachedWorker
 	level              TrustLevel
@@ -37,8 +37,8 @@
 	announcedAt        scheduler.Instant
 }
 
-// New returns an Assessor of a cached list that starts now. Usable reports whether the list may be used; if so, Check returns the first
-// actions.
+// New returns an Assessor that starts now with a cached list. Usable reports whether the list may be used; if so, Check returns the
+// first actions.
 func New(now scheduler.Instant, list CachedList, rules Rules) *Assessor {
 	assessor := &Assessor{rules: rules, list: list, workers: map[scheduler.WorkerID]*assessedWorker{}, startedAt: now, age: now - list.ConfirmedAt}
 	if list.ConfirmedAt > now {
@@ -55,7 +55,7 @@
 	return assessor
 }
 
-// add adds a worker of the list, unless one of its ID was added.
+// add adds a worker of the list, unless a worker with its ID has been added before.
 func (a *Assessor) add(now scheduler.Instant, cached CachedWorker) {
 	if a.workers[cached.ID] != nil {
 		return
@@ -73,19 +73,19 @@
 // Usable reports whether the list may be used.
 func (a *Assessor) Usable() bool { return a.usable }
 
-// Age returns the age of the list at the start; it is not ok where the list's time lies in the future.
+// Age returns the age of the list at the start of the assessment; ok is false if the list's time lies in the future.
 func (a *Assessor) Age() (age time.Duration, ok bool) { return max(a.age, 0), a.age >= 0 }
 
 // StartedAt returns when the assessment started.
 func (a *Assessor) StartedAt() scheduler.Instant { return a.startedAt }
 
-// Finished reports whether discovery's list is in force, so that nothing is decided here any more.
+// Finished reports whether the assessment has ended, as discovery's list is in force or the cached list may not be used.
 func (a *Assessor) Finished() bool { return a.finished }
 
 // CountByLevel returns the number of workers at each trust level.
 func (a *Assessor) CountByLevel() [Excluded + 1]int { return a.countByLevel }
 
-// SameIncarnation reports whether a worker that discovery has with a start is the incarnation that was cached.
+// SameIncarnation reports whether a worker that discovery lists with a start is the cached incarnation.
 func (a *Assessor) SameIncarnation(id scheduler.WorkerID, startedAt scheduler.Instant) bool {
 	worker := a.workers[id]
 	return worker != nil && startedAt <= worker.StartedAt
@@ -105,8 +105,8 @@
 	return Action{Announce: &ReadyWorker{ID: worker.ID, StartedAt: max(now, 1)}}
 }
 
-// scheduleFirstProbes sets the times of the first probes. The workers that are most likely to answer come first: those with the latest
-// signal, and of these the ones with the earliest start.
+// scheduleFirstProbes sets the times of the first probes. The workers that are most likely to answer come first: they are sorted by the
+// latest signal, and among equal ones by the earliest start.
 func (a *Assessor) scheduleFirstProbes(now scheduler.Instant) {
 	slices.SortStableFunc(a.probeOrder, func(x, y *assessedWorker) int {
 		return cmp.Or(cmp.Compare(y.LastSignal, x.LastSignal), cmp.Compare(x.StartedAt, y.StartedAt))
--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -29,7 +29,7 @@
 	return list
 }
 
-// TestNew_maxAge checks promise 1: a list older than MaxAge is not used.
+// TestNew_maxAge checks guarantee 1: a list older than MaxAge is not used.
 func TestNew_maxAge(t *testing.T) {
 	for _, test := range []struct {
 		age    time.Duration
@@ -37,16 +37,16 @@
 	}{{0, true}, {day, true}, {72 * time.Hour, true}, {72*time.Hour + 1, false}, {-day, true}} {
 		assessor := New(10*day, listOfWorkers(10*day-test.age, 3), testRules)
 		if age, ok := assessor.Age(); assessor.Usable() != test.usable || ok != (test.age >= 0) || ok && age != test.age {
-			t.Errorf("%v: usable %v, age %v, %v", test.age, assessor.Usable(), age, ok)
+			t.Errorf("list of age %v: got usable %v, age %v, ok %v", test.age, assessor.Usable(), age, ok)
 		}
 		if !test.usable && (!assessor.Finished() || assessor.Check(11*day) != nil) {
-			t.Errorf("%v: an unusable list still leads to actions", test.age)
+			t.Errorf("list of age %v: an unusable list still leads to actions", test.age)
 		}
 	}
 }
 
-// promiseChecker checks each action of an Assessor against promises 2 to 6.
-type promiseChecker struct {
+// guaranteeChecker checks each action of an Assessor against guarantees 2 to 6.
+type guaranteeChecker struct {
 	t                     *rapid.T
 	rules                 Rules
 	list                  CachedList
@@ -57,10 +57,10 @@
 }
 
 // check checks the actions of one call.
-func (c *promiseChecker) check(actions []Action) {
+func (c *guaranteeChecker) check(actions []Action) {
 	for _, action := range actions {
 		if (action.Probe == "") == (action.Announce == nil) {
-			c.t.Fatalf("%+v does not have exactly one field set", action)
+			c.t.Fatalf("expected exactly one field to be set, got %+v", action)
 		}
 		if action.Probe != "" {
 			c.checkProbe(action.Probe)
@@ -70,20 +70,20 @@
 	}
 }
 
-// checkProbe checks that a probe is permitted, and that no other of the worker is in flight.
-func (c *promiseChecker) checkProbe(id scheduler.WorkerID) {
+// checkProbe checks that a probe is permitted, and that no other probe of the worker is in flight.
+func (c *guaranteeChecker) checkProbe(id scheduler.WorkerID) {
 	if at, inFlight := c.probedAt[id]; inFlight && c.now < at+ProbeTimeout {
 		c.t.Fatalf("two probes of %s in flight", id)
 	}
 	if c.announcedAt[id] != 0 || !c.rules.MayProbe {
-		c.t.Fatalf("probes %s, which is announced, or without permission to probe", id)
+		c.t.Fatalf("%s is probed although it has been announced, or although no probes are permitted", id)
 	}
 	c.probedAt[id] = c.now
 	c.probes++
 }
 
-// checkAnnouncement checks that an announced worker was ready in the list and has answered, and that its start is the safe one.
-func (c *promiseChecker) checkAnnouncement(announced *ReadyWorker) {
+// checkAnnouncement checks that an announced worker was ready in the list and has answered, and that its start is as guaranteed.
+func (c *guaranteeChecker) checkAnnouncement(announced *ReadyWorker) {
 	index := slices.IndexFunc(c.list.Workers, func(w CachedWorker) bool { return w.ID == announced.ID })
 	cached := c.list.Workers[index]
 	switch {
@@ -92,15 +92,15 @@
 	case c.rules.MayProbe && !c.answered[cached.ID]:
 		c.t.Fatalf("announces a worker that never answered: %+v", cached)
 	case !announced.StartConfirmed && announced.StartedAt != c.now:
-		c.t.Fatalf("announced as started at %v at %v", announced.StartedAt, c.now)
+		c.t.Fatalf("announced with start %v, expected the time of the announcement, %v", announced.StartedAt, c.now)
 	case announced.StartConfirmed && (c.announcedAt[cached.ID] == 0 || announced.StartedAt != cached.StartedAt):
-		c.t.Fatalf("confirmed before it was announced, or with another start: %+v", announced)
+		c.t.Fatalf("confirmed before it was announced, or with another start than in the list: %+v", announced)
 	}
 	c.announcedAt[cached.ID] = c.now
 }
 
-// TestAssessor_promises checks promises 2 to 6 for any events in any order.
-func TestAssessor_promises(t *testing.T) {
+// TestAssessor_guarantees checks guarantees 2 to 6 for any events in any order.
+func TestAssessor_guarantees(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		rules := testRules
 		rules.MayProbe = rapid.Bool().Draw(t, "probing")
@@ -109,7 +109,7 @@
 		workers := len(list.Workers)
 		assessor := New(now, list, rules)
 		startedAt := now
-		checker := &promiseChecker{t: t, rules: rules, list: list, probedAt: map[scheduler.WorkerID]scheduler.Instant{},
+		checker := &guaranteeChecker{t: t, rules: rules, list: list, probedAt: map[scheduler.WorkerID]scheduler.Instant{},
 			announcedAt: map[scheduler.WorkerID]scheduler.Instant{}, answered: map[scheduler.WorkerID]bool{}}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
@@ -134,7 +134,7 @@
 			if at, ok := assessor.NextCheck(); ok && at <= now {
 				checker.check(assessor.Check(now))
 				if at, ok := assessor.NextCheck(); ok && at <= now && rules.MayProbe {
-					t.Fatalf("due at %v after a check at %v", at, now)
+					t.Fatalf("the next check is due at %v, although one was made at %v", at, now)
 				}
 			}
 		}
@@ -163,7 +163,7 @@
 	return list
 }
 
-// TestJobServed_sequentialTest checks promise 5: at most an eighth of 150 warming workers are taken for warm, and a warm one is confirmed
+// TestJobServed_sequentialTest checks guarantee 5: at most an eighth of 150 warming workers are taken for warm, and a warm one is confirmed
 // after at most four jobs on average.
 func TestJobServed_sequentialTest(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
@@ -172,7 +172,7 @@
 		falseWarm, warmJobs := 0, 0
 		const workers = 300
 		state := seed
-		normal := func() (sum float64) { // a sum of twelve uniform draws is close enough
+		normal := func() (sum float64) { // the sum of twelve uniform draws is close enough to a normal distribution
 			for range 12 {
 				state = state*6364136223846793005 + 1442695040888963407
 				sum += float64(state>>11) / (1 << 53)
@@ -202,15 +202,15 @@
 			}
 		}
 		if falseWarm > workers/2/8 {
-			t.Fatalf("%d of %d warming workers taken for warm with a list of %v", falseWarm, workers/2, age)
+			t.Fatalf("%d of %d warming workers are taken for warm with a list of age %v", falseWarm, workers/2, age)
 		}
 		if warmJobs > 4*workers/2 {
-			t.Fatalf("%d jobs to confirm %d warm workers with a list of %v", warmJobs, workers/2, age)
+			t.Fatalf("%d jobs were needed for %d warm workers with a list of age %v", warmJobs, workers/2, age)
 		}
 	})
 }
 
-// TestWarmingUpPrior_growsWithAge checks promise 5: the older the list, the less a worker is trusted.
+// TestWarmingUpPrior_growsWithAge checks guarantee 5: the older the list, the less a worker is trusted.
 func TestWarmingUpPrior_growsWithAge(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		younger, older := rapid.IntRange(0, 72).Draw(t, "a"), rapid.IntRange(0, 72).Draw(t, "b")
@@ -222,12 +222,12 @@
 			return assessor.warmingUpPrior(assessor.probeOrder[0])
 		}
 		if prior(younger) > prior(older) {
-			t.Fatalf("after %d h %v, after %d h %v", younger, prior(younger), older, prior(older))
+			t.Fatalf("the prior of a list of %d h is %v, but of a list of %d h %v", younger, prior(younger), older, prior(older))
 		}
 	})
 }
 
-// TestCheck_probeRate checks promise 6: there are MinProbesPerSecond to MaxProbesPerSecond first probes a second, and workers with the
+// TestCheck_probeRate checks guarantee 6: there are MinProbesPerSecond to MaxProbesPerSecond first probes a second, and workers with the
 // latest signal come first.
 func TestCheck_probeRate(t *testing.T) {
 	for _, workers := range []int{3, 12, 50, 200, 20000} {
@@ -240,7 +240,7 @@
 		for now := 10 * day; now < 10*day+time.Second; now += 10 * time.Millisecond {
 			for _, action := range assessor.Check(now) {
 				if action.Probe != workerID(probes) && probes < workers {
-					t.Fatalf("%d workers: probe %d goes to %s", workers, probes, action.Probe)
+					t.Fatalf("%d workers: probe %d goes to %s, not to the worker with the next latest signal", workers, probes, action.Probe)
 				}
 				if probes++; probes == workers {
 					break
@@ -269,7 +269,7 @@
 	return assessor
 }
 
-// firstIDs returns the IDs of the first workers, count of them.
+// firstIDs returns the IDs of the first count workers.
 func firstIDs(count int) (ids []scheduler.WorkerID) {
 	for i := range count {
 		ids = append(ids, workerID(i))
@@ -277,7 +277,7 @@
 	return ids
 }
 
-// TestAssessList_firstList checks promise 7: which first lists of discovery are in force at once, and how the others are confirmed.
+// TestAssessList_firstList checks guarantee 7: which first lists of discovery are in force at once, and how the others are confirmed.
 func TestAssessList_firstList(t *testing.T) {
 	now := 10*day + 2*time.Second
 	for _, test := range []struct {
@@ -298,26 +298,26 @@
 		decision := assessor.AssessList(now, test.revision, test.ready)
 		if test.retained < 0 {
 			if len(decision.Retain) > 0 || decision.RefetchAt != 0 || !assessor.Finished() {
-				t.Errorf("%s: %+v", test.name, decision)
+				t.Errorf("%s: expected the list to be in force at once, got %+v", test.name, decision)
 			}
 			continue
 		}
 		if len(decision.Retain) != test.retained || decision.RefetchAt != now+ConfirmationDelay || assessor.Finished() {
-			t.Errorf("%s: %+v", test.name, decision)
+			t.Errorf("%s: expected the missing workers to be retained until a confirmation, got %+v", test.name, decision)
 		}
 		if decision := assessor.AssessList(now+ConfirmationDelay/2, test.revision, test.ready); decision.RefetchAt != now+ConfirmationDelay || assessor.Finished() {
-			t.Errorf("%s, received again too soon: %+v", test.name, decision)
+			t.Errorf("%s, received again before ConfirmationDelay: expected no confirmation, got %+v", test.name, decision)
 		}
 		if until, ok := assessor.RetainedUntil(); !ok || until != now+MaxRetention || assessor.ExpireRetained(until-1) != nil {
-			t.Errorf("%s: retained until %v, %v", test.name, until, ok)
+			t.Errorf("%s: expected retention for MaxRetention, got until %v, ok %v", test.name, until, ok)
 		}
 		if decision := assessor.AssessList(now+ConfirmationDelay, test.revision, test.ready); (len(test.ready) > 0) != assessor.Finished() {
-			t.Errorf("%s, received twice: %+v", test.name, decision)
+			t.Errorf("%s, received again after ConfirmationDelay: expected a confirmation unless it is empty, got %+v", test.name, decision)
 		}
 		assessor = newAnsweredAssessor()
 		assessor.AssessList(now, test.revision, test.ready)
 		if gone := assessor.ExpireRetained(now + MaxRetention); len(gone) != test.retained || !assessor.Finished() {
-			t.Errorf("%s, never received again: %v", test.name, gone)
+			t.Errorf("%s, never received again: expected all retained workers to expire, got %v", test.name, gone)
 		}
 	}
 	// With a minimum share of 0, each list is in force at once.
@@ -325,16 +325,16 @@
 	rules.MinFirstListShare = 0
 	assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), rules)
 	if decision := assessor.AssessList(now, 1, nil); decision.RefetchAt != 0 || !assessor.Finished() {
-		t.Errorf("minimum share of 0: %+v", decision)
+		t.Errorf("minimum share of 0: expected the list to be in force at once, got %+v", decision)
 	}
 }
 
-// TestSameIncarnation_laterStart checks promise 8: a later start is another incarnation.
+// TestSameIncarnation_laterStart checks guarantee 8: a later start is another incarnation.
 func TestSameIncarnation_laterStart(t *testing.T) {
 	list := listOfWorkers(10*day, 1)
 	list.Workers[0].StartedAt = 9 * day
 	assessor := New(10*day, list, testRules)
 	if !assessor.SameIncarnation(workerID(0), 9*day) || assessor.SameIncarnation(workerID(0), 9*day+1) || assessor.SameIncarnation(workerID(1), 0) {
-		t.Error("a later start is the same incarnation, or the same start is not, or an unknown worker has one")
+		t.Error("a later start is the same incarnation, or the same start is another one, or an unknown worker has an incarnation")
 	}
 }
--- a/internal/decisions/cachetrust/listdecision.go
+++ b/internal/decisions/cachetrust/listdecision.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// ConfirmationDelay is how long after a doubted list a second one may confirm it.
+	// ConfirmationDelay is the time after a first list from which a second list may confirm it.
 	ConfirmationDelay = time.Second
 
-	// MaxRetention is how long workers that a doubted list does not name are retained at most.
+	// MaxRetention is the longest time for which workers that are missing from an unconfirmed list are retained.
 	MaxRetention = 10 * time.Second
 )
 
 // ListDecision is how far a full list of discovery is in force.
 type ListDecision struct {
-	Retain    []scheduler.WorkerID // workers that the list does not name, and that stay as they are
-	RefetchAt scheduler.Instant    // when to call for the full list again; 0 where the list is in force
+	Retain    []scheduler.WorkerID // workers that are missing from the list, and that stay as they are
+	RefetchAt scheduler.Instant    // when to call for the full list again; 0 if the list is in force
 }
 
-// AssessList decides how far a full list of discovery is in force, by its revision and the workers that it has as ready.
+// AssessList decides how far a full list of discovery is in force, by its revision and its ready workers.
 func (a *Assessor) AssessList(now scheduler.Instant, revision int64, ready []scheduler.WorkerID) ListDecision {
 	if a.finished {
 		return ListDecision{}
@@ -31,16 +31,16 @@
 	}
 	missing := a.missingFrom(listed)
 	switch {
-	case !a.doubtful(revision, len(listed), len(missing)), a.doubtedAt != 0 && now >= a.doubtedAt+MaxRetention:
+	case !a.needsConfirmation(revision, len(listed), len(missing)), a.awaitingConfirmationSince != 0 && now >= a.awaitingConfirmationSince+MaxRetention:
 		a.finished = true
 		return ListDecision{}
-	case a.doubtedAt == 0:
-		a.doubtedAt, a.retained = now, missing
-	case now >= a.doubtedAt+ConfirmationDelay && len(listed) > 0: // a second list, which confirms the first
+	case a.awaitingConfirmationSince == 0:
+		a.awaitingConfirmationSince, a.retained = now, missing
+	case now >= a.awaitingConfirmationSince+ConfirmationDelay && len(listed) > 0: // a second list, which confirms the first
 		a.finished = true
 		return ListDecision{}
 	}
-	return ListDecision{Retain: missing, RefetchAt: max(now+ConfirmationDelay/2, a.doubtedAt+ConfirmationDelay)}
+	return ListDecision{Retain: missing, RefetchAt: max(now+ConfirmationDelay/2, a.awaitingConfirmationSince+ConfirmationDelay)}
 }
 
 // missingFrom returns the workers that have answered and are not in a list.
@@ -53,32 +53,33 @@
 	return missing
 }
 
-// doubtful reports whether a list with this revision and so many ready workers has to be confirmed, where so many that have answered
-// are missing from it.
-func (a *Assessor) doubtful(revision int64, listed, missing int) bool {
+// needsConfirmation reports whether a list must be confirmed, by its revision, its number of ready workers, and the number of workers
+// that have answered and are missing from it.
+func (a *Assessor) needsConfirmation(revision int64, listed, missing int) bool {
 	trusted := len(a.probeOrder)
 	tooFew := trusted > 0 && float64(listed) < a.rules.MinFirstListShare*float64(trusted)
 	return a.rules.MinFirstListShare > 0 && missing > 0 && (tooFew || revision < a.list.Revision)
 }
 
-// AwaitingConfirmation reports whether a list of discovery is doubted, and waits for a second one.
-func (a *Assessor) AwaitingConfirmation() bool { return a.doubtedAt != 0 }
+// AwaitingConfirmation reports whether a first list of discovery must be confirmed by a second one.
+func (a *Assessor) AwaitingConfirmation() bool { return a.awaitingConfirmationSince != 0 }
 
-// RetainedUntil returns until when workers are retained at most; it is not ok where none is.
+// RetainedUntil returns until when workers are retained at most; ok is false if no list awaits its confirmation.
 func (a *Assessor) RetainedUntil() (until scheduler.Instant, ok bool) {
-	return a.doubtedAt + MaxRetention, a.doubtedAt != 0 && !a.finished
+	return a.awaitingConfirmationSince + MaxRetention, a.awaitingConfirmationSince != 0 && !a.finished
 }
 
-// ExpireRetained returns the workers whose retention has ended, so that discovery's list is in force; none before RetainedUntil.
+// ExpireRetained ends the retention at RetainedUntil, so that discovery's list is in force, and returns the workers that were retained. It
+// returns none before.
 func (a *Assessor) ExpireRetained(now scheduler.Instant) (gone []scheduler.WorkerID) {
-	if a.doubtedAt == 0 || a.finished || now < a.doubtedAt+MaxRetention {
+	if a.awaitingConfirmationSince == 0 || a.finished || now < a.awaitingConfirmationSince+MaxRetention {
 		return nil
 	}
 	a.finished = true
 	return a.retained
 }
 
-// RemovedByDiscovery records that discovery has a worker as draining or gone: it is neither retained nor announced any more.
+// RemovedByDiscovery records that discovery lists a worker as draining or gone: it is neither retained nor announced any more.
 func (a *Assessor) RemovedByDiscovery(id scheduler.WorkerID) {
 	if worker := a.workers[id]; worker != nil {
 		a.setLevel(worker, Excluded)
--- a/internal/decisions/cachetrust/probing.go
+++ b/internal/decisions/cachetrust/probing.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// MinProbesPerSecond is the rate of first probes where workers are few.
+	// MinProbesPerSecond is the rate of first probes if there are few workers.
 	MinProbesPerSecond = 50
 
-	// MaxProbesPerSecond is the highest rate of first probes. Between the two it is the number of workers, in one second.
+	// MaxProbesPerSecond is the highest rate of first probes. Between the two bounds, the rate is one probe of each worker in a second.
 	MaxProbesPerSecond = 400
 
-	// MinProbeRetryDelay is the delay after a first probe without an answer; it doubles with each further one.
+	// MinProbeRetryDelay is the delay after the first probe without an answer; it doubles with each further one.
 	MinProbeRetryDelay = 500 * time.Millisecond
 
 	// MaxProbeRetryDelay is the longest delay between probes of a worker.
@@ -22,13 +22,13 @@
 	// maxProbeRetryDoublings keeps the doubled delay in the range of a duration.
 	maxProbeRetryDoublings = 16
 
-	// ProbeTimeout is how long the result of a probe is waited for.
+	// ProbeTimeout is the time after which a probe without a result counts as failed.
 	ProbeTimeout = 2 * time.Second
 
 	// AbsentAfter is the time since the start after which a worker that never answered counts as Absent. It is still probed.
 	AbsentAfter = 20 * time.Second
 
-	// minProbesForAbsent is how many probes of such a worker must have failed.
+	// minProbesForAbsent is how many probes of a worker must have failed before it counts as Absent.
 	minProbesForAbsent = 4
 )
 
@@ -41,11 +41,11 @@
 		if worker.level > Absent || worker.nextProbeAt > now || worker.probing && now < worker.probedAt+ProbeTimeout {
 			continue
 		}
-		if !a.rules.MayProbe { // without probes, the runtimes of its jobs are all that confirms it
+		if !a.rules.MayProbe { // without probes, only the run times of its jobs can confirm it
 			actions = append(actions, a.announce(worker, now))
 			continue
 		}
-		if worker.probing { // without a result within ProbeTimeout
+		if worker.probing { // no result within ProbeTimeout
 			a.probeFailed(worker, now)
 			if worker.nextProbeAt > now {
 				continue
@@ -57,7 +57,7 @@
 	return actions
 }
 
-// NextCheck returns when Check has something to do if nothing happens before; it is not ok if it never has.
+// NextCheck returns when Check next returns actions if nothing happens before; ok is false if it never does.
 func (a *Assessor) NextCheck() (at scheduler.Instant, ok bool) {
 	if a.finished {
 		return 0, false
@@ -77,7 +77,7 @@
 	return at, ok
 }
 
-// ProbeCompleted records the result of a probe that an Action asked for, and returns what follows.
+// ProbeCompleted records the result of a probe that an Action asked for, and returns the actions that follow.
 func (a *Assessor) ProbeCompleted(now scheduler.Instant, id scheduler.WorkerID, result ProbeResult) []Action {
 	worker := a.workers[id]
 	if a.finished || worker == nil || !worker.probing || worker.level > Absent {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// probeFailed records a probe without an answer of a worker, and schedules the next.
+// probeFailed records that a probe was not answered by the worker, and schedules the next one.
 func (a *Assessor) probeFailed(worker *assessedWorker, now scheduler.Instant) {
 	worker.probing = false
 	worker.nextProbeAt = now + min(MinProbeRetryDelay<<min(worker.failedProbes, maxProbeRetryDoublings), MaxProbeRetryDelay)
--- a/internal/decisions/cachetrust/sequentialtest.go
+++ b/internal/decisions/cachetrust/sequentialtest.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// maxFalseWarmRate is the share of warming workers that may be taken for warm.
+	// maxFalseWarmRate is the highest share of warming workers that may be taken for warm.
 	maxFalseWarmRate = 0.05
 
-	// logRuntimeDeviation is the standard deviation of the logarithm of how much longer than usual a job takes at a warm worker.
+	// logRuntimeDeviation is the standard deviation of ln(run time / usual run time) of a job at a warm worker.
 	logRuntimeDeviation = 0.7
 
 	// maxLogLateness bounds the weight of a single job.
 	maxLogLateness = 3.0
 
 	// minWarmingUpPrior is the probability that a worker of a fresh list is warming up, before anything is received from it: this
-	// process was down for a moment only.
+	// process was down only for a moment.
 	minWarmingUpPrior = 0.05
 
 	// maxWarmingUpPrior is that probability for an old list: what ended the last process may have ended the workers too.
 	maxWarmingUpPrior = 0.5
 
-	// priorAgeScale is the age of the list at which the probability has covered 1-1/e of the way from the one to the other.
+	// priorAgeScale is the age of the list at which the probability has covered 1-1/e of the way from minWarmingUpPrior to
+	// maxWarmingUpPrior.
 	priorAgeScale = 6 * time.Hour
 
 	// recentStartPrior is added for a worker that was warming up when the list was confirmed, as such workers restart more often.
@@ -70,7 +71,7 @@
 	return -math.Log(maxFalseWarmRate) - math.Log(1-a.warmingUpPrior(worker))
 }
 
-// warmupFactor returns the share of its capacity that a worker has at an age, at least.
+// warmupFactor returns the minimum share of its capacity that a worker has at an age.
 func (a *Assessor) warmupFactor(age time.Duration) float64 {
 	initial := min(max(a.rules.SlowStartCapacity, minSlowStartCapacity), 1)
 	if a.rules.SlowStartDuration <= 0 {
