--- a/internal/decisions/idempotency/idempotency_test.go
+++ b/internal/decisions/idempotency/idempotency_test.go
@@ -20,7 +20,7 @@
 // neverRan reports whether a job has ended by being rejected.
 func (j *modelJob) neverRan() bool { return j.ended && j.rejected }
 
-// model is a table of jobs by key that follows the decisions, and checks the promises.
+// model is a table of jobs by key that follows the decisions, and checks the guarantees.
 type model struct {
 	t        *rapid.T
 	jobs     map[string]*modelJob
@@ -38,28 +38,28 @@
 	switch Decide(remembered, resumed, len(m.jobs) < m.capacity) {
 	case Start:
 		if resumed || current != nil && !current.neverRan() || len(m.jobs) >= m.capacity {
-			m.t.Fatalf("started with %+v remembered, resumed %v, %d of %d", current, resumed, len(m.jobs), m.capacity)
+			m.t.Fatalf("a job starts with %+v remembered, resumed %v, and %d of %d jobs in the table", current, resumed, len(m.jobs), m.capacity)
 		}
 		if m.running[key]++; m.running[key] > 1 {
-			m.t.Fatal("two jobs of a key run")
+			m.t.Fatal("two jobs with the same key run")
 		}
 		m.jobs[key] = &modelJob{body: body, readers: 1}
 	case Join:
 		if current == nil || current.body != body {
-			m.t.Fatalf("joined %+v", current)
+			m.t.Fatalf("a request joins %+v, which is not its job", current)
 		}
 		current.readers++
 	case KeyMismatch:
 		if current == nil || current.body == body {
-			m.t.Fatalf("key mismatch with %+v", current)
+			m.t.Fatalf("key mismatch, but the remembered job is %+v", current)
 		}
 	case UnknownKey:
 		if !resumed || current != nil {
-			m.t.Fatalf("unknown key with %+v", current)
+			m.t.Fatalf("unknown key of a request that resumes no answer, or with %+v remembered", current)
 		}
 	case TableFull:
 		if len(m.jobs) < m.capacity {
-			m.t.Fatal("table full below its capacity")
+			m.t.Fatal("the table is reported as full below its capacity")
 		}
 	}
 }
@@ -88,15 +88,15 @@
 	current.readers--
 	if !current.ended && AbandonWithoutReaders(current.readers, current.runsWithoutReaders) {
 		if current.readers > 0 || current.runsWithoutReaders {
-			m.t.Fatal("abandoned with a reader")
+			m.t.Fatal("a job with a reader, or one that runs without readers, is abandoned")
 		}
 		delete(m.jobs, key)
 		m.running[key]--
 	}
 }
 
-// TestDecide_promises checks promises 1 to 5 for a table of jobs that follows the decisions on any sequence of requests.
-func TestDecide_promises(t *testing.T) {
+// TestDecide_guarantees checks guarantees 1 to 5 for a table of jobs that follows the decisions on any sequence of requests.
+func TestDecide_guarantees(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		table := &model{t: t, jobs: map[string]*modelJob{}, capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), running: map[string]int{}}
 		for range 200 {
--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -1,17 +1,18 @@
 // Package incarnations estimates how long ago each worker started. It does no I/O, reads no clock and starts no goroutine.
 //
-// Discovery stamps the start of a worker with Unix time by its own clock, which need not agree with the wall clock here; either
-// clock may be stepped at any time. A stamp therefore identifies a start (an incarnation of the worker), but hardly says when it
-// was. Tracker guarantees:
+// Discovery stamps the start of a worker with Unix time by its own clock, which need not agree with the wall clock of this process;
+// either clock may be stepped at any time. Therefore a stamp identifies a start (an incarnation of the worker), but is no reliable
+// measure of when it was. Tracker guarantees:
 //
-//  1. A start in a list that was received less than MaxListGap after the one before counts from when it was first received here: the
-//     worker is at least that old, and is never taken to have finished its slow start too early.
-//  2. A list after a longer gap, such as the first of a process, may name workers that started long ago. The age of one is the least
-//     of: its stamp's distance from the newest stamp in the list, its stamp's distance from the wall clock here, and the gap. The
-//     first does not depend on any clock being right; the second is left out where the wall clock is behind the newest stamp.
-//  3. The same stamp is the same incarnation; another stamp, also a lower one, is another incarnation, as a clock may have been set
+//  1. If a list is received less than MaxListGap after the list before, a start that is new in it counts from when it was received.
+//     The worker is at least that old, and is never taken to have finished its slow start too early.
+//  2. A list after a longer gap, such as the first list of a process, may name workers that started long ago. The age of such a worker
+//     is the minimum of three times: from its stamp to the newest stamp in the list, from its stamp to the wall clock of this
+//     process, and the gap. The first does not depend on any clock being right; the second is left out if the wall clock is earlier
+//     than the newest stamp.
+//  3. The same stamp is the same incarnation. Another stamp, also a lower one, is another incarnation, as a clock may have been set
 //     back.
-//  4. No stamp means that the worker started long ago, unless a start of it was received here before.
+//  4. No stamp means that the worker started long ago, unless a start of it was received before.
 package incarnations
 
 import (
@@ -21,8 +22,8 @@
 	"brassdale/scheduler"
 )
 
-// MaxListGap is the time since the last list up to which a start in the next one counts as one of just now. Until then
-// the endpoint list is not overdue.
+// MaxListGap is the time between two lists below which a new start in the second one counts from when that list was received. Until
+// then the endpoint list is not overdue.
 const MaxListGap = polling.NotificationDeadline
 
 // incarnation is one start of a worker.
@@ -45,8 +46,8 @@
 // ListTime is when a list was received.
 type ListTime struct {
 	Now           scheduler.Instant // by this process's monotonic clock
-	Wall          scheduler.Instant // Unix time by the wall clock here, which may be wrong
-	SinceLastList time.Duration     // since the list before, or very long for the first
+	Wall          scheduler.Instant // Unix time by this process's wall clock, which may be wrong
+	SinceLastList time.Duration     // since the list before; very long for the first list
 }
 
 // Update records the starts in a list, or in a change of one, and returns when each of its workers started, by this process's
@@ -67,20 +68,20 @@
 	return startedAt
 }
 
-// estimatedAge returns how long ago a worker with a stamp that is new here is taken to have started, where newest is the newest
+// estimatedAge returns how long ago a worker is taken to have started whose stamp has not been received before. newest is the newest
 // stamp in the same list.
 func (l ListTime) estimatedAge(stamp, newest scheduler.Instant) time.Duration {
 	if l.SinceLastList < MaxListGap {
 		return 0
 	}
 	age := min(newest-stamp, l.SinceLastList)
-	if l.Wall >= newest { // a wall clock behind discovery's says nothing
+	if l.Wall >= newest { // a wall clock that is earlier than a stamp says nothing of the age
 		age = min(age, l.Wall-stamp)
 	}
 	return age
 }
 
-// Set records a start whose time is known otherwise, such as from a predecessor process.
+// Set records a start whose time is known from elsewhere, such as a predecessor process.
 func (t *Tracker) Set(id scheduler.WorkerID, stamp, startedAt scheduler.Instant) {
 	if t.incarnations == nil {
 		t.incarnations = map[scheduler.WorkerID]incarnation{}
--- a/internal/decisions/incarnations/incarnations_test.go
+++ b/internal/decisions/incarnations/incarnations_test.go
@@ -10,7 +10,7 @@
 	"brassdale/scheduler"
 )
 
-// TestTracker_neverOverestimatesAge checks promises 1 to 3: however the two wall clocks are stepped, no worker is taken to be older than
+// TestTracker_neverOverestimatesAge checks guarantees 1 to 3: however the two wall clocks are stepped, no worker is taken to be older than
 // it is.
 func TestTracker_neverOverestimatesAge(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
@@ -59,21 +59,21 @@
 	})
 }
 
-// TestTracker_firstList checks promise 2: if the clocks agree, a worker in the first list of a process has its age, less that of the
-// newest one at most.
+// TestTracker_firstList checks guarantee 2: if the clocks agree, a worker in the first list of a process is taken to have its true age,
+// less the age of the newest worker at most.
 func TestTracker_firstList(t *testing.T) {
 	tracker := &Tracker{}
 	const now, wall = scheduler.Instant(time.Hour), scheduler.Instant(1e18)
 	startedAt := tracker.Update(ListTime{Now: now, Wall: wall, SinceLastList: 1 << 62},
 		[]WorkerStart{{"old", wall - 30*time.Second}, {"young", wall - 2*time.Second}, {"long ago", 0}})
 	if old, young := now-startedAt[0], now-startedAt[1]; old != 28*time.Second || young != 0 || startedAt[2] != 0 {
-		t.Errorf("first list: old %v, young %v, long ago started at %v", old, young, startedAt[2])
+		t.Errorf("first list: got ages %v of old and %v of young, start %v of long ago; want 28 s, 0 and 0", old, young, startedAt[2])
 	}
-	// After a gap of 8 s, a start lies no further back than the gap.
+	// After a gap of 8 s, the age is at most the gap.
 	later := now + 8*time.Second
 	startedAt = tracker.Update(ListTime{Now: later, Wall: wall + 8*time.Second, SinceLastList: 8 * time.Second},
 		[]WorkerStart{{"old", wall + time.Second}, {"young", wall + 5*time.Second}})
 	if old, young := later-startedAt[0], later-startedAt[1]; old != 4*time.Second || young != 0 {
-		t.Errorf("after a gap: old %v, young %v", old, young)
+		t.Errorf("after a gap: got ages %v of old and %v of young, want 4 s and 0", old, young)
 	}
 }
--- a/internal/decisions/quotas/quotas.go
+++ b/internal/decisions/quotas/quotas.go
@@ -1,26 +1,26 @@
-// Package quotas decides which accounts' jobs are admitted when there is not capacity for all, over all frontends together. It does no
-// I/O, reads no clock and starts no goroutine.
+// Package quotas decides which accounts' jobs are admitted when there is not enough capacity for all, over all frontends together. It
+// does no I/O, reads no clock and starts no goroutine.
 //
 // Table guarantees:
 //
 //  1. No more jobs are open than the capacity.
 //  2. An account with fewer open jobs than its guaranteed number has a job admitted whenever any capacity is free.
 //  3. An account has a job admitted beyond its guaranteed number only if it has fewer open jobs than the free capacity, so that other
-//     accounts find capacity at once; alone it may use half of the capacity.
-//  4. Accounts that are not listed share one quota: a client gains nothing by inventing names.
+//     accounts find capacity at once. While no other account has jobs open, it may use half of the capacity.
+//  4. Accounts that are not listed share one quota, so a client gains nothing by inventing account names.
 //  5. A job that ends frees its capacity, also if the quotas were changed while it was open.
 package quotas
 
 import "brassdale/internal/decisions/http2limits"
 
-// unlistedQuota is the name of the quota that all accounts share which are not listed.
+// unlistedQuota is the name of the quota that all unlisted accounts share.
 const unlistedQuota = ""
 
 // Table counts the open jobs of each quota. It is made by New, and is not safe for concurrent use.
 type Table struct {
 	capacity      int                // jobs
 	shares        map[string]float64 // of the capacity, from 0 to 1, by account
-	unlistedShare float64            // of all accounts together that are not in shares
+	unlistedShare float64            // of all accounts that are not in shares, together
 	open          map[string]int     // jobs, by quota
 	totalOpen     int
 }
@@ -43,7 +43,7 @@
 }
 
 // QuotaName returns the quota of an account, which is passed to the other methods. It is called once for each job, since SetQuotas may
-// change it while the job is open.
+// change the quota of the account while the job is open.
 func (t *Table) QuotaName(account string) string {
 	if _, ok := t.shares[account]; ok {
 		return account
--- a/internal/decisions/retrybudget/attemptwindow.go
+++ b/internal/decisions/retrybudget/attemptwindow.go
@@ -7,7 +7,7 @@
 
 // attemptWindow counts attempts in a sliding window. Times that are passed to its methods must not go back.
 type attemptWindow struct {
-	newestStep int64 // number of the newest step, from time 0
+	newestStep int64 // number of the newest step, counted from time 0
 	steps      [windowSteps]attempts
 }
 
--- a/internal/decisions/retrybudget/retrybudget.go
+++ b/internal/decisions/retrybudget/retrybudget.go
@@ -1,8 +1,9 @@
-// Package retrybudget decides whether a further attempt of a request, a retry or a hedge, may be sent. The scheduler decides it for each
-// request by itself; while a tenth of the workers fails, the further attempts of all requests together could double the load on the
-// rest. The budget bounds them to a share of the first attempts. The package does no I/O, reads no clock and starts no goroutine.
+// Package retrybudget decides whether a further attempt of a request, a retry or a hedge, may be sent. The scheduler decides for each
+// request separately; while a tenth of the workers fails, the further attempts of all requests together could double the load on the
+// other workers. The budget limits further attempts to a share of the first attempts. The package does no I/O, reads no clock and starts
+// no goroutine.
 //
-// Budget guarantees, over any Window, for all requests together and for those of each class and of each account:
+// Budget guarantees, over any Window, for all requests together, for the requests of each class and for the requests of each account:
 //
 //  1. Further attempts are at most the ratio times the first attempts, plus MinRetries.
 //  2. An attempt that was denied does not count.
@@ -66,8 +67,8 @@
 // Denied returns how many further attempts were denied.
 func (b *Budget) Denied() int { return b.denied }
 
-// windowsOf returns the windows that an attempt counts in: of all requests, of its class and of its account. Classes are those in the
-// settings, and therefore few.
+// windowsOf returns the windows that an attempt counts in: of all requests, of its class and of its account. The classes are those in the
+// settings, so they are few and need no bound.
 func (b *Budget) windowsOf(class, account string) [3]*attemptWindow {
 	ofClass := b.classes[class]
 	if ofClass == nil {
--- a/internal/decisions/retrybudget/retrybudget_test.go
+++ b/internal/decisions/retrybudget/retrybudget_test.go
@@ -10,8 +10,8 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// TestBudget_withinRatioInAnyWindow checks promises 1 and 2: for any sequence of attempts, the further attempts in any window stay within
-// the ratio of the first ones plus MinRetries, for all together, each class and each account.
+// TestBudget_withinRatioInAnyWindow checks guarantees 1 and 2: for any sequence of attempts, the further attempts in any window are at most
+// the ratio times the first ones plus MinRetries, for all requests together, for each class and for each account.
 func TestBudget_withinRatioInAnyWindow(t *testing.T) {
 	type attempt struct {
 		at             time.Duration
@@ -55,14 +55,14 @@
 					}
 				}
 				if float64(further) > ratio*float64(first)+MinRetries {
-					t.Fatalf("%d further attempts to %d first ones", further, first)
+					t.Fatalf("%d further attempts were allowed for %d first ones", further, first)
 				}
 			}
 		}
 	})
 }
 
-// TestBudget_idleAndBusy checks promises 1 and 3: an idle dispatcher may retry MinRetries times, a busy one by the ratio, and after a
+// TestBudget_idleAndBusy checks guarantees 1 and 3: an idle dispatcher may retry MinRetries times, a busy one by the ratio, and after a
 // window without attempts it is idle again; the number of accounts is bounded.
 func TestBudget_idleAndBusy(t *testing.T) {
 	budget := New(0.2)
@@ -75,7 +75,7 @@
 		return got
 	}
 	if got := allowed(0, 100); got != MinRetries {
-		t.Errorf("idle: %d retries allowed", got)
+		t.Errorf("idle: %d retries allowed, want MinRetries", got)
 	}
 	for range 1000 {
 		budget.CountFirstAttempt(time.Second, "c", "a")
@@ -84,12 +84,12 @@
 		t.Errorf("busy: %d retries allowed, want 200", got)
 	}
 	if got := allowed(Window+3*time.Second, 100); got != MinRetries || budget.Denied() == 0 {
-		t.Errorf("a window later: %d retries allowed, %d denied", got, budget.Denied())
+		t.Errorf("a window later: %d retries allowed, want MinRetries; %d denied, want some", got, budget.Denied())
 	}
 	for i := range 2 * MaxAccounts {
 		budget.CountFirstAttempt(time.Hour, "c", fmt.Sprint(i))
 	}
 	if len(budget.accounts) > MaxAccounts {
-		t.Errorf("%d accounts are counted", len(budget.accounts))
+		t.Errorf("%d accounts have a budget of their own, want at most MaxAccounts", len(budget.accounts))
 	}
 }
