--- a/internal/decisions/http2limits/conn.go
+++ b/internal/decisions/http2limits/conn.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// CompletionTimeout is how long the preface, a frame or a header block may take from its first byte to its last.
+	// CompletionTimeout is the longest time that the preface, a frame or a header block may take from its first byte to its last.
 	CompletionTimeout = 2600 * time.Millisecond
 
-	// MaxHeaderFrames is how many frames a header block may have.
+	// MaxHeaderFrames is the maximum number of frames in a header block.
 	MaxHeaderFrames = 16
 
-	// MaxHeaderBytes is how many bytes the frames of a header block may have together. A header list within the limit of 8 KiB fits into
-	// one frame of the usual size.
+	// MaxHeaderBytes is the maximum number of bytes in all frames of a header block together. A header list within the limit of 8 KiB
+	// fits into one frame of the usual size.
 	MaxHeaderBytes = 32 << 10
 )
 
@@ -21,10 +21,10 @@
 	spentAt         time.Duration
 	answeredStreams float64 // since spentAt
 
-	partStartedAt   time.Duration // when the preface, later the last frame, began to be received
-	partOpen        bool          // that part is not complete
+	partStartedAt   time.Duration // when the last part, which is the preface or a frame, began to be received
+	partOpen        bool          // the last part is not complete
 	headerStartedAt time.Duration // when the last header block began
-	headerOpen      bool          // that block is not complete
+	headerOpen      bool          // the last header block is not complete
 	headerFrames    int
 	headerBytes     uint32
 	closeReason     CloseReason
@@ -44,7 +44,7 @@
 // FrameCompleted records that the last byte of a frame was received.
 func (c *Conn) FrameCompleted() { c.partOpen = false }
 
-// StreamAnswered records that the answer on a stream was sent whole.
+// StreamAnswered records that the whole answer on a stream was sent.
 func (c *Conn) StreamAnswered() { c.answeredStreams++ }
 
 // FrameReceived records the header of a received frame, and returns the reason to close the connection, if any. It is called before any
@@ -79,8 +79,8 @@
 	return c.closeReason
 }
 
-// FrameSent records the header of a frame that this side sends, and returns the reason to close the connection, if any. A client can have
-// streams reset by violating the protocol as well as by resetting them.
+// FrameSent records the header of a frame that this side sends, and returns the reason to close the connection, if any. Resets of this
+// side count like resets of the client, as a client can cause them by violating the protocol.
 func (c *Conn) FrameSent(now time.Duration, frame Frame) CloseReason {
 	if frame.Kind == Reset {
 		c.spend(now, TooManyResets)
@@ -88,7 +88,7 @@
 	return c.closeReason
 }
 
-// Deadline returns when CheckDeadline must be called unless more is received; it is not ok if all that was received is complete.
+// Deadline returns when CheckDeadline must be called unless more is received; ok is false if all that was received is complete.
 func (c *Conn) Deadline() (at time.Duration, ok bool) {
 	switch {
 	case c.headerOpen && c.partOpen:
@@ -101,7 +101,7 @@
 	return 0, false
 }
 
-// CheckDeadline returns the reason to close the connection, if any, at a time.
+// CheckDeadline returns the reason to close the connection now, if any.
 func (c *Conn) CheckDeadline(now time.Duration) CloseReason {
 	if at, ok := c.Deadline(); ok && now >= at {
 		c.setCloseReason(IncompleteInTime)
@@ -136,7 +136,7 @@
 	}
 }
 
-// setCloseReason sets the reason to setCloseReason the connection, unless there is one already.
+// setCloseReason sets the reason to close the connection, unless there is one already.
 func (c *Conn) setCloseReason(reason CloseReason) {
 	if c.closeReason == "" {
 		c.closeReason = reason
--- a/internal/decisions/http2limits/framebudget.go
+++ b/internal/decisions/http2limits/framebudget.go
@@ -1,12 +1,12 @@
 package http2limits
 
-// CloseReason is why a connection must be closed; empty while it may stay open. Its text is part of a metric name, and the debug data of the GOAWAY
-// frame that the client receives.
+// CloseReason is why a connection must be closed; empty while it may stay open. Its text is part of a metric name, and the debug data of
+// the GOAWAY frame that the client receives.
 type CloseReason string
 
 // The reasons.
 const (
-	TooManyResets         CloseReason = "resets"   // streams that were reset by the client, or by this side for its fault
+	TooManyResets         CloseReason = "resets"   // streams that the client reset, or that this side reset because the client violated the protocol
 	TooManyPings          CloseReason = "pings"    // without ACK
 	TooManySettings       CloseReason = "settings" // with or without ACK
 	TooManyPriorities     CloseReason = "priority"
@@ -27,8 +27,8 @@
 }
 
 // frameBudgets are the budgets by the reason for which they close a connection. The bursts are several times what well-behaved clients
-// were measured to need: resetting all streams at once, a WINDOW_UPDATE of the stream and one of the connection for each DATA frame of an
-// answer, and a PING with each to measure the round-trip time.
+// need: they reset all streams at once, and for each DATA frame of an answer they send a WINDOW_UPDATE of the stream, one of the
+// connection, and a PING to measure the round-trip time.
 var frameBudgets = map[CloseReason]frameBudget{
 	TooManyResets:         {burst: 256, rate: 20, answerCredit: 1},
 	TooManyPings:          {burst: 64, rate: 10, answerCredit: 1},
--- a/internal/decisions/http2limits/http2limits_test.go
+++ b/internal/decisions/http2limits/http2limits_test.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// TestConn_answeredStreamsNeverClose checks promise 1: a client whose streams are answered may send as many other frames as the credits
+// TestConn_answeredStreamsNeverClose checks guarantee 1: a client whose streams are answered may send as many other frames as the credits
 // allow, at any rate.
 func TestConn_answeredStreamsNeverClose(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
@@ -28,19 +28,19 @@
 				}
 				conn.FrameStarted(now)
 				if reason := conn.FrameReceived(now, frame); reason != "" {
-					t.Fatalf("%+v: %s", frame, reason)
+					t.Fatalf("%+v closes the connection for %s", frame, reason)
 				}
 				conn.FrameCompleted()
 			}
 			conn.StreamAnswered()
 			if reason := conn.CheckDeadline(now + time.Hour); reason != "" {
-				t.Fatalf("idle: %s", reason)
+				t.Fatalf("an idle connection is closed for %s", reason)
 			}
 		}
 	})
 }
 
-// floodFrames are the frames of each budget.
+// floodFrames has a frame of each budget.
 var floodFrames = []struct {
 	frame  Frame
 	reason CloseReason
@@ -54,8 +54,8 @@
 	{Frame{Kind: 0x42}, TooManyUnknownFrames},
 }
 
-// TestConn_floodsClose checks promises 2 and 5: floods close the connection within their budgets, whatever is received in between, and
-// the reason does not change.
+// TestConn_floodsClose checks guarantees 2 and 5: floods close the connection within their budgets, regardless of the frames in between,
+// and the reason does not change.
 func TestConn_floodsClose(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
@@ -77,20 +77,20 @@
 			}
 			budget := frameBudgets[flood.reason]
 			if limit := budget.burst + budget.rate*now.Seconds() + budget.answerCredit*answered; passed[flood.reason] > limit {
-				t.Fatalf("%s: %v frames passed, %v at most", flood.reason, passed[flood.reason], limit)
+				t.Fatalf("%s: %v frames passed, want %v at most", flood.reason, passed[flood.reason], limit)
 			}
 		}
 	})
 }
 
-// TestConn_eachFloodClosesAtItsBurst checks promise 2: each flood by itself closes the connection for its own reason, at its burst.
+// TestConn_eachFloodClosesAtItsBurst checks guarantee 2: each flood by itself closes the connection for its own reason, at its burst.
 func TestConn_eachFloodClosesAtItsBurst(t *testing.T) {
 	for _, flood := range floodFrames {
 		conn := New(0)
 		for i := 0; ; i++ {
 			if reason := conn.FrameReceived(0, flood.frame); reason != "" {
 				if reason != flood.reason || i != int(frameBudgets[reason].burst) {
-					t.Errorf("%+v closed after %d for %s", flood.frame, i, reason)
+					t.Errorf("%+v closes the connection after %d frames for %s", flood.frame, i, reason)
 				}
 				break
 			}
@@ -100,7 +100,7 @@
 	for i := range 1000 {
 		if reason := conn.FrameSent(0, Frame{Kind: Reset}); reason != "" {
 			if i != int(frameBudgets[TooManyResets].burst) {
-				t.Errorf("the connection was closed after %d resets of this side", i)
+				t.Errorf("the connection is closed after %d resets of this side, want the burst", i)
 			}
 			return
 		}
@@ -108,12 +108,12 @@
 	t.Error("1000 resets of this side do not close the connection")
 }
 
-// TestConn_incompleteInTime checks promises 3 and 4: what is not complete within CompletionTimeout, and header blocks that are too long,
-// close the connection.
+// TestConn_incompleteInTime checks guarantees 3 and 4: a preface, frame or header block that is not complete within CompletionTimeout
+// closes the connection, and so does a header block that is too long.
 func TestConn_incompleteInTime(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		conn, now := New(0), time.Duration(0)
-		openSince := time.Duration(0) // since when something is incomplete
+		openSince := time.Duration(0) // since when the preface or a header block is incomplete, if open
 		open := true
 		if rapid.Bool().Draw(t, "preface") {
 			conn.PrefaceCompleted()
@@ -124,7 +124,7 @@
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
 			if reason := conn.CheckDeadline(now); reason != "" {
 				if !open || now < openSince+CompletionTimeout {
-					t.Fatalf("closed at %v for %s; incomplete since %v: %v", now, reason, openSince, open)
+					t.Fatalf("closed at %v for %s; incomplete since %v, if it is: %v", now, reason, openSince, open)
 				}
 				return
 			}
@@ -147,7 +147,7 @@
 			}
 			reason := conn.FrameReceived(now, frame)
 			if (reason == HeaderTooLong) != (headerFrames > MaxHeaderFrames) {
-				t.Fatalf("%d header frames: %q", headerFrames, reason)
+				t.Fatalf("%d header frames: got reason %q to close", headerFrames, reason)
 			}
 			if reason != "" {
 				return
@@ -159,11 +159,11 @@
 	})
 	conn := New(0)
 	if reason := conn.FrameReceived(0, Frame{Kind: Headers, Length: MaxHeaderBytes + 1}); reason != HeaderTooLong {
-		t.Errorf("a header block of too many bytes: %q", reason)
+		t.Errorf("a header block of too many bytes: got reason %q to close", reason)
 	}
 }
 
-// TestWithinDynamicThreshold_fair checks promise 6: the dynamic threshold does not exceed the limit, serves users below the floor, and
+// TestWithinDynamicThreshold_fair checks guarantee 6: the dynamic threshold does not exceed the limit, serves users below the floor, and
 // leaves capacity free.
 func TestWithinDynamicThreshold_fair(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
@@ -178,17 +178,17 @@
 			}
 			ok := WithinDynamicThreshold(limit, total, open[user], floor)
 			if open[user] < floor && total < limit && !ok {
-				t.Fatal("rejected below the floor")
+				t.Fatal("a user below the floor is rejected although capacity is free")
 			}
 			if !ok {
 				continue
 			}
 			open[user]++
 			if total++; total > limit {
-				t.Fatal("more than the limit")
+				t.Fatal("more than the limit is in use")
 			}
 			if open[user] > floor && limit-total < open[user]-1 {
-				t.Fatalf("%d in use, %d free", open[user], limit-total)
+				t.Fatalf("a user above the floor has %d units, but only %d are free", open[user], limit-total)
 			}
 		}
 	})
@@ -212,11 +212,11 @@
 				conn.FrameCompleted()
 			}
 			if at, ok := conn.Deadline(); ok && at > now+CompletionTimeout {
-				t.Fatalf("due at %v, now %v", at, now)
+				t.Fatalf("the deadline is at %v, more than CompletionTimeout after %v", at, now)
 			}
 			for budgetReason, spent := range conn.spent {
 				if spent < 0 || closedFor == "" && spent > frameBudgets[budgetReason].burst {
-					t.Fatalf("%s: %v spent", budgetReason, spent)
+					t.Fatalf("%s: %v frames are spent, want 0 to the burst", budgetReason, spent)
 				}
 			}
 		}
