--- a/internal/decisions/gossippeers/digest.go
+++ b/internal/decisions/gossippeers/digest.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// hashSpread is 2^64 divided by the golden ratio. Multiplied by it, hashes of similar names are far apart.
-const hashSpread = 0x9e3779b97f4a7c15
+// hashMultiplier is 2^64 divided by the golden ratio. Hashes of similar names are far apart once multiplied by it.
+const hashMultiplier = 0x9e3779b97f4a7c15
 
 // Digest identifies a set of dispatchers by their names. Equal sets have equal digests; different sets almost never do.
 type Digest struct {
@@ -17,7 +17,7 @@
 		hash := fnv.New64a()
 		_, _ = hash.Write([]byte(name)) // a hash accepts any bytes
 		digest.Count++
-		digest.Sum += hash.Sum64() * hashSpread
+		digest.Sum += hash.Sum64() * hashMultiplier
 	}
 	return digest
 }
--- a/internal/decisions/gossippeers/directory.go
+++ b/internal/decisions/gossippeers/directory.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// refreshInterval is the time after which a directory is due for a refresh.
+	// refreshInterval is the time after a refresh at which a directory is due for the next one.
 	refreshInterval = 250 * time.Millisecond
 
-	// maxSuggestedPeers is the number of addresses in a suggestion.
+	// maxSuggestedPeers is the maximum number of addresses in a suggestion.
 	maxSuggestedPeers = 2
 )
 
@@ -23,7 +23,7 @@
 	suggestions uint64 // made so far
 }
 
-// zoneKey identifies a zone: zones of two regions may have one name.
+// zoneKey identifies a zone: zones of two regions may have the same name.
 type zoneKey struct {
 	region, zone string
 }
@@ -34,9 +34,9 @@
 	members []LeaseHolder // sorted by name
 }
 
-// PeerSuggestion is the leader's response to a dispatcher whose digest differs from that of the lease holders of its zone.
+// PeerSuggestion is the leader's response to a dispatcher whose digest differs from the digest of its zone's lease holders.
 type PeerSuggestion struct {
-	Count     int      `json:"n"` // number of lease holders of the zone, the dispatcher included
+	Count     int      `json:"n"` // number of lease holders of the zone, including the dispatcher
 	Addresses []string `json:"a"` // of some of them; at most maxSuggestedPeers
 }
 
@@ -71,9 +71,9 @@
 	}
 }
 
-// Suggest returns peers for a dispatcher whose digest of itself and its peers is known; nil where it equals that of the zone's lease
-// holders, or where both are the dispatcher alone. Each call begins at another lease holder, so that a dispatcher that asks again and
-// again is suggested every one.
+// Suggest returns peers for a dispatcher, where known is the digest of itself and the peers that it knows. It returns nil if that
+// equals the digest of the zone's lease holders, or if neither has a second dispatcher. The position from which peers are taken varies
+// between calls, so that a dispatcher that asks again and again is suggested each of them.
 func (d *Directory) Suggest(dispatcher LeaseHolder, known Digest) *PeerSuggestion {
 	zone := d.zones[zoneKey{dispatcher.Region, dispatcher.Zone}]
 	if zone == nil || zone.digest == known || len(zone.members) < 2 && known.Count < 2 {
@@ -99,5 +99,5 @@
 func suggestionHash(name string, suggestions uint64) int {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprint(hash, name, suggestions) // a hash accepts any bytes
-	return int(hash.Sum64() * hashSpread >> 33)
+	return int(hash.Sum64() * hashMultiplier >> 33)
 }
--- a/internal/decisions/gossippeers/exchanger_test.go
+++ b/internal/decisions/gossippeers/exchanger_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestExchanger_backsOff checks that a dispatcher that knows no peer, or only 60 of 120, starts an exchange at once, that one that knows
-// 100 of 120 waits for gossip, and that exchanges that change nothing become rarer; the intervals grow with the number of peers.
+// TestExchanger_backsOff checks when exchanges start. A dispatcher that knows no peer, or only 60 of 120, starts one at once; a dispatcher
+// that knows 100 of 120 waits for gossip. Exchanges that change nothing become rarer, at intervals that grow with the number of peers.
 func TestExchanger_backsOff(t *testing.T) {
 	suggestion := &PeerSuggestion{120, []string{"x"}}
-	var alone Exchanger
-	if _, ok := alone.NextExchange(suggestion, DigestOf([]string{"me"}), 0); !ok {
+	var withoutPeers Exchanger
+	if _, ok := withoutPeers.NextExchange(suggestion, DigestOf([]string{"me"}), 0); !ok {
 		t.Error("a dispatcher without peers does not start an exchange at once")
 	}
 	names := make([]string, 100)
@@ -20,7 +20,7 @@
 	}
 	var knowsHalf Exchanger
 	if _, ok := knowsHalf.NextExchange(suggestion, DigestOf(names[:60]), 0); !ok {
-		t.Error("a dispatcher that knows half does not start an exchange at once")
+		t.Error("a dispatcher that knows half of the lease holders does not start an exchange at once")
 	}
 	var exchanger Exchanger
 	known, startedAt := DigestOf(names), []Instant{}
@@ -34,6 +34,6 @@
 		t.Errorf("exchanges started at %v", startedAt)
 	}
 	if _, ok := exchanger.NextExchange(nil, known, 2*time.Hour); ok || exchanger.differs {
-		t.Error("an exchange starts although the leader knows the same")
+		t.Error("an exchange starts, or the dispatcher counts as different, although the leader knows the same peers")
 	}
 }
--- a/internal/decisions/gossippeers/fleetmodel_test.go
+++ b/internal/decisions/gossippeers/fleetmodel_test.go
@@ -12,18 +12,18 @@
 	leaseDuration = 2 * time.Second
 )
 
-// fleetModel is a fleet in steps of stepDuration. In each, every dispatcher that is not paused renews its lease. What it knows of
-// its peers spreads by exchanges, and by gossip among dispatchers that know each other, which removes those that are unreachable.
+// fleetModel is a fleet that advances in steps of stepDuration. In each step, every dispatcher that is not paused renews its lease. What
+// it knows of its peers spreads by exchanges, and by gossip among dispatchers that know each other. Gossip removes unreachable peers.
 type fleetModel struct {
 	dispatchers     map[string]*dispatcherModel
 	directory       *Directory
 	now             Instant
 	leaseExpiries   map[string]Instant         // by dispatcher, as the leader knows them
-	cut             map[string]bool            // zones of which the two halves do not reach each other
+	partitioned     map[string]bool            // zones whose two halves do not reach each other
 	dropMessage     func() bool                // reports whether the next message is lost
-	lastSuggestions map[string]*PeerSuggestion // by dispatcher; delivered again in place of one that is lost
+	lastSuggestions map[string]*PeerSuggestion // by dispatcher; delivered again in place of a lost one
 
-	// What a test may break deliberately.
+	// A test sets these to inject a fault.
 	suggest        func(directory *Directory, dispatcher LeaseHolder, known Digest) *PeerSuggestion
 	respectsPauses bool
 	filtersPeers   bool
@@ -39,13 +39,13 @@
 	half        int // of its zone: 0 or 1
 }
 
-// newFleetModel returns a model without dispatchers, faults or mistakes.
+// newFleetModel returns a model without dispatchers and faults.
 func newFleetModel() *fleetModel {
 	return &fleetModel{
 		dispatchers:     map[string]*dispatcherModel{},
 		directory:       NewDirectory(),
 		leaseExpiries:   map[string]Instant{},
-		cut:             map[string]bool{},
+		partitioned:     map[string]bool{},
 		dropMessage:     func() bool { return false },
 		lastSuggestions: map[string]*PeerSuggestion{},
 		suggest:         (*Directory).Suggest,
@@ -54,7 +54,7 @@
 	}
 }
 
-// join starts a dispatcher that knows no peers, in place of one of the same name.
+// join starts a dispatcher that knows no peers, and replaces one of the same name.
 func (m *fleetModel) join(name, zone string, half int) {
 	m.dispatchers[name] = &dispatcherModel{LeaseHolder: LeaseHolder{name, "at-" + name, "r", zone}, knows: map[string]bool{name: true}, half: half}
 }
@@ -71,7 +71,7 @@
 
 // reaches reports whether two dispatchers receive each other's messages.
 func (m *fleetModel) reaches(a, b *dispatcherModel) bool {
-	return b != nil && !a.paused && !b.paused && (a.Zone != b.Zone || !m.cut[a.Zone] || a.half == b.half)
+	return b != nil && !a.paused && !b.paused && (a.Zone != b.Zone || !m.partitioned[a.Zone] || a.half == b.half)
 }
 
 // introduce makes a dispatcher known to another, if they are peers.
@@ -172,8 +172,8 @@
 // digest returns the digest of all that the dispatcher knows.
 func (d *dispatcherModel) digest() Digest { return DigestOf(slices.Collect(maps.Keys(d.knows))) }
 
-// violation describes what must not be if nothing has happened to the fleet for long: a dispatcher that does not know exactly its peers,
-// that has started an exchange after since, or that ever started two within minExchangePause. It returns "" if there is none.
+// violation describes a violation by a fleet that has had no fault for long: a dispatcher that does not know exactly its peers, that has
+// started an exchange after since, or that has ever started two exchanges within minExchangePause. It returns "" if there is none.
 func (m *fleetModel) violation(since Instant) string {
 	for _, name := range slices.Sorted(maps.Keys(m.dispatchers)) {
 		dispatcher := m.dispatchers[name]
--- a/internal/decisions/gossippeers/peers_test.go
+++ b/internal/decisions/gossippeers/peers_test.go
@@ -11,8 +11,8 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// runRandomHistory draws joins, deaths, cuts of zones, pauses and lost messages, ends all faults, and returns the violation that
-// remains.
+// runRandomHistory draws joins, crashes, partitions of zones, pauses and lost messages, then ends all faults. It returns the violation
+// that remains.
 func runRandomHistory(t *rapid.T, model *fleetModel) string {
 	t.Helper()
 	lossPercent := rapid.IntRange(0, 40).Draw(t, "percent lost")
@@ -31,12 +31,12 @@
 		}
 		dispatcher := model.dispatchers[rapid.SampledFrom(names).Draw(t, "dispatcher")]
 		switch rapid.IntRange(0, 5).Draw(t, "event") {
-		case 0: // it dies
+		case 0: // it crashes
 			delete(model.dispatchers, dispatcher.Name)
 		case 1: // another one joins
 			model.join(fmt.Sprint("later", event), zones[rapid.IntRange(0, 2).Draw(t, "its zone")], event%2)
-		case 2: // its zone is cut in two, or no longer
-			model.cut[dispatcher.Zone] = !model.cut[dispatcher.Zone]
+		case 2: // its zone is partitioned in two halves, or healed
+			model.partitioned[dispatcher.Zone] = !model.partitioned[dispatcher.Zone]
 		case 3: // it pauses or resumes
 			dispatcher.paused = !dispatcher.paused
 		case 4: // it restarts
@@ -48,7 +48,7 @@
 			model.join(dispatcher.Name, zones[event%3], dispatcher.half)
 		}
 	}
-	clear(model.cut)
+	clear(model.partitioned)
 	for _, dispatcher := range model.dispatchers {
 		dispatcher.paused = false
 	}
@@ -56,8 +56,8 @@
 	return model.settle()
 }
 
-// TestPeers_convergeAfterRandomHistories checks that after any history all dispatchers of a zone know each other and no others, that none
-// starts an exchange any more, and that none ever started two within minExchangePause.
+// TestPeers_convergeAfterRandomHistories checks that after any history all dispatchers of a zone know each other and no others, that no
+// dispatcher starts an exchange any more, and that none has ever started two exchanges within minExchangePause.
 func TestPeers_convergeAfterRandomHistories(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		if violation := runRandomHistory(t, newFleetModel()); violation != "" {
@@ -66,25 +66,25 @@
 	})
 }
 
-// runCutHistory cuts two zones in two for 100 steps, then restarts one dispatcher. It returns the violation that remains.
-func runCutHistory(model *fleetModel) string {
+// runPartitionHistory partitions two zones in halves for 100 steps, then restarts one dispatcher. It returns the violation that remains.
+func runPartitionHistory(model *fleetModel) string {
 	for i := range 8 {
 		model.join(fmt.Sprint("n", i), string("ab"[i%2]), i/2%2)
 	}
 	for range 100 {
 		model.step()
 	}
-	model.cut["a"], model.cut["b"] = true, true
+	model.partitioned["a"], model.partitioned["b"] = true, true
 	for range 100 {
 		model.step()
 	}
-	clear(model.cut)
+	clear(model.partitioned)
 	model.join("n3", "b", 1)
 	return model.settle()
 }
 
-// deliberateMistakes break a model, each in one way.
-var deliberateMistakes = map[string]func(*fleetModel){
+// deliberateFaults inject one fault each into a model.
+var deliberateFaults = map[string]func(*fleetModel){
 	"the leader suggests nobody": func(model *fleetModel) {
 		model.suggest = func(*Directory, LeaseHolder, Digest) *PeerSuggestion { return nil }
 	},
@@ -120,15 +120,15 @@
 	},
 }
 
-// TestPeers_mistakesAreFound checks that the history of runCutHistory finds each deliberate mistake, and nothing without one.
-func TestPeers_mistakesAreFound(t *testing.T) {
-	if violation := runCutHistory(newFleetModel()); violation != "" {
+// TestPeers_deliberateFaultsAreFound checks that runPartitionHistory finds a violation with each deliberate fault, and none without a fault.
+func TestPeers_deliberateFaultsAreFound(t *testing.T) {
+	if violation := runPartitionHistory(newFleetModel()); violation != "" {
 		t.Fatal(violation)
 	}
-	for name, breakModel := range deliberateMistakes {
+	for name, breakModel := range deliberateFaults {
 		model := newFleetModel()
 		breakModel(model)
-		if runCutHistory(model) == "" {
+		if runPartitionHistory(model) == "" {
 			t.Errorf("%s: no violation was found", name)
 		}
 	}
