--- a/internal/decisions/cachetrust/assessor.go
+++ b/internal/decisions/cachetrust/assessor.go
@@ -19,7 +19,7 @@
 	workers      map[scheduler.WorkerID]*assessedWorker
 	probeOrder   []*assessedWorker // in the order of the first probes; without workers that were Excluded at startedAt
 	countByLevel [Excluded + 1]int
-	finished     bool // discovery's list is in force
+	finished     bool // discovery's list is in force, or the cached list may not be used
 
 	awaitingConfirmationSince scheduler.Instant // when a first list that must be confirmed was received; 0 for none
 	retained                  []scheduler.WorkerID
--- a/internal/decisions/endpointstate/changes.go
+++ b/internal/decisions/endpointstate/changes.go
@@ -24,7 +24,7 @@
 
 	// UnconfirmedReturns are workers that stay draining, although the service of the response listed them as draining and now lists them
 	// as ready: another service has shown the drain too, and its list may be newer. A caller without any other worker may use them.
-	// Each response that shows such a return lists it again; once a worker is in Accepted, its return is confirmed.
+	// They are listed again for each response that shows this; once a worker is in Accepted, its return is confirmed.
 	UnconfirmedReturns []Accepted
 
 	PollAgainAt time.Time // when to poll for the full list because a part of the response was not accepted; zero for no poll
--- a/internal/decisions/gossippeers/doc.go
+++ b/internal/decisions/gossippeers/doc.go
@@ -1,7 +1,7 @@
 // Package gossippeers decides which dispatchers of a fleet gossip with each other, and when two of them exchange all that they know
-// of their peers. The peers of a dispatcher are the other dispatchers of its zone. Which dispatchers are present in other zones is
-// known to the raft leader, by the leases that it grants. The package does no I/O, reads no clock and starts no goroutine. Its types
-// are not safe for concurrent use.
+// of their peers. The peers of a dispatcher are the other dispatchers of its zone. The raft leader knows which dispatchers are present in
+// other zones, by the leases that it grants. The package does no I/O, reads no clock and starts no goroutine. Its types are not safe for
+// concurrent use.
 //
 // With each lease renewal a dispatcher sends a Digest of itself and the peers that it knows. The leader compares it with the digest of
 // the zone's lease holders, and suggests some of them as peers if the two differ. So no dispatcher begins an exchange while all know
--- a/internal/decisions/http2limits/http2limits.go
+++ b/internal/decisions/http2limits/http2limits.go
@@ -5,7 +5,7 @@
 //
 //  1. A connection that opens streams and receives their answers is never closed, at any rate of streams, if for each answered stream it
 //     sends no more frames of each kind than the answerCredit of the kind (frameBudgets).
-//  2. The kinds of frames in frameBudgets cost this side work without requesting any. Of each kind, the number of frames that pass in any
+//  2. The kinds of frames in frameBudgets cost this side work, but open no stream. Of each kind, the number of frames that pass in any
 //     period is at most the kind's burst, plus its rate times the period, plus its answerCredit for each stream that was answered in
 //     the period.
 //  3. If the preface, a frame or a header block is not complete within CompletionTimeout of its first byte, Conn.CheckDeadline returns a
--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -4,7 +4,7 @@
 // either clock may be stepped at any time. Therefore a stamp identifies a start (an incarnation of the worker), but is no reliable
 // measure of when it was. Tracker guarantees:
 //
-//  1. If a list is received less than MaxListGap after the list before, a start that is new in it counts from when it was received.
+//  1. If a list is received less than MaxListGap after the list before, a start that is new in it counts from the time of receipt.
 //     The worker is at least that old, and is never taken to have finished its slow start too early.
 //  2. A list after a longer gap, such as the first list of a process, may name workers that started long ago. The age of such a worker
 //     is the minimum of three times: from its stamp to the newest stamp in the list, from its stamp to the wall clock of this
--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -129,8 +129,8 @@
 }
 
 // overdueInterval returns how long after the beginning of a failed call the next one begins, once a change may count as notified or a
-// call has expired in the service's queue. All dispatchers together then call no faster than is bearable for a service that needs some
-// seconds to serve one call of each. A call that was rejected at once has cost the service nothing, and halves the interval.
+// call has expired in the service's queue. All dispatchers together then call no faster than the service can serve, even if it needs
+// some seconds for one call of each. A call that was rejected at once has cost the service nothing, and halves the interval.
 func overdueInterval(failure Failure, dispatchers int, chance float64) time.Duration {
 	interval := min(overdueIntervalPerDispatcher*time.Duration(dispatchers), maxOverdueInterval)
 	if failure == Rejected {
--- a/internal/decisions/polling/polling.go
+++ b/internal/decisions/polling/polling.go
@@ -11,9 +11,9 @@
 //  1. After a response, any three calls that hang, break off, are rejected, or are answered 2 s late delay a change by
 //     NotificationDeadline at most; after a move of discovery, by MoveNotificationDeadline at most. Up to callsPerDeadline calls are
 //     made in that time. They are spread evenly over it, except for finalCallLead, which is left for the response to the last call.
-//     There are two longest sequences where dispatchers poll: a watch goes silent as it begins, and the next call is made
-//     LongPollWait + watchResponseGrace + maxOverlapSpread later (2.8 s); or a new process makes its first call 3 s after its start.
-//     The fourth call is made after 5.8 s at the latest.
+//     Where dispatchers poll, the longest sequences begin in one of two ways: a watch goes silent as it begins, and the next call is
+//     made LongPollWait + watchResponseGrace + maxOverlapSpread later (2.8 s); or a new process makes its first call 3 s after its
+//     start. The fourth call is made after 5.8 s at the latest.
 //  2. Where lists are pushed to an agent, three such calls delay a change by DrainGrace less a margin at most, since the platform
 //     counts a change as notified as soon as the agent has it. The longest sequence takes (1 + 1/4 + 3/2) times agentTimeout: 0.275 s
 //     for a grace of 0.5 s.
