--- a/internal/decisions/failover/demand.go
+++ b/internal/decisions/failover/demand.go
@@ -1,17 +1,17 @@
 package failover
 
-// Zone is a place with workers, with clients, or with both.
+// Zone is a zone that has workers, clients or both.
 type Zone struct {
 	Name, Region string
-	Capacity     float64 // slots; workers that are warming up count with what they can take now
+	Capacity     float64 // slots; a warming-up worker counts with its current capacity (func Capacity)
 }
 
-// Demand is what clients of a zone ask for, of one class.
+// Demand is the work of one class that the clients of a zone request.
 type Demand struct {
 	Zone, Class string
-	Work        float64 // slots that it keeps busy: slot-seconds a second
+	Work        float64 // slots that it keeps busy: slot-seconds per second
 	Weight      float64 // priority weight of a slot-second
 }
 
-// Reachability reports whether requests of a class may go from one zone to another, and how far that is.
+// Reachability reports whether requests of a class may go from one zone to another, and the distance between the zones.
 type Reachability func(from, to, class string) (distance float64, ok bool)
--- a/internal/decisions/failover/fleetmodel_test.go
+++ b/internal/decisions/failover/fleetmodel_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fleetModel is a fleet of four zones in two regions that reports once a second: each dispatcher reports what it can observe. Its
-// requests are of two classes, "dear" of weight 6 and "cheap" of weight 1.
+// fleetModel is a fleet of four zones in two regions. Each dispatcher reports once a second what it can observe. Requests are of two
+// classes: "dear" of weight 6 and "cheap" of weight 1.
 type fleetModel struct {
 	planner            *Planner
 	now                Instant
@@ -16,10 +16,10 @@
 	capacity           map[string]float64 // slots by zone
 	work               map[string]float64 // slots of work that arrive in each zone: a quarter dear, the rest cheap
 	lost               map[string]bool    // zones that answer no dispatcher
-	cut                map[route]bool     // routes without responses; of no class
+	cut                map[route]bool     // routes without responses; class is empty
 	late               map[string]bool    // zones whose responses all miss the latency objective
-	lostClasses        map[zoneClass]bool // classes whose responses from a zone do
-	wrongDispatcher    string             // reports the contrary of what it observes, and ten times the capacity
+	lostClasses        map[zoneClass]bool // classes whose responses from a zone all miss the latency objective
+	wrongDispatcher    string             // name of a dispatcher that reports the opposite of what it observes, and ten times the capacity
 	plansMade          int
 }
 
@@ -48,7 +48,7 @@
 	return model
 }
 
-// run has seconds pass, in each of which all dispatchers report and the planner plans.
+// run advances the model by seconds. In each second all dispatchers report, then the planner makes a plan if one is needed.
 func (m *fleetModel) run(seconds int) {
 	for range seconds {
 		m.now += time.Second
@@ -91,7 +91,7 @@
 	return report
 }
 
-// observations returns what a dispatcher in one zone observes of its calls to another, as many as the plan has it make.
+// observations returns what a dispatcher in one zone observes of its attempts in another, in proportion to the plan's shares.
 func (m *fleetModel) observations(from, to string) (observations []Observation) {
 	for _, class := range []string{"dear", "cheap"} {
 		share := m.planner.Plan().Share(from, class, to)
--- a/internal/decisions/failover/flowgraph.go
+++ b/internal/decisions/failover/flowgraph.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// flowGraph is the graph of a minimum-cost flow: a flow, and the capacity that is left. Demands and zones are known by index.
+// flowGraph is the graph of a minimum-cost flow problem, with the flow so far and the capacity left. Demands and zones are identified
+// by index.
 type flowGraph struct {
-	served, cost [][]float64 // by demand and zone: slots of work, and the cost of each
+	served, cost [][]float64 // by demand and zone: slots of work served, and the cost per slot
 	capacityLeft []float64   // by zone, in slots
 	unserved     []float64   // by demand, in slots; 0 for demands that have not been added yet
 	weight       []float64   // by demand
 }
 
-// newFlowGraph returns a graph without any flow, to which no demand has been added.
+// newFlowGraph returns a graph without any flow or added demand.
 func newFlowGraph(zones []Zone, demands []Demand, reachable Reachability, headroom float64) *flowGraph {
 	graph := &flowGraph{
 		served:       make([][]float64, len(demands)),
@@ -32,9 +33,9 @@
 	return graph
 }
 
-// augment serves more of the demands of a weight, along the cheapest path to a zone with capacity left. On the way the path may
-// divert other demands from a full zone to the next one, and shed demands in place of others of their weight. It reports whether
-// there was a path.
+// augment serves more of the demands with the given weight, along the cheapest path to a zone with capacity left. The path may divert
+// other demands from a full zone to the next one, and shed a demand in place of another one of the same weight. augment reports
+// whether there was a path.
 func (g *flowGraph) augment(weight float64) bool {
 	paths := g.cheapestPaths(weight)
 	end := g.cheapestEnd(paths)
@@ -60,7 +61,7 @@
 	return true
 }
 
-// cheapestPaths returns the cheapest paths from the unserved demands of a weight, by the algorithm of Bellman and Ford.
+// cheapestPaths returns the cheapest paths from the unserved demands with the given weight, by the Bellman-Ford algorithm.
 func (g *flowGraph) cheapestPaths(weight float64) *flowPaths {
 	paths := newFlowPaths(len(g.served), len(g.capacityLeft))
 	for i := range paths.demandCost {
@@ -77,7 +78,7 @@
 	return paths
 }
 
-// relaxServing finds cheaper paths to zones, by serving a reached demand there. It reports whether there were any.
+// relaxServing finds cheaper paths to zones, by serving a reached demand there. It reports whether it found any.
 func (g *flowGraph) relaxServing(paths *flowPaths) (changed bool) {
 	for i := range paths.demandCost {
 		for j := range paths.zoneCost {
@@ -89,7 +90,7 @@
 	return changed
 }
 
-// relaxDiverting finds cheaper paths to demands, by diverting them from a reached zone. It reports whether there were any.
+// relaxDiverting finds cheaper paths to demands, by diverting them from a reached zone. It reports whether it found any.
 func (g *flowGraph) relaxDiverting(paths *flowPaths) (changed bool) {
 	for i := range paths.demandCost {
 		for j := range paths.zoneCost {
@@ -101,8 +102,8 @@
 	return changed
 }
 
-// relaxDisplacing finds cheaper paths to unserved demands, which are served in place of a reached one of the same weight. It
-// reports whether there were any.
+// relaxDisplacing finds cheaper paths to unserved demands, by serving them in place of a reached demand of the same weight. It reports
+// whether it found any.
 func (g *flowGraph) relaxDisplacing(paths *flowPaths) (changed bool) {
 	for i := range paths.demandCost {
 		for other := range paths.demandCost {
@@ -115,7 +116,7 @@
 	return changed
 }
 
-// cheapestEnd returns the zone with capacity left that is reached at the least cost; -1 where none is reached.
+// cheapestEnd returns the zone with capacity left that is reached at the lowest cost; -1 if none is reached.
 func (g *flowGraph) cheapestEnd(paths *flowPaths) int {
 	end := -1
 	for j, cost := range paths.zoneCost {
@@ -126,7 +127,7 @@
 	return end
 }
 
-// bottleneck returns the slots of work that fit through the path that ends in a zone.
+// bottleneck returns the slots of work that the path to the zone end can carry.
 func (g *flowGraph) bottleneck(paths *flowPaths, end int) float64 {
 	amount := g.capacityLeft[end]
 	paths.walkBack(end, func(demand, _ int, step pathStep) {
--- a/internal/decisions/failover/flowpaths.go
+++ b/internal/decisions/failover/flowpaths.go
@@ -4,21 +4,21 @@
 
 // flowPaths are the cheapest paths to demands and zones through a flowGraph, by index.
 type flowPaths struct {
-	demandCost, zoneCost []float64  // of the path to each; infinite where it is not reached
+	demandCost, zoneCost []float64  // of the path to each; infinite if it is not reached
 	step                 []pathStep // how each demand is reached
 	servedDemand         []int      // the last demand on the path to each zone, which it serves
 }
 
-// pathStep says how a path reaches a demand: by diverting it from a zone, or by displacing another demand. The unserved demands
-// with which paths begin are sources.
+// pathStep says how a path reaches a demand: by diverting it from a zone, or by displacing another demand. Paths begin at unserved
+// demands, the sources.
 type pathStep struct {
-	from      int  // index of the zone, or of the displaced demand; below 0 for a source
+	from      int  // index of the zone, or of the displaced demand; negative for a source
 	displaces bool // from is a demand of the same weight, which is shed in place of this one
 }
 
 func (s pathStep) isSource() bool { return s.from < 0 }
 
-// newFlowPaths returns paths that reach nothing.
+// newFlowPaths returns flowPaths that reach no demand and no zone.
 func newFlowPaths(demands, zones int) *flowPaths {
 	paths := &flowPaths{
 		demandCost:   make([]float64, demands),
@@ -35,8 +35,8 @@
 	return paths
 }
 
-// walkBack follows the path that ends in a zone back to its source. It calls visit for each demand on it, with the zone in which
-// the path serves the demand, below 0 where the demand is shed, and with the step that reaches it.
+// walkBack follows the path to the zone end back to its source. It calls visit for each demand on it: to is the zone in which the
+// path serves the demand, negative if the path sheds it, and step is the step that reaches the demand.
 func (p *flowPaths) walkBack(end int, visit func(demand, to int, step pathStep)) {
 	for demand, to := p.servedDemand[end], end; ; {
 		step := p.step[demand]
--- a/internal/decisions/failover/inputs.go
+++ b/internal/decisions/failover/inputs.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// arrivalsSmoothing is the weight of the newest reports in the smoothed arrivals, for each call of Planner.Next.
+// arrivalsSmoothing is the weight of the newest reports in the smoothed arrivals, applied at each call of Planner.Next.
 const arrivalsSmoothing = 0.4
 
 // inputs returns the zones, sorted by name, with the capacities that plans may use, and the demands, sorted by zone and class.
@@ -19,7 +19,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.regions)) {
-		capacity := median(reported[name]) // one wrong endpoint list changes nothing
+		capacity := median(reported[name]) // so that one wrong endpoint list has no effect
 		if factor, ok := p.capacityFactors[name]; ok {
 			capacity *= factor
 		}
@@ -40,7 +40,7 @@
 	return strings.Compare(k.zone+"\x00"+k.class, other.zone+"\x00"+other.class)
 }
 
-// updateArrivals updates the smoothed arrivals with the sum of all reports. A zone and class without arrivals fade out.
+// updateArrivals updates the smoothed arrivals with the sum of all reports. Without reports the arrivals of a zone and class decay to 0.
 func (p *Planner) updateArrivals() {
 	sums := map[zoneClass]Arrivals{}
 	for _, report := range p.reports {
@@ -72,7 +72,7 @@
 	}
 }
 
-// median returns the median of the finite values that are not negative, the upper one of two; 0 where there are none.
+// median returns the median of the finite, non-negative values, the upper one of two; 0 if there are none.
 func median(values []float64) float64 {
 	values = slices.DeleteFunc(slices.Clone(values), func(value float64) bool { return !(value >= 0) || math.IsInf(value, 0) })
 	if len(values) == 0 {
--- a/internal/decisions/failover/plan.go
+++ b/internal/decisions/failover/plan.go
@@ -17,13 +17,13 @@
 // Plan says in which zones requests are served. It is immutable. A nil Plan serves all requests in their own zones.
 type Plan struct {
 	Number uint64 `json:"number"` // increases from plan to plan
-	// Shares are by zone of arrival and class. What they lack of 1 is shed where it arrives. A zone and class that are not named
-	// are served in their own zone.
+	// Shares are keyed by zone of arrival and class. If they sum up to less than 1, the rest is shed where it arrives. Requests of
+	// a zone and class without an entry are served in their own zone.
 	Shares  map[string]map[string][]ZoneShare `json:"parts"`
-	Reasons map[string]string                 `json:"why,omitempty"` // by zone, for people
+	Reasons map[string]string                 `json:"why,omitempty"` // human-readable, by zone
 }
 
-// newPlan returns the plan that serves demands as a flow does.
+// newPlan returns the plan that serves the demands according to flow.
 func newPlan(demands []Demand, zones []Zone, flow Flow) *Plan {
 	plan := &Plan{Shares: map[string]map[string][]ZoneShare{}}
 	for i, demand := range demands {
@@ -42,8 +42,8 @@
 	return plan
 }
 
-// sortShares sorts the own zone's share first and the others by name, so that Choose gives few requests another zone than under
-// the plan before.
+// sortShares sorts the own zone's share first and the others by name, so that Choose returns the same zone as under the previous plan
+// for most requests.
 func sortShares(shares []ZoneShare, own string) {
 	slices.SortFunc(shares, func(a, b ZoneShare) int {
 		switch {
@@ -86,9 +86,9 @@
 	return 0
 }
 
-// Choose returns the zone for a request, by a number of the request's own that is at least 0 and less than 1; ok is false where
-// the request is shed. The same plan returns the same zone for the same number, and a plan whose shares differ little returns
-// another zone for few numbers.
+// Choose returns the zone for a request; ok is false if the request is shed. number is the request's own number, in [0, 1).
+// The same plan returns the same zone for the same number, and plans whose shares differ little return different zones for few
+// numbers.
 func (p *Plan) Choose(from, class string, number float64) (zone string, ok bool) {
 	for _, share := range p.shares(from, class) {
 		if number < share.Share {
--- a/internal/decisions/failover/plan_test.go
+++ b/internal/decisions/failover/plan_test.go
@@ -9,8 +9,9 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// TestPlanChoose_followsShares checks that requests are distributed by the shares of a plan within 0.002, that few change their zone when
-// shares change little, and that two plans, mixed or interpolated, load the zones at most as MaxMixedLoad and Interpolate say.
+// TestPlanChoose_followsShares checks that requests are distributed by the shares of a plan within 0.002, and that few requests change
+// their zone if shares change little. It also checks that the load of a zone is at most MaxMixedLoad under either of two plans, and that
+// their interpolation loads no zone more than both plans.
 func TestPlanChoose_followsShares(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		zones, demands, reachable := drawInputs(t)
@@ -26,13 +27,13 @@
 		}
 		for zone, mixed := range MaxMixedLoad(plan, next, demands) {
 			if mixed < plan.Load(demands)[zone]-1e-6 || mixed < next.Load(demands)[zone]-1e-6 {
-				t.Fatalf("mixed load %v in %s is below that of a plan", mixed, zone)
+				t.Fatalf("mixed load %v in %s is below the load under one of the plans", mixed, zone)
 			}
 		}
 		half := Interpolate(plan, next, demands, 0.5)
 		for zone, load := range half.Load(demands) {
 			if load > max(plan.Load(demands)[zone], next.Load(demands)[zone])+1e-6 {
-				t.Fatalf("interpolated load %v in %s exceeds both plans", load, zone)
+				t.Fatalf("interpolated load %v in %s exceeds the load under both plans", load, zone)
 			}
 		}
 	})
@@ -53,10 +54,10 @@
 	}
 	for _, zone := range zones {
 		if share := plan.Share(demand.Zone, demand.Class, zone.Name); math.Abs(float64(chosen[zone.Name])/requests-share) > 2e-3 {
-			t.Fatalf("%d of %d in %s, share %v", chosen[zone.Name], requests, zone.Name, share)
+			t.Fatalf("%d of %d requests go to zone %s, want share %v", chosen[zone.Name], requests, zone.Name, share)
 		}
 	}
 	if float64(moved)/requests > float64(len(zones)*len(zones))*divergence+1e-2 {
-		t.Fatalf("%d of %d moved, shares by %v", moved, requests, divergence)
+		t.Fatalf("%d of %d requests change their zone, but shares by at most %v", moved, requests, divergence)
 	}
 }
--- a/internal/decisions/failover/planner.go
+++ b/internal/decisions/failover/planner.go
@@ -10,50 +10,51 @@
 	// maxReportAge is the age from which a report no longer counts.
 	maxReportAge = 3 * time.Second
 
-	// maxElapsed is the longest time that the planner takes to have passed between two calls of Next.
+	// maxElapsed is the longest time that the planner assumes to have passed between two calls of Next.
 	maxElapsed = 5 * time.Second
 
-	// minShareChange is the change of a share that calls for another plan, where nothing is urgent.
+	// minShareChange is the change of a share from which another plan is made if none is urgent.
 	minShareChange = 0.02
 
-	// maxPlanPause limits the minimum time between two plans, which is Settings.DetectionTime, where nothing is urgent.
-	maxPlanPause = 5 * time.Second
+	// maxPlanCooldown limits the minimum time between a plan and the next one that is not urgent, which is Settings.DetectionTime.
+	maxPlanCooldown = 5 * time.Second
 
 	// maxShiftTime is the longest time for which Settings.MaxShiftPerSecond accumulates.
 	maxShiftTime = time.Second
 
-	// overloadTolerance times its capacity is the load of a zone from which another plan is urgent.
+	// A load of a zone above overloadTolerance times its capacity makes another plan urgent.
 	overloadTolerance = 1.02
 
-	// Where the mixed load of both plans exceeds the capacities, the next plan is moved towards the last one by fractions that halve
-	// from maxInterpolation, as long as they exceed minInterpolation.
+	// While the mixed load of the last and the next plan exceeds a capacity, the next plan is moved towards the last one: it is
+	// interpolated with a fraction that begins at maxInterpolation and halves as long as it exceeds minInterpolation.
 	maxInterpolation = 0.5
 	minInterpolation = 0.05
 )
 
 // Planner makes plans from the dispatchers' reports. The raft leader runs one. It is not replicated: a new leader begins with the
-// plan in force, and collects the evidence anew.
+// plan in force, and collects the reports anew.
 type Planner struct {
 	settings        Settings
 	regions         map[string]string         // by zone
-	reports         map[string]receivedReport // by dispatcher; the last one
+	reports         map[string]receivedReport // by dispatcher: its last report
 	routes          map[route]*routeState
 	arrivals        map[zoneClass]Arrivals // by zone of arrival, smoothed
 	zoneLosses      map[string]*zoneLoss   // by zone
-	capacityFactors map[string]float64     // by zone: the share of its capacity that its calls in time confirm
-	zoneLimits      map[string]float64     // by zone: the share of its capacity that the operator permits
+	capacityFactors map[string]float64     // by zone: the share of its capacity that plans use, reduced while few attempts are in time
+	zoneLimits      map[string]float64     // by zone: the share of its capacity that the operator permits plans to use
 	plan            *Plan                  // the last one
 	plannedAt       Instant
 	nextCalledAt    Instant
 }
 
-// receivedReport is a report and when it was received.
+// receivedReport is a report with the time at which it was received.
 type receivedReport struct {
 	Report
 	receivedAt Instant
 }
 
-// NewPlanner returns a planner for the zones of regions, which maps zones to their regions. plan is the one in force; nil for none.
+// NewPlanner returns a planner for the zones of regions, which maps zones to their regions. plan is the one in force; nil if there is
+// none.
 func NewPlanner(settings Settings, regions map[string]string, plan *Plan, now Instant) *Planner {
 	return &Planner{
 		settings:        settings,
@@ -85,11 +86,11 @@
 // Regions returns the regions of the zones, by zone. The map must not be changed.
 func (p *Planner) Regions() map[string]string { return p.regions }
 
-// Plan returns the last plan; nil where there is none.
+// Plan returns the last plan; nil if there is none.
 func (p *Planner) Plan() *Plan { return p.plan }
 
-// Next evaluates the reports and returns the next plan; ok is false, and the plan is the last one, where no other is called for. It
-// is called every 250 ms (planInterval in package fleet), but not before all dispatchers that may act on an older plan act on the last one.
+// Next evaluates the reports and returns the next plan. If no other plan is needed, it returns the last one, and ok is false. The
+// leader calls it every 250 ms (planInterval in package fleet), but only once no dispatcher may act on a plan older than the last one.
 func (p *Planner) Next(now Instant) (plan *Plan, ok bool) {
 	elapsed := min((now - p.nextCalledAt).Seconds(), maxElapsed.Seconds())
 	p.nextCalledAt = now
@@ -123,8 +124,8 @@
 	return next, true
 }
 
-// isUrgent reports whether the target should be in force at once: there is no plan, or the last one uses an excluded route or
-// overloads a zone.
+// isUrgent reports whether the target plan should be in force at once, without steps: there is no plan, or the last one uses an
+// excluded route or overloads a zone.
 func (p *Planner) isUrgent(zones []Zone, demands []Demand) bool {
 	if p.plan == nil || p.planUsesExcludedRoute(demands) {
 		return true
@@ -133,11 +134,11 @@
 	return slices.ContainsFunc(zones, func(zone Zone) bool { return load[zone.Name] > zone.Capacity*overloadTolerance })
 }
 
-// stepTowards returns the plan that leads from the last one towards target, as far as shares may change; ok is false where none
+// stepTowards returns the next plan on the way from the last one to target, as far as shares may change now; ok is false if no plan
 // should be made yet.
 func (p *Planner) stepTowards(target *Plan, zones []Zone, demands []Demand, now Instant) (next *Plan, ok bool) {
 	divergence := MaxDivergence(p.plan, target, demands)
-	if divergence < minShareChange || now-p.plannedAt < min(p.settings.DetectionTime, maxPlanPause) {
+	if divergence < minShareChange || now-p.plannedAt < min(p.settings.DetectionTime, maxPlanCooldown) {
 		return nil, false
 	}
 	next = target
@@ -150,8 +151,8 @@
 	return next, true
 }
 
-// mixedLoadFits reports whether no zone exceeds its capacity, or its load under the last plan where that is more, while some
-// dispatchers act on the last plan and others on the next one.
+// mixedLoadFits reports whether the load of each zone is at most the larger of its capacity and its load under the last plan, while
+// some dispatchers act on the last plan and others on the next one.
 func (p *Planner) mixedLoadFits(next *Plan, zones []Zone, demands []Demand) bool {
 	mixed := MaxMixedLoad(p.plan, next, demands)
 	load := p.plan.Load(demands)
@@ -163,8 +164,8 @@
 	return true
 }
 
-// PredictShedding returns the slots of work that targets shed now, and with the capacity of a zone limited to a share of what it
-// is, from 0 to 1.
+// PredictShedding returns the slots of work that the target plan sheds now, and the slots that it would shed if the capacity of a zone
+// were multiplied by share, from 0 to 1.
 func (p *Planner) PredictShedding(zone string, share float64, now Instant) (current, limited float64) {
 	zones, demands := p.inputs(now)
 	current = p.shedding(zones, demands)
@@ -176,7 +177,7 @@
 	return current, p.shedding(zones, demands)
 }
 
-// shedding returns the slots of work that a target sheds.
+// shedding returns the slots of work that the target plan sheds.
 func (p *Planner) shedding(zones []Zone, demands []Demand) (shed float64) {
 	for _, work := range Solve(zones, demands, p.reachability, p.settings.Headroom).Shed {
 		shed += work
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -8,15 +8,15 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// TestPlanner_lossAndRecovery checks that all work is served in its zone without faults; that a fault of a second changes nothing; that a
-// lost zone gets no work after three seconds, which goes to its region first and stays within the capacities; that its capacity returns
-// over a minute; and that flapping for a minute makes at most twelve plans.
+// TestPlanner_lossAndRecovery checks that all work is served in its zone without faults, and that a fault of a second changes nothing. A
+// lost zone gets no work after three seconds: its work goes to its region first, within the capacities. The zone's capacity returns over
+// a minute, and flapping for a minute makes at most twelve plans.
 func TestPlanner_lossAndRecovery(t *testing.T) {
 	model := newFleetModel(3)
 	model.run(10)
 	for _, zone := range model.zones {
 		if model.planner.Plan().Share(zone, "dear", zone) < 0.999 || model.planner.Plan().Share(zone, "cheap", zone) < 0.999 {
-			t.Fatalf("%+v", model.planner.Plan())
+			t.Fatalf("work leaves its zone without faults: %+v", model.planner.Plan())
 		}
 	}
 	plansBefore := model.plansMade
@@ -35,21 +35,21 @@
 	}
 	for zone, load := range model.load() {
 		if load > 85.1 {
-			t.Errorf("%v of work planned in %s", load, zone)
+			t.Errorf("%v slots of work planned in %s, want at most 85", load, zone)
 		}
 	}
 	leavesRegion := plan.Share("a", "cheap", "c") + plan.Share("a", "cheap", "d") + plan.Share("b", "cheap", "c") + plan.Share("b", "cheap", "d")
 	if leavesRegion < 0.1 {
-		t.Errorf("100 of work in a region with capacity for 85, and %v of it leaves: %+v", leavesRegion, plan)
+		t.Errorf("the region has 100 slots of work and capacity for 85, but shares of only %v leave it: %+v", leavesRegion, plan)
 	}
 	model.lost["a"] = false
 	model.run(15)
 	if share := model.planner.Plan().Share("a", "cheap", "a"); share > 0.75 {
-		t.Errorf("share %v restored after 15 s", share)
+		t.Errorf("share %v restored after 15 s, want at most 0.75", share)
 	}
 	model.run(90)
 	if share := model.planner.Plan().Share("a", "cheap", "a"); share < 0.99 {
-		t.Errorf("share %v restored after 105 s: %+v", share, model.planner.Plan())
+		t.Errorf("share %v restored after 105 s, want all: %+v", share, model.planner.Plan())
 	}
 	plansBefore = model.plansMade
 	for range 20 { // three seconds present, three lost
@@ -57,61 +57,61 @@
 		model.run(3)
 	}
 	if made := model.plansMade - plansBefore; made > 12 {
-		t.Errorf("%d plans for a minute of flapping", made)
+		t.Errorf("%d plans for a minute of flapping, want at most 12", made)
 	}
 }
 
-// TestPlanner_partialFaults checks faults that only a part of the dispatchers observes.
+// TestPlanner_partialFaults checks faults that only some dispatchers or classes observe.
 func TestPlanner_partialFaults(t *testing.T) {
 	t.Run("a route that is cut in one direction is avoided only by its own zone", func(t *testing.T) {
 		model := newFleetModel(3)
 		model.work["a"] = 120 // so that a uses b
 		model.run(30)
 		if model.planner.Plan().Share("a", "cheap", "b") < 0.1 {
-			t.Fatalf("%+v", model.planner.Plan())
+			t.Fatalf("a has more work than capacity, but b does not serve it: %+v", model.planner.Plan())
 		}
 		model.cut[route{from: "a", to: "b"}] = true
 		model.run(5)
 		plan := model.planner.Plan()
 		if plan.Share("a", "cheap", "b") > 0 || plan.Share("b", "cheap", "b") < 0.99 || plan.Share("a", "cheap", "c")+plan.Share("a", "cheap", "d") < 0.1 {
-			t.Errorf("a cannot reach b: %+v", plan)
+			t.Errorf("plan after the route from a to b was cut: %+v", plan)
 		}
 	})
-	t.Run("a dispatcher that reports the contrary changes nothing", func(t *testing.T) {
+	t.Run("one dispatcher that reports the opposite changes nothing", func(t *testing.T) {
 		model := newFleetModel(3)
 		model.wrongDispatcher = "a1"
 		model.run(20)
 		if model.planner.Plan().Share("a", "dear", "a") < 0.99 || model.plansMade > 2 {
-			t.Errorf("changed by the wrong reports of one dispatcher: %+v", model.planner.Plan())
+			t.Errorf("plan changed by the wrong reports of one dispatcher: %+v", model.planner.Plan())
 		}
 		model.lost["c"] = true
 		model.run(4)
 		if model.planner.Plan().Share("c", "dear", "c") > 0 {
-			t.Errorf("unchanged after a loss, with wrong reports of one dispatcher: %+v", model.planner.Plan())
+			t.Errorf("plan unchanged after a loss, with wrong reports of one dispatcher: %+v", model.planner.Plan())
 		}
 	})
-	t.Run("a zone whose responses are late gets less", func(t *testing.T) {
+	t.Run("a zone whose responses are late gets less work", func(t *testing.T) {
 		model := newFleetModel(2)
 		model.run(5)
 		model.late["b"] = true
 		model.run(20)
 		if model.planner.Plan().Share("b", "cheap", "b") > 0.7 {
-			t.Errorf("responses late for 20 s: %+v", model.planner.Plan())
+			t.Errorf("plan after responses of b were late for 20 s: %+v", model.planner.Plan())
 		}
 	})
-	t.Run("a zone that loses a class gets none of it", func(t *testing.T) {
+	t.Run("a zone that is lost for a class gets no requests of the class", func(t *testing.T) {
 		model := newFleetModel(2)
 		model.run(5)
 		model.lostClasses[zoneClass{"b", "dear"}] = true
 		model.run(6)
 		if plan := model.planner.Plan(); plan.Share("b", "dear", "b") > 0 || plan.Share("b", "cheap", "b") < 0.99 || plan.Share("b", "dear", "a") < 0.99 {
-			t.Errorf("b answers nothing of class dear: %+v", plan)
+			t.Errorf("plan after b was lost for class dear: %+v", plan)
 		}
 	})
 }
 
-// TestPlanner_randomHistories checks, whatever happens to zones and routes, that no plan loads a zone above its capacity less the
-// headroom, unless the plan before did, that no plan uses an excluded route, and that the cheap class is shed before the dear one.
+// TestPlanner_randomHistories checks random histories of zones and routes. No new plan loads a zone above its capacity minus the headroom
+// unless the previous plan did, no new plan uses an excluded route, and class cheap is shed before class dear.
 func TestPlanner_randomHistories(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		model := newFleetModel(rapid.IntRange(1, 3).Draw(t, "dispatchers"))
@@ -151,11 +151,11 @@
 		for _, share := range plan.shares(demand.Zone, demand.Class) {
 			sum += share.Share
 			if share.Share < 0 || share.Share > 1+1e-9 {
-				t.Fatalf("share %v is not within 0 and 1", share)
+				t.Fatalf("share %v is not from 0 to 1", share)
 			}
 		}
 		if sum > 1+1e-6 {
-			t.Fatalf("the shares of %s in %s sum up to %v", demand.Class, demand.Zone, sum)
+			t.Fatalf("the shares of class %s in zone %s sum up to %v, want at most 1", demand.Class, demand.Zone, sum)
 		}
 	}
 	if plan == before || before == nil {
@@ -163,7 +163,7 @@
 	}
 	for _, zone := range zones {
 		if load := plan.Load(demands)[zone.Name]; load > max(zone.Capacity*0.85, before.Load(demands)[zone.Name])+1e-6 {
-			t.Fatalf("%v of work planned in %+v", load, zone)
+			t.Fatalf("%v slots of work planned in %+v, more than its capacity minus the headroom and than before", load, zone)
 		}
 	}
 	if model.planner.planUsesExcludedRoute(demands) {
@@ -171,7 +171,7 @@
 	}
 }
 
-// checkShedding checks that the dear class of a zone is shed only where none of its cheap class is served.
+// checkShedding checks that class dear of a zone is shed only if none of its class cheap is served, within the bounds of the test.
 func checkShedding(t *rapid.T, model *fleetModel) {
 	t.Helper()
 	_, demands := model.planner.inputs(model.now)
@@ -187,7 +187,7 @@
 			cheap += share.Share
 		}
 		if dear < 0.9 && cheap > dear+0.2 {
-			t.Fatalf("in %s %v of the dear is served and %v of the cheap: %+v", demand.Zone, dear, cheap, model.planner.Plan())
+			t.Fatalf("in zone %s a share of %v is served of class dear and %v of class cheap: %+v", demand.Zone, dear, cheap, model.planner.Plan())
 		}
 	}
 }
--- a/internal/decisions/failover/planpair.go
+++ b/internal/decisions/failover/planpair.go
@@ -29,8 +29,8 @@
 	return divergence
 }
 
-// Interpolate returns the plan between two others: a for a fraction of 0, b for 1. It loads no zone more than that one of them does
-// which loads the zone more.
+// Interpolate returns the linear interpolation of two plans: a at a fraction of 0, b at 1. The load of each zone is at most the larger
+// of its loads under both plans.
 func Interpolate(a, b *Plan, demands []Demand, fraction float64) *Plan {
 	plan := &Plan{Shares: map[string]map[string][]ZoneShare{}}
 	for _, demand := range demands {
@@ -47,7 +47,8 @@
 	return plan
 }
 
-// zonesOfEither returns the distinct zones of two lists of shares: those of the first, in its order, then those of the second alone.
+// zonesOfEither returns the distinct zones of two lists of shares: the zones of the first in its order, then the zones that only the
+// second one has.
 func zonesOfEither(a, b []ZoneShare) (zones []string) {
 	for _, share := range append(slices.Clone(a), b...) {
 		if !slices.Contains(zones, share.Zone) {
--- a/internal/decisions/failover/reasons.go
+++ b/internal/decisions/failover/reasons.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// lateCapacityFactor is the capacity factor below which a zone is called late.
+// lateCapacityFactor is the capacity factor below which the reasons of a zone include "late".
 const lateCapacityFactor = 0.7
 
-// reasons returns the reasons for a target, by zone, for people. They name causes and no figures that change, as a plan with other
-// reasons is another plan.
+// reasons returns the human-readable reasons for the target plan, by zone. They name causes but no figures that change, since a change
+// of the reasons makes another plan.
 func (p *Planner) reasons(zones []Zone, demands []Demand, target *Plan) map[string]string {
 	reasons := map[string]string{}
 	for _, zone := range zones {
@@ -22,7 +22,7 @@
 	return reasons
 }
 
-// capacityReasons returns why a zone may not serve all that it could.
+// capacityReasons returns why plans do not use all of a zone's capacity.
 func (p *Planner) capacityReasons(zone string, zones []Zone) (reasons []string) {
 	if share, ok := p.zoneLimits[zone]; ok {
 		reasons = append(reasons, fmt.Sprintf("held at %g of its capacity", share))
@@ -65,7 +65,7 @@
 	return slices.Sorted(maps.Keys(classes))
 }
 
-// demandReasons returns what the plan does with requests that arrive in a zone and are not all served there.
+// demandReasons returns what the plan does with the requests that arrive in a zone and are not served there.
 func (p *Plan) demandReasons(zone string, demands []Demand) (reasons []string) {
 	crosses, sheds := false, false
 	for _, demand := range demands {
--- a/internal/decisions/failover/recorder.go
+++ b/internal/decisions/failover/recorder.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// workSmoothing is the weight of one call in the mean work of its class.
+	// workSmoothing is the weight of one attempt in the mean work of its class.
 	workSmoothing = 0.05
 
 	// minReportSpan is the shortest time, in seconds, over which a report's rates are computed.
@@ -23,17 +23,17 @@
 	reportedAt      Instant
 }
 
-// lastSignal is the last sign of a zone.
+// lastSignal is the last signal of a zone.
 type lastSignal struct {
-	at         Instant // of the first unanswered call where there was no sign yet
-	unanswered int     // calls and probes since then
+	at         Instant // of the first unanswered attempt if there was no signal yet
+	unanswered int     // attempts and probes since then
 }
 
-// classArrivals is what clients ask for of one class.
+// classArrivals counts the requests of one class.
 type classArrivals struct {
 	jobs     float64 // since the last report
 	weight   float64 // priority weight of a slot-second
-	meanWork float64 // slot-seconds of a job, smoothed; 0 where it is not known
+	meanWork float64 // slot-seconds of a job, smoothed; 0 if unknown
 }
 
 // NewRecorder returns the recorder of the dispatcher with the given name in a zone. The first report covers the time from now.
@@ -68,16 +68,17 @@
 	return observation
 }
 
-// JobArrived counts a request, whatever becomes of it. weight is the priority weight of a second of its work.
+// JobArrived counts a request, regardless of its outcome. weight is the priority weight of a second of its work.
 func (r *Recorder) JobArrived(class string, weight float64) {
 	arrivals := r.arrivalsOf(class)
 	arrivals.jobs++
 	arrivals.weight = weight
 }
 
-// AttemptEnded counts a call that the zone answered: whether it rejected the call for lack of capacity, whether the answer was in
-// time, and how long the job ran; 0 where that is not known. The emulator multiplies that by the job's slots, the dispatcher does not.
-func (r *Recorder) AttemptEnded(to, class string, full, inTime bool, ran time.Duration, now Instant) {
+// AttemptEnded counts an attempt that the zone answered. full says whether the zone rejected it for lack of capacity, and inTime whether
+// it was served within the latency objective. runTime is how long the job ran; 0 if unknown. The emulator multiplies runTime by the
+// job's slots, the dispatcher does not.
+func (r *Recorder) AttemptEnded(to, class string, full, inTime bool, runTime time.Duration, now Instant) {
 	observation := r.observationOf(to, class)
 	observation.Ended++
 	if full {
@@ -86,19 +87,19 @@
 	if inTime {
 		observation.InTime++
 	}
-	if arrivals := r.arrivalsOf(class); ran > 0 {
+	if arrivals := r.arrivalsOf(class); runTime > 0 {
 		if arrivals.meanWork == 0 {
-			arrivals.meanWork = ran.Seconds()
+			arrivals.meanWork = runTime.Seconds()
 		}
-		arrivals.meanWork += workSmoothing * (ran.Seconds() - arrivals.meanWork)
+		arrivals.meanWork += workSmoothing * (runTime.Seconds() - arrivals.meanWork)
 	}
 	r.ResponseReceived(to, now)
 }
 
-// ResponseReceived records a sign of a zone: an answer to a call or to a probe, or that a job has started.
+// ResponseReceived records a signal of a zone: a response to an attempt or to a probe, or the start of a job.
 func (r *Recorder) ResponseReceived(to string, now Instant) { r.lastSignals[to] = lastSignal{now, 0} }
 
-// AttemptUnanswered counts a call or a probe that had no answer, or no sign for NoResponseAfter.
+// AttemptUnanswered counts an attempt or a probe that had no response, or no signal for NoResponseAfter.
 func (r *Recorder) AttemptUnanswered(to string, now Instant) {
 	signal, ok := r.lastSignals[to]
 	if !ok {
@@ -108,7 +109,7 @@
 	r.lastSignals[to] = signal
 }
 
-// Report returns what was recorded since the last report. capacity is in slots, by zone, as Capacity returns it for each worker.
+// Report returns what was recorded since the last report. capacity is in slots, by zone: the sum of Capacity over the zone's workers.
 func (r *Recorder) Report(now Instant, capacity map[string]float64) Report {
 	report := Report{Dispatcher: r.name, Zone: r.zone, Capacity: map[string]float64{}}
 	for key, observation := range r.observations {
@@ -131,8 +132,8 @@
 	return report
 }
 
-// takeLastResponses returns the last signs of all zones but those that were not called since a sign that is too old to say anything. It
-// notes their verdicts in reportedFailing.
+// takeLastResponses returns the last signals of all zones, and records their verdicts in reportedFailing. It leaves out zones whose last
+// signal is too old for a verdict and that have no unanswered attempt or probe since.
 func (r *Recorder) takeLastResponses(now Instant) (responses []LastResponse) {
 	clear(r.reportedFailing)
 	for to, signal := range r.lastSignals {
@@ -147,8 +148,8 @@
 	return responses
 }
 
-// HasUrgentChange reports whether the verdict on a route differs from that of the last report, so that the next one should be sent
-// at once.
+// HasUrgentChange reports whether the verdict on a route differs from the verdict in the last report, so that the next report should
+// be sent at once.
 func (r *Recorder) HasUrgentChange(now Instant) bool {
 	for to, signal := range r.lastSignals {
 		failing, known := (LastResponse{to, now - signal.at, signal.unanswered}).verdict()
@@ -159,5 +160,5 @@
 	return false
 }
 
-// roundToThousandth keeps reports short: each dispatcher sends every digit each second, and no plan depends on more of them.
+// roundToThousandth keeps reports short: each dispatcher sends one each second, and no plan depends on further digits.
 func roundToThousandth(value float64) float64 { return math.Round(value*1000) / 1000 }
--- a/internal/decisions/failover/report.go
+++ b/internal/decisions/failover/report.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// NoResponseAfter is how long a call may go without any sign of the worker before it counts as unanswered.
+	// NoResponseAfter is how long an attempt may last without any signal of the worker before it counts as unanswered.
 	NoResponseAfter = 500 * time.Millisecond
 
-	// minUnanswered is the number of unanswered calls and probes that make a route fail.
+	// minUnanswered is the number of unanswered attempts and probes from which a route counts as failing.
 	minUnanswered = 2
 
 	// maxResponseAge is the age from which a response no longer shows that a route works.
 	maxResponseAge = 2 * time.Second
 )
 
-// Observation is what a dispatcher observed of its calls to a zone, of one class, since its last report.
+// Observation counts the attempts of one class that a dispatcher made in a zone since its last report.
 type Observation struct {
 	To     string  `json:"to"`
 	Class  string  `json:"class"`
-	Ended  float64 `json:"ended"`   // calls that the zone answered
+	Ended  float64 `json:"ended"`   // attempts that the zone answered
 	InTime float64 `json:"in_time"` // of Ended: served within the latency objective
 	Full   float64 `json:"full"`    // of Ended: rejected for lack of capacity
 }
@@ -30,15 +30,15 @@
 	return o.Ended >= 0 && o.InTime >= 0 && o.Full >= 0 && !math.IsInf(o.Ended+o.InTime+o.Full, 0)
 }
 
-// LastResponse says when a dispatcher last had a sign of a zone, of a call or of a probe.
+// LastResponse says when a dispatcher last received a signal of a zone, for an attempt or for a probe.
 type LastResponse struct {
 	To         string        `json:"to"`
-	Since      time.Duration `json:"since"`      // a duration: the time since then, or since the first unanswered call where there was no response
-	Unanswered int           `json:"unanswered"` // calls and probes since then
+	Since      time.Duration `json:"since"`      // time since that signal, or since the first unanswered attempt if there was no signal
+	Unanswered int           `json:"unanswered"` // attempts and probes since then
 }
 
-// verdict returns what the dispatcher says of the route to the zone: that it fails, that it works (known alone), or nothing. A
-// zone that is too full to start jobs answers probes, and rejects calls: its route works.
+// verdict returns whether the route to the zone fails; known is false if the response is too old to tell. A zone without free capacity
+// still answers probes and rejects attempts, so its route works.
 func (r LastResponse) verdict() (failing, known bool) {
 	switch {
 	case r.Unanswered >= minUnanswered && r.Since >= NoResponseAfter:
@@ -49,10 +49,10 @@
 	return false, false
 }
 
-// Arrivals is the work that clients requested of a dispatcher, of one class.
+// Arrivals is the work of one class that clients requested of a dispatcher.
 type Arrivals struct {
 	Class  string  `json:"class"`
-	Work   float64 `json:"work"`  // slots that it keeps busy: slot-seconds a second
+	Work   float64 `json:"work"`  // slots that it keeps busy: slot-seconds per second
 	Weight float64 `json:"worth"` // priority weight of a slot-second
 }
 
@@ -64,7 +64,7 @@
 // Report is a dispatcher's report of the time since its last one, about a second.
 type Report struct {
 	Dispatcher    string             `json:"dispatcher"` // its name
-	Zone          string             `json:"zone"`       // in which it is
+	Zone          string             `json:"zone"`       // its zone
 	Observations  []Observation      `json:"sights,omitempty"`
 	LastResponses []LastResponse     `json:"heard,omitempty"`
 	Arrivals      []Arrivals         `json:"asked,omitempty"`
--- a/internal/decisions/failover/route.go
+++ b/internal/decisions/failover/route.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// maxRelapseDoublings is how often the time doubles after which an excluded route is trusted again.
+	// maxRelapseDoublings limits how often the time after which an excluded route is restored doubles.
 	maxRelapseDoublings = 3
 
-	// A route that has worked for minForgetTime, and for forgetRamps times Settings.RecoveryRamp, is trusted as one that never
-	// failed.
-	minForgetTime = time.Minute
-	forgetRamps   = 4
+	// The past exclusions of a route are forgotten once it has been restored for longer than minRouteRetention and longer than
+	// routeRetentionRamps times Settings.RecoveryRamp.
+	minRouteRetention   = time.Minute
+	routeRetentionRamps = 4
 )
 
 // route is a route from one zone to another, for one class or, with an empty class, for all.
 type route struct{ from, to, class string }
 
-// routeState is the planner's state of a route that failed at any time.
+// routeState is the planner's state of a route that has failed.
 type routeState struct {
 	failing    bool    // by the last reports
 	since      Instant // when failing last changed
 	excluded   bool    // plans do not use the route
-	restoredAt Instant // when it was last excluded no longer
+	restoredAt Instant // when its last exclusion ended
 	relapses   int     // how often it was excluded
 }
 
-// updateRoute records whether a route fails now. It excludes the route once it has failed for Settings.DetectionTime, and restores it
-// once it has worked for as long, doubled with each relapse.
+// updateRoute records whether a route fails now. It excludes the route once it has failed for Settings.DetectionTime. It restores the
+// route once it has worked for Settings.DetectionTime, doubled for each exclusion up to maxRelapseDoublings times.
 func (p *Planner) updateRoute(key route, failing bool, now Instant) {
 	state := p.routes[key]
 	if state == nil {
@@ -47,7 +47,7 @@
 	case !failing && state.excluded && unchangedFor >= restoreAfter:
 		state.excluded, state.restoredAt = false, now
 	case !failing && !state.excluded && state.relapses > 0 &&
-		now-state.restoredAt > forgetRamps*p.settings.RecoveryRamp && now-state.restoredAt > minForgetTime:
+		now-state.restoredAt > routeRetentionRamps*p.settings.RecoveryRamp && now-state.restoredAt > minRouteRetention:
 		delete(p.routes, key)
 	}
 }
@@ -75,12 +75,12 @@
 	return excluded > open
 }
 
-// reachability is the Reachability by the routes that are not excluded.
+// reachability implements Reachability: all routes that are not excluded may be used.
 func (p *Planner) reachability(from, to, class string) (distance float64, ok bool) {
 	return p.settings.Distance(from, to), !p.isExcluded(from, to, class)
 }
 
-// planUsesExcludedRoute reports whether the plan has requests go where they may not.
+// planUsesExcludedRoute reports whether the plan sends requests along an excluded route.
 func (p *Planner) planUsesExcludedRoute(demands []Demand) bool {
 	for _, demand := range demands {
 		for _, share := range p.plan.shares(demand.Zone, demand.Class) {
--- a/internal/decisions/failover/solve.go
+++ b/internal/decisions/failover/solve.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// The cost of a slot of work that leaves its zone but not its region, and of one that leaves its region, in addition to the distance. A
-// crossing of zones outweighs any distance, and a crossing of regions any number of crossings within regions.
+// The cost, in addition to the distance, of a slot of work that leaves its zone but not its region, and of one that leaves its region.
+// A crossing of zones outweighs any distance, and a crossing of regions outweighs any number of crossings within regions.
 const (
 	zoneCrossingCost   = 1e3
 	regionCrossingCost = 1e6
@@ -19,17 +19,17 @@
 	Shed   []float64   // by index of the demand
 }
 
-// Solve returns the flow that serves the most weight of work within the capacities less headroom, a share of them from 0 to 1, and
-// of those flows one with the least cost of crossings.
+// Solve returns a flow that serves the maximum weight of work within the capacities minus headroom, a share of them from 0 to 1. Of
+// all such flows it returns one with the lowest cost of crossings.
 //
-// It adds the demands by descending weight, each along the cheapest paths, which may divert other demands but never shed one of a
-// larger weight. By the exchange argument for minimum-cost flows the result is the best of all.
+// It adds the demands by descending weight, each along the cheapest paths. These may divert other demands but never shed one of a
+// larger weight. By the exchange argument for minimum-cost flows the result is optimal.
 func Solve(zones []Zone, demands []Demand, reachable Reachability, headroom float64) Flow {
 	graph := newFlowGraph(zones, demands, reachable, headroom)
 	order := byDescendingWeight(demands)
 	for len(order) > 0 {
 		weight := demands[order[0]].Weight
-		group := order[:sameWeight(demands, order)]
+		group := order[:countSameWeight(demands, order)]
 		order = order[len(group):]
 		for _, i := range group {
 			graph.unserved[i] = max(demands[i].Work, 0)
@@ -50,8 +50,8 @@
 	return order
 }
 
-// sameWeight returns the number of indices at the start of order whose demands have the weight of the first one.
-func sameWeight(demands []Demand, order []int) int {
+// countSameWeight returns the number of indices at the start of order whose demands have the weight of the first one.
+func countSameWeight(demands []Demand, order []int) int {
 	weight := demands[order[0]].Weight
 	count := 1
 	for count < len(order) && demands[order[count]].Weight == weight {
@@ -60,7 +60,7 @@
 	return count
 }
 
-// crossingCosts returns the cost of serving a slot of the demand in each zone; infinite where it must not go.
+// crossingCosts returns the cost of serving a slot of the demand in each zone; infinite for zones that the demand cannot reach.
 func crossingCosts(zones []Zone, demand Demand, regions map[string]string, reachable Reachability) []float64 {
 	costs := make([]float64, len(zones))
 	for i, zone := range zones {
--- a/internal/decisions/failover/solve_test.go
+++ b/internal/decisions/failover/solve_test.go
@@ -12,7 +12,7 @@
 	"brassdale/internal/testsupport/property"
 )
 
-// drawInputs draws up to four zones in two regions, with demands and routes that are cut.
+// drawInputs draws up to four zones in two regions, with demands and cut routes.
 func drawInputs(t *rapid.T) (zones []Zone, demands []Demand, reachable Reachability) {
 	t.Helper()
 	count := rapid.IntRange(1, 4).Draw(t, "zones")
@@ -34,9 +34,9 @@
 	return zones, demands, func(from, to, _ string) (float64, bool) { return 1, !cut[from+to] }
 }
 
-// crossingPrice returns the price of a slot of work that goes from one zone to another: one that leaves its region costs more than
-// any number of crossings of zones.
-func crossingPrice(zones []Zone, from string, to Zone) float64 {
+// crossingCost returns the cost of a slot of work that goes from one zone to another. Leaving the region costs more than any number of
+// crossings of zones.
+func crossingCost(zones []Zone, from string, to Zone) float64 {
 	for _, zone := range zones {
 		if zone.Name == from && zone.Name == to.Name {
 			return 0
@@ -47,12 +47,12 @@
 	return 1e-2
 }
 
-// solveAsLinearProgramme solves what Solve does as a linear programme. It returns the most weight of work that can be served, and
-// the least price of crossings with it; no number where the simplex method fails.
-func solveAsLinearProgramme(zones []Zone, demands []Demand, reachable Reachability, headroom float64) (weight, crossings float64) {
+// solveAsLinearProgram solves the problem of Solve as a linear program. It returns the maximum weight of work that can be served, and
+// the minimum cost of crossings with it; NaN if the simplex method fails.
+func solveAsLinearProgram(zones []Zone, demands []Demand, reachable Reachability, headroom float64) (weight, crossings float64) {
 	demandCount, zoneCount := len(demands), len(zones)
 	flows := demandCount * zoneCount
-	columns := flows + demandCount + zoneCount // flows, what is shed, what capacity is left
+	columns := flows + demandCount + zoneCount // flows, shed work, capacity left
 	cost := make([]float64, columns)
 	coefficients := mat.NewDense(demandCount+zoneCount, columns, nil)
 	bounds := make([]float64, demandCount+zoneCount)
@@ -65,7 +65,7 @@
 			if _, ok := reachable(demand.Zone, zone.Name, demand.Class); !ok {
 				cost[column] = 1e6
 			} else {
-				cost[column] = crossingPrice(zones, demand.Zone, zone)
+				cost[column] = crossingCost(zones, demand.Zone, zone)
 			}
 		}
 		coefficients.Set(row, flows+row, 1)
@@ -82,15 +82,15 @@
 	for i, demand := range demands {
 		weight += demand.Weight * (demand.Work - solution[flows+i])
 		for j, zone := range zones {
-			crossings += crossingPrice(zones, demand.Zone, zone) * solution[i*zoneCount+j]
+			crossings += crossingCost(zones, demand.Zone, zone) * solution[i*zoneCount+j]
 		}
 	}
 	return weight, crossings
 }
 
-// TestSolve_matchesLinearProgramme checks that a flow stays within capacities and routes, serves as much weight of work as the solution of
-// the linear programme within 1e-4, and has no more crossings.
-func TestSolve_matchesLinearProgramme(t *testing.T) {
+// TestSolve_matchesLinearProgram checks that a flow stays within capacities and routes. It must serve the same weight of work as the
+// solution of the linear program, within 1e-4, and have no more crossings.
+func TestSolve_matchesLinearProgram(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		zones, demands, reachable := drawInputs(t)
 		if len(demands) == 0 {
@@ -105,28 +105,28 @@
 			for j, zone := range zones {
 				served := flow.Served[i][j]
 				if _, ok := reachable(demand.Zone, zone.Name, demand.Class); served < -1e-6 || served > 1e-6 && !ok {
-					t.Fatalf("%v of %v served in %v, which it cannot reach or below 0", served, demand, zone)
+					t.Fatalf("%v of %v served in %v, want at least 0, and 0 if it cannot reach the zone", served, demand, zone)
 				}
 				sum += served
 				load[j] += served
 				weight += demand.Weight * served
-				crossings += crossingPrice(zones, demand.Zone, zone) * served
+				crossings += crossingCost(zones, demand.Zone, zone) * served
 			}
 			if math.Abs(sum-demand.Work) > 1e-6 {
-				t.Fatalf("%v of %v is served or shed", sum, demand)
+				t.Fatalf("%v of %v is served or shed, want all of it", sum, demand)
 			}
 		}
 		for j, zone := range zones {
 			if load[j] > zone.Capacity*(1-headroom)+1e-6 {
-				t.Fatalf("%v of work planned in %+v", load[j], zone)
+				t.Fatalf("%v slots of work served in %+v, more than its capacity minus the headroom", load[j], zone)
 			}
 		}
-		mostWeight, leastCrossings := solveAsLinearProgramme(zones, demands, reachable, headroom)
+		mostWeight, leastCrossings := solveAsLinearProgram(zones, demands, reachable, headroom)
 		if math.IsNaN(mostWeight) {
 			return // degenerate for the simplex method
 		}
 		if weight < mostWeight-1e-4*(1+mostWeight) || crossings > leastCrossings+1e-5 {
-			t.Fatalf("weight %v of %v, crossings %v of %v", weight, mostWeight, crossings, leastCrossings)
+			t.Fatalf("weight %v, want at least %v; crossings %v, want at most %v", weight, mostWeight, crossings, leastCrossings)
 		}
 	})
 }
--- a/internal/decisions/failover/verdicts.go
+++ b/internal/decisions/failover/verdicts.go
@@ -3,37 +3,37 @@
 import "math"
 
 const (
-	// minEndedCalls is the number of answered calls, of all dispatchers together, from which their share in time counts.
-	minEndedCalls = 20
+	// minEndedAttempts is the number of answered attempts, of all dispatchers together, from which the share in time counts.
+	minEndedAttempts = 20
 
-	// A zone is lost for a class when less than lostClassInTime of its calls are in time there, and more than otherClassesInTime
-	// of those of all other classes.
+	// A zone is lost for a class if the share of the class's attempts in time is below lostClassInTime there, and the share for all
+	// other classes together is above otherClassesInTime.
 	lostClassInTime    = 0.1
 	otherClassesInTime = 0.6
 
-	// A zone of which less than minInTimeShare of the calls are in time has less capacity than it seems: its capacity factor
-	// falls to capacityDecay of itself each second, down to minCapacityFactor. Otherwise it rises by capacityRecovery a second.
+	// If less than minInTimeShare of a zone's attempts are in time, the zone has less capacity than reported: its capacity factor is
+	// multiplied by capacityDecay each second, down to minCapacityFactor. Otherwise the factor rises by capacityRecovery per second.
 	minInTimeShare    = 0.5
 	capacityDecay     = 0.9
 	minCapacityFactor = 0.1
 	capacityRecovery  = 0.05
 
-	// forgetLossRamps times Settings.RecoveryRamp is how long after its recovery the loss of a zone is remembered.
-	forgetLossRamps = 2
+	// lossRetentionRamps times Settings.RecoveryRamp is how long after its recovery the loss of a zone is remembered.
+	lossRetentionRamps = 2
 
 	// minRecoveryShare is the share of its capacity that a zone has as soon as it recovers.
 	minRecoveryShare = 0.05
 )
 
-// callCounts counts calls to a zone that it did not reject for lack of capacity.
-type callCounts struct {
+// attemptCounts counts the attempts in a zone that the zone did not reject for lack of capacity.
+type attemptCounts struct {
 	inTime, ended float64
 }
 
-// zoneLoss is the loss of a whole zone, now or before.
+// zoneLoss is the state of a zone that is lost, or was lost and has recovered.
 type zoneLoss struct {
 	lost        bool
-	recoveredAt Instant // once it is not lost
+	recoveredAt Instant // valid if not lost
 }
 
 // updateVerdicts updates the states of routes and zones from all reports. elapsed is the time since the last update, in seconds.
@@ -41,16 +41,16 @@
 	for r, failing := range p.failingRoutes() {
 		p.updateRoute(r, failing, now)
 	}
-	calls := p.countCalls()
+	attempts := p.countAttempts()
 	for zone := range p.regions {
 		p.updateLoss(zone, now)
-		var total callCounts
-		for key, counts := range calls {
+		var total attemptCounts
+		for key, counts := range attempts {
 			if key.zone == zone {
 				total.inTime, total.ended = total.inTime+counts.inTime, total.ended+counts.ended
 			}
 		}
-		for key, counts := range calls {
+		for key, counts := range attempts {
 			if key.zone == zone {
 				p.updateClassRoutes(key, counts, total, now)
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-// failingRoutes returns, for each route that any dispatcher reports on, whether most of these dispatchers say that it fails.
+// failingRoutes returns, for each route that any dispatcher reports on, whether it fails for most of these dispatchers.
 func (p *Planner) failingRoutes() map[route]bool {
 	type votes struct{ failing, working int }
 	votesOf := map[route]votes{}
@@ -86,42 +86,42 @@
 	return failing
 }
 
-// countCalls sums the observations of all dispatchers.
-func (p *Planner) countCalls() map[zoneClass]callCounts {
-	calls := map[zoneClass]callCounts{}
+// countAttempts sums the observations of all dispatchers.
+func (p *Planner) countAttempts() map[zoneClass]attemptCounts {
+	attempts := map[zoneClass]attemptCounts{}
 	for _, report := range p.reports {
 		for _, observation := range report.Observations {
 			if !observation.isValid() || observation.Class == "" {
 				continue
 			}
 			key := zoneClass{observation.To, observation.Class}
-			counts := calls[key]
+			counts := attempts[key]
 			counts.inTime += min(observation.InTime, observation.Ended)
 			counts.ended += max(observation.Ended-observation.Full, 0)
-			calls[key] = counts
+			attempts[key] = counts
 		}
 	}
-	return calls
+	return attempts
 }
 
-// updateLoss updates whether a zone is lost, and since when it has not been.
+// updateLoss updates whether a zone is lost, and when it recovered.
 func (p *Planner) updateLoss(zone string, now Instant) {
 	switch loss := p.zoneLosses[zone]; {
 	case p.isLost(zone):
 		p.zoneLosses[zone] = &zoneLoss{lost: true}
 	case loss != nil && loss.lost:
 		loss.lost, loss.recoveredAt = false, now
-	case loss != nil && now-loss.recoveredAt > forgetLossRamps*p.settings.RecoveryRamp:
+	case loss != nil && now-loss.recoveredAt > lossRetentionRamps*p.settings.RecoveryRamp:
 		delete(p.zoneLosses, zone)
 	}
 }
 
-// updateClassRoutes updates the routes of all zones for a class in a zone. counts are the class's calls there, and total those of
-// all classes.
-func (p *Planner) updateClassRoutes(key zoneClass, counts, total callCounts, now Instant) {
-	others := callCounts{total.inTime - counts.inTime, total.ended - counts.ended}
-	lost := counts.ended >= minEndedCalls && counts.inTime/counts.ended < lostClassInTime &&
-		others.ended >= minEndedCalls && others.inTime/others.ended > otherClassesInTime
+// updateClassRoutes updates the routes of all zones for a class in a zone. counts are the class's attempts there, and total the attempts
+// of all classes there.
+func (p *Planner) updateClassRoutes(key zoneClass, counts, total attemptCounts, now Instant) {
+	others := attemptCounts{total.inTime - counts.inTime, total.ended - counts.ended}
+	lost := counts.ended >= minEndedAttempts && counts.inTime/counts.ended < lostClassInTime &&
+		others.ended >= minEndedAttempts && others.inTime/others.ended > otherClassesInTime
 	for from := range p.regions {
 		if r := (route{from, key.zone, key.class}); lost || p.routes[r] != nil {
 			p.updateRoute(r, lost, now)
@@ -129,23 +129,23 @@
 	}
 }
 
-// updateCapacityFactor updates the share of a zone's capacity that its calls in time confirm. elapsed is in seconds.
-func (p *Planner) updateCapacityFactor(zone string, calls callCounts, elapsed float64) {
+// updateCapacityFactor updates a zone's capacity factor by the share of its attempts in time. elapsed is in seconds.
+func (p *Planner) updateCapacityFactor(zone string, attempts attemptCounts, elapsed float64) {
 	factor, ok := p.capacityFactors[zone]
 	if !ok {
 		factor = 1
 	}
 	switch {
-	case calls.ended >= minEndedCalls && calls.inTime/calls.ended < minInTimeShare:
+	case attempts.ended >= minEndedAttempts && attempts.inTime/attempts.ended < minInTimeShare:
 		factor *= math.Pow(capacityDecay, elapsed)
-	case calls.ended >= minEndedCalls || calls.ended == 0:
+	case attempts.ended >= minEndedAttempts || attempts.ended == 0:
 		factor += capacityRecovery * elapsed
 	}
 	p.capacityFactors[zone] = min(max(factor, minCapacityFactor), 1)
 }
 
-// recoveryShare returns the share of its capacity that a zone has: less than 1 while it recovers from a loss. A zone that some
-// others could not reach was there all the time, and does not recover.
+// recoveryShare returns the share of a zone's capacity that plans may use: less than 1 while the zone recovers from a loss. A zone that
+// only some zones could not reach was not lost, and keeps its full capacity.
 func (p *Planner) recoveryShare(zone string, now Instant) float64 {
 	loss := p.zoneLosses[zone]
 	if loss == nil || loss.lost || p.settings.RecoveryRamp <= 0 {
--- a/internal/decisions/failover/zoneview.go
+++ b/internal/decisions/failover/zoneview.go
@@ -1,19 +1,19 @@
 package failover
 
-// ZoneView is what the planner knows of a zone, for people.
+// ZoneView is the planner's state of a zone, for display.
 type ZoneView struct {
 	Zone            string   `json:"zone"`
 	Region          string   `json:"region"`
 	Capacity        float64  `json:"capacity"` // slots that plans may use, before Settings.Headroom
-	Planned         float64  `json:"planned"`  // slots of work that the plan has it serve
+	Planned         float64  `json:"planned"`  // slots of work that the plan assigns to it
 	Demand          float64  `json:"asked"`    // slots of work that arrive there
-	Shed            float64  `json:"shed"`     // of Demand: what the plan sheds
-	CapacityFactor  float64  `json:"factor"`   // share of its capacity, from 0 to 1, that its calls in time confirm
+	Shed            float64  `json:"shed"`     // of Demand: slots of work that the plan sheds
+	CapacityFactor  float64  `json:"factor"`   // share of its capacity, from 0 to 1, that plans use; reduced while few attempts are in time
 	UnreachableFrom []string `json:"out_from,omitempty"`
-	Reason          string   `json:"why,omitempty"` // of its shares in the plan
+	Reason          string   `json:"why,omitempty"` // for its part in the plan; human-readable
 }
 
-// Views returns what the planner knows of all zones, sorted by name.
+// Views returns the views of all zones, sorted by name.
 func (p *Planner) Views(now Instant) (all []ZoneView) {
 	zones, demands := p.inputs(now)
 	load := p.plan.Load(demands)
@@ -41,7 +41,7 @@
 	return all
 }
 
-// servedShare returns the share of a demand that the plan has served in any zone.
+// servedShare returns the share of a demand that the plan serves, in all zones together.
 func (p *Plan) servedShare(demand Demand) (served float64) {
 	for _, share := range p.shares(demand.Zone, demand.Class) {
 		served += share.Share
