--- a/internal/decisions/configversions/dispatcher.go
+++ b/internal/decisions/configversions/dispatcher.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Dispatcher is what a dispatcher says of itself with each renewal of its lease.
+// Dispatcher describes a dispatcher, as it reports itself with each renewal of its lease.
 type Dispatcher struct {
 	Name                string `json:"name"`
-	Instance            string `json:"instance"`     // of the process: drawn at its start
+	Instance            string `json:"instance"`     // random ID of the process, drawn at its start
 	AcknowledgedVersion uint64 `json:"acknowledged"` // see Lessee.Acknowledged
-	MessageFormat       int    `json:"form"`         // the newest that it reads
+	MessageFormat       int    `json:"form"`         // the newest one that it can read
 	Epoch               uint64 `json:"era,omitempty"`
 	Address             string `json:"address,omitempty"`
 	Region              string `json:"region,omitempty"`
 	Zone                string `json:"zone,omitempty"`
-	VoterID             uint64 `json:"seat,omitempty"`      // of the voter or learner that it is; 0 for none
+	VoterID             uint64 `json:"seat,omitempty"`      // ID of its voter or learner; 0 if it is neither
 	JobsEnded           uint64 `json:"ended,omitempty"`     // requests answered since the process started
 	JobsFailed          uint64 `json:"bad,omitempty"`       // of JobsEnded: rejected or failed
 	PlanNumber          uint64 `json:"plan,omitempty"`      // number of the zone plan that it acts on
--- a/internal/decisions/configversions/entry.go
+++ b/internal/decisions/configversions/entry.go
@@ -13,9 +13,9 @@
 // Plan and ZoneLimit is set.
 type Entry struct {
 	ID         string         `json:"id"`                 // chosen by the proposer, to recognise the entry in the log
-	Announce   *Version       `json:"announce,omitempty"` // a new version; its Number is that of the version in force, on which it is based: Apply gives it the next
+	Announce   *Version       `json:"announce,omitempty"` // a new version; its Number is the number of the version in force on which it is based, and Apply assigns the next one
 	PutInForce uint64         `json:"force,omitempty"`    // number of the announced version, which becomes the one in force
-	Withdraw   uint64         `json:"withdraw,omitempty"` // number of the announced version, which is given up
+	Withdraw   uint64         `json:"withdraw,omitempty"` // number of the announced version, which is withdrawn
 	EndCanary  uint64         `json:"widen,omitempty"`    // number of the announced version, which applies to all dispatchers from now on
 	Reason     string         `json:"why,omitempty"`      // of a withdrawal
 	Voters     []voters.Voter `json:"council,omitempty"`  // all voters and learners from now on
@@ -26,14 +26,14 @@
 // The errors with which Apply rejects an entry, in addition to those of Rules.Check and canary.Rollout.Check.
 var (
 	ErrChangeInProgress = errors.New("another change is under way")
-	ErrNotNextVersion   = errors.New("it does not follow the version in force")
+	ErrNotNextVersion   = errors.New("the proposed version or plan does not follow the current one")
 	ErrNotAnnounced     = errors.New("no such version is announced")
-	ErrCanaryRunning    = errors.New("its trial is not over")
-	ErrZoneLimit        = errors.New("a hold names a zone and a share from 0 to 1")
+	ErrCanaryRunning    = errors.New("the canary of the version has not ended")
+	ErrZoneLimit        = errors.New("a zone limit must name a zone and a share from 0 to 1")
 )
 
-// Apply returns the record that results from an entry. With an error, which is the same at every dispatcher that applies the
-// entry to the same record, it returns r unchanged.
+// Apply returns the record that results from an entry. If it returns an error, it returns r unchanged; every dispatcher that applies
+// the entry to the same record gets the same error.
 func (r Record) Apply(entry Entry) (Record, error) {
 	next, err := r.apply(entry)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return next, nil
 }
 
-// apply is Apply without the revision. The record that it returns with an error has no meaning.
+// apply is Apply without the change of the revision. The record that it returns with an error is invalid.
 func (r Record) apply(entry Entry) (Record, error) {
 	switch {
 	case entry.Announce != nil:
@@ -68,7 +68,7 @@
 // announcedNumber returns the number of the announced version that the entry is about: exactly one of the three is set.
 func (e Entry) announcedNumber() uint64 { return max(e.PutInForce, e.Withdraw, e.EndCanary) }
 
-// announce makes version, with the next number, the announced one.
+// announce makes version the announced one, with the next number.
 func (r Record) announce(version Version) (Record, error) {
 	if r.Announced != nil {
 		return r, ErrChangeInProgress
@@ -84,7 +84,7 @@
 	return r, nil
 }
 
-// replacePlan sets a zone plan with a larger number than the last one's.
+// replacePlan sets the zone plan, whose number must be larger than the last one's.
 func (r Record) replacePlan(plan *failover.Plan) (Record, error) {
 	if r.Plan != nil && plan.Number <= r.Plan.Number {
 		return r, ErrNotNextVersion
@@ -114,7 +114,7 @@
 	return r
 }
 
-// endCanary has the announced version concern all dispatchers.
+// endCanary makes the announced version apply to all dispatchers.
 func (r Record) endCanary() (Record, error) {
 	if r.Announced.Canary == nil {
 		return r, ErrNotAnnounced
@@ -135,8 +135,8 @@
 	return r, nil
 }
 
-// withdraw gives the announced version up. The version in force takes the number after it, so that no later version has the
-// number of the withdrawn one, which dispatchers may have acknowledged.
+// withdraw withdraws the announced version. The version in force gets the number after the withdrawn one. So no later version has
+// the number of the withdrawn one, which dispatchers may have acknowledged.
 func (r Record) withdraw(reason string) Record {
 	r.Withdrawn = newest(append(slices.Clone(r.Withdrawn), Withdrawal{*r.Announced, reason}))
 	r.InForce.Number, r.Announced = r.Announced.Number+1, nil
--- a/internal/decisions/configversions/leasemodel_test.go
+++ b/internal/decisions/configversions/leasemodel_test.go
@@ -34,14 +34,14 @@
 	record       Record // of the response
 }
 
-// fault is a mistake that the model makes deliberately.
+// fault is a bug that the model injects.
 type fault string
 
 const (
 	noFault                 fault = ""
-	doesNotWait             fault = "not waited"
-	leaseCountsFromResponse fault = "counted from the answer"
-	newLeaderDoesNotWait    fault = "a new leader does not wait"
+	leaderDoesNotWait       fault = "leader does not wait"
+	leaseCountsFromResponse fault = "lease counts from response"
+	newLeaderDoesNotWait    fault = "new leader does not wait"
 )
 
 // action is one thing that may happen in the model.
@@ -60,7 +60,7 @@
 	actionCount
 )
 
-// hasTarget reports whether an action concerns one of the dispatchers or messages.
+// hasTarget reports whether an action applies to one of the dispatchers or messages.
 func (a action) hasTarget() bool {
 	return a != advanceTime && a != announceVersion && a != putVersionInForce && a != changeLeader
 }
@@ -122,7 +122,7 @@
 	return true
 }
 
-// send has a dispatcher send a renewal.
+// send sends a renewal from a dispatcher.
 func (m *fleetModel) send(dispatcher int) bool {
 	if dispatcher >= len(m.lessees) || m.paused[dispatcher] || len(m.requests) > 1 {
 		return false
@@ -131,7 +131,7 @@
 	return true
 }
 
-// answer has the leader answer a renewal.
+// answer makes the leader answer a renewal.
 func (m *fleetModel) answer(request int) bool {
 	if request >= len(m.requests) || len(m.responses) > 1 {
 		return false
@@ -144,7 +144,7 @@
 	return true
 }
 
-// deliver has a response arrive.
+// deliver delivers a response to its dispatcher.
 func (m *fleetModel) deliver(response int) bool {
 	if response >= len(m.responses) || m.paused[m.responses[response].from] {
 		return false
@@ -164,19 +164,19 @@
 	if announced == nil {
 		return false
 	}
-	if may, _ := m.leaseTable.MayPutInForce(announced.Number, m.now); !may && m.fault != doesNotWait {
+	if may, _ := m.leaseTable.MayPutInForce(announced.Number, m.now); !may && m.fault != leaderDoesNotWait {
 		return false
 	}
 	m.record, _ = m.record.Apply(Entry{PutInForce: announced.Number})
 	return true
 }
 
-// without returns a copy of the messages that lacks one.
+// without returns a copy of the messages without the one at index.
 func without(messages []renewal, index int) []renewal {
 	return append(append([]renewal(nil), messages[:index]...), messages[index+1:]...)
 }
 
-// contradiction describes two running dispatchers that contradict each other; empty where there are none.
+// contradiction describes two running dispatchers that contradict each other; empty if there are none.
 func (m *fleetModel) contradiction() string {
 	for i, a := range m.lessees {
 		for j, b := range m.lessees[:i] {
@@ -188,7 +188,7 @@
 	return ""
 }
 
-// clone returns a copy of the model that shares no state that changes.
+// clone returns a copy of the model that shares no mutable state.
 func (m *fleetModel) clone() *fleetModel {
 	c := *m
 	c.leaseTable = &LeaseTable{m.leaseTable.assumedLeaseDuration, m.leaseTable.electedAt, map[string]leaseRecord{}, map[string]AbsentDispatcher{}}
@@ -203,7 +203,7 @@
 	return &c
 }
 
-// appendBytes appends numbers as a byte each. Those of a state are small, as they grow with the number of steps.
+// appendBytes appends each number as a byte. The numbers of a state are small, as they grow with the number of steps.
 func appendBytes(to []byte, numbers ...int64) []byte {
 	for _, n := range numbers {
 		to = append(to, byte(n))
@@ -211,7 +211,7 @@
 	return to
 }
 
-// key identifies a state as far as it matters for what may follow: neither the order of dispatchers nor that of messages does.
+// key identifies a state for search. It ignores the order of dispatchers and of messages, which has no effect on what may follow.
 func (m *fleetModel) key(limits [actionCount]int) string {
 	announced := int64(-1)
 	if version := m.record.Announced; version != nil {
@@ -256,7 +256,7 @@
 }
 
 // search performs every sequence of at most depth actions, each action at most limits[action] times. It returns the actions that
-// lead to the first contradiction, followed by its description; nil where there is none.
+// lead to the first contradiction, followed by its description; nil if there is none.
 func search(model *fleetModel, depth int, limits [actionCount]int, seen map[string]int, path []string) []string {
 	if found := model.contradiction(); found != "" {
 		return append(path, found)
@@ -286,9 +286,9 @@
 	return nil
 }
 
-// TestLeases_exhaustiveSearch searches everything that may happen to two dispatchers in 12 steps with one change, and to three in
-// 11 steps with two changes, with a pause, a lost response and a change of leader. No two dispatchers contradict each other, and
-// each of three deliberate mistakes is found.
+// TestLeases_exhaustiveSearch searches all histories of two dispatchers with 12 steps and one change, and of three dispatchers with
+// 11 steps and two changes, with a pause, a lost response and a change of leader. No two dispatchers may contradict each other, and
+// the search must find each of three injected bugs.
 func TestLeases_exhaustiveSearch(t *testing.T) {
 	for _, test := range []struct {
 		dispatchers, depth int
@@ -297,7 +297,7 @@
 		{2, 12, [actionCount]int{4, 2, 2, 2, 0, 1, 1, 1, 1}},
 		{3, 11, [actionCount]int{3, 3, 2, 2, 1, 2, 2, 1, 1}},
 	} {
-		for _, fault := range []fault{noFault, doesNotWait, leaseCountsFromResponse, newLeaderDoesNotWait} {
+		for _, fault := range []fault{noFault, leaderDoesNotWait, leaseCountsFromResponse, newLeaderDoesNotWait} {
 			t.Run(fmt.Sprintf("%d dispatchers %s", test.dispatchers, fault), func(t *testing.T) {
 				t.Parallel()
 				model := newFleetModel(test.dispatchers, fault)
@@ -316,8 +316,8 @@
 	}
 }
 
-// TestLeases_randomHistories draws long histories of up to five dispatchers and many changes. No two dispatchers contradict each
-// other; once no dispatcher renews any more, the leader waits for at most a lease duration, and no dispatcher acts as if it had one.
+// TestLeases_randomHistories draws long histories of up to five dispatchers and many changes. No two dispatchers may contradict each
+// other. After the last renewal the leader waits for at most a lease duration, and then no dispatcher acts as if it held a lease.
 func TestLeases_randomHistories(t *testing.T) {
 	actions := []action{advanceTime, advanceTime, sendRenewal, sendRenewal, answerRenewal, answerRenewal, deliverResponse, deliverResponse,
 		loseResponse, announceVersion, putVersionInForce, changeLeader, togglePause}
@@ -332,12 +332,12 @@
 		if announced := model.record.Announced; announced != nil {
 			expired := model.now + model.leaseDuration + model.leaseDuration/50
 			if may, waitsFor := model.leaseTable.MayPutInForce(announced.Number, expired); !may {
-				t.Fatalf("waits for %v although all leases have expired", waitsFor)
+				t.Fatalf("the leader waits for %v although all leases have expired", waitsFor)
 			}
 		}
 		for _, lessee := range model.lessees {
 			if effective := lessee.Effective(model.now + model.leaseDuration); !effective.LeaseExpired || effective.Rules.RetriesAllowed {
-				t.Fatalf("a lease duration after the last renewal: %+v", effective)
+				t.Fatalf("a lease duration after the last renewal: got %+v, want an expired lease without retries", effective)
 			}
 		}
 	})
--- a/internal/decisions/configversions/leasetable.go
+++ b/internal/decisions/configversions/leasetable.go
@@ -16,21 +16,21 @@
 	// absentRetention is how long the table retains a dispatcher whose lease has ended.
 	absentRetention = time.Hour
 
-	// predecessorLeases is shown in place of a name while leases of the leader before may be valid.
-	predecessorLeases = "leases of the leader before"
+	// predecessorLeases is shown in place of a name while leases of the previous leader may be valid.
+	predecessorLeases = "leases of the previous leader"
 )
 
 // The errors with which a renewal is rejected.
 var (
-	ErrNameInUse = errors.New("another process of that name holds a lease")
-	ErrShutDown  = errors.New("this process has said that it leaves")
-	ErrOldEpoch  = errors.New("the fleet has a newer council")
+	ErrNameInUse = errors.New("another process of the same name may hold a lease")
+	ErrShutDown  = errors.New("this process has dropped its lease to shut down")
+	ErrOldEpoch  = errors.New("the fleet's raft group has a newer epoch")
 )
 
-// LeaseTable is the raft leader's side of the agreement: who may hold a lease, and what each has acknowledged. It is not
-// replicated. A new leader starts with an empty table and counts on leases that its predecessor may have granted.
+// LeaseTable is the raft leader's table of the dispatchers that may hold leases, and of the versions that they have acknowledged.
+// It is not replicated. A new leader starts with an empty table and assumes that its predecessor has granted leases.
 type LeaseTable struct {
-	assumedLeaseDuration time.Duration // lengthened by MaxClockDrift
+	assumedLeaseDuration time.Duration // the lease duration, lengthened by MaxClockDrift
 	electedAt            Instant
 	leases               map[string]leaseRecord      // by name of the dispatcher
 	absent               map[string]AbsentDispatcher // by name of the dispatcher
@@ -52,14 +52,14 @@
 	}
 }
 
-// Renew records that a dispatcher asks for a lease. It is called before a lease is granted; none is where it returns an
-// error.
+// Renew records that a dispatcher requests a lease. It is called before a lease is granted; if it returns an error, none is
+// granted.
 //
-// It returns ErrShutDown where the process has dropped its lease for good, and an error that wraps ErrNameInUse while another
-// process of the same name may hold a lease: the two may act on different versions.
+// It returns ErrShutDown if the process has dropped its lease for good. While another process of the same name may hold a lease, it
+// returns an error that wraps ErrNameInUse, since the two processes may act on different versions.
 func (t *LeaseTable) Renew(dispatcher Dispatcher, now Instant) error {
 	if left, ok := t.absent[dispatcher.Name]; ok && left.Left && left.Instance == dispatcher.Instance {
-		return ErrShutDown // the renewal was overtaken by the word that the process shuts down
+		return ErrShutDown // the notice of the shutdown has overtaken the renewal
 	}
 	last, known := t.leases[dispatcher.Name]
 	if known && last.Instance != dispatcher.Instance {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// expiry returns when the lease of a renewal expires, by the leader's clock.
+// expiry returns when a lease expires, by the leader's clock.
 func (t *LeaseTable) expiry(lease leaseRecord) Instant {
 	return lease.renewedAt + t.assumedLeaseDuration
 }
@@ -87,8 +87,8 @@
 	}
 }
 
-// expire moves dispatchers whose leases have expired to the absent ones, and removes those that have been absent for
-// absentRetention. What an expired lease acknowledged no longer counts.
+// expire moves dispatchers whose leases have expired to the absent ones, and removes dispatchers that have been absent for
+// absentRetention. The acknowledgement of an expired lease no longer counts.
 func (t *LeaseTable) expire(now Instant) {
 	for name, lease := range t.leases {
 		if expiry := t.expiry(lease); now >= expiry {
--- a/internal/decisions/configversions/lessee.go
+++ b/internal/decisions/configversions/lessee.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Lessee is a dispatcher's side of the agreement: the newest record that it has read, and its lease.
+// Lessee is a dispatcher's state: the newest record that it has read, and its lease.
 type Lessee struct {
 	name        string
 	record      Record
-	effective   Effective // what this dispatcher acts on by record while it holds a lease; computed once for each record
-	leaseExpiry Instant   // meaningful once hadLease
-	hadLease    bool      // a lease was granted at any time
+	effective   Effective // what this dispatcher acts on according to record while it holds a lease; computed once for each record
+	leaseExpiry Instant   // valid if hadLease
+	hadLease    bool      // a lease has been granted at least once
 }
 
-// NewLessee returns the side of a dispatcher that has read the record known before, such as from disk, and holds no lease.
+// NewLessee returns the state of a dispatcher that holds no lease. known is the newest record that it has read, such as from disk.
 func NewLessee(name string, known Record) *Lessee {
 	l := &Lessee{name: name}
 	l.setRecord(known)
 	return l
 }
 
-// setRecord stores a record and what follows from it, which Effective returns on each call.
+// setRecord stores a record, and computes what Effective returns as long as the lease is valid.
 func (l *Lessee) setRecord(record Record) {
 	same := l.effective.Versions != nil && record.Epoch == l.record.Epoch && record.Revision == l.record.Revision
 	if l.record = record; same {
@@ -32,8 +32,8 @@
 }
 
 // ApplyLease stores the leader's response to a renewal: a record, and a lease that lasts from requestedAt, when this dispatcher
-// sent the renewal. A response with an older record than the known one was overtaken, or comes from a raft group that has been
-// replaced: it is ignored together with its lease.
+// sent the renewal. A response with an older record than the known one was overtaken by a newer response, or comes from a
+// raft group that has been replaced. It is ignored together with its lease.
 func (l *Lessee) ApplyLease(record Record, requestedAt Instant, lease time.Duration) {
 	if l.record.NewerThan(record) {
 		return
@@ -63,8 +63,8 @@
 // Record returns the newest record that the dispatcher has read.
 func (l *Lessee) Record() Record { return l.record }
 
-// announcedVersion returns the announced version that concerns this dispatcher; nil where there is none, or where its canary
-// does not include the dispatcher.
+// announcedVersion returns the announced version that applies to this dispatcher; nil if there is none, or if its canary does not
+// include the dispatcher.
 func (l *Lessee) announcedVersion() *Version {
 	if announced := l.record.Announced; announced != nil && announced.Canary.Includes(l.name, announced.Number) {
 		return announced
@@ -80,7 +80,7 @@
 	return l.record.InForce.Number
 }
 
-// LeaseExpiry returns when the lease expires or has expired; 0 where there never was one.
+// LeaseExpiry returns when the lease expires or has expired; 0 if there never was one.
 func (l *Lessee) LeaseExpiry() Instant { return l.leaseExpiry }
 
 // Effective returns what the dispatcher acts on now. The slices and the map in it must not be changed.
--- a/internal/decisions/configversions/record.go
+++ b/internal/decisions/configversions/record.go
@@ -16,13 +16,13 @@
 	Epoch       uint64         `json:"era,omitempty"`       // increases when the raft group is recovered without its majority
 	Revision    uint64         `json:"revision"`            // number of entries that changed the record
 	InForce     Version        `json:"in_force"`            // the version that all dispatchers act on
-	Announced   *Version       `json:"announced,omitempty"` // the version that follows; nil where no change is in progress
+	Announced   *Version       `json:"announced,omitempty"` // the next version; nil if no change is in progress
 	History     []Version      `json:"history,omitempty"`   // versions that were in force, the newest last; at most maxHistory
 	Withdrawn   []Withdrawal   `json:"withdrawn,omitempty"` // the newest last; at most maxHistory
 	Voters      []voters.Voter `json:"council,omitempty"`   // voters and learners of the raft group
-	Plan        *failover.Plan `json:"plan,omitempty"`      // which zones serve which requests; nil where failover is off
+	Plan        *failover.Plan `json:"plan,omitempty"`      // which zones serve which requests; nil if failover is off
 	ZoneLimits  []ZoneLimit    `json:"holds,omitempty"`     // at most one for each zone
-	NextVoterID uint64         `json:"next_seat,omitempty"` // above every voter ID ever used
+	NextVoterID uint64         `json:"next_seat,omitempty"` // larger than every voter ID ever used
 }
 
 // Voter returns the voter or learner with the given ID.
--- a/internal/decisions/configversions/record_test.go
+++ b/internal/decisions/configversions/record_test.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/decisions/canary"
 )
 
-// TestRecordApply checks that an entry that is rejected leaves the record unchanged, that any other one raises its revision by one, and that
+// TestRecordApply checks that a rejected entry leaves the record unchanged, that any other entry increases its revision by one, and that
 // invalid rules are rejected.
 func TestRecordApply(t *testing.T) {
 	announce := func(base uint64, rules Rules) Entry {
@@ -35,7 +35,7 @@
 	} {
 		next, err := record.Apply(step.entry)
 		if !errors.Is(err, step.want) || err != nil && fmt.Sprint(next) != fmt.Sprint(record) || err == nil && next.Revision != record.Revision+1 {
-			t.Fatalf("%+v: error %v, %+v after %+v", step.entry, err, next, record)
+			t.Fatalf("%+v: error %v, record %+v after %+v", step.entry, err, next, record)
 		}
 		record = next
 	}
@@ -55,13 +55,13 @@
 	lessee := NewLessee("n0", Record{})
 	announced, err := Record{}.Apply(Entry{Announce: &Version{Rules: Rules{RetryRatio: 0.1, RetriesAllowed: true}, Canary: &canary.Rollout{Share: 1e-9, MinDuration: 1}}})
 	if err != nil || !lessee.ApplyRecord(announced) || lessee.Acknowledged() != 0 || len(lessee.Effective(0).Versions) != 1 {
-		t.Errorf("error %v, acknowledged %d, %+v", err, lessee.Acknowledged(), lessee.Effective(0))
+		t.Errorf("outside the canary: error %v, acknowledged %d, %+v", err, lessee.Acknowledged(), lessee.Effective(0))
 	}
 	if _, err := announced.Apply(Entry{PutInForce: 1}); !errors.Is(err, ErrCanaryRunning) {
 		t.Error(err)
 	}
-	widened, err := announced.Apply(Entry{EndCanary: 1})
-	if err != nil || !lessee.ApplyRecord(widened) || lessee.Acknowledged() != 1 || len(lessee.Effective(0).Versions) != 2 {
+	afterCanary, err := announced.Apply(Entry{EndCanary: 1})
+	if err != nil || !lessee.ApplyRecord(afterCanary) || lessee.Acknowledged() != 1 || len(lessee.Effective(0).Versions) != 2 {
 		t.Errorf("canary ended: error %v, %+v", err, lessee.Effective(0))
 	}
 }
--- a/internal/decisions/configversions/rules.go
+++ b/internal/decisions/configversions/rules.go
@@ -9,14 +9,14 @@
 
 // Rules are the limits that a version sets for every dispatcher.
 type Rules struct {
-	// RetryRatio is the maximum number of retries and hedged attempts for each first attempt; below 0 it is unlimited.
+	// RetryRatio is the maximum number of retries and hedged attempts for each first attempt; a negative value means no limit.
 	RetryRatio float64 `json:"retries"`
-	// RetriesAllowed is false where no attempt may be made beyond the first.
+	// RetriesAllowed is false if a request may have no attempt after its first one.
 	RetriesAllowed bool `json:"repeat"`
 	// DetachedWorkers are the identifiers of workers that get no attempts.
 	DetachedWorkers []string `json:"out,omitempty"`
-	// QuotaCaps lower the quotas that the operator's file gives to accounts (package quotas), to these shares, from 0 to 1, of each
-	// dispatcher's capacity for open requests. An account that is not named keeps its quota.
+	// QuotaCaps limit the quotas that the operator's file sets for accounts (package quotas). Each is a share, from 0 to 1, of each
+	// dispatcher's capacity for open requests. An account without a cap keeps its quota.
 	QuotaCaps map[string]float64 `json:"shares,omitempty"`
 }
 
@@ -25,23 +25,23 @@
 	MaxRetryRatio = 16
 
 	maxDetachedWorkers = 10_000
-	maxQuotas          = 1000
+	maxQuotaCaps       = 1000
 	maxNameLength      = 2048 // bytes, of a worker's or an account's name
 )
 
 // Message formats are numbered; a dispatcher that reads one reads all smaller ones.
 const (
-	baseMessageFormat   = 1
-	quotasMessageFormat = 2 // the first one with Rules.QuotaCaps
+	baseMessageFormat      = 1
+	quotaCapsMessageFormat = 2 // the first one with Rules.QuotaCaps
 )
 
-// unrestrictedRules are in effect before the fleet has agreed on a version.
+// unrestrictedRules returns the rules in effect before the fleet has agreed on a version.
 func unrestrictedRules() Rules { return Rules{RetryRatio: -1, RetriesAllowed: true} }
 
 // MinMessageFormat returns the oldest message format in which r can be sent.
 func (r Rules) MinMessageFormat() int {
 	if len(r.QuotaCaps) > 0 {
-		return quotasMessageFormat
+		return quotaCapsMessageFormat
 	}
 	return baseMessageFormat
 }
@@ -52,9 +52,9 @@
 	case math.IsNaN(r.RetryRatio) || math.IsInf(r.RetryRatio, 0) || r.RetryRatio > MaxRetryRatio:
 		return fmt.Errorf("retries must be at most %v", float64(MaxRetryRatio))
 	case len(r.DetachedWorkers) > maxDetachedWorkers:
-		return fmt.Errorf("out names more than %d boxes", maxDetachedWorkers)
-	case len(r.QuotaCaps) > maxQuotas:
-		return fmt.Errorf("shares names more than %d accounts", maxQuotas)
+		return fmt.Errorf("out lists more than %d workers", maxDetachedWorkers)
+	case len(r.QuotaCaps) > maxQuotaCaps:
+		return fmt.Errorf("shares lists more than %d accounts", maxQuotaCaps)
 	}
 	if err := checkDetachedWorkers(r.DetachedWorkers); err != nil {
 		return err
@@ -67,15 +67,15 @@
 	return nil
 }
 
-// checkDetachedWorkers returns an error for the first identifier that is invalid or named twice.
+// checkDetachedWorkers returns an error for the first identifier that is invalid or listed twice.
 func checkDetachedWorkers(ids []string) error {
 	seen := make(map[string]bool, len(ids))
 	for i, id := range ids {
 		if !validName(id) {
-			return fmt.Errorf("out[%d] is no name of a box", i)
+			return fmt.Errorf("out[%d] is not a valid worker name", i)
 		}
 		if seen[id] {
-			return fmt.Errorf("out names %q twice", id)
+			return fmt.Errorf("out lists %q twice", id)
 		}
 		seen[id] = true
 	}
@@ -91,11 +91,11 @@
 		RetryRatio:      StricterRetryRatio(r.RetryRatio, other.RetryRatio),
 		RetriesAllowed:  r.RetriesAllowed && other.RetriesAllowed,
 		DetachedWorkers: sortedUnion(r.DetachedWorkers, other.DetachedWorkers),
-		QuotaCaps:       stricterQuotas(r.QuotaCaps, other.QuotaCaps),
+		QuotaCaps:       stricterQuotaCaps(r.QuotaCaps, other.QuotaCaps),
 	}
 }
 
-// StricterRetryRatio returns the smaller of two retry ratios, of which those below 0 are unlimited.
+// StricterRetryRatio returns the smaller of two retry ratios; a negative ratio is unlimited.
 func StricterRetryRatio(first, second float64) float64 {
 	if first < 0 || second >= 0 && second < first {
 		return second
@@ -110,8 +110,8 @@
 	return slices.Compact(union)
 }
 
-// stricterQuotas returns the smaller quota of each account that has one; nil where there is none.
-func stricterQuotas(first, second map[string]float64) map[string]float64 {
+// stricterQuotaCaps returns the smaller cap of each account that has one; nil if there is none.
+func stricterQuotaCaps(first, second map[string]float64) map[string]float64 {
 	if len(first)+len(second) == 0 {
 		return nil
 	}
--- a/internal/decisions/configversions/stored_test.go
+++ b/internal/decisions/configversions/stored_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestStoredValues checks that the values that the program of commit c2c1317 wrote are read, field by field, and that the same values are
-// written as the same bytes.
+// TestStoredValues checks that the values written by the program of commit c2c1317 are read field by field, and that the same values
+// are written as the same bytes.
 func TestStoredValues(t *testing.T) {
 	for name, want := range storedValues() {
 		t.Run(name, func(t *testing.T) {
