--- a/internal/decisions/voters/candidate.go
+++ b/internal/decisions/voters/candidate.go
@@ -1,11 +1,11 @@
 package voters
 
-// Candidate is a dispatcher that holds a lease, whether it votes already or may become a voter.
+// Candidate is a dispatcher that holds a lease. It is a voter already or may become one.
 type Candidate struct {
 	Name               string
-	Address            string // empty where it cannot become a voter
+	Address            string // empty if it cannot become a voter
 	Region             string
 	Zone               string
-	VoterID            uint64 // of the voter or learner that it is; 0 for none
+	VoterID            uint64 // ID of its voter or learner; 0 if it is neither
 	DedicatedToControl bool   // its machine serves no jobs, and is preferred as a voter
 }
--- a/internal/decisions/voters/change.go
+++ b/internal/decisions/voters/change.go
@@ -3,7 +3,7 @@
 // Change is one change of the raft group. Either AddLearner, TransferLeadership, or Remove with or without Promote is set.
 type Change struct {
 	AddLearner         *Voter // joins the group as a learner
-	Promote            uint64 // ID of a learner that votes from now on, in place of Remove
+	Promote            uint64 // ID of a learner that votes from now on, in place of the voter Remove
 	Remove             uint64 // ID of a voter or learner that leaves the group
-	TransferLeadership uint64 // ID of a voter that is to become leader
+	TransferLeadership uint64 // ID of the voter that becomes the leader
 }
--- a/internal/decisions/voters/contactorder.go
+++ b/internal/decisions/voters/contactorder.go
@@ -8,8 +8,8 @@
 )
 
 // ContactOrder returns the voters, without learners, in the order in which the dispatcher with the given name, region and zone
-// should contact them: those of its zone first, then those of its region, then the others. Voters at the same distance come in
-// an order that depends on the dispatcher's name, so that the fleet's requests spread over them.
+// should contact them: first the voters of its zone, then of its region, then the others. The order of voters at the same
+// distance depends on the dispatcher's name, so that the fleet's requests are spread over them.
 func ContactOrder(voters []Voter, name, region, zone string) []Voter {
 	var order []Voter
 	for _, voter := range voters {
--- a/internal/decisions/voters/contactorder_test.go
+++ b/internal/decisions/voters/contactorder_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestContactOrder checks that voters of the own zone come first, each for at least a quarter of the dispatchers, then those of the own region,
-// and that learners are left out.
+// TestContactOrder checks that voters of the dispatcher's zone come first, each for at least a quarter of the dispatchers, then voters of its
+// region, and that learners are left out.
 func TestContactOrder(t *testing.T) {
 	voters := []Voter{
 		{ID: 1, Zone: "a", Region: "n"},
@@ -19,11 +19,11 @@
 	for i := range 100 {
 		order := ContactOrder(voters, fmt.Sprint("n", i), "n", "a")
 		if len(order) != 4 || order[2].ID != 3 || order[3].ID != 4 {
-			t.Fatalf("contact order %+v", order)
+			t.Fatalf("contact order %+v, want 4 voters with 3 and 4 last", order)
 		}
 		timesFirst[order[0].ID]++
 	}
 	if timesFirst[1] < 25 || timesFirst[2] < 25 {
-		t.Errorf("voters are first so often: %v", timesFirst)
+		t.Errorf("times that each voter comes first: %v, want at least 25 for voters 1 and 2", timesFirst)
 	}
 }
--- a/internal/decisions/voters/founding.go
+++ b/internal/decisions/voters/founding.go
@@ -2,11 +2,11 @@
 
 // Founder is what a founding voter sends to the others before there is a raft log.
 type Founder struct {
-	Incarnation    string            `json:"incarnation"`    // drawn when its storage was created
+	Incarnation    string            `json:"incarnation"`    // random ID of its storage, drawn at its creation
 	FoundingVoters map[uint64]string `json:"roll,omitempty"` // incarnations, by voter ID, with which it founded the group; nil before
 }
 
-// FoundingDecision is what a founding voter may do.
+// FoundingDecision says what a founding voter may do.
 type FoundingDecision uint8
 
 const (
@@ -18,12 +18,12 @@
 	NotAFounder
 )
 
-// DecideFounding returns what the voter with the given ID may do that has not founded the group yet. incarnation is its own,
-// others are the founding voters that it has reached, by ID, and voters is the number of founding voters. With VoteToFound it
-// returns the incarnations of all founding voters, which the voter must store before it votes.
+// DecideFounding returns what a voter may do that has not founded the group yet. id and incarnation are its own, others are the
+// founding voters that it has reached, by ID, and voters is the number of founding voters. With VoteToFound it returns the
+// incarnations of all founding voters, which the voter must store before it votes.
 //
-// The group is founded only when all founding voters are reached: afterwards a voter that is late could not be distinguished from one
-// that has lost its storage, and with it the votes that it cast.
+// The group is founded only when all founding voters are reached. Otherwise a voter that starts after the founding could not be
+// distinguished from one that has lost its storage, and with it the votes that it cast.
 func DecideFounding(id uint64, incarnation string, others map[uint64]Founder, voters int) (FoundingDecision, map[uint64]string) {
 	incarnations := map[uint64]string{id: incarnation}
 	for otherID, other := range others {
--- a/internal/decisions/voters/founding_test.go
+++ b/internal/decisions/voters/founding_test.go
@@ -12,9 +12,9 @@
 // foundersModel is three founding voters, of which one may lose its storage after the group is founded.
 type foundersModel struct {
 	incarnations map[uint64]string            // of each voter's storage
-	founded      map[uint64]map[uint64]string // with which incarnations each voter founded the group
-	lostVotes    map[uint64]bool              // voters that voted together with others, with storage that is lost
-	created      int                          // how many storages were created
+	founded      map[uint64]map[uint64]string // incarnations with which each voter founded the group
+	lostVotes    map[uint64]bool              // voters that voted together with others and have lost the storage of these votes
+	created      int                          // number of storages created
 }
 
 const foundingVoters = 3
@@ -26,15 +26,15 @@
 	delete(m.founded, id)
 }
 
-// loseStorage loses a voter's storage. Without others the voter cannot have been part of a majority.
+// loseStorage loses a voter's storage. If no other voter has founded the group, the voter cannot have been part of a majority.
 func (m *foundersModel) loseStorage(id uint64) {
 	m.lostVotes[id] = m.lostVotes[id] || m.founded[id] != nil && len(m.founded) > 1
 	m.createStorage(id)
 }
 
-// TestDecideFounding checks that a group is founded once, by founding voters that are all present, and that a voter does not vote
-// with other storage than it founded the group with, whichever others it reaches. Only one voter loses its storage, as
-// what a majority loses cannot be recovered.
+// TestDecideFounding checks that a group is founded once, while all founding voters are present. It also checks that a voter does not
+// vote with other storage than it founded the group with, regardless of the others that it reaches. Only one voter loses its
+// storage, as the loss of a majority's storage cannot be recovered.
 func TestDecideFounding(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		model := foundersModel{incarnations: map[uint64]string{}, founded: map[uint64]map[uint64]string{}, lostVotes: map[uint64]bool{}}
@@ -42,10 +42,10 @@
 			model.createStorage(id + 1)
 		}
 		founded := false
-		loser := uint64(rapid.IntRange(1, foundingVoters).Draw(t, "loser"))
+		lostStorageID := uint64(rapid.IntRange(1, foundingVoters).Draw(t, "voter that loses its storage"))
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			id := uint64(rapid.IntRange(1, foundingVoters).Draw(t, "voter"))
-			if founded && id == loser && rapid.IntRange(0, 2).Draw(t, "loses its storage") == 0 {
+			if founded && id == lostStorageID && rapid.IntRange(0, 2).Draw(t, "loses its storage") == 0 {
 				model.loseStorage(id)
 			}
 			if model.founded[id] != nil {
@@ -60,7 +60,7 @@
 			switch decision, incarnations := DecideFounding(id, model.incarnations[id], others, foundingVoters); decision {
 			case VoteToFound:
 				if model.lostVotes[id] {
-					t.Fatalf("voter %d votes again with %s", id, model.incarnations[id])
+					t.Fatalf("voter %d lost its storage and votes again with %s", id, model.incarnations[id])
 				}
 				model.founded[id] = incarnations
 				founded = true
--- a/internal/decisions/voters/planchange.go
+++ b/internal/decisions/voters/planchange.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// maxEntriesBehind is the number of log entries that a voter may lack and still counts as caught up.
+	// maxEntriesBehind is the maximum number of log entries that a voter or learner may lack to count as caught up.
 	maxEntriesBehind = 64
 
-	// presentDivisor divides the maximum silence into the time after which a voter no longer counts as present. A present voter
-	// sends the leader several messages a second.
+	// The maximum silence divided by presentDivisor is the time after which a voter no longer counts as present. A present voter
+	// sends the leader several messages per second.
 	presentDivisor = 4
 )
 
-// PlanChange returns the next change of the raft group that its leader should make; ok is false where there is none. The leader
-// calls it again and again, but not before the last change has been applied or has failed.
+// PlanChange returns the next change of the raft group that its leader should make; ok is false if there is none. The leader
+// calls it repeatedly, but not before the last change has been applied or has failed.
 //
 // statuses are the voters and learners, members the dispatchers that hold leases, and nextID is the ID for a new learner. A voter
-// that has been silent for longer than maxSilence is replaced: a dispatcher joins as a learner, and once it has caught up it is
-// promoted as the voter is removed. A voter whose dispatcher holds a lease without being a voter has lost its storage, and is
+// that has been silent for longer than maxSilence is replaced: a dispatcher joins as a learner. Once it has caught up, it is
+// promoted and the voter is removed in one change. A voter whose dispatcher holds a lease without being a voter has lost its storage, and is
 // replaced after a quarter of maxSilence.
 //
-// A machine that is dedicated to control and is no voter replaces in the same way one that serves jobs. If only the leader serves
-// jobs, it transfers leadership first.
+// In the same way, a dispatcher on a machine dedicated to control replaces a voter whose machine serves jobs. If only the leader's
+// machine serves jobs, the leader transfers leadership first.
 func PlanChange(statuses []Status, members []Candidate, nextID uint64, maxSilence time.Duration) (change Change, ok bool) {
 	group := assess(statuses, members, maxSilence)
 	if group.replaced == nil && group.servesJobs != nil && group.dedicatedCandidateWaits(members) {
@@ -48,11 +48,11 @@
 	return Change{AddLearner: &Voter{ID: nextID, Name: best.Name, Address: best.Address, Region: best.Region, Zone: best.Zone, Learner: true}}, true
 }
 
-// assessment is what the leader's observations say of the group. Each field is nil where there is no such member.
+// assessment summarizes the leader's observations of the group. Each field is nil if there is no such member.
 type assessment struct {
-	replaced   *Status // the voter to replace: of those that are absent, the one that has been silent for longest
+	replaced   *Status // the voter to replace: the absent voter that has been silent for longest
 	learner    *Status
-	servesJobs *Status // a present voter that serves jobs; the leader only where there is no other
+	servesJobs *Status // a present voter whose machine serves jobs; the leader only if there is no other
 	dedicated  *Status // a present voter on a machine dedicated to control, which has caught up
 }
 
@@ -77,7 +77,7 @@
 	return group
 }
 
-// addPresent notes whether the machine of a present voter serves jobs.
+// addPresent records a present voter as servesJobs or dedicated, depending on its machine.
 func (g *assessment) addPresent(status *Status, members []Candidate) {
 	for _, member := range members {
 		switch {
@@ -97,7 +97,7 @@
 	})
 }
 
-// dedicatedCandidateWaits reports whether a machine dedicated to control is no voter, or is the learner.
+// dedicatedCandidateWaits reports whether a dispatcher on a machine dedicated to control is not a voter yet.
 func (g *assessment) dedicatedCandidateWaits(members []Candidate) bool {
 	return slices.ContainsFunc(members, func(member Candidate) bool {
 		waits := member.VoterID == 0 || g.learner != nil && member.VoterID == g.learner.ID
@@ -105,8 +105,8 @@
 	})
 }
 
-// planForLearner returns the change that ends the learner's part: it is removed where it replaces nobody or is silent, and
-// promoted once it has caught up.
+// planForLearner returns the next change for the learner. The learner is removed if it replaces no voter or is silent, and promoted
+// once it has caught up.
 func (g *assessment) planForLearner(maxSilence time.Duration) (change Change, ok bool) {
 	switch {
 	case g.replaced == nil || g.learner.SilentFor > maxSilence:
@@ -117,9 +117,9 @@
 	return Change{}, false
 }
 
-// bestCandidate returns the dispatcher that should replace the voter with the ID replaced; nil where there is none. Machines
-// dedicated to control come first, then those of the region with the fewest other voters, then of the zone with the fewest, then
-// the first by name.
+// bestCandidate returns the dispatcher that should replace the voter with the ID replaced; nil if there is none. It prefers machines
+// dedicated to control, then the region with the fewest other voters, then the zone with the fewest other voters, then the first
+// name.
 func bestCandidate(statuses []Status, members []Candidate, replaced uint64) *Candidate {
 	others := slices.DeleteFunc(slices.Clone(statuses), func(status Status) bool { return status.ID == replaced })
 	var best *Candidate
@@ -140,7 +140,7 @@
 
 // candidateRank orders candidates; the smallest is preferred.
 type candidateRank struct {
-	servesJobs   int // 1 where its machine serves jobs, 0 where it is dedicated to control
+	servesJobs   int // 1 if its machine serves jobs, 0 if it is dedicated to control
 	regionVoters int // other voters and learners in its region
 	zoneVoters   int // other voters and learners in its zone
 }
@@ -162,7 +162,7 @@
 	return rank
 }
 
-// compare returns a negative number where r is preferred to other, a positive one where other is, and 0 where neither is.
+// compare returns a negative number if r is preferred to other, a positive one if other is preferred to r, and 0 if neither is.
 func (r candidateRank) compare(other candidateRank) int {
 	return cmp.Or(cmp.Compare(r.servesJobs, other.servesJobs), cmp.Compare(r.regionVoters, other.regionVoters), cmp.Compare(r.zoneVoters, other.zoneVoters))
 }
--- a/internal/decisions/voters/planchange_test.go
+++ b/internal/decisions/voters/planchange_test.go
@@ -25,7 +25,7 @@
 	return PlanChange(g.statuses, g.members, g.nextID, testMaxSilence)
 }
 
-// apply applies a change. A learner that joins is entriesBehind.
+// apply applies a change. A learner that joins lacks entriesBehind log entries.
 func (g *groupModel) apply(change Change, entriesBehind uint64) {
 	if change.AddLearner != nil {
 		g.statuses = append(g.statuses, Status{Voter: *change.AddLearner, EntriesBehind: entriesBehind})
@@ -72,7 +72,7 @@
 		group.statuses = append(group.statuses, Status{Voter: Voter{ID: uint64(i + 1), Address: name, Zone: zones[i%3]}})
 		group.members = append(group.members, Candidate{Name: name, Address: name, Zone: zones[i%3], VoterID: uint64(i + 1)})
 	}
-	for i := range rapid.IntRange(2, 6).Draw(t, "followers") {
+	for i := range rapid.IntRange(2, 6).Draw(t, "other dispatchers") {
 		name := fmt.Sprint("f", i)
 		group.members = append(group.members, Candidate{Name: name, Address: name, Zone: zones[rapid.IntRange(0, 2).Draw(t, "zone")]})
 	}
@@ -80,12 +80,12 @@
 }
 
 // TestPlanChange_replacesAbsentVoters silences one or two of five voters. It checks that the group returns to five present voters, that no
-// change reduces their number, and that nothing changes while all are present.
+// change reduces the number of present voters, and that the group does not change while all are present.
 func TestPlanChange_replacesAbsentVoters(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		group := drawGroup(t)
 		if change, ok := group.plan(); ok {
-			t.Fatalf("all voters are present, and the change is %+v", change)
+			t.Fatalf("all voters are present, got change %+v, want none", change)
 		}
 		for n := rapid.IntRange(1, 2).Draw(t, "absent"); n > 0; n-- {
 			i := rapid.IntRange(1, 4).Draw(t, "voter")
@@ -111,12 +111,12 @@
 			addresses[status.Address] = true
 		}
 		if present() != 5 || len(group.statuses) != 5 || len(addresses) != 5 {
-			t.Fatalf("after 20 changes: %+v", group.statuses)
+			t.Fatalf("after 20 changes: %+v, want 5 present voters with distinct addresses", group.statuses)
 		}
 	})
 }
 
-// drawDedicatedGroup returns a group of five voters among nine dispatchers, of whose machines some are dedicated to control.
+// drawDedicatedGroup returns a group of five voters among nine dispatchers. The machines of some are dedicated to control.
 func drawDedicatedGroup(t *rapid.T) *groupModel {
 	t.Helper()
 	group := &groupModel{nextID: 6}
@@ -132,15 +132,15 @@
 	return group
 }
 
-// TestPlanChange_prefersDedicatedMachines checks that as many machines dedicated to control as there are become voters, also in
-// place of the leader, while five vote at any time and the leader never removes itself; and that nothing changes afterwards.
-// A leader that serves jobs is not replaced if no machine is dedicated.
+// TestPlanChange_prefersDedicatedMachines checks that as many dedicated machines as possible become voters, also in place of the
+// leader, and that nothing changes afterwards. Five vote at any time, and the leader never removes itself. A leader whose machine
+// serves jobs is not replaced if no machine is dedicated.
 func TestPlanChange_prefersDedicatedMachines(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		group := drawDedicatedGroup(t)
 		settled := false
 		for range 100 {
-			for i := range group.statuses { // the leader receives messages of each voter now and then
+			for i := range group.statuses { // the leader receives messages of each voter at random intervals
 				if !group.statuses[i].IsLeader {
 					group.statuses[i].SilentFor = time.Duration(rapid.IntRange(0, 700).Draw(t, "silent for")) * time.Millisecond
 				}
@@ -155,7 +155,7 @@
 			}
 			group.apply(change, 0)
 			if voters := group.count(func(status Status) bool { return !status.Learner }); voters != 5 {
-				t.Fatalf("%d voters after %+v", voters, change)
+				t.Fatalf("%d voters after %+v, want 5", voters, change)
 			}
 		}
 		dedicated, dedicatedVoters := 0, 0
@@ -168,13 +168,13 @@
 		}
 		leaders := group.count(func(status Status) bool { return status.IsLeader })
 		if want := min(dedicated, 5); !settled || leaders != 1 || len(group.statuses) != 5 || dedicatedVoters != want {
-			t.Fatalf("%d of %d dedicated machines vote, %d leaders: %+v", dedicatedVoters, want, leaders, group.statuses)
+			t.Fatalf("%d dedicated machines vote, want %d; %d leaders, want 1: %+v", dedicatedVoters, want, leaders, group.statuses)
 		}
 	})
 }
 
 // TestPlanChange_lostStorage checks that a voter whose dispatcher is present without its storage is replaced before it has been
-// silent for the maximum, and that a voter that is back before its learner is promoted stays.
+// silent for the maximum, and that a voter that returns before its learner is promoted is kept.
 func TestPlanChange_lostStorage(t *testing.T) {
 	group := groupModel{
 		statuses: []Status{{Voter: Voter{ID: 1, Address: "a"}}, {Voter: Voter{ID: 2, Address: "b"}, SilentFor: 10 * time.Second}},
@@ -189,6 +189,6 @@
 	group.members[1].VoterID = 3
 	group.nextID = 4
 	if change, ok := group.plan(); !ok || change.Remove != 3 || change.Promote != 0 {
-		t.Errorf("voter is back: change %+v, want the learner removed", change)
+		t.Errorf("voter has returned: change %+v, want the learner removed", change)
 	}
 }
--- a/internal/decisions/voters/voter.go
+++ b/internal/decisions/voters/voter.go
@@ -2,7 +2,7 @@
 
 // Voter is a member of the raft group.
 type Voter struct {
-	ID      uint64 `json:"id"`             // never 0, and never used for another dispatcher
+	ID      uint64 `json:"id"`             // never 0, and never reused for another dispatcher
 	Name    string `json:"name,omitempty"` // of the dispatcher; empty for a founding voter
 	Address string `json:"address"`
 	Region  string `json:"region,omitempty"`
