--- a/internal/decisions/canary/evaluation.go
+++ b/internal/decisions/canary/evaluation.go
@@ -12,17 +12,17 @@
 	// maxDurationFactor times Rollout.MinDuration is how long an evaluation waits for minCanaryJobs.
 	maxDurationFactor = 3
 
-	// standardErrors is by how many standard errors of the difference of both failure rates that difference must exceed
-	// Rollout.FailureMargin to fail the canary.
+	// A canary fails if the difference of both failure rates exceeds Rollout.FailureMargin by more than standardErrors standard
+	// errors of the difference.
 	standardErrors = 3.0
 )
 
-// Sample is what a dispatcher reports of the jobs that it has ended since its process started.
+// Sample is a dispatcher's report of the jobs that it has ended since its process started.
 type Sample struct {
 	Dispatcher string // its name
-	Instance   string // of the process: drawn at its start
+	Instance   string // random ID of the process, drawn at its start
 	JobsEnded  uint64
-	JobsFailed uint64 // of those: rejected or failed
+	JobsFailed uint64 // of JobsEnded: rejected or failed
 }
 
 // Outcome is the result of an evaluation so far.
@@ -31,18 +31,18 @@
 const (
 	// InProgress says that more jobs or more time are needed.
 	InProgress Outcome = iota
-	// Passed says that the version may concern all dispatchers.
+	// Passed says that the version may apply to all dispatchers.
 	Passed
 	// Failed says that the version should be withdrawn.
 	Failed
 )
 
-// Evaluation is the raft leader's evaluation of one version's canary, from what dispatchers reported since it began. It is not
-// replicated: a new leader begins another one.
+// Evaluation is the raft leader's evaluation of one version's canary, from the samples since it began. It is not replicated: a new
+// leader begins another one.
 type Evaluation struct {
 	version   uint64
 	beganAt   Instant
-	baselines map[string]Sample // by name of the dispatcher: its first sample of this evaluation and of its process
+	baselines map[string]Sample // by name of the dispatcher: the first sample of its current process in this evaluation
 	latest    map[string]Sample // by name of the dispatcher
 }
 
@@ -63,13 +63,13 @@
 	e.latest[sample.Dispatcher] = sample
 }
 
-// Judge returns the outcome so far, with the reason where it is Failed. The reason becomes that of the version's withdrawal.
+// Judge returns the outcome so far. If it is Failed, Judge also returns the reason, which becomes the reason of the version's withdrawal.
 func (e *Evaluation) Judge(rollout *Rollout, now Instant) (outcome Outcome, reason string) {
 	canary, others := e.jobs(rollout)
 	elapsed := now - e.beganAt
 	if canary.ended < minCanaryJobs {
 		if elapsed >= maxDurationFactor*rollout.MinDuration {
-			return Failed, fmt.Sprintf("the part that tries it ended %.0f jobs in %v", canary.ended, maxDurationFactor*rollout.MinDuration)
+			return Failed, fmt.Sprintf("the canary ended only %.0f jobs in %v", canary.ended, maxDurationFactor*rollout.MinDuration)
 		}
 		return InProgress, ""
 	}
@@ -78,7 +78,7 @@
 		variance += others.rateVariance()
 	}
 	if excess := canary.rate() - others.rate() - rollout.FailureMargin; excess > standardErrors*math.Sqrt(variance) {
-		return Failed, fmt.Sprintf("%.3f of %.0f jobs refused or failed where it is tried, %.3f of %.0f elsewhere",
+		return Failed, fmt.Sprintf("failure rate %.3f of %.0f jobs in the canary, %.3f of %.0f jobs elsewhere",
 			canary.rate(), canary.ended, others.rate(), others.ended)
 	}
 	if elapsed >= rollout.MinDuration {
@@ -105,7 +105,7 @@
 	ended, failed float64
 }
 
-// rate returns the failure rate, and 0 without jobs.
+// rate returns the failure rate; 0 if there are no jobs.
 func (c jobCount) rate() float64 {
 	if c.ended == 0 {
 		return 0
@@ -113,8 +113,8 @@
 	return c.failed / c.ended
 }
 
-// rateVariance estimates the variance of the failure rate. It counts one more failed job and one more that did not fail, so that
-// it is never 0.
+// rateVariance estimates the variance of the failure rate. It adds one failed and one successful job, so that the variance is never
+// 0.
 func (c jobCount) rateVariance() float64 {
 	rate := (c.failed + 1) / (c.ended + 2)
 	return rate * (1 - rate) / (c.ended + 2)
