--- a/internal/decisions/budgetleases/doc.go
+++ b/internal/decisions/budgetleases/doc.go
@@ -1,19 +1,19 @@
-// Package budgetleases divides a rate that all dispatchers have in common among them, as leases that expire: of retries, of probes
-// or of new connections. It is pure: values in, verdicts out, with no I/O, no clock and no goroutine. Its types are not safe for
+// Package budgetleases divides a rate limit of the whole fleet among its dispatchers, as leases that expire. The limited uses are
+// retries, probes or new connections. The package is pure: it has no I/O, no clock and no goroutine. Its types are not safe for
 // concurrent use.
 //
-// A rate bounds uses over time: a lessee may save what one second of its lease permits, or one use where that is less than one,
-// and use it at once.
+// A rate limits uses over time: a lessee may save the uses that one second of its lease permits, or one use if the second permits less
+// than one, and make them at once.
 //
-// The package guarantees, whatever messages are lost, delayed or duplicated and whichever processes pause or restart, as long as
-// no lessee's clock runs slower than the lessor's by more than MaxClockDrift:
+// The package guarantees the following, even if messages are lost, delayed or duplicated and processes pause or restart, as long as no
+// lessee's clock runs slower than the lessor's by more than MaxClockDrift:
 //
-//  1. At any time the sum of all valid leases, and of what the dispatchers without one may use, is at most
+//  1. At any time the sum of the rates of all valid leases and of the rates permitted to dispatchers without a lease is at most
 //     Settings.RatePerSecond.
 //  2. A lessee that needs less than its fair share gets what it needs; the rest is divided evenly among the others, after each
 //     has got its floor.
 //  3. The rate leased to a dispatcher that is gone is available again once its lease has expired, and demand that rises is met
-//     within two lease durations, as far as others leave budget for it.
+//     within two lease durations, as far as the others leave budget.
 package budgetleases
 
 import "time"
--- a/internal/decisions/budgetleases/lessee.go
+++ b/internal/decisions/budgetleases/lessee.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// maxSavedUse is the time whose unused rate a lessee saves, so that a burst uses at most what one second of its lease permits.
+	// maxSavedUse is the time for which a lessee saves unused rate, so that a burst makes at most the uses of one second of its lease.
 	maxSavedUse = time.Second
 
 	// demandWindow is the time over which demand is smoothed.
@@ -12,22 +12,22 @@
 
 // Lessee is a dispatcher's side of one budget: a token bucket that fills at the rate of its lease.
 type Lessee struct {
-	unleasedRate float64 // uses a second without a lease
-	rate         float64 // uses a second of the lease
+	unleasedRate float64 // uses per second without a lease
+	rate         float64 // uses per second of the lease
 	expiry       Instant // of the lease
 	tokens       float64 // uses saved, as of filledAt
 	filledAt     Instant
-	demand       float64 // smoothed TryUse calls a second, as of filledAt
+	demand       float64 // smoothed TryUse calls per second, as of filledAt
 	denied       int
 }
 
-// NewLessee returns a lessee without a lease, which may make unleasedRate uses a second.
+// NewLessee returns a lessee without a lease, which may make unleasedRate uses per second.
 func NewLessee(unleasedRate float64, now Instant) *Lessee {
 	return &Lessee{unleasedRate: unleasedRate, filledAt: now}
 }
 
-// ApplyLease stores a lease of rate uses a second, which lasts from requestedAt, when the lessee sent the request. It is
-// ignored where it expires before the current one.
+// ApplyLease stores a lease of rate uses per second, which lasts from requestedAt, when the lessee sent the request. A lease that
+// expires before the current valid one is ignored.
 func (l *Lessee) ApplyLease(rate float64, requestedAt Instant, lease time.Duration, now Instant) {
 	l.refill(now)
 	if expiry := requestedAt + lease; expiry >= l.expiry || now >= l.expiry {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Rate returns the uses a second that the lessee may make now.
+// Rate returns the uses per second that the lessee may make now.
 func (l *Lessee) Rate(now Instant) float64 {
 	if now < l.expiry {
 		return l.rate
@@ -44,7 +44,7 @@
 }
 
 // refill adds the tokens since filledAt, at the rates that applied. It saves no more than maxSavedUse at the current rate, or one
-// use: a process that was paused may not use what accrued meanwhile.
+// use, so that a process that was paused cannot make all the uses accrued meanwhile.
 func (l *Lessee) refill(now Instant) {
 	if now <= l.filledAt {
 		return
@@ -73,7 +73,7 @@
 	return true
 }
 
-// Demand returns the smoothed number of TryUse calls a second.
+// Demand returns the smoothed number of TryUse calls per second.
 func (l *Lessee) Demand(now Instant) float64 {
 	l.refill(now)
 	return l.demand
--- a/internal/decisions/budgetleases/lessee_test.go
+++ b/internal/decisions/budgetleases/lessee_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLessee_usesItsLease checks that a lessee uses what its lease permits, and after a pause of the process no more than what it
-// may use without a lease.
+// TestLessee_usesItsLease checks that a lessee makes the uses that its lease permits, and after a pause of the process no more uses than
+// it may make without a lease.
 func TestLessee_usesItsLease(t *testing.T) {
 	lessee := NewLessee(1, 0)
 	lessee.ApplyLease(50, 0, leaseDuration, 0)
@@ -19,16 +19,16 @@
 		return uses
 	}
 	if uses := use(0, time.Second); uses < 45 || uses > 51 {
-		t.Errorf("%d uses in the first second", uses)
+		t.Errorf("%d uses in the first second, want 45 to 51", uses)
 	}
 	if demand := lessee.Demand(time.Second); demand < 300 {
-		t.Errorf("1000 uses a second were tried: demand %v", demand)
+		t.Errorf("1000 uses per second were tried, got demand %v, want at least 300", demand)
 	}
 	lessee.ApplyLease(50, time.Second, leaseDuration, time.Second)
 	if uses := use(30*time.Second, 31*time.Second); uses > 3 { // paused for 29 s
-		t.Errorf("%d uses in the second after a pause", uses)
+		t.Errorf("%d uses in the second after a pause, want at most 3", uses)
 	}
 	if lessee.Denied() == 0 {
-		t.Error("nothing was denied")
+		t.Error("no use was denied, want some")
 	}
 }
--- a/internal/decisions/budgetleases/lessor.go
+++ b/internal/decisions/budgetleases/lessor.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// allocationInterval is the maximum age of the allocation on which a grant rests: computing it goes through all lessees, each
-	// of which requests several grants a second.
+	// allocationInterval is the maximum age of the allocation on which a grant is based. Computing it iterates over all lessees, each
+	// of which requests several grants per second.
 	allocationInterval = 50 * time.Millisecond
 
-	// demandHeadroom times its demand is the most that a lessee is granted. The margin meets demand that rises until the next
-	// renewal.
+	// demandHeadroom times its demand is the maximum rate that a lessee is granted. The margin covers demand that rises until the
+	// next renewal.
 	demandHeadroom = 1.25
 )
 
-// Lessor grants the leases of one budget. The raft leader runs one. It is not replicated: a new one grants nothing above
-// Settings.UnleasedRate while leases of its predecessor may be valid.
+// Lessor grants the leases of one budget. The raft leader runs one. It is not replicated: a new lessor grants no rate
+// above Settings.UnleasedRate while leases of its predecessor may be valid.
 type Lessor struct {
 	settings  Settings
 	electedAt Instant
@@ -26,22 +26,22 @@
 	// The allocation, computed by allocate.
 	allocatedAt Instant
 	stale       bool    // it must be computed before the next grant
-	granted     float64 // uses a second that all lessees may make together; at least the sum of their maxValidGrant
+	granted     float64 // uses per second that all lessees may make together; at least the sum of their maxValidGrant
 	floorScale  float64 // from 0 to 1: the share of the floors that fits into the budget
-	level       float64 // uses a second beyond its floor that a lessee gets at the most
+	level       float64 // maximum uses per second that a lessee gets beyond its floor
 }
 
 // lesseeState is what the lessor knows of a lessee.
 type lesseeState struct {
-	demand, floor float64 // uses a second, as it last requested
+	demand, floor float64 // uses per second, as it last requested
 	requestedAt   Instant
-	grants        []grant // those that may be valid
+	grants        []grant // grants that may be valid
 	granted       float64 // its part of Lessor.granted
 }
 
 // grant is a lease that was granted.
 type grant struct {
-	rate   float64 // uses a second
+	rate   float64 // uses per second
 	expiry Instant // by the lessor's clock, lengthened by MaxClockDrift
 }
 
@@ -78,12 +78,12 @@
 	return rate
 }
 
-// Grant returns the uses a second that the dispatcher with the given name may make, as a lease that begins when it sent the
-// request. demand is what it needs now, and floor is the part of it that it gets before others get more than their floors; both are
-// uses a second. The fleet passes a floor of 0: its least rate is UnleasedRate.
+// Grant returns the uses per second that the dispatcher with the given name may make, as a lease that begins when it sent the
+// request. demand is the rate that it needs now, and floor is the part of demand that it gets before others get more than their
+// floors; both are uses per second. The fleet passes a floor of 0, so that the minimum rate is UnleasedRate.
 //
-// The rate is at least what the dispatcher may use without a lease, but 0 where Settings.MaxLessees others have leases: the
-// budget then has nothing left for it.
+// The rate is at least the rate that the dispatcher has without a lease. But it is 0 if Settings.MaxLessees others have leases: then
+// no budget is left.
 func (l *Lessor) Grant(name string, demand, floor float64, now Instant) float64 {
 	unleased := l.settings.UnleasedRate()
 	if now < l.electedAt+l.assumedLeaseDuration() {
@@ -110,12 +110,13 @@
 	return rate
 }
 
-// unleasedReserve returns the uses a second that are reserved for dispatchers that the lessor does not know.
+// unleasedReserve returns the uses per second that are reserved for dispatchers that the lessor does not know.
 func (l *Lessor) unleasedReserve() float64 {
 	return l.settings.UnleasedRate() * float64(l.settings.MaxLessees-len(l.lessees))
 }
 
-// assured returns the rate that a lessee is granted before others get more than theirs: its floor, as far as it needs it.
+// assured returns the rate that a lessee gets before others get more than their assured rates: its floor, limited to its demand, but at
+// least Settings.UnleasedRate.
 func (l *Lessor) assured(lessee *lesseeState) float64 {
 	return max(min(lessee.floor, lessee.demand), l.settings.UnleasedRate())
 }
@@ -155,8 +156,8 @@
 	l.level = fillLevel(needs, left)
 }
 
-// fillLevel returns the level up to which all needs can be met from a total: the needs below it are met, and the others get as
-// much as it. It sorts needs.
+// fillLevel returns the level for max-min fairness: needs below the level are met in full, the others get the level, and their sum is at
+// most total. It sorts needs.
 func fillLevel(needs []float64, total float64) (level float64) {
 	slices.Sort(needs)
 	for i, need := range needs {
@@ -170,7 +171,7 @@
 	return level
 }
 
-// Outstanding returns the uses a second that all dispatchers together may make at most now, with and without leases.
+// Outstanding returns the maximum uses per second that all dispatchers together may make now, with and without leases.
 func (l *Lessor) Outstanding(now Instant) (rate float64) {
 	l.expire(now)
 	for _, lessee := range l.lessees {
--- a/internal/decisions/budgetleases/lessor_test.go
+++ b/internal/decisions/budgetleases/lessor_test.go
@@ -13,15 +13,15 @@
 
 const leaseDuration = 2 * time.Second
 
-// budgetModel is a lessor and its lessees, whose clocks run at different paces. Responses may be delayed, lost or duplicated.
+// budgetModel is a lessor and its lessees, whose clocks run at different rates. Responses may be delayed, lost or duplicated.
 type budgetModel struct {
-	settings  Settings
-	lessor    *Lessor
-	now       Instant // the lessor's
-	lessees   []*Lessee
-	clocks    []Instant // the lessees'
-	paces     []float64 // of clocks, in seconds for each of the lessor's
-	responses []grantResponse
+	settings   Settings
+	lessor     *Lessor
+	now        Instant // the lessor's
+	lessees    []*Lessee
+	clocks     []Instant // the lessees'
+	clockRates []float64 // of clocks, in seconds per second of the lessor's clock
+	responses  []grantResponse
 }
 
 // grantResponse is a response that is in flight to a lessee.
@@ -31,7 +31,7 @@
 	requestedAt Instant
 }
 
-// drawBudgetModel draws the numbers of a model: one to six lessees, the unleased share, and the paces of clocks.
+// drawBudgetModel draws the parameters of a model: one to six lessees, the unleased share, and the rates of clocks.
 func drawBudgetModel(t *rapid.T) *budgetModel {
 	t.Helper()
 	dispatchers := rapid.IntRange(1, 6).Draw(t, "dispatchers")
@@ -42,16 +42,16 @@
 	model := &budgetModel{settings: settings, lessor: NewLessor(settings, -time.Minute), clocks: make([]Instant, dispatchers)}
 	for range dispatchers {
 		model.lessees = append(model.lessees, NewLessee(settings.UnleasedRate(), 0))
-		model.paces = append(model.paces, rapid.Float64Range(1-MaxClockDrift/2, 1+MaxClockDrift/2).Draw(t, "pace"))
+		model.clockRates = append(model.clockRates, rapid.Float64Range(1-MaxClockDrift/2, 1+MaxClockDrift/2).Draw(t, "clock rate"))
 	}
 	return model
 }
 
-// advance advances all clocks, those of paused lessees too.
+// advance advances all clocks, including the clocks of paused lessees.
 func (m *budgetModel) advance(elapsed time.Duration) {
 	m.now += elapsed
 	for i := range m.clocks {
-		m.clocks[i] += time.Duration(float64(elapsed) * m.paces[i])
+		m.clocks[i] += time.Duration(float64(elapsed) * m.clockRates[i])
 	}
 }
 
@@ -66,7 +66,7 @@
 	m.lessees[response.to].ApplyLease(response.rate, response.requestedAt, leaseDuration, m.clocks[response.to])
 }
 
-// usableRate returns the uses a second that all lessees may make now, whether the lessor knows of them or not.
+// usableRate returns the uses per second that all lessees may make now, regardless of whether the lessor knows them.
 func (m *budgetModel) usableRate() (rate float64) {
 	for i, lessee := range m.lessees {
 		rate += lessee.Rate(m.clocks[i])
@@ -74,8 +74,8 @@
 	return rate
 }
 
-// TestLessor_neverExceedsBudget checks that leases and what dispatchers may use without one stay within the budget, whatever is
-// requested, lost, delayed or duplicated, whichever processes pause or restart, also the lessor's.
+// TestLessor_neverExceedsBudget checks that the rates with and without leases stay within the budget, under random requests, lost,
+// delayed and duplicated responses, and pauses and restarts of processes, including the lessor's.
 func TestLessor_neverExceedsBudget(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		model := drawBudgetModel(t)
@@ -96,16 +96,16 @@
 				model.lessor = NewLessor(model.settings, model.now)
 			}
 			if usable := model.usableRate(); usable > model.settings.RatePerSecond+1e-6 {
-				t.Fatalf("%v uses a second are permitted, of %v", usable, model.settings.RatePerSecond)
+				t.Fatalf("%v uses per second are permitted, want at most %v", usable, model.settings.RatePerSecond)
 			}
 			if outstanding := model.lessor.Outstanding(model.now); outstanding > model.settings.RatePerSecond+1e-6 {
-				t.Fatalf("outstanding %v of %v", outstanding, model.settings.RatePerSecond)
+				t.Fatalf("outstanding rate %v, want at most %v", outstanding, model.settings.RatePerSecond)
 			}
 		}
 	})
 }
 
-// grantRepeatedly grants lessees of constant demands and floors their leases for ten lease durations, and returns the last rates.
+// grantRepeatedly grants leases to lessees with constant demands and floors for ten lease durations, and returns the last rates.
 func grantRepeatedly(settings Settings, demands, floors []float64) (rates []float64) {
 	lessor := NewLessor(settings, -time.Minute)
 	rates = make([]float64, len(demands))
@@ -117,8 +117,8 @@
 	return rates
 }
 
-// TestLessor_sharesFairly checks that small demands are met and the rest is divided evenly, floors first, and that demand that
-// rises tenfold at one lessee is met within two leases from what the others do not need.
+// TestLessor_sharesFairly checks that small demands are met and the rest is divided evenly, after the floors. If the demand of one
+// lessee rises tenfold, the rate that the others do not need must meet it within two lease durations.
 func TestLessor_sharesFairly(t *testing.T) {
 	settings := Settings{RatePerSecond: 100, UnleasedShare: 0.1, MaxLessees: 4, LeaseDuration: leaseDuration}
 	for _, test := range []struct{ demands, floors, want []float64 }{
@@ -130,7 +130,7 @@
 		got := grantRepeatedly(settings, test.demands, test.floors)
 		for i := range got {
 			if math.Abs(got[i]-test.want[i]) > 1.5 {
-				t.Errorf("demands %v, floors %v: %v, want %v", test.demands, test.floors, got, test.want)
+				t.Errorf("demands %v, floors %v: rates %v, want %v", test.demands, test.floors, got, test.want)
 				break
 			}
 		}
@@ -153,6 +153,6 @@
 		}
 	}
 	if metAfter == 0 || metAfter > 2*leaseDuration {
-		t.Errorf("tenfold demand is met after %v", metAfter)
+		t.Errorf("tenfold demand is met after %v (0 for never), want within two lease durations", metAfter)
 	}
 }
