--- a/internal/decisions/configversions/dispatcher.go
+++ b/internal/decisions/configversions/dispatcher.go
@@ -12,7 +12,7 @@
 	Address             string `json:"address,omitempty"`
 	Region              string `json:"region,omitempty"`
 	Zone                string `json:"zone,omitempty"`
-	VoterID             uint64 `json:"seat,omitempty"`      // ID of its voter or learner; 0 if it is neither
+	VoterID             uint64 `json:"seat,omitempty"`      // its ID as a voter or learner; 0 if it is neither
 	JobsEnded           uint64 `json:"ended,omitempty"`     // requests answered since the process started
 	JobsFailed          uint64 `json:"bad,omitempty"`       // of JobsEnded: rejected or failed
 	PlanNumber          uint64 `json:"plan,omitempty"`      // number of the zone plan that it acts on
--- a/internal/decisions/configversions/leasetable.go
+++ b/internal/decisions/configversions/leasetable.go
@@ -28,7 +28,7 @@
 )
 
 // LeaseTable is the raft leader's table of the dispatchers that may hold leases, and of the versions that they have acknowledged.
-// It is not replicated. A new leader starts with an empty table and assumes that its predecessor has granted leases.
+// It is not replicated. A new leader starts with an empty table and assumes that leases of its predecessor may still be valid.
 type LeaseTable struct {
 	assumedLeaseDuration time.Duration // the lease duration, lengthened by MaxClockDrift
 	electedAt            Instant
--- a/internal/decisions/failover/plan_test.go
+++ b/internal/decisions/failover/plan_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestPlanChoose_followsShares checks that requests are distributed by the shares of a plan within 0.002, and that few requests change
-// their zone if shares change little. It also checks that the load of a zone is at most MaxMixedLoad under either of two plans, and that
-// their interpolation loads no zone more than both plans.
+// their zone if shares change little. It also checks that the load of a zone is at most MaxMixedLoad under either of two plans, and at most
+// the larger of both loads under their interpolation.
 func TestPlanChoose_followsShares(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		zones, demands, reachable := drawInputs(t)
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestPlanner_partialFaults checks faults that only some dispatchers or classes observe.
+// TestPlanner_partialFaults checks a cut route, wrong reports of one dispatcher, late responses of a zone, and a zone lost for a class.
 func TestPlanner_partialFaults(t *testing.T) {
 	t.Run("a route that is cut in one direction is avoided only by its own zone", func(t *testing.T) {
 		model := newFleetModel(3)
--- a/internal/decisions/failover/recorder.go
+++ b/internal/decisions/failover/recorder.go
@@ -25,7 +25,7 @@
 
 // lastSignal is the last signal of a zone.
 type lastSignal struct {
-	at         Instant // of the first unanswered attempt if there was no signal yet
+	at         Instant // when it was received; of the first unanswered attempt if there was no signal yet
 	unanswered int     // attempts and probes since then
 }
 
--- a/internal/decisions/voters/candidate.go
+++ b/internal/decisions/voters/candidate.go
@@ -6,6 +6,6 @@
 	Address            string // empty if it cannot become a voter
 	Region             string
 	Zone               string
-	VoterID            uint64 // ID of its voter or learner; 0 if it is neither
+	VoterID            uint64 // its ID as a voter or learner; 0 if it is neither
 	DedicatedToControl bool   // its machine serves no jobs, and is preferred as a voter
 }
