--- a/internal/endpointcache/cachedlist.go
+++ b/internal/endpointcache/cachedlist.go
@@ -31,7 +31,7 @@
 // ConfirmedAt returns when the list was last known to be in force.
 func (c *CachedList) ConfirmedAt() time.Time { return time.UnixMilli(c.ConfirmedAtMS) }
 
-// LearnedState returns what the scheduler had learned, without the classes, which are stored by name.
+// LearnedState returns the stored state of the scheduler, without the classes, which are stored by name.
 func (c *CachedList) LearnedState() scheduler.LearnedState {
 	state := scheduler.LearnedState{Overcommit: c.Overcommit, MeanStay: c.MeanStay, MeanWork: c.MeanWork, Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
 	for _, member := range c.Members {
@@ -51,10 +51,10 @@
 	return list
 }
 
-// validate returns an error for a list that no process of this program wrote, whatever its checksum.
+// validate returns an error for a list that this program cannot have written, even if its checksum is correct.
 func (c *CachedList) validate() error { return c.List().Check() }
 
-// apply adds a record of the journal to the list.
+// apply applies a record of the journal to the list.
 func (c *CachedList) apply(record journalRecord) {
 	c.ConfirmedAtMS, c.Revision = max(c.ConfirmedAtMS, record.AtMS), record.Revision
 	indexes := map[string]int{}
@@ -75,8 +75,8 @@
 	}
 }
 
-// updatedTo returns the worker after an update of discovery, which need not repeat the address. Nothing that was learned of an earlier
-// incarnation is retained.
+// updatedTo returns the worker after an update from discovery, which may omit the address. The statistics and the last signal of an earlier
+// incarnation are dropped.
 func (c CachedMember) updatedTo(member protocol.Member) CachedMember {
 	if member.HostPort == "" {
 		member.HostPort = c.HostPort
--- a/internal/endpointcache/directory.go
+++ b/internal/endpointcache/directory.go
@@ -16,8 +16,8 @@
 	writableByOthers = 0o022
 )
 
-// CheckDirectory returns an error for a path that cannot be the directory of cached lists: others may write there, or it is no
-// directory. A path that does not exist is in order.
+// CheckDirectory returns an error for a path that cannot be the directory of cached lists: other users may write there, or it is not a
+// directory. It accepts a path that does not exist.
 func CheckDirectory(path string) error {
 	info, err := os.Stat(path)
 	switch {
@@ -26,35 +26,35 @@
 	case err != nil:
 		return err
 	case !info.IsDir():
-		return fmt.Errorf("%s is no folder", path)
+		return fmt.Errorf("%s is not a directory", path)
 	case info.Mode().Perm()&writableByOthers != 0:
 		return fmt.Errorf("%s: others may write there (mode %04o): chmod 700", path, info.Mode().Perm())
 	}
 	return nil
 }
 
-// OpenOrCreate returns a dispatcher's directory below a path. Directories that are missing are created.
+// OpenOrCreate returns a dispatcher's directory below a path. It creates missing directories.
 func OpenOrCreate(path, dispatcher string) (Files, error) {
 	if err := CheckDirectory(path); err != nil {
 		return nil, err
 	}
-	own := filepath.Join(path, escapeName(dispatcher))
-	if err := os.MkdirAll(own, directoryMode); err != nil {
+	directory := filepath.Join(path, escapeName(dispatcher))
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return nil, err
 	}
-	if err := CheckDirectory(own); err != nil {
+	if err := CheckDirectory(directory); err != nil {
 		return nil, err
 	}
-	return diskFiles(own), nil
+	return diskFiles(directory), nil
 }
 
 // OpenExisting returns a dispatcher's directory below a path, or an error if it is missing.
 func OpenExisting(path, dispatcher string) (Files, error) {
-	own := filepath.Join(path, escapeName(dispatcher))
-	if _, err := os.Stat(own); err != nil {
+	directory := filepath.Join(path, escapeName(dispatcher))
+	if _, err := os.Stat(directory); err != nil {
 		return nil, err
 	}
-	return diskFiles(own), nil
+	return diskFiles(directory), nil
 }
 
 // Dispatchers returns the names of the dispatchers that have a directory below a path.
@@ -72,7 +72,7 @@
 	return names, nil
 }
 
-// escapeName returns a file name for any text, and different names for different texts: other bytes than ASCII letters, digits, '-' and
+// escapeName returns a file name for any text, and different names for different texts. All bytes except ASCII letters, digits, '-' and
 // '_' become '%' and two hexadecimal digits.
 func escapeName(text string) string {
 	var name []byte
--- a/internal/endpointcache/files.go
+++ b/internal/endpointcache/files.go
@@ -9,18 +9,18 @@
 	"github.com/google/renameio/v2"
 )
 
-// Files is the directory of a store. Each method is one step that a crash may precede, interrupt or follow; tests inject faults there.
-// An error of a missing file is fs.ErrNotExist.
+// Files is the directory of a store. A crash may occur before, during or after each method; tests inject faults there. The error for a
+// missing file is fs.ErrNotExist.
 type Files interface {
 	// Names returns the names of the regular files in the directory, sorted.
 	Names() ([]string, error)
 	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Replace writes a file whole: after a crash it has the old content, or the new one, or is missing if it was; once Replace has
-	// returned it has the new one.
+	// Replace writes a file atomically. After a crash during Replace, the file has either the new content or its old state: the old
+	// content, or missing. When Replace has returned without an error, the new content is on disk.
 	Replace(name string, content []byte) error
-	// Append writes at the end of a file, which is created if it is missing. The content is on disk when Append returns; after a crash
-	// a part of it may be.
+	// Append writes at the end of a file, and creates a missing file. The content is on disk when Append returns without an error. After
+	// a crash during Append, a part of the content may be on disk.
 	Append(name string, content []byte) error
 	// Rename changes the name of a file.
 	Rename(from, to string) error
@@ -28,10 +28,10 @@
 	Remove(name string) error
 }
 
-// fileMode is the mode of stored files: they are of this user alone.
+// fileMode is the mode of stored files: only their owner has access.
 const fileMode = 0o600
 
-// diskFiles is a directory on disk, by its path.
+// diskFiles is the path of a directory on disk.
 type diskFiles string
 
 func (d diskFiles) path(name string) string { return filepath.Join(string(d), name) }
@@ -74,13 +74,13 @@
 
 // Append implements Files.
 func (d diskFiles) Append(name string, content []byte) error {
-	_, missing := os.Lstat(d.path(name))
+	_, statErr := os.Lstat(d.path(name))
 	file, err := os.OpenFile(d.path(name), os.O_WRONLY|os.O_APPEND|os.O_CREATE, fileMode)
 	if err != nil {
 		return err
 	}
 	_, err = file.Write(content)
-	if err = errors.Join(err, file.Sync(), file.Close()); err == nil && missing != nil {
+	if err = errors.Join(err, file.Sync(), file.Close()); err == nil && statErr != nil {
 		err = d.sync()
 	}
 	return err
--- a/internal/endpointcache/generation.go
+++ b/internal/endpointcache/generation.go
@@ -13,22 +13,22 @@
 const (
 	snapshotPrefix = "snapshot-"
 	journalPrefix  = "journal-"
-	damagedPrefix  = "damaged-" // before the name of a file that was set aside
+	damagedPrefix  = "damaged-" // before the name of a file of a damaged generation
 )
 
 // generationDigits is how many hexadecimal digits the number of a generation has in a file name.
 const generationDigits = 16
 
-// Generation is a generation as it was read.
+// Generation is a generation as read from its files.
 type Generation struct {
 	Number    uint64
-	List      *CachedList // nil where the snapshot cannot be used
+	List      *CachedList // nil if the snapshot cannot be used
 	Err       error       // why the snapshot cannot be used, or the journal cannot be read
-	Records   int         // whole records in the journal
-	TornBytes int         // bytes after them
+	Records   int         // intact records in the journal
+	TornBytes int         // bytes in the journal after its last intact record
 }
 
-// Generations returns all generations, the newest first. Its error means that the directory cannot be read.
+// Generations returns all generations, the newest first. An error means that the directory cannot be read.
 func (s *Store) Generations() ([]Generation, error) {
 	names, err := s.files.Names()
 	if err != nil {
@@ -55,18 +55,18 @@
 	if generation.List, generation.Err = s.readSnapshot(number); generation.Err != nil {
 		return generation
 	}
-	text, err := s.files.Read(fileName(journalPrefix, number))
+	journal, err := s.files.Read(fileName(journalPrefix, number))
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			generation.Err = err
 		}
 		return generation
 	}
-	records, wholeBytes := decodeJournal(text)
+	records, intactBytes := decodeJournal(journal)
 	for _, record := range records {
 		generation.List.apply(record)
 	}
-	generation.Records, generation.TornBytes = len(records), len(text)-wholeBytes
+	generation.Records, generation.TornBytes = len(records), len(journal)-intactBytes
 	return generation
 }
 
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%s%0*x", prefix, generationDigits, number)
 }
 
-// generationNumber returns the number of the generation in a file name; it is not ok for a name without the prefix.
+// generationNumber returns the number of the generation in a file name. ok is false unless the name is the prefix and a number.
 func generationNumber(name, prefix string) (number uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(digits) != generationDigits {
--- a/internal/endpointcache/journal.go
+++ b/internal/endpointcache/journal.go
@@ -10,7 +10,7 @@
 )
 
 // journalRecord is a change of the list. It is stored as its length (4 bytes), a checksum (8 bytes) and a JSON document. The checksum
-// covers the index of the record in the journal, so that no record can be read at the place of another.
+// covers the index of the record in the journal, so that a record at another position is rejected.
 type journalRecord struct {
 	AtMS     int64             `json:"at_ms"` // Unix time at which the list was last known to be in force
 	Revision int64             `json:"revision"`
@@ -21,7 +21,7 @@
 const (
 	recordLengthBytes = 4
 	recordHeaderBytes = recordLengthBytes + 8
-	maxRecordBytes    = 16 << 20 // a greater length is taken for damage
+	maxRecordBytes    = 16 << 20 // a greater length means that the record is damaged
 )
 
 // encodeRecord returns the bytes of a record at an index of the journal.
@@ -44,29 +44,29 @@
 	return digest.Sum64()
 }
 
-// decodeJournal reads a journal up to the first record that is not whole, and returns the number of bytes before it.
-func decodeJournal(text []byte) (records []journalRecord, wholeBytes int) {
+// decodeJournal reads a journal up to the first record that is not intact, and returns the number of bytes before that record.
+func decodeJournal(journal []byte) (records []journalRecord, intactBytes int) {
 	for index := uint64(0); ; index++ {
-		record, size, ok := decodeRecord(index, text[wholeBytes:])
+		record, size, ok := decodeRecord(index, journal[intactBytes:])
 		if !ok {
-			return records, wholeBytes
+			return records, intactBytes
 		}
-		records, wholeBytes = append(records, record), wholeBytes+size
+		records, intactBytes = append(records, record), intactBytes+size
 	}
 }
 
-// decodeRecord reads the record at the beginning of a text, and returns its size in bytes; it is not ok unless the record is whole.
-func decodeRecord(index uint64, text []byte) (record journalRecord, size int, ok bool) {
-	if len(text) < recordHeaderBytes {
+// decodeRecord reads the record at the beginning of data, and returns its size in bytes. ok is false unless the record is intact.
+func decodeRecord(index uint64, data []byte) (record journalRecord, size int, ok bool) {
+	if len(data) < recordHeaderBytes {
 		return record, 0, false
 	}
-	length := binary.BigEndian.Uint32(text)
-	if length > maxRecordBytes || int(length) > len(text)-recordHeaderBytes {
+	length := binary.BigEndian.Uint32(data)
+	if length > maxRecordBytes || int(length) > len(data)-recordHeaderBytes {
 		return record, 0, false
 	}
 	size = recordHeaderBytes + int(length)
-	body := text[recordHeaderBytes:size]
-	if binary.BigEndian.Uint64(text[recordLengthBytes:]) != recordChecksum(index, body) || json.Unmarshal(body, &record) != nil {
+	body := data[recordHeaderBytes:size]
+	if binary.BigEndian.Uint64(data[recordLengthBytes:]) != recordChecksum(index, body) || json.Unmarshal(body, &record) != nil {
 		return record, 0, false
 	}
 	return record, size, (&protocol.List{Members: record.Members}).Check() == nil
--- a/internal/endpointcache/memoryfiles_test.go
+++ b/internal/endpointcache/memoryfiles_test.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// memoryFiles is a Files in memory whose changes fail, or end in a simulated crash of the machine, as a test configures.
+// memoryFiles is a Files in memory. A test can make its changes fail, or end in a simulated crash of the machine.
 type memoryFiles struct {
 	files     map[string][]byte
-	steps     int   // how many changes were made
+	steps     int   // how many changes were attempted
 	crashAt   int   // the change at which the machine crashes, counted from 1; 0 for never
-	crashPart int   // how much of that change is done, from 0 for nothing; see Replace and Append
-	failWith  error // the error of each change, which is not made; nil for none
+	crashPart int   // how far that change got, 0 for not at all; see Replace and Append
+	failWith  error // the error with which each change fails; nil for none
 }
 
 var errCrashed = errors.New("the machine has crashed")
 
-// step counts a change, and returns its error.
+// step counts a change, and returns the error with which it must fail.
 func (m *memoryFiles) step() error {
 	m.steps++
 	switch {
--- a/internal/endpointcache/settings.go
+++ b/internal/endpointcache/settings.go
@@ -5,12 +5,12 @@
 // Settings is the block saved_list of the operator's file.
 type Settings struct {
 	Directory         string  `hcl:"directory"`
-	MaxAge            string  `hcl:"oldest,optional"` // an older list is not used; a duration such as "72h"
-	MinFirstListShare float64 `hcl:"shrink,optional"` // a first list below this share of the cached one must be confirmed; 0 for never
+	MaxAge            string  `hcl:"oldest,optional"` // maximum age of a list that is used; a duration such as "72h"
+	MinFirstListShare float64 `hcl:"shrink,optional"` // a first list below this share of the cached workers must be confirmed; 0 for never
 }
 
 // Default returns the values of the optional settings.
 func Default() Settings { return Settings{MaxAge: "72h", MinFirstListShare: 0.5} }
 
-// ParseMaxAge returns MaxAge as a duration, or an error if it is not one.
+// ParseMaxAge returns MaxAge as a duration, or an error if it is not a duration.
 func (s *Settings) ParseMaxAge() (time.Duration, error) { return time.ParseDuration(s.MaxAge) }
--- a/internal/endpointcache/snapshot.go
+++ b/internal/endpointcache/snapshot.go
@@ -12,8 +12,8 @@
 	"brassdale/internal/protocol"
 )
 
-// FormatVersion is the format version of the snapshots that are written. Version 1, which is read too, was a list in the protocol of
-// discovery and the time when it was made, without statistics.
+// FormatVersion is the format version of the snapshots that are written. Version 1 can be read too: it has a list in the protocol of
+// discovery and the time when the list was made, without statistics.
 const FormatVersion = 2
 
 // snapshotMagic is the first word of a snapshot. A snapshot is a line of text and a JSON document; the line has the magic word, the
@@ -42,20 +42,20 @@
 	return digest.Sum64()
 }
 
-// decodeSnapshot reads a snapshot. Its error is ErrDamaged if any byte is not as it was written, and an UnknownVersionError if the
-// snapshot is whole but of another version.
+// decodeSnapshot reads a snapshot. The error is ErrDamaged if any byte differs from the bytes that were written, and an
+// UnknownVersionError if the snapshot is intact but has an unknown version.
 func decodeSnapshot(text []byte) (*CachedList, error) {
 	line, body, ok := bytes.Cut(text, []byte("\n"))
 	parts := strings.Split(string(line), " ")
 	if !ok || len(parts) != 4 || parts[0] != snapshotMagic {
-		return nil, fmt.Errorf("%w: no snapshot", ErrDamaged)
+		return nil, fmt.Errorf("%w: not a snapshot", ErrDamaged)
 	}
 	version, err := strconv.Atoi(parts[1])
 	if err != nil {
-		return nil, fmt.Errorf("%w: version %q", ErrDamaged, parts[1])
+		return nil, fmt.Errorf("%w: invalid version %q", ErrDamaged, parts[1])
 	}
 	if parts[1] != strconv.Itoa(version) || parts[2] != strconv.Itoa(len(body)) || parts[3] != fmt.Sprintf("%016x", snapshotChecksum(version, body)) {
-		return nil, fmt.Errorf("%w: length or checksum", ErrDamaged)
+		return nil, fmt.Errorf("%w: length or checksum does not match", ErrDamaged)
 	}
 	decodeBody, ok := bodyDecoders[version]
 	if !ok {
@@ -68,7 +68,7 @@
 	return list, list.validate()
 }
 
-// bodyDecoders read the document of each format version.
+// bodyDecoders decode the JSON document of each format version.
 var bodyDecoders = map[int]func([]byte) (*CachedList, error){
 	1: decodeBodyV1,
 	2: decodeBodyV2,
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// retainedGenerations is how many generations are retained when a snapshot is written.
+	// retainedGenerations is how many generations are retained after a snapshot is written.
 	retainedGenerations = 3
 
 	// retainedDamaged is how many damaged generations are retained for inspection.
@@ -20,18 +20,18 @@
 	files      Files
 	dispatcher string
 
-	currentGeneration uint64 // the generation that is written; 0 for none
+	currentGeneration uint64 // the generation that this store writes; 0 for none
 	journalRecords    uint64 // records in its journal
-	journalTorn       bool   // its journal may end in a part of a record, after which nothing may be written
+	journalTorn       bool   // its journal may end in a partial record, after which nothing may be written
 }
 
-// NewStore returns the store of a dispatcher with this name.
+// NewStore returns the store of the dispatcher with this name.
 func NewStore(files Files, dispatcher string) *Store {
 	return &Store{files: files, dispatcher: dispatcher}
 }
 
-// Load returns the list of the newest generation whose snapshot is whole, or nil. It sets damaged generations aside. Each fault that it
-// found is described in notes.
+// Load returns the list of the newest generation whose snapshot is intact, or nil if there is none. It renames damaged generations. faults
+// describes each fault that it found.
 func (s *Store) Load() (list *CachedList, faults []string) {
 	found, err := s.Generations()
 	if err != nil {
@@ -42,10 +42,10 @@
 			faults = append(faults, fmt.Sprintf("generation %d: %v", generation.Number, generation.Err))
 		}
 		if generation.List == nil && errors.Is(generation.Err, ErrDamaged) {
-			s.setAside(generation.Number)
+			s.renameDamaged(generation.Number)
 		}
 		if generation.TornBytes > 0 {
-			faults = append(faults, fmt.Sprintf("generation %d: the journal ends in %d bytes that are no record", generation.Number, generation.TornBytes))
+			faults = append(faults, fmt.Sprintf("generation %d: the journal ends in %d bytes that are not an intact record", generation.Number, generation.TornBytes))
 		}
 		if generation.List != nil && list == nil {
 			list = generation.List
@@ -54,9 +54,9 @@
 	return list, faults
 }
 
-// setAside renames a damaged generation, and removes the oldest of those that were set aside. Its errors are ignored: the files are for
-// inspection only, and there may be no journal.
-func (s *Store) setAside(number uint64) {
+// renameDamaged renames a damaged generation, and removes all but the newest retainedDamaged of the renamed generations. Errors are ignored:
+// the files are for inspection only, and there may be no journal.
+func (s *Store) renameDamaged(number uint64) {
 	for _, prefix := range []string{snapshotPrefix, journalPrefix} {
 		name := fileName(prefix, number)
 		_ = s.files.Rename(name, damagedPrefix+name)
@@ -77,8 +77,8 @@
 	}
 }
 
-// Snapshot begins a generation with a list. The number of the generation is one that no file has had, since another process of the same
-// name may write to the directory.
+// Snapshot begins a generation with a list. The number of the generation is higher than any that this store wrote or that a file has, since
+// another process with the same dispatcher name may write to the directory.
 func (s *Store) Snapshot(list *CachedList) error {
 	list.Dispatcher = s.dispatcher
 	text, err := encodeList(list)
@@ -94,11 +94,11 @@
 		return err
 	}
 	s.currentGeneration, s.journalRecords, s.journalTorn = next, 0, false
-	_, _ = s.Prune(retainedGenerations) // what cannot be removed now is removed after a later snapshot
+	_, _ = s.Prune(retainedGenerations) // files that cannot be removed now are removed after a later snapshot
 	return nil
 }
 
-// lastNumber returns the highest number of a generation that was written or has a file.
+// lastNumber returns the highest number of a generation that this store wrote or that has a file.
 func (s *Store) lastNumber(names []string) uint64 {
 	last := s.currentGeneration
 	for _, name := range names {
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// Prune removes the files of all generations that are older than the newest so many, and returns the number of files that it removed.
-func (s *Store) Prune(keep int) (removed int, err error) {
+// Prune removes the files of all generations that are older than the newest retained ones, and returns the number of files removed.
+func (s *Store) Prune(retained int) (removed int, err error) {
 	names, err := s.files.Names()
 	if err != nil {
 		return 0, err
@@ -143,10 +143,10 @@
 		}
 	}
 	slices.Sort(numbers)
-	if len(numbers) <= keep {
+	if len(numbers) <= retained {
 		return 0, nil
 	}
-	oldest := numbers[len(numbers)-keep]
+	oldest := numbers[len(numbers)-retained]
 	for _, name := range names {
 		number, ok := generationNumber(name, snapshotPrefix)
 		if !ok {
--- a/internal/endpointcache/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -13,7 +13,7 @@
 	"brassdale/scheduler"
 )
 
-// testMember returns a worker in a phase.
+// testMember returns a worker in the given phase.
 func testMember(id, phase string) protocol.Member {
 	return protocol.Member{ID: id, HostPort: "127.0.0.1:3000", Locality: "llanelli", Flavor: "new-box", Cell: 1, Phase: phase, Size: 1}
 }
@@ -27,8 +27,8 @@
 	return list
 }
 
-// TestLoad_damagedSnapshot checks promises 2 and 5 at each byte: if a byte of a snapshot is changed, or the snapshot is truncated, the
-// generation before it is used.
+// TestLoad_damagedSnapshot checks guarantees 2 and 5 of the package at each byte: if a byte of a snapshot is changed, or the snapshot is
+// truncated, the previous generation is used.
 func TestLoad_damagedSnapshot(t *testing.T) {
 	original := newMemoryFiles()
 	store := NewStore(original, "n0")
@@ -43,13 +43,13 @@
 		t.Helper()
 		files := newMemoryFiles()
 		files.files[fileName(snapshotPrefix, 1)], files.files[newest] = original.files[fileName(snapshotPrefix, 1)], damaged
-		list, notes := NewStore(files, "n0").Load()
-		if list == nil || list.Revision != 1 || len(list.Members) != 2 || len(notes) != 1 {
-			t.Fatalf("%s: loaded %+v, notes %q", what, list, notes)
+		list, faults := NewStore(files, "n0").Load()
+		if list == nil || list.Revision != 1 || len(list.Members) != 2 || len(faults) != 1 {
+			t.Fatalf("%s: loaded %+v, faults %q", what, list, faults)
 		}
-		if _, isAside := files.files[damagedPrefix+newest]; !isAside {
-			if _, remains := files.files[newest]; !remains || !strings.Contains(notes[0], "version") {
-				t.Fatalf("%s: not set aside, notes %q", what, notes)
+		if _, isRenamed := files.files[damagedPrefix+newest]; !isRenamed {
+			if _, remains := files.files[newest]; !remains || !strings.Contains(faults[0], "version") {
+				t.Fatalf("%s: not renamed, faults %q", what, faults)
 			}
 		}
 	}
@@ -61,11 +61,11 @@
 			check(fmt.Sprintf("byte %d ^ %x", i, flip), damaged)
 		}
 	}
-	check("longer", append(slices.Clone(intact), ' '))
+	check("extended by a byte", append(slices.Clone(intact), ' '))
 }
 
-// TestLoad_damagedJournal checks promise 3 at each byte: if a journal is truncated or a byte is changed, the records before that are used
-// and none after it.
+// TestLoad_damagedJournal checks guarantee 3 of the package at each byte: if a journal is truncated or a byte is changed, the records before
+// the damage are used, and no others.
 func TestLoad_damagedJournal(t *testing.T) {
 	original := newMemoryFiles()
 	store := NewStore(original, "n0")
@@ -102,38 +102,38 @@
 			t.Fatalf("byte %d changed: %d records, want %d", offset, count, want)
 		}
 	}
-	// A record in the position of another is not used.
+	// A record at the position of another is not used.
 	swapped := slices.Concat(intact[ends[0]:ends[1]], intact[:ends[0]])
 	if count, torn := loadLeaving(swapped); count != 0 || !torn {
 		t.Errorf("swapped records: %d used, torn %v", count, torn)
 	}
 }
 
-// loadLeavingMembers loads a snapshot of three workers with a journal by which they leave one after the other. It returns how many leave
-// by the records that were read, and whether the journal was found torn.
+// loadLeavingMembers loads a snapshot of three workers with a journal in which they start leaving one after the other. It returns how many
+// are leaving according to the records that were read, and whether the journal was reported as torn.
 func loadLeavingMembers(t *testing.T, snapshot, journal []byte) (count int, torn bool) {
 	t.Helper()
 	files := newMemoryFiles()
 	files.files[fileName(snapshotPrefix, 1)], files.files[fileName(journalPrefix, 1)] = snapshot, journal
-	list, notes := NewStore(files, "n0").Load()
+	list, faults := NewStore(files, "n0").Load()
 	if list == nil || len(list.Members) != 3 {
-		t.Fatalf("loaded %+v, notes %q", list, notes)
+		t.Fatalf("loaded %+v, faults %q", list, faults)
 	}
 	for i, member := range list.Members {
 		if member.Phase == "leaving" {
 			if count++; count != i+1 {
-				t.Fatalf("leaving are %+v", list.Members)
+				t.Fatalf("the leaving workers are not the first ones: %+v", list.Members)
 			}
 		}
 	}
 	if list.Revision != int64(1+count) {
-		t.Fatalf("%d are leaving at revision %d", count, list.Revision)
+		t.Fatalf("%d workers are leaving at revision %d", count, list.Revision)
 	}
-	return count, len(notes) > 0
+	return count, len(faults) > 0
 }
 
-// TestStore_crashAtAnyStep checks promise 1: if the machine crashes at any change of the files, all that was written without an error is
-// read, and the next process can write further lists.
+// TestStore_crashAtAnyStep checks guarantee 1 of the package: if the machine crashes at any change of the files, everything that was written
+// without an error can be read, and the next process can write further lists.
 func TestStore_crashAtAnyStep(t *testing.T) {
 	for crashPart := range 3 {
 		for crashAt := 1; ; crashAt++ {
@@ -157,13 +157,13 @@
 			next := NewStore(files, "n0")
 			list, _ := next.Load()
 			if stored > 0 && (list == nil || list.Revision < stored) || list != nil && list.Revision > stored+1 {
-				t.Fatalf("step %d, part %d: revision %d was stored, %+v loaded", crashAt, crashPart, stored, list)
+				t.Fatalf("crash at step %d, part %d: revision %d was stored, %+v loaded", crashAt, crashPart, stored, list)
 			}
 			if err := next.Snapshot(testList(20, "c")); err != nil {
 				t.Fatal(err)
 			}
 			if list, _ := NewStore(files, "n0").Load(); list == nil || list.Revision != 20 {
-				t.Fatalf("step %d, part %d: the next process's list is not loaded: %+v", crashAt, crashPart, list)
+				t.Fatalf("crash at step %d, part %d: the next process's list is not loaded: %+v", crashAt, crashPart, list)
 			}
 			if !crashed {
 				break
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestStore_twoProcesses checks promise 4: two processes of one name write in turn, and neither changes what the other wrote. Directories
-// and files are accessible to their owner only.
+// TestStore_twoProcesses checks guarantee 4 of the package: two processes with the same dispatcher name write in turn, and neither changes
+// the files of the other. Directories and files are accessible to their owner only.
 func TestStore_twoProcesses(t *testing.T) {
 	dir := t.TempDir()
 	files, err := OpenOrCreate(dir, "n0/../x")
@@ -200,7 +200,7 @@
 			t.Errorf("generation %+v", generation)
 		}
 	}
-	// Each dispatcher has a directory of its own, whatever its name.
+	// Each dispatcher has a directory of its own, regardless of its name.
 	other, err := OpenOrCreate(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
@@ -212,25 +212,25 @@
 		t.Errorf("dispatchers %q", names)
 	}
 	if info, _ := os.Stat(filepath.Join(dir, "n1")); info.Mode().Perm() != 0o700 {
-		t.Errorf("directory of mode %o", info.Mode().Perm())
+		t.Errorf("directory has mode %o, want 700", info.Mode().Perm())
 	}
 	names, _ := files.Names()
 	for _, name := range names {
 		if info, _ := os.Stat(filepath.Join(dir, escapeName("n0/../x"), name)); info.Mode().Perm() != 0o600 {
-			t.Errorf("%s has mode %o", name, info.Mode().Perm())
+			t.Errorf("%s has mode %o, want 600", name, info.Mode().Perm())
 		}
 	}
 }
 
-// TestStore_unusableDirectory checks that a directory that others may write, a path that is no directory, and a full disk each lead to an
-// error, and that the list written before is still read.
+// TestStore_unusableDirectory checks that a directory that others may write, a path that is not a directory, and a full disk each lead to an
+// error, and that a list written before the disk was full can still be read.
 func TestStore_unusableDirectory(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Chmod(dir, 0o770); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenOrCreate(dir, "n0"); err == nil || !strings.Contains(err.Error(), "others may write") {
-		t.Errorf("directory of mode 0770: error %v", err)
+		t.Errorf("directory with mode 0770: error %v", err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -259,21 +259,23 @@
 	}
 }
 
-// TestLoad_otherVersions checks that a snapshot of format version 1 is read, and that one of a later version is neither read nor set aside.
+// TestLoad_otherVersions checks that a snapshot of format version 1 is read, and that a snapshot of a later version is neither read nor
+// renamed.
 func TestLoad_otherVersions(t *testing.T) {
 	files := newMemoryFiles()
 	files.files[fileName(snapshotPrefix, 1)] = encodeSnapshot(1, []byte(`{"dispatcher":"n0","made_ms":5000,"list":{"revision":4,"complete":true,"members":[{"id":"a","host_port":"127.0.0.1:3000","locality":"llanelli","flavor":"new-box","cell":2,"phase":"active","size":1,"up_since_ms":9}]}}`))
 	files.files[fileName(snapshotPrefix, 2)] = encodeSnapshot(99, []byte(`{}`))
-	list, notes := NewStore(files, "n0").Load()
-	if list == nil || list.Revision != 4 || list.ConfirmedAtMS != 5000 || list.Members[0].Cell != 2 || len(notes) != 1 || !strings.Contains(notes[0], "version 99") {
-		t.Errorf("loaded %+v, notes %q", list, notes)
+	list, faults := NewStore(files, "n0").Load()
+	if list == nil || list.Revision != 4 || list.ConfirmedAtMS != 5000 || list.Members[0].Cell != 2 || len(faults) != 1 || !strings.Contains(faults[0], "version 99") {
+		t.Errorf("loaded %+v, faults %q", list, faults)
 	}
 	if files.files[fileName(snapshotPrefix, 2)] == nil {
-		t.Error("a snapshot of a later version was set aside")
+		t.Error("a snapshot of a later version was renamed")
 	}
 }
 
-// FuzzDecode checks that of arbitrary files only intact snapshots and records are decoded, and that they can be encoded again.
+// FuzzDecode decodes arbitrary files. It checks that a decoded snapshot can be encoded again, and that decoded records take up bytes of the
+// file.
 func FuzzDecode(f *testing.F) {
 	snapshot, _ := encodeList(testList(3, "a", "b"))
 	f.Add(snapshot)
@@ -292,7 +294,7 @@
 	})
 }
 
-// BenchmarkStore measures a snapshot and a load, by the number of workers.
+// BenchmarkStore measures writing and loading a snapshot, for different numbers of workers.
 func BenchmarkStore(b *testing.B) {
 	for _, workers := range []int{20, 1000, 20000} {
 		var ids []string
--- a/internal/endpointcache/stored_test.go
+++ b/internal/endpointcache/stored_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestStoredList reads a snapshot and its journal as the program of commit c2c1317 wrote them, and checks that the same
-// content is written as the same bytes under the same names.
+// TestStoredList checks that a snapshot and a journal that the program of commit c2c1317 wrote are read, and that the same content is
+// written as the same bytes under the same names.
 func TestStoredList(t *testing.T) {
 	const stored = "testdata/stored"
 	testsupport.CheckAllSet(t, "snapshot", storedSnapshot())
@@ -56,12 +56,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, notes := NewStore(files, storedDispatcher).Load()
+	got, faults := NewStore(files, storedDispatcher).Load()
 	want := storedSnapshot()
 	want.ConfirmedAtMS, want.Revision, want.Detached = 1003, 13, []string{"worker-a", "worker-b"}
 	want.Members = append(want.Members, CachedMember{Member: storedChanges()[0].Members[0]})
-	if len(notes) > 0 || !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v (notes %q)", got, want, notes)
+	if len(faults) > 0 || !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v (faults %q)", got, want, faults)
 	}
 
 	written := t.TempDir()
--- a/internal/endpointcache/writer.go
+++ b/internal/endpointcache/writer.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// snapshotInterval is the least time between snapshots of a list that changes.
+	// snapshotInterval is the minimum time between snapshots of a list that changes.
 	snapshotInterval = 5 * time.Second
 
 	// confirmInterval is the time between snapshots of a list that does not change, which record that it is still in force.
 	confirmInterval = time.Minute
 
-	// faultRetryInterval is the time after a fault of the disk until the next snapshot.
+	// faultRetryInterval is the time from a disk error to the next snapshot.
 	faultRetryInterval = 15 * time.Second
 
 	// dueCheckInterval is how often Run checks whether a snapshot is due.
@@ -30,7 +30,7 @@
 	// learnedStateTimeout is how long a snapshot waits for the learned state.
 	learnedStateTimeout = 500 * time.Millisecond
 
-	// maxRecordMembers is how many changed workers a journal record may have; more are left to the next snapshot.
+	// maxRecordMembers is how many changed workers a journal record may have. If more have changed, only the next snapshot records them.
 	maxRecordMembers = 256
 )
 
@@ -41,7 +41,7 @@
 }
 
 // Writer writes the endpoint list to a store as it changes. It is an actor with a mailbox: callers of EndpointsUpdated and SetDetached do
-// not wait for the disk, and what waits to be written is bounded by the size of the list, however slow the disk is.
+// not wait for the disk. The data waiting to be written is bounded by the size of the list, even if the disk is slow.
 type Writer struct {
 	store            *Store
 	learnedState     LearnedStateSource
@@ -56,8 +56,8 @@
 	detached       []string
 	confirmedAt    time.Time // when the list was last known to be in force; zero until the first update
 	dirty          bool      // the members differ from the last snapshot
-	lastSnapshotAt time.Time // when a snapshot was last written or tried
-	failedAt       time.Time // when the disk last failed; zero once a snapshot was written
+	lastSnapshotAt time.Time // when a snapshot was last attempted
+	failedAt       time.Time // when the disk last failed; zero after a successful snapshot
 
 	mu    sync.Mutex
 	stats Stats
@@ -78,10 +78,10 @@
 	detachedChanged struct{ ids []string }
 )
 
-// NewWriter returns a Writer that starts with the loaded list, or with none if it is nil. discovery returns the current address of
-// discovery, settings the current settings. Nothing is written before Run.
-func NewWriter(store *Store, loaded *CachedList, learned LearnedStateSource, discovery func() string, settings func() *protocol.Settings, log *slog.Logger) *Writer {
-	writer := &Writer{store: store, learnedState: learned, discoveryAddress: discovery, settings: settings, log: log,
+// NewWriter returns a Writer that starts with the loaded list, or with an empty list if loaded is nil. discoveryAddress returns the current
+// address of discovery, settings the current settings. Nothing is written before Run.
+func NewWriter(store *Store, loaded *CachedList, learnedState LearnedStateSource, discoveryAddress func() string, settings func() *protocol.Settings, log *slog.Logger) *Writer {
+	writer := &Writer{store: store, learnedState: learnedState, discoveryAddress: discoveryAddress, settings: settings, log: log,
 		mailbox: routing.NewMailbox[any](), members: map[string]CachedMember{}}
 	if loaded != nil {
 		for _, member := range loaded.Members {
@@ -92,12 +92,12 @@
 	return writer
 }
 
-// EndpointsUpdated passes on a response of discovery: the full list, or what has changed, if anything. It does not block.
+// EndpointsUpdated queues a response of discovery: the full list, or the changes, which may be none. It does not block.
 func (w *Writer) EndpointsUpdated(update routing.ListUpdate) {
 	w.mailbox.Post(endpointsUpdated{update, time.Now()})
 }
 
-// SetDetached passes on the IDs of all workers that the operator has detached. It does not block.
+// SetDetached queues the IDs of all workers that the operator has detached. It does not block.
 func (w *Writer) SetDetached(ids []string) { w.mailbox.Post(detachedChanged{slices.Clone(ids)}) }
 
 // Stats returns the counters. It is safe for concurrent use.
@@ -125,7 +125,7 @@
 	}
 }
 
-// applyMessages applies all messages, and writes one journal record for them, so that a burst of updates costs the disk one write.
+// applyMessages applies all messages, and writes one journal record for them, so that a burst of updates costs one write to disk.
 func (w *Writer) applyMessages(messages []any) {
 	record := journalRecord{Revision: w.revision}
 	changed := map[string]protocol.Member{}
@@ -143,7 +143,7 @@
 	}
 	w.dirty = true
 	if len(changed) > maxRecordMembers || !w.failedAt.IsZero() {
-		return // the next snapshot has the changes
+		return // the next snapshot will have the changes
 	}
 	for _, member := range changed {
 		record.Members = append(record.Members, member)
@@ -155,7 +155,7 @@
 	w.append(&record)
 }
 
-// append writes a journal record. Before the first snapshot there is no journal, and the record is left to the snapshot.
+// append writes a journal record. Before the first snapshot there is no journal; the snapshot will have the changes.
 func (w *Writer) append(record *journalRecord) {
 	err := w.store.Append(record)
 	switch {
@@ -193,7 +193,7 @@
 	}
 }
 
-// removeUnlisted removes the members that a full list does not name, and adds them to changed.
+// removeUnlisted removes the members that are missing from a full list, and adds them to changed.
 func (w *Writer) removeUnlisted(listed map[string]bool, changed map[string]protocol.Member) {
 	for id, member := range w.members {
 		if !listed[id] {
@@ -204,7 +204,7 @@
 	}
 }
 
-// snapshotDue reports whether a snapshot is due. It never is before the first update: the list on disk is as good.
+// snapshotDue reports whether a snapshot is due. Before the first update it is not, since the list on disk is as recent.
 func (w *Writer) snapshotDue(now time.Time) bool {
 	switch {
 	case w.confirmedAt.IsZero():
@@ -235,7 +235,7 @@
 	w.stats.LastSnapshot = w.lastSnapshotAt
 }
 
-// cachedList returns the list as it is stored, with the learned state if that is available within learnedStateTimeout.
+// cachedList returns the list to store, with the learned state if it is available within learnedStateTimeout.
 func (w *Writer) cachedList(ctx context.Context) *CachedList {
 	list := &CachedList{ConfirmedAtMS: w.confirmedAt.UnixMilli(), Revision: w.revision, Discovery: w.discoveryAddress(), Detached: w.detached}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(learnedStateTimeout))
@@ -254,7 +254,7 @@
 	return list
 }
 
-// recordFault records that the disk has failed. It logs the first failure until a snapshot was written again.
+// recordFault records that the disk has failed. It logs only the first failure after a successful snapshot.
 func (w *Writer) recordFault(err error) {
 	if w.failedAt.IsZero() {
 		w.log.Warn("endpoint cache write failed", "err", err)
