--- a/internal/operator/blockreader.go
+++ b/internal/operator/blockreader.go
@@ -14,11 +14,11 @@
 // blockReader reads one block and collects its faults.
 type blockReader struct {
 	body    *hclsyntax.Body
-	baseDir string // relative paths in the file count from here
+	baseDir string // relative paths in the file are resolved against it
 	faults  hcl.Diagnostics
 }
 
-// decode fills settings, which have the defaults, from the block. It reports whether the block could be decoded.
+// decode decodes the block into settings, which already have the default values. It reports whether the block could be decoded.
 func (r *blockReader) decode(settings any) bool {
 	diags := gohcl.DecodeBody(r.body, nil, settings)
 	r.faults = append(r.faults, diags...)
@@ -35,8 +35,8 @@
 	r.faults = append(r.faults, hcldiag.At(hcldiag.Place(body, attribute), "Bad "+attribute, format, arguments...))
 }
 
-// checkAddress checks the address that a frontend listens at. Off loopback, traffic in clear can be read on the way, so the operator
-// has to allow it with cleartext.
+// checkAddress checks the address on which a frontend listens. Unless it is a loopback address, unencrypted traffic can be read in
+// transit, so the operator must allow it with cleartext.
 func (r *blockReader) checkAddress(listen string, encrypted, cleartext bool) {
 	if err := protocol.CheckAddr(listen); err != nil {
 		r.addFault("listen", "%v.", err)
@@ -44,7 +44,7 @@
 	}
 	host, _, _ := net.SplitHostPort(listen)
 	if ip := net.ParseIP(host); (ip == nil || !ip.IsLoopback()) && !encrypted && !cleartext {
-		r.addFault("listen", "%q is not a loopback address: give a tls block, or cleartext = true if nobody else can read on the way.", listen)
+		r.addFault("listen", "%q is not a loopback address: add a tls block, or set cleartext = true if nobody else can read the traffic.", listen)
 	}
 }
 
@@ -55,11 +55,11 @@
 	}
 }
 
-// firstInner returns the body of the first block of a kind within the block, or the block's own body if there is none.
-func (r *blockReader) firstInner(kind string) *hclsyntax.Body {
-	for _, inner := range r.body.Blocks {
-		if inner.Type == kind {
-			return inner.Body
+// firstNestedBody returns the body of the first block of a kind within the block, or the block's own body if there is none.
+func (r *blockReader) firstNestedBody(kind string) *hclsyntax.Body {
+	for _, nested := range r.body.Blocks {
+		if nested.Type == kind {
+			return nested.Body
 		}
 	}
 	return r.body
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -32,7 +32,8 @@
 }
 
 // IdempotencySettings returns the settings of the table of idempotency keys; nil if there is no table. A frontend in addition to the
-// platform's needs one, with default settings if the file has no block: the same key may come in at any of them.
+// platform's needs a table, with the default settings if the file has no block keys: requests with the same key may arrive at any
+// frontend.
 func (f *File) IdempotencySettings() *transport.IdempotencySettings {
 	if f.Keys == nil && (f.HTTP2 != nil || f.Progress != nil) {
 		settings := transport.DefaultIdempotency()
@@ -41,26 +42,26 @@
 	return f.Keys
 }
 
-// Load reads a file. If the file can be read, an error is a hcldiag.FileError with everything that is wrong with it.
+// Load reads a file. If the file can be read, an error is a hcldiag.FileError that lists all faults of the file.
 func Load(path string) (*File, error) {
 	if strings.EqualFold(filepath.Ext(path), ".toml") {
-		return nil, fmt.Errorf("%s: operators' files are HCL now: put its settings into a block front \"progress\" { ... }, see deploy/operator.hcl", path)
+		return nil, fmt.Errorf("%s: the operator's file must be HCL, not TOML: move the settings into a block front \"progress\" { ... }, see deploy/operator.hcl", path)
 	}
 	return hcldiag.Read(path, Parse)
 }
 
-// Parse reads the text of a file. path is its name in errors; relative paths in the file count from the path's directory. An
-// error is a hcldiag.FileError with everything that is wrong with the file.
+// Parse reads the text of a file. path is its name in errors; relative paths in the file are resolved against the directory of path.
+// An error is a hcldiag.FileError that lists all faults of the file.
 func Parse(text []byte, path string) (*File, error) {
 	parsed, faults := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	file := &File{}
 	if body, ok := parsed.Body.(*hclsyntax.Body); ok {
 		for _, attr := range body.Attributes {
-			faults = append(faults, hcldiag.At(attr.NameRange, "Unsupported argument", "%q stands outside any block.", attr.Name))
+			faults = append(faults, hcldiag.At(attr.NameRange, "Unsupported argument", "%q is outside any block.", attr.Name))
 		}
-		seen := map[string]hcl.Range{}
+		seenAt := map[string]hcl.Range{}
 		for _, block := range body.Blocks {
-			faults = append(faults, file.readBlock(block, filepath.Dir(path), seen)...)
+			faults = append(faults, file.readBlock(block, filepath.Dir(path), seenAt)...)
 		}
 	}
 	if faults.HasErrors() {
@@ -69,7 +70,7 @@
 	return file, nil
 }
 
-// readBlock reads a block into the file and returns its faults. seen has the places of the blocks that were read before.
+// readBlock reads a block into the file and returns its faults. seenAt has the positions of the blocks that were read before.
 func (f *File) readBlock(parsed *hclsyntax.Block, dir string, seenAt map[string]hcl.Range) hcl.Diagnostics {
 	fault := func(summary, format string, arguments ...any) hcl.Diagnostics {
 		return hcl.Diagnostics{hcldiag.At(parsed.DefRange(), summary, format, arguments...)}
@@ -82,8 +83,8 @@
 		if known.String() != name {
 			continue
 		}
-		if firstAt, twice := seenAt[name]; twice {
-			return fault("Duplicate block", "The block %s stands at %s already.", name, firstAt)
+		if firstAt, duplicate := seenAt[name]; duplicate {
+			return fault("Duplicate block", "The block %s is already defined at %s.", name, firstAt)
 		}
 		seenAt[name] = parsed.DefRange()
 		reader := &blockReader{body: parsed.Body, baseDir: dir}
@@ -114,18 +115,18 @@
 	return string(out.Bytes())
 }
 
-// NeedsRestart returns the blocks of which next has settings that take effect only at the next start.
+// NeedsRestart returns the blocks with settings that differ in next and take effect only at the next start.
 func (f *File) NeedsRestart(next *File) (changed []string) {
 	for _, block := range blocks {
-		now, then := block.write(f), block.write(next)
-		if (now == nil) != (then == nil) || now != nil && !reflect.DeepEqual(f.startupSettings(now), f.startupSettings(then)) {
+		before, after := block.write(f), block.write(next)
+		if (before == nil) != (after == nil) || before != nil && !reflect.DeepEqual(f.startupSettings(before), f.startupSettings(after)) {
 			changed = append(changed, block.String())
 		}
 	}
 	return changed
 }
 
-// startupSettings returns those of a block's settings that are read at the start alone; nil if all can change while the program
+// startupSettings returns the settings of a block that are read only at the start; nil if all of them can change while the program
 // runs.
 func (f *File) startupSettings(settings any) any {
 	switch s := settings.(type) {
--- a/internal/operator/fleetblocks.go
+++ b/internal/operator/fleetblocks.go
@@ -36,18 +36,18 @@
 		reader.addFault("voters", "%v.", err)
 	}
 	if settings.Directory == "" {
-		reader.addFault("directory", "It must name a folder.")
+		reader.addFault("directory", "It must name a directory.")
 	} else if !filepath.IsAbs(settings.Directory) {
 		settings.Directory = filepath.Join(reader.baseDir, settings.Directory)
 	}
 	if _, err := settings.Lease(); err != nil {
-		reader.addFault("bound", `%q is no duration of %v or more, such as "2s".`, settings.LeaseDuration, fleet.MinLease)
+		reader.addFault("bound", `%q is not a duration of %v or more, such as "2s".`, settings.LeaseDuration, fleet.MinLease)
 	}
 	if _, err := settings.ReplaceAfterDuration(); err != nil {
-		reader.addFault("replace", `%q is no duration of %v or more, such as "30s".`, settings.ReplaceAfter, fleet.MinReplaceAfter)
+		reader.addFault("replace", `%q is not a duration of %v or more, such as "30s".`, settings.ReplaceAfter, fleet.MinReplaceAfter)
 	}
-	for at, to := range settings.AddressOverrides {
-		for _, address := range []string{at, to} {
+	for original, override := range settings.AddressOverrides {
+		for _, address := range []string{original, override} {
 			if _, _, err := net.SplitHostPort(address); err != nil {
 				reader.addFault("reach", "%v.", err)
 			}
@@ -69,7 +69,7 @@
 		reader.addFault("retries", "It must be between 0 and %d.", configversions.MaxRetryRatio)
 	}
 	if !(settings.ProbesPerSecond >= 0 && settings.ProbesPerSecond <= 1e6) {
-		reader.addFault("probes", "It must be between 0 and a million a second.")
+		reader.addFault("probes", "It must be between 0 and a million per second.")
 	}
 	file.Overload = &settings
 }
@@ -84,20 +84,20 @@
 	for _, region := range settings.Regions {
 		for _, zone := range region.Zones {
 			if zone == "" || seen[zone] {
-				reader.addFaultIn(reader.firstInner("region"), "zones", "The zone %q has a region already, or no name.", zone)
+				reader.addFaultIn(reader.firstNestedBody("region"), "zones", "The zone %q already has a region, or its name is empty.", zone)
 			}
 			seen[zone] = true
 		}
 	}
 	if len(seen) < 2 || len(seen) > 64 {
-		reader.addFault("region", "There must be 2 to 64 zones in regions.")
+		reader.addFault("region", "The regions must have 2 to 64 zones in total.")
 	}
 	if !(settings.Headroom >= 0 && settings.Headroom < 1) {
 		reader.addFault("headroom", "It must be from 0 to less than 1.")
 	}
 	for name, text := range map[string]string{"return_in": settings.RecoveryRamp, "alone": settings.MaxTimeWithoutLease, "detect": settings.DetectionTime} {
 		if d, err := time.ParseDuration(text); err != nil || d <= 0 {
-			reader.addFault(name, `%q is no duration above 0, such as "10s".`, text)
+			reader.addFault(name, `%q is not a duration above 0, such as "10s".`, text)
 		}
 	}
 	file.Failover = &settings
--- a/internal/operator/frontendblocks.go
+++ b/internal/operator/frontendblocks.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/transport/http2"
 )
 
-// maxStreams bounds the concurrent streams of a connection. For more than these, further connections serve better.
+// maxStreams is the limit for the concurrent streams of a connection. Clients with more requests are served better on further connections.
 const maxStreams = 4096
 
 // readHTTP2 reads the block front "http2".
@@ -28,16 +28,16 @@
 				*path = filepath.Join(reader.baseDir, *path)
 			}
 		}
-		wrong := (*http2.FileError)(nil)
-		if err := settings.TLS.Check(); errors.As(err, &wrong) {
-			reader.addFaultIn(reader.firstInner("tls"), wrong.Field, "%v.", wrong.Err)
+		fileError := (*http2.FileError)(nil)
+		if err := settings.TLS.Check(); errors.As(err, &fileError) {
+			reader.addFaultIn(reader.firstNestedBody("tls"), fileError.Field, "%v.", fileError.Err)
 		}
 	}
 	if len(settings.Clients) > 0 && (settings.TLS == nil || settings.TLS.ClientCA == "") {
-		reader.addFaultIn(reader.firstInner("client"), "names", "Who a client is can only be told with a client_ca in a tls block.")
+		reader.addFaultIn(reader.firstNestedBody("client"), "names", "Clients can only be identified with a client_ca in a tls block.")
 	}
 	if len(settings.Clients) == 0 && settings.TLS != nil && settings.TLS.ClientCA != "" {
-		reader.addFaultIn(reader.firstInner("tls"), "client_ca", "Without a client block nobody may hand in a job.")
+		reader.addFaultIn(reader.firstNestedBody("tls"), "client_ca", "Without a client block no client may submit a job.")
 	}
 	file.HTTP2 = &settings
 }
@@ -77,7 +77,7 @@
 	for _, block := range reader.body.Blocks {
 		name := block.Labels[0]
 		if seen[name] {
-			reader.addFaultIn(block.Body, "share", "The account %q has a share already.", name)
+			reader.addFaultIn(block.Body, "share", "The account %q already has a share.", name)
 		}
 		seen[name] = true
 		for _, a := range settings.Accounts {
@@ -103,7 +103,7 @@
 		return
 	}
 	if settings.Directory == "" {
-		reader.addFault("directory", "It must name a folder.")
+		reader.addFault("directory", "It must name a directory.")
 	} else if !filepath.IsAbs(settings.Directory) {
 		settings.Directory = filepath.Join(reader.baseDir, settings.Directory)
 	}
@@ -111,7 +111,7 @@
 		reader.addFault("directory", "%v.", err)
 	}
 	if maxAge, err := settings.ParseMaxAge(); err != nil || maxAge <= 0 {
-		reader.addFault("oldest", `%q is no duration above 0, such as "72h".`, settings.MaxAge)
+		reader.addFault("oldest", `%q is not a duration above 0, such as "72h".`, settings.MaxAge)
 	}
 	if !(settings.MinFirstListShare >= 0 && settings.MinFirstListShare <= 1) {
 		reader.addFault("shrink", "It must be between 0 and 1.")
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestParse_invalidFile checks that each mistake in a file is reported with line and column, and all of them at once.
+// TestParse_invalidFile checks that each fault of a file is reported with line and column, and that all faults are reported at once.
 func TestParse_invalidFile(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"front \"progress\" {\n  listen = \"here\"\n}\nkeys {\n  jobs = 0\n}", "f.hcl:2:12: Bad listen|f.hcl:5:10: Bad jobs"},
@@ -29,7 +29,7 @@
 		}
 	}
 	if _, err := Load("progress.toml"); err == nil || !strings.Contains(err.Error(), `front "progress"`) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a file in the former TOML form: error %v", err)
+		t.Errorf("a file in the former TOML format: error %v", err)
 	}
 }
 
@@ -49,14 +49,14 @@
 	}
 }
 
-// FuzzParse checks that a file that Parse accepts is written by String as a file that Parse accepts.
+// FuzzParse checks that for each file that Parse accepts, it accepts the result of File.String too.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("front \"progress\" {\n  listen = \"127.0.0.1:0\"\n  jobs = 7\n}"))
 	f.Add([]byte("front \"progress\" {\n  listen = [1]\n  tls {\n}\n}\nfront {}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if file, err := Parse(text, "f.hcl"); err == nil {
 			if _, err := Parse([]byte(file.String()), "f.hcl"); err != nil {
-				t.Errorf("the written file is rejected: %v", err)
+				t.Errorf("the result of String is rejected: %v", err)
 			}
 		}
 	})
