--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,5 +1,6 @@
-// Package listen makes listeners that survive errors of accept. Many of these pass: a connection that was aborted before it was
-// accepted, no descriptors, no memory. The server of net/http takes some of them for lasting and ends.
+// Package listen makes listeners that continue after errors of accept. Many of these errors are temporary: a connection was aborted
+// before it was accepted, or there are no free descriptors, or there is no free memory. The server of net/http treats some of them as
+// permanent and stops.
 package listen
 
 import (
@@ -12,13 +13,13 @@
 )
 
 const (
-	minBackoff  = time.Millisecond // after an error; doubled after each further one
+	minBackoff  = time.Millisecond // wait after an error; doubled after each further error
 	maxBackoff  = 100 * time.Millisecond
-	logInterval = time.Second // between two log lines about errors, at least
+	logInterval = time.Second // minimum time between two log lines about errors
 )
 
-// Next returns the next connection. It ends with an error only when the listener is closed or a deadline that was set on it is
-// over, as both are the owner's own doing. It passes all other errors to failed, and blocks until an accept succeeds.
+// Next returns the next connection. It returns an error only if the listener is closed or its deadline has passed, since the owner of
+// the listener causes both. It passes all other errors to failed, and blocks until an accept succeeds.
 func Next[C any](accept func() (C, error), failed func(error)) (C, error) {
 	backoff := minBackoff
 	for {
@@ -32,8 +33,7 @@
 	}
 }
 
-// Failures logs errors of accept, one line in logInterval at most. Its zero value needs only a Log. It may be used from any
-// goroutine.
+// Failures logs errors of accept, at most one line per logInterval. Log must be set before use. It is safe for concurrent use.
 type Failures struct {
 	Log *slog.Logger
 
@@ -42,7 +42,7 @@
 	loggedAt time.Time
 }
 
-// Failed notes an error.
+// Failed counts an error, and logs it if a log line is due.
 func (f *Failures) Failed(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,12 +56,12 @@
 	f.count = 0
 }
 
-// Durable returns a listener whose Accept ends only when it is closed.
+// Durable returns a listener whose Accept fails only if the listener is closed or its deadline has passed.
 func Durable(listener net.Listener, log *slog.Logger) net.Listener {
 	return &durableListener{Listener: listener, failures: Failures{Log: log}}
 }
 
-// durableListener is a listener that survives errors of accept.
+// durableListener is a listener that continues after errors of accept.
 type durableListener struct {
 	net.Listener
 	failures Failures
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// TestNext_retriesAccept checks that Next accepts again after other errors, and ends with success, if the listener is closed, or if its
-// deadline has passed.
+// TestNext_retriesAccept checks that Next returns on success, if the listener is closed, or if its deadline has passed, and calls accept
+// again after all other errors.
 func TestNext_retriesAccept(t *testing.T) {
 	for _, last := range []error{nil, net.ErrClosed, os.ErrDeadlineExceeded} {
 		results := []error{syscall.ENOBUFS, errors.New("unknown"), syscall.EMFILE, last}
@@ -24,7 +24,7 @@
 			return 0, next
 		}, func(error) { failures++ })
 		if !errors.Is(err, last) || failures != 3 {
-			t.Errorf("%v: ended with %v after %d failures, want 3", last, err, failures)
+			t.Errorf("%v: returned error %v after %d failures, want 3", last, err, failures)
 		}
 	}
 }
@@ -42,11 +42,11 @@
 		failures.Failed(syscall.ENOBUFS)
 	}
 	if lines := strings.Count(text.String(), "accept failed"); lines != 1 {
-		t.Errorf("%d lines, want 1", lines)
+		t.Errorf("%d log lines, want 1", lines)
 	}
 }
 
-// writer is a function as an io.Writer.
+// writer is a function that implements io.Writer.
 type writer func([]byte)
 
 // Write calls the function.
