--- a/internal/transport/http2/conn.go
+++ b/internal/transport/http2/conn.go
@@ -12,12 +12,12 @@
 	"brassdale/internal/transport"
 )
 
-// closeTimeout is how long closing a connection may write what is queued, and how long a terminated connection is still read,
-// so that a reset does not discard the GOAWAY.
+// closeTimeout is how long closing a connection may spend on writing queued bytes, and how long a terminated connection is still read.
+// Without that reading, a reset could discard the GOAWAY.
 const closeTimeout = 250 * time.Millisecond
 
-// conn is a client's connection as net/http sees it. Frames in both directions are followed by their heads: net/http speaks the
-// protocol, and http2limits.Conn says when the client exceeds a limit; then the connection is terminated.
+// conn is a client's connection as net/http sees it. net/http implements the protocol. conn reads the frame headers in both directions
+// and passes them to http2limits.Conn. If the client exceeds a limit, conn terminates the connection.
 //
 // net/http's reader calls Read; Write, Close and the deadlines may be called from any goroutine.
 type conn struct {
@@ -27,19 +27,19 @@
 	frontend   *Frontend
 	acceptedAt time.Time // times are passed to limits as the duration since then
 
-	protocolChecked bool         // owned by Read: the TLS handshake has agreed on h2
+	protocolChecked bool         // owned by Read: the TLS handshake has negotiated h2
 	inbound         frameScanner // owned by Read
 
 	mu               sync.Mutex
 	limits           *http2limits.Conn
-	completionTimer  *time.Timer // runs checkCompletion while something is incomplete; else nil
-	lastClientStream uint32      // the highest stream that the client opened
+	completionTimer  *time.Timer // runs checkCompletion while a preface, frame or header block is incomplete; else nil
+	lastClientStream uint32      // highest ID of a stream that the client opened
 
 	outbound   frameWriter
-	terminated atomic.Bool // by terminate: nothing more is passed to net/http
+	terminated atomic.Bool // set by terminate: nothing more is passed to net/http
 }
 
-// newConn returns a connection that was accepted now; config is nil in cleartext.
+// newConn returns the conn of a connection that has just been accepted. config is nil in cleartext.
 func newConn(frontend *Frontend, clientConn *transport.Conn, config *tls.Config) *conn {
 	client := &conn{
 		Conn:       clientConn,
@@ -60,11 +60,11 @@
 	return client
 }
 
-// ClientConn returns the connection as its listener knows it.
+// ClientConn returns the connection that the transport.Listener accepted.
 func (c *conn) ClientConn() *transport.Conn { return c.clientConn }
 
-// Read returns the received bytes to net/http, unless they exceed a limit. After terminate it reads on until the client ends the
-// connection or closeTimeout has passed, and returns none.
+// Read returns the received bytes to net/http, unless they exceed a limit. After terminate it discards received bytes until the client
+// closes the connection or closeTimeout has passed; then it returns io.EOF.
 func (c *conn) Read(buffer []byte) (int, error) {
 	if err := c.checkProtocol(); err != nil {
 		return 0, err
@@ -84,7 +84,7 @@
 	}
 }
 
-// checkProtocol does the TLS handshake, once. It returns io.EOF if that did not agree on h2. The handshake is limited by
+// checkProtocol does the TLS handshake, once. It returns io.EOF if the handshake did not negotiate h2. Its time is limited by
 // net/http's read deadline for a first request.
 func (c *conn) checkProtocol() error {
 	if c.tls == nil || c.protocolChecked {
@@ -113,10 +113,10 @@
 		case prefaceRead:
 			c.limits.PrefaceCompleted()
 			c.clientConn.PrefaceRead()
-		case frameBegun:
+		case frameStarted:
 			c.limits.FrameStarted(now)
-		case headRead:
-			reason = c.headReceivedLocked(now, c.inbound.frame())
+		case headerRead:
+			reason = c.headerReceivedLocked(now, c.inbound.frame())
 		case frameRead:
 			c.limits.FrameCompleted()
 		}
@@ -131,8 +131,8 @@
 	return reason == ""
 }
 
-// headReceivedLocked applies the limits to a frame whose head was received. c.mu is held.
-func (c *conn) headReceivedLocked(now time.Duration, frame http2limits.Frame) http2limits.CloseReason {
+// headerReceivedLocked applies the limits to a frame whose header was received. c.mu is held.
+func (c *conn) headerReceivedLocked(now time.Duration, frame http2limits.Frame) http2limits.CloseReason {
 	if frame.Kind == http2limits.Headers {
 		c.lastClientStream = max(c.lastClientStream, frame.Stream)
 	}
@@ -143,8 +143,8 @@
 	return reason
 }
 
-// checkCompletion terminates the connection if the preface, a frame or a header block has been incomplete for too long, and runs
-// again while one is incomplete.
+// checkCompletion terminates the connection if the preface, a frame or a header block has been incomplete for too long. It schedules
+// itself again while one of them is incomplete.
 func (c *conn) checkCompletion() {
 	now := time.Since(c.acceptedAt)
 	c.mu.Lock()
@@ -160,7 +160,7 @@
 	}
 }
 
-// terminate ends the connection for a reason, with a GOAWAY that names it. What the client still sends is discarded. It blocks
+// terminate ends the connection with a GOAWAY that names the reason. Bytes that the client still sends are discarded. terminate blocks
 // until the GOAWAY is written, for closeTimeout at most. Further calls do nothing.
 func (c *conn) terminate(reason http2limits.CloseReason) {
 	if c.terminated.Swap(true) {
@@ -171,7 +171,7 @@
 	lastStream := c.lastClientStream
 	c.mu.Unlock()
 	c.outbound.finish(goAwayFrame(lastStream, errCodeEnhanceYourCalm, string(reason)), time.Now().Add(closeTimeout))
-	// The following fail only on a connection that is closed already.
+	// The following calls fail only if the connection is already closed.
 	if c.tls != nil {
 		_ = c.tls.CloseWrite()
 	}
@@ -179,7 +179,7 @@
 	_ = c.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// Write queues net/http's frames. It blocks while too much is queued.
+// Write queues net/http's frames. It blocks while more than maxQueuedBytes are queued.
 func (c *conn) Write(data []byte) (int, error) { return c.outbound.write(data) }
 
 // SetWriteDeadline does nothing: the frameWriter limits how long a write may take.
@@ -188,7 +188,7 @@
 // SetDeadline sets the read deadline.
 func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// frameSent applies the limits to a frame of net/http. The frameWriter calls it under its lock.
+// frameSent applies the limits to a frame that net/http sends. The frameWriter calls it with its lock held.
 func (c *conn) frameSent(frame http2limits.Frame) {
 	answered := (frame.Kind == http2limits.Data || frame.Kind == http2limits.Headers) && frame.Flags&http2limits.EndStream != 0
 	if !answered && frame.Kind != http2limits.Reset {
@@ -201,11 +201,11 @@
 	reason := c.limits.FrameSent(time.Since(c.acceptedAt), frame)
 	c.mu.Unlock()
 	if reason != "" {
-		go c.terminate(reason) // needs the frameWriter's lock
+		go c.terminate(reason) // not here, since terminate takes the frameWriter's lock
 	}
 }
 
-// Close closes the connection, after what is queued was written, for closeTimeout at most.
+// Close writes the queued bytes, for closeTimeout at most, and then closes the connection.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	if c.completionTimer != nil {
--- a/internal/transport/http2/credentials.go
+++ b/internal/transport/http2/credentials.go
@@ -16,9 +16,9 @@
 	ClientCA    string `hcl:"client_ca,optional"` // PEM file; if set, clients must present a certificate that it signed
 }
 
-// FileError is an error of a file that the settings name.
+// FileError is an error in a file that the settings name.
 type FileError struct {
-	Field string // of the block tls
+	Field string // attribute of the block tls
 	Err   error
 }
 
@@ -34,7 +34,7 @@
 	return err
 }
 
-// credentials are the contents of the files at one time. They do not change.
+// credentials are the contents of the files at the time of a load. They are immutable.
 type credentials struct {
 	config    *tls.Config
 	expiresAt time.Time // of the certificate
@@ -57,7 +57,7 @@
 	if err := checkPrivate(t.Key); err != nil {
 		return nil, &FileError{"key", err}
 	}
-	if _, err := os.ReadFile(t.Certificate); err != nil { // LoadX509KeyPair does not say which file it was
+	if _, err := os.ReadFile(t.Certificate); err != nil { // the error of LoadX509KeyPair does not name the file
 		return nil, &FileError{"certificate", err}
 	}
 	pair, err := tls.LoadX509KeyPair(t.Certificate, t.Key)
@@ -80,7 +80,7 @@
 	return &credentials{config: config, expiresAt: pair.Leaf.NotAfter}, nil
 }
 
-// checkPrivate returns an error if others than its owner may use a file.
+// checkPrivate returns an error if users other than its owner have access to a file.
 func checkPrivate(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("%s: no certificate in it", path)
+		return nil, fmt.Errorf("%s: contains no certificate", path)
 	}
 	return pool, nil
 }
--- a/internal/transport/http2/framelistener.go
+++ b/internal/transport/http2/framelistener.go
@@ -7,7 +7,7 @@
 	"brassdale/internal/transport"
 )
 
-// frameListener wraps the connections of a transport.Listener, so that their frames are followed.
+// frameListener wraps each connection of a transport.Listener in a conn, which applies the limits to its frames.
 type frameListener struct {
 	*transport.Listener
 	frontend *Frontend
@@ -31,7 +31,7 @@
 	return c, nil
 }
 
-// addConn adds a connection. If clients are to go elsewhere, it is notified after net/http's first frame.
+// addConn adds a connection. If clients are to use another connection, it sends a GOAWAY after net/http's first frame.
 func (f *Frontend) addConn(c *conn) {
 	f.mu.Lock()
 	f.conns[c] = struct{}{}
--- a/internal/transport/http2/framescanner.go
+++ b/internal/transport/http2/framescanner.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	preface        = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" // RFC 9113, section 3.4
-	frameHeadBytes = 9                                  // RFC 9113, section 4.1
+	preface          = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" // RFC 9113, section 3.4
+	frameHeaderBytes = 9                                  // RFC 9113, section 4.1
 )
 
-// frameScanner finds the heads of frames in a stream of bytes. The zero value awaits a frame; if prefaceBytesLeft is set, that
-// much of the preface comes first. It is not safe for concurrent use.
+// frameScanner finds the frame headers in a stream of bytes. The zero value expects a frame; if prefaceBytesLeft is set, it expects that
+// many bytes of the preface first. It is not safe for concurrent use.
 type frameScanner struct {
 	prefaceBytesLeft int
-	head             [frameHeadBytes]byte
-	headBytes        int    // bytes of the present head that were read; 0 after its last one
-	payloadBytesLeft uint32 // of the present frame
+	header           [frameHeaderBytes]byte
+	headerBytesRead  int    // bytes of the current header that were read; 0 after its last byte
+	payloadBytesLeft uint32 // of the current frame
 }
 
-// scanEvent is what frameScanner.step found at the end of the bytes that it took.
+// scanEvent is what frameScanner.step found at the end of the bytes that it consumed.
 type scanEvent uint8
 
 const (
-	noEvent     scanEvent = iota
-	prefaceRead           // the last byte of the preface
-	frameBegun            // the first byte of a frame
-	headRead              // the last byte of a head; also that of the frame, if payloadBytesLeft is 0
-	frameRead             // the last byte of a frame with a payload
+	noEvent      scanEvent = iota
+	prefaceRead            // the last byte of the preface
+	frameStarted           // the first byte of a frame
+	headerRead             // the last byte of a frame header; if payloadBytesLeft is 0, also of the frame
+	frameRead              // the last byte of a frame with a payload
 )
 
-// step takes bytes up to the next event, and returns how many. data must not be empty.
+// step consumes bytes up to the next event, and returns how many. data must not be empty.
 func (s *frameScanner) step(data []byte) (consumed int, event scanEvent) {
 	switch {
 	case s.prefaceBytesLeft > 0:
@@ -44,30 +44,30 @@
 		if s.payloadBytesLeft -= uint32(consumed); s.payloadBytesLeft == 0 {
 			event = frameRead
 		}
-	case s.headBytes == 0:
-		s.head[0], s.headBytes, consumed, event = data[0], 1, 1, frameBegun
+	case s.headerBytesRead == 0:
+		s.header[0], s.headerBytesRead, consumed, event = data[0], 1, 1, frameStarted
 	default:
-		consumed = copy(s.head[s.headBytes:], data)
-		if s.headBytes += consumed; s.headBytes == frameHeadBytes {
-			s.headBytes = 0
-			s.payloadBytesLeft = uint32(s.head[0])<<16 | uint32(s.head[1])<<8 | uint32(s.head[2])
-			event = headRead
+		consumed = copy(s.header[s.headerBytesRead:], data)
+		if s.headerBytesRead += consumed; s.headerBytesRead == frameHeaderBytes {
+			s.headerBytesRead = 0
+			s.payloadBytesLeft = uint32(s.header[0])<<16 | uint32(s.header[1])<<8 | uint32(s.header[2])
+			event = headerRead
 		}
 	}
 	return consumed, event
 }
 
-// frame returns the frame whose head was read last. It must be called directly after headRead.
+// frame returns the frame whose header was read last. It must be called directly after headerRead.
 func (s *frameScanner) frame() http2limits.Frame {
 	return http2limits.Frame{
-		Kind:   http2limits.Kind(s.head[3]),
-		Flags:  s.head[4],
-		Stream: binary.BigEndian.Uint32(s.head[5:]) & maxStreamID,
+		Kind:   http2limits.Kind(s.header[3]),
+		Flags:  s.header[4],
+		Stream: binary.BigEndian.Uint32(s.header[5:]) & maxStreamID,
 		Length: s.payloadBytesLeft,
 	}
 }
 
-// betweenFrames reports whether another frame may be inserted here.
+// betweenFrames reports whether a frame may be inserted at the current position.
 func (s *frameScanner) betweenFrames() bool {
-	return s.headBytes == 0 && s.payloadBytesLeft == 0 && s.prefaceBytesLeft == 0
+	return s.headerBytesRead == 0 && s.payloadBytesLeft == 0 && s.prefaceBytesLeft == 0
 }
--- a/internal/transport/http2/framewriter.go
+++ b/internal/transport/http2/framewriter.go
@@ -14,12 +14,12 @@
 const (
 	maxIdleBufferBytes = 4 << 10                 // capacity of a buffer that is retained while nothing is written
 	maxQueuedBytes     = 64 << 10                // beyond this, write blocks
-	writeStallTimeout  = 2500 * time.Millisecond // a connection that takes not one byte for so long is closed
+	writeStallTimeout  = 2500 * time.Millisecond // a connection that accepts no byte for this long is closed
 )
 
-// frameWriter writes the frames of net/http, and between them frames of this package, to a connection. It writes all that was
-// queued since its last system call with one: net/http writes nearly each frame by itself, which costs more than a small
-// answer.
+// frameWriter writes the frames of net/http, and between them frames of this package, to a connection. It writes all bytes that were
+// queued since its last system call with one system call: net/http writes nearly every frame separately, which costs more than a
+// small answer itself.
 //
 // Methods may be called from any goroutine. A goroutine runs drain while bytes are queued. Only write (while more than
 // maxQueuedBytes are queued) and finish wait for the client.
@@ -29,15 +29,15 @@
 	onFrame func(http2limits.Frame) // is called with each frame of net/http, under mu; must not block or call the writer
 
 	mu               sync.Mutex
-	stateChanged     *sync.Cond   // of queued, err and writing
-	scanner          frameScanner // of net/http's bytes
-	firstFrameQueued bool         // the first frame, which must be SETTINGS, was queued
+	stateChanged     *sync.Cond   // signals changes of queued, err and writing
+	scanner          frameScanner // scans net/http's bytes
+	firstFrameQueued bool         // the first frame, which must be SETTINGS, has been queued
 	queued           []byte       // bytes to write
-	spare            []byte       // the buffer that was written last, to be used again
-	deferred         []byte       // frames of this package that wait until a frame of net/http has ended
-	writing          bool         // drain runs
+	spare            []byte       // the buffer that was written last, for reuse
+	deferred         []byte       // frames of this package that wait for the end of a frame of net/http
+	writing          bool         // drain is running
 	deadline         time.Time    // no byte is written after it; zero if there is none
-	err              error        // of a write; nothing is written after it
+	err              error        // error of a write; nothing is written after it
 }
 
 func (w *frameWriter) start(conn net.Conn, abort func() error, onFrame func(http2limits.Frame)) {
@@ -45,7 +45,7 @@
 	w.stateChanged = sync.NewCond(&w.mu)
 }
 
-// write queues whole frames of net/http, or parts of them in their order. After finish they are dropped.
+// write queues bytes of net/http: complete frames, or parts of frames in order. After finish it drops them.
 func (w *frameWriter) write(data []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,7 +63,7 @@
 	for scanned < len(data) {
 		n, event := w.scanner.step(data[scanned:])
 		scanned += n
-		if event == headRead {
+		if event == headerRead {
 			w.onFrame(w.scanner.frame())
 		}
 		if w.deferred != nil && w.scanner.betweenFrames() {
@@ -76,7 +76,7 @@
 	return len(data), nil
 }
 
-// insertFrame queues a frame of this package, after net/http's first and its present one.
+// insertFrame queues a frame of this package, after net/http's first frame and after its incomplete frame, if any.
 func (w *frameWriter) insertFrame(frame []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -90,17 +90,17 @@
 }
 
 // emptySettings is a SETTINGS frame without settings.
-var emptySettings = [frameHeadBytes]byte{3: byte(http2limits.Settings)}
+var emptySettings = [frameHeaderBytes]byte{3: byte(http2limits.Settings)}
 
-// finish queues a last frame, nil for none, and blocks until all bytes are written or the deadline has passed. The frame is dropped
-// if net/http has written a part of a frame only, since the rest will not follow.
+// finish queues a last frame, nil for none, and blocks until all bytes are written or the deadline has passed. If net/http has written
+// only a part of a frame, the last frame is dropped, since the rest of that frame will not follow.
 func (w *frameWriter) finish(lastFrame []byte, deadline time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.deadline.IsZero() || deadline.Before(w.deadline) {
 		w.deadline = deadline
 	}
-	_ = w.conn.SetWriteDeadline(w.deadline) // also of a write in progress; fails only on a closed connection
+	_ = w.conn.SetWriteDeadline(w.deadline) // applies to a write in progress too; fails only on a closed connection
 	if lastFrame != nil && !w.firstFrameQueued {
 		w.firstFrameQueued = true
 		w.queued = append(w.queued, emptySettings[:]...)
@@ -114,7 +114,7 @@
 	}
 }
 
-// startDraining has the queued bytes written. w.mu is held.
+// startDraining starts drain if bytes are queued and it is not running. w.mu is held.
 func (w *frameWriter) startDraining() {
 	if !w.writing && len(w.queued) > 0 {
 		w.writing = true
@@ -122,7 +122,7 @@
 	}
 }
 
-// drain writes until nothing is queued or a write fails; then it aborts the connection, which its reader notices.
+// drain writes until nothing is queued or a write fails. After a failed write it aborts the connection, so that its reader gets an error.
 func (w *frameWriter) drain() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,7 +143,7 @@
 	w.stateChanged.Broadcast()
 }
 
-// writeBatch writes bytes for as long as the client takes any within writeStallTimeout, and until the deadline at most.
+// writeBatch writes a batch of bytes. It fails if the client accepts no byte within writeStallTimeout, or at the deadline.
 // w.mu is held, except during the system call.
 func (w *frameWriter) writeBatch(batch []byte) error {
 	for len(batch) > 0 {
@@ -151,7 +151,7 @@
 		if until.IsZero() {
 			until = time.Now().Add(writeStallTimeout)
 		}
-		_ = w.conn.SetWriteDeadline(until) // under the lock, as finish sets an earlier one; fails only on a closed connection
+		_ = w.conn.SetWriteDeadline(until) // under the lock, since finish sets an earlier one; fails only on a closed connection
 		w.mu.Unlock()
 		n, err := w.conn.Write(batch)
 		w.mu.Lock()
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// maxStreamID is the highest stream id. A GOAWAY with it says that new streams should use another connection, while none that
-// reaches this one is rejected yet.
+// maxStreamID is the highest stream ID. A GOAWAY with it asks the client to open new streams on another connection; streams that still
+// arrive on this connection are not rejected yet.
 const maxStreamID = 1<<31 - 1
 
 // Error codes of GOAWAY (RFC 9113, section 7).
--- a/internal/transport/http2/frontend.go
+++ b/internal/transport/http2/frontend.go
@@ -1,8 +1,11 @@
 // Package http2 is the frontend for clients that speak HTTP/2, on an address of its own. Jobs are decoded, admitted and answered by
-// transport.JobFrontend, as for HTTP/1.1, and net/http's server speaks the protocol. This package adds what only HTTP/2 needs: it
-// follows the frames of each connection by their heads, so that internal/decisions/http2limits can terminate the connection
-// before a flood reaches net/http; GOAWAY when clients are to use another connection; TLS, whose files are reloaded while
-// the program runs; and grants of accounts to client certificates.
+// transport.JobFrontend, as for HTTP/1.1, and net/http's server implements the protocol. This package adds what only HTTP/2 needs:
+//
+//   - It passes the frame headers of each connection to internal/decisions/http2limits, and terminates the connection before a flood
+//     reaches net/http.
+//   - It sends GOAWAY when clients are to use another connection.
+//   - It terminates TLS, and reloads the TLS files while the program runs.
+//   - It grants accounts to client certificates.
 package http2
 
 import (
@@ -22,16 +25,16 @@
 // Settings is the block front "http2" of the operator's file.
 type Settings struct {
 	Listen    string   `hcl:"listen"`
-	Cleartext bool     `hcl:"cleartext,optional"` // the address may be off loopback without TLS
+	Cleartext bool     `hcl:"cleartext,optional"` // without TLS, the address need not be a loopback address
 	Streams   int      `hcl:"streams,optional"`   // maximum of concurrent streams on one connection
 	TLS       *TLS     `hcl:"tls,block"`          // nil: cleartext with prior knowledge
-	Clients   []Client `hcl:"client,block"`       // in force if TLS has a ClientCA
+	Clients   []Client `hcl:"client,block"`       // in force only if TLS has a ClientCA
 }
 
-// Default returns the settings used for what the operator's file leaves out.
+// Default returns the settings that are used where the operator's file has none.
 func Default() Settings { return Settings{Streams: 128} }
 
-// Frontend is the frontend. Its methods may be called from any goroutine.
+// Frontend is the HTTP/2 frontend. It is safe for concurrent use.
 type Frontend struct {
 	*transport.JobFrontend
 	log      *slog.Logger
@@ -44,7 +47,7 @@
 	goingAway     bool        // clients are to use another connection
 	expiryTimer   *time.Timer // of the warning before the certificate expires; nil in cleartext
 	floodCloses   map[http2limits.CloseReason]int
-	forbiddenJobs int // answered 403
+	forbiddenJobs int // rejected with status 403
 }
 
 // reloadable is the part of the settings that Prepare replaces as a whole.
@@ -66,8 +69,8 @@
 	return f, nil
 }
 
-// Prepare reads the files that new settings name, and returns a function that puts them in force: grants for all connections,
-// certificates and CA for those that are accepted from then on. With an error nothing has changed.
+// Prepare reads the files that new settings name, and returns a function that puts the settings in force: grants for all connections,
+// certificates and CA for connections that are accepted afterwards. If Prepare returns an error, nothing has changed.
 func (f *Frontend) Prepare(settings *Settings) (apply func(), err error) {
 	next := &reloadable{grants: newGrants(settings.Clients)}
 	if settings.TLS != nil {
@@ -88,7 +91,7 @@
 // expiryWarningPeriod is how long before a certificate expires a warning is logged.
 const expiryWarningPeriod = 14 * 24 * time.Hour
 
-// scheduleExpiryWarning logs one warning when the certificate is about to expire. It replaces an earlier schedule.
+// scheduleExpiryWarning schedules one warning, expiryWarningPeriod before the certificate expires. It replaces an earlier schedule.
 func (f *Frontend) scheduleExpiryWarning(credentials *credentials) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,11 +112,11 @@
 	maxHeaderBytes      = 8 << 10   // of a request's header list
 	maxHeaderTableBytes = 4 << 10   // of the HPACK dynamic table, in each direction
 	maxReadFrameBytes   = 16 << 10  // of a frame's payload
-	streamWindowBytes   = 64 << 10  // flow control of a stream: a whole body
+	streamWindowBytes   = 64 << 10  // flow control of a stream; enough for a whole body
 	connWindowBytes     = 256 << 10 // flow control of a connection
 )
 
-// Server returns the frontend's server, which speaks cleartext HTTP/2 only: Listener has taken off TLS.
+// Server returns the frontend's server, which speaks only cleartext HTTP/2: the connections of Listener terminate TLS.
 func (f *Frontend) Server(settings *Settings) *http.Server {
 	server := transport.Server(f, f.log)
 	server.MaxHeaderBytes = maxHeaderBytes
@@ -130,7 +133,7 @@
 	return server
 }
 
-// authorize is the transport.Authorize of the frontend: it rejects with 403 a job whose account is not granted to the client's
+// authorize is the transport.Authorize of the frontend: it rejects a job with status 403 if its account is not granted to the client's
 // certificate.
 func (f *Frontend) authorize(r *http.Request, job *protocol.Job) error {
 	current := f.current.Load()
@@ -155,8 +158,8 @@
 	f.log.Debug("client connection terminated", "front", "http2", "reason", string(reason), "client", clientConn.RemoteAddr().String())
 }
 
-// StartShutdown makes the readiness page say 503, and sends GOAWAY to all clients: streams that they open before they read it
-// are still served.
+// StartShutdown makes the readiness page respond with status 503, and sends GOAWAY to all clients. Streams that they open before they
+// read it are still served.
 func (f *Frontend) StartShutdown() {
 	f.JobFrontend.StartShutdown()
 	f.setGoingAway(true)
@@ -168,7 +171,7 @@
 	f.setGoingAway(on)
 }
 
-// setGoingAway sends GOAWAY without an error to all clients, and to those that connect until it is called with false.
+// setGoingAway(true) sends GOAWAY without an error to all clients, and to clients that connect before setGoingAway(false).
 func (f *Frontend) setGoingAway(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,7 +184,7 @@
 	}
 }
 
-// Metrics returns the metrics, one on a line.
+// Metrics returns the metrics, one per line.
 func (f *Frontend) Metrics() string {
 	var text strings.Builder
 	f.mu.Lock()
--- a/internal/transport/http2/frontend_test.go
+++ b/internal/transport/http2/frontend_test.go
@@ -28,7 +28,7 @@
 	return 1
 }
 
-// ClientLeft does nothing: the request is answered.
+// ClientLeft does nothing: the request is already answered.
 func (c *immediateCore) ClientLeft(scheduler.RequestID) {}
 
 // Counters returns the counters of the frontend.
@@ -56,7 +56,7 @@
 	return socket
 }
 
-// serve serves a listener until the end of the benchmark.
+// serve accepts connections of a listener until the end of the benchmark.
 func serve(b *testing.B, server *http.Server, listener net.Listener) {
 	b.Helper()
 	go func() { _ = server.Serve(listener) }() // ends with Close
@@ -64,7 +64,7 @@
 }
 
 // encodeHTTP2Job returns the HEADERS and DATA frames of a job, without stream IDs, and the offset of the stream ID of the DATA frame.
-func encodeHTTP2Job() (job []byte, data int) {
+func encodeHTTP2Job() (job []byte, dataStreamOffset int) {
 	var block []byte
 	block = append(block, 0x83, 0x86)
 	for _, header := range [...][2]string{{":path", "/price-part"}, {":authority", "api.internal"}, {"req-id", "a"}, {"req-kind", "price-part"}, {"req-owner", "o"},
@@ -74,9 +74,9 @@
 	}
 	job = []byte{0, 0, byte(len(block)), 1, 4, 0, 0, 0, 0}
 	job = append(append(job, block...), 0, 0, 7, 0, 1, 0, 0, 0, 0)
-	data = len(job) - 4
+	dataStreamOffset = len(job) - 4
 	job = append(job, "drawing"...)
-	return job, data
+	return job, dataStreamOffset
 }
 
 // BenchmarkFrontends measures what a job costs at each frontend, without the scheduler and workers. The client allocates nothing.
@@ -136,25 +136,25 @@
 	}
 	defer conn.Close()
 	fmt.Fprintf(conn, "%s\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00\x00\x04\x01\x00\x00\x00\x00", preface)
-	job, data := encodeHTTP2Job()
+	job, dataStreamOffset := encodeHTTP2Job()
 	window := binary.BigEndian.AppendUint32([]byte{0, 0, 4, 8, 0, 0, 0, 0, 0}, 6)
-	answers, head := bufio.NewReader(conn), make([]byte, frameHeadBytes)
+	answers, header := bufio.NewReader(conn), make([]byte, frameHeaderBytes)
 	stream := uint32(1)
 	b.ReportAllocs()
 	for b.Loop() {
 		binary.BigEndian.PutUint32(job[5:], stream)
-		binary.BigEndian.PutUint32(job[data:], stream)
+		binary.BigEndian.PutUint32(job[dataStreamOffset:], stream)
 		if _, err := conn.Write(job); err != nil {
 			b.Fatal(err)
 		}
 		for {
-			if _, err := io.ReadFull(answers, head); err != nil {
+			if _, err := io.ReadFull(answers, header); err != nil {
 				b.Fatal(err)
 			}
-			if _, err := answers.Discard(int(head[1])<<8 | int(head[2])); err != nil {
+			if _, err := answers.Discard(int(header[1])<<8 | int(header[2])); err != nil {
 				b.Fatal(err)
 			}
-			if head[3] == byte(http2limits.Data) && head[4]&http2limits.EndStream != 0 {
+			if header[3] == byte(http2limits.Data) && header[4]&http2limits.EndStream != 0 {
 				break
 			}
 		}
@@ -165,7 +165,7 @@
 	}
 }
 
-// FuzzFrameScanner checks that the scanner finds the same frames however the bytes are split.
+// FuzzFrameScanner checks that the scanner finds the same frames regardless of how the bytes are split.
 func FuzzFrameScanner(f *testing.F) {
 	f.Add([]byte("\x00\x00\x03\x00\x01\x00\x00\x00\x01abc\x00\x00\x00\x04\x00\x00\x00\x00\x00"), uint8(1))
 	f.Add([]byte("\x00\x00\x08\x07\x00\x00\x00\x00\x00\x00\x00"), uint8(3))
@@ -180,17 +180,17 @@
 					if n == 0 {
 						t.Fatal("step consumed no bytes")
 					}
-					if piece = piece[n:]; event == headRead {
+					if piece = piece[n:]; event == headerRead {
 						found = append(found, scanner.frame())
 					}
 				}
 			}
 			return found, scanner.betweenFrames()
 		}
-		atOnce, end := frames(len(text) + 1)
-		inPieces, endOfPieces := frames(int(split) + 1)
-		if fmt.Sprint(atOnce, end) != fmt.Sprint(inPieces, endOfPieces) {
-			t.Fatalf("at once %v, between frames %v; in pieces of %d %v, %v", atOnce, end, int(split)+1, inPieces, endOfPieces)
+		atOnce, betweenAtOnce := frames(len(text) + 1)
+		inPieces, betweenInPieces := frames(int(split) + 1)
+		if fmt.Sprint(atOnce, betweenAtOnce) != fmt.Sprint(inPieces, betweenInPieces) {
+			t.Fatalf("at once: frames %v, between frames %v; in pieces of %d bytes: frames %v, between frames %v", atOnce, betweenAtOnce, int(split)+1, inPieces, betweenInPieces)
 		}
 	})
 }
--- a/internal/transport/http2/grants.go
+++ b/internal/transport/http2/grants.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Client is a block client of the frontend's settings: it grants the holder of a certificate the jobs of accounts.
+// Client is a block client of the frontend's settings: it lets the holder of a certificate submit jobs of accounts.
 type Client struct {
 	Label    string   `hcl:"label,label"`
 	Names    []string `hcl:"names"`    // DNS names or URIs of the certificate, or the common name if it has neither
 	Accounts []string `hcl:"accounts"` // values of Req-Owner
 }
 
-// grants is the accounts whose jobs a client may submit, by the names of its certificate.
+// grants has the accounts whose jobs a client may submit, by the names of its certificate.
 type grants map[string][]string
 
 func newGrants(clients []Client) grants {
@@ -36,7 +36,7 @@
 	})
 }
 
-// certificateNames returns the names of a certificate that grants go by.
+// certificateNames returns the names of a certificate by which grants are looked up.
 func certificateNames(certificate *x509.Certificate) []string {
 	names := slices.Clone(certificate.DNSNames)
 	for _, uri := range certificate.URIs {
