--- a/internal/endpointcache/writer.go
+++ b/internal/endpointcache/writer.go
@@ -178,11 +178,11 @@
 		listed[member.ID] = true
 		before, known := w.members[member.ID]
 		after := before.updatedTo(member)
-		if known && before.Member == after.Member || !known && member.Phase == protocol.Left {
+		if known && before.Member == after.Member || !known && member.Phase == protocol.PhaseLeft {
 			continue
 		}
 		changed[member.ID] = after.Member
-		if member.Phase == protocol.Left {
+		if member.Phase == protocol.PhaseLeft {
 			delete(w.members, member.ID)
 			continue
 		}
@@ -197,7 +197,7 @@
 func (w *Writer) removeUnlisted(listed map[string]bool, changed map[string]protocol.Member) {
 	for id, member := range w.members {
 		if !listed[id] {
-			member.Phase = protocol.Left
+			member.Phase = protocol.PhaseLeft
 			changed[id] = member.Member
 			delete(w.members, id)
 		}
--- a/internal/program/firstlist.go
+++ b/internal/program/firstlist.go
@@ -19,7 +19,7 @@
 // the platform's file. The file also stands in for a confirmed list of the predecessor that cannot be read.
 func (d *dispatcher) chooseFirstList(in *inputs, clock routing.Clock) firstList {
 	if in.predecessor.hasConfirmedList() {
-		update, err := in.predecessor.handover.Update(in.config.Discovery, d.settings.Current())
+		update, err := in.predecessor.handover.ListUpdate(in.config.Discovery, d.settings.Current())
 		if err == nil {
 			return firstList{known: update, source: routing.ListSource{Name: routing.SourcePredecessor, ConfirmedAt: time.Now()}}
 		}
--- a/internal/program/predecessor.go
+++ b/internal/program/predecessor.go
@@ -47,7 +47,7 @@
 		return nil
 	}
 	found := &predecessor{peer: peer, handover: handover, listeners: map[string]*net.TCPListener{}}
-	for i, name := range handover.Fronts {
+	for i, name := range handover.Frontends {
 		found.listeners[name] = listeners[i]
 	}
 	d.log.Info("predecessor found", "endpoints", len(handover.Members), "detached", len(handover.Detached), "listeners", len(listeners))
--- a/internal/program/reloader.go
+++ b/internal/program/reloader.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if err := config.Follows(r.config); err != nil {
+	if err := config.CheckReplaces(r.config); err != nil {
 		return nil, nil, nil, err
 	}
 	if r.operatorPath == "" {
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -59,7 +59,7 @@
 	defer peer.Close()
 	var listeners []*transport.Listener
 	for _, f := range d.frontends {
-		handover.Fronts = append(handover.Fronts, f.name)
+		handover.Frontends = append(handover.Frontends, f.name)
 		listeners = append(listeners, f.listener)
 	}
 	if err := d.operations.handOver(peer, handover, listeners); err != nil {
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -131,9 +131,9 @@
 	return ok && has(inner, path[1:]...)
 }
 
-// Follows returns an error if this file may not replace another while the program runs: it must have all keys that the other has.
+// CheckReplaces returns an error if this file may not replace another while the program runs: it must have all keys that the other has.
 // One that is absent was lost, and no default may replace it.
-func (c *Config) Follows(old *Config) error {
+func (c *Config) CheckReplaces(old *Config) error {
 	before, after := maps.Clone(old.raw), c.raw
 	delete(before, "known") // used at a start only
 	if err := checkKeys("", before, after); err != nil {
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -29,11 +29,11 @@
 	UpSinceMS int64   `json:"up_since_ms"` // StartedAt, Unix time in milliseconds; 0 for long ago
 }
 
-// Left is the phase of an endpoint that is gone.
-const Left = "left"
+// PhaseLeft is the phase of an endpoint that is gone.
+const PhaseLeft = "left"
 
 // phases are the states of endpoints by their names on the wire.
-var phases = map[string]scheduler.WorkerState{"active": scheduler.Ready, "leaving": scheduler.Draining, Left: scheduler.Gone}
+var phases = map[string]scheduler.WorkerState{"active": scheduler.Ready, "leaving": scheduler.Draining, PhaseLeft: scheduler.Gone}
 
 // ParseList decodes and checks a response of discovery. An error names the member at fault: a list is rejected as a whole.
 func ParseList(text []byte) (*List, error) {
@@ -69,7 +69,7 @@
 			return fmt.Errorf("members[%d].id: absent", i)
 		}
 		// An endpoint that is gone needs no address.
-		if err := CheckAddr(m.HostPort); err != nil && m.Phase != Left {
+		if err := CheckAddr(m.HostPort); err != nil && m.Phase != PhaseLeft {
 			return fmt.Errorf("members[%d].host_port: %w", i, err)
 		}
 	}
--- a/internal/protocol/handover.go
+++ b/internal/protocol/handover.go
@@ -56,7 +56,7 @@
 
 // Handover is the state that a successor begins with.
 type Handover struct {
-	Fronts          []string      `json:"fronts"` // frontends whose listeners are passed with it, in this order
+	Frontends       []string      `json:"fronts"` // frontends whose listeners are passed with it, in this order
 	Discovery       string        `json:"discovery"`
 	Revision        int64         `json:"revision"`
 	Members         []KnownMember `json:"members"`
@@ -147,9 +147,9 @@
 	return names[number]
 }
 
-// Update converts the predecessor's list to the terms of the core. Its revision counts only if both processes poll the same
+// ListUpdate converts the predecessor's list to the terms of the core. Its revision counts only if both processes poll the same
 // discovery, whose address is given.
-func (h *Handover) Update(discovery string, settings *Settings) (routing.ListUpdate, error) {
+func (h *Handover) ListUpdate(discovery string, settings *Settings) (routing.ListUpdate, error) {
 	list := List{Revision: h.Revision, Complete: true}
 	for _, known := range h.Members {
 		list.Members = append(list.Members, known.Member)
--- a/internal/protocol/handover_test.go
+++ b/internal/protocol/handover_test.go
@@ -27,7 +27,7 @@
 	if err := json.Unmarshal([]byte(strings.ReplaceAll(string(text), year, "2001-")), &later); err != nil {
 		t.Fatal(err)
 	}
-	update, err := later.Update("d", settings)
+	update, err := later.ListUpdate("d", settings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -13,7 +13,7 @@
 // storedMessages are the messages of a handover between processes, by golden file; each field has a different value.
 var storedMessages = map[string]any{
 	"handover": Handover{
-		Fronts: []string{"front-1", "front-2"}, Discovery: "127.0.0.1:8500", Revision: 11,
+		Frontends: []string{"front-1", "front-2"}, Discovery: "127.0.0.1:8500", Revision: 11,
 		Members: []KnownMember{{
 			Member: Member{ID: "worker-a", HostPort: "127.0.0.1:3001", Locality: "zone-1", Flavor: "flavor-1",
 				Cell: 2, Phase: "leaving", Size: 1.5, UpSinceMS: 901},
@@ -29,7 +29,7 @@
 		Classes: map[string]scheduler.ClassStatistics{"class-1": {WorkScale: 41.5, MeanLogRuntime: 42.5, Jobs: 43}},
 	},
 	"handover-after-move": Handover{
-		Fronts: []string{"front-3"}, Discovery: "127.0.0.1:8501", Revision: 12,
+		Frontends: []string{"front-3"}, Discovery: "127.0.0.1:8501", Revision: 12,
 		Members: []KnownMember{{
 			Member: Member{ID: "worker-b", HostPort: "127.0.0.1:3002", Locality: "zone-2", Flavor: "flavor-2",
 				Cell: 3, Phase: "leaving", Size: 2.5, UpSinceMS: 902},
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -28,7 +28,7 @@
 // errNoHandover says that the predecessor's first message lacks the handover, or that not all listeners were received with it.
 var errNoHandover = errors.New("the first message of the predecessor is not a handover with its listeners")
 
-// ConnectToPredecessor connects to the process that listens at path, and takes over its listeners, in the order of Handover.Fronts,
+// ConnectToPredecessor connects to the process that listens at path, and takes over its listeners, in the order of Handover.Frontends,
 // and its state. It blocks until the deadline at most. It fails if there is no such process, or if that does not answer.
 func ConnectToPredecessor(path string, deadline time.Time) (*PeerProcess, *protocol.Handover, []*net.TCPListener, error) {
 	conn, err := (&net.Dialer{Deadline: deadline}).Dial("unix", path)
@@ -42,7 +42,7 @@
 	if err == nil {
 		err = predecessor.decoder.Decode(&first)
 	}
-	if err == nil && (first.Handover == nil || len(first.Handover.Fronts) != len(listeners)) {
+	if err == nil && (first.Handover == nil || len(first.Handover.Frontends) != len(listeners)) {
 		err = errNoHandover
 	}
 	if err != nil {
