--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -1,6 +1,6 @@
-// Package protocol has the messages that the dispatcher exchanges with clients, workers, discovery and the process that replaces it,
-// and the settings and the file of the platform. It is the one place where names of the wire are mapped to the terms of the
-// program: each message is decoded into a typed value, and encoded from one. Nothing here opens a socket.
+// Package protocol defines the messages that the dispatcher exchanges with clients, workers, discovery and a predecessor or successor
+// process, and the platform's file with its settings. It is the only package that maps names on the wire to the terms of the program:
+// it decodes each message into a typed value, and encodes it from one. It opens no socket.
 package protocol
 
 import (
@@ -18,18 +18,18 @@
 	"time"
 )
 
-// Config is the platform's file. The names of its fields are the keys, but for the case of the first letter. Unknown keys are ignored.
+// Config is the platform's file. Unless a tag names the key, it is the field's name with a lower-case first letter. Unknown keys are ignored.
 type Config struct {
 	Name      string // of this dispatcher
 	Listen    string // host:port for the requests of clients
 	Discovery string // host:port of the discovery service, or of its agent on this machine
 	Admin     string // host:port of the admin API; empty for none
-	Seed      string // of random numbers, hexadecimal
+	Seed      string // of the random number generator, hexadecimal
 	Limits    Limits
 	Known     *List // the endpoint list at the start; nil for none
 	Settings  Settings
 
-	raw map[string]any // the file as it was parsed
+	raw map[string]any // the parsed file with all its keys
 }
 
 // Limits are the resources that a dispatcher may use; 0 for unknown.
@@ -39,14 +39,14 @@
 	Sockets  int // file descriptors
 }
 
-// minSockets is the least number of file descriptors with which the program works.
+// minSockets is the smallest number of file descriptors that the program can run with.
 const minSockets = 64
 
-// defaultConnectTimeout is in force where the settings have none: without one no connection would be made.
+// defaultConnectTimeout applies if the settings have no timeout: with a timeout of 0 no connection would be made.
 const defaultConnectTimeout = 200 * time.Millisecond
 
-// LoadConfig reads and checks the platform's file. What it leaves out is taken from environment variables, by env. An error names the
-// field at fault.
+// LoadConfig reads and checks the platform's file. If it lacks the name or an address, env returns that from the environment. An error
+// names the invalid field.
 func LoadConfig(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, fmt.Errorf("GW_CONFIG is not set")
@@ -58,7 +58,7 @@
 	config := &Config{Name: env("GW_NAME"), Listen: env("GW_LISTEN"), Discovery: env("GW_DISCOVERY"), Admin: env("GW_ADMIN")}
 	if err := json.Unmarshal(text, config); err != nil {
 		if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) && wrong.Field != "" {
-			return nil, fmt.Errorf("%s: %s: a %s is no %s", path, wireName(wrong.Field), wrong.Value, wrong.Type)
+			return nil, fmt.Errorf("%s: %s: got %s, expected %s", path, wireName(wrong.Field), wrong.Value, wrong.Type)
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -71,7 +71,7 @@
 	return config, config.check(path)
 }
 
-// check returns an error that names the first field with a value that cannot be used.
+// check returns an error that names the first field with an invalid value.
 func (c *Config) check(path string) error {
 	bad := badField(path)
 	for _, required := range []struct{ field, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
@@ -89,10 +89,10 @@
 		return bad("limits", "negative")
 	case c.Limits.Sockets > 0 && c.Limits.Sockets < minSockets:
 		return bad("limits.sockets", "fewer than 64")
-	case c.Settings.Limits.MaxAttempts < 0 || c.Settings.Limits.MaxAttempts == 0 && has(c.raw, "settings", "limits", "maxAttempts"):
+	case c.Settings.Limits.MaxAttempts < 0 || c.Settings.Limits.MaxAttempts == 0 && hasKey(c.raw, "settings", "limits", "maxAttempts"):
 		return bad("settings.limits.maxAttempts", "must be above 0")
 	case len(c.Settings.Classes) == 0:
-		return bad("settings.classes", "no class of request")
+		return bad("settings.classes", "must have at least one class")
 	}
 	if err := c.checkClasses(bad); err != nil {
 		return err
@@ -105,14 +105,14 @@
 	return nil
 }
 
-// checkClasses checks the classes of the settings.
+// checkClasses returns an error for the first invalid class of the settings.
 func (c *Config) checkClasses(bad func(field, reason string) error) error {
 	names := map[string]bool{}
 	for i, class := range c.Settings.Classes {
 		field := fmt.Sprintf("settings.classes[%d]", i)
 		switch {
 		case class.Name == "" || names[class.Name]:
-			return bad(field+".name", "absent or given twice")
+			return bad(field+".name", "absent or a duplicate")
 		case class.Deadline <= 0:
 			return bad(field+".deadline", "must be above 0")
 		}
@@ -121,21 +121,21 @@
 	return nil
 }
 
-// has reports whether an object has the key at the end of a path.
-func has(object map[string]any, path ...string) bool {
+// hasKey reports whether a JSON object contains the key at the end of a path of keys.
+func hasKey(object map[string]any, path ...string) bool {
 	value, ok := object[path[0]]
 	if len(path) == 1 || !ok {
 		return ok
 	}
 	inner, ok := value.(map[string]any)
-	return ok && has(inner, path[1:]...)
+	return ok && hasKey(inner, path[1:]...)
 }
 
-// CheckReplaces returns an error if this file may not replace another while the program runs: it must have all keys that the other has.
-// One that is absent was lost, and no default may replace it.
+// CheckReplaces returns an error if this file must not replace the old one while the program runs: it must have every key that the old
+// one has. A missing key counts as lost, so its value must not fall back to a default.
 func (c *Config) CheckReplaces(old *Config) error {
 	before, after := maps.Clone(old.raw), c.raw
-	delete(before, "known") // used at a start only
+	delete(before, "known") // used only at startup
 	if err := checkKeys("", before, after); err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// checkKeys returns an error that names a key which before has and after lacks.
+// checkKeys returns an error that names the first key of before that after lacks. path is the prefix of the keys in the error.
 func checkKeys(path string, before, after map[string]any) error {
 	for _, key := range slices.Sorted(maps.Keys(before)) {
 		value, ok := after[key]
@@ -166,7 +166,7 @@
 		}
 		innerAfter, ok := value.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s%s: no object", path, key)
+			return fmt.Errorf("%s%s: not an object", path, key)
 		}
 		if err := checkKeys(path+key+".", innerBefore, innerAfter); err != nil {
 			return err
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// classObjects returns the objects of an array; nil for an element that is none.
+// classObjects returns the objects of an array; nil for an element that is not an object.
 func classObjects(array any) (objects []map[string]any) {
 	elements, _ := array.([]any)
 	for _, element := range elements {
@@ -196,7 +196,7 @@
 	return keys
 }
 
-// badField returns a function that makes the error for a field of a file.
+// badField returns a function that returns the error for an invalid field of a file.
 func badField(path string) func(field, reason string) error {
 	return func(field, reason string) error { return fmt.Errorf("%s: %s: %s", path, field, reason) }
 }
@@ -210,7 +210,7 @@
 	return strings.Join(parts, ".")
 }
 
-// CheckAddr returns an error if an address is not host:port with a port that can be used.
+// CheckAddr returns an error if an address is not host:port with a usable port.
 func CheckAddr(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -220,13 +220,13 @@
 	if err != nil || host == "" && number == 0 {
 		return fmt.Errorf("%q is not host:port", address)
 	}
-	if _, err := url.Parse("http://" + address); err != nil { // such as a space: no request could be made to it
+	if _, err := url.Parse("http://" + address); err != nil { // for example a space in the host: no request could be sent to it
 		return fmt.Errorf("%q is not host:port", address)
 	}
 	return nil
 }
 
-// SeedNumber returns the seed as a number; one that is not hexadecimal is hashed.
+// SeedNumber returns the seed as a number. A seed that is not hexadecimal is hashed.
 func (c *Config) SeedNumber() uint64 {
 	if number, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return number
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -10,10 +10,10 @@
 	"brassdale/scheduler"
 )
 
-// List is a response of discovery: the endpoint list, or a change of it.
+// List is a response of discovery: the full endpoint list, or a change to it.
 type List struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"` // it is the full list
+	Complete bool     `json:"complete"` // the full list, not a change
 	Members  []Member `json:"members"`
 }
 
@@ -35,7 +35,7 @@
 // phases are the states of endpoints by their names on the wire.
 var phases = map[string]scheduler.WorkerState{"active": scheduler.Ready, "leaving": scheduler.Draining, PhaseLeft: scheduler.Gone}
 
-// ParseList decodes and checks a response of discovery. An error names the member at fault: a list is rejected as a whole.
+// ParseList decodes and checks a response of discovery. One invalid member rejects the whole list; the error names that member.
 func ParseList(text []byte) (*List, error) {
 	list := &List{}
 	if err := json.Unmarshal(text, list); err != nil {
@@ -52,14 +52,14 @@
 	first := make(map[string]int, len(l.Members))
 	for i, m := range l.Members {
 		if at, again := first[m.ID]; again && l.Complete {
-			return fmt.Errorf("members[%d].id: %q is members[%d] already", i, m.ID, at)
+			return fmt.Errorf("members[%d].id: %q is also the ID of members[%d]", i, m.ID, at)
 		}
 		first[m.ID] = i
 	}
 	return nil
 }
 
-// Check returns an error for the first member that cannot be used.
+// Check returns an error for the first invalid member.
 func (l *List) Check() error {
 	for i, m := range l.Members {
 		if _, ok := phases[m.Phase]; !ok {
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// Endpoints converts the list to the terms of the core. Zones and machine kinds are numbered as in the settings; -1 for one that
-// they do not name.
+// Endpoints converts the list to the terms of the core. Zones and machine kinds become their numbers in the settings, or -1 if the
+// settings do not name them.
 func (l *List) Endpoints(p *Settings) []routing.Endpoint {
 	endpoints := make([]routing.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestGoldenKeys checks the JSON keys, with the kinds of their values, of the platform's file, of endpoint lists and of the messages of a
-// handover. The platform's file is only read, whatever the case of its keys: they are in lower case in the golden file.
+// handover. The platform's file is only read, and the case of its keys is ignored, so the golden file has them in lower case.
 func TestGoldenKeys(t *testing.T) {
 	var got strings.Builder
 	fmt.Fprintln(&got, "==== configuration")
@@ -20,33 +20,33 @@
 	asIs := func(key string) string { return key }
 	fmt.Fprintln(&got, "==== list")
 	writeKeys(&got, reflect.TypeFor[List](), "", asIs)
-	fmt.Fprintln(&got, "==== succession")
+	fmt.Fprintln(&got, "==== handover")
 	writeKeys(&got, reflect.TypeFor[HandoverMessage](), "", asIs)
 
 	testsupport.CheckGolden(t, "testdata/keys.txt", []byte(got.String()))
 }
 
-// writeKeys writes the path and kind of each value that encoding/json reads or writes of a type, in the order in which it
-// writes them.
-func writeKeys(out *strings.Builder, of reflect.Type, path string, spell func(string) string) {
-	if of == reflect.TypeFor[time.Time]() || reflect.PointerTo(of).Implements(reflect.TypeFor[json.Marshaler]()) ||
-		reflect.PointerTo(of).Implements(reflect.TypeFor[json.Unmarshaler]()) {
-		fmt.Fprintf(out, "%s own form\n", path)
+// writeKeys writes the path and kind of each value of a type that encoding/json reads or writes, in the order of the encoding.
+// mapKey returns a key as the golden file has it.
+func writeKeys(out *strings.Builder, typ reflect.Type, path string, mapKey func(string) string) {
+	if typ == reflect.TypeFor[time.Time]() || reflect.PointerTo(typ).Implements(reflect.TypeFor[json.Marshaler]()) ||
+		reflect.PointerTo(typ).Implements(reflect.TypeFor[json.Unmarshaler]()) {
+		fmt.Fprintf(out, "%s custom encoding\n", path)
 		return
 	}
-	switch of.Kind() {
+	switch typ.Kind() {
 	case reflect.Pointer:
-		writeKeys(out, of.Elem(), path, spell)
+		writeKeys(out, typ.Elem(), path, mapKey)
 	case reflect.Slice, reflect.Array:
-		writeKeys(out, of.Elem(), path+"[]", spell)
+		writeKeys(out, typ.Elem(), path+"[]", mapKey)
 	case reflect.Map:
-		writeKeys(out, of.Elem(), path+"{"+of.Key().Kind().String()+"}", spell)
+		writeKeys(out, typ.Elem(), path+"{"+typ.Key().Kind().String()+"}", mapKey)
 	case reflect.Struct:
-		for field := range of.Fields() {
+		for field := range typ.Fields() {
 			name, options, _ := strings.Cut(field.Tag.Get("json"), ",")
 			switch {
 			case field.Anonymous && name == "":
-				writeKeys(out, field.Type, path, spell)
+				writeKeys(out, field.Type, path, mapKey)
 			case !field.IsExported() || name == "-":
 			default:
 				if name == "" {
@@ -55,10 +55,10 @@
 				if options != "" {
 					options = "," + options
 				}
-				writeKeys(out, field.Type, path+"."+spell(name)+options, spell)
+				writeKeys(out, field.Type, path+"."+mapKey(name)+options, mapKey)
 			}
 		}
 	default:
-		fmt.Fprintf(out, "%s %s\n", path, of.Kind())
+		fmt.Fprintf(out, "%s %s\n", path, typ.Kind())
 	}
 }
--- a/internal/protocol/handover.go
+++ b/internal/protocol/handover.go
@@ -9,81 +9,81 @@
 
 // HandoverMessage is a message between a process and its successor, one line of JSON. Each message sets some of the fields.
 type HandoverMessage struct {
-	Handover *Handover      `json:"handover,omitempty"` // of the predecessor, its first message
-	Usage    *HandoverUsage `json:"held,omitempty"`     // of the predecessor: the connections that it still has, and will not have more of
+	Handover *Handover      `json:"handover,omitempty"` // from the predecessor: its first message
+	Usage    *HandoverUsage `json:"held,omitempty"`     // from the predecessor: the connections that it has or may still open, and its open jobs
 
-	Serving bool `json:"serving,omitempty"` // of the successor: it accepts clients
+	Serving bool `json:"serving,omitempty"` // from the successor: it accepts clients
 
-	// A question has a number, above 0; its answer repeats it.
+	// A question has an ID above 0, which its answer repeats.
 	QuestionID uint64 `json:"ask,omitempty"`
 	AnswerTo   uint64 `json:"answer,omitempty"`
 	Yes        bool   `json:"yes,omitempty"`
 
-	ReserveID string `json:"take,omitempty"` // of the successor: a Req-Id that it asks to reserve
-	ReleaseID string `json:"free,omitempty"` // of the successor: a Req-Id that it releases
+	ReserveID string `json:"take,omitempty"` // from the successor, a question: a Req-Id to reserve
+	ReleaseID string `json:"free,omitempty"` // from the successor: a Req-Id to release
 
-	Last bool `json:"last,omitempty"` // of the predecessor, a question before its end: whether all its messages were received
+	Last bool `json:"last,omitempty"` // from the predecessor, a question before it ends: whether all its messages were received
 
-	Worker   string `json:"worker,omitempty"` // detached by the operator, or reattached
+	Worker   string `json:"worker,omitempty"` // detached or reattached by the operator
 	Detached bool   `json:"out,omitempty"`
 
-	Key        string         `json:"key,omitempty"`        // of the successor, a question: whether a job of this idempotency key is known
-	Remembered *RememberedJob `json:"remembered,omitempty"` // of the predecessor: a job that has ended
-	Relay      string         `json:"relay,omitempty"`      // with Serving: the socket at which the progress frontend accepts readers that the other process relays
+	Key        string         `json:"key,omitempty"`        // from the successor, a question: whether a job with this idempotency key is known
+	Remembered *RememberedJob `json:"remembered,omitempty"` // from the predecessor: a job that has ended
+	Relay      string         `json:"relay,omitempty"`      // with Serving: the path of the socket for callers that the predecessor relays
 }
 
-// RememberedJob is a job of an idempotency key that has ended.
+// RememberedJob is a job with an idempotency key that has ended.
 type RememberedJob struct {
 	Key      string         `json:"key"`
 	ID       string         `json:"id"`
 	Digest   []byte         `json:"digest"`
 	Events   []Event        `json:"events"`
 	Answer   routing.Answer `json:"answer"`
-	ForgetAt time.Time      `json:"forget"` // for builds without ForgetIn, which takes precedence
+	ForgetAt time.Time      `json:"forget"` // for builds that do not know ForgetIn, which takes precedence
 
-	// ForgetIn is how much longer the job is remembered, from when this was sent: the wall clock may be adjusted meanwhile.
+	// ForgetIn is how much longer the job is remembered after this was sent. Unlike ForgetAt it allows for an adjusted wall clock.
 	ForgetIn time.Duration `json:"forget_in_ns,omitempty"`
 
 	Started bool `json:"started"`
 }
 
-// HandoverUsage is what a process has in use.
+// HandoverUsage is what a process uses of the limits that it shares with its peer process.
 type HandoverUsage struct {
 	Inbound  []int `json:"inbound"`  // connections, by frontend
 	Outbound int   `json:"outbound"` // connections to workers
-	OpenJobs int   `json:"jobs"`     // open jobs, where accounts have quotas of them
+	OpenJobs int   `json:"jobs"`     // if accounts have quotas of open jobs; else 0
 }
 
-// Handover is the state that a successor begins with.
+// Handover is the state that a successor starts with.
 type Handover struct {
-	Frontends       []string      `json:"fronts"` // frontends whose listeners are passed with it, in this order
+	Frontends       []string      `json:"fronts"` // frontends whose listeners are passed along, in this order
 	Discovery       string        `json:"discovery"`
 	Revision        int64         `json:"revision"`
 	Members         []KnownMember `json:"members"`
 	Detached        []string      `json:"out"` // workers that are detached by the operator
 	Relay           string        `json:"relay,omitempty"`
-	ListUnconfirmed bool          `json:"unsure,omitempty"` // the list is a cached one that no discovery has confirmed
+	ListUnconfirmed bool          `json:"unsure,omitempty"` // the list is from the endpoint cache, and discovery has not confirmed it
 
-	LearnedState scheduler.LearnedState               `json:"experience"` // of workers; that of classes is in Classes, by name
+	LearnedState scheduler.LearnedState               `json:"experience"` // of workers; the statistics of classes are in Classes, by name
 	Classes      map[string]scheduler.ClassStatistics `json:"classes"`
 }
 
 // KnownMember is an endpoint as the predecessor knows it.
 type KnownMember struct {
 	Member
-	NotifiedAt time.Time `json:"told"` // that it is draining; for builds without NotifiedAgo, which goes before it
+	NotifiedAt time.Time `json:"told"` // when it was notified as draining; for builds that do not know NotifiedAgo, which takes precedence
 
-	// NotifiedAgo is the time since the notification, from when this was sent: the wall clock may be adjusted meanwhile.
+	// NotifiedAgo is the time from the notification until this was sent. Unlike NotifiedAt it allows for an adjusted wall clock.
 	NotifiedAgo time.Duration `json:"told_ago_ns,omitempty"`
 
-	// OtherServiceAgo is the time since its state was last received from a discovery service whose revisions cannot be compared with
-	// Handover.Revision; 0 for never.
+	// OtherServiceAgo is the time since the endpoint's state was last received from a discovery service whose revisions cannot be
+	// compared with Handover.Revision; 0 for never.
 	OtherServiceAgo time.Duration `json:"other_service_ago_ns,omitempty"`
 
-	// ReturnUnconfirmed is set for a draining worker that a list which may be older shows as ready.
+	// ReturnUnconfirmed is set for a draining worker if a list shows it as ready, but that list may be older than the drain.
 	ReturnUnconfirmed bool `json:"return_unconfirmed,omitempty"`
 
-	// StartedAgo is the time since it started, as far as the predecessor knew; 0 for long ago.
+	// StartedAgo is the time since the worker started, as the predecessor knew it; 0 for long ago.
 	StartedAgo time.Duration `json:"started_ago_ns,omitempty"`
 }
 
@@ -103,7 +103,7 @@
 	return r.ForgetAt
 }
 
-// KnownMembers converts endpoints for the handover. Zones and machine kinds are named: their numbers are each process's own.
+// KnownMembers converts endpoints for the handover. Zones and machine kinds are passed by name, as their numbers may differ between processes.
 func KnownMembers(endpoints []routing.Endpoint, settings *Settings) (known []KnownMember) {
 	now := time.Now()
 	for i, member := range Members(endpoints, settings) {
@@ -147,8 +147,8 @@
 	return names[number]
 }
 
-// ListUpdate converts the predecessor's list to the terms of the core. Its revision counts only if both processes poll the same
-// discovery, whose address is given.
+// ListUpdate converts the predecessor's list to the terms of the core. discovery is the address that this process polls; the list's
+// revision is kept only if the predecessor polled the same address.
 func (h *Handover) ListUpdate(discovery string, settings *Settings) (routing.ListUpdate, error) {
 	list := List{Revision: h.Revision, Complete: true}
 	for _, known := range h.Members {
--- a/internal/protocol/handover_test.go
+++ b/internal/protocol/handover_test.go
@@ -10,8 +10,8 @@
 	"brassdale/scheduler"
 )
 
-// TestHandover_clockAdjusted checks that the time of a notification is the same within a second after a handover during which the wall
-// clock is adjusted. The adjustment is simulated by another year in the encoded handover.
+// TestHandover_clockAdjusted checks that a handover preserves the time of a notification within a second if the wall clock is adjusted
+// meanwhile. The test simulates the adjustment with another year in the encoded handover.
 func TestHandover_clockAdjusted(t *testing.T) {
 	now := time.Now()
 	settings := &Settings{}
@@ -23,11 +23,11 @@
 		t.Fatal(err)
 	}
 	year := notifiedAt.Format("2006-")
-	var later Handover
-	if err := json.Unmarshal([]byte(strings.ReplaceAll(string(text), year, "2001-")), &later); err != nil {
+	var decoded Handover
+	if err := json.Unmarshal([]byte(strings.ReplaceAll(string(text), year, "2001-")), &decoded); err != nil {
 		t.Fatal(err)
 	}
-	update, err := later.ListUpdate("d", settings)
+	update, err := decoded.ListUpdate("d", settings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -14,19 +14,19 @@
 	"brassdale/internal/routing"
 )
 
-// MaxBodyBytes is the most that a body of the platform's protocol holds.
+// MaxBodyBytes is the maximum size of a body in the platform's protocol.
 const MaxBodyBytes = 64 << 10
 
-// maxEstimatedWork is the largest estimate of a request's work that is believed, in microseconds: an hour.
+// maxEstimatedWork is the bound below which an estimate of a request's work is accepted, in microseconds: an hour.
 const maxEstimatedWork = 3600e6
 
 // maxHeaderValue is the longest header value that is passed on to workers, in bytes.
 const maxHeaderValue = 1024
 
-// requestHeadSize is the space reserved for the head of a request to a worker, in bytes.
+// requestHeadSize is the buffer space allocated for the head of a request to a worker, in bytes.
 const requestHeadSize = 512
 
-// Job is a request of a client, decoded. It passes through the core unread, to the worker that gets it.
+// Job is a decoded request of a client. The core passes it on to the worker without reading it.
 type Job struct {
 	ID                  string // Req-Id
 	Class               int    // its number at the scheduler
@@ -38,15 +38,15 @@
 	Method              string
 	Target              string // path and query, as the client wrote them
 	Body                []byte
-	Slots               float64       // slots (width) of Req-Extra; 1 without it
+	Slots               float64       // slots or width of Req-Extra; 1 if absent
 	EstimatedWork       time.Duration // Req-Cost, microseconds on the wire; 0 for unknown
-	AffinityKey         uint64        // a hash of the cookie user; 0 without one
-	Deadline            time.Time     // Req-Deadline-Ms after the request arrived, at most that of its class
+	AffinityKey         uint64        // a hash of the cookie "user"; 0 if absent
+	Deadline            time.Time     // Req-Deadline-Ms after the request arrived, at most the deadline of its class
 	Events              bool          // workers are asked to respond with server-sent events
 	ForwardedHeaders    http.Header   // further headers that are passed on to the worker
 }
 
-// RequestError is why a request is not accepted, with the HTTP status of the response. The client sees the reason.
+// RequestError is the reason why a request is rejected, and the HTTP status of the response. The client sees the reason.
 type RequestError struct {
 	Status int
 	Reason string
@@ -62,22 +62,22 @@
 // forwardedHeaders are the headers that are passed on to workers in addition to those that the protocol names.
 var forwardedHeaders = []string{"Req-Kind", "Req-Owner", "Req-Retry", "Req-Extra", "Req-Cost", "Cookie", "Content-Type"}
 
-// ClassOf returns the name of the class that a request is for, known or not.
+// ClassOf returns the name of the class in the path of a request. The settings may have no such class.
 func ClassOf(r *http.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return name
 }
 
-// DecodeInbound reads a whole request. It blocks until the body is read: before that net/http does not notice that the client
-// leaves, so the request must not be submitted earlier. An error is a *RequestError.
+// DecodeInbound reads and checks a whole request. It blocks until the body is read: until then net/http does not notice that the
+// client disconnects, so the request must not be submitted earlier. An error is a *RequestError.
 func DecodeInbound(r *http.Request, settings *Settings, arrived time.Time) (*Job, error) {
 	if r.Method != http.MethodPost {
-		return nil, reject(http.StatusMethodNotAllowed, "jobs come by POST")
+		return nil, reject(http.StatusMethodNotAllowed, "the method must be POST")
 	}
 	name := ClassOf(r)
 	class, ok := settings.Class(name)
 	if !ok {
-		return nil, reject(http.StatusNotFound, "no class %q", name)
+		return nil, reject(http.StatusNotFound, "unknown class %q", name)
 	}
 	if err := checkHeaders(r.Header, settings, class); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	return &Job{
-		ID: r.Header.Get("Req-Id"), Class: settings.numbers[class], ClassName: name, Account: r.Header.Get("Req-Owner"),
+		ID: r.Header.Get("Req-Id"), Class: settings.classNumbers[class], ClassName: name, Account: r.Header.Get("Req-Owner"),
 		Limits:              routing.RequestLimits{MaxAttempts: settings.Limits.MaxAttempts, AnswerSlack: settings.Rules.AnswerSlack.Duration()},
 		DeduplicationWindow: settings.Classes[class].Window.Duration(), IdempotencyKey: r.Header.Get("Idempotency-Key"),
 		Method: r.Method, Target: r.URL.RequestURI(), Body: body,
@@ -104,23 +104,23 @@
 	}, nil
 }
 
-// checkHeaders returns an error where the headers of a request are not those of a request of the class.
+// checkHeaders returns an error if the headers of a request are invalid for its class.
 func checkHeaders(header http.Header, settings *Settings, class int) error {
 	name := settings.Classes[class].Name
 	if kind := header.Get("Req-Kind"); kind != "" && kind != name {
 		if !settings.HasClass(kind) {
-			return reject(http.StatusNotFound, "no class %q", kind)
+			return reject(http.StatusNotFound, "unknown class %q", kind)
 		}
-		return reject(http.StatusBadRequest, "Req-Kind %q, path %q", kind, name)
+		return reject(http.StatusBadRequest, "Req-Kind is %q, but the class in the path is %q", kind, name)
 	}
 	if header.Get("Req-Id") == "" {
 		return reject(http.StatusBadRequest, "Req-Id is absent")
 	}
-	// What is passed on must mean the same to whoever reads it next: a worker closes the connection on what it cannot read, and
-	// that would look like a fault of the worker.
+	// A header that is passed on must be unambiguous and readable: a worker closes the connection if it cannot read one, which would
+	// look like a fault of the worker.
 	for _, field := range [...]string{"Req-Id", "Idempotency-Key", "Req-Deadline-Ms", "Req-Kind", "Req-Owner", "Req-Extra"} {
 		if values := header.Values(field); len(values) > 1 || len(values) == 1 && !isPlain(values[0]) {
-			return reject(http.StatusBadRequest, "%s comes twice, is too long or not plain text", field)
+			return reject(http.StatusBadRequest, "%s is repeated, too long or not plain text", field)
 		}
 	}
 	if header.Get("Idempotency-Key") == "" && settings.Classes[class].Effect == effectKeyed {
@@ -129,12 +129,12 @@
 	return nil
 }
 
-// clientWait returns how long a client waits by Req-Deadline-Ms, at most as long as its class allows; that where it is absent.
+// clientWait returns how long a client waits: text, the value of Req-Deadline-Ms, but at most longest; longest if it is absent.
 func clientWait(text string, longest time.Duration) (time.Duration, error) {
 	if text == "" {
 		return longest, nil
 	}
-	milliseconds, err := strconv.ParseUint(text, 10, 63) // no sign
+	milliseconds, err := strconv.ParseUint(text, 10, 63) // accepts no sign
 	if err != nil {
 		return 0, reject(http.StatusBadRequest, "Req-Deadline-Ms is not a number of milliseconds")
 	}
@@ -144,7 +144,7 @@
 	return longest, nil
 }
 
-// estimatedWork parses Req-Cost. What makes no sense is no estimate: 0.
+// estimatedWork parses Req-Cost. It returns 0, for no estimate, if the value is invalid.
 func estimatedWork(text string) time.Duration {
 	microseconds, err := strconv.ParseFloat(text, 64)
 	if err == nil && microseconds > 0 && microseconds < maxEstimatedWork {
@@ -153,7 +153,7 @@
 	return 0
 }
 
-// affinityKey returns a hash of the cookie user; 0 without one.
+// affinityKey returns a hash of the cookie "user"; 0 if it is absent.
 func affinityKey(r *http.Request) uint64 {
 	if user, err := r.Cookie("user"); err == nil && user.Value != "" {
 		return hash(user.Value)
@@ -161,7 +161,7 @@
 	return 0
 }
 
-// selectHeaders returns the forwardedHeaders of a request. One with a value that is not plain is left out.
+// selectHeaders returns the forwardedHeaders of a request, without those that have a value that is not plain.
 func selectHeaders(header http.Header) http.Header {
 	selected := http.Header{}
 	for _, field := range forwardedHeaders {
@@ -193,7 +193,7 @@
 	return len(text) <= maxHeaderValue && strings.IndexFunc(text, func(c rune) bool { return c < ' ' || c > '~' }) < 0
 }
 
-// parseSlots parses Req-Extra, a list of name=value, and returns the slots that it names; 1 for none. Other names are ignored.
+// parseSlots parses Req-Extra, a list of name=value, and returns its slots; 1 if it has none. Other names are ignored.
 func parseSlots(text string) (float64, error) {
 	slots := 1.0
 	for part := range strings.SplitSeq(text, ",") {
@@ -215,8 +215,8 @@
 	return slots, nil
 }
 
-// Encode returns the request to a worker, to be written at once: an attempt counts from its last byte, so the caller must know how
-// much of it was written. left is the time that the dispatcher will wait.
+// Encode returns the request to a worker as one block: an attempt counts as sent with the last byte, so the caller must know how much
+// was written. left is how long the dispatcher will wait for the response.
 func (j *Job) Encode(host string, left time.Duration) []byte {
 	var text bytes.Buffer
 	text.Grow(requestHeadSize + len(j.Body))
@@ -233,7 +233,7 @@
 	return text.Bytes()
 }
 
-// EncodeProbe returns a probe: a request for the load report where workers have reports, else for their health.
+// EncodeProbe returns a probe: a request for the load report if workers have load reports, else for their health.
 func EncodeProbe(host string, settings *Settings) []byte {
 	path := "/stats"
 	if settings.LoadReport.Via == reportsNever || settings.LoadReport.Via == "" {
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -13,8 +13,8 @@
 	"brassdale/scheduler"
 )
 
-// FuzzDecodeInbound checks that an arbitrary request either is rejected with a 4xx status, or is a job with a deadline within that of its
-// class and a body of at most MaxBodyBytes, which can be encoded for a worker with the same ID, target and length.
+// FuzzDecodeInbound checks that an arbitrary request is either rejected with a 4xx status, or decoded as a job that has at most the
+// deadline of its class and MaxBodyBytes of body, and that is encoded for a worker with the same ID, target and length.
 func FuzzDecodeInbound(f *testing.F) {
 	head := "POST /price-part?sheet=7 HTTP/1.1\r\nHost: h\r\nReq-Id: a\r\nIdempotency-Key: k\r\n"
 	f.Add([]byte(head + "Req-Deadline-Ms: 300\r\nReq-Kind: price-part\r\nReq-Owner: o\r\nReq-Extra: slots=2,memory=1.5\r\nCookie: user=7\r\nContent-Length: 3\r\n\r\nabc"))
@@ -37,25 +37,25 @@
 		if err != nil {
 			rejected := (*RequestError)(nil)
 			if !errors.As(err, &rejected) || rejected.Status < 400 || rejected.Status > 499 {
-				t.Fatalf("rejected with %v", err)
+				t.Fatalf("rejected with %v, want a RequestError with a 4xx status", err)
 			}
 			return
 		}
 		if job.Deadline.Before(now) || job.Deadline.After(now.Add(5*time.Second)) || len(job.Body) > MaxBodyBytes || job.ID == "" || job.Slots <= 0 || job.EstimatedWork < 0 {
-			t.Fatalf("decoded %+v", job)
+			t.Fatalf("decoded a job outside the limits: %+v", job)
 		}
-		again, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(job.Encode("endpoint:1", job.Deadline.Sub(now)))))
+		forwarded, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(job.Encode("endpoint:1", job.Deadline.Sub(now)))))
 		if err != nil {
 			t.Fatalf("cannot be forwarded: %v", err)
 		}
-		if again.Header.Get("Req-Id") != strings.TrimSpace(job.ID) || again.RequestURI != job.Target || again.ContentLength != int64(len(job.Body)) {
-			t.Fatalf("forwarded as %v", again)
+		if forwarded.Header.Get("Req-Id") != strings.TrimSpace(job.ID) || forwarded.RequestURI != job.Target || forwarded.ContentLength != int64(len(job.Body)) {
+			t.Fatalf("forwarded with another ID, target or length: %v", forwarded)
 		}
 	})
 }
 
-// TestDecodeInbound_estimatedWork checks that Req-Cost, in microseconds, is the estimated work of a job, and that a value that is not a
-// positive number of a sensible size is ignored: the job is not rejected.
+// TestDecodeInbound_estimatedWork checks that Req-Cost, in microseconds, is the estimated work of a job, and that a value other than a
+// positive number below maxEstimatedWork is ignored and does not reject the job.
 func TestDecodeInbound_estimatedWork(t *testing.T) {
 	settings := &Settings{}
 	if err := json.Unmarshal([]byte(`{"classes":[{"name":"stock-check","effect":"safe","deadline":5000000}]}`), settings); err != nil {
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -12,7 +12,7 @@
 // Micros is a time or a duration on the wire, in microseconds.
 type Micros int64
 
-// Duration converts it.
+// Duration converts m to a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
 // Values of the settings on the wire.
@@ -24,7 +24,7 @@
 	scopeCell = "cell" // DedupScope: scheduler.ScopeCell; any other: scheduler.ScopeAll
 
 	listsPushed = "push" // Discovery: lists are pushed to an agent on this machine
-	listsPolled = "ask"  // Discovery: lists are polled only once that was asked for
+	listsPolled = "ask"  // Discovery: lists are polled, and only once the scheduler asks for them
 
 	reportsPulled = "pull"   // LoadReport.Via: in responses to probes only
 	reportsNever  = "silent" // LoadReport.Via: workers have no reports
@@ -32,8 +32,8 @@
 	countedByWork = "work" // CountedBy: the weight of a request grows with its work
 )
 
-// Settings are the settings on the wire. The names of its fields are the keys, but for the case of the first letter; their comments
-// say which term of the scheduler they are. Unknown keys are ignored.
+// Settings are the settings on the wire. A key is the field's name with a lower-case first letter; the field's comment names the
+// term of the scheduler for it. Unknown keys are ignored.
 type Settings struct {
 	Classes []struct { // scheduler.Class
 		Name       string
@@ -59,7 +59,7 @@
 	}
 	Limits struct {
 		Cancel         bool   // MayCancel
-		ConnIdle       Micros // idle connections to workers are closed by the worker after it
+		ConnIdle       Micros // workers close connections that are idle for this long
 		ConnectTimeout Micros // of connections to workers
 		MaxAttempts    int
 		MaxRetryAfter  Micros
@@ -85,13 +85,13 @@
 		TipMultiple   float64 // OverloadMultiple
 	}
 
-	numbers []int // of the classes, at the scheduler
+	classNumbers []int // the scheduler's number of each of Classes
 }
 
 // ListsPushed reports whether lists are pushed: the address of discovery is then that of an agent on this machine.
 func (s *Settings) ListsPushed() bool { return s.Discovery == listsPushed }
 
-// Class returns the number of a class in the settings by its name.
+// Class returns the index in Classes of the class with this name, and whether there is one.
 func (s *Settings) Class(name string) (int, bool) {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -101,7 +101,7 @@
 	return 0, false
 }
 
-// HasClass reports whether there is a class of this name.
+// HasClass reports whether there is a class with this name.
 func (s *Settings) HasClass(name string) bool {
 	_, ok := s.Class(name)
 	return ok
@@ -115,18 +115,18 @@
 	return longest
 }
 
-// ClassDeadline returns the longest time that a client of a class waits. The class is given by its number in the settings.
+// ClassDeadline returns the longest time that a client of a class waits. class is its index in Classes.
 func (s *Settings) ClassDeadline(class int) time.Duration {
 	return s.Classes[class].Deadline.Duration()
 }
 
-// LiveSettings holds the settings in force. They are replaced as a whole: whoever begins something calls Current once. Current may be
+// LiveSettings holds the settings in force. They are replaced as a whole, so an operation calls Current only once. Current may be
 // called from any goroutine; Replace only from one at a time.
 type LiveSettings struct {
 	current atomic.Pointer[Settings]
 
 	// Owned by the caller of Replace. A class keeps its number at the scheduler for the life of the process, so that requests
-	// keep the rules that they began with. One whose rules change gets a further number, and its old one if they change back.
+	// keep the rules that they began with. If the rules of a class change, it gets a new number; if they change back, its old one.
 	names   []string
 	classes []scheduler.Class
 }
@@ -134,10 +134,10 @@
 // Current returns the settings in force, which must not be changed.
 func (l *LiveSettings) Current() *Settings { return l.current.Load() }
 
-// StatisticsByName returns the statistics of the classes in force by name, as another process can use them.
+// StatisticsByName returns the statistics of the classes in force by name, as class numbers differ between processes.
 func (l *LiveSettings) StatisticsByName(learned scheduler.LearnedState) map[string]scheduler.ClassStatistics {
 	settings, named := l.Current(), map[string]scheduler.ClassStatistics{}
-	for class, number := range settings.numbers {
+	for class, number := range settings.classNumbers {
 		if number < len(learned.Classes) {
 			named[settings.Classes[class].Name] = learned.Classes[number]
 		}
@@ -145,11 +145,11 @@
 	return named
 }
 
-// StatisticsByNumber returns statistics that another process named by the class numbers of this one.
+// StatisticsByNumber converts another process's statistics by class name to statistics by this process's class numbers.
 func (l *LiveSettings) StatisticsByNumber(named map[string]scheduler.ClassStatistics) []scheduler.ClassStatistics {
 	settings := l.Current()
-	statistics := make([]scheduler.ClassStatistics, len(settings.numbers))
-	for class, number := range settings.numbers {
+	statistics := make([]scheduler.ClassStatistics, len(settings.classNumbers))
+	for class, number := range settings.classNumbers {
 		if number < len(statistics) {
 			statistics[number] = named[settings.Classes[class].Name]
 		}
@@ -157,20 +157,20 @@
 	return statistics
 }
 
-// Replace numbers the classes of new settings, passes the settings for the scheduler to apply, and puts them in force. The scheduler
-// must know a class before the first request of it, so apply is called before.
+// Replace numbers the classes of new settings, passes the scheduler's settings to apply, and then puts the new settings in force: the
+// scheduler must know a class before its first request.
 func (l *LiveSettings) Replace(settings *Settings, apply func(scheduler.Settings)) {
 	converted := settings.SchedulerSettings()
-	settings.numbers = nil
+	settings.classNumbers = nil
 	for i, class := range converted.Classes {
-		settings.numbers = append(settings.numbers, l.classNumber(settings.Classes[i].Name, class))
+		settings.classNumbers = append(settings.classNumbers, l.classNumber(settings.Classes[i].Name, class))
 	}
 	converted.Classes = slices.Clone(l.classes)
 	apply(converted)
 	l.current.Store(settings)
 }
 
-// classNumber returns the number of a class with these rules, a new one where there is none.
+// classNumber returns the number of the class with this name and these rules, or a new number if there is none.
 func (l *LiveSettings) classNumber(name string, class scheduler.Class) int {
 	number := 0
 	for number < len(l.names) && (l.names[number] != name || l.classes[number] != class) {
@@ -263,8 +263,8 @@
 	return &scheduler.Report{Busy: -1, Requests: -1, FreeSlots: -1, Queue: -1}
 }
 
-// setColumn sets one value of a report. The settings and the simulator use other names than the sockets. Names that the scheduler has
-// no use for are ignored.
+// setColumn sets one value of a report. The settings and the simulator use other names than the messages of workers. Names of values
+// that the scheduler does not use are ignored.
 func setColumn(report *scheduler.Report, name string, value float64) {
 	switch name {
 	case "cpu_share", "util":
--- a/internal/protocol/sse.go
+++ b/internal/protocol/sse.go
@@ -15,7 +15,7 @@
 	ID    string
 	Name  string
 	Data  string
-	Retry time.Duration // 0 for no advice
+	Retry time.Duration // delay before a reconnection; 0 for unspecified
 }
 
 // Encode returns the event as a block of a stream.
@@ -40,10 +40,10 @@
 // EventReader parses a stream of server-sent events by the standard: lines end in CR, LF or CRLF, comments are skipped, several data
 // lines make one event, and an event that the end of the stream cuts short is dropped.
 type EventReader struct {
-	reader *bufio.Reader
-	begun  bool   // a byte order mark was looked for
-	skipLF bool   // the last line ended in CR: an LF that follows belongs to it
-	lastID string // of events so far; it holds for those without an id
+	reader       *bufio.Reader
+	startChecked bool   // for a byte order mark
+	skipLF       bool   // the last line ended in CR: an LF that follows belongs to it
+	lastID       string // the last ID received; events without an ID have it too
 }
 
 // NewEventReader returns a reader of a stream.
@@ -94,13 +94,13 @@
 	}
 }
 
-// line reads up to the next line end. After a CR it does not wait for an LF, which may never be received: the event that the CR
-// completed would be delayed.
+// line reads up to the next line end. After a CR it does not wait for an LF, which may never follow: that would delay the event that
+// the CR completes.
 func (e *EventReader) line() ([]byte, error) {
-	if !e.begun {
-		e.begun = true
+	if !e.startChecked {
+		e.startChecked = true
 		if mark, err := e.reader.Peek(3); err == nil && string(mark) == "\xef\xbb\xbf" {
-			_, _ = e.reader.Discard(3) // they were peeked at
+			_, _ = e.reader.Discard(3) // Peek has buffered them
 		}
 	}
 	var line []byte
--- a/internal/protocol/sse_test.go
+++ b/internal/protocol/sse_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestEventReader_standardSyntax checks that a stream is parsed as the standard says, one byte a read; that an encoded event is parsed
-// again, and that a line beyond maxLine is rejected.
+// TestEventReader_standardSyntax checks that a stream of which each read returns one byte is parsed as the standard specifies, that an
+// encoded event can be parsed, and that a line longer than maxLine is rejected.
 func TestEventReader_standardSyntax(t *testing.T) {
 	for text, want := range map[string]string{
 		"data: a\n\n":             "|a|",
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -60,9 +60,9 @@
 	"note-worker":  HandoverMessage{Worker: "worker-c", Detached: true},
 }
 
-// TestStoredMessages checks that the messages that the program of commit c2c1317 wrote are read, field by field, and that the same messages
-// are written as the same bytes. handover-after-move is of the program that first handed over OtherServiceAgo and ReturnUnconfirmed, and has
-// all fields of a handover; handover has all but these.
+// TestStoredMessages checks that each field of the messages that the program of commit c2c1317 wrote is read, and that the same messages
+// are written as the same bytes. The first program that handed over OtherServiceAgo and ReturnUnconfirmed wrote handover-after-move, which
+// has all fields of a handover; handover lacks these two.
 func TestStoredMessages(t *testing.T) {
 	for name, want := range storedMessages {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	testsupport.CheckFieldsSet(t, "note", storedMessages["note"])
 }
 
-// withLaterFields returns a handover with those fields set that came after commit c2c1317.
+// withLaterFields returns a handover in which the fields that were added after commit c2c1317 are set too.
 func withLaterFields(handover Handover) Handover {
 	handover.Members = slices.Clone(handover.Members)
 	for i := range handover.Members {
--- a/internal/protocol/workerresponse.go
+++ b/internal/protocol/workerresponse.go
@@ -17,13 +17,13 @@
 	"brassdale/scheduler"
 )
 
-// State is what one message of a worker says of a job.
+// State is the state of a job in one message of a worker.
 type State uint8
 
 const (
 	// Started is the state of a job that has started: "started" on the wire.
 	Started State = iota
-	// Running is the state of a job of which a share is done: "running", in events also "progress".
+	// Running is the state of a job that reports its progress: "running", in events also "progress".
 	Running
 	// Ended is the state of a job in the last message of a response.
 	Ended
@@ -32,31 +32,31 @@
 // WorkerEvent is one message of a worker about a job.
 type WorkerEvent struct {
 	State  State
-	Share  float64               // the share that is done, 0 to 1, where Running
-	Result routing.AttemptResult // where Ended
+	Share  float64               // the share of the job that is done, 0 to 1, if Running
+	Result routing.AttemptResult // if Ended
 }
 
-// maxLine is the longest message of a worker, in bytes: a result in which each byte is escaped, and its frame.
+// maxLine is the longest message of a worker, in bytes: a result in which each byte is escaped, as 6 bytes, and its frame.
 const maxLine = 6*MaxBodyBytes + 4096
 
-// lineBufferSize is the size that the buffer for messages starts with, in bytes.
+// lineBufferSize is the initial size of the buffer for messages, in bytes.
 const lineBufferSize = 1024
 
-// errMalformed is the error of a message that is not of the protocol. What the worker did is unknown then.
+// errMalformed is the error for a message that violates the protocol. It is then unknown what the worker did.
 var errMalformed = errors.New("malformed message")
 
 // WorkerResponse reads the response of a worker to a job. It is not safe for concurrent use.
 type WorkerResponse struct {
-	id    string                                        // of the job
-	next  func() (text []byte, state string, err error) // returns the next message, and its state where the frame names one
-	early *WorkerEvent                                  // where the status of the response ends the attempt
+	id          string                                        // of the job
+	next        func() (text []byte, state string, err error) // returns the next message, and its state if the frame names one
+	statusEvent *WorkerEvent                                  // not nil if the status of the response ends the attempt
 }
 
 // NewWorkerResponse returns a reader for a response whose head was read. Its body is lines of JSON or server-sent events.
 func NewWorkerResponse(id string, resp *http.Response) *WorkerResponse {
 	response := &WorkerResponse{id: id}
 	if resp.StatusCode != http.StatusOK {
-		response.early = &WorkerEvent{State: Ended, Result: resultOfStatus(resp)}
+		response.statusEvent = &WorkerEvent{State: Ended, Result: resultOfStatus(resp)}
 		return response
 	}
 	if kind, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type")); kind == "text/event-stream" {
@@ -81,8 +81,8 @@
 	return response
 }
 
-// resultOfStatus returns the result of an attempt that ended with a status other than 200. Only with Srv-Declined does a 503 or 504
-// promise that the job never ran.
+// resultOfStatus returns the result of an attempt that ended with a status other than 200. A 503 or 504 means that the job never ran
+// only if it has Srv-Declined.
 func resultOfStatus(resp *http.Response) routing.AttemptResult {
 	result := routing.AttemptResult{Outcome: scheduler.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
 	declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
@@ -94,11 +94,11 @@
 	return result
 }
 
-// Next returns the next message; it blocks until that is received. An error means that the response ended, broke or is malformed
-// before its last message: the attempt ends as Reset then, or as TimedOut where its deadline has passed.
+// Next blocks until the next message is received, and returns it. An error means that the response ended, broke off or was malformed
+// before its last message: the attempt then ends as Reset, or as TimedOut if its deadline has passed.
 func (r *WorkerResponse) Next() (WorkerEvent, error) {
-	if r.early != nil {
-		return *r.early, nil
+	if r.statusEvent != nil {
+		return *r.statusEvent, nil
 	}
 	for {
 		text, state, err := r.next()
@@ -121,14 +121,14 @@
 	Load   map[string]any // load report
 }
 
-// decode decodes a message. state is that of its frame, empty for none.
+// decode decodes a message. state is the state that its frame names, empty for none.
 func (r *WorkerResponse) decode(text []byte, state string) (WorkerEvent, error) {
 	var message workerMessage
 	if err := json.Unmarshal(text, &message); err != nil {
 		return WorkerEvent{}, fmt.Errorf("%w: %w", errMalformed, err)
 	}
 	if message.ID != r.id && (message.ID != "" || state == "") {
-		return WorkerEvent{}, fmt.Errorf("%w: of job %q", errMalformed, message.ID)
+		return WorkerEvent{}, fmt.Errorf("%w: unexpected job ID %q", errMalformed, message.ID)
 	}
 	if message.State == "" {
 		message.State = state
@@ -147,15 +147,15 @@
 	case "lost":
 		return message.ended(scheduler.Reset), nil
 	}
-	return WorkerEvent{}, fmt.Errorf("%w: state %q", errMalformed, message.State)
+	return WorkerEvent{}, fmt.Errorf("%w: unknown state %q", errMalformed, message.State)
 }
 
-// ended returns the event of a last message.
+// ended returns the event for the last message of a response.
 func (m *workerMessage) ended(outcome scheduler.Outcome) WorkerEvent {
 	return WorkerEvent{State: Ended, Result: routing.AttemptResult{Outcome: outcome, Report: loadReport(m.Load)}}
 }
 
-// served returns the event of a job that was done. Without a result it is malformed: only a result of a worker is an answer.
+// served returns the event for a job that is done. A message without a result is malformed: the client could not be answered.
 func (m *workerMessage) served() (WorkerEvent, error) {
 	if len(m.Result) == 0 {
 		return WorkerEvent{}, fmt.Errorf("%w: done without a result", errMalformed)
@@ -169,7 +169,7 @@
 	return event, nil
 }
 
-// ParseProbe returns the outcome of a probe and its load report, from the header or the body; nil for none.
+// ParseProbe returns the outcome of a probe and its load report, from the header or else the body; nil if neither has one.
 func ParseProbe(resp *http.Response, body []byte) (scheduler.Outcome, *scheduler.Report) {
 	if resp.StatusCode != http.StatusOK {
 		return scheduler.Errored, nil
@@ -187,7 +187,7 @@
 	return scheduler.Served, parseLoad(string(body))
 }
 
-// loadReport converts a load report; nil for one without numbers.
+// loadReport converts a load report; nil if it has no numbers.
 func loadReport(fields map[string]any) *scheduler.Report {
 	report, found := emptyReport(), false
 	for name, field := range fields {
@@ -202,7 +202,7 @@
 	return report
 }
 
-// parseLoad parses a load report of the form name=value,name=value. What is no such pair is ignored.
+// parseLoad parses a load report of the form name=value,name=value. Anything else in the text is ignored.
 func parseLoad(text string) *scheduler.Report {
 	fields := map[string]any{}
 	for _, part := range strings.FieldsFunc(text, func(c rune) bool { return c == ',' || c == '\n' || c == ' ' }) {
