--- a/internal/program/build.go
+++ b/internal/program/build.go
@@ -14,10 +14,10 @@
 	"brassdale/scheduler"
 )
 
-// errNeedsFleet is returned for blocks that only a fleet can do something with.
+// errNeedsFleet is returned for blocks that have no effect without a fleet.
 var errNeedsFleet = errors.New("blocks failover and overload need a block council")
 
-// build makes all parts, none of which runs yet.
+// build creates all parts and starts none of them.
 func (d *dispatcher) build(ctx context.Context, in *inputs) error {
 	clock := routing.NewClock()
 	d.settings.Replace(&in.config.Settings, func(settings scheduler.Settings) {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// buildEndpointList makes the endpoint list, which begins with what is known before discovery answers.
+// buildEndpointList creates the endpoint list, which starts with what is known before discovery answers.
 func (d *dispatcher) buildEndpointList(in *inputs, clock routing.Clock, discovery *transport.Discovery) {
 	first := d.chooseFirstList(in, clock)
 	d.endpointList = routing.NewEndpointList(d.core, d.endpoints, discovery, first.known, d.log)
@@ -55,7 +55,7 @@
 	d.core.SetEndpoints(d.endpoints, d.endpointList.Subscribe)
 }
 
-// buildLimits makes what bounds requests: idempotency, the retry budget, the fleet and quotas.
+// buildLimits creates the parts that limit requests: idempotency, the retry budget, the fleet and quotas.
 func (d *dispatcher) buildLimits(in *inputs) error {
 	op := in.operator
 	if settings := op.IdempotencySettings(); settings != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// buildFrontends makes all frontends that the operator's file has a block for.
+// buildFrontends creates the job frontend, and each other frontend for which the operator's file has a block.
 func (d *dispatcher) buildFrontends(in *inputs) error {
 	op := in.operator
 	if err := d.addFrontend(in, "inbound", in.config.Listen, d.newJobFrontend); err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// addFrontend adds a frontend at an address, with the predecessor's listener where that has one.
+// addFrontend adds a frontend at an address, with the predecessor's listener if there is one.
 func (d *dispatcher) addFrontend(in *inputs, name, address string, build func(*net.TCPListener) (*frontend, error)) error {
 	socket, err := in.predecessor.listener(name, address)
 	if err != nil {
--- a/internal/program/detachedworkers.go
+++ b/internal/program/detachedworkers.go
@@ -11,11 +11,11 @@
 	"sync"
 )
 
-// detachedWorkers are the workers that the operators have detached, in a file that outlasts the process. mu guards ids;
+// detachedWorkers are the workers that the operators have detached, stored in a file that outlives the process. mu guards ids;
 // fileMissing does not change after load.
 type detachedWorkers struct {
 	path       string
-	dispatcher string // whose file it is
+	dispatcher string // name of the dispatcher that the file belongs to
 
 	fileMissing bool // load found no file
 
@@ -29,7 +29,7 @@
 	Workers []string `json:"workers"`
 }
 
-// load reads the file. A missing one is no error; after an error no worker is detached.
+// load reads the file. A missing file is not an error. After an error no worker is detached.
 func (w *detachedWorkers) load() error {
 	text, err := os.ReadFile(w.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -44,7 +44,7 @@
 		return fmt.Errorf("%s: %w", w.path, err)
 	}
 	if file.Name != w.dispatcher {
-		return fmt.Errorf("%s: it is of dispatcher %q", w.path, file.Name)
+		return fmt.Errorf("%s: file belongs to dispatcher %q", w.path, file.Name)
 	}
 	isBlank := func(id string) bool { return strings.TrimSpace(id) == "" }
 	w.adopt(slices.DeleteFunc(file.Workers, isBlank))
@@ -65,7 +65,7 @@
 	return slices.Clone(w.ids)
 }
 
-// set stores that a worker is detached, or no longer is. It is on file when this returns; after an error nothing has changed.
+// set stores whether a worker is detached. The file is written when set returns; after an error nothing has changed.
 func (w *detachedWorkers) set(id string, isDetached bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// replaceFile replaces the content of a file at once: a process that reads it meanwhile, or after a crash, gets the old content
-// or the new one.
+// replaceFile replaces the content of a file atomically: a process that reads it meanwhile, or after a crash, gets either the old
+// content or the new one.
 func replaceFile(path string, content []byte) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/program/detachedworkers_test.go
+++ b/internal/program/detachedworkers_test.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/protocol"
 )
 
-// TestStoredDetachedWorkers checks that the file of detached workers that the program of commit c2c1317 wrote is read, that the same
+// TestStoredDetachedWorkers checks that a file of detached workers is read as the program of commit c2c1317 wrote it, that the same
 // workers are written as the same bytes, and that the file of another dispatcher is rejected.
 func TestStoredDetachedWorkers(t *testing.T) {
 	const stored = `{"name":"dispatcher-1","workers":["worker-a","worker-b"]}`
--- a/internal/program/dispatcher.go
+++ b/internal/program/dispatcher.go
@@ -15,7 +15,7 @@
 	"brassdale/scheduler"
 )
 
-// dispatcher is the process, wired together. Its fields do not change once build has returned, but for those with a lock or an
+// dispatcher holds the parts of the process. Its fields do not change once build has returned, except for those with a lock or an
 // owner of their own.
 type dispatcher struct {
 	log              *slog.Logger
@@ -24,28 +24,28 @@
 	endpoints        *transport.EndpointPool
 	endpointList     *routing.EndpointList
 	inFlightIDs      *transport.InFlightIDs
-	idempotencyTable *transport.IdempotencyTable // nil where each request is a job of its own
-	quotas           *transport.AccountQuotas    // nil where accounts have none
+	idempotencyTable *transport.IdempotencyTable // nil if requests are not deduplicated
+	quotas           *transport.AccountQuotas    // nil if accounts have none
 	frontends        []*frontend
-	progress         *transport.ProgressFrontend // nil where that frontend is off
-	http2            *http2.Frontend             // nil where that frontend is off
-	cache            *endpointCache              // nil where the endpoint list is not cached
-	retriesBounded   bool                        // a metric says how many retries were denied
+	progress         *transport.ProgressFrontend // nil if that frontend is off
+	http2            *http2.Frontend             // nil if that frontend is off
+	cache            *endpointCache              // nil if the endpoint list is not cached
+	retriesBounded   bool                        // a metric counts the retries that were denied
 	retryRatio       float64                     // of the operator's file; owned by the goroutine of reloader.run
-	fleet            *fleetAgent                 // nil where this dispatcher is in no fleet
-	relayServer      *http.Server                // for callers that the peer process relays; nil where nobody can
+	fleet            *fleetAgent                 // nil if this dispatcher is in no fleet
+	relayServer      *http.Server                // for callers that the peer process relays; nil if it cannot relay any
 	relayPath        string                      // of its socket; empty for none
 	meter            *traffic.Meter              // of control traffic
 	reloader         *reloader
 	operations       *operations
-	socket           string      // where successors find this process
+	socketPath       string      // path at which successors connect to this process
 	serving          atomic.Bool // accepts clients
-	handedOver       atomic.Bool // the successor accepts them
+	handedOver       atomic.Bool // the successor accepts clients
 
-	mu        sync.Mutex // guards what is below
+	mu        sync.Mutex // guards the fields below
 	limits    resourceLimits
 	peer      *transport.PeerProcess  // the predecessor or successor; nil for none
-	peerUsage *protocol.HandoverUsage // what it uses of the limits; nil for none
+	peerUsage *protocol.HandoverUsage // what peer uses of the limits; nil for none
 }
 
 // frontend is a listener with its handler.
@@ -58,7 +58,7 @@
 		DedicateToControl()
 	}
 	listener *transport.Listener
-	served   net.Listener // the listener, or what wraps it
+	served   net.Listener // the listener, or a wrapper of it
 	server   *http.Server
 }
 
@@ -71,7 +71,7 @@
 		settings:    &protocol.LiveSettings{},
 		inFlightIDs: &transport.InFlightIDs{},
 		meter:       &traffic.Meter{},
-		socket:      runtimeFile(in.env, in.config, ".sock"),
+		socketPath:  runtimeFile(in.env, in.config, ".sock"),
 	}
 	d.operations = &operations{
 		dispatcher: d,
@@ -80,21 +80,21 @@
 	return d
 }
 
-// registerClasses has the metrics of all classes exist from the start.
+// registerClasses creates the metrics of all classes, so that they exist before the first request.
 func (d *dispatcher) registerClasses(settings *protocol.Settings) {
 	for i := range settings.Classes {
 		d.core.Counters().AddClass(settings.Classes[i].Name)
 	}
 }
 
-// detach detaches workers that were detached before.
+// detach detaches workers that were detached before this process started.
 func (d *dispatcher) detach(ids []string) {
 	for _, id := range ids {
 		d.core.SetDetached(scheduler.WorkerID(id), true)
 	}
 }
 
-// setRetryRatio applies the operator's own limit of retries and hedged attempts for each first attempt.
+// setRetryRatio applies the limit in the operator's file, in retries and hedged attempts for each first attempt.
 func (d *dispatcher) setRetryRatio(ratio float64) {
 	d.retryRatio = ratio
 	if d.fleet == nil {
--- a/internal/program/endpointcache.go
+++ b/internal/program/endpointcache.go
@@ -14,17 +14,17 @@
 	"brassdale/scheduler"
 )
 
-// endpointCache writes the endpoint list to the disk, and starts from what an earlier process has written.
+// endpointCache writes the endpoint list to disk, and returns a start from the list that an earlier process wrote.
 type endpointCache struct {
 	dispatcher *dispatcher
 	rules      cachetrust.Rules
 	store      *endpointcache.Store
-	loaded     *endpointcache.CachedList // nil where there is none
-	writer     *endpointcache.Writer     // nil before write
+	loaded     *endpointcache.CachedList // nil if there is none
+	writer     *endpointcache.Writer     // nil before startWriting
 }
 
-// openEndpointCache opens the cache's directory. Where that fails it logs a warning and returns nil: the dispatcher works
-// without a cache.
+// openEndpointCache opens the cache's directory. If that fails, it logs a warning and returns nil: the dispatcher then runs without
+// a cache.
 func (d *dispatcher) openEndpointCache(settings *endpointcache.Settings, name string, current *protocol.Settings) *endpointCache {
 	files, err := endpointcache.OpenOrCreate(settings.Directory, name)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return cache
 }
 
-// start returns a start from the cached list; nil where there is none.
-func (c *endpointCache) start(clock routing.Clock) *routing.CachedStart {
+// cachedStart returns a start from the cached list; nil if there is none.
+func (c *endpointCache) cachedStart(clock routing.Clock) *routing.CachedStart {
 	cached := c.loaded
 	if cached == nil || len(cached.Members) == 0 {
 		return nil
@@ -80,7 +80,7 @@
 	return start
 }
 
-// meanLogRuntime returns the mean logarithm of the runtimes of a class; NaN where no job of it has ended.
+// meanLogRuntime returns the mean logarithm of the runtimes of a class; NaN if no job of it has ended.
 func meanLogRuntime(class scheduler.ClassStatistics) float64 {
 	if class.Jobs > 0 {
 		return class.MeanLogRuntime
@@ -109,8 +109,8 @@
 	return workers
 }
 
-// write has the endpoint list written from now on, by a goroutine that ends with the context.
-func (c *endpointCache) write(ctx context.Context) {
+// startWriting starts a goroutine that writes the endpoint list and ends with the context.
+func (c *endpointCache) startWriting(ctx context.Context) {
 	d := c.dispatcher
 	c.writer = endpointcache.NewWriter(c.store, c.loaded, c, d.reloader.discoveryAddress, d.settings.Current, d.log)
 	d.endpointList.SetStore(c.writer)
@@ -126,7 +126,7 @@
 // trustLevelNames are the names of routing.ListSource.TrustLevels in metrics, in their order.
 var trustLevelNames = []string{"unheard", "foreign", "absent", "heard", "proven", "barred"}
 
-// metrics returns the metrics of the cache and of the source of the list, a line each.
+// metrics returns the metrics of the cache and of the source of the list, one a line.
 func (c *endpointCache) metrics() string {
 	source := c.dispatcher.endpointList.Source()
 	var text strings.Builder
--- a/internal/program/fleetagent.go
+++ b/internal/program/fleetagent.go
@@ -17,16 +17,16 @@
 // noRetryBound stands for a retry ratio without a bound.
 const noRetryBound = -1
 
-// fleetAgent runs the agent of the fleet and applies the fleet's rules to this dispatcher, the stricter of them and of what its
-// own operators say. run, leave, proposeRules and hasDetached accept nil, which stands for a dispatcher that is in no fleet. The
-// fields above mu do not change once run is called; mu guards those below it.
+// fleetAgent runs the fleet's agent and applies the fleet's rules to this dispatcher. If its own operators have set a limit too, the
+// stricter one applies. run, leave, proposeRules and hasDetached accept nil, for a dispatcher that is in no fleet. The fields above
+// mu do not change once run is called; mu guards those below it.
 type fleetAgent struct {
 	dispatcher *dispatcher
 	agent      *fleet.Agent
-	zoneRouter *zonerouting.Router // nil where nobody plans failover
+	zoneRouter *zonerouting.Router // nil if failover is not planned
 	rulesFile  string              // proposed at SIGHUP; empty for none
 	cancel     func()              // ends agent.Run
-	ended      chan struct{}       // closed when it has ended
+	ended      chan struct{}       // closed when agent.Run has returned
 
 	mu              sync.Mutex
 	detached        map[string]bool // workers that the fleet has detached
@@ -34,7 +34,7 @@
 	fleetRetryRatio float64         // of the fleet's rules; below 0 without a bound
 }
 
-// buildFleetAgent makes the dispatcher's part in the fleet, which does nothing before run.
+// buildFleetAgent creates the fleet agent, which does nothing before run.
 func (d *dispatcher) buildFleetAgent(op *operator.File, config *protocol.Config) (err error) {
 	built := &fleetAgent{
 		dispatcher:      d,
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// options returns the options of the agent, and makes the zone router where failover is planned.
+// options returns the options of the agent, and creates the zone router if failover is planned.
 func (a *fleetAgent) options(op *operator.File, config *protocol.Config) fleet.Options {
 	dispatcher := a.dispatcher
 	options := fleet.Options{
@@ -87,7 +87,7 @@
 	return options
 }
 
-// zoneOf returns the zone in which the platform says that this dispatcher is; empty for none.
+// zoneOf returns the zone of this dispatcher according to the platform; empty for none.
 func zoneOf(settings *protocol.Settings) string {
 	if settings.Locality < 0 || settings.Locality >= len(settings.Zones) {
 		return ""
@@ -108,8 +108,8 @@
 	}()
 }
 
-// leave has the agent drop its lease and notify the fleet, as far as that can be done by a deadline: then neither a successor of
-// the same name nor a change waits for the end of the lease.
+// leave makes the agent release its lease and notify the fleet, and waits for it until the deadline. If that succeeds, neither a
+// successor of the same name nor a change has to wait for the lease to expire.
 func (a *fleetAgent) leave(deadline time.Time) {
 	if a == nil {
 		return
@@ -121,7 +121,7 @@
 	}
 }
 
-// fleetBudget asks the fleet's budgets.
+// fleetBudget takes uses of the fleet's budgets.
 type fleetBudget struct{ agent *fleet.Agent }
 
 // AllowRetry takes one use of the retry budget, if there is one.
@@ -130,7 +130,7 @@
 // AllowProbe takes one use of the probe budget, if there is one.
 func (b fleetBudget) AllowProbe() bool { return b.agent.AllowUse(fleet.ProbeBudget) }
 
-// jobCounts returns the jobs that ended since the start, and those of them that were rejected or failed.
+// jobCounts returns how many jobs have ended since the start, and how many of them were rejected or failed.
 func (a *fleetAgent) jobCounts() (ended, failed uint64) {
 	for _, class := range a.dispatcher.core.Counters().Metrics().Classes {
 		ended += uint64(class.Served + class.Rejected + class.Failed)
@@ -139,7 +139,7 @@
 	return ended, failed
 }
 
-// proposeRules proposes the rules of the file that the operators named, in a goroutine that ends with the context.
+// proposeRules proposes the rules in rulesFile, in a goroutine that ends with the context.
 func (a *fleetAgent) proposeRules(ctx context.Context) {
 	if a == nil {
 		return
@@ -156,8 +156,8 @@
 	go a.agent.ProposeFile(ctx, *rules)
 }
 
-// apply applies the effective rules. The agent calls it with its lock held; it does not block. Whether retries are allowed is
-// asked for at each of them.
+// apply applies the effective rules. The agent calls it with its lock held, so it must not block. Whether retries are allowed is
+// not applied here, but checked for each retry.
 func (a *fleetAgent) apply(effective configversions.Effective) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -169,11 +169,11 @@
 	a.applyDetachedLocked(effective.Rules.DetachedWorkers)
 }
 
-// applyDetachedLocked detaches the workers that the fleet has detached, and attaches those that it no longer has, but for those
-// that this dispatcher's own operators have detached. a.mu is held.
+// applyDetachedLocked detaches the workers that the fleet has detached. It reattaches those that the fleet no longer has detached,
+// unless this dispatcher's own operators have detached them. a.mu is held.
 func (a *fleetAgent) applyDetachedLocked(ids []string) {
 	core := a.dispatcher.core
-	detachedHere := a.dispatcher.operations.detached.list()
+	detachedLocally := a.dispatcher.operations.detached.list()
 	detached := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		detached[id] = true
@@ -182,14 +182,14 @@
 		}
 	}
 	for id := range a.detached {
-		if !detached[id] && !slices.Contains(detachedHere, id) {
+		if !detached[id] && !slices.Contains(detachedLocally, id) {
 			core.SetDetached(scheduler.WorkerID(id), false)
 		}
 	}
 	a.detached = detached
 }
 
-// setLocalRetryRatio sets the operator's own limit of retries and hedged attempts for each first attempt.
+// setLocalRetryRatio sets the limit in the operator's file, in retries and hedged attempts for each first attempt.
 func (a *fleetAgent) setLocalRetryRatio(ratio float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,12 +197,12 @@
 	a.applyRetryRatioLocked()
 }
 
-// applyRetryRatioLocked applies the stricter one of both bounds. a.mu is held.
+// applyRetryRatioLocked applies the stricter of the two bounds. a.mu is held.
 func (a *fleetAgent) applyRetryRatioLocked() {
 	a.dispatcher.core.SetRetryRatio(configversions.StricterRetryRatio(a.localRetryRatio, a.fleetRetryRatio))
 }
 
-// hasDetached reports whether the fleet has a worker detached.
+// hasDetached reports whether the fleet has detached a worker.
 func (a *fleetAgent) hasDetached(id string) bool {
 	if a == nil {
 		return false
--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -41,8 +41,8 @@
 	controlKinds = 9 // the kinds of control traffic that are counted
 )
 
-// TestGoldenMetrics checks the names of all metrics of the admin API: of a program without an operator's file, of one whose file has every
-// block, and of one that started from its endpoint cache.
+// TestGoldenMetrics checks the names of all metrics of the admin API: of a program without an operator's file, of a program whose file
+// has every block, and of a program that started from its endpoint cache.
 func TestGoldenMetrics(t *testing.T) {
 	done := make(chan struct{})
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -61,16 +61,16 @@
 	reachable, unreachable := discovery.Listener.Addr().String(), freeAddress(t)
 	directory := t.TempDir()
 
-	path := filepath.Join("testdata", "figures.txt")
+	path := filepath.Join("testdata", "metrics.txt")
 	golden := readSections(t, path)
 	var got strings.Builder
 	for _, run := range []struct {
 		name, discovery string
 		blocks          bool
 	}{
-		{"bare", reachable, false},
+		{"no operator's file", reachable, false},
 		{"all blocks", reachable, true},
-		{"from the saved list", unreachable, true},
+		{"from the endpoint cache", unreachable, true},
 	} {
 		operator := ""
 		if run.blocks {
@@ -78,12 +78,12 @@
 		}
 		fmt.Fprintf(&got, "==== %s\n%s", run.name, metricNames(t, run.discovery, operator, golden[run.name]))
 	}
-	fmt.Fprintf(&got, "==== kinds of control\n%s", controlKindNames(t))
+	fmt.Fprintf(&got, "==== kinds of control traffic\n%s", controlKindNames(t))
 	testsupport.CheckGolden(t, path, []byte(got.String()))
 }
 
-// readSections reads the golden file: a text for each headline. It returns none if there is no file, which is then to be written with
-// -update.
+// readSections returns the sections of the golden file by their headlines. It returns none if there is no file, which -update then
+// writes.
 func readSections(t *testing.T, path string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -188,9 +188,9 @@
 	}
 }
 
-// metricNames runs the program in this process and returns the names of its metrics, in order, a line each: as soon as they
-// are the wanted ones in five successive polls, or after five seconds whatever they are. Names of kinds of control traffic are
-// replaced by one placeholder, as it depends on time which were counted.
+// metricNames runs the program in this process and returns the names of its metrics, in order, one a line. It returns once they are
+// the wanted names in five successive polls, or else after five seconds. A placeholder replaces the kinds of control traffic, as it
+// depends on timing which of them were counted.
 func metricNames(t *testing.T, discovery, operator, want string) string {
 	t.Helper()
 	dir, admin := t.TempDir(), freeAddress(t)
@@ -240,7 +240,7 @@
 	for line := range strings.Lines(text) {
 		name, value, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "=")
 		if !ok || name == "" || value == "" {
-			t.Fatalf("line %q is no metric", line)
+			t.Fatalf("line %q is not a metric", line)
 		}
 		if match := controlMetric.FindStringSubmatch(name); match != nil {
 			name = "control_KIND_" + match[1]
@@ -255,7 +255,7 @@
 	return strings.Join(names, "\n") + "\n"
 }
 
-// controlKindNames returns the names of all kinds of control traffic, and the keys of what is counted of each.
+// controlKindNames returns the names of all kinds of control traffic, and the JSON keys of their counts.
 func controlKindNames(t *testing.T) string {
 	t.Helper()
 	meter := &traffic.Meter{}
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -18,18 +18,18 @@
 // operationTimeout is how long a call at the admin API may take. Callers wait for a second.
 const operationTimeout = 600 * time.Millisecond
 
-// operations is what the admin API does. It may be used from any goroutine.
+// operations implements the calls of the admin API. It may be used from any goroutine.
 type operations struct {
 	dispatcher *dispatcher
 	detached   *detachedWorkers
 
-	mu sync.Mutex // held during a call that detaches a worker, and while a successor gets the list of these
+	mu sync.Mutex // held while a worker is detached or reattached, and while a successor is sent the list of detached workers
 }
 
 // Ready reports whether this process accepts clients.
 func (o *operations) Ready() bool { return o.dispatcher.serving.Load() }
 
-// Metrics returns all metrics, a line each.
+// Metrics returns all metrics, one a line.
 func (o *operations) Metrics() string {
 	dispatcher := o.dispatcher
 	counted := dispatcher.core.Counters().Metrics()
@@ -62,7 +62,7 @@
 	return text.String()
 }
 
-// metrics returns the metrics of the fleet and of control traffic, a line each.
+// metrics returns the metrics of the fleet and of control traffic, one a line.
 func (a *fleetAgent) metrics() string {
 	var text strings.Builder
 	effective := a.agent.Effective()
@@ -81,19 +81,19 @@
 	return text.String()
 }
 
-// Detach has a worker get no jobs.
+// Detach stops sending jobs to a worker.
 func (o *operations) Detach(ctx context.Context, id string) error {
 	return o.setDetached(ctx, id, true)
 }
 
-// Attach has a worker that was detached get jobs again.
+// Attach resumes sending jobs to a detached worker.
 func (o *operations) Attach(ctx context.Context, id string) error {
 	return o.setDetached(ctx, id, false)
 }
 
-// setDetached detaches a worker, or attaches it again: in the peer process, if there is one, on file, and in the scheduler, in
-// this order, so that a success is true of all three. A peer
-// that does not answer is passed over; after an error the peer may have applied the change. Errors for the caller are a transport.OperationError.
+// setDetached detaches or reattaches a worker: first in the peer process, if there is one, then in the file, then in the scheduler.
+// Success means that all three have the change, except for a peer process that does not answer. After an error the peer process
+// may have applied the change. An error for the caller is a *transport.OperationError.
 func (o *operations) setDetached(ctx context.Context, id string, isDetached bool) error {
 	deadline := time.Now().Add(operationTimeout)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -105,22 +105,22 @@
 		return err
 	}
 	if !known {
-		return &transport.OperationError{Status: http.StatusNotFound, Reason: "no such worker was ever listed"}
+		return &transport.OperationError{Status: http.StatusNotFound, Reason: "the worker was never in an endpoint list"}
 	}
 	if !isDetached && o.dispatcher.fleet.hasDetached(id) {
-		return &transport.OperationError{Status: http.StatusConflict, Reason: "the fleet has it out: propose rules without it"}
+		return &transport.OperationError{Status: http.StatusConflict, Reason: "the fleet's rules detach the worker: propose rules that do not"}
 	}
 	if peer := o.dispatcher.peerProcess(); peer != nil {
 		done, answered := peer.Ask(protocol.HandoverMessage{Worker: id, Detached: isDetached}, deadline)
 		if answered && !done {
-			return &transport.OperationError{Status: http.StatusConflict, Reason: "the other process could not do it"}
+			return &transport.OperationError{Status: http.StatusConflict, Reason: "the peer process could not apply the change"}
 		}
 	}
 	return o.applyDetached(id, isDetached)
 }
 
-// handOver sends a successor what it begins with. No worker is detached between the list of these and the moment from which the
-// successor is notified of each.
+// handOver sends a successor its initial state. It holds o.mu, so that no worker is detached after the list of detached workers is
+// made and before the successor is notified of each change.
 func (o *operations) handOver(peer *transport.PeerProcess, handover *protocol.Handover, listeners []*transport.Listener) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -129,7 +129,7 @@
 	return peer.HandOver(handover, listeners)
 }
 
-// applyDetached detaches a worker, or attaches it again, in this process alone.
+// applyDetached detaches or reattaches a worker in this process only.
 func (o *operations) applyDetached(id string, isDetached bool) error {
 	if err := o.detached.set(id, isDetached); err != nil {
 		return err
--- a/internal/program/peer.go
+++ b/internal/program/peer.go
@@ -16,7 +16,7 @@
 	return d.peer
 }
 
-// setPeer sets the process that runs at the same time as this one, nil for none, and how many act as this dispatcher.
+// setPeer sets the peer process, nil for none, and how many processes act as this dispatcher.
 func (d *dispatcher) setPeer(peer *transport.PeerProcess) {
 	d.mu.Lock()
 	d.peer = peer
@@ -29,7 +29,7 @@
 	d.shareIdempotencyKeys(nil, "", false)
 }
 
-// setPeerUsage sets what the peer process uses of the limits of both; nil for nothing.
+// setPeerUsage sets what the peer process uses of the limits of both processes; nil for no peer process.
 func (d *dispatcher) setPeerUsage(usage *protocol.HandoverUsage) {
 	d.mu.Lock()
 	d.peerUsage = usage
@@ -37,26 +37,26 @@
 	d.applyResourceLimits()
 }
 
-// shareIdempotencyKeys has the table of idempotency keys, if there is one, work together with that of a peer process; nil for none.
+// shareIdempotencyKeys connects the idempotency table, if there is one, to the table of a peer process; a nil peer disconnects it.
 func (d *dispatcher) shareIdempotencyKeys(peer *transport.PeerProcess, relayPath string, peerIsOlder bool) {
 	if d.idempotencyTable != nil {
 		d.idempotencyTable.RunBeside(peer, relayPath, peerIsOlder)
 	}
 }
 
-// handleDetachMessage does here what an operator asks for at the admin API of the peer process.
+// handleDetachMessage applies in this process what an operator requested at the admin API of the peer process.
 func (d *dispatcher) handleDetachMessage(peer *transport.PeerProcess, message protocol.HandoverMessage) {
 	err := d.operations.applyDetached(message.Worker, message.Detached)
 	peer.Notify(protocol.HandoverMessage{AnswerTo: message.QuestionID, Yes: err == nil})
 }
 
-// serveRelayed serves callers that come to the peer process with the idempotency key of a job of this one. Their quotas count
-// where they came in.
+// serveRelayed serves the callers that the peer process relays because their idempotency key is that of a job in this process. Only
+// the peer process counts them against quotas.
 func (d *dispatcher) serveRelayed() {
 	if d.idempotencyTable == nil {
 		return
 	}
-	path := fmt.Sprintf("%s.%d.progress", d.socket, os.Getpid())
+	path := fmt.Sprintf("%s.%d.progress", d.socketPath, os.Getpid())
 	socket, err := transport.ListenPrivate(path)
 	if err != nil {
 		d.log.Warn("idempotency keys not shared with peer process", "err", err)
--- a/internal/program/predecessor.go
+++ b/internal/program/predecessor.go
@@ -14,8 +14,8 @@
 // predecessorTimeout is how long a predecessor may take to answer before this process starts without it.
 const predecessorTimeout = 500 * time.Millisecond
 
-// runtimeFile returns the path of a file in the temporary directory, which outlasts the process and not the machine. The name
-// has the clients' address in it: several dispatchers may share the directory.
+// runtimeFile returns the path of a file in the temporary directory, which outlives the process but not a restart of the machine.
+// The name contains the address for clients, as several dispatchers may share the directory.
 func runtimeFile(env func(string) string, config *protocol.Config, extension string) string {
 	directory := env("TMPDIR")
 	if directory == "" {
@@ -30,18 +30,18 @@
 	return filepath.Join(directory, "brassdale-"+strings.Map(replaceInvalid, config.Listen)+extension)
 }
 
-// predecessor is the process that this one replaces, with what it handed over. Its methods accept nil, which stands for none.
+// predecessor is the process that this one replaces, with what it handed over. Its methods accept nil, for no predecessor.
 type predecessor struct {
 	peer      *transport.PeerProcess
 	handover  *protocol.Handover
-	listeners map[string]*net.TCPListener // by frontend; those that nobody took yet
+	listeners map[string]*net.TCPListener // by frontend; those that no frontend has taken yet
 }
 
-// findPredecessor connects to the predecessor; nil where there is none, only its socket file, or one that does not answer.
+// findPredecessor connects to the predecessor. It returns nil if there is none, if only its socket file is left, or if it does not answer.
 func (d *dispatcher) findPredecessor() *predecessor {
-	peer, handover, listeners, err := transport.ConnectToPredecessor(d.socket, time.Now().Add(predecessorTimeout))
+	peer, handover, listeners, err := transport.ConnectToPredecessor(d.socketPath, time.Now().Add(predecessorTimeout))
 	if err != nil {
-		if _, missing := os.Lstat(d.socket); missing == nil {
+		if _, statErr := os.Lstat(d.socketPath); statErr == nil {
 			d.log.Warn("predecessor not reached, starting alone", "err", err)
 		}
 		return nil
@@ -57,7 +57,7 @@
 // hasConfirmedList reports whether the predecessor handed over an endpoint list that discovery confirmed.
 func (p *predecessor) hasConfirmedList() bool { return p != nil && !p.handover.ListUnconfirmed }
 
-// listener returns the listener of a frontend: the predecessor's, with the clients that wait at it, where that has the address,
+// listener returns the listener of a frontend: the predecessor's, with the clients that wait in its queue, if that has the address,
 // else a new one.
 func (p *predecessor) listener(name, address string) (*net.TCPListener, error) {
 	if p == nil || p.listeners[name] == nil {
@@ -68,12 +68,12 @@
 	if sameAddress(address, inherited.Addr().String()) {
 		return inherited, nil
 	}
-	_ = inherited.Close() // the predecessor has it open still
+	_ = inherited.Close() // the predecessor still has it open
 	return transport.Listen(address)
 }
 
-// sameAddress reports whether a listener at an address is one for the wanted address, whose port may be 0 and whose host may
-// be unspecified.
+// sameAddress reports whether a listener at the existing address can serve the wanted address, whose port may be 0 and whose host
+// may be unspecified.
 func sameAddress(wanted, existing string) bool {
 	host, port, _ := net.SplitHostPort(wanted) // checked when the files were read
 	existingHost, existingPort, _ := net.SplitHostPort(existing)
@@ -81,10 +81,10 @@
 	return samePort && (host == existingHost || net.ParseIP(host).IsUnspecified())
 }
 
-// closeListeners closes the listeners of frontends that are off in this process: clients would wait at them for nobody.
+// closeListeners closes the listeners of frontends that are off in this process: it would not accept the clients that wait there.
 func (p *predecessor) closeListeners() {
 	for _, listener := range p.listeners {
-		_ = listener.Close() // the predecessor has it open still
+		_ = listener.Close() // the predecessor still has it open
 	}
 }
 
@@ -94,7 +94,7 @@
 	d.setPeer(pred.peer)
 	d.inFlightIDs.DelegateTo(pred.peer)
 	d.adoptLearnedState(pred.handover)
-	d.setPeerUsage(&protocol.HandoverUsage{Outbound: d.limits.outbound / 2}) // until it says what it uses
+	d.setPeerUsage(&protocol.HandoverUsage{Outbound: d.limits.outbound / 2}) // until it reports its usage
 	d.shareIdempotencyKeys(pred.peer, pred.handover.Relay, true)
 	go func() {
 		pred.peer.Run(func(message protocol.HandoverMessage) { d.handlePredecessorMessage(pred.peer, message) })
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is the dispatcher process: it reads the configuration, wires the parts together, serves until a signal
-// comes, and shuts down. It also replaces a predecessor process and is replaced by a successor without losing a request.
+// Package program is the dispatcher process: it reads the configuration, wires the parts together, serves until it receives a
+// signal, and shuts down. It also replaces a predecessor process and is replaced by a successor without losing a request.
 package program
 
 import (
@@ -18,9 +18,9 @@
 // firstListTimeout is how long a start waits for the endpoint list of an agent on this machine.
 const firstListTimeout = 200 * time.Millisecond
 
-// Options are what the command line says.
+// Options are the options of the command line.
 type Options struct {
-	// Operator is the path of the operator's file; empty for none. What it has no block for is off.
+	// Operator is the path of the operator's file; empty for none. A feature without a block in it is off.
 	Operator string
 	// Level is the lowest level that is logged.
 	Level slog.Level
@@ -28,13 +28,13 @@
 	Handler func(*slog.HandlerOptions) slog.Handler
 }
 
-// inputs are what a process starts from.
+// inputs are what a process starts with.
 type inputs struct {
 	env         func(string) string
 	options     Options
 	config      *protocol.Config // the platform's file
-	operator    *operator.File   // empty where there is none
-	predecessor *predecessor     // nil where there is none
+	operator    *operator.File   // empty if there is none
+	predecessor *predecessor     // nil if there is none
 }
 
 // loadInputs reads the platform's file and the operator's.
@@ -51,8 +51,8 @@
 	return loaded, err
 }
 
-// Run serves until a signal comes, and returns when all requests are answered or the time for that is over. Each value of
-// reloads has the files read again. It returns an error where the process cannot serve.
+// Run serves until it receives a signal, and returns when all requests are answered or the time for that is over. It reads the files
+// again for each value of reloads. It returns an error if the process cannot serve.
 func Run(env func(string) string, options Options, signals, reloads <-chan os.Signal) error {
 	log := slog.New(options.Handler(&slog.HandlerOptions{Level: options.Level}))
 	in, err := loadInputs(env, options)
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// serve starts all parts, and has the predecessor leave new clients to this process. The admin API is served first, so that a start that
-// waits for its list can be watched; clients are accepted only once the core and the endpoint list run. The channel gets the error
-// of each server that ends; in a shutdown all do.
+// serve starts all parts, and notifies the predecessor, which then leaves new clients to this process. The admin API is served first, so
+// that a start that waits for its list can be observed. Clients are accepted only once the core and the endpoint list run. failed gets
+// the error of each server that ends; in a shutdown all of them end.
 func (d *dispatcher) serve(ctx context.Context, in *inputs) (failed chan error, err error) {
 	failed = make(chan error, len(d.frontends)+1)
 	if err := d.serveAdmin(in.config.Admin, failed); err != nil {
@@ -99,19 +99,19 @@
 	d.serveFrontends(failed)
 	d.fleet.run(ctx)
 	d.serving.Store(true)
-	d.publish(ctx)
+	d.listenForSuccessors(ctx)
 	if in.predecessor != nil {
 		in.predecessor.peer.Notify(protocol.HandoverMessage{Serving: true, Relay: d.relayPath})
 	}
-	// internal/emulator reads this line and the two of "listening" (dispatcherprocess.go), with address after front.
+	// internal/emulator (dispatcherprocess.go) parses this line and the two "listening" lines, where address must follow front.
 	d.log.Info("ready", "name", in.config.Name)
 	return failed, nil
 }
 
-// takeOver begins to write the endpoint cache, restores which workers are detached, and takes over from the predecessor.
+// takeOver starts writing the endpoint cache, restores which workers are detached, and takes over from the predecessor.
 func (d *dispatcher) takeOver(ctx context.Context, in *inputs) {
-	if d.cache != nil { // before anybody can detach a worker, here or at the predecessor
-		d.cache.write(ctx)
+	if d.cache != nil { // before an operator can detach a worker, here or at the predecessor
+		d.cache.startWriting(ctx)
 	}
 	d.restoreDetached(in.predecessor)
 	d.serveRelayed()
@@ -121,8 +121,8 @@
 	d.applyResourceLimits()
 }
 
-// restoreDetached detaches the workers that the operators have detached: those of the predecessor, of the file in the temporary
-// directory, or, where a restart of the machine has emptied that, of the endpoint cache.
+// restoreDetached detaches the workers that the operators have detached. Their list is from the predecessor, else from the file in
+// the temporary directory, else, if a restart of the machine has emptied that directory, from the endpoint cache.
 func (d *dispatcher) restoreDetached(pred *predecessor) {
 	workers := d.operations.detached
 	if pred != nil {
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// awaitFirstList waits for the first endpoint list of an agent that pushes it, so that the first requests are not sent by an
-// old one. Clients wait meanwhile in the listeners' queues, but not for an agent that does not answer.
+// awaitFirstList waits for the first endpoint list of an agent that pushes lists, so that the first requests are not routed by an old
+// list. Clients wait meanwhile in the listeners' queues, so an agent that does not answer is not waited for beyond firstListTimeout.
 func (d *dispatcher) awaitFirstList() {
 	if !d.settings.Current().ListsPushed() {
 		return
--- a/internal/program/reloader.go
+++ b/internal/program/reloader.go
@@ -12,13 +12,13 @@
 )
 
 // reloader applies new versions of the platform's file and the operator's, both or neither. The goroutine of run owns
-// all fields; mu is for the readers of config elsewhere.
+// all fields; other goroutines read config with mu held.
 type reloader struct {
 	dispatcher   *dispatcher
 	env          func(string) string
 	discovery    *transport.Discovery
 	operatorPath string         // empty for none
-	operator     *operator.File // last file accepted; what needs a restart may not be in force
+	operator     *operator.File // last file accepted; parts that need a restart may not be in force
 
 	mu     sync.Mutex
 	config *protocol.Config // in force; written with mu held
@@ -54,20 +54,20 @@
 	}
 }
 
-// reload reads and checks both files before it applies anything: a file that is half written changes nothing. Requests,
-// connections and the endpoint list stay as they are.
+// reload reads and checks both files before it applies anything, so that a partly written file changes nothing. Requests,
+// connections and the endpoint list are not affected.
 func (r *reloader) reload(ctx context.Context) {
 	counters := r.dispatcher.core.Counters()
 	config, op, applyOperator, err := r.load()
 	if err != nil {
-		r.dispatcher.log.Error("reload failed, settings unchanged", "err", err) // before the metric, so that whoever sees the metric finds the reason logged
+		r.dispatcher.log.Error("reload failed, settings unchanged", "err", err) // before the metric changes, so that the reason is in the log by then
 		counters.CountReload(false)
 		return
 	}
 	applyOperator()
 	old := r.applyConfig(config)
 	restartRequired := r.operator.NeedsRestart(op)
-	restartRequired = append(restartRequired, changedAddresses(old, config)...)
+	restartRequired = append(restartRequired, changedRestartFields(old, config)...)
 	r.operator = op
 	r.dispatcher.fleet.proposeRules(ctx)
 	r.dispatcher.log.Info("settings reloaded", "discovery", config.Discovery, "classes", len(config.Settings.Classes),
@@ -115,7 +115,7 @@
 	}, nil
 }
 
-// applyConfig applies the platform's file and returns the one before.
+// applyConfig applies the platform's file and returns the previous one.
 func (r *reloader) applyConfig(config *protocol.Config) (old *protocol.Config) {
 	dispatcher := r.dispatcher
 	r.mu.Lock()
@@ -126,7 +126,7 @@
 	dispatcher.limits = newResourceLimits(config.Limits, len(dispatcher.frontends))
 	dispatcher.mu.Unlock()
 	dispatcher.applyResourceLimits()
-	// The scheduler gets its settings by the queue that brings it the jobs, so none comes under settings that it does not know.
+	// The scheduler receives settings and jobs through one queue, so it gets the settings before a job that is under them.
 	dispatcher.settings.Replace(&config.Settings, dispatcher.core.ApplySettings)
 	dispatcher.registerClasses(&config.Settings)
 	if discoveryChanged(old, config) {
@@ -136,15 +136,15 @@
 	return old
 }
 
-// discoveryChanged reports whether discovery is at another address, or its answers are to be read otherwise.
+// discoveryChanged reports whether discovery is at another address, or its answers must be decoded differently.
 func discoveryChanged(old, config *protocol.Config) bool {
 	return config.Discovery != old.Discovery ||
 		!slices.Equal(config.Settings.Zones, old.Settings.Zones) ||
 		!slices.Equal(config.Settings.Flavors, old.Settings.Flavors)
 }
 
-// changedAddresses returns the fields of the platform's file that have changed and count only after a restart.
-func changedAddresses(old, config *protocol.Config) (fields []string) {
+// changedRestartFields returns the fields of the platform's file that have changed and take effect only after a restart.
+func changedRestartFields(old, config *protocol.Config) (fields []string) {
 	if config.Name != old.Name {
 		fields = append(fields, "name")
 	}
--- a/internal/program/resourcelimits.go
+++ b/internal/program/resourcelimits.go
@@ -9,33 +9,34 @@
 	"brassdale/internal/transport"
 )
 
-// resourceLimits is what the process may use of each resource, by the limits that the platform states.
+// resourceLimits is how much of each resource the process may use under the limits that the platform states.
 //
-// Of the file descriptors those of the process itself come first (its log, its listeners, discovery, files, the socket for a
-// successor, the admin API). Of the rest outboundPercent are for endpoints, as a job has a connection there for as long as one
-// of its client's, and hedges have more; of what is for clients a tenth is left to reject others on.
+// Some file descriptors are reserved for the process itself (its log, its listeners, discovery, files, the socket for a successor,
+// the admin API). Of the rest, outboundPercent are for connections to endpoints: a job occupies one for as long as it occupies a
+// client's connection, and hedged attempts need more. The others are for the connections of clients, and for a tenth of their number
+// in reserve, on which further clients are rejected.
 type resourceLimits struct {
 	inbound  int   // connections of each frontend
 	outbound int   // connections to endpoints
 	bodies   int64 // bytes of request bodies at each frontend
 	streams  int   // jobs that are open at a multiplexed frontend
-	heap     int64 // bytes that the garbage collector aims at
+	heap     int64 // bytes; the runtime's soft memory limit
 	threads  int   // 0 for the runtime's default
 }
 
 const (
 	ownDescriptors      = 24
-	reservedDescriptors = ownDescriptors + transport.MaxAdminConnections*11/10 // of each process
-	defaultDescriptors  = 1024                                                 // where the platform states no limit
+	reservedDescriptors = ownDescriptors + transport.MaxAdminConnections*11/10 // for each process
+	defaultDescriptors  = 1024                                                 // if the platform states no limit
 
 	outboundPercent = 45
-	bodiesPart      = 10       // 1/bodiesPart of the memory is for request bodies at each frontend
-	streamsPart     = 6        // 1/streamsPart of the memory is for streams, in addition to their bodies
-	streamBytes     = 24 << 10 // of memory for a stream
-	defaultStreams  = 8192     // where the platform states no limit
+	bodiesDivisor   = 10       // 1/bodiesDivisor of the memory is for request bodies at each frontend
+	streamsDivisor  = 6        // 1/streamsDivisor of the memory is for streams, in addition to their bodies
+	streamBytes     = 24 << 10 // memory for each stream
+	defaultStreams  = 8192     // if the platform states no limit
 )
 
-// newResourceLimits divides what the platform states among the uses.
+// newResourceLimits divides the platform's limits among the uses.
 func newResourceLimits(stated protocol.Limits, frontends int) resourceLimits {
 	descriptors := stated.Sockets
 	if descriptors == 0 {
@@ -52,9 +53,9 @@
 	}
 	if stated.MemoryMB > 0 {
 		memory := int64(stated.MemoryMB) << 20
-		limits.bodies = memory / bodiesPart
+		limits.bodies = memory / bodiesDivisor
 		limits.heap = memory * 6 / 10
-		limits.streams = stated.MemoryMB << 20 / streamsPart / streamBytes
+		limits.streams = stated.MemoryMB << 20 / streamsDivisor / streamBytes
 	}
 	if stated.Cores > 0 {
 		limits.threads = max(int(math.Ceil(stated.Cores)), 1)
@@ -62,8 +63,8 @@
 	return limits
 }
 
-// inboundBesidePeer returns how many connections of each frontend two processes may have together: the second needs descriptors of its own.
-func (l *resourceLimits) inboundBesidePeer(frontends int) int {
+// inboundWithPeer returns how many connections of each frontend two processes may have together: the second needs descriptors of its own.
+func (l *resourceLimits) inboundWithPeer(frontends int) int {
 	return max(l.inbound-reservedDescriptors/frontends, 0)
 }
 
@@ -83,7 +84,7 @@
 	for i, f := range d.frontends {
 		inbound := limits.inbound
 		if usage != nil && i < len(usage.Inbound) {
-			inbound = max(limits.inboundBesidePeer(len(d.frontends))-usage.Inbound[i], 0)
+			inbound = max(limits.inboundWithPeer(len(d.frontends))-usage.Inbound[i], 0)
 		}
 		f.listener.SetLimits(inbound, limits.bodies)
 		f.listener.SetStreamLimit(limits.streams)
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -14,14 +14,14 @@
 
 const (
 	usageReportInterval = 50 * time.Millisecond
-	// spareOutbound is the number of connections to endpoints that a process which hands over may still open, as not every
-	// attempt finds one that is open.
+	// spareOutbound is the number of connections to endpoints that a process may still open after the handover, as not every
+	// attempt finds an open connection.
 	spareOutbound = 8
 )
 
-// publish accepts successors from now on, in a goroutine that ends when one takes the socket over.
-func (d *dispatcher) publish(ctx context.Context) {
-	socket, err := transport.Publish(d.socket)
+// listenForSuccessors accepts successors from now on, in a goroutine that ends when a successor takes over the socket.
+func (d *dispatcher) listenForSuccessors(ctx context.Context) {
+	socket, err := transport.Publish(d.socketPath)
 	if err != nil {
 		d.log.Warn("handover socket not available", "err", err)
 		return
@@ -29,10 +29,10 @@
 	go d.acceptSuccessors(ctx, socket)
 }
 
-// acceptSuccessors serves one successor at a time, until one has taken the socket over. A further one that connects meanwhile is
-// disconnected, and starts as if it had no predecessor.
+// acceptSuccessors serves one successor, and then returns. A process that connects while this one has a peer process is disconnected,
+// and starts as if it had no predecessor.
 func (d *dispatcher) acceptSuccessors(ctx context.Context, socket *net.UnixListener) {
-	defer func() { _ = socket.Close() }() // nobody connects to it any more
+	defer func() { _ = socket.Close() }() // no process connects to it any more
 	failures := listen.Failures{Log: d.log}
 	for {
 		peer, err := transport.AcceptSuccessor(socket, failures.Failed)
@@ -53,8 +53,8 @@
 	}
 }
 
-// serveSuccessor hands this process's state to a successor and serves its messages until either process ends. From then on the path
-// of the socket leads elsewhere: to the successor, or, when that has ended first, to a new socket of this process.
+// serveSuccessor hands this process's state to a successor and serves its messages until either process ends. The socket's path then
+// belongs to the successor, or, if that has ended first, to a new socket of this process.
 func (d *dispatcher) serveSuccessor(ctx context.Context, peer *transport.PeerProcess, handover *protocol.Handover) {
 	defer peer.Close()
 	var listeners []*transport.Listener
@@ -69,11 +69,11 @@
 		peer.Run(func(message protocol.HandoverMessage) { d.handleSuccessorMessage(peer, message) })
 	}
 	if d.serving.Load() { // else this process is shutting down
-		d.resumeAlone(ctx, peer)
+		d.resumeWithoutPeer(ctx, peer)
 	}
 }
 
-// newHandover returns what a successor begins with, without the frontends and detached workers. It waits for the actors that own the
+// newHandover returns what a successor starts with, except the frontends and detached workers. It waits for the actors that own the
 // state, and fails only when the context ends.
 func (d *dispatcher) newHandover(ctx context.Context) (*protocol.Handover, error) {
 	known, err := d.endpointList.Snapshot(ctx)
@@ -112,7 +112,7 @@
 	}
 }
 
-// handOverClients leaves new clients to the successor, and reports what this process still uses until either process ends.
+// handOverClients leaves new clients to the successor, and starts to report this process's usage until either process ends.
 func (d *dispatcher) handOverClients(peer *transport.PeerProcess, relayPath string) {
 	d.handedOver.Store(true)
 	d.shareIdempotencyKeys(peer, relayPath, false)
@@ -124,15 +124,16 @@
 	go d.reportUsage(peer)
 }
 
-// reportUsage reports to the successor what this process uses of the limits of both, whenever that has changed. Clients that have sent nothing
-// make way for those of the successor, which would have no capacity beside a crowd. It returns when the successor ends.
+// reportUsage reports to the successor what this process uses of the limits of both, whenever that has changed. While a frontend has
+// more than half of the connections of both, it closes those that have sent nothing: a crowd of them would leave the successor no
+// capacity. It returns when the successor ends.
 func (d *dispatcher) reportUsage(peer *transport.PeerProcess) {
 	ticker := time.NewTicker(usageReportInterval)
 	defer ticker.Stop()
 	reported := protocol.HandoverUsage{}
 	for {
 		for _, f := range d.frontends {
-			f.listener.EvictSilent(d.limits.inboundBesidePeer(len(d.frontends)) / 2)
+			f.listener.EvictSilent(d.limits.inboundWithPeer(len(d.frontends)) / 2)
 		}
 		usage := d.usage()
 		d.endpoints.SetWorkerConnLimit(usage.Outbound)
@@ -164,9 +165,9 @@
 	return a.Outbound == b.Outbound && a.OpenJobs == b.OpenJobs && slices.Equal(a.Inbound, b.Inbound)
 }
 
-// resumeAlone makes this process the dispatcher again after its successor has ended, and accepts successors at a new socket, as
-// the old one led to that process.
-func (d *dispatcher) resumeAlone(ctx context.Context, peer *transport.PeerProcess) {
+// resumeWithoutPeer makes this process accept clients again after its successor has ended, and accepts successors at a new socket, as
+// the path leads to the socket of that successor.
+func (d *dispatcher) resumeWithoutPeer(ctx context.Context, peer *transport.PeerProcess) {
 	d.inFlightIDs.ReleaseAll(peer)
 	d.setPeer(nil)
 	d.handedOver.Store(false)
@@ -175,6 +176,6 @@
 		f.listener.Resume()
 	}
 	d.applyResourceLimits()
-	d.publish(ctx)
+	d.listenForSuccessors(ctx)
 	d.log.Error("successor ended, continuing alone")
 }
