--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -13,7 +13,7 @@
 // storedMessages are the messages of a handover between processes, by golden file; each field has a different value.
 var storedMessages = map[string]any{
 	"handover": Handover{
-		Fronts: []string{"front-1", "front-2"}, Discovery: "127.0.0.1:8500", Revision: 11,
+		Frontends: []string{"front-1", "front-2"}, Discovery: "127.0.0.1:8500", Revision: 11,
 		Members: []KnownMember{{
 			Member: Member{ID: "worker-a", HostPort: "127.0.0.1:3001", Locality: "zone-1", Flavor: "flavor-1",
 				Cell: 2, Phase: "leaving", Size: 1.5, UpSinceMS: 901},
@@ -29,7 +29,7 @@
 		Classes: map[string]scheduler.ClassStatistics{"class-1": {WorkScale: 41.5, MeanLogRuntime: 42.5, Jobs: 43}},
 	},
 	"handover-after-move": Handover{
-		Fronts: []string{"front-3"}, Discovery: "127.0.0.1:8501", Revision: 12,
+		Frontends: []string{"front-3"}, Discovery: "127.0.0.1:8501", Revision: 12,
 		Members: []KnownMember{{
 			Member: Member{ID: "worker-b", HostPort: "127.0.0.1:3002", Locality: "zone-2", Flavor: "flavor-2",
 				Cell: 3, Phase: "leaving", Size: 2.5, UpSinceMS: 902},
@@ -60,9 +60,9 @@
 	"note-worker":  HandoverMessage{Worker: "worker-c", Detached: true},
 }
 
-// TestStoredMessages checks that the messages that the program of commit c2c1317 wrote are read, field by field, and that the same messages
-// are written as the same bytes. handover-after-move is of the program that first handed over OtherServiceAgo and ReturnUnconfirmed, and has
-// all fields of a handover; handover has all but these.
+// TestStoredMessages checks that each field of the messages that the program of commit c2c1317 wrote is read, and that the same messages
+// are written as the same bytes. The first program that handed over OtherServiceAgo and ReturnUnconfirmed wrote handover-after-move, which
+// has all fields of a handover; handover lacks these two.
 func TestStoredMessages(t *testing.T) {
 	for name, want := range storedMessages {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	testsupport.CheckFieldsSet(t, "note", storedMessages["note"])
 }
 
-// withLaterFields returns a handover with those fields set that came after commit c2c1317.
+// withLaterFields returns a handover in which the fields that were added after commit c2c1317 are set too.
 func withLaterFields(handover Handover) Handover {
 	handover.Members = slices.Clone(handover.Members)
 	for i := range handover.Members {
