--- a/internal/program/firstlist.go
+++ b/internal/program/firstlist.go
@@ -37,7 +37,7 @@
 	if config.Known == nil {
 		return firstList{source: routing.ListSource{Name: routing.SourceNone}}
 	}
-	return firstList{known: transport.Update(config.Known, d.settings.Current()), source: routing.ListSource{Name: routing.SourceFile}}
+	return firstList{known: transport.NewListUpdate(config.Known, d.settings.Current()), source: routing.ListSource{Name: routing.SourceFile}}
 }
 
 // usableCache returns a start from the endpoint cache; nil where there is none, or its list is too old.
--- a/internal/program/peer.go
+++ b/internal/program/peer.go
@@ -40,7 +40,7 @@
 // shareIdempotencyKeys has the table of idempotency keys, if there is one, work together with that of a peer process; nil for none.
 func (d *dispatcher) shareIdempotencyKeys(peer *transport.PeerProcess, relayPath string, peerIsOlder bool) {
 	if d.idempotencyTable != nil {
-		d.idempotencyTable.RunBeside(peer, relayPath, peerIsOlder)
+		d.idempotencyTable.SetPeer(peer, relayPath, peerIsOlder)
 	}
 }
 
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -142,7 +142,7 @@
 	if address == "" {
 		return nil
 	}
-	socket, err := transport.ListenAlone(address)
+	socket, err := transport.ListenExclusive(address)
 	if err != nil {
 		return fmt.Errorf("admin: listen: %w", err)
 	}
--- a/internal/program/resourcelimits.go
+++ b/internal/program/resourcelimits.go
@@ -90,7 +90,7 @@
 	}
 	d.endpoints.SetWorkerConnLimit(limits.outbound)
 	if d.quotas != nil {
-		d.quotas.ReserveFor(openJobs)
+		d.quotas.ReserveForPeer(openJobs)
 	}
 	debug.SetMemoryLimit(limits.heap) // well below the memory at which the platform kills the process
 	if limits.threads > 0 {
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -21,7 +21,7 @@
 
 // publish accepts successors from now on, in a goroutine that ends when one takes the socket over.
 func (d *dispatcher) publish(ctx context.Context) {
-	socket, err := transport.Publish(d.socket)
+	socket, err := transport.ListenForSuccessor(d.socket)
 	if err != nil {
 		d.log.Warn("handover socket not available", "err", err)
 		return
--- a/internal/transport/accountquotas.go
+++ b/internal/transport/accountquotas.go
@@ -51,8 +51,8 @@
 	q.applySettings()
 }
 
-// ReserveFor takes the jobs that another process of this dispatcher has open off the capacity; 0 if there is none.
-func (q *AccountQuotas) ReserveFor(open int) {
+// ReserveForPeer takes the jobs that another process of this dispatcher has open off the capacity; 0 if there is none.
+func (q *AccountQuotas) ReserveForPeer(open int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.openAtPeer = open
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -62,7 +62,7 @@
 	if revision == routing.NoRevision && !list.Complete {
 		return routing.ListUpdate{}, errNotFullList
 	}
-	update := Update(list, d.Settings.Current())
+	update := NewListUpdate(list, d.Settings.Current())
 	update.ReceivedAt = receivedAt
 	update.BeforeWaitEnded = time.Until(deadline) > responseTimeout+wait/2
 	return update, nil
@@ -112,7 +112,7 @@
 	return polling.Rules{ListsPushed: settings.ListsPushed(), DrainGrace: settings.Rules.DrainGrace.Duration(), Dispatchers: settings.ReplicasOfMe}
 }
 
-// Update returns a list in the core's terms.
-func Update(list *protocol.List, settings *protocol.Settings) routing.ListUpdate {
+// NewListUpdate returns a list in the core's terms.
+func NewListUpdate(list *protocol.List, settings *protocol.Settings) routing.ListUpdate {
 	return routing.ListUpdate{Revision: list.Revision, Complete: list.Complete, Endpoints: list.Endpoints(settings)}
 }
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -15,7 +15,7 @@
 	"brassdale/internal/protocol"
 )
 
-// How two processes of one dispatcher hand over. The predecessor listens at a Unix socket (Publish, AcceptSuccessor). The successor
+// How two processes of one dispatcher hand over. The predecessor listens at a Unix socket (ListenForSuccessor, AcceptSuccessor). The successor
 // connects to it (ConnectToPredecessor). The predecessor sends one byte with the descriptors of its listeners, then a Handover
 // (PeerProcess.HandOver), and goes on serving. From then on both run PeerProcess.Run.
 
@@ -127,9 +127,9 @@
 	return errors.Join(err, inner)
 }
 
-// Publish listens for a successor at path, in place of the process that did so before. The path changes hands in one step: at no
+// ListenForSuccessor listens for a successor at path, in place of the process that did so before. The path changes hands in one step: at no
 // time does a successor find no listener.
-func Publish(path string) (*net.UnixListener, error) {
+func ListenForSuccessor(path string) (*net.UnixListener, error) {
 	ownPath := fmt.Sprintf("%s.%d", path, os.Getpid())
 	listener, err := ListenPrivate(ownPath)
 	if err != nil {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -61,8 +61,8 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// ListenAlone listens at an address that no other process can listen at, so that each call reaches this process.
-func ListenAlone(address string) (*net.TCPListener, error) {
+// ListenExclusive listens at an address that no other process can listen at, so that each call reaches this process.
+func ListenExclusive(address string) (*net.TCPListener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -45,9 +45,9 @@
 	}}
 }
 
-// RunBeside shares the jobs with another process from now on, which takes relayed requests on the Unix socket at path; with a nil
+// SetPeer shares the jobs with another process from now on, which takes relayed requests on the Unix socket at path; with a nil
 // process or no path, the table is alone again. A successor is sent the jobs that have ended here.
-func (t *IdempotencyTable) RunBeside(process *PeerProcess, path string, isPredecessor bool) {
+func (t *IdempotencyTable) SetPeer(process *PeerProcess, path string, isPredecessor bool) {
 	var peer *peerTable
 	if process != nil && path != "" {
 		peer = newPeerTable(process, path, isPredecessor)
