--- a/internal/transport/accountquotas.go
+++ b/internal/transport/accountquotas.go
@@ -7,7 +7,7 @@
 	"brassdale/internal/decisions/quotas"
 )
 
-// QuotaSettings is the block accounts of the operator's file.
+// QuotaSettings is the block "accounts" of the operator's file.
 type QuotaSettings struct {
 	Capacity int            `hcl:"room"` // jobs open at a time, over all frontends
 	Accounts []AccountQuota `hcl:"account,block"`
@@ -19,7 +19,7 @@
 	Share float64 `hcl:"share"` // of the capacity, between 0 and 1
 }
 
-// shares returns the shares by account, in a map of its own.
+// shares returns the shares by account, in a new map.
 func (s *QuotaSettings) shares() map[string]float64 {
 	shares := map[string]float64{}
 	for _, account := range s.Accounts {
@@ -28,13 +28,13 @@
 	return shares
 }
 
-// AccountQuotas divides the capacity for open jobs among accounts, over all frontends together. Only admit may be called on a nil
-// one, and then admits every job. Methods may be called from any goroutine.
+// AccountQuotas divides the capacity for open jobs among accounts, over all frontends together. On a nil *AccountQuotas only
+// admit may be called; it then admits every job. Methods may be called from any goroutine.
 type AccountQuotas struct {
 	mu         sync.Mutex
 	settings   *QuotaSettings
 	openAtPeer int                // jobs that the predecessor has open during a handover
-	fleetCaps  map[string]float64 // maximum shares by the fleet's rules; accounts that are not named have none
+	fleetCaps  map[string]float64 // maximum shares by the fleet's rules; an account without an entry has no maximum
 	table      *quotas.Table
 }
 
@@ -51,7 +51,8 @@
 	q.applySettings()
 }
 
-// ReserveForPeer takes the jobs that another process of this dispatcher has open off the capacity; 0 if there is none.
+// ReserveForPeer reduces the capacity by the number of jobs that another process of this dispatcher has open; 0 if there is no
+// other process.
 func (q *AccountQuotas) ReserveForPeer(open int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -59,7 +60,7 @@
 	q.applySettings()
 }
 
-// CapQuotas limits accounts to these shares where the settings give them more. It replaces earlier limits.
+// CapQuotas limits each account in caps to its share there, if the settings give it more. The caps replace all earlier ones.
 func (q *AccountQuotas) CapQuotas(caps map[string]float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,7 +68,7 @@
 	q.applySettings()
 }
 
-// applySettings puts the settings and limits in force. q.mu is held.
+// applySettings applies the settings and the fleet's caps to the table. q.mu is held.
 func (q *AccountQuotas) applySettings() {
 	shares := q.settings.shares()
 	for name, limit := range q.fleetCaps {
@@ -81,7 +82,7 @@
 // capacity returns how many jobs this process may have open. q.mu is held.
 func (q *AccountQuotas) capacity() int { return max(q.settings.Capacity-q.openAtPeer, 0) }
 
-// Metrics returns the metrics, one on a line.
+// Metrics returns the metrics, one per line.
 func (q *AccountQuotas) Metrics() string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// MaxAdminConnections is the maximum number of connections to the admin API. For one more, the one that has been at its call for the
-// longest is closed.
+// MaxAdminConnections is the maximum number of connections to the admin API. If one more is opened, the connection whose call has
+// run longest is closed.
 const MaxAdminConnections = 12
 
 const (
@@ -21,20 +21,20 @@
 	maxWorkerIDBytes    = 256
 )
 
-// Operations is what the admin API needs of the program. Its methods may be called from any goroutine, and return when the
-// context ends.
+// Operations are the functions of the program that the admin API calls. Methods may be called from any goroutine, and return when
+// the context ends.
 type Operations interface {
 	// Ready reports whether this process takes requests.
 	Ready() bool
-	// Metrics returns the metrics, one on a line.
+	// Metrics returns the metrics, one per line.
 	Metrics() string
-	// Detach detaches a worker: it gets no new jobs. An *OperationError says why it cannot be done.
+	// Detach detaches a worker: it gets no new jobs. An *OperationError says why the worker cannot be detached.
 	Detach(ctx context.Context, id string) error
-	// Attach reattaches a worker. An *OperationError says why it cannot be done.
+	// Attach reattaches a worker. An *OperationError says why the worker cannot be reattached.
 	Attach(ctx context.Context, id string) error
 }
 
-// OperationError is an operation that is rejected, with the HTTP status and the text for the operator.
+// OperationError says why an operation is rejected, with the HTTP status and the text for the operator.
 type OperationError struct {
 	Status int
 	Reason string
@@ -45,9 +45,9 @@
 
 // workerOperation is an operation on a worker: POST /_workers/<name>, with the worker's id as body.
 type workerOperation struct {
-	name   string
-	logged string // message of the log line when it is done
-	apply  func(ctx context.Context, id string) error
+	name       string
+	logMessage string // logged when the operation is done
+	apply      func(ctx context.Context, id string) error
 }
 
 // AdminHandler returns the handler of the admin API. A status of 2xx says that the call is done.
@@ -55,7 +55,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !operations.Ready() {
-			http.Error(w, "not yet, or not any more", http.StatusServiceUnavailable)
+			http.Error(w, "not ready: starting or shutting down", http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprint(w, "ready\n")
@@ -66,8 +66,8 @@
 		fmt.Fprint(w, operations.Metrics())
 	})
 	for _, operation := range []workerOperation{
-		{name: "detach", logged: "worker detached", apply: operations.Detach},
-		{name: "attach", logged: "worker reattached", apply: operations.Attach},
+		{name: "detach", logMessage: "worker detached", apply: operations.Detach},
+		{name: "attach", logMessage: "worker reattached", apply: operations.Attach},
 	} {
 		mux.HandleFunc("POST /_workers/"+operation.name, func(w http.ResponseWriter, r *http.Request) {
 			operation.serve(w, r, log)
@@ -78,14 +78,15 @@
 
 // serve applies the operation to the worker that the request names.
 func (o workerOperation) serve(w http.ResponseWriter, r *http.Request, log *slog.Logger) {
-	// Of a body that is too long, net/http reads some more before it closes the connection, so that the caller sees the answer.
+	// If the body is too long, net/http reads some more of it before it closes the connection, so that the caller sees the
+	// answer.
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxWorkerIDBytes+1))
 	id := strings.TrimSpace(string(body))
 	if err != nil || id == "" || len(body) > maxWorkerIDBytes {
 		http.Error(w, "the body must be a worker's id", http.StatusBadRequest)
 		return
 	}
-	markServing(r) // the listener does not close it to free capacity
+	markServing(r) // the listener does not evict the connection now
 	if err := o.apply(r.Context(), id); err != nil {
 		status := http.StatusInternalServerError
 		if rejection := (*OperationError)(nil); errors.As(err, &rejection) {
@@ -95,11 +96,11 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	log.Info(o.logged, "worker", id)
+	log.Info(o.logMessage, "worker", id)
 	fmt.Fprintf(w, "%s %s\n", o.name, id)
 }
 
-// AdminServer returns the server of the admin API: one call on a connection, limited in time and size.
+// AdminServer returns the server of the admin API: one call per connection, limited in time and size.
 func AdminServer(handler http.Handler, log *slog.Logger) *http.Server {
 	server := Server(handler, log)
 	server.ReadHeaderTimeout = adminCallTimeout
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -8,16 +8,16 @@
 	"brassdale/internal/routing"
 )
 
-// admission is what a request has reserved. The goroutine that serves the request owns it.
+// admission records what a request has reserved. The goroutine that serves the request owns it.
 type admission struct {
 	listener     *Listener
 	request      *http.Request
-	bodyBytes    int64  // reserved of the listener's memory for bodies
+	bodyBytes    int64  // reserved from the listener's memory for bodies
 	hasOpenJob   bool   // a job was recorded on the connection
 	releaseQuota func() // nil if no quota was taken
 }
 
-// release releases all that was reserved. It must be called once, after the answer was written.
+// release releases everything that was reserved. It must be called once, after the answer was written.
 func (a *admission) release() {
 	if a.releaseQuota != nil {
 		a.releaseQuota()
@@ -28,7 +28,7 @@
 	a.listener.releaseBody(a.bodyBytes)
 }
 
-// shrinkBody releases what was reserved beyond the body's size. It is needed where the size was not declared.
+// shrinkBody releases the bytes that were reserved beyond the body's size. There are some if the size was not declared.
 func (a *admission) shrinkBody(size int64) {
 	if size < a.bodyBytes {
 		a.listener.releaseBody(a.bodyBytes - size)
@@ -36,9 +36,10 @@
 	}
 }
 
-// admit reads a request and reserves what its job needs. If job is nil, the request has been answered: it is a health check or
-// not valid, or is rejected, since beyond the limits this process would run out of descriptors or memory and lose all jobs in
-// flight. done must be called when the request is answered. admit blocks until the request was read, up to requestReadTimeout.
+// admit reads a request and reserves what its job needs. If job is nil, the request has been answered: it is a health check, is
+// invalid, or is rejected because of a limit. Beyond the limits this process would run out of descriptors or memory and lose all
+// jobs in flight. done must be called when the request is answered. admit blocks until the request is read, for
+// requestReadTimeout at most.
 func (f *frontend) admit(w http.ResponseWriter, r *http.Request) (job *protocol.Job, done func()) {
 	settings := f.settings.Current() // the job keeps the settings that it began with
 	f.limitConnection(w, r, settings)
@@ -63,10 +64,10 @@
 	return job, reserved.release
 }
 
-// limitConnection limits how long a connection may be used: for the answer to this request, and for further ones.
+// limitConnection limits how long a connection may be used: for the answer to this request, and for further requests.
 func (f *frontend) limitConnection(w http.ResponseWriter, r *http.Request, settings *protocol.Settings) {
 	if !r.ProtoAtLeast(1, 1) || len(r.TransferEncoding) > 0 {
-		closeAfterAnswer(w) // requestFraming does not follow such a request, and only net/http knows where the next one begins
+		closeAfterAnswer(w) // requestFraming does not track such a request; only net/http knows where the next one begins
 	}
 	if r.ProtoMajor < 2 {
 		// A client that never reads its answer must not occupy a connection and a goroutine forever. Over HTTP/2 see withWriteTimeout.
@@ -77,8 +78,8 @@
 	}
 }
 
-// maxBodySize returns how many bytes of a request's body may be read: the declared size, or protocol.MaxBodyBytes, where reading stops,
-// if that is less or no size is declared.
+// maxBodySize returns how many bytes of a request's body may be read: the declared size, but at most protocol.MaxBodyBytes, where
+// reading stops. If no size is declared, it is protocol.MaxBodyBytes.
 func maxBodySize(r *http.Request) int64 {
 	if r.ContentLength < 0 || r.ContentLength > protocol.MaxBodyBytes {
 		return protocol.MaxBodyBytes
@@ -102,8 +103,9 @@
 	return nil
 }
 
-// readJob reads and decodes a request, within requestReadTimeout. Over HTTP/1 it then lifts the read deadline, since the server goes on
-// reading to notice that the client leaves, and takes from the job's deadline the time that the request lay unread.
+// readJob reads and decodes a request, within requestReadTimeout. Over HTTP/1 it then removes the read deadline, since the server
+// goes on reading to notice that the client leaves, and moves the job's deadline earlier by the time for which the request was
+// unread.
 func readJob(w http.ResponseWriter, r *http.Request, settings *protocol.Settings) (*protocol.Job, error) {
 	now := time.Now()
 	controller := http.NewResponseController(w)
@@ -145,12 +147,12 @@
 	return true
 }
 
-// newConnectionGrace is how long after SIGTERM the platform goes on bringing new connections, at least.
-const newConnectionGrace = 250 * time.Millisecond
+// newConnsAfterSIGTERM is the minimum time after SIGTERM for which the platform still sends new connections.
+const newConnsAfterSIGTERM = 250 * time.Millisecond
 
-// nearlyFullAtShutdown reports whether one more job would take one of the last connections on which a client can still reach this
-// process, when no new ones come any more. Without them clients would find nobody, though this process can still answer.
+// nearlyFullAtShutdown reports whether one more job would take one of the last free connections during a shutdown, when new
+// connections no longer arrive. Without the free ones clients could not reach this process, though it can still answer.
 func (f *frontend) nearlyFullAtShutdown() bool {
 	since := f.shutdownStartedAt.Load()
-	return since != nil && !f.successorServes.Load() && time.Since(*since) > newConnectionGrace && f.listener.NearlyFull()
+	return since != nil && !f.successorServes.Load() && time.Since(*since) > newConnsAfterSIGTERM && f.listener.NearlyFull()
 }
--- a/internal/transport/answer.go
+++ b/internal/transport/answer.go
@@ -9,8 +9,9 @@
 	"brassdale/internal/routing"
 )
 
-// respondToDepartedClient answers a client that has gone. One that has only shut its own side still reads, and would take the
-// empty 200 of net/http for an answer to its job. Over HTTP/2 the stream is reset already, and the connection has others.
+// respondToDepartedClient responds with a failure to a client that counts as gone. A client that has shut only its sending side
+// still reads: without a response it would take the empty 200 of net/http for the result of its job. Over HTTP/2 nothing is
+// written: the stream is reset already, and the connection has other streams.
 func (f *frontend) respondToDepartedClient(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoMajor < 2 {
 		closeAfterAnswer(w)
@@ -18,7 +19,7 @@
 	}
 }
 
-// respond writes an answer. It blocks while the client takes it, for a bounded time.
+// respond writes an answer. It blocks while the client reads it, for a bounded time.
 func (f *frontend) respond(w http.ResponseWriter, r *http.Request, answer routing.Answer) {
 	defer withWriteTimeout(w, r)()
 	if f.listener.Closing() {
@@ -27,8 +28,8 @@
 	writeAnswer(w, answer)
 }
 
-// statusOf returns the HTTP status of an answer. Clients take 429 and 503 to mean that the job did not run and may be
-// submitted again, so nothing but a rejection gets one.
+// statusOf returns the HTTP status of an answer. Clients interpret 429 and 503 to mean that the job did not run and may be submitted
+// again, so only a rejection gets 503.
 func statusOf(answer routing.Answer) int {
 	switch {
 	case answer.Verdict == routing.Served:
@@ -49,7 +50,7 @@
 	header.Set("Content-Type", "application/octet-stream")
 	header.Set("Content-Length", strconv.Itoa(len(answer.Result)))
 	w.WriteHeader(statusOf(answer))
-	_, _ = w.Write(answer.Result) // fails if the client has left, which is no fault here
+	_, _ = w.Write(answer.Result) // fails if the client has left, which is not an error here
 }
 
 // formatRetryAfter formats a duration as the value of Retry-After: seconds, rounded up to a millisecond.
--- a/internal/transport/attemptqueue.go
+++ b/internal/transport/attemptqueue.go
@@ -14,7 +14,7 @@
 //
 //	startExchange --- idle connection -------------------------> assign --- checks pass ---> runExchange
 //	   |                                                          ^  |
-//	   |-- must not start by now --> finishUnassigned (NeverSent) |  '--- a check fails ---> finishUnassigned (NeverSent)
+//	   |-- must not be sent now --> finishUnassigned (NeverSent) |  '--- a check fails ---> finishUnassigned (NeverSent)
 //	   |                                                          |
 //	   |-- capacity reserved --> waitingForDial ------------------+-- handleDialCompleted, or any other connection: release
 //	   |                           '-- dial failed --> finishUnassigned (outcomeOfDialError)
@@ -23,11 +23,13 @@
 //	                         |-- capacityFreed --> startLongestWaiting --> startExchange
 //	                         '-- deadline --> finishPastDeadline --> finishUnassigned (NeverSent)
 //
-// A cancelled exchange leaves its queue at once (cancel). Connections go to exchanges in the order in which those arrived, not to the
-// one that they were opened for. An exchange that is started when capacity was freed and finds it taken again waits at the end.
+// A cancelled exchange leaves its queue at once (cancel). Connections go to exchanges in the order in which the exchanges arrived, not
+// to the exchange that they were opened for. If an exchange is started because capacity was freed, and finds the capacity taken again,
+// it goes to the end of the queue.
 
 // startExchange gives an exchange a connection: an idle one, or a new one if the pool allows one more. Otherwise the exchange
-// waits for capacity: at another worker the attempt would not find a connection either, and would be lost.
+// waits for capacity. The limit applies to all workers together, so the attempt would fail at another worker for lack of a
+// connection too.
 func (e *endpoint) startExchange(exchange *workerExchange) {
 	now := time.Now()
 	if conn := e.takeIdle(now); conn != nil {
@@ -60,19 +62,19 @@
 	time.AfterFunc(time.Until(exchange.deadline), func() { e.mailbox.Post(capacityWaitTimedOut{}) })
 }
 
-// noteWait notes whether an exchange waits for capacity, and reports a change of that for an attempt.
+// noteWait records whether an exchange waits for capacity. If this changes for an attempt, it reports the change to the sink.
 func (e *endpoint) noteWait(exchange *workerExchange, waits bool) {
-	if exchange.waits == waits {
+	if exchange.waitsForCapacity == waits {
 		return
 	}
-	exchange.waits = waits
+	exchange.waitsForCapacity = waits
 	if !exchange.isProbe {
 		e.pool.sink.AttemptWaits(exchange.attempt.ID, waits)
 	}
 }
 
-// startLongestWaiting starts the exchange that has waited longest for capacity, and passes on what it does not take: there may be no such
-// exchange any more, or it may end at once or find an idle connection.
+// startLongestWaiting starts the exchange that has waited longest for capacity, and passes on the capacity that it does not use:
+// the queue may be empty by now, or the exchange may end at once or find an idle connection.
 func (e *endpoint) startLongestWaiting() {
 	if len(e.waitingForCapacity) > 0 {
 		exchange := e.waitingForCapacity[0]
@@ -93,8 +95,8 @@
 	})
 }
 
-// dial opens a connection in a goroutine of its own, for which the pool has reserved capacity. The goroutine ends with a
-// dialCompleted, at the connect timeout or the exchange's deadline at the latest.
+// dial opens a connection in a new goroutine, with the capacity that the pool has reserved for it. The goroutine ends by posting
+// a dialCompleted, when the connect timeout or the exchange's deadline is reached at the latest.
 func (e *endpoint) dial(exchange *workerExchange) {
 	e.dialing++
 	address, deadline := e.listed.Address, time.Now().Add(e.pool.settings.Current().Limits.ConnectTimeout.Duration())
@@ -112,8 +114,9 @@
 	}()
 }
 
-// handleDialCompleted assigns a new connection to the exchange that has waited longest, which need not be the one it was opened
-// for. If the dial failed, or the worker has moved meanwhile, one waiting exchange ends or starts again.
+// handleDialCompleted assigns a new connection to the exchange that has waited longest, which may be another one than the dial
+// was started for. If the dial failed, one waiting exchange ends. If the worker has moved meanwhile, one waiting exchange is
+// started again.
 func (e *endpoint) handleDialCompleted(message dialCompleted) {
 	e.dialing--
 	connected := message.err == nil
@@ -134,9 +137,9 @@
 	}
 }
 
-// takeWithoutDial removes and returns the exchange that no dial in progress will serve, now that the dial for preferred has
-// failed: preferred, if it still waits, or else, if more wait than dials are in progress, the one that has waited longest.
-// It returns nil if there is none.
+// takeWithoutDial removes and returns an exchange that no dial in progress will serve, after the dial for preferred has given no
+// usable connection. It is preferred, if preferred still waits. Otherwise, if more exchanges wait than dials are in progress, it
+// is the exchange that has waited longest. The result is nil if there is none.
 func (e *endpoint) takeWithoutDial(preferred *workerExchange) *workerExchange {
 	i := slices.Index(e.waitingForDial, preferred)
 	if i < 0 && len(e.waitingForDial) > e.dialing {
@@ -151,7 +154,7 @@
 }
 
 // outcomeOfDialError returns the outcome of an attempt whose dial failed: NeverSent if this process lacks descriptors or ports,
-// NoConnect, which counts against the worker, otherwise.
+// otherwise NoConnect, which counts against the worker.
 func outcomeOfDialError(err error) scheduler.Outcome {
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
 		return scheduler.NeverSent
@@ -159,7 +162,7 @@
 	return scheduler.NoConnect
 }
 
-// release assigns an unused connection to the first waiting exchange that may still be sent, or adds it to the idle ones.
+// release assigns an unused connection to the first waiting exchange that may still be sent, or adds it to the idle connections.
 func (e *endpoint) release(conn *workerConn) {
 	for _, queue := range [...]*[]*workerExchange{&e.waitingForDial, &e.waitingForCapacity} {
 		for len(*queue) > 0 {
@@ -173,8 +176,8 @@
 	e.addIdle(conn)
 }
 
-// assign starts an exchange on a connection, and reports whether it may still be sent. If not, the exchange has ended and the
-// connection is unused.
+// assign starts an exchange on a connection, and reports whether it was started. If the exchange must not be sent any more, it has ended
+// and the connection is unused.
 func (e *endpoint) assign(exchange *workerExchange, conn *workerConn) bool {
 	now := time.Now()
 	exchange.writeBy = e.latestWrite(exchange)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,26 +9,27 @@
 
 // Conn is a client's connection to a Listener.
 //
-// If the listener is not multiplexed, a connection carries one request at a time: Read returns to net/http the bytes of one request,
-// and no more until it is answered. Bytes received meanwhile are read all the same and queued for the next request. So the
-// client's leaving is noticed while its request is served, even if it left bytes unread. If the listener is multiplexed, Read
-// returns the bytes as received, and whoever speaks the protocol (transport/http2) follows them.
+// If the listener is not multiplexed, a connection carries one request at a time: Read returns the bytes of one request to
+// net/http, and nothing more until that request is answered. Bytes received meanwhile are read from the socket and queued for the
+// next request. So a disconnect is noticed while a request is served, even if the client sent further bytes before. If the listener
+// is multiplexed, Read returns the bytes as received, and the implementation of the protocol (transport/http2) parses them.
 //
-// One goroutine at a time reads. The fields under listener.mu say what the connection is at; they, and the atomic ones, may be
-// used from any goroutine, for example by the listener, which closes a connection to free capacity for another.
+// Only one goroutine reads at a time. The fields guarded by listener.mu are the state of the connection. They and the atomic
+// fields may be used from any goroutine, for example by the listener, which closes a connection to free capacity for another.
 type Conn struct {
 	*net.TCPConn
 	listener *Listener
 
-	// Owned by the goroutine that reads. net/http reports a connection idle, which resets requestComplete, while nobody reads.
+	// Owned by the goroutine that reads. No goroutine reads while net/http reports the connection idle, which resets
+	// requestComplete.
 	framing            requestFraming
-	requestComplete    bool           // the present request was read to its end and is not answered
-	pending            readAheadQueue // bytes received after the present request
-	lastReadAt         time.Time      // when the bytes read last had been received, ...
+	requestComplete    bool           // the current request was read to its end and is not answered
+	pending            readAheadQueue // bytes received after the current request
+	lastReadAt         time.Time      // when the bytes of the last read were received, ...
 	lastReadFromSocket bool           // ... and whether they came from the socket, not from pending
 
-	requestArrivedAt  atomic.Pointer[time.Time] // when the last byte of the present request was received; nil if not known
-	responseStarted   atomic.Bool               // at least one byte was written, ever
+	requestArrivedAt  atomic.Pointer[time.Time] // when the last byte of the current request was received; nil if not known
+	responseStarted   atomic.Bool               // at least one byte has been written on the connection
 	clientGone        atomic.Bool               // the client has shut its side, or the connection broke
 	pendingBytes      atomic.Int32              // pending.size
 	pendingOverflowed atomic.Bool               // more than maxReadAheadBytes were received after a request
@@ -36,15 +37,15 @@
 	// Guarded by listener.mu.
 	phase          phase
 	phaseSince     time.Time // when the phase was entered; in phaseReading, when the last bytes were received
-	requestBeganAt time.Time // when the connection was accepted, or the first byte of the present request was received
-	hasCarriedJob  bool      // it has carried a job at some time
+	requestBeganAt time.Time // when the connection was accepted, or the first byte of the current request was received
+	hasCarriedJob  bool      // it carries or has carried a job
 	openJobs       int       // jobs on it now, if multiplexed
-	closeStarted   bool      // Close or Listener.RejectUnfinished has begun to end it: Close does not linger again
+	closeStarted   bool      // Close or Listener.RejectUnfinished has begun to close it, so Close does not linger again
 }
 
-// Read implements net.Conn. On a connection that is not multiplexed it returns bytes of one request only, after the framing
-// has been checked. After the end of a request it blocks until that is answered, reading ahead meanwhile, and returns
-// io.EOF once the connection may not carry a further request.
+// Read implements net.Conn. On a connection that is not multiplexed it returns bytes of one request only, after the framing has
+// been checked. After the end of a request it blocks until the request is answered, and reads ahead meanwhile. It returns io.EOF
+// once the connection may not carry a further request.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	if len(buffer) == 0 {
 		return 0, nil
@@ -69,7 +70,7 @@
 	}
 }
 
-// readRequest reads once, and returns how many of the bytes belong to the present request; 0 without an error if the framing
+// readRequest reads once, and returns how many of the bytes belong to the current request; 0 without an error if the framing
 // found the bytes malformed. On a multiplexed connection all bytes are returned.
 func (c *Conn) readRequest(buffer []byte) (int, error) {
 	n, err := c.readNext(buffer)
@@ -92,7 +93,7 @@
 	return c.TCPConn.Write(b)
 }
 
-// readNext reads what is pending, or else from the socket.
+// readNext reads pending bytes, or from the socket if there are none.
 func (c *Conn) readNext(b []byte) (n int, err error) {
 	if c.pending.size == 0 {
 		n, err = c.TCPConn.Read(b)
@@ -106,12 +107,12 @@
 	return n, nil
 }
 
-// completeRequest records that the present request was read to its end, and when its last byte was received. rest is what was
-// read beyond it.
+// completeRequest records that the current request was read to its end, and when its last byte was received. rest are the bytes
+// that were read beyond the end.
 func (c *Conn) completeRequest(rest []byte) {
 	c.requestComplete = true
 	receivedAt := c.lastReadAt
-	if c.lastReadFromSocket { // else it was read ahead, as soon as it was received
+	if c.lastReadFromSocket { // otherwise it was read ahead, as soon as it was received
 		receivedAt = receivedAt.Add(-c.sinceLastReceive())
 	}
 	c.requestArrivedAt.Store(&receivedAt)
@@ -119,12 +120,12 @@
 	c.pendingBytes.Store(int32(c.pending.size))
 }
 
-// maxReadAheadBytes is how many bytes received after an unanswered request are queued for the connection's next one. Further
-// ones are discarded, and the connection is closed after the answer: its client sends them again on another connection.
+// maxReadAheadBytes is how many bytes received after an unanswered request are queued for the connection's next request. Further
+// bytes are discarded, and the connection is closed after the answer: its client sends them again on another connection.
 const maxReadAheadBytes = 16 << 10
 
-// readAhead reads from the socket after an unanswered request. It blocks until something is received. An error says that the
-// client has left, or is a deadline.
+// readAhead reads from the socket after an unanswered request. It blocks until something is received. It returns an error if the
+// client has left or the read deadline has passed.
 func (c *Conn) readAhead() error {
 	var b [512]byte
 	n, err := c.TCPConn.Read(b[:])
@@ -138,19 +139,19 @@
 	return err
 }
 
-// noteReadError records that the client has gone, if an error of a read says so.
+// noteReadError records that the client has gone, if a read error means that.
 func (c *Conn) noteReadError(err error) {
 	if err == nil {
 		return
 	}
-	// net/http aborts its background read of each request by a deadline, and errors.As would allocate for each of them.
+	// net/http aborts its background read of each request by setting a deadline, and errors.As would allocate for each request.
 	netErr, ok := err.(net.Error) //nolint:errorlint // hot path; errors of net.TCPConn are not wrapped
 	if !ok || !netErr.Timeout() {
 		c.clientGone.Store(true)
 	}
 }
 
-// awaitingAnswer reports whether the present request is complete and unanswered, so that further bytes belong to a later one.
+// awaitingAnswer reports whether the current request is complete and unanswered, so that further bytes belong to a later one.
 func (c *Conn) awaitingAnswer() bool {
 	if c.listener.multiplexed {
 		return false
--- a/internal/transport/connphase.go
+++ b/internal/transport/connphase.go
@@ -6,12 +6,12 @@
 	"brassdale/internal/decisions/http2limits"
 )
 
-// phase is what a client's connection is at. A connection that is not multiplexed goes
+// phase is the state of a client's connection. A connection that is not multiplexed goes
 //
 //	new -> reading -> serving -> idle -> reading -> ...
 //
-// without serving if the request is rejected, and from any phase to closing, which it never leaves. A multiplexed one is new
-// or reading until its preface was read (Conn.PrefaceRead); then it is serving while it has jobs, and idle otherwise.
+// It skips serving if the request is rejected. From any phase it may go to closing, which it never leaves. A multiplexed connection
+// is new or reading until its preface was read (Conn.PrefaceRead); then it is serving while it has jobs, and idle otherwise.
 type phase uint8
 
 const (
@@ -27,8 +27,8 @@
 	return [...]string{phaseNew: "new", phaseIdle: "idle", phaseReading: "reading", phaseServing: "serving", phaseClosing: "closing"}[p]
 }
 
-// enterPhase changes the phase, unless the connection is closing. Once the listener closes idle connections
-// (Listener.CloseWhenIdle), one that becomes idle without pending bytes is closing at once, and its next Read returns io.EOF.
+// enterPhase changes the phase, unless the connection is closing. After Listener.CloseWhenIdle, a connection that becomes idle
+// without pending bytes is closing at once, and its next Read returns io.EOF.
 func (c *Conn) enterPhase(next phase) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -47,7 +47,7 @@
 // PrefaceRead records that the preface of a multiplexed connection was read: it can carry requests from now on.
 func (c *Conn) PrefaceRead() { c.enterPhase(phaseIdle) }
 
-// noteRequestBytes records that bytes of a request were read, and reports whether they may still be served.
+// noteRequestBytes records that bytes of a request were read, and reports whether the request may still be served.
 func (c *Conn) noteRequestBytes() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -59,7 +59,7 @@
 	if c.phase == phaseClosing {
 		return false
 	}
-	if c.listener.multiplexed && c.phase != phaseNew { // bytes do not say how far its requests are
+	if c.listener.multiplexed && c.phase != phaseNew { // the bytes do not show the state of its requests
 		return true
 	}
 	switch c.phase {
@@ -86,8 +86,8 @@
 	return c.phase == phaseClosing || c.phase == phaseIdle && (c.clientGone.Load() || c.pendingOverflowed.Load())
 }
 
-// admitJob records a job on the connection, and reports whether it may have one: not when it is closing, as its client has been
-// answered already, and not when it is multiplexed and has its share of the listener's streams.
+// admitJob records a job on the connection, and reports whether the connection may carry it. It may not if it is closing, since
+// its client has been answered already, or if it is multiplexed and has used up its share of the listener's streams.
 func (c *Conn) admitJob() bool {
 	listener := c.listener
 	listener.mu.Lock()
@@ -106,8 +106,8 @@
 	return true
 }
 
-// releaseJob ends a job that was admitted. On a connection that is not multiplexed it does nothing: net/http reports when that is
-// idle again.
+// releaseJob ends a job that was admitted. On a connection that is not multiplexed it does nothing: net/http reports when the
+// connection is idle again.
 func (c *Conn) releaseJob() {
 	listener := c.listener
 	listener.mu.Lock()
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// discoveryDialTimeout limits connecting, so that a partition shows long before the end of a long poll.
+	// discoveryDialTimeout limits connecting, so that a partition is detected long before the end of a long poll.
 	discoveryDialTimeout = 500 * time.Millisecond
 
 	maxListBytes = 4 << 20
@@ -30,26 +30,26 @@
 	client   http.Client
 }
 
-// NewDiscovery returns a client of the service at an address. It uses no proxy of the environment. The meter counts the bytes of its
-// calls; nil for none.
+// NewDiscovery returns a client of the service at an address. It ignores the proxy settings of the environment. The meter counts
+// the bytes of its calls; nil counts nothing.
 func NewDiscovery(address string, settings *protocol.LiveSettings, meter *traffic.Meter) *Discovery {
 	dialer := &net.Dialer{Timeout: discoveryDialTimeout}
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DialContext: meter.Dial(dialer)}
 	return &Discovery{Address: address, Settings: settings, meter: meter, client: http.Client{Transport: transport}}
 }
 
-// Service returns the address, as the name of the service.
+// Service returns the address, which is the name of the service.
 func (d *Discovery) Service() string { return d.Address }
 
 // Close closes the idle connection of a service that is not called any more.
 func (d *Discovery) Close() { d.client.CloseIdleConnections() }
 
-// errNotFullList says that discovery responded with changes where all endpoints were requested.
+// errNotFullList says that discovery responded with changes although the full list was requested.
 var errNotFullList = errors.New("discovery responded with changes to a request for the full list")
 
-// Call makes one call, for the changes since a revision or for routing.NoRevision. It blocks until the response, or until the
-// deadline of its kind, which is set in advance: a partitioned service may leave a connection open and silent, and its
-// endpoints still count as notified then.
+// Call makes one call: for the changes since a revision, or for the full list if the revision is routing.NoRevision. It blocks
+// until the response, or until the deadline for the kind of call. The deadline is set in advance: a partitioned service may leave
+// a connection open without sending anything, while the platform still counts this dispatcher as notified of its changes.
 func (d *Discovery) Call(ctx context.Context, revision int64, kind polling.Kind) (routing.ListUpdate, error) {
 	wait, responseTimeout := PollRules(d.Settings.Current()).Timeouts(kind)
 	deadline := time.Now().Add(wait + responseTimeout)
@@ -68,8 +68,8 @@
 	return update, nil
 }
 
-// fetch requests and decodes a list. receivedAt is when the head of the response was received: the age of what it says
-// counts from then.
+// fetch requests and decodes a list. receivedAt is when the head of the response was received: the age of the list counts from
+// then.
 func (d *Discovery) fetch(ctx context.Context, revision int64, wait time.Duration) (list *protocol.List, receivedAt time.Time, err error) {
 	url := fmt.Sprintf("http://%s/registry/instances", d.Address)
 	if revision != routing.NoRevision {
@@ -112,7 +112,7 @@
 	return polling.Rules{ListsPushed: settings.ListsPushed(), DrainGrace: settings.Rules.DrainGrace.Duration(), Dispatchers: settings.ReplicasOfMe}
 }
 
-// NewListUpdate returns a list in the core's terms.
+// NewListUpdate converts a list to the core's type.
 func NewListUpdate(list *protocol.List, settings *protocol.Settings) routing.ListUpdate {
 	return routing.ListUpdate{Revision: list.Revision, Complete: list.Complete, Endpoints: list.Endpoints(settings)}
 }
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -8,14 +8,15 @@
 	"brassdale/scheduler"
 )
 
-// endpoint is the actor of one worker: it assigns attempts and probes to connections. Its goroutine, run, owns all fields
-// but the first three, which never change, so nothing in it needs a lock. Other goroutines only post to mailbox, which
-// does not block. The methods must not block either, since all attempts at the worker wait for them: dials and exchanges
-// have goroutines of their own, which report back by dialCompleted and exchangeEnded.
+// endpoint is the actor of one worker: it assigns attempts and probes to connections. Its goroutine, run, owns all fields except
+// the first three, which never change, so no field needs a lock. Other goroutines only post to mailbox, which does not block. The
+// methods must not block either, since all attempts at the worker wait for them: dials and exchanges have goroutines of their
+// own, which report back by dialCompleted and exchangeEnded.
 //
 // Invariants:
 //   - A connection is in idleConns or assigned to exactly one exchange.
-//   - An exchange without a connection is in waitingForDial or in waitingForCapacity, and ends when its wait does.
+//   - An exchange without a connection is in waitingForDial or in waitingForCapacity. If it leaves the queue without a connection,
+//     it has ended or is started again.
 //   - len(waitingForDial) <= dialing, so that each exchange there has a dial that completes for it.
 //   - Each attempt gets exactly one Sink.AttemptFinished, each probe one Sink.ProbeCompleted.
 type endpoint struct {
@@ -24,11 +25,11 @@
 	mailbox *routing.Mailbox[any] // routing.Endpoint, routing.Attempt and the messages of endpointmessages.go
 
 	// Owned by run.
-	listed             routing.Endpoint                      // as the endpoint list last had it
+	listed             routing.Endpoint                      // as in the last endpoint list
 	detachedSince      time.Time                             // when the operator detached it; zero while it is not detached
-	idleConns          []*workerConn                         // the one that has been idle longest first
-	waitingForDial     []*workerExchange                     // the one that has waited longest first
-	waitingForCapacity []*workerExchange                     // wait until the pool allows one more connection; likewise
+	idleConns          []*workerConn                         // longest idle first
+	waitingForDial     []*workerExchange                     // longest waiting first
+	waitingForCapacity []*workerExchange                     // until the pool allows one more connection; longest waiting first
 	dialing            int                                   // dials in progress
 	exchanges          map[routing.AttemptID]*workerExchange // attempts whose connection has not been returned
 }
@@ -95,7 +96,8 @@
 	}
 }
 
-// updateListed records what the endpoint list says. Connections to an address or a process that is no longer there are closed.
+// updateListed records the endpoint as listed. If the worker has another address, has been restarted or is gone, its idle
+// connections are closed.
 func (e *endpoint) updateListed(listed routing.Endpoint) {
 	if listed.Address != e.listed.Address || listed.StartedAt != e.listed.StartedAt || listed.State == scheduler.Gone {
 		e.closeAllIdle()
@@ -103,8 +105,8 @@
 	e.listed = listed
 }
 
-// cancel cancels an attempt. One without a connection ends at once; one with a connection ends in its own goroutine, whose read
-// or write fails.
+// cancel cancels an attempt. An attempt without a connection ends at once. If it has a connection, the connection is closed, so
+// that the read or write in the exchange's goroutine fails and ends it.
 func (e *endpoint) cancel(id routing.AttemptID) {
 	exchange := e.exchanges[id]
 	if exchange == nil || exchange.cancelled.Swap(true) {
@@ -131,8 +133,9 @@
 	e.reportResult(exchange, routing.AttemptResult{Outcome: outcome})
 }
 
-// handleExchangeEnded takes a connection back. It is closed, not reused, if the attempt was cancelled after its end, if bytes
-// follow the response, if the worker has moved, or if an exchange waits for capacity: that need not wait for reuseDelay.
+// handleExchangeEnded takes back the connection of an exchange. The connection is closed, not reused, if the attempt was
+// cancelled after its end, if bytes follow the response, if the worker has moved, or if an exchange waits for capacity: a new
+// connection can be used without waiting for reuseDelay.
 func (e *endpoint) handleExchangeEnded(message exchangeEnded) {
 	exchange, conn := message.exchange, message.exchange.conn
 	if !exchange.isProbe {
--- a/internal/transport/endpointmessages.go
+++ b/internal/transport/endpointmessages.go
@@ -11,10 +11,10 @@
 	// startProbe asks for a probe.
 	startProbe struct{}
 
-	// cancelAttempt cancels an attempt. It has no effect on one that has ended.
+	// cancelAttempt cancels an attempt. It has no effect on an attempt that has ended.
 	cancelAttempt struct{ id routing.AttemptID }
 
-	// setDetached says since when the operator has the worker detached; zero if it is attached.
+	// setDetached sets since when the operator has the worker detached; zero if it is attached.
 	setDetached struct{ since time.Time }
 
 	// closeIdleConns closes the connections that have been idle for minIdle.
@@ -23,12 +23,12 @@
 	// capacityFreed says that the pool may allow one more connection. The receiver uses it or passes it on.
 	capacityFreed struct{}
 
-	// capacityWaitTimedOut says that the deadline of an exchange has passed that was waiting for capacity.
+	// capacityWaitTimedOut says that the deadline of an exchange that waited for capacity has passed.
 	capacityWaitTimedOut struct{}
 
 	// dialCompleted is the result of a dial: conn or err is set. A failed dial has returned its capacity to the pool.
 	dialCompleted struct {
-		exchange *workerExchange // which the dial was started for; it may have got another connection meanwhile
+		exchange *workerExchange // the exchange that the dial was started for; it may have got another connection meanwhile
 		conn     *workerConn
 		err      error
 	}
--- a/internal/transport/endpointpool.go
+++ b/internal/transport/endpointpool.go
@@ -11,11 +11,11 @@
 	"brassdale/scheduler"
 )
 
-// Sink receives what workers report. Its methods may be called from any goroutine and must not block. Each routing.Attempt gets
-// exactly one AttemptFinished, each probe one ProbeCompleted.
+// Sink receives the results and notifications of attempts and probes. Its methods may be called from any goroutine and must not
+// block. Each routing.Attempt gets exactly one AttemptFinished, each probe one ProbeCompleted.
 type Sink interface {
-	// AttemptWaits says that an attempt waits for a connection, as the pool allows no more, or that it waits no more. Its AttemptFinished ends a
-	// wait too.
+	// AttemptWaits says that an attempt has begun to wait for a connection, because the pool allows no more, or that its wait
+	// has ended. AttemptFinished ends a wait too.
 	AttemptWaits(attempt routing.AttemptID, waits bool)
 	// AttemptSent says that the last byte of an attempt's request was written.
 	AttemptSent()
@@ -29,15 +29,15 @@
 	ProbeCompleted(worker scheduler.WorkerID, outcome scheduler.Outcome, report *scheduler.Report)
 }
 
-// EndpointPool passes attempts and probes to the actors of their endpoints, and limits the connections that all of them have
+// EndpointPool passes attempts and probes to the actors of their endpoints, and limits how many connections they have
 // open together. It is the routing.EndpointPool of the core. The actor of an endpoint that is gone stays: the worker may
 // come back, and the scheduler remembers it too.
 //
-// Its methods may be called from any goroutine. They hold mu for a few lines and do not block. mu may be held while a message is
-// posted to an actor, so an actor must not hold anything that the pool waits for.
+// Its methods may be called from any goroutine. They hold mu only briefly and do not block. mu may be held while a message is posted to
+// an actor, so an actor must not hold a lock that the pool waits for.
 //
 // Invariant: connections, open or being opened, are counted in openConns by reserveConn and releaseConn. No more are opened
-// while openConns >= maxConns; if SetWorkerConnLimit lowers the limit, open ones stay until they end.
+// while openConns >= maxConns; if SetWorkerConnLimit lowers the limit, open connections stay until they end.
 type EndpointPool struct {
 	settings *protocol.LiveSettings
 	sink     Sink
@@ -52,13 +52,13 @@
 	maxConns         int
 	openConns        int
 	endpoints        map[scheduler.WorkerID]*endpoint
-	listed           map[scheduler.WorkerID]struct{}  // of endpoints, those that are not gone
+	listed           map[scheduler.WorkerID]struct{}  // the workers of endpoints that are not gone
 	detachedSince    map[scheduler.WorkerID]time.Time // of workers that the operator detached, listed or not
-	waitingEndpoints []*endpoint                      // that could not open a connection, once for each that they wanted, in order
+	waitingEndpoints []*endpoint                      // in order, one entry for each connection that an endpoint could not open
 }
 
-// NewEndpointPool returns a pool without endpoints, whose actors end with the context. It opens no connection before
-// SetWorkerConnLimit.
+// NewEndpointPool returns a pool without endpoints, whose actors end with the context. The pool opens no connection before
+// SetWorkerConnLimit is called.
 func NewEndpointPool(ctx context.Context, settings *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
 	return &EndpointPool{
 		settings:      settings,
@@ -86,7 +86,7 @@
 	return p.openConns
 }
 
-// Update passes on what the endpoint list says of an endpoint, and starts the actor of a new one.
+// Update passes a listed endpoint to its actor, and starts the actor if the endpoint is new.
 func (p *EndpointPool) Update(listed routing.Endpoint) {
 	p.mu.Lock()
 	if p.listed[listed.ID] = struct{}{}; listed.State == scheduler.Gone {
@@ -114,15 +114,15 @@
 	p.sink.AttemptFinished(attempt.ID, routing.AttemptResult{Outcome: scheduler.NeverSent})
 }
 
-// Cancel cancels an attempt. Its result is reported as of any other.
+// Cancel cancels an attempt. Its result is reported like any other.
 func (p *EndpointPool) Cancel(worker scheduler.WorkerID, attempt routing.AttemptID) {
 	if e := p.endpoint(worker); e != nil {
 		e.mailbox.Post(cancelAttempt{attempt})
 	}
 }
 
-// SetDetached says since when the operator has a worker detached; zero if it is attached again. It applies whatever the endpoint list
-// says of the worker, also to one that is listed later.
+// SetDetached sets since when the operator has a worker detached; zero if it is attached again. It applies regardless of the
+// worker's state in the endpoint list, also to a worker that is listed later.
 func (p *EndpointPool) SetDetached(worker scheduler.WorkerID, since time.Time) {
 	p.mu.Lock()
 	if p.detachedSince[worker] = since; since.IsZero() {
@@ -141,7 +141,7 @@
 	}
 }
 
-// Probe probes a worker. If that was never listed, the probe ends as NeverSent.
+// Probe probes a worker. If the worker was never listed, the probe ends as NeverSent.
 func (p *EndpointPool) Probe(worker scheduler.WorkerID) {
 	if e := p.endpoint(worker); e != nil {
 		e.mailbox.Post(startProbe{})
@@ -150,7 +150,7 @@
 	p.sink.ProbeCompleted(worker, scheduler.NeverSent, nil)
 }
 
-// endpoint returns a worker's actor, nil if it was never listed.
+// endpoint returns a worker's actor, nil if the worker was never listed.
 func (p *EndpointPool) endpoint(worker scheduler.WorkerID) *endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,8 +164,8 @@
 	return p.maxConns
 }
 
-// reserveConn counts a connection that is about to be opened, and reports whether it may be. If it may not, all endpoints close
-// their idle connections, and this one gets a capacityFreed when it is its turn.
+// reserveConn reports whether an endpoint may open one more connection, and counts the connection if so. If not, all endpoints
+// are asked to close their idle connections, and this endpoint gets a capacityFreed when its turn comes.
 func (p *EndpointPool) reserveConn(e *endpoint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,7 +182,7 @@
 	return false
 }
 
-// releaseConn counts a connection that is closed, or was not opened after reserveConn.
+// releaseConn removes from the count a connection that is closed, or that was not opened after reserveConn.
 func (p *EndpointPool) releaseConn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,16 +190,17 @@
 	p.notifyWaitingLocked()
 }
 
-// passOnCapacity notifies the next waiting endpoints of what is free after another one was notified of it and has taken what it needs. Each
-// capacityFreed is followed by it: otherwise the others would wait until a connection is closed, and there may be none.
+// passOnCapacity notifies the next waiting endpoints of the capacity that is left after a notified endpoint has taken what it
+// needs. It must be called after each capacityFreed: otherwise the other endpoints would wait until a connection is closed, and
+// there may be none.
 func (p *EndpointPool) passOnCapacity() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.notifyWaitingLocked()
 }
 
-// notifyWaitingLocked notifies as many waiting endpoints as there may be further connections. mu is held. Nothing is reserved for them:
-// one that comes too late waits again.
+// notifyWaitingLocked notifies as many waiting endpoints as further connections are allowed. mu is held. Nothing is reserved for
+// an endpoint: if it finds the capacity taken, it waits again.
 func (p *EndpointPool) notifyWaitingLocked() {
 	for free := p.maxConns - p.openConns; free > 0 && len(p.waitingEndpoints) > 0; free-- {
 		p.waitingEndpoints[0].mailbox.Post(capacityFreed{})
@@ -207,8 +208,8 @@
 	}
 }
 
-// maxIdleConns returns how many idle connections an endpoint may have: 0 while others wait for capacity, and otherwise an equal
-// share of half the limit among the listed ones, at least 1.
+// maxIdleConns returns how many idle connections an endpoint may have: 0 while any endpoint waits for capacity, otherwise half
+// the limit divided equally among the listed workers, at least 1.
 func (p *EndpointPool) maxIdleConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -218,11 +219,11 @@
 	return max(p.maxConns/(2*max(len(p.listed), 1)), 1)
 }
 
-// idleTimeoutPercent is the share of the workers' idle timeout (limits.connIdle) after which a connection is closed here, so that
-// the worker does not close it just as it is used.
+// idleTimeoutPercent is the percentage of the workers' idle timeout (limits.connIdle) after which a connection is closed here, so
+// that the worker does not close it just as it is used.
 const idleTimeoutPercent = 85
 
-// idleExpiry returns when a connection that has been idle since then must be closed.
+// idleExpiry returns when a connection that has been idle since a point in time must be closed.
 func (p *EndpointPool) idleExpiry(since time.Time) time.Time {
 	return since.Add(p.settings.Current().Limits.ConnIdle.Duration() * idleTimeoutPercent / 100)
 }
--- a/internal/transport/eventstream.go
+++ b/internal/transport/eventstream.go
@@ -9,9 +9,9 @@
 	"brassdale/internal/routing"
 )
 
-// streamEvents sends the events of a job after the first seen ones, until the job has ended or the client has left. As long as no
-// event was sent, a job that ends without having been served is answered with a plain HTTP status instead. ended is
-// false if the client left before the job's end; responded says whether anything was sent by then.
+// streamEvents sends the events of a job, except the first seen ones, until the job has ended or the client has left. If the job
+// ends without having been served, and no event was sent before, the answer is a plain HTTP status instead. ended is false if the
+// client left before the job's end; responded says whether anything was sent by then.
 func streamEvents(ctx context.Context, w http.ResponseWriter, stream *jobStream, seen int) (ended, responded bool) {
 	out := eventWriter{w: w, controller: http.NewResponseController(w)}
 	for {
@@ -20,14 +20,14 @@
 		case !ok:
 			http.Error(w, "Last-Event-ID is not of this job; nothing was started", http.StatusBadGateway)
 			return true, true
-		case len(events) == 0 && answer != nil && !out.begun: // the client has had the final answer
+		case len(events) == 0 && answer != nil && !out.headWritten: // the client has received the final answer before
 			w.WriteHeader(http.StatusNoContent)
 			return true, true
-		case len(events) == 1 && seen == 0 && !out.begun && answer != nil && answer.Verdict != routing.Served:
+		case len(events) == 1 && seen == 0 && !out.headWritten && answer != nil && answer.Verdict != routing.Served:
 			writeAnswer(w, *answer)
 			return true, true
 		}
-		if len(events) > 0 || seen > 0 && !out.begun { // the head shows a client that resumes that the job goes on
+		if len(events) > 0 || seen > 0 && !out.headWritten { // the response head tells a resuming client that the job goes on
 			if err := out.send(events); err != nil {
 				return false, true
 			}
@@ -39,23 +39,23 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return false, out.begun
+			return false, out.headWritten
 		}
 	}
 }
 
 // eventWriter writes events to a client.
 type eventWriter struct {
-	w          http.ResponseWriter
-	controller *http.ResponseController
-	begun      bool // the head was written
+	w           http.ResponseWriter
+	controller  *http.ResponseController
+	headWritten bool // the head was written
 }
 
-// send writes events, and before the first ones the head, and flushes them. It blocks until the client has taken them, for
-// clientReadTimeout at most.
+// send writes events, preceded by the response head on the first call, and flushes them. It blocks until the client has read
+// them, for clientReadTimeout at most.
 func (o *eventWriter) send(events []protocol.Event) error {
-	if !o.begun {
-		o.begun = true
+	if !o.headWritten {
+		o.headWritten = true
 		o.w.Header().Set("Content-Type", "text/event-stream")
 		o.w.Header().Set("Cache-Control", "no-store")
 	}
--- a/internal/transport/eviction.go
+++ b/internal/transport/eviction.go
@@ -5,29 +5,29 @@
 )
 
 const (
-	// rejectionReserveDivisor is the reserve beyond Listener.maxConns, as a part of it: 1/10. Its connections get a rejection
-	// when all others carry jobs.
+	// rejectionReserveDivisor sets the reserve of connections beyond Listener.maxConns: 1/10 of it. When all other connections
+	// carry jobs, a connection of the reserve gets a rejection.
 	rejectionReserveDivisor = 10
 
-	// freeConnsDivisor is the part of the connections that NearlyFull wants to be free: 1/16.
+	// freeConnsDivisor sets the part of the connections that must be free for NearlyFull to report false: 1/16.
 	freeConnsDivisor = 16
 
-	// minStreamsPerConn is how many jobs a multiplexed connection may have open while the listener has any capacity.
+	// minStreamsPerConn is how many jobs a multiplexed connection may always have open while the listener has any capacity.
 	minStreamsPerConn = 4
 
-	// newConnGrace is how long a new connection without a request is not the first to be evicted. A client that has a request
+	// newConnGrace is how long a new connection may be without a request before it counts as silent. A client that has a request
 	// sends it as it connects.
 	newConnGrace = 20 * time.Millisecond
 
-	// stalledRequestAge is how long after its last bytes an incomplete request counts as given up rather than slow.
+	// stalledRequestAge is how long after its last bytes an incomplete request counts as abandoned, not slow.
 	stalledRequestAge = 500 * time.Millisecond
 
-	// evictionLogInterval is the time between two log lines about evictions, at least.
+	// evictionLogInterval is the minimum time between two log lines about evictions.
 	evictionLogInterval = time.Second
 )
 
-// evictionRank orders connections by how little their clients lose if they are closed: the one of the highest rank is closed first,
-// and of those of one rank the one that has been in its phase longest.
+// evictionRank orders connections by how little their clients lose if the connection is closed. A connection of the highest rank
+// is closed first; among equal ranks it is the connection that has been in its phase longest.
 type evictionRank uint8
 
 const (
@@ -35,7 +35,7 @@
 	evictReading                       // a request is being received
 	evictNew                           // has just connected
 	evictIdle                          // between jobs; while this process shuts down, its client may have no other connection
-	evictStalled                       // an incomplete request, nothing of it received for stalledRequestAge
+	evictStalled                       // an incomplete request, of which nothing was received for stalledRequestAge
 	evictNeverUsed                     // idle, and has never carried a job
 	evictSilent                        // has sent nothing for newConnGrace
 	evictClosing                       // takes no further request
@@ -62,8 +62,8 @@
 	return neverEvicted
 }
 
-// admitConn adds a connection to the table, and reports whether there is capacity, if only for a rejection. At the limit it evicts
-// the least useful connection; if all carry jobs, the new one is of the reserve for rejections.
+// admitConn adds a connection to the table, and reports whether there is capacity for it. At the limit it evicts the least useful
+// connection. If all carry jobs, the new connection is taken from the reserve for rejections.
 func (l *Listener) admitConn(conn *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,7 @@
 func (l *Listener) evictLocked(victim *Conn, now time.Time) {
 	l.removeConnLocked(victim)
 	l.log.Debug("client connection evicted", "reason", "connection limit", "phase", victim.phase.String(), "client", victim.RemoteAddr())
-	victim.phase = phaseClosing // bytes that its reader has just got are not served any more
+	victim.phase = phaseClosing // bytes that its reader has just received are not served
 	_ = victim.TCPConn.Close()  // nothing is written on it any more; fails only if it is closed already
 	l.evictedSinceLog++
 	if now.Sub(l.evictionLoggedAt) > evictionLogInterval {
@@ -93,8 +93,8 @@
 	}
 }
 
-// leastUseful returns the connection to evict, nil if all carry jobs. mu is held. One that has unread bytes is not silent, only not
-// yet read: it counts as reading.
+// leastUseful returns the connection to evict, nil if all carry jobs. mu is held. A connection with unread bytes is not silent:
+// it counts as reading.
 func (l *Listener) leastUseful(now time.Time) *Conn {
 	for {
 		var least *Conn
@@ -111,7 +111,8 @@
 	}
 }
 
-// EvictSilent closes connections that have sent nothing, while more than a number are open. Those that carried a request stay.
+// EvictSilent closes connections that have sent nothing, while more than keep connections are open. Connections that carried a
+// request stay.
 func (l *Listener) EvictSilent(keep int) {
 	now := time.Now()
 	l.mu.Lock()
@@ -133,15 +134,15 @@
 	delete(l.conns, conn)
 }
 
-// Full reports whether connections of the reserve for rejections are in use: the next request must be rejected.
+// Full reports whether connections of the reserve for rejections are in use, so that the next request must be rejected.
 func (l *Listener) Full() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns) > l.maxConns
 }
 
-// NearlyFull reports whether one more job, on the connection of the caller, would leave fewer than 1/freeConnsDivisor of the connections
-// free for further requests.
+// NearlyFull reports whether one more job, on the caller's connection, would leave fewer than 1/freeConnsDivisor of the
+// connections free for further requests.
 func (l *Listener) NearlyFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -20,8 +20,8 @@
 // (PeerProcess.HandOver), and goes on serving. From then on both run PeerProcess.Run.
 
 const (
-	maxListeners       = 4 // that one handover can carry
-	descriptorBytes    = 4 // of a descriptor in a control message
+	maxListeners       = 4 // in one handover
+	descriptorBytes    = 4 // size of a descriptor in a control message
 	privateSocketPerms = 0o600
 )
 
@@ -29,7 +29,7 @@
 var errNoHandover = errors.New("the first message of the predecessor is not a handover with its listeners")
 
 // ConnectToPredecessor connects to the process that listens at path, and takes over its listeners, in the order of Handover.Fronts,
-// and its state. It blocks until the deadline at most. It fails if there is no such process, or if that does not answer.
+// and its state. It blocks until the deadline at most. It fails if there is no such process, or if it does not answer.
 func ConnectToPredecessor(path string, deadline time.Time) (*PeerProcess, *protocol.Handover, []*net.TCPListener, error) {
 	conn, err := (&net.Dialer{Deadline: deadline}).Dial("unix", path)
 	if err != nil {
@@ -56,10 +56,11 @@
 	return predecessor, first.Handover, listeners, nil
 }
 
-// receiveListeners receives the listeners, which are sent with one byte. Even with an error, those that it returns are open.
+// receiveListeners receives the listeners, which are sent with one byte. The listeners that it returns are open, even if there is
+// an error.
 func (p *PeerProcess) receiveListeners() (listeners []*net.TCPListener, err error) {
-	mark, control := make([]byte, 1), make([]byte, unix.CmsgSpace(descriptorBytes*maxListeners))
-	_, n, _, _, err := p.conn.ReadMsgUnix(mark, control)
+	marker, control := make([]byte, 1), make([]byte, unix.CmsgSpace(descriptorBytes*maxListeners))
+	_, n, _, _, err := p.conn.ReadMsgUnix(marker, control)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +82,8 @@
 	return listeners, nil
 }
 
-// tcpListenerOf returns the TCP listener of a descriptor, and closes the descriptor. nil says that it was of anything else.
+// tcpListenerOf returns the TCP listener of a descriptor, and closes the descriptor. It returns nil if the descriptor is not a
+// TCP listener.
 func tcpListenerOf(fd int) *net.TCPListener {
 	file := os.NewFile(uintptr(fd), "listener")
 	defer closeQuietly(file)
@@ -112,8 +114,8 @@
 	return nil
 }
 
-// withDescriptors calls use with fds and the descriptors of the listeners, none of which is closed before use returns: each
-// listener's RawConn keeps its own open while the next is asked.
+// withDescriptors calls use with fds and the descriptors of the listeners. No descriptor is closed before use returns: the
+// RawConn of each listener keeps its descriptor open during the call for the next listener.
 func withDescriptors(listeners []*Listener, fds []int, use func(fds []int) error) error {
 	if len(listeners) == 0 {
 		return use(fds)
@@ -127,8 +129,8 @@
 	return errors.Join(err, inner)
 }
 
-// ListenForSuccessor listens for a successor at path, in place of the process that did so before. The path changes hands in one step: at no
-// time does a successor find no listener.
+// ListenForSuccessor listens for a successor at path, in place of the process that listened there before. The path is replaced in
+// one step, so that a successor always finds a listener.
 func ListenForSuccessor(path string) (*net.UnixListener, error) {
 	ownPath := fmt.Sprintf("%s.%d", path, os.Getpid())
 	listener, err := ListenPrivate(ownPath)
@@ -143,9 +145,9 @@
 	return listener, nil
 }
 
-// ListenPrivate listens at path for processes of the same user. It replaces a socket that is there.
+// ListenPrivate listens at path for processes of the same user. It replaces an existing socket.
 func ListenPrivate(path string) (*net.UnixListener, error) {
-	_ = os.Remove(path) // left by a dead process that had the same number; if it stays, listening fails
+	_ = os.Remove(path) // left by an ended process with the same process id; if it stays, listening fails
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil, err
@@ -179,11 +181,11 @@
 		return false
 	}
 	var credentials *unix.Ucred
-	_ = raw.Control(func(fd uintptr) { // without credentials the peer is rejected, whatever the error was
+	_ = raw.Control(func(fd uintptr) { // a peer without credentials is rejected, regardless of the error
 		credentials, _ = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
 	})
 	return credentials != nil && int(credentials.Uid) == os.Getuid()
 }
 
-// closeQuietly closes what is not used any more. There is nothing to do about an error.
+// closeQuietly closes something that is not used any more, and ignores the error.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
--- a/internal/transport/health.go
+++ b/internal/transport/health.go
@@ -3,8 +3,8 @@
 import "net/http"
 
 const (
-	readinessPath = "/health/ready" // 200 while this process wants requests
-	livenessPath  = "/health/live"  // 200 while it runs
+	readinessPath = "/health/ready" // 200 while this process takes new requests
+	livenessPath  = "/health/live"  // 200 while this process runs
 )
 
 // isHealthCheck reports whether a request is for one of the health pages.
--- a/internal/transport/idempotencytable.go
+++ b/internal/transport/idempotencytable.go
@@ -12,22 +12,21 @@
 	"brassdale/scheduler"
 )
 
-// IdempotencySettings is the block keys of the operator's file.
+// IdempotencySettings is the block "keys" of the operator's file.
 type IdempotencySettings struct {
 	Jobs   int `hcl:"jobs,optional"`    // maximum number of jobs remembered at a time
 	KeepMB int `hcl:"keep_mb,optional"` // maximum size of their events and answers, in MiB
 }
 
-// DefaultIdempotency returns the settings used for what the operator's file leaves out.
+// DefaultIdempotency returns the settings that apply where the operator's file sets none.
 func DefaultIdempotency() IdempotencySettings { return IdempotencySettings{Jobs: 8192, KeepMB: 24} }
 
-// IdempotencyTable remembers the job of each Idempotency-Key, whichever frontend received it: while the job is open, and for
-// the deduplication window after its end. A request that repeats the key joins the job. Since the window counts from the
-// job's end, it ends later than the one in which workers drop a repeat, so no key is started a second time while a
-// worker may remember it.
+// IdempotencyTable remembers the job of each Idempotency-Key, over all frontends: while the job is open, and for the deduplication
+// window after its end. A request with the same key joins the job. The window counts from the job's end, so it ends later than the
+// window in which workers drop a repeated job: no key is started a second time while a worker may remember it.
 //
-// All methods may be called from any goroutine. mu is taken before the mu of a jobStream, and is never held while a
-// request waits for the other process.
+// All methods may be called from any goroutine. mu is locked before the mu of a jobStream, and is never held while a request waits for
+// the other process.
 type IdempotencyTable struct {
 	settings      *IdempotencySettings
 	inFlightIDs   *InFlightIDs
@@ -46,7 +45,7 @@
 	return &IdempotencyTable{settings: settings, inFlightIDs: inFlightIDs, recordEvents: recordEvents, jobs: map[string]*jobStream{}}
 }
 
-// Has reports whether the job of a key is known here. A rejected job does not count: it may be started anew by any process.
+// Has reports whether the job of a key is known here. A rejected job does not count: any process may start it again.
 func (t *IdempotencyTable) Has(key string) bool {
 	t.mu.Lock()
 	stream := t.jobs[key]
@@ -54,10 +53,10 @@
 	return stream != nil && !stream.rejected()
 }
 
-// reserveJob decides what a request with an idempotency key, or with none, gets. With Start it returns a new stream, whose
-// request id is reserved in this process, with Join the known one; either way the request is one of its readers. With any other
-// decision there is no stream. resumes says that the client has seen events of the job before. The error is errIDInUse if
-// the job would start but its request id is that of an open request here.
+// reserveJob decides how a request, with or without an idempotency key, is handled. For Start it returns a new stream, whose
+// request id is reserved in this process. For Join it returns the known stream. Either way the request is counted as one of its
+// readers. For any other decision the stream is nil. resumes says that the client has seen events of the job before. The error is
+// errIDInUse if the job would start but an open request here has the same request id.
 func (t *IdempotencyTable) reserveJob(job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, decision idempotency.Decision, err error) {
 	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
 	hasKey := job.IdempotencyKey != ""
@@ -74,7 +73,7 @@
 	switch decision {
 	case idempotency.Start:
 		stream = t.newJobStream(job, digest)
-		// Only this process is asked here, under the lock; the caller asks the predecessor.
+		// Under the lock the id is reserved in this process only; the caller asks the predecessor.
 		if !t.inFlightIDs.Reserve(job.ID, nil) {
 			return nil, decision, errIDInUse
 		}
@@ -97,15 +96,15 @@
 
 func (t *IdempotencyTable) maxRetainedBytes() int64 { return int64(t.settings.KeepMB) << 20 }
 
-// setRequestID records the core's number of a job, once it was submitted.
+// setRequestID records the core's id of a job, once the job was submitted.
 func (t *IdempotencyTable) setRequestID(stream *jobStream, id scheduler.RequestID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	stream.requestID = id
 }
 
-// removeReader records that a reader left before the job's end. It reports whether the job, whose number at the core is
-// id, is to be abandoned; its key is free from then on.
+// removeReader records that a reader left before the job's end. It reports whether the job must be abandoned, with the core's id
+// of the job. From then on the key of an abandoned job is free.
 func (t *IdempotencyTable) removeReader(stream *jobStream) (id scheduler.RequestID, abandon bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,11 +131,11 @@
 	t.retainedBytes.Add(-stream.retainedBytes.Swap(0))
 }
 
-// minSweepInterval is the minimum time between two sweeps, and so the most by which a job may be remembered beyond its
-// window. One timer serves all jobs, since a timer each would cost more than the rest of the job's bookkeeping.
+// minSweepInterval is the minimum time between two sweeps, and so the longest time for which a job may be remembered beyond its
+// window. One timer serves all jobs, since a timer for each job would cost more than the rest of its bookkeeping.
 const minSweepInterval = 100 * time.Millisecond
 
-// forgetAfter has an ended job forgotten after its window.
+// forgetAfter schedules an ended job to be forgotten after its window.
 func (t *IdempotencyTable) forgetAfter(stream *jobStream, window time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/inflightids.go
+++ b/internal/transport/inflightids.go
@@ -8,23 +8,23 @@
 	"brassdale/internal/protocol"
 )
 
-// InFlightIDs holds the Req-Id of each open job, over all frontends. A second job with the id of an open one is rejected:
-// workers would take it for a copy of the first.
+// InFlightIDs holds the Req-Id of each open job, over all frontends. A second job with the id of an open job is rejected: workers
+// would take it for a copy of the first.
 //
-// During a handover both processes are one dispatcher: an id is reserved in the successor's table and in the predecessor's, which
-// decides for both. Methods may be called from any goroutine; those that ask the predecessor block for peerAnswerTimeout
-// at most. The zero value is empty and ready for use.
+// During a handover both processes act as one dispatcher: an id is reserved in the successor's table and in the predecessor's
+// table, which decides for both. Methods may be called from any goroutine. Methods that ask the predecessor block for
+// peerAnswerTimeout at most. The zero value is empty and ready for use.
 type InFlightIDs struct {
 	mu          sync.Mutex
 	owners      map[string]*PeerProcess // by id; nil for this process
 	predecessor *PeerProcess            // nil if there is none
 }
 
-// peerAnswerTimeout is how long a question waits for the other process. A predecessor that takes longer is taken to have no open
-// jobs that matter: its clients get no answers either.
+// peerAnswerTimeout is how long a question to the other process waits for the answer. If a predecessor takes longer, its open
+// jobs are ignored: it does not answer its clients either.
 const peerAnswerTimeout = 250 * time.Millisecond
 
-// DelegateTo has each id reserved at the predecessor too; nil ends that.
+// DelegateTo sets the predecessor at which each id is reserved too; nil for none.
 func (i *InFlightIDs) DelegateTo(predecessor *PeerProcess) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// ReleaseAll releases all ids that are reserved for a process which is gone.
+// ReleaseAll releases all ids that are reserved for a process that has ended.
 func (i *InFlightIDs) ReleaseAll(owner *PeerProcess) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -66,8 +66,9 @@
 	return i.Reserve(id, nil) && i.confirmWithPredecessor(id)
 }
 
-// confirmWithPredecessor reserves at the predecessor an id that is reserved here, and reports whether it was free there; if not, it
-// is released here. A predecessor that does not answer is not asked again.
+// confirmWithPredecessor takes an id that is reserved here, reserves it at the predecessor, and reports whether it was free
+// there. If not, the id is released here. If the predecessor does not answer, the id counts as free, and the predecessor is not
+// asked again.
 func (i *InFlightIDs) confirmWithPredecessor(id string) bool {
 	predecessor := i.currentPredecessor()
 	if predecessor == nil {
--- a/internal/transport/jobfrontend.go
+++ b/internal/transport/jobfrontend.go
@@ -9,13 +9,13 @@
 	"brassdale/internal/routing"
 )
 
-// JobFrontend is the frontend for the platform's protocol: POST /<class>, answered in one piece.
+// JobFrontend is the frontend for the platform's protocol: POST /<class>, answered with a single response.
 type JobFrontend struct{ frontend }
 
-// NewJobFrontend returns the frontend of a listener. keys, quotas and authorize may be nil: then each request is a job of its
-// own, accounts have no quotas, and every client may submit any job.
-func NewJobFrontend(core Core, settings *protocol.LiveSettings, listener *Listener, ids *InFlightIDs, keys *IdempotencyTable, quotas *AccountQuotas, authorize Authorize, log *slog.Logger) *JobFrontend {
-	return &JobFrontend{frontend{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: keys, quotas: quotas, authorize: authorize, log: log}}
+// NewJobFrontend returns the frontend of a listener. idempotencyTable, quotas and authorize may be nil: then each request starts
+// a job of its own, accounts have no quotas, and every client may submit any job.
+func NewJobFrontend(core Core, settings *protocol.LiveSettings, listener *Listener, ids *InFlightIDs, idempotencyTable *IdempotencyTable, quotas *AccountQuotas, authorize Authorize, log *slog.Logger) *JobFrontend {
+	return &JobFrontend{frontend{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: idempotencyTable, quotas: quotas, authorize: authorize, log: log}}
 }
 
 const (
@@ -85,8 +85,8 @@
 	}
 }
 
-// answerChannel is a routing.Client that wants the final answer only. It must have capacity for one, so that the core, which
-// answers once, does not block.
+// answerChannel is a routing.Client that receives only the final answer. The channel must have a capacity of one, so that the
+// core, which answers once, does not block.
 type answerChannel chan routing.Answer
 
 // AttemptStarted does nothing.
--- a/internal/transport/jobstream.go
+++ b/internal/transport/jobstream.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	maxProgressEvents  = 256 // events of a job after which progress is dropped, as a worker may send it without end
+	maxProgressEvents  = 256 // events of a job after which further progress is dropped, as a worker may report it without end
 	eventOverheadBytes = 64  // memory of an event besides its data
 )
 
 // jobStream is a job of the IdempotencyTable with its events so far. It is the routing.Client of the job: the core appends
-// events, and each reader follows them at its own pace with eventsAfter, so a slow reader holds up neither the core nor
+// events, and each reader follows them at its own pace with eventsAfter, so a slow reader delays neither the core nor
 // another reader.
 //
-// Events are only ever appended, and nothing follows the final answer. Methods may be called from any goroutine and do
+// Events are only appended, and no event follows the final answer. Methods may be called from any goroutine and do
 // not block.
 type jobStream struct {
 	table               *IdempotencyTable
@@ -33,7 +33,7 @@
 	releaseID           func()            // releases id in InFlightIDs; further calls do nothing
 
 	// Guarded by table.mu.
-	requestID          scheduler.RequestID // the core's number; 0 until it was submitted
+	requestID          scheduler.RequestID // the core's id of the job; 0 until the job was submitted
 	readers            int                 // requests that wait for the job
 	runsWithoutReaders bool                // it is not abandoned when its last reader leaves
 
@@ -74,8 +74,8 @@
 	return s.finalAnswer != nil
 }
 
-// eventsAfter returns the events after the first seen ones, the final answer (nil while there is none), and a channel that
-// is closed with the next event. It is not ok if the job has fewer than seen events.
+// eventsAfter returns the events after the first seen ones, the final answer (nil while there is none), and a channel that is
+// closed with the next event. ok is false if the job has fewer than seen events.
 func (s *jobStream) eventsAfter(seen int) (events []protocol.Event, answer *routing.Answer, changed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// AttemptProgressed records how far an attempt is. A further attempt starts over.
+// AttemptProgressed records the share of the job that an attempt has done. Each further attempt starts again from 0.
 func (s *jobStream) AttemptProgressed(attempt int, share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +158,7 @@
 		return
 	}
 	text, err := json.Marshal(data)
-	if err != nil { // a share that is no number
+	if err != nil { // the share is not a finite number
 		text = []byte("{}")
 	}
 	s.events = append(s.events, protocol.Event{ID: strconv.Itoa(len(s.events) + 1), Name: name, Data: string(text), Retry: retry})
@@ -167,7 +167,7 @@
 	s.changed = make(chan struct{})
 }
 
-// retain counts bytes that are retained until the job is forgotten.
+// retain adds to the count of bytes that are kept until the job is forgotten.
 func (s *jobStream) retain(size int64) {
 	s.retainedBytes.Add(size)
 	s.table.retainedBytes.Add(size)
--- a/internal/transport/keyedjob.go
+++ b/internal/transport/keyedjob.go
@@ -10,16 +10,16 @@
 )
 
 // errUnknownKey rejects a reader that resumes a job which is not in the table: another dispatcher knows it, or this one did
-// before a restart. The job may run, or have run, elsewhere, so it must not be started from here.
+// before a restart. The job may run, or have run, elsewhere, so it must not be started here.
 var errUnknownKey = &protocol.RequestError{Status: http.StatusBadGateway, Reason: "the job of this Idempotency-Key is not known here; nothing was started"}
 
 // errKeyMismatch rejects a key that was used for another path, account or body.
 var errKeyMismatch = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
 
-// joinOrStart returns the job of a request's idempotency key, with the request as one of its readers: the known job, or a
-// new one, which the caller must submit (started). If it is not ok, the request was rejected, and has its answer.
-// resumes says that the client has seen events of the job; runsWithoutReaders, that the job goes on without readers.
-// It blocks while a predecessor process is asked whether the request id is in use there.
+// joinOrStart returns the job of a request's idempotency key, with the request as one of its readers. It is the known job, or a
+// new one (started), which the caller must submit. If ok is false, the request was rejected and has its answer. resumes says that
+// the client has seen events of the job; runsWithoutReaders, that the job goes on without readers. joinOrStart blocks while it
+// asks a predecessor process whether the request id is in use there.
 func (f *frontend) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, started, ok bool) {
 	stream, decision, err := f.idempotencyTable.reserveJob(job, resumes, runsWithoutReaders)
 	if err == nil && decision == idempotency.Start && !f.idempotencyTable.inFlightIDs.confirmWithPredecessor(job.ID) {
@@ -54,10 +54,10 @@
 	stream.releaseID()
 }
 
-// serveKeyedJob answers a request that has an idempotency key with the final answer of the key's job, in one piece. It
+// serveKeyedJob answers a request that has an idempotency key with the final answer of the key's job, as a single response. It
 // returns when the request is answered or its client has left.
 func (f *frontend) serveKeyedJob(w http.ResponseWriter, r *http.Request, job *protocol.Job) {
-	if f.relayToPeer(w, r, job, relayWhole) {
+	if f.relayToPeer(w, r, job, relaySingleResponse) {
 		return
 	}
 	stream, started, ok := f.joinOrStart(w, r, job, false, false)
@@ -69,7 +69,7 @@
 		f.respondWhenEnded(w, r, stream, nil) // the core answers by this request's deadline
 		return
 	}
-	if !f.ids.reserveEverywhere(job.ID) { // also if the id is that of the job itself
+	if !f.ids.reserveEverywhere(job.ID) { // also if the job itself has this id
 		f.abandonJob(stream)
 		f.respondInvalid(w, r, errIDInUse)
 		return
@@ -80,7 +80,7 @@
 	f.respondWhenEnded(w, r, stream, timer.C)
 }
 
-// respondWhenEnded waits for a job's end, the client's leaving or a receive from deadline (nil for none).
+// respondWhenEnded responds when the job has ended, the client has left, or deadline delivers a value (nil for no deadline).
 func (f *frontend) respondWhenEnded(w http.ResponseWriter, r *http.Request, stream *jobStream, deadline <-chan time.Time) {
 	for {
 		_, answer, changed, _ := stream.eventsAfter(0)
--- a/internal/transport/lingeringclose.go
+++ b/internal/transport/lingeringclose.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// A connection that is closed is read on for lingeringCloseTimeout, or up to lingeringCloseMaxBytes. Closed with unread
-// bytes it would be reset, and a reset discards what the client has not read of its answer.
+// Before a connection is closed, it is read for lingeringCloseTimeout, or up to lingeringCloseMaxBytes. If it were closed with unread
+// bytes, it would be reset, and a reset discards the part of the answer that the client has not read.
 const (
 	lingeringCloseTimeout  = time.Second
 	lingeringCloseMaxBytes = 1 << 20
 )
 
-// Close ends the connection. If it is not multiplexed and its client has not left, the sending side is shut first and what the client
-// still sends is read and discarded, so Close may block for lingeringCloseTimeout.
+// Close closes the connection. If it is not multiplexed and its client has not left, Close first shuts the sending side, and
+// reads and discards what the client still sends. This may block for lingeringCloseTimeout.
 func (c *Conn) Close() error {
 	if !c.listener.multiplexed && !c.clientGone.Load() && c.beginClose() {
 		c.lingeringClose()
@@ -23,7 +23,7 @@
 	return c.TCPConn.Close()
 }
 
-// beginClose enters phaseClosing, and reports whether nobody has done so for a close before.
+// beginClose enters phaseClosing. It reports false, and does nothing, if a close has begun before.
 func (c *Conn) beginClose() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -34,7 +34,7 @@
 	return true
 }
 
-// lingeringClose shuts the sending side, and reads until the client shuts its own or a limit is reached.
+// lingeringClose shuts the sending side, and reads until the client shuts its side or a limit is reached.
 func (c *Conn) lingeringClose() {
 	if c.CloseWrite() != nil {
 		return
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -16,15 +16,15 @@
 	"brassdale/internal/listen"
 )
 
-// Listener is a frontend's listener with the table of its connections, which it limits whatever clients do (eviction.go), and ends
-// at a shutdown (listenershutdown.go). It also limits the memory for the bodies of requests.
+// Listener is a frontend's listener with the table of its connections. It limits their number regardless of what clients do
+// (eviction.go), and closes them at a shutdown (listenershutdown.go). It also limits the memory for the bodies of requests.
 //
 // Its methods may be called from any goroutine. They hold mu for one pass over the connections at most and do not block, except
-// Accept, and RejectUnfinished for rejectionWriteTimeout for each connection. mu also guards the fields of Conn that say
-// what the connection is at.
+// Accept, and RejectUnfinished, which blocks for rejectionWriteTimeout at most for each connection. mu also guards the state of
+// each Conn.
 //
-// Invariants: conns has each connection that Accept returned, until Conn.Close or until it is evicted. A connection that serves a job
-// is not evicted. At most maxConns and 1/rejectionReserveDivisor more are in conns.
+// Invariants: conns has each connection that Accept returned, until Conn.Close or until it is evicted. A connection that serves a
+// job is not evicted. conns has at most maxConns + maxConns/rejectionReserveDivisor entries.
 type Listener struct {
 	*net.TCPListener
 	log         *slog.Logger
@@ -90,7 +90,7 @@
 }
 
 // SetLimits sets how many connections clients may have, without the reserve for rejections, and how many bytes the bodies of all
-// requests may have together: one body is small, but one on each connection would take more memory than the platform gives.
+// requests may have together: each body is small, but a body on each connection would take more memory than the platform gives.
 func (l *Listener) SetLimits(maxConns int, maxBodyBytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,16 +122,17 @@
 	return len(l.conns)
 }
 
-// ClosedWithoutResponse returns how many connections were closed here before anything was written to them, while their clients had not gone.
+// ClosedWithoutResponse returns how many connections this process closed before it wrote anything to them, although their clients
+// had not left.
 func (l *Listener) ClosedWithoutResponse() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.unansweredConns
 }
 
-// Accept implements net.Listener. It blocks while the listener is paused, and closes connections for which there is not even capacity
-// for a rejection. It returns an error only when the listener is closed: others (aborted connections, no descriptors, no
-// memory) pass.
+// Accept implements net.Listener. It blocks while the listener is paused, and closes connections for which even the reserve for
+// rejections has no capacity. It returns an error only when the listener is closed, and retries after other errors (aborted
+// connections, no descriptors, no memory).
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := listen.Next(l.accept, l.failures.Failed)
@@ -177,7 +178,7 @@
 // Close closes the listener. Its connections stay open.
 func (l *Listener) Close() error {
 	err := l.TCPListener.Close()
-	l.Resume() // an Accept that is paused finds the listener closed
+	l.Resume() // a paused Accept then finds the listener closed
 	return err
 }
 
@@ -197,5 +198,5 @@
 	return true
 }
 
-// releaseBody releases what reserveBody has reserved, or a part of it.
+// releaseBody releases the memory that reserveBody has reserved, or a part of it.
 func (l *Listener) releaseBody(size int64) { l.reservedBodyBytes.Add(-size) }
--- a/internal/transport/listenershutdown.go
+++ b/internal/transport/listenershutdown.go
@@ -7,18 +7,20 @@
 // RejectUnfinished do nothing, since its protocol has a message of its own (GOAWAY).
 
 const (
-	// firstRequestTimeout is how long a new connection has to bring a request once idle connections are closed.
+	// firstRequestTimeout is how long a new connection may be open without having sent anything, once idle connections are
+	// closed.
 	firstRequestTimeout = 300 * time.Millisecond
 
-	// rejectionWriteTimeout is how long writing rejectionResponse may take. It fits into any client's window.
+	// rejectionWriteTimeout is how long writing rejectionResponse may take. The response fits into any client's receive window.
 	rejectionWriteTimeout = 10 * time.Millisecond
 )
 
 // rejectionResponse is the answer to a request that is not read to its end. The client may submit the job again at once.
 const rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// CloseWhenIdle closes the connections on which no answer is pending: the idle ones, and new ones that have brought nothing for
-// firstRequestTimeout. From then on each connection is closed once it is idle. A request that is incomplete is read on.
+// CloseWhenIdle closes the connections on which no answer is pending: idle connections, and new connections that have sent
+// nothing for firstRequestTimeout. From then on each connection is closed once it is idle. An incomplete request is still read to
+// its end.
 func (l *Listener) CloseWhenIdle() {
 	if l.multiplexed {
 		return
@@ -28,24 +30,24 @@
 	defer l.mu.Unlock()
 	l.closesIdle = true
 	for conn := range l.conns {
-		if conn.owesNothing(now) {
+		if conn.isClosableAtShutdown(now) {
 			l.log.Debug("client connection closing", "reason", "shutdown", "phase", conn.phase.String(), "client", conn.RemoteAddr())
 			conn.phase, conn.phaseSince = phaseClosing, now
-			// The goroutine that reads it gets an error and calls Conn.Close, even if a byte is received in this moment.
+			// The goroutine that reads it gets an error and calls Conn.Close, even if a byte is received at this moment.
 			_ = conn.SetReadDeadline(now) // fails only on a closed connection
 		}
 	}
 }
 
-// owesNothing reports whether the connection is idle without pending bytes, or new for longer than firstRequestTimeout.
+// isClosableAtShutdown reports whether the connection is idle without pending bytes, or new for longer than firstRequestTimeout.
 // listener.mu is held.
-func (c *Conn) owesNothing(now time.Time) bool {
+func (c *Conn) isClosableAtShutdown(now time.Time) bool {
 	return c.phase == phaseIdle && c.pendingBytes.Load() == 0 || c.phase == phaseNew && now.Sub(c.phaseSince) > firstRequestTimeout
 }
 
-// RejectUnfinished answers incomplete requests with rejectionResponse and reads no further byte of them. It is for a process that is
-// about to end: a client that went on writing would find its connection closed without an answer. It covers connections
-// on which nothing has ever been written; one that was answered before is closed without a rejection.
+// RejectUnfinished answers incomplete requests with rejectionResponse and reads no further byte of them. It is for a process that
+// is about to end: otherwise a client that still writes would find its connection closed without an answer. It covers only
+// connections on which nothing has ever been written; a connection that carried an answer before is closed without a rejection.
 func (l *Listener) RejectUnfinished() {
 	for _, conn := range l.closeUnfinished() {
 		_ = conn.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout)) // fails only on a closed connection, as does what follows
--- a/internal/transport/peerprocess.go
+++ b/internal/transport/peerprocess.go
@@ -10,14 +10,14 @@
 	"brassdale/internal/routing"
 )
 
-// peerWriteTimeout is how long a write to the other process may block; then it counts as gone.
+// peerWriteTimeout is how long a write to the other process may block. After that the process counts as gone.
 const peerWriteTimeout = time.Second
 
-// PeerProcess is the other process during a handover, predecessor or successor, at the end of a Unix socket. The end of the
-// connection is the end of that process.
+// PeerProcess is the other process during a handover, predecessor or successor, connected by a Unix socket. When the connection ends,
+// the process counts as gone.
 //
-// It is an actor: Run owns the reading side, and a goroutine that Run starts writes what is in the mailbox. Notify, Ask,
-// Gone and Close may be called from any goroutine; only Ask waits for the other process.
+// It is an actor: Run owns the reading side, and a goroutine that Run starts writes the messages in the mailbox. Notify, Ask, Gone and
+// Close may be called from any goroutine; only Ask waits for the other process.
 type PeerProcess struct {
 	conn    *net.UnixConn
 	decoder *json.Decoder // owned by ConnectToPredecessor, then by Run
@@ -26,7 +26,7 @@
 
 	mu               sync.Mutex
 	lastQuestionID   uint64
-	pendingQuestions map[uint64]chan bool // each has capacity for its answer
+	pendingQuestions map[uint64]chan bool // by question id; each channel has capacity for its answer
 }
 
 func newPeerProcess(conn *net.UnixConn) *PeerProcess {
@@ -39,8 +39,9 @@
 	}
 }
 
-// Run reads and writes messages until the other process is gone or Close is called; then Gone is closed. It must be called
-// once. It calls handle with each message but answers, one at a time; handle must not call Ask, as its answer would not be read.
+// Run reads and writes messages until the other process is gone or Close is called; then Gone is closed. It must be called once.
+// It calls handle with each message except answers, one at a time. handle must not call Ask: Run would not read the answer
+// meanwhile.
 func (p *PeerProcess) Run(handle func(protocol.HandoverMessage)) {
 	go p.writeMessages()
 	for {
@@ -58,7 +59,7 @@
 	close(p.gone)
 }
 
-// deliverAnswer passes an answer to the Ask that waits for it. One that arrives after the Ask has ended is dropped.
+// deliverAnswer passes an answer to the Ask that waits for it. An answer that arrives after the Ask has ended is dropped.
 func (p *PeerProcess) deliverAnswer(answer protocol.HandoverMessage) {
 	p.mu.Lock()
 	pending := p.pendingQuestions[answer.AnswerTo]
@@ -69,8 +70,8 @@
 	}
 }
 
-// writeMessages writes what is in the mailbox until the other process is gone. It closes the connection if a write fails, which
-// ends Run.
+// writeMessages writes the messages in the mailbox until the other process is gone. If a write fails, it closes the connection,
+// which ends Run.
 func (p *PeerProcess) writeMessages() {
 	encoder := json.NewEncoder(p.conn)
 	for {
@@ -92,7 +93,7 @@
 // Notify sends a message. It does not block, and does not report whether the message arrives.
 func (p *PeerProcess) Notify(message protocol.HandoverMessage) { p.mailbox.Post(message) }
 
-// Ask sends a question and waits for its answer, at most until a point in time or until the other process is gone. answered reports
+// Ask sends a question and waits for its answer, until the given time or until the other process is gone. answered reports
 // whether there was an answer.
 func (p *PeerProcess) Ask(question protocol.HandoverMessage, until time.Time) (yes, answered bool) {
 	answer := make(chan bool, 1)
@@ -119,5 +120,5 @@
 // Gone returns a channel that is closed when the other process has ended.
 func (p *PeerProcess) Gone() <-chan struct{} { return p.gone }
 
-// Close ends the connection, and with it Run. An error says that it has ended already, so it is of no interest.
+// Close closes the connection, which ends Run. The error is ignored: it says that the connection is closed already.
 func (p *PeerProcess) Close() { _ = p.conn.Close() }
--- a/internal/transport/progressfrontend.go
+++ b/internal/transport/progressfrontend.go
@@ -9,10 +9,10 @@
 	"brassdale/internal/protocol"
 )
 
-// ProgressSettings is the block front "progress" of the operator's file.
+// ProgressSettings is the block "front" with the label "progress" of the operator's file.
 type ProgressSettings struct {
-	Listen    string `hcl:"listen"`             // an address of its own
-	Cleartext bool   `hcl:"cleartext,optional"` // the address may be off loopback
+	Listen    string `hcl:"listen"`             // the frontend's own address
+	Cleartext bool   `hcl:"cleartext,optional"` // the address need not be a loopback address
 	Upstream  string `hcl:"upstream,optional"`  // how workers are asked to report progress: upstreamLines or upstreamEvents
 }
 
@@ -22,23 +22,23 @@
 	upstreamEvents = "events"
 )
 
-// DefaultProgress returns the settings used for what the operator's file leaves out.
+// DefaultProgress returns the settings that apply where the operator's file sets none.
 func DefaultProgress() ProgressSettings {
 	return ProgressSettings{Upstream: upstreamLines}
 }
 
-// ProgressFrontend is the frontend that streams the progress of jobs as server-sent events. A job with an idempotency key does not
-// belong to a connection: it runs on until its deadline when its client's stream breaks off, and a request with the same
-// key and a Last-Event-ID resumes the stream.
+// ProgressFrontend is the frontend that streams the progress of jobs as server-sent events. A job with an idempotency key is not
+// tied to a connection: if its client's stream breaks off, the job runs on until its deadline, and a request with the same key
+// and a Last-Event-ID resumes the stream.
 type ProgressFrontend struct {
 	frontend
 	settings *ProgressSettings
 }
 
-// NewProgressFrontend returns the frontend of a listener. quotas may be nil: then accounts have none.
-func NewProgressFrontend(core Core, settings *protocol.LiveSettings, progress *ProgressSettings, listener *Listener, ids *InFlightIDs, keys *IdempotencyTable, quotas *AccountQuotas, log *slog.Logger) *ProgressFrontend {
+// NewProgressFrontend returns the frontend of a listener. quotas may be nil: then accounts have no quotas.
+func NewProgressFrontend(core Core, settings *protocol.LiveSettings, progress *ProgressSettings, listener *Listener, ids *InFlightIDs, idempotencyTable *IdempotencyTable, quotas *AccountQuotas, log *slog.Logger) *ProgressFrontend {
 	return &ProgressFrontend{
-		frontend: frontend{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: keys, quotas: quotas, log: log},
+		frontend: frontend{core: core, settings: settings, listener: listener, ids: ids, idempotencyTable: idempotencyTable, quotas: quotas, log: log},
 		settings: progress,
 	}
 }
@@ -88,10 +88,10 @@
 	}
 }
 
-// errBadLastEventID rejects a Last-Event-ID that no job can have sent.
-var errBadLastEventID = &protocol.RequestError{Status: http.StatusBadRequest, Reason: "Last-Event-ID is not one of ours"}
+// errBadLastEventID rejects a Last-Event-ID that cannot be the id of an event.
+var errBadLastEventID = &protocol.RequestError{Status: http.StatusBadRequest, Reason: "Last-Event-ID must be a number, 0 or greater"}
 
-// eventsSeen returns how many events a client has seen, by its Last-Event-ID; empty if it resumes nothing.
+// eventsSeen returns how many events a client has seen, by its Last-Event-ID, which is empty if the client resumes no stream.
 func eventsSeen(lastEventID string) (int, error) {
 	if lastEventID == "" {
 		return 0, nil
--- a/internal/transport/readaheadqueue.go
+++ b/internal/transport/readaheadqueue.go
@@ -3,20 +3,20 @@
 import "time"
 
 // readAheadQueue queues bytes of a connection that were read after an unanswered request, each with the time at which it was
-// received: the deadline of a request counts from its last byte, however long that waits for the answer before it.
+// received: the deadline of a request counts from its last byte, regardless of how long the request waits for earlier answers.
 // It is owned by the goroutine that reads the connection.
 type readAheadQueue struct {
 	chunks []readAheadChunk // in the order of the bytes; none is empty
 	size   int              // bytes in all chunks
 }
 
-// readAheadChunk is bytes that were received within chunkMergeInterval.
+// readAheadChunk holds bytes that were received within chunkMergeInterval.
 type readAheadChunk struct {
 	bytes      []byte
 	receivedAt time.Time // of the first of them
 }
 
-// chunkMergeInterval is the time within which bytes are taken as received together.
+// chunkMergeInterval is the time within which bytes count as received together.
 const chunkMergeInterval = time.Millisecond
 
 // push appends a copy of bytes that were received now.
--- a/internal/transport/rejection.go
+++ b/internal/transport/rejection.go
@@ -10,19 +10,19 @@
 
 // The reasons why a frontend rejects a valid request, as logged. The client gets 503 and may submit the job again.
 const (
-	rejectedClientConnLimit = "connection limit"                      // jobs use all connections, this one is of the reserve
-	rejectedBodyMemory      = "body memory limit"                     // the bodies of all requests use their memory
-	rejectedTableFull       = "idempotency table full"                // it cannot take another key
-	rejectedStreamLimit     = "stream limit of the connection"        // it has its share of the listener's streams
-	rejectedAccountQuota    = "account quota"                         // the account has its share of the open jobs
-	rejectedAtShutdown      = "last free connections during shutdown" // they are reserved for clients that would find no other
+	rejectedClientConnLimit = "connection limit"                      // jobs use all connections; this connection is from the reserve
+	rejectedBodyMemory      = "body memory limit"                     // request bodies use up the memory for them
+	rejectedTableFull       = "idempotency table full"                // the table cannot add another key
+	rejectedStreamLimit     = "stream limit of the connection"        // the connection has used up its share of the listener's streams
+	rejectedAccountQuota    = "account quota"                         // the account has used up its share of the open jobs
+	rejectedAtShutdown      = "last free connections during shutdown" // reserved for clients that could open no other connection
 )
 
-// errIDInUse rejects a request whose id is that of another request in flight.
-var errIDInUse = &protocol.RequestError{Status: http.StatusConflict, Reason: "Req-Id is of a request that is open"}
+// errIDInUse rejects a request that has the same id as another request in flight.
+var errIDInUse = &protocol.RequestError{Status: http.StatusConflict, Reason: "Req-Id is in use by an open request"}
 
-// closeAfterAnswer closes the connection after the present answer. Over HTTP/2 its other streams go on to their ends, and new
-// ones must come on another connection.
+// closeAfterAnswer closes the connection after the current answer. Over HTTP/2 the other streams run to their end, and new
+// requests must use another connection.
 func closeAfterAnswer(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
 // closeAfterInvalidRequest closes the connection after the answer to a request that is not read to its end. Over HTTP/2 it does
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	relayModeHeader = "Brassdale-Relayed-As" // how the client of a relayed request wants its answer
-	relayWhole      = "whole"                // in one piece; any other value: as a stream of events
+	relayModeHeader     = "Brassdale-Relayed-As" // how the client of a relayed request wants its answer
+	relaySingleResponse = "whole"                // as a single response; any other value: as a stream of events
 )
 
-// peerTable is the idempotency table of the other process during a handover. The job of a key is in one of both tables. A request
-// for it that reaches the other process is relayed through a Unix socket; jobs that have ended at the predecessor are sent
-// to the successor.
+// peerTable is the idempotency table of the other process during a handover. The job of a key is in only one of the two
+// tables. If a request with the key reaches the process without the job, the request is relayed through a Unix socket. Jobs that
+// have ended at the predecessor are sent to the successor.
 type peerTable struct {
 	process       *PeerProcess
 	isPredecessor bool
 	proxy         *httputil.ReverseProxy
 }
 
-// newPeerTable returns the table of a process that takes relayed requests on the Unix socket at path.
+// newPeerTable returns the table of a process that accepts relayed requests on the Unix socket at path.
 func newPeerTable(process *PeerProcess, path string, isPredecessor bool) *peerTable {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", path)
@@ -45,8 +45,9 @@
 	}}
 }
 
-// SetPeer shares the jobs with another process from now on, which takes relayed requests on the Unix socket at path; with a nil
-// process or no path, the table is alone again. A successor is sent the jobs that have ended here.
+// SetPeer makes the table share its jobs with another process, which accepts relayed requests on the Unix socket at path. With a
+// nil process or an empty path, it ends the sharing. If the other process is the successor, the jobs that have ended here are
+// sent to it.
 func (t *IdempotencyTable) SetPeer(process *PeerProcess, path string, isPredecessor bool) {
 	var peer *peerTable
 	if process != nil && path != "" {
@@ -64,9 +65,9 @@
 	}
 }
 
-// peerWithJob returns the other process's table if a key's job is to be looked for there, else nil: that of a predecessor that
-// says it knows the key, and that of a successor for every key that is not known here. It may wait for the predecessor for
-// peerAnswerTimeout.
+// peerWithJob returns the other process's table if a request with the key must be relayed to it, else nil. A predecessor gets the
+// request if it says that it knows the key. A successor gets every request whose key is not known here. peerWithJob may wait for
+// a predecessor, for peerAnswerTimeout at most.
 func (t *IdempotencyTable) peerWithJob(key string) *peerTable {
 	t.mu.Lock()
 	peer, known := t.peer, t.jobs[key] != nil
@@ -83,14 +84,14 @@
 	return nil
 }
 
-// relayToPeer has the other process answer a request if the key's job is there, and reports whether it did. mode is the value
-// of relayModeHeader.
+// relayToPeer has the other process answer a request if peerWithJob returns that process, and reports whether it did. mode is the
+// value of relayModeHeader.
 func (f *frontend) relayToPeer(w http.ResponseWriter, r *http.Request, job *protocol.Job, mode string) bool {
 	peer := f.idempotencyTable.peerWithJob(job.IdempotencyKey)
 	if peer == nil {
 		return false
 	}
-	r.Body, r.ContentLength, r.TransferEncoding = io.NopCloser(bytes.NewReader(job.Body)), int64(len(job.Body)), nil // was read by admit
+	r.Body, r.ContentLength, r.TransferEncoding = io.NopCloser(bytes.NewReader(job.Body)), int64(len(job.Body)), nil // admit has read the body
 	r.Header.Set("Req-Deadline-Ms", strconv.FormatInt(max(time.Until(job.Deadline).Milliseconds(), 1), 10))
 	r.Header.Set(relayModeHeader, mode)
 	peer.proxy.ServeHTTP(w, r)
@@ -105,7 +106,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h RelayHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if h.Progress != nil && r.Header.Get(relayModeHeader) != relayWhole {
+	if h.Progress != nil && r.Header.Get(relayModeHeader) != relaySingleResponse {
 		h.Progress.ServeHTTP(w, r)
 		return
 	}
--- a/internal/transport/requestconn.go
+++ b/internal/transport/requestconn.go
@@ -21,8 +21,8 @@
 	return conn
 }
 
-// clientConnOf returns the Conn below a request's connection, nil if it did not come through a Listener, for example one
-// that the other process relayed.
+// clientConnOf returns the Conn below a request's connection. It is nil if the request did not come through a Listener, for example if
+// the other process relayed it.
 func clientConnOf(r *http.Request) *Conn {
 	if wrapper, ok := ConnOf(r).(interface{ ClientConn() *Conn }); ok {
 		return wrapper.ClientConn()
@@ -44,8 +44,8 @@
 	}
 }
 
-// admitJob records a request's job on its connection, and reports whether that may have one. If so, releaseJob must be called
-// when the job has ended.
+// admitJob records a request's job on its connection, and reports whether the connection may carry it. If so, releaseJob must be
+// called when the job has ended.
 func admitJob(r *http.Request) bool {
 	conn := clientConnOf(r)
 	return conn == nil || conn.admitJob()
@@ -58,8 +58,8 @@
 	}
 }
 
-// requestReadDeadline returns when a request must have been received completely: requestReadTimeout after its first byte, or from now
-// if it is multiplexed, since its head is complete and had a time of its own.
+// requestReadDeadline returns when a request must have been received completely: requestReadTimeout after its first byte. If the
+// connection is multiplexed, the time counts from now, since the head is complete and had a timeout of its own.
 func requestReadDeadline(r *http.Request) time.Time {
 	conn := clientConnOf(r)
 	if conn == nil || conn.listener.multiplexed {
@@ -70,7 +70,7 @@
 	return conn.requestBeganAt.Add(requestReadTimeout)
 }
 
-// unreadDuration returns how long before now the last byte of a request had been received, 0 if it is not known.
+// unreadDuration returns how long before now the last byte of a request was received, 0 if it is not known.
 func unreadDuration(r *http.Request, now time.Time) time.Duration {
 	conn := clientConnOf(r)
 	if conn == nil {
--- a/internal/transport/requestframing.go
+++ b/internal/transport/requestframing.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// requestFraming follows the bytes of a connection from request to request, and rejects heads that leave in doubt where
-// the next request begins (request smuggling, RFC 9112, section 11.2): those with both Content-Length and Transfer-Encoding,
-// of which net/http silently drops the former, folded lines, and lengths that are no number. The line of a rejected head is made
-// malformed, so that net/http answers it with 400 and closes the connection, after the answers to earlier requests.
-// It is owned by the goroutine that reads the connection; the zero value awaits a first request.
+// requestFraming follows the bytes of a connection from request to request. It rejects heads that make the start of the next
+// request ambiguous (request smuggling, RFC 9112, section 11.2): heads with both Content-Length and Transfer-Encoding, of which
+// net/http silently drops the former, with folded lines, or with a length that is not a number. The line of a rejected head is
+// made malformed, so that net/http answers it with 400 and closes the connection, after the answers to earlier requests. It is
+// owned by the goroutine that reads the connection; the zero value awaits a first request.
 type requestFraming struct {
 	position            framingPosition
-	linePrefix          []byte // the present line of the head, up to maxLinePrefix bytes
-	hasContentLength    bool   // in the present head
-	hasTransferEncoding bool   // in the present head
+	linePrefix          []byte // the current line of the head, up to maxLinePrefix bytes
+	hasContentLength    bool   // in the current head
+	hasTransferEncoding bool   // in the current head
 	bodyBytesLeft       int64
 	malformedBytesLeft  int // bytes of malformedLineEnd that net/http has not read yet
 }
@@ -26,24 +26,25 @@
 	inRequestLine framingPosition = iota
 	inHead
 	inBody
-	inChunkedBody     // its end is not looked for: the frontend closes the connection after the answer
-	inRejectedRequest // nothing more is passed on
+	inChunkedBody     // its end is not searched for: the frontend closes the connection after the answer
+	inRejectedRequest // no further byte is passed on
 )
 
 const (
 	contentLengthName    = "content-length"
 	transferEncodingName = "transfer-encoding"
 
-	// maxLinePrefix is how many bytes of a line must be seen: the longer name and its colon, or a length with spaces.
+	// maxLinePrefix is how many bytes of a line are kept: enough for the longer name with its colon, or for a length with
+	// spaces.
 	maxLinePrefix = len(contentLengthName) + 1 + 40
 
-	// malformedLineEnd, after a byte that no header may have, ends the line and the head.
+	// malformedLineEnd ends the line and the head, after a byte that is invalid in a header.
 	malformedLineEnd = "\n\n"
 )
 
 // scan returns how many of the bytes may be passed on, at most up to the end of a request, and whether that end was reached.
-// If the head is rejected, it replaces the last byte that is passed on by one that no header may have; nextMalformedByte returns
-// the bytes that follow.
+// If the head is rejected, it replaces the last byte that is passed on by a byte that is invalid in a header; nextMalformedByte
+// returns the bytes that follow.
 func (f *requestFraming) scan(data []byte) (n int, complete bool) {
 	for pos := 0; pos < len(data); pos++ {
 		switch f.position {
@@ -93,7 +94,7 @@
 	}
 	f.linePrefix = append(f.linePrefix, c)
 	switch {
-	case len(f.linePrefix) == 1: // a space or tab folds the line into the one before
+	case len(f.linePrefix) == 1: // a space or tab makes the line a continuation of the line before
 		return c != ' ' && c != '\t'
 	case c != ':':
 		return true
@@ -107,7 +108,7 @@
 
 // scanLineEnd ends a line of a head, and reports whether the line is acceptable.
 func (f *requestFraming) scanLineEnd() bool {
-	line, seenWhole := strings.TrimSuffix(string(f.linePrefix), "\r"), len(f.linePrefix) < maxLinePrefix
+	line, isWholeLine := strings.TrimSuffix(string(f.linePrefix), "\r"), len(f.linePrefix) < maxLinePrefix
 	f.linePrefix = f.linePrefix[:0]
 	if line == "" {
 		f.endHead()
@@ -119,7 +120,7 @@
 	}
 	length, err := strconv.ParseUint(strings.Trim(value, " \t"), 10, 63)
 	f.bodyBytesLeft = int64(length)
-	return err == nil && seenWhole // a length padded with zeros beyond the prefix is rejected
+	return err == nil && isWholeLine // a length padded with zeros beyond the prefix is rejected
 }
 
 // endHead ends a head.
@@ -134,5 +135,5 @@
 	}
 }
 
-// beginRequest awaits the next request. The buffer of the line is reused.
+// beginRequest resets the state for the next request. The buffer of the line is reused.
 func (f *requestFraming) beginRequest() { *f = requestFraming{linePrefix: f.linePrefix[:0]} }
--- a/internal/transport/requesttimeouts.go
+++ b/internal/transport/requesttimeouts.go
@@ -8,23 +8,24 @@
 
 const (
 	// requestReadTimeout is the time for a whole request, from when its connection was accepted, or from its first byte on a
-	// connection that was used before. A client may write for 2 s, and one that never finishes must get an error or a
-	// close within 3 s.
+	// connection that was used before. A client may write for 2 s, and a client that never finishes must get an error
+	// or a close within 3 s.
 	requestReadTimeout = 2600 * time.Millisecond
 
-	// clientReadTimeout is the time after which a client that takes nothing of its answer is disconnected. A client of the
+	// clientReadTimeout is the time after which a client that reads nothing of its answer is disconnected. A client of the
 	// progress frontend may connect again for the rest.
 	clientReadTimeout = 5 * time.Second
 
-	// streamWriteTimeout is the time for an answer over HTTP/2: a client whose window is shut holds a stream and its data.
+	// streamWriteTimeout is the time for writing an answer over HTTP/2: a client with a closed flow-control window occupies a
+	// stream and its data.
 	streamWriteTimeout = requestReadTimeout
 )
 
-// withTimeout calls setDeadline with the present time, so that a stream's deadline passes, if the caller takes longer than timeout.
-// The caller must call stop when it is done; after that setDeadline is not called any more.
+// withTimeout calls setDeadline with the current time if the caller takes longer than timeout, so that the stream's deadline
+// passes. The caller must call stop when it is done; after that setDeadline is not called.
 //
-// It is for HTTP/2, where each change of a stream's deadline goes through the goroutine that serves the connection, and one that
-// takes effect after the stream's end resets the stream: so deadlines are changed only if they have passed.
+// It is for HTTP/2, where each change of a stream's deadline goes through the goroutine that serves the connection, and a change
+// that takes effect after the stream's end resets the stream. So a deadline is changed only when the time is up.
 func withTimeout(timeout time.Duration, setDeadline func(time.Time) error) (stop func()) {
 	var mu sync.Mutex
 	done := false
@@ -43,8 +44,9 @@
 	}
 }
 
-// withWriteTimeout limits the time in which a client must take an answer over HTTP/2 (over HTTP/1, admit has set a limit for the whole
-// request). flush must be called when the answer is written; it blocks until the answer was sent or the time is over.
+// withWriteTimeout limits the time in which a client must read an answer over HTTP/2 (over HTTP/1, admit has set a limit for the
+// whole request). flush must be called when the answer is written; it blocks until the answer was sent or the time limit is
+// reached.
 func withWriteTimeout(w http.ResponseWriter, r *http.Request) (flush func()) {
 	if r.ProtoMajor < 2 {
 		return func() {}
--- a/internal/transport/sendchecks.go
+++ b/internal/transport/sendchecks.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// An attempt may have waited for its connection, so everything that forbids it is checked when a connection is assigned to it
-// (reasonNotToSend). In the exchange's own goroutine, just before the write, the cancellation, the client and the points in time of that
-// check are looked at once more (mustNotWrite and workerExchange.writeBy). An attempt that fails a check ends as scheduler.NeverSent,
-// and nothing of it is written.
+// An attempt may have waited for its connection, so all reasons against sending it are checked when a connection is assigned to it
+// (reasonNotToSend). Just before the write, the exchange's own goroutine checks the cancellation, the client and the time limits again
+// (mustNotWrite and workerExchange.writeBy). If a check fails, the attempt ends as scheduler.NeverSent, and nothing of it is written.
 
 // The reasons why an attempt is not sent, as logged. SendBy is the earlier of the end of a retry's
 // deduplication window and the time at which the endpoint list is too old for an attempt.
@@ -21,7 +20,8 @@
 	notSentDelayed            = "delayed between assignment and write"
 )
 
-// reasonNotToSend returns why an exchange must not be sent by now, empty if it may. Of a probe only the deadline is checked.
+// reasonNotToSend returns why an exchange must not be sent now, or an empty string if it may be sent. For a probe only the
+// deadline is checked.
 func (e *endpoint) reasonNotToSend(exchange *workerExchange, now time.Time) string {
 	if exchange.mustNotWrite(now) {
 		return exchange.mustNotWriteReason(now)
@@ -42,8 +42,8 @@
 	return ""
 }
 
-// latestWrite returns until when an exchange may be started: its deadline, or earlier, by the margins of writemargins.go, its
-// SendBy or the end of a grace period of the worker.
+// latestWrite returns the latest time at which an exchange may be started. It is the earliest of its deadline, its SendBy and the
+// end of a grace period of the worker, the last two minus the margins of writemargins.go.
 func (e *endpoint) latestWrite(exchange *workerExchange) time.Time {
 	latest := exchange.deadline
 	if exchange.isProbe {
@@ -66,8 +66,8 @@
 	return latest
 }
 
-// drainingSince returns when this dispatcher was notified that the worker is draining or gone; zero while it is neither, or its return is
-// unconfirmed: the scheduler then uses it only where there is no other.
+// drainingSince returns when this dispatcher was notified that the worker is draining or gone. It is zero while the worker is
+// neither, or while its return is unconfirmed: the scheduler then uses the worker only if there is no other.
 func (e *endpoint) drainingSince() time.Time {
 	if e.listed.ReturnUnconfirmed {
 		return time.Time{}
@@ -76,12 +76,13 @@
 }
 
 // gracePeriodOver reports whether the grace period that began at since is over, or may be by the time of a write. A zero since
-// is no grace period.
+// means no grace period.
 func (e *endpoint) gracePeriodOver(since time.Time, margin time.Duration, now time.Time) bool {
 	return !since.IsZero() && now.After(e.graceEnd(since, margin))
 }
 
-// graceEnd returns until when an exchange may be started with a worker that is draining, gone or detached since then.
+// graceEnd returns the latest time at which an exchange may be started with a worker that has been draining, gone or detached
+// since a point in time.
 func (e *endpoint) graceEnd(since time.Time, margin time.Duration) time.Time {
 	return since.Add(e.pool.settings.Current().Rules.DrainGrace.Duration() - margin)
 }
--- a/internal/transport/tcpinfo.go
+++ b/internal/transport/tcpinfo.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// What the kernel says of a client's connection. Each method costs a system call. An error of one is taken as no
-// information: it means that the connection is closed already, which its reader notices.
+// The kernel's information about a client's connection. Each method costs a system call. If the call fails, the connection is closed
+// already, which its reader notices, so the error is ignored and the information counts as not available.
 
 // hasUnreadBytes reports whether bytes were received on the connection that its reader has not given to net/http.
 func (c *Conn) hasUnreadBytes() bool {
@@ -21,7 +21,7 @@
 	return unread > 0
 }
 
-// maxTrustedReceiveAge is the longest time since the last receive that is believed.
+// maxTrustedReceiveAge is the longest time since the last receive that is trusted; a longer one counts as not known.
 const maxTrustedReceiveAge = 5 * time.Second
 
 // sinceLastReceive returns how long ago the kernel received the last bytes on the connection, 0 if it is not known.
@@ -45,7 +45,7 @@
 	return false
 }
 
-// tcpInfo returns the kernel's state of the connection, the zero value if there is none.
+// tcpInfo returns the kernel's state of the connection, the zero value if it is not available.
 func (c *Conn) tcpInfo() (info unix.TCPInfo) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/transport/workerconn.go
+++ b/internal/transport/workerconn.go
@@ -16,11 +16,11 @@
 // milliseconds after the first, which would be taken for the response to the next attempt.
 const reuseDelay = 20 * time.Millisecond
 
-// workerConn is a connection to a worker. While it is idle its endpoint's actor owns it, while it is assigned the goroutine of its
-// exchange does. Only conn.Close may be called from elsewhere.
+// workerConn is a connection to a worker. While it is idle, its endpoint's actor owns it; while it is assigned, the goroutine of
+// its exchange owns it. Only conn.Close may be called from other goroutines.
 type workerConn struct {
 	conn      net.Conn
-	address   string            // it was dialed at
+	address   string            // that was dialed
 	readLimit *io.LimitedReader // how much reader may still read from conn
 	reader    *bufio.Reader
 	idleSince time.Time // while it is idle
@@ -32,8 +32,8 @@
 	return &workerConn{conn: conn, address: address, readLimit: readLimit, reader: bufio.NewReader(readLimit)}
 }
 
-// takeIdle removes and returns the connection last used of those idle for reuseDelay, nil if there is none. Ones that have expired
-// or that the worker has closed are closed on the way.
+// takeIdle removes and returns the most recently used connection that has been idle for reuseDelay, nil if there is none. On the
+// way it closes connections that have expired or that the worker has closed.
 func (e *endpoint) takeIdle(now time.Time) *workerConn {
 	for i := len(e.idleConns) - 1; i >= 0; i-- {
 		conn := e.idleConns[i]
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// addIdle adds a connection to the idle ones, or closes it if there are enough or the worker is gone.
+// addIdle adds a connection to the idle connections, or closes it if there are enough or the worker is gone.
 func (e *endpoint) addIdle(conn *workerConn) {
 	if len(e.idleConns) >= e.pool.maxIdleConns() || e.listed.State == scheduler.Gone {
 		e.closeConn(conn)
--- a/internal/transport/workerexchange.go
+++ b/internal/transport/workerexchange.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// probeTimeout is how long a worker has for a probe, from when it is asked for.
+	// probeTimeout is the time for a probe, from when it is requested.
 	probeTimeout = 300 * time.Millisecond
 
-	// drainTimeout is how long a worker has for what follows the last message of a response.
+	// drainTimeout is the time for reading the rest of a response after its last message.
 	drainTimeout = time.Second
 
-	// maxResponseBytes bounds what one exchange reads. A worker that sends more ends this exchange only.
+	// maxResponseBytes limits the bytes that one exchange reads. If a worker sends more, only this exchange fails.
 	maxResponseBytes = 1 << 20
 )
 
 // workerExchange is one attempt or probe: a request to a worker and its response. The endpoint's actor owns it until it is
 // assigned to a connection; then the goroutine of endpoint.runExchange does, until it posts exchangeEnded. cancelled may be
-// read from both.
+// read by both.
 type workerExchange struct {
-	attempt   routing.Attempt // zero for a probe
-	isProbe   bool
-	deadline  time.Time
-	cancelled atomic.Bool
-	waits     bool          // for capacity; owned by the actor
-	conn      *workerConn   // nil until one is assigned
-	writeBy   time.Time     // the request must not be written later; set before conn
-	connIdle  time.Duration // how long the connection had been idle
+	attempt          routing.Attempt // zero for a probe
+	isProbe          bool
+	deadline         time.Time
+	cancelled        atomic.Bool
+	waitsForCapacity bool          // owned by the actor
+	conn             *workerConn   // nil until one is assigned
+	writeBy          time.Time     // the request must not be written later; set before conn
+	connIdle         time.Duration // how long the connection had been idle
 }
 
-// mustNotWrite reports whether an exchange that has not been written must not be any more: it is cancelled, its deadline has passed,
-// its client has gone or its SendBy has passed. It may cost a system call.
+// mustNotWrite reports whether an exchange whose request has not been written must not be sent any more: it is cancelled, its
+// deadline has passed, its client has gone or its SendBy has passed. It may cost a system call.
 func (x *workerExchange) mustNotWrite(now time.Time) bool {
 	return x.cancelled.Load() || !now.Before(x.deadline) || !x.isProbe && x.attempt.MustNotSend(now)
 }
@@ -65,7 +65,7 @@
 	return ""
 }
 
-// writeDeadline returns when the last byte of the request must have left.
+// writeDeadline returns when the last byte of the request must have been written.
 func (x *workerExchange) writeDeadline() time.Time {
 	if sendBy := x.attempt.SendBy; !sendBy.IsZero() && sendBy.Before(x.deadline) {
 		return sendBy
@@ -85,8 +85,8 @@
 }
 
 // runExchange runs an exchange on its connection, in a goroutine of its own: it writes the request, reads the response, reports
-// the result and returns the connection to the actor. It blocks until the exchange's deadline, and then for drainTimeout, at most.
-// Of the endpoint it uses only the fields that never change.
+// the result and returns the connection to the actor. It blocks at most until the exchange's deadline, and then for drainTimeout.
+// It uses only those fields of the endpoint that never change.
 func (e *endpoint) runExchange(exchange *workerExchange) {
 	reusable := false
 	defer func() { e.mailbox.Post(exchangeEnded{exchange, reusable}) }()
@@ -123,8 +123,8 @@
 	return job.Encode(host, forwardedTimeLimit(time.Until(job.Deadline)))
 }
 
-// writeRequest writes the request and reports whether its last byte was written. If not, the worker has not started it, and outcome
-// is that of the exchange: NoConnect, or NeverSent if it was cancelled.
+// writeRequest writes the request and reports whether its last byte was written. If not, the worker has not started the request,
+// and outcome is the outcome of the exchange: NoConnect, or NeverSent if it was cancelled.
 func (x *workerExchange) writeRequest(request []byte) (outcome scheduler.Outcome, written bool) {
 	conn := x.conn.conn
 	_ = conn.SetReadDeadline(x.deadline) // fails only on a closed connection, as does what follows
@@ -139,7 +139,7 @@
 	return scheduler.NoConnect, false
 }
 
-// readResponse reads the response up to its last message and reports what it says to the core, including the result. If it
+// readResponse reads the response up to its last message and reports its messages to the core, including the result. If it
 // returns an error, no result has been reported.
 func (e *endpoint) readResponse(exchange *workerExchange) (*http.Response, error) {
 	response, err := http.ReadResponse(exchange.conn.reader, nil)
