--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestListenerAccept_continuesAfterErrors checks that Accept returns no error of the system call until the listener is closed: net/http
-// would end the server, and with it the process and its requests, at errors such as ENOBUFS or EPERM (a descriptor that cannot be
-// polled).
+// TestListenerAccept_continuesAfterErrors checks that Accept returns no error of the system call until the listener is closed: at
+// errors such as ENOBUFS or EPERM (a descriptor that cannot be polled) net/http would end the server, and with it the process and
+// its requests.
 func TestListenerAccept_continuesAfterErrors(t *testing.T) {
 	for _, fault := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EPERM, syscall.EPROTO, syscall.EMFILE, syscall.ENFILE,
 		syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EINTR, syscall.EHOSTUNREACH, syscall.ENETDOWN, errors.New("unknown")} {
@@ -37,14 +37,14 @@
 		}
 		conn, err := listener.Accept()
 		if err != nil {
-			t.Errorf("Accept after three errors %v: %v", fault, err)
+			t.Errorf("Accept after three errors %v: got error %v, want a connection", fault, err)
 		} else {
 			conn.(*Conn).TCPConn.Close()
 		}
 		client.Close()
 		time.AfterFunc(20*time.Millisecond, func() { listener.Close() })
 		if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("Accept after Close: %v, want %v", err, net.ErrClosed)
+			t.Errorf("Accept after Close: got error %v, want %v", err, net.ErrClosed)
 		}
 	}
 }
--- a/internal/transport/capacitymodel_test.go
+++ b/internal/transport/capacitymodel_test.go
@@ -43,16 +43,16 @@
 	s.probes++
 }
 
-// shortDeadline is within the time that the model takes for some steps, so that some attempts expire while they wait.
+// shortDeadline is within the time that some steps of the model take, so that some attempts expire while they wait.
 const shortDeadline = time.Millisecond
 
-// capacityModel is a pool whose actors do not run: the model passes them their messages, one at a time and in an order that a seed
-// decides.
+// capacityModel is a pool whose actors do not run: the model passes them their messages one at a time, in an order that a seed
+// determines.
 type capacityModel struct {
 	random      *rand.Rand
 	pool        *EndpointPool
 	sink        *endCountingSink
-	addresses   []string // of workers that answer, and of one that refuses connections
+	addresses   []string // of workers that answer, and of a worker that refuses connections
 	endpoints   []*endpoint
 	undelivered map[*endpoint][]any
 	attempts    []routing.Attempt
@@ -121,7 +121,7 @@
 	m.pool.Send(attempt)
 }
 
-// deliverOne passes an actor its next message, if there is one.
+// deliverOne passes an actor its next message, and reports whether there was one.
 func (m *capacityModel) deliverOne(actor *endpoint) bool {
 	m.undelivered[actor] = append(m.undelivered[actor], actor.mailbox.Take()...)
 	if len(m.undelivered[actor]) == 0 {
@@ -133,11 +133,11 @@
 	return true
 }
 
-// settle passes on all messages until each attempt and probe has ended and all open connections are idle, and returns what has not within a time in which nothing but a
-// lost notice can hold it up.
+// settle delivers all messages until each attempt and probe has ended and all open connections are idle. It returns an error with
+// the state if that takes longer than limit, which only a lost notification can cause.
 func (m *capacityModel) settle() error {
 	const limit = 3 * time.Second
-	for begun := time.Now(); time.Since(begun) < limit; {
+	for start := time.Now(); time.Since(start) < limit; {
 		delivered := false
 		for _, actor := range m.endpoints {
 			delivered = m.deliverOne(actor) || delivered
@@ -171,8 +171,8 @@
 	return m.sink.probes == m.probes && !slices.ContainsFunc(m.attempts, open)
 }
 
-// TestEndpointPool_noAttemptWaitsWhileCapacityIsFree guards against attempts that wait, to their deadlines, for capacity that another
-// endpoint was notified of and did not need.
+// TestEndpointPool_noAttemptWaitsWhileCapacityIsFree guards against attempts that wait until their deadlines for capacity, after
+// another endpoint was notified of free capacity and did not need it.
 func TestEndpointPool_noAttemptWaitsWhileCapacityIsFree(t *testing.T) {
 	const seeds, steps = 600, 60
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -194,14 +194,14 @@
 		}
 		for id, times := range model.sink.ended {
 			if times != 1 {
-				t.Errorf("seed %d: attempt %v ended %d times", seed, id, times)
+				t.Errorf("seed %d: attempt %v ended %d times, want once", seed, id, times)
 			}
 		}
 		for _, actor := range model.endpoints {
 			actor.closeAllIdle()
 		}
 		if open := model.pool.OpenConnections(); open != 0 {
-			t.Errorf("seed %d: %d connections are counted, all are closed", seed, open)
+			t.Errorf("seed %d: %d connections counted as open after all were closed, want 0", seed, open)
 		}
 	}
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -40,18 +40,18 @@
 
 const getRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// waitUntil polls a condition every millisecond, and fails the test if it does not hold within 10 s.
+// waitUntil polls a condition every millisecond, and fails the test if it is not met within 10 s.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within 10 s: %s", what)
+			t.Fatalf("condition not met within 10 s: %s", what)
 		}
 	}
 }
 
-// TestConn_disconnectDetectedDespiteUnreadBytes checks that a client's disconnect is detected within 5 s while its request is served,
-// whatever the client sent after the request and however it disconnects.
+// TestConn_disconnectDetectedDespiteUnreadBytes checks that a client's disconnect is detected within 5 s while its request is
+// served, regardless of what the client sent after the request and how it disconnects.
 func TestConn_disconnectDetectedDespiteUnreadBytes(t *testing.T) {
 	for sent, extraBytes := range map[string]int{"nothing": 0, "a byte": 1, "a request": len(getRequest), "more than is queued": 3 * maxReadAheadBytes} {
 		for how, disconnect := range map[string]func(*net.TCPConn){
@@ -77,7 +77,7 @@
 			select {
 			case <-detected:
 			case <-time.After(5 * time.Second):
-				t.Errorf("a client that %s after sending %s is not detected within 5 s", how, sent)
+				t.Errorf("client %s after sending %s: disconnect not detected within 5 s", how, sent)
 			}
 		}
 	}
@@ -109,7 +109,7 @@
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(response.Body); string(body) != want {
-			t.Errorf("answered %q, want %q", body, want)
+			t.Errorf("answer %q, want %q", body, want)
 		}
 	}
 }
@@ -132,17 +132,17 @@
 			t.Fatal(err)
 		}
 		if body, err := io.ReadAll(response.Body); string(body) != "answer" || err != nil {
-			t.Fatalf("answered %q, %v", body, err)
+			t.Fatalf("got answer %q, error %v, want the whole answer", body, err)
 		}
 		client.Write([]byte("and more"))
 		if _, err := answers.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Fatalf("read after the answer: %v, want EOF", err)
+			t.Fatalf("read after the answer: got error %v, want EOF", err)
 		}
 	}
 }
 
-// requestDuringCloseWhenIdle sends a second request on a connection while CloseWhenIdle closes the listener's idle connections, or after that if
-// closedFirst. It returns whether the request was handled, and with which error its answer was read.
+// requestDuringCloseWhenIdle sends a second request on a connection while CloseWhenIdle closes the listener's idle connections,
+// or after that if closedFirst. It returns whether the request was handled, and the error of reading its answer.
 func requestDuringCloseWhenIdle(t *testing.T, closedFirst bool) (answered bool, readErr error) {
 	t.Helper()
 	var handled atomic.Int32
@@ -166,7 +166,7 @@
 	if err := readAnswer(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the connection idle", func() bool {
+	waitUntil(t, "the connection is idle", func() bool {
 		listener.mu.Lock()
 		defer listener.mu.Unlock()
 		for conn := range listener.conns {
@@ -186,15 +186,16 @@
 	return handled.Load() == 2, readErr
 }
 
-// TestListenerCloseWhenIdle_concurrentRequest checks that a request that is received on an idle connection while CloseWhenIdle closes it is
-// either answered, or not read and its client sees EOF: none is handled without an answer, and no connection is reset.
+// TestListenerCloseWhenIdle_concurrentRequest checks a request that is received on an idle connection while CloseWhenIdle closes
+// it. Either it is answered, or it is not read and its client sees EOF: no request is handled without an answer, and no
+// connection is reset.
 func TestListenerCloseWhenIdle_concurrentRequest(t *testing.T) {
 	answeredRequests, unreadRequests := 0, 0
 	for round := range 200 {
 		closedFirst := round%2 == 0
 		answered, err := requestDuringCloseWhenIdle(t, closedFirst)
 		if answered != (err == nil) || err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) || closedFirst && answered {
-			t.Fatalf("round %d: second request handled %v, its client received error %v", round, answered, err)
+			t.Fatalf("round %d: second request handled: %v, error of reading its answer: %v", round, answered, err)
 		}
 		if answered {
 			answeredRequests++
@@ -202,7 +203,7 @@
 			unreadRequests++
 		}
 	}
-	t.Logf("%d answered, %d not read", answeredRequests, unreadRequests)
+	t.Logf("%d requests answered, %d not read", answeredRequests, unreadRequests)
 }
 
 // TestConn_pipelinedRequestsBeyondOneRead checks that requests that fill more than one read of net/http, queued after an unanswered one,
@@ -231,7 +232,7 @@
 	if pipelinedBytes < 2*4096 || pipelinedBytes > maxReadAheadBytes {
 		t.Fatalf("%d bytes are pipelined: too few for several reads, or too many to be queued", pipelinedBytes)
 	}
-	waitUntil(t, "all bytes queued", func() bool {
+	waitUntil(t, "all bytes are queued", func() bool {
 		listener.mu.Lock()
 		defer listener.mu.Unlock()
 		for conn := range listener.conns {
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -32,7 +32,7 @@
 
 // newIdleEndpoint returns an endpoint whose actor does not run, the outcomes of its attempts, and a connection for it with the worker's
 // end of that connection. The drain grace period is testDrainGrace.
-func newIdleEndpoint(t *testing.T, notifiedAt time.Time) (actor *endpoint, outcomes outcomeSink, conn *workerConn, far net.Conn) {
+func newIdleEndpoint(t *testing.T, notifiedAt time.Time) (actor *endpoint, outcomes outcomeSink, conn *workerConn, workerEnd net.Conn) {
 	t.Helper()
 	settings := &protocol.Settings{}
 	settings.Limits.ConnectTimeout = protocol.Micros(time.Minute / time.Microsecond)
@@ -42,9 +42,9 @@
 	live := &protocol.LiveSettings{}
 	live.Replace(settings, func(scheduler.Settings) {})
 	actor = newEndpoint(NewEndpointPool(context.Background(), live, outcomes, log), routing.Endpoint{NotifiedAt: notifiedAt})
-	near, far := net.Pipe()
-	t.Cleanup(func() { near.Close(); far.Close() })
-	return actor, outcomes, newWorkerConn(near, ""), far
+	dispatcherEnd, workerEnd := net.Pipe()
+	t.Cleanup(func() { dispatcherEnd.Close(); workerEnd.Close() })
+	return actor, outcomes, newWorkerConn(dispatcherEnd, ""), workerEnd
 }
 
 // newExchange returns the exchange of an attempt with a deadline.
@@ -52,28 +52,28 @@
 	return &workerExchange{attempt: routing.Attempt{Job: &protocol.Job{ID: "1", Method: "POST", Target: "/", Deadline: deadline}}, deadline: deadline}
 }
 
-// TestEndpoint_failedDialOfOtherAttempt has two attempts wait. The dial for the second completes first, and its
-// connection is assigned to the first attempt; then the dial for the first fails. No dial is in progress for the second attempt, so it
-// must end as NoConnect.
+// TestEndpoint_failedDialOfOtherAttempt guards against an attempt that waits without a dial. Two attempts wait. The dial for the
+// second completes first, and its connection is assigned to the first attempt. Then the dial for the first fails. No dial is in
+// progress for the second attempt, so it must end as NoConnect.
 func TestEndpoint_failedDialOfOtherAttempt(t *testing.T) {
-	actor, outcomes, conn, far := newIdleEndpoint(t, time.Time{})
+	actor, outcomes, conn, workerEnd := newIdleEndpoint(t, time.Time{})
 	first, second := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(time.Hour))
 	actor.waitingForDial, actor.dialing = []*workerExchange{first, second}, 2
 	actor.handle(dialCompleted{exchange: second, conn: conn})
 	if first.conn != conn {
-		t.Fatal("the connection is not assigned to the attempt that waited longest")
+		t.Fatal("the connection was not assigned to the attempt that waited longest")
 	}
 	actor.handle(dialCompleted{exchange: first, err: io.EOF})
 	if outcome := <-outcomes; outcome != scheduler.NoConnect || len(actor.waitingForDial) != 0 {
-		t.Errorf("ended as %v, %d wait", outcome, len(actor.waitingForDial))
+		t.Errorf("second attempt: outcome %v, want NoConnect; %d attempts wait, want 0", outcome, len(actor.waitingForDial))
 	}
-	far.Close()
-	<-outcomes // the first attempt's, on a connection that broke
+	workerEnd.Close()
+	<-outcomes // of the first attempt, whose connection is closed
 }
 
-// TestEndpoint_checksBeforeFirstByte checks that an attempt that waited for its connection is checked again before its first byte: if it
-// was cancelled, its deadline passed, its client disconnected, its deduplication window ended or the worker's drain grace period ended
-// meanwhile, nothing of it is written.
+// TestEndpoint_checksBeforeFirstByte checks that an attempt that waited for its connection is checked again before its first
+// byte. Nothing of it is written if meanwhile it was cancelled, its deadline passed, its client disconnected, its deduplication
+// window ended or the worker's drain grace period ended.
 func TestEndpoint_checksBeforeFirstByte(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
@@ -89,22 +89,22 @@
 		"window over":         {deadline: now.Add(time.Hour), sendBy: now},
 		"window open":         {deadline: now.Add(time.Hour), sendBy: now.Add(time.Hour), sent: true},
 	} {
-		actor, outcomes, conn, far := newIdleEndpoint(t, test.notifiedAt)
+		actor, outcomes, conn, workerEnd := newIdleEndpoint(t, test.notifiedAt)
 		exchange := newExchange(test.deadline)
 		exchange.cancelled.Store(test.cancelled)
 		exchange.attempt.SendBy, exchange.attempt.ClientGone = test.sendBy, func() bool { return test.clientGone }
 		actor.waitingForDial = append(actor.waitingForDial, exchange)
 		actor.release(conn)
 		if test.sent {
-			if _, err := bufio.NewReader(far).ReadByte(); err != nil {
-				t.Errorf("%s: nothing written: %v", name, err)
+			if _, err := bufio.NewReader(workerEnd).ReadByte(); err != nil {
+				t.Errorf("%s: no byte was written: read error %v", name, err)
 			}
-			far.Close()
+			workerEnd.Close()
 			if outcome := <-outcomes; outcome != scheduler.Reset && outcome != scheduler.NoConnect {
-				t.Errorf("%s: ended as %v", name, outcome)
+				t.Errorf("%s: outcome %v, want Reset or NoConnect", name, outcome)
 			}
 		} else if outcome := <-outcomes; outcome != scheduler.NeverSent || len(actor.idleConns) != 1 || exchange.conn != nil {
-			t.Errorf("%s: ended as %v, %d idle connections", name, outcome, len(actor.idleConns))
+			t.Errorf("%s: outcome %v, want NeverSent; %d idle connections, want 1", name, outcome, len(actor.idleConns))
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	old.idleSince, young.idleSince = now.Add(-time.Minute), now
 	actor.idleConns = []*workerConn{old, young}
 	if actor.handle(closeIdleConns{time.Second}); len(actor.idleConns) != 1 || actor.idleConns[0] != young {
-		t.Fatalf("%d connections left", len(actor.idleConns))
+		t.Fatalf("%d idle connections left, want only the younger one", len(actor.idleConns))
 	}
 }
 
@@ -137,14 +137,14 @@
 	if !pool.reserveConn(actor) {
 		t.Fatal("no capacity for the first connection")
 	}
-	waiting, late := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(-time.Hour))
+	waiting, expired := newExchange(time.Now().Add(time.Hour)), newExchange(time.Now().Add(-time.Hour))
 	actor.startExchange(waiting)
-	actor.startExchange(late)
+	actor.startExchange(expired)
 	if outcome := <-outcomes; outcome != scheduler.NeverSent || len(actor.waitingForCapacity) != 1 || len(outcomes) != 0 {
-		t.Errorf("the late attempt ended as %v; %d wait, %d more outcomes", outcome, len(actor.waitingForCapacity), len(outcomes))
+		t.Errorf("expired attempt: outcome %v, want NeverSent; %d attempts wait, want 1; %d more outcomes, want 0", outcome, len(actor.waitingForCapacity), len(outcomes))
 	}
 	if got := pool.endpoints["other"].mailbox.Take(); len(got) != 1 || got[0] != any(closeIdleConns{0}) {
-		t.Errorf("the other endpoint received %v", got)
+		t.Errorf("the other endpoint received %v, want one closeIdleConns", got)
 	}
 	actor.mailbox.Take()
 	pool.releaseConn()
@@ -152,7 +152,7 @@
 		actor.handle(message)
 	}
 	if len(actor.waitingForCapacity) != 0 || pool.OpenConnections() != 1 || len(actor.waitingForDial) != 1 {
-		t.Errorf("%d still wait for capacity, %d connections", len(actor.waitingForCapacity), pool.OpenConnections())
+		t.Errorf("%d attempts wait for capacity, want 0; %d connections open, want 1", len(actor.waitingForCapacity), pool.OpenConnections())
 	}
 }
 
@@ -171,13 +171,14 @@
 		waiting := newExchange(time.Now().Add(time.Hour))
 		actor.waitingForDial, actor.dialing = []*workerExchange{waiting}, 1
 		if actor.handle(exchangeEnded{exchange, true}); waiting.conn != nil || cancelled != (len(actor.idleConns) == 0) {
-			t.Errorf("cancelled %v: %d idle, assigned to the waiting attempt: %v", cancelled, len(actor.idleConns), waiting.conn != nil)
+			t.Errorf("cancelled %v: %d idle connections; assigned to the waiting attempt: %v", cancelled, len(actor.idleConns), waiting.conn != nil)
 		}
 	}
 }
 
-// TestFreedCapacity_passedOnIfNotNeeded checks that an endpoint that is notified of free capacity and does not need it any more, as its
-// waiting attempt has expired, passes the notification on: otherwise another endpoint waits until some connection is closed.
+// TestFreedCapacity_passedOnIfNotNeeded checks that an endpoint that is notified of free capacity passes the notification on if
+// it does not need the capacity any more, because its waiting attempt has expired: otherwise another endpoint would wait until
+// some connection is closed.
 func TestFreedCapacity_passedOnIfNotNeeded(t *testing.T) {
 	actor, outcomes, _, _ := newIdleEndpoint(t, time.Time{})
 	pool := actor.pool
@@ -199,15 +200,15 @@
 		actor.handle(message)
 	}
 	if outcome := <-outcomes; outcome != scheduler.NeverSent {
-		t.Errorf("the expired attempt ended as %v", outcome)
+		t.Errorf("expired attempt: outcome %v, want NeverSent", outcome)
 	}
 	if got := other.mailbox.Take(); len(got) != 1 || got[0] != any(capacityFreed{}) {
-		t.Errorf("the other endpoint waits, one connection of one is free, and it received %v", got)
+		t.Errorf("the other endpoint waits while the only connection is free: it received %v, want one capacityFreed", got)
 	}
 }
 
-// TestEndpointPool_idleConnsWithoutGoneWorkers guards against fewer idle connections for each worker that was ever listed: they are shared among
-// the listed ones.
+// TestEndpointPool_idleConnsWithoutGoneWorkers guards against shares of idle connections for workers that are gone: only the
+// listed workers share them.
 func TestEndpointPool_idleConnsWithoutGoneWorkers(t *testing.T) {
 	actor, _, _, _ := newIdleEndpoint(t, time.Time{})
 	pool := actor.pool
@@ -223,7 +224,7 @@
 		update(number, scheduler.Ready)
 	}
 	if idle := pool.maxIdleConns(); idle != 1 {
-		t.Errorf("10 workers, 20 connections: %d idle ones each, want 1", idle)
+		t.Errorf("10 workers, limit of 20 connections: %d idle connections each, want 1", idle)
 	}
 	for number := range 8 {
 		update(number, scheduler.Gone)
@@ -231,10 +232,10 @@
 	}
 	update(9, scheduler.Draining)
 	if idle := pool.maxIdleConns(); idle != 5 {
-		t.Errorf("2 workers listed, 8 gone: %d idle ones each, want 5", idle)
+		t.Errorf("2 workers listed, 8 gone: %d idle connections each, want 5", idle)
 	}
 	update(0, scheduler.Ready)
 	if idle := pool.maxIdleConns(); idle != 3 {
-		t.Errorf("one is back: %d idle ones each, want 3", idle)
+		t.Errorf("3 workers listed, 7 gone: %d idle connections each, want 3", idle)
 	}
 }
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestListener_evictionOrder checks that at the connection limit connections are evicted in the order of evictionRank: silent and unused
-// ones first, then stalled requests, then idle connections between jobs, the longest idle first, as their clients may have no other,
-// then new ones. Connections on which a request is being received come last; one with unread bytes is among them, not silent.
-// Connections with a job in flight are never evicted.
+// TestListener_evictionOrder checks that at the connection limit connections are evicted in the order of evictionRank: first
+// silent and unused connections, then stalled requests, then idle connections between jobs, the longest idle first, as their
+// clients may have no other, then new connections. Connections on which a request is being received come last; a connection with
+// unread bytes is among them, not silent. Connections with a job in flight are never evicted.
 func TestListener_evictionOrder(t *testing.T) {
 	socket, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -21,23 +21,23 @@
 	listener := NewListener(socket, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	now := time.Now()
 	addConn := func(phase phase, age time.Duration, hasCarriedJob bool) (*Conn, net.Conn) {
-		far, err := net.Dial("tcp", socket.Addr().String())
+		client, err := net.Dial("tcp", socket.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		near, err := socket.AcceptTCP()
+		accepted, err := socket.AcceptTCP()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { far.Close(); near.Close() })
-		conn := &Conn{TCPConn: near, listener: listener, phase: phase, phaseSince: now.Add(-age), hasCarriedJob: hasCarriedJob}
+		t.Cleanup(func() { client.Close(); accepted.Close() })
+		conn := &Conn{TCPConn: accepted, listener: listener, phase: phase, phaseSince: now.Add(-age), hasCarriedJob: hasCarriedJob}
 		listener.conns[conn] = struct{}{}
-		return conn, far
+		return conn, client
 	}
 	addConn(phaseServing, time.Hour, true)
-	continued, _ := addConn(phaseReading, 100*time.Millisecond, false)
-	unread, far := addConn(phaseNew, time.Second, false)
-	if _, err := far.Write([]byte("P")); err != nil {
+	reading, _ := addConn(phaseReading, 100*time.Millisecond, false)
+	unread, unreadClient := addConn(phaseNew, time.Second, false)
+	if _, err := unreadClient.Write([]byte("P")); err != nil {
 		t.Fatal(err)
 	}
 	for !unread.hasUnreadBytes() { // until the kernel has delivered the byte
@@ -49,10 +49,10 @@
 	stalled, _ := addConn(phaseReading, time.Second, false)
 	neverUsed, _ := addConn(phaseIdle, time.Second, false)
 	silent, _ := addConn(phaseNew, 100*time.Millisecond, false)
-	for i, want := range []*Conn{silent, neverUsed, stalled, idleLonger, idle, justConnected, continued, unread, nil} {
+	for i, want := range []*Conn{silent, neverUsed, stalled, idleLonger, idle, justConnected, reading, unread, nil} {
 		got := listener.leastUseful(now)
 		if got != want {
-			t.Fatalf("eviction %d: phase %v", i, got)
+			t.Fatalf("eviction %d: unexpected connection %v", i, got)
 		}
 		delete(listener.conns, got)
 	}
--- a/internal/transport/tcpinfo_test.go
+++ b/internal/transport/tcpinfo_test.go
@@ -48,7 +48,7 @@
 	got := serveAfter(t, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", func(*net.TCPConn) {}, unread,
 		func(r *http.Request) time.Duration { return unreadDuration(r, time.Now()) })
 	if got < unread-50*time.Millisecond || got > unread+200*time.Millisecond {
-		t.Errorf("request read %v after its receipt, measured as %v", unread, got)
+		t.Errorf("request read %v after its receipt, unreadDuration returned %v", unread, got)
 	}
 }
 
@@ -63,7 +63,7 @@
 		got := serveAfter(t, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx", disconnect, 50*time.Millisecond,
 			func(r *http.Request) bool { return clientGoneFunc(r)() })
 		if got != (name != "stays") {
-			t.Errorf("%s: client gone: %v", name, got)
+			t.Errorf("%s: client counts as gone: %v", name, got)
 		}
 	}
 }
--- a/internal/transport/writemargins_test.go
+++ b/internal/transport/writemargins_test.go
@@ -26,15 +26,15 @@
 		"retry, over after a pause":     {sendBy: now.Add(pause)},
 		"retry, no time for processing": {sendBy: now.Add(pause + 40*time.Millisecond)},
 	} {
-		actor, outcomes, conn, far := newIdleEndpoint(t, test.notifiedAt)
+		actor, outcomes, conn, workerEnd := newIdleEndpoint(t, test.notifiedAt)
 		exchange := newExchange(now.Add(time.Hour))
 		exchange.attempt.SendBy = test.sendBy
 		if sent := actor.assign(exchange, conn); sent != test.sent {
 			t.Errorf("%s: sent %v, want %v", name, sent, test.sent)
 		}
-		if far.Close(); !test.sent {
+		if workerEnd.Close(); !test.sent {
 			if outcome := <-outcomes; outcome != scheduler.NeverSent {
-				t.Errorf("%s: ended as %v, want %v", name, outcome, scheduler.NeverSent)
+				t.Errorf("%s: outcome %v, want %v", name, outcome, scheduler.NeverSent)
 			}
 		}
 	}
