--- a/internal/program/peer.go
+++ b/internal/program/peer.go
@@ -40,7 +40,7 @@
 // shareIdempotencyKeys connects the idempotency table, if there is one, to the table of a peer process; a nil peer disconnects it.
 func (d *dispatcher) shareIdempotencyKeys(peer *transport.PeerProcess, relayPath string, peerIsOlder bool) {
 	if d.idempotencyTable != nil {
-		d.idempotencyTable.RunBeside(peer, relayPath, peerIsOlder)
+		d.idempotencyTable.SetPeer(peer, relayPath, peerIsOlder)
 	}
 }
 
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -21,7 +21,7 @@
 
 // listenForSuccessors accepts successors from now on, in a goroutine that ends when a successor takes over the socket.
 func (d *dispatcher) listenForSuccessors(ctx context.Context) {
-	socket, err := transport.Publish(d.socketPath)
+	socket, err := transport.ListenForSuccessor(d.socketPath)
 	if err != nil {
 		d.log.Warn("handover socket not available", "err", err)
 		return
