--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -22,29 +22,29 @@
 
 const (
 	listenRetryInterval = 200 * time.Millisecond
-	maxRecordTransfers  = 8 // whole records that are sent to others at a time
+	maxRecordTransfers  = 8 // whole records sent to other dispatchers at the same time
 )
 
-// Agent is a dispatcher's part in the fleet: it holds the dispatcher's lease, applies what is in force and, where the
-// dispatcher is a voter, runs the voter and, where that leads, does the leader's work.
+// Agent makes a dispatcher a member of the fleet: it holds the dispatcher's lease and applies the versions in force. If the
+// dispatcher is a voter, the agent also runs the voter. If the voter leads, the agent also runs the leader's tasks.
 //
 // Run owns the agent's goroutines. The fields above mu do not change once Run listens, except where a comment names an owner;
-// mu guards those below it. mu is never held during I/O, but for log lines. listener and members are set by listen; until Run
-// listens, only its goroutine may read them, but for members under mu. AllowUse, Effective, ProposeFile and Status may be
-// called from any goroutine once New has returned; only ProposeFile does I/O.
+// mu guards the fields below it. mu is never held during I/O except log lines. listen sets listener and members. Until Run
+// listens, only its goroutine may read them; others may read members under mu. AllowUse, Effective, ProposeFile and Status may
+// be called from any goroutine once New has returned; only ProposeFile does I/O.
 //
-// Lock order: mu comes before the locks of budgets, members, the voter's log and what the callbacks lock; none of them is held when
-// mu is taken. stopVoter waits for Log.Run, whose callbacks take mu, so it must not be called with mu held.
+// Lock order: mu comes before the locks of budgets, members, the voter's log and the callbacks; none of these is held when mu
+// is taken. stopVoter waits for Log.Run, whose callbacks take mu, so it must not be called with mu held.
 type Agent struct {
 	options               Options
 	settings              *Settings
-	instance              string // drawn at the start: distinguishes this process from others of its name
+	instance              string // random: distinguishes this process from others of the same name
 	leaseDuration         time.Duration
-	replaceAfter          time.Duration // after which a silent voter is replaced
-	planTrustWithoutLease time.Duration // for which a plan is trusted without a lease
-	startedAt             time.Time     // where the agent's clock begins
-	clockRate             float64       // of the agent's clock; 1 but in tests
-	messageFormat         int           // of this build; lower in tests that stand for an older one
+	replaceAfter          time.Duration // silence after which a voter is replaced
+	planTrustWithoutLease time.Duration // how long a plan is trusted after the lease has expired
+	startedAt             time.Time     // zero of the agent's clock
+	clockRate             float64       // of the agent's clock; 1 except in tests
+	messageFormat         int           // of this build; lower in tests that run it as an older build
 	log                   *slog.Logger
 	client                *http.Client
 	listener              net.Listener
@@ -53,7 +53,7 @@
 
 	stateChanged    chan struct{} // wakes watchLease
 	renewNow        chan struct{} // wakes renewLeases
-	recordTransfers chan struct{} // a semaphore of maxRecordTransfers
+	recordTransfers chan struct{} // semaphore of capacity maxRecordTransfers
 
 	exchanger  gossippeers.Exchanger  // owned by the goroutine of Run
 	reportedAt configversions.Instant // of the last report to the leader; owned by the goroutine of Run
@@ -61,27 +61,28 @@
 	mu             sync.Mutex
 	lessee         *configversions.Lessee
 	voter          *ownVoter              // nil for a follower
-	founder        *voters.Founder        // what this dispatcher's file says; nil where it is no founder
+	founder        *voters.Founder        // read from this dispatcher's voter file; nil if it is not a founder
 	leadership     *leadership            // nil while this dispatcher does not lead
 	nextPlanAt     configversions.Instant // when the leader next calls Planner.Next
-	voterCursor    int                    // voters that were asked in vain since the start: whose turn it is in contactOrder
-	recordComplete bool                   // entries may follow the record: it is of the disk or of a response, not the empty one
-	appliedState   string                 // identifies what ApplyEffective was last called with
-	appliedPlan    string                 // the same of PlanChanged
-	lastWarning    string                 // that warnOnce logged
-	recordChanged  chan struct{}          // closed and replaced by logApplied; wakes awaitRevision and serveWatch (not raftlog's callback of that name)
+	voterCursor    int                    // failed lease requests since the start; selects the next voter in contactOrder
+	recordComplete bool                   // entries may be applied to the record: it came from the disk or from a response
+	appliedState   string                 // identifies the arguments of the last call of ApplyEffective
+	appliedPlan    string                 // identifies the arguments of the last call of PlanChanged
+	lastWarning    string                 // last message that warnOnce logged
+	recordChanged  chan struct{}          // closed and replaced by logApplied; wakes awaitRevision and serveWatch (not raftlog's callback RecordChanged)
 	counts         Counts
 }
 
-// Counts are this dispatcher's calls to and from others, since the start.
+// Counts are this dispatcher's calls to and from other dispatchers since the start.
 type Counts struct {
-	Calls    uint64 `json:"Calls"`   // to others
-	Served   uint64 `json:"Served"`  // of others
-	Renewed  uint64 `json:"Renewed"` // leases that it was granted
-	Rejected uint64 `json:"Refused"` // requests for a lease that were not granted
+	Calls    uint64 `json:"Calls"`   // to other dispatchers
+	Served   uint64 `json:"Served"`  // from other dispatchers
+	Renewed  uint64 `json:"Renewed"` // leases granted to this dispatcher
+	Rejected uint64 `json:"Refused"` // lease requests of this dispatcher that failed
 }
 
-// New creates the agent of a dispatcher, with the record that it knew when its last process ended. It does nothing before Run.
+// New creates the agent of a dispatcher and loads the record that the previous process stored. The agent is idle until Run.
+// New fails if a duration in the settings is invalid or their directory cannot be created.
 func New(options Options) (*Agent, error) {
 	settings := options.Settings
 	leaseDuration, err := settings.Lease()
@@ -144,7 +145,7 @@
 	return format
 }
 
-// Run takes part in the fleet until the context ends; then it drops the lease and notifies the leader, so that a successor of the
+// Run takes part in the fleet until the context ends. Then it drops the lease and notifies the leader, so that a successor of the
 // same name need not wait for the lease to run out. It returns when all of the agent's goroutines have ended.
 func (a *Agent) Run(ctx context.Context) {
 	if !a.awaitListener(ctx) {
@@ -168,12 +169,12 @@
 	running.Go(func() { a.followRecord(ctx) })
 	a.renewLeases(ctx)
 	a.releaseLease(context.WithoutCancel(ctx))
-	_ = server.Close() // the process ends; nothing is left to do about its connections
+	_ = server.Close() // the process ends, so an error has no consequence
 	running.Wait()
 }
 
-// awaitListener listens as soon as that is possible, which a predecessor process may prevent for a while. It returns false
-// when the context ends first. Until then the dispatcher holds no lease.
+// awaitListener retries listen until it succeeds, as a predecessor process may still use the address. It returns false if the
+// context ends first. Until it returns, the dispatcher holds no lease.
 func (a *Agent) awaitListener(ctx context.Context) bool {
 	a.applyState()
 	logged := false
@@ -192,7 +193,7 @@
 	return false
 }
 
-// listen takes the dispatcher's TCP and UDP address.
+// listen opens the dispatcher's address, with TCP and (for gossip) with UDP.
 func (a *Agent) listen() (err error) {
 	if a.listener, err = net.Listen("tcp", a.settings.Listen); err != nil {
 		return err
@@ -218,7 +219,7 @@
 	return nil
 }
 
-// self is what this dispatcher says of itself in gossip.
+// self returns the description of this dispatcher that gossip sends to the others.
 func (a *Agent) self() gossip.Self {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -233,7 +234,7 @@
 	}
 }
 
-// address is where the others reach this dispatcher.
+// address returns the address at which other dispatchers reach this one.
 func (a *Agent) address() string {
 	if a.listener != nil {
 		return a.listener.Addr().String()
@@ -241,12 +242,12 @@
 	return a.settings.Listen
 }
 
-// now is the time since the agent's start. It is monotonic: setting the machine's clock does not change it.
+// now returns the time since the agent's start. It is monotonic: setting the machine's clock does not change it.
 func (a *Agent) now() configversions.Instant {
 	return time.Duration(float64(time.Since(a.startedAt)) * a.clockRate)
 }
 
-// maxDispatchers is the largest number of dispatchers that the fleet may have, at least 1.
+// maxDispatchers returns the largest number of dispatchers that the fleet may have, at least 1.
 func (a *Agent) maxDispatchers() int {
 	if a.options.MaxDispatchers == nil {
 		return 1
@@ -257,7 +258,7 @@
 // planningEnabled reports whether the fleet plans the failover between zones.
 func (a *Agent) planningEnabled() bool { return a.options.Failover != nil }
 
-// currentPlan returns the plan of a record and its number; nil and 0 where there is none.
+// currentPlan returns the plan of a record and its number; nil and 0 if it has none.
 func currentPlan(record configversions.Record) (plan *failover.Plan, number uint64) {
 	if record.Plan == nil {
 		return nil, 0
@@ -273,7 +274,7 @@
 	}
 }
 
-// wake puts a token into a channel of capacity 1, where it has none.
+// wake puts a token into a channel of capacity 1, unless it already contains one.
 func wake(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -17,7 +17,7 @@
 )
 
 // FuzzSplitBatch checks that splitBatch of arbitrary bytes either fails or returns messages that encode to the same bytes, and that
-// splitBatch of an encoded batch returns its messages.
+// splitBatch of an encoded batch returns the messages of the batch.
 func FuzzSplitBatch(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 7}, []byte("m"))
 	f.Add([]byte{255, 255, 255, 255}, []byte{})
@@ -28,17 +28,18 @@
 				again = appendMessage(again, message)
 			}
 			if !bytes.Equal(again, text) {
-				t.Fatalf("%v is encoded again as %v", text, again)
+				t.Fatalf("messages of batch %v are encoded again as %v", text, again)
 			}
 		}
 		if messages, err := splitBatch(appendMessage(appendMessage(nil, message), text)); err != nil || len(messages) != 2 ||
 			!bytes.Equal(messages[0], message) || !bytes.Equal(messages[1], text) {
-			t.Fatalf("batch of %v and %v: %v, error %v", message, text, messages, err)
+			t.Fatalf("batch of messages %v and %v is split into %v, error %v", message, text, messages, err)
 		}
 	})
 }
 
-// FuzzCalls makes arbitrary calls to a dispatcher that is no leader: it responds, and accepts none but reads of its status and founder.
+// FuzzCalls makes arbitrary calls to a dispatcher that does not lead, and checks that it responds and accepts only the calls status and
+// founder.
 func FuzzCalls(f *testing.F) {
 	agent, err := New(options(f.TempDir()))
 	if err != nil {
@@ -64,19 +65,19 @@
 		r.URL.Path = "/council/" + call
 		agent.handler().ServeHTTP(w, r)
 		if w.Code < 300 && call != "status" && call != "founder" {
-			t.Fatalf("call %s %q: status %d", call, body, w.Code)
+			t.Fatalf("call %s with body %q was accepted with status %d", call, body, w.Code)
 		}
 	})
 }
 
-// options returns the options of an agent that is no voter; nothing listens at the address of the only one.
+// options returns the options of an agent that is not a voter. Nothing listens at the address of the only voter.
 func options(dir string) Options {
 	return Options{Settings: &Settings{Name: "t", Listen: "127.0.0.1:0", Voters: []string{"127.0.0.1:1"}, Directory: dir, LeaseDuration: "1s", ReplaceAfter: "30s"}, Name: "n0",
 		ApplyEffective: func(configversions.Effective) {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
-// FuzzResponse checks that an arbitrary response to a renewal either fails to apply to the empty record, or replaces it or raises its
-// revision by the number of entries.
+// FuzzResponse checks that an arbitrary response to a renewal either fails to apply to the empty record, or replaces the record or
+// raises its revision by the number of entries.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte(`{"entries":[{"id":"a","announce":{"number":0,"rules":{"retries":0.1}}},{"id":"b","force":1}],"lease_ms":5}`))
 	f.Add([]byte(`{"record":{"revision":4,"in_force":{"number":2}}}`))
@@ -93,8 +94,8 @@
 	})
 }
 
-// TestResponseApplyTo_newerRecord checks that entries are not applied to a record that has them already, as a watch response may arrive
-// between a request and its response: applied twice, they would give the dispatcher a higher revision than its voters have.
+// TestResponseApplyTo_newerRecord checks that entries are not applied to a record that already has them. A watch response may bring
+// them between a lease request and its response. Applied twice, they would give the dispatcher a higher revision than the voters have.
 func TestResponseApplyTo_newerRecord(t *testing.T) {
 	votersEntry := func(id uint64) configversions.Entry {
 		return configversions.Entry{Voters: []voters.Voter{{ID: id, Address: "x"}}}
@@ -103,14 +104,15 @@
 	got := response{Entries: []configversions.Entry{votersEntry(2)}, Revision: 2}
 	newer, err := got.applyTo(requested)
 	if err != nil || newer.Revision != 2 {
-		t.Fatalf("applied once: %+v, error %v", newer, err)
+		t.Fatalf("entries applied once: got %+v, error %v; want revision 2", newer, err)
 	}
 	if _, err := got.applyTo(newer); err == nil {
 		t.Error("entries were applied twice")
 	}
 }
 
-// TestNew_storedRecord checks that the record that a process stored is effective in its successor, without a lease and so without retries.
+// TestNew_storedRecord checks that the record that a process stored is effective in its successor, without a lease and therefore without
+// retries.
 func TestNew_storedRecord(t *testing.T) {
 	configured := options(t.TempDir())
 	open := func() *Agent {
@@ -122,15 +124,15 @@
 		return agent
 	}
 	if effective := open().Effective(); !effective.LeaseExpired || effective.Rules.RetriesAllowed || effective.Rules.RetryRatio != -1 {
-		t.Errorf("without a stored record: %+v", effective)
+		t.Errorf("without a stored record: got %+v; want an expired lease, no retries and no retry bound", effective)
 	}
 	open().saveRecord(configversions.Record{Revision: 2, InForce: configversions.Version{Number: 1, Rules: configversions.Rules{RetryRatio: 0.2, RetriesAllowed: true, DetachedWorkers: []string{"b"}}}})
 	if effective := open().Effective(); !effective.LeaseExpired || effective.Versions[0] != 1 || effective.Rules.RetriesAllowed || len(effective.Rules.DetachedWorkers) != 1 {
-		t.Errorf("with a stored record: %+v", effective)
+		t.Errorf("with a stored record: got %+v; want an expired lease, version 1, no retries and 1 detached worker", effective)
 	}
 }
 
-// TestStatus_whileRunBegins guards against a data race between Status and the begin of Run; it fails under the race detector alone.
+// TestStatus_whileRunBegins guards against a data race between Status and the start of Run. Only the race detector detects it.
 func TestStatus_whileRunBegins(t *testing.T) {
 	agent, err := New(options(t.TempDir()))
 	if err != nil {
--- a/internal/fleet/budgetlessees.go
+++ b/internal/fleet/budgetlessees.go
@@ -13,12 +13,12 @@
 // budgetLessees are this dispatcher's leases of the fleet's budgets. mu guards the fields below it; all methods may be called
 // from any goroutine and do not block.
 type budgetLessees struct {
-	overload *Overload // nil where there are no budgets
+	overload *Overload // nil if the fleet has no budgets
 	now      func() configversions.Instant
 
 	mu            sync.Mutex
 	lessees       map[string]*budgetleases.Lessee // by kind
-	firstAttempts uint64                          // as of countedAt
+	firstAttempts uint64                          // since the start, at countedAt
 	countedAt     configversions.Instant
 }
 
@@ -41,7 +41,7 @@
 	return budgets
 }
 
-// AllowUse takes one use of a budget and returns true, where the lease has one left or there is no such budget.
+// AllowUse takes one use of a budget. It returns false if the lease has no use left, and true if there is no budget of the kind.
 func (a *Agent) AllowUse(kind string) bool { return a.budgets.tryUse(kind) }
 
 func (b *budgetLessees) tryUse(kind string) bool {
@@ -51,8 +51,8 @@
 	return lessee == nil || lessee.TryUse(b.now())
 }
 
-// takeDemand returns what this dispatcher demands of each budget, in uses per second by kind, encoded, and its first attempts per
-// second since the last call. firstAttempts counts them since the start; nil for none.
+// takeDemand returns this dispatcher's demand on each budget, in uses per second by kind, encoded as JSON, and its first attempts
+// per second since the last call. firstAttempts returns their count since the start; nil for none.
 func (b *budgetLessees) takeDemand(firstAttempts func() uint64) (demand json.RawMessage, firstAttemptsPerSecond float64) {
 	if b.overload == nil {
 		return nil, 0
@@ -66,18 +66,18 @@
 	defer b.mu.Unlock()
 	demands := map[string]float64{}
 	for kind, lessee := range b.lessees {
-		demands[kind] = math.Round(1000*lessee.Demand(now)) / 1000 // three decimals are enough, and shorter
+		demands[kind] = math.Round(1000*lessee.Demand(now)) / 1000 // three decimals suffice and keep the request short
 	}
 	if elapsed := now - b.countedAt; elapsed > 0 {
 		firstAttemptsPerSecond = float64(attempts-b.firstAttempts) / elapsed.Seconds()
 	}
 	b.firstAttempts = attempts
 	b.countedAt = now
-	demand, _ = json.Marshal(demands) // finite numbers have no error
+	demand, _ = json.Marshal(demands) // encoding finite numbers cannot fail
 	return demand, firstAttemptsPerSecond
 }
 
-// applyRates takes over the rates of a lease, encoded, by kind. Nil, or what cannot be read, changes nothing.
+// applyRates applies the rates of a lease, in uses per second by kind, encoded as JSON. It ignores nil and invalid JSON.
 func (b *budgetLessees) applyRates(encoded json.RawMessage, requestedAt configversions.Instant, lease time.Duration) {
 	var rates map[string]float64
 	if encoded == nil || json.Unmarshal(encoded, &rates) != nil {
@@ -95,9 +95,9 @@
 // BudgetUsage is the state of a budget at this dispatcher.
 type BudgetUsage struct {
 	Kind          string  `json:"kind"`
-	RatePerSecond float64 `json:"rate"`   // of its lease
-	Demand        float64 `json:"demand"` // uses per second that were asked for lately
-	Denied        int     `json:"denied"` // uses, since the start
+	RatePerSecond float64 `json:"rate"`   // of this dispatcher's lease
+	Demand        float64 `json:"demand"` // uses per second that were requested recently
+	Denied        int     `json:"denied"` // uses denied since the start
 }
 
 func (b *budgetLessees) usage() (usages []BudgetUsage) {
--- a/internal/fleet/budgetlessors.go
+++ b/internal/fleet/budgetlessors.go
@@ -9,11 +9,11 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// budgetUpdateInterval is the time between two updates of the budgets by the fleet's first attempts: not each request for a
-// lease is a reason to add up those of all dispatchers.
+// budgetUpdateInterval is the shortest time between two updates of the budgets from the fleet's first attempts. It avoids adding
+// up the first attempts of all dispatchers at each lease request.
 const budgetUpdateInterval = 100 * time.Millisecond
 
-// budgetLessors are the leader's leases of the fleet's budgets. Guarded by Agent.mu.
+// budgetLessors grants leases on the fleet's budgets at the leader. Guarded by Agent.mu.
 type budgetLessors struct {
 	lessors       map[string]*budgetleases.Lessor // by kind
 	rates         map[string]float64              // of the whole fleet, in uses per second, by kind
@@ -27,7 +27,7 @@
 	reportedAt configversions.Instant
 }
 
-// newBudgetLessors begins without knowing of any lease.
+// newBudgetLessors returns the budgets of a new leader, which knows of no lease yet.
 func (a *Agent) newBudgetLessors() *budgetLessors {
 	budgets := &budgetLessors{
 		lessors:       map[string]*budgetleases.Lessor{},
@@ -49,8 +49,8 @@
 	}
 }
 
-// grantBudgetsLocked grants a dispatcher its rates of all budgets, by what it demands, and returns them encoded; nil where
-// there are no budgets, or the dispatcher demands none. a.mu is held.
+// grantBudgetsLocked grants a dispatcher a rate of each budget according to its demand and returns the rates encoded as JSON. It
+// returns nil if there are no budgets, or if the request has no valid demand. a.mu is held.
 func (a *Agent) grantBudgetsLocked(budgets *budgetLessors, request leaseRequest) json.RawMessage {
 	if budgets == nil || request.BudgetDemand == nil {
 		return nil
@@ -67,12 +67,12 @@
 		granted := lessor.Grant(request.Name, demand[kind], 0, now)
 		rates[kind] = math.Floor(1e6*granted) / 1e6 // rounded down: the sum must not exceed what was granted
 	}
-	encoded, _ := json.Marshal(rates) // finite numbers have no error
+	encoded, _ := json.Marshal(rates) // encoding finite numbers cannot fail
 	return encoded
 }
 
-// updateBudgetsLocked adjusts the budgets to the first attempts of the whole fleet, where it is time for that. Dispatchers that
-// have not reported for two leases no longer count. a.mu is held.
+// updateBudgetsLocked adjusts the budgets to the first attempts of the whole fleet, once per budgetUpdateInterval. Dispatchers
+// that have not reported for two lease durations no longer count. a.mu is held.
 func (a *Agent) updateBudgetsLocked(budgets *budgetLessors, now configversions.Instant) {
 	if now < budgets.updatedAt+budgetUpdateInterval {
 		return
@@ -97,10 +97,10 @@
 type BudgetGranted struct {
 	Kind          string  `json:"kind"`
 	RatePerSecond float64 `json:"rate"`  // of the whole fleet
-	Outstanding   float64 `json:"given"` // uses per second of all leases, and of dispatchers without one
+	Outstanding   float64 `json:"given"` // uses per second that dispatchers with and without leases may make at most
 }
 
-// budgetsGrantedLocked returns the state of the budgets; nil where this dispatcher does not lead. a.mu is held.
+// budgetsGrantedLocked returns the state of the budgets; nil if this dispatcher does not lead. a.mu is held.
 func (a *Agent) budgetsGrantedLocked() (granted []BudgetGranted) {
 	if a.leadership == nil || a.leadership.budgets == nil {
 		return nil
--- a/internal/fleet/call.go
+++ b/internal/fleet/call.go
@@ -30,7 +30,7 @@
 	}}
 }
 
-// Call posts a body to another dispatcher, or makes a GET request where there is none, and returns the status and the body of
+// Call posts a body to another dispatcher, or makes a GET request if the body is nil, and returns the status and the body of
 // the response. It returns by the deadline.
 func Call(ctx context.Context, client *http.Client, url string, body []byte, deadline time.Time) (status int, text []byte, err error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -43,18 +43,18 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	request.Header.Set("User-Agent", "") // unused, and each dispatcher makes some calls per second
+	request.Header.Set("User-Agent", "") // omitted, as nobody reads it and each dispatcher makes several calls per second
 	received, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = received.Body.Close() }() // the body is read, or reading it has failed
+	defer func() { _ = received.Body.Close() }() // the body has been read, or reading it has failed
 	text, err = io.ReadAll(io.LimitReader(received.Body, maxBodyBytes))
 	return received.StatusCode, text, err
 }
 
-// call calls another dispatcher: a POST request of the body as JSON, or a GET request where it is nil. name is the call's, with
-// its query. It returns by the context's deadline, or after callTimeout where that has none.
+// call calls another dispatcher: a POST request with the body as JSON, or a GET request if the body is nil. name is the name of
+// the call with its query. call returns by the context's deadline, or after callTimeout if the context has none.
 func (a *Agent) call(ctx context.Context, address, name string, body any) (got response, status int, err error) {
 	var text []byte
 	if body != nil {
@@ -93,7 +93,7 @@
 	a.counts.Served++
 }
 
-// trafficKind returns the kind of traffic that a request to this dispatcher is.
+// trafficKind returns the traffic kind of a request to this dispatcher.
 func trafficKind(r *http.Request) traffic.Kind {
 	if r.URL.Path == "/members/stream" {
 		return traffic.Gossip
@@ -101,7 +101,7 @@
 	return trafficKindOfCall(strings.TrimPrefix(r.URL.Path, "/council/"))
 }
 
-// trafficKindOfCall returns the kind of traffic that a call is, by its name.
+// trafficKindOfCall returns the traffic kind of a call by its name, without its query.
 func trafficKindOfCall(name string) traffic.Kind {
 	switch name {
 	case "renew", "grant", "leave":
--- a/internal/fleet/effective.go
+++ b/internal/fleet/effective.go
@@ -8,15 +8,16 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// Effective returns the rules that this dispatcher may act on now. It looks at the clock each time, so that a process that was
-// frozen finds that its lease has run out.
+// Effective returns the rules that this dispatcher may act on now. It reads the clock at each call, so that a process that was
+// frozen detects that its lease has run out.
 func (a *Agent) Effective() configversions.Effective {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lessee.Effective(a.now())
 }
 
-// watchLease applies what changes without a message: the end of the lease. It also has gossip notify the others of what changed.
+// watchLease applies the end of the lease, which no message announces. After each change of the state it also updates the
+// description of this dispatcher in gossip.
 func (a *Agent) watchLease(ctx context.Context) {
 	for {
 		a.applyState()
@@ -36,18 +37,18 @@
 	}
 }
 
-// applyState has the effective rules and the plan applied where they have changed.
+// applyState calls ApplyEffective and PlanChanged if the effective rules or the plan have changed.
 func (a *Agent) applyState() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.applyStateLocked()
 }
 
-// applyStateLocked is applyState with a.mu held. Whoever changes the record calls it before releasing a.mu: the next request
-// for a lease acknowledges the record, and what is acknowledged must be applied.
+// applyStateLocked is applyState with a.mu held. Code that changes the record calls it before releasing a.mu: the next lease
+// request acknowledges the record, and an acknowledged record must already be applied.
 func (a *Agent) applyStateLocked() {
 	effective := a.lessee.Effective(a.now())
-	// The rules follow from the versions and the lease.
+	// The epoch, the versions and the lease determine the rules.
 	state := fmt.Sprint(a.lessee.Record().Epoch, effective.Versions, effective.LeaseExpired)
 	if state != a.appliedState {
 		a.appliedState = state
@@ -59,7 +60,7 @@
 	a.applyPlanLocked(effective.LeaseExpired)
 }
 
-// applyPlanLocked has the plan applied where it is another one, or where it has expired or no longer is. a.mu is held.
+// applyPlanLocked calls PlanChanged if the number of the plan has changed or the plan's expiry has. a.mu is held.
 func (a *Agent) applyPlanLocked(leaseExpired bool) {
 	if !a.planningEnabled() {
 		return
@@ -76,7 +77,7 @@
 	a.options.PlanChanged(plan, expired)
 }
 
-// planExpiredLocked reports whether the lease has been gone for longer than a plan is trusted without one. a.mu is held.
+// planExpiredLocked reports whether the lease expired at least planTrustWithoutLease ago. a.mu is held.
 func (a *Agent) planExpiredLocked(leaseExpired bool) bool {
 	return leaseExpired && a.now() >= a.lessee.LeaseExpiry()+a.planTrustWithoutLease
 }
--- a/internal/fleet/failoversettings.go
+++ b/internal/fleet/failoversettings.go
@@ -7,18 +7,18 @@
 	"brassdale/internal/decisions/failover"
 )
 
-// Failover are the operator's settings in a block failover: the leader plans which zone serves which zone's jobs. Durations
-// are checked when the operator's file is read.
+// Failover is the operator's block failover, with which the leader plans which zone serves which zone's jobs. Durations are
+// checked when the operator's file is read.
 type Failover struct {
 	// Regions are all regions of the fleet.
 	Regions []Region `hcl:"region,block"`
 	// Headroom is the share of a zone's capacity that no plan uses.
 	Headroom float64 `hcl:"headroom,optional"`
-	// RecoveryRamp is the shortest time over which a zone that recovered gets its traffic back.
+	// RecoveryRamp is the shortest time over which a recovered zone gets its traffic back.
 	RecoveryRamp string `hcl:"return_in,optional"`
 	// MaxTimeWithoutLease is how long a dispatcher without a lease may act on the last plan.
 	MaxTimeWithoutLease string `hcl:"alone,optional"`
-	// DetectionTime is the duration below which a fault changes nothing.
+	// DetectionTime is the duration below which a fault does not change the plan.
 	DetectionTime string `hcl:"detect,optional"`
 }
 
@@ -28,16 +28,16 @@
 	Zones []string `hcl:"zones"`
 }
 
-// DefaultFailover returns what applies where the block says nothing.
+// DefaultFailover returns the defaults of a block failover.
 func DefaultFailover() Failover {
 	return Failover{Headroom: 0.15, RecoveryRamp: "60s", MaxTimeWithoutLease: "10s", DetectionTime: "1s"}
 }
 
-// maxShiftPerSecond is by how much a share of a plan may change in a second while no zone has failed.
+// maxShiftPerSecond is the largest change of a share of a plan in a second while no zone has failed.
 const maxShiftPerSecond = 0.1
 
-// plannerSettings returns the settings in the plannerSettings's terms, and the region of each zone. The distance of two zones is that of
-// their places in the list of all zones.
+// plannerSettings returns the settings of the planner, and the region of each zone. The distance between two zones is the
+// difference of their positions in the list of all zones.
 func (f *Failover) plannerSettings() (settings failover.Settings, regions map[string]string) {
 	regions = map[string]string{}
 	positions := map[string]int{}
@@ -57,7 +57,7 @@
 	return settings, regions
 }
 
-// checkedDuration returns a duration that was checked when the operator's file was read.
+// checkedDuration parses a duration that was checked when the operator's file was read.
 func checkedDuration(text string) time.Duration {
 	duration, _ := time.ParseDuration(text)
 	return duration
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -9,11 +9,11 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// maxWatch is how long one call waits for a change of the record.
-const maxWatch = 10 * time.Second
+// maxWatchWait is the longest time that one call waits for a change of the record.
+const maxWatchWait = 10 * time.Second
 
-// followRecord follows the record at a voter by long polling, so that a change comes as soon as that voter has it. A dispatcher
-// that is a voter has the record from its own log, and one without a record gets it with its first lease.
+// followRecord follows the record at a voter by long polling, so that a change arrives as soon as that voter has it. A dispatcher
+// that is a voter gets the record from its own log; one without a record gets it with its next lease.
 func (a *Agent) followRecord(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.mu.Lock()
@@ -36,15 +36,15 @@
 			sleep(ctx, a.renewInterval())
 			continue
 		}
-		a.learn(next)
+		a.applyRecord(next)
 	}
 }
 
-// awaitChange asks a voter for what follows a record, and waits for it up to maxWatch.
+// awaitChange asks a voter for the changes after a record; the voter waits up to maxWatchWait for one.
 func (a *Agent) awaitChange(ctx context.Context, record configversions.Record) (response, error) {
-	ctx, cancel := context.WithTimeout(ctx, maxWatch+callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, maxWatchWait+callTimeout)
 	defer cancel()
-	name := fmt.Sprintf("watch?era=%d&revision=%d&wait=%d", record.Epoch, record.Revision, maxWatch.Milliseconds())
+	name := fmt.Sprintf("watch?era=%d&revision=%d&wait=%d", record.Epoch, record.Revision, maxWatchWait.Milliseconds())
 	got, status, err := a.call(ctx, a.nextVoter().Address, name, nil)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("watch: status %d: %s", status, got.Reason)
@@ -52,15 +52,15 @@
 	return got, err
 }
 
-// requestWholeRecord has the next request for a lease ask for the whole record.
+// requestWholeRecord makes the next lease request ask for the whole record.
 func (a *Agent) requestWholeRecord() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.recordComplete = false
 }
 
-// learn takes over a record that came without a lease.
-func (a *Agent) learn(record configversions.Record) {
+// applyRecord applies and stores a record that was received without a lease.
+func (a *Agent) applyRecord(record configversions.Record) {
 	a.mu.Lock()
 	isNew := a.lessee.ApplyRecord(record)
 	a.applyStateLocked()
@@ -70,5 +70,5 @@
 	}
 	a.saveRecord(record)
 	wake(a.stateChanged)
-	wake(a.renewNow) // acknowledges it
+	wake(a.renewNow) // acknowledges the record
 }
--- a/internal/fleet/founding.go
+++ b/internal/fleet/founding.go
@@ -11,8 +11,8 @@
 	"brassdale/internal/traffic"
 )
 
-// startFounder runs this dispatcher's voter as a founder, once all founders have met. It returns nil without
-// starting the voter while founders are missing; manageVoter then calls it again.
+// startFounder runs this dispatcher's voter as a founder, once it has reached all founders. While founders are missing it returns
+// nil without starting the voter; manageVoter then calls it again.
 func (a *Agent) startFounder(ctx context.Context, id uint64) error {
 	founder, err := raftlog.EnsureFounder(a.settings.Directory, id, nil)
 	if err != nil {
@@ -20,7 +20,7 @@
 	}
 	a.setFounder(founder)
 	if founder.FoundingVoters == nil {
-		founded, err := a.found(ctx, id, founder)
+		founded, err := a.foundRaftGroup(ctx, id, founder)
 		if err != nil || !founded {
 			return err
 		}
@@ -28,15 +28,15 @@
 	return a.runVoter(ctx, id, a.settings.founders())
 }
 
-// found stores the founding voters in this founder's file where all of them are there, and reports whether it did.
-func (a *Agent) found(ctx context.Context, id uint64, founder voters.Founder) (founded bool, err error) {
+// foundRaftGroup stores the founding voters in this founder's voter file if it reaches all of them, and reports whether it did.
+func (a *Agent) foundRaftGroup(ctx context.Context, id uint64, founder voters.Founder) (founded bool, err error) {
 	others := a.callFounders(ctx, id)
 	decision, foundingVoters := voters.DecideFounding(id, founder.Incarnation, others, len(a.settings.Voters))
 	switch decision {
 	case voters.WaitForFounders:
 		return false, nil
 	case voters.NotAFounder:
-		a.warnOnce("voter file is not the one of the founding, continuing as follower")
+		a.warnOnce("voter file is not the one with which the raft group was founded, continuing as follower")
 		return false, nil
 	}
 	founder, err = raftlog.EnsureFounder(a.settings.Directory, id, foundingVoters)
@@ -48,7 +48,7 @@
 	return true, nil
 }
 
-// callFounders asks the other founders for what their files say. Those that do not answer are left out.
+// callFounders returns the states of the other founders, by voter ID. It omits founders that do not answer.
 func (a *Agent) callFounders(ctx context.Context, ownID uint64) map[uint64]voters.Founder {
 	others := map[uint64]voters.Founder{}
 	for _, voter := range a.settings.founders() {
@@ -68,14 +68,14 @@
 	return others
 }
 
-// setFounder makes what this dispatcher's file says known to the other founders.
+// setFounder sets the founder state that serveFounder returns to the other founders.
 func (a *Agent) setFounder(founder voters.Founder) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.founder = &founder
 }
 
-// warnOnce logs a warning, unless it was the last one that it logged.
+// warnOnce logs a warning, unless it equals the last warning that it logged.
 func (a *Agent) warnOnce(message string) {
 	a.mu.Lock()
 	repeated := a.lastWarning == message
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -34,7 +34,7 @@
 func (a *Agent) serveRenew(w http.ResponseWriter, r *http.Request) {
 	var request leaseRequest
 	if err := a.decode(r, &request); err != nil || !request.valid() {
-		a.reply(w, http.StatusBadRequest, response{Reason: reasonNoRequest})
+		a.reply(w, http.StatusBadRequest, response{Reason: reasonInvalidRequest})
 		return
 	}
 	meterRequests(a.options.Meter, false, request)
@@ -59,11 +59,11 @@
 	a.reply(w, status, got)
 }
 
-// serveLeave serves a dispatcher's word that it has dropped its lease.
+// serveLeave serves a dispatcher's notification that it has dropped its lease.
 func (a *Agent) serveLeave(w http.ResponseWriter, r *http.Request) {
 	var request leaseRequest
 	if err := a.decode(r, &request); err != nil || !request.valid() {
-		a.reply(w, http.StatusBadRequest, response{Reason: reasonNoRequest})
+		a.reply(w, http.StatusBadRequest, response{Reason: reasonInvalidRequest})
 		return
 	}
 	got, status := a.dropLease(r.Context(), request, wasForwarded(r))
@@ -81,7 +81,7 @@
 	a.reply(w, status, got)
 }
 
-// serveZoneLimit serves the limit of a zone.
+// serveZoneLimit serves an operator's limit on a zone's capacity.
 func (a *Agent) serveZoneLimit(w http.ResponseWriter, r *http.Request) {
 	var limit configversions.ZoneLimit
 	err := a.decode(r, &limit)
@@ -93,7 +93,7 @@
 	a.reply(w, status, got)
 }
 
-// serveFounder serves what this dispatcher's file says of the founding; empty for one that is no founder.
+// serveFounder serves this dispatcher's founder state; empty if it is not a founder.
 func (a *Agent) serveFounder(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
 	founder := a.founder
@@ -110,7 +110,7 @@
 	a.reply(w, status, got)
 }
 
-// serveDispatchers serves the dispatchers that hold a lease or held one lately.
+// serveDispatchers serves the dispatchers that hold a lease or held one recently.
 func (a *Agent) serveDispatchers(w http.ResponseWriter, r *http.Request) {
 	got, status := a.dispatchers(r.Context(), wasForwarded(r))
 	a.reply(w, status, got)
@@ -124,20 +124,20 @@
 // wasForwarded reports whether another dispatcher forwarded a call.
 func wasForwarded(r *http.Request) bool { return r.URL.Query().Get(forwardedParam) != "" }
 
-// decode reads the body of a request, whole, as JSON.
+// decode reads the whole body of a request as JSON.
 func (a *Agent) decode(r *http.Request, to any) error {
 	text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
-	a.countServed() // calls of which the body was read
+	a.countServed() // counts only calls whose body was read
 	if err := json.Unmarshal(text, to); err != nil {
 		return fmt.Errorf("body: %w", err)
 	}
 	return nil
 }
 
-// reply writes a response as JSON. One that cannot be written is lost, as the caller is gone.
+// reply writes a response as JSON. It ignores a failed write, as the caller is gone.
 func (a *Agent) reply(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -145,7 +145,7 @@
 		text = []byte("{}")
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header()["Date"] = nil // unused, and each dispatcher makes some calls per second
+	w.Header()["Date"] = nil // omitted, as nobody reads it and each dispatcher makes several calls per second
 	w.WriteHeader(status)
 	_, _ = w.Write(text)
 }
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -13,12 +13,12 @@
 
 const (
 	leaderTaskInterval  = 20 * time.Millisecond
-	planInterval        = 250 * time.Millisecond // between two looks for a new plan
-	voterChangeInterval = 5 * voterCheckInterval // after a change of the voters was proposed
+	planInterval        = 250 * time.Millisecond // between two checks for a new plan
+	voterChangeInterval = 5 * voterCheckInterval // pause after a proposed change of the voters
 )
 
-// runLeaderTasks does what the leader does of itself: it puts announced versions in force, ends canaries, makes plans and
-// replaces silent voters. It returns when the context ends.
+// runLeaderTasks runs the leader's periodic tasks: it puts announced versions in force, ends canaries, makes plans and replaces
+// silent voters. It returns when the context ends.
 func (a *Agent) runLeaderTasks(ctx context.Context) {
 	var votersCheckedAt time.Time
 	for ; ctx.Err() == nil; sleep(ctx, leaderTaskInterval) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// proposeDue proposes an entry of the leader itself. One that fails becomes due again.
+// proposeDue proposes an entry that dueEntry returned. If the proposal fails, the entry becomes due again.
 func (a *Agent) proposeDue(ctx context.Context, own *ownVoter, entry configversions.Entry) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -49,7 +49,7 @@
 		"reason", entry.Reason)
 }
 
-// changeVoters proposes the change of the voters that is called for, if one is.
+// changeVoters proposes a change of the voters if one is due.
 func (a *Agent) changeVoters(ctx context.Context, own *ownVoter, lead *leadership) {
 	a.mu.Lock()
 	leaseHolders := lead.leases.LeaseHolders(a.now())
@@ -84,13 +84,13 @@
 	return candidates
 }
 
-// dueEntry returns the entry that the leader has to propose now, if there is one: a plan, or the next step of the announced
+// dueEntry returns the entry that the leader must propose now, if there is one: a plan, or the next step of the announced
 // version.
 func (a *Agent) dueEntry(own *ownVoter, lead *leadership) (entry configversions.Entry, due bool) {
 	record := own.log.Record()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.leadership != lead { // lost meanwhile
+	if a.leadership != lead { // the leadership was lost meanwhile
 		return configversions.Entry{}, false
 	}
 	if entry, due := a.duePlanLocked(record, lead); due {
@@ -121,8 +121,8 @@
 	return configversions.Entry{}, false
 }
 
-// duePlanLocked returns the next plan, if another one is called for. There is none before all lease holders act on the last
-// one, so that no more than two plans are in use at a time. a.mu is held.
+// duePlanLocked returns the next plan, if one is due. None is due before all lease holders act on the last one, so that no more
+// than two plans are in use at a time. a.mu is held.
 func (a *Agent) duePlanLocked(record configversions.Record, lead *leadership) (entry configversions.Entry, due bool) {
 	_, number := currentPlan(record)
 	planner := lead.planner
@@ -141,7 +141,7 @@
 	return configversions.Entry{ID: rand.Text(), Plan: plan}, true
 }
 
-// zoneLimit returns the share of its capacity that a zone may use; 1 where the operators set no limit.
+// zoneLimit returns the share of its capacity that a zone may use; 1 if the operators set no limit.
 func zoneLimit(record configversions.Record, zone string) float64 {
 	share := 1.0
 	for _, limit := range record.ZoneLimits {
@@ -152,7 +152,7 @@
 	return share
 }
 
-// canarySample returns what a dispatcher reports of its jobs.
+// canarySample returns the job counts that a dispatcher reported.
 func canarySample(dispatcher configversions.Dispatcher) canary.Sample {
 	return canary.Sample{
 		Dispatcher: dispatcher.Name,
--- a/internal/fleet/leadership.go
+++ b/internal/fleet/leadership.go
@@ -7,14 +7,14 @@
 	"brassdale/internal/decisions/gossippeers"
 )
 
-// leadership is what this dispatcher has while it leads. A new leader begins without knowing of any lease, and so puts nothing
-// in force, and leases no budget out, before all leases of its predecessor have run out. Guarded by Agent.mu.
+// leadership is the state of this dispatcher as the leader. A new leader knows of no lease. Therefore it puts no version in
+// force and leases no budget out before all leases of its predecessor have run out. Guarded by Agent.mu.
 type leadership struct {
 	leases    *configversions.LeaseTable
 	directory *gossippeers.Directory
 	canary    *canary.Evaluation // nil while no version has a canary
-	planner   *failover.Planner  // nil where nobody plans
-	budgets   *budgetLessors     // nil where there are none
+	planner   *failover.Planner  // nil without failover planning
+	budgets   *budgetLessors     // nil without budgets
 }
 
 // leadershipChanged is called by the goroutine of Log.Run. It does not block.
@@ -30,7 +30,7 @@
 	wake(a.stateChanged)
 }
 
-// newLeadershipLocked returns what a new leader begins with. a.mu is held.
+// newLeadershipLocked returns the state with which a new leader begins. a.mu is held.
 func (a *Agent) newLeadershipLocked() *leadership {
 	started := &leadership{
 		leases:    configversions.NewLeaseTable(a.leaseDuration, a.now()),
--- a/internal/fleet/leaserequest.go
+++ b/internal/fleet/leaserequest.go
@@ -8,8 +8,8 @@
 	"brassdale/internal/traffic"
 )
 
-// Formats of the messages between dispatchers. Format 2 has quotas in rules; with format 3 dispatchers gossip in their zone
-// alone, with peers that the leader suggests. A dispatcher whose format is too old for the rules gets no lease.
+// Formats of the messages between dispatchers. Format 2 has quotas in rules. With format 3, dispatchers gossip only within their
+// zone, with peers that the leader suggests. A dispatcher whose format is too old for the rules gets no lease.
 const (
 	messageFormat    = 3
 	zoneGossipFormat = 3
@@ -23,14 +23,14 @@
 	Report                 json.RawMessage     `json:"report,omitempty"` // a failover.Report
 	BudgetDemand           json.RawMessage     `json:"demand,omitempty"` // uses per second, by kind of budget
 	FirstAttemptsPerSecond float64             `json:"firsts,omitempty"`
-	Digest                 *gossippeers.Digest `json:"neighbours,omitempty"` // of the known peers; nil of one that gossips with the whole fleet
+	Digest                 *gossippeers.Digest `json:"neighbours,omitempty"` // of the known peers; nil from a dispatcher that gossips with the whole fleet
 }
 
-// valid reports whether the request says who asks.
+// valid reports whether the request names the dispatcher and its instance.
 func (r leaseRequest) valid() bool { return r.Name != "" && r.Instance != "" }
 
-// meterRequests counts the reports and the budget demands in requests as traffic of their own kinds, at the side that sends
-// them or at the one that received them.
+// meterRequests counts the reports and the budget demands in requests as traffic of their own kinds: as sent at the sender, else
+// as received.
 func meterRequests(meter *traffic.Meter, sent bool, requests ...leaseRequest) {
 	for _, request := range requests {
 		meterPart(meter, sent, traffic.Report, len(request.Report))
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -11,9 +11,9 @@
 	"brassdale/internal/decisions/gossippeers"
 )
 
-// grantLeases grants leases to the dispatchers that request them, if this voter leads. Each request is noted before a majority
-// confirms the leadership: from then on a version waits for that dispatcher, whether or not it gets its lease. A leader that
-// was cut off from the majority grants none.
+// grantLeases grants leases to the dispatchers that request them, if this voter leads. It records the requests before a majority
+// confirms the leadership: from then on a version waits for these dispatchers, whether or not they get their leases. A leader
+// that was cut off from the majority grants none.
 func (a *Agent) grantLeases(ctx context.Context, requests []leaseRequest) (response, int) {
 	granted := response{
 		Rejected:        map[string]string{},
@@ -24,7 +24,7 @@
 	a.mu.Lock()
 	own, lead := a.voter, a.leadership
 	if own != nil && lead != nil {
-		a.noteRequestsLocked(own.log.Record(), lead, requests, granted)
+		a.processRequestsLocked(own.log.Record(), lead, requests, granted)
 	}
 	a.mu.Unlock()
 	if own == nil {
@@ -43,9 +43,9 @@
 	return granted, http.StatusOK
 }
 
-// noteRequestsLocked notes the requests in the leader's tables, and writes what each dispatcher gets into the maps of granted.
+// processRequestsLocked records the requests in the leader's tables, and writes each dispatcher's results to the maps of granted.
 // a.mu is held.
-func (a *Agent) noteRequestsLocked(record configversions.Record, lead *leadership, requests []leaseRequest, granted response) {
+func (a *Agent) processRequestsLocked(record configversions.Record, lead *leadership, requests []leaseRequest, granted response) {
 	if lead.directory.Due(a.now()) {
 		lead.directory.Refresh(toLeaseHolders(lead.leases.LeaseHolders(a.now())), a.now())
 	}
@@ -69,12 +69,12 @@
 		if lead.canary != nil {
 			lead.canary.Observe(canarySample(request.Dispatcher))
 		}
-		a.noteReportLocked(lead.planner, request.Report)
+		a.addReportLocked(lead.planner, request.Report)
 	}
 }
 
-// noteReportLocked passes a dispatcher's report to the planner. One that cannot be read is ignored. a.mu is held.
-func (a *Agent) noteReportLocked(planner *failover.Planner, encoded json.RawMessage) {
+// addReportLocked passes a dispatcher's report to the planner. It ignores a report that cannot be decoded. a.mu is held.
+func (a *Agent) addReportLocked(planner *failover.Planner, encoded json.RawMessage) {
 	if planner == nil || encoded == nil {
 		return
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// checkRequest returns why the dispatcher of a request cannot be part of the fleet as it is. A request of a higher epoch also makes this
-// dispatcher leave its old raft group.
+// checkRequest returns an error if the request's epoch or message format does not allow a lease. A request of a higher epoch also
+// makes this dispatcher leave its old raft group.
 func (a *Agent) checkRequest(request leaseRequest, record configversions.Record) error {
 	required := record.InForce.Rules.MinMessageFormat()
 	if announced := record.Announced; announced != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// toLeaseHolder returns a dispatcher in the terms of gossip.
+// toLeaseHolder converts a dispatcher to the type of package gossippeers.
 func toLeaseHolder(dispatcher configversions.Dispatcher) gossippeers.LeaseHolder {
 	return gossippeers.LeaseHolder{
 		Name:    dispatcher.Name,
@@ -119,8 +119,8 @@
 	return members
 }
 
-// obtainLease gets a lease for one dispatcher, from this voter if it leads, else from the leader. It answers once this voter's
-// record is as new as the leader's, with what the dispatcher has to know of the record.
+// obtainLease gets a lease for one dispatcher, from this voter if it leads, else from the leader. It returns once this voter's
+// record is as new as the leader's. The response has the changes of the record that the dispatcher does not know yet.
 func (a *Agent) obtainLease(ctx context.Context, request leaseRequest) (response, int) {
 	own, lead := a.currentLeadership()
 	if own == nil {
@@ -154,7 +154,7 @@
 	return lease, http.StatusOK
 }
 
-// awaitRevision waits until this voter has applied a revision, and returns false when the context ends first.
+// awaitRevision waits until this voter has applied a revision, and returns false if the context ends first.
 func (a *Agent) awaitRevision(ctx context.Context, own *ownVoter, epoch, revision uint64) bool {
 	for {
 		a.mu.Lock()
@@ -171,7 +171,8 @@
 	}
 }
 
-// dropLease notes at the leader that a dispatcher has dropped its lease. A voter forwards it to the leader, once.
+// dropLease records at the leader that a dispatcher has dropped its lease. A voter that does not lead forwards the request to the
+// leader, unless it was already forwarded.
 func (a *Agent) dropLease(ctx context.Context, request leaseRequest, forwarded bool) (response, int) {
 	a.mu.Lock()
 	own, lead := a.voter, a.leadership
--- a/internal/fleet/operatorcalls.go
+++ b/internal/fleet/operatorcalls.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	proposeTimeout = 3 * callTimeout // of an operator's entry, at the leader
-	forwardTimeout = 4 * callTimeout // of a call that another dispatcher answers
+	proposeTimeout = 3 * callTimeout // of an operator's entry at the leader
+	forwardTimeout = 4 * callTimeout // of a call that is forwarded to another dispatcher
 )
 
-// addedShedding is by how much more work a zone limit may have shed, in slots, before it needs to be forced.
-const addedShedding = 0.5
+// maxAddedShedding is the largest increase of the work that is shed, in slots, which a zone limit may cause without being forced.
+const maxAddedShedding = 0.5
 
-// propose announces a version, here or at the leader. forwarded says that another voter took this one for the leader.
+// propose announces a version, here or at the leader. forwarded says that another voter forwarded the call to this one as the
+// leader.
 func (a *Agent) propose(ctx context.Context, version configversions.Version, forwarded bool) (response, int) {
 	if err := version.Rules.Check(); err != nil {
 		return response{Reason: err.Error()}, http.StatusBadRequest
@@ -44,8 +45,8 @@
 	return announce(ctx, own, version)
 }
 
-// announce appends the announcement of a version to the log. After an error of another kind than a conflict nobody knows
-// whether the version is announced; the status shows it.
+// announce appends the announcement of a version to the log. After an error other than a conflict it is unknown whether the
+// version is announced; the status shows it.
 func announce(ctx context.Context, own *ownVoter, version configversions.Version) (response, int) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -60,7 +61,7 @@
 	return response{Reason: err.Error()}, http.StatusServiceUnavailable
 }
 
-// limitZone limits a zone to a share of its capacity, where the other zones have the capacity for the rest or it is forced.
+// limitZone limits a zone to a share of its capacity, if the other zones have the capacity for the rest or the limit is forced.
 func (a *Agent) limitZone(ctx context.Context, limit configversions.ZoneLimit, forwarded bool) (response, int) {
 	a.mu.Lock()
 	own := a.voter
@@ -80,7 +81,7 @@
 	switch {
 	case !zoneExists:
 		return response{Reason: fmt.Sprintf("there is no zone %q", limit.Zone)}, http.StatusNotFound
-	case shedThen > shedNow+addedShedding && !limit.Force:
+	case shedThen > shedNow+maxAddedShedding && !limit.Force:
 		return response{Reason: "no room elsewhere: " + prediction}, http.StatusConflict
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
@@ -91,7 +92,7 @@
 	return response{Reason: prediction}, http.StatusOK
 }
 
-// record returns the whole record with its history, as a voter has it: this one or the one that is asked.
+// record returns the whole record with its history, from this dispatcher's voter or, at a follower, from another voter.
 func (a *Agent) record(ctx context.Context, forwarded bool) (response, int) {
 	if own := a.currentVoter(); own != nil {
 		record := own.log.Record()
@@ -103,7 +104,7 @@
 	return a.forward(ctx, a.nextVoter(), "record"+forwardedQuery, nil)
 }
 
-// dispatchers returns the dispatchers that hold a lease and those that held one lately, as the leader knows them.
+// dispatchers returns the dispatchers that hold a lease or held one recently, as the leader knows them.
 func (a *Agent) dispatchers(ctx context.Context, forwarded bool) (response, int) {
 	a.mu.Lock()
 	lead := a.leadership
@@ -119,20 +120,19 @@
 	return a.forwardToLeader(ctx, "known", nil, forwarded)
 }
 
-// forwardedQuery marks a call that a dispatcher forwards, so that it is not forwarded a second time.
+// forwardedQuery marks a forwarded call, so that it is not forwarded a second time.
 const (
 	forwardedParam = "passed"
 	forwardedQuery = "?" + forwardedParam + "=1"
 )
 
-// forwardToLeader has the leader answer a call: a voter forwards to the voter that leads, a follower to some voter. A nil body
-// makes it a GET request.
+// forwardToLeader forwards a call: a voter forwards it to the leader, a follower to nextVoter. A nil body makes it a GET request.
 func (a *Agent) forwardToLeader(ctx context.Context, name string, body any, forwarded bool) (response, int) {
 	own := a.currentVoter()
 	if own == nil {
 		return a.forward(ctx, a.nextVoter(), name, body)
 	}
-	if forwarded { // by a voter that took this one for the leader
+	if forwarded { // by a voter that assumed that this one leads
 		return response{Reason: reasonNotLeader}, http.StatusMisdirectedRequest
 	}
 	record := own.log.Record()
@@ -144,7 +144,7 @@
 	return a.forward(ctx, leader, name+forwardedQuery, body)
 }
 
-// forward has another voter answer a call.
+// forward sends a call to another voter and returns its response.
 func (a *Agent) forward(ctx context.Context, to voters.Voter, name string, body any) (response, int) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(forwardTimeout))
 	defer cancel()
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -11,32 +11,32 @@
 // Options configure an Agent. The callbacks are called from the agent's goroutines; ApplyEffective and PlanChanged are called
 // with the agent's lock held, so they must neither block nor call the agent.
 type Options struct {
-	// Settings are the operator's, checked.
+	// Settings are the operator's settings. They must have been checked.
 	Settings *Settings
-	// Name is the dispatcher's, unique in the fleet.
+	// Name is the dispatcher's name, unique in the fleet.
 	Name string
-	// Zone is used where the settings name none.
+	// Zone is the dispatcher's zone if the settings name none.
 	Zone string
 	// ApplyEffective is called with the effective rules whenever they change.
 	ApplyEffective func(configversions.Effective)
-	// JobCounts returns the jobs that ended since the start, and those of them that were rejected or failed. Nil for none.
+	// JobCounts returns how many jobs have ended since the start, and how many of these were rejected or failed. Nil for none.
 	JobCounts func() (ended, bad uint64)
 
-	// Overload are the budgets of the fleet; nil where it has none.
+	// Overload has the budgets of the fleet; nil if it has none.
 	Overload *Overload
 	// MaxDispatchers returns the largest number of dispatchers that the fleet may have. Nil for 1.
 	MaxDispatchers func() int
-	// FirstAttempts returns the first attempts of requests since the start. Nil for none.
+	// FirstAttempts returns the number of first attempts of requests since the start. Nil for none.
 	FirstAttempts func() uint64
 
-	// Failover are the settings of failover between zones; nil where nobody plans it.
+	// Failover has the settings of failover between zones; nil if the fleet does not plan it.
 	Failover *Failover
-	// Report returns what this dispatcher observed of zones since the last report. Nil for nothing.
+	// Report returns this dispatcher's observations of zones since the last report. Nil for none.
 	Report func() *failover.Report
 	// HasUrgentChange reports whether the leader should get a report at once. Nil for never.
 	HasUrgentChange func() bool
-	// PlanChanged is called with each new plan, and with expired when this dispatcher has had no lease for too long to
-	// trust the plan. The plan is nil where there is none.
+	// PlanChanged is called when the plan changes and when expired does. expired is true while this dispatcher has been
+	// without a lease for too long to trust the plan. The plan is nil if there is none.
 	PlanChanged func(plan *failover.Plan, expired bool)
 
 	// Log receives the agent's log lines.
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -1,11 +1,11 @@
 package fleet
 
-// Overload are the operator's settings in a block overload: bounds on what all dispatchers together may do. The leader leases
-// them out.
+// Overload is the operator's block overload: bounds on the retries and probes of all dispatchers together. The leader leases them
+// out.
 type Overload struct {
-	// RetryRatio is the number of further attempts (retries and hedges) for each first attempt of the fleet.
+	// RetryRatio is the number of retries and hedges that the fleet may make per first attempt.
 	RetryRatio float64 `hcl:"retries"`
-	// ProbesPerSecond are the probes of all workers together; 0 for no bound.
+	// ProbesPerSecond bounds the probes to all workers together; 0 for no bound.
 	ProbesPerSecond float64 `hcl:"probes,optional"`
 }
 
@@ -16,13 +16,13 @@
 )
 
 const (
-	// unleasedShare is the share of a budget that dispatchers without a lease may use, all together.
+	// unleasedShare is the share of a budget that all dispatchers without a lease together may use.
 	unleasedShare = 0.1
-	// minRetriesPerSecond is the retry budget of a fleet that makes next to no first attempts.
+	// minRetriesPerSecond is the smallest retry budget, for a fleet that makes very few first attempts.
 	minRetriesPerSecond = 1.0
 )
 
-// kinds returns the kinds of budgets that the settings bound.
+// kinds returns the kinds of budgets that the settings define.
 func (o *Overload) kinds() []string {
 	if o == nil {
 		return nil
@@ -33,7 +33,7 @@
 	return []string{RetryBudget}
 }
 
-// ratePerSecond returns the uses of a budget per second, by the first attempts that the fleet makes per second.
+// ratePerSecond returns the allowed uses of a budget per second, given the fleet's first attempts per second.
 func (o *Overload) ratePerSecond(kind string, firstAttemptsPerSecond float64) float64 {
 	if kind == ProbeBudget {
 		return o.ProbesPerSecond
--- a/internal/fleet/proposefile.go
+++ b/internal/fleet/proposefile.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	proposeFileTimeout       = 30 * time.Second // for which a proposal is retried while there is no leader
+	proposeFileTimeout       = 30 * time.Second // how long a proposal is retried while there is no leader
 	proposeFileRetryInterval = 500 * time.Millisecond
 )
 
 // ProposeFile proposes the rules of this dispatcher's file, unless they are in force or announced, and logs the outcome. It
-// blocks until there is one, for proposeFileTimeout at most.
+// blocks until the outcome is known, or for proposeFileTimeout at most.
 func (a *Agent) ProposeFile(ctx context.Context, rules configversions.Rules) {
 	ctx, cancel := context.WithTimeout(ctx, proposeFileTimeout)
 	defer cancel()
@@ -25,7 +25,7 @@
 	}
 }
 
-// proposeFileOnce reports whether the outcome of a proposal is known, and logs it.
+// proposeFileOnce makes one proposal. It reports whether the outcome is known, and logs a known outcome.
 func (a *Agent) proposeFileOnce(ctx context.Context, rules configversions.Rules) (done bool) {
 	known := a.Status().Record
 	if known.InForce.Number > 0 && reflect.DeepEqual(known.InForce.Rules, rules) {
--- a/internal/fleet/raftpeer.go
+++ b/internal/fleet/raftpeer.go
@@ -6,11 +6,11 @@
 	"errors"
 )
 
-// maxBatch is the largest number of raft messages in one call, and of those that wait for one; and the largest number of lease
-// requests in one call to the leader.
+// maxBatch is the largest number of raft messages in one call, of raft messages queued for a voter, and of lease requests in one
+// call to the leader.
 const maxBatch = 256
 
-// maxBatchBytes is the size from which on no further message is added to a batch.
+// maxBatchBytes is the size at which a batch is sent even if more messages are queued.
 const maxBatchBytes = maxBodyBytes / 2
 
 // raftPeer queues the raft messages to another voter, in order. It may be used from any goroutine.
@@ -18,7 +18,7 @@
 
 func newRaftPeer() *raftPeer { return &raftPeer{queue: make(chan []byte, maxBatch)} }
 
-// enqueue queues a message. It does not block: a message for which there is no capacity is dropped, and raft sends it again.
+// enqueue queues a message. It does not block: if the queue is full, the message is dropped, and raft sends it again.
 func (p *raftPeer) enqueue(message []byte) {
 	select {
 	case p.queue <- message:
@@ -26,8 +26,8 @@
 	}
 }
 
-// nextBatch waits for a message and returns all that are queued, up to the limits of a batch. It returns false when the
-// context ends.
+// nextBatch waits for a message and returns all queued messages, up to the limits of a batch. It returns false when the context
+// ends.
 func (p *raftPeer) nextBatch(ctx context.Context) (batch []byte, ok bool) {
 	select {
 	case <-ctx.Done():
@@ -41,13 +41,13 @@
 	return batch, true
 }
 
-// appendMessage appends a message to a batch: its length in four bytes, big endian, and its bytes.
+// appendMessage appends a message to a batch: its length as four bytes, big endian, then its bytes.
 func appendMessage(batch, message []byte) []byte {
 	batch = binary.BigEndian.AppendUint32(batch, uint32(len(message)))
 	return append(batch, message...)
 }
 
-var errIncompleteBatch = errors.New("no whole messages")
+var errIncompleteBatch = errors.New("batch of raft messages is truncated")
 
 // splitBatch returns the messages of a batch.
 func splitBatch(batch []byte) (messages [][]byte, err error) {
--- a/internal/fleet/raftsender.go
+++ b/internal/fleet/raftsender.go
@@ -14,7 +14,7 @@
 	"brassdale/internal/traffic"
 )
 
-// raftSender sends raft messages to the other voters, in a goroutine for each of them. mu guards peers.
+// raftSender sends raft messages to the other voters, with a goroutine for each voter. mu guards peers.
 type raftSender struct {
 	agent *Agent
 
@@ -36,7 +36,7 @@
 	peer.enqueue(message)
 }
 
-// sendBatches sends what is queued for a voter, one call at a time. raft sends again what is lost.
+// sendBatches sends the messages queued for a voter, one call at a time. raft sends lost messages again.
 func (s *raftSender) sendBatches(ctx context.Context, log *raftlog.Log, to uint64, peer *raftPeer) {
 	for {
 		batch, ok := peer.nextBatch(ctx)
@@ -45,7 +45,7 @@
 		}
 		address, epoch, ok := s.agent.addressOfVoter(log, to)
 		if !ok {
-			continue // it is no longer a voter
+			continue // the addressee is no longer a voter
 		}
 		s.agent.countCall()
 		url := s.agent.url(address, fmt.Sprintf("messages?era=%d", epoch))
@@ -62,9 +62,9 @@
 	}
 }
 
-// addressOfVoter returns the address of a voter, and the epoch of the record that has it: the voter's own or the one that this
-// dispatcher knows, whichever is newer. A voter that has just joined has an empty log, and has to answer a leader that need
-// not be a founder.
+// addressOfVoter returns the address of a voter, and the epoch of the record that contains it. It uses the newer of two records:
+// the one in the own voter's log and the one that this dispatcher knows. The log of a voter that has just joined is empty, but
+// the voter must answer the leader, which may not be a founder.
 func (a *Agent) addressOfVoter(log *raftlog.Log, id uint64) (address string, epoch uint64, ok bool) {
 	record := log.Record()
 	a.mu.Lock()
--- a/internal/fleet/recordfile.go
+++ b/internal/fleet/recordfile.go
@@ -11,11 +11,11 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// recordFile is where a dispatcher stores the record that it knows, for its next process.
+// recordFile returns the path of the file in which a dispatcher stores the record that it knows, for its next process.
 func (a *Agent) recordFile() string { return filepath.Join(a.settings.Directory, "known.json") }
 
-// loadRecord returns the stored record; an empty one where there is none, or none that can be read: without a lease it only
-// restricts what the dispatcher does.
+// loadRecord returns the stored record. It returns an empty record if none is stored or the stored one cannot be read: without a
+// lease, a record only restricts what the dispatcher does.
 func (a *Agent) loadRecord() (record configversions.Record) {
 	text, err := os.ReadFile(a.recordFile())
 	if err == nil {
@@ -28,7 +28,7 @@
 	return record
 }
 
-// saveRecord stores the record, without its history. A failure is logged: the dispatcher goes on without a stored record.
+// saveRecord stores the record without its history. It logs a failure, as the dispatcher can run without a stored record.
 func (a *Agent) saveRecord(record configversions.Record) {
 	text, err := json.Marshal(record.WithoutHistory())
 	if err == nil {
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -11,15 +11,15 @@
 const (
 	// relayInterval is the shortest time between two calls to the leader.
 	relayInterval = 10 * time.Millisecond
-	// maxQueuedRelays is the number of requests that wait at a voter: after a change all dispatchers ask at once.
+	// maxQueuedRelays bounds the requests queued at a voter: after a change all dispatchers request a lease at once.
 	maxQueuedRelays = 4096
 )
 
-// leaderRelay gathers the requests for leases that a voter gets, and asks the leader for all of them in one call, so that the
-// leader's calls grow with the voters and not with the dispatchers. It may be used from any goroutine.
+// leaderRelay batches the lease requests that a voter gets, and sends them to the leader in one call, so that the number of calls
+// to the leader grows with the voters and not with the dispatchers. It may be used from any goroutine.
 type leaderRelay struct{ queue chan relayedRequest }
 
-// relayedRequest is a request that waits. result has capacity for its one result.
+// relayedRequest is a queued request. result has capacity for one result.
 type relayedRequest struct {
 	request leaseRequest
 	result  chan<- relayedResult
@@ -34,7 +34,7 @@
 	return &leaderRelay{queue: make(chan relayedRequest, maxQueuedRelays)}
 }
 
-// request queues a request and waits for the leader's response, which is for all requests of one call.
+// request queues a request and waits for the leader's response, which answers all requests of one call.
 func (r *leaderRelay) request(ctx context.Context, request leaseRequest) (response, int) {
 	result := make(chan relayedResult, 1)
 	select {
@@ -50,7 +50,7 @@
 	}
 }
 
-// nextBatch waits for a request and returns all that are queued, up to maxBatch. It returns false when the context ends.
+// nextBatch waits for a request and returns all queued requests, up to maxBatch. It returns false when the context ends.
 func (r *leaderRelay) nextBatch(ctx context.Context) (batch []relayedRequest, ok bool) {
 	select {
 	case <-ctx.Done():
@@ -64,7 +64,7 @@
 	return batch, true
 }
 
-// relayRequests asks the leader, one call at a time, for all requests that wait. It returns when the context ends.
+// relayRequests sends the queued requests to the leader, one call at a time. It returns when the context ends.
 func (a *Agent) relayRequests(ctx context.Context, own *ownVoter) {
 	for {
 		batch, ok := own.relay.nextBatch(ctx)
@@ -83,7 +83,7 @@
 	}
 }
 
-// requestFromLeader requests leases from the leader, which this voter may have become meanwhile.
+// requestFromLeader requests leases from the leader. This voter itself may have become the leader meanwhile.
 func (a *Agent) requestFromLeader(ctx context.Context, own *ownVoter, requests []leaseRequest) (response, int) {
 	record := own.log.Record()
 	leaderID := own.log.Leader()
@@ -109,6 +109,6 @@
 	return got, status
 }
 
-// leaseCallTimeout is how long a call for a lease may take: a third of the lease at most, so that another voter can be asked
-// before it runs out.
+// leaseCallTimeout returns how long a call for a lease may take: at most a third of the lease duration, so that another voter can
+// be asked before the lease runs out.
 func (a *Agent) leaseCallTimeout() time.Duration { return min(callTimeout, a.leaseDuration/3) }
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// renewalsPerLease is how often a lease is renewed before it runs out. What changes in between comes by followRecord.
+	// renewalsPerLease is how often a lease is renewed before it runs out. followRecord receives changes of the record in between.
 	renewalsPerLease = 4
-	// reportInterval is the shortest time between two reports of zones, but for urgent ones.
+	// reportInterval is the shortest time between two reports of zones, except urgent reports.
 	reportInterval = 900 * time.Millisecond
 )
 
-// renewInterval is the time between two renewals.
+// renewInterval returns the time between two renewals.
 func (a *Agent) renewInterval() time.Duration { return a.leaseDuration / renewalsPerLease }
 
-// renewLeases renews the dispatcher's lease until the context ends: every renewInterval, sooner where no voter granted one, and
-// at once when renewNow wakes it.
+// renewLeases renews the dispatcher's lease until the context ends: every renewInterval, sooner after a failed request, and at
+// once when renewNow wakes it.
 func (a *Agent) renewLeases(ctx context.Context) {
 	interval := a.renewInterval()
 	for ctx.Err() == nil {
-		requestedAt := a.now() // the lease counts from here, which is before the leader's clock for it starts
+		requestedAt := a.now() // the lease starts here, before it starts at the leader, so it also ends first here
 		begin := time.Now()
 		err := a.renewOnce(ctx, requestedAt, begin.Add(a.leaseCallTimeout()))
-		a.noteRenewal(err == nil)
+		a.countRenewal(err == nil)
 		wait := time.Until(begin.Add(interval))
 		if err != nil {
 			a.log.Debug("lease not renewed", "err", err)
@@ -46,8 +46,8 @@
 	}
 }
 
-// noteRenewal counts a request for a lease. After one that failed another voter is asked.
-func (a *Agent) noteRenewal(granted bool) {
+// countRenewal counts a lease request. After a failed request the next one goes to another voter.
+func (a *Agent) countRenewal(granted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if granted {
@@ -58,7 +58,7 @@
 	a.voterCursor++
 }
 
-// renewOnce requests a lease and takes it over.
+// renewOnce requests a lease and applies it.
 func (a *Agent) renewOnce(ctx context.Context, requestedAt configversions.Instant, deadline time.Time) error {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -80,7 +80,7 @@
 	a.budgets.applyRates(got.BudgetRates[a.options.Name], requestedAt, lease)
 	if isNew {
 		a.saveRecord(record)
-		wake(a.renewNow) // acknowledges it
+		wake(a.renewNow) // acknowledges the record
 		wake(a.stateChanged)
 	}
 	return nil
@@ -100,9 +100,9 @@
 	return got, status, err
 }
 
-// applyLease takes over a lease, and the record that its response leads to from base, the record that the request was about.
-// isNew reports whether the record is newer than the one known before. Where the entries do not follow, the next request is
-// for the whole record.
+// applyLease applies a lease, and the record that results from applying the response to base, the record of the request. isNew
+// reports whether the record is newer than the one known before. If the entries do not apply to base, the next request asks for
+// the whole record.
 func (a *Agent) applyLease(
 	got response, base configversions.Record, requestedAt configversions.Instant, lease time.Duration,
 ) (record configversions.Record, isNew bool, err error) {
@@ -120,8 +120,8 @@
 	return record, isNew, nil
 }
 
-// newLeaseRequest returns a request for a lease, and the record that it is about: the entries of the response follow that one,
-// whatever is learned meanwhile. Only the goroutine of Run may call it.
+// newLeaseRequest returns a lease request and the record on which it is based. The entries of the response apply to that record,
+// even if a newer one arrives meanwhile. Only the goroutine of Run may call it.
 func (a *Agent) newLeaseRequest() (leaseRequest, configversions.Record) {
 	var ended, failed uint64
 	if a.options.JobCounts != nil {
@@ -164,7 +164,7 @@
 	return request, record
 }
 
-// dueReport returns the report of zones, encoded, where it is time for one; else nil. Only the goroutine of Run may call it.
+// dueReport returns the report of zones, encoded as JSON, if one is due; else nil. Only the goroutine of Run may call it.
 func (a *Agent) dueReport() json.RawMessage {
 	if a.options.Report == nil {
 		return nil
@@ -175,13 +175,13 @@
 		return nil
 	}
 	a.reportedAt = now
-	encoded, _ := json.Marshal(a.options.Report()) // a struct of numbers and names has no error
+	encoded, _ := json.Marshal(a.options.Report()) // encoding a struct of numbers and names cannot fail
 	return encoded
 }
 
-// exchangeWithPeer has gossip exchange its state with a peer that the leader suggests, where it is time for that. A leader of
-// an older build suggests none: a dispatcher that knows nobody then exchanges with a founder, as that build does. Only the
-// goroutine of Run may call it.
+// exchangeWithPeer starts an exchange of gossip state with a peer that the leader suggests, if an exchange is due. A leader of an
+// older build suggests none: a dispatcher that knows no peer then exchanges with a founder, as that build does. Only the goroutine
+// of Run may call it.
 func (a *Agent) exchangeWithPeer(got response) {
 	if a.messageFormat < zoneGossipFormat {
 		return
@@ -198,8 +198,8 @@
 	}
 }
 
-// releaseLease drops the lease and notifies a voter, so that no change and no successor of the same name waits for its end. Only
-// the goroutine of Run may call it.
+// releaseLease drops the lease and notifies a voter, so that neither a change nor a successor of the same name waits for the lease
+// to run out. Only the goroutine of Run may call it.
 func (a *Agent) releaseLease(ctx context.Context) {
 	a.mu.Lock()
 	a.lessee.DropLease(a.now())
@@ -216,7 +216,8 @@
 	}
 }
 
-// contactOrder returns the voters in the order in which this dispatcher asks them: itself, where it is one, then the nearest.
+// contactOrder returns the voters in the order in which this dispatcher asks them: first itself if it is a voter, then the others,
+// nearest first.
 func (a *Agent) contactOrder() []voters.Voter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -236,7 +237,7 @@
 	return order
 }
 
-// nextVoter returns the voter to ask now: the nearest, and the next one after each that was asked in vain.
+// nextVoter returns the voter to ask now: the first of contactOrder, and after each failed lease request the next one.
 func (a *Agent) nextVoter() voters.Voter {
 	order := a.contactOrder()
 	a.mu.Lock()
--- a/internal/fleet/response.go
+++ b/internal/fleet/response.go
@@ -9,26 +9,26 @@
 	"brassdale/internal/fleet/raftlog"
 )
 
-// response is the response to all calls between dispatchers. Each call sets the fields that it is about.
+// response is the response to all calls between dispatchers. Each call sets only the fields that it needs.
 type response struct {
-	Record      *configversions.Record     `json:"record,omitempty"`  // whole, or else
-	Entries     []configversions.Entry     `json:"entries,omitempty"` // those after the revision of the request
+	Record      *configversions.Record     `json:"record,omitempty"`  // whole; nil if Entries has the changes
+	Entries     []configversions.Entry     `json:"entries,omitempty"` // entries after the revision of the request
 	LeaseMS     int64                      `json:"lease_ms,omitempty"`
 	Epoch       uint64                     `json:"era,omitempty"`
 	Revision    uint64                     `json:"revision,omitempty"` // of the leader's record
 	Leader      uint64                     `json:"leader,omitempty"`   // a voter ID
 	Rejected    map[string]string          `json:"refused,omitempty"`  // dispatchers that get no lease, with the reason
 	BudgetRates map[string]json.RawMessage `json:"rates,omitempty"`    // by dispatcher; in each by kind of budget
-	Reason      string                     `json:"why,omitempty"`      // of a status that is not 200
+	Reason      string                     `json:"why,omitempty"`      // of a status other than 200; for an accepted zone limit the predicted shedding
 
 	LeaseHolders []configversions.Dispatcher       `json:"present,omitempty"`
-	Absent       []configversions.AbsentDispatcher `json:"absent,omitempty"` // whose lease has ended lately
+	Absent       []configversions.AbsentDispatcher `json:"absent,omitempty"` // dispatchers whose lease has ended recently
 
-	MessageFormat   int                                    `json:"form,omitempty"`       // the leader's
-	PeerSuggestions map[string]*gossippeers.PeerSuggestion `json:"neighbours,omitempty"` // by dispatcher whose digest differs
+	MessageFormat   int                                    `json:"form,omitempty"`       // of the leader
+	PeerSuggestions map[string]*gossippeers.PeerSuggestion `json:"neighbours,omitempty"` // by dispatcher; only for digests that differ from the leader's
 }
 
-// newUpdateResponse returns a response with what changed of the record.
+// newUpdateResponse returns a response with the changes of the record.
 func newUpdateResponse(update raftlog.Update) response {
 	return response{
 		Entries:  update.Entries,
@@ -38,15 +38,16 @@
 	}
 }
 
-// Reasons that several calls are rejected with.
+// Reasons for which several calls are rejected.
 const (
-	reasonNoLeader  = "nobody leads"
-	reasonNotLeader = "does not lead"
-	reasonNotVoter  = "no seat"
-	reasonNoRequest = "no question"
+	reasonNoLeader       = "nobody leads"
+	reasonNotLeader      = "does not lead"
+	reasonNotVoter       = "no seat"
+	reasonInvalidRequest = "no question"
 )
 
-// applyTo returns the record that follows from a response to a request about record.
+// applyTo returns the record that results from applying a response to record, on which the request was based. It returns an error
+// if the entries do not apply or do not lead to the revision and epoch of the response.
 func (r response) applyTo(record configversions.Record) (configversions.Record, error) {
 	if r.Record != nil {
 		return *r.Record, nil
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -8,7 +8,7 @@
 	"brassdale/internal/hcldiag"
 )
 
-// rulesFile is a file of rules.
+// rulesFile is the content of a file of rules.
 type rulesFile struct {
 	RetryRatio      float64            `hcl:"retries,optional"`
 	RetriesAllowed  bool               `hcl:"repeat,optional"`
@@ -16,13 +16,14 @@
 	QuotaCaps       map[string]float64 `hcl:"shares,optional"`
 }
 
-// noRetryBound is the retry ratio of rules that do not bound it.
+// noRetryBound is the retry ratio of rules that set no bound.
 const noRetryBound = -1
 
-// LoadRules reads a file of rules, whole or not at all. An error names all faults with file, line and column.
+// LoadRules reads a file of rules. It accepts the file as a whole or returns an error that lists all faults with file, line and
+// column.
 func LoadRules(path string) (*configversions.Rules, error) { return hcldiag.Read(path, ReadRules) }
 
-// ReadRules reads the text of a file of rules; path is what its errors call it.
+// ReadRules reads the text of a file of rules; path is the file name in its errors.
 func ReadRules(text []byte, path string) (*configversions.Rules, error) {
 	file := rulesFile{RetryRatio: noRetryBound, RetriesAllowed: true}
 	var rules configversions.Rules
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -9,35 +9,35 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// Settings are the operator's, in a block council.
+// Settings is the operator's block council.
 type Settings struct {
-	// Name is the fleet's.
+	// Name is the name of the fleet.
 	Name string `hcl:"fleet"`
 	// Listen is the TCP and UDP address for the other dispatchers and for 'brassdale fleet'.
 	Listen string `hcl:"listen"`
 	// Voters are the addresses of the founding voters, in the order of their IDs. Dispatchers that start later find the
-	// fleet by them.
+	// fleet through these addresses.
 	Voters []string `hcl:"voters"`
-	// VoterID is the ID of this dispatcher as a founding voter, from 1; 0 where it is none.
+	// VoterID is the ID of this dispatcher as a founding voter, from 1; 0 if it is not one.
 	VoterID int `hcl:"seat,optional"`
-	// Directory is where this dispatcher stores what must outlast a restart.
+	// Directory is where this dispatcher stores the files that must outlast a restart.
 	Directory string `hcl:"directory"`
 	// LeaseDuration is how long a lease lasts, at least MinLease.
 	LeaseDuration string `hcl:"bound,optional"`
 	// ReplaceAfter is how long a voter may be silent before another dispatcher replaces it, at least MinReplaceAfter.
 	ReplaceAfter string `hcl:"replace,optional"`
-	// Region and Zone are where this dispatcher is; the platform's zone where Zone is empty.
+	// Region and Zone are the location of this dispatcher. If Zone is empty, the platform's zone is used.
 	Region string `hcl:"region,optional"`
 	Zone   string `hcl:"zone,optional"`
-	// DedicatedToControl says that this machine serves no jobs and is preferred as a voter.
+	// DedicatedToControl says that this machine serves no jobs and that its dispatcher is preferred as a voter.
 	DedicatedToControl bool `hcl:"set_aside,optional"`
 	// Rules is a file of rules that is proposed at SIGHUP.
 	Rules string `hcl:"rules,optional"`
-	// AddressOverrides are where addresses of others are reached from here, where that is elsewhere.
+	// AddressOverrides maps addresses of other dispatchers to those at which this dispatcher reaches them, where they differ.
 	AddressOverrides map[string]string `hcl:"reach,optional"`
 }
 
-// Default returns what applies where the block says nothing.
+// Default returns the defaults of a block council.
 func Default() Settings { return Settings{LeaseDuration: "2s", ReplaceAfter: "30s"} }
 
 const (
@@ -47,12 +47,13 @@
 	MinReplaceAfter = 3 * time.Second
 )
 
-// Lease returns how long a lease lasts.
+// Lease returns the duration of a lease. It returns an error if the duration is invalid or shorter than MinLease.
 func (s *Settings) Lease() (time.Duration, error) {
 	return durationOfAtLeast(s.LeaseDuration, MinLease)
 }
 
-// ReplaceAfterDuration returns how long a voter may be silent.
+// ReplaceAfterDuration returns how long a voter may be silent before it is replaced. It returns an error if the duration is invalid
+// or shorter than MinReplaceAfter.
 func (s *Settings) ReplaceAfterDuration() (time.Duration, error) {
 	return durationOfAtLeast(s.ReplaceAfter, MinReplaceAfter)
 }
@@ -65,7 +66,7 @@
 	return duration, err
 }
 
-// CheckVoters returns what is wrong with the founding voters.
+// CheckVoters returns an error if the settings of the founding voters are invalid.
 func (s *Settings) CheckVoters() error {
 	if len(s.Voters) != 1 && len(s.Voters) != 3 && len(s.Voters) != 5 {
 		return fmt.Errorf("there must be 1, 3 or 5 voters, not %d", len(s.Voters))
@@ -79,12 +80,12 @@
 		return fmt.Errorf("there is no seat %d", s.VoterID)
 	}
 	if s.VoterID > 0 && s.Voters[s.VoterID-1] != s.Listen {
-		return errors.New("the address in this dispatcher's seat is not the one where it listens")
+		return errors.New("the voter address at this dispatcher's seat differs from its listen address")
 	}
 	return nil
 }
 
-// resolve returns where an address is reached from here.
+// resolve returns the address at which this dispatcher reaches an address of another one.
 func (s *Settings) resolve(address string) string {
 	if override, ok := s.AddressOverrides[address]; ok {
 		return override
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -8,7 +8,7 @@
 	"brassdale/internal/traffic"
 )
 
-// Status is what a dispatcher shows of the fleet.
+// Status is the state of a dispatcher and its view of the fleet.
 type Status struct {
 	Name              string                      `json:"name"`
 	Fleet             string                      `json:"fleet"`
@@ -20,7 +20,7 @@
 	LeaseLeftMS       int64                       `json:"lease_left_ms"`
 	Record            configversions.Record       `json:"record"`
 	LeaseHolders      []configversions.Dispatcher `json:"present,omitempty"` // at the leader
-	WaitingFor        []string                    `json:"waits,omitempty"`   // dispatchers that the announced version waits for, at the leader
+	WaitingFor        []string                    `json:"waits,omitempty"`   // what the announced version waits for: see LeaseTable.MayPutInForce; at the leader
 	Voters            []voters.Status             `json:"places,omitempty"`  // at the leader
 	Members           []gossip.Member             `json:"members,omitempty"` // known by gossip
 	Zones             []failover.ZoneView         `json:"zones,omitempty"`   // at the leader
@@ -32,7 +32,7 @@
 	ControlTraffic map[string]traffic.Count `json:"control"` // of this process, by kind
 }
 
-// Status returns what this dispatcher knows of the fleet.
+// Status returns the state of this dispatcher and its view of the fleet.
 func (a *Agent) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,7 +65,7 @@
 	return status
 }
 
-// addLeadershipLocked adds what only the leader knows. a.mu is held.
+// addLeadershipLocked adds the fields that only the leader knows. a.mu is held.
 func (a *Agent) addLeadershipLocked(status *Status) {
 	lead := a.leadership
 	status.IsLeader = true
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -18,7 +18,7 @@
 	"brassdale/internal/traffic"
 )
 
-// storedRecord is a record without history, as it is stored for the next start. Golden files of whole records are in
+// storedRecord returns a record without history, as a dispatcher stores it for its next start. Golden files of whole records are in
 // internal/decisions/configversions.
 func storedRecord() configversions.Record {
 	return configversions.Record{Epoch: 11, Revision: 12, NextVoterID: 13,
@@ -27,16 +27,16 @@
 		Voters: []voters.Voter{{ID: 15, Address: "127.0.0.1:9001"}}}
 }
 
-// storedMessages are the messages between dispatchers and to operators, by golden file.
+// storedMessages returns messages between dispatchers and to operators, by golden file.
 func storedMessages() map[string]any {
 	record := storedRecord()
 	member := configversions.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
 		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, PlanNumber: 27, DedicatedToControl: true}
 	self := gossip.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
 	return map[string]any{
-		"question": leaseRequest{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
+		"lease-request": leaseRequest{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
 			BudgetDemand: json.RawMessage(`{"budget-1":1.5}`), FirstAttemptsPerSecond: 42.5, Digest: &gossippeers.Digest{Count: 43, Sum: 44}},
-		"answer": response{Record: &record, Entries: []configversions.Entry{{ID: "entry-1", PutInForce: 51}}, LeaseMS: 52, Epoch: 53, Revision: 54,
+		"response": response{Record: &record, Entries: []configversions.Entry{{ID: "entry-1", PutInForce: 51}}, LeaseMS: 52, Epoch: 53, Revision: 54,
 			Leader: 55, Rejected: map[string]string{"dispatcher-4": "why-2"}, BudgetRates: map[string]json.RawMessage{"dispatcher-5": json.RawMessage(`{"budget-2":2.5}`)},
 			Reason: "why-3", LeaseHolders: []configversions.Dispatcher{member}, Absent: []configversions.AbsentDispatcher{{Dispatcher: member, Left: true, AbsentFor: 56}}, MessageFormat: 57,
 			PeerSuggestions: map[string]*gossippeers.PeerSuggestion{"dispatcher-6": {Count: 58, Addresses: []string{"127.0.0.1:9004"}}}},
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestStoredMessages reads the messages as the program of commit c2c1317 wrote them, field by field, and checks that the
+// TestStoredMessages checks that messages which the program of commit c2c1317 wrote are read with the expected fields, and that the
 // same messages are written as the same bytes.
 func TestStoredMessages(t *testing.T) {
 	for name, want := range storedMessages() {
@@ -68,15 +68,15 @@
 	}
 }
 
-// TestStoredMessages_fieldsSet checks that each field of the messages has a value, as TestStoredMessages checks nothing of a field
-// without one. Records and voters are exempt.
+// TestStoredMessages_fieldsSet checks that no field of the messages is zero, as TestStoredMessages could not detect the loss of a zero
+// field. It does not check the fields of records and voters.
 func TestStoredMessages_fieldsSet(t *testing.T) {
 	for name, want := range storedMessages() {
 		testsupport.CheckFieldsSet(t, name, want)
 	}
 }
 
-// TestStoredRecord reads the record that a dispatcher of commit c2c1317 left for its next start, and checks that the same
+// TestStoredRecord reads the record that a dispatcher of commit c2c1317 stored for its next start, and checks that the same
 // record is written as the same bytes.
 func TestStoredRecord(t *testing.T) {
 	stored, err := os.ReadFile("testdata/stored/known.json")
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -12,7 +12,7 @@
 
 const (
 	voterCheckInterval = 100 * time.Millisecond
-	voterRetryInterval = time.Second // after a voter could not be started
+	voterRetryInterval = time.Second // after a failed start of the voter
 )
 
 // Reasons for which this dispatcher is no longer a voter.
@@ -22,8 +22,8 @@
 	reasonNewerRaft = "newer raft group"
 )
 
-// ownVoter is this dispatcher's voter while it is one. It ends when cancel is called, or when the disk fails: then it stays
-// the dispatcher's voter, and takes no part in the raft group, until another dispatcher replaces it.
+// ownVoter is this dispatcher's voter. It ends when cancel is called or the disk fails. After a disk failure it remains the
+// dispatcher's voter, without taking part in the raft group, until another dispatcher replaces it.
 type ownVoter struct {
 	log    *raftlog.Log
 	relay  *leaderRelay
@@ -40,7 +40,7 @@
 	return v.log.VoterID()
 }
 
-// updateSince is Log.UpdateSince for a dispatcher that acts on the record: a whole record has no history.
+// updateSince is Log.UpdateSince, except that a whole record is without its history, which dispatchers do not need.
 func (v *ownVoter) updateSince(epoch, revision uint64) raftlog.Update {
 	update := v.log.UpdateSince(epoch, revision)
 	if update.Record != nil {
@@ -57,8 +57,8 @@
 	return a.voter
 }
 
-// manageVoter starts this dispatcher's voter when the record, or the settings before there is one, say that it is one, and
-// stops it when it no longer is. It stops the voter when the context ends.
+// manageVoter starts this dispatcher's voter when the record lists the dispatcher as a voter, or when there is no record and the
+// settings do. It stops the voter when it has been replaced, and when the context ends.
 func (a *Agent) manageVoter(ctx context.Context) {
 	defer a.stopVoter(reasonShutdown)
 	for ; ctx.Err() == nil; sleep(ctx, voterCheckInterval) {
@@ -79,8 +79,8 @@
 	}
 }
 
-// replaced reports whether a voter is no longer one: by the record that its dispatcher knows, where that is newer than the
-// voter's own log, or by the log itself, if this voter was still running when its removal was committed.
+// replaced reports whether a voter has been removed from the raft group: by the record that its dispatcher knows, if that is newer
+// than the voter's own log, or by the log itself, if this voter was still running when its removal was committed.
 func replaced(own *ownVoter, record configversions.Record) bool {
 	logged := own.log.Record()
 	_, inRecord := record.Voter(own.id())
@@ -94,8 +94,8 @@
 	return len(logged.Voters) > 0 && !inLog
 }
 
-// startVoter starts this dispatcher's voter, if a record says that it is one, or, without a voter in the record, if the
-// settings say that it is a founder.
+// startVoter starts this dispatcher's voter if the record lists the dispatcher as one or, without voters in the record, if the
+// settings make it a founder.
 func (a *Agent) startVoter(ctx context.Context, record configversions.Record) error {
 	founderID := uint64(a.settings.VoterID)
 	if len(record.Voters) > 0 {
@@ -113,8 +113,8 @@
 	return a.startFounder(ctx, founderID)
 }
 
-// assignedVoter returns the voter that is this dispatcher by a record; one with ID 0 where none is. While a voter that lost its
-// file is replaced by the same dispatcher there are two: the one with the higher ID counts.
+// assignedVoter returns the voter that a record assigns to this dispatcher; a voter with ID 0 if it assigns none. While a voter
+// that lost its file is replaced by the same dispatcher, the record has two; the one with the higher ID counts.
 func (a *Agent) assignedVoter(record configversions.Record) (assigned voters.Voter) {
 	for _, voter := range record.Voters {
 		if voter.Address != a.address() || voter.Name != "" && voter.Name != a.options.Name {
@@ -127,8 +127,8 @@
 	return assigned
 }
 
-// rejoin runs a voter that is not a founder, or one of a recovered group. A voter that has lost its file, with its votes, does
-// not start again under its ID; a learner has no file yet.
+// rejoin runs a voter that is not a founder, or a voter of a recovered group. A voter that has lost its file has lost its votes,
+// so it must not start again under its ID. A learner may start without a file.
 func (a *Agent) rejoin(ctx context.Context, voter voters.Voter) error {
 	_, err := os.Stat(raftlog.Path(a.settings.Directory, voter.ID))
 	if err != nil && !voter.Learner {
@@ -137,8 +137,8 @@
 	return a.runVoter(ctx, voter.ID, nil)
 }
 
-// runVoter opens a voter's log and runs it. founders is nil for a voter that is none. The goroutines that it starts end with
-// the context or with stopVoter.
+// runVoter opens a voter's log and runs it. founders is nil for a voter that is not a founder. The goroutines that it starts end
+// with the context or with stopVoter.
 func (a *Agent) runVoter(ctx context.Context, id uint64, founders []voters.Voter) error {
 	ctx, cancel := context.WithCancel(ctx)
 	own := &ownVoter{
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// stopVoter stops this dispatcher's voter and waits for its end. Except at a shutdown its file is removed, as an ID is never
-// used a second time.
+// stopVoter stops this dispatcher's voter and waits for its end. Except at a shutdown it also removes the voter's file, as a voter
+// ID is never used a second time.
 func (a *Agent) stopVoter(reason string) {
 	a.mu.Lock()
 	own := a.voter
@@ -199,7 +199,7 @@
 	}
 }
 
-// logApplied takes a record over that the voter's log has applied. The goroutine of Log.Run calls it; it does not block.
+// logApplied applies a record that results from the voter's log. The goroutine of Log.Run calls it; it does not block.
 func (a *Agent) logApplied(record configversions.Record) {
 	a.mu.Lock()
 	a.lessee.ApplyRecord(record)
@@ -211,8 +211,8 @@
 	wake(a.renewNow)
 }
 
-// leaveOldRaftGroup stops this dispatcher's voter, which removes its file, because the fleet has a raft group of a higher epoch, recovered
-// from one voter. checkRequest calls it with a.mu held, which stopVoter takes, so it does not wait for the voter's end.
+// leaveOldRaftGroup stops this dispatcher's voter and removes its file, because the fleet has a raft group of a higher epoch,
+// recovered from one voter. It does not wait for the voter's end: checkRequest calls it with a.mu held, which stopVoter takes.
 func (a *Agent) leaveOldRaftGroup(epoch uint64) {
 	a.log.Warn("newer raft group found", "epoch", epoch)
 	go a.stopVoter(reasonNewerRaft)
--- a/internal/fleet/votercalls.go
+++ b/internal/fleet/votercalls.go
@@ -10,8 +10,8 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// serveMessages takes the raft messages of another voter. A voter of an older epoch gets the status 410 and the new epoch, by
-// which it learns that its raft group is no more.
+// serveMessages receives the raft messages of another voter. A voter of an older epoch gets the status 410 and the new epoch, so
+// that it leaves its obsolete raft group.
 func (a *Agent) serveMessages(w http.ResponseWriter, r *http.Request) {
 	var messages [][]byte
 	batch, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -31,7 +31,7 @@
 		a.reply(w, http.StatusGone, response{Reason: configversions.ErrOldEpoch.Error(), Epoch: known})
 	case own == nil:
 		a.reply(w, http.StatusMisdirectedRequest, response{Reason: reasonNotVoter})
-	case epoch > own.log.Record().Epoch && own.log.Record().Revision > 0: // else it has just joined: an empty log of epoch 0
+	case epoch > own.log.Record().Epoch && own.log.Record().Revision > 0: // revision 0: a voter that has just joined, with an empty log of epoch 0
 		a.leaveOldRaftGroup(epoch)
 		a.reply(w, http.StatusMisdirectedRequest, response{Reason: "of a newer council"})
 	default:
@@ -42,7 +42,7 @@
 	}
 }
 
-// watchQuery is what a follower of the record asks for.
+// watchQuery is the query of a watch call.
 type watchQuery struct {
 	epoch    uint64
 	revision uint64
@@ -58,11 +58,11 @@
 		return query, false
 	}
 	waitMS, err := strconv.ParseUint(values.Get("wait"), 10, 32)
-	query.wait = min(time.Duration(waitMS)*time.Millisecond, maxWatch)
+	query.wait = min(time.Duration(waitMS)*time.Millisecond, maxWatchWait)
 	return query, err == nil
 }
 
-// serveWatch waits until this voter's record is newer than the caller's, or the wait is over, and responds with what follows.
+// serveWatch waits until this voter's record is newer than the caller's or the wait is over, and responds with the changes.
 func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query, ok := parseWatchQuery(r.URL.Query())
 	if !ok {
@@ -95,8 +95,8 @@
 	}
 }
 
-// replyWithRecord responds to a follower of the record. Whole records are written to a few callers at a time, so that a change
-// that all need at once does not hold the raft log up.
+// replyWithRecord responds to a watch call. It writes whole records to at most maxRecordTransfers callers at a time, so that a
+// change that all dispatchers need at once does not delay the raft log.
 func (a *Agent) replyWithRecord(w http.ResponseWriter, got response) {
 	if got.Record != nil {
 		a.recordTransfers <- struct{}{}
--- a/internal/fleet/zonelimit_test.go
+++ b/internal/fleet/zonelimit_test.go
@@ -15,8 +15,8 @@
 	"brassdale/internal/decisions/failover"
 )
 
-// newPlanningAgent returns the agent of a raft group of one, which plans from one report, and its address. By that report zone a has 120
-// of work and a capacity of 100, zone b the same capacity and no work.
+// newPlanningAgent returns the agent of the only voter of a raft group, and its address. The agent plans from its own report: zone a
+// has 120 slots of work and a capacity of 100 slots, zone b the same capacity and no work.
 func newPlanningAgent(t *testing.T) (agent *Agent, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.99.7.1:0")
@@ -43,8 +43,8 @@
 	return agent, address
 }
 
-// TestLimitZone_capacityElsewhere checks a limit on a zone of a raft group of one that plans from a report: where the other zone lacks
-// the capacity it is rejected with the reason, and applied if it is forced; once the limit is lifted the zone gets its requests back.
+// TestLimitZone_capacityElsewhere checks a limit on a zone while the other zone lacks the capacity for its work: an unforced limit is
+// rejected with the reason, and a forced limit is applied. Once the limit is lifted, the zone gets its requests back.
 func TestLimitZone_capacityElsewhere(t *testing.T) {
 	agent, address := newPlanningAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -56,7 +56,7 @@
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !condition(agent.Status()); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("not within 20 s: %s; plan %+v", what, agent.Status().Record.Plan)
+				t.Fatalf("condition not met within 20 s: %s; plan %+v", what, agent.Status().Record.Plan)
 			}
 		}
 	}
@@ -76,17 +76,17 @@
 		return status, string(body)
 	}
 	if status, text := limit(0, false); status != http.StatusConflict || !strings.Contains(text, "no room elsewhere") {
-		t.Errorf("unforced limit: status %d, %s", status, text)
+		t.Errorf("unforced limit: got status %d, %s; want 409 with reason \"no room elsewhere\"", status, text)
 	}
 	if status, text := limit(0, true); status != http.StatusOK {
-		t.Errorf("forced limit: status %d, %s", status, text)
+		t.Errorf("forced limit: got status %d, %s; want 200", status, text)
 	}
 	awaitStatus("nothing in the drained zone", shareBetween(0, 0.01))
 	if status := agent.Status(); len(status.Record.ZoneLimits) != 1 || !status.Record.ZoneLimits[0].Force || len(status.Zones) != 2 {
-		t.Errorf("limits %+v, %d zones", status.Record.ZoneLimits, len(status.Zones))
+		t.Errorf("got limits %+v and %d zones; want 1 forced limit and 2 zones", status.Record.ZoneLimits, len(status.Zones))
 	}
 	if status, _ := limit(1, false); status != http.StatusOK {
-		t.Errorf("lifting the limit: status %d", status)
+		t.Errorf("lifting the limit: got status %d, want 200", status)
 	}
 	awaitStatus("requests in the zone again", shareBetween(0.65, 0.72))
 }
