--- a/internal/effectivestate/effectivestate.go
+++ b/internal/effectivestate/effectivestate.go
@@ -1,5 +1,5 @@
-// Package effectivestate reads from the logs of dispatchers which config versions they acted on, and says for how long two of them
-// contradicted each other. Packages faults and scale and the tests of the dispatcher's program use it.
+// Package effectivestate reads from the logs of dispatchers which config versions they acted on, and computes for how long two
+// dispatchers contradicted each other. Packages faults and scale and the tests of the dispatcher's program use it.
 package effectivestate
 
 import (
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// State is the config versions that a process acted on for some time.
+// State is the set of config versions that a process acted on between two times.
 type State struct {
 	From     time.Time `json:"From"`
 	To       time.Time `json:"To"`
-	Versions []uint64  `json:"Versions"` // two while the process complies with an old and a new one
+	Versions []uint64  `json:"Versions"` // two while the process complies with an old and a new version
 	Lapsed   bool      `json:"Lapsed"`   // without a lease
 }
 
-// InForce returns the only version of the state, and false if it has several or no lease.
+// InForce returns the only version of the state. ok is false if the state has several versions or no lease.
 func (s *State) InForce() (version uint64, ok bool) {
 	if s.Lapsed || len(s.Versions) != 1 {
 		return 0, false
@@ -26,7 +26,7 @@
 	return s.Versions[0], true
 }
 
-// overlap returns for how long two states lasted at the same time; it is not above 0 if they did not.
+// overlap returns how long two states lasted at the same time; 0 or less if they do not overlap.
 func (s *State) overlap(other *State) time.Duration {
 	from, to := s.From, s.To
 	if other.From.After(from) {
@@ -43,15 +43,15 @@
 	return !slices.ContainsFunc(s.Versions, func(version uint64) bool { return slices.Contains(other.Versions, version) })
 }
 
-// Period is a time in which a process was stopped, did not run or was cut off from others. From is zero if it has lasted since the start
-// of the run, To while it lasts.
+// Period is a period in which a process was stopped, did not run or was cut off from others. From is zero if the period began with
+// the run; To is zero while the period lasts.
 type Period struct{ From, To time.Time }
 
-// appliedVersions is the log line with which a dispatcher says what it acts on from now on.
+// appliedVersions matches the log line that a dispatcher writes when the versions that it acts on, or its lease, have changed.
 var appliedVersions = regexp.MustCompile(`msg="config version applied" versions="?\[([0-9 ]*)\]"? lease_expired=(true|false) at_ms=(\d+)`)
 
-// FromLog reads what a process acted on from its log, which ends at the given time. A state ends early where an absence
-// begins; after the absence, the process acts on what it logs first.
+// FromLog returns the states of a process from its log, which ends at the given time. A state ends early when an absence begins;
+// the next state begins with the first log line after the absence.
 func FromLog(log string, end time.Time, absences []Period) []State {
 	var states []State
 	for _, match := range appliedVersions.FindAllStringSubmatch(log, -1) {
@@ -80,20 +80,20 @@
 	return states
 }
 
-// ContradictionTime returns the longest time in which two processes acted on versions with nothing in common: while both had leases,
-// and while at least one had none.
-func ContradictionTime(processes [][]State) (contradiction, lapsed time.Duration) {
+// ContradictionTime returns the longest times for which two processes acted on states without a common version: contradiction while
+// both had leases, unleased while at least one had none.
+func ContradictionTime(processes [][]State) (contradiction, unleased time.Duration) {
 	for i, states := range processes {
 		for _, others := range processes[:i] {
-			both, one := contradictionOf(states, others)
-			contradiction, lapsed = max(contradiction, both), max(lapsed, one)
+			pairContradiction, pairUnleased := contradictionOf(states, others)
+			contradiction, unleased = max(contradiction, pairContradiction), max(unleased, pairUnleased)
 		}
 	}
-	return contradiction, lapsed
+	return contradiction, unleased
 }
 
 // contradictionOf is ContradictionTime of two processes.
-func contradictionOf(states, others []State) (contradiction, lapsed time.Duration) {
+func contradictionOf(states, others []State) (contradiction, unleased time.Duration) {
 	for i := range states {
 		for j := range others {
 			state, other := &states[i], &others[j]
@@ -101,11 +101,11 @@
 				continue
 			}
 			if state.Lapsed || other.Lapsed {
-				lapsed = max(lapsed, state.overlap(other))
+				unleased = max(unleased, state.overlap(other))
 			} else {
 				contradiction = max(contradiction, state.overlap(other))
 			}
 		}
 	}
-	return contradiction, lapsed
+	return contradiction, unleased
 }
