--- a/internal/command/budgets.go
+++ b/internal/command/budgets.go
@@ -9,13 +9,13 @@
 	"brassdale/internal/fleet"
 )
 
-// budgetsCommand makes 'brassdale budgets': what the fleet's budgets grant and what is used.
+// budgetsCommand makes 'brassdale budgets', which shows what the fleet's budgets grant and what is used.
 func budgetsCommand() *cobra.Command {
 	client := &fleetClient{}
-	command := &cobra.Command{Use: "budgets", Short: "What all dispatchers together may do, and what this one may of it"}
-	command.PersistentFlags().StringVar(&client.address, "address", "127.0.0.1:7400", "the council's address of any dispatcher of the fleet")
-	command.PersistentFlags().BoolVar(&client.asJSON, "json", false, "as JSON")
-	command.AddCommand(client.statusCommand("status", "Demand, lease and what was denied here; at the leader also what is dealt out", func(out io.Writer, s fleet.Status) {
+	command := &cobra.Command{Use: "budgets", Short: "Show the fleet's budgets and this dispatcher's leases of them"}
+	command.PersistentFlags().StringVar(&client.address, "address", "127.0.0.1:7400", "the address of any dispatcher's fleet listener")
+	command.PersistentFlags().BoolVar(&client.asJSON, "json", false, "print JSON")
+	command.AddCommand(client.statusCommand("status", "Show this dispatcher's lease, demand and denied uses; at the leader also what is leased in all", func(out io.Writer, s fleet.Status) {
 		fmt.Fprint(out, "budget\there, a second\tasked for\tdenied\tof all, a second\tdealt out\n")
 		for i, usage := range s.BudgetUsage {
 			all := "-\t-"
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of the dispatcher: serving, checking files, and looking at a fleet.
+// Package command is the command line of the dispatcher: it serves, checks files, and shows or changes the state of a fleet.
 package command
 
 import (
@@ -23,15 +23,15 @@
 		Use:   "brassdale",
 		Short: "A dispatcher for quote jobs",
 		Long: "Brassdale takes jobs from clients, decides which endpoint runs each, sends it there and gives every job\n" +
-			"exactly one final answer. Without a sub-command it serves. The platform's variables (GW_CONFIG, GW_NAME,\n" +
-			"GW_LISTEN, GW_DISCOVERY, GW_ADMIN, TMPDIR) tell it what it needs.",
+			"exactly one final answer. Without a sub-command it serves. The platform configures it by environment variables\n" +
+			"(GW_CONFIG, GW_NAME, GW_LISTEN, GW_DISCOVERY, GW_ADMIN, TMPDIR).",
 		Args:          cobra.NoArgs,
 		RunE:          serve.run,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	serve.addFlags(root)
-	sub := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM and all is answered", Args: cobra.NoArgs, RunE: serve.run}
+	sub := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM, then answer all open requests and exit", Args: cobra.NoArgs, RunE: serve.run}
 	serve.addFlags(sub)
 	root.AddCommand(sub, checkCommand(), endpointCacheCommand(), fleetCommand(), zonesCommand(), budgetsCommand(), versionCommand())
 	return root
@@ -44,9 +44,9 @@
 
 // addFlags adds the flags to a command that serves.
 func (s *serveCommand) addFlags(c *cobra.Command) {
-	c.Flags().StringVar(&s.operator, "operator", "", "the operator's file (HCL), which switches on what the platform does not ask for")
+	c.Flags().StringVar(&s.operator, "operator", "", "the operator's file (HCL), which enables features that the platform's config does not")
 	c.Flags().StringVar(&s.format, "log-format", "text", "text or json")
-	c.Flags().StringVar(&s.level, "log-level", "", "debug, info, warn or error (info, or debug where BRASSDALE_DEBUG is set)")
+	c.Flags().StringVar(&s.level, "log-level", "", "debug, info, warn or error (info, or debug if BRASSDALE_DEBUG is set)")
 }
 
 // run serves until a signal ends the program.
@@ -57,7 +57,7 @@
 	}
 	if s.level != "" {
 		if err := options.Level.UnmarshalText([]byte(s.level)); err != nil {
-			return fmt.Errorf("--log-level: %q is none of debug, info, warn, error", s.level)
+			return fmt.Errorf("--log-level: expected debug, info, warn or error, got %q", s.level)
 		}
 	}
 	switch s.format {
@@ -66,10 +66,10 @@
 	case "json":
 		options.Handler = func(h *slog.HandlerOptions) slog.Handler { return slog.NewJSONHandler(os.Stderr, h) }
 	default:
-		return fmt.Errorf("--log-format: %q is neither text nor json", s.format)
+		return fmt.Errorf("--log-format: expected text or json, got %q", s.format)
 	}
-	// A channel for each signal: a signal is dropped if its channel is full, and a SIGTERM must not be dropped for a SIGHUP. Both are
-	// caught from the first moment on, or a SIGHUP during the start would end the program.
+	// Each signal has its own channel: a signal is dropped if its channel is full, and a pending SIGHUP must not cause the loss of a
+	// SIGTERM. Both are caught before the start, as an uncaught SIGHUP would end the program.
 	ends, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -80,7 +80,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check an operator's file: print every fault, or what would be in force",
+		Short: "Check an operator's file: print all errors, or the resulting settings",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			file, err := operator.Load(args[0])
--- a/internal/command/endpointcache.go
+++ b/internal/command/endpointcache.go
@@ -13,29 +13,29 @@
 	"brassdale/internal/endpointcache"
 )
 
-// cacheCommands are the commands on a directory of endpoint caches. A dispatcher may be writing there meanwhile.
+// cacheCommands are the commands on a directory of endpoint caches. A dispatcher may write to it at the same time.
 type cacheCommands struct {
-	dispatcher string // whose cache is meant; empty for all
-	asJSON     bool   // for show
-	keep       int    // generations that prune leaves
+	dispatcher string // whose cache to use; empty for all
+	asJSON     bool   // output of show
+	keep       int    // number of generations that prune keeps
 }
 
 // endpointCacheCommand makes 'brassdale saved'.
 func endpointCacheCommand() *cobra.Command {
 	commands := &cacheCommands{keep: 1}
-	parent := &cobra.Command{Use: "saved", Short: "Show, check or trim a folder of saved lists"}
-	parent.PersistentFlags().StringVar(&commands.dispatcher, "name", "", "the dispatcher whose lists are meant (all if left out)")
+	parent := &cobra.Command{Use: "saved", Short: "Show, verify or prune a directory of endpoint caches"}
+	parent.PersistentFlags().StringVar(&commands.dispatcher, "name", "", "the dispatcher whose cache to use (all if left out)")
 
-	show := &cobra.Command{Use: "show DIR", Short: "Print the list that a start would begin with", Args: cobra.ExactArgs(1), RunE: commands.show}
-	show.Flags().BoolVar(&commands.asJSON, "json", false, "as it is kept")
+	show := &cobra.Command{Use: "show DIR", Short: "Print the endpoint list that a dispatcher would start with", Args: cobra.ExactArgs(1), RunE: commands.show}
+	show.Flags().BoolVar(&commands.asJSON, "json", false, "print the stored list as JSON")
 	verify := &cobra.Command{Use: "verify DIR", Short: "Check all generations; exit code 1 if one is damaged", Args: cobra.ExactArgs(1), RunE: commands.verify}
 	prune := &cobra.Command{Use: "prune DIR", Short: "Remove all but the newest generations", Args: cobra.ExactArgs(1), RunE: commands.prune}
-	prune.Flags().IntVar(&commands.keep, "keep", commands.keep, "how many generations stay")
+	prune.Flags().IntVar(&commands.keep, "keep", commands.keep, "how many generations to keep")
 	parent.AddCommand(show, verify, prune)
 	return parent
 }
 
-// eachStore calls do with the store of each dispatcher that is meant, and joins the errors. An error names its dispatcher.
+// eachStore calls do with the store of each selected dispatcher and joins the errors. An error names its dispatcher.
 func (c *cacheCommands) eachStore(dir string, do func(dispatcher string, store *endpointcache.Store) error) error {
 	dispatchers := []string{c.dispatcher}
 	if c.dispatcher == "" {
@@ -44,7 +44,7 @@
 			return err
 		}
 		if len(dispatchers) == 0 {
-			return fmt.Errorf("%s: no dispatcher has kept a list there", dir)
+			return fmt.Errorf("%s: no endpoint cache found", dir)
 		}
 	}
 	var all error
@@ -60,7 +60,7 @@
 	return all
 }
 
-// show prints the newest generation that is whole.
+// show prints the newest generation that is not damaged.
 func (c *cacheCommands) show(command *cobra.Command, args []string) error {
 	return c.eachStore(args[0], func(_ string, store *endpointcache.Store) error {
 		generations, err := store.Generations()
@@ -72,11 +72,11 @@
 				return printGeneration(command.OutOrStdout(), generation, c.asJSON)
 			}
 		}
-		return errors.New("no generation is whole")
+		return errors.New("all generations are damaged or none exists")
 	})
 }
 
-// verify prints what is found of each generation. Its error says how many are damaged.
+// verify prints the state of each generation. Its error has the number of damaged ones.
 func (c *cacheCommands) verify(command *cobra.Command, args []string) error {
 	return c.eachStore(args[0], func(dispatcher string, store *endpointcache.Store) error {
 		generations, err := store.Generations()
@@ -90,7 +90,7 @@
 				fmt.Fprintf(command.OutOrStdout(), "%s: generation %d: %v\n", dispatcher, generation.Number, generation.Err)
 				continue
 			}
-			fmt.Fprintf(command.OutOrStdout(), "%s: generation %d: whole, of %s, %d boxes, %d records, %d bytes behind them\n",
+			fmt.Fprintf(command.OutOrStdout(), "%s: generation %d: whole, confirmed at %s, %d workers, %d journal records, %d bytes after them\n",
 				dispatcher, generation.Number, generation.List.ConfirmedAt().UTC().Format(time.RFC3339),
 				len(generation.List.Members), generation.Records, generation.TornBytes)
 		}
@@ -101,7 +101,7 @@
 	})
 }
 
-// prune removes all but the newest generations and prints how many files that were.
+// prune removes all but the newest generations and prints the number of removed files.
 func (c *cacheCommands) prune(command *cobra.Command, args []string) error {
 	if c.keep < 1 {
 		return errors.New("--keep must be 1 or more")
@@ -113,7 +113,7 @@
 	})
 }
 
-// printGeneration writes a generation as a table, or as the JSON that is on file.
+// printGeneration writes a generation as a table, or the stored list as JSON.
 func printGeneration(out io.Writer, generation endpointcache.Generation, asJSON bool) error {
 	list := generation.List
 	if asJSON {
@@ -121,7 +121,7 @@
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(list)
 	}
-	fmt.Fprintf(out, "dispatcher %s, generation %d, revision %d of %s, true at %s (%s ago)\n", list.Dispatcher, generation.Number, list.Revision, list.Discovery,
+	fmt.Fprintf(out, "dispatcher %s, generation %d, revision %d of %s, confirmed at %s (%s ago)\n", list.Dispatcher, generation.Number, list.Revision, list.Discovery,
 		list.ConfirmedAt().UTC().Format(time.RFC3339), time.Since(list.ConfirmedAt()).Round(time.Second))
 	detached := map[string]bool{}
 	for _, id := range list.Detached {
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -10,16 +10,16 @@
 	"brassdale/internal/fleet"
 )
 
-// fleetCommand makes 'brassdale fleet': what a fleet has agreed on, and proposals to change it.
+// fleetCommand makes 'brassdale fleet', which shows the config that a fleet has agreed on and proposes changes to it.
 func fleetCommand() *cobra.Command {
 	client := &fleetClient{}
-	command := &cobra.Command{Use: "fleet", Short: "What the dispatchers of a fleet agree on, and changes of it"}
-	command.PersistentFlags().StringVar(&client.address, "address", "127.0.0.1:7400", "the council's address of any dispatcher of the fleet")
-	command.PersistentFlags().BoolVar(&client.asJSON, "json", false, "as JSON")
+	command := &cobra.Command{Use: "fleet", Short: "Show and change the config that the dispatchers of a fleet agree on"}
+	command.PersistentFlags().StringVar(&client.address, "address", "127.0.0.1:7400", "the address of any dispatcher's fleet listener")
+	command.PersistentFlags().BoolVar(&client.asJSON, "json", false, "print JSON")
 	command.AddCommand(
-		client.statusCommand("status", "Versions, who leads, who holds leases", statusTable),
+		client.statusCommand("status", "Show the config versions, the leader and this dispatcher's lease", statusTable),
 		client.membersCommand(),
-		client.statusCommand("council", "The council's seats, as the leader sees them (ask the leader)", votersTable),
+		client.statusCommand("council", "Show the voters of the raft group, as the leader sees them (ask the leader)", votersTable),
 		client.historyCommand(),
 		client.diffCommand(),
 		client.watchCommand(),
@@ -44,11 +44,11 @@
 	}
 }
 
-// votersTable writes the voters as the leader sees them; of a dispatcher that does not lead, as the record has them.
+// votersTable writes the voters as the leader sees them. A dispatcher that does not lead has only the voters of the record.
 func votersTable(out io.Writer, status fleet.Status) {
 	fmt.Fprint(out, "seat\tdispatcher\taddress\tregion\tzone\tvotes\tsilent\tbehind\n")
 	voterStatuses := status.Voters
-	if voterStatuses == nil { // not asked at the leader
+	if voterStatuses == nil { // the status is not the leader's
 		for _, voter := range status.Record.Voters {
 			voterStatuses = append(voterStatuses, voters.Status{Voter: voter})
 		}
--- a/internal/command/fleetclient.go
+++ b/internal/command/fleetclient.go
@@ -15,24 +15,24 @@
 	"brassdale/internal/fleet"
 )
 
-// requestTimeout is how long a dispatcher may take to answer a request of a command.
+// requestTimeout is how long a command waits for a dispatcher's answer.
 const requestTimeout = 5 * time.Second
 
-// fleetClient asks a dispatcher of a fleet. Its fields are the flags that the commands on a fleet share.
+// fleetClient sends requests to one dispatcher of a fleet. Its fields are the flags that the commands on a fleet share.
 type fleetClient struct {
 	address string // of the dispatcher's fleet listener
 	reason  string // of a change, recorded with it
 	asJSON  bool
 }
 
-// record returns the fleet's record with its history, as a voter has it.
+// record returns the fleet's record with its history, as a voter knows it.
 func (client *fleetClient) record(ctx context.Context) (configversions.Record, error) {
 	var got struct{ Record configversions.Record }
 	err := client.call(ctx, "record", nil, &got)
 	return got.Record, err
 }
 
-// status returns what the dispatcher says of itself and the fleet.
+// status returns the dispatcher's status, which includes its view of the fleet.
 func (client *fleetClient) status(ctx context.Context) (status fleet.Status, err error) {
 	err = client.call(ctx, "status", nil, &status)
 	return status, err
@@ -49,7 +49,7 @@
 	}}
 }
 
-// printOutput prints a value as JSON if that was asked for, else as a table.
+// printOutput prints a value as JSON if --json is set, else as a table.
 func (client *fleetClient) printOutput(command *cobra.Command, value any, table func(io.Writer)) error {
 	if client.asJSON {
 		encoder := json.NewEncoder(command.OutOrStdout())
@@ -61,8 +61,8 @@
 	return writer.Flush()
 }
 
-// call sends a request to the dispatcher, POST with a body and GET without, and decodes the answer. An error has the status and
-// the reason that the dispatcher gave.
+// call sends a request to the dispatcher, POST with a body and GET without, and decodes the answer. If the
+// status is not 200, the error has the status and the dispatcher's reason.
 func (client *fleetClient) call(ctx context.Context, resource string, body []byte, to any) error {
 	status, text, err := fleet.Call(ctx, &http.Client{Transport: &http.Transport{}}, "http://"+client.address+"/council/"+resource, body, time.Now().Add(requestTimeout))
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	if status != http.StatusOK {
 		var refusal struct{ Why string }
-		_ = json.Unmarshal(text, &refusal) // without a reason the status has to do
+		_ = json.Unmarshal(text, &refusal) // without a reason the error has the status only
 		return fmt.Errorf("%d: %s", status, refusal.Why)
 	}
 	return json.Unmarshal(text, to)
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -10,14 +10,14 @@
 	"brassdale/internal/testsupport"
 )
 
-// TestGoldenHelp checks that all sub-commands, flags, defaults and help texts are those of the golden file.
+// TestGoldenHelp checks all sub-commands, flags, defaults and help texts against the golden file.
 func TestGoldenHelp(t *testing.T) {
 	var got bytes.Buffer
 	writeHelp(&got, New())
 	testsupport.CheckGolden(t, "testdata/help.txt", got.Bytes())
 }
 
-// writeHelp writes the help of a command and of all below it, hidden ones too.
+// writeHelp writes the help of a command and of all its sub-commands, including hidden ones.
 func writeHelp(out *bytes.Buffer, c *cobra.Command) {
 	fmt.Fprintf(out, "==== %s\nhidden: %t\naliases: %q\nshort: %s\nlong: %s\n%s\n", c.CommandPath(), c.Hidden, c.Aliases, c.Short, c.Long, c.UsageString())
 	for _, sub := range c.Commands() {
--- a/internal/command/history.go
+++ b/internal/command/history.go
@@ -16,7 +16,7 @@
 
 // historyCommand makes 'brassdale fleet history'.
 func (client *fleetClient) historyCommand() *cobra.Command {
-	return &cobra.Command{Use: "history", Short: "Versions that were in force, and those that were withdrawn", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "history", Short: "Show the versions that were in force and the withdrawn ones", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			record, err := client.record(command.Context())
 			if err != nil {
@@ -45,7 +45,7 @@
 
 // rollbackCommand makes 'brassdale fleet rollback'.
 func (client *fleetClient) rollbackCommand() *cobra.Command {
-	return &cobra.Command{Use: "rollback", Short: "Announce the rules that were in force before", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "rollback", Short: "Announce the rules of the version that was in force before", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			record, err := client.record(command.Context())
 			if err != nil {
@@ -60,9 +60,9 @@
 		}}
 }
 
-// diffCommand makes 'brassdale fleet diff': what changed between two versions, by default the last two.
+// diffCommand makes 'brassdale fleet diff', which shows what changed between two versions, by default the last two.
 func (client *fleetClient) diffCommand() *cobra.Command {
-	return &cobra.Command{Use: "diff [FROM [TO]]", Short: "What changed between two versions; the last two where left out", Args: cobra.MaximumNArgs(2),
+	return &cobra.Command{Use: "diff [FROM [TO]]", Short: "Show what changed between two versions (the last two if left out)", Args: cobra.MaximumNArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			record, err := client.record(command.Context())
 			if err != nil {
@@ -95,7 +95,7 @@
 	number, err := strconv.ParseUint(args[argument], 10, 64)
 	i := slices.IndexFunc(versions, func(v configversions.Version) bool { return err == nil && v.Number == number })
 	if i < 0 {
-		return configversions.Version{}, fmt.Errorf("no version %s was in force, as far as is kept", args[argument])
+		return configversions.Version{}, fmt.Errorf("version %s is not in the kept history", args[argument])
 	}
 	return versions[i], nil
 }
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -13,17 +13,17 @@
 	"brassdale/internal/fleet/gossip"
 )
 
-// fleetMember is a dispatcher of the fleet: what its lease says, and what gossip says. Field names without a tag are JSON keys.
+// fleetMember is a dispatcher of the fleet with its lease state and its gossip state. Field names without a tag are JSON keys.
 type fleetMember struct {
 	configversions.Dispatcher
-	Gossip string // its state by the gossip of the dispatcher that was asked; "-" for other zones
-	Lease  string // since when it has none, or the version that it acknowledged
+	Gossip string // its state in the gossip of the dispatcher that was asked; "-" for other zones
+	Lease  string // how long ago its lease ended, or the version that it acknowledged
 }
 
-// membersCommand makes 'brassdale fleet members': the dispatchers that have a lease or had one within the hour, as the leader knows
-// them, and the gossip peers of the dispatcher that is asked. Without a leader it lists the peers alone, and says so.
+// membersCommand makes 'brassdale fleet members'. It lists the dispatchers that have a lease or had one within the hour, from the leader,
+// and the gossip peers of the dispatcher that is asked. Without the leader's list it prints a note and lists only the peers.
 func (client *fleetClient) membersCommand() *cobra.Command {
-	return &cobra.Command{Use: "members", Short: "Who is there: by leases, as the leader knows, and by gossip, the neighbours of the one that is asked", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "members", Short: "Show the dispatchers by their leases at the leader, and by the gossip of the one that is asked", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			status, err := client.status(command.Context())
 			if err != nil {
@@ -34,7 +34,7 @@
 				Absent  []configversions.AbsentDispatcher
 			}
 			if err := client.call(command.Context(), "known", nil, &known); err != nil {
-				fmt.Fprintf(command.ErrOrStderr(), "nobody leads, so these are neighbours alone: %v\n", err)
+				fmt.Fprintf(command.ErrOrStderr(), "the leader's list is not available, so only gossip peers are listed: %v\n", err)
 			}
 			all := mergeMembers(status.Members, known.Present, known.Absent)
 			var rows []fleetMember
@@ -51,8 +51,8 @@
 		}}
 }
 
-// mergeMembers returns all dispatchers by name: gossip peers, those without a lease any more, and those with one, the later over the
-// earlier.
+// mergeMembers returns all dispatchers by name: gossip peers, those whose lease has ended, and those with a lease. Each group replaces the
+// entries of those before it.
 func mergeMembers(peers []gossip.Member, leaseHolders []configversions.Dispatcher, absent []configversions.AbsentDispatcher) map[string]fleetMember {
 	all := map[string]fleetMember{}
 	for _, peer := range peers {
--- a/internal/command/watch.go
+++ b/internal/command/watch.go
@@ -8,12 +8,12 @@
 	"github.com/spf13/cobra"
 )
 
-// watchInterval is how often 'brassdale fleet watch' asks.
+// watchInterval is the time between two requests of 'brassdale fleet watch'.
 const watchInterval = 200 * time.Millisecond
 
 // watchCommand makes 'brassdale fleet watch', which prints a line at each change until it is interrupted.
 func (client *fleetClient) watchCommand() *cobra.Command {
-	return &cobra.Command{Use: "watch", Short: "Print what a dispatcher acts on, at each change", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "watch", Short: "Print the versions that a dispatcher applies, at each change", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			last := ""
 			for command.Context().Err() == nil {
@@ -31,7 +31,7 @@
 		}}
 }
 
-// watchLine returns what the dispatcher applies now, or the error of asking it.
+// watchLine returns what the dispatcher applies now, or the error of the request.
 func (client *fleetClient) watchLine(ctx context.Context) string {
 	status, err := client.status(ctx)
 	if err != nil {
--- a/internal/command/zones.go
+++ b/internal/command/zones.go
@@ -18,13 +18,13 @@
 	"brassdale/internal/fleet"
 )
 
-// zonesCommand makes 'brassdale zones': where the jobs of each zone are served, and limits on zones.
+// zonesCommand makes 'brassdale zones', which shows where the jobs of each zone are served, and sets zone limits.
 func zonesCommand() *cobra.Command {
 	client := &fleetClient{}
 	var force bool
-	command := &cobra.Command{Use: "zones", Short: "Where the jobs of each zone are served, and why"}
-	command.PersistentFlags().StringVar(&client.address, "address", "127.0.0.1:7400", "the council's address of any dispatcher of the fleet")
-	command.PersistentFlags().BoolVar(&client.asJSON, "json", false, "as JSON")
+	command := &cobra.Command{Use: "zones", Short: "Show where and why the jobs of each zone are served, and set zone limits"}
+	command.PersistentFlags().StringVar(&client.address, "address", "127.0.0.1:7400", "the address of any dispatcher's fleet listener")
+	command.PersistentFlags().BoolVar(&client.asJSON, "json", false, "print JSON")
 	setLimit := func(command *cobra.Command, zone string, share float64) error {
 		text, err := json.Marshal(configversions.ZoneLimit{Zone: zone, Share: share, By: userName(), Reason: client.reason, Force: force})
 		if err != nil {
@@ -37,23 +37,23 @@
 		fmt.Fprintln(command.OutOrStdout(), got.Why)
 		return nil
 	}
-	limitCommand := &cobra.Command{Use: "hold ZONE SHARE", Short: "Plan with a share of a zone's capacity only", Args: cobra.ExactArgs(2),
+	limitCommand := &cobra.Command{Use: "hold ZONE SHARE", Short: "Set a zone limit: plan with only a share of the zone's capacity", Args: cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			share, err := strconv.ParseFloat(args[1], 64)
 			if err != nil || !(share >= 0 && share <= 1) {
-				return fmt.Errorf("%q is no share from 0 to 1", args[1])
+				return fmt.Errorf("expected a share from 0 to 1, got %q", args[1])
 			}
 			return setLimit(command, args[0], share)
 		}}
-	drain := &cobra.Command{Use: "drain ZONE", Short: "Plan nothing into a zone; refused where there is no room elsewhere", Args: cobra.ExactArgs(1),
+	drain := &cobra.Command{Use: "drain ZONE", Short: "Plan no jobs into a zone; refused if the other zones lack capacity", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error { return setLimit(command, args[0], 0) }}
-	back := &cobra.Command{Use: "return ZONE", Short: "Plan with all of a zone's capacity again", Args: cobra.ExactArgs(1),
+	removeLimit := &cobra.Command{Use: "return ZONE", Short: "End a zone limit: plan with all of the zone's capacity again", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error { return setLimit(command, args[0], 1) }}
 	for _, sub := range []*cobra.Command{limitCommand, drain} {
-		sub.Flags().BoolVar(&force, "force", false, "though there is no room elsewhere: kept with your name and the reason")
+		sub.Flags().BoolVar(&force, "force", false, "set the limit even if the other zones lack capacity; kept with your name and the reason")
 	}
 	explain := client.statusCommand("explain", "", nil)
-	explain.Use, explain.Short, explain.Args = "explain ZONE", "Why a zone's shares stand where they do", cobra.ExactArgs(1)
+	explain.Use, explain.Short, explain.Args = "explain ZONE", "Explain a zone's shares in the plan", cobra.ExactArgs(1)
 	explain.RunE = func(command *cobra.Command, args []string) error {
 		s, err := client.status(command.Context())
 		if err != nil {
@@ -61,12 +61,12 @@
 		}
 		return explainZone(command.OutOrStdout(), s, args[0])
 	}
-	command.AddCommand(client.statusCommand("status", "The zones, as the leader plans them (ask the leader)", zonesTable), client.statusCommand("plan", "The plan in force", planTable), explain,
-		client.withReason(limitCommand), client.withReason(drain), client.withReason(back))
+	command.AddCommand(client.statusCommand("status", "Show the zones, as the leader plans them (ask the leader)", zonesTable), client.statusCommand("plan", "Show the plan in force", planTable), explain,
+		client.withReason(limitCommand), client.withReason(drain), client.withReason(removeLimit))
 	return command
 }
 
-// zonesTable writes the zones as the leader plans them, and the limits that people set.
+// zonesTable writes the zones as the leader plans them, and the zone limits.
 func zonesTable(out io.Writer, status fleet.Status) {
 	fmt.Fprint(out, "zone\tregion\tcapacity\tplanned\tasked\tshed\tfactor\tout from\twhy\n")
 	for _, zone := range status.Zones {
@@ -81,7 +81,7 @@
 func planTable(out io.Writer, status fleet.Status) {
 	plan := status.Record.Plan
 	if plan == nil {
-		fmt.Fprintln(out, "no plan yet: every zone serves its own")
+		fmt.Fprintln(out, "no plan yet: every zone serves its own jobs")
 		return
 	}
 	fmt.Fprintf(out, "plan %d\nfrom\tclass\tserved in\n", plan.Number)
@@ -92,7 +92,7 @@
 	}
 }
 
-// sharesText returns shares as text, with what is shed.
+// sharesText returns shares as text, and the share that is shed.
 func sharesText(shares []failover.ZoneShare) string {
 	var texts []string
 	sum := 0.0
@@ -106,38 +106,38 @@
 	return strings.Join(texts, ", ")
 }
 
-// explainZone writes what a zone's part of the plan rests on. It is an error if nothing is planned of the zone.
+// explainZone writes a zone's shares in the plan, the reasons, its limits and its capacity. It returns an error if it finds none of these.
 func explainZone(out io.Writer, status fleet.Status, zone string) error {
 	plan := status.Record.Plan
 	if plan == nil {
-		return errors.New("no plan yet: every zone serves its own")
+		return errors.New("no plan yet: every zone serves its own jobs")
 	}
-	known := false
+	found := false
 	for _, class := range slices.Sorted(maps.Keys(plan.Shares[zone])) {
-		known = true
+		found = true
 		fmt.Fprintf(out, "%s of %s: %s\n", class, zone, sharesText(plan.Shares[zone][class]))
 	}
 	if why := plan.Reasons[zone]; why != "" {
-		known = true
+		found = true
 		fmt.Fprintf(out, "why: %s\n", why)
 	}
 	for _, limit := range status.Record.ZoneLimits {
 		if limit.Zone == zone {
-			known = true
-			fmt.Fprintf(out, "held at %g by %s: %s\n", limit.Share, limit.By, cmp.Or(limit.Reason, "-"))
+			found = true
+			fmt.Fprintf(out, "limited to %g by %s: %s\n", limit.Share, limit.By, cmp.Or(limit.Reason, "-"))
 		}
 	}
 	for _, view := range status.Zones {
 		if view.Zone == zone {
-			known = true
-			fmt.Fprintf(out, "capacity %.1f slots (its times bear out %.2f of it), planned %.1f, asked for there %.1f, out from %v\n", view.Capacity, view.CapacityFactor, view.Planned, view.Demand, view.UnreachableFrom)
+			found = true
+			fmt.Fprintf(out, "capacity %.1f slots (plans use %.2f of it, by the share of attempts in time), planned %.1f, demand %.1f, unreachable from %v\n", view.Capacity, view.CapacityFactor, view.Planned, view.Demand, view.UnreachableFrom)
 		}
 	}
-	if !known {
-		return fmt.Errorf("nothing is planned of a zone %q", zone)
+	if !found {
+		return fmt.Errorf("zone %q has no plan, limit or status", zone)
 	}
 	if status.PlanExpired {
-		fmt.Fprintln(out, "this dispatcher has been cut off for too long: it serves its own zone only")
+		fmt.Fprintln(out, "the plan has expired, as this dispatcher has had no lease for too long: it serves its own zone only")
 	}
 	return nil
 }
