--- a/cmd/brassdale/main.go
+++ b/cmd/brassdale/main.go
@@ -1,4 +1,4 @@
-// Command brassdale is the dispatcher process, which is configured by the platform's environment variables, and the operators' commands.
+// Command brassdale runs the dispatcher, which the platform configures by environment variables, and the operators' commands.
 package main
 
 import (
--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -13,23 +13,23 @@
 	"brassdale/scheduler"
 )
 
-// instance is one dispatcher that the simulator plays in this process.
+// instance is one simulated dispatcher.
 type instance struct {
 	settings  protocol.Settings
 	scheduler *scheduler.Scheduler
 }
 
-// conversation is the state of one run with the simulator. It is used by one goroutine.
-type conversation struct {
+// session is the state of one run with the simulator. It is used by one goroutine.
+type session struct {
 	out       *bufio.Writer
 	now       scheduler.Instant
 	pages     map[uint64][]entry
 	instances map[int]*instance
 }
 
-// run answers the batches of lines read from in until it ends. An error names the line at fault.
+// run reads batches of lines from in until its end, and writes the answers to out. An error names the invalid line.
 func run(in io.Reader, out io.Writer) error {
-	c := &conversation{out: bufio.NewWriterSize(out, 1<<16), pages: map[uint64][]entry{}, instances: map[int]*instance{}}
+	c := &session{out: bufio.NewWriterSize(out, 1<<16), pages: map[uint64][]entry{}, instances: map[int]*instance{}}
 	reader := bufio.NewReaderSize(in, 1<<16)
 	for number := 1; ; number++ {
 		line, err := reader.ReadBytes('\n')
@@ -47,8 +47,7 @@
 	}
 }
 
-// handleLine handles one line.
-func (c *conversation) handleLine(line []byte) error {
+func (c *session) handleLine(line []byte) error {
 	name, body, err := unwrap(line)
 	if err != nil {
 		return err
@@ -78,8 +77,8 @@
 	return nil
 }
 
-// unwrap returns the name and the body of the one message on a line. Nearly all lines have the plain form that is cut apart here;
-// any other is left to the JSON package.
+// unwrap returns the name and the body of the one message on a line. Nearly all lines have the plain form, which is split here without
+// decoding. Others are decoded by encoding/json.
 func unwrap(line []byte) (string, []byte, error) {
 	if rest, ok := bytes.CutPrefix(line, []byte(`{"`)); ok && line[len(line)-1] == '}' {
 		if name, body, ok := bytes.Cut(rest, []byte(`":{`)); ok && plainName(name) {
@@ -101,7 +100,7 @@
 	panic("unreachable")
 }
 
-// plainName reports whether a name has capital letters and underscores alone.
+// plainName reports whether a name consists of capital letters and underscores only.
 func plainName(name []byte) bool {
 	for _, letter := range name {
 		if letter != '_' && (letter < 'A' || letter > 'Z') {
@@ -112,7 +111,7 @@
 }
 
 // handleEvent passes one event to the scheduler of its dispatcher and writes the actions.
-func (c *conversation) handleEvent(name string, dispatcher int, event *message) error {
+func (c *session) handleEvent(name string, dispatcher int, event *message) error {
 	switch name {
 	case "ENLIST":
 		c.instances[dispatcher] = &instance{settings: event.Params, scheduler: scheduler.New(event.Params.SchedulerSettings(), event.InitSeed)}
@@ -137,8 +136,8 @@
 	return nil
 }
 
-// translate returns the event in the scheduler's terms; nil for one that the scheduler does not need.
-func (c *conversation) translate(target *instance, name string, event *message) (scheduler.Event, error) {
+// translate returns the scheduler's event for a simulator's event, or nil if the scheduler does not need it.
+func (c *session) translate(target *instance, name string, event *message) (scheduler.Event, error) {
 	request, worker := scheduler.RequestID(event.Handle), scheduler.WorkerID(event.Worker)
 	switch name {
 	case "BACKENDS_CHANGED":
@@ -177,8 +176,8 @@
 	return nil, errors.New("unknown message")
 }
 
-// endpointsUpdated returns the list that an event refers to, as it was given last.
-func (c *conversation) endpointsUpdated(event *message) (scheduler.Event, error) {
+// endpointsUpdated returns the update for an event, with the last list that was received under the event's list number.
+func (c *session) endpointsUpdated(event *message) (scheduler.Event, error) {
 	kind, ok := listKinds[event.Form]
 	if !ok {
 		return nil, fmt.Errorf("unknown form %q", event.Form)
@@ -189,7 +188,7 @@
 	}
 	page, ok := c.pages[event.Ref]
 	if !ok {
-		return nil, fmt.Errorf("list %d was never given", event.Ref)
+		return nil, fmt.Errorf("list %d was not received before", event.Ref)
 	}
 	for _, line := range page {
 		state, ok := states[line.Status]
@@ -205,32 +204,32 @@
 }
 
 // writeAction writes an action of a dispatcher as one line.
-func (c *conversation) writeAction(dispatcher int, action scheduler.Action) error {
+func (c *session) writeAction(dispatcher int, action scheduler.Action) error {
 	switch action := action.(type) {
 	case scheduler.Send:
-		return c.put("FORWARD", forward{dispatcher, uint64(action.ID), string(action.Worker)})
+		return c.writeMessage("FORWARD", forward{dispatcher, uint64(action.ID), string(action.Worker)})
 	case scheduler.Cancel:
-		return c.put("ABORT_ATTEMPT", abort{dispatcher, uint64(action.ID), action.Attempt})
+		return c.writeMessage("ABORT_ATTEMPT", abort{dispatcher, uint64(action.ID), action.Attempt})
 	case scheduler.Reject:
-		return c.put("BUSY", busy{dispatcher, uint64(action.ID), inMicros(action.RetryAfter)})
+		return c.writeMessage("BUSY", busy{dispatcher, uint64(action.ID), inMicros(action.RetryAfter)})
 	case scheduler.Fail:
-		return c.put("END_FAILED", endFailed{dispatcher, uint64(action.ID)})
+		return c.writeMessage("END_FAILED", endFailed{dispatcher, uint64(action.ID)})
 	case scheduler.CloseIdleConnections:
-		return c.put("DROP_CONNS", soundOut{dispatcher, string(action.Worker)})
+		return c.writeMessage("DROP_CONNS", workerAction{dispatcher, string(action.Worker)})
 	case scheduler.Probe:
-		return c.put("SOUND_OUT", soundOut{dispatcher, string(action.Worker)})
+		return c.writeMessage("SOUND_OUT", workerAction{dispatcher, string(action.Worker)})
 	case scheduler.Subscribe:
-		return c.put("TRACK", track{dispatcher, true})
+		return c.writeMessage("TRACK", track{dispatcher, true})
 	case scheduler.SetTimer:
-		return c.put("WAKE_AT", wakeAt{dispatcher, action.Token, inMicros(action.After)})
+		return c.writeMessage("WAKE_AT", wakeAt{dispatcher, action.Token, inMicros(action.After)})
 	case scheduler.Log:
-		return c.put("SAY_LOG", sayLog{dispatcher, action.Text})
+		return c.writeMessage("SAY_LOG", sayLog{dispatcher, action.Text})
 	}
 	return fmt.Errorf("unknown action %T", action)
 }
 
-// put writes a named body as one line.
-func (c *conversation) put(name string, body any) error {
+// writeMessage writes a named body as one line.
+func (c *session) writeMessage(name string, body any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -17,8 +17,8 @@
 	return `{"pod":0,"machine":0,"regionPart":1,"worker":"` + id + `","status":"live","weight":1}`
 }
 
-// converse feeds lines and returns all that was answered.
-func converse(t *testing.T, lines ...string) (string, error) {
+// runLines passes lines to run and returns its output.
+func runLines(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
 	err := run(strings.NewReader(strings.Join(lines, "\n")), &out)
@@ -26,7 +26,7 @@
 }
 
 func TestExchange(t *testing.T) {
-	got, err := converse(t,
+	got, err := runLines(t,
 		`{"SYNC":{"time":1000000}}`, `{"YOUR_TURN":{}}`,
 		`{"SYNC":{"time":1005000}}`, enlist,
 		`{"PAGE":{"ref":0,"nodesList":[`+entryLine("a:1")+`]}}`,
@@ -49,9 +49,9 @@
 	}
 }
 
-// A list number is used again within a batch: each change means the list given last before it.
-func TestListNumbersGoByOrder(t *testing.T) {
-	got, err := converse(t, `{"SYNC":{"time":1000000}}`, enlist, strings.ReplaceAll(enlist, `"dispatcherId":3`, `"dispatcherId":4`),
+// A list number may be reused within a batch: each change refers to the last list before it with its number.
+func TestReusedListNumber_lastListApplies(t *testing.T) {
+	got, err := runLines(t, `{"SYNC":{"time":1000000}}`, enlist, strings.ReplaceAll(enlist, `"dispatcherId":3`, `"dispatcherId":4`),
 		`{"PAGE":{"ref":0,"nodesList":[`+entryLine("a:1")+`]}}`,
 		`{"BACKENDS_CHANGED":{"dispatcherId":3,"form":"SAVED","ref":0}}`,
 		`{"PAGE":{"ref":0,"nodesList":[`+entryLine("b:2")+`]}}`,
@@ -67,9 +67,9 @@
 	}
 }
 
-// After a kill nothing of the old life counts, and the same dispatcher can start anew at once.
-func TestShutdownForgets(t *testing.T) {
-	got, err := converse(t, `{"SYNC":{"time":1000000}}`, enlist, `{"SHUTDOWN":{"dispatcherId":3}}`, enlist,
+// After SHUTDOWN, messages for the ended instance have no effect, and the same dispatcher can be enlisted again at once.
+func TestShutdown_stateDropped(t *testing.T) {
+	got, err := runLines(t, `{"SYNC":{"time":1000000}}`, enlist, `{"SHUTDOWN":{"dispatcherId":3}}`, enlist,
 		`{"PAGE":{"ref":5,"nodesList":[]}}`, `{"BACKENDS_CHANGED":{"dispatcherId":3,"form":"FULL","ref":5}}`,
 		`{"CLOSED_ATTEMPT":{"dispatcherId":3,"handle":7,"worker":"a:1","seqNo":0,"verdict":"T"}}`,
 		`{"HANGUP":{"dispatcherId":3,"handle":7}}`, `{"ELAPSED":{"dispatcherId":3,"ref":99}}`, `{"YOUR_TURN":{}}`)
@@ -82,35 +82,35 @@
 	for _, c := range []struct{ name, line, want string }{
 		{"not JSON", `hello`, "line 2: not a JSON object"},
 		{"two messages", `{"SYNC":{},"YOUR_TURN":{}}`, "line 2: 2 messages"},
-		{"no instance", `{"ARRIVAL":{"handle":1}}`, "line 2: ARRIVAL: no dispatcherId"},
-		{"instance not enlisted", `{"ARRIVAL":{"dispatcherId":8,"handle":1}}`, "line 2: ARRIVAL: dispatcher 8 was not enlisted"},
-		{"list never given", `{"BACKENDS_CHANGED":{"dispatcherId":3,"form":"FULL","ref":4}}`, "line 2: BACKENDS_CHANGED: list 4"},
+		{"no dispatcher ID", `{"ARRIVAL":{"handle":1}}`, "line 2: ARRIVAL: no dispatcherId"},
+		{"dispatcher not enlisted", `{"ARRIVAL":{"dispatcherId":8,"handle":1}}`, "line 2: ARRIVAL: dispatcher 8 was not enlisted"},
+		{"list not received", `{"BACKENDS_CHANGED":{"dispatcherId":3,"form":"FULL","ref":4}}`, "line 2: BACKENDS_CHANGED: list 4"},
 		{"unknown form", `{"BACKENDS_CHANGED":{"dispatcherId":3,"form":"HALF","ref":4}}`, `unknown form "HALF"`},
 		{"unknown verdict", `{"ECHO":{"dispatcherId":3,"worker":"a:1","verdict":"?"}}`, `unknown verdict "?"`},
 		{"wrong type", `{"ARRIVAL":{"dispatcherId":3,"handle":"x"}}`, "line 2: ARRIVAL"},
 		{"unknown event", `{"RAIN":{"dispatcherId":3}}`, "line 2: RAIN: unknown message"},
 	} {
-		if _, err := converse(t, enlist, c.line); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := runLines(t, enlist, c.line); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want %q in it", c.name, err, c.want)
 		}
 	}
 }
 
 func TestEndOfInput(t *testing.T) {
-	if got, err := converse(t, ""); err != nil || got != "" {
+	if got, err := runLines(t, ""); err != nil || got != "" {
 		t.Errorf("empty input: error %v, answered %q", err, got)
 	}
 }
 
-// A connection that broke after idle time makes the next idle one be closed before it is used.
-func TestDropOnTheWire(t *testing.T) {
+// After a reset of a connection that was idle, the next idle connection is closed before an attempt would use it.
+func TestReset_idleConnectionsClosed(t *testing.T) {
 	arrival := func(handle string) string {
 		return `{"ARRIVAL":{"dispatcherId":3,"handle":` + handle + `,"qos":2,"expires":60000000,"width":1}}`
 	}
 	closed := func(handle, verdict string) string {
 		return `{"CLOSED_ATTEMPT":{"dispatcherId":3,"handle":` + handle + `,"worker":"a:1","seqNo":0,"verdict":"` + verdict + `"}}`
 	}
-	got, err := converse(t, `{"SYNC":{"time":1000000}}`, enlist, `{"PAGE":{"ref":0,"nodesList":[`+entryLine("a:1")+`]}}`,
+	got, err := runLines(t, `{"SYNC":{"time":1000000}}`, enlist, `{"PAGE":{"ref":0,"nodesList":[`+entryLine("a:1")+`]}}`,
 		`{"BACKENDS_CHANGED":{"dispatcherId":3,"form":"SAVED","ref":0}}`, arrival("1"), closed("1", "S"),
 		`{"SYNC":{"time":4000000}}`, arrival("2"), closed("2", "R"), `{"SYNC":{"time":7000000}}`, arrival("3"), `{"YOUR_TURN":{}}`)
 	want := `{"DROP_CONNS":{"dispatcherId":3,"worker":"a:1"}}
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Simulator-adapter plays the scheduler in the operators' simulator: it translates between the simulator's JSON lines on standard
-// input and output and the events and actions of package scheduler. It decides nothing.
+// Simulator-adapter runs the scheduler in the operators' simulator: it translates between the simulator's JSON lines on standard
+// input and output and the events and actions of package scheduler. It makes no decisions.
 package main
 
 import (
--- a/cmd/simulator-adapter/messages.go
+++ b/cmd/simulator-adapter/messages.go
@@ -46,7 +46,7 @@
 	topicStarted = 1 // message.Topic of an interim event: the attempt has started to run
 )
 
-// The simulator's codes in the scheduler's terms.
+// The simulator's codes and their values in package scheduler.
 var (
 	outcomes = map[string]scheduler.Outcome{
 		"S": scheduler.Served, "E": scheduler.Errored, "F": scheduler.Full, "T": scheduler.TimedOut,
@@ -58,7 +58,7 @@
 	states = map[string]scheduler.WorkerState{"live": scheduler.Ready, "quiescing": scheduler.Draining, "dead": scheduler.Gone}
 )
 
-// The bodies of the actions on the wire.
+// The bodies of the actions that are written to the simulator.
 type (
 	forward struct {
 		DispatcherID int    `json:"dispatcherId"`
@@ -79,7 +79,7 @@
 		DispatcherID int    `json:"dispatcherId"`
 		Handle       uint64 `json:"handle"`
 	}
-	soundOut struct {
+	workerAction struct {
 		DispatcherID int    `json:"dispatcherId"`
 		Worker       string `json:"worker"`
 	}
