--- a/cmd/brassdale-lab/demo.go
+++ b/cmd/brassdale-lab/demo.go
@@ -23,11 +23,11 @@
 //go:embed demo.hcl
 var demoScenario []byte
 
-// demoCommand makes 'brassdale-lab demo', which runs a whole deployment on loopback and shows how it goes.
+// demoCommand makes 'brassdale-lab demo', which runs a whole deployment on loopback and shows live figures.
 func demoCommand() *cobra.Command {
 	var path, binary, variant string
 	var span time.Duration
-	command := &cobra.Command{Use: "demo", Short: "Run boxes, discovery, dispatchers and a gentle load on loopback, and show live figures", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "demo", Short: "Run workers, discovery, dispatchers and a light load on loopback, and show live figures", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			file, err := experiment.Parse(demoScenario, "demo.hcl")
 			if path != "" {
@@ -49,18 +49,18 @@
 				ctx, stop = context.WithDeadline(ctx, time.Now().Add(span))
 				defer stop()
 			}
-			return playDemo(ctx, command.OutOrStdout(), scenario, binary)
+			return runDemo(ctx, command.OutOrStdout(), scenario, binary)
 		}}
-	command.Flags().StringVar(&path, "scenario", "", "an experiment's file whose first variant is played (a calm works if left out)")
-	command.Flags().StringVar(&variant, "variant", "", "another variant of it")
+	command.Flags().StringVar(&path, "scenario", "", "an experiment's file whose first variant is run (a calm deployment if left out)")
+	command.Flags().StringVar(&variant, "variant", "", "another variant of the file")
 	command.Flags().StringVar(&binary, "binary", dispatcherPath(), "the dispatcher's program")
-	command.Flags().DurationVar(&span, "for", 0, "stop by itself after this")
+	command.Flags().DurationVar(&span, "for", 0, "stop after this time")
 	return command
 }
 
-// playDemo starts an emulated deployment, its dispatchers and its load, and prints a line a second until the load has ended. It is an error
-// if a rule was broken.
-func playDemo(ctx context.Context, out io.Writer, scenario emulator.Scenario, binary string) error {
+// runDemo starts an emulated deployment, its dispatchers and its load, and prints a line a second until the load has ended. It returns an
+// error if a rule was broken.
+func runDemo(ctx context.Context, out io.Writer, scenario emulator.Scenario, binary string) error {
 	cluster, err := emulator.Open(scenario) //nolint:contextcheck // its servers run until Close, beyond the context of the load
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 	}
 }
 
-// showLine prints a line, over the line before on a terminal.
+// showLine prints a line. On a terminal it overwrites the previous line.
 func showLine(out io.Writer, line string) {
 	if isTerminal(os.Stdout) {
 		fmt.Fprintf(out, "\r\x1b[K%s", line)
@@ -114,23 +114,23 @@
 	fmt.Fprintln(out, line)
 }
 
-// stopWithin is how long a dispatcher of the demo has to end after SIGTERM.
-const stopWithin = 6 * time.Second
+// stopTimeout is how long a dispatcher of the demo may take to end after SIGTERM.
+const stopTimeout = 6 * time.Second
 
-// endDemo prints the figures of the load and stops the dispatchers. It is an error if one does not stop, or a rule was broken.
+// endDemo prints the figures of the load and stops the dispatchers. It returns an error if one does not stop, or a rule was broken.
 func endDemo(out io.Writer, cluster *emulator.Cluster, processes []*emulator.DispatcherProcess, result *load.Result) error {
 	if err := result.Figures().Table(out); err != nil {
 		return err
 	}
 	for number, process := range processes {
-		if err := process.Stop(time.Now().Add(stopWithin)); err != nil {
+		if err := process.Stop(time.Now().Add(stopTimeout)); err != nil {
 			return fmt.Errorf("dispatcher %d: %w\n%s", number, err, process.Log())
 		}
 	}
 	return errors.Join(result.Usable(), reportStatus(out, cluster.Status()))
 }
 
-// recentJobs collects the jobs that ended since the last line was made.
+// recentJobs collects the jobs that ended since the last line.
 type recentJobs struct {
 	mu        sync.Mutex
 	latencies []time.Duration
@@ -150,20 +150,20 @@
 	}
 }
 
-// line returns the figures of the jobs since the last call and of the deployment now, on one line.
+// line returns one line with the figures of the jobs since the last call and the current state of the deployment.
 func (s *recentJobs) line(now emulator.Status) string {
 	s.mu.Lock()
-	times, ends := s.latencies, s.outcomes
+	latencies, outcomes := s.latencies, s.outcomes
 	s.latencies, s.outcomes = nil, nil
 	s.mu.Unlock()
-	slices.Sort(times)
+	slices.Sort(latencies)
 	quantile := func(p float64) time.Duration {
-		if len(times) == 0 {
+		if len(latencies) == 0 {
 			return 0
 		}
-		return times[min(int(p*float64(len(times))), len(times)-1)].Round(time.Millisecond)
+		return latencies[min(int(p*float64(len(latencies))), len(latencies)-1)].Round(time.Millisecond)
 	}
 	return fmt.Sprintf("%4.0fs  served %d/s  refused %d  failed %d  unanswered %d   p50 %v  p99 %v   boxes %d of %d (cold %d, in trouble %d), slots %d of %d, waiting %d   broken rules %d",
-		now.Since.Seconds(), ends[load.Served]+ends[load.Late], ends[load.Refused], ends[load.Failed], ends[load.Unanswered], quantile(0.5), quantile(0.99),
+		now.Since.Seconds(), outcomes[load.Served]+outcomes[load.Late], outcomes[load.Refused], outcomes[load.Failed], outcomes[load.Unanswered], quantile(0.5), quantile(0.99),
 		now.Up, now.Workers, now.WarmingUp, now.Faulty, now.Busy, now.Slots, now.Waiting, len(now.Breaches))
 }
--- a/cmd/brassdale-lab/demo.hcl
+++ b/cmd/brassdale-lab/demo.hcl
@@ -1,4 +1,4 @@
-# A calm works with a gentle load: what `brassdale-lab demo` plays.
+# A calm deployment with a light load, which `brassdale-lab demo` runs.
 title = "demo"
 seeds = 1
 
--- a/cmd/brassdale-lab/emulate.go
+++ b/cmd/brassdale-lab/emulate.go
@@ -12,7 +12,7 @@
 	"brassdale/internal/experiment"
 )
 
-// dispatcherPath returns the default path of the dispatcher's program: beside this one.
+// dispatcherPath returns the default path of the dispatcher's program: in this program's directory.
 func dispatcherPath() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -34,11 +34,11 @@
 	return emulator.Scenario{}, fmt.Errorf("there is no variant %q", variant)
 }
 
-// emulateCommand makes 'brassdale-lab emulate', which runs workers and discovery on loopback for dispatchers that somebody else starts.
+// emulateCommand makes 'brassdale-lab emulate', which runs workers and discovery on loopback for dispatchers that are started separately.
 func emulateCommand() *cobra.Command {
 	var dir, variant string
 	var seed uint64
-	command := &cobra.Command{Use: "emulate FILE", Short: "Put a scenario's boxes and discovery on loopback, to point dispatchers at", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{Use: "emulate FILE", Short: "Run a scenario's workers and discovery on loopback, for dispatchers that are started separately", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			file, err := experiment.Load(args[0])
 			if err != nil {
@@ -69,13 +69,13 @@
 				fmt.Fprintf(out, "dispatcher %d: GW_CONFIG=%s bin/brassdale\n", number, path)
 			}
 			cluster.StartFaults()
-			fmt.Fprintf(out, "%d boxes, %d faults to come; Ctrl-C ends it\n", cluster.Status().Workers, len(scenario.Faults))
+			fmt.Fprintf(out, "%d workers, %d faults scheduled; Ctrl-C ends the run\n", cluster.Status().Workers, len(scenario.Faults))
 			<-command.Context().Done()
 			return reportStatus(out, cluster.Status())
 		}}
 	command.Flags().StringVar(&dir, "dir", "works", "a folder for the dispatchers' files")
-	command.Flags().StringVar(&variant, "variant", "", "the variant to play (the first if left out)")
-	command.Flags().Uint64Var(&seed, "seed", 1, "the seed")
+	command.Flags().StringVar(&variant, "variant", "", "the variant to run (the first if left out)")
+	command.Flags().Uint64Var(&seed, "seed", 1, "seed of the scenario")
 	return command
 }
 
--- a/cmd/brassdale-lab/failover.go
+++ b/cmd/brassdale-lab/failover.go
@@ -12,7 +12,7 @@
 func failoverCommand() *cobra.Command {
 	var out string
 	zones := experiment.ZoneExperiment{}
-	command := &cobra.Command{Use: "failover", Short: "Set ways to decide where zones' jobs go beside each other, in virtual time", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "failover", Short: "Compare ways to route jobs between zones side by side, in virtual time", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			bar := progressBar(len(experiment.ZoneCases())*len(experiment.ZoneModes)*zones.Seeds, "failover")
 			rows, err := experiment.RunZones(command.Context(), zones, runtime.GOMAXPROCS(0), func() { _ = bar.Add(1) })
@@ -26,8 +26,8 @@
 			return experiment.SaveZoneRuns(resultDirectory(out), rows)
 		}}
 	command.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
-	command.Flags().IntVar(&zones.Seeds, "seeds", 5, "from 1 on")
-	command.Flags().IntVar(&zones.Dispatchers, "dispatchers", 300, "in four zones")
-	command.Flags().IntVar(&zones.Workers, "boxes", 40, "of five slots, in four zones")
+	command.Flags().IntVar(&zones.Seeds, "seeds", 5, "number of seeds, from 1 on")
+	command.Flags().IntVar(&zones.Dispatchers, "dispatchers", 300, "number of dispatchers, in four zones")
+	command.Flags().IntVar(&zones.Workers, "boxes", 40, "number of workers, of five slots each, in four zones")
 	return command
 }
--- a/cmd/brassdale-lab/fleet.go
+++ b/cmd/brassdale-lab/fleet.go
@@ -16,7 +16,7 @@
 	var out, binary string
 	var seed uint64
 	var processes, repeats int
-	command := &cobra.Command{Use: "fleet FILE", Short: "Play a fleet of real dispatchers with faults between them, on loopback", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{Use: "fleet FILE", Short: "Run a fleet of real dispatchers on loopback, with faults between them", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			file, err := faults.Load(args[0])
 			if err != nil {
@@ -28,7 +28,7 @@
 				if repeats > 1 {
 					dir = filepath.Join(dir, fmt.Sprintf("seed-%d", seed+uint64(repeat)))
 				}
-				result, err := playFleet(command, file.Plan(seed+uint64(repeat), processes), binary, dir)
+				result, err := runFleet(command, file.Plan(seed+uint64(repeat), processes), binary, dir)
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", seed+uint64(repeat), err)
 				}
@@ -39,24 +39,24 @@
 				}
 			}
 			if bad > 0 {
-				return fmt.Errorf("a rule or the bound was broken in %d runs", bad)
+				return fmt.Errorf("%d runs broke a rule or exceeded the bound on contradictions", bad)
 			}
 			return nil
 		}}
 	command.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
 	command.Flags().StringVar(&binary, "binary", dispatcherPath(), "the dispatcher's program")
-	command.Flags().Uint64Var(&seed, "seed", 1, "of the schedule, the jobs and the proposals")
-	command.Flags().IntVar(&processes, "processes", 0, "so many instead of the file's")
-	command.Flags().IntVar(&repeats, "repeats", 1, "so many seeds from the first on, one after the other")
+	command.Flags().Uint64Var(&seed, "seed", 1, "seed of the schedule, the jobs and the proposals")
+	command.Flags().IntVar(&processes, "processes", 0, "number of processes, instead of the file's")
+	command.Flags().IntVar(&repeats, "repeats", 1, "number of runs, one after the other, with seeds from --seed on")
 	return command
 }
 
-// playFleet runs a plan and writes its result and timeline to a directory; of a run that broke a rule also the logs.
-func playFleet(command *cobra.Command, plan faults.Plan, binary, dir string) (*faults.Result, error) {
+// runFleet runs a plan and writes its result and timeline to a directory. If the run broke a rule, it also writes the logs.
+func runFleet(command *cobra.Command, plan faults.Plan, binary, dir string) (*faults.Result, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	work, err := os.MkdirTemp("", "fleet-") // not beside the results: a socket's path is short
+	work, err := os.MkdirTemp("", "fleet-") // not below the results, as the length of a socket's path is limited
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 		err = os.WriteFile(filepath.Join(dir, "result.json"), append(text, '\n'), 0o644)
 	}
 	for i, log := range result.Logs {
-		if err == nil && result.Bad() { // to look into
+		if err == nil && result.Bad() { // for diagnosis
 			err = os.WriteFile(filepath.Join(dir, fmt.Sprintf("process-%d.log", i)), []byte(log), 0o644)
 		}
 	}
--- a/cmd/brassdale-lab/golden_test.go
+++ b/cmd/brassdale-lab/golden_test.go
@@ -13,13 +13,14 @@
 	"brassdale/internal/testsupport"
 )
 
-// argumentsVariable makes this test binary the program: its value is the program's arguments, separated by spaces.
+// argumentsVariable names the environment variable that makes this test binary run the program. Its value is the program's arguments,
+// separated by spaces.
 const argumentsVariable = "BRASSDALE_LAB_TEST_ARGUMENTS"
 
-// hiddenCommands are those that the help does not list.
+// hiddenCommands are the commands that the help does not list.
 var hiddenCommands = []string{"hollow", "launch"}
 
-// TestMain runs the program itself where a test asks for it.
+// TestMain runs the program in place of the tests if argumentsVariable is set.
 func TestMain(m *testing.M) {
 	if arguments, ok := os.LookupEnv(argumentsVariable); ok {
 		os.Args = append([]string{"brassdale-lab"}, strings.Fields(arguments)...)
@@ -29,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// TestGoldenHelp checks that all sub-commands, flags, defaults and help texts are those of the golden file.
+// TestGoldenHelp checks all sub-commands, flags, defaults and help texts against the golden file.
 func TestGoldenHelp(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -46,8 +47,8 @@
 // listed finds the sub-commands in a help text.
 var listed = regexp.MustCompile(`(?m)^  ([a-z][a-z0-9-]*) +\S`)
 
-// writeHelp writes the help of a command and of all that it lists. The folder of the binary, which is part of a default,
-// is replaced; cobra's own commands are listed, but not gone into.
+// writeHelp writes the help of a command and of all sub-commands that it lists, except cobra's own. The folder of the binary, which is part
+// of a default, is replaced by FOLDER.
 func writeHelp(t *testing.T, out *bytes.Buffer, self string, command []string) {
 	t.Helper()
 	run := exec.CommandContext(t.Context(), self)
--- a/cmd/brassdale-lab/hollow.go
+++ b/cmd/brassdale-lab/hollow.go
@@ -11,7 +11,7 @@
 
 // hollowCommand makes the hidden command that runs hollow dispatchers for 'brassdale-lab scale' until its standard input ends.
 func hollowCommand() *cobra.Command {
-	return &cobra.Command{Use: "hollow SPEC", Short: "Hold hollow dispatchers, for scale", Hidden: true, Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "hollow SPEC", Short: "Run hollow dispatchers, for scale", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			spec, err := scale.LoadHollowSpec(args[0])
 			if err != nil {
--- a/cmd/brassdale-lab/inject.go
+++ b/cmd/brassdale-lab/inject.go
@@ -18,7 +18,7 @@
 	var rules string
 	var seed uint64
 	var after time.Duration
-	command := &cobra.Command{Use: "inject -- PROGRAM ARGUMENT...", Short: "Run a program whose system calls fail now and then", Args: cobra.MinimumNArgs(1),
+	command := &cobra.Command{Use: "inject -- PROGRAM ARGUMENT...", Short: "Run a program and make some of its system calls fail", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			parsed, err := inject.ParseRules(rules)
 			if err != nil {
@@ -28,7 +28,7 @@
 			if err != nil {
 				return err
 			}
-			signal.Ignore(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT) // they are meant for the program
+			signal.Ignore(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT) // these signals are meant for the program
 			begin := time.Now()
 			tracer := inject.Tracer{Rules: parsed, Seed: seed, Calm: func() bool { return time.Since(begin) < after },
 				Began: func(pid int) { fmt.Fprintf(os.Stderr, "inject: pid=%d\n", pid) },
@@ -49,13 +49,13 @@
 			}
 			return nil
 		}}
-	command.Flags().StringVar(&rules, "rules", "", "call=ERRNO:one-in, separated by commas; read and write may be short")
-	command.Flags().Uint64Var(&seed, "seed", 1, "of the choice of calls")
-	command.Flags().DurationVar(&after, "after", 0, "nothing fails before")
+	command.Flags().StringVar(&rules, "rules", "", "call=ERRNO:N, separated by commas, makes one call in N fail; for read and write, ERRNO may be the word short")
+	command.Flags().Uint64Var(&seed, "seed", 1, "seed of the choice of calls")
+	command.Flags().DurationVar(&after, "after", 0, "no call fails before this time")
 	return command
 }
 
-// launchCommand makes the hidden command that replaces itself with a traced program; inject starts it.
+// launchCommand makes the hidden command that inject starts: it lets itself be traced and replaces itself with the program.
 func launchCommand() *cobra.Command {
 	var rules string
 	command := &cobra.Command{Use: "launch -- PROGRAM ARGUMENT...", Hidden: true, Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
--- a/cmd/brassdale-lab/load.go
+++ b/cmd/brassdale-lab/load.go
@@ -17,7 +17,7 @@
 	var targets []string
 	var out string
 	var clients int
-	command := &cobra.Command{Use: "load --target HOST:PORT FILE", Short: "Send a plan's jobs to dispatchers, open loop, and tell what came of them",
+	command := &cobra.Command{Use: "load --target HOST:PORT FILE", Short: "Send a plan's jobs to dispatchers in an open loop, and report the results",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			file, err := load.Load(args[0])
@@ -48,13 +48,13 @@
 				return err
 			}
 			if figures.CutShort {
-				return errors.New("stopped before the plan was through")
+				return errors.New("stopped before the end of the plan")
 			}
 			return nil
 		}}
-	command.Flags().StringSliceVar(&targets, "target", nil, "a dispatcher's address, host:port; may be given again")
+	command.Flags().StringSliceVar(&targets, "target", nil, "a dispatcher's address, host:port; repeatable")
 	command.Flags().StringVar(&out, "out", "", "a file for the figures, as JSON")
-	command.Flags().IntVar(&clients, "closed", 0, "so many clients that each wait for their answer, to show what that would hide")
+	command.Flags().IntVar(&clients, "closed", 0, "number of clients of a closed loop, each of which waits for its answer, to show what a closed loop hides; 0 for an open loop")
 	_ = command.MarkFlagRequired("target")
 	return command
 }
--- a/cmd/brassdale-lab/main.go
+++ b/cmd/brassdale-lab/main.go
@@ -1,5 +1,5 @@
-// Brassdale-lab measures dispatchers: experiments on an emulated deployment, load, soak and scale tests. It is a binary of its own so
-// that the dispatcher does not link what only measuring needs.
+// Brassdale-lab measures dispatchers: experiments on an emulated deployment, load, soak and scale tests. It is a separate binary so
+// that the dispatcher does not link code that only measurements need.
 package main
 
 import (
@@ -14,7 +14,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	root := &cobra.Command{Use: "brassdale-lab", Short: "Experiments on a model of the works", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "brassdale-lab", Short: "Experiments, load, soak and scale tests of dispatchers", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(
 		experimentCommand(),
 		reportCommand(),
--- a/cmd/brassdale-lab/report.go
+++ b/cmd/brassdale-lab/report.go
@@ -10,12 +10,12 @@
 	"brassdale/internal/experiment"
 )
 
-// maxPrintedBreaches is how many breaches of rules are printed, of the scheduler and of plain policies each.
+// maxPrintedBreaches limits the printed breaches of rules, for the scheduler and for the plain policies separately.
 const maxPrintedBreaches = 20
 
 // reportCommand makes 'brassdale-lab report'.
 func reportCommand() *cobra.Command {
-	return &cobra.Command{Use: "report DIR", Short: "Draw tables and charts of kept results again", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "report DIR", Short: "Draw the tables and charts of saved results again", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			title, rows, err := experiment.Read(args[0])
 			if err == nil {
@@ -28,8 +28,8 @@
 		}}
 }
 
-// reportBreaches prints the table of rows and each breach of a rule. A breach by the scheduler is an error, joined to what stopped the
-// experiment, if anything did; one by a plain policy is printed only.
+// reportBreaches prints the table of rows and the breaches of rules. Breaches by plain policies are only printed. If the scheduler broke a
+// rule, it returns an error, joined with stopped: the error that stopped the experiment, or nil.
 func reportBreaches(command *cobra.Command, dir string, rows []experiment.Row, file *experiment.File, stopped error) error {
 	if err := experiment.Table(command.OutOrStdout(), rows); err != nil {
 		return err
@@ -42,7 +42,7 @@
 		fmt.Fprintf(os.Stderr, "plain policies broke rules %d times\n", len(ofPlain))
 	}
 	if len(ofScheduler) > 0 {
-		return errors.Join(stopped, fmt.Errorf("the module broke rules %d times", len(ofScheduler)))
+		return errors.Join(stopped, fmt.Errorf("the scheduler broke rules %d times", len(ofScheduler)))
 	}
 	return stopped
 }
--- a/cmd/brassdale-lab/scale.go
+++ b/cmd/brassdale-lab/scale.go
@@ -28,29 +28,29 @@
 	compare   bool
 }
 
-// scaleCommand makes 'brassdale-lab scale', which runs fleets of a size and measures what control costs.
+// scaleCommand makes 'brassdale-lab scale', which runs fleets of given sizes and measures the cost of control.
 func scaleCommand() *cobra.Command {
 	options := &scaleOptions{}
 	command := &cobra.Command{
 		Use:   "scale FILE",
-		Short: "Play fleets of real and hollow dispatchers, and measure what control costs, on loopback",
+		Short: "Run fleets of real and hollow dispatchers on loopback, and measure the cost of control",
 		Args:  cobra.ExactArgs(1),
 		RunE:  options.run,
 	}
 	flags := command.Flags()
 	flags.StringVar(&options.out, "out", "", "the folder for the results (results/ and the time if left out)")
 	flags.StringVar(&options.binary, "binary", dispatcherPath(), "the dispatcher's program")
-	flags.Uint64Var(&options.seed, "seed", 1, "of jobs, proposals and works; the first where the file has several")
-	flags.IntVar(&options.hollow, "hollow", -1, "so many of the dispatchers are hollow, instead of the file's")
-	flags.IntVar(&options.processes, "processes", 0, "so many processes hold them, instead of the file's")
-	flags.StringSliceVar(&options.only, "only", nil, "play these runs of the file alone, by name or by number, from 1")
-	flags.BoolVar(&options.compare, "compare", false, "play the file's size with real and with hollow dispatchers in turn, and set them beside each other")
-	flags.BoolVar(&options.list, "list", false, "name the file's runs, and play none")
-	flags.BoolVar(&options.keepLogs, "keep-logs", false, "keep the logs of all processes beside the results")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of jobs, proposals, workers and links; the first if the file has several")
+	flags.IntVar(&options.hollow, "hollow", -1, "number of hollow dispatchers (fleet agent and discovery only, no jobs), instead of the file's")
+	flags.IntVar(&options.processes, "processes", 0, "number of processes that run them, instead of the file's")
+	flags.StringSliceVar(&options.only, "only", nil, "run only these runs of the file, by name or by number, from 1")
+	flags.BoolVar(&options.compare, "compare", false, "run the file's size with real and with hollow dispatchers in turn, and compare them side by side")
+	flags.BoolVar(&options.list, "list", false, "list the file's runs without running them")
+	flags.BoolVar(&options.keepLogs, "keep-logs", false, "keep the logs of all processes with the results")
 	return command
 }
 
-// run runs the chosen points of a file one after the other. A point that fails does not end the others; the error has all failures.
+// run runs the chosen points of a file one after the other. If a point fails, the others still run. The error has all failures.
 func (o *scaleOptions) run(command *cobra.Command, args []string) error {
 	path := args[0]
 	file, err := scale.Load(path)
@@ -59,8 +59,8 @@
 	}
 	if o.compare {
 		options := scale.Options{DispatcherProgram: o.binary, HollowArgs: []string{"hollow"}}
-		repeat := fmt.Sprintf("brassdale-lab scale %s --compare --seed %d", path, o.seed)
-		return compareScale(command, file, options, repeat, resultDirectory(o.out), o.seed, o.processes)
+		commandLine := fmt.Sprintf("brassdale-lab scale %s --compare --seed %d", path, o.seed)
+		return compareScale(command, file, options, commandLine, resultDirectory(o.out), o.seed, o.processes)
 	}
 	points, err := file.Points(o.seed, o.hollow, o.processes)
 	if err != nil {
@@ -77,7 +77,7 @@
 	dir := resultDirectory(o.out)
 	var failures error
 	for _, point := range chosen {
-		err := o.playPoint(command, path, dir, point)
+		err := o.runPoint(command, path, dir, point)
 		if command.Context().Err() != nil {
 			return errors.Join(failures, err)
 		}
@@ -101,8 +101,8 @@
 	}
 }
 
-// playPoint runs one point, writes its result below dir and prints it.
-func (o *scaleOptions) playPoint(command *cobra.Command, path, dir string, point scale.Point) error {
+// runPoint runs one point, writes its result below dir and prints it.
+func (o *scaleOptions) runPoint(command *cobra.Command, path, dir string, point scale.Point) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 	return result.Err()
 }
 
-// choosePoints returns the points that are named, or numbered from 1; all if only is empty.
+// choosePoints returns the points that are selected by name, or by number from 1; all if only is empty.
 func choosePoints(points []scale.Point, only []string) (chosen []scale.Point, err error) {
 	if len(only) == 0 {
 		return points, nil
@@ -140,14 +140,14 @@
 			i = number - 1
 		}
 		if i < 0 || i >= len(points) {
-			return nil, fmt.Errorf("there is no run %q: --list names them", name)
+			return nil, fmt.Errorf("no run %q in the file; --list shows the runs", name)
 		}
 		chosen = append(chosen, points[i])
 	}
 	return chosen, nil
 }
 
-// writeResult writes a result to result.json in a directory, which is made if there is none.
+// writeResult writes a result to result.json in a directory, which is created if it does not exist.
 func writeResult(dir string, result *scale.Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -164,7 +164,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// gatherResults writes all points' results that are below a directory to its results.json.
+// gatherResults writes the results of all points that have one below a directory to its results.json.
 func gatherResults(dir string, points []scale.Point) error {
 	results := []json.RawMessage{}
 	for _, point := range points {
--- a/cmd/brassdale-lab/scalefit.go
+++ b/cmd/brassdale-lab/scalefit.go
@@ -10,11 +10,11 @@
 	"brassdale/internal/scale/fit"
 )
 
-// scaleReportCommand makes 'brassdale-lab scale-report', which fits the costs of scale runs to the fleet's size.
+// scaleReportCommand makes 'brassdale-lab scale-report', which fits the costs of scale runs against the fleet's size.
 func scaleReportCommand() *cobra.Command {
 	var out string
 	var before []string
-	command := &cobra.Command{Use: "scale-report DIR...", Short: "Fit what scale runs cost against the fleet's size, and draw it", Args: cobra.MinimumNArgs(1),
+	command := &cobra.Command{Use: "scale-report DIR...", Short: "Fit the costs of scale runs against the fleet's size, and draw charts", Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			rows, err := fit.Read(args...)
 			if err != nil {
@@ -49,7 +49,7 @@
 			fmt.Fprintf(command.OutOrStdout(), "kept in %s\n", dir)
 			return nil
 		}}
-	command.Flags().StringVar(&out, "out", "", "the folder for what is written (DIR if there is one, else results/ and the time)")
-	command.Flags().StringSliceVar(&before, "before", nil, "a folder of runs of the build before, to compare with; may be given again")
+	command.Flags().StringVar(&out, "out", "", "the folder for the report (DIR if there is only one, else results/ and the time)")
+	command.Flags().StringSliceVar(&before, "before", nil, "a folder of runs of an earlier build, to compare with; repeatable")
 	return command
 }
--- a/cmd/brassdale-lab/scalefit_test.go
+++ b/cmd/brassdale-lab/scalefit_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Folders of runs are drawn together, into the one folder or where --out says, and compared with those before.
+// The report of several folders of runs is written to the only folder or to --out, and compared with the runs of --before.
 func TestScaleReport(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -35,15 +35,15 @@
 		return out.String(), err
 	}
 	now, before, out := filepath.Join(dir, "now"), filepath.Join(dir, "before"), filepath.Join(dir, "out")
-	said, err := run(now, "--before", before)
-	if err != nil || !strings.Contains(said, "flat") || !strings.Contains(said, "0.250") {
-		t.Errorf("%v\n%s", err, said)
+	output, err := run(now, "--before", before)
+	if err != nil || !strings.Contains(output, "flat") || !strings.Contains(output, "0.250") {
+		t.Errorf("%v\n%s", err, output)
 	}
 	if text, err := os.ReadFile(filepath.Join(now, "compared.txt")); err != nil || !strings.Contains(string(text), "0.250") {
 		t.Errorf("%v\n%s", err, text)
 	}
-	if said, err := run(now, before, "--out", out); err != nil || !strings.Contains(said, "against dispatchers: 4 runs") || !strings.Contains(said, "kept in "+out) {
-		t.Errorf("%v\n%s", err, said)
+	if output, err := run(now, before, "--out", out); err != nil || !strings.Contains(output, "against dispatchers: 4 runs") || !strings.Contains(output, "kept in "+out) {
+		t.Errorf("%v\n%s", err, output)
 	}
 	for _, name := range []string{"table.txt", "points.csv", "slopes.csv", "slopes.json", "bytes.svg"} {
 		if _, err := os.Stat(filepath.Join(out, name)); err != nil {
@@ -54,6 +54,6 @@
 		t.Errorf("%v", err)
 	}
 	if _, err := run(); err == nil {
-		t.Error("nothing to read, and no fault")
+		t.Error("no error without a folder of runs")
 	}
 }
--- a/cmd/brassdale-lab/soak.go
+++ b/cmd/brassdale-lab/soak.go
@@ -17,8 +17,8 @@
 // soakCommand makes 'brassdale-lab soak', which runs real dispatchers with faults drawn from seeds and checks every rule.
 func soakCommand() *cobra.Command {
 	var out, binary, seeds string
-	var together int
-	command := &cobra.Command{Use: "soak FILE...", Short: "Play real dispatchers with faults drawn from seeds, and hold every rule over what their peers saw", Args: cobra.MinimumNArgs(1),
+	var parallel int
+	command := &cobra.Command{Use: "soak FILE...", Short: "Run real dispatchers with faults drawn from seeds, and check every rule on the records of their peers", Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			from, to, err := parseSeeds(seeds)
 			if err != nil {
@@ -39,12 +39,12 @@
 				}
 			}
 			session := soakSession{command: command, programs: soak.Programs{Dispatcher: binary, Injector: self}, directory: resultDirectory(out), scenarios: strings.Join(args, " ")}
-			return session.play(plans, together)
+			return session.run(plans, parallel)
 		}}
 	command.Flags().StringVar(&out, "out", "", "the folder for the results (results/ and the time if left out)")
 	command.Flags().StringVar(&binary, "binary", dispatcherPath(), "the dispatcher's program")
 	command.Flags().StringVar(&seeds, "seeds", "1", "one seed, or the first and the last as A-B")
-	command.Flags().IntVar(&together, "together", 2, "so many runs beside each other")
+	command.Flags().IntVar(&parallel, "together", 2, "number of runs side by side")
 	return command
 }
 
@@ -68,7 +68,7 @@
 	command   *cobra.Command
 	programs  soak.Programs
 	directory string
-	scenarios string // for the command that repeats a seed
+	scenarios string // for the printed command that repeats a seed
 
 	mu     sync.Mutex
 	rows   []soakRow
@@ -85,22 +85,22 @@
 	Requests int            `json:"requests"`
 	Attempts int            `json:"attempts"`
 	Breaches map[string]int `json:"breaches,omitempty"`
-	Error    string         `json:"error,omitempty"` // why the run was not played to its end, and does not count
+	Error    string         `json:"error,omitempty"` // why the run did not complete; it is then not counted
 
 	kinds []soak.EventKind // of Events
 }
 
-// play runs all plans, so many at a time, and writes the report.
-func (s *soakSession) play(plans []soak.Plan, together int) error {
+// run runs all plans, up to parallel of them at a time, and writes the report.
+func (s *soakSession) run(plans []soak.Plan, parallel int) error {
 	if err := os.MkdirAll(s.directory, 0o755); err != nil {
 		return err
 	}
 	next := make(chan soak.Plan)
 	var wait sync.WaitGroup
-	for range max(together, 1) {
+	for range max(parallel, 1) {
 		wait.Go(func() {
 			for plan := range next {
-				s.playOne(plan)
+				s.runPlan(plan)
 			}
 		})
 	}
@@ -114,8 +114,8 @@
 	return s.writeReport()
 }
 
-// playOne runs a plan, and prints its row and the timelines of its breaches.
-func (s *soakSession) playOne(plan soak.Plan) {
+// runPlan runs a plan, and prints its row and the timelines of its breaches.
+func (s *soakSession) runPlan(plan soak.Plan) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
 		s.mu.Lock()
@@ -152,7 +152,7 @@
 }
 
 const (
-	maxTimelines = 3 // of a run
+	maxTimelines = 3 // printed of one run
 	logFiles     = "n*.log"
 )
 
@@ -168,7 +168,7 @@
 	for _, event := range result.Record.Events {
 		fmt.Fprintf(output, "  event %s\n", event)
 	}
-	fmt.Fprintf(output, " again: brassdale-lab soak %s --seeds %d\n", s.scenarios, result.Plan.Seed)
+	fmt.Fprintf(output, " to repeat: brassdale-lab soak %s --seeds %d\n", s.scenarios, result.Plan.Seed)
 	files, _ := filepath.Glob(filepath.Join(dir, logFiles))
 	for _, path := range files {
 		text, err := os.ReadFile(path)
@@ -181,7 +181,7 @@
 	}
 }
 
-// writeReport writes soak.json and prints the totals. It returns an error if a rule was broken or a run was not played.
+// writeReport writes soak.json and prints the totals. It returns an error if a rule was broken or a run did not complete.
 func (s *soakSession) writeReport() error {
 	text, err := json.MarshalIndent(s.rows, "", " ")
 	if err == nil {
@@ -190,12 +190,12 @@
 	if err != nil {
 		return err
 	}
-	byRule, byKind, requests, unplayed := map[string]int{}, map[soak.EventKind]int{}, 0, 0
+	byRule, byKind, requests, incomplete := map[string]int{}, map[soak.EventKind]int{}, 0, 0
 	breaches := 0
 	for _, row := range s.rows {
 		requests += row.Requests
 		if row.Error != "" {
-			unplayed++
+			incomplete++
 			continue
 		}
 		for _, kind := range row.kinds {
@@ -207,12 +207,12 @@
 		}
 	}
 	fmt.Fprintf(s.command.OutOrStdout(), "events: %v\n", byKind)
-	fmt.Fprintf(s.command.OutOrStdout(), "%d runs, %d not played, %d requests, broken: %v\n", len(s.rows), unplayed, requests, byRule)
+	fmt.Fprintf(s.command.OutOrStdout(), "%d runs, %d not played, %d requests, broken: %v\n", len(s.rows), incomplete, requests, byRule)
 	if len(s.errors) > 0 {
 		return s.errors[0]
 	}
-	if breaches > 0 || unplayed > 0 {
-		return fmt.Errorf("%d breaches, %d runs not played", breaches, unplayed)
+	if breaches > 0 || incomplete > 0 {
+		return fmt.Errorf("%d breaches, %d runs not played", breaches, incomplete)
 	}
 	return nil
 }
--- a/internal/labsupport/job.go
+++ b/internal/labsupport/job.go
@@ -12,11 +12,11 @@
 
 const (
 	jobDeadline = 5 * time.Second        // from when a job is sent
-	answerSlack = 500 * time.Millisecond // after the deadline, in which a client still reads an answer
+	answerSlack = 500 * time.Millisecond // time after the deadline in which a client still reads an answer
 	jobBody     = "drawing"
 )
 
-// Job is a job that a client sends to a dispatcher. Its id, which is its idempotency key too, is made of Seed and Number.
+// Job is a job that a client sends to a dispatcher. Its id, which is also its idempotency key, consists of Seed and Number.
 type Job struct {
 	Seed    uint64
 	Number  int
--- a/internal/labsupport/labsupport.go
+++ b/internal/labsupport/labsupport.go
@@ -1,5 +1,5 @@
-// Package labsupport is what the test rigs that start real dispatcher processes (packages faults and scale) have in common: waiting for a
-// time, sending a job, and reading from /proc what processes and the loopback interface have used.
+// Package labsupport has functions for the test rigs that start real dispatcher processes (packages faults and scale): they wait for a
+// time, send a job, and read from /proc what processes and the loopback interface have used.
 package labsupport
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// WaitUntil waits for a time. It returns false if the context ends before.
+// WaitUntil waits until a time. It returns false if the context ends first.
 func WaitUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/labsupport/labsupport_test.go
+++ b/internal/labsupport/labsupport_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TestJob checks what a dispatcher receives of a job, and that a complete answer is returned and an incomplete one is an error.
+// TestJob checks what a dispatcher receives for a job, that a complete answer is returned, and that an incomplete one is an error.
 func TestJob(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -33,24 +33,24 @@
 	id := "00000000000000ab00000000000000cd"
 	want := JobAnswer{http.StatusServiceUnavailable, "POST|/render|drawing|" + id + "|render|team-1|" + id + "|5000"}
 	if err != nil || answer != want {
-		t.Errorf("received %+v, %v, not %+v", answer, err, want)
+		t.Errorf("got %+v, %v, want %+v", answer, err, want)
 	}
 	job.Account = "incomplete"
 	if answer, err := job.Post(context.Background(), http.DefaultClient, address); err == nil {
-		t.Errorf("an incomplete answer was accepted: %+v", answer)
+		t.Errorf("no error for an incomplete answer: %+v", answer)
 	}
 }
 
-// TestWaitUntil checks both ends of a wait.
+// TestWaitUntil checks a wait that reaches its time, and one whose context ends first.
 func TestWaitUntil(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	at := time.Now().Add(20 * time.Millisecond)
 	if !WaitUntil(ctx, at) || time.Now().Before(at) {
-		t.Error("it did not wait until the time")
+		t.Error("WaitUntil returned false, or before the time")
 	}
 	cancel()
 	if WaitUntil(ctx, time.Now().Add(time.Hour)) {
-		t.Error("it waited beyond the end of the context")
+		t.Error("WaitUntil returned true after the end of the context")
 	}
 }
 
@@ -79,18 +79,18 @@
 	_, _ = conn.Write(make([]byte, 1000))
 	after, err := ReadLoopbackUsage()
 	if err != nil || after.Bytes < loopback.Bytes+1000 || after.Packets < loopback.Packets+1 {
-		t.Errorf("the interface received %+v, then %+v, %v", loopback, after, err)
+		t.Errorf("received on loopback: %+v, then %+v, error %v", loopback, after, err)
 	}
 	if _, err := ReadProcessUsage(-1); err == nil {
-		t.Error("the usage of no process was read")
+		t.Error("no error for a process that does not exist")
 	}
 }
 
-// TestParseNumber checks numbers and other texts.
+// TestParseNumber checks that numbers are parsed and that any other text gives 0.
 func TestParseNumber(t *testing.T) {
 	for text, want := range map[string]float64{"0": 0, "12": 12, "1.5": 1.5, "": 0, "x": 0} {
 		if got := ParseNumber(text); got != want {
-			t.Errorf("%q is %v, not %v", text, got, want)
+			t.Errorf("ParseNumber(%q) = %v, want %v", text, got, want)
 		}
 	}
 }
--- a/internal/labsupport/procfs.go
+++ b/internal/labsupport/procfs.go
@@ -34,7 +34,7 @@
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) <= statResident {
-		return ProcessUsage{}, fmt.Errorf("/proc/%d/stat is short", pid)
+		return ProcessUsage{}, fmt.Errorf("/proc/%d/stat has fewer fields than expected", pid)
 	}
 	return ProcessUsage{
 		CPUMS:    (ParseNumber(fields[statUserTime]) + ParseNumber(fields[statSystemTime])) * 1000 / clockTicksPerSecond,
@@ -42,13 +42,13 @@
 	}, nil
 }
 
-// LoopbackUsage is what the loopback interface has received since the machine's start, which is what it has sent.
+// LoopbackUsage is what the loopback interface has received since the machine's start. It has sent as much.
 type LoopbackUsage struct {
 	Bytes   float64 // headers included
 	Packets float64
 }
 
-// ReadLoopbackUsage reads what the loopback interface has received until now; 0 if the system does not list it.
+// ReadLoopbackUsage reads what the loopback interface has received until now. It returns zeros if the system does not list the interface.
 func ReadLoopbackUsage() (LoopbackUsage, error) {
 	text, err := os.ReadFile("/proc/net/dev")
 	if err != nil {
@@ -66,6 +66,6 @@
 
 // ParseNumber parses a number that the kernel or a dispatcher wrote; 0 for any other text.
 func ParseNumber(text string) float64 {
-	number, _ := strconv.ParseFloat(text, 64) // 0 then
+	number, _ := strconv.ParseFloat(text, 64) // 0 on an error
 	return number
 }
