--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -219,10 +219,10 @@
 }
 
 // self is what this dispatcher says of itself in gossip.
-func (a *Agent) self() gossip.Self {
+func (a *Agent) self() gossip.Metadata {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return gossip.Self{
+	return gossip.Metadata{
 		Name:          a.options.Name,
 		Address:       a.address(),
 		Region:        a.settings.Region,
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -13,7 +13,7 @@
 	"brassdale/internal/decisions/gossippeers"
 )
 
-// maxMetaBytes is how much of Self memberlist carries.
+// maxMetaBytes is how much of a Metadata memberlist carries.
 const maxMetaBytes = 512
 
 // errOtherZone is how NotifyAlive rejects a member.
@@ -110,7 +110,7 @@
 
 // NotifyAlive rejects members that are no peers: builds that gossip with the whole fleet name all.
 func (d *delegate) NotifyAlive(node *memberlist.Node) error {
-	var other Self
+	var other Metadata
 	if err := json.Unmarshal(node.Meta, &other); err != nil {
 		return errOtherZone
 	}
@@ -136,7 +136,7 @@
 
 // note notes a member's state: Left in place of Gone where a leave notice explains it.
 func (d *delegate) note(node *memberlist.Node, state State) {
-	member := Member{Self: selfOf(node), Since: time.Now()}
+	member := Member{Metadata: selfOf(node), Since: time.Now()}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.members[node.Name]
@@ -159,10 +159,10 @@
 }
 
 // selfOf returns what a member says of itself; its name and address alone for a build that says it otherwise.
-func selfOf(node *memberlist.Node) Self {
-	var self Self
+func selfOf(node *memberlist.Node) Metadata {
+	var self Metadata
 	if json.Unmarshal(node.Meta, &self) != nil || self.Name != node.Name {
-		return Self{Name: node.Name, Address: node.Address()}
+		return Metadata{Name: node.Name, Address: node.Address()}
 	}
 	return self
 }
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -23,7 +23,7 @@
 	joinInterval           = 2 * time.Second
 	fullSyncInterval       = 10 * time.Second       // between two exchanges of the whole state, where the whole fleet gossips
 	leaveTimeout           = 500 * time.Millisecond // for the others to be notified that this dispatcher leaves
-	updateTimeout          = 500 * time.Millisecond // for one of them to be notified of a change of Self
+	updateTimeout          = 500 * time.Millisecond // for one of them to be notified of a change of its Metadata
 	absentRetention        = time.Hour              // for which members that are gone are shown
 	leaveNoticeRetention   = time.Minute            // for which a notice that a member leaves explains why it is gone; memberlist may need half of it to find that
 	leaveNoticeRetransmits = 8                      // times the logarithm of the members: memberlist's own 4 loses some
@@ -32,7 +32,7 @@
 // Options configure a Membership.
 type Options struct {
 	// Self is what this dispatcher says of itself at first.
-	Self Self
+	Self Metadata
 	// WholeFleet makes it gossip with the whole fleet, as builds before message format 3 do.
 	WholeFleet bool
 	// Seeds are addresses of others, which are joined while nobody else is known.
@@ -57,7 +57,7 @@
 	exchangeWith chan string                      // the address of the next exchange, for Run
 
 	mu      sync.Mutex
-	self    Self
+	self    Metadata
 	members map[string]Member    // by name, with this one
 	leaving map[string]time.Time // when a notice was received, by the name of the member that leaves
 }
@@ -165,7 +165,7 @@
 }
 
 // UpdateSelf has the others notified of what has changed of this member.
-func (m *Membership) UpdateSelf(self Self) {
+func (m *Membership) UpdateSelf(self Metadata) {
 	m.mu.Lock()
 	same := m.self == self
 	m.self = self
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -48,7 +48,7 @@
 // startInFleet starts a member that gossips with the whole fleet.
 func startInFleet(t *testing.T, name, zone string, seeds ...string) *testMember {
 	t.Helper()
-	return startMember(t, Options{Self: Self{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds})
+	return startMember(t, Options{Self: Metadata{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds})
 }
 
 // startMember starts a member, which the end of the test has leave.
@@ -118,7 +118,7 @@
 		informed := 0
 		for _, m := range all[:7] {
 			for _, listed := range m.Members() {
-				if listed.Self == changed {
+				if listed.Metadata == changed {
 					informed++
 				}
 			}
@@ -139,7 +139,7 @@
 	t.Parallel()
 	startInZone := func(name, zone string) *testMember {
 		t.Helper()
-		return startMember(t, Options{Self: Self{Name: name, Zone: zone}})
+		return startMember(t, Options{Self: Metadata{Name: name, Zone: zone}})
 	}
 	var zoneA, zoneB []*testMember
 	for i := range 4 {
--- a/internal/fleet/gossip/member.go
+++ b/internal/fleet/gossip/member.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Self is what a dispatcher says of itself.
-type Self struct {
+// Metadata is what a dispatcher says of itself.
+type Metadata struct {
 	Name          string `json:"n"`
 	Address       string `json:"a"`
 	Region        string `json:"r,omitempty"`
@@ -15,7 +15,7 @@
 
 // Member is a dispatcher, as far as is known here.
 type Member struct {
-	Self
+	Metadata
 	State State     `json:"State"`
 	Since time.Time `json:"Since"` // when the state was learned here
 }
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -32,7 +32,7 @@
 	record := storedRecord()
 	member := configversions.Dispatcher{Name: "dispatcher-1", Instance: "instance-1", AcknowledgedVersion: 21, MessageFormat: 22, Epoch: 23, Address: "127.0.0.1:9002",
 		Region: "region-1", Zone: "zone-1", VoterID: 24, JobsEnded: 25, JobsFailed: 26, PlanNumber: 27, DedicatedToControl: true}
-	self := gossip.Self{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
+	self := gossip.Metadata{Name: "dispatcher-2", Address: "127.0.0.1:9003", Region: "region-2", Zone: "zone-2", Epoch: 31, VoterID: 32, MessageFormat: 33}
 	return map[string]any{
 		"question": leaseRequest{Dispatcher: member, Revision: 41, Report: json.RawMessage(`{"dispatcher":"dispatcher-3"}`),
 			BudgetDemand: json.RawMessage(`{"budget-1":1.5}`), FirstAttemptsPerSecond: 42.5, Digest: &gossippeers.Digest{Count: 43, Sum: 44}},
@@ -49,7 +49,7 @@
 		"status": Status{Name: "dispatcher-8", Fleet: "fleet-1", VoterID: 71, Leader: 72, IsLeader: true, EffectiveVersions: []uint64{73}, LeaseExpired: true, LeaseLeftMS: 74,
 			Record: record, LeaseHolders: []configversions.Dispatcher{member}, WaitingFor: []string{"dispatcher-9"},
 			Voters:  []voters.Status{{Voter: voters.Voter{ID: 75, Address: "127.0.0.1:9005"}, SilentFor: 76, EntriesBehind: 77, IsLeader: true}},
-			Members: []gossip.Member{{Self: self, State: gossip.Left, Since: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC)}},
+			Members: []gossip.Member{{Metadata: self, State: gossip.Left, Since: time.Date(2026, 2, 3, 4, 5, 6, 7, time.UTC)}},
 			Zones: []failover.ZoneView{{Zone: "zone-7", Region: "region-3", Capacity: 81.5, Planned: 82.5, Demand: 83.5, Shed: 84.5, CapacityFactor: 85.5,
 				UnreachableFrom: []string{"zone-8"}, Reason: "why-4"}},
 			PlanExpired: true, BudgetUsage: []BudgetUsage{{Kind: "budget-3", RatePerSecond: 91.5, Demand: 92.5, Denied: 93}},
