--- a/internal/fleet/raftlog/apply.go
+++ b/internal/fleet/raftlog/apply.go
@@ -10,8 +10,8 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// applyCommitted applies a committed entry of raft: a change of the voters or an entry of configversions. The caller of
-// Propose that waits for it gets the result.
+// applyCommitted applies a committed raft entry: a change of the voters or an entry of configversions. It sends the result
+// to the caller of Propose that waits for the entry, if there is one.
 func (l *Log) applyCommitted(committed *raftpb.Entry) {
 	l.appliedIndex = committed.GetIndex()
 	var entry configversions.Entry
@@ -42,7 +42,7 @@
 	}
 }
 
-// applyEntry applies an entry to the record. An entry that the record rejects changes nothing, at any voter alike.
+// applyEntry applies an entry to the record. All voters reject the same entries, and a rejected entry changes nothing.
 func (l *Log) applyEntry(entry configversions.Entry) error {
 	l.mu.Lock()
 	next, err := l.record.Apply(entry)
--- a/internal/fleet/raftlog/cluster_test.go
+++ b/internal/fleet/raftlog/cluster_test.go
@@ -17,7 +17,7 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// cluster is a raft group in one process, whose network drops the messages that a test selects. mu guards all fields below it.
+// cluster is a raft group in one process. Its network drops the messages that a test selects. mu guards all fields below it.
 type cluster struct {
 	t             *testing.T
 	founders      int
@@ -25,9 +25,9 @@
 	mu            sync.Mutex
 	logs          []*Log // by voter ID; nil while the voter is down
 	stops         []context.CancelFunc
-	results       []chan error // of Run
+	results       []chan error // returned by Run
 	drop          func(from, to int) bool
-	dropSnapshots int // how many of the next snapshots are dropped, to any voter
+	dropSnapshots int // number of further snapshots to drop, to any voter
 }
 
 const voterIDLimit = 8 // all voter IDs are below it
@@ -40,7 +40,7 @@
 	return all
 }
 
-// newCluster starts a cluster of n founders, which the end of the test stops.
+// newCluster starts a cluster of n founders, and stops it at the end of the test.
 func newCluster(t *testing.T, n int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, founders: n, logs: make([]*Log, voterIDLimit), stops: make([]context.CancelFunc, voterIDLimit), results: make([]chan error, voterIDLimit),
@@ -61,11 +61,11 @@
 // start opens and runs a voter with the file in its directory.
 func (c *cluster) start(id int) {
 	c.t.Helper()
-	var first []voters.Voter
+	var founderList []voters.Voter
 	if id <= c.founders {
-		first = founders(c.founders)
+		founderList = founders(c.founders)
 	}
-	log, err := Open(Options{VoterID: uint64(id), Founders: first, Directory: c.dirs[id], RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {},
+	log, err := Open(Options{VoterID: uint64(id), Founders: founderList, Directory: c.dirs[id], RecordChanged: func(configversions.Record) {}, LeadershipChanged: func(bool) {},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), SnapshotEvery: 30, Send: func(receiver uint64, message []byte) {
 			to := int(receiver)
 			c.mu.Lock()
@@ -92,7 +92,7 @@
 	go func() { result <- log.Run(ctx) }()
 }
 
-// stop stops a voter and waits for its end; it does nothing if the voter is down.
+// stop stops a voter and waits until Run has returned; it does nothing if the voter is down.
 func (c *cluster) stop(id int) {
 	c.t.Helper()
 	c.mu.Lock()
@@ -115,7 +115,7 @@
 	c.drop = drop
 }
 
-// log returns the log of a voter, nil while that is down.
+// log returns the log of a voter; nil while the voter is down.
 func (c *cluster) log(id int) *Log {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +141,7 @@
 	return 0, nil
 }
 
-// propose proposes an entry to the leader until it is applied, 10 s at most, whichever voter leads.
+// propose proposes an entry until it is applied, to whichever voter leads, for 10 s at most.
 func (c *cluster) propose(entry configversions.Entry) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
@@ -153,13 +153,14 @@
 			return
 		}
 		if _, again := leader.Record().Apply(entry); again != nil && leader.Record().Revision > 0 {
-			return // it was applied, though the result was lost
+			return // it was applied, but the result was lost
 		}
 	}
 	c.t.Fatalf("entry %s was not applied within 10 s", entry.ID)
 }
 
-// awaitRevision waits until voters have applied a revision, 10 s at most, and checks that those at the same revision have the same record.
+// awaitRevision waits until the given voters have applied a revision, 10 s at most, and checks that voters at the same revision have the
+// same record.
 func (c *cluster) awaitRevision(revision uint64, ids ...int) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -169,18 +170,18 @@
 		}
 		if all {
 			for _, id := range ids {
-				if a, b := text(c.log(id).Record()), text(c.log(ids[0]).Record()); a != b && c.log(id).Record().Revision == c.log(ids[0]).Record().Revision {
-					c.t.Errorf("voter %d has %s, voter %d has %s", id, a, ids[0], b)
+				if a, b := recordJSON(c.log(id).Record()), recordJSON(c.log(ids[0]).Record()); a != b && c.log(id).Record().Revision == c.log(ids[0]).Record().Revision {
+					c.t.Errorf("records differ at the same revision: voter %d has %s, voter %d has %s", id, a, ids[0], b)
 				}
 			}
 			return
 		}
 	}
-	c.t.Fatalf("revision %d was not applied within 10 s at all of the voters %v", revision, ids)
+	c.t.Fatalf("revision %d was not applied within 10 s by all of the voters %v", revision, ids)
 }
 
-// text returns a record as JSON, for comparison and failure messages.
-func text(record configversions.Record) string {
+// recordJSON returns a record as JSON, for comparison and failure messages.
+func recordJSON(record configversions.Record) string {
 	text, _ := json.Marshal(record) // a record can always be encoded
 	return string(text)
 }
--- a/internal/fleet/raftlog/founder.go
+++ b/internal/fleet/raftlog/founder.go
@@ -10,9 +10,9 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// EnsureFounder reads what the file of a founding voter says of the founding, and creates the file, with an incarnation of its
-// own, where there is none. foundingVoters, where not nil, are the incarnations with which the raft group is founded; they
-// are on file from then on.
+// EnsureFounder returns the incarnation and the founding voters that are stored in a founding voter's file. If there is no
+// file, it creates one with a new incarnation. If foundingVoters is not nil, it stores them first: the incarnations, by voter
+// ID, with which the raft group is founded.
 func EnsureFounder(directory string, voterID uint64, foundingVoters map[uint64]string) (founder voters.Founder, err error) {
 	db, err := openFile(Path(directory, voterID))
 	if err != nil {
@@ -38,8 +38,8 @@
 	return founder, err
 }
 
-// ensureIncarnation returns the name that a file was given when it was created, and gives it one where it has none. A voter that
-// lost its file comes back with another ensureIncarnation.
+// ensureIncarnation returns the file's incarnation, a random name, and stores a new one if it has none. A voter that lost its
+// file therefore restarts with another incarnation.
 func ensureIncarnation(meta *bolt.Bucket) (string, error) {
 	if stored := meta.Get(incarnationKey); stored != nil {
 		return string(stored), nil
@@ -48,8 +48,8 @@
 	return created, meta.Put(incarnationKey, []byte(created))
 }
 
-// readFoundingVoters returns the founding voters on file; nil before the founding. A file that has a hard state and no
-// founding voters is of a build that did not write them, and counts as founded by this voter.
+// readFoundingVoters returns the stored founding voters; nil before the founding. A file with a hard state and without
+// founding voters was written by a build that did not store them; this voter then counts as the only founder.
 func readFoundingVoters(meta *bolt.Bucket, voterID uint64, incarnation string) (foundingVoters map[uint64]string, err error) {
 	if encoded := meta.Get(foundingVotersKey); encoded != nil {
 		err = json.Unmarshal(encoded, &foundingVoters)
--- a/internal/fleet/raftlog/load.go
+++ b/internal/fleet/raftlog/load.go
@@ -13,13 +13,13 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// The log of a raft group begins with a snapshot that all founders have, so that they need no election to have it.
+// The log of a raft group begins with a snapshot at this term and index. Each founder writes it itself, without an election.
 const (
 	foundingTerm  = 1
 	foundingIndex = 1
 )
 
-// load reads the file into memory, and makes it the file of a founder where it is new and founders is not nil.
+// load reads the file into memory. If the file is new and founders is not nil, it first writes what a founder's file begins with.
 func (s *store) load(founders []voters.Voter) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
@@ -30,31 +30,31 @@
 		if err != nil {
 			return err
 		}
-		hard := &raftpb.HardState{}
+		hardState := &raftpb.HardState{}
 		if founders != nil {
 			if err := initFounder(meta, founders); err != nil {
 				return err
 			}
-			hard.Term = proto.Uint64(foundingTerm)
-			hard.Commit = proto.Uint64(foundingIndex)
+			hardState.Term = proto.Uint64(foundingTerm)
+			hardState.Commit = proto.Uint64(foundingIndex)
 		}
 		snapshot := &raftpb.Snapshot{}
 		if err := readMessage(meta, snapshotKey, snapshot); err != nil {
 			return err
 		}
-		if err := readMessage(meta, hardStateKey, hard); err != nil {
+		if err := readMessage(meta, hardStateKey, hardState); err != nil {
 			return err
 		}
-		following, err := readEntries(entries, snapshot.GetMetadata().GetIndex())
+		entriesAfterSnapshot, err := readEntries(entries, snapshot.GetMetadata().GetIndex())
 		if err != nil {
 			return err
 		}
-		return s.fill(snapshot, following, hard)
+		return s.initMemoryStorage(snapshot, entriesAfterSnapshot, hardState)
 	})
 }
 
-// fill fills the memory storage.
-func (s *store) fill(snapshot *raftpb.Snapshot, entries []*raftpb.Entry, hard *raftpb.HardState) error {
+// initMemoryStorage copies the stored state into the memory storage.
+func (s *store) initMemoryStorage(snapshot *raftpb.Snapshot, entries []*raftpb.Entry, hardState *raftpb.HardState) error {
 	if !raft.IsEmptySnap(snapshot) {
 		if err := s.ApplySnapshot(snapshot); err != nil {
 			return err
@@ -63,10 +63,10 @@
 	if err := s.Append(entries); err != nil {
 		return err
 	}
-	return s.SetHardState(hard)
+	return s.SetHardState(hardState)
 }
 
-// initFounder writes the founding snapshot and the number of founders to a new file, and checks the number on an old one.
+// initFounder writes the founding snapshot and the number of founders to a new file, and checks the number in an existing one.
 func initFounder(meta *bolt.Bucket, founders []voters.Voter) error {
 	if meta.Get(snapshotKey) == nil {
 		snapshot, err := foundingSnapshot(founders)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// foundingSnapshot returns the snapshot that the log of a raft group begins with: a record of its founders alone.
+// foundingSnapshot returns the snapshot that the log of a raft group begins with: a record that contains only its founders.
 func foundingSnapshot(founders []voters.Voter) (*raftpb.Snapshot, error) {
 	confState := &raftpb.ConfState{}
 	for _, founder := range founders {
@@ -113,7 +113,7 @@
 	}
 }
 
-// readMessage reads the message of a key. Where there is none the message stays as it is.
+// readMessage reads the message stored under a key. If there is none, it leaves message unchanged.
 func readMessage(bucket *bolt.Bucket, key []byte, message proto.Message) error {
 	encoded := bucket.Get(key)
 	if encoded == nil {
@@ -122,7 +122,7 @@
 	return proto.Unmarshal(encoded, message)
 }
 
-// readEntries returns the stored entries with an index above that of the snapshot, in order.
+// readEntries returns the stored entries after the snapshot's index, in order.
 func readEntries(bucket *bolt.Bucket, snapshotIndex uint64) (entries []*raftpb.Entry, err error) {
 	err = bucket.ForEach(func(_, encoded []byte) error {
 		entry := &raftpb.Entry{}
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -1,7 +1,7 @@
-// Package raftlog is the replicated log of the fleet's raft group: entries of configversions in one order at all voters.
+// Package raftlog is the replicated log of the fleet's raft group: entries of configversions, in the same order at all voters.
 //
-// Consensus is that of go.etcd.io/raft/v3. This package gives it a clock, a file (go.etcd.io/bbolt) and messages, and applies
-// what is committed to a configversions.Record.
+// go.etcd.io/raft/v3 provides the consensus. This package gives it a clock, a file (go.etcd.io/bbolt) and messages, and applies
+// the committed entries to a configversions.Record.
 package raftlog
 
 import (
@@ -23,41 +23,40 @@
 
 const (
 	tickInterval        = 50 * time.Millisecond
-	electionTicks       = 10      // without a message of the leader before a voter starts an election
+	electionTicks       = 10      // without a message from the leader, after which a voter starts an election
 	heartbeatTicks      = 2       // between two heartbeats of the leader
 	maxInflightMessages = 64      // appends that the leader sends to a voter before the first is acknowledged
 	maxMessageBytes     = 1 << 20 // of entries in one message
-	maxQueuedMessages   = 1024    // received and not yet stepped; further ones are dropped, as on a network
-	maxQueuedRequests   = 1024    // of callers; further callers block
-	maxRecentEntries    = 64      // retained in memory for followers of the record
+	maxQueuedMessages   = 1024    // received, not yet passed to raft; further ones are dropped, like messages that a network loses
+	maxQueuedRequests   = 1024    // from callers; further callers block
+	maxRecentEntries    = 64      // retained in memory for UpdateSince
 )
 
 // Errors of Propose, Confirm and ChangeVoters.
 var (
 	ErrNotLeader             = errors.New("this voter does not lead")
 	ErrStopped               = errors.New("the log has stopped")
-	ErrVoterChangeInProgress = errors.New("the council is being changed already")
+	ErrVoterChangeInProgress = errors.New("another change of the voters is in progress")
 )
 
-// Log is one voter: its part of the raft group, its file and the record that the committed entries lead to.
+// Log is one voter of the raft group: its raft node, its file and the record that results from the committed entries.
 //
-// The goroutine of Run owns the raft node, the store and all fields below ownedByRun; nothing else touches them. mu guards
-// the fields between mu and ownedByRun, which Run writes and any goroutine may read. Run takes mu for a moment only, never
-// while it writes to the disk, calls a callback or sends. The exported methods may be called from any goroutine at any time,
-// also before Run and after its end.
+// Only the goroutine of Run uses the raft node, the store and the fields of ownedByRun. mu guards the fields between mu and
+// ownedByRun, which Run writes and any goroutine may read. Run never holds mu while it writes to the disk, calls a callback or
+// sends. The exported methods may be called from any goroutine at any time, also before Run and after its end.
 type Log struct {
 	options  Options
 	store    *store
 	node     *raft.RawNode
-	messages chan []byte   // of other voters, for Run
-	requests chan request  // of callers, for Run
+	messages chan []byte   // from other voters, for Run
+	requests chan request  // from callers, for Run
 	done     chan struct{} // closed when Run ends
 
 	mu            sync.Mutex
 	record        configversions.Record
-	leader        uint64                 // 0 while none is known
+	leader        uint64                 // 0 if none is known
 	voterStatuses []voters.Status        // nil while this voter does not lead
-	recentEntries []configversions.Entry // that led to the record's last revisions, the newest last
+	recentEntries []configversions.Entry // that produced the record's last revisions, the newest last
 
 	ownedByRun
 }
@@ -71,13 +70,13 @@
 	votersChanged bool // since the last snapshot
 
 	reads     readIndexes
-	proposals map[string]chan<- error // that wait until they are applied, by the ID of their entry
+	proposals map[string]chan<- error // that are not applied yet, by the ID of their entry
 
-	silentTicks   map[uint64]int // since a voter's last message, while this one leads
-	snapshotTicks map[uint64]int // for which a snapshot has been on its way to a voter
+	silentTicks   map[uint64]int // since a voter's last message, by voter ID, while this voter leads
+	snapshotTicks map[uint64]int // since a snapshot was sent that is not acknowledged, by voter ID
 }
 
-// Open opens or creates the voter's file and restores what it has. The voter does nothing until Run is called; the caller
+// Open opens or creates the voter's file and restores the stored state. The voter does nothing until Run is called; the caller
 // must call Run, which closes the file.
 func Open(options Options) (*Log, error) {
 	if options.VoterID == 0 || options.Founders != nil && options.VoterID > uint64(len(options.Founders)) {
@@ -105,7 +104,7 @@
 	return log, nil
 }
 
-// restoreAndCreateNode restores the snapshot on file and makes the raft node, which continues after it.
+// restoreAndCreateNode restores the stored snapshot and creates the raft node, which continues after it.
 func (l *Log) restoreAndCreateNode() error {
 	snapshot, err := l.store.Snapshot()
 	if err != nil {
@@ -134,9 +133,9 @@
 	return filepath.Join(directory, fmt.Sprintf("council-%d.db", voterID))
 }
 
-// Run is the voter's event loop. It returns nil when the context ends, and an error when the disk fails: a voter that may
-// forget a vote or an entry must not give any, so it stops for good, and the others go on without it. Run closes the file
-// and ends all calls that wait, with ErrStopped.
+// Run is the voter's event loop. It returns nil when the context ends, and an error when the disk fails: a voter must not vote
+// or acknowledge an entry that it could lose, so it stops, and the others continue without it. Run closes the file, and all
+// waiting calls return ErrStopped.
 func (l *Log) Run(ctx context.Context) (err error) {
 	ticker := time.NewTicker(tickInterval)
 	defer func() {
@@ -168,8 +167,8 @@
 	}
 }
 
-// Step queues an encoded message of another voter. It does not block: a message for which there is no capacity is dropped,
-// and raft sends it again.
+// Step queues an encoded message from another voter. It does not block: if the queue is full the message is dropped, and raft
+// sends it again.
 func (l *Log) Step(message []byte) {
 	select {
 	case l.messages <- message:
@@ -177,7 +176,7 @@
 	}
 }
 
-// stepMessage passes a received message to raft. What is not a message of another voter to this one is dropped.
+// stepMessage passes a received message to raft. It drops anything but a message from another voter to this one.
 func (l *Log) stepMessage(encoded []byte) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(encoded, message); err != nil {
@@ -189,17 +188,17 @@
 	if raft.IsLocalMsg(message.GetType()) {
 		return
 	}
-	_ = l.node.Step(message) // an error means that the message is outdated or of a voter that raft does not know
+	_ = l.node.Step(message) // an error means that the message is outdated or from a voter that raft does not know
 }
 
-// Record returns the record as of the last entry that was applied here.
+// Record returns the record after the last entry that this voter has applied.
 func (l *Log) Record() configversions.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.record
 }
 
-// Leader returns the ID of the voter that leads, as far as this one knows; 0 for none.
+// Leader returns the ID of the leader, as far as this voter knows; 0 if none is known.
 func (l *Log) Leader() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,7 +208,7 @@
 // VoterID returns the raft ID of this voter.
 func (l *Log) VoterID() uint64 { return l.options.VoterID }
 
-// VoterStatuses returns what the leader sees of all voters and learners; nil where this voter does not lead.
+// VoterStatuses returns the leader's view of all voters and learners; nil if this voter does not lead.
 func (l *Log) VoterStatuses() []voters.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/raftlog/log_test.go
+++ b/internal/fleet/raftlog/log_test.go
@@ -14,20 +14,21 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// TestPropose_leaderStopsBeforePuttingInForce stops the leader between announcing a version and putting it in force, and starts it
-// again: the next leader continues, and all voters have the same record. Then all restart, one with an empty disk.
+// TestPropose_leaderStopsBeforePuttingInForce stops the leader after it has announced a version and before it puts the version in force,
+// and restarts it later: the next leader puts the version in force, and all voters have the same record. Then all voters restart, one
+// without its file, and apply another entry.
 func TestPropose_leaderStopsBeforePuttingInForce(t *testing.T) {
 	group := newCluster(t, 3)
 	group.propose(announce(0))
-	old, _ := group.leader()
-	group.stop(old)
+	oldLeaderID, _ := group.leader()
+	group.stop(oldLeaderID)
 	group.propose(configversions.Entry{ID: "f1", PutInForce: 1})
-	group.start(old)
+	group.start(oldLeaderID)
 	group.awaitRevision(3, 1, 2, 3)
 	for id := 1; id <= 3; id++ {
 		group.stop(id)
 	}
-	if err := os.Remove(Path(group.dirs[old], uint64(old))); err != nil {
+	if err := os.Remove(Path(group.dirs[oldLeaderID], uint64(oldLeaderID))); err != nil {
 		t.Fatal(err)
 	}
 	for id := 1; id <= 3; id++ {
@@ -37,14 +38,14 @@
 	group.awaitRevision(4, 1, 2, 3)
 }
 
-// TestConfirm_partition separates two of five voters, the leader among them: Confirm fails there, and the other three elect a leader
-// that applies an entry. Once the partition heals all voters have the same record.
+// TestConfirm_partition separates the leader and one other voter from the other three of five: Confirm fails at the old leader, and the
+// other three elect a leader and apply an entry. After the partition all voters have the same record.
 func TestConfirm_partition(t *testing.T) {
 	group := newCluster(t, 5)
 	group.propose(announce(0))
-	old, oldLeader := group.leader()
-	other := old%5 + 1
-	separated := func(id int) bool { return id == old || id == other }
+	oldLeaderID, oldLeader := group.leader()
+	otherID := oldLeaderID%5 + 1
+	separated := func(id int) bool { return id == oldLeaderID || id == otherID }
 	group.dropMessages(func(from, to int) bool { return separated(from) != separated(to) })
 	ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(700*time.Millisecond))
 	if err := oldLeader.Confirm(ctx); err == nil {
@@ -56,12 +57,12 @@
 	group.awaitRevision(3, 1, 2, 3, 4, 5)
 }
 
-// TestConfirm_manyCallersShareMessages has 300 callers confirm the leader at once: all succeed, and the leader sends no more than 300
-// messages to the two other voters.
+// TestConfirm_manyCallersShareMessages makes 300 concurrent calls of Confirm at the leader: all succeed, and the leader sends no more
+// than 300 messages to the two other voters.
 func TestConfirm_manyCallersShareMessages(t *testing.T) {
 	group := newCluster(t, 3)
 	const callers = 300
-	for end := time.Now().Add(20 * time.Second); ; { // the leader may change meanwhile on a busy machine: 20 s of attempts
+	for end := time.Now().Add(20 * time.Second); ; { // on a busy machine the leader may change during an attempt: retry for 20 s
 		id, leader := group.leader()
 		var mu sync.Mutex
 		sent := 0
@@ -94,17 +95,17 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d messages of the leader for %d callers, error %v", sent, callers, failed)
+			t.Fatalf("the leader sent %d messages for %d callers, want no more messages than callers; error %v", sent, callers, failed)
 		}
 	}
 }
 
-// TestLog_messageLoss drops a tenth of all messages while more entries are applied than the log retains: a voter that was down catches up
-// from a snapshot, with all versions.
+// TestLog_messageLoss drops a tenth of all messages while more entries are applied than the log retains. A voter that was down meanwhile
+// catches up from a snapshot, up to the last version and with a history.
 func TestLog_messageLoss(t *testing.T) {
 	group := newCluster(t, 3)
-	leader, _ := group.leader()
-	lagging := leader%3 + 1
+	leaderID, _ := group.leader()
+	lagging := leaderID%3 + 1
 	group.stop(lagging)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -116,15 +117,15 @@
 	group.start(lagging)
 	group.awaitRevision(2*retainedEntries+1, 1, 2, 3)
 	if got := group.log(lagging).Record(); got.InForce.Number != retainedEntries || len(got.History) == 0 {
-		t.Errorf("caught up to version %d with %d versions in its history", got.InForce.Number, len(got.History))
+		t.Errorf("caught up to version %d in force with %d versions in its history, want the last version and a history", got.InForce.Number, len(got.History))
 	}
 }
 
-// TestLog_snapshotsLost drops the first two snapshots to a voter that was down: it catches up by a later one.
+// TestLog_snapshotsLost drops the first two snapshots to a voter that was down: the voter catches up from a later snapshot.
 func TestLog_snapshotsLost(t *testing.T) {
 	group := newCluster(t, 3)
-	leader, _ := group.leader()
-	lagging := leader%3 + 1
+	leaderID, _ := group.leader()
+	lagging := leaderID%3 + 1
 	group.stop(lagging)
 	for n := range uint64(retainedEntries) {
 		group.propose(announce(n))
@@ -137,7 +138,7 @@
 	group.awaitRevision(2*retainedEntries+1, 1, 2, 3)
 }
 
-// FuzzStep passes arbitrary bytes to a voter as a message: Run goes on, and ends without an error.
+// FuzzStep passes arbitrary bytes to a voter as a message: Run continues, and returns no error when it is stopped.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{8, 3, 16, 1, 24, 2, 32, 9})
 	f.Add([]byte("no message"))
@@ -152,7 +153,7 @@
 		go func() { result <- log.Run(ctx) }()
 		log.Step(text)
 		proposal, cancelProposal := context.WithDeadline(ctx, time.Now().Add(time.Second))
-		_ = log.Propose(proposal, announce(0)) // alone of three, it cannot lead
+		_ = log.Propose(proposal, announce(0)) // fails: one voter of three cannot become the leader
 		cancelProposal()
 		stop()
 		if err := <-result; err != nil {
--- a/internal/fleet/raftlog/progress.go
+++ b/internal/fleet/raftlog/progress.go
@@ -11,16 +11,15 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// unknownBehind is the number of entries that a voter is said to be behind while it has not answered this leader, however
-// short the log is.
-const unknownBehind = math.MaxUint64
+// unknownEntriesBehind is the lag of a voter that has not answered this leader yet, regardless of how short the log is.
+const unknownEntriesBehind = math.MaxUint64
 
-// checkProgress notes at the leader, once a tick, what raft knows of each voter, and has snapshots sent again that were lost.
+// checkProgress runs at the leader once per tick: it publishes raft's view of each voter and retries lost snapshots.
 func (l *Log) checkProgress() {
 	if !l.isLeader {
 		return
 	}
-	lastIndex, _ := l.store.LastIndex() // the storage is in memory and has no error to return
+	lastIndex, _ := l.store.LastIndex() // the memory storage returns no error
 	var statuses []voters.Status
 	l.node.WithProgress(func(id uint64, kind raft.ProgressType, progress tracker.Progress) {
 		l.countTicks(id, progress)
@@ -30,8 +29,8 @@
 	l.publishStatuses(statuses)
 }
 
-// countTicks counts for how long a voter has been silent, and a snapshot on its way to it. raft clears RecentActive once in
-// an election timeout.
+// countTicks counts the ticks since a voter's last message, and the ticks since a snapshot was sent to it. raft clears
+// RecentActive once per election timeout.
 func (l *Log) countTicks(id uint64, progress tracker.Progress) {
 	l.silentTicks[id]++
 	if progress.RecentActive || id == l.options.VoterID {
@@ -44,22 +43,23 @@
 	}
 }
 
-// voterStatus returns what raft knows of a voter, without its name and place.
+// voterStatus returns raft's view of a voter, without its name, address, region and zone.
 func (l *Log) voterStatus(id uint64, kind raft.ProgressType, progress tracker.Progress, lastIndex uint64) voters.Status {
-	behind := lastIndex - min(progress.Match, lastIndex)
+	entriesBehind := lastIndex - min(progress.Match, lastIndex)
 	if progress.Match == 0 {
-		behind = unknownBehind
+		entriesBehind = unknownEntriesBehind
 	}
 	return voters.Status{
 		Voter:         voters.Voter{ID: id, Learner: kind == raft.ProgressTypeLearner},
 		SilentFor:     time.Duration(l.silentTicks[id]) * tickInterval,
-		EntriesBehind: behind,
+		EntriesBehind: entriesBehind,
 		IsLeader:      id == l.options.VoterID,
 	}
 }
 
-// retrySnapshots has a snapshot sent again that was not acknowledged for an election timeout. raft sends one, and then
-// nothing more to that voter until it is notified how the transfer ended; nobody reports one that the network lost.
+// retrySnapshots makes raft send a snapshot again that was not acknowledged within an election timeout. After a snapshot raft
+// sends nothing more to that voter until the result of the transfer is reported, and nobody reports a snapshot that the
+// network lost.
 func (l *Log) retrySnapshots() {
 	for id, ticks := range l.snapshotTicks {
 		if ticks < electionTicks {
@@ -70,18 +70,18 @@
 	}
 }
 
-// publishStatuses completes the statuses with what the record says of the voters, and makes them readable to others.
+// publishStatuses adds the voters' data in the record to the statuses, and stores them for VoterStatuses.
 func (l *Log) publishStatuses(statuses []voters.Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range statuses {
 		status := &statuses[i]
-		known := slices.IndexFunc(l.record.Voters, func(voter voters.Voter) bool { return voter.ID == status.ID })
-		if known < 0 {
+		index := slices.IndexFunc(l.record.Voters, func(voter voters.Voter) bool { return voter.ID == status.ID })
+		if index < 0 {
 			continue
 		}
 		learner := status.Learner
-		status.Voter = l.record.Voters[known]
+		status.Voter = l.record.Voters[index]
 		status.Learner = learner
 	}
 	l.voterStatuses = statuses
--- a/internal/fleet/raftlog/raftlogger.go
+++ b/internal/fleet/raftlog/raftlogger.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// raftLogger is the logger of the raft library. Its warnings and errors are logged as such, the rest at debug level. Fatal
-// and Panic panic, as raft demands: it calls them where its invariants no longer hold.
+// raftLogger is the logger of the raft library. It logs warnings and errors at their own level, and the rest at debug level.
+// Fatal and Panic panic, as raft requires: raft calls them when one of its invariants is violated.
 type raftLogger struct{ log *slog.Logger }
 
 // Debug implements raft.Logger.
--- a/internal/fleet/raftlog/readindex.go
+++ b/internal/fleet/raftlog/readindex.go
@@ -8,28 +8,28 @@
 )
 
 // minReadInterval is the shortest time between two ReadIndex requests. It is a little less than a tick, so that a request
-// that waits for the next tick is not put off to the one after.
+// that waits for the next tick is not delayed by another tick.
 const minReadInterval = tickInterval - tickInterval/10
 
-// readIndexes are the callers of Confirm, by how far the confirmation has come: queued, in flight, then confirmed by a
-// majority and waiting for entries to be applied. Owned by the goroutine of Run.
+// readIndexes are the callers of Confirm, by the stage of the confirmation: queued, in flight, then confirmed by a majority
+// and waiting for entries to be applied. Only the goroutine of Run uses it.
 type readIndexes struct {
-	queued    []chan<- error // wait for the next ReadIndex request
-	inFlight  []chan<- error // wait for the response to the one that was sent
+	queued    []chan<- error // that wait for the next ReadIndex request
+	inFlight  []chan<- error // that wait for the response to the last ReadIndex request
 	confirmed []confirmedRead
 	requestID uint64 // of the last ReadIndex request
 	sentAt    time.Time
 }
 
-// confirmedRead is a caller that a majority has confirmed, and that waits until the entry at index is applied.
+// confirmedRead is a caller for which a majority has confirmed the leadership. It waits until the entry at index is applied.
 type confirmedRead struct {
 	index  uint64
 	result chan<- error
 }
 
-// requestReadIndex asks the other voters whether this one still leads, once for all callers that are queued. One request is
-// in flight at a time: raft repeats it with its heartbeats until a majority has answered. Callers that come meanwhile wait
-// for the next one, at least minReadInterval later, because each costs a message to and from every voter.
+// requestReadIndex asks the other voters whether this one still leads, once for all queued callers. One request is in flight
+// at a time: raft repeats it with its heartbeats until a majority has answered. Later callers wait for the next request, at
+// least minReadInterval after this one, because each request costs a message to and from every voter.
 func (l *Log) requestReadIndex() {
 	reads := &l.reads
 	if len(reads.inFlight) > 0 || len(reads.queued) == 0 || time.Since(reads.sentAt) < minReadInterval {
@@ -42,8 +42,8 @@
 	l.node.ReadIndex(binary.BigEndian.AppendUint64(nil, reads.requestID))
 }
 
-// handleReadStates moves the callers in flight on when the response to the last request is among states. Responses to
-// earlier requests are of an earlier leadership.
+// handleReadStates marks the callers in flight as confirmed if states contain the response to the last request. Responses to
+// earlier requests belong to an earlier leadership.
 func (r *readIndexes) handleReadStates(states []raft.ReadState) {
 	for _, state := range states {
 		if binary.BigEndian.Uint64(state.RequestCtx) != r.requestID {
@@ -56,7 +56,7 @@
 	}
 }
 
-// completeUpTo ends the calls that waited for entries up to appliedIndex.
+// completeUpTo completes the confirmed calls that waited for entries up to appliedIndex.
 func (r *readIndexes) completeUpTo(appliedIndex uint64) {
 	remaining := r.confirmed[:0]
 	for _, read := range r.confirmed {
@@ -69,7 +69,7 @@
 	r.confirmed = remaining
 }
 
-// failAll ends all calls with an error.
+// failAll fails all calls with an error.
 func (r *readIndexes) failAll(err error) {
 	for _, result := range append(r.inFlight, r.queued...) {
 		result <- err
--- a/internal/fleet/raftlog/ready.go
+++ b/internal/fleet/raftlog/ready.go
@@ -8,8 +8,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// handleReady does what raft asks for, in the order that it demands: what must be durable goes to the disk first, then the
-// messages that rely on it are sent, then committed entries are applied. An error means that the voter must stop.
+// handleReady carries out what raft asks for, in the order that raft requires: first it writes the durable state to the disk,
+// then it sends the messages that rely on that state, then it applies the committed entries. After an error the voter must
+// stop.
 func (l *Log) handleReady(ready raft.Ready) error {
 	if err := l.store.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 		return fmt.Errorf("raft log: %w", err)
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// sendMessages sends raft's messages to the other voters. One that cannot be encoded is lost, like one that a network loses.
+// sendMessages sends raft's messages to the other voters. It drops a message that cannot be encoded, as a network might.
 func (l *Log) sendMessages(messages []*raftpb.Message) {
 	for _, message := range messages {
 		encoded, err := proto.Marshal(message)
@@ -48,7 +49,7 @@
 	}
 }
 
-// handleSoftState notes who leads. When this voter no longer leads, all calls that wait end with ErrNotLeader.
+// handleSoftState stores who leads. If this voter has lost the leadership, all waiting calls fail with ErrNotLeader.
 func (l *Log) handleSoftState(state *raft.SoftState) {
 	l.mu.Lock()
 	l.leader = state.Lead
@@ -66,7 +67,7 @@
 	l.options.LeadershipChanged(isLeader)
 }
 
-// stopLeading drops what only a leader has.
+// stopLeading clears the voter statuses, and fails all waiting calls with ErrNotLeader.
 func (l *Log) stopLeading() {
 	l.mu.Lock()
 	l.voterStatuses = nil
--- a/internal/fleet/raftlog/recover.go
+++ b/internal/fleet/raftlog/recover.go
@@ -14,10 +14,10 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// Recover makes a raft group of one voter out of what its file has, for a group that has lost its majority for good, and
-// returns the record that the new group begins with. A version that was announced is withdrawn, as nobody knows who acts on
-// it. The epoch of the record goes up: every dispatcher that hears of it rejects the old group from then on. No process may
-// have the file open.
+// Recover makes a raft group of one voter from that voter's file, for a group that has lost its majority permanently. It
+// returns the record that the new group begins with. An announced version is withdrawn, because it is not known which
+// dispatchers act on it. The epoch of the record is incremented: every dispatcher that learns of the new epoch rejects the old
+// group from then on. No process may have the file open.
 func Recover(directory string, voterID uint64, name, address string) (record configversions.Record, err error) {
 	path := Path(directory, voterID)
 	if _, err := os.Stat(path); err != nil {
@@ -28,12 +28,12 @@
 		return record, err
 	}
 	defer func() { err = errors.Join(err, opened.close()) }()
-	hard, _, err := opened.InitialState()
+	hardState, _, err := opened.InitialState()
 	if err != nil {
 		return record, err
 	}
-	if hard.GetTerm() == 0 {
-		return record, fmt.Errorf("%s: it has never been of a council", path)
+	if hardState.GetTerm() == 0 {
+		return record, fmt.Errorf("%s: the voter has never been a member of a raft group", path)
 	}
 	record, lastIndex, err := opened.replay()
 	if err != nil {
@@ -48,12 +48,12 @@
 		return record, err
 	}
 	confState := &raftpb.ConfState{Voters: []uint64{voterID}}
-	return record, opened.replace(newSnapshot(state, confState, lastIndex+1, hard.GetTerm()+1))
+	return record, opened.replace(newSnapshot(state, confState, lastIndex+1, hardState.GetTerm()+1))
 }
 
-// replay returns the record that the whole log on file leads to, and the index of the last entry. Entries count whether or
-// not they were committed: this voter has all that a majority had, or another survivor has a longer log and should be the
-// one to recover from. Entries that the record rejects change nothing, as at a voter.
+// replay applies the whole stored log and returns the resulting record and the index of the last entry. It applies entries
+// whether or not they were committed: either this voter has every entry that a majority had, or another surviving voter has a
+// longer log, from which the operator should recover. Entries that the record rejects change nothing, as in applyEntry.
 func (s *store) replay() (record configversions.Record, lastIndex uint64, err error) {
 	snapshot, err := s.Snapshot()
 	if err != nil {
@@ -76,9 +76,9 @@
 	if err != nil {
 		return record, 0, err
 	}
-	for _, logged := range entries {
+	for _, raftEntry := range entries {
 		var entry configversions.Entry
-		if logged.GetType() != raftpb.EntryNormal || len(logged.GetData()) == 0 || json.Unmarshal(logged.GetData(), &entry) != nil {
+		if raftEntry.GetType() != raftpb.EntryNormal || len(raftEntry.GetData()) == 0 || json.Unmarshal(raftEntry.GetData(), &entry) != nil {
 			continue
 		}
 		if next, err := record.Apply(entry); err == nil {
@@ -88,7 +88,7 @@
 	return record, lastIndex, nil
 }
 
-// unlimitedBytes is more than any log has.
+// unlimitedBytes is larger than any log.
 const unlimitedBytes = 1 << 62
 
 // recoveredRecord returns the record that a group of one voter begins with.
@@ -108,11 +108,11 @@
 	return record, nil
 }
 
-// replace replaces all that the file has by a snapshot, in one transaction. The number of founders is deleted, as it need no
-// longer be that of the settings.
+// replace replaces the stored entries, snapshot and hard state by a snapshot, in one transaction. It deletes the number of
+// founders, which need not match the settings any longer.
 func (s *store) replace(snapshot *raftpb.Snapshot) error {
 	metadata := snapshot.GetMetadata()
-	hard := &raftpb.HardState{Term: proto.Uint64(metadata.GetTerm()), Commit: proto.Uint64(metadata.GetIndex())}
+	hardState := &raftpb.HardState{Term: proto.Uint64(metadata.GetTerm()), Commit: proto.Uint64(metadata.GetIndex())}
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		if err := deleteEntries(tx.Bucket(entriesBucket), 0, maxIndex); err != nil {
@@ -124,6 +124,6 @@
 		if err := meta.Delete(voterCountKey); err != nil {
 			return err
 		}
-		return putMessage(meta, hardStateKey, hard)
+		return putMessage(meta, hardStateKey, hardState)
 	})
 }
--- a/internal/fleet/raftlog/request.go
+++ b/internal/fleet/raftlog/request.go
@@ -8,28 +8,29 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// request is a caller's request to the goroutine of Run: a proposal, a change of the voters or, with neither, a confirmation
-// of the leadership. result has capacity for its one result, so that Run never blocks on it.
+// request is a caller's request to the goroutine of Run: a proposal, a change of the voters or, if both are nil, a confirmation
+// of the leadership. result has capacity for the one result, so that Run never blocks on it.
 type request struct {
 	entry  *configversions.Entry
 	change *voters.Change
 	result chan<- error
 }
 
-// Propose appends an entry to the log and waits until it is applied here. It returns the error with which the record rejected
-// the entry, or ErrNotLeader. Where the context ends first, or leadership is lost, the entry may still be applied later.
+// Propose appends an entry to the log and waits until this voter has applied it. It returns ErrNotLeader, or the error with
+// which the record rejected the entry. If the context ends first, or the leadership is lost, the entry may still be applied
+// later.
 func (l *Log) Propose(ctx context.Context, entry configversions.Entry) error {
 	return l.do(ctx, request{entry: &entry})
 }
 
-// Confirm waits until a majority of the voters has confirmed that this one leads, and until it has applied all that was
-// committed before the call. It returns ErrNotLeader where it does not lead.
+// Confirm waits until a majority of the voters has confirmed that this one leads, and until this one has applied all entries
+// that were committed before the call. It returns ErrNotLeader if this voter does not lead.
 func (l *Log) Confirm(ctx context.Context) error {
 	return l.do(ctx, request{})
 }
 
-// ChangeVoters proposes a change of the raft group, one at a time: ErrChangeInProgress while another is under way. It
-// returns once the change is in the log of this voter; the record shows when it is applied.
+// ChangeVoters proposes a change of the raft group. Only one change may be in progress: during another one it returns
+// ErrVoterChangeInProgress. It returns once the change is in the log of this voter; the record shows when it is applied.
 func (l *Log) ChangeVoters(ctx context.Context, change voters.Change) error {
 	return l.do(ctx, request{change: &change})
 }
@@ -55,7 +56,7 @@
 	}
 }
 
-// handleRequest starts a caller's request. Only the leader serves any.
+// handleRequest starts a caller's request. Only the leader serves requests.
 func (l *Log) handleRequest(req request) {
 	switch {
 	case !l.isLeader:
@@ -70,7 +71,7 @@
 	}
 }
 
-// proposeEntry proposes the entry of a request, whose result is sent when the entry is applied.
+// proposeEntry proposes the entry of a request. applyCommitted sends the result.
 func (l *Log) proposeEntry(req request) {
 	encoded, err := json.Marshal(req.entry)
 	if err == nil {
--- a/internal/fleet/raftlog/snapshot.go
+++ b/internal/fleet/raftlog/snapshot.go
@@ -10,7 +10,7 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// restore replaces the record by that of a snapshot, on file or received from the leader.
+// restore replaces the record by the record in a snapshot, which is read from the file or received from the leader.
 func (l *Log) restore(snapshot *raftpb.Snapshot) error {
 	metadata := snapshot.GetMetadata()
 	l.appliedIndex = metadata.GetIndex()
@@ -30,14 +30,14 @@
 	return nil
 }
 
-// snapshotDue reports whether a snapshot is to be taken now: after a number of entries, and after each change of the voters,
-// as a voter that joins has to find itself in the snapshot that it is sent.
+// snapshotDue reports whether to take a snapshot now: after a number of entries, and after each change of the voters, because
+// the snapshot that a joining voter receives must contain that voter.
 func (l *Log) snapshotDue() bool {
 	every := cmp.Or(l.options.SnapshotEvery, defaultSnapshotEvery)
 	return l.votersChanged || l.appliedIndex >= l.snapshotIndex+every
 }
 
-// takeSnapshot writes a snapshot of the record and deletes the entries that it replaces.
+// takeSnapshot writes a snapshot of the record and deletes the entries that the snapshot replaces.
 func (l *Log) takeSnapshot() error {
 	state, err := json.Marshal(l.Record())
 	if err == nil {
--- a/internal/fleet/raftlog/store.go
+++ b/internal/fleet/raftlog/store.go
@@ -15,8 +15,8 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// store is a voter's durable state in a bbolt file: what raft must find again after a crash. Reads go to the embedded memory
-// storage, which has all that the file has; writes go to the file first. Owned by the goroutine of Log.Run.
+// store is the state in a bbolt file that a voter needs after a crash. Reads use the embedded memory storage, a copy of the
+// file; writes go to the file first. Only the goroutine of Log.Run uses it.
 type store struct {
 	*raft.MemoryStorage
 	db *bolt.DB
@@ -31,23 +31,23 @@
 
 	hardStateKey      = []byte("hard")
 	snapshotKey       = []byte("snapshot")
-	voterCountKey     = []byte("voters") // of the founding
+	voterCountKey     = []byte("voters") // number of founders
 	incarnationKey    = []byte("file")
 	foundingVotersKey = []byte("roll")
 )
 
 const (
-	// fileLockTimeout is how long a voter waits for a predecessor process to release the file.
+	// fileLockTimeout is how long a voter waits for its predecessor process to release the file.
 	fileLockTimeout = 2 * time.Second
-	// retainedEntries are the entries before a snapshot that stay in memory, for voters that are a little behind.
+	// retainedEntries is the number of entries before a snapshot that stay in memory, for voters that lag a little.
 	retainedEntries = 64
-	// maxIndex is past the index of any entry.
+	// maxIndex is greater than the index of any entry.
 	maxIndex = math.MaxInt64 + 1
 )
 
-// errVoterCount is returned for a file of a raft group that was founded with another number of voters. Two groups must not
-// share a past by mistake.
-var errVoterCount = errors.New("the file is of a raft group founded with another number of voters")
+// errVoterCount is returned for a file of a raft group that was founded with a different number of voters. It prevents that two
+// groups continue the same log by mistake.
+var errVoterCount = errors.New("the file belongs to a raft group that was founded with a different number of voters")
 
 // openFile opens or creates a voter's file.
 func openFile(path string) (*bolt.DB, error) {
@@ -74,14 +74,14 @@
 // close closes the file.
 func (s *store) close() error { return s.db.Close() }
 
-// save writes what raft wants durable in one transaction, synced to the disk, and then has it in memory. The arguments are
-// empty where they have not changed.
-func (s *store) save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
-	if raft.IsEmptyHardState(hard) && len(entries) == 0 && raft.IsEmptySnap(snapshot) {
+// save writes raft's durable state to the file in one transaction, synced to the disk, and then to the memory storage. An empty
+// argument means that this part of the state has not changed.
+func (s *store) save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
+	if raft.IsEmptyHardState(hardState) && len(entries) == 0 && raft.IsEmptySnap(snapshot) {
 		return nil
 	}
 	err := s.db.Update(func(tx *bolt.Tx) error {
-		return write(tx, hard, entries, snapshot)
+		return writeState(tx, hardState, entries, snapshot)
 	})
 	if err != nil {
 		return err
@@ -91,17 +91,17 @@
 			return err
 		}
 	}
-	if !raft.IsEmptyHardState(hard) {
-		if err := s.SetHardState(hard); err != nil {
+	if !raft.IsEmptyHardState(hardState) {
+		if err := s.SetHardState(hardState); err != nil {
 			return err
 		}
 	}
 	return s.Append(entries)
 }
 
-// write writes what raft wants durable. A snapshot replaces the entries up to its index, and new entries replace all from
-// the index of the first of them on.
-func write(tx *bolt.Tx, hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
+// writeState writes raft's durable state. A snapshot replaces the entries up to its index. New entries replace all entries
+// from the index of the first new one on.
+func writeState(tx *bolt.Tx, hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	meta := tx.Bucket(metaBucket)
 	stored := tx.Bucket(entriesBucket)
 	if !raft.IsEmptySnap(snapshot) {
@@ -122,14 +122,14 @@
 			return err
 		}
 	}
-	if raft.IsEmptyHardState(hard) {
+	if raft.IsEmptyHardState(hardState) {
 		return nil
 	}
-	return putMessage(meta, hardStateKey, hard)
+	return putMessage(meta, hardStateKey, hardState)
 }
 
-// compact writes a snapshot of the state as of an applied index, and deletes the entries up to it. The last retainedEntries
-// of them stay in memory.
+// compact writes a snapshot of the state at an applied index, and deletes the entries up to this index from the file. The last
+// retainedEntries of them stay in memory.
 func (s *store) compact(appliedIndex uint64, confState *raftpb.ConfState, state []byte) error {
 	snapshot, err := s.CreateSnapshot(appliedIndex, confState, state)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// entryKey returns the key of an entry: its index, big endian, so that keys sort as indexes do.
+// entryKey returns the key of an entry: its index, big endian, so that the keys sort like the indexes.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func putMessage(bucket *bolt.Bucket, key []byte, message proto.Message) error {
--- a/internal/fleet/raftlog/stored_test.go
+++ b/internal/fleet/raftlog/stored_test.go
@@ -16,14 +16,14 @@
 	"brassdale/internal/testsupport"
 )
 
-// storedFounders are the voters of the log in testdata/stored: only the one that wrote it.
+// storedFounders are the voters of the log in testdata/stored: only the voter that wrote it.
 var storedFounders = []voters.Voter{{ID: 1, Address: "127.0.0.1:9001"}}
 
-// storedIncarnation was drawn when the file in testdata/stored was made.
+// storedIncarnation is the random incarnation in the file in testdata/stored.
 const storedIncarnation = "HPSB64GR6P3ZLFVK5MYBPGJJAT"
 
-// storedEntries were proposed to the log in testdata/stored, in this order. The snapshot includes the first ones;
-// the last ones follow it in the log.
+// storedEntries returns the entries that were proposed to the log in testdata/stored, in this order. The snapshot includes the first
+// four; the log contains the others.
 func storedEntries() []configversions.Entry {
 	announce := func(id string, follows uint64) configversions.Entry {
 		return configversions.Entry{ID: id, Announce: &configversions.Version{Number: follows, By: "by-" + id, Reason: "why-" + id,
@@ -42,7 +42,7 @@
 	}
 }
 
-// storedRecord is the record after all entries of the log in testdata/stored.
+// storedRecord returns the record after all entries of the log in testdata/stored.
 func storedRecord() configversions.Record {
 	version := func(id string, number uint64) configversions.Version {
 		return configversions.Version{Number: number, By: "by-" + id, Reason: "why-" + id, At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
@@ -58,7 +58,7 @@
 	}
 }
 
-// openStored opens the log of a directory and runs it until the test ends.
+// openStored opens the log in a directory and runs it until the test ends.
 func openStored(t *testing.T, dir string) *Log {
 	t.Helper()
 	log, err := Open(Options{VoterID: 1, Founders: storedFounders, Directory: dir, SnapshotEvery: 5, Send: func(uint64, []byte) {},
@@ -78,21 +78,21 @@
 	return log
 }
 
-// awaitApplied waits until the log of a leader has applied all committed entries, 10 s at most.
+// awaitApplied waits until the voter leads and has applied all committed entries, 10 s at most.
 func awaitApplied(t *testing.T, log *Log) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
 	for log.Confirm(ctx) != nil {
 		if ctx.Err() != nil {
-			t.Fatal("the log does not lead within 10 s")
+			t.Fatal("the voter did not become the leader within 10 s")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// copyStored returns a directory with a copy of the file that the program of commit c2c1317 wrote: a snapshot, the entries after it,
-// the hard state, the number of voters and the founders.
+// copyStored returns a directory with a copy of the file that the program at commit c2c1317 wrote: a snapshot, the entries after it, the
+// hard state, the number of voters and the founders.
 func copyStored(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -102,8 +102,8 @@
 	return dir
 }
 
-// TestStoredLog checks the snapshot, the entries and the hard state of the stored file, and that a log runs on from there: it leads, has
-// the same record field by field, and applies another entry.
+// TestStoredLog checks the snapshot, the entries and the hard state of the stored file. A voter with this file must become the leader,
+// have the same record field by field, and apply another entry.
 func TestStoredLog(t *testing.T) {
 	dir := copyStored(t)
 	store, err := openStore(Path(dir, 1), storedFounders)
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestStoredFounder reads the founders from the stored file. They are two, as a file without founders would read like that of a voter
-// that founded its group alone.
+// TestStoredFounder checks the founding voters in the stored file. The file names two, because a file without founding voters reads like
+// the file of a voter that founded its group by itself.
 func TestStoredFounder(t *testing.T) {
 	got, err := EnsureFounder(copyStored(t), 1, nil)
 	if err != nil {
@@ -171,18 +171,18 @@
 	}
 }
 
-// TestStoredLog_otherGroupSize checks that the stored number of voters is read: a group of another size is rejected.
+// TestStoredLog_otherGroupSize checks that the stored number of voters is read: a different number of founders is rejected.
 func TestStoredLog_otherGroupSize(t *testing.T) {
 	two := append(storedFounders[:1:1], voters.Voter{ID: 2, Address: "127.0.0.1:9002"})
 	store, err := openStore(Path(copyStored(t), 1), two)
 	if err == nil {
-		t.Error("a group of two was opened, where one voter is stored")
+		t.Error("opened the file of a group of one voter with two founders, want an error")
 		_ = store.db.Close() // the test has failed already
 	}
 }
 
-// TestStoredLog_recovered recovers a group of one from the stored file: the announced version is withdrawn, the rest of the record is
-// unchanged.
+// TestStoredLog_recovered recovers a group of one voter from the stored file: the announced version is withdrawn, the epoch is
+// incremented, the voter has its new name and address, and the rest of the record is unchanged.
 func TestStoredLog_recovered(t *testing.T) {
 	got, err := Recover(copyStored(t), 1, "dispatcher-1", "127.0.0.1:9002")
 	if err != nil {
--- a/internal/fleet/raftlog/update.go
+++ b/internal/fleet/raftlog/update.go
@@ -6,12 +6,12 @@
 	"brassdale/internal/decisions/configversions"
 )
 
-// Update is what changed since a revision of the record: entries to apply to the record of that revision, or the whole record.
-// Both are nil where nothing has changed.
+// Update is what changed since a revision of the record: entries to apply to the record at that revision, or the whole record.
+// Both are nil if nothing has changed.
 type Update struct {
 	Entries []configversions.Entry
 	Record  *configversions.Record
-	// Epoch and Revision are those of the record that the update leads to.
+	// Epoch and Revision are the record's epoch and revision after the update.
 	Epoch    uint64
 	Revision uint64
 }
@@ -19,8 +19,8 @@
 // IsEmpty reports whether nothing has changed.
 func (u Update) IsEmpty() bool { return u.Entries == nil && u.Record == nil }
 
-// UpdateSince returns what changed since a revision of the record: the entries where they are still in memory, else the whole
-// record. Revision 0 stands for a caller that has no record.
+// UpdateSince returns what changed since a revision of the record: the entries if they are still in memory, otherwise the whole
+// record. Revision 0 means that the caller has no record.
 func (l *Log) UpdateSince(epoch, revision uint64) Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/raftlog/voters.go
+++ b/internal/fleet/raftlog/voters.go
@@ -26,12 +26,12 @@
 	return l.node.ProposeConfChange(confChange)
 }
 
-// inJointConfiguration reports whether a change of several voters is applied and not yet concluded.
+// inJointConfiguration reports whether a change of several voters is applied but not completed, in raft's joint consensus.
 func (l *Log) inJointConfiguration() bool {
 	return l.confState.GetAutoLeave() || len(l.confState.GetVotersOutgoing()) > 0
 }
 
-// newConfChange returns a change in raft's terms. The voter that is added is its context: raft itself knows only IDs.
+// newConfChange converts a change to raft's type. Its context contains the added voter, because raft itself knows only IDs.
 func newConfChange(change *voters.Change) (*raftpb.ConfChangeV2, error) {
 	confChange := &raftpb.ConfChangeV2{}
 	add := func(kind raftpb.ConfChangeType, id uint64) {
@@ -55,8 +55,8 @@
 	return confChange, nil
 }
 
-// votersOf returns the voters and learners of the current configuration with what is known of each: by the record, and by the
-// context of the change that led here.
+// votersOf returns the voters and learners of the current configuration. Their names and addresses come from the record, or for
+// an added voter from the context of the change that was just applied.
 func (l *Log) votersOf(changeContext []byte) []voters.Voter {
 	l.mu.Lock()
 	known := slices.Clone(l.record.Voters)
--- a/internal/fleet/raftlog/voters_test.go
+++ b/internal/fleet/raftlog/voters_test.go
@@ -10,7 +10,7 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// changeVoters proposes a change of the voters to the leader until the record meets a condition, 10 s at most, whichever voter leads.
+// changeVoters proposes a change of the voters until the record meets a condition, to whichever voter leads, for 10 s at most.
 func (c *cluster) changeVoters(change voters.Change, done func(configversions.Record) bool) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -27,15 +27,15 @@
 	}
 }
 
-// hasVoter returns the condition that a record has a voter, or a learner, of an ID.
+// hasVoter returns the condition that a record has a voter, or a learner, with an ID.
 func hasVoter(id uint64, learner bool) func(configversions.Record) bool {
 	return func(record configversions.Record) bool {
 		return slices.ContainsFunc(record.Voters, func(voter voters.Voter) bool { return voter.ID == id && voter.Learner == learner })
 	}
 }
 
-// awaitCaughtUp waits until the leader reports that the learner n4 has all entries, and that another voter has been silent for a second;
-// 10 s at most.
+// awaitCaughtUp waits until the leader reports that the learner n4 has all entries, and that another voter has been silent for more than
+// a second; 10 s at most.
 func (c *cluster) awaitCaughtUp(learner, silent int) {
 	c.t.Helper()
 	_, leader := c.leader()
@@ -48,60 +48,60 @@
 			return
 		}
 		if time.Now().After(end) {
-			c.t.Fatalf("not within 10 s; voters %+v", statuses)
+			c.t.Fatalf("the learner has not caught up, or the stopped voter is not reported as silent, within 10 s; voters %+v", statuses)
 		}
 	}
 }
 
-// checkUpdateSince checks that a follower that lacks the last entry, an announcement, gets that entry, and one of another epoch
-// the whole record.
+// checkUpdateSince checks that a follower that lacks the last entry, an announcement, gets only that entry, and that a follower with
+// another epoch gets the whole record.
 func checkUpdateSince(t *testing.T, log *Log) {
 	t.Helper()
-	now := log.Record()
-	update := log.UpdateSince(0, now.Revision-1)
-	before := now
-	before.Revision, before.Announced = now.Revision-1, nil
-	if after, err := before.Apply(update.Entries[0]); len(update.Entries) != 1 || update.Record != nil || err != nil || text(after) != text(now) {
-		t.Errorf("update since the last revision but one: %+v", update)
+	current := log.Record()
+	update := log.UpdateSince(0, current.Revision-1)
+	previous := current
+	previous.Revision, previous.Announced = current.Revision-1, nil
+	if after, err := previous.Apply(update.Entries[0]); len(update.Entries) != 1 || update.Record != nil || err != nil || recordJSON(after) != recordJSON(current) {
+		t.Errorf("update since the revision before the last: got %+v, want only the last entry", update)
 	}
-	if log.UpdateSince(9, now.Revision-1).Record == nil {
-		t.Error("entries of another epoch were returned")
+	if log.UpdateSince(9, current.Revision-1).Record == nil {
+		t.Error("a follower with another epoch did not get the whole record")
 	}
 }
 
-// TestChangeVoters_replaceAndRecover replaces a stopped voter by a learner, after which the group survives the loss of another one; the
-// replaced voter restarts and changes nothing. Then all voters stop, and a group is recovered from the file of one.
+// TestChangeVoters_replaceAndRecover replaces a stopped voter by a learner. After that the group still applies entries when another voter
+// stops, and the replaced voter changes nothing when it restarts. Then all voters stop, and a group is recovered from the file of one.
 func TestChangeVoters_replaceAndRecover(t *testing.T) {
 	group := newCluster(t, 3)
 	group.propose(announce(0))
-	lead, _ := group.leader()
-	replaced := lead%3 + 1
+	leaderID, _ := group.leader()
+	replaced := leaderID%3 + 1
 	group.stop(replaced)
-	const fresh = 4
-	learner := &voters.Voter{ID: fresh, Name: "n4", Address: "a4", Learner: true}
-	group.changeVoters(voters.Change{AddLearner: learner}, hasVoter(fresh, true))
-	group.start(fresh)
+	const newVoterID = 4
+	learner := &voters.Voter{ID: newVoterID, Name: "n4", Address: "a4", Learner: true}
+	group.changeVoters(voters.Change{AddLearner: learner}, hasVoter(newVoterID, true))
+	group.start(newVoterID)
 	group.propose(configversions.Entry{ID: "f1", PutInForce: 1})
-	group.awaitRevision(group.log(lead).Record().Revision, lead, fresh)
-	group.awaitCaughtUp(fresh, replaced)
-	group.changeVoters(voters.Change{Promote: fresh, Remove: uint64(replaced)}, func(r configversions.Record) bool { return hasVoter(fresh, false)(r) && len(r.Voters) == 3 })
-	other := 6 - lead - replaced
+	group.awaitRevision(group.log(leaderID).Record().Revision, leaderID, newVoterID)
+	group.awaitCaughtUp(newVoterID, replaced)
+	group.changeVoters(voters.Change{Promote: newVoterID, Remove: uint64(replaced)}, func(r configversions.Record) bool { return hasVoter(newVoterID, false)(r) && len(r.Voters) == 3 })
+	other := 6 - leaderID - replaced
 	group.stop(other)
 	group.start(replaced) // with the votes in its file
 	group.propose(announce(1))
-	group.awaitRevision(group.log(lead).Record().Revision, lead, fresh)
-	checkUpdateSince(t, group.log(lead))
-	for _, id := range []int{replaced, lead, fresh} {
+	group.awaitRevision(group.log(leaderID).Record().Revision, leaderID, newVoterID)
+	checkUpdateSince(t, group.log(leaderID))
+	for _, id := range []int{replaced, leaderID, newVoterID} {
 		group.stop(id)
 	}
-	recovered, err := Recover(group.dirs[fresh], fresh, "n4", "a4")
+	recovered, err := Recover(group.dirs[newVoterID], newVoterID, "n4", "a4")
 	if err != nil || recovered.Epoch != 1 || recovered.InForce.Number != 3 || recovered.Announced != nil || len(recovered.Withdrawn) != 1 ||
 		len(recovered.Voters) != 1 || recovered.NextVoterID != 5 {
 		t.Fatalf("recovered %+v, error %v", recovered, err)
 	}
-	group.start(fresh)
+	group.start(newVoterID)
 	group.propose(announce(3))
-	if record := group.log(fresh).Record(); record.Epoch != 1 || record.Announced == nil {
-		t.Errorf("after an announcement: %+v", record)
+	if record := group.log(newVoterID).Record(); record.Epoch != 1 || record.Announced == nil {
+		t.Errorf("after an announcement: got %+v, want epoch 1 and an announced version", record)
 	}
 }
