--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -13,13 +13,13 @@
 	"brassdale/internal/decisions/gossippeers"
 )
 
-// maxMetaBytes is how much of a Metadata memberlist carries.
+// maxMetaBytes is memberlist's limit for a member's encoded Metadata.
 const maxMetaBytes = 512
 
-// errOtherZone is how NotifyAlive rejects a member.
-var errOtherZone = errors.New("it is of another zone")
+// errOtherZone is returned by NotifyAlive for a member that is not a peer.
+var errOtherZone = errors.New("member is in another zone")
 
-// leaveNotice is the name of a member that leaves. memberlist notifies the others that a member is gone, and not why.
+// leaveNotice is the name of a member that leaves. memberlist notifies the others that a member is gone, but not why.
 type leaveNotice string
 
 // Invalidates, Message and Finished make it a memberlist.Broadcast.
@@ -27,13 +27,13 @@
 	return other == memberlist.Broadcast(n)
 }
 
-// Message returns the notice as it is sent.
+// Message returns the encoded notice.
 func (n leaveNotice) Message() []byte { return []byte(n) }
 
-// Finished is called when the notice need no longer be passed on.
+// Finished is called when the notice no longer needs to be passed on.
 func (n leaveNotice) Finished() {}
 
-// delegate is a Membership as memberlist sees it. memberlist calls its methods; they do not block.
+// delegate implements memberlist's callbacks for a Membership. Its methods do not block.
 type delegate Membership
 
 var (
@@ -43,37 +43,38 @@
 	_ memberlist.AliveDelegate    = (*delegate)(nil)
 )
 
-// NodeMeta returns what this member says of itself, encoded; without the epoch and the voter ID where that is too long.
+// NodeMeta returns this member's encoded Metadata. If that is too long, it leaves out the epoch and the voter ID.
 func (d *delegate) NodeMeta(limit int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	encoded, err := json.Marshal(d.self)
 	if err != nil || len(encoded) > min(limit, maxMetaBytes) {
-		brief := d.self
-		brief.Epoch = 0
-		brief.VoterID = 0
-		encoded, _ = json.Marshal(brief) // strings and numbers have no error
+		shortened := d.self
+		shortened.Epoch = 0
+		shortened.VoterID = 0
+		encoded, _ = json.Marshal(shortened) // strings and numbers can always be encoded
 	}
 	return encoded
 }
 
-// NotifyMsg takes a leave notice, which may come before or after memberlist finds the member gone.
-func (d *delegate) NotifyMsg(message []byte) { d.noteLeaving(string(message)) }
+// NotifyMsg receives a leave notice, which may arrive before or after memberlist detects that the member is gone.
+func (d *delegate) NotifyMsg(message []byte) { d.handleLeaveNotice(string(message)) }
 
-// noteLeaving notes that a member leaves, and passes the notice on once.
-func (d *delegate) noteLeaving(name string) {
-	if d.addNotice(name) {
+// handleLeaveNotice stores the leave notice of a member, and passes it on once.
+func (d *delegate) handleLeaveNotice(name string) {
+	if d.storeLeaveNotice(name) {
 		d.leaveNotices.QueueBroadcast(leaveNotice(name))
 	}
 }
 
-// addNotice notes a leave notice, and reports whether it is the first one of a known member.
-func (d *delegate) addNotice(name string) bool {
+// storeLeaveNotice stores a leave notice, and reports whether it is the first one of a known member. If the member was found
+// gone less than leaveNoticeRetention ago, its state becomes Left.
+func (d *delegate) storeLeaveNotice(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	member, known := d.members[name]
-	_, noted := d.leaving[name]
-	if !known || noted {
+	_, hasNotice := d.leaving[name]
+	if !known || hasNotice {
 		return false
 	}
 	d.leaving[name] = time.Now()
@@ -89,26 +90,26 @@
 	return d.leaveNotices.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns the leave notices for an exchange of the whole state, as their packets may have been lost.
+// LocalState returns the leave notices for an exchange of the whole state, because their packets may have been lost.
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	encoded, _ := json.Marshal(slices.Collect(maps.Keys(d.leaving))) // strings have no error
+	encoded, _ := json.Marshal(slices.Collect(maps.Keys(d.leaving))) // strings can always be encoded
 	return encoded
 }
 
-// MergeRemoteState takes the leave notices of an exchange. What cannot be read is ignored.
+// MergeRemoteState receives the leave notices of an exchange. It ignores data that it cannot decode.
 func (d *delegate) MergeRemoteState(encoded []byte, _ bool) {
 	var names []string
 	if json.Unmarshal(encoded, &names) != nil {
 		return
 	}
 	for _, name := range names {
-		d.noteLeaving(name)
+		d.handleLeaveNotice(name)
 	}
 }
 
-// NotifyAlive rejects members that are no peers: builds that gossip with the whole fleet name all.
+// NotifyAlive rejects members that are not peers: builds that gossip with the whole fleet send the members of all zones.
 func (d *delegate) NotifyAlive(node *memberlist.Node) error {
 	var other Metadata
 	if err := json.Unmarshal(node.Meta, &other); err != nil {
@@ -120,49 +121,50 @@
 	return nil
 }
 
-// NotifyJoin notes a member that is there.
-func (d *delegate) NotifyJoin(node *memberlist.Node) { d.note(node, Alive) }
+// NotifyJoin marks a member as Alive.
+func (d *delegate) NotifyJoin(node *memberlist.Node) { d.updateMember(node, Alive) }
 
-// NotifyUpdate notes what a member says of itself anew.
-func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.note(node, Alive) }
+// NotifyUpdate stores a member's changed Metadata.
+func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.updateMember(node, Alive) }
 
-// NotifyLeave notes a member that is no longer there.
-func (d *delegate) NotifyLeave(node *memberlist.Node) { d.note(node, Gone) }
+// NotifyLeave marks a member as Gone, or as Left if it sent a leave notice.
+func (d *delegate) NotifyLeave(node *memberlist.Node) { d.updateMember(node, Gone) }
 
-// NotifyConflict logs that two members at two addresses have one name.
+// NotifyConflict logs that two members at different addresses have the same name.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	d.options.Log.Warn("dispatcher name in use twice", "name", existing.Name, "address", existing.Address(), "other_address", other.Address())
 }
 
-// note notes a member's state: Left in place of Gone where a leave notice explains it.
-func (d *delegate) note(node *memberlist.Node, state State) {
-	member := Member{Metadata: selfOf(node), Since: time.Now()}
+// updateMember stores a member's state and Metadata, and logs a change of the state. The state is Left instead of Gone if the
+// member sent a leave notice.
+func (d *delegate) updateMember(node *memberlist.Node, state State) {
+	member := Member{Metadata: metadataOf(node), Since: time.Now()}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	before := d.members[node.Name]
+	previous := d.members[node.Name]
 	_, leaving := d.leaving[node.Name]
 	switch {
-	case state == Alive && (before.State == Gone || before.State == Left):
-		delete(d.leaving, node.Name) // it is back
+	case state == Alive && (previous.State == Gone || previous.State == Left):
+		delete(d.leaving, node.Name) // it has returned
 	case state == Gone && leaving:
 		state = Left
 	}
 	member.State = state
-	if before.State == state {
-		member.Since = before.Since
+	if previous.State == state {
+		member.Since = previous.Since
 	}
 	d.members[node.Name] = member
-	if before.State != state && node.Name != d.self.Name {
+	if previous.State != state && node.Name != d.self.Name {
 		address := cmp.Or(member.Address, node.Address())
 		d.options.Log.Info("member state changed", "name", node.Name, "state", state, "address", address, "zone", member.Zone)
 	}
 }
 
-// selfOf returns what a member says of itself; its name and address alone for a build that says it otherwise.
-func selfOf(node *memberlist.Node) Metadata {
-	var self Metadata
-	if json.Unmarshal(node.Meta, &self) != nil || self.Name != node.Name {
+// metadataOf returns a member's Metadata. If the member's build encodes it differently, only the name and the address are set.
+func metadataOf(node *memberlist.Node) Metadata {
+	var metadata Metadata
+	if json.Unmarshal(node.Meta, &metadata) != nil || metadata.Name != node.Name {
 		return Metadata{Name: node.Name, Address: node.Address()}
 	}
-	return self
+	return metadata
 }
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip knows which dispatchers of the same zone are there, by hashicorp/memberlist. What it knows is late and at
-// times wrong; nothing depends on it but what operators are shown. Package
-// decisions/gossippeers decides with whom and when a dispatcher exchanges its whole state.
+// Package gossip lists which dispatchers of the same zone are alive, using hashicorp/memberlist. The list lags and is sometimes
+// wrong; it is only shown to operators, and nothing else depends on it. Package decisions/gossippeers decides with whom and
+// when a dispatcher exchanges its whole state.
 package gossip
 
 import (
@@ -21,48 +21,48 @@
 
 const (
 	joinInterval           = 2 * time.Second
-	fullSyncInterval       = 10 * time.Second       // between two exchanges of the whole state, where the whole fleet gossips
-	leaveTimeout           = 500 * time.Millisecond // for the others to be notified that this dispatcher leaves
-	updateTimeout          = 500 * time.Millisecond // for one of them to be notified of a change of its Metadata
-	absentRetention        = time.Hour              // for which members that are gone are shown
-	leaveNoticeRetention   = time.Minute            // for which a notice that a member leaves explains why it is gone; memberlist may need half of it to find that
-	leaveNoticeRetransmits = 8                      // times the logarithm of the members: memberlist's own 4 loses some
+	fullSyncInterval       = 10 * time.Second       // between two exchanges of the whole state, with WholeFleet
+	leaveTimeout           = 500 * time.Millisecond // for notifying the others that this dispatcher leaves
+	updateTimeout          = 500 * time.Millisecond // for notifying another member of changed Metadata
+	absentRetention        = time.Hour              // how long members that are gone stay in the list
+	leaveNoticeRetention   = time.Minute            // how long a leave notice explains why a member is gone; memberlist may take half of it to detect that it is gone
+	leaveNoticeRetransmits = 8                      // times the logarithm of the number of members; with memberlist's default of 4 some notices are lost
 )
 
 // Options configure a Membership.
 type Options struct {
-	// Self is what this dispatcher says of itself at first.
+	// Self is the Metadata of this dispatcher at the start.
 	Self Metadata
-	// WholeFleet makes it gossip with the whole fleet, as builds before message format 3 do.
+	// WholeFleet makes this dispatcher gossip with the whole fleet, as builds before message format 3 do.
 	WholeFleet bool
-	// Seeds are addresses of others, which are joined while nobody else is known.
+	// Seeds are addresses of other dispatchers. Run joins them while it knows no other member.
 	Seeds []string
-	// ResolveAddress returns where an address is reached from here; nil for the address itself.
+	// ResolveAddress returns the address to dial for a member's address; nil if they are the same.
 	ResolveAddress func(string) string
 	// Log receives the log lines.
 	Log *slog.Logger
-	// Meter counts the traffic; nil for none.
+	// Meter counts the traffic; nil counts nothing.
 	Meter *traffic.Meter
 }
 
-// Membership is the list of members. Run owns the calls to memberlist that block; all other methods may be called from any
-// goroutine and do not block. memberlist calls the delegate from goroutines of its own. mu guards the fields below it and is
-// never held during I/O, but for log lines.
+// Membership is the list of members. Only Run makes calls to memberlist that block; all other methods may be called from any
+// goroutine and do not block. memberlist calls the delegate from its own goroutines. mu guards the fields below it and is
+// never held during I/O, except for log lines.
 type Membership struct {
 	options      Options
 	transport    *transport
 	list         *memberlist.Memberlist
-	leaveNotices *memberlist.TransmitLimitedQueue // that this member passes on
+	leaveNotices *memberlist.TransmitLimitedQueue // notices that this member passes on
 	selfChanged  chan struct{}                    // wakes Run
 	exchangeWith chan string                      // the address of the next exchange, for Run
 
 	mu      sync.Mutex
 	self    Metadata
-	members map[string]Member    // by name, with this one
+	members map[string]Member    // by name, including this member
 	leaving map[string]time.Time // when a notice was received, by the name of the member that leaves
 }
 
-// New listens at the dispatcher's address over UDP. Streams come over its HTTP server, by ServeHTTP.
+// New listens at the dispatcher's address over UDP. Streams arrive through the dispatcher's HTTP server, at ServeHTTP.
 func New(options Options) (*Membership, error) {
 	if options.ResolveAddress == nil {
 		options.ResolveAddress = func(address string) string { return address }
@@ -89,7 +89,7 @@
 		membership.list, err = memberlist.Create(config)
 	}
 	if err != nil {
-		_ = transport.Shutdown() // has no error to return
+		_ = transport.Shutdown() // always returns nil
 		return nil, err
 	}
 	return membership, nil
@@ -111,7 +111,7 @@
 	config.Events = (*delegate)(m)
 	config.Conflict = (*delegate)(m)
 	config.EnableCompression = false
-	config.DeadNodeReclaimTime = time.Millisecond // a member may come back at another address at once
+	config.DeadNodeReclaimTime = time.Millisecond // a member may return at another address immediately
 	config.LogOutput = nil
 	config.Logger = slog.NewLogLogger(m.options.Log.Handler(), slog.LevelDebug)
 	if m.options.WholeFleet {
@@ -123,10 +123,10 @@
 	return config, nil
 }
 
-// ServeHTTP takes another member's stream.
+// ServeHTTP accepts another member's stream.
 func (m *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.transport.ServeHTTP(w, r) }
 
-// Run takes part in the gossip until the context ends; then it notifies the others that this member leaves, which takes up to
+// Run takes part in the gossip until the context ends. Then it notifies the others that this member leaves, which takes up to
 // twice leaveTimeout.
 func (m *Membership) Run(ctx context.Context) {
 	defer m.leave()
@@ -136,12 +136,12 @@
 		if m.list.NumMembers() <= 1 && len(seeds) > 0 {
 			m.join(seeds...)
 		}
-		m.forget()
+		m.removeExpired()
 		select {
 		case <-ctx.Done():
 			return
 		case <-m.selfChanged:
-			_ = m.list.UpdateNode(updateTimeout) // a timeout: the others are notified later
+			_ = m.list.UpdateNode(updateTimeout) // after a timeout the others are notified later
 		case address := <-m.exchangeWith:
 			m.join(address)
 		case <-time.After(joinInterval):
@@ -149,14 +149,14 @@
 	}
 }
 
-// join exchanges the whole state with the members at some addresses.
+// join exchanges the whole state with the members at the given addresses.
 func (m *Membership) join(addresses ...string) {
 	if _, err := m.list.Join(addresses); err != nil {
 		m.options.Log.Debug("gossip exchange failed", "addresses", strings.Join(addresses, " "), "err", err)
 	}
 }
 
-// leave notifies the others that this member leaves, and ends its part. The process ends, so errors change nothing.
+// leave notifies the others that this member leaves, and stops memberlist. It ignores errors, because the process ends.
 func (m *Membership) leave() {
 	m.leaveNotices.QueueBroadcast(leaveNotice(m.options.Self.Name))
 	time.Sleep(leaveTimeout) // a few rounds of gossip
@@ -164,22 +164,23 @@
 	_ = m.list.Shutdown()
 }
 
-// UpdateSelf has the others notified of what has changed of this member.
+// UpdateSelf sets this member's Metadata. If it has changed, Run notifies the others.
 func (m *Membership) UpdateSelf(self Metadata) {
 	m.mu.Lock()
-	same := m.self == self
+	unchanged := m.self == self
 	m.self = self
 	m.mu.Unlock()
-	if same {
+	if unchanged {
 		return
 	}
 	select {
 	case m.selfChanged <- struct{}{}:
-	default: // Run has not seen the change before, and will see both
+	default: // Run has not handled the previous change yet, and will handle both
 	}
 }
 
-// ExchangeWith has the whole state exchanged with the member at an address. While an exchange waits, further ones are dropped.
+// ExchangeWith makes Run exchange the whole state with the member at an address. While an exchange is queued, further ones are
+// dropped.
 func (m *Membership) ExchangeWith(address string) {
 	select {
 	case m.exchangeWith <- address:
@@ -200,7 +201,8 @@
 	return gossippeers.DigestOf(names)
 }
 
-// Members returns all known members by name, this one and those that have been gone for less than absentRetention among them.
+// Members returns all known members, sorted by name. They include this member, and members that have been gone for less than
+// absentRetention.
 func (m *Membership) Members() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,8 +210,8 @@
 	return slices.SortedFunc(maps.Values(m.members), byName)
 }
 
-// forget drops what is too old.
-func (m *Membership) forget() {
+// removeExpired removes leave notices after leaveNoticeRetention, and members that are gone after absentRetention.
+func (m *Membership) removeExpired() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	maps.DeleteFunc(m.leaving, func(_ string, receivedAt time.Time) bool {
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -18,7 +18,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// testMember is a member of the gossip in this process, with its HTTP server.
+// testMember is a gossip member in the test process, with its own HTTP server.
 type testMember struct {
 	*Membership
 	server *http.Server
@@ -51,7 +51,7 @@
 	return startMember(t, Options{Self: Metadata{Name: name, Zone: zone}, WholeFleet: true, Seeds: seeds})
 }
 
-// startMember starts a member, which the end of the test has leave.
+// startMember starts a member. It leaves at the end of the test, unless it was killed.
 func startMember(t *testing.T, options Options) *testMember {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,14 +66,14 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	member := &testMember{Membership: membership, server: &http.Server{Handler: membership}, stop: stop, ended: make(chan struct{})}
-	go func() { _ = member.server.Serve(listener) }() // ends with Close
+	go func() { _ = member.server.Serve(listener) }() // returns after Close
 	go func() { membership.Run(ctx); close(member.ended) }()
 	t.Cleanup(member.leave)
 	return member
 }
 
 // awaitStates waits until a member lists the wanted number of members in each state, 60 s at most.
-func (m *testMember) awaitStates(t *testing.T, what string, want map[State]int) {
+func (m *testMember) awaitStates(t *testing.T, step string, want map[State]int) {
 	t.Helper()
 	var got map[State]int
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -85,12 +85,12 @@
 			return
 		}
 	}
-	t.Fatalf("%s: after 60 s %s lists %v, want %v", what, m.self.Name, got, want)
+	t.Fatalf("%s: after 60 s %s lists %v, want %v", step, m.self.Name, got, want)
 }
 
-// TestRun_wholeFleet checks that nine members find each other by one seed; that one that leaves and one that is killed are listed so by
-// all, and the killed one as alive after its restart under the same name at another address; and that a change of one member's own
-// data reaches all within 30 s.
+// TestRun_wholeFleet checks that nine members find each other through one seed. All list a member that leaves as Left and a killed one as
+// Gone. After a restart with the same name at another address they list the killed member as Alive. A change of one member's Metadata
+// reaches all within 30 s.
 func TestRun_wholeFleet(t *testing.T) {
 	t.Parallel()
 	seed := startInFleet(t, "m0", "a")
@@ -115,26 +115,26 @@
 	changed.Epoch, changed.VoterID = 12, 4
 	all[3].UpdateSelf(changed)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		informed := 0
+		updated := 0
 		for _, m := range all[:7] {
 			for _, listed := range m.Members() {
 				if listed.Metadata == changed {
-					informed++
+					updated++
 				}
 			}
 		}
-		if informed == 7 {
+		if updated == 7 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("after 30 s %d of 7 members have the change", informed)
+			t.Fatalf("after 30 s %d of 7 members list the changed metadata", updated)
 		}
 	}
 }
 
-// TestRun_zones has members of two zones and one that gossips with the whole fleet. It checks that a member that exchanged with a peer
-// lists all peers of its zone and no other member, that two parts of a zone become one by one exchange, and that a killed member is
-// listed as gone by its peers only.
+// TestRun_zones runs members of two zones and one that gossips with the whole fleet. It checks that a member that exchanged with a peer
+// lists all peers of its zone and no other member, that one exchange joins two separate parts of a zone, and that only its peers list a
+// killed member as Gone.
 func TestRun_zones(t *testing.T) {
 	t.Parallel()
 	startInZone := func(name, zone string) *testMember {
@@ -174,11 +174,11 @@
 		m.awaitStates(t, "the other zone", map[State]int{Alive: 4})
 	}
 	if got, want := zoneA[0].Digest(), zoneA[1].Digest(); got != want || got.Count != 4 {
-		t.Errorf("peers have the digests %+v and %+v", got, want)
+		t.Errorf("peers have digests %+v and %+v, want equal digests of 4 members", got, want)
 	}
 }
 
-// TestRun_manyMembers measures many members: BRASSDALE_MEMBERS=300 go test -run TestRun_manyMembers -v ./internal/fleet/gossip
+// TestRun_manyMembers measures the time to join and to detect a failure, and the idle cost: BRASSDALE_MEMBERS=300 go test -run TestRun_manyMembers -v ./internal/fleet/gossip
 func TestRun_manyMembers(t *testing.T) {
 	count, _ := strconv.Atoi(os.Getenv("BRASSDALE_MEMBERS"))
 	if count == 0 {
@@ -208,24 +208,24 @@
 	for _, m := range all[:count-count/10] {
 		m.kill()
 	}
-	t.Logf("%d members: all see all after %v, and that a tenth is gone after %v; at rest %.1f ms of CPU a second and member, %.0f KiB of heap a member",
+	t.Logf("%d members: all listed each other after %v, and a killed tenth as gone after %v; idle: %.1f ms of CPU per second and member, %.0f KiB of heap per member",
 		count, joined.Round(time.Millisecond), detected.Round(time.Millisecond), float64((processCPUTime()-cpuTime).Microseconds())/10/float64(count)/1000, float64(memory.HeapAlloc)/1024/float64(count))
 }
 
 // processCPUTime returns the CPU time that this process has used.
 func processCPUTime() time.Duration {
 	var usage syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // does not fail for RUSAGE_SELF
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // never fails for RUSAGE_SELF
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestServeHTTP_notAMember checks that a plain HTTP request is answered with 426 Upgrade Required, and that packets of another protocol
+// TestServeHTTP_notAMember checks that a plain HTTP request gets the status 426 Upgrade Required, and that packets of another protocol
 // change nothing.
 func TestServeHTTP_notAMember(t *testing.T) {
 	member := startInFleet(t, "m0", "a")
 	response, err := http.Get("http://" + member.self.Address)
 	if err != nil || response.StatusCode != http.StatusUpgradeRequired {
-		t.Errorf("plain request: %v, error %v", response, err)
+		t.Errorf("plain request: got %v, error %v, want the status 426", response, err)
 	}
 	var senders sync.WaitGroup
 	for range 20 {
@@ -240,19 +240,19 @@
 	member.awaitStates(t, "after the packets", map[State]int{Alive: 1})
 }
 
-// TestLeaveNotice_explainsLateDetection guards against a member that is listed as gone though it gave notice, as memberlist took longer to find
-// that it is gone than the notice was remembered. memberlist's own notice was lost then, and its probes take half a minute.
+// TestLeaveNotice_explainsLateDetection guards against listing a member as Gone though it sent a leave notice. This happened when the notice
+// expired before memberlist detected that the member was gone: memberlist's own notice was lost, and its probes take half a minute.
 func TestLeaveNotice_explainsLateDetection(t *testing.T) {
-	const detection = 30 * time.Second
+	const detectionTime = 30 * time.Second
 	membership := &Membership{options: Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, members: map[string]Member{}, leaving: map[string]time.Time{}}
-	observed := (*delegate)(membership)
+	memberDelegate := (*delegate)(membership)
 	node := &memberlist.Node{Name: "m7"}
-	observed.note(node, Alive)
-	observed.addNotice(node.Name)
-	membership.leaving[node.Name] = time.Now().Add(-detection)
-	membership.forget()
-	observed.note(node, Gone)
+	memberDelegate.updateMember(node, Alive)
+	memberDelegate.storeLeaveNotice(node.Name)
+	membership.leaving[node.Name] = time.Now().Add(-detectionTime)
+	membership.removeExpired()
+	memberDelegate.updateMember(node, Gone)
 	if state := membership.Members()[0].State; state != Left {
-		t.Errorf("found gone %v after its notice, the member is listed as %v", detection, state)
+		t.Errorf("member detected as gone %v after its leave notice: got state %v, want left", detectionTime, state)
 	}
 }
--- a/internal/fleet/gossip/member.go
+++ b/internal/fleet/gossip/member.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Metadata is what a dispatcher says of itself.
+// Metadata is what a dispatcher publishes about itself.
 type Metadata struct {
 	Name          string `json:"n"`
 	Address       string `json:"a"`
 	Region        string `json:"r,omitempty"`
 	Zone          string `json:"z,omitempty"`
-	Epoch         uint64 `json:"e,omitempty"` // of the record that it knows
+	Epoch         uint64 `json:"e,omitempty"` // epoch of the record that the dispatcher has
 	VoterID       uint64 `json:"s,omitempty"` // 0 for a follower
-	MessageFormat int    `json:"f"`           // the newest that it can read
+	MessageFormat int    `json:"f"`           // newest format that the dispatcher can read
 }
 
-// Member is a dispatcher, as far as is known here.
+// Member is a dispatcher as this dispatcher knows it.
 type Member struct {
 	Metadata
 	State State     `json:"State"`
-	Since time.Time `json:"Since"` // when the state was learned here
+	Since time.Time `json:"Since"` // when this dispatcher learned of the state
 }
 
-// State says whether a member is there.
+// State is whether a member is alive.
 type State string
 
 // The states of a member.
 const (
 	Alive State = "alive"
-	Gone  State = "gone" // it went silent
-	Left  State = "left" // it gave notice that it leaves
+	Gone  State = "gone" // it stopped answering without a leave notice
+	Left  State = "left" // it sent a leave notice
 )
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -17,25 +17,25 @@
 
 const (
 	maxPacketBytes   = 64 << 10
-	maxQueuedPackets = 256 // received and not yet taken by memberlist; further ones are dropped, as on a network
+	maxQueuedPackets = 256 // received, not yet read by memberlist; further ones are dropped, like packets that a network loses
 	streamProtocol   = "brassdale-members"
-	streamBufferSize = 256 // bytes: the response to an upgrade fits in
+	streamBufferSize = 256 // bytes; enough for the response to an upgrade
 )
 
-// transport carries memberlist's packets over UDP at the dispatcher's address, and its streams over the HTTP server that
-// listens at the same address over TCP, so that a dispatcher needs one address. memberlist calls its methods from several
-// goroutines. The goroutine of readPackets ends with Shutdown.
+// transport carries memberlist's packets over UDP at the dispatcher's address, and its streams through the HTTP server that
+// listens at the same address over TCP, so that a dispatcher needs only one address. memberlist calls its methods from several
+// goroutines. Shutdown ends the goroutine of readPackets.
 type transport struct {
-	conn    net.PacketConn
-	ip      net.IP
-	port    int
-	resolve func(address string) string
-	meter   *traffic.Meter
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	done    chan struct{}
-	closing sync.Once
-	reading sync.WaitGroup
+	conn      net.PacketConn
+	ip        net.IP
+	port      int
+	resolve   func(address string) string
+	meter     *traffic.Meter
+	packets   chan *memberlist.Packet
+	streams   chan net.Conn
+	done      chan struct{}
+	closeOnce sync.Once
+	readers   sync.WaitGroup
 }
 
 var _ memberlist.Transport = (*transport)(nil)
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listening := &transport{
+	created := &transport{
 		conn:    meter.Packets(conn, traffic.OfMembers),
 		ip:      udpAddress.IP,
 		port:    udpAddress.Port,
@@ -59,12 +59,12 @@
 		streams: make(chan net.Conn),
 		done:    make(chan struct{}),
 	}
-	listening.reading.Go(listening.readPackets)
-	return listening, nil
+	created.readers.Go(created.readPackets)
+	return created, nil
 }
 
-// readPackets reads packets until the transport is shut down. Other errors are those of a packet that was sent, such as that
-// nobody listens where it went.
+// readPackets reads packets until the transport is shut down. It ignores other errors: they belong to a packet that was sent,
+// for example to an address at which nobody listens.
 func (t *transport) readPackets() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
@@ -89,7 +89,7 @@
 // FinalAdvertiseAddr returns the dispatcher's address.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) { return t.ip, t.port, nil }
 
-// WriteTo sends a packet, and returns when it did.
+// WriteTo sends a packet, and returns the time at which it was sent.
 func (t *transport) WriteTo(packet []byte, address string) (time.Time, error) {
 	to, err := net.ResolveUDPAddr("udp", t.resolve(address))
 	if err == nil {
@@ -101,10 +101,10 @@
 // PacketCh returns the channel of received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh returns the channel of streams that others opened.
+// StreamCh returns the channel of streams that other members opened.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// DialTimeout opens a stream to another member: a connection to its HTTP server, upgraded.
+// DialTimeout opens a stream to another member: an upgraded connection to its HTTP server.
 func (t *transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	deadline := time.Now().Add(timeout)
 	dialer := &net.Dialer{Deadline: deadline}
@@ -114,7 +114,7 @@
 	}
 	conn = t.meter.Of(conn, traffic.Gossip)
 	t.meter.Message(traffic.Gossip)
-	_ = conn.SetDeadline(deadline) // a connection on which it fails fails to be written, too
+	_ = conn.SetDeadline(deadline) // if this fails, writing to the connection fails, too
 	stream, err := upgrade(conn, address)
 	if err != nil {
 		return nil, errors.Join(err, conn.Close())
@@ -123,7 +123,7 @@
 	return stream, nil
 }
 
-// upgrade asks the HTTP server at the other end of a connection to make it a stream.
+// upgrade asks the HTTP server at the other end to upgrade the connection to a stream.
 func upgrade(conn net.Conn, address string) (net.Conn, error) {
 	_, err := fmt.Fprintf(conn, "GET /members/stream HTTP/1.1\r\nHost: %s\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", address, streamProtocol)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return &bufferedConn{conn, reader}, nil
 }
 
-// bufferedConn is a connection of which a part was read into a buffer.
+// bufferedConn is a connection from which the first bytes may already be in a buffer.
 type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -149,7 +149,7 @@
 // Read reads from the buffer first.
 func (c *bufferedConn) Read(b []byte) (int, error) { return c.reader.Read(b) }
 
-// ServeHTTP takes a stream that another member opens, and waits until memberlist takes it over.
+// ServeHTTP accepts a stream that another member opens, and waits until memberlist receives it from StreamCh.
 func (t *transport) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") != streamProtocol {
 		w.WriteHeader(http.StatusUpgradeRequired)
@@ -175,11 +175,11 @@
 
 // Shutdown closes the UDP socket and waits for the goroutine that reads from it.
 func (t *transport) Shutdown() error {
-	t.closing.Do(func() {
+	t.closeOnce.Do(func() {
 		close(t.done)
-		_ = t.conn.Close() // nothing is left to do about it
+		_ = t.conn.Close() // the socket is not used any more
 	})
-	t.reading.Wait()
+	t.readers.Wait()
 	return nil
 }
 
--- a/internal/fleet/raftlog/load.go
+++ b/internal/fleet/raftlog/load.go
@@ -13,13 +13,13 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// The log of a raft group begins with a snapshot at this term and index. Each founder writes it itself, without an election.
+// The log of a raft group begins with a snapshot at this term and index. All founders write the same one, without an election.
 const (
 	foundingTerm  = 1
 	foundingIndex = 1
 )
 
-// load reads the file into memory. If the file is new and founders is not nil, it first writes what a founder's file begins with.
+// load reads the file into memory. If founders is not nil, it first calls initFounder.
 func (s *store) load(founders []voters.Voter) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
--- a/internal/fleet/raftlog/request.go
+++ b/internal/fleet/raftlog/request.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// proposeEntry proposes the entry of a request. applyCommitted sends the result.
+// proposeEntry proposes the entry of a request. The result is sent when the entry is applied.
 func (l *Log) proposeEntry(req request) {
 	encoded, err := json.Marshal(req.entry)
 	if err == nil {
--- a/internal/fleet/raftlog/store.go
+++ b/internal/fleet/raftlog/store.go
@@ -15,8 +15,8 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// store is the state in a bbolt file that a voter needs after a crash. Reads use the embedded memory storage, a copy of the
-// file; writes go to the file first. Only the goroutine of Log.Run uses it.
+// store is the state in a bbolt file that a voter needs after a crash. Reads use the embedded memory storage, which
+// contains everything in the file; writes go to the file first. Only the goroutine of Log.Run uses it.
 type store struct {
 	*raft.MemoryStorage
 	db *bolt.DB
@@ -45,8 +45,8 @@
 	maxIndex = math.MaxInt64 + 1
 )
 
-// errVoterCount is returned for a file of a raft group that was founded with a different number of voters. It prevents that two
-// groups continue the same log by mistake.
+// errVoterCount is returned for a file of a raft group that was founded with a different number of voters. It prevents two groups
+// from continuing the same log by mistake.
 var errVoterCount = errors.New("the file belongs to a raft group that was founded with a different number of voters")
 
 // openFile opens or creates a voter's file.
