--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -220,10 +220,10 @@
 }
 
 // self returns the description of this dispatcher that gossip sends to the others.
-func (a *Agent) self() gossip.Self {
+func (a *Agent) self() gossip.Metadata {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return gossip.Self{
+	return gossip.Metadata{
 		Name:          a.options.Name,
 		Address:       a.address(),
 		Region:        a.settings.Region,
