--- a/internal/decisions/canary/evaluation.go
+++ b/internal/decisions/canary/evaluation.go
@@ -69,7 +69,7 @@
 	elapsed := now - e.beganAt
 	if canary.ended < minCanaryJobs {
 		if elapsed >= maxDurationFactor*rollout.MinDuration {
-			return Failed, fmt.Sprintf("the canary ended only %.0f jobs in %v", canary.ended, maxDurationFactor*rollout.MinDuration)
+			return Failed, fmt.Sprintf("the part that tries it ended %.0f jobs in %v", canary.ended, maxDurationFactor*rollout.MinDuration)
 		}
 		return InProgress, ""
 	}
@@ -78,7 +78,7 @@
 		variance += others.rateVariance()
 	}
 	if excess := canary.rate() - others.rate() - rollout.FailureMargin; excess > standardErrors*math.Sqrt(variance) {
-		return Failed, fmt.Sprintf("failure rate %.3f of %.0f jobs in the canary, %.3f of %.0f jobs elsewhere",
+		return Failed, fmt.Sprintf("%.3f of %.0f jobs refused or failed where it is tried, %.3f of %.0f elsewhere",
 			canary.rate(), canary.ended, others.rate(), others.ended)
 	}
 	if elapsed >= rollout.MinDuration {
--- a/internal/decisions/canary/rollout.go
+++ b/internal/decisions/canary/rollout.go
@@ -25,11 +25,11 @@
 	switch {
 	case r == nil:
 	case !(r.Share > 0 && r.Share <= 1):
-		return errors.New("the canary's share must be above 0 and at most 1")
+		return errors.New("a trial's share must be above 0 and at most 1")
 	case r.MinDuration <= 0 || r.MinDuration > maxMinDuration:
-		return errors.New("the canary's duration must be above 0 and at most 24 h")
+		return errors.New("a trial must last for more than nothing and a day at the most")
 	case !(r.FailureMargin >= 0 && r.FailureMargin <= 1):
-		return errors.New("the canary's margin must be from 0 to 1")
+		return errors.New("a trial's margin must be from 0 to 1")
 	}
 	return nil
 }
--- a/internal/decisions/configversions/entry.go
+++ b/internal/decisions/configversions/entry.go
@@ -26,10 +26,10 @@
 // The errors with which Apply rejects an entry, in addition to those of Rules.Check and canary.Rollout.Check.
 var (
 	ErrChangeInProgress = errors.New("another change is under way")
-	ErrNotNextVersion   = errors.New("the proposed version or plan does not follow the current one")
+	ErrNotNextVersion   = errors.New("it does not follow the version in force")
 	ErrNotAnnounced     = errors.New("no such version is announced")
 	ErrCanaryRunning    = errors.New("the canary of the version has not ended")
-	ErrZoneLimit        = errors.New("a zone limit must name a zone and a share from 0 to 1")
+	ErrZoneLimit        = errors.New("a hold names a zone and a share from 0 to 1")
 )
 
 // Apply returns the record that results from an entry. If it returns an error, it returns r unchanged; every dispatcher that applies
--- a/internal/decisions/configversions/leasetable.go
+++ b/internal/decisions/configversions/leasetable.go
@@ -17,14 +17,14 @@
 	absentRetention = time.Hour
 
 	// predecessorLeases is shown in place of a name while leases of the previous leader may be valid.
-	predecessorLeases = "leases of the previous leader"
+	predecessorLeases = "leases of the leader before"
 )
 
 // The errors with which a renewal is rejected.
 var (
-	ErrNameInUse = errors.New("another process of the same name may hold a lease")
-	ErrShutDown  = errors.New("this process has dropped its lease to shut down")
-	ErrOldEpoch  = errors.New("the fleet's raft group has a newer epoch")
+	ErrNameInUse = errors.New("another process of that name holds a lease")
+	ErrShutDown  = errors.New("this process has said that it leaves")
+	ErrOldEpoch  = errors.New("the fleet has a newer council")
 )
 
 // LeaseTable is the raft leader's table of the dispatchers that may hold leases, and of the versions that they have acknowledged.
--- a/internal/decisions/configversions/rules.go
+++ b/internal/decisions/configversions/rules.go
@@ -52,9 +52,9 @@
 	case math.IsNaN(r.RetryRatio) || math.IsInf(r.RetryRatio, 0) || r.RetryRatio > MaxRetryRatio:
 		return fmt.Errorf("retries must be at most %v", float64(MaxRetryRatio))
 	case len(r.DetachedWorkers) > maxDetachedWorkers:
-		return fmt.Errorf("out lists more than %d workers", maxDetachedWorkers)
+		return fmt.Errorf("out names more than %d boxes", maxDetachedWorkers)
 	case len(r.QuotaCaps) > maxQuotaCaps:
-		return fmt.Errorf("shares lists more than %d accounts", maxQuotaCaps)
+		return fmt.Errorf("shares names more than %d accounts", maxQuotaCaps)
 	}
 	if err := checkDetachedWorkers(r.DetachedWorkers); err != nil {
 		return err
@@ -72,10 +72,10 @@
 	seen := make(map[string]bool, len(ids))
 	for i, id := range ids {
 		if !validName(id) {
-			return fmt.Errorf("out[%d] is not a valid worker name", i)
+			return fmt.Errorf("out[%d] is no name of a box", i)
 		}
 		if seen[id] {
-			return fmt.Errorf("out lists %q twice", id)
+			return fmt.Errorf("out names %q twice", id)
 		}
 		seen[id] = true
 	}
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -105,15 +105,15 @@
 		return err
 	}
 	if !known {
-		return &transport.OperationError{Status: http.StatusNotFound, Reason: "the worker was never in an endpoint list"}
+		return &transport.OperationError{Status: http.StatusNotFound, Reason: "no such worker was ever listed"}
 	}
 	if !isDetached && o.dispatcher.fleet.hasDetached(id) {
-		return &transport.OperationError{Status: http.StatusConflict, Reason: "the fleet's rules detach the worker: propose rules that do not"}
+		return &transport.OperationError{Status: http.StatusConflict, Reason: "the fleet has it out: propose rules without it"}
 	}
 	if peer := o.dispatcher.peerProcess(); peer != nil {
 		done, answered := peer.Ask(protocol.HandoverMessage{Worker: id, Detached: isDetached}, deadline)
 		if answered && !done {
-			return &transport.OperationError{Status: http.StatusConflict, Reason: "the peer process could not apply the change"}
+			return &transport.OperationError{Status: http.StatusConflict, Reason: "the other process could not do it"}
 		}
 	}
 	return o.applyDetached(id, isDetached)
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -72,12 +72,12 @@
 // client disconnects, so the request must not be submitted earlier. An error is a *RequestError.
 func DecodeInbound(r *http.Request, settings *Settings, arrived time.Time) (*Job, error) {
 	if r.Method != http.MethodPost {
-		return nil, reject(http.StatusMethodNotAllowed, "the method must be POST")
+		return nil, reject(http.StatusMethodNotAllowed, "jobs come by POST")
 	}
 	name := ClassOf(r)
 	class, ok := settings.Class(name)
 	if !ok {
-		return nil, reject(http.StatusNotFound, "unknown class %q", name)
+		return nil, reject(http.StatusNotFound, "no class %q", name)
 	}
 	if err := checkHeaders(r.Header, settings, class); err != nil {
 		return nil, err
@@ -109,9 +109,9 @@
 	name := settings.Classes[class].Name
 	if kind := header.Get("Req-Kind"); kind != "" && kind != name {
 		if !settings.HasClass(kind) {
-			return reject(http.StatusNotFound, "unknown class %q", kind)
+			return reject(http.StatusNotFound, "no class %q", kind)
 		}
-		return reject(http.StatusBadRequest, "Req-Kind is %q, but the class in the path is %q", kind, name)
+		return reject(http.StatusBadRequest, "Req-Kind %q, path %q", kind, name)
 	}
 	if header.Get("Req-Id") == "" {
 		return reject(http.StatusBadRequest, "Req-Id is absent")
@@ -120,7 +120,7 @@
 	// look like a fault of the worker.
 	for _, field := range [...]string{"Req-Id", "Idempotency-Key", "Req-Deadline-Ms", "Req-Kind", "Req-Owner", "Req-Extra"} {
 		if values := header.Values(field); len(values) > 1 || len(values) == 1 && !isPlain(values[0]) {
-			return reject(http.StatusBadRequest, "%s is repeated, too long or not plain text", field)
+			return reject(http.StatusBadRequest, "%s comes twice, is too long or not plain text", field)
 		}
 	}
 	if header.Get("Idempotency-Key") == "" && settings.Classes[class].Effect == effectKeyed {
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -55,7 +55,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !operations.Ready() {
-			http.Error(w, "not ready: starting or shutting down", http.StatusServiceUnavailable)
+			http.Error(w, "not yet, or not any more", http.StatusServiceUnavailable) // starting or shutting down
 			return
 		}
 		fmt.Fprint(w, "ready\n")
--- a/internal/transport/progressfrontend.go
+++ b/internal/transport/progressfrontend.go
@@ -89,7 +89,7 @@
 }
 
 // errBadLastEventID rejects a Last-Event-ID that cannot be the id of an event.
-var errBadLastEventID = &protocol.RequestError{Status: http.StatusBadRequest, Reason: "Last-Event-ID must be a number, 0 or greater"}
+var errBadLastEventID = &protocol.RequestError{Status: http.StatusBadRequest, Reason: "Last-Event-ID is not one of ours"}
 
 // eventsSeen returns how many events a client has seen, by its Last-Event-ID, which is empty if the client resumes no stream.
 func eventsSeen(lastEventID string) (int, error) {
--- a/internal/transport/rejection.go
+++ b/internal/transport/rejection.go
@@ -19,7 +19,7 @@
 )
 
 // errIDInUse rejects a request that has the same id as another request in flight.
-var errIDInUse = &protocol.RequestError{Status: http.StatusConflict, Reason: "Req-Id is in use by an open request"}
+var errIDInUse = &protocol.RequestError{Status: http.StatusConflict, Reason: "Req-Id is of a request that is open"}
 
 // closeAfterAnswer closes the connection after the current answer. Over HTTP/2 the other streams run to their end, and new
 // requests must use another connection.
