--- a/cmd/brassdale-lab/fleet.go
+++ b/cmd/brassdale-lab/fleet.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(work) }()
-	result, err := faults.Play(command.Context(), plan, binary, work)
+	result, err := faults.Run(command.Context(), plan, binary, work)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/brassdale-lab/inject.go
+++ b/cmd/brassdale-lab/inject.go
@@ -30,7 +30,7 @@
 			}
 			signal.Ignore(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT) // they are meant for the program
 			begin := time.Now()
-			tracer := inject.Tracer{Rules: parsed, Seed: seed, Calm: func() bool { return time.Since(begin) < after },
+			tracer := inject.Tracer{Rules: parsed, Seed: seed, Paused: func() bool { return time.Since(begin) < after },
 				Began: func(pid int) { fmt.Fprintf(os.Stderr, "inject: pid=%d\n", pid) },
 				Failed: func(call string, n int) {
 					if n&(n-1) == 0 { // the first, second, fourth, ...
--- a/internal/faults/cases_test.go
+++ b/internal/faults/cases_test.go
@@ -40,7 +40,7 @@
 			t.Parallel()
 			p := c.plan
 			p.Seed, p.Bound, p.ReplaceVoterAfter, p.Rate = 5, time.Second, 3*time.Second, 60
-			r, err := Play(t.Context(), p, binary, t.TempDir())
+			r, err := Run(t.Context(), p, binary, t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/faults/overload_test.go
+++ b/internal/faults/overload_test.go
@@ -18,7 +18,7 @@
 			p := Plan{Seed: 4, Processes: 6, Voters: 3, Bound: time.Second, Span: 14 * time.Second, ProposalInterval: time.Minute, Rate: 100,
 				Overload: &Overload{Retries: 0.1, Probes: 3, Shared: shared, Frozen: 0.34, At: 3 * time.Second, For: 7 * time.Second},
 				Events:   []Event{{At: 5 * time.Second, For: time.Second, Kind: Kill, Process: Leader}, {At: 6 * time.Second, For: 3 * time.Second, Kind: Freeze, Process: 5}}}
-			r, err := Play(t.Context(), p, binary, t.TempDir())
+			r, err := Run(t.Context(), p, binary, t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/faults/plan.go
+++ b/internal/faults/plan.go
@@ -2,7 +2,7 @@
 // package emulator, injects faults into them and into the network links between them, and measures what clients and the fleet's
 // agreement on config versions suffered.
 //
-// A fault scenario is an HCL file (File; scenarios/fleet has examples). With a seed it gives a Plan, which Play plays in real time
+// A fault scenario is an HCL file (File; scenarios/fleet has examples). With a seed it gives a Plan, which Run plays in real time
 // and returns as a Result. The faults are events: they are listed in the scenario or drawn from the seed (Draw), and the same seed
 // gives the same events. 'brassdale-lab fleet' plays scenarios from the command line. The links between processes are those of package
 // faultlink; what processes acted on is read from their logs by package effectivestate.
--- a/internal/faults/release_test.go
+++ b/internal/faults/release_test.go
@@ -16,7 +16,7 @@
 	}
 	p := f.Plan(3, 10)
 	p.Span, p.Release.At, p.Release.DiscoveryMovesAt, p.Release.DiscoveryCallRate, p.Release.ClientTimeout = 10*time.Second, time.Second, 3*time.Second, 5, 200*time.Millisecond
-	r, err := Play(t.Context(), p, buildDispatcher(t), t.TempDir())
+	r, err := Run(t.Context(), p, buildDispatcher(t), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faults/run.go
+++ b/internal/faults/run.go
@@ -37,10 +37,10 @@
 // idleConnectionsPerHost is how many idle connections the run's clients may have to a process.
 const idleConnectionsPerHost = 64
 
-// Play starts a plan's dispatchers with the program at binary and plays the plan in real time. It writes configuration and the
+// Run starts a plan's dispatchers with the program at binary and plays the plan in real time. It writes configuration and the
 // processes' data to dir, and ends all processes that it started. It returns an error if the plan could not be played to its end,
 // not if a rule was broken.
-func Play(ctx context.Context, plan Plan, binary, dir string) (*Result, error) {
+func Run(ctx context.Context, plan Plan, binary, dir string) (*Result, error) {
 	scenario := plan.scenario()
 	plan.Rate = scenario.Traffic.Rate
 	cluster, err := emulator.Open(scenario) //nolint:contextcheck // it must run until Close, because queries wait for its engine
--- a/internal/faults/run_test.go
+++ b/internal/faults/run_test.go
@@ -28,7 +28,7 @@
 	binary := buildDispatcher(t)
 	p := f.Plan(3, 5)
 	p.Voters, p.Span, p.MeanInterval, p.MaxDuration, p.Bound, p.ProposalInterval = 3, 6*time.Second, 500*time.Millisecond, 2*time.Second, time.Second, 500*time.Millisecond
-	r, err := Play(t.Context(), p, binary, t.TempDir())
+	r, err := Run(t.Context(), p, binary, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faults/zones_test.go
+++ b/internal/faults/zones_test.go
@@ -26,7 +26,7 @@
 			t.Parallel()
 			p := Plan{Seed: 5, Processes: 7, Voters: 3, Bound: 2 * time.Second, Span: s(22), ProposalInterval: s(30), Events: c.events,
 				Zones: &ZonePlan{Zones: 3, Regions: 1, Workers: 9, Load: 0.45, FleetPlans: true, Headroom: 0.1, ReturnIn: s(5), Faults: []emulator.Fault{c.fault}}}
-			r, err := Play(t.Context(), p, binary, t.TempDir())
+			r, err := Run(t.Context(), p, binary, t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -34,7 +34,7 @@
 			if r.Bad() || w.PlanChanges < 2 || w.ServedFault < 0.75 || w.MovedMS < 0 {
 				t.Errorf("%+v, %d never answered, %v", w, r.AnsweredNever, r.Breaches)
 			}
-			t.Logf("during the fault %.3f, after it %.3f, peak %.2f, detected after %v ms, moved %v ms, plans %d", w.ServedFault, w.ServedBehind, w.Peak, w.DetectMS, w.MovedMS, w.PlanChanges)
+			t.Logf("during the fault %.3f, after it %.3f, peak %.2f, detected after %v ms, moved %v ms, plans %d", w.ServedFault, w.ServedAfterFault, w.Peak, w.DetectMS, w.MovedMS, w.PlanChanges)
 		})
 	}
 }
--- a/internal/faults/zonesresult.go
+++ b/internal/faults/zonesresult.go
@@ -14,7 +14,7 @@
 	Served           float64 `json:"served_share"`                       // of the jobs, in time
 	ServedNoFailover float64 `json:"served_share_no_failover,omitempty"` // in the emulator's virtual time, where each process decides by itself
 	ServedFault      float64 `json:"served_share_fault"`                 // of those sent during the first fault, from faultDetectionTime after its start on
-	ServedBehind     float64 `json:"served_share_behind"`                // of those sent within recoveryWindow after its end
+	ServedAfterFault float64 `json:"served_share_behind"`                // of those sent within recoveryWindow after its end
 	Crossing         float64 `json:"crossing_share"`                     // of the attempts
 	MinCrossing      float64 `json:"crossing_least"`                     // share of the work that had to cross, as the zones' capacities are
 	Peak             float64 `json:"zone_peak_over_capacity"`            // most work that a zone received over some seconds, of what it could do
@@ -69,7 +69,7 @@
 	first := r.plan.Zones.Faults[0]
 	from, to := begin.Add(first.At), begin.Add(first.At+first.For)
 	result.ServedFault = r.endedJobs.servedShare(from.Add(faultDetectionTime), to)
-	result.ServedBehind = r.endedJobs.servedShare(to, to.Add(recoveryWindow))
+	result.ServedAfterFault = r.endedJobs.servedShare(to, to.Add(recoveryWindow))
 	result.MinCrossing = r.plan.Zones.minCrossing(r.plan.Span)
 	if modelled, err := r.playInVirtualTime(""); err == nil {
 		result.ServedNoFailover = modelled.Service
--- a/internal/inject/trace.go
+++ b/internal/inject/trace.go
@@ -19,7 +19,7 @@
 type Tracer struct {
 	Rules  []Rule
 	Seed   uint64
-	Calm   func() bool              // while it returns true nothing fails; nil for never
+	Paused func() bool              // while it returns true nothing fails; nil for never
 	Began  func(pid int)            // called when the program runs under this process ID; must not be nil
 	Failed func(call string, n int) // so many calls of the kind have failed by now; nil for nobody
 
@@ -85,7 +85,7 @@
 // decide has the call that a thread is about to make fail, or lets it pass.
 func (t *Tracer) decide(pid int, rng *rand.Rand) {
 	var regs syscall.PtraceRegs
-	if syscall.PtraceGetRegs(pid, &regs) != nil || t.Calm != nil && t.Calm() {
+	if syscall.PtraceGetRegs(pid, &regs) != nil || t.Paused != nil && t.Paused() {
 		return
 	}
 	for _, rule := range t.Rules {
