--- a/internal/faultlink/link.go
+++ b/internal/faultlink/link.go
@@ -1,4 +1,4 @@
-// Package faultlink has network links on loopback that cut, delay and reset what goes over them. Packages faults and scale use it.
+// Package faultlink provides network links on loopback that can cut, delay and reset their traffic. Packages faults and scale use it.
 package faultlink
 
 import (
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// State is what a link does to what goes over it: TCP connections and UDP packets. Slow and Reorder are for TCP only. The zero value
-// passes everything on.
+// State is the fault of a link for its TCP connections and UDP packets. Slow and Reorder apply to TCP only. The zero value forwards
+// everything.
 type State struct {
-	CutTo   bool          // nothing that the caller sends arrives
-	CutFrom bool          // nothing that the called process sends arrives
-	Delay   time.Duration // of each piece, in either direction: a round trip takes twice as long
-	Spread  time.Duration // a random further delay up to this
-	Slow    bool          // passes slowPiece bytes every slowInterval
-	Reorder time.Duration // new connections are delayed at random up to this, so that later ones overtake them
+	CutTo   bool          // nothing that the caller sends is delivered
+	CutFrom bool          // nothing that the called process sends is delivered
+	Delay   time.Duration // of each chunk, in each direction: a round trip takes twice as long
+	Spread  time.Duration // limit of a random additional delay
+	Slow    bool          // forwards slowChunkBytes every slowInterval
+	Reorder time.Duration // limit of a random delay of new connections, so that later ones overtake earlier ones
 }
 
-// randomSource is the random source of a seed for delays. Package faults uses others with the same seed.
+// randomSource is the random source for delays. Package faults uses other sources with the same seed.
 const randomSource = 1
 
 const (
-	slowPiece      = 64 // bytes
+	slowChunkBytes = 64
 	slowInterval   = 20 * time.Millisecond
-	maxPiece       = 32 << 10 // bytes of a connection that are passed on at a time
+	maxChunkBytes  = 32 << 10 // of a connection, forwarded at a time
 	maxPacketBytes = 64 << 10
-	listenAttempts = 20 // to find a port that is free for TCP and UDP
+	listenAttempts = 20 // to find a port that is free for both TCP and UDP
 )
 
-// Link is a network link on loopback from one process to another's listener: for TCP in both directions, and, at the same port, for
-// UDP towards the listener. Answers over UDP go over the link of the opposite direction. Bytes that meet a cut wait; when it
-// ends, their connections are reset, as those of a machine that was unreachable. Packets that meet a cut are lost. Link is safe
-// for use by several goroutines.
+// Link is a network link on loopback from one process to another process's listener. It forwards TCP in both directions and, at the same
+// port, UDP towards the listener; UDP responses use the link of the opposite direction. Bytes that reach a cut wait. When the cut ends,
+// their connections are reset, like connections to a machine that was unreachable. Packets that reach a cut are lost. Link is safe for
+// concurrent use.
 type Link struct {
 	listener net.Listener
 	packets  net.PacketConn
@@ -42,17 +42,17 @@
 
 	mu      sync.Mutex
 	state   State
-	conns   map[net.Conn]bool // open connections, at both sides of the link
-	waiting map[net.Conn]bool // those that carry bytes which wait at a cut
+	conns   map[net.Conn]bool // open connections on both sides of the link
+	waiting map[net.Conn]bool // connections with bytes that wait at a cut
 	rng     *rand.Rand
 	closed  bool
 	changed chan struct{} // closed and replaced at each change of state
 }
 
-// New opens a link to a target address, on a loopback port that the system chooses. The seed decides the random delays. The caller
+// New opens a link to a target address, on a loopback port that the system chooses. The random delays are drawn from the seed. The caller
 // must close the link.
 func New(target string, seed uint64) (*Link, error) {
-	listener, packets, err := listenBoth()
+	listener, packets, err := listenTCPAndUDP()
 	if err != nil {
 		return nil, err
 	}
@@ -70,8 +70,8 @@
 	return link, nil
 }
 
-// listenBoth listens at one port for TCP and UDP.
-func listenBoth() (net.Listener, net.PacketConn, error) {
+// listenTCPAndUDP listens for TCP and UDP on one port.
+func listenTCPAndUDP() (net.Listener, net.PacketConn, error) {
 	var lastErr error
 	for range listenAttempts {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,10 +88,10 @@
 	return nil, nil, lastErr
 }
 
-// Address returns the address at which the caller reaches the link.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set changes what the link does from now on.
+// Set sets the state of the link from now on.
 func (l *Link) Set(state State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Reset resets all connections that go over the link now.
+// Reset resets all connections that are open now.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,33 +116,33 @@
 	}
 }
 
-// Close closes the link and resets its connections. The goroutines of the link end soon.
+// Close closes the link and resets its connections. It does not wait until the link's goroutines have ended.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
-	_ = l.listener.Close() // no connection is accepted after it, whatever it returns
+	_ = l.listener.Close() // no connection is accepted afterwards, even on an error
 	_ = l.packets.Close()  // likewise
 	l.Reset()
 	l.Set(State{})
 }
 
-// reset closes a connection so that its peer sees it reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
-	_ = conn.Close() // what it has not sent is lost on purpose
+	_ = conn.Close() // unsent bytes are lost on purpose
 }
 
-// current returns the state, and a delay drawn for a piece that goes over the link in it.
+// current returns the state, and a delay drawn for one chunk or packet.
 func (l *Link) current() (State, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.state.Delay + l.randomDelay(l.state.Spread)
 }
 
-// randomDelay draws a delay below a limit; it is 0 if the limit is. The caller holds l.mu.
+// randomDelay draws a delay below the limit, or returns 0 if the limit is 0. The caller holds l.mu.
 func (l *Link) randomDelay(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -150,7 +150,7 @@
 	return time.Duration(l.rng.Int64N(int64(limit)))
 }
 
-// relayPackets passes packets on until the link is closed. Random delays make later ones overtake earlier ones.
+// relayPackets forwards packets until the link is closed. With random delays, later packets overtake earlier ones.
 func (l *Link) relayPackets() {
 	target, err := net.ResolveUDPAddr("udp", l.target)
 	if err != nil {
@@ -163,7 +163,7 @@
 			if l.isClosed() {
 				return
 			}
-			continue // an earlier packet found no listener
+			continue // an earlier packet reached a port without a listener
 		}
 		state, delay := l.current()
 		if state.CutTo {
@@ -197,7 +197,7 @@
 	}
 }
 
-// connect connects an accepted connection to the target and passes on what goes over them. It returns when both are closed.
+// connect connects an accepted connection to the target and forwards data in both directions. It returns when both connections are closed.
 func (l *Link) connect(caller net.Conn) {
 	l.mu.Lock()
 	delay := l.randomDelay(l.state.Reorder)
@@ -214,13 +214,13 @@
 		return
 	}
 	defer l.remove(caller, called)
-	var passing sync.WaitGroup
-	passing.Go(func() { l.pass(caller, called, func(state State) bool { return state.CutTo }) })
-	passing.Go(func() { l.pass(called, caller, func(state State) bool { return state.CutFrom }) })
-	passing.Wait()
+	var forwarding sync.WaitGroup
+	forwarding.Go(func() { l.forward(caller, called, func(state State) bool { return state.CutTo }) })
+	forwarding.Go(func() { l.forward(called, caller, func(state State) bool { return state.CutFrom }) })
+	forwarding.Wait()
 }
 
-// add adds the two sides of a connection. It returns false if the link is closed.
+// add records the two sides of a connection. It returns false if the link is closed.
 func (l *Link) add(caller, called net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,18 +241,18 @@
 	}
 }
 
-// pass passes one direction of a connection on, piece by piece, and closes both sides when it ends. cut says whether a state cuts this
+// forward forwards one direction of a connection in chunks, and closes both sides when it ends. cut reports whether a state cuts this
 // direction.
-func (l *Link) pass(from, to net.Conn, cut func(State) bool) {
+func (l *Link) forward(from, to net.Conn, cut func(State) bool) {
 	defer func() {
-		_ = from.Close() // the bytes that it has not delivered are lost
+		_ = from.Close() // undelivered bytes are lost
 		_ = to.Close()   // likewise
 	}()
-	buffer := make([]byte, maxPiece)
+	buffer := make([]byte, maxChunkBytes)
 	for {
 		size, readErr := from.Read(buffer)
 		if size > 0 {
-			if err := l.delayPiece(from, to, cut); err != nil {
+			if err := l.delayChunk(from, to, cut); err != nil {
 				return
 			}
 			if err := l.write(to, buffer[:size]); err != nil {
@@ -265,11 +265,11 @@
 	}
 }
 
-// errCut is the error of a piece that met a cut: its connection is of no use anymore.
+// errCut is the error of a chunk that reached a cut; its connection is reset when the cut ends.
 var errCut = errors.New("cut")
 
-// delayPiece waits for a piece's delay, and while its direction is cut. It returns errCut after a cut.
-func (l *Link) delayPiece(from, to net.Conn, cut func(State) bool) error {
+// delayChunk waits for a chunk's delay, and while its direction is cut. It returns errCut if there was a cut.
+func (l *Link) delayChunk(from, to net.Conn, cut func(State) bool) error {
 	_, delay := l.current()
 	time.Sleep(delay)
 	waited := false
@@ -292,21 +292,21 @@
 	return nil
 }
 
-// write writes a piece, a few bytes at a time while the link is slow.
-func (l *Link) write(to net.Conn, piece []byte) error {
-	for len(piece) > 0 {
+// write writes a chunk, slowChunkBytes at a time while the link is slow.
+func (l *Link) write(to net.Conn, chunk []byte) error {
+	for len(chunk) > 0 {
 		l.mu.Lock()
 		slow := l.state.Slow && !l.closed
 		l.mu.Unlock()
-		size := len(piece)
+		size := len(chunk)
 		if slow {
-			size = min(size, slowPiece)
+			size = min(size, slowChunkBytes)
 			time.Sleep(slowInterval)
 		}
-		if _, err := to.Write(piece[:size]); err != nil {
+		if _, err := to.Write(chunk[:size]); err != nil {
 			return err
 		}
-		piece = piece[size:]
+		chunk = chunk[size:]
 	}
 	return nil
 }
--- a/internal/faultlink/link_test.go
+++ b/internal/faultlink/link_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// startEchoServer starts a server that sends back what it receives, until the test ends, and returns its address.
+// startEchoServer starts an echo server that runs until the test ends, and returns its address.
 func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +27,7 @@
 	return l.Addr().String()
 }
 
-// TestLink: a link passes bytes on; those that meet a cut of any direction wait, and their connections are reset when it ends; a
+// TestLink: a link forwards bytes. Bytes that reach a cut of either direction wait, and their connections are reset when the cut ends. A
 // delay is at least as long as set.
 func TestLink(t *testing.T) {
 	link, err := New(startEchoServer(t), 1)
@@ -54,28 +54,28 @@
 	for _, cut := range []State{{CutTo: true}, {CutFrom: true}, {CutTo: true, CutFrom: true}} {
 		c := dial()
 		if !passes(c) {
-			t.Fatal("nothing passes")
+			t.Fatal("a link without faults did not return an echo")
 		}
 		link.Set(cut)
 		if passes(c) {
-			t.Errorf("%+v: it passes", cut)
+			t.Errorf("%+v: got an echo through the cut", cut)
 		}
 		link.Set(State{})
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-			t.Errorf("%+v: after it the connection is still open: %v", cut, err)
+			t.Errorf("%+v: expected a closed connection after the cut, got error %v", cut, err)
 		}
 		if !passes(dial()) {
-			t.Errorf("%+v: a new connection does not pass after it", cut)
+			t.Errorf("%+v: no echo on a new connection after the cut", cut)
 		}
 	}
 	c := dial()
 	link.Set(State{Delay: 20 * time.Millisecond})
 	if begin := time.Now(); !passes(c) || time.Since(begin) < 40*time.Millisecond {
-		t.Error("not delayed both ways")
+		t.Error("expected an echo, delayed in both directions")
 	}
 	link.Reset()
 	if passes(c) {
-		t.Error("not reset")
+		t.Error("got an echo on a connection after Reset")
 	}
 }
