--- a/internal/inject/inject.go
+++ b/internal/inject/inject.go
@@ -1,6 +1,6 @@
-// Package inject runs a program whose system calls fail now and then, as Linux documents that they may. It traces the program
-// with ptrace; a seccomp filter that the program's launcher sets stops it at the chosen calls only. Linux on amd64, no rights
-// beyond those of the own user, and only processes that it starts itself.
+// Package inject runs a program and makes some of its system calls fail, in ways that Linux documents. It traces the program with
+// ptrace. The program's launcher installs a seccomp filter, so that the program stops only at the chosen calls. The package needs Linux
+// on amd64, but no privileges, and it traces only processes that it starts itself.
 package inject
 
 import (
@@ -12,45 +12,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// Rule has one call in so many of a kind fail, or come short.
+// Rule makes one in OneIn calls of a system call fail or transfer fewer bytes, at random.
 type Rule struct {
 	Call  string // name of the system call
 	Errno unix.Errno
-	Short bool // in place of failing, it moves half of the bytes only
+	Short bool // the call transfers half of the bytes instead of failing
 	OneIn int
 }
 
-var calls = map[string]uint32{
+var callNumbers = map[string]uint32{
 	"accept4": unix.SYS_ACCEPT4, "socket": unix.SYS_SOCKET, "connect": unix.SYS_CONNECT, "epoll_ctl": unix.SYS_EPOLL_CTL,
 	"epoll_pwait": unix.SYS_EPOLL_PWAIT, "setsockopt": unix.SYS_SETSOCKOPT, "read": unix.SYS_READ, "write": unix.SYS_WRITE,
 	"fsync": unix.SYS_FSYNC, "fdatasync": unix.SYS_FDATASYNC, "renameat": unix.SYS_RENAMEAT, "openat": unix.SYS_OPENAT,
 	"nanosleep": unix.SYS_NANOSLEEP, "getsockopt": unix.SYS_GETSOCKOPT,
 }
 
-// short is how a rule for a short read or write is worded.
+// short stands in place of an error name in a rule for a short read or write.
 const short = "short"
 
-// ParseRules reads rules as call=ERRNO:one-in, separated by commas; ERRNO may be short for read and write.
+// ParseRules parses rules of the form call=ERRNO:one-in, separated by commas. For read and write, ERRNO may be the word short.
 func ParseRules(text string) (rules []Rule, err error) {
 	for _, part := range strings.Split(text, ",") {
 		if part == "" {
 			continue
 		}
 		call, rest, ok := strings.Cut(part, "=")
-		name, oneIn, also := strings.Cut(rest, ":")
-		if _, known := calls[call]; !ok || !also || !known {
-			return nil, fmt.Errorf("rule %q: want call=ERRNO:one-in, of a call that is known", part)
+		name, oneIn, hasOneIn := strings.Cut(rest, ":")
+		if _, known := callNumbers[call]; !ok || !hasOneIn || !known {
+			return nil, fmt.Errorf("rule %q: expected call=ERRNO:one-in with a supported system call", part)
 		}
 		r := Rule{Call: call}
 		if r.OneIn, err = strconv.Atoi(oneIn); err != nil || r.OneIn < 1 {
-			return nil, fmt.Errorf("rule %q: %q is no whole number from 1 on", part, oneIn)
+			return nil, fmt.Errorf("rule %q: got one-in %q, expected a whole number of at least 1", part, oneIn)
 		}
 		switch {
 		case name == short && (call == "read" || call == "write"):
 			r.Short = true
 		default:
 			if r.Errno, ok = errnoOf(name); !ok {
-				return nil, fmt.Errorf("rule %q: no error %q", part, name)
+				return nil, fmt.Errorf("rule %q: unknown error name %q", part, name)
 			}
 		}
 		rules = append(rules, r)
@@ -58,7 +58,7 @@
 	return rules, nil
 }
 
-// errnoOf finds an error by its name.
+// errnoOf returns the error number with a name.
 func errnoOf(name string) (unix.Errno, bool) {
 	for e := unix.Errno(1); e < 140; e++ {
 		if unix.ErrnoName(e) == name {
@@ -68,10 +68,10 @@
 	return 0, false
 }
 
-// numbers gives the numbers of the calls that rules name.
-func numbers(rules []Rule) (all []uint32) {
+// numbersOf returns the numbers of the system calls that rules name.
+func numbersOf(rules []Rule) (all []uint32) {
 	for _, r := range rules {
-		if n := calls[r.Call]; !slices.Contains(all, n) {
+		if n := callNumbers[r.Call]; !slices.Contains(all, n) {
 			all = append(all, n)
 		}
 	}
--- a/internal/inject/inject_test.go
+++ b/internal/inject/inject_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestMain runs the tests, or what they start this binary as: the launcher, which executes it once more as the program under test.
+// TestMain runs the tests. The tests start this binary as the launcher, which executes it again as the program under test.
 func TestMain(m *testing.M) {
 	switch os.Getenv("INJECT_TEST") {
 	case "launcher":
@@ -52,8 +52,8 @@
 	return 0
 }
 
-// TestTracer_injectsFailures checks that the calls of a program fail by the rules, connect with an error and write with a short count, and
-// that the program runs to its end.
+// TestTracer_injectsFailures checks that a program's calls fail according to the rules, connect with an error and write with a short
+// count, and that the program runs to its end.
 func TestTracer_injectsFailures(t *testing.T) {
 	t.Setenv("INJECT_TEST", "launcher")
 	t.Setenv("INJECT_RULES", "connect=ENETUNREACH:5,write=short:2")
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestParseRules checks two rules of one text, and that invalid texts are rejected.
+// TestParseRules checks that two rules in one text are parsed, and that invalid texts are rejected.
 func TestParseRules(t *testing.T) {
 	rules, err := ParseRules("accept4=ENOBUFS:7,read=short:5")
 	if err != nil || len(rules) != 2 || rules[0] != (Rule{Call: "accept4", Errno: unix.ENOBUFS, OneIn: 7}) || rules[1] != (Rule{Call: "read", Short: true, OneIn: 5}) {
--- a/internal/inject/trace.go
+++ b/internal/inject/trace.go
@@ -12,23 +12,23 @@
 
 const traceOptions = unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACEEXEC | unix.PTRACE_O_EXITKILL
 
-// wholeOnly is how much is never cut short: an event counter takes its eight bytes or none.
-const wholeOnly = 16
+// maxUnshortenedBytes is the largest transfer that is never shortened. An eventfd transfers all of its eight bytes or none.
+const maxUnshortenedBytes = 16
 
-// Tracer runs one program. It owns all children of its process while it runs.
+// Tracer runs one program. While it runs, it waits for all children of its process, so nothing else may start or wait for any.
 type Tracer struct {
 	Rules  []Rule
 	Seed   uint64
-	Paused func() bool              // while it returns true nothing fails; nil for never
-	Began  func(pid int)            // called when the program runs under this process ID; must not be nil
-	Failed func(call string, n int) // so many calls of the kind have failed by now; nil for nobody
+	Paused func() bool              // while it returns true, no call fails; nil for never
+	Began  func(pid int)            // called with the program's process ID when the program starts; must not be nil
+	Failed func(call string, n int) // called after each failure with the number of failed calls of this name; may be nil
 
 	counts map[string]int
 }
 
-// Run starts the launcher with this command line, has calls of what it becomes fail, and gives its exit status.
+// Run starts the launcher with this command line, makes calls of the launched program fail, and returns the program's exit status.
 func (t *Tracer) Run(launcher []string) (status syscall.WaitStatus, err error) {
-	runtime.LockOSThread() // a program has one tracing thread
+	runtime.LockOSThread() // ptrace requests must come from the thread that traces the program
 	defer runtime.UnlockOSThread()
 	t.counts = map[string]int{}
 	child, err := os.StartProcess(launcher[0], launcher, &os.ProcAttr{Env: os.Environ(), Files: []*os.File{os.Stdin, os.Stdout, os.Stderr},
@@ -38,7 +38,7 @@
 	}
 	var first syscall.WaitStatus
 	if _, err := syscall.Wait4(child.Pid, &first, syscall.WALL, nil); err != nil {
-		return 0, fmt.Errorf("the launcher did not stop: %w", err)
+		return 0, fmt.Errorf("wait for the launcher to stop: %w", err)
 	}
 	if err := syscall.PtraceSetOptions(child.Pid, traceOptions); err != nil {
 		return 0, err
@@ -50,7 +50,7 @@
 	return t.follow(child.Pid)
 }
 
-// follow serves the program's stops until it has ended.
+// follow handles the stops of the program's threads until the program has ended.
 func (t *Tracer) follow(program int) (syscall.WaitStatus, error) {
 	rng := rand.New(rand.NewPCG(t.Seed, 1))
 	for {
@@ -72,33 +72,33 @@
 		pass := 0
 		switch signal := status.StopSignal(); {
 		case signal == syscall.SIGTRAP && int(status)>>8 == int(syscall.SIGTRAP)|unix.PTRACE_EVENT_SECCOMP<<8:
-			t.decide(pid, rng)
-		case signal == syscall.SIGTRAP && status.TrapCause() > 0: // a thread was made, or the launcher became the program
+			t.interceptCall(pid, rng)
+		case signal == syscall.SIGTRAP && status.TrapCause() > 0: // a thread was created, or the launcher executed the program
 		case signal == syscall.SIGSTOP && pid != program: // a new thread's first stop
 		default:
 			pass = int(signal)
 		}
-		_ = syscall.PtraceCont(pid, pass) // a thread may have gone
+		_ = syscall.PtraceCont(pid, pass) // fails if the thread has ended
 	}
 }
 
-// decide has the call that a thread is about to make fail, or lets it pass.
-func (t *Tracer) decide(pid int, rng *rand.Rand) {
+// interceptCall makes the system call at which a thread has stopped fail, or leaves it unchanged.
+func (t *Tracer) interceptCall(pid int, rng *rand.Rand) {
 	var regs syscall.PtraceRegs
 	if syscall.PtraceGetRegs(pid, &regs) != nil || t.Paused != nil && t.Paused() {
 		return
 	}
 	for _, rule := range t.Rules {
-		if uint64(calls[rule.Call]) != regs.Orig_rax || rng.IntN(rule.OneIn) > 0 {
+		if uint64(callNumbers[rule.Call]) != regs.Orig_rax || rng.IntN(rule.OneIn) > 0 {
 			continue
 		}
 		if rule.Short {
-			if regs.Rdx <= wholeOnly {
+			if regs.Rdx <= maxUnshortenedBytes {
 				return
 			}
 			regs.Rdx /= 2
 		} else {
-			regs.Orig_rax = ^uint64(0) // no such call: it is skipped, and returns what is in rax
+			regs.Orig_rax = ^uint64(0) // an invalid number: the kernel skips the call and returns the value of rax
 			regs.Rax = uint64(-int64(rule.Errno))
 		}
 		if syscall.PtraceSetRegs(pid, &regs) == nil {
