--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// checkedPages returns the pages whose names of code must exist: README.md and all pages of docs/ but those of docs/results, which name
-// the code as it was at the commits that they measured. The paths are relative to this directory.
+// checkedPages returns the pages whose names of code must exist: README.md and all pages of docs/ except docs/results. The pages of
+// docs/results name the code of the commits that they measured. The paths are relative to this directory.
 func checkedPages(t *testing.T) []string {
 	t.Helper()
 	pages := []string{filepath.Join("..", "README.md")}
@@ -44,8 +44,8 @@
 	sourcePath    = regexp.MustCompile(`^((internal|cmd|scheduler|deploy|docs|scenarios)(/[\w.-]+)+|[\w./-]+\.go)$`) // from the root of the repository
 )
 
-// TestDocs_nameWhatExists checks that what stands between backticks on the checked pages exists: package.Name, Type.Member, paths of
-// code, names in mixed case, of the code or of a setting, and names of tests.
+// TestDocs_nameWhatExists checks that names between backticks on the checked pages exist: package.Name, Type.Member, paths of code, names
+// of tests, and names in mixed case, which are identifiers of the code or names of settings.
 func TestDocs_nameWhatExists(t *testing.T) {
 	names := namesOfCode(t)
 	for _, page := range checkedPages(t) {
@@ -54,14 +54,14 @@
 			t.Fatal(err)
 		}
 		for _, span := range codeSpan.FindAllStringSubmatch(string(text), -1) {
-			if names.lack(span[1]) {
+			if names.lacks(span[1]) {
 				t.Errorf("%s names %s, which does not exist", page, span[1])
 			}
 		}
 	}
 }
 
-// codeNames is what the code declares. Only tests holds what test files declare.
+// codeNames has the names that the code declares. Only the field tests has names from test files.
 type codeNames struct {
 	declared   map[string]bool // package.Name and Type.Member
 	qualifiers map[string]bool // packages and types
@@ -76,8 +76,8 @@
 	return &codeNames{declared: declared, qualifiers: qualifiers, words: wordsOfCode(t), tests: testsOfCode(t)}
 }
 
-// lack reports whether a text between backticks is a name or a path of code that does not exist.
-func (n *codeNames) lack(span string) bool {
+// lacks reports whether a text between backticks is a name or a path of code that does not exist.
+func (n *codeNames) lacks(span string) bool {
 	if sourcePath.MatchString(span) {
 		_, err := os.Stat(filepath.Join("..", span))
 		return err != nil
@@ -91,11 +91,11 @@
 	if !mixedCaseName.MatchString(span) {
 		return false
 	}
-	field := strings.ToUpper(span[:1]) + span[1:] // a key of JSON, where it is no tag, is the name of a field
+	field := strings.ToUpper(span[:1]) + span[1:] // a JSON key without a tag is the name of a field
 	return !n.words[span] && !n.words[field]
 }
 
-// wordsOfCode returns all identifiers of the code, tests left out, and all words in its strings, such as keys of JSON.
+// wordsOfCode returns all identifiers of the code without its tests, and all words in its string literals, such as JSON keys.
 func wordsOfCode(t *testing.T) map[string]bool {
 	t.Helper()
 	words := map[string]bool{}
@@ -115,10 +115,10 @@
 	return words
 }
 
-// codeRoots are the directories of all code of the project.
+// codeRoots are the directories with the project's code.
 var codeRoots = []string{".", "../scheduler", "../cmd"}
 
-// isTestFile reports whether a path is that of a test file, isCodeFile whether it is that of any other file of Go.
+// isTestFile reports whether a path names a test file, isCodeFile whether it names any other Go file.
 func isTestFile(path string) bool { return strings.HasSuffix(path, "_test.go") }
 func isCodeFile(path string) bool { return strings.HasSuffix(path, ".go") && !isTestFile(path) }
 
@@ -136,7 +136,7 @@
 	return tests
 }
 
-// forEachFile calls use with each file below the roots whose path is wanted.
+// forEachFile parses each file below the roots for whose path wanted returns true, and calls use with it.
 func forEachFile(t *testing.T, roots []string, wanted func(path string) bool, use func(*ast.File)) {
 	t.Helper()
 	for _, root := range roots {
@@ -157,7 +157,7 @@
 	}
 }
 
-// declarations returns every package.Name and Type.Member of the code, tests left out, and the packages and types as qualifiers.
+// declarations returns every package.Name and Type.Member of the code without its tests, and the packages and types as qualifiers.
 func declarations(t *testing.T) (declared, qualifiers map[string]bool) {
 	t.Helper()
 	declared, qualifiers = map[string]bool{}, map[string]bool{}
@@ -173,7 +173,7 @@
 	return declared, qualifiers
 }
 
-// addDeclaration adds what a declaration declares: names of the package, methods, fields and interface methods.
+// addDeclaration adds the names of a declaration: names of the package, methods, fields and interface methods.
 func addDeclaration(pkg string, decl ast.Decl, add func(qualifier, name string)) {
 	switch decl := decl.(type) {
 	case *ast.FuncDecl:
@@ -213,12 +213,12 @@
 	}
 }
 
-// logLinePages are the pages with tables of log lines, whose first column has the header below.
+// logLinePages are the pages with tables of log lines. The first column of these tables has the header logLineHeader.
 var logLinePages = []string{"on-call.md", "process-handover.md", "settings-reload.md", "connection-limits.md", "endpoint-cache.md", "lab.md"}
 
 const logLineHeader = "| line (`msg`) |"
 
-// TestDocs_logLinesExist checks that the code has each log line that the pages explain.
+// TestDocs_logLinesExist checks that each log line that the pages explain exists in the code.
 func TestDocs_logLinesExist(t *testing.T) {
 	literals := stringLiterals(t)
 	for _, page := range logLinePages {
@@ -258,8 +258,8 @@
 	}
 }
 
-// logMessage returns the fixed part of a log line on a page: what stands before keys and dots. It is empty for a key alone, and for the
-// line that the program prints before it logs.
+// logMessage returns the fixed part of a log line on a page, which is the text before keys and dots. It returns an empty text for a single
+// key, and for the line that the program prints before it logs.
 func logMessage(span string) string {
 	message, _, _ := strings.Cut(span, " worker=")
 	message, _, _ = strings.Cut(message, " ...")
@@ -269,7 +269,8 @@
 	return message
 }
 
-// stringLiterals returns all string literals of the code, tests left out, and what stands before the first verb of a format.
+// stringLiterals returns all string literals of the code without its tests. Of a literal with the key worker and a verb, it returns the text
+// before that key.
 func stringLiterals(t *testing.T) map[string]bool {
 	t.Helper()
 	literals := map[string]bool{}
--- a/internal/documented_test.go
+++ b/internal/documented_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestExportedItemsAreDocumented holds that each package and each exported item has a doc comment: types, functions, methods of
-// exported types, and constants and variables, of which a group may have one together.
+// TestExportedItemsAreDocumented checks that each package and each exported item has a doc comment: types, functions, methods of exported
+// types, constants and variables. A group of constants or variables may have one comment for all.
 func TestExportedItemsAreDocumented(t *testing.T) {
 	packages := map[string]bool{}
 	files := map[string]string{}
@@ -47,17 +47,17 @@
 	}
 }
 
-// undocumented gives the places of a file's exported items without a doc comment.
+// undocumented returns the positions of a file's exported items without a doc comment.
 func undocumented(file *ast.File) (at []token.Pos) {
 	for _, decl := range file.Decls {
 		switch decl := decl.(type) {
 		case *ast.FuncDecl:
-			if decl.Name.IsExported() && decl.Doc == nil && (decl.Recv == nil || exportedReceiver(decl) && !wellKnown[decl.Name.Name]) {
+			if decl.Name.IsExported() && decl.Doc == nil && (decl.Recv == nil || exportedReceiver(decl) && !wellKnownMethods[decl.Name.Name]) {
 				at = append(at, decl.Pos())
 			}
 		case *ast.GenDecl:
 			for _, spec := range decl.Specs {
-				if decl.Doc == nil && exportedBare(spec) {
+				if decl.Doc == nil && exportedWithoutComment(spec) {
 					at = append(at, spec.Pos())
 				}
 			}
@@ -66,8 +66,8 @@
 	return at
 }
 
-// wellKnown are methods of interfaces of the standard library, whose names say what they do.
-var wellKnown = map[string]bool{"Error": true, "String": true, "Unwrap": true, "Is": true, "ServeHTTP": true, "Len": true, "Less": true, "Swap": true,
+// wellKnownMethods are methods of standard library interfaces. They need no doc comment, because their names explain them.
+var wellKnownMethods = map[string]bool{"Error": true, "String": true, "Unwrap": true, "Is": true, "ServeHTTP": true, "Len": true, "Less": true, "Swap": true,
 	"Push": true, "Pop": true, "Read": true, "Write": true, "Close": true}
 
 func exportedReceiver(decl *ast.FuncDecl) bool {
@@ -82,8 +82,8 @@
 	return ok && name.IsExported()
 }
 
-// exportedBare tells whether a type, constant or variable is exported and has no comment of its own.
-func exportedBare(spec ast.Spec) bool {
+// exportedWithoutComment reports whether a type, constant or variable is exported and has no comment of its own.
+func exportedWithoutComment(spec ast.Spec) bool {
 	switch spec := spec.(type) {
 	case *ast.TypeSpec:
 		return spec.Name.IsExported() && spec.Doc == nil && spec.Comment == nil
--- a/internal/hcldiag/hcldiag.go
+++ b/internal/hcldiag/hcldiag.go
@@ -1,4 +1,4 @@
-// Package hcldiag reads files in HCL and words what is wrong with them.
+// Package hcldiag reads HCL files and reports their mistakes.
 package hcldiag
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// FileError is an error that names all that is wrong with a file.
+// FileError is an error that lists all mistakes of a file.
 type FileError hcl.Diagnostics
 
-// Error returns a line for each mistake: file, line, column and what is wrong.
+// Error returns a line for each mistake: file, line, column, summary and detail.
 func (f FileError) Error() string {
 	var lines []string
 	for _, diagnostic := range f {
@@ -28,7 +28,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// At returns a mistake at a place. The detail is formatted as by fmt.Sprintf.
+// At returns an error diagnostic for a range of a file. The detail is formatted as by fmt.Sprintf.
 func At(place hcl.Range, summary, format string, args ...any) *hcl.Diagnostic {
 	return &hcl.Diagnostic{
 		Severity: hcl.DiagError,
@@ -38,8 +38,8 @@
 	}
 }
 
-// Decode decodes the text of a file into a struct with hcl tags, and calls check, where it could be decoded, for what gohcl
-// cannot find. path is the file's name in the error, which is a FileError.
+// Decode decodes the text of a file into a struct with hcl tags. If that succeeds, it calls check for the mistakes that gohcl cannot find.
+// path is the file's name in the error, which is a FileError.
 func Decode(text []byte, path string, into any, check func(*hclsyntax.Body) hcl.Diagnostics) error {
 	parsed, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	if !diags.HasErrors() {
@@ -63,7 +63,7 @@
 	return blocks
 }
 
-// Place returns where an attribute's value is, or where the attribute is missing.
+// Place returns the range of an attribute's value, or the range where the missing attribute should be.
 func Place(body *hclsyntax.Body, attribute string) hcl.Range {
 	if found := body.Attributes[attribute]; found != nil {
 		return found.Expr.Range()
@@ -71,7 +71,7 @@
 	return body.MissingItemRange()
 }
 
-// Read reads a file and parses it. parse gets the path for its errors.
+// Read reads a file and parses it. parse uses the path in its errors.
 func Read[T any](path string, parse func(text []byte, path string) (T, error)) (T, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// imports gives what the files of a folder import, tests left out, and the calls of package time in them.
+// imports returns the imports of a directory's files without its tests, and their uses of package time and of go statements.
 func imports(t *testing.T, dir string) (paths, calls []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -46,12 +46,12 @@
 	return paths, calls
 }
 
-// pure is all that a module that decides may import, beside others of its kind.
-var pure = []string{"bytes", "cmp", "container/heap", "container/list", "encoding/binary", "errors", "fmt", "hash/fnv", "iter", "maps",
+// allowedImports are the imports from outside the project that the scheduler and the packages of internal/decisions may have.
+var allowedImports = []string{"bytes", "cmp", "container/heap", "container/list", "encoding/binary", "errors", "fmt", "hash/fnv", "iter", "maps",
 	"math", "math/bits", "math/rand", "math/rand/v2", "slices", "sort", "strconv", "strings", "time", "github.com/cespare/xxhash/v2"}
 
-// clocks are what a module that decides may not ask of package time.
-var clocks = []string{"time.Now", "time.Since", "time.Until", "time.After", "time.AfterFunc", "time.NewTimer", "time.NewTicker", "time.Sleep", "time.Tick", "go"}
+// forbiddenCalls are the functions of package time, and the go statement, that these packages must not use.
+var forbiddenCalls = []string{"time.Now", "time.Since", "time.Until", "time.After", "time.AfterFunc", "time.NewTimer", "time.NewTicker", "time.Sleep", "time.Tick", "go"}
 
 func TestDecisionsArePure(t *testing.T) {
 	dirs := []string{"../scheduler"}
@@ -64,19 +64,20 @@
 	for _, dir := range dirs {
 		paths, calls := imports(t, dir)
 		for _, path := range paths {
-			if !slices.Contains(pure, path) && path != "brassdale/scheduler" && !strings.HasPrefix(path, "brassdale/internal/decisions/") {
+			if !slices.Contains(allowedImports, path) && path != "brassdale/scheduler" && !strings.HasPrefix(path, "brassdale/internal/decisions/") {
 				t.Errorf("%s imports %s", dir, path)
 			}
 		}
 		for _, call := range calls {
-			if slices.Contains(clocks, call) {
+			if slices.Contains(forbiddenCalls, call) {
 				t.Errorf("%s uses %s", dir, call)
 			}
 		}
 	}
 }
 
-// TestTestSupportIsForTestsOnly checks that no program imports internal/testsupport or what is below it: its flags are for test binaries.
+// TestTestSupportIsForTestsOnly checks that no program imports internal/testsupport or a package below it, because its flags are for test
+// binaries.
 func TestTestSupportIsForTestsOnly(t *testing.T) {
 	for _, root := range []string{".", "../scheduler", "../cmd"} {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -85,7 +86,7 @@
 			}
 			paths, _ := imports(t, path)
 			if slices.ContainsFunc(paths, func(path string) bool { return strings.HasPrefix(path, "brassdale/internal/testsupport") }) {
-				t.Errorf("%s imports it outside of its tests", path)
+				t.Errorf("%s imports internal/testsupport outside its tests", path)
 			}
 			return nil
 		})
@@ -95,7 +96,7 @@
 	}
 }
 
-// The core knows no wire, and what is below knows nothing of what is above.
+// TestLayers checks that package routing uses no network, and that each package imports only packages of the layers below it.
 func TestLayers(t *testing.T) {
 	own := func(paths []string) (own []string) {
 		for _, path := range paths {
@@ -105,7 +106,7 @@
 		}
 		return own
 	}
-	above := map[string][]string{ // by folder, what it may import of the project
+	allowed := map[string][]string{ // by directory: prefixes of the packages of the project that it may import
 		"routing":         {"scheduler", "internal/decisions/"},
 		"protocol":        {"scheduler", "internal/routing"},
 		"transport":       {"scheduler", "internal/routing", "internal/protocol", "internal/decisions/", "internal/traffic", "internal/listen"},
@@ -120,7 +121,7 @@
 		"load":            {"internal/protocol", "internal/hcldiag"},
 		"endpointcache":   {"scheduler", "internal/routing", "internal/protocol"},
 	}
-	for dir, may := range above {
+	for dir, may := range allowed {
 		paths, _ := imports(t, dir)
 		for _, path := range own(paths) {
 			if !slices.ContainsFunc(may, func(prefix string) bool { return strings.HasPrefix(path, prefix) }) {
@@ -129,6 +130,6 @@
 		}
 	}
 	if paths, _ := imports(t, "routing"); slices.Contains(paths, "net") || slices.Contains(paths, "net/http") {
-		t.Error("the core knows a wire")
+		t.Error("routing imports net or net/http")
 	}
 }
--- a/internal/testsupport/golden.go
+++ b/internal/testsupport/golden.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // CheckGolden compares a text with a golden file, byte by byte. With -update it writes the file first.
 func CheckGolden(t *testing.T, path string, got []byte) {
--- a/internal/testsupport/property/property.go
+++ b/internal/testsupport/property/property.go
@@ -1,4 +1,4 @@
-// Package property checks properties over cases that rapid draws, the same ones in every run. Only test files import it.
+// Package property checks properties over cases that rapid draws. The cases are the same in every run. Only test files import it.
 package property
 
 import (
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The cases that are drawn unless -rapid.seed or -rapid.checks say otherwise.
+// The values of -rapid.seed and -rapid.checks if the command line does not set them.
 const (
 	seed   = "1"
 	checks = "1000"
@@ -22,8 +22,8 @@
 	return replaceDefault("rapid.checks", checks)
 })
 
-// Check draws cases for a property, which fails by its T. A package's tests draw the same cases in every run, so that their
-// verdict depends on the code alone; go test -rapid.seed=N draws others, and -rapid.checks=N so many.
+// Check checks a property over drawn cases; the property reports failures through its T. The cases are the same in every run, so that the
+// result depends only on the code. go test -rapid.seed=N draws other cases, and -rapid.checks=N sets their number.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
 	if err := useDefaults(); err != nil {
@@ -32,7 +32,7 @@
 	rapid.Check(t, property)
 }
 
-// replaceDefault sets a flag of rapid, unless it was set to something else than rapid's default.
+// replaceDefault sets a flag of rapid, unless its value differs from rapid's default.
 func replaceDefault(name, value string) error {
 	option := flag.Lookup(name)
 	if option.Value.String() != option.DefValue {
--- a/internal/testsupport/property/property_test.go
+++ b/internal/testsupport/property/property_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Check draws the same cases each time.
+// TestCheck_repeatable: Check draws the same cases each time.
 func TestCheck_repeatable(t *testing.T) {
 	draw := func() (drawn []int) {
 		Check(t, func(t *rapid.T) { drawn = append(drawn, rapid.Int().Draw(t, "number")) })
@@ -15,6 +15,6 @@
 	}
 	first, second := draw(), draw()
 	if len(first) == 0 || !slices.Equal(first, second) {
-		t.Errorf("%d cases, then %d, and not the same ones", len(first), len(second))
+		t.Errorf("expected the same cases twice, got %d, then %d, which differ", len(first), len(second))
 	}
 }
--- a/internal/testsupport/stored.go
+++ b/internal/testsupport/stored.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// CheckStored checks that the JSON in a file is read as a value, and that the value is written as the same bytes.
+// CheckStored checks that the JSON in a file decodes to want, and that want encodes to the same bytes.
 func CheckStored(t *testing.T, path string, want any) {
 	t.Helper()
 	stored, err := os.ReadFile(path)
@@ -18,7 +18,7 @@
 	CheckJSON(t, path, stored, want)
 }
 
-// CheckJSON checks that JSON is read as a value, and that the value is written as the same bytes. Errors begin with the name.
+// CheckJSON checks that stored decodes to want, and that want encodes to the same bytes. Errors begin with the name.
 func CheckJSON(t *testing.T, name string, stored []byte, want any) {
 	t.Helper()
 	read := reflect.New(reflect.TypeOf(want))
@@ -33,7 +33,7 @@
 }
 
 // CheckAllSet checks that a value and all exported fields, elements and map values below it are set: none is zero, and no slice or
-// map is empty. An unset field would be the same whether it is read and written or not. Errors begin with the name.
+// map is empty. With an unset field, a comparison would not show whether the field is read and written. Errors begin with the name.
 func CheckAllSet(t *testing.T, name string, value any) {
 	t.Helper()
 	for _, path := range unset(name, reflect.ValueOf(value)) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// CheckFieldsSet checks that no field of a struct is zero, whatever is below its fields. It is for values whose parts are checked by
-// other tests.
+// CheckFieldsSet checks that no field of a struct is zero, but not the values below its fields. It is for values whose parts other tests
+// check.
 func CheckFieldsSet(t *testing.T, name string, value any) {
 	t.Helper()
 	for field, content := range reflect.ValueOf(value).Fields() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// unset returns the paths of the value and of all below it that are not set.
+// unset returns the paths of all unset values, from the value itself down.
 func unset(path string, value reflect.Value) []string {
 	if value.IsZero() || (value.Kind() == reflect.Slice || value.Kind() == reflect.Map) && value.Len() == 0 {
 		return []string{path}
