--- a/cmd/brassdale-lab/fleet.go
+++ b/cmd/brassdale-lab/fleet.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(work) }()
-	result, err := faults.Play(command.Context(), plan, binary, work)
+	result, err := faults.Run(command.Context(), plan, binary, work)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faults/release_test.go
+++ b/internal/faults/release_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRelease: workers and ten real dispatchers are released at the same time, while discovery has more callers than it serves and
-// moves, of which SIGHUP notifies the dispatchers a second later. The old list stays in use, watches continue at the new address, calls
-// stay bounded, no worker gets an attempt after its drain grace period, and every job that was accepted is answered.
+// TestRelease: workers and ten real dispatchers are released at the same time. Meanwhile discovery gets more polls than it can serve and
+// moves, of which SIGHUP notifies the dispatchers a second later. The old list stays in use, watches continue at the new address, the
+// number of polls stays bounded, no worker gets an attempt after its drain grace period, and every accepted job is answered.
 func TestRelease(t *testing.T) {
 	t.Parallel()
 	f, err := Load("../../scenarios/fleet/release.hcl")
@@ -16,7 +16,7 @@
 	}
 	p := f.Plan(3, 10)
 	p.Span, p.Release.At, p.Release.DiscoveryMovesAt, p.Release.DiscoveryCallRate, p.Release.ClientTimeout = 10*time.Second, time.Second, 3*time.Second, 5, 200*time.Millisecond
-	r, err := Play(t.Context(), p, buildDispatcher(t), t.TempDir())
+	r, err := Run(t.Context(), p, buildDispatcher(t), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,6 +24,6 @@
 		t.Errorf("%+v", r)
 	}
 	if most := p.Release.NotifyAfter + 3*time.Second; r.WatchGapMS > float64(most.Milliseconds()) {
-		t.Errorf("a dispatcher had no call open for %v ms", r.WatchGapMS)
+		t.Errorf("a dispatcher had no open poll for %v ms", r.WatchGapMS)
 	}
 }
--- a/internal/faults/run_test.go
+++ b/internal/faults/run_test.go
@@ -17,8 +17,8 @@
 	return binary
 }
 
-// TestFleet: five real processes under events of all kinds for a short time: no contradiction, no rule is broken, and every job is
-// answered once.
+// TestFleet: five real processes run for a short time under drawn events of all kinds. Contradictions stay within the bound, no rule is
+// broken, and every job is answered once.
 func TestFleet(t *testing.T) {
 	t.Parallel()
 	f, err := Load("../../scenarios/fleet/agreement.hcl")
@@ -28,7 +28,7 @@
 	binary := buildDispatcher(t)
 	p := f.Plan(3, 5)
 	p.Voters, p.Span, p.MeanInterval, p.MaxDuration, p.Bound, p.ProposalInterval = 3, 6*time.Second, 500*time.Millisecond, 2*time.Second, time.Second, 500*time.Millisecond
-	r, err := Play(t.Context(), p, binary, t.TempDir())
+	r, err := Run(t.Context(), p, binary, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
