--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -56,8 +56,8 @@
 func (r *run) newResult() *Result {
 	plan := &r.plan
 	return &Result{
-		Title: plan.Title, Seed: plan.Seed, At: r.beganAt.UTC(), LeaseDurationMS: float64(plan.LeaseDuration.Milliseconds()), Packing: plan.Packing(),
-		Dispatchers: plan.Dispatchers, Hollow: plan.Hollow, Processes: plan.Processes, Real: plan.Real(), Bare: plan.Bare,
+		Title: plan.Title, Seed: plan.Seed, At: r.beganAt.UTC(), LeaseDurationMS: float64(plan.LeaseDuration.Milliseconds()), ChangeRateFactor: plan.ChangeRateFactor(),
+		Dispatchers: plan.Dispatchers, Hollow: plan.Hollow, Processes: plan.Processes, Real: plan.Real(), Baseline: plan.Baseline,
 		Workers: plan.Workers, Accelerators: plan.Accelerators, Zones: plan.Zones, Regions: plan.Regions, Teams: plan.Teams,
 		Voters: plan.Voters, Dedicated: plan.Dedicated,
 		Jobs: r.jobCounts.sent, AnsweredOnce: r.jobCounts.answered, AnsweredNever: r.jobCounts.unanswered, LostWithProcess: r.jobCounts.lost,
@@ -127,11 +127,11 @@
 	}
 	real, bare := usageGroup{roleServing, false}, usageGroup{roleBare, false}
 	result.RealCPU, result.RealMemory = mean(cpuMS[real]), mean(memoryMB[real])
-	result.BareCPU, result.BareMemory = mean(cpuMS[bare]), mean(memoryMB[bare])
+	result.BaselineCPU, result.BaselineMemory = mean(cpuMS[bare]), mean(memoryMB[bare])
 	result.HollowCPU = mean(cpuMS[usageGroup{roleServing, true}])
-	result.HollowBareCPU = mean(cpuMS[usageGroup{roleBare, true}])
-	if r.plan.Bare > 0 && len(cpuMS[real]) > 0 {
-		result.CPU, result.Memory = result.RealCPU-result.BareCPU, result.RealMemory-result.BareMemory
+	result.HollowBaselineCPU = mean(cpuMS[usageGroup{roleBare, true}])
+	if r.plan.Baseline > 0 && len(cpuMS[real]) > 0 {
+		result.CPU, result.Memory = result.RealCPU-result.BaselineCPU, result.RealMemory-result.BaselineMemory
 	}
 }
 
@@ -177,14 +177,14 @@
 // addRest adds what control costs without changes, and with it what a change costs.
 func (r *run) addRest(result *Result, before, rested snapshot) {
 	rates := ratesOf(before, rested, r.servingDispatchers(func(*dispatcher) bool { return true }))
-	result.Rest = &Rest{
+	result.WithoutChanges = &CostWithoutChanges{
 		SpanS:       rested.at.Sub(before.at).Seconds(),
 		Bytes:       mean(rates.bytes),
 		Messages:    mean(rates.messages),
 		BytesByKind: rates.bytesByKind,
 	}
 	if result.Changes > 0 {
-		result.Change = &Change{(result.BytesMean - result.Rest.Bytes) * result.SpanS / float64(result.Changes)}
+		result.ChangeCost = &ChangeCost{(result.BytesMean - result.WithoutChanges.Bytes) * result.SpanS / float64(result.Changes)}
 	}
 }
 
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -24,17 +24,17 @@
 	if f.Dedicated < f.Voters {
 		report("set_aside", "There must be a machine for each seat: no dispatcher that is compared has one.")
 	}
-	if f.Bare < 1 {
+	if f.Baseline < 1 {
 		report("bare", "There must be 1 at least, for what control costs by difference.")
 	}
 	realFile, hollowFile := *f, *f
 	realFile.Hollow, realFile.Processes = 0, 0
-	hollowFile.Hollow, hollowFile.Bare = f.Dispatchers, 0
+	hollowFile.Hollow, hollowFile.Baseline = f.Dispatchers, 0
 	if processes > 0 {
 		hollowFile.Processes = processes
 	}
 	real, hollow = realFile.seededPlan(seed), hollowFile.seededPlan(seed)
-	hollow.HollowBare = (hollow.Hollow + hollow.Processes - 1) / max(hollow.Processes, 1) // as many as a process has of the others
+	hollow.HollowBaseline = (hollow.Hollow + hollow.Processes - 1) / max(hollow.Processes, 1) // as many as a process has of the others
 	real.check(report)
 	hollow.check(report)
 	return real, hollow, err
@@ -49,7 +49,7 @@
 	RealMean   float64   `json:"real_mean"`
 	HollowMean float64   `json:"hollow_mean"`
 	Ratio      float64   `json:"ratio"`  // of HollowMean to RealMean
-	Judged     bool      `json:"judged"` // it must agree; figures of a single kind of control need not
+	MustAgree  bool      `json:"judged"` // it must agree; figures of a single kind of control need not
 	Agrees     bool      `json:"agrees"`
 }
 
@@ -66,7 +66,7 @@
 	Workers     int       `json:"workers"`
 	Zones       int       `json:"zones"`
 	Rounds      int       `json:"rounds"`
-	Within      float64   `json:"within"` // the tolerance
+	Tolerance   float64   `json:"within"` // the tolerance
 	Agrees      bool      `json:"agrees"` // all judged figures do
 	Figures     []Figure  `json:"figures"`
 }
@@ -76,7 +76,7 @@
 	first := real[0]
 	comparison := &Comparison{
 		Title: first.Title, Seed: first.Seed, At: first.At, SpanS: first.SpanS, Dispatchers: first.Dispatchers, Processes: hollow[0].Processes,
-		Workers: first.Workers, Zones: first.Zones, Rounds: len(real), Within: agreementTolerance, Agrees: true,
+		Workers: first.Workers, Zones: first.Zones, Rounds: len(real), Tolerance: agreementTolerance, Agrees: true,
 	}
 	comparison.addJudged(newFigure("all", "B/s", real, hollow, func(r *Result) float64 { return r.BytesMean }))
 	comparison.addJudged(newFigure("all", "messages/s", real, hollow, func(r *Result) float64 { return r.Messages }))
@@ -97,7 +97,7 @@
 // controlCPU returns the processor time that control costs a dispatcher: the difference to a bare one.
 func controlCPU(r *Result) float64 {
 	if r.Hollow > 0 {
-		return r.HollowCPU - r.HollowBareCPU
+		return r.HollowCPU - r.HollowBaselineCPU
 	}
 	return r.CPU
 }
@@ -118,7 +118,7 @@
 
 // addJudged adds a figure that must agree.
 func (c *Comparison) addJudged(figure Figure) {
-	figure.Judged = true
+	figure.MustAgree = true
 	c.Agrees = c.Agrees && figure.Agrees
 	c.Figures = append(c.Figures, figure)
 }
@@ -138,7 +138,7 @@
 	fmt.Fprintln(table, "a dispatcher\t\treal\thollow\tratio\trounds, real\thollow\t")
 	for _, figure := range c.Figures {
 		verdict := ""
-		if figure.Judged && !figure.Agrees {
+		if figure.MustAgree && !figure.Agrees {
 			verdict = " !"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%.2f\t%.2f\t%.3f%s\t%s\t%s\t\n",
@@ -160,8 +160,8 @@
 func (c *Comparison) Err() error {
 	var errs []error
 	for _, figure := range c.Figures {
-		if figure.Judged && !figure.Agrees {
-			errs = append(errs, fmt.Errorf("%s, %s: hollow ones have %.3f of real ones', which is not within %.0f%%", figure.Name, figure.Unit, figure.Ratio, 100*c.Within))
+		if figure.MustAgree && !figure.Agrees {
+			errs = append(errs, fmt.Errorf("%s, %s: hollow ones have %.3f of real ones', which is not within %.0f%%", figure.Name, figure.Unit, figure.Ratio, 100*c.Tolerance))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/scale/compare_test.go
+++ b/internal/scale/compare_test.go
@@ -14,15 +14,15 @@
 		t.Fatal(err)
 	}
 	real, hollow, err := f.ComparisonPlans(3, 0)
-	if err != nil || real.Real() != 48 || real.Bare != 4 || real.HollowBare != 0 || hollow.Real() != 0 || hollow.Bare != 0 || hollow.HollowBare != 6 || real.Seed != 3 || hollow.Seed != 3 {
+	if err != nil || real.Real() != 48 || real.Baseline != 4 || real.HollowBaseline != 0 || hollow.Real() != 0 || hollow.Baseline != 0 || hollow.HollowBaseline != 6 || real.Seed != 3 || hollow.Seed != 3 {
 		t.Errorf("%v\n%+v\n%+v", err, real, hollow)
 	}
-	if _, hollow, err := f.ComparisonPlans(3, 12); err != nil || hollow.Processes != 12 || hollow.HollowBare != 4 {
+	if _, hollow, err := f.ComparisonPlans(3, 12); err != nil || hollow.Processes != 12 || hollow.HollowBaseline != 4 {
 		t.Errorf("%v: %+v", err, hollow)
 	}
 	for want, wrong := range map[string]func(*File){
 		"set_aside: ": func(f *File) { f.Dedicated = 4 },
-		"bare: ":      func(f *File) { f.Bare = 0 },
+		"bare: ":      func(f *File) { f.Baseline = 0 },
 		"dispatchers: 356 real ones are too many": func(f *File) { f.Dispatchers, f.Workers = 347, 60 },
 	} {
 		g := *f
@@ -39,7 +39,7 @@
 	run := func(hollow bool, bytes, messages, cpu float64) *Result {
 		r := &Result{Dispatchers: 8, BytesMean: bytes, Messages: messages, BytesByKind: map[string]float64{"renewal": bytes, "raft": 0}, MessagesByKind: map[string]float64{"renewal": messages}}
 		if hollow {
-			r.Hollow, r.HollowCPU, r.HollowBareCPU = 8, cpu+1, 1
+			r.Hollow, r.HollowCPU, r.HollowBaselineCPU = 8, cpu+1, 1
 		} else {
 			r.CPU, r.RealCPU = cpu, cpu+3
 		}
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -13,24 +13,24 @@
 
 // File is a scenario file: one run, or several that differ in a fault or in a size. Plan says what the attributes mean.
 type File struct {
-	Title         string  `hcl:"title"`
-	Settle        string  `hcl:"settle,optional"` // 20 s if left out
-	Span          string  `hcl:"span"`
-	Rest          string  `hcl:"rest,optional"`
-	LeaseDuration string  `hcl:"bound,optional"`
-	ReplaceAfter  string  `hcl:"replace,optional"`
-	Regions       int     `hcl:"regions"`
-	Zones         int     `hcl:"zones"`
-	Workers       int     `hcl:"workers"`
-	Accelerators  int     `hcl:"accelerators,optional"` // one for each worker if left out
-	Teams         int     `hcl:"teams,optional"`
-	Dispatchers   int     `hcl:"dispatchers"`
-	Voters        int     `hcl:"seats"`
-	Dedicated     int     `hcl:"set_aside,optional"`
-	Hollow        int     `hcl:"hollow,optional"`
-	Processes     int     `hcl:"processes,optional"` // one for each zone if left out
-	Bare          int     `hcl:"bare,optional"`
-	Rate          float64 `hcl:"rate,optional"`
+	Title              string  `hcl:"title"`
+	Settle             string  `hcl:"settle,optional"` // 20 s if left out
+	Span               string  `hcl:"span"`
+	SpanWithoutChanges string  `hcl:"rest,optional"`
+	LeaseDuration      string  `hcl:"bound,optional"`
+	ReplaceAfter       string  `hcl:"replace,optional"`
+	Regions            int     `hcl:"regions"`
+	Zones              int     `hcl:"zones"`
+	Workers            int     `hcl:"workers"`
+	Accelerators       int     `hcl:"accelerators,optional"` // one for each worker if left out
+	Teams              int     `hcl:"teams,optional"`
+	Dispatchers        int     `hcl:"dispatchers"`
+	Voters             int     `hcl:"seats"`
+	Dedicated          int     `hcl:"set_aside,optional"`
+	Hollow             int     `hcl:"hollow,optional"`
+	Processes          int     `hcl:"processes,optional"` // one for each zone if left out
+	Baseline           int     `hcl:"bare,optional"`
+	Rate               float64 `hcl:"rate,optional"`
 
 	Seeds int `hcl:"seeds,optional"` // that each run is played with; one if left out
 
@@ -82,7 +82,7 @@
 func (f *File) plan(report reportFunc) Plan {
 	plan := Plan{
 		Title: f.Title, Regions: f.Regions, Zones: f.Zones, Workers: f.Workers, Accelerators: f.Accelerators, Teams: f.Teams,
-		Dispatchers: f.Dispatchers, Voters: f.Voters, Dedicated: f.Dedicated, Hollow: f.Hollow, Processes: f.Processes, Bare: f.Bare, Rate: f.Rate,
+		Dispatchers: f.Dispatchers, Voters: f.Voters, Dedicated: f.Dedicated, Hollow: f.Hollow, Processes: f.Processes, Baseline: f.Baseline, Rate: f.Rate,
 	}
 	if plan.Accelerators == 0 {
 		plan.Accelerators = plan.Workers
@@ -92,7 +92,7 @@
 	}
 	plan.Settle = requiredDuration(report, "settle", f.Settle)
 	plan.Span = requiredDuration(report, "span", f.Span)
-	plan.Rest = optionalDuration(report, "rest", f.Rest, 0)
+	plan.SpanWithoutChanges = optionalDuration(report, "rest", f.SpanWithoutChanges, 0)
 	plan.LeaseDuration = requiredDuration(report, "bound", f.LeaseDuration)
 	plan.ReplaceAfter = requiredDuration(report, "replace", f.ReplaceAfter)
 	if changes := f.Changes; changes != nil {
--- a/internal/scale/file_test.go
+++ b/internal/scale/file_test.go
@@ -86,7 +86,7 @@
 	var names []string
 	for _, p := range all {
 		names = append(names, p.Name)
-		if p.Plan.Real() != 2 || p.Plan.Processes != 4 || p.Plan.Packing() != 43200.0/790 {
+		if p.Plan.Real() != 2 || p.Plan.Processes != 4 || p.Plan.ChangeRateFactor() != 43200.0/790 {
 			t.Errorf("%+v", p)
 		}
 	}
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -47,7 +47,7 @@
 func (s *hollowServer) newDispatcher(spec HollowDispatcherSpec, index uint64, log *slog.Logger) (*hollowDispatcher, error) {
 	meter := &traffic.Meter{}
 	d := &hollowDispatcher{name: spec.Name, meter: meter, discovery: transport.NewDiscovery(s.discoveryAddress, s.settings, meter)}
-	if s.spec.Bare {
+	if s.spec.Baseline {
 		return d, nil
 	}
 	d.random = rand.New(rand.NewPCG(s.spec.Seed, randomStream+index))
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -90,7 +90,7 @@
 		Overload:         r.overload,
 		AddressOverrides: r.links.addressesFrom(region),
 		Seed:             r.plan.Seed*hollowSeeds + uint64(number),
-		Bare:             group[0].role == roleBare,
+		Baseline:         group[0].role == roleBare,
 	}
 	for _, each := range group {
 		spec.Dispatchers = append(spec.Dispatchers, HollowDispatcherSpec{each.name, each.fleetAddress})
--- a/internal/scale/hollowspec.go
+++ b/internal/scale/hollowspec.go
@@ -25,7 +25,7 @@
 	Overload         *fleet.Overload        `json:"overload"`
 	AddressOverrides map[string]string      `json:"reach,omitempty"`
 	Seed             uint64                 `json:"seed"`
-	Bare             bool                   `json:"bare"` // they have no fleet, and only call discovery
+	Baseline         bool                   `json:"bare"` // they have no fleet, and only call discovery
 	Dispatchers      []HollowDispatcherSpec `json:"each"`
 }
 
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -40,7 +40,7 @@
 		free = append(free, listener)
 	}
 	firstServing, firstBare := r.plan.Dedicated, r.plan.Dedicated+r.plan.Real()
-	for i := range firstBare + r.plan.Bare {
+	for i := range firstBare + r.plan.Baseline {
 		added := &dispatcher{name: fmt.Sprint("n", i), role: roleServing}
 		switch {
 		case i >= firstBare:
@@ -88,7 +88,7 @@
 		}
 	}
 	var bareGroup []*dispatcher
-	for i := range r.plan.HollowBare {
+	for i := range r.plan.HollowBaseline {
 		added := &dispatcher{name: fmt.Sprint("b", i), role: roleBare, hollow: true}
 		bareGroup = append(bareGroup, added)
 		if err := r.addDispatcher(added); err != nil {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -11,9 +11,9 @@
 	Title string
 	Seed  uint64 // of jobs, proposals, workers and links
 
-	Settle time.Duration // from when all dispatchers have leases until the measured span begins
-	Span   time.Duration // that is measured
-	Rest   time.Duration // at the start of the span, without changes; 0 for none
+	Settle             time.Duration // from when all dispatchers have leases until the measured span begins
+	Span               time.Duration // that is measured
+	SpanWithoutChanges time.Duration // at the start of the span, without changes; 0 for none
 
 	LeaseDuration time.Duration
 	ReplaceAfter  time.Duration // a voter that is silent for this long is replaced
@@ -28,7 +28,7 @@
 	Dedicated    int     // real dispatchers beside Dispatchers that are dedicated to control; they are the first voters
 	Hollow       int     // of Dispatchers
 	Processes    int     // of the hollow dispatchers
-	Bare         int     // real dispatchers beside Dispatchers that have no fleet
+	Baseline     int     // real dispatchers beside Dispatchers that have no fleet
 	Rate         float64 // jobs a second, of all Dispatchers; a real or bare one gets its part, a hollow one reports it
 
 	ChangeInterval  time.Duration // between proposals of config versions; 0 for none
@@ -41,7 +41,7 @@
 	// counted, as probes and jobs are no part of control and go over connections of their own. Tests set it; files cannot.
 	SkipWorkerProbes bool
 	// HollowBare is the number of hollow dispatchers that have no fleet. They share a process of their own. Only ComparisonPlans sets it.
-	HollowBare int
+	HollowBaseline int
 	// CountLinks has calls to voters of other regions go over links without faults, and counts what these carry. Tests set it; files cannot.
 	CountLinks bool
 }
@@ -50,7 +50,7 @@
 func (p *Plan) Real() int { return p.Dispatchers - p.Hollow }
 
 // Packing returns how many times as often changes come as on a day of the operators' capacity plan; 0 without changes.
-func (p *Plan) Packing() float64 {
+func (p *Plan) ChangeRateFactor() float64 {
 	if p.ChangeInterval == 0 || p.ChangesPerDay == 0 {
 		return 0
 	}
@@ -62,12 +62,12 @@
 	if p.ChangeInterval == 0 {
 		return 0
 	}
-	return int((p.Span - p.Rest + p.ChangeInterval - 1) / p.ChangeInterval)
+	return int((p.Span - p.SpanWithoutChanges + p.ChangeInterval - 1) / p.ChangeInterval)
 }
 
 // emulatorDispatchers returns the number of dispatchers that the emulator plays workers and discovery for: one for each real dispatcher, and the last
 // one for all hollow ones.
-func (p *Plan) emulatorDispatchers() int { return p.Dedicated + p.Real() + p.Bare + 1 }
+func (p *Plan) emulatorDispatchers() int { return p.Dedicated + p.Real() + p.Baseline + 1 }
 
 // region returns the region of a zone, as the emulator assigns them.
 func (p *Plan) region(zone int) int { return zone * p.Regions / p.Zones }
@@ -115,13 +115,13 @@
 		report("replace", "It must be %v at least.", fleet.MinReplaceAfter)
 	}
 	p.checkSizes(report)
-	if p.Rest > 0 && p.Rest >= p.Span {
+	if p.SpanWithoutChanges > 0 && p.SpanWithoutChanges >= p.Span {
 		report("rest", "It must be shorter than the span.")
 	}
 	if p.Teams < 0 {
 		report("teams", "There must be 0 at least.")
 	}
-	if p.Bare < 0 {
+	if p.Baseline < 0 {
 		report("bare", "There must be 0 at least.")
 	}
 	if p.Rate < 0 {
--- a/internal/scale/point.go
+++ b/internal/scale/point.go
@@ -79,7 +79,7 @@
 		}
 		plan := f.plan(ignoreMistake)
 		changes := *f.Changes
-		changes.Every = ((plan.Span - plan.Rest) / time.Duration(max(size, 1))).String()
+		changes.Every = ((plan.Span - plan.SpanWithoutChanges) / time.Duration(max(size, 1))).String()
 		file.Changes = &changes
 	default:
 		return nil, false
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -7,52 +7,52 @@
 
 // Result is the result of a run. Its JSON is what result files have, in this order.
 type Result struct {
-	Title           string    `json:"title"`
-	Commit          string    `json:"commit"` // of the build
-	Command         string    `json:"command"`
-	Seed            uint64    `json:"seed"`
-	At              time.Time `json:"at"`
-	SpanS           float64   `json:"span_s"`
-	LeaseDurationMS float64   `json:"bound_ms"`
-	Packing         float64   `json:"packing"` // as Plan.Packing
-	Dispatchers     int       `json:"dispatchers"`
-	Hollow          int       `json:"hollow"`
-	Processes       int       `json:"processes"`
-	Real            int       `json:"real"`
-	Bare            int       `json:"bare"`
-	Workers         int       `json:"workers"`
-	Accelerators    int       `json:"accelerators"`
-	Zones           int       `json:"zones"`
-	Regions         int       `json:"regions"`
-	Teams           int       `json:"teams"`
-	Voters          int       `json:"seats"`
-	Dedicated       int       `json:"set_aside"`
-	Changes         int       `json:"changes"`
+	Title            string    `json:"title"`
+	Commit           string    `json:"commit"` // of the build
+	Command          string    `json:"command"`
+	Seed             uint64    `json:"seed"`
+	At               time.Time `json:"at"`
+	SpanS            float64   `json:"span_s"`
+	LeaseDurationMS  float64   `json:"bound_ms"`
+	ChangeRateFactor float64   `json:"packing"` // as Plan.Packing
+	Dispatchers      int       `json:"dispatchers"`
+	Hollow           int       `json:"hollow"`
+	Processes        int       `json:"processes"`
+	Real             int       `json:"real"`
+	Baseline         int       `json:"bare"`
+	Workers          int       `json:"workers"`
+	Accelerators     int       `json:"accelerators"`
+	Zones            int       `json:"zones"`
+	Regions          int       `json:"regions"`
+	Teams            int       `json:"teams"`
+	Voters           int       `json:"seats"`
+	Dedicated        int       `json:"set_aside"`
+	Changes          int       `json:"changes"`
 
 	// A second: bytes of control in both directions, messages of control, milliseconds of processor time; and MiB of resident memory. Only
 	// CPU and Memory are of control alone, as differences; all other figures of processor time and memory are of the whole process (of a
 	// hollow dispatcher: its part of its process). Figures of dispatchers are over those that serve jobs.
-	BytesP50        float64 `json:"control_bytes_s_p50"`
-	BytesP99        float64 `json:"control_bytes_s_p99"`
-	BytesMean       float64 `json:"control_bytes_s_mean"`
-	Messages        float64 `json:"control_messages_s"`
-	CPU             float64 `json:"control_cpu_ms_s"`  // of a real dispatcher, less that of a bare one
-	Memory          float64 `json:"control_memory_mb"` // of a real dispatcher, less that of a bare one
-	HollowCPU       float64 `json:"hollow_cpu_ms_s"`
-	VoterBytesMax   float64 `json:"seat_bytes_s_most"`
-	VoterCPUMax     float64 `json:"seat_cpu_ms_s_most"`
-	LeaderBytes     float64 `json:"leader_bytes_s"`
-	LeaderCPU       float64 `json:"leader_cpu_ms_s"`
-	VoterMemoryMax  float64 `json:"seat_memory_mb_most"`
-	RealCPU         float64 `json:"real_cpu_ms_s"`
-	BareCPU         float64 `json:"bare_cpu_ms_s"`
-	HollowBareCPU   float64 `json:"hollow_bare_cpu_ms_s,omitempty"`
-	RealMemory      float64 `json:"real_memory_mb"`
-	BareMemory      float64 `json:"bare_memory_mb"`
-	HollowBytesMean float64 `json:"hollow_bytes_s_mean"`
-	RealBytesMean   float64 `json:"real_bytes_s_mean"` // of real dispatchers that were no voters at the start
-	HollowMessages  float64 `json:"hollow_messages_s"`
-	RealMessages    float64 `json:"real_messages_s"` // of the same
+	BytesP50          float64 `json:"control_bytes_s_p50"`
+	BytesP99          float64 `json:"control_bytes_s_p99"`
+	BytesMean         float64 `json:"control_bytes_s_mean"`
+	Messages          float64 `json:"control_messages_s"`
+	CPU               float64 `json:"control_cpu_ms_s"`  // of a real dispatcher, less that of a bare one
+	Memory            float64 `json:"control_memory_mb"` // of a real dispatcher, less that of a bare one
+	HollowCPU         float64 `json:"hollow_cpu_ms_s"`
+	VoterBytesMax     float64 `json:"seat_bytes_s_most"`
+	VoterCPUMax       float64 `json:"seat_cpu_ms_s_most"`
+	LeaderBytes       float64 `json:"leader_bytes_s"`
+	LeaderCPU         float64 `json:"leader_cpu_ms_s"`
+	VoterMemoryMax    float64 `json:"seat_memory_mb_most"`
+	RealCPU           float64 `json:"real_cpu_ms_s"`
+	BaselineCPU       float64 `json:"bare_cpu_ms_s"`
+	HollowBaselineCPU float64 `json:"hollow_bare_cpu_ms_s,omitempty"`
+	RealMemory        float64 `json:"real_memory_mb"`
+	BaselineMemory    float64 `json:"bare_memory_mb"`
+	HollowBytesMean   float64 `json:"hollow_bytes_s_mean"`
+	RealBytesMean     float64 `json:"real_bytes_s_mean"` // of real dispatchers that were no voters at the start
+	HollowMessages    float64 `json:"hollow_messages_s"`
+	RealMessages      float64 `json:"real_messages_s"` // of the same
 
 	BytesByKind       map[string]float64 `json:"bytes_by_kind"` // of a dispatcher, each second
 	MessagesByKind    map[string]float64 `json:"messages_by_kind"`
@@ -77,13 +77,13 @@
 	AnsweredNever     int       `json:"answered_never"`
 	LostWithProcess   int       `json:"lost_with_process"` // their dispatcher was killed
 
-	FellBehind    bool        `json:"fell_behind"` // the machine, and not the fleet, was the limit: the run does not count
-	FellBehindWhy string      `json:"fell_behind_why,omitempty"`
-	MachineBusy   float64     `json:"machine_busy"` // share of all cores' time
-	Interface     Interface   `json:"interface"`
-	Rest          *Rest       `json:"rest,omitempty"`
-	Change        *Change     `json:"change,omitempty"`
-	FaultCosts    []FaultCost `json:"failures,omitempty"`
+	FellBehind     bool                `json:"fell_behind"` // the machine, and not the fleet, was the limit: the run does not count
+	FellBehindWhy  string              `json:"fell_behind_why,omitempty"`
+	MachineBusy    float64             `json:"machine_busy"` // share of all cores' time
+	Interface      Interface           `json:"interface"`
+	WithoutChanges *CostWithoutChanges `json:"rest,omitempty"`
+	ChangeCost     *ChangeCost         `json:"change,omitempty"`
+	FaultCosts     []FaultCost         `json:"failures,omitempty"`
 }
 
 // Interface compares the bytes that the loopback interface carried with those that were counted. Headers of packets and the run's own polls
@@ -96,7 +96,7 @@
 }
 
 // Rest is what control costs a dispatcher while nothing changes.
-type Rest struct {
+type CostWithoutChanges struct {
 	SpanS       float64            `json:"span_s"`
 	Bytes       float64            `json:"bytes_s"`
 	Messages    float64            `json:"messages_s"`
@@ -104,7 +104,7 @@
 }
 
 // Change is what a change costs a dispatcher.
-type Change struct {
+type ChangeCost struct {
 	Bytes float64 `json:"bytes"`
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -174,10 +174,10 @@
 // measureRest waits until the part without changes is over, and returns the snapshot at its end. That part is the plan's Rest at the start of
 // the span; without changes, it is the whole span if Rest is 0. If there is no such part, measureRest returns a zero snapshot at once.
 func (r *run) measureRest(ctx context.Context) (snapshot, error) {
-	if r.plan.Rest == 0 && r.plan.ChangeInterval > 0 {
+	if r.plan.SpanWithoutChanges == 0 && r.plan.ChangeInterval > 0 {
 		return snapshot{}, nil
 	}
-	if !labsupport.WaitUntil(ctx, r.beganAt.Add(cmp.Or(r.plan.Rest, r.plan.Span))) {
+	if !labsupport.WaitUntil(ctx, r.beganAt.Add(cmp.Or(r.plan.SpanWithoutChanges, r.plan.Span))) {
 		return snapshot{}, ctx.Err()
 	}
 	return r.takeSnapshot(ctx)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -113,7 +113,7 @@
 		if r.Jobs == 0 || r.WorkerProbes == 0 {
 			t.Errorf("%d jobs, and %d probes of workers", r.Jobs, r.WorkerProbes)
 		}
-		if r.Rest == nil || r.Rest.Messages == 0 || r.Change == nil {
+		if r.WithoutChanges == nil || r.WithoutChanges.Messages == 0 || r.ChangeCost == nil {
 			t.Fatalf("nothing was counted at rest: %+v", r)
 		}
 	}
@@ -123,8 +123,8 @@
 		few, many float64
 		most      float64
 	}{
-		{"bytes at rest", few.Rest.Bytes, many.Rest.Bytes, 1.5},
-		{"messages at rest", few.Rest.Messages, many.Rest.Messages, 1.5},
+		{"bytes at rest", few.WithoutChanges.Bytes, many.WithoutChanges.Bytes, 1.5},
+		{"messages at rest", few.WithoutChanges.Messages, many.WithoutChanges.Messages, 1.5},
 		{"bytes with changes", few.BytesMean, many.BytesMean, 1.5},
 		{"messages with changes", few.Messages, many.Messages, 1.5},
 	} {
@@ -133,7 +133,7 @@
 			t.Errorf("%s: %.1f a second at %d dispatchers, %.1f at %d: not within a factor of %.1f", x.what, x.few, few.Dispatchers, x.many, many.Dispatchers, x.most)
 		}
 	}
-	if few.Rest.BytesByKind["discovery"] == 0 || few.Rest.BytesByKind["renewal"] == 0 || many.Rest.BytesByKind["member_probe"] == 0 {
-		t.Errorf("kinds are missing: %v, %v", few.Rest.BytesByKind, many.Rest.BytesByKind)
+	if few.WithoutChanges.BytesByKind["discovery"] == 0 || few.WithoutChanges.BytesByKind["renewal"] == 0 || many.WithoutChanges.BytesByKind["member_probe"] == 0 {
+		t.Errorf("kinds are missing: %v, %v", few.WithoutChanges.BytesByKind, many.WithoutChanges.BytesByKind)
 	}
 }
