--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxBusyShare = 0.85        // of all cores, over the measured span of a run that counts
-	slowChange   = time.Second // a change that took longer may have been delayed by the machine
+	maxBusyShare = 0.85        // of all cores' time in the measured span; a run with more does not count
+	slowChange   = time.Second // a change that takes longer may have been delayed by the machine
 )
 
 // result computes the run's result. It is called when the measured span has ended and all dispatchers have settled.
@@ -30,11 +30,11 @@
 	if r.plan.Fault == nil {
 		result.Interface = compareInterface(measured.before, measured.after)
 	}
-	if !measured.rested.at.IsZero() {
-		r.addRest(result, measured.before, measured.rested)
+	if !measured.beforeChanges.at.IsZero() {
+		r.addCostWithoutChanges(result, measured.before, measured.beforeChanges)
 	}
 	all := r.histories()
-	addReturns(result, all)
+	addReturnTimes(result, all)
 	r.addInForce(result, all, measured.after.lateTicks)
 	var states [][]effectivestate.State
 	for _, h := range all {
@@ -52,7 +52,7 @@
 	return result
 }
 
-// newResult returns a result with the plan's sizes and the counts of jobs.
+// newResult returns a result with the plan's sizes and the job counts.
 func (r *run) newResult() *Result {
 	plan := &r.plan
 	return &Result{
@@ -65,7 +65,7 @@
 	}
 }
 
-// addTraffic adds what dispatchers counted of control.
+// addTraffic adds the control traffic that the dispatchers counted.
 func (r *run) addTraffic(result *Result, before, after snapshot) {
 	all := ratesOf(before, after, r.servingDispatchers(func(*dispatcher) bool { return true }))
 	result.BytesP50, result.BytesP99, result.BytesMean = quantile(0.5, all.bytes), quantile(0.99, all.bytes), mean(all.bytes)
@@ -102,13 +102,13 @@
 	result.LeaderBytes, result.LeaderBytesByKind = mean(leader.bytes), leader.bytesByKind
 }
 
-// usageGroup is the dispatchers whose usage is a figure of its own.
+// usageGroup identifies dispatchers whose mean usage is reported separately.
 type usageGroup struct {
 	role   costRole
 	hollow bool
 }
 
-// addUsage adds processor time and memory. Voters are in their own figures only.
+// addUsage adds processor time and memory. Voters count only in the figures of voters.
 func (r *run) addUsage(result *Result, before, after snapshot) {
 	cpuMS, memoryMB := map[usageGroup][]float64{}, map[usageGroup][]float64{}
 	for _, each := range r.dispatchers {
@@ -125,17 +125,17 @@
 			cpuMS[group], memoryMB[group] = append(cpuMS[group], cpu), append(memoryMB[group], memory)
 		}
 	}
-	real, bare := usageGroup{roleServing, false}, usageGroup{roleBare, false}
+	real, baseline := usageGroup{roleServing, false}, usageGroup{roleBaseline, false}
 	result.RealCPU, result.RealMemory = mean(cpuMS[real]), mean(memoryMB[real])
-	result.BaselineCPU, result.BaselineMemory = mean(cpuMS[bare]), mean(memoryMB[bare])
+	result.BaselineCPU, result.BaselineMemory = mean(cpuMS[baseline]), mean(memoryMB[baseline])
 	result.HollowCPU = mean(cpuMS[usageGroup{roleServing, true}])
-	result.HollowBaselineCPU = mean(cpuMS[usageGroup{roleBare, true}])
+	result.HollowBaselineCPU = mean(cpuMS[usageGroup{roleBaseline, true}])
 	if r.plan.Baseline > 0 && len(cpuMS[real]) > 0 {
 		result.CPU, result.Memory = result.RealCPU-result.BaselineCPU, result.RealMemory-result.BaselineMemory
 	}
 }
 
-// checkMachine records whether the machine was the limit.
+// checkMachine records whether the machine, and not the fleet, was the limit.
 func checkMachine(result *Result, before, after snapshot) {
 	result.MachineBusy = (after.machine.busyTicks - before.machine.busyTicks) / max(after.machine.totalTicks-before.machine.totalTicks, 1)
 	late := len(after.lateTicks) - len(before.lateTicks)
@@ -147,8 +147,8 @@
 	}
 }
 
-// compareInterface compares what was counted with what the loopback interface carried. What is counted at both ends counts where it is sent;
-// calls to discovery are counted at the dispatcher only, in both directions.
+// compareInterface compares the counted bytes with the bytes that the loopback interface carried. Bytes that both ends count are taken from the
+// sender. Calls to discovery are counted at the dispatcher only, so both directions are taken.
 func compareInterface(before, after snapshot) Interface {
 	seconds := after.at.Sub(before.at).Seconds()
 	links := after.linkTraffic.Bytes() - before.linkTraffic.Bytes()
@@ -174,11 +174,11 @@
 	return compared
 }
 
-// addRest adds what control costs without changes, and with it what a change costs.
-func (r *run) addRest(result *Result, before, rested snapshot) {
-	rates := ratesOf(before, rested, r.servingDispatchers(func(*dispatcher) bool { return true }))
+// addCostWithoutChanges adds the cost of control in the part of the span without changes, and the additional cost of a change.
+func (r *run) addCostWithoutChanges(result *Result, before, beforeChanges snapshot) {
+	rates := ratesOf(before, beforeChanges, r.servingDispatchers(func(*dispatcher) bool { return true }))
 	result.WithoutChanges = &CostWithoutChanges{
-		SpanS:       rested.at.Sub(before.at).Seconds(),
+		SpanS:       beforeChanges.at.Sub(before.at).Seconds(),
 		Bytes:       mean(rates.bytes),
 		Messages:    mean(rates.messages),
 		BytesByKind: rates.bytesByKind,
@@ -188,8 +188,8 @@
 	}
 }
 
-// addReturns adds how long dispatchers that were killed or cut off took until they had applied the newest version.
-func addReturns(result *Result, all []*history) {
+// addReturnTimes adds the time from each dispatcher's restart or reconnection until it had applied the newest version.
+func addReturnTimes(result *Result, all []*history) {
 	for _, h := range all {
 		result.ReturnedInForceMS = append(result.ReturnedInForceMS, h.returnTimesMS...)
 		result.InForceMissing += h.missed
@@ -197,8 +197,8 @@
 	slices.Sort(result.ReturnedInForceMS)
 }
 
-// addInForce adds how long it took until changes were in force at the dispatchers that they could reach. The machine was the limit if a change
-// was slow while a tick was late.
+// addInForce adds the delays until changes were in force at the dispatchers that they could reach. If a tick was late during a change that took
+// longer than slowChange, the machine was the limit.
 func (r *run) addInForce(result *Result, all []*history, late []lateTick) {
 	var delays []float64
 	for _, history := range all {
@@ -223,7 +223,7 @@
 	result.InForceP50MS, result.InForceP99MS, result.InForceP999MS = quantile(0.5, delays), quantile(0.99, delays), quantile(0.999, delays)
 }
 
-// lateTickWithin returns the first late tick that was waited for at some moment between two times; false for none.
+// lateTickWithin returns the first late tick whose delay (Due to At) overlaps the given period; false for none.
 func lateTickWithin(late []lateTick, from, to time.Time) (lateTick, bool) {
 	i := slices.IndexFunc(late, func(tick lateTick) bool { return tick.Due.Before(to) && tick.At.After(from) })
 	if i < 0 {
--- a/internal/scale/accounting_test.go
+++ b/internal/scale/accounting_test.go
@@ -8,8 +8,8 @@
 	"brassdale/internal/effectivestate"
 )
 
-// A run does not count if the machine was the limit: too many late ticks within the span, too busy cores, or a change that
-// came late while a tick did.
+// A run does not count if the machine was the limit: too many late ticks within the span, too busy cores, or a slow change during which a tick
+// was late.
 func TestFellBehind(t *testing.T) {
 	at := time.Now()
 	late := func(n int) (all []lateTick) {
@@ -32,14 +32,14 @@
 		r := &Result{}
 		checkMachine(r, c.before, c.after)
 		if r.FellBehind != (c.want != "") || !strings.Contains(r.FellBehindWhy, c.want) {
-			t.Errorf("%s: %v %q", c.what, r.FellBehind, r.FellBehindWhy)
+			t.Errorf("%s: fell behind: got %v, reason %q", c.what, r.FellBehind, r.FellBehindWhy)
 		}
 		if r.FellBehind && (r.Err() == nil || !strings.Contains(r.Err().Error(), "does not count")) {
-			t.Errorf("%s: %v", c.what, r.Err())
+			t.Errorf("%s: expected an error that the run does not count, got %v", c.what, r.Err())
 		}
 	}
 	r := &run{changes: []acceptedChange{{version: 2, at: at}}}
-	acted := func(after time.Duration) []*history {
+	appliedAfter := func(after time.Duration) []*history {
 		return []*history{{dispatcher: &dispatcher{name: "h1"}, effectiveStates: []effectivestate.State{{From: at.Add(after), To: at.Add(time.Hour), Versions: []uint64{2}}}}}
 	}
 	for _, c := range []struct {
@@ -52,9 +52,9 @@
 		{slowChange + time.Second, 3 * time.Second, 4 * time.Second, false},
 	} {
 		result := &Result{}
-		r.addInForce(result, acted(c.after), []lateTick{{at.Add(c.due), at.Add(c.came)}})
+		r.addInForce(result, appliedAfter(c.after), []lateTick{{at.Add(c.due), at.Add(c.came)}})
 		if result.FellBehind != c.want || c.want && !strings.Contains(result.FellBehindWhy, "version 2 was in force at h1 after 2000 ms") {
-			t.Errorf("%+v: %v %q", c, result.FellBehind, result.FellBehindWhy)
+			t.Errorf("%+v: fell behind: got %v, reason %q", c, result.FellBehind, result.FellBehindWhy)
 		}
 	}
 }
--- a/internal/scale/checker.go
+++ b/internal/scale/checker.go
@@ -16,11 +16,11 @@
 	diags hcl.Diagnostics
 }
 
-// check returns all mistakes.
+// check returns all mistakes in the file.
 func (c *checker) check() hcl.Diagnostics {
 	plan := c.file.plan(c.report)
 	if c.file.Seeds < 0 {
-		c.report("seeds", "There must be 1 at least.")
+		c.report("seeds", "It must be 1 or more.")
 	}
 	plan.check(c.report)
 	blocks := hcldiag.Blocks(c.body)
@@ -29,7 +29,7 @@
 	return c.diags
 }
 
-// report adds a mistake at an attribute of the file or of its block changes.
+// report adds a mistake at an attribute of the file or of its changes block.
 func (c *checker) report(attribute, format string, args ...any) {
 	body := c.body
 	for _, block := range c.body.Blocks {
@@ -40,7 +40,7 @@
 	c.add(hcldiag.Place(body, attribute), attribute, format, args...)
 }
 
-// reportIn adds a mistake at an attribute of a block, or at its label, which is called kind.
+// reportIn adds a mistake at an attribute of a block, or at the block's label if the attribute is "kind".
 func (c *checker) reportIn(block *hclsyntax.Block, attribute, format string, args ...any) {
 	place := hcldiag.Place(block.Body, attribute)
 	if attribute == "kind" && len(block.LabelRanges) > 0 {
@@ -54,7 +54,7 @@
 	c.diags = append(c.diags, hcldiag.At(place, "Bad "+attribute, format, args...))
 }
 
-// checkFaults checks the faults, each in its run.
+// checkFaults checks each fault against the plan.
 func (c *checker) checkFaults(plan *Plan, blocks []*hclsyntax.Block) {
 	faults := c.file.faults(func(index int, attribute, format string, args ...any) {
 		c.reportIn(blocks[index], attribute, format, args...)
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkSweeps checks the sizes, each in its run.
+// checkSweeps checks the plan of each size.
 func (c *checker) checkSweeps(blocks []*hclsyntax.Block) {
 	for index, sweep := range c.file.Sweeps {
 		block := blocks[index]
@@ -74,7 +74,7 @@
 		for _, size := range sweep.Sizes {
 			resized, ok := c.file.resized(sweep.By, size)
 			if !ok {
-				c.reportIn(block, "of", "%d %s: it must be above 0, and by dispatchers, workers, zones or changes, which need the block changes.",
+				c.reportIn(block, "of", "%d %s: the size must be above 0, and the label dispatchers, workers, zones or changes; changes needs the changes block.",
 					size, sweep.By)
 				break
 			}
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -12,20 +12,21 @@
 	"time"
 )
 
-// agreementTolerance is by how much hollow dispatchers may differ from real ones in bytes, messages and processor time.
+// agreementTolerance is the share by which hollow dispatchers may differ from real ones in bytes, messages and processor time.
 const agreementTolerance = 0.15
 
-// ComparisonPlans returns a file's plan with all dispatchers real, and with all of them hollow; voters are real in both. Both have bare ones of
-// the same sort. processes above 0 replaces what the file says. The error has all mistakes, as attributes.
+// ComparisonPlans returns a file's plan with all serving dispatchers real, and with all of them hollow. Voters are real in both. The baseline
+// dispatchers are real in the first and hollow in the second. If processes is above 0, it replaces the file's number. The error lists all
+// mistakes by attribute.
 func (f *File) ComparisonPlans(seed uint64, processes int) (real, hollow Plan, err error) {
 	report := func(attribute, format string, args ...any) {
 		err = errors.Join(err, attributeError(attribute, format, args...))
 	}
 	if f.Dedicated < f.Voters {
-		report("set_aside", "There must be a machine for each seat: no dispatcher that is compared has one.")
+		report("set_aside", "It must not be less than seats: the compared dispatchers must not be voters.")
 	}
 	if f.Baseline < 1 {
-		report("bare", "There must be 1 at least, for what control costs by difference.")
+		report("bare", "It must be 1 or more: the cost of control is the difference to these dispatchers.")
 	}
 	realFile, hollowFile := *f, *f
 	realFile.Hollow, realFile.Processes = 0, 0
@@ -34,13 +35,13 @@
 		hollowFile.Processes = processes
 	}
 	real, hollow = realFile.seededPlan(seed), hollowFile.seededPlan(seed)
-	hollow.HollowBaseline = (hollow.Hollow + hollow.Processes - 1) / max(hollow.Processes, 1) // as many as a process has of the others
+	hollow.HollowBaseline = (hollow.Hollow + hollow.Processes - 1) / max(hollow.Processes, 1) // as many as the other hollow processes run
 	real.check(report)
 	hollow.check(report)
 	return real, hollow, err
 }
 
-// Figure is a figure of a real and of a hollow dispatcher.
+// Figure compares one figure of real and of hollow dispatchers.
 type Figure struct {
 	Name       string    `json:"name"`
 	Unit       string    `json:"unit"`
@@ -49,11 +50,11 @@
 	RealMean   float64   `json:"real_mean"`
 	HollowMean float64   `json:"hollow_mean"`
 	Ratio      float64   `json:"ratio"`  // of HollowMean to RealMean
-	MustAgree  bool      `json:"judged"` // it must agree; figures of a single kind of control need not
+	MustAgree  bool      `json:"judged"` // false for figures of a single kind of control message
 	Agrees     bool      `json:"agrees"`
 }
 
-// Comparison compares hollow dispatchers with real ones, in runs that alternate.
+// Comparison compares hollow dispatchers with real ones, over alternating runs.
 type Comparison struct {
 	Title       string    `json:"title"`
 	Commit      string    `json:"commit"`
@@ -66,21 +67,21 @@
 	Workers     int       `json:"workers"`
 	Zones       int       `json:"zones"`
 	Rounds      int       `json:"rounds"`
-	Tolerance   float64   `json:"within"` // the tolerance
-	Agrees      bool      `json:"agrees"` // all judged figures do
+	Tolerance   float64   `json:"within"` // the tolerance, as a share of the real figure
+	Agrees      bool      `json:"agrees"` // all figures that must agree do
 	Figures     []Figure  `json:"figures"`
 }
 
-// Compare compares runs with real dispatchers and as many runs with hollow ones. There is one of each at least.
+// Compare compares runs with real dispatchers and the same number of runs with hollow ones, at least one of each.
 func Compare(real, hollow []*Result) *Comparison {
 	first := real[0]
 	comparison := &Comparison{
 		Title: first.Title, Seed: first.Seed, At: first.At, SpanS: first.SpanS, Dispatchers: first.Dispatchers, Processes: hollow[0].Processes,
 		Workers: first.Workers, Zones: first.Zones, Rounds: len(real), Tolerance: agreementTolerance, Agrees: true,
 	}
-	comparison.addJudged(newFigure("all", "B/s", real, hollow, func(r *Result) float64 { return r.BytesMean }))
-	comparison.addJudged(newFigure("all", "messages/s", real, hollow, func(r *Result) float64 { return r.Messages }))
-	comparison.addJudged(newFigure("control", "CPU ms/s", real, hollow, controlCPU))
+	comparison.addRequired(newFigure("all", "B/s", real, hollow, func(r *Result) float64 { return r.BytesMean }))
+	comparison.addRequired(newFigure("all", "messages/s", real, hollow, func(r *Result) float64 { return r.Messages }))
+	comparison.addRequired(newFigure("control", "CPU ms/s", real, hollow, controlCPU))
 	kinds := map[string]bool{}
 	for _, result := range slices.Concat(real, hollow) {
 		for kind := range result.BytesByKind {
@@ -88,13 +89,13 @@
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
-		comparison.addUnjudged(newFigure(kind, "B/s", real, hollow, func(r *Result) float64 { return r.BytesByKind[kind] }))
-		comparison.addUnjudged(newFigure(kind, "messages/s", real, hollow, func(r *Result) float64 { return r.MessagesByKind[kind] }))
+		comparison.addInformational(newFigure(kind, "B/s", real, hollow, func(r *Result) float64 { return r.BytesByKind[kind] }))
+		comparison.addInformational(newFigure(kind, "messages/s", real, hollow, func(r *Result) float64 { return r.MessagesByKind[kind] }))
 	}
 	return comparison
 }
 
-// controlCPU returns the processor time that control costs a dispatcher: the difference to a bare one.
+// controlCPU returns the processor time that control costs a dispatcher, in ms/s: the difference to a baseline dispatcher.
 func controlCPU(r *Result) float64 {
 	if r.Hollow > 0 {
 		return r.HollowCPU - r.HollowBaselineCPU
@@ -102,7 +103,7 @@
 	return r.CPU
 }
 
-// newFigure returns a figure of runs.
+// newFigure compares a figure of real and of hollow runs.
 func newFigure(name, unit string, real, hollow []*Result, of func(*Result) float64) Figure {
 	figure := Figure{Name: name, Unit: unit}
 	for i := range real {
@@ -116,15 +117,16 @@
 	return figure
 }
 
-// addJudged adds a figure that must agree.
-func (c *Comparison) addJudged(figure Figure) {
+// addRequired adds a figure that must agree.
+func (c *Comparison) addRequired(figure Figure) {
 	figure.MustAgree = true
 	c.Agrees = c.Agrees && figure.Agrees
 	c.Figures = append(c.Figures, figure)
 }
 
-// addUnjudged adds a figure that need not agree, unless it is 0 in all runs: reports and budgets are parts of other messages.
-func (c *Comparison) addUnjudged(figure Figure) {
+// addInformational adds a figure that need not agree, unless it is 0 in all runs: reports and budgets are sent within other messages, so that
+// some of their figures are always 0.
+func (c *Comparison) addInformational(figure Figure) {
 	if slices.ContainsFunc(slices.Concat(figure.Real, figure.Hollow), func(value float64) bool { return value != 0 }) {
 		c.Figures = append(c.Figures, figure)
 	}
@@ -147,7 +149,7 @@
 	return table.Flush()
 }
 
-// formatFigures returns figures in a row.
+// formatFigures returns the figures separated by spaces.
 func formatFigures(figures []float64) string {
 	var texts []string
 	for _, figure := range figures {
@@ -156,12 +158,12 @@
 	return strings.Join(texts, " ")
 }
 
-// Err returns an error that names the judged figures that do not agree; nil if all do.
+// Err returns an error that names the figures that must agree and do not; nil if all agree.
 func (c *Comparison) Err() error {
 	var errs []error
 	for _, figure := range c.Figures {
 		if figure.MustAgree && !figure.Agrees {
-			errs = append(errs, fmt.Errorf("%s, %s: hollow ones have %.3f of real ones', which is not within %.0f%%", figure.Name, figure.Unit, figure.Ratio, 100*c.Tolerance))
+			errs = append(errs, fmt.Errorf("%s, %s: the ratio of hollow to real dispatchers is %.3f, expected within %.0f%% of 1", figure.Name, figure.Unit, figure.Ratio, 100*c.Tolerance))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/scale/controlrates.go
+++ b/internal/scale/controlrates.go
@@ -8,12 +8,12 @@
 	"brassdale/internal/traffic"
 )
 
-// controlRates is the control traffic of some dispatchers, each second.
+// controlRates is the control traffic of some dispatchers per second.
 type controlRates struct {
-	bytes          []float64 // of each dispatcher, sorted
-	messages       []float64 // of each dispatcher
-	bytesByKind    map[string]float64
-	messagesByKind map[string]float64 // of a dispatcher, as bytesByKind
+	bytes          []float64          // of each dispatcher, sorted
+	messages       []float64          // of each dispatcher
+	bytesByKind    map[string]float64 // mean over the dispatchers
+	messagesByKind map[string]float64 // mean over the dispatchers
 }
 
 // servingDispatchers returns the dispatchers that serve jobs and satisfy a condition.
@@ -27,7 +27,7 @@
 	return all
 }
 
-// ratesOf returns the rates of dispatchers between two snapshots, without those that were not in the same process at both.
+// ratesOf returns the rates of dispatchers between two snapshots. Dispatchers that were not in the same process at both are left out.
 func ratesOf(before, after snapshot, dispatchers []*dispatcher) controlRates {
 	rates := controlRates{bytesByKind: map[string]float64{}, messagesByKind: map[string]float64{}}
 	seconds := after.at.Sub(before.at).Seconds()
--- a/internal/scale/countingproxy.go
+++ b/internal/scale/countingproxy.go
@@ -8,17 +8,17 @@
 	"brassdale/internal/traffic"
 )
 
-// countingProxy forwards connections to a target and counts their bytes. It is placed between a link and its target, as links do not count.
+// countingProxy forwards connections to a target and counts their bytes. It stands between a link and the link's target, as links do not count.
 type countingProxy struct {
 	listener net.Listener
 	target   string
 	meter    *traffic.Meter // of the connections to the target
 
 	mu          sync.Mutex
-	connections map[net.Conn]bool // that were accepted and are open; nil once the proxy is closed
+	connections map[net.Conn]bool // accepted and open; nil once the proxy is closed
 }
 
-// extraProxyTransits is how many times more often a byte crosses the loopback interface by a link and a proxy than without both.
+// extraProxyTransits is how many additional times a byte crosses the loopback interface if it goes through a link and a proxy.
 const extraProxyTransits = 2
 
 // newCountingProxy starts a proxy on a loopback port that the system chooses.
@@ -93,7 +93,7 @@
 
 // close stops the proxy and closes its connections.
 func (p *countingProxy) close() {
-	_ = p.listener.Close() // it is closed once, so this does not fail
+	_ = p.listener.Close() // closed only here, so it does not fail
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.connections {
--- a/internal/scale/countingproxy_test.go
+++ b/internal/scale/countingproxy_test.go
@@ -10,7 +10,7 @@
 	"brassdale/internal/traffic"
 )
 
-// A link with a counting proxy behind it carries all, and the proxy counts each byte of both directions once.
+// A link with a counting proxy as its target forwards all bytes, and the proxy counts each byte of both directions once.
 func TestCountingProxy(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,9 +49,9 @@
 	}
 	got, err := io.ReadAll(c)
 	if err != nil || !bytes.Equal(got, answer) {
-		t.Errorf("%d bytes of %d: %v", len(got), len(answer), err)
+		t.Errorf("got %d bytes of %d: %v", len(got), len(answer), err)
 	}
 	if n := traffic.Total(meter.Counts()); n.Sent != uint64(len(request)) || n.Received != uint64(len(answer)) {
-		t.Errorf("%+v, not %d and %d", n, len(request), len(answer))
+		t.Errorf("counted %+v, expected %d sent and %d received", n, len(request), len(answer))
 	}
 }
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -12,20 +12,20 @@
 	"brassdale/internal/emulator"
 )
 
-// costRole is a role of a dispatcher by which results list what control costs. Results have its text as a key.
+// costRole is a role of dispatchers by which results group the cost of control. Its text is a key in results.
 type costRole string
 
-// The first three are what a dispatcher is for, which does not change during a run. The others are what it is in the raft group for some
-// time, and take the place of the first three in FaultCost.
+// The first three are the purpose of a dispatcher, which does not change during a run. The others are its temporary role in the raft group, and
+// replace the first three in FaultCost.
 const (
 	roleServing   costRole = "dispatcher" // serves jobs
-	roleDedicated costRole = "set aside"  // its machine serves no jobs: it is for control alone
-	roleBare      costRole = "bare"       // has no fleet
+	roleDedicated costRole = "set aside"  // serves no jobs: its machine is for control only
+	roleBaseline  costRole = "bare"       // has no fleet agent
 	roleVoter     costRole = "seat"       // a voter that does not lead
 	roleLeader    costRole = "leader"
 )
 
-// dispatcher is a dispatcher of a run, over all its starts. The run's mutex guards the fields from process on.
+// dispatcher is a dispatcher of a run, over all processes that run it one after the other. The run's mutex guards the fields from process on.
 type dispatcher struct {
 	name          string
 	role          costRole // roleServing, roleDedicated or roleBare
@@ -33,14 +33,14 @@
 	fleetAddress  string // where other dispatchers reach it
 	zone          int
 	voterNumber   int // counted from 1, among the voters of the founded raft group; 0 for no voter
-	emulatorIndex int // of a real one: its index in the emulator
+	emulatorIndex int // of a real dispatcher: its index in the emulator
 
-	process         *emulator.DispatcherProcess // of a real one that runs
-	hollowProcess   *hollowProcess              // of a hollow one that runs
-	earlierLogs     string                      // of a real one: of its ended processes
-	earlierStates   []effectivestate.State      // of a hollow one: of its ended processes
-	effectiveStates []effectivestate.State      // of a hollow one: of its process, as they were fetched last
-	absences        []effectivestate.Period     // while it was not running; a successor's first has no From
+	process         *emulator.DispatcherProcess // of a real dispatcher that runs
+	hollowProcess   *hollowProcess              // of a hollow dispatcher that runs
+	earlierLogs     string                      // of a real dispatcher: of its ended processes
+	earlierStates   []effectivestate.State      // of a hollow dispatcher: of its ended processes
+	effectiveStates []effectivestate.State      // of a hollow dispatcher: of its process, as last fetched
+	absences        []effectivestate.Period     // while it was not running; the first of a successor has no From
 	partitions      []effectivestate.Period     // while it was running and cut off from other regions
 }
 
@@ -59,8 +59,8 @@
 	addressesPerNetwork = 200
 )
 
-// reserveAddress returns an IP address and port that no other dispatcher of this process's runs has. A port alone would not do: one that was
-// free may go to another connection, which leaves from 127.0.0.1, or to another run's dispatcher.
+// reserveAddress returns an IP address and port that no other dispatcher of this process's runs has. A free port of 127.0.0.1 is not enough: the
+// system may give it to an outgoing connection or to a dispatcher of another run before it is used.
 func reserveAddress() (string, error) {
 	n := int(addressesReserved.Add(1))
 	network, host := (os.Getpid()+n/addressesPerNetwork)%addressNetworks+1, n%addressesPerNetwork+1
@@ -71,7 +71,7 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// statesOf returns what a dispatcher has applied until now; of a hollow one, until the last fetchHollowStates.
+// statesOf returns the states that a dispatcher has applied until now; for a hollow one, until the last fetchHollowStates.
 func (r *run) statesOf(d *dispatcher) []effectivestate.State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scale/faultcost.go
+++ b/internal/scale/faultcost.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// FaultCost is what the run's fault cost.
+// FaultCost is the cost of the run's fault.
 type FaultCost struct {
 	Kind            FaultKind `json:"kind"`
 	AtS             float64   `json:"at_s"`      // since the start of the measured span
-	ForS            float64   `json:"for_s"`     // 0 for one that did not end
+	ForS            float64   `json:"for_s"`     // 0 for a fault that did not end
 	Affected        int       `json:"befell"`    // dispatchers of all roles that were killed or cut off
 	HitLeader       bool      `json:"with_lead"` // the leader was one of them
-	Changes         int       `json:"changes"`   // proposed since it began, and accepted
-	AcceptedAfterMS float64   `json:"taken_ms"`  // until the attempt that proposed the first of them was made; earlier attempts were not accepted
+	Changes         int       `json:"changes"`   // accepted config versions that were proposed since it began
+	AcceptedAfterMS float64   `json:"taken_ms"`  // until the attempt that proposed the first of them was sent; earlier attempts were not accepted
 	VoterReplaced   bool      `json:"reseated"`
 
-	// Most of any dispatcher of a role over 10 s, each second, before the fault and since it began. Processor time is in milliseconds and, of
-	// dispatchers that serve jobs, that of hollow ones if there are any.
+	// The highest mean per second over 10 s of any dispatcher of a role, before the fault and since it began. Processor time is in
+	// milliseconds. If there are hollow dispatchers, only these count in the processor time of dispatchers that serve jobs.
 	UsualBytes map[costRole]float64 `json:"usual_bytes_10s"`
 	PeakBytes  map[costRole]float64 `json:"peak_bytes_10s"`
 	UsualCPU   map[costRole]float64 `json:"usual_cpu_10s"`
 	PeakCPU    map[costRole]float64 `json:"peak_cpu_10s"`
 
-	// RecoveredAfterS is how long it took until all dispatchers that should run had leases on a version that was accepted after the fault
-	// began; nil for never.
+	// RecoveredAfterS is the time until all dispatchers that should run had leases on a version that was accepted after the fault began; nil
+	// for never.
 	RecoveredAfterS   *float64  `json:"whole_again_s"`
 	InForceP50MS      float64   `json:"in_force_p50_ms"`
-	InForceP999MS     float64   `json:"in_force_p999_ms"` // of changes that came in force since it began
+	InForceP999MS     float64   `json:"in_force_p999_ms"` // of changes that came into force since it began
 	ReturnedInForceMS []float64 `json:"returned_in_force_ms"`
 }
 
-// faultCost computes what the run's fault cost.
+// faultCost computes the cost of the run's fault.
 func (r *run) faultCost(all []*history) FaultCost {
 	fault, record := r.plan.Fault, r.faultRecord
 	cost := FaultCost{
@@ -43,7 +43,7 @@
 	}
 	cost.UsualBytes, cost.UsualCPU = r.peaks(time.Time{}, record.beganAt)
 	cost.PeakBytes, cost.PeakCPU = r.peaks(record.beganAt, time.Now())
-	first := uint64(0) // version that was accepted since the fault began
+	first := uint64(0) // the first version that was accepted since the fault began; 0 for none
 	for _, change := range r.changes {
 		if change.at.Before(record.beganAt) {
 			continue
@@ -66,8 +66,8 @@
 	return cost
 }
 
-// delaysSince returns, sorted and in milliseconds, how long it took until changes were in force at dispatchers that they could reach, of those
-// that came in force after a time.
+// delaysSince returns the delays until changes were in force at dispatchers that they could reach, in milliseconds and sorted. It leaves out
+// changes that came into force at a dispatcher before the given time.
 func (r *run) delaysSince(from time.Time, all []*history) []float64 {
 	var delays []float64
 	for _, change := range r.changes {
@@ -81,7 +81,7 @@
 	return delays
 }
 
-// voterReplaced reports whether a dispatcher became a voter that was none at the start.
+// voterReplaced reports whether a dispatcher that was not a voter at the start became one.
 func (r *run) voterReplaced() bool {
 	for _, each := range r.dispatchers {
 		if each.voterNumber > 0 {
@@ -94,8 +94,8 @@
 	return false
 }
 
-// recoveredAt returns when all dispatchers that should run had leases on a version, or a newer one, each alone; false for never, or if the
-// version is 0.
+// recoveredAt returns when all dispatchers that should run had leases and each applied only one version, the given one or a newer one. It returns
+// false if that did not happen, or if the version is 0.
 func (r *run) recoveredAt(all []*history, version uint64) (time.Time, bool) {
 	if version == 0 {
 		return time.Time{}, false
@@ -104,7 +104,7 @@
 	for moved := true; moved; { // until there is a time at which all had leases at once
 		moved = false
 		for _, h := range all {
-			next, ok := r.recoveredFrom(h, version, at)
+			next, ok := r.dispatcherRecoveredAt(h, version, at)
 			if !ok {
 				return at, false
 			}
@@ -116,12 +116,13 @@
 	return at, true
 }
 
-// recoveredFrom returns when a dispatcher first had a lease on a version, or a newer one, alone, or should not run, counted from a time.
-func (r *run) recoveredFrom(h *history, version uint64, from time.Time) (time.Time, bool) {
+// dispatcherRecoveredAt returns the first time, from the given one on, at which a dispatcher either had a lease and applied only the given version
+// or a newer one, or should not run.
+func (r *run) dispatcherRecoveredAt(h *history, version uint64, from time.Time) (time.Time, bool) {
 	next, ok := h.leasedOn(version, from)
 	for _, absence := range h.dispatcher.absences {
-		// A successor is absent since the start of the run (From is zero) until it starts in place of another. It is to run from then on, as
-		// is a dispatcher that DispatchersRestarted kills. In any other absence a dispatcher is not to run: its machine is lost.
+		// A successor is absent from the start of the run (From is zero) until it replaces another dispatcher, and should run from then on. A
+		// dispatcher that DispatchersRestarted kills should run, too. In any other absence the dispatcher's machine is lost: it should not run.
 		shouldRun := absence.From.IsZero() || r.plan.Fault.Kind == DispatchersRestarted
 		if shouldRun || !absence.To.IsZero() && !absence.To.After(from) {
 			continue
--- a/internal/scale/faultcost_test.go
+++ b/internal/scale/faultcost_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-const failuresFile = `title = "failures of a small fleet"
+const faultsFile = `title = "failures of a small fleet"
 settle = "2s"
 span = "2s"
 bound = "1s"
@@ -49,13 +49,13 @@
 }
 `
 
-// Each kind of fault is injected once: no dispatchers contradict each other, every change comes in force at all dispatchers that run, and the
-// fleet recovers.
-func TestFailures(t *testing.T) {
-	f, err := Parse([]byte(failuresFile), "x.hcl")
+// Injects each kind of fault in a run of its own: no dispatchers contradict each other, every change comes into force at all dispatchers that
+// run, and the fleet recovers.
+func TestFaults(t *testing.T) {
+	f, err := Parse([]byte(faultsFile), "x.hcl")
 	all := points(t, f, err)
 	if len(all) != len(faultKinds) {
-		t.Fatalf("%+v", all)
+		t.Fatalf("expected a run for each kind of fault, got %+v", all)
 	}
 	// The first zone and region have a voter, the real dispatcher that serves and two hollow ones; the fleet has ten in all.
 	affected := map[FaultKind]int{VoterLost: 1, ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
@@ -67,24 +67,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkSound(t, r)
+			checkInvariants(t, r)
 			if len(r.FaultCosts) != 1 {
-				t.Fatalf("%+v", r)
+				t.Fatalf("expected one fault cost, got %+v", r)
 			}
 			cost := r.FaultCosts[0]
 			kind := FaultKind(p.Name)
 			t.Logf("%+v", cost)
 			if cost.Kind != kind || cost.Affected != affected[kind] || len(cost.ReturnedInForceMS) != returned[kind] {
-				t.Errorf("%d affected, %d back: %+v", cost.Affected, len(cost.ReturnedInForceMS), cost)
+				t.Errorf("unexpected kind or counts: %d affected, %d returned: %+v", cost.Affected, len(cost.ReturnedInForceMS), cost)
 			}
 			if cost.Changes == 0 || cost.RecoveredAfterS == nil {
-				t.Errorf("%d changes, recovered after %v", cost.Changes, cost.RecoveredAfterS)
+				t.Errorf("expected changes and a recovery, got %d changes, recovered after %v", cost.Changes, cost.RecoveredAfterS)
 			}
 			if (kind == VoterLost || kind == DispatchersRestarted) && !cost.HitLeader {
 				t.Error("the leader was not affected")
 			}
 			if cost.AtS < (500 * time.Millisecond).Seconds() {
-				t.Errorf("it began at %.2f s", cost.AtS)
+				t.Errorf("the fault began too early, at %.2f s", cost.AtS)
 			}
 		})
 	}
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -12,7 +12,7 @@
 	"brassdale/internal/labsupport"
 )
 
-// faultRecord is what is known of the run's fault. The run's mutex guards it.
+// faultRecord is the course of the run's fault. The run's mutex guards it.
 type faultRecord struct {
 	beganAt   time.Time
 	endedAt   time.Time // zero while it is in progress
@@ -20,7 +20,7 @@
 	affected  int       // dispatchers of all roles that were killed or cut off
 }
 
-// injectFault injects the plan's fault at its time, and returns when it has ended.
+// injectFault injects the plan's fault at its time, and returns when the fault has ended.
 func (r *run) injectFault(ctx context.Context) error {
 	fault := r.plan.Fault
 	begin := r.beganAt.Add(fault.At)
@@ -40,7 +40,8 @@
 	}
 }
 
-// beginFault records that the fault begins, has a config version proposed at once, and returns the names of the dispatchers to be affected.
+// beginFault records that the fault begins, requests the proposal of a config version at once, and returns the names of the dispatchers to
+// affect.
 func (r *run) beginFault() []string {
 	leader := r.currentLeader()
 	names := r.affectedBy(r.plan.Fault, leader)
@@ -49,7 +50,7 @@
 	r.mu.Unlock()
 	select {
 	case r.proposeNow <- struct{}{}:
-	default: // one is due already
+	default: // a proposal is requested already
 	}
 	return names
 }
@@ -61,7 +62,7 @@
 	r.faultRecord.endedAt = time.Now()
 }
 
-// affectedBy returns the names of the running dispatchers that a fault affects. Bare ones never are.
+// affectedBy returns the names of the running dispatchers that a fault affects. It never affects baseline dispatchers.
 func (r *run) affectedBy(fault *Fault, leader string) []string {
 	leaderDedicated := r.isDedicated(leader)
 	var names []string
@@ -77,12 +78,12 @@
 			affected = each.zone == fault.Zone
 		case RegionPartitioned:
 			affected = r.plan.region(each.zone) == fault.Region
-		case DispatchersReplaced: // those with a process of their own
+		case DispatchersReplaced: // hollow dispatchers with a process of their own
 			affected = each.hollow && len(each.hollowProcess.dispatchers) == 1 && len(names) < fault.Count
 		case DispatchersRestarted:
 			affected = true
 		}
-		if affected && each.role != roleBare {
+		if affected && each.role != roleBaseline {
 			names = append(names, each.name)
 		}
 	}
@@ -94,8 +95,7 @@
 	return slices.ContainsFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == name && each.role == roleDedicated })
 }
 
-// killAndRestart kills dispatchers and restarts them at the end of the fault, unless it has none. Probes of a lost zone are unanswered in
-// between.
+// killAndRestart kills dispatchers and, if the fault ends, restarts them at its end. Meanwhile probes of a lost zone are unanswered.
 func (r *run) killAndRestart(ctx context.Context, names []string, end time.Time) error {
 	fault := r.plan.Fault
 	if fault.Kind == ZoneLost {
@@ -111,7 +111,7 @@
 	return r.restart(ctx, names)
 }
 
-// kill kills dispatchers, and with them those that share a process with one, and returns when their processes have ended.
+// kill kills dispatchers by killing their processes, which also ends other dispatchers in these, and returns when the processes have ended.
 func (r *run) kill(names []string) {
 	now := time.Now()
 	var kills []func() error
@@ -134,16 +134,16 @@
 		}
 		process := each.hollowProcess
 		each.hollowProcess = nil
-		if i := slices.Index(r.hollowProcesses, process); i >= 0 { // else it is killed for another of its dispatchers already
+		if i := slices.Index(r.hollowProcesses, process); i >= 0 { // otherwise it is already killed, for another of its dispatchers
 			r.hollowProcesses = slices.Delete(r.hollowProcesses, i, i+1)
 			kills = append(kills, func() error { return r.killHollow(process, now) })
 		}
 	}
 	r.mu.Unlock()
-	_ = inParallel(kills) // a log that cannot be read leaves its dispatchers without states, which the result has as changes not applied
+	_ = inParallel(kills) // if a log cannot be read, its dispatchers have no states, and the result counts their changes as not applied
 }
 
-// killHollow kills a hollow process, and takes the states of its dispatchers until then from its log.
+// killHollow kills a hollow process, and reads the states of its dispatchers until the given time from its log.
 func (r *run) killHollow(process *hollowProcess, at time.Time) error {
 	process.kill()
 	log, err := os.ReadFile(process.logPath)
@@ -156,7 +156,7 @@
 	return err
 }
 
-// restart starts dispatchers that were killed, all at once. Hollow ones share processes as before.
+// restart starts killed dispatchers, all at once. Hollow dispatchers share processes as before.
 func (r *run) restart(ctx context.Context, names []string) error {
 	var starts []func() error
 	groups := map[int][]*dispatcher{}
@@ -181,7 +181,7 @@
 	return inParallel(starts)
 }
 
-// replaceOneByOne kills hollow dispatchers one by one, evenly over the fault, and starts a new one in place of each.
+// replaceOneByOne kills hollow dispatchers one by one, evenly over the fault's duration, and starts a new one in place of each.
 func (r *run) replaceOneByOne(ctx context.Context, names []string, begin time.Time) error {
 	for i, name := range names {
 		if !labsupport.WaitUntil(ctx, begin.Add(r.plan.Fault.For*time.Duration(i)/time.Duration(len(names)))) {
@@ -199,17 +199,18 @@
 	return nil
 }
 
-// addSuccessor adds a new hollow dispatcher, which was absent until now, in the zone of another.
+// addSuccessor adds a new hollow dispatcher in the zone of its predecessor. It counts as absent from the start of the run until now.
 func (r *run) addSuccessor(predecessor, name string) (*dispatcher, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(r.dispatchers, func(each *dispatcher) bool { return each.name == predecessor })
 	successor := &dispatcher{name: name, role: roleServing, hollow: true, zone: r.dispatchers[i].zone}
-	successor.absences = []effectivestate.Period{{To: time.Now()}} // from the start of the run
+	successor.absences = []effectivestate.Period{{To: time.Now()}} // no From: since the start of the run
 	return successor, r.addDispatcher(successor)
 }
 
-// partitionRegion cuts the fault's region off from the others until its end. Hollow dispatchers observe only the zones on their side.
+// partitionRegion cuts the fault's region off from the others until the given end. Probes of hollow dispatchers are answered only by zones on
+// their side of the partition.
 func (r *run) partitionRegion(ctx context.Context, names []string, end time.Time) {
 	region := r.plan.Fault.Region
 	r.links.setState(region, faultlink.State{CutTo: true, CutFrom: true})
@@ -221,7 +222,7 @@
 	r.recordPartition(names, false)
 }
 
-// recordPartition records that dispatchers are cut off from now on, or no longer.
+// recordPartition records that dispatchers are cut off from now on or, if cut is false, that they no longer are.
 func (r *run) recordPartition(names []string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -237,11 +238,11 @@
 	}
 }
 
-// allZones is for setObservedZones: all zones are observed.
+// allZones has setObservedZones set all zones.
 func allZones(_, _ int) bool { return true }
 
-// setObservedZones sets, for the hollow dispatchers of each zone (own), from which zones their probes are answered from now on: from those of
-// which the function returns true. Probes of real dispatchers are answered, or not, by the emulator.
+// setObservedZones sets the zones that answer the probes of hollow dispatchers from now on: a zone answers dispatchers of the zone own if
+// observed(own, zone) is true. For probes of real dispatchers the emulator decides.
 func (r *run) setObservedZones(ctx context.Context, observed func(own, zone int) bool) {
 	var posts []func() error
 	for _, process := range r.runningHollowProcesses() {
@@ -254,5 +255,5 @@
 		}
 		posts = append(posts, func() error { return r.polls.postJSON(ctx, process.url(observedZonesPath), names) })
 	}
-	_ = inParallel(posts) // a process that does not respond is just being killed
+	_ = inParallel(posts) // a process that does not respond is being killed
 }
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -11,7 +11,7 @@
 	"brassdale/internal/hcldiag"
 )
 
-// File is a scenario file: one run, or several that differ in a fault or in a size. Plan says what the attributes mean.
+// File is a scenario file: one run, or several that differ in the fault or in a size. The fields of Plan explain the attributes.
 type File struct {
 	Title              string  `hcl:"title"`
 	Settle             string  `hcl:"settle,optional"` // 20 s if left out
@@ -32,14 +32,14 @@
 	Baseline           int     `hcl:"bare,optional"`
 	Rate               float64 `hcl:"rate,optional"`
 
-	Seeds int `hcl:"seeds,optional"` // that each run is played with; one if left out
+	Seeds int `hcl:"seeds,optional"` // number of seeds with which each run is executed; one if left out
 
 	Changes *changesBlock `hcl:"changes,block"`
 	Faults  []faultBlock  `hcl:"fault,block"`
 	Sweeps  []sweepBlock  `hcl:"slope,block"`
 }
 
-// changesBlock is what changes during a run, and how often.
+// changesBlock sets the intervals at which config versions and workers change.
 type changesBlock struct {
 	Every    string  `hcl:"every"` // between proposals of config versions
 	PerDay   float64 `hcl:"a_day"`
@@ -47,24 +47,24 @@
 	Drains   string  `hcl:"drains,optional"`
 }
 
-// faultBlock is a fault, which is injected in a run of its own.
+// faultBlock is a fault. Each is injected in a run of its own.
 type faultBlock struct {
 	Kind   string `hcl:"kind,label"`
 	At     string `hcl:"at"`
-	For    string `hcl:"for,optional"` // may be left out for a voter and a zone, which then do not come back
+	For    string `hcl:"for,optional"` // optional for a voter and a zone, which are lost for good without it
 	After  string `hcl:"after,optional"`
 	Count  int    `hcl:"count,optional"`
 	Zone   int    `hcl:"zone,optional"`   // counted from 1; the first, which has a voter, if left out
 	Region int    `hcl:"region,optional"` // counted from 1; the first if left out
 }
 
-// sweepBlock is a list of sizes that differ in one thing. Each size is a run of its own; package fit calls the runs a sweep.
+// sweepBlock is a list of fleet sizes that differ in one parameter. Each size is a run of its own; package fit calls these runs a sweep.
 type sweepBlock struct {
 	By    string `hcl:"by,label"` // dispatchers, workers, zones or changes
-	Sizes []int  `hcl:"of"`       // of changes: those within the measured span
+	Sizes []int  `hcl:"of"`       // values of the parameter; changes are counted within the measured span
 }
 
-// Load reads and checks a file. The error has all mistakes with file, line and column.
+// Load reads and checks a file. The error lists all mistakes with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse parses and checks the text of a file. path is its name in errors.
@@ -78,7 +78,7 @@
 	return f, nil
 }
 
-// plan returns the file's run, without its faults and sweeps, and reports durations and rates that cannot be used.
+// plan returns the file's plan without its faults and sweeps, and reports invalid durations and rates.
 func (f *File) plan(report reportFunc) Plan {
 	plan := Plan{
 		Title: f.Title, Regions: f.Regions, Zones: f.Zones, Workers: f.Workers, Accelerators: f.Accelerators, Teams: f.Teams,
@@ -107,14 +107,14 @@
 	return plan
 }
 
-// ignoreMistake is the reportFunc for files that were checked before.
+// ignoreMistake is the reportFunc for files that are already checked.
 func ignoreMistake(string, string, ...any) {}
 
-// requiredDuration parses the text of an attribute and reports what is no duration above 0.
+// requiredDuration parses the text of an attribute and reports a mistake if it is not a duration above 0.
 func requiredDuration(report reportFunc, attribute, text string) time.Duration {
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration <= 0 {
-		report(attribute, "%q is no duration above 0.", text)
+		report(attribute, "Expected a duration above 0, got %q.", text)
 	}
 	return duration
 }
@@ -127,7 +127,7 @@
 	return requiredDuration(report, attribute, text)
 }
 
-// faults returns the file's faults. report takes mistakes with the index of the fault's block.
+// faults returns the file's faults. report gets mistakes with the index of the fault's block.
 func (f *File) faults(report func(index int, attribute, format string, args ...any)) []Fault {
 	var faults []Fault
 	for i := range f.Faults {
@@ -148,16 +148,16 @@
 	}
 	fault.After = optionalDuration(report, "after", block.After, defaultMeasuredAfter)
 	if slices.ContainsFunc(f.Faults[:index], func(other faultBlock) bool { return other.Kind == block.Kind }) {
-		report("kind", "There is a %q already.", block.Kind)
+		report("kind", "There is already a fault %q.", block.Kind)
 	}
 	if block.Count != 0 && fault.Kind != DispatchersReplaced {
-		report("count", "It is for %q alone.", DispatchersReplaced)
+		report("count", "It is only for the fault %q.", DispatchersReplaced)
 	}
 	if block.Zone != 0 && fault.Kind != ZoneLost || block.Zone < 0 || block.Zone > f.Zones {
-		report("zone", "It is for %q alone, and from 1 to %d.", ZoneLost, f.Zones)
+		report("zone", "It is only for the fault %q, and from 1 to %d.", ZoneLost, f.Zones)
 	}
 	if block.Region != 0 && fault.Kind != RegionPartitioned || block.Region < 0 || block.Region > f.Regions {
-		report("region", "It is for %q alone, and from 1 to %d.", RegionPartitioned, f.Regions)
+		report("region", "It is only for the fault %q, and from 1 to %d.", RegionPartitioned, f.Regions)
 	}
 	return fault
 }
--- a/internal/scale/history.go
+++ b/internal/scale/history.go
@@ -7,20 +7,20 @@
 	"brassdale/internal/effectivestate"
 )
 
-// history is what a dispatcher applied during the run, and when changes could not reach it.
+// history is the states that a dispatcher applied during the run, and the periods in which changes could not reach it.
 type history struct {
 	dispatcher      *dispatcher
 	effectiveStates []effectivestate.State
-	unreached       []effectivestate.Period // absences and partitions, until it had applied the newest version again
-	returnTimesMS   []float64               // from the end of an absence or partition until it had applied the newest version
-	missed          int                     // absences and partitions after which it did not
+	unreached       []effectivestate.Period // absences and partitions, each extended until the dispatcher had applied the newest version
+	returnTimesMS   []float64               // from the end of each absence or partition until the dispatcher had applied the newest version
+	missed          int                     // absences and partitions after which it never applied the newest version
 }
 
-// histories returns the histories of all dispatchers but bare ones. It is called after the run.
+// histories returns the histories of all dispatchers except baseline ones. It is called after the run.
 func (r *run) histories() []*history {
 	var all []*history
 	for _, each := range r.dispatchers {
-		if each.role == roleBare {
+		if each.role == roleBaseline {
 			continue
 		}
 		h := &history{dispatcher: each, effectiveStates: r.statesOf(each)}
@@ -32,7 +32,7 @@
 	return all
 }
 
-// newestVersionAt returns the newest version that was proposed before a time; 0 for none.
+// newestVersionAt returns the newest accepted version that was proposed before a time; 0 for none.
 func (r *run) newestVersionAt(at time.Time) uint64 {
 	newest := uint64(0)
 	for _, change := range r.changes {
@@ -43,7 +43,7 @@
 	return newest
 }
 
-// addUnreached adds an absence or partition. newest is the newest version at its end.
+// addUnreached adds an absence or partition. newest is the newest version at the end of the period.
 func (h *history) addUnreached(period effectivestate.Period, newest uint64) {
 	if !period.To.IsZero() {
 		appliedAt, ok := h.leasedOn(newest, period.To)
@@ -57,8 +57,8 @@
 	h.unreached = append(h.unreached, period)
 }
 
-// leasedOn returns when the dispatcher first had a lease and applied a version, or a newer one, alone, counted from a time; zero and false for
-// never.
+// leasedOn returns the first time, from the given one on, at which the dispatcher had a lease and applied only the given version or a newer one;
+// zero and false for never.
 func (h *history) leasedOn(version uint64, from time.Time) (time.Time, bool) {
 	for _, state := range h.effectiveStates {
 		if state.To.After(from) && !state.Lapsed && len(state.Versions) == 1 && state.Versions[0] >= version {
@@ -71,7 +71,7 @@
 	return time.Time{}, false
 }
 
-// firstAppliedAt returns when the dispatcher first applied a change, or a newer one, alone; false for never.
+// firstAppliedAt returns when the dispatcher first applied only a change's version or a newer one; false for never.
 func (h *history) firstAppliedAt(change acceptedChange) (time.Time, bool) {
 	for _, state := range h.effectiveStates {
 		if len(state.Versions) == 1 && state.Versions[0] >= change.version {
@@ -81,8 +81,8 @@
 	return time.Time{}, false
 }
 
-// appliedAt returns when the dispatcher first applied a change, or a newer one, alone, with or without a lease, and whether it did. unreached says that the change could not reach it for a
-// part of the time until then.
+// appliedAt returns when the dispatcher first applied only a change's version or a newer one, with or without a lease, and whether it did.
+// unreached reports whether the change could not reach it for a part of the time until then.
 func (h *history) appliedAt(change acceptedChange) (at time.Time, ok, unreached bool) {
 	at, ok = h.firstAppliedAt(change)
 	unreached = slices.ContainsFunc(h.unreached, func(period effectivestate.Period) bool {
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -23,10 +23,10 @@
 )
 
 // hollowDispatcher is a dispatcher without jobs and without connections to workers. It runs a real fleet agent and calls discovery as a real
-// dispatcher does. What its agent needs to know of jobs and workers, it makes up. A bare one only calls discovery.
+// dispatcher does. It simulates the job counts and probe results that the agent reports. A baseline one only calls discovery.
 type hollowDispatcher struct {
 	name      string
-	agent     *fleet.Agent // nil for a bare one
+	agent     *fleet.Agent // nil for a baseline dispatcher
 	meter     *traffic.Meter
 	discovery *transport.Discovery
 	startedAt time.Time
@@ -37,13 +37,13 @@
 	recorder        *failover.Recorder
 	random          *rand.Rand
 	reportedAt      time.Time // of the last report
-	claimedJobs     uint64    // reported since the start
+	reportedJobs    uint64    // simulated jobs reported since the start
 }
 
-// randomStream is the random stream of a process's first hollow dispatcher; the others have those after it.
+// randomStream is the random stream of a process's first hollow dispatcher; the others use the streams after it.
 const randomStream = 1000
 
-// newDispatcher returns a dispatcher that does not run yet. index counts the dispatchers of the process.
+// newDispatcher returns a dispatcher that does not run yet. index is its index in the process.
 func (s *hollowServer) newDispatcher(spec HollowDispatcherSpec, index uint64, log *slog.Logger) (*hollowDispatcher, error) {
 	meter := &traffic.Meter{}
 	d := &hollowDispatcher{name: spec.Name, meter: meter, discovery: transport.NewDiscovery(s.discoveryAddress, s.settings, meter)}
@@ -78,7 +78,7 @@
 	}
 	if s.spec.Failover != nil {
 		options.Failover = s.spec.Failover
-		options.PlanChanged = func(*failover.Plan, bool) {} // there are no jobs to plan for
+		options.PlanChanged = func(*failover.Plan, bool) {} // there are no jobs to route by the plan
 		options.Report = func() *failover.Report { return dispatcher.report(&s.spec, s.settings.Current()) }
 		options.HasUrgentChange = dispatcher.hasUrgentChange
 	}
@@ -102,11 +102,11 @@
 	}
 }
 
-// applyEffective records what the agent applies from now on.
+// applyEffective records the state that the agent applies from now on.
 func (d *hollowDispatcher) applyEffective(effective configversions.Effective) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := time.UnixMilli(time.Now().UnixMilli()) // as real dispatchers log it: times that are rounded alike keep their order
+	now := time.UnixMilli(time.Now().UnixMilli()) // to the millisecond, as real dispatchers log it: equally rounded times keep their order
 	if last := len(d.effectiveStates) - 1; last >= 0 {
 		d.effectiveStates[last].To = now
 	}
@@ -114,7 +114,7 @@
 	d.effectiveStates = append(d.effectiveStates, applied)
 }
 
-// appliedStates returns what the agent has applied until now.
+// appliedStates returns the states that the agent has applied until now.
 func (d *hollowDispatcher) appliedStates() []effectivestate.State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -128,21 +128,21 @@
 	return d.raftState
 }
 
-// jobCounts returns the jobs that were reported as ended; none of them as bad.
+// jobCounts returns the number of simulated jobs that were reported; none of them is bad.
 func (d *hollowDispatcher) jobCounts() (ended, bad uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.claimedJobs, 0
+	return d.reportedJobs, 0
 }
 
-// How often a hollow dispatcher probes, about as package scheduler does: each worker gets one probe a second from each of probersPerWorker
-// dispatchers (maxProbers and probeInterval there). If there are more workers than allProbedWorkers, a dispatcher probes maxProbedWorkers of
-// them, once a second: a real one's subset depends on its jobs (chooseSubset), which a hollow one does not have.
+// The probe rate of a hollow dispatcher, which is approximately that of package scheduler: each worker gets one probe a second from each of
+// probersPerWorker dispatchers (maxProbers and probeInterval there). If there are more workers than allProbedWorkers, a dispatcher probes
+// maxProbedWorkers of them once a second. A real dispatcher's subset depends on its jobs (chooseSubset), which a hollow one does not have.
 const (
 	allProbedWorkers   = 512
 	maxProbedWorkers   = 32
 	probersPerWorker   = 2
-	budgetPollInterval = 250 * time.Millisecond // between two times at which due probes are taken from the budget
+	budgetPollInterval = 250 * time.Millisecond // interval at which due probes are taken from the budget
 )
 
 // probesPerSecondOf returns how many probes a second a dispatcher of the spec would send.
@@ -153,8 +153,8 @@
 	return float64(min(spec.Workers, maxProbedWorkers))
 }
 
-// probeWorkers takes as many probes as a real dispatcher would send from the fleet's budget, until the context ends. For each of them it records
-// whether a random zone has answered.
+// probeWorkers takes from the fleet's budget as many probes as a real dispatcher would send, until the context ends. For each probe it records
+// whether a random zone answered.
 func (d *hollowDispatcher) probeWorkers(ctx context.Context, server *hollowServer) {
 	rate := probesPerSecondOf(&server.spec)
 	zones := slices.Sorted(maps.Keys(server.spec.Capacity))
@@ -170,7 +170,7 @@
 	}
 }
 
-// recordProbe records a probe of a random zone, which answers if it is observed.
+// recordProbe records a probe of a random zone. The probe counts as answered if the zone is observed.
 func (d *hollowDispatcher) recordProbe(zones, observed []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -182,17 +182,17 @@
 	}
 }
 
-// hasUrgentChange reports whether the leader should get a report at once.
+// hasUrgentChange reports whether a report should be sent to the leader at once.
 func (d *hollowDispatcher) hasUrgentChange() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.recorder.HasUrgentChange(time.Since(d.startedAt))
 }
 
-// claimedJobDuration is the mean time that a reported job ran.
-const claimedJobDuration = 200 * time.Millisecond
+// meanJobDuration is the mean execution time of simulated jobs, and of those in the emulator.
+const meanJobDuration = 200 * time.Millisecond
 
-// report returns a report of the size that a real dispatcher's has: of the zones that it probed, and of made-up jobs in its own zone.
+// report returns a report of the size of a real dispatcher's: on the zones that it probed, and on simulated jobs in its own zone.
 func (d *hollowDispatcher) report(spec *HollowSpec, settings *protocol.Settings) *failover.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -201,20 +201,20 @@
 	class := settings.Classes[0]
 	due := now.Sub(d.reportedAt).Seconds() * spec.Rate
 	for d.reportedAt = now; due > 0 && d.random.Float64() < due; due-- {
-		d.claimedJobs++
+		d.reportedJobs++
 		d.recorder.JobArrived(class.Name, class.Credit)
-		ran := time.Duration(d.random.ExpFloat64() * float64(claimedJobDuration))
+		ran := time.Duration(d.random.ExpFloat64() * float64(meanJobDuration))
 		d.recorder.AttemptEnded(spec.Zone, class.Name, false, true, ran, at)
 	}
-	report := d.recorder.Report(at, maps.Clone(spec.Capacity)) // the report has the map and rounds its values
+	report := d.recorder.Report(at, maps.Clone(spec.Capacity)) // the report keeps the map and rounds its values
 	return &report
 }
 
-// Delays of calls to discovery. They are simpler than a real dispatcher's, whose calls package polling schedules (polling.Schedule) and whose
-// scheduler decides when the list is polled anew (pollDelay in package scheduler); maxFirstCallDelay and maxRetryDelay are equal to its
-// maxFirstPollDelay and MaxListRetryDelay.
+// Delays of calls to discovery. They are simpler than a real dispatcher's: package polling schedules its calls (polling.Schedule), and its
+// scheduler decides when to poll the list again (pollDelay in package scheduler). maxFirstCallDelay and maxRetryDelay are equal to
+// maxFirstPollDelay and MaxListRetryDelay there.
 const (
-	firstCallSpread   = 50 * time.Millisecond // for each dispatcher, of the time over which their first calls are spread
+	firstCallSpread   = 50 * time.Millisecond // per dispatcher of the fleet: the first calls are spread over the product
 	maxFirstCallDelay = 3 * time.Second
 	maxRetryDelay     = 900 * time.Millisecond // after a failed call
 )
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -15,22 +15,22 @@
 	"brassdale/internal/effectivestate"
 )
 
-// hollowProcess is a child process that runs hollow dispatchers, all of one zone.
+// hollowProcess is a child process that runs hollow dispatchers of one zone.
 type hollowProcess struct {
-	number      int // counted from 0, over the run
+	number      int // counted from 0 in the run
 	dispatchers []*dispatcher
 	command     *exec.Cmd
-	stdin       io.Closer // open as long as this process runs: the child ends with it
+	stdin       io.Closer // open while this process runs: the child ends when it is closed
 	logPath     string
 	address     string // of its HTTP server
 	exited      chan struct{}
 }
 
-// hollowEnvironment bounds the cores of a hollow process: there are many processes beside it.
+// hollowEnvironment limits the cores of a hollow process, as many of them share the machine.
 const hollowEnvironment = "GOMAXPROCS=2"
 
-// hollowSeeds is by how much the seeds of hollow processes differ between runs whose seeds follow on each other.
-const hollowSeeds = 1000
+// hollowSeedStride is the difference between the seeds of hollow processes of runs with consecutive seeds.
+const hollowSeedStride = 1000
 
 // hollowLogName returns the name of a hollow process's log file.
 func hollowLogName(number int) string { return fmt.Sprintf("hollow-%d.log", number) }
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// writeHollowSpec writes what a hollow process is to run, and returns the file's path.
+// writeHollowSpec writes the spec of a hollow process, and returns the file's path.
 func (r *run) writeHollowSpec(group []*dispatcher, number int) (path string, err error) {
 	config, err := r.writeConfig(r.plan.emulatorDispatchers()-1, fmt.Sprint("hollow-", number))
 	if err != nil {
@@ -89,8 +89,8 @@
 		Failover:         r.failover,
 		Overload:         r.overload,
 		AddressOverrides: r.links.addressesFrom(region),
-		Seed:             r.plan.Seed*hollowSeeds + uint64(number),
-		Baseline:         group[0].role == roleBare,
+		Seed:             r.plan.Seed*hollowSeedStride + uint64(number),
+		Baseline:         group[0].role == roleBaseline,
 	}
 	for _, each := range group {
 		spec.Dispatchers = append(spec.Dispatchers, HollowDispatcherSpec{each.name, each.fleetAddress})
@@ -103,14 +103,13 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// start starts the process, and returns when it has written the address of its HTTP server. The process is ended by kill, or ends with this
-// one.
+// start starts the process, and returns when it has written the address of its HTTP server. The process ends by kill, or when this process ends.
 func (p *hollowProcess) start() error {
 	log, err := os.Create(p.logPath)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // only the child writes to it, by a descriptor of its own
+	defer func() { _ = log.Close() }() // only the child writes to it, with a descriptor of its own
 	p.command.Env = append(os.Environ(), hollowEnvironment)
 	p.command.Stderr = log
 	if p.stdin, err = p.command.StdinPipe(); err != nil {
@@ -124,22 +123,23 @@
 		return err
 	}
 	address := make(chan string, 1)
-	go p.follow(stdout, address)
+	go p.readAddressAndWait(stdout, address)
 	if p.address = <-address; p.address == "" {
 		p.kill()
-		text, _ := os.ReadFile(p.logPath) // the error says that it ended, also without its log
+		text, _ := os.ReadFile(p.logPath) // the error is complete enough without the log
 		return fmt.Errorf("hollow process %d ended before it was ready: %s", p.number, text)
 	}
 	return nil
 }
 
-// follow sends the first line of the process's output, which is empty if the process ended without one, and then waits for the process.
-func (p *hollowProcess) follow(stdout io.Reader, address chan<- string) {
+// readAddressAndWait sends the first line of the process's output, or an empty one if the process ended without output, and then waits for the
+// process's end.
+func (p *hollowProcess) readAddressAndWait(stdout io.Reader, address chan<- string) {
 	defer close(p.exited)
-	line, _ := bufio.NewReader(stdout).ReadString('\n') // an error leaves the line empty or cut, and start fails
+	line, _ := bufio.NewReader(stdout).ReadString('\n') // after an error the line is empty or incomplete, and start fails
 	address <- strings.TrimSpace(line)
-	_, _ = io.Copy(io.Discard, stdout) // the output ends with the process, which then is waited for
-	_ = p.command.Wait()               // how it ended is in its log
+	_, _ = io.Copy(io.Discard, stdout) // the output ends with the process
+	_ = p.command.Wait()               // the log tells how it ended
 }
 
 // kill kills the process and waits for its end.
@@ -158,7 +158,7 @@
 	return slices.Clone(r.hollowProcesses)
 }
 
-// statesFromLog returns what a hollow dispatcher applied until a time, by the log of its process.
+// statesFromLog returns the states that a hollow dispatcher applied until a time, from the log of its process.
 func statesFromLog(log, name string, end time.Time) []effectivestate.State {
 	var own strings.Builder
 	mark := " hollow=" + name + " "
--- a/internal/scale/hollowserver.go
+++ b/internal/scale/hollowserver.go
@@ -21,15 +21,15 @@
 // The resources of a hollow process's HTTP server.
 const (
 	countsPath        = "/counts" // GET: hollowCounts
-	statesPath        = "/stands" // GET: what each dispatcher has applied, by its name
+	statesPath        = "/stands" // GET: the states that each dispatcher has applied, by name
 	observedZonesPath = "/hears"  // POST: names of the zones from which probes are answered from now on
 )
 
-// hollowCounts is what a process of hollow dispatchers has counted.
+// hollowCounts is the counters of a process of hollow dispatchers.
 type hollowCounts struct {
 	LateTicks  []lateTick               `json:"late"`
 	Control    map[string]controlCounts `json:"each"`  // by dispatcher
-	RaftStates map[string]raftState     `json:"roles"` // by dispatcher; only of those that are voters
+	RaftStates map[string]raftState     `json:"roles"` // by dispatcher; only of voters
 }
 
 // hollowServer runs the hollow dispatchers of a process.
@@ -44,8 +44,8 @@
 	observedZones []string // from which probes are answered
 }
 
-// ServeHollow runs the hollow dispatchers of a spec until the reader ends. Once they run, it writes the address of its HTTP server, as a line,
-// to the writer. It is called in a process that does nothing else: the dispatchers end with it, and do not leave the fleet.
+// ServeHollow runs the hollow dispatchers of a spec until the reader or the context ends. Once they run, it writes a line with the address of its
+// HTTP server to the writer. It is called in a process that does nothing else: the dispatchers end with the process, without leaving the fleet.
 func ServeHollow(ctx context.Context, spec HollowSpec, until io.Reader, addressTo io.Writer, log *slog.Logger) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -58,7 +58,7 @@
 		return err
 	}
 	httpServer := &http.Server{Handler: server.handler()}
-	go func() { _ = httpServer.Serve(listener) }() // it ends by Close
+	go func() { _ = httpServer.Serve(listener) }() // ends by Close
 	defer func() { _ = httpServer.Close() }()      // the process ends
 	go server.stalls.run(ctx)
 	for _, dispatcher := range server.dispatchers {
@@ -70,7 +70,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _ = io.Copy(io.Discard, until) // an error is an end, too
+		_, _ = io.Copy(io.Discard, until) // an error counts as the end
 	}()
 	select {
 	case <-ended:
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// newHollowServer returns a server with all dispatchers of the spec, none of which runs yet.
+// newHollowServer returns a server with all dispatchers of the spec. None of them runs yet.
 func newHollowServer(spec HollowSpec, log *slog.Logger) (*hollowServer, error) {
 	config, err := protocol.LoadConfig(spec.ConfigPath, os.Getenv)
 	if err != nil {
@@ -113,12 +113,12 @@
 
 // writeJSON writes a response.
 func writeJSON(w http.ResponseWriter, value any) {
-	_ = json.NewEncoder(w).Encode(value) // the run has gone, and ends this process
+	_ = json.NewEncoder(w).Encode(value) // fails only if the run has closed the connection, and then it ends this process
 }
 
-// counts returns what has been counted until now.
+// counts returns the current counters.
 func (s *hollowServer) counts() hollowCounts {
-	counts := hollowCounts{LateTicks: s.stalls.all(), Control: map[string]controlCounts{}, RaftStates: map[string]raftState{}}
+	counts := hollowCounts{LateTicks: s.stalls.lateTicks(), Control: map[string]controlCounts{}, RaftStates: map[string]raftState{}}
 	for _, dispatcher := range s.dispatchers {
 		counts.Control[dispatcher.name] = dispatcher.meter.Counts()
 		if state := dispatcher.currentRaftState(); state != (raftState{}) {
@@ -128,7 +128,7 @@
 	return counts
 }
 
-// effectiveStates returns what the dispatchers have applied until now, by their names.
+// effectiveStates returns the states that the dispatchers have applied until now, by name.
 func (s *hollowServer) effectiveStates() map[string][]effectivestate.State {
 	states := map[string][]effectivestate.State{}
 	for _, dispatcher := range s.dispatchers {
--- a/internal/scale/hollowspec.go
+++ b/internal/scale/hollowspec.go
@@ -7,9 +7,9 @@
 	"brassdale/internal/fleet"
 )
 
-// HollowSpec is what a process of hollow dispatchers is to run. They are all of one zone.
+// HollowSpec configures a process of hollow dispatchers, which are all in one zone.
 type HollowSpec struct {
-	ConfigPath       string                 `json:"config"` // of the platform's configuration file
+	ConfigPath       string                 `json:"config"` // the platform's configuration file
 	Directory        string                 `json:"directory"`
 	Fleet            string                 `json:"fleet"`
 	Zone             string                 `json:"zone"`
@@ -25,11 +25,11 @@
 	Overload         *fleet.Overload        `json:"overload"`
 	AddressOverrides map[string]string      `json:"reach,omitempty"`
 	Seed             uint64                 `json:"seed"`
-	Baseline         bool                   `json:"bare"` // they have no fleet, and only call discovery
+	Baseline         bool                   `json:"bare"` // they have no fleet agent, and only call discovery
 	Dispatchers      []HollowDispatcherSpec `json:"each"`
 }
 
-// HollowDispatcherSpec is one of the dispatchers.
+// HollowDispatcherSpec configures one of the dispatchers.
 type HollowDispatcherSpec struct {
 	Name    string `json:"name"`
 	Address string `json:"address"` // where other dispatchers reach it
--- a/internal/scale/interface_test.go
+++ b/internal/scale/interface_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const aloneFile = `title = "no jobs"
+const interfaceFile = `title = "no jobs"
 settle = "4s"
 span = "10s"
 bound = "1s"
@@ -25,15 +25,15 @@
 }
 `
 
-// What is counted agrees with what the loopback interface carried, without the packets' headers, and with what links carry counted once. As
-// all other traffic of the interface would be in its figure, the test runs alone: the Makefile runs it after the other tests.
+// The counted bytes agree with the bytes that the loopback interface carried, without packet headers. Bytes that links carry count once. Any other
+// traffic on the interface would be in its figure, so the Makefile runs this test by itself, after the others.
 func TestInterface(t *testing.T) {
 	if os.Getenv("BRASSDALE_ALONE") == "" {
-		t.Skip("it needs the loopback interface for itself: BRASSDALE_ALONE=1 says that it has it")
+		t.Skip("needs a loopback interface without other traffic: set BRASSDALE_ALONE=1 if there is none")
 	}
 	for name, linked := range map[string]bool{"without links": false, "with links": true} {
 		t.Run(name, func(t *testing.T) {
-			f, err := Parse([]byte(aloneFile), "x.hcl")
+			f, err := Parse([]byte(interfaceFile), "x.hcl")
 			p := points(t, f, err)[0].Plan
 			p.SkipWorkerProbes, p.CountLinks = true, linked
 			before, err := readMachineCounters()
@@ -49,18 +49,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkSound(t, r)
+			checkInvariants(t, r)
 			if r.WorkerProbes+r.Jobs > 0 {
-				t.Errorf("%d probes of workers and %d jobs are in the interface's figure", r.WorkerProbes, r.Jobs)
+				t.Errorf("expected no probes of workers and no jobs, got %d and %d", r.WorkerProbes, r.Jobs)
 			}
 			x := r.Interface
 			t.Logf("%+v", x)
 			if x.Counted == 0 || x.CountedShare < 0.9 || x.CountedShare > 1.1 {
-				t.Errorf("%.0f bytes a second were counted, %.0f were carried: %.3f of it; others had %.0f carried in the second before the start",
+				t.Errorf("counted %.0f bytes/s of %.0f carried, a ratio of %.3f, expected 0.9 to 1.1; other processes sent %.0f bytes in the second before the start",
 					x.Counted, x.Bytes, x.CountedShare, loopbackPayload(before, idle))
 			}
 			if carried := x.Links > 0; carried != linked {
-				t.Errorf("links carried %.0f bytes a second", x.Links)
+				t.Errorf("unexpected bytes/s on links: %.0f", x.Links)
 			}
 		})
 	}
--- a/internal/scale/jobs.go
+++ b/internal/scale/jobs.go
@@ -12,19 +12,19 @@
 	"brassdale/internal/labsupport"
 )
 
-// jobCounts are the jobs of a run by what became of them.
+// jobCounts are the jobs of a run by outcome.
 type jobCounts struct {
 	sent       int
 	answered   int
 	unanswered int
-	lost       int // unanswered, as their dispatcher was killed
+	lost       int // unanswered because their dispatcher was killed
 }
 
 // jobStream is the random stream of the jobs.
 const jobStream = 3
 
-// sendJobs sends jobs until the end of the span, to each of the dispatchers that take jobs in turn, whatever became of earlier ones. Their
-// rate is these dispatchers' part of the plan's. It returns when the last job has ended.
+// sendJobs sends jobs to the dispatchers that take jobs, in turn and without waiting for earlier jobs, until the end of the span. The rate is
+// these dispatchers' share of the plan's rate. sendJobs returns when the last job has ended.
 func (r *run) sendJobs(ctx context.Context, end time.Time) {
 	rate := r.plan.Rate / float64(r.plan.Dispatchers) * float64(len(r.jobTargets()))
 	if rate <= 0 {
@@ -52,7 +52,7 @@
 	return slices.DeleteFunc(r.running(), func(each dispatcher) bool { return each.hollow || each.role == roleDedicated })
 }
 
-// sendJob sends a job and counts what becomes of it.
+// sendJob sends a job and counts its outcome.
 func (r *run) sendJob(ctx context.Context, client *http.Client, target dispatcher, number int, team string) {
 	job := labsupport.Job{Seed: r.plan.Seed, Number: number, Class: emulator.ClassName, Account: team}
 	_, err := job.Post(ctx, client, target.process.Address)
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -13,7 +13,7 @@
 	probesPerSecond = 40
 )
 
-// layOut creates the run's dispatchers, with their zones and addresses, and the links between regions. Nothing is started yet.
+// layOut creates the run's dispatchers, with their zones and addresses, and the links between regions. It starts no process.
 func (r *run) layOut() error {
 	if err := r.layOutReal(); err != nil {
 		return err
@@ -32,19 +32,19 @@
 	return nil
 }
 
-// layOutReal creates the real dispatchers: those dedicated to control, then those that serve jobs, then the bare ones. The first of them are the
-// voters, which get the zones that the plan has for these.
+// layOutReal creates the real dispatchers: first those dedicated to control, then those that serve jobs, then the baseline ones. The first
+// Plan.Voters of them are the voters, in the zones of Plan.voterZone.
 func (r *run) layOutReal() error {
 	var free []int
 	for listener := range r.plan.emulatorDispatchers() - 1 {
 		free = append(free, listener)
 	}
-	firstServing, firstBare := r.plan.Dedicated, r.plan.Dedicated+r.plan.Real()
-	for i := range firstBare + r.plan.Baseline {
+	firstServing, firstBaseline := r.plan.Dedicated, r.plan.Dedicated+r.plan.Real()
+	for i := range firstBaseline + r.plan.Baseline {
 		added := &dispatcher{name: fmt.Sprint("n", i), role: roleServing}
 		switch {
-		case i >= firstBare:
-			added.role = roleBare
+		case i >= firstBaseline:
+			added.role = roleBaseline
 		case i < firstServing:
 			added.role = roleDedicated
 		}
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// takeEmulatorIndex takes the first listener of a zone, or the first of all if the zone has none, and returns the others with it.
+// takeEmulatorIndex takes the first free listener of a zone, or the first of all if the zone has none, and returns it with the remaining ones.
 func takeEmulatorIndex(free []int, zone, zones int) (listener int, rest []int) {
 	i := max(slices.IndexFunc(free, func(listener int) bool { return listener%zones == zone }), 0)
 	listener = free[i]
 	return listener, slices.Delete(free, i, i+1)
 }
 
-// layOutHollow creates the hollow dispatchers and groups them by process. Those that a fault replaces have a process each.
+// layOutHollow creates the hollow dispatchers and groups them by process. Dispatchers that a fault replaces have a process each.
 func (r *run) layOutHollow() error {
 	groups := make([][]*dispatcher, r.plan.Processes)
 	firstReplaced := r.plan.Hollow
@@ -87,21 +87,20 @@
 			return err
 		}
 	}
-	var bareGroup []*dispatcher
+	var baselineGroup []*dispatcher
 	for i := range r.plan.HollowBaseline {
-		added := &dispatcher{name: fmt.Sprint("b", i), role: roleBare, hollow: true}
-		bareGroup = append(bareGroup, added)
+		added := &dispatcher{name: fmt.Sprint("b", i), role: roleBaseline, hollow: true}
+		baselineGroup = append(baselineGroup, added)
 		if err := r.addDispatcher(added); err != nil {
 			return err
 		}
 	}
-	groups = append(groups, bareGroup)
+	groups = append(groups, baselineGroup)
 	r.hollowGroups = slices.DeleteFunc(groups, func(group []*dispatcher) bool { return len(group) == 0 })
 	return nil
 }
 
-// addDispatcher adds a dispatcher to the run, at an address of its own. The caller has locked the run's mutex, unless nothing
-// runs yet.
+// addDispatcher adds a dispatcher to the run, at an address of its own. The caller holds the run's mutex, unless nothing runs yet.
 func (r *run) addDispatcher(added *dispatcher) error {
 	address, err := reserveAddress()
 	added.fleetAddress = address
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -7,20 +7,20 @@
 	"brassdale/internal/labsupport"
 )
 
-// machineCounters is what the whole machine has done since its start.
+// machineCounters is counters of the whole machine since its start.
 type machineCounters struct {
 	busyTicks  float64 // of all cores
 	totalTicks float64 // of all cores, idle ones included
 	loopback   labsupport.LoopbackUsage
-	udpPackets float64 // sent; they are loopback packets here
+	udpPackets float64 // sent by any interface; all are taken for loopback packets
 }
 
 const (
-	tcpHeaderBytes = 52 // of a packet on the loopback interface: IP and TCP with timestamps
+	tcpHeaderBytes = 52 // of a packet: IP and TCP with timestamps
 	udpHeaderBytes = 28
 )
 
-// The fields of a cpu line of /proc/stat, counted from 0. Those from statGuest on are in user time already.
+// The indexes of fields in a cpu line of /proc/stat. The fields from statGuest on are already included in user time.
 const (
 	statIdle   = 3
 	statIOWait = 4
@@ -60,7 +60,7 @@
 	return strings.Split(string(text), "\n"), err
 }
 
-// snmpCounter returns a protocol's counter of /proc/net/snmp, which has a line of names and one of values for each protocol; 0 for none.
+// snmpCounter returns a protocol's counter in /proc/net/snmp, which has a line of names and a line of values for each protocol; 0 for none.
 func snmpCounter(lines []string, protocol, counter string) float64 {
 	var names []string
 	for _, line := range lines {
--- a/internal/scale/meteredclient.go
+++ b/internal/scale/meteredclient.go
@@ -13,7 +13,7 @@
 	"brassdale/internal/traffic"
 )
 
-// meteredClient is an HTTP client of the run itself. Its traffic is counted, as it goes over the same interface as the fleet's.
+// meteredClient is an HTTP client of the run itself. It counts its traffic, which goes over the same interface as the fleet's.
 type meteredClient struct {
 	http  *http.Client
 	meter traffic.Meter
@@ -29,7 +29,7 @@
 	return c
 }
 
-// total returns all that the client's connections have carried.
+// total returns the traffic of all of the client's connections.
 func (c *meteredClient) total() traffic.Count { return traffic.Total(c.meter.Counts()) }
 
 // send sends a request and returns the response's status and whole body.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end, or failed
+	defer func() { _ = resp.Body.Close() }() // the body was read to its end, or reading failed
 	text, err = io.ReadAll(resp.Body)
 	return resp.StatusCode, text, err
 }
@@ -72,7 +72,7 @@
 	return json.Unmarshal(text, target)
 }
 
-// postJSON posts a value to a resource that answers nothing.
+// postJSON posts a value to a resource that responds without a body.
 func (c *meteredClient) postJSON(ctx context.Context, url string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/scale/peaks.go
+++ b/internal/scale/peaks.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// peakWindow is the time over which peaks are means.
+// peakWindow is the time over which usage is averaged for peaks.
 const peakWindow = 10 * time.Second
 
-// minPeakWindow is how long snapshots must be apart to make a window: they may be taken late.
+// minPeakWindow is the minimum time between the first and the last snapshot of a window: snapshots may be taken late.
 const minPeakWindow = peakWindow - snapshotInterval/2
 
-// peaks returns the most bytes and milliseconds of processor time a second that a dispatcher of each role had over a window that ended between
-// two times.
+// peaks returns the highest bytes and milliseconds of processor time a second of any dispatcher, by role, over windows that ended between two
+// times.
 func (r *run) peaks(from, to time.Time) (bytes, cpuMS map[costRole]float64) {
 	bytes, cpuMS = map[costRole]float64{}, map[costRole]float64{}
 	first := 0
@@ -23,7 +23,7 @@
 		}
 		window := r.snapshots[first : last+1]
 		for _, each := range r.dispatchers {
-			if each.role == roleBare {
+			if each.role == roleBaseline {
 				continue
 			}
 			role, usedBytes, usedMS := usageIn(window, each)
@@ -36,7 +36,7 @@
 	return bytes, cpuMS
 }
 
-// usageIn returns what a dispatcher used in a window, and its role: leader or voter if it was that at any time of the window.
+// usageIn returns a dispatcher's usage in a window, and its role. That is leader, or else voter, if any snapshot of the window shows it as such.
 func usageIn(window []snapshot, each *dispatcher) (role costRole, bytes, cpuMS float64) {
 	role = each.role
 	for i, taken := range window {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -6,50 +6,50 @@
 	"brassdale/internal/fleet"
 )
 
-// Plan is one run: the size of a fleet and what happens to it.
+// Plan describes one run: the size of a fleet, its load, and the changes and the fault during the run.
 type Plan struct {
 	Title string
 	Seed  uint64 // of jobs, proposals, workers and links
 
 	Settle             time.Duration // from when all dispatchers have leases until the measured span begins
-	Span               time.Duration // that is measured
-	SpanWithoutChanges time.Duration // at the start of the span, without changes; 0 for none
+	Span               time.Duration // measured span
+	SpanWithoutChanges time.Duration // at the start of Span, without config changes; 0 for none
 
 	LeaseDuration time.Duration
-	ReplaceAfter  time.Duration // a voter that is silent for this long is replaced
+	ReplaceAfter  time.Duration // a voter that is silent for so long is replaced
 
 	Regions      int
 	Zones        int
 	Workers      int
 	Accelerators int     // slots of all workers together
 	Teams        int     // accounts with quotas
-	Dispatchers  int     // that serve jobs, real and hollow
-	Voters       int     // of the raft group as it is founded
-	Dedicated    int     // real dispatchers beside Dispatchers that are dedicated to control; they are the first voters
-	Hollow       int     // of Dispatchers
-	Processes    int     // of the hollow dispatchers
-	Baseline     int     // real dispatchers beside Dispatchers that have no fleet
-	Rate         float64 // jobs a second, of all Dispatchers; a real or bare one gets its part, a hollow one reports it
+	Dispatchers  int     // dispatchers that serve jobs, real and hollow
+	Voters       int     // initial voters of the raft group
+	Dedicated    int     // real dispatchers that are dedicated to control, not in Dispatchers; they are the first voters
+	Hollow       int     // how many of Dispatchers are hollow
+	Processes    int     // for the hollow dispatchers
+	Baseline     int     // real dispatchers without a fleet agent, not in Dispatchers
+	Rate         float64 // jobs a second of all Dispatchers together; a real or baseline one gets its share, a hollow one reports it
 
 	ChangeInterval  time.Duration // between proposals of config versions; 0 for none
-	ChangesPerDay   float64       // that a day has in the operators' capacity plan
+	ChangesPerDay   float64       // that the operators' capacity plan expects
 	RestartInterval time.Duration // between restarts of a worker; 0 for none
-	DrainInterval   time.Duration // between drains of a worker, which then leaves for good; 0 for none
+	DrainInterval   time.Duration // between drains of a worker, which does not return; 0 for none
 	Fault           *Fault        // nil for none
 
-	// SkipWorkerProbes has real dispatchers probe no worker: a run without jobs then has nothing on the loopback interface that is not
-	// counted, as probes and jobs are no part of control and go over connections of their own. Tests set it; files cannot.
+	// SkipWorkerProbes turns off the worker probes of real dispatchers. Probes and jobs are not part of control and not counted, so without
+	// both, all traffic on the loopback interface is counted. Only tests set it.
 	SkipWorkerProbes bool
-	// HollowBare is the number of hollow dispatchers that have no fleet. They share a process of their own. Only ComparisonPlans sets it.
+	// HollowBaseline is the number of hollow dispatchers without a fleet agent. They share a process of their own. Only ComparisonPlans sets it.
 	HollowBaseline int
-	// CountLinks has calls to voters of other regions go over links without faults, and counts what these carry. Tests set it; files cannot.
+	// CountLinks routes calls to voters of other regions over links without faults, and counts the links' traffic. Only tests set it.
 	CountLinks bool
 }
 
 // Real returns the number of real dispatchers that serve jobs and belong to the fleet.
 func (p *Plan) Real() int { return p.Dispatchers - p.Hollow }
 
-// Packing returns how many times as often changes come as on a day of the operators' capacity plan; 0 without changes.
+// ChangeRateFactor returns the ratio of the run's rate of changes to the rate in the operators' capacity plan; 0 without changes.
 func (p *Plan) ChangeRateFactor() float64 {
 	if p.ChangeInterval == 0 || p.ChangesPerDay == 0 {
 		return 0
@@ -65,8 +65,8 @@
 	return int((p.Span - p.SpanWithoutChanges + p.ChangeInterval - 1) / p.ChangeInterval)
 }
 
-// emulatorDispatchers returns the number of dispatchers that the emulator plays workers and discovery for: one for each real dispatcher, and the last
-// one for all hollow ones.
+// emulatorDispatchers returns the number of dispatchers for which the emulator provides workers and discovery: one for each real dispatcher, and
+// the last for all hollow ones.
 func (p *Plan) emulatorDispatchers() int { return p.Dedicated + p.Real() + p.Baseline + 1 }
 
 // region returns the region of a zone, as the emulator assigns them.
@@ -75,7 +75,7 @@
 // zoneCapacity returns the slots of each zone, by its name.
 func (p *Plan) zoneCapacity() map[string]float64 {
 	capacity := map[string]float64{}
-	for worker := range p.Workers { // as the emulator assigns them: the smaller ones first
+	for worker := range p.Workers { // as the emulator assigns them: the smaller workers first
 		slots := p.Accelerators / p.Workers
 		if worker >= p.Workers-(p.Accelerators-slots*p.Workers) {
 			slots++
@@ -85,8 +85,7 @@
 	return capacity
 }
 
-// voterZone returns the zone of a voter, counted from 0. Voters are spread over as many regions, and within these over as many zones, as
-// there are.
+// voterZone returns the zone of a voter; both are counted from 0. Voters are spread evenly over all regions, and in each region over its zones.
 func (p *Plan) voterZone(voter int) int {
 	var zones []int
 	for zone := range p.Zones {
@@ -97,35 +96,35 @@
 	return zones[voter/p.Regions%len(zones)]
 }
 
-// reportFunc takes a mistake at an attribute of a file. The detail is formatted as by fmt.Sprintf.
+// reportFunc gets a mistake at an attribute of a file. The detail is formatted as by fmt.Sprintf.
 type reportFunc func(attribute, format string, args ...any)
 
-// maxSockets is how many listening sockets the workers of a run may have: a machine's ports and descriptors suffice for so many.
+// maxSockets is the number of listening sockets that the workers of a run may have, which is limited by the machine's ports and descriptors.
 const maxSockets = 12_000
 
-// maxEmulatorDispatchers returns how many dispatchers the emulator can play workers for: each of these has a listener for each worker.
+// maxEmulatorDispatchers returns the number of dispatchers that the emulator can serve: each worker has a listener for each of them.
 func maxEmulatorDispatchers(workers int) int { return maxSockets / max(workers, 1) }
 
-// check reports what makes the plan unplayable, by the attributes of its file.
+// check reports what makes the plan invalid, by the attributes of its file.
 func (p *Plan) check(report reportFunc) {
 	if p.LeaseDuration > 0 && p.LeaseDuration < fleet.MinLease {
-		report("bound", "It must be %v at least.", fleet.MinLease)
+		report("bound", "It must be at least %v.", fleet.MinLease)
 	}
 	if p.ReplaceAfter > 0 && p.ReplaceAfter < fleet.MinReplaceAfter {
-		report("replace", "It must be %v at least.", fleet.MinReplaceAfter)
+		report("replace", "It must be at least %v.", fleet.MinReplaceAfter)
 	}
 	p.checkSizes(report)
 	if p.SpanWithoutChanges > 0 && p.SpanWithoutChanges >= p.Span {
 		report("rest", "It must be shorter than the span.")
 	}
 	if p.Teams < 0 {
-		report("teams", "There must be 0 at least.")
+		report("teams", "It must be 0 or more.")
 	}
 	if p.Baseline < 0 {
-		report("bare", "There must be 0 at least.")
+		report("bare", "It must be 0 or more.")
 	}
 	if p.Rate < 0 {
-		report("rate", "It must be 0 at least.")
+		report("rate", "It must be 0 or more.")
 	}
 	if p.Fault != nil {
 		p.Fault.check(p, report)
@@ -135,27 +134,27 @@
 // checkSizes reports sizes that do not fit together.
 func (p *Plan) checkSizes(report reportFunc) {
 	if p.Regions < 1 || p.Regions > p.Zones {
-		report("regions", "There must be 1 at least, and no more than zones.")
+		report("regions", "It must be from 1 to the number of zones.")
 	}
 	if p.Workers < p.Zones || p.Workers < 1 {
-		report("workers", "There must be one for each zone.")
+		report("workers", "There must be at least one for each zone.")
 	}
 	if p.Accelerators < p.Workers {
-		report("accelerators", "There must be one for each worker.")
+		report("accelerators", "There must be at least one for each worker.")
 	}
 	if p.Voters != 1 && p.Voters != 3 && p.Voters != 5 {
 		report("seats", "There must be 1, 3 or 5.")
 	}
 	if p.Dedicated < 0 || p.Voters > p.Dedicated+p.Real() {
-		report("set_aside", "Seats need machines set aside, or real dispatchers.")
+		report("set_aside", "Together with the real dispatchers, there must be at least one for each seat.")
 	}
 	if p.Hollow < 0 || p.Hollow > p.Dispatchers {
-		report("hollow", "There must be no more than dispatchers.")
+		report("hollow", "It must be from 0 to dispatchers.")
 	}
 	if p.Hollow > 0 && (p.Processes < min(p.Zones, p.Hollow) || p.Processes > p.Hollow) {
-		report("processes", "There must be one for each zone at least, and no more than hollow dispatchers.")
+		report("processes", "There must be at least one for each zone, and no more than hollow dispatchers.")
 	}
 	if listeners := p.emulatorDispatchers(); listeners > maxEmulatorDispatchers(p.Workers) {
-		report("dispatchers", "%d real ones are too many with %d workers, at most %d: more must be hollow.", listeners-1, p.Workers, maxEmulatorDispatchers(p.Workers)-1)
+		report("dispatchers", "%d real dispatchers are too many with %d workers, at most %d: more must be hollow.", listeners-1, p.Workers, maxEmulatorDispatchers(p.Workers)-1)
 	}
 }
--- a/internal/scale/point.go
+++ b/internal/scale/point.go
@@ -8,12 +8,12 @@
 
 // Point is one run of a file.
 type Point struct {
-	Name string // of its directory; empty if the file has one run alone
+	Name string // of its results directory; empty if the file has only one run
 	Plan Plan
 }
 
-// Points returns a file's runs, for as many seeds as it has from the given one on. hollow not below 0 and processes above 0 replace what the
-// file says. The error names the first mistake that these bring, as an attribute.
+// Points returns a file's runs, with consecutive seeds from the given one on. If hollow is not negative, or processes is above 0, they replace
+// the file's values. The error names the first mistake that results from that, by attribute.
 func (f *File) Points(seed uint64, hollow, processes int) ([]Point, error) {
 	file := *f
 	if hollow >= 0 {
@@ -56,8 +56,8 @@
 	return plan
 }
 
-// resized returns the file at another size, and false for one that cannot be. The number of real dispatchers and that of accelerators for
-// each worker stay.
+// resized returns the file with another value of one size, and false if the size or the value is invalid. The number of real dispatchers and the
+// number of accelerators per worker stay.
 func (f *File) resized(by string, size int) (*File, bool) {
 	file := *f
 	switch by {
@@ -91,10 +91,10 @@
 type pointList struct {
 	points []Point
 	seeds  int
-	err    error // the first mistake
+	err    error // for the first mistake
 }
 
-// add checks a plan and adds it, unless there is one of its name.
+// add checks a plan and adds it, unless there is already one of its name.
 func (l *pointList) add(name string, plan Plan) {
 	plan.check(func(attribute, format string, args ...any) {
 		if l.err == nil {
@@ -112,7 +112,7 @@
 	return fmt.Errorf("%s: %s", attribute, fmt.Sprintf(format, args...))
 }
 
-// pointName returns the name of a point, with its seed if the file has several.
+// pointName returns the name of a point, with its seed if the file has several seeds.
 func pointName(name string, seeds int, seed uint64) string {
 	switch {
 	case seeds < 2:
--- a/internal/scale/proposer.go
+++ b/internal/scale/proposer.go
@@ -15,19 +15,19 @@
 // acceptedChange is a config version that was proposed and accepted.
 type acceptedChange struct {
 	version uint64
-	at      time.Time // when the attempt that was accepted was made
+	at      time.Time // when the accepted attempt was made
 }
 
 // proposer proposes config versions, each based on the one before. It is used by one goroutine at a time.
 type proposer struct {
 	run         *run
 	random      *rand.Rand
-	newestKnown uint64 // version
+	newestKnown uint64 // version number
 }
 
 const (
 	proposalStream        = 4                      // random stream of the proposals
-	proposalRetryInterval = 100 * time.Millisecond // after one that was not accepted
+	proposalRetryInterval = 100 * time.Millisecond // after an attempt that was not accepted
 	proposalTimeout       = 2 * time.Second
 	proposePath           = "/council/propose"
 	proposalReason        = "a change of the plan's"
@@ -38,7 +38,7 @@
 	return &proposer{run: r, random: rand.New(rand.NewPCG(r.plan.Seed, proposalStream))}
 }
 
-// proposeUntil proposes config versions at the plan's interval until the end, and one out of turn when a fault begins.
+// proposeUntil proposes config versions at the plan's interval until the end, and one at once when a fault begins.
 func (p *proposer) proposeUntil(ctx context.Context, end time.Time) {
 	for at := time.Now(); at.Before(end); at = at.Add(p.run.plan.ChangeInterval) {
 		select {
@@ -53,7 +53,7 @@
 	}
 }
 
-// proposeOnce proposes a config version until it is accepted. It returns false if it is not by the end.
+// proposeOnce proposes a config version until it is accepted. It returns false if that does not happen before the end.
 func (p *proposer) proposeOnce(ctx context.Context, end time.Time) bool {
 	rules := p.randomRules()
 	for attempt, at := 0, time.Now(); ctx.Err() == nil; attempt++ {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// randomRules returns rules of the size that real ones have, with a quota for each team.
+// randomRules returns rules of a realistic size, with a quota for each team.
 func (p *proposer) randomRules() configversions.Rules {
 	rules := configversions.Rules{RetryRatio: float64(p.random.IntN(10)) / 10, RetriesAllowed: p.random.IntN(4) > 0, QuotaCaps: map[string]float64{}}
 	for team := range p.run.plan.Teams {
@@ -82,8 +82,8 @@
 	return rules
 }
 
-// proposeAfterFault proposes a config version by the deadline if none was accepted since the fault ended: how long it takes until this one is
-// in force says when the fleet has recovered.
+// proposeAfterFault proposes a config version by the deadline if none was accepted since the fault ended. The fleet has recovered when a version
+// that was accepted after the fault began is in force everywhere.
 func (p *proposer) proposeAfterFault(ctx context.Context, deadline time.Time) {
 	p.run.mu.Lock()
 	endedAt := p.run.faultRecord.endedAt
@@ -94,8 +94,8 @@
 	}
 }
 
-// proposalTarget returns the address to which an attempt of a proposal goes: that of the leader first, and then those of the founding voters
-// that run.
+// proposalTarget returns the address for an attempt to propose. The attempts go to the leader and the running initial voters in turn, starting
+// with the leader.
 func (r *run) proposalTarget(attempt int) string {
 	leader := r.currentLeader()
 	var addresses []string
@@ -112,7 +112,7 @@
 	return addresses[attempt%len(addresses)]
 }
 
-// postProposal proposes a config version at an address. It returns the record that the response has, and whether the version was announced.
+// postProposal proposes a config version at an address. It returns the record in the response, and whether the version was announced.
 func (r *run) postProposal(ctx context.Context, proposed configversions.Version, address string) (configversions.Record, bool) {
 	var response struct{ Record configversions.Record }
 	body, err := json.Marshal(proposed)
--- a/internal/scale/raftstate.go
+++ b/internal/scale/raftstate.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// raftState is whether a dispatcher is a voter of the raft group, and leads it.
+// raftState says whether a dispatcher is a voter of the raft group, and since when it leads the group.
 type raftState struct {
 	Voter       bool      `json:"seated,omitempty"`
-	LeaderSince time.Time `json:"leads,omitzero"` // zero for no leader
+	LeaderSince time.Time `json:"leads,omitzero"` // zero if it does not lead
 }
 
-// The log lines of the fleet agent from which a raftState is learned.
+// The log messages of the fleet agent that show a raftState, and the key of an attribute.
 const (
 	becameVoterMessage       = "became voter"
 	noLongerVoterMessage     = "no longer a voter"
@@ -21,7 +21,7 @@
 	leadsKey                 = "leads" // whether the dispatcher leads now
 )
 
-// raftStateFromLog returns the state of a real dispatcher by the log of its process.
+// raftStateFromLog returns the state of a real dispatcher from the log of its process.
 func raftStateFromLog(log string) raftState {
 	state := raftState{Voter: strings.LastIndex(log, `msg="`+becameVoterMessage+`" `) > strings.LastIndex(log, `msg="`+noLongerVoterMessage+`" `)}
 	leadershipChanged := `msg="` + leadershipChangedMessage + `" ` + leadsKey + "="
@@ -31,11 +31,11 @@
 	}
 	line := log[strings.LastIndexByte(log[:last], '\n')+1:]
 	timestamp, _, _ := strings.Cut(line, " ")
-	state.LeaderSince, _ = time.Parse(time.RFC3339Nano, strings.TrimPrefix(timestamp, "time=")) // zero, and so no leader, for any other text
+	state.LeaderSince, _ = time.Parse(time.RFC3339Nano, strings.TrimPrefix(timestamp, "time=")) // zero (not the leader) for any other text
 	return state
 }
 
-// raftStateHandler is the log handler of a hollow dispatcher's agent. It records the state that the log lines show.
+// raftStateHandler is the log handler of a hollow dispatcher's agent. It records the state that the log messages show.
 type raftStateHandler struct {
 	slog.Handler
 	dispatcher *hollowDispatcher
@@ -47,7 +47,7 @@
 	return h.Handler.Handle(ctx, record)
 }
 
-// recordRaftState changes the recorded state as a log line says.
+// recordRaftState updates the recorded state from a log message.
 func (d *hollowDispatcher) recordRaftState(record slog.Record) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,12 +67,12 @@
 	}
 }
 
-// currentLeader returns the name of the dispatcher that was elected last, by the logs of real ones and by the last snapshot of hollow ones;
-// empty if there is none.
+// currentLeader returns the name of the raft leader; empty for none. A running hollow dispatcher that led in the last snapshot takes precedence.
+// Otherwise it is the real dispatcher that was elected last by the logs.
 func (r *run) currentLeader() string {
 	leader, since := "", time.Time{}
 	for _, each := range r.running() {
-		if each.process == nil || each.role == roleBare {
+		if each.process == nil || each.role == roleBaseline {
 			continue
 		}
 		if state := raftStateFromLog(each.process.Log()); state.LeaderSince.After(since) {
--- a/internal/scale/realdispatcher.go
+++ b/internal/scale/realdispatcher.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// fleetName is the fleet of all runs, and the author of its config versions.
+// fleetName is the name of the fleet in all runs, and of the author of its config versions.
 const fleetName = "rig"
 
 // startDispatcher starts the process of a real dispatcher, and returns when it is ready.
@@ -20,14 +20,14 @@
 		return err
 	}
 	args := []string{"serve"}
-	if started.role != roleBare {
+	if started.role != roleBaseline {
 		path := filepath.Join(r.directory, "operator-"+started.name+".hcl")
 		if err := os.WriteFile(path, []byte(r.operatorFile(started)), 0o600); err != nil {
 			return err
 		}
 		args = append(args, "--operator", path)
 	}
-	environment := []string{"GW_CONFIG=" + config} // replaces StartWith's own: of two values of a variable the last counts
+	environment := []string{"GW_CONFIG=" + config} // overrides the value that StartWith sets: the last value of a variable counts
 	process, err := r.cluster.StartWith(ctx, r.options.DispatcherProgram, r.directory, started.emulatorIndex, environment, args...)
 	if err != nil {
 		return err
@@ -65,17 +65,17 @@
 	return text.String()
 }
 
-// platformConfig is the platform's configuration file, as far as a run changes it.
+// platformConfig is a JSON object of the platform's configuration file.
 type platformConfig map[string]any
 
-// object returns an object of the configuration; nil if there is none.
+// object returns a nested object; nil if there is none.
 func (c platformConfig) object(key string) platformConfig {
 	object, _ := c[key].(map[string]any)
 	return object
 }
 
-// writeConfig writes the platform's configuration file for a listener of the emulator and returns its path, of which name is a part. Other
-// than in the emulator's own, the number of dispatchers is that of the whole fleet.
+// writeConfig writes the platform's configuration file for a listener of the emulator and returns its path, which contains name. The file is the
+// emulator's, except that the number of dispatchers is the size of the whole fleet and that probing is off with SkipWorkerProbes.
 func (r *run) writeConfig(listener int, name string) (path string, err error) {
 	text, err := r.cluster.Config(listener)
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 	settings := config.object("settings")
 	if settings == nil {
-		return "", errors.New("the works' file has no settings")
+		return "", errors.New("the emulator's configuration file has no settings")
 	}
 	settings["replicasOfMe"] = r.plan.Dispatchers
 	if limits := settings.object("limits"); limits != nil && r.plan.SkipWorkerProbes {
--- a/internal/scale/regionlinks.go
+++ b/internal/scale/regionlinks.go
@@ -5,21 +5,21 @@
 	"brassdale/internal/traffic"
 )
 
-// regionPair is a caller's region and that of the voters that it calls.
+// regionPair is the region of a caller and the region of the voters that it calls.
 type regionPair struct{ from, to int }
 
-// regionLinks are the links by which the dispatchers of each region call the voters of the others. Other calls, and gossip, stay within a
-// region and need none.
+// regionLinks are the links by which the dispatchers of each region call the voters of other regions. Other calls and gossip stay within a region
+// and need no links.
 type regionLinks struct {
 	links   map[regionPair]map[string]*faultlink.Link // by the voter's address
-	proxies []*countingProxy                          // behind the links, if what these carry is counted
+	proxies []*countingProxy                          // the links' targets, if traffic on links is counted
 	meter   traffic.Meter                             // of the proxies
 }
 
-// linkSeeds is by how much the seeds of the links differ between regions that follow on each other.
-const linkSeeds = 100
+// linkSeedStride is the difference between the seeds of the links from consecutive regions.
+const linkSeedStride = 100
 
-// openLinks opens links from all regions to the voters of the others. closeAll closes them.
+// openLinks opens links from all regions to the voters of other regions. closeAll closes them.
 func (r *run) openLinks() error {
 	for from := range r.plan.Regions {
 		for index, voter := range r.dispatchers[:r.plan.Voters] {
@@ -27,7 +27,7 @@
 			if to == from {
 				continue
 			}
-			seed := r.plan.Seed + uint64(linkSeeds*from+index)
+			seed := r.plan.Seed + uint64(linkSeedStride*from+index)
 			if err := r.links.open(regionPair{from, to}, voter.fleetAddress, seed, r.plan.CountLinks); err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// open opens a link to a voter, with a counting proxy behind it if counted is set.
+// open opens a link to a voter, over a counting proxy if counted is set.
 func (l *regionLinks) open(regions regionPair, voterAddress string, seed uint64, counted bool) error {
 	target := voterAddress
 	if counted {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// addressesFrom returns the addresses of the links from a region, by the address of the voter behind each.
+// addressesFrom returns the addresses of the links from a region, by the addresses of the voters to which they lead.
 func (l *regionLinks) addressesFrom(region int) map[string]string {
 	addresses := map[string]string{}
 	for regions, links := range l.links {
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Result is the result of a run. Its JSON is what result files have, in this order.
+// Result is the result of a run. Result files contain it as JSON, in this order.
 type Result struct {
 	Title            string    `json:"title"`
 	Commit           string    `json:"commit"` // of the build
@@ -14,7 +14,7 @@
 	At               time.Time `json:"at"`
 	SpanS            float64   `json:"span_s"`
 	LeaseDurationMS  float64   `json:"bound_ms"`
-	ChangeRateFactor float64   `json:"packing"` // as Plan.Packing
+	ChangeRateFactor float64   `json:"packing"` // as Plan.ChangeRateFactor
 	Dispatchers      int       `json:"dispatchers"`
 	Hollow           int       `json:"hollow"`
 	Processes        int       `json:"processes"`
@@ -29,15 +29,15 @@
 	Dedicated        int       `json:"set_aside"`
 	Changes          int       `json:"changes"`
 
-	// A second: bytes of control in both directions, messages of control, milliseconds of processor time; and MiB of resident memory. Only
-	// CPU and Memory are of control alone, as differences; all other figures of processor time and memory are of the whole process (of a
-	// hollow dispatcher: its part of its process). Figures of dispatchers are over those that serve jobs.
+	// Units: bytes of control a second in both directions, messages of control a second, milliseconds of processor time a second, MiB of
+	// resident memory. Only CPU and Memory are the cost of control, as differences. All other figures of processor time and memory are of the
+	// whole process; for a hollow dispatcher, its share of its process. Figures of dispatchers are over those that serve jobs.
 	BytesP50          float64 `json:"control_bytes_s_p50"`
 	BytesP99          float64 `json:"control_bytes_s_p99"`
 	BytesMean         float64 `json:"control_bytes_s_mean"`
 	Messages          float64 `json:"control_messages_s"`
-	CPU               float64 `json:"control_cpu_ms_s"`  // of a real dispatcher, less that of a bare one
-	Memory            float64 `json:"control_memory_mb"` // of a real dispatcher, less that of a bare one
+	CPU               float64 `json:"control_cpu_ms_s"`  // RealCPU - BaselineCPU
+	Memory            float64 `json:"control_memory_mb"` // RealMemory - BaselineMemory
 	HollowCPU         float64 `json:"hollow_cpu_ms_s"`
 	VoterBytesMax     float64 `json:"seat_bytes_s_most"`
 	VoterCPUMax       float64 `json:"seat_cpu_ms_s_most"`
@@ -50,23 +50,23 @@
 	RealMemory        float64 `json:"real_memory_mb"`
 	BaselineMemory    float64 `json:"bare_memory_mb"`
 	HollowBytesMean   float64 `json:"hollow_bytes_s_mean"`
-	RealBytesMean     float64 `json:"real_bytes_s_mean"` // of real dispatchers that were no voters at the start
+	RealBytesMean     float64 `json:"real_bytes_s_mean"` // of real dispatchers that were not voters at the start
 	HollowMessages    float64 `json:"hollow_messages_s"`
-	RealMessages      float64 `json:"real_messages_s"` // of the same
+	RealMessages      float64 `json:"real_messages_s"` // of the same dispatchers
 
-	BytesByKind       map[string]float64 `json:"bytes_by_kind"` // of a dispatcher, each second
+	BytesByKind       map[string]float64 `json:"bytes_by_kind"` // of a dispatcher, per second
 	MessagesByKind    map[string]float64 `json:"messages_by_kind"`
 	LeaderBytesByKind map[string]float64 `json:"leader_bytes_by_kind"`
 	VoterBytesByKind  map[string]float64 `json:"seat_bytes_by_kind"` // mean of the voters that do not lead
 	HollowBytesByKind map[string]float64 `json:"hollow_bytes_by_kind"`
-	RealBytesByKind   map[string]float64 `json:"real_bytes_by_kind"` // of real dispatchers that were no voters at the start
+	RealBytesByKind   map[string]float64 `json:"real_bytes_by_kind"` // of real dispatchers that were not voters at the start
 	DiscoveryCalls    float64            `json:"discovery_calls_s"`  // of all dispatchers together
 	DiscoveryBytes    float64            `json:"discovery_bytes_s"`
 
 	InForceP50MS      float64   `json:"in_force_p50_ms"` // over all changes, at all dispatchers that they could reach
 	InForceP99MS      float64   `json:"in_force_p99_ms"`
 	InForceP999MS     float64   `json:"in_force_p999_ms"`
-	InForceMissing    int       `json:"in_force_missing"`     // changes that a dispatcher that ran never applied, and returns after which one did not apply the newest version
+	InForceMissing    int       `json:"in_force_missing"`     // changes that a running dispatcher never applied, and returns after which a dispatcher never applied the newest version
 	ReturnedInForceMS []float64 `json:"returned_in_force_ms"` // from a dispatcher's return until it had applied the newest version
 	ContradictionMS   float64   `json:"contradiction_max_ms"`
 	RulesBroken       int       `json:"rules_broken"`
@@ -75,19 +75,19 @@
 	Jobs              int       `json:"jobs"`
 	AnsweredOnce      int       `json:"answered_once"`
 	AnsweredNever     int       `json:"answered_never"`
-	LostWithProcess   int       `json:"lost_with_process"` // their dispatcher was killed
+	LostWithProcess   int       `json:"lost_with_process"` // unanswered because their dispatcher was killed
 
 	FellBehind     bool                `json:"fell_behind"` // the machine, and not the fleet, was the limit: the run does not count
 	FellBehindWhy  string              `json:"fell_behind_why,omitempty"`
-	MachineBusy    float64             `json:"machine_busy"` // share of all cores' time
+	MachineBusy    float64             `json:"machine_busy"` // share of all cores' time that was busy
 	Interface      Interface           `json:"interface"`
 	WithoutChanges *CostWithoutChanges `json:"rest,omitempty"`
 	ChangeCost     *ChangeCost         `json:"change,omitempty"`
 	FaultCosts     []FaultCost         `json:"failures,omitempty"`
 }
 
-// Interface compares the bytes that the loopback interface carried with those that were counted. Headers of packets and the run's own polls
-// are left out, and what links carry is in it once. It is empty for a run with a fault: dispatchers that are killed lose their counts.
+// Interface compares the bytes a second that the loopback interface carried with the counted ones. Packet headers and the run's own polls are left
+// out, and bytes on links count once. It is empty for a run with a fault, as killed dispatchers lose their counts.
 type Interface struct {
 	Bytes        float64 `json:"bytes_s"`
 	Counted      float64 `json:"counted_bytes_s"`
@@ -95,7 +95,7 @@
 	Links        float64 `json:"links_bytes_s,omitempty"`
 }
 
-// Rest is what control costs a dispatcher while nothing changes.
+// CostWithoutChanges is the cost of control at a dispatcher while there are no config changes.
 type CostWithoutChanges struct {
 	SpanS       float64            `json:"span_s"`
 	Bytes       float64            `json:"bytes_s"`
@@ -103,12 +103,12 @@
 	BytesByKind map[string]float64 `json:"bytes_by_kind"`
 }
 
-// Change is what a change costs a dispatcher.
+// ChangeCost is the cost of a config change at a dispatcher, in bytes in both directions.
 type ChangeCost struct {
 	Bytes float64 `json:"bytes"`
 }
 
-// Violated reports whether a rule was broken, a change was not in force everywhere, or a job was not answered.
+// Violated reports whether a rule was broken, dispatchers contradicted each other, a change was not in force everywhere, or a job was not answered.
 func (r *Result) Violated() bool {
 	return r.RulesBroken > 0 || r.ContradictionMS > 0 || r.AnsweredNever > 0 || r.InForceMissing > 0
 }
@@ -119,12 +119,12 @@
 	case r.FellBehind:
 		return fmt.Errorf("the machine fell behind, the run does not count: %s", r.FellBehindWhy)
 	case r.Violated():
-		return fmt.Errorf("%d rules broken, contradiction %.1f ms, %d jobs never answered, %d changes not acted on", r.RulesBroken, r.ContradictionMS, r.AnsweredNever, r.InForceMissing)
+		return fmt.Errorf("%d rules broken, contradiction %.1f ms, %d jobs never answered, %d changes not in force", r.RulesBroken, r.ContradictionMS, r.AnsweredNever, r.InForceMissing)
 	}
 	return nil
 }
 
-// setFellBehind records why the machine was the limit. The first reason stays.
+// setFellBehind records why the machine was the limit. It keeps the first reason.
 func (r *Result) setFellBehind(format string, args ...any) {
 	if !r.FellBehind {
 		r.FellBehind, r.FellBehindWhy = true, fmt.Sprintf(format, args...)
--- a/internal/scale/resulttext.go
+++ b/internal/scale/resulttext.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// String returns the most important figures in a few lines, as the lab prints them.
+// String returns the most important figures in a few lines, as brassdale-lab prints them.
 func (r *Result) String() string {
 	text := fmt.Sprintf("seed %d: %d dispatchers (%d hollow), %d workers, %d zones\n"+
 		"control at a dispatcher: %.0f B/s p50, %.0f p99, %.1f messages/s; CPU %.1f ms/s (hollow %.1f), %.1f MB\n"+
-		"most at a seat: %.0f B/s, %.1f ms/s, %.1f MB; the leader %.0f B/s, %.1f ms/s\n"+
+		"highest at a voter: %.0f B/s, %.1f ms/s, %.1f MB; the leader %.0f B/s, %.1f ms/s\n"+
 		"%d changes in force after %.0f ms p50, %.0f p99, %.0f p99.9; contradiction %.1f ms, %d rules broken; %d jobs, %d answered once, %d never, %d lost with their dispatcher\n"+
-		"machine %.0f%% busy; counted %.2f of what the interface carried",
+		"machine %.0f%% busy; counted %.2f of the bytes on the loopback interface",
 		r.Seed, r.Dispatchers, r.Hollow, r.Workers, r.Zones, r.BytesP50, r.BytesP99, r.Messages, r.CPU, r.HollowCPU, r.Memory,
 		r.VoterBytesMax, r.VoterCPUMax, r.VoterMemoryMax, r.LeaderBytes, r.LeaderCPU,
 		r.Changes, r.InForceP50MS, r.InForceP99MS, r.InForceP999MS, r.ContradictionMS, r.RulesBroken, r.Jobs, r.AnsweredOnce, r.AnsweredNever, r.LostWithProcess,
@@ -19,19 +19,19 @@
 	return text
 }
 
-// String returns the most important figures in two lines, as the lab prints them.
+// String returns the most important figures in two lines, as brassdale-lab prints them.
 func (f *FaultCost) String() string {
 	recovered := "never"
 	if f.RecoveredAfterS != nil {
 		recovered = fmt.Sprintf("after %.1f s", *f.RecoveredAfterS)
 	}
-	return fmt.Sprintf("%s at %.0f s for %.0f s: %d befallen; whole again %s; %d changes in force after %.0f ms p50, %.0f p99.9; back in force after %.0f ms p50, %.0f most\n"+
-		"most over 10 s, before and from then on, B/s: %v, %v; ms/s: %v, %v",
+	return fmt.Sprintf("%s at %.0f s for %.0f s: dispatchers affected: %d; recovered: %s; %d changes in force after %.0f ms p50, %.0f p99.9; after return in force after %.0f ms p50, %.0f max\n"+
+		"highest 10 s mean, before and since the fault, B/s: %v, %v; ms/s: %v, %v",
 		f.Kind, f.AtS, f.ForS, f.Affected, recovered, f.Changes, f.InForceP50MS, f.InForceP999MS, quantile(0.5, f.ReturnedInForceMS), quantile(1, f.ReturnedInForceMS),
 		rounded(f.UsualBytes), rounded(f.PeakBytes), rounded(f.UsualCPU), rounded(f.PeakCPU))
 }
 
-// rounded returns figures by role, rounded.
+// rounded returns figures by role, rounded to whole numbers.
 func rounded(figures map[costRole]float64) map[costRole]int {
 	all := map[costRole]int{}
 	for role, figure := range figures {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,8 +18,8 @@
 type Options struct {
 	DispatcherProgram string   // path
 	HollowProgram     string   // path of the program that calls ServeHollow
-	HollowArgs        []string // of it, before the path of the HollowSpec
-	LogDir            string   // to which all logs are written after the run; empty for none
+	HollowArgs        []string // its arguments before the path of the HollowSpec
+	LogDir            string   // where all logs are written after the run; empty for no logs
 }
 
 // run is a run in progress.
@@ -28,7 +28,7 @@
 	options        Options
 	directory      string // of the dispatchers' files and sockets
 	cluster        *emulator.Cluster
-	hollowGroups   [][]*dispatcher // hollow dispatchers that are started in one process
+	hollowGroups   [][]*dispatcher // hollow dispatchers of one process each
 	voterAddresses []string
 	links          regionLinks
 	failover       *fleet.Failover
@@ -37,13 +37,13 @@
 	proposals      *meteredClient
 	stalls         stallDetector
 	beganAt        time.Time     // of the measured span
-	proposeNow     chan struct{} // holds a value when a proposal is to be made at once
+	proposeNow     chan struct{} // contains a value if a proposal should be made at once
 
-	// mu guards the fields below from startAll, which starts dispatchers in parallel, to the end of the measured span. Before and after, only
-	// one goroutine uses them. The goroutine of injectFault reads dispatchers without it, as no other adds to them.
+	// mu guards the fields below from startAll, which starts dispatchers in parallel, to the end of the measured span. Before and after that,
+	// only one goroutine uses them. The goroutine of injectFault reads dispatchers without mu, as no other goroutine adds to them.
 	mu                     sync.Mutex
 	dispatchers            []*dispatcher
-	hollowProcesses        []*hollowProcess // that run
+	hollowProcesses        []*hollowProcess // running ones
 	hollowProcessesStarted int
 	changes                []acceptedChange
 	jobCounts              jobCounts
@@ -58,14 +58,14 @@
 	snapshotInterval  = time.Second            // in runs with a fault
 )
 
-// Play plays a plan in real time and returns its result, also if rules were broken in it. The error says why it could not be played to its
-// end. Play ends all processes that it started.
+// Play executes a plan in real time and returns its result, even if rules were broken. The error says why the run was not completed. Play ends
+// all processes that it started.
 func Play(ctx context.Context, plan Plan, options Options) (*Result, error) {
 	directory, err := os.MkdirTemp("", "scale-") // a short path, for the dispatchers' Unix sockets
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // what cannot be removed is left to the system's cleaning
+	defer func() { _ = os.RemoveAll(directory) }() // files that cannot be removed are left to the system's cleanup
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := newRun(plan, options, directory)
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	go r.stalls.run(ctx)
-	result, err := r.play(ctx)
+	result, err := r.execute(ctx)
 	if options.LogDir != "" {
 		err = cmp.Or(err, r.saveLogs())
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// play starts the dispatchers, measures, and waits until all have applied the last change.
-func (r *run) play(ctx context.Context) (*Result, error) {
+// execute starts the dispatchers, measures, and waits until all dispatchers have applied the newest version.
+func (r *run) execute(ctx context.Context) (*Result, error) {
 	if err := r.startFleet(ctx); err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.awaitNewestVersion(ctx, time.Now().Add(applyTimeout)) // the result has the changes that were not applied
+	r.awaitNewestVersion(ctx, time.Now().Add(applyTimeout)) // the result counts changes that were not applied
 	if err := r.fetchHollowStates(ctx); err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 		return err
 	}
 	if !r.awaitLeases(ctx, deadline) {
-		return errors.New("not all dispatchers had a lease in time")
+		return errors.New("not all dispatchers had a lease within the start timeout")
 	}
 	if !labsupport.WaitUntil(ctx, time.Now().Add(r.plan.Settle)) {
 		return ctx.Err()
@@ -126,13 +126,14 @@
 
 // measurement is the snapshots from which a result is computed.
 type measurement struct {
-	before snapshot // at the start of the measured span
-	rested snapshot // at the end of its part without changes; zero for none
-	after  snapshot // at its end
+	before        snapshot // at the start of the measured span
+	beforeChanges snapshot // at the end of the part without changes; zero if there is no such part
+	after         snapshot // at the end of the span
 }
 
-// measure plays the measured span: jobs from its start, then the part without changes (measureRest), then the changes and the fault. In a
-// plan with neither changes nor Rest, the part without changes is the whole span, so that a fault begins only after it.
+// measure executes the measured span. It sends jobs from the start of the span, waits for the part without changes (measureWithoutChanges), and
+// then proposes changes and injects the fault. In a plan with neither changes nor SpanWithoutChanges, the part without changes is the whole span,
+// so a fault begins only after it.
 func (r *run) measure(ctx context.Context) (measured measurement, err error) {
 	r.cluster.StartFaults()
 	if measured.before, err = r.takeSnapshot(ctx); err != nil {
@@ -145,7 +146,7 @@
 	defer background.Wait()
 	defer stop()
 	background.Go(func() { r.sendJobs(spanCtx, end) })
-	if measured.rested, err = r.measureRest(ctx); err != nil {
+	if measured.beforeChanges, err = r.measureWithoutChanges(ctx); err != nil {
 		return measured, err
 	}
 	proposer := newProposer(r)
@@ -157,7 +158,7 @@
 		background.Go(func() { faultErr = r.injectFault(spanCtx) })
 		r.takeSnapshots(ctx, end)
 	}
-	labsupport.WaitUntil(ctx, end) // a context that has ended fails the snapshot
+	labsupport.WaitUntil(ctx, end) // if the context has ended, the snapshot fails
 	if measured.after, err = r.takeSnapshot(ctx); err != nil {
 		return measured, err
 	}
@@ -171,9 +172,10 @@
 	return measured, nil
 }
 
-// measureRest waits until the part without changes is over, and returns the snapshot at its end. That part is the plan's Rest at the start of
-// the span; without changes, it is the whole span if Rest is 0. If there is no such part, measureRest returns a zero snapshot at once.
-func (r *run) measureRest(ctx context.Context) (snapshot, error) {
+// measureWithoutChanges waits until the part without changes is over, and returns the snapshot at its end. The part is the plan's
+// SpanWithoutChanges at the start of the span. If that is 0 and the plan has no changes, the part is the whole span. If it is 0 and the plan has
+// changes, measureWithoutChanges returns a zero snapshot at once.
+func (r *run) measureWithoutChanges(ctx context.Context) (snapshot, error) {
 	if r.plan.SpanWithoutChanges == 0 && r.plan.ChangeInterval > 0 {
 		return snapshot{}, nil
 	}
@@ -183,7 +185,7 @@
 	return r.takeSnapshot(ctx)
 }
 
-// inParallel calls functions at once, waits for all and returns their errors joined.
+// inParallel calls functions concurrently, waits for all and returns their joined errors.
 func inParallel(calls []func() error) error {
 	errs := make([]error, len(calls))
 	var wait sync.WaitGroup
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -13,7 +13,7 @@
 
 var programs string // directory of the dispatcher's program
 
-// TestMain runs the tests. Called with the arguments of options, it is the program of hollow processes instead.
+// TestMain runs the tests. With the arguments of options, it runs as the program of hollow processes instead.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "hollow" {
 		spec, err := LoadHollowSpec(os.Args[2])
@@ -35,7 +35,7 @@
 	os.Exit(code)
 }
 
-// dispatcherProgram builds the dispatcher's program, once, and returns its path.
+// dispatcherProgram builds the dispatcher's program once and returns its path.
 var dispatcherProgram = sync.OnceValues(func() (string, error) {
 	binary := filepath.Join(programs, "brassdale")
 	if out, err := exec.Command("go", "build", "-o", binary, "brassdale/cmd/brassdale").CombinedOutput(); err != nil {
@@ -44,7 +44,7 @@
 	return binary, nil
 })
 
-// options returns the options of a run: the dispatcher's program, and this one for hollow processes.
+// options returns the options of a run, with the test binary as the program of hollow processes.
 func options(t *testing.T) Options {
 	t.Helper()
 	program, err := dispatcherProgram()
@@ -71,26 +71,26 @@
 	return all
 }
 
-// checkSound checks what every run must satisfy, however busy the machine is.
-func checkSound(t *testing.T, r *Result) {
+// checkInvariants checks the conditions that every run must satisfy, regardless of the machine's load.
+func checkInvariants(t *testing.T, r *Result) {
 	t.Helper()
 	if r.Violated() {
-		t.Errorf("%v", r.Err())
+		t.Errorf("violated: %v", r.Err())
 	}
 	for _, b := range r.Breaches {
 		t.Error(b)
 	}
 	if r.Changes == 0 {
-		t.Error("no change was taken")
+		t.Error("no change was accepted")
 	}
 }
 
-// What control costs a dispatcher does not grow with their number, by counts, at rest and with changes.
-func TestSizes(t *testing.T) {
+// The bytes and messages of control per dispatcher do not grow with the number of dispatchers, neither without changes nor with changes.
+func TestCostIndependentOfFleetSize(t *testing.T) {
 	f, err := Load("../../scenarios/scale/small.hcl")
 	all := points(t, f, err)
 	if len(all) != 2 || all[1].Plan.Dispatchers < 2*all[0].Plan.Dispatchers {
-		t.Fatalf("%+v", all)
+		t.Fatalf("expected two runs, the second with at least twice the dispatchers, got %+v", all)
 	}
 	results := make([]*Result, len(all))
 	var wait sync.WaitGroup
@@ -109,12 +109,12 @@
 		return
 	}
 	for _, r := range results {
-		checkSound(t, r)
+		checkInvariants(t, r)
 		if r.Jobs == 0 || r.WorkerProbes == 0 {
-			t.Errorf("%d jobs, and %d probes of workers", r.Jobs, r.WorkerProbes)
+			t.Errorf("expected jobs and probes of workers, got %d and %d", r.Jobs, r.WorkerProbes)
 		}
 		if r.WithoutChanges == nil || r.WithoutChanges.Messages == 0 || r.ChangeCost == nil {
-			t.Fatalf("nothing was counted at rest: %+v", r)
+			t.Fatalf("expected a cost without changes and of a change: %+v", r)
 		}
 	}
 	few, many := results[0], results[1]
@@ -123,8 +123,8 @@
 		few, many float64
 		most      float64
 	}{
-		{"bytes at rest", few.WithoutChanges.Bytes, many.WithoutChanges.Bytes, 1.5},
-		{"messages at rest", few.WithoutChanges.Messages, many.WithoutChanges.Messages, 1.5},
+		{"bytes without changes", few.WithoutChanges.Bytes, many.WithoutChanges.Bytes, 1.5},
+		{"messages without changes", few.WithoutChanges.Messages, many.WithoutChanges.Messages, 1.5},
 		{"bytes with changes", few.BytesMean, many.BytesMean, 1.5},
 		{"messages with changes", few.Messages, many.Messages, 1.5},
 	} {
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -11,27 +11,27 @@
 	crossZonePrice  = 0.03
 	crossZoneDelay  = 5 * time.Millisecond
 	restartDuration = time.Second     // of a worker
-	drainDuration   = 4 * time.Second // in which a worker that leaves finishes what it has
+	drainDuration   = 4 * time.Second // time for a leaving worker to finish its jobs
 	workerSpeedMin  = 0.9
 	workerSpeedMax  = 1.1
-	minEmulatorRate = 1 // the emulator takes no scenario without jobs
+	minEmulatorRate = 1 // the emulator accepts no scenario without jobs
 	smallKindName   = "box"
 	largeKindName   = "large-box"
 )
 
-// scenario returns what the emulator plays of the plan: workers, discovery and their faults.
+// scenario returns the emulator's scenario for the plan: workers, discovery and their faults.
 func (p *Plan) scenario() emulator.Scenario {
 	scenario := emulator.ReferenceScenario(p.Seed)
 	scenario.Dispatchers, scenario.Span = p.emulatorDispatchers(), p.Settle+p.Span
 	slots := p.Accelerators / p.Workers
-	larger := p.Accelerators - slots*p.Workers // workers that have a slot more
+	larger := p.Accelerators - slots*p.Workers // workers with one slot more
 	scenario.Kinds = []emulator.WorkerKind{
 		{Name: smallKindName, Count: p.Workers - larger, Slots: slots, SpeedMin: workerSpeedMin, SpeedMax: workerSpeedMax},
 		{Name: largeKindName, Count: larger, Slots: slots + 1, SpeedMin: workerSpeedMin, SpeedMax: workerSpeedMax},
 	}
 	scenario.Network.Zones, scenario.Network.Regions = p.Zones, p.Regions
 	scenario.Network.CrossPrice, scenario.Network.Cross = crossZonePrice, crossZoneDelay
-	scenario.Traffic.Work, scenario.Traffic.Subjects, scenario.Traffic.Rate = claimedJobDuration.Seconds(), 0, max(p.Rate, minEmulatorRate)
+	scenario.Traffic.Work, scenario.Traffic.Subjects, scenario.Traffic.Rate = meanJobDuration.Seconds(), 0, max(p.Rate, minEmulatorRate)
 	scenario.Traffic.Accounts = nil
 	for team := range p.Teams {
 		scenario.Traffic.Accounts = append(scenario.Traffic.Accounts, emulator.Account{Name: teamName(team), Share: 1})
@@ -44,8 +44,7 @@
 	return scenario
 }
 
-// repeatedFaults returns faults of one worker each, at an interval, as many as end within the measured span. There are none if the interval
-// is 0.
+// repeatedFaults returns faults of one worker each, at an interval, as many as end within the measured span; none if the interval is 0.
 func (p *Plan) repeatedFaults(kind emulator.FaultKind, interval, duration time.Duration) []emulator.Fault {
 	var faults []emulator.Fault
 	for at := interval; interval > 0 && at+duration < p.Span; at += interval {
@@ -54,7 +53,7 @@
 	return faults
 }
 
-// workerFaults returns the emulator's part of the fault.
+// workerFaults returns the faults that the emulator injects as its part of the fault.
 func (f *Fault) workerFaults(plan *Plan) []emulator.Fault {
 	var faults []emulator.Fault
 	switch f.Kind {
@@ -77,7 +76,7 @@
 	return faults
 }
 
-// zoneName returns the name of a zone, counted from 0, as the emulator has it.
+// zoneName returns the emulator's name of a zone, counted from 0.
 func zoneName(zone int) string { return fmt.Sprint("z", zone) }
 
 // regionName returns the name of a region, counted from 0.
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -12,23 +12,23 @@
 	"brassdale/internal/traffic"
 )
 
-// controlCounts is what a dispatcher has counted of control, by the name of the kind.
+// controlCounts is a dispatcher's counts of control traffic, by the name of the kind.
 type controlCounts = map[string]traffic.Count
 
 // snapshot is all counters of a run at one moment.
 type snapshot struct {
 	at              time.Time
 	control         map[string]controlCounts        // by dispatcher
-	pids            map[string]int                  // of a dispatcher's process
-	processSizes    map[int]int                     // dispatchers in a process
+	pids            map[string]int                  // of the dispatcher's process, by dispatcher
+	processSizes    map[int]int                     // number of dispatchers, by process
 	voters          map[string]bool                 // dispatchers that are voters
 	leader          string                          // of the raft group; empty for none
 	usage           map[int]labsupport.ProcessUsage // by process
 	machine         machineCounters
-	lateTicks       []lateTick    // of this process and hollow ones, since their start
+	lateTicks       []lateTick    // of this process and the hollow processes, since their start
 	pollTraffic     traffic.Count // of the run itself
 	proposalTraffic traffic.Count // of the run itself
-	linkTraffic     traffic.Count // if it is counted
+	linkTraffic     traffic.Count // if CountLinks is set
 }
 
 // snapshotBuilder collects a snapshot from several goroutines.
@@ -38,11 +38,11 @@
 	leaderSince time.Time
 }
 
-// takeSnapshot reads all counters. The error names the dispatchers and processes that did not respond; the snapshot is without these.
+// takeSnapshot reads all counters. The error names the dispatchers and processes that did not respond; the snapshot leaves these out.
 func (r *run) takeSnapshot(ctx context.Context) (snapshot, error) {
 	builder := &snapshotBuilder{snapshot: snapshot{
 		control: map[string]controlCounts{}, pids: map[string]int{}, processSizes: map[int]int{}, voters: map[string]bool{},
-		usage: map[int]labsupport.ProcessUsage{}, lateTicks: r.stalls.all(),
+		usage: map[int]labsupport.ProcessUsage{}, lateTicks: r.stalls.lateTicks(),
 	}}
 	started := &builder.snapshot
 	var err error
@@ -65,7 +65,7 @@
 	return builder.snapshot, err
 }
 
-// pollReal adds a real dispatcher. It is polled at its admin API, whose traffic is no part of control.
+// pollReal adds a real dispatcher. It is polled at its admin API, whose traffic is not part of control.
 func (r *run) pollReal(ctx context.Context, builder *snapshotBuilder, polled dispatcher) error {
 	vars, err := r.polls.get(ctx, "http://"+polled.process.Admin+"/_vars")
 	if err != nil {
@@ -84,7 +84,7 @@
 	return builder.addProcess(process.command.Process.Pid, counts.Control, counts.RaftStates, counts.LateTicks)
 }
 
-// addProcess adds the counts and raft states of a process's dispatchers, and what the process has used.
+// addProcess adds the counts and raft states of a process's dispatchers, and the process's resource usage.
 func (b *snapshotBuilder) addProcess(pid int, control map[string]controlCounts, states map[string]raftState, late []lateTick) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// takeSnapshots takes a snapshot every second until the end of the span. It skips those that are due while one takes too long.
+// takeSnapshots takes a snapshot every second until the end of the span. It skips a snapshot that would be more than a second late.
 func (r *run) takeSnapshots(ctx context.Context, end time.Time) {
 	for due := r.beganAt; due.Before(end); due = due.Add(snapshotInterval) {
 		if !labsupport.WaitUntil(ctx, due) {
@@ -119,7 +119,7 @@
 			continue
 		}
 		taken, err := r.takeSnapshot(ctx)
-		if err != nil && len(taken.usage) == 0 { // a fault may have killed some, but not all
+		if err != nil && len(taken.usage) == 0 { // a fault may have killed some dispatchers, but not all
 			continue
 		}
 		r.mu.Lock()
@@ -150,7 +150,7 @@
 	return counts
 }
 
-// subtractCounts returns what was counted between two snapshots of a process.
+// subtractCounts returns the differences of the counts in two snapshots of the same process.
 func subtractCounts(after, before controlCounts) controlCounts {
 	counts := controlCounts{}
 	for kind, a := range after {
@@ -160,7 +160,7 @@
 	return counts
 }
 
-// controlBetween returns what a dispatcher counted between two snapshots, and false if it was not in the same process at both.
+// controlBetween returns a dispatcher's counts between two snapshots, and false if it was not in the same process at both.
 func controlBetween(before, after snapshot, name string) (controlCounts, bool) {
 	pid, runs := after.pids[name]
 	if earlier, ran := before.pids[name]; !runs || !ran || earlier != pid {
@@ -169,8 +169,8 @@
 	return subtractCounts(after.control[name], before.control[name]), true
 }
 
-// cpuBetween returns a dispatcher's part of the milliseconds that its process used between two snapshots; 0 if it was not in the same
-// process at both.
+// cpuBetween returns a dispatcher's share of the milliseconds of processor time that its process used between two snapshots; 0 if the dispatcher
+// was not in the same process at both.
 func cpuBetween(before, after snapshot, name string) float64 {
 	pid := after.pids[name]
 	earlier, ran := before.usage[pid]
@@ -189,7 +189,7 @@
 	return traffic.Total(after.control[name]).Bytes()
 }
 
-// cpuSince returns the milliseconds that a dispatcher used between two snapshots, or since its start if that was between them.
+// cpuSince returns the milliseconds of processor time that a dispatcher used between two snapshots, or since its start if that was between them.
 func cpuSince(before, after snapshot, name string) float64 {
 	pid := after.pids[name]
 	if before.pids[name] == pid {
--- a/internal/scale/stalldetector.go
+++ b/internal/scale/stalldetector.go
@@ -11,21 +11,21 @@
 
 const (
 	tickInterval  = 100 * time.Millisecond
-	tickTolerance = 250 * time.Millisecond // a tick that is late by more was delayed by the machine
-	maxLateTicks  = 3                      // in the measured span of a run that counts
+	tickTolerance = 250 * time.Millisecond // a tick that is later than this was delayed by the machine
+	maxLateTicks  = 3                      // in the measured span; a run with more does not count
 )
 
-// lateTick is a tick that came too late. It is sent as JSON by the names of its fields.
+// lateTick is a tick that came too late. Its field names are keys in JSON between processes.
 type lateTick struct{ Due, At time.Time }
 
-// stallDetector records when this process was not scheduled in time, by a ticker.
+// stallDetector detects by a ticker when this process was not scheduled in time.
 type stallDetector struct {
 	mu   sync.Mutex
 	late []lateTick
 }
 
-// all returns the late ticks until now.
-func (s *stallDetector) all() []lateTick {
+// lateTicks returns the late ticks until now.
+func (s *stallDetector) lateTicks() []lateTick {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.late)
@@ -38,12 +38,12 @@
 		if !labsupport.WaitUntil(ctx, due) {
 			return
 		}
-		s.ticked(due, time.Now())
+		s.recordTick(due, time.Now())
 	}
 }
 
-// ticked records a tick if it is late.
-func (s *stallDetector) ticked(due, at time.Time) {
+// recordTick records a tick if it is late.
+func (s *stallDetector) recordTick(due, at time.Time) {
 	if at.Sub(due) > tickTolerance {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/scale/stalldetector_test.go
+++ b/internal/scale/stalldetector_test.go
@@ -13,21 +13,21 @@
 func TestStallDetector(t *testing.T) {
 	var stalls stallDetector
 	due := time.Now()
-	stalls.ticked(due, due)
-	stalls.ticked(due, due.Add(tickTolerance))
-	if all := stalls.all(); len(all) != 0 {
-		t.Errorf("%+v", all)
+	stalls.recordTick(due, due)
+	stalls.recordTick(due, due.Add(tickTolerance))
+	if all := stalls.lateTicks(); len(all) != 0 {
+		t.Errorf("expected no late tick, got %+v", all)
 	}
-	stalls.ticked(due, due.Add(tickTolerance+time.Millisecond))
-	if all := stalls.all(); len(all) != 1 || all[0].Due != due || all[0].At != due.Add(tickTolerance+time.Millisecond) {
-		t.Errorf("%+v", all)
+	stalls.recordTick(due, due.Add(tickTolerance+time.Millisecond))
+	if all := stalls.lateTicks(); len(all) != 1 || all[0].Due != due || all[0].At != due.Add(tickTolerance+time.Millisecond) {
+		t.Errorf("expected one late tick, got %+v", all)
 	}
 }
 
-// A process of hollow dispatchers that was stopped for longer than tickTolerance reports it, and the run does not count. The process starts
-// its ticker in a goroutine of its own: a stop before its first tick would count nothing, so that the test waits for two ticks first.
-func TestStarved(t *testing.T) {
-	f, err := Parse([]byte(sizesFile), "x.hcl")
+// If a process of hollow dispatchers is stopped for longer than tickTolerance, it reports late ticks, and the run does not count. The ticker starts
+// in a goroutine of its own, and a stop before its first tick would not be detected, so the test waits for two ticks first.
+func TestStoppedHollowProcess(t *testing.T) {
+	f, err := Parse([]byte(sweepFile), "x.hcl")
 	all := points(t, f, err)
 	r := newRun(all[0].Plan, options(t), t.TempDir())
 	if r.cluster, err = emulator.Open(r.plan.scenario()); err != nil {
@@ -46,10 +46,10 @@
 		t.Fatal(err)
 	}
 	if len(before.control) != len(r.hollowGroups[0]) {
-		t.Errorf("%d dispatchers in a process of %d", len(before.control), len(r.hollowGroups[0]))
+		t.Errorf("got counts of %d dispatchers from a process of %d", len(before.control), len(r.hollowGroups[0]))
 	}
 	process := r.runningHollowProcesses()[0].command.Process
-	time.Sleep(2 * tickInterval) // its ticker runs
+	time.Sleep(2 * tickInterval) // until the process's ticker runs
 	for range maxLateTicks + 1 {
 		_ = process.Signal(syscall.SIGSTOP)
 		time.Sleep(tickInterval + 2*tickTolerance)
@@ -60,9 +60,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	after.machine, before.machine = machineCounters{}, machineCounters{} // however busy it is
+	after.machine, before.machine = machineCounters{}, machineCounters{} // regardless of the machine's load
 	result := &Result{}
 	if checkMachine(result, before, after); !result.FellBehind || !strings.Contains(result.FellBehindWhy, "late by more than") {
-		t.Errorf("%v %q", result.FellBehind, result.FellBehindWhy)
+		t.Errorf("expected a run that fell behind by late ticks, got %v, reason %q", result.FellBehind, result.FellBehindWhy)
 	}
 }
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/labsupport"
 )
 
-// startAll starts all dispatchers: first the voters, then all others at once.
+// startAll starts all dispatchers: first the voters, then all others in parallel.
 func (r *run) startAll(ctx context.Context) error {
 	var voters, others []func() error
 	for _, each := range r.dispatchers {
@@ -31,7 +31,7 @@
 	return inParallel(others)
 }
 
-// fetchHollowStates fetches what all hollow dispatchers have applied.
+// fetchHollowStates fetches the states that all running hollow dispatchers have applied.
 func (r *run) fetchHollowStates(ctx context.Context) error {
 	for _, process := range r.runningHollowProcesses() {
 		var states map[string][]effectivestate.State
@@ -58,8 +58,7 @@
 	return r.awaitAll(ctx, deadline, func(state effectivestate.State) bool { return !state.Lapsed })
 }
 
-// awaitNewestVersion waits until all dispatchers have leases and apply the newest version alone, and returns false if they do not by the
-// deadline.
+// awaitNewestVersion waits until all dispatchers have leases and apply only the newest version, and returns false if they do not by the deadline.
 func (r *run) awaitNewestVersion(ctx context.Context, deadline time.Time) bool {
 	newest := uint64(0)
 	for _, change := range r.changes {
@@ -83,10 +82,10 @@
 	return false
 }
 
-// allSatisfy reports whether the states of all dispatchers that are not absent satisfy a condition. Bare ones have none.
+// allSatisfy reports whether the current states of all dispatchers that are not absent satisfy a condition. Baseline dispatchers have no states.
 func (r *run) allSatisfy(satisfied func(effectivestate.State) bool) bool {
 	for _, each := range r.dispatchers {
-		if each.role == roleBare || each.absent() {
+		if each.role == roleBaseline || each.absent() {
 			continue
 		}
 		states := r.statesOf(each)
