--- a/internal/scale/fit/canvas.go
+++ b/internal/scale/fit/canvas.go
@@ -18,13 +18,13 @@
 	dashLength              = 4
 )
 
-// legendHeadroom is by how much the vertical axis is longer than the highest value needs, so that the legend is above the lines.
+// legendHeadroom is the factor by which the vertical axis is extended beyond the highest value, so that the legend is above the lines.
 const legendHeadroom = 1.3
 
 // canvas is a chart being drawn: a value over the number of dispatchers.
 type canvas struct{ *plot.Plot }
 
-// newCanvas returns an empty chart. Under its title are the parameters that are constant.
+// newCanvas returns an empty chart. The constant parameters are below its title.
 func newCanvas(title, constant, unit string) canvas {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, paramDispatchers, unit
@@ -36,7 +36,7 @@
 	return canvas{p}
 }
 
-// addSeries draws the number-th metric of the chart: a point for each run, and a line through the medians.
+// addSeries draws a metric of the chart: a point for each run, and a line through the medians. number selects its color.
 func (c canvas) addSeries(label string, number int, points, medians plotter.XYs) error {
 	line, err := plotter.NewLine(medians)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// addBands draws filled bands, the lower ones in front of the higher ones.
+// addBands draws filled bands from the highest to the lowest, so that the lower ones cover the higher ones.
 func (c canvas) addBands(bands []band) error {
 	for i, band := range slices.Backward(bands) {
 		line, err := plotter.NewLine(band.top)
@@ -68,13 +68,13 @@
 	return nil
 }
 
-// bandColor returns the color of the number-th band. There are more than the soft colors alone.
+// bandColor returns the color of a band by its number. The dark colors are added as there are more bands than soft colors.
 func bandColor(number int) color.Color {
 	colors := append(slices.Clone(plotutil.SoftColors), plotutil.DarkColors...)
 	return colors[number%len(colors)]
 }
 
-// save adds the grid and, unless it is 0, the limit, and writes the chart.
+// save adds the grid and, unless limit is 0, the limit's line, and writes the chart.
 func (c canvas) save(path string, sweep []Run, limit float64, unit string) error {
 	c.Add(plotter.NewGrid())
 	if limit > 0 {
@@ -86,7 +86,7 @@
 	return c.Save(chartWidth, chartHeight, path)
 }
 
-// addLimit draws a dashed line up to the most dispatchers of the sweep.
+// addLimit draws a dashed line at the limit, from 0 to the sweep's highest number of dispatchers.
 func (c canvas) addLimit(sweep []Run, limit float64, unit string) error {
 	most := 0.0
 	for _, run := range sweep {
--- a/internal/scale/fit/charts.go
+++ b/internal/scale/fit/charts.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// What a dispatcher may spend on control, as the charts show it.
+// The limits of the cost of control at a dispatcher, which the charts show.
 const (
 	controlBytesLimit = 4000 // bytes/s, both directions
 	controlCPULimit   = 48   // ms of CPU time/s
@@ -28,7 +28,7 @@
 type chart struct {
 	file, title string
 	unit        string  // of the vertical axis
-	scale       float64 // how many of the metrics' units make one of the axis
+	scale       float64 // number of the metrics' units in one unit of the axis
 	limit       float64 // drawn as a line, in the metrics' unit; 0 for none
 	series      []series
 }
@@ -36,7 +36,7 @@
 // series is a metric in a chart, under a label.
 type series struct{ label, metric string }
 
-// charts are those with a line for each metric; saveKindsChart draws the stacked one.
+// charts are the charts with a line for each metric. saveKindsChart draws the stacked chart.
 var charts = []chart{
 	{"bytes.svg", "control at a dispatcher, both ways", kilobytesUnit, bytesPerKilobyte, controlBytesLimit,
 		[]series{{"p50", "control_bytes_s_p50"}, {"p99", "control_bytes_s_p99"}, {"at rest", "rest.bytes_s"}}},
@@ -46,8 +46,8 @@
 		[]series{{"seat, most", "seat_bytes_s_most"}, {"leader", "leader_bytes_s"}}},
 }
 
-// saveCharts writes the charts of the runs in which the number of dispatchers alone varies. A chart of which the runs have no metric is
-// removed, so that none of earlier runs is left.
+// saveCharts writes the charts of the runs in which only the number of dispatchers varies. If the runs have no metric of a chart, its file is
+// removed, so that no chart of earlier runs is left.
 func saveCharts(dir string, runs []Run) error {
 	sweep, constant := SelectSweep(runs, paramDispatchers)
 	for _, c := range charts {
@@ -79,7 +79,7 @@
 	return canvas.save(path, sweep, c.limit/c.scale, c.unit)
 }
 
-// saveKindsChart draws and writes what a dispatcher's control bytes consist of: a band for each kind of message.
+// saveKindsChart draws and writes the composition of a dispatcher's control bytes: a band for each kind of message.
 func saveKindsChart(path string, sweep []Run, constant string) error {
 	bands := kindBands(sweep)
 	if len(bands) == 0 {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// pointsAndMedians returns a metric of all runs over the number of dispatchers, and its median at each number of them. The runs are
-// sorted by it. The metric is divided by scale.
+// pointsAndMedians returns a metric of all runs over the number of dispatchers, and its median at each number of dispatchers. The runs must be
+// sorted by the number of dispatchers. The metric is divided by scale.
 func pointsAndMedians(sweep []Run, metric string, scale float64) (points, medians plotter.XYs) {
 	values := map[float64][]float64{} // by number of dispatchers
 	for _, run := range sweep {
@@ -125,7 +125,7 @@
 // band is a kind of control message in a stacked chart.
 type band struct {
 	label string
-	top   plotter.XYs // the kind's bytes and those of all kinds below it
+	top   plotter.XYs // the bytes of the kind and of all kinds below it
 }
 
 // kindBands stacks the medians of a dispatcher's bytes by kind, in KB/s over the number of dispatchers.
--- a/internal/scale/fit/compare.go
+++ b/internal/scale/fit/compare.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Ratio is a metric after a change of the program divided by what it was before, at one size of the fleet.
+// Ratio is a metric after a change of the program divided by the metric before, at one size of the fleet.
 type Ratio struct {
 	Dispatchers, Workers, Zones float64
 	Role, Metric                string
 	Before, After               float64 // medians over the seeds, in the metric's unit
-	Seeds                       int     // that both builds ran; 0 where nothing can be compared
+	Seeds                       int     // number of seeds that both builds ran; 0 if there is no ratio
 	Median, Low, High           float64 // of the ratios of all seeds
 	Reason                      string  // why there is no ratio
 }
@@ -20,7 +20,7 @@
 }
 
 // Compare pairs the runs of two builds by size and seed, and returns the ratios of all metrics that either build has. Runs that fell behind
-// are excluded; a metric or size that only one build has is listed without a ratio.
+// are excluded. A metric or size that only one build has is listed without a ratio.
 func Compare(before, after []Run) []Ratio {
 	before, _ = excludeFellBehind(before)
 	after, _ = excludeFellBehind(after)
@@ -43,7 +43,7 @@
 	return ratios
 }
 
-// seedValues are a metric's values by seed: several where a seed was run again.
+// seedValues are a metric's values by seed: several if a seed was run several times.
 type seedValues map[float64][]float64
 
 // valuesBySeed returns a metric's values in the runs of one size.
@@ -58,7 +58,7 @@
 	return values
 }
 
-// compareMetric compares a metric at one size, seed by seed. A seed that was run again counts by its median.
+// compareMetric compares a metric at one size, seed by seed. A seed that was run several times counts by its median.
 func compareMetric(size fleetSize, m metric, before, after seedValues) Ratio {
 	ratio := Ratio{Dispatchers: size.dispatchers, Workers: size.workers, Zones: size.zones, Role: m.role, Metric: m.name}
 	var mediansBefore, mediansAfter, ratios []float64
--- a/internal/scale/fit/compare_test.go
+++ b/internal/scale/fit/compare_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestCompare compares two builds size by size and seed by seed, and checks that what cannot be compared is named.
+// TestCompare compares two builds size by size and seed by seed, and checks that a metric without a ratio has a reason.
 func TestCompare(t *testing.T) {
 	run := func(dispatchers, seed, bytes float64) Run {
 		return Run{Source: "r", Values: map[string]float64{"dispatchers": dispatchers, "workers": 530, "zones": 8, "seed": seed, "control_bytes_s_p50": bytes}}
@@ -31,7 +31,7 @@
 		"800 control_bytes_s_p50: 0 0 0 0 0 0 0 before",
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("got\n%s", strings.Join(got, "\n"))
+		t.Errorf("unexpected ratios:\n%s", strings.Join(got, "\n"))
 	}
 	var table bytes.Buffer
 	if err := CompareTable(&table, before, after); err != nil {
@@ -39,7 +39,7 @@
 	}
 	for _, line := range []string{"0.500  0.250 to 0.900", "no seed in common", "left out, as it fell behind (before): r (dispatchers 300, workers 530, zones 8, seed 3)"} {
 		if !strings.Contains(table.String(), line) {
-			t.Errorf("%q is not in\n%s", line, &table)
+			t.Errorf("expected %q in the table, got\n%s", line, &table)
 		}
 	}
 }
--- a/internal/scale/fit/comparetable.go
+++ b/internal/scale/fit/comparetable.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// CompareTable writes a line for each size and metric of two builds, and the runs that were excluded.
+// CompareTable writes a line for each size and metric of two builds, and the excluded runs.
 func CompareTable(out io.Writer, before, after []Run) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(table, "dispatchers\tworkers\tzones\trole\tfigure\tseeds\tbefore\tafter\tratio\trange\t\n")
@@ -27,7 +27,7 @@
 func (r Ratio) cells() []string {
 	cells := []string{formatExact(r.Dispatchers), formatExact(r.Workers), formatExact(r.Zones), r.Role, r.Metric, strconv.Itoa(r.Seeds)}
 	if r.Reason != "" {
-		return append(cells, absent, absent, absent, absent, r.Reason)
+		return append(cells, missingCell, missingCell, missingCell, missingCell, r.Reason)
 	}
 	return append(cells, formatShort(r.Before), formatShort(r.After), fmt.Sprintf("%.3f", r.Median), fmt.Sprintf("%.3f to %.3f", r.Low, r.High), "")
 }
--- a/internal/scale/fit/csv.go
+++ b/internal/scale/fit/csv.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// writeRunsCSV writes a line for each run, with all of its values.
+// writeRunsCSV writes a line for each run with all of its values.
 func writeRunsCSV(out io.Writer, runs []Run) error {
 	runs = sortRuns(runs)
 	header := append(slices.Clone(sweepParameters), paramSeed)
@@ -31,7 +31,7 @@
 	return csv.NewWriter(out).WriteAll(records)
 }
 
-// writeSlopesCSV writes a line for each slope, in the metric's unit for one of the regressor.
+// writeSlopesCSV writes a line for each slope, in the metric's unit per unit of the regressor.
 func writeSlopesCSV(out io.Writer, runs []Run) error {
 	records := [][]string{{"by", "role", "figure", "points",
 		"slope", "slope_low", "slope_high", "intercept", "residual_standard_error", "r_squared",
@@ -47,7 +47,7 @@
 	return csv.NewWriter(out).WriteAll(records)
 }
 
-// fields returns the model's six CSV fields, which are empty where there is no number. The model may be nil.
+// fields returns the model's six CSV fields. A field without a number is empty. The model may be nil.
 func (m *Model) fields() []string {
 	if m == nil {
 		return make([]string, 6)
--- a/internal/scale/fit/format.go
+++ b/internal/scale/fit/format.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// formatExact writes a number with all of its digits, as it was read.
+// formatExact formats a number with all of its digits, as it was read.
 func formatExact(number float64) string { return strconv.FormatFloat(number, 'f', -1, 64) }
 
-// formatSixDigits writes a computed number with six significant digits, which hide the rounding errors of sums.
+// formatSixDigits formats a computed number with six significant digits, which hide the rounding errors of sums.
 func formatSixDigits(number float64) string { return strconv.FormatFloat(number, 'g', 6, 64) }
 
-// formatShort writes a number for tables: whole numbers exactly, others with about three significant digits.
+// formatShort formats a number for tables: whole numbers exactly, others with about three significant digits.
 func formatShort(number float64) string {
 	switch magnitude := max(number, -number); {
 	case number == math.Trunc(number) && magnitude < 1e15:
--- a/internal/scale/fit/json.go
+++ b/internal/scale/fit/json.go
@@ -5,13 +5,13 @@
 	"io"
 )
 
-// roundedNumber is a computed number, which JSON has with six significant digits.
+// roundedNumber is a computed number that is encoded in JSON with six significant digits.
 type roundedNumber float64
 
 // MarshalJSON writes six significant digits.
 func (n roundedNumber) MarshalJSON() ([]byte, error) { return []byte(formatSixDigits(float64(n))), nil }
 
-// The content of slopes.json. Its keys are a file format and do not change. Slopes are in the metric's unit for one of the regressor.
+// The content of slopes.json. Its keys are a file format and do not change. Slopes are in the metric's unit per unit of the regressor.
 type (
 	slopesFile struct {
 		Sweeps   []sweepJSON `json:"against"`
@@ -68,7 +68,7 @@
 	return sweepJSON{Regressor: s.Regressor, Constant: s.Constant, Runs: s.Runs, RunsElsewhere: s.RunsElsewhere, Reason: s.Reason, Slopes: slopes}
 }
 
-// json returns the model as JSON has it. The model may be nil.
+// json returns the model for JSON. The model may be nil.
 func (m *Model) json() *modelJSON {
 	if m == nil {
 		return nil
--- a/internal/scale/fit/metrics.go
+++ b/internal/scale/fit/metrics.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Roles of a metric, as reports name them: whose cost it is.
+// Roles in reports: a metric is the cost at the role.
 const (
 	roleDispatcher = "dispatcher"
 	roleVoter      = "seat"
@@ -13,10 +13,10 @@
 	roleFleet      = "fleet"
 )
 
-// metric is a value of a run that is fitted and compared, by its name in result files.
+// metric is a value of a run that is fitted and compared. Its name is the name in result files.
 type metric struct{ role, name string }
 
-// metrics are those that are one number in a run, in the order of reports.
+// metrics are the metrics that are a single number in a run, in the order of reports.
 var metrics = []metric{
 	{roleDispatcher, "control_bytes_s_p50"}, {roleDispatcher, "control_bytes_s_p99"}, {roleDispatcher, "control_bytes_s_mean"},
 	{roleDispatcher, "control_messages_s"}, {roleDispatcher, "control_cpu_ms_s"}, {roleDispatcher, "hollow_cpu_ms_s"},
@@ -32,17 +32,17 @@
 	{roleVoter, "seat_bytes_by_kind"}, {roleLeader, "leader_bytes_by_kind"},
 }
 
-// otherReportedValues appear in reports beside the parameters of a sweep and the metrics.
+// otherReportedValues appear in reports in addition to the parameters of a sweep and the metrics.
 var otherReportedValues = []string{paramSeed, paramChanges, "contradiction_max_ms", "rules_broken"}
 
-// isReported reports whether a value of this name appears in reports, so that it must be a number.
+// isReported reports whether a value of this name appears in reports and so must be a number.
 func isReported(name string) bool {
 	return slices.Contains(sweepParameters, name) || slices.Contains(otherReportedValues, name) ||
 		slices.ContainsFunc(metrics, func(m metric) bool { return m.name == name }) ||
 		slices.ContainsFunc(metricsByKind, func(m metric) bool { return m.name == name || strings.HasPrefix(name, m.name+".") })
 }
 
-// presentMetrics returns the metrics that at least one of the runs has, those by kind behind the others.
+// presentMetrics returns the metrics that at least one of the runs has. The metrics by kind come last.
 func presentMetrics(runs []Run) []metric {
 	var present []metric
 	names := valueNames(runs)
--- a/internal/scale/fit/model.go
+++ b/internal/scale/fit/model.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	minObservations = 3    // of a fit: two leave no degree of freedom for the residual standard error
+	minObservations = 3    // of a fit: two observations leave no degree of freedom for the residual standard error
 	confidenceLevel = 0.95 // of the slopes' intervals
 	// roundingShare is the share of the response's sum of squares below which the residuals' sum of squares is rounding error.
 	roundingShare = 1e-24
@@ -21,22 +21,22 @@
 // Contains reports whether a value lies in the interval, its bounds included.
 func (i Interval) Contains(value float64) bool { return i.Low <= value && value <= i.High }
 
-// Model is a line fitted by ordinary least squares. Its units are the metric's and the regressor's; where the regressor is a logarithm to
-// base 2, the slope is what a doubling adds.
+// Model is a line fitted by ordinary least squares. Its units are the metric's and the regressor's. If the regressor is a logarithm to base 2,
+// the slope is the increase per doubling.
 type Model struct {
 	Slope                 float64
 	SlopeInterval         Interval
 	Intercept             float64
 	ResidualStandardError float64
-	RSquared              *float64 // nil where the metric does not vary
+	RSquared              *float64 // nil if the metric does not vary
 }
 
-// varies reports whether the values are not all the same. There must be one.
+// varies reports whether the values are not all the same. There must be at least one value.
 func varies(values []float64) bool { return slices.Min(values) != slices.Max(values) }
 
-// fitModel regresses the responses on the regressor's values, which must vary and be at least minObservations.
+// fitModel regresses the responses on the regressor's values. These must vary, and there must be at least minObservations.
 func fitModel(regressor, response []float64) *Model {
-	if !varies(response) { // exact, where sums would leave rounding errors
+	if !varies(response) { // exact, as sums would leave rounding errors
 		return &Model{Intercept: response[0]}
 	}
 	observations := float64(len(response))
--- a/internal/scale/fit/parse.go
+++ b/internal/scale/fit/parse.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// fellBehindKey is the key of a run that does not count: true, or a number that is not 0.
+// fellBehindKey is the key that marks a run that does not count, with the value true or a number that is not 0.
 const fellBehindKey = "fell_behind"
 
 // resultFile is the text of a result file.
 type resultFile struct {
-	path   string // in errors
-	source string // in runs
+	path   string // for errors
+	source string // Run.Source
 	text   []byte
 }
 
-// parse returns the file's run or, if it is an array, its runs. Errors name file, line and column.
+// parse returns the file's run or, if the file is an array, its runs. Errors name file, line and column.
 func (f resultFile) parse() ([]Run, error) {
 	var document json.RawMessage
 	if err := json.Unmarshal(f.text, &document); err != nil {
@@ -50,34 +50,34 @@
 		runs = append(runs, run)
 	}
 	if len(runs) == 0 {
-		return nil, f.errorAt(0, errors.New("no run in it"))
+		return nil, f.errorAt(0, errors.New("expected at least one run, found none"))
 	}
 	return runs, nil
 }
 
-// errorAt prefixes an error with the line and column of a byte of the text. An offset outside of the text is taken for its nearer end.
+// errorAt prefixes an error with the path and with the line and column of a byte offset. An offset outside the text counts as its nearer end.
 func (f resultFile) errorAt(offset int64, err error) error {
 	before := f.text[:min(max(offset, 0), int64(len(f.text)))]
 	line, column := bytes.Count(before, []byte("\n"))+1, len(before)-bytes.LastIndexByte(before, '\n')
 	return fmt.Errorf("%s:%d:%d: %w", f.path, line, column, err)
 }
 
-// syntaxError prefixes an error of encoding/json with its place: the end of the text if that came too early.
+// syntaxError prefixes an error of encoding/json with its place. For an unexpected end that is the end of the text.
 func (f resultFile) syntaxError(err error) error {
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) && !strings.HasPrefix(syntax.Error(), "unexpected end") {
-		return f.errorAt(syntax.Offset-1, syntax) // the offset is behind the byte
+		return f.errorAt(syntax.Offset-1, syntax) // Offset is one past the invalid byte
 	}
 	return f.errorAt(int64(len(f.text)), err)
 }
 
-// parseRun reads a run's JSON object; the caller sets the source.
+// parseRun parses a run's JSON object. The caller sets Run.Source.
 func parseRun(text []byte) (Run, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	var fields map[string]any
 	if err := decoder.Decode(&fields); err != nil {
-		return Run{}, errors.New("a run is a JSON object")
+		return Run{}, errors.New("expected a JSON object for a run")
 	}
 	fellBehind, err := parseFellBehind(fields[fellBehindKey])
 	if err != nil {
@@ -96,7 +96,7 @@
 	return run, nil
 }
 
-// parseFellBehind reads the value of fell_behind: earlier builds wrote how often, or how far, the machine fell behind.
+// parseFellBehind parses the value of fell_behind. Earlier builds wrote a number: how often, or how far, the machine fell behind.
 func parseFellBehind(value any) (bool, error) {
 	switch value := value.(type) {
 	case nil:
@@ -107,12 +107,12 @@
 		number, err := value.Float64()
 		return err != nil || number != 0, nil
 	default:
-		return false, errors.New("fell_behind is neither a number nor true or false")
+		return false, errors.New("fell_behind: expected a number, true or false")
 	}
 }
 
 // addValues adds all numbers of an object to the run, with the prefix before their names. Fields that are neither a number nor an object
-// are passed over, unless reports show a value of that name.
+// are ignored, or are an error if reports contain a value of that name.
 func (r *Run) addValues(prefix string, fields map[string]any) error {
 	for _, key := range slices.Sorted(maps.Keys(fields)) {
 		name := prefix + key
@@ -121,7 +121,7 @@
 		case json.Number:
 			number, err := field.Float64()
 			if err != nil {
-				return fmt.Errorf("%s: %s is no number that can be reckoned with", name, field)
+				return fmt.Errorf("%s: %s is out of range for a 64-bit float", name, field)
 			}
 			r.Values[name] = number
 		case map[string]any:
@@ -130,7 +130,7 @@
 			}
 		default:
 			if isReported(name) {
-				return fmt.Errorf("%s is no number", name)
+				return fmt.Errorf("%s: expected a number", name)
 			}
 		}
 	}
--- a/internal/scale/fit/read.go
+++ b/internal/scale/fit/read.go
@@ -7,14 +7,14 @@
 	"path/filepath"
 )
 
-// Names of result files: of several runs in an array, and of one run.
+// Names of result files: with an array of runs, and with one run.
 const (
 	runsFile = "results.json"
 	runFile  = "result.json"
 )
 
-// Read returns the runs of files and directories, sorted by their parameters. Of a directory it reads results.json or, if there is none,
-// each result.json in it and the directories below. No file is read twice.
+// Read returns the runs of files and directories, sorted by their parameters. In a directory it reads results.json or, if there is none,
+// result.json and the files of the directories below in the same way. No file is read twice.
 func Read(paths ...string) ([]Run, error) {
 	var runs []Run
 	seen := map[string]bool{} // by absolute path
@@ -46,8 +46,8 @@
 	return sortRuns(runs), nil
 }
 
-// sourceName returns a file's name in runs: relative to the parent of the directory that was read or, for a file that was named
-// itself, of its directory.
+// sourceName returns the Run.Source for a file. It is relative to the parent of path if that is a directory, or of the file's directory if path
+// is the file itself.
 func sourceName(path, file string) string {
 	top := filepath.Dir(filepath.Clean(path))
 	if path == file {
@@ -60,7 +60,7 @@
 	return filepath.ToSlash(name)
 }
 
-// findFiles returns the result files of a directory, or the file itself. A directory without any is an error.
+// findFiles returns the result files of a directory, or path itself if it is a file. A directory without result files is an error.
 func findFiles(path string) ([]string, error) {
 	if info, err := os.Stat(path); err != nil || !info.IsDir() {
 		return []string{path}, err
@@ -84,7 +84,7 @@
 		return fs.SkipDir
 	})
 	if err == nil && len(files) == 0 {
-		err = fmt.Errorf("%s: no results.json or result.json there", path)
+		err = fmt.Errorf("%s: expected results.json or result.json, found neither", path)
 	}
 	return files, err
 }
--- a/internal/scale/fit/regression.go
+++ b/internal/scale/fit/regression.go
@@ -11,28 +11,28 @@
 
 // The verdicts.
 const (
-	Flat        Verdict = "flat"        // the confidence interval of the linear model's slope contains 0
-	Linear      Verdict = "linear"      // it does not, and the linear model is the better one
-	Logarithmic Verdict = "logarithmic" // it does not, and the logarithmic model is the better one
-	Unclear     Verdict = "unclear"     // there are too few observations, or neither model is the better one
+	Flat        Verdict = "flat"        // the linear model's confidence interval of the slope contains 0
+	Linear      Verdict = "linear"      // the interval does not contain 0, and the linear model fits better
+	Logarithmic Verdict = "logarithmic" // the interval does not contain 0, and the logarithmic model fits better
+	Unclear     Verdict = "unclear"     // there are too few observations, or neither model fits better
 )
 
-// minAICDifference is by how much Akaike's information criterion of two models must differ before one counts as the better.
+// minAICDifference is the difference of Akaike's information criterion from which on one of two models counts as the better one.
 const minAICDifference = 2
 
-// Regression is a metric fitted against a regressor, with one observation a run.
+// Regression is a metric fitted against a regressor, with one observation per run.
 type Regression struct {
 	Metric, Regressor string
 	Observations      int
 	Excluded          []string // names of runs that fell behind
-	Linear            *Model   // against the regressor; nil where there is too little to fit
-	Logarithmic       *Model   // against the regressor's logarithm to base 2; nil likewise, or where a value is not above 0
+	Linear            *Model   // on the regressor; nil if there are too few observations, or the regressor does not vary
+	Logarithmic       *Model   // on the regressor's logarithm to base 2; nil if Linear is nil, or if a regressor value is not above 0
 	Verdict           Verdict
-	Reason            string // what the verdict does not say: why nothing was fitted, or what speaks against it
+	Reason            string // why nothing was fitted, or a reservation about the verdict; may be empty
 }
 
 // Fit fits a metric against a regressor: "dispatchers", "workers", "zones", "changes" or any other value of the runs. Runs that fell behind
-// are excluded; runs that lack one of the two values give no observation.
+// are excluded. Runs that lack one of the two values give no observation.
 func Fit(runs []Run, regressor, metric string) Regression {
 	used, excluded := excludeFellBehind(runs)
 	sizes, responses := observations(used, regressor, metric)
@@ -57,7 +57,7 @@
 	return regression
 }
 
-// observations returns the regressor's and the metric's value of each run that has both.
+// observations returns the values of the regressor and of the metric of each run that has both.
 func observations(runs []Run, regressor, metric string) (sizes, responses []float64) {
 	for _, run := range runs {
 		size, hasRegressor := run.Values[regressor]
@@ -69,8 +69,8 @@
 	return sizes, responses
 }
 
-// chooseVerdict returns the verdict of a fitted regression and what it does not say. Both models have two parameters, so the difference of
-// their Akaike criteria depends on their residuals alone.
+// chooseVerdict returns the verdict of a fitted regression and its reason, which may be empty. Both models have two parameters, so the
+// difference of their Akaike criteria depends only on their residuals.
 func (r Regression) chooseVerdict() (verdict Verdict, reason string) {
 	if r.Linear.SlopeInterval.Contains(0) {
 		if r.Logarithmic != nil && !r.Logarithmic.SlopeInterval.Contains(0) {
--- a/internal/scale/fit/run.go
+++ b/internal/scale/fit/run.go
@@ -17,22 +17,22 @@
 	paramSeed        = "seed"
 )
 
-// sweepParameters are the parameters that, all but the regressor, must be equal in the runs of one sweep. Changes, voters, regions and
-// teams are not compared.
+// sweepParameters are the parameters that must be equal in the runs of one sweep, except the regressor. Changes, voters, regions and teams are
+// not compared.
 var sweepParameters = []string{paramDispatchers, paramWorkers, paramZones, paramLease}
 
-// identifyingParameters are those by which tables and messages tell runs apart.
+// identifyingParameters are the parameters by which tables and messages identify runs.
 var identifyingParameters = []string{paramDispatchers, paramWorkers, paramZones, paramSeed}
 
 // Run is the result of one scale run.
 type Run struct {
-	Source          string             // the result file, with the run's index where the file has several
-	Values          map[string]float64 // parameters and metrics by name; those of a nested object as "object.name"
+	Source          string             // the result file, with the run's index if the file is an array
+	Values          map[string]float64 // parameters and metrics by name; values of a nested object by "object.name"
 	FellBehind      bool               // the machine was the limit, so the run does not count
-	Commit, Command string             // of the build; that makes the run again
+	Commit, Command string             // the build's commit; the command that repeats the run
 }
 
-// Name returns the run's source and the parameters that tell it from other runs.
+// Name returns the run's source and identifying parameters.
 func (r Run) Name() string {
 	var parameters []string
 	for _, name := range identifyingParameters {
@@ -43,7 +43,7 @@
 	return r.Source + " (" + strings.Join(parameters, ", ") + ")"
 }
 
-// sortRuns returns the runs by their parameters and seeds, in an order that does not depend on the order they come in.
+// sortRuns returns the runs sorted by their parameters and seeds. The result does not depend on the order of the input.
 func sortRuns(runs []Run) []Run {
 	return slices.SortedStableFunc(slices.Values(runs), func(a, b Run) int {
 		for _, name := range append(slices.Clone(sweepParameters), paramSeed) {
--- a/internal/scale/fit/save.go
+++ b/internal/scale/fit/save.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 )
 
-// Save writes table.txt, points.csv, slopes.csv, slopes.json and the charts to a directory, which it makes if need be. The same runs give the
+// Save writes table.txt, points.csv, slopes.csv, slopes.json and the charts to a directory, which it creates if needed. The same runs give the
 // same bytes.
 func Save(dir string, runs []Run) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -33,7 +33,7 @@
 	return writeFile(path, func(out io.Writer) error { return CompareTable(out, before, after) })
 }
 
-// writeFile makes a file, or replaces it, with what a function writes.
+// writeFile creates or replaces a file with the output of a function.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/scale/fit/save_test.go
+++ b/internal/scale/fit/save_test.go
@@ -31,11 +31,11 @@
 }
 
 // TestGolden checks the table, the slopes and the points of a set of runs against golden files, and the labels of the charts. One of the
-// runs fell behind, and three have another number of workers than the others.
+// runs fell behind, and three have a different number of workers.
 func TestGolden(t *testing.T) {
 	runs, err := Read("testdata/results.json")
 	if err != nil || len(runs) != 13 {
-		t.Fatalf("%d runs, %v", len(runs), err)
+		t.Fatalf("expected 13 runs, got %d, %v", len(runs), err)
 	}
 	dir := t.TempDir()
 	if err := Save(dir, runs); err != nil {
@@ -43,7 +43,7 @@
 	}
 	files := readAll(t, dir)
 	if got := slices.Sorted(maps.Keys(files)); strings.Join(got, " ") != "bytes.svg cpu.svg kinds.svg points.csv seats.svg slopes.csv slopes.json table.txt" {
-		t.Errorf("saved: %s", got)
+		t.Errorf("unexpected files saved: %s", got)
 	}
 	for _, name := range []string{"table.txt", "slopes.csv", "slopes.json", "points.csv"} {
 		testsupport.CheckGolden(t, filepath.Join("testdata", name), []byte(files[name]))
@@ -54,14 +54,13 @@
 	} {
 		for _, label := range labels {
 			if !strings.Contains(files[name], label) {
-				t.Errorf("%s does not say %q", name, label)
+				t.Errorf("%s: expected the label %q", name, label)
 			}
 		}
 	}
 }
 
-// TestSameRunsSameBytes checks that the same runs give the same bytes, whatever order they come in, and in a directory that had other
-// results before.
+// TestSameRunsSameBytes checks that the same runs give the same bytes regardless of their order, also in a directory with earlier results.
 func TestSameRunsSameBytes(t *testing.T) {
 	runs, err := Read("testdata/results.json")
 	if err != nil {
@@ -77,7 +76,7 @@
 		t.Fatal(err)
 	}
 	if got := readAll(t, dir); len(got) != 4 {
-		t.Errorf("charts of other runs are left: %v", slices.Sorted(maps.Keys(got)))
+		t.Errorf("expected no charts of other runs, got the files %v", slices.Sorted(maps.Keys(got)))
 	}
 	slices.Reverse(runs)
 	if err := Save(dir, runs); err != nil {
@@ -92,8 +91,8 @@
 	}
 }
 
-// TestOneSize checks that a single number of dispatchers is drawn as points and nothing is fitted, that each kind of message has a band of its
-// own color, and that metrics which are all 0 do no harm.
+// TestOneSize checks that with a single number of dispatchers points are drawn and nothing is fitted, that each kind of message has a band with
+// its own color, and that metrics that are 0 in all runs are saved without an error.
 func TestOneSize(t *testing.T) {
 	var runs []Run
 	for seed := range 3 {
@@ -109,16 +108,16 @@
 	}
 	files := readAll(t, dir)
 	if !strings.Contains(files["table.txt"], "against dispatchers: nothing fitted") || strings.Contains(files["slopes.json"], "intercept") || strings.Count(files["slopes.csv"], "\n") != 1 {
-		t.Errorf("a number was invented:\n%s", files["table.txt"])
+		t.Errorf("expected no fitted number:\n%s", files["table.txt"])
 	}
 	if files["bytes.svg"] == "" || files["seats.svg"] == "" || files["kinds.svg"] == "" || files["cpu.svg"] != "" {
-		t.Errorf("charts: %v", slices.Sorted(maps.Keys(files)))
+		t.Errorf("expected bytes.svg, seats.svg and kinds.svg, and no cpu.svg, got %v", slices.Sorted(maps.Keys(files)))
 	}
 	colors := map[string]bool{}
 	for i := range 9 {
 		colors[fmt.Sprint(bandColor(i))] = true
 	}
 	if len(colors) != 9 {
-		t.Errorf("%d colors for nine kinds", len(colors))
+		t.Errorf("got %d colors for nine kinds", len(colors))
 	}
 }
--- a/internal/scale/fit/sweep.go
+++ b/internal/scale/fit/sweep.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// regressors are what metrics are fitted against, each with the unit of its slopes in the table.
+// regressors are the parameters against which metrics are fitted, each with the unit of its slopes in the table.
 var regressors = []struct {
 	name      string
 	slopeUnit float64
@@ -20,11 +20,11 @@
 // Sweep is the regressions of all metrics on one regressor, over runs that are equal in all other sweepParameters.
 type Sweep struct {
 	Regressor     string
-	SlopeUnit     float64 // how many of the regressor the table's slopes are for
-	Constant      string  // the parameters that are the same in all of its runs
+	SlopeUnit     float64 // the table shows slopes per this many of the regressor
+	Constant      string  // names and values of the parameters that all its runs have in common
 	Runs          int
-	RunsElsewhere int    // runs that count, but have other parameters
-	Reason        string // why nothing was fitted
+	RunsElsewhere int    // runs that count but have other parameters
+	Reason        string // why nothing was fitted; otherwise empty
 	Slopes        []Slope
 }
 
@@ -53,9 +53,9 @@
 	return sweeps
 }
 
-// SelectSweep returns the runs in which a parameter varies and no other does, sorted, and the parameters that they have in common. Of several
-// such sets it takes the one with most values of the parameter, then with most runs, then the first by its other parameters. Runs that
-// fell behind are excluded.
+// SelectSweep returns runs that differ only in the given parameter, sorted, and the parameters that they have in common. Of several such sets it
+// takes the one with the most values of the parameter, then with the most runs, then the first by the other parameters. Runs that fell
+// behind are excluded.
 func SelectSweep(runs []Run, parameter string) (selected []Run, constant string) {
 	mostValues := 0
 	for _, candidate := range groupByOthers(runs, parameter) {
@@ -67,13 +67,13 @@
 	return selected, constant
 }
 
-// runGroup is runs that have all parameters but one in common.
+// runGroup is runs that are equal in all parameters except one.
 type runGroup struct {
 	constant string // names and values of the parameters in common
 	runs     []Run
 }
 
-// groupByOthers groups the runs that count and have the parameter by all other parameters of a sweep, the first group first.
+// groupByOthers groups the runs that count and have the parameter by all other sweepParameters. The groups are in the order of their first runs.
 func groupByOthers(runs []Run, parameter string) []runGroup {
 	var groups []runGroup
 	position := map[string]int{} // in groups, by constant
--- a/internal/scale/fit/sweep_test.go
+++ b/internal/scale/fit/sweep_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestSelectSweep checks that runs are fitted against one parameter only.
+// TestSelectSweep checks that the runs of a sweep differ only in its parameter, and that only parameters that vary are fitted.
 func TestSelectSweep(t *testing.T) {
 	run := func(dispatchers, workers float64) Run {
 		return Run{Values: map[string]float64{"dispatchers": dispatchers, "workers": workers, "zones": 8}}
@@ -22,12 +22,12 @@
 			pairs = append(pairs, fmt.Sprintf("%v/%v", run.Values["dispatchers"], run.Values["workers"]))
 		}
 		if got := strings.Join(pairs, " ") + " at " + constant; got != want {
-			t.Errorf("%s: %s, want %s", parameter, got, want)
+			t.Errorf("%s: got %s, expected %s", parameter, got, want)
 		}
 	}
 	for _, sweep := range Sweeps(runs) {
 		if fitted := sweep.Regressor == "dispatchers" || sweep.Regressor == "workers"; (sweep.Reason == "") != fitted {
-			t.Errorf("%s: %q", sweep.Regressor, sweep.Reason)
+			t.Errorf("%s: unexpected reason %q", sweep.Regressor, sweep.Reason)
 		}
 	}
 }
--- a/internal/scale/fit/table.go
+++ b/internal/scale/fit/table.go
@@ -9,10 +9,10 @@
 	"text/tabwriter"
 )
 
-// absent stands in tables for a value that there is not.
-const absent = "-"
+// missingCell is the table cell of a missing value.
+const missingCell = "-"
 
-// metricColumns are what the table shows of a run behind its identifying parameters.
+// metricColumns are the table's columns after the identifying parameters of a run.
 var metricColumns = []struct{ header, name string }{
 	{"B/s p50", "control_bytes_s_p50"}, {"p99", "control_bytes_s_p99"}, {"messages/s", "control_messages_s"},
 	{"cpu ms/s", "control_cpu_ms_s"}, {"hollow", "hollow_cpu_ms_s"}, {"MB", "control_memory_mb"},
@@ -21,7 +21,7 @@
 	{"in force p99 ms", "in_force_p99_ms"}, {"p99.9", "in_force_p999_ms"}, {"contradiction ms", "contradiction_max_ms"}, {"rules broken", "rules_broken"},
 }
 
-// Table writes a line for each run, then the slopes by role and metric, the runs that were excluded, and the commits of the runs.
+// Table writes a line for each run, then the slopes by role and metric, the excluded runs, and the commits of the runs.
 func Table(out io.Writer, runs []Run) error {
 	runs = sortRuns(runs)
 	if err := writeRunTable(out, runs); err != nil {
@@ -69,16 +69,16 @@
 	return table.Flush()
 }
 
-// cell returns a value as the table shows it.
+// cell returns a value formatted for the table, or missingCell.
 func (r Run) cell(name string, format func(float64) string) string {
 	value, ok := r.Values[name]
 	if !ok {
-		return absent
+		return missingCell
 	}
 	return format(value)
 }
 
-// writeTable writes the slopes of a sweep, a line each.
+// writeTable writes the slopes of a sweep, one per line.
 func (s Sweep) writeTable(out io.Writer) error {
 	if s.Reason != "" {
 		_, err := fmt.Fprintf(out, "\nagainst %s: nothing fitted, %s\n", s.Regressor, s.Reason)
@@ -105,20 +105,20 @@
 	return table.Flush()
 }
 
-// modelCells are a model's numbers as the table shows them.
+// modelCells are a model's numbers, formatted for the table.
 type modelCells struct{ slope, interval, intercept, residual, rSquared string }
 
-// cells returns the model's numbers, the slope for slopeUnit of the regressor. The model may be nil.
+// cells returns the model's numbers, with the slope per slopeUnit of the regressor. The model may be nil.
 func (m *Model) cells(slopeUnit float64) modelCells {
 	if m == nil {
-		return modelCells{absent, absent, absent, absent, absent}
+		return modelCells{missingCell, missingCell, missingCell, missingCell, missingCell}
 	}
 	cells := modelCells{
 		slope:     formatShort(m.Slope * slopeUnit),
 		interval:  formatShort(m.SlopeInterval.Low*slopeUnit) + " to " + formatShort(m.SlopeInterval.High*slopeUnit),
 		intercept: formatShort(m.Intercept),
 		residual:  formatShort(m.ResidualStandardError),
-		rSquared:  absent,
+		rSquared:  missingCell,
 	}
 	if m.RSquared != nil {
 		cells.rSquared = strconv.FormatFloat(*m.RSquared, 'f', 3, 64)
@@ -126,7 +126,7 @@
 	return cells
 }
 
-// verdictText returns the verdict with its reason, if there is one.
+// verdictText returns the verdict, with its reason if there is one.
 func (r Regression) verdictText() string {
 	if r.Reason == "" {
 		return string(r.Verdict)
@@ -134,7 +134,7 @@
 	return fmt.Sprintf("%s (%s)", r.Verdict, r.Reason)
 }
 
-// writeCommits writes the commits of the builds that the runs were made with.
+// writeCommits writes the commits of the builds that executed the runs.
 func writeCommits(out io.Writer, runs []Run) {
 	var commits []string
 	for _, run := range runs {
