--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -28,7 +28,7 @@
 // dispatcher is a dispatcher of a run, over all processes that run it one after the other. The run's mutex guards the fields from process on.
 type dispatcher struct {
 	name          string
-	role          costRole // roleServing, roleDedicated or roleBare
+	role          costRole // roleServing, roleDedicated or roleBaseline
 	hollow        bool
 	fleetAddress  string // where other dispatchers reach it
 	zone          int
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -28,7 +28,7 @@
 	At     time.Duration // since the start of the measured span
 	For    time.Duration // 0 for a fault that does not end
 	After  time.Duration // measured time after its end
-	Count  int           // of dispatchers to replace
+	Count  int           // number of dispatchers to replace
 	Zone   int           // the lost zone, counted from 0
 	Region int           // the partitioned region, counted from 0
 }
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -126,7 +126,7 @@
 	go p.readAddressAndWait(stdout, address)
 	if p.address = <-address; p.address == "" {
 		p.kill()
-		text, _ := os.ReadFile(p.logPath) // the error is complete enough without the log
+		text, _ := os.ReadFile(p.logPath) // if the log cannot be read, the error is without its text
 		return fmt.Errorf("hollow process %d ended before it was ready: %s", p.number, text)
 	}
 	return nil
--- a/internal/scale/hollowserver.go
+++ b/internal/scale/hollowserver.go
@@ -25,7 +25,7 @@
 	observedZonesPath = "/hears"  // POST: names of the zones from which probes are answered from now on
 )
 
-// hollowCounts is the counters of a process of hollow dispatchers.
+// hollowCounts are the counters of a process of hollow dispatchers.
 type hollowCounts struct {
 	LateTicks  []lateTick               `json:"late"`
 	Control    map[string]controlCounts `json:"each"`  // by dispatcher
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -7,7 +7,7 @@
 	"brassdale/internal/labsupport"
 )
 
-// machineCounters is counters of the whole machine since its start.
+// machineCounters are the counters of the whole machine since its start.
 type machineCounters struct {
 	busyTicks  float64 // of all cores
 	totalTicks float64 // of all cores, idle ones included
