--- a/cmd/brassdale/deadline_test.go
+++ b/cmd/brassdale/deadline_test.go
@@ -17,8 +17,8 @@
 
 // receivedDeadlines records the deadlines of jobs as workers received them.
 type receivedDeadlines struct {
-	mu    sync.Mutex
-	until map[string]time.Time // by key: the latest deadline
+	mu          sync.Mutex
+	latestByKey map[string]time.Time // by key: the latest deadline
 }
 
 // record records the deadline of a job that has just been received.
@@ -29,9 +29,9 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	key, until := r.Header.Get("Idempotency-Key"), time.Now().Add(time.Duration(left)*time.Millisecond)
-	if until.After(d.until[key]) {
-		d.until[key] = until
+	key, deadline := r.Header.Get("Idempotency-Key"), time.Now().Add(time.Duration(left)*time.Millisecond)
+	if deadline.After(d.latestByKey[key]) {
+		d.latestByKey[key] = deadline
 	}
 }
 
@@ -39,7 +39,7 @@
 func (d *receivedDeadlines) latest(key string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.until[key]
+	return d.latestByKey[key]
 }
 
 // sendPipelined sends two requests at once on a connection, the second with a deadline in milliseconds, and reads both answers. It
@@ -67,7 +67,7 @@
 // connection until the request before it is answered: the worker receives what is left of it.
 func TestPipelinedRequest_deadlineAtWorker(t *testing.T) {
 	t.Parallel()
-	deadlines := receivedDeadlines{until: map[string]time.Time{}}
+	deadlines := receivedDeadlines{latestByKey: map[string]time.Time{}}
 	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		deadlines.record(r)
 		if r.Header.Get("Idempotency-Key") == "first" {
--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -160,13 +160,13 @@
 
 // BenchmarkEndpointCache measures a busy deployment whose discovery fails for the first 20 s, with the endpoint cache and without.
 func BenchmarkEndpointCache(b *testing.B) {
-	for _, way := range []string{"discovery never failed", "saved list", "saved list, all trusted", "no list"} {
-		measureOutage(b, way)
+	for _, variant := range []string{"discovery never failed", "saved list", "saved list, all trusted", "no list"} {
+		measureOutage(b, variant)
 	}
 }
 
 // measureOutage logs which share of requests is served in time, among all that were due.
-func measureOutage(b *testing.B, way string) {
+func measureOutage(b *testing.B, variant string) {
 	b.Helper()
 	const (
 		outage   = 20 * time.Second
@@ -174,7 +174,7 @@
 		rate     = 150.0 // requests per second
 	)
 	deployment := newBenchDeployment(b)
-	dispatcher, server := startInOutage(b, way, deployment)
+	dispatcher, server := startInOutage(b, variant, deployment)
 	discovery := dispatcher.discovery
 	beganAt := time.Now()
 	time.AfterFunc(outage, func() { discovery.update(func() { discovery.failing = false }) })
@@ -184,7 +184,7 @@
 	}
 	counts := &servedBySecond{sent: map[int]int{}, inTime: map[int]int{}}
 	sendOnSchedule(schedule, func(index int, due time.Time) {
-		status, _, _ := trySend(http.DefaultClient, newRequest(dispatcher.http1URL, fmt.Sprint(way, index)))
+		status, _, _ := trySend(http.DefaultClient, newRequest(dispatcher.http1URL, fmt.Sprint(variant, index)))
 		took := time.Since(due)
 		counts.mu.Lock()
 		defer counts.mu.Unlock()
@@ -199,20 +199,20 @@
 	})
 	peak, atUnlisted := deployment.loads()
 	b.Logf("%-24s first served after %8v; served in time: first 10 s %.3f, 5 to 20 s %.3f, 20 to 30 s %.3f; warming worker got %.2f times its capacity (overload at %.0f); %d jobs at a drained one",
-		way, counts.firstServed.Round(time.Millisecond), counts.share(0, 10), counts.share(5, 20), counts.share(20, 30), peak, modelOverloadMultiple, atUnlisted)
+		variant, counts.firstServed.Round(time.Millisecond), counts.share(0, 10), counts.share(5, 20), counts.share(20, 30), peak, modelOverloadMultiple, atUnlisted)
 	dispatcher.kill()
 	server.CloseClientConnections()
 }
 
 // startInOutage starts a dispatcher and its discovery, which fails unless the way says otherwise.
-func startInOutage(b *testing.B, way string, deployment *benchDeployment) (*testDispatcher, *httptest.Server) {
+func startInOutage(b *testing.B, variant string, deployment *benchDeployment) (*testDispatcher, *httptest.Server) {
 	b.Helper()
 	discovery := newTestDiscovery(deployment.listed...)
-	discovery.failing = way != "discovery never failed"
+	discovery.failing = variant != "discovery never failed"
 	server := httptest.NewServer(discovery)
 	dispatcher := newTestDispatcher(b, discovery)
 	operator, known := "", ""
-	switch way {
+	switch variant {
 	case "saved list":
 		dir := b.TempDir()
 		writeModelList(b, dir, 2*time.Hour, deployment.cached)
@@ -230,13 +230,13 @@
 // BenchmarkPowerLoss measures how much work each worker gets where all workers and two dispatchers start at once, with lists of a
 // minute ago. The most that any worker gets from both together must stay below modelOverloadMultiple.
 func BenchmarkPowerLoss(b *testing.B) {
-	for _, way := range []string{"saved list", "saved list, all trusted"} {
-		measurePowerLoss(b, way)
+	for _, variant := range []string{"saved list", "saved list, all trusted"} {
+		measurePowerLoss(b, variant)
 	}
 }
 
 // measurePowerLoss logs the highest load of a worker, and how many requests were served.
-func measurePowerLoss(b *testing.B, way string) {
+func measurePowerLoss(b *testing.B, variant string) {
 	b.Helper()
 	var deployment benchDeployment
 	for i := range 8 {
@@ -248,14 +248,14 @@
 	for i := range 2 {
 		dispatcher := newTestDispatcher(b, newTestDiscovery(deployment.cached...))
 		operator := ""
-		if way == "saved list" {
+		if variant == "saved list" {
 			dir := b.TempDir()
 			writeModelList(b, dir, time.Minute, deployment.cached)
 			operator = savedListBlock(dir)
 		}
 		dispatcher.start(operator, func(config string) string {
 			config = withSetting(`"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":2,"ordinal":%d`, i))(config)
-			if way == "saved list" {
+			if variant == "saved list" {
 				config = withoutKnownList(config)
 			}
 			return withDiscoveryAddress(config, "127.0.0.1:1")
@@ -270,14 +270,14 @@
 	var mu sync.Mutex
 	served := 0
 	sendOnSchedule(schedule, func(index int, _ time.Time) {
-		if status, _, _ := trySend(http.DefaultClient, newRequest(dispatchers[index%2].http1URL, fmt.Sprint(way, index))); status == 200 {
+		if status, _, _ := trySend(http.DefaultClient, newRequest(dispatchers[index%2].http1URL, fmt.Sprint(variant, index))); status == 200 {
 			mu.Lock()
 			defer mu.Unlock()
 			served++
 		}
 	})
 	peak, _ := deployment.loads()
-	b.Logf("%-24s %4d of %d served; the worker that got most got %.2f times its capacity (overload at %.0f)", way, served, requests, peak, modelOverloadMultiple)
+	b.Logf("%-24s %4d of %d served; the worker that got most got %.2f times its capacity (overload at %.0f)", variant, served, requests, peak, modelOverloadMultiple)
 	for _, dispatcher := range dispatchers {
 		dispatcher.kill()
 	}
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -44,7 +44,7 @@
 				t.Errorf("not started from the cache, or logged so: source %q, age %d s", source, age)
 			}
 			dispatcher.waitFor("answers of both workers", func() bool { return dispatcher.metric("boxes_heard")+dispatcher.metric("boxes_proven") == 2 })
-			dispatcher.waitUntilProven(2)
+			dispatcher.waitUntilVerified(2)
 		})
 	}
 }
--- a/cmd/brassdale/fleet_lifecycle_test.go
+++ b/cmd/brassdale/fleet_lifecycle_test.go
@@ -17,15 +17,15 @@
 	fleet.waitForVersion(1, fleet.indices()...)
 	fleet.addresses, fleet.directories = append(fleet.addresses, strings.Replace(fleet.addresses[3], ".4:", ".5:", 1)), append(fleet.directories, t.TempDir())
 	fleet.stopProcess(3)
-	twin := startDispatcherWith(t, fleet.operatorFile(4), withSetting(`"name":"n0"`, `"name":"n3"`), fleet.workers...)
-	fleet.dispatchers = append(fleet.dispatchers, twin)
+	second := startDispatcherWith(t, fleet.operatorFile(4), withSetting(`"name":"n0"`, `"name":"n3"`), fleet.workers...)
+	fleet.dispatchers = append(fleet.dispatchers, second)
 	fleet.waitForVersion(1, 4) // the first's lease has lapsed
 	fleet.resume(3)
 	fleet.dispatchers[3].waitFor("no lease of the first process", func() bool { return fleet.lastState(3).Lapsed })
 	for range 5 { // it does not get one while the other has it
 		fleet.dispatchers[3].waitFor("a lapsed lease in the status", func() bool { return strings.Contains(fleet.runFleetCommand(3, "status"), "true") })
 	}
-	twin.terminate()
+	second.terminate()
 	fleet.waitForVersion(1, 3) // a process that leaves gives its lease back
 }
 
--- a/cmd/brassdale/frontends_bench_test.go
+++ b/cmd/brassdale/frontends_bench_test.go
@@ -40,12 +40,12 @@
 func (r *loadRound) rate() float64 { return float64(len(r.latencies)) / r.duration.Seconds() }
 
 // percentile returns the latency below which this part of the requests was answered; 0 without requests.
-func (r *loadRound) percentile(part float64) time.Duration {
+func (r *loadRound) percentile(fraction float64) time.Duration {
 	if len(r.latencies) == 0 {
 		return 0
 	}
 	slices.Sort(r.latencies)
-	return r.latencies[min(int(part*float64(len(r.latencies))), len(r.latencies)-1)]
+	return r.latencies[min(int(fraction*float64(len(r.latencies))), len(r.latencies)-1)]
 }
 
 // benchKeys numbers the keys of all requests.
--- a/cmd/brassdale/handover_test.go
+++ b/cmd/brassdale/handover_test.go
@@ -172,9 +172,9 @@
 	if err := os.Rename(filepath.Join(dispatcher.tempDir, "hung"), files[0]); err != nil {
 		t.Fatal(err)
 	}
-	besideHung := dispatcher.startSuccessor("")
-	besideHung.checkServesNewClient("predecessor does not answer")
-	if !strings.Contains(besideHung.log(), "starting alone") {
+	withHungPeer := dispatcher.startSuccessor("")
+	withHungPeer.checkServesNewClient("predecessor does not answer")
+	if !strings.Contains(withHungPeer.log(), "starting alone") {
 		t.Error("the log does not say that the process starts alone")
 	}
 }
@@ -217,11 +217,11 @@
 func TestHandover_crowdAtPredecessor(t *testing.T) {
 	t.Parallel()
 	const (
-		crowd    = 120 // of the 50 connections that 128 descriptors allow
-		requests = 40
+		idleClients = 120 // of the 50 connections that 128 descriptors allow
+		requests    = 40
 	)
 	dispatcher := startDispatcherWith(t, "", withSetting(`"sockets":1024`, `"sockets":128`), startWorker(t, "a", completeJob))
-	for range crowd {
+	for range idleClients {
 		dispatcher.dial()
 	}
 	dispatcher.waitForLog("client connections evicted")
--- a/cmd/brassdale/http1_misuse_test.go
+++ b/cmd/brassdale/http1_misuse_test.go
@@ -34,7 +34,7 @@
 	dispatcher := startDispatcher(t, "", worker)
 	hidden := requestHead("hidden", "Content-Length: 0\r\n")
 	good := requestHead("ID", "Content-Length: 2\r\n") + "ok"
-	coded := requestHead("ID", "Transfer-Encoding: chunked\r\n") + "2\r\nok\r\n0\r\n\r\n"
+	chunked := requestHead("ID", "Transfer-Encoding: chunked\r\n") + "2\r\nok\r\n0\r\n\r\n"
 	for i, test := range []struct{ text, want string }{
 		{requestHead("ID", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "400"},
 		{requestHead("ID", "TRANSFER-encoding:chunked\r\ncontent-LENGTH:5\r\n") + "0\r\n\r\n" + hidden, "400"},
@@ -48,7 +48,7 @@
 		{requestHead("ID", "Content-Length: 5\r\nContent-Length: 6\r\n") + "0\r\n\r\n" + hidden, "400"},
 		{good + requestHead("ID-2", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "200 400"},
 		{good + good, "200 200"},
-		{coded + hidden, "200"}, // nothing after it is read, so nothing can be misread
+		{chunked + hidden, "200"}, // nothing after it is read, so nothing can be misread
 		{strings.Replace(good, "1.1\r\n", "1.0\r\nConnection: keep-alive\r\n", 1) + hidden, "200"},
 	} {
 		for _, byteByByte := range []bool{false, true} {
@@ -143,7 +143,7 @@
 	dispatcher := startDispatcherWith(t, "", withSetting(`"sockets":1024`, `"sockets":128`),
 		startWorker(t, "a", completeJob))
 	text := requestHead("slow", "Content-Length: 4\r\n") + "slow"
-	slow, beganAt, sent, halves := dispatcher.dial(), time.Now(), 10, 0
+	slow, beganAt, sent, unfinished := dispatcher.dial(), time.Now(), 10, 0
 	io.WriteString(slow, text[:sent])
 	for i := 0; time.Since(beganAt) < 1900*time.Millisecond; i++ {
 		if part := int(time.Since(beganAt)*12/(2*time.Second)) * len(text) / 12; part > sent {
@@ -157,8 +157,8 @@
 		case 1:
 			io.WriteString(conn, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
 		case 2:
-			if halves < 15 { // their connections stay until their time limit
-				halves++
+			if unfinished < 15 { // their connections stay until their time limit
+				unfinished++
 				io.WriteString(conn, requestHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
 			}
 		}
--- a/cmd/brassdale/http2_misuse_test.go
+++ b/cmd/brassdale/http2_misuse_test.go
@@ -18,7 +18,7 @@
 }
 
 // tooMuch is the error code for a client that causes too much work.
-const tooMuch = "ENHANCE_YOUR_CALM"
+const enhanceYourCalm = "ENHANCE_YOUR_CALM"
 
 // writeOnlyHeaders opens a stream with a request that has no body.
 func writeOnlyHeaders(client *frameClient, stream uint32, more ...string) {
@@ -34,31 +34,31 @@
 				return
 			}
 		}
-	}, tooMuch},
-	"pings":    {func(client *frameClient) { flood(func() error { return client.WritePing(false, [8]byte{}) }) }, tooMuch},
-	"settings": {func(client *frameClient) { flood(func() error { return client.WriteSettings() }) }, tooMuch},
+	}, enhanceYourCalm},
+	"pings":    {func(client *frameClient) { flood(func() error { return client.WritePing(false, [8]byte{}) }) }, enhanceYourCalm},
+	"settings": {func(client *frameClient) { flood(func() error { return client.WriteSettings() }) }, enhanceYourCalm},
 	"priority": {func(client *frameClient) {
 		flood(func() error { return client.WritePriority(1, h2.PriorityParam{StreamDep: 3, Weight: 7}) })
-	}, tooMuch},
-	"windows": {func(client *frameClient) { flood(func() error { return client.WriteWindowUpdate(0, 1) }) }, tooMuch},
+	}, enhanceYourCalm},
+	"windows": {func(client *frameClient) { flood(func() error { return client.WriteWindowUpdate(0, 1) }) }, enhanceYourCalm},
 	"unknown": {func(client *frameClient) {
 		flood(func() error { return client.WriteRawFrame(0x42, 0, 0, []byte("x")) })
-	}, tooMuch},
+	}, enhanceYourCalm},
 	"empty data": {func(client *frameClient) {
 		client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerFields("k"), EndHeaders: true})
 		flood(func() error { return client.WriteData(1, false, nil) })
-	}, tooMuch},
+	}, enhanceYourCalm},
 	"fragments": {func(client *frameClient) {
 		text := bytes.Clone(client.headerFields("k"))
 		client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: text[:1]})
 		for i := 1; i < len(text); i++ {
 			client.WriteContinuation(1, i == len(text)-1, text[i:i+1])
 		}
-	}, tooMuch},
+	}, enhanceYourCalm},
 	"half a head": {func(client *frameClient) {
 		client.WriteHeaders(h2.HeadersFrameParam{StreamID: 1, BlockFragment: client.headerFields("k")[:9]})
-	}, tooMuch},
-	"half a frame": {func(client *frameClient) { client.conn.Write([]byte{0, 0, 8, 6}) }, tooMuch},
+	}, enhanceYourCalm},
+	"half a frame": {func(client *frameClient) { client.conn.Write([]byte{0, 0, 8, 6}) }, enhanceYourCalm},
 }
 
 // invalidFrames are invalid or unfinished requests and frames.
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -55,19 +55,19 @@
 // startRenumberedReplica starts a replica whose revisions are higher by an offset than those of the lists, and returns its address.
 func (d *replicatedDiscovery) startRenumberedReplica(t *testing.T, offset int, lag func() time.Duration) string {
 	t.Helper()
-	list := func(behind time.Duration) (revision int, members string) {
-		revision, members = d.listAt(behind)
+	list := func(replicaLag time.Duration) (revision int, members string) {
+		revision, members = d.listAt(replicaLag)
 		return revision + offset, members
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls.Add(1)
-		behind := lag()
+		currentLag := lag()
 		call := readPoll(r)
-		over := time.Now().Add(call.wait)
-		revision, members := list(behind)
-		for call.hasList && revision == call.index && time.Now().Before(over) && r.Context().Err() == nil {
+		waitEnd := time.Now().Add(call.wait)
+		revision, members := list(currentLag)
+		for call.hasList && revision == call.index && time.Now().Before(waitEnd) && r.Context().Err() == nil {
 			time.Sleep(5 * time.Millisecond)
-			revision, members = list(behind)
+			revision, members = list(currentLag)
 		}
 		if call.hasList && revision == call.index {
 			io.WriteString(w, listAnswer(revision, false, ""))
@@ -184,15 +184,15 @@
 
 // TestReturn_behindMove checks that a worker whose drain was known before a move of discovery, and which then returns, gets jobs within
 // notificationLimit and the time of a call, without any later change of the list, while another worker is ready.
-func TestReturn_behindMove(t *testing.T) {
+func TestReturn_afterMove(t *testing.T) {
 	t.Parallel()
 	const timeOfCall = time.Second
-	slowly := func(worker *testWorker, conn net.Conn, r *http.Request) { // so that one worker alone is not enough
+	completeSlowly := func(worker *testWorker, conn net.Conn, r *http.Request) { // so that one worker alone is not enough
 		time.Sleep(50 * time.Millisecond)
 		completeJob(worker, conn, r)
 	}
 	var atReturned arrivals
-	returned, other := startWorker(t, "a", atReturned.recording(slowly)), startWorker(t, "b", slowly)
+	returned, other := startWorker(t, "a", atReturned.recording(completeSlowly)), startWorker(t, "b", completeSlowly)
 	list := func(phase string) string { return memberJSON(returned, phase) + "," + memberJSON(other, "active") }
 	var discovery replicatedDiscovery
 	discovery.publish(list("active"))
--- a/cmd/brassdale/progress_test.go
+++ b/cmd/brassdale/progress_test.go
@@ -209,9 +209,9 @@
 		conn.Close()
 	}
 	stalling := startWorker(t, "stalling", respondThenStall(`"state":"started"`))
-	closing, sound := startWorker(t, "closing", closeAfterStart), startWorker(t, "sound", completeJob)
-	stalling.cell, closing.cell, sound.cell = "1", "2", "3" // a retry must not leave the cell
-	dispatcher := startDispatcher(t, progressFrontend("lines"), stalling, closing, sound)
+	closing, healthy := startWorker(t, "closing", closeAfterStart), startWorker(t, "sound", completeJob)
+	stalling.cell, closing.cell, healthy.cell = "1", "2", "3" // a retry must not leave the cell
+	dispatcher := startDispatcher(t, progressFrontend("lines"), stalling, closing, healthy)
 	const requests = 6
 	results := make(chan reconnected, requests)
 	for i := range requests {
@@ -228,9 +228,9 @@
 	if ends["done"] == 0 || ends["failed"] == 0 {
 		t.Errorf("final answers %v: want some of both kinds", ends)
 	}
-	for _, worker := range []*testWorker{stalling, sound} { // the closing one may get a job again: its cell deduplicates it
+	for _, worker := range []*testWorker{stalling, healthy} { // the closing one may get a job again: its cell deduplicates it
 		for key, runs := range worker.runsPerKey() {
-			for _, other := range []*testWorker{stalling, closing, sound} {
+			for _, other := range []*testWorker{stalling, closing, healthy} {
 				if other != worker && other.runsOf(key) > 0 {
 					t.Errorf("%s ran at %s and at %s", key, worker.id, other.id)
 				}
--- a/cmd/brassdale/shutdown_test.go
+++ b/cmd/brassdale/shutdown_test.go
@@ -263,9 +263,9 @@
 		t.Fatalf("before SIGTERM: status %d", status)
 	}
 	dispatcher.terminate()
-	for begun, i := time.Now(), 0; time.Since(begun) < time.Second; i++ {
+	for terminatedAt, i := time.Now(), 0; time.Since(terminatedAt) < time.Second; i++ {
 		if status := sendOn(fmt.Sprint("behind-", i)); status != http.StatusOK {
-			t.Fatalf("%v behind SIGTERM: status %d", time.Since(begun), status)
+			t.Fatalf("%v behind SIGTERM: status %d", time.Since(terminatedAt), status)
 		}
 	}
 }
--- a/cmd/brassdale/support_dispatcher_test.go
+++ b/cmd/brassdale/support_dispatcher_test.go
@@ -1,5 +1,5 @@
-// The tests of this directory start the program as real processes on loopback, beside stand-ins for workers and discovery that each test
-// scripts. A test of a process is:
+// The tests of this directory start the program as real processes on loopback, with scripted stand-ins for workers and discovery. A test
+// of a process looks like this:
 //
 //	func TestRequest_whatItShows(t *testing.T) {
 //		t.Parallel()
@@ -7,28 +7,27 @@
 //		dispatcher := startDispatcher(t, "", worker) // the process is ready
 //		status, _, _ := dispatcher.send(newRequest(dispatcher.http1URL, "key-1"))
 //		if status != http.StatusOK || worker.runsOf("key-1") != 1 {
-//			t.Errorf("status %d after %d runs", status, worker.runsOf("key-1"))
+//			t.Errorf("status %d after %d runs, want 200 after 1", status, worker.runsOf("key-1"))
 //		}
 //		dispatcher.waitForLog("msg=ready") // waits up to 10 s; never sleep for a fixed time instead
 //	}
 //
-// Which start for what:
+// Functions that start a dispatcher:
 //
-//   - startDispatcher: the usual one. Discovery lists the workers, the operator's file may be empty.
+//   - startDispatcher: the default. Discovery lists the workers, the operator's file may be empty.
 //   - startDispatcherWith: the same with a change of the platform's file, such as withSetting or withLongDeadline.
 //   - newTestDispatcher, then start: where discovery, descriptorLimit, tempDir or binary has to be set before the start.
-//   - startWithConfig: the test has its own discovery and writes the whole of the platform's file.
-//   - newTestDispatcher, then startProcess: the process is expected to end, or not to get ready. It waits for nothing.
-//   - startSuccessor: a second process with the same files of the platform beside a running one, for a handover.
-//   - startAgain: a process with this one's discovery and $TMPDIR but another file, or after this one has ended.
+//   - startWithConfig: the test has its own discovery and writes the complete platform's file.
+//   - newTestDispatcher, then startProcess: the process is expected to exit or not to become ready. startProcess does not wait for it.
+//   - startSuccessor: a second process with the same platform's file while the first still runs, for a handover.
+//   - startAgain: another process with the same discovery and $TMPDIR, with another platform's file or after the first has ended.
 //   - startFromCache, startWhileDiscoveryFails: the first endpoint list comes from the endpoint cache.
 //   - startFleet, startFleetWith: several dispatchers with a raft group, each with a directory of its own.
 //   - startBenchDispatcher: in benchmarks; the program may be another build.
 //
-// Cleanup of a test, which all of these register: each process gets SIGKILL and is waited for, so a test that wants a shutdown calls
-// terminate and waitForExit itself. The log is then reported as an error of the test if the test has failed, or if it has "panic" or
-// "DATA RACE" in it: a test need not look for these. Workers stop listening, connections to discovery are closed, and directories are
-// removed.
+// All of these register a cleanup. It sends each process SIGKILL and waits for its end, so a test of a shutdown calls terminate and
+// waitForExit itself. It then reports the log as a test error if the test has failed or the log contains "panic" or "DATA RACE", so tests
+// need not search the log for these. Workers stop listening, connections to discovery are closed, and directories are removed.
 
 package main
 
@@ -72,10 +71,10 @@
 	discovery          *testDiscovery
 	configPath, config string // path of the platform's file; its text at the start
 	operatorPath       string // path of the operator's file
-	descriptorLimit    int    // of the process; 0 for that of the tests
+	descriptorLimit    int    // limit of file descriptors of the process; 0 for the limit of the test process
 	tempDir            string // $TMPDIR of the process
 
-	// Addresses that the log names, as URLs; empty where the frontend is off.
+	// URLs of the frontends, from the addresses in the log; empty where a frontend is off.
 	http1URL, http2URL, progressURL, adminURL string
 
 	mu      sync.Mutex
@@ -113,7 +112,7 @@
 	d.waitUntilReady()
 }
 
-// withSetting returns a change of the platform's file: one text of it is replaced, which it must have.
+// withSetting returns a change of the platform's file that replaces the first occurrence of a text. It panics if the file lacks the text.
 func withSetting(old, new string) func(config string) string {
 	return func(config string) string {
 		if !strings.Contains(config, old) {
@@ -123,7 +122,7 @@
 	}
 }
 
-// withLongDeadline is a change of the platform's file by which no request ends at its deadline within a test.
+// withLongDeadline is a change of the platform's file to a deadline of 60 s, so that no request reaches its deadline during a test.
 var withLongDeadline = withSetting(`"deadline":5000000`, `"deadline":60000000`)
 
 // startWithConfig starts a dispatcher with this text as the platform's file, and waits until it is ready.
@@ -161,13 +160,13 @@
 	return other
 }
 
-// waitForHandovers waits until the process has handed over to so many successors in all.
+// waitForHandovers waits until the process has completed this number of handovers since its start.
 func (d *testDispatcher) waitForHandovers(count int) {
 	d.t.Helper()
 	d.waitFor(fmt.Sprint(count, " handovers"), func() bool { return strings.Count(d.log(), "handover complete") == count })
 }
 
-// waitForPredecessorEnd waits until this successor has seen its predecessor end.
+// waitForPredecessorEnd waits until this successor has logged the end of its predecessor.
 func (d *testDispatcher) waitForPredecessorEnd() {
 	d.t.Helper()
 	d.waitForLog("predecessor ended")
@@ -216,7 +215,7 @@
 	}
 }
 
-// Write appends to the log; the process writes its standard error there.
+// Write appends standard error of the process to the log.
 func (d *testDispatcher) Write(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -230,7 +229,7 @@
 	return d.logText.String()
 }
 
-// frontendURL returns where a frontend listens according to the log; empty where it does not.
+// frontendURL returns the URL of a frontend from its address in the log; empty if the log has no address.
 func (d *testDispatcher) frontendURL(frontend string) string {
 	_, rest, found := strings.Cut(d.log(), "front="+frontend+" address=")
 	address, _, complete := strings.Cut(rest, "\n")
@@ -240,7 +239,7 @@
 	return "http://" + address
 }
 
-// waitFor waits for a condition, and fails the test if that takes longer than 10 s.
+// waitFor waits for a condition, and fails the test if it is not met within 10 s.
 func (d *testDispatcher) waitFor(what string, met func() bool) {
 	d.t.Helper()
 	waitWithin(d.t, 10*time.Second, 2*time.Millisecond, what, met)
@@ -251,7 +250,7 @@
 	t.Helper()
 	for end := time.Now().Add(limit); !met(); time.Sleep(interval) {
 		if time.Now().After(end) {
-			t.Fatalf("not seen within %v: %s", limit, what)
+			t.Fatalf("time-out after %v, waiting for: %s", limit, what)
 		}
 	}
 }
@@ -309,16 +308,16 @@
 	<-d.exited
 }
 
-// waitForExit waits until the process has ended by itself, with exit code 0.
+// waitForExit waits until the process has ended by itself, and checks that its exit code is 0.
 func (d *testDispatcher) waitForExit(by time.Time) {
 	d.t.Helper()
 	select {
 	case <-d.exited:
 	case <-time.After(time.Until(by)):
-		d.t.Fatal("the process still runs")
+		d.t.Fatal("the process has not exited in time")
 	}
 	if code := d.command.ProcessState.ExitCode(); code != 0 {
-		d.t.Errorf("exit code %d", code)
+		d.t.Errorf("exit code %d, want 0", code)
 	}
 }
 
@@ -334,7 +333,7 @@
 	return status, text
 }
 
-// metric returns the value of a metric; -1 where there is no number of that name.
+// metric returns the value of a metric; -1 if there is no metric of that name or its value is not an integer.
 func (d *testDispatcher) metric(name string) int {
 	d.t.Helper()
 	value, err := strconv.Atoi(d.metricText(name))
@@ -344,7 +343,7 @@
 	return value
 }
 
-// metricText returns the text of a metric; empty where there is none of that name.
+// metricText returns the value of a metric as text; empty if there is no metric of that name.
 func (d *testDispatcher) metricText(name string) string {
 	d.t.Helper()
 	_, text := d.callAdmin("GET", "/_vars", "")
@@ -363,7 +362,7 @@
 	}
 }
 
-// processMemory returns a field of /proc/PID/status in bytes, such as VmRSS; 0 where there is none.
+// processMemory returns a field of /proc/PID/status in bytes, such as VmRSS; 0 if it cannot be read.
 func processMemory(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	_, rest, found := strings.Cut(string(text), field+":")
--- a/cmd/brassdale/support_endpointcache_test.go
+++ b/cmd/brassdale/support_endpointcache_test.go
@@ -14,18 +14,18 @@
 	"brassdale/scheduler"
 )
 
-// damagedLine is the log line about a damaged file of the endpoint cache, whose fault says so.
+// damagedLine matches the log line for a damaged file of the endpoint cache. Its fault contains "damaged".
 var damagedLine = regexp.MustCompile(`msg="endpoint cache damaged" fault=.*damaged`)
 
-// completeCachedJob takes as long for a job as the statistics of writeCachedList say.
+// completeCachedJob completes a job in 20 ms, the mean runtime in the statistics of writeCachedList.
 var completeCachedJob = completeAfter(20 * time.Millisecond)
 
-// savedListBlock returns the block of an operator's file that has the endpoint cache in this directory.
+// savedListBlock returns the block of an operator's file that enables the endpoint cache in this directory.
 func savedListBlock(dir string) string {
 	return fmt.Sprintf("saved_list {\n  directory = %q\n}\n", dir)
 }
 
-// writeCachedList writes a list of this age to an endpoint cache, as dispatcher n0 writes it. change may be nil.
+// writeCachedList writes a list of this age to an endpoint cache, in the format and place of dispatcher n0. change may be nil.
 func writeCachedList(t testing.TB, dir string, age time.Duration, change func(*endpointcache.CachedList), workers ...*testWorker) {
 	t.Helper()
 	files, err := endpointcache.OpenOrCreate(dir, "n0")
@@ -53,7 +53,7 @@
 	}
 }
 
-// startFromCache starts a dispatcher with no list but the cached one. discovery is nil where nothing listens at its address.
+// startFromCache starts a dispatcher whose only endpoint list is the cached one. If discovery is nil, nothing listens at its address.
 func startFromCache(t *testing.T, dir string, discovery http.Handler) *testDispatcher {
 	t.Helper()
 	dispatcher := newTestDispatcher(t, newTestDiscovery())
@@ -69,11 +69,12 @@
 	return dispatcher
 }
 
-// waitUntilProven sends so many requests at a time that each worker gets some, until all have proved to be the listed ones.
-func (d *testDispatcher) waitUntilProven(workers int) {
+// waitUntilVerified sends rounds of concurrent requests, eight for each worker so that all get some, until all workers are verified to be
+// the cached incarnations.
+func (d *testDispatcher) waitUntilVerified(workers int) {
 	d.t.Helper()
 	round := 0
-	d.waitFor("proof of all workers", func() bool {
+	d.waitFor("the verification of all workers", func() bool {
 		round++
 		var wait sync.WaitGroup
 		for i := range 8 * workers {
@@ -85,7 +86,7 @@
 }
 
 // startWhileDiscoveryFails starts a dispatcher from the endpoint cache while discovery answers 503, and waits until all workers are
-// proven. restore has discovery answer with a list.
+// verified. restore makes discovery answer with a list of this revision.
 func startWhileDiscoveryFails(t *testing.T, workers ...*testWorker) (dispatcher *testDispatcher, restore func(revision int, listed ...*testWorker)) {
 	t.Helper()
 	dir := t.TempDir()
@@ -94,7 +95,7 @@
 	discovery.failing = true
 	dispatcher = startFromCache(t, dir, discovery)
 	dispatcher.discovery = discovery
-	dispatcher.waitUntilProven(len(workers))
+	dispatcher.waitUntilVerified(len(workers))
 	return dispatcher, func(revision int, listed ...*testWorker) {
 		discovery.update(func() { discovery.failing, discovery.workers, discovery.revision = false, listed, revision-1 })
 	}
--- a/cmd/brassdale/support_fleet_test.go
+++ b/cmd/brassdale/support_fleet_test.go
@@ -24,29 +24,29 @@
 	addresses     []string // by dispatcher: where it listens for the fleet
 	directories   []string // by dispatcher
 	workers       []*testWorker
-	absences      map[int][]effectivestate.Period // by dispatcher: from when on its log no longer counts; see recordAbsence
+	absences      map[int][]effectivestate.Period // by dispatcher: when its log does not describe its state; see recordAbsence
 	voters        int
-	extraSettings func(index int) string // further lines of a dispatcher's block
+	extraSettings func(index int) string // further lines of a dispatcher's council block
 }
 
-// fleetSubnets counts the fleets that were started, for nextFleetSubnet.
+// fleetSubnets is the number of subnets that nextFleetSubnet has returned.
 var fleetSubnets atomic.Uint32
 
-// nextFleetSubnet returns the number of a loopback subnet that no running fleet of these tests has.
+// nextFleetSubnet returns the number of a loopback subnet that no running fleet of these tests uses.
 func nextFleetSubnet() uint32 {
 	const usable = 250 // numbers in a byte of an address; far fewer fleets run at the same time
 	return (fleetSubnets.Add(1)-1)%usable + 1
 }
 
-// startFleet starts a fleet on the IP addresses 127.77.SUBNET.1, .2 and so on, of a subnet that is its own. Each voter has to know the others'
-// addresses before they listen, so their ports are chosen first; at a shared IP address the system could give such a port to a connection of
-// another test meanwhile.
+// startFleet starts a fleet on the IP addresses 127.77.SUBNET.1, .2 and so on, of a subnet that no other fleet uses. Each voter has to know
+// the others' addresses before they listen, so their ports are chosen first. At a shared IP address the system could give such a port to a
+// connection of another test before the voter listens.
 func startFleet(t *testing.T, voters, followers int) *testFleet {
 	t.Helper()
 	return startFleetWith(t, voters, followers, func(int) string { return "" })
 }
 
-// startFleetWith is startFleet with further lines of each dispatcher's block.
+// startFleetWith is startFleet with further lines in each dispatcher's council block.
 func startFleetWith(t *testing.T, voters, followers int, extraSettings func(index int) string) *testFleet {
 	subnet := nextFleetSubnet()
 	t.Helper()
@@ -65,7 +65,7 @@
 	return fleet
 }
 
-// restart starts a dispatcher that has ended again, with the directory that it has.
+// restart starts an ended dispatcher again with its directory.
 func (f *testFleet) restart(index int) {
 	f.t.Helper()
 	old := f.dispatchers[index]
@@ -81,7 +81,7 @@
 }
 
 // stopProcess stops a dispatcher's process with SIGSTOP; resume continues it. Unlike kill it records no absence: a test that uses
-// effectiveStates calls recordAbsence if the log is to count no longer.
+// effectiveStates calls recordAbsence if the log is no longer to be evaluated.
 func (f *testFleet) stopProcess(index int) {
 	f.dispatchers[index].command.Process.Signal(syscall.SIGSTOP)
 }
@@ -89,7 +89,7 @@
 // resume continues a dispatcher's process with SIGCONT.
 func (f *testFleet) resume(index int) { f.dispatchers[index].command.Process.Signal(syscall.SIGCONT) }
 
-// recordAbsence records that from now on what a dispatcher's log says no longer holds.
+// recordAbsence records that a dispatcher's log does not describe its state from now on.
 func (f *testFleet) recordAbsence(index int) {
 	f.absences[index] = append(f.absences[index], effectivestate.Period{From: time.Now()})
 }
@@ -100,7 +100,7 @@
 	return out + errs
 }
 
-// memberStatus returns what one dispatcher's command 'members' reports of another; the zero values if it reports nothing.
+// memberStatus returns what 'fleet members' at one dispatcher reports about another; zero values if it reports nothing.
 func (f *testFleet) memberStatus(reporter, member int) (gossip, lease string, voterID uint64) {
 	var rows []struct {
 		Name          string
@@ -119,7 +119,8 @@
 	return "", "", 0
 }
 
-// waitForGossip waits up to 60 s for what gossip spreads: it probes one member per second, and takes seconds to report one as gone.
+// waitForGossip waits up to 60 s for a state that spreads by gossip. Gossip probes one member per second, and takes seconds to report a
+// member as gone.
 func (f *testFleet) waitForGossip(what string, met func() bool) {
 	f.t.Helper()
 	waitWithin(f.t, 60*time.Second, 20*time.Millisecond, what, met)
@@ -135,7 +136,8 @@
 		strings.Join(f.addresses[:f.voters], `", "`), voterID, f.directories[index], f.extraSettings(index))
 }
 
-// propose proposes a file of rules at a dispatcher, and repeats it until it is announced, or rejected because a version is under way.
+// propose proposes a file of rules at a dispatcher. It repeats the proposal until it is announced, or rejected because another version is
+// under way.
 func (f *testFleet) propose(rules string, at int) {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "rules.hcl")
@@ -148,12 +150,12 @@
 	})
 }
 
-// effectiveStates returns which config versions a dispatcher has applied, by its log.
+// effectiveStates returns the states of a dispatcher, from its log: applied config versions, and whether its lease had lapsed.
 func (f *testFleet) effectiveStates(index int) []effectivestate.State {
 	return effectivestate.FromLog(f.dispatchers[index].log(), time.Now(), f.absences[index])
 }
 
-// lastState returns which config versions a dispatcher applies and whether its lease has lapsed; the zero value before it applies any.
+// lastState returns the config versions that a dispatcher applies and whether its lease has lapsed; the zero value if it applies none yet.
 func (f *testFleet) lastState(index int) (state effectivestate.State) {
 	if states := f.effectiveStates(index); len(states) > 0 {
 		state = states[len(states)-1]
@@ -161,7 +163,7 @@
 	return state
 }
 
-// waitForVersion waits until a version is the only one that the dispatchers apply, and they have leases.
+// waitForVersion waits until all these dispatchers have leases and apply this config version only.
 func (f *testFleet) waitForVersion(version uint64, indices ...int) {
 	f.t.Helper()
 	for _, i := range indices {
@@ -172,7 +174,7 @@
 	}
 }
 
-// contradictionTime returns how long two dispatchers with leases applied versions with none in common.
+// contradictionTime returns the longest time for which two dispatchers with leases had no applied config version in common.
 func (f *testFleet) contradictionTime() time.Duration {
 	var all [][]effectivestate.State
 	for i := range f.dispatchers {
@@ -206,7 +208,7 @@
 	return all
 }
 
-// without returns the indices but one.
+// without returns all indices except one.
 func without(indices []int, excluded int) (rest []int) {
 	for _, i := range indices {
 		if i != excluded {
--- a/cmd/brassdale/support_http2_test.go
+++ b/cmd/brassdale/support_http2_test.go
@@ -15,10 +15,10 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// http2Frontend is an operator's file with the HTTP/2 frontend and up to 100 streams for a connection.
+// http2Frontend is an operator's file with the HTTP/2 frontend and up to 100 streams per connection.
 const http2Frontend = "front \"http2\" {\n  listen = \"127.0.0.1:0\"\n  streams = 100\n}\n"
 
-// newHTTP2Client returns a client of HTTP/2 without TLS, which uses one connection as long as it can.
+// newHTTP2Client returns an HTTP/2 client without TLS, which uses one connection as long as it can.
 func newHTTP2Client(t *testing.T) *http.Client {
 	t.Helper()
 	transport := &http.Transport{Protocols: &http.Protocols{}}
@@ -27,7 +27,7 @@
 	return &http.Client{Transport: transport}
 }
 
-// frameClient is a client that writes HTTP/2 frame by frame, and records the frames that it receives.
+// frameClient is a client that writes single HTTP/2 frames, and records the frames that it receives.
 type frameClient struct {
 	conn net.Conn
 	*h2.Framer
@@ -35,8 +35,8 @@
 	headerBlock bytes.Buffer
 
 	mu     sync.Mutex
-	frames []string        // received: the type, the stream, and the status or error code
-	err    error           // that ended reading
+	frames []string        // received frames: type, stream ID, and status or error code
+	err    error           // the error that ended reading
 	closed chan struct{}   // closed when reading has ended
 	goAway chan h2.ErrCode // the error code of a GOAWAY
 }
@@ -95,7 +95,7 @@
 	return slices.ContainsFunc(c.frames, func(frame string) bool { return strings.HasPrefix(frame, prefix) })
 }
 
-// headerFields encodes the headers of a request; further names and values replace the usual ones or come after them.
+// headerFields encodes the headers of a request. more is names and values, which replace the default headers or are added after them.
 func (c *frameClient) headerFields(key string, more ...string) []byte {
 	c.headerBlock.Reset()
 	pairs := []string{":method", "POST", ":scheme", "http", ":authority", "api.internal", ":path", "/price-part",
--- a/cmd/brassdale/support_queueing_discovery_test.go
+++ b/cmd/brassdale/support_queueing_discovery_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// queueingDiscovery is a discovery service of little capacity that several dispatchers share and that serves calls one after the
-// other. It is, in real time and over sockets, what queueingService of internal/decisions/polling is in virtual time. A call that has
-// been queued for longer than queueTimeout is answered 503, and its work is done all the same. A call is rejected at once if the
-// queued work takes longer than queueLimit; if it is a watch, the dispatcher's open watches end with it. A continued watch waits
-// outside the queue for a change, whose delivery is queued.
+// queueingDiscovery is a discovery service of low capacity that several dispatchers share and that serves calls one after the other. It
+// is the counterpart, in real time and over sockets, of queueingService of internal/decisions/polling, which runs in virtual time. A call
+// that has been queued for longer than queueTimeout is answered 503, but its work is still done. A call is rejected at once if the queued
+// work takes longer than queueLimit; if the call is a watch, the dispatcher's open watches end too. A continued watch waits outside the
+// queue for a change, and only the delivery of the change is queued.
 type queueingDiscovery struct {
-	perCall          time.Duration // work for a call
-	perUpdate        time.Duration // work to deliver a change to a watch
+	perCall          time.Duration // service time of a call
+	perUpdate        time.Duration // service time to deliver a change to a watch
 	queueLimit       time.Duration
 	queueTimeout     time.Duration // 0 for none
 	rejectionLatency time.Duration // how long the service takes to reject a call
@@ -25,7 +25,7 @@
 	mu         sync.Mutex
 	idleAt     time.Time // when all queued work is done
 	revision   int
-	lists      []string // by revision: the lines of the complete list
+	lists      []string // by revision: the lines of the complete list, separated by commas
 	changed    chan struct{}
 	answeredAt map[string]time.Time     // by dispatcher: the last answer of a watch
 	watchesEnd map[string]chan struct{} // by dispatcher: closed to end its open watches
@@ -34,10 +34,10 @@
 	expired    int
 }
 
-// continuationLimit is how long after its last answer a watch counts as continued.
+// continuationLimit is the time after the last answer of a dispatcher's watch within which its next watch counts as continued.
 const continuationLimit = 200 * time.Millisecond
 
-// newQueueingDiscovery returns a service with the lines of its first list.
+// newQueueingDiscovery returns a service whose first list has these lines.
 func newQueueingDiscovery(members string) *queueingDiscovery {
 	return &queueingDiscovery{
 		perCall:          420 * time.Millisecond,
@@ -51,7 +51,7 @@
 	}
 }
 
-// publish makes a new revision of the list.
+// publish publishes a new revision of the list.
 func (d *queueingDiscovery) publish(members string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,7 +61,7 @@
 	d.changed = make(chan struct{})
 }
 
-// enqueue returns when a piece of work is done, or false if the queue is too long for it and it need not be accepted.
+// enqueue adds work to the queue and returns when it will be done. It returns false if the queue is too long, unless it must accept.
 func (d *queueingDiscovery) enqueue(work time.Duration, mustAccept bool) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,7 +77,7 @@
 	return d.idleAt, true
 }
 
-// startServers returns so many addresses at which a dispatcher reaches the service.
+// startServers starts servers at which a dispatcher reaches the service, and returns their addresses.
 func (d *queueingDiscovery) startServers(t testing.TB, dispatcher string, count int) []string {
 	t.Helper()
 	var addresses []string
@@ -93,18 +93,18 @@
 // serve answers a call of a dispatcher.
 func (d *queueingDiscovery) serve(dispatcher string, w http.ResponseWriter, r *http.Request) {
 	call := readPoll(r)
-	over := time.After(call.wait)
+	waitOver := time.After(call.wait)
 	if time.Now().Before(d.downUntil) {
 		time.Sleep(d.queueTimeout)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	ended, continued := d.begin(dispatcher, call.hasList)
-	if !continued && !d.waitForTurn(dispatcher, call.hasList, ended) {
+	watchesEnded, continued := d.begin(dispatcher, call.hasList)
+	if !continued && !d.waitInQueue(dispatcher, call.hasList, watchesEnded) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if call.hasList && !d.waitForUpdate(call.index, over, ended, r) {
+	if call.hasList && !d.waitForUpdate(call.index, waitOver, watchesEnded, r) {
 		if r.Context().Err() == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -122,8 +122,8 @@
 	io.WriteString(w, listAnswer(d.revision, complete, members))
 }
 
-// begin counts a call. It returns the channel that ends the dispatcher's watches, and whether the call continues a watch.
-func (d *queueingDiscovery) begin(dispatcher string, watch bool) (ended <-chan struct{}, continued bool) {
+// begin counts a call. It returns the channel that is closed to end the dispatcher's watches, and whether the call continues a watch.
+func (d *queueingDiscovery) begin(dispatcher string, watch bool) (watchesEnded <-chan struct{}, continued bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls++
@@ -133,9 +133,9 @@
 	return d.watchesEnd[dispatcher], watch && time.Since(d.answeredAt[dispatcher]) < continuationLimit
 }
 
-// waitForTurn waits until a call has had its turn. It returns false if the call is to be answered 503: rejected, expired or ended.
-func (d *queueingDiscovery) waitForTurn(dispatcher string, watch bool, ended <-chan struct{}) bool {
-	turn, accepted := d.enqueue(d.perCall, false)
+// waitInQueue waits until the work of a call is done. It returns false if the call is to be answered 503: rejected, expired or ended.
+func (d *queueingDiscovery) waitInQueue(dispatcher string, watch bool, watchesEnded <-chan struct{}) bool {
+	doneAt, accepted := d.enqueue(d.perCall, false)
 	if !accepted {
 		if watch {
 			d.endOpenWatches(dispatcher)
@@ -143,7 +143,7 @@
 		time.Sleep(d.rejectionLatency)
 		return false
 	}
-	if d.queueTimeout > 0 && time.Until(turn) > d.queueTimeout {
+	if d.queueTimeout > 0 && time.Until(doneAt) > d.queueTimeout {
 		d.mu.Lock()
 		d.expired++
 		d.mu.Unlock()
@@ -151,17 +151,17 @@
 		return false
 	}
 	if !watch {
-		ended = nil
+		watchesEnded = nil
 	}
 	select {
-	case <-ended:
+	case <-watchesEnded:
 		return false
-	case <-time.After(time.Until(turn)):
+	case <-time.After(time.Until(doneAt)):
 		return true
 	}
 }
 
-// endOpenWatches ends the open watches of a dispatcher, of which a further one has been rejected.
+// endOpenWatches ends the open watches of a dispatcher, after another of its watches was rejected.
 func (d *queueingDiscovery) endOpenWatches(dispatcher string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -169,7 +169,7 @@
 	delete(d.watchesEnd, dispatcher)
 }
 
-// logCalls logs how many calls there were.
+// logCalls logs the numbers of calls, rejected calls and expired calls.
 func (d *queueingDiscovery) logCalls(t *testing.T) {
 	t.Helper()
 	d.mu.Lock()
@@ -177,23 +177,23 @@
 	t.Logf("%d calls, of which %d were rejected and %d expired", d.calls, d.rejected, d.expired)
 }
 
-// waitForUpdate waits until a list newer than a revision has been delivered, or the wait is over. It returns false if the watch has
+// waitForUpdate waits until a list newer than a revision has been delivered, or the wait time is over. It returns false if the watch has
 // ended without an answer.
-func (d *queueingDiscovery) waitForUpdate(index int, over <-chan time.Time, ended <-chan struct{}, r *http.Request) bool {
+func (d *queueingDiscovery) waitForUpdate(index int, waitOver <-chan time.Time, watchesEnded <-chan struct{}, r *http.Request) bool {
 	for {
 		d.mu.Lock()
 		newer, changed := d.revision > index, d.changed
 		d.mu.Unlock()
 		if newer {
-			turn, _ := d.enqueue(d.perUpdate, true)
-			time.Sleep(time.Until(turn))
+			doneAt, _ := d.enqueue(d.perUpdate, true)
+			time.Sleep(time.Until(doneAt))
 			return r.Context().Err() == nil
 		}
 		select {
 		case <-changed:
-		case <-ended:
+		case <-watchesEnded:
 			return false
-		case <-over:
+		case <-waitOver:
 			return true
 		case <-r.Context().Done():
 			return false
--- a/cmd/brassdale/support_requests_test.go
+++ b/cmd/brassdale/support_requests_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// newRequest returns a request with the key as its idempotency key and part of its ID. Headers are name, value, name, value and
-// replace the usual ones; an empty value removes a header.
+// newRequest returns a request with this idempotency key, which is also part of the request ID. headers is names and values that replace
+// the default headers; an empty value removes a header.
 func newRequest(url, key string, headers ...string) *http.Request {
 	r, err := http.NewRequest("POST", url+"/price-part?sheet=7", strings.NewReader("drawing"))
 	if err != nil {
@@ -28,21 +28,21 @@
 	return r
 }
 
-// sendKey sends a request of a key to the HTTP/1.1 frontend, and returns the answer; no answer fails the test.
+// sendKey sends a request with a key to the HTTP/1.1 frontend and returns the answer. It fails the test if there is no answer.
 func (d *testDispatcher) sendKey(key string, headers ...string) (status int, body, retryAfter string) {
 	d.t.Helper()
 	return d.send(newRequest(d.http1URL, key, headers...))
 }
 
-// setBody gives a request a body of so many bytes and a declared length; -1 for none.
+// setBody gives a request a body of size bytes and declares a length; -1 for no declared length.
 func setBody(r *http.Request, size int, length int64) {
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", size))), length
 }
 
-// newHTTP1Client returns a client of HTTP/1.1 with connections of its own.
+// newHTTP1Client returns an HTTP/1.1 client that shares no connections with other clients.
 func newHTTP1Client() *http.Client { return &http.Client{Transport: &http.Transport{}} }
 
-// send sends a request and returns the answer; no answer fails the test.
+// send sends a request and returns the answer. It fails the test if there is no answer.
 func (d *testDispatcher) send(r *http.Request) (status int, body, retryAfter string) {
 	d.t.Helper()
 	resp, err := http.DefaultClient.Do(r)
@@ -57,18 +57,18 @@
 	return resp.StatusCode, string(text), resp.Header.Get("Retry-After")
 }
 
-// checkServed checks that so many requests are served, one after the other.
+// checkServed sends this number of requests one after the other, and checks that all are served.
 func (d *testDispatcher) checkServed(keyPrefix string, count int) {
 	d.t.Helper()
 	for i := range count {
 		if status, _, _ := d.sendKey(fmt.Sprint(keyPrefix, i)); status != http.StatusOK {
-			d.t.Errorf("request %s%d: status %d", keyPrefix, i, status)
+			d.t.Errorf("request %s%d: status %d, want 200", keyPrefix, i, status)
 		}
 	}
 }
 
-// sendInBackground sends a request, waits until the worker has received it, and returns a channel for its status, which is closed
-// without one if there is no answer.
+// sendInBackground sends a request, waits until the worker has received it, and returns a channel for the status of the answer. Without
+// an answer the channel is closed without a status.
 func (d *testDispatcher) sendInBackground(worker *testWorker, key string) <-chan int {
 	d.t.Helper()
 	answered := make(chan int, 1)
@@ -81,7 +81,7 @@
 	return answered
 }
 
-// trySend sends a request and returns the answer; status 0 and the error as the body where there is none.
+// trySend sends a request and returns the answer. Without an answer the status is 0 and the body is the error.
 func trySend(client *http.Client, r *http.Request) (status int, body string, header http.Header) {
 	resp, err := client.Do(r)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// sendMany sends so many requests, eight at a time, and returns how many were served.
+// sendMany sends this number of requests, eight at a time, and returns how many were served.
 func (d *testDispatcher) sendMany(keyPrefix string, requests int) int {
 	var served atomic.Int32
 	var wait sync.WaitGroup
@@ -122,8 +122,8 @@
 // newSteadyLoad returns a load that sends nothing yet.
 func newSteadyLoad() *steadyLoad { return &steadyLoad{stop: make(chan struct{})} }
 
-// start sends a dispatcher a request at each interval until the load ends or stop is called. It must be stopped before the dispatcher is
-// killed: another test may listen at its port then.
+// start sends a dispatcher a request at each interval until the load ends or stop is called. Call stop before the dispatcher is killed:
+// after that another test may listen at its port.
 func (l *steadyLoad) start(dispatcher *testDispatcher, keyPrefix string, interval time.Duration) (stop func()) {
 	stopped := make(chan struct{})
 	l.running.Go(func() {
@@ -190,7 +190,7 @@
 	return "POST /price-part HTTP/1.1\r\nHost: h\r\nReq-Id: " + id + "\r\nReq-Kind: price-part\r\nIdempotency-Key: " + id + "\r\n" + lines + "\r\n"
 }
 
-// must returns a value whose error would be a mistake in the test.
+// must returns a value. It panics if there is an error, which would be a fault of the test itself.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/cmd/brassdale/support_worker_test.go
+++ b/cmd/brassdale/support_worker_test.go
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// jobHandler answers a job that has been read from the connection; the header "Body" is the body. It may close the connection.
+// jobHandler answers a job that has been read from the connection; the header "Body" has the body. It may close the connection.
 type jobHandler func(worker *testWorker, conn net.Conn, r *http.Request)
 
 // testWorker is a worker that answers jobs by its handler. It answers probes by itself.
 type testWorker struct {
-	id, cell, phase string // as its line of the endpoint list has them
-	startedAtMS     int64  // Unix time in milliseconds; 0 for long ago
+	id, cell, phase string // as in its line of the endpoint list
+	startedAtMS     int64  // Unix time in milliseconds; 0 for a start long ago
 	listener        net.Listener
 	handler         jobHandler
-	abandoned       chan string // Req-Id of each job of respondThenStall whose connection the dispatcher has closed
+	abandoned       chan string // Req-Id of each job of respondThenStall for which the dispatcher has closed the connection
 	failsProbes     atomic.Bool // probes are answered 503, as by a draining worker
 
 	mu                sync.Mutex
 	connections, jobs int
-	runs              map[string]int // received jobs by key
+	runs              map[string]int // number of received jobs by key
 }
 
 // startWorker starts an active worker in cell 1.
@@ -62,7 +62,7 @@
 	return w.runs[key]
 }
 
-// serve answers what comes on a connection until it ends.
+// serve answers the requests on a connection until it ends.
 func (w *testWorker) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -113,12 +113,12 @@
 	return maps.Clone(w.runs)
 }
 
-// listedWorker returns a worker for endpoint lists, at a listener that the caller serves, or nobody does.
+// listedWorker returns a worker for endpoint lists at this listener, which it does not serve.
 func listedWorker(id string, listener net.Listener) *testWorker {
 	return &testWorker{id: id, cell: "1", phase: "active", listener: listener}
 }
 
-// startWorkers starts so many workers with one handler.
+// startWorkers starts this number of workers, all with the same handler.
 func startWorkers(t testing.TB, count int, handler jobHandler) (workers []*testWorker) {
 	t.Helper()
 	for i := range count {
@@ -127,7 +127,7 @@
 	return workers
 }
 
-// startNamedWorkers starts a worker for each ID, all with one handler.
+// startNamedWorkers starts a worker for each ID, all with the same handler.
 func startNamedWorkers(t testing.TB, handler jobHandler, ids ...string) (workers []*testWorker) {
 	t.Helper()
 	for _, id := range ids {
@@ -136,7 +136,7 @@
 	return workers
 }
 
-// totalJobs returns how many jobs some workers have received together.
+// totalJobs returns the total number of jobs that these workers have received.
 func totalJobs(workers ...*testWorker) (sum int) {
 	for _, worker := range workers {
 		sum += worker.jobCount()
@@ -193,7 +193,7 @@
 	}
 }
 
-// stallOnStuckKeys starts jobs whose key begins with "stuck" and never finishes them; it completes all others.
+// stallOnStuckKeys starts jobs whose key begins with "stuck" but never finishes them; it completes all others.
 func stallOnStuckKeys(worker *testWorker, conn net.Conn, r *http.Request) {
 	if strings.HasPrefix(r.Header.Get("Idempotency-Key"), "stuck") {
 		respondThenStall(`"state":"started"`)(worker, conn, r)
@@ -212,7 +212,7 @@
 	}
 }
 
-// completeAfter starts a job and answers with the result after so long.
+// completeAfter reports the start of a job at once, and its result after the runtime.
 func completeAfter(runtime time.Duration) jobHandler {
 	return func(_ *testWorker, conn net.Conn, r *http.Request) {
 		writeHead(conn, "application/json")
@@ -223,7 +223,7 @@
 	}
 }
 
-// completeAtOnce answers a job with the result alone, not chunked.
+// completeAtOnce answers a job with only the result, not chunked.
 func completeAtOnce(_ *testWorker, conn net.Conn, r *http.Request) {
 	body := jobMessage(r.Header.Get("Req-Id"), `"state":"done","result":"priced"`)
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -235,7 +235,7 @@
 	last time.Time
 }
 
-// recording returns the handler with each job recorded before.
+// recording returns a handler that records the arrival of a job before it calls the given one.
 func (a *arrivals) recording(handler jobHandler) jobHandler {
 	return func(worker *testWorker, conn net.Conn, r *http.Request) {
 		a.mu.Lock()
@@ -245,14 +245,14 @@
 	}
 }
 
-// lastSince returns how long after a moment the worker received its last job.
+// lastSince returns the time from a moment to the last job that the worker received.
 func (a *arrivals) lastSince(moment time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last.Sub(moment)
 }
 
-// checkNoneAfter checks that the drained worker received its last job at most so long after the drain.
+// checkNoneAfter checks that the drained worker received no job later than the limit after the drain.
 func (a *arrivals) checkNoneAfter(t *testing.T, drainedAt time.Time, limit time.Duration) {
 	t.Helper()
 	if last := a.lastSince(drainedAt); last > limit {
