--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// TestAdminAPI_unfinishedAndInvalidCalls checks that calls which are never finished, more of them than the admin API accepts at a time,
-// delay no other call beyond 1 s, and that invalid calls are answered with the status for their fault.
+// TestAdminAPI_unfinishedAndInvalidCalls checks that other calls are answered within 1 s while more unfinished calls are open than the
+// admin API accepts at a time, and that invalid calls are answered with the status for their fault.
 func TestAdminAPI_unfinishedAndInvalidCalls(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
@@ -27,7 +27,7 @@
 		if i%5 == 0 {
 			calledAt := time.Now()
 			if status, _ := dispatcher.callAdmin("GET", "/_ready", ""); status != 200 || time.Since(calledAt) > time.Second {
-				t.Errorf("with %d unfinished calls: status %d after %v", i, status, time.Since(calledAt))
+				t.Errorf("with %d unfinished calls: status %d after %v, want 200 within 1 s", i, status, time.Since(calledAt))
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 	if _, err := http.Get(dispatcher.http1URL + "/_vars"); err != nil {
 		t.Error(err)
 	} else if status, _, _ := dispatcher.sendKey("k"); status != 200 {
-		t.Errorf("a request: status %d", status)
+		t.Errorf("a request: status %d, want 200", status)
 	}
 	dispatcher.terminate()
 	dispatcher.waitFor("no readiness after SIGTERM", func() bool {
@@ -81,21 +81,21 @@
 	dispatcher.checkMetrics("with an open job", map[string]int{"concurrent": 1, "dispatches": 4, "replies.price-part.success": 3})
 	close(release)
 	if status := <-waiting; status != 200 {
-		t.Errorf("the open request: status %d", status)
+		t.Errorf("the open request: status %d, want 200", status)
 	}
 	dispatcher.sendKey("x", "Req-Deadline-Ms", "soon") // invalid: not counted
 	failed, _, _ := dispatcher.sendKey("bad", "Req-Deadline-Ms", "300")
 	if failed != 502 && failed != 504 {
-		t.Errorf("a request that its worker fails: status %d", failed)
+		t.Errorf("a request whose job fails at the worker: status %d, want 502 or 504", failed)
 	}
 	dispatcher.checkMetrics("after a failure", map[string]int{"concurrent": 0,
 		"replies.price-part.success": 4, "replies.price-part.error": 1, "replies.price-part.overload": 0})
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
-		t.Errorf("detach: status %d", status)
+		t.Errorf("detach: status %d, want 200", status)
 	}
 	rejected, _, _ := dispatcher.sendKey("nobody", "Req-Deadline-Ms", "300")
 	if rejected != 503 {
-		t.Errorf("without a worker: status %d", rejected)
+		t.Errorf("without a worker: status %d, want 503", rejected)
 	}
 	dispatcher.checkMetrics("without a worker", map[string]int{"replies.price-part.overload": 1, "targets": 1, "targets_disabled": 1})
 	dispatcher.reload("{")
@@ -105,8 +105,9 @@
 	dispatcher.checkMetrics("after reloads", map[string]int{"targets_disabled": 1, "replies.price-part.success": 4})
 }
 
-// TestDetachedWorker_getsNoRequests checks that a detached worker gets no requests, whatever discovery lists, in this process and in
-// its successor. Reattached, it gets requests again at once, without a slow start. A call at either admin API counts for both processes.
+// TestDetachedWorker_getsNoRequests checks that a detached worker gets no requests from this process and its successor, regardless of
+// discovery's list. Once reattached, it gets requests again at once, without a slow start. A call to either admin API applies to both
+// processes.
 func TestDetachedWorker_getsNoRequests(t *testing.T) {
 	t.Parallel()
 	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
@@ -119,10 +120,10 @@
 		return workerA.jobCount() - before
 	}
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
-		t.Fatalf("detach: status %d", status)
+		t.Fatalf("detach: status %d, want 200", status)
 	}
 	if jobs := sendEight(dispatcher, "detached"); jobs != 0 {
-		t.Errorf("%d requests at the detached worker", jobs)
+		t.Errorf("%d requests at the detached worker, want 0", jobs)
 	}
 	discovery.update(func() { workerA.phase = "leaving" })
 	dispatcher.waitForLog("revision=2")
@@ -131,20 +132,20 @@
 	dispatcher.reload(dispatcher.config)
 	dispatcher.waitForLog("settings reloaded")
 	if jobs := sendEight(dispatcher, "listed"); jobs != 0 {
-		t.Errorf("%d requests at the detached worker, which was listed as active again", jobs)
+		t.Errorf("%d requests at the detached worker after it was listed as active again, want 0", jobs)
 	}
 	successor := dispatcher.startSuccessor("")
 	if jobs := sendEight(successor, "successor"); jobs != 0 || successor.metric("targets_disabled") != 1 {
-		t.Errorf("successor: %d requests at the detached worker, targets_disabled=%d", jobs, successor.metric("targets_disabled"))
+		t.Errorf("successor: %d requests at the detached worker, targets_disabled=%d, want 0 and 1", jobs, successor.metric("targets_disabled"))
 	}
 	if status, _ := successor.callAdmin("POST", "/_workers/attach", "a"); status != 200 || dispatcher.metric("targets_disabled") != 0 {
-		t.Errorf("attach at the successor: status %d, targets_disabled=%d at the predecessor", status, dispatcher.metric("targets_disabled"))
+		t.Errorf("attach at the successor: status %d, targets_disabled=%d at the predecessor, want 200 and 0", status, dispatcher.metric("targets_disabled"))
 	}
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 || successor.metric("targets_disabled") != 1 {
-		t.Errorf("detach at the predecessor: status %d, targets_disabled=%d at the successor", status, successor.metric("targets_disabled"))
+		t.Errorf("detach at the predecessor: status %d, targets_disabled=%d at the successor, want 200 and 1", status, successor.metric("targets_disabled"))
 	}
 	if status, _ := successor.callAdmin("POST", "/_workers/attach", "a"); status != 200 {
-		t.Errorf("attach: status %d", status)
+		t.Errorf("attach: status %d, want 200", status)
 	}
 	rounds := 0
 	successor.waitFor("a request at the reattached worker", func() bool {
@@ -153,14 +154,14 @@
 	})
 }
 
-// TestDetachedWorkers_restoredAfterKill checks that the file of detached workers is written before the call is answered, and that a file
-// which cannot be used is logged and otherwise ignored.
+// TestDetachedWorkers_restoredAfterKill checks that the file of detached workers is written before the call is answered, so that a kill
+// right after it loses nothing, and that an invalid file is logged and otherwise ignored.
 func TestDetachedWorkers_restoredAfterKill(t *testing.T) {
 	t.Parallel()
 	detached := startWorker(t, "a", completeJob)
 	dispatcher := startDispatcher(t, "", detached, startWorker(t, "b", completeJob))
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "a"); status != 200 {
-		t.Fatalf("detach: status %d", status)
+		t.Fatalf("detach: status %d, want 200", status)
 	}
 	files, _ := filepath.Glob(filepath.Join(dispatcher.tempDir, "*.detached"))
 	if len(files) != 1 {
@@ -168,9 +169,9 @@
 	}
 	dispatcher.kill()
 	restarted := dispatcher.startSuccessor("") // finds the files of a killed process
-	restarted.checkServed("after-kill-", 20)   // from its first request on, whenever the metric follows
+	restarted.checkServed("after-kill-", 20)   // the first request must not reach the worker; the metric may change later
 	if jobs := detached.jobCount(); jobs != 0 || !strings.Contains(restarted.log(), "starting alone") {
-		t.Errorf("after a kill: %d jobs at the detached worker, or the start was not alone", jobs)
+		t.Errorf("after a kill: %d jobs at the detached worker, want 0 and \"starting alone\" in the log", jobs)
 	}
 	restarted.waitForMetric("targets_disabled", 1)
 	for _, text := range []string{"", "{", `{"name":"another","workers":["a"]}`} {
@@ -179,23 +180,23 @@
 			t.Fatal(err)
 		}
 		restarted = dispatcher.startSuccessor("")
-		restarted.checkServed("invalid-file-", 20) // so that what the start has queued is done
+		restarted.checkServed("invalid-file-", 20) // after these the work that the start queued is done
 		if detached := restarted.metric("targets_disabled"); detached != 0 || strings.Count(restarted.log(), "detached workers not read") != 1 {
-			t.Errorf("file %q: %d detached workers, or not logged once", text, detached)
+			t.Errorf("file %q: %d detached workers, want 0 and one log line \"detached workers not read\"", text, detached)
 		}
 	}
 }
 
-// TestMetrics_unansweredConnections checks that connections which are closed without an answer are counted, as the platform counts them
-// as rejections.
+// TestMetrics_unansweredConnections checks that connections which are closed without an answer are counted. The platform counts them as
+// rejections.
 func TestMetrics_unansweredConnections(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcherWith(t, "", withSetting(`"sockets":1024`, `"sockets":128`))
 	if unsent, unanswered := dispatcher.metric("failed_unsent"), dispatcher.metric("connections_unanswered"); unsent != 0 || unanswered != 0 {
-		t.Errorf("at the start: failed_unsent=%d, connections_unanswered=%d", unsent, unanswered)
+		t.Errorf("at the start: failed_unsent=%d, connections_unanswered=%d, want 0 and 0", unsent, unanswered)
 	}
 	dispatcher.dial().Close()
-	for range 100 { // more than are accepted: some are closed again
+	for range 100 { // more than are accepted, so some are closed without an answer
 		dispatcher.dial()
 	}
 	dispatcher.waitFor("connections_unanswered > 0", func() bool { return dispatcher.metric("connections_unanswered") > 0 })
--- a/cmd/brassdale/clientdisconnect_test.go
+++ b/cmd/brassdale/clientdisconnect_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestClientDisconnect_beforeFirstAttempt checks requests that wait for their first attempt when their clients close, half-close or
-// reset the connections, with further bytes after the request or none. That is seen within 1 s, a worker that joins later gets none of
-// them, and a client that still reads is served nothing.
+// reset the connections, with or without further bytes after the request. The process notices the disconnects within 1 s, a worker that
+// joins later gets none of these requests, and a half-closed client, which can still read, gets no status 200.
 func TestClientDisconnect_beforeFirstAttempt(t *testing.T) {
 	t.Parallel()
 	disconnects := map[string]func(*net.TCPConn){
@@ -46,20 +46,20 @@
 				disconnectedAt := time.Now()
 				dispatcher.waitForMetric("concurrent", 0)
 				if took := time.Since(disconnectedAt); took > time.Second {
-					t.Errorf("the disconnects were seen after %v, more than 1 s", took)
+					t.Errorf("the disconnects were noticed after %v, more than 1 s", took)
 				}
 				discovery := dispatcher.discovery
 				discovery.update(func() { discovery.workers = append(discovery.workers, worker) })
 				if status, _, _ := dispatcher.sendKey("stays"); status != 200 {
-					t.Errorf("a client that stays: status %d", status)
+					t.Errorf("a client that stays: status %d, want 200", status)
 				}
 				if jobs := worker.jobCount(); jobs != 1 {
-					t.Errorf("%d requests of disconnected clients at the worker: %v", jobs-1, worker.runsPerKey())
+					t.Errorf("%d requests of disconnected clients at the worker, want 0; jobs by key: %v", jobs-1, worker.runsPerKey())
 				}
 				if how == "half-closes" {
 					for _, conn := range conns {
 						if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil && resp.StatusCode == 200 {
-							t.Fatal("a half-closed client was served an answer of no worker")
+							t.Fatal("a half-closed client got status 200 although no worker ran its job")
 						}
 					}
 				}
@@ -93,7 +93,7 @@
 	}
 }
 
-// has reports whether a text was received.
+// has reports whether the received data contains a text.
 func (b *receivedBytes) has(text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,8 +135,8 @@
 	}
 }
 
-// fillBacklog connects until the listener's backlog is full, so that a further connection is not established. It returns false where
-// that cannot be had.
+// fillBacklog connects until the listener's backlog is full, so that a further connection is not established. It returns false if the
+// backlog cannot be filled.
 func fillBacklog(t *testing.T, listener net.Listener) bool {
 	t.Helper()
 	raw, err := listener.(*net.TCPListener).SyscallConn()
@@ -158,7 +158,7 @@
 }
 
 // TestClientDisconnect_afterStart checks that the attempt of a started job is cancelled within 3 s when its client closes the connection.
-// The server notices that only as it has read the complete body.
+// The server can notice the close only after it has read the complete body.
 func TestClientDisconnect_afterStart(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", respondThenStall(`"state":"started"`))
@@ -167,7 +167,7 @@
 	if err := newRequest(dispatcher.http1URL, "k").Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	dispatcher.waitFor("1 jobs at the worker", func() bool { return worker.jobCount() == 1 })
+	dispatcher.waitFor("one job at the worker", func() bool { return worker.jobCount() == 1 })
 	conn.Close()
 	select {
 	case <-worker.abandoned:
--- a/cmd/brassdale/connectionlimit_test.go
+++ b/cmd/brassdale/connectionlimit_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// TestConnectionLimit_waitingIsNotWorkersSilence guards against the ejection of a worker whose attempts wait here for a connection, as this
-// process has as many open as it may: the worker has been asked nothing.
+// TestConnectionLimit_waitingIsNotWorkersSilence guards against ejecting a worker as silent while its attempts wait in this process for a
+// connection. This happens at the connection limit: the worker has not received these attempts, so it cannot answer them.
 func TestConnectionLimit_waitingIsNotWorkersSilence(t *testing.T) {
 	t.Parallel()
 	const (
 		workerConns = 12                     // of a process with 64 descriptors
-		jobTime     = 5 * time.Second        // longer than a worker may be silent by the settings: 3.3 s
+		jobTime     = 5 * time.Second        // longer than the settings allow a worker to be silent: 3.3 s
 		progress    = 500 * time.Millisecond // of a job that runs
 	)
 	runsLong := func(_ *testWorker, conn net.Conn, r *http.Request) {
@@ -39,11 +39,11 @@
 	send := func(key string) {
 		running.Go(func() {
 			if status, _, _ := trySend(client, newRequest(dispatcher.http2URL, key, "Req-Deadline-Ms", "30000")); status != http.StatusOK {
-				t.Errorf("request %s: status %d", key, status)
+				t.Errorf("request %s: status %d, want 200", key, status)
 			}
 		})
 	}
-	send("first") // so that the client has its one connection
+	send("first") // opens the client's only connection
 	dispatcher.waitForRun(busy, "first")
 	for i := range workerConns {
 		send(fmt.Sprint("long-", i))
@@ -57,7 +57,7 @@
 	running.Wait()
 	for line := range strings.Lines(dispatcher.log()) {
 		if strings.Contains(line, "worker ejected") {
-			t.Errorf("a worker was ejected while no worker was silent: %s", line)
+			t.Errorf("a worker was ejected although no worker was silent: %s", line)
 		}
 	}
 }
--- a/cmd/brassdale/deadline_test.go
+++ b/cmd/brassdale/deadline_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// deadlineSlack is how much later than its client's deadline the one that a worker receives may be.
+// deadlineSlack is by how much the deadline that a worker receives may be later than the client's deadline.
 const deadlineSlack = 150 * time.Millisecond
 
 // receivedDeadlines records the deadlines of jobs as workers received them.
@@ -43,7 +43,7 @@
 }
 
 // sendPipelined sends two requests at once on a connection, the second with a deadline in milliseconds, and reads both answers. It
-// returns when they were sent.
+// returns the time at which they were sent.
 func (d *testDispatcher) sendPipelined(deadlineMS string) (sentAt time.Time) {
 	d.t.Helper()
 	conn := d.dial()
@@ -63,8 +63,8 @@
 	return sentAt
 }
 
-// TestPipelinedRequest_deadlineAtWorker checks that the deadline of a request counts from when it was sent, also while it waits on its
-// connection until the request before it is answered: the worker receives what is left of it.
+// TestPipelinedRequest_deadlineAtWorker checks that the deadline of a pipelined request counts from when it was sent, not from when the
+// request before it was answered: the worker receives the remaining time.
 func TestPipelinedRequest_deadlineAtWorker(t *testing.T) {
 	t.Parallel()
 	deadlines := receivedDeadlines{latestByKey: map[string]time.Time{}}
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestPipelinedRequest_answeredInTime checks that a pipelined request whose worker stalls is answered by the deadline that its client
-// counts, 1.2 s after it was sent, or at most 0.5 s later.
+// TestPipelinedRequest_answeredInTime checks that a pipelined request whose worker stalls is answered at the deadline of its client, 1.2 s
+// after it was sent, or at most 0.5 s later.
 func TestPipelinedRequest_answeredInTime(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", func(worker *testWorker, conn net.Conn, r *http.Request) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestDeadline_lateAnswerWithoutWeight checks that a request whose job has not started is answered, and its attempt cancelled, once a late
-// answer has no weight: within 4 s of a deadline of 5 s. The job would only delay others in the worker's queue.
+// TestDeadline_lateAnswerWithoutWeight checks that, if a late answer has no weight, a request whose job has not started is answered before
+// its deadline of 5 s, within 4 s, and its attempt is cancelled. The job would only delay others in the worker's queue.
 func TestDeadline_lateAnswerWithoutWeight(t *testing.T) {
 	t.Parallel()
 	cancelled := make(chan struct{})
@@ -130,5 +130,5 @@
 	<-cancelled
 }
 
-// withoutLateWeight is a change of the platform's file by which a late answer has no weight.
+// withoutLateWeight is a change of the platform's file that gives late answers no weight.
 var withoutLateWeight = withSetting(`"lateWorth":0.1`, `"lateWorth":0`)
--- a/cmd/brassdale/deployments_test.go
+++ b/cmd/brassdale/deployments_test.go
@@ -12,7 +12,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// deploymentFile is the part of a deployment's file that reaches a dispatcher as settings. The platform draws from a range.
+// deploymentFile is the part of a deployment's file that reaches a dispatcher as settings. Where the file has a range, such as ColdS, the
+// platform draws a value from it.
 type deploymentFile struct {
 	Name  string
 	Net   struct{ Zones []string }
@@ -109,8 +110,8 @@
 	return string(text)
 }
 
-// TestDeployments_served checks that each class of each deployment is served by the rules of its idempotency, and that the class of another
-// deployment is unknown. The deployments have different names, classes, idempotency and limits, and lists that are pushed or polled.
+// TestDeployments_served checks that each class of each deployment is served according to its idempotency, and that a class of another
+// deployment is unknown. The deployments differ in names, classes, idempotency, limits, and whether lists are pushed or polled.
 func TestDeployments_served(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
@@ -134,12 +135,12 @@
 					r.URL.Path = "/" + class.Name
 					status, body, _ := dispatcher.send(r)
 					if status == 200 && body != "priced" {
-						t.Errorf("%s: answered %q", class.Name, body)
+						t.Errorf("%s: answered %q, want \"priced\"", class.Name, body)
 					}
 					return status
 				}
 				if status := send(class.Name+"-1", class.Name+"-1"); status != 200 {
-					t.Errorf("%s: status %d", class.Name, status)
+					t.Errorf("%s: status %d, want 200", class.Name, status)
 				}
 				want := 200 // only a class that is idempotent with key needs one
 				if class.Effect == "keyed" {
@@ -152,10 +153,10 @@
 				}
 			}
 			if nonIdempotent == 0 {
-				t.Error("no non-idempotent class")
+				t.Error("the deployment has no non-idempotent class, want at least one")
 			}
 			if status, _, _ := dispatcher.sendKey("foreign"); status != 404 {
-				t.Errorf("a class of another deployment: status %d", status)
+				t.Errorf("a class of another deployment: status %d, want 404", status)
 			}
 		})
 	}
@@ -182,7 +183,7 @@
 			names = append(names, tenant.Name)
 		}
 	}
-	emulations := []string{"/emulator/", "/faults/", "/load/", "/experiment/"} // they have deployments of their own
+	emulations := []string{"/emulator/", "/faults/", "/load/", "/experiment/"} // they define their own deployments
 	sources := []string{"../../deploy/balancer.toml"}
 	for _, glob := range []string{"../../scheduler/*.go", "../../internal/*/*.go", "../../internal/*/*/*.go", "*.go"} {
 		found, err := filepath.Glob(glob)
@@ -201,7 +202,7 @@
 		}
 		for _, name := range names {
 			if strings.Contains(strings.ToLower(string(text)), name) {
-				t.Errorf("%s names %q", file, name)
+				t.Errorf("%s contains the customer's name %q", file, name)
 			}
 		}
 	}
--- a/cmd/brassdale/discovery_test.go
+++ b/cmd/brassdale/discovery_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestDiscovery_drainAndFailedCalls checks that a worker that the list has as draining gets no new requests, and that requests are served
+// TestDiscovery_drainAndFailedCalls checks that a worker that is listed as draining gets no new requests, and that requests are served
 // while discovery fails.
 func TestDiscovery_drainAndFailedCalls(t *testing.T) {
 	t.Parallel()
@@ -29,19 +29,19 @@
 	before := workerA.jobCount()
 	dispatcher.checkServed("", 6)
 	if jobs := workerA.jobCount(); jobs != before {
-		t.Errorf("%d requests at a draining worker", jobs-before)
+		t.Errorf("%d requests at a draining worker, want 0", jobs-before)
 	}
 	discovery.update(func() { discovery.failing, workerA.phase = true, "active" })
 	dispatcher.waitForLog("discovery call failed")
 	if status, _, _ := dispatcher.sendKey("x"); status != 200 {
-		t.Errorf("while discovery fails: status %d", status)
+		t.Errorf("while discovery fails: status %d, want 200", status)
 	}
 	discovery.update(func() { discovery.failing = false })
 	dispatcher.waitForLog("revision=4")
 }
 
-// TestDiscovery_hangingWatch checks that a change behind a hanging watch is known within 4.5 s: it counts as notified 2 s after the wait
-// of the watch, and the drain grace period is 500 ms.
+// TestDiscovery_hangingWatch checks that a change is known within 4.5 s if it happens while a watch hangs. The change counts as notified
+// 2 s after the wait time of the watch, and the drain grace period is 500 ms.
 func TestDiscovery_hangingWatch(t *testing.T) {
 	t.Parallel()
 	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
@@ -50,18 +50,18 @@
 	dispatcher.waitFor("a call", func() bool { return discovery.callCount() > 0 })
 	discovery.update(func() { discovery.hanging = true })
 	calls := discovery.callCount()
-	changedAt := time.Now() // the call that hangs began before
+	changedAt := time.Now() // the hanging call began before this
 	discovery.update(func() { workerA.phase = "leaving" })
 	dispatcher.waitFor("a further call", func() bool { return discovery.callCount() > calls })
 	discovery.update(func() { discovery.hanging = false })
 	dispatcher.waitForLog("revision=4")
 	if took := time.Since(changedAt); took > 4500*time.Millisecond {
-		t.Errorf("the list came %v after the change, more than 4.5 s", took)
+		t.Errorf("the list was read %v after the change, more than 4.5 s", took)
 	}
 }
 
-// TestDiscovery_watchSilentFromStart checks that one of 300 dispatchers knows of a change within 6 s where its first watch is never
-// answered, whatever its random delays.
+// TestDiscovery_watchSilentFromStart checks that one of 300 dispatchers knows of a change within 6 s even if its first watch is never
+// answered, regardless of its random delays.
 func TestDiscovery_watchSilentFromStart(t *testing.T) {
 	t.Parallel()
 	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
@@ -69,19 +69,19 @@
 	discovery := dispatcher.discovery
 	dispatcher.waitForWatch()
 	discovery.mu.Lock()
-	discovery.silentCalls = len(discovery.calls) // none that is open is answered
+	discovery.silentCalls = len(discovery.calls) // no open call is answered
 	discovery.mu.Unlock()
 	changedAt := time.Now()
 	discovery.update(func() { workerA.phase = "leaving" })
 	dispatcher.waitForLog("revision=2")
 	if took := time.Since(changedAt); took > 6*time.Second {
-		t.Errorf("known %v after the change, more than 6 s", took)
+		t.Errorf("the change was known after %v, more than 6 s", took)
 	}
 }
 
-// TestDiscovery_downWhileDescriptorsAreExhausted checks that idle clients which open more connections than there are descriptors, while
-// discovery fails, leave those reserved for discovery, workers and the admin API free: the admin API answers, the open request is not
-// lost, further ones are served, and the list is read within 2 s of discovery's return.
+// TestDiscovery_downWhileDescriptorsAreExhausted checks that idle clients cannot use the descriptors that are reserved for discovery,
+// workers and the admin API. While discovery fails, they open more connections than there are descriptors: the admin API answers, the open
+// request is not lost, further requests are served, and the list is read within 2 s of discovery's return.
 func TestDiscovery_downWhileDescriptorsAreExhausted(t *testing.T) {
 	t.Parallel()
 	const sockets = 128
@@ -107,7 +107,7 @@
 		t.Errorf("%d open requests, want 1", requests)
 	}
 	if status, _, _ := dispatcher.sendKey("further"); status != 200 {
-		t.Errorf("a further request: status %d", status)
+		t.Errorf("a further request: status %d, want 200", status)
 	}
 	discovery.update(func() { discovery.failing = false })
 	recoveredAt := time.Now()
@@ -117,15 +117,15 @@
 	}
 	close(release)
 	if status := <-open; status != 200 {
-		t.Errorf("the open request: status %d", status)
+		t.Errorf("the open request: status %d, want 200", status)
 	}
 	if strings.Contains(dispatcher.log(), "too many open files") {
 		t.Error("the process ran out of descriptors")
 	}
 }
 
-// TestDiscovery_invalidLists checks that an invalid list of 60 or 5,000 lines is rejected as a whole: requests are served by the list
-// before, and the same fault is logged once. A valid list is then in force at once.
+// TestDiscovery_invalidLists checks that an invalid list of 60 or 5,000 lines is rejected as a whole: requests are served by the previous
+// list, and the same fault is logged once. A valid list is then applied at once.
 func TestDiscovery_invalidLists(t *testing.T) {
 	t.Parallel()
 	line := func(index int, members string) string {
@@ -155,7 +155,7 @@
 			discovery.update(func() { discovery.workers, discovery.corrupt = []*testWorker{workerB}, corrupt })
 			for i, before := 0, discovery.callCount(); discovery.callCount() < before+3; i++ {
 				if status, _, _ := dispatcher.sendKey(fmt.Sprint("k-", i)); status != 200 {
-					t.Fatalf("request %d: status %d", i, status)
+					t.Fatalf("request %d: status %d, want 200", i, status)
 				}
 			}
 			dispatcher.waitForLog("discovery call failed")
@@ -163,12 +163,12 @@
 				t.Errorf("the fault was logged %d times, want once", times)
 			}
 			if jobs := workerB.jobCount(); jobs > 0 {
-				t.Error("a request at a worker of the invalid list")
+				t.Error("a worker that only the invalid list contains received a request")
 			}
 			discovery.update(func() { discovery.corrupt = nil })
 			dispatcher.waitForLog("discovery recovered")
 			if status, _, _ := dispatcher.sendKey("after"); status != 200 {
-				t.Errorf("after the valid list: status %d", status)
+				t.Errorf("after the valid list: status %d, want 200", status)
 			}
 			if jobs := workerB.jobCount(); jobs != 1 {
 				t.Errorf("%d requests at the worker of the valid list, want 1", jobs)
--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -18,14 +18,14 @@
 	modelSlots            = 5
 	modelSlowStart        = 24 * time.Second
 	modelStartCapacity    = 0.14
-	modelOverloadMultiple = 3.0 // of its capacity in modelOverloadWindow, beyond which a warming worker is overloaded
+	modelOverloadMultiple = 3.0 // a warming worker is overloaded if it gets more than this multiple of its capacity in modelOverloadWindow
 	modelOverloadWindow   = 1500 * time.Millisecond
 )
 
 // modelWorker is a worker with a slow start: its jobs take longer at first, and it records how much work it receives.
 type modelWorker struct {
 	*testWorker
-	startedAt time.Time // zero for long ago
+	startedAt time.Time // zero for a start long ago
 	unlisted  bool      // it has left the list and should receive nothing
 
 	mu         sync.Mutex
@@ -70,14 +70,14 @@
 	return capacity
 }
 
-// benchDeployment is 12 workers of the cached list, of which 3 are gone, 2 silent, 1 has drained and 1 has just restarted.
+// benchDeployment is a deployment whose cached list has 12 workers: 3 are gone, 2 silent, 1 has drained and 1 has just restarted.
 type benchDeployment struct {
 	workers []*modelWorker
 	listed  []*testWorker // by discovery
 	cached  []*testWorker
 }
 
-// newBenchDeployment starts the workers that run.
+// newBenchDeployment returns a deployment and starts its workers except those that are gone.
 func newBenchDeployment(b *testing.B) *benchDeployment {
 	b.Helper()
 	deployment := &benchDeployment{}
@@ -120,7 +120,7 @@
 	return model
 }
 
-// loads returns the highest load of a warming worker, and how many jobs reached workers that are not listed.
+// loads returns the highest load of a warming worker, and the number of jobs that reached unlisted workers.
 func (d *benchDeployment) loads() (peak float64, atUnlisted int) {
 	for _, model := range d.workers {
 		if !model.startedAt.IsZero() {
@@ -165,7 +165,7 @@
 	}
 }
 
-// measureOutage logs which share of requests is served in time, among all that were due.
+// measureOutage logs the share of all due requests that were served in time.
 func measureOutage(b *testing.B, variant string) {
 	b.Helper()
 	const (
@@ -204,7 +204,7 @@
 	server.CloseClientConnections()
 }
 
-// startInOutage starts a dispatcher and its discovery, which fails unless the way says otherwise.
+// startInOutage starts a dispatcher and its discovery, which fails except in the variant "discovery never failed".
 func startInOutage(b *testing.B, variant string, deployment *benchDeployment) (*testDispatcher, *httptest.Server) {
 	b.Helper()
 	discovery := newTestDiscovery(deployment.listed...)
@@ -227,15 +227,15 @@
 	return dispatcher, server
 }
 
-// BenchmarkPowerLoss measures how much work each worker gets where all workers and two dispatchers start at once, with lists of a
-// minute ago. The most that any worker gets from both together must stay below modelOverloadMultiple.
+// BenchmarkPowerLoss measures how much work each worker gets if all workers and two dispatchers start at once, with endpoint lists that
+// are one minute old. The highest load of a worker, from both dispatchers together, must stay below modelOverloadMultiple.
 func BenchmarkPowerLoss(b *testing.B) {
 	for _, variant := range []string{"saved list", "saved list, all trusted"} {
 		measurePowerLoss(b, variant)
 	}
 }
 
-// measurePowerLoss logs the highest load of a worker, and how many requests were served.
+// measurePowerLoss logs the highest load of a worker, and the number of served requests.
 func measurePowerLoss(b *testing.B, variant string) {
 	b.Helper()
 	var deployment benchDeployment
@@ -277,13 +277,13 @@
 		}
 	})
 	peak, _ := deployment.loads()
-	b.Logf("%-24s %4d of %d served; the worker that got most got %.2f times its capacity (overload at %.0f)", variant, served, requests, peak, modelOverloadMultiple)
+	b.Logf("%-24s %4d of %d served; the highest load of a worker was %.2f times its capacity (overload at %.0f)", variant, served, requests, peak, modelOverloadMultiple)
 	for _, dispatcher := range dispatchers {
 		dispatcher.kill()
 	}
 }
 
-// writeModelList writes a cached list whose statistics say how long jobs take at model workers.
+// writeModelList writes a cached list whose statistics match the job duration of model workers.
 func writeModelList(b *testing.B, dir string, age time.Duration, workers []*testWorker) {
 	b.Helper()
 	writeCachedList(b, dir, age, func(list *endpointcache.CachedList) {
--- a/cmd/brassdale/endpointcache_return_test.go
+++ b/cmd/brassdale/endpointcache_return_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// TestEndpointCache_discoveryReturns checks that workers which discovery's list names with the same start count as the same incarnations.
+// TestEndpointCache_discoveryReturns checks that workers which discovery lists with the same start time count as the same incarnations.
 func TestEndpointCache_discoveryReturns(t *testing.T) {
 	t.Parallel()
 	workers := startNamedWorkers(t, completeCachedJob, "a", "b")
 	dispatcher, restore := startWhileDiscoveryFails(t, workers...)
 	restore(50, workers...)
 	dispatcher.waitForListSource("discovery")
-	dispatcher.waitForLog("discovery list in force\" known=2 same_incarnation=2") // the log may be read later than the metrics
+	dispatcher.waitForLog("discovery list in force\" known=2 same_incarnation=2") // the log line may appear after the metric
 	dispatcher.waitUntilServed("k")
 }
 
-// TestEndpointCache_returnedListLacksWorker checks that a worker which discovery's list lacks, or has as draining, gets no new requests,
-// and that the job which runs there is completed.
+// TestEndpointCache_returnedListLacksWorker checks that a worker gets no new requests if discovery's list lacks it or lists it as draining,
+// and that a job which runs at the removed worker is completed.
 func TestEndpointCache_returnedListLacksWorker(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -40,7 +40,7 @@
 		status, _, _ := dispatcher.sendKey("waits")
 		waiting <- status
 	}()
-	running := 0 // the index of the worker that the job runs at
+	running := 0 // index of the worker where the job runs
 	dispatcher.waitFor("the job at a worker", func() bool {
 		running = slices.IndexFunc(workers, func(worker *testWorker) bool { return worker.runsOf("waits") == 1 })
 		return running >= 0
@@ -54,14 +54,14 @@
 	atRemoved, atDraining := removed.jobCount(), draining.jobCount()
 	dispatcher.checkServed("after-", 20)
 	if jobs := removed.jobCount(); jobs != atRemoved {
-		t.Errorf("%d requests at the worker that is not listed", jobs-atRemoved)
+		t.Errorf("%d requests at the worker that is not listed, want 0", jobs-atRemoved)
 	}
 	if jobs := draining.jobCount(); jobs != atDraining {
-		t.Errorf("%d requests at the draining worker", jobs-atDraining)
+		t.Errorf("%d requests at the draining worker, want 0", jobs-atDraining)
 	}
 	close(release)
 	if status := <-waiting; status != 200 {
-		t.Errorf("the request whose job ran: status %d", status)
+		t.Errorf("the request whose job ran at the removed worker: status %d, want 200", status)
 	}
 }
 
@@ -85,11 +85,11 @@
 	})
 	dispatcher.checkServed("all-listed-", 10)
 	if !strings.Contains(dispatcher.log(), "much shorter than cached list") {
-		t.Error("the short list was not logged")
+		t.Error("no \"much shorter than cached list\" in the log")
 	}
 }
 
-// TestEndpointCache_shortListConfirmed checks that a list much shorter than the cached one is in force once discovery has repeated it.
+// TestEndpointCache_shortListConfirmed checks that a list much shorter than the cached one is applied once discovery has repeated it.
 func TestEndpointCache_shortListConfirmed(t *testing.T) {
 	t.Parallel()
 	workers := startNamedWorkers(t, completeCachedJob, "a", "b", "c")
@@ -102,8 +102,8 @@
 	dispatcher.waitUntilServed("k")
 }
 
-// TestEndpointCache_restartedWorkers checks that a worker which discovery lists with a later start, and one with a new ID, do not count as
-// the same incarnations.
+// TestEndpointCache_restartedWorkers checks that a worker that discovery lists with a later start time, and one with a new ID, do not
+// count as the same incarnations.
 func TestEndpointCache_restartedWorkers(t *testing.T) {
 	t.Parallel()
 	workers := startNamedWorkers(t, completeCachedJob, "a", "b")
@@ -115,8 +115,8 @@
 	dispatcher.waitUntilServed("k")
 }
 
-// TestEndpointCache_handover checks a handover by a process that still uses its cached list: the successor starts from that too, and the
-// files of the cache stay valid.
+// TestEndpointCache_handover checks a handover by a process that still uses its cached list: the successor starts from the cached list
+// too, and the files of the cache stay valid.
 func TestEndpointCache_handover(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeCachedJob)
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// TestEndpointCache_startWithoutDiscovery checks that a start from the cached list serves whichever way discovery fails.
+// TestEndpointCache_startWithoutDiscovery checks that a dispatcher starts from the cached list and serves, regardless of how discovery
+// fails.
 func TestEndpointCache_startWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	answers := func(status int, body string) http.Handler {
@@ -41,7 +42,7 @@
 			dispatcher.waitUntilServed("first")
 			source, age := dispatcher.metricText("list_source"), dispatcher.metric("list_age_s")
 			if !strings.Contains(dispatcher.log(), "started from endpoint cache") || source != "saved" || age < 3600 {
-				t.Errorf("not started from the cache, or logged so: source %q, age %d s", source, age)
+				t.Errorf("source %q, age %d s, want saved, 3600 s or more, and \"started from endpoint cache\" in the log", source, age)
 			}
 			dispatcher.waitFor("answers of both workers", func() bool { return dispatcher.metric("boxes_heard")+dispatcher.metric("boxes_proven") == 2 })
 			dispatcher.waitUntilVerified(2)
@@ -49,13 +50,13 @@
 	}
 }
 
-// otherServices are services that are no workers, at addresses of a list.
+// otherServices are services that are not workers but listen at addresses of the endpoint list.
 type otherServices struct {
 	mu          sync.Mutex
-	misdirected int // requests that were sent to them
+	misdirected int // number of requests that were sent to them
 }
 
-// start starts a service and returns its line of the list.
+// start starts a service and returns the worker that the list has at its address.
 func (s *otherServices) start(t *testing.T, id string, answer func(net.Conn)) *testWorker {
 	t.Helper()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
@@ -72,7 +73,7 @@
 	return listedWorker(id, listener)
 }
 
-// serve reads once and answers.
+// serve reads from a connection once and answers.
 func (s *otherServices) serve(conn net.Conn, answer func(net.Conn)) {
 	buffer := make([]byte, 4096)
 	length, _ := conn.Read(buffer)
@@ -84,13 +85,13 @@
 	answer(conn)
 }
 
-// TestEndpointCache_reassignedAddresses checks a cached list of two days ago of which one worker drained, one is off, and the addresses of
-// the others but one belong to something else. No request reaches any of them, and all are served.
+// TestEndpointCache_reassignedAddresses checks a cached list that is two days old: one worker has drained, one does not run, one is good,
+// and other services listen at the addresses of the rest. All requests are served, and none reaches a worker or service but the good one.
 func TestEndpointCache_reassignedAddresses(t *testing.T) {
 	t.Parallel()
 	good, drained, off := startWorker(t, "good", completeCachedJob), startWorker(t, "drained", completeCachedJob), startWorker(t, "off", completeCachedJob)
 	drained.phase = "leaving"
-	// At an address where no other test listens: the port of a closed listener may be given to a worker of a parallel test.
+	// 127.0.0.9 is used by no other test: at a shared address the port of a closed listener may be given to a worker of a parallel test.
 	off.listener.Close()
 	off.listener = must(net.Listen("tcp", "127.0.0.9:0"))
 	off.listener.Close()
@@ -116,14 +117,14 @@
 	services.mu.Lock()
 	defer services.mu.Unlock()
 	if atDrained := drained.jobCount(); services.misdirected != 0 || atDrained != 0 {
-		t.Errorf("%d requests at what is no worker, %d at a drained one", services.misdirected, atDrained)
+		t.Errorf("%d requests at other services and %d at a drained worker, want 0 and 0", services.misdirected, atDrained)
 	}
 	if listed := dispatcher.metric("targets"); listed != 1 {
 		t.Errorf("targets=%d, want 1", listed)
 	}
 }
 
-// checkSavedCommand checks the exit code of a sub-command of 'saved', and that its output has these texts.
+// checkSavedCommand checks the exit code of a sub-command of 'saved', and that its output contains these texts.
 func checkSavedCommand(t *testing.T, wantExitCode int, wantTexts []string, args ...string) {
 	t.Helper()
 	exitCode, output, errorOutput := runCommand(t, append([]string{"saved"}, args...)...)
@@ -133,9 +134,9 @@
 	}
 }
 
-// TestEndpointCache_survivesKill checks that a process which is killed leaves a cache with the drain that it has just learned of, the
-// detached worker and the statistics, from which the next process starts with another $TMPDIR. A damaged snapshot is reported by
-// 'saved verify' and set aside by a start, which reads the one before.
+// TestEndpointCache_survivesKill checks that the cache of a killed process has the drain that it has just learned of, the detached worker
+// and the statistics, and that the next process starts from it with another $TMPDIR. A damaged snapshot is reported by 'saved verify';
+// the next start renames it and reads the previous snapshot.
 func TestEndpointCache_survivesKill(t *testing.T) {
 	t.Parallel()
 	workers := startNamedWorkers(t, completeCachedJob, "a", "b", "c")
@@ -148,7 +149,7 @@
 	}
 	dispatcher.waitFor("a snapshot", func() bool { return dispatcher.metric("saved_snapshots") >= 1 })
 	if status, _ := dispatcher.callAdmin("POST", "/_workers/detach", "b"); status != 200 {
-		t.Fatalf("detach: status %d", status)
+		t.Fatalf("detach: status %d, want 200", status)
 	}
 	dispatcher.discovery.update(func() { draining.phase = "leaving" })
 	dispatcher.waitFor("two records on disk", func() bool { return dispatcher.metric("saved_records") >= 2 })
@@ -161,10 +162,10 @@
 		restarted.sendKey(fmt.Sprint("after-k-", i))
 	}
 	if jobs := draining.jobCount(); jobs != atDraining {
-		t.Errorf("%d requests at the draining worker", jobs-atDraining)
+		t.Errorf("%d requests at the draining worker, want 0", jobs-atDraining)
 	}
 	if jobs := detached.jobCount(); jobs != atDetached {
-		t.Errorf("%d requests at the detached worker", jobs-atDetached)
+		t.Errorf("%d requests at the detached worker, want 0", jobs-atDetached)
 	}
 	checkSavedCommand(t, 0, []string{"leaving", "out by hand"}, "show", dir)
 	checkSavedCommand(t, 0, []string{"whole"}, "verify", dir)
@@ -172,7 +173,7 @@
 	checkSavedCommand(t, 0, []string{"files removed"}, "prune", dir, "--keep", "1")
 }
 
-// checkDamagedSnapshot damages the newest snapshot of a cache, and checks that a start sets it aside and serves from the one before.
+// checkDamagedSnapshot damages the newest snapshot of a cache, and checks that a start renames it and serves from the previous snapshot.
 func checkDamagedSnapshot(t *testing.T, dir string, worker *testWorker) {
 	t.Helper()
 	snapshots, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
@@ -180,7 +181,7 @@
 	withNewest, _ := filepath.Glob(filepath.Join(dir, "n0", "snapshot-*"))
 	newest := withNewest[len(withNewest)-1]
 	if len(withNewest) != len(snapshots)+1 {
-		t.Fatalf("snapshots %v, then %v", snapshots, withNewest)
+		t.Fatalf("snapshots %v, then %v, want one more", snapshots, withNewest)
 	}
 	text := must(os.ReadFile(newest))
 	if err := os.WriteFile(newest, text[:len(text)-9], 0o600); err != nil {
@@ -190,12 +191,12 @@
 	restarted := startFromCache(t, dir, nil)
 	restarted.waitUntilServed("third")
 	if _, err := os.Stat(filepath.Join(dir, "n0", "damaged-"+filepath.Base(newest))); err != nil || !damagedLine.MatchString(restarted.log()) {
-		t.Errorf("the damaged snapshot was not set aside and logged: %v", err)
+		t.Errorf("the damaged snapshot was not renamed and logged: %v", err)
 	}
 }
 
-// TestEndpointCache_clockAndAge checks that a list from a day in the future serves, as the machine's clock may be wrong, and that a list of
-// 73 hours ago is not used.
+// TestEndpointCache_clockAndAge checks that a list dated a day in the future is used, as the machine's clock may be wrong, and that a list
+// that is 73 hours old is not.
 func TestEndpointCache_clockAndAge(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeCachedJob)
@@ -205,30 +206,30 @@
 	withFutureList := startFromCache(t, future, nil)
 	withFutureList.waitUntilServed("k")
 	if !strings.Contains(withFutureList.log(), "age_known=false") {
-		t.Error("the age of a list from the future is known")
+		t.Error("no \"age_known=false\" in the log for a list dated in the future")
 	}
 	withOldList := startFromCache(t, old, nil)
 	withOldList.waitForLog("endpoint cache too old")
 	if status, _, after := withOldList.sendKey("k", "Req-Deadline-Ms", "1000"); status != 503 || after == "" {
-		t.Errorf("without a list: status %d, Retry-After %q", status, after)
+		t.Errorf("without a list: status %d, Retry-After %q, want 503 with Retry-After", status, after)
 	}
 	if source := withOldList.metricText("list_source"); source != "none" {
 		t.Errorf("source %q, want none", source)
 	}
 }
 
-// TestEndpointCache_unusableDirectory checks that a dispatcher serves without a cache where its directory cannot be used, and does not
-// start with a directory that others may write, whose place in the operator's file it reports.
+// TestEndpointCache_unusableDirectory checks that a dispatcher serves without a cache if its directory cannot be used. If others may write
+// the directory, it does not start, and reports the place of the setting in the operator's file.
 func TestEndpointCache_unusableDirectory(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
 	unusable := t.TempDir()
-	if err := os.WriteFile(filepath.Join(unusable, "n0"), nil, 0o600); err != nil { // a file where its own directory would be
+	if err := os.WriteFile(filepath.Join(unusable, "n0"), nil, 0o600); err != nil { // a file at the path of the dispatcher's directory
 		t.Fatal(err)
 	}
 	dispatcher := startDispatcher(t, savedListBlock(unusable), worker)
 	if status, _, _ := dispatcher.sendKey("k"); status != 200 || !strings.Contains(dispatcher.log(), "endpoint cache disabled") {
-		t.Errorf("with an unusable directory: status %d, or not logged", status)
+		t.Errorf("with an unusable directory: status %d, want 200 and \"endpoint cache disabled\" in the log", status)
 	}
 	writableByOthers := t.TempDir()
 	if err := os.Chmod(writableByOthers, 0o777); err != nil {
@@ -238,6 +239,6 @@
 	failed.startProcess(dispatcher.config, savedListBlock(writableByOthers))
 	<-failed.exited
 	if text := failed.log(); failed.command.ProcessState.ExitCode() != 1 || !strings.Contains(text, "operator.hcl:2:15: Bad directory") {
-		t.Errorf("exit code %d, %s", failed.command.ProcessState.ExitCode(), text)
+		t.Errorf("exit code %d, want 1 and the place of the directory setting in the log: %s", failed.command.ProcessState.ExitCode(), text)
 	}
 }
--- a/cmd/brassdale/fleet_agreement_test.go
+++ b/cmd/brassdale/fleet_agreement_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestFleet_agreesOnConfigVersions checks that five dispatchers apply each version: a worker that it detaches gets no requests from
-// any. The leader is killed after a proposal and a follower is stopped during another, and no two dispatchers with leases apply
-// versions with none in common for longer than 50 ms.
+// TestFleet_agreesOnConfigVersions checks that five dispatchers apply each config version: a worker that a version detaches gets no
+// requests from any of them. The leader is killed after one proposal and a follower is stopped during another. Two dispatchers with
+// leases have no applied version in common for at most 50 ms.
 func TestFleet_agreesOnConfigVersions(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 3, 2)
@@ -21,14 +21,14 @@
 	before := fleet.workers[0].jobCount()
 	for i, dispatcher := range fleet.dispatchers {
 		if status, _, _ := dispatcher.sendKey(fmt.Sprint("out-", i)); status != 200 {
-			t.Errorf("dispatcher %d: status %d", i, status)
+			t.Errorf("dispatcher %d: status %d, want 200", i, status)
 		}
 	}
 	if after := fleet.workers[0].jobCount(); after != before {
-		t.Errorf("%d requests at a detached worker", after-before)
+		t.Errorf("%d requests at a detached worker, want 0", after-before)
 	}
 	if status, text := fleet.dispatchers[3].callAdmin("POST", "/_workers/attach", "a"); status != 409 {
-		t.Errorf("reattached by one dispatcher alone: %d %s", status, text)
+		t.Errorf("attach at one dispatcher of a worker that the fleet has detached: status %d %s, want 409", status, text)
 	}
 
 	leader := fleet.leader()
@@ -41,19 +41,19 @@
 	fleet.stopProcess(stopped)
 	fleet.recordAbsence(stopped)
 	fleet.propose("repeat = false\n", rest[0])
-	fleet.waitForVersion(3, without(rest, stopped)...) // the change waits until its lease has lapsed, and no longer
+	fleet.waitForVersion(3, without(rest, stopped)...) // as soon as the lease of the stopped dispatcher has lapsed
 	fleet.resume(stopped)
 	fleet.waitForVersion(3, stopped)
-	if longest := fleet.contradictionTime(); longest > 50*time.Millisecond { // log lines are written after the fact
-		t.Errorf("versions with none in common for %v, more than 50 ms", longest)
+	if longest := fleet.contradictionTime(); longest > 50*time.Millisecond { // log lines are written after the change
+		t.Errorf("two dispatchers with leases had no applied version in common for %v, more than 50 ms", longest)
 	}
 	if code, out, _ := runCommand(t, "fleet", "history", "--address", fleet.addresses[rest[0]]); code != 0 || strings.Count(out, "test") != 3 {
-		t.Errorf("history:\n%s", out)
+		t.Errorf("want a history of three versions, got:\n%s", out)
 	}
 }
 
-// TestFleet_majorityLost checks that dispatchers serve requests by the last version when two of three voters are lost and the leases
-// have lapsed, and that a change is rejected. With one voter back, and its directory, the fleet continues from that version.
+// TestFleet_majorityLost checks that, when two of three voters are lost and the leases have lapsed, dispatchers serve requests with the
+// last config version, and a change is rejected. Once one voter is restarted with its directory, the fleet continues from that version.
 func TestFleet_majorityLost(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 3, 1)
@@ -68,7 +68,7 @@
 			return state.Lapsed && slices.Equal(state.Versions, []uint64{1})
 		})
 		if status, _, _ := fleet.dispatchers[i].sendKey(fmt.Sprint("alone-", i)); status != 200 {
-			t.Errorf("dispatcher %d without a majority: status %d", i, status)
+			t.Errorf("dispatcher %d without a majority: status %d, want 200", i, status)
 		}
 	}
 	if code, _, _ := runCommand(t, "fleet", "rollback", "--why", "none", "--address", fleet.addresses[3]); code == 0 {
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		if code, _, errs := runCommand(t, "check", path); code == 0 || !strings.Contains(errs, name+".hcl:") || !strings.Contains(errs, "Bad "+name) {
-			t.Errorf("%s: exit code %d, %s", name, code, errs)
+			t.Errorf("%s: exit code %d, want not 0 and the place of the setting: %s", name, code, errs)
 		}
 	}
 	path := filepath.Join(dir, "rules.hcl")
@@ -102,6 +102,6 @@
 		t.Fatal(err)
 	}
 	if code, _, errs := runCommand(t, "fleet", "propose", path, "--why", "x", "--address", "127.0.0.1:1"); code == 0 || !strings.Contains(errs, "rules.hcl:") {
-		t.Errorf("invalid proposal: exit code %d, %s", code, errs)
+		t.Errorf("invalid proposal: exit code %d, want not 0 and the place in the file: %s", code, errs)
 	}
 }
--- a/cmd/brassdale/fleet_bench_test.go
+++ b/cmd/brassdale/fleet_bench_test.go
@@ -23,7 +23,7 @@
 			for i := range requests / clients {
 				sentAt := time.Now()
 				if status, _, _ := dispatcher.sendKey(fmt.Sprintf("%s-%d-%d", keyPrefix, client, i)); status != 200 {
-					t.Errorf("status %d", status)
+					t.Errorf("status %d, want 200", status)
 				}
 				mu.Lock()
 				latencies = append(latencies, time.Since(sentAt))
@@ -37,7 +37,8 @@
 }
 
 // TestDispatch_besideRaftGroup measures requests per second and the 99th percentile of their latency without a raft group, with one,
-// and with one that has lost its majority, in turns, as ratios to the first. It runs on request only:
+// and with one that has lost its majority. The three are measured in turns, and their ratios to the first are logged. It runs on request
+// only:
 // BRASSDALE_BENCH=1 go test -run TestDispatch_besideRaftGroup -v ./cmd/brassdale
 func TestDispatch_besideRaftGroup(t *testing.T) {
 	if os.Getenv("BRASSDALE_BENCH") == "" {
@@ -71,7 +72,7 @@
 		slices.Sort(tail)
 		slices.Sort(rates[i])
 		slices.Sort(p99s[i])
-		t.Logf("%-12s %.0f requests/s, p99 %.2f ms; of off, round by round: %.3f (%.3f to %.3f), p99 %.2f (%.2f to %.2f)", name, rates[i][rounds/2], p99s[i][rounds/2],
+		t.Logf("%-12s %.0f requests/s, p99 %.2f ms; ratio to off in each round: %.3f (%.3f to %.3f), p99 %.2f (%.2f to %.2f)", name, rates[i][rounds/2], p99s[i][rounds/2],
 			ratio[rounds/2], ratio[0], ratio[rounds-1], tail[rounds/2], tail[0], tail[rounds-1])
 	}
 }
--- a/cmd/brassdale/fleet_lifecycle_test.go
+++ b/cmd/brassdale/fleet_lifecycle_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestFleet_nameInUse checks that a second process under a name in use gets no lease until the first's has lapsed. A first process
-// that was only stopped has none when it continues, and gets it back once the second has left.
+// TestFleet_nameInUse checks that a second process with the same name gets no lease until the lease of the first has lapsed. If the first
+// was only stopped, it has no lease when it continues, and gets one again once the second has left.
 func TestFleet_nameInUse(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 3, 1)
@@ -19,18 +19,18 @@
 	fleet.stopProcess(3)
 	second := startDispatcherWith(t, fleet.operatorFile(4), withSetting(`"name":"n0"`, `"name":"n3"`), fleet.workers...)
 	fleet.dispatchers = append(fleet.dispatchers, second)
-	fleet.waitForVersion(1, 4) // the first's lease has lapsed
+	fleet.waitForVersion(1, 4) // the lease of the first process has lapsed
 	fleet.resume(3)
 	fleet.dispatchers[3].waitFor("no lease of the first process", func() bool { return fleet.lastState(3).Lapsed })
-	for range 5 { // it does not get one while the other has it
+	for range 5 { // it gets no lease while the second process has one
 		fleet.dispatchers[3].waitFor("a lapsed lease in the status", func() bool { return strings.Contains(fleet.runFleetCommand(3, "status"), "true") })
 	}
 	second.terminate()
-	fleet.waitForVersion(1, 3) // a process that leaves gives its lease back
+	fleet.waitForVersion(1, 3) // a process that leaves returns its lease
 }
 
-// TestFleet_handoverOfVoter checks that the leader's successor votes in its place, with the same directory, once the old process has
-// ended: the raft group has the same three voters, and agrees on the next version.
+// TestFleet_handoverOfVoter checks that the successor of the leader takes over its place as a voter, with the same directory, once the
+// leader's process has ended: the raft group has the same three voters, and agrees on the next version.
 func TestFleet_handoverOfVoter(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 3, 0)
@@ -46,15 +46,15 @@
 	fleet.propose("retries = 0.25\n", leader)
 	fleet.waitForVersion(2, fleet.indices()...)
 	if out := fleet.runFleetCommand(leader, "council"); strings.Count(out, "true") != 3 || !strings.Contains(out, fleet.addresses[leader]) {
-		t.Errorf("the raft group after the handover:\n%s", out)
+		t.Errorf("after the handover: want three voters, one of them the successor, got:\n%s", out)
 	}
 	if out := fleet.runFleetCommand(leader, "diff"); !strings.Contains(out, "retries 0.5 -> 0.25") {
-		t.Errorf("difference of the versions:\n%s", out)
+		t.Errorf("difference of the versions: want \"retries 0.5 -> 0.25\", got:\n%s", out)
 	}
 }
 
-// TestFleet_recoveryWithoutMajority checks that a new raft group is made from the directory of the one voter that is left of three,
-// unless another old voter still answers. The other dispatchers join it, also an old voter that returns later.
+// TestFleet_recoveryWithoutMajority checks that a new raft group is created from the directory of the only remaining voter of three,
+// unless another old voter still answers. The other dispatchers join it, including an old voter that returns later.
 func TestFleet_recoveryWithoutMajority(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 3, 1)
@@ -68,26 +68,26 @@
 	}
 	fleet.restart(1)
 	if code, out := recover(); code == 0 || !strings.Contains(out, "still answers") {
-		t.Errorf("recovered while an old voter answers: %s", out)
+		t.Errorf("recover while an old voter answers: want an error with \"still answers\", got: %s", out)
 	}
 	fleet.kill(1)
 	if code, out := recover(); code != 0 || !strings.Contains(out, "era 1") {
-		t.Fatalf("recover: %s", out)
+		t.Fatalf("recover: want exit code 0 and epoch 1, got: %s", out)
 	}
 	fleet.restart(2)
 	fleet.waitForVersion(1, 2, 3)
 	fleet.propose("retries = 0.25\n", 3)
 	fleet.waitForVersion(2, 2, 3)
-	fleet.restart(0) // with the old group's directory: alone it has no majority, and finds the new group
+	fleet.restart(0) // with its directory of the old group, in which it has no majority; it finds the new group
 	fleet.waitForVersion(2, 0, 2, 3)
 	fleet.dispatchers[0].waitFor("the new epoch at the old voter", func() bool {
 		return strings.Contains(fleet.runFleetCommand(0, "status"), "era            1")
 	})
 }
 
-// TestFleet_largeProposalAndReload checks that a proposal of 4 MB, which detaches 2,000 workers, reaches all dispatchers. SIGHUP
-// proposes the rules file that the dispatcher's settings name: nothing without such a file or with the rules in force, and an
-// invalid file is rejected with the place of the error.
+// TestFleet_largeProposalAndReload checks that a proposal of 4 MB, which detaches 2,000 workers, reaches all dispatchers. It also checks
+// that SIGHUP proposes the rules file of the dispatcher's settings. Without such a file, or if its rules are already in force, nothing is
+// proposed; an invalid file is rejected with the place of the error.
 func TestFleet_largeProposalAndReload(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 3, 2)
@@ -100,7 +100,7 @@
 	fleet.propose(large.String(), 4)
 	fleet.waitForVersion(1, fleet.indices()...)
 	if status, _, _ := fleet.dispatchers[3].sendKey("beside-4-MB"); status != 200 {
-		t.Errorf("with 2,000 detached workers: status %d", status)
+		t.Errorf("with 2,000 detached workers: status %d, want 200", status)
 	}
 
 	fleet.dispatchers[0].reload(fleet.dispatchers[0].config)
@@ -126,8 +126,8 @@
 	dispatcher.waitForLog("rules.hcl:1")
 }
 
-// TestFleet_quotaCapAndDetachedWorker checks that quotas and a worker that one command detaches are config versions of the whole
-// fleet: no dispatcher sends that worker a request, and the history names both.
+// TestFleet_quotaCapAndDetachedWorker checks that a change of quotas, and a command that detaches a worker, each create a config version
+// for the whole fleet: no dispatcher sends that worker a request, and the history shows both.
 func TestFleet_quotaCapAndDetachedWorker(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 1, 1)
@@ -144,7 +144,7 @@
 		}
 	}
 	if after := fleet.workers[0].jobCount(); after != before {
-		t.Errorf("%d requests at a detached worker", after-before)
+		t.Errorf("%d requests at a detached worker, want 0", after-before)
 	}
 	if out := fleet.runFleetCommand(0, "history"); !strings.Contains(out, "deeside-aero:0.1") || !strings.Contains(out, "rebuilt") {
 		t.Error(out)
--- a/cmd/brassdale/fleet_members_test.go
+++ b/cmd/brassdale/fleet_members_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestFleet_memberStates checks what each of eight dispatchers in two zones reports of the others: of all by their leases, and of its
-// own zone by gossip too. A dispatcher that shuts down is reported as left, a killed one as gone with a lapsed lease, and a stopped
-// one as alive again when it continues.
+// TestFleet_memberStates checks what each of eight dispatchers in two zones reports about the others: the lease of each, and the gossip
+// state of those in its own zone. A dispatcher that shuts down is reported as left, a killed one as gone with a lapsed lease, and a
+// stopped one as alive again when it continues.
 func TestFleet_memberStates(t *testing.T) {
 	t.Parallel()
 	zone := func(i int) string { return string("ab"[i%2]) }
@@ -44,7 +44,7 @@
 	fleet.kill(6)
 	waitForReports("killed", 6, "ran out", "gone")
 	fleet.stopProcess(5)
-	fleet.waitForGossip("the stopped process gone", func() bool {
+	fleet.waitForGossip("the stopped process reported as gone with a lapsed lease", func() bool {
 		gossip, lease, _ := fleet.memberStatus(3, 5)
 		return gossip == "gone" && strings.HasPrefix(lease, "ran out")
 	})
@@ -52,13 +52,13 @@
 	fleet.resume(5)
 	waitForReports("continued", 5, "acknowledged", "alive")
 	if duration := fleet.contradictionTime(); duration > 0 {
-		t.Errorf("versions with none in common for %v", duration)
+		t.Errorf("two dispatchers with leases had no applied version in common for %v, want 0", duration)
 	}
 }
 
-// TestFleet_dedicatedDispatchers checks dispatchers that are dedicated to control: they are not ready for clients, but are for
-// operators, serve a request that comes nevertheless, and become all three voters. A version that is proposed then reaches all, and
-// the metrics count the bytes that each kind of message of the fleet has received.
+// TestFleet_dedicatedDispatchers checks dispatchers that are dedicated to control: they are not ready for clients but ready at the admin
+// API, they serve a request if one arrives, and they become the three voters. A version proposed after that reaches all dispatchers, and
+// the metrics count the received bytes of each kind of fleet message.
 func TestFleet_dedicatedDispatchers(t *testing.T) {
 	t.Parallel()
 	fleet := startFleetWith(t, 3, 3, func(i int) string {
@@ -75,13 +75,13 @@
 		return resp.StatusCode
 	}
 	if other, dedicated := ready(1), ready(5); other != 200 || dedicated != 503 {
-		t.Errorf("readiness: %d, and %d of a dedicated dispatcher", other, dedicated)
+		t.Errorf("readiness: %d, and %d of a dedicated dispatcher, want 200 and 503", other, dedicated)
 	}
 	if status, _ := fleet.dispatchers[5].callAdmin("GET", "/_ready", ""); status != 200 {
-		t.Errorf("readiness at the admin API: %d", status)
+		t.Errorf("readiness at the admin API: %d, want 200", status)
 	}
 	if status, _, _ := fleet.dispatchers[5].sendKey("aside"); status != 200 {
-		t.Errorf("a request at a dedicated dispatcher: %d", status)
+		t.Errorf("a request at a dedicated dispatcher: %d, want 200", status)
 	}
 	fleet.waitForGossip("three dedicated voters", func() bool {
 		for i := range fleet.dispatchers {
@@ -95,7 +95,7 @@
 	fleet.propose("retries = 0.25\n", 1)
 	fleet.waitForVersion(2, fleet.indices()...)
 	if duration := fleet.contradictionTime(); duration > 0 {
-		t.Errorf("versions with none in common for %v", duration)
+		t.Errorf("two dispatchers with leases had no applied version in common for %v, want 0", duration)
 	}
 	_, metrics := fleet.dispatchers[5].callAdmin("GET", "/_vars", "")
 	var missing []string
--- a/cmd/brassdale/frontends_bench_test.go
+++ b/cmd/brassdale/frontends_bench_test.go
@@ -22,15 +22,15 @@
 	h2 "golang.org/x/net/http2"
 )
 
-// The load of these benchmarks is closed: so many requests are open at a time, and each is followed by the next. Their ratios are
-// meaningful, as both sides run in turns beside each other; the absolute figures are the machine's.
+// The load of these benchmarks is a closed loop: benchOpenRequests are open at a time, and each answer is followed by the next request.
+// Only the ratios are meaningful, as the loads run in turns on the same machine; absolute figures depend on the machine.
 const (
 	benchOpenRequests  = 100
 	benchRoundDuration = 1200 * time.Millisecond
 	benchRounds        = 7
 )
 
-// loadRound is the result of a load over benchRoundDuration.
+// loadRound is the result of a load that ran for benchRoundDuration.
 type loadRound struct {
 	latencies []time.Duration // of each request
 	duration  time.Duration
@@ -39,7 +39,7 @@
 // rate returns requests per second.
 func (r *loadRound) rate() float64 { return float64(len(r.latencies)) / r.duration.Seconds() }
 
-// percentile returns the latency below which this part of the requests was answered; 0 without requests.
+// percentile returns the latency within which this fraction of the requests was answered; 0 without requests.
 func (r *loadRound) percentile(fraction float64) time.Duration {
 	if len(r.latencies) == 0 {
 		return 0
@@ -51,10 +51,10 @@
 // benchKeys numbers the keys of all requests.
 var benchKeys atomic.Int64
 
-// nextBenchKey returns a key that no request has had.
+// nextBenchKey returns an unused key.
 func nextBenchKey() string { return strconv.FormatInt(benchKeys.Add(1), 16) }
 
-// runConcurrently runs a load of one connection so many times at once, and returns the results together.
+// runConcurrently runs a load of one connection on this number of connections at once, and returns the combined results.
 func runConcurrently(b *testing.B, connections int, load func() ([]time.Duration, error)) *loadRound {
 	b.Helper()
 	var mu sync.Mutex
@@ -77,7 +77,7 @@
 	return all
 }
 
-// loadHTTP1 has benchOpenRequests open over HTTP/1.1, one on each connection.
+// loadHTTP1 keeps benchOpenRequests open over HTTP/1.1, one per connection.
 func loadHTTP1(b *testing.B, address string, until time.Time) *loadRound {
 	b.Helper()
 	return runConcurrently(b, benchOpenRequests, func() ([]time.Duration, error) { return loadHTTP1Connection(address, until) })
@@ -96,7 +96,7 @@
 		sentAt := time.Now()
 		fmt.Fprintf(conn, "POST /price-part HTTP/1.1\r\nHost: api.internal\r\nReq-Id: id-%s\r\nReq-Kind: price-part\r\nReq-Owner: taff-marine\r\nIdempotency-Key: %s\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 7\r\n\r\ndrawing", key, key)
 		if !readServedHTTP1(reader) {
-			return latencies, errors.New("no status 200")
+			return latencies, errors.New("no complete answer with status 200")
 		}
 		latencies = append(latencies, time.Since(sentAt))
 	}
@@ -126,7 +126,7 @@
 	return err == nil
 }
 
-// loadHTTP2 has benchOpenRequests open over HTTP/2, as streams of so many connections.
+// loadHTTP2 keeps benchOpenRequests open over HTTP/2, as streams of this number of connections.
 func loadHTTP2(b *testing.B, address string, connections int, until time.Time) *loadRound {
 	b.Helper()
 	return runConcurrently(b, connections, func() ([]time.Duration, error) {
@@ -139,19 +139,19 @@
 	hpackMethodPOST  = 0x83 // indexed fields of HPACK's static table
 	hpackSchemeHTTP  = 0x86
 	hpackStatus200   = 0x88
-	windowUpdateSize = 16 << 10 // received bytes after which the connection's window is opened again
+	windowUpdateSize = 16 << 10 // received bytes after which the connection's flow control window is extended
 )
 
-// http2Load is a load over one HTTP/2 connection. Its header fields are literals, so that they cost the client nothing.
+// http2Load is a load over one HTTP/2 connection. Header fields are sent as literals, which cost the client little processor time.
 type http2Load struct {
 	out        []byte               // frames to write
 	nextStream uint32               // the next stream's ID
 	sentAt     map[uint32]time.Time // of the open streams
-	unread     int                  // received bytes of data for which the window is not opened yet
+	unread     int                  // received bytes of data for which the flow control window is not extended yet
 	latencies  []time.Duration
 }
 
-// loadHTTP2Connection has so many streams open on a connection until a moment, and returns when all are answered.
+// loadHTTP2Connection keeps this number of streams open on a connection until the given time, and returns when all are answered.
 func loadHTTP2Connection(address string, streams int, until time.Time) ([]time.Duration, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -204,7 +204,7 @@
 	l.nextStream += 2
 }
 
-// readFrame reads a frame and appends what it calls for.
+// readFrame reads a frame and appends the frames that answer it.
 func (l *http2Load) readFrame(reader *bufio.Reader) error {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -215,7 +215,7 @@
 	switch frame {
 	case h2.FrameHeaders: // its first byte is the status
 		if first, err := reader.ReadByte(); err != nil || first != hpackStatus200 {
-			return fmt.Errorf("stream %d: no status 200 (%x, %v)", stream, first, err)
+			return fmt.Errorf("stream %d: want the header byte of status 200, got %x, error %v", stream, first, err)
 		}
 		size--
 	case h2.FrameData:
@@ -263,12 +263,12 @@
 	return values[len(values)/2]
 }
 
-// BenchmarkFrontends compares the frontends of one program, and with BRASSDALE_BASE the HTTP/1.1 frontend of another binary (then
-// BRASSDALE_BINARY should name this one), by requests whose jobs are answered at once, on one core of the dispatcher's.
+// BenchmarkFrontends compares the frontends of one program by requests whose jobs are answered at once. The dispatcher has one core. With
+// BRASSDALE_BASE it also measures the HTTP/1.1 frontend of that binary; BRASSDALE_BINARY should then name the binary to compare with it.
 func BenchmarkFrontends(b *testing.B) {
-	debug.SetGCPercent(400) // of the load, not of the program
+	debug.SetGCPercent(400) // of the load generator, not of the program under test
 	workers := startWorkers(b, 12, completeAtOnce)
-	binary := os.Getenv("BRASSDALE_BINARY") // as it is built for service; empty for the tests' own
+	binary := os.Getenv("BRASSDALE_BINARY") // a production build; empty for the test binary
 	with, without := startBenchDispatcher(b, binary, http2Frontend+"keys {\n  jobs = 200000\n}\n", workers), startBenchDispatcher(b, binary, "", workers)
 	names := []string{"HTTP/1.1, no operator's file", "HTTP/1.1", "HTTP/2, 1 connection", "HTTP/2, 4 connections"}
 	loads := []func(time.Time) *loadRound{
@@ -289,7 +289,7 @@
 			turn = append(turn, load(time.Now().Add(benchRoundDuration)))
 			time.Sleep(100 * time.Millisecond)
 		}
-		if i > 0 { // the first warms up
+		if i > 0 { // the first turn is a warmup
 			rounds = append(rounds, turn)
 		}
 	}
@@ -332,11 +332,11 @@
 	return int(processMemory(p.command.Process.Pid, "VmRSS") >> 20)
 }
 
-// startBenchDispatcher starts a dispatcher from a binary; empty for the tests' own.
+// startBenchDispatcher starts a dispatcher from a binary; empty for the test binary.
 func startBenchDispatcher(b *testing.B, binary, operator string, workers []*testWorker) *benchProgram {
 	dispatcher := newTestDispatcher(b, newTestDiscovery(workers...))
 	dispatcher.binary = binary
-	// Without probes nothing waits for capacity: the frontends are measured, not the placement of requests.
+	// Without probes no request waits for capacity, so the benchmark measures the frontends and not the placement of requests.
 	dispatcher.start(operator, withSetting(`"probing":true`, `"probing":false`))
 	return &benchProgram{
 		command:      dispatcher.command,
--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// changingList is a discovery service that answers with changes. At each change one worker drains, and the one before is active again.
+// changingList is a discovery service that answers with changes only. At each change one worker starts to drain, and the worker that
+// drained before is active again.
 type changingList struct {
 	mu        sync.Mutex
 	workers   []*testWorker
@@ -24,13 +25,13 @@
 	updated   chan struct{} // closed and replaced at each change
 }
 
-// memberJSON returns a worker's line of the list. The caller holds l.mu.
+// memberJSON returns the line of a worker in the list. The caller holds l.mu.
 func (l *changingList) memberJSON(index int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"llanelli","flavor":"new-worker","cell":1,"phase":%q,"size":1.0,"up_since_ms":0}`,
 		l.workers[index].id, l.workers[index].listener.Addr(), l.phases[index])
 }
 
-// listJSON returns what has changed after a revision; the complete list after -1. The caller holds l.mu.
+// listJSON returns the lines that have changed after a revision; the complete list if after is -1. The caller holds l.mu.
 func (l *changingList) listJSON(after int) string {
 	var lines []string
 	for i := range l.workers {
@@ -41,7 +42,7 @@
 	return listAnswer(l.revision, after < 0, strings.Join(lines, ","))
 }
 
-// ServeHTTP answers a call when the list is newer than the caller's, or when the call's wait is over.
+// ServeHTTP answers a call when the list is newer than the caller's, or when the call's wait time is over.
 func (l *changingList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call := readPoll(r)
 	after := call.index
@@ -66,7 +67,7 @@
 	fmt.Fprint(w, text)
 }
 
-// drainNext has the next worker drain and the one before become active.
+// drainNext lists the next worker as draining and the one before as active.
 func (l *changingList) drainNext() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +80,7 @@
 	l.updated = make(chan struct{})
 }
 
-// BenchmarkGrowth measures what one dispatcher needs at 200, 800 and 3,200 workers with the same traffic: processor time and peak memory
+// BenchmarkGrowth measures the costs of one dispatcher at 200, 800 and 3,200 workers with the same traffic: processor time and peak memory
 // of its process, descriptors, connections to workers, and bytes of lists.
 func BenchmarkGrowth(b *testing.B) {
 	for _, size := range []struct{ workers, dispatchers int }{{200, 300}, {800, 900}, {3200, 900}} {
@@ -96,7 +97,7 @@
 	growthRequestsPerSecond = 20
 )
 
-// startInLargeDeployment starts a dispatcher, one of so many, with its discovery.
+// startInLargeDeployment starts discovery and one dispatcher of a deployment with these numbers of workers and dispatchers.
 func startInLargeDeployment(b *testing.B, workers, dispatchers int) (*testDispatcher, *changingList) {
 	b.Helper()
 	list := &changingList{updated: make(chan struct{}), changedAt: make([]int, workers), phases: make([]string, workers)}
@@ -114,7 +115,7 @@
 	return dispatcher, list
 }
 
-// measureGrowth sends requests and changes the list once a second, and reports what the process needed.
+// measureGrowth sends requests and changes the list once a second, and reports the costs of the process.
 func measureGrowth(b *testing.B, workers, dispatchers int) {
 	b.Helper()
 	dispatcher, list := startInLargeDeployment(b, workers, dispatchers)
--- a/cmd/brassdale/handover_test.go
+++ b/cmd/brassdale/handover_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// sendOnNewConnections sends requests, each on a new connection, and checks that they are served, until stop is closed. It then sends how
-// many there were.
+// sendOnNewConnections sends requests, each on a new connection, and checks that they are served, until stop is closed. It then sends their
+// number to sent.
 func (d *testDispatcher) sendOnNewConnections() (stop chan<- struct{}, sent <-chan int) {
 	stopped, done := make(chan struct{}), make(chan int)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -29,15 +29,15 @@
 			if resp, err := client.Do(newRequest(d.http1URL, fmt.Sprint("new-", requests))); err != nil {
 				d.t.Errorf("request %d on a new connection: %v", requests, err)
 			} else if resp.Body.Close(); resp.StatusCode != 200 {
-				d.t.Errorf("request %d on a new connection: status %d", requests, resp.StatusCode)
+				d.t.Errorf("request %d on a new connection: status %d, want 200", requests, resp.StatusCode)
 			}
 		}
 	}()
 	return stopped, done
 }
 
-// TestHandover_noRequestLost checks that clients are served throughout a handover: new connections are the successor's, open requests end
-// at the predecessor, and its idle connections are closed after an answer.
+// TestHandover_noRequestLost checks that clients are served throughout a handover: the successor accepts new connections, the predecessor
+// completes open requests, and closes its idle connections after the next answer.
 func TestHandover_noRequestLost(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -54,51 +54,51 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.Copy(io.Discard, resp.Body) // else its connection is not used again
+		io.Copy(io.Discard, resp.Body) // otherwise the connection is not reused
 		resp.Body.Close()
 		return resp
 	}
 	if resp := send("first"); resp.StatusCode != 200 || resp.Close {
-		t.Errorf("before the handover: status %d, connection closed: %v", resp.StatusCode, resp.Close)
+		t.Errorf("before the handover: status %d, connection closed: %v, want 200 and false", resp.StatusCode, resp.Close)
 	}
 	waiting := dispatcher.sendInBackground(worker, "waits")
 
 	stop, sent := dispatcher.sendOnNewConnections()
 	successor := dispatcher.startSuccessor("")
 	if successor.http1URL != dispatcher.http1URL {
-		t.Fatalf("the successor serves at %s, not at %s", successor.http1URL, dispatcher.http1URL)
+		t.Fatalf("the successor serves at %s, want %s", successor.http1URL, dispatcher.http1URL)
 	}
 	if status, _ := successor.callAdmin("GET", "/_ready", ""); status != 200 {
-		t.Errorf("readiness of the successor: %d", status)
+		t.Errorf("readiness of the successor: %d, want 200", status)
 	}
 	dispatcher.waitForHandovers(1)
 	if resp := send("idle"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("on an idle connection to the predecessor: status %d, connection closed: %v", resp.StatusCode, resp.Close)
+		t.Errorf("on an idle connection to the predecessor: status %d, connection closed: %v, want 200 and true", resp.StatusCode, resp.Close)
 	}
 	dispatcher.terminate()
 	close(release)
 	if status := <-waiting; status != 200 {
-		t.Errorf("the open request: status %d", status)
+		t.Errorf("the open request: status %d, want 200", status)
 	}
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 	successor.waitForPredecessorEnd()
 	before := successor.metric("replies.price-part.success")
 	if resp := send("last"); resp.StatusCode != 200 || successor.metric("replies.price-part.success") <= before {
-		t.Errorf("after the handover: status %d, or not served by the successor", resp.StatusCode)
+		t.Errorf("after the handover: status %d, want 200 and a higher success count of the successor", resp.StatusCode)
 	}
 	close(stop)
 	if requests := <-sent; requests < 10 {
-		t.Errorf("%d requests on new connections meanwhile, want 10 at least", requests)
+		t.Errorf("%d requests on new connections during the handover, want 10 at least", requests)
 	}
 }
 
-// TestHandover_requestIDsOpenOnce checks that a request ID is open once at both processes together.
+// TestHandover_requestIDsOpenOnce checks that a request ID can be open at only one of the two processes of a handover.
 func TestHandover_requestIDsOpenOnce(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	worker := startWorker(t, "a", completeWhenReleased(release))
 	dispatcher := startDispatcher(t, "", worker)
-	old := dispatcher.dial() // accepted there before the successor serves
+	old := dispatcher.dial() // accepted by the predecessor before the successor serves
 	if err := newRequest(dispatcher.http1URL, "old").Write(old); err != nil {
 		t.Fatal(err)
 	}
@@ -106,18 +106,18 @@
 	successor := dispatcher.startSuccessor("")
 	dispatcher.waitForHandovers(1)
 	if status, _, _ := successor.sendKey("old"); status != 409 {
-		t.Errorf("an ID that is open at the predecessor: status %d", status)
+		t.Errorf("an ID that is open at the predecessor: status %d, want 409", status)
 	}
 	next := successor.sendInBackground(worker, "next")
 	if status, _, _ := successor.sendKey("other", "Req-Id", "id-next"); status != 409 {
-		t.Errorf("an ID that is open at the successor: status %d", status)
+		t.Errorf("an ID that is open at the successor: status %d, want 409", status)
 	}
 	close(release)
 	if status := <-next; status != 200 {
-		t.Errorf("the open request: status %d", status)
+		t.Errorf("the open request: status %d, want 200", status)
 	}
 	if status, _, _ := successor.sendKey("again", "Req-Id", "id-next"); status != 200 {
-		t.Errorf("the ID of an answered request: status %d", status)
+		t.Errorf("the ID of an answered request: status %d, want 200", status)
 	}
 }
 
@@ -127,12 +127,12 @@
 	r := newRequest(d.http1URL, key)
 	r.Close = true
 	if status, _, _ := d.send(r); status != 200 {
-		d.t.Errorf("%s: status %d", key, status)
+		d.t.Errorf("%s: status %d, want 200", key, status)
 	}
 }
 
-// TestHandover_peerFailures checks that a process whose successor is killed serves and can hand over again, and that a process which
-// finds the socket of a killed predecessor, or one that does not answer, starts alone.
+// TestHandover_peerFailures checks that a process whose successor is killed serves and can hand over again. A process that finds the
+// socket of a killed predecessor, or of a predecessor that does not answer, starts without a handover.
 func TestHandover_peerFailures(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
@@ -142,7 +142,7 @@
 	dispatcher.waitForLog("continuing alone")
 	dispatcher.checkServesNewClient("successor killed")
 	if dispatcher.metric("replies.price-part.success") != 1 {
-		t.Error("the request was not served by the remaining process")
+		t.Error("the remaining process has not counted exactly one served request")
 	}
 	dispatcher.waitFor("one handover socket", func() bool {
 		files, _ := filepath.Glob(filepath.Join(dispatcher.tempDir, "*.sock"))
@@ -175,27 +175,27 @@
 	withHungPeer := dispatcher.startSuccessor("")
 	withHungPeer.checkServesNewClient("predecessor does not answer")
 	if !strings.Contains(withHungPeer.log(), "starting alone") {
-		t.Error("the log does not say that the process starts alone")
+		t.Error("no \"starting alone\" in the log of a process whose predecessor does not answer")
 	}
 }
 
-// TestHandover_withoutUnixSockets checks that a process serves where it cannot make its Unix socket, and logs that once.
+// TestHandover_withoutUnixSockets checks that a process serves if it cannot create its Unix socket, and logs that once.
 func TestHandover_withoutUnixSockets(t *testing.T) {
 	t.Parallel()
 	dispatcher := newTestDispatcher(t, newTestDiscovery(startWorker(t, "a", completeJob)))
-	dispatcher.tempDir = filepath.Join(t.TempDir(), strings.Repeat("far-", 30)) // beyond the 107 bytes of a Unix socket's path
+	dispatcher.tempDir = filepath.Join(t.TempDir(), strings.Repeat("far-", 30)) // longer than the 107 bytes that a Unix socket's path may have
 	if err := os.Mkdir(dispatcher.tempDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	dispatcher.start("", func(config string) string { return config })
 	dispatcher.checkServed("k-", 3)
 	if times := strings.Count(dispatcher.log(), "handover socket not available"); times != 1 {
-		t.Errorf("logged %d times, want once", times)
+		t.Errorf("\"handover socket not available\" was logged %d times, want once", times)
 	}
 }
 
-// TestHandover_frontendRemoved checks that the listener of a frontend that the successor does not have is closed with the predecessor:
-// clients would wait there for nothing.
+// TestHandover_frontendRemoved checks that the listener of a frontend that the successor does not have is closed when the predecessor ends.
+// Clients could otherwise connect to it without ever getting an answer.
 func TestHandover_frontendRemoved(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, progressFrontend("lines"), startWorker(t, "a", completeJob))
@@ -208,16 +208,16 @@
 		t.Error("the removed frontend accepts connections")
 	}
 	if status, _, _ := successor.sendKey("k"); status != 200 {
-		t.Errorf("the other frontend: status %d", status)
+		t.Errorf("the other frontend: status %d, want 200", status)
 	}
 }
 
-// TestHandover_crowdAtPredecessor guards against a successor that closes new connections unread, as idle clients of its predecessor have all that
-// both processes may have together.
+// TestHandover_crowdAtPredecessor guards against a successor that closes new connections unread because idle clients of its predecessor use
+// all connections that both processes may have together.
 func TestHandover_crowdAtPredecessor(t *testing.T) {
 	t.Parallel()
 	const (
-		idleClients = 120 // of the 50 connections that 128 descriptors allow
+		idleClients = 120 // more than the 50 connections that 128 descriptors allow
 		requests    = 40
 	)
 	dispatcher := startDispatcherWith(t, "", withSetting(`"sockets":1024`, `"sockets":128`), startWorker(t, "a", completeJob))
@@ -225,7 +225,7 @@
 		dispatcher.dial()
 	}
 	dispatcher.waitForLog("client connections evicted")
-	time.Sleep(100 * time.Millisecond) // until they no longer count as clients that have just connected
+	time.Sleep(100 * time.Millisecond) // until the idle clients no longer count as just connected
 	successor := dispatcher.startSuccessor("")
 	dispatcher.waitForHandovers(1)
 	dispatcher.terminate()
@@ -239,6 +239,6 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if served != requests {
-		t.Errorf("%d of %d requests on new connections were served", served, requests)
+		t.Errorf("%d of %d requests on new connections were served, want all", served, requests)
 	}
 }
--- a/cmd/brassdale/http1_misuse_test.go
+++ b/cmd/brassdale/http1_misuse_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestHTTP1_conflictingLengths checks that a request with two lengths is answered 400, whether its bytes come at once or one by one, and
-// that a request hidden in its body never runs. Requests before it on the connection are answered. net/http alone would silently read
-// it by one of its lengths.
+// TestHTTP1_conflictingLengths guards against request smuggling: net/http alone would silently use one of two conflicting lengths of a
+// request. Such a request is answered 400, whether its bytes arrive at once or one by one, and a request hidden in its body never runs.
+// Earlier requests on the connection are answered.
 func TestHTTP1_conflictingLengths(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
@@ -42,7 +42,7 @@
 		{strings.Replace(requestHead("ID", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n"), "1.1", "1.0", 1) + hidden, "400"},
 		{requestHead("ID", "Content-Length:\r\n 5\r\n") + hidden, "400"},
 		{requestHead("ID", "Content-Length: 5x\r\n") + hidden, "400"},
-		// A length that is read in part only seems to be 0, and the body then hides the next head.
+		// If only the first digits of the length are read, it seems to be 0, and the body is taken for the next head.
 		{requestHead("ID", "Content-Length: "+strings.Repeat("0", 40)+"24\r\n") + "A\nContent-Length: 9999\n\n" +
 			requestHead("ID-2", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "400"},
 		{requestHead("ID", "Content-Length: 5\r\nContent-Length: 6\r\n") + "0\r\n\r\n" + hidden, "400"},
@@ -54,23 +54,23 @@
 		for _, byteByByte := range []bool{false, true} {
 			conn := dispatcher.dial()
 			text := strings.ReplaceAll(test.text, "ID", fmt.Sprintf("id-%d-%v", i, byteByByte))
-			sendText(conn, text, byteByByte) // the connection may be closed after an answer
+			sendText(conn, text, byteByByte) // the connection may be closed after an answer, before all is sent
 			var statuses []string
 			for reader := bufio.NewReader(conn); len(statuses) < strings.Count(test.want, " ")+1; {
 				resp, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					t.Fatalf("case %d, byte by byte %v: %v after %v", i, byteByByte, err, statuses)
+					t.Fatalf("case %d, byte by byte %v: error %v after statuses %v", i, byteByByte, err, statuses)
 				}
 				io.Copy(io.Discard, resp.Body)
 				statuses = append(statuses, fmt.Sprint(resp.StatusCode))
 			}
 			if strings.Join(statuses, " ") != test.want {
-				t.Errorf("case %d, byte by byte %v: answered %v, want %s", i, byteByByte, statuses, test.want)
+				t.Errorf("case %d, byte by byte %v: statuses %v, want %s", i, byteByByte, statuses, test.want)
 			}
 		}
 	}
 	if runs := worker.runsOf("hidden"); runs != 0 {
-		t.Errorf("%d hidden requests ran", runs)
+		t.Errorf("%d hidden requests ran, want 0", runs)
 	}
 }
 
@@ -100,7 +100,7 @@
 		})
 		if i%40 == 0 {
 			if status, _, _ := dispatcher.sendKey(fmt.Sprint(i)); status != 200 {
-				t.Errorf("with %d silent clients: status %d", i, status)
+				t.Errorf("with %d silent clients: status %d, want 200", i, status)
 			}
 		}
 	}
@@ -110,12 +110,12 @@
 	}
 }
 
-// TestHTTP1_bodyMemoryLimit checks that a request beyond the memory limit for bodies is rejected with advice to retry, where each body is
-// small but many connections have one, and that requests are served again once those are gone.
+// TestHTTP1_bodyMemoryLimit checks that a request is rejected with advice to retry while the small bodies of many connections together
+// exceed the memory limit for bodies, and that requests are served again once these connections are closed.
 func TestHTTP1_bodyMemoryLimit(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
-	for i := range 400 { // 25 MB of 192, all but the last byte of each
+	for i := range 400 { // 25 MB of the process's 192 MB; each body lacks its last byte
 		conn := dispatcher.dial()
 		io.WriteString(conn, requestHead(fmt.Sprint("big-", i), "Content-Length: 65536\r\n")+strings.Repeat("x", 65535))
 	}
@@ -124,7 +124,7 @@
 	setBody(large, 1<<16, 1<<16)
 	status, _, after := dispatcher.send(large)
 	if status != 503 || after == "" {
-		t.Errorf("beyond the limit: status %d, Retry-After %q", status, after)
+		t.Errorf("beyond the limit: status %d, Retry-After %q, want 503 with Retry-After", status, after)
 	}
 	sent := 0
 	dispatcher.waitFor("a served request", func() bool {
@@ -137,7 +137,7 @@
 }
 
 // TestHTTP1_slowClientAmongMany checks that with 128 sockets a client that takes 1.9 s to write its request is served, and so are new
-// clients, among many that connect and send nothing, that send one request and stay, or that stop within a request.
+// clients. Meanwhile many other clients connect and send nothing, send one request and stay connected, or stop within a request.
 func TestHTTP1_slowClientAmongMany(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcherWith(t, "", withSetting(`"sockets":1024`, `"sockets":128`),
@@ -148,7 +148,7 @@
 	for i := 0; time.Since(beganAt) < 1900*time.Millisecond; i++ {
 		if part := int(time.Since(beganAt)*12/(2*time.Second)) * len(text) / 12; part > sent {
 			if _, err := io.WriteString(slow, text[sent:part]); err != nil {
-				t.Fatalf("closed after %v: %v", time.Since(beganAt), err)
+				t.Fatalf("the slow client's connection was closed after %v: %v", time.Since(beganAt), err)
 			}
 			sent = part
 		}
@@ -157,7 +157,7 @@
 		case 1:
 			io.WriteString(conn, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
 		case 2:
-			if unfinished < 15 { // their connections stay until their time limit
+			if unfinished < 15 { // connections with an unfinished request are kept until their time limit
 				unfinished++
 				io.WriteString(conn, requestHead(fmt.Sprint("half-", i), "Content-Length: 100\r\n")+"half")
 			}
@@ -166,7 +166,7 @@
 			r := newRequest(dispatcher.http1URL, fmt.Sprint(i))
 			r.Close = true
 			if status, _, _ := dispatcher.send(r); status != 200 {
-				t.Errorf("a new client: status %d", status)
+				t.Errorf("a new client: status %d, want 200", status)
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 	io.WriteString(slow, text)
 	resp, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Errorf("the slow client: %v, %v", resp, err)
+		t.Errorf("the slow client: answer %v, error %v, want status 200", resp, err)
 	}
 	if !strings.Contains(dispatcher.log(), "client connections evicted") {
 		t.Error("no connection was evicted: the test has too few clients")
--- a/cmd/brassdale/http2_misuse_test.go
+++ b/cmd/brassdale/http2_misuse_test.go
@@ -11,13 +11,13 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// http2Misuse is what a misbehaving client sends, and how that must end.
+// http2Misuse is an action of a misbehaving client, and the required reaction.
 type http2Misuse struct {
 	send func(client *frameClient)
 	want string // the start of a received frame, or the error code of a GOAWAY
 }
 
-// tooMuch is the error code for a client that causes too much work.
+// enhanceYourCalm is the HTTP/2 error code for a client that causes excessive work.
 const enhanceYourCalm = "ENHANCE_YOUR_CALM"
 
 // writeOnlyHeaders opens a stream with a request that has no body.
@@ -99,8 +99,8 @@
 	"many streams": {func(client *frameClient) { openStreams(client, 150) }, "RST_STREAM"},
 }
 
-// TestHTTP2_misbehavingClients checks that each misuse ends in a status, a stream error or a connection error within 3 s, and that
-// clients on other connections are served meanwhile.
+// TestHTTP2_misbehavingClients checks that each misuse is answered by a status, a stream error or a connection error within 3 s, and that
+// clients on other connections are served at the same time.
 func TestHTTP2_misbehavingClients(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, http2Frontend, startWorker(t, "a", completeJob))
@@ -114,7 +114,7 @@
 	}
 }
 
-// checkMisuse has a client misbehave, and checks how that ends while another client sends requests.
+// checkMisuse runs a misuse, and checks the reaction while another client sends requests.
 func checkMisuse(t *testing.T, dispatcher *testDispatcher, name string, misuse http2Misuse) {
 	t.Helper()
 	client, other := dispatcher.connectHTTP2(), newHTTP2Client(t)
@@ -130,7 +130,7 @@
 	errorCode := ""
 	waitWithin(t, 10*time.Second, 2*time.Millisecond, misuse.want, func() bool {
 		if status, body, _ := trySend(other, newRequest(dispatcher.http2URL, fmt.Sprint(name, time.Now().UnixNano()))); status != 200 {
-			t.Errorf("another client: status %d %s", status, body)
+			t.Errorf("another client: status %d %s, want 200", status, body)
 		}
 		select {
 		case code := <-client.goAway:
@@ -140,13 +140,13 @@
 		return errorCode != "" || client.received(misuse.want)
 	})
 	if took := time.Since(beganAt); took > 3*time.Second {
-		t.Errorf("ended after %v, more than 3 s", took)
+		t.Errorf("the reaction came after %v, more than 3 s", took)
 	}
 	if errorCode == "" {
 		return
 	}
 	if errorCode != misuse.want {
-		t.Errorf("ended with %s, want %s", errorCode, misuse.want)
+		t.Errorf("the connection ended with %s, want %s", errorCode, misuse.want)
 	}
 	waitWithin(t, 10*time.Second, 2*time.Millisecond, "a closed connection", func() bool {
 		select {
@@ -167,7 +167,7 @@
 	}
 }
 
-// openStreams opens streams whose requests are not complete.
+// openStreams opens streams with incomplete requests.
 func openStreams(client *frameClient, count uint32) {
 	for i := range count {
 		client.WriteHeaders(h2.HeadersFrameParam{StreamID: 2*i + 1, BlockFragment: client.headerFields(fmt.Sprint("m-", i)), EndHeaders: true})
@@ -187,10 +187,10 @@
 	answeredAt := time.Now()
 	dispatcher.waitFor("a reset of both streams", func() bool { return client.received("RST_STREAM 1") && client.received("RST_STREAM 3") })
 	if took := time.Since(answeredAt); took > 3*time.Second {
-		t.Errorf("reset after %v, more than 3 s", took)
+		t.Errorf("the streams were reset after %v, more than 3 s", took)
 	}
 	if status, body, _ := trySend(newHTTP2Client(t), newRequest(dispatcher.http2URL, "good")); status != 200 || body != result {
-		t.Errorf("another client: status %d", status)
+		t.Errorf("another client: status %d, want 200 and the complete result", status)
 	}
 	dispatcher.waitForMetric("front.http2.streams", 0)
 }
--- a/cmd/brassdale/http2_shutdown_test.go
+++ b/cmd/brassdale/http2_shutdown_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestHTTP2_shutdown checks that SIGTERM sends a GOAWAY at once, that open streams are answered, also one that was on its way then, and
-// that a stream beyond the last GOAWAY's number is not started.
+// TestHTTP2_shutdown checks that after SIGTERM the process sends a GOAWAY at once, answers open streams, including one whose request was in
+// flight at the time of the GOAWAY, and does not start a stream with a higher ID than that in the last GOAWAY.
 func TestHTTP2_shutdown(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -23,7 +23,7 @@
 	dispatcher.waitForRun(worker, "open")
 	dispatcher.terminate()
 	dispatcher.waitFor("the first GOAWAY", func() bool { return client.received("GOAWAY 0 2147483647 NO_ERROR") })
-	client.sendRequest(3, "crossing") // as one that was on its way already
+	client.sendRequest(3, "crossing") // as if it was in flight at the time of the GOAWAY
 	dispatcher.waitForRun(worker, "crossing")
 	dispatcher.waitFor("the last GOAWAY", func() bool { return client.received("GOAWAY 0 3 NO_ERROR") })
 	client.sendRequest(5, "late")
@@ -35,12 +35,12 @@
 		t.Error("the late stream was started")
 	}
 	if strings.Contains(dispatcher.log(), "unanswered") {
-		t.Error("clients were left unanswered")
+		t.Error("the log reports unanswered clients")
 	}
 }
 
-// TestHTTP2_handover checks a handover while four clients send requests: connections of the predecessor get a GOAWAY, new ones are the
-// successor's, a request ID is open once at both, and no request is lost.
+// TestHTTP2_handover checks a handover while four clients send requests: connections of the predecessor get a GOAWAY, the successor accepts
+// new ones, a request ID can be open at only one of the processes, and no request is lost.
 func TestHTTP2_handover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -50,7 +50,7 @@
 		}
 		completeJob(worker, conn, r)
 	})
-	const operator = http2Frontend + "keys { jobs = 200000 }\n" // more keys than the clients send, however long it takes
+	const operator = http2Frontend + "keys { jobs = 200000 }\n" // more keys than the clients can send during the test
 	dispatcher := startDispatcher(t, operator, worker)
 	client := dispatcher.connectHTTP2()
 	client.sendRequest(1, "waits")
@@ -62,19 +62,19 @@
 		clients.Go(func() {
 			for sent := 0; ctx.Err() == nil; sent++ {
 				if status, body, _ := trySend(client, newRequest(dispatcher.http2URL, fmt.Sprint(i, "-", sent))); status != 200 {
-					t.Errorf("client %d, request %d: status %d %s", i, sent, status, body)
+					t.Errorf("client %d, request %d: status %d %s, want 200", i, sent, status, body)
 				}
 			}
 		})
 	}
 	successor := dispatcher.startSuccessor(operator)
 	if successor.http2URL != dispatcher.http2URL {
-		t.Fatalf("the successor serves at %s, not at %s", successor.http2URL, dispatcher.http2URL)
+		t.Fatalf("the successor serves at %s, want %s", successor.http2URL, dispatcher.http2URL)
 	}
 	dispatcher.waitForHandovers(1)
 	dispatcher.waitFor("GOAWAY", func() bool { return client.received("GOAWAY 0 2147483647 NO_ERROR") })
 	if status, _, _ := trySend(newHTTP2Client(t), newRequest(successor.http2URL, "other", "Req-Id", "id-waits")); status != 409 {
-		t.Errorf("an ID that is open at the predecessor: status %d", status)
+		t.Errorf("an ID that is open at the predecessor: status %d, want 409", status)
 	}
 	dispatcher.terminate()
 	close(release)
--- a/cmd/brassdale/http2_test.go
+++ b/cmd/brassdale/http2_test.go
@@ -48,10 +48,10 @@
 		}
 	}
 	if status, _, _ := trySend(http2Client, must(http.NewRequest("GET", dispatcher.http2URL+"/health/ready", nil))); status != 200 {
-		t.Errorf("readiness: status %d", status)
+		t.Errorf("readiness: status %d, want 200", status)
 	}
 	if connections := dispatcher.metric("front.http2.connections"); connections != 1 {
-		t.Errorf("%d connections, want 1", connections)
+		t.Errorf("%d HTTP/2 connections, want 1", connections)
 	}
 }
 
@@ -63,15 +63,16 @@
 	dispatcher := startDispatcher(t, http2Frontend, worker)
 	first := dispatcher.sendInBackground(worker, "k")
 	if status, _, _ := trySend(newHTTP2Client(t), newRequest(dispatcher.http2URL, "other", "Req-Id", "id-k")); status != 409 {
-		t.Errorf("an ID that is open at the other frontend: status %d", status)
+		t.Errorf("an ID that is open at the other frontend: status %d, want 409", status)
 	}
 	close(release)
 	if status := <-first; status != 200 {
-		t.Errorf("the first request: status %d", status)
+		t.Errorf("the first request: status %d, want 200", status)
 	}
 }
 
-// stallByKey returns a handler that stalls for key "silent", and after the start for key "started"; key "other" waits for the release.
+// stallByKey returns a handler that stalls at once for key "silent", and after the start message for key "started". Jobs of key "other" wait
+// for the release.
 func stallByKey(release <-chan struct{}) jobHandler {
 	return func(worker *testWorker, conn net.Conn, r *http.Request) {
 		switch r.Header.Get("Idempotency-Key") {
@@ -87,7 +88,7 @@
 	}
 }
 
-// TestHTTP2_cancelledStreams checks streams that are cancelled at each stage of their requests: started attempts are cancelled, no key
+// TestHTTP2_cancelledStreams checks the cancellation of streams at each stage of their requests: started attempts are cancelled, no key
 // runs twice, and the other streams of the connection are served.
 func TestHTTP2_cancelledStreams(t *testing.T) {
 	t.Parallel()
@@ -102,12 +103,12 @@
 		client.sendRequest(stream, key)
 		dispatcher.waitForRun(worker, key)
 		client.WriteRSTStream(stream, h2.ErrCodeCancel)
-		if id := <-worker.abandoned; id != "id-"+key { // the settings allow to cancel, by closing the connection
-			t.Errorf("cancelled %s, not %s", id, key)
+		if id := <-worker.abandoned; id != "id-"+key { // the settings allow an attempt to be cancelled by closing its connection
+			t.Errorf("cancelled %s, want id-%s", id, key)
 		}
 		stream += 2
 	}
-	// Before the body is complete, or right after it: each request may have been accepted or not.
+	// Cancelled before the body is complete or right after it: each request may or may not have been accepted.
 	for i := range 50 {
 		client.WriteHeaders(h2.HeadersFrameParam{StreamID: stream, BlockFragment: client.headerFields(fmt.Sprint("early-", i)), EndHeaders: true})
 		if i%2 == 1 {
@@ -116,7 +117,7 @@
 		client.WriteRSTStream(stream, h2.ErrCodeCancel)
 		stream += 2
 	}
-	// At the same time as the job ends.
+	// Cancelled at the same time as the job ends.
 	for i := range 50 {
 		client.sendRequest(stream, fmt.Sprint("end-", i))
 		if i%2 == 0 {
@@ -133,13 +134,13 @@
 	dispatcher.waitUntilIdle()
 	for key, runs := range worker.runsPerKey() {
 		if runs != 1 {
-			t.Errorf("%s ran %d times", key, runs)
+			t.Errorf("%s ran %d times, want 1", key, runs)
 		}
 	}
 }
 
-// TestHTTP2_drain checks that streams which wait for capacity when a worker drains are not sent to it once the drain grace period of 0.5 s
-// has passed, and that all are answered.
+// TestHTTP2_drain checks that requests which wait for capacity when a worker starts to drain are not sent to it after the drain grace
+// period of 0.5 s, and that all are answered.
 func TestHTTP2_drain(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -158,7 +159,7 @@
 	close(release)
 	dispatcher.waitUntilIdle()
 	if after := draining.jobCount(); after != before {
-		t.Errorf("%d jobs at the draining worker", after-before)
+		t.Errorf("%d jobs at the draining worker, want 0", after-before)
 	}
 	dispatcher.waitFor("an answer of each stream", func() bool {
 		for i := range 40 {
@@ -170,8 +171,8 @@
 	})
 }
 
-// TestHTTP2_removedClass checks a reload that removes a class while a stream of it is open: that one is served, and new ones are answered
-// 404 on the same connection.
+// TestHTTP2_removedClass checks a reload that removes a class while a stream of the class is open: that stream is served, and new streams of
+// the class are answered 404 on the same connection.
 func TestHTTP2_removedClass(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -189,8 +190,8 @@
 	dispatcher.waitFor("both answers", func() bool { return client.received("HEADERS 1 200") && client.received("HEADERS 5 200") })
 }
 
-// TestHTTP2_streamLimitSharedAmongConnections checks that a connection which opens as many streams as it can gets half of the limit, so
-// that 40 streams of another connection are accepted.
+// TestHTTP2_streamLimitSharedAmongConnections checks that a connection which opens as many streams as it can gets only half of the limit,
+// so that 40 streams of another connection are accepted.
 func TestHTTP2_streamLimitSharedAmongConnections(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -210,7 +211,7 @@
 	}
 	dispatcher.waitForMetric("front.http2.streams", 142+40)
 	if second.received("HEADERS") {
-		t.Error("a stream of the second connection was answered, so it was rejected")
+		t.Error("a stream of the second connection was rejected: it was answered before the release")
 	}
 	close(release)
 	dispatcher.waitForMetric("front.http2.streams", 0)
--- a/cmd/brassdale/idempotency_test.go
+++ b/cmd/brassdale/idempotency_test.go
@@ -19,18 +19,18 @@
 	clients [2]*http.Client
 }
 
-// sendTo sends a request to a frontend, and returns status 0 where there is no answer.
+// sendTo sends a request to a frontend. Without an answer it returns status 0.
 func (f *bothFrontends) sendTo(frontend int, key string, headers ...string) (status int, body string) {
 	status, body, _ = trySend(f.clients[frontend], newRequest(f.urls[frontend], key, headers...))
 	return status, body
 }
 
-// runs returns how often a key has run.
+// runs returns how often a key has run at both workers together.
 func (f *bothFrontends) runs(key string) int {
 	return f.workers[0].runsOf(key) + f.workers[1].runsOf(key)
 }
 
-// waitOrDeclineOnce returns a handler by which jobs of key "both" wait for the release, and the first job of key "declined" is declined.
+// waitOrDeclineOnce returns a handler that lets jobs of key "both" wait for the release, and declines the first job of key "declined".
 func waitOrDeclineOnce(release <-chan struct{}) jobHandler {
 	return func(worker *testWorker, conn net.Conn, r *http.Request) {
 		key := r.Header.Get("Idempotency-Key")
@@ -45,12 +45,13 @@
 	}
 }
 
-// TestIdempotencyKey_atBothFrontends checks that a key runs once whichever frontend its requests come to: at the same time, and until its
-// deduplication window has passed. A key for another account's request is rejected, and one whose request never ran may be used again.
+// TestIdempotencyKey_atBothFrontends checks that a key runs only once regardless of the frontends that receive its requests, both for
+// concurrent requests and until the deduplication window has passed. The same key from another account is rejected, and a key whose
+// request never ran may be used again.
 func TestIdempotencyKey_atBothFrontends(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	// Workers in two cells do not know what the other runs.
+	// Workers in different cells do not deduplicate each other's jobs.
 	workers := startNamedWorkers(t, waitOrDeclineOnce(release), "a", "b")
 	workers[1].cell = "2"
 	dispatcher := startDispatcherWith(t, http2Frontend, withSetting(`"window":7500000`, `"window":1000000`), workers...)
@@ -74,18 +75,18 @@
 	close(release)
 	for range 4 {
 		if answer := <-answers; answer != "200 priced" {
-			t.Errorf("requests of one key at the same time: %s", answer)
+			t.Errorf("concurrent requests of one key: answered %s, want 200 priced", answer)
 		}
 	}
 	if status, _ := frontends.sendTo(1, "both", "Req-Id", "both-x", "Req-Owner", "another"); status != 422 {
-		t.Errorf("the key for another account's request: status %d", status)
+		t.Errorf("the same key from another account: status %d, want 422", status)
 	}
 	frontends.checkWindow(t, "both", time.Second)
 	frontends.checkDeclinedKey(t, "declined")
 }
 
-// checkWindow checks that the answer of a key that has run once is the same at either frontend until its window has passed, and that the
-// key then runs again.
+// checkWindow checks that both frontends repeat the answer of a key that has run once until its deduplication window has passed, and that
+// the key then runs again.
 func (f *bothFrontends) checkWindow(t *testing.T, key string, window time.Duration) {
 	t.Helper()
 	beganAt, rounds := time.Now(), 0
@@ -93,18 +94,18 @@
 		for frontend := range f.clients {
 			status, body := f.sendTo(frontend, key, "Req-Id", fmt.Sprint("again-", frontend, rounds))
 			if status != 200 || body != "priced" {
-				t.Errorf("a repeated request: status %d %s", status, body)
+				t.Errorf("a repeated request: status %d %s, want 200 priced", status, body)
 			}
 		}
 		rounds++
 		return f.runs(key) > 1
 	})
 	if took := time.Since(beganAt); f.runs(key) != 2 || rounds < 2 || took < window-500*time.Millisecond {
-		t.Errorf("%d runs, %d rounds of repeated requests in %v", f.runs(key), rounds, took)
+		t.Errorf("%d runs, %d rounds of repeated requests in %v, want 2 runs, 2 rounds or more, and no second run within the window", f.runs(key), rounds, took)
 	}
 }
 
-// checkDeclinedKey checks that a key whose first job is declined, so that it never ran, may be used again.
+// checkDeclinedKey checks that a key may be used again if its first job was declined and so never ran.
 func (f *bothFrontends) checkDeclinedKey(t *testing.T, key string) {
 	t.Helper()
 	for _, want := range []int{503, 200} {
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestIdempotencyKey_cancelledWithLastClient checks that a job for which two clients wait continues when one cancels, and is cancelled with
-// the other.
+// TestIdempotencyKey_cancelledWithLastClient checks that a job for which two clients wait continues when one client cancels, and is
+// cancelled when the other does too.
 func TestIdempotencyKey_cancelledWithLastClient(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", respondThenStall(`"state":"started"`))
@@ -132,7 +133,7 @@
 	first.sendRequest(1, "k")
 	dispatcher.waitForRun(worker, "k")
 	second.sendRequest(1, "k", "req-id", "second")
-	second.sendRequest(3, "k", "req-id", "id-k") // the ID of the first stream, which is open
+	second.sendRequest(3, "k", "req-id", "id-k") // the ID of the first client's stream, which is open
 	dispatcher.waitFor("status 409 for an open ID", func() bool { return second.received("HEADERS 3 409") })
 	dispatcher.waitForMetric("front.http2.streams", 2)
 	first.WriteRSTStream(1, h2.ErrCodeCancel)
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestIdempotencyKey_handover checks that a key runs once during and after a handover, whichever frontend and process its requests come
-// to.
+// TestIdempotencyKey_handover checks that a key runs only once during and after a handover, regardless of the frontends and processes that
+// receive its requests.
 func TestIdempotencyKey_handover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -175,12 +176,12 @@
 	close(release)
 	for range 2 {
 		if status := <-answers; status != 200 {
-			t.Errorf("a request of the key: status %d", status)
+			t.Errorf("a request of the key: status %d, want 200", status)
 		}
 	}
 	dispatcher.terminate()
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 	if status, body, _ := trySend(newHTTP2Client(t), newRequest(successor.http2URL, "k", "Req-Id", "third")); status != 200 || body != "priced" || worker.runsOf("k") != 1 {
-		t.Errorf("at the successor: status %d %s, %d runs", status, body, worker.runsOf("k"))
+		t.Errorf("at the successor: status %d %s, %d runs, want 200 priced and 1 run", status, body, worker.runsOf("k"))
 	}
 }
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// replicatedDiscovery is a discovery service whose replicas have each list some time after it was published.
+// replicatedDiscovery is a discovery service whose replicas return each list only some time after its publication.
 type replicatedDiscovery struct {
 	mu    sync.Mutex
 	lists []publishedList // by revision
 	calls atomic.Int64
 }
 
-// publishedList is the lines of a list, and when it was published.
+// publishedList is the lines of a list and its time of publication.
 type publishedList struct {
 	publishedAt time.Time
 	members     string
 }
 
-// publish makes a new revision, and returns when.
+// publish publishes a new revision, and returns the time of publication.
 func (d *replicatedDiscovery) publish(members string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,7 +34,7 @@
 	return now
 }
 
-// listAt returns the newest list of a replica that lags by so much.
+// listAt returns the newest list that a replica with this lag has.
 func (d *replicatedDiscovery) listAt(lag time.Duration) (revision int, members string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,7 +52,7 @@
 	return d.startRenumberedReplica(t, 0, lag)
 }
 
-// startRenumberedReplica starts a replica whose revisions are higher by an offset than those of the lists, and returns its address.
+// startRenumberedReplica starts a replica that adds an offset to the revisions of the lists, and returns its address.
 func (d *replicatedDiscovery) startRenumberedReplica(t *testing.T, offset int, lag func() time.Duration) string {
 	t.Helper()
 	list := func(replicaLag time.Duration) (revision int, members string) {
@@ -80,12 +80,12 @@
 	return server.Listener.Addr().String()
 }
 
-// constantLag is the lag of a replica that lags by the same time at each call.
+// constantLag returns a lag function for a replica that has the same lag at each call.
 func constantLag(lag time.Duration) func() time.Duration { return func() time.Duration { return lag } }
 
-// TestDrain_moveToLaggingReplica checks that a known drain or removal of a worker is not withdrawn by the first list of a lagging
-// replica to which a reload moves discovery. A list does not say when it was composed, and revisions of two services cannot be
-// compared, so that only what must be newer counts.
+// TestDrain_moveToLaggingReplica guards against a known drain or removal of a worker being withdrawn by the first list after a reload has
+// moved discovery to a lagging replica. A list has no time of composition, and revisions of two services cannot be compared, so a list may
+// withdraw a drain only if it must be newer.
 func TestDrain_moveToLaggingReplica(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []string{"leaving", "left"} {
@@ -109,15 +109,15 @@
 			time.Sleep(3 * time.Second)
 			load.end()
 			if !strings.Contains(dispatcher.log(), "msg=\"settings reloaded\"") {
-				t.Error("discovery was not moved")
+				t.Error("no \"settings reloaded\" in the log: discovery was not moved")
 			}
 			atDrained.checkNoneAfter(t, drainedAt, time.Second+drainGraceAndSlack)
 		})
 	}
 }
 
-// TestDrain_moveToReplicaWithEarlierReturn guards against a known drain that is withdrawn behind a move of discovery, as the new service
-// shows an earlier drain of the worker and the return from that.
+// TestDrain_moveToReplicaWithEarlierReturn guards against a known drain being withdrawn after a move of discovery, because the new service
+// still reports an earlier drain of the worker and its return from that drain.
 func TestDrain_moveToReplicaWithEarlierReturn(t *testing.T) {
 	t.Parallel()
 	const lag = 3500 * time.Millisecond
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestHandover_drainKnownFromOtherService guards against a drain that is withdrawn in a successor process: its predecessor knew it from the
-// service before a move, and the service that both call shows an earlier drain and the return from that.
+// TestHandover_drainKnownFromOtherService guards against a drain being withdrawn in a successor process: its predecessor knew the drain from
+// the service before a move of discovery, and the service after the move still reports an earlier drain and the return from that drain.
 func TestHandover_drainKnownFromOtherService(t *testing.T) {
 	t.Parallel()
 	const lag = 3500 * time.Millisecond
@@ -182,12 +182,12 @@
 	atDrained.checkNoneAfter(t, drainedAt, time.Second+drainGraceAndSlack)
 }
 
-// TestReturn_behindMove checks that a worker whose drain was known before a move of discovery, and which then returns, gets jobs within
-// notificationLimit and the time of a call, without any later change of the list, while another worker is ready.
+// TestReturn_afterMove checks that a worker whose drain was known before a move of discovery, and which returns after the move, gets jobs
+// within notificationLimit plus the time of a call. No later change of the list is needed, and another worker is ready all the time.
 func TestReturn_afterMove(t *testing.T) {
 	t.Parallel()
 	const timeOfCall = time.Second
-	completeSlowly := func(worker *testWorker, conn net.Conn, r *http.Request) { // so that one worker alone is not enough
+	completeSlowly := func(worker *testWorker, conn net.Conn, r *http.Request) { // so slow that the load needs both workers
 		time.Sleep(50 * time.Millisecond)
 		completeJob(worker, conn, r)
 	}
@@ -208,13 +208,13 @@
 	returnedAt := discovery.publish(list("active"))
 	time.Sleep(notificationLimit + timeOfCall - 100*time.Millisecond)
 	if last := atReturned.lastSince(returnedAt); last < notificationLimit+timeOfCall-200*time.Millisecond {
-		t.Errorf("the returned worker received its last job %v after its return", last)
+		t.Errorf("the returned worker received its last job %v after its return, want one shortly before the end of the test", last)
 	}
 }
 
-// TestDiscovery_callRateAtLaggingReplicas checks that a dispatcher makes at most 30 calls in 12 s where answers come from a lagging
-// replica. An answer with a lower revision has the complete list requested again, which must not happen so often that discovery
-// cannot serve many dispatchers.
+// TestDiscovery_callRateAtLaggingReplicas checks that a dispatcher makes at most 30 calls in 12 s if answers come from a lagging replica.
+// After an answer with a lower revision the dispatcher requests the complete list again. It must not do so too often, as discovery
+// serves many dispatchers.
 func TestDiscovery_callRateAtLaggingReplicas(t *testing.T) {
 	t.Parallel()
 	for name, lag := range map[string]func() func() time.Duration{
@@ -222,7 +222,7 @@
 			var calls atomic.Int64
 			return func() time.Duration { return time.Duration(calls.Add(1)%2) * time.Hour }
 		},
-		"behind the first answer": func() func() time.Duration {
+		"after the first answer": func() func() time.Duration {
 			var calls atomic.Int64
 			return func() time.Duration { return min(time.Duration(calls.Add(1)-1), 1) * time.Hour }
 		},
--- a/cmd/brassdale/loadgenerator_test.go
+++ b/cmd/brassdale/loadgenerator_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestLoadGenerator_allProtocols checks the load generator against the program over each protocol: each request that it counts as served
-// ran at the worker, and what the program rejects is counted as failed.
+// ran at the worker, and a request that the program rejects is counted as failed.
 func TestLoadGenerator_allProtocols(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
@@ -30,7 +30,7 @@
 		figures := load.Run(t.Context(), plan, client, load.Options{Terms: load.Terms{Class: "price-part", GiveUp: 5 * time.Second}}).Figures()
 		client.Close()
 		if after := worker.jobCount(); figures.Planned == 0 || figures.Outcomes["served"] != figures.Planned || after-before < figures.Planned {
-			t.Errorf("%s: %v of %d requests, %d at the worker", protocol, figures.Outcomes, figures.Planned, after-before)
+			t.Errorf("%s: outcomes %v of %d requests, %d jobs at the worker, want all served and as many jobs", protocol, figures.Outcomes, figures.Planned, after-before)
 		}
 	}
 	client, err := load.NewClient(load.HTTP1, "no-such-class", []string{dispatcher.http1URL[len("http://"):]})
@@ -40,6 +40,6 @@
 	defer client.Close()
 	options := load.Options{Terms: load.Terms{GiveUp: 5 * time.Second}}
 	if figures := load.Run(t.Context(), load.Recorded([]load.Job{{}}), client, options).Figures(); figures.Outcomes["failed"] != 1 {
-		t.Errorf("an unknown class: %v", figures.Outcomes)
+		t.Errorf("an unknown class: outcomes %v, want 1 failed", figures.Outcomes)
 	}
 }
--- a/cmd/brassdale/moved_discovery_test.go
+++ b/cmd/brassdale/moved_discovery_test.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// notificationLimit is how long after a change a dispatcher counts as notified at the latest, where it can reach discovery.
+	// notificationLimit is the longest time after a change until a dispatcher that can reach discovery counts as notified.
 	notificationLimit = 6 * time.Second
-	// drainGraceAndSlack is how long after the notification of its drain a worker may still receive new jobs: the drain grace period
-	// of the settings, and 50 ms for sockets.
+	// drainGraceAndSlack is the time for which a worker may still receive new jobs after the notification of its drain: the drain grace
+	// period of the settings, and 50 ms for sockets.
 	drainGraceAndSlack = 550 * time.Millisecond
 )
 
-// checkDrainObserved has the load continue for a while after the last moment at which the drained worker may receive a job, ends it,
-// and checks that the worker received none later.
+// checkDrainObserved lets the load continue for overtime after the last moment at which the drained worker may receive a job. It then ends
+// the load, and checks that the worker received no job after that moment.
 func checkDrainObserved(t *testing.T, load *steadyLoad, atDrained *arrivals, drainedAt time.Time, overtime time.Duration) {
 	t.Helper()
 	const limit = notificationLimit + drainGraceAndSlack
@@ -28,14 +28,14 @@
 	t.Logf("the drained worker received its last job %v after the drain", atDrained.lastSince(drainedAt))
 }
 
-// TestDrain_queuedAnswerAfterMove checks the case of incident 36: a worker drains while the answer of the open watch waits in
-// discovery's queue, and a reload moves discovery to an address that rejects all calls. The answer of the old watch must still be
-// read: a call that may bring a change is not cancelled before another has brought the list.
+// TestDrain_queuedAnswerAfterMove guards against the fault of incident 36: a worker drains while the answer of the open watch waits in
+// discovery's queue, and a reload moves discovery to an address that rejects all calls. The answer of the old watch must still be read: a
+// call that may report a change is not cancelled before another call has returned the list.
 func TestDrain_queuedAnswerAfterMove(t *testing.T) {
 	t.Parallel()
 	var atDrained arrivals
 	drained, other := startWorker(t, "a", atDrained.recording(completeJob)), startWorker(t, "b", completeJob)
-	dispatcher := startDispatcher(t, "", drained) // it receives all jobs until the change is known: it drains, and the other joins
+	dispatcher := startDispatcher(t, "", drained) // this worker gets all jobs until the change is known: it drains, and the other joins
 	discovery := dispatcher.discovery
 	dispatcher.waitForWatch()
 
@@ -49,13 +49,14 @@
 	drainedAt := time.Now()
 	dispatcher.reload(withDiscoveryAddress(dispatcher.config, rejecting.Listener.Addr().String()))
 	dispatcher.waitForLog("msg=\"settings reloaded\"")
-	time.Sleep(300 * time.Millisecond) // in discovery's queue
+	time.Sleep(300 * time.Millisecond) // the answer waits in discovery's queue
 	discovery.update(func() { drained.phase = "leaving"; discovery.workers = append(discovery.workers, other) })
 	checkDrainObserved(t, load, &atDrained, drainedAt, 300*time.Millisecond)
 }
 
-// TestDrain_movesAtQueueingDiscovery checks the run of incident 36: six dispatchers reload four times within seconds, and each reload
-// moves discovery, which serves a call in 0.42 s and rejects those that would wait for longer than 1 s. A worker drains meanwhile.
+// TestDrain_movesAtQueueingDiscovery checks that a drain is observed in the run of incident 36: six dispatchers reload four times within
+// seconds, and each reload moves discovery, which needs 0.42 s per call and rejects calls that would wait for longer than 1 s. A worker
+// drains during the reloads.
 func TestDrain_movesAtQueueingDiscovery(t *testing.T) {
 	t.Parallel()
 	const dispatchers, moves = 6, 4
@@ -67,7 +68,7 @@
 	load := newSteadyLoad()
 	type movedDispatcher struct {
 		*testDispatcher
-		addresses []string // of discovery, in turn
+		addresses []string // addresses of discovery, in the order of the moves
 	}
 	var fleet []movedDispatcher
 	for i := range dispatchers {
@@ -76,7 +77,7 @@
 		load.start(dispatcher, fmt.Sprint("n", i), 40*time.Millisecond)
 		fleet = append(fleet, movedDispatcher{dispatcher, addresses})
 	}
-	time.Sleep(7 * time.Second) // until all have a watch
+	time.Sleep(7 * time.Second) // until all dispatchers have a watch
 
 	var moved sync.WaitGroup
 	for i, dispatcher := range fleet {
--- a/cmd/brassdale/overloaded_discovery_test.go
+++ b/cmd/brassdale/overloaded_discovery_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestDrain_atOverloadedDiscovery checks that a drain is observed where discovery returns after some seconds in which all calls
-// failed, and most dispatchers are killed and restarted. Dispatchers that called it more often the older their list was, and beside
-// calls that still waited, filled its queue beyond the time after which it lets calls expire, so that it served none any more.
+// TestDrain_atOverloadedDiscovery guards against dispatchers that keep an overloaded discovery from serving any call: they called it more
+// often the older their list was, and while earlier calls still waited, so that its queue became longer than the time after which calls
+// expire. Here discovery recovers after 8 s in which all calls failed, most dispatchers are killed and restarted, and a drain must be
+// observed.
 func TestDrain_atOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	const dispatchers, killed = 12, 8
@@ -49,9 +50,9 @@
 	discovery.logCalls(t)
 }
 
-// TestDrain_discoveryRejectsAllCalls checks that a dispatcher whose list is overdue, as discovery rejects all its calls, sends requests
-// only to workers that have answered a probe lately. A draining worker answers probes 503: it gets no requests after the time at which
-// its drain counts as notified, and the other one serves.
+// TestDrain_discoveryRejectsAllCalls checks that a dispatcher whose list is overdue because discovery rejects all its calls sends requests
+// only to workers that have recently answered a probe. A draining worker answers probes 503: it gets no requests after the time at which
+// its drain counts as notified, and the other worker serves.
 func TestDrain_discoveryRejectsAllCalls(t *testing.T) {
 	t.Parallel()
 	var atDrained arrivals
@@ -67,6 +68,6 @@
 	drained.failsProbes.Store(true)
 	checkDrainObserved(t, load, &atDrained, drainedAt, 3*time.Second)
 	if status, _, _ := dispatcher.sendKey("last"); status != http.StatusOK {
-		t.Errorf("status %d where one worker answers its probes", status)
+		t.Errorf("while one worker answers its probes: status %d, want 200", status)
 	}
 }
--- a/cmd/brassdale/progress_test.go
+++ b/cmd/brassdale/progress_test.go
@@ -11,7 +11,8 @@
 	"brassdale/internal/protocol"
 )
 
-// progressFrontend returns an operator's file with the progress frontend and up to eight jobs by key.
+// progressFrontend returns an operator's file with the progress frontend and a limit of eight jobs by key. upstream is the format of
+// workers' answers.
 func progressFrontend(upstream string) string {
 	return fmt.Sprintf("front \"progress\" {\n  listen = \"127.0.0.1:0\"\n  upstream = %q\n}\nkeys {\n  jobs = 8\n}\n", upstream)
 }
@@ -23,7 +24,7 @@
 	events   *protocol.EventReader
 }
 
-// openStream sends a request of a key to the progress frontend; its stream is closed at the end of the test.
+// openStream sends a request with a key to the progress frontend; its stream is closed at the end of the test.
 func (d *testDispatcher) openStream(key string, headers ...string) *eventStream {
 	d.t.Helper()
 	resp, err := http.DefaultClient.Do(newRequest(d.progressURL, key, headers...))
@@ -34,7 +35,7 @@
 	return &eventStream{d.t, resp, protocol.NewEventReader(resp.Body)}
 }
 
-// remaining reads to the end of the stream and returns "ID name" of each event.
+// remaining reads to the end of the stream and returns "ID name" for each event.
 func (s *eventStream) remaining() (events []string) {
 	for {
 		event, err := s.events.Next()
@@ -55,7 +56,7 @@
 	return event
 }
 
-// checkEvents compares events with the wanted ones, which are separated by ", ".
+// checkEvents compares events with the expected ones, which are separated by ", ".
 func checkEvents(t *testing.T, what string, events []string, want string) {
 	t.Helper()
 	if got := strings.Join(events, ", "); got != want {
@@ -63,8 +64,9 @@
 	}
 }
 
-// TestProgress_eventStream checks the events of a job in both formats of workers' answers; the event stream has CR, LF and CRLF, a
-// comment, a line in two pieces and data of two lines. A repeated or reconnecting client gets the cached events without another run.
+// TestProgress_eventStream checks the events of a job in both formats of workers' answers. The event stream has CR, LF and CRLF, a
+// comment, a line in two pieces and data of two lines. A client that repeats its request or reconnects gets the cached events without
+// another run.
 func TestProgress_eventStream(t *testing.T) {
 	t.Parallel()
 	respondWithEvents := func(_ *testWorker, conn net.Conn, r *http.Request) {
@@ -82,11 +84,11 @@
 		dispatcher := startDispatcher(t, progressFrontend(format), worker)
 		stream := dispatcher.openStream("k")
 		if contentType := stream.response.Header.Get("Content-Type"); stream.response.StatusCode != 200 || contentType != "text/event-stream" {
-			t.Fatalf("%s: status %d, %s", format, stream.response.StatusCode, contentType)
+			t.Fatalf("%s: status %d, content type %s, want 200 and text/event-stream", format, stream.response.StatusCode, contentType)
 		}
 		first, second, third := stream.next(), stream.next(), stream.next()
 		if first.Name != "started" || !strings.Contains(second.Data, `"share":0.5`) || third.Name != "done" || !strings.Contains(third.Data, `"result":"priced"`) {
-			t.Errorf("%s: %v %v %v", format, first, second, third)
+			t.Errorf("%s: events %v, %v, %v, want started, share 0.5, done with the result", format, first, second, third)
 		}
 		checkEvents(t, format+", after the end", stream.remaining(), "")
 		checkEvents(t, format+", repeat", dispatcher.openStream("k", "Req-Id", "r2").remaining(), "1 started, 2 progress, 3 done")
@@ -97,11 +99,11 @@
 			}
 		}
 		if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Req-Owner", "gwent-pumps")); status != 422 {
-			t.Errorf("%s, another request with the key: status %d", format, status)
+			t.Errorf("%s, another request with the key: status %d, want 422", format, status)
 		}
 		// The job of a key that this dispatcher does not know may run elsewhere.
 		if status, body, _ := dispatcher.send(newRequest(dispatcher.progressURL, "lost", "Last-Event-ID", "1")); status != 502 || !strings.Contains(body, "not known") {
-			t.Errorf("%s, unknown key: status %d %q", format, status, body)
+			t.Errorf("%s, unknown key: status %d %q, want 502 with \"not known\"", format, status, body)
 		}
 		if jobs := worker.jobCount(); jobs != 1 {
 			t.Errorf("%s: %d jobs at the worker, want 1", format, jobs)
@@ -109,8 +111,8 @@
 	}
 }
 
-// TestProgress_failuresBeforeAndAfterFirstEvent checks that rejections and failures are HTTP statuses before the first event, and events
-// after it.
+// TestProgress_failuresBeforeAndAfterFirstEvent checks that rejections and failures are reported as HTTP statuses before the first event,
+// and as events after it.
 func TestProgress_failuresBeforeAndAfterFirstEvent(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -133,14 +135,14 @@
 				t.Errorf("status %d, want %d", stream.response.StatusCode, test.status)
 			}
 			if (stream.response.Header.Get("Retry-After") != "") != (test.status == 503) {
-				t.Errorf("Retry-After %q", stream.response.Header.Get("Retry-After"))
+				t.Errorf("Retry-After %q, want it with status 503 only", stream.response.Header.Get("Retry-After"))
 			}
 			if test.events != "" {
 				checkEvents(t, "events", stream.remaining(), test.events)
 			}
 		})
 	}
-	// A rejected request never ran: another one with its key is a new job, and a reconnect is answered with the rejection.
+	// A rejected request never ran: another request with its key is a new job, and a reconnect is answered with the rejection.
 	worker := startWorker(t, "a", respondWith(`"state":"returned"`))
 	dispatcher := startDispatcher(t, progressFrontend("lines"), worker)
 	for range 2 {
@@ -150,15 +152,15 @@
 		t.Errorf("%d attempts at the worker, want one for each of 2 requests at least", jobs)
 	}
 	if status, _, _ := dispatcher.send(newRequest(dispatcher.progressURL, "k", "Last-Event-ID", "0")); status != 503 {
-		t.Errorf("reconnect to a rejected request: status %d", status)
+		t.Errorf("reconnect to a rejected request: status %d, want 503", status)
 	}
 }
 
-// reconnected is what a client received that drops its stream after the first event and reconnects.
+// reconnected is the result of a client that drops its stream after the first event and reconnects.
 type reconnected struct {
 	key          string
 	finalAnswers int
-	last         string // the last final event, or the status that is not 200
+	last         string // the last final event, or the status if it is not 200
 	took         time.Duration
 }
 
@@ -199,7 +201,7 @@
 	return result
 }
 
-// TestProgress_stalledAndBrokenStreams checks workers that stall and that close their streams, with clients that drop theirs and
+// TestProgress_stalledAndBrokenStreams checks workers that stall or close their streams, with clients that drop their streams and
 // reconnect: each request has one final answer before its client's limit of 5 s, and no key runs twice or at two workers.
 func TestProgress_stalledAndBrokenStreams(t *testing.T) {
 	t.Parallel()
@@ -222,27 +224,27 @@
 		result := <-results
 		ends[result.last]++
 		if result.finalAnswers != 1 || result.took >= 5*time.Second {
-			t.Errorf("%s: %d final answers, %s after %v", result.key, result.finalAnswers, result.last, result.took)
+			t.Errorf("%s: %d final answers, %s after %v, want 1 within 5 s", result.key, result.finalAnswers, result.last, result.took)
 		}
 	}
 	if ends["done"] == 0 || ends["failed"] == 0 {
-		t.Errorf("final answers %v: want some of both kinds", ends)
+		t.Errorf("final answers %v, want some \"done\" and some \"failed\"", ends)
 	}
-	for _, worker := range []*testWorker{stalling, healthy} { // the closing one may get a job again: its cell deduplicates it
+	for _, worker := range []*testWorker{stalling, healthy} { // the closing worker may get a job again, as its cell deduplicates it
 		for key, runs := range worker.runsPerKey() {
 			for _, other := range []*testWorker{stalling, closing, healthy} {
 				if other != worker && other.runsOf(key) > 0 {
-					t.Errorf("%s ran at %s and at %s", key, worker.id, other.id)
+					t.Errorf("%s ran at workers %s and %s, want one", key, worker.id, other.id)
 				}
 			}
 			if runs != 1 {
-				t.Errorf("%s ran %d times at %s", key, runs, worker.id)
+				t.Errorf("%s ran %d times at %s, want 1", key, runs, worker.id)
 			}
 		}
 	}
 }
 
-// TestProgress_droppedStreamKeepsDeadline checks that a job whose stream is dropped is neither cancelled nor gets a later deadline from the
+// TestProgress_droppedStreamKeepsDeadline checks that a job is not cancelled when its stream is dropped, and gets no later deadline from a
 // reconnect: it ends at its first deadline of 1.2 s.
 func TestProgress_droppedStreamKeepsDeadline(t *testing.T) {
 	t.Parallel()
@@ -258,7 +260,7 @@
 	}
 	checkEvents(t, "reconnect", reconnect.remaining(), "2 failed")
 	if took := time.Since(sentAt); took < time.Second || took > 3*time.Second {
-		t.Errorf("ended after %v, want its first deadline of 1.2 s", took)
+		t.Errorf("the job ended after %v, want its first deadline of 1.2 s", took)
 	}
 	if jobs := worker.jobCount(); jobs != 1 {
 		t.Errorf("%d jobs at the worker, want 1", jobs)
@@ -283,18 +285,18 @@
 	for i := range 4 {
 		sentAt := time.Now()
 		if events := dispatcher.openStream(fmt.Sprint(i)).remaining(); len(events) != 2 || time.Since(sentAt) > 2*time.Second {
-			t.Errorf("request %d: %v after %v", i, events, time.Since(sentAt))
+			t.Errorf("request %d: events %v after %v, want 2 within 2 s", i, events, time.Since(sentAt))
 		}
 	}
-	// Seven jobs are in the table.
+	// Seven of eight keys are in use.
 	dispatcher.openStream("eighth").remaining()
 	if status, _, after := dispatcher.send(newRequest(dispatcher.progressURL, "ninth")); status != 503 || after == "" {
-		t.Errorf("beyond the limit: status %d, Retry-After %q", status, after)
+		t.Errorf("beyond the limit: status %d, Retry-After %q, want 503 with Retry-After", status, after)
 	}
 }
 
-// TestProgress_handover checks that a key has one job during a handover, to which clients of either process are attached, and that the
-// successor has its events when the predecessor has ended.
+// TestProgress_handover checks that a key has only one job during a handover, whose events clients of both processes receive, and that the
+// successor still has the events when the predecessor has ended.
 func TestProgress_handover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -311,7 +313,7 @@
 	checkEvents(t, "before the handover", []string{first.next().Name}, "started")
 	successor := dispatcher.startSuccessor(progressFrontend("lines"))
 	if successor.progressURL != dispatcher.progressURL {
-		t.Fatalf("the successor serves progress at %s, not at %s", successor.progressURL, dispatcher.progressURL)
+		t.Fatalf("the successor serves progress at %s, want %s", successor.progressURL, dispatcher.progressURL)
 	}
 	dispatcher.waitForHandovers(1)
 	http.DefaultClient.CloseIdleConnections()
@@ -326,10 +328,10 @@
 	checkEvents(t, "the other stream", other.remaining(), "2 done")
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 	successor.waitForPredecessorEnd()
-	checkEvents(t, "from the start, at the successor alone", successor.openStream("k", "Req-Id", "later").remaining(), "1 started, 2 done")
-	checkEvents(t, "from the second event, at the successor alone", successor.openStream("k", "Req-Id", "rest", "Last-Event-ID", "1").remaining(), "2 done")
+	checkEvents(t, "from the start, after the end of the predecessor", successor.openStream("k", "Req-Id", "later").remaining(), "1 started, 2 done")
+	checkEvents(t, "from the second event, after the end of the predecessor", successor.openStream("k", "Req-Id", "rest", "Last-Event-ID", "1").remaining(), "2 done")
 	if stream := successor.openStream("never", "Last-Event-ID", "1"); stream.response.StatusCode != 502 {
-		t.Errorf("a key that neither knows: status %d", stream.response.StatusCode)
+		t.Errorf("a key that neither process knows: status %d, want 502", stream.response.StatusCode)
 	}
 	if runs := worker.runsPerKey(); runs["k"] != 1 || runs["other"] != 1 || runs["never"] != 0 {
 		t.Errorf("runs per key: %v, want one of k and of other", runs)
--- a/cmd/brassdale/pushed_lists_test.go
+++ b/cmd/brassdale/pushed_lists_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// withPushedLists is a change of the platform's file to lists that are pushed: discovery's address is an agent's.
+// withPushedLists is a change of the platform's file to pushed lists: the address of discovery is then that of an agent.
 var withPushedLists = withSetting(`"discovery":"ask"`, `"discovery":"push"`)
 
-// drainAndCheck has the agent list one worker as draining and the other as active, waits until this process and the others that
-// listen at its address know that, and checks that ten requests are served without the draining worker.
+// drainAndCheck makes the agent list one worker as draining and the other as active. It waits until this process and the others that
+// listen at its address have the list, and checks that ten requests are served without the draining worker.
 func (d *testDispatcher) drainAndCheck(agent *testDiscovery, draining, active *testWorker, others ...*testDispatcher) {
 	d.t.Helper()
 	agent.update(func() { draining.phase, active.phase, agent.hanging = "leaving", "active", false })
@@ -21,11 +21,11 @@
 	before := draining.jobCount()
 	d.checkServed(fmt.Sprintf("%s-%d-", draining.id, agent.revision), 10)
 	if after := draining.jobCount(); after != before {
-		d.t.Errorf("%d requests at worker %s, which drains", after-before, draining.id)
+		d.t.Errorf("%d requests at draining worker %s, want 0", after-before, draining.id)
 	}
 }
 
-// stallAgent has the agent leave calls unanswered until one has failed.
+// stallAgent makes the agent leave calls unanswered, and waits until a call has failed.
 func (d *testDispatcher) stallAgent(agent *testDiscovery) {
 	d.t.Helper()
 	agent.update(func() { agent.hanging = true })
@@ -33,14 +33,14 @@
 	d.waitFor("a failed call", func() bool { return strings.Count(d.log(), "discovery call failed") > failed })
 }
 
-// TestPushedLists_drains checks that drains of a pushed list are observed after the start, after the agent has left calls unanswered,
+// TestPushedLists_drains checks that drains in a pushed list are observed after the start, after the agent has left calls unanswered,
 // after a reload has moved discovery to another agent, and during a handover.
 func TestPushedLists_drains(t *testing.T) {
 	workerA, workerB := startWorker(t, "a", completeJob), startWorker(t, "b", completeJob)
 	dispatcher := startDispatcherWith(t, "", withPushedLists, workerA, workerB)
 	dispatcher.drainAndCheck(dispatcher.discovery, workerA, workerB)
 	dispatcher.stallAgent(dispatcher.discovery)
-	dispatcher.drainAndCheck(dispatcher.discovery, workerB, workerA) // it began to drain while the agent did not answer
+	dispatcher.drainAndCheck(dispatcher.discovery, workerB, workerA) // the first list after calls that the agent did not answer
 
 	otherAgent := newTestDiscovery(workerA, workerB)
 	otherAgent.revision = 100
@@ -53,7 +53,7 @@
 
 	successor := dispatcher.startSuccessor("")
 	dispatcher.waitForHandovers(1)
-	successor.drainAndCheck(otherAgent, workerB, workerA, dispatcher) // an idle connection of the client may lead to the predecessor
+	successor.drainAndCheck(otherAgent, workerB, workerA, dispatcher) // the client may reuse an idle connection to the predecessor
 	dispatcher.terminate()
 }
 
@@ -65,7 +65,7 @@
 	dispatcher.discovery.hanging = true
 	dispatcher.start("", withPushedLists)
 	if status, _, _ := dispatcher.sendKey("first"); status != 200 {
-		t.Errorf("a request before the agent answers: status %d", status)
+		t.Errorf("a request before the agent answers: status %d, want 200", status)
 	}
 	dispatcher.waitForLog("discovery call failed")
 	dispatcher.drainAndCheck(dispatcher.discovery, workerA, workerB)
--- a/cmd/brassdale/quotas_bench_test.go
+++ b/cmd/brassdale/quotas_bench_test.go
@@ -19,13 +19,14 @@
 	account string
 }
 
-// benchAccounts have their shares of the deployment; the first sends five times its own.
+// benchAccounts are the accounts of the deployment with their shares. The first account sends five times its share.
 var benchAccounts = []struct {
 	name  string
 	share float64
 }{{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18}, {"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08}}
 
-// recordTraffic returns traffic of 400 requests per second at the accounts' shares, and what the first account sends beyond its own.
+// recordTraffic returns random traffic in which each account sends its share of 400 requests per second, and the first account five times
+// its share.
 func recordTraffic(duration time.Duration) (trace []recordedRequest) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for i, account := range benchAccounts {
@@ -42,7 +43,7 @@
 	return trace
 }
 
-// connectionClosed reports whether the other side has closed a connection on which nothing more is to come.
+// connectionClosed reports whether the other side has closed a connection on which no more data is expected.
 func connectionClosed(conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
 	defer conn.SetReadDeadline(time.Time{})
@@ -50,10 +51,10 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// inTimeLimit is how long after it was due a request may be answered to count as served in time.
+// inTimeLimit is the longest time from when a request was due to its answer for it to count as served in time.
 const inTimeLimit = 400 * time.Millisecond
 
-// sendOnSchedule calls send for each request when it is due, whatever became of those before, and waits for all calls.
+// sendOnSchedule calls send for each request when it is due, without waiting for earlier calls, and then waits for all calls.
 func sendOnSchedule(schedule []time.Duration, send func(index int, due time.Time)) {
 	var calls sync.WaitGroup
 	beganAt := time.Now()
@@ -65,7 +66,7 @@
 	calls.Wait()
 }
 
-// replay sends recorded traffic and returns the share of requests that were served in time, by account and as "all".
+// replay sends recorded traffic and returns the shares of requests that were served in time, by account, and under "all" for all accounts.
 func replay(trace []recordedRequest, send func(index int, account string) (status int)) map[string]float64 {
 	var schedule []time.Duration
 	for _, request := range trace {
@@ -91,8 +92,8 @@
 	return inTime
 }
 
-// BenchmarkQuotas replays the same traffic over HTTP/1.1, over HTTP/2 and half over each, in turns: 12 workers of 5 slots and 100 ms a
-// job serve 600 of the 770 requests per second, and the surplus is one account's.
+// BenchmarkQuotas replays the same traffic over HTTP/1.1, over HTTP/2 and half over each, in turns. 12 workers with 5 slots and 100 ms per
+// job can serve 600 of the 770 requests per second; one account sends the surplus.
 func BenchmarkQuotas(b *testing.B) {
 	slots := sync.Map{} // by worker
 	workers := startWorkers(b, 12, func(worker *testWorker, conn net.Conn, r *http.Request) {
@@ -127,7 +128,7 @@
 				status, _, _ := trySend(clients[frontend], newRequest(urls[frontend], fmt.Sprint("mixed-", round, mode, "-", index), "Req-Owner", account))
 				return status
 			})
-			if round == 0 { // connections and statistics are new
+			if round == 0 { // a warmup: connections and statistics are new
 				continue
 			}
 			for account, share := range inTime {
@@ -141,7 +142,7 @@
 	logShares(b, modes, shares)
 }
 
-// logShares logs the median and the range of the shares that were served in time.
+// logShares logs the median and the range of the shares of requests that were served in time.
 func logShares(b *testing.B, modes []string, shares map[string][][]float64) {
 	b.Helper()
 	names := []string{"all"}
--- a/cmd/brassdale/quotas_test.go
+++ b/cmd/brassdale/quotas_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestQuotas_atBothFrontends checks that the accounts' shares of 20 open requests are counted over both frontends together: an account that
-// sends five times its share gets half of the capacity while it is alone, and the others still get their shares.
+// sends five times its share gets half of the capacity while no other account sends, and the others still get their shares.
 func TestQuotas_atBothFrontends(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -41,7 +41,7 @@
 			select {
 			case status := <-done:
 				if status != 503 {
-					t.Errorf("%s: status %d, or 503 without Retry-After", key, status)
+					t.Errorf("%s: status %d (-503 is 503 without Retry-After), want 503", key, status)
 				}
 				rejected[account]++
 				return true
@@ -53,7 +53,7 @@
 			open[account]++
 		}
 	}
-	for i := range 25 { // alone it gets half of the capacity, five times its share
+	for i := range 25 { // five times its share; while no other account sends, half of the capacity is granted
 		send("greedy", i)
 	}
 	for i := range 5 {
@@ -64,7 +64,7 @@
 	}
 	send("greedy", 25)
 	if open["greedy"] != 10 || open["second"] != 5 || open["third"] != 4 || rejected["greedy"] != 16 {
-		t.Errorf("open %v, rejected %v", open, rejected)
+		t.Errorf("open %v, rejected %v, want 10 greedy, 5 second and 4 third open, and 16 greedy rejected", open, rejected)
 	}
 	close(release)
 	counts := map[string]int{} // by account and status
@@ -72,11 +72,12 @@
 		counts[<-answers]++
 	}
 	if counts["greedy 200"] != 10 || counts["second 200"] != 5 || counts["third 200"] != 4 || counts["greedy 503"] != 16 {
-		t.Errorf("answers %v", counts)
+		t.Errorf("answers %v, want status 200 for 10 greedy, 5 second and 4 third, and 503 for 16 greedy", counts)
 	}
 }
 
-// TestQuotas_handover checks that both processes of a handover share one capacity: what the predecessor has open is not granted again.
+// TestQuotas_handover checks that both processes of a handover share one capacity: the successor does not grant the part again that open
+// requests use at the predecessor.
 func TestQuotas_handover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -98,15 +99,15 @@
 	successor := dispatcher.startSuccessor(operator)
 	dispatcher.waitForHandovers(1)
 	successor.waitForMetric("accounts_room", 5)
-	open(successor, "b", 3) // its share of the five that are free, 2.5, and beyond it while enough is free
+	open(successor, "b", 3) // its share of the free capacity of 5 is 2.5; beyond it while enough is free
 	status, _, after := successor.sendKey("one-more", "Req-Owner", "b")
 	if status != 503 || after == "" {
-		t.Errorf("beyond the capacity: status %d", status)
+		t.Errorf("beyond the capacity: status %d, want 503 with Retry-After", status)
 	}
 	close(release)
 	for range 8 {
 		if status := <-answers; status != 200 {
-			t.Errorf("an accepted request: status %d", status)
+			t.Errorf("an accepted request: status %d, want 200", status)
 		}
 	}
 }
--- a/cmd/brassdale/reload_test.go
+++ b/cmd/brassdale/reload_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestStart_invalidFiles checks that an invalid file ends the start with exit code 1 and one line that names the field.
+// TestStart_invalidFiles checks that with an invalid file the process exits with code 1 and logs one line that names the field.
 func TestStart_invalidFiles(t *testing.T) {
 	t.Parallel()
 	good := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":` + settingsJSON + `}`
@@ -27,14 +27,14 @@
 		dispatcher.startProcess(test.config, test.operator)
 		<-dispatcher.exited
 		if text := dispatcher.log(); dispatcher.command.ProcessState.ExitCode() != 1 || strings.Count(text, "\n") != 1 || !strings.Contains(text, test.want) {
-			t.Errorf("%s %s: exit code %d, %q", test.config[:20], test.operator, dispatcher.command.ProcessState.ExitCode(), text)
+			t.Errorf("%s %s: exit code %d, want 1 and one log line that names the field, got %q", test.config[:20], test.operator, dispatcher.command.ProcessState.ExitCode(), text)
 		}
 	}
 }
 
-// TestReload_movesDiscovery checks that SIGHUP moves discovery: the complete list of the new service is read at once, whatever its
-// revision, while the watch at the old one is still open, and an open request is served. An invalid file changes nothing, repeated
-// signals do no harm, and SIGTERM ends the process afterwards.
+// TestReload_movesDiscovery checks that SIGHUP moves discovery: the complete list of the new service is read at once, regardless of its
+// revision, while the watch at the old service is still open, and an open request is served. An invalid file changes nothing, repeated
+// signals have no further effect, and SIGTERM ends the process afterwards.
 func TestReload_movesDiscovery(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -60,7 +60,7 @@
 	}
 	dispatcher.waitForLog("complete=true endpoints=2")
 	if status, _, _ := dispatcher.sendKey("next"); status != 200 {
-		t.Errorf("a request after the move: status %d", status)
+		t.Errorf("a request after the move: status %d, want 200", status)
 	}
 	if jobs := workerB.jobCount(); jobs != 1 {
 		t.Errorf("%d requests at the worker that only the new discovery lists, want 1", jobs)
@@ -69,15 +69,15 @@
 	dispatcher.waitForLog("revision=2")
 	close(release)
 	if status := <-answered; status != 200 {
-		t.Errorf("the open request: status %d", status)
+		t.Errorf("the open request: status %d, want 200", status)
 	}
 	dispatcher.terminate()
 	dispatcher.reload(moved)
 	dispatcher.waitForExit(time.Now().Add(8 * time.Second))
 }
 
-// breakFirstAttempts returns a handler for several workers. Jobs whose key begins with "waits" wait for the release; the first attempt
-// of a key that contains "breaks" ends with a closed connection, and all others are completed.
+// breakFirstAttempts returns a handler for several workers. Jobs whose key begins with "waits" wait for the release. The connection of the
+// first attempt of a key that contains "breaks" is closed; all other attempts are completed.
 func breakFirstAttempts(release <-chan struct{}) jobHandler {
 	var mu sync.Mutex
 	attempts := map[string]int{} // by key
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestReload_changedClasses checks a reload that removes a class, adds one with another idempotency, and allows fewer attempts: an open
-// request keeps the settings that it began with, retries included, and later requests have the new ones.
+// TestReload_changedClasses checks a reload that removes a class, adds a non-idempotent one, and allows fewer attempts: an open request
+// keeps the settings from its start, including the number of retries, and later requests get the new settings.
 func TestReload_changedClasses(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -130,35 +130,35 @@
 		return status
 	}
 	if status := send("price-part", "removed"); status != 404 {
-		t.Errorf("a removed class: status %d", status)
+		t.Errorf("a removed class: status %d, want 404", status)
 	}
 	if status := send("rush", "new"); status != 200 {
-		t.Errorf("a new class without keys: status %d", status)
+		t.Errorf("a new class without keys: status %d, want 200", status)
 	}
 	if status := send("price-whole", "breaks"); status != 502 && status != 504 {
-		t.Errorf("a request whose only attempt broke: status %d", status)
+		t.Errorf("a request whose only attempt broke: status %d, want 502 or 504", status)
 	}
 	close(release)
 	if status := <-waiting; status != 200 {
-		t.Errorf("the open request, which has four attempts: status %d", status)
+		t.Errorf("the open request, which has four attempts: status %d, want 200", status)
 	}
 	dispatcher.checkMetrics("after the reload", map[string]int{"replies.price-part.success": 1, "replies.price-part.error": 1,
 		"replies.rush.success": 1, "replies.price-whole.error": 1})
 	dispatcher.reload(dispatcher.config)
 	dispatcher.waitForMetric("reload_success", 2)
 	if status := send("price-part", "again"); status != 200 {
-		t.Errorf("a class that was added again: status %d", status)
+		t.Errorf("a class that was added again: status %d, want 200", status)
 	}
 }
 
-// TestReload_invalidFiles checks that nothing of an invalid file is applied, and that requests are served by the settings before.
+// TestReload_invalidFiles checks that no part of an invalid file is applied, and that requests are served by the previous settings.
 func TestReload_invalidFiles(t *testing.T) {
 	t.Parallel()
 	dispatcher := startDispatcher(t, "", startWorker(t, "a", completeJob))
 	good := strings.Replace(dispatcher.config, `"name":"price-part"`, `"name":"other"`, 1)
 	replaced := func(old, new string) string {
 		if !strings.Contains(good, old) {
-			t.Fatalf("no %s in the file", old)
+			t.Fatalf("the platform's file does not contain %s", old)
 		}
 		return strings.Replace(good, old, new, 1)
 	}
@@ -174,7 +174,7 @@
 		dispatcher.reload(text)
 		dispatcher.waitForMetric("reload_failure", i+1)
 		if status, _, _ := dispatcher.sendKey(fmt.Sprint(i)); status != 200 || dispatcher.metric("reload_success") != 0 {
-			t.Fatalf("after file %d, %.60q: status %d, or the file was applied", i, text, status)
+			t.Fatalf("after file %d, %.60q: status %d, want 200 and reload_success=0", i, text, status)
 		}
 	}
 	dispatcher.reload(good)
--- a/cmd/brassdale/requests_test.go
+++ b/cmd/brassdale/requests_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRequest_servedOrRejectedAsInvalid checks what of a request reaches a worker, and with which status invalid requests are answered;
-// none of those reaches a worker.
+// TestRequest_servedOrRejectedAsInvalid checks which parts of a request reach a worker, and with which statuses invalid requests are
+// answered. No invalid request reaches a worker.
 func TestRequest_servedOrRejectedAsInvalid(t *testing.T) {
 	t.Parallel()
 	var received http.Header
@@ -20,7 +20,7 @@
 	})
 	dispatcher := startDispatcher(t, "", worker)
 	if status, body, _ := dispatcher.sendKey("k1"); status != 200 || body != "priced" {
-		t.Errorf("a valid request: status %d %q", status, body)
+		t.Errorf("a valid request: status %d %q, want 200 \"priced\"", status, body)
 	}
 	for name, want := range map[string]string{"Req-Id": "id-k1", "Idempotency-Key": "k1", "Target": "/price-part?sheet=7", "Body": "drawing"} {
 		if value := received.Get(name); value != want {
@@ -28,17 +28,17 @@
 		}
 	}
 	checkInvalidRequests(t, dispatcher)
-	if jobs := worker.jobCount(); jobs != 2 { // one of them is the valid one of checkInvalidRequests
+	if jobs := worker.jobCount(); jobs != 2 { // one of them is the valid request of checkInvalidRequests
 		t.Errorf("%d jobs at the worker, want 2", jobs)
 	}
 }
 
-// checkInvalidRequests checks the answers to invalid requests, and to a valid one with an unknown extension.
+// checkInvalidRequests checks the answers to invalid requests, and to a valid request with an unknown extension.
 func checkInvalidRequests(t *testing.T, dispatcher *testDispatcher) {
 	t.Helper()
 	resp, err := http.Get(dispatcher.http1URL + "/price-part")
 	if err != nil || resp.StatusCode != 405 || resp.Header.Get("Allow") != "POST" {
-		t.Errorf("GET: %v %v", resp, err)
+		t.Errorf("GET: got answer %v, error %v, want status 405 with Allow: POST", resp, err)
 	}
 	large := newRequest(dispatcher.http1URL, "k2")
 	setBody(large, 64<<10+1, -1)
@@ -71,7 +71,7 @@
 		conn := dispatcher.dial()
 		io.WriteString(conn, text)
 		if answer, _ := io.ReadAll(conn); !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") {
-			t.Errorf("%q: answered %q", text, answer)
+			t.Errorf("%q: answered %q, want status 400", text, answer)
 		}
 		conn.Close()
 	}
@@ -85,13 +85,13 @@
 	dispatcher := startDispatcher(t, "", worker)
 	answered := dispatcher.sendInBackground(worker, "k")
 	if status, _, _ := dispatcher.sendKey("other", "Req-Id", "id-k"); status != 409 {
-		t.Errorf("the ID of an open request: status %d", status)
+		t.Errorf("the ID of an open request: status %d, want 409", status)
 	}
 	close(release)
 	if status := <-answered; status != 200 {
-		t.Errorf("the first request: status %d", status)
+		t.Errorf("the first request: status %d, want 200", status)
 	}
 	if status, _, _ := dispatcher.sendKey("later", "Req-Id", "id-k"); status != 200 {
-		t.Errorf("the ID of an answered request: status %d", status)
+		t.Errorf("the ID of an answered request: status %d, want 200", status)
 	}
 }
--- a/cmd/brassdale/shutdown_test.go
+++ b/cmd/brassdale/shutdown_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// TestShutdown_answersOpenRequest checks that a process is not ready after SIGTERM while its listener is still open, answers the open
-// request, and ends by itself.
+// TestShutdown_answersOpenRequest checks that after SIGTERM a process reports that it is not ready while its listener is still open,
+// answers the open request, and exits by itself.
 func TestShutdown_answersOpenRequest(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -22,10 +22,10 @@
 	dispatcher := startDispatcher(t, "", worker)
 	answered := dispatcher.sendInBackground(worker, "k")
 	dispatcher.terminate()
-	dispatcher.waitFor("not ready", func() bool {
+	dispatcher.waitFor("status 503 from /health/ready", func() bool {
 		resp, err := http.Get(dispatcher.http1URL + "/health/ready")
 		if err != nil {
-			t.Fatal("the listener was closed at once, while clients still come:", err)
+			t.Fatal("the listener was closed before /health/ready reported status 503:", err)
 		}
 		resp.Body.Close()
 		return resp.StatusCode == 503
@@ -33,14 +33,14 @@
 	dispatcher.waitFor("a closed listener", dispatcher.refusesConnections)
 	close(release)
 	if status := <-answered; status != 200 {
-		t.Errorf("the open request: status %d", status)
+		t.Errorf("the open request: status %d, want 200", status)
 	}
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 }
 
 // TestShutdown_servesUntilShortlyBeforeKill checks that for 1 s after SIGTERM clients are served, also on new connections, and that a
-// request whose worker stalls is answered before the process ends within 3.7 s: the platform kills it 0.7 s after the longest deadline,
-// of which it counts 3 s at most.
+// request whose worker stalls is answered before the process ends, within 3.7 s. The platform kills the process 0.7 s after the longest
+// deadline, of which it counts 3 s at most.
 func TestShutdown_servesUntilShortlyBeforeKill(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", stallOnStuckKeys)
@@ -61,27 +61,27 @@
 	dispatcher.terminate()
 	for i := 0; time.Since(terminatedAt) < time.Second; i++ {
 		if status := send(fmt.Sprint("idle-", i)); status != 200 {
-			t.Errorf("on an idle connection: status %d", status)
+			t.Errorf("on an idle connection: status %d, want 200", status)
 		}
-		dispatcher.dial().Close() // there may be no other dispatcher for the client
+		dispatcher.dial().Close() // new connections must be accepted, as the client may have no other dispatcher
 	}
 	if status := <-answered; status != 502 && status != 504 {
-		t.Errorf("a request whose worker stalls: status %d", status)
+		t.Errorf("a request whose worker stalls: status %d, want 502 or 504", status)
 	}
 	dispatcher.waitForLog("msg=\"shutdown complete\"")
-	took := time.Since(terminatedAt) // the exit itself takes a second more under the race detector
+	took := time.Since(terminatedAt) // without the exit itself, which takes a second more under the race detector
 	if <-dispatcher.exited; took > 3700*time.Millisecond || dispatcher.command.ProcessState.ExitCode() != 0 {
 		t.Errorf("exit code %d after %v, want 0 within 3.7 s", dispatcher.command.ProcessState.ExitCode(), took)
 	}
 }
 
 // TestShutdown_reservesFreeConnections checks that during a shutdown requests on the last free connections are rejected with advice to
-// retry, and the connections stay open. No new connections come then, and if all were busy, the platform's load balancer would count
-// the process as gone and send no more requests on those that become free either.
+// retry, and that these connections stay open. During a shutdown no new connections arrive. If all were busy, the platform's load balancer
+// would count the process as gone, and send no requests on connections that become free later.
 func TestShutdown_reservesFreeConnections(t *testing.T) {
 	t.Parallel()
-	workers := startWorkers(t, 12, stallOnStuckKeys)                        // enough to accept all at once: a rejected request frees its connection
-	dispatcher := startDispatcherWith(t, "", withoutLateWeight, workers...) // what waits is rejected soon
+	workers := startWorkers(t, 12, stallOnStuckKeys)                        // enough to start all jobs at once, as a rejected request frees its connection
+	dispatcher := startDispatcherWith(t, "", withoutLateWeight, workers...) // waiting requests are rejected soon
 	for i := range 30 {
 		if err := newRequest(dispatcher.http1URL, fmt.Sprint("stuck-", i)).Write(dispatcher.dial()); err != nil {
 			t.Fatal(err)
@@ -100,7 +100,7 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp
 	}
-	io.WriteString(other, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n") // no request of a class: the connection stays free
+	io.WriteString(other, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n") // not a request for a job, so the connection stays free
 	dispatcher.waitFor("30 jobs at the workers", func() bool { return totalJobs(workers...) >= 30 })
 	dispatcher.terminate()
 	sent, resp := 0, (*http.Response)(nil)
@@ -110,12 +110,12 @@
 		return strings.Contains(dispatcher.log(), "last free connections during shutdown")
 	})
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || resp.Close {
-		t.Errorf("status %d, Retry-After %q, connection closed: %v", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
+		t.Errorf("status %d, Retry-After %q, connection closed: %v, want 503 with Retry-After, and false", resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
 	}
 }
 
-// TestShutdown_shortDeadlines checks that for 0.4 s after SIGTERM new connections are accepted and served, also where all deadlines are
-// as short.
+// TestShutdown_shortDeadlines checks that for 0.4 s after SIGTERM new connections are accepted and served, even if all deadlines are only
+// 0.4 s.
 func TestShutdown_shortDeadlines(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
@@ -125,7 +125,7 @@
 	for i, terminatedAt := 0, time.Now(); time.Since(terminatedAt) < 400*time.Millisecond; i++ {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(dispatcher.http1URL, "http://"))
 		if err != nil {
-			t.Fatalf("no connection %v after SIGTERM: %v", time.Since(terminatedAt), err)
+			t.Fatalf("no connection was accepted %v after SIGTERM: %v", time.Since(terminatedAt), err)
 		}
 		newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)).Write(conn)
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
@@ -137,7 +137,7 @@
 	dispatcher.waitForExit(time.Now().Add(3 * time.Second))
 }
 
-// readStatus reads an answer and returns its status; an error is one of the test.
+// readStatus reads an answer and returns its status. It reports an error as a test error and then returns 0.
 func readStatus(t *testing.T, name string, conn net.Conn) int {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -150,7 +150,7 @@
 }
 
 // TestShutdown_requestsInEachState checks a shutdown, with SIGHUP and a second SIGTERM in between, with a request whose worker stalls, one
-// whose body is half received, one that is pipelined behind another, and a client that sends requests until its connection ends. Each
+// whose body is half received, one that is pipelined after another, and a client that sends requests until its connection ends. Each
 // complete request that was read is answered, and no connection is reset.
 func TestShutdown_requestsInEachState(t *testing.T) {
 	t.Parallel()
@@ -162,7 +162,7 @@
 	newRequest(dispatcher.http1URL, "half").Write(&text)
 	half.Write(text.Bytes()[:text.Len()-3])
 	newRequest(dispatcher.http1URL, "stuck-2").Write(pipelined)
-	newRequest(dispatcher.http1URL, "behind").Write(pipelined)
+	newRequest(dispatcher.http1URL, "after-stuck").Write(pipelined)
 	dispatcher.waitFor("2 jobs at the worker", func() bool { return worker.jobCount() >= 2 })
 	answers := bufio.NewReader(repeating)
 	repeat := func(i int) (*http.Response, error) {
@@ -181,29 +181,29 @@
 	dispatcher.terminate()
 	half.Write(text.Bytes()[text.Len()-3:])
 	if status := readStatus(t, "half received at SIGTERM", half); status != 200 {
-		t.Errorf("half received at SIGTERM: status %d", status)
+		t.Errorf("half received at SIGTERM: status %d, want 200", status)
 	}
 	var err error
 	for i := 1; err == nil; i++ {
 		var resp *http.Response
 		if resp, err = repeat(i); err == nil && resp.StatusCode != 200 && resp.StatusCode != 503 {
-			t.Errorf("on an idle connection: status %d", resp.StatusCode)
+			t.Errorf("on an idle connection: status %d, want 200 or 503", resp.StatusCode)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("an idle connection ended with %v", err)
+		t.Errorf("an idle connection ended with %v, want EOF", err)
 	}
-	for name, conn := range map[string]net.Conn{"stalled": stalled, "stalled, with one pipelined behind": pipelined} {
+	for name, conn := range map[string]net.Conn{"stalled": stalled, "stalled, with one pipelined after it": pipelined} {
 		if status := readStatus(t, name, conn); status != 502 && status != 504 {
-			t.Errorf("%s: status %d", name, status)
+			t.Errorf("%s: status %d, want 502 or 504", name, status)
 		}
 	}
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 }
 
-// TestShutdown_rejectsUnfinishedRequests checks that requests which are not complete when the process ends are answered 503, so that
-// their clients know that nothing ran: one of 10 bytes and one without its last byte, each sent byte by byte.
+// TestShutdown_rejectsUnfinishedRequests checks that requests which are incomplete when the process ends are answered 503, so that their
+// clients know that no job ran. One request has only 10 bytes and one lacks its last byte; both are sent byte by byte.
 func TestShutdown_rejectsUnfinishedRequests(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeJob)
@@ -220,7 +220,7 @@
 		go func() {
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err == nil && resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("%d of %d bytes sent: status %d", size, text.Len(), resp.StatusCode)
+				t.Errorf("%d of %d bytes sent: status %d, want 503", size, text.Len(), resp.StatusCode)
 			}
 			answered <- err
 		}()
@@ -232,7 +232,7 @@
 		}()
 		defer func() {
 			if err := <-answered; err != nil {
-				t.Errorf("%d bytes sent: %v", size, err)
+				t.Errorf("%d bytes sent: want an answer, got error %v", size, err)
 			}
 		}()
 	}
@@ -240,12 +240,13 @@
 	dispatcher.terminate()
 	dispatcher.waitForExit(time.Now().Add(1300 * time.Millisecond))
 	if jobs := worker.jobCount(); jobs != 0 {
-		t.Errorf("%d jobs at the worker", jobs)
+		t.Errorf("%d jobs at the worker, want 0", jobs)
 	}
 }
 
-// TestShutdown_requestIsAsYoungAsItArrived guards against requests behind SIGTERM that are given up as too late right after they arrived: the time
-// that the shutdown leaves them is shorter than their deadline, and must not be taken for time that has passed at the client.
+// TestShutdown_requestIsAsYoungAsItArrived guards against rejecting requests as too late right after they arrive during a shutdown: the
+// time that the shutdown leaves them is shorter than their deadline, and the difference must not count as time that has passed at the
+// client.
 func TestShutdown_requestIsAsYoungAsItArrived(t *testing.T) {
 	t.Parallel()
 	startsLate := func(worker *testWorker, conn net.Conn, r *http.Request) {
@@ -260,12 +261,12 @@
 		return status
 	}
 	if status := sendOn("before"); status != http.StatusOK {
-		t.Fatalf("before SIGTERM: status %d", status)
+		t.Fatalf("before SIGTERM: status %d, want 200", status)
 	}
 	dispatcher.terminate()
 	for terminatedAt, i := time.Now(), 0; time.Since(terminatedAt) < time.Second; i++ {
-		if status := sendOn(fmt.Sprint("behind-", i)); status != http.StatusOK {
-			t.Fatalf("%v behind SIGTERM: status %d", time.Since(terminatedAt), status)
+		if status := sendOn(fmt.Sprint("after-", i)); status != http.StatusOK {
+			t.Fatalf("%v after SIGTERM: status %d, want 200", time.Since(terminatedAt), status)
 		}
 	}
 }
--- a/cmd/brassdale/tls_test.go
+++ b/cmd/brassdale/tls_test.go
@@ -50,7 +50,7 @@
 		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: must(x509.MarshalECPrivateKey(key))})
 }
 
-// newClient returns a client with a certificate for a name; an empty one for none.
+// newClient returns a client with a certificate for a name; an empty name for no certificate.
 func (a *certificateAuthority) newClient(name string) *http.Client {
 	config := &tls.Config{RootCAs: x509.NewCertPool()}
 	config.RootCAs.AddCert(a.certificate)
@@ -63,15 +63,15 @@
 	return &http.Client{Transport: transport}
 }
 
-// sendTLS sends a request of an account over TLS and returns the status; 0 where there is no answer.
+// sendTLS sends a request of an account over TLS and returns the status; 0 without an answer.
 func (d *testDispatcher) sendTLS(client *http.Client, key, account string) int {
 	url := strings.Replace(d.http2URL, "http://", "https://", 1)
 	status, _, _ := trySend(client, newRequest(url, key, "Req-Owner", account))
 	return status
 }
 
-// TestTLS_clientCertificatesAndReload checks that client certificates decide for which accounts requests are accepted, and that SIGHUP
-// applies new files of certificates and grants as a whole or not at all.
+// TestTLS_clientCertificatesAndReload checks that a client's certificate determines for which accounts its requests are accepted, and that
+// SIGHUP applies new files of certificates and grants as a whole or not at all.
 func TestTLS_clientCertificatesAndReload(t *testing.T) {
 	t.Parallel()
 	authority, dir := newCertificateAuthority(t), t.TempDir()
@@ -104,19 +104,19 @@
 	dispatcher := startDispatcher(t, operator(`"gwent-pumps"`), worker)
 	granted := authority.newClient("gwent.example")
 	if status := dispatcher.sendTLS(granted, "k", "gwent-pumps"); status != 200 {
-		t.Errorf("a granted account: status %d", status)
+		t.Errorf("a granted account: status %d, want 200", status)
 	}
 	if status := dispatcher.sendTLS(granted, "foreign", "taff-marine"); status != 403 {
-		t.Errorf("an account that is not granted: status %d", status)
+		t.Errorf("an account that is not granted: status %d, want 403", status)
 	}
 	if status := dispatcher.sendTLS(authority.newClient("taff.example"), "unknown", "gwent-pumps"); status != 403 {
-		t.Errorf("a certificate without grants: status %d", status)
+		t.Errorf("a certificate without grants: status %d, want 403", status)
 	}
 	if status := dispatcher.sendTLS(authority.newClient(""), "none", "gwent-pumps"); status != 0 {
-		t.Errorf("no certificate: status %d", status)
+		t.Errorf("no certificate: status %d, want no answer (0)", status)
 	}
 	if status := dispatcher.sendTLS(newCertificateAuthority(t).newClient("gwent.example"), "false", "gwent-pumps"); status != 0 {
-		t.Errorf("a certificate of an unknown authority: status %d", status)
+		t.Errorf("a certificate of an unknown authority: status %d, want no answer (0)", status)
 	}
 	if worker.runsOf("foreign")+worker.runsOf("unknown")+worker.runsOf("none")+worker.runsOf("false") != 0 {
 		t.Error("a forbidden request reached the worker")
@@ -129,7 +129,7 @@
 	}
 	// Without TLS, or with HTTP/1.1 over TLS, the connection is closed without an answer.
 	if status, _, _ := trySend(newHTTP2Client(t), newRequest(dispatcher.http2URL, "clear")); status != 0 {
-		t.Errorf("without TLS: status %d", status)
+		t.Errorf("without TLS: status %d, want no answer (0)", status)
 	}
 	onlyHTTP1 := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"http/1.1"}}
 	if conn, err := tls.Dial("tcp", strings.TrimPrefix(dispatcher.http2URL, "http://"), onlyHTTP1); err == nil {
@@ -146,7 +146,7 @@
 			return dispatcher.metric("reload_success") == applied && dispatcher.metric("reload_failure") == rejected
 		})
 	}
-	// With an invalid certificate, or a key that others may read, nothing is applied, also not what is valid in the new file.
+	// With an invalid certificate, or a key that others may read, no change is applied, not even valid parts of the new file.
 	write("server.pem", []byte("invalid"))
 	dispatcher.writeFile(dispatcher.operatorPath, operator(`"taff-marine"`))
 	reload(0, 1)
@@ -156,14 +156,14 @@
 	}
 	reload(0, 2)
 	if !strings.Contains(dispatcher.log(), "operator.hcl:") || !strings.Contains(dispatcher.log(), "others may read it") {
-		t.Error("the log does not name the error and its place")
+		t.Error("no \"operator.hcl:\" or no \"others may read it\" in the log")
 	}
 	if status := dispatcher.sendTLS(authority.newClient("gwent.example"), "after", "gwent-pumps"); status != 200 {
-		t.Errorf("after rejected reloads: status %d", status)
+		t.Errorf("after rejected reloads: status %d, want 200", status)
 	}
 	// A new certificate that expires soon, and a new grant.
 	if strings.Contains(dispatcher.log(), "certificate expires") {
-		t.Error("a warning of a certificate that is valid for 30 days")
+		t.Error("\"certificate expires\" was logged for a certificate that is valid for 30 days")
 	}
 	certificate, key = authority.sign("dispatcher.example", 3*24*time.Hour)
 	write("server.pem", certificate)
@@ -174,10 +174,10 @@
 	if days := dispatcher.metric("front.http2.certificate_days"); days != 2 {
 		t.Errorf("the new certificate expires in %d days, want 2", days)
 	}
-	if status := dispatcher.sendTLS(granted, "granted", "taff-marine"); status != 200 { // also on its connection from before
+	if status := dispatcher.sendTLS(granted, "granted", "taff-marine"); status != 200 { // on the connection that it opened before the reload
 		t.Errorf("a new grant: status %d", status)
 	}
 	if status := dispatcher.sendTLS(granted, "revoked", "gwent-pumps"); status != 403 {
-		t.Errorf("a revoked grant: status %d", status)
+		t.Errorf("a revoked grant: status %d, want 403", status)
 	}
 }
--- a/cmd/brassdale/workerconnection_test.go
+++ b/cmd/brassdale/workerconnection_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestWorkerConnection_secondAnswerDiscarded checks that a connection is not used again at once after an answer: a second answer, which
-// the worker sends when the next job comes within 20 ms, would be read as that job's.
+// TestWorkerConnection_secondAnswerDiscarded checks that a connection is not reused immediately after an answer. The worker sends a second
+// answer to a job if the next job comes within 20 ms, and it would be read as the answer of that next job.
 func TestWorkerConnection_secondAnswerDiscarded(t *testing.T) {
 	t.Parallel()
 	const quietPeriod = 20 * time.Millisecond
@@ -33,23 +33,23 @@
 	dispatcher := startDispatcher(t, "", worker)
 	for i := range 20 {
 		if status, _, _ := dispatcher.sendKey(fmt.Sprint(i)); status != 200 {
-			t.Fatalf("request %d, right after another's answer: status %d", i, status)
+			t.Fatalf("request %d, right after another's answer: status %d, want 200", i, status)
 		}
 	}
 }
 
-// TestWorkerConnection_reuse checks that idle connections to a worker are used again, and that one that the worker has closed is not.
+// TestWorkerConnection_reuse checks that idle connections to a worker are reused, except a connection that the worker has closed.
 func TestWorkerConnection_reuse(t *testing.T) {
 	t.Parallel()
 	keeping := startWorker(t, "a", completeJob)
 	dispatcher := startDispatcher(t, "", keeping)
 	dispatcher.sendKey("first")
 	for i := range 5 {
-		time.Sleep(40 * time.Millisecond) // longer than a connection must be idle after an answer before it is used again
+		time.Sleep(40 * time.Millisecond) // longer than a connection must be idle after an answer before it is reused
 		dispatcher.sendKey(fmt.Sprint(i))
 	}
 	if connections := keeping.connectionCount(); connections > 2 { // one for requests, perhaps one more for a probe
-		t.Errorf("%d connections for 6 requests in turn, more than 2", connections)
+		t.Errorf("%d connections for 6 sequential requests, more than 2", connections)
 	}
 	closing := startWorker(t, "b", func(worker *testWorker, conn net.Conn, r *http.Request) {
 		completeJob(worker, conn, r)
@@ -59,7 +59,7 @@
 	dispatcher = startDispatcher(t, "", closing)
 	for i := range 5 {
 		if status, _, _ := dispatcher.sendKey(fmt.Sprint(i)); status != 200 {
-			t.Errorf("request %d, after a closed connection: status %d", i, status)
+			t.Errorf("request %d, after a closed connection: status %d, want 200", i, status)
 		}
 		<-closing.abandoned
 	}
--- a/cmd/brassdale/workers_test.go
+++ b/cmd/brassdale/workers_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// asOneOfEighty is a change of the platform's file to one of 80 dispatchers.
+// asOneOfEighty is a change of the platform's file to that of one of 80 dispatchers.
 var asOneOfEighty = withSetting(`"replicasOfMe":1`, `"replicasOfMe":80,"ordinal":7`)
 
-// TestWorkers_mostReplaced checks that all requests are served while six of ten workers are replaced: new ones have new IDs, and the old
-// ones answer nothing more on connections that stay open. Once the new list is known, the old ones get no requests.
+// TestWorkers_mostReplaced checks that all requests are served while six of ten workers are replaced. The new workers have new IDs; the old
+// ones keep their connections open but no longer answer. Once the new list is known, the old workers get no requests.
 func TestWorkers_mostReplaced(t *testing.T) {
 	t.Parallel()
 	var silent atomic.Bool
@@ -32,11 +32,11 @@
 	}
 	dispatcher := startDispatcherWith(t, "", asOneOfEighty, workers...)
 	if served := dispatcher.sendMany("before", 100); served != 100 {
-		t.Errorf("%d of 100 served before the replacement", served)
+		t.Errorf("%d of 100 requests served before the replacement, want all", served)
 	}
-	silent.Store(true) // the old workers cannot be reached, and the list does not say so yet
+	silent.Store(true) // the old workers no longer answer, but are still listed
 	if served := dispatcher.sendMany("unlisted", 100); served != 100 {
-		t.Errorf("%d of 100 served before the new list", served)
+		t.Errorf("%d of 100 requests served before the new list, want all", served)
 	}
 	startedAtMS := time.Now().UnixMilli()
 	replaced := slices.Clone(workers[6:])
@@ -47,18 +47,18 @@
 	}
 	dispatcher.discovery.update(func() { dispatcher.discovery.workers = replaced })
 	dispatcher.waitForLog("revision=2")
-	dispatcher.sendMany("listed", 1) // after it the scheduler has the list
+	dispatcher.sendMany("listed", 1) // once it is answered, the scheduler has the list
 	before := totalJobs(workers[:6]...)
 	if served := dispatcher.sendMany("after", 100); served != 100 {
-		t.Errorf("%d of 100 served after the new list", served)
+		t.Errorf("%d of 100 requests served after the new list, want all", served)
 	}
 	if after := totalJobs(workers[:6]...); after != before {
-		t.Errorf("%d requests at workers that are no longer listed", after-before)
+		t.Errorf("%d requests at workers that are no longer listed, want 0", after-before)
 	}
 }
 
-// TestWorkers_connectionsRefused checks that two of six workers that refuse connections cost no request, and are tried at most 20 times
-// during 200 requests.
+// TestWorkers_connectionsRefused checks that no request fails if two of six workers refuse connections, and that connecting to these is
+// tried at most 20 times during 200 requests.
 func TestWorkers_connectionsRefused(t *testing.T) {
 	t.Parallel()
 	workers := startWorkers(t, 6, completeJob)
@@ -66,7 +66,7 @@
 	workers[1].listener.Close()
 	dispatcher := startDispatcherWith(t, "", asOneOfEighty, workers...)
 	if served := dispatcher.sendMany("k", 200); served != 200 {
-		t.Errorf("%d of 200 served", served)
+		t.Errorf("%d of 200 requests served, want all", served)
 	}
 	if times := strings.Count(dispatcher.log(), "unreachable"); times == 0 || times > 20 {
 		t.Errorf("workers were logged as unreachable %d times, want 1 to 20", times)
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestWorkerAnswers_mappedToStatus checks the status and the advice to retry for each kind of answer of the only worker: 200 is for a
-// result only, and 503 with advice for a job that never ran.
+// TestWorkerAnswers_mappedToStatus checks the status and the advice to retry for each kind of answer of the only worker: 200 only for a
+// result, and 503 with advice to retry only for a job that never ran.
 func TestWorkerAnswers_mappedToStatus(t *testing.T) {
 	t.Parallel()
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -115,13 +115,13 @@
 			dispatcher := startDispatcher(t, "", startWorker(t, "a", test.handler))
 			status, body, after := dispatcher.sendKey("k")
 			if status != test.status || (status == 503) != (after != "") {
-				t.Errorf("status %d %q, Retry-After %q, want status %d", status, body, after, test.status)
+				t.Errorf("status %d %q, Retry-After %q, want status %d, and Retry-After with 503 only", status, body, after, test.status)
 			}
 		})
 	}
 }
 
-// TestAffinity_sameUserSameWorker checks that one worker gets all three requests of a user, whose data it has then fetched.
+// TestAffinity_sameUserSameWorker checks that one worker gets all three requests of a user, as it has the user's data after the first.
 func TestAffinity_sameUserSameWorker(t *testing.T) {
 	t.Parallel()
 	workers := startNamedWorkers(t, completeJob, "a", "b", "c", "d")
@@ -131,7 +131,7 @@
 	}
 	for _, worker := range workers {
 		if jobs := worker.jobCount(); jobs != 0 && jobs != 3 {
-			t.Errorf("%d of 3 requests of one user at worker %s", jobs, worker.id)
+			t.Errorf("%d of 3 requests of one user at worker %s, want none or all", jobs, worker.id)
 		}
 	}
 }
