--- a/cmd/brassdale/connectionlimit_test.go
+++ b/cmd/brassdale/connectionlimit_test.go
@@ -15,9 +15,9 @@
 func TestConnectionLimit_waitingIsNotWorkersSilence(t *testing.T) {
 	t.Parallel()
 	const (
-		workerConns = 12                     // of a process with 64 descriptors
+		workerConns = 12                     // connections to workers that a process with 64 descriptors may have
 		jobTime     = 5 * time.Second        // longer than the settings allow a worker to be silent: 3.3 s
-		progress    = 500 * time.Millisecond // of a job that runs
+		progress    = 500 * time.Millisecond // interval of progress messages of a running job
 	)
 	runsLong := func(_ *testWorker, conn net.Conn, r *http.Request) {
 		id := r.Header.Get("Req-Id")
--- a/cmd/brassdale/frontends_bench_test.go
+++ b/cmd/brassdale/frontends_bench_test.go
@@ -231,7 +231,7 @@
 		l.latencies = append(l.latencies, time.Since(l.sentAt[stream]))
 		delete(l.sentAt, stream)
 	case frame == h2.FrameRSTStream, frame == h2.FrameGoAway:
-		return fmt.Errorf("stream %d: frame %s", stream, frame)
+		return fmt.Errorf("stream %d: unexpected frame %s", stream, frame)
 	}
 	if l.unread > windowUpdateSize {
 		l.out = appendFrameHeader(l.out, 4, h2.FrameWindowUpdate, 0, 0)
--- a/cmd/brassdale/handover_test.go
+++ b/cmd/brassdale/handover_test.go
@@ -27,7 +27,7 @@
 			default:
 			}
 			if resp, err := client.Do(newRequest(d.http1URL, fmt.Sprint("new-", requests))); err != nil {
-				d.t.Errorf("request %d on a new connection: %v", requests, err)
+				d.t.Errorf("request %d on a new connection: no answer: %v", requests, err)
 			} else if resp.Body.Close(); resp.StatusCode != 200 {
 				d.t.Errorf("request %d on a new connection: status %d, want 200", requests, resp.StatusCode)
 			}
--- a/cmd/brassdale/http2_shutdown_test.go
+++ b/cmd/brassdale/http2_shutdown_test.go
@@ -32,7 +32,7 @@
 	dispatcher.waitForExit(time.Now().Add(5 * time.Second))
 	<-client.closed
 	if client.received("HEADERS 5") || worker.runsOf("late") != 0 {
-		t.Error("the late stream was started")
+		t.Error("stream 5, opened after the last GOAWAY, was started")
 	}
 	if strings.Contains(dispatcher.log(), "unanswered") {
 		t.Error("the log reports unanswered clients")
--- a/cmd/brassdale/http2_test.go
+++ b/cmd/brassdale/http2_test.go
@@ -44,7 +44,7 @@
 			answers[frontend] = fmt.Sprint(body, header.Get("Retry-After"), header.Get("Content-Type"), header.Get("Allow"))
 		}
 		if answers[0] != answers[1] {
-			t.Errorf("case %d: %q over HTTP/1.1 and %q over HTTP/2", i, answers[0], answers[1])
+			t.Errorf("case %d: %q over HTTP/1.1 and %q over HTTP/2, want the same answer", i, answers[0], answers[1])
 		}
 	}
 	if status, _, _ := trySend(http2Client, must(http.NewRequest("GET", dispatcher.http2URL+"/health/ready", nil))); status != 200 {
--- a/cmd/brassdale/quotas_test.go
+++ b/cmd/brassdale/quotas_test.go
@@ -99,7 +99,7 @@
 	successor := dispatcher.startSuccessor(operator)
 	dispatcher.waitForHandovers(1)
 	successor.waitForMetric("accounts_room", 5)
-	open(successor, "b", 3) // its share of the free capacity of 5 is 2.5; beyond it while enough is free
+	open(successor, "b", 3) // its share of the free capacity of 5 is 2.5; more is granted while enough is free
 	status, _, after := successor.sendKey("one-more", "Req-Owner", "b")
 	if status != 503 || after == "" {
 		t.Errorf("beyond the capacity: status %d, want 503 with Retry-After", status)
--- a/cmd/brassdale/shutdown_test.go
+++ b/cmd/brassdale/shutdown_test.go
@@ -49,7 +49,7 @@
 	send := func(key string) int {
 		resp, err := client.Do(newRequest(dispatcher.http1URL, key))
 		if err != nil {
-			t.Fatalf("%s: %v", key, err)
+			t.Fatalf("%s: no answer: %v", key, err)
 		}
 		defer resp.Body.Close()
 		io.Copy(io.Discard, resp.Body)
@@ -95,7 +95,7 @@
 		}
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("request %d: %v", i, err)
+			t.Fatalf("request %d: no answer: %v", i, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 		return resp
@@ -129,7 +129,7 @@
 		}
 		newRequest(dispatcher.http1URL, fmt.Sprint("k-", i)).Write(conn)
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("not served %v after SIGTERM: %v", time.Since(terminatedAt), err)
+			t.Fatalf("no answer with status 200 %v after SIGTERM: %v", time.Since(terminatedAt), err)
 		}
 		conn.Close()
 		time.Sleep(20 * time.Millisecond)
@@ -142,7 +142,7 @@
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Errorf("%s: %v", name, err)
+		t.Errorf("%s: no answer: %v", name, err)
 		return 0
 	}
 	io.Copy(io.Discard, resp.Body)
--- a/cmd/brassdale/support_dispatcher_test.go
+++ b/cmd/brassdale/support_dispatcher_test.go
@@ -144,7 +144,7 @@
 	})
 }
 
-// startSuccessor starts another process beside this one, with the same file of the platform, as the platform does for a handover.
+// startSuccessor starts another process with the same platform's file while this one runs, as the platform does for a handover.
 func (d *testDispatcher) startSuccessor(operator string) *testDispatcher {
 	d.t.Helper()
 	return d.startAgain(d.config, operator)
--- a/cmd/brassdale/tls_test.go
+++ b/cmd/brassdale/tls_test.go
@@ -175,7 +175,7 @@
 		t.Errorf("the new certificate expires in %d days, want 2", days)
 	}
 	if status := dispatcher.sendTLS(granted, "granted", "taff-marine"); status != 200 { // on the connection that it opened before the reload
-		t.Errorf("a new grant: status %d", status)
+		t.Errorf("a new grant: status %d, want 200", status)
 	}
 	if status := dispatcher.sendTLS(granted, "revoked", "gwent-pumps"); status != 403 {
 		t.Errorf("a revoked grant: status %d, want 403", status)
