--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -18,14 +18,14 @@
 	modelSlots            = 5
 	modelSlowStart        = 24 * time.Second
 	modelStartCapacity    = 0.14
-	modelOverloadMultiple = 3.0 // of its capacity in modelOverloadWindow, beyond which a warming worker is overloaded
+	modelOverloadMultiple = 3.0 // a warming worker is overloaded if it gets more than this multiple of its capacity in modelOverloadWindow
 	modelOverloadWindow   = 1500 * time.Millisecond
 )
 
 // modelWorker is a worker with a slow start: its jobs take longer at first, and it records how much work it receives.
 type modelWorker struct {
 	*testWorker
-	startedAt time.Time // zero for long ago
+	startedAt time.Time // zero for a start long ago
 	unlisted  bool      // it has left the list and should receive nothing
 
 	mu         sync.Mutex
@@ -70,14 +70,14 @@
 	return capacity
 }
 
-// benchDeployment is 12 workers of the cached list, of which 3 are gone, 2 silent, 1 has drained and 1 has just restarted.
+// benchDeployment is a deployment whose cached list has 12 workers: 3 are gone, 2 silent, 1 has drained and 1 has just restarted.
 type benchDeployment struct {
 	workers []*modelWorker
 	listed  []*testWorker // by discovery
 	cached  []*testWorker
 }
 
-// newBenchDeployment starts the workers that run.
+// newBenchDeployment returns a deployment and starts its workers except those that are gone.
 func newBenchDeployment(b *testing.B) *benchDeployment {
 	b.Helper()
 	deployment := &benchDeployment{}
@@ -120,7 +120,7 @@
 	return model
 }
 
-// loads returns the highest load of a warming worker, and how many jobs reached workers that are not listed.
+// loads returns the highest load of a warming worker, and the number of jobs that reached unlisted workers.
 func (d *benchDeployment) loads() (peak float64, atUnlisted int) {
 	for _, model := range d.workers {
 		if !model.startedAt.IsZero() {
@@ -160,13 +160,13 @@
 
 // BenchmarkEndpointCache measures a busy deployment whose discovery fails for the first 20 s, with the endpoint cache and without.
 func BenchmarkEndpointCache(b *testing.B) {
-	for _, way := range []string{"discovery never failed", "saved list", "saved list, all trusted", "no list"} {
-		measureOutage(b, way)
+	for _, variant := range []string{"discovery never failed", "saved list", "saved list, all trusted", "no list"} {
+		measureOutage(b, variant)
 	}
 }
 
-// measureOutage logs which share of requests is served in time, among all that were due.
-func measureOutage(b *testing.B, way string) {
+// measureOutage logs the share of all due requests that were served in time.
+func measureOutage(b *testing.B, variant string) {
 	b.Helper()
 	const (
 		outage   = 20 * time.Second
@@ -174,7 +174,7 @@
 		rate     = 150.0 // requests per second
 	)
 	deployment := newBenchDeployment(b)
-	dispatcher, server := startInOutage(b, way, deployment)
+	dispatcher, server := startInOutage(b, variant, deployment)
 	discovery := dispatcher.discovery
 	beganAt := time.Now()
 	time.AfterFunc(outage, func() { discovery.update(func() { discovery.failing = false }) })
@@ -184,7 +184,7 @@
 	}
 	counts := &servedBySecond{sent: map[int]int{}, inTime: map[int]int{}}
 	sendOnSchedule(schedule, func(index int, due time.Time) {
-		status, _, _ := trySend(http.DefaultClient, newRequest(dispatcher.http1URL, fmt.Sprint(way, index)))
+		status, _, _ := trySend(http.DefaultClient, newRequest(dispatcher.http1URL, fmt.Sprint(variant, index)))
 		took := time.Since(due)
 		counts.mu.Lock()
 		defer counts.mu.Unlock()
@@ -199,20 +199,20 @@
 	})
 	peak, atUnlisted := deployment.loads()
 	b.Logf("%-24s first served after %8v; served in time: first 10 s %.3f, 5 to 20 s %.3f, 20 to 30 s %.3f; warming worker got %.2f times its capacity (overload at %.0f); %d jobs at a drained one",
-		way, counts.firstServed.Round(time.Millisecond), counts.share(0, 10), counts.share(5, 20), counts.share(20, 30), peak, modelOverloadMultiple, atUnlisted)
+		variant, counts.firstServed.Round(time.Millisecond), counts.share(0, 10), counts.share(5, 20), counts.share(20, 30), peak, modelOverloadMultiple, atUnlisted)
 	dispatcher.kill()
 	server.CloseClientConnections()
 }
 
-// startInOutage starts a dispatcher and its discovery, which fails unless the way says otherwise.
-func startInOutage(b *testing.B, way string, deployment *benchDeployment) (*testDispatcher, *httptest.Server) {
+// startInOutage starts a dispatcher and its discovery, which fails except in the variant "discovery never failed".
+func startInOutage(b *testing.B, variant string, deployment *benchDeployment) (*testDispatcher, *httptest.Server) {
 	b.Helper()
 	discovery := newTestDiscovery(deployment.listed...)
-	discovery.failing = way != "discovery never failed"
+	discovery.failing = variant != "discovery never failed"
 	server := httptest.NewServer(discovery)
 	dispatcher := newTestDispatcher(b, discovery)
 	operator, known := "", ""
-	switch way {
+	switch variant {
 	case "saved list":
 		dir := b.TempDir()
 		writeModelList(b, dir, 2*time.Hour, deployment.cached)
@@ -227,16 +227,16 @@
 	return dispatcher, server
 }
 
-// BenchmarkPowerLoss measures how much work each worker gets where all workers and two dispatchers start at once, with lists of a
-// minute ago. The most that any worker gets from both together must stay below modelOverloadMultiple.
+// BenchmarkPowerLoss measures how much work each worker gets if all workers and two dispatchers start at once, with endpoint lists that
+// are one minute old. The highest load of a worker, from both dispatchers together, must stay below modelOverloadMultiple.
 func BenchmarkPowerLoss(b *testing.B) {
-	for _, way := range []string{"saved list", "saved list, all trusted"} {
-		measurePowerLoss(b, way)
+	for _, variant := range []string{"saved list", "saved list, all trusted"} {
+		measurePowerLoss(b, variant)
 	}
 }
 
-// measurePowerLoss logs the highest load of a worker, and how many requests were served.
-func measurePowerLoss(b *testing.B, way string) {
+// measurePowerLoss logs the highest load of a worker, and the number of served requests.
+func measurePowerLoss(b *testing.B, variant string) {
 	b.Helper()
 	var deployment benchDeployment
 	for i := range 8 {
@@ -248,14 +248,14 @@
 	for i := range 2 {
 		dispatcher := newTestDispatcher(b, newTestDiscovery(deployment.cached...))
 		operator := ""
-		if way == "saved list" {
+		if variant == "saved list" {
 			dir := b.TempDir()
 			writeModelList(b, dir, time.Minute, deployment.cached)
 			operator = savedListBlock(dir)
 		}
 		dispatcher.start(operator, func(config string) string {
 			config = withSetting(`"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":2,"ordinal":%d`, i))(config)
-			if way == "saved list" {
+			if variant == "saved list" {
 				config = withoutKnownList(config)
 			}
 			return withDiscoveryAddress(config, "127.0.0.1:1")
@@ -270,20 +270,20 @@
 	var mu sync.Mutex
 	served := 0
 	sendOnSchedule(schedule, func(index int, _ time.Time) {
-		if status, _, _ := trySend(http.DefaultClient, newRequest(dispatchers[index%2].http1URL, fmt.Sprint(way, index))); status == 200 {
+		if status, _, _ := trySend(http.DefaultClient, newRequest(dispatchers[index%2].http1URL, fmt.Sprint(variant, index))); status == 200 {
 			mu.Lock()
 			defer mu.Unlock()
 			served++
 		}
 	})
 	peak, _ := deployment.loads()
-	b.Logf("%-24s %4d of %d served; the worker that got most got %.2f times its capacity (overload at %.0f)", way, served, requests, peak, modelOverloadMultiple)
+	b.Logf("%-24s %4d of %d served; the highest load of a worker was %.2f times its capacity (overload at %.0f)", variant, served, requests, peak, modelOverloadMultiple)
 	for _, dispatcher := range dispatchers {
 		dispatcher.kill()
 	}
 }
 
-// writeModelList writes a cached list whose statistics say how long jobs take at model workers.
+// writeModelList writes a cached list whose statistics match the job duration of model workers.
 func writeModelList(b *testing.B, dir string, age time.Duration, workers []*testWorker) {
 	b.Helper()
 	writeCachedList(b, dir, age, func(list *endpointcache.CachedList) {
