--- a/cmd/brassdale-lab/experiment.go
+++ b/cmd/brassdale-lab/experiment.go
@@ -16,7 +16,7 @@
 type experimentOptions struct {
 	out      string // the directory for the results; see resultDirectory
 	seeds    int    // in place of a file's number of seeds, unless it is 0
-	play     experiment.Player
+	play     experiment.Runner
 	parallel int // runs at a time
 }
 
@@ -101,7 +101,7 @@
 	if err := experiment.SaveOverview(out, deployments); err != nil {
 		return err
 	}
-	standings := experiment.Standings(deployments)
+	standings := experiment.CompareDeployments(deployments)
 	if err := experiment.Overview(command.OutOrStdout(), standings); err != nil {
 		return err
 	}
--- a/cmd/brassdale/loadgenerator_test.go
+++ b/cmd/brassdale/loadgenerator_test.go
@@ -27,7 +27,7 @@
 		before := worker.jobCount()
 		phases := []load.Phase{{Shape: load.Poisson, For: 100 * time.Millisecond, Rate: 40}}
 		plan := load.Generated(phases, load.Mix{Accounts: []load.Account{{Name: "acct", Share: 1}}, Subjects: 3}, 1)
-		figures := load.Run(t.Context(), plan, client, load.Options{Terms: load.Terms{Class: "price-part", GiveUp: 5 * time.Second}}).Figures()
+		figures := load.Run(t.Context(), plan, client, load.Options{Terms: load.Terms{Class: "price-part", Deadline: 5 * time.Second}}).Figures()
 		client.Close()
 		if after := worker.jobCount(); figures.Planned == 0 || figures.Outcomes["served"] != figures.Planned || after-before < figures.Planned {
 			t.Errorf("%s: %v of %d requests, %d at the worker", protocol, figures.Outcomes, figures.Planned, after-before)
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	options := load.Options{Terms: load.Terms{GiveUp: 5 * time.Second}}
+	options := load.Options{Terms: load.Terms{Deadline: 5 * time.Second}}
 	if figures := load.Run(t.Context(), load.Recorded([]load.Job{{}}), client, options).Figures(); figures.Outcomes["failed"] != 1 {
 		t.Errorf("an unknown class: %v", figures.Outcomes)
 	}
--- a/internal/emulator/class.go
+++ b/internal/emulator/class.go
@@ -30,7 +30,7 @@
 		return t.Classes
 	}
 	return []Class{{Share: 1, Work: t.Work, WorkLogStdDev: t.WorkLogStdDev, LatencyObjective: t.LatencyObjective, ObjectiveStretch: t.ObjectiveStretch, Deadline: t.Deadline, PriorityWeight: 1,
-		Idempotency: t.Effect, DeduplicationScope: scheduler.ScopeCell, DeduplicationWindow: t.DeduplicationWindow}}
+		Idempotency: t.Idempotency, DeduplicationScope: scheduler.ScopeCell, DeduplicationWindow: t.DeduplicationWindow}}
 }
 
 // drawClass draws a job's class, and the work, slots, memory and work estimate that follow from it.
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -8,7 +8,7 @@
 	"brassdale/scheduler"
 )
 
-// Cluster is a scenario's workers and discovery on loopback sockets: the model that Run plays, by the real clock, for real
+// Cluster is a scenario's workers and discovery on loopback sockets: the model that Run runs, by the real clock, for real
 // dispatchers. Each dispatcher reaches discovery and every worker at addresses of its own, so that the sender of each message
 // is known. Cluster is safe for use by several goroutines.
 type Cluster struct {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -19,8 +19,8 @@
 // 6 s (polling.NotificationDeadline), which package soak audits; the emulator's audit allows 4 s more.
 const maxPollInterval = 10 * time.Second
 
-// Calls limits the polls of all dispatchers together, on sockets.
-type Calls struct {
+// PollLimits limits the polls of all dispatchers together, on sockets.
+type PollLimits struct {
 	Rate          float64       // polls that discovery works through a second, in turn; 0 for no limit
 	ClientTimeout time.Duration // a poll that would wait longer is rejected after it
 }
@@ -34,7 +34,7 @@
 }
 
 // wait waits for a poll's turn. It returns false if the poll is rejected or the context ends.
-func (q *pollQueue) wait(ctx context.Context, limits *Calls) bool {
+func (q *pollQueue) wait(ctx context.Context, limits *PollLimits) bool {
 	delay, rejected := q.takeTurn(time.Now(), limits)
 	select {
 	case <-time.After(delay):
@@ -44,7 +44,7 @@
 }
 
 // takeTurn counts a poll and returns the time until its turn, or until it is rejected.
-func (q *pollQueue) takeTurn(now time.Time, limits *Calls) (delay time.Duration, rejected bool) {
+func (q *pollQueue) takeTurn(now time.Time, limits *PollLimits) (delay time.Duration, rejected bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.polledAt = append(q.polledAt, now)
@@ -65,26 +65,26 @@
 
 // PollCounts is how often all dispatchers polled discovery.
 type PollCounts struct {
-	Calls, Refused int
-	Max            int           // polls in any second
-	Longest        time.Duration // longest time in which a dispatcher had no poll open
+	Polls, Rejected int
+	MaxPerSecond    int           // polls in any second
+	LongestGap      time.Duration // longest time in which a dispatcher had no poll open
 }
 
 // PollCounts returns the counts until now.
 func (c *Cluster) PollCounts() (counts PollCounts) {
 	c.pollQueue.mu.Lock()
-	counts.Calls, counts.Refused = len(c.pollQueue.polledAt), c.pollQueue.rejected
+	counts.Polls, counts.Rejected = len(c.pollQueue.polledAt), c.pollQueue.rejected
 	oldest := 0
 	for i, at := range c.pollQueue.polledAt {
 		for at.Sub(c.pollQueue.polledAt[oldest]) >= time.Second {
 			oldest++
 		}
-		counts.Max = max(counts.Max, i-oldest+1)
+		counts.MaxPerSecond = max(counts.MaxPerSecond, i-oldest+1)
 	}
 	c.pollQueue.mu.Unlock()
 	for _, server := range c.discoveryServers {
 		server.mu.Lock()
-		counts.Longest = max(counts.Longest, server.longestIdle)
+		counts.LongestGap = max(counts.LongestGap, server.longestIdle)
 		server.mu.Unlock()
 	}
 	return counts
@@ -318,7 +318,7 @@
 		}
 	}
 	defer d.endPoll(d.beginPoll())
-	if !d.cluster.pollQueue.wait(r.Context(), &d.cluster.sim.scenario.Calls) {
+	if !d.cluster.pollQueue.wait(r.Context(), &d.cluster.sim.scenario.PollLimits) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -79,7 +79,7 @@
 // singleWorker is a queue: one dispatcher and one worker, without reports, faults or retries.
 func singleWorker(seed uint64, slots int, load float64) Scenario {
 	return Scenario{Seed: seed, Span: 1500 * time.Second, Dispatchers: 1, Cells: 1,
-		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, LatencyObjective: time.Hour, Deadline: time.Hour, Effect: scheduler.Idempotent},
+		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, LatencyObjective: time.Hour, Deadline: time.Hour, Idempotency: scheduler.Idempotent},
 		Kinds:   []WorkerKind{{"one", 1, slots, 1, 1, false}}, Discovery: time.Millisecond, Rules: Rules{MaxAttempts: 1}}
 }
 
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -12,11 +12,11 @@
 // Failover is how a job's zone is chosen. In mode "plan" one planner receives each dispatcher's reports and sends its plans
 // back, both with a delay; the agreement among planners is not modelled here but tested with processes (internal/faults).
 type Failover struct {
-	Mode     string // "" each dispatcher's policy, "near" its own zone, "spread" a random zone, "plan" by the planner
-	Headroom float64
-	ReturnIn time.Duration // ramp of a recovered zone's share
-	Detect   time.Duration
-	Step     float64 // most that a share changes in a second
+	Mode              string // "" each dispatcher's policy, "near" its own zone, "spread" a random zone, "plan" by the planner
+	Headroom          float64
+	RecoveryRamp      time.Duration // ramp of a recovered zone's share
+	DetectionTime     time.Duration
+	MaxShiftPerSecond float64 // most that a share changes in a second
 }
 
 // zonePlanning is the planner and what is measured of its plans.
@@ -59,9 +59,9 @@
 	configured := &sim.scenario.Failover
 	settings := failover.Settings{
 		Headroom:          configured.Headroom,
-		RecoveryRamp:      configured.ReturnIn,
-		DetectionTime:     configured.Detect,
-		MaxShiftPerSecond: configured.Step,
+		RecoveryRamp:      configured.RecoveryRamp,
+		DetectionTime:     configured.DetectionTime,
+		MaxShiftPerSecond: configured.MaxShiftPerSecond,
 		Distance: func(from, to string) float64 {
 			if from == to {
 				return 0
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -13,10 +13,10 @@
 	s.Span, s.Dispatchers = 100*time.Second, 12
 	s.Kinds = []WorkerKind{{"box", 24, 5, 0.9, 1.1, false}}
 	s.Network.Zones, s.Network.Regions, s.Network.CrossPrice = 4, 2, 0.03
-	s.Traffic.Rate, s.Traffic.Subjects, s.Traffic.Effect = 0.55*24*5/0.2, 0, scheduler.Idempotent
+	s.Traffic.Rate, s.Traffic.Subjects, s.Traffic.Idempotency = 0.55*24*5/0.2, 0, scheduler.Idempotent
 	s.Reports.Every = 500 * time.Millisecond
 	s.Faults = []Fault{{At: 20 * time.Second, For: 20 * time.Second, Kind: ZoneLost, Zone: 1, Share: 1}}
-	s.Failover = Failover{Mode: mode, Headroom: 0.1, ReturnIn: 30 * time.Second, Detect: time.Second, Step: 0.1}
+	s.Failover = Failover{Mode: mode, Headroom: 0.1, RecoveryRamp: 30 * time.Second, DetectionTime: time.Second, MaxShiftPerSecond: 0.1}
 	return s
 }
 
@@ -32,7 +32,7 @@
 		}
 		results[mode] = result
 		t.Logf("%-6q served before the loss %.3f, during it %.3f, after it %.3f; crossings %.2f, zone's peak %.2f, p99 %v, plans %d, moved after %v, restored after %v, breaches %d",
-			mode, result.Within(5*time.Second, 20*time.Second), result.Within(23*time.Second, 40*time.Second), result.Within(40*time.Second, 70*time.Second),
+			mode, result.ServiceBetween(5*time.Second, 20*time.Second), result.ServiceBetween(23*time.Second, 40*time.Second), result.ServiceBetween(40*time.Second, 70*time.Second),
 			result.Crossings, result.ZonePeak, result.P99, result.PlanChanges, result.MovedAfter, result.RestoredAfter, len(result.Breaches))
 	}
 	planned := results["plan"]
--- a/internal/emulator/faultinjection.go
+++ b/internal/emulator/faultinjection.go
@@ -24,9 +24,9 @@
 	case HeavyTail:
 		sim.tailFactor = fault.Size
 		sim.after(fault.For, func() { sim.tailFactor = 0 })
-	case ZoneLost, Apart, Far:
+	case ZoneLost, ZonePartition, ZoneDelay:
 		sim.applyZoneFault(fault)
-	case ListDown, ListHung:
+	case DiscoveryDown, DiscoveryHung:
 		sim.changeDiscoveryFaults(fault.Kind, 1)
 		sim.after(fault.For, func() { sim.changeDiscoveryFaults(fault.Kind, -1) })
 	default:
@@ -43,10 +43,10 @@
 func (sim *simulation) applyZoneFault(fault Fault) {
 	zone := fault.Zone - 1
 	switch fault.Kind {
-	case Apart:
+	case ZonePartition:
 		sim.partitions[[2]int{fault.From - 1, zone}]++
 		sim.after(fault.For, func() { sim.partitions[[2]int{fault.From - 1, zone}]-- })
-	case Far:
+	case ZoneDelay:
 		sim.delayFactor[zone] = fault.Size
 		sim.after(fault.For, func() { sim.delayFactor[zone] = 0 })
 	case ZoneLost:
@@ -67,7 +67,7 @@
 // changeDiscoveryFaults adds to the number of faults of discovery in force. It ends all subscriptions when one begins: at
 // once where discovery is down, after the dispatcher's timeout where it hangs. Changes meanwhile come with the next full list.
 func (sim *simulation) changeDiscoveryFaults(kind FaultKind, by int) {
-	if kind == ListDown {
+	if kind == DiscoveryDown {
 		sim.discoveryDown += by
 	} else {
 		sim.discoveryHung += by
@@ -92,7 +92,7 @@
 		w.silent++
 	case Slow:
 		w.slow++
-	case Unreported:
+	case DelayedReports:
 		w.delayedReports++
 	case Reset:
 		w.dropAll()
@@ -132,7 +132,7 @@
 		w.silent--
 	case Slow:
 		w.slow--
-	case Unreported:
+	case DelayedReports:
 		w.delayedReports--
 	case Partition:
 		if w.partitioned--; w.partitioned == 0 {
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -30,7 +30,7 @@
 
 // Terms returns the clients' deadline and retries for the load generator.
 func (s *Scenario) Terms() load.Terms {
-	return load.Terms{Class: className, GiveUp: s.Traffic.Deadline,
+	return load.Terms{Class: className, Deadline: s.Traffic.Deadline,
 		Retry: load.Retry{Max: 1, Share: s.Traffic.Retries, Wait: minClientRetryDelay, HonourRetryAfter: true}}
 }
 
@@ -70,10 +70,10 @@
 	return &keyedJobs{Source: load.Generated(phases, s.Mix(), s.Seed), scenario: s}
 }
 
-// Play plays a scenario on loopback sockets, in real time, with a process of the dispatcher's program for each dispatcher. The
+// RunOnSockets runs a scenario on loopback sockets, in real time, with a process of the dispatcher's program for each dispatcher. The
 // result is as Run's, seen by the clients and the workers. The error is load.ErrUnusable if the load generator fell behind,
 // and context.Canceled, together with the result until then, if the context ended.
-func Play(ctx context.Context, scenario Scenario, binary string) (*Result, error) {
+func RunOnSockets(ctx context.Context, scenario Scenario, binary string) (*Result, error) {
 	cluster, err := open(context.WithoutCancel(ctx), scenario) // the result is read after the context has ended
 	if err != nil {
 		return nil, err
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/play_test.go
@@ -33,9 +33,9 @@
 	scenario.Traffic.Rate = 60
 	scenario.Faults = []Fault{{At: time.Second, For: time.Second, Kind: Reset, Share: 0.3}, {At: 1500 * time.Millisecond, For: time.Second, Kind: Partition, Share: 0.1},
 		{At: 2 * time.Second, For: time.Second, Kind: Restart, Share: 0.1}, {At: 2500 * time.Millisecond, For: time.Second, Kind: Drain, Share: 0.2},
-		{At: 500 * time.Millisecond, For: 1500 * time.Millisecond, Kind: ListDown, Share: 1}, {At: 2500 * time.Millisecond, For: 500 * time.Millisecond, Kind: ListHung, Share: 1}}
+		{At: 500 * time.Millisecond, For: 1500 * time.Millisecond, Kind: DiscoveryDown, Share: 1}, {At: 2500 * time.Millisecond, For: 500 * time.Millisecond, Kind: DiscoveryHung, Share: 1}}
 	binary := buildProgram(t)
-	result, err := playUntilUsable(t, func() (*Result, error) { return Play(t.Context(), scenario, binary) })
+	result, err := playUntilUsable(t, func() (*Result, error) { return RunOnSockets(t.Context(), scenario, binary) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,14 +48,14 @@
 	}
 
 	// A program that cannot start fails; a context that ends returns the result until then with the error.
-	if _, err := Play(t.Context(), scenario, filepath.Join(t.TempDir(), "none")); err == nil {
+	if _, err := RunOnSockets(t.Context(), scenario, filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("Play succeeded without a program")
 	}
 	scenario.Span, scenario.Faults = time.Hour, nil
 	result, err = playUntilUsable(t, func() (*Result, error) {
 		ctx, stop := context.WithDeadline(t.Context(), time.Now().Add(2*time.Second))
 		defer stop()
-		return Play(ctx, scenario, binary)
+		return RunOnSockets(ctx, scenario, binary)
 	})
 	if !errors.Is(err, context.Canceled) || result == nil || result.Jobs == 0 {
 		t.Errorf("cancelled after 2 s: error %v, %+v", err, result)
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// Within returns the share of work answered in time, of the work requested between two times of the run; 1 if there was none.
-func (r *Result) Within(from, to time.Duration) float64 {
+// ServiceBetween returns the share of work answered in time, of the work requested between two times of the run; 1 if there was none.
+func (r *Result) ServiceBetween(from, to time.Duration) float64 {
 	var sum secondStats
 	for i, s := range r.Seconds {
 		if at := time.Duration(i) * time.Second; at >= from && at < to {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -26,7 +26,7 @@
 	Cells       int // workers are spread over them; each deduplicates by key
 	Network     Network
 	Discovery   time.Duration // mean delay of an endpoint update
-	Calls       Calls         // limits of polls, on sockets only
+	PollLimits  PollLimits    // limits of polls, on sockets only
 	Reports     Reports
 	SlowStart   SlowStart
 	Store       Store
@@ -48,7 +48,7 @@
 	LatencyObjective    time.Duration
 	ObjectiveStretch    float64 // an answer is in time within LatencyObjective + ObjectiveStretch x the job's work
 	Deadline            time.Duration
-	Effect              scheduler.Idempotency
+	Idempotency         scheduler.Idempotency
 	DeduplicationWindow time.Duration // in which a cell deduplicates by key
 	Subjects            int           // that jobs are about and workers cache; 0 for none
 	Accounts            []Account
@@ -124,21 +124,21 @@
 //
 // What a fault draws depends on its index in the scenario alone, so a further kind changes no draw.
 const (
-	Freeze     FaultKind = iota // accepts jobs and probes and answers nothing; continues afterwards
-	Silent                      // answers probes and starts no job
-	Slow                        // a third of the speed
-	Restart                     // loses its jobs and is back, warming up, after a second
-	Drain                       // is listed as draining, finishes jobs, and is gone when the fault ends
-	Unreported                  // reports are seen three seconds later
-	Reset                       // loses its connections and jobs once
-	Partition                   // no message arrives or leaves; attempts are reset when the fault ends
-	ListDown                    // discovery ends its watches and rejects polls
-	ListHung                    // discovery accepts polls and answers none
-	Burst                       // the arrival rate is multiplied by Size
-	HeavyTail                   // a few jobs' work is multiplied by Size
-	ZoneLost                    // all workers of Zone are partitioned, and warming up afterwards
-	Apart                       // no message passes between the dispatchers of zone From and the workers of Zone
-	Far                         // delays to and from the workers of Zone are multiplied by Size
+	Freeze         FaultKind = iota // accepts jobs and probes and answers nothing; continues afterwards
+	Silent                          // answers probes and starts no job
+	Slow                            // a third of the speed
+	Restart                         // loses its jobs and is back, warming up, after a second
+	Drain                           // is listed as draining, finishes jobs, and is gone when the fault ends
+	DelayedReports                  // reports are seen three seconds later
+	Reset                           // loses its connections and jobs once
+	Partition                       // no message arrives or leaves; attempts are reset when the fault ends
+	DiscoveryDown                   // discovery ends its watches and rejects polls
+	DiscoveryHung                   // discovery accepts polls and answers none
+	Burst                           // the arrival rate is multiplied by Size
+	HeavyTail                       // a few jobs' work is multiplied by Size
+	ZoneLost                        // all workers of Zone are partitioned, and warming up afterwards
+	ZonePartition                   // no message passes between the dispatchers of zone From and the workers of Zone
+	ZoneDelay                       // delays to and from the workers of Zone are multiplied by Size
 
 	faultKinds = iota
 )
@@ -168,7 +168,7 @@
 	return Scenario{
 		Seed: seed, Span: time.Minute, Dispatchers: 2, Cells: 3,
 		Traffic: Traffic{Rate: 170, Work: 0.2, WorkLogStdDev: 0.7, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2.5, Deadline: 5 * time.Second,
-			Effect: scheduler.IdempotentWithKey, DeduplicationWindow: 7500 * time.Millisecond, Subjects: 400, Retries: 0.5,
+			Idempotency: scheduler.IdempotentWithKey, DeduplicationWindow: 7500 * time.Millisecond, Subjects: 400, Retries: 0.5,
 			Accounts: []Account{
 				{"deeside-aero", 0.23}, {"gwent-pumps", 0.19}, {"taff-marine", 0.18},
 				{"cwm-trailers", 0.18}, {"bryn-fixtures", 0.14}, {"ogwen-tools", 0.08},
@@ -220,7 +220,7 @@
 
 // check returns an error that says what the fault lacks in a scenario with so many zones.
 func (f *Fault) check(zones int) error {
-	sized, zoned := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == Far, isZoneFault(f.Kind)
+	sized, zoned := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == ZoneDelay, isZoneFault(f.Kind)
 	switch {
 	case sized && f.Size <= 0:
 		return errors.New("needs a size")
@@ -233,7 +233,9 @@
 }
 
 // isZoneFault reports whether a kind is a fault of a zone.
-func isZoneFault(kind FaultKind) bool { return kind == ZoneLost || kind == Apart || kind == Far }
+func isZoneFault(kind FaultKind) bool {
+	return kind == ZoneLost || kind == ZonePartition || kind == ZoneDelay
+}
 
 // needsVirtualTime reports whether the scenario uses what is modelled in virtual time only.
 func (s *Scenario) needsVirtualTime() bool {
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -30,7 +30,7 @@
 func TestProcessorSharing_rejectsWithoutSlot(t *testing.T) {
 	s := singleWorker(1, 1, 0.9)
 	s.Span, s.Kinds = 100*time.Second, []WorkerKind{{"some", 3, 1, 1, 1, true}}
-	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Effect = 20, 3, 100, scheduler.Idempotent
+	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Idempotency = 20, 3, 100, scheduler.Idempotent
 	result := mustRun(t, s, plainPolicy("random"))
 	if result.Sends <= 1 || result.Served < result.Jobs*9/10 || len(result.Breaches) > 0 {
 		t.Errorf("three users: %+v", result)
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -68,7 +68,7 @@
 }
 
 // ReceivedTimes is when requests' first attempts, further attempts and probes were received, of all dispatchers, by the simulation's clock.
-type ReceivedTimes struct{ Firsts, Furthers, Probes []time.Duration }
+type ReceivedTimes struct{ FirstAttempts, FurtherAttempts, Probes []time.Duration }
 
 // ReceivedTimes returns the times until now.
 func (c *Cluster) ReceivedTimes() ReceivedTimes {
--- a/internal/experiment/draw.go
+++ b/internal/experiment/draw.go
@@ -50,16 +50,16 @@
 }
 
 // drawOverview draws the merit of the scheduler and of the best plain policy at each deployment.
-func drawOverview(path string, all []Standing) error {
+func drawOverview(path string, all []Comparison) error {
 	chart := plot.New()
 	chart.Title.Text, chart.Y.Label.Text, chart.Y.Min, chart.Y.Max = "module beside the best plain policy", "merit", 0, 1
 	width := vg.Points(14)
 	for position, series := range []struct {
 		name  string
-		merit func(Standing) float64
+		merit func(Comparison) float64
 	}{
-		{"module", func(s Standing) float64 { return s.Scheduler.Mean }},
-		{"best plain", func(s Standing) float64 { return s.Best.Mean }},
+		{"module", func(s Comparison) float64 { return s.Scheduler.Mean }},
+		{"best plain", func(s Comparison) float64 { return s.Best.Mean }},
 	} {
 		var values plotter.Values
 		for _, standing := range all {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -14,18 +14,18 @@
 
 // File is an experiment's file. What its world leaves out is as in emulator.ReferenceScenario.
 type File struct {
-	Title    string       `hcl:"title"`
-	Seeds    int          `hcl:"seeds"`
-	First    int          `hcl:"first_seed,optional"`
-	World    *World       `hcl:"world,block"`
-	Kinds    []WorkerKind `hcl:"kind,block"`
-	Classes  []Class      `hcl:"class,block"`
-	Faults   []Fault      `hcl:"fault,block"`
-	Variants []Variant    `hcl:"variant,block"`
+	Title    string            `hcl:"title"`
+	Seeds    int               `hcl:"seeds"`
+	First    int               `hcl:"first_seed,optional"`
+	Settings *ScenarioSettings `hcl:"world,block"`
+	Kinds    []WorkerKind      `hcl:"kind,block"`
+	Classes  []Class           `hcl:"class,block"`
+	Faults   []Fault           `hcl:"fault,block"`
+	Variants []Variant         `hcl:"variant,block"`
 }
 
-// World is what a scenario may set. Durations are as time.ParseDuration reads them.
-type World struct {
+// ScenarioSettings is what a scenario may set. Durations are as time.ParseDuration reads them.
+type ScenarioSettings struct {
 	Rate           *float64 `hcl:"rate"` // jobs a second
 	Span           *string  `hcl:"span"`
 	Dispatchers    *int     `hcl:"dispatchers"`
@@ -97,10 +97,10 @@
 
 // Variant is one way to run the experiment.
 type Variant struct {
-	Name   string   `hcl:"name,label"`
-	Policy string   `hcl:"policy,optional"` // one of policy.Names; else the scheduler
-	Scale  *float64 `hcl:"scale"`           // multiplies workers and rate
-	Set    *World   `hcl:"set,block"`
+	Name   string            `hcl:"name,label"`
+	Policy string            `hcl:"policy,optional"` // one of policy.Names; else the scheduler
+	Scale  *float64          `hcl:"scale"`           // multiplies workers and rate
+	Set    *ScenarioSettings `hcl:"set,block"`
 }
 
 // schedulerPolicy is the name that a variant may give to the scheduler as its policy, in place of none.
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -43,7 +43,7 @@
 	}
 	file.Variants = file.Variants[:1]
 	file.Seeds = goldenSeeds
-	file.World.Span = &span
+	file.Settings.Span = &span
 	rows, err := Run(t.Context(), file, InVirtualTime, goldenSeeds, "golden", func() {})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/overview.go
+++ b/internal/experiment/overview.go
@@ -15,8 +15,8 @@
 	Rows []Row
 }
 
-// Standing compares the scheduler with the plain policy that has the highest merit at a deployment.
-type Standing struct {
+// Comparison compares the scheduler with the plain policy that has the highest merit at a deployment.
+type Comparison struct {
 	Deployment string  // the deployment
 	Scheduler  Summary // the scheduler's merit
 	Best       Summary // the plain policy's merit
@@ -30,13 +30,13 @@
 
 // Margin returns how far behind the best plain policy the scheduler counts as level: meritAllowance and half the width of the
 // difference's 95% interval.
-func (s Standing) Margin() float64 { return meritAllowance + s.Difference.Half }
+func (s Comparison) Margin() float64 { return meritAllowance + s.Difference.Half }
 
 // Behind reports whether the scheduler is behind by more than the margin, or broke a rule.
-func (s Standing) Behind() bool { return s.Broken > 0 || s.Difference.Mean < -s.Margin() }
+func (s Comparison) Behind() bool { return s.Broken > 0 || s.Difference.Mean < -s.Margin() }
 
-// Standings compares by merit. A deployment's first variant is the scheduler, the others are plain policies.
-func Standings(deployments []Deployment) (all []Standing) {
+// CompareDeployments compares by merit. A deployment's first variant is the scheduler, the others are plain policies.
+func CompareDeployments(deployments []Deployment) (all []Comparison) {
 	merit := func(row Row) float64 { return row.Merit }
 	summarizeMerit := func(rows []Row) Summary {
 		var figures []float64
@@ -51,7 +51,7 @@
 			continue
 		}
 		scheduled := byVariant[names[0]]
-		standing := Standing{Deployment: deployment.Name, Scheduler: summarizeMerit(scheduled)}
+		standing := Comparison{Deployment: deployment.Name, Scheduler: summarizeMerit(scheduled)}
 		for _, row := range scheduled {
 			standing.Broken += len(row.Breaches)
 		}
@@ -67,7 +67,7 @@
 }
 
 // Overview writes a line for each deployment.
-func Overview(out io.Writer, all []Standing) error {
+func Overview(out io.Writer, all []Comparison) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "work\truns\tmodule\tbest plain\tpolicy\tdifference\tmargin\trules broken\t\t\n")
 	for _, standing := range all {
@@ -103,7 +103,7 @@
 			rows = append(rows, row)
 		}
 	}
-	all := Standings(deployments)
+	all := CompareDeployments(deployments)
 	if err := writeFiles(dir, map[string]func(io.Writer) error{
 		"rows.csv":     func(f io.Writer) error { return writeCSV(f, rows) },
 		"overview.txt": func(f io.Writer) error { return Overview(f, all) },
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -34,7 +34,7 @@
 		}
 		deployments = append(deployments, Deployment{file.Title, rows})
 	}
-	for _, standing := range Standings(deployments) {
+	for _, standing := range CompareDeployments(deployments) {
 		// Two seeds are too few to estimate the noise: the margin is that of the stored runs with six seeds, 0.05 at most.
 		if standing.Difference.Mean < -0.05 {
 			t.Errorf("%s: scheduler %.3f, %s %.3f", standing.Deployment, standing.Scheduler.Mean, standing.Plain, standing.Best.Mean)
@@ -53,7 +53,7 @@
 	}
 	broken := deployment("broken", 0.9)
 	broken.Rows[0].Breaches = []string{"a rule"}
-	standings := Standings([]Deployment{deployment("level", 0.79), deployment("behind", 0.7), broken})
+	standings := CompareDeployments([]Deployment{deployment("level", 0.79), deployment("behind", 0.7), broken})
 	for i, want := range []bool{false, true, true} {
 		if standing := standings[i]; standing.Behind() != want || standing.Plain != "lud" {
 			t.Errorf("%+v: behind %v, want %v", standing, standing.Behind(), want)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -12,22 +12,22 @@
 	"brassdale/scheduler"
 )
 
-// Player runs a variant's scenario.
-type Player func(ctx context.Context, v Variant, s emulator.Scenario) (*emulator.Result, error)
+// Runner runs a variant's scenario.
+type Runner func(ctx context.Context, v Variant, s emulator.Scenario) (*emulator.Result, error)
 
-// InVirtualTime is a Player that runs the model alone.
+// InVirtualTime is a Runner that runs the model alone.
 func InVirtualTime(_ context.Context, v Variant, s emulator.Scenario) (*emulator.Result, error) {
 	return emulator.Run(s, v.newPolicy())
 }
 
-// OnSockets returns a Player that runs processes of a dispatcher's program on loopback. It accepts no variant with a policy, as
+// OnSockets returns a Runner that runs processes of a dispatcher's program on loopback. It accepts no variant with a policy, as
 // the program decides by its scheduler.
-func OnSockets(binary string) Player {
+func OnSockets(binary string) Runner {
 	return func(ctx context.Context, variant Variant, scenario emulator.Scenario) (*emulator.Result, error) {
 		if !variant.usesScheduler() {
 			return nil, fmt.Errorf("policy %q is not the program's", variant.Policy)
 		}
-		return emulator.Play(ctx, scenario, binary)
+		return emulator.RunOnSockets(ctx, scenario, binary)
 	}
 }
 
@@ -46,7 +46,7 @@
 
 // Run runs all variants with all seeds, as many at a time as parallel says, the variants of a seed after each other. It calls
 // step after each run, one call at a time. If the context ends or a run fails, it returns the rows until then with the error.
-func Run(ctx context.Context, file *File, play Player, parallel int, build string, step func()) ([]Row, error) {
+func Run(ctx context.Context, file *File, play Runner, parallel int, build string, step func()) ([]Row, error) {
 	tasks := make(chan task)
 	go func() {
 		defer close(tasks)
@@ -90,7 +90,7 @@
 }
 
 // runTask does one run.
-func (f *File) runTask(ctx context.Context, task task, play Player, build string) (Row, error) {
+func (f *File) runTask(ctx context.Context, task task, play Runner, build string) (Row, error) {
 	variant, seed := f.Variants[task.variant], uint64(f.First+task.seed)
 	scenario, err := f.Scenario(variant, seed)
 	if err != nil {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -16,13 +16,13 @@
 		"slow":       emulator.Slow,
 		"restart":    emulator.Restart,
 		"drain":      emulator.Drain,
-		"unheard":    emulator.Unreported,
+		"unheard":    emulator.DelayedReports,
 		"reset":      emulator.Reset,
 		"partition":  emulator.Partition,
 		"burst":      emulator.Burst,
 		"heavy-tail": emulator.HeavyTail,
-		"list-down":  emulator.ListDown,
-		"list-hung":  emulator.ListHung,
+		"list-down":  emulator.DiscoveryDown,
+		"list-hung":  emulator.DiscoveryHung,
 	}
 	effects = map[string]scheduler.Idempotency{
 		"safe":   scheduler.Idempotent,
@@ -65,7 +65,7 @@
 		}
 		scenario.Faults = append(scenario.Faults, fault)
 	}
-	for _, world := range []*World{f.World, variant.Set} {
+	for _, world := range []*ScenarioSettings{f.Settings, variant.Set} {
 		if err := world.apply(&scenario); err != nil {
 			return scenario, err
 		}
@@ -163,7 +163,7 @@
 }
 
 // apply stores the settings that are given in a scenario.
-func (w *World) apply(scenario *emulator.Scenario) error {
+func (w *ScenarioSettings) apply(scenario *emulator.Scenario) error {
 	if w == nil {
 		return nil
 	}
--- a/internal/experiment/zones.go
+++ b/internal/experiment/zones.go
@@ -46,7 +46,7 @@
 	}
 	lost := fault(emulator.ZoneLost, zoneFaultAt, zoneFaultDuration, 1, 0, 0)
 	apart := func(zone, from int) emulator.Fault {
-		return fault(emulator.Apart, zoneFaultAt, zoneFaultDuration, zone, from, 0)
+		return fault(emulator.ZonePartition, zoneFaultAt, zoneFaultDuration, zone, from, 0)
 	}
 	var flaps []emulator.Fault
 	for at := zoneFaultAt; at < zoneFaultEnd; at += flapInterval {
@@ -59,7 +59,7 @@
 		{"two lost", 0.7, []emulator.Fault{lost, fault(emulator.ZoneLost, zoneFaultAt+5*time.Second, zoneFaultDuration-5*time.Second, 3, 0, 0)}},
 		{"cut one way", 0.6, []emulator.Fault{apart(1, 1)}},
 		{"regions cut", 0.6, []emulator.Fault{apart(1, 3), apart(1, 4), apart(2, 3), apart(2, 4), apart(3, 1), apart(4, 1), apart(3, 2), apart(4, 2)}},
-		{"ten times as far", 0.6, []emulator.Fault{fault(emulator.Far, zoneFaultAt, zoneFaultDuration, 1, 0, 10)}},
+		{"ten times as far", 0.6, []emulator.Fault{fault(emulator.ZoneDelay, zoneFaultAt, zoneFaultDuration, 1, 0, 10)}},
 		{"flapping", 0.55, flaps},
 	}
 }
@@ -88,10 +88,10 @@
 	scenario.Span, scenario.Dispatchers = zoneSpan, e.Dispatchers
 	scenario.Kinds = []emulator.WorkerKind{{Name: "box", Count: e.Workers, Slots: zoneSlots, SpeedMin: 0.9, SpeedMax: 1.1}}
 	scenario.Network.Zones, scenario.Network.Regions, scenario.Network.CrossPrice, scenario.Network.Cross = 4, 2, 0.03, 10*time.Millisecond
-	scenario.Traffic.Work, scenario.Traffic.Subjects, scenario.Traffic.Effect = zoneWork, 0, scheduler.Idempotent
+	scenario.Traffic.Work, scenario.Traffic.Subjects, scenario.Traffic.Idempotency = zoneWork, 0, scheduler.Idempotent
 	scenario.Traffic.Rate = zoneCase.Load * float64(e.Workers*zoneSlots) / zoneWork
 	scenario.Faults = slices.Clone(zoneCase.Faults)
-	scenario.Failover = emulator.Failover{Mode: mode, Headroom: 0.1, ReturnIn: 20 * time.Second, Detect: time.Second, Step: 0.1}
+	scenario.Failover = emulator.Failover{Mode: mode, Headroom: 0.1, RecoveryRamp: 20 * time.Second, DetectionTime: time.Second, MaxShiftPerSecond: 0.1}
 	return scenario
 }
 
@@ -162,9 +162,9 @@
 		Case:          task.zoneCase.Name,
 		Mode:          task.mode,
 		Seed:          task.seed,
-		Fault:         result.Within(zoneFaultAt+zoneDetectionTime, zoneFaultEnd),
-		Recovery:      result.Within(zoneFaultEnd, zoneFaultEnd+zoneRecoveryTime),
-		Later:         result.Within(zoneFaultEnd+zoneRecoveryTime, zoneSpan),
+		Fault:         result.ServiceBetween(zoneFaultAt+zoneDetectionTime, zoneFaultEnd),
+		Recovery:      result.ServiceBetween(zoneFaultEnd, zoneFaultEnd+zoneRecoveryTime),
+		Later:         result.ServiceBetween(zoneFaultEnd+zoneRecoveryTime, zoneSpan),
 		All:           result.Service,
 		Crossings:     result.Crossings,
 		Peak:          result.ZonePeak,
--- a/internal/faults/measurement.go
+++ b/internal/faults/measurement.go
@@ -27,7 +27,7 @@
 	contradiction, lapsed := effectivestate.ContradictionTime(result.EffectiveStates)
 	result.ContradictionMS, result.LapsedApartMS = milliseconds(contradiction), milliseconds(lapsed)
 	polls := r.cluster.PollCounts()
-	result.ListCalls, result.MaxListCalls, result.ListRefused, result.WatchGapMS = polls.Calls, polls.Max, polls.Refused, milliseconds(polls.Longest)
+	result.ListCalls, result.MaxListCalls, result.ListRefused, result.WatchGapMS = polls.Polls, polls.MaxPerSecond, polls.Rejected, milliseconds(polls.LongestGap)
 	for _, breach := range r.cluster.Breaches() {
 		result.addBreach(breach.String())
 	}
--- a/internal/faults/overload.go
+++ b/internal/faults/overload.go
@@ -56,19 +56,19 @@
 	multiple := func(uses []time.Duration, at time.Duration, rate float64) float64 {
 		return countInWindow(uses, at) / (rate*(seconds+savedSeconds) + float64(processes))
 	}
-	for _, at := range received.Furthers {
+	for _, at := range received.FurtherAttempts {
 		firstRate := 0.0
 		for back := time.Duration(0); back <= leasesBack*bound; back += bound / lookbacksALease {
-			firstRate = max(firstRate, countInWindow(received.Firsts, at-back)/seconds)
+			firstRate = max(firstRate, countInWindow(received.FirstAttempts, at-back)/seconds)
 		}
-		over["retries"] = max(over["retries"], multiple(received.Furthers, at, max(o.Retries*firstRate, minRetries)))
+		over["retries"] = max(over["retries"], multiple(received.FurtherAttempts, at, max(o.Retries*firstRate, minRetries)))
 	}
 	for _, at := range received.Probes {
 		if o.Probes > 0 {
 			over["probes"] = max(over["probes"], multiple(received.Probes, at, o.Probes))
 		}
 	}
-	return &OverloadResult{BudgetOver: over, Further: len(received.Furthers), Probes: len(received.Probes), Firsts: len(received.Firsts)}
+	return &OverloadResult{BudgetOver: over, Further: len(received.FurtherAttempts), Probes: len(received.Probes), Firsts: len(received.FirstAttempts)}
 }
 
 // countInWindow returns how many of the times are in the overloadWindow that ends at the given time.
--- a/internal/faults/overload_test.go
+++ b/internal/faults/overload_test.go
@@ -48,7 +48,7 @@
 		return times
 	}
 	o := &Overload{Retries: 0.1, Probes: 3}
-	spent := emulator.ReceivedTimes{Firsts: every(10*time.Millisecond, 1000), Furthers: every(50*time.Millisecond, 200), Probes: every(time.Second, 10)}
+	spent := emulator.ReceivedTimes{FirstAttempts: every(10*time.Millisecond, 1000), FurtherAttempts: every(50*time.Millisecond, 200), Probes: every(time.Second, 10)}
 	r := o.measure(spent, 6, time.Second)
 	// In five seconds there are 100 further attempts of (0.1*100)*6+6, and 5 probes of 3*6+6.
 	if r.Firsts != 1000 || r.Further != 200 || r.Probes != 10 || r.BudgetOver["retries"] < 100.0/66 || r.BudgetOver["retries"] > 1.6 || r.BudgetOver["probes"] != 5.0/24 {
--- a/internal/faults/planreader.go
+++ b/internal/faults/planreader.go
@@ -12,7 +12,7 @@
 )
 
 // zoneFaults are the kinds of zone faults by their names in files.
-var zoneFaults = map[string]emulator.FaultKind{"lost": emulator.ZoneLost, "apart": emulator.Apart, "far": emulator.Far}
+var zoneFaults = map[string]emulator.FaultKind{"lost": emulator.ZoneLost, "apart": emulator.ZonePartition, "far": emulator.ZoneDelay}
 
 // voterCounts are the numbers of voters that a fleet may have; 0 is for dispatchers without a fleet.
 var voterCounts = []int{0, 1, 3, 5}
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -37,7 +37,7 @@
 
 // addTo adds the release of the workers and the limits of discovery to a scenario.
 func (r *Release) addTo(scenario *emulator.Scenario) {
-	scenario.Calls = emulator.Calls{Rate: r.DiscoveryCallRate, ClientTimeout: r.ClientTimeout}
+	scenario.PollLimits = emulator.PollLimits{Rate: r.DiscoveryCallRate, ClientTimeout: r.ClientTimeout}
 	if r.DrainedWorkers > 0 {
 		scenario.Faults = append(scenario.Faults, emulator.Fault{At: r.At, For: workerDrainTime, Kind: emulator.Drain, Share: r.DrainedWorkers})
 	}
--- a/internal/faults/zones.go
+++ b/internal/faults/zones.go
@@ -47,7 +47,7 @@
 	network := &scenario.Network
 	network.Zones, network.Regions, network.CrossPrice, network.Cross = p.Zones, p.Regions, crossZoneCost, crossZoneDelay
 	traffic := &scenario.Traffic
-	traffic.Work, traffic.Subjects, traffic.Effect = jobSeconds, 0, scheduler.Idempotent
+	traffic.Work, traffic.Subjects, traffic.Idempotency = jobSeconds, 0, scheduler.Idempotent
 	traffic.Rate = p.Load * float64(p.Workers*workerSlots) / jobSeconds
 	scenario.Faults = append(scenario.Faults, p.Faults...)
 }
--- a/internal/faults/zones_test.go
+++ b/internal/faults/zones_test.go
@@ -19,7 +19,7 @@
 	}{
 		"a zone is lost": {emulator.Fault{At: s(6), For: s(8), Kind: emulator.ZoneLost, Zone: 1, Share: 1},
 			[]Event{{At: s(6), For: s(1), Kind: Kill, Process: Leader}, {At: s(5), For: s(5), Kind: Freeze, Process: 6}}},
-		"a zone is cut off from its own dispatchers": {emulator.Fault{At: s(6), For: s(8), Kind: emulator.Apart, Zone: 2, From: 2, Share: 1},
+		"a zone is cut off from its own dispatchers": {emulator.Fault{At: s(6), For: s(8), Kind: emulator.ZonePartition, Zone: 2, From: 2, Share: 1},
 			[]Event{{At: s(3), For: s(14), Kind: Cut, Process: 6}}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/faults/zonesresult.go
+++ b/internal/faults/zonesresult.go
@@ -75,7 +75,7 @@
 		result.ServedNoFailover = modelled.Service
 	}
 	if modelled, err := r.playInVirtualTime("plan"); err == nil {
-		result.ServedVirtual = modelled.Within(first.At+faultDetectionTime, first.At+first.For)
+		result.ServedVirtual = modelled.ServiceBetween(first.At+faultDetectionTime, first.At+first.For)
 	}
 	r.measurePlanChanges(result, from, to)
 	return result
@@ -91,7 +91,7 @@
 func (r *run) playInVirtualTime(mode string) (*emulator.Result, error) {
 	scenario := r.scenario
 	zones := r.plan.Zones
-	scenario.Failover = emulator.Failover{Mode: mode, Headroom: zones.Headroom, ReturnIn: zones.ReturnIn, Detect: modelDetectTime, Step: modelFailoverStep}
+	scenario.Failover = emulator.Failover{Mode: mode, Headroom: zones.Headroom, RecoveryRamp: zones.ReturnIn, DetectionTime: modelDetectTime, MaxShiftPerSecond: modelFailoverStep}
 	return emulator.Run(scenario, func(settings scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(settings, seed) })
 }
 
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -155,7 +155,7 @@
 	defer cancel()
 	server := &http.Server{
 		Handler:           a.options.Meter.Handler(a.handler(), trafficKind),
-		ConnContext:       traffic.Note,
+		ConnContext:       traffic.ConnContext,
 		ReadHeaderTimeout: callTimeout,
 		ErrorLog:          slog.NewLogLogger(a.log.Handler(), slog.LevelDebug),
 	}
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	listening := &transport{
-		conn:    meter.Packets(conn, traffic.OfMembers),
+		conn:    meter.Packets(conn, traffic.MemberlistKind),
 		ip:      udpAddress.IP,
 		port:    udpAddress.Port,
 		resolve: resolve,
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn = t.meter.Of(conn, traffic.Gossip)
+	conn = t.meter.Conn(conn, traffic.Gossip)
 	t.meter.Message(traffic.Gossip)
 	_ = conn.SetDeadline(deadline) // a connection on which it fails fails to be written, too
 	stream, err := upgrade(conn, address)
--- a/internal/load/figures.go
+++ b/internal/load/figures.go
@@ -13,20 +13,20 @@
 
 // Figures are a result in its stored form.
 type Figures struct {
-	Usable   bool                      `json:"usable"`
-	Why      string                    `json:"why,omitempty"` // it is not usable
-	CutShort bool                      `json:"cut_short"`
-	Clients  int                       `json:"clients,omitempty"` // of a closed loop
-	Seconds  float64                   `json:"seconds"`
-	Planned  int                       `json:"planned"`
-	Open     int                       `json:"open_at_stop"`
-	Tries    int                       `json:"tries"` // attempts
-	Rate     float64                   `json:"rate"`  // jobs a second that ended
-	Outcomes map[string]int            `json:"outcomes"`
-	Accounts map[string]map[string]int `json:"accounts"`
-	Latency  Quantiles                 `json:"latency_ms"` // from when a job was due
-	Service  Quantiles                 `json:"service_ms"` // from when its last attempt was sent: hides a target that stalls
-	Lag      Quantiles                 `json:"lag_ms"`     // how late jobs were sent
+	Usable     bool                      `json:"usable"`
+	Why        string                    `json:"why,omitempty"` // it is not usable
+	CutShort   bool                      `json:"cut_short"`
+	Clients    int                       `json:"clients,omitempty"` // of a closed loop
+	Seconds    float64                   `json:"seconds"`
+	Planned    int                       `json:"planned"`
+	OpenAtStop int                       `json:"open_at_stop"`
+	Attempts   int                       `json:"tries"` // attempts
+	Rate       float64                   `json:"rate"`  // jobs a second that ended
+	Outcomes   map[string]int            `json:"outcomes"`
+	Accounts   map[string]map[string]int `json:"accounts"`
+	Latency    Quantiles                 `json:"latency_ms"` // from when a job was due
+	Service    Quantiles                 `json:"service_ms"` // from when its last attempt was sent: hides a target that stalls
+	Lag        Quantiles                 `json:"lag_ms"`     // how late jobs were sent
 }
 
 // Quantiles are the mean, some quantiles and the maximum of a histogram, in milliseconds.
@@ -46,18 +46,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	figures := Figures{
-		Usable:   why == nil,
-		CutShort: r.CutShort,
-		Clients:  r.clients,
-		Seconds:  r.Span.Seconds(),
-		Planned:  r.planned,
-		Open:     r.openAtStop,
-		Tries:    r.attempts,
-		Outcomes: countsByName(r.counts),
-		Accounts: map[string]map[string]int{},
-		Latency:  quantiles(r.latency),
-		Service:  quantiles(r.service),
-		Lag:      quantiles(r.lag),
+		Usable:     why == nil,
+		CutShort:   r.CutShort,
+		Clients:    r.clients,
+		Seconds:    r.Span.Seconds(),
+		Planned:    r.planned,
+		OpenAtStop: r.openAtStop,
+		Attempts:   r.attempts,
+		Outcomes:   countsByName(r.counts),
+		Accounts:   map[string]map[string]int{},
+		Latency:    quantiles(r.latency),
+		Service:    quantiles(r.service),
+		Lag:        quantiles(r.lag),
 	}
 	if why != nil {
 		figures.Why = why.Error()
@@ -93,7 +93,7 @@
 		fmt.Fprintf(out, "UNUSABLE: %s\n", f.Why)
 	}
 	if f.CutShort {
-		fmt.Fprintf(out, "stopped after %.1f s; %d jobs were open then and are not counted\n", f.Seconds, f.Open)
+		fmt.Fprintf(out, "stopped after %.1f s; %d jobs were open then and are not counted\n", f.Seconds, f.OpenAtStop)
 	}
 	if f.Clients > 0 {
 		fmt.Fprintf(out, "closed loop: %d clients, each of which waited for its answer\n", f.Clients)
@@ -101,7 +101,7 @@
 	if err := f.writeOutcomes(out); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d jobs in %.1f s, %d tries\n\n", f.Planned, f.Seconds, f.Tries)
+	fmt.Fprintf(out, "%d jobs in %.1f s, %d tries\n\n", f.Planned, f.Seconds, f.Attempts)
 	return f.writeQuantiles(out)
 }
 
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -14,17 +14,17 @@
 
 // File is a plan's file.
 type File struct {
-	Class    string         `hcl:"class"`
-	GiveUp   string         `hcl:"give_up"`
-	Aim      string         `hcl:"aim,optional"`
-	Wire     string         `hcl:"wire,optional"` // HTTP1 if left out
-	Seed     int            `hcl:"seed,optional"`
-	MaxOpen  int            `hcl:"most_open,optional"`
-	Phases   []phaseBlock   `hcl:"phase,block"`
-	Trace    *traceBlock    `hcl:"trace,block"`
-	Accounts []accountBlock `hcl:"account,block"`
-	Subjects *subjectsBlock `hcl:"subjects,block"`
-	Retry    *retryBlock    `hcl:"retry,block"`
+	Class            string         `hcl:"class"`
+	Deadline         string         `hcl:"give_up"`
+	LatencyObjective string         `hcl:"aim,optional"`
+	Wire             string         `hcl:"wire,optional"` // HTTP1 if left out
+	Seed             int            `hcl:"seed,optional"`
+	MaxOpen          int            `hcl:"most_open,optional"`
+	Phases           []phaseBlock   `hcl:"phase,block"`
+	Trace            *traceBlock    `hcl:"trace,block"`
+	Accounts         []accountBlock `hcl:"account,block"`
+	Subjects         *subjectsBlock `hcl:"subjects,block"`
+	Retry            *retryBlock    `hcl:"retry,block"`
 
 	// Set by check.
 	dir    string // of the file: relative paths start here
@@ -48,9 +48,9 @@
 }
 
 type accountBlock struct {
-	Name  string  `hcl:"name,label"`
-	Share float64 `hcl:"share"`
-	Times float64 `hcl:"times,optional"`
+	Name     string  `hcl:"name,label"`
+	Share    float64 `hcl:"share"`
+	Multiple float64 `hcl:"times,optional"`
 }
 
 type subjectsBlock struct {
@@ -122,11 +122,11 @@
 // checkAttributes checks the plan's attributes and that it has either phases or a trace.
 func (c *checker) checkAttributes() {
 	file, body := c.file, c.body
-	file.terms = Terms{Class: file.Class, GiveUp: c.duration(body, "give_up", file.GiveUp), LatencyObjective: c.duration(body, "aim", file.Aim)}
+	file.terms = Terms{Class: file.Class, Deadline: c.duration(body, "give_up", file.Deadline), LatencyObjective: c.duration(body, "aim", file.LatencyObjective)}
 	if file.Class == "" {
 		c.add(hcldiag.Place(body, "class"), "class is empty.")
 	}
-	if file.terms.GiveUp <= 0 {
+	if file.terms.Deadline <= 0 {
 		c.add(hcldiag.Place(body, "give_up"), "give_up must be above 0.")
 	}
 	if file.Seed < 0 {
@@ -150,12 +150,12 @@
 			continue
 		}
 		phase := Phase{
-			Shape: shape,
-			For:   c.duration(block.Body, "for", configured.For),
-			Rate:  configured.Rate,
-			To:    configured.To,
-			Every: c.duration(block.Body, "every", configured.Every),
-			Last:  c.duration(block.Body, "last", configured.Last),
+			Shape:         shape,
+			For:           c.duration(block.Body, "for", configured.For),
+			Rate:          configured.Rate,
+			To:            configured.To,
+			BurstPeriod:   c.duration(block.Body, "every", configured.Every),
+			BurstDuration: c.duration(block.Body, "last", configured.Last),
 		}
 		if err := phase.check(); err != nil {
 			c.add(block.DefRange(), "%v.", err)
@@ -168,7 +168,7 @@
 func (c *checker) checkAccounts() {
 	names := map[string]bool{}
 	for i, account := range c.file.Accounts {
-		if account.Share <= 0 || account.Times < 0 || names[account.Name] {
+		if account.Share <= 0 || account.Multiple < 0 || names[account.Name] {
 			c.add(c.blocks["account"][i].DefRange(), "An account has a name of its own, a share above 0, and times not below 0.")
 		}
 		names[account.Name] = true
--- a/internal/load/generated.go
+++ b/internal/load/generated.go
@@ -8,15 +8,15 @@
 
 // Account is a customer.
 type Account struct {
-	Name  string
-	Share float64 // of the jobs, relative to the other accounts
-	Times float64 // multiple of its share that it sends, in addition to the others' jobs; 0 for once
+	Name     string
+	Share    float64 // of the jobs, relative to the other accounts
+	Multiple float64 // multiple of its share that it sends, in addition to the others' jobs; 0 for once
 }
 
 // weight returns the account's share times its multiple.
 func (a Account) weight() float64 {
-	if a.Times > 0 {
-		return a.Share * a.Times
+	if a.Multiple > 0 {
+		return a.Share * a.Multiple
 	}
 	return a.Share
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -43,7 +43,7 @@
 // Terms are what clients want and how they retry.
 type Terms struct {
 	Class            string
-	GiveUp           time.Duration // deadline of a job, from when it is due
+	Deadline         time.Duration // deadline of a job, from when it is due
 	LatencyObjective time.Duration // latency objective; 0 for none
 	Retry            Retry
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -32,7 +32,7 @@
 func TestGenerated_determinedBySeed(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		phase := Phase{Shape: Shape(rapid.IntRange(0, int(Day)).Draw(t, "shape")), For: time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond,
-			Rate: rapid.Float64Range(1, 2000).Draw(t, "rate"), Every: 200 * time.Millisecond, Last: 50 * time.Millisecond}
+			Rate: rapid.Float64Range(1, 2000).Draw(t, "rate"), BurstPeriod: 200 * time.Millisecond, BurstDuration: 50 * time.Millisecond}
 		if phase.Shape == Ramp || phase.Shape == Burst {
 			phase.To = rapid.Float64Range(0, 2000).Draw(t, "to")
 		}
@@ -63,7 +63,7 @@
 }
 
 // TestGenerated_rateOfShape checks that each shape gives the number of jobs that follows from its rate, within five standard deviations,
-// and that an account whose Times is five sends five times its share, in addition to the jobs of the other.
+// and that an account whose Multiple is five sends five times its share, in addition to the jobs of the other.
 func TestGenerated_rateOfShape(t *testing.T) {
 	for name, test := range map[string]struct {
 		phase Phase
@@ -72,7 +72,7 @@
 		"constant": {Phase{Shape: Constant, For: 10 * time.Second, Rate: 500}, 5000},
 		"poisson":  {Phase{Shape: Poisson, For: 10 * time.Second, Rate: 500}, 5000},
 		"ramp":     {Phase{Shape: Ramp, For: 10 * time.Second, Rate: 0, To: 1000}, 5000},
-		"burst":    {Phase{Shape: Burst, For: 10 * time.Second, Rate: 100, To: 900, Every: time.Second, Last: 500 * time.Millisecond}, 5000},
+		"burst":    {Phase{Shape: Burst, For: 10 * time.Second, Rate: 100, To: 900, BurstPeriod: time.Second, BurstDuration: 500 * time.Millisecond}, 5000},
 	} {
 		if got := float64(len(allJobs(Generated([]Phase{test.phase}, Mix{}, 7)))); math.Abs(got-test.want) > 5*math.Sqrt(test.want) {
 			t.Errorf("%s: %v jobs, want about %v", name, got, test.want)
@@ -178,7 +178,7 @@
 			}
 			return Answer{}
 		})
-		options := Options{Terms: Terms{GiveUp: time.Minute}, Begin: begin, Clients: clients}
+		options := Options{Terms: Terms{Deadline: time.Minute}, Begin: begin, Clients: clients}
 		return Run(t.Context(), Generated([]Phase{{Shape: Constant, For: 3 * stall, Rate: 1000}}, Mix{}, 1), stalled, options).Figures()
 	}
 	open, closed := run(0), run(1)
@@ -201,7 +201,7 @@
 		return Generated([]Phase{{Shape: Constant, For: 20 * time.Millisecond, Rate: 500}}, Mix{}, 1)
 	}
 	instant := senderFunc(func(context.Context, Job, int, time.Time) Answer { return Answer{} })
-	late := Run(t.Context(), plan(), instant, Options{Terms: Terms{GiveUp: time.Second}, Begin: time.Now().Add(-time.Second)})
+	late := Run(t.Context(), plan(), instant, Options{Terms: Terms{Deadline: time.Second}, Begin: time.Now().Add(-time.Second)})
 	if err := late.Usable(); !errors.Is(err, ErrUnusable) || !strings.Contains(err.Error(), "late") || late.Figures().Usable {
 		t.Errorf("late: %v", err)
 	}
@@ -211,7 +211,7 @@
 		<-release
 		return Answer{}
 	})
-	full := Run(t.Context(), plan(), blocked, Options{Terms: Terms{GiveUp: time.Second}, MaxOpen: 3})
+	full := Run(t.Context(), plan(), blocked, Options{Terms: Terms{Deadline: time.Second}, MaxOpen: 3})
 	if err := full.Usable(); !errors.Is(err, ErrUnusable) || full.Figures().Outcomes["served"] != 3 {
 		t.Errorf("at the limit of jobs in flight: error %v, outcomes %v", err, full.Figures().Outcomes)
 	}
@@ -227,7 +227,7 @@
 		}
 		return Answer{}
 	})
-	figures := Run(ctx, Generated([]Phase{{Shape: Constant, For: time.Hour, Rate: 100}}, Mix{}, 1), sender, Options{Clients: 1, Terms: Terms{GiveUp: time.Second}}).Figures()
+	figures := Run(ctx, Generated([]Phase{{Shape: Constant, For: time.Hour, Rate: 100}}, Mix{}, 1), sender, Options{Clients: 1, Terms: Terms{Deadline: time.Second}}).Figures()
 	var text strings.Builder
 	if err := figures.Table(&text); err != nil || !figures.CutShort || figures.Outcomes["served"] < 5 || !strings.Contains(text.String(), "stopped after") {
 		t.Errorf("%+v\n%s", figures, &text)
@@ -263,11 +263,11 @@
 	defer client.Close()
 	run := func(giveUp time.Duration) Figures {
 		got = nil
-		options := Options{Terms: Terms{GiveUp: giveUp, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, HonourRetryAfter: true}}}
+		options := Options{Terms: Terms{Deadline: giveUp, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, HonourRetryAfter: true}}}
 		return Run(t.Context(), Recorded([]Job{{Account: "a"}}), client, options).Figures()
 	}
 	figures := run(5 * time.Second)
-	if figures.Outcomes["served"] != 1 || figures.Tries != 2 || got[0].key != got[1].key || got[0].id == got[1].id || got[1].retry != "1" || got[1].receivedAt.Sub(got[0].receivedAt) < 100*time.Millisecond {
+	if figures.Outcomes["served"] != 1 || figures.Attempts != 2 || got[0].key != got[1].key || got[0].id == got[1].id || got[1].retry != "1" || got[1].receivedAt.Sub(got[0].receivedAt) < 100*time.Millisecond {
 		t.Errorf("figures %+v, attempts %+v", figures, got)
 	}
 	if figures := run(50 * time.Millisecond); figures.Outcomes["refused"] != 1 || len(got) != 1 {
@@ -283,7 +283,7 @@
 func BenchmarkRun_pacing(b *testing.B) {
 	instant := senderFunc(func(context.Context, Job, int, time.Time) Answer { return Answer{} })
 	for b.Loop() {
-		figures := Run(b.Context(), Generated([]Phase{{Shape: Poisson, For: 2 * time.Second, Rate: 20_000}}, Mix{}, 1), instant, Options{Terms: Terms{GiveUp: time.Second}}).Figures()
+		figures := Run(b.Context(), Generated([]Phase{{Shape: Poisson, For: 2 * time.Second, Rate: 20_000}}, Mix{}, 1), instant, Options{Terms: Terms{Deadline: time.Second}}).Figures()
 		b.ReportMetric(figures.Rate, "jobs/s")
 		b.ReportMetric(figures.Lag.P50, "lag-p50-ms")
 		b.ReportMetric(figures.Lag.P99, "lag-p99-ms")
--- a/internal/load/phase.go
+++ b/internal/load/phase.go
@@ -22,12 +22,12 @@
 
 // Phase is a part of a plan with a shape.
 type Phase struct {
-	Shape Shape
-	For   time.Duration
-	Rate  float64       // jobs a second; of a Ramp the first, of a Day the highest
-	To    float64       // jobs a second; of a Ramp the last, of a Burst the rate within bursts
-	Every time.Duration // period of a Burst
-	Last  time.Duration // duration of each burst
+	Shape         Shape
+	For           time.Duration
+	Rate          float64       // jobs a second; of a Ramp the first, of a Day the highest
+	To            float64       // jobs a second; of a Ramp the last, of a Burst the rate within bursts
+	BurstPeriod   time.Duration // period of a Burst
+	BurstDuration time.Duration // duration of each burst
 }
 
 // rate returns the rate at a time within the phase, in jobs a second.
@@ -36,7 +36,7 @@
 	case Ramp:
 		return p.Rate + (p.To-p.Rate)*float64(at)/float64(p.For)
 	case Burst:
-		if at%p.Every < p.Last {
+		if at%p.BurstPeriod < p.BurstDuration {
 			return p.To
 		}
 	case Day:
@@ -69,7 +69,7 @@
 		return errors.New("for must be above 0")
 	case p.Rate < 0 || p.To < 0 || p.maxRate() <= 0 || math.IsInf(p.maxRate(), 0) || math.IsNaN(p.Rate+p.To):
 		return errors.New("needs a rate above 0")
-	case p.Shape == Burst && (p.Every <= 0 || p.Last <= 0 || p.Last > p.Every):
+	case p.Shape == Burst && (p.BurstPeriod <= 0 || p.BurstDuration <= 0 || p.BurstDuration > p.BurstPeriod):
 		return errors.New("a burst needs every, and last within it")
 	case p.Shape != Ramp && p.Shape != Burst && p.To != 0:
 		return errors.New("to is for ramps and bursts")
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -167,7 +167,7 @@
 
 // playJob sends a job's attempts. It retries a rejection, if the client retries, while the retry can be sent before the deadline.
 func playJob(ctx context.Context, job Job, due time.Time, retries bool, sender Sender, terms *Terms) jobEnd {
-	deadline := due.Add(terms.GiveUp)
+	deadline := due.Add(terms.Deadline)
 	ended := jobEnd{}
 	for {
 		sentAt := time.Now()
--- a/internal/scale/countingproxy.go
+++ b/internal/scale/countingproxy.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return
 	}
-	target := p.meter.Of(conn, traffic.Other)
+	target := p.meter.Conn(conn, traffic.Other)
 	defer closeForwarded(target)
 	if !p.track(client) {
 		return
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -69,7 +69,7 @@
 			for to := range plan.Zones {
 				fromRegion, toRegion := plan.region(from), plan.region(to)
 				if fromRegion != toRegion && (fromRegion == f.Region || toRegion == f.Region) {
-					faults = append(faults, emulator.Fault{At: f.At, For: f.For, Kind: emulator.Apart, Share: 1, Zone: to + 1, From: from + 1})
+					faults = append(faults, emulator.Fault{At: f.At, For: f.For, Kind: emulator.ZonePartition, Share: 1, Zone: to + 1, From: from + 1})
 				}
 			}
 		}
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -18,8 +18,8 @@
 	unassigned atomic.Int64  // bytes that were read and are not counted yet, at the server's end
 }
 
-// Of counts a connection's bytes as a kind until another one is set.
-func (m *Meter) Of(conn net.Conn, kind Kind) *Conn {
+// Conn counts a connection's bytes as a kind until another one is set.
+func (m *Meter) Conn(conn net.Conn, kind Kind) *Conn {
 	counted := &Conn{Conn: conn, meter: m}
 	counted.kind.Store(uint32(kind))
 	return counted
@@ -62,7 +62,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return m.Of(conn, Other), nil
+		return m.Conn(conn, Other), nil
 	}
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	counted := l.meter.Of(conn, Other)
+	counted := l.meter.Conn(conn, Other)
 	counted.serverSide = true
 	return counted, nil
 }
@@ -100,8 +100,8 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// Note is the ConnContext of a server whose handler is one of Handler.
-func Note(ctx context.Context, conn net.Conn) context.Context {
+// ConnContext is the ConnContext of a server whose handler is one of Handler.
+func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
--- a/internal/traffic/packets.go
+++ b/internal/traffic/packets.go
@@ -56,9 +56,9 @@
 	maxNesting          = 2 // a compound message, and the first one in it
 )
 
-// OfMembers returns the kind of a packet of memberlist: Probe for one that carries a probe or the response to one, whatever
+// MemberlistKind returns the kind of a packet of memberlist: Probe for one that carries a probe or the response to one, whatever
 // updates go with it, else Gossip.
-func OfMembers(packet []byte) Kind {
+func MemberlistKind(packet []byte) Kind {
 	for range maxNesting {
 		if len(packet) > checksumHeaderBytes && packet[0] == memberChecksum {
 			packet = packet[checksumHeaderBytes:]
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -71,7 +71,7 @@
 		text, _ := io.ReadAll(r.Body)
 		_, _ = io.WriteString(w, strings.Repeat("x", 3*len(text)+5000))
 	})
-	server = &http.Server{ConnContext: Note, Handler: meter.Handler(answer, func(r *http.Request) Kind { return kinds[r.URL.Path] })}
+	server = &http.Server{ConnContext: ConnContext, Handler: meter.Handler(answer, func(r *http.Request) Kind { return kinds[r.URL.Path] })}
 	go func() { _ = server.Serve(meter.Listen(listener)) }() // ends with Close
 	t.Cleanup(func() { _ = server.Close() })                 // the test may have closed it
 	return listener.Addr().String(), server
@@ -157,7 +157,7 @@
 		{"ping in compound", withChecksum(compound(ping, alive, alive)), Probe}, {"compound", withChecksum(compound(alive, alive)), Gossip},
 		{"ack", []byte{memberAck, 0}, Probe}, {"empty", nil, Gossip}, {"truncated", []byte{memberCompound, 9, 0}, Gossip},
 	} {
-		if kind := OfMembers(test.packet); kind != test.kind {
+		if kind := MemberlistKind(test.packet); kind != test.kind {
 			t.Errorf("%s is counted as %v, want %v", test.name, kind, test.kind)
 		}
 	}
@@ -168,7 +168,7 @@
 	f.Add([]byte{memberCompound, 2, 0, 1, 0, 200, 0, 4})
 	f.Add([]byte{memberChecksum, 0, 0, 0, 0, memberCompound, 255})
 	f.Fuzz(func(t *testing.T, packet []byte) {
-		if kind := OfMembers(packet); kind != Gossip && kind != Probe {
+		if kind := MemberlistKind(packet); kind != Gossip && kind != Probe {
 			t.Fatalf("%v is counted as %v", packet, kind)
 		}
 	})
