--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -11,7 +11,7 @@
 type Breach struct {
 	Rule    string
 	Request uint64
-	Worker  scheduler.WorkerID // where one was concerned
+	Worker  scheduler.WorkerID // empty if the breach concerns no worker
 	At      time.Duration      // since the start
 	Why     string
 }
@@ -33,7 +33,7 @@
 	RuleSlowStart = "no cold box pushed over"
 )
 
-// auditor checks the rules over the events of a run. It is given what happens, and nothing of how a policy decides.
+// auditor checks the rules over the events of a run. It sees the events only, not a policy's state.
 type auditor struct {
 	scenario      *Scenario
 	clockStart    time.Duration
@@ -70,13 +70,13 @@
 	return &auditor{scenario: scenario, clockStart: clockStart, requests: map[uint64]*auditedRequest{}, drainingSince: map[drainKey]time.Duration{}}
 }
 
-// addBreach records a violation. worker is empty where none is concerned.
+// addBreach records a violation. worker is empty if the breach concerns no worker.
 func (a *auditor) addBreach(rule string, now time.Duration, request uint64, worker scheduler.WorkerID, format string, args ...any) {
 	a.breaches = append(a.breaches, Breach{rule, request, worker, now - a.clockStart, fmt.Sprintf(format, args...)})
 }
 
-// auditOf returns the history of a request, a new one if there is none.
-func (a *auditor) auditOf(id uint64) *auditedRequest {
+// historyOf returns the history of a request. It adds an empty history if there is none.
+func (a *auditor) historyOf(id uint64) *auditedRequest {
 	audited := a.requests[id]
 	if audited == nil {
 		audited = &auditedRequest{}
@@ -86,7 +86,7 @@
 }
 
 // requestArrived sets a request's class.
-func (a *auditor) requestArrived(request uint64, class *Class) { a.auditOf(request).class = class }
+func (a *auditor) requestArrived(request uint64, class *Class) { a.historyOf(request).class = class }
 
 // classOf returns a request's class, or the scenario's only one.
 func (a *auditor) classOf(audited *auditedRequest) Class {
@@ -96,10 +96,10 @@
 	return a.scenario.Traffic.effectiveClasses()[0]
 }
 
-// answered checks a final answer: it must be the only one, and a rejection, which promises the client that a retry is harmless,
-// is permitted only where no attempt may have executed or where the class makes repeats harmless.
+// answered checks a final answer. It must be the only one. A rejection promises the client that a retry is harmless, so it is permitted
+// only if no attempt may have executed or if the class makes repeats harmless.
 func (a *auditor) answered(now time.Duration, request uint64, rejected bool) {
-	audited := a.auditOf(request)
+	audited := a.historyOf(request)
 	if class := a.classOf(audited); rejected && !class.repeatHarmless() {
 		for _, earlier := range audited.attempts {
 			if !earlier.neverExecuted {
@@ -119,7 +119,7 @@
 
 // clientGaveUp checks, once the client's deadline and the slack have passed, that the request was answered.
 func (a *auditor) clientGaveUp(now time.Duration, request uint64) {
-	if a.auditOf(request).answers == 0 {
+	if a.historyOf(request).answers == 0 {
 		a.addBreach(RuleAnswer, now, request, "", "none came")
 	}
 }
@@ -127,7 +127,7 @@
 // attemptSent checks an attempt when its first byte is sent: against the request's earlier attempts, and against the drain of
 // its worker.
 func (a *auditor) attemptSent(now time.Duration, dispatcher int, request uint64, worker scheduler.WorkerID, cell, zone int) {
-	audited := a.auditOf(request)
+	audited := a.historyOf(request)
 	if len(audited.attempts) >= a.scenario.Rules.MaxAttempts {
 		a.addBreach(RuleRepeat, now, request, worker, "attempt number %d", len(audited.attempts)+1)
 	}
@@ -155,7 +155,7 @@
 
 // attemptEnded records an attempt's outcome.
 func (a *auditor) attemptEnded(request uint64, index int, outcome scheduler.Outcome) {
-	if audited := a.auditOf(request); index < len(audited.attempts) {
+	if audited := a.historyOf(request); index < len(audited.attempts) {
 		attempt := &audited.attempts[index]
 		attempt.inFlight = false
 		switch outcome {
@@ -185,5 +185,5 @@
 	}
 }
 
-// forget drops the history of a request that is over.
+// forget drops the history of a request that has ended.
 func (a *auditor) forget(request uint64) { delete(a.requests, request) }
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -8,9 +8,9 @@
 	"brassdale/scheduler"
 )
 
-// Cluster is a scenario's workers and discovery on loopback sockets: the model that Run runs, by the real clock, for real
-// dispatchers. Each dispatcher reaches discovery and every worker at addresses of its own, so that the sender of each message
-// is known. Cluster is safe for use by several goroutines.
+// Cluster runs a scenario's workers and discovery on loopback sockets: the same model as in Run, by the real clock, for real
+// dispatchers. Discovery and every worker have a separate address for each dispatcher, so that the sender of each message is
+// known. Cluster is safe for use by several goroutines.
 type Cluster struct {
 	sim              *simulation
 	startedAt        time.Time
@@ -33,13 +33,13 @@
 }
 
 // errVirtualTimeOnly is the error for scenarios with parts that sockets do not model.
-var errVirtualTimeOnly = errors.New("classes, memory, connections, live weights, bounded queues, pushed lists, reports in answers, bursts and heavy tails are played in virtual time only")
+var errVirtualTimeOnly = errors.New("classes, memory, connections, live weights, bounded queues, pushed lists, reports in answers, bursts and heavy tails are modelled in virtual time only")
 
 // Open starts a scenario's workers and discovery on loopback ports that the system chooses. Its faults begin with StartFaults.
 // The caller must close the cluster.
 func Open(scenario Scenario) (*Cluster, error) { return open(context.Background(), scenario) }
 
-// open is Open; the cluster's engine also ends with the context.
+// open is Open with a context that ends the cluster's engine.
 func open(ctx context.Context, scenario Scenario) (*Cluster, error) {
 	sim, err := newSimulation(&scenario)
 	if err != nil {
@@ -68,12 +68,12 @@
 	sim.after(0, sim.sampleZones)
 	go func() {
 		defer close(cluster.engineDone)
-		sim.live(ctx, clockStart, cluster.startedAt, cluster.syncListeners)
+		sim.runInRealTime(ctx, clockStart, cluster.startedAt, cluster.syncListeners)
 	}()
 	return cluster, nil
 }
 
-// watchSimulation has the discovery servers follow the simulation's endpoint updates and faults of discovery.
+// watchSimulation passes the simulation's endpoint updates and faults of discovery on to the discovery servers.
 func (c *Cluster) watchSimulation() {
 	c.sim.workerListeners = append(c.sim.workerListeners, func(endpoint scheduler.WorkerInfo) {
 		for _, server := range c.discoveryServers {
@@ -107,8 +107,8 @@
 // StartFaults schedules the scenario's faults, from now. A second call schedules them once more.
 func (c *Cluster) StartFaults() { c.sim.post(c.sim.scheduleFaults) }
 
-// syncListeners opens the listeners of workers that came up and closes those of workers that went down, so that connections to
-// these are refused.
+// syncListeners opens the listeners of workers that came up. It closes the listeners of workers that went down, so that connections
+// to them are refused.
 func (c *Cluster) syncListeners() {
 	for _, discovery := range c.discoveryServers {
 		for _, server := range discovery.workerServers {
@@ -120,14 +120,14 @@
 			if down {
 				server.stopListening()
 			} else if err := server.startListening(server.address); err != nil {
-				c.sim.addNote("box %s cannot listen again: %v", server.worker.id, err)
+				c.sim.addNote("worker %s: listening again failed: %v", server.worker.id, err)
 			}
 		}
 	}
 }
 
-// receiveAttempt takes an attempt that was received on a socket. The time at which its first byte was sent is not known: it
-// counts as now.
+// receiveAttempt takes an attempt that was received on a socket. The time at which its first byte was sent is not known, so the
+// attempt counts as sent now.
 func (c *Cluster) receiveAttempt(attempt *attemptRun, id string, server *workerServer) {
 	request := c.requests[id]
 	if request == nil {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -14,18 +14,18 @@
 	"brassdale/scheduler"
 )
 
-// maxPollInterval is the age that a dispatcher's endpoint list may reach while it has no watch open: an older change counts as
-// notified. It is the value of askWithin in the configuration that the emulator writes. The platform counts a dispatcher as notified after
-// 6 s (polling.NotificationDeadline), which package soak audits; the emulator's audit allows 4 s more.
+// maxPollInterval is the maximum age of a dispatcher's endpoint list while it has no watch open: the dispatcher counts as notified of
+// an older change. It is the value of askWithin in the configuration that the emulator writes. The platform counts a dispatcher as
+// notified after 6 s (polling.NotificationDeadline), which package soak audits; the emulator's audit allows 4 s more.
 const maxPollInterval = 10 * time.Second
 
 // PollLimits limits the polls of all dispatchers together, on sockets.
 type PollLimits struct {
-	Rate          float64       // polls that discovery works through a second, in turn; 0 for no limit
-	ClientTimeout time.Duration // a poll that would wait longer is rejected after it
+	Rate          float64       // polls that discovery handles per second, in order of arrival; 0 for no limit
+	ClientTimeout time.Duration // a poll that would wait longer than this is rejected after this time
 }
 
-// pollQueue gives the polls of all dispatchers their turns.
+// pollQueue orders the polls of all dispatchers and spaces them by the limits.
 type pollQueue struct {
 	mu       sync.Mutex
 	nextAt   time.Time // of the next free turn
@@ -66,7 +66,7 @@
 // PollCounts is how often all dispatchers polled discovery.
 type PollCounts struct {
 	Polls, Rejected int
-	MaxPerSecond    int           // polls in any second
+	MaxPerSecond    int           // most polls in any second
 	LongestGap      time.Duration // longest time in which a dispatcher had no poll open
 }
 
@@ -90,7 +90,7 @@
 	return counts
 }
 
-// DiscoveryServer is discovery as one dispatcher reaches it.
+// DiscoveryServer serves discovery to one dispatcher.
 type DiscoveryServer struct {
 	cluster       *Cluster
 	dispatcher    int
@@ -98,8 +98,8 @@
 	workerServers map[scheduler.WorkerID]*workerServer
 
 	// Owned by the engine.
-	notifiedAt map[scheduler.WorkerID]time.Duration // start of each worker that the dispatcher was notified of
-	random     *rand.Rand
+	knownStarts map[scheduler.WorkerID]time.Duration // latest start of each worker of which the dispatcher was notified
+	random      *rand.Rand
 
 	mu          sync.Mutex
 	listener    net.Listener
@@ -113,7 +113,7 @@
 	incarnation int           // of the dispatcher: counts its starts and ends
 	absent      bool          // the dispatcher is ending or gone
 	openPolls   int           // of this incarnation
-	idleSince   time.Time     // no poll has been open since; zero while one is, and before the first
+	idleSince   time.Time     // since when no poll is open; zero while a poll is open, and before the first poll
 	longestIdle time.Duration // without an open poll
 }
 
@@ -130,7 +130,7 @@
 		dispatcher:    dispatcher,
 		zone:          dispatcher % max(c.sim.scenario.Network.Zones, 1),
 		workerServers: map[scheduler.WorkerID]*workerServer{},
-		notifiedAt:    map[scheduler.WorkerID]time.Duration{},
+		knownStarts:   map[scheduler.WorkerID]time.Duration{},
 		random:        c.sim.randomSource(uint64(firstDispatcherSource + dispatcher)),
 		entries:       map[scheduler.WorkerID]entry{},
 		changed:       make(chan struct{}),
@@ -150,7 +150,7 @@
 	return discovery, nil
 }
 
-// SetPresent says that a dispatcher, by index, is being started or is ending. Polls of its earlier incarnations no longer count
+// SetPresent records that a dispatcher, by index, is being started or is ending. Polls of its earlier incarnations no longer count
 // towards the time without an open poll.
 func (c *Cluster) SetPresent(dispatcher int, present bool) {
 	server := c.discoveryServers[dispatcher]
@@ -160,7 +160,7 @@
 	server.absent, server.openPolls, server.idleSince = !present, 0, time.Time{}
 }
 
-// Move has discovery listen at other addresses; the old ones refuse connections.
+// Move makes discovery listen at new addresses. The old addresses then refuse connections.
 func (c *Cluster) Move() error {
 	for _, server := range c.discoveryServers {
 		old := server.server
@@ -239,7 +239,7 @@
 	d.wakeWatchers()
 }
 
-// wakeWatchers has all open watches look at the list again. The caller holds d.mu.
+// wakeWatchers makes all open watches check the list again. The caller holds d.mu.
 func (d *DiscoveryServer) wakeWatchers() {
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -248,8 +248,8 @@
 // phaseNames are the worker states on the wire.
 var phaseNames = map[scheduler.WorkerState]string{scheduler.Ready: "active", scheduler.Draining: "leaving", scheduler.Gone: "left"}
 
-// wireMember is a worker on the wire. Like wireList it is written by the protocol's page and not shared with the program that
-// reads it, so that a mistake in either shows.
+// wireMember is a worker on the wire. Like wireList it follows the protocol's documentation and shares no type with the
+// program that reads it, so that a mistake in either shows.
 type wireMember struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
@@ -268,10 +268,10 @@
 	Members  []wireMember `json:"members"`
 }
 
-// fullList, in place of a revision, stands for the full list.
+// fullList, in place of a revision, requests the full list.
 const fullList = -1
 
-// endpointsSince returns the entries that changed after a revision, or, for fullList, all of workers that are not gone. The
+// endpointsSince returns the entries that changed after a revision, or for fullList the entries of all workers that are not gone. The
 // caller holds d.mu.
 func (d *DiscoveryServer) endpointsSince(revision int) (answer wireList, endpoints []scheduler.WorkerInfo) {
 	answer = wireList{Revision: d.revision, Complete: revision < 0, Members: []wireMember{}}
@@ -322,7 +322,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait")) // no number counts as no wait
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait")) // an invalid number counts as 0
 	wait := time.Duration(min(max(waitMS, 0), maxWatchMS)) * time.Millisecond
 	answer, endpoints, err := d.watch(r.Context(), since, wait)
 	switch {
@@ -340,7 +340,7 @@
 	sim.post(func() {
 		for _, endpoint := range endpoints {
 			sim.audit.endpointNotified(sim.now, d.dispatcher, endpoint.ID, endpoint.State)
-			d.notifiedAt[endpoint.ID] = max(d.notifiedAt[endpoint.ID], endpoint.StartedAt)
+			d.knownStarts[endpoint.ID] = max(d.knownStarts[endpoint.ID], endpoint.StartedAt)
 		}
 	})
 }
@@ -363,7 +363,7 @@
 		d.mu.Unlock()
 		select {
 		case <-changed:
-		case <-timeout.C: // fires once: a poll that hangs waits on
+		case <-timeout.C: // fires once; a poll that hangs continues to wait
 			waiting = false
 		case <-ctx.Done():
 			d.mu.Lock() // for the deferred unlock
--- a/internal/emulator/dispatcher.go
+++ b/internal/emulator/dispatcher.go
@@ -8,20 +8,20 @@
 	"brassdale/scheduler"
 )
 
-// Policy decides as the scheduler does: it is given events and returns actions. The caller uses the actions before its next
-// call.
+// Policy makes a dispatcher's decisions as the scheduler does: it takes events and returns actions. The caller must use the actions
+// before its next call.
 type Policy interface {
 	Handle(now scheduler.Instant, ev scheduler.Event) []scheduler.Action
 }
 
-// dispatcher carries out a policy's actions as routing.Core does, and drops those that the core would not carry out.
+// dispatcher carries out a policy's actions as routing.Core does, and drops the actions that routing.Core would drop.
 type dispatcher struct {
 	sim           *simulation
 	index, zone   int
-	idleSince     map[scheduler.WorkerID][]time.Duration // idle connections, by when they became idle
+	idleSince     map[scheduler.WorkerID][]time.Duration // when each idle connection became idle
 	policy        Policy
 	requests      map[scheduler.RequestID]*openRequest
-	knownStarts   map[scheduler.WorkerID]time.Duration // latest start of each worker that it was notified of
+	knownStarts   map[scheduler.WorkerID]time.Duration // latest start of each worker of which the dispatcher was notified
 	recorder      *failover.Recorder                   // nil unless zones are planned
 	plan          *failover.Plan
 	endpointsByID map[scheduler.WorkerID]scheduler.WorkerInfo // nil unless zones are planned
@@ -97,7 +97,7 @@
 	}
 }
 
-// failPoll has a poll of discovery fail: after a network delay where discovery is down, after hungPollTimeout where it hangs.
+// failPoll makes a poll of discovery fail: after a network delay if discovery is down, after hungPollTimeout if it hangs.
 func (d *dispatcher) failPoll() {
 	delay := d.sim.localDelay(d.random)
 	if d.sim.discoveryDown == 0 {
@@ -109,7 +109,7 @@
 // hungPollTimeout is how long a dispatcher waits for an answer of discovery.
 const hungPollTimeout = 750 * time.Millisecond
 
-// requestArrived takes a client's request. It is rejected if the plan admits it to no zone.
+// requestArrived takes a client's request. The request is rejected if the failover plan sheds it.
 func (d *dispatcher) requestArrived(job *job, id scheduler.RequestID, expires time.Duration) {
 	d.requests[id] = &openRequest{job: job, expires: expires}
 	d.sim.audit.requestArrived(uint64(id), d.sim.classOf(job))
@@ -126,7 +126,7 @@
 		AffinityKey: uint64(job.subject), Deadline: expires, AllowedZones: zones})
 }
 
-// requestExpired ends the attempts in flight of a request whose deadline has come.
+// requestExpired ends the attempts in flight of a request whose deadline has passed.
 func (d *dispatcher) requestExpired(id scheduler.RequestID) {
 	request := d.requests[id]
 	if request == nil {
@@ -204,7 +204,7 @@
 	d.forget(id)
 }
 
-// attemptStarted implements attemptSource. The dispatcher does not see it during a partition.
+// attemptStarted implements attemptSource. During a partition the dispatcher is not notified.
 func (d *dispatcher) attemptStarted(attempt *attemptRun) {
 	if d.partitionedFrom(d.sim.workerByAttempt(attempt)) {
 		return
@@ -217,7 +217,7 @@
 	}
 }
 
-// attemptOver implements attemptSource. The dispatcher does not see it during a partition: the request's deadline ends the
+// attemptOver implements attemptSource. During a partition the dispatcher is not notified, and the request's deadline ends the
 // attempt.
 func (d *dispatcher) attemptOver(attempt *attemptRun, outcome scheduler.Outcome) {
 	if !d.partitionedFrom(d.sim.workerByAttempt(attempt)) {
--- a/internal/emulator/dispatcherconfig.go
+++ b/internal/emulator/dispatcherconfig.go
@@ -31,8 +31,8 @@
 	}, "", " ")
 }
 
-// configObject is a JSON object of the configuration file. It is written by the protocol's page and not by the program's own
-// types for reading it, so that a mistake in these shows.
+// configObject is a JSON object of the configuration file. It follows the protocol's documentation and shares no
+// type with the program that reads it, so that a mistake in either shows.
 type configObject = map[string]any
 
 // configSettings returns the settings of the configuration file. Durations are in microseconds.
--- a/internal/emulator/dispatcherprocess.go
+++ b/internal/emulator/dispatcherprocess.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// DispatcherProcess is one start of a dispatcher's program. It is used after StartWith has returned it, when the addresses no longer change.
+// DispatcherProcess is a process of a dispatcher's program. Its addresses do not change once StartWith has returned it.
 type DispatcherProcess struct {
 	Address   string // of its listener for clients
 	Admin     string // of its admin API
@@ -32,7 +32,7 @@
 	return c.StartWith(ctx, binary, dir, dispatcher, nil, args...)
 }
 
-// StartWith is Start with environment variables in addition to the usual ones.
+// StartWith is Start with environment variables in addition to the default ones.
 func (c *Cluster) StartWith(ctx context.Context, binary, dir string, dispatcher int, env []string, args ...string) (*DispatcherProcess, error) {
 	path, err := c.WriteConfig(dir, dispatcher)
 	if err != nil {
@@ -92,15 +92,15 @@
 	return p.log.String()
 }
 
-// Stop has the process shut down gracefully. It returns an error if the process has to be killed at the given time, or if its
-// exit code is not 0.
+// Stop makes the process shut down gracefully. It returns an error if the process has not ended by the given time and is killed, or
+// if its exit code is not 0.
 func (p *DispatcherProcess) Stop(by time.Time) error {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails only if it has ended
 	select {
 	case <-p.ended:
 	case <-time.After(time.Until(by)):
 		p.Kill()
-		return errors.New("it did not end")
+		return errors.New("the process did not end in time and was killed")
 	}
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
 		return fmt.Errorf("exit code %d", code)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -29,11 +29,11 @@
 	return result
 }
 
-// allFaults is a scenario with every kind of fault that is not of a zone.
+// allFaults is a scenario with every kind of fault except faults of zones.
 func allFaults(seed uint64) Scenario {
 	s := ReferenceScenario(seed)
 	s.Span = 36 * time.Second
-	for i := range ZoneLost { // the later ones are of zones
+	for i := range ZoneLost { // the kinds from ZoneLost on are faults of zones
 		s.Faults = append(s.Faults, Fault{At: time.Duration(2+4*i) * time.Second, For: 3 * time.Second, Kind: i, Share: 0.1, Size: 2})
 	}
 	return s
@@ -47,7 +47,7 @@
 		again := fmt.Sprintf("%+v", *mustRun(t, allFaults(7), schedulerPolicy))
 		runtime.GOMAXPROCS(old)
 		if again != first {
-			t.Errorf("on %d cores:\n%s\nnot\n%s", cores, again, first)
+			t.Errorf("on %d cores: got\n%s\nwant\n%s", cores, again, first)
 		}
 	}
 	if other := fmt.Sprintf("%+v", *mustRun(t, allFaults(8), schedulerPolicy)); other == first {
@@ -56,7 +56,7 @@
 }
 
 // TestRun_schedulerMeetsObjective checks that the scheduler serves at least 0.9 without faults, and more than random choice, and that it
-// breaks no rule and answers all jobs under every kind of fault that is not of a zone.
+// breaks no rule and answers all jobs under every kind of fault except faults of zones.
 func TestRun_schedulerMeetsObjective(t *testing.T) {
 	faultless := mustRun(t, ReferenceScenario(3), schedulerPolicy)
 	if faultless.Service < 0.9 || faultless.Jobs < 9000 || len(faultless.Breaches) > 0 {
@@ -76,14 +76,14 @@
 	}
 }
 
-// singleWorker is a queue: one dispatcher and one worker, without reports, faults or retries.
+// singleWorker is a single queue: one dispatcher and one worker, without reports, faults or retries.
 func singleWorker(seed uint64, slots int, load float64) Scenario {
 	return Scenario{Seed: seed, Span: 1500 * time.Second, Dispatchers: 1, Cells: 1,
 		Traffic: Traffic{Rate: load * float64(slots) / 0.1, Work: 0.1, LatencyObjective: time.Hour, Deadline: time.Hour, Idempotency: scheduler.Idempotent},
 		Kinds:   []WorkerKind{{"one", 1, slots, 1, 1, false}}, Discovery: time.Millisecond, Rules: Rules{MaxAttempts: 1}}
 }
 
-// erlangC is the probability that a job has to wait, with so many slots and so much offered load (A. K. Erlang, 1917).
+// erlangC returns the probability that a job has to wait, for a number of slots and an offered load (A. K. Erlang, 1917).
 func erlangC(slots int, offered float64) float64 {
 	sum, term := 0.0, 1.0
 	for k := range slots {
@@ -94,8 +94,7 @@
 	return last / (sum + last)
 }
 
-// TestRun_matchesErlangC checks that mean response times are those of the closed form for M/M/1 and M/M/c, within the 99% interval of ten
-// runs.
+// TestRun_matchesErlangC checks that mean response times match the closed form for M/M/1 and M/M/c, within the 99% interval of ten runs.
 func TestRun_matchesErlangC(t *testing.T) {
 	for _, test := range []struct {
 		slots int
@@ -139,7 +138,7 @@
 // dropAttempts drops all attempts.
 func dropAttempts(_ scheduler.Event, actions []scheduler.Action) (remaining []scheduler.Action) {
 	for _, action := range actions {
-		if _, is := action.(scheduler.Send); !is {
+		if _, ok := action.(scheduler.Send); !ok {
 			remaining = append(remaining, action)
 		}
 	}
@@ -148,7 +147,7 @@
 
 // failServed fails requests that were served.
 func failServed(event scheduler.Event, actions []scheduler.Action) []scheduler.Action {
-	if finished, is := event.(scheduler.AttemptFinished); is && finished.Outcome == scheduler.Served {
+	if finished, ok := event.(scheduler.AttemptFinished); ok && finished.Outcome == scheduler.Served {
 		actions = append(actions, scheduler.Fail{ID: finished.ID})
 	}
 	return actions
@@ -158,7 +157,7 @@
 type firstList struct{ workers []scheduler.WorkerID }
 
 func (l *firstList) record(event scheduler.Event) {
-	if update, is := event.(scheduler.EndpointsUpdated); is && update.ListKind == scheduler.ListCached {
+	if update, ok := event.(scheduler.EndpointsUpdated); ok && update.ListKind == scheduler.ListCached {
 		l.workers = nil
 		for _, worker := range update.Workers {
 			l.workers = append(l.workers, worker.ID)
@@ -170,7 +169,7 @@
 func (l *firstList) sendTwice(event scheduler.Event, actions []scheduler.Action) []scheduler.Action {
 	l.record(event)
 	for i, action := range actions {
-		if send, is := action.(scheduler.Send); is {
+		if send, ok := action.(scheduler.Send); ok {
 			actions = append(actions, scheduler.Send{ID: send.ID, Worker: l.workers[(i+int(send.ID))%len(l.workers)]})
 		}
 	}
@@ -181,7 +180,7 @@
 func (l *firstList) ignoreLaterLists(event scheduler.Event, actions []scheduler.Action) []scheduler.Action {
 	l.record(event)
 	for i, action := range actions {
-		if send, is := action.(scheduler.Send); is {
+		if send, ok := action.(scheduler.Send); ok {
 			actions[i] = scheduler.Send{ID: send.ID, Worker: l.workers[int(send.ID)%len(l.workers)]}
 		}
 	}
--- a/internal/emulator/endpointlist.go
+++ b/internal/emulator/endpointlist.go
@@ -53,7 +53,7 @@
 
 const weightInterval = time.Second
 
-// listedWeight returns the weight in the worker's entry: its slots, divided, where weights are live, by one plus its load.
+// listedWeight returns the weight in the worker's entry: its slots, or with LiveWeights its slots / (1 + its load).
 func (w *worker) listedWeight() float64 {
 	if !w.sim.scenario.LiveWeights {
 		return float64(w.slots)
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// engine runs tasks in virtual time: in the order of their times, and those of one time in the order they were scheduled.
-// Run live, it runs tasks by the real clock, and the actions that other goroutines post between them.
+// engine runs tasks in virtual time: in the order of their times, and tasks of the same time in the order in which they were scheduled.
+// runInRealTime runs tasks by the real clock, and between them the actions that other goroutines post.
 type engine struct {
 	now   time.Duration
 	seq   uint64
@@ -19,7 +19,7 @@
 	wake   chan struct{} // of capacity one; signals that posted is not empty
 }
 
-// task is an action and when it is due. seq orders tasks of one time.
+// task is an action and the time at which it is due. seq orders tasks of the same time.
 type task struct {
 	at     time.Duration
 	seq    uint64
@@ -58,7 +58,7 @@
 	heap.Push(&e.tasks, task{e.now + max(delay, 0), e.seq, action})
 }
 
-// run runs tasks until none is left or the next is due after the given time, to which it then advances the clock.
+// run runs all tasks that are due by the given time, and then advances the clock to it.
 func (e *engine) run(until time.Duration) {
 	for len(e.tasks) > 0 && e.tasks[0].at <= until {
 		next := heap.Pop(&e.tasks).(task)
@@ -68,7 +68,7 @@
 	e.now = max(e.now, until)
 }
 
-// post has a live engine run an action soon. It may be called by any goroutine and does not block.
+// post makes an engine that runs in real time run an action soon. It may be called by any goroutine and does not block.
 func (e *engine) post(action func()) {
 	e.mu.Lock()
 	e.posted = append(e.posted, action)
@@ -79,9 +79,9 @@
 	}
 }
 
-// live runs tasks by the real clock, which shows clockStart at startedAt, until the context ends. It calls afterBatch after
+// runInRealTime runs tasks by the real clock, which shows clockStart at startedAt, until the context ends. It calls afterBatch after
 // each batch of tasks.
-func (e *engine) live(ctx context.Context, clockStart time.Duration, startedAt time.Time, afterBatch func()) {
+func (e *engine) runInRealTime(ctx context.Context, clockStart time.Duration, startedAt time.Time, afterBatch func()) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -19,7 +19,7 @@
 	MaxShiftPerSecond float64 // most that a share changes in a second
 }
 
-// zonePlanning is the planner and what is measured of its plans.
+// zonePlanning is the planner and the measurements of its plans.
 type zonePlanning struct {
 	planner       *failover.Planner
 	random        *rand.Rand
@@ -84,16 +84,16 @@
 }
 
 const (
-	plannerReportInterval = 500 * time.Millisecond // as with each renewal of a lease of two seconds
+	plannerReportInterval = 500 * time.Millisecond // a report goes with each renewal of a lease of two seconds
 	planInterval          = 250 * time.Millisecond
 	maxReportDelay        = 200 * time.Millisecond // of a renewal that a follower forwards
 
-	// Plans reach the last dispatcher 0.1 s late at 50 processes and 0.7 s at 300, as measured.
+	// The last dispatcher receives a plan 0.1 s late with 50 processes, and 0.7 s late with 300.
 	minPlanDelay           = 100 * time.Millisecond
 	planDelayPerDispatcher = 2 * time.Millisecond
 
 	movedShare       = 0.01 // planned share of a lost zone below which its jobs count as moved
-	restoredShareGap = 0.02 // of the share before, within which it counts as restored
+	restoredShareGap = 0.02 // a zone's share within this distance of the share before the loss counts as restored
 )
 
 // maxPlanDelay returns how late a plan reaches the last dispatcher.
@@ -121,7 +121,7 @@
 	sim.after(plannerReportInterval, d.reportToPlanner)
 }
 
-// countUnanswered records, once for each, the attempts in flight that have had no response for failover.NoResponseAfter.
+// countUnanswered records, once each, the attempts in flight that have had no response for failover.NoResponseAfter.
 func (d *dispatcher) countUnanswered() {
 	for _, request := range d.requests {
 		for i, attempt := range request.attempts {
@@ -164,7 +164,7 @@
 	}
 }
 
-// permittedZones returns the zones that a job may go to, a bit for each, 0 for any; and false if the plan sheds the job.
+// permittedZones returns the zones that a job may go to as a bit mask, 0 for any zone. It returns false if the plan sheds the job.
 func (d *dispatcher) permittedZones(job *job) (zones uint64, ok bool) {
 	sim := d.sim
 	class := sim.classNameOf(job)
@@ -188,8 +188,8 @@
 	return 0, true
 }
 
-// recordAttempt records an attempt's outcome for the planner. Not counted are attempts that were not sent, those cancelled
-// after their start or too early to expect a response, and those already counted as unanswered.
+// recordAttempt records an attempt's outcome for the planner. It skips attempts that were not sent, attempts that were
+// cancelled after their start or too early to expect a response, and attempts already counted as unanswered.
 func (d *dispatcher) recordAttempt(attempt *attemptRun, outcome scheduler.Outcome) {
 	if d.recorder == nil || outcome == scheduler.NeverSent {
 		return
--- a/internal/emulator/faultinjection.go
+++ b/internal/emulator/faultinjection.go
@@ -64,8 +64,9 @@
 	}
 }
 
-// changeDiscoveryFaults adds to the number of faults of discovery in force. It ends all subscriptions when one begins: at
-// once where discovery is down, after the dispatcher's timeout where it hangs. Changes meanwhile come with the next full list.
+// changeDiscoveryFaults adds to the number of faults of discovery in force. If a fault begins, all subscriptions end. Their
+// dispatchers notice it after a network delay if discovery is down, or after hungPollTimeout if it hangs. Changes during the fault
+// arrive with the next full list.
 func (sim *simulation) changeDiscoveryFaults(kind FaultKind, by int) {
 	if kind == DiscoveryDown {
 		sim.discoveryDown += by
@@ -112,9 +113,9 @@
 }
 
 const (
-	restartTime          = time.Second     // in which a restarting worker refuses connections
-	slowFaultDivisor     = 3               // of a worker's speed during a Slow fault
-	unreportedFaultDelay = 3 * time.Second // of a worker's reports during an Unreported fault
+	restartTime              = time.Second     // in which a restarting worker refuses connections
+	slowFaultDivisor         = 3               // of a worker's speed during a Slow fault
+	delayedReportsFaultDelay = 3 * time.Second // of a worker's reports during a DelayedReports fault
 )
 
 // endFault ends a fault of this worker.
@@ -143,7 +144,7 @@
 			w.unreachedAttempts = nil
 			w.dropAll()
 		}
-	case Drain: // the worker leaves, whatever it still runs
+	case Drain: // the worker leaves, even if jobs are still running
 		w.dropAll()
 		w.state, w.down = scheduler.Gone, true
 		w.sim.publishWorker(w)
--- a/internal/emulator/fetchqueue.go
+++ b/internal/emulator/fetchqueue.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// fetchQueue is the store that workers fetch subjects from: it serves a bounded number of fetches at a time, the others in
-// the order they came.
+// fetchQueue is the store that workers fetch subjects from: it runs a bounded number of fetches at a time, and queues the
+// others in the order of their arrival.
 type fetchQueue struct {
 	sim       *simulation
 	maxActive int // 0 for no limit
@@ -13,18 +13,18 @@
 	waiting   []func()
 }
 
-// enter calls then when a fetch of the given duration has had its turn and ended.
-func (q *fetchQueue) enter(span time.Duration, then func()) {
+// enqueue starts a fetch of the given duration when it is its turn, and calls done at its end.
+func (q *fetchQueue) enqueue(duration time.Duration, done func()) {
 	start := func() {
 		q.active++
-		q.sim.after(span, func() {
+		q.sim.after(duration, func() {
 			q.active--
 			if len(q.waiting) > 0 {
 				next := q.waiting[0]
 				q.waiting = q.waiting[1:]
 				next()
 			}
-			then()
+			done()
 		})
 	}
 	if q.maxActive > 0 && q.active >= q.maxActive {
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -51,7 +51,7 @@
 	return time.Duration(network.Handshake * float64(2*d.sim.oneWayDelay(d.zone, worker, d.random))), true
 }
 
-// disconnect returns a connection: to the idle ones if it is reusable, else it is closed.
+// disconnect makes a connection idle if it is reusable, and closes it otherwise.
 func (d *dispatcher) disconnect(worker *worker, reusable bool) {
 	switch {
 	case d.sim.scenario.Network.Handshake <= 0:
@@ -70,8 +70,8 @@
 // workerByAttempt returns the worker that an attempt was sent to.
 func (sim *simulation) workerByAttempt(attempt *attemptRun) *worker { return sim.byID[attempt.worker] }
 
-// reportOutcome notifies the attempt's dispatcher, one network delay later, of the attempt's outcome. A partitioned worker
-// notifies it when the partition ends.
+// reportOutcome notifies the attempt's dispatcher, one network delay later, of the attempt's outcome. If the worker is
+// partitioned, the attempt is reset when the partition ends.
 func (sim *simulation) reportOutcome(attempt *attemptRun, outcome scheduler.Outcome) {
 	worker := sim.workerByAttempt(attempt)
 	if worker.partitioned > 0 {
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -1,7 +1,7 @@
 // Package policy has textbook load balancing policies to compare the scheduler with. They implement emulator.Policy.
 //
-// They send each request to one worker that is listed as ready, send it to another only where a worker rejects it, and fail it
-// where the attempt fails. None of them considers slow start, affinity keys or missing responses.
+// They send each request to one worker that is listed as ready. If the worker rejects it, they send it to another worker; if the attempt
+// fails, they fail the request. None of them considers slow start, affinity keys or missing responses.
 package policy
 
 import (
@@ -51,7 +51,7 @@
 	maxAttempts int // for a request
 }
 
-// worker is what a policy knows of a worker. Loads are shares of its slots that are busy.
+// worker is a policy's view of a worker. Loads are shares of its slots that are busy.
 type worker struct {
 	id            scheduler.WorkerID
 	slots         float64
@@ -105,8 +105,8 @@
 	}
 }
 
-// finishAttempt ends a request that has no final answer, except that one rejected by a worker is sent again while it has
-// attempts left.
+// finishAttempt ends a request that has no final answer. If a worker rejected the request and attempts are left, it sends the request
+// again instead.
 func (p *Plain) finishAttempt(event scheduler.AttemptFinished) []scheduler.Action {
 	if worker := p.workers[event.Worker]; worker != nil {
 		worker.inFlight--
@@ -178,7 +178,7 @@
 	return first
 }
 
-// least picks the worker with the least value; ties are broken in turn.
+// least picks the worker with the least value; ties go to the workers in turn.
 func (p *Plain) least(value func(*worker) float64) *worker {
 	p.nextIndex++
 	best := p.ready[p.nextIndex%len(p.ready)]
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -8,10 +8,10 @@
 // Result is the outcome of a run. Shares of work are weighted by the classes' priority.
 type Result struct {
 	Jobs         int
-	Service      float64 // work answered in time, of the work requested
-	WorstAccount float64 // the same of the account served worst
-	WorstClass   float64 // the same of the class served worst
-	Crossings    float64 // attempts between zones, for each job
+	Service      float64 // share of the requested work that was answered in time
+	WorstAccount float64 // lowest Service of an account
+	WorstClass   float64 // lowest Service of a class
+	Crossings    float64 // attempts between zones, per job
 	Served       int
 	Late         int
 	Rejected     int
@@ -19,20 +19,20 @@
 	Mean         time.Duration // response time of served jobs, from the client's first request
 	P50          time.Duration
 	P99          time.Duration
-	Sends        float64 // attempts, for each job
-	Probes       float64 // for each job
-	Wasted       float64 // work done without use, of all work done
+	Sends        float64 // attempts per job
+	Probes       float64 // probes per job
+	Wasted       float64 // share of the work done whose result was not used
 	Speed        float64 // mean over served jobs of work by response time
-	Used         float64 // work done, of what the workers could do while jobs arrived
+	Used         float64 // work done, as a share of the workers' capacity while jobs arrived
 	Accounts     []AccountResult
 	Breaches     []Breach
 	Notes        []string
 
-	Seconds       []secondStats // by the second in which jobs were requested
-	ZonePeak      float64       // most work received by a zone over some seconds, of what it could do
-	PlanChanges   int           // where zones are planned
+	Seconds       []secondStats // by the second in which jobs were first requested
+	ZonePeak      float64       // highest ratio of work received to capacity over peakWindowSeconds at any zone
+	PlanChanges   int           // 0 unless zones are planned
 	MovedAfter    time.Duration // from a zone's loss until no job was planned into it
-	RestoredAfter time.Duration // from the loss's end until the zone had its share again
+	RestoredAfter time.Duration // from the loss's end until the zone's share was restored
 }
 
 // AccountResult is the outcome of an account's jobs.
@@ -125,13 +125,13 @@
 	result.P50, result.P99 = percentile(0.5), percentile(0.99)
 }
 
-// Merit returns the result as one figure: 0.6 of the share of work served in time and 0.4 of that of the class served worst,
-// less the price of crossing between zones.
+// Merit returns the result as one figure: 0.6 x Service + 0.4 x WorstClass - crossing x Crossings. crossing is the price of an attempt
+// between zones.
 func (r *Result) Merit(crossing float64) float64 {
 	return 0.6*r.Service + 0.4*r.WorstClass - crossing*r.Crossings
 }
 
-// secondStats is the weighted work requested in a second of the run, and what of it was answered in time.
+// secondStats is the weighted work requested in a second of the run, and the part of it that was answered in time.
 type secondStats struct{ workRequested, workInTime float64 }
 
 // recordBySecond adds a job's end to the second in which its client first requested it.
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,10 +1,11 @@
 // Package emulator is a model of the systems around the dispatcher: workers, discovery, clients, the network between them,
-// and their faults. It runs in virtual time, in one goroutine, with a random source for each user of randomness: the same
-// scenario gives the same events on any machine. The same model of workers and discovery also runs on loopback sockets, by
+// and their faults. It runs in virtual time, in one goroutine, with a separate random source for each component that
+// draws: the same scenario gives the same events on any machine. The same model of workers and discovery also runs on loopback sockets, by
 // the real clock, for real dispatchers.
 //
-// It is a model, not a measurement of real workers. Each part's comment says what it leaves out. Package soak, which breaks connections and
-// answers on purpose, and the tests of cmd/brassdale, which decide each answer, have stand-ins for workers and discovery of their own.
+// It is a model, not a measurement of real workers. Each part's comment says what it leaves out. Package soak and the tests of
+// cmd/brassdale have fakes of workers and discovery of their own: soak breaks connections and answers on purpose, and the tests choose
+// each answer.
 package emulator
 
 import (
@@ -33,7 +34,7 @@
 	Faults      []Fault
 	Rules       Rules
 
-	Queue          float64 // jobs that may wait at a worker, for each slot; 0 for no limit
+	Queue          float64 // maximum of queued jobs at a worker, per slot; 0 for no limit
 	KeepsCancelled bool    // workers run queued jobs that were cancelled
 	LiveWeights    bool    // the endpoint list's weights fall with the load
 	ListPushed     bool    // endpoint updates are pushed: dispatchers need not poll
@@ -50,10 +51,10 @@
 	Deadline            time.Duration
 	Idempotency         scheduler.Idempotency
 	DeduplicationWindow time.Duration // in which a cell deduplicates by key
-	Subjects            int           // that jobs are about and workers cache; 0 for none
+	Subjects            int           // number of subjects: data that jobs need and workers cache; 0 for none
 	Accounts            []Account
-	Users               int     // clients, each with one job handled at a time; 0 for no limit
-	Classes             []Class // in place of the settings of a job's work, objective and idempotency; Deadline is then the longest
+	Users               int     // clients, each with at most one job in flight; 0 for no limit
+	Classes             []Class // replace the settings of a job's work, objective and idempotency; Deadline is then the longest of the classes
 	WorkEstimates       bool    // clients send work estimates
 	Memory              float64 // mean units of memory that a job needs for each slot; 0 for none
 	Retries             float64 // share of rejected jobs whose client retries once
@@ -72,7 +73,7 @@
 	Slots    int
 	SpeedMin float64 // of a slot; each worker's speed is drawn evenly from SpeedMin to SpeedMax
 	SpeedMax float64
-	Sharing  bool // the speeds are of the worker, which runs up to Slots jobs at once and rejects further ones
+	Sharing  bool // processor sharing: the speed is the whole worker's, which runs up to Slots jobs at once and rejects further jobs
 }
 
 // Network is the network between dispatchers and workers.
@@ -83,7 +84,7 @@
 	Zones          int           // workers and dispatchers are spread over them; 0 for one
 	Cross          time.Duration // mean one-way delay between zones
 	CrossPrice     float64       // of an attempt between zones, in units of merit
-	Handshake      float64       // round trips that a new connection takes; 0 for no model of connections
+	Handshake      float64       // round trips to open a connection; 0 if connections are not modelled
 	Idle           time.Duration // after which an idle connection is closed
 	MaxConnections int           // connections that a worker accepts; 0 for no limit
 }
@@ -91,18 +92,18 @@
 // Reports is how workers report their load.
 type Reports struct {
 	Every time.Duration // mean interval between a worker's reports
-	Push  bool          // workers that share push a report at each change
+	Push  bool          // workers with processor sharing push a report at each change
 	Cost  time.Duration // of a slot, for each probe
 
 	InAnswers bool          // answers to attempts carry reports
-	Delay     time.Duration // age of a report when it is seen
+	Delay     time.Duration // age of a report when a dispatcher receives it
 }
 
 // SlowStart is how a worker warms up after its start.
 type SlowStart struct {
 	Capacity         float64       // share of its speed at the start
 	Duration         time.Duration // until it has its full speed
-	OverloadMultiple float64       // it goes down when sent more than this multiple of what it can do ...
+	OverloadMultiple float64       // the worker goes down if it receives more than this multiple of the work that it can do ...
 	OverloadWindow   time.Duration // ... in this window
 }
 
@@ -116,13 +117,13 @@
 // FaultKind is a kind of fault.
 type FaultKind uint8
 
-// The kinds of faults. Share counts only for those of workers, Size and the zones only where they are mentioned. To add one:
-//   - A fault of workers: beginFault and endFault in faultinjection.go, and Faulty of Status. Without a case nothing happens, and nothing
-//     reports that: applyFault takes each kind that it does not name for a fault of workers.
-//   - Any other: applyFault; isZoneFault and applyZoneFault for zones; check if it needs a Size; needsVirtualTime if sockets do not model it.
+// The kinds of faults. Share applies only to faults of workers, Size, Zone and From only to kinds that mention them. To add a kind:
+//   - A fault of workers: beginFault and endFault in faultinjection.go, and Faulty of Status. A kind without a case has no effect,
+//     and no check reports it: applyFault treats each kind that it does not name as a fault of workers.
+//   - Any other: applyFault; isZoneFault and applyZoneFault for zones; check if it needs a Size; needsVirtualTime if it is not modelled on sockets.
 //   - Its name in files: faultKindNames of package experiment, zoneFaults of package faults.
 //
-// What a fault draws depends on its index in the scenario alone, so a further kind changes no draw.
+// A fault's random draws depend only on its index in the scenario, so a new kind changes no draw.
 const (
 	Freeze         FaultKind = iota // accepts jobs and probes and answers nothing; continues afterwards
 	Silent                          // answers probes and starts no job
@@ -140,7 +141,7 @@
 	ZonePartition                   // no message passes between the dispatchers of zone From and the workers of Zone
 	ZoneDelay                       // delays to and from the workers of Zone are multiplied by Size
 
-	faultKinds = iota
+	faultKindCount = iota
 )
 
 // Fault is a fault of workers, discovery, traffic or a zone.
@@ -183,12 +184,12 @@
 	}
 }
 
-// Check returns an error that names the first setting with which the scenario cannot be run.
+// Check returns an error for the first invalid setting.
 func (s *Scenario) Check() error {
 	workers := 0
 	for i, kind := range s.Kinds {
 		if kind.Count < 0 || kind.Slots < 1 || kind.SpeedMin <= 0 || kind.SpeedMax < kind.SpeedMin {
-			return fmt.Errorf("kinds[%d]: needs slots, and speeds above 0 in order", i)
+			return fmt.Errorf("kinds[%d]: count must not be below 0, slots must be 1 or more, and speeds must be above 0, the lower first", i)
 		}
 		workers += kind.Count
 	}
@@ -200,34 +201,34 @@
 	for i := range s.Traffic.Classes {
 		class := &s.Traffic.Classes[i]
 		if class.Share <= 0 || class.Work <= 0 || class.LatencyObjective <= 0 || class.Deadline <= 0 || class.Deadline > s.Traffic.Deadline || class.PriorityWeight <= 0 {
-			return fmt.Errorf("classes[%d]: needs a share, work, an aim, a give-up within the traffic's and a worth", i)
+			return fmt.Errorf("classes[%d]: share, work, aim, give_up and worth must be above 0, and give_up at most the traffic's", i)
 		}
 	}
 	switch {
 	case workers == 0:
-		return errors.New("no box")
+		return errors.New("there must be at least one worker")
 	case s.Dispatchers < 1:
-		return errors.New("no dispatcher")
+		return errors.New("dispatchers must be 1 or more")
 	case s.Span <= 0 || s.Traffic.Rate <= 0 || s.Traffic.Work <= 0 || s.Traffic.Deadline <= 0:
-		return errors.New("span, rate, work and give-up must be above 0")
+		return errors.New("span, rate, work and give_up must be above 0")
 	case s.Cells < 1:
-		return errors.New("no bay")
+		return errors.New("bays must be 1 or more")
 	case s.Rules.MaxAttempts < 1:
-		return errors.New("no attempt allowed")
+		return errors.New("attempts must be 1 or more")
 	}
 	return nil
 }
 
-// check returns an error that says what the fault lacks in a scenario with so many zones.
+// check returns an error if the fault is invalid in a scenario with the given number of zones.
 func (f *Fault) check(zones int) error {
 	sized, zoned := f.Kind == Burst || f.Kind == HeavyTail || f.Kind == ZoneDelay, isZoneFault(f.Kind)
 	switch {
 	case sized && f.Size <= 0:
-		return errors.New("needs a size")
+		return errors.New("size must be above 0")
 	case zoned && (f.Zone < 1 || f.Zone > zones):
-		return errors.New("needs a zone that there is")
-	case f.At < 0 || f.For <= 0 || f.Share <= 0 || f.Share > 1 || f.Kind >= faultKinds:
-		return errors.New("needs a time, a span and a share between 0 and 1")
+		return errors.New("zone must be from 1 to the number of zones")
+	case f.At < 0 || f.For <= 0 || f.Share <= 0 || f.Share > 1 || f.Kind >= faultKindCount:
+		return errors.New("kind must be known, at must not be below 0, for must be above 0, and share must be above 0 and at most 1")
 	}
 	return nil
 }
@@ -237,7 +238,7 @@
 	return kind == ZoneLost || kind == ZonePartition || kind == ZoneDelay
 }
 
-// needsVirtualTime reports whether the scenario uses what is modelled in virtual time only.
+// needsVirtualTime reports whether the scenario uses a feature that is modelled in virtual time only.
 func (s *Scenario) needsVirtualTime() bool {
 	hasTrafficFault := slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Burst || f.Kind == HeavyTail })
 	return hasTrafficFault || len(s.Traffic.Classes) > 0 || s.Traffic.WorkEstimates || s.Traffic.Memory > 0 || s.Network.Handshake > 0 ||
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -6,10 +6,10 @@
 	"brassdale/scheduler"
 )
 
-// A worker of a kind that shares runs all of its jobs at once, each at an equal part of its speed (processor sharing), and
-// rejects jobs beyond its slots: the pool element of the paper that scenarios/paper.hcl follows.
+// A worker with processor sharing runs all of its jobs at once, each at an equal part of its speed, and rejects jobs beyond its
+// slots. It models the pool element of the paper that scenarios/paper.hcl follows.
 
-// updateProgress brings the running attempts' remaining work up to now.
+// updateProgress updates the running attempts' remaining work to the current time.
 func (w *worker) updateProgress() {
 	if n := len(w.running); n > 0 {
 		progress := (w.sim.now - w.progressAt).Seconds() * w.currentSpeed() / float64(n)
@@ -36,7 +36,7 @@
 	w.pushReport()
 }
 
-// scheduleCompletion sets the timer for the next attempt's end. Each call voids the timer before it.
+// scheduleCompletion sets the timer for the next attempt's end. Each call cancels the previous timer.
 func (w *worker) scheduleCompletion() {
 	w.completionTimer++
 	if len(w.running) == 0 {
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -37,6 +37,6 @@
 	}
 	s.Traffic.Users = 1 // no other job is in flight: none is rejected
 	if result := mustRun(t, s, plainPolicy("least-outstanding")); result.Sends != 1 {
-		t.Errorf("one user: %.3f sends a job", result.Sends)
+		t.Errorf("one user: %.3f attempts per job, want 1", result.Sends)
 	}
 }
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -16,7 +16,7 @@
 	byID            map[scheduler.WorkerID]*worker
 	fetches         *fetchQueue // the store that workers fetch subjects from
 	dispatchers     []*dispatcher
-	userQueues      [][]*job // by user: the job that is handled, then those that wait for it
+	userQueues      [][]*job // by user: the job in flight, then the jobs that wait for it
 	workerListeners []func(scheduler.WorkerInfo)
 	outageListeners []func()
 	audit           *auditor
@@ -46,7 +46,7 @@
 }
 
 const (
-	// clockStart is what the virtual clock shows when a run starts.
+	// clockStart is the virtual clock's time at the start of a run.
 	clockStart = time.Hour
 
 	// Settle is how long a run goes on after the last client's deadline, so that late answers and cancellations are seen.
@@ -56,8 +56,8 @@
 	dispatcherLeadTime = 100 * time.Millisecond
 )
 
-// Identifiers of the random sources. Each user of randomness has a source of its own, so that a further draw by one leaves
-// what the others draw unchanged. The numbers are part of every stored result.
+// Identifiers of the random sources. Each component has its own source, so that an additional draw of one component does not change
+// the draws of the others. All stored results depend on these numbers.
 const (
 	clientSource          = 1
 	workerPlacementSource = 2
@@ -69,12 +69,12 @@
 )
 
 // randomSource returns the random source with the given identifier for the scenario's seed.
-func (sim *simulation) randomSource(of uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(sim.scenario.Seed, of))
+func (sim *simulation) randomSource(id uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(sim.scenario.Seed, id))
 }
 
-// Run plays a scenario in virtual time with a policy for each dispatcher, made from its settings and a seed. It returns when
-// nothing is left to do, or Settle after the deadline of the last job that could arrive.
+// Run runs a scenario in virtual time with a policy for each dispatcher, made from its settings and a seed. It returns when no task
+// is left, or Settle after the deadline of the last job that could arrive.
 func Run(scenario Scenario, policy func(scheduler.Settings, uint64) Policy) (*Result, error) {
 	sim, err := newSimulation(&scenario)
 	if err != nil {
@@ -209,7 +209,7 @@
 	return settings
 }
 
-// maxRetryAfter is the longest pause that a dispatcher may advise a rejected client to make.
+// maxRetryAfter is the longest wait that a dispatcher may advise a rejected client.
 const maxRetryAfter = 2 * time.Second
 
 // addNote adds a line to the result's notes.
--- a/internal/emulator/play.go
+++ b/internal/emulator/socketrun.go
@@ -34,11 +34,11 @@
 		Retry: load.Retry{Max: 1, Share: s.Traffic.Retries, Wait: minClientRetryDelay, HonourRetryAfter: true}}
 }
 
-// jobKey returns the idempotency key of the scenario's n-th job. Workers draw the job's work from the key, which is all that
-// reaches them unchanged.
+// jobKey returns the idempotency key of the scenario's n-th job. Workers draw the job's work from the key, because only
+// the key reaches them unchanged.
 func (s *Scenario) jobKey(n int) string { return fmt.Sprintf("%016x%016x", s.Seed, n) }
 
-// jobOf returns the job of a key: for any key, always the same.
+// jobOf returns the job of a key. The same key always gives the same job.
 func (s *Scenario) jobOf(key string) *job {
 	hash := fnv.New64a()
 	_, _ = io.WriteString(hash, key) // a hash never fails
@@ -46,7 +46,7 @@
 	return s.Traffic.newJob(random.ExpFloat64(), random)
 }
 
-// keyedJobs is a source of jobs whose keys are the scenario's.
+// keyedJobs is a source of jobs with the scenario's keys and subjects.
 type keyedJobs struct {
 	load.Source
 	scenario *Scenario
@@ -71,8 +71,8 @@
 }
 
 // RunOnSockets runs a scenario on loopback sockets, in real time, with a process of the dispatcher's program for each dispatcher. The
-// result is as Run's, seen by the clients and the workers. The error is load.ErrUnusable if the load generator fell behind,
-// and context.Canceled, together with the result until then, if the context ended.
+// result has the same figures as Run's, measured at the clients and the workers. The error wraps load.ErrUnusable if the load generator
+// was late, and is context.Canceled, together with the result until then, if the context ended.
 func RunOnSockets(ctx context.Context, scenario Scenario, binary string) (*Result, error) {
 	cluster, err := open(context.WithoutCancel(ctx), scenario) // the result is read after the context has ended
 	if err != nil {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what cannot be removed is left to the system's cleaning
+	defer func() { _ = os.RemoveAll(dir) }() // files that cannot be removed are left to the system's cleanup
 	var targets []string
 	for dispatcher := range scenario.Dispatchers {
 		process, err := cluster.Start(ctx, binary, dir, dispatcher)
@@ -92,7 +92,7 @@
 		}
 		defer process.Kill()
 		targets = append(targets, process.Address)
-		go func() { // names a process that crashes; its jobs fail at the clients
+		go func() { // reports a process that crashes; its jobs fail at the clients
 			<-process.Ended()
 			cluster.sim.post(func() { cluster.sim.addNote("dispatcher %d ended", dispatcher) })
 		}()
@@ -120,7 +120,7 @@
 	return queryEngine(c.sim, c.sim.result), err
 }
 
-// recordJob counts a job's end as its client saw it.
+// recordJob counts a job's outcome at its client.
 func (c *Cluster) recordJob(planned load.Job, outcome load.Outcome, latency time.Duration) {
 	sim := c.sim
 	job := sim.scenario.jobOf(planned.Key)
--- a/internal/emulator/play_test.go
+++ b/internal/emulator/socketrun_test.go
@@ -25,9 +25,9 @@
 	return path
 }
 
-// TestPlay_asInVirtualTime checks that real dispatchers break no rule under faults, and that they serve at most 0.1 less than the scheduler
-// in virtual time, with at most 0.3 more sends a job.
-func TestPlay_asInVirtualTime(t *testing.T) {
+// TestRunOnSockets_asInVirtualTime checks that real dispatchers break no rule under faults, and that they serve at most 0.1 less than the scheduler
+// in virtual time, with at most 0.3 more attempts per job.
+func TestRunOnSockets_asInVirtualTime(t *testing.T) {
 	scenario := ReferenceScenario(3)
 	scenario.Span = 4 * time.Second
 	scenario.Traffic.Rate = 60
@@ -35,7 +35,7 @@
 		{At: 2 * time.Second, For: time.Second, Kind: Restart, Share: 0.1}, {At: 2500 * time.Millisecond, For: time.Second, Kind: Drain, Share: 0.2},
 		{At: 500 * time.Millisecond, For: 1500 * time.Millisecond, Kind: DiscoveryDown, Share: 1}, {At: 2500 * time.Millisecond, For: 500 * time.Millisecond, Kind: DiscoveryHung, Share: 1}}
 	binary := buildProgram(t)
-	result, err := playUntilUsable(t, func() (*Result, error) { return RunOnSockets(t.Context(), scenario, binary) })
+	result, err := runUntilUsable(t, func() (*Result, error) { return RunOnSockets(t.Context(), scenario, binary) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,10 +49,10 @@
 
 	// A program that cannot start fails; a context that ends returns the result until then with the error.
 	if _, err := RunOnSockets(t.Context(), scenario, filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("Play succeeded without a program")
+		t.Error("RunOnSockets succeeded without a program")
 	}
 	scenario.Span, scenario.Faults = time.Hour, nil
-	result, err = playUntilUsable(t, func() (*Result, error) {
+	result, err = runUntilUsable(t, func() (*Result, error) {
 		ctx, stop := context.WithDeadline(t.Context(), time.Now().Add(2*time.Second))
 		defer stop()
 		return RunOnSockets(ctx, scenario, binary)
@@ -62,15 +62,15 @@
 	}
 }
 
-// playUntilUsable plays until the load generator has sent its jobs on time, five times at most: if it is late, the machine is overloaded,
-// and the result says nothing of the program.
-func playUntilUsable(t *testing.T, play func() (*Result, error)) (result *Result, err error) {
+// runUntilUsable repeats a run until the load generator has sent its jobs on time, five times at most. If the generator is late, the
+// machine is overloaded, and the result says nothing about the program.
+func runUntilUsable(t *testing.T, run func() (*Result, error)) (result *Result, err error) {
 	t.Helper()
 	for range 5 {
-		if result, err = play(); !errors.Is(err, load.ErrUnusable) {
+		if result, err = run(); !errors.Is(err, load.ErrUnusable) {
 			return result, err
 		}
-		t.Logf("played again: %v", err)
+		t.Logf("running again: %v", err)
 	}
 	return result, err
 }
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -10,19 +10,19 @@
 // Status is the state of a cluster's workers, and the breaches until now.
 type Status struct {
 	Since                time.Duration // time since the start
-	Workers              int           // of the scenario, also those that are down or have left
-	Up, WarmingUp        int           // workers; those that warm up are up
-	Slots, Busy, Waiting int           // of workers that are up
+	Workers              int           // all workers of the scenario, including workers that are down or have left
+	Up, WarmingUp        int           // workers; Up includes workers that are warming up
+	Slots, Busy, Waiting int           // slots, busy slots and queued attempts of workers that are up
 	Sends, Probes        int
 	Breaches             []Breach
 	Faulty               int // workers with any fault in force
 }
 
-// Status returns the status as of a moment soon. Like the methods below, it waits for the engine and must not be called after
-// Close.
+// Status returns the status as of when the engine handles the call. Like the methods below, it blocks until then and must not be
+// called after Close.
 func (c *Cluster) Status() Status { return queryEngine(c.sim, c.sim.status) }
 
-// queryEngine returns what get returns when the engine calls it.
+// queryEngine has the engine call get, and returns the result.
 func queryEngine[T any](sim *simulation, get func() T) T {
 	answer := make(chan T, 1)
 	sim.post(func() { answer <- get() })
@@ -67,7 +67,8 @@
 	return queryEngine(c.sim, func() []Breach { return slices.Clone(c.sim.audit.breaches) })
 }
 
-// ReceivedTimes is when requests' first attempts, further attempts and probes were received, of all dispatchers, by the simulation's clock.
+// ReceivedTimes are the times, by the simulation's clock, at which requests' first attempts, further attempts and probes were received
+// from all dispatchers.
 type ReceivedTimes struct{ FirstAttempts, FurtherAttempts, Probes []time.Duration }
 
 // ReceivedTimes returns the times until now.
@@ -77,10 +78,10 @@
 	})
 }
 
-// Load is what the workers have received.
+// Load is the load that the workers have received.
 type Load struct {
 	Sends, Crossings int
-	Peak             float64 // most work received by a zone over some seconds, of what it could do
+	Peak             float64 // highest ratio of work received to capacity over peakWindowSeconds at any zone
 }
 
 // Load returns the load until now.
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -8,7 +8,7 @@
 	"brassdale/scheduler"
 )
 
-// job is what a client wants done, over all of its requests for it.
+// job is a client's job, for which the client may send several requests.
 type job struct {
 	account          int
 	work             float64 // seconds at a slot of speed 1
@@ -23,7 +23,7 @@
 	finished         bool
 }
 
-// clientOutcome is how a request, and finally a job, ends for its client.
+// clientOutcome is the outcome of a request, and finally of a job, for its client.
 type clientOutcome uint8
 
 // The outcomes.
@@ -40,16 +40,16 @@
 	served, late, rejected, failed int
 }
 
-// countRequest adds a job that a client wants done.
+// countRequest counts a job that a client requests.
 func (t *jobStats) countRequest(work float64) {
 	t.jobs++
 	t.workRequested += work
 }
 
-// newJob draws a job's work and subject. Where the work is exponentially distributed, means is its draw from the unit
-// exponential distribution.
-func (t *Traffic) newJob(means float64, random *rand.Rand) *job {
-	job := &job{work: t.Work * means, slots: 1}
+// newJob draws a job's work and subject. unitDraw is a draw from the unit exponential distribution, for work that is
+// exponentially distributed.
+func (t *Traffic) newJob(unitDraw float64, random *rand.Rand) *job {
+	job := &job{work: t.Work * unitDraw, slots: 1}
 	if t.WorkLogStdDev > 0 { // log-normal with mean t.Work
 		job.work = t.Work * math.Exp(t.WorkLogStdDev*random.NormFloat64()-t.WorkLogStdDev*t.WorkLogStdDev/2)
 	}
@@ -62,9 +62,9 @@
 // jobArrives draws a job, submits it, and schedules the next arrival while the scenario's span lasts.
 func (sim *simulation) jobArrives() {
 	traffic := &sim.scenario.Traffic
-	work := sim.clientRandom.ExpFloat64()
+	unitDraw := sim.clientRandom.ExpFloat64()
 	sim.clientRandom.Uint64() // an unused draw: without it the stored results of a seed would not be reproduced
-	job := traffic.newJob(work, sim.clientRandom)
+	job := traffic.newJob(unitDraw, sim.clientRandom)
 	job.firstRequestedAt = sim.now
 	job.account = traffic.drawAccount(sim.clientRandom)
 	sim.drawClass(job)
@@ -95,8 +95,8 @@
 	return 0
 }
 
-// submit sends a request for the job to a dispatcher that is drawn, and ends it when the client's deadline and the slack
-// for answers have passed without a final answer.
+// submit sends a request for the job to a randomly drawn dispatcher. If there is no final answer by the client's deadline plus the
+// slack for answers, it ends the request.
 func (sim *simulation) submit(job *job) {
 	sim.lastRequestID++
 	giveUp := sim.classOf(job).Deadline
@@ -124,7 +124,7 @@
 	sim.finishJob(job, outcome)
 }
 
-// minClientRetryDelay is how long a client waits before its retry at least.
+// minClientRetryDelay is the minimum time that a client waits before its retry.
 const minClientRetryDelay = 100 * time.Millisecond
 
 // finishJob ends a job for its client and counts it. Further calls for the job change nothing.
@@ -169,8 +169,8 @@
 	}
 }
 
-// enqueueForUser queues a job behind those of a user that is drawn, and submits it if there are none. Each user has one job
-// handled at a time.
+// enqueueForUser appends a job to the queue of a randomly drawn user, and submits it if the queue was empty. Each user has at most
+// one job in flight.
 func (sim *simulation) enqueueForUser(job *job) {
 	user := sim.clientRandom.IntN(sim.scenario.Traffic.Users)
 	job.user = user
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -17,17 +17,17 @@
 	kind        int // index in Scenario.Kinds
 	cell        int
 	zone        int
-	memoryInUse float64 // in units, of which there is one for each slot
-	connections int     // open ones to it
+	memoryInUse float64 // in units; a worker has one unit per slot
+	connections int     // open connections to the worker
 	slots       int
 	speed       float64
 	startedAt   time.Duration // 0 for long ago: not warming up
 	state       scheduler.WorkerState
 	down        bool // overloaded, restarting or gone: connections are refused
-	incarnation int  // attempts of an earlier one never finish
+	incarnation int  // attempts of an earlier incarnation never finish
 
 	frozen, silent, slow, delayedReports, partitioned int           // number of faults of the kind in force
-	unreachedAttempts                                 []*attemptRun // sent or finished during a partition; reset after it
+	unreachedAttempts                                 []*attemptRun // sent or finished during a partition; reset when it ends
 
 	busySlots        int
 	queue            []*attemptRun
@@ -39,24 +39,24 @@
 	recentArrivals   []recentArrival // within the overload window, while warming up
 	random           *rand.Rand
 
-	// Of a worker whose jobs share its speed.
+	// Used only if the worker's jobs share its speed.
 	sharing         bool
 	progressAt      time.Duration // workLeft of the running attempts is as of this time
 	completionTimer int           // number of the newest timer; older ones are void
 }
 
-// recentArrival is work that a warming worker was sent.
+// recentArrival is work that a warming worker received.
 type recentArrival struct {
 	at         time.Duration
 	work       float64 // seconds at speed 1
 	startKnown bool    // its dispatcher had been notified of the worker's start
 }
 
-// attemptSource sends attempts: a dispatcher of the model, or a real one behind a socket.
+// attemptSource is the sender of an attempt: a dispatcher of the model, or a real one that is connected by a socket.
 type attemptSource interface {
 	attemptStarted(*attemptRun)                  // is called when the attempt's job has started
 	attemptOver(*attemptRun, scheduler.Outcome)  // is called when the attempt has ended
-	knownStart(scheduler.WorkerID) time.Duration // returns the latest start of a worker that it was notified of
+	knownStart(scheduler.WorkerID) time.Duration // returns the latest start of a worker of which the sender was notified
 	delayRandom() *rand.Rand                     // returns the random source for network delays
 }
 
@@ -69,7 +69,7 @@
 	source      attemptSource
 	incarnation int     // of the worker
 	work        float64 // seconds at speed 1
-	workLeft    float64 // the same, at a worker whose jobs share its speed
+	workLeft    float64 // remaining work, at a worker whose jobs share its speed
 	over        bool    // ended or cancelled
 	zone        int     // of the dispatcher
 	report      *scheduler.Report
@@ -127,8 +127,8 @@
 }
 
 // chargeSlowStart counts an attempt against a warming worker's overload limit. The worker goes down if the work it was sent
-// within the overload window exceeds OverloadMultiple times what it can do in the window. The auditor is notified only where
-// at least two thirds of the work came from dispatchers that knew of the start.
+// within the overload window exceeds OverloadMultiple times what it can do in the window. The auditor is notified only
+// if at least two thirds of the work came from dispatchers that knew of the start.
 func (w *worker) chargeSlowStart(attempt *attemptRun) {
 	slowStart := &w.sim.scenario.SlowStart
 	if w.startedAt == 0 || slowStart.OverloadMultiple <= 0 || w.warmupFactor() >= 1 {
@@ -145,18 +145,18 @@
 		}
 	}
 	load := sum / (float64(w.slots) * w.speed * w.warmupFactor() * slowStart.OverloadWindow.Seconds())
-	if !w.down && startKnown >= sum*2/3 { // else nobody could know
+	if !w.down && startKnown >= sum*2/3 { // otherwise the senders could not know that it is warming up
 		w.sim.audit.slowStartLoad(w.sim.now, w.id, uint64(attempt.id), load, slowStart.OverloadMultiple)
 	}
 	if load > slowStart.OverloadMultiple && !w.down {
-		w.sim.addNote("%v %s falls over at %.2f times what it can do", w.sim.now, w.id, load)
+		w.sim.addNote("%v worker %s goes down: received %.2f times the work that it can do", w.sim.now, w.id, load)
 		w.dropAll()
 		w.down = true
 	}
 }
 
-// startQueued starts queued attempts in order while the worker has capacity. Cancelled ones are dropped, unless the
-// scenario's workers keep them.
+// startQueued starts queued attempts in order while the worker has capacity. Cancelled attempts are dropped
+// unless KeepsCancelled is set.
 func (w *worker) startQueued() {
 	keepsCancelled := w.sim.scenario.KeepsCancelled
 	for len(w.queue) > 0 && w.silent == 0 && w.frozen == 0 && !w.down {
@@ -177,21 +177,21 @@
 	}
 }
 
-// fetch calls then once the job's subject is cached, after a fetch from the store if need be.
-func (w *worker) fetch(subject int, then func()) {
+// fetch calls done once the job's subject is cached. It fetches a subject that is not cached from the store.
+func (w *worker) fetch(subject int, done func()) {
 	store := &w.sim.scenario.Store
 	if subject == 0 || store.Fetch <= 0 {
-		then()
+		done()
 		return
 	}
 	if usedAt, ok := w.subjectUsedAt[subject]; ok && w.sim.now-usedAt < store.CacheFor {
 		w.subjectUsedAt[subject] = w.sim.now
-		then()
+		done()
 		return
 	}
-	w.sim.fetches.enter(time.Duration(w.random.ExpFloat64()*store.Fetch*float64(time.Second)), func() {
+	w.sim.fetches.enqueue(time.Duration(w.random.ExpFloat64()*store.Fetch*float64(time.Second)), func() {
 		w.subjectUsedAt[subject] = w.sim.now
-		then()
+		done()
 	})
 }
 
@@ -224,8 +224,8 @@
 	w.startQueued()
 }
 
-// cancel cancels an attempt. A queued one is dropped unless the scenario's workers keep it; a running one goes on, its
-// result unused.
+// cancel cancels an attempt. A queued attempt is dropped unless KeepsCancelled is set. A running attempt continues, and its result is
+// dropped.
 func (w *worker) cancel(attempt *attemptRun) { attempt.over = true }
 
 // dropAll resets all attempts and clears the cache: a new incarnation begins.
@@ -241,7 +241,7 @@
 	w.running, w.queue, w.deferredFinishes, w.busySlots, w.subjectUsedAt = nil, nil, nil, 0, map[int]time.Duration{}
 }
 
-// currentSpeed returns the speed of a slot now, or, where jobs share the speed, of all of them together.
+// currentSpeed returns the current speed of a slot, or of the whole worker if its jobs share its speed.
 func (w *worker) currentSpeed() float64 {
 	speed := w.speed * w.warmupFactor()
 	if w.slow > 0 {
--- a/internal/emulator/workerreport.go
+++ b/internal/emulator/workerreport.go
@@ -23,11 +23,11 @@
 	w.sim.after(every/2+time.Duration(w.random.Int64N(int64(every)+1)), w.recordReport)
 }
 
-// reportedState returns the report that a probe finds: the newest one that is as old as the scenario's report delay.
+// reportedState returns the report that a probe receives: the newest report that is at least as old as the report delay.
 func (w *worker) reportedState() *scheduler.Report {
 	newest := w.sim.now - w.sim.scenario.Reports.Delay
 	if w.delayedReports > 0 {
-		newest -= unreportedFaultDelay
+		newest -= delayedReportsFaultDelay
 	}
 	for i := len(w.reportedAt) - 1; i >= 0; i-- {
 		if w.reportedAt[i] <= newest {
@@ -50,7 +50,7 @@
 	}
 }
 
-// pushReport sends the current load to all dispatchers, where the scenario's workers push their reports.
+// pushReport sends the current load to all dispatchers, if the scenario's workers push their reports.
 func (w *worker) pushReport() {
 	if !w.sim.scenario.Reports.Push {
 		return
--- a/internal/emulator/workerserver.go
+++ b/internal/emulator/workerserver.go
@@ -12,7 +12,7 @@
 	"brassdale/scheduler"
 )
 
-// workerServer is a worker as one dispatcher reaches it.
+// workerServer serves a worker to one dispatcher.
 type workerServer struct {
 	discovery *DiscoveryServer // of the same dispatcher
 	worker    *worker
@@ -21,7 +21,7 @@
 	server    *http.Server
 }
 
-// startListening listens at an address. The first call fixes the address for the later ones.
+// startListening listens at an address. The first call sets the address for later calls.
 func (s *workerServer) startListening(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// serveProbe answers a probe with the worker's report. A worker that does not answer has the dispatcher end the connection.
+// serveProbe answers a probe with the worker's report. If the worker does not answer, the dispatcher ends the connection.
 func (s *workerServer) serveProbe(w http.ResponseWriter, r *http.Request) {
 	cluster, sim := s.discovery.cluster, s.discovery.cluster.sim
 	answer := make(chan *scheduler.Report, 1)
@@ -80,8 +80,8 @@
 	}
 }
 
-// socketAttempt is an attempt on a socket; it implements attemptSource. lines has the fields of the response's lines; an empty
-// one breaks the connection. Its capacity exceeds what one attempt sends, so that the engine never blocks on it.
+// socketAttempt is an attempt on a socket; it implements attemptSource. lines carries the JSON fields of each line of the response; an
+// empty string breaks the connection. Its capacity exceeds the lines of one attempt, so that the engine never blocks on it.
 type socketAttempt struct {
 	server *workerServer
 	lines  chan string
@@ -97,7 +97,7 @@
 	}
 }
 
-// attemptOver implements attemptSource. The dispatcher does not see it during a partition.
+// attemptOver implements attemptSource. During a partition the dispatcher is not notified.
 func (a *socketAttempt) attemptOver(attempt *attemptRun, outcome scheduler.Outcome) {
 	if a.server.partitioned() {
 		return
@@ -112,7 +112,7 @@
 
 // knownStart implements attemptSource.
 func (a *socketAttempt) knownStart(id scheduler.WorkerID) time.Duration {
-	return a.server.discovery.notifiedAt[id]
+	return a.server.discovery.knownStarts[id]
 }
 
 // delayRandom implements attemptSource.
--- a/internal/emulator/zoneload.go
+++ b/internal/emulator/zoneload.go
@@ -10,7 +10,7 @@
 // the run.
 type zoneLoad struct{ workReceived, workCapacity []float64 }
 
-// sampleZones begins the next second of all zone loads with the zones' capacity as of now, and repeats after a second.
+// sampleZones starts a new second in all zone loads, with the zones' current capacity, and repeats after a second.
 func (sim *simulation) sampleZones() {
 	for zone := range sim.zoneLoads {
 		capacity := 0.0
@@ -32,11 +32,11 @@
 	}
 }
 
-// peakWindowSeconds is the window of the peak zone load: arrivals are too uneven from one second to the next.
+// peakWindowSeconds is the window over which the peak zone load is measured: arrivals vary too much between single seconds.
 const peakWindowSeconds = 5
 
-// peakZoneLoad returns the highest ratio of work received to capacity over peakWindowSeconds at any zone, leaving out windows
-// in which the zone was without capacity for a second.
+// peakZoneLoad returns the highest ratio of work received to capacity over peakWindowSeconds at any zone. It skips windows
+// with a second in which the zone had no capacity.
 func (sim *simulation) peakZoneLoad() (peak float64) {
 	for _, load := range sim.zoneLoads {
 		for end := peakWindowSeconds; end < len(load.workReceived); end++ {
