--- a/internal/experiment/draw.go
+++ b/internal/experiment/draw.go
@@ -31,7 +31,7 @@
 		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{summary.Half, summary.Half})
 	}
 	if allSame {
-		_ = os.Remove(path) // there is none as a rule
+		_ = os.Remove(path) // usually there is no such file
 		return nil
 	}
 	scatter, err := plotter.NewScatter(points.XYs)
@@ -50,7 +50,7 @@
 }
 
 // drawOverview draws the merit of the scheduler and of the best plain policy at each deployment.
-func drawOverview(path string, all []Comparison) error {
+func drawOverview(path string, comparisons []Comparison) error {
 	chart := plot.New()
 	chart.Title.Text, chart.Y.Label.Text, chart.Y.Min, chart.Y.Max = "module beside the best plain policy", "merit", 0, 1
 	width := vg.Points(14)
@@ -62,8 +62,8 @@
 		{"best plain", func(s Comparison) float64 { return s.Best.Mean }},
 	} {
 		var values plotter.Values
-		for _, standing := range all {
-			values = append(values, max(series.merit(standing), 0))
+		for _, comparison := range comparisons {
+			values = append(values, max(series.merit(comparison), 0))
 		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
@@ -74,12 +74,12 @@
 		chart.Legend.Add(series.name, bars)
 	}
 	var names []string
-	for _, standing := range all {
-		names = append(names, strings.ReplaceAll(standing.Deployment, "-", "\n"))
+	for _, comparison := range comparisons {
+		names = append(names, strings.ReplaceAll(comparison.Deployment, "-", "\n"))
 	}
 	chart.NominalX(names...)
 	chart.Legend.Top = true
-	return chart.Save(vg.Points(64*float64(max(len(all), 5))), vg.Points(300), path)
+	return chart.Save(vg.Points(64*float64(max(len(comparisons), 5))), vg.Points(300), path)
 }
 
 // drawZoneChart draws each mode's mean of a figure at each case.
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -22,7 +22,7 @@
 variant "random" { policy = "random" }
 `
 
-// TestRun_reproducible checks that a file gives the same rows in whatever order its runs end, and that saved rows can be read and drawn
+// TestRun_reproducible checks that a file gives the same rows regardless of the order in which its runs end, and that saved rows can be read and drawn
 // again.
 func TestRun_reproducible(t *testing.T) {
 	file, err := Parse([]byte(smallExperiment), "small.hcl")
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -12,7 +12,7 @@
 	"brassdale/internal/hcldiag"
 )
 
-// File is an experiment's file. What its world leaves out is as in emulator.ReferenceScenario.
+// File is an experiment's file. Settings that it leaves out are as in emulator.ReferenceScenario.
 type File struct {
 	Title    string            `hcl:"title"`
 	Seeds    int               `hcl:"seeds"`
@@ -24,7 +24,8 @@
 	Variants []Variant         `hcl:"variant,block"`
 }
 
-// ScenarioSettings is what a scenario may set. Durations are as time.ParseDuration reads them.
+// ScenarioSettings are the settings of a scenario; nil for settings that are not given. Durations are in the format of
+// time.ParseDuration.
 type ScenarioSettings struct {
 	Rate           *float64 `hcl:"rate"` // jobs a second
 	Span           *string  `hcl:"span"`
@@ -41,21 +42,21 @@
 	Users          *int     `hcl:"users"`
 	MaxAttempts    *int     `hcl:"attempts"`
 	Deadline       *string  `hcl:"give_up"`
-	PushReports    *bool    `hcl:"push"` // workers that share push a report at each change
+	PushReports    *bool    `hcl:"push"` // workers with processor sharing push a report at each change
 
 	// In virtual time only.
 	Zones            *int     `hcl:"zones"`
 	Cross            *string  `hcl:"cross"`       // one-way delay between zones
 	CrossPrice       *float64 `hcl:"cross_price"` // of an attempt between zones
-	Memory           *float64 `hcl:"memory"`      // units for each slot of a job
-	Queue            *float64 `hcl:"queue"`       // jobs that may wait at a worker, for each slot
+	Memory           *float64 `hcl:"memory"`      // mean units that a job needs for each slot
+	Queue            *float64 `hcl:"queue"`       // maximum of queued jobs at a worker, per slot
 	KeepsCancelled   *bool    `hcl:"keeps"`       // workers run queued jobs that were cancelled
 	WorkEstimates    *bool    `hcl:"hints"`       // clients send work estimates
 	LiveWeights      *bool    `hcl:"live_weights"`
 	ListPushed       *bool    `hcl:"pushed"`       // endpoint updates are pushed
 	ReportsInAnswers *bool    `hcl:"answers"`      // answers carry reports
-	ReportDelay      *string  `hcl:"report_delay"` // age of reports when they are seen
-	Handshake        *float64 `hcl:"handshake"`    // round trips that a new connection takes
+	ReportDelay      *string  `hcl:"report_delay"` // age of reports when dispatchers receive them
+	Handshake        *float64 `hcl:"handshake"`    // round trips to open a connection
 	MaxConnections   *int     `hcl:"connections"`  // that a worker accepts
 
 	Greedy *float64 `hcl:"greedy"` // the first account sends this multiple of its share
@@ -70,7 +71,7 @@
 	Sharing bool      `hcl:"sharing,optional"`
 }
 
-// Fault is a fault. A file has none of zones.
+// Fault is a fault of workers, discovery or traffic. Files have no faults of zones.
 type Fault struct {
 	Kind  string  `hcl:"kind,label"`
 	At    string  `hcl:"at"`
@@ -98,18 +99,18 @@
 // Variant is one way to run the experiment.
 type Variant struct {
 	Name   string            `hcl:"name,label"`
-	Policy string            `hcl:"policy,optional"` // one of policy.Names; else the scheduler
+	Policy string            `hcl:"policy,optional"` // one of policy.Names; empty or schedulerPolicy for the scheduler
 	Scale  *float64          `hcl:"scale"`           // multiplies workers and rate
 	Set    *ScenarioSettings `hcl:"set,block"`
 }
 
-// schedulerPolicy is the name that a variant may give to the scheduler as its policy, in place of none.
+// schedulerPolicy is the policy name that selects the scheduler, as an empty name does.
 const schedulerPolicy = "module"
 
 // usesScheduler reports whether the variant's policy is the scheduler.
 func (v *Variant) usesScheduler() bool { return v.Policy == "" || v.Policy == schedulerPolicy }
 
-// Load reads and checks an experiment. The error has all mistakes with file, line and column.
+// Load reads and checks an experiment. The error lists all mistakes with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse parses and checks the text of an experiment. path is its name in errors.
--- a/internal/experiment/overview.go
+++ b/internal/experiment/overview.go
@@ -17,26 +17,27 @@
 
 // Comparison compares the scheduler with the plain policy that has the highest merit at a deployment.
 type Comparison struct {
-	Deployment string  // the deployment
+	Deployment string
 	Scheduler  Summary // the scheduler's merit
 	Best       Summary // the plain policy's merit
 	Plain      string  // the plain policy's variant
 	Difference Summary // the scheduler's merit less the plain policy's, seed by seed
-	Broken     int     // rules that the scheduler broke
+	Broken     int     // breaches by the scheduler
 }
 
-// meritAllowance is how much a plain policy's merit may exceed the scheduler's for ignoring prices and rules.
+// meritAllowance is how much a plain policy's merit may exceed the scheduler's, because it ignores prices and rules.
 const meritAllowance = 0.03
 
-// Margin returns how far behind the best plain policy the scheduler counts as level: meritAllowance and half the width of the
+// Margin returns by how much the scheduler's merit may be below the best plain policy's: meritAllowance + half the width of the
 // difference's 95% interval.
 func (s Comparison) Margin() float64 { return meritAllowance + s.Difference.Half }
 
-// Behind reports whether the scheduler is behind by more than the margin, or broke a rule.
+// Behind reports whether the scheduler's merit is lower by more than the margin, or the scheduler broke a rule.
 func (s Comparison) Behind() bool { return s.Broken > 0 || s.Difference.Mean < -s.Margin() }
 
-// CompareDeployments compares by merit. A deployment's first variant is the scheduler, the others are plain policies.
-func CompareDeployments(deployments []Deployment) (all []Comparison) {
+// CompareDeployments compares the scheduler with the best plain policy at each deployment, by merit. A deployment's first variant is the
+// scheduler, the others are plain policies.
+func CompareDeployments(deployments []Deployment) (comparisons []Comparison) {
 	merit := func(row Row) float64 { return row.Merit }
 	summarizeMerit := func(rows []Row) Summary {
 		var figures []float64
@@ -51,32 +52,32 @@
 			continue
 		}
 		scheduled := byVariant[names[0]]
-		standing := Comparison{Deployment: deployment.Name, Scheduler: summarizeMerit(scheduled)}
+		comparison := Comparison{Deployment: deployment.Name, Scheduler: summarizeMerit(scheduled)}
 		for _, row := range scheduled {
-			standing.Broken += len(row.Breaches)
+			comparison.Broken += len(row.Breaches)
 		}
 		for _, name := range names[1:] {
-			if summary := summarizeMerit(byVariant[name]); standing.Plain == "" || summary.Mean > standing.Best.Mean {
-				standing.Plain, standing.Best = name, summary
-				standing.Difference, _ = Difference(byVariant[name], scheduled, merit)
+			if summary := summarizeMerit(byVariant[name]); comparison.Plain == "" || summary.Mean > comparison.Best.Mean {
+				comparison.Plain, comparison.Best = name, summary
+				comparison.Difference, _ = Difference(byVariant[name], scheduled, merit)
 			}
 		}
-		all = append(all, standing)
+		comparisons = append(comparisons, comparison)
 	}
-	return all
+	return comparisons
 }
 
 // Overview writes a line for each deployment.
-func Overview(out io.Writer, all []Comparison) error {
+func Overview(out io.Writer, comparisons []Comparison) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "work\truns\tmodule\tbest plain\tpolicy\tdifference\tmargin\trules broken\t\t\n")
-	for _, standing := range all {
+	for _, comparison := range comparisons {
 		mark := ""
-		if standing.Behind() {
+		if comparison.Behind() {
 			mark = "behind"
 		}
-		fmt.Fprintf(table, "%s\t%d\t%.3f ±%.3f\t%.3f ±%.3f\t%s\t%+.3f ±%.3f\t%.3f\t%d\t%s\t\n", standing.Deployment, standing.Scheduler.N, standing.Scheduler.Mean, standing.Scheduler.Half,
-			standing.Best.Mean, standing.Best.Half, standing.Plain, standing.Difference.Mean, standing.Difference.Half, standing.Margin(), standing.Broken, mark)
+		fmt.Fprintf(table, "%s\t%d\t%.3f ±%.3f\t%.3f ±%.3f\t%s\t%+.3f ±%.3f\t%.3f\t%d\t%s\t\n", comparison.Deployment, comparison.Scheduler.N, comparison.Scheduler.Mean, comparison.Scheduler.Half,
+			comparison.Best.Mean, comparison.Best.Half, comparison.Plain, comparison.Difference.Mean, comparison.Difference.Half, comparison.Margin(), comparison.Broken, mark)
 	}
 	return table.Flush()
 }
@@ -86,7 +87,7 @@
 	files, err := filepath.Glob(filepath.Join(dir, "*.hcl"))
 	slices.Sort(files)
 	if err == nil && len(files) == 0 {
-		err = fmt.Errorf("%s: no experiment there", dir)
+		err = fmt.Errorf("%s: found no experiment (*.hcl)", dir)
 	}
 	return files, err
 }
@@ -103,12 +104,12 @@
 			rows = append(rows, row)
 		}
 	}
-	all := CompareDeployments(deployments)
+	comparisons := CompareDeployments(deployments)
 	if err := writeFiles(dir, map[string]func(io.Writer) error{
 		"rows.csv":     func(f io.Writer) error { return writeCSV(f, rows) },
-		"overview.txt": func(f io.Writer) error { return Overview(f, all) },
+		"overview.txt": func(f io.Writer) error { return Overview(f, comparisons) },
 	}); err != nil {
 		return err
 	}
-	return drawOverview(filepath.Join(dir, "overview.svg"), all)
+	return drawOverview(filepath.Join(dir, "overview.svg"), comparisons)
 }
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// TestStandings_scenariosDeployments checks that the scheduler breaks no rule at any of scenarios/deployments, with two seeds each, and
+// TestCompareDeployments_schedulerNotWorse checks that the scheduler breaks no rule at any of scenarios/deployments, with two seeds each, and
 // that its merit is at most 0.05 below that of the best plain policy.
-func TestStandings_scenariosDeployments(t *testing.T) {
+func TestCompareDeployments_schedulerNotWorse(t *testing.T) {
 	files, err := Files("../../scenarios/deployments")
 	if err != nil || len(files) < 12 {
 		t.Fatalf("%d deployments, error %v", len(files), err)
@@ -34,10 +34,10 @@
 		}
 		deployments = append(deployments, Deployment{file.Title, rows})
 	}
-	for _, standing := range CompareDeployments(deployments) {
+	for _, comparison := range CompareDeployments(deployments) {
 		// Two seeds are too few to estimate the noise: the margin is that of the stored runs with six seeds, 0.05 at most.
-		if standing.Difference.Mean < -0.05 {
-			t.Errorf("%s: scheduler %.3f, %s %.3f", standing.Deployment, standing.Scheduler.Mean, standing.Plain, standing.Best.Mean)
+		if comparison.Difference.Mean < -0.05 {
+			t.Errorf("%s: scheduler %.3f, %s %.3f", comparison.Deployment, comparison.Scheduler.Mean, comparison.Plain, comparison.Best.Mean)
 		}
 	}
 }
@@ -53,10 +53,10 @@
 	}
 	broken := deployment("broken", 0.9)
 	broken.Rows[0].Breaches = []string{"a rule"}
-	standings := CompareDeployments([]Deployment{deployment("level", 0.79), deployment("behind", 0.7), broken})
+	comparisons := CompareDeployments([]Deployment{deployment("level", 0.79), deployment("behind", 0.7), broken})
 	for i, want := range []bool{false, true, true} {
-		if standing := standings[i]; standing.Behind() != want || standing.Plain != "lud" {
-			t.Errorf("%+v: behind %v, want %v", standing, standing.Behind(), want)
+		if comparison := comparisons[i]; comparison.Behind() != want || comparison.Plain != "lud" {
+			t.Errorf("%+v: behind %v, want %v", comparison, comparison.Behind(), want)
 		}
 	}
 	dir := t.TempDir()
@@ -70,7 +70,7 @@
 	if chart, err := os.ReadFile(filepath.Join(dir, "overview.svg")); err != nil || !strings.Contains(string(chart), "<svg") {
 		t.Errorf("no chart: %v", err)
 	}
-	if err := Overview(io.Discard, standings); err != nil {
+	if err := Overview(io.Discard, comparisons); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Files(dir); err == nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -44,7 +44,7 @@
 	return table.Flush()
 }
 
-// writeDifferences writes a line of differences from the first variant for each other one; significant ones are marked.
+// writeDifferences writes a line of differences from the first variant for each other variant, and marks significant differences.
 func writeDifferences(out io.Writer, names []string, byVariant map[string][]Row) error {
 	fmt.Fprintf(out, "\nagainst %s, seed by seed (95%%); * is more than chance\n", names[0])
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
@@ -69,7 +69,7 @@
 	Rows  []Row  `json:"rows"`
 }
 
-// Save writes rows to a directory as JSON, and what Draw writes.
+// Save writes rows to a directory as JSON, and in the forms that Draw writes.
 func Save(dir, title string, rows []Row) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// writeFiles creates files in a directory, by name, and has each written by its function.
+// writeFiles creates files in a directory. It calls the function of each name to write the file's content.
 func writeFiles(dir string, files map[string]func(io.Writer) error) error {
 	for name, write := range files {
 		if err := writeFile(filepath.Join(dir, name), write); err != nil {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// writeFile creates a file and has it written.
+// writeFile creates a file and calls write to write its content.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/experiment/row.go
+++ b/internal/experiment/row.go
@@ -20,13 +20,13 @@
 	Failed       float64  `json:"failed"`  // share of the jobs
 	P50MS        float64  `json:"p50_ms"`
 	P99MS        float64  `json:"p99_ms"`
-	Sends        float64  `json:"sends"`  // attempts, for each job
-	Probes       float64  `json:"probes"` // for each job
-	Wasted       float64  `json:"wasted"` // share of the work done
+	Sends        float64  `json:"sends"`  // attempts per job
+	Probes       float64  `json:"probes"` // probes per job
+	Wasted       float64  `json:"wasted"` // share of the work done whose result was not used
 	Speed        float64  `json:"speed"`  // mean over served jobs of work by response time
-	Used         float64  `json:"used"`   // work done, of what the workers could do
+	Used         float64  `json:"used"`   // work done, as a share of the workers' capacity while jobs arrived
 	WorstClass   float64  `json:"worst_class,omitempty"`
-	Crossings    float64  `json:"crossings,omitempty"` // attempts between zones, for each job
+	Crossings    float64  `json:"crossings,omitempty"` // attempts between zones, per job
 	Merit        float64  `json:"merit,omitempty"`     // see emulator.Result.Merit
 	Breaches     []string `json:"breaches,omitempty"`
 }
@@ -84,8 +84,8 @@
 	return row
 }
 
-// Breaches returns the violations of rules, each with its run: those of the scheduler, and those of plain policies, which do
-// not know the rules. Without a file all count as the scheduler's.
+// Breaches returns the violations of rules, each with its run. Breaches by plain policies, which do not know the rules, are separate from
+// breaches by the scheduler. If file is nil, all count as the scheduler's.
 func Breaches(rows []Row, file *File) (ofScheduler, ofPlain []string) {
 	policies := map[string]string{}
 	if file != nil {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -15,17 +15,17 @@
 // Runner runs a variant's scenario.
 type Runner func(ctx context.Context, v Variant, s emulator.Scenario) (*emulator.Result, error)
 
-// InVirtualTime is a Runner that runs the model alone.
+// InVirtualTime is a Runner that runs the emulator in virtual time.
 func InVirtualTime(_ context.Context, v Variant, s emulator.Scenario) (*emulator.Result, error) {
 	return emulator.Run(s, v.newPolicy())
 }
 
-// OnSockets returns a Runner that runs processes of a dispatcher's program on loopback. It accepts no variant with a policy, as
-// the program decides by its scheduler.
+// OnSockets returns a Runner that runs processes of a dispatcher's program on loopback. It returns an
+// error for a variant with a plain policy, because the program always uses the scheduler.
 func OnSockets(binary string) Runner {
 	return func(ctx context.Context, variant Variant, scenario emulator.Scenario) (*emulator.Result, error) {
 		if !variant.usesScheduler() {
-			return nil, fmt.Errorf("policy %q is not the program's", variant.Policy)
+			return nil, fmt.Errorf("policy %q cannot be run on sockets: the program always uses the scheduler", variant.Policy)
 		}
 		return emulator.RunOnSockets(ctx, scenario, binary)
 	}
@@ -41,12 +41,11 @@
 	}
 }
 
-// task is a run to do: a variant, by index, and the offset of its seed from the first.
+// task is one run: a variant, by index, and the offset of its seed from the first.
 type task struct{ seed, variant int }
 
-// Run runs all variants with all seeds, as many at a time as parallel says, the variants of a seed after each other. It calls
-// step after each run, one call at a time. If the context ends or a run fails, it returns the rows until then with the error.
-func Run(ctx context.Context, file *File, play Runner, parallel int, build string, step func()) ([]Row, error) {
+// Run runs all variants with all seeds, up to parallel runs at a time, seed by seed. It calls step after each run, one call at a time. If the context ends or a run fails, it returns the rows until then with the error.
+func Run(ctx context.Context, file *File, runner Runner, parallel int, build string, step func()) ([]Row, error) {
 	tasks := make(chan task)
 	go func() {
 		defer close(tasks)
@@ -59,7 +58,7 @@
 	for range parallel {
 		workers.Go(func() {
 			for task := range tasks {
-				row, err := file.runTask(ctx, task, play, build)
+				row, err := file.runTask(ctx, task, runner, build)
 				mu.Lock()
 				if err != nil {
 					firstErr = cmp.Or(firstErr, err)
@@ -89,14 +88,14 @@
 	}
 }
 
-// runTask does one run.
-func (f *File) runTask(ctx context.Context, task task, play Runner, build string) (Row, error) {
+// runTask executes one run.
+func (f *File) runTask(ctx context.Context, task task, runner Runner, build string) (Row, error) {
 	variant, seed := f.Variants[task.variant], uint64(f.First+task.seed)
 	scenario, err := f.Scenario(variant, seed)
 	if err != nil {
 		return Row{}, fmt.Errorf("variant %q, seed %d: %w", variant.Name, seed, err)
 	}
-	result, err := play(ctx, variant, scenario)
+	result, err := runner(ctx, variant, scenario)
 	if err != nil {
 		return Row{}, fmt.Errorf("variant %q, seed %d: %w", variant.Name, seed, err)
 	}
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -8,7 +8,7 @@
 	"brassdale/scheduler"
 )
 
-// Words of the file.
+// Keywords of the file.
 var (
 	faultKindNames = map[string]emulator.FaultKind{
 		"freeze":     emulator.Freeze,
@@ -65,8 +65,8 @@
 		}
 		scenario.Faults = append(scenario.Faults, fault)
 	}
-	for _, world := range []*ScenarioSettings{f.Settings, variant.Set} {
-		if err := world.apply(&scenario); err != nil {
+	for _, settings := range []*ScenarioSettings{f.Settings, variant.Set} {
+		if err := settings.apply(&scenario); err != nil {
 			return scenario, err
 		}
 	}
@@ -76,7 +76,7 @@
 	return scenario, nil
 }
 
-// scale multiplies the scenario's rate, workers and fetches at a time by a factor.
+// scale multiplies the scenario's rate, number of workers and number of concurrent fetches by a factor.
 func scale(scenario *emulator.Scenario, factor float64) {
 	scenario.Traffic.Rate *= factor
 	scenario.Store.Slots = int(float64(scenario.Store.Slots) * factor)
@@ -88,7 +88,7 @@
 // parse returns the kind in the emulator's terms.
 func (k *WorkerKind) parse() (emulator.WorkerKind, error) {
 	if len(k.Speed) != 2 {
-		return emulator.WorkerKind{}, fmt.Errorf("kind %q: speed must be [least, most]", k.Name)
+		return emulator.WorkerKind{}, fmt.Errorf("kind %q: speed must be [minimum, maximum]", k.Name)
 	}
 	return emulator.WorkerKind{Name: k.Name, Count: k.Count, Slots: k.Slots, SpeedMin: k.Speed[0], SpeedMax: k.Speed[1], Sharing: k.Sharing}, nil
 }
@@ -155,14 +155,14 @@
 	return nil
 }
 
-// setIfGiven stores a setting that is given.
+// setIfGiven stores a setting if it is given.
 func setIfGiven[T any](to, from *T) {
 	if from != nil {
 		*to = *from
 	}
 }
 
-// apply stores the settings that are given in a scenario.
+// apply stores in a scenario the settings that are given.
 func (w *ScenarioSettings) apply(scenario *emulator.Scenario) error {
 	if w == nil {
 		return nil
@@ -191,7 +191,7 @@
 	setIfGiven(&scenario.LiveWeights, w.LiveWeights)
 	setIfGiven(&scenario.ListPushed, w.ListPushed)
 	if w.Greedy != nil && len(traffic.Accounts) > 0 {
-		// The rate grows by what the first account sends beyond its share.
+		// The rate grows by the jobs that the first account sends beyond its share.
 		first := &traffic.Accounts[0]
 		more := first.Share * (*w.Greedy - 1)
 		traffic.Rate *= 1 + more
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -23,8 +23,8 @@
 	return summary
 }
 
-// Difference returns by how much a figure of the second variant is above that of the first, over the seeds that both have, and
-// whether 0 is outside the 95% interval.
+// Difference returns the difference of a figure, second variant minus first, over the seeds that both have. It is significant if 0 is
+// outside the 95% interval.
 func Difference(first, second []Row, figure func(Row) float64) (difference Summary, significant bool) {
 	firstFigures := map[uint64]float64{}
 	for _, row := range first {
--- a/internal/experiment/zones.go
+++ b/internal/experiment/zones.go
@@ -32,7 +32,7 @@
 	zoneSpan          = 75 * time.Second
 
 	// Package faults counts by the same two times (zonesresult.go).
-	zoneDetectionTime = 3 * time.Second  // in which a plan may react to a fault: not counted as in the fault
+	zoneDetectionTime = 3 * time.Second  // time for a plan to react to a fault: not counted as part of the fault
 	zoneRecoveryTime  = 15 * time.Second // after a fault's end
 
 	flapInterval = 6 * time.Second // between the losses of a zone that flaps
@@ -45,7 +45,7 @@
 		return emulator.Fault{Kind: kind, At: at, For: duration, Zone: zone, From: from, Size: size, Share: 1}
 	}
 	lost := fault(emulator.ZoneLost, zoneFaultAt, zoneFaultDuration, 1, 0, 0)
-	apart := func(zone, from int) emulator.Fault {
+	partition := func(zone, from int) emulator.Fault {
 		return fault(emulator.ZonePartition, zoneFaultAt, zoneFaultDuration, zone, from, 0)
 	}
 	var flaps []emulator.Fault
@@ -57,8 +57,8 @@
 		{"lost", 0.55, []emulator.Fault{lost}},
 		{"lost, full", 0.66, []emulator.Fault{lost}},
 		{"two lost", 0.7, []emulator.Fault{lost, fault(emulator.ZoneLost, zoneFaultAt+5*time.Second, zoneFaultDuration-5*time.Second, 3, 0, 0)}},
-		{"cut one way", 0.6, []emulator.Fault{apart(1, 1)}},
-		{"regions cut", 0.6, []emulator.Fault{apart(1, 3), apart(1, 4), apart(2, 3), apart(2, 4), apart(3, 1), apart(4, 1), apart(3, 2), apart(4, 2)}},
+		{"cut one way", 0.6, []emulator.Fault{partition(1, 1)}},
+		{"regions cut", 0.6, []emulator.Fault{partition(1, 3), partition(1, 4), partition(2, 3), partition(2, 4), partition(3, 1), partition(4, 1), partition(3, 2), partition(4, 2)}},
 		{"ten times as far", 0.6, []emulator.Fault{fault(emulator.ZoneDelay, zoneFaultAt, zoneFaultDuration, 1, 0, 10)}},
 		{"flapping", 0.55, flaps},
 	}
@@ -70,8 +70,8 @@
 // zoneModeTitles are the modes' names in tables and charts.
 var zoneModeTitles = map[string]string{"": "each for itself", "near": "nearest only", "spread": "spread over all", "plan": "planned in common"}
 
-// ZoneRow is the result of one run. Fault, Recovery, Later and All are shares of weighted work answered in time: of what was
-// requested in the fault, in the recovery time after it, after that, and in all. MovedAfter, RestoredAfter and P99 are in
+// ZoneRow is the result of one run. Fault, Recovery, Later and All are shares of weighted work answered in time: of the work requested
+// during the fault, during the recovery time after it, later, and during the whole run. MovedAfter, RestoredAfter and P99 are in
 // seconds.
 type ZoneRow struct {
 	Case, Mode                                 string
@@ -95,7 +95,7 @@
 	return scenario
 }
 
-// zoneTask is a run to do.
+// zoneTask is one run.
 type zoneTask struct {
 	zoneCase ZoneCase
 	mode     string
@@ -114,7 +114,7 @@
 	return tasks
 }
 
-// RunZones runs all cases in all modes over the seeds, as many at a time as parallel says. It calls step after each run, from
+// RunZones runs all cases in all modes over the seeds, up to parallel runs at a time. It calls step after each run, from
 // several goroutines. It returns no rows if the context ends.
 func RunZones(ctx context.Context, experiment ZoneExperiment, parallel int, step func()) (rows []ZoneRow, err error) {
 	tasks := experiment.tasks()
@@ -151,7 +151,7 @@
 	return rows, err
 }
 
-// run does one run.
+// run executes one run.
 func (e ZoneExperiment) run(task zoneTask) (ZoneRow, error) {
 	newPolicy := func(settings scheduler.Settings, seed uint64) emulator.Policy { return scheduler.New(settings, seed) }
 	result, err := emulator.Run(e.Scenario(task.zoneCase, task.mode, task.seed), newPolicy)
