--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -20,7 +20,7 @@
 // Wire is the protocol between the generator and its targets.
 type Wire string
 
-// The wires.
+// The protocols.
 const (
 	HTTP1  Wire = "http1"  // the platform's protocol
 	HTTP2  Wire = "http2"  // the same over HTTP/2 without TLS
@@ -49,7 +49,7 @@
 	urls       []string
 	http       http.Client
 	nextTarget atomic.Uint64
-	idPrefix   string // of request ids, so that two generators at once do not use the same
+	idPrefix   string // of request ids, so that two concurrent generators do not use the same ids
 	ids        atomic.Uint64
 	body       []byte
 }
@@ -96,7 +96,7 @@
 	if err != nil {
 		return Answer{Outcome: Unanswered}
 	}
-	defer func() { _ = response.Body.Close() }() // what was read counts
+	defer func() { _ = response.Body.Close() }() // only the read content matters
 	if c.wire == Events && response.StatusCode == http.StatusOK {
 		return lastEvent(response.Body)
 	}
--- a/internal/load/figures.go
+++ b/internal/load/figures.go
@@ -14,18 +14,18 @@
 // Figures are a result in its stored form.
 type Figures struct {
 	Usable     bool                      `json:"usable"`
-	Why        string                    `json:"why,omitempty"` // it is not usable
+	Why        string                    `json:"why,omitempty"` // why the result is not usable
 	CutShort   bool                      `json:"cut_short"`
 	Clients    int                       `json:"clients,omitempty"` // of a closed loop
 	Seconds    float64                   `json:"seconds"`
 	Planned    int                       `json:"planned"`
 	OpenAtStop int                       `json:"open_at_stop"`
-	Attempts   int                       `json:"tries"` // attempts
-	Rate       float64                   `json:"rate"`  // jobs a second that ended
+	Attempts   int                       `json:"tries"`
+	Rate       float64                   `json:"rate"` // jobs per second that ended
 	Outcomes   map[string]int            `json:"outcomes"`
 	Accounts   map[string]map[string]int `json:"accounts"`
 	Latency    Quantiles                 `json:"latency_ms"` // from when a job was due
-	Service    Quantiles                 `json:"service_ms"` // from when its last attempt was sent: hides a target that stalls
+	Service    Quantiles                 `json:"service_ms"` // from when its last attempt was sent: in a closed loop this hides a stall of the target
 	Lag        Quantiles                 `json:"lag_ms"`     // how late jobs were sent
 }
 
@@ -72,7 +72,7 @@
 }
 
 // countsByName returns counts by the names of the outcomes.
-func countsByName(counts [outcomes]int) map[string]int {
+func countsByName(counts [outcomeCount]int) map[string]int {
 	byName := map[string]int{}
 	for o, n := range counts {
 		byName[Outcome(o).String()] = n
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -65,11 +65,11 @@
 	Honour bool    `hcl:"honour,optional"`
 }
 
-// Load reads and checks a plan and its trace. The error has all mistakes with file, line and column.
+// Load reads and checks a plan and its trace. The error lists all mistakes with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
-// Parse parses and checks the text of a plan and its trace. path is its name in errors, and its directory is where a relative path
-// of a trace starts.
+// Parse parses and checks the text of a plan and its trace. path is its name in errors; a relative path of a trace
+// starts in its directory.
 func Parse(text []byte, path string) (*File, error) {
 	f := &File{Seed: 1, Wire: string(HTTP1), dir: filepath.Dir(path)}
 	if err := hcldiag.Decode(text, path, f, f.check); err != nil {
@@ -86,7 +86,7 @@
 	diags  hcl.Diagnostics
 }
 
-// check returns the mistakes that gohcl does not find, and sets what the plan means.
+// check returns the mistakes that gohcl does not find, and sets the parsed fields of the plan.
 func (f *File) check(body *hclsyntax.Body) hcl.Diagnostics {
 	c := &checker{file: f, body: body, blocks: hcldiag.Blocks(body)}
 	c.checkAttributes()
@@ -114,7 +114,7 @@
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration < 0 {
-		c.add(hcldiag.Place(body, attribute), "%s: %q is no time like \"2.5s\".", attribute, text)
+		c.add(hcldiag.Place(body, attribute), "%s: %q: expected a duration like \"2.5s\".", attribute, text)
 	}
 	return duration
 }
@@ -136,11 +136,11 @@
 		c.add(hcldiag.Place(body, "wire"), "%v.", err)
 	}
 	if (len(file.Phases) > 0) == (file.Trace != nil) {
-		c.add(body.MissingItemRange(), "A plan has phases, or a trace.")
+		c.add(body.MissingItemRange(), "A plan needs either phases or a trace.")
 	}
 }
 
-// checkPhases checks the phases and sets them in the generator's terms.
+// checkPhases checks the phases and converts them for the generator.
 func (c *checker) checkPhases() {
 	for i, configured := range c.file.Phases {
 		block := c.blocks["phase"][i]
@@ -169,7 +169,7 @@
 	names := map[string]bool{}
 	for i, account := range c.file.Accounts {
 		if account.Share <= 0 || account.Multiple < 0 || names[account.Name] {
-			c.add(c.blocks["account"][i].DefRange(), "An account has a name of its own, a share above 0, and times not below 0.")
+			c.add(c.blocks["account"][i].DefRange(), "An account needs a unique name, a share above 0, and times not below 0.")
 		}
 		names[account.Name] = true
 	}
@@ -183,7 +183,7 @@
 	}
 }
 
-// checkRetry checks the retries and sets them in the generator's terms.
+// checkRetry checks the retries and converts them for the generator.
 func (c *checker) checkRetry() {
 	retry := c.file.Retry
 	if retry == nil {
@@ -211,7 +211,7 @@
 	return err
 }
 
-// mix returns the plan's accounts and subjects in the generator's terms.
+// mix returns the plan's accounts and subjects for the generator.
 func (f *File) mix() Mix {
 	m := Mix{}
 	for _, a := range f.Accounts {
--- a/internal/load/generated.go
+++ b/internal/load/generated.go
@@ -10,7 +10,7 @@
 type Account struct {
 	Name     string
 	Share    float64 // of the jobs, relative to the other accounts
-	Multiple float64 // multiple of its share that it sends, in addition to the others' jobs; 0 for once
+	Multiple float64 // it sends its share this many times, in addition to the others' jobs; 0 for once
 }
 
 // weight returns the account's share times its multiple.
@@ -28,7 +28,7 @@
 	Zipf     float64 // exponent of the subjects' popularity, above 1; 0 if all are equally popular
 }
 
-// rateFactor returns by how much accounts that send several times their share raise the rate.
+// rateFactor returns the factor by which accounts that send a multiple of their share raise the rate.
 func (m *Mix) rateFactor() float64 {
 	shares, weights := 0.0, 0.0
 	for _, account := range m.Accounts {
@@ -40,8 +40,8 @@
 	return weights / shares
 }
 
-// Identifiers of the random sources of a plan. Each has a use of its own, so that a change of one leaves the others' draws as
-// they are.
+// Identifiers of the random sources of a plan. Each source has one use, so that a change of one use does not change the draws of the
+// others.
 const (
 	arrivalSource = 1
 	accountSource = 2
@@ -65,7 +65,7 @@
 
 // generatedJobs is the source of a plan's phases.
 type generatedJobs struct {
-	phases       []Phase // that are left, the current one first
+	phases       []Phase // remaining phases, the current one first
 	mix          Mix
 	arrivals     *rand.Rand
 	accounts     *rand.Rand
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load generator: it sends each job at the time its plan says, whatever became of earlier jobs, and
-// counts latency from that time, so that a target that stalls cannot hide it by holding back its clients. A generator that falls
-// behind its own plan marks its result unusable.
+// Package load is an open-loop load generator: it sends each job at its planned time, regardless of the outcome of earlier jobs, and
+// counts latency from that time. A target that stalls therefore cannot hide the stall by delaying its clients. A generator that sends
+// jobs later than planned marks its result unusable.
 package load
 
 import (
@@ -21,7 +21,7 @@
 	Next() (Job, bool)
 }
 
-// Outcome is how a job, over all its attempts, or one of them ended for its client.
+// Outcome is the outcome for the client of a job, over all its attempts, or of one attempt.
 type Outcome uint8
 
 // The outcomes.
@@ -32,23 +32,23 @@
 	Failed             // any other status
 	Unanswered         // no answer by the deadline, or a broken connection
 
-	outcomes // their number
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"served", "late", "refused", "failed", "unanswered"}
+var outcomeNames = [outcomeCount]string{"served", "late", "refused", "failed", "unanswered"}
 
 // String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Terms are what clients want and how they retry.
+// Terms are the class, the time limits and the retries of clients' jobs.
 type Terms struct {
 	Class            string
-	Deadline         time.Duration // deadline of a job, from when it is due
-	LatencyObjective time.Duration // latency objective; 0 for none
+	Deadline         time.Duration // from when a job is due
+	LatencyObjective time.Duration // 0 for none
 	Retry            Retry
 }
 
-// Retry is how clients retry. They do so only after a rejection, which says that a retry is harmless.
+// Retry is how clients retry. They retry only after a rejection, which means that a retry is harmless.
 type Retry struct {
 	Max              int           // retries of a job
 	Share            float64       // of the clients that retry
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -96,7 +96,7 @@
 		"out of order":    {"jsonl", "{\"at_ms\":5,\"account\":\"a\"}\n{\"at_ms\":4,\"account\":\"a\"}\n", "line 2: at_ms 4 is before the 5 of the line before"},
 		"unknown account": {"csv", "at_ms,account\n0,a\n1,zebra\n", `line 3: unknown account "zebra"`},
 		"bad line":        {"jsonl", "{\"at_ms\":0,\"account\":\"a\"}\n{\"at_ms\":\n", "line 2:"},
-		"no number":       {"csv", "at_ms,account\nsoon,a\n", `line 2: at_ms: "soon" is no number`},
+		"no number":       {"csv", "at_ms,account\nsoon,a\n", `line 2: at_ms: expected a number, got "soon"`},
 		"no time":         {"jsonl", "{\"account\":\"a\"}\n", "line 1:"},
 		"negative time":   {"csv", "at_ms,account\n-1,a\n", "line 2: at_ms:"},
 		"not a number":    {"csv", "at_ms,account\nNaN,a\n", "line 2:"},
@@ -148,7 +148,7 @@
 		"time":       {"class = \"c\"\ngive_up = \"soon\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:2:11:"},
 		"two errors": {"class = \"\"\ngive_up = \"0s\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:2:11: Bad plan: give_up must be above 0."},
 		"wire":       {header + "wire = \"smoke\"\nphase \"poisson\" {\n  for = \"1s\"\n  rate = 1\n}\n", "plan.hcl:3:8:"},
-		"trace":      {header + "trace {\n  file = \"t.csv\"\n  format = \"csv\"\n}\n", "plan.hcl:4:10: Bad plan: t.csv: line 2: at_ms: \"x\" is no number"},
+		"trace":      {header + "trace {\n  file = \"t.csv\"\n  format = \"csv\"\n}\n", "plan.hcl:4:10: Bad plan: t.csv: line 2: at_ms: expected a number, got \"x\""},
 		"unknown":    {header + "speed = 3\n", "plan.hcl:3:1:"},
 	} {
 		_, err := Parse([]byte(test.text), filepath.Join(dir, "plan.hcl"))
@@ -158,16 +158,16 @@
 	}
 }
 
-// senderFunc is a function as a Sender.
-type senderFunc func(ctx context.Context, j Job, try int, deadline time.Time) Answer
+// senderFunc is a Sender that calls a function.
+type senderFunc func(ctx context.Context, j Job, attempt int, deadline time.Time) Answer
 
 // Send calls the function.
-func (s senderFunc) Send(ctx context.Context, j Job, try int, deadline time.Time) Answer {
-	return s(ctx, j, try, deadline)
+func (s senderFunc) Send(ctx context.Context, j Job, attempt int, deadline time.Time) Answer {
+	return s(ctx, j, attempt, deadline)
 }
 
 // TestRun_noCoordinatedOmission checks that a stall of the target for 150 ms shows in the latency percentiles, which count from when jobs
-// were due, in an open and in a closed loop. In those from when attempts were sent a closed loop hides it.
+// were due, in an open and in a closed loop. In the percentiles that count from when attempts were sent, a closed loop hides the stall.
 func TestRun_noCoordinatedOmission(t *testing.T) {
 	const stall = 150 * time.Millisecond
 	run := func(clients int) Figures {
@@ -193,8 +193,8 @@
 	}
 }
 
-// TestRun_unusableIfLate checks that the result of a generator that is late, here as its plan started a second before it did, or that
-// reaches its limit of jobs in flight, is unusable.
+// TestRun_unusableIfLate checks that a result is unusable if the generator is late, here because its plan starts a second before the run,
+// or if it reaches its limit of jobs in flight.
 func TestRun_unusableIfLate(t *testing.T) {
 	release := make(chan struct{})
 	plan := func() Source {
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestClient_retriesRejections checks that a client retries a rejection after its Retry-After, with the same key and a new ID, and that the
-// job counts once; that it retries neither a failure nor past its give-up time.
+// TestClient_retriesRejections checks that a client retries a rejection after its Retry-After, with the same key and a new id, and that the
+// job counts once. It checks that the client retries neither a failure nor after the deadline.
 func TestClient_retriesRejections(t *testing.T) {
 	type attempt struct {
 		id, key, retry string
@@ -261,9 +261,9 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	run := func(giveUp time.Duration) Figures {
+	run := func(deadline time.Duration) Figures {
 		got = nil
-		options := Options{Terms: Terms{Deadline: giveUp, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, HonourRetryAfter: true}}}
+		options := Options{Terms: Terms{Deadline: deadline, Retry: Retry{Max: 1, Share: 1, Wait: time.Millisecond, HonourRetryAfter: true}}}
 		return Run(t.Context(), Recorded([]Job{{Account: "a"}}), client, options).Figures()
 	}
 	figures := run(5 * time.Second)
@@ -271,7 +271,7 @@
 		t.Errorf("figures %+v, attempts %+v", figures, got)
 	}
 	if figures := run(50 * time.Millisecond); figures.Outcomes["refused"] != 1 || len(got) != 1 {
-		t.Errorf("give-up before Retry-After: outcomes %+v, %d attempts", figures.Outcomes, len(got))
+		t.Errorf("deadline before Retry-After: outcomes %+v, %d attempts", figures.Outcomes, len(got))
 	}
 	status = http.StatusBadGateway
 	if figures := run(5 * time.Second); figures.Outcomes["failed"] != 1 || len(got) != 1 {
--- a/internal/load/phase.go
+++ b/internal/load/phase.go
@@ -15,7 +15,7 @@
 	Poisson               // a constant rate
 	Ramp                  // a rate that changes evenly from one value to another
 	Burst                 // a rate, and another for part of every period
-	Day                   // a working day in small: a peak in the morning, a dip at noon, a lower peak in the afternoon
+	Day                   // a scaled-down working day: a peak in the morning, a dip at noon, a lower peak in the afternoon
 )
 
 var shapesByName = map[string]Shape{"constant": Constant, "poisson": Poisson, "ramp": Ramp, "burst": Burst, "day": Day}
@@ -62,17 +62,17 @@
 // maxRate returns the phase's highest rate.
 func (p *Phase) maxRate() float64 { return max(p.Rate, p.To) }
 
-// check returns an error that says what is wrong with the phase.
+// check returns an error if the phase is invalid.
 func (p *Phase) check() error {
 	switch {
 	case p.For <= 0:
 		return errors.New("for must be above 0")
 	case p.Rate < 0 || p.To < 0 || p.maxRate() <= 0 || math.IsInf(p.maxRate(), 0) || math.IsNaN(p.Rate+p.To):
-		return errors.New("needs a rate above 0")
+		return errors.New("rate and to must be finite and not below 0, and one of them above 0")
 	case p.Shape == Burst && (p.BurstPeriod <= 0 || p.BurstDuration <= 0 || p.BurstDuration > p.BurstPeriod):
-		return errors.New("a burst needs every, and last within it")
+		return errors.New("a burst needs every above 0, and last above 0 and at most every")
 	case p.Shape != Ramp && p.Shape != Burst && p.To != 0:
-		return errors.New("to is for ramps and bursts")
+		return errors.New("only ramps and bursts may have to")
 	}
 	return nil
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -17,11 +17,11 @@
 	clients    int // of a closed loop; 0 for an open loop
 	mu         sync.Mutex
 	planned    int // jobs that were due
-	unsent     int // of them, not sent as too many were in flight
-	openAtStop int // of them, in flight when the context ended
+	unsent     int // jobs that were due but not sent, because too many were in flight
+	openAtStop int // jobs in flight when the context ended
 	attempts   int
-	counts     [outcomes]int
-	accounts   map[string]*[outcomes]int
+	counts     [outcomeCount]int
+	accounts   map[string]*[outcomeCount]int
 	latency    *hdrhistogram.Histogram // of answered jobs, in microseconds from when they were due
 	service    *hdrhistogram.Histogram // of answered jobs, in microseconds from when their last attempt was sent
 	lag        *hdrhistogram.Histogram // how late jobs were sent, in microseconds
@@ -39,7 +39,7 @@
 	newHistogram := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(minRecorded.Microseconds(), maxRecorded.Microseconds(), significantDigits)
 	}
-	return &Result{clients: clients, accounts: map[string]*[outcomes]int{}, latency: newHistogram(), service: newHistogram(), lag: newHistogram()}
+	return &Result{clients: clients, accounts: map[string]*[outcomeCount]int{}, latency: newHistogram(), service: newHistogram(), lag: newHistogram()}
 }
 
 // recordDuration records a duration, or the nearest one in the histogram's range.
@@ -90,7 +90,7 @@
 	r.counts[ended.outcome]++
 	counts := r.accounts[job.Account]
 	if counts == nil {
-		counts = &[outcomes]int{}
+		counts = &[outcomeCount]int{}
 		r.accounts[job.Account] = counts
 	}
 	counts[ended.outcome]++
@@ -100,8 +100,8 @@
 	}
 }
 
-// Usable returns an error that wraps ErrUnusable and says why, if the generator did not keep its plan. Clients of a closed loop are
-// late by design: how late is in the figures.
+// Usable returns an error that wraps ErrUnusable and gives the reason, if the generator sent jobs late or not at all. A closed loop
+// sends jobs late by design, so its lag appears in the figures only.
 func (r *Result) Usable() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// MaxLag is how late one of a hundred jobs may be sent in a usable result.
+// MaxLag is the maximum 99th percentile of the jobs' lag in a usable result.
 const MaxLag = 10 * time.Millisecond
 
 const (
 	// lagQuantile is the share of the jobs that MaxLag bounds.
 	lagQuantile = 0.99
 
-	// maxOversleep is how late a sleep ends at most, as a rule: the pacer sleeps until this long before a job is due, and then
-	// half of the rest at a time.
+	// maxOversleep is the maximum by which a sleep usually ends late. The pacer sleeps until this long before a job is due, and then
+	// half of the remaining time at a time.
 	maxOversleep = 300 * time.Microsecond
 
-	// defaultMaxOpen is Options.MaxOpen where it is 0.
+	// defaultMaxOpen is used if Options.MaxOpen is 0.
 	defaultMaxOpen = 100_000
 
 	// retrySource is the random source that decides which clients retry. Sources 1 to 3 belong to Generated.
@@ -86,7 +86,7 @@
 		jobs.Go(func() {
 			defer clients.release()
 			defer open.Add(-1)
-			ended := playJob(ctx, job, due, retries, sender, &options.Terms)
+			ended := runJob(ctx, job, due, retries, sender, &options.Terms)
 			result.recordJob(ctx, job, ended, options.Each)
 		})
 	}
@@ -98,7 +98,7 @@
 // clientLimit bounds the clients of a closed loop; nil for an open loop.
 type clientLimit chan struct{}
 
-// newClientLimit returns a limit for so many clients; 0 for an open loop.
+// newClientLimit returns a limit for a number of clients; 0 for an open loop.
 func newClientLimit(clients int) clientLimit {
 	if clients <= 0 {
 		return nil
@@ -126,7 +126,7 @@
 	}
 }
 
-// newKey returns an idempotency key that no other job has.
+// newKey returns a unique idempotency key.
 func newKey() string {
 	var b [16]byte
 	_, _ = crand.Read(b[:]) // never fails
@@ -160,13 +160,13 @@
 type jobEnd struct {
 	outcome  Outcome
 	latency  time.Duration // from when it was due
-	service  time.Duration // from when its last attempt was sent: what a client measures that waits for its answers
+	service  time.Duration // from when its last attempt was sent: the latency that a closed-loop client measures
 	attempts int
 	answered bool
 }
 
-// playJob sends a job's attempts. It retries a rejection, if the client retries, while the retry can be sent before the deadline.
-func playJob(ctx context.Context, job Job, due time.Time, retries bool, sender Sender, terms *Terms) jobEnd {
+// runJob sends a job's attempts. If the client retries, it retries rejections as long as the retry can be sent before the deadline.
+func runJob(ctx context.Context, job Job, due time.Time, retries bool, sender Sender, terms *Terms) jobEnd {
 	deadline := due.Add(terms.Deadline)
 	ended := jobEnd{}
 	for {
@@ -192,5 +192,5 @@
 	}
 }
 
-// ErrUnusable is the error of a result whose generator did not keep its plan.
+// ErrUnusable is the error of a result whose generator sent jobs late or not at all.
 var ErrUnusable = errors.New("the generator fell behind its plan: the result is unusable")
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -47,7 +47,7 @@
 }
 
 // ReadTrace reads a recorded trace, either "csv" with a line of column names or "jsonl", to its end: the error names the line of
-// the first mistake. Accounts must be among those given, if there are any. Gaps in time stay.
+// the first mistake. If accounts are given, a record's account must be one of them. Gaps in time are not shortened.
 func ReadTrace(in io.Reader, format string, accounts []Account) ([]Job, error) {
 	known := map[string]bool{}
 	for _, account := range accounts {
@@ -83,7 +83,7 @@
 	return jobs, nil
 }
 
-// validate checks a record, decoded from JSON or made from CSV, against the schema. The error has the first cause alone.
+// validate checks a record, decoded from JSON or made from CSV, against the schema. The error has the first cause only.
 func validate(document any) error {
 	schema, err := compiledSchema()
 	if err != nil {
@@ -179,7 +179,7 @@
 		if column == "at_ms" {
 			milliseconds, err := strconv.ParseFloat(fields[i], 64)
 			if err != nil {
-				return traceRecord{}, fmt.Errorf("at_ms: %q is no number", fields[i])
+				return traceRecord{}, fmt.Errorf("at_ms: expected a number, got %q", fields[i])
 			}
 			document[column] = milliseconds
 		}
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -8,17 +8,17 @@
 	"sync/atomic"
 )
 
-// Conn is a connection whose bytes are counted. It carries one message after the other, of several kinds: at the client's end
-// Call sets the kind of the next one, at the server's Handler does, once it has read the request's header.
+// Conn is a connection whose bytes are counted. It carries messages of several kinds, one after the other. At the client's end Call sets
+// the kind of the next message. At the server's end Handler sets it once the request's header is read.
 type Conn struct {
 	net.Conn
 	meter      *Meter
-	kind       atomic.Uint32 // of what is written and, at the client's end, read
-	serverSide bool          // what is read is of a kind that Handler finds out later
-	unassigned atomic.Int64  // bytes that were read and are not counted yet, at the server's end
+	kind       atomic.Uint32 // of written bytes and, at the client's end, of read bytes
+	serverSide bool          // the kind of read bytes is set later, by Handler
+	unassigned atomic.Int64  // bytes that were read and are not counted yet; 0 at the client's end
 }
 
-// Conn counts a connection's bytes as a kind until another one is set.
+// Conn returns a connection whose bytes are counted as a kind until another kind is set.
 func (m *Meter) Conn(conn net.Conn, kind Kind) *Conn {
 	counted := &Conn{Conn: conn, meter: m}
 	counted.kind.Store(uint32(kind))
@@ -43,13 +43,13 @@
 	return n, err
 }
 
-// Close counts what was read since the last request as of that one's kind.
+// Close counts the bytes read since the last request as the kind of that request.
 func (c *Conn) Close() error {
 	c.meter.Received(Kind(c.kind.Load()), int(c.unassigned.Swap(0)))
 	return c.Conn.Close()
 }
 
-// assign counts what was read since the last call, and what follows, as of a kind.
+// assign counts the bytes read since the last call, and the bytes that follow, as a kind.
 func (c *Conn) assign(kind Kind) {
 	c.kind.Store(uint32(kind))
 	c.meter.Received(kind, int(c.unassigned.Swap(0)))
@@ -66,7 +66,7 @@
 	}
 }
 
-// Call returns a context with which an HTTP client's call counts as a kind, on whichever of the meter's connections it is made.
+// Call returns a context with which an HTTP client's call counts as a kind, on any of the meter's connections.
 func (m *Meter) Call(ctx context.Context, kind Kind) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -78,7 +78,7 @@
 	})
 }
 
-// Listen returns a listener whose connections are counted, by the kinds that Handler finds out.
+// Listen returns a listener whose connections are counted, by the kinds that Handler sets.
 func (m *Meter) Listen(listener net.Listener) net.Listener { return countedListener{listener, m} }
 
 type countedListener struct {
@@ -100,12 +100,12 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// ConnContext is the ConnContext of a server whose handler is one of Handler.
+// ConnContext is the http.Server.ConnContext of a server whose handler Handler returns.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// Handler counts the calls that a server serves, and their bytes, as of the kind that a function returns for the request.
+// Handler returns a handler that counts calls and their bytes as the kind that kindOf returns for the request.
 func (m *Meter) Handler(next http.Handler, kindOf func(*http.Request) Kind) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		kind := kindOf(r)
--- a/internal/traffic/packets.go
+++ b/internal/traffic/packets.go
@@ -5,14 +5,14 @@
 	"net"
 )
 
-// Packets is a packet connection whose packets are counted, each as of the kind that a function returns for its bytes.
+// Packets is a packet connection whose packets are counted, each as the kind that kindOf returns for its bytes.
 type Packets struct {
 	net.PacketConn
 	meter  *Meter
 	kindOf func([]byte) Kind
 }
 
-// Packets counts the packets of a connection.
+// Packets returns a packet connection that counts the packets of conn.
 func (m *Meter) Packets(conn net.PacketConn, kindOf func([]byte) Kind) *Packets {
 	return &Packets{PacketConn: conn, meter: m, kindOf: kindOf}
 }
@@ -56,8 +56,8 @@
 	maxNesting          = 2 // a compound message, and the first one in it
 )
 
-// MemberlistKind returns the kind of a packet of memberlist: Probe for one that carries a probe or the response to one, whatever
-// updates go with it, else Gossip.
+// MemberlistKind returns the kind of a packet of memberlist: Probe if it carries a probe or the response to a probe, regardless of
+// updates in the same packet, otherwise Gossip.
 func MemberlistKind(packet []byte) Kind {
 	for range maxNesting {
 		if len(packet) > checksumHeaderBytes && packet[0] == memberChecksum {
@@ -82,7 +82,7 @@
 	return Gossip
 }
 
-// firstOfCompound returns the first message of a compound one, as far as the packet has it.
+// firstOfCompound returns the first message of a compound message, cut off at the end of the packet.
 func firstOfCompound(packet []byte) (first []byte, ok bool) {
 	count := int(packet[1])
 	header := compoundHeaderBytes + compoundLengthBytes*count
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,27 +1,27 @@
 // Package traffic counts the control traffic of a process: bytes at the connection, headers included, over TCP and UDP, and
-// messages, by what they are for. What the kernel adds (packet headers, acknowledgements) is not counted.
+// messages, by purpose. What the kernel adds (packet headers, acknowledgements) is not counted.
 package traffic
 
 import "sync/atomic"
 
-// Kind is what bytes are for.
+// Kind is the purpose of bytes.
 type Kind uint8
 
 // The kinds.
 const (
-	Other     Kind = iota // operators' commands, founding, and bytes of which nothing else is known
-	Renewal               // requests for leases, at voters also those gathered for the leader
+	Other     Kind = iota // operators' commands, founding, and bytes of unknown purpose
+	Renewal               // requests for leases; at voters also the requests collected for the leader
 	Record                // watches of the fleet's record
 	Report                // observations of zones, within renewals
 	Budget                // demands of budgets and their leases, within renewals
-	Gossip                // who is there: updates, and exchanges of the whole state
-	Probe                 // of members, whether they are there
+	Gossip                // membership: updates, and exchanges of the whole state
+	Probe                 // liveness probes of members
 	Raft                  // between voters
 	Discovery             // polls for the endpoint list
-	kinds
+	kindCount
 )
 
-var kindNames = [kinds]string{
+var kindNames = [kindCount]string{
 	Other:     "other",
 	Renewal:   "renewal",
 	Record:    "record",
@@ -36,7 +36,7 @@
 // String returns the kind's name in metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Count is what was counted of a kind since the start.
+// Count is the traffic of a kind since the start.
 type Count struct {
 	Sent     uint64 `json:"sent"` // bytes
 	Received uint64 `json:"received"`
@@ -48,7 +48,7 @@
 
 // Meter counts traffic. The zero value is ready for use, and a nil Meter counts nothing. It may be used from any goroutine.
 type Meter struct {
-	counters [kinds]counter
+	counters [kindCount]counter
 }
 
 type counter struct{ sent, received, messages atomic.Uint64 }
@@ -75,7 +75,7 @@
 }
 
 // Within counts a part of the bytes of one kind as bytes of another, such as a report within a renewal. It may be called
-// before the bytes themselves are counted: until then the first kind has too few.
+// before the bytes themselves are counted: until then the count of the first kind is too low.
 func (m *Meter) Within(of, as Kind, sent, received int) {
 	if m == nil {
 		return
@@ -86,7 +86,7 @@
 	m.counters[as].received.Add(uint64(received))
 }
 
-// Counts returns what was counted, by the name of the kind, without kinds of which nothing was.
+// Counts returns the counts by the name of the kind. It leaves out kinds without traffic.
 func (m *Meter) Counts() map[string]Count {
 	counts := map[string]Count{}
 	if m == nil {
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -100,7 +100,7 @@
 }
 
 // TestMeter_bothEndsCountAlike makes HTTP calls of several kinds over reused connections. It checks that each end counts every byte that a
-// relay between them forwards, headers included, as of the same kind, and that one end receives what the other sends.
+// relay between them forwards, headers included, as the same kind, and that one end receives what the other sends.
 func TestMeter_bothEndsCountAlike(t *testing.T) {
 	var client, server Meter
 	kinds := map[string]Kind{"/renew": Renewal, "/watch": Record}
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestOfMembers_kindOfPacket checks the kind of packets of memberlist that are a single message, a compound one, or one with a checksum.
-func TestOfMembers_kindOfPacket(t *testing.T) {
+// TestMemberlistKind_packets checks the kind of packets of memberlist that are a single message, a compound message, or a message with a checksum.
+func TestMemberlistKind_packets(t *testing.T) {
 	ping, alive := append([]byte{memberPing}, "ping........"...), append([]byte{4}, "alive......"...)
 	compound := func(messages ...[]byte) []byte {
 		packet := []byte{memberCompound, byte(len(messages))}
@@ -163,8 +163,8 @@
 	}
 }
 
-// FuzzOfMembers checks that arbitrary bytes count as gossip or as a probe.
-func FuzzOfMembers(f *testing.F) {
+// FuzzMemberlistKind checks that arbitrary bytes count as gossip or as a probe.
+func FuzzMemberlistKind(f *testing.F) {
 	f.Add([]byte{memberCompound, 2, 0, 1, 0, 200, 0, 4})
 	f.Add([]byte{memberChecksum, 0, 0, 0, 0, memberCompound, 255})
 	f.Fuzz(func(t *testing.T, packet []byte) {
@@ -174,19 +174,19 @@
 	})
 }
 
-// TestWithin_sumsUnchanged checks that a part that is counted as another kind changes no sum, whatever the order of counts.
+// TestWithin_sumsUnchanged checks that a part that is counted as another kind changes no sum, regardless of the order of the calls.
 func TestWithin_sumsUnchanged(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		var meter Meter
 		var sent, received uint64
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
-			kind, size := Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), rapid.IntRange(0, 1000).Draw(t, "bytes")
+			kind, size := Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind")), rapid.IntRange(0, 1000).Draw(t, "bytes")
 			meter.Sent(kind, size)
 			meter.Received(kind, 2*size)
 			meter.Message(kind)
 			sent, received = sent+uint64(size), received+uint64(2*size)
 			part := rapid.IntRange(0, size).Draw(t, "part")
-			meter.Within(kind, Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "as")), part, 2*part)
+			meter.Within(kind, Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "as")), part, 2*part)
 		}
 		if total := Total(meter.Counts()); total.Sent != sent || total.Received != received {
 			t.Fatalf("counted %+v, want %d sent and %d received", total, sent, received)
