--- a/internal/emulator/class.go
+++ b/internal/emulator/class.go
@@ -24,7 +24,7 @@
 	TwoSlotShare        float64                      // share of the jobs that take two slots
 }
 
-// effectiveClasses returns the configured classes, or the one that the traffic's own settings describe.
+// effectiveClasses returns the configured classes, or the one class that the traffic's own settings describe.
 func (t *Traffic) effectiveClasses() []Class {
 	if len(t.Classes) > 0 {
 		return t.Classes
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -32,7 +32,7 @@
 	attempts int
 }
 
-// errVirtualTimeOnly is the error for scenarios with parts that sockets do not model.
+// errVirtualTimeOnly is the error for scenarios that use features not modelled on sockets.
 var errVirtualTimeOnly = errors.New("classes, memory, connections, live weights, bounded queues, pushed lists, reports in answers, bursts and heavy tails are modelled in virtual time only")
 
 // Open starts a scenario's workers and discovery on loopback ports that the system chooses. Its faults begin with StartFaults.
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -14,7 +14,7 @@
 type Failover struct {
 	Mode              string // "" each dispatcher's policy, "near" its own zone, "spread" a random zone, "plan" by the planner
 	Headroom          float64
-	RecoveryRamp      time.Duration // ramp of a recovered zone's share
+	RecoveryRamp      time.Duration // duration of the ramp of a recovered zone's share
 	DetectionTime     time.Duration
 	MaxShiftPerSecond float64 // most that a share changes in a second
 }
@@ -189,7 +189,7 @@
 }
 
 // recordAttempt records an attempt's outcome for the planner. It skips attempts that were not sent, attempts that were
-// cancelled after their start or too early to expect a response, and attempts already counted as unanswered.
+// cancelled after their start or too early to expect a response, and timed-out attempts already counted as unanswered.
 func (d *dispatcher) recordAttempt(attempt *attemptRun, outcome scheduler.Outcome) {
 	if d.recorder == nil || outcome == scheduler.NeverSent {
 		return
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -7,7 +7,7 @@
 	"brassdale/scheduler"
 )
 
-// fourZones is a cluster of four zones in two regions at six tenths of its capacity; one zone is lost for 20 s.
+// fourZones is a cluster of four zones in two regions at 0.55 of its capacity; one zone is lost for 20 s.
 func fourZones(seed uint64, mode string) Scenario {
 	s := ReferenceScenario(seed)
 	s.Span, s.Dispatchers = 100*time.Second, 12
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy has textbook load balancing policies to compare the scheduler with. They implement emulator.Policy.
 //
-// They send each request to one worker that is listed as ready. If the worker rejects it, they send it to another worker; if the attempt
+// They send each request to one worker that is listed as ready. If the worker rejects it, they pick a worker again; if the attempt
 // fails, they fail the request. None of them considers slow start, affinity keys or missing responses.
 package policy
 
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,7 +1,7 @@
 // Package emulator is a model of the systems around the dispatcher: workers, discovery, clients, the network between them,
 // and their faults. It runs in virtual time, in one goroutine, with a separate random source for each component that
-// draws: the same scenario gives the same events on any machine. The same model of workers and discovery also runs on loopback sockets, by
-// the real clock, for real dispatchers.
+// draws: the same scenario gives the same events on any machine. The same model of workers and discovery also runs on loopback
+// sockets, by the real clock, for real dispatchers.
 //
 // It is a model, not a measurement of real workers. Each part's comment says what it leaves out. Package soak and the tests of
 // cmd/brassdale have fakes of workers and discovery of their own: soak breaks connections and answers on purpose, and the tests choose
@@ -120,7 +120,8 @@
 // The kinds of faults. Share applies only to faults of workers, Size, Zone and From only to kinds that mention them. To add a kind:
 //   - A fault of workers: beginFault and endFault in faultinjection.go, and Faulty of Status. A kind without a case has no effect,
 //     and no check reports it: applyFault treats each kind that it does not name as a fault of workers.
-//   - Any other: applyFault; isZoneFault and applyZoneFault for zones; check if it needs a Size; needsVirtualTime if it is not modelled on sockets.
+//   - Any other: applyFault; isZoneFault and applyZoneFault for zones; check if it needs a Size; needsVirtualTime if it is not modelled
+//     on sockets.
 //   - Its name in files: faultKindNames of package experiment, zoneFaults of package faults.
 //
 // A fault's random draws depend only on its index in the scenario, so a new kind changes no draw.
@@ -130,7 +131,7 @@
 	Slow                            // a third of the speed
 	Restart                         // loses its jobs and is back, warming up, after a second
 	Drain                           // is listed as draining, finishes jobs, and is gone when the fault ends
-	DelayedReports                  // reports are seen three seconds later
+	DelayedReports                  // dispatchers receive reports three seconds late
 	Reset                           // loses its connections and jobs once
 	Partition                       // no message arrives or leaves; attempts are reset when the fault ends
 	DiscoveryDown                   // discovery ends its watches and rejects polls
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// completeShared ends the attempts that have no work left, and those that were cancelled.
+// completeShared ends the attempts that have no work left, and the attempts that were cancelled.
 func (w *worker) completeShared() {
 	w.updateProgress()
 	remaining := w.running[:0]
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -8,7 +8,7 @@
 	"brassdale/scheduler"
 )
 
-// TestProcessorSharing_matchesClosedForm checks that the mean response time of a worker that shares its speed among its jobs is that of
+// TestProcessorSharing_matchesClosedForm checks that the mean response time of a worker that shares its speed among its jobs matches
 // M/M/1 with processor sharing, mean work divided by spare speed (L. Kleinrock, 1967), within a tenth over ten runs.
 func TestProcessorSharing_matchesClosedForm(t *testing.T) {
 	for _, load := range []float64{0.3, 0.5, 0.8} {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -42,7 +42,7 @@
 	// Used only if the worker's jobs share its speed.
 	sharing         bool
 	progressAt      time.Duration // workLeft of the running attempts is as of this time
-	completionTimer int           // number of the newest timer; older ones are void
+	completionTimer int           // number of the newest timer; older timers have no effect
 }
 
 // recentArrival is work that a warming worker received.
@@ -126,7 +126,7 @@
 	return job.slots > w.slots || job.memory > float64(w.slots) || maxQueued > 0 && float64(len(w.queue)) >= maxQueued && !w.canStart(job)
 }
 
-// chargeSlowStart counts an attempt against a warming worker's overload limit. The worker goes down if the work it was sent
+// chargeSlowStart counts an attempt against a warming worker's overload limit. The worker goes down if the work it received
 // within the overload window exceeds OverloadMultiple times what it can do in the window. The auditor is notified only
 // if at least two thirds of the work came from dispatchers that knew of the start.
 func (w *worker) chargeSlowStart(attempt *attemptRun) {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -22,8 +22,8 @@
 variant "random" { policy = "random" }
 `
 
-// TestRun_reproducible checks that a file gives the same rows regardless of the order in which its runs end, and that saved rows can be read and drawn
-// again.
+// TestRun_reproducible checks that a file gives the same rows regardless of the order in which its runs end, and that saved
+// rows can be read and drawn again.
 func TestRun_reproducible(t *testing.T) {
 	file, err := Parse([]byte(smallExperiment), "small.hcl")
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestDifference_significance checks that a difference within the noise is not significant, and one of 0.11 beyond it is.
+// TestDifference_significance checks that a difference within the noise is not significant, and that a difference of 0.11, beyond the noise, is.
 func TestDifference_significance(t *testing.T) {
 	var base, noisy, better []Row
 	for seed := range uint64(20) {
@@ -126,7 +126,7 @@
 }
 
 // TestRun_paperPolicyOrder checks that the policies rank as in the paper: with network delays from 250 ms LUD is faster than LU by a
-// twentieth, LU faster than round robin, and that faster than random choice by a tenth. Without delay LUD and LU differ by 0.01 at most.
+// twentieth, LU faster than round robin, and round robin faster than random choice by a tenth. Without delay LUD and LU differ by 0.01 at most.
 // The utilisation is 0.8, within 0.04, throughout.
 func TestRun_paperPolicyOrder(t *testing.T) {
 	file, err := Load("../../scenarios/paper.hcl")
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -12,8 +12,8 @@
 // goldenSeeds is how many seeds of a scenario a golden file has.
 const goldenSeeds = 2
 
-// TestGoldenRows checks that the scheduler makes the same decisions as when the golden files were written: the emulator runs four scenarios on short
-// spans in virtual time, and each row must be the same to the last digit.
+// TestGoldenRows checks that the scheduler makes the same decisions as when the golden files were written: the emulator runs four
+// scenarios on short spans in virtual time, and each row must be the same to the last digit.
 func TestGoldenRows(t *testing.T) {
 	for _, scenario := range []struct{ name, span string }{
 		{"cold-release", "14s"}, // past both restarts
--- a/internal/experiment/overview_test.go
+++ b/internal/experiment/overview_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestCompareDeployments_schedulerNotWorse checks that the scheduler breaks no rule at any of scenarios/deployments, with two seeds each, and
-// that its merit is at most 0.05 below that of the best plain policy.
+// that its merit is at most 0.05 below the merit of the best plain policy.
 func TestCompareDeployments_schedulerNotWorse(t *testing.T) {
 	files, err := Files("../../scenarios/deployments")
 	if err != nil || len(files) < 12 {
@@ -35,7 +35,7 @@
 		deployments = append(deployments, Deployment{file.Title, rows})
 	}
 	for _, comparison := range CompareDeployments(deployments) {
-		// Two seeds are too few to estimate the noise: the margin is that of the stored runs with six seeds, 0.05 at most.
+		// Two seeds are too few to estimate the noise: the margin is taken from the stored runs with six seeds, 0.05 at most.
 		if comparison.Difference.Mean < -0.05 {
 			t.Errorf("%s: scheduler %.3f, %s %.3f", comparison.Deployment, comparison.Scheduler.Mean, comparison.Plain, comparison.Best.Mean)
 		}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -20,8 +20,8 @@
 	return emulator.Run(s, v.newPolicy())
 }
 
-// OnSockets returns a Runner that runs processes of a dispatcher's program on loopback. It returns an
-// error for a variant with a plain policy, because the program always uses the scheduler.
+// OnSockets returns a Runner that runs processes of a dispatcher's program on loopback. It returns an error for a variant
+// with a plain policy, because the program always uses the scheduler.
 func OnSockets(binary string) Runner {
 	return func(ctx context.Context, variant Variant, scenario emulator.Scenario) (*emulator.Result, error) {
 		if !variant.usesScheduler() {
@@ -44,7 +44,8 @@
 // task is one run: a variant, by index, and the offset of its seed from the first.
 type task struct{ seed, variant int }
 
-// Run runs all variants with all seeds, up to parallel runs at a time, seed by seed. It calls step after each run, one call at a time. If the context ends or a run fails, it returns the rows until then with the error.
+// Run runs all variants with all seeds, up to parallel runs at a time, seed by seed. It calls step after each run, one call
+// at a time. If the context ends or a run fails, it returns the rows until then with the error.
 func Run(ctx context.Context, file *File, runner Runner, parallel int, build string, step func()) ([]Row, error) {
 	tasks := make(chan task)
 	go func() {
--- a/internal/load/phase.go
+++ b/internal/load/phase.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Shape is how a phase's rate of arrivals changes over its time.
+// Shape is how a phase's rate of arrivals changes over time.
 type Shape uint8
 
 // The shapes. All but Constant are Poisson processes.
@@ -14,7 +14,7 @@
 	Constant Shape = iota // evenly spaced arrivals
 	Poisson               // a constant rate
 	Ramp                  // a rate that changes evenly from one value to another
-	Burst                 // a rate, and another for part of every period
+	Burst                 // a rate, and another rate for part of every period
 	Day                   // a scaled-down working day: a peak in the morning, a dip at noon, a lower peak in the afternoon
 )
 
@@ -26,8 +26,8 @@
 	For           time.Duration
 	Rate          float64       // jobs a second; of a Ramp the first, of a Day the highest
 	To            float64       // jobs a second; of a Ramp the last, of a Burst the rate within bursts
-	BurstPeriod   time.Duration // period of a Burst
-	BurstDuration time.Duration // duration of each burst
+	BurstPeriod   time.Duration // from the start of a burst to the start of the next
+	BurstDuration time.Duration
 }
 
 // rate returns the rate at a time within the phase, in jobs a second.
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -42,7 +42,7 @@
 	return &Result{clients: clients, accounts: map[string]*[outcomeCount]int{}, latency: newHistogram(), service: newHistogram(), lag: newHistogram()}
 }
 
-// recordDuration records a duration, or the nearest one in the histogram's range.
+// recordDuration records a duration, or the nearest duration in the histogram's range.
 func recordDuration(histogram *hdrhistogram.Histogram, d time.Duration) {
 	microseconds := min(max(d.Microseconds(), minRecorded.Microseconds()), maxRecorded.Microseconds())
 	_ = histogram.RecordValue(microseconds) // fails only outside the range
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		open.Add(1)
-		retries := retryRandom.Float64() < options.Terms.Retry.Share // drawn in the order of the plan, so that it depends on the seed alone
+		retries := retryRandom.Float64() < options.Terms.Retry.Share // drawn in the order of the plan, so that it depends only on the seed
 		jobs.Go(func() {
 			defer clients.release()
 			defer open.Add(-1)
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -137,7 +137,8 @@
 	}
 }
 
-// TestMemberlistKind_packets checks the kind of packets of memberlist that are a single message, a compound message, or a message with a checksum.
+// TestMemberlistKind_packets checks the kind of packets of memberlist that are a single message, a compound message, or a message with a
+// checksum.
 func TestMemberlistKind_packets(t *testing.T) {
 	ping, alive := append([]byte{memberPing}, "ping........"...), append([]byte{4}, "alive......"...)
 	compound := func(messages ...[]byte) []byte {
