--- a/internal/emulator/class.go
+++ b/internal/emulator/class.go
@@ -24,13 +24,13 @@
 	TwoSlotShare        float64                      // share of the jobs that take two slots
 }
 
-// effectiveClasses returns the configured classes, or the one that the traffic's own settings describe.
+// effectiveClasses returns the configured classes, or the one class that the traffic's own settings describe.
 func (t *Traffic) effectiveClasses() []Class {
 	if len(t.Classes) > 0 {
 		return t.Classes
 	}
 	return []Class{{Share: 1, Work: t.Work, WorkLogStdDev: t.WorkLogStdDev, LatencyObjective: t.LatencyObjective, ObjectiveStretch: t.ObjectiveStretch, Deadline: t.Deadline, PriorityWeight: 1,
-		Idempotency: t.Effect, DeduplicationScope: scheduler.ScopeCell, DeduplicationWindow: t.DeduplicationWindow}}
+		Idempotency: t.Idempotency, DeduplicationScope: scheduler.ScopeCell, DeduplicationWindow: t.DeduplicationWindow}}
 }
 
 // drawClass draws a job's class, and the work, slots, memory and work estimate that follow from it.
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -8,7 +8,7 @@
 	"brassdale/scheduler"
 )
 
-// TestProcessorSharing_matchesClosedForm checks that the mean response time of a worker that shares its speed among its jobs is that of
+// TestProcessorSharing_matchesClosedForm checks that the mean response time of a worker that shares its speed among its jobs matches
 // M/M/1 with processor sharing, mean work divided by spare speed (L. Kleinrock, 1967), within a tenth over ten runs.
 func TestProcessorSharing_matchesClosedForm(t *testing.T) {
 	for _, load := range []float64{0.3, 0.5, 0.8} {
@@ -30,13 +30,13 @@
 func TestProcessorSharing_rejectsWithoutSlot(t *testing.T) {
 	s := singleWorker(1, 1, 0.9)
 	s.Span, s.Kinds = 100*time.Second, []WorkerKind{{"some", 3, 1, 1, 1, true}}
-	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Effect = 20, 3, 100, scheduler.Idempotent
+	s.Traffic.Rate, s.Traffic.Users, s.Rules.MaxAttempts, s.Traffic.Idempotency = 20, 3, 100, scheduler.Idempotent
 	result := mustRun(t, s, plainPolicy("random"))
 	if result.Sends <= 1 || result.Served < result.Jobs*9/10 || len(result.Breaches) > 0 {
 		t.Errorf("three users: %+v", result)
 	}
 	s.Traffic.Users = 1 // no other job is in flight: none is rejected
 	if result := mustRun(t, s, plainPolicy("least-outstanding")); result.Sends != 1 {
-		t.Errorf("one user: %.3f sends a job", result.Sends)
+		t.Errorf("one user: %.3f attempts per job, want 1", result.Sends)
 	}
 }
--- a/internal/load/phase.go
+++ b/internal/load/phase.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Shape is how a phase's rate of arrivals changes over its time.
+// Shape is how a phase's rate of arrivals changes over time.
 type Shape uint8
 
 // The shapes. All but Constant are Poisson processes.
@@ -14,20 +14,20 @@
 	Constant Shape = iota // evenly spaced arrivals
 	Poisson               // a constant rate
 	Ramp                  // a rate that changes evenly from one value to another
-	Burst                 // a rate, and another for part of every period
-	Day                   // a working day in small: a peak in the morning, a dip at noon, a lower peak in the afternoon
+	Burst                 // a rate, and another rate for part of every period
+	Day                   // a scaled-down working day: a peak in the morning, a dip at noon, a lower peak in the afternoon
 )
 
 var shapesByName = map[string]Shape{"constant": Constant, "poisson": Poisson, "ramp": Ramp, "burst": Burst, "day": Day}
 
 // Phase is a part of a plan with a shape.
 type Phase struct {
-	Shape Shape
-	For   time.Duration
-	Rate  float64       // jobs a second; of a Ramp the first, of a Day the highest
-	To    float64       // jobs a second; of a Ramp the last, of a Burst the rate within bursts
-	Every time.Duration // period of a Burst
-	Last  time.Duration // duration of each burst
+	Shape         Shape
+	For           time.Duration
+	Rate          float64       // jobs a second; of a Ramp the first, of a Day the highest
+	To            float64       // jobs a second; of a Ramp the last, of a Burst the rate within bursts
+	BurstPeriod   time.Duration // from the start of a burst to the start of the next
+	BurstDuration time.Duration
 }
 
 // rate returns the rate at a time within the phase, in jobs a second.
@@ -36,7 +36,7 @@
 	case Ramp:
 		return p.Rate + (p.To-p.Rate)*float64(at)/float64(p.For)
 	case Burst:
-		if at%p.Every < p.Last {
+		if at%p.BurstPeriod < p.BurstDuration {
 			return p.To
 		}
 	case Day:
@@ -62,17 +62,17 @@
 // maxRate returns the phase's highest rate.
 func (p *Phase) maxRate() float64 { return max(p.Rate, p.To) }
 
-// check returns an error that says what is wrong with the phase.
+// check returns an error if the phase is invalid.
 func (p *Phase) check() error {
 	switch {
 	case p.For <= 0:
 		return errors.New("for must be above 0")
 	case p.Rate < 0 || p.To < 0 || p.maxRate() <= 0 || math.IsInf(p.maxRate(), 0) || math.IsNaN(p.Rate+p.To):
-		return errors.New("needs a rate above 0")
-	case p.Shape == Burst && (p.Every <= 0 || p.Last <= 0 || p.Last > p.Every):
-		return errors.New("a burst needs every, and last within it")
+		return errors.New("rate and to must be finite and not below 0, and one of them above 0")
+	case p.Shape == Burst && (p.BurstPeriod <= 0 || p.BurstDuration <= 0 || p.BurstDuration > p.BurstPeriod):
+		return errors.New("a burst needs every above 0, and last above 0 and at most every")
 	case p.Shape != Ramp && p.Shape != Burst && p.To != 0:
-		return errors.New("to is for ramps and bursts")
+		return errors.New("only ramps and bursts may have to")
 	}
 	return nil
 }
