--- a/cmd/brassdale-lab/soak.go
+++ b/cmd/brassdale-lab/soak.go
@@ -124,7 +124,7 @@
 		return
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	result, err := soak.Play(s.command.Context(), plan, s.programs, dir)
+	result, err := soak.Run(s.command.Context(), plan, s.programs, dir)
 	row := soakRow{Scenario: plan.Scenario, Seed: plan.Seed, Effect: plan.Idempotency, Failures: plan.SystemCallFaults}
 	for _, event := range plan.Events {
 		row.Events = append(row.Events, fmt.Sprintf("%.1fs %s", event.At.Seconds(), event.Kind))
--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -169,7 +169,7 @@
 	for seed, want := range map[uint64]uint32{1: 0xd79f28f9, 2: 0x2efb290d, 201: 0x9db7e955, 91004: 0x6358b73a} {
 		plan := f.Draw(seed)
 		text := fmt.Sprint(plan.Dispatchers, plan.Workers, plan.Idempotency, plan.Deadline, plan.DeduplicationWindow, plan.MayHedge, plan.ListsPushed,
-			plan.DiscoveryCrowded, plan.DiscoveryClockOffset, plan.SystemCallFaults)
+			plan.DiscoveryOverloaded, plan.DiscoveryClockOffset, plan.SystemCallFaults)
 		for _, e := range plan.Events {
 			text += fmt.Sprint(e, e.At, e.Step, e.Flaps, e.Worker)
 		}
@@ -207,7 +207,7 @@
 func TestPlay_programMissing(t *testing.T) {
 	plan := Plan{Dispatchers: 2, Workers: 1, Span: time.Minute, Rate: 1, Deadline: time.Second, Idempotency: Idempotent}
 	begun := time.Now()
-	if _, err := Play(t.Context(), plan, Programs{Dispatcher: filepath.Join(t.TempDir(), "missing")}, t.TempDir()); err == nil {
+	if _, err := Run(t.Context(), plan, Programs{Dispatcher: filepath.Join(t.TempDir(), "missing")}, t.TempDir()); err == nil {
 		t.Error("no error")
 	}
 	if took := time.Since(begun); took > plan.Span/2 {
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -42,7 +42,7 @@
 // newDiscovery makes a service with an empty list.
 func newDiscovery(record *Record, plan Plan) *discovery {
 	service := &discovery{record: record, seed: plan.Seed, clockOffset: plan.DiscoveryClockOffset, changed: make(chan struct{}), silenced: make(chan struct{}), faults: map[int][]CallFault{}, replicaViews: map[int]*replicaView{}}
-	if plan.DiscoveryCrowded {
+	if plan.DiscoveryOverloaded {
 		service.queue = &serviceQueue{timePerCall: crowdedRoundTime / time.Duration(plan.Dispatchers), maxWait: crowdedMaxWait, maxBacklog: crowdedMaxBacklog}
 	}
 	service.recordSnapshot()
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -17,11 +17,11 @@
 // playHistoryEvent plays an event in which a change of a worker and something else come together.
 func (r *run) playHistoryEvent(event Event, until time.Time) error {
 	switch event.Kind {
-	case CrowdAtDrain:
+	case IdleClientsAtDrain:
 		r.drainWorker(event.Worker)
 		r.clients[event.Target].openIdleConnections(idleClientCount, until)
 		return nil
-	case CrowdAtOutage:
+	case IdleClientsAtOutage:
 		var crowd = make(chan struct{})
 		go func() {
 			defer close(crowd)
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -55,21 +55,21 @@
 
 // Kinds for files that name them. In those that end a process clients use its open connections until it is gone.
 const (
-	UseUntilKill       EventKind = "use-until-kill"   // SIGTERM, and SIGKILL as early as is allowed
-	ReloadsThenTerm    EventKind = "hup-hup-term"     // SIGHUP, SIGHUP and SIGTERM within 50 ms
-	TermTwice          EventKind = "term-term"        // SIGTERM, and once more
-	BadReload          EventKind = "bad-hup"          // SIGHUP with a configuration that is none, then with a good one
-	TermAtStart        EventKind = "term-at-start"    // SIGTERM in the first 100 ms of a process
-	TermAtHandover     EventKind = "term-at-handover" // SIGTERM while a successor takes over
-	CrowdAtDrain       EventKind = "crowd-drain"      // many connections that send nothing, and a worker starts draining
-	CrowdAtOutage      EventKind = "crowd-down"       // the same, and discovery rejects all calls
-	MoveAfterReturn    EventKind = "returned-move"    // a worker drains, returns and drains; a move to a replica that is still before that
-	MoveAfterRestart   EventKind = "restarted-move"   // a worker restarts; a move to a replica that is still before that
-	MoveAfterSecondEnd EventKind = "ended-move"       // a worker ends, starts and ends; a move to a replica that is still before that
+	UseUntilKill        EventKind = "use-until-kill"   // SIGTERM, and SIGKILL as early as is allowed
+	ReloadsThenTerm     EventKind = "hup-hup-term"     // SIGHUP, SIGHUP and SIGTERM within 50 ms
+	TermTwice           EventKind = "term-term"        // SIGTERM, and once more
+	BadReload           EventKind = "bad-hup"          // SIGHUP with a configuration that is none, then with a good one
+	TermAtStart         EventKind = "term-at-start"    // SIGTERM in the first 100 ms of a process
+	TermAtHandover      EventKind = "term-at-handover" // SIGTERM while a successor takes over
+	IdleClientsAtDrain  EventKind = "crowd-drain"      // many connections that send nothing, and a worker starts draining
+	IdleClientsAtOutage EventKind = "crowd-down"       // the same, and discovery rejects all calls
+	MoveAfterReturn     EventKind = "returned-move"    // a worker drains, returns and drains; a move to a replica that is still before that
+	MoveAfterRestart    EventKind = "restarted-move"   // a worker restarts; a move to a replica that is still before that
+	MoveAfterSecondEnd  EventKind = "ended-move"       // a worker ends, starts and ends; a move to a replica that is still before that
 )
 
 // ShutdownEventKinds lists the kinds that only files which name them draw.
-var ShutdownEventKinds = []EventKind{UseUntilKill, ReloadsThenTerm, TermTwice, BadReload, TermAtStart, TermAtHandover, CrowdAtDrain, CrowdAtOutage,
+var ShutdownEventKinds = []EventKind{UseUntilKill, ReloadsThenTerm, TermTwice, BadReload, TermAtStart, TermAtHandover, IdleClientsAtDrain, IdleClientsAtOutage,
 	MoveAfterReturn, MoveAfterRestart, MoveAfterSecondEnd}
 
 // CallFault is what discovery does with a call in place of answering it.
@@ -95,7 +95,7 @@
 	Calls    []CallFault   // for FaultyCalls: the next three
 	Step     time.Duration // for ClockStep; how old the list is for ReplicaLag and the moves; the longest delay for DelayedAnswers; the pause between signals
 	Flaps    bool          // for ReplicaLag: only every other call shows the old list
-	Worker   int           // that changes, for the moves and CrowdAtDrain
+	Worker   int           // that changes, for the moves and IdleClientsAtDrain
 }
 
 // String returns the event as a timeline shows it.
@@ -123,7 +123,7 @@
 	DeduplicationWindow  time.Duration // in which workers drop repeats of a request with an idempotency key
 	MayHedge             bool          // a request may have two attempts in flight
 	ListsPushed          bool          // lists are pushed to an agent; a dispatcher counts as notified of what the agent has
-	DiscoveryCrowded     bool          // discovery serves calls one after the other, and needs some seconds for one call of each dispatcher
+	DiscoveryOverloaded  bool          // discovery serves calls one after the other, and needs some seconds for one call of each dispatcher
 	DiscoveryClockOffset time.Duration // how far discovery's clock, which stamps starts, is ahead
 	LateWeight           float64       // of the class: what a late answer is worth
 	SystemCallFaults     string        // rules for internal/inject; empty for none
@@ -152,7 +152,7 @@
 	}
 	plan.LateWeight = f.drawLateWeight(seed)
 	plan.ListsPushed = rng.IntN(4) == 0
-	plan.DiscoveryCrowded = !plan.ListsPushed && rng.IntN(4) == 0
+	plan.DiscoveryOverloaded = !plan.ListsPushed && rng.IntN(4) == 0
 	nextWorker := firstJoinedWorker
 	for at := quietStart; at < plan.Span-quietEnd; at += time.Duration((0.3 + rng.Float64()) * float64(f.every())) {
 		event := Event{At: at, Kind: f.kinds()[rng.IntN(len(f.kinds()))], Duration: time.Duration((0.5 + 2*rng.Float64()) * float64(time.Second))}
@@ -204,7 +204,7 @@
 		event.Target = rng.IntN(p.Dispatchers)
 		event.Worker = rng.IntN(p.Workers)
 		event.Step = time.Duration(1+rng.IntN(maxReplicaLagMS)) * time.Millisecond
-	case MoveAfterReturn, MoveAfterRestart, MoveAfterSecondEnd, CrowdAtDrain:
+	case MoveAfterReturn, MoveAfterRestart, MoveAfterSecondEnd, IdleClientsAtDrain:
 		event.Target = rng.IntN(p.Dispatchers)
 		event.Worker = rng.IntN(p.Workers)
 		event.Step = minHistoryLag + time.Duration(rng.Int64N(int64(maxHistoryLag-minHistoryLag)))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -40,9 +40,9 @@
 	errors  []error
 }
 
-// Play runs a plan in real time and returns its audited record. It writes logs and configuration to dir, and ends all processes that it
+// Run runs a plan in real time and returns its audited record. It writes logs and configuration to dir, and ends all processes that it
 // started. It returns an error if the run could not be played to its end, not if a rule was broken.
-func Play(ctx context.Context, plan Plan, programs Programs, dir string) (*Result, error) {
+func Run(ctx context.Context, plan Plan, programs Programs, dir string) (*Result, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -185,7 +185,7 @@
 		r.clients[event.Target].openIdleConnections(idleClientCount, until)
 	case ClientsLeave:
 		r.clients[event.Target].setLeaveEarly(until)
-	case CrowdAtDrain, CrowdAtOutage, MoveAfterReturn, MoveAfterRestart, MoveAfterSecondEnd:
+	case IdleClientsAtDrain, IdleClientsAtOutage, MoveAfterReturn, MoveAfterRestart, MoveAfterSecondEnd:
 		return r.playHistoryEvent(event, until)
 	case UseUntilKill, ReloadsThenTerm, TermTwice, BadReload, TermAtStart, TermAtHandover:
 		return r.playSignalEvent(event)
