--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -24,33 +24,33 @@
 	RuleLost      = "lost"      // one final answer in time, and no attempt for a client that has left
 	RuleDuplicate = "duplicate" // retries and hedged attempts only as the class allows
 	RuleRejected  = "refused"   // a rejection promises that nothing ran
-	RuleDrain     = "drain"     // nothing new to a draining worker after the grace period
+	RuleDrain     = "drain"     // no new attempt at a draining worker after the grace period
 	RuleSlowStart = "failback"  // no overload of a warming worker
 	RuleDeadline  = "deadline"  // a worker's timeout is no longer than the client's remaining time
 	RuleReady     = "ready"     // a process is ready in time
-	RuleCrash     = "crash"     // a process does not end by itself
-	RuleFailed    = "failed"    // a request that its workers did not fail is not failed before it is late
+	RuleCrash     = "crash"     // a process exits only after a signal
+	RuleFailed    = "failed"    // a request is not answered as failed before it is late, unless its workers caused that
 )
 
 // RuleNames lists the rules in the order of tables.
 var RuleNames = []string{RuleLost, RuleDuplicate, RuleRejected, RuleDrain, RuleSlowStart, RuleDeadline, RuleReady, RuleCrash, RuleFailed}
 
 const (
-	answerSlack           = 500 * time.Millisecond // an answer that is late by less is not lost
+	answerSlack           = 500 * time.Millisecond // an answer that is late by less than this is no breach
 	clientLeftSlack       = 100 * time.Millisecond
 	deadlineSlack         = 150 * time.Millisecond
-	socketSlack           = 50 * time.Millisecond // tolerance of the other time limits, but for readyWithin
+	socketSlack           = 50 * time.Millisecond // tolerance of all other time limits except readyWithin
 	notificationDeadline  = 6 * time.Second
 	readyWithin           = 10 * time.Second
 	pollRegistration      = "epoll_ctl"
-	shutdownRequestWindow = 700 * time.Millisecond // after SIGTERM: a request that came sooner may be unanswered at SIGKILL
+	shutdownRequestWindow = 700 * time.Millisecond // a request written sooner after SIGTERM than this may be unanswered at SIGKILL
 )
 
 // auditor checks the rules on a record.
 type auditor struct {
 	plan     Plan
 	record   *Record
-	attempts map[string][]*Attempt // by request, in order of their first byte
+	attempts map[string][]*Attempt // by request ID, in the order of their first bytes
 	breaches []Breach
 }
 
@@ -102,9 +102,9 @@
 		if request.AnsweredAt.After(due) {
 			a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "answered %v after its deadline", request.AnsweredAt.Sub(request.WrittenAt.Add(request.Deadline)))
 		}
-		madeResult := func(attempt *Attempt) bool { return attempt.Result != "" && attempt.Result == request.Result }
-		if request.Status == 200 && !slices.ContainsFunc(a.attempts[request.ID], madeResult) {
-			a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "served with a result that no worker made: %q", request.Result)
+		producedResult := func(attempt *Attempt) bool { return attempt.Result != "" && attempt.Result == request.Result }
+		if request.Status == 200 && !slices.ContainsFunc(a.attempts[request.ID], producedResult) {
+			a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "served with a result that no worker produced: %q", request.Result)
 		}
 		return
 	}
@@ -112,37 +112,37 @@
 	switch {
 	case run != nil && !run.EndedAt.IsZero() && run.Killed && !request.AnsweredAt.Before(run.EndedAt.Add(-socketSlack)):
 		if run.SIGTERMAt.IsZero() || request.WrittenAt.Before(run.SIGTERMAt.Add(shutdownRequestWindow)) {
-			return // open at a SIGKILL, unless it came late after SIGTERM
+			return // open at a SIGKILL, and not written late after SIGTERM
 		}
 	case request.ConnectionReused && len(a.attempts[request.ID]) == 0 && request.Resent:
 		return // an idle connection may be closed; the client has sent the request again on another
 	case !request.ConnectionReused && len(a.attempts[request.ID]) == 0 && strings.Contains(a.plan.SystemCallFaults, pollRegistration):
-		return // the injected fault prevented that the connection was polled: it was closed unread
+		return // an injected fault prevented polling of the connection, which was closed unread
 	}
-	a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "no answer: %s", cmp.Or(request.Error, "nothing came"))
+	a.addBreach(RuleLost, request.ID, -1, request.AnsweredAt, "no answer: %s", cmp.Or(request.Error, "nothing received"))
 }
 
-// checkRepeats checks that an attempt after the first that may have run is sent only as the class allows, and that two are in flight only
-// if the plan allows hedging.
+// checkRepeats checks that once an attempt may have executed, another is sent only as the class allows, and that two attempts are in flight
+// only if the plan allows hedging.
 func (a *auditor) checkRepeats(request *Request) {
 	var mayHaveRun *Attempt
 	for _, attempt := range a.attempts[request.ID] {
 		if mayHaveRun != nil {
 			switch a.plan.Idempotency {
 			case NonIdempotent:
-				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "of a non-idempotent class, after an attempt at %d that may have run", mayHaveRun.Worker)
+				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "attempt of a non-idempotent class after one at worker %d that may have executed", mayHaveRun.Worker)
 			case IdempotentWithKey:
 				if excess := attempt.LastByteAt.Sub(mayHaveRun.LastByteAt) - a.plan.DeduplicationWindow; excess > socketSlack {
-					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "%v after the deduplication window", excess)
+					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "attempt %v after the end of the deduplication window", excess)
 				}
 				if attempt.Cell != mayHaveRun.Cell {
-					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "in another cell than the attempt that may have run")
+					a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "attempt in another cell than the earlier one, which may have executed")
 				}
 			}
 		}
 		for _, other := range a.attempts[request.ID] {
 			if !a.plan.MayHedge && other != attempt && other.FirstByteAt.Before(attempt.FirstByteAt) && attempt.LastByteAt.Before(other.EndedAt.Add(-socketSlack)) {
-				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "two attempts in flight, the other at %d", other.Worker)
+				a.addBreach(RuleDuplicate, request.ID, attempt.Worker, attempt.FirstByteAt, "two attempts in flight, the other at worker %d", other.Worker)
 			}
 		}
 		if attempt.MayHaveExecuted && mayHaveRun == nil {
@@ -151,14 +151,14 @@
 	}
 }
 
-// checkRejections checks that a request is rejected only if nothing ran, unless its class is idempotent.
+// checkRejections checks that a request is rejected only if no attempt may have executed, unless its class is idempotent.
 func (a *auditor) checkRejections(request *Request) {
 	if request.Status != 503 && request.Status != 429 || a.plan.Idempotency == Idempotent {
 		return
 	}
 	for _, attempt := range a.attempts[request.ID] {
 		if attempt.MayHaveExecuted {
-			a.addBreach(RuleRejected, request.ID, attempt.Worker, request.AnsweredAt, "rejected with %d, though an attempt may have run", request.Status)
+			a.addBreach(RuleRejected, request.ID, attempt.Worker, request.AnsweredAt, "rejected with %d although an attempt may have executed", request.Status)
 			return
 		}
 	}
@@ -188,8 +188,9 @@
 	}
 }
 
-// checkFailures checks that a request is not answered as failed while the shortest job would still be in time, unless a worker broke a connection or hung, or its process ended
-// soon after. Injected faults may break connections unseen by the workers.
+// checkFailures checks that a request is not answered as failed while the shortest job could still finish in time, unless a worker broke a
+// connection or hung, or the dispatcher's process was about to end. Runs with system call faults are not checked, as these may break
+// connections without the workers noticing.
 func (a *auditor) checkFailures(request *Request) {
 	if request.Status != http.StatusBadGateway && request.Status != http.StatusGatewayTimeout || !request.LeftAt.IsZero() || a.plan.SystemCallFaults != "" {
 		return
@@ -199,31 +200,32 @@
 		return
 	}
 	if !slices.ContainsFunc(a.attempts[request.ID], func(attempt *Attempt) bool { return attempt.Broken }) {
-		a.addBreach(RuleFailed, request.ID, -1, request.AnsweredAt, "failed with %d after %v, no worker failed it", request.Status, took)
+		a.addBreach(RuleFailed, request.ID, -1, request.AnsweredAt, "failed with %d after %v, but no worker broke a connection or hung", request.Status, took)
 	}
 }
 
-// endsSoonAfter reports whether the process that a request was sent to may have been about to end: a shutdown answers all requests before that.
+// endsSoonAfter reports whether a request was written shortly before its process was due to be killed, or the process is unknown. A shutdown
+// answers all open requests before the kill, and may have to fail them.
 func (a *auditor) endsSoonAfter(request *Request) bool {
 	run := a.processRunOf(request)
 	return run == nil || !run.SIGTERMAt.IsZero() && request.WrittenAt.After(run.SIGTERMAt.Add(a.plan.killDelay()-shutdownRequestWindow))
 }
 
-// notifiedAt returns from when on the platform counts a process as notified of a change.
+// notifiedAt returns the time from which the platform counts a process as notified of a change.
 func (a *auditor) notifiedAt(change EndpointChange, run *ProcessRun) time.Time {
-	reachable := change.At
-	if run.StartedAt.After(reachable) {
-		reachable = run.StartedAt
+	reachableAt := change.At
+	if run.StartedAt.After(reachableAt) {
+		reachableAt = run.StartedAt
 	}
 	for _, outage := range a.record.Outages {
-		if !outage.From.After(reachable.Add(a.outageReach())) && outage.To.After(reachable) {
-			reachable = outage.To
+		if !outage.From.After(reachableAt.Add(a.outageReach())) && outage.To.After(reachableAt) {
+			reachableAt = outage.To
 		}
 	}
 	if a.plan.ListsPushed {
-		return reachable
+		return reachableAt
 	}
-	notified := reachable.Add(notificationDeadline)
+	notified := reachableAt.Add(notificationDeadline)
 	for _, answer := range a.record.DiscoveryAnswers {
 		if answer.Dispatcher == run.Dispatcher && answer.Revision >= change.Revision && answer.At.After(run.StartedAt) && answer.At.Before(notified) {
 			notified = answer.At
@@ -232,7 +234,7 @@
 	return notified
 }
 
-// outageReach is how long after a change an outage still delays its notification.
+// outageReach returns how long after a change an outage may begin and still delay the notification of the change.
 func (a *auditor) outageReach() time.Duration {
 	if a.plan.ListsPushed {
 		return drainGrace
@@ -251,14 +253,14 @@
 			limit := a.notifiedAt(change, run).Add(drainGrace + socketSlack)
 			for _, attempt := range a.record.Attempts {
 				if attempt.Worker == change.Worker && attempt.Dispatcher == run.Dispatcher && attempt.FirstByteAt.After(limit) && attempt.FirstByteAt.Before(until) && a.isRunning(attempt.FirstByteAt, run) {
-					a.addBreach(RuleDrain, attempt.ID, attempt.Worker, attempt.FirstByteAt, "%v after the grace period, notified of revision %d at %s", attempt.FirstByteAt.Sub(limit), change.Revision, a.timeText(a.notifiedAt(change, run)))
+					a.addBreach(RuleDrain, attempt.ID, attempt.Worker, attempt.FirstByteAt, "attempt %v after the grace period; notified of revision %d at %s", attempt.FirstByteAt.Sub(limit), change.Revision, a.timeText(a.notifiedAt(change, run)))
 				}
 			}
 		}
 	}
 }
 
-// nextChange returns when the worker of a change changed again; a time after the run for never.
+// nextChange returns when the worker of a change changed again, or a time after the run if it did not.
 func (a *auditor) nextChange(change EndpointChange) time.Time {
 	for _, later := range a.record.EndpointChanges {
 		if later.Worker == change.Worker && later.Revision > change.Revision {
@@ -273,7 +275,7 @@
 	return !at.Before(run.StartedAt) && (run.EndedAt.IsZero() || at.Before(run.EndedAt.Add(socketSlack)))
 }
 
-// warmupFactor returns the share of its capacity that a worker has at an age.
+// warmupFactor returns the share of its full capacity that a worker of an age has.
 func warmupFactor(age time.Duration) float64 {
 	return min(slowStartCapacity+(1-slowStartCapacity)*float64(age)/float64(slowStartDuration), 1)
 }
@@ -294,8 +296,9 @@
 		slices.SortFunc(attempts, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
 		for i, last := range attempts {
 			meanCapacity := overloadMultiple * warmupFactor(last.FirstByteAt.Sub(change.At)) * workerSlots * overloadWindow.Seconds() / jobTime.Seconds()
-			// The requests in a window vary by chance, with a standard deviation of about the square root of their mean. Two of these, and two
-			// requests, are allowed for it, and three of each where the mean is small, as the distribution is skewed there.
+			// The number of requests in a window is random, with a standard deviation of about the square root of its mean. The budget allows
+			// two standard deviations and two requests more than the mean, or three of each if the mean is small, as the distribution is
+			// skewed there.
 			budget := meanCapacity + 2*math.Sqrt(meanCapacity) + 2
 			if meanCapacity < 30 {
 				budget = meanCapacity + 3*math.Sqrt(meanCapacity) + 3
@@ -306,10 +309,10 @@
 				continue
 			}
 			if notified := a.countNotified(change, inWindow); notified*3 > 2*len(inWindow) {
-				a.addBreach(RuleSlowStart, "", change.Worker, last.FirstByteAt, "%d requests in %v, %d of them by notified processes, %.0f allowed %v after its start",
+				a.addBreach(RuleSlowStart, "", change.Worker, last.FirstByteAt, "%d requests in %v, %d of them from notified processes; %.0f allowed %v after the worker's start",
 					len(inWindow), overloadWindow, notified, budget, last.FirstByteAt.Sub(change.At))
 			}
-			break // an overloaded worker is down from then on
+			break // an overloaded worker counts as down from here on
 		}
 	}
 }
@@ -327,7 +330,7 @@
 	return count
 }
 
-// checkProcessRuns checks that processes become ready in time, and end only at a signal.
+// checkProcessRuns checks that processes become ready in time, and exit only after a signal.
 func (a *auditor) checkProcessRuns() {
 	for _, run := range a.record.ProcessRuns {
 		if run.Crashed != "" {
--- a/internal/soak/audit_test.go
+++ b/internal/soak/audit_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// clean gives a record in which every rule is kept, and its parts to spoil.
-func clean() (Plan, *Record) {
+// recordWithoutBreaches returns a plan, and a record of it that breaks no rule. Each test case changes them.
+func recordWithoutBreaches() (Plan, *Record) {
 	begun := time.Unix(1e9, 0)
 	at := func(s float64) time.Time { return begun.Add(time.Duration(s * float64(time.Second))) }
 	p := Plan{Dispatchers: 1, Workers: 2, Idempotency: IdempotentWithKey, Deadline: time.Second, DeduplicationWindow: 2 * time.Second}
@@ -26,78 +26,78 @@
 	return p, r
 }
 
-// The audit finds a deliberate mistake of each rule, and none where there is none.
-func TestAuditFindsEachBreak(t *testing.T) {
+// TestAudit_findsEachBreach checks that the audit finds a breach of each rule, and none in records without a breach.
+func TestAudit_findsEachBreach(t *testing.T) {
 	second := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
-	spoil := map[string]struct {
-		rule string
-		do   func(*Plan, *Record)
+	tests := map[string]struct {
+		rule   string
+		mutate func(*Plan, *Record)
 	}{
-		"clean":                       {"", func(*Plan, *Record) {}},
+		"no breach":                   {"", func(*Plan, *Record) {}},
 		"answered late":               {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].AnsweredAt = r.Requests[0].WrittenAt.Add(second(1.6)) }},
 		"not answered":                {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Status = 0 }},
 		"not answered, reused":        {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Status, r.Requests[0].ConnectionReused = 0, true }},
 		"invented result":             {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].Result = "b" }},
 		"client has left":             {RuleLost, func(_ *Plan, r *Record) { r.Requests[0].LeftAt = r.Attempts[0].FirstByteAt.Add(-second(0.11)) }},
-		"open at a late kill":         {RuleLost, func(_ *Plan, r *Record) { openAtKill(r, 0.8) }},
-		"open at an early kill":       {"", func(_ *Plan, r *Record) { openAtKill(r, 0.6) }},
-		"non-idempotent twice":        {RuleDuplicate, func(p *Plan, r *Record) { p.Idempotency = NonIdempotent; again(r, 0.5, 0) }},
-		"after the window":            {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 2.1, 0) }},
-		"inside the window":           {"", func(_ *Plan, r *Record) { again(r, 0.5, 0) }},
-		"in another cell":             {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 0.5, 1) }},
-		"two in flight":               {RuleDuplicate, func(_ *Plan, r *Record) { again(r, 0.05, 0) }},
+		"open at a late kill":         {RuleLost, func(_ *Plan, r *Record) { setOpenAtKill(r, 0.8) }},
+		"open at an early kill":       {"", func(_ *Plan, r *Record) { setOpenAtKill(r, 0.6) }},
+		"non-idempotent twice":        {RuleDuplicate, func(p *Plan, r *Record) { p.Idempotency = NonIdempotent; addSecondAttempt(r, 0.5, 0) }},
+		"after the window":            {RuleDuplicate, func(_ *Plan, r *Record) { addSecondAttempt(r, 2.1, 0) }},
+		"inside the window":           {"", func(_ *Plan, r *Record) { addSecondAttempt(r, 0.5, 0) }},
+		"in another cell":             {RuleDuplicate, func(_ *Plan, r *Record) { addSecondAttempt(r, 0.5, 1) }},
+		"two in flight":               {RuleDuplicate, func(_ *Plan, r *Record) { addSecondAttempt(r, 0.05, 0) }},
 		"rejected, may have run":      {RuleRejected, func(_ *Plan, r *Record) { r.Requests[0].Status = 503 }},
 		"timeout too long":            {RuleDeadline, func(_ *Plan, r *Record) { r.Attempts[0].Timeout = second(1.2) }},
-		"drained, notified":           {RuleDrain, func(_ *Plan, r *Record) { attemptAt(r, 10.7) }},
-		"drained, in the grace":       {"", func(_ *Plan, r *Record) { attemptAt(r, 10.6) }},
-		"drained, not notified":       {"", func(_ *Plan, r *Record) { r.DiscoveryAnswers = r.DiscoveryAnswers[:1]; attemptAt(r, 16.5) }},
-		"drained, counts as notified": {RuleDrain, func(_ *Plan, r *Record) { r.DiscoveryAnswers = r.DiscoveryAnswers[:1]; attemptAt(r, 16.6) }},
+		"drained, notified":           {RuleDrain, func(_ *Plan, r *Record) { addRequestAt(r, 10.7) }},
+		"drained, in the grace":       {"", func(_ *Plan, r *Record) { addRequestAt(r, 10.6) }},
+		"drained, not notified":       {"", func(_ *Plan, r *Record) { r.DiscoveryAnswers = r.DiscoveryAnswers[:1]; addRequestAt(r, 16.5) }},
+		"drained, counts as notified": {RuleDrain, func(_ *Plan, r *Record) { r.DiscoveryAnswers = r.DiscoveryAnswers[:1]; addRequestAt(r, 16.6) }},
 		"drained, in an outage": {"", func(_ *Plan, r *Record) {
 			r.DiscoveryAnswers = r.DiscoveryAnswers[:1]
-			outage(r, 9, 15)
-			attemptAt(r, 21)
+			addOutage(r, 9, 15)
+			addRequestAt(r, 21)
 		}},
-		"pushed, after the grace":  {RuleDrain, func(p *Plan, r *Record) { p.ListsPushed = true; attemptAt(r, 10.56) }},
-		"pushed, in the grace":     {"", func(p *Plan, r *Record) { p.ListsPushed = true; attemptAt(r, 10.54) }},
-		"overload while warming":   {RuleSlowStart, func(_ *Plan, r *Record) { crowdAt(r, 100) }},
-		"few while warming":        {"", func(_ *Plan, r *Record) { crowdAt(r, 40) }},
+		"pushed, after the grace":  {RuleDrain, func(p *Plan, r *Record) { p.ListsPushed = true; addRequestAt(r, 10.56) }},
+		"pushed, in the grace":     {"", func(p *Plan, r *Record) { p.ListsPushed = true; addRequestAt(r, 10.54) }},
+		"overload while warming":   {RuleSlowStart, func(_ *Plan, r *Record) { addAttemptsWhileWarming(r, 100) }},
+		"few while warming":        {"", func(_ *Plan, r *Record) { addAttemptsWhileWarming(r, 40) }},
 		"ended by itself":          {RuleCrash, func(_ *Plan, r *Record) { r.ProcessRuns[0].Crashed = "exit status 2" }},
-		"failed at once":           {RuleFailed, func(_ *Plan, r *Record) { failAfter(r, 0.1) }},
-		"failed while in time":     {RuleFailed, func(_ *Plan, r *Record) { failAfter(r, 0.169) }},
-		"failed late":              {"", func(_ *Plan, r *Record) { failAfter(r, 0.171) }},
-		"failed, connection broke": {"", func(_ *Plan, r *Record) { failAfter(r, 0.1); r.Attempts[0].Broken = true }},
-		"failed behind SIGTERM":    {RuleFailed, func(_ *Plan, r *Record) { failAfter(r, 0.1); terminateBefore(r, 0.5) }},
-		"failed at the end":        {"", func(_ *Plan, r *Record) { failAfter(r, 0.1); terminateBefore(r, 1.1) }},
+		"failed at once":           {RuleFailed, func(_ *Plan, r *Record) { setFailedAfter(r, 0.1) }},
+		"failed while in time":     {RuleFailed, func(_ *Plan, r *Record) { setFailedAfter(r, 0.169) }},
+		"failed late":              {"", func(_ *Plan, r *Record) { setFailedAfter(r, 0.171) }},
+		"failed, connection broke": {"", func(_ *Plan, r *Record) { setFailedAfter(r, 0.1); r.Attempts[0].Broken = true }},
+		"failed after SIGTERM":     {RuleFailed, func(_ *Plan, r *Record) { setFailedAfter(r, 0.1); setTerminatedBefore(r, 0.5) }},
+		"failed at the end":        {"", func(_ *Plan, r *Record) { setFailedAfter(r, 0.1); setTerminatedBefore(r, 1.1) }},
 		"never ready":              {RuleReady, func(_ *Plan, r *Record) { r.ProcessRuns[0].ReadyAt = time.Time{} }},
 		"ready late":               {RuleReady, func(_ *Plan, r *Record) { r.ProcessRuns[0].ReadyAt = r.ProcessRuns[0].StartedAt.Add(second(10.1)) }},
 	}
-	for name, c := range spoil {
-		p, r := clean()
-		c.do(&p, r)
+	for name, c := range tests {
+		p, r := recordWithoutBreaches()
+		c.mutate(&p, r)
 		var rules []string
 		for _, b := range Audit(p, r) {
 			rules = append(rules, b.Rule)
 		}
 		slices.Sort(rules)
 		if rules = slices.Compact(rules); c.rule == "" && len(rules) > 0 || c.rule != "" && !slices.Equal(rules, []string{c.rule}) {
-			t.Errorf("%s: found %v, want %q", name, rules, c.rule)
+			t.Errorf("%s: breaches of the rules %v, want %q", name, rules, c.rule)
 		}
 	}
 }
 
-// failAfter has the request fail so many seconds after it was written.
-func failAfter(r *Record, seconds float64) {
+// setFailedAfter makes the request fail these seconds after it was written.
+func setFailedAfter(r *Record, seconds float64) {
 	r.Requests[0].Status, r.Requests[0].Result = 502, ""
 	r.Requests[0].AnsweredAt = r.Requests[0].WrittenAt.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// terminateBefore has the process get SIGTERM so many seconds before the request was written.
-func terminateBefore(r *Record, seconds float64) {
+// setTerminatedBefore makes the process get SIGTERM these seconds before the request was written.
+func setTerminatedBefore(r *Record, seconds float64) {
 	r.ProcessRuns[0].SIGTERMAt = r.Requests[0].WrittenAt.Add(-time.Duration(seconds * float64(time.Second)))
 }
 
-// again adds a further attempt of the request, so many seconds behind the first, at a cell.
-func again(r *Record, later float64, cell int) {
+// addSecondAttempt adds an attempt of the request in a cell, these seconds after the first.
+func addSecondAttempt(r *Record, later float64, cell int) {
 	first := *r.Attempts[0]
 	next := first
 	shift := time.Duration(later * float64(time.Second))
@@ -107,36 +107,36 @@
 	r.Attempts = append(r.Attempts, &next)
 }
 
-// attemptAt adds a request with an attempt at the worker that drains.
-func attemptAt(r *Record, s float64) {
+// addRequestAt adds a request with an attempt at the worker that drains, at s seconds of the run.
+func addRequestAt(r *Record, s float64) {
 	at := r.StartedAt.Add(time.Duration(s * float64(time.Second)))
 	r.Requests = append(r.Requests, &Request{ID: "d", WrittenAt: at, Deadline: time.Second, Status: 200, Result: "d", AnsweredAt: at.Add(100 * time.Millisecond)})
 	r.Attempts = append(r.Attempts, &Attempt{ID: "d", FirstByteAt: at, LastByteAt: at, MayHaveExecuted: true, Result: "d", EndedAt: at.Add(90 * time.Millisecond)})
 }
 
-func outage(r *Record, from, to float64) {
+func addOutage(r *Record, from, to float64) {
 	at := func(s float64) time.Time { return r.StartedAt.Add(time.Duration(s * float64(time.Second))) }
 	r.Outages = append(r.Outages, DiscoveryOutage{at(from), at(to)})
 }
 
-// crowdAt sends so many requests to the cold worker at once.
-func crowdAt(r *Record, count int) {
+// addAttemptsWhileWarming adds simultaneous attempts at the worker that warms up.
+func addAttemptsWhileWarming(r *Record, count int) {
 	at := r.StartedAt.Add(20200 * time.Millisecond)
 	for range count {
 		r.Attempts = append(r.Attempts, &Attempt{ID: "c", Worker: 1, FirstByteAt: at, LastByteAt: at, EndedAt: at})
 	}
 }
 
-// openAtKill has a request open when its process gets SIGKILL after SIGTERM; it was written that many seconds after SIGTERM.
-func openAtKill(r *Record, secondsAfter float64) {
-	q, l := r.Requests[0], r.ProcessRuns[0]
-	l.SIGTERMAt = q.WrittenAt.Add(-time.Duration(secondsAfter * float64(time.Second)))
-	l.EndedAt = q.AnsweredAt
-	q.Status, q.Result = 0, ""
+// setOpenAtKill leaves the request open at the SIGKILL of its process. It was written these seconds after SIGTERM.
+func setOpenAtKill(r *Record, secondsAfter float64) {
+	request, processRun := r.Requests[0], r.ProcessRuns[0]
+	processRun.SIGTERMAt = request.WrittenAt.Add(-time.Duration(secondsAfter * float64(time.Second)))
+	processRun.EndedAt = request.AnsweredAt
+	request.Status, request.Result = 0, ""
 }
 
-// The same seed draws the same plan.
-func TestDrawIsRepeatable(t *testing.T) {
+// TestDraw_sameSeedSamePlan checks that a seed draws the same plan again, and that the seeds draw all kinds of events.
+func TestDraw_sameSeedSamePlan(t *testing.T) {
 	f, err := Load("../../scenarios/soak/faults.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -145,11 +145,11 @@
 	for seed := range uint64(50) {
 		p, again := f.Draw(seed), f.Draw(seed)
 		if len(p.Events) != len(again.Events) || p.SystemCallFaults != again.SystemCallFaults {
-			t.Fatalf("seed %d draws two plans", seed)
+			t.Fatalf("seed %d draws a different plan the second time", seed)
 		}
 		for i, e := range p.Events {
 			if e.String() != again.Events[i].String() {
-				t.Fatalf("seed %d: %v and %v", seed, e, again.Events[i])
+				t.Fatalf("seed %d draws %v the first time and %v the second time", seed, e, again.Events[i])
 			}
 			kinds[e.Kind] = true
 		}
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestDraw_unchangedForEarlierSeeds guards against a change of what the seeds of faults.hcl draw: a seed that has found something must play the
-// same again. The sums are of the plans at commit 7c1c766.
+// TestDraw_unchangedForEarlierSeeds guards against a change of what the seeds of faults.hcl draw: a seed that has found a fault must repeat
+// the same run. The sums are of the plans at commit 7c1c766.
 func TestDraw_unchangedForEarlierSeeds(t *testing.T) {
 	f, err := Load("../../scenarios/soak/faults.hcl")
 	if err != nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-// TestDraw_shutdownKinds checks that the scenario of shutdowns draws each kind that only files which name it draw, and both late weights.
+// TestDraw_shutdownKinds checks that shutdowns.hcl draws each kind of ShutdownEventKinds, and both late weights.
 func TestDraw_shutdownKinds(t *testing.T) {
 	f, err := Load("../../scenarios/soak/shutdowns.hcl")
 	if err != nil {
@@ -199,24 +199,24 @@
 		}
 	}
 	if !weights[0] || !weights[defaultLateWeight] {
-		t.Errorf("50 seeds draw the late weights %v", weights)
+		t.Errorf("50 seeds draw only the late weights %v", weights)
 	}
 }
 
-// TestPlay_programMissing guards against a run that goes on and panics though its dispatchers could not be started.
-func TestPlay_programMissing(t *testing.T) {
+// TestRun_programMissing guards against a run that goes on and panics though its dispatchers could not be started.
+func TestRun_programMissing(t *testing.T) {
 	plan := Plan{Dispatchers: 2, Workers: 1, Span: time.Minute, Rate: 1, Deadline: time.Second, Idempotency: Idempotent}
 	begun := time.Now()
 	if _, err := Run(t.Context(), plan, Programs{Dispatcher: filepath.Join(t.TempDir(), "missing")}, t.TempDir()); err == nil {
-		t.Error("no error")
+		t.Error("no error though the program is missing")
 	}
 	if took := time.Since(begun); took > plan.Span/2 {
-		t.Errorf("it ended after %v of a span of %v", took, plan.Span)
+		t.Errorf("the run ended after %v, with a span of %v", took, plan.Span)
 	}
 }
 
-// TestPlay_cancelled guards against a run that goes on to the end of its span though it was cancelled.
-func TestPlay_cancelled(t *testing.T) {
+// TestRun_cancelled guards against a run that goes on to the end of its span though it was cancelled.
+func TestRun_cancelled(t *testing.T) {
 	plan := Plan{Span: time.Minute, Rate: 1, Workers: 1}
 	ctx, cancel := context.WithCancel(t.Context())
 	current := &run{plan: plan, record: &Record{StartedAt: time.Now()}}
@@ -224,7 +224,7 @@
 	current.clients = []*clientGroup{{dispatcher: process, record: current.record, plan: plan, rng: rand.New(rand.NewPCG(1, 1))}}
 	time.AfterFunc(100*time.Millisecond, cancel)
 	begun := time.Now()
-	if current.playEvents(ctx); time.Since(begun) > plan.Span/2 {
-		t.Errorf("it ended after %v of a span of %v", time.Since(begun), plan.Span)
+	if current.runEvents(ctx); time.Since(begun) > plan.Span/2 {
+		t.Errorf("the cancelled run ended after %v, with a span of %v", time.Since(begun), plan.Span)
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -20,20 +20,20 @@
 const (
 	plainClient       clientBehavior = iota
 	freshConnection                  // on a new connection
-	slowWriter                       // writes in pieces
-	pipelinedRequests                // writes two at once
+	slowWriter                       // writes a request in pieces
+	pipelinedRequests                // writes two requests at once
 	leavesEarly                      // closes soon after its request
 	halfCloses                       // closes its sending side soon after its request
-	stopsHalfway                     // stops in the middle of a request and stays
-	sendsGarbage                     // sends what is no request
+	stopsHalfway                     // stops in the middle of a request and stays connected
+	sendsGarbage                     // sends bytes that are not a request
 )
 
-// clientBehaviors are drawn from with equal probability, so that a repeated one is more frequent.
+// clientBehaviors has the behaviors to draw from. Each entry has the same probability, so a repeated behavior is more frequent.
 var clientBehaviors = []clientBehavior{plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, freshConnection, freshConnection, slowWriter, pipelinedRequests, leavesEarly, halfCloses, stopsHalfway, sendsGarbage}
 
 const (
-	badClientTimeout = 3 * time.Second // by then a client that stops halfway gets an error or a close
-	extraReadTime    = 2 * time.Second // for this long after its deadline a client goes on reading, to record what comes
+	badClientTimeout      = 3 * time.Second // within which a client that stops halfway must get an error or a close
+	readTimeAfterDeadline = 2 * time.Second // a client reads for this long after its deadline, to record a late answer
 )
 
 // clientGroup is the clients of one dispatcher.
@@ -103,11 +103,12 @@
 	return &Request{ID: id, Dispatcher: c.dispatcher.number, ProcessRun: processRun, Deadline: c.plan.Deadline}, []byte(text)
 }
 
-// newConnectionTime is for how long after SIGTERM clients open new connections to a process. By the protocol page the load balancer brings them
-// for 0.2 to 0.4 s; those that are open are used on.
-const newConnectionTime = 500 * time.Millisecond
+// newConnectionWindow is how long after SIGTERM clients still open connections to a process. By the protocol page, the load balancer sends new
+// connections for 0.2 to 0.4 s. Open connections stay in use.
+const newConnectionWindow = 500 * time.Millisecond
 
-// connection returns an idle connection, or a new one if there is none or fresh is set; nil if none comes up, or the load balancer brings no more.
+// connection returns an idle connection, or a new one if no connection is idle or fresh is set. It returns nil if no connection can be
+// established or the load balancer sends no new ones any more.
 func (c *clientGroup) connection(processRun int, fresh bool) *clientConn {
 	c.mu.Lock()
 	if idle := len(c.idle); idle > 0 && !fresh {
@@ -117,7 +118,7 @@
 		return conn
 	}
 	c.mu.Unlock()
-	if c.dispatcher.endsFor() > newConnectionTime {
+	if c.dispatcher.timeSinceSIGTERM() > newConnectionWindow {
 		return nil
 	}
 	conn, err := net.DialTimeout("tcp", c.dispatcher.listen, time.Second)
@@ -127,7 +128,7 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), processRun: processRun}
 }
 
-// releaseConnection makes a connection idle.
+// releaseConnection adds a connection to the idle ones.
 func (c *clientGroup) releaseConnection(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +136,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// send sends a request with a behavior and records what comes of it.
+// send sends a request in the manner of a behavior and records the outcome.
 func (c *clientGroup) send(behavior clientBehavior, run *ProcessRun, wait time.Duration) {
 	conn := c.connection(run.Number, behavior != plainClient && behavior != pipelinedRequests)
 	if conn == nil {
@@ -156,7 +157,7 @@
 		for i := 0; i < len(text)-1; i += 40 {
 			if _, err := conn.Write(text[i:min(i+40, len(text)-1)]); err != nil {
 				_ = conn.Close()
-				return // it was never complete
+				return // the request was never complete
 			}
 			time.Sleep(wait / 3)
 		}
@@ -172,8 +173,8 @@
 	}
 }
 
-// sendPlain sends a request, and reports whether the connection may carry another. A request that got no answer on a connection which was used
-// before is sent again.
+// sendPlain sends a request, and reports whether the connection may carry another. If the connection was reused and the request gets no answer,
+// the request is sent again.
 func (c *clientGroup) sendPlain(conn *clientConn, run *ProcessRun, request *Request, text []byte) bool {
 	c.write(conn, text, request)
 	if c.read(conn, request) {
@@ -185,15 +186,15 @@
 	return false
 }
 
-// sendPipelined sends a request and a second one at once, records the second, and reports whether the connection may carry another.
+// sendPipelined sends a request together with a second one, records the second, and reports whether the connection may carry another.
 func (c *clientGroup) sendPipelined(conn *clientConn, run *ProcessRun, request *Request, text []byte) bool {
-	second, more := c.newRequest(conn.processRun)
+	second, secondText := c.newRequest(conn.processRun)
 	defer c.record.addRequest(second)
 	second.ConnectionReused = true
-	c.write(conn, append(bytes.Clone(text), more...), request, second)
+	c.write(conn, append(bytes.Clone(text), secondText...), request, second)
 	switch {
 	case !c.read(conn, request):
-		second.AnsweredAt, second.Error = time.Now(), "the connection ended after the request before"
+		second.AnsweredAt, second.Error = time.Now(), "connection closed during or after the first of two pipelined requests"
 		if request.Status == 0 && request.ConnectionReused {
 			c.resend(run, request)
 		}
@@ -206,8 +207,8 @@
 	return false
 }
 
-// resend sends a request again, with another id and on a new connection, as it got no answer on a connection that may have been closed
-// before the request was read.
+// resend sends a request that got no answer again, with another ID and on a new connection. The earlier connection may have been closed before
+// the request was read.
 func (c *clientGroup) resend(run *ProcessRun, request *Request) {
 	request.Resent = true
 	if conn := c.connection(run.Number, true); conn != nil {
@@ -218,7 +219,7 @@
 	}
 }
 
-// write writes the last bytes of requests, and records when.
+// write writes the last bytes of requests, and records when if that succeeded.
 func (c *clientGroup) write(conn *clientConn, text []byte, requests ...*Request) {
 	_ = conn.SetWriteDeadline(time.Now().Add(c.plan.Deadline))
 	_, err := conn.Write(text)
@@ -239,7 +240,7 @@
 
 // read reads and records an answer, and reports whether the connection may carry another request.
 func (c *clientGroup) read(conn *clientConn, request *Request) bool {
-	_ = conn.SetReadDeadline(request.WrittenAt.Add(c.plan.Deadline + extraReadTime))
+	_ = conn.SetReadDeadline(request.WrittenAt.Add(c.plan.Deadline + readTimeAfterDeadline))
 	resp, err := http.ReadResponse(conn.reader, nil)
 	var body []byte
 	if err == nil {
@@ -259,7 +260,7 @@
 	return true
 }
 
-// writeAndLeave writes a request and closes the connection after a while, at first only its sending side if half is set.
+// writeAndLeave writes a request and closes the connection after wait. If half is set, it closes only the sending side first.
 func (c *clientGroup) writeAndLeave(conn *clientConn, request *Request, text []byte, half bool, wait time.Duration) {
 	c.write(conn, text, request)
 	time.Sleep(wait)
@@ -272,11 +273,12 @@
 	_ = conn.Close() // the client leaves
 }
 
-// stopHalfway sends half a request, or garbage, and stays connected. It is owed an error or a close within badClientTimeout.
-func (c *clientGroup) stopHalfway(conn *clientConn, text []byte, noisy bool) {
+// stopHalfway sends half a request, or garbage, and stays connected. The dispatcher must send an error or
+// close the connection within badClientTimeout.
+func (c *clientGroup) stopHalfway(conn *clientConn, text []byte, garbage bool) {
 	defer func() { _ = conn.Close() }()
 	half := text[:len(text)/2]
-	if noisy {
+	if garbage {
 		half = []byte("\x16\x03\x01 no request\r\n\r\n")
 	}
 	begun := time.Now()
@@ -286,13 +288,13 @@
 	_ = conn.SetReadDeadline(begun.Add(badClientTimeout + time.Second))
 	_, err := io.Copy(io.Discard, conn)
 	run := conn.processRun
-	if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
-		c.record.addRequest(&Request{ID: fmt.Sprintf("stopper at n%d", c.dispatcher.number), Dispatcher: c.dispatcher.number, ProcessRun: run, WrittenAt: begun,
-			Deadline: badClientTimeout - answerSlack, AnsweredAt: time.Now(), Error: "half a request got neither an error nor an end"})
+	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
+		c.record.addRequest(&Request{ID: fmt.Sprintf("incomplete request at n%d", c.dispatcher.number), Dispatcher: c.dispatcher.number, ProcessRun: run, WrittenAt: begun,
+			Deadline: badClientTimeout - answerSlack, AnsweredAt: time.Now(), Error: "incomplete request got neither an error nor a close"})
 	}
 }
 
-// openIdleConnections opens connections that send nothing, and closes them at a time.
+// openIdleConnections opens connections that send nothing, and closes them at the given time.
 func (c *clientGroup) openIdleConnections(count int, until time.Time) {
 	var conns []net.Conn
 	for range count {
@@ -302,7 +304,7 @@
 	}
 	time.Sleep(time.Until(until))
 	for _, conn := range conns {
-		_ = conn.Close() // its outcome is recorded already
+		_ = conn.Close() // nothing was sent on it
 	}
 }
 
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -14,7 +14,7 @@
 type member struct {
 	worker *worker
 	phase  string
-	since  int64 // when it started by discovery's clock, in Unix milliseconds; 0 for long ago
+	since  int64 // start time by discovery's clock, in Unix milliseconds; 0 if it started long ago
 }
 
 // discovery is the stand-in for the discovery service. Each dispatcher reaches it at addresses of its own.
@@ -27,7 +27,7 @@
 	revision     int
 	members      []*member
 	history      []snapshot
-	replicaViews map[int]*replicaView // by dispatcher: of the address in its configuration
+	replicaViews map[int]*replicaView // by dispatcher: the view of the address in its configuration
 	queue        *serviceQueue        // nil if calls are served at once
 	changed      chan struct{}
 	down         bool
@@ -36,24 +36,24 @@
 	servers      []*http.Server
 }
 
-// lateAnswerDelay is by how much the answer of a CallLate is delayed.
+// lateAnswerDelay is the delay of the answer to a call with the fault CallLate.
 const lateAnswerDelay = 1950 * time.Millisecond
 
 // newDiscovery makes a service with an empty list.
 func newDiscovery(record *Record, plan Plan) *discovery {
 	service := &discovery{record: record, seed: plan.Seed, clockOffset: plan.DiscoveryClockOffset, changed: make(chan struct{}), silenced: make(chan struct{}), faults: map[int][]CallFault{}, replicaViews: map[int]*replicaView{}}
 	if plan.DiscoveryOverloaded {
-		service.queue = &serviceQueue{timePerCall: crowdedRoundTime / time.Duration(plan.Dispatchers), maxWait: crowdedMaxWait, maxBacklog: crowdedMaxBacklog}
+		service.queue = &serviceQueue{timePerCall: overloadRoundTime / time.Duration(plan.Dispatchers), maxWait: overloadMaxWait, maxBacklog: overloadMaxBacklog}
 	}
 	service.recordSnapshot()
 	return service
 }
 
-// The queue of a crowded discovery.
+// The queue of an overloaded discovery.
 const (
-	crowdedRoundTime  = 2500 * time.Millisecond // for one call of each dispatcher
-	crowdedMaxWait    = 2 * time.Second         // of a call
-	crowdedMaxBacklog = 3800 * time.Millisecond // of all calls that wait
+	overloadRoundTime  = 2500 * time.Millisecond // for one call of each dispatcher
+	overloadMaxWait    = 2 * time.Second         // of a call
+	overloadMaxBacklog = 3800 * time.Millisecond // of all waiting calls
 )
 
 // replicaView returns the view of the address that a dispatcher is configured with.
@@ -63,13 +63,13 @@
 	return d.replicaViews[dispatcher]
 }
 
-// newAddress opens another address for a dispatcher and returns it. Its revisions are higher than those of the list by firstRevision.
-func (d *discovery) newAddress(dispatcher, firstRevision int) (string, error) {
+// newAddress opens another address for a dispatcher and returns it. A revision there is the list's revision plus revisionOffset.
+func (d *discovery) newAddress(dispatcher, revisionOffset int) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	view := &replicaView{firstRevision: firstRevision, random: rand.New(rand.NewPCG(d.seed, uint64(dispatcher)))}
+	view := &replicaView{revisionOffset: revisionOffset, random: rand.New(rand.NewPCG(d.seed, uint64(dispatcher)))}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(dispatcher, view, w, r) })}
 	d.mu.Lock()
 	d.replicaViews[dispatcher] = view
@@ -79,7 +79,7 @@
 	return listener.Addr().String(), nil
 }
 
-// close closes all addresses.
+// close closes the servers of all addresses.
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,14 +88,15 @@
 	}
 }
 
-// setPhase lists a worker in a phase, and records the change if there is one; justStarted stamps its start, so that it warms up.
+// setPhase lists a worker in a phase, and records the change if there is one. If justStarted is set, the worker's start is set to now, so that
+// it warms up.
 func (d *discovery) setPhase(worker *worker, phase string, justStarted bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var entry *member
-	for _, o := range d.members {
-		if o.worker == worker {
-			entry = o
+	for _, listed := range d.members {
+		if listed.worker == worker {
+			entry = listed
 		}
 	}
 	if entry == nil {
@@ -131,7 +132,7 @@
 	d.clockOffset += by
 }
 
-// failCalls makes the next calls of each dispatcher fail.
+// failCalls makes the next calls of each dispatcher fail, each by one of the faults, in their order.
 func (d *discovery) failCalls(dispatchers int, faults []CallFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -195,7 +196,7 @@
 	}
 	lag, delay := view.nextCall(time.Now())
 	if index >= 0 {
-		index -= view.firstRevision
+		index -= view.revisionOffset
 	}
 	if !d.awaitChange(r, index, time.Duration(wait)*time.Millisecond, lag, silenced) {
 		return
@@ -206,7 +207,7 @@
 	d.writeList(dispatcher, view, w, r, index, lag, delay, fault == CallBreaksOff)
 }
 
-// watchGap is how soon after its last answer a call must come to continue a watch, which does not queue.
+// watchGap is the longest time from an answer to the next call of the same watch. A call that continues a watch does not queue.
 const watchGap = 200 * time.Millisecond
 
 // continuesWatch reports whether a call continues a watch.
@@ -215,10 +216,10 @@
 	return wait > 0 && time.Since(last) < watchGap
 }
 
-// replicaPollInterval is how often a lagging replica checks whether it shows a change by now.
+// replicaPollInterval is how often a lagging replica checks whether it shows a change yet.
 const replicaPollInterval = 20 * time.Millisecond
 
-// awaitChange waits until the list differs from the revision index, or the wait is over, and reports whether to answer the call.
+// awaitChange waits until the list's revision differs from index, or until wait is over, and reports whether to answer the call.
 func (d *discovery) awaitChange(r *http.Request, index int, wait, lag time.Duration, silenced <-chan struct{}) bool {
 	waitOver := time.After(wait)
 	for {
@@ -246,7 +247,7 @@
 	}
 }
 
-// writeList writes the list, or half of it, as it was before the delay.
+// writeList writes the list, or half of it if half is set, as it was before the delay.
 func (d *discovery) writeList(dispatcher int, view *replicaView, w http.ResponseWriter, r *http.Request, index int, lag, delay time.Duration, half bool) {
 	d.mu.Lock()
 	down, shown := d.down, d.asOf(time.Now().Add(-lag))
@@ -256,9 +257,9 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	revision, text := shown.revision, shown.encode(dispatcher, view.firstRevision)
+	revision, text := shown.revision, shown.encode(dispatcher, view.revisionOffset)
 	if index == revision {
-		text = fmt.Sprintf(`{"revision":%d,"complete":false,"members":[]}`, revision+view.firstRevision)
+		text = fmt.Sprintf(`{"revision":%d,"complete":false,"members":[]}`, revision+view.revisionOffset)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	if half {
@@ -282,5 +283,5 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	_ = conn.Close() // it is meant to break
+	_ = conn.Close() // the reset is intended
 }
--- a/internal/soak/file.go
+++ b/internal/soak/file.go
@@ -11,7 +11,7 @@
 	"brassdale/internal/inject"
 )
 
-// File is a scenario as its HCL file has it. Ranges are [minimum, maximum].
+// File is the content of a scenario's HCL file. Ranges are [minimum, maximum].
 type File struct {
 	Title       string    `hcl:"title"`
 	Dispatchers []int     `hcl:"dispatchers"`
@@ -24,7 +24,7 @@
 	Failures    []string  `hcl:"failures,optional"`     // rules for internal/inject; a third of the runs uses one of them
 }
 
-// Load reads and checks a scenario file. An error is a hcldiag.FileError: every mistake with file, line and column.
+// Load reads and checks a scenario file. An error is a hcldiag.FileError, which has every mistake with file, line and column.
 func Load(path string) (*File, error) { return hcldiag.Read(path, Parse) }
 
 // Parse reads and checks the text of a scenario. path is its name in errors.
@@ -43,21 +43,21 @@
 	}
 	for name, limits := range map[string][]int{"dispatchers": f.Dispatchers, "workers": f.Workers} {
 		if len(limits) != 2 || limits[0] < 1 || limits[1] < limits[0] || limits[1] > 16 {
-			addMistake(name, "It is [least, most], from 1 to 16.")
+			addMistake(name, "Expected [minimum, maximum], with values from 1 to 16.")
 		}
 	}
 	if span, err := time.ParseDuration(f.Span); err != nil || span < quietStart+quietEnd+time.Second || span > time.Hour {
-		addMistake("span", "It is a time of %v to an hour.", quietStart+quietEnd+time.Second)
+		addMistake("span", "Expected a duration from %v to 1h.", quietStart+quietEnd+time.Second)
 	}
 	if every, err := time.ParseDuration(f.Every); err != nil || every < 50*time.Millisecond {
-		addMistake("every", "It is a time of 50ms or more.")
+		addMistake("every", "Expected a duration of at least 50ms.")
 	}
 	if !(f.Rate > 0) || f.Rate > 1000 {
-		addMistake("rate", "It is over 0 and 1000 at the most.")
+		addMistake("rate", "Expected a number above 0 and at most 1000.")
 	}
 	for _, event := range f.Events {
 		if kind := EventKind(event); !slices.Contains(EventKinds, kind) && !slices.Contains(ShutdownEventKinds, kind) {
-			addMistake("events", "There are no events %q.", event)
+			addMistake("events", "Unknown event kind %q.", event)
 		}
 	}
 	for _, rules := range f.Failures {
@@ -68,13 +68,13 @@
 	return diags
 }
 
-// span returns the length of a run. check has parsed it before.
+// span returns the length of a run. check has validated it.
 func (f *File) span() time.Duration { d, _ := time.ParseDuration(f.Span); return d }
 
-// every returns the mean time between events. check has parsed it before.
+// every returns the mean time between events. check has validated it.
 func (f *File) every() time.Duration { d, _ := time.ParseDuration(f.Every); return d }
 
-// kinds returns the kinds of events that are drawn; all if the file names none.
+// kinds returns the kinds of events that are drawn: the file's, or EventKinds if it names none.
 func (f *File) kinds() []EventKind {
 	if len(f.Events) == 0 {
 		return EventKinds
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -4,31 +4,32 @@
 	"time"
 )
 
-// The histories of a worker behind which discovery is moved to a replica that still shows a time before their end, with revisions of its own.
+// Times of the events that change a worker one or more times and then move discovery to a replica. The replica still shows the list as it was
+// before the last change, and has revisions of its own.
 const (
-	minHistoryLag    = 2 * time.Second // of the replica
-	maxHistoryLag    = 4 * time.Second
-	firstChangeTime  = 600 * time.Millisecond  // from the first change of the worker to the second
-	secondChangeTime = 1400 * time.Millisecond // from the second to the third
-	moveTime         = 1700 * time.Millisecond // from the last to the move
-	replicaRevisions = 100000                  // what its revisions are higher by
+	minHistoryLag         = 2 * time.Second // of the replica
+	maxHistoryLag         = 4 * time.Second
+	firstChangeTime       = 600 * time.Millisecond  // from the first change of the worker to the second
+	secondChangeTime      = 1400 * time.Millisecond // from the second to the third
+	moveTime              = 1700 * time.Millisecond // from the last change to the move
+	replicaRevisionOffset = 100000                  // added to the revisions of the replica
 )
 
-// playHistoryEvent plays an event in which a change of a worker and something else come together.
-func (r *run) playHistoryEvent(event Event, until time.Time) error {
+// runHistoryEvent runs an event that combines changes of a worker, or an outage, with idle clients or a move of discovery.
+func (r *run) runHistoryEvent(event Event, until time.Time) error {
 	switch event.Kind {
 	case IdleClientsAtDrain:
 		r.drainWorker(event.Worker)
-		r.clients[event.Target].openIdleConnections(idleClientCount, until)
+		r.clients[event.Target].openIdleConnections(idleConnectionCount, until)
 		return nil
 	case IdleClientsAtOutage:
-		var crowd = make(chan struct{})
+		var closed = make(chan struct{})
 		go func() {
-			defer close(crowd)
-			r.clients[event.Target].openIdleConnections(idleClientCount, until)
+			defer close(closed)
+			r.clients[event.Target].openIdleConnections(idleConnectionCount, until)
 		}()
-		r.stopDiscovery(until)
-		<-crowd
+		r.runDiscoveryOutage(until)
+		<-closed
 		return nil
 	case MoveAfterReturn:
 		if !r.drainWorker(event.Worker) {
@@ -58,9 +59,9 @@
 	return r.dispatchers[event.Target].moveToRenumberedReplica(event.Step)
 }
 
-// moveToRenumberedReplica reloads a configuration that names a replica of discovery which lags, and has revisions of its own.
+// moveToRenumberedReplica reloads a configuration that names a lagging replica of discovery with revisions of its own.
 func (d *dispatcherProcess) moveToRenumberedReplica(lag time.Duration) error {
-	if err := d.newDiscoveryAddress(replicaRevisions); err != nil {
+	if err := d.newDiscoveryAddress(replicaRevisionOffset); err != nil {
 		return err
 	}
 	d.discovery.replicaView(d.number).injectFault(lag, 0, false, time.Now().Add(lag))
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,10 +1,10 @@
 // Package soak runs real dispatcher processes on loopback against stand-ins for clients, workers and discovery, injects faults drawn
-// from a seed, and checks the rules of the protocol on what these peers recorded. It knows nothing of how a dispatcher decides.
+// from a seed, and checks the rules of the protocol on what these peers recorded. It assumes nothing about how a dispatcher decides.
 //
-// Its stand-ins are not those of package emulator, which model the time that workers need and answer each call as the protocol says. These
-// break the protocol's connections and answers on purpose, byte by byte: halves of answers, resets, replicas with old lists, calls that
-// overtake each other. They also record each request by its bytes, for the audit. The tests of cmd/brassdale have a third kind, by which a
-// test decides each answer.
+// The stand-ins of package emulator model the time that workers need and answer each call as the protocol says. The stand-ins of this package
+// break connections and answers on purpose, byte by byte: half answers, resets, replicas with old lists, answers that overtake each other.
+// They also record when the first and last bytes of each request were sent and received, for the audit. The tests of cmd/brassdale have a
+// third kind, with which a test chooses each answer.
 package soak
 
 import (
@@ -18,12 +18,12 @@
 type EventKind string
 
 // The kinds of events. To add one:
-//   - Append it to ShutdownEventKinds, or to EventKinds: a file without events draws from all of the latter, so that each of its seeds then
-//     has other events.
-//   - drawEvent: what is drawn for it. Without a case it gets a dispatcher as its target.
+//   - Append it to ShutdownEventKinds or to EventKinds. A file without events draws from all of EventKinds, so an entry added there changes
+//     the events of each of its seeds.
+//   - drawEvent: which parameters are drawn for it. Without a case, a dispatcher is drawn as its target.
 //   - needsPolledLists: whether it makes sense only where lists are polled.
-//   - playEvent, and playWorkerEvent, playDiscoveryEvent or playDispatcherEvent in run.go: what happens. Without a case nothing does, and
-//     nothing reports that.
+//   - runEvent, and runWorkerEvent, runDiscoveryEvent or runDispatcherEvent in run.go: what the event does. Without a case it does nothing,
+//     and no error reports that.
 //   - Audit, if it changes what the rules allow.
 const (
 	Drain                EventKind = "drain"          // a worker starts draining and stays up
@@ -32,20 +32,20 @@
 	WorkerHangs          EventKind = "worker-hangs"   // a worker takes jobs and sends nothing
 	WorkerResets         EventKind = "worker-resets"  // a worker resets connections that carry jobs
 	WorkerReadsLate      EventKind = "worker-late"    // a worker reads late from new connections
-	FaultyCalls          EventKind = "faulty-calls"   // the next three calls of each dispatcher to discovery fail, each in its own way
+	FaultyCalls          EventKind = "faulty-calls"   // the next three calls of each dispatcher to discovery fail, each with a fault of its own
 	SilentWatches        EventKind = "silent-watches" // open watches fall silent
 	DiscoveryDown        EventKind = "discovery-down" // discovery rejects all calls
 	DiscoveryMove        EventKind = "move"           // a new configuration names another address of discovery
 	Reload               EventKind = "reload"         // a new configuration changes nothing
 	ProcessPauses        EventKind = "hold-ups"       // a dispatcher is stopped for 0.15 s, repeatedly
-	Terminate            EventKind = "term"           // a dispatcher gets SIGTERM, SIGKILL as early as is allowed, and is restarted
+	Terminate            EventKind = "term"           // a dispatcher gets SIGTERM, SIGKILL as early as the platform may send it, and is restarted
 	Kill                 EventKind = "kill"           // a dispatcher gets SIGKILL and is restarted
 	IdleClients          EventKind = "crowd"          // many connections that send nothing
 	ClientsLeave         EventKind = "clients-leave"  // clients close their connections soon after their requests
-	ClockStep            EventKind = "clock-step"     // discovery's clock, which stamps starts, is set forward or back
+	ClockStep            EventKind = "clock-step"     // discovery's clock, by which starts of workers are stamped, is set forward or back
 	ReplicaLag           EventKind = "lag"            // a replica of discovery shows an old list, at each call or at every other
 	MoveToLaggingReplica EventKind = "lagging-move"   // a worker starts draining, and a new configuration names a replica that lags
-	DelayedAnswers       EventKind = "slow-answers"   // answers of discovery are delayed, each by another time, so that they overtake each other
+	DelayedAnswers       EventKind = "slow-answers"   // answers of discovery are delayed by different times, so that they may overtake each other
 	DiscoveryMoveSeries  EventKind = "moves"          // several new configurations in a row, and a worker starts draining between them
 )
 
@@ -53,26 +53,27 @@
 var EventKinds = []EventKind{Drain, Join, Restart, WorkerHangs, WorkerResets, WorkerReadsLate, FaultyCalls, SilentWatches, DiscoveryDown, DiscoveryMove, Reload,
 	ProcessPauses, Terminate, Kill, IdleClients, ClientsLeave, ClockStep, ReplicaLag, MoveToLaggingReplica, DelayedAnswers, DiscoveryMoveSeries}
 
-// Kinds for files that name them. In those that end a process clients use its open connections until it is gone.
+// Kinds that are drawn only for files that name them. If a kind other than TermAtStart ends a process, clients use its open connections until it
+// has ended.
 const (
-	UseUntilKill        EventKind = "use-until-kill"   // SIGTERM, and SIGKILL as early as is allowed
+	UseUntilKill        EventKind = "use-until-kill"   // SIGTERM, and SIGKILL as early as the platform may send it
 	ReloadsThenTerm     EventKind = "hup-hup-term"     // SIGHUP, SIGHUP and SIGTERM within 50 ms
-	TermTwice           EventKind = "term-term"        // SIGTERM, and once more
-	BadReload           EventKind = "bad-hup"          // SIGHUP with a configuration that is none, then with a good one
+	TermTwice           EventKind = "term-term"        // SIGTERM twice
+	BadReload           EventKind = "bad-hup"          // SIGHUP with an invalid configuration, then with a valid one
 	TermAtStart         EventKind = "term-at-start"    // SIGTERM in the first 100 ms of a process
 	TermAtHandover      EventKind = "term-at-handover" // SIGTERM while a successor takes over
 	IdleClientsAtDrain  EventKind = "crowd-drain"      // many connections that send nothing, and a worker starts draining
-	IdleClientsAtOutage EventKind = "crowd-down"       // the same, and discovery rejects all calls
-	MoveAfterReturn     EventKind = "returned-move"    // a worker drains, returns and drains; a move to a replica that is still before that
-	MoveAfterRestart    EventKind = "restarted-move"   // a worker restarts; a move to a replica that is still before that
-	MoveAfterSecondEnd  EventKind = "ended-move"       // a worker ends, starts and ends; a move to a replica that is still before that
+	IdleClientsAtOutage EventKind = "crowd-down"       // many connections that send nothing, while discovery rejects all calls
+	MoveAfterReturn     EventKind = "returned-move"    // a worker drains, returns and drains, then discovery moves to a replica with an older list
+	MoveAfterRestart    EventKind = "restarted-move"   // a worker restarts, then discovery moves to a replica with an older list
+	MoveAfterSecondEnd  EventKind = "ended-move"       // a worker leaves, restarts and leaves, then discovery moves to a replica with an older list
 )
 
-// ShutdownEventKinds lists the kinds that only files which name them draw.
+// ShutdownEventKinds lists the kinds that are drawn only for files that name them.
 var ShutdownEventKinds = []EventKind{UseUntilKill, ReloadsThenTerm, TermTwice, BadReload, TermAtStart, TermAtHandover, IdleClientsAtDrain, IdleClientsAtOutage,
 	MoveAfterReturn, MoveAfterRestart, MoveAfterSecondEnd}
 
-// CallFault is what discovery does with a call in place of answering it.
+// CallFault is what discovery does with a call instead of answering it at once.
 type CallFault string
 
 // The faults of a call.
@@ -92,10 +93,10 @@
 	Duration time.Duration // of the fault
 	Kind     EventKind
 	Target   int           // the worker or dispatcher concerned, by its number
-	Calls    []CallFault   // for FaultyCalls: the next three
-	Step     time.Duration // for ClockStep; how old the list is for ReplicaLag and the moves; the longest delay for DelayedAnswers; the pause between signals
+	Calls    []CallFault   // for FaultyCalls: the faults of the next three calls
+	Step     time.Duration // of the clock for ClockStep; age of the list for ReplicaLag and moves; longest delay for DelayedAnswers; pause between signals
 	Flaps    bool          // for ReplicaLag: only every other call shows the old list
-	Worker   int           // that changes, for the moves and IdleClientsAtDrain
+	Worker   int           // the worker that changes, for moves and IdleClientsAtDrain
 }
 
 // String returns the event as a timeline shows it.
@@ -103,14 +104,14 @@
 	return fmt.Sprintf("%s of %d for %v %v", e.Kind, e.Target, e.Duration, e.Calls)
 }
 
-// The effects that a class may have in the settings: what a repeated request may do.
+// The values of a class's effect in the settings, by which a request may be repeated or not.
 const (
 	Idempotent        = "safe"
 	IdempotentWithKey = "keyed"
 	NonIdempotent     = "unsafe"
 )
 
-// Plan is everything that a run does. The same scenario and seed give the same plan.
+// Plan is all that a run does. The same scenario and seed give the same plan.
 type Plan struct {
 	Scenario             string
 	Seed                 uint64
@@ -122,17 +123,17 @@
 	Deadline             time.Duration
 	DeduplicationWindow  time.Duration // in which workers drop repeats of a request with an idempotency key
 	MayHedge             bool          // a request may have two attempts in flight
-	ListsPushed          bool          // lists are pushed to an agent; a dispatcher counts as notified of what the agent has
+	ListsPushed          bool          // lists are pushed to an agent; a dispatcher counts as notified of a list once the agent has it
 	DiscoveryOverloaded  bool          // discovery serves calls one after the other, and needs some seconds for one call of each dispatcher
-	DiscoveryClockOffset time.Duration // how far discovery's clock, which stamps starts, is ahead
-	LateWeight           float64       // of the class: what a late answer is worth
+	DiscoveryClockOffset time.Duration // how far discovery's clock, by which starts of workers are stamped, is ahead
+	LateWeight           float64       // of the class: weight of a late answer
 	SystemCallFaults     string        // rules for internal/inject; empty for none
 	Events               []Event
 }
 
 const (
 	quietStart        = 3 * time.Second // before the first event, so that watches are open
-	quietEnd          = 8 * time.Second // after the last event, so that a late notification still shows
+	quietEnd          = 8 * time.Second // after the last event, so that the effects of a late notification are recorded
 	maxReplicaLagMS   = 2500            // milliseconds
 	firstJoinedWorker = 90              // number of the first worker that joins
 )
@@ -169,7 +170,7 @@
 // defaultLateWeight is the late weight of files that name none.
 const defaultLateWeight = 0.1
 
-// drawLateWeight draws one of the file's late weights, apart from all other draws.
+// drawLateWeight draws one of the file's late weights with a generator of its own, so that the other draws do not depend on it.
 func (f *File) drawLateWeight(seed uint64) float64 {
 	if len(f.LateWeights) == 0 {
 		return defaultLateWeight
@@ -177,11 +178,11 @@
 	return f.LateWeights[rand.New(rand.NewPCG(seed, 37)).IntN(len(f.LateWeights))]
 }
 
-// drawEvent draws what an event of a kind needs, and adds the event to the plan.
+// drawEvent draws the parameters of an event and adds it to the plan.
 func (p *Plan) drawEvent(rng *rand.Rand, event Event) {
 	kind := event.Kind
 	if p.ListsPushed && needsPolledLists(kind) {
-		event.Kind = Reload // what its kind needs is drawn all the same, so that later draws do not depend on ListsPushed
+		event.Kind = Reload // the parameters of its kind are drawn nevertheless, so that later draws do not depend on ListsPushed
 	}
 	switch kind {
 	case Join:
@@ -191,7 +192,7 @@
 		for range 3 {
 			event.Calls = append(event.Calls, callFaults[rng.IntN(len(callFaults))])
 		}
-		// Failing calls delay the notification of a change, so one follows.
+		// Failing calls delay the notification of a change, so a change follows.
 		drain := Event{At: event.At + time.Duration(rng.IntN(1500))*time.Millisecond, Kind: Drain, Target: rng.IntN(p.Workers)}
 		p.Events = append(p.Events, drain)
 	case ClockStep:
@@ -220,8 +221,8 @@
 	p.Events = append(p.Events, event)
 }
 
-// needsPolledLists reports whether a kind of event makes sense only where lists are polled. After a move to another agent the
-// platform counts its list later, which the audit does not know.
+// needsPolledLists reports whether a kind of event makes sense only where lists are polled. After a move to another agent, the platform
+// counts a dispatcher as notified of the agent's list only later, which the audit does not model.
 func needsPolledLists(kind EventKind) bool {
 	switch kind {
 	case ReplicaLag, MoveToLaggingReplica, DiscoveryMoveSeries, DelayedAnswers, DiscoveryMove, MoveAfterReturn, MoveAfterRestart, MoveAfterSecondEnd:
--- a/internal/soak/port.go
+++ b/internal/soak/port.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// reservedPort is a port of the loopback interface that no other socket gets by chance while nobody listens at it. Its owner, who listens with
-// SO_REUSEPORT, as dispatchers do, can.
+// reservedPort is a loopback port that the kernel assigns to no other socket, even while no process listens on it. Its owner can listen on it
+// with SO_REUSEPORT, as dispatchers do.
 type reservedPort struct {
 	address    string
 	number     int
-	descriptor int // of a socket that is bound and does not listen
+	descriptor int // of a socket that is bound but does not listen
 }
 
 // reservePort reserves a free port until release.
@@ -31,7 +31,7 @@
 	return &reservedPort{address: fmt.Sprintf("127.0.0.1:%d", bound.Port), number: bound.Port, descriptor: descriptor}, nil
 }
 
-// bindSocket returns the descriptor of a socket that shares a port of the loopback interface; 0 for a free port.
+// bindSocket returns the descriptor of a socket bound to a loopback port with SO_REUSEPORT. Port 0 stands for any free port.
 func bindSocket(port int) (descriptor int, err error) {
 	descriptor, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return descriptor, nil
 }
 
-// listen listens at the port.
+// listen returns a listener on the port.
 func (p *reservedPort) listen() (net.Listener, error) {
 	descriptor, err := bindSocket(p.number)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return net.FileListener(file)
 }
 
-// release gives the port up.
+// release frees the port.
 func (p *reservedPort) release() {
-	_ = unix.Close(p.descriptor) // it has carried nothing
+	_ = unix.Close(p.descriptor) // nothing was sent on it
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -37,17 +37,17 @@
 	processRun *ProcessRun
 	pid        int
 	exited     chan struct{}
-	temporary  string // $TMPDIR of the process, where a successor finds it
+	tempDir    string // $TMPDIR of the process, where a successor finds it
 	logs       *os.File
 }
 
 const (
-	killSlack          = 700 * time.Millisecond // after the longest deadline, of which at most maxCountedDeadline counts
+	killSlack          = 700 * time.Millisecond // added to the deadline, of which at most maxCountedDeadline counts
 	maxCountedDeadline = 3 * time.Second
 	pauseTime          = 150 * time.Millisecond // of ProcessPauses
 )
 
-// newDispatcherProcess prepares a dispatcher, which start then starts.
+// newDispatcherProcess prepares a dispatcher without starting its process.
 func newDispatcherProcess(number int, plan Plan, programs Programs, dir string, record *Record, service *discovery) (*dispatcherProcess, error) {
 	port, err := reservePort()
 	if err != nil {
@@ -77,29 +77,29 @@
 
 // start starts a process with a temporary directory of its own, and waits until it is ready, for at most readyWithin.
 func (d *dispatcherProcess) start() error {
-	run, err := d.launchAlone()
+	run, err := d.launchInNewDirectory()
 	if err == nil {
 		d.awaitReady(run)
 	}
 	return err
 }
 
-// launchAlone starts a process with a temporary directory of its own, in which it finds no other.
-func (d *dispatcherProcess) launchAlone() (*ProcessRun, error) {
-	temporary, err := os.MkdirTemp(d.directory, "tmp-")
+// launchInNewDirectory starts a process with a temporary directory of its own, in which it finds no predecessor.
+func (d *dispatcherProcess) launchInNewDirectory() (*ProcessRun, error) {
+	tempDir, err := os.MkdirTemp(d.directory, "tmp-")
 	if err != nil {
 		return nil, err
 	}
-	return d.launch(temporary)
+	return d.launch(tempDir)
 }
 
 // launch starts a process with a temporary directory, and does not wait until it is ready.
-func (d *dispatcherProcess) launch(temporary string) (*ProcessRun, error) {
+func (d *dispatcherProcess) launch(tempDir string) (*ProcessRun, error) {
 	if err := d.writeConfig(); err != nil {
 		return nil, err
 	}
-	child := d.command(temporary)
-	pids := &pidReader{to: d.logs, found: make(chan int, 1)}
+	child := d.command(tempDir)
+	pids := &pidReader{log: d.logs, found: make(chan int, 1)}
 	child.Stderr = pids
 	run := &ProcessRun{Dispatcher: d.number, StartedAt: time.Now()}
 	if err := child.Start(); err != nil {
@@ -110,7 +110,7 @@
 		select {
 		case pid = <-pids.found:
 		case <-time.After(readyWithin):
-			return nil, fmt.Errorf("dispatcher %d was not started by the injector", d.number)
+			return nil, fmt.Errorf("dispatcher %d: the injector did not report a process ID in time", d.number)
 		}
 	}
 	exited := make(chan struct{})
@@ -118,7 +118,7 @@
 	if d.processRun != nil {
 		run.Number = d.processRun.Number + 1
 	}
-	d.processRun, d.pid, d.exited, d.temporary = run, pid, exited, temporary
+	d.processRun, d.pid, d.exited, d.tempDir = run, pid, exited, tempDir
 	d.mu.Unlock()
 	d.record.addProcessRun(run)
 	go d.recordEnd(child, run, exited)
@@ -126,7 +126,7 @@
 }
 
 // command returns the command that starts the process with a temporary directory.
-func (d *dispatcherProcess) command(temporary string) *exec.Cmd {
+func (d *dispatcherProcess) command(tempDir string) *exec.Cmd {
 	command := []string{d.programs.Dispatcher}
 	if d.plan.SystemCallFaults != "" {
 		injector := []string{
@@ -136,7 +136,7 @@
 		command = append(injector, command...)
 	}
 	child := exec.Command(command[0], command[1:]...)
-	child.Env = append(os.Environ(), "GW_CONFIG="+d.configPath(), "TMPDIR="+temporary, "GW_ADMIN=", "BRASSDALE_DEBUG=1")
+	child.Env = append(os.Environ(), "GW_CONFIG="+d.configPath(), "TMPDIR="+tempDir, "GW_ADMIN=", "BRASSDALE_DEBUG=1")
 	return child
 }
 
@@ -146,15 +146,15 @@
 	d.record.locked(func() {
 		run.EndedAt = time.Now()
 		if run.SIGTERMAt.IsZero() && !run.Killed {
-			run.Crashed = fmt.Sprintf("ended by itself: %v", err)
-		} else if err != nil && !run.Killed && !run.ReadyAt.IsZero() { // one that was not ready yet may end by SIGTERM itself
-			run.Crashed = fmt.Sprintf("after SIGTERM it ended with %v", err)
+			run.Crashed = fmt.Sprintf("exited without a signal: %v", err)
+		} else if err != nil && !run.Killed && !run.ReadyAt.IsZero() { // before it is ready, SIGTERM itself may end a process
+			run.Crashed = fmt.Sprintf("exited with an error after SIGTERM: %v", err)
 		}
 	})
 	close(exited)
 }
 
-// awaitReady polls the process until it is ready or readyWithin is over, which the audit finds.
+// awaitReady polls the process until it is ready or readyWithin is over. The audit reports a process that is not ready by then.
 func (d *dispatcherProcess) awaitReady(run *ProcessRun) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := run.StartedAt.Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -170,15 +170,15 @@
 	}
 }
 
-// pidReader writes a log on to a file, and finds the line of the injector with the process id of the dispatcher.
+// pidReader copies a log to a file, and finds the injector's line with the process ID of the dispatcher.
 type pidReader struct {
-	to    *os.File
+	log   *os.File
 	found chan int
 	text  []byte
 	done  bool
 }
 
-// pidLine is the injector's line.
+// pidLine matches the injector's line with the process ID.
 var pidLine = regexp.MustCompile(`inject: pid=(\d+)\n`)
 
 // Write implements io.Writer.
@@ -191,7 +191,7 @@
 			p.text, p.done = nil, true
 		}
 	}
-	return p.to.Write(text)
+	return p.log.Write(text)
 }
 
 // current returns the process that was started last, and whether it takes requests.
@@ -203,8 +203,8 @@
 	return d.processRun, d.processRun != nil && !d.processRun.ReadyAt.IsZero() && d.processRun.EndedAt.IsZero()
 }
 
-// endsFor returns how long ago the process that was started last got SIGTERM; 0 if it did not.
-func (d *dispatcherProcess) endsFor() (elapsed time.Duration) {
+// timeSinceSIGTERM returns how long ago the process that was started last got SIGTERM; 0 if it did not.
+func (d *dispatcherProcess) timeSinceSIGTERM() (elapsed time.Duration) {
 	run, _ := d.current()
 	d.record.locked(func() {
 		if run != nil && !run.SIGTERMAt.IsZero() {
@@ -252,8 +252,8 @@
 	return d.endAndRestart(func() { d.terminate() })
 }
 
-// endAndRestart ends the process by signals, of which one is that of terminate, kills it as early as the platform may, and starts it again. It
-// does nothing while another restart is in progress.
+// endAndRestart calls signals, which must call terminate, kills the process as early as the platform may, and starts it again. It does nothing
+// while another restart is in progress.
 func (d *dispatcherProcess) endAndRestart(signals func()) error {
 	if !d.restarting.TryLock() {
 		return nil
@@ -264,7 +264,7 @@
 	return d.start()
 }
 
-// terminate sends SIGTERM, and records the time of the first.
+// terminate sends SIGTERM, and records the time of the first SIGTERM.
 func (d *dispatcherProcess) terminate() {
 	d.mu.Lock()
 	run := d.processRun
@@ -296,7 +296,7 @@
 	return min(p.Deadline, maxCountedDeadline) + killSlack
 }
 
-// moveToReplica reloads a configuration that names a replica of discovery which lags until a time.
+// moveToReplica reloads a configuration that names a replica of discovery. The replica lags until a time.
 func (d *dispatcherProcess) moveToReplica(lag time.Duration, until time.Time) error {
 	if err := d.newDiscoveryAddress(0); err != nil {
 		return err
@@ -313,10 +313,10 @@
 	return d.reload()
 }
 
-// newDiscoveryAddress opens another address of discovery, whose revisions are higher than those of the list by firstRevision, for the next
-// configuration.
-func (d *dispatcherProcess) newDiscoveryAddress(firstRevision int) error {
-	address, err := d.discovery.newAddress(d.number, firstRevision)
+// newDiscoveryAddress opens another address of discovery, for the next configuration. A revision there is the list's revision plus
+// revisionOffset.
+func (d *dispatcherProcess) newDiscoveryAddress(revisionOffset int) error {
+	address, err := d.discovery.newAddress(d.number, revisionOffset)
 	if err != nil {
 		return err
 	}
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Request is what a client recorded of a request.
+// Request is a client's record of a request.
 type Request struct {
 	ID               string
 	Dispatcher       int
 	ProcessRun       int       // number of the dispatcher's process
-	WrittenAt        time.Time // its last byte; zero if it was never complete
+	WrittenAt        time.Time // when its last byte was written; zero if it was never complete
 	Deadline         time.Duration
 	ConnectionReused bool      // its connection had carried another request before
 	LeftAt           time.Time // when its client closed the connection or gave up; zero if it stayed
 	Status           int       // of a complete answer; 0 for none
 	Result           string
 	AnsweredAt       time.Time // when the answer was complete, or the connection ended
-	Error            string    // how the connection ended, if there was no answer
-	Resent           bool      // it was sent again on a new connection, with another id
+	Error            string    // how the connection ended if there was no answer
+	Resent           bool      // it was sent again on a new connection, with another ID
 }
 
-// Attempt is what a worker recorded of an attempt.
+// Attempt is a worker's record of an attempt.
 type Attempt struct {
 	ID              string
 	Dispatcher      int
 	Worker          int
 	Cell            int
-	FirstByteAt     time.Time     // its first byte
-	LastByteAt      time.Time     // its last byte
-	Timeout         time.Duration // that the dispatcher gave the worker
-	MayHaveExecuted bool          // false only if the worker surely did not run it
+	FirstByteAt     time.Time     // when its first byte arrived
+	LastByteAt      time.Time     // when its last byte arrived
+	Timeout         time.Duration // the remaining time that the dispatcher sent to the worker
+	MayHaveExecuted bool          // false only if the worker certainly did not run it
 	Result          string
-	Broken          bool      // the worker broke the connection, or it hung
+	Broken          bool      // the worker broke the connection or hung
 	EndedAt         time.Time // when the worker finished the job, or saw it cancelled
 }
 
@@ -44,11 +44,11 @@
 	ReadyAt    time.Time
 	SIGTERMAt  time.Time // zero if it got no SIGTERM
 	EndedAt    time.Time
-	Killed     bool   // by SIGKILL of the run
-	Crashed    string // how it ended though it was not killed; empty if it did not
+	Killed     bool   // the run sent SIGKILL
+	Crashed    string // how it exited if that was unexpected; empty otherwise
 }
 
-// DiscoveryAnswer is a list that discovery wrote to a dispatcher to its last byte.
+// DiscoveryAnswer is a list that discovery wrote completely to a dispatcher.
 type DiscoveryAnswer struct {
 	Dispatcher int
 	At         time.Time
@@ -64,11 +64,11 @@
 	JustStarted bool // the worker has just started, and warms up
 }
 
-// DiscoveryOutage is a time in which discovery rejected all calls.
+// DiscoveryOutage is a period in which discovery rejected all calls.
 type DiscoveryOutage struct{ From, To time.Time }
 
-// Record is everything that the peers recorded in a run. Its methods may be called by any goroutine; the fields are read once the run
-// has ended, or within locked.
+// Record is everything that the peers recorded in a run. Its methods are safe for concurrent use. The fields are read only after the
+// run, or within locked.
 type Record struct {
 	mu               sync.Mutex
 	StartedAt        time.Time
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// snapshot is the endpoint list as it was from a time on.
+// snapshot is the endpoint list from a time until the next snapshot.
 type snapshot struct {
 	at       time.Time
 	revision int
 	members  []member
 }
 
-// replicaView is how one address of discovery shows the list: as it was a while ago, and with delayed answers.
+// replicaView is the state of one address of discovery, which may show an old list or delay its answers.
 type replicaView struct {
 	mu    sync.Mutex
 	lag   time.Duration // the list is this old
@@ -25,8 +25,8 @@
 	calls int
 
 	// Set before the address is used.
-	firstRevision int // its revisions are higher than the list's by this
-	random        *rand.Rand
+	revisionOffset int // added to the list's revisions
+	random         *rand.Rand
 }
 
 // injectFault makes the address show an old list, or delay its answers, until a time.
@@ -74,7 +74,7 @@
 }
 
 // encode returns the list as JSON, with the addresses at which a dispatcher reaches the workers.
-func (s snapshot) encode(dispatcher, firstRevision int) string {
+func (s snapshot) encode(dispatcher, revisionOffset int) string {
 	var lines []string
 	for _, member := range s.members {
 		if member.phase == phaseLeft {
@@ -83,13 +83,13 @@
 		lines = append(lines, fmt.Sprintf(`{"id":"w%d","host_port":%q,"locality":"here","flavor":"new","cell":%d,"phase":%q,"size":1.0,"up_since_ms":%d}`,
 			member.worker.number, member.worker.address(dispatcher), member.worker.cell(), member.phase, member.since))
 	}
-	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, s.revision+firstRevision, strings.Join(lines, ","))
+	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, s.revision+revisionOffset, strings.Join(lines, ","))
 }
 
 // serviceQueue is the queue of a service that serves one call at a time. A call that would wait for longer than maxWait
-// is answered 503 after maxWait, and takes the service's time all the same.
+// is answered 503 after maxWait, and still takes the service's time.
 type serviceQueue struct {
-	timePerCall time.Duration // that the service needs
+	timePerCall time.Duration // that the service needs for a call
 	maxWait     time.Duration // of a call
 	maxBacklog  time.Duration // of the queue; beyond it calls are rejected at once
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Plan     Plan
 	Record   *Record
@@ -41,7 +41,7 @@
 }
 
 // Run runs a plan in real time and returns its audited record. It writes logs and configuration to dir, and ends all processes that it
-// started. It returns an error if the run could not be played to its end, not if a rule was broken.
+// started. It returns an error if the run did not complete. A broken rule is not an error.
 func Run(ctx context.Context, plan Plan, programs Programs, dir string) (*Result, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -72,33 +72,33 @@
 		return nil, err
 	}
 	record.locked(func() { record.StartedAt = time.Now() })
-	current.playEvents(ctx)
+	current.runEvents(ctx)
 	if err := errors.Join(append(current.errors, ctx.Err())...); err != nil {
 		return nil, err
 	}
 	return &Result{Plan: plan, Record: record, Breaches: Audit(plan, record), LogDir: dir}, nil
 }
 
-// playEvents runs the clients and the events to the end of the plan, and then kills the dispatchers. If the context ends, events that have
-// not begun are dropped, and the clients send no more; the others go on to their ends.
-func (r *run) playEvents(ctx context.Context) {
+// runEvents runs the clients and the events to the end of the plan, and then kills the dispatchers. If the context ends, events that have
+// not begun are dropped and the clients send no more requests. Events and requests in progress are completed.
+func (r *run) runEvents(ctx context.Context) {
 	end := r.record.StartedAt.Add(r.plan.Span)
-	var sending, happening sync.WaitGroup
+	var clients, events sync.WaitGroup
 	for _, group := range r.clients {
-		sending.Go(func() { group.run(ctx, end) })
+		clients.Go(func() { group.run(ctx, end) })
 	}
 	for _, event := range r.plan.Events {
-		happening.Go(func() {
+		events.Go(func() {
 			select {
 			case <-time.After(time.Until(r.record.StartedAt.Add(event.At))):
 				r.recordEvent(event)
-				r.addError(r.playEvent(event, time.Now().Add(event.Duration)))
+				r.addError(r.runEvent(event, time.Now().Add(event.Duration)))
 			case <-ctx.Done():
 			}
 		})
 	}
-	happening.Wait()
-	sending.Wait()
+	events.Wait()
+	clients.Wait()
 	r.killAll()
 }
 
@@ -111,15 +111,15 @@
 	}
 }
 
-// closeLogs closes the dispatchers' logs, and gives up their ports.
+// closeLogs closes the dispatchers' logs, and releases their ports.
 func (r *run) closeLogs() {
 	for _, process := range r.dispatchers {
-		_ = process.logs.Close() // a line that is lost shows in the audit's timelines only
+		_ = process.logs.Close() // a lost line would be missing only in timelines
 		process.port.release()
 	}
 }
 
-// addError adds an error of the run itself; nil is none.
+// addError adds an error of the run itself, unless it is nil.
 func (r *run) addError(err error) {
 	if err == nil {
 		return
@@ -136,7 +136,7 @@
 	})
 }
 
-// startWorker starts a worker and lists it as active; justStarted stamps its start, so that it warms up.
+// startWorker starts a worker and lists it as active. If justStarted is set, its start is set to now, so that it warms up.
 func (r *run) startWorker(number int, justStarted bool) error {
 	started, err := newWorker(number, r.plan, r.record)
 	if err != nil {
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// stopWorkers ends all workers, and gives up their ports.
+// stopWorkers stops all workers, and releases their ports.
 func (r *run) stopWorkers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,34 +169,34 @@
 }
 
 const (
-	idleClientCount   = 800 // connections of IdleClients
-	workerRestartTime = 300 * time.Millisecond
-	minReadyDivisor   = 2 // at least the plan's workers divided by this must stay ready
+	idleConnectionCount = 800 // connections of IdleClients
+	workerRestartTime   = 300 * time.Millisecond
+	minReadyDivisor     = 2 // at least the plan's workers divided by this must stay ready
 )
 
-// playEvent plays an event until it is over.
-func (r *run) playEvent(event Event, until time.Time) error {
+// runEvent runs an event until it is over.
+func (r *run) runEvent(event Event, until time.Time) error {
 	switch event.Kind {
 	case Drain, Join, Restart, WorkerHangs, WorkerResets, WorkerReadsLate:
-		return r.playWorkerEvent(event, until)
+		return r.runWorkerEvent(event, until)
 	case FaultyCalls, SilentWatches, DiscoveryDown, ClockStep, ReplicaLag, DelayedAnswers:
-		r.playDiscoveryEvent(event, until)
+		r.runDiscoveryEvent(event, until)
 	case IdleClients:
-		r.clients[event.Target].openIdleConnections(idleClientCount, until)
+		r.clients[event.Target].openIdleConnections(idleConnectionCount, until)
 	case ClientsLeave:
 		r.clients[event.Target].setLeaveEarly(until)
 	case IdleClientsAtDrain, IdleClientsAtOutage, MoveAfterReturn, MoveAfterRestart, MoveAfterSecondEnd:
-		return r.playHistoryEvent(event, until)
+		return r.runHistoryEvent(event, until)
 	case UseUntilKill, ReloadsThenTerm, TermTwice, BadReload, TermAtStart, TermAtHandover:
-		return r.playSignalEvent(event)
+		return r.runSignalEvent(event)
 	default:
-		return r.playDispatcherEvent(event, until)
+		return r.runDispatcherEvent(event, until)
 	}
 	return nil
 }
 
-// playWorkerEvent plays an event of a worker.
-func (r *run) playWorkerEvent(event Event, until time.Time) error {
+// runWorkerEvent runs an event of a worker.
+func (r *run) runWorkerEvent(event Event, until time.Time) error {
 	switch event.Kind {
 	case Drain:
 		r.drainWorker(event.Target)
@@ -226,15 +226,15 @@
 	return nil
 }
 
-// playDiscoveryEvent plays an event of discovery.
-func (r *run) playDiscoveryEvent(event Event, until time.Time) {
+// runDiscoveryEvent runs an event of discovery.
+func (r *run) runDiscoveryEvent(event Event, until time.Time) {
 	switch event.Kind {
 	case FaultyCalls:
 		r.discovery.failCalls(r.plan.Dispatchers, event.Calls)
 	case SilentWatches:
 		r.discovery.silenceWatches()
 	case DiscoveryDown:
-		r.stopDiscovery(until)
+		r.runDiscoveryOutage(until)
 	case ClockStep:
 		r.discovery.stepClock(event.Step)
 	case ReplicaLag:
@@ -244,8 +244,8 @@
 	}
 }
 
-// playDispatcherEvent plays an event of a dispatcher's process or configuration.
-func (r *run) playDispatcherEvent(event Event, until time.Time) error {
+// runDispatcherEvent runs an event of a dispatcher's process or configuration.
+func (r *run) runDispatcherEvent(event Event, until time.Time) error {
 	process := r.dispatchers[event.Target]
 	switch event.Kind {
 	case DiscoveryMove:
@@ -285,11 +285,10 @@
 	return true
 }
 
-// movesInSeries is how many new configurations DiscoveryMoveSeries brings.
+// movesInSeries is the number of configurations that a DiscoveryMoveSeries reloads.
 const movesInSeries = 4
 
-// moveDiscoveryRepeatedly brings several new configurations, each with another address of discovery; a worker starts draining in the
-// middle.
+// moveDiscoveryRepeatedly reloads several configurations, each with another address of discovery. A worker starts draining halfway.
 func (r *run) moveDiscoveryRepeatedly(event Event) error {
 	for i := range movesInSeries {
 		if i == movesInSeries/2 {
@@ -303,8 +302,8 @@
 	return nil
 }
 
-// stopDiscovery makes discovery reject all calls until a time.
-func (r *run) stopDiscovery(until time.Time) {
+// runDiscoveryOutage makes discovery reject all calls until a time, and records the outage.
+func (r *run) runDiscoveryOutage(until time.Time) {
 	from := time.Now()
 	r.discovery.setDown(true)
 	time.Sleep(time.Until(until))
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What all runs share. The dispatchers get it as settings.
+// Values that all runs share. The dispatchers get them as settings.
 const (
 	drainGrace        = 500 * time.Millisecond
 	slowStartDuration = 6 * time.Second
@@ -38,7 +38,7 @@
 		micros(slowStartDuration), micros(drainGrace), micros(overloadWindow), slowStartCapacity, overloadMultiple)
 }
 
-// config returns the file of a dispatcher, which names the addresses that it listens at and reaches discovery at, and a first list.
+// config returns the configuration file of a dispatcher, with its listen address, the address of discovery and an initial list.
 func (p Plan) config(dispatcher int, listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		dispatcher, listen, discovery, p.Seed*1000+uint64(dispatcher), known, p.settings(dispatcher))
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	maxSignalPause  = 100 * time.Millisecond // between the signals of a series, and until TermAtStart
+	maxSignalPause  = 100 * time.Millisecond // between the signals of a series; from the start to SIGTERM for TermAtStart
 	reloadPause     = 20 * time.Millisecond  // between the signals of ReloadsThenTerm: all come within 50 ms
-	busyConnections = 12                     // that clients use until their process is gone
-	pipelinedEvery  = 4                      // of these, one in so many carries two requests at once
-	maxThinkTime    = 30 * time.Millisecond  // of their clients between an answer and the next request
-	busyStart       = 300 * time.Millisecond // for which they are used before the first signal
+	busyConnections = 12                     // that clients use until their process has ended
+	pipelinedEvery  = 4                      // one in this many of them carries two requests at once
+	maxThinkTime    = 30 * time.Millisecond  // from an answer to the client's next request
+	busyLeadTime    = 300 * time.Millisecond // of use before the first signal
 )
 
-// playSignalEvent plays a series of signals to a dispatcher's process, while clients use the connections that it leaves open.
-func (r *run) playSignalEvent(event Event) error {
+// runSignalEvent sends a series of signals to a dispatcher's process, while clients use the connections that it leaves open.
+func (r *run) runSignalEvent(event Event) error {
 	process := r.dispatchers[event.Target]
 	switch event.Kind {
 	case BadReload:
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// reloadBadConfig reloads a configuration that is none, and then a good one. It does nothing while a restart is in progress.
+// reloadBadConfig reloads an invalid configuration, and then a valid one. It does nothing while a restart is in progress.
 func (d *dispatcherProcess) reloadBadConfig(pause time.Duration) error {
 	if !d.restarting.TryLock() {
 		return nil
@@ -72,7 +72,7 @@
 	}
 	defer d.restarting.Unlock()
 	d.kill()
-	if _, err := d.launchAlone(); err != nil {
+	if _, err := d.launchInNewDirectory(); err != nil {
 		return err
 	}
 	time.Sleep(pause)
@@ -81,8 +81,8 @@
 	return d.start()
 }
 
-// handOver starts a successor beside the process, which gets SIGTERM after a pause. A run in which requests last for longer than a shutdown, or
-// whose system calls fail, has a plain restart instead: clients cannot tell which of the two processes has their connection.
+// handOver starts a successor next to the running process, which gets SIGTERM after a pause. If requests may last longer than a shutdown, or
+// system call faults are injected, it does a plain restart instead, as clients cannot tell which of the two processes has their connection.
 func (d *dispatcherProcess) handOver(pause time.Duration) error {
 	if d.plan.Deadline > maxCountedDeadline || d.plan.SystemCallFaults != "" {
 		return d.terminateAndRestart()
@@ -92,43 +92,44 @@
 	}
 	defer d.restarting.Unlock()
 	predecessor := d.detach()
-	run, err := d.launch(d.temporary)
+	run, err := d.launch(d.tempDir)
 	if err != nil {
 		return err
 	}
 	time.Sleep(pause)
 	predecessor.terminate()
-	var ending sync.WaitGroup
-	ending.Go(predecessor.awaitEnd)
+	var shutdown sync.WaitGroup
+	shutdown.Go(predecessor.awaitEnd)
 	d.awaitReady(run)
-	ending.Wait()
+	shutdown.Wait()
 	return nil
 }
 
-// detach returns the process that runs now, to be signalled while the dispatcher has another.
+// detach returns the running process as a dispatcherProcess of its own, so that it can be signalled after the dispatcher has started another.
 func (d *dispatcherProcess) detach() *dispatcherProcess {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &dispatcherProcess{plan: d.plan, record: d.record, processRun: d.processRun, pid: d.pid, exited: d.exited}
 }
 
-// useConnections has clients use connections of the process that runs now, each without a pause for longer than maxThinkTime, until the
-// process is gone or closes them. The returned function waits for that. stream makes the draws differ from those of other events.
+// useConnections has clients use connections of the running process, with pauses below maxThinkTime, until the process has ended or accepts
+// no more connections. The returned function waits for that. stream seeds the draws, so that they differ from those of other events.
 func (c *clientGroup) useConnections(stream time.Duration) (wait func()) {
 	run, up := c.dispatcher.current()
 	if !up {
 		return func() {}
 	}
-	var using sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range busyConnections {
 		random := rand.New(rand.NewPCG(c.plan.Seed, uint64(stream)+uint64(i)))
-		using.Go(func() { c.useConnection(run, i%pipelinedEvery == 0, random) })
+		clients.Go(func() { c.useConnection(run, i%pipelinedEvery == 0, random) })
 	}
-	time.Sleep(busyStart)
-	return using.Wait
+	time.Sleep(busyLeadTime)
+	return clients.Wait
 }
 
-// useConnection sends requests on a connection, and on another one once that may carry no more, until the process is gone or refuses new ones.
+// useConnection sends requests on a connection, until the process has ended or accepts no new connection. If the connection may carry no more
+// requests, it opens another.
 func (c *clientGroup) useConnection(run *ProcessRun, pipelined bool, random *rand.Rand) {
 	var conn *clientConn
 	for c.isRunning(run) {
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -16,45 +16,45 @@
 	text string
 }
 
-// Timeline returns everything that was recorded of a breach's request or worker, in the order of time.
+// Timeline returns all that was recorded about the request or worker of a breach, in the order of time.
 func (r *Result) Timeline(breach Breach) string {
 	record := r.Record
 	record.mu.Lock()
 	defer record.mu.Unlock()
 	var entries []timelineEntry
-	note := func(at time.Time, format string, args ...any) {
+	addEntry := func(at time.Time, format string, args ...any) {
 		if !at.IsZero() {
 			entries = append(entries, timelineEntry{at, fmt.Sprintf(format, args...)})
 		}
 	}
-	note(breach.At, "BROKEN %s: %s", breach.Rule, breach.Detail)
+	addEntry(breach.At, "BROKEN %s: %s", breach.Rule, breach.Detail)
 	for _, request := range record.Requests {
 		if request.ID == breach.Request && breach.Request != "" {
-			note(request.WrittenAt, "client: wrote to n%d, process %d, deadline %v, connection reused %t", request.Dispatcher, request.ProcessRun, request.Deadline, request.ConnectionReused)
-			note(request.LeftAt, "client: left")
-			note(request.AnsweredAt, "client: status %d %q %s", request.Status, request.Result, request.Error)
+			addEntry(request.WrittenAt, "client: wrote to n%d, process %d, deadline %v, connection reused %t", request.Dispatcher, request.ProcessRun, request.Deadline, request.ConnectionReused)
+			addEntry(request.LeftAt, "client: left")
+			addEntry(request.AnsweredAt, "client: status %d %q %s", request.Status, request.Result, request.Error)
 		}
 	}
 	for _, attempt := range record.Attempts {
 		if attempt.ID == breach.Request && breach.Request != "" {
-			note(attempt.FirstByteAt, "w%d: first byte from n%d, timeout %v", attempt.Worker, attempt.Dispatcher, attempt.Timeout)
-			note(attempt.EndedAt, "w%d: ended, result %q", attempt.Worker, attempt.Result)
+			addEntry(attempt.FirstByteAt, "w%d: first byte from n%d, timeout %v", attempt.Worker, attempt.Dispatcher, attempt.Timeout)
+			addEntry(attempt.EndedAt, "w%d: ended, result %q", attempt.Worker, attempt.Result)
 		}
 	}
 	for _, change := range record.EndpointChanges {
 		if breach.Worker >= 0 && change.Worker == breach.Worker {
-			note(change.At, "discovery: revision %d, w%d %s, restarted %t", change.Revision, change.Worker, change.Phase, change.JustStarted)
+			addEntry(change.At, "discovery: revision %d, w%d %s, restarted %t", change.Revision, change.Worker, change.Phase, change.JustStarted)
 		}
 	}
 	if breach.Rule == RuleDrain {
 		for _, answer := range record.DiscoveryAnswers {
-			note(answer.At, "discovery: wrote revision %d to n%d", answer.Revision, answer.Dispatcher)
+			addEntry(answer.At, "discovery: wrote revision %d to n%d", answer.Revision, answer.Dispatcher)
 		}
 	}
 	for _, run := range record.ProcessRuns {
-		note(run.StartedAt, "n%d: process %d started", run.Dispatcher, run.Number)
-		note(run.SIGTERMAt, "n%d: SIGTERM", run.Dispatcher)
-		note(run.EndedAt, "n%d: ended, killed %t", run.Dispatcher, run.Killed)
+		addEntry(run.StartedAt, "n%d: process %d started", run.Dispatcher, run.Number)
+		addEntry(run.SIGTERMAt, "n%d: SIGTERM", run.Dispatcher)
+		addEntry(run.EndedAt, "n%d: ended, killed %t", run.Dispatcher, run.Killed)
 	}
 	slices.SortFunc(entries, func(a, b timelineEntry) int { return a.at.Compare(b.at) })
 	var text strings.Builder
@@ -67,7 +67,7 @@
 	return text.String()
 }
 
-// logLines returns the lines of the dispatchers' logs that name a request.
+// logLines returns the lines of the dispatchers' logs that contain a request's ID.
 func (r *Result) logLines(id string) (lines []string) {
 	if id == "" {
 		return nil
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// worker is the stand-in for a worker. Each dispatcher reaches it at an address of its own, by which the worker knows who sends.
+// worker is the stand-in for a worker. Each dispatcher reaches it at an address of its own, from which the worker knows the sender.
 type worker struct {
 	number int
 	record *Record
@@ -30,7 +30,7 @@
 	random         *rand.Rand
 	listeners      []net.Listener
 	connections    map[net.Conn]bool
-	hangsUntil     time.Time // until then it sends nothing more of its jobs
+	hangsUntil     time.Time // until then its started jobs send nothing more
 	resetsUntil    time.Time // until then it resets connections that carry jobs
 	readsLateUntil time.Time // until then it reads late from new connections
 }
@@ -65,7 +65,7 @@
 	return w.random.Float64()
 }
 
-// maxLateRead is how late a worker with that fault reads from a new connection at most.
+// maxLateRead is the longest delay before a worker with the fault WorkerReadsLate reads from a new connection.
 const maxLateRead = time.Second
 
 // start listens at the worker's addresses, which stay the same over restarts.
@@ -88,7 +88,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, listener := range w.listeners {
-		_ = listener.Close() // it is restarted at the same address, which fails if this did
+		_ = listener.Close() // if this fails, so does the restart at the same address
 	}
 	w.listeners = nil
 	for conn := range w.connections {
@@ -101,7 +101,7 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	_ = conn.Close() // it is meant to break
+	_ = conn.Close() // the reset is intended
 }
 
 // injectFault makes the worker show a fault until a time.
@@ -141,7 +141,7 @@
 				pause = time.Duration(w.draw() * float64(maxLateRead))
 			}
 			w.serve(conn, dispatcher, pause)
-			_ = conn.Close() // serve has read all it wants
+			_ = conn.Close() // serve has read all that it needs
 			w.mu.Lock()
 			delete(w.connections, conn)
 			w.mu.Unlock()
@@ -209,28 +209,28 @@
 	fmt.Fprintf(conn, "%x\r\n%s\r\n", len(line), line)
 }
 
-// runJob runs a job, and reports whether its connection may carry another. It is unknown when a job that was read late was cancelled:
-// it counts as cancelled at once.
+// runJob runs a job, and reports whether its connection may carry another. If a job that was read late is cancelled, the time of the
+// cancellation is unknown, and the job counts as cancelled at once.
 func (w *worker) runJob(conn net.Conn, attempt *Attempt, next <-chan firstByte, late bool) bool {
-	end := func(result string) {
+	recordEnd := func(result string) {
 		w.record.locked(func() {
 			if attempt.EndedAt, attempt.Result = time.Now(), result; late && result == "" {
 				attempt.EndedAt = attempt.LastByteAt
 			}
 		})
 	}
-	breakOff := func() { w.record.locked(func() { attempt.Broken = true }) }
+	markBroken := func() { w.record.locked(func() { attempt.Broken = true }) }
 	cancel := func(next firstByte) bool {
-		if errors.Is(next.err, net.ErrClosed) || w.hasFault(&w.hangsUntil) { // by stop, not by the dispatcher; or the dispatcher waited in vain
-			breakOff()
+		if errors.Is(next.err, net.ErrClosed) || w.hasFault(&w.hangsUntil) { // closed by stop rather than by the dispatcher, or the dispatcher gave up on a hung job
+			markBroken()
 		}
-		end("")
+		recordEnd("")
 		return false
 	}
 	if w.hasFault(&w.resetsUntil) {
 		resetConn(conn)
-		breakOff()
-		end("")
+		markBroken()
+		recordEnd("")
 		return false
 	}
 	select {
@@ -253,10 +253,10 @@
 		}
 	}
 	result := fmt.Sprintf("%s by w%d", attempt.ID, w.number)
-	end(result) // first, so that no client records it before
+	recordEnd(result) // recorded before it is sent, so that no client records it earlier
 	w.sendMessage(conn, attempt, fmt.Sprintf(`"state":"done","result":%q`, result))
 	if _, err := io.WriteString(conn, "0\r\n\r\n"); err != nil {
-		breakOff()
+		markBroken()
 		return false
 	}
 	return true // the next byte belongs to the next request
