--- a/Makefile
+++ b/Makefile
@@ -3,9 +3,9 @@
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
 
-# One package at a time: many start real processes and go by real time, and are late where others start theirs beside them. What
-# goes by the loopback interface's own figures follows by itself.
-# Two targets, so that with make --keep-going (.ci/test-over-known-red) the second runs also where a listed test fails in the first.
+# One package at a time: many packages start real processes with real-time limits, and miss these if other packages start processes at
+# the same time. TestInterface reads the counters of the loopback interface, so it runs last and without other tests.
+# Two targets, so that make --keep-going (.ci/test-over-known-red) runs the second even if a listed test fails in the first.
 test: test-packages test-interface
 
 test-packages:
@@ -14,12 +14,12 @@
 test-interface:
 	BRASSDALE_ALONE=1 go test -count=1 -run TestInterface ./internal/scale
 
-# The property tests on other cases than those of every run: make properties SEED=7.
+# Runs the property tests on other cases than the default ones: make properties SEED=7.
 SEED ?= 2
 properties:
 	go test -count=1 $$(go list -f '{{range .TestImports}}{{if eq . "brassdale/internal/testsupport/property"}}{{$$.ImportPath}} {{end}}{{end}}' ./...) -rapid.seed=$(SEED) -rapid.checks=10000
 
-# A process under the race detector sleeps for a second when it ends, which its tests would take for its own time.
+# By default, a process under the race detector sleeps for a second before it exits. Tests would count that as part of its shutdown.
 race:
 	GORACE=atexit_sleep_ms=0 go test -count=1 -p 1 -race ./scheduler/... ./cmd/... ./internal/...
 
@@ -32,19 +32,19 @@
 fmt:
 	gofmt -w scheduler cmd internal
 
-# Fifty seeds of each scenario of real dispatchers under drawn faults, every rule audited: about fourteen minutes.
+# Runs real dispatchers under faults drawn from fifty seeds for each scenario, and audits every rule: about fourteen minutes.
 soak: build
 	bin/brassdale-lab soak scenarios/soak/*.hcl --seeds 1-50 --together 3
 
-# A works, discovery, two dispatchers and a gentle load on loopback, with live figures; Ctrl-C ends it.
+# Runs a deployment of workers, discovery and two dispatchers under light load on loopback, with live figures. Ctrl-C stops it.
 demo: build
 	bin/brassdale-lab demo
 
-# Needs the platform's variables; see README.md.
+# Needs the platform's environment variables; see README.md.
 run: build
 	exec bin/brassdale
 
-# Lays what the operators' bench needs beside the variants of deploy/sites, from the kit's folder: make sites KIT=DIR
+# Copies the files that the operators' bench needs besides the variants of deploy/sites from the kit's folder: make sites KIT=DIR
 sites:
 	test -n "$(KIT)" || { echo "make sites KIT=DIR, the folder of the operators' kit" >&2; exit 2; }
 	install -m 644 "$(KIT)/more/mass/other/real.json" "$(KIT)/more/mass/other/wire.json" "$(KIT)/more/mass/other/unlock.txt" deploy/sites/
--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -1,26 +1,26 @@
-# An operator's file: a block for each part of brassdale that the platform does not ask for. What has no block is off.
-# `brassdale check FILE` tells what is wrong with a file, or what would be in force; start with
+# An operator's file: a block for each part of brassdale that the platform does not require. A part without a block is off.
+# `brassdale check FILE` prints the mistakes in a file, or the settings that would be in force. To start with this file:
 # `brassdale serve --operator deploy/operator.hcl`.
 
-# Clients that speak HTTP/2, on an address of its own. docs/http2.md has the rest of its settings.
+# HTTP/2 for clients, on a separate address. docs/http2.md has its other settings.
 front "http2" {
-  listen  = "127.0.0.1:8481" # off loopback only with a tls block, or cleartext = true
-  streams = 128              # concurrent on one connection
+  listen  = "127.0.0.1:8481" # an address other than loopback needs a tls block or cleartext = true
+  streams = 128              # concurrent streams of a connection
 }
 
 # Server-sent events for clients that watch their jobs.
 front "progress" {
-  listen   = "127.0.0.1:8480" # an address of its own; off loopback only with cleartext = true
-  upstream = "lines"          # how endpoints tell of a job: "lines" (the platform's JSON) or "events"
+  listen   = "127.0.0.1:8480" # a separate address; one other than loopback needs cleartext = true
+  upstream = "lines"          # how endpoints report on a job: "lines" (the platform's JSON) or "events"
 }
 
-# What is remembered of Idempotency-Keys, over all fronts: who comes with the key of a job that is known joins it.
+# Idempotency keys, over all fronts: a request with the Idempotency-Key of a known job joins that job.
 keys {
-  jobs    = 8192 # most at a time; past it new ones are refused
-  keep_mb = 24   # and most memory for their answers
+  jobs    = 8192 # maximum number of known jobs at a time; beyond it, new ones are rejected
+  keep_mb = 24   # maximum size of their events and answers, in MiB
 }
 
-# The list of workers on disk, for a start while discovery cannot be reached (docs/endpoint-cache.md). Off without the block.
+# The endpoint list on disk, for a start while discovery is unreachable (docs/endpoint-cache.md). Off without the block.
 #
 # saved_list {
 #   directory = "/var/lib/brassdale"
@@ -28,14 +28,14 @@
 #   shrink    = 0.5
 # }
 
-# Second copies and repeats of all jobs together: at most so many for each first call (docs/large-fleets.md). Off without
-# the block.
+# Hedged attempts and retries of all jobs together: at most this many for each first attempt (docs/large-fleets.md). Off
+# without the block.
 #
 # fleet {
 #   retry_budget = 0.2
 # }
 
-# Accounts' shares of the jobs that are open at a time, over all fronts. Off without the block.
+# Accounts' shares of the jobs that may be open at a time, over all fronts. Off without the block.
 #
 # accounts {
 #   room = 256
@@ -43,8 +43,8 @@
 #   account "gwent-pumps" { share = 0.19 }
 # }
 
-# Dispatchers that agree on rules (docs/agreement.md). Off without the block; for installations whose dispatchers may reach
-# one another.
+# Dispatchers that agree on rules (docs/agreement.md). Off without the block. Only for installations whose dispatchers can
+# reach each other.
 #
 # council {
 #   fleet     = "llanelli"
@@ -57,14 +57,14 @@
 #   rules     = "rules.hcl"
 # }
 
-# What all dispatchers together may do (docs/overload.md). Off without the block; needs the one above.
+# Limits for all dispatchers together (docs/overload.md). Off without the block; needs the council block.
 #
 # overload {
 #   retries = 0.1
 #   probes  = 40
 # }
 
-# Where zones' jobs are served, decided by the council (docs/failover.md). Off without the block; needs the one above.
+# In which zones jobs are served, as the fleet decides (docs/failover.md). Off without the block; needs the council block.
 #
 # failover {
 #   region "north" { zones = ["llanelli", "swansea"] }
--- a/scenarios/bad-day.hcl
+++ b/scenarios/bad-day.hcl
@@ -1,4 +1,4 @@
-# A bad day for `brassdale-lab demo --scenario scenarios/bad-day.hcl`: a bit of everything, one after the other.
+# Most kinds of faults, one after the other, for `brassdale-lab demo --scenario scenarios/bad-day.hcl`.
 title = "a bad day"
 seeds = 5
 
@@ -38,7 +38,7 @@
   share = 0.2
 }
 
-fault "list-down" { # while the drain is going on
+fault "list-down" { # during the drain
   at    = "47s"
   for   = "3s"
   share = 1
--- a/scenarios/deployments/cold-release.hcl
+++ b/scenarios/deployments/cold-release.hcl
@@ -1,4 +1,4 @@
-# A third of the boxes starts anew, twice: 55% of capacity.
+# A third of the workers restarts, twice: 55% of capacity.
 title = "cold-release"
 seeds = 6
 
--- a/scenarios/deployments/dropped-work.hcl
+++ b/scenarios/deployments/dropped-work.hcl
@@ -1,4 +1,4 @@
-# The same with work dropped when called off, lists asked for: 80% of capacity.
+# Like kept-work.hcl, but cancelled jobs are dropped and lists are polled: 80% of capacity.
 title = "dropped-work"
 seeds = 6
 
--- a/scenarios/deployments/far-zones.hcl
+++ b/scenarios/deployments/far-zones.hcl
@@ -1,4 +1,4 @@
-# Zones so far apart that a way takes longer than an aim leaves: 60% of capacity.
+# Zones so far apart that the one-way delay exceeds what a latency objective leaves: 60% of capacity.
 title = "far-zones"
 seeds = 6
 
--- a/scenarios/deployments/few-connections.hcl
+++ b/scenarios/deployments/few-connections.hcl
@@ -1,4 +1,4 @@
-# Boxes that take few connections, which break once: 70% of capacity.
+# Workers that accept few connections, which are reset once: 70% of capacity.
 title = "few-connections"
 seeds = 6
 
--- a/scenarios/deployments/kept-work.hcl
+++ b/scenarios/deployments/kept-work.hcl
@@ -1,4 +1,4 @@
-# One zone, work that is kept when called off, no hints: 80% of capacity.
+# One zone, queued jobs that run although they were cancelled, no work estimates: 80% of capacity.
 title = "kept-work"
 seeds = 6
 
--- a/scenarios/deployments/long-jobs.hcl
+++ b/scenarios/deployments/long-jobs.hcl
@@ -1,4 +1,4 @@
-# Jobs of seconds and no news of progress, wide ones among them: 70% of capacity.
+# Jobs of seconds without progress messages, some of which take two slots: 70% of capacity.
 title = "long-jobs"
 seeds = 6
 
--- a/scenarios/deployments/many-dispatchers-kept.hcl
+++ b/scenarios/deployments/many-dispatchers-kept.hcl
@@ -1,4 +1,4 @@
-# Many dispatchers in two zones, called-off work kept: 75% of capacity.
+# Many dispatchers in two zones, cancelled queued jobs that still run: 75% of capacity.
 title = "many-dispatchers-kept"
 seeds = 6
 
--- a/scenarios/deployments/many-dispatchers.hcl
+++ b/scenarios/deployments/many-dispatchers.hcl
@@ -1,4 +1,4 @@
-# 20 dispatchers that each see little: 65% of capacity.
+# 20 dispatchers that each get little of the traffic: 65% of capacity.
 title = "many-dispatchers"
 seeds = 6
 
--- a/scenarios/deployments/one-dispatcher.hcl
+++ b/scenarios/deployments/one-dispatcher.hcl
@@ -1,4 +1,4 @@
-# The smallest: 3 boxes behind one dispatcher: 60% of capacity.
+# The smallest deployment, one dispatcher with 3 workers: 60% of capacity.
 title = "one-dispatcher"
 seeds = 6
 
--- a/scenarios/deployments/probed-keyed-overload.hcl
+++ b/scenarios/deployments/probed-keyed-overload.hcl
@@ -1,4 +1,4 @@
-# The same, short of capacity: 110% of capacity.
+# Like probed-keyed.hcl, with too little capacity: 110% of capacity.
 title = "probed-keyed-overload"
 seeds = 6
 
--- a/scenarios/deployments/probed-keyed.hcl
+++ b/scenarios/deployments/probed-keyed.hcl
@@ -1,4 +1,4 @@
-# One class with keys, reports by probe, boxes that hang: 65% of capacity.
+# One class with idempotency keys, load reports by probe, workers that hang: 65% of capacity.
 title = "probed-keyed"
 seeds = 6
 
--- a/scenarios/deployments/three-zones-overload.hcl
+++ b/scenarios/deployments/three-zones-overload.hcl
@@ -1,4 +1,4 @@
-# The same, a burst while reports come late: 85% of capacity.
+# Like three-zones.hcl, with a burst while load reports are delayed: 85% of capacity.
 title = "three-zones-overload"
 seeds = 6
 
--- a/scenarios/deployments/three-zones.hcl
+++ b/scenarios/deployments/three-zones.hcl
@@ -1,4 +1,4 @@
-# Zones apart, live weights, memory, called-off work kept: 65% of capacity.
+# Zones at a distance, live weights, jobs that need memory, cancelled queued jobs that still run: 65% of capacity.
 title = "three-zones"
 seeds = 6
 
--- a/scenarios/deployments/two-zones-probed.hcl
+++ b/scenarios/deployments/two-zones-probed.hcl
@@ -1,4 +1,4 @@
-# Two zones, reports by probe, boxes that leave and start: 70% of capacity.
+# Two zones, load reports by probe, workers that leave and start: 70% of capacity.
 title = "two-zones-probed"
 seeds = 6
 
--- a/scenarios/deployments/uneven-kinds.hcl
+++ b/scenarios/deployments/uneven-kinds.hcl
@@ -1,4 +1,4 @@
-# Large fast boxes beside small slow ones, heavy jobs: 70% of capacity.
+# Large fast workers next to small slow ones, heavy jobs: 70% of capacity.
 title = "uneven-kinds"
 seeds = 6
 
--- a/scenarios/fleet/failover.hcl
+++ b/scenarios/fleet/failover.hcl
@@ -1,4 +1,4 @@
-# Four zones in two regions; one is lost outright and comes back cold, while processes are cut off, frozen and killed:
+# Four zones in two regions. One zone is lost completely and returns with cold workers, while processes are cut off, frozen and killed:
 #   bin/brassdale-lab fleet scenarios/fleet/failover.hcl --seed 7 --processes 9 --out results/x
 title     = "a zone is lost"
 processes = 9
--- a/scenarios/fleet/quiet.hcl
+++ b/scenarios/fleet/quiet.hcl
@@ -1,4 +1,4 @@
-# What agreeing costs where nothing fails:
+# What agreement costs without faults:
 #   bin/brassdale-lab fleet scenarios/fleet/quiet.hcl --processes 50 --out results/x
 title     = "agreement without faults"
 processes = 9
--- a/scenarios/greedy.hcl
+++ b/scenarios/greedy.hcl
@@ -1,4 +1,4 @@
-# One account sends a multiple of its share while all boxes are well used.
+# One account sends a multiple of its share while all workers are well utilised.
 title = "one greedy account"
 seeds = 20
 
--- a/scenarios/growth.hcl
+++ b/scenarios/growth.hcl
@@ -1,4 +1,4 @@
-# The module from today's works to fifty times its size, calm.
+# The scheduler from the size of today's deployment to fifty times that size, without faults.
 title = "growth of the works"
 seeds = 3
 
--- a/scenarios/load/steady.hcl
+++ b/scenarios/load/steady.hcl
@@ -1,4 +1,4 @@
-# A steady rate for ten seconds: a first look at a dispatcher.
+# A steady rate for ten seconds, as a first test of a dispatcher.
 class   = "price-part"
 give_up = "5s"
 phase "poisson" {
--- a/scenarios/load/tender-week.hcl
+++ b/scenarios/load/tender-week.hcl
@@ -1,4 +1,4 @@
-# A day of tender week in one minute: the morning ramp, the day's two humps, bursts in the afternoon, and one account that
+# A day of tender week in one minute: the morning ramp, the day's two peaks, bursts in the afternoon, and one account that
 # sends three times its usual traffic.
 class   = "price-part"
 give_up = "5s"
--- a/scenarios/paper.hcl
+++ b/scenarios/paper.hcl
@@ -1,7 +1,7 @@
 # The comparison of "A New Server Selection Strategy for Reliable Server Pooling in Widely Distributed Environments": ten
-# pool elements that work on up to four requests at once and turn further ones away, pool users who each have one request
-# handled at a time, a target utilisation of 80%, and a network that grows slower. Request size 10 s; ten users an element.
-# One component selects, as there; a request then takes one way to its element, and a load one way back.
+# pool elements that process up to four requests at once and reject further ones, pool users with one request each at a time,
+# a target utilisation of 80%, and an increasing network delay. The request size is 10 s, with ten users for each element. As
+# in the paper, one component selects. A request then takes one network delay to its element, and a load value one back.
 title = "the paper's comparison: handling speed over the network's delay"
 seeds = 25
 
--- a/scenarios/policies.hcl
+++ b/scenarios/policies.hcl
@@ -1,4 +1,4 @@
-# The module beside plain policies, on a day with troubles: boxes that freeze, say nothing, run slow, start anew.
+# The scheduler compared with simple policies under faults: workers that freeze, fall silent, run slow or restart.
 title = "module and policies on a troubled day"
 seeds = 20
 
--- a/scenarios/scale/compare.hcl
+++ b/scenarios/scale/compare.hcl
@@ -1,5 +1,5 @@
-# Hollow dispatchers beside real ones, where both fit. Workers are few, so that the budget for probes holds nobody back: real
-# dispatchers then probe as much as bare ones do, and what control costs by difference lacks nothing.
+# Hollow dispatchers compared with real ones, at a size at which both fit. Workers are few, so that the budget for probes limits
+# no dispatcher. Real dispatchers then probe as much as bare ones, and the difference between them is the full cost of control.
 #   bin/brassdale-lab scale scenarios/scale/compare.hcl --compare --seed 1 --out results/x
 title        = "real and hollow"
 settle       = "26s"
--- a/scenarios/scale/failures.hcl
+++ b/scenarios/scale/failures.hcl
@@ -1,4 +1,4 @@
-# What each failure costs at the plan's size, in a run of its own; --only seat plays one of them:
+# What each failure costs at the size of the capacity plan, one run each; --only seat runs one of them:
 #   bin/brassdale-lab scale scenarios/scale/failures.hcl --seed 1 --out results/x
 title        = "failures at the plan's size"
 settle       = "26s"
@@ -22,14 +22,14 @@
   restarts = "10s"
 }
 
-# The machine of the seat that leads.
+# The machine of the leading voter is lost.
 fault "seat" {
   at    = "20s"
   for   = "50s"
   after = "20s"
 }
 
-# A zone with its boxes, its seat and an eighth of the dispatchers.
+# A zone is lost with its workers, its voter and an eighth of the dispatchers.
 fault "zone" {
   at    = "20s"
   for   = "50s"
@@ -37,7 +37,7 @@
   zone  = 1
 }
 
-# One region and the other two; the first has two of the five seats.
+# One region is cut off from the other two. It has two of the five voters.
 fault "regions" {
   at     = "20s"
   for    = "3m"
@@ -52,7 +52,7 @@
   count = 40
 }
 
-# All are killed, and start at once a second later.
+# All dispatchers are killed, and restarted together a second later.
 fault "together" {
   at    = "20s"
   for   = "1s"
--- a/scenarios/scale/plan-800.hcl
+++ b/scenarios/scale/plan-800.hcl
@@ -1,4 +1,4 @@
-# The same with the dispatchers that today's ratio to workers gives for it:
+# Like plan.hcl, with as many dispatchers as today's ratio of dispatchers to workers gives for this size:
 #   bin/brassdale-lab scale scenarios/scale/plan-800.hcl --seed 1 --out results/x
 title        = "the plan's size, 800 dispatchers"
 settle       = "26s"
--- a/scenarios/scale/plan.hcl
+++ b/scenarios/scale/plan.hcl
@@ -1,4 +1,4 @@
-# What control costs at the plan's size:
+# What control costs at the size of the capacity plan:
 #   bin/brassdale-lab scale scenarios/scale/plan.hcl --seed 1 --out results/x
 title        = "the plan's size"
 settle       = "26s"
--- a/scenarios/scale/slopes.hcl
+++ b/scenarios/scale/slopes.hcl
@@ -1,4 +1,4 @@
-# What control costs at several sizes, one run each; --list names them, --only 3 plays one:
+# What control costs at several sizes, one run each; --list names the runs, --only 3 runs one:
 #   bin/brassdale-lab scale scenarios/scale/slopes.hcl --out results/x
 title        = "what control costs by size"
 seeds        = 2
--- a/scenarios/scale/small.hcl
+++ b/scenarios/scale/small.hcl
@@ -1,4 +1,4 @@
-# The same at sizes that a test plays, judged there by counts alone:
+# What control costs at two small sizes. A test runs this file and judges only the counts:
 #   bin/brassdale-lab scale scenarios/scale/small.hcl --out results/x
 title        = "two small sizes"
 settle       = "4s"
--- a/scenarios/soak/faults.hcl
+++ b/scenarios/soak/faults.hcl
@@ -1,4 +1,4 @@
-# Real dispatchers under all faults that the stand-ins know, drawn from the seed: brassdale-lab soak scenarios/soak/*.hcl --seeds 1-50
+# Real dispatchers under all faults of the stand-ins, drawn from the seed: brassdale-lab soak scenarios/soak/*.hcl --seeds 1-50
 title       = "all faults"
 dispatchers = [1, 10]
 workers     = [4, 8]
@@ -6,7 +6,7 @@
 every       = "1200ms"
 rate        = 30
 
-# A third of the runs has one of these.
+# A third of the runs use one of these.
 failures = [
   "accept4=ENOBUFS:4,epoll_pwait=EINTR:20",
   "accept4=ECONNABORTED:5,socket=ENOBUFS:20,connect=EADDRNOTAVAIL:25",
--- a/scenarios/soak/shutdowns.hcl
+++ b/scenarios/soak/shutdowns.hcl
@@ -1,5 +1,6 @@
-# Real dispatchers that are ended by series of signals while clients use their connections, moved to replicas of discovery that lag, and crowded.
-# brassdale-lab soak scenarios/soak/shutdowns.hcl --seeds 1-50
+# Real dispatchers that get series of signals while clients use their connections, are moved to lagging replicas of discovery, and get many
+# idle connections:
+#   brassdale-lab soak scenarios/soak/shutdowns.hcl --seeds 1-50
 title        = "shutdowns"
 dispatchers  = [1, 4]
 workers      = [4, 8]
@@ -14,7 +15,7 @@
   "drain", "join", "restart", "worker-hangs", "worker-resets", "move", "reload", "clients-leave",
 ]
 
-# A third of the runs has one of these.
+# A third of the runs use one of these.
 failures = [
   "accept4=ENOBUFS:4,epoll_pwait=EINTR:20",
   "accept4=ECONNABORTED:5,socket=ENOBUFS:20,connect=EADDRNOTAVAIL:25",
