--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -3,8 +3,8 @@
 //
 // The stand-ins of package emulator model the time that workers need and answer each call as the protocol says. The stand-ins of this package
 // break connections and answers on purpose, byte by byte: half answers, resets, replicas with old lists, answers that overtake each other.
-// They also record when the first and last bytes of each request were sent and received, for the audit. The tests of cmd/brassdale have a
-// third kind, with which a test chooses each answer.
+// They also record when the bytes of each request were written and read, for the audit. The tests of cmd/brassdale have a third kind of
+// stand-in, with which a test chooses each answer.
 package soak
 
 import (
