--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -289,6 +289,6 @@
 	writeCachedList(b, dir, age, func(list *endpointcache.CachedList) {
 		class := list.Classes["price-part"]
 		class.WorkScale, class.MeanLogRuntime = modelJobDuration.Seconds(), -2.3
-		list.Classes["price-part"], list.MeanStay, list.MeanWork = class, modelJobDuration.Seconds(), modelJobDuration.Seconds()
+		list.Classes["price-part"], list.MeanAttemptDuration, list.MeanWork = class, modelJobDuration.Seconds(), modelJobDuration.Seconds()
 	}, workers...)
 }
--- a/cmd/brassdale/support_endpointcache_test.go
+++ b/cmd/brassdale/support_endpointcache_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	confirmedAt := time.Now().Add(-age)
-	list := &endpointcache.CachedList{ConfirmedAtMS: confirmedAt.UnixMilli(), Revision: 40, Overcommit: 0.5, MeanStay: 0.02, MeanWork: 0.02,
+	list := &endpointcache.CachedList{ConfirmedAtMS: confirmedAt.UnixMilli(), Revision: 40, Overcommit: 0.5, MeanAttemptDuration: 0.02, MeanWork: 0.02,
 		Classes: map[string]scheduler.ClassStatistics{"price-part": {WorkScale: 0.02, MeanLogRuntime: -3.9, Jobs: 500}}} // jobs of 20 ms
 	for _, worker := range workers {
 		cell := 1
--- a/internal/endpointcache/cachedlist.go
+++ b/internal/endpointcache/cachedlist.go
@@ -9,16 +9,16 @@
 
 // CachedList is an endpoint list as it is stored: the last snapshot and the changes in its journal.
 type CachedList struct {
-	Dispatcher    string                               `json:"dispatcher"`
-	ConfirmedAtMS int64                                `json:"made_ms"` // Unix time at which the list was last known to be in force
-	Revision      int64                                `json:"revision"`
-	Discovery     string                               `json:"discovery"` // address of the service that returned the list
-	Members       []CachedMember                       `json:"members"`
-	Detached      []string                             `json:"out"`     // IDs of the workers that the operator has detached
-	Classes       map[string]scheduler.ClassStatistics `json:"classes"` // by name
-	Overcommit    float64                              `json:"allow"`
-	MeanStay      float64                              `json:"stay"`
-	MeanWork      float64                              `json:"mean"`
+	Dispatcher          string                               `json:"dispatcher"`
+	ConfirmedAtMS       int64                                `json:"made_ms"` // Unix time at which the list was last known to be in force
+	Revision            int64                                `json:"revision"`
+	Discovery           string                               `json:"discovery"` // address of the service that returned the list
+	Members             []CachedMember                       `json:"members"`
+	Detached            []string                             `json:"out"`     // IDs of the workers that the operator has detached
+	Classes             map[string]scheduler.ClassStatistics `json:"classes"` // by name
+	Overcommit          float64                              `json:"allow"`
+	MeanAttemptDuration float64                              `json:"stay"`
+	MeanWork            float64                              `json:"mean"`
 }
 
 // CachedMember is a worker as it was last known.
@@ -33,7 +33,7 @@
 
 // LearnedState returns the stored state of the scheduler, without the classes, which are stored by name.
 func (c *CachedList) LearnedState() scheduler.LearnedState {
-	state := scheduler.LearnedState{Overcommit: c.Overcommit, MeanStay: c.MeanStay, MeanWork: c.MeanWork, Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
+	state := scheduler.LearnedState{Overcommit: c.Overcommit, MeanAttemptDuration: c.MeanAttemptDuration, MeanWork: c.MeanWork, Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{}}
 	for _, member := range c.Members {
 		if member.Statistics != nil {
 			state.Workers[scheduler.WorkerID(member.ID)] = *member.Statistics
--- a/internal/endpointcache/stored_test.go
+++ b/internal/endpointcache/stored_test.go
@@ -24,7 +24,7 @@
 			Statistics:   &scheduler.WorkerStatistics{StartedAt: 21, Slots: 22.5, Increment: 23.5, Slowness: 24.5, SlownessJobs: 25.5, LastSignal: 26},
 		}},
 		Classes:    map[string]scheduler.ClassStatistics{"class-1": {WorkScale: 31.5, MeanLogRuntime: 32.5, Jobs: 33}},
-		Overcommit: 41.5, MeanStay: 42.5, MeanWork: 43.5,
+		Overcommit: 41.5, MeanAttemptDuration: 42.5, MeanWork: 43.5,
 	}
 }
 
--- a/internal/endpointcache/writer.go
+++ b/internal/endpointcache/writer.go
@@ -242,7 +242,7 @@
 	state, classes, err := w.learnedState.LearnedState(ctx)
 	cancel()
 	if err == nil {
-		list.Overcommit, list.MeanStay, list.MeanWork, list.Classes = state.Overcommit, state.MeanStay, state.MeanWork, classes
+		list.Overcommit, list.MeanAttemptDuration, list.MeanWork, list.Classes = state.Overcommit, state.MeanAttemptDuration, state.MeanWork, classes
 	}
 	for _, member := range w.members {
 		if statistics, ok := state.Workers[scheduler.WorkerID(member.ID)]; ok {
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -21,7 +21,7 @@
 		}},
 		Detached: []string{"worker-z"}, Relay: "127.0.0.1:8600", ListUnconfirmed: true,
 		LearnedState: scheduler.LearnedState{
-			Overcommit: 21.5, MeanStay: 22.5, MeanWork: 23.5,
+			Overcommit: 21.5, MeanAttemptDuration: 22.5, MeanWork: 23.5,
 			Classes: []scheduler.ClassStatistics{{WorkScale: 24.5, MeanLogRuntime: 25.5, Jobs: 26}},
 			Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{
 				"worker-a": {StartedAt: 31, Slots: 32.5, Increment: 33.5, Slowness: 34.5, SlownessJobs: 35.5, LastSignal: 36}},
@@ -37,7 +37,7 @@
 		}},
 		Detached: []string{"worker-y"}, Relay: "127.0.0.1:8601", ListUnconfirmed: true,
 		LearnedState: scheduler.LearnedState{
-			Overcommit: 27.5, MeanStay: 28.5, MeanWork: 29.5,
+			Overcommit: 27.5, MeanAttemptDuration: 28.5, MeanWork: 29.5,
 			Classes: []scheduler.ClassStatistics{{WorkScale: 30.5, MeanLogRuntime: 37.5, Jobs: 38}},
 			Workers: map[scheduler.WorkerID]scheduler.WorkerStatistics{
 				"worker-b": {StartedAt: 44, Slots: 45.5, Increment: 46.5, Slowness: 47.5, SlownessJobs: 48.5, LastSignal: 49}},
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -216,7 +216,7 @@
 func (s *Scheduler) recordCancellation(cancelled *attempt, slots float64) {
 	worker := cancelled.worker
 	if cancelled.startedAt == 0 {
-		worker.cancelledSlots.window = max(durationOf(s.meanStay), reportLookback)
+		worker.cancelledSlots.window = max(durationOf(s.meanAttemptDuration), reportLookback)
 		worker.cancelledSlots.add(s.now, slots)
 	}
 	if s.startOverdue(cancelled, hedgeDelay) {
--- a/scheduler/hedging.go
+++ b/scheduler/hedging.go
@@ -47,15 +47,15 @@
 
 // needsHedge reports whether an attempt has waited too long for its start. The limit depends on how well loads are known:
 //
-//   - If all loads are known: meanStay (the mean time from send to outcome), and only without a signal of the worker since the
-//     send. A free slot elsewhere would be known, so a hedge would only lengthen the queues.
+//   - If all loads are known: meanAttemptDuration, and only without a signal of the worker since the send. A free slot elsewhere
+//     would be known, so a hedge would only lengthen the queues.
 //   - Otherwise: hedgeDelay + congestion x congestionHedgeDelay.
 //   - If requests go to a subset, in addition: recent hedges < (maxCongestion - congestion) x recent sends. The load that other
 //     dispatchers put on those workers is unknown, and cancelled jobs may still run.
 func (s *Scheduler) needsHedge(latest *attempt) bool {
 	overdue := s.startOverdue(latest, hedgeDelay+durationOf(s.congestion*congestionHedgeDelay.Seconds()))
 	if s.loadsKnown {
-		return s.startOverdue(latest, durationOf(cmp.Or(s.meanStay, 1))) && latest.worker.lastSignal <= latest.sentAt
+		return s.startOverdue(latest, durationOf(cmp.Or(s.meanAttemptDuration, 1))) && latest.worker.lastSignal <= latest.sentAt
 	}
 	if s.usesSubset() {
 		return overdue && s.recentHedges.value(s.now) < (maxCongestion-s.congestion)*s.recentSends.value(s.now)
--- a/scheduler/hedging_test.go
+++ b/scheduler/hedging_test.go
@@ -134,7 +134,7 @@
 		settings.Dispatchers, settings.MayHedge = 100, true
 		driver := newDriver(t, settings)
 		driver.listWorkers(zonedWorkers(66, 1)...)
-		driver.scheduler.meanStay, driver.scheduler.classes[1].workScale = 0.2, 0.3
+		driver.scheduler.meanAttemptDuration, driver.scheduler.classes[1].workScale = 0.2, 0.3
 		for id := RequestID(1); id <= 100; id++ {
 			driver.submit(id, 1)
 			driver.scheduler.congestion = congestion
--- a/scheduler/learnedstate.go
+++ b/scheduler/learnedstate.go
@@ -2,11 +2,11 @@
 
 // LearnedState is what a scheduler has learned that also holds for its successor process.
 type LearnedState struct {
-	Overcommit float64                       `json:"Allow"`   // share of a worker's slots
-	MeanStay   float64                       `json:"Stay"`    // seconds from send to outcome
-	MeanWork   float64                       `json:"Mean"`    // of a job, in slot-seconds
-	Classes    []ClassStatistics             `json:"Classes"` // by number
-	Workers    map[WorkerID]WorkerStatistics `json:"Workers"`
+	Overcommit          float64                       `json:"Allow"`   // share of a worker's slots
+	MeanAttemptDuration float64                       `json:"Stay"`    // seconds from send to outcome of a served attempt
+	MeanWork            float64                       `json:"Mean"`    // of a job, in slot-seconds
+	Classes             []ClassStatistics             `json:"Classes"` // by number
+	Workers             map[WorkerID]WorkerStatistics `json:"Workers"`
 }
 
 // ClassStatistics says how long jobs of a class run.
@@ -29,7 +29,7 @@
 // LearnedState returns what was learned so far.
 func (s *Scheduler) LearnedState() LearnedState {
 	learned := LearnedState{
-		Overcommit: s.overcommit, MeanStay: s.meanStay, MeanWork: s.meanWork, Workers: map[WorkerID]WorkerStatistics{},
+		Overcommit: s.overcommit, MeanAttemptDuration: s.meanAttemptDuration, MeanWork: s.meanWork, Workers: map[WorkerID]WorkerStatistics{},
 	}
 	for _, class := range s.classes {
 		learned.Classes = append(learned.Classes, ClassStatistics{
@@ -54,7 +54,7 @@
 	learned := event.LearnedState
 	if len(learned.Classes) > 0 {
 		s.tookOver = s.tookOver || !event.FromCache
-		s.overcommit, s.meanStay, s.meanWork = learned.Overcommit, learned.MeanStay, learned.MeanWork
+		s.overcommit, s.meanAttemptDuration, s.meanWork = learned.Overcommit, learned.MeanAttemptDuration, learned.MeanWork
 	}
 	for number, class := range learned.Classes {
 		if number < len(s.classes) {
--- a/scheduler/loadvalue.go
+++ b/scheduler/loadvalue.go
@@ -55,7 +55,7 @@
 // the share of each own slot in flight. It differs from the paper in three points:
 //
 //   - When an attempt ends, its increment is subtracted at once instead of at the next report.
-//   - The reported load of others decays to a mean as their jobs end, with a mean stay as the time constant. Otherwise all
+//   - The reported load of others decays to a mean as their jobs end, with meanAttemptDuration as the time constant. Otherwise all
 //     dispatchers would send to the worker that was idle in the last report. If all loads are known, the mean is the fleet's.
 //     Otherwise it is the worker's own mean, which shows small and slow workers.
 //   - A difference from the mean within loadUncertainty counts as 0, for the same reason.
@@ -67,7 +67,7 @@
 		if s.loadsKnown {
 			mean = s.meanOthersLoad
 		}
-		weight = math.Exp(-float64(s.now-worker.reportedAt) / float64(max(durationOf(s.meanStay), reportLookback)))
+		weight = math.Exp(-float64(s.now-worker.reportedAt) / float64(max(durationOf(s.meanAttemptDuration), reportLookback)))
 	}
 	deviation := (worker.othersLoad - mean) * weight
 	band := s.slotShare(worker, s.loadUncertainty(worker))
@@ -84,7 +84,7 @@
 // counts for at most one job.
 func (s *Scheduler) loadUncertainty(worker *worker) float64 {
 	others := float64(s.settings.Dispatchers - 1)
-	elapsed := min(s.now-worker.reportedAt, max(durationOf(s.meanStay), reportLookback)) + reportLookback
+	elapsed := min(s.now-worker.reportedAt, max(durationOf(s.meanAttemptDuration), reportLookback)) + reportLookback
 	return math.Sqrt(min(others, others*s.arrivalRate*elapsed.Seconds()/float64(max(len(s.workers), 1))))
 }
 
@@ -103,10 +103,10 @@
 	}
 }
 
-// recordFull records that the worker rejected an attempt as full. Its increment doubles. Its load value is at least 1 for a mean
-// stay, or until a report comes.
+// recordFull records that the worker rejected an attempt as full. Its increment doubles. Its load value is at least 1 for
+// meanAttemptDuration (no less than reportLookback), or until a report comes.
 func (s *Scheduler) recordFull(worker *worker) {
-	worker.fullUntil = s.now + max(durationOf(s.meanStay), reportLookback)
+	worker.fullUntil = s.now + max(durationOf(s.meanAttemptDuration), reportLookback)
 	worker.increment, worker.sendsSinceFull = min(2*worker.increment, 1), 0
 }
 
--- a/scheduler/loadvalue_test.go
+++ b/scheduler/loadvalue_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestFull_withFreeSlots checks that if a worker with free slots rejects a job as full, for lack of memory, the job is retried at
-// another worker, and the next jobs go to other workers for a mean stay.
+// another worker, and the next jobs go to other workers for the mean duration of an attempt.
 func TestFull_withFreeSlots(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
@@ -41,7 +41,7 @@
 		settings.Dispatchers = test.dispatchers
 		scheduler := New(settings, 1)
 		scheduler.Handle(start, EndpointsUpdated{ListKind: ListFull, Workers: zonedWorkers(test.workers, 1)})
-		scheduler.arrivalRate, scheduler.meanStay = test.rate, 1
+		scheduler.arrivalRate, scheduler.meanAttemptDuration = test.rate, 1
 		worker := scheduler.workers[0]
 		worker.reportedAt = scheduler.now
 		fresh := scheduler.loadUncertainty(worker)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -98,28 +98,28 @@
 	lastSequence      int
 
 	// What was learned.
-	overcommit        float64 // how far a worker may be filled beyond its slots, as a share of them
-	congestion        float64 // share of the recent attempts whose start was delayed
-	arrivalRate       float64 // requests a second that arrive here
-	meanStay          float64 // mean seconds from an attempt's send to its outcome
-	meanWork          float64 // of a job, in slot-seconds
-	meanOthersLoad    float64 // of other dispatchers, as a share of a worker
-	servedJobs        int
-	classes           []classState
-	recentSends       decayingCounter
-	recentHedges      decayingCounter
-	recentKeys        keyCounter
-	cancellations     cancellationEstimate
-	logSlownessByKind map[int]float64       // mean logSlowness of a machine kind
-	slotsByKind       map[int]float64       // the most slots seen at a worker of a machine kind
-	roundTripTimes    map[int]time.Duration // by zone: the least time from send to start
-	shortestIdleLoss  time.Duration         // after which a connection was lost recently; 0 for none
-	idleLossAt        Instant               // when an idle connection was last lost
-	firstEventAt      Instant
-	lastArrivalAt     Instant
-	resumedAt         Instant // the event time at which the last stall of this process was detected
-	reviewScheduled   bool
-	nextReviewAt      Instant
+	overcommit          float64 // how far a worker may be filled beyond its slots, as a share of them
+	congestion          float64 // share of the recent attempts whose start was delayed
+	arrivalRate         float64 // requests a second that arrive here
+	meanAttemptDuration float64 // mean seconds from a served attempt's send to its outcome
+	meanWork            float64 // of a job, in slot-seconds
+	meanOthersLoad      float64 // of other dispatchers, as a share of a worker
+	servedJobs          int
+	classes             []classState
+	recentSends         decayingCounter
+	recentHedges        decayingCounter
+	recentKeys          keyCounter
+	cancellations       cancellationEstimate
+	logSlownessByKind   map[int]float64       // mean logSlowness of a machine kind
+	slotsByKind         map[int]float64       // the most slots seen at a worker of a machine kind
+	roundTripTimes      map[int]time.Duration // by zone: the least time from send to start
+	shortestIdleLoss    time.Duration         // after which a connection was lost recently; 0 for none
+	idleLossAt          Instant               // when an idle connection was last lost
+	firstEventAt        Instant
+	lastArrivalAt       Instant
+	resumedAt           Instant // the event time at which the last stall of this process was detected
+	reviewScheduled     bool
+	nextReviewAt        Instant
 
 	// The process.
 	processes        int     // number that act as this dispatcher
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Statistics that the rules share: means of runtimes and stays (from send to outcome), decaying counts, the slowness of workers.
+// Statistics that the rules share: means of runtimes and of attempt durations (from send to outcome), decaying counts, the slowness
+// of workers.
 
 const (
 	// arrivalRateWindow is the time constant of the own arrival rate, and the default time constant of decayingCounter.
@@ -75,7 +76,7 @@
 	worker := served.worker
 	worker.recentSuccesses.add(s.now, 1)
 	s.servedJobs, class.jobs = s.servedJobs+1, class.jobs+1
-	updateMean(&s.meanStay, s.servedJobs, (s.now - served.sentAt).Seconds())
+	updateMean(&s.meanAttemptDuration, s.servedJobs, (s.now - served.sentAt).Seconds())
 	updateMean(&s.meanWork, s.servedJobs, runtime*request.slots)
 	updateMean(&class.workScale, class.jobs, runtime/unit)
 	updateMean(&class.meanLogRuntime, class.jobs, math.Log(runtime/unit))
