--- a/internal/routing/discovery.go
+++ b/internal/routing/discovery.go
@@ -45,7 +45,7 @@
 // packages that do not import package polling.
 const ListNotificationDeadline = polling.NotificationDeadline
 
-// ErrDiscoveryRejected matches the error of a call that discovery rejected because it had too many.
+// ErrDiscoveryRejected matches the error of a call that discovery rejected because it had too many calls.
 var ErrDiscoveryRejected = errors.New("discovery rejected the call")
 
 // discoveryService is a discovery service that is polled, or was polled before a change of services.
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -200,7 +200,7 @@
 }
 
 // snapshot returns the known list, with the ages of endpoints whose start time is known and the times when their states were last
-// received from a service whose revisions cannot be compared with the current one's.
+// received from a service whose revisions cannot be compared with the revisions of the current one.
 func (l *EndpointList) snapshot() ListUpdate {
 	list := ListUpdate{Revision: l.calls.current.revision, Complete: true}
 	now, service := l.core.clock.Now(), l.calls.current.discovery.Service()
--- a/internal/routing/listcalls.go
+++ b/internal/routing/listcalls.go
@@ -51,7 +51,7 @@
 	schedule   *polling.Schedule
 	pollRules  func() polling.Rules
 	current    *discoveryService
-	previous   []*discoveryService // services before the current one, until that has responded; the oldest first
+	previous   []*discoveryService // services before the current one, until the current one has responded; the oldest first
 	open       []*listCall         // the oldest first
 	lastNumber int                 // of the last call
 	onEnded    func(callEnded)
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -158,9 +158,9 @@
 	}
 }
 
-// responseIncludesUntil returns the time up to which a response includes all changes of discovery: when a watch's response was received,
-// otherwise when the call was made, less maxReplicaLag. A busy service may end a watch before it has processed the change that the
-// watch waits for. A response without a change then proves nothing, and the zero time is returned.
+// responseIncludesUntil returns the time up to which a response includes all changes of discovery: the time at which it was received
+// (for a watch) or called for (otherwise), minus maxReplicaLag. A busy service may end a watch before it has processed the change
+// that the watch waits for. A response without a change then proves nothing, and the zero time is returned.
 func (l *EndpointList) responseIncludesUntil(response *listResponse, changed bool) time.Time {
 	receivedAt := response.update.ReceivedAt
 	switch {
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -107,7 +107,7 @@
 }
 
 // recordAttemptStart updates the state for an attempt that has started. If more slots run at the worker than it was known to
-// have, its number of slots is raised. While that is unknown, 1/increment slots are assumed, so a single job raises nothing.
+// have, its number of slots is raised. While the number is unknown, 1/increment slots are assumed, so a single job raises nothing.
 func (s *Scheduler) recordAttemptStart(request *request, started *attempt) {
 	worker := started.worker
 	started.startedAt, worker.reattached = s.now, false
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -8,8 +8,8 @@
 	// typicalRuntimeShare is the runtime of a typical job as a share of its class's mean, which a few long jobs raise.
 	typicalRuntimeShare = 0.5
 
-	// maxExecutedShare is the share of cancelled jobs that workers execute nevertheless from which on late requests are no longer
-	// given up: their jobs would occupy the slots anyway, and their clients would retry.
+	// maxExecutedShare is an upper bound: late requests are given up only while workers execute a smaller share of the cancelled
+	// jobs. From this share on, the jobs of late requests would occupy the slots anyway, and their clients would retry.
 	maxExecutedShare = 0.5
 
 	// executedSharePrior is the share that is assumed before any report.
@@ -81,8 +81,9 @@
 //
 //	occupied = a x own + b x cancelled
 //
-// Own slots are in flight from this dispatcher, cancelled ones were recently cancelled by it. The factor a covers the other
-// dispatchers, which are assumed to send as many jobs each. If workers drop cancelled jobs, b is 0; if they execute all, b is a.
+// Own is the slots of this dispatcher's attempts in flight, cancelled the slots of the attempts that it recently cancelled. The
+// factor a covers the other dispatchers, which are assumed to send as many jobs each. If workers drop cancelled jobs, b is 0; if
+// they execute all, b is a.
 // The fields are the sums of products that the fit needs.
 type cancellationEstimate struct {
 	ownSquared             float64
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -9,7 +9,7 @@
 
 // TestCancellationEstimate_executedShare checks that the estimate finds from reports whether workers execute cancelled jobs, although
 // reports include the jobs of other dispatchers and cancellations are correlated with long queues. With few reports, or if most jobs
-// are those of other dispatchers, it stays below maxExecutedShare.
+// are sent by other dispatchers, it stays below maxExecutedShare.
 func TestCancellationEstimate_executedShare(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, test := range []struct {
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestDeadline_heavyJobWithAnyEstimate checks a job with 29 times the work of its class's usual one, with a right estimate, a wrong one
+// TestDeadline_heavyJobWithAnyEstimate checks a job with 29 times the usual work of its class, with a right estimate, a wrong one
 // or none: it gets one answer in time, it has no second attempt as it is not idempotent, and the logarithm of its class's usual
 // runtime changes by at most 0.1.
 func TestDeadline_heavyJobWithAnyEstimate(t *testing.T) {
--- a/scheduler/freshness.go
+++ b/scheduler/freshness.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Freshness: how old the endpoint list may be. A worker may have begun to drain after the list was read, and must get no requests
-// later than ListValidity after that. Once the list is older, a worker is probed before use: a draining worker answers a probe
-// with an error.
+// Freshness: how old the endpoint list may be. A worker may have begun to drain right after the list was read, so it must get no
+// requests later than ListValidity after the read. Once the list is older, a worker is probed before use: a draining worker
+// answers a probe with an error.
 
 const (
 	// failedProbeBackoff is the time after a failed probe in which the worker is not probed again before use.
--- a/scheduler/learnedstate_test.go
+++ b/scheduler/learnedstate_test.go
@@ -34,6 +34,6 @@
 		t.Errorf("expected the predecessor's values, got overcommit %v, class %+v, slots %v, slowdown %v", next.scheduler.overcommit, next.scheduler.classes[1], next.scheduler.estimatedSlots(same), next.scheduler.slowdown(same))
 	}
 	if restarted.slownessJobs != 0 || restarted.logSlownessSum != 0 {
-		t.Errorf("expected no slowness of a worker that has restarted, got that of %v jobs", restarted.slownessJobs)
+		t.Errorf("expected no slowness of a worker that has restarted, got the slowness of %v jobs", restarted.slownessJobs)
 	}
 }
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -139,8 +139,8 @@
 }
 
 // TestIdleLoss_byConnectionIdleTime checks that after a loss with an idle connection, connections that have been idle for at
-// least 4/5 as long are closed. The idle time of the connection counts, not that of the worker. An attempt that had started was
-// not lost that way.
+// least 4/5 as long are closed. The idle time of the connection counts, not the idle time of the worker. The loss of an attempt
+// that had started does not count.
 func TestIdleLoss_byConnectionIdleTime(t *testing.T) {
 	for _, test := range []struct {
 		idle    time.Duration
--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -75,8 +75,8 @@
 	return load*s.slowdown(worker) <= 1+max(s.overcommit, leastOvercommit)+tieTolerance
 }
 
-// reportOverdue reports whether the last report of a worker is too old to show its load, although reports come with outcomes.
-// Then only another attempt brings a report.
+// reportOverdue reports whether the last report of a worker is too old to show its load. Where reports are pulled it is false:
+// probes bring them. Otherwise only another attempt brings a report.
 func (s *Scheduler) reportOverdue(worker *worker) bool {
 	return !s.settings.ReportsPulled && s.now-worker.reportedAt > minSilence
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -90,8 +90,8 @@
 }
 
 // sendQueuedTo sends the queued requests that a worker can take now; with affinityWorkersOnly only those that go to one of their
-// affinity workers. If no worker can take a first attempt, the other first attempts are skipped. A retry is always tried, and if
-// no worker can take it the others are tried nevertheless: it may go to fewer workers than they.
+// affinity workers. If no worker can take a first attempt, the other first attempts are skipped. A retry is always tried. If no
+// worker can take it, the other requests are still tried, because a retry may go to fewer workers than a first attempt.
 func (s *Scheduler) sendQueuedTo(affinityWorkersOnly bool) {
 	full := false
 	s.queued = slices.DeleteFunc(s.queued, func(request *request) bool {
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -8,7 +8,8 @@
 
 // permitted reports whether request may be sent to worker, regardless of the load. All of these must hold:
 //
-//   - The worker is listed as ready and not detached. If no such worker can run the request, one whose return is unconfirmed will do.
+//   - The worker is listed as ready and not detached. If no such worker can run the request, a worker whose return is
+//     unconfirmed is permitted.
 //   - The worker is of the machine kind of the request's class and in an allowed zone.
 //   - The request has attempts left.
 //   - If an earlier attempt may have executed, the request is idempotent or has an idempotency key. With a key the worker must be
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -93,8 +93,8 @@
 	s.probeSubset()
 }
 
-// reviewWorkers counts, for each worker, the own attempts that have not started in time, and those that run for longer than
-// usual: they show a slow worker before they end. It also detects silent workers.
+// reviewWorkers counts, for each worker, the own attempts that have not started in time, and the own attempts that run for longer
+// than usual, which show a slow worker before they end. It also detects silent workers.
 func (s *Scheduler) reviewWorkers() {
 	for _, worker := range s.workers {
 		worker.delayedStarts, worker.runningSlownessSum, worker.runningSlownessJobs = 0, 0, 0
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -77,7 +77,7 @@
 	detached               map[WorkerID]bool // by the operator, whether or not a list has named them
 	listAsOf               Instant           // the endpoint list includes all changes up to this time
 	availableCount         int               // number of ready workers that are not detached
-	totalWeight            float64           // of these workers
+	totalWeight            float64           // sum of their weights
 	reportAttemptsInFlight int               // number of attempts in flight with forOverdueReport
 
 	// The candidates.
@@ -94,7 +94,7 @@
 	// The requests.
 	requests          map[RequestID]*request
 	requestsByArrival []*request
-	queued            []*request // those that wait for a worker
+	queued            []*request // requests that wait for a worker
 	lastSequence      int
 
 	// What was learned.
@@ -113,7 +113,7 @@
 	logSlownessByKind   map[int]float64       // mean logSlowness of a machine kind
 	slotsByKind         map[int]float64       // the most slots seen at a worker of a machine kind
 	roundTripTimes      map[int]time.Duration // by zone: the least time from send to start
-	shortestIdleLoss    time.Duration         // after which a connection was lost recently; 0 for none
+	shortestIdleLoss    time.Duration         // idle time of a connection lost recently; 0 for none
 	idleLossAt          Instant               // when an idle connection was last lost
 	firstEventAt        Instant
 	lastArrivalAt       Instant
@@ -197,5 +197,5 @@
 	}
 }
 
-// emit adds an action to those of the current event.
+// emit adds an action to the actions of the current event.
 func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -15,7 +15,7 @@
 // DeduplicationScope is the group of workers within which repeats of a request with an idempotency key are dropped.
 type DeduplicationScope uint8
 
-// The scopes: all workers, those of one zone, those of one cell.
+// The scopes: all workers, the workers of one zone, the workers of one cell.
 const (
 	ScopeAll DeduplicationScope = iota
 	ScopeZone
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -93,8 +93,8 @@
 }
 
 // cautiousMeanWork returns an upper estimate of the mean work of a job, in slot-seconds: the mean with a prior, times
-// meanErrorFactor. The prior is needed because short jobs end first, so that the first means are too low. It follows from the
-// first class for jobs of all classes: all classes share the workers, and the mean is not measured by class.
+// meanErrorFactor. The prior is needed because short jobs end first, so that the first means are too low. For all classes it
+// follows from the latency objective of the first one: all classes share the workers, and the mean is not measured by class.
 func (s *Scheduler) cautiousMeanWork() float64 {
 	served := float64(s.servedJobs)
 	prior := priorWorkJobs * priorWorkPerObjective * cmp.Or(s.settings.Classes[0].LatencyObjective.Seconds(), 1)
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -14,7 +14,7 @@
 
 // TestSlowStartBudget_anyFleet draws fleets of up to thirty dispatchers with uneven load. In some of them seven in ten
 // dispatchers are killed and restarted without learned state. It checks that within any overload window a warming worker gets at
-// most N + 2 x root of N + 2 jobs, where N is the number that the settings allow it and the rest is a margin for chance.
+// most N + 2 x sqrt(N) + 2 jobs, where N is the number that the settings allow it and the rest is a margin for chance.
 func TestSlowStartBudget_anyFleet(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		fleet := warmingFleet{dispatchers: rapid.IntRange(1, 30).Draw(t, "dispatchers"), slots: float64(rapid.IntRange(2, 8).Draw(t, "slots")),
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -21,7 +21,7 @@
 	// The load by the last report, as a share of the worker.
 	reportedAt      Instant // 0 for never
 	reportedLoad    float64
-	othersLoad      float64 // of other dispatchers: the reported load less the own slots of that time
+	othersLoad      float64 // of other dispatchers: the reported load minus the own slots of that time
 	meanOthersLoad  float64 // over othersLoadWindow
 	lastProbeReport Report
 	fullUntil       Instant // it rejected an attempt as full: until then its load value is at least 1
@@ -51,7 +51,7 @@
 	runningSlownessSum  float64 // over jobs that run for longer than usual, as of the last review
 	runningSlownessJobs float64
 
-	lastSignal           Instant // last sign of life, or first send after none was in flight
+	lastSignal           Instant // last sign of life, or first send while nothing was in flight
 	lastUsed             Instant // last send or sign of life
 	nextProbeAt          Instant // of the regular probes; 0 for not yet chosen
 	probeInFlight        bool
