--- a/internal/decisions/cachetrust/cachetrust.go
+++ b/internal/decisions/cachetrust/cachetrust.go
@@ -17,10 +17,10 @@
 //     worker that does not answer is probed again after delays that double from MinProbeRetryDelay to MaxProbeRetryDelay; no worker
 //     has two probes in flight.
 //  7. A list of discovery is in force at once, with one exception. A first full list must be confirmed if some Responsive or Verified
-//     worker is missing from it, and if it also has no ready workers, fewer than Rules.MinFirstListShare times those of the cached
-//     list, or a lower revision than the cached list. Its states are in force at once, but the missing workers are retained until a
-//     second full list, received ConfirmationDelay later or more, confirms it, and for MaxRetention at most. An empty second list
-//     confirms nothing: a deployment without workers has no jobs either.
+//     worker is missing from it, and if it also has no ready workers, fewer ready workers than Rules.MinFirstListShare times the
+//     number in the cached list, or a lower revision than the cached list. Its states are in force at once, but the missing workers
+//     are retained until a second full list, received ConfirmationDelay later or more, confirms it, and for MaxRetention at most. An
+//     empty second list confirms nothing: a deployment without workers has no jobs either.
 //  8. If discovery lists a worker with the start that it had in the cached list, it is the same incarnation, and what was learned of
 //     it stays valid. A later start is a new incarnation.
 package cachetrust
--- a/internal/decisions/configversions/dispatcher.go
+++ b/internal/decisions/configversions/dispatcher.go
@@ -7,7 +7,7 @@
 	Name                string `json:"name"`
 	Instance            string `json:"instance"`     // random ID of the process, drawn at its start
 	AcknowledgedVersion uint64 `json:"acknowledged"` // see Lessee.Acknowledged
-	MessageFormat       int    `json:"form"`         // the newest one that it can read
+	MessageFormat       int    `json:"form"`         // the newest message format that it can read
 	Epoch               uint64 `json:"era,omitempty"`
 	Address             string `json:"address,omitempty"`
 	Region              string `json:"region,omitempty"`
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -437,7 +437,8 @@
 }
 
 // TestTable_unknownWorkerInListOfOtherService guards against a worker that had left before this process knew it, and that a stale list of
-// another service shows as ready: the full list of the service before, without it, is as good a notice of its end as one that ended it.
+// another service shows as ready. An earlier full list of the previous service that lacks the worker is as good a notice that it is
+// gone as a list that removes it.
 func TestTable_unknownWorkerInListOfOtherService(t *testing.T) {
 	var known Table
 	respond := func(service string, revision int64, calledAt time.Duration, endpoints ...Endpoint) Changes {
--- a/internal/decisions/failover/doc.go
+++ b/internal/decisions/failover/doc.go
@@ -9,7 +9,7 @@
 //     A warming-up worker counts with its current capacity. Work that exceeds the capacity is shed in the zone where it arrives,
 //     the smallest weight first.
 //  2. Proximity: of all plans that serve the same weight of work, the target is one that sends the least work out of its region,
-//     and of those one that sends the least out of its zone.
+//     and of these plans one that sends the least work out of its zone.
 //  3. Stability: a fault that ends within Settings.DetectionTime changes nothing. Shares change by at most
 //     Settings.MaxShiftPerSecond, except that excluded routes and overloaded zones are avoided at once. A lost zone that recovers
 //     regains its capacity over Settings.RecoveryRamp. An excluded route is restored after it has worked for a time that doubles
--- a/internal/decisions/failover/planner.go
+++ b/internal/decisions/failover/planner.go
@@ -16,7 +16,8 @@
 	// minShareChange is the change of a share from which another plan is made if none is urgent.
 	minShareChange = 0.02
 
-	// maxPlanCooldown limits the minimum time between a plan and the next one that is not urgent, which is Settings.DetectionTime.
+	// maxPlanCooldown is the upper bound of the time between a plan and the next plan that is not urgent. If Settings.DetectionTime is
+	// shorter, it is that time.
 	maxPlanCooldown = 5 * time.Second
 
 	// maxShiftTime is the longest time for which Settings.MaxShiftPerSecond accumulates.
--- a/internal/decisions/failover/solve.go
+++ b/internal/decisions/failover/solve.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// The cost, in addition to the distance, of a slot of work that leaves its zone but not its region, and of one that leaves its region.
+// The cost, in addition to the distance, of a slot of work: zoneCrossingCost if the work leaves its zone but not its region,
+// regionCrossingCost if it leaves its region.
 // A crossing of zones outweighs any distance, and a crossing of regions outweighs any number of crossings within regions.
 const (
 	zoneCrossingCost   = 1e3
--- a/internal/decisions/gossippeers/fleetmodel_test.go
+++ b/internal/decisions/gossippeers/fleetmodel_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// gossip passes all that a dispatcher knows to its known peers, and removes those that it does not reach.
+// gossip passes all that a dispatcher knows to its known peers, and removes the peers that it does not reach.
 func (m *fleetModel) gossip(dispatcher *dispatcherModel) {
 	for _, name := range slices.Sorted(maps.Keys(dispatcher.knows)) {
 		if name == dispatcher.Name {
--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -75,7 +75,7 @@
 		return 0
 	}
 	age := min(newest-stamp, l.SinceLastList)
-	if l.Wall >= newest { // a wall clock that is earlier than a stamp says nothing of the age
+	if l.Wall >= newest { // a wall clock that is earlier than a stamp says nothing about the age
 		age = min(age, l.Wall-stamp)
 	}
 	return age
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -41,7 +41,7 @@
 // CallStale and CallFailed when a call to the current service ends.
 type Schedule struct {
 	notificationDue time.Time // when a change that has not been received may count as notified
-	lastListAt      time.Time // when a list was last received, from the current service or one that was used before a move
+	lastListAt      time.Time // when a list was last received, from the current service or a service used before a move
 	lastMoveAt      time.Time // when discovery last moved; zero for never
 
 	nextCallAt time.Time // zero until Start
@@ -77,10 +77,10 @@
 	}
 }
 
-// PollAt makes the next call due at a time, as one that does not wait for a change.
+// PollAt makes the next call due at a time, as a call that does not wait for a change (Poll).
 func (s *Schedule) PollAt(at time.Time) { s.nextCallAt, s.nextKind = at, Poll }
 
-// PollNow makes a call due now, unless one that does not wait is due already.
+// PollNow makes a call due now, unless a call that does not wait for a change is due already.
 func (s *Schedule) PollNow(now time.Time) {
 	if !s.nextCallAt.IsZero() && (s.nextKind == Watch || now.Before(s.nextCallAt)) {
 		s.PollAt(now)
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -273,7 +273,7 @@
 }
 
 // TestSchedule_longestWithoutResponseFirst checks guarantee 8: of two dispatchers that a busy service rejects, the one without a response
-// for 4 s calls at least twice as often as the one that has just received one.
+// for 4 s calls at least twice as often as the dispatcher that has just received one.
 func TestSchedule_longestWithoutResponseFirst(t *testing.T) {
 	rules := Rules{Dispatchers: 6}
 	start := time.Unix(1e9, 0)
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// TestRun_zones runs members of two zones and one that gossips with the whole fleet. It checks that a member that exchanged with a peer
-// lists all peers of its zone and no other member, that one exchange joins two separate parts of a zone, and that only its peers list a
+// TestRun_zones runs members of two zones and a member that gossips with the whole fleet. It checks that a member that exchanged with a
+// peer lists all peers of its zone and no other member, that one exchange joins two separate parts of a zone, and that only its peers list a
 // killed member as Gone.
 func TestRun_zones(t *testing.T) {
 	t.Parallel()
--- a/internal/program/dispatcher.go
+++ b/internal/program/dispatcher.go
@@ -15,8 +15,8 @@
 	"brassdale/scheduler"
 )
 
-// dispatcher holds the parts of the process. Its fields do not change once build has returned, except for those with a lock or an
-// owner of their own.
+// dispatcher holds the parts of the process. Its fields do not change once build has returned, with two exceptions: fields with a lock
+// or an owner of their own, and relayServer and relayPath, which takeOver sets before serve is called.
 type dispatcher struct {
 	log              *slog.Logger
 	settings         *protocol.LiveSettings
--- a/internal/program/peer.go
+++ b/internal/program/peer.go
@@ -50,8 +50,8 @@
 	peer.Notify(protocol.HandoverMessage{AnswerTo: message.QuestionID, Yes: err == nil})
 }
 
-// serveRelayed serves the callers that the peer process relays because their idempotency key is that of a job in this process. Only
-// the peer process counts them against quotas.
+// serveRelayed serves the callers that the peer process relays because a job in this process has their idempotency key. Only the peer
+// process counts them against quotas.
 func (d *dispatcher) serveRelayed() {
 	if d.idempotencyTable == nil {
 		return
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -124,9 +124,9 @@
 	go d.reportUsage(peer)
 }
 
-// reportUsage reports to the successor what this process uses of the limits of both, whenever that has changed. While a frontend has
-// more than half of the connections of both, it closes those that have sent nothing: a crowd of them would leave the successor no
-// capacity. It returns when the successor ends.
+// reportUsage reports to the successor how much this process uses of the limits of both, whenever that has changed. While a frontend
+// has more than half of the connections of both, it closes its connections that have sent nothing, because many of them would leave
+// the successor no capacity. It returns when the successor ends.
 func (d *dispatcher) reportUsage(peer *transport.PeerProcess) {
 	ticker := time.NewTicker(usageReportInterval)
 	defer ticker.Stop()
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -161,7 +161,7 @@
 	return 0
 }
 
-// selectHeaders returns the forwardedHeaders of a request, without those that have a value that is not plain.
+// selectHeaders returns the forwardedHeaders of a request, without headers that have a value that is not plain.
 func selectHeaders(header http.Header) http.Header {
 	selected := http.Header{}
 	for _, field := range forwardedHeaders {
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -88,7 +88,7 @@
 	classNumbers []int // the scheduler's number of each of Classes
 }
 
-// ListsPushed reports whether lists are pushed: the address of discovery is then that of an agent on this machine.
+// ListsPushed reports whether lists are pushed: the address of discovery is then the address of an agent on this machine.
 func (s *Settings) ListsPushed() bool { return s.Discovery == listsPushed }
 
 // Class returns the index in Classes of the class with this name, and whether there is one.
--- a/internal/transport/sendchecks.go
+++ b/internal/transport/sendchecks.go
@@ -4,7 +4,7 @@
 
 // An attempt may have waited for its connection, so all reasons against sending it are checked when a connection is assigned to it
 // (reasonNotToSend). Just before the write, the exchange's own goroutine checks the cancellation, the client and the time limits again
-// (mustNotWrite and workerExchange.writeBy). If a check fails, the attempt ends as scheduler.NeverSent, and nothing of it is written.
+// (mustNotWrite and workerExchange.writeBy). If a check fails, the attempt ends as scheduler.NeverSent, and none of its bytes are written.
 
 // The reasons why an attempt is not sent, as logged. SendBy is the earlier of the end of a retry's
 // deduplication window and the time at which the endpoint list is too old for an attempt.
