--- a/cmd/brassdale-lab/scale.go
+++ b/cmd/brassdale-lab/scale.go
@@ -112,7 +112,7 @@
 	if o.keepLogs {
 		options.LogDir = filepath.Join(pointDir, "logs")
 	}
-	result, err := scale.Play(command.Context(), point.Plan, options)
+	result, err := scale.Run(command.Context(), point.Plan, options)
 	if err = errors.Join(err, command.Context().Err()); err != nil {
 		return err
 	}
--- a/cmd/brassdale-lab/scalecompare.go
+++ b/cmd/brassdale-lab/scalecompare.go
@@ -27,7 +27,7 @@
 	for round := range compareRounds {
 		for kindIndex, kind := range []string{"real", "hollow"} {
 			name := fmt.Sprintf("%s-%d", kind, round+1)
-			result, err := scale.Play(command.Context(), plans[kindIndex], options)
+			result, err := scale.Run(command.Context(), plans[kindIndex], options)
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -2,7 +2,7 @@
 // measures what control costs them. Control is all traffic and work by which dispatchers learn of workers and agree on config versions. Jobs and
 // probes of workers are not part of it.
 //
-// A scale run executes one Plan in real time, with everything on loopback. Play starts and ends these parts:
+// A scale run executes one Plan in real time, with everything on loopback. Run starts and ends these parts:
 //
 //   - Workers and discovery, by package emulator.
 //   - Real dispatchers: processes of the dispatcher's program, with jobs. Some may be dedicated to control (set_aside in files): they get no
--- a/internal/scale/faultcost_test.go
+++ b/internal/scale/faultcost_test.go
@@ -63,7 +63,7 @@
 	for _, p := range all {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			r, err := Play(t.Context(), p.Plan, options(t))
+			r, err := Run(t.Context(), p.Plan, options(t))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scale/interface_test.go
+++ b/internal/scale/interface_test.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Play(t.Context(), p, options(t))
+			r, err := Run(t.Context(), p, options(t))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -58,9 +58,9 @@
 	snapshotInterval  = time.Second            // in runs with a fault
 )
 
-// Play executes a plan in real time and returns its result, even if rules were broken. The error says why the run was not completed. Play ends
+// Run executes a plan in real time and returns its result, even if rules were broken. The error says why the run was not completed. Run ends
 // all processes that it started.
-func Play(ctx context.Context, plan Plan, options Options) (*Result, error) {
+func Run(ctx context.Context, plan Plan, options Options) (*Result, error) {
 	directory, err := os.MkdirTemp("", "scale-") // a short path, for the dispatchers' Unix sockets
 	if err != nil {
 		return nil, err
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -96,7 +96,7 @@
 	var wait sync.WaitGroup
 	for i, p := range all {
 		wait.Go(func() {
-			r, err := Play(t.Context(), p.Plan, options(t))
+			r, err := Run(t.Context(), p.Plan, options(t))
 			if err != nil {
 				t.Error(err)
 				return
