--- a/internal/decisions/budgetleases/lessor.go
+++ b/internal/decisions/budgetleases/lessor.go
@@ -11,8 +11,7 @@
 	// of which requests several grants per second.
 	allocationInterval = 50 * time.Millisecond
 
-	// demandHeadroom times its demand is the maximum rate that a lessee is granted. The margin covers demand that rises until the
-	// next renewal.
+	// A lessee is granted at most demandHeadroom times its demand. The margin covers demand that rises until the next renewal.
 	demandHeadroom = 1.25
 )
 
@@ -62,7 +61,7 @@
 	return l.settings.LeaseDuration + time.Duration(MaxClockDrift*float64(l.settings.LeaseDuration))
 }
 
-// expire removes expired grants, and lessees that have none and have not requested one for a lease duration.
+// expire removes expired grants. It also removes lessees that have no grant left and have not requested one for a lease duration.
 func (l *Lessor) expire(now Instant) {
 	maps.DeleteFunc(l.lessees, func(_ string, lessee *lesseeState) bool {
 		lessee.grants = slices.DeleteFunc(lessee.grants, func(g grant) bool { return now >= g.expiry })
--- a/internal/decisions/canary/evaluation.go
+++ b/internal/decisions/canary/evaluation.go
@@ -9,7 +9,7 @@
 	// minCanaryJobs is the number of jobs that the canary must have ended before its failure rate counts.
 	minCanaryJobs = 50
 
-	// maxDurationFactor times Rollout.MinDuration is how long an evaluation waits for minCanaryJobs.
+	// The canary fails if it has ended fewer than minCanaryJobs jobs after maxDurationFactor times Rollout.MinDuration.
 	maxDurationFactor = 3
 
 	// A canary fails if the difference of both failure rates exceeds Rollout.FailureMargin by more than standardErrors standard
--- a/internal/decisions/failover/planner.go
+++ b/internal/decisions/failover/planner.go
@@ -13,10 +13,10 @@
 	// maxElapsed is the longest time that the planner assumes to have passed between two calls of Next.
 	maxElapsed = 5 * time.Second
 
-	// minShareChange is the change of a share from which another plan is made if none is urgent.
+	// A plan that is not urgent is made only if a share is to change by minShareChange or more.
 	minShareChange = 0.02
 
-	// maxPlanCooldown limits the minimum time between a plan and the next one that is not urgent, which is Settings.DetectionTime.
+	// The minimum time between a plan and a next plan that is not urgent is Settings.DetectionTime, but at most maxPlanCooldown.
 	maxPlanCooldown = 5 * time.Second
 
 	// maxShiftTime is the longest time for which Settings.MaxShiftPerSecond accumulates.
--- a/internal/decisions/failover/route.go
+++ b/internal/decisions/failover/route.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// maxRelapseDoublings limits how often the time after which an excluded route is restored doubles.
+	// The time after which an excluded route is restored doubles with each exclusion, at most maxRelapseDoublings times.
 	maxRelapseDoublings = 3
 
 	// The past exclusions of a route are forgotten once it has been restored for longer than minRouteRetention and longer than
--- a/internal/decisions/failover/verdicts.go
+++ b/internal/decisions/failover/verdicts.go
@@ -18,7 +18,7 @@
 	minCapacityFactor = 0.1
 	capacityRecovery  = 0.05
 
-	// lossRetentionRamps times Settings.RecoveryRamp is how long after its recovery the loss of a zone is remembered.
+	// The loss of a zone is remembered for lossRetentionRamps times Settings.RecoveryRamp after the zone's recovery.
 	lossRetentionRamps = 2
 
 	// minRecoveryShare is the share of its capacity that a zone has as soon as it recovers.
--- a/internal/decisions/gossippeers/directory.go
+++ b/internal/decisions/gossippeers/directory.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// Suggest returns peers for a dispatcher, where known is the digest of itself and the peers that it knows. It returns nil if that
-// equals the digest of the zone's lease holders, or if neither has a second dispatcher. The position from which peers are taken varies
-// between calls, so that a dispatcher that asks again and again is suggested each of them.
+// Suggest returns peers for a dispatcher. known is the digest of the dispatcher and the peers that it knows. Suggest returns nil if known
+// equals the digest of the zone's lease holders, or if both count fewer than two dispatchers. The position from which peers are taken
+// varies between calls, so that a dispatcher that asks again and again is suggested each of them.
 func (d *Directory) Suggest(dispatcher LeaseHolder, known Digest) *PeerSuggestion {
 	zone := d.zones[zoneKey{dispatcher.Region, dispatcher.Zone}]
 	if zone == nil || zone.digest == known || len(zone.members) < 2 && known.Count < 2 {
--- a/internal/decisions/http2limits/conn.go
+++ b/internal/decisions/http2limits/conn.go
@@ -125,9 +125,9 @@
 func (c *Conn) spend(now time.Duration, reason CloseReason) {
 	if now > c.spentAt || c.answeredStreams > 0 {
 		elapsed := (now - c.spentAt).Seconds()
-		for of, spent := range c.spent {
-			budget := frameBudgets[of]
-			c.spent[of] = max(spent-budget.rate*elapsed-budget.answerCredit*c.answeredStreams, 0)
+		for each, spent := range c.spent {
+			budget := frameBudgets[each]
+			c.spent[each] = max(spent-budget.rate*elapsed-budget.answerCredit*c.answeredStreams, 0)
 		}
 		c.spentAt, c.answeredStreams = max(now, c.spentAt), 0
 	}
--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -68,8 +68,8 @@
 	return startedAt
 }
 
-// estimatedAge returns how long ago a worker is taken to have started whose stamp has not been received before. newest is the newest
-// stamp in the same list.
+// estimatedAge returns the assumed time since the start of a worker, for a stamp that has not been received before. newest is the
+// newest stamp in the same list.
 func (l ListTime) estimatedAge(stamp, newest scheduler.Instant) time.Duration {
 	if l.SinceLastList < MaxListGap {
 		return 0
--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -27,8 +27,8 @@
 	maxBackoff           = 2 * time.Second
 	minBackoffFraction   = 0.4
 
-	// overdueIntervalPerDispatcher times the number of dispatchers, at most maxOverdueInterval, is the time between the beginnings of
-	// calls once a change may count as notified.
+	// Once a change may count as notified, calls begin overdueIntervalPerDispatcher times the number of dispatchers apart, but at most
+	// maxOverdueInterval.
 	overdueIntervalPerDispatcher = 800 * time.Millisecond
 	maxOverdueInterval           = 5 * time.Second
 )
@@ -62,7 +62,7 @@
 	}
 }
 
-// watchAt makes the next call due at a time, as one of a watch.
+// watchAt makes the next call due at a time, as a call that continues a watch.
 func (s *Schedule) watchAt(at time.Time) { s.nextCallAt, s.nextKind = at, Watch }
 
 // CallStale records that a call returned a list that is not newer than the known one. NotificationDeadline runs on as if the call
--- a/internal/decisions/voters/change.go
+++ b/internal/decisions/voters/change.go
@@ -1,6 +1,7 @@
 package voters
 
-// Change is one change of the raft group. Either AddLearner, TransferLeadership, or Remove with or without Promote is set.
+// Change is one change of the raft group. Exactly one of AddLearner, Remove and TransferLeadership is set. Promote
+// may be set together with Remove.
 type Change struct {
 	AddLearner         *Voter // joins the group as a learner
 	Promote            uint64 // ID of a learner that votes from now on, in place of the voter Remove
--- a/internal/decisions/voters/planchange.go
+++ b/internal/decisions/voters/planchange.go
@@ -10,7 +10,7 @@
 	// maxEntriesBehind is the maximum number of log entries that a voter or learner may lack to count as caught up.
 	maxEntriesBehind = 64
 
-	// The maximum silence divided by presentDivisor is the time after which a voter no longer counts as present. A present voter
+	// A voter that has been silent for the maximum silence divided by presentDivisor no longer counts as present. A present voter
 	// sends the leader several messages per second.
 	presentDivisor = 4
 )
--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -96,8 +96,8 @@
 	return a.scenario.Traffic.effectiveClasses()[0]
 }
 
-// answered checks a final answer. It must be the only one. A rejection promises the client that a retry is harmless, so it is permitted
-// only if no attempt may have executed or if the class makes repeats harmless.
+// answered checks a final answer. It must be the only one. A client may assume that a retry after a rejection is harmless. So a
+// rejection is permitted only if no attempt may have executed or if the class makes repeats harmless.
 func (a *auditor) answered(now time.Duration, request uint64, rejected bool) {
 	audited := a.historyOf(request)
 	if class := a.classOf(audited); rejected && !class.repeatHarmless() {
--- a/internal/fleet/effective.go
+++ b/internal/fleet/effective.go
@@ -60,7 +60,7 @@
 	a.applyPlanLocked(effective.LeaseExpired)
 }
 
-// applyPlanLocked calls PlanChanged if the number of the plan has changed or the plan's expiry has. a.mu is held.
+// applyPlanLocked calls PlanChanged if the plan's number has changed, or if the plan has expired or is valid again. a.mu is held.
 func (a *Agent) applyPlanLocked(leaseExpired bool) {
 	if !a.planningEnabled() {
 		return
--- a/internal/fleet/leaserequest.go
+++ b/internal/fleet/leaserequest.go
@@ -29,8 +29,8 @@
 // valid reports whether the request names the dispatcher and its instance.
 func (r leaseRequest) valid() bool { return r.Name != "" && r.Instance != "" }
 
-// meterRequests counts the reports and the budget demands in requests as traffic of their own kinds: as sent at the sender, else
-// as received.
+// meterRequests counts the reports and the budget demands in requests as traffic of their own kinds: as sent if sent is
+// true, otherwise as received.
 func meterRequests(meter *traffic.Meter, sent bool, requests ...leaseRequest) {
 	for _, request := range requests {
 		meterPart(meter, sent, traffic.Report, len(request.Report))
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -20,7 +20,7 @@
 	// ApplyEffective is called with the effective rules whenever they change.
 	ApplyEffective func(configversions.Effective)
 	// JobCounts returns how many jobs have ended since the start, and how many of these were rejected or failed. Nil for none.
-	JobCounts func() (ended, bad uint64)
+	JobCounts func() (ended, failed uint64)
 
 	// Overload has the budgets of the fleet; nil if it has none.
 	Overload *Overload
--- a/internal/inject/inject.go
+++ b/internal/inject/inject.go
@@ -27,7 +27,7 @@
 	"nanosleep": unix.SYS_NANOSLEEP, "getsockopt": unix.SYS_GETSOCKOPT,
 }
 
-// short stands in place of an error name in a rule for a short read or write.
+// short is used in a rule in place of an error name. It causes a short read or write.
 const short = "short"
 
 // ParseRules parses rules of the form call=ERRNO:one-in, separated by commas. For read and write, ERRNO may be the word short.
--- a/internal/program/fleetagent.go
+++ b/internal/program/fleetagent.go
@@ -14,7 +14,7 @@
 	"brassdale/scheduler"
 )
 
-// noRetryBound stands for a retry ratio without a bound.
+// noRetryBound is the retry ratio that means no bound.
 const noRetryBound = -1
 
 // fleetAgent runs the fleet's agent and applies the fleet's rules to this dispatcher. If its own operators have set a limit too, the
--- a/internal/program/predecessor.go
+++ b/internal/program/predecessor.go
@@ -57,8 +57,8 @@
 // hasConfirmedList reports whether the predecessor handed over an endpoint list that discovery confirmed.
 func (p *predecessor) hasConfirmedList() bool { return p != nil && !p.handover.ListUnconfirmed }
 
-// listener returns the listener of a frontend: the predecessor's, with the clients that wait in its queue, if that has the address,
-// else a new one.
+// listener returns the listener of a frontend. If the predecessor's listener has the address, it is used, with the clients that wait in
+// its queue; otherwise a new one is opened.
 func (p *predecessor) listener(name, address string) (*net.TCPListener, error) {
 	if p == nil || p.listeners[name] == nil {
 		return transport.Listen(address)
--- a/internal/scale/countingproxy.go
+++ b/internal/scale/countingproxy.go
@@ -8,7 +8,7 @@
 	"brassdale/internal/traffic"
 )
 
-// countingProxy forwards connections to a target and counts their bytes. It stands between a link and the link's target, as links do not count.
+// countingProxy forwards connections to a target and counts their bytes. It is placed between a link and the link's target, as links do not count.
 type countingProxy struct {
 	listener net.Listener
 	target   string
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -139,7 +139,7 @@
 	line, _ := bufio.NewReader(stdout).ReadString('\n') // after an error the line is empty or incomplete, and start fails
 	address <- strings.TrimSpace(line)
 	_, _ = io.Copy(io.Discard, stdout) // the output ends with the process
-	_ = p.command.Wait()               // the log tells how it ended
+	_ = p.command.Wait()               // the log shows how it ended
 }
 
 // kill kills the process and waits for its end.
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -23,7 +23,7 @@
 const (
 	RuleLost      = "lost"      // one final answer in time, and no attempt for a client that has left
 	RuleDuplicate = "duplicate" // retries and hedged attempts only as the class allows
-	RuleRejected  = "refused"   // a rejection promises that nothing ran
+	RuleRejected  = "refused"   // a rejection means that nothing ran
 	RuleDrain     = "drain"     // no new attempt at a draining worker after the grace period
 	RuleSlowStart = "failback"  // no overload of a warming worker
 	RuleDeadline  = "deadline"  // a worker's timeout is no longer than the client's remaining time
--- a/internal/transport/accountquotas.go
+++ b/internal/transport/accountquotas.go
@@ -60,7 +60,7 @@
 	q.applySettings()
 }
 
-// CapQuotas limits each account in caps to its share there, if the settings give it more. The caps replace all earlier ones.
+// CapQuotas limits the share of each account in caps to the account's cap, and raises no share. The caps replace all earlier ones.
 func (q *AccountQuotas) CapQuotas(caps map[string]float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/transport/attemptqueue.go
+++ b/internal/transport/attemptqueue.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// takeWithoutDial removes and returns an exchange that no dial in progress will serve, after the dial for preferred has given no
-// usable connection. It is preferred, if preferred still waits. Otherwise, if more exchanges wait than dials are in progress, it
-// is the exchange that has waited longest. The result is nil if there is none.
+// takeWithoutDial removes and returns an exchange that no dial in progress will serve; nil if there is none. It is called when the
+// dial for preferred has given no usable connection. If preferred still waits, it returns preferred. Otherwise, if more exchanges
+// wait than dials are in progress, it returns the exchange that has waited longest.
 func (e *endpoint) takeWithoutDial(preferred *workerExchange) *workerExchange {
 	i := slices.Index(e.waitingForDial, preferred)
 	if i < 0 && len(e.waitingForDial) > e.dialing {
--- a/internal/transport/eventstream.go
+++ b/internal/transport/eventstream.go
@@ -27,7 +27,7 @@
 			writeAnswer(w, *answer)
 			return true, true
 		}
-		if len(events) > 0 || seen > 0 && !out.headWritten { // the response head tells a resuming client that the job goes on
+		if len(events) > 0 || seen > 0 && !out.headWritten { // the response head shows a resuming client that the job goes on
 			if err := out.send(events); err != nil {
 				return false, true
 			}
