--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -10,8 +10,8 @@
 	maxUselessDoublings = 6
 	uselessResetAfter   = 10 * time.Second
 
-	// maxBusyDelay is how much later, at most, a dispatcher with a recent list begins a new watch at a busy service. A call after a move
-	// is delayed by up to a half of it.
+	// At a busy service, a dispatcher with a recent list delays a new watch by at most maxBusyDelay. A call after a move is delayed by at
+	// most half of it.
 	maxBusyDelay = time.Second
 
 	// freshListAge is the age up to which a list counts as recent after a move.
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -22,7 +22,7 @@
 	overlapSpreadPerDispatcher = 200 * time.Millisecond
 	maxOverlapSpread           = 1200 * time.Millisecond
 
-	// maxPromptAgentCalls is how many calls without a response are made to an agent before further ones are made agentRetryDelay apart.
+	// After maxPromptAgentCalls calls to an agent without a response, further calls are made agentRetryDelay apart.
 	maxPromptAgentCalls = 4
 	agentRetryDelay     = 100 * time.Millisecond
 
--- a/internal/transport/requestframing.go
+++ b/internal/transport/requestframing.go
@@ -6,10 +6,10 @@
 )
 
 // requestFraming follows the bytes of a connection from request to request. It rejects heads that make the start of the next
-// request ambiguous (request smuggling, RFC 9112, section 11.2): heads with both Content-Length and Transfer-Encoding, of which
-// net/http silently drops the former, with folded lines, or with a length that is not a number. The line of a rejected head is
-// made malformed, so that net/http answers it with 400 and closes the connection, after the answers to earlier requests. It is
-// owned by the goroutine that reads the connection; the zero value awaits a first request.
+// request ambiguous (request smuggling, RFC 9112, section 11.2): heads with both Content-Length and Transfer-Encoding (net/http
+// silently drops Content-Length), with folded lines, or with a length that is not a number. The line of a rejected head is made
+// malformed, so that net/http answers it with 400 and closes the connection, after the answers to earlier requests. requestFraming
+// is owned by the goroutine that reads the connection; the zero value awaits a first request.
 type requestFraming struct {
 	position            framingPosition
 	linePrefix          []byte // the current line of the head, up to maxLinePrefix bytes
