--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -10,8 +10,8 @@
 	maxUselessDoublings = 6
 	uselessResetAfter   = 10 * time.Second
 
-	// maxBusyDelay is how much later, at most, a dispatcher with a recent list begins a new watch at a busy service. A call after a move
-	// is delayed by up to a half of it.
+	// At a busy service, a dispatcher with a recent list delays a new watch by at most maxBusyDelay. A call after a move is delayed by at
+	// most half of it.
 	maxBusyDelay = time.Second
 
 	// freshListAge is the age up to which a list counts as recent after a move.
@@ -27,8 +27,8 @@
 	maxBackoff           = 2 * time.Second
 	minBackoffFraction   = 0.4
 
-	// overdueIntervalPerDispatcher times the number of dispatchers, at most maxOverdueInterval, is the time between the beginnings of
-	// calls once a change may count as notified.
+	// Once a change may count as notified, calls begin overdueIntervalPerDispatcher times the number of dispatchers apart, but at most
+	// maxOverdueInterval.
 	overdueIntervalPerDispatcher = 800 * time.Millisecond
 	maxOverdueInterval           = 5 * time.Second
 )
@@ -62,7 +62,7 @@
 	}
 }
 
-// watchAt makes the next call due at a time, as one of a watch.
+// watchAt makes the next call due at a time, as a call that continues a watch.
 func (s *Schedule) watchAt(at time.Time) { s.nextCallAt, s.nextKind = at, Watch }
 
 // CallStale records that a call returned a list that is not newer than the known one. NotificationDeadline runs on as if the call
