--- a/internal/decisions/budgetleases/lessor_test.go
+++ b/internal/decisions/budgetleases/lessor_test.go
@@ -17,9 +17,9 @@
 type budgetModel struct {
 	settings   Settings
 	lessor     *Lessor
-	now        Instant // the lessor's
+	now        Instant // by the lessor's clock
 	lessees    []*Lessee
-	clocks     []Instant // the lessees'
+	clocks     []Instant // of the lessees
 	clockRates []float64 // of clocks, in seconds per second of the lessor's clock
 	responses  []grantResponse
 }
--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -82,7 +82,8 @@
 	c.probes++
 }
 
-// checkAnnouncement checks that an announced worker was ready in the list and has answered, and that its start is as guaranteed.
+// checkAnnouncement checks that an announced worker was ready in the list and, if probes are permitted, has answered. Its start must be the
+// time of the announcement, or the start in the list if it is confirmed later.
 func (c *guaranteeChecker) checkAnnouncement(announced *ReadyWorker) {
 	index := slices.IndexFunc(c.list.Workers, func(w CachedWorker) bool { return w.ID == announced.ID })
 	cached := c.list.Workers[index]
@@ -335,6 +336,6 @@
 	list.Workers[0].StartedAt = 9 * day
 	assessor := New(10*day, list, testRules)
 	if !assessor.SameIncarnation(workerID(0), 9*day) || assessor.SameIncarnation(workerID(0), 9*day+1) || assessor.SameIncarnation(workerID(1), 0) {
-		t.Error("a later start is the same incarnation, or the same start is another one, or an unknown worker has an incarnation")
+		t.Error("expected the same incarnation for the same start only, and not for a later start or an unknown worker")
 	}
 }
--- a/internal/decisions/configversions/rules_test.go
+++ b/internal/decisions/configversions/rules_test.go
@@ -24,7 +24,7 @@
 	return rules
 }
 
-// permitsNoMoreThan reports whether everything that a permits is permitted by b.
+// permitsNoMoreThan reports whether b permits everything that a permits.
 func permitsNoMoreThan(a, b Rules) bool {
 	if b.RetryRatio >= 0 && (a.RetryRatio < 0 || a.RetryRatio > b.RetryRatio) || a.RetriesAllowed && !b.RetriesAllowed {
 		return false
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -171,7 +171,8 @@
 	}
 }
 
-// checkShedding checks that class dear of a zone is shed only if none of its class cheap is served, within the bounds of the test.
+// checkShedding checks that a zone's requests of class dear are shed only if none of its requests of class cheap are served, within the
+// bounds of the test.
 func checkShedding(t *rapid.T, model *fleetModel) {
 	t.Helper()
 	_, demands := model.planner.inputs(model.now)
@@ -187,7 +188,7 @@
 			cheap += share.Share
 		}
 		if dear < 0.9 && cheap > dear+0.2 {
-			t.Fatalf("in zone %s a share of %v is served of class dear and %v of class cheap: %+v", demand.Zone, dear, cheap, model.planner.Plan())
+			t.Fatalf("in zone %s, share %v of class dear is served, but share %v of class cheap: %+v", demand.Zone, dear, cheap, model.planner.Plan())
 		}
 	}
 }
--- a/internal/decisions/failover/solve_test.go
+++ b/internal/decisions/failover/solve_test.go
@@ -48,7 +48,7 @@
 }
 
 // solveAsLinearProgram solves the problem of Solve as a linear program. It returns the maximum weight of work that can be served, and
-// the minimum cost of crossings with it; NaN if the simplex method fails.
+// the minimum cost of crossings at this weight; NaN if the simplex method fails.
 func solveAsLinearProgram(zones []Zone, demands []Demand, reachable Reachability, headroom float64) (weight, crossings float64) {
 	demandCount, zoneCount := len(demands), len(zones)
 	flows := demandCount * zoneCount
--- a/internal/decisions/gossippeers/fleetmodel_test.go
+++ b/internal/decisions/gossippeers/fleetmodel_test.go
@@ -153,7 +153,7 @@
 	m.directory.Refresh(present, m.now)
 }
 
-// exchange exchanges all that a dispatcher and the one at an address know, if they reach each other.
+// exchange makes a dispatcher and the dispatcher at an address know all that either of them knows, if they reach each other.
 func (m *fleetModel) exchange(dispatcher *dispatcherModel, address string) {
 	dispatcher.exchangedAt = append(dispatcher.exchangedAt, m.now)
 	peer := m.byAddress(address)
--- a/internal/decisions/http2limits/http2limits_test.go
+++ b/internal/decisions/http2limits/http2limits_test.go
@@ -124,7 +124,7 @@
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
 			if reason := conn.CheckDeadline(now); reason != "" {
 				if !open || now < openSince+CompletionTimeout {
-					t.Fatalf("closed at %v for %s; incomplete since %v, if it is: %v", now, reason, openSince, open)
+					t.Fatalf("closed at %v for %s; incomplete since %v (valid only if open: %v)", now, reason, openSince, open)
 				}
 				return
 			}
--- a/internal/decisions/idempotency/idempotency_test.go
+++ b/internal/decisions/idempotency/idempotency_test.go
@@ -17,7 +17,7 @@
 	runsWithoutReaders bool
 }
 
-// neverRan reports whether a job has ended by being rejected.
+// neverRan reports whether a job has ended without running, because it was rejected.
 func (j *modelJob) neverRan() bool { return j.ended && j.rejected }
 
 // model is a table of jobs by key that follows the decisions, and checks the guarantees.
@@ -46,16 +46,16 @@
 		m.jobs[key] = &modelJob{body: body, readers: 1}
 	case Join:
 		if current == nil || current.body != body {
-			m.t.Fatalf("a request joins %+v, which is not its job", current)
+			m.t.Fatalf("a request joins job %+v, which has another body or does not exist", current)
 		}
 		current.readers++
 	case KeyMismatch:
 		if current == nil || current.body == body {
-			m.t.Fatalf("key mismatch, but the remembered job is %+v", current)
+			m.t.Fatalf("got KeyMismatch, but the remembered job %+v has the same body or does not exist", current)
 		}
 	case UnknownKey:
 		if !resumed || current != nil {
-			m.t.Fatalf("unknown key of a request that resumes no answer, or with %+v remembered", current)
+			m.t.Fatalf("got UnknownKey for a request that does not resume an answer, or although job %+v is remembered", current)
 		}
 	case TableFull:
 		if len(m.jobs) < m.capacity {
--- a/internal/decisions/incarnations/incarnations_test.go
+++ b/internal/decisions/incarnations/incarnations_test.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestTracker_firstList checks guarantee 2: if the clocks agree, a worker in the first list of a process is taken to have its true age,
-// less the age of the newest worker at most.
+// TestTracker_firstList checks guarantee 2: if the clocks agree, the age of a worker in the first list of a process is underestimated
+// by at most the age of the newest worker.
 func TestTracker_firstList(t *testing.T) {
 	tracker := &Tracker{}
 	const now, wall = scheduler.Instant(time.Hour), scheduler.Instant(1e18)
--- a/internal/decisions/polling/busyservice_test.go
+++ b/internal/decisions/polling/busyservice_test.go
@@ -203,7 +203,8 @@
 	return model, model.delaysSince(restartsFrom, until)
 }
 
-// delaysSince returns how long after a change each dispatcher received it, or until if it did not.
+// delaysSince returns how long after a change each dispatcher received it. The delay is the value of until for a
+// dispatcher that did not receive it.
 func (c *fleet) delaysSince(changed time.Time, until time.Duration) (delays []time.Duration) {
 	for _, caller := range c.dispatchers {
 		took := until
@@ -223,8 +224,8 @@
 	caller.lastResponseAt, caller.updateAt = time.Time{}, time.Time{}
 }
 
-// newQueueingService returns a service that serves one call of each dispatcher in less than NotificationDeadline. Where dispatchers
-// are few, the random order of their calls matters more, and the service is faster.
+// newQueueingService returns a service that serves one call of each dispatcher in less than NotificationDeadline. The random
+// order of calls matters more to fewer than ten dispatchers, so their service is faster.
 func newQueueingService(dispatchers int) queueingService {
 	pass := 3600 * time.Millisecond
 	if dispatchers < 10 {
@@ -279,7 +280,7 @@
 }
 
 // TestSchedule_silentWatchesAtBusyService checks guarantee 9: all watches become silent at once, so that all dispatchers detect it at about
-// the same time, and all receive a change within maxDelay.
+// the same time. All must receive a change within maxDelay.
 func TestSchedule_silentWatchesAtBusyService(t *testing.T) {
 	for _, dispatchers := range []int{6, 16, 40, 100, 300} {
 		for seed := range uint64(40) {
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -18,7 +18,7 @@
 	breaksOff                   // the response never ends, or the connection breaks
 	connectionRefused           // there is no connection
 	answers503
-	answersLate // lateBy later than in time
+	answersLate // as answersInTime, but lateBy later
 	faultKinds
 )
 
@@ -292,6 +292,6 @@
 		t.Errorf("called again after %v with a fresh list, after %v with a stale one", fresh, stale)
 	}
 	if stale, down := delayAfter(5*time.Second), delayAfter(20*time.Second); down < stale {
-		t.Errorf("20 s after the last response the next call is made after %v, sooner than 5 s after it", down)
+		t.Errorf("last response 20 s ago: next call after %v, expected no sooner than with a last response 5 s ago", down)
 	}
 }
--- a/internal/decisions/retrybudget/retrybudget_test.go
+++ b/internal/decisions/retrybudget/retrybudget_test.go
@@ -55,7 +55,7 @@
 					}
 				}
 				if float64(further) > ratio*float64(first)+MinRetries {
-					t.Fatalf("%d further attempts were allowed for %d first ones", further, first)
+					t.Fatalf("%d further attempts were allowed for %d first attempts", further, first)
 				}
 			}
 		}
--- a/internal/decisions/voters/founding_test.go
+++ b/internal/decisions/voters/founding_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestDecideFounding checks that a group is founded once, while all founding voters are present. It also checks that a voter does not
-// vote with other storage than it founded the group with, regardless of the others that it reaches. Only one voter loses its
+// vote with other storage than it founded the group with, regardless of which other voters it reaches. Only one voter loses its
 // storage, as the loss of a majority's storage cannot be recovered.
 func TestDecideFounding(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
--- a/internal/decisions/voters/planchange_test.go
+++ b/internal/decisions/voters/planchange_test.go
@@ -173,8 +173,8 @@
 	})
 }
 
-// TestPlanChange_lostStorage checks that a voter whose dispatcher is present without its storage is replaced before it has been
-// silent for the maximum, and that a voter that returns before its learner is promoted is kept.
+// TestPlanChange_lostStorage checks that a voter whose dispatcher is present without its storage is replaced before the
+// maximum silence has passed, and that a voter that returns before its learner is promoted is kept.
 func TestPlanChange_lostStorage(t *testing.T) {
 	group := groupModel{
 		statuses: []Status{{Voter: Voter{ID: 1, Address: "a"}}, {Voter: Voter{ID: 2, Address: "b"}, SilentFor: 10 * time.Second}},
--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -51,7 +51,7 @@
 // auditedRequest is a request's history.
 type auditedRequest struct {
 	answers  int
-	class    *Class // nil for the scenario's only one
+	class    *Class // nil for the scenario's only class
 	attempts []auditedAttempt
 }
 
@@ -88,7 +88,7 @@
 // requestArrived sets a request's class.
 func (a *auditor) requestArrived(request uint64, class *Class) { a.historyOf(request).class = class }
 
-// classOf returns a request's class, or the scenario's only one.
+// classOf returns a request's class, or the scenario's only class.
 func (a *auditor) classOf(audited *auditedRequest) Class {
 	if audited.class != nil && len(a.scenario.Traffic.Classes) > 0 {
 		return *audited.class
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -25,7 +25,7 @@
 	random        *rand.Rand
 	planChanges   int
 	zoneLoss      *Fault        // the scenario's first loss of a zone; nil for none
-	shareBefore   float64       // of the lost zone's jobs, planned into it before the loss
+	shareBefore   float64       // share of the lost zone's jobs that was planned into it before the loss
 	movedAfter    time.Duration // from the loss until no job was planned into the zone; 0 for never
 	restoredAfter time.Duration // from the fault's end until the share was restored; 0 for never
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -22,7 +22,7 @@
 	Sends        float64 // attempts per job
 	Probes       float64 // probes per job
 	Wasted       float64 // share of the work done whose result was not used
-	Speed        float64 // mean over served jobs of work by response time
+	Speed        float64 // mean of work / response time over served jobs
 	Used         float64 // work done, as a share of the workers' capacity while jobs arrived
 	Accounts     []AccountResult
 	Breaches     []Breach
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -40,7 +40,7 @@
 	zoneLoads                           []zoneLoad
 	attemptsSent, probesSent, crossings int
 	workDone, workWasted                float64
-	speedSum                            float64   // over served jobs, of work by response time
+	speedSum                            float64   // sum of work / response time over served jobs
 	responseTimes                       []float64 // of served jobs, in seconds
 	notes                               []string
 }
--- a/internal/experiment/row.go
+++ b/internal/experiment/row.go
@@ -23,7 +23,7 @@
 	Sends        float64  `json:"sends"`  // attempts per job
 	Probes       float64  `json:"probes"` // probes per job
 	Wasted       float64  `json:"wasted"` // share of the work done whose result was not used
-	Speed        float64  `json:"speed"`  // mean over served jobs of work by response time
+	Speed        float64  `json:"speed"`  // mean of work / response time over served jobs
 	Used         float64  `json:"used"`   // work done, as a share of the workers' capacity while jobs arrived
 	WorstClass   float64  `json:"worst_class,omitempty"`
 	Crossings    float64  `json:"crossings,omitempty"` // attempts between zones, per job
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -97,7 +97,7 @@
 func (f *Fault) parse() (emulator.Fault, error) {
 	kind, ok := faultKindNames[f.Kind]
 	if !ok {
-		return emulator.Fault{}, fmt.Errorf("there is no fault %q", f.Kind)
+		return emulator.Fault{}, fmt.Errorf("unknown fault %q", f.Kind)
 	}
 	at, err := time.ParseDuration(f.At)
 	if err != nil {
@@ -115,10 +115,10 @@
 	class := emulator.Class{Name: c.Name, Share: c.Share, Work: c.Work, WorkLogStdDev: c.WorkLogStdDev, ObjectiveStretch: c.ObjectiveStretch, PriorityWeight: c.PriorityWeight, TwoSlotShare: c.TwoSlotShare}
 	var ok bool
 	if class.Idempotency, ok = effects[c.Idempotency]; !ok {
-		return class, fmt.Errorf("class %q: there is no effect %q", c.Name, c.Idempotency)
+		return class, fmt.Errorf("class %q: unknown effect %q", c.Name, c.Idempotency)
 	}
 	if class.DeduplicationScope, ok = scopes[c.DeduplicationScope]; !ok {
-		return class, fmt.Errorf("class %q: there is no scope %q", c.Name, c.DeduplicationScope)
+		return class, fmt.Errorf("class %q: unknown scope %q", c.Name, c.DeduplicationScope)
 	}
 	durations := []durationSetting{
 		{"aim", &c.LatencyObjective, &class.LatencyObjective},
--- a/internal/experiment/zones.go
+++ b/internal/experiment/zones.go
@@ -31,7 +31,7 @@
 	zoneFaultEnd      = zoneFaultAt + zoneFaultDuration
 	zoneSpan          = 75 * time.Second
 
-	// Package faults counts by the same two times (zonesresult.go).
+	// Package faults uses the same two times (zonesresult.go).
 	zoneDetectionTime = 3 * time.Second  // time for a plan to react to a fault: not counted as part of the fault
 	zoneRecoveryTime  = 15 * time.Second // after a fault's end
 
--- a/internal/faults/proposals.go
+++ b/internal/faults/proposals.go
@@ -17,8 +17,8 @@
 // olderBuildsReason is part of the reason of a rejection if processes of older builds could not read the proposal.
 const olderBuildsReason = "older builds"
 
-// proposeRepeatedly proposes random rules at random processes until the given time. If some processes are of an older build, they could
-// not read every other proposal.
+// proposeRepeatedly proposes random rules at random processes until the given time. If some processes are of an older build, every
+// other proposal has a quota cap, which they cannot read.
 func (r *run) proposeRepeatedly(ctx context.Context, end time.Time) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, proposalSource))
 	number := 0
--- a/internal/faults/schedule.go
+++ b/internal/faults/schedule.go
@@ -12,7 +12,7 @@
 )
 
 // Draw returns the events of a seed in the order of their times. Each has one of the given kinds and one process. meanInterval is the
-// mean time between drawn events. Of these, events are dropped that would outlast the span or whose process has not recovered from its
+// mean time between drawn events. An event is dropped if it would outlast the span, or if its process has not recovered from its
 // previous event. The first processes are the voters. At most one voter loses its data, once, and only if there are several voters and at
 // least one other process, because data that a majority of the voters has lost cannot be recovered.
 func Draw(seed uint64, kinds []EventKind, processes, voters int, span, meanInterval, maxDuration time.Duration) []Event {
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -33,7 +33,7 @@
 	case HTTP1, HTTP2, Events:
 		return nil
 	}
-	return fmt.Errorf("there is no wire %q; there are %s, %s, %s", w, HTTP1, HTTP2, Events)
+	return fmt.Errorf("unknown wire %q: expected %s, %s or %s", w, HTTP1, HTTP2, Events)
 }
 
 const (
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -104,7 +104,7 @@
 		"line break":      {"jsonl", "{\"at_ms\":0,\"account\":\"a\",\"key\":\"k\\r\\nHost: h\"}\n", "line 1: key:"},
 		"short line":      {"csv", "at_ms,account\n0\n", "line 2"},
 		"empty":           {"csv", "at_ms\n", "no job"},
-		"format":          {"xml", "", "no trace format"},
+		"format":          {"xml", "", "unknown trace format"},
 	} {
 		jobs, err := ReadTrace(strings.NewReader(test.text), test.format, accounts)
 		if test.want == "" && (err != nil || len(jobs) != 2) || test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want) || jobs != nil) {
--- a/internal/load/phase.go
+++ b/internal/load/phase.go
@@ -68,11 +68,11 @@
 	case p.For <= 0:
 		return errors.New("for must be above 0")
 	case p.Rate < 0 || p.To < 0 || p.maxRate() <= 0 || math.IsInf(p.maxRate(), 0) || math.IsNaN(p.Rate+p.To):
-		return errors.New("rate and to must be finite and not below 0, and one of them above 0")
+		return errors.New("the attributes rate and to must be finite and not below 0, and one of them must be above 0")
 	case p.Shape == Burst && (p.BurstPeriod <= 0 || p.BurstDuration <= 0 || p.BurstDuration > p.BurstPeriod):
-		return errors.New("a burst needs every above 0, and last above 0 and at most every")
+		return errors.New("in a burst, every must be above 0, and last must be above 0 and at most every")
 	case p.Shape != Ramp && p.Shape != Burst && p.To != 0:
-		return errors.New("only ramps and bursts may have to")
+		return errors.New("only ramps and bursts may have the attribute to")
 	}
 	return nil
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -45,7 +45,7 @@
 	Terms   Terms
 	Seed    uint64
 	Clients int       // 0 for an open loop, else the number of clients that wait for each answer before their next job
-	MaxOpen int       // jobs in flight: further ones are not sent, and the result is unusable; 0 for 100,000
+	MaxOpen int       // maximum of jobs in flight: further jobs are not sent, and the result is unusable; 0 for 100,000
 	Begin   time.Time // of the plan; zero for now
 
 	// Each is called with each job, its outcome and its latency, by many goroutines; nil for none.
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -72,7 +72,7 @@
 	case "jsonl":
 		err = readJSONLines(in, add)
 	default:
-		return nil, fmt.Errorf("there is no trace format %q; there are csv and jsonl", format)
+		return nil, fmt.Errorf("unknown trace format %q: expected csv or jsonl", format)
 	}
 	if err == nil && len(jobs) == 0 {
 		err = errors.New("the trace has no job")
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -25,7 +25,8 @@
 	roleLeader    costRole = "leader"
 )
 
-// dispatcher is a dispatcher of a run, over all processes that run it one after the other. The run's mutex guards the fields from process on.
+// dispatcher is a dispatcher of a run, over all processes that run it one after the other. The run's mutex guards the field process and
+// all fields after it.
 type dispatcher struct {
 	name          string
 	role          costRole // roleServing, roleDedicated or roleBaseline
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -189,7 +189,7 @@
 	return d.recorder.HasUrgentChange(time.Since(d.startedAt))
 }
 
-// meanJobDuration is the mean execution time of simulated jobs, and of those in the emulator.
+// meanJobDuration is the mean execution time of simulated jobs and of the emulator's jobs.
 const meanJobDuration = 200 * time.Millisecond
 
 // report returns a report of the size of a real dispatcher's: on the zones that it probed, and on simulated jobs in its own zone.
--- a/internal/scale/peaks.go
+++ b/internal/scale/peaks.go
@@ -36,7 +36,8 @@
 	return bytes, cpuMS
 }
 
-// usageIn returns a dispatcher's usage in a window, and its role. That is leader, or else voter, if any snapshot of the window shows it as such.
+// usageIn returns a dispatcher's usage in a window, and its role: leader if any snapshot of the window shows it as the leader, else voter if any
+// shows it as a voter, else the dispatcher's own role.
 func usageIn(window []snapshot, each *dispatcher) (role costRole, bytes, cpuMS float64) {
 	role = each.role
 	for i, taken := range window {
--- a/internal/scale/raftstate.go
+++ b/internal/scale/raftstate.go
@@ -68,7 +68,7 @@
 }
 
 // currentLeader returns the name of the raft leader; empty for none. A running hollow dispatcher that led in the last snapshot takes precedence.
-// Otherwise it is the real dispatcher that was elected last by the logs.
+// Otherwise it is the real dispatcher that was elected last according to the logs.
 func (r *run) currentLeader() string {
 	leader, since := "", time.Time{}
 	for _, each := range r.running() {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -104,7 +104,7 @@
 	return fmt.Sprintf("%s of %d for %v %v", e.Kind, e.Target, e.Duration, e.Calls)
 }
 
-// The values of a class's effect in the settings, by which a request may be repeated or not.
+// The values of a class's effect in the settings. The effect determines whether a request may be repeated.
 const (
 	Idempotent        = "safe"
 	IdempotentWithKey = "keyed"
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -42,7 +42,7 @@
 }
 
 const (
-	killSlack          = 700 * time.Millisecond // added to the deadline, of which at most maxCountedDeadline counts
+	killSlack          = 700 * time.Millisecond // a process is killed min(deadline, maxCountedDeadline) + killSlack after SIGTERM
 	maxCountedDeadline = 3 * time.Second
 	pauseTime          = 150 * time.Millisecond // of ProcessPauses
 )
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -12,9 +12,9 @@
 	maxSignalPause  = 100 * time.Millisecond // between the signals of a series; from the start to SIGTERM for TermAtStart
 	reloadPause     = 20 * time.Millisecond  // between the signals of ReloadsThenTerm: all come within 50 ms
 	busyConnections = 12                     // that clients use until their process has ended
-	pipelinedEvery  = 4                      // one in this many of them carries two requests at once
+	pipelinedEvery  = 4                      // one in this many busy connections carries two requests at once
 	maxThinkTime    = 30 * time.Millisecond  // from an answer to the client's next request
-	busyLeadTime    = 300 * time.Millisecond // of use before the first signal
+	busyLeadTime    = 300 * time.Millisecond // connections are used for this long before the first signal
 )
 
 // runSignalEvent sends a series of signals to a dispatcher's process, while clients use the connections that it leaves open.
