--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -178,7 +178,8 @@
 	}
 }
 
-// slowStartLoad checks the work that a warming worker received within the overload window, as a multiple of what it can do.
+// slowStartLoad checks the load of a warming worker: the work that it received within the overload window, as a multiple of the work
+// that it can do.
 func (a *auditor) slowStartLoad(now time.Duration, worker scheduler.WorkerID, request uint64, load, maximum float64) {
 	if load > maximum {
 		a.addBreach(RuleSlowStart, now, request, worker, "sent %.2f times what it can do", load)
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -14,8 +14,8 @@
 )
 
 // Release is a release of workers and dispatchers at the same time: workers drain and restart, the dispatchers are restarted by SIGTERM
-// in steps of a tenth, and discovery may get more polls than it can serve. In between, discovery moves to other addresses, of which SIGHUP
-// notifies the dispatchers.
+// in steps of a tenth, and discovery may get more polls than it can serve. Meanwhile discovery moves to other addresses, and the
+// dispatchers are notified by SIGHUP.
 type Release struct {
 	At                time.Duration // since the run began: when workers begin to drain and the first dispatchers are restarted
 	DrainedWorkers    float64       // share of the workers that drain
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// takeEmulatorIndex takes the first free listener of a zone, or the first of all if the zone has none, and returns it with the remaining ones.
+// takeEmulatorIndex takes the first free listener of a zone, or the first free one of all zones if the zone has none. It also
+// returns the listeners that remain free.
 func takeEmulatorIndex(free []int, zone, zones int) (listener int, rest []int) {
 	i := max(slices.IndexFunc(free, func(listener int) bool { return listener%zones == zone }), 0)
 	listener = free[i]
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -12,7 +12,7 @@
 	busyTicks  float64 // of all cores
 	totalTicks float64 // of all cores, idle ones included
 	loopback   labsupport.LoopbackUsage
-	udpPackets float64 // sent by any interface; all are taken for loopback packets
+	udpPackets float64 // sent by any interface; all are counted as loopback packets
 }
 
 const (
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -112,7 +112,7 @@
 	switch {
 	case run != nil && !run.EndedAt.IsZero() && run.Killed && !request.AnsweredAt.Before(run.EndedAt.Add(-socketSlack)):
 		if run.SIGTERMAt.IsZero() || request.WrittenAt.Before(run.SIGTERMAt.Add(shutdownRequestWindow)) {
-			return // open at a SIGKILL, and not written late after SIGTERM
+			return // open at SIGKILL, and written within shutdownRequestWindow of SIGTERM, if there was one
 		}
 	case request.ConnectionReused && len(a.attempts[request.ID]) == 0 && request.Resent:
 		return // an idle connection may be closed; the client has sent the request again on another
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -32,7 +32,7 @@
 var clientBehaviors = []clientBehavior{plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, plainClient, freshConnection, freshConnection, slowWriter, pipelinedRequests, leavesEarly, halfCloses, stopsHalfway, sendsGarbage}
 
 const (
-	badClientTimeout      = 3 * time.Second // within which a client that stops halfway must get an error or a close
+	badClientTimeout      = 3 * time.Second // a client that stops halfway must get an error or a close within this time
 	readTimeAfterDeadline = 2 * time.Second // a client reads for this long after its deadline, to record a late answer
 )
 
