--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -17,7 +17,7 @@
 type fleetMember struct {
 	configversions.Dispatcher
 	Gossip string // its state in the gossip of the dispatcher that was asked; "-" for other zones
-	Lease  string // how long ago its lease ended, or the version that it acknowledged
+	Lease  string // "ran out" (expired) or "left" (dropped at shutdown) and how long ago, or the version that it acknowledged
 }
 
 // membersCommand makes 'brassdale fleet members'. It lists the dispatchers that have a lease or had one within the hour, from the leader,
@@ -51,8 +51,8 @@
 		}}
 }
 
-// mergeMembers returns all dispatchers by name: gossip peers, those whose lease has ended, and those with a lease. Each group replaces the
-// entries of those before it.
+// mergeMembers returns all dispatchers by name: gossip peers, absent dispatchers (their lease has ended), and lease holders. A dispatcher
+// in several groups gets the entry of the last one.
 func mergeMembers(peers []gossip.Member, leaseHolders []configversions.Dispatcher, absent []configversions.AbsentDispatcher) map[string]fleetMember {
 	all := map[string]fleetMember{}
 	for _, peer := range peers {
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -436,9 +436,9 @@
 	}
 }
 
-// TestTable_unknownWorkerInListOfOtherService guards against a worker that had left before this process knew it, and that a stale list of
-// another service shows as ready. An earlier full list of the previous service that lacks the worker is as good a notice that it is
-// gone as a list that removes it.
+// TestTable_unknownWorkerInListOfOtherService guards against jobs for a worker that left before this process learned of it: a stale list
+// of another service shows it as ready. If an earlier full list of the previous service lacked it, the worker must not be accepted as
+// ready, just as if a list had removed it.
 func TestTable_unknownWorkerInListOfOtherService(t *testing.T) {
 	var known Table
 	respond := func(service string, revision int64, calledAt time.Duration, endpoints ...Endpoint) Changes {
--- a/internal/decisions/failover/solve.go
+++ b/internal/decisions/failover/solve.go
@@ -20,7 +20,7 @@
 	Shed   []float64   // by index of the demand
 }
 
-// Solve returns a flow that serves the maximum weight of work within the capacities minus headroom, a share of them from 0 to 1. Of
+// Solve returns a flow that serves the maximum weight of work within 1-headroom of each zone's capacity; headroom is from 0 to 1. Of
 // all such flows it returns one with the lowest cost of crossings.
 //
 // It adds the demands by descending weight, each along the cheapest paths. These may divert other demands but never shed one of a
--- a/internal/decisions/gossippeers/directory.go
+++ b/internal/decisions/gossippeers/directory.go
@@ -37,7 +37,7 @@
 // PeerSuggestion is the leader's response to a dispatcher whose digest differs from the digest of its zone's lease holders.
 type PeerSuggestion struct {
 	Count     int      `json:"n"` // number of lease holders of the zone, including the dispatcher
-	Addresses []string `json:"a"` // of some of them; at most maxSuggestedPeers
+	Addresses []string `json:"a"` // of at most maxSuggestedPeers lease holders
 }
 
 // NewDirectory returns an empty directory, which is due for a refresh.
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -77,10 +77,10 @@
 	}
 }
 
-// PollAt makes the next call due at a time, as a call that does not wait for a change (Poll).
+// PollAt schedules the next call for a time, as a Poll: discovery answers it without waiting for a change.
 func (s *Schedule) PollAt(at time.Time) { s.nextCallAt, s.nextKind = at, Poll }
 
-// PollNow makes a call due now, unless a call that does not wait for a change is due already.
+// PollNow schedules a Poll for now, unless a Poll is due already. Before Start it does nothing.
 func (s *Schedule) PollNow(now time.Time) {
 	if !s.nextCallAt.IsZero() && (s.nextKind == Watch || now.Before(s.nextCallAt)) {
 		s.PollAt(now)
--- a/internal/effectivestate/effectivestate.go
+++ b/internal/effectivestate/effectivestate.go
@@ -80,8 +80,8 @@
 	return states
 }
 
-// ContradictionTime returns the longest times for which two processes acted on states without a common version: contradiction while
-// both had leases, unleased while at least one had none.
+// ContradictionTime returns the longest times for which two processes acted on states without a common version: contradiction if both
+// processes had leases at that time, unleased if one or both had no lease.
 func ContradictionTime(processes [][]State) (contradiction, unleased time.Duration) {
 	for i, states := range processes {
 		for _, others := range processes[:i] {
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -48,7 +48,7 @@
 	var requests []leaseRequest
 	invalid := func(request leaseRequest) bool { return !request.valid() }
 	if err := a.decode(r, &requests); err != nil || len(requests) == 0 || slices.ContainsFunc(requests, invalid) {
-		a.reply(w, http.StatusBadRequest, response{Reason: "no questions"})
+		a.reply(w, http.StatusBadRequest, response{Reason: "no questions"}) // no lease request, or an invalid one
 		return
 	}
 	meterRequests(a.options.Meter, false, requests...)
@@ -86,7 +86,7 @@
 	var limit configversions.ZoneLimit
 	err := a.decode(r, &limit)
 	if err != nil || limit.Zone == "" || limit.Share < 0 || limit.Share > 1 || !a.planningEnabled() {
-		a.reply(w, http.StatusBadRequest, response{Reason: "no hold of a zone"})
+		a.reply(w, http.StatusBadRequest, response{Reason: "no hold of a zone"}) // the limit is invalid, or the fleet has no failover planning
 		return
 	}
 	got, status := a.limitZone(r.Context(), limit, wasForwarded(r))
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -140,7 +140,7 @@
 		return response{Reason: reason}, http.StatusConflict
 	}
 	if !a.awaitRevision(ctx, own, got.Epoch, got.Revision) {
-		return response{Reason: "this seat is behind"}, http.StatusServiceUnavailable
+		return response{Reason: "this seat is behind"}, http.StatusServiceUnavailable // this voter has not applied the leader's revision in time
 	}
 	lease := newUpdateResponse(own.updateSince(request.Epoch, request.Revision))
 	lease.LeaseMS = got.LeaseMS
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -40,7 +40,7 @@
 	select {
 	case r.queue <- relayedRequest{request, result}:
 	default:
-		return response{Reason: "too many questions wait"}, http.StatusServiceUnavailable
+		return response{Reason: "too many questions wait"}, http.StatusServiceUnavailable // maxQueuedRelays requests are queued
 	}
 	select {
 	case got := <-result:
--- a/internal/fleet/response.go
+++ b/internal/fleet/response.go
@@ -40,10 +40,10 @@
 
 // Reasons for which several calls are rejected.
 const (
-	reasonNoLeader       = "nobody leads"
-	reasonNotLeader      = "does not lead"
-	reasonNotVoter       = "no seat"
-	reasonInvalidRequest = "no question"
+	reasonNoLeader       = "nobody leads"  // the leader is unknown or cannot be reached
+	reasonNotLeader      = "does not lead" // the dispatcher that was called is not the leader
+	reasonNotVoter       = "no seat"       // the dispatcher that was called is not a voter
+	reasonInvalidRequest = "no question"   // the request cannot be decoded, or has an invalid value
 )
 
 // applyTo returns the record that results from applying a response to record, on which the request was based. It returns an error
--- a/internal/fleet/votercalls.go
+++ b/internal/fleet/votercalls.go
@@ -26,14 +26,14 @@
 	a.mu.Unlock()
 	switch {
 	case err != nil || epochErr != nil:
-		a.reply(w, http.StatusBadRequest, response{Reason: "no messages to a seat"})
+		a.reply(w, http.StatusBadRequest, response{Reason: "no messages to a seat"}) // the batch or the epoch cannot be decoded
 	case epoch < known:
 		a.reply(w, http.StatusGone, response{Reason: configversions.ErrOldEpoch.Error(), Epoch: known})
 	case own == nil:
 		a.reply(w, http.StatusMisdirectedRequest, response{Reason: reasonNotVoter})
 	case epoch > own.log.Record().Epoch && own.log.Record().Revision > 0: // revision 0: a voter that has just joined, with an empty log of epoch 0
 		a.leaveOldRaftGroup(epoch)
-		a.reply(w, http.StatusMisdirectedRequest, response{Reason: "of a newer council"})
+		a.reply(w, http.StatusMisdirectedRequest, response{Reason: "of a newer council"}) // the sender's raft group is of a newer epoch
 	default:
 		for _, message := range messages {
 			own.log.Step(message)
@@ -66,7 +66,7 @@
 func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query, ok := parseWatchQuery(r.URL.Query())
 	if !ok {
-		a.reply(w, http.StatusBadRequest, response{Reason: "no revision"})
+		a.reply(w, http.StatusBadRequest, response{Reason: "no revision"}) // a number of the query is missing or invalid
 		return
 	}
 	timeout := time.NewTimer(query.wait)
--- a/internal/scale/faultcost.go
+++ b/internal/scale/faultcost.go
@@ -11,9 +11,9 @@
 	AtS             float64   `json:"at_s"`      // since the start of the measured span
 	ForS            float64   `json:"for_s"`     // 0 for a fault that did not end
 	Affected        int       `json:"befell"`    // dispatchers of all roles that were killed or cut off
-	HitLeader       bool      `json:"with_lead"` // the leader was one of them
-	Changes         int       `json:"changes"`   // accepted config versions that were proposed since it began
-	AcceptedAfterMS float64   `json:"taken_ms"`  // until the attempt that proposed the first of them was sent; earlier attempts were not accepted
+	HitLeader       bool      `json:"with_lead"` // the leader was killed or cut off
+	Changes         int       `json:"changes"`   // accepted config versions that were proposed since the fault began
+	AcceptedAfterMS float64   `json:"taken_ms"`  // from the fault to the sending of the first proposal that was accepted
 	VoterReplaced   bool      `json:"reseated"`
 
 	// The highest mean per second over 10 s of any dispatcher of a role, before the fault and since it began. Processor time is in
