--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// codeNames has the names that the code declares. Only the field tests has names from test files.
+// codeNames has the names that the code declares. Only the field named tests has names from test files.
 type codeNames struct {
 	declared   map[string]bool // package.Name and Type.Member
 	qualifiers map[string]bool // packages and types
@@ -136,7 +136,8 @@
 	return tests
 }
 
-// forEachFile parses each file below the roots for whose path wanted returns true, and calls use with it.
+// forEachFile parses each file below the roots if the function wanted returns true for its path, and calls the function use with the parsed
+// file.
 func forEachFile(t *testing.T, roots []string, wanted func(path string) bool, use func(*ast.File)) {
 	t.Helper()
 	for _, root := range roots {
@@ -269,8 +270,8 @@
 	return message
 }
 
-// stringLiterals returns all string literals of the code without its tests. Of a literal with the key worker and a verb, it returns the text
-// before that key.
+// stringLiterals returns all string literals of the code without its tests. If a literal has the key named worker with a verb, only the
+// text before that key is returned.
 func stringLiterals(t *testing.T) map[string]bool {
 	t.Helper()
 	literals := map[string]bool{}
--- a/internal/faults/event.go
+++ b/internal/faults/event.go
@@ -10,14 +10,15 @@
 type EventKind string
 
 // The kinds that are drawn. Each is a fault of one process. To add one:
-//   - Append it to DrawnEventKinds. A file without the attribute faults draws from all of these kinds, so its seeds then draw other events.
+//   - Append it to DrawnEventKinds. A file without the attribute named faults draws from all of these kinds, so a new kind changes the
+//     events that its seeds draw.
 //   - Implement it in runEvent in faultinjection.go, or in linkState if it only changes the state of links. Otherwise the event has no
 //     effect, and no error reports that.
 //   - Call beginAbsence and endAbsence if the process is stopped or ends; otherwise the audit treats it as running.
 //   - Exclude voters in Draw if the fault must not hit them.
 const (
 	Cut         EventKind = "cut"      // its links to all others are cut in both directions
-	OneWayCut   EventKind = "one-way"  // all that it sends is lost; reversed: all that is sent to it
+	OneWayCut   EventKind = "one-way"  // everything that it sends is lost; if reversed, everything that is sent to it
 	Delay       EventKind = "delayed"  // its messages are delayed by up to 300 ms in both directions
 	Reset       EventKind = "resets"   // its connections are reset repeatedly
 	Freeze      EventKind = "freeze"   // it is stopped by SIGSTOP
@@ -26,7 +27,7 @@
 	Flap        EventKind = "flapping" // its links are cut and healed ten times a second
 	Reorder     EventKind = "reorder"  // new connections to and from it overtake each other
 	Slow        EventKind = "slow"     // its links transfer about 3 kB a second
-	ClockDrift  EventKind = "pace"     // it is killed, and restarted with a clock that is fast by half the tolerated drift; reversed: slow
+	ClockDrift  EventKind = "pace"     // it is killed, and restarted with a clock that is fast by half the tolerated drift; if reversed, slow
 )
 
 // The kinds that only a scenario's event blocks use. A new one must be added to scriptedKinds and runEvent.
--- a/internal/faults/file.go
+++ b/internal/faults/file.go
@@ -12,16 +12,16 @@
 	Title     string       `hcl:"title"`
 	Processes int          `hcl:"processes"`
 	Voters    int          `hcl:"voters"`         // of the raft group; 0 for dispatchers without a fleet
-	Bound     string       `hcl:"bound,optional"` // required with voters
+	Bound     string       `hcl:"bound,optional"` // required unless voters is 0
 	Span      string       `hcl:"span"`
-	Every     string       `hcl:"every,optional"`     // mean time between drawn faults; if both this and faults are unset, none are drawn
+	Every     string       `hcl:"every,optional"`     // mean time between drawn faults; if neither this nor the attribute faults is set, no faults are drawn
 	Longest   string       `hcl:"longest,optional"`   // longest duration of a drawn fault
-	Rate      float64      `hcl:"rate,optional"`      // jobs a second; ignored with zones, whose load sets the rate
-	Proposals string       `hcl:"proposals,optional"` // time between proposals; required with voters
+	Rate      float64      `hcl:"rate,optional"`      // jobs a second; ignored if there is a zones block, because its load sets the rate
+	Proposals string       `hcl:"proposals,optional"` // time between proposals; required unless voters is 0
 	Faults    []string     `hcl:"faults,optional"`    // kinds to draw from; all if unset
 	Replace   string       `hcl:"replace,optional"`   // how long a voter may be silent before it is replaced
 	Older     int          `hcl:"older,optional"`     // number of processes of an older build
-	Events    []EventFile  `hcl:"event,block"`        // ignored if every or faults is set
+	Events    []EventFile  `hcl:"event,block"`        // ignored if the attribute every or faults is set
 	Release   *ReleaseFile `hcl:"release,block"`
 	Zones     *ZonesFile   `hcl:"towns,block"`
 }
--- a/internal/faults/overload_test.go
+++ b/internal/faults/overload_test.go
@@ -51,7 +51,7 @@
 	o := &Overload{Retries: 0.1, Probes: 3}
 	received := emulator.ReceivedTimes{FirstAttempts: every(10*time.Millisecond, 1000), FurtherAttempts: every(50*time.Millisecond, 200), Probes: every(time.Second, 10)}
 	r := o.measure(received, 6, time.Second)
-	// In five seconds there are 100 further attempts of (0.1*100)*6+6, and 5 probes of 3*6+6.
+	// In five seconds there are 100 further attempts and 5 probes. The budgets allow (0.1*100)*6+6 attempts and 3*6+6 probes.
 	if r.Firsts != 1000 || r.Further != 200 || r.Probes != 10 || r.BudgetOver["retries"] < 100.0/66 || r.BudgetOver["retries"] > 1.6 || r.BudgetOver["probes"] != 5.0/24 {
 		t.Errorf("%+v", r)
 	}
--- a/internal/faults/plan.go
+++ b/internal/faults/plan.go
@@ -26,11 +26,11 @@
 	Kinds             []EventKind     // of faults to draw; empty to use Events
 	Rate              float64         // jobs a second; with Zones, their Load sets the rate
 	ProposalInterval  time.Duration   // time between two proposals of rules
-	Release           *Release        // nil for none
+	Release           *Release        // nil for a run without a release
 	ReplaceVoterAfter time.Duration   // how long a voter may be silent before it is replaced; 0 for the fleet's default
 	Events            []Event         // used if Kinds is empty
 	Zones             *ZoneDeployment // nil for the zones of the reference scenario, without failover
-	Overload          *Overload       // nil for none; only tests set it
+	Overload          *Overload       // nil for a run without an overload; only tests set it
 	OlderBuilds       int             // number of processes of an older build, the last ones
 }
 
--- a/internal/faults/planreader.go
+++ b/internal/faults/planreader.go
@@ -74,7 +74,7 @@
 	return duration
 }
 
-// optionalDuration is as duration, but returns 0 for an empty text.
+// optionalDuration is like duration, but returns 0 for an empty text.
 func (r *planReader) optionalDuration(attribute, text string) time.Duration {
 	if text == "" {
 		return 0
--- a/internal/faults/release.go
+++ b/internal/faults/release.go
@@ -21,9 +21,9 @@
 	DrainedWorkers    float64       // share of the workers that drain
 	RestartedWorkers  float64       // share of the workers that restart, workerDrainTime/2 after At
 	StepInterval      time.Duration // between two steps of the dispatchers' restart; 0 for no restart
-	DiscoveryMovesAt  time.Duration // since the run began: when discovery moves; 0 for never
+	DiscoveryMovesAt  time.Duration // since the run began: when discovery moves; 0 if it does not move
 	NotifyAfter       time.Duration // from the move until the dispatchers are notified
-	DiscoveryCallRate float64       // polls that discovery serves a second; 0 for any number
+	DiscoveryCallRate float64       // polls that discovery serves a second; 0 for no limit
 	ClientTimeout     time.Duration // of a poll of discovery
 }
 
--- a/internal/faults/release_test.go
+++ b/internal/faults/release_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRelease: workers and ten real dispatchers are released at the same time. Meanwhile discovery gets more polls than it can serve and
-// moves, of which SIGHUP notifies the dispatchers a second later. The old list stays in use, watches continue at the new address, the
-// number of polls stays bounded, no worker gets an attempt after its drain grace period, and every accepted job is answered.
+// TestRelease: workers and ten real dispatchers are released at the same time. Meanwhile discovery gets more polls than it can serve, and
+// moves. A second after the move, SIGHUP notifies the dispatchers of it. The old list stays in use, watches continue at the new address,
+// the number of polls stays bounded, no worker gets an attempt after its drain grace period, and every accepted job is answered.
 func TestRelease(t *testing.T) {
 	t.Parallel()
 	f, err := Load("../../scenarios/fleet/release.hcl")
--- a/internal/faults/result.go
+++ b/internal/faults/result.go
@@ -13,7 +13,7 @@
 	Processes       int             `json:"processes"`
 	Faults          map[string]int  `json:"faults"`               // events by kind
 	ContradictionMS float64         `json:"contradiction_max_ms"` // longest time in which two processes with leases acted on contradicting versions
-	LapsedApartMS   float64         `json:"lapsed_apart_max_ms"`  // the same where one of the two had no lease, and therefore sent no further attempts
+	LapsedApartMS   float64         `json:"lapsed_apart_max_ms"`  // the same for two processes of which one had no lease, and therefore sent no further attempts
 	BoundMS         float64         `json:"bound_ms"`             // limit of ContradictionMS
 	Jobs            int             `json:"jobs"`
 	AnsweredOnce    int             `json:"answered_once"`
--- a/internal/faults/zonesresult.go
+++ b/internal/faults/zonesresult.go
@@ -19,9 +19,9 @@
 	MinCrossing      float64 `json:"crossing_least"`                     // minimum share of the work that had to cross, given the zones' capacities
 	Peak             float64 `json:"zone_peak_over_capacity"`            // most work that a zone received over some seconds, relative to its capacity
 	PlanChanges      uint64  `json:"plan_changes"`                       // number of the last failover plan
-	DetectMS         float64 `json:"detect_ms"`                          // from the start of the first fault to the first plan applied after it; -1 for none
-	MovedMS          float64 `json:"moved_ms"`                           // from the same start until the last process applied its first such plan; -1 for none
-	BackMS           float64 `json:"back_ms"`                            // from the end of the first fault to the last plan applied; -1 for none
+	DetectMS         float64 `json:"detect_ms"`                          // from the start of the first fault to the first plan applied after it; -1 if there is none
+	MovedMS          float64 `json:"moved_ms"`                           // from the same start until the last process applied its first such plan; -1 if no process did
+	BackMS           float64 `json:"back_ms"`                            // from the end of the first fault to the last plan applied; -1 if there is none
 	ServedVirtual    float64 `json:"served_share_fault_virtual"`         // ServedFault in the emulator's virtual time, with failover plans
 }
 
--- a/internal/faults/zonesresult_test.go
+++ b/internal/faults/zonesresult_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestPlanChanges: detection and move are measured from the begin of the fault to the first and the last process's first plan after it,
-// and the return from the end of the fault to the last plan.
+// TestPlanChanges: detection is measured from the start of the fault until the first process applies a plan, the move until the last
+// process has applied one, and the return from the end of the fault until the last plan is applied.
 func TestPlanChanges(t *testing.T) {
 	from := time.UnixMilli(1_000_000)
 	applied := func(ms, number int) string {
--- a/internal/inject/trace.go
+++ b/internal/inject/trace.go
@@ -15,11 +15,12 @@
 // maxUnshortenedBytes is the largest transfer that is never shortened. An eventfd transfers all of its eight bytes or none.
 const maxUnshortenedBytes = 16
 
-// Tracer runs one program. While it runs, it waits for all children of its process, so nothing else may start or wait for any.
+// Tracer runs one program. While it runs, it waits for all children of its own process, so nothing else in that process may start children
+// or wait for them.
 type Tracer struct {
 	Rules  []Rule
 	Seed   uint64
-	Paused func() bool              // while it returns true, no call fails; nil for never
+	Paused func() bool              // while it returns true, no call fails; nil if calls may fail at any time
 	Began  func(pid int)            // called with the program's process ID when the program starts; must not be nil
 	Failed func(call string, n int) // called after each failure with the number of failed calls of this name; may be nil
 
--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -147,8 +147,9 @@
 	}
 }
 
-// compareInterface compares the counted bytes with the bytes that the loopback interface carried. Bytes that both ends count are taken from the
-// sender. Calls to discovery are counted at the dispatcher only, so both directions are taken.
+// compareInterface compares the counted bytes with the bytes that the loopback interface carried. For bytes that both ends count, it uses
+// the sender's count. Calls to discovery are counted only at the dispatcher, so for these it uses the dispatcher's counts of both
+// directions.
 func compareInterface(before, after snapshot) Interface {
 	seconds := after.at.Sub(before.at).Seconds()
 	links := after.linkTraffic.Bytes() - before.linkTraffic.Bytes()
@@ -223,7 +224,7 @@
 	result.InForceP50MS, result.InForceP99MS, result.InForceP999MS = quantile(0.5, delays), quantile(0.99, delays), quantile(0.999, delays)
 }
 
-// lateTickWithin returns the first late tick whose delay (Due to At) overlaps the given period; false for none.
+// lateTickWithin returns the first late tick whose delay (Due to At) overlaps the given period, and false if there is none.
 func lateTickWithin(late []lateTick, from, to time.Time) (lateTick, bool) {
 	i := slices.IndexFunc(late, func(tick lateTick) bool { return tick.Due.Before(to) && tick.At.After(from) })
 	if i < 0 {
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -45,8 +45,8 @@
 type Figure struct {
 	Name       string    `json:"name"`
 	Unit       string    `json:"unit"`
-	Real       []float64 `json:"real"`   // of each round
-	Hollow     []float64 `json:"hollow"` // of each round
+	Real       []float64 `json:"real"`   // one for each round
+	Hollow     []float64 `json:"hollow"` // one for each round
 	RealMean   float64   `json:"real_mean"`
 	HollowMean float64   `json:"hollow_mean"`
 	Ratio      float64   `json:"ratio"`  // of HollowMean to RealMean
@@ -124,8 +124,8 @@
 	c.Figures = append(c.Figures, figure)
 }
 
-// addInformational adds a figure that need not agree, unless it is 0 in all runs: reports and budgets are sent within other messages, so that
-// some of their figures are always 0.
+// addInformational adds a figure that need not agree, unless it is 0 in all runs: some figures of reports and budgets are always 0, because
+// these are sent within other messages.
 func (c *Comparison) addInformational(figure Figure) {
 	if slices.ContainsFunc(slices.Concat(figure.Real, figure.Hollow), func(value float64) bool { return value != 0 }) {
 		c.Figures = append(c.Figures, figure)
@@ -158,7 +158,7 @@
 	return strings.Join(texts, " ")
 }
 
-// Err returns an error that names the figures that must agree and do not; nil if all agree.
+// Err returns an error that names the figures that must agree but do not. It is nil if all agree.
 func (c *Comparison) Err() error {
 	var errs []error
 	for _, figure := range c.Figures {
--- a/internal/scale/compare_test.go
+++ b/internal/scale/compare_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Bytes, messages and processor time of all kinds together must agree, figures of a single kind need not. Processor time is the difference to
-// baseline dispatchers, hollow or real as the compared ones.
+// Bytes, messages and processor time of all kinds together must agree, figures of a single kind need not. The compared processor time is
+// the difference to baseline dispatchers of the same kind, real or hollow.
 func TestCompare(t *testing.T) {
 	run := func(hollow bool, bytes, messages, cpu float64) *Result {
 		r := &Result{Dispatchers: 8, BytesMean: bytes, Messages: messages, BytesByKind: map[string]float64{"renewal": bytes, "raft": 0}, MessagesByKind: map[string]float64{"renewal": messages}}
--- a/internal/scale/controlrates.go
+++ b/internal/scale/controlrates.go
@@ -27,7 +27,7 @@
 	return all
 }
 
-// ratesOf returns the rates of dispatchers between two snapshots. Dispatchers that were not in the same process at both are left out.
+// ratesOf returns the rates of dispatchers between two snapshots. It leaves out a dispatcher unless one process ran it at both snapshots.
 func ratesOf(before, after snapshot, dispatchers []*dispatcher) controlRates {
 	rates := controlRates{bytesByKind: map[string]float64{}, messagesByKind: map[string]float64{}}
 	seconds := after.at.Sub(before.at).Seconds()
@@ -52,7 +52,7 @@
 	return rates
 }
 
-// quantile returns a quantile of sorted figures; 0 if there are none.
+// quantile returns a quantile of sorted figures, or 0 if there are no figures.
 func quantile(p float64, sorted []float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -60,7 +60,7 @@
 	return stat.Quantile(p, stat.Empirical, sorted, nil)
 }
 
-// mean returns the mean of figures; 0 if there are none.
+// mean returns the mean of figures, or 0 if there are no figures.
 func mean(figures []float64) float64 {
 	if len(figures) == 0 {
 		return 0
--- a/internal/scale/countingproxy.go
+++ b/internal/scale/countingproxy.go
@@ -8,7 +8,8 @@
 	"brassdale/internal/traffic"
 )
 
-// countingProxy forwards connections to a target and counts their bytes. It is placed between a link and the link's target, as links do not count.
+// countingProxy forwards connections to a target and counts their bytes. It is placed between a link and the link's target, because links
+// do not count bytes.
 type countingProxy struct {
 	listener net.Listener
 	target   string
--- a/internal/scale/dispatcher.go
+++ b/internal/scale/dispatcher.go
@@ -33,15 +33,15 @@
 	hollow        bool
 	fleetAddress  string // where other dispatchers reach it
 	zone          int
-	voterNumber   int // counted from 1, among the voters of the founded raft group; 0 for no voter
+	voterNumber   int // counted from 1, among the voters of the founded raft group; 0 if it was not among them
 	emulatorIndex int // of a real dispatcher: its index in the emulator
 
 	process         *emulator.DispatcherProcess // of a real dispatcher that runs
 	hollowProcess   *hollowProcess              // of a hollow dispatcher that runs
-	earlierLogs     string                      // of a real dispatcher: of its ended processes
-	earlierStates   []effectivestate.State      // of a hollow dispatcher: of its ended processes
-	effectiveStates []effectivestate.State      // of a hollow dispatcher: of its process, as last fetched
-	absences        []effectivestate.Period     // while it was not running; the first of a successor has no From
+	earlierLogs     string                      // of a real dispatcher: the logs of its ended processes
+	earlierStates   []effectivestate.State      // of a hollow dispatcher: the states in its ended processes
+	effectiveStates []effectivestate.State      // of a hollow dispatcher: the states in its running process, as last fetched
+	absences        []effectivestate.Period     // while it was not running; a successor's first absence has no From
 	partitions      []effectivestate.Period     // while it was running and cut off from other regions
 }
 
@@ -72,7 +72,7 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// statesOf returns the states that a dispatcher has applied until now; for a hollow one, until the last fetchHollowStates.
+// statesOf returns the states that a dispatcher has applied until now or, if it is hollow, until the last call of fetchHollowStates.
 func (r *run) statesOf(d *dispatcher) []effectivestate.State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scale/faultcost.go
+++ b/internal/scale/faultcost.go
@@ -16,15 +16,16 @@
 	AcceptedAfterMS float64   `json:"taken_ms"`  // from the fault to the sending of the first proposal that was accepted
 	VoterReplaced   bool      `json:"reseated"`
 
-	// The highest mean per second over 10 s of any dispatcher of a role, before the fault and since it began. Processor time is in
-	// milliseconds. If there are hollow dispatchers, only these count in the processor time of dispatchers that serve jobs.
+	// For each role, the highest mean per second over 10 s of any dispatcher with that role, before the fault and since the fault began.
+	// Processor time is in milliseconds. If there are hollow dispatchers, the processor time of dispatchers that serve jobs is computed
+	// from the hollow ones only.
 	UsualBytes map[costRole]float64 `json:"usual_bytes_10s"`
 	PeakBytes  map[costRole]float64 `json:"peak_bytes_10s"`
 	UsualCPU   map[costRole]float64 `json:"usual_cpu_10s"`
 	PeakCPU    map[costRole]float64 `json:"peak_cpu_10s"`
 
-	// RecoveredAfterS is the time until all dispatchers that should run had leases on a version that was accepted after the fault began; nil
-	// for never.
+	// RecoveredAfterS is the time until all dispatchers that should run had leases on a version that was accepted after the fault began;
+	// nil if that did not happen.
 	RecoveredAfterS   *float64  `json:"whole_again_s"`
 	InForceP50MS      float64   `json:"in_force_p50_ms"`
 	InForceP999MS     float64   `json:"in_force_p999_ms"` // of changes that came into force since it began
@@ -43,7 +44,7 @@
 	}
 	cost.UsualBytes, cost.UsualCPU = r.peaks(time.Time{}, record.beganAt)
 	cost.PeakBytes, cost.PeakCPU = r.peaks(record.beganAt, time.Now())
-	first := uint64(0) // the first version that was accepted since the fault began; 0 for none
+	first := uint64(0) // the first version that was accepted since the fault began; 0 if none was
 	for _, change := range r.changes {
 		if change.at.Before(record.beganAt) {
 			continue
--- a/internal/scale/faultcost_test.go
+++ b/internal/scale/faultcost_test.go
@@ -57,7 +57,8 @@
 	if len(all) != len(faultKinds) {
 		t.Fatalf("expected a run for each kind of fault, got %+v", all)
 	}
-	// The first zone and region have a voter, the real dispatcher that serves and two hollow ones; the fleet has ten in all.
+	// The first zone has four dispatchers, and so has the first region: a voter, the real dispatcher that serves jobs and two hollow ones.
+	// The fleet has ten dispatchers in all.
 	affected := map[FaultKind]int{VoterLost: 1, ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
 	returned := map[FaultKind]int{ZoneLost: 4, RegionPartitioned: 4, DispatchersReplaced: 2, DispatchersRestarted: 10}
 	for _, p := range all {
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -111,7 +111,7 @@
 	return r.restart(ctx, names)
 }
 
-// kill kills dispatchers by killing their processes, which also ends other dispatchers in these, and returns when the processes have ended.
+// kill kills the processes of dispatchers, and returns when the processes have ended. Other dispatchers in the same processes end, too.
 func (r *run) kill(names []string) {
 	now := time.Now()
 	var kills []func() error
@@ -238,11 +238,11 @@
 	}
 }
 
-// allZones has setObservedZones set all zones.
+// allZones is a condition for setObservedZones: every zone answers all hollow dispatchers.
 func allZones(_, _ int) bool { return true }
 
-// setObservedZones sets the zones that answer the probes of hollow dispatchers from now on: a zone answers dispatchers of the zone own if
-// observed(own, zone) is true. For probes of real dispatchers the emulator decides.
+// setObservedZones sets the zones that answer the probes of hollow dispatchers from now on. The zone numbered zone answers the dispatchers
+// of the zone numbered own if observed(own, zone) is true. For probes of real dispatchers the emulator decides.
 func (r *run) setObservedZones(ctx context.Context, observed func(own, zone int) bool) {
 	var posts []func() error
 	for _, process := range r.runningHollowProcesses() {
--- a/internal/scale/file.go
+++ b/internal/scale/file.go
@@ -51,7 +51,7 @@
 type faultBlock struct {
 	Kind   string `hcl:"kind,label"`
 	At     string `hcl:"at"`
-	For    string `hcl:"for,optional"` // optional for a voter and a zone, which are lost for good without it
+	For    string `hcl:"for,optional"` // optional for the loss of a voter or a zone, which does not end if this is left out
 	After  string `hcl:"after,optional"`
 	Count  int    `hcl:"count,optional"`
 	Zone   int    `hcl:"zone,optional"`   // counted from 1; the first, which has a voter, if left out
@@ -127,7 +127,7 @@
 	return requiredDuration(report, attribute, text)
 }
 
-// faults returns the file's faults. report gets mistakes with the index of the fault's block.
+// faults returns the file's faults. It calls report for each mistake, with the index of the fault's block.
 func (f *File) faults(report func(index int, attribute, format string, args ...any)) []Fault {
 	var faults []Fault
 	for i := range f.Faults {
--- a/internal/scale/fit/canvas.go
+++ b/internal/scale/fit/canvas.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// bandColor returns the color of a band by its number. The dark colors are added as there are more bands than soft colors.
+// bandColor returns the color of a band by its number. The dark colors are added because there are more bands than soft colors.
 func bandColor(number int) color.Color {
 	colors := append(slices.Clone(plotutil.SoftColors), plotutil.DarkColors...)
 	return colors[number%len(colors)]
--- a/internal/scale/fit/charts.go
+++ b/internal/scale/fit/charts.go
@@ -29,7 +29,7 @@
 	file, title string
 	unit        string  // of the vertical axis
 	scale       float64 // number of the metrics' units in one unit of the axis
-	limit       float64 // drawn as a line, in the metrics' unit; 0 for none
+	limit       float64 // drawn as a line, in the metrics' unit; 0 if the chart has no limit
 	series      []series
 }
 
--- a/internal/scale/fit/read.go
+++ b/internal/scale/fit/read.go
@@ -46,8 +46,8 @@
 	return sortRuns(runs), nil
 }
 
-// sourceName returns the Run.Source for a file. It is relative to the parent of path if that is a directory, or of the file's directory if path
-// is the file itself.
+// sourceName returns the Run.Source for a file. If path is a directory, the source is relative to the parent of path. If path is the file
+// itself, the source is relative to the parent of the file's directory.
 func sourceName(path, file string) string {
 	top := filepath.Dir(filepath.Clean(path))
 	if path == file {
--- a/internal/scale/fit/regression_test.go
+++ b/internal/scale/fit/regression_test.go
@@ -57,10 +57,10 @@
 	}
 }
 
-// TestLinesAreRecovered fits random lines with random noise. If the noise's own regression is subtracted from it, it does not change the slope:
-// the fit returns the line's slope and intercept, the interval contains the slope, and the residual standard error is the noise's. With the
-// noise as drawn, the slope is within four times the interval's half width. By Student's t at 6 degrees of freedom or more, that fails by
-// chance in less than one of 10,000 draws.
+// TestLinesAreRecovered fits random lines with random noise. If the regression of the noise is subtracted from the noise, the noise does
+// not change the slope: the fit returns the line's slope and intercept, the interval contains the slope, and the residual standard error is
+// that of the noise. With the noise as drawn, the slope is within four times the interval's half width. By Student's t at 6 degrees of
+// freedom or more, that fails by chance in less than one of 10,000 draws.
 func TestLinesAreRecovered(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(8, 40).Draw(t, "points")
--- a/internal/scale/fit/run.go
+++ b/internal/scale/fit/run.go
@@ -78,7 +78,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// countDistinct returns how many different values of a parameter the runs have. A run without it counts as 0.
+// countDistinct returns how many different values of a parameter the runs have. For a run without the parameter, 0 counts as its value.
 func countDistinct(runs []Run, parameter string) int {
 	distinct := map[float64]bool{}
 	for _, run := range runs {
--- a/internal/scale/fit/sweep.go
+++ b/internal/scale/fit/sweep.go
@@ -20,7 +20,7 @@
 // Sweep is the regressions of all metrics on one regressor, over runs that are equal in all other sweepParameters.
 type Sweep struct {
 	Regressor     string
-	SlopeUnit     float64 // the table shows slopes per this many of the regressor
+	SlopeUnit     float64 // the table shows slopes per this number of the regressor's units
 	Constant      string  // names and values of the parameters that all its runs have in common
 	Runs          int
 	RunsElsewhere int    // runs that count but have other parameters
--- a/internal/scale/history.go
+++ b/internal/scale/history.go
@@ -32,7 +32,7 @@
 	return all
 }
 
-// newestVersionAt returns the newest accepted version that was proposed before a time; 0 for none.
+// newestVersionAt returns the newest accepted version that was proposed before a time, or 0 if there is none.
 func (r *run) newestVersionAt(at time.Time) uint64 {
 	newest := uint64(0)
 	for _, change := range r.changes {
@@ -57,8 +57,8 @@
 	h.unreached = append(h.unreached, period)
 }
 
-// leasedOn returns the first time, from the given one on, at which the dispatcher had a lease and applied only the given version or a newer one;
-// zero and false for never.
+// leasedOn returns the first time, from the given one on, at which the dispatcher had a lease and applied only the given version or a newer
+// one. It returns a zero time and false if there is no such time.
 func (h *history) leasedOn(version uint64, from time.Time) (time.Time, bool) {
 	for _, state := range h.effectiveStates {
 		if state.To.After(from) && !state.Lapsed && len(state.Versions) == 1 && state.Versions[0] >= version {
@@ -71,7 +71,7 @@
 	return time.Time{}, false
 }
 
-// firstAppliedAt returns when the dispatcher first applied only a change's version or a newer one; false for never.
+// firstAppliedAt returns when the dispatcher first applied only a change's version or a newer one, and false if it never did.
 func (h *history) firstAppliedAt(change acceptedChange) (time.Time, bool) {
 	for _, state := range h.effectiveStates {
 		if len(state.Versions) == 1 && state.Versions[0] >= change.version {
@@ -81,8 +81,8 @@
 	return time.Time{}, false
 }
 
-// appliedAt returns when the dispatcher first applied only a change's version or a newer one, with or without a lease, and whether it did.
-// unreached reports whether the change could not reach it for a part of the time until then.
+// appliedAt returns when the dispatcher first applied only a change's version or a newer one, with or without a lease, and whether it did
+// (ok). unreached reports whether, for a part of the time until then, the change could not reach the dispatcher.
 func (h *history) appliedAt(change acceptedChange) (at time.Time, ok, unreached bool) {
 	at, ok = h.firstAppliedAt(change)
 	unreached = slices.ContainsFunc(h.unreached, func(period effectivestate.Period) bool {
--- a/internal/scale/hollowdispatcher.go
+++ b/internal/scale/hollowdispatcher.go
@@ -93,7 +93,7 @@
 	return options
 }
 
-// run starts the dispatcher's goroutines, which end with the context.
+// run starts the dispatcher's goroutines, which run until the context ends.
 func (d *hollowDispatcher) run(ctx context.Context, server *hollowServer) {
 	go d.watchEndpoints(ctx, server.settings)
 	if d.agent != nil {
@@ -128,7 +128,7 @@
 	return d.raftState
 }
 
-// jobCounts returns the number of simulated jobs that were reported; none of them is bad.
+// jobCounts returns the number of simulated jobs that were reported. The number of bad ones is always 0.
 func (d *hollowDispatcher) jobCounts() (ended, bad uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -214,7 +214,7 @@
 // scheduler decides when to poll the list again (pollDelay in package scheduler). maxFirstCallDelay and maxRetryDelay are equal to
 // maxFirstPollDelay and MaxListRetryDelay there.
 const (
-	firstCallSpread   = 50 * time.Millisecond // per dispatcher of the fleet: the first calls are spread over the product
+	firstCallSpread   = 50 * time.Millisecond // the first calls are spread over this time multiplied by the number of the fleet's dispatchers
 	maxFirstCallDelay = 3 * time.Second
 	maxRetryDelay     = 900 * time.Millisecond // after a failed call
 )
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -60,7 +60,8 @@
 	return strings.Split(string(text), "\n"), err
 }
 
-// snmpCounter returns a protocol's counter in /proc/net/snmp, which has a line of names and a line of values for each protocol; 0 for none.
+// snmpCounter returns a protocol's counter in /proc/net/snmp, which has a line of names and a line of values for each protocol. It returns
+// 0 if there is no such counter.
 func snmpCounter(lines []string, protocol, counter string) float64 {
 	var names []string
 	for _, line := range lines {
--- a/internal/scale/meteredclient.go
+++ b/internal/scale/meteredclient.go
@@ -49,7 +49,7 @@
 	return resp.StatusCode, text, err
 }
 
-// sendChecked is send within pollTimeout. A status other than the wanted one is an error.
+// sendChecked calls send with pollTimeout as the timeout. A status other than the wanted one is an error.
 func (c *meteredClient) sendChecked(ctx context.Context, method, url string, body []byte, want int) ([]byte, error) {
 	status, text, err := c.send(ctx, pollTimeout, method, url, body)
 	if err == nil && status != want {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -13,7 +13,7 @@
 
 	Settle             time.Duration // from when all dispatchers have leases until the measured span begins
 	Span               time.Duration // measured span
-	SpanWithoutChanges time.Duration // at the start of Span, without config changes; 0 for none
+	SpanWithoutChanges time.Duration // at the start of Span, without config changes; 0 if there is no such part
 
 	LeaseDuration time.Duration
 	ReplaceAfter  time.Duration // a voter that is silent for so long is replaced
@@ -31,11 +31,11 @@
 	Baseline     int     // real dispatchers without a fleet agent, not in Dispatchers
 	Rate         float64 // jobs a second of all Dispatchers together; a real or baseline one gets its share, a hollow one reports it
 
-	ChangeInterval  time.Duration // between proposals of config versions; 0 for none
-	ChangesPerDay   float64       // that the operators' capacity plan expects
-	RestartInterval time.Duration // between restarts of a worker; 0 for none
-	DrainInterval   time.Duration // between drains of a worker, which does not return; 0 for none
-	Fault           *Fault        // nil for none
+	ChangeInterval  time.Duration // between proposals of config versions; 0 to propose none
+	ChangesPerDay   float64       // changes a day that the operators' capacity plan expects
+	RestartInterval time.Duration // between restarts of a worker; 0 to restart none
+	DrainInterval   time.Duration // between drains of a worker, which does not return; 0 to drain none
+	Fault           *Fault        // nil for a run without a fault
 
 	// SkipWorkerProbes turns off the worker probes of real dispatchers. Probes and jobs are not part of control and not counted, so without
 	// both, all traffic on the loopback interface is counted. Only tests set it.
@@ -96,7 +96,7 @@
 	return zones[voter/p.Regions%len(zones)]
 }
 
-// reportFunc gets a mistake at an attribute of a file. The detail is formatted as by fmt.Sprintf.
+// reportFunc is called with a mistake at an attribute of a file. The detail is formatted as by fmt.Sprintf.
 type reportFunc func(attribute, format string, args ...any)
 
 // maxSockets is the number of listening sockets that the workers of a run may have, which is limited by the machine's ports and descriptors.
--- a/internal/scale/point.go
+++ b/internal/scale/point.go
@@ -29,7 +29,7 @@
 	return list.points, list.err
 }
 
-// addPoints adds the runs with a seed.
+// addPoints adds the file's runs with the given seed.
 func (f *File) addPoints(list *pointList, seed uint64) {
 	for _, fault := range f.faults(func(int, string, string, ...any) {}) { // mistakes were reported when the file was read
 		plan := f.seededPlan(seed)
--- a/internal/scale/raftstate.go
+++ b/internal/scale/raftstate.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// currentLeader returns the name of the raft leader; empty for none. A running hollow dispatcher that led in the last snapshot takes precedence.
-// Otherwise it is the real dispatcher that was elected last according to the logs.
+// currentLeader returns the name of the raft leader, or an empty text if there is none. A running hollow dispatcher that led in the last
+// snapshot takes precedence. Otherwise it is the real dispatcher that was elected last according to the logs.
 func (r *run) currentLeader() string {
 	leader, since := "", time.Time{}
 	for _, each := range r.running() {
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -30,8 +30,9 @@
 	Changes          int       `json:"changes"`
 
 	// Units: bytes of control a second in both directions, messages of control a second, milliseconds of processor time a second, MiB of
-	// resident memory. Only CPU and Memory are the cost of control, as differences. All other figures of processor time and memory are of the
-	// whole process; for a hollow dispatcher, its share of its process. Figures of dispatchers are over those that serve jobs.
+	// resident memory. Only CPU and Memory are the cost of control alone: each is the difference to a baseline dispatcher. All other
+	// figures of processor time and memory are of the whole process; for a hollow dispatcher, its share of its process. Figures of
+	// dispatchers cover only dispatchers that serve jobs.
 	BytesP50          float64 `json:"control_bytes_s_p50"`
 	BytesP99          float64 `json:"control_bytes_s_p99"`
 	BytesMean         float64 `json:"control_bytes_s_mean"`
@@ -66,7 +67,7 @@
 	InForceP50MS      float64   `json:"in_force_p50_ms"` // over all changes, at all dispatchers that they could reach
 	InForceP99MS      float64   `json:"in_force_p99_ms"`
 	InForceP999MS     float64   `json:"in_force_p999_ms"`
-	InForceMissing    int       `json:"in_force_missing"`     // changes that a running dispatcher never applied, and returns after which a dispatcher never applied the newest version
+	InForceMissing    int       `json:"in_force_missing"`     // changes that a running dispatcher never applied, plus returns of dispatchers that then never applied the newest version
 	ReturnedInForceMS []float64 `json:"returned_in_force_ms"` // from a dispatcher's return until it had applied the newest version
 	ContradictionMS   float64   `json:"contradiction_max_ms"`
 	RulesBroken       int       `json:"rules_broken"`
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -44,7 +44,7 @@
 	return scenario
 }
 
-// repeatedFaults returns faults of one worker each, at an interval, as many as end within the measured span; none if the interval is 0.
+// repeatedFaults returns faults at an interval, each of one worker: as many as end within the measured span, or none if the interval is 0.
 func (p *Plan) repeatedFaults(kind emulator.FaultKind, interval, duration time.Duration) []emulator.Fault {
 	var faults []emulator.Fault
 	for at := interval; interval > 0 && at+duration < p.Span; at += interval {
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -22,7 +22,7 @@
 	pids            map[string]int                  // of the dispatcher's process, by dispatcher
 	processSizes    map[int]int                     // number of dispatchers, by process
 	voters          map[string]bool                 // dispatchers that are voters
-	leader          string                          // of the raft group; empty for none
+	leader          string                          // of the raft group; empty if there is none
 	usage           map[int]labsupport.ProcessUsage // by process
 	machine         machineCounters
 	lateTicks       []lateTick    // of this process and the hollow processes, since their start
@@ -160,7 +160,7 @@
 	return counts
 }
 
-// controlBetween returns a dispatcher's counts between two snapshots, and false if it was not in the same process at both.
+// controlBetween returns a dispatcher's counts between two snapshots, and false unless the same process ran the dispatcher at both.
 func controlBetween(before, after snapshot, name string) (controlCounts, bool) {
 	pid, runs := after.pids[name]
 	if earlier, ran := before.pids[name]; !runs || !ran || earlier != pid {
@@ -169,8 +169,8 @@
 	return subtractCounts(after.control[name], before.control[name]), true
 }
 
-// cpuBetween returns a dispatcher's share of the milliseconds of processor time that its process used between two snapshots; 0 if the dispatcher
-// was not in the same process at both.
+// cpuBetween returns a dispatcher's share of the milliseconds of processor time that its process used between two snapshots. It returns 0
+// unless the same process ran the dispatcher at both.
 func cpuBetween(before, after snapshot, name string) float64 {
 	pid := after.pids[name]
 	earlier, ran := before.usage[pid]
@@ -181,7 +181,8 @@
 	return (usage.CPUMS - earlier.CPUMS) / float64(max(after.processSizes[pid], 1))
 }
 
-// controlBytesSince returns the bytes that a dispatcher counted between two snapshots, or since its start if that was between them.
+// controlBytesSince returns the bytes that a dispatcher counted between two snapshots. If the dispatcher was started between them, it
+// returns the bytes counted since then.
 func controlBytesSince(before, after snapshot, name string) uint64 {
 	if counts, same := controlBetween(before, after, name); same {
 		return traffic.Total(counts).Bytes()
@@ -189,7 +190,8 @@
 	return traffic.Total(after.control[name]).Bytes()
 }
 
-// cpuSince returns the milliseconds of processor time that a dispatcher used between two snapshots, or since its start if that was between them.
+// cpuSince returns the milliseconds of processor time that a dispatcher used between two snapshots. If the dispatcher was started between
+// them, it returns the time used since then.
 func cpuSince(before, after snapshot, name string) float64 {
 	pid := after.pids[name]
 	if before.pids[name] == pid {
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -53,12 +53,13 @@
 	return nil
 }
 
-// awaitLeases waits until all dispatchers have leases, and returns false if they do not by the deadline.
+// awaitLeases waits until all dispatchers have leases. It returns false if some have none at the deadline.
 func (r *run) awaitLeases(ctx context.Context, deadline time.Time) bool {
 	return r.awaitAll(ctx, deadline, func(state effectivestate.State) bool { return !state.Lapsed })
 }
 
-// awaitNewestVersion waits until all dispatchers have leases and apply only the newest version, and returns false if they do not by the deadline.
+// awaitNewestVersion waits until all dispatchers have leases and apply only the newest version. It returns false if that has not happened
+// by the deadline.
 func (r *run) awaitNewestVersion(ctx context.Context, deadline time.Time) bool {
 	newest := uint64(0)
 	for _, change := range r.changes {
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -13,8 +13,8 @@
 // Breach is a violation of a rule.
 type Breach struct {
 	Rule    string
-	Request string // id of the request concerned; empty for none
-	Worker  int    // number of the worker concerned; -1 for none
+	Request string // id of the request concerned; empty if there is none
+	Worker  int    // number of the worker concerned; -1 if there is none
 	At      time.Time
 	Detail  string
 }
@@ -43,7 +43,7 @@
 	notificationDeadline  = 6 * time.Second
 	readyWithin           = 10 * time.Second
 	pollRegistration      = "epoll_ctl"
-	shutdownRequestWindow = 700 * time.Millisecond // a request written sooner after SIGTERM than this may be unanswered at SIGKILL
+	shutdownRequestWindow = 700 * time.Millisecond // a request written less than this long after SIGTERM may be unanswered at SIGKILL
 )
 
 // auditor checks the rules on a record.
@@ -280,8 +280,8 @@
 	return min(slowStartCapacity+(1-slowStartCapacity)*float64(age)/float64(slowStartDuration), 1)
 }
 
-// checkSlowStart checks that a warming worker gets no more requests in the overload window than it can take, unless a third of them or more
-// came from dispatchers that were not notified of its start.
+// checkSlowStart checks that a warming worker gets no more requests in the overload window than it can take, unless at least a third of the
+// requests came from dispatchers that were not notified of the worker's start.
 func (a *auditor) checkSlowStart() {
 	for _, change := range a.record.EndpointChanges {
 		if !change.JustStarted {
@@ -296,9 +296,9 @@
 		slices.SortFunc(attempts, func(x, y *Attempt) int { return x.FirstByteAt.Compare(y.FirstByteAt) })
 		for i, last := range attempts {
 			meanCapacity := overloadMultiple * warmupFactor(last.FirstByteAt.Sub(change.At)) * workerSlots * overloadWindow.Seconds() / jobTime.Seconds()
-			// The number of requests in a window is random, with a standard deviation of about the square root of its mean. The budget allows
-			// two standard deviations and two requests more than the mean, or three of each if the mean is small, as the distribution is
-			// skewed there.
+			// The number of requests in a window is random, with a standard deviation of about the square root of its mean. The budget is
+			// the mean plus two standard deviations and two requests. If the mean is small, the distribution is skewed, so the budget is
+			// the mean plus three standard deviations and three requests.
 			budget := meanCapacity + 2*math.Sqrt(meanCapacity) + 2
 			if meanCapacity < 30 {
 				budget = meanCapacity + 3*math.Sqrt(meanCapacity) + 3
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -107,8 +107,8 @@
 // connections for 0.2 to 0.4 s. Open connections stay in use.
 const newConnectionWindow = 500 * time.Millisecond
 
-// connection returns an idle connection, or a new one if no connection is idle or fresh is set. It returns nil if no connection can be
-// established or the load balancer sends no new ones any more.
+// connection returns an idle connection. If there is none, or if the parameter fresh is set, it returns a new connection. It returns nil if
+// no connection can be established, or if the load balancer no longer sends new connections to the process.
 func (c *clientGroup) connection(processRun int, fresh bool) *clientConn {
 	c.mu.Lock()
 	if idle := len(c.idle); idle > 0 && !fresh {
@@ -207,7 +207,7 @@
 	return false
 }
 
-// resend sends a request that got no answer again, with another ID and on a new connection. The earlier connection may have been closed before
+// resend repeats a request that got no answer, with another ID and on a new connection. The earlier connection may have been closed before
 // the request was read.
 func (c *clientGroup) resend(run *ProcessRun, request *Request) {
 	request.Resent = true
@@ -219,7 +219,7 @@
 	}
 }
 
-// write writes the last bytes of requests, and records when if that succeeded.
+// write writes the last bytes of requests, and records the time if that succeeded.
 func (c *clientGroup) write(conn *clientConn, text []byte, requests ...*Request) {
 	_ = conn.SetWriteDeadline(time.Now().Add(c.plan.Deadline))
 	_, err := conn.Write(text)
@@ -260,7 +260,8 @@
 	return true
 }
 
-// writeAndLeave writes a request and closes the connection after wait. If half is set, it closes only the sending side first.
+// writeAndLeave writes a request, and closes the connection after the duration wait. If the parameter half is set, it first closes only the
+// sending side.
 func (c *clientGroup) writeAndLeave(conn *clientConn, request *Request, text []byte, half bool, wait time.Duration) {
 	c.write(conn, text, request)
 	time.Sleep(wait)
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -125,7 +125,7 @@
 	return d.asOf(time.Now()).encode(dispatcher, 0)
 }
 
-// stepClock sets the clock forward, or back if by is negative.
+// stepClock sets the clock forward, or back if the parameter by is negative.
 func (d *discovery) stepClock(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,7 +149,7 @@
 	d.silenced = make(chan struct{})
 }
 
-// setDown makes the service reject all calls, or serve again.
+// setDown makes the service reject all calls, or serve calls again.
 func (d *discovery) setDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -219,7 +219,8 @@
 // replicaPollInterval is how often a lagging replica checks whether it shows a change yet.
 const replicaPollInterval = 20 * time.Millisecond
 
-// awaitChange waits until the list's revision differs from index, or until wait is over, and reports whether to answer the call.
+// awaitChange waits until the list's revision differs from the parameter index, or until the duration wait is over, and reports whether to
+// answer the call.
 func (d *discovery) awaitChange(r *http.Request, index int, wait, lag time.Duration, silenced <-chan struct{}) bool {
 	waitOver := time.After(wait)
 	for {
@@ -247,7 +248,8 @@
 	}
 }
 
-// writeList writes the list, or half of it if half is set, as it was before the delay.
+// writeList waits for the delay, and then writes the list as it was before the delay. If the parameter half is set, it writes only half of
+// the list.
 func (d *discovery) writeList(dispatcher int, view *replicaView, w http.ResponseWriter, r *http.Request, index int, lag, delay time.Duration, half bool) {
 	d.mu.Lock()
 	down, shown := d.down, d.asOf(time.Now().Add(-lag))
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -38,7 +38,7 @@
 	DiscoveryMove        EventKind = "move"           // a new configuration names another address of discovery
 	Reload               EventKind = "reload"         // a new configuration changes nothing
 	ProcessPauses        EventKind = "hold-ups"       // a dispatcher is stopped for 0.15 s, repeatedly
-	Terminate            EventKind = "term"           // a dispatcher gets SIGTERM, SIGKILL as early as the platform may send it, and is restarted
+	Terminate            EventKind = "term"           // a dispatcher gets SIGTERM, then SIGKILL as early as the platform may send it, and is restarted
 	Kill                 EventKind = "kill"           // a dispatcher gets SIGKILL and is restarted
 	IdleClients          EventKind = "crowd"          // many connections that send nothing
 	ClientsLeave         EventKind = "clients-leave"  // clients close their connections soon after their requests
@@ -56,7 +56,7 @@
 // Kinds that are drawn only for files that name them. If a kind other than TermAtStart ends a process, clients use its open connections until it
 // has ended.
 const (
-	UseUntilKill        EventKind = "use-until-kill"   // SIGTERM, and SIGKILL as early as the platform may send it
+	UseUntilKill        EventKind = "use-until-kill"   // SIGTERM, then SIGKILL as early as the platform may send it
 	ReloadsThenTerm     EventKind = "hup-hup-term"     // SIGHUP, SIGHUP and SIGTERM within 50 ms
 	TermTwice           EventKind = "term-term"        // SIGTERM twice
 	BadReload           EventKind = "bad-hup"          // SIGHUP with an invalid configuration, then with a valid one
@@ -127,7 +127,7 @@
 	DiscoveryOverloaded  bool          // discovery serves calls one after the other, and needs some seconds for one call of each dispatcher
 	DiscoveryClockOffset time.Duration // how far discovery's clock, by which starts of workers are stamped, is ahead
 	LateWeight           float64       // of the class: weight of a late answer
-	SystemCallFaults     string        // rules for internal/inject; empty for none
+	SystemCallFaults     string        // rules for internal/inject; empty for a run without these faults
 	Events               []Event
 }
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -16,7 +16,7 @@
 // Programs are the paths of the binaries that a run starts.
 type Programs struct {
 	Dispatcher string
-	Injector   string // brassdale-lab, which injects faults into system calls; empty for none
+	Injector   string // brassdale-lab, which injects faults into system calls; empty for runs without these faults
 }
 
 // dispatcherProcess is a dispatcher whose process is started, signalled and restarted at the same address.
@@ -203,7 +203,7 @@
 	return d.processRun, d.processRun != nil && !d.processRun.ReadyAt.IsZero() && d.processRun.EndedAt.IsZero()
 }
 
-// timeSinceSIGTERM returns how long ago the process that was started last got SIGTERM; 0 if it did not.
+// timeSinceSIGTERM returns how long ago the process that was started last got SIGTERM, or 0 if it got none.
 func (d *dispatcherProcess) timeSinceSIGTERM() (elapsed time.Duration) {
 	run, _ := d.current()
 	d.record.locked(func() {
@@ -296,7 +296,7 @@
 	return min(p.Deadline, maxCountedDeadline) + killSlack
 }
 
-// moveToReplica reloads a configuration that names a replica of discovery. The replica lags until a time.
+// moveToReplica reloads a configuration that names a replica of discovery, which lags until the given time.
 func (d *dispatcherProcess) moveToReplica(lag time.Duration, until time.Time) error {
 	if err := d.newDiscoveryAddress(0); err != nil {
 		return err
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -14,7 +14,7 @@
 	Deadline         time.Duration
 	ConnectionReused bool      // its connection had carried another request before
 	LeftAt           time.Time // when its client closed the connection or gave up; zero if it stayed
-	Status           int       // of a complete answer; 0 for none
+	Status           int       // of a complete answer; 0 if there is none
 	Result           string
 	AnsweredAt       time.Time // when the answer was complete, or the connection ended
 	Error            string    // how the connection ended if there was no answer
@@ -81,7 +81,7 @@
 	Events           []string // with their times
 }
 
-// locked calls do while no other goroutine changes the record.
+// locked calls the function do. Meanwhile no other goroutine changes the record.
 func (r *Record) locked(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +98,7 @@
 	r.locked(func() { r.DiscoveryAnswers = append(r.DiscoveryAnswers, answer) })
 }
 
-// lastAnswerAt returns when discovery last wrote a list to a dispatcher; zero for never.
+// lastAnswerAt returns when discovery last wrote a list to a dispatcher, or a zero time if it never did.
 func (r *Record) lastAnswerAt(dispatcher int) (at time.Time) {
 	r.locked(func() {
 		for i := len(r.DiscoveryAnswers) - 1; i >= 0 && at.IsZero(); i-- {
--- a/internal/soak/replica.go
+++ b/internal/soak/replica.go
@@ -20,7 +20,7 @@
 	mu    sync.Mutex
 	lag   time.Duration // the list is this old
 	flaps bool          // only every other call shows the old list
-	delay time.Duration // answers are delayed by up to this
+	delay time.Duration // longest delay of an answer
 	until time.Time     // when the fault ends
 	calls int
 
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -112,8 +112,9 @@
 	return &dispatcherProcess{plan: d.plan, record: d.record, processRun: d.processRun, pid: d.pid, exited: d.exited}
 }
 
-// useConnections has clients use connections of the running process, with pauses below maxThinkTime, until the process has ended or accepts
-// no more connections. The returned function waits for that. stream seeds the draws, so that they differ from those of other events.
+// useConnections starts clients that use connections of the running process, with pauses below maxThinkTime, until the process has ended or
+// accepts no more connections. The returned function waits until the clients have finished. The parameter stream seeds the draws, so that
+// they differ from the draws of other events.
 func (c *clientGroup) useConnections(stream time.Duration) (wait func()) {
 	run, up := c.dispatcher.current()
 	if !up {
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// hasFault reports whether the fault that ends at until still lasts. until points to a field, which is read under the lock.
+// hasFault reports whether a fault still lasts. The parameter until points to the field with the fault's end, which is read under the lock.
 func (w *worker) hasFault(until *time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,7 +149,7 @@
 	}
 }
 
-// firstByte is when the first byte of a request was received, or why none was.
+// firstByte is the time at which the first byte of a request was received, or the reason why none was received.
 type firstByte struct {
 	at  time.Time
 	err error
@@ -210,7 +210,7 @@
 }
 
 // runJob runs a job, and reports whether its connection may carry another. If a job that was read late is cancelled, the time of the
-// cancellation is unknown, and the job counts as cancelled at once.
+// cancellation is unknown. The job then counts as cancelled at once.
 func (w *worker) runJob(conn net.Conn, attempt *Attempt, next <-chan firstByte, late bool) bool {
 	recordEnd := func(result string) {
 		w.record.locked(func() {
