--- a/internal/faultlink/link.go
+++ b/internal/faultlink/link.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// forward forwards one direction of a connection in chunks, and closes both sides when it ends. cut reports whether a state cuts this
-// direction.
+// forward forwards one direction of a connection in chunks, and closes both sides when it ends. The function cut reports whether a state
+// cuts this direction.
 func (l *Link) forward(from, to net.Conn, cut func(State) bool) {
 	defer func() {
 		_ = from.Close() // undelivered bytes are lost
--- a/internal/faults/clients.go
+++ b/internal/faults/clients.go
@@ -16,7 +16,7 @@
 	absenceMargin = time.Second // an absence that ended up to this long before a job was sent still explains a missing answer
 )
 
-// sendJobs sends jobs in an open loop until end, each to a random process that is present. It returns when all jobs have ended.
+// sendJobs sends jobs in an open loop until the given end, each to a random process that is present. It returns when all jobs have ended.
 func (r *run) sendJobs(ctx context.Context, end time.Time) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, jobSource))
 	var jobs sync.WaitGroup
--- a/internal/faults/file.go
+++ b/internal/faults/file.go
@@ -85,8 +85,8 @@
 	return f, nil
 }
 
-// Plan returns the scenario's plan for a seed. If processes is above 0, it replaces the file's number of processes, and the number of
-// voters is limited to the largest odd number that is not above processes.
+// Plan returns the scenario's plan for a seed. If the parameter processes is above 0, it replaces the file's number of processes. The
+// number of voters is then limited to the largest odd number that is not above processes.
 func (f *File) Plan(seed uint64, processes int) Plan {
 	plan, _ := f.plan(nil) // Parse has reported the mistakes
 	plan.Seed = seed
--- a/internal/faults/linkfaults.go
+++ b/internal/faults/linkfaults.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// flapLinks alternately cuts and heals a process's links until end. If the context ends first, the links keep their last state.
+// flapLinks alternately cuts and heals a process's links until the given end. If the context ends first, the links keep their last state.
 func (r *run) flapLinks(ctx context.Context, process *dispatcherProcess, end time.Time) {
 	for cut := true; time.Now().Before(end); cut = !cut {
 		r.setLinks(process, faultlink.State{CutTo: cut, CutFrom: cut})
@@ -86,7 +86,7 @@
 	r.setLinks(process, faultlink.State{})
 }
 
-// resetLinks resets the connections over a process's links every resetInterval until end.
+// resetLinks resets the connections over a process's links every resetInterval until the given end.
 func (r *run) resetLinks(ctx context.Context, process *dispatcherProcess, end time.Time) {
 	for time.Now().Before(end) {
 		for ends, link := range r.links {
--- a/internal/faults/overload.go
+++ b/internal/faults/overload.go
@@ -49,7 +49,7 @@
 )
 
 // measure compares the retries and probes of all processes with the budgets. In an overloadWindow, a budget allows
-// rate * (window + savedSeconds) + processes uses. bound is the duration of a lease.
+// rate * (window + savedSeconds) + processes uses. The parameter bound is the duration of a lease.
 func (o *Overload) measure(received emulator.ReceivedTimes, processes int, bound time.Duration) *OverloadResult {
 	over := map[string]float64{}
 	seconds := overloadWindow.Seconds()
@@ -71,7 +71,7 @@
 	return &OverloadResult{BudgetOver: over, Further: len(received.FurtherAttempts), Probes: len(received.Probes), Firsts: len(received.FirstAttempts)}
 }
 
-// countInWindow returns the number of times in the overloadWindow that ends at end.
+// countInWindow returns the number of times in the overloadWindow that ends at the given time.
 func countInWindow(times []time.Duration, end time.Duration) float64 {
 	count := 0.0
 	for _, at := range times {
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -35,7 +35,7 @@
 	env        []string // additional environment variables
 }
 
-// newDispatcherProcess returns a process that has not been started. Its data is in its own subdirectory of dir.
+// newDispatcherProcess returns a process that has not been started. Its data is in its own subdirectory of the directory dir.
 func newDispatcherProcess(index int, address, dir string) *dispatcherProcess {
 	return &dispatcherProcess{index: index, address: address, dir: filepath.Join(dir, fmt.Sprintf("disk-%d", index))}
 }
--- a/internal/faults/zones.go
+++ b/internal/faults/zones.go
@@ -82,7 +82,7 @@
 	return crossed * float64(minCrossingStep) / float64(span)
 }
 
-// minCrossingAt returns the same minimum share for one time since the run began.
+// minCrossingAt returns the same minimum share as minCrossing, but for one time since the run began.
 func (p *ZoneDeployment) minCrossingAt(at time.Duration) float64 {
 	capacity := float64(p.Workers*workerSlots) / float64(p.Zones)
 	var zones []failover.Zone
--- a/internal/faults/zonesresult.go
+++ b/internal/faults/zonesresult.go
@@ -115,8 +115,8 @@
 	return plans
 }
 
-// measurePlanChanges sets the figures about the failover plans that the processes applied. from and to are the start and
-// the end of the first fault.
+// measurePlanChanges sets the figures about the failover plans that the processes applied. The parameters from and to are the start and the
+// end of the first fault.
 func (r *run) measurePlanChanges(result *ZonesResult, from, to time.Time) {
 	var detectedAt, movedAt, lastAt time.Time
 	for _, process := range r.processes {
--- a/internal/hcldiag/hcldiag.go
+++ b/internal/hcldiag/hcldiag.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Decode decodes the text of a file into a struct with hcl tags. If that succeeds, it calls check for the mistakes that gohcl cannot find.
-// path is the file's name in the error, which is a FileError.
+// Decode decodes the text of a file into a struct with hcl tags. If that succeeds, it calls the function check for the mistakes that gohcl
+// cannot find. The error is a FileError, in which path is the file's name.
 func Decode(text []byte, path string, into any, check func(*hclsyntax.Body) hcl.Diagnostics) error {
 	parsed, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	if !diags.HasErrors() {
@@ -71,7 +71,7 @@
 	return body.MissingItemRange()
 }
 
-// Read reads a file and parses it. parse uses the path in its errors.
+// Read reads a file and parses it. The function parse uses the path in its errors.
 func Read[T any](path string, parse func(text []byte, path string) (T, error)) (T, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/scale/accounting.go
+++ b/internal/scale/accounting.go
@@ -198,8 +198,8 @@
 	slices.Sort(result.ReturnedInForceMS)
 }
 
-// addInForce adds the delays until changes were in force at the dispatchers that they could reach. If a tick was late during a change that took
-// longer than slowChange, the machine was the limit.
+// addInForce adds the delays until changes were in force (history.appliedAt) at the dispatchers that they could reach. If a tick was late
+// during a change that took longer than slowChange, the machine was the limit.
 func (r *run) addInForce(result *Result, all []*history, late []lateTick) {
 	var delays []float64
 	for _, history := range all {
--- a/internal/scale/compare.go
+++ b/internal/scale/compare.go
@@ -15,9 +15,9 @@
 // agreementTolerance is the share by which hollow dispatchers may differ from real ones in bytes, messages and processor time.
 const agreementTolerance = 0.15
 
-// ComparisonPlans returns a file's plan with all serving dispatchers real, and with all of them hollow. Voters are real in both. The baseline
-// dispatchers are real in the first and hollow in the second. If processes is above 0, it replaces the file's number. The error lists all
-// mistakes by attribute.
+// ComparisonPlans returns a file's plan with all serving dispatchers real, and with all of them hollow. Voters are real in both. The
+// baseline dispatchers are real in the first and hollow in the second. If the parameter processes is above 0, it replaces the file's number
+// of processes. The error lists all mistakes by attribute.
 func (f *File) ComparisonPlans(seed uint64, processes int) (real, hollow Plan, err error) {
 	report := func(attribute, format string, args ...any) {
 		err = errors.Join(err, attributeError(attribute, format, args...))
--- a/internal/scale/faultinjection.go
+++ b/internal/scale/faultinjection.go
@@ -222,7 +222,7 @@
 	r.recordPartition(names, false)
 }
 
-// recordPartition records that dispatchers are cut off from now on or, if cut is false, that they no longer are.
+// recordPartition records that dispatchers are cut off from now on or, if the parameter cut is false, that they no longer are.
 func (r *run) recordPartition(names []string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scale/fit/canvas.go
+++ b/internal/scale/fit/canvas.go
@@ -74,7 +74,7 @@
 	return colors[number%len(colors)]
 }
 
-// save adds the grid and, unless limit is 0, the limit's line, and writes the chart.
+// save adds the grid and, unless the parameter limit is 0, the limit's line, and writes the chart.
 func (c canvas) save(path string, sweep []Run, limit float64, unit string) error {
 	c.Add(plotter.NewGrid())
 	if limit > 0 {
--- a/internal/scale/fit/charts.go
+++ b/internal/scale/fit/charts.go
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// pointsAndMedians returns a metric of all runs over the number of dispatchers, and its median at each number of dispatchers. The runs must be
-// sorted by the number of dispatchers. The metric is divided by scale.
+// pointsAndMedians returns a metric of all runs over the number of dispatchers, and its median at each number of dispatchers. The runs must
+// be sorted by the number of dispatchers. The metric is divided by the parameter scale.
 func pointsAndMedians(sweep []Run, metric string, scale float64) (points, medians plotter.XYs) {
 	values := map[float64][]float64{} // by number of dispatchers
 	for _, run := range sweep {
--- a/internal/scale/history.go
+++ b/internal/scale/history.go
@@ -43,7 +43,7 @@
 	return newest
 }
 
-// addUnreached adds an absence or partition. newest is the newest version at the end of the period.
+// addUnreached adds an absence or partition. The parameter newest is the newest version at the end of the period.
 func (h *history) addUnreached(period effectivestate.Period, newest uint64) {
 	if !period.To.IsZero() {
 		appliedAt, ok := h.leasedOn(newest, period.To)
--- a/internal/scale/point.go
+++ b/internal/scale/point.go
@@ -12,8 +12,8 @@
 	Plan Plan
 }
 
-// Points returns a file's runs, with consecutive seeds from the given one on. If hollow is not negative, or processes is above 0, they replace
-// the file's values. The error names the first mistake that results from that, by attribute.
+// Points returns a file's runs, with consecutive seeds from the given one on. The parameter hollow replaces the file's value if it is not
+// negative, and the parameter processes if it is above 0. The error names the first mistake in the resulting plans, by attribute.
 func (f *File) Points(seed uint64, hollow, processes int) ([]Point, error) {
 	file := *f
 	if hollow >= 0 {
@@ -94,7 +94,7 @@
 	err    error // for the first mistake
 }
 
-// add checks a plan and adds it, unless there is already one of its name.
+// add checks a plan and adds a point for it, unless there is already a point with this name.
 func (l *pointList) add(name string, plan Plan) {
 	plan.check(func(attribute, format string, args ...any) {
 		if l.err == nil {
--- a/internal/scale/proposer.go
+++ b/internal/scale/proposer.go
@@ -38,7 +38,7 @@
 	return &proposer{run: r, random: rand.New(rand.NewPCG(r.plan.Seed, proposalStream))}
 }
 
-// proposeUntil proposes config versions at the plan's interval until the end, and one at once when a fault begins.
+// proposeUntil proposes config versions at the plan's interval until the end. When a fault begins, it proposes one at once.
 func (p *proposer) proposeUntil(ctx context.Context, end time.Time) {
 	for at := time.Now(); at.Before(end); at = at.Add(p.run.plan.ChangeInterval) {
 		select {
--- a/internal/scale/realdispatcher.go
+++ b/internal/scale/realdispatcher.go
@@ -74,9 +74,9 @@
 	return object
 }
 
-// writeConfig writes the platform's configuration file for a listener of the emulator and returns its path, which contains name. The file
-// is the emulator's, except that the number of dispatchers is the size of the whole fleet and that probing is off if the plan sets
-// SkipWorkerProbes.
+// writeConfig writes the platform's configuration file for a listener of the emulator and returns its path, which contains the parameter
+// name. The file is the emulator's, except that the number of dispatchers is the size of the whole fleet and that probing is off if the
+// plan sets SkipWorkerProbes.
 func (r *run) writeConfig(listener int, name string) (path string, err error) {
 	text, err := r.cluster.Config(listener)
 	if err != nil {
--- a/internal/scale/regionlinks.go
+++ b/internal/scale/regionlinks.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// open opens a link to a voter, over a counting proxy if counted is set.
+// open opens a link to a voter, over a counting proxy if the parameter counted is set.
 func (l *regionLinks) open(regions regionPair, voterAddress string, seed uint64, counted bool) error {
 	target := voterAddress
 	if counted {
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -77,7 +77,7 @@
 	return auditor.breaches
 }
 
-// addBreach adds a breach. request is empty and worker -1 if none is concerned.
+// addBreach adds a breach. The parameter request is empty if no request is concerned, and worker is -1 if no worker is.
 func (a *auditor) addBreach(rule, request string, worker int, at time.Time, format string, args ...any) {
 	a.breaches = append(a.breaches, Breach{rule, request, worker, at, fmt.Sprintf(format, args...)})
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -53,8 +53,8 @@
 var EventKinds = []EventKind{Drain, Join, Restart, WorkerHangs, WorkerResets, WorkerReadsLate, FaultyCalls, SilentWatches, DiscoveryDown, DiscoveryMove, Reload,
 	ProcessPauses, Terminate, Kill, IdleClients, ClientsLeave, ClockStep, ReplicaLag, MoveToLaggingReplica, DelayedAnswers, DiscoveryMoveSeries}
 
-// Kinds that are drawn only for files that name them. If a kind other than TermAtStart ends a process, clients use its open connections until it
-// has ended.
+// Kinds that are drawn only for files that name them. If a kind other than TermAtStart ends a process, clients use the process's open
+// connections until the process has ended.
 const (
 	UseUntilKill        EventKind = "use-until-kill"   // SIGTERM, then SIGKILL as early as the platform may send it
 	ReloadsThenTerm     EventKind = "hup-hup-term"     // SIGHUP, SIGHUP and SIGTERM within 50 ms
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -252,8 +252,8 @@
 	return d.endAndRestart(func() { d.terminate() })
 }
 
-// endAndRestart calls signals, which must call terminate, kills the process as early as the platform may, and starts it again. It does nothing
-// while another restart is in progress.
+// endAndRestart calls the function signals, which must call terminate. It then kills the process as early as the platform may, and starts
+// it again. It does nothing while another restart is in progress.
 func (d *dispatcherProcess) endAndRestart(signals func()) error {
 	if !d.restarting.TryLock() {
 		return nil
--- a/internal/testsupport/stored.go
+++ b/internal/testsupport/stored.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// CheckStored checks that the JSON in a file decodes to want, and that want encodes to the same bytes.
+// CheckStored checks that the JSON in a file decodes to the value want, and that want encodes to the same bytes.
 func CheckStored(t *testing.T, path string, want any) {
 	t.Helper()
 	stored, err := os.ReadFile(path)
@@ -18,7 +18,7 @@
 	CheckJSON(t, path, stored, want)
 }
 
-// CheckJSON checks that stored decodes to want, and that want encodes to the same bytes. Errors begin with the name.
+// CheckJSON checks that the JSON in stored decodes to the value want, and that want encodes to the same bytes. Errors begin with the name.
 func CheckJSON(t *testing.T, name string, stored []byte, want any) {
 	t.Helper()
 	read := reflect.New(reflect.TypeOf(want))
