--- a/internal/scale/fit/canvas.go
+++ b/internal/scale/fit/canvas.go
@@ -68,13 +68,13 @@
 	return nil
 }
 
-// bandColor returns the color of a band by its number. The dark colors are added as there are more bands than soft colors.
+// bandColor returns the color of a band by its number. The dark colors are added because there are more bands than soft colors.
 func bandColor(number int) color.Color {
 	colors := append(slices.Clone(plotutil.SoftColors), plotutil.DarkColors...)
 	return colors[number%len(colors)]
 }
 
-// save adds the grid and, unless limit is 0, the limit's line, and writes the chart.
+// save adds the grid and, unless the parameter limit is 0, the limit's line, and writes the chart.
 func (c canvas) save(path string, sweep []Run, limit float64, unit string) error {
 	c.Add(plotter.NewGrid())
 	if limit > 0 {
