--- a/internal/endpointcache/cachedlist.go
+++ b/internal/endpointcache/cachedlist.go
@@ -10,7 +10,7 @@
 // CachedList is an endpoint list as it is stored: the last snapshot and the changes in its journal.
 type CachedList struct {
 	Dispatcher          string                               `json:"dispatcher"`
-	ConfirmedAtMS       int64                                `json:"made_ms"` // Unix time at which the list was last known to be in force
+	ConfirmedAtMS       int64                                `json:"made_ms"` // Unix time at which the list was last known to be current
 	Revision            int64                                `json:"revision"`
 	Discovery           string                               `json:"discovery"` // address of the service that returned the list
 	Members             []CachedMember                       `json:"members"`
@@ -24,11 +24,11 @@
 // CachedMember is a worker as it was last known.
 type CachedMember struct {
 	protocol.Member
-	LastSignalMS int64                       `json:"heard_ms"` // Unix time of the last signal; 0 for none
+	LastSignalMS int64                       `json:"heard_ms"` // Unix time of the last signal; 0 if there was none
 	Statistics   *scheduler.WorkerStatistics `json:"learned,omitempty"`
 }
 
-// ConfirmedAt returns when the list was last known to be in force.
+// ConfirmedAt returns when the list was last known to be current.
 func (c *CachedList) ConfirmedAt() time.Time { return time.UnixMilli(c.ConfirmedAtMS) }
 
 // LearnedState returns the stored state of the scheduler, without the classes, which are stored by name.
--- a/internal/endpointcache/journal.go
+++ b/internal/endpointcache/journal.go
@@ -12,7 +12,7 @@
 // journalRecord is a change of the list. It is stored as its length (4 bytes), a checksum (8 bytes) and a JSON document. The checksum
 // covers the index of the record in the journal, so that a record at another position is rejected.
 type journalRecord struct {
-	AtMS     int64             `json:"at_ms"` // Unix time at which the list was last known to be in force
+	AtMS     int64             `json:"at_ms"` // Unix time at which the list was last known to be current
 	Revision int64             `json:"revision"`
 	Members  []protocol.Member `json:"members,omitempty"` // the workers that changed
 	Detached *[]string         `json:"out,omitempty"`     // all workers that the operator has detached; nil for no change
--- a/internal/endpointcache/memoryfiles_test.go
+++ b/internal/endpointcache/memoryfiles_test.go
@@ -12,7 +12,7 @@
 	steps     int   // how many changes were attempted
 	crashAt   int   // the change at which the machine crashes, counted from 1; 0 for never
 	crashPart int   // how far that change got, 0 for not at all; see Replace and Append
-	failWith  error // the error with which each change fails; nil for none
+	failWith  error // the error with which each change fails; nil if changes succeed
 }
 
 var errCrashed = errors.New("the machine has crashed")
--- a/internal/endpointcache/settings.go
+++ b/internal/endpointcache/settings.go
@@ -6,7 +6,7 @@
 type Settings struct {
 	Directory         string  `hcl:"directory"`
 	MaxAge            string  `hcl:"oldest,optional"` // maximum age of a list that is used; a duration such as "72h"
-	MinFirstListShare float64 `hcl:"shrink,optional"` // a first list below this share of the cached workers must be confirmed; 0 for never
+	MinFirstListShare float64 `hcl:"shrink,optional"` // a first list with fewer ready workers than this share of the cached workers must be confirmed; 0 switches this off
 }
 
 // Default returns the values of the optional settings.
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -20,7 +20,7 @@
 	files      Files
 	dispatcher string
 
-	currentGeneration uint64 // the generation that this store writes; 0 for none
+	currentGeneration uint64 // the generation that this store writes; 0 before the first snapshot
 	journalRecords    uint64 // records in its journal
 	journalTorn       bool   // its journal may end in a partial record, after which nothing may be written
 }
@@ -65,7 +65,7 @@
 	if err != nil {
 		return
 	}
-	var damaged []string // in ascending order of their numbers, as Names sorts
+	var damaged []string // in ascending order of their numbers, because Names sorts
 	for _, name := range names {
 		if strings.HasPrefix(name, damagedPrefix+snapshotPrefix) {
 			damaged = append(damaged, name)
@@ -130,7 +130,8 @@
 	return nil
 }
 
-// Prune removes the files of all generations that are older than the newest retained ones, and returns the number of files removed.
+// Prune removes the files of all generations except the newest ones, of which the parameter retained is the number, and returns the
+// number of files removed.
 func (s *Store) Prune(retained int) (removed int, err error) {
 	names, err := s.files.Names()
 	if err != nil {
--- a/internal/endpointcache/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -102,7 +102,7 @@
 			t.Fatalf("byte %d changed: %d records, want %d", offset, count, want)
 		}
 	}
-	// A record at the position of another is not used.
+	// A record is not used if it is at the position of another record.
 	swapped := slices.Concat(intact[ends[0]:ends[1]], intact[:ends[0]])
 	if count, torn := loadLeaving(swapped); count != 0 || !torn {
 		t.Errorf("swapped records: %d used, torn %v", count, torn)
--- a/internal/endpointcache/writer.go
+++ b/internal/endpointcache/writer.go
@@ -18,7 +18,7 @@
 	// snapshotInterval is the minimum time between snapshots of a list that changes.
 	snapshotInterval = 5 * time.Second
 
-	// confirmInterval is the time between snapshots of a list that does not change, which record that it is still in force.
+	// confirmInterval is the time between snapshots of a list that does not change, which record that the list is still current.
 	confirmInterval = time.Minute
 
 	// faultRetryInterval is the time from a disk error to the next snapshot.
@@ -54,7 +54,7 @@
 	members        map[string]CachedMember
 	revision       int64
 	detached       []string
-	confirmedAt    time.Time // when the list was last known to be in force; zero until the first update
+	confirmedAt    time.Time // when the list was last known to be current; zero until the first update
 	dirty          bool      // the members differ from the last snapshot
 	lastSnapshotAt time.Time // when a snapshot was last attempted
 	failedAt       time.Time // when the disk last failed; zero after a successful snapshot
@@ -204,7 +204,8 @@
 	}
 }
 
-// snapshotDue reports whether a snapshot is due. Before the first update it is not, since the list on disk is as recent.
+// snapshotDue reports whether a snapshot is due. Before the first update none is due, since the list on disk is as recent as the
+// members.
 func (w *Writer) snapshotDue(now time.Time) bool {
 	switch {
 	case w.confirmedAt.IsZero():
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -18,8 +18,8 @@
 	logInterval = time.Second // minimum time between two log lines about errors
 )
 
-// Next returns the next connection. It returns an error only if the listener is closed or its deadline has passed, since the owner of
-// the listener causes both. It passes all other errors to failed, and blocks until an accept succeeds.
+// Next returns the next connection. It returns an error only if the listener is closed or its deadline has passed: the owner of the
+// listener causes both. After any other error it calls failed with the error and then accept again, until an accept succeeds.
 func Next[C any](accept func() (C, error), failed func(error)) (C, error) {
 	backoff := minBackoff
 	for {
--- a/internal/operator/blockreader.go
+++ b/internal/operator/blockreader.go
@@ -36,7 +36,7 @@
 }
 
 // checkAddress checks the address on which a frontend listens. Unless it is a loopback address, unencrypted traffic can be read in
-// transit, so the operator must allow it with cleartext.
+// transit, so the operator must allow it with the attribute cleartext.
 func (r *blockReader) checkAddress(listen string, encrypted, cleartext bool) {
 	if err := protocol.CheckAddr(listen); err != nil {
 		r.addFault("listen", "%v.", err)
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -22,18 +22,18 @@
 type File struct {
 	HTTP2         *http2.Settings                // block front "http2"
 	Progress      *transport.ProgressSettings    // block front "progress"
-	Keys          *transport.IdempotencySettings // block keys
-	Quotas        *transport.QuotaSettings       // block accounts
-	EndpointCache *endpointcache.Settings        // block saved_list
-	Retries       *transport.RetrySettings       // block fleet
-	Fleet         *fleet.Settings                // block council
-	Failover      *fleet.Failover                // block failover
-	Overload      *fleet.Overload                // block overload
+	Keys          *transport.IdempotencySettings // block "keys"
+	Quotas        *transport.QuotaSettings       // block "accounts"
+	EndpointCache *endpointcache.Settings        // block "saved_list"
+	Retries       *transport.RetrySettings       // block "fleet"
+	Fleet         *fleet.Settings                // block "council"
+	Failover      *fleet.Failover                // block "failover"
+	Overload      *fleet.Overload                // block "overload"
 }
 
-// IdempotencySettings returns the settings of the table of idempotency keys; nil if there is no table. A frontend in addition to the
-// platform's needs a table, with the default settings if the file has no block keys: requests with the same key may arrive at any
-// frontend.
+// IdempotencySettings returns the settings of the table of idempotency keys; nil if there is no table. If the file has a block
+// "front", there is always a table, since requests with the same key may arrive at any frontend. Without a block "keys" the table
+// has the default settings.
 func (f *File) IdempotencySettings() *transport.IdempotencySettings {
 	if f.Keys == nil && (f.HTTP2 != nil || f.Progress != nil) {
 		settings := transport.DefaultIdempotency()
@@ -98,7 +98,7 @@
 	return fault("Unsupported block", "There is no block %s; there are: %s.", name, strings.Join(names, ", "))
 }
 
-// String returns the settings in force, defaults included, in the form of a file.
+// String returns the settings, defaults included, in the form of an operator's file.
 func (f *File) String() string {
 	out := hclwrite.NewEmptyFile()
 	for _, block := range blocks {
@@ -115,7 +115,8 @@
 	return string(out.Bytes())
 }
 
-// NeedsRestart returns the blocks with settings that differ in next and take effect only at the next start.
+// NeedsRestart compares the file with the file next. It returns the blocks that are in only one of the files, or that differ in a
+// setting which is read only at the start.
 func (f *File) NeedsRestart(next *File) (changed []string) {
 	for _, block := range blocks {
 		before, after := block.write(f), block.write(next)
--- a/internal/operator/fleetblocks.go
+++ b/internal/operator/fleetblocks.go
@@ -10,7 +10,7 @@
 	"brassdale/internal/transport"
 )
 
-// readRetries reads the block fleet.
+// readRetries reads the block "fleet".
 func readRetries(file *File, reader *blockReader) {
 	settings := transport.RetrySettings{}
 	if !reader.decode(&settings) {
@@ -22,7 +22,7 @@
 	file.Retries = &settings
 }
 
-// readFleet reads the block council.
+// readFleet reads the block "council".
 func readFleet(file *File, reader *blockReader) {
 	settings := fleet.Default()
 	if !reader.decode(&settings) {
@@ -59,7 +59,7 @@
 	file.Fleet = &settings
 }
 
-// readOverload reads the block overload.
+// readOverload reads the block "overload".
 func readOverload(file *File, reader *blockReader) {
 	settings := fleet.Overload{}
 	if !reader.decode(&settings) {
@@ -74,7 +74,7 @@
 	file.Overload = &settings
 }
 
-// readFailover reads the block failover.
+// readFailover reads the block "failover".
 func readFailover(file *File, reader *blockReader) {
 	settings := fleet.DefaultFailover()
 	if !reader.decode(&settings) {
--- a/internal/operator/frontendblocks.go
+++ b/internal/operator/frontendblocks.go
@@ -55,7 +55,7 @@
 	file.Progress = &settings
 }
 
-// readIdempotency reads the block keys.
+// readIdempotency reads the block "keys".
 func readIdempotency(file *File, reader *blockReader) {
 	settings := transport.DefaultIdempotency()
 	if !reader.decode(&settings) {
@@ -66,7 +66,7 @@
 	file.Keys = &settings
 }
 
-// readQuotas reads the block accounts.
+// readQuotas reads the block "accounts".
 func readQuotas(file *File, reader *blockReader) {
 	settings := transport.QuotaSettings{}
 	if !reader.decode(&settings) {
@@ -96,7 +96,7 @@
 	file.Quotas = &settings
 }
 
-// readEndpointCache reads the block saved_list.
+// readEndpointCache reads the block "saved_list".
 func readEndpointCache(file *File, reader *blockReader) {
 	settings := endpointcache.Default()
 	if !reader.decode(&settings) {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// FuzzParse checks that for each file that Parse accepts, it accepts the result of File.String too.
+// FuzzParse checks that if Parse accepts a file, it also accepts the result of File.String.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("front \"progress\" {\n  listen = \"127.0.0.1:0\"\n  jobs = 7\n}"))
 	f.Add([]byte("front \"progress\" {\n  listen = [1]\n  tls {\n}\n}\nfront {}"))
--- a/internal/program/build.go
+++ b/internal/program/build.go
@@ -14,7 +14,7 @@
 	"brassdale/scheduler"
 )
 
-// errNeedsFleet is returned for blocks that have no effect without a fleet.
+// errNeedsFleet rejects an operator's file with blocks that have no effect without a fleet.
 var errNeedsFleet = errors.New("blocks failover and overload need a block council")
 
 // build creates all parts and starts none of them.
--- a/internal/program/dispatcher.go
+++ b/internal/program/dispatcher.go
@@ -25,16 +25,16 @@
 	endpointList     *routing.EndpointList
 	inFlightIDs      *transport.InFlightIDs
 	idempotencyTable *transport.IdempotencyTable // nil if requests are not deduplicated
-	quotas           *transport.AccountQuotas    // nil if accounts have none
+	quotas           *transport.AccountQuotas    // nil if accounts have no quotas
 	frontends        []*frontend
 	progress         *transport.ProgressFrontend // nil if that frontend is off
 	http2            *http2.Frontend             // nil if that frontend is off
 	cache            *endpointCache              // nil if the endpoint list is not cached
-	retriesBounded   bool                        // a metric counts the retries that were denied
-	retryRatio       float64                     // of the operator's file; owned by the goroutine of reloader.run
+	retriesBounded   bool                        // retries may be denied by a limit; a metric counts the denied retries
+	retryRatio       float64                     // limit in the operator's file; owned by the goroutine of reloader.run
 	fleet            *fleetAgent                 // nil if this dispatcher is in no fleet
-	relayServer      *http.Server                // for callers that the peer process relays; nil if it cannot relay any
-	relayPath        string                      // of its socket; empty for none
+	relayServer      *http.Server                // for requests that the peer process relays; nil if it can relay none
+	relayPath        string                      // path of relayServer's socket; empty if there is none
 	meter            *traffic.Meter              // of control traffic
 	reloader         *reloader
 	operations       *operations
@@ -44,8 +44,8 @@
 
 	mu        sync.Mutex // guards the fields below
 	limits    resourceLimits
-	peer      *transport.PeerProcess  // the predecessor or successor; nil for none
-	peerUsage *protocol.HandoverUsage // what peer uses of the limits; nil for none
+	peer      *transport.PeerProcess  // the predecessor or successor; nil if neither runs
+	peerUsage *protocol.HandoverUsage // what peer uses of the limits; nil if there is no peer
 }
 
 // frontend is a listener with its handler.
@@ -94,7 +94,7 @@
 	}
 }
 
-// setRetryRatio applies the limit in the operator's file, in retries and hedged attempts for each first attempt.
+// setRetryRatio applies the limit of the operator's file: ratio is the number of retries and hedged attempts per first attempt.
 func (d *dispatcher) setRetryRatio(ratio float64) {
 	d.retryRatio = ratio
 	if d.fleet == nil {
--- a/internal/program/endpointcache.go
+++ b/internal/program/endpointcache.go
@@ -14,7 +14,7 @@
 	"brassdale/scheduler"
 )
 
-// endpointCache writes the endpoint list to disk, and returns a start from the list that an earlier process wrote.
+// endpointCache writes the endpoint list to disk, and makes a routing.CachedStart from the list that an earlier process wrote.
 type endpointCache struct {
 	dispatcher *dispatcher
 	rules      cachetrust.Rules
@@ -51,7 +51,7 @@
 	return cache
 }
 
-// cachedStart returns a start from the cached list; nil if there is none.
+// cachedStart returns the routing.CachedStart of the cached list; nil if there is no cached list.
 func (c *endpointCache) cachedStart(clock routing.Clock) *routing.CachedStart {
 	cached := c.loaded
 	if cached == nil || len(cached.Members) == 0 {
@@ -109,7 +109,7 @@
 	return workers
 }
 
-// startWriting starts a goroutine that writes the endpoint list and ends with the context.
+// startWriting starts a goroutine that writes the endpoint list until the context ends.
 func (c *endpointCache) startWriting(ctx context.Context) {
 	d := c.dispatcher
 	c.writer = endpointcache.NewWriter(c.store, c.loaded, c, d.reloader.discoveryAddress, d.settings.Current, d.log)
--- a/internal/program/firstlist.go
+++ b/internal/program/firstlist.go
@@ -12,7 +12,7 @@
 type firstList struct {
 	known  routing.ListUpdate
 	source routing.ListSource
-	cached *routing.CachedStart // used instead of known, which is then empty; nil unless the start is from the endpoint cache
+	cached *routing.CachedStart // the list if it is from the endpoint cache, else nil; known is empty if this is set
 }
 
 // chooseFirstList returns the predecessor's list if discovery confirmed it, else the endpoint cache if it is usable, else the list in
@@ -32,7 +32,7 @@
 	return d.listFromFile(in.config)
 }
 
-// listFromFile returns the list in the platform's file, which may have none.
+// listFromFile returns the list in the platform's file, or an empty list if the file has none.
 func (d *dispatcher) listFromFile(config *protocol.Config) firstList {
 	if config.Known == nil {
 		return firstList{source: routing.ListSource{Name: routing.SourceNone}}
@@ -40,7 +40,7 @@
 	return firstList{known: transport.NewListUpdate(config.Known, d.settings.Current()), source: routing.ListSource{Name: routing.SourceFile}}
 }
 
-// usableCache returns a start from the endpoint cache; nil if there is none, or if its list is too old.
+// usableCache returns the routing.CachedStart of the endpoint cache; nil if there is no cached list, or if the list is too old.
 func (d *dispatcher) usableCache(clock routing.Clock) *routing.CachedStart {
 	if d.cache == nil {
 		return nil
--- a/internal/program/fleetagent.go
+++ b/internal/program/fleetagent.go
@@ -17,21 +17,21 @@
 // noRetryBound is the retry ratio that means no bound.
 const noRetryBound = -1
 
-// fleetAgent runs the fleet's agent and applies the fleet's rules to this dispatcher. If its own operators have set a limit too, the
-// stricter one applies. run, leave, proposeRules and hasDetached accept nil, for a dispatcher that is in no fleet. The fields above
-// mu do not change once run is called; mu guards those below it.
+// fleetAgent runs the fleet's agent and applies the fleet's rules to this dispatcher. If its own operators have set a limit too,
+// the stricter one applies. The methods run, leave, proposeRules and hasDetached accept a nil receiver: the dispatcher is then in
+// no fleet. The fields above mu do not change once run is called; mu guards those below it.
 type fleetAgent struct {
 	dispatcher *dispatcher
 	agent      *fleet.Agent
 	zoneRouter *zonerouting.Router // nil if failover is not planned
-	rulesFile  string              // proposed at SIGHUP; empty for none
+	rulesFile  string              // the rules in it are proposed at SIGHUP; empty if there is no such file
 	cancel     func()              // ends agent.Run
 	ended      chan struct{}       // closed when agent.Run has returned
 
 	mu              sync.Mutex
 	detached        map[string]bool // workers that the fleet has detached
-	localRetryRatio float64         // of the operator's file; below 0 without a bound
-	fleetRetryRatio float64         // of the fleet's rules; below 0 without a bound
+	localRetryRatio float64         // of the operator's file; below 0 if it sets no bound
+	fleetRetryRatio float64         // of the fleet's rules; below 0 if they set no bound
 }
 
 // buildFleetAgent creates the fleet agent, which does nothing before run.
@@ -87,7 +87,7 @@
 	return options
 }
 
-// zoneOf returns the zone of this dispatcher according to the platform; empty for none.
+// zoneOf returns the zone of this dispatcher according to the platform; empty if the platform gives no zone.
 func zoneOf(settings *protocol.Settings) string {
 	if settings.Locality < 0 || settings.Locality >= len(settings.Zones) {
 		return ""
@@ -95,7 +95,7 @@
 	return settings.Zones[settings.Locality]
 }
 
-// run runs the agent in a goroutine that ends with the context or with leave.
+// run runs the agent in a goroutine until the context ends or leave is called.
 func (a *fleetAgent) run(ctx context.Context) {
 	if a == nil {
 		return
@@ -108,8 +108,8 @@
 	}()
 }
 
-// leave makes the agent release its lease and notify the fleet, and waits for it until the deadline. If that succeeds, neither a
-// successor of the same name nor a change has to wait for the lease to expire.
+// leave makes the agent release its lease and notify the fleet. It waits for this until the deadline. If the agent is done by then,
+// neither a successor of the same name nor a change has to wait for the lease to expire.
 func (a *fleetAgent) leave(deadline time.Time) {
 	if a == nil {
 		return
@@ -139,7 +139,7 @@
 	return ended, failed
 }
 
-// proposeRules proposes the rules in rulesFile, in a goroutine that ends with the context.
+// proposeRules proposes the rules in rulesFile, in a goroutine that gives up when the context ends.
 func (a *fleetAgent) proposeRules(ctx context.Context) {
 	if a == nil {
 		return
@@ -169,8 +169,8 @@
 	a.applyDetachedLocked(effective.Rules.DetachedWorkers)
 }
 
-// applyDetachedLocked detaches the workers that the fleet has detached. It reattaches those that the fleet no longer has detached,
-// unless this dispatcher's own operators have detached them. a.mu is held.
+// applyDetachedLocked detaches the workers that the fleet has detached. It reattaches the workers that are no longer detached by
+// the fleet, unless this dispatcher's own operators have detached them. a.mu is held.
 func (a *fleetAgent) applyDetachedLocked(ids []string) {
 	core := a.dispatcher.core
 	detachedLocally := a.dispatcher.operations.detached.list()
@@ -189,7 +189,7 @@
 	a.detached = detached
 }
 
-// setLocalRetryRatio sets the limit in the operator's file, in retries and hedged attempts for each first attempt.
+// setLocalRetryRatio sets the limit of the operator's file: ratio is the number of retries and hedged attempts per first attempt.
 func (a *fleetAgent) setLocalRetryRatio(ratio float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -189,8 +189,8 @@
 }
 
 // metricNames runs the program in this process and returns the names of its metrics, in order, one a line. It returns once they are
-// the wanted names in five successive polls, or else after five seconds. A placeholder replaces the kinds of control traffic, as it
-// depends on timing which of them were counted.
+// the wanted names in five successive polls, or else after five seconds. A placeholder replaces the kinds of control traffic,
+// because timing decides which of them were counted.
 func metricNames(t *testing.T, discovery, operator, want string) string {
 	t.Helper()
 	dir, admin := t.TempDir(), freeAddress(t)
--- a/internal/program/operations.go
+++ b/internal/program/operations.go
@@ -92,8 +92,8 @@
 }
 
 // setDetached detaches or reattaches a worker: first in the peer process, if there is one, then in the file, then in the scheduler.
-// Success means that all three have the change, except for a peer process that does not answer. After an error the peer process
-// may have applied the change. An error for the caller is a *transport.OperationError.
+// Success means that all three have applied the change, except for a peer process that does not answer. After an error the peer
+// process may have applied the change. An error for the caller is a *transport.OperationError.
 func (o *operations) setDetached(ctx context.Context, id string, isDetached bool) error {
 	deadline := time.Now().Add(operationTimeout)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -119,8 +119,8 @@
 	return o.applyDetached(id, isDetached)
 }
 
-// handOver sends a successor its initial state. It holds o.mu, so that no worker is detached after the list of detached workers is
-// made and before the successor is notified of each change.
+// handOver sends a successor its initial state. It holds o.mu, so that no worker is detached or reattached between two steps: the
+// list of detached workers is made, and the successor becomes the peer process, which is notified of each later change.
 func (o *operations) handOver(peer *transport.PeerProcess, handover *protocol.Handover, listeners []*transport.Listener) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/program/peer.go
+++ b/internal/program/peer.go
@@ -9,14 +9,15 @@
 	"brassdale/internal/transport"
 )
 
-// peerProcess returns the predecessor or successor that runs at the same time as this process; nil for none.
+// peerProcess returns the predecessor or successor that runs at the same time as this process; nil if there is none.
 func (d *dispatcher) peerProcess() *transport.PeerProcess {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.peer
 }
 
-// setPeer sets the peer process, nil for none, and how many processes act as this dispatcher.
+// setPeer sets the peer process, and with it how many processes act as this dispatcher. It ends the sharing of idempotency keys if
+// the peer is nil.
 func (d *dispatcher) setPeer(peer *transport.PeerProcess) {
 	d.mu.Lock()
 	d.peer = peer
@@ -29,7 +30,7 @@
 	d.shareIdempotencyKeys(nil, "", false)
 }
 
-// setPeerUsage sets what the peer process uses of the limits of both processes; nil for no peer process.
+// setPeerUsage sets what the peer process uses of the limits of both processes; nil if there is no peer process.
 func (d *dispatcher) setPeerUsage(usage *protocol.HandoverUsage) {
 	d.mu.Lock()
 	d.peerUsage = usage
@@ -50,8 +51,8 @@
 	peer.Notify(protocol.HandoverMessage{AnswerTo: message.QuestionID, Yes: err == nil})
 }
 
-// serveRelayed serves the callers that the peer process relays because a job in this process has their idempotency key. Only the peer
-// process counts them against quotas.
+// serveRelayed serves the requests that the peer process relays because a job in this process has their idempotency key. Only the
+// peer process counts these requests against quotas.
 func (d *dispatcher) serveRelayed() {
 	if d.idempotencyTable == nil {
 		return
@@ -67,5 +68,5 @@
 	server := transport.Server(handler, d.log)
 	d.relayPath = path
 	d.relayServer = server
-	go func() { _ = server.Serve(listen.Durable(socket, d.log)) }() // ends with http.ErrServerClosed
+	go func() { _ = server.Serve(listen.Durable(socket, d.log)) }() // returns http.ErrServerClosed at the end
 }
--- a/internal/program/predecessor.go
+++ b/internal/program/predecessor.go
@@ -30,11 +30,12 @@
 	return filepath.Join(directory, "brassdale-"+strings.Map(replaceInvalid, config.Listen)+extension)
 }
 
-// predecessor is the process that this one replaces, with what it handed over. Its methods accept nil, for no predecessor.
+// predecessor is the process that this one replaces, with the state that it handed over. The methods accept a nil receiver: there
+// is then no predecessor.
 type predecessor struct {
 	peer      *transport.PeerProcess
 	handover  *protocol.Handover
-	listeners map[string]*net.TCPListener // by frontend; those that no frontend has taken yet
+	listeners map[string]*net.TCPListener // by name of the frontend; only listeners that no frontend has taken yet
 }
 
 // findPredecessor connects to the predecessor. It returns nil if there is none, if only its socket file is left, or if it does not answer.
@@ -81,15 +82,16 @@
 	return samePort && (host == existingHost || net.ParseIP(host).IsUnspecified())
 }
 
-// closeListeners closes the listeners of frontends that are off in this process: it would not accept the clients that wait there.
+// closeListeners closes the listeners of frontends that are off in this process: the clients that wait in their queues would not be
+// accepted.
 func (p *predecessor) closeListeners() {
 	for _, listener := range p.listeners {
 		_ = listener.Close() // the predecessor still has it open
 	}
 }
 
-// followPredecessor takes over what the predecessor has learned, and shares limits, request IDs and idempotency keys with it
-// until it ends. The goroutine that it starts ends with the predecessor.
+// followPredecessor takes over what the predecessor has learned, and shares limits, request IDs and idempotency keys with it until
+// it ends. The goroutine that it starts ends when the predecessor ends.
 func (d *dispatcher) followPredecessor(pred *predecessor) {
 	d.setPeer(pred.peer)
 	d.inFlightIDs.DelegateTo(pred.peer)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -20,7 +20,7 @@
 
 // Options are the options of the command line.
 type Options struct {
-	// Operator is the path of the operator's file; empty for none. A feature without a block in it is off.
+	// Operator is the path of the operator's file; empty if there is none. A feature without a block in the file is off.
 	Operator string
 	// Level is the lowest level that is logged.
 	Level slog.Level
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// serve starts all parts, and notifies the predecessor, which then leaves new clients to this process. The admin API is served first, so
-// that a start that waits for its list can be observed. Clients are accepted only once the core and the endpoint list run. failed gets
-// the error of each server that ends; in a shutdown all of them end.
+// serve starts all parts, and notifies the predecessor, which then leaves new clients to this process. The admin API is served
+// first, so that a start that waits for its list can be observed. Clients are accepted only once the core and the endpoint list
+// run. The channel failed gets the error of each server that ends; in a shutdown all servers end.
 func (d *dispatcher) serve(ctx context.Context, in *inputs) (failed chan error, err error) {
 	failed = make(chan error, len(d.frontends)+1)
 	if err := d.serveAdmin(in.config.Admin, failed); err != nil {
@@ -103,7 +103,8 @@
 	if in.predecessor != nil {
 		in.predecessor.peer.Notify(protocol.HandoverMessage{Serving: true, Relay: d.relayPath})
 	}
-	// internal/emulator (dispatcherprocess.go) parses this line and the two "listening" lines, where address must follow front.
+	// internal/emulator (dispatcherprocess.go) parses this line and the two "listening" lines, in which the attribute address must
+	// directly follow the attribute front.
 	d.log.Info("ready", "name", in.config.Name)
 	return failed, nil
 }
@@ -137,7 +138,8 @@
 	d.detach(workers.list())
 }
 
-// serveAdmin serves the admin API at an address; empty for none. When it stops serving, failed gets the error.
+// serveAdmin serves the admin API at an address. If the address is empty, there is no admin API. When it stops serving, failed gets
+// the error.
 func (d *dispatcher) serveAdmin(address string, failed chan<- error) error {
 	if address == "" {
 		return nil
@@ -154,8 +156,8 @@
 	return nil
 }
 
-// awaitFirstList waits for the first endpoint list of an agent that pushes lists, so that the first requests are not routed by an old
-// list. Clients wait meanwhile in the listeners' queues, so an agent that does not answer is not waited for beyond firstListTimeout.
+// awaitFirstList waits for the first endpoint list of an agent that pushes lists, so that the first requests are not routed by an
+// old list. Clients wait meanwhile in the listeners' queues, so awaitFirstList waits for firstListTimeout at most.
 func (d *dispatcher) awaitFirstList() {
 	if !d.settings.Current().ListsPushed() {
 		return
--- a/internal/program/reloader.go
+++ b/internal/program/reloader.go
@@ -17,11 +17,11 @@
 	dispatcher   *dispatcher
 	env          func(string) string
 	discovery    *transport.Discovery
-	operatorPath string         // empty for none
-	operator     *operator.File // last file accepted; parts that need a restart may not be in force
+	operatorPath string         // empty if there is no operator's file
+	operator     *operator.File // last accepted file; settings in it that need a restart may not be applied yet
 
 	mu     sync.Mutex
-	config *protocol.Config // in force; written with mu held
+	config *protocol.Config // the current file; written with mu held
 }
 
 func newReloader(d *dispatcher, in *inputs, discovery *transport.Discovery) *reloader {
@@ -126,7 +126,8 @@
 	dispatcher.limits = newResourceLimits(config.Limits, len(dispatcher.frontends))
 	dispatcher.mu.Unlock()
 	dispatcher.applyResourceLimits()
-	// The scheduler receives settings and jobs through one queue, so it gets the settings before a job that is under them.
+	// The scheduler receives settings and jobs through one queue, so it gets the settings before any job that was decoded with
+	// them.
 	dispatcher.settings.Replace(&config.Settings, dispatcher.core.ApplySettings)
 	dispatcher.registerClasses(&config.Settings)
 	if discoveryChanged(old, config) {
--- a/internal/program/resourcelimits.go
+++ b/internal/program/resourcelimits.go
@@ -13,8 +13,8 @@
 //
 // Some file descriptors are reserved for the process itself (its log, its listeners, discovery, files, the socket for a successor,
 // the admin API). Of the rest, outboundPercent are for connections to endpoints: a job occupies one for as long as it occupies a
-// client's connection, and hedged attempts need more. The others are for the connections of clients, and for a tenth of their number
-// in reserve, on which further clients are rejected.
+// client's connection, and hedged attempts need more. The others are for connections of clients, and for a reserve of a tenth as
+// many connections, on which further clients are rejected.
 type resourceLimits struct {
 	inbound  int   // connections of each frontend
 	outbound int   // connections to endpoints
@@ -63,7 +63,8 @@
 	return limits
 }
 
-// inboundWithPeer returns how many connections of each frontend two processes may have together: the second needs descriptors of its own.
+// inboundWithPeer returns how many connections two processes together may have at each frontend. The number is smaller than for one
+// process: the second process needs descriptors of its own.
 func (l *resourceLimits) inboundWithPeer(frontends int) int {
 	return max(l.inbound-reservedDescriptors/frontends, 0)
 }
--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -9,15 +9,15 @@
 	"brassdale/internal/protocol"
 )
 
-// The schedule of a shutdown, from SIGTERM to the end. The platform kills the process killAfterDeadline after the longest deadline
-// of any class, of which it counts at most maxCountedDeadline.
+// The schedule of a shutdown, from SIGTERM to the end. The platform waits for the longest deadline of any class, but for
+// maxCountedDeadline at most, and then for killAfterDeadline. Then it kills the process.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killAfterDeadline  = 700 * time.Millisecond
 	// minListening is how long after SIGTERM the load balancer may still send new clients.
 	minListening = 500 * time.Millisecond
-	// requestStopMargin is how long before the end connections stop carrying new requests. If deadlines are short, it is
-	// 1/requestStopDivisor of the time.
+	// requestStopMargin is the time before the end from which connections carry no new requests. If deadlines are short, it is
+	// 1/requestStopDivisor of the duration of the shutdown, but at least answerMargin.
 	requestStopMargin  = 1200 * time.Millisecond
 	requestStopDivisor = 3
 	// answerMargin is how long before the end the core answers all open requests.
@@ -34,7 +34,7 @@
 	startedAt      time.Time
 	end            time.Time   // when the platform kills the process
 	handedOver     bool        // a successor serves
-	nonMultiplexed []*frontend // whose connections carry one request at a time
+	nonMultiplexed []*frontend // frontends whose connections carry one request at a time
 	running        sync.WaitGroup
 }
 
@@ -72,8 +72,9 @@
 	return ending.end.Add(-exitMargin / 2)
 }
 
-// startFrontendShutdown makes all frontends direct their clients elsewhere. Multiplexed ones shut down by themselves: they notify
-// clients of the last stream that they serve. As a client may keep an idle connection open, their shutdown ends with the context.
+// startFrontendShutdown makes all frontends direct their clients elsewhere. After minListening it also shuts down the servers of
+// multiplexed frontends: these notify clients of the last stream that they serve, and close each connection after its last
+// response. A client may keep an idle connection open, so the shutdown of a server is limited by the context.
 func (s *shutdown) startFrontendShutdown(ctx context.Context) {
 	for _, f := range s.d.frontends {
 		f.handler.StartShutdown()
@@ -93,8 +94,8 @@
 	}
 }
 
-// awaitRequestStop waits until connections stop carrying new requests: while the load balancer may send clients or connections are
-// open, but only for as long as a response can be in time.
+// awaitRequestStop waits until connections must stop carrying new requests. It waits while the load balancer may still send clients
+// or connections are open, but only for as long as the response to a new request can be in time.
 func (s *shutdown) awaitRequestStop() {
 	stopBefore := min(requestStopMargin, max(s.end.Sub(s.startedAt)/requestStopDivisor, answerMargin))
 	stopAt := s.end.Add(-stopBefore)
--- a/internal/program/successor.go
+++ b/internal/program/successor.go
@@ -14,7 +14,7 @@
 
 const (
 	usageReportInterval = 50 * time.Millisecond
-	// spareOutbound is the number of connections to endpoints that a process may still open after the handover, as not every
+	// spareOutbound is the number of connections to endpoints that a process may still open after the handover, because not every
 	// attempt finds an open connection.
 	spareOutbound = 8
 )
@@ -53,8 +53,8 @@
 	}
 }
 
-// serveSuccessor hands this process's state to a successor and serves its messages until either process ends. The socket's path then
-// belongs to the successor, or, if that has ended first, to a new socket of this process.
+// serveSuccessor hands this process's state to a successor and serves its messages until either process ends. After that the
+// socket's path belongs to the successor. If the successor ended first, the path belongs to a new socket of this process.
 func (d *dispatcher) serveSuccessor(ctx context.Context, peer *transport.PeerProcess, handover *protocol.Handover) {
 	defer peer.Close()
 	var listeners []*transport.Listener
@@ -124,9 +124,10 @@
 	go d.reportUsage(peer)
 }
 
-// reportUsage reports to the successor how much this process uses of the limits of both, whenever that has changed. While a frontend
-// has more than half of the connections of both, it closes its connections that have sent nothing, because many of them would leave
-// the successor no capacity. It returns when the successor ends.
+// reportUsage reports to the successor how much this process uses of the limits that both processes share, whenever the usage has
+// changed. While a frontend of this process has more than half of the connections that both processes may have, its connections
+// that have sent nothing are closed, because many of them would leave the successor no capacity. It returns when the successor
+// ends.
 func (d *dispatcher) reportUsage(peer *transport.PeerProcess) {
 	ticker := time.NewTicker(usageReportInterval)
 	defer ticker.Stop()
@@ -165,8 +166,8 @@
 	return a.Outbound == b.Outbound && a.OpenJobs == b.OpenJobs && slices.Equal(a.Inbound, b.Inbound)
 }
 
-// resumeWithoutPeer makes this process accept clients again after its successor has ended, and accepts successors at a new socket, as
-// the path leads to the socket of that successor.
+// resumeWithoutPeer makes this process accept clients again after its successor has ended, and accepts successors at a new socket,
+// because the path leads to the socket of the ended successor.
 func (d *dispatcher) resumeWithoutPeer(ctx context.Context, peer *transport.PeerProcess) {
 	d.inFlightIDs.ReleaseAll(peer)
 	d.setPeer(nil)
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -18,21 +18,22 @@
 	"time"
 )
 
-// Config is the platform's file. Unless a tag names the key, it is the field's name with a lower-case first letter. Unknown keys are ignored.
+// Config is the platform's file. A key of the file is the field's name with a lower-case first letter, unless a tag names another
+// key. Unknown keys are ignored.
 type Config struct {
 	Name      string // of this dispatcher
 	Listen    string // host:port for the requests of clients
 	Discovery string // host:port of the discovery service, or of its agent on this machine
-	Admin     string // host:port of the admin API; empty for none
+	Admin     string // host:port of the admin API; empty for no admin API
 	Seed      string // of the random number generator, hexadecimal
 	Limits    Limits
-	Known     *List // the endpoint list at the start; nil for none
+	Known     *List // the endpoint list at the start; nil if the file has no list
 	Settings  Settings
 
 	raw map[string]any // the parsed file with all its keys
 }
 
-// Limits are the resources that a dispatcher may use; 0 for unknown.
+// Limits are the resources that a dispatcher may use. A limit of 0 is unknown.
 type Limits struct {
 	Cores    float64
 	MemoryMB int `json:"memory_mb"`
@@ -42,11 +43,11 @@
 // minSockets is the smallest number of file descriptors that the program can run with.
 const minSockets = 64
 
-// defaultConnectTimeout applies if the settings have no timeout: with a timeout of 0 no connection would be made.
+// defaultConnectTimeout applies if the settings have no ConnectTimeout: with a timeout of 0 no connection could be opened.
 const defaultConnectTimeout = 200 * time.Millisecond
 
-// LoadConfig reads and checks the platform's file. If it lacks the name or an address, env returns that from the environment. An error
-// names the invalid field.
+// LoadConfig reads and checks the platform's file. If the file lacks the name or an address, LoadConfig reads it from the
+// environment with the function env. An error names the invalid field.
 func LoadConfig(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, fmt.Errorf("GW_CONFIG is not set")
@@ -131,8 +132,8 @@
 	return ok && hasKey(inner, path[1:]...)
 }
 
-// CheckReplaces returns an error if this file must not replace the old one while the program runs: it must have every key that the old
-// one has. A missing key counts as lost, so its value must not fall back to a default.
+// CheckReplaces returns an error if this file must not replace the old file while the program runs, because it lacks a key of the
+// old file. A missing key counts as lost, so its value must not fall back to a default.
 func (c *Config) CheckReplaces(old *Config) error {
 	before, after := maps.Clone(old.raw), c.raw
 	delete(before, "known") // used only at startup
@@ -153,7 +154,8 @@
 	return nil
 }
 
-// checkKeys returns an error that names the first key of before that after lacks. path is the prefix of the keys in the error.
+// checkKeys returns an error that names the first key that is in the map before and missing in the map after. The parameter path is
+// the prefix of the keys in the error.
 func checkKeys(path string, before, after map[string]any) error {
 	for _, key := range slices.Sorted(maps.Keys(before)) {
 		value, ok := after[key]
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -47,7 +47,7 @@
 	return list, list.checkUnique()
 }
 
-// checkUnique returns an error if a full list has an endpoint twice. In a change the later entry counts.
+// checkUnique returns an error if a full list has an endpoint twice. If a change has an endpoint twice, the later entry counts.
 func (l *List) checkUnique() error {
 	first := make(map[string]int, len(l.Members))
 	for i, m := range l.Members {
--- a/internal/protocol/handover.go
+++ b/internal/protocol/handover.go
@@ -29,7 +29,7 @@
 
 	Key        string         `json:"key,omitempty"`        // from the successor, a question: whether a job with this idempotency key is known
 	Remembered *RememberedJob `json:"remembered,omitempty"` // from the predecessor: a job that has ended
-	Relay      string         `json:"relay,omitempty"`      // with Serving: the path of the socket for callers that the predecessor relays
+	Relay      string         `json:"relay,omitempty"`      // with Serving: the path of the socket at which the successor takes requests that the predecessor relays
 }
 
 // RememberedJob is a job with an idempotency key that has ended.
@@ -39,7 +39,7 @@
 	Digest   []byte         `json:"digest"`
 	Events   []Event        `json:"events"`
 	Answer   routing.Answer `json:"answer"`
-	ForgetAt time.Time      `json:"forget"` // for builds that do not know ForgetIn, which takes precedence
+	ForgetAt time.Time      `json:"forget"` // for builds without ForgetIn; ForgetIn takes precedence
 
 	// ForgetIn is how much longer the job is remembered after this was sent. Unlike ForgetAt it allows for an adjusted wall clock.
 	ForgetIn time.Duration `json:"forget_in_ns,omitempty"`
@@ -51,7 +51,7 @@
 type HandoverUsage struct {
 	Inbound  []int `json:"inbound"`  // connections, by frontend
 	Outbound int   `json:"outbound"` // connections to workers
-	OpenJobs int   `json:"jobs"`     // if accounts have quotas of open jobs; else 0
+	OpenJobs int   `json:"jobs"`     // open jobs; 0 if accounts have no quotas of open jobs
 }
 
 // Handover is the state that a successor starts with.
@@ -71,13 +71,13 @@
 // KnownMember is an endpoint as the predecessor knows it.
 type KnownMember struct {
 	Member
-	NotifiedAt time.Time `json:"told"` // when it was notified as draining; for builds that do not know NotifiedAgo, which takes precedence
+	NotifiedAt time.Time `json:"told"` // when this dispatcher was notified of the drain, for builds without NotifiedAgo; NotifiedAgo takes precedence
 
 	// NotifiedAgo is the time from the notification until this was sent. Unlike NotifiedAt it allows for an adjusted wall clock.
 	NotifiedAgo time.Duration `json:"told_ago_ns,omitempty"`
 
 	// OtherServiceAgo is the time since the endpoint's state was last received from a discovery service whose revisions cannot be
-	// compared with Handover.Revision; 0 for never.
+	// compared with Handover.Revision. It is 0 if the state was never received from such a service.
 	OtherServiceAgo time.Duration `json:"other_service_ago_ns,omitempty"`
 
 	// ReturnUnconfirmed is set for a draining worker if a list shows it as ready, but that list may be older than the drain.
@@ -87,7 +87,8 @@
 	StartedAgo time.Duration `json:"started_ago_ns,omitempty"`
 }
 
-// notifiedAt returns when this dispatcher was notified that the endpoint is draining, on the clock of this process; zero for never.
+// notifiedAt returns when this dispatcher was notified that the endpoint is draining, on the clock of this process. It returns the
+// zero time if there was no notification.
 func (k KnownMember) notifiedAt(now time.Time) time.Time {
 	if k.NotifiedAgo > 0 {
 		return now.Add(-k.NotifiedAgo)
@@ -103,7 +104,8 @@
 	return r.ForgetAt
 }
 
-// KnownMembers converts endpoints for the handover. Zones and machine kinds are passed by name, as their numbers may differ between processes.
+// KnownMembers converts endpoints for the handover. Zones and machine kinds are passed by name, because their numbers may differ
+// between processes.
 func KnownMembers(endpoints []routing.Endpoint, settings *Settings) (known []KnownMember) {
 	now := time.Now()
 	for i, member := range Members(endpoints, settings) {
@@ -139,7 +141,7 @@
 	return members
 }
 
-// nameOf returns the name of a number; empty for a number without one.
+// nameOf returns the name of a number. It returns an empty text if the number has no name.
 func nameOf(names []string, number int) string {
 	if number < 0 || number >= len(names) {
 		return ""
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// clientWait returns how long a client waits: text, the value of Req-Deadline-Ms, but at most longest; longest if it is absent.
+// clientWait returns how long a client waits. The parameter text is the value of Req-Deadline-Ms. The result is at most the
+// parameter longest, and exactly that if text is empty.
 func clientWait(text string, longest time.Duration) (time.Duration, error) {
 	if text == "" {
 		return longest, nil
@@ -193,7 +194,8 @@
 	return len(text) <= maxHeaderValue && strings.IndexFunc(text, func(c rune) bool { return c < ' ' || c > '~' }) < 0
 }
 
-// parseSlots parses Req-Extra, a list of name=value, and returns its slots; 1 if it has none. Other names are ignored.
+// parseSlots parses Req-Extra, a list of name=value, and returns the value of slots or width; 1 if the list has neither. Other
+// names are ignored.
 func parseSlots(text string) (float64, error) {
 	slots := 1.0
 	for part := range strings.SplitSeq(text, ",") {
@@ -215,8 +217,8 @@
 	return slots, nil
 }
 
-// Encode returns the request to a worker as one block: an attempt counts as sent with the last byte, so the caller must know how much
-// was written. left is how long the dispatcher will wait for the response.
+// Encode returns the request to a worker as one block: an attempt counts as sent with the last byte, so the caller must know how
+// much was written. The parameter left is how long the dispatcher will wait for the response.
 func (j *Job) Encode(host string, left time.Duration) []byte {
 	var text bytes.Buffer
 	text.Grow(requestHeadSize + len(j.Body))
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -120,21 +120,22 @@
 	return s.Classes[class].Deadline.Duration()
 }
 
-// LiveSettings holds the settings in force. They are replaced as a whole, so an operation calls Current only once. Current may be
-// called from any goroutine; Replace only from one at a time.
+// LiveSettings holds the current settings. They are replaced as a whole: an operation calls Current only once, so that all its
+// settings are of one version. Current may be called from any goroutine. Calls of Replace must not overlap.
 type LiveSettings struct {
 	current atomic.Pointer[Settings]
 
-	// Owned by the caller of Replace. A class keeps its number at the scheduler for the life of the process, so that requests
-	// keep the rules that they began with. If the rules of a class change, it gets a new number; if they change back, its old one.
+	// Owned by the caller of Replace. A class keeps its number at the scheduler for the life of the process, so that requests keep
+	// the rules that they began with. If the rules of a class change, the class gets a new number; if the rules change back, it
+	// gets its old number again.
 	names   []string
 	classes []scheduler.Class
 }
 
-// Current returns the settings in force, which must not be changed.
+// Current returns the current settings. The caller must not change them.
 func (l *LiveSettings) Current() *Settings { return l.current.Load() }
 
-// StatisticsByName returns the statistics of the classes in force by name, as class numbers differ between processes.
+// StatisticsByName returns the statistics of the current classes by name, because class numbers differ between processes.
 func (l *LiveSettings) StatisticsByName(learned scheduler.LearnedState) map[string]scheduler.ClassStatistics {
 	settings, named := l.Current(), map[string]scheduler.ClassStatistics{}
 	for class, number := range settings.classNumbers {
@@ -157,8 +158,8 @@
 	return statistics
 }
 
-// Replace numbers the classes of new settings, passes the scheduler's settings to apply, and then puts the new settings in force: the
-// scheduler must know a class before its first request.
+// Replace numbers the classes of the new settings, calls apply with the scheduler's settings, and only then makes Current return
+// the new settings: the scheduler must know a class before its first request.
 func (l *LiveSettings) Replace(settings *Settings, apply func(scheduler.Settings)) {
 	converted := settings.SchedulerSettings()
 	settings.classNumbers = nil
@@ -244,7 +245,7 @@
 	return class
 }
 
-// Report converts a row of a load report, in the order of LoadReport.Columns; nil for no row.
+// Report converts a row of a load report, in the order of LoadReport.Columns. It returns nil if row is nil.
 func (s *Settings) Report(row []float64) *scheduler.Report {
 	if row == nil {
 		return nil
--- a/internal/protocol/sse_test.go
+++ b/internal/protocol/sse_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestEventReader_standardSyntax checks that a stream of which each read returns one byte is parsed as the standard specifies, that an
+// TestEventReader_standardSyntax checks that a stream that returns one byte per read is parsed as the standard specifies, that an
 // encoded event can be parsed, and that a line longer than maxLine is rejected.
 func TestEventReader_standardSyntax(t *testing.T) {
 	for text, want := range map[string]string{
--- a/internal/protocol/stored_test.go
+++ b/internal/protocol/stored_test.go
@@ -60,9 +60,9 @@
 	"note-worker":  HandoverMessage{Worker: "worker-c", Detached: true},
 }
 
-// TestStoredMessages checks that each field of the messages that the program of commit c2c1317 wrote is read, and that the same messages
-// are written as the same bytes. The first program that handed over OtherServiceAgo and ReturnUnconfirmed wrote handover-after-move, which
-// has all fields of a handover; handover lacks these two.
+// TestStoredMessages checks that each field of the messages that the program of commit c2c1317 wrote is read, and that the same
+// messages are written as the same bytes. The golden file handover lacks OtherServiceAgo and ReturnUnconfirmed. The golden file
+// handover-after-move has all fields of a handover; the first program that handed over these two wrote it.
 func TestStoredMessages(t *testing.T) {
 	for name, want := range storedMessages {
 		t.Run(name, func(t *testing.T) {
--- a/internal/protocol/workerresponse.go
+++ b/internal/protocol/workerresponse.go
@@ -36,7 +36,8 @@
 	Result routing.AttemptResult // if Ended
 }
 
-// maxLine is the longest message of a worker, in bytes: a result in which each byte is escaped, as 6 bytes, and its frame.
+// maxLine is the longest message of a worker, in bytes: a result of MaxBodyBytes in which each byte is escaped as 6 bytes, and the
+// frame around it.
 const maxLine = 6*MaxBodyBytes + 4096
 
 // lineBufferSize is the initial size of the buffer for messages, in bytes.
@@ -81,8 +82,8 @@
 	return response
 }
 
-// resultOfStatus returns the result of an attempt that ended with a status other than 200. A 503 or 504 means that the job never ran
-// only if it has Srv-Declined.
+// resultOfStatus returns the result of an attempt that ended with a status other than 200. If a 503 or 504 has Srv-Declined, the
+// job never ran. Without Srv-Declined, the job may have run.
 func resultOfStatus(resp *http.Response) routing.AttemptResult {
 	result := routing.AttemptResult{Outcome: scheduler.Errored, Report: parseLoad(resp.Header.Get("Srv-Load"))}
 	declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
@@ -121,7 +122,7 @@
 	Load   map[string]any // load report
 }
 
-// decode decodes a message. state is the state that its frame names, empty for none.
+// decode decodes a message. The parameter state is the state that the message's frame names; it is empty if the frame names none.
 func (r *WorkerResponse) decode(text []byte, state string) (WorkerEvent, error) {
 	var message workerMessage
 	if err := json.Unmarshal(text, &message); err != nil {
@@ -169,7 +170,8 @@
 	return event, nil
 }
 
-// ParseProbe returns the outcome of a probe and its load report, from the header or else the body; nil if neither has one.
+// ParseProbe returns the outcome of a probe and its load report. The report is from the header, else from the body; it is nil if
+// neither has one.
 func ParseProbe(resp *http.Response, body []byte) (scheduler.Outcome, *scheduler.Report) {
 	if resp.StatusCode != http.StatusOK {
 		return scheduler.Errored, nil
--- a/internal/transport/accountquotas.go
+++ b/internal/transport/accountquotas.go
@@ -51,8 +51,8 @@
 	q.applySettings()
 }
 
-// ReserveForPeer reduces the capacity by the number of jobs that another process of this dispatcher has open; 0 if there is no
-// other process.
+// ReserveForPeer reduces the capacity by the number of jobs that another process of this dispatcher has open. The parameter open is
+// 0 if there is no other process.
 func (q *AccountQuotas) ReserveForPeer(open int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -86,7 +86,7 @@
 		http.Error(w, "the body must be a worker's id", http.StatusBadRequest)
 		return
 	}
-	markServing(r) // the listener does not evict the connection now
+	markServing(r) // so that the listener does not evict the connection
 	if err := o.apply(r.Context(), id); err != nil {
 		status := http.StatusInternalServerError
 		if rejection := (*OperationError)(nil); errors.As(err, &rejection) {
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -98,7 +98,7 @@
 	}
 	f.respondInvalid(w, r, err)
 	if class := protocol.ClassOf(r); !settings.HasClass(class) {
-		f.core.Counters().CountAnsweredByFrontend(class, routing.Failed) // only counted if the class existed before a reload
+		f.core.Counters().CountAnsweredByFrontend(class, routing.Failed) // counts only if the class was in the settings before a reload
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 		defer withTimeout(time.Until(requestReadDeadline(r)), controller.SetReadDeadline)()
 		return protocol.DecodeInbound(r, settings, now)
 	}
-	_ = controller.SetReadDeadline(requestReadDeadline(r)) // fails only on a closed connection, as the read does then
+	_ = controller.SetReadDeadline(requestReadDeadline(r)) // fails only on a closed connection, on which the read fails too
 	job, err := protocol.DecodeInbound(r, settings, now)
 	if err == nil {
 		_ = controller.SetReadDeadline(time.Time{})
@@ -151,7 +151,7 @@
 const newConnsAfterSIGTERM = 250 * time.Millisecond
 
 // nearlyFullAtShutdown reports whether one more job would take one of the last free connections during a shutdown, when new
-// connections no longer arrive. Without the free ones clients could not reach this process, though it can still answer.
+// connections no longer arrive. If no connection were free, clients could not reach this process, though it can still answer.
 func (f *frontend) nearlyFullAtShutdown() bool {
 	since := f.shutdownStartedAt.Load()
 	return since != nil && !f.successorServes.Load() && time.Since(*since) > newConnsAfterSIGTERM && f.listener.NearlyFull()
--- a/internal/transport/attemptqueue.go
+++ b/internal/transport/attemptqueue.go
@@ -27,9 +27,8 @@
 // to the exchange that they were opened for. If an exchange is started because capacity was freed, and finds the capacity taken again,
 // it goes to the end of the queue.
 
-// startExchange gives an exchange a connection: an idle one, or a new one if the pool allows one more. Otherwise the exchange
-// waits for capacity. The limit applies to all workers together, so the attempt would fail at another worker for lack of a
-// connection too.
+// startExchange gives an exchange a connection: an idle one, or a new one if the pool allows one more. Otherwise the exchange waits
+// for capacity. The limit applies to all workers together, so the attempt would get no connection to another worker either.
 func (e *endpoint) startExchange(exchange *workerExchange) {
 	now := time.Now()
 	if conn := e.takeIdle(now); conn != nil {
@@ -95,8 +94,8 @@
 	})
 }
 
-// dial opens a connection in a new goroutine, with the capacity that the pool has reserved for it. The goroutine ends by posting
-// a dialCompleted, when the connect timeout or the exchange's deadline is reached at the latest.
+// dial opens a connection in a new goroutine, with the capacity that the pool has reserved for it. The goroutine posts a
+// dialCompleted and ends, at the latest when the connect timeout or the exchange's deadline is reached.
 func (e *endpoint) dial(exchange *workerExchange) {
 	e.dialing++
 	address, deadline := e.listed.Address, time.Now().Add(e.pool.settings.Current().Limits.ConnectTimeout.Duration())
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -107,8 +107,8 @@
 	return n, nil
 }
 
-// completeRequest records that the current request was read to its end, and when its last byte was received. rest are the bytes
-// that were read beyond the end.
+// completeRequest records that the current request was read to its end, and when its last byte was received. The parameter rest has
+// the bytes that were read beyond the end.
 func (c *Conn) completeRequest(rest []byte) {
 	c.requestComplete = true
 	receivedAt := c.lastReadAt
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// requestDuringCloseWhenIdle sends a second request on a connection while CloseWhenIdle closes the listener's idle connections,
-// or after that if closedFirst. It returns whether the request was handled, and the error of reading its answer.
+// requestDuringCloseWhenIdle sends a second request on a connection while CloseWhenIdle closes the listener's idle connections, or
+// afterwards if closedFirst is true. It returns whether the request was handled, and the error of reading its answer.
 func requestDuringCloseWhenIdle(t *testing.T, closedFirst bool) (answered bool, readErr error) {
 	t.Helper()
 	var handled atomic.Int32
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -31,7 +31,7 @@
 }
 
 // NewDiscovery returns a client of the service at an address. It ignores the proxy settings of the environment. The meter counts
-// the bytes of its calls; nil counts nothing.
+// the bytes of its calls; if it is nil, they are not counted.
 func NewDiscovery(address string, settings *protocol.LiveSettings, meter *traffic.Meter) *Discovery {
 	dialer := &net.Dialer{Timeout: discoveryDialTimeout}
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DialContext: meter.Dial(dialer)}
--- a/internal/transport/endpoint_test.go
+++ b/internal/transport/endpoint_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestEndpointPool_idleConnsWithoutGoneWorkers guards against shares of idle connections for workers that are gone: only the
-// listed workers share them.
+// TestEndpointPool_idleConnsWithoutGoneWorkers guards against reserving a share of the idle connections for workers that are gone:
+// only the listed workers get a share.
 func TestEndpointPool_idleConnsWithoutGoneWorkers(t *testing.T) {
 	actor, _, _, _ := newIdleEndpoint(t, time.Time{})
 	pool := actor.pool
--- a/internal/transport/endpointmessages.go
+++ b/internal/transport/endpointmessages.go
@@ -14,7 +14,7 @@
 	// cancelAttempt cancels an attempt. It has no effect on an attempt that has ended.
 	cancelAttempt struct{ id routing.AttemptID }
 
-	// setDetached sets since when the operator has the worker detached; zero if it is attached.
+	// setDetached says that the operator has detached the worker, and since when; since is zero if the worker is attached.
 	setDetached struct{ since time.Time }
 
 	// closeIdleConns closes the connections that have been idle for minIdle.
--- a/internal/transport/endpointpool.go
+++ b/internal/transport/endpointpool.go
@@ -44,8 +44,8 @@
 	log      *slog.Logger
 	stopped  <-chan struct{} // closed when the actors must end
 
-	// RetriesAllowed reports whether attempts after a job's first may still be sent; nil if they always may. It is set before
-	// the first Send, called from the actors, and must not block.
+	// RetriesAllowed reports whether attempts after a job's first may still be sent. If it is nil, they always may. It is set
+	// before the first Send. The actors call it, so it must not block.
 	RetriesAllowed func() bool
 
 	mu               sync.Mutex // guards all below
@@ -57,7 +57,7 @@
 	waitingEndpoints []*endpoint                      // in order, one entry for each connection that an endpoint could not open
 }
 
-// NewEndpointPool returns a pool without endpoints, whose actors end with the context. The pool opens no connection before
+// NewEndpointPool returns a pool without endpoints. Its actors run until the context ends. The pool opens no connection before
 // SetWorkerConnLimit is called.
 func NewEndpointPool(ctx context.Context, settings *protocol.LiveSettings, sink Sink, log *slog.Logger) *EndpointPool {
 	return &EndpointPool{
@@ -121,8 +121,8 @@
 	}
 }
 
-// SetDetached sets since when the operator has a worker detached; zero if it is attached again. It applies regardless of the
-// worker's state in the endpoint list, also to a worker that is listed later.
+// SetDetached records that the operator has detached a worker, and since when; since is zero if the worker is attached again. It
+// applies regardless of the worker's state in the endpoint list, also to a worker that is listed later.
 func (p *EndpointPool) SetDetached(worker scheduler.WorkerID, since time.Time) {
 	p.mu.Lock()
 	if p.detachedSince[worker] = since; since.IsZero() {
@@ -199,8 +199,8 @@
 	p.notifyWaitingLocked()
 }
 
-// notifyWaitingLocked notifies as many waiting endpoints as further connections are allowed. mu is held. Nothing is reserved for
-// an endpoint: if it finds the capacity taken, it waits again.
+// notifyWaitingLocked notifies one waiting endpoint for each further connection that is allowed. mu is held. Nothing is reserved
+// for an endpoint: if it finds the capacity taken, it waits again.
 func (p *EndpointPool) notifyWaitingLocked() {
 	for free := p.maxConns - p.openConns; free > 0 && len(p.waitingEndpoints) > 0; free-- {
 		p.waitingEndpoints[0].mailbox.Post(capacityFreed{})
--- a/internal/transport/eventstream.go
+++ b/internal/transport/eventstream.go
@@ -9,9 +9,10 @@
 	"brassdale/internal/routing"
 )
 
-// streamEvents sends the events of a job, except the first seen ones, until the job has ended or the client has left. If the job
-// ends without having been served, and no event was sent before, the answer is a plain HTTP status instead. ended is false if the
-// client left before the job's end; responded says whether anything was sent by then.
+// streamEvents sends the events of a job until the job has ended or the client has left. The client has seen the first events
+// before; the parameter seen is their number. If the job ends without having been served, and no event was sent before, the answer
+// is a plain HTTP status instead. ended is false if the client left before the job's end; responded says whether anything was sent
+// by then.
 func streamEvents(ctx context.Context, w http.ResponseWriter, stream *jobStream, seen int) (ended, responded bool) {
 	out := eventWriter{w: w, controller: http.NewResponseController(w)}
 	for {
@@ -59,7 +60,7 @@
 		o.w.Header().Set("Content-Type", "text/event-stream")
 		o.w.Header().Set("Cache-Control", "no-store")
 	}
-	_ = o.controller.SetWriteDeadline(time.Now().Add(clientReadTimeout)) // fails only on a closed connection, as the write does
+	_ = o.controller.SetWriteDeadline(time.Now().Add(clientReadTimeout)) // fails only on a closed connection, on which the write fails too
 	for _, event := range events {
 		if _, err := o.w.Write(event.Encode()); err != nil {
 			return err
--- a/internal/transport/eviction.go
+++ b/internal/transport/eviction.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	// rejectionReserveDivisor sets the reserve of connections beyond Listener.maxConns: 1/10 of it. When all other connections
-	// carry jobs, a connection of the reserve gets a rejection.
+	// rejectionReserveDivisor sets the reserve of connections beyond Listener.maxConns: 1/10 of maxConns. When all other
+	// connections carry jobs, a connection of the reserve gets a rejection.
 	rejectionReserveDivisor = 10
 
-	// freeConnsDivisor sets the part of the connections that must be free for NearlyFull to report false: 1/16.
+	// freeConnsDivisor sets when NearlyFull reports true: if fewer than 1/16 of the connections would be free.
 	freeConnsDivisor = 16
 
 	// minStreamsPerConn is how many jobs a multiplexed connection may always have open while the listener has any capacity.
@@ -111,8 +111,8 @@
 	}
 }
 
-// EvictSilent closes connections that have sent nothing, while more than keep connections are open. Connections that carried a
-// request stay.
+// EvictSilent closes connections that have sent nothing, until the number of open connections is at most the parameter keep.
+// Connections that carried a request stay.
 func (l *Listener) EvictSilent(keep int) {
 	now := time.Now()
 	l.mu.Lock()
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -36,7 +36,7 @@
 		return nil, nil, nil, err
 	}
 	predecessor := newPeerProcess(conn.(*net.UnixConn))
-	_ = predecessor.conn.SetDeadline(deadline) // fails only on a closed connection, as the reads do then
+	_ = predecessor.conn.SetDeadline(deadline) // fails only on a closed connection, on which the reads fail too
 	listeners, err := predecessor.receiveListeners()
 	var first protocol.HandoverMessage
 	if err == nil {
@@ -102,7 +102,7 @@
 // HandOver sends the listeners and the state to a successor. The listeners stay open here. It must be called before Run, and
 // blocks for peerWriteTimeout at most.
 func (p *PeerProcess) HandOver(state *protocol.Handover, listeners []*Listener) error {
-	_ = p.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)) // fails only on a closed connection, as the write does
+	_ = p.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)) // fails only on a closed connection, on which the write fails too
 	err := withDescriptors(listeners, nil, func(fds []int) error {
 		_, _, err := p.conn.WriteMsgUnix([]byte{'\n'}, syscall.UnixRights(fds...), nil)
 		return err
--- a/internal/transport/http2/framewriter.go
+++ b/internal/transport/http2/framewriter.go
@@ -92,8 +92,8 @@
 // emptySettings is a SETTINGS frame without settings.
 var emptySettings = [frameHeaderBytes]byte{3: byte(http2limits.Settings)}
 
-// finish queues a last frame, nil for none, and blocks until all bytes are written or the deadline has passed. If net/http has written
-// only a part of a frame, the last frame is dropped, since the rest of that frame will not follow.
+// finish queues lastFrame, unless it is nil, and blocks until all bytes are written or the deadline has passed. If net/http has
+// written only a part of a frame, the last frame is dropped, since the rest of that frame will not follow.
 func (w *frameWriter) finish(lastFrame []byte, deadline time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/transport/http2/frontend.go
+++ b/internal/transport/http2/frontend.go
@@ -28,7 +28,7 @@
 	Cleartext bool     `hcl:"cleartext,optional"` // without TLS, the address need not be a loopback address
 	Streams   int      `hcl:"streams,optional"`   // maximum of concurrent streams on one connection
 	TLS       *TLS     `hcl:"tls,block"`          // nil: cleartext with prior knowledge
-	Clients   []Client `hcl:"client,block"`       // in force only if TLS has a ClientCA
+	Clients   []Client `hcl:"client,block"`       // used only if TLS has a ClientCA
 }
 
 // Default returns the settings that are used where the operator's file has none.
@@ -69,8 +69,8 @@
 	return f, nil
 }
 
-// Prepare reads the files that new settings name, and returns a function that puts the settings in force: grants for all connections,
-// certificates and CA for connections that are accepted afterwards. If Prepare returns an error, nothing has changed.
+// Prepare reads the files that new settings name, and returns a function that applies the settings: grants to all connections,
+// certificates and CA to connections that are accepted afterwards. If Prepare returns an error, nothing has changed.
 func (f *Frontend) Prepare(settings *Settings) (apply func(), err error) {
 	next := &reloadable{grants: newGrants(settings.Clients)}
 	if settings.TLS != nil {
--- a/internal/transport/idempotencytable.go
+++ b/internal/transport/idempotencytable.go
@@ -56,7 +56,7 @@
 // reserveJob decides how a request, with or without an idempotency key, is handled. For Start it returns a new stream, whose
 // request id is reserved in this process. For Join it returns the known stream. Either way the request is counted as one of its
 // readers. For any other decision the stream is nil. resumes says that the client has seen events of the job before. The error is
-// errIDInUse if the job would start but an open request here has the same request id.
+// errIDInUse if the job would start but an open request of this process has the same request id.
 func (t *IdempotencyTable) reserveJob(job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, decision idempotency.Decision, err error) {
 	digest := sha256.Sum256([]byte(job.Target + "\n" + job.Account + "\n" + string(job.Body)))
 	hasKey := job.IdempotencyKey != ""
--- a/internal/transport/inflightids.go
+++ b/internal/transport/inflightids.go
@@ -24,14 +24,14 @@
 // jobs are ignored: it does not answer its clients either.
 const peerAnswerTimeout = 250 * time.Millisecond
 
-// DelegateTo sets the predecessor at which each id is reserved too; nil for none.
+// DelegateTo sets the predecessor at which each id is reserved too. If it is nil, ids are reserved in this process only.
 func (i *InFlightIDs) DelegateTo(predecessor *PeerProcess) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.predecessor = predecessor
 }
 
-// Reserve reserves an id in this process's table for owner, nil for this process. It reports whether the id was free.
+// Reserve reserves an id in this process's table for a process; a nil owner is this process. It reports whether the id was free.
 func (i *InFlightIDs) Reserve(id string, owner *PeerProcess) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/transport/jobstream.go
+++ b/internal/transport/jobstream.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxProgressEvents  = 256 // events of a job after which further progress is dropped, as a worker may report it without end
+	maxProgressEvents  = 256 // events of a job after which further progress is dropped, because a worker may report progress without end
 	eventOverheadBytes = 64  // memory of an event besides its data
 )
 
@@ -74,8 +74,8 @@
 	return s.finalAnswer != nil
 }
 
-// eventsAfter returns the events after the first seen ones, the final answer (nil while there is none), and a channel that is
-// closed with the next event. ok is false if the job has fewer than seen events.
+// eventsAfter returns the events that the reader has not seen, the final answer (nil while there is none), and a channel that is
+// closed at the next event. The parameter seen is how many events the reader has seen; ok is false if the job has fewer.
 func (s *jobStream) eventsAfter(seen int) (events []protocol.Event, answer *routing.Answer, changed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/keyedjob.go
+++ b/internal/transport/keyedjob.go
@@ -16,10 +16,10 @@
 // errKeyMismatch rejects a key that was used for another path, account or body.
 var errKeyMismatch = &protocol.RequestError{Status: http.StatusUnprocessableEntity, Reason: "Idempotency-Key was used for another job"}
 
-// joinOrStart returns the job of a request's idempotency key, with the request as one of its readers. It is the known job, or a
-// new one (started), which the caller must submit. If ok is false, the request was rejected and has its answer. resumes says that
-// the client has seen events of the job; runsWithoutReaders, that the job goes on without readers. joinOrStart blocks while it
-// asks a predecessor process whether the request id is in use there.
+// joinOrStart returns the job of a request's idempotency key, with the request as one of its readers. It is the known job or a new
+// one. If it is new, started is true and the caller must submit it. If ok is false, the request was rejected and has its answer.
+// resumes says that the client has seen events of the job; runsWithoutReaders says that the job goes on without readers.
+// joinOrStart blocks while it asks a predecessor process whether the request id is in use there.
 func (f *frontend) joinOrStart(w http.ResponseWriter, r *http.Request, job *protocol.Job, resumes, runsWithoutReaders bool) (stream *jobStream, started, ok bool) {
 	stream, decision, err := f.idempotencyTable.reserveJob(job, resumes, runsWithoutReaders)
 	if err == nil && decision == idempotency.Start && !f.idempotencyTable.inFlightIDs.confirmWithPredecessor(job.ID) {
@@ -69,7 +69,7 @@
 		f.respondWhenEnded(w, r, stream, nil) // the core answers by this request's deadline
 		return
 	}
-	if !f.ids.reserveEverywhere(job.ID) { // also if the job itself has this id
+	if !f.ids.reserveEverywhere(job.ID) { // this fails also if the job that was joined has the same id
 		f.abandonJob(stream)
 		f.respondInvalid(w, r, errIDInUse)
 		return
--- a/internal/transport/lingeringclose.go
+++ b/internal/transport/lingeringclose.go
@@ -39,7 +39,7 @@
 	if c.CloseWrite() != nil {
 		return
 	}
-	_ = c.SetReadDeadline(time.Now().Add(lingeringCloseTimeout)) // fails only on a closed connection, as the reads do then
+	_ = c.SetReadDeadline(time.Now().Add(lingeringCloseTimeout)) // fails only on a closed connection, on which the reads fail too
 	var b [4096]byte
 	for left := lingeringCloseMaxBytes; left > 0; {
 		n, err := c.TCPConn.Read(b[:])
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestListener_evictionOrder checks that at the connection limit connections are evicted in the order of evictionRank: first
-// silent and unused connections, then stalled requests, then idle connections between jobs, the longest idle first, as their
-// clients may have no other, then new connections. Connections on which a request is being received come last; a connection with
-// unread bytes is among them, not silent. Connections with a job in flight are never evicted.
+// TestListener_evictionOrder checks that at the connection limit connections are evicted in the order of evictionRank: first silent
+// and unused connections, then stalled requests, then idle connections between jobs (the longest idle first; their clients may have
+// no other connection), then new connections. Connections on which a request is being received come last; a connection with unread
+// bytes is among them, not silent. Connections with a job in flight are never evicted.
 func TestListener_evictionOrder(t *testing.T) {
 	socket, err := Listen("127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/listenershutdown.go
+++ b/internal/transport/listenershutdown.go
@@ -50,7 +50,7 @@
 // connections on which nothing has ever been written; a connection that carried an answer before is closed without a rejection.
 func (l *Listener) RejectUnfinished() {
 	for _, conn := range l.closeUnfinished() {
-		_ = conn.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout)) // fails only on a closed connection, as does what follows
+		_ = conn.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout)) // fails only on a closed connection, on which the next calls fail too
 		_, _ = conn.Write([]byte(rejectionResponse))
 		_ = conn.CloseWrite()
 	}
--- a/internal/transport/peerprocess.go
+++ b/internal/transport/peerprocess.go
@@ -81,7 +81,7 @@
 		case <-p.mailbox.Signal():
 		}
 		for _, message := range p.mailbox.Take() {
-			_ = p.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)) // fails only on a closed connection, as the write does
+			_ = p.conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)) // fails only on a closed connection, on which the write fails too
 			if err := encoder.Encode(message); err != nil {
 				p.Close()
 				return
--- a/internal/transport/rejection.go
+++ b/internal/transport/rejection.go
@@ -47,7 +47,7 @@
 	writeAnswer(w, routing.Answer{Verdict: routing.Rejected, RetryAfter: f.settings.Current().Limits.MaxRetryAfter.Duration()})
 }
 
-// respondInvalid answers a request that has no valid job with the status of a *protocol.RequestError, 400 for any other error.
+// respondInvalid answers a request that has no valid job with the status of err if it is a *protocol.RequestError, else with 400.
 func (f *frontend) respondInvalid(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
 	if invalid := (*protocol.RequestError)(nil); errors.As(err, &invalid) {
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// relayToPeer relays a request to the other process, which answers it, if peerWithJob returns that process. It reports whether the
-// request was relayed. mode is the value of relayModeHeader.
+// relayToPeer relays a request to the other process if peerWithJob returns that process, which then answers the request. It reports
+// whether the request was relayed. mode is the value of relayModeHeader.
 func (f *frontend) relayToPeer(w http.ResponseWriter, r *http.Request, job *protocol.Job, mode string) bool {
 	peer := f.idempotencyTable.peerWithJob(job.IdempotencyKey)
 	if peer == nil {
--- a/internal/transport/requestconn.go
+++ b/internal/transport/requestconn.go
@@ -59,7 +59,7 @@
 }
 
 // requestReadDeadline returns when a request must have been received completely: requestReadTimeout after its first byte. If the
-// connection is multiplexed, the time counts from now, since the head is complete and had a timeout of its own.
+// connection is multiplexed, requestReadTimeout counts from now: the head is complete by now, and had a timeout of its own.
 func requestReadDeadline(r *http.Request) time.Time {
 	conn := clientConnOf(r)
 	if conn == nil || conn.listener.multiplexed {
--- a/internal/transport/requestframing.go
+++ b/internal/transport/requestframing.go
@@ -34,8 +34,8 @@
 	contentLengthName    = "content-length"
 	transferEncodingName = "transfer-encoding"
 
-	// maxLinePrefix is how many bytes of a line are kept: enough for the longer name with its colon, or for a length with
-	// spaces.
+	// maxLinePrefix is how many bytes of a line are kept: enough for the longer of the two header names with its colon, or for
+	// Content-Length with its value and spaces.
 	maxLinePrefix = len(contentLengthName) + 1 + 40
 
 	// malformedLineEnd ends the line and the head, after a byte that is invalid in a header.
--- a/internal/transport/sendchecks.go
+++ b/internal/transport/sendchecks.go
@@ -42,8 +42,9 @@
 	return ""
 }
 
-// latestWrite returns the latest time at which an exchange may be started. It is the earliest of its deadline, its SendBy and the
-// end of a grace period of the worker, the last two minus the margins of writemargins.go.
+// latestWrite returns the latest time at which an exchange may be started. It is the earliest of three times: the exchange's
+// deadline, its SendBy, and the end of a grace period of the worker. The margins of writemargins.go are subtracted from the last
+// two.
 func (e *endpoint) latestWrite(exchange *workerExchange) time.Time {
 	latest := exchange.deadline
 	if exchange.isProbe {
@@ -66,8 +67,8 @@
 	return latest
 }
 
-// drainingSince returns when this dispatcher was notified that the worker is draining or gone. It is zero while the worker is
-// neither, or while its return is unconfirmed: the scheduler then uses the worker only if there is no other.
+// drainingSince returns when this dispatcher was notified that the worker is draining or gone. The result is zero if the worker is
+// neither. It is also zero while the worker's return is unconfirmed: the scheduler then uses the worker only if there is no other.
 func (e *endpoint) drainingSince() time.Time {
 	if e.listed.ReturnUnconfirmed {
 		return time.Time{}
--- a/internal/transport/workerexchange.go
+++ b/internal/transport/workerexchange.go
@@ -24,9 +24,8 @@
 	maxResponseBytes = 1 << 20
 )
 
-// workerExchange is one attempt or probe: a request to a worker and its response. The endpoint's actor owns it until it is
-// assigned to a connection; then the goroutine of endpoint.runExchange does, until it posts exchangeEnded. cancelled may be
-// read by both.
+// workerExchange is one attempt or probe: a request to a worker and its response. The endpoint's actor owns it until it is assigned
+// to a connection; then the goroutine of endpoint.runExchange owns it, until it posts exchangeEnded. cancelled may be read by both.
 type workerExchange struct {
 	attempt          routing.Attempt // zero for a probe
 	isProbe          bool
@@ -57,7 +56,7 @@
 	return notSentSendByPassed
 }
 
-// requestID returns the id that the client gave its request, empty for a probe.
+// requestID returns the id that the client gave its request. It is empty for a probe.
 func (x *workerExchange) requestID() string {
 	if job, ok := x.attempt.Job.(*protocol.Job); ok {
 		return job.ID
@@ -127,7 +126,7 @@
 // and outcome is the outcome of the exchange: NoConnect, or NeverSent if it was cancelled.
 func (x *workerExchange) writeRequest(request []byte) (outcome scheduler.Outcome, written bool) {
 	conn := x.conn.conn
-	_ = conn.SetReadDeadline(x.deadline) // fails only on a closed connection, as does what follows
+	_ = conn.SetReadDeadline(x.deadline) // fails only on a closed connection, on which the next calls fail too
 	_ = conn.SetWriteDeadline(x.writeDeadline())
 	n, err := conn.Write(request)
 	switch {
@@ -196,7 +195,7 @@
 // request. It blocks for drainTimeout at most.
 func (x *workerExchange) drainBody(response *http.Response) bool {
 	conn := x.conn.conn
-	_ = conn.SetDeadline(time.Now().Add(drainTimeout)) // fails only on a closed connection, as does what follows
+	_ = conn.SetDeadline(time.Now().Add(drainTimeout)) // fails only on a closed connection, on which the next calls fail too
 	rest, err := io.Copy(io.Discard, io.LimitReader(response.Body, protocol.MaxBodyBytes))
 	_ = conn.SetDeadline(time.Time{})
 	return err == nil && rest < protocol.MaxBodyBytes && !response.Close
--- a/internal/transport/writemargins.go
+++ b/internal/transport/writemargins.go
@@ -3,9 +3,9 @@
 import "time"
 
 // A request must not reach a worker after certain points in time: the end of a drain grace period, or of the window in which the
-// worker recognizes a retry. The margins are how long before such a point the clock must have been read for the last time before
-// the write. They follow from two rules of the operators: a process may be paused for maxProcessPause between reading the
-// clock and writing, and workers allow 50 ms more than the settings say, which is reserved for the network and not used here.
+// worker recognizes a retry. The clock is read one last time before the write. This must happen at least the margin before such a
+// point. The margins follow from two rules of the operators: a process may be paused for maxProcessPause between reading the clock
+// and writing, and workers allow 50 ms more than the settings say, which is reserved for the network and not used here.
 const (
 	// maxProcessPause is the longest pause of a process between reading the clock and writing.
 	maxProcessPause = 150 * time.Millisecond
--- a/internal/transport/writemargins_test.go
+++ b/internal/transport/writemargins_test.go
@@ -8,9 +8,9 @@
 )
 
 // TestEndpointAssign_marginsForPauses checks the margins before the two points in time after which a request must not be written. A
-// process may be paused for 150 ms between reading the clock and writing, and processing takes up to 50 ms: no write starts less than
-// 200 ms before the end of the deduplication window. Before the end of a drain grace period it is 350 ms, as the endpoint list that
-// announced the drain may have been read another 150 ms late.
+// process may be paused for 150 ms between reading the clock and writing, and processing takes up to 50 ms: no write starts less
+// than 200 ms before the end of the deduplication window. Before the end of a drain grace period the margin is 350 ms, because the
+// endpoint list that announced the drain may have been read another 150 ms late.
 func TestEndpointAssign_marginsForPauses(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	now := time.Now()
