--- a/internal/decisions/cachetrust/assessor.go
+++ b/internal/decisions/cachetrust/assessor.go
@@ -8,8 +8,8 @@
 	"brassdale/scheduler"
 )
 
-// Assessor assesses the workers of a cached list until a list of discovery is in force. Times that are passed to its methods must not
-// go back. It is not safe for concurrent use.
+// Assessor assesses the workers of a cached list until a list of discovery has replaced it. Times that are passed to its methods must
+// not go back. It is not safe for concurrent use.
 type Assessor struct {
 	rules        Rules
 	list         CachedList
@@ -19,9 +19,9 @@
 	workers      map[scheduler.WorkerID]*assessedWorker
 	probeOrder   []*assessedWorker // in the order of the first probes; without workers that were Excluded at startedAt
 	countByLevel [Excluded + 1]int
-	finished     bool // discovery's list is in force, or the cached list may not be used
+	finished     bool // discovery's list has replaced the cached list, or the cached list may not be used
 
-	awaitingConfirmationSince scheduler.Instant // when a first list that must be confirmed was received; 0 for none
+	awaitingConfirmationSince scheduler.Instant // when a first list that must be confirmed was received; 0 if no list awaits its confirmation
 	retained                  []scheduler.WorkerID
 }
 
@@ -79,7 +79,8 @@
 // StartedAt returns when the assessment started.
 func (a *Assessor) StartedAt() scheduler.Instant { return a.startedAt }
 
-// Finished reports whether the assessment has ended, as discovery's list is in force or the cached list may not be used.
+// Finished reports whether the assessment has ended, because discovery's list has replaced the cached list or the cached list may not
+// be used.
 func (a *Assessor) Finished() bool { return a.finished }
 
 // CountByLevel returns the number of workers at each trust level.
--- a/internal/decisions/cachetrust/cachedlist.go
+++ b/internal/decisions/cachetrust/cachedlist.go
@@ -4,7 +4,7 @@
 
 // CachedList is an endpoint list as it was cached.
 type CachedList struct {
-	ConfirmedAt scheduler.Instant // when the list was last known to be in force
+	ConfirmedAt scheduler.Instant // when the list was last known to be correct
 	Revision    int64
 	Workers     []CachedWorker
 }
--- a/internal/decisions/cachetrust/cachetrust.go
+++ b/internal/decisions/cachetrust/cachetrust.go
@@ -16,12 +16,12 @@
 //  6. First probes are sent at a rate between MinProbesPerSecond and MaxProbesPerSecond, to the workers with the latest signal first. A
 //     worker that does not answer is probed again after delays that double from MinProbeRetryDelay to MaxProbeRetryDelay; no worker
 //     has two probes in flight.
-//  7. A list of discovery is in force at once, with one exception. If Rules.MinFirstListShare is above 0, a first full list must be
-//     confirmed under two conditions. First, a Responsive or Verified worker is missing from the list. Second, the list's ready
+//  7. A list of discovery applies as a whole at once, with one exception. If Rules.MinFirstListShare is above 0, a first full list must
+//     be confirmed under two conditions. First, a Responsive or Verified worker is missing from the list. Second, the list's ready
 //     workers are fewer than Rules.MinFirstListShare times the number in the cached list (detached workers aside), or its revision is
-//     lower than the revision of the cached list. The states in such a list are in force at once, but the missing workers are
-//     retained until a second full list, received ConfirmationDelay later or more, confirms it, and for MaxRetention at most. An
-//     empty second list confirms nothing: a deployment without workers has no jobs either.
+//     lower than the revision of the cached list. The states in such a list apply at once, but the missing workers are retained until a
+//     second full list, received ConfirmationDelay later or more, confirms it, and for MaxRetention at most. An empty second list
+//     confirms nothing: a deployment without workers has no jobs either.
 //  8. If discovery lists a worker with the start that it had in the cached list, it is the same incarnation, and what was learned of
 //     it stays valid. A later start is a new incarnation.
 package cachetrust
--- a/internal/decisions/cachetrust/cachetrust_test.go
+++ b/internal/decisions/cachetrust/cachetrust_test.go
@@ -278,14 +278,14 @@
 	return ids
 }
 
-// TestAssessList_firstList checks guarantee 7: which first lists of discovery are in force at once, and how the others are confirmed.
+// TestAssessList_firstList checks guarantee 7: which first lists of discovery apply as a whole at once, and how the others are confirmed.
 func TestAssessList_firstList(t *testing.T) {
 	now := 10*day + 2*time.Second
 	for _, test := range []struct {
 		name     string
 		revision int64
 		ready    []scheduler.WorkerID
-		retained int // -1: the list is in force at once
+		retained int // -1: the whole list applies at once
 	}{
 		{"all", 9, firstIDs(10), -1},
 		{"half", 9, firstIDs(5), -1},
@@ -321,7 +321,7 @@
 			t.Errorf("%s, never received again: expected all retained workers to expire, got %v", test.name, gone)
 		}
 	}
-	// With a minimum share of 0, each list is in force at once.
+	// With a minimum share of 0, each list applies as a whole at once.
 	rules := testRules
 	rules.MinFirstListShare = 0
 	assessor := New(10*day, listOfWorkers(10*day-time.Minute, 10), rules)
--- a/internal/decisions/cachetrust/listdecision.go
+++ b/internal/decisions/cachetrust/listdecision.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// ConfirmationDelay is the time after a first list from which a second list may confirm it.
+	// ConfirmationDelay is the minimum time between a first list and the second list that confirms it.
 	ConfirmationDelay = time.Second
 
 	// MaxRetention is the longest time for which workers that are missing from an unconfirmed list are retained.
 	MaxRetention = 10 * time.Second
 )
 
-// ListDecision is how far a full list of discovery is in force.
+// ListDecision says which parts of a full list of discovery apply.
 type ListDecision struct {
 	Retain    []scheduler.WorkerID // workers that are missing from the list, and that stay as they are
-	RefetchAt scheduler.Instant    // when to call for the full list again; 0 if the list is in force
+	RefetchAt scheduler.Instant    // when to call for the full list again; 0 if the whole list applies
 }
 
-// AssessList decides how far a full list of discovery is in force, by its revision and its ready workers.
+// AssessList decides which parts of a full list of discovery apply, by its revision and its ready workers.
 func (a *Assessor) AssessList(now scheduler.Instant, revision int64, ready []scheduler.WorkerID) ListDecision {
 	if a.finished {
 		return ListDecision{}
@@ -64,13 +64,13 @@
 // AwaitingConfirmation reports whether a first list of discovery must be confirmed by a second one.
 func (a *Assessor) AwaitingConfirmation() bool { return a.awaitingConfirmationSince != 0 }
 
-// RetainedUntil returns until when workers are retained at most; ok is false if no list awaits its confirmation.
+// RetainedUntil returns the time until which workers are retained at most; ok is false if no list awaits its confirmation.
 func (a *Assessor) RetainedUntil() (until scheduler.Instant, ok bool) {
 	return a.awaitingConfirmationSince + MaxRetention, a.awaitingConfirmationSince != 0 && !a.finished
 }
 
-// ExpireRetained ends the retention at RetainedUntil, so that discovery's list is in force, and returns the workers that were retained. It
-// returns none before.
+// ExpireRetained ends the retention at RetainedUntil, so that the whole list of discovery applies, and returns the workers that were
+// retained. Before that time it returns none.
 func (a *Assessor) ExpireRetained(now scheduler.Instant) (gone []scheduler.WorkerID) {
 	if a.awaitingConfirmationSince == 0 || a.finished || now < a.awaitingConfirmationSince+MaxRetention {
 		return nil
--- a/internal/decisions/cachetrust/sequentialtest.go
+++ b/internal/decisions/cachetrust/sequentialtest.go
@@ -28,7 +28,8 @@
 	// maxWarmingUpPrior.
 	priorAgeScale = 6 * time.Hour
 
-	// recentStartPrior is added for a worker that was warming up when the list was confirmed, as such workers restart more often.
+	// recentStartPrior is added for a worker that was warming up when the list was confirmed, because such workers restart more
+	// often.
 	recentStartPrior = 0.1
 
 	// minSlowStartCapacity bounds Rules.SlowStartCapacity, whose logarithm is taken.
--- a/internal/decisions/endpointstate/changes.go
+++ b/internal/decisions/endpointstate/changes.go
@@ -9,7 +9,7 @@
 // NotListed is the index of a worker that a complete response does not list.
 const NotListed = -1
 
-// Accepted is the state of one worker that is in force after a response.
+// Accepted is the state of one worker that a response has set.
 type Accepted struct {
 	Index      int // into ListResponse.Endpoints, or NotListed
 	ID         scheduler.WorkerID
@@ -30,7 +30,7 @@
 	PollAgainAt time.Time // when to poll for the full list because a part of the response was not accepted; zero for no poll
 }
 
-// rejectReturn records that a worker which is listed as ready keeps its known state, as the response is not certainly newer.
+// rejectReturn records that a worker which is listed as ready keeps its known state, because the response is not certainly newer.
 func (c *Changes) rejectReturn(response ListResponse, index int, id scheduler.WorkerID, known *record, seen observation) {
 	c.pollAgainBy(known.staleUntil(seen, response.CalledAt))
 	if known.state == scheduler.Draining && known.shownBySameService(seen) {
--- a/internal/decisions/endpointstate/endpointstate.go
+++ b/internal/decisions/endpointstate/endpointstate.go
@@ -1,10 +1,11 @@
 // Package endpointstate holds the known state of each worker and decides what a response of the discovery service may change in it.
 // The caller passes in each response with the service that sent it, its revision and the times of its call; the package returns the
-// changes that are in force. It does no I/O, reads no clock and starts no goroutine.
+// changes that it accepts. It does no I/O, reads no clock and starts no goroutine.
 //
-// A response does not say when it was composed. It may have been delayed, overtaken by a later one, or come from a lagging replica,
-// and the revisions of two services cannot be compared. Therefore a restriction (a worker that is draining or gone) is accepted from
-// any service at once, while its withdrawal is accepted only from a response that must be newer.
+// A response does not say when it was composed, that is, when the service read the list for it. It may have been delayed, overtaken by
+// a later one, or come from a lagging replica, and the revisions of two services cannot be compared. Therefore a restriction (a worker
+// that is draining or gone) is accepted from any service at once, while its withdrawal is accepted only from a response that must be
+// newer.
 //
 // Table guarantees to its caller:
 //
@@ -33,8 +34,9 @@
 
 import "brassdale/internal/decisions/polling"
 
-// MaxStaleness is the longest time before its call at which a response may have been composed. It is polling.NotificationDeadline:
-// after that time the platform counts a dispatcher as notified of a change, so an older response would be wrong anyway.
+// MaxStaleness bounds the age of a response: it may have been composed up to MaxStaleness before its call. It is
+// polling.NotificationDeadline: after that time the platform counts a dispatcher as notified of a change, so an older response would
+// be wrong anyway.
 const MaxStaleness = polling.NotificationDeadline
 
 // UnknownRevision is the revision of a list whose revision cannot be compared with any other.
--- a/internal/decisions/endpointstate/endpointstate_test.go
+++ b/internal/decisions/endpointstate/endpointstate_test.go
@@ -28,7 +28,7 @@
 	truth             []workerChange
 	table             table
 	acceptedState     scheduler.WorkerState // of the last accepted change
-	newestRestriction int                   // index of the newest change whose restriction was accepted; -1 for none
+	newestRestriction int                   // index of the newest change whose restriction was accepted; -1 before the first
 	countConfirmed    bool                  // a drain that a list shows counts as accepted also if the worker was not ready before
 }
 
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// converges passes current responses to the table for MaxStaleness and one second, and returns an error if it does not have the true
+// converges passes current responses to the table for MaxStaleness and one second, and returns an error if the table does not have the true
 // state then.
 func (m *discoveryModel) converges(service modelService, from time.Duration) error {
 	last := len(m.truth) - 1
@@ -138,7 +138,7 @@
 	}
 }
 
-// maxLag is the longest time before its call at which a response of the model is composed.
+// A response of the model is composed at most maxLag before its call.
 const maxLag = MaxStaleness - time.Second
 
 // testServices are the services before and after a move of discovery.
--- a/internal/decisions/endpointstate/listresponse.go
+++ b/internal/decisions/endpointstate/listresponse.go
@@ -21,7 +21,7 @@
 	ID         scheduler.WorkerID
 	State      scheduler.WorkerState
 	Start      scheduler.Instant // of the worker, by discovery's clock; 0 for long ago
-	NotifiedAt time.Time         // from when on a worker that is not ready counts as known not to be ready; zero for when the response was received
+	NotifiedAt time.Time         // for a worker that is not ready: the time from which this counts as known; zero for when the response was received
 
 	// OtherServiceAt is for Restore: when the state was last received from a service whose revisions cannot be compared with the revision
 	// of the restored list; zero for never.
--- a/internal/decisions/endpointstate/observation.go
+++ b/internal/decisions/endpointstate/observation.go
@@ -45,7 +45,7 @@
 }
 
 // staleUntil returns the time from which a call returns a list that was certainly composed after each list that showed the known state.
-// Lists that were certainly composed before the later one do not count.
+// Lists that were certainly composed before the list given by the parameter later do not count.
 func (r *record) staleUntil(later observation, calledAt time.Time) (at time.Time) {
 	for _, known := range append([]observation{r.latest}, r.others...) {
 		if end := known.receivedAt.Add(MaxStaleness); !known.composedBefore(later, calledAt) && end.After(at) {
@@ -63,8 +63,8 @@
 	return earlier(r.latest) || slices.ContainsFunc(r.others, earlier)
 }
 
-// confirm adds an observation of the known state. It removes the observations of lists that were certainly composed before: a response
-// that is newer than the added list is newer than those too.
+// confirm adds an observation of the known state. It removes the observations of lists that were certainly composed before the added list:
+// a response that is newer than the added list is newer than the removed ones too.
 func (r *record) confirm(newest observation, calledAt time.Time) {
 	switch {
 	case r.latest.comparable(newest.service, newest.sequence) && r.latest.revision == newest.revision:
--- a/internal/decisions/endpointstate/table.go
+++ b/internal/decisions/endpointstate/table.go
@@ -13,7 +13,7 @@
 type record struct {
 	state      scheduler.WorkerState
 	start      scheduler.Instant // by discovery's clock; 0 for long ago
-	notifiedAt time.Time         // from when on the worker counts as known not to be ready; zero while it is ready
+	notifiedAt time.Time         // the time from which the worker counts as known not to be ready; zero while it is ready
 	latest     observation       // the last list that showed the state
 	others     []observation     // the last lists of other services that showed the state, if they may be newer than latest
 }
@@ -25,8 +25,8 @@
 }
 
 // Restore enters the list that was known before this process started, at a revision of a service. It is called before the first
-// Classify. The caller sets the NotifiedAt of each worker that is not ready: the list counts as received then. A ready worker counts
-// as learned long ago. If OtherServiceAt is set, another service has shown the state too.
+// Classify. The caller sets the NotifiedAt of each worker that is not ready: the list counts as received at that time. A ready worker
+// counts as learned long ago. If OtherServiceAt is set, another service has shown the state too.
 func (t *Table) Restore(service string, revision int64, endpoints []Endpoint) {
 	t.serviceProgress(service).revision = revision
 	for _, endpoint := range endpoints {
--- a/internal/decisions/gossippeers/doc.go
+++ b/internal/decisions/gossippeers/doc.go
@@ -14,9 +14,9 @@
 //     exchange at once.
 //  3. Two groups in a zone that do not know each other exchange what they know once both hold leases: a dispatcher that knows at
 //     most half of the lease holders begins at once, any other one after GossipSettleTime.
-//  4. Between two exchanges that a dispatcher begins, there are at least MinExchangeInterval times the number of dispatchers that it
-//     knows, and at least minExchangePause. While exchanges change nothing, the first of these intervals doubles with each, up to
-//     maxBackoffFactor times its length.
+//  4. The time between two exchanges that a dispatcher begins is at least MinExchangeInterval times the number of dispatchers that it
+//     knows, and at least minExchangePause. While exchanges change nothing, each exchange doubles the first of these bounds, up to
+//     maxBackoffFactor times its initial value.
 package gossippeers
 
 import "time"
--- a/internal/decisions/gossippeers/exchanger.go
+++ b/internal/decisions/gossippeers/exchanger.go
@@ -22,7 +22,7 @@
 // Exchanger decides when a dispatcher begins an exchange with a suggested peer. Its zero value is ready for use.
 type Exchanger struct {
 	differs       bool    // the last renewal brought a suggestion
-	differsSince  Instant // since when each renewal has brought a suggestion
+	differsSince  Instant // start of the time in which each renewal has brought a suggestion
 	nextAt        Instant // when another exchange may begin
 	backoffFactor int     // by which the interval is lengthened
 	exchanged     bool    // an exchange has ever begun
--- a/internal/decisions/http2limits/conn.go
+++ b/internal/decisions/http2limits/conn.go
@@ -80,7 +80,7 @@
 }
 
 // FrameSent records the header of a frame that this side sends, and returns the reason to close the connection, if any. Resets of this
-// side count like resets of the client, as a client can cause them by violating the protocol.
+// side count like resets of the client, because a client can cause them by violating the protocol.
 func (c *Conn) FrameSent(now time.Duration, frame Frame) CloseReason {
 	if frame.Kind == Reset {
 		c.spend(now, TooManyResets)
--- a/internal/decisions/incarnations/incarnations.go
+++ b/internal/decisions/incarnations/incarnations.go
@@ -10,8 +10,8 @@
 //     is the minimum of three times: from its stamp to the newest stamp in the list, from its stamp to the wall clock of this
 //     process, and the gap. The first does not depend on any clock being right; the second is left out if the wall clock is earlier
 //     than the newest stamp.
-//  3. The same stamp is the same incarnation. Another stamp, also a lower one, is another incarnation, as a clock may have been set
-//     back.
+//  3. The same stamp is the same incarnation. Another stamp, also a lower one, is another incarnation, because a clock may have been
+//     set back.
 //  4. No stamp means that the worker started long ago, unless a start of it was received before.
 package incarnations
 
@@ -22,8 +22,8 @@
 	"brassdale/scheduler"
 )
 
-// MaxListGap is the time between two lists below which a new start in the second one counts from when that list was received. Until
-// then the endpoint list is not overdue.
+// MaxListGap bounds the time between two lists: if less has passed, a new start in the second list counts from the receipt of that
+// list. Until MaxListGap has passed, the endpoint list is not overdue.
 const MaxListGap = polling.NotificationDeadline
 
 // incarnation is one start of a worker.
--- a/internal/decisions/polling/busyservice_test.go
+++ b/internal/decisions/polling/busyservice_test.go
@@ -39,7 +39,7 @@
 type dispatcher struct {
 	schedule       *Schedule
 	calls          int
-	revision       int       // last received; below 0 for none
+	revision       int       // last received; below 0 before the first
 	lastResponseAt time.Time // when its last response was received
 	updateAt       time.Time // when the change that is queued for its watch is delivered
 	receivedAt     time.Time // when it first had the awaited revision; zero before
@@ -239,9 +239,9 @@
 const maxDelay = NotificationDeadline + 300*time.Millisecond
 
 // TestSchedule_massRestartAtBusyService checks guarantee 9. Discovery returns after 8 s, and seven in ten dispatchers are killed and
-// restart. If all call within 2 s, and again while calls are queued, the queue grows beyond the 2 s after which a call expires, and the
-// service spends its time on expired calls. A service that can serve each dispatcher in under 6 s must not be called faster than it
-// serves: all dispatchers receive a change within maxDelay.
+// restart. If all called within 2 s, and again while their calls are queued, the queue would grow beyond the 2 s after which a call
+// expires, and the service would spend its time on expired calls. A service that can serve each dispatcher in under 6 s must not be called
+// faster than it serves: all dispatchers receive a change within maxDelay.
 func TestSchedule_massRestartAtBusyService(t *testing.T) {
 	for _, dispatchers := range []int{6, 16, 40, 100, 300} {
 		for seed := range uint64(40) {
--- a/internal/decisions/polling/callbound_test.go
+++ b/internal/decisions/polling/callbound_test.go
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestSchedule_deadlineFromCall checks that NotificationDeadline starts at the call, as a response to a call that does not wait may be as
-// old as the call.
+// TestSchedule_deadlineFromCall checks that NotificationDeadline starts at the call, because a response to a call that does not wait may be
+// as old as the call.
 func TestSchedule_deadlineFromCall(t *testing.T) {
 	start, rules := time.Unix(1e9, 0), Rules{Dispatchers: 1}
 	schedule := NewSchedule(start)
--- a/internal/decisions/polling/callresults.go
+++ b/internal/decisions/polling/callresults.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// minUselessDelay is the delay after a useless response, which is stale, or early and without a change. It doubles with each
-	// further one, up to maxUselessDelay, until there has been none for uselessResetAfter.
+	// minUselessDelay is the delay after a useless response, which is stale, or early and without a change. It doubles with each further
+	// one, up to maxUselessDelay, until uselessResetAfter has passed without a useless response.
 	minUselessDelay     = 200 * time.Millisecond
 	maxUselessDelay     = 3200 * time.Millisecond
 	maxUselessDoublings = 6
@@ -79,7 +79,7 @@
 	}
 }
 
-// isNewest reports whether a call is the newest one or, if that has ended, the newest one with a revision.
+// isNewest reports whether a call is the newest call or, if the newest call has ended, the newest call with a revision.
 func (s *Schedule) isNewest(number int) bool {
 	return number == s.newestCall || s.newestCall == 0 && number == s.revisionCall
 }
--- a/internal/decisions/polling/schedule.go
+++ b/internal/decisions/polling/schedule.go
@@ -10,7 +10,7 @@
 	// callsPerDeadline is how many calls are made until the platform counts a change as notified.
 	callsPerDeadline = 4
 
-	// finalCallLead is how long before that time the last of these calls is made.
+	// finalCallLead is how long before notificationDue the last of callsPerDeadline calls is made.
 	finalCallLead = 200 * time.Millisecond
 
 	// minPollGap and maxPollGap bound the time after which a further call is made while a call that does not wait is in flight.
--- a/internal/decisions/polling/schedule_test.go
+++ b/internal/decisions/polling/schedule_test.go
@@ -18,7 +18,7 @@
 	breaksOff                   // the response never ends, or the connection breaks
 	connectionRefused           // there is no connection
 	answers503
-	answersLate // as answersInTime, but lateBy later
+	answersLate // like answersInTime, but lateBy later
 	faultKinds
 )
 
--- a/internal/decisions/quotas/quotas.go
+++ b/internal/decisions/quotas/quotas.go
@@ -4,9 +4,9 @@
 // Table guarantees:
 //
 //  1. No more jobs are open than the capacity.
-//  2. An account with fewer open jobs than its guaranteed number has a job admitted whenever any capacity is free.
-//  3. An account has a job admitted beyond its guaranteed number only if it has fewer open jobs than the free capacity, so that other
-//     accounts find capacity at once. While no other account has jobs open, it may use half of the capacity.
+//  2. A job of an account with fewer open jobs than its guaranteed number is admitted whenever any capacity is free.
+//  3. A job beyond the guaranteed number of its account is admitted only if the account has fewer open jobs than the free capacity, so
+//     that other accounts find capacity at once. While no other account has jobs open, the account may use half of the capacity.
 //  4. Accounts that are not listed share one quota, so a client gains nothing by inventing account names.
 //  5. A job that ends frees its capacity, also if the quotas were changed while it was open.
 package quotas
@@ -25,8 +25,8 @@
 	totalOpen     int
 }
 
-// New returns a table for a capacity in jobs, of which each account in shares has a share from 0 to 1. The remainder is the share of all
-// other accounts together.
+// New returns a table for a capacity in jobs. The map shares gives accounts their shares of the capacity, from 0 to 1. The remainder is
+// the share of all other accounts together.
 func New(capacity int, shares map[string]float64) *Table {
 	table := &Table{open: map[string]int{}}
 	table.SetQuotas(capacity, shares)
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// cancelAttempt has the endpoint pool cancel an attempt that is in flight. The pool still reports the outcome.
+// cancelAttempt tells the endpoint pool to cancel an attempt that is in flight. The pool still reports the outcome.
 func (c *Core) cancelAttempt(id AttemptID) {
 	if _, found := c.findAttempt(id); found != nil {
 		c.endpoints.Cancel(found.endpoint, id)
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -32,6 +32,6 @@
 type AttemptResult struct {
 	Outcome        scheduler.Outcome
 	Result         []byte            // if Served
-	Report         *scheduler.Report // nil for none
+	Report         *scheduler.Report // nil if there is none
 	ConnectionIdle time.Duration     // how long its connection had been idle before the attempt
 }
--- a/internal/routing/cachedstart.go
+++ b/internal/routing/cachedstart.go
@@ -9,9 +9,8 @@
 	"brassdale/scheduler"
 )
 
-// CachedStart is the state of a process that started with a cached list, until a list of discovery is in force. Package cachetrust
-// decides which cached endpoints to probe and to use, and EndpointList carries that out. StartFromCache passes ownership to
-// EndpointList.
+// CachedStart is the state of a process that started with a cached list, until a list of discovery has replaced it. Package cachetrust
+// decides which cached endpoints to probe and to use, and EndpointList carries that out. StartFromCache passes ownership to EndpointList.
 type CachedStart struct {
 	Assessor       *cachetrust.Assessor
 	Endpoints      map[scheduler.WorkerID]Endpoint // the cached list
@@ -100,8 +99,8 @@
 	return at, ok
 }
 
-// assessList has the assessor compare a list of discovery with the cached list. If the list is doubted, it must be applied as a delta
-// only, and the full list polled again at pollAt.
+// assessList passes a list of discovery to the assessor, which compares it with the cached list. doubted is true if a second list must
+// confirm it. In this case it must be applied as a delta only, and the full list must be polled again at pollAt.
 func (l *EndpointList) assessList(update *ListUpdate) (pollAt time.Time, doubted bool) {
 	if l.cachedStart == nil {
 		return pollAt, false
@@ -129,8 +128,8 @@
 	return l.core.clock.Time(decision.RefetchAt), true
 }
 
-// endCachedStart ends the cached start once the assessor has finished, because a list of discovery is then in force. It passes the
-// scheduler the cached statistics of workers that have not restarted since.
+// endCachedStart ends the cached start once the assessor has finished, because a list of discovery has then replaced the cached one. It
+// passes the scheduler the cached statistics of workers that have not restarted since.
 func (l *EndpointList) endCachedStart() {
 	start := l.cachedStart
 	if start == nil || !start.Assessor.Finished() {
@@ -156,7 +155,8 @@
 	l.cachedStart = nil
 }
 
-// expireRetained removes endpoints that were missing from a doubted list of discovery if no second list decided about them in time.
+// expireRetained removes endpoints that were missing from a list of discovery that a second list had to confirm, if no second list was
+// received in time.
 func (l *EndpointList) expireRetained() {
 	if l.cachedStart == nil {
 		return
--- a/internal/routing/callfailures.go
+++ b/internal/routing/callfailures.go
@@ -13,7 +13,7 @@
 type callFailures struct {
 	calls, rejected, expired int
 	lastError                string
-	overdueLogged            bool // the warning of an overdue list was logged
+	overdueLogged            bool // the warning that the list is overdue was logged
 }
 
 // add counts a failed call.
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordRecovery ends a series of consecutive failures. It is called after the list is in force.
+// recordRecovery ends a series of consecutive failures. It is called after the list has been applied.
 func (l *EndpointList) recordRecovery() {
 	if l.failures.calls > 0 {
 		l.log.Info("discovery recovered", "failed_calls", l.failures.calls, "rejected", l.failures.rejected, "expired", l.failures.expired)
@@ -36,7 +36,7 @@
 	l.failures = callFailures{}
 }
 
-// recordFailure counts and logs a failed call to the current service. The known list stays in force. An error that repeats the error
+// recordFailure counts and logs a failed call to the current service. The known list remains in use. An error that repeats the error
 // of the previous call is logged at debug level, because each call for a faulty list returns the same error.
 func (l *EndpointList) recordFailure(call *listCall, err error, now time.Time) {
 	took, failure := now.Sub(call.startedAt), call.failure(err, now)
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -59,7 +59,7 @@
 // SetRetryPermission sets the function that reports whether retries and hedged attempts may be sent now. It is called before Run.
 func (c *Core) SetRetryPermission(allowed func() bool) { c.retriesAllowed = allowed }
 
-// SetObserver sets the observer of endpoints; nil for none.
+// SetObserver sets the observer of endpoints; nil removes it.
 func (c *Core) SetObserver(observer Observer) {
 	if observer == nil {
 		c.observer.Store(nil)
@@ -68,7 +68,7 @@
 	c.observer.Store(&observer)
 }
 
-// Run handles messages and timers until the context is cancelled. Requests that are still open then get no answer.
+// Run handles messages and timers until the context is cancelled. Requests that are open at that time get no answer.
 func (c *Core) Run(ctx context.Context) {
 	wakeTimer := time.NewTimer(time.Hour)
 	defer wakeTimer.Stop()
@@ -193,7 +193,7 @@
 	c.mailbox.Post(scheduler.LearnedStateReceived{LearnedState: learned, FromCache: true})
 }
 
-// ApplySettings puts new settings in force for requests that are submitted from now on.
+// ApplySettings applies new settings to requests that are submitted from now on.
 func (c *Core) ApplySettings(settings scheduler.Settings) {
 	c.mailbox.Post(scheduler.SettingsChanged{Settings: settings})
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -110,7 +110,8 @@
 // countClientLeft counts a request whose client left before it was answered.
 func (c *Counters) countClientLeft() { c.update(func(m *Metrics) { m.OpenRequests-- }) }
 
-// countAnswered counts the final answer to a submitted request. sent is true if an attempt of it was sent or may have been sent.
+// countAnswered counts the final answer to a submitted request. sent is true if an attempt of the request was sent or may have been
+// sent.
 func (c *Counters) countAnswered(class string, verdict Verdict, sent bool) {
 	c.update(func(m *Metrics) {
 		m.countAnswer(class, verdict)
--- a/internal/routing/discovery.go
+++ b/internal/routing/discovery.go
@@ -51,7 +51,7 @@
 // discoveryService is a discovery service that is polled, or was polled before a change of services.
 type discoveryService struct {
 	discovery   Discovery
-	revision    int64 // last accepted revision; NoRevision for none
+	revision    int64 // last accepted revision; NoRevision before the first
 	answered    bool  // it has responded with a list
 	fullListDue bool  // the next call must request the full list, because a part of a response was not accepted
 }
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,6 +1,6 @@
-// Package routing is the core of the dispatcher: it takes requests from the frontends, has the scheduler decide on them, and
-// carries the decisions out at the endpoints. It knows no wire format: it passes the contents of requests on unread, and uses
-// clients, endpoints and discovery through interfaces.
+// Package routing is the core of the dispatcher: it takes requests from the frontends, passes them to the scheduler, and carries
+// out its decisions at the endpoints. It knows no wire format: it passes the contents of requests on unread, and uses clients,
+// endpoints and discovery through interfaces.
 //
 // # A request
 //
@@ -26,5 +26,5 @@
 //
 // Core.StartShutdown passes the scheduler the time by which all requests must be answered. Until then requests are still accepted
 // and answered. Core.Run and EndpointList.Run end when their contexts are cancelled, which the program does after the last
-// answer. Calls to discovery in flight end with the context of EndpointList.Run.
+// answer. Calls to discovery in flight are cancelled when the context of EndpointList.Run is cancelled.
 package routing
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -12,11 +12,11 @@
 	Address    string
 	NotifiedAt time.Time // when this dispatcher was notified that the worker is draining or gone; zero while it is neither
 
-	// OtherServiceAt is set only in the list that a predecessor process hands over: when the state was last received from a service
-	// whose revisions cannot be compared with the revision of that list; zero for never.
+	// OtherServiceAt is when the state was last received from a service whose revisions cannot be compared with the revision of the
+	// list; zero for never. It is set only in a list that a predecessor process hands over.
 	OtherServiceAt time.Time
 
-	// Age is set only in the list that a predecessor process hands over: the time since the worker started; 0 for unknown.
+	// Age is the time since the worker started; 0 for unknown. It is set only in a list that a predecessor process hands over.
 	Age time.Duration
 }
 
@@ -39,7 +39,7 @@
 type Observer interface {
 	// ProbeCompleted is called with the outcome of a probe and whether it carried a load report.
 	ProbeCompleted(id scheduler.WorkerID, o scheduler.Outcome, report bool)
-	// JobServed is called with the run time of a served job, from its reported start or, without one, from when its attempt was
-	// sent.
+	// JobServed is called with the run time of a served job, measured from its reported start or, if no start was reported, from
+	// the send of its attempt.
 	JobServed(id scheduler.WorkerID, class int, took time.Duration)
 }
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -18,15 +18,15 @@
 // endpoint that the pool does not know.
 //
 // NewEndpointList, StartFromCache, SetStore, SetPollRules and StartedAt are called before Run. Subscribe, MoveDiscovery, Source,
-// SetSource and FirstCallDone may be called from any goroutine and do not block; Snapshot waits for Run. The endpoint pool and
-// the store must not block. Calls to discovery run in goroutines of their own, which end with the context of Run.
+// SetSource and FirstCallDone may be called from any goroutine and do not block; Snapshot waits for Run. The endpoint pool and the
+// store must not block. Each call to discovery runs in its own goroutine, until it ends or the context of Run is cancelled.
 type EndpointList struct {
 	// Set before Run.
 	core      *Core
 	pool      EndpointPool
 	log       *slog.Logger
-	store     EndpointStore        // nil for none
-	pollRules func() polling.Rules // of the settings in force
+	store     EndpointStore        // nil if there is none
+	pollRules func() polling.Rules // of the current settings
 
 	// Safe for concurrent use.
 	mailbox       *Mailbox[any]
@@ -38,7 +38,7 @@
 	stateTable     endpointstate.Table
 	known          map[scheduler.WorkerID]Endpoint // the list, with states as in stateTable and start times as stamped by discovery
 	incarnations   incarnations.Tracker            // start times on the scheduler's clock
-	cachedStart    *CachedStart                    // nil unless the cached list that this process started with is still in force
+	cachedStart    *CachedStart                    // nil unless this process started with a cached list that is still in use
 	listReceived   bool                            // whether a list of discovery was accepted
 	listAcceptedAt time.Time                       // when the last list was accepted; the start of this process before the first
 	includesUntil  time.Time                       // the list includes all changes that discovery had by this time
@@ -79,8 +79,8 @@
 	return list
 }
 
-// SetPollRules sets the function that returns the polling rules of the settings in force. It is called before Run. If lists are
-// pushed to an agent, the agent is polled from the start of Run. Otherwise polling starts with Subscribe.
+// SetPollRules sets the function that returns the polling rules of the current settings. It is called before Run. If lists are pushed
+// to an agent, the agent is polled from the start of Run. Otherwise polling starts with Subscribe.
 func (l *EndpointList) SetPollRules(rules func() polling.Rules) { l.pollRules = rules }
 
 // EndpointStore caches the lists and changes of discovery. EndpointsUpdated must not block.
@@ -186,8 +186,8 @@
 }
 
 // changeService switches to another discovery service and requests its full list, because the revisions of the two may not be
-// comparable, and a change that the previous service was about to report must not be lost. Until the new service responds, the
-// known list stays in force, and changes that the previous service still reports are accepted.
+// comparable, and a change that the previous service was about to report must not be lost. Until the new service responds, the known
+// list remains in use, and changes that the previous service still reports are accepted.
 func (l *EndpointList) changeService(ctx context.Context, to Discovery) {
 	l.log.Info("discovery service changed", "open_calls", len(l.calls.open), "list_age", l.listAge())
 	now := time.Now()
@@ -199,8 +199,8 @@
 	l.core.UpdateEndpoints(scheduler.EndpointsUpdated{ListKind: scheduler.ListDelta, AsOf: l.core.clock.At(l.includesUntil)})
 }
 
-// snapshot returns the known list, with the ages of endpoints whose start time is known and the times when their states were last
-// received from a service whose revisions cannot be compared with the revisions of the current one.
+// snapshot returns the known list, with the ages of endpoints whose start time is known. For each endpoint it also states when its
+// state was last received from another service, whose revisions cannot be compared with the revisions of the current one.
 func (l *EndpointList) snapshot() ListUpdate {
 	list := ListUpdate{Revision: l.calls.current.revision, Complete: true}
 	now, service := l.core.clock.Now(), l.calls.current.discovery.Service()
--- a/internal/routing/listcalls_test.go
+++ b/internal/routing/listcalls_test.go
@@ -148,7 +148,7 @@
 	discovery := newScriptedDiscovery()
 	list := startEndpointList(t, discovery)
 	late := <-discovery.calls
-	concurrent := <-discovery.calls // made as the first one is late
+	concurrent := <-discovery.calls // made because the first one is late
 	concurrent.response <- ListUpdate{Revision: 5, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Draining)}}
 	eventually(t, "the newer list", func() bool { state, known := stateOfA(t, list); return known && state == scheduler.Draining })
 	late.response <- ListUpdate{Revision: 4, Complete: true, Endpoints: []Endpoint{testEndpoint("a", scheduler.Ready)}}
--- a/internal/routing/listchanges.go
+++ b/internal/routing/listchanges.go
@@ -9,7 +9,7 @@
 	"brassdale/scheduler"
 )
 
-// noPreviousList is the time since the last list if there was none: longer than any process runs.
+// noPreviousList stands for the time since the previous list if there was no previous list. It is longer than any process runs.
 const noPreviousList = time.Duration(math.MaxInt64)
 
 // restore accepts the list that was known before this process polled discovery.
@@ -26,8 +26,8 @@
 	l.publishChanges(known, known.Endpoints, nil, scheduler.ListCached)
 }
 
-// notifiedFrom returns from when this dispatcher counts as notified of a drain that it received now. If lists are pushed to an agent,
-// the dispatcher counts as notified of what the agent has, and the agent may have had the drain since its last response.
+// notifiedFrom returns the time from which this dispatcher counts as notified of a drain that it receives now. If lists are pushed to
+// an agent, the dispatcher counts as notified of what the agent has, and the agent may have had the drain since its last response.
 func (l *EndpointList) notifiedFrom(now time.Time) time.Time {
 	if l.pollRules().ListsPushed {
 		return l.listAcceptedAt
@@ -35,7 +35,7 @@
 	return now
 }
 
-// apply puts the accepted parts of a response in force.
+// apply applies the accepted parts of a response to the list.
 func (l *EndpointList) apply(response *listResponse, order endpointstate.ResponseOrder) {
 	update, states := &response.update, &response.states
 	receivedAt := update.ReceivedAt
@@ -183,7 +183,7 @@
 	}
 }
 
-// sinceNotified returns the time since a notification; 0 for none.
+// sinceNotified returns the time since a notification; 0 if there was no notification.
 func sinceNotified(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
--- a/internal/routing/listresponses.go
+++ b/internal/routing/listresponses.go
@@ -75,7 +75,7 @@
 		l.acceptPrevious(ctx, response)
 	default:
 		l.acceptList(response)
-		l.recordRecovery() // logged after the list is in force
+		l.recordRecovery() // logged after the list has been applied
 	}
 }
 
@@ -99,7 +99,8 @@
 		"revision", response.update.Revision, "known", response.call.service.revision)
 }
 
-// acceptList accepts a list or a change of it from the current service, only in part if the assessor of a cached start doubts it.
+// acceptList accepts a list or a change of it from the current service. If the assessor of a cached start requires a second list to
+// confirm it, only a part is accepted (acceptDoubted).
 func (l *EndpointList) acceptList(response *listResponse) {
 	service := response.call.service
 	if !service.answered {
@@ -113,8 +114,8 @@
 	l.acceptConfirmed(response)
 }
 
-// acceptDoubted accepts the states of the workers that a doubted list names, but removes no worker that it lacks. The full list is
-// polled again at pollAt and decides which workers exist.
+// acceptDoubted applies a list that a second list must confirm: it accepts the states of the workers that the list names, but removes
+// no worker that the list lacks. The full list is polled again at pollAt and decides which workers exist.
 func (l *EndpointList) acceptDoubted(response *listResponse, pollAt time.Time) {
 	response.update.Complete = false
 	l.apply(response, endpointstate.Current)
@@ -122,7 +123,8 @@
 	l.calls.schedule.PollAt(pollAt)
 }
 
-// acceptConfirmed puts a list or a change of it from the current service in force. It also replaces a cached list.
+// acceptConfirmed applies a list or a change of it from the current service that needs no confirmation by a second list. It also
+// replaces a cached list.
 func (l *EndpointList) acceptConfirmed(response *listResponse) {
 	call, update, service, now := response.call, &response.update, response.call.service, response.endedAt
 	changed := update.Revision != service.revision || len(update.Endpoints) > 0
@@ -159,8 +161,8 @@
 }
 
 // responseIncludesUntil returns the time up to which a response includes all changes of discovery: the time at which it was received
-// (for a watch) or called for (otherwise), minus maxReplicaLag. A busy service may end a watch before it has processed the change
-// that the watch waits for. A response without a change then proves nothing, and the zero time is returned.
+// (for a watch) or its call was made (otherwise), minus maxReplicaLag. A busy service may end a watch before it has processed the
+// change that the watch waits for. A response without a change then proves nothing, and the zero time is returned.
 func (l *EndpointList) responseIncludesUntil(response *listResponse, changed bool) time.Time {
 	receivedAt := response.update.ReceivedAt
 	switch {
--- a/internal/routing/listsource.go
+++ b/internal/routing/listsource.go
@@ -18,15 +18,15 @@
 	SourceDiscovery   SourceName = "discovery"
 )
 
-// ListSource describes the source of the list in force.
+// ListSource describes the source of the list in use.
 type ListSource struct {
 	Name                 SourceName
 	ConfirmedAt          time.Time                    // when the list was last known to be correct; zero for unknown
 	TrustLevels          [cachetrust.Excluded + 1]int // number of endpoints of a cached list by trust level
-	AwaitingConfirmation bool                         // a list of discovery is doubted until a second one confirms it
+	AwaitingConfirmation bool                         // a list of discovery was received that a second one must confirm
 }
 
-// Source returns the source of the list in force.
+// Source returns the source of the list in use.
 func (l *EndpointList) Source() ListSource {
 	if source := l.source.Load(); source != nil {
 		return *source
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -9,10 +9,10 @@
 	Account        string        // the owner, for the retry budget
 	LogName        string        // the ID that the client gave the request, for the log
 	Slots          float64       // slots that it occupies at a worker
-	Limits         RequestLimits // of the settings in force when it arrived
+	Limits         RequestLimits // of the settings at the time when it arrived
 	EstimatedWork  time.Duration // estimated run time; 0 for unknown
-	AffinityKey    uint64        // requests with the same key need the same data at a worker; 0 for none
-	IdempotencyKey string        // the key by which workers recognize a repeated request; empty for none
+	AffinityKey    uint64        // requests with the same key need the same data at a worker; 0 for no key
+	IdempotencyKey string        // the key by which workers recognize a repeated request; empty for no key
 	Deadline       time.Time
 	Job            any // the data that endpoints need to send the request; not read here
 	Client         Client
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -11,8 +11,8 @@
 	"brassdale/scheduler"
 )
 
-// overdueMargin is the time after the deadline and answer slack of a request when the Core fails it. Until then the scheduler may
-// still answer, because its own timer may be late on a busy machine.
+// The Core fails a request without an answer when its deadline, its answer slack and overdueMargin have passed. Until then the
+// scheduler may still answer, because its own timer may be late on a busy machine.
 const overdueMargin = 20 * time.Millisecond
 
 // openRequest is a request in the table of the Core, from its submission until it is answered and no attempt is in flight.
--- a/internal/zonerouting/recording.go
+++ b/internal/zonerouting/recording.go
@@ -8,7 +8,8 @@
 	"brassdale/scheduler"
 )
 
-// minCancelledWait is the time since its request arrived from which an attempt that is cancelled before its job starts counts as unanswered.
+// minCancelledWait is the minimum time since the arrival of its request for an attempt to count as unanswered if it is cancelled before its
+// job starts.
 const minCancelledWait = failover.NoResponseAfter / 4
 
 // AttemptStarted records that a worker has started a job.
--- a/internal/zonerouting/router.go
+++ b/internal/zonerouting/router.go
@@ -61,7 +61,7 @@
 	return ""
 }
 
-// ApplyPlan puts a plan in force. If expired is true, the dispatcher has been without a lease for too long to trust the plan, and
+// ApplyPlan replaces the plan. If expired is true, the dispatcher has been without a lease for too long to trust the plan, and
 // serves all requests in its own zone.
 func (r *Router) ApplyPlan(plan *failover.Plan, expired bool) {
 	r.mu.Lock()
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -23,7 +23,7 @@
 // Reject is a final answer: the client may send the request again without harm.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // advice to the client; 0 for none
+	RetryAfter time.Duration // advice to the client; 0 for no advice
 	Reason     Reason
 }
 
@@ -52,8 +52,8 @@
 // String returns a reason's name in log lines.
 func (r Reason) String() string { return reasonNames[r] }
 
-// CloseIdleConnections closes the connections to a worker that have been idle for at least MinIdle, or, where that is unknown,
-// all idle ones.
+// CloseIdleConnections closes the connections to a worker that have been idle for at least MinIdle. Where idle times are
+// unknown, it closes all idle connections.
 type CloseIdleConnections struct {
 	Worker  WorkerID
 	MinIdle time.Duration
--- a/scheduler/affinity.go
+++ b/scheduler/affinity.go
@@ -15,7 +15,8 @@
 	// slots, with three the key's data would be fetched too often.
 	affinityWorkersPerKey = 2
 
-	// affinityHeadroom is the number of workers that share a key, as a multiple of the number that the key's requests fill.
+	// affinityHeadroom is the number of workers that share a key, as a multiple of the number of workers that the key's requests
+	// fill.
 	affinityHeadroom = 1.5
 
 	// overusePriorJobs is the number of jobs, per unit of weight and over all dispatchers, that is added to both sides when the
@@ -25,8 +26,8 @@
 	// minOverusePriorJobs is the lower bound of the part of overusePriorJobs that one dispatcher adds.
 	minOverusePriorJobs = 0.4
 
-	// keysPerWorker is the number of recent requests that recentKeys covers for each listed worker. With it, a key that fills a
-	// worker is counted a few times.
+	// keysPerWorker is the number of recent requests that recentKeys covers for each listed worker. With this number, a key that
+	// fills a worker is counted a few times.
 	keysPerWorker = 4
 )
 
@@ -51,9 +52,9 @@
 	c.total++
 }
 
-// affinityScore returns the score of a worker with a free slot, for a request with an affinity key; the lowest score wins. It is
-// the worker's rank for the key, increased by its load (its score by load), by its jobs that waited until they were cancelled,
-// and if it gets more than its fair share of all requests. Ranks up to sharedRank count as equal.
+// affinityScore returns the score of a worker with a free slot, for a request with an affinity key; the lowest score wins.
+// Without the offset it is rank x (1 + load + cancelledWaits) x overuse. rank is the worker's rank for the key, load its score by
+// load. Ranks up to sharedRank count as equal.
 func (s *Scheduler) affinityScore(request *request, worker *worker, load, sharedRank float64) float64 {
 	rank := max(worker.affinityRank(request.affinityKey), sharedRank)
 	return rank*(1+load+worker.cancelledWaits.value(s.now))*s.overuse(worker) - affinityOffset
@@ -67,9 +68,9 @@
 }
 
 // affinityWidth returns the number of a key's first workers that count as equal for it; 0 for a key that fills no more than one
-// worker. It follows from the key's share of the recent own requests, minus one standard deviation of such a count. All
-// dispatchers see samples of the same requests, so they roughly agree: the requests of a frequent key spread at once instead of
-// queueing at its first worker, and the data of a rare key is not fetched by workers that do not have it cached.
+// worker. It follows from the key's share of the recent own requests, minus one standard deviation of this count. All dispatchers
+// see samples of the same requests, so they roughly agree: the requests of a frequent key spread at once instead of queueing at
+// its first worker, and the data of a rare key is not fetched by workers that do not have it cached.
 func (s *Scheduler) affinityWidth(key uint64) float64 {
 	earlier := s.recentKeys.counts[key] - 1 // without the current request
 	lowEstimate := earlier - math.Sqrt(max(earlier, 0))
--- a/scheduler/affinity_test.go
+++ b/scheduler/affinity_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestAffinity_frequentKeyAtAllDispatchers checks a key with an eighth of the requests at four dispatchers: its requests go to 15
-// to 60 of 185 workers, at most a tenth of them to one. Requests of a key with a hundredth of the requests go to at most two
-// workers.
+// TestAffinity_frequentKeyAtAllDispatchers checks a key with an eighth of the requests at four dispatchers: its requests go to 15 to
+// 60 of 185 workers, and no worker gets more than a tenth of them. Requests of a key with a hundredth of the requests go to at most
+// two workers.
 func TestAffinity_frequentKeyAtAllDispatchers(t *testing.T) {
 	frequentAt, frequent, rareAt := map[WorkerID]int{}, 0, map[WorkerID]int{}
 	for index := range 4 {
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -18,7 +18,7 @@
 type attempt struct {
 	worker           *worker
 	sentAt           Instant
-	waits            bool          // for a connection, as this process has reached its connection limit
+	waits            bool          // for a connection, because this process has reached its connection limit
 	waitedUntil      Instant       // end of the last wait for a connection; 0 if there was none
 	startedAt        Instant       // 0 until the worker reports the start
 	inFlight         bool          // sent, no outcome yet
@@ -89,7 +89,8 @@
 	}
 }
 
-// effectiveSentAt returns when an attempt that does not wait was sent, or, if it has waited, when the wait ended.
+// effectiveSentAt returns when the attempt was sent or, if it had to wait for a connection, when the wait ended. While the attempt
+// waits, the result has no meaning.
 func (a *attempt) effectiveSentAt() Instant { return max(a.sentAt, a.waitedUntil) }
 
 // onAttemptStarted records the start of an attempt and cancels the request's other attempts that have not started.
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -12,7 +12,7 @@
 	// jobs. From this share on, the jobs of late requests would occupy the slots anyway, and their clients would retry.
 	maxExecutedShare = 0.5
 
-	// executedSharePrior is the share that is assumed before any report.
+	// executedSharePrior is the share of the cancelled jobs that workers are assumed to execute before there is any report.
 	executedSharePrior = 0.25
 
 	// executedSharePriorReports is the weight of executedSharePrior, as a number of reports.
@@ -66,8 +66,8 @@
 	s.rejectOrFail(request, TooLate)
 }
 
-// onShutdownStarted moves all deadlines after the end of this process to that time, and sets a timer for it: the regular reviews
-// would be too late.
+// onShutdownStarted changes each deadline that is later than the end of this process to that end. It sets a timer for the end,
+// because the regular reviews would be too late.
 func (s *Scheduler) onShutdownStarted(event ShutdownStarted) {
 	s.shutdownDeadline = event.Deadline
 	for _, request := range s.requestsByArrival {
@@ -77,7 +77,7 @@
 }
 
 // cancellationEstimate estimates, from load reports, the share of the jobs cancelled before their start that workers execute
-// nevertheless; the settings do not say. It fits this model of the slots at a worker by least squares:
+// nevertheless. The settings do not contain this share. It fits this model of the slots at a worker by least squares:
 //
 //	occupied = a x own + b x cancelled
 //
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestDeadline_heavyJobWithAnyEstimate checks a job with 29 times the usual work of its class, with a right estimate, a wrong one
-// or none: it gets one answer in time, it has no second attempt as it is not idempotent, and the logarithm of its class's usual
-// runtime changes by at most 0.1.
+// TestDeadline_heavyJobWithAnyEstimate checks a job with 29 times the usual work of its class, with a right estimate, a wrong one or
+// none: it gets one answer in time, it has no second attempt because it is not idempotent, and the logarithm of its class's usual runtime
+// changes by at most 0.1.
 func TestDeadline_heavyJobWithAnyEstimate(t *testing.T) {
 	for _, hint := range []time.Duration{0, 100 * ms, 2900 * ms} {
 		driver := newDriver(t, baseSettings())
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -23,7 +23,7 @@
 	ListDelta  ListKind = iota // only the workers that changed
 	ListFull                   // all workers; absent ones are gone
 	ListCached                 // all workers from a cached list, which may be old
-	ListFailed                 // the call failed or the watch broke; the previous list stays in force
+	ListFailed                 // the call failed or the watch broke; the previous list still applies
 )
 
 // WorkerState is a worker's state in the endpoint list.
@@ -61,7 +61,7 @@
 type EndpointsUpdated struct {
 	ListKind ListKind
 	Workers  []WorkerInfo
-	AsOf     Instant // the list now includes all changes up to this time; 0 if this has not changed
+	AsOf     Instant // the list now includes all changes up to this time; 0 if this time is the same as before
 }
 
 // RequestArrived is a client's request. It gets one final answer (Reject, Fail or a served attempt) by Deadline.
@@ -71,7 +71,7 @@
 	Slots         float64       // number of a worker's slots that its job takes; 0 or less, or not a number, counts as 1
 	Deadline      Instant       // when the client stops waiting
 	EstimatedWork time.Duration // rough estimate of its runtime; 0 if unknown
-	AffinityKey   uint64        // requests with the same key should share workers; 0 for none
+	AffinityKey   uint64        // requests with the same key should share workers; 0 for no key
 	AllowedZones  uint64        // zones that it may be sent to, a bit for each zone number; 0 for all
 }
 
@@ -112,7 +112,7 @@
 	Worker         WorkerID
 	Outcome        Outcome
 	Final          bool          // the client has its answer, or the request had ended before
-	Report         *Report       // nil for none
+	Report         *Report       // nil if there is none
 	ConnectionIdle time.Duration // how long the connection had been idle before the attempt; below 0 if unknown
 }
 
@@ -120,11 +120,11 @@
 type ProbeCompleted struct {
 	Worker  WorkerID
 	Outcome Outcome // Served if the worker has answered that it takes requests
-	Report  *Report // nil for none
+	Report  *Report // nil if there is none
 }
 
-// AttemptWaits says that an attempt waits for a connection, as this process has reached its connection limit, or that the wait has
-// ended. While the attempt waits, nothing is sent to the worker. An attempt without such an event does not wait.
+// AttemptWaits says that an attempt waits for a connection, because this process has reached its connection limit, or that the wait
+// has ended. While the attempt waits, nothing is sent to the worker. An attempt without such an event does not wait.
 type AttemptWaits struct {
 	ID      RequestID
 	Attempt int
--- a/scheduler/freshness_test.go
+++ b/scheduler/freshness_test.go
@@ -18,7 +18,7 @@
 
 // TestFreshness_probeBeforeUse checks that a worker is probed before it gets a request if the endpoint list is older than its
 // validity: a draining worker answers a probe with an error. A request waits for the probe. If the probe fails, the request goes
-// to the next worker. Its SendBy is the new bound.
+// to the next worker. The SendBy of the Send is ListValidity after the passed probe.
 func TestFreshness_probeBeforeUse(t *testing.T) {
 	driver := newDriver(t, probingSettings())
 	driver.handle(EndpointsUpdated{ListKind: ListFull, Workers: workers(2), AsOf: driver.now})
--- a/scheduler/hedging.go
+++ b/scheduler/hedging.go
@@ -9,15 +9,15 @@
 // the others (onAttemptStarted), so a hedge is a search for a free slot.
 
 const (
-	// hedgeDelay is the time after its send, plus the round trips of a new connection, after which an attempt that has not started
-	// is hedged. With less, fetching the data of affinity keys at more workers would cost more than the waiting that hedges save.
+	// An attempt that has not started is hedged when hedgeDelay, plus the round trips of a new connection, has passed since its
+	// send. With less, fetching the data of affinity keys at more workers would cost more than the waiting that hedges save.
 	hedgeDelay = 50 * time.Millisecond
 
 	// congestionHedgeDelay, times the congestion, is added to hedgeDelay: if all queues are long, a hedge only makes them longer.
 	congestionHedgeDelay = 200 * time.Millisecond
 
-	// startGracePeriod is the time after its send, plus the round trips of a new connection, by which an attempt at a free slot has
-	// started. If an attempt has not started by then, its worker counts as full.
+	// An attempt at a free slot starts within startGracePeriod, plus the round trips of a new connection, after its send. If it
+	// has not started by then, its worker counts as full.
 	startGracePeriod = 150 * time.Millisecond
 
 	// connectionRoundTrips is the number of round trips before a start, including those of a new connection.
--- a/scheduler/hedging_test.go
+++ b/scheduler/hedging_test.go
@@ -90,8 +90,8 @@
 	return float64(toHung) / float64(all)
 }
 
-// TestHedging_hungWorkersAreFound checks that each dispatcher detects workers that accept jobs and start none, from the few requests
-// that it sends there: they get at most 0.65 of the first attempts that their number would give them.
+// TestHedging_hungWorkersAreFound checks that each dispatcher detects workers that accept jobs and start none, from the few requests that
+// it sends there: they get at most 0.65 times the first attempts that they would get if all workers got equally many.
 func TestHedging_hungWorkersAreFound(t *testing.T) {
 	const hung, n = 5, 30
 	if got := hungWorkerShare(t, 8, n, hung, 1600, 20*ms); got > 0.65*hung/n {
@@ -100,7 +100,7 @@
 }
 
 // newPartialViewDriver returns the driver of one of 20 dispatchers that knows the loads of its workers only roughly. All workers are
-// candidates, as affinity is in use.
+// candidates, because affinity is in use.
 func newPartialViewDriver(t *testing.T) *driver {
 	t.Helper()
 	settings := baseSettings()
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -24,8 +24,8 @@
 	// maxCountedEjections is the number of ejections in a row at which the ejection time stops growing, at 4 s.
 	maxCountedEjections = 4
 
-	// unansweredEjections is the number of ejections in a row that count at once for a class whose jobs are left unanswered. The
-	// ejection time is then 8 s, because each trial may cost a job.
+	// If a worker leaves the jobs of a class unanswered, the first ejection of the class counts as unansweredEjections in a row.
+	// The ejection time is then 8 s, because each trial may cost a job.
 	unansweredEjections = 5
 
 	// missedProgressPeriods is the number of progress intervals without a signal after which a worker counts as not responding.
@@ -114,7 +114,7 @@
 }
 
 // recordFailure counts a failure of a class. Successes of other classes do not reduce the count. If any class is already ejected
-// at the worker, one failure is enough: a worker that fails jobs at once looks idle and attracts requests.
+// at the worker, one failure is enough: a worker that fails jobs immediately looks idle and attracts requests.
 func (s *Scheduler) recordFailure(worker *worker, class int) {
 	state := &worker.classEjections[class]
 	worker.recentFailures.add(s.now, 1)
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// TestPlacement_workerThatOftenFails checks that a worker that fails three of five jobs at once, so that it looks idle, gets at
+// TestPlacement_workerThatOftenFails checks that a worker that immediately fails three of five jobs, and therefore looks idle, gets at
 // most a tenth of 300 jobs. After its recovery it must get at least 20 of the last 100 jobs; an even share would be 33.
 func TestPlacement_workerThatOftenFails(t *testing.T) {
 	driver := newDriver(t, baseSettings())
--- a/scheduler/overcommit.go
+++ b/scheduler/overcommit.go
@@ -37,7 +37,8 @@
 	// idleLoadValue is the load value below which a worker without own attempts takes a request of any number of slots.
 	idleLoadValue = 0.5
 
-	// maxRoundTripTime bounds the round-trip time to a zone: if the first start takes longer, the job has waited at the worker.
+	// maxRoundTripTime bounds the round-trip time to a zone: if the first job there takes longer to start, it has waited at the
+	// worker.
 	maxRoundTripTime = 50 * time.Millisecond
 
 	// delayedStartThreshold is the wait, beyond the round-trip time, from which a start counts as delayed.
@@ -70,7 +71,7 @@
 	if idle && (reportNeeded || s.overcommit >= 0 && s.loadValue(worker) < idleLoadValue) {
 		return true
 	}
-	leastOvercommit := -float64(min(worker.ownSlots, 1)) // 0 without own attempts, down to -1 as they fill one slot
+	leastOvercommit := -float64(min(worker.ownSlots, 1)) // 0 without own attempts, falling to -1 once they fill one slot
 	load := s.loadValue(worker) + s.slotShare(worker, slots-toleratedSlots)
 	return load*s.slowdown(worker) <= 1+max(s.overcommit, leastOvercommit)+tieTolerance
 }
--- a/scheduler/overcommit_test.go
+++ b/scheduler/overcommit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestCapacity_idleWorkerWithNegativeOvercommit checks that a worker with a free slot and without own attempts takes one
+// TestCapacity_idleWorkerWithNegativeOvercommit checks that a worker with a free slot and without own attempts takes a request
 // regardless of the overcommit: a queued request would relieve no worker, and nothing would raise the overcommit again.
 func TestCapacity_idleWorkerWithNegativeOvercommit(t *testing.T) {
 	driver := newDriver(t, baseSettings())
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestCapacity_trialWhenReportOverdue checks that a worker that was full by an old report gets a trial attempt: without an attempt no
-// outcome would bring a newer report.
+// TestCapacity_trialWhenReportOverdue checks that a worker that was full according to an old report gets a trial attempt: without an
+// attempt no outcome would bring a newer report.
 func TestCapacity_trialWhenReportOverdue(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -82,8 +82,8 @@
 }
 
 // candidates returns the workers to choose from: the subset (for a request with an affinity key, the key's part of it), or all
-// workers if none of the subset is eligible, permitted and suitable. If no worker at all is, acceptUnsuitable is set: an ejected
-// worker, or one that was tried before, is better than none.
+// workers if no worker of the subset is eligible (the parameter), permitted and suitable. If no other worker is all three either,
+// acceptUnsuitable is true: an ejected worker, or one that was tried before, is better than none.
 func (s *Scheduler) candidates(request *request, eligible func(*worker) bool) (candidates []*worker, acceptUnsuitable bool) {
 	usable := func(candidate *worker) bool {
 		return eligible(candidate) && s.permitted(request, candidate) && s.suitable(request, candidate)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -24,7 +24,7 @@
 	s.recordArrival()
 	s.recordKey(event.AffinityKey)
 	arrived := s.newRequest(event)
-	if s.shutdownDeadline > 0 { // only now: newRequest estimates the client's wait from the client's own deadline
+	if s.shutdownDeadline > 0 { // not earlier: newRequest estimates the client's wait from the client's own deadline
 		arrived.deadline = min(arrived.deadline, s.shutdownDeadline)
 	}
 	s.requests[event.ID] = arrived
@@ -56,9 +56,10 @@
 	s.recentKeys.add(key, keysPerWorker*s.availableCount)
 }
 
-// newRequest returns the state of an arrived request. It estimates when the client first sent the request from the time left to
-// the deadline: a client's retry arrives with less time left than the longest ever seen in its class. If at most half of that
-// time is left, the request counts as the first one of a client with a shorter deadline.
+// newRequest returns the state of an arrived request. From the time left to the deadline it estimates when the client first sent
+// the request: a first request is assumed to have the longest time left that was ever seen in its class, and a client's retry
+// has less. If at most half of that longest time is left, the request counts as the first one of a client with a shorter
+// deadline.
 func (s *Scheduler) newRequest(event RequestArrived) *request {
 	class := &s.classes[event.Class]
 	timeLeft := event.Deadline - s.now
@@ -89,9 +90,10 @@
 	s.sendQueuedTo(false)
 }
 
-// sendQueuedTo sends the queued requests that a worker can take now; with affinityWorkersOnly only those that go to one of their
-// affinity workers. If no worker can take a first attempt, the other first attempts are skipped. A retry is always tried. If no
-// worker can take it, the other requests are still tried, because a retry may go to fewer workers than a first attempt.
+// sendQueuedTo sends the queued requests that a worker can take now. If affinityWorkersOnly is true, it sends only the requests
+// whose chosen worker is one of their affinity workers. If no worker can take a first attempt, the other first attempts are
+// skipped. A retry is always tried. If no worker can take it, the other requests are still tried, because a retry may go to
+// fewer workers than a first attempt.
 func (s *Scheduler) sendQueuedTo(affinityWorkersOnly bool) {
 	full := false
 	s.queued = slices.DeleteFunc(s.queued, func(request *request) bool {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -5,13 +5,13 @@
 // request is an open client request: it has no final answer yet, or still has attempts in flight.
 type request struct {
 	id RequestID
-	// settings are those in force when the request arrived. Only its class, MaxAttempts, MayHedge, MayCancel, MaxRetryAfter and
-	// AnswerSlack are read from them, everything else from Scheduler.settings.
+	// settings are the scheduler's settings at the time when the request arrived. Only its class, MaxAttempts, MayHedge,
+	// MayCancel, MaxRetryAfter and AnswerSlack are read from them, everything else from Scheduler.settings.
 	settings        *Settings
 	class           int
 	sequence        int // number in the order of arrival
 	slots           float64
-	affinityKey     uint64        // 0 for none
+	affinityKey     uint64        // 0 for no key
 	estimatedWork   time.Duration // 0 if unknown
 	clientStartedAt Instant       // estimate of when its client first sent it; before its arrival if it is a client's retry
 	deadline        Instant
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// Retries and final answers: when a further attempt is permitted, and what the client gets if none is.
+// Retries and final answers: when a further attempt is permitted, and which answer the client gets if no further attempt is.
 
 // permitted reports whether request may be sent to worker, regardless of the load. All of these must hold:
 //
--- a/scheduler/review.go
+++ b/scheduler/review.go
@@ -129,8 +129,8 @@
 //  2. If half of AnswerSlack has passed since its deadline, it fails.
 //  3. If it is too late and no attempt in flight has started, it is given up, provided that workers report starts and drop enough
 //     cancelled jobs (maxExecutedShare).
-//  4. Nothing is done if it is not idempotent, if its latest attempt is cancelled, if an attempt in flight has started and one is
-//     at a healthy worker, or if only one more attempt is left, which a retry may need.
+//  4. Nothing is done if it is not idempotent, if its latest attempt is cancelled, if an attempt in flight has started and an
+//     attempt in flight (the same or another) is at a healthy worker, or if only one more attempt is left, which a retry may need.
 //  5. If hedging is permitted, it is hedged. Otherwise, if all its attempts in flight are at ejected workers, they are cancelled,
 //     so that it is retried.
 func (s *Scheduler) reviewRequest(request *request) {
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -40,7 +40,7 @@
 	inFlight, mayHaveExecuted, started bool
 }
 
-// drainGrace is how long after its notification the checks permit sends to a draining or gone worker.
+// drainGrace is how long the checks permit sends to a worker after the scheduler was notified that it is draining or gone.
 const drainGrace = 500 * ms
 
 // newRandomSimulation returns a simulation whose scheduler has a cached list of six workers in two zones and three cells.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -66,7 +66,7 @@
 
 // Scheduler is the decision state of one dispatcher. Make it with New. It is not safe for concurrent use.
 type Scheduler struct {
-	settings *Settings // in force; replaced as a whole
+	settings *Settings // the current settings; replaced as a whole
 	random   *rand.Rand
 	now      Instant  // time of the current event
 	actions  []Action // of the current event
@@ -113,7 +113,7 @@
 	logSlownessByKind   map[int]float64       // mean logSlowness of a machine kind
 	slotsByKind         map[int]float64       // the most slots seen at a worker of a machine kind
 	roundTripTimes      map[int]time.Duration // by zone: the least time from send to start
-	shortestIdleLoss    time.Duration         // idle time of a connection lost recently; 0 for none
+	shortestIdleLoss    time.Duration         // least idle time of recently lost connections; 0 if none
 	idleLossAt          Instant               // when an idle connection was last lost
 	firstEventAt        Instant
 	lastArrivalAt       Instant
@@ -122,7 +122,7 @@
 	nextReviewAt        Instant
 
 	// The process.
-	processes        int     // number that act as this dispatcher
+	processes        int     // number of processes that act as this dispatcher
 	tookOver         bool    // has the learned state of a predecessor, which had its own slow-start share
 	shutdownDeadline Instant // when this process ends; 0 while unknown
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -57,7 +57,7 @@
 	MaxRetryAfter  time.Duration // the advice that Reject carries
 
 	MaxPollInterval   time.Duration // with ListPolled: after this time without a poll the dispatcher counts as notified of all changes; no rule reads it
-	ListValidity      time.Duration // how long after its state was confirmed a worker may be sent requests; 0 for no bound
+	ListValidity      time.Duration // how long a worker may be sent requests after its state was confirmed; 0 for no bound
 	AnswerSlack       time.Duration // how long after its deadline a final answer still counts
 	SlowStartDuration time.Duration // age at which a started worker has its full capacity
 	SlowStartCapacity float64       // capacity of a worker that has just started, as a share of its full one
@@ -86,7 +86,7 @@
 	return &s
 }
 
-// onSettingsChanged puts new settings in force. Open requests keep the settings that they arrived under (request.settings).
+// onSettingsChanged applies new settings. Open requests keep the settings that they arrived under (request.settings).
 func (s *Scheduler) onSettingsChanged(event SettingsChanged) {
 	s.settings = event.Settings.normalized()
 	added := max(len(s.settings.Classes)-len(s.classes), 0)
--- a/scheduler/statistics_test.go
+++ b/scheduler/statistics_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestSlowdown_notFromFewLongJobs checks that a few long jobs among the first give their worker no slowdown.
+// TestSlowdown_notFromFewLongJobs checks that a worker does not count as slow because of a few long jobs among its first ones.
 func TestSlowdown_notFromFewLongJobs(t *testing.T) {
 	driver := newDriver(t, baseSettings())
 	driver.listWorkers(workers(2)...)
--- a/scheduler/subset.go
+++ b/scheduler/subset.go
@@ -13,17 +13,17 @@
 // key has its own candidates among them (candidatesForKey).
 
 const (
-	// wholeFleetSeconds is the longest mean time, in seconds, between own requests to each listed worker at which all workers are
-	// in the subset and their loads count as known.
+	// All workers are in the subset, and their loads count as known, if each listed worker gets an own request every
+	// wholeFleetSeconds seconds or more often, on average.
 	wholeFleetSeconds = 3
 
 	// minSubsetSize is the minimum number of workers in a subset from the own zone, and from all other zones together.
 	minSubsetSize = 4
 
-	// subsetSeconds is the time, in seconds, in which as many own requests arrive as there are workers in the subset.
+	// A subset of some workers has at least as many of them as own requests arrive in subsetSeconds seconds.
 	subsetSeconds = 0.5
 
-	// dispatchersPerWorker is the minimum number of dispatchers that have a worker in their subsets, on average.
+	// dispatchersPerWorker is the minimum number of subsets (one for each dispatcher) that a worker is in, on average.
 	dispatchersPerWorker = 2
 
 	// subsetOrders is the number of different orders of the workers; each dispatcher uses one of them.
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -18,7 +18,7 @@
 	recentFailures  decayingCounter // own jobs that failed
 	recentSuccesses decayingCounter // own jobs that were served
 
-	// The load by the last report, as a share of the worker.
+	// The load according to the last report, as a share of the worker.
 	reportedAt      Instant // 0 for never
 	reportedLoad    float64
 	othersLoad      float64 // of other dispatchers: the reported load minus the own slots of that time
