--- a/internal/decisions/budgetleases/doc.go
+++ b/internal/decisions/budgetleases/doc.go
@@ -2,8 +2,8 @@
 // retries, probes or new connections. The package is pure: it has no I/O, no clock and no goroutine. Its types are not safe for
 // concurrent use.
 //
-// A rate limits uses over time: a lessee may save the uses that one second of its lease permits, or one use if the second permits less
-// than one, and make them at once.
+// The limit permits short bursts: a lessee may save the uses that its lease permits in one second, or one use if the lease
+// permits less than one, and make them at once.
 //
 // The package guarantees the following, even if messages are lost, delayed or duplicated and processes pause or restart, as long as no
 // lessee's clock runs slower than the lessor's by more than MaxClockDrift:
@@ -13,7 +13,7 @@
 //  2. A lessee that needs less than its fair share gets what it needs; the rest is divided evenly among the others, after each
 //     has got its floor.
 //  3. The rate leased to a dispatcher that is gone is available again once its lease has expired, and demand that rises is met
-//     within two lease durations, as far as the others leave budget.
+//     within two lease durations, as far as the other lessees leave budget for it.
 package budgetleases
 
 import "time"
--- a/internal/decisions/budgetleases/lessee.go
+++ b/internal/decisions/budgetleases/lessee.go
@@ -26,8 +26,8 @@
 	return &Lessee{unleasedRate: unleasedRate, filledAt: now}
 }
 
-// ApplyLease stores a lease of rate uses per second, which lasts from requestedAt, when the lessee sent the request. A lease that
-// expires before the current valid one is ignored.
+// ApplyLease stores a lease of rate uses per second, which lasts from requestedAt, when the lessee sent the request. It ignores a
+// lease that expires before the lease that is valid now.
 func (l *Lessee) ApplyLease(rate float64, requestedAt Instant, lease time.Duration, now Instant) {
 	l.refill(now)
 	if expiry := requestedAt + lease; expiry >= l.expiry || now >= l.expiry {
@@ -43,8 +43,8 @@
 	return l.unleasedRate
 }
 
-// refill adds the tokens since filledAt, at the rates that applied. It saves no more than maxSavedUse at the current rate, or one
-// use, so that a process that was paused cannot make all the uses accrued meanwhile.
+// refill adds the tokens since filledAt, at the rates that applied. It saves at most the uses that the current rate permits in
+// maxSavedUse, but at least one. So a process that was paused cannot make all the uses of the pause at once.
 func (l *Lessee) refill(now Instant) {
 	if now <= l.filledAt {
 		return
@@ -56,7 +56,7 @@
 	l.filledAt = now
 }
 
-// demandDecay returns the share of the demand that remains after elapsed.
+// demandDecay returns the share of the smoothed demand that remains after the given time.
 func demandDecay(elapsed time.Duration) float64 {
 	return 1 / (1 + elapsed.Seconds()/demandWindow.Seconds())
 }
--- a/internal/decisions/budgetleases/lessor.go
+++ b/internal/decisions/budgetleases/lessor.go
@@ -24,7 +24,7 @@
 
 	// The allocation, computed by allocate.
 	allocatedAt Instant
-	stale       bool    // it must be computed before the next grant
+	stale       bool    // the allocation must be computed before the next grant
 	granted     float64 // uses per second that all lessees may make together; at least the sum of their maxValidGrant
 	floorScale  float64 // from 0 to 1: the share of the floors that fits into the budget
 	level       float64 // maximum uses per second that a lessee gets beyond its floor
@@ -32,7 +32,7 @@
 
 // lesseeState is what the lessor knows of a lessee.
 type lesseeState struct {
-	demand, floor float64 // uses per second, as it last requested
+	demand, floor float64 // uses per second, from its last request
 	requestedAt   Instant
 	grants        []grant // grants that may be valid
 	granted       float64 // its part of Lessor.granted
@@ -41,7 +41,7 @@
 // grant is a lease that was granted.
 type grant struct {
 	rate   float64 // uses per second
-	expiry Instant // by the lessor's clock, lengthened by MaxClockDrift
+	expiry Instant // by the lessor's clock, with the lease lengthened by MaxClockDrift
 }
 
 // NewLessor returns the lessor of a leader that was elected at electedAt.
@@ -81,8 +81,8 @@
 // request. demand is the rate that it needs now, and floor is the part of demand that it gets before others get more than their
 // floors; both are uses per second. The fleet passes a floor of 0, so that the minimum rate is UnleasedRate.
 //
-// The rate is at least the rate that the dispatcher has without a lease. But it is 0 if Settings.MaxLessees others have leases: then
-// no budget is left.
+// The rate is at least the rate that the dispatcher has without a lease. But it is 0 if Settings.MaxLessees other dispatchers
+// have leases: then no budget is left.
 func (l *Lessor) Grant(name string, demand, floor float64, now Instant) float64 {
 	unleased := l.settings.UnleasedRate()
 	if now < l.electedAt+l.assumedLeaseDuration() {
@@ -130,8 +130,8 @@
 	return l.assured(lessee)*l.floorScale + min(l.needBeyondAssured(lessee), max(l.level, 0))
 }
 
-// allocate computes the allocation from all lessees' demands. A grant that expires before the next one counts until then, so that
-// granted is never too small.
+// allocate computes the allocation from all lessees' demands. A grant that expires before the next allocation counts until that
+// allocation, so that granted is never too small.
 func (l *Lessor) allocate(now Instant) {
 	l.expire(now)
 	l.allocatedAt, l.stale, l.granted = now, false, 0
--- a/internal/decisions/canary/evaluation.go
+++ b/internal/decisions/canary/evaluation.go
@@ -54,7 +54,7 @@
 // Version returns the number of the evaluated version.
 func (e *Evaluation) Version() uint64 { return e.version }
 
-// Observe records a dispatcher's sample. The first one of a process is its baseline.
+// Observe records a dispatcher's sample. The first sample of each process is that process's baseline.
 func (e *Evaluation) Observe(sample Sample) {
 	baseline, ok := e.baselines[sample.Dispatcher]
 	if !ok || baseline.Instance != sample.Instance || sample.JobsEnded < baseline.JobsEnded {
--- a/internal/decisions/canary/rollout.go
+++ b/internal/decisions/canary/rollout.go
@@ -11,9 +11,9 @@
 // maxMinDuration is the longest MinDuration that Check accepts.
 const maxMinDuration = 24 * time.Hour
 
-// Rollout limits an announced version to a share of the dispatchers, the canary, for a time. The canary acts on the stricter of the
-// version and the one in force, as after any announcement; the others ignore the version. So a canary tests what the version
-// restricts in addition, but not what it permits in addition.
+// Rollout limits an announced version to a share of the dispatchers, the canary, for a time. The canary acts on the stricter of
+// the version and the one in force, like all dispatchers after an announcement without a canary; the others ignore the version.
+// So a canary tests what the version restricts in addition, but not what it permits in addition.
 type Rollout struct {
 	Share         float64       `json:"share"`  // of the dispatchers, above 0 and at most 1
 	MinDuration   time.Duration `json:"for"`    // the minimum time before the canary can pass
@@ -42,12 +42,12 @@
 		return true
 	}
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%s %d", name, version) // a hash accepts any bytes
+	_, _ = fmt.Fprintf(hash, "%s %d", name, version) // writing to a hash never fails
 	return float64(mix(hash.Sum64()))/math.MaxUint64 < r.Share
 }
 
-// mix spreads a difference in the low bits over all bits, as the FNV hashes of names that differ in the last letter differ in the low
-// bits only. It is a part of the finalizer of MurmurHash3.
+// mix spreads a difference in the low bits over all bits, because the FNV hashes of names that differ only in the last letter
+// differ only in the low bits. It is a part of the finalizer of MurmurHash3.
 func mix(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
--- a/internal/decisions/configversions/doc.go
+++ b/internal/decisions/configversions/doc.go
@@ -14,7 +14,8 @@
 //  2. A dispatcher that cannot reach the leader holds no lease, at the latest one lease duration after it sent its last
 //     successful renewal. From then on it sends no retries (Effective clears Rules.RetriesAllowed) and keeps all other limits.
 //  3. An announced version waits for a dispatcher that does not renew its lease for at most one lease duration, lengthened by
-//     MaxClockDrift. A newly elected leader waits for the same time after its election, as its predecessor may have granted leases.
+//     MaxClockDrift. A newly elected leader waits for the same time after its election, because leases of its predecessor may
+//     still be valid.
 package configversions
 
 import "time"
--- a/internal/decisions/configversions/entry.go
+++ b/internal/decisions/configversions/entry.go
@@ -13,7 +13,7 @@
 // Plan and ZoneLimit is set.
 type Entry struct {
 	ID         string         `json:"id"`                 // chosen by the proposer, to recognise the entry in the log
-	Announce   *Version       `json:"announce,omitempty"` // a new version; its Number is the number of the version in force on which it is based, and Apply assigns the next one
+	Announce   *Version       `json:"announce,omitempty"` // a new version; its Number names the version in force on which it is based, and Apply replaces it with the next number
 	PutInForce uint64         `json:"force,omitempty"`    // number of the announced version, which becomes the one in force
 	Withdraw   uint64         `json:"withdraw,omitempty"` // number of the announced version, which is withdrawn
 	EndCanary  uint64         `json:"widen,omitempty"`    // number of the announced version, which applies to all dispatchers from now on
@@ -43,7 +43,7 @@
 	return next, nil
 }
 
-// apply is Apply without the change of the revision. The record that it returns with an error is invalid.
+// apply is Apply, except that it does not increase the revision. The record that it returns with an error is invalid.
 func (r Record) apply(entry Entry) (Record, error) {
 	switch {
 	case entry.Announce != nil:
@@ -65,7 +65,8 @@
 	}
 }
 
-// announcedNumber returns the number of the announced version that the entry is about: exactly one of the three is set.
+// announcedNumber returns the number of the announced version that the entry is about: exactly one of PutInForce, Withdraw and
+// EndCanary is set.
 func (e Entry) announcedNumber() uint64 { return max(e.PutInForce, e.Withdraw, e.EndCanary) }
 
 // announce makes version the announced one, with the next number.
--- a/internal/decisions/configversions/leasemodel_test.go
+++ b/internal/decisions/configversions/leasemodel_test.go
@@ -203,7 +203,8 @@
 	return &c
 }
 
-// appendBytes appends each number as a byte. The numbers of a state are small, as they grow with the number of steps.
+// appendBytes appends each number as a byte. The numbers of a state fit into a byte, because they grow with the number of steps,
+// which is small.
 func appendBytes(to []byte, numbers ...int64) []byte {
 	for _, n := range numbers {
 		to = append(to, byte(n))
--- a/internal/decisions/configversions/leasetable.go
+++ b/internal/decisions/configversions/leasetable.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// MaxClockDrift is the share by which a dispatcher's clock may run slower than the leader's. A lease lasts that much longer
-	// in the leader's table than at the dispatcher, which counts it from when it sent the renewal.
+	// MaxClockDrift is the share by which a dispatcher's clock may run slower than the leader's. The leader's table keeps a lease
+	// that much longer than the dispatcher, which counts the lease from when it sent the renewal.
 	MaxClockDrift = 0.01
 
 	// absentRetention is how long the table retains a dispatcher whose lease has ended.
@@ -52,7 +52,7 @@
 	}
 }
 
-// Renew records that a dispatcher requests a lease. It is called before a lease is granted; if it returns an error, none is
+// Renew records that a dispatcher requests a lease. It is called before a lease is granted; if it returns an error, no lease is
 // granted.
 //
 // It returns ErrShutDown if the process has dropped its lease for good. While another process of the same name may hold a lease, it
@@ -114,8 +114,9 @@
 	return all
 }
 
-// MayPutInForce reports whether the version with the given number may be put in force now. If not, waitsFor names the
-// dispatchers that may hold a lease and have not acknowledged it, sorted, and then the predecessor's leases.
+// MayPutInForce reports whether the version with the given number may be put in force now. If not, waitsFor names the dispatchers
+// that may hold a lease and have not acknowledged the version, sorted. Its last item is predecessorLeases while leases of the
+// previous leader may be valid.
 func (t *LeaseTable) MayPutInForce(version uint64, now Instant) (may bool, waitsFor []string) {
 	t.expire(now)
 	for name, lease := range t.leases {
--- a/internal/decisions/configversions/lessee.go
+++ b/internal/decisions/configversions/lessee.go
@@ -11,7 +11,8 @@
 	hadLease    bool      // a lease has been granted at least once
 }
 
-// NewLessee returns the state of a dispatcher that holds no lease. known is the newest record that it has read, such as from disk.
+// NewLessee returns the state of a dispatcher that holds no lease. The parameter known is the newest record that the dispatcher
+// has read, for example from disk.
 func NewLessee(name string, known Record) *Lessee {
 	l := &Lessee{name: name}
 	l.setRecord(known)
@@ -32,8 +33,8 @@
 }
 
 // ApplyLease stores the leader's response to a renewal: a record, and a lease that lasts from requestedAt, when this dispatcher
-// sent the renewal. A response with an older record than the known one was overtaken by a newer response, or comes from a
-// raft group that has been replaced. It is ignored together with its lease.
+// sent the renewal. If the record is older than the known one, the response was overtaken by a newer one or comes from a raft
+// group that has been replaced. ApplyLease then ignores the record and the lease.
 func (l *Lessee) ApplyLease(record Record, requestedAt Instant, lease time.Duration) {
 	if l.record.NewerThan(record) {
 		return
--- a/internal/decisions/configversions/record.go
+++ b/internal/decisions/configversions/record.go
@@ -7,11 +7,11 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// maxHistory is the number of versions that a record retains in History, and as many again in Withdrawn.
+// maxHistory is the largest number of versions that a record retains in each of History and Withdrawn.
 const maxHistory = 64
 
-// Record is the fleet's replicated state, which results from applying the entries of the raft log in order. Every dispatcher
-// has it as of some revision. A Record is immutable: Apply returns a changed copy.
+// Record is the fleet's replicated state, which results from applying the entries of the raft log in order. Dispatchers may have
+// it at different revisions. A Record is immutable: Apply returns a changed copy.
 type Record struct {
 	Epoch       uint64         `json:"era,omitempty"`       // increases when the raft group is recovered without its majority
 	Revision    uint64         `json:"revision"`            // number of entries that changed the record
--- a/internal/decisions/configversions/rules.go
+++ b/internal/decisions/configversions/rules.go
@@ -29,7 +29,7 @@
 	maxNameLength      = 2048 // bytes, of a worker's or an account's name
 )
 
-// Message formats are numbered; a dispatcher that reads one reads all smaller ones.
+// Message formats are numbered; a dispatcher that can read a format can also read all smaller ones.
 const (
 	baseMessageFormat      = 1
 	quotaCapsMessageFormat = 2 // the first one with Rules.QuotaCaps
@@ -110,7 +110,7 @@
 	return slices.Compact(union)
 }
 
-// stricterQuotaCaps returns the smaller cap of each account that has one; nil if there is none.
+// stricterQuotaCaps returns the smaller cap of each account that has a cap; nil if no account has one.
 func stricterQuotaCaps(first, second map[string]float64) map[string]float64 {
 	if len(first)+len(second) == 0 {
 		return nil
--- a/internal/decisions/failover/demand.go
+++ b/internal/decisions/failover/demand.go
@@ -9,7 +9,7 @@
 // Demand is the work of one class that the clients of a zone request.
 type Demand struct {
 	Zone, Class string
-	Work        float64 // slots that it keeps busy: slot-seconds per second
+	Work        float64 // slots that the requests keep busy: slot-seconds per second
 	Weight      float64 // priority weight of a slot-second
 }
 
--- a/internal/decisions/failover/fleetmodel_test.go
+++ b/internal/decisions/failover/fleetmodel_test.go
@@ -16,7 +16,7 @@
 	capacity           map[string]float64 // slots by zone
 	work               map[string]float64 // slots of work that arrive in each zone: a quarter dear, the rest cheap
 	lost               map[string]bool    // zones that answer no dispatcher
-	cut                map[route]bool     // routes without responses; class is empty
+	cut                map[route]bool     // routes on which no response arrives; their class is empty
 	late               map[string]bool    // zones whose responses all miss the latency objective
 	lostClasses        map[zoneClass]bool // classes whose responses from a zone all miss the latency objective
 	wrongDispatcher    string             // name of a dispatcher that reports the opposite of what it observes, and ten times the capacity
@@ -91,7 +91,8 @@
 	return report
 }
 
-// observations returns what a dispatcher in one zone observes of its attempts in another, in proportion to the plan's shares.
+// observations returns what a dispatcher in one zone observes of its attempts in another zone. The number of attempts is
+// proportional to the plan's share.
 func (m *fleetModel) observations(from, to string) (observations []Observation) {
 	for _, class := range []string{"dear", "cheap"} {
 		share := m.planner.Plan().Share(from, class, to)
--- a/internal/decisions/failover/flowgraph.go
+++ b/internal/decisions/failover/flowgraph.go
@@ -127,7 +127,7 @@
 	return end
 }
 
-// bottleneck returns the slots of work that the path to the zone end can carry.
+// bottleneck returns the slots of work that the path to the zone with index end can carry.
 func (g *flowGraph) bottleneck(paths *flowPaths, end int) float64 {
 	amount := g.capacityLeft[end]
 	paths.walkBack(end, func(demand, _ int, step pathStep) {
--- a/internal/decisions/failover/flowpaths.go
+++ b/internal/decisions/failover/flowpaths.go
@@ -35,8 +35,9 @@
 	return paths
 }
 
-// walkBack follows the path to the zone end back to its source. It calls visit for each demand on it: to is the zone in which the
-// path serves the demand, negative if the path sheds it, and step is the step that reaches the demand.
+// walkBack follows the path to the zone with index end back to its source. It calls visit for each demand on the path. The
+// argument to is the index of the zone in which the path serves the demand, negative if the path sheds the demand; step is the
+// step that reaches the demand.
 func (p *flowPaths) walkBack(end int, visit func(demand, to int, step pathStep)) {
 	for demand, to := p.servedDemand[end], end; ; {
 		step := p.step[demand]
--- a/internal/decisions/failover/inputs.go
+++ b/internal/decisions/failover/inputs.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// median returns the median of the finite, non-negative values, the upper one of two; 0 if there are none.
+// median returns the median of the finite, non-negative values. Of two middle values it returns the larger one. It returns 0 if
+// there are no such values.
 func median(values []float64) float64 {
 	values = slices.DeleteFunc(slices.Clone(values), func(value float64) bool { return !(value >= 0) || math.IsInf(value, 0) })
 	if len(values) == 0 {
--- a/internal/decisions/failover/plan.go
+++ b/internal/decisions/failover/plan.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// minShare is the share below which a plan leaves a zone out.
+// minShare is the share up to which a plan omits a zone.
 const minShare = 1e-6
 
 // ZoneShare is the share of the requests of a zone and class, from 0 to 1, that one zone serves.
@@ -76,7 +76,7 @@
 	return []ZoneShare{{from, 1}}
 }
 
-// Share returns the share of the requests of a zone of arrival and class that the zone to serves.
+// Share returns which share of the requests of a class that arrive in the zone named from is served in the zone named to.
 func (p *Plan) Share(from, class, to string) float64 {
 	for _, share := range p.shares(from, class) {
 		if share.Zone == to {
--- a/internal/decisions/failover/planner.go
+++ b/internal/decisions/failover/planner.go
@@ -22,11 +22,12 @@
 	// maxShiftTime is the longest time for which Settings.MaxShiftPerSecond accumulates.
 	maxShiftTime = time.Second
 
-	// A load of a zone above overloadTolerance times its capacity makes another plan urgent.
+	// If the last plan loads a zone above overloadTolerance times its capacity, the next plan is urgent.
 	overloadTolerance = 1.02
 
-	// While the mixed load of the last and the next plan exceeds a capacity, the next plan is moved towards the last one: it is
-	// interpolated with a fraction that begins at maxInterpolation and halves as long as it exceeds minInterpolation.
+	// While dispatchers that act on the last plan and others on the next one could overload a zone together (mixedLoadFits is
+	// false), the next plan is moved towards the last one by Interpolate. The fraction begins at maxInterpolation and is halved each
+	// time; only fractions above minInterpolation are used.
 	maxInterpolation = 0.5
 	minInterpolation = 0.05
 )
@@ -53,8 +54,7 @@
 	receivedAt Instant
 }
 
-// NewPlanner returns a planner for the zones of regions, which maps zones to their regions. plan is the one in force; nil if there is
-// none.
+// NewPlanner returns a planner. regions maps each zone to its region. plan is the plan in force; nil if there is none.
 func NewPlanner(settings Settings, regions map[string]string, plan *Plan, now Instant) *Planner {
 	return &Planner{
 		settings:        settings,
@@ -90,7 +90,8 @@
 func (p *Planner) Plan() *Plan { return p.plan }
 
 // Next evaluates the reports and returns the next plan. If no other plan is needed, it returns the last one, and ok is false. The
-// leader calls it every 250 ms (planInterval in package fleet), but only once no dispatcher may act on a plan older than the last one.
+// leader calls it every 250 ms (planInterval in package fleet), except while a dispatcher may act on a plan older than the last
+// one.
 func (p *Planner) Next(now Instant) (plan *Plan, ok bool) {
 	elapsed := min((now - p.nextCalledAt).Seconds(), maxElapsed.Seconds())
 	p.nextCalledAt = now
@@ -134,8 +135,8 @@
 	return slices.ContainsFunc(zones, func(zone Zone) bool { return load[zone.Name] > zone.Capacity*overloadTolerance })
 }
 
-// stepTowards returns the next plan on the way from the last one to target, as far as shares may change now; ok is false if no plan
-// should be made yet.
+// stepTowards returns the next plan on the way from the last one to target. It limits the change of the shares to
+// Settings.MaxShiftPerSecond. ok is false if no plan should be made yet.
 func (p *Planner) stepTowards(target *Plan, zones []Zone, demands []Demand, now Instant) (next *Plan, ok bool) {
 	divergence := MaxDivergence(p.plan, target, demands)
 	if divergence < minShareChange || now-p.plannedAt < min(p.settings.DetectionTime, maxPlanCooldown) {
@@ -151,8 +152,8 @@
 	return next, true
 }
 
-// mixedLoadFits reports whether the load of each zone is at most the larger of its capacity and its load under the last plan, while
-// some dispatchers act on the last plan and others on the next one.
+// mixedLoadFits reports whether no zone is overloaded while some dispatchers act on the last plan and others on the next one: the
+// load of each zone may be at most the larger of its capacity and its load under the last plan.
 func (p *Planner) mixedLoadFits(next *Plan, zones []Zone, demands []Demand) bool {
 	mixed := MaxMixedLoad(p.plan, next, demands)
 	load := p.plan.Load(demands)
--- a/internal/decisions/failover/planner_test.go
+++ b/internal/decisions/failover/planner_test.go
@@ -65,7 +65,7 @@
 func TestPlanner_partialFaults(t *testing.T) {
 	t.Run("a route that is cut in one direction is avoided only by its own zone", func(t *testing.T) {
 		model := newFleetModel(3)
-		model.work["a"] = 120 // so that a uses b
+		model.work["a"] = 120 // so that zone a sends requests to zone b
 		model.run(30)
 		if model.planner.Plan().Share("a", "cheap", "b") < 0.1 {
 			t.Fatalf("a has more work than capacity, but b does not serve it: %+v", model.planner.Plan())
@@ -171,8 +171,8 @@
 	}
 }
 
-// checkShedding checks that a zone's requests of class dear are shed only if none of its requests of class cheap are served, within the
-// bounds of the test.
+// checkShedding checks that a zone's requests of class dear are shed only if none of its requests of class cheap are served. It
+// tolerates small deviations.
 func checkShedding(t *rapid.T, model *fleetModel) {
 	t.Helper()
 	_, demands := model.planner.inputs(model.now)
--- a/internal/decisions/failover/planpair.go
+++ b/internal/decisions/failover/planpair.go
@@ -29,8 +29,8 @@
 	return divergence
 }
 
-// Interpolate returns the linear interpolation of two plans: a at a fraction of 0, b at 1. The load of each zone is at most the larger
-// of its loads under both plans.
+// Interpolate returns the linear interpolation of two plans: it equals the plan a at fraction 0 and the plan b at fraction 1. The
+// load of each zone is at most the larger of its loads under both plans.
 func Interpolate(a, b *Plan, demands []Demand, fraction float64) *Plan {
 	plan := &Plan{Shares: map[string]map[string][]ZoneShare{}}
 	for _, demand := range demands {
--- a/internal/decisions/failover/recorder.go
+++ b/internal/decisions/failover/recorder.go
@@ -25,7 +25,7 @@
 
 // lastSignal is the last signal of a zone.
 type lastSignal struct {
-	at         Instant // when it was received; of the first unanswered attempt if there was no signal yet
+	at         Instant // when it was received; if there was no signal yet, when the first attempt or probe counted as unanswered
 	unanswered int     // attempts and probes since then
 }
 
@@ -109,7 +109,8 @@
 	r.lastSignals[to] = signal
 }
 
-// Report returns what was recorded since the last report. capacity is in slots, by zone: the sum of Capacity over the zone's workers.
+// Report returns what was recorded since the last report. capacity maps each zone to its slots: the sum of func Capacity over the
+// zone's workers.
 func (r *Recorder) Report(now Instant, capacity map[string]float64) Report {
 	report := Report{Dispatcher: r.name, Zone: r.zone, Capacity: map[string]float64{}}
 	for key, observation := range r.observations {
@@ -132,8 +133,8 @@
 	return report
 }
 
-// takeLastResponses returns the last signals of all zones, and records their verdicts in reportedFailing. It leaves out zones whose last
-// signal is too old for a verdict and that have no unanswered attempt or probe since.
+// takeLastResponses returns the last signals of all zones, and records their verdicts in reportedFailing. It omits a zone if the
+// last signal is too old for a verdict and no attempt or probe has been unanswered since that signal.
 func (r *Recorder) takeLastResponses(now Instant) (responses []LastResponse) {
 	clear(r.reportedFailing)
 	for to, signal := range r.lastSignals {
--- a/internal/decisions/failover/report.go
+++ b/internal/decisions/failover/report.go
@@ -34,7 +34,7 @@
 type LastResponse struct {
 	To         string        `json:"to"`
 	Since      time.Duration `json:"since"`      // time since that signal, or since the first unanswered attempt if there was no signal
-	Unanswered int           `json:"unanswered"` // attempts and probes since then
+	Unanswered int           `json:"unanswered"` // unanswered attempts and probes since then
 }
 
 // verdict returns whether the route to the zone fails; known is false if the response is too old to tell. A zone without free capacity
@@ -52,7 +52,7 @@
 // Arrivals is the work of one class that clients requested of a dispatcher.
 type Arrivals struct {
 	Class  string  `json:"class"`
-	Work   float64 `json:"work"`  // slots that it keeps busy: slot-seconds per second
+	Work   float64 `json:"work"`  // slots that the requests keep busy: slot-seconds per second
 	Weight float64 `json:"worth"` // priority weight of a slot-second
 }
 
@@ -68,7 +68,7 @@
 	Observations  []Observation      `json:"sights,omitempty"`
 	LastResponses []LastResponse     `json:"heard,omitempty"`
 	Arrivals      []Arrivals         `json:"asked,omitempty"`
-	Capacity      map[string]float64 `json:"capacity,omitempty"` // slots by zone, by its endpoint list; see Capacity
+	Capacity      map[string]float64 `json:"capacity,omitempty"` // slots by zone, computed from the dispatcher's endpoint list; see func Capacity
 }
 
 // zoneClass identifies requests of a class in a zone.
--- a/internal/decisions/failover/solve.go
+++ b/internal/decisions/failover/solve.go
@@ -23,8 +23,8 @@
 // Solve returns a flow that serves the maximum weight of work within 1-headroom of each zone's capacity; headroom is from 0 to 1. Of
 // all such flows it returns one with the lowest cost of crossings.
 //
-// It adds the demands by descending weight, each along the cheapest paths. These may divert other demands but never shed one of a
-// larger weight. By the exchange argument for minimum-cost flows the result is optimal.
+// It adds the demands by descending weight, each along the cheapest paths. The paths may divert other demands, but never shed a
+// demand of a larger weight. By the exchange argument for minimum-cost flows the result is optimal.
 func Solve(zones []Zone, demands []Demand, reachable Reachability, headroom float64) Flow {
 	graph := newFlowGraph(zones, demands, reachable, headroom)
 	order := byDescendingWeight(demands)
--- a/internal/decisions/failover/verdicts.go
+++ b/internal/decisions/failover/verdicts.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	// minEndedAttempts is the number of answered attempts, of all dispatchers together, from which the share in time counts.
+	// minEndedAttempts is the number of answered attempts, of all dispatchers together, that is needed to judge the share in time.
 	minEndedAttempts = 20
 
-	// A zone is lost for a class if the share of the class's attempts in time is below lostClassInTime there, and the share for all
-	// other classes together is above otherClassesInTime.
+	// A zone is lost for a class if, in this zone, the share of the class's attempts that are in time is below lostClassInTime, and
+	// that share is above otherClassesInTime for all other classes together.
 	lostClassInTime    = 0.1
 	otherClassesInTime = 0.6
 
@@ -116,8 +116,8 @@
 	}
 }
 
-// updateClassRoutes updates the routes of all zones for a class in a zone. counts are the class's attempts there, and total the attempts
-// of all classes there.
+// updateClassRoutes updates the routes from all zones to one zone for one class; key is that zone and class. counts are the
+// class's attempts in that zone, and total the attempts of all classes in it.
 func (p *Planner) updateClassRoutes(key zoneClass, counts, total attemptCounts, now Instant) {
 	others := attemptCounts{total.inTime - counts.inTime, total.ended - counts.ended}
 	lost := counts.ended >= minEndedAttempts && counts.inTime/counts.ended < lostClassInTime &&
--- a/internal/decisions/failover/zoneview.go
+++ b/internal/decisions/failover/zoneview.go
@@ -10,7 +10,7 @@
 	Shed            float64  `json:"shed"`     // of Demand: slots of work that the plan sheds
 	CapacityFactor  float64  `json:"factor"`   // share of its capacity, from 0 to 1, that plans use; reduced while few attempts are in time
 	UnreachableFrom []string `json:"out_from,omitempty"`
-	Reason          string   `json:"why,omitempty"` // for its part in the plan; human-readable
+	Reason          string   `json:"why,omitempty"` // why the plan treats the zone as it does; human-readable
 }
 
 // Views returns the views of all zones, sorted by name.
--- a/internal/decisions/voters/candidate.go
+++ b/internal/decisions/voters/candidate.go
@@ -1,6 +1,6 @@
 package voters
 
-// Candidate is a dispatcher that holds a lease. It is a voter already or may become one.
+// Candidate is a dispatcher that holds a lease. It may already be a voter or learner.
 type Candidate struct {
 	Name               string
 	Address            string // empty if it cannot become a voter
--- a/internal/decisions/voters/contactorder.go
+++ b/internal/decisions/voters/contactorder.go
@@ -42,6 +42,6 @@
 func (v Voter) contactHash(name string) uint64 {
 	const spread = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio: names that differ little get numbers far apart
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%s %d", name, v.ID) // a hash accepts any bytes
+	_, _ = fmt.Fprintf(hash, "%s %d", name, v.ID) // writing to a hash never fails
 	return hash.Sum64() * spread >> 7
 }
--- a/internal/decisions/voters/contactorder_test.go
+++ b/internal/decisions/voters/contactorder_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestContactOrder checks that voters of the dispatcher's zone come first, each for at least a quarter of the dispatchers, then voters of its
-// region, and that learners are left out.
+// TestContactOrder checks that voters of the dispatcher's zone come first, then voters of its region, and that learners are left
+// out. Each of the two voters of the zone must be the first one for at least a quarter of the dispatchers.
 func TestContactOrder(t *testing.T) {
 	voters := []Voter{
 		{ID: 1, Zone: "a", Region: "n"},
--- a/internal/decisions/voters/founding_test.go
+++ b/internal/decisions/voters/founding_test.go
@@ -32,9 +32,9 @@
 	m.createStorage(id)
 }
 
-// TestDecideFounding checks that a group is founded once, while all founding voters are present. It also checks that a voter does not
-// vote with other storage than it founded the group with, regardless of which other voters it reaches. Only one voter loses its
-// storage, as the loss of a majority's storage cannot be recovered.
+// TestDecideFounding checks that a group is founded once, while all founding voters are present. It also checks that a voter
+// whose storage is not the one with which it founded the group does not vote, regardless of which other voters it reaches. Only
+// one voter loses its storage, because the loss of a majority's storage cannot be recovered.
 func TestDecideFounding(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		model := foundersModel{incarnations: map[uint64]string{}, founded: map[uint64]map[uint64]string{}, lostVotes: map[uint64]bool{}}
--- a/internal/decisions/voters/planchange.go
+++ b/internal/decisions/voters/planchange.go
@@ -20,8 +20,8 @@
 //
 // statuses are the voters and learners, members the dispatchers that hold leases, and nextID is the ID for a new learner. A voter
 // that has been silent for longer than maxSilence is replaced: a dispatcher joins as a learner. Once it has caught up, it is
-// promoted and the voter is removed in one change. A voter whose dispatcher holds a lease without being a voter has lost its storage, and is
-// replaced after a quarter of maxSilence.
+// promoted and the voter is removed in one change. If the dispatcher of a voter holds a lease and reports that it is not a voter,
+// the voter has lost its storage. It is then replaced after a quarter of maxSilence.
 //
 // In the same way, a dispatcher on a machine dedicated to control replaces a voter whose machine serves jobs. If only the leader's
 // machine serves jobs, the leader transfers leadership first.
@@ -90,7 +90,7 @@
 	}
 }
 
-// lostStorage reports whether the voter's dispatcher holds a lease without being a voter.
+// lostStorage reports whether the voter's dispatcher holds a lease and reports that it is not a voter.
 func (s *Status) lostStorage(members []Candidate) bool {
 	return slices.ContainsFunc(members, func(member Candidate) bool {
 		return member.Address == s.Address && member.VoterID != s.ID && member.VoterID == 0
--- a/internal/decisions/voters/planchange_test.go
+++ b/internal/decisions/voters/planchange_test.go
@@ -62,7 +62,7 @@
 	return count
 }
 
-// drawGroup returns a group of five voters in three zones, with two to six further dispatchers, before anything happens.
+// drawGroup returns a group of five voters in three zones, with two to six further dispatchers. All voters are present.
 func drawGroup(t *rapid.T) *groupModel {
 	t.Helper()
 	group := &groupModel{nextID: 6}
@@ -133,8 +133,8 @@
 }
 
 // TestPlanChange_prefersDedicatedMachines checks that as many dedicated machines as possible become voters, also in place of the
-// leader, and that nothing changes afterwards. Five vote at any time, and the leader never removes itself. A leader whose machine
-// serves jobs is not replaced if no machine is dedicated.
+// leader, and that nothing changes afterwards. The group must have five voters at any time, and the leader must never remove
+// itself. A leader whose machine serves jobs is not replaced if no machine is dedicated.
 func TestPlanChange_prefersDedicatedMachines(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		group := drawDedicatedGroup(t)
--- a/internal/effectivestate/effectivestate.go
+++ b/internal/effectivestate/effectivestate.go
@@ -61,7 +61,7 @@
 		}
 		state := State{From: time.UnixMilli(ms), To: end, Lapsed: match[2] == "true"}
 		for _, text := range strings.Fields(match[1]) {
-			version, _ := strconv.ParseUint(text, 10, 64) // the expression lets only digits through
+			version, _ := strconv.ParseUint(text, 10, 64) // the regular expression matches only digits
 			state.Versions = append(state.Versions, version)
 		}
 		if len(states) > 0 {
@@ -92,7 +92,7 @@
 	return contradiction, unleased
 }
 
-// contradictionOf is ContradictionTime of two processes.
+// contradictionOf is ContradictionTime for two processes.
 func contradictionOf(states, others []State) (contradiction, unleased time.Duration) {
 	for i := range states {
 		for j := range others {
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -28,10 +28,10 @@
 // Agent makes a dispatcher a member of the fleet: it holds the dispatcher's lease and applies the versions in force. If the
 // dispatcher is a voter, the agent also runs the voter. If the voter leads, the agent also runs the leader's tasks.
 //
-// Run owns the agent's goroutines. The fields above mu do not change once Run listens, except where a comment names an owner;
-// mu guards the fields below it. mu is never held during I/O except log lines. listen sets listener and members. Until Run
-// listens, only its goroutine may read them; others may read members under mu. AllowUse, Effective, ProposeFile and Status may
-// be called from any goroutine once New has returned; only ProposeFile does I/O.
+// Run owns the agent's goroutines. The fields above mu do not change once Run listens, except where a comment names an owner; mu
+// guards the fields below it. mu is never held during I/O except log lines. listen sets listener and members. Until Run listens,
+// other goroutines must not read listener, and may read members only under mu. AllowUse, Effective, ProposeFile and Status may be
+// called from any goroutine once New has returned; only ProposeFile does I/O.
 //
 // Lock order: mu comes before the locks of budgets, members, the voter's log and the callbacks; none of these is held when mu
 // is taken. stopVoter waits for Log.Run, whose callbacks take mu, so it must not be called with mu held.
@@ -173,8 +173,8 @@
 	running.Wait()
 }
 
-// awaitListener retries listen until it succeeds, as a predecessor process may still use the address. It returns false if the
-// context ends first. Until it returns, the dispatcher holds no lease.
+// awaitListener retries listen until it succeeds, because a predecessor process may still use the address. It returns false if
+// the context ends first. Until it returns, the dispatcher holds no lease.
 func (a *Agent) awaitListener(ctx context.Context) bool {
 	a.applyState()
 	logged := false
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -94,8 +94,9 @@
 	})
 }
 
-// TestResponseApplyTo_newerRecord checks that entries are not applied to a record that already has them. A watch response may bring
-// them between a lease request and its response. Applied twice, they would give the dispatcher a higher revision than the voters have.
+// TestResponseApplyTo_newerRecord checks that entries are not applied to a record that already has them. A watch response may
+// bring the same entries between a lease request and its response. Applied twice, they would give the dispatcher a higher
+// revision than the voters have.
 func TestResponseApplyTo_newerRecord(t *testing.T) {
 	votersEntry := func(id uint64) configversions.Entry {
 		return configversions.Entry{Voters: []voters.Voter{{ID: id, Address: "x"}}}
--- a/internal/fleet/budgetlessees.go
+++ b/internal/fleet/budgetlessees.go
@@ -18,7 +18,7 @@
 
 	mu            sync.Mutex
 	lessees       map[string]*budgetleases.Lessee // by kind
-	firstAttempts uint64                          // since the start, at countedAt
+	firstAttempts uint64                          // number since the start, as of countedAt
 	countedAt     configversions.Instant
 }
 
@@ -52,7 +52,8 @@
 }
 
 // takeDemand returns this dispatcher's demand on each budget, in uses per second by kind, encoded as JSON, and its first attempts
-// per second since the last call. firstAttempts returns their count since the start; nil for none.
+// per second since the last call. The parameter firstAttempts returns the number of first attempts since the start; if it is nil,
+// the number is 0.
 func (b *budgetLessees) takeDemand(firstAttempts func() uint64) (demand json.RawMessage, firstAttemptsPerSecond float64) {
 	if b.overload == nil {
 		return nil, 0
--- a/internal/fleet/budgetlessors.go
+++ b/internal/fleet/budgetlessors.go
@@ -97,7 +97,7 @@
 type BudgetGranted struct {
 	Kind          string  `json:"kind"`
 	RatePerSecond float64 `json:"rate"`  // of the whole fleet
-	Outstanding   float64 `json:"given"` // uses per second that dispatchers with and without leases may make at most
+	Outstanding   float64 `json:"given"` // maximum uses per second of all dispatchers together, with and without leases
 }
 
 // budgetsGrantedLocked returns the state of the budgets; nil if this dispatcher does not lead. a.mu is held.
--- a/internal/fleet/call.go
+++ b/internal/fleet/call.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	request.Header.Set("User-Agent", "") // omitted, as nobody reads it and each dispatcher makes several calls per second
+	request.Header.Set("User-Agent", "") // omitted, because nobody reads it and each dispatcher makes several calls per second
 	received, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
--- a/internal/fleet/failoversettings.go
+++ b/internal/fleet/failoversettings.go
@@ -7,8 +7,8 @@
 	"brassdale/internal/decisions/failover"
 )
 
-// Failover is the operator's block failover, with which the leader plans which zone serves which zone's jobs. Durations are
-// checked when the operator's file is read.
+// Failover is the block named failover of the operator's file: settings for the leader's plan of which zone serves which zone's
+// jobs. Durations are checked when the operator's file is read.
 type Failover struct {
 	// Regions are all regions of the fleet.
 	Regions []Region `hcl:"region,block"`
@@ -28,7 +28,7 @@
 	Zones []string `hcl:"zones"`
 }
 
-// DefaultFailover returns the defaults of a block failover.
+// DefaultFailover returns the defaults of the block named failover.
 func DefaultFailover() Failover {
 	return Failover{Headroom: 0.15, RecoveryRamp: "60s", MaxTimeWithoutLease: "10s", DetectionTime: "1s"}
 }
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -13,7 +13,7 @@
 const maxWatchWait = 10 * time.Second
 
 // followRecord follows the record at a voter by long polling, so that a change arrives as soon as that voter has it. A dispatcher
-// that is a voter gets the record from its own log; one without a record gets it with its next lease.
+// that is a voter gets the record from its own log. A dispatcher without a record gets one with its next lease.
 func (a *Agent) followRecord(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.mu.Lock()
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -25,7 +25,7 @@
 	leaveTimeout           = 500 * time.Millisecond // for notifying the others that this dispatcher leaves
 	updateTimeout          = 500 * time.Millisecond // for notifying another member of changed Metadata
 	absentRetention        = time.Hour              // how long members that are gone stay in the list
-	leaveNoticeRetention   = time.Minute            // how long a leave notice explains why a member is gone; memberlist may take half of it to detect that it is gone
+	leaveNoticeRetention   = time.Minute            // how long a leave notice explains why a member is gone; memberlist may take half of this time to detect that the member is gone
 	leaveNoticeRetransmits = 8                      // times the logarithm of the number of members; with memberlist's default of 4 some notices are lost
 )
 
@@ -210,7 +210,8 @@
 	return slices.SortedFunc(maps.Values(m.members), byName)
 }
 
-// removeExpired removes leave notices after leaveNoticeRetention, and members that are gone after absentRetention.
+// removeExpired removes leave notices that are older than leaveNoticeRetention, and members that have been gone for longer than
+// absentRetention.
 func (m *Membership) removeExpired() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -160,7 +160,7 @@
 	for _, m := range zoneB {
 		m.awaitStates(t, "the other zone", map[State]int{Alive: 4})
 	}
-	zoneB[0].ExchangeWith(zoneA[0].self.Address) // of another zone: changes nothing
+	zoneB[0].ExchangeWith(zoneA[0].self.Address) // a member of another zone: changes nothing
 	wholeFleetMember := startInFleet(t, "old", "a", zoneA[0].self.Address, zoneB[0].self.Address)
 	wholeFleetMember.awaitStates(t, "a member of the whole fleet", map[State]int{Alive: 9})
 	for _, m := range zoneA {
--- a/internal/fleet/handler.go
+++ b/internal/fleet/handler.go
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// reply writes a response as JSON. It ignores a failed write, as the caller is gone.
+// reply writes a response as JSON. It ignores a failed write, because the caller is gone.
 func (a *Agent) reply(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -145,7 +145,7 @@
 		text = []byte("{}")
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header()["Date"] = nil // omitted, as nobody reads it and each dispatcher makes several calls per second
+	w.Header()["Date"] = nil // omitted, because nobody reads it and each dispatcher makes several calls per second
 	w.WriteHeader(status)
 	_, _ = w.Write(text)
 }
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -121,8 +121,8 @@
 	return configversions.Entry{}, false
 }
 
-// duePlanLocked returns the next plan, if one is due. None is due before all lease holders act on the last one, so that no more
-// than two plans are in use at a time. a.mu is held.
+// duePlanLocked returns the next plan, if one is due. No plan is due before all lease holders act on the last one, so that at
+// most two plans are in use at a time. a.mu is held.
 func (a *Agent) duePlanLocked(record configversions.Record, lead *leadership) (entry configversions.Entry, due bool) {
 	_, number := currentPlan(record)
 	planner := lead.planner
--- a/internal/fleet/leadership.go
+++ b/internal/fleet/leadership.go
@@ -13,8 +13,8 @@
 	leases    *configversions.LeaseTable
 	directory *gossippeers.Directory
 	canary    *canary.Evaluation // nil while no version has a canary
-	planner   *failover.Planner  // nil without failover planning
-	budgets   *budgetLessors     // nil without budgets
+	planner   *failover.Planner  // nil if the fleet has no failover planning
+	budgets   *budgetLessors     // nil if the fleet has no budgets
 }
 
 // leadershipChanged is called by the goroutine of Log.Run. It does not block.
@@ -46,7 +46,7 @@
 	return started
 }
 
-// currentLeadership returns this dispatcher's voter and leadership; nil for a follower, and for a voter that does not lead.
+// currentLeadership returns this dispatcher's voter, nil for a follower, and its leadership, nil unless this dispatcher leads.
 func (a *Agent) currentLeadership() (*ownVoter, *leadership) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/leaserequest.go
+++ b/internal/fleet/leaserequest.go
@@ -8,8 +8,8 @@
 	"brassdale/internal/traffic"
 )
 
-// Formats of the messages between dispatchers. Format 2 has quotas in rules. With format 3, dispatchers gossip only within their
-// zone, with peers that the leader suggests. A dispatcher whose format is too old for the rules gets no lease.
+// Formats of the messages between dispatchers. Format 2 adds quota caps to the rules. Since format 3, dispatchers gossip only
+// within their zone, with peers that the leader suggests. A dispatcher whose format is too old for the rules gets no lease.
 const (
 	messageFormat    = 3
 	zoneGossipFormat = 3
@@ -29,8 +29,8 @@
 // valid reports whether the request names the dispatcher and its instance.
 func (r leaseRequest) valid() bool { return r.Name != "" && r.Instance != "" }
 
-// meterRequests counts the reports and the budget demands in requests as traffic of their own kinds: as sent if sent is
-// true, otherwise as received.
+// meterRequests counts the reports and the budget demands in requests as traffic of their own kinds: as sent traffic if the
+// parameter sent is true, otherwise as received traffic.
 func meterRequests(meter *traffic.Meter, sent bool, requests ...leaseRequest) {
 	for _, request := range requests {
 		meterPart(meter, sent, traffic.Report, len(request.Report))
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -13,7 +13,7 @@
 
 // grantLeases grants leases to the dispatchers that request them, if this voter leads. It records the requests before a majority
 // confirms the leadership: from then on a version waits for these dispatchers, whether or not they get their leases. A leader
-// that was cut off from the majority grants none.
+// that is cut off from the majority grants no leases.
 func (a *Agent) grantLeases(ctx context.Context, requests []leaseRequest) (response, int) {
 	granted := response{
 		Rejected:        map[string]string{},
@@ -43,8 +43,8 @@
 	return granted, http.StatusOK
 }
 
-// processRequestsLocked records the requests in the leader's tables, and writes each dispatcher's results to the maps of granted.
-// a.mu is held.
+// processRequestsLocked records the requests in the leader's tables, and writes each dispatcher's results to the maps in the
+// response granted. a.mu is held.
 func (a *Agent) processRequestsLocked(record configversions.Record, lead *leadership, requests []leaseRequest, granted response) {
 	if lead.directory.Due(a.now()) {
 		lead.directory.Refresh(toLeaseHolders(lead.leases.LeaseHolders(a.now())), a.now())
--- a/internal/fleet/operatorcalls.go
+++ b/internal/fleet/operatorcalls.go
@@ -17,11 +17,11 @@
 	forwardTimeout = 4 * callTimeout // of a call that is forwarded to another dispatcher
 )
 
-// maxAddedShedding is the largest increase of the work that is shed, in slots, which a zone limit may cause without being forced.
+// maxAddedShedding is the most additional work, in slots, that an unforced zone limit may cause to be shed.
 const maxAddedShedding = 0.5
 
-// propose announces a version, here or at the leader. forwarded says that another voter forwarded the call to this one as the
-// leader.
+// propose announces a version, here or at the leader. forwarded is true if another voter forwarded the call to this one, because
+// it assumes that this one leads.
 func (a *Agent) propose(ctx context.Context, version configversions.Version, forwarded bool) (response, int) {
 	if err := version.Rules.Check(); err != nil {
 		return response{Reason: err.Error()}, http.StatusBadRequest
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -19,28 +19,29 @@
 	Zone string
 	// ApplyEffective is called with the effective rules whenever they change.
 	ApplyEffective func(configversions.Effective)
-	// JobCounts returns how many jobs have ended since the start, and how many of these were rejected or failed. Nil for none.
+	// JobCounts returns how many jobs have ended since the start, and how many of these were rejected or failed. If it is nil, both
+	// numbers are 0.
 	JobCounts func() (ended, failed uint64)
 
-	// Overload has the budgets of the fleet; nil if it has none.
+	// Overload has the settings of the fleet's budgets; nil if the fleet has no budgets.
 	Overload *Overload
-	// MaxDispatchers returns the largest number of dispatchers that the fleet may have. Nil for 1.
+	// MaxDispatchers returns the largest number of dispatchers that the fleet may have. If it is nil, the number is 1.
 	MaxDispatchers func() int
-	// FirstAttempts returns the number of first attempts of requests since the start. Nil for none.
+	// FirstAttempts returns the number of first attempts of requests since the start. If it is nil, the number is 0.
 	FirstAttempts func() uint64
 
-	// Failover has the settings of failover between zones; nil if the fleet does not plan it.
+	// Failover has the settings of failover between zones; nil if the fleet does not plan failover.
 	Failover *Failover
-	// Report returns this dispatcher's observations of zones since the last report. Nil for none.
+	// Report returns this dispatcher's observations of zones since the last report. If it is nil, the dispatcher sends no reports.
 	Report func() *failover.Report
-	// HasUrgentChange reports whether the leader should get a report at once. Nil for never.
+	// HasUrgentChange reports whether the leader should get a report at once. If it is nil, no report is urgent.
 	HasUrgentChange func() bool
-	// PlanChanged is called when the plan changes and when expired does. expired is true while this dispatcher has been
-	// without a lease for too long to trust the plan. The plan is nil if there is none.
+	// PlanChanged is called when the plan or the value of expired changes. expired is true while this dispatcher has been without a
+	// lease for too long to trust the plan. The plan is nil if there is none.
 	PlanChanged func(plan *failover.Plan, expired bool)
 
 	// Log receives the agent's log lines.
 	Log *slog.Logger
-	// Meter counts the control traffic of this process. Nil for a meter of the agent's own.
+	// Meter counts the control traffic of this process. If it is nil, the agent creates a meter.
 	Meter *traffic.Meter
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -1,11 +1,11 @@
 package fleet
 
-// Overload is the operator's block overload: bounds on the retries and probes of all dispatchers together. The leader leases them
-// out.
+// Overload is the block named overload of the operator's file: bounds on the retries and probes of all dispatchers together. The
+// leader divides them among the dispatchers by leases.
 type Overload struct {
 	// RetryRatio is the number of retries and hedges that the fleet may make per first attempt.
 	RetryRatio float64 `hcl:"retries"`
-	// ProbesPerSecond bounds the probes to all workers together; 0 for no bound.
+	// ProbesPerSecond bounds the probes to all workers together; 0 means no bound.
 	ProbesPerSecond float64 `hcl:"probes,optional"`
 }
 
--- a/internal/fleet/raftlog/cluster_test.go
+++ b/internal/fleet/raftlog/cluster_test.go
@@ -141,7 +141,7 @@
 	return 0, nil
 }
 
-// propose proposes an entry until it is applied, to whichever voter leads, for 10 s at most.
+// propose proposes an entry to the current leader until the entry is applied, for 10 s at most.
 func (c *cluster) propose(entry configversions.Entry) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
--- a/internal/fleet/raftlog/founder.go
+++ b/internal/fleet/raftlog/founder.go
@@ -10,9 +10,9 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// EnsureFounder returns the incarnation and the founding voters that are stored in a founding voter's file. If there is no
-// file, it creates one with a new incarnation. If foundingVoters is not nil, it stores them first: the incarnations, by voter
-// ID, with which the raft group is founded.
+// EnsureFounder returns the incarnation and the founding voters that are stored in a founding voter's file. If there is no file,
+// it creates one with a new incarnation. The parameter foundingVoters has the incarnations, by voter ID, with which the raft
+// group is founded. If it is not nil, EnsureFounder stores it first.
 func EnsureFounder(directory string, voterID uint64, foundingVoters map[uint64]string) (founder voters.Founder, err error) {
 	db, err := openFile(Path(directory, voterID))
 	if err != nil {
--- a/internal/fleet/raftlog/load.go
+++ b/internal/fleet/raftlog/load.go
@@ -13,7 +13,8 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// The log of a raft group begins with a snapshot at this term and index. All founders write the same one, without an election.
+// The log of a raft group begins with a snapshot at this term and index. All founders write the same snapshot, without an
+// election.
 const (
 	foundingTerm  = 1
 	foundingIndex = 1
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -70,10 +70,10 @@
 	votersChanged bool // since the last snapshot
 
 	reads     readIndexes
-	proposals map[string]chan<- error // that are not applied yet, by the ID of their entry
+	proposals map[string]chan<- error // result channels of the proposals that are not applied yet, by the ID of the entry
 
 	silentTicks   map[uint64]int // since a voter's last message, by voter ID, while this voter leads
-	snapshotTicks map[uint64]int // since a snapshot was sent that is not acknowledged, by voter ID
+	snapshotTicks map[uint64]int // since a snapshot was sent to a voter, if not acknowledged yet, by voter ID
 }
 
 // Open opens or creates the voter's file and restores the stored state. The voter does nothing until Run is called; the caller
@@ -104,7 +104,7 @@
 	return log, nil
 }
 
-// restoreAndCreateNode restores the stored snapshot and creates the raft node, which continues after it.
+// restoreAndCreateNode restores the stored snapshot and creates the raft node, which continues after the snapshot.
 func (l *Log) restoreAndCreateNode() error {
 	snapshot, err := l.store.Snapshot()
 	if err != nil {
--- a/internal/fleet/raftlog/progress.go
+++ b/internal/fleet/raftlog/progress.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// retrySnapshots makes raft send a snapshot again that was not acknowledged within an election timeout. After a snapshot raft
-// sends nothing more to that voter until the result of the transfer is reported, and nobody reports a snapshot that the
-// network lost.
+// retrySnapshots makes raft resend each snapshot that was not acknowledged within an election timeout. Once raft has sent a
+// snapshot to a voter, it sends that voter nothing more until the result of the transfer is reported, and nobody reports a
+// snapshot that the network lost.
 func (l *Log) retrySnapshots() {
 	for id, ticks := range l.snapshotTicks {
 		if ticks < electionTicks {
--- a/internal/fleet/raftlog/readindex.go
+++ b/internal/fleet/raftlog/readindex.go
@@ -14,8 +14,8 @@
 // readIndexes are the callers of Confirm, by the stage of the confirmation: queued, in flight, then confirmed by a majority
 // and waiting for entries to be applied. Only the goroutine of Run uses it.
 type readIndexes struct {
-	queued    []chan<- error // that wait for the next ReadIndex request
-	inFlight  []chan<- error // that wait for the response to the last ReadIndex request
+	queued    []chan<- error // callers that wait for the next ReadIndex request
+	inFlight  []chan<- error // callers that wait for the response to the last ReadIndex request
 	confirmed []confirmedRead
 	requestID uint64 // of the last ReadIndex request
 	sentAt    time.Time
@@ -27,9 +27,9 @@
 	result chan<- error
 }
 
-// requestReadIndex asks the other voters whether this one still leads, once for all queued callers. One request is in flight
-// at a time: raft repeats it with its heartbeats until a majority has answered. Later callers wait for the next request, at
-// least minReadInterval after this one, because each request costs a message to and from every voter.
+// requestReadIndex asks the other voters whether this one still leads, once for all queued callers. Only one request is in flight
+// at a time; raft repeats it with its heartbeats until a majority has answered. Later callers wait for the next request, at least
+// minReadInterval after this one, because each request costs a message to and from every voter.
 func (l *Log) requestReadIndex() {
 	reads := &l.reads
 	if len(reads.inFlight) > 0 || len(reads.queued) == 0 || time.Since(reads.sentAt) < minReadInterval {
--- a/internal/fleet/raftlog/request.go
+++ b/internal/fleet/raftlog/request.go
@@ -29,7 +29,7 @@
 	return l.do(ctx, request{})
 }
 
-// ChangeVoters proposes a change of the raft group. Only one change may be in progress: during another one it returns
+// ChangeVoters proposes a change of the raft group. Only one change may be in progress: during another change it returns
 // ErrVoterChangeInProgress. It returns once the change is in the log of this voter; the record shows when it is applied.
 func (l *Log) ChangeVoters(ctx context.Context, change voters.Change) error {
 	return l.do(ctx, request{change: &change})
--- a/internal/fleet/raftlog/store.go
+++ b/internal/fleet/raftlog/store.go
@@ -15,7 +15,7 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// store is the state in a bbolt file that a voter needs after a crash. Reads use the embedded memory storage, which
+// store is the state that a voter needs after a crash. It is kept in a bbolt file. Reads use the embedded memory storage, which
 // contains everything in the file; writes go to the file first. Only the goroutine of Log.Run uses it.
 type store struct {
 	*raft.MemoryStorage
--- a/internal/fleet/raftlog/voters_test.go
+++ b/internal/fleet/raftlog/voters_test.go
@@ -10,7 +10,7 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// changeVoters proposes a change of the voters until the record meets a condition, to whichever voter leads, for 10 s at most.
+// changeVoters proposes a change of the voters to the current leader until the record meets a condition, for 10 s at most.
 func (c *cluster) changeVoters(change voters.Change, done func(configversions.Record) bool) {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// awaitCaughtUp waits until the leader reports that the learner n4 has all entries, and that another voter has been silent for more than
-// a second; 10 s at most.
+// awaitCaughtUp waits until the leader reports that the learner n4 has all entries, and that another voter has been silent for
+// more than a second. It waits for 10 s at most.
 func (c *cluster) awaitCaughtUp(learner, silent int) {
 	c.t.Helper()
 	_, leader := c.leader()
--- a/internal/fleet/raftsender.go
+++ b/internal/fleet/raftsender.go
@@ -22,8 +22,8 @@
 	peers map[uint64]*raftPeer // by voter ID
 }
 
-// send queues a message to another voter. The goroutine of log.Run calls it; it does not block. The goroutine that it starts
-// for the first message to a voter ends with the context.
+// send queues a message to another voter. The goroutine of log.Run calls it; it does not block. For the first message to a voter
+// it starts a goroutine, which runs until the context ends.
 func (s *raftSender) send(ctx context.Context, log *raftlog.Log, to uint64, message []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/recordfile.go
+++ b/internal/fleet/recordfile.go
@@ -28,7 +28,8 @@
 	return record
 }
 
-// saveRecord stores the record without its history. It logs a failure, as the dispatcher can run without a stored record.
+// saveRecord stores the record without its history. It only logs a failure, because the dispatcher can run without a stored
+// record.
 func (a *Agent) saveRecord(record configversions.Record) {
 	text, err := json.Marshal(record.WithoutHistory())
 	if err == nil {
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -34,7 +34,7 @@
 	return &leaderRelay{queue: make(chan relayedRequest, maxQueuedRelays)}
 }
 
-// request queues a request and waits for the leader's response, which answers all requests of one call.
+// request queues a request and waits for the leader's response. The leader responds once to all requests that one call contains.
 func (r *leaderRelay) request(ctx context.Context, request leaseRequest) (response, int) {
 	result := make(chan relayedResult, 1)
 	select {
--- a/internal/fleet/renew.go
+++ b/internal/fleet/renew.go
@@ -29,7 +29,7 @@
 func (a *Agent) renewLeases(ctx context.Context) {
 	interval := a.renewInterval()
 	for ctx.Err() == nil {
-		requestedAt := a.now() // the lease starts here, before it starts at the leader, so it also ends first here
+		requestedAt := a.now() // the dispatcher counts the lease from now, the leader from later, so the lease ends at the dispatcher first
 		begin := time.Now()
 		err := a.renewOnce(ctx, requestedAt, begin.Add(a.leaseCallTimeout()))
 		a.countRenewal(err == nil)
@@ -180,8 +180,8 @@
 }
 
 // exchangeWithPeer starts an exchange of gossip state with a peer that the leader suggests, if an exchange is due. A leader of an
-// older build suggests none: a dispatcher that knows no peer then exchanges with a founder, as that build does. Only the goroutine
-// of Run may call it.
+// older build suggests no peer. Then a dispatcher that knows no peer exchanges with a founder, as dispatchers of that build do.
+// Only the goroutine of Run may call it.
 func (a *Agent) exchangeWithPeer(got response) {
 	if a.messageFormat < zoneGossipFormat {
 		return
--- a/internal/fleet/response.go
+++ b/internal/fleet/response.go
@@ -19,7 +19,7 @@
 	Leader      uint64                     `json:"leader,omitempty"`   // a voter ID
 	Rejected    map[string]string          `json:"refused,omitempty"`  // dispatchers that get no lease, with the reason
 	BudgetRates map[string]json.RawMessage `json:"rates,omitempty"`    // by dispatcher; in each by kind of budget
-	Reason      string                     `json:"why,omitempty"`      // of a status other than 200; for an accepted zone limit the predicted shedding
+	Reason      string                     `json:"why,omitempty"`      // why the status is not 200; for an accepted zone limit, the predicted shedding
 
 	LeaseHolders []configversions.Dispatcher       `json:"present,omitempty"`
 	Absent       []configversions.AbsentDispatcher `json:"absent,omitempty"` // dispatchers whose lease has ended recently
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -9,7 +9,7 @@
 	"brassdale/internal/decisions/voters"
 )
 
-// Settings is the operator's block council.
+// Settings is the block named council of the operator's file.
 type Settings struct {
 	// Name is the name of the fleet.
 	Name string `hcl:"fleet"`
@@ -33,11 +33,12 @@
 	DedicatedToControl bool `hcl:"set_aside,optional"`
 	// Rules is a file of rules that is proposed at SIGHUP.
 	Rules string `hcl:"rules,optional"`
-	// AddressOverrides maps addresses of other dispatchers to those at which this dispatcher reaches them, where they differ.
+	// AddressOverrides maps addresses of other dispatchers to the addresses at which this dispatcher reaches them. It uses an
+	// address without an entry as it is.
 	AddressOverrides map[string]string `hcl:"reach,optional"`
 }
 
-// Default returns the defaults of a block council.
+// Default returns the defaults of the block named council.
 func Default() Settings { return Settings{LeaseDuration: "2s", ReplaceAfter: "30s"} }
 
 const (
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// resolve returns the address at which this dispatcher reaches an address of another one.
+// resolve returns the address at which this dispatcher reaches another dispatcher with the given address.
 func (s *Settings) resolve(address string) string {
 	if override, ok := s.AddressOverrides[address]; ok {
 		return override
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestStoredMessages_fieldsSet checks that no field of the messages is zero, as TestStoredMessages could not detect the loss of a zero
-// field. It does not check the fields of records and voters.
+// TestStoredMessages_fieldsSet checks that no field of the messages is zero, because TestStoredMessages could not detect the loss
+// of a zero field. It does not check the fields of records and voters.
 func TestStoredMessages_fieldsSet(t *testing.T) {
 	for name, want := range storedMessages() {
 		testsupport.CheckFieldsSet(t, name, want)
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -32,7 +32,7 @@
 	ended  chan struct{} // closed when log.Run has returned and its file is closed
 }
 
-// id returns the voter's ID; 0 for no voter.
+// id returns the voter's ID; 0 if v is nil.
 func (v *ownVoter) id() uint64 {
 	if v == nil {
 		return 0
@@ -57,8 +57,8 @@
 	return a.voter
 }
 
-// manageVoter starts this dispatcher's voter when the record lists the dispatcher as a voter, or when there is no record and the
-// settings do. It stops the voter when it has been replaced, and when the context ends.
+// manageVoter starts this dispatcher's voter when the record lists the dispatcher as a voter or, if the record lists no voters,
+// when the settings make it a founder. It stops the voter when the voter has been replaced or the context ends.
 func (a *Agent) manageVoter(ctx context.Context) {
 	defer a.stopVoter(reasonShutdown)
 	for ; ctx.Err() == nil; sleep(ctx, voterCheckInterval) {
@@ -114,7 +114,8 @@
 }
 
 // assignedVoter returns the voter that a record assigns to this dispatcher; a voter with ID 0 if it assigns none. While a voter
-// that lost its file is replaced by the same dispatcher, the record has two; the one with the higher ID counts.
+// that lost its file is replaced by the same dispatcher, the record has two voters of that dispatcher; the one with the higher ID
+// counts.
 func (a *Agent) assignedVoter(record configversions.Record) (assigned voters.Voter) {
 	for _, voter := range record.Voters {
 		if voter.Address != a.address() || voter.Name != "" && voter.Name != a.options.Name {
@@ -138,7 +139,7 @@
 }
 
 // runVoter opens a voter's log and runs it. founders is nil for a voter that is not a founder. The goroutines that it starts end
-// with the context or with stopVoter.
+// when the context ends or stopVoter is called.
 func (a *Agent) runVoter(ctx context.Context, id uint64, founders []voters.Voter) error {
 	ctx, cancel := context.WithCancel(ctx)
 	own := &ownVoter{
@@ -176,8 +177,8 @@
 	return nil
 }
 
-// stopVoter stops this dispatcher's voter and waits for its end. Except at a shutdown it also removes the voter's file, as a voter
-// ID is never used a second time.
+// stopVoter stops this dispatcher's voter and waits until it has ended. Except at a shutdown it also removes the voter's file,
+// because a voter ID is never used a second time.
 func (a *Agent) stopVoter(reason string) {
 	a.mu.Lock()
 	own := a.voter
@@ -212,7 +213,8 @@
 }
 
 // leaveOldRaftGroup stops this dispatcher's voter and removes its file, because the fleet has a raft group of a higher epoch,
-// recovered from one voter. It does not wait for the voter's end: checkRequest calls it with a.mu held, which stopVoter takes.
+// recovered from one voter. It does not wait until the voter has ended: checkRequest calls it with a.mu held, and stopVoter locks
+// a.mu.
 func (a *Agent) leaveOldRaftGroup(epoch uint64) {
 	a.log.Warn("newer raft group found", "epoch", epoch)
 	go a.stopVoter(reasonNewerRaft)
