--- a/cmd/brassdale-lab/emulate.go
+++ b/cmd/brassdale-lab/emulate.go
@@ -21,7 +21,7 @@
 	return filepath.Join(filepath.Dir(self), "brassdale")
 }
 
-// variantScenario returns the scenario of a file's variant: the named one, or the first if variant is empty.
+// variantScenario returns the scenario of a file's variant: the variant with the given name, or the first if the name is empty.
 func variantScenario(file *experiment.File, variant string, seed uint64) (emulator.Scenario, error) {
 	if variant == "" {
 		return file.Scenario(file.Variants[0], seed)
--- a/cmd/brassdale-lab/experiment.go
+++ b/cmd/brassdale-lab/experiment.go
@@ -47,8 +47,8 @@
 	return command
 }
 
-// run loads an experiment and runs it, with a progress bar. If the context ends or a run fails, it returns the rows until then
-// with the error. file is nil only if it cannot be loaded.
+// run loads an experiment and runs it, with a progress bar. If the context ends or a run fails, it returns the rows until then with the
+// error. The returned file is nil only if it cannot be loaded.
 func (o experimentOptions) run(ctx context.Context, path string) (file *experiment.File, rows []experiment.Row, err error) {
 	file, err = experiment.Load(path)
 	if err != nil {
--- a/cmd/brassdale-lab/fleet.go
+++ b/cmd/brassdale-lab/fleet.go
@@ -56,7 +56,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	work, err := os.MkdirTemp("", "fleet-") // not below the results, as the length of a socket's path is limited
+	work, err := os.MkdirTemp("", "fleet-") // not below the results, because the length of a socket's path is limited
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/brassdale-lab/inject.go
+++ b/cmd/brassdale-lab/inject.go
@@ -55,7 +55,8 @@
 	return command
 }
 
-// launchCommand makes the hidden command that inject starts: it lets itself be traced and replaces itself with the program.
+// launchCommand makes the hidden command that inject starts and traces: it installs the filter that stops the process at the calls of
+// the rules, and replaces itself with the program.
 func launchCommand() *cobra.Command {
 	var rules string
 	command := &cobra.Command{Use: "launch -- PROGRAM ARGUMENT...", Hidden: true, Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
--- a/cmd/brassdale-lab/output.go
+++ b/cmd/brassdale-lab/output.go
@@ -10,7 +10,7 @@
 	"github.com/schollz/progressbar/v3"
 )
 
-// resultDirectory returns the directory for results: out, or one named after the time if out is empty.
+// resultDirectory returns the directory for results: the parameter out, or a directory named after the time if out is empty.
 func resultDirectory(out string) string {
 	return cmp.Or(out, filepath.Join("results", time.Now().UTC().Format("2006-01-02T150405")))
 }
--- a/cmd/brassdale-lab/report.go
+++ b/cmd/brassdale-lab/report.go
@@ -29,7 +29,7 @@
 }
 
 // reportBreaches prints the table of rows and the breaches of rules. Breaches by plain policies are only printed. If the scheduler broke a
-// rule, it returns an error, joined with stopped: the error that stopped the experiment, or nil.
+// rule, it returns an error, joined with the parameter stopped, which is the error that stopped the experiment, or nil.
 func reportBreaches(command *cobra.Command, dir string, rows []experiment.Row, file *experiment.File, stopped error) error {
 	if err := experiment.Table(command.OutOrStdout(), rows); err != nil {
 		return err
--- a/cmd/brassdale-lab/scale.go
+++ b/cmd/brassdale-lab/scale.go
@@ -128,7 +128,7 @@
 	return result.Err()
 }
 
-// choosePoints returns the points that are selected by name, or by number from 1; all if only is empty.
+// choosePoints returns the points that are selected by name, or by number from 1. It returns all points if the parameter only is empty.
 func choosePoints(points []scale.Point, only []string) (chosen []scale.Point, err error) {
 	if len(only) == 0 {
 		return points, nil
@@ -164,7 +164,8 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// gatherResults writes the results of all points that have one below a directory to its results.json.
+// gatherResults reads the results of the points below a directory and writes them to the directory's results.json. It
+// skips points without a result.
 func gatherResults(dir string, points []scale.Point) error {
 	results := []json.RawMessage{}
 	for _, point := range points {
--- a/cmd/brassdale-lab/soak.go
+++ b/cmd/brassdale-lab/soak.go
@@ -87,10 +87,10 @@
 	Breaches map[string]int `json:"breaches,omitempty"`
 	Error    string         `json:"error,omitempty"` // why the run did not complete; it is then not counted
 
-	kinds []soak.EventKind // of Events
+	kinds []soak.EventKind // the kinds of the events in Events
 }
 
-// run runs all plans, up to parallel of them at a time, and writes the report.
+// run runs all plans and writes the report. The parameter parallel is the maximum number of runs at a time.
 func (s *soakSession) run(plans []soak.Plan, parallel int) error {
 	if err := os.MkdirAll(s.directory, 0o755); err != nil {
 		return err
@@ -152,7 +152,7 @@
 }
 
 const (
-	maxTimelines = 3 // printed of one run
+	maxTimelines = 3 // maximum that is printed for one run
 	logFiles     = "n*.log"
 )
 
--- a/cmd/brassdale/admin_test.go
+++ b/cmd/brassdale/admin_test.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// TestDetachedWorkers_restoredAfterKill checks that the file of detached workers is written before the call is answered, so that a kill
-// right after it loses nothing, and that an invalid file is logged and otherwise ignored.
+// TestDetachedWorkers_restoredAfterKill checks that the file of detached workers is written before the call is answered: a kill right after
+// the answer loses nothing. An invalid file is logged and otherwise ignored.
 func TestDetachedWorkers_restoredAfterKill(t *testing.T) {
 	t.Parallel()
 	detached := startWorker(t, "a", completeJob)
@@ -180,7 +180,7 @@
 			t.Fatal(err)
 		}
 		restarted = dispatcher.startSuccessor("")
-		restarted.checkServed("invalid-file-", 20) // after these the work that the start queued is done
+		restarted.checkServed("invalid-file-", 20) // once these are served, the work that was queued at the start is done
 		if detached := restarted.metric("targets_disabled"); detached != 0 || strings.Count(restarted.log(), "detached workers not read") != 1 {
 			t.Errorf("file %q: %d detached workers, want 0 and one log line \"detached workers not read\"", text, detached)
 		}
--- a/cmd/brassdale/deadline_test.go
+++ b/cmd/brassdale/deadline_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// deadlineSlack is by how much the deadline that a worker receives may be later than the client's deadline.
+// deadlineSlack is the maximum by which the deadline that a worker receives may be later than the client's deadline.
 const deadlineSlack = 150 * time.Millisecond
 
 // receivedDeadlines records the deadlines of jobs as workers received them.
--- a/cmd/brassdale/deployments_test.go
+++ b/cmd/brassdale/deployments_test.go
@@ -142,7 +142,7 @@
 				if status := send(class.Name+"-1", class.Name+"-1"); status != 200 {
 					t.Errorf("%s: status %d, want 200", class.Name, status)
 				}
-				want := 200 // only a class that is idempotent with key needs one
+				want := 200 // the request has no key, which only a class that is idempotent with key requires
 				if class.Effect == "keyed" {
 					want = 400
 				} else if class.Effect == "unsafe" {
--- a/cmd/brassdale/endpointcache_bench_test.go
+++ b/cmd/brassdale/endpointcache_bench_test.go
@@ -73,11 +73,11 @@
 // benchDeployment is a deployment whose cached list has 12 workers: 3 are gone, 2 silent, 1 has drained and 1 has just restarted.
 type benchDeployment struct {
 	workers []*modelWorker
-	listed  []*testWorker // by discovery
+	listed  []*testWorker // workers that discovery lists
 	cached  []*testWorker
 }
 
-// newBenchDeployment returns a deployment and starts its workers except those that are gone.
+// newBenchDeployment returns a deployment and starts its workers except the workers that are gone.
 func newBenchDeployment(b *testing.B) *benchDeployment {
 	b.Helper()
 	deployment := &benchDeployment{}
@@ -146,7 +146,7 @@
 type servedBySecond struct {
 	mu           sync.Mutex
 	sent, inTime map[int]int
-	firstServed  time.Duration // after the start; 0 for none
+	firstServed  time.Duration // from the start to the first served request; 0 if there is none
 }
 
 // share returns the share of the requests of some seconds that were served in time.
--- a/cmd/brassdale/endpointcache_test.go
+++ b/cmd/brassdale/endpointcache_test.go
@@ -86,12 +86,13 @@
 }
 
 // TestEndpointCache_reassignedAddresses checks a cached list that is two days old: one worker has drained, one does not run, one is good,
-// and other services listen at the addresses of the rest. All requests are served, and none reaches a worker or service but the good one.
+// and other services listen at the addresses of the rest. All requests are served, and only the good worker receives any.
 func TestEndpointCache_reassignedAddresses(t *testing.T) {
 	t.Parallel()
 	good, drained, off := startWorker(t, "good", completeCachedJob), startWorker(t, "drained", completeCachedJob), startWorker(t, "off", completeCachedJob)
 	drained.phase = "leaving"
-	// 127.0.0.9 is used by no other test: at a shared address the port of a closed listener may be given to a worker of a parallel test.
+	// No other test uses 127.0.0.9. At a shared address the system could give the port of the closed listener to a worker of a parallel
+	// test.
 	off.listener.Close()
 	off.listener = must(net.Listen("tcp", "127.0.0.9:0"))
 	off.listener.Close()
@@ -134,9 +135,9 @@
 	}
 }
 
-// TestEndpointCache_survivesKill checks that the cache of a killed process has the drain that it has just learned of, the detached worker
-// and the statistics, and that the next process starts from it with another $TMPDIR. A damaged snapshot is reported by 'saved verify';
-// the next start renames it and reads the previous snapshot.
+// TestEndpointCache_survivesKill checks that the cache of a killed process has the detached worker, the statistics, and the drain that the
+// process had just learned of, and that the next process starts from it with another $TMPDIR. A damaged snapshot is reported by 'saved
+// verify'; the next start renames it and reads the previous snapshot.
 func TestEndpointCache_survivesKill(t *testing.T) {
 	t.Parallel()
 	workers := startNamedWorkers(t, completeCachedJob, "a", "b", "c")
@@ -195,8 +196,8 @@
 	}
 }
 
-// TestEndpointCache_clockAndAge checks that a list dated a day in the future is used, as the machine's clock may be wrong, and that a list
-// that is 73 hours old is not.
+// TestEndpointCache_clockAndAge checks that a list dated a day in the future is used, because the machine's clock may be wrong, and that a
+// list that is 73 hours old is not used.
 func TestEndpointCache_clockAndAge(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", completeCachedJob)
--- a/cmd/brassdale/fleet_agreement_test.go
+++ b/cmd/brassdale/fleet_agreement_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestFleet_agreesOnConfigVersions checks that five dispatchers apply each config version: a worker that a version detaches gets no
-// requests from any of them. The leader is killed after one proposal and a follower is stopped during another. Two dispatchers with
-// leases have no applied version in common for at most 50 ms.
+// requests from any of them. The leader is killed after one proposal and a follower is stopped during another. The time for which two
+// dispatchers with leases have no applied version in common is at most 50 ms.
 func TestFleet_agreesOnConfigVersions(t *testing.T) {
 	t.Parallel()
 	fleet := startFleet(t, 3, 2)
@@ -44,7 +44,7 @@
 	fleet.waitForVersion(3, without(rest, stopped)...) // as soon as the lease of the stopped dispatcher has lapsed
 	fleet.resume(stopped)
 	fleet.waitForVersion(3, stopped)
-	if longest := fleet.contradictionTime(); longest > 50*time.Millisecond { // log lines are written after the change
+	if longest := fleet.contradictionTime(); longest > 50*time.Millisecond { // not 0, because a change is logged only after it is applied
 		t.Errorf("two dispatchers with leases had no applied version in common for %v, more than 50 ms", longest)
 	}
 	if code, out, _ := runCommand(t, "fleet", "history", "--address", fleet.addresses[rest[0]]); code != 0 || strings.Count(out, "test") != 3 {
--- a/cmd/brassdale/frontends_bench_test.go
+++ b/cmd/brassdale/frontends_bench_test.go
@@ -23,7 +23,7 @@
 )
 
 // The load of these benchmarks is a closed loop: benchOpenRequests are open at a time, and each answer is followed by the next request.
-// Only the ratios are meaningful, as the loads run in turns on the same machine; absolute figures depend on the machine.
+// Only the ratios are meaningful, because the loads run in turns on the same machine; absolute figures depend on the machine.
 const (
 	benchOpenRequests  = 100
 	benchRoundDuration = 1200 * time.Millisecond
--- a/cmd/brassdale/growth_bench_test.go
+++ b/cmd/brassdale/growth_bench_test.go
@@ -31,7 +31,7 @@
 		l.workers[index].id, l.workers[index].listener.Addr(), l.phases[index])
 }
 
-// listJSON returns the lines that have changed after a revision; the complete list if after is -1. The caller holds l.mu.
+// listJSON returns the lines that have changed after a revision; the complete list if the parameter after is -1. The caller holds l.mu.
 func (l *changingList) listJSON(after int) string {
 	var lines []string
 	for i := range l.workers {
--- a/cmd/brassdale/http1_misuse_test.go
+++ b/cmd/brassdale/http1_misuse_test.go
@@ -42,7 +42,8 @@
 		{strings.Replace(requestHead("ID", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n"), "1.1", "1.0", 1) + hidden, "400"},
 		{requestHead("ID", "Content-Length:\r\n 5\r\n") + hidden, "400"},
 		{requestHead("ID", "Content-Length: 5x\r\n") + hidden, "400"},
-		// If only the first digits of the length are read, it seems to be 0: the body is taken for a head, which hides the real next head.
+		// A server that reads only the first digits of the length takes it for 0. It then takes the body for a head, which hides the real
+		// next head.
 		{requestHead("ID", "Content-Length: "+strings.Repeat("0", 40)+"24\r\n") + "A\nContent-Length: 9999\n\n" +
 			requestHead("ID-2", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, "400"},
 		{requestHead("ID", "Content-Length: 5\r\nContent-Length: 6\r\n") + "0\r\n\r\n" + hidden, "400"},
--- a/cmd/brassdale/http2_shutdown_test.go
+++ b/cmd/brassdale/http2_shutdown_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestHTTP2_shutdown checks that after SIGTERM the process sends a GOAWAY at once, answers open streams, including one whose request was in
-// flight at the time of the GOAWAY, and does not start a stream with a higher ID than that in the last GOAWAY.
+// flight at the time of the GOAWAY, and does not start a stream with a higher ID than the ID in the last GOAWAY.
 func TestHTTP2_shutdown(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
--- a/cmd/brassdale/lagging_discovery_test.go
+++ b/cmd/brassdale/lagging_discovery_test.go
@@ -84,8 +84,8 @@
 func constantLag(lag time.Duration) func() time.Duration { return func() time.Duration { return lag } }
 
 // TestDrain_moveToLaggingReplica guards against a known drain or removal of a worker being withdrawn by the first list after a reload has
-// moved discovery to a lagging replica. A list has no time of composition, and revisions of two services cannot be compared, so a list may
-// withdraw a drain only if it must be newer.
+// moved discovery to a lagging replica. A list does not say when it was written, and revisions of two services cannot be compared. So a
+// list may withdraw a drain only if the list is certainly newer.
 func TestDrain_moveToLaggingReplica(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []string{"leaving", "left"} {
@@ -213,7 +213,7 @@
 }
 
 // TestDiscovery_callRateAtLaggingReplicas checks that a dispatcher makes at most 30 calls in 12 s if answers come from a lagging replica.
-// After an answer with a lower revision the dispatcher requests the complete list again. It must not do so too often, as discovery
+// After an answer with a lower revision the dispatcher requests the complete list again. These requests must be rare, because discovery
 // serves many dispatchers.
 func TestDiscovery_callRateAtLaggingReplicas(t *testing.T) {
 	t.Parallel()
--- a/cmd/brassdale/overloaded_discovery_test.go
+++ b/cmd/brassdale/overloaded_discovery_test.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// TestDrain_atOverloadedDiscovery guards against dispatchers that keep an overloaded discovery from serving any call: they called it more
-// often the older their list was, and while earlier calls still waited, so that its queue became longer than the time after which calls
-// expire. Here discovery recovers after 8 s in which all calls failed, most dispatchers are killed and restarted, and a drain must be
-// observed.
+// TestDrain_atOverloadedDiscovery guards against dispatchers that keep an overloaded discovery from serving any call: they called it while
+// earlier calls still waited, and more often the older their list was. Its queue then became longer than the time after which calls expire.
+// Here discovery recovers after 8 s in which all calls failed, most dispatchers are killed and restarted, and a drain must be observed.
 func TestDrain_atOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
 	const dispatchers, killed = 12, 8
--- a/cmd/brassdale/progress_test.go
+++ b/cmd/brassdale/progress_test.go
@@ -230,7 +230,7 @@
 	if ends["done"] == 0 || ends["failed"] == 0 {
 		t.Errorf("final answers %v, want some \"done\" and some \"failed\"", ends)
 	}
-	for _, worker := range []*testWorker{stalling, healthy} { // the closing worker may get a job again, as its cell deduplicates it
+	for _, worker := range []*testWorker{stalling, healthy} { // the closing worker may get a job again, because its cell deduplicates it
 		for key, runs := range worker.runsPerKey() {
 			for _, other := range []*testWorker{stalling, closing, healthy} {
 				if other != worker && other.runsOf(key) > 0 {
@@ -295,8 +295,8 @@
 	}
 }
 
-// TestProgress_handover checks that a key has only one job during a handover, whose events clients of both processes receive, and that the
-// successor still has the events when the predecessor has ended.
+// TestProgress_handover checks that during a handover a key has only one job, that clients of both processes receive its events, and that
+// the successor still has the events when the predecessor has ended.
 func TestProgress_handover(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
--- a/cmd/brassdale/pushed_lists_test.go
+++ b/cmd/brassdale/pushed_lists_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// withPushedLists is a change of the platform's file to pushed lists: the address of discovery is then that of an agent.
+// withPushedLists is a change of the platform's file to pushed lists: the address of discovery is then the address of an agent.
 var withPushedLists = withSetting(`"discovery":"ask"`, `"discovery":"push"`)
 
 // drainAndCheck makes the agent list one worker as draining and the other as active. It waits until this process and the others that
--- a/cmd/brassdale/quotas_bench_test.go
+++ b/cmd/brassdale/quotas_bench_test.go
@@ -51,7 +51,7 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// inTimeLimit is the longest time from when a request was due to its answer for it to count as served in time.
+// inTimeLimit limits the time from when a request is due to its answer: a later answer does not count as served in time.
 const inTimeLimit = 400 * time.Millisecond
 
 // sendOnSchedule calls send for each request when it is due, without waiting for earlier calls, and then waits for all calls.
--- a/cmd/brassdale/quotas_test.go
+++ b/cmd/brassdale/quotas_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestQuotas_handover checks that both processes of a handover share one capacity: the successor does not grant the part again that open
+// TestQuotas_handover checks that both processes of a handover share one capacity: the successor does not grant again the part that open
 // requests use at the predecessor.
 func TestQuotas_handover(t *testing.T) {
 	t.Parallel()
--- a/cmd/brassdale/shutdown_test.go
+++ b/cmd/brassdale/shutdown_test.go
@@ -39,8 +39,8 @@
 }
 
 // TestShutdown_servesUntilShortlyBeforeKill checks that for 1 s after SIGTERM clients are served, also on new connections, and that a
-// request whose worker stalls is answered before the process ends, within 3.7 s. The platform kills the process 0.7 s after the longest
-// deadline, of which it counts 3 s at most.
+// request whose worker stalls is answered before the process ends, within 3.7 s. The platform kills the process min(longest deadline, 3 s)
+// + 0.7 s after SIGTERM.
 func TestShutdown_servesUntilShortlyBeforeKill(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, "a", stallOnStuckKeys)
@@ -63,7 +63,7 @@
 		if status := send(fmt.Sprint("idle-", i)); status != 200 {
 			t.Errorf("on an idle connection: status %d, want 200", status)
 		}
-		dispatcher.dial().Close() // new connections must be accepted, as the client may have no other dispatcher
+		dispatcher.dial().Close() // new connections must be accepted, because the client may have no other dispatcher
 	}
 	if status := <-answered; status != 502 && status != 504 {
 		t.Errorf("a request whose worker stalls: status %d, want 502 or 504", status)
@@ -80,7 +80,7 @@
 // would count the process as gone, and send no requests on connections that become free later.
 func TestShutdown_reservesFreeConnections(t *testing.T) {
 	t.Parallel()
-	workers := startWorkers(t, 12, stallOnStuckKeys)                        // enough to start all jobs at once, as a rejected request frees its connection
+	workers := startWorkers(t, 12, stallOnStuckKeys)                        // enough to start all jobs at once, because a rejected request frees its connection
 	dispatcher := startDispatcherWith(t, "", withoutLateWeight, workers...) // waiting requests are rejected soon
 	for i := range 30 {
 		if err := newRequest(dispatcher.http1URL, fmt.Sprint("stuck-", i)).Write(dispatcher.dial()); err != nil {
--- a/cmd/brassdale/support_discovery_test.go
+++ b/cmd/brassdale/support_discovery_test.go
@@ -20,7 +20,7 @@
 	hanging     bool                     // calls are accepted and not answered
 	corrupt     func(list string) string // returns what is sent in place of a list; nil for the list itself
 	calls       []poll
-	silentCalls int           // number of first calls that are not answered
+	silentCalls int           // calls with a number up to this one are not answered
 	changed     chan struct{} // closed and replaced at each update
 }
 
--- a/cmd/brassdale/support_dispatcher_test.go
+++ b/cmd/brassdale/support_dispatcher_test.go
@@ -46,7 +46,7 @@
 	"time"
 )
 
-// TestMain runs the tests, or the program itself where a test started this binary with BRASSDALE_CHILD: the tests start real processes.
+// TestMain runs the tests. If BRASSDALE_CHILD is set, it runs the program instead: tests start this binary as real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("BRASSDALE_CHILD") != "" {
 		main()
@@ -87,7 +87,7 @@
 	return &testDispatcher{t: t, discovery: discovery, exited: make(chan struct{})}
 }
 
-// startDispatcher starts discovery with a list of workers, and a dispatcher with an operator's file; empty for none.
+// startDispatcher starts discovery with a list of workers, and a dispatcher. If operator is empty, the dispatcher has no operator's file.
 func startDispatcher(t *testing.T, operator string, workers ...*testWorker) *testDispatcher {
 	t.Helper()
 	return startDispatcherWith(t, operator, func(config string) string { return config }, workers...)
--- a/cmd/brassdale/support_endpointcache_test.go
+++ b/cmd/brassdale/support_endpointcache_test.go
@@ -25,7 +25,8 @@
 	return fmt.Sprintf("saved_list {\n  directory = %q\n}\n", dir)
 }
 
-// writeCachedList writes a list of this age to an endpoint cache, in the format and place of dispatcher n0. change may be nil.
+// writeCachedList writes a list of this age to an endpoint cache, in the format and place of dispatcher n0. The function change may
+// be nil.
 func writeCachedList(t testing.TB, dir string, age time.Duration, change func(*endpointcache.CachedList), workers ...*testWorker) {
 	t.Helper()
 	files, err := endpointcache.OpenOrCreate(dir, "n0")
@@ -86,7 +87,7 @@
 }
 
 // startWhileDiscoveryFails starts a dispatcher from the endpoint cache while discovery answers 503, and waits until all workers are
-// verified. restore makes discovery answer with a list of this revision.
+// verified. The returned function restore makes discovery answer with a list of the given revision and workers.
 func startWhileDiscoveryFails(t *testing.T, workers ...*testWorker) (dispatcher *testDispatcher, restore func(revision int, listed ...*testWorker)) {
 	t.Helper()
 	dir := t.TempDir()
--- a/cmd/brassdale/support_http2_test.go
+++ b/cmd/brassdale/support_http2_test.go
@@ -95,7 +95,8 @@
 	return slices.ContainsFunc(c.frames, func(frame string) bool { return strings.HasPrefix(frame, prefix) })
 }
 
-// headerFields encodes the headers of a request. more is names and values, which replace the default headers or are added after them.
+// headerFields encodes the headers of a request. The parameter more has names and values, which replace the default headers or are added
+// after them.
 func (c *frameClient) headerFields(key string, more ...string) []byte {
 	c.headerBlock.Reset()
 	pairs := []string{":method", "POST", ":scheme", "http", ":authority", "api.internal", ":path", "/price-part",
--- a/cmd/brassdale/support_queueing_discovery_test.go
+++ b/cmd/brassdale/support_queueing_discovery_test.go
@@ -18,7 +18,7 @@
 	perCall          time.Duration // service time of a call
 	perUpdate        time.Duration // service time to deliver a change to a watch
 	queueLimit       time.Duration
-	queueTimeout     time.Duration // 0 for none
+	queueTimeout     time.Duration // 0 for no limit
 	rejectionLatency time.Duration // how long the service takes to reject a call
 	downUntil        time.Time     // until then all calls fail after queueTimeout
 
@@ -61,7 +61,7 @@
 	d.changed = make(chan struct{})
 }
 
-// enqueue adds work to the queue and returns when it will be done. It returns false if the queue is too long, unless it must accept.
+// enqueue adds work to the queue and returns when it will be done. It returns false if the queue is too long and mustAccept is not set.
 func (d *queueingDiscovery) enqueue(work time.Duration, mustAccept bool) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/cmd/brassdale/support_requests_test.go
+++ b/cmd/brassdale/support_requests_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// newRequest returns a request with this idempotency key, which is also part of the request ID. headers is names and values that replace
-// the default headers; an empty value removes a header.
+// newRequest returns a request with this idempotency key, which is also part of the request ID. The parameter headers has names and values
+// that replace the default headers; an empty value removes a header.
 func newRequest(url, key string, headers ...string) *http.Request {
 	r, err := http.NewRequest("POST", url+"/price-part?sheet=7", strings.NewReader("drawing"))
 	if err != nil {
--- a/cmd/brassdale/support_worker_test.go
+++ b/cmd/brassdale/support_worker_test.go
@@ -24,7 +24,7 @@
 	listener        net.Listener
 	handler         jobHandler
 	abandoned       chan string // Req-Id of each job of respondThenStall for which the dispatcher has closed the connection
-	failsProbes     atomic.Bool // probes are answered 503, as by a draining worker
+	failsProbes     atomic.Bool // probes are answered 503, as a draining worker answers them
 
 	mu                sync.Mutex
 	connections, jobs int
@@ -113,7 +113,7 @@
 	return maps.Clone(w.runs)
 }
 
-// listedWorker returns a worker for endpoint lists at this listener, which it does not serve.
+// listedWorker returns a worker for endpoint lists with the address of this listener. It does not serve the listener.
 func listedWorker(id string, listener net.Listener) *testWorker {
 	return &testWorker{id: id, cell: "1", phase: "active", listener: listener}
 }
@@ -235,7 +235,7 @@
 	last time.Time
 }
 
-// recording returns a handler that records the arrival of a job before it calls the given one.
+// recording returns a handler that records the arrival of a job before it calls the given handler.
 func (a *arrivals) recording(handler jobHandler) jobHandler {
 	return func(worker *testWorker, conn net.Conn, r *http.Request) {
 		a.mu.Lock()
--- a/cmd/brassdale/tls_test.go
+++ b/cmd/brassdale/tls_test.go
@@ -50,7 +50,7 @@
 		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: must(x509.MarshalECPrivateKey(key))})
 }
 
-// newClient returns a client with a certificate for a name; an empty name for no certificate.
+// newClient returns a client with a certificate for a name. If the name is empty, the client has no certificate.
 func (a *certificateAuthority) newClient(name string) *http.Client {
 	config := &tls.Config{RootCAs: x509.NewCertPool()}
 	config.RootCAs.AddCert(a.certificate)
--- a/cmd/brassdale/workerconnection_test.go
+++ b/cmd/brassdale/workerconnection_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestWorkerConnection_secondAnswerDiscarded checks that a connection is not reused immediately after an answer. The worker sends a second
-// answer to a job if the next job comes within 20 ms, and it would be read as the answer of that next job.
+// answer to a job if the next job comes within 20 ms. On a reused connection the second answer would be read as the answer to the next job.
 func TestWorkerConnection_secondAnswerDiscarded(t *testing.T) {
 	t.Parallel()
 	const quietPeriod = 20 * time.Millisecond
@@ -21,7 +21,7 @@
 		mu.Lock()
 		last, again := answered[conn.RemoteAddr().String()]
 		mu.Unlock()
-		if again && time.Since(last) < quietPeriod { // the second answer to the job before
+		if again && time.Since(last) < quietPeriod { // the second answer to the previous job
 			io.WriteString(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
--- a/cmd/brassdale/workers_test.go
+++ b/cmd/brassdale/workers_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// asOneOfEighty is a change of the platform's file to that of one of 80 dispatchers.
+// asOneOfEighty is a change of the platform's file to the file of one of 80 dispatchers.
 var asOneOfEighty = withSetting(`"replicasOfMe":1`, `"replicasOfMe":80,"ordinal":7`)
 
 // TestWorkers_mostReplaced checks that all requests are served while six of ten workers are replaced. The new workers have new IDs; the old
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestWorkers_connectionsRefused checks that no request fails if two of six workers refuse connections, and that connecting to these is
-// tried at most 20 times during 200 requests.
+// TestWorkers_connectionsRefused checks that no request fails if two of six workers refuse connections, and that the dispatcher tries to
+// connect to these two at most 20 times during 200 requests.
 func TestWorkers_connectionsRefused(t *testing.T) {
 	t.Parallel()
 	workers := startWorkers(t, 6, completeJob)
@@ -121,7 +121,8 @@
 	}
 }
 
-// TestAffinity_sameUserSameWorker checks that one worker gets all three requests of a user, as it has the user's data after the first.
+// TestAffinity_sameUserSameWorker checks that one worker gets all three requests of a user, because it has the user's data after the first
+// request.
 func TestAffinity_sameUserSameWorker(t *testing.T) {
 	t.Parallel()
 	workers := startNamedWorkers(t, completeJob, "a", "b", "c", "d")
--- a/internal/command/history.go
+++ b/internal/command/history.go
@@ -26,7 +26,7 @@
 		}}
 }
 
-// historyTable writes the versions that were in force, those withdrawn, and the one in force.
+// historyTable writes the versions that were in force earlier, the withdrawn versions, and the version in force now.
 func historyTable(out io.Writer, record configversions.Record) {
 	fmt.Fprint(out, "version\tretries\trepeat\tout\tshares\tby\twhy\tat\tended\n")
 	row := func(version configversions.Version, ended string) {
@@ -84,7 +84,7 @@
 		}}
 }
 
-// versionArgument returns the version that an argument names by its number, or versions[byDefault] if there are fewer arguments.
+// versionArgument returns the version whose number the argument at an index gives, or versions[byDefault] if there is no such argument.
 func versionArgument(versions []configversions.Version, args []string, argument, byDefault int) (configversions.Version, error) {
 	if argument >= len(args) {
 		if byDefault < 0 {
--- a/internal/command/members.go
+++ b/internal/command/members.go
@@ -20,8 +20,8 @@
 	Lease  string // "ran out" (expired) or "left" (dropped at shutdown) and how long ago, or the version that it acknowledged
 }
 
-// membersCommand makes 'brassdale fleet members'. It lists the dispatchers that have a lease or had one within the hour, from the leader,
-// and the gossip peers of the dispatcher that is asked. Without the leader's list it prints a note and lists only the peers.
+// membersCommand makes 'brassdale fleet members'. From the leader it lists the dispatchers that have a lease or had one within the hour.
+// From the dispatcher that is asked it lists the gossip peers. Without the leader's list it prints a note and lists only the peers.
 func (client *fleetClient) membersCommand() *cobra.Command {
 	return &cobra.Command{Use: "members", Short: "Show the dispatchers by their leases at the leader, and by the gossip of the one that is asked", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
--- a/internal/command/propose.go
+++ b/internal/command/propose.go
@@ -23,7 +23,8 @@
 	return command
 }
 
-// announceRules proposes rules that follow the version base, with a canary unless rollout is nil, and prints the version's number.
+// announceRules proposes rules for the version after the one with the number base, and prints the new version's number. It proposes a
+// canary unless rollout is nil.
 func (client *fleetClient) announceRules(command *cobra.Command, base uint64, rules configversions.Rules, rollout *canary.Rollout) error {
 	version := configversions.Version{Number: base, Rules: rules, By: userName(), Reason: client.reason, At: time.Now().UTC(), Canary: rollout}
 	text, err := json.Marshal(version)
--- a/internal/emulator/class.go
+++ b/internal/emulator/class.go
@@ -19,8 +19,8 @@
 	Deadline            time.Duration
 	PriorityWeight      float64 // of a second of work
 	Idempotency         scheduler.Idempotency
-	DeduplicationScope  scheduler.DeduplicationScope // the group of workers that drops repeats of a key ...
-	DeduplicationWindow time.Duration                // ... for this long
+	DeduplicationScope  scheduler.DeduplicationScope // the group of workers that drops repeats of a key
+	DeduplicationWindow time.Duration                // how long repeats of a key are dropped
 	TwoSlotShare        float64                      // share of the jobs that take two slots
 }
 
@@ -84,8 +84,8 @@
 	return cmp.Or(sim.classes[job.class].Name, className)
 }
 
-// className is the name of the class of a scenario that has only one.
+// className is the name of the class of a scenario that has only one class.
 const className = "price-part"
 
-// ClassName is the name of the class of a scenario that has only one: the first part of its jobs' path.
+// ClassName is the name of the class of a scenario that has only one class. It is the first part of the path of the scenario's jobs.
 const ClassName = className
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -26,7 +26,7 @@
 	probedAt        []time.Duration
 }
 
-// socketRequest is a request, identified by its id header, of which attempts were received.
+// socketRequest is a request of which at least one attempt was received. Its id header identifies it.
 type socketRequest struct {
 	id       uint64
 	attempts int
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -113,8 +113,8 @@
 	incarnation int           // of the dispatcher: counts its starts and ends
 	absent      bool          // the dispatcher is ending or gone
 	openPolls   int           // of this incarnation
-	idleSince   time.Time     // since when no poll is open; zero while a poll is open, and before the first poll
-	longestIdle time.Duration // without an open poll
+	idleSince   time.Time     // when the last open poll ended; zero while a poll is open, and before the first poll
+	longestIdle time.Duration // longest time without an open poll
 }
 
 // entry is a worker's entry in the list and the revision of its last change.
@@ -271,8 +271,8 @@
 // fullList, in place of a revision, requests the full list.
 const fullList = -1
 
-// endpointsSince returns the entries that changed after a revision, or for fullList the entries of all workers that are not gone. The
-// caller holds d.mu.
+// endpointsSince returns the entries that changed after a revision. If the revision is fullList, it returns the entries of all workers that
+// are not gone. The caller holds d.mu.
 func (d *DiscoveryServer) endpointsSince(revision int) (answer wireList, endpoints []scheduler.WorkerInfo) {
 	answer = wireList{Revision: d.revision, Complete: revision < 0, Members: []wireMember{}}
 	for _, id := range d.workerIDs {
@@ -303,7 +303,8 @@
 	return member
 }
 
-// ServeHTTP answers a poll with the full list, or, as a watch, with the changes after a revision once there are any.
+// ServeHTTP answers a poll. A poll without a revision gets the full list. A poll with a revision is a watch: it gets the changes after the
+// revision once there are any.
 func (d *DiscoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		w.WriteHeader(http.StatusNotFound)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRun_schedulerMeetsObjective checks that the scheduler serves at least 0.9 without faults, and more than random choice, and that it
-// breaks no rule and answers all jobs under every kind of fault except faults of zones.
+// TestRun_schedulerMeetsObjective checks that without faults the scheduler serves at least 0.9 of the work in time, and more than random
+// choice. It also checks that the scheduler breaks no rule and answers all jobs under every kind of fault except faults of zones.
 func TestRun_schedulerMeetsObjective(t *testing.T) {
 	faultless := mustRun(t, ReferenceScenario(3), schedulerPolicy)
 	if faultless.Service < 0.9 || faultless.Jobs < 9000 || len(faultless.Breaches) > 0 {
@@ -115,7 +115,7 @@
 		}
 		offered := test.load * float64(test.slots)
 		want := 0.1 + erlangC(test.slots, offered)*0.1/(float64(test.slots)-offered)
-		if bound := 3.25 * math.Sqrt(spread/float64(len(means))); math.Abs(mean-want) > bound { // t of 9, 0.99
+		if bound := 3.25 * math.Sqrt(spread/float64(len(means))); math.Abs(mean-want) > bound { // 3.25 is Student's t for 9 degrees of freedom and a two-sided interval of 0.99
 			t.Errorf("%d slots at %.1f: %.4f s, by Erlang %.4f s, bound %.4f", test.slots, test.load, mean, want, bound)
 		}
 	}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -68,7 +68,7 @@
 	e.now = max(e.now, until)
 }
 
-// post makes an engine that runs in real time run an action soon. It may be called by any goroutine and does not block.
+// post queues an action for an engine that runs in real time. It may be called by any goroutine and does not block.
 func (e *engine) post(action func()) {
 	e.mu.Lock()
 	e.posted = append(e.posted, action)
@@ -79,8 +79,8 @@
 	}
 }
 
-// runInRealTime runs tasks by the real clock, which shows clockStart at startedAt, until the context ends. It calls afterBatch after
-// each batch of tasks.
+// runInRealTime runs tasks by the real clock until the context ends, and calls afterBatch after each batch of tasks. The engine's time
+// is clockStart at the real time startedAt.
 func (e *engine) runInRealTime(ctx context.Context, clockStart time.Duration, startedAt time.Time, afterBatch func()) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/emulator/failover.go
+++ b/internal/emulator/failover.go
@@ -24,10 +24,10 @@
 	planner       *failover.Planner
 	random        *rand.Rand
 	planChanges   int
-	zoneLoss      *Fault        // the scenario's first loss of a zone; nil for none
+	zoneLoss      *Fault        // the scenario's first loss of a zone; nil if it has none
 	shareBefore   float64       // share of the lost zone's jobs that was planned into it before the loss
-	movedAfter    time.Duration // from the loss until no job was planned into the zone; 0 for never
-	restoredAfter time.Duration // from the fault's end until the share was restored; 0 for never
+	movedAfter    time.Duration // from the loss until no job was planned into the zone; 0 if that did not happen
+	restoredAfter time.Duration // from the fault's end until the share was restored; 0 if that did not happen
 }
 
 // zoneName returns the name of the zone with the given index.
@@ -121,7 +121,7 @@
 	sim.after(plannerReportInterval, d.reportToPlanner)
 }
 
-// countUnanswered records, once each, the attempts in flight that have had no response for failover.NoResponseAfter.
+// countUnanswered records the attempts in flight that have had no response for failover.NoResponseAfter. It records each attempt once.
 func (d *dispatcher) countUnanswered() {
 	for _, request := range d.requests {
 		for i, attempt := range request.attempts {
@@ -133,7 +133,7 @@
 	}
 }
 
-// updatePlan has the planner make its next plan, sends it to all dispatchers, and repeats after planInterval.
+// updatePlan asks the planner for its next plan, sends the plan to all dispatchers, and repeats this after planInterval.
 func (sim *simulation) updatePlan() {
 	planning := sim.planning
 	plan, made := planning.planner.Next(sim.now)
--- a/internal/emulator/failover_test.go
+++ b/internal/emulator/failover_test.go
@@ -21,8 +21,8 @@
 }
 
 // TestFailover_zoneLost loses a zone for 20 s; its workers then warm up. With a plan, no zone receives more than 1.05 of its capacity,
-// nothing is planned into the lost zone after four seconds, the zone has its share again after 20 s at the earliest, more is served than
-// by the nearest zone alone or by spreading, and no rule is broken.
+// nothing is planned into the lost zone after four seconds, the zone has its share again after 20 s at the earliest, and no rule is broken.
+// At least as much is served as in the modes "near" and "spread".
 func TestFailover_zoneLost(t *testing.T) {
 	results := map[string]*Result{}
 	for _, mode := range []string{"", "near", "spread", "plan"} {
--- a/internal/emulator/faultinjection.go
+++ b/internal/emulator/faultinjection.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// applyFault begins a fault and schedules its end. Faults of workers affect a share of them, drawn from random.
+// applyFault begins a fault and schedules its end. A fault of workers affects a share of the workers, drawn with the parameter random.
 func (sim *simulation) applyFault(fault Fault, random *rand.Rand) {
 	switch fault.Kind {
 	case Burst:
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -98,7 +98,7 @@
 	return append(actions, scheduler.SetTimer{After: probeInterval})
 }
 
-// recordReport sets a worker's load from a report, if it has one.
+// recordReport sets a worker's load from a report, if the report has a load.
 func (p *Plain) recordReport(worker *worker, report *scheduler.Report) {
 	if worker != nil && report != nil && report.Busy >= 0 {
 		worker.reportedLoad, worker.estimatedLoad = report.Busy, report.Busy
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -23,7 +23,7 @@
 	Probes       float64 // probes per job
 	Wasted       float64 // share of the work done whose result was not used
 	Speed        float64 // mean of work / response time over served jobs
-	Used         float64 // work done, as a share of the workers' capacity while jobs arrived
+	Used         float64 // work done, divided by the workers' capacity while jobs arrived
 	Accounts     []AccountResult
 	Breaches     []Breach
 	Notes        []string
@@ -149,7 +149,8 @@
 	}
 }
 
-// ServiceBetween returns the share of work answered in time, of the work requested between two times of the run; 1 if there was none.
+// ServiceBetween returns the share of work answered in time, of the work requested between two times of the run; 1 if no work was
+// requested.
 func (r *Result) ServiceBetween(from, to time.Duration) float64 {
 	var sum secondStats
 	for i, s := range r.Seconds {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -24,7 +24,7 @@
 	Dispatchers int
 	Traffic     Traffic
 	Kinds       []WorkerKind
-	Cells       int // workers are spread over them; each deduplicates by key
+	Cells       int // workers are spread over the cells; each cell deduplicates by key
 	Network     Network
 	Discovery   time.Duration // mean delay of an endpoint update
 	PollLimits  PollLimits    // limits of polls, on sockets only
@@ -51,12 +51,12 @@
 	Deadline            time.Duration
 	Idempotency         scheduler.Idempotency
 	DeduplicationWindow time.Duration // in which a cell deduplicates by key
-	Subjects            int           // number of subjects: data that jobs need and workers cache; 0 for none
+	Subjects            int           // number of subjects: data that jobs need and workers cache; 0 if jobs need none
 	Accounts            []Account
 	Users               int     // clients, each with at most one job in flight; 0 for no limit
 	Classes             []Class // replace the settings of a job's work, objective and idempotency; Deadline is then the longest of the classes
 	WorkEstimates       bool    // clients send work estimates
-	Memory              float64 // mean units of memory that a job needs for each slot; 0 for none
+	Memory              float64 // mean units of memory that a job needs for each slot; 0 if jobs need none
 	Retries             float64 // share of rejected jobs whose client retries once
 }
 
@@ -80,8 +80,8 @@
 type Network struct {
 	Delay time.Duration // mean one-way delay within a zone: half fixed, half exponentially distributed
 
-	Regions        int           // zones are spread over them in order; 0 for one
-	Zones          int           // workers and dispatchers are spread over them; 0 for one
+	Regions        int           // number of regions: zones are spread over them in order; 0 counts as one
+	Zones          int           // number of zones: workers and dispatchers are spread over them; 0 counts as one
 	Cross          time.Duration // mean one-way delay between zones
 	CrossPrice     float64       // of an attempt between zones, in units of merit
 	Handshake      float64       // round trips to open a connection; 0 if connections are not modelled
@@ -93,7 +93,7 @@
 type Reports struct {
 	Every time.Duration // mean interval between a worker's reports
 	Push  bool          // workers with processor sharing push a report at each change
-	Cost  time.Duration // of a slot, for each probe
+	Cost  time.Duration // time of a slot that each probe takes
 
 	InAnswers bool          // answers to attempts carry reports
 	Delay     time.Duration // age of a report when a dispatcher receives it
@@ -103,13 +103,13 @@
 type SlowStart struct {
 	Capacity         float64       // share of its speed at the start
 	Duration         time.Duration // until it has its full speed
-	OverloadMultiple float64       // the worker goes down if it receives more than this multiple of the work that it can do ...
-	OverloadWindow   time.Duration // ... in this window
+	OverloadMultiple float64       // the worker goes down if it receives more than this multiple of the work that it can do in OverloadWindow
+	OverloadWindow   time.Duration // see OverloadMultiple
 }
 
 // Store is where workers fetch the subjects of jobs.
 type Store struct {
-	Fetch    float64       // mean duration in seconds, exponentially distributed; 0 for none
+	Fetch    float64       // mean duration in seconds, exponentially distributed; 0 if nothing is fetched
 	Slots    int           // fetches at a time, over all workers; 0 for no limit
 	CacheFor time.Duration // a worker caches a subject for this long after its last use
 }
@@ -152,8 +152,8 @@
 	Kind  FaultKind
 	Share float64 // of the workers, at least one
 	Size  float64
-	Zone  int // counted from 1; 0 for none
-	From  int // counted from 1; 0 for none
+	Zone  int // counted from 1; 0 if the fault has none
+	From  int // counted from 1; 0 if the fault has none
 }
 
 // Rules are limits that dispatchers are configured with and that the auditor checks.
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestProcessorSharing_rejectsWithoutSlot checks that a worker without a free slot rejects a job at once, and the job is sent to another
-// worker; a user has one job in flight at a time.
+// TestProcessorSharing_rejectsWithoutSlot checks that a worker without a free slot rejects a job at once, and that the job is sent to
+// another worker. It also checks that a user has one job in flight at a time.
 func TestProcessorSharing_rejectsWithoutSlot(t *testing.T) {
 	s := singleWorker(1, 1, 0.9)
 	s.Span, s.Kinds = 100*time.Second, []WorkerKind{{"some", 3, 1, 1, 1, true}}
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -30,7 +30,7 @@
 	discoveryDown, discoveryHung int
 	rateFactor                   float64        // of the arrival rate
 	tailFactor                   float64        // of a heavy job's work; 0 without the fault
-	partitions                   map[[2]int]int // number of faults between a dispatchers' zone and a workers' zone
+	partitions                   map[[2]int]int // number of faults, by the zone of the dispatchers and the zone of the workers that they separate
 	delayFactor                  map[int]float64
 
 	// Measurements.
--- a/internal/emulator/socketrun.go
+++ b/internal/emulator/socketrun.go
@@ -71,8 +71,8 @@
 }
 
 // RunOnSockets runs a scenario on loopback sockets, in real time, with a process of the dispatcher's program for each dispatcher. The
-// result has the same figures as Run's, measured at the clients and the workers. The error wraps load.ErrUnusable if the load generator
-// was late, and is context.Canceled, together with the result until then, if the context ended.
+// result has the same figures as Run's, measured at the clients and the workers. The error wraps load.ErrUnusable if the load generator was
+// late. If the context ended, RunOnSockets returns the result until then with context.Canceled.
 func RunOnSockets(ctx context.Context, scenario Scenario, binary string) (*Result, error) {
 	cluster, err := open(context.WithoutCancel(ctx), scenario) // the result is read after the context has ended
 	if err != nil {
@@ -100,7 +100,7 @@
 	return cluster.generateLoad(ctx, targets)
 }
 
-// generateLoad sends the scenario's jobs to dispatchers and returns the result. It starts the scenario's faults.
+// generateLoad starts the scenario's faults, sends the scenario's jobs to dispatchers and returns the result.
 func (c *Cluster) generateLoad(ctx context.Context, targets []string) (*Result, error) {
 	client, err := load.NewClient(load.HTTP1, className, targets)
 	if err != nil {
--- a/internal/emulator/socketrun_test.go
+++ b/internal/emulator/socketrun_test.go
@@ -47,7 +47,7 @@
 		t.Errorf("on sockets %+v, in virtual time %+v", result, virtual)
 	}
 
-	// A program that cannot start fails; a context that ends returns the result until then with the error.
+	// If the program cannot start, RunOnSockets fails. If the context ends, it returns the result until then with the error.
 	if _, err := RunOnSockets(t.Context(), scenario, filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("RunOnSockets succeeded without a program")
 	}
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -22,7 +22,7 @@
 // called after Close.
 func (c *Cluster) Status() Status { return queryEngine(c.sim, c.sim.status) }
 
-// queryEngine has the engine call get, and returns the result.
+// queryEngine makes the engine call get, and returns the result of get.
 func queryEngine[T any](sim *simulation, get func() T) T {
 	answer := make(chan T, 1)
 	sim.post(func() { answer <- get() })
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -15,8 +15,8 @@
 	class            int
 	slots            int
 	memory           float64
-	workEstimate     time.Duration // the client's; 0 for none
-	subject          int           // 0 for none
+	workEstimate     time.Duration // sent by the client; 0 if it sends none
+	subject          int           // 0 if the job needs no subject
 	user             int
 	firstRequestedAt time.Duration
 	requests         int // sent so far
--- a/internal/emulator/workerreport.go
+++ b/internal/emulator/workerreport.go
@@ -12,7 +12,7 @@
 		Queue: float64(len(w.queue))}
 }
 
-// recordReport stores the current load as the newest report, and again after half to one and a half times the interval.
+// recordReport stores the current load as the newest report. It repeats this after half to one and a half times the interval.
 func (w *worker) recordReport() {
 	copy(w.reports[:], w.reports[1:])
 	copy(w.reportedAt[:], w.reportedAt[1:])
--- a/internal/emulator/workerserver.go
+++ b/internal/emulator/workerserver.go
@@ -80,8 +80,9 @@
 	}
 }
 
-// socketAttempt is an attempt on a socket; it implements attemptSource. lines carries the JSON fields of each line of the response; an
-// empty string breaks the connection. Its capacity exceeds the lines of one attempt, so that the engine never blocks on it.
+// socketAttempt is an attempt on a socket; it implements attemptSource. The channel lines carries the JSON fields of each line of the
+// response; an empty string breaks the connection. The channel's capacity exceeds the lines of one attempt, so that the engine never blocks
+// on it.
 type socketAttempt struct {
 	server *workerServer
 	lines  chan string
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -24,8 +24,7 @@
 	Variants []Variant         `hcl:"variant,block"`
 }
 
-// ScenarioSettings are the settings of a scenario; nil for settings that are not given. Durations are in the format of
-// time.ParseDuration.
+// ScenarioSettings are the settings of a scenario. A setting that is not given is nil. Durations are in the format of time.ParseDuration.
 type ScenarioSettings struct {
 	Rate           *float64 `hcl:"rate"` // jobs a second
 	Span           *string  `hcl:"span"`
@@ -90,9 +89,9 @@
 	ObjectiveStretch    float64 `hcl:"stretch"`
 	Deadline            string  `hcl:"give_up"`
 	PriorityWeight      float64 `hcl:"worth"`
-	Idempotency         string  `hcl:"effect"`          // a key of effects
-	DeduplicationScope  string  `hcl:"scope,optional"`  // a key of scopes, where the effect is keyed
-	DeduplicationWindow string  `hcl:"window,optional"` // where the effect is keyed
+	Idempotency         string  `hcl:"effect"`          // a key of the map effects
+	DeduplicationScope  string  `hcl:"scope,optional"`  // a key of the map scopes, if the effect is keyed
+	DeduplicationWindow string  `hcl:"window,optional"` // if the effect is keyed
 	TwoSlotShare        float64 `hcl:"wide,optional"`
 }
 
--- a/internal/experiment/overview.go
+++ b/internal/experiment/overview.go
@@ -32,7 +32,7 @@
 // difference's 95% interval.
 func (s Comparison) Margin() float64 { return meritAllowance + s.Difference.Half }
 
-// Behind reports whether the scheduler's merit is lower by more than the margin, or the scheduler broke a rule.
+// Behind reports whether the scheduler's merit is below the plain policy's by more than the margin, or the scheduler broke a rule.
 func (s Comparison) Behind() bool { return s.Broken > 0 || s.Difference.Mean < -s.Margin() }
 
 // CompareDeployments compares the scheduler with the best plain policy at each deployment, by merit. A deployment's first variant is the
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 )
 
-// Table writes each variant's means, and how they differ from those of the first variant. Seeds are paired, since the variants
-// of a seed have the same traffic and faults.
+// Table writes each variant's means, and how they differ from the means of the first variant. Seeds are paired, since the variants of a
+// seed have the same traffic and faults.
 func Table(out io.Writer, rows []Row) error {
 	names, byVariant := rowsByVariant(rows)
 	if err := writeMeans(out, names, byVariant); err != nil || len(names) < 2 {
--- a/internal/experiment/row.go
+++ b/internal/experiment/row.go
@@ -24,7 +24,7 @@
 	Probes       float64  `json:"probes"` // probes per job
 	Wasted       float64  `json:"wasted"` // share of the work done whose result was not used
 	Speed        float64  `json:"speed"`  // mean of work / response time over served jobs
-	Used         float64  `json:"used"`   // work done, as a share of the workers' capacity while jobs arrived
+	Used         float64  `json:"used"`   // work done, divided by the workers' capacity while jobs arrived
 	WorstClass   float64  `json:"worst_class,omitempty"`
 	Crossings    float64  `json:"crossings,omitempty"` // attempts between zones, per job
 	Merit        float64  `json:"merit,omitempty"`     // see emulator.Result.Merit
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -44,8 +44,8 @@
 // task is one run: a variant, by index, and the offset of its seed from the first.
 type task struct{ seed, variant int }
 
-// Run runs all variants with all seeds, up to parallel runs at a time, seed by seed. It calls step after each run, one call
-// at a time. If the context ends or a run fails, it returns the rows until then with the error.
+// Run runs all variants with all seeds, seed by seed. The parameter parallel is the maximum number of runs at a time. Run calls step after
+// each run, one call at a time. If the context ends or a run fails, it returns the rows until then with the error.
 func Run(ctx context.Context, file *File, runner Runner, parallel int, build string, step func()) ([]Row, error) {
 	tasks := make(chan task)
 	go func() {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -133,7 +133,7 @@
 	return class, nil
 }
 
-// durationSetting is a duration to be parsed: its key, its text, nil if it is not given, and where it is stored.
+// durationSetting is a duration to be parsed: its key, its text (nil if it is not given), and where it is stored.
 type durationSetting struct {
 	key  string
 	text *string
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -13,7 +13,7 @@
 	N          int
 }
 
-// summarize returns the summary of figures. Half is 0 for fewer than two.
+// summarize returns the summary of figures. Half is 0 if there are fewer than two figures.
 func summarize(figures []float64) Summary {
 	summary := Summary{N: len(figures), Mean: stat.Mean(figures, nil)}
 	if len(figures) > 1 {
--- a/internal/experiment/zones.go
+++ b/internal/experiment/zones.go
@@ -114,8 +114,8 @@
 	return tasks
 }
 
-// RunZones runs all cases in all modes over the seeds, up to parallel runs at a time. It calls step after each run, from
-// several goroutines. It returns no rows if the context ends.
+// RunZones runs all cases in all modes over the seeds. The parameter parallel is the maximum number of runs at a time. RunZones calls step
+// after each run, from several goroutines. It returns no rows if the context ends.
 func RunZones(ctx context.Context, experiment ZoneExperiment, parallel int, step func()) (rows []ZoneRow, err error) {
 	tasks := experiment.tasks()
 	rows = make([]ZoneRow, len(tasks))
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -37,7 +37,7 @@
 }
 
 const (
-	maxBodyBytes       = 1 << 20 // read of a response
+	maxBodyBytes       = 1 << 20 // maximum that is read of a response
 	maxIdleConnections = 4096    // to a target
 	maxRetryAfter      = time.Hour
 )
@@ -100,7 +100,7 @@
 	if c.wire == Events && response.StatusCode == http.StatusOK {
 		return lastEvent(response.Body)
 	}
-	// An answer has been received when its last byte has.
+	// An answer counts as received when its last byte is received.
 	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBodyBytes)); err != nil {
 		return Answer{Outcome: Unanswered}
 	}
--- a/internal/load/figures.go
+++ b/internal/load/figures.go
@@ -21,7 +21,7 @@
 	Planned    int                       `json:"planned"`
 	OpenAtStop int                       `json:"open_at_stop"`
 	Attempts   int                       `json:"tries"`
-	Rate       float64                   `json:"rate"` // jobs per second that ended
+	Rate       float64                   `json:"rate"` // ended jobs per second
 	Outcomes   map[string]int            `json:"outcomes"`
 	Accounts   map[string]map[string]int `json:"accounts"`
 	Latency    Quantiles                 `json:"latency_ms"` // from when a job was due
--- a/internal/load/file.go
+++ b/internal/load/file.go
@@ -107,7 +107,7 @@
 	c.diags = append(c.diags, hcldiag.At(place, "Bad plan", format, args...))
 }
 
-// duration parses the text of an attribute of a body; empty is 0.
+// duration parses the text of an attribute of a body. An empty text is 0.
 func (c *checker) duration(body *hclsyntax.Body, attribute, text string) time.Duration {
 	if text == "" {
 		return 0
--- a/internal/load/generated.go
+++ b/internal/load/generated.go
@@ -10,7 +10,7 @@
 type Account struct {
 	Name     string
 	Share    float64 // of the jobs, relative to the other accounts
-	Multiple float64 // it sends its share this many times, in addition to the others' jobs; 0 for once
+	Multiple float64 // the account sends its share this many times, in addition to the other accounts' jobs; 0 counts as 1
 }
 
 // weight returns the account's share times its multiple.
@@ -24,7 +24,7 @@
 // Mix is the accounts and subjects of jobs.
 type Mix struct {
 	Accounts []Account
-	Subjects int     // number of subjects; 0 for none
+	Subjects int     // number of subjects; 0 if jobs have none
 	Zipf     float64 // exponent of the subjects' popularity, above 1; 0 if all are equally popular
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-// newJob returns the job of the latest arrival, its account and subject drawn.
+// newJob returns the job of the latest arrival, with a drawn account and subject.
 func (g *generatedJobs) newJob() Job {
 	job := Job{At: g.phaseStart + g.offset}
 	pick := g.accounts.Float64() * g.weights
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -11,9 +11,9 @@
 type Job struct {
 	At      time.Duration // when it is due, since the start
 	Account string
-	Subject string // what it is about; empty for none
+	Subject string // what the job is about; empty if it has no subject
 	Key     string // idempotency key; empty for a new one
-	Extra   string // value of the Req-Extra header, as in a trace; empty for none
+	Extra   string // value of the Req-Extra header, as in a trace; empty if the job has none
 }
 
 // Source returns a plan's jobs in the order of their times, and false after the last.
@@ -44,14 +44,14 @@
 type Terms struct {
 	Class            string
 	Deadline         time.Duration // from when a job is due
-	LatencyObjective time.Duration // 0 for none
+	LatencyObjective time.Duration // 0 if there is no objective
 	Retry            Retry
 }
 
 // Retry is how clients retry. They retry only after a rejection, which means that a retry is harmless.
 type Retry struct {
 	Max              int           // retries of a job
-	Share            float64       // of the clients that retry
+	Share            float64       // share of the clients that retry
 	Wait             time.Duration // before a retry, unless HonourRetryAfter applies
 	HonourRetryAfter bool          // wait as the Retry-After of the rejection says, if it has one
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,8 +27,8 @@
 	return jobs
 }
 
-// TestGenerated_determinedBySeed checks that a seed gives the same jobs each time, and another seed others; that times are in order and
-// inside their phases, and do not depend on the accounts.
+// TestGenerated_determinedBySeed checks that a seed gives the same jobs each time, and a different seed gives different jobs; that times
+// are in order and inside their phases, and do not depend on the accounts.
 func TestGenerated_determinedBySeed(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		phase := Phase{Shape: Shape(rapid.IntRange(0, int(Day)).Draw(t, "shape")), For: time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond,
@@ -63,7 +63,7 @@
 }
 
 // TestGenerated_rateOfShape checks that each shape gives the number of jobs that follows from its rate, within five standard deviations,
-// and that an account whose Multiple is five sends five times its share, in addition to the jobs of the other.
+// and that an account whose Multiple is five sends five times its share, in addition to the jobs of the other account.
 func TestGenerated_rateOfShape(t *testing.T) {
 	for name, test := range map[string]struct {
 		phase Phase
@@ -235,7 +235,7 @@
 }
 
 // TestClient_retriesRejections checks that a client retries a rejection after its Retry-After, with the same key and a new id, and that the
-// job counts once. It checks that the client retries neither a failure nor after the deadline.
+// job counts once. It also checks that the client does not retry a failure, and does not retry after the deadline.
 func TestClient_retriesRejections(t *testing.T) {
 	type attempt struct {
 		id, key, retry string
--- a/internal/load/phase.go
+++ b/internal/load/phase.go
@@ -24,8 +24,8 @@
 type Phase struct {
 	Shape         Shape
 	For           time.Duration
-	Rate          float64       // jobs a second; of a Ramp the first, of a Day the highest
-	To            float64       // jobs a second; of a Ramp the last, of a Burst the rate within bursts
+	Rate          float64       // jobs a second: the first rate of a Ramp, the highest rate of a Day
+	To            float64       // jobs a second: the last rate of a Ramp, the rate within bursts of a Burst
 	BurstPeriod   time.Duration // from the start of a burst to the start of the next
 	BurstDuration time.Duration
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -70,7 +70,7 @@
 	r.openAtStop++
 }
 
-// recordJob records a job's end and calls each with it, unless the context's end cut the job short.
+// recordJob records a job's end and passes it to the function each, unless the end of the context cut the job short.
 func (r *Result) recordJob(ctx context.Context, job Job, ended jobEnd, each func(Job, Outcome, time.Duration)) {
 	if ended.outcome == Unanswered && ctx.Err() != nil {
 		r.recordStopped()
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -32,10 +32,10 @@
 // Answer is the result of one attempt.
 type Answer struct {
 	Outcome    Outcome       // Served, Refused, Failed or Unanswered
-	RetryAfter time.Duration // of a rejection; 0 for none
+	RetryAfter time.Duration // advice of a rejection; 0 if it has none
 }
 
-// Sender sends one attempt, the first with number 0, and returns its answer by the deadline. It is called by many goroutines.
+// Sender sends one attempt, and returns its answer by the deadline. A job's first attempt has the number 0. Many goroutines call Send.
 type Sender interface {
 	Send(ctx context.Context, job Job, attempt int, deadline time.Time) Answer
 }
@@ -46,9 +46,9 @@
 	Seed    uint64
 	Clients int       // 0 for an open loop, else the number of clients that wait for each answer before their next job
 	MaxOpen int       // maximum of jobs in flight: further jobs are not sent, and the result is unusable; 0 for 100,000
-	Begin   time.Time // of the plan; zero for now
+	Begin   time.Time // start of the plan; the zero time means now
 
-	// Each is called with each job, its outcome and its latency, by many goroutines; nil for none.
+	// Many goroutines call Each, with each job, its outcome and its latency. Each may be nil.
 	Each func(Job, Outcome, time.Duration)
 }
 
@@ -133,7 +133,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// waitUntil waits for a time. It returns false if the context ends before.
+// waitUntil waits for a time. It returns false if the context ends before that time.
 func waitUntil(ctx context.Context, due time.Time) bool {
 	for {
 		left := time.Until(due)
--- a/internal/load/trace.go
+++ b/internal/load/trace.go
@@ -46,8 +46,8 @@
 	Extra   string  `json:"extra"`
 }
 
-// ReadTrace reads a recorded trace, either "csv" with a line of column names or "jsonl", to its end: the error names the line of
-// the first mistake. If accounts are given, a record's account must be one of them. Gaps in time are not shortened.
+// ReadTrace reads a recorded trace, either "csv" with a line of column names or "jsonl", to its end. The error names the line of the first
+// mistake. If accounts are given, a record's account must be one of them. Gaps in time are not shortened.
 func ReadTrace(in io.Reader, format string, accounts []Account) ([]Job, error) {
 	known := map[string]bool{}
 	for _, account := range accounts {
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -100,7 +100,7 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// ConnContext is the http.Server.ConnContext of a server whose handler Handler returns.
+// ConnContext is the function for the field ConnContext of an http.Server whose handler was made by Handler.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
@@ -112,7 +112,7 @@
 		m.Message(kind)
 		if conn, ok := r.Context().Value(connKey{}).(*Conn); ok {
 			conn.assign(kind)
-			defer conn.assign(kind) // the body was read after the header; the end of the response is written after this
+			defer conn.assign(kind) // counts the body, which was read after the header; the end of the response is written later
 		}
 		next.ServeHTTP(w, r)
 	})
--- a/internal/traffic/packets.go
+++ b/internal/traffic/packets.go
@@ -53,7 +53,7 @@
 	checksumHeaderBytes = 5
 	compoundHeaderBytes = 2
 	compoundLengthBytes = 2
-	maxNesting          = 2 // a compound message, and the first one in it
+	maxNesting          = 2 // a compound message, and the first message in it
 )
 
 // MemberlistKind returns the kind of a packet of memberlist: Probe if it carries a probe or the response to a probe, regardless of
